--- /dev/null
+++ b/internal/agent/fixtures_test.go
@@ -0,0 +1,343 @@
+package agent
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"milldeck/internal/goldentest"
+	"milldeck/internal/placement"
+	"milldeck/internal/registry"
+)
+
+// The wall clock (Unix ms) and the monotonic clock (ms) of the fixtures.
+const (
+	fixtureWallMS = 1_764_633_600_000
+	fixtureMonoMS = 5_000
+)
+
+func fixtureClock() (wallMS, monoMS int64) { return fixtureWallMS, fixtureMonoMS }
+
+// fixtureCore holds a list with every field of an instance set. The registry was restored once, so the revision that is
+// served differs from the registry's.
+func fixtureCore(t *testing.T) *core {
+	t.Helper()
+	c := &core{share: defaultShare}
+	first := &registry.List{Rev: 41, Epoch: 7, All: true, Targets: []registry.Target{{UID: "s1", Endpoint: "127.0.0.1:9001", State: registry.Ready}}}
+	second := &registry.List{Rev: 12, Epoch: 8, All: true, Targets: []registry.Target{
+		{UID: "s2", Endpoint: "127.0.0.1:9002", Zone: "zone-b", State: registry.Terminating, Capacity: 0.25},
+		{UID: "s1", Endpoint: "127.0.0.1:9001", Zone: "zone-a", Model: "m1", Pod: 3, State: registry.Ready, Capacity: 1.5, BootMS: 1_764_633_500_125.5},
+		{UID: "s3 <ä>", Endpoint: "[::1]:9003", State: registry.Ready, Capacity: 1},
+	}}
+	for _, l := range []*registry.List{first, second} {
+		if v, _ := c.take(l, true); v != applied {
+			t.Fatalf("the list of revision %d: verdict %d", l.Rev, v)
+		}
+	}
+	return c
+}
+
+func TestListFileFormat(t *testing.T) {
+	want := fixtureCore(t)
+	data, err := want.encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Compare(t, "list.bin", data)
+
+	read := &core{share: defaultShare}
+	if err := read.load(goldentest.Path("list.bin")); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(read, want) {
+		t.Errorf("read %+v, want %+v", read, want)
+	}
+	again, err := read.encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Compare(t, "list.bin", again)
+}
+
+func TestListFileChecksum(t *testing.T) {
+	golden := goldentest.Read(t, "list.bin")
+	goldentest.Compare(t, "list-flipped.bin", bytes.Replace(golden, []byte("9001"), []byte("9009"), 1))
+	goldentest.Compare(t, "list-truncated.bin", golden[:len(golden)-10])
+	for _, name := range []string{"list-flipped.bin", "list-truncated.bin"} {
+		var c core
+		if err := c.load(goldentest.Path(name)); !errors.Is(err, errTorn) || len(c.targets) != 0 {
+			t.Errorf("%s: error %v, %d targets", name, err, len(c.targets))
+		}
+	}
+	var c core
+	if err := c.load(goldentest.Path("placement.bin")); err == nil || !strings.Contains(err.Error(), `it does not begin with "milldeck-agent-list 1"`) {
+		t.Errorf("a file of another form: %v", err)
+	}
+}
+
+// fixturePlaces holds an entry of each kind, and one that has ended.
+func fixturePlaces(t *testing.T) *places {
+	t.Helper()
+	p := newPlaces("", fixtureClock)
+	l := &placement.List{Rev: 9, Epoch: 8, All: true, Entries: []placement.Entry{
+		{ID: "window/w/gold", Kind: placement.KeepOff, Tenant: "gold", Servers: []string{"s1", "s2"}, Least: 0.5,
+			UntilMS: fixtureWallMS + 60_000, LeftMS: 50_000, Rev: 7},
+		{ID: "spread/0123456789abcdef", Kind: placement.Spread, Key: "0123456789abcdef",
+			Copies: []placement.Copy{{UID: "s1", Share: 0.25}, {UID: "s2"}}, UntilMS: fixtureWallMS + 20_000, LeftMS: 30_000, Rev: 8},
+		{ID: "cohort/canary", Kind: placement.Cohort, Name: "canary", Servers: []string{"s3"}, UntilMS: fixtureWallMS + 1000, LeftMS: 1000, Rev: 9},
+		{ID: "cohort/over", Kind: placement.Cohort, Name: "over", Servers: []string{"s3"}, UntilMS: fixtureWallMS - 1, Rev: 3},
+	}}
+	if err := p.take(l); err != nil {
+		t.Fatal(err)
+	}
+	return p
+}
+
+func TestPlacementFileFormat(t *testing.T) {
+	data, err := fixturePlaces(t).encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Compare(t, "placement.bin", data)
+
+	read := newPlaces(goldentest.Path("placement.bin"), fixtureClock)
+	if rev, epoch := read.at(); rev != 9 || epoch != 8 || read.reader.Len() != 4 {
+		t.Errorf("read revision %d of epoch %d with %d entries", rev, epoch, read.reader.Len())
+	}
+	again, err := read.encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Compare(t, "placement.bin", again)
+}
+
+func TestPlacementFileChecksum(t *testing.T) {
+	golden := goldentest.Read(t, "placement.bin")
+	goldentest.Compare(t, "placement-flipped.bin", bytes.Replace(golden, []byte("gold"), []byte("gone"), 1))
+	p := newPlaces(goldentest.Path("placement-flipped.bin"), fixtureClock)
+	if err := p.load(); !errors.Is(err, errTorn) || p.reader.Known() {
+		t.Errorf("error %v, placement known: %v", err, p.reader.Known())
+	}
+}
+
+// The registration of the agent's sidecar, as it is sent to the registry.
+func TestSidecarCallFormat(t *testing.T) {
+	c := homeCore{home: Home{Name: "n0", Address: "127.0.0.1:8600", Zone: "zone-a", Tenant: "gold", Version: "1", Lease: 9 * time.Second}}
+	c.look(fixtureWallMS, true, &heard{version: "2", list: 41, rev: 9})
+	call := registry.SidecarCall{ID: "call-1", TTLMS: c.home.Lease.Milliseconds(), Sidecars: []registry.Sidecar{c.now}}
+	data, err := json.Marshal(call)
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Compare(t, "sidecar-call.json", data)
+
+	var read registry.SidecarCall
+	if err := json.Unmarshal(goldentest.Read(t, "sidecar-call.json"), &read); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(read, call) {
+		t.Errorf("read %+v, want %+v", read, call)
+	}
+}
+
+func fixtureReport() placement.Report {
+	return placement.Report{
+		Name: "n0", Zone: "zone-a", Version: "2", Rev: 9, Epoch: 8, List: 41, SpanMS: 1000.25, Open: map[string]int{"window/w/gold": 3},
+		Suspended: []string{"spread/0123456789abcdef"}, HeatAll: 12.5,
+		Heat: []placement.Heat{{Key: "0123456789abcdef", Load: 10.5, Error: 0.5}},
+		Counts: []placement.Count{
+			{Class: "lookup", Zone: "zone-b", Cohort: "canary", Served: 30, Late: 2, Failed: 1, Latency: []uint32{1, 0, 29}}, {Class: "batch"},
+		},
+	}
+}
+
+// A report as a sidecar posts it, what the agent reads of it, and the request in which it is forwarded.
+func TestReportFormat(t *testing.T) {
+	posted, err := json.Marshal(fixtureReport())
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Compare(t, "report.json", posted)
+
+	var forwarded bytes.Buffer
+	collector := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		fmt.Fprintf(&forwarded, "%s %s\nContent-Type: %s\n\n", r.Method, r.URL, r.Header.Get("Content-Type"))
+		if _, err := io.Copy(&forwarded, r.Body); err != nil {
+			t.Error(err)
+		}
+		w.WriteHeader(http.StatusNoContent)
+	}))
+	defer collector.Close()
+	address := strings.TrimPrefix(collector.URL, "http://")
+	p, err := newReports([]string{address})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer p.http.CloseIdleConnections()
+	agent := httptest.NewServer(http.HandlerFunc(p.serve))
+	defer agent.Close()
+	response, err := http.Post(agent.URL, "application/json", bytes.NewReader(goldentest.Read(t, "report.json")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := response.Body.Close(); err != nil || response.StatusCode != http.StatusNoContent {
+		t.Fatalf("status %d, error %v", response.StatusCode, err)
+	}
+	if got, want := p.latest("n0", time.Now()), (heard{version: "2", list: 41, rev: 9}); got == nil || *got != want {
+		t.Errorf("the agent read %+v, want %+v", got, want)
+	}
+	body, _, _ := p.batch(0, time.Now())
+	if err := p.post(t.Context(), address, body); err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Compare(t, "report-forwarded.txt", forwarded.Bytes())
+}
+
+// exchange makes a request and writes it down with its answer: the status, the headers that clients go by, and the body,
+// or the first line of it where the answer is a watch.
+func exchange(t *testing.T, transcript *bytes.Buffer, method, base, path, body string) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, method, base+path, strings.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer response.Body.Close()
+	fmt.Fprintf(transcript, "%s %s\n", method, path)
+	if len(body) < 200 && body != "" {
+		fmt.Fprintf(transcript, "%s\n", body)
+	}
+	fmt.Fprintf(transcript, "< %d\n", response.StatusCode)
+	for _, name := range []string{"Allow", "Content-Type", "Retry-After"} {
+		if value := response.Header.Get(name); value != "" {
+			fmt.Fprintf(transcript, "< %s: %s\n", name, value)
+		}
+	}
+	var text []byte
+	if strings.Contains(path, "watch=") && response.StatusCode == http.StatusOK {
+		for one := make([]byte, 1); !bytes.HasSuffix(text, []byte("\n")); text = append(text, one...) {
+			if _, err := io.ReadFull(response.Body, one); err != nil {
+				t.Fatal(err)
+			}
+		}
+	} else if text, err = io.ReadAll(response.Body); err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(transcript, "%s\n", text)
+}
+
+// What an agent answers its sidecar, with a list that it has saved and no registry within reach.
+func TestAgentAnswers(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "list")
+	if err := os.WriteFile(path, goldentest.Read(t, "list.bin"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	a, err := Start(Options{Listen: "127.0.0.1:0", Replicas: []string{"127.0.0.1:1"}, Saved: path})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer a.Close()
+	base := "http://" + a.Addr()
+	var transcript bytes.Buffer
+	for _, request := range []struct{ method, path, body string }{
+		{"GET", "/health/ready", ""},
+		{"GET", "/registry/instances", ""},
+		{"GET", "/registry/instances?watch=1", ""},
+		{"GET", "/registry/instances?watch=1&after=42", ""},
+		{"GET", "/registry/instances?watch=1&after=x", ""},
+		{"GET", "/registry/instances?watch=1&after=-1", ""},
+		{"POST", "/registry/instances", ""},
+		{"GET", "/elsewhere", ""},
+		{"POST", "/registry/report", `{"name":"n0","rev":9,"list":41,"span_ms":1000,"heat_all":0}`},
+		{"POST", "/registry/report", `{"name":""}`},
+		{"POST", "/registry/report", `{"name":"n0","span_ms":-1}`},
+		{"POST", "/registry/report", "no JSON"},
+		{"POST", "/registry/report", `{"name":"` + strings.Repeat("n", placement.MaxReport) + `"}`},
+	} {
+		exchange(t, &transcript, request.method, base, request.path, request.body)
+	}
+	for n := range mostReporters {
+		exchange(t, &transcript, "POST", base, "/registry/report", fmt.Sprintf(`{"name":"more-%d"}`, n))
+	}
+	goldentest.Compare(t, "answers.txt", transcript.Bytes())
+}
+
+// What an agent answers before it knows any list.
+func TestAgentAnswersWithoutAList(t *testing.T) {
+	a, err := Start(Options{Listen: "127.0.0.1:0", Replicas: []string{"127.0.0.1:1"}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer a.Close()
+	var transcript bytes.Buffer
+	for _, path := range []string{"/health/ready", "/registry/instances", "/registry/instances?watch=1"} {
+		exchange(t, &transcript, "GET", "http://"+a.Addr(), path, "")
+	}
+	goldentest.Compare(t, "answers-no-list.txt", transcript.Bytes())
+}
+
+// What an agent answers about the placement: with one, while none is known yet, and where the registry knows none.
+func TestPlacementAnswers(t *testing.T) {
+	known := fixturePlaces(t)
+	pending, unsupported := newPlaces("", fixtureClock), newPlaces("", fixtureClock)
+	unsupported.unknown.Store(true)
+	for _, p := range []*places{pending, unsupported} {
+		p.settle.Do(func() { close(p.settled) })
+	}
+	var transcript bytes.Buffer
+	for _, c := range []struct {
+		name  string
+		cache *places
+		paths []string
+	}{
+		{"known", known, []string{"", "?watch=1", "?watch=1&after=9&epoch=8", "?watch=1&after=x", "?epoch=x"}},
+		{"pending", pending, []string{"", "?watch=1"}},
+		{"unsupported", unsupported, []string{"", "?watch=1"}},
+	} {
+		a := &Agent{places: c.cache, ctx: t.Context()}
+		server := httptest.NewServer(http.HandlerFunc(a.servePlacement))
+		defer server.Close()
+		fmt.Fprintf(&transcript, "# %s\n", c.name)
+		for _, query := range c.paths {
+			exchange(t, &transcript, "GET", server.URL, "/registry/placement"+query, "")
+		}
+	}
+	goldentest.Compare(t, "answers-placement.txt", transcript.Bytes())
+}
+
+// The names, types and help texts of the agent's metrics.
+func TestMetricNames(t *testing.T) {
+	a, err := Start(Options{Listen: "127.0.0.1:0", Replicas: []string{"127.0.0.1:1"}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer a.Close()
+	response, err := http.Get("http://" + a.Addr() + "/metrics")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := slices.DeleteFunc(strings.SplitAfter(string(text), "\n"), func(line string) bool { return !strings.HasPrefix(line, "#") })
+	goldentest.Compare(t, "metrics.txt", []byte(strings.Join(lines, "")))
+}
--- /dev/null
+++ b/internal/collect/fixtures_test.go
@@ -0,0 +1,80 @@
+package collect
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"milldeck/internal/goldentest"
+	"milldeck/internal/placement"
+)
+
+// A batch of reports as an agent posts it: one with every field, one of an idle sidecar.
+func fixtureBatch(t *testing.T) []byte {
+	t.Helper()
+	return body(t, placement.Report{
+		Name: "n0", Zone: "zone-a", Version: "2", Rev: 9, Epoch: 8, List: 41, SpanMS: 1000.25,
+		Open: map[string]int{"window/w/gold": 3, "window/w/silver": 0}, Suspended: []string{"spread/0123456789abcdef"}, HeatAll: 1.25e21,
+		Heat: []placement.Heat{{Key: "0123456789abcdef", Load: 10.5, Error: 0.5}, {Key: "ffffffffffffffff", Load: 1e-7}},
+		Counts: []placement.Count{
+			{Class: "lookup", Zone: "zone-b", Cohort: "canary", Served: 30, Late: 2, Failed: 1, Latency: []uint32{1, 0, 29}}, {Class: "batch"},
+		},
+	}, placement.Report{Name: "n1"})
+}
+
+func TestBatchFormat(t *testing.T) {
+	goldentest.Compare(t, "batch.json", fixtureBatch(t))
+	golden := goldentest.Read(t, "batch.json")
+	reports, plain := decodePlain(golden)
+	if !plain {
+		t.Fatal("the batch is not read directly")
+	}
+	goldentest.Compare(t, "batch.json", body(t, reports...))
+	reports, err := decode(append([]byte(" \n"), bytes.Replace(golden, []byte(`"n1"`), []byte(`"\u006e1"`), 1)...))
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Compare(t, "batch.json", body(t, reports...))
+}
+
+// What a collector answers, and what it counts.
+func TestAnswers(t *testing.T) {
+	c := New(Options{Most: 2, Now: func() time.Duration { return time.Hour }})
+	var transcript bytes.Buffer
+	exchange := func(method, data string) {
+		t.Helper()
+		request, err := http.NewRequest(method, "/reports", strings.NewReader(data))
+		if err != nil {
+			t.Fatal(err)
+		}
+		w := deadliner{httptest.NewRecorder()}
+		c.ServeHTTP(w, request)
+		fmt.Fprintf(&transcript, "%s /reports %.100s\n< %d\n", method, data, w.Code)
+		for _, name := range []string{"Allow", "Content-Type", "Retry-After"} {
+			if value := w.Header().Get(name); value != "" {
+				fmt.Fprintf(&transcript, "< %s: %s\n", name, value)
+			}
+		}
+		fmt.Fprintf(&transcript, "%s\n", w.Body)
+	}
+	exchange("GET", "")
+	exchange("POST", `{"reports":[{"name":"n0"}]}`)
+	c.SetOpen(true)
+	exchange("POST", `{"reports":[]}`)
+	exchange("POST", `{"reports":[{"name":"n0"}]}`)
+	exchange("POST", `{"reports":[{"name":"n1","span_ms":-1},{"name":"n1"},{"name":""}]}`)
+	exchange("POST", `{"reports":[{"name":"n2"},{"name":"n0","rev":2}]}`)
+	exchange("POST", `no JSON`)
+	exchange("POST", strings.Repeat(" ", MaxBody+1))
+	counts, err := json.Marshal(c.Counts())
+	if err != nil {
+		t.Fatal(err)
+	}
+	transcript.Write(append(counts, '\n'))
+	goldentest.Compare(t, "answers.txt", transcript.Bytes())
+}
--- /dev/null
+++ b/internal/duty/fixtures_test.go
@@ -0,0 +1,157 @@
+package duty
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"milldeck/internal/duty/table"
+	"milldeck/internal/goldentest"
+	"milldeck/internal/registry"
+)
+
+const fixtureBackup = "registry-00000000000000000002.snapshot"
+
+// fixtureState is a registry with instances and the lease under which it is backed up.
+func fixtureState(t *testing.T) *registry.State {
+	t.Helper()
+	s := registry.NewState()
+	target := registry.Target{UID: "s1", Endpoint: "127.0.0.1:9001", Zone: "zone-a", Model: "m1", Pod: 3, State: registry.Ready, Capacity: 1.5, BootMS: 125.5}
+	for n, record := range []registry.Record{
+		{Op: registry.OpEpoch, Epoch: 8},
+		{Op: registry.OpRegister, ID: "write-1", Instances: []registry.Instance{{Target: target, Version: "v1", TTLMS: 5000}}},
+		{Op: registry.OpDuty, ID: "write-2", Duty: &table.Op{Kind: table.Seek, Name: BackupDuty, Who: "127.0.0.1:8500/ab", TTLMS: 5000}},
+	} {
+		if result := s.Apply(uint64(n+1), &record); result.Outcome != registry.Done {
+			t.Fatalf("record %d: %+v", n+1, result)
+		}
+	}
+	return s
+}
+
+// A backup's file name and bytes, the call that notes it as the lease's checkpoint, and which older files it replaces.
+func TestBackupFormat(t *testing.T) {
+	state := fixtureState(t)
+	var snapshot, checkpoint bytes.Buffer
+	if err := state.Snapshot(&snapshot); err != nil {
+		t.Fatal(err)
+	}
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /registry/instances", func(w http.ResponseWriter, _ *http.Request) {
+		if err := json.NewEncoder(w).Encode(state.Whole()); err != nil {
+			t.Error(err)
+		}
+	})
+	mux.HandleFunc("GET /registry/snapshot", func(w http.ResponseWriter, _ *http.Request) {
+		if _, err := w.Write(snapshot.Bytes()); err != nil {
+			t.Error(err)
+		}
+	})
+	mux.HandleFunc("POST /duties/{name}/checkpoint", func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
+		var call map[string]json.RawMessage
+		if err == nil {
+			err = json.Unmarshal(body, &call)
+		}
+		if err != nil {
+			t.Error(err)
+		}
+		fmt.Fprintf(&checkpoint, "%s %s\n%s\n", r.Method, r.URL, bytes.ReplaceAll(body, call["id"], []byte(`"call-1"`))) // it is drawn
+		fmt.Fprintln(w, "{}")
+	})
+	server := httptest.NewServer(mux)
+	defer server.Close()
+	client, err := registry.NewClient([]string{strings.TrimPrefix(server.URL, "http://")})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer client.Close()
+
+	dir := t.TempDir()
+	for _, name := range []string{"registry-00000000000000000000.snapshot", "registry-00000000000000000001.snapshot", "notes"} {
+		if err := os.WriteFile(filepath.Join(dir, name), nil, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	lease := &Lease{Name: BackupDuty, Who: "127.0.0.1:8500/ab", Token: 3, client: client, clock: ownClock{}}
+	opts := BackupOptions{Dir: dir, Keep: 2}
+	rev, err := opts.save(t.Context(), client, lease, 0)
+	if err != nil || rev != 2 {
+		t.Fatalf("saved revision %d: %v", rev, err)
+	}
+	if rev, err := opts.save(t.Context(), client, lease, rev); err != nil || rev != 2 {
+		t.Errorf("without a change, saved revision %d: %v", rev, err)
+	}
+	var files []string
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, entry := range entries {
+		files = append(files, entry.Name())
+	}
+	if want := []string{"notes", "registry-00000000000000000001.snapshot", fixtureBackup}; !slices.Equal(files, want) {
+		t.Fatalf("files %q, want %q", files, want)
+	}
+	data, err := os.ReadFile(filepath.Join(dir, fixtureBackup))
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Compare(t, fixtureBackup, data)
+	goldentest.Compare(t, "backup-checkpoint.txt", checkpoint.Bytes())
+}
+
+func TestBackupIsRead(t *testing.T) {
+	golden := goldentest.Read(t, fixtureBackup)
+	state, err := registry.ReadSnapshot(bytes.NewReader(golden))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if d, known := state.Duties().Get(BackupDuty); !known || d.Token != 3 || state.Rev() != 2 || state.Len() != 1 {
+		t.Errorf("revision %d, %d instances, lease %+v", state.Rev(), state.Len(), d)
+	}
+	var again bytes.Buffer
+	if err := state.Snapshot(&again); err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Compare(t, fixtureBackup, again.Bytes())
+	if _, err := registry.ReadSnapshot(bytes.NewReader(bytes.Replace(golden, []byte("9001"), []byte("9009"), 1))); err == nil {
+		t.Error("a backup with a changed byte was read")
+	}
+}
+
+// Events as `milldeck duty hold` prints them.
+func TestEventFormat(t *testing.T) {
+	at := time.Date(2026, 12, 2, 3, 4, 5, 678_000_000, time.UTC)
+	events := []Event{
+		{What: "waiting", Duty: "d", Who: "one", At: at, Place: 2},
+		{What: "acquired", Duty: "d", Who: "one", Token: 57, At: at, Until: at.Add(4500 * time.Millisecond)},
+		{What: "released", Duty: "d", Who: "one", Token: 57, At: at.Add(time.Second)},
+	}
+	var lines, again bytes.Buffer
+	for _, event := range events {
+		if err := json.NewEncoder(&lines).Encode(event); err != nil {
+			t.Fatal(err)
+		}
+	}
+	goldentest.Compare(t, "events.jsonl", lines.Bytes())
+	for in := json.NewDecoder(bytes.NewReader(goldentest.Read(t, "events.jsonl"))); in.More(); {
+		var event Event
+		if err := in.Decode(&event); err != nil {
+			t.Fatal(err)
+		}
+		if err := json.NewEncoder(&again).Encode(event); err != nil {
+			t.Fatal(err)
+		}
+	}
+	goldentest.Compare(t, "events.jsonl", again.Bytes())
+}
