--- /dev/null
+++ b/internal/disruption/fixtures_test.go
@@ -0,0 +1,277 @@
+package disruption
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+var updateFixtures = flag.Bool("update", false, "write the golden files under testdata anew")
+
+// scriptStep is a line of testdata/script.jsonl: an event of the fleet, or an operation as the log stores it.
+type scriptStep struct {
+	Event  string          `json:"event"`
+	Unit   json.RawMessage `json:"unit,omitempty"`
+	ID     string          `json:"id,omitempty"`
+	Reason string          `json:"reason,omitempty"`
+	Op     json.RawMessage `json:"op,omitempty"`
+}
+
+// requireGolden compares with a golden file, or writes that with -update.
+func requireGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *updateFixtures {
+		if err := os.WriteFile(path, got, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs:\ngot:\n%s\nwant:\n%s", name, got, want)
+	}
+}
+
+// decodeStrictly decodes JSON that may have no field but those of the value.
+func decodeStrictly(t *testing.T, data []byte, value any) {
+	t.Helper()
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(value); err != nil {
+		t.Fatalf("%s: %v", data, err)
+	}
+}
+
+func encode(t *testing.T, value any) []byte {
+	t.Helper()
+	data, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// readScript reads the script and shows that each of its lines is written again as it was.
+func readScript(t *testing.T) []scriptStep {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", "script.jsonl"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var steps []scriptStep
+	var rewritten bytes.Buffer
+	for line := range bytes.Lines(data) {
+		var step scriptStep
+		decodeStrictly(t, line, &step)
+		if step.Unit != nil {
+			var unit Unit
+			decodeStrictly(t, step.Unit, &unit)
+			step.Unit = encode(t, unit)
+		}
+		if step.Op != nil {
+			var op Op
+			decodeStrictly(t, step.Op, &op)
+			step.Op = encode(t, op)
+		}
+		steps = append(steps, step)
+		rewritten.Write(encode(t, step))
+		rewritten.WriteByte('\n')
+	}
+	requireGolden(t, "script.jsonl", rewritten.Bytes())
+	return steps
+}
+
+// play does a step at a revision and says what came of it.
+func play(t *testing.T, ledger *Table, revision uint64, step scriptStep) string {
+	t.Helper()
+	var unit Unit
+	if step.Unit != nil {
+		decodeStrictly(t, step.Unit, &unit)
+	}
+	switch step.Event {
+	case "register":
+		ledger.Register(revision, unit)
+	case "set":
+		ledger.See(revision, unit)
+	case "unknown":
+		ledger.Unsee(revision, step.ID)
+	case "lost":
+		ledger.Lose(revision, step.ID)
+	case "deregister":
+		ledger.Leave(revision, step.ID)
+	case "freeze":
+		ledger.Freeze(revision, step.Reason)
+	case "unfreeze":
+		ledger.Thaw(revision)
+	case "uncertain":
+		ledger.Doubt(revision, step.Reason)
+	case "apply":
+		var op Op
+		decodeStrictly(t, step.Op, &op)
+		outcome, reason := ledger.Apply(revision, &op)
+		return fmt.Sprintf("%s %s: %s", op.Kind, outcome, reason)
+	default:
+		t.Fatalf("no event %q", step.Event)
+	}
+	return step.Event
+}
+
+// trace is what came of a step and how each permit that is not over then stands.
+func trace(ledger *Table, revision uint64, came string) string {
+	var out strings.Builder
+	fmt.Fprintf(&out, "%d %s\n", revision, came)
+	for _, permit := range ledger.Permits() {
+		fmt.Fprintf(&out, "    %s %s: %s\n", permit.ID, permit.Stage, permit.Why)
+	}
+	return out.String()
+}
+
+// The script's operations are read and written as they were stored. Played, they have the same outcomes, reasons,
+// snapshot and view; a ledger restored from the snapshot at any step goes on to the same snapshot.
+func TestStoredLedgerIsCompatible(t *testing.T) {
+	steps := readScript(t)
+	ledger := New()
+	var traces strings.Builder
+	var snapshots [][]byte
+	for i, step := range steps {
+		revision := uint64(i + 1)
+		traces.WriteString(trace(ledger, revision, play(t, ledger, revision, step)))
+		snapshots = append(snapshots, encode(t, ledger.Save()))
+	}
+	requireGolden(t, "trace.txt", []byte(traces.String()))
+	var stored bytes.Buffer
+	for i, data := range snapshots {
+		if i%9 == 0 || i == len(snapshots)-1 {
+			stored.Write(data)
+			stored.WriteByte('\n')
+		}
+	}
+	requireGolden(t, "snapshots.jsonl", stored.Bytes())
+	requireGolden(t, "view.json", append(encode(t, ledger.View(true)), '\n'))
+	requireGolden(t, "view-unavailable.json", append(encode(t, ledger.View(false)), '\n'))
+
+	for i, data := range snapshots {
+		var snapshot Saved
+		decodeStrictly(t, data, &snapshot)
+		restored, err := Load(snapshot)
+		if err != nil {
+			t.Fatalf("snapshot %d: %v", i+1, err)
+		}
+		if again := encode(t, restored.Save()); !bytes.Equal(again, data) {
+			t.Fatalf("snapshot %d is written as\n%s\nnot\n%s", i+1, again, data)
+		}
+		for k := i + 1; k < len(steps); k++ {
+			play(t, restored, uint64(k+1), steps[k])
+		}
+		if last := encode(t, restored.Save()); !bytes.Equal(last, snapshots[len(snapshots)-1]) {
+			t.Fatalf("restored at step %d it ends as\n%s\nnot\n%s", i+1, last, snapshots[len(snapshots)-1])
+		}
+	}
+}
+
+// A view that a client reads is written again as it was.
+func TestViewIsCompatible(t *testing.T) {
+	for _, name := range []string{"view.json", "view-unavailable.json"} {
+		data, err := os.ReadFile(filepath.Join("testdata", name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		var view View
+		decodeStrictly(t, data, &view)
+		if again := append(encode(t, view), '\n'); !bytes.Equal(again, data) {
+			t.Errorf("%s is written as\n%s\nnot\n%s", name, again, data)
+		}
+	}
+}
+
+// Budgets are read from TOML by the keys that operators' files have.
+func TestBudgetKeysAreCompatible(t *testing.T) {
+	data, err := os.ReadFile(filepath.Join("testdata", "budgets.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var file struct {
+		Budgets []Budget `toml:"budget"`
+	}
+	decoder := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
+	if err := decoder.Decode(&file); err != nil {
+		t.Fatal(err)
+	}
+	var lines bytes.Buffer
+	for _, budget := range file.Budgets {
+		lines.Write(encode(t, budget))
+		lines.WriteByte('\n')
+	}
+	requireGolden(t, "budgets.jsonl", lines.Bytes())
+	rewritten, err := toml.Marshal(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireGolden(t, "budgets-written.toml", rewritten)
+}
+
+// Constants that are stored or sent have the values that earlier versions have written.
+func TestStoredConstants(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		got  []string
+		want string
+	}{
+		{"kinds", []string{string(Server), string(Sidecar)}, "server sidecar"},
+		{"conditions", []string{string(Up), string(Cold), string(Unready), string(Draining), string(Lost), string(Unseen)}, "up cold unready draining lost unseen"},
+		{"ranks", []string{fmt.Sprint(int(RankBack)), fmt.Sprint(int(RankPressed)), fmt.Sprint(int(RankDrain)), fmt.Sprint(int(RankForward))}, "0 1 2 3"},
+		{"stages", []string{string(Asked), string(Granted), string(Out), string(Returning), string(Settled), string(Cancelled)}, "asked granted out returning settled cancelled"},
+		{"ends", []string{string(ComesBack), string(Replaced), string(Retired)}, "back replace retire"},
+		{"outcomes", []string{string(Done), string(Refused), string(NotFound), string(TooMany)}, "done refused not_found too_many"},
+		{"operations", []string{string(OpBudget), string(OpAsk), string(OpBegin), string(OpReturn), string(OpSettle), string(OpCancel),
+			string(OpHalt), string(OpResume), string(OpSee), string(OpForget), string(OpRelease)},
+			"budget ask begin return settle cancel halt resume see forget release"},
+	} {
+		if got := strings.Join(test.got, " "); got != test.want {
+			t.Errorf("%s are %s, want %s", test.name, got, test.want)
+		}
+	}
+}
+
+// Checks tell the same fields and reasons, which clients are answered with.
+func TestFieldErrorTexts(t *testing.T) {
+	long := strings.Repeat("x", MaxName+1)
+	valid := Permit{ID: "p", Owner: "release/r", Units: []string{"server/a"}, End: ComesBack}
+	permit := func(change func(*Permit)) Op {
+		changed := valid
+		change(&changed)
+		return Op{Kind: OpAsk, Owner: "release/r", Permit: &changed}
+	}
+	budget := func(b Budget) Op { return Op{Kind: OpBudget, Owner: "operator/o", Budget: &b} }
+	var lines strings.Builder
+	for _, op := range []Op{
+		{}, {Kind: OpBudget}, {Kind: OpBudget, Owner: "release/r", Budget: &Budget{Name: "b"}}, {Kind: OpAsk}, {Kind: OpBegin},
+		{Kind: OpBegin, Owner: "release/r", Permit: &Permit{}}, {Kind: OpBegin, Permit: &Permit{ID: "p"}},
+		{Kind: OpSettle, Owner: "release/r", Permit: &Permit{ID: "p"}, Units: []string{"a", ""}},
+		{Kind: OpRelease, Owner: "release/r", Permit: &Permit{ID: "p"}},
+		{Kind: OpHalt, Owner: "release/r"}, {Kind: OpHalt, Owner: "release/r", Halt: &Halt{Why: strings.Repeat("x", MaxText+1)}},
+		{Kind: OpSee}, {Kind: OpSee, Seen: []Unit{{Condition: Lost}}}, {Kind: OpForget, Owner: "operator/o"},
+		permit(func(p *Permit) { p.ID = long }), permit(func(p *Permit) { p.Owner = "release/x" }),
+		permit(func(p *Permit) { p.Purpose = strings.Repeat("x", MaxText+1) }),
+		permit(func(p *Permit) { p.Units = []string{"a", "a"} }), permit(func(p *Permit) { p.Rank = 4 }), permit(func(p *Permit) { p.End = "x" }),
+		permit(func(p *Permit) { p.Alone = true }), permit(func(p *Permit) { p.Instead = map[string]string{"server/a": "server/a"} }),
+		permit(func(p *Permit) { p.Instead = map[string]string{"a": "x", "b": "y"} }),
+		{Kind: OpAsk, Owner: "budget/b", Permit: &Permit{ID: "p", Owner: "budget/b", Units: []string{"server/a"}, End: ComesBack}},
+		budget(Budget{}), budget(Budget{Name: "b", MaxOut: Limit{Count: num(-1)}}), budget(Budget{Name: "b", MaxCold: Limit{Share: share(1.5)}}),
+		budget(Budget{Name: "b", Select: Selector{Kind: "x"}}), budget(Budget{Name: "b", Select: Selector{IDs: []string{long}}}),
+	} {
+		outcome, reason := New().Apply(1, &op)
+		fmt.Fprintf(&lines, "%s: %v; %s\n", outcome, op.Check(), reason)
+	}
+	requireGolden(t, "field-errors.txt", []byte(lines.String()))
+}
--- /dev/null
+++ b/internal/placement/fixtures_test.go
@@ -0,0 +1,260 @@
+package placement
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+var updateFixtures = flag.Bool("update", false, "write the golden files under testdata anew")
+
+// storedOperation is a line of testdata/operations.jsonl: an operation as the log stores it, and under whose lease.
+type storedOperation struct {
+	Index uint64          `json:"index"`
+	Epoch uint64          `json:"epoch,omitempty"` // begins here, in place of an operation
+	Lease string          `json:"lease,omitempty"`
+	Op    json.RawMessage `json:"op,omitempty"`
+}
+
+// requireGolden compares with a golden file, or writes that with -update.
+func requireGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *updateFixtures {
+		if err := os.WriteFile(path, got, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs:\ngot:\n%s\nwant:\n%s", name, got, want)
+	}
+}
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// decodeStrictly decodes JSON that may have no field but those of the value.
+func decodeStrictly(t *testing.T, data []byte, value any) {
+	t.Helper()
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(value); err != nil {
+		t.Fatalf("%s: %v", data, err)
+	}
+}
+
+func encodeLine(t *testing.T, value any) []byte {
+	t.Helper()
+	data, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(data, '\n')
+}
+
+// readOperations reads the stored operations and shows that each is written again as it was.
+func readOperations(t *testing.T) []storedOperation {
+	t.Helper()
+	var stored []storedOperation
+	var rewritten bytes.Buffer
+	for line := range bytes.Lines(readGolden(t, "operations.jsonl")) {
+		var operation storedOperation
+		decodeStrictly(t, line, &operation)
+		if operation.Op != nil {
+			var op Op
+			decodeStrictly(t, operation.Op, &op)
+			operation.Op = bytes.TrimSpace(encodeLine(t, op))
+		}
+		stored = append(stored, operation)
+		rewritten.Write(encodeLine(t, operation))
+	}
+	requireGolden(t, "operations.jsonl", rewritten.Bytes())
+	return stored
+}
+
+// play applies a stored operation and says what came of it and by which clock the leader did it.
+func play(t *testing.T, table *Table, stored storedOperation) (came string, nowMS int64) {
+	t.Helper()
+	if stored.Epoch != 0 {
+		table.Begin(stored.Index, stored.Epoch)
+		return fmt.Sprintf("%d epoch %d", stored.Index, stored.Epoch), 0
+	}
+	var op Op
+	decodeStrictly(t, stored.Op, &op)
+	outcome, reason := table.Apply(stored.Index, stored.Lease, &op)
+	return fmt.Sprintf("%d %s: %s", stored.Index, outcome, reason), op.NowMS
+}
+
+// Stored operations, snapshots and the lines that watchers are written are read and written as they were, and a table
+// restored from any snapshot goes on to the same one.
+func TestStoredPlacementIsCompatible(t *testing.T) {
+	operations := readOperations(t)
+	table := New()
+	table.Begin(1, 7)
+	var outcomes, lines, snapshots bytes.Buffer
+	var saved [][]byte
+	var epochs []uint64
+	after, epoch, nowMS := uint64(0), uint64(0), int64(0)
+	for _, stored := range operations {
+		came, leaderMS := play(t, table, stored)
+		nowMS = max(nowMS, leaderMS)
+		fmt.Fprintln(&outcomes, came)
+		snapshot := encodeLine(t, table.Save())
+		saved, epochs = append(saved, snapshot), append(epochs, table.Epoch())
+		snapshots.Write(snapshot)
+		line := table.Since(after, epoch, nowMS)
+		lines.Write(encodeLine(t, line))
+		after, epoch = line.Rev, line.Epoch
+	}
+	lines.Write(encodeLine(t, table.Whole(nowMS)))
+	requireGolden(t, "outcomes.txt", outcomes.Bytes())
+	requireGolden(t, "snapshots.jsonl", snapshots.Bytes())
+	requireGolden(t, "watch.jsonl", lines.Bytes())
+
+	for i, data := range saved {
+		var snapshot Saved
+		decodeStrictly(t, data, &snapshot)
+		restored := Load(&snapshot, epochs[i])
+		if again := encodeLine(t, restored.Save()); !bytes.Equal(again, data) {
+			t.Fatalf("snapshot %d is written as\n%s\nnot\n%s", i+1, again, data)
+		}
+		for _, stored := range operations[i+1:] {
+			play(t, restored, stored)
+		}
+		if last := encodeLine(t, restored.Save()); !bytes.Equal(last, saved[len(saved)-1]) {
+			t.Fatalf("restored after operation %d it ends as\n%s\nnot\n%s", i+1, last, saved[len(saved)-1])
+		}
+	}
+}
+
+// The lines of a watch are read as they were: what is in force afterwards, what is told on and what is saved, each with
+// its end, by a wall clock that is 3 ms off and a monotonic clock of another origin.
+func TestWatchLinesAreReadAlike(t *testing.T) {
+	reader := NewReader()
+	var rewritten, states bytes.Buffer
+	wallMS, monotonicMS := int64(1_000_003), int64(5_000)
+	for line := range bytes.Lines(readGolden(t, "watch.jsonl")) {
+		var list List
+		decodeStrictly(t, line, &list)
+		rewritten.Write(encodeLine(t, list))
+		before := reader.Rev()
+		fresh, err := reader.Take(&list, wallMS, monotonicMS)
+		fmt.Fprintf(&states, "taken %v, error %v, %d entries at revision %d of epoch %d\n", fresh, err, reader.Len(), reader.Rev(), reader.Epoch())
+		states.Write(encodeLine(t, reader.At(wallMS, monotonicMS)))
+		states.Write(encodeLine(t, reader.Since(before, reader.Epoch(), wallMS+50, monotonicMS+50)))
+		states.Write(encodeLine(t, reader.Save(wallMS+100, monotonicMS+100)))
+		wallMS, monotonicMS = wallMS+250, monotonicMS+260
+	}
+	requireGolden(t, "watch.jsonl", rewritten.Bytes())
+
+	saved := reader.Save(wallMS, monotonicMS)
+	restored := NewReader()
+	if err := restored.Restore(saved, wallMS, wallMS+400, 70); err != nil {
+		t.Fatal(err)
+	}
+	states.Write(encodeLine(t, restored.At(wallMS+400, 70)))
+	err := NewReader().Restore(saved, wallMS, wallMS-1, 70)
+	fmt.Fprintln(&states, err)
+	_, err = NewReader().Take(&List{Rev: 3, Epoch: 7}, wallMS, monotonicMS)
+	fmt.Fprintln(&states, err)
+	_, err = NewReader().Take(&List{Rev: 3, Epoch: 7, All: true, Entries: make([]Entry, MaxEntries+1)}, wallMS, monotonicMS)
+	fmt.Fprintln(&states, err)
+	requireGolden(t, "watch-read.txt", states.Bytes())
+}
+
+// A sidecar's report is read and written as it was.
+func TestReportIsCompatible(t *testing.T) {
+	var rewritten bytes.Buffer
+	for line := range bytes.Lines(readGolden(t, "reports.jsonl")) {
+		var report Report
+		decodeStrictly(t, line, &report)
+		if err := report.Check(); err != nil {
+			t.Errorf("%s: %v", line, err)
+		}
+		rewritten.Write(encodeLine(t, report))
+	}
+	requireGolden(t, "reports.jsonl", rewritten.Bytes())
+	requireGolden(t, "latency-bounds.json", encodeLine(t, LatencyBounds))
+}
+
+// Checks tell the same fields and reasons, which clients are answered with.
+func TestFieldErrorTexts(t *testing.T) {
+	long := strings.Repeat("x", MaxID+1)
+	var lines strings.Builder
+	entry := func(change func(*Entry)) {
+		changed := window("window/a/t", 10, "s")
+		change(&changed)
+		fmt.Fprintln(&lines, changed.Check())
+	}
+	entry(func(e *Entry) { e.ID = long })
+	entry(func(e *Entry) { e.Tenant = long })
+	entry(func(e *Entry) { e.Servers = make([]string, MaxServers+1) })
+	entry(func(e *Entry) { e.Copies = make([]Copy, MaxCopies+1) })
+	entry(func(e *Entry) { e.Servers = []string{""} })
+	entry(func(e *Entry) { e.Copies = []Copy{{"s", 2}} })
+	entry(func(e *Entry) { e.ID = "what/a" })
+	entry(func(e *Entry) { e.ID = "window//t" })
+	entry(func(e *Entry) { e.Kind = Cohort })
+	entry(func(e *Entry) { e.UntilMS = 0 })
+	entry(func(e *Entry) { e.Least = math.NaN() })
+	entry(func(e *Entry) { e.Tenant = "" })
+	entry(func(e *Entry) { e.ID, e.Kind = "cohort/r", Cohort })
+	entry(func(e *Entry) { e.Servers = nil })
+	entry(func(e *Entry) { e.ID, e.Kind = "spread/k", Spread })
+	entry(func(e *Entry) { e.ID, e.Kind, e.Key = "spread/k", Spread, "0123456789abcdef" })
+	entry(func(e *Entry) { e.Servers = []string{"s", "s"} })
+	entry(func(e *Entry) { e.Copies = []Copy{{"s", 0}, {"s", 1}} })
+	valid := window("window/a/t", 10, "s")
+	for _, op := range []Op{
+		{}, {Set: make([]Entry, MaxSet+1)}, {Drop: make([]string, MaxEntries+1)}, {Set: []Entry{valid, valid}},
+		{Set: []Entry{valid}, Drop: []string{valid.ID}}, {Drop: []string{""}}, {Set: []Entry{{}}},
+	} {
+		fmt.Fprintln(&lines, op.Check())
+	}
+	report := func(change func(*Report)) {
+		changed := Report{Name: "sidecar"}
+		change(&changed)
+		fmt.Fprintln(&lines, changed.Check())
+	}
+	report(func(r *Report) { r.Name = "" })
+	report(func(r *Report) { r.Zone = long })
+	report(func(r *Report) { r.Version = long })
+	report(func(r *Report) { r.SpanMS = -1 })
+	report(func(r *Report) { r.Suspended = make([]string, MaxOpen+1) })
+	report(func(r *Report) { r.Heat = make([]Heat, MaxHeat+1) })
+	report(func(r *Report) { r.HeatAll = math.Inf(1) })
+	report(func(r *Report) { r.Counts = make([]Count, MaxCounts+1) })
+	report(func(r *Report) { r.Open = map[string]int{"window/a": -1} })
+	report(func(r *Report) { r.Suspended = []string{""} })
+	report(func(r *Report) { r.Heat = []Heat{{Key: "x", Load: 1, Error: 2}} })
+	report(func(r *Report) { r.Counts = []Count{{Class: long}} })
+	report(func(r *Report) { r.Counts = []Count{{Served: 3, Late: -1}} })
+	report(func(r *Report) { r.Counts = []Count{{Latency: make([]uint32, len(LatencyBounds)+2)}} })
+	report(func(r *Report) { r.Counts = []Count{{Latency: []uint32{math.MaxUint32, 1}}} })
+	requireGolden(t, "field-errors.txt", []byte(lines.String()))
+}
+
+// Constants that are stored or sent have the values that earlier versions have written.
+func TestStoredConstants(t *testing.T) {
+	kinds := []Kind{KeepOff, Spread, Cohort}
+	outcomes := []Outcome{Done, Refused, TooMany}
+	if got, want := fmt.Sprint(kinds, outcomes), "[keep_off spread cohort] [done refused too_many]"; got != want {
+		t.Errorf("the constants are %s, want %s", got, want)
+	}
+}
