--- /dev/null
+++ b/internal/release/judge/fixtures_test.go
@@ -0,0 +1,91 @@
+package judge
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// updateFixtures rewrites the golden files from what the code under test says.
+var updateFixtures = flag.Bool("update", false, "write the golden files in testdata")
+
+// fixtureInterval is one interval of made-up counts: zone a carries a common and a rare class, zone b a common one.
+// Nothing in it is random, so that the verdicts follow from the comparisons alone.
+func fixtureInterval(second int, failing, late, slow, restarts int, memory float64) Interval {
+	counts := func(requests, failed, late, slow int) Counts {
+		served := requests - failed
+		return Counts{Served: served, Late: late, Failed: failed,
+			Latency: []uint32{uint32(served - served/5 - slow), uint32(served / 5), uint32(slow)}}
+	}
+	requests := 60 + second%7
+	if second%20 >= 15 {
+		requests *= 2
+	}
+	in := Interval{Expected: 4, Reports: 4}
+	if second%33 == 32 {
+		in.Reports = 1
+	}
+	for _, p := range []struct {
+		class, zone string
+		share       int
+	}{{"lookup", "a", 1}, {"lookup", "b", 1}, {"simulate", "a", 4}} {
+		n := requests / p.share
+		in.Pairs = append(in.Pairs, Pair{Class: p.class, Zone: p.zone,
+			New: counts(n, failing*n/100, late*n/100, slow*n/100), Old: counts(10*n, second%3, second%5, n)})
+	}
+	for _, zone := range []string{"a", "b"} {
+		in.Zones = append(in.Zones, ZonePair{Zone: zone, New: Side{Units: 2, Restarts: restarts, Memory: 100 * memory},
+			Old: Side{Units: 20, Restarts: second % 2, Memory: 100}})
+	}
+	return in
+}
+
+// Each change of a verdict, its reason included, is as before: operators and logs read the reason, and a halt follows from
+// the verdict.
+func TestVerdictsAreAsBefore(t *testing.T) {
+	var lines bytes.Buffer
+	for _, c := range []struct {
+		name string
+		at   func(second int) Interval
+	}{
+		{"healthy", func(second int) Interval { return fixtureInterval(second, 0, 1, 5, 0, 1) }},
+		{"fails", func(second int) Interval { return fixtureInterval(second, 8, 0, 5, 0, 1) }},
+		{"late", func(second int) Interval { return fixtureInterval(second, 0, 9, 5, 0, 1) }},
+		{"slow", func(second int) Interval { return fixtureInterval(second, 0, 0, 60, 0, 1) }},
+		{"restarts", func(second int) Interval { return fixtureInterval(second, 0, 0, 5, second%2, 1) }},
+		{"leaks", func(second int) Interval { return fixtureInterval(second, 0, 0, 5, 0, 1+0.01*float64(second)) }},
+		{"silent", func(second int) Interval {
+			in := fixtureInterval(second, 0, 0, 5, 0, 1)
+			if second > 10 {
+				in.Reports = 0
+			}
+			return in
+		}},
+	} {
+		j := New(tolerated)
+		last := Verdict{Kind: "none"}
+		for second := range 120 {
+			if v := j.Add(c.at(second)); v != last {
+				last = v
+				fmt.Fprintf(&lines, "%s %d %s: %s\n", c.name, second, v.Kind, v.Why)
+			}
+		}
+	}
+	path := filepath.Join("testdata", "verdicts.txt")
+	if *updateFixtures {
+		if err := os.WriteFile(path, lines.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(lines.Bytes(), want) {
+		t.Errorf("%s:\n got %s\nwant %s", path, lines.Bytes(), want)
+	}
+}
--- a/internal/release/world_test.go
+++ b/internal/release/world_test.go
@@ -52,6 +52,8 @@
 	brief    bool // views show no permits that are over
 	bugs     bugs
 	quiet    bool // units are told of to the ledger where something has changed alone, as the list service does
+
+	applied func(rev uint64, op *Op) // called with each operation that the releases' table has taken in; nil: nobody is
 }
 
 // bugs are planted.
@@ -111,7 +113,11 @@
 // apply has the releases' table take an operation in.
 func (w *world) apply(op *Op) error {
 	w.rev++
-	return w.table.Apply(w.rev, op)
+	err := w.table.Apply(w.rev, op)
+	if err == nil && w.applied != nil {
+		w.applied(w.rev, op)
+	}
+	return err
 }
 
 func (w *world) id(name string) string {
