--- /dev/null
+++ b/internal/wire/fixtures_test.go
@@ -0,0 +1,314 @@
+package wire
+
+import (
+	"bytes"
+	"encoding/binary"
+	"flag"
+	"math"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"milldeck/balance"
+)
+
+// update has the fixture tests write their golden files anew in place of comparing with them.
+var update = flag.Bool("update", false, "write the golden files under testdata")
+
+// golden returns what a file of testdata holds. It stores data there first where the golden files are updated.
+func golden(t *testing.T, name string, data []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, data, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	stored, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return stored
+}
+
+// frames builds frames as the simulator sends them.
+type frames struct{ out []byte }
+
+func (f *frames) frame(clock float64, records ...[]byte) {
+	body := bytes.Join(records, nil)
+	f.out = binary.BigEndian.AppendUint32(f.out, uint32(len(records)))
+	f.out = binary.BigEndian.AppendUint32(f.out, uint32(16+len(body)))
+	f.out = binary.BigEndian.AppendUint64(f.out, math.Float64bits(clock))
+	f.out = append(f.out, body...)
+}
+
+// packed writes values big-endian, a server as four bytes of address and two of port.
+func packed(values ...any) []byte {
+	var b bytes.Buffer
+	for _, v := range values {
+		switch v := v.(type) {
+		case string:
+			b.WriteString(v)
+		case balance.ServerID:
+			b.Write(binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint32(nil, uint32(v>>16)), uint16(v)))
+		default:
+			if err := binary.Write(&b, binary.BigEndian, v); err != nil {
+				panic(err)
+			}
+		}
+	}
+	return b.Bytes()
+}
+
+const (
+	firstServer  = balance.ServerID(0x0a124a07232b)
+	secondServer = balance.ServerID(0x0a9011f22354)
+	thirdServer  = balance.ServerID(0x0a9011f22355)
+)
+
+// eventFixtures has every kind of event that the simulator sends, with what it is read as.
+func eventFixtures() ([]byte, []Record) {
+	listed := []balance.Server{
+		{ID: firstServer, Rating: 1, Cell: 300, Zone: 2, Kind: 3},
+		{ID: secondServer, StartedAt: 6100, State: balance.Draining, Rating: 1.5, Zone: 1},
+		{ID: thirdServer, StartedAt: 0, State: balance.Gone, Rating: 0.25},
+	}
+	var want []Record
+	f := &frames{}
+	add := func(clock float64, instance uint16, record []byte, event any) {
+		f.frame(clock, record)
+		want = append(want, Record{instance, event})
+	}
+	settings := `{"classes": []}`
+	add(1000, 3, packed(uint16(1070), uint16(3), uint64(0x8c1f30d27a5be964), uint32(len(settings)), settings),
+		Begin{Seed: 0x8c1f30d27a5be964, Settings: []byte(settings)})
+	f.frame(1000, packed(uint16(1000), uint16(2), uint32(3),
+		0.0, uint8(0), firstServer, float32(1), uint16(300), uint8(2), uint8(3),
+		6100.0, uint8(2), secondServer, float32(1.5), uint16(0), uint8(1), uint8(0),
+		math.Inf(1), uint8(1), thirdServer, float32(0.25), uint16(0), uint8(0), uint8(0)))
+	add(1001, 3, packed(uint16(1040), uint16(3), uint8(0), uint32(41), uint16(2)), balance.ServerList{Kind: balance.ListFull, Servers: listed})
+	add(1001, 4, packed(uint16(1040), uint16(4), uint8(1), uint32(41), uint16(2)), balance.ServerList{Kind: balance.ListCached, Servers: listed})
+	add(1002, 4, packed(uint16(1040), uint16(4), uint8(3), uint32(42), uint16(2)), balance.ServerList{Kind: balance.ListDelta, Servers: listed})
+	add(1003, 4, packed(uint16(1040), uint16(4), uint8(2), uint32(0), uint16(9)), balance.ServerList{Kind: balance.ListFailed})
+	add(1004, 3, packed(uint16(1010), uint16(3), uint64(77), uint16(2), 12.5, uint16(7), uint64(0x91f03b7c55d20a64), 240.0, uint16(1)),
+		balance.Request{ID: 77, Class: 1, Tenant: 2, WorkHint: 12.5, Key: 0x91f03b7c55d20a64, Remaining: 240, Repeat: true, Write: true})
+	add(1004, 3, packed(uint16(1010), uint16(3), uint64(78), uint16(0xffff), 12.5, uint16(0), uint64(0), math.NaN(), uint16(0)),
+		balance.Request{ID: 78, Tenant: 0xffff})
+	add(1005, 3, packed(uint16(1020), uint16(3), uint64(1<<60)), balance.Timer{Token: 1 << 60})
+	add(1006, 3, packed(uint16(1030), uint16(3), uint64(77), uint8(2), firstServer, 18.5),
+		balance.Started{Request: 77, Attempt: 2, Server: firstServer, Took: 18.5})
+	add(1007, 3, packed(uint16(1050), uint16(3), uint16(12), uint16(4), "\x01\x02\x03\x04"),
+		balance.Message{From: 12, Data: []byte{1, 2, 3, 4}})
+	for i, r := range []struct {
+		code   uint16
+		result balance.Result
+	}{
+		{0, balance.OK}, {1, balance.Cancelled}, {4, balance.TimedOut}, {8, balance.Full}, {9, balance.Moot},
+		{10, balance.Reset}, {13, balance.Failed}, {14, balance.ConnectFailed},
+	} {
+		add(1008, 3, packed(uint16(1090), uint16(3), uint64(100+i), uint8(i), secondServer, r.code, 7.25, uint8(i%2), uint8(2), float32(3), float32(0.5)),
+			balance.Outcome{
+				Request: balance.RequestID(100 + i), Attempt: i, Server: secondServer, Result: r.result, Took: 7.25,
+				Finished: i%2 == 1, Report: []float32{3, 0.5},
+			})
+		add(1009, 3, packed(uint16(1080), uint16(3), 2.5, r.code, firstServer, uint8(1), float32(math.NaN())),
+			balance.ProbeResult{Server: firstServer, Result: r.result, Took: 2.5, Report: []float32{0}})
+	}
+	add(1010, 3, packed(uint16(1100), uint16(3), uint64(77)), balance.HangUp{Request: 77})
+	add(1011, 3, packed(uint16(1060), uint16(3)), Down{})
+	return f.out, want
+}
+
+// The simulator's events are read from the bytes that it has always sent, each kind.
+func TestEventFixtures(t *testing.T) {
+	built, want := eventFixtures()
+	stored := golden(t, "events.bin", built)
+	if !bytes.Equal(stored, built) {
+		t.Error("the events built here are not those stored")
+	}
+	i := 0
+	r := NewReader(bytes.NewReader(stored))
+	for {
+		err := r.Read(func(_ float64, rec Record) error {
+			if i >= len(want) || !reflect.DeepEqual(rec, want[i]) {
+				t.Errorf("record %d: %#v", i, rec)
+			}
+			i++
+			return nil
+		})
+		if err != nil {
+			break
+		}
+	}
+	if i != len(want) {
+		t.Errorf("%d records, want %d", i, len(want))
+	}
+}
+
+// actionFixtures has every kind of action.
+func actionFixtures() []balance.Action {
+	return []balance.Action{
+		{Kind: balance.Send, Request: 0x2978f5d3a91c4, Server: firstServer, At: 8492},
+		{Kind: balance.Send, Request: 1, Server: secondServer},
+		{Kind: balance.Refuse, Request: 2, At: 31.25},
+		{Kind: balance.Fail, Request: 3},
+		{Kind: balance.Cancel, Request: 4, Attempt: 2},
+		{Kind: balance.SetTimer, Token: 1<<60 + 1, At: 500},
+		{Kind: balance.Probe, Server: firstServer},
+		{Kind: balance.CloseIdle, Server: secondServer},
+		{Kind: balance.Post, Peer: -1, Data: []byte("to all")},
+		{Kind: balance.Post, Peer: 12, Data: []byte{1, 0, 0xff}},
+		{Kind: balance.Log, Text: "two servers known"},
+		{Kind: balance.Watch},
+		{Kind: balance.Fetch},
+	}
+}
+
+// actionReader reads a reply frame as the simulator does.
+type actionReader struct {
+	fields
+	t *testing.T
+}
+
+func (r *actionReader) next() (uint16, balance.Action) {
+	code, instance := r.u16(), r.u16()
+	var a balance.Action
+	switch code {
+	case 1000:
+		a = balance.Action{Kind: balance.Send, Request: balance.RequestID(r.u64()), At: r.f64(), Server: r.server()}
+	case 1010:
+		a = balance.Action{Kind: balance.Refuse, Request: balance.RequestID(r.u64()), At: r.f64()}
+	case 1020:
+		a = balance.Action{Kind: balance.Fail, Request: balance.RequestID(r.u64())}
+	case 1030:
+		a = balance.Action{Kind: balance.Cancel, Request: balance.RequestID(r.u64()), Attempt: int(r.u8())}
+	case 1040:
+		a = balance.Action{Kind: balance.SetTimer, Token: r.u64(), At: r.f64()}
+	case 1050:
+		a = balance.Action{Kind: balance.Probe, Server: r.server()}
+	case 1060:
+		a = balance.Action{Kind: balance.CloseIdle, Server: r.server()}
+	case 1070:
+		a = balance.Action{Kind: balance.Post, Peer: int(int32(r.u32()))}
+		a.Data = bytes.Clone(r.bytes(uint32(r.u16())))
+	case 1080:
+		a = balance.Action{Kind: balance.Log, Text: string(r.bytes(uint32(r.u16())))}
+	case 1100:
+		a = balance.Action{Kind: balance.Watch}
+		if n := r.u8(); n != 1 {
+			r.t.Errorf("a subscription of %d", n)
+		}
+	case 1110:
+		a = balance.Action{Kind: balance.Fetch}
+	default:
+		r.t.Fatalf("unknown action %d", code)
+	}
+	return instance, a
+}
+
+// Every kind of action is written as the bytes that the simulator has always read, and read back as the same.
+func TestActionFixtures(t *testing.T) {
+	var reply Reply
+	reply.Reset()
+	for i, a := range actionFixtures() {
+		reply.Add(uint16(i), []balance.Action{a})
+	}
+	var out bytes.Buffer
+	if _, err := reply.WriteTo(&out); err != nil {
+		t.Fatal(err)
+	}
+	stored := golden(t, "actions.bin", out.Bytes())
+	if !bytes.Equal(stored, out.Bytes()) {
+		t.Errorf("written as\n%x, want\n%x", out.Bytes(), stored)
+	}
+	if n := binary.BigEndian.Uint32(stored); int(n) != len(stored) {
+		t.Fatalf("a frame of %d bytes says that it has %d", len(stored), n)
+	}
+	r := actionReader{fields{data: stored[4:]}, t}
+	for i, want := range actionFixtures() {
+		if instance, a := r.next(); int(instance) != i || !reflect.DeepEqual(a, want) || r.bad {
+			t.Errorf("action %d of instance %d: %+v, want %+v", i, instance, a, want)
+		}
+	}
+	if r.pos != len(r.data) {
+		t.Errorf("%d bytes are left", len(r.data)-r.pos)
+	}
+}
+
+// A fault has a code of its own and its text.
+func TestFaultFixture(t *testing.T) {
+	var reply Reply
+	reply.Reset()
+	reply.Fault(3, "settings: no classes")
+	var out bytes.Buffer
+	if _, err := reply.WriteTo(&out); err != nil {
+		t.Fatal(err)
+	}
+	if stored := golden(t, "fault.bin", out.Bytes()); !bytes.Equal(stored, out.Bytes()) {
+		t.Errorf("written as\n%x, want\n%x", out.Bytes(), stored)
+	}
+}
+
+const allSettings = `{
+  "classes": [
+    {"name": "lookup", "effect": "read_like", "group": "all", "on_time_ms": 100, "aim_stretch": 1.5, "hard_limit_ms": 400, "worth": 2, "late_worth": 0.25, "stream": true},
+    {"name": "pay", "effect": "non_idempotent", "on_time_ms": 300, "hard_limit_ms": 600, "worth": 0},
+    {"name": "book", "effect": "idempotency_key", "group": "zone", "window_ms": 1200, "on_time_ms": 250, "hard_limit_ms": 2000},
+    {"name": "file", "effect": "idempotency_key", "group": "cell", "hard_limit_ms": 800}
+  ],
+  "tenants": [{"name": "a", "allowance_per_s": 12.5, "share": 0.6}, {"name": "b", "share": 0.4}],
+  "discovery": "subscribe", "my_number": 7, "peers_total": 50, "zone": 2, "over_share_worth": 0.3, "quantum_ms": 4,
+  "report": {"via": "piggyback", "fields": ["rif", "q", "busy", "lat_ms", "rate", "fail_rate", "of another version"]},
+  "limits": {"cancel": true, "connect_timeout_ms": 150, "max_attempts": 3, "max_retry_after_ms": 1000, "may_tell": true, "parallel_tries": true, "probes": true, "retry_after": true},
+  "rules": {"answer_slack_ms": 16, "ask_within_ms": 10000, "cold_from": 0.2, "cold_ms": 20000, "drain_grace_ms": 2000, "fall_ms": 1000, "fall_multiple": 2.5},
+  "family_info": {"warm_keys": true},
+  "result_mix": {"whole": 0.4, "worst_window": 0.3, "worst_class": 0.2, "worst_tenant": 0.1},
+  "penalties": {"cross_zone": 0.01, "waste": 0.02, "handshake": 0.03, "probe": 0.04, "peer": 0.05, "late_fail": 0.06},
+  "of another version": {"x": [1]}
+}
+`
+
+// Every key of the settings reaches the field that it is for, and what is left out has its default.
+func TestSettingsFixtures(t *testing.T) {
+	for name, c := range map[string]struct {
+		text string
+		want balance.Config
+	}{
+		"settings.json": {allSettings, balance.Config{
+			Seed: 9, Number: 7, Peers: 50, Zone: 2,
+			Classes: []balance.Class{
+				{Effect: balance.Safe, Window: math.Inf(1), Aim: 100, AimStretch: 1.5, Deadline: 400, Worth: 2, LateWorth: 0.25, Stream: true},
+				{Effect: balance.Unsafe, Window: math.Inf(1), Aim: 300, Deadline: 600},
+				{Effect: balance.Keyed, Group: balance.GroupZone, Window: 1200, Aim: 250, Deadline: 2000, Worth: 1},
+				{Effect: balance.Keyed, Group: balance.GroupCell, Window: math.Inf(1), Aim: 800, Deadline: 800, Worth: 1},
+			},
+			Tenants:        []balance.Tenant{{Allowance: 12.5, Share: 0.6}, {Share: 0.4}},
+			OverShareWorth: 0.3, Quantum: 4, WarmKeys: true, Subscribe: true, Reports: balance.ReportPiggyback,
+			Fields: []balance.Field{
+				balance.FieldInFlight, balance.FieldQueue, balance.FieldUtil, balance.FieldLatency, balance.FieldRate,
+				balance.FieldErrorRate, balance.FieldUnknown,
+			},
+			MaxAttempts: 3, Parallel: true, Cancel: true, Probes: true, Messages: true, RetryAfter: true, MaxRetryAfter: 1000,
+			ConnectTimeout: 150, DrainGrace: 2000, ColdFrom: 0.2, ColdTime: 20000, FallMultiple: 2.5, FallTime: 1000,
+			AskWithin: 10000, AnswerSlack: 16,
+			Goal:   balance.Goal{Whole: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1},
+			Prices: balance.Prices{CrossZone: 0.01, Waste: 0.02, Handshake: 0.03, Probe: 0.04, Peer: 0.05, LateFail: 0.06},
+		}},
+		"settings-least.json": {`{"classes": [{"effect": "read_like", "hard_limit_ms": 400}]}` + "\n", balance.Config{
+			Seed: 9, Peers: 1, OverShareWorth: 1, MaxAttempts: 1, ColdFrom: 1,
+			Classes: []balance.Class{{Effect: balance.Safe, Window: math.Inf(1), Aim: 400, Deadline: 400, Worth: 1}},
+		}},
+	} {
+		cfg, err := ParseSettings(9, golden(t, name, []byte(c.text)))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !reflect.DeepEqual(cfg, c.want) {
+			t.Errorf("%s: read as\n%+v, want\n%+v", name, cfg, c.want)
+		}
+	}
+}
