--- a/internal/sidecar/drain_endings_test.go
+++ b/internal/sidecar/drain_endings_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"net"
 	"net/http"
+	"reflect"
 	"runtime"
 	"strings"
 	"sync"
@@ -161,6 +162,11 @@
 	return string(buf[:runtime.Stack(buf, true)])
 }
 
+// inStack is how a function stands in allStacks, whatever it is called.
+func inStack(function any) string {
+	return runtime.FuncForPC(reflect.ValueOf(function).Pointer()).Name() + "("
+}
+
 // A time-out, a client's end and the end of the process that cross the loop's answer leave one answer, the loop's.
 func TestEndsThatCrossAnAnswer(t *testing.T) {
 	for name, end := range map[string]func(f *frontend, conn net.Conn){
@@ -184,7 +190,7 @@
 			c := receive(t, "the request", posted).(arrival).call
 			c.finish() // the loop has decided
 			end(f, conn)
-			until(t, "the handler to see the end", func() bool { return strings.Contains(allStacks(), "(*frontend).conclude") })
+			until(t, "the handler to see the end", func() bool { return strings.Contains(allStacks(), inStack((*frontend).conclude)) })
 			c.answers <- answer{status: 200}
 			if got := status(t, bufio.NewReader(conn)); got != 200 {
 				t.Errorf("answered %d", got)
@@ -266,7 +272,7 @@
 	conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	stuck := func() bool {
 		for g := range strings.SplitSeq(allStacks(), "\n\n") {
-			if strings.Contains(g, "sidecar.write(") && strings.Contains(g, "waitWrite") {
+			if strings.Contains(g, inStack(write)) && strings.Contains(g, "waitWrite") {
 				return true
 			}
 		}
--- a/internal/sidecar/placement_test.go
+++ b/internal/sidecar/placement_test.go
@@ -6,6 +6,7 @@
 	"maps"
 	"net"
 	"net/http"
+	"reflect"
 	"runtime"
 	"strings"
 	"sync/atomic"
@@ -408,7 +409,7 @@
 // followers counts the goroutines that follow a placement or report.
 func followers() int {
 	buf := make([]byte, 1<<20)
-	return strings.Count(string(buf[:runtime.Stack(buf, true)]), "sidecar.(*placing)")
+	return strings.Count(string(buf[:runtime.Stack(buf, true)]), "sidecar.(*"+reflect.TypeFor[placing]().Name()+")")
 }
 
 func TestWithoutPlacementNothingRuns(t *testing.T) {
