--- a/balance/affinity_test.go
+++ b/balance/affinity_test.go
@@ -22,17 +22,17 @@
 	}
 }
 
-// spread plays requests with keys at a tier and returns how many servers a key met in the mean, by its
+// measureAffinity plays requests with keys at a tier and returns how many servers a key met in the mean, by its
 // requests, how much more than the mean the fullest server got, and how many servers a sidecar used.
-func spread(t *testing.T, warm bool, balancers, fleetSize int) (servers, fullest, used float64) {
+func measureAffinity(t *testing.T, warm bool, balancers, fleetSize int) (servers, fullest, used float64) {
 	const requests = 20000
 	cfg := baseConfig()
-	cfg.WarmKeys = warm
-	w := newTier(t, cfg, balancers, fleet(fleetSize))
+	cfg.KeyAffinity = warm
+	w := newSimulatedFleet(t, cfg, balancers, testServers(fleetSize))
 	met, got := map[uint64]map[ServerID]int{}, map[ServerID]int{}
 	pairs := map[[2]uint64]bool{}
 	key := uint64(0)
-	w.heard = func(from int, a Action) {
+	w.onAction = func(from int, a Action) {
 		if a.Kind == Send {
 			if met[key] == nil {
 				met[key] = map[ServerID]int{}
@@ -42,11 +42,11 @@
 			pairs[[2]uint64{uint64(from), uint64(a.Server)}] = true
 		}
 	}
-	draw, rng := zipfKeys(800), &Balancer{rng: 7}
+	draw, rng := zipfKeys(800), &Balancer{randomState: 7}
 	for i := range requests {
 		w.run(w.now + 1)
 		key = draw(rng.random())
-		w.ask(i%balancers, safeClass, key)
+		w.request(i%balancers, idempotentClass, key)
 	}
 	for _, of := range met {
 		all := 0
@@ -61,9 +61,9 @@
 	return servers, fullest, float64(len(pairs)) / float64(balancers)
 }
 
-func TestSidecarsSendAKeyToTheSameFewServers(t *testing.T) {
-	servers, fullest, _ := spread(t, true, 60, 40)
-	without, _, _ := spread(t, false, 60, 40)
+func TestKeyAffinityAcrossSidecars(t *testing.T) {
+	servers, fullest, _ := measureAffinity(t, true, 60, 40)
+	without, _, _ := measureAffinity(t, false, 60, 40)
 	if servers > without/3 {
 		t.Errorf("a key met %.1f servers, and %.1f where keys do not matter", servers, without)
 	}
@@ -74,8 +74,8 @@
 
 // In a large fleet each sidecar uses few servers, though all together use all of them alike. When it used all
 // servers of its keys, each of these sidecars used 99 of 160 within its 100 requests.
-func TestSidecarsOfALargeFleetUseFewServersEach(t *testing.T) {
-	servers, fullest, used := spread(t, true, 200, 160)
+func TestSidecarUsesSmallSubsetOfLargeFleet(t *testing.T) {
+	servers, fullest, used := measureAffinity(t, true, 200, 160)
 	if used > 50 {
 		t.Errorf("a sidecar used %.1f of 160 servers for 100 requests", used)
 	}
@@ -88,24 +88,24 @@
 }
 
 // The multiplier counts where a sidecar keeps to its own order, too: errors take keys off a server.
-func TestErrorsTakeKeysOffAServer(t *testing.T) {
+func TestErrorsMoveKeysToOtherServers(t *testing.T) {
 	cfg := baseConfig()
-	cfg.WarmKeys = true
-	g := newRig(t, cfg, fleet(90)...)
+	cfg.KeyAffinity = true
+	g := newHarness(t, cfg, testServers(90)...)
 	const bad = ServerID(10) // the tenth in this sidecar's order
 	keys := func(errs int) (got int) {
 		for key := range uint64(900) {
 			g.now += 100
-			g.next++
-			g.b.byID[bad].errs, g.b.byID[bad].lastErr = errs, g.now
-			s, ok := sentTo(g.do(Request{ID: g.next, Class: safeClass, Key: key + 1, Remaining: 1500}))
+			g.lastID++
+			g.balancer.serversByID[bad].consecutiveErrors, g.balancer.serversByID[bad].lastErrorAt = errs, g.now
+			s, ok := sentServer(g.handle(Request{ID: g.lastID, Class: idempotentClass, Key: key + 1, Timeout: 1500}))
 			if !ok {
 				t.Fatal("nothing was sent")
 			}
 			if s == bad {
 				got++
 			}
-			g.answer(g.next, 0, OK, 10)
+			g.finishAttempt(g.lastID, 0, OK, 10)
 		}
 		return got
 	}
@@ -114,51 +114,51 @@
 	}
 }
 
-func TestKeysServersAreTheFirstInItsOrderAndMakeRoomForOthers(t *testing.T) {
+func TestKeySubsetGrowsWhenItsServersAreFull(t *testing.T) {
 	cfg := baseConfig()
-	cfg.WarmKeys = true
-	g := newRig(t, cfg, fleet(8)...)
+	cfg.KeyAffinity = true
+	g := newHarness(t, cfg, testServers(8)...)
 	ask := func() ServerID {
-		g.next++
-		s, ok := sentTo(g.do(Request{ID: g.next, Class: safeClass, Key: 5, Remaining: 1500}))
+		g.lastID++
+		s, ok := sentServer(g.handle(Request{ID: g.lastID, Class: idempotentClass, Key: 5, Timeout: 1500}))
 		if !ok {
 			t.Fatal("nothing was sent")
 		}
 		return s
 	}
 	first := map[ServerID]bool{}
-	for range keyServers + 1 { // it is rare yet
+	for range minServersPerKey + 1 { // it is rare yet
 		s := ask()
-		g.answer(g.next, 0, OK, 10)
+		g.finishAttempt(g.lastID, 0, OK, 10)
 		first[s] = true
 	}
-	if len(first) != keyServers {
-		t.Fatalf("a key that comes alone went to servers %v, want %d", first, keyServers)
+	if len(first) != minServersPerKey {
+		t.Fatalf("a key that comes alone went to servers %v, want %d", first, minServersPerKey)
 	}
 	all := map[ServerID]bool{}
 	for range 16 { // none is answered: the first ones fill up
 		all[ask()] = true
 	}
-	if len(all) <= keyServers {
+	if len(all) <= minServersPerKey {
 		t.Fatalf("with its servers full a key still went to %v alone", all)
 	}
 }
 
-func TestFrequentKeyIsSharedByMore(t *testing.T) {
-	m := keyMeter{counts: map[uint64]float64{}}
-	for i := range 10 * keySpan {
-		m.add(uint64(i%4+1) * uint64(i%2)) // half have no key
+func TestKeyFrequencies(t *testing.T) {
+	m := keyFrequencies{counts: map[uint64]float64{}}
+	for i := range 10 * keyFrequencySpan {
+		m.record(uint64(i%4+1) * uint64(i%2)) // half have no key
 	}
-	if s := m.share(2); s < 0.2 || s > 0.3 {
+	if s := m.fraction(2); s < 0.2 || s > 0.3 {
 		t.Errorf("the share of a key of every fourth request is %.2f", s)
 	}
-	for i := range 100 * keySpan {
-		m.add(uint64(1000 + i))
+	for i := range 100 * keyFrequencySpan {
+		m.record(uint64(1000 + i))
 	}
-	if len(m.counts) > 2*keySpan {
+	if len(m.counts) > 2*keyFrequencySpan {
 		t.Errorf("%d keys are remembered", len(m.counts))
 	}
-	if s := m.share(2); s != 0 {
+	if s := m.fraction(2); s != 0 {
 		t.Errorf("a key not seen for long still has the share %v", s)
 	}
 }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -10,107 +10,109 @@
 import "math"
 
 const (
-	repeatPart = 0.2 // of first sends may be repeated where servers are crowded
-	repeatMost = 20  // ... and so many at once: what a lost server held
-	maxRepeats = 1   // re-routes of a request: more of them multiply the load when it is too high already
+	retryBudgetRatio = 0.2 // of first sends may be repeated where servers are crowded
+	retryBudgetMax   = 20  // ... and so many at once: what a lost server held
+	maxRetries       = 1   // re-routes of a request: more of them multiply the load when it is too high already
 )
 
-// step looks at a request afresh: it sends, answers or waits.
-func (b *Balancer) step(r *request) {
-	if r.done || r.stream {
+// advance looks at a request afresh: it sends, answers or waits.
+func (b *Balancer) advance(r *request) {
+	if r.finished || r.streaming {
 		return
 	}
-	b.watch(r)
-	if b.now >= r.deadline || r.live == 0 && b.hopeless(r) {
-		b.answer(r)
+	b.checkAttempts(r)
+	if b.now >= r.deadline || r.inFlight == 0 && b.exhausted(r) {
+		b.rejectOrFail(r)
 		return
 	}
-	if r.live == 0 && !b.held(r) {
-		if s := b.place(r, len(r.tries) > 0); s != nil {
-			if len(r.tries) > 0 {
-				b.repeats = math.Max(b.repeats-1, 0)
+	if r.inFlight == 0 && !b.awaitsHealthChecks(r) {
+		if s := b.selectUnderPlacement(r, len(r.attempts) > 0); s != nil {
+			if len(r.attempts) > 0 {
+				b.retryTokens = math.Max(b.retryTokens-1, 0)
 			} else {
-				b.repeats = math.Min(b.repeats+repeatPart, repeatMost)
+				b.retryTokens = math.Min(b.retryTokens+retryBudgetRatio, retryBudgetMax)
 			}
 			// Exception: while load is shed an unsafe request is given up at its aim. In full queues all that
 			// is served is late; clients try the others again, and that is more load.
-			b.send(r, s, r.class.Effect == Unsafe && b.steady > byChance)
+			b.sendAttempt(r, s, r.class.Idempotency == NonIdempotent && b.sustainedShed > shedDeadband)
 		}
 	}
-	b.wake(r)
+	b.scheduleTimer(r)
 }
 
-func (b *Balancer) hopeless(r *request) bool { // nothing more can be sent, or waiting is no use
-	ran := 0
-	for i := range r.tries {
-		a := &r.tries[i]
-		if a.clean {
+func (b *Balancer) exhausted(r *request) bool { // nothing more can be sent, or waiting is no use
+	executed := 0
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		if a.neverExecuted {
 			continue
 		}
-		ran++
-		if r.class.Effect == Unsafe || r.class.Effect == Keyed && b.forgotten(r, a) {
+		executed++
+		if r.class.Idempotency == NonIdempotent || r.class.Idempotency == IdempotentWithKey && b.idempotencyWindowOver(r, a) {
 			return true
 		}
 	}
 	// What never ran uses up no re-route: after a crash two failed connects refused a request.
-	spent := len(r.tries) >= b.cfg.MaxAttempts || ran > maxRepeats || len(r.tries) > 0 && !b.mayRepeat()
-	return spent || b.now >= r.arrived+r.class.Aim && b.refusable(r)
+	attemptsExhausted := len(r.attempts) >= b.config.MaxAttempts || executed > maxRetries || len(r.attempts) > 0 && !b.retryAllowed()
+	return attemptsExhausted || b.now >= r.arrivedAt+r.class.LatencyObjective && b.safeToReject(r)
 }
 
-// mayRepeat is the budget of repeats, a token bucket that first sends fill. It counts while servers turn
+// retryAllowed is the budget of repeats, a token bucket that first sends fill. It counts while servers turn
 // requests away or load is shed: there a repeat takes a place from a first send, and what fails has no
 // better server.
-func (b *Balancer) mayRepeat() bool { return b.repeats >= 1 || !b.crowded() }
+func (b *Balancer) retryAllowed() bool { return b.retryTokens >= 1 || !b.overloaded() }
 
-// crowded: load is shed, or servers turned requests away within the last aim.
-func (b *Balancer) crowded() bool { return b.steady > byChance || b.now < b.fullAt+b.longestAim }
+// overloaded: load is shed, or servers turned requests away within the last aim.
+func (b *Balancer) overloaded() bool {
+	return b.sustainedShed > shedDeadband || b.now < b.lastOverloadedAt+b.longestObjective
+}
 
-// answer ends a request unserved, at once. A client that may try again is told when.
-func (b *Balancer) answer(r *request) {
-	act := Action{Kind: Fail, Request: r.ID}
-	if b.refusable(r) {
-		act.Kind, act.At = Refuse, b.holdOff(r)
+// rejectOrFail ends a request unserved, at once. A client that may try again is told when.
+func (b *Balancer) rejectOrFail(r *request) {
+	action := Action{Kind: Fail, Request: r.ID}
+	if b.safeToReject(r) {
+		action.Kind, action.At = Reject, b.retryAfter(r)
 	}
-	b.emit(act)
-	b.close(r)
+	b.emit(action)
+	b.finish(r)
 }
 
-// holdOff is how long a client should stay away: as long as an answer takes at the least, as nothing has
+// retryAfter is how long a client should stay away: as long as an answer takes at the least, as nothing has
 // changed sooner, and what the shedding of now takes to leak away. It is jittered: those who were turned away
 // together would come back together.
-func (b *Balancer) holdOff(r *request) float64 {
-	if !b.cfg.RetryAfter {
+func (b *Balancer) retryAfter(r *request) float64 {
+	if !b.config.SendRetryAfter {
 		return 0
 	}
-	pause := r.stats.quick*r.class.Aim + math.Max(b.steady-byChance, 0)*shedLeak
-	return math.Min(pause*(0.5+b.random()), b.cfg.MaxRetryAfter)
+	delay := r.stats.minLatencyRatio*r.class.LatencyObjective + math.Max(b.sustainedShed-shedDeadband, 0)*shedDecayTime
+	return math.Min(delay*(0.5+b.random()), b.config.MaxRetryAfter)
 }
 
-func (b *Balancer) refusable(r *request) bool { // the client may try again: it does no harm
-	if r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll {
+func (b *Balancer) safeToReject(r *request) bool { // the client may try again: it does no harm
+	if r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DeduplicationScope == ScopeAll {
 		return true
 	}
-	for i := range r.tries {
-		if !r.tries[i].clean {
+	for i := range r.attempts {
+		if !r.attempts[i].neverExecuted {
 			return false
 		}
 	}
 	return true
 }
 
-// close marks a request as answered and gives up what is still out for it.
-func (b *Balancer) close(r *request) {
-	r.done = true
-	b.cancelOthers(r, -1)
-	if r.live == 0 && b.reqs[r.ID] == r {
-		delete(b.reqs, r.ID)
-		b.spent = append(b.spent, r)
+// finish marks a request as answered and gives up what is still out for it.
+func (b *Balancer) finish(r *request) {
+	r.finished = true
+	b.cancelAttemptsExcept(r, -1)
+	if r.inFlight == 0 && b.requests[r.ID] == r {
+		delete(b.requests, r.ID)
+		b.finished = append(b.finished, r)
 	}
 }
 
-func (b *Balancer) cancelOthers(r *request, keep int) {
-	for i := range r.tries {
-		if r.tries[i].live && i != keep && b.cfg.Cancel {
+func (b *Balancer) cancelAttemptsExcept(r *request, except int) {
+	for i := range r.attempts {
+		if r.attempts[i].inFlight && i != except && b.config.AllowCancel {
 			b.emit(Action{Kind: Cancel, Request: r.ID, Attempt: i})
 		}
 	}
--- a/balance/discovery_test.go
+++ b/balance/discovery_test.go
@@ -4,30 +4,30 @@
 
 // Discovery takes calls in turn at a fixed rate, works also on those given up meanwhile, and fails what
 // waited too long. Called by all at once, and again by all soon after, it never caught up.
-func TestMassRestartDoesNotJamDiscovery(t *testing.T) {
+func TestMassRestartDoesNotOverloadDiscovery(t *testing.T) {
 	const balancers, work, patience, until = 80, 90.0, 2000.0, 20000.0 // ms a call, ms waited, ms in all
 	cfg := baseConfig()
 	cfg.Subscribe = true
 	subscribed, calls, last, free := 0, 0, 0.0, 0.0
-	w := &tier{t: t, now: 1000, outcome: func(int, Outcome) {}}
-	w.heard = func(from int, a Action) {
-		if a.Kind != Watch {
+	w := &simulatedFleet{t: t, now: 1000, onOutcome: func(int, Outcome) {}}
+	w.onAction = func(from int, a Action) {
+		if a.Kind != WatchEndpoints {
 			return
 		}
 		calls++
 		free = max(free, w.now) + work
 		if free > w.now+patience {
-			w.at(w.now+patience, from, ServerList{Kind: ListFailed})
+			w.schedule(w.now+patience, from, EndpointUpdate{Kind: UpdateFailed})
 			return
 		}
-		w.at(free, from, ServerList{Kind: ListFull, Servers: fleet(4)})
+		w.schedule(free, from, EndpointUpdate{Kind: UpdateFull, Servers: testServers(4)})
 		subscribed++
 		last = free
 	}
 	for i := range balancers {
-		cfg.Seed, cfg.Number, cfg.Peers = mix(uint64(i)+1), i, balancers
+		cfg.Seed, cfg.SidecarIndex, cfg.SidecarCount = splitmix64(uint64(i)+1), i, balancers
 		w.balancers = append(w.balancers, mustNew(t, cfg))
-		w.act(i, w.balancers[i].Start(w.now))
+		w.execute(i, w.balancers[i].Start(w.now))
 	}
 	w.run(w.now + until)
 	if subscribed != balancers {
--- a/balance/fixtures_test.go
+++ b/balance/fixtures_test.go
@@ -57,21 +57,21 @@
 type gossipFixture struct {
 	name    string
 	now     float64
-	entries []hint
+	entries []finding
 }
 
 func gossipFixtures() []gossipFixture {
 	const now = 5000160.0
 	full := gossipFixture{name: "as many entries as a message holds", now: now}
-	for i := range mostHints {
-		full.entries = append(full.entries, hint{hintBad, tag(ServerID(1000 + i)), now - 20*float64(i)})
+	for i := range maxFindings {
+		full.entries = append(full.entries, finding{findingFault, serverTag(ServerID(1000 + i)), now - 20*float64(i)})
 	}
 	return []gossipFixture{
-		{"question of a sidecar that starts", 1000, []hint{{hintAsk, 0, 1000}}},
-		{"a bad server", now, []hint{{hintBad, tag(0x0a124a07232b), now - 40}}},
-		{"a server that is back", now, []hint{{hintBack, tag(7), now}}},
-		{"one of each kind", now, []hint{{hintAsk, 0, now}, {hintBad, 0xffffffff, now - 5100}, {hintBack, 1, now - 20}}},
-		{"a clock beyond 32 bits", 1<<33 + 12345, []hint{{hintBad, 99, 1<<33 + 12345 - 100}}},
+		{"question of a sidecar that starts", 1000, []finding{{findingQuery, 0, 1000}}},
+		{"a bad server", now, []finding{{findingFault, serverTag(0x0a124a07232b), now - 40}}},
+		{"a server that is back", now, []finding{{findingRecovery, serverTag(7), now}}},
+		{"one of each kind", now, []finding{{findingQuery, 0, now}, {findingFault, 0xffffffff, now - 5100}, {findingRecovery, 1, now - 20}}},
+		{"a clock beyond 32 bits", 1<<33 + 12345, []finding{{findingFault, 99, 1<<33 + 12345 - 100}}},
 		full,
 	}
 }
@@ -80,7 +80,7 @@
 func TestGossipFixtures(t *testing.T) {
 	var text strings.Builder
 	for _, f := range gossipFixtures() {
-		fmt.Fprintf(&text, "%s: %x\n", f.name, appendMessage(nil, f.now, f.entries))
+		fmt.Fprintf(&text, "%s: %x\n", f.name, appendGossip(nil, f.now, f.entries))
 	}
 	checkGolden(t, "gossip.golden", text.String())
 	stored, err := os.ReadFile(filepath.Join("testdata", "gossip.golden"))
@@ -97,11 +97,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sent, entries, err := readMessage(data, f.now, nil)
-		if err != nil || sent != stamp(f.now) || !slices.Equal(entries, f.entries) {
+		sent, entries, err := readGossip(data, f.now, nil)
+		if err != nil || sent != gossipTimestamp(f.now) || !slices.Equal(entries, f.entries) {
 			t.Errorf("%s: read as %+v of %d, error %v", f.name, entries, sent, err)
 		}
-		if again := appendMessage(nil, f.now, entries); !slices.Equal(again, data) {
+		if again := appendGossip(nil, f.now, entries); !slices.Equal(again, data) {
 			t.Errorf("%s: written again as %x", f.name, again)
 		}
 	}
@@ -150,11 +150,11 @@
 	}
 	for i := range servers {
 		p.servers = append(p.servers, Server{
-			ID: ServerID(0x0a0000000000 + 131*i), Rating: 0.5 + float64(i%5)/4, Cell: i / 4, Zone: i % 3, Kind: i % 2,
+			ID: ServerID(0x0a0000000000 + 131*i), RelativeCapacity: 0.5 + float64(i%5)/4, Cell: i / 4, Zone: i % 3, Kind: i % 2,
 		})
 	}
 	p.carryOut(p.b.Start(p.now))
-	p.handle(ServerList{Kind: ListCached, Servers: slices.Clone(p.servers)})
+	p.handle(EndpointUpdate{Kind: UpdateCached, Servers: slices.Clone(p.servers)})
 	return p
 }
 
@@ -193,8 +193,8 @@
 		switch ev := e.ev.(type) {
 		case Outcome:
 			p.end(ev)
-		case ServerList:
-			if ev.Kind == ListFull {
+		case EndpointUpdate:
+			if ev.Kind == UpdateFull {
 				ev.Servers = slices.Clone(p.servers)
 			}
 			p.handle(ev)
@@ -213,7 +213,7 @@
 	}
 	r.ended[ev.Attempt] = true
 	r.answered = r.answered || ev.Result == OK
-	ev.Finished = r.answered
+	ev.RequestDone = r.answered
 	if ev.Request%2 == 0 {
 		p.handle(&ev)
 	} else {
@@ -238,22 +238,22 @@
 		case Send:
 			p.sends++
 			p.attempt(a)
-		case Refuse, Fail:
+		case Reject, Fail:
 			p.finals++
 			p.open[a.Request].answered = true
 		case Cancel:
 			p.others++
-			p.after(0.5, Outcome{Request: a.Request, Attempt: a.Attempt, Server: a.Server, Result: Cancelled, Took: 1})
+			p.after(0.5, Outcome{Request: a.Request, Attempt: a.Attempt, Server: a.Server, Result: Cancelled, Elapsed: 1})
 		case SetTimer:
-			p.after(a.At, Timer{Token: a.Token})
-		case Probe:
+			p.after(a.At, TimerFired{Token: a.Token})
+		case HealthCheck:
 			p.others++
-			result := []Result{OK, OK, OK, OK, OK, TimedOut, Moot, Cancelled}[p.draw(8)]
-			p.after(1+4*p.uniform(), ProbeResult{Server: a.Server, Result: result, Took: 2, Report: p.report()})
-		case Watch, Fetch:
+			result := []Result{OK, OK, OK, OK, OK, TimedOut, Obsolete, Cancelled}[p.draw(8)]
+			p.after(1+4*p.uniform(), HealthCheckResult{Server: a.Server, Result: result, Elapsed: 2, LoadReport: p.report()})
+		case WatchEndpoints, FetchEndpoints:
 			p.others++
-			kind := []ListKind{ListFull, ListFailed}[p.draw(2)]
-			p.after(20, ServerList{Kind: kind, Unqueued: p.draw(2) == 0})
+			kind := []UpdateKind{UpdateFull, UpdateFailed}[p.draw(2)]
+			p.after(20, EndpointUpdate{Kind: kind, DiscoveryUnreachable: p.draw(2) == 0})
 		default:
 			p.others++
 		}
@@ -278,19 +278,19 @@
 // recordFigures hashes what the balancer decides by.
 func (p *play) recordFigures() {
 	b := p.b
-	figures := []float64{b.pool, b.steady, b.quickest, b.open, b.openMean, b.repeats, b.busy, b.util, b.drift, b.carried, b.shares, b.tell.bytes}
+	figures := []float64{b.poolWeight, b.sustainedShed, b.minLatencyRatio, b.load, b.meanLoad, b.retryTokens, b.busyFraction, b.meanUtilization, b.capacityDrift, b.candidateLoad, b.candidateWeight, b.gossip.budgetBytes}
 	for _, s := range b.servers {
-		figures = append(figures, s.running, s.weight, s.size, s.restUntil, s.hintUntil, s.tokens, s.rank, float64(s.inFlight))
+		figures = append(figures, s.runningWeight, s.weight, s.logCapacity, s.ejectedUntil, s.gossipEjectedUntil, s.slowStartTokens, s.rank, float64(s.inFlight))
 	}
-	for i := range b.classes {
-		c := &b.classes[i]
-		figures = append(figures, c.asked, c.served, c.mean, c.dev, c.slow, c.quick)
+	for i := range b.classStats {
+		c := &b.classStats[i]
+		figures = append(figures, c.received, c.servedInTime, c.meanLatency, c.meanDeviation, c.recentLatencyRatio, c.minLatencyRatio)
 	}
 	for kind := range 2 {
-		figures = append(figures, b.kinds[kind])
+		figures = append(figures, b.capacityByKind[kind])
 	}
 	for zone := range 3 {
-		figures = append(figures, b.zones[zone])
+		figures = append(figures, b.capacityByZone[zone])
 	}
 	bytes := p.scratch[:0]
 	for _, f := range figures {
@@ -307,43 +307,43 @@
 	r.attempts++
 	r.ended = append(r.ended, false)
 	i := int(a.Server-0x0a0000000000) / 131
-	out.Took = (5 + 20*p.uniform()) * float64(1+i%3) * p.slow
+	out.Elapsed = (5 + 20*p.uniform()) * float64(1+i%3) * p.slow
 	out.Result = []Result{
-		OK, OK, OK, OK, OK, OK, OK, OK, OK, OK, OK, OK, OK, OK, OK, OK, Failed, Full, Reset, ConnectFailed, Moot,
+		OK, OK, OK, OK, OK, OK, OK, OK, OK, OK, OK, OK, OK, OK, OK, OK, Failed, Overloaded, Reset, ConnectFailed, Obsolete,
 	}[p.draw(21)]
-	if out.Result == Full || out.Result == Moot {
-		out.Took = 1
+	if out.Result == Overloaded || out.Result == Obsolete {
+		out.Elapsed = 1
 	}
 	switch {
 	case i%3 == p.lost:
-		out.Result, out.Took = ConnectFailed, 60
+		out.Result, out.Elapsed = ConnectFailed, 60
 	case i == 5: // it hangs
-		out.Result, out.Took = OK, 1e6
+		out.Result, out.Elapsed = OK, 1e6
 	}
-	out.Report = p.report()
+	out.LoadReport = p.report()
 	left := r.deadline - p.now
 	if a.At > 0 {
 		left = math.Min(left, a.At-p.now)
 	}
-	if out.Took > left {
-		out.Result, out.Took = TimedOut, math.Max(left, 0)
-	} else if p.cfg.Classes[r.class].Stream && out.Result == OK {
-		p.after(out.Took, Started{Request: a.Request, Attempt: out.Attempt, Server: a.Server, Took: out.Took})
-		out.Took += 300 * p.uniform()
+	if out.Elapsed > left {
+		out.Result, out.Elapsed = TimedOut, math.Max(left, 0)
+	} else if p.cfg.Classes[r.class].Streaming && out.Result == OK {
+		p.after(out.Elapsed, StreamStarted{Request: a.Request, Attempt: out.Attempt, Server: a.Server, Elapsed: out.Elapsed})
+		out.Elapsed += 300 * p.uniform()
 	}
-	p.after(out.Took, out)
+	p.after(out.Elapsed, out)
 }
 
 func (p *play) report() []float32 {
-	if p.cfg.Reports == ReportNone {
+	if p.cfg.LoadReports == LoadReportNone {
 		return nil
 	}
-	report := make([]float32, len(p.cfg.Fields))
-	for i, field := range p.cfg.Fields {
+	report := make([]float32, len(p.cfg.LoadReportFields))
+	for i, field := range p.cfg.LoadReportFields {
 		switch field {
-		case FieldInFlight, FieldQueue:
+		case FieldInFlight, FieldQueueLength:
 			report[i] = float32(p.draw(5)) * float32(p.slow)
-		case FieldUtil:
+		case FieldUtilization:
 			report[i] = float32(p.uniform())
 		case FieldLatency:
 			report[i] = float32(20 * p.slow)
@@ -356,11 +356,11 @@
 
 func (p *play) request(id RequestID) {
 	ev := Request{
-		ID: id, Class: p.draw(len(p.cfg.Classes)), Tenant: p.draw(len(p.cfg.Tenants)+1) - 1, WorkHint: p.uniform(),
-		Key: uint64(p.draw(30) * p.draw(8)), Repeat: p.draw(10) == 0, Write: p.draw(4) == 0,
+		ID: id, Class: p.draw(len(p.cfg.Classes)), Tenant: p.draw(len(p.cfg.Tenants)+1) - 1, ExpectedWork: p.uniform(),
+		Key: uint64(p.draw(30) * p.draw(8)), ClientRetry: p.draw(10) == 0, Write: p.draw(4) == 0,
 	}
-	ev.Remaining = p.cfg.Classes[ev.Class].Deadline * (0.5 + p.uniform()/2)
-	p.open[id] = &playRequest{class: ev.Class, deadline: p.now + ev.Remaining}
+	ev.Timeout = p.cfg.Classes[ev.Class].Deadline * (0.5 + p.uniform()/2)
+	p.open[id] = &playRequest{class: ev.Class, deadline: p.now + ev.Timeout}
 	if id%3 == 0 {
 		p.handle(&ev)
 	} else {
@@ -370,35 +370,35 @@
 
 // change tells of servers that restart, drain, go, come back or are rated otherwise.
 func (p *play) change() {
-	kind := []ListKind{ListFull, ListDelta, ListDelta, ListCached, ListFailed}[p.draw(5)]
+	kind := []UpdateKind{UpdateFull, UpdateDelta, UpdateDelta, UpdateCached, UpdateFailed}[p.draw(5)]
 	var entries []Server
 	for i := range p.servers {
 		s := &p.servers[i]
 		if p.draw(12) == 0 {
-			s.State = []State{Ready, Ready, Ready, Draining, Gone}[p.draw(5)]
-			s.Rating = 0.5 + p.uniform()
+			s.State = []ServerState{Ready, Ready, Ready, Draining, Removed}[p.draw(5)]
+			s.RelativeCapacity = 0.5 + p.uniform()
 			if p.draw(2) == 0 && s.State == Ready {
 				s.StartedAt = p.now - 5*p.uniform()
 			}
 			entries = append(entries, *s)
-		} else if kind != ListDelta {
+		} else if kind != UpdateDelta {
 			entries = append(entries, *s)
 		}
 	}
-	p.handle(ServerList{Kind: kind, Servers: entries, Unqueued: p.draw(2) == 0})
+	p.handle(EndpointUpdate{Kind: kind, Servers: entries, DiscoveryUnreachable: p.draw(2) == 0})
 }
 
 func (p *play) gossip() {
-	var entries []hint
+	var entries []finding
 	for range 1 + p.draw(4) {
-		kind := []hintKind{hintBad, hintBad, hintBack, hintAsk}[p.draw(4)]
-		entries = append(entries, hint{kind, tag(p.servers[p.draw(len(p.servers))].ID), p.now - 400*p.uniform()})
+		kind := []findingKind{findingFault, findingFault, findingRecovery, findingQuery}[p.draw(4)]
+		entries = append(entries, finding{kind, serverTag(p.servers[p.draw(len(p.servers))].ID), p.now - 400*p.uniform()})
 	}
-	data := appendMessage(nil, p.now, entries)
+	data := appendGossip(nil, p.now, entries)
 	if p.draw(6) == 0 {
 		data[p.draw(len(data))] ^= 4
 	}
-	p.handle(Message{From: p.draw(p.cfg.Peers + 1), Data: data})
+	p.handle(GossipMessage{From: p.draw(p.cfg.SidecarCount + 1), Data: data})
 }
 
 func (p *play) place() {
@@ -410,16 +410,16 @@
 	}
 	var ev Placement
 	for id := range p.draw(4) {
-		ev.KeepOffs = append(ev.KeepOffs, KeepOff{
-			ID: id, Tenant: p.draw(3) - 1, Servers: ids(1 + len(p.servers)/2), Least: p.uniform() * 0.8, Until: p.now + 3000*p.uniform() - 100,
+		ev.Exclusions = append(ev.Exclusions, Exclusion{
+			ID: id, Tenant: p.draw(3) - 1, Servers: ids(1 + len(p.servers)/2), MinAvailable: p.uniform() * 0.8, ExpiresAt: p.now + 3000*p.uniform() - 100,
 		})
 	}
 	for key := range uint64(p.draw(6)) {
-		s := Spread{Key: key * 2, Until: p.now + 3000*p.uniform() - 100}
+		s := HotKey{Key: key * 2, ExpiresAt: p.now + 3000*p.uniform() - 100}
 		for _, id := range ids(6) {
-			s.Copies = append(s.Copies, Copy{id, 0.4*p.uniform() - 0.1})
+			s.Replicas = append(s.Replicas, Replica{id, 0.4*p.uniform() - 0.1})
 		}
-		ev.Spreads = append(ev.Spreads, s)
+		ev.HotKeys = append(ev.HotKeys, s)
 	}
 	p.handle(ev)
 }
@@ -450,7 +450,7 @@
 			p.place()
 		}
 		if placed && i%60 == 59 {
-			for _, id := range p.b.Suspended() {
+			for _, id := range p.b.SuspendedExclusions() {
 				p.sum.Write([]byte{byte(id)})
 			}
 		}
@@ -459,7 +459,7 @@
 			if r := p.open[gone]; r != nil {
 				r.answered = true
 			}
-			p.handle(HangUp{Request: gone})
+			p.handle(ClientDisconnected{Request: gone})
 		}
 		if i%100 == 99 {
 			p.recordFigures()
@@ -472,10 +472,10 @@
 // The same settings and events give the same actions, to the last bit of each time and whatever the build. The
 // digests are of an amd64 machine with fused multiply-add: math.Exp uses it there, and may round otherwise elsewhere.
 func TestDecisionsAreDeterministic(t *testing.T) {
-	warm := func(c *Config) { c.WarmKeys, c.Parallel = true, false }
-	messages := func(c *Config) { c.Messages, c.Peers, c.Number, c.Prices.Peer = true, 50, 7, 0.06 }
+	warm := func(c *Config) { c.KeyAffinity, c.AllowParallelAttempts = true, false }
+	messages := func(c *Config) { c.AllowGossip, c.SidecarCount, c.SidecarIndex, c.Costs.Peer = true, 50, 7, 0.06 }
 	piggyback := func(c *Config) {
-		c.Reports, c.Fields = ReportPiggyback, []Field{FieldInFlight, FieldUtil, FieldQueue, FieldLatency, FieldUnknown, FieldRate, FieldErrorRate}
+		c.LoadReports, c.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldInFlight, FieldUtilization, FieldQueueLength, FieldLatency, FieldUnknown, FieldRequestRate, FieldErrorRate}
 	}
 	var text strings.Builder
 	for _, c := range []struct {
@@ -486,30 +486,34 @@
 	}{
 		{"plain", 30, false, func(*Config) {}},
 		{"warm keys", 30, false, warm},
-		{"warm keys, large fleet", 120, false, func(c *Config) { warm(c); c.Peers = 300 }},
+		{"warm keys, large fleet", 120, false, func(c *Config) { warm(c); c.SidecarCount = 300 }},
 		{"warm keys, reports", 30, false, func(c *Config) { warm(c); piggyback(c) }},
 		{"reports", 30, false, piggyback},
-		{"probes", 30, false, func(c *Config) { c.Probes, c.Reports, c.Fields = true, ReportProbe, []Field{FieldInFlight, FieldUtil} }},
+		{"probes", 30, false, func(c *Config) {
+			c.AllowHealthChecks, c.LoadReports, c.LoadReportFields = true, LoadReportHealthCheck, []LoadReportField{FieldInFlight, FieldUtilization}
+		}},
 		{"messages", 30, false, messages},
 		{"warm keys, messages", 60, false, func(c *Config) { warm(c); messages(c) }},
-		{"subscribe", 30, false, func(c *Config) { c.Subscribe, c.Peers = true, 80 }},
+		{"subscribe", 30, false, func(c *Config) { c.Subscribe, c.SidecarCount = true, 80 }},
 		{"tenants", 30, false, func(c *Config) {
-			c.Tenants = []Tenant{{Allowance: 50, Share: 0.6}, {Allowance: 20, Share: 0.3}, {Share: 0.1}}
-			c.OverShareWorth = 0.3
-			c.Goal = Goal{Whole: 0.4, WorstWindow: 0.2, WorstClass: 0.2, WorstTenant: 0.2}
+			c.Tenants = []Tenant{{QuotaRate: 50, Quota: 0.6}, {QuotaRate: 20, Quota: 0.3}, {Quota: 0.1}}
+			c.OverQuotaWeight = 0.3
+			c.Objective = Objective{Whole: 0.4, WorstWindow: 0.2, WorstClass: 0.2, WorstTenant: 0.2}
 		}},
 		{"unsafe classes", 30, false, func(c *Config) {
 			c.Classes = []Class{
-				{Effect: Unsafe, Aim: 150, Deadline: 600, Worth: 5}, {Effect: Unsafe, Aim: 300, Deadline: 900, Worth: 1, LateWorth: 0.4},
-				{Effect: Keyed, Group: GroupZone, Window: 300, Aim: 200, Deadline: 900, Worth: 2},
+				{Idempotency: NonIdempotent, LatencyObjective: 150, Deadline: 600, PriorityWeight: 5}, {Idempotency: NonIdempotent, LatencyObjective: 300, Deadline: 900, PriorityWeight: 1, LateWeight: 0.4},
+				{Idempotency: IdempotentWithKey, DeduplicationScope: ScopeZone, IdempotencyWindow: 300, LatencyObjective: 200, Deadline: 900, PriorityWeight: 2},
 			}
 		}},
-		{"streams", 30, false, func(c *Config) { c.Classes[safeClass].Stream, c.Classes[allClass].Stream = true, true }},
-		{"one attempt, no cancel", 30, false, func(c *Config) { c.MaxAttempts, c.Cancel, c.Parallel, c.RetryAfter = 1, false, false, false }},
-		{"zones at a price", 30, false, func(c *Config) { c.Prices.CrossZone, c.Zone, c.ConnectTimeout = 0.01, 1, 100 }},
-		{"warm keys, zones at a price", 30, false, func(c *Config) { warm(c); c.Prices.CrossZone, c.Zone = 0.02, 2 }},
-		{"placement", 30, true, func(c *Config) { c.Tenants = []Tenant{{Share: 0.5}, {Share: 0.5}} }},
-		{"warm keys, placement", 30, true, func(c *Config) { warm(c); c.Tenants = []Tenant{{Share: 0.5}, {Share: 0.5}} }},
+		{"streams", 30, false, func(c *Config) { c.Classes[idempotentClass].Streaming, c.Classes[allScopeClass].Streaming = true, true }},
+		{"one attempt, no cancel", 30, false, func(c *Config) {
+			c.MaxAttempts, c.AllowCancel, c.AllowParallelAttempts, c.SendRetryAfter = 1, false, false, false
+		}},
+		{"zones at a price", 30, false, func(c *Config) { c.Costs.CrossZone, c.Zone, c.ConnectTimeout = 0.01, 1, 100 }},
+		{"warm keys, zones at a price", 30, false, func(c *Config) { warm(c); c.Costs.CrossZone, c.Zone = 0.02, 2 }},
+		{"placement", 30, true, func(c *Config) { c.Tenants = []Tenant{{Quota: 0.5}, {Quota: 0.5}} }},
+		{"warm keys, placement", 30, true, func(c *Config) { warm(c); c.Tenants = []Tenant{{Quota: 0.5}, {Quota: 0.5}} }},
 	} {
 		cfg := baseConfig()
 		cfg.Seed = 0x8c1f30d27a5be964
--- a/balance/eject_test.go
+++ b/balance/outlier_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-// lostZone plays a tier on which a zone goes silent, and returns what happened from then on.
-func lostZone(t *testing.T, zones bool) (connects, unserved int) {
+// simulateLostZone plays a tier on which a zone goes silent, and returns what happened from then on.
+func simulateLostZone(t *testing.T, zones bool) (connects, unserved int) {
 	const balancers, lost = 40, 0
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 250
-	servers := fleet(40)
+	servers := testServers(40)
 	for i := range servers {
 		servers[i].Zone = 0
 		if zones {
 			servers[i].Zone = i % 2
 		}
 	}
-	w := newTier(t, cfg, balancers, servers)
+	w := newSimulatedFleet(t, cfg, balancers, servers)
 	silent := false
 	w.serve = func(s ServerID) (Result, float64) {
 		if int(s-1)%2 == lost && silent {
@@ -22,13 +22,13 @@
 		}
 		return OK, 20
 	}
-	w.outcome = func(_ int, o Outcome) {
+	w.onOutcome = func(_ int, o Outcome) {
 		if o.Result == ConnectFailed {
 			connects++
 		}
 	}
-	w.heard = func(_ int, a Action) {
-		if a.Kind == Refuse || a.Kind == Fail {
+	w.onAction = func(_ int, a Action) {
+		if a.Kind == Reject || a.Kind == Fail {
 			unserved++
 		}
 	}
@@ -37,15 +37,15 @@
 			silent = true
 		}
 		w.run(w.now + 1)
-		w.ask(i%balancers, safeClass, uint64(i)*7919%400)
+		w.request(i%balancers, idempotentClass, uint64(i)*7919%400)
 	}
 	return connects, unserved
 }
 
 // Each sidecar meets a server once in two seconds: one by one it found the servers of a lost zone dead for many.
-func TestALostZoneIsRestedAsAWhole(t *testing.T) {
-	connects, unserved := lostZone(t, true)
-	alike, more := lostZone(t, false)
+func TestLostZoneIsEjectedTogether(t *testing.T) {
+	connects, unserved := simulateLostZone(t, true)
+	alike, more := simulateLostZone(t, false)
 	if connects > alike/2 {
 		t.Errorf("%d failed connects, and %d where zones tell nothing", connects, alike)
 	}
@@ -54,30 +54,30 @@
 	}
 }
 
-func TestALostZoneIsFoundAgain(t *testing.T) {
-	servers := fleet(24)
+func TestLostZoneRecovers(t *testing.T) {
+	servers := testServers(24)
 	for i := range servers {
 		servers[i].Zone = i / 12
 	}
-	g := newRig(t, baseConfig(), servers...)
+	g := newHarness(t, baseConfig(), servers...)
 	dead := true
 	play := func() (in, out int) {
 		for range 400 {
 			g.now += 20
-			id, acts := g.ask(safeClass)
-			for n := 0; len(g.b.reqs) > 0 && n < 4; n++ {
-				s, sent := sentTo(acts)
+			id, acts := g.request(idempotentClass)
+			for n := 0; len(g.balancer.requests) > 0 && n < 4; n++ {
+				s, sent := sentServer(acts)
 				if !sent {
 					break
 				}
 				if s <= 12 && dead {
 					out++
-					acts = g.answer(id, n, ConnectFailed, 1)
+					acts = g.finishAttempt(id, n, ConnectFailed, 1)
 				} else {
 					if s <= 12 {
 						in++
 					}
-					acts = g.answer(id, n, OK, 5)
+					acts = g.finishAttempt(id, n, OK, 5)
 				}
 			}
 		}
@@ -87,7 +87,7 @@
 	if out > 24 {
 		t.Errorf("%d sends to a lost zone in 8 s", out)
 	}
-	if out == 0 || !g.b.zone(0).dark {
+	if out == 0 || !g.balancer.healthOfZone(0).lost {
 		t.Fatal("the zone is not held to be lost")
 	}
 	dead = false
@@ -97,15 +97,15 @@
 }
 
 // A server that is cut off keeps its connections open: what was sent before waits for nothing.
-func TestWhatWaitsForAServerOutOfReachIsMoved(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+func TestAttemptsAtUnreachableServerAreRetriedElsewhere(t *testing.T) {
+	g := newHarness(t, baseConfig(), testServers(4)...)
 	waiting := map[RequestID]ServerID{}
 	for range 8 {
-		id, acts := g.ask(safeClass)
-		waiting[id], _ = sentTo(acts)
+		id, acts := g.request(idempotentClass)
+		waiting[id], _ = sentServer(acts)
 	}
-	unsafe, acts := g.ask(unsafeClass)
-	s, _ := sentTo(acts)
+	unsafe, acts := g.request(nonIdempotentClass)
+	s, _ := sentServer(acts)
 	first := RequestID(0)
 	for id := RequestID(1); id < unsafe; id++ {
 		if waiting[id] == s {
@@ -114,7 +114,7 @@
 		}
 	}
 	cancelled := map[RequestID]bool{}
-	for _, a := range g.answer(first, 0, ConnectFailed, 250) {
+	for _, a := range g.finishAttempt(first, 0, ConnectFailed, 250) {
 		if a.Kind == Cancel {
 			cancelled[a.Request] = true
 		}
@@ -128,26 +128,26 @@
 		t.Errorf("cancelled %v; %d must never run twice", cancelled, unsafe)
 	}
 	for id := range cancelled {
-		if to, sent := sentTo(g.answer(id, 0, Cancelled, 250)); !sent || to == s {
+		if to, sent := sentServer(g.finishAttempt(id, 0, Cancelled, 250)); !sent || to == s {
 			t.Errorf("request %d is not moved: %v to server %d", id, sent, to)
 		}
 	}
 }
 
-// lateServers plays a tier on which some servers, each met by a sidecar once in three seconds, turn so slow that
+// simulateLateServers plays a tier on which some servers, each met by a sidecar once in three seconds, turn so slow that
 // they are late, and returns the sends a second to each of these after a while, and to each of the others.
-func lateServers(t *testing.T, late int) (toLate, toOthers float64) {
+func simulateLateServers(t *testing.T, late int) (toLate, toOthers float64) {
 	const balancers, servers, warmUp, settle, span = 60, 50, 4000.0, 1000.0, 5000.0
 	cfg := baseConfig()
-	cfg.WarmKeys = true // all servers are in the rotation
-	w := newTier(t, cfg, balancers, fleet(servers))
+	cfg.KeyAffinity = true // all servers are in the rotation
+	w := newSimulatedFleet(t, cfg, balancers, testServers(servers))
 	w.serve = func(s ServerID) (Result, float64) {
 		if int(s) <= late && w.now > warmUp {
-			return OK, 2 * cfg.Classes[safeClass].Aim
+			return OK, 2 * cfg.Classes[idempotentClass].LatencyObjective
 		}
 		return OK, 20
 	}
-	w.heard = func(_ int, a Action) {
+	w.onAction = func(_ int, a Action) {
 		switch {
 		case a.Kind != Send || w.now < warmUp+settle:
 		case int(a.Server) <= late:
@@ -158,14 +158,14 @@
 	}
 	for i := 0; w.now < warmUp+span; i++ {
 		w.run(w.now + 1)
-		w.ask(i%balancers, safeClass, uint64(i)*7919%400+1)
+		w.request(i%balancers, idempotentClass, uint64(i)*7919%400+1)
 	}
 	return toLate, toOthers
 }
 
 // A late server stayed full of what sixty sidecars each sent it now and then, and never recovered.
-func TestSeldomMetLateServerIsLeftAlone(t *testing.T) {
-	toLate, toOthers := lateServers(t, 3)
+func TestLateServerIsEjectedAtLowTraffic(t *testing.T) {
+	toLate, toOthers := simulateLateServers(t, 3)
 	if toLate > toOthers/2 {
 		t.Errorf("%.1f sends a second to a late server, %.1f to another", toLate, toOthers)
 	}
@@ -175,46 +175,46 @@
 }
 
 // Where most servers are late the load is too high, and resting them would put it all on the rest.
-func TestFewServersRestForLateness(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(40)...)
-	for _, s := range g.b.servers {
-		g.b.fault(s, false)
+func TestLateEjectionIsBounded(t *testing.T) {
+	g := newHarness(t, baseConfig(), testServers(40)...)
+	for _, s := range g.balancer.servers {
+		g.balancer.recordError(s, false)
 	}
 	resting := 0
-	for _, s := range g.b.servers {
-		if g.b.resting(s) {
+	for _, s := range g.balancer.servers {
+		if g.balancer.isEjected(s) {
 			resting++
 		}
 	}
-	if most := int(latePart*40 + 1); resting == 0 || resting > most {
+	if most := int(maxLateEjectedFraction*40 + 1); resting == 0 || resting > most {
 		t.Errorf("%d of 40 servers rest, want 1 to %d", resting, most)
 	}
 }
 
 // The rest of the fleet gets the keys of a lost zone cold, and was choked before its answers showed it.
-func TestWhatALostZoneServedIsShedAtOnce(t *testing.T) {
-	servers := fleet(24)
+func TestLoadOfLostZoneIsShedAtOnce(t *testing.T) {
+	servers := testServers(24)
 	for i := range servers {
 		servers[i].Zone = i / 12
 	}
-	g := newRig(t, baseConfig(), servers...)
+	g := newHarness(t, baseConfig(), servers...)
 	shed := 0.0
 	for range 400 {
 		g.now += 20
-		id, acts := g.ask(safeClass)
-		for n := 0; len(g.b.reqs) > 0 && n < 4; n++ {
-			s, sent := sentTo(acts)
+		id, acts := g.request(idempotentClass)
+		for n := 0; len(g.balancer.requests) > 0 && n < 4; n++ {
+			s, sent := sentServer(acts)
 			if !sent {
 				break
 			}
 			if s <= 12 {
-				acts = g.answer(id, n, ConnectFailed, 1)
+				acts = g.finishAttempt(id, n, ConnectFailed, 1)
 			} else {
-				acts = g.answer(id, n, OK, 5)
+				acts = g.finishAttempt(id, n, OK, 5)
 			}
 		}
-		if g.b.zone(0).dark {
-			shed = g.b.steady - byChance
+		if g.balancer.healthOfZone(0).lost {
+			shed = g.balancer.sustainedShed - shedDeadband
 			break
 		}
 	}
@@ -225,23 +225,23 @@
 
 // Where load is shed the servers turn cold, and cold answers looked like the load that was shed for: 80 sidecars
 // shed nine tenths for ten seconds, with two requests in flight at a server.
-func TestSheddingEndsWhereAnswersTakeNoLonger(t *testing.T) {
+func TestSheddingEndsWhenLatencyRecovers(t *testing.T) {
 	cfg := baseConfig()
-	cfg.WarmKeys = true
-	g := newRig(t, cfg, fleet(60)...)
-	took := 0.32 * cfg.Classes[safeClass].Aim // a little less than is held to be too long
+	cfg.KeyAffinity = true
+	g := newHarness(t, cfg, testServers(60)...)
+	took := 0.32 * cfg.Classes[idempotentClass].LatencyObjective // a little less than is held to be too long
 	for start := g.now; g.now < start+1000; {
-		id, _ := g.ask(safeClass)
+		id, _ := g.request(idempotentClass)
 		g.now += took
-		g.answer(id, 0, OK, took)
+		g.finishAttempt(id, 0, OK, took)
 	}
-	g.b.steady = maxShed + byChance
+	g.balancer.sustainedShed = maxShedFraction + shedDeadband
 	start := g.now
-	for g.b.steady > byChance && g.now < start+60000 {
-		id, acts := g.ask(safeClass)
+	for g.balancer.sustainedShed > shedDeadband && g.now < start+60000 {
+		id, acts := g.request(idempotentClass)
 		g.now += took
-		if _, sent := sentTo(acts); sent {
-			g.answer(id, 0, OK, took)
+		if _, sent := sentServer(acts); sent {
+			g.finishAttempt(id, 0, OK, took)
 		}
 	}
 	if ended := g.now - start; ended > 6000 {
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -5,166 +5,168 @@
 // This file decides which server a request goes to.
 
 const (
-	headroom   = 0.4  // a server above this multiple of its share of the requests in flight is passed over
-	owing      = 4    // turns that a server is behind at the most, after more of them than its share
-	turnTime   = 1000 // ms in which each server of the rotation should get a request: else it is not known
-	fewest     = 4    // servers in the rotation of the least sidecar
-	zoneFavour = 200  // weight added to a server of the own zone, times the price of crossing zones
+	loadHeadroom    = 0.4  // a server above this multiple of its share of the requests in flight is passed over
+	maxRoundsBehind = 4    // turns that a server is behind at the most, after more of them than its share
+	rotationPeriod  = 1000 // ms in which each server of the rotation should get a request: else it is not known
+	minRotationSize = 4    // servers in the rotation of the least sidecar
+	zonePreference  = 200  // weight added to a server of the own zone, times the price of crossing zones
 )
 
 // pick is the ordinary path: smooth weighted round robin over the servers of the request's key, or over all
 // where keys do not matter. A repeat goes to the healthiest untried server.
-func (b *Balancer) pick(r *request, repeat bool) *server {
-	total, keyed := 0.0, !repeat && b.cfg.WarmKeys && r.Key != 0
-	if b.cfg.WarmKeys {
-		total = b.settle()
+func (b *Balancer) pick(r *request, retry bool) *server {
+	totalWeight, byKey := 0.0, !retry && b.config.KeyAffinity && r.Key != 0
+	if b.config.KeyAffinity {
+		totalWeight = b.refreshRotation()
 	}
-	if len(b.hidden.servers) > 0 {
-		total = b.without(total)
+	if len(b.excluded.servers) > 0 {
+		totalWeight = b.subtractExcluded(totalWeight)
 	}
-	if b.allRest = false; keyed && b.rot.n > b.hidden.in {
-		b.survey(total)
-	} else if total = b.enter(r, false); total == 0 { // all rest: the cause is hardly theirs
-		if len(b.hidden.servers) > 0 {
+	if b.allEjected = false; byKey && b.rotation.size > b.excluded.inRotation {
+		b.sumRotation(totalWeight)
+	} else if totalWeight = b.collectCandidates(r, false); totalWeight == 0 { // all rest: the cause is hardly theirs
+		if len(b.excluded.servers) > 0 {
 			return nil
 		}
-		b.allRest = true
-		total = b.enter(r, true)
+		b.allEjected = true
+		totalWeight = b.collectCandidates(r, true)
 	}
-	if !repeat {
-		b.pool = total + b.hidden.weight
-		b.pools.add(b.now, paceAims*b.longestAim, b.pool)
-		b.turn++
-		for _, s := range b.hidden.servers { // they get none
-			s.turn++
+	if !retry {
+		b.poolWeight = totalWeight + b.excluded.weight
+		b.recentPoolWeight.add(b.now, answerRateSpan*b.longestObjective, b.poolWeight)
+		b.round++
+		for _, s := range b.excluded.servers { // they get none
+			s.creditedRound++
 		}
 	}
-	b.creditTurns(keyed, repeat)
-	from := b.entered
-	if keyed {
-		b.room = keyHeadroom
-		if from = b.carrier(r.Key); from == nil {
-			from = b.shard(r.Key)
+	b.creditRounds(byKey, retry)
+	choices := b.candidates
+	if byKey {
+		b.headroom = keyLoadHeadroom
+		if choices = b.hotKeyReplica(r.Key); choices == nil {
+			choices = b.keySubset(r.Key)
 		}
 	}
 	var best *server
-	bestOver := false
-	for _, s := range from {
-		if !b.mayTake(s) {
+	bestOverBound := false
+	for _, s := range choices {
+		if !b.mayReceive(s) {
 			continue
 		}
-		over := b.over(s)
-		if best == nil || bestOver && !over || over == bestOver && b.before(s, best, repeat, over) {
-			best, bestOver = s, over
+		overBound := b.exceedsLoadBound(s)
+		if best == nil || bestOverBound && !overBound || overBound == bestOverBound && b.preferred(s, best, retry, overBound) {
+			best, bestOverBound = s, overBound
 		}
 	}
 	if best != nil {
-		if keyed {
-			b.credit(best)
+		if byKey {
+			b.creditServer(best)
 		}
-		b.trial(best)
-		best.running = math.Max(best.running-total, -owing*total)
+		b.beginZoneTrial(best)
+		best.runningWeight = math.Max(best.runningWeight-totalWeight, -maxRoundsBehind*totalWeight)
 	}
 	return best
 }
 
-func (b *Balancer) mayTake(s *server) bool { return !b.cold(s) || b.coldBudget(s) }
+func (b *Balancer) mayReceive(s *server) bool { return !b.inSlowStart(s) || b.hasSlowStartBudget(s) }
 
-// over is bounded load: a server that holds more than its share is slow, hung or filled by others, whatever
+// exceedsLoadBound is bounded load: a server that holds more than its share is slow, hung or filled by others, whatever
 // its errors say. It is passed over and keeps its running value for later.
-func (b *Balancer) over(s *server) bool {
-	most := b.room * b.carried * s.weight / b.shares
-	return !s.known || b.holds(s)+1 > math.Ceil(most-1e-9) // 1e-9: no more for a rounding error
+func (b *Balancer) exceedsLoadBound(s *server) bool {
+	limit := b.headroom * b.candidateLoad * s.weight / b.candidateWeight
+	return !s.loadKnown || b.serverLoad(s)+1 > math.Ceil(limit-1e-9) // 1e-9: no more for a rounding error
 }
 
-// reach is how many servers the rotation goes over, the first in the sidecar's own order: as many as it
+// rotationSize is how many servers the rotation goes over, the first in the sidecar's own order: as many as it
 // visits often. With all in, a thousand sidecars filled all connection tables and knew no server. Where keys
 // stay warm all are in: sidecars with rotations of their own would warm a key at many servers.
-func (b *Balancer) reach() int {
-	if b.cfg.WarmKeys {
+func (b *Balancer) rotationSize() int {
+	if b.config.KeyAffinity {
 		return len(b.servers)
 	}
-	return max(fewest, int(turnTime*b.demand()))
+	return max(minRotationSize, int(rotationPeriod*b.requestRate()))
 }
 
-func (b *Balancer) demand() float64 { return b.asked.rate(b.now, b.started-turnTime, 2*turnTime, 0) }
+func (b *Balancer) requestRate() float64 {
+	return b.requestMeter.rate(b.now, b.startedAt-rotationPeriod, 2*rotationPeriod, 0)
+}
 
-// enter lists the servers of this pick, their weights and what they hold, and returns the sum of the weights.
-func (b *Balancer) enter(r *request, all bool) float64 {
-	total, fresh, room := 0.0, false, b.reach()
+// collectCandidates lists the servers of this pick, their weights and what they hold, and returns the sum of the weights.
+func (b *Balancer) collectCandidates(r *request, includeEjected bool) float64 {
+	totalWeight, anyReport, remaining := 0.0, false, b.rotationSize()
 	// Exception: answers from elsewhere cost a price. The order, or weight where all are in, favours the own.
-	more := 1 + (b.nearby()-1)*math.Min(1, float64(room)/float64(len(b.servers)))
-	b.entered = b.entered[:0]
+	zoneFactor := 1 + (b.ownZoneFactor()-1)*math.Min(1, float64(remaining)/float64(len(b.servers)))
+	b.candidates = b.candidates[:0]
 	for _, s := range b.servers {
-		if room == 0 || !b.allowed(r, s) || !all && b.resting(s) {
+		if remaining == 0 || !b.permitted(r, s) || !includeEjected && b.isEjected(s) {
 			continue
 		}
-		room--
-		if b.cfg.WarmKeys && s.in {
-			s.weight = b.weightNow(s)
-		} else if s.weight = b.weight(s); b.near(s) {
-			s.weight *= more
+		remaining--
+		if b.config.KeyAffinity && s.inRotation {
+			s.weight = b.currentWeight(s)
+		} else if s.weight = b.weight(s); b.inOwnZone(s) {
+			s.weight *= zoneFactor
 		}
-		total += s.weight
-		s.known = b.fresh(s)
-		fresh = fresh || s.known
-		b.entered = append(b.entered, s)
+		totalWeight += s.weight
+		s.loadKnown = b.hasFreshReport(s)
+		anyReport = anyReport || s.loadKnown
+		b.candidates = append(b.candidates, s)
 	}
-	b.carried, b.shares, b.room = 1, 0, headroom
-	for _, s := range b.entered {
-		s.known = s.known || !fresh // without any report, the own requests in flight are all there is
-		if s.known {
-			b.carried += b.holds(s)
-			b.shares += s.weight
+	b.candidateLoad, b.candidateWeight, b.headroom = 1, 0, loadHeadroom
+	for _, s := range b.candidates {
+		s.loadKnown = s.loadKnown || !anyReport // without any report, the own requests in flight are all there is
+		if s.loadKnown {
+			b.candidateLoad += b.serverLoad(s)
+			b.candidateWeight += s.weight
 		}
 	}
-	return total
+	return totalWeight
 }
 
-// nearby favours the own zone, by what it costs to cross zones.
-func (b *Balancer) nearby() float64 { return 1 + zoneFavour*b.cfg.Prices.CrossZone }
+// ownZoneFactor favours the own zone, by what it costs to cross zones.
+func (b *Balancer) ownZoneFactor() float64 { return 1 + zonePreference*b.config.Costs.CrossZone }
 
-// before: where all hold more than their share, who holds least for its weight goes first.
-func (b *Balancer) before(s, best *server, repeat, over bool) bool {
-	if over && !repeat {
-		return (b.holds(s)+1)*best.weight < (b.holds(best)+1)*s.weight
+// preferred: where all hold more than their share, who holds least for its weight goes first.
+func (b *Balancer) preferred(s, best *server, retry, overBound bool) bool {
+	if overBound && !retry {
+		return (b.serverLoad(s)+1)*best.weight < (b.serverLoad(best)+1)*s.weight
 	}
-	ms, mb := b.health(s), b.health(best)
-	ahead := s.running > best.running+1e-9*b.pool // no rounding error decides
-	return repeat && ms > mb || (!repeat || ms == mb) && ahead
+	health, bestHealth := b.health(s), b.health(best)
+	ahead := s.runningWeight > best.runningWeight+1e-9*b.poolWeight // no rounding error decides
+	return retry && health > bestHealth || (!retry || health == bestHealth) && ahead
 }
 
-// allowed: the rules let the request go there now; one that may have run, only where its key is known.
-func (b *Balancer) allowed(r *request, s *server) bool {
-	if s.State != Ready || s.off {
+// permitted: the rules let the request go there now; one that may have run, only where its key is known.
+func (b *Balancer) permitted(r *request, s *server) bool {
+	if s.State != Ready || s.excluded {
 		return false
 	}
-	for i := range r.tries {
-		a := &r.tries[i]
-		if a.s == s {
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		if a.server == s {
 			return false
 		}
-		if a.clean || r.class.Effect != Keyed {
+		if a.neverExecuted || r.class.Idempotency != IdempotentWithKey {
 			continue
 		}
-		if b.forgotten(r, a) || r.class.Group == GroupCell && a.s.Cell != s.Cell ||
-			r.class.Group == GroupZone && a.s.Zone != s.Zone {
+		if b.idempotencyWindowOver(r, a) || r.class.DeduplicationScope == ScopeCell && a.server.Cell != s.Cell ||
+			r.class.DeduplicationScope == ScopeZone && a.server.Zone != s.Zone {
 			return false
 		}
 	}
 	return true
 }
 
-// forgotten: a repeat might come to a server that no longer knows the key; it may have to connect first.
-func (b *Balancer) forgotten(r *request, a *attempt) bool {
-	return b.now+b.cfg.ConnectTimeout >= a.sent+r.class.Window
+// idempotencyWindowOver: a repeat might come to a server that no longer knows the key; it may have to connect first.
+func (b *Balancer) idempotencyWindowOver(r *request, a *attempt) bool {
+	return b.now+b.config.ConnectTimeout >= a.sentAt+r.class.IdempotencyWindow
 }
 
-// rank is weighted rendezvous hashing: a server that comes or goes moves no other, nor does a restart.
-func (b *Balancer) rank(s *server) float64 {
-	u := -math.Log(float64(mix(mix(uint64(b.cfg.Number)+1)^uint64(s.ID))>>11+1) / (1 << 53))
-	if b.near(s) && !b.cfg.WarmKeys { // there the weights of the pick favour the own zone
-		u /= b.nearby()
+// ownOrderRank is weighted rendezvous hashing: a server that comes or goes moves no other, nor does a restart.
+func (b *Balancer) ownOrderRank(s *server) float64 {
+	rank := -math.Log(float64(splitmix64(splitmix64(uint64(b.config.SidecarIndex)+1)^uint64(s.ID))>>11+1) / (1 << 53))
+	if b.inOwnZone(s) && !b.config.KeyAffinity { // there the weights of the pick favour the own zone
+		rank /= b.ownZoneFactor()
 	}
-	return u
+	return rank
 }
--- a/balance/pick_test.go
+++ b/balance/pick_bench_test.go
@@ -12,14 +12,14 @@
 	for _, n := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			before := heapInUse()
-			g := newPickRig(n)
+			g := newPickBenchmark(n)
 			for range 7000 { // each key several times
-				g.one()
+				g.run()
 			}
 			kept := heapInUse() - before
 			b.ReportAllocs()
 			for b.Loop() {
-				g.one()
+				g.run()
 			}
 			b.ReportMetric(float64(kept)/1024, "KiB-kept")
 		})
@@ -33,45 +33,45 @@
 	return m.HeapAlloc
 }
 
-type pickRig struct {
-	b   *Balancer
-	now float64
-	rnd uint64
-	req Request
-	out Outcome
+type pickBenchmark struct {
+	b      *Balancer
+	now    float64
+	random uint64
+	req    Request
+	out    Outcome
 }
 
-func newPickRig(servers int) *pickRig {
+func newPickBenchmark(servers int) *pickBenchmark {
 	cfg := baseConfig()
-	cfg.Peers, cfg.WarmKeys = 300, true
+	cfg.SidecarCount, cfg.KeyAffinity = 300, true
 	bal, err := New(cfg)
 	if err != nil {
 		panic(err)
 	}
-	g := &pickRig{b: bal, now: 1e6}
-	list := fleet(servers)
+	g := &pickBenchmark{b: bal, now: 1e6}
+	list := testServers(servers)
 	for i := range list {
 		list[i].Cell, list[i].Zone, list[i].Kind = i/8, i%3, i%2
 	}
 	bal.Start(g.now)
-	if _, err := bal.Handle(g.now, ServerList{Kind: ListFull, Servers: list}); err != nil {
+	if _, err := bal.Handle(g.now, EndpointUpdate{Kind: UpdateFull, Servers: list}); err != nil {
 		panic(err)
 	}
 	return g
 }
 
-// one plays a request and its answer, and checks nothing: other tests do.
-func (g *pickRig) one() {
-	g.rnd = mix(g.rnd + 0x9e3779b97f4a7c15)
-	g.req = Request{ID: g.req.ID + 1, Key: 1 + g.rnd%700, Remaining: 1000}
+// run plays a request and its answer, and checks nothing: other tests do.
+func (g *pickBenchmark) run() {
+	g.random = splitmix64(g.random + 0x9e3779b97f4a7c15)
+	g.req = Request{ID: g.req.ID + 1, Key: 1 + g.random%700, Timeout: 1000}
 	actions, err := g.b.Handle(g.now, &g.req)
 	if err != nil {
 		panic(err)
 	}
 	for _, a := range actions {
 		if a.Kind == Send {
-			g.out = Outcome{Request: g.req.ID, Server: a.Server, Result: OK, Took: 20 + float64(g.rnd>>32%10), Finished: true}
-			if _, err := g.b.Handle(g.now+g.out.Took, &g.out); err != nil {
+			g.out = Outcome{Request: g.req.ID, Server: a.Server, Result: OK, Elapsed: 20 + float64(g.random>>32%10), RequestDone: true}
+			if _, err := g.b.Handle(g.now+g.out.Elapsed, &g.out); err != nil {
 				panic(err)
 			}
 			break // the actions are gone
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -8,147 +8,147 @@
 const (
 	// A copy that is told no share gets a trickle, this part of its key's load: by it a new one gets warm,
 	// and one that cools is still warm when it is wanted again.
-	trickle  = 0.05
-	trickles = 0.5 // ... for all of these together: what a hot key's own servers cannot do may as well warm
+	trickleFraction = 0.05
+	maxTrickleTotal = 0.5 // ... for all of these together: what a hot key's own servers cannot do may as well warm
 	// The golden section of a key's turn: steps of it meet each part of the turn as often as it is long,
 	// however few they are. Weighted round robin's first picks do not go by weight, and here few come.
-	spreadStep = 0.6180339887498949
+	goldenSection = 0.6180339887498949
 )
 
-// place is choose under a placement: a request keeps off what its tenant is told to, by smooth weighted round
+// selectUnderPlacement is choose under a placement: a request keeps off what its tenant is told to, by smooth weighted round
 // robin over the rest. Where all the rest rests or is cold and sent enough, serving goes first: the pick is
 // done again over all. A repeat goes to a server kept off rather than leave its group, which is all that
 // allowed lets it have: that is the rule, and no suspension.
-func (b *Balancer) place(r *request, repeat bool) *server {
-	p := b.inForce
-	if p == nil {
-		return b.choose(r, repeat)
+func (b *Balancer) selectUnderPlacement(r *request, retry bool) *server {
+	active := b.placement
+	if active == nil {
+		return b.selectServer(r, retry)
 	}
-	if p.turn(b); len(p.keepOffs) == 0 {
-		return b.choose(r, repeat)
+	if active.expire(b); len(active.exclusions) == 0 {
+		return b.selectServer(r, retry)
 	}
-	set := b.keptOff(r.Tenant)
-	p.suspend(set.suspended)
+	set := b.exclusionSetFor(r.Tenant)
+	active.recordSuspended(set.suspended)
 	if len(set.servers) == 0 {
-		return b.choose(r, repeat)
+		return b.selectServer(r, retry)
 	}
-	b.hide(set.servers)
-	s := b.choose(r, repeat)
-	b.show()
+	b.exclude(set.servers)
+	s := b.selectServer(r, retry)
+	b.endExclusion()
 	if s != nil {
 		return s
 	}
-	bound := repeat && r.class.Effect == Keyed && r.class.Group != GroupAll
-	if s = b.choose(r, repeat); s != nil && !bound {
-		p.suspend(set.followed)
+	scopeBound := retry && r.class.Idempotency == IdempotentWithKey && r.class.DeduplicationScope != ScopeAll
+	if s = b.selectServer(r, retry); s != nil && !scopeBound {
+		active.recordSuspended(set.applied)
 	}
 	return s
 }
 
-// keptOff finds what a tenant keeps off now. Entries are followed in the order given, each where it leaves
+// exclusionSetFor finds what a tenant keeps off now. Entries are followed in the order given, each where it leaves
 // its share of the tenant's ready servers, by rating, and the shares of those followed before.
-func (b *Balancer) keptOff(tenant int) *offSet {
-	p := b.inForce
-	if tenant < 0 || tenant >= len(b.cfg.Tenants) {
+func (b *Balancer) exclusionSetFor(tenant int) *exclusionSet {
+	active := b.placement
+	if tenant < 0 || tenant >= len(b.config.Tenants) {
 		tenant = AllTenants
 	}
-	if set := p.sets[tenant]; set != nil {
+	if set := active.exclusionSets[tenant]; set != nil {
 		return set
 	}
-	set, all, least := &offSet{}, 0.0, 0.0
+	set, totalCapacity, minAvailable := &exclusionSet{}, 0.0, 0.0
 	for _, s := range b.servers {
 		if s.State == Ready {
-			all += s.Rating
+			totalCapacity += s.RelativeCapacity
 		}
 	}
-	left := all
-	for i := range p.keepOffs {
-		k := &p.keepOffs[i]
+	remaining := totalCapacity
+	for i := range active.exclusions {
+		k := &active.exclusions[i]
 		if k.Tenant != tenant && k.Tenant != AllTenants {
 			continue
 		}
-		before, rest := len(set.servers), left
+		start, remainingAfter := len(set.servers), remaining
 		for _, id := range k.Servers {
-			if s := b.byID[id]; s != nil && s.State == Ready && !s.off {
-				s.off = true
+			if s := b.serversByID[id]; s != nil && s.State == Ready && !s.excluded {
+				s.excluded = true
 				set.servers = append(set.servers, s)
-				rest -= s.Rating
+				remainingAfter -= s.RelativeCapacity
 			}
 		}
 		// 1e-9: no share is missed by a rounding error. What is no number is never enough.
-		if want := math.Max(least, k.Least); rest >= (want-1e-9)*all {
-			left, least = rest, want
-			set.followed = append(set.followed, k.ID)
+		if required := math.Max(minAvailable, k.MinAvailable); remainingAfter >= (required-1e-9)*totalCapacity {
+			remaining, minAvailable = remainingAfter, required
+			set.applied = append(set.applied, k.ID)
 			continue
 		}
-		for _, s := range set.servers[before:] {
-			s.off = false
+		for _, s := range set.servers[start:] {
+			s.excluded = false
 		}
-		set.servers = set.servers[:before]
+		set.servers = set.servers[:start]
 		set.suspended = append(set.suspended, k.ID)
 	}
 	for _, s := range set.servers {
-		s.off = false
+		s.excluded = false
 	}
-	p.sets[tenant] = set
+	active.exclusionSets[tenant] = set
 	return set
 }
 
-// carrier returns the copy of a spread key that carries this request, nil where its own servers do. While a
+// hotKeyReplica returns the copy of a spread key that carries this request, nil where its own servers do. While a
 // copy drains, rests, is kept off, holds more than its share of what is in flight or is cold and sent enough,
 // its turns are theirs, whatever it is told to carry.
-func (b *Balancer) carrier(key uint64) []*server {
-	s := b.copyInTurn(key)
-	if s == nil || !s.in || s.off {
+func (b *Balancer) hotKeyReplica(key uint64) []*server {
+	s := b.nextReplica(key)
+	if s == nil || !s.inRotation || s.excluded {
 		return nil
 	}
-	if b.look(s); !b.free(s) {
+	if b.prepareCandidate(s); !b.hasCapacity(s) {
 		return nil
 	}
-	b.entered = append(b.entered[:0], s)
-	return b.entered
+	b.candidates = append(b.candidates[:0], s)
+	return b.candidates
 }
 
-// parts turns the shares that a placement tells into those that copies get: 1 in all at the most, trickles
+// normalizeLoadFractions turns the shares that a placement tells into those that copies get: 1 in all at the most, trickles
 // included.
-func parts(copies []Copy) {
-	total, dry := 0.0, 0.0
-	for i := range copies {
-		c := &copies[i]
-		if c.Share = math.Min(c.Share, 1); !(c.Share > 0) {
-			c.Share = 0
-			dry++
+func normalizeLoadFractions(replicas []Replica) {
+	total, withoutFraction := 0.0, 0.0
+	for i := range replicas {
+		c := &replicas[i]
+		if c.LoadFraction = math.Min(c.LoadFraction, 1); !(c.LoadFraction > 0) {
+			c.LoadFraction = 0
+			withoutFraction++
 		}
-		total += c.Share
+		total += c.LoadFraction
 	}
-	little := math.Min(trickle, trickles/math.Max(dry, 1))
-	scale := math.Min(1, (1-dry*little)/math.Max(total, 1e-9))
-	for i := range copies {
-		if copies[i].Share *= scale; copies[i].Share == 0 {
-			copies[i].Share = little
+	trickle := math.Min(trickleFraction, maxTrickleTotal/math.Max(withoutFraction, 1))
+	scale := math.Min(1, (1-withoutFraction*trickle)/math.Max(total, 1e-9))
+	for i := range replicas {
+		if replicas[i].LoadFraction *= scale; replicas[i].LoadFraction == 0 {
+			replicas[i].LoadFraction = trickle
 		}
 	}
 }
 
-// copyInTurn takes the key on to its next turn and returns the copy that has it by the shares. A sidecar that
+// nextReplica takes the key on to its next turn and returns the copy that has it by the shares. A sidecar that
 // has the key on more servers than these by what it meets itself goes by that: copies would narrow it.
-func (b *Balancer) copyInTurn(key uint64) *server {
-	if b.inForce == nil || len(b.inForce.spreads) == 0 {
+func (b *Balancer) nextReplica(key uint64) *server {
+	if b.placement == nil || len(b.placement.hotKeys) == 0 {
 		return nil
 	}
-	k := b.inForce.spreads[key]
-	if k == nil {
+	state := b.placement.hotKeys[key]
+	if state == nil {
 		return nil
 	}
-	count := b.choice()
-	if b.width(key, count) > max(keyServers, count/keyFleet)+len(k.copies) {
+	count := b.candidateCount()
+	if b.frequencySubsetSize(key, count) > max(minServersPerKey, count/fleetPerKeyServer)+len(state.replicas) {
 		return nil
 	}
-	k.at = math.Mod(k.at+spreadStep, 1)
-	upTo := 0.0
-	for _, c := range k.copies {
-		if upTo += c.Share; k.at < upTo {
-			return b.byID[c.Server]
+	state.phase = math.Mod(state.phase+goldenSection, 1)
+	cumulative := 0.0
+	for _, c := range state.replicas {
+		if cumulative += c.LoadFraction; state.phase < cumulative {
+			return b.serversByID[c.Server]
 		}
 	}
 	return nil
--- a/balance/limits_test.go
+++ b/balance/policy_size_test.go
@@ -7,7 +7,7 @@
 )
 
 // The module is ported by hand: the files that the deploy file lists as policy have to stay short.
-func TestModuleStaysShort(t *testing.T) {
+func TestPolicyFilesStayShort(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -5,32 +5,32 @@
 	"testing"
 )
 
-// world feeds one balancer random but legal events and checks rules 1 to 3 at every action.
-type world struct {
-	t       *testing.T
-	rnd     *rand.Rand
-	b       *Balancer
-	cfg     Config
-	now     float64
-	servers map[ServerID]*Server
-	told    map[ServerID]bool // may be sent to
-	open    map[RequestID]*openRequest
-	timers  []pendingTimer
-	probes  []ServerID
+// ruleChecker feeds one balancer random but legal events and checks rules 1 to 3 at every action.
+type ruleChecker struct {
+	t                   *testing.T
+	random              *rand.Rand
+	balancer            *Balancer
+	config              Config
+	now                 float64
+	servers             map[ServerID]*Server
+	mayReceive          map[ServerID]bool // may be sent to
+	openRequests        map[RequestID]*trackedRequest
+	timers              []pendingTimer
+	pendingHealthChecks []ServerID
 }
 
-type openRequest struct {
+type trackedRequest struct {
 	class    int
 	deadline float64
 	answered bool
-	tries    []openAttempt
+	attempts []trackedAttempt
 }
 
-type openAttempt struct {
-	server Server
-	sent   float64
-	live   bool
-	clean  bool
+type trackedAttempt struct {
+	server        Server
+	sentAt        float64
+	inFlight      bool
+	neverExecuted bool
 }
 
 type pendingTimer struct {
@@ -38,12 +38,12 @@
 	token uint64
 }
 
-func newWorld(t *testing.T, rnd *rand.Rand, cfg Config) *world {
-	w := &world{
-		t: t, rnd: rnd, b: mustNew(t, cfg), cfg: cfg, now: 5000, servers: map[ServerID]*Server{},
-		told: map[ServerID]bool{}, open: map[RequestID]*openRequest{},
+func newRuleChecker(t *testing.T, rnd *rand.Rand, cfg Config) *ruleChecker {
+	w := &ruleChecker{
+		t: t, random: rnd, balancer: mustNew(t, cfg), config: cfg, now: 5000, servers: map[ServerID]*Server{},
+		mayReceive: map[ServerID]bool{}, openRequests: map[RequestID]*trackedRequest{},
 	}
-	w.apply(w.b.Start(w.now))
+	w.apply(w.balancer.Start(w.now))
 	return w
 }
 
@@ -52,18 +52,18 @@
 		rnd := rand.New(rand.NewSource(seed))
 		cfg := baseConfig()
 		cfg.Seed = uint64(seed)
-		cfg.Parallel, cfg.Cancel = seed%2 == 0, seed%3 != 0
+		cfg.AllowParallelAttempts, cfg.AllowCancel = seed%2 == 0, seed%3 != 0
 		cfg.MaxAttempts = 1 + int(seed%4)
 		cfg.Subscribe = seed%5 == 0
 		if seed%4 == 1 {
-			cfg.Probes, cfg.Reports, cfg.Fields = true, ReportProbe, []Field{FieldInFlight, FieldQueue, FieldUtil}
+			cfg.AllowHealthChecks, cfg.LoadReports, cfg.LoadReportFields = true, LoadReportHealthCheck, []LoadReportField{FieldInFlight, FieldQueueLength, FieldUtilization}
 		}
-		w := newWorld(t, rnd, cfg)
-		w.list(ListCached)
+		w := newRuleChecker(t, rnd, cfg)
+		w.randomUpdate(UpdateCached)
 		for id := RequestID(1); id <= 1500; id++ {
 			w.now += rnd.ExpFloat64() * 8
 			w.fireTimers()
-			w.anything(id)
+			w.randomEvent(id)
 		}
 		for w.now += 10; len(w.timers) > 0 && w.anyOpen(); w.now += 10 {
 			w.fireTimers()
@@ -74,49 +74,49 @@
 	}
 }
 
-func (w *world) anything(id RequestID) {
-	switch n := w.rnd.Intn(20); {
+func (w *ruleChecker) randomEvent(id RequestID) {
+	switch n := w.random.Intn(20); {
 	case n < 9:
-		class := w.rnd.Intn(len(w.cfg.Classes))
-		left := w.cfg.Classes[class].Deadline * w.rnd.Float64()
-		if w.rnd.Intn(20) == 0 {
+		class := w.random.Intn(len(w.config.Classes))
+		left := w.config.Classes[class].Deadline * w.random.Float64()
+		if w.random.Intn(20) == 0 {
 			left = 0
 		}
-		w.open[id] = &openRequest{class: class, deadline: w.now + left}
-		w.handle(Request{ID: id, Class: class, Remaining: left})
+		w.openRequests[id] = &trackedRequest{class: class, deadline: w.now + left}
+		w.handle(Request{ID: id, Class: class, Timeout: left})
 	case n < 17:
-		w.endOne(id)
+		w.endRandomAttempt(id)
 	case n < 18:
-		w.list([]ListKind{ListFull, ListDelta, ListCached}[w.rnd.Intn(3)])
+		w.randomUpdate([]UpdateKind{UpdateFull, UpdateDelta, UpdateCached}[w.random.Intn(3)])
 	case n < 19:
-		if len(w.probes) > 0 {
-			s := w.probes[0]
-			w.probes = w.probes[1:]
-			w.handle(ProbeResult{Server: s, Took: 1, Report: []float32{float32(w.rnd.Intn(6)), 0, 0.5}})
+		if len(w.pendingHealthChecks) > 0 {
+			s := w.pendingHealthChecks[0]
+			w.pendingHealthChecks = w.pendingHealthChecks[1:]
+			w.handle(HealthCheckResult{Server: s, Elapsed: 1, LoadReport: []float32{float32(w.random.Intn(6)), 0, 0.5}})
 		}
 	default:
-		gone := id - RequestID(w.rnd.Intn(20)) // may never have been or have ended: ignored then
-		if o := w.open[gone]; o != nil {
+		gone := id - RequestID(w.random.Intn(20)) // may never have been or have ended: ignored then
+		if o := w.openRequests[gone]; o != nil {
 			o.answered = true
 		}
-		w.handle(HangUp{Request: gone})
+		w.handle(ClientDisconnected{Request: gone})
 	}
 }
 
-// endOne ends one live attempt of some request at random.
-func (w *world) endOne(before RequestID) {
+// endRandomAttempt ends one live attempt of some request at random.
+func (w *ruleChecker) endRandomAttempt(before RequestID) {
 	for id := before; id > 0 && id+60 > before; id-- {
-		o := w.open[id]
+		o := w.openRequests[id]
 		if o == nil {
 			continue
 		}
-		for i := range o.tries {
-			if a := &o.tries[i]; a.live && w.rnd.Intn(3) > 0 {
-				res := []Result{OK, OK, OK, OK, Failed, Full, ConnectFailed, Reset, TimedOut}[w.rnd.Intn(9)]
-				a.live, a.clean = false, res.NeverRan()
+		for i := range o.attempts {
+			if a := &o.attempts[i]; a.inFlight && w.random.Intn(3) > 0 {
+				res := []Result{OK, OK, OK, OK, Failed, Overloaded, ConnectFailed, Reset, TimedOut}[w.random.Intn(9)]
+				a.inFlight, a.neverExecuted = false, res.NeverExecuted()
 				o.answered = o.answered || res == OK
 				w.handle(Outcome{
-					Request: id, Attempt: i, Server: a.server.ID, Result: res, Took: w.now - a.sent, Finished: o.answered,
+					Request: id, Attempt: i, Server: a.server.ID, Result: res, Elapsed: w.now - a.sentAt, RequestDone: o.answered,
 				})
 				return
 			}
@@ -124,113 +124,113 @@
 	}
 }
 
-func (w *world) list(kind ListKind) {
+func (w *ruleChecker) randomUpdate(kind UpdateKind) {
 	var entries []Server
 	for i := range 10 {
 		id := ServerID(i + 1)
 		s := w.servers[id]
-		if s == nil || w.rnd.Intn(4) == 0 {
-			s = &Server{ID: id, State: State(w.rnd.Intn(3) % 2), Rating: 1, Cell: i % 3, Zone: i % 2, Kind: i % 2}
-			if w.rnd.Intn(3) == 0 {
+		if s == nil || w.random.Intn(4) == 0 {
+			s = &Server{ID: id, State: ServerState(w.random.Intn(3) % 2), RelativeCapacity: 1, Cell: i % 3, Zone: i % 2, Kind: i % 2}
+			if w.random.Intn(3) == 0 {
 				s.StartedAt = w.now
 			}
 			w.servers[id] = s
 		}
-		if kind == ListDelta && w.rnd.Intn(2) == 0 {
+		if kind == UpdateDelta && w.random.Intn(2) == 0 {
 			continue
 		}
-		if kind != ListDelta && w.rnd.Intn(8) == 0 {
-			w.told[id] = false
+		if kind != UpdateDelta && w.random.Intn(8) == 0 {
+			w.mayReceive[id] = false
 			continue
 		}
-		w.told[id] = s.State == Ready
+		w.mayReceive[id] = s.State == Ready
 		entries = append(entries, *s)
 	}
-	w.handle(ServerList{Kind: kind, Servers: entries})
+	w.handle(EndpointUpdate{Kind: kind, Servers: entries})
 }
 
-func (w *world) handle(ev Event) {
-	acts, err := w.b.Handle(w.now, ev)
+func (w *ruleChecker) handle(ev Event) {
+	acts, err := w.balancer.Handle(w.now, ev)
 	if err != nil {
 		w.t.Fatalf("%#v: %v", ev, err)
 	}
 	w.apply(acts)
 }
 
-func (w *world) apply(acts []Action) {
+func (w *ruleChecker) apply(acts []Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case SetTimer:
 			w.timers = append(w.timers, pendingTimer{w.now + a.At, a.Token})
-		case Probe:
-			if !w.cfg.Probes {
+		case HealthCheck:
+			if !w.config.AllowHealthChecks {
 				w.t.Fatal("probed where probes are not allowed")
 			}
-			w.probes = append(w.probes, a.Server)
+			w.pendingHealthChecks = append(w.pendingHealthChecks, a.Server)
 		case Send:
-			w.send(a)
-		case Refuse, Fail:
-			w.final(a)
+			w.checkSend(a)
+		case Reject, Fail:
+			w.checkFinalAnswer(a)
 		case Cancel:
-			if !w.cfg.Cancel || a.Attempt >= len(w.open[a.Request].tries) {
+			if !w.config.AllowCancel || a.Attempt >= len(w.openRequests[a.Request].attempts) {
 				w.t.Fatalf("cancel of %+v", a)
 			}
 		}
 	}
 }
 
-func (w *world) send(a Action) {
-	o, c := w.open[a.Request], w.cfg.Classes[w.open[a.Request].class]
+func (w *ruleChecker) checkSend(a Action) {
+	o, c := w.openRequests[a.Request], w.config.Classes[w.openRequests[a.Request].class]
 	switch {
 	case o.answered:
 		w.t.Fatalf("request %d was sent after its answer", a.Request)
-	case !w.told[a.Server]:
+	case !w.mayReceive[a.Server]:
 		w.t.Fatalf("request %d was sent to server %d, which drains or is gone", a.Request, a.Server)
-	case len(o.tries) >= w.cfg.MaxAttempts:
+	case len(o.attempts) >= w.config.MaxAttempts:
 		w.t.Fatalf("request %d was sent too often", a.Request)
 	}
-	w.b.checkBudget(w.t, a)
+	w.balancer.checkSlowStartBudgetKept(w.t, a)
 	to := *w.servers[a.Server]
-	for _, p := range o.tries {
-		if p.live && !w.cfg.Parallel {
+	for _, p := range o.attempts {
+		if p.inFlight && !w.config.AllowParallelAttempts {
 			w.t.Fatalf("request %d is out twice", a.Request)
 		}
-		if p.clean || c.Effect == Safe {
+		if p.neverExecuted || c.Idempotency == Idempotent {
 			continue
 		}
-		apart := c.Group == GroupCell && p.server.Cell != to.Cell || c.Group == GroupZone && p.server.Zone != to.Zone
-		if c.Effect == Unsafe || apart || w.now >= p.sent+c.Window {
+		apart := c.DeduplicationScope == ScopeCell && p.server.Cell != to.Cell || c.DeduplicationScope == ScopeZone && p.server.Zone != to.Zone
+		if c.Idempotency == NonIdempotent || apart || w.now >= p.sentAt+c.IdempotencyWindow {
 			w.t.Fatalf("request %d may have run and was sent again", a.Request)
 		}
 	}
-	o.tries = append(o.tries, openAttempt{server: to, sent: w.now, live: true})
+	o.attempts = append(o.attempts, trackedAttempt{server: to, sentAt: w.now, inFlight: true})
 }
 
-// checkBudget: whatever a send is for, one to a cold server spends its budget and never goes without.
-func (b *Balancer) checkBudget(t *testing.T, a Action) {
-	if s := b.byID[a.Server]; a.Kind == Send && b.cold(s) && s.tokens < 0 {
+// checkSlowStartBudgetKept: whatever a send is for, one to a cold server spends its budget and never goes without.
+func (b *Balancer) checkSlowStartBudgetKept(t *testing.T, a Action) {
+	if s := b.serversByID[a.Server]; a.Kind == Send && b.inSlowStart(s) && s.slowStartTokens < 0 {
 		t.Fatalf("at %v request %d was sent to cold server %d, whose budget is spent", b.now, a.Request, a.Server)
 	}
 }
 
-func (w *world) final(a Action) {
-	o, c := w.open[a.Request], w.cfg.Classes[w.open[a.Request].class]
-	if o.answered || w.now > o.deadline+w.cfg.AnswerSlack {
+func (w *ruleChecker) checkFinalAnswer(a Action) {
+	o, c := w.openRequests[a.Request], w.config.Classes[w.openRequests[a.Request].class]
+	if o.answered || w.now > o.deadline+w.config.AnswerGracePeriod {
 		w.t.Fatalf("request %d: a second or late answer at %v, deadline %v", a.Request, w.now, o.deadline)
 	}
 	o.answered = true
-	if a.Kind == Fail || c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll {
+	if a.Kind == Fail || c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope == ScopeAll {
 		return
 	}
-	for _, p := range o.tries {
-		if !p.clean {
+	for _, p := range o.attempts {
+		if !p.neverExecuted {
 			w.t.Fatalf("request %d may have run and was refused", a.Request)
 		}
 	}
 }
 
 // fireTimers brings the alarms that are due, each at its own time.
-func (w *world) fireTimers() {
+func (w *ruleChecker) fireTimers() {
 	end := w.now
 	for {
 		next := -1
@@ -245,13 +245,13 @@
 		p := w.timers[next]
 		w.timers = append(w.timers[:next], w.timers[next+1:]...)
 		w.now = p.at
-		w.handle(Timer{Token: p.token})
+		w.handle(TimerFired{Token: p.token})
 	}
 	w.now = end
 }
 
-func (w *world) anyOpen() bool {
-	for _, o := range w.open {
+func (w *ruleChecker) anyOpen() bool {
+	for _, o := range w.openRequests {
 		if !o.answered {
 			return true
 		}
--- /dev/null
+++ b/balance/reference_pick_test.go
@@ -0,0 +1,334 @@
+package balance
+
+import (
+	"math"
+	"math/rand"
+	"reflect"
+	"slices"
+	"testing"
+)
+
+// referencePick is pick without what index.go keeps: it walks over all servers, hashes the key against each and sorts
+// them. Until the index came this was the way, but for one thing: all servers got their turn with each first pick,
+// and now those of a sidecar that keeps to few of each key get theirs when they are next looked at.
+func (b *Balancer) referencePick(r *request, repeat bool) *server {
+	for _, s := range b.servers {
+		in := s.State == Ready && !b.referenceEjected(s)
+		if in && !s.inRotation {
+			s.creditedRound = b.round
+		}
+		s.inRotation = in
+	}
+	total := b.referenceCandidates(r, false)
+	allRest := total == 0
+	if allRest && len(b.excluded.servers) > 0 {
+		return nil
+	}
+	if allRest {
+		total = b.referenceCandidates(r, true)
+	}
+	b.candidateLoad, b.candidateWeight, b.headroom = 1, 0, loadHeadroom
+	for _, s := range b.candidates {
+		if s.loadKnown {
+			b.candidateLoad += b.serverLoad(s)
+			b.candidateWeight += s.weight
+		}
+	}
+	from, keyed := b.candidates, !repeat && r.Key != 0
+	if !repeat {
+		b.poolWeight = total
+		b.round++
+		for _, s := range b.excluded.servers {
+			s.creditedRound++
+			if s.inRotation {
+				b.poolWeight += b.referenceWeight(s)
+			}
+		}
+		b.recentPoolWeight.add(b.now, answerRateSpan*b.longestObjective, b.poolWeight)
+	}
+	for _, s := range b.candidates {
+		if allRest && !repeat {
+			s.creditedRound = b.round - 1
+		}
+		if (!allRest || !repeat) && !(keyed && !allRest && len(b.candidates)/fleetPerKeyServer > minServersPerKey && b.lowTraffic()) {
+			s.runningWeight = math.Min(s.runningWeight+s.weight*(b.round-s.creditedRound), b.poolWeight)
+			s.creditedRound = b.round
+		}
+	}
+	if keyed {
+		b.headroom = keyLoadHeadroom
+		if s := b.nextReplica(r.Key); s != nil && s.inRotation && slices.Contains(b.candidates, s) && b.hasCapacity(s) {
+			from = []*server{s}
+		} else {
+			from = b.referenceSubset(r.Key)
+		}
+	}
+	var best *server
+	bestOver := false
+	for _, s := range from {
+		if !b.mayReceive(s) {
+			continue
+		}
+		over := b.exceedsLoadBound(s)
+		if best == nil || bestOver && !over || over == bestOver && b.preferred(s, best, repeat, over) {
+			best, bestOver = s, over
+		}
+	}
+	if best != nil {
+		if keyed {
+			best.runningWeight = math.Min(best.runningWeight+best.weight*(b.round-best.creditedRound), b.poolWeight)
+			best.creditedRound = b.round
+		}
+		b.beginZoneTrial(best)
+		best.runningWeight = math.Max(best.runningWeight-total, -maxRoundsBehind*total)
+	}
+	return best
+}
+
+func (b *Balancer) referenceEjected(s *server) bool {
+	z := b.healthOfZone(s.Zone)
+	return b.now < s.ejectedUntil || b.now < s.gossipEjectedUntil || z.lost && b.now < z.ejectedUntil && s.slowStartSince < z.unreachableSince
+}
+
+func (b *Balancer) referenceCandidates(r *request, all bool) float64 {
+	total, fresh := 0.0, false
+	b.candidates = b.candidates[:0]
+	for _, s := range b.servers {
+		if !b.permitted(r, s) || !all && b.referenceEjected(s) {
+			continue
+		}
+		s.weight = b.referenceWeight(s)
+		total += s.weight
+		s.loadKnown = b.hasFreshReport(s)
+		fresh = fresh || s.loadKnown
+		b.candidates = append(b.candidates, s)
+	}
+	for _, s := range b.candidates {
+		s.loadKnown = s.loadKnown || !fresh
+	}
+	return total
+}
+
+func (b *Balancer) referenceWeight(s *server) float64 {
+	if b.inOwnZone(s) {
+		return b.weight(s) * (1 + zonePreference*b.config.Costs.CrossZone)
+	}
+	return b.weight(s)
+}
+
+func (b *Balancer) referenceSubset(key uint64) []*server {
+	all := b.candidates
+	for _, s := range all {
+		u := float64(splitmix64(splitmix64(key)^uint64(s.ID))>>11+1) / (1 << 53)
+		s.keyPosition = -math.Log(u) / s.RelativeCapacity
+	}
+	slices.SortFunc(all, compareKeyPosition)
+	most := len(all) / fleetPerKeyServer
+	n := max(minServersPerKey, most, int(math.Ceil(b.keyFrequency.fraction(key)*float64(len(all))/maxKeyFraction)))
+	n = min(n, len(all))
+	if most > minServersPerKey && b.lowTraffic() {
+		for _, s := range all[:n] {
+			s.keyPosition = s.rank * s.RelativeCapacity / s.weight
+		}
+		slices.SortFunc(all[:n], compareKeyPosition)
+		n = 1
+	}
+	if !slices.ContainsFunc(all[:n], b.hasCapacity) {
+		if more := slices.IndexFunc(all[n:], b.hasCapacity); more >= 0 {
+			n += more + 1
+		} else {
+			n = len(all)
+		}
+	}
+	return all[:n]
+}
+
+// differentialPair play the same events, one with the index and one the plain way.
+type differentialPair struct {
+	t         *testing.T
+	random    *rand.Rand
+	config    Config
+	balancers [2]*Balancer
+	now       float64
+	servers   map[ServerID]Server
+	lastID    RequestID
+	inFlight  []Action // attempts that are out, as Send gave them
+	attempts  map[RequestID]int
+	timers    []pendingTimer
+	lostZone  int // the zone that cannot be reached; -1: none
+	sends     int
+}
+
+func newDifferentialPair(t *testing.T, seed int64) *differentialPair {
+	rnd := rand.New(rand.NewSource(seed))
+	cfg := baseConfig()
+	cfg.Seed, cfg.SidecarCount, cfg.SidecarIndex = uint64(seed), 30, int(seed)
+	cfg.KeyAffinity, cfg.AllowParallelAttempts = true, false
+	cfg.Costs.CrossZone = 0.01 * float64(seed%2)
+	if seed%3 == 1 {
+		cfg.LoadReports, cfg.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldInFlight, FieldUtilization, FieldQueueLength, FieldLatency}
+	}
+	if seed%4 == 3 {
+		cfg.AllowGossip, cfg.Costs.Peer = true, 0.06
+	}
+	if seed%7 == 3 {
+		cfg.SlowStartMinCapacity, cfg.SlowStartDuration = 0, 300
+	}
+	w := &differentialPair{t: t, random: rnd, config: cfg, now: 5000, servers: map[ServerID]Server{}, attempts: map[RequestID]int{}, lostZone: -1}
+	for i := range w.balancers {
+		w.balancers[i] = mustNew(t, cfg)
+		w.balancers[i].Start(w.now)
+	}
+	w.balancers[1].selectServer = w.balancers[1].referencePick
+	for id := range ServerID([]int{6, 60, 160}[seed%3]) {
+		w.servers[id+1] = w.server(id + 1)
+	}
+	w.updateEndpoints(UpdateFull)
+	return w
+}
+
+func (w *differentialPair) server(id ServerID) Server {
+	s := Server{ID: id, RelativeCapacity: 0.5 + w.random.Float64(), Cell: int(id) / 4, Zone: int(id) % 3, Kind: int(id) % 2}
+	if w.random.Intn(8) == 0 {
+		s.StartedAt = w.now
+	}
+	return s
+}
+
+// updateEndpoints lists all servers, or only some of them.
+func (w *differentialPair) updateEndpoints(kind UpdateKind) {
+	var entries []Server
+	for id := ServerID(1); int(id) <= 200; id++ {
+		if s, ok := w.servers[id]; ok && (kind != UpdateDelta || w.random.Intn(10) == 0) {
+			entries = append(entries, s)
+		}
+	}
+	w.handle(EndpointUpdate{Kind: kind, Servers: entries})
+}
+
+// handle has both take an event and compares what they ask for.
+func (w *differentialPair) handle(ev Event) {
+	w.t.Helper()
+	acts, err := w.balancers[0].Handle(w.now, ev)
+	acts = slices.Clone(acts)
+	plain, plainErr := w.balancers[1].Handle(w.now, ev)
+	if !slices.EqualFunc(acts, plain, func(a, p Action) bool { return reflect.DeepEqual(a, p) }) || err != nil || plainErr != nil {
+		w.t.Fatalf("at %v, %T %+v: %v %+v, the plain way %v %+v", w.now, ev, ev, err, acts, plainErr, plain)
+	}
+	for _, a := range acts {
+		switch a.Kind {
+		case Send:
+			w.balancers[0].checkSlowStartBudgetKept(w.t, a)
+			w.sends++
+			a.Attempt = w.attempts[a.Request]
+			w.attempts[a.Request]++
+			w.inFlight = append(w.inFlight, a)
+		case SetTimer:
+			if a.Token != discoveryTimer {
+				w.timers = append(w.timers, pendingTimer{w.now + a.At, a.Token})
+			}
+		}
+	}
+}
+
+func (w *differentialPair) step() {
+	w.now += w.random.ExpFloat64() * 6
+	for i := 0; i < len(w.timers); i++ {
+		if p := w.timers[i]; p.at <= w.now {
+			w.timers = slices.Delete(w.timers, i, i+1)
+			w.handle(TimerFired{Token: p.token})
+			i = -1
+		}
+	}
+	switch n := w.random.Intn(200); {
+	case n < 80:
+		w.lastID++
+		class := w.random.Intn(len(w.config.Classes))
+		key := uint64(w.random.Intn(40) * w.random.Intn(10)) // some often, some seldom, some without
+		w.handle(Request{ID: w.lastID, Class: class, Key: key, Timeout: w.config.Classes[class].Deadline})
+	case n < 180 && len(w.inFlight) > 0:
+		w.endAttempt(w.random.Intn(len(w.inFlight)))
+	case n < 182:
+		w.lostZone = w.random.Intn(5) - 1
+	case n < 184: // a lull: rests, reports and cold times end
+		w.now += 3000 * w.random.Float64()
+	case n < 186:
+		hints := []finding{{findingFault, serverTag(ServerID(1 + w.random.Intn(60))), w.now}, {findingRecovery, serverTag(1), w.now}}
+		w.handle(GossipMessage{From: w.random.Intn(30), Data: appendGossip(nil, w.now, hints)})
+	case n < 192: // one server changes, comes or goes
+		id := ServerID(1 + w.random.Intn(len(w.servers)+2))
+		s, known := w.servers[id]
+		switch {
+		case !known:
+			w.servers[id] = w.server(id)
+		case w.random.Intn(3) == 0 && len(w.servers) > 3:
+			delete(w.servers, id)
+		default:
+			s.StartedAt, s.State, s.RelativeCapacity = w.now, ServerState(w.random.Intn(6)/5), 0.5+w.random.Float64()
+			w.servers[id] = s
+		}
+		w.updateEndpoints([]UpdateKind{UpdateFull, UpdateDelta, UpdateDelta}[w.random.Intn(3)])
+	}
+}
+
+// endAttempt ends an attempt: well, badly, or out of reach where its zone is.
+func (w *differentialPair) endAttempt(i int) {
+	a := w.inFlight[i]
+	w.inFlight = slices.Delete(w.inFlight, i, i+1)
+	result := []Result{OK, OK, OK, OK, OK, OK, OK, Failed, Overloaded, TimedOut}[w.random.Intn(10)]
+	if int(a.Server)%3 == w.lostZone {
+		result = ConnectFailed
+	}
+	out := Outcome{Request: a.Request, Attempt: a.Attempt, Server: a.Server, Result: result, RequestDone: result == OK}
+	if out.Elapsed = 5 + w.random.Float64()*40*float64(1+a.Server%3); result == OK && w.config.LoadReports == LoadReportPiggyback {
+		out.LoadReport = []float32{float32(w.random.Intn(9)), w.random.Float32(), float32(w.random.Intn(3)), 20}
+	}
+	w.handle(out)
+}
+
+// randomPlacement tells of a random placement, of which some is over, is of servers that are not listed or cannot be.
+func (w *differentialPair) randomPlacement() {
+	servers := func() (ids []ServerID) {
+		for range w.random.Intn(1 + len(w.servers)/2) {
+			ids = append(ids, ServerID(1+w.random.Intn(len(w.servers)+5)))
+		}
+		return ids
+	}
+	var p Placement
+	for id := range w.random.Intn(4) {
+		p.Exclusions = append(p.Exclusions, Exclusion{
+			ID: id, Tenant: w.random.Intn(2) - 1, Servers: servers(), MinAvailable: w.random.Float64() * 0.8, ExpiresAt: w.now + 2000*w.random.Float64() - 100,
+		})
+	}
+	for key := range uint64(w.random.Intn(5)) {
+		s := HotKey{Key: key * 3, ExpiresAt: w.now + 2000*w.random.Float64() - 100}
+		for _, id := range servers() {
+			s.Replicas = append(s.Replicas, Replica{id, 0.4*w.random.Float64() - 0.1})
+		}
+		p.HotKeys = append(p.HotKeys, s)
+	}
+	w.handle(p)
+}
+
+// The index makes a pick cheaper and changes none: on random events, with lost zones, restarts and changing lists,
+// every action is that of the plain way.
+func TestIndexedPickMatchesReference(t *testing.T) {
+	for seed := range int64(21) {
+		w := newDifferentialPair(t, seed)
+		for range 2000 {
+			w.step()
+		}
+		if w.sends < 150 {
+			t.Fatalf("seed %d: only %d sends", seed, w.sends)
+		}
+		total, sum := w.balancers[0].refreshRotation(), 0.0
+		for _, s := range w.balancers[0].servers {
+			if s.inRotation {
+				sum += w.balancers[0].weight(s) * s.weightGroup.factor / math.Exp(w.balancers[0].capacityByKind[s.Kind]+w.balancers[0].capacityByZone[s.Zone])
+			}
+		}
+		if sum = math.Max(sum, 1e-6); math.Abs(total-sum) > 1e-9*sum+1e-5 {
+			t.Fatalf("seed %d: the weights of the rotation sum to %v, and %v is kept", seed, sum, total)
+		}
+	}
+}
--- /dev/null
+++ b/balance/slow_start_test.go
@@ -0,0 +1,264 @@
+package balance
+
+import (
+	"container/heap"
+	"fmt"
+	"math"
+	"math/rand"
+	"slices"
+	"testing"
+)
+
+// slowStartFleet is a tier whose servers turn work away beyond their present capacity and count what comes to them
+// while they are cold.
+type slowStartFleet struct {
+	*simulatedFleet
+	random            *rand.Rand
+	servers           []Server
+	capacity          float64 // of a warm server, requests a ms
+	rate              float64 // of all sidecars, requests a ms
+	cumulativeTraffic []float64
+	queues            map[ServerID]*slowStartQueue
+	keys              int // 0: requests have none
+
+	requested, served int
+	arrivedAt         map[RequestID]float64 // those not sent
+}
+
+type slowStartQueue struct {
+	busyUntil float64
+	arrivals  []float64 // since its start
+}
+
+// newSlowStartFleet gives each sidecar 8 requests a second in the mean, every sixth four times what the others get,
+// and servers that this fills to six tenths.
+func newSlowStartFleet(t *testing.T, cfg Config, seed int64, sidecars, servers int) *slowStartFleet {
+	f := &slowStartFleet{
+		random: rand.New(rand.NewSource(seed)), servers: testServers(servers), queues: map[ServerID]*slowStartQueue{},
+		rate: 0.008 * float64(sidecars), arrivedAt: map[RequestID]float64{},
+	}
+	f.capacity = f.rate / float64(servers) / 0.6
+	cfg.AllowParallelAttempts = false
+	f.simulatedFleet = newSimulatedFleet(t, cfg, sidecars, f.servers)
+	sum := 0.0
+	for i := range sidecars {
+		part := 1.0
+		if i%6 == 0 {
+			part = 4
+		}
+		sum += part
+		f.cumulativeTraffic = append(f.cumulativeTraffic, sum)
+	}
+	for _, s := range f.servers {
+		f.queues[s.ID] = &slowStartQueue{}
+	}
+	f.serve = f.processAttempt
+	f.onOutcome = func(_ int, o Outcome) {
+		if o.Result == OK {
+			f.served++
+		}
+	}
+	return f
+}
+
+// currentCapacity is the part of its capacity that a server has, the least that the settings allow.
+func (f *slowStartFleet) currentCapacity(s ServerID) float64 {
+	cfg, start := &f.balancers[0].config, f.servers[s-1].StartedAt
+	if start == 0 {
+		return 1
+	}
+	return math.Min(1, cfg.SlowStartMinCapacity+(1-cfg.SlowStartMinCapacity)*(f.now-start)/cfg.SlowStartDuration)
+}
+
+// processAttempt queues a request for 200 ms at the most.
+func (f *slowStartFleet) processAttempt(s ServerID) (Result, float64) {
+	q, present := f.queues[s], f.currentCapacity(s)
+	if present < 1 {
+		q.arrivals = append(q.arrivals, f.now)
+	}
+	if q.busyUntil = math.Max(q.busyUntil, f.now); q.busyUntil > f.now+200 {
+		return Overloaded, 1
+	}
+	q.busyUntil += 1 / (f.capacity * present)
+	return OK, q.busyUntil - f.now + 5
+}
+
+// simulate brings requests at times the usual rate until then.
+func (f *slowStartFleet) simulate(times, until float64) {
+	for {
+		next := f.now + f.random.ExpFloat64()/(f.rate*times)
+		if next >= until {
+			f.run(until)
+			return
+		}
+		f.run(next)
+		to, _ := slices.BinarySearch(f.cumulativeTraffic, f.random.Float64()*f.cumulativeTraffic[len(f.cumulativeTraffic)-1])
+		key := uint64(0)
+		if f.keys > 0 {
+			key = 1 + uint64(float64(f.keys)*math.Pow(f.random.Float64(), 3))
+		}
+		f.requested++
+		f.arrivedAt[f.lastID+1] = f.now
+		f.request(to, idempotentClass, key)
+	}
+}
+
+// replace starts the first n servers anew and has all sidecars told of it.
+func (f *slowStartFleet) replace(n int) {
+	for i := range n {
+		f.servers[i].StartedAt = f.now
+		f.queues[f.servers[i].ID] = &slowStartQueue{}
+	}
+	for i := range f.balancers {
+		f.deliver(i, EndpointUpdate{Kind: UpdateFull, Servers: f.servers})
+	}
+}
+
+// restart has the first n sidecars begin anew, with nothing but the list.
+func (f *slowStartFleet) restart(n int) {
+	f.pending = slices.DeleteFunc(f.pending, func(e fleetEvent) bool { return e.to < n })
+	heap.Init(&f.pending)
+	for i := range n {
+		f.balancers[i] = mustNew(f.t, f.balancers[i].config)
+		f.execute(i, f.balancers[i].Start(f.now))
+		f.deliver(i, EndpointUpdate{Kind: UpdateFull, Servers: f.servers})
+	}
+}
+
+// worstOverload is the most that a cold server got in a window over what is allowed then, chance included.
+func (f *slowStartFleet) worstOverload() (worstOverload float64, sends int) {
+	cfg, now := &f.balancers[0].config, f.now
+	for id, q := range f.queues {
+		sends += len(q.arrivals)
+		for i := range q.arrivals {
+			n := 0
+			for n < len(q.arrivals)-i && q.arrivals[i+n] < q.arrivals[i]+cfg.OverloadDuration {
+				n++
+			}
+			f.now = q.arrivals[i]
+			allowed := cfg.OverloadMultiple * f.capacity * f.currentCapacity(id) * cfg.OverloadDuration
+			worstOverload = math.Max(worstOverload, float64(n)/(allowed+2*math.Sqrt(allowed)+2))
+		}
+	}
+	f.now = now
+	return worstOverload, sends
+}
+
+// failThird has all attempts at every third server fail from now on.
+func (f *slowStartFleet) failThird(res Result) {
+	f.serve = func(s ServerID) (Result, float64) {
+		if s%3 == 2 {
+			return res, 5
+		}
+		return f.processAttempt(s)
+	}
+}
+
+// Moments in which many servers are cold, or much was saved up; see checkSlowStartBudget.
+var slowStartScenarios = map[string]func(f *slowStartFleet){
+	"six in ten": func(f *slowStartFleet) { f.replace(len(f.servers) * 6 / 10) },
+	"all":        func(f *slowStartFleet) { f.replace(len(f.servers)) },
+	"killed sidecars": func(f *slowStartFleet) {
+		f.restart(len(f.balancers) * 7 / 10)
+		f.replace(len(f.servers) * 6 / 10)
+	},
+	"little traffic": func(f *slowStartFleet) {
+		f.rate, f.capacity = f.rate/8, f.capacity/8
+		f.simulate(1, f.now+10000)
+		f.replace(len(f.servers))
+	},
+	"all new": func(f *slowStartFleet) {
+		f.restart(len(f.balancers))
+		f.replace(len(f.servers))
+	},
+	"burst after quiet": burstAfterLowTraffic,
+}
+
+// However many sidecars there are, how uneven their traffic, and whatever each of them knows: in every window of
+// the stated length all of them together send a cold server what the settings allow it then and no more than
+// chance beyond. It broke where most or all were cold, as each was then held to carry more, and where all had gathered
+// sends while it was quiet.
+func TestSlowStartBudgetHoldsInRareScenarios(t *testing.T) {
+	for _, size := range [][2]int{{20, 12}, {30, 20}} {
+		for name, play := range slowStartScenarios {
+			checkSlowStartBudget(t, name, size, 200, play)
+		}
+		for _, keys := range []int{0, 200} {
+			checkSlowStartBudget(t, "one", size, keys, func(f *slowStartFleet) { f.replace(1) })
+			checkSlowStartBudget(t, "re-routes", size, keys, func(f *slowStartFleet) {
+				f.replace(1)
+				f.simulate(0.2, f.now+1000)
+				f.failThird(Overloaded)
+			})
+		}
+	}
+}
+
+// The same where keys do not stay warm, in large fleets as well: a sidecar's rotation grows with its traffic there, and a
+// large fleet meets each server so seldom that each sidecar holds a send for it most of the time.
+func TestSlowStartBudgetHoldsWithoutKeyAffinity(t *testing.T) {
+	for _, size := range [][2]int{{20, 12}, {30, 20}, {300, 60}} {
+		for name, play := range slowStartScenarios {
+			checkSlowStartBudget(t, name, size, 0, play)
+		}
+	}
+}
+
+func burstAfterLowTraffic(f *slowStartFleet) {
+	f.replace(len(f.servers) / 3)
+	f.simulate(0.1, f.now+4000)
+	f.simulate(2.2, f.now+1000)
+}
+
+// checkSlowStartBudget plays a case with two sets of rules at so many sidecars and servers.
+func checkSlowStartBudget(t *testing.T, name string, size [2]int, keys int, play func(f *slowStartFleet)) {
+	for k, fall := range []struct{ multiple, time, from, aim float64 }{{4, 2000, 0.12, 300}, {2.5, 1000, 0.2, 1000}} {
+		t.Run(fmt.Sprintf("%s/%d sidecars/%d keys/%d", name, size[0], keys, k), func(t *testing.T) {
+			cfg := baseConfig()
+			cfg.OverloadMultiple, cfg.OverloadDuration, cfg.SlowStartMinCapacity = fall.multiple, fall.time, fall.from
+			cfg.KeyAffinity, cfg.Classes[idempotentClass].LatencyObjective = keys > 0, fall.aim
+			f := newSlowStartFleet(t, cfg, 1, size[0], size[1])
+			f.keys = keys
+			f.simulate(1, 5000)
+			play(f)
+			f.simulate(1, f.now+3000)
+			if worst, sends := f.worstOverload(); worst > 1 || sends == 0 {
+				t.Errorf("%d sends to cold servers, in a window %.2f times those allowed", sends, worst)
+			}
+		})
+	}
+}
+
+// Where only cold servers are listed, what they may get is served and the rest refused in time, and the part
+// served rises by itself until all is.
+func TestFleetInSlowStartRampsUp(t *testing.T) {
+	for _, killed := range []bool{false, true} {
+		f := newSlowStartFleet(t, baseConfig(), 1, 30, 20)
+		f.simulate(1, 5000)
+		if killed {
+			f.restart(30)
+		}
+		f.replace(20)
+		class := f.balancers[0].config.Classes[idempotentClass]
+		late := 0
+		f.onAction = func(_ int, a Action) {
+			switch a.Kind {
+			case Send:
+				delete(f.arrivedAt, a.Request)
+			case Reject, Fail: // it looks again each twentieth of its aim
+				if came, unsent := f.arrivedAt[a.Request]; unsent && f.now > came+class.LatencyObjective*1.05 {
+					late++
+				}
+			}
+		}
+		var shares []float64
+		for range 6 {
+			f.requested, f.served = 0, 0
+			f.simulate(1, f.now+4000)
+			shares = append(shares, float64(f.served)/float64(f.requested))
+		}
+		if shares[0] < 0.2 || shares[2] < 0.5 || shares[5] < 0.95 || !slices.IsSorted(shares) || late > 0 {
+			t.Errorf("killed %v: shares %.2f in turns of 4 s, %d answered late", killed, shares, late)
+		}
+	}
+}
--- a/cmd/adapter/fixtures_test.go
+++ b/cmd/adapter/fixtures_test.go
@@ -30,7 +30,7 @@
 	ended := map[[2]uint64]int{} // attempts of a request of an instance
 	var due [][]byte
 	send := func(clock float64, records ...[]byte) {
-		s := &script{}
+		s := &frameScript{}
 		s.frame(clock, records...)
 		input = append(input, s.Bytes()...)
 		var out bytes.Buffer
@@ -53,7 +53,7 @@
 			due = append(due, record(uint16(1090), instance, id, uint8(attempt), a[20:26], result, 10.5+float64(id%7), done, uint8(0)))
 		}
 	}
-	send(1000, begin(1, 7, sessionSettings), begin(2, 8, sessionSettings), sheet(20), cached(1), cached(2))
+	send(1000, startInstance(1, 7, sessionSettings), startInstance(2, 8, sessionSettings), serverTable(20), cachedUpdate(1), cachedUpdate(2))
 	for id := uint64(1); id <= 150; id++ {
 		clock := 1000 + 12*float64(id)
 		records := append([][]byte(nil), due...)
@@ -67,11 +67,11 @@
 		case id%35 == 0:
 			records = append(records, record(uint16(1050), instance, uint16(3), uint16(4), []byte{1, 2, 3, 4}))
 		case id == 90:
-			records = append(records, sheet(25), record(uint16(1040), uint16(1), uint8(0), uint32(2), uint16(0)))
+			records = append(records, serverTable(25), record(uint16(1040), uint16(1), uint8(0), uint32(2), uint16(0)))
 		}
 		send(clock, records...)
 	}
-	send(3000, record(uint16(1060), uint16(1)), begin(1, 9, sessionSettings), cached(1), ask(1, 1000))
+	send(3000, record(uint16(1060), uint16(1)), startInstance(1, 9, sessionSettings), cachedUpdate(1), request(1, 1000))
 	return input
 }
 
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -22,7 +22,7 @@
 
 // run answers frames until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	host := host{instances: map[uint16]*balance.Balancer{}}
+	host := instanceHost{instances: map[uint16]*balance.Balancer{}}
 	reader := wire.NewReader(bufio.NewReaderSize(in, 1<<16))
 	for {
 		host.reply.Reset()
@@ -39,20 +39,20 @@
 	}
 }
 
-// host keeps the instances of this process; they share nothing.
-type host struct {
+// instanceHost keeps the instances of this process; they share nothing.
+type instanceHost struct {
 	instances map[uint16]*balance.Balancer
 	reply     wire.Reply
 }
 
-func (h *host) handle(clock float64, rec wire.Record) (err error) {
+func (h *instanceHost) handle(clock float64, rec wire.Record) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			h.reply.Fault(rec.Instance, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
 		}
 	}()
 	switch ev := rec.Event.(type) {
-	case wire.Begin:
+	case wire.InstanceStarted:
 		cfg, err := wire.ParseSettings(ev.Seed, ev.Settings)
 		if err != nil {
 			h.instances[rec.Instance] = nil // its further events are ignored
@@ -67,11 +67,11 @@
 		}
 		h.instances[rec.Instance] = b
 		h.reply.Add(rec.Instance, b.Start(clock))
-	case wire.Down:
+	case wire.InstanceKilled:
 		delete(h.instances, rec.Instance)
 	case balance.Event:
-		b, begun := h.instances[rec.Instance]
-		if b == nil && begun {
+		b, started := h.instances[rec.Instance]
+		if b == nil && started {
 			return nil
 		}
 		if b == nil {
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -122,7 +122,7 @@
 	if a.rng.Float64() < f.Clients.Leave {
 		out.Leaves = out.GiveUp * a.rng.Float64()
 	}
-	if c.Effect != balance.Safe {
+	if c.Effect != balance.Idempotent {
 		out.Effect = hash(a.plan.Seed, streamArrivals, a.n) | 1
 	}
 	if len(a.keys) > 0 {
@@ -182,8 +182,8 @@
 	if ended == Got || try >= p.File.Clients.Retries {
 		return 0, false
 	}
-	harmless := ended == Refusal || ended == Unreachable || c.Effect == balance.Safe ||
-		c.Effect == balance.Keyed && c.Group == balance.GroupAll && now < a.At+c.WindowMS
+	harmless := ended == Refusal || ended == Unreachable || c.Effect == balance.Idempotent ||
+		c.Effect == balance.IdempotentWithKey && c.Group == balance.ScopeAll && now < a.At+c.WindowMS
 	wait := a.Wait * float64(int(1)<<min(try, 10))
 	if a.Honours {
 		wait = max(wait, min(retryAfter, p.File.Limits.MaxRetryAfterMS))
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -130,7 +130,7 @@
 	defer j.mu.Unlock()
 	j.sweep(now)
 	window := 0.0
-	if c := &j.plan.Classes[class]; c.Effect == balance.Keyed {
+	if c := &j.plan.Classes[class]; c.Effect == balance.IdempotentWithKey {
 		window = c.WindowMS
 	}
 	s := &story{
@@ -320,7 +320,7 @@
 		return
 	}
 	s.tell(now, "runs at", server)
-	if effect && j.plan.Classes[s.class].Effect != balance.Safe {
+	if effect && j.plan.Classes[s.class].Effect != balance.Idempotent {
 		if s.effects++; s.effects > 1 {
 			j.breaks(now, RuleTwice, s, fmt.Sprintf("its effect is done again at server %d", server))
 		}
--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -259,7 +259,7 @@
 	var b strings.Builder
 	class := &f.plan.Classes[a.Class]
 	method := "POST"
-	if class.Effect == balance.Safe {
+	if class.Effect == balance.Idempotent {
 		method = "GET"
 	}
 	fmt.Fprintf(&b, "%s /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: %.0f\r\nX-Cost: %.0f\r\n",
@@ -270,7 +270,7 @@
 	if number > 0 {
 		b.WriteString("X-Retried: 1\r\n")
 	}
-	if class.Effect == balance.Keyed {
+	if class.Effect == balance.IdempotentWithKey {
 		fmt.Fprintf(&b, "Idempotency-Key: %032x\r\n", a.Effect)
 	}
 	if method == "POST" {
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -50,8 +50,8 @@
 // ClassPlan is one class as it is played.
 type ClassPlan struct {
 	*ClassFile
-	Effect balance.Effect
-	Group  balance.Group
+	Effect balance.Idempotency
+	Group  balance.DeduplicationScope
 	share  float64 // cumulated
 }
 
@@ -117,8 +117,8 @@
 	return 0
 }
 
-var effects = map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
-var groups = map[string]balance.Group{"all": balance.GroupAll, "zone": balance.GroupZone, "pod": balance.GroupCell}
+var effects = map[string]balance.Idempotency{"safe": balance.Idempotent, "keyed": balance.IdempotentWithKey, "unsafe": balance.NonIdempotent}
+var groups = map[string]balance.DeduplicationScope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "pod": balance.ScopeCell}
 
 func (p *Plan) drawServers() {
 	rng := p.rng(streamServers)
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -233,7 +233,7 @@
 	case j.Attempt == 0:
 	case j.Fails || fails < s.Errors:
 		e.how, work = Errored, errorWork
-	case s.classes[j.Class].Effect == balance.Keyed && s.stores.Seen(now, s.Plan, &s.classes[j.Class], j.Class, j.Effect):
+	case s.classes[j.Class].Effect == balance.IdempotentWithKey && s.stores.Seen(now, s.Plan, &s.classes[j.Class], j.Class, j.Effect):
 		work = errorWork // the answer to a repeat is at hand
 	default:
 		if fails < s.Errors+s.Plan.Kind.ErrorRate {
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -40,8 +40,8 @@
 			return
 		}
 		r := balance.Request{
-			ID: balance.RequestID(t.id), Class: c.Class, Tenant: -1, WorkHint: c.Hint, Key: c.Key, Remaining: timeout,
-			Repeat: c.tries > 1, Write: e.plan.Classes[c.Class].Effect != balance.Safe,
+			ID: balance.RequestID(t.id), Class: c.Class, Tenant: -1, ExpectedWork: c.Hint, Key: c.Key, Timeout: timeout,
+			ClientRetry: c.tries > 1, Write: e.plan.Classes[c.Class].Effect != balance.Idempotent,
 		}
 		if e.spread != nil {
 			e.spread.asked(e.now, n, &r)
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -47,7 +47,7 @@
 			h.lose(now, balance.Reset)
 		case lab.DiscoveryBad:
 			if h.listed {
-				e.change(now, h, balance.Gone)
+				e.change(now, h, balance.Removed)
 			}
 		default:
 			h.model.Suffer(f, true)
@@ -77,7 +77,7 @@
 		for _, n := range e.nodes {
 			if n.subscribed {
 				n.subscribed = false
-				n.deliver(balance.ServerList{Kind: balance.ListFailed})
+				n.deliver(balance.EndpointUpdate{Kind: balance.UpdateFailed})
 			}
 		}
 	case lab.DiscoveryLate:
--- a/internal/lab/sim/host.go
+++ b/internal/lab/sim/host.go
@@ -34,9 +34,9 @@
 	wake    float64            // when it is next looked at; 0: not
 }
 
-func (h *host) entry(state balance.State, boot float64) balance.Server {
+func (h *host) entry(state balance.ServerState, boot float64) balance.Server {
 	return balance.Server{
-		ID: h.id, State: state, StartedAt: boot, Rating: 1, Cell: h.plan.Pod, Zone: h.plan.Zone, Kind: h.plan.KindN,
+		ID: h.id, State: state, StartedAt: boot, RelativeCapacity: 1, Cell: h.plan.Pod, Zone: h.plan.Zone, Kind: h.plan.KindN,
 	}
 }
 
@@ -78,7 +78,7 @@
 		}
 	}
 	if !taken {
-		h.back(now, att, balance.Full)
+		h.back(now, att, balance.Overloaded)
 		return
 	}
 	h.out[att.id] = att
@@ -141,7 +141,7 @@
 	}
 	switch {
 	case end.How == lab.Expired:
-		h.back(now, att, balance.Full)
+		h.back(now, att, balance.Overloaded)
 	case end.How == lab.Errored:
 		h.back(now, att, balance.Failed)
 	case h.model.Resets > 0 && e.rng.Float64() < h.model.Resets, h.model.Spoils > 0 && e.rng.Float64() < h.model.Spoils:
@@ -210,7 +210,7 @@
 	h.e.at(now+silent.Least+(silent.Most-silent.Least)*h.e.rng.Float64(), func(now float64) {
 		if h.listed && h.life == life && (!h.up || h.vanished) {
 			h.listed = false
-			h.e.change(now, h, balance.Gone)
+			h.e.change(now, h, balance.Removed)
 		}
 	})
 }
@@ -231,13 +231,13 @@
 		if again {
 			h.e.at(now+starts, func(now float64) { h.boots(now) })
 		} else {
-			h.e.change(now, h, balance.Gone)
+			h.e.change(now, h, balance.Removed)
 		}
 	})
 }
 
 // change tells all sidecars of a server, each after its own time.
-func (e *engine) change(now float64, h *host, state balance.State) {
+func (e *engine) change(now float64, h *host, state balance.ServerState) {
 	what := news{h, state, h.boot}
 	for _, n := range e.nodes {
 		n.lastTold = math.Max(n.lastTold, now+n.plan.Notice+e.late)
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -38,14 +38,14 @@
 
 // seen is what a sidecar was told of a server.
 type seen struct {
-	state balance.State
+	state balance.ServerState
 	boot  float64
 }
 
 // news is one change of the list.
 type news struct {
 	h     *host
-	state balance.State
+	state balance.ServerState
 	boot  float64
 }
 
@@ -92,7 +92,7 @@
 		n.e.spread.started(n)
 	}
 	n.keep(n.inst.Start(now))
-	n.deliver(n.list(balance.ListCached))
+	n.deliver(n.list(balance.UpdateCached))
 	n.activate()
 	for _, s := range slices.Sorted(maps.Keys(n.view)) {
 		if n.view[s].state != balance.Ready {
@@ -102,10 +102,10 @@
 }
 
 // list is all that it was told.
-func (n *node) list(kind balance.ListKind) balance.ServerList {
-	out := balance.ServerList{Kind: kind}
+func (n *node) list(kind balance.UpdateKind) balance.EndpointUpdate {
+	out := balance.EndpointUpdate{Kind: kind}
 	for _, s := range slices.Sorted(maps.Keys(n.view)) {
-		if v := n.view[s]; v.state != balance.Gone {
+		if v := n.view[s]; v.state != balance.Removed {
 			out.Servers = append(out.Servers, n.e.hosts[s].entry(v.state, v.boot))
 		}
 	}
@@ -132,7 +132,7 @@
 	for i, ev := range n.inbox {
 		if r, is := ev.(balance.Request); is {
 			if t := n.tries[uint64(r.ID)]; t != nil {
-				r.Remaining = t.deadline - now
+				r.Timeout = t.deadline - now
 				ev = r
 			}
 		}
@@ -159,9 +159,9 @@
 	switch a.Kind {
 	case balance.Send:
 		n.send(a)
-	case balance.Refuse, balance.Fail:
+	case balance.Reject, balance.Fail:
 		what := lab.Failure
-		if a.Kind == balance.Refuse {
+		if a.Kind == balance.Reject {
 			what = lab.Refusal
 		}
 		if t := n.tries[uint64(a.Request)]; t != nil && !t.over {
@@ -177,15 +177,15 @@
 		token, life := a.Token, n.life
 		e.at(e.now+math.Max(a.At, 0), func(float64) {
 			if n.life == life {
-				n.deliver(balance.Timer{Token: token})
+				n.deliver(balance.TimerFired{Token: token})
 			}
 		})
-	case balance.Probe:
+	case balance.HealthCheck:
 		n.probe(e.byID[a.Server])
-	case balance.Post:
+	case balance.SendGossip:
 		n.post(a.Peer, a.Data)
-	case balance.Watch, balance.Fetch:
-		n.ask(a.Kind == balance.Watch)
+	case balance.WatchEndpoints, balance.FetchEndpoints:
+		n.ask(a.Kind == balance.WatchEndpoints)
 	}
 }
 
@@ -207,14 +207,14 @@
 	t.atts = append(t.atts, att)
 	t.live++
 	if t.over || len(t.atts) > e.plan.File.Limits.MaxAttempts || att.cut <= e.now {
-		e.at(e.now, func(now float64) { att.end(now, balance.Moot) })
+		e.at(e.now, func(now float64) { att.end(now, balance.Obsolete) })
 		return
 	}
 	e.at(att.cut, func(now float64) {
 		if att.connected {
 			att.end(now, balance.TimedOut)
 		} else {
-			att.end(now, balance.Moot)
+			att.end(now, balance.Obsolete)
 		}
 	})
 	way, passes := e.delay(n, h, true)
@@ -292,7 +292,7 @@
 	e.measure.Attempt(now, n.n, h.n, att.no > 0, resultNames[result])
 	same := att.connected && att.hostLife == h.life
 	switch {
-	case same && (result == balance.OK || result == balance.Failed || result == balance.Full):
+	case same && (result == balance.OK || result == balance.Failed || result == balance.Overloaded):
 		n.putIdle(h, now)
 	case same:
 		h.conns--
@@ -308,14 +308,14 @@
 		t.answer(now, lab.Got, 0, h.n)
 	}
 	n.deliver(balance.Outcome{
-		Request: balance.RequestID(t.id), Attempt: att.no, Server: h.id, Result: result, Took: now - att.sent, Finished: t.over,
+		Request: balance.RequestID(t.id), Attempt: att.no, Server: h.id, Result: result, Elapsed: now - att.sent, RequestDone: t.over,
 	})
 	t.close()
 }
 
 var resultNames = map[balance.Result]string{
-	balance.OK: "served", balance.Failed: "error", balance.Full: "full", balance.TimedOut: "timed out",
-	balance.ConnectFailed: "no connection", balance.Reset: "reset", balance.Cancelled: "cancelled", balance.Moot: "moot",
+	balance.OK: "served", balance.Failed: "error", balance.Overloaded: "full", balance.TimedOut: "timed out",
+	balance.ConnectFailed: "no connection", balance.Reset: "reset", balance.Cancelled: "cancelled", balance.Obsolete: "moot",
 }
 
 // close forgets a try that is over and has nothing out, once the instance has handled all that it was told of it:
@@ -353,7 +353,7 @@
 		return
 	}
 	t.over = true
-	t.n.deliver(balance.HangUp{Request: balance.RequestID(t.id)})
+	t.n.deliver(balance.ClientDisconnected{Request: balance.RequestID(t.id)})
 	t.close()
 }
 
@@ -462,7 +462,7 @@
 	}
 	e.at(sent+after, func(now float64) {
 		if n.life == life {
-			n.deliver(balance.ProbeResult{Server: h.id, Result: result, Took: now - sent})
+			n.deliver(balance.HealthCheckResult{Server: h.id, Result: result, Elapsed: now - sent})
 		}
 	})
 }
@@ -482,7 +482,7 @@
 		e.at(e.now+after, func(float64) {
 			if other.up {
 				e.measure.Count(func(c *lab.Counts) { c.Messages++; c.MessageB += len(data) })
-				other.deliver(balance.Message{From: n.n, Data: data})
+				other.deliver(balance.GossipMessage{From: n.n, Data: data})
 			}
 		})
 	}
@@ -498,14 +498,14 @@
 		if n.deaf() {
 			e.at(now+e.plan.File.Limits.ConnectMS, func(float64) {
 				if n.life == life {
-					n.deliver(balance.ServerList{Kind: balance.ListFailed})
+					n.deliver(balance.EndpointUpdate{Kind: balance.UpdateFailed})
 				}
 			})
 			return
 		}
 		n.subscribed = n.subscribed || watch
 		n.catchUp(now)
-		n.deliver(n.list(balance.ListFull))
+		n.deliver(n.list(balance.UpdateFull))
 	})
 }
 
@@ -531,7 +531,7 @@
 		n.view[what.h.n] = seen{what.state, what.boot}
 		if n.up {
 			n.e.judge.Told(now, n.n, what.h.n, what.state == balance.Ready)
-			n.deliver(balance.ServerList{Kind: balance.ListDelta, Servers: []balance.Server{what.h.entry(what.state, what.boot)}})
+			n.deliver(balance.EndpointUpdate{Kind: balance.UpdateDelta, Servers: []balance.Server{what.h.entry(what.state, what.boot)}})
 		}
 	}
 	n.pending = nil
--- a/internal/lab/sim/policy.go
+++ b/internal/lab/sim/policy.go
@@ -110,7 +110,7 @@
 func (b *baseline) Start(now float64) []balance.Action {
 	b.now, b.out = now, b.out[:0]
 	if b.cfg.Subscribe {
-		b.emit(balance.Action{Kind: balance.Watch})
+		b.emit(balance.Action{Kind: balance.WatchEndpoints})
 	}
 	return b.out
 }
@@ -120,7 +120,7 @@
 	b.now, b.out = now, b.out[:0]
 	switch ev := ev.(type) {
 	case balance.Request:
-		p := &pending{Request: ev, class: &b.cfg.Classes[ev.Class], end: now + ev.Remaining}
+		p := &pending{Request: ev, class: &b.cfg.Classes[ev.Class], end: now + ev.Timeout}
 		b.open[ev.ID] = p
 		b.step(p)
 	case balance.Outcome:
@@ -129,34 +129,34 @@
 			return nil, fmt.Errorf("outcome of request %d, which is not open", ev.Request)
 		}
 		p.tries[ev.Attempt].to.inFlight--
-		p.tries[ev.Attempt].clean = ev.Result.NeverRan()
+		p.tries[ev.Attempt].clean = ev.Result.NeverExecuted()
 		p.live--
-		p.over = p.over || ev.Finished
+		p.over = p.over || ev.RequestDone
 		b.step(p)
-	case balance.HangUp:
+	case balance.ClientDisconnected:
 		if p := b.open[ev.Request]; p != nil {
 			p.over = true
-			if p.live > 0 && b.cfg.Cancel {
+			if p.live > 0 && b.cfg.AllowCancel {
 				b.emit(balance.Action{Kind: balance.Cancel, Request: p.ID, Attempt: len(p.tries) - 1})
 			}
 			b.step(p)
 		}
-	case balance.ServerList:
+	case balance.EndpointUpdate:
 		b.list(ev)
-	case balance.Timer:
-		b.emit(balance.Action{Kind: balance.Watch})
+	case balance.TimerFired:
+		b.emit(balance.Action{Kind: balance.WatchEndpoints})
 	}
 	return b.out, nil
 }
 
-func (b *baseline) list(ev balance.ServerList) {
-	if ev.Kind == balance.ListFailed {
+func (b *baseline) list(ev balance.EndpointUpdate) {
+	if ev.Kind == balance.UpdateFailed {
 		b.emit(balance.Action{Kind: balance.SetTimer, Token: 1, At: 1000 + 1000*b.rng.Float64()})
 		return
 	}
-	if ev.Kind != balance.ListDelta {
+	if ev.Kind != balance.UpdateDelta {
 		for _, s := range b.servers {
-			s.State = balance.Gone
+			s.State = balance.Removed
 		}
 	}
 	for _, s := range ev.Servers {
@@ -185,7 +185,7 @@
 	default:
 		kind := balance.Fail
 		if p.harmless() {
-			kind = balance.Refuse
+			kind = balance.Reject
 		}
 		b.emit(balance.Action{Kind: kind, Request: p.ID})
 		delete(b.open, p.ID)
@@ -194,7 +194,7 @@
 
 // harmless: the client may be told to try again.
 func (p *pending) harmless() bool {
-	if p.class.Effect == balance.Safe || p.class.Effect == balance.Keyed && p.class.Group == balance.GroupAll {
+	if p.class.Idempotency == balance.Idempotent || p.class.Idempotency == balance.IdempotentWithKey && p.class.DeduplicationScope == balance.ScopeAll {
 		return true
 	}
 	return !slices.ContainsFunc(p.tries, func(t sent) bool { return !t.clean })
@@ -216,9 +216,9 @@
 		switch {
 		case t.to == s:
 			return false
-		case t.clean || p.class.Effect == balance.Safe:
-		case p.class.Effect == balance.Unsafe, b.now+b.cfg.ConnectTimeout >= t.at+p.class.Window,
-			p.class.Group == balance.GroupZone && t.to.Zone != s.Zone, p.class.Group == balance.GroupCell && t.to.Cell != s.Cell:
+		case t.clean || p.class.Idempotency == balance.Idempotent:
+		case p.class.Idempotency == balance.NonIdempotent, b.now+b.cfg.ConnectTimeout >= t.at+p.class.IdempotencyWindow,
+			p.class.DeduplicationScope == balance.ScopeZone && t.to.Zone != s.Zone, p.class.DeduplicationScope == balance.ScopeCell && t.to.Cell != s.Cell:
 			return false
 		}
 	}
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -122,12 +122,12 @@
 }
 
 func (p *planted) Handle(now float64, ev balance.Event) ([]balance.Action, error) {
-	if l, is := ev.(balance.ServerList); is {
+	if l, is := ev.(balance.EndpointUpdate); is {
 		for _, s := range l.Servers {
-			if l.Kind != balance.ListDelta {
+			if l.Kind != balance.UpdateDelta {
 				p.servers = append(p.servers, s.ID)
 			}
-			if l.Kind == balance.ListDelta && (s.State != balance.Ready || s.StartedAt > 0) {
+			if l.Kind == balance.UpdateDelta && (s.State != balance.Ready || s.StartedAt > 0) {
 				p.bad = s.ID
 			}
 		}
@@ -172,7 +172,7 @@
 		faults string
 		change func(*planted, float64, balance.Event, []balance.Action) []balance.Action
 	}{
-		{lab.RuleAnswer, "[[fault]]\nkind = \"errors\"\ntarget = \"servers\"\npart = 1\nat_s = 2\nfor_s = 1\n", drop(balance.Refuse, balance.Fail)},
+		{lab.RuleAnswer, "[[fault]]\nkind = \"errors\"\ntarget = \"servers\"\npart = 1\nat_s = 2\nfor_s = 1\n", drop(balance.Reject, balance.Fail)},
 		{lab.RuleTwice, "[[fault]]\nkind = \"reset\"\ntarget = \"servers\"\npart = 0.2\nat_s = 2\nfor_s = 5\n",
 			func(p *planted, _ float64, ev balance.Event, acts []balance.Action) []balance.Action {
 				// A request that may have run is sent again, whatever its class, to any server.
--- a/internal/lab/sim/spread.go
+++ b/internal/lab/sim/spread.go
@@ -182,7 +182,7 @@
 		r.Key = 0
 	}
 	if r.Key != 0 && s.file.On {
-		s.cars[n.n].heat.Add(now/1000, r.Key, r.WorkHint)
+		s.cars[n.n].heat.Add(now/1000, r.Key, r.ExpectedWork)
 	}
 }
 
@@ -259,11 +259,11 @@
 	s.told = balance.Placement{}
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
 		e := s.entries[id]
-		one := balance.Spread{Key: keyOf(&e), Until: float64(e.UntilMS) - 1000*unixZero}
+		one := balance.HotKey{Key: keyOf(&e), ExpiresAt: float64(e.UntilMS) - 1000*unixZero}
 		for _, c := range e.Copies {
-			one.Copies = append(one.Copies, balance.Copy{Server: serverID(c.UID), Share: c.Share})
+			one.Replicas = append(one.Replicas, balance.Replica{Server: serverID(c.UID), LoadFraction: c.Share})
 		}
-		s.told.Spreads = append(s.told.Spreads, one)
+		s.told.HotKeys = append(s.told.HotKeys, one)
 	}
 	for _, n := range s.e.nodes {
 		s.send(n)
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -164,12 +164,12 @@
 		slog.Warn("the known list is not used", "error", err)
 		cfg.known = list{}
 	}
-	if cfg.balance.Messages {
-		if cfg.peers, err = f.peerFile.config(f.Listen, settings.Number, settings.Peers); err != nil {
+	if cfg.balance.AllowGossip {
+		if cfg.peers, err = f.peerFile.config(f.Listen, settings.SidecarIndex, settings.SidecarCount); err != nil {
 			return nil, err
 		}
 	}
-	cfg.balance.Messages = cfg.peers != nil
+	cfg.balance.AllowGossip = cfg.peers != nil
 	if cfg.classes, err = indexNamed("classes", n.Classes); err != nil {
 		return nil, err
 	}
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -110,14 +110,14 @@
 	h := fnv.New64a()
 	io.WriteString(h, t.UID)
 	s := balance.Server{
-		ID: balance.ServerID(h.Sum64()), StartedAt: t.BootMS, Rating: t.Capacity, Cell: t.PodGroup,
+		ID: balance.ServerID(h.Sum64()), StartedAt: t.BootMS, RelativeCapacity: t.Capacity, Cell: t.PodGroup,
 		Zone: indexOf(cfg.zones, t.Zone), Kind: indexOf(cfg.kinds, t.Model),
 	}
 	switch t.State {
 	case "Ready":
 		s.State = balance.Ready
 	case "Gone":
-		s.State = balance.Gone
+		s.State = balance.Removed
 	default: // Terminating; of a state not known here only that it is not ready
 		s.State = balance.Draining
 	}
@@ -230,7 +230,7 @@
 // is out of reach refuses at once, or its connections break at whatever time.
 func (d *discovery) failed(gen int, began time.Time, heard bool, err error) {
 	queued := !heard && errors.Is(err, errRefused) && time.Since(began) >= queueLeast
-	d.post(news{gen: gen, kind: balance.ListFailed, unqueued: !queued})
+	d.post(news{gen: gen, kind: balance.UpdateFailed, unqueued: !queued})
 }
 
 // subscribe keeps a watch where lists are pushed and the module does not ask for them. Only what fails at once
@@ -311,9 +311,9 @@
 		if err := l.check(); err != nil {
 			return heard, fmt.Errorf("discovery: %w", err)
 		}
-		kind := balance.ListDelta
+		kind := balance.UpdateDelta
 		if l.All {
-			kind = balance.ListFull
+			kind = balance.UpdateFull
 		}
 		d.post(news{gen: gen, kind: kind, list: l})
 		in.beat()
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -35,16 +35,16 @@
 		t.Errorf("asked %q", call.query)
 	}
 	call.send(t, list{Rev: 43, Targets: []target{ready("a", "127.0.0.1:1")}})
-	if n := receive(t, "the change", heard); n.kind != balance.ListDelta || n.list.Rev != 43 || n.list.Targets[0].UID != "a" {
+	if n := receive(t, "the change", heard); n.kind != balance.UpdateDelta || n.list.Rev != 43 || n.list.Targets[0].UID != "a" {
 		t.Errorf("%+v", n)
 	}
 	call.line(t, "")
 	call.send(t, list{Rev: 44, All: true, Targets: []target{}})
-	if n := receive(t, "the list", heard); n.kind != balance.ListFull {
+	if n := receive(t, "the list", heard); n.kind != balance.UpdateFull {
 		t.Errorf("%+v", n)
 	}
 	close(call.lines)
-	if n := receive(t, "the end", heard); n.kind != balance.ListFailed {
+	if n := receive(t, "the end", heard); n.kind != balance.UpdateFailed {
 		t.Errorf("%+v", n)
 	}
 	if len(heard)+len(r.calls) > 0 {
@@ -58,13 +58,13 @@
 	for name, call := range map[string]func(context.Context){"watch": d.watch, "list": d.fetch} {
 		call(t.Context())
 		receive(t, "the call", r.calls).fail <- http.StatusServiceUnavailable
-		if n := receive(t, "the failure", heard); n.kind != balance.ListFailed {
+		if n := receive(t, "the failure", heard); n.kind != balance.UpdateFailed {
 			t.Errorf("%s: %+v", name, n)
 		}
 	}
 	r.Close()
 	d.watch(t.Context())
-	if n := receive(t, "the refused connection", heard); n.kind != balance.ListFailed {
+	if n := receive(t, "the refused connection", heard); n.kind != balance.UpdateFailed {
 		t.Errorf("%+v", n)
 	}
 	if len(heard)+len(r.calls) > 0 {
@@ -79,7 +79,7 @@
 	call := receive(t, "the call", r.calls)
 	call.send(t, list{Rev: 7, All: true, Targets: []target{ready("a", "127.0.0.1:1")}})
 	close(call.lines)
-	if n := receive(t, "the list", heard); n.kind != balance.ListFull || len(n.list.Targets) != 1 {
+	if n := receive(t, "the list", heard); n.kind != balance.UpdateFull || len(n.list.Targets) != 1 {
 		t.Errorf("%+v", n)
 	}
 	if call.query != "" || len(heard) > 0 {
@@ -103,7 +103,7 @@
 		t.Error("the silent connection is still open")
 	}
 	close(again.lines)
-	if n := receive(t, "the end", heard); n.kind != balance.ListFailed || len(heard) > 0 {
+	if n := receive(t, "the end", heard); n.kind != balance.UpdateFailed || len(heard) > 0 {
 		t.Errorf("%+v", n)
 	}
 }
@@ -118,7 +118,7 @@
 	d, heard := hearing(t, ln.Addr().String())
 	d.callWait = 50 * time.Millisecond
 	d.fetch(t.Context())
-	if n := receive(t, "the failure", heard); n.kind != balance.ListFailed {
+	if n := receive(t, "the failure", heard); n.kind != balance.UpdateFailed {
 		t.Errorf("%+v", n)
 	}
 }
@@ -141,7 +141,7 @@
 	}
 	d.watch(t.Context())
 	second.send(t, list{Rev: 2})
-	if n := receive(t, "the new line", heard); n.kind != balance.ListDelta || n.gen != d.gen || len(heard) > 0 {
+	if n := receive(t, "the new line", heard); n.kind != balance.UpdateDelta || n.gen != d.gen || len(heard) > 0 {
 		t.Errorf("%+v", n)
 	}
 	if len(old.calls)+len(r.calls) > 0 {
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -141,7 +141,7 @@
 func unsent(ctx context.Context, by time.Time, err error) balance.Result {
 	switch {
 	case ctx.Err() != nil, err == errMoot, err == errNoSocket, !time.Now().Before(by):
-		return balance.Moot // no fault of the server
+		return balance.Obsolete // no fault of the server
 	default:
 		return balance.ConnectFailed
 	}
--- a/internal/sidecar/first_byte_test.go
+++ b/internal/sidecar/first_byte_test.go
@@ -28,17 +28,17 @@
 
 // What discovery may tell of a server between the decision for it and the first byte.
 func goings(b *backend) map[string]news {
-	with := func(kind balance.ListKind, change func(*target)) news {
+	with := func(kind balance.UpdateKind, change func(*target)) news {
 		t := b.target
 		change(&t)
 		return news{kind: kind, list: list{Rev: 2, Targets: []target{t}}}
 	}
 	return map[string]news{
-		"drains":   with(balance.ListDelta, func(t *target) { t.State = "Terminating" }),
-		"is gone":  with(balance.ListDelta, func(t *target) { t.State = "Gone" }),
-		"restarts": with(balance.ListDelta, func(t *target) { t.BootMS = 1e12 }),
-		"moves":    with(balance.ListDelta, func(t *target) { t.Endpoint = "127.0.0.1:1" }),
-		"unlisted": with(balance.ListFull, func(t *target) { t.UID = "z" }),
+		"drains":   with(balance.UpdateDelta, func(t *target) { t.State = "Terminating" }),
+		"is gone":  with(balance.UpdateDelta, func(t *target) { t.State = "Gone" }),
+		"restarts": with(balance.UpdateDelta, func(t *target) { t.BootMS = 1e12 }),
+		"moves":    with(balance.UpdateDelta, func(t *target) { t.Endpoint = "127.0.0.1:1" }),
+		"unlisted": with(balance.UpdateFull, func(t *target) { t.UID = "z" }),
 	}
 }
 
@@ -74,18 +74,18 @@
 						return len(s.ups.kept) == 0
 					})
 				}
-				s.takeNews(s.now(), news{kind: balance.ListDelta, list: list{Rev: 2, Targets: []target{other.target}}})
+				s.takeNews(s.now(), news{kind: balance.UpdateDelta, list: list{Rev: 2, Targets: []target{other.target}}})
 				s.takeNews(s.now(), gone)
 				if !kept {
 					close(dials.release)
 				}
 				c.writing.Unlock()
 				o := s.ended()
-				if o.reply.result != balance.Moot {
+				if o.reply.result != balance.Obsolete {
 					t.Fatalf("result %v, want it moot", o.reply.result)
 				}
 				if name == "unlisted" { // the full list named only one more, which answers nowhere
-					s.takeNews(s.now(), news{kind: balance.ListFull, list: list{Rev: 3, Targets: []target{other.target}}})
+					s.takeNews(s.now(), news{kind: balance.UpdateFull, list: list{Rev: 3, Targets: []target{other.target}}})
 				}
 				s.take(s.now(), o)
 				s.take(s.now(), s.ended())
@@ -134,7 +134,7 @@
 					c.writing.Unlock()
 				}
 				o := s.ended()
-				if o.reply.result != balance.Moot || o.attempt.sent.Load() {
+				if o.reply.result != balance.Obsolete || o.attempt.sent.Load() {
 					t.Errorf("%+v, sent %v", o.reply, o.attempt.sent.Load())
 				}
 				s.take(s.now(), o)
@@ -246,7 +246,7 @@
 			none(s.ups, true)
 			second := s.ask("charge")
 			o := s.ended()
-			if o.attempt.call != second || o.reply.result != balance.Moot {
+			if o.attempt.call != second || o.reply.result != balance.Obsolete {
 				t.Errorf("%+v, want the second moot", o.reply)
 			}
 			s.take(s.now(), o)
@@ -262,7 +262,7 @@
 			if a := s.answered(third); a.status != 200 {
 				t.Errorf("%+v", a)
 			}
-			s.fire(s.now() + s.cfg.balance.Classes[second.ev.Class].Aim) // no other server has come up for it
+			s.fire(s.now() + s.cfg.balance.Classes[second.ev.Class].LatencyObjective) // no other server has come up for it
 			if a := s.answered(second); a.status != statusRefused {
 				t.Errorf("%+v", a)
 			}
--- a/internal/sidecar/fixtures_test.go
+++ b/internal/sidecar/fixtures_test.go
@@ -140,24 +140,24 @@
 	for i := range cfg.Classes {
 		class := &cfg.Classes[i]
 		classes = append(classes, map[string]any{
-			"effect": class.Effect, "group": class.Group, "window_ms": fmt.Sprint(class.Window), "on_time_ms": class.Aim,
-			"aim_stretch": class.AimStretch, "hard_limit_ms": class.Deadline, "worth": class.Worth,
-			"late_worth": class.LateWorth, "stream": class.Stream,
+			"effect": class.Idempotency, "group": class.DeduplicationScope, "window_ms": fmt.Sprint(class.IdempotencyWindow), "on_time_ms": class.LatencyObjective,
+			"aim_stretch": class.LatencyObjectivePerWork, "hard_limit_ms": class.Deadline, "worth": class.PriorityWeight,
+			"late_worth": class.LateWeight, "stream": class.Streaming,
 		})
 	}
 	for _, tenant := range cfg.Tenants {
-		tenants = append(tenants, map[string]any{"allowance_per_s": tenant.Allowance, "share": tenant.Share})
+		tenants = append(tenants, map[string]any{"allowance_per_s": tenant.QuotaRate, "share": tenant.Quota})
 	}
 	return map[string]any{
-		"seed": cfg.Seed, "my_number": cfg.Number, "peers_total": cfg.Peers, "zone": cfg.Zone,
-		"classes": classes, "tenants": tenants, "over_share_worth": cfg.OverShareWorth, "quantum_ms": cfg.Quantum,
-		"warm_keys": cfg.WarmKeys, "subscribe": cfg.Subscribe, "report_via": cfg.Reports, "report_fields": fmt.Sprint(cfg.Fields),
-		"max_attempts": cfg.MaxAttempts, "parallel_tries": cfg.Parallel, "cancel": cfg.Cancel, "probes": cfg.Probes,
-		"may_tell": cfg.Messages, "retry_after": cfg.RetryAfter, "max_retry_after_ms": cfg.MaxRetryAfter,
-		"connect_timeout_ms": cfg.ConnectTimeout, "drain_grace_ms": cfg.DrainGrace, "cold_from": cfg.ColdFrom,
-		"cold_ms": cfg.ColdTime, "fall_multiple": cfg.FallMultiple, "fall_ms": cfg.FallTime,
-		"ask_within_ms": cfg.AskWithin, "answer_slack_ms": cfg.AnswerSlack,
-		"result_mix": fmt.Sprint(cfg.Goal), "penalties": fmt.Sprint(cfg.Prices),
+		"seed": cfg.Seed, "my_number": cfg.SidecarIndex, "peers_total": cfg.SidecarCount, "zone": cfg.Zone,
+		"classes": classes, "tenants": tenants, "over_share_worth": cfg.OverQuotaWeight, "quantum_ms": cfg.EventInterval,
+		"warm_keys": cfg.KeyAffinity, "subscribe": cfg.Subscribe, "report_via": cfg.LoadReports, "report_fields": fmt.Sprint(cfg.LoadReportFields),
+		"max_attempts": cfg.MaxAttempts, "parallel_tries": cfg.AllowParallelAttempts, "cancel": cfg.AllowCancel, "probes": cfg.AllowHealthChecks,
+		"may_tell": cfg.AllowGossip, "retry_after": cfg.SendRetryAfter, "max_retry_after_ms": cfg.MaxRetryAfter,
+		"connect_timeout_ms": cfg.ConnectTimeout, "drain_grace_ms": cfg.DrainGracePeriod, "cold_from": cfg.SlowStartMinCapacity,
+		"cold_ms": cfg.SlowStartDuration, "fall_multiple": cfg.OverloadMultiple, "fall_ms": cfg.OverloadDuration,
+		"ask_within_ms": cfg.PollInterval, "answer_slack_ms": cfg.AnswerGracePeriod,
+		"result_mix": fmt.Sprint(cfg.Objective), "penalties": fmt.Sprint(cfg.Costs),
 	}
 }
 
@@ -193,7 +193,7 @@
 
 func describeNews(t *testing.T, n news) string {
 	t.Helper()
-	if n.kind == balance.ListFailed {
+	if n.kind == balance.UpdateFailed {
 		return fmt.Sprintf("failed, unqueued %v", n.unqueued)
 	}
 	data, err := json.Marshal(n.list)
@@ -245,7 +245,7 @@
 	l.disc = newDiscovery(cfg.Discovery, l.post, func(func()) {})
 	l.ctx = t.Context()
 	l.act(l.clock.base, bal.Start(l.clock.base))
-	l.takeNews(l.clock.base, news{kind: balance.ListCached, list: cfg.known})
+	l.takeNews(l.clock.base, news{kind: balance.UpdateCached, list: cfg.known})
 	t.Cleanup(func() {
 		close(l.stopped)
 		l.workers.Wait()
@@ -264,7 +264,7 @@
 	c := &call{answers: make(chan answer, 1), deadline: l.clock.time(startMS + 900), out: &outbound{
 		method: "GET", url: &url.URL{Path: "/api"}, host: "b", header: http.Header{},
 	}}
-	c.ev.Key, c.ev.WorkHint = 0x335f24192ff5d0d4, 3
+	c.ev.Key, c.ev.ExpectedWork = 0x335f24192ff5d0d4, 3
 	l.take(startMS+10, arrival{c})
 	for i, ended := range []struct {
 		class  string
@@ -274,7 +274,7 @@
 	}{
 		{"lookup", "a", balance.OK, 0.4}, {"lookup", "a", balance.OK, 20}, {"lookup", "b", balance.OK, 760},
 		{"lookup", "b", balance.Failed, 5}, {"reserve", "b", balance.Reset, 90}, {"charge", "a", balance.OK, 500},
-		{"charge", "a", balance.Cancelled, 1}, {"charge", "a", balance.Moot, 1}, {"charge", "b", balance.TimedOut, 1000},
+		{"charge", "a", balance.Cancelled, 1}, {"charge", "a", balance.Obsolete, 1}, {"charge", "b", balance.TimedOut, 1000},
 	} {
 		now := startMS + 100*float64(i)
 		request := balance.Request{Class: l.cfg.classes[ended.class], Key: uint64(i % 3)}
@@ -292,7 +292,7 @@
 func TestOwnAnswersFixture(t *testing.T) {
 	var l *loop
 	actions := map[string]balance.Action{
-		"hold-off=1": {Kind: balance.Refuse, At: 1250}, "hold-off=0": {Kind: balance.Refuse}, "fail": {Kind: balance.Fail},
+		"hold-off=1": {Kind: balance.Reject, At: 1250}, "hold-off=0": {Kind: balance.Reject}, "fail": {Kind: balance.Fail},
 	}
 	f := bareFrontend(t, 10, 10, func(ev any) {
 		a, ok := ev.(arrival)
@@ -405,7 +405,7 @@
 		got.add("its report", fmt.Sprint(r.report))
 	}
 	record("a health check with a load report", newUpstreams(cfg, 10, memory).probe(t.Context(), up))
-	cfg.balance.Reports = balance.ReportNone
+	cfg.balance.LoadReports = balance.LoadReportNone
 	p := newUpstreams(cfg, 10, memory)
 	record("a health check", p.probe(t.Context(), up))
 	for _, out := range []*outbound{
--- a/internal/sidecar/frontend.go
+++ b/internal/sidecar/frontend.go
@@ -166,7 +166,7 @@
 		write(w, left(w, gone)) // net/http had it in hand while its client left
 		return
 	}
-	guard := time.NewTimer(time.Until(c.deadline) + millis(f.cfg.balance.AnswerSlack) + overdueWait)
+	guard := time.NewTimer(time.Until(c.deadline) + millis(f.cfg.balance.AnswerGracePeriod) + overdueWait)
 	defer guard.Stop()
 	f.post(arrival{c})
 	var a answer
@@ -311,7 +311,7 @@
 	if id := r.Header.Get("X-Request-ID"); id == "" || len(id) > maxID {
 		return nil, 0, errors.New("no X-Request-ID of a usable length")
 	}
-	ev := balance.Request{Repeat: r.Header.Get("X-Retried") == "1"}
+	ev := balance.Request{ClientRetry: r.Header.Get("X-Retried") == "1"}
 	var ok bool
 	if ev.Class, ok = f.cfg.classes[r.Header.Get("X-Priority-Class")]; !ok {
 		return nil, 0, errors.New("unknown X-Priority-Class")
@@ -322,7 +322,7 @@
 		}
 	}
 	class := &f.cfg.balance.Classes[ev.Class]
-	if err := checkMethod(class.Effect, r); err != nil {
+	if err := checkMethod(class.Idempotency, r); err != nil {
 		return nil, 0, err
 	}
 	wait := millis(class.Deadline)
@@ -337,7 +337,7 @@
 		if err != nil || !(us >= 0 && us < 1e12) {
 			return nil, 0, errors.New("X-Cost is not a number of microseconds")
 		}
-		ev.WorkHint = us / 1e3
+		ev.ExpectedWork = us / 1e3
 	}
 	if k, err := r.Cookie("k"); err == nil {
 		h := fnv.New64a()
@@ -348,16 +348,16 @@
 }
 
 // checkMethod: the method follows from the class. A keyed request without its key would run twice.
-func checkMethod(effect balance.Effect, r *http.Request) error {
+func checkMethod(effect balance.Idempotency, r *http.Request) error {
 	keyed := r.Header.Get("Idempotency-Key") != ""
 	switch {
-	case effect == balance.Safe && r.Method != http.MethodGet:
+	case effect == balance.Idempotent && r.Method != http.MethodGet:
 		return errors.New("the class is sent with GET")
-	case effect != balance.Safe && r.Method != http.MethodPost:
+	case effect != balance.Idempotent && r.Method != http.MethodPost:
 		return errors.New("the class is sent with POST")
-	case effect == balance.Keyed && !keyed:
+	case effect == balance.IdempotentWithKey && !keyed:
 		return errors.New("no Idempotency-Key")
-	case effect == balance.Unsafe && keyed:
+	case effect == balance.NonIdempotent && keyed:
 		return errors.New("the class takes no Idempotency-Key")
 	}
 	return nil
--- a/internal/sidecar/inforce.go
+++ b/internal/sidecar/inforce.go
@@ -114,11 +114,11 @@
 					n = f.lastNumber
 				}
 				f.numbers[e.ID] = n
-				k := balance.KeepOff{ID: n, Tenant: e.tenant, Least: e.Least, Until: e.until}
+				k := balance.Exclusion{ID: n, Tenant: e.tenant, MinAvailable: e.Least, ExpiresAt: e.until}
 				for _, uid := range e.Servers {
 					k.Servers = append(k.Servers, l.cfg.serverID(uid))
 				}
-				told.KeepOffs = append(told.KeepOffs, k)
+				told.Exclusions = append(told.Exclusions, k)
 			}
 		case placement.Spread:
 			key, err := strconv.ParseUint(e.Key, 16, 64)
@@ -126,11 +126,11 @@
 				slog.Warn("placement: a spread of no key", "id", e.ID, "error", err)
 				break
 			}
-			s := balance.Spread{Key: key, Until: e.until}
+			s := balance.HotKey{Key: key, ExpiresAt: e.until}
 			for _, c := range e.Copies {
-				s.Copies = append(s.Copies, balance.Copy{Server: l.cfg.serverID(c.UID), Share: c.Share})
+				s.Replicas = append(s.Replicas, balance.Replica{Server: l.cfg.serverID(c.UID), LoadFraction: c.Share})
 			}
-			told.Spreads = append(told.Spreads, s)
+			told.HotKeys = append(told.HotKeys, s)
 		case placement.Cohort:
 			for _, uid := range e.Servers {
 				if id := l.cfg.serverID(uid); f.cohorts[id] == "" { // of two the first by ID
@@ -198,7 +198,7 @@
 	if len(r.Open) > placement.MaxOpen { // too many to be told: none told means none open
 		maps.DeleteFunc(r.Open, func(_ string, n int) bool { return n == 0 })
 	}
-	suspended := l.bal.Suspended()
+	suspended := l.bal.SuspendedExclusions()
 	for _, e := range f.entries {
 		if n, is := f.numbers[e.ID]; is && slices.Contains(suspended, n) && len(r.Suspended) < placement.MaxOpen {
 			r.Suspended = append(r.Suspended, e.ID)
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -95,7 +95,7 @@
 	}
 	news struct { // from discovery
 		gen  int // of the service that told it
-		kind balance.ListKind
+		kind balance.UpdateKind
 		list list
 		// of ListFailed: see balance.ServerList
 		unqueued bool
@@ -171,7 +171,7 @@
 	l.ctx = ctx
 	now := l.clock.ms(time.Now())
 	l.act(now, l.bal.Start(now))
-	l.takeNews(now, news{kind: balance.ListCached, list: l.cfg.known})
+	l.takeNews(now, news{kind: balance.UpdateCached, list: l.cfg.known})
 	if !l.cfg.balance.Subscribe {
 		l.disc.subscribe(ctx)
 	}
@@ -180,7 +180,7 @@
 	defer alarm.Stop()
 	for {
 		if len(l.timers) > 0 {
-			next := max(l.timers[0].due, l.timersRan+l.cfg.balance.Quantum)
+			next := max(l.timers[0].due, l.timersRan+l.cfg.balance.EventInterval)
 			alarm.Reset(millis(next - l.clock.ms(time.Now())))
 		}
 		select {
@@ -211,7 +211,7 @@
 		due = append(due, heap.Pop(&l.timers).(timer))
 	}
 	for _, t := range due {
-		l.tell(now, balance.Timer{Token: t.token})
+		l.tell(now, balance.TimerFired{Token: t.token})
 	}
 }
 
@@ -222,18 +222,18 @@
 		ev.call.ev.ID = l.lastID
 		l.calls[l.lastID] = ev.call
 		request := ev.call.ev
-		request.Remaining = l.clock.ms(ev.call.deadline) - now
+		request.Timeout = l.clock.ms(ev.call.deadline) - now
 		l.placed.arrived(now, &request)
 		l.tell(now, request)
 	case hangUp:
 		l.concluded(ev.call)
-		l.tell(now, balance.HangUp{Request: ev.call.ev.ID})
+		l.tell(now, balance.ClientDisconnected{Request: ev.call.ev.ID})
 		l.forget(ev.call)
 	case outcome:
 		l.takeOutcome(now, ev.attempt, ev.reply)
 	case probed:
-		l.tell(now, balance.ProbeResult{
-			Server: ev.up.id, Result: ev.reply.result, Took: now - ev.from, Report: ev.reply.report,
+		l.tell(now, balance.HealthCheckResult{
+			Server: ev.up.id, Result: ev.reply.result, Elapsed: now - ev.from, LoadReport: ev.reply.report,
 		})
 	case news:
 		if ev.gen == l.disc.gen { // else it was queued when the sidecar moved to another service
@@ -252,7 +252,7 @@
 // takeOutcome passes on the one outcome of an attempt. The first that is served is the client's answer.
 func (l *loop) takeOutcome(now float64, a *attempt, r reply) {
 	a.cancel()
-	a.ended, a.clean = true, r.result.NeverRan()
+	a.ended, a.clean = true, r.result.NeverExecuted()
 	l.placed.ended(now, a, r.result)
 	c := a.call
 	c.live--
@@ -263,8 +263,8 @@
 		l.ups.memory.give(r.answer.held)
 	}
 	l.tell(now, balance.Outcome{
-		Request: c.ev.ID, Attempt: a.number, Server: a.up.id, Result: r.result, Took: now - a.from,
-		Finished: c.final.Load(), Report: r.report,
+		Request: c.ev.ID, Attempt: a.number, Server: a.up.id, Result: r.result, Elapsed: now - a.from,
+		RequestDone: c.final.Load(), LoadReport: r.report,
 	})
 	l.forget(c)
 }
@@ -299,8 +299,8 @@
 // takeNews brings the table of servers up to date before the module hears of it, so that attempts on their
 // way see at their first byte what the module sees.
 func (l *loop) takeNews(now float64, n news) {
-	if n.kind == balance.ListFailed {
-		l.tell(now, balance.ServerList{Kind: n.kind, Unqueued: n.unqueued})
+	if n.kind == balance.UpdateFailed {
+		l.tell(now, balance.EndpointUpdate{Kind: n.kind, DiscoveryUnreachable: n.unqueued})
 		return
 	}
 	l.disc.rev.Store(n.list.Rev)
@@ -326,14 +326,14 @@
 			l.servers[entry.ID] = &upstream{id: entry.ID, endpoint: t.Endpoint, bootMS: t.BootMS, startedAt: entry.StartedAt, zone: t.Zone}
 		}
 	}
-	if n.kind != balance.ListDelta {
+	if n.kind != balance.UpdateDelta {
 		for id, up := range l.servers {
 			if !listed[id] {
 				l.retire(up)
 			}
 		}
 	}
-	l.tell(now, balance.ServerList{Kind: n.kind, Servers: entries})
+	l.tell(now, balance.EndpointUpdate{Kind: n.kind, Servers: entries})
 }
 
 // retire ends a server's process as this sidecar knew it: nothing new goes to it, its connections go.
@@ -359,7 +359,7 @@
 		switch act.Kind {
 		case balance.Send:
 			l.send(now, act)
-		case balance.Refuse, balance.Fail:
+		case balance.Reject, balance.Fail:
 			l.answer(now, act)
 		case balance.Cancel:
 			if c := l.calls[act.Request]; c != nil && act.Attempt < len(c.attempts) {
@@ -367,19 +367,19 @@
 			}
 		case balance.SetTimer:
 			heap.Push(&l.timers, timer{due: now + math.Max(act.At, 0), token: act.Token})
-		case balance.Probe:
+		case balance.HealthCheck:
 			l.probe(now, act.Server)
-		case balance.CloseIdle:
+		case balance.CloseIdleConnections:
 			if up := l.servers[act.Server]; up != nil {
 				l.ups.closeIdle(up)
 			}
-		case balance.Post:
+		case balance.SendGossip:
 			l.peers.post(act.Peer, act.Data)
 		case balance.Log:
 			slog.Info("module", "text", act.Text)
-		case balance.Watch:
+		case balance.WatchEndpoints:
 			l.disc.watch(l.ctx)
-		case balance.Fetch:
+		case balance.FetchEndpoints:
 			l.disc.fetch(l.ctx)
 		default:
 			slog.Error("the module asks for what this sidecar cannot do", "action", act.Kind)
@@ -414,12 +414,12 @@
 // have run. The module leaves time to connect, but a write may block, or move to a second connection.
 func (l *loop) keyEnd(c *call) (end time.Time) {
 	class := &l.cfg.balance.Classes[c.ev.Class]
-	if class.Effect != balance.Keyed {
+	if class.Idempotency != balance.IdempotentWithKey {
 		return end
 	}
 	for _, a := range c.attempts {
 		// A window may be longer than a time.Duration: beyond the deadline it is no bound.
-		if known := a.from + class.Window; !a.clean && known < l.clock.ms(c.deadline) {
+		if known := a.from + class.IdempotencyWindow; !a.clean && known < l.clock.ms(c.deadline) {
 			if t := l.clock.time(known); end.IsZero() || t.Before(end) {
 				end = t
 			}
@@ -445,7 +445,7 @@
 	}
 	l.concluded(c)
 	switch {
-	case act.Kind == balance.Refuse:
+	case act.Kind == balance.Reject:
 		c.answers <- answer{status: statusRefused, retryAfter: act.At}
 	case now >= l.clock.ms(c.deadline):
 		c.answers <- answer{status: statusTimedOut}
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -27,7 +27,7 @@
 	byAt  map[netip.AddrPort]int
 	all   netip.AddrPort // reaches all; invalid: there is none
 
-	in  chan balance.Message
+	in  chan balance.GossipMessage
 	out chan datagram
 }
 
@@ -94,7 +94,7 @@
 	}
 	p := &peers{
 		conn: conn, addrs: c.addrs, all: c.all, byAt: make(map[netip.AddrPort]int, len(c.addrs)),
-		in: make(chan balance.Message, peerQueue), out: make(chan datagram, peerQueue),
+		in: make(chan balance.GossipMessage, peerQueue), out: make(chan datagram, peerQueue),
 	}
 	for i, at := range c.addrs {
 		p.byAt[at] = i
@@ -103,7 +103,7 @@
 }
 
 // messages is what comes in; it blocks for ever where there is no socket.
-func (p *peers) messages() <-chan balance.Message {
+func (p *peers) messages() <-chan balance.GossipMessage {
 	if p == nil {
 		return nil
 	}
@@ -155,7 +155,7 @@
 			continue
 		}
 		select {
-		case p.in <- balance.Message{From: number, Data: append([]byte(nil), buf[:n]...)}:
+		case p.in <- balance.GossipMessage{From: number, Data: append([]byte(nil), buf[:n]...)}:
 		default:
 		}
 	}
--- a/internal/sidecar/reply.go
+++ b/internal/sidecar/reply.go
@@ -52,7 +52,7 @@
 	case status == http.StatusOK:
 		r.answer = answer{status: http.StatusOK, contentType: head.Get("Content-Type"), body: body, held: held}
 	case notRun && (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout):
-		r.result = balance.Full
+		r.result = balance.Overloaded
 	default: // also 503 without the mark: it may have run
 		r.result = balance.Failed
 	}
--- a/internal/sidecar/report.go
+++ b/internal/sidecar/report.go
@@ -57,7 +57,7 @@
 	if r.Key == 0 {
 		return
 	}
-	work := r.WorkHint
+	work := r.ExpectedWork
 	if !(work > 0) {
 		work = g.work[r.Class].ms
 	}
@@ -66,7 +66,7 @@
 
 // ended counts what became of an attempt at a server. What was cancelled or never left says nothing of the server.
 func (g *gather) ended(now float64, a *attempt, result balance.Result, cohort string) {
-	if result == balance.Cancelled || result == balance.Moot {
+	if result == balance.Cancelled || result == balance.Obsolete {
 		return
 	}
 	class := a.call.ev.Class
@@ -83,7 +83,7 @@
 		c.Failed++
 		return
 	}
-	took, aim := now-a.from, g.cfg.balance.Classes[class].Aim
+	took, aim := now-a.from, g.cfg.balance.Classes[class].LatencyObjective
 	c.Served++
 	if took > aim {
 		c.Late++
--- a/internal/sidecar/server_endings_test.go
+++ b/internal/sidecar/server_endings_test.go
@@ -182,7 +182,7 @@
 		}
 	})
 	s.act(s.now(), bal.Start(s.now()))
-	s.takeNews(s.now(), news{kind: balance.ListCached, list: cfg.known})
+	s.takeNews(s.now(), news{kind: balance.UpdateCached, list: cfg.known})
 	return s
 }
 
@@ -435,7 +435,7 @@
 			s := step(t, newConf("127.0.0.1:1", a.target, b.target))
 			c := s.ask(class)
 			conn := receive(t, "the request", begun)
-			late := s.now() + s.cfg.balance.Classes[c.ev.Class].Aim + 1
+			late := s.now() + s.cfg.balance.Classes[c.ev.Class].LatencyObjective + 1
 			s.fire(late)
 			reset(conn)
 			conn.Close()
@@ -478,7 +478,7 @@
 	if o.reply.result != balance.ConnectFailed || o.attempt.sent.Load() {
 		t.Errorf("%+v, sent %v", o.reply, o.attempt.sent.Load())
 	}
-	s.takeNews(s.now(), news{kind: balance.ListDelta, list: list{Rev: 2, Targets: []target{good.target}}})
+	s.takeNews(s.now(), news{kind: balance.UpdateDelta, list: list{Rev: 2, Targets: []target{good.target}}})
 	s.take(s.now(), o)
 	s.take(s.now(), s.ended())
 	if a := s.answered(c); a.status != 200 || good.requests.Load() != 1 {
--- a/internal/sidecar/silence_test.go
+++ b/internal/sidecar/silence_test.go
@@ -104,7 +104,7 @@
 		news9 := make(chan struct{})
 		var work sync.WaitGroup
 		d := newDiscovery("127.0.0.1:1", func(ev any) {
-			if n := ev.(news); n.kind != balance.ListFailed && n.list.Rev == 9 && heard.IsZero() {
+			if n := ev.(news); n.kind != balance.UpdateFailed && n.list.Rev == 9 && heard.IsZero() {
 				heard = time.Now()
 				close(news9)
 			}
@@ -174,7 +174,7 @@
 	d.fetch(t.Context())
 	call := receive(t, "the call", r.calls)
 	call.line(t, indented(7, true))
-	if n := receive(t, "the list", heard); n.kind != balance.ListFull || n.list.Rev != 7 || len(n.list.Targets) != 1 {
+	if n := receive(t, "the list", heard); n.kind != balance.UpdateFull || n.list.Rev != 7 || len(n.list.Targets) != 1 {
 		t.Errorf("%+v", n)
 	}
 	close(call.lines)
@@ -183,7 +183,7 @@
 	for rev := int64(8); rev < 12; rev++ {
 		call.line(t, "\n"+indented(rev, rev == 8))
 		call.line(t, "")
-		if n := receive(t, "the change", heard); n.list.Rev != rev || (n.kind == balance.ListFull) != (rev == 8) {
+		if n := receive(t, "the change", heard); n.list.Rev != rev || (n.kind == balance.UpdateFull) != (rev == 8) {
 			t.Errorf("%+v", n)
 		}
 	}
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -86,7 +86,7 @@
 		memory: memory, restWait: restWait,
 		kept: map[*upstream]struct{}{}, most: most,
 	}
-	if cfg.balance.Reports != balance.ReportNone {
+	if cfg.balance.LoadReports != balance.LoadReportNone {
 		p.probePath = "/stats"
 	}
 	return p
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -395,7 +395,7 @@
 			p, a, conn, req := exchanging(t, b)
 			change(p, a)
 			all, err := writeRequest(conn, a.cut, req, a)
-			if all || err != errMoot || unsent(a.ctx, a.cut, err) != balance.Moot {
+			if all || err != errMoot || unsent(a.ctx, a.cut, err) != balance.Obsolete {
 				t.Errorf("written %v, error %v", all, err)
 			}
 			conn.Close()
@@ -444,7 +444,7 @@
 	p, a, conn, _ := exchanging(t, b)
 	p.most = 1
 	up := &upstream{id: 2, endpoint: other.target.Endpoint}
-	if _, _, err := p.get(a.ctx, up, a.cut); err != errNoSocket || unsent(a.ctx, a.cut, err) != balance.Moot {
+	if _, _, err := p.get(a.ctx, up, a.cut); err != errNoSocket || unsent(a.ctx, a.cut, err) != balance.Obsolete {
 		t.Fatalf("a second connection: %v", err)
 	}
 	p.put(conn)
--- a/internal/sidecar/watch_endings_test.go
+++ b/internal/sidecar/watch_endings_test.go
@@ -205,7 +205,7 @@
 				d.watch(t.Context())
 				select {
 				case n := <-heard:
-					if n.kind != balance.ListFailed || n.unqueued == c.queued || s.calls != c.calls {
+					if n.kind != balance.UpdateFailed || n.unqueued == c.queued || s.calls != c.calls {
 						t.Errorf("%+v after %d calls", n, s.calls)
 					}
 				case <-time.After(5 * time.Minute):
@@ -275,7 +275,7 @@
 			for _, what := range []string{first, "the other"} {
 				waiting := len(s.loop.inbox)
 				if what == "list" || what == "the other" && first == "request" {
-					s.loop.post(news{kind: balance.ListFull, list: toggled(2, a, b, "Terminating")})
+					s.loop.post(news{kind: balance.UpdateFull, list: toggled(2, a, b, "Terminating")})
 				} else {
 					answers = s.goDo(s.request("charge", time.Second))
 				}
--- a/internal/sidecar/window_test.go
+++ b/internal/sidecar/window_test.go
@@ -131,7 +131,7 @@
 			t.Errorf("%s: %v, want %v", name, got, test.want)
 		}
 	}
-	cfg.balance.Classes[cfg.classes["reserve"]].Window = math.MaxFloat64
+	cfg.balance.Classes[cfg.classes["reserve"]].IdempotencyWindow = math.MaxFloat64
 	if got := l.keyEnd(&call{ev: balance.Request{Class: cfg.classes["reserve"]}, deadline: at(5000), attempts: attempts(false)}); !got.IsZero() {
 		t.Errorf("an endless window ends at %v", got)
 	}
--- a/internal/spread/fleet.go
+++ b/internal/spread/fleet.go
@@ -104,7 +104,7 @@
 	places := make([]float64, len(f.servers))
 	o := make([]int32, len(f.servers))
 	for i := range o {
-		o[i], places[i] = int32(i), balance.KeyPlace(key, f.ids[i], f.rated[i])
+		o[i], places[i] = int32(i), balance.RendezvousPosition(key, f.ids[i], f.rated[i])
 	}
 	slices.SortFunc(o, func(a, b int32) int {
 		return cmp.Or(cmp.Compare(places[a], places[b]), cmp.Compare(a, b))
--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -83,12 +83,12 @@
 		var p balance.Placement
 		for _, id := range slices.Sorted(maps.Keys(c.of.entries)) {
 			e := c.of.entries[id]
-			s := balance.Spread{Until: float64(e.UntilMS) - unix*1000}
+			s := balance.HotKey{ExpiresAt: float64(e.UntilMS) - unix*1000}
 			s.Key, _ = strconv.ParseUint(e.Key, 16, 64)
 			for _, copied := range e.Copies {
-				s.Copies = append(s.Copies, balance.Copy{Server: serverID(copied.UID), Share: copied.Share})
+				s.Replicas = append(s.Replicas, balance.Replica{Server: serverID(copied.UID), LoadFraction: copied.Share})
 			}
-			p.Spreads = append(p.Spreads, s)
+			p.HotKeys = append(p.HotKeys, s)
 		}
 		acts, err := c.Instance.Handle(now, p)
 		if err != nil {
@@ -97,7 +97,7 @@
 		c.acts = append(c.acts, acts...)
 	}
 	if r, is := ev.(balance.Request); is && r.Key != 0 {
-		c.heat.Add(now/1000, r.Key, r.WorkHint)
+		c.heat.Add(now/1000, r.Key, r.ExpectedWork)
 	}
 	if now >= c.next {
 		c.next = now + 1000
--- a/internal/wire/fixtures_test.go
+++ b/internal/wire/fixtures_test.go
@@ -73,9 +73,9 @@
 // eventFixtures has every kind of event that the simulator sends, with what it is read as.
 func eventFixtures() ([]byte, []Record) {
 	listed := []balance.Server{
-		{ID: firstServer, Rating: 1, Cell: 300, Zone: 2, Kind: 3},
-		{ID: secondServer, StartedAt: 6100, State: balance.Draining, Rating: 1.5, Zone: 1},
-		{ID: thirdServer, StartedAt: 0, State: balance.Gone, Rating: 0.25},
+		{ID: firstServer, RelativeCapacity: 1, Cell: 300, Zone: 2, Kind: 3},
+		{ID: secondServer, StartedAt: 6100, State: balance.Draining, RelativeCapacity: 1.5, Zone: 1},
+		{ID: thirdServer, StartedAt: 0, State: balance.Removed, RelativeCapacity: 0.25},
 	}
 	var want []Record
 	f := &frames{}
@@ -85,41 +85,41 @@
 	}
 	settings := `{"classes": []}`
 	add(1000, 3, packed(uint16(1070), uint16(3), uint64(0x8c1f30d27a5be964), uint32(len(settings)), settings),
-		Begin{Seed: 0x8c1f30d27a5be964, Settings: []byte(settings)})
+		InstanceStarted{Seed: 0x8c1f30d27a5be964, Settings: []byte(settings)})
 	f.frame(1000, packed(uint16(1000), uint16(2), uint32(3),
 		0.0, uint8(0), firstServer, float32(1), uint16(300), uint8(2), uint8(3),
 		6100.0, uint8(2), secondServer, float32(1.5), uint16(0), uint8(1), uint8(0),
 		math.Inf(1), uint8(1), thirdServer, float32(0.25), uint16(0), uint8(0), uint8(0)))
-	add(1001, 3, packed(uint16(1040), uint16(3), uint8(0), uint32(41), uint16(2)), balance.ServerList{Kind: balance.ListFull, Servers: listed})
-	add(1001, 4, packed(uint16(1040), uint16(4), uint8(1), uint32(41), uint16(2)), balance.ServerList{Kind: balance.ListCached, Servers: listed})
-	add(1002, 4, packed(uint16(1040), uint16(4), uint8(3), uint32(42), uint16(2)), balance.ServerList{Kind: balance.ListDelta, Servers: listed})
-	add(1003, 4, packed(uint16(1040), uint16(4), uint8(2), uint32(0), uint16(9)), balance.ServerList{Kind: balance.ListFailed})
+	add(1001, 3, packed(uint16(1040), uint16(3), uint8(0), uint32(41), uint16(2)), balance.EndpointUpdate{Kind: balance.UpdateFull, Servers: listed})
+	add(1001, 4, packed(uint16(1040), uint16(4), uint8(1), uint32(41), uint16(2)), balance.EndpointUpdate{Kind: balance.UpdateCached, Servers: listed})
+	add(1002, 4, packed(uint16(1040), uint16(4), uint8(3), uint32(42), uint16(2)), balance.EndpointUpdate{Kind: balance.UpdateDelta, Servers: listed})
+	add(1003, 4, packed(uint16(1040), uint16(4), uint8(2), uint32(0), uint16(9)), balance.EndpointUpdate{Kind: balance.UpdateFailed})
 	add(1004, 3, packed(uint16(1010), uint16(3), uint64(77), uint16(2), 12.5, uint16(7), uint64(0x91f03b7c55d20a64), 240.0, uint16(1)),
-		balance.Request{ID: 77, Class: 1, Tenant: 2, WorkHint: 12.5, Key: 0x91f03b7c55d20a64, Remaining: 240, Repeat: true, Write: true})
+		balance.Request{ID: 77, Class: 1, Tenant: 2, ExpectedWork: 12.5, Key: 0x91f03b7c55d20a64, Timeout: 240, ClientRetry: true, Write: true})
 	add(1004, 3, packed(uint16(1010), uint16(3), uint64(78), uint16(0xffff), 12.5, uint16(0), uint64(0), math.NaN(), uint16(0)),
 		balance.Request{ID: 78, Tenant: 0xffff})
-	add(1005, 3, packed(uint16(1020), uint16(3), uint64(1<<60)), balance.Timer{Token: 1 << 60})
+	add(1005, 3, packed(uint16(1020), uint16(3), uint64(1<<60)), balance.TimerFired{Token: 1 << 60})
 	add(1006, 3, packed(uint16(1030), uint16(3), uint64(77), uint8(2), firstServer, 18.5),
-		balance.Started{Request: 77, Attempt: 2, Server: firstServer, Took: 18.5})
+		balance.StreamStarted{Request: 77, Attempt: 2, Server: firstServer, Elapsed: 18.5})
 	add(1007, 3, packed(uint16(1050), uint16(3), uint16(12), uint16(4), "\x01\x02\x03\x04"),
-		balance.Message{From: 12, Data: []byte{1, 2, 3, 4}})
+		balance.GossipMessage{From: 12, Data: []byte{1, 2, 3, 4}})
 	for i, r := range []struct {
 		code   uint16
 		result balance.Result
 	}{
-		{0, balance.OK}, {1, balance.Cancelled}, {4, balance.TimedOut}, {8, balance.Full}, {9, balance.Moot},
+		{0, balance.OK}, {1, balance.Cancelled}, {4, balance.TimedOut}, {8, balance.Overloaded}, {9, balance.Obsolete},
 		{10, balance.Reset}, {13, balance.Failed}, {14, balance.ConnectFailed},
 	} {
 		add(1008, 3, packed(uint16(1090), uint16(3), uint64(100+i), uint8(i), secondServer, r.code, 7.25, uint8(i%2), uint8(2), float32(3), float32(0.5)),
 			balance.Outcome{
-				Request: balance.RequestID(100 + i), Attempt: i, Server: secondServer, Result: r.result, Took: 7.25,
-				Finished: i%2 == 1, Report: []float32{3, 0.5},
+				Request: balance.RequestID(100 + i), Attempt: i, Server: secondServer, Result: r.result, Elapsed: 7.25,
+				RequestDone: i%2 == 1, LoadReport: []float32{3, 0.5},
 			})
 		add(1009, 3, packed(uint16(1080), uint16(3), 2.5, r.code, firstServer, uint8(1), float32(math.NaN())),
-			balance.ProbeResult{Server: firstServer, Result: r.result, Took: 2.5, Report: []float32{0}})
+			balance.HealthCheckResult{Server: firstServer, Result: r.result, Elapsed: 2.5, LoadReport: []float32{0}})
 	}
-	add(1010, 3, packed(uint16(1100), uint16(3), uint64(77)), balance.HangUp{Request: 77})
-	add(1011, 3, packed(uint16(1060), uint16(3)), Down{})
+	add(1010, 3, packed(uint16(1100), uint16(3), uint64(77)), balance.ClientDisconnected{Request: 77})
+	add(1011, 3, packed(uint16(1060), uint16(3)), InstanceKilled{})
 	return f.out, want
 }
 
@@ -154,23 +154,23 @@
 	return []balance.Action{
 		{Kind: balance.Send, Request: 0x2978f5d3a91c4, Server: firstServer, At: 8492},
 		{Kind: balance.Send, Request: 1, Server: secondServer},
-		{Kind: balance.Refuse, Request: 2, At: 31.25},
+		{Kind: balance.Reject, Request: 2, At: 31.25},
 		{Kind: balance.Fail, Request: 3},
 		{Kind: balance.Cancel, Request: 4, Attempt: 2},
 		{Kind: balance.SetTimer, Token: 1<<60 + 1, At: 500},
-		{Kind: balance.Probe, Server: firstServer},
-		{Kind: balance.CloseIdle, Server: secondServer},
-		{Kind: balance.Post, Peer: -1, Data: []byte("to all")},
-		{Kind: balance.Post, Peer: 12, Data: []byte{1, 0, 0xff}},
+		{Kind: balance.HealthCheck, Server: firstServer},
+		{Kind: balance.CloseIdleConnections, Server: secondServer},
+		{Kind: balance.SendGossip, Peer: -1, Data: []byte("to all")},
+		{Kind: balance.SendGossip, Peer: 12, Data: []byte{1, 0, 0xff}},
 		{Kind: balance.Log, Text: "two servers known"},
-		{Kind: balance.Watch},
-		{Kind: balance.Fetch},
+		{Kind: balance.WatchEndpoints},
+		{Kind: balance.FetchEndpoints},
 	}
 }
 
 // actionReader reads a reply frame as the simulator does.
 type actionReader struct {
-	fields
+	frameDecoder
 	t *testing.T
 }
 
@@ -179,9 +179,9 @@
 	var a balance.Action
 	switch code {
 	case 1000:
-		a = balance.Action{Kind: balance.Send, Request: balance.RequestID(r.u64()), At: r.f64(), Server: r.server()}
+		a = balance.Action{Kind: balance.Send, Request: balance.RequestID(r.u64()), At: r.f64(), Server: r.serverID()}
 	case 1010:
-		a = balance.Action{Kind: balance.Refuse, Request: balance.RequestID(r.u64()), At: r.f64()}
+		a = balance.Action{Kind: balance.Reject, Request: balance.RequestID(r.u64()), At: r.f64()}
 	case 1020:
 		a = balance.Action{Kind: balance.Fail, Request: balance.RequestID(r.u64())}
 	case 1030:
@@ -189,21 +189,21 @@
 	case 1040:
 		a = balance.Action{Kind: balance.SetTimer, Token: r.u64(), At: r.f64()}
 	case 1050:
-		a = balance.Action{Kind: balance.Probe, Server: r.server()}
+		a = balance.Action{Kind: balance.HealthCheck, Server: r.serverID()}
 	case 1060:
-		a = balance.Action{Kind: balance.CloseIdle, Server: r.server()}
+		a = balance.Action{Kind: balance.CloseIdleConnections, Server: r.serverID()}
 	case 1070:
-		a = balance.Action{Kind: balance.Post, Peer: int(int32(r.u32()))}
+		a = balance.Action{Kind: balance.SendGossip, Peer: int(int32(r.u32()))}
 		a.Data = bytes.Clone(r.bytes(uint32(r.u16())))
 	case 1080:
 		a = balance.Action{Kind: balance.Log, Text: string(r.bytes(uint32(r.u16())))}
 	case 1100:
-		a = balance.Action{Kind: balance.Watch}
+		a = balance.Action{Kind: balance.WatchEndpoints}
 		if n := r.u8(); n != 1 {
 			r.t.Errorf("a subscription of %d", n)
 		}
 	case 1110:
-		a = balance.Action{Kind: balance.Fetch}
+		a = balance.Action{Kind: balance.FetchEndpoints}
 	default:
 		r.t.Fatalf("unknown action %d", code)
 	}
@@ -228,9 +228,9 @@
 	if n := binary.BigEndian.Uint32(stored); int(n) != len(stored) {
 		t.Fatalf("a frame of %d bytes says that it has %d", len(stored), n)
 	}
-	r := actionReader{fields{data: stored[4:]}, t}
+	r := actionReader{frameDecoder{data: stored[4:]}, t}
 	for i, want := range actionFixtures() {
-		if instance, a := r.next(); int(instance) != i || !reflect.DeepEqual(a, want) || r.bad {
+		if instance, a := r.next(); int(instance) != i || !reflect.DeepEqual(a, want) || r.truncated {
 			t.Errorf("action %d of instance %d: %+v, want %+v", i, instance, a, want)
 		}
 	}
@@ -279,28 +279,28 @@
 		want balance.Config
 	}{
 		"settings.json": {allSettings, balance.Config{
-			Seed: 9, Number: 7, Peers: 50, Zone: 2,
+			Seed: 9, SidecarIndex: 7, SidecarCount: 50, Zone: 2,
 			Classes: []balance.Class{
-				{Effect: balance.Safe, Window: math.Inf(1), Aim: 100, AimStretch: 1.5, Deadline: 400, Worth: 2, LateWorth: 0.25, Stream: true},
-				{Effect: balance.Unsafe, Window: math.Inf(1), Aim: 300, Deadline: 600},
-				{Effect: balance.Keyed, Group: balance.GroupZone, Window: 1200, Aim: 250, Deadline: 2000, Worth: 1},
-				{Effect: balance.Keyed, Group: balance.GroupCell, Window: math.Inf(1), Aim: 800, Deadline: 800, Worth: 1},
+				{Idempotency: balance.Idempotent, IdempotencyWindow: math.Inf(1), LatencyObjective: 100, LatencyObjectivePerWork: 1.5, Deadline: 400, PriorityWeight: 2, LateWeight: 0.25, Streaming: true},
+				{Idempotency: balance.NonIdempotent, IdempotencyWindow: math.Inf(1), LatencyObjective: 300, Deadline: 600},
+				{Idempotency: balance.IdempotentWithKey, DeduplicationScope: balance.ScopeZone, IdempotencyWindow: 1200, LatencyObjective: 250, Deadline: 2000, PriorityWeight: 1},
+				{Idempotency: balance.IdempotentWithKey, DeduplicationScope: balance.ScopeCell, IdempotencyWindow: math.Inf(1), LatencyObjective: 800, Deadline: 800, PriorityWeight: 1},
 			},
-			Tenants:        []balance.Tenant{{Allowance: 12.5, Share: 0.6}, {Share: 0.4}},
-			OverShareWorth: 0.3, Quantum: 4, WarmKeys: true, Subscribe: true, Reports: balance.ReportPiggyback,
-			Fields: []balance.Field{
-				balance.FieldInFlight, balance.FieldQueue, balance.FieldUtil, balance.FieldLatency, balance.FieldRate,
+			Tenants:         []balance.Tenant{{QuotaRate: 12.5, Quota: 0.6}, {Quota: 0.4}},
+			OverQuotaWeight: 0.3, EventInterval: 4, KeyAffinity: true, Subscribe: true, LoadReports: balance.LoadReportPiggyback,
+			LoadReportFields: []balance.LoadReportField{
+				balance.FieldInFlight, balance.FieldQueueLength, balance.FieldUtilization, balance.FieldLatency, balance.FieldRequestRate,
 				balance.FieldErrorRate, balance.FieldUnknown,
 			},
-			MaxAttempts: 3, Parallel: true, Cancel: true, Probes: true, Messages: true, RetryAfter: true, MaxRetryAfter: 1000,
-			ConnectTimeout: 150, DrainGrace: 2000, ColdFrom: 0.2, ColdTime: 20000, FallMultiple: 2.5, FallTime: 1000,
-			AskWithin: 10000, AnswerSlack: 16,
-			Goal:   balance.Goal{Whole: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1},
-			Prices: balance.Prices{CrossZone: 0.01, Waste: 0.02, Handshake: 0.03, Probe: 0.04, Peer: 0.05, LateFail: 0.06},
+			MaxAttempts: 3, AllowParallelAttempts: true, AllowCancel: true, AllowHealthChecks: true, AllowGossip: true, SendRetryAfter: true, MaxRetryAfter: 1000,
+			ConnectTimeout: 150, DrainGracePeriod: 2000, SlowStartMinCapacity: 0.2, SlowStartDuration: 20000, OverloadMultiple: 2.5, OverloadDuration: 1000,
+			PollInterval: 10000, AnswerGracePeriod: 16,
+			Objective: balance.Objective{Whole: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1},
+			Costs:     balance.Costs{CrossZone: 0.01, Waste: 0.02, Handshake: 0.03, Probe: 0.04, Peer: 0.05, LateFail: 0.06},
 		}},
 		"settings-least.json": {`{"classes": [{"effect": "read_like", "hard_limit_ms": 400}]}` + "\n", balance.Config{
-			Seed: 9, Peers: 1, OverShareWorth: 1, MaxAttempts: 1, ColdFrom: 1,
-			Classes: []balance.Class{{Effect: balance.Safe, Window: math.Inf(1), Aim: 400, Deadline: 400, Worth: 1}},
+			Seed: 9, SidecarCount: 1, OverQuotaWeight: 1, MaxAttempts: 1, SlowStartMinCapacity: 1,
+			Classes: []balance.Class{{Idempotency: balance.Idempotent, IdempotencyWindow: math.Inf(1), LatencyObjective: 400, Deadline: 400, PriorityWeight: 1}},
 		}},
 	} {
 		cfg, err := ParseSettings(9, golden(t, name, []byte(c.text)))
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -73,22 +73,22 @@
 	} `json:"penalties"`
 }
 
-var effects = map[string]balance.Effect{
-	"read_like": balance.Safe, "idempotency_key": balance.Keyed, "non_idempotent": balance.Unsafe,
+var idempotencyByName = map[string]balance.Idempotency{
+	"read_like": balance.Idempotent, "idempotency_key": balance.IdempotentWithKey, "non_idempotent": balance.NonIdempotent,
 }
 
-var groups = map[string]balance.Group{
-	"": balance.GroupAll, "all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell,
+var scopeByName = map[string]balance.DeduplicationScope{
+	"": balance.ScopeAll, "all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell,
 }
 
-var reportWays = map[string]balance.ReportVia{
-	"": balance.ReportNone, "silent": balance.ReportNone,
-	"piggyback": balance.ReportPiggyback, "pull": balance.ReportProbe,
+var loadReportModeByName = map[string]balance.LoadReportMode{
+	"": balance.LoadReportNone, "silent": balance.LoadReportNone,
+	"piggyback": balance.LoadReportPiggyback, "pull": balance.LoadReportHealthCheck,
 }
 
-var reportFields = map[string]balance.Field{
-	"rif": balance.FieldInFlight, "q": balance.FieldQueue, "busy": balance.FieldUtil,
-	"lat_ms": balance.FieldLatency, "rate": balance.FieldRate, "fail_rate": balance.FieldErrorRate,
+var loadReportFieldByName = map[string]balance.LoadReportField{
+	"rif": balance.FieldInFlight, "q": balance.FieldQueueLength, "busy": balance.FieldUtilization,
+	"lat_ms": balance.FieldLatency, "rate": balance.FieldRequestRate, "fail_rate": balance.FieldErrorRate,
 }
 
 // ParseSettings turns the profile of a Begin into a Config.
@@ -98,18 +98,18 @@
 		return balance.Config{}, fmt.Errorf("settings: %w", err)
 	}
 	cfg := balance.Config{
-		Seed: seed, Number: s.Me, Peers: max(s.Peers, 1), Zone: s.Zone,
-		OverShareWorth: or(s.OverShare, 1), Quantum: s.Quantum,
-		Parallel: s.Limits.Parallel, Cancel: s.Limits.Cancel, Probes: s.Limits.Probes,
-		Messages: s.Limits.MayTell, RetryAfter: s.Limits.RetryAfter,
+		Seed: seed, SidecarIndex: s.Me, SidecarCount: max(s.Peers, 1), Zone: s.Zone,
+		OverQuotaWeight: valueOr(s.OverShare, 1), EventInterval: s.Quantum,
+		AllowParallelAttempts: s.Limits.Parallel, AllowCancel: s.Limits.Cancel, AllowHealthChecks: s.Limits.Probes,
+		AllowGossip: s.Limits.MayTell, SendRetryAfter: s.Limits.RetryAfter,
 		MaxRetryAfter: s.Limits.MaxRetryAfter, ConnectTimeout: s.Limits.ConnectTimeout,
-		MaxAttempts: or(s.Limits.MaxAttempts, 1),
-		DrainGrace:  s.Rules.DrainGrace, ColdFrom: or(s.Rules.ColdFrom, 1), ColdTime: s.Rules.ColdTime,
-		FallMultiple: s.Rules.FallMultiple, FallTime: s.Rules.FallTime,
-		AskWithin: s.Rules.AskWithin, AnswerSlack: s.Rules.AnswerSlack,
-		WarmKeys: s.Family.WarmKeys,
-		Goal:     balance.Goal(s.Goal),
-		Prices:   balance.Prices(s.Prices),
+		MaxAttempts:      valueOr(s.Limits.MaxAttempts, 1),
+		DrainGracePeriod: s.Rules.DrainGrace, SlowStartMinCapacity: valueOr(s.Rules.ColdFrom, 1), SlowStartDuration: s.Rules.ColdTime,
+		OverloadMultiple: s.Rules.FallMultiple, OverloadDuration: s.Rules.FallTime,
+		PollInterval: s.Rules.AskWithin, AnswerGracePeriod: s.Rules.AnswerSlack,
+		KeyAffinity: s.Family.WarmKeys,
+		Objective:   balance.Objective(s.Goal),
+		Costs:       balance.Costs(s.Prices),
 	}
 	switch s.Discovery {
 	case "", "automatic":
@@ -122,10 +122,10 @@
 		key string
 		v   float64
 	}{
-		{"quantum_ms", s.Quantum}, {"over_share_worth", cfg.OverShareWorth},
+		{"quantum_ms", s.Quantum}, {"over_share_worth", cfg.OverQuotaWeight},
 		{"limits.connect_timeout_ms", s.Limits.ConnectTimeout}, {"limits.max_attempts", float64(cfg.MaxAttempts)},
 		{"limits.max_retry_after_ms", s.Limits.MaxRetryAfter}, {"rules.answer_slack_ms", s.Rules.AnswerSlack},
-		{"rules.ask_within_ms", s.Rules.AskWithin}, {"rules.cold_from", cfg.ColdFrom},
+		{"rules.ask_within_ms", s.Rules.AskWithin}, {"rules.cold_from", cfg.SlowStartMinCapacity},
 		{"rules.cold_ms", s.Rules.ColdTime}, {"rules.drain_grace_ms", s.Rules.DrainGrace},
 		{"rules.fall_ms", s.Rules.FallTime}, {"rules.fall_multiple", s.Rules.FallMultiple},
 		{"result_mix.whole", s.Goal.Whole}, {"result_mix.worst_window", s.Goal.WorstWindow},
@@ -137,14 +137,14 @@
 		}
 	}
 	var ok bool
-	if cfg.Reports, ok = reportWays[s.Report.Via]; !ok {
+	if cfg.LoadReports, ok = loadReportModeByName[s.Report.Via]; !ok {
 		return cfg, fmt.Errorf("settings: unknown report.via %q", s.Report.Via)
 	}
 	for _, name := range s.Report.Fields {
-		cfg.Fields = append(cfg.Fields, reportFields[name])
+		cfg.LoadReportFields = append(cfg.LoadReportFields, loadReportFieldByName[name])
 	}
 	for _, t := range s.Tenants {
-		cfg.Tenants = append(cfg.Tenants, balance.Tenant{Allowance: t.Allowance, Share: t.Share})
+		cfg.Tenants = append(cfg.Tenants, balance.Tenant{QuotaRate: t.Allowance, Quota: t.Share})
 	}
 	return cfg, s.addClasses(&cfg)
 }
@@ -154,11 +154,11 @@
 		return fmt.Errorf("settings: no classes")
 	}
 	for i, c := range s.Classes {
-		effect, ok := effects[c.Effect]
+		effect, ok := idempotencyByName[c.Effect]
 		if !ok {
 			return fmt.Errorf("settings: class %d: unknown effect %q", i, c.Effect)
 		}
-		group, ok := groups[c.Group]
+		group, ok := scopeByName[c.Group]
 		if !ok {
 			return fmt.Errorf("settings: class %d: unknown group %q", i, c.Group)
 		}
@@ -173,16 +173,16 @@
 			aim = c.Deadline
 		}
 		cfg.Classes = append(cfg.Classes, balance.Class{
-			Effect: effect, Group: group, Window: or(c.Window, math.Inf(1)), Aim: aim, AimStretch: c.AimStretch,
-			Deadline: c.Deadline, Worth: or(c.Worth, 1), LateWorth: c.LateWorth, Stream: c.Stream,
+			Idempotency: effect, DeduplicationScope: group, IdempotencyWindow: valueOr(c.Window, math.Inf(1)), LatencyObjective: aim, LatencyObjectivePerWork: c.AimStretch,
+			Deadline: c.Deadline, PriorityWeight: valueOr(c.Worth, 1), LateWeight: c.LateWorth, Streaming: c.Stream,
 		})
 	}
 	return nil
 }
 
-func or[T any](v *T, otherwise T) T {
-	if v == nil {
-		return otherwise
+func valueOr[T any](value *T, fallback T) T {
+	if value == nil {
+		return fallback
 	}
-	return *v
+	return *value
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -52,7 +52,7 @@
 		0442 0003 0002978f5d3a91c4 00 0a124a07 232b 0000 4032800000000000 01 00`
 )
 
-func TestDecodesTheProtocolsExamples(t *testing.T) {
+func TestDecodesProtocolExamples(t *testing.T) {
 	in := unhex(t, emptyFrame+eventsFrame+listFrame+endedFrame)
 	recs, clock, err := readAll(NewReader(bytes.NewReader(in)))
 	if err != nil {
@@ -62,32 +62,32 @@
 		t.Fatalf("clock %v, %d records", clock, len(recs))
 	}
 	ask, ok := recs[0].Event.(balance.Request)
-	want := balance.Request{ID: 0x2978f5d3a91c4, WorkHint: 12, Key: 0x91f03b7c55d20a64, Remaining: 240}
+	want := balance.Request{ID: 0x2978f5d3a91c4, ExpectedWork: 12, Key: 0x91f03b7c55d20a64, Timeout: 240}
 	if !ok || ask != want || recs[0].Instance != 3 {
 		t.Errorf("ask: %+v", recs[0])
 	}
-	if ev := recs[1].Event; ev != any(balance.Timer{Token: 77}) {
+	if ev := recs[1].Event; ev != any(balance.TimerFired{Token: 77}) {
 		t.Errorf("alarm: %+v", ev)
 	}
-	if ev := recs[2].Event; ev != any(balance.HangUp{Request: 0xb677a0e6f2b19}) || recs[2].Instance != 5 {
+	if ev := recs[2].Event; ev != any(balance.ClientDisconnected{Request: 0xb677a0e6f2b19}) || recs[2].Instance != 5 {
 		t.Errorf("hangup: %+v", recs[2])
 	}
-	list := recs[3].Event.(balance.ServerList)
-	if list.Kind != balance.ListCached || len(list.Servers) != 2 {
+	list := recs[3].Event.(balance.EndpointUpdate)
+	if list.Kind != balance.UpdateCached || len(list.Servers) != 2 {
 		t.Fatalf("list: %+v", list)
 	}
-	second := balance.Server{ID: 0x0a9011f22354, StartedAt: 6100, Rating: 1.5, Zone: 1}
+	second := balance.Server{ID: 0x0a9011f22354, StartedAt: 6100, RelativeCapacity: 1.5, Zone: 1}
 	if list.Servers[0].ID != 0x0a124a07232b || list.Servers[1] != second {
 		t.Errorf("entries: %+v", list.Servers)
 	}
 	ended := recs[4].Event.(balance.Outcome)
-	if ended.Request != 0x2978f5d3a91c4 || ended.Server != 0x0a124a07232b || ended.Took != 18.5 ||
-		!ended.Finished || ended.Result != balance.OK {
+	if ended.Request != 0x2978f5d3a91c4 || ended.Server != 0x0a124a07232b || ended.Elapsed != 18.5 ||
+		!ended.RequestDone || ended.Result != balance.OK {
 		t.Errorf("ended: %+v", ended)
 	}
 }
 
-func TestEncodesTheProtocolsExamples(t *testing.T) {
+func TestEncodesProtocolExamples(t *testing.T) {
 	var r Reply
 	r.Reset()
 	r.Add(3, []balance.Action{
@@ -95,7 +95,7 @@
 		{Kind: balance.SetTimer, Token: 77, At: 500},
 	})
 	r.Add(5, []balance.Action{{Kind: balance.Log, Text: "two servers known"}})
-	r.Add(3, []balance.Action{{Kind: balance.Post, Peer: -1, Data: []byte("hi 7")}})
+	r.Add(3, []balance.Action{{Kind: balance.SendGossip, Peer: -1, Data: []byte("hi 7")}})
 	var out bytes.Buffer
 	if _, err := r.WriteTo(&out); err != nil {
 		t.Fatal(err)
@@ -148,23 +148,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Seed != 9 || !cfg.Subscribe || cfg.Number != 2 || cfg.Peers != 5 || !cfg.Parallel || !cfg.Probes ||
-		cfg.Cancel || cfg.MaxAttempts != 4 || cfg.ColdFrom != 0.2 || cfg.Tenants[0].Share != 0.4 {
+	if cfg.Seed != 9 || !cfg.Subscribe || cfg.SidecarIndex != 2 || cfg.SidecarCount != 5 || !cfg.AllowParallelAttempts || !cfg.AllowHealthChecks ||
+		cfg.AllowCancel || cfg.MaxAttempts != 4 || cfg.SlowStartMinCapacity != 0.2 || cfg.Tenants[0].Quota != 0.4 {
 		t.Errorf("%+v", cfg)
 	}
-	if want := (balance.Goal{Whole: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); cfg.Goal != want {
-		t.Errorf("goal %+v", cfg.Goal)
+	if want := (balance.Objective{Whole: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); cfg.Objective != want {
+		t.Errorf("goal %+v", cfg.Objective)
 	}
-	want := balance.Prices{CrossZone: 1, Waste: 2, Handshake: 3, Probe: 4, Peer: 5, LateFail: 6}
-	if cfg.Prices != want {
-		t.Errorf("prices %+v", cfg.Prices)
+	want := balance.Costs{CrossZone: 1, Waste: 2, Handshake: 3, Probe: 4, Peer: 5, LateFail: 6}
+	if cfg.Costs != want {
+		t.Errorf("prices %+v", cfg.Costs)
 	}
 	second := cfg.Classes[1]
-	if second.Effect != balance.Keyed || second.Group != balance.GroupCell || second.Aim != 600 || second.Worth != 1 {
+	if second.Idempotency != balance.IdempotentWithKey || second.DeduplicationScope != balance.ScopeCell || second.LatencyObjective != 600 || second.PriorityWeight != 1 {
 		t.Errorf("a class with keys left out: %+v", second)
 	}
-	if cfg.Reports != balance.ReportProbe || len(cfg.Fields) != 3 || cfg.Fields[1] != balance.FieldUnknown {
-		t.Errorf("reports %v %v", cfg.Reports, cfg.Fields)
+	if cfg.LoadReports != balance.LoadReportHealthCheck || len(cfg.LoadReportFields) != 3 || cfg.LoadReportFields[1] != balance.FieldUnknown {
+		t.Errorf("reports %v %v", cfg.LoadReports, cfg.LoadReportFields)
 	}
 	class := `{"classes": [{"effect": "read_like", "hard_limit_ms": 1}], `
 	for key, rest := range map[string]string{
