--- a/cmd/milldeck/fleet.go
+++ b/cmd/milldeck/fleet.go
@@ -43,26 +43,26 @@
 // writeFleet prints a ledger for people: doubt and halts first.
 func writeFleet(out io.Writer, v *disruption.View) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	if v.Doubt != "" {
-		fmt.Fprintln(w, "doubt:", v.Doubt)
+	if v.Uncertainty != "" {
+		fmt.Fprintln(w, "doubt:", v.Uncertainty)
 	}
 	for _, h := range v.Halts {
 		scope := h.Scope
 		if scope == "" {
 			scope = "the fleet"
 		}
-		fmt.Fprintf(w, "halted: %s\tby %s\t%s\n", scope, h.By, h.Why)
+		fmt.Fprintf(w, "halted: %s\tby %s\t%s\n", scope, h.IssuedBy, h.Reason)
 	}
 	for _, c := range slices.Sorted(maps.Keys(v.Counts)) {
 		fmt.Fprintf(w, "%d %s\n", v.Counts[c], c)
 	}
-	for _, r := range v.Rooms {
-		if r.Out > 0 || r.Cold > 0 {
-			fmt.Fprintf(w, "%s\t%d of %d out, %d may be\t%.4g of %.4g cold\n", r.Name, r.Out, r.All, r.Allowed, r.Cold, r.Capacity)
+	for _, r := range v.Constraints {
+		if r.Unavailable > 0 || r.WarmingUp > 0 {
+			fmt.Fprintf(w, "%s\t%d of %d out, %d may be\t%.4g of %.4g cold\n", r.Name, r.Unavailable, r.Total, r.MaxUnavailable, r.WarmingUp, r.Capacity)
 		}
 	}
 	for _, p := range v.Permits {
-		fmt.Fprintf(w, "permit %s\t%s\t%d units\t%s\t%s\n", p.ID, p.Stage, len(p.Units), p.Purpose, p.Why)
+		fmt.Fprintf(w, "permit %s\t%s\t%d units\t%s\t%s\n", p.ID, p.Stage, len(p.Units), p.Purpose, p.WaitReason)
 	}
 	for _, u := range v.Units {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", u.ID, u.Condition, u.Zone, u.Version)
@@ -77,7 +77,7 @@
 		short = "Ends a halt"
 	}
 	c := asks(string(kind), short, 0, func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, _ []string) error {
-		res, err := client.Ledger(ctx, registry.Write{}, disruption.Op{Kind: kind, Owner: "operator/" + by, Halt: &disruption.Halt{Scope: scope, Why: why}})
+		res, err := client.Ledger(ctx, registry.Write{}, disruption.Op{Kind: kind, Owner: "operator/" + by, Halt: &disruption.Halt{Scope: scope, Reason: why}})
 		if err != nil {
 			return err
 		}
--- a/cmd/milldeck/fleetbudgets.go
+++ b/cmd/milldeck/fleetbudgets.go
@@ -30,7 +30,7 @@
 	byName := map[string]*disruption.Budget{}
 	for i := range f.Budgets {
 		b := &f.Budgets[i]
-		err := b.Check()
+		err := b.Validate()
 		if err == nil && byName[b.Name] != nil {
 			err = fmt.Errorf("name: there are two budgets %q", b.Name)
 		}
@@ -84,7 +84,7 @@
 // one that failed has ended.
 func setBudgets(ctx context.Context, client *registry.Client, owner string, have []disruption.Budget, want map[string]*disruption.Budget) error {
 	for _, name := range slices.Sorted(maps.Keys(want)) {
-		op := disruption.Op{Kind: disruption.OpBudget, Owner: owner, Budget: want[name]}
+		op := disruption.Op{Kind: disruption.OpSetBudget, Owner: owner, Budget: want[name]}
 		if _, err := client.Ledger(ctx, registry.Write{}, op); err != nil {
 			return fmt.Errorf("budget %s: %w", name, err)
 		}
@@ -93,7 +93,7 @@
 		if want[have[i].Name] != nil {
 			continue
 		}
-		op := disruption.Op{Kind: disruption.OpBudget, Owner: owner, Budget: &have[i], Drop: true}
+		op := disruption.Op{Kind: disruption.OpSetBudget, Owner: owner, Budget: &have[i], Delete: true}
 		if _, err := client.Ledger(ctx, registry.Write{}, op); err != nil {
 			return fmt.Errorf("budget %s: %w", have[i].Name, err)
 		}
@@ -105,18 +105,18 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	limit := func(l disruption.Limit) string {
 		switch {
-		case l.Count != nil && l.Share != nil:
-			return fmt.Sprintf("%d and %.4g%%", *l.Count, 100**l.Share)
+		case l.Count != nil && l.Fraction != nil:
+			return fmt.Sprintf("%d and %.4g%%", *l.Count, 100**l.Fraction)
 		case l.Count != nil:
 			return fmt.Sprint(*l.Count)
-		case l.Share != nil:
-			return fmt.Sprintf("%.4g%%", 100**l.Share)
+		case l.Fraction != nil:
+			return fmt.Sprintf("%.4g%%", 100**l.Fraction)
 		}
 		return "any"
 	}
 	for i := range budgets {
 		b := &budgets[i]
-		fmt.Fprintf(w, "%s\t%s out\t%s cold\tof %s\n", b.Name, limit(b.MaxOut), limit(b.MaxCold), of(&b.Select))
+		fmt.Fprintf(w, "%s\t%s out\t%s cold\tof %s\n", b.Name, limit(b.MaxUnavailable), limit(b.MaxWarmingUp), of(&b.Selector))
 	}
 	return w.Flush()
 }
@@ -132,8 +132,8 @@
 			text += ", " + f[0] + " " + f[1]
 		}
 	}
-	if s.Pod != nil {
-		text += fmt.Sprintf(", pod group %d", *s.Pod)
+	if s.PodGroup != nil {
+		text += fmt.Sprintf(", pod group %d", *s.PodGroup)
 	}
 	if len(s.IDs) > 0 {
 		text += fmt.Sprintf(", %d named", len(s.IDs))
--- a/internal/agent/fixtures_test.go
+++ b/internal/agent/fixtures_test.go
@@ -91,13 +91,13 @@
 func fixturePlaces(t *testing.T) *places {
 	t.Helper()
 	p := newPlaces("", fixtureClock)
-	l := &placement.List{Rev: 9, Epoch: 8, All: true, Entries: []placement.Entry{
-		{ID: "window/w/gold", Kind: placement.KeepOff, Tenant: "gold", Servers: []string{"s1", "s2"}, Least: 0.5,
-			UntilMS: fixtureWallMS + 60_000, LeftMS: 50_000, Rev: 7},
-		{ID: "spread/0123456789abcdef", Kind: placement.Spread, Key: "0123456789abcdef",
-			Copies: []placement.Copy{{UID: "s1", Share: 0.25}, {UID: "s2"}}, UntilMS: fixtureWallMS + 20_000, LeftMS: 30_000, Rev: 8},
-		{ID: "cohort/canary", Kind: placement.Cohort, Name: "canary", Servers: []string{"s3"}, UntilMS: fixtureWallMS + 1000, LeftMS: 1000, Rev: 9},
-		{ID: "cohort/over", Kind: placement.Cohort, Name: "over", Servers: []string{"s3"}, UntilMS: fixtureWallMS - 1, Rev: 3},
+	l := &placement.Update{Revision: 9, Epoch: 8, Complete: true, Directives: []placement.Directive{
+		{ID: "window/w/gold", Kind: placement.KindExclude, Tenant: "gold", Servers: []string{"s1", "s2"}, MinAvailable: 0.5,
+			ExpiresAtMS: fixtureWallMS + 60_000, RemainingMS: 50_000, Revision: 7},
+		{ID: "spread/0123456789abcdef", Kind: placement.KindSpreadKey, KeyHash: "0123456789abcdef",
+			Copies: []placement.KeyCopy{{ServerUID: "s1", LoadFraction: 0.25}, {ServerUID: "s2"}}, ExpiresAtMS: fixtureWallMS + 20_000, RemainingMS: 30_000, Revision: 8},
+		{ID: "cohort/canary", Kind: placement.KindCohort, Cohort: "canary", Servers: []string{"s3"}, ExpiresAtMS: fixtureWallMS + 1000, RemainingMS: 1000, Revision: 9},
+		{ID: "cohort/over", Kind: placement.KindCohort, Cohort: "over", Servers: []string{"s3"}, ExpiresAtMS: fixtureWallMS - 1, Revision: 3},
 	}}
 	if err := p.take(l); err != nil {
 		t.Fatal(err)
@@ -127,8 +127,8 @@
 	golden := goldentest.Read(t, "placement.bin")
 	goldentest.Compare(t, "placement-flipped.bin", bytes.Replace(golden, []byte("gold"), []byte("gone"), 1))
 	p := newPlaces(goldentest.Path("placement-flipped.bin"), fixtureClock)
-	if err := p.load(); !errors.Is(err, errTorn) || p.reader.Known() {
-		t.Errorf("error %v, placement known: %v", err, p.reader.Known())
+	if err := p.load(); !errors.Is(err, errTorn) || p.reader.Synced() {
+		t.Errorf("error %v, placement known: %v", err, p.reader.Synced())
 	}
 }
 
@@ -152,13 +152,13 @@
 	}
 }
 
-func fixtureReport() placement.Report {
-	return placement.Report{
-		Name: "n0", Zone: "zone-a", Version: "2", Rev: 9, Epoch: 8, List: 41, SpanMS: 1000.25, Open: map[string]int{"window/w/gold": 3},
-		Suspended: []string{"spread/0123456789abcdef"}, HeatAll: 12.5,
-		Heat: []placement.Heat{{Key: "0123456789abcdef", Load: 10.5, Error: 0.5}},
-		Counts: []placement.Count{
-			{Class: "lookup", Zone: "zone-b", Cohort: "canary", Served: 30, Late: 2, Failed: 1, Latency: []uint32{1, 0, 29}}, {Class: "batch"},
+func fixtureReport() placement.LoadReport {
+	return placement.LoadReport{
+		Sidecar: "n0", Zone: "zone-a", Version: "2", PlacementRevision: 9, PlacementEpoch: 8, EndpointRevision: 41, IntervalMS: 1000.25, ExcludedInFlight: map[string]int{"window/w/gold": 3},
+		SuspendedDirectives: []string{"spread/0123456789abcdef"}, TotalKeyLoad: 12.5,
+		HotKeys: []placement.KeyLoad{{KeyHash: "0123456789abcdef", Load: 10.5, ErrorBound: 0.5}},
+		ClassCounts: []placement.ClassCount{
+			{Class: "lookup", Zone: "zone-b", Cohort: "canary", Succeeded: 30, Late: 2, Failed: 1, LatencyHistogram: []uint32{1, 0, 29}}, {Class: "batch"},
 		},
 	}
 }
@@ -269,7 +269,7 @@
 		{"POST", "/registry/report", `{"name":""}`},
 		{"POST", "/registry/report", `{"name":"n0","span_ms":-1}`},
 		{"POST", "/registry/report", "no JSON"},
-		{"POST", "/registry/report", `{"name":"` + strings.Repeat("n", placement.MaxReport) + `"}`},
+		{"POST", "/registry/report", `{"name":"` + strings.Repeat("n", placement.MaxReportBytes) + `"}`},
 	} {
 		exchange(t, &transcript, request.method, base, request.path, request.body)
 	}
--- a/internal/agent/home_test.go
+++ b/internal/agent/home_test.go
@@ -77,7 +77,7 @@
 			return disruption.Unit{}
 		}
 		for _, u := range v.Units {
-			if u.ID == disruption.UnitID(disruption.Sidecar, "n0") {
+			if u.ID == disruption.UnitID(disruption.KindSidecar, "n0") {
 				return u
 			}
 		}
@@ -86,12 +86,12 @@
 	is := func(c disruption.Condition) func() bool {
 		return func() bool { return unit().Condition == c }
 	}
-	until(t, "the sidecar to be up", is(disruption.Up))
+	until(t, "the sidecar to be up", is(disruption.ConditionUp))
 	first := unit()
 	if first.Zone != "a" || first.Version != "1" {
 		t.Errorf("%+v", first)
 	}
-	report, err := json.Marshal(placement.Report{Name: "n0", Version: "2", Rev: 1, List: 1, SpanMS: 1000})
+	report, err := json.Marshal(placement.LoadReport{Sidecar: "n0", Version: "2", PlacementRevision: 1, EndpointRevision: 1, IntervalMS: 1000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,16 +102,16 @@
 	resp.Body.Close()
 	until(t, "the reported version", func() bool { return unit().Version == "2" })
 	srv.Close()
-	until(t, "the sidecar to be out", is(disruption.Unready))
+	until(t, "the sidecar to be out", is(disruption.ConditionUnready))
 	serve()
-	until(t, "the sidecar to be back", is(disruption.Up))
+	until(t, "the sidecar to be back", is(disruption.ConditionUp))
 	if again := unit(); again.BootMS <= first.BootMS {
 		t.Errorf("%+v is no later life than %+v", again, first)
 	}
 	if err := a.Close(); err != nil {
 		t.Error(err)
 	}
-	if u := unit(); u.Condition != disruption.Up {
+	if u := unit(); u.Condition != disruption.ConditionUp {
 		t.Errorf("after the agent's end: %+v", u)
 	}
 }
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -31,7 +31,7 @@
 	gauge("milldeck_agent_placement_in_force", "Entries of the placement that have not ended.", func() float64 {
 		a.places.mu.Lock()
 		defer a.places.mu.Unlock()
-		return float64(len(a.places.reader.At(a.places.clock()).Entries))
+		return float64(len(a.places.reader.Active(a.places.clock()).Directives))
 	})
 	gauge("milldeck_agent_servers", "Servers in the list.", func() float64 {
 		a.mu.Lock()
--- a/internal/agent/placement.go
+++ b/internal/agent/placement.go
@@ -30,7 +30,7 @@
 	clock func() (wallMS, monoMS int64) // the machine's
 
 	mu     sync.Mutex
-	reader *placement.Reader
+	reader *placement.Cache
 	dirty  bool // the saved placement is out of date
 
 	feed    *registry.PlacementFeed
@@ -44,12 +44,12 @@
 
 // newPlaces takes up a saved placement where there is one that still counts.
 func newPlaces(file string, clock func() (wallMS, monoMS int64)) *places {
-	p := &places{file: file, clock: clock, reader: placement.NewReader(), asked: make(chan struct{}), settled: make(chan struct{})}
-	p.feed = registry.NewPlacementFeed(func(after, epoch uint64) placement.List {
+	p := &places{file: file, clock: clock, reader: placement.NewCache(), asked: make(chan struct{}), settled: make(chan struct{})}
+	p.feed = registry.NewPlacementFeed(func(after, epoch uint64) placement.Update {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		wall, mono := p.clock()
-		return p.reader.Since(after, epoch, wall+aheadMS, mono+aheadMS)
+		return p.reader.ChangesSince(after, epoch, wall+aheadMS, mono+aheadMS)
 	})
 	if file == "" {
 		return p
@@ -57,22 +57,22 @@
 	if err := p.load(); err != nil {
 		slog.Warn("the saved placement is not used", "file", file, "error", err)
 	}
-	if p.reader.Known() {
+	if p.reader.Synced() {
 		p.settle.Do(func() { close(p.settled) })
-		slog.Info("serves the saved placement until a replica answers", "rev", p.reader.Rev(), "entries", p.reader.Len())
+		slog.Info("serves the saved placement until a replica answers", "rev", p.reader.Revision(), "entries", p.reader.Len())
 	}
 	return p
 }
 
 type savedPlacement struct {
-	SavedMS int64          `json:"saved_ms"` // by the wall clock
-	List    placement.List `json:"list"`     // with what was left of each entry then
+	SavedMS int64            `json:"saved_ms"` // by the wall clock
+	List    placement.Update `json:"list"`     // with what was left of each entry then
 }
 
 // encode gives the bytes of the saved placement; the caller holds the lock.
 func (p *places) encode() ([]byte, error) {
 	wall, mono := p.clock()
-	body, err := json.Marshal(savedPlacement{wall, p.reader.Save(wall, mono)})
+	body, err := json.Marshal(savedPlacement{wall, p.reader.Snapshot(wall, mono)})
 	if err != nil {
 		return nil, err
 	}
@@ -121,15 +121,15 @@
 func (p *places) at() (rev, epoch uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.reader.Rev(), p.reader.Epoch()
+	return p.reader.Revision(), p.reader.Epoch()
 }
 
 // take takes over what a replica told.
-func (p *places) take(l *placement.List) error {
+func (p *places) take(l *placement.Update) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	wall, mono := p.clock()
-	news, err := p.reader.Take(l, wall, mono)
+	news, err := p.reader.Apply(l, wall, mono)
 	if err != nil {
 		return fmt.Errorf("placement: %w", err)
 	}
@@ -169,7 +169,7 @@
 	}
 	f.run(rand.IntN(len(a.opts.Replicas)), func(_ int, replica string, spoke func()) error {
 		rev, epoch := a.places.at()
-		return a.client.WatchPlacement(a.ctx, replica, rev, epoch, func(l *placement.List, age time.Duration) error {
+		return a.client.WatchPlacement(a.ctx, replica, rev, epoch, func(l *placement.Update, age time.Duration) error {
 			if l != nil {
 				stale := age > staleAfter && len(a.opts.Replicas) > 1
 				if stale && rev != 0 && l.Epoch != epoch {
@@ -200,7 +200,7 @@
 		return
 	}
 	p.mu.Lock()
-	known := p.reader.Known()
+	known := p.reader.Synced()
 	p.mu.Unlock()
 	switch {
 	case !known && p.unknown.Load():
--- a/internal/agent/placement_test.go
+++ b/internal/agent/placement_test.go
@@ -45,15 +45,15 @@
 func (o *owner) set(tenant string, length time.Duration) (untilMS int64) {
 	o.Helper()
 	now := time.Now().UnixMilli()
-	e := placement.Entry{ID: "window/w/" + tenant, Kind: placement.KeepOff, Tenant: tenant, Servers: []string{"s1"}, UntilMS: now + length.Milliseconds()}
-	if _, err := o.client.SetPlacement(o.Context(), registry.Write{Guard: o.guard}, now, []placement.Entry{e}); err != nil {
+	e := placement.Directive{ID: "window/w/" + tenant, Kind: placement.KindExclude, Tenant: tenant, Servers: []string{"s1"}, ExpiresAtMS: now + length.Milliseconds()}
+	if _, err := o.client.SetPlacement(o.Context(), registry.Write{Guard: o.guard}, now, []placement.Directive{e}); err != nil {
 		o.Fatal(err)
 	}
-	return e.UntilMS
+	return e.ExpiresAtMS
 }
 
 // placed is what an agent answers about the placement.
-func placed(t *testing.T, a *Agent) (status int, l placement.List) {
+func placed(t *testing.T, a *Agent) (status int, l placement.Update) {
 	t.Helper()
 	resp, err := http.Get("http://" + a.Addr() + "/registry/placement")
 	if err != nil {
@@ -71,7 +71,7 @@
 // sidecar follows an agent as a sidecar does, with a reader of its own.
 type sidecar struct {
 	mu     sync.Mutex
-	reader *placement.Reader
+	reader *placement.Cache
 	began  time.Time
 }
 
@@ -81,22 +81,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &sidecar{reader: placement.NewReader(), began: time.Now()}
+	s := &sidecar{reader: placement.NewCache(), began: time.Now()}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for ctx.Err() == nil {
 			s.mu.Lock()
-			rev, epoch := s.reader.Rev(), s.reader.Epoch()
+			rev, epoch := s.reader.Revision(), s.reader.Epoch()
 			s.mu.Unlock()
-			client.WatchPlacement(ctx, addr, rev, epoch, func(l *placement.List, _ time.Duration) error {
+			client.WatchPlacement(ctx, addr, rev, epoch, func(l *placement.Update, _ time.Duration) error {
 				if l == nil {
 					return nil
 				}
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				_, err := s.reader.Take(l, time.Now().UnixMilli(), time.Since(s.began).Milliseconds())
+				_, err := s.reader.Apply(l, time.Now().UnixMilli(), time.Since(s.began).Milliseconds())
 				return err
 			})
 			select {
@@ -113,9 +113,9 @@
 func (s *sidecar) has() (ids string, leftMS int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, e := range s.reader.At(time.Now().UnixMilli(), time.Since(s.began).Milliseconds()).Entries {
+	for _, e := range s.reader.Active(time.Now().UnixMilli(), time.Since(s.began).Milliseconds()).Directives {
 		if ids == "" {
-			leftMS = e.LeftMS
+			leftMS = e.RemainingMS
 		}
 		ids += e.ID + " "
 	}
@@ -145,7 +145,7 @@
 	if now := time.Now().UnixMilli(); now < short-200 {
 		t.Errorf("it ended %d ms too early", short-now)
 	}
-	if status, l := placed(t, a); status != http.StatusOK || len(l.Entries) != 1 || l.Entries[0].LeftMS > long-time.Now().UnixMilli() {
+	if status, l := placed(t, a); status != http.StatusOK || len(l.Directives) != 1 || l.Directives[0].RemainingMS > long-time.Now().UnixMilli() {
 		t.Errorf("the agent answers %d %+v", status, l)
 	}
 	if err := a.Close(); err != nil {
@@ -153,7 +153,7 @@
 	}
 	again := begin(t, opts)
 	status, l := placed(t, again)
-	if status != http.StatusOK || len(l.Entries) != 1 || l.Entries[0].ID != "window/w/long" || l.Entries[0].LeftMS > long-time.Now().UnixMilli() {
+	if status != http.StatusOK || len(l.Directives) != 1 || l.Directives[0].ID != "window/w/long" || l.Directives[0].RemainingMS > long-time.Now().UnixMilli() {
 		t.Errorf("started again it answers %d %+v", status, l)
 	}
 	until(t, "the sidecar comes back to it", func() bool { ids, _ := s.has(); return ids == "window/w/long" })
@@ -179,10 +179,10 @@
 	wall, mono := int64(1_000_000), int64(5)
 	clock := func() (int64, int64) { return wall, mono }
 	p := newPlaces(file, clock)
-	entry := func(id string, untilMS, leftMS int64) placement.Entry {
-		return placement.Entry{ID: id, Kind: placement.KeepOff, Tenant: "t", Servers: []string{"s"}, UntilMS: untilMS, LeftMS: leftMS, Rev: 3}
+	entry := func(id string, untilMS, leftMS int64) placement.Directive {
+		return placement.Directive{ID: id, Kind: placement.KindExclude, Tenant: "t", Servers: []string{"s"}, ExpiresAtMS: untilMS, RemainingMS: leftMS, Revision: 3}
 	}
-	l := &placement.List{Rev: 3, Epoch: 7, All: true, Entries: []placement.Entry{
+	l := &placement.Update{Revision: 3, Epoch: 7, Complete: true, Directives: []placement.Directive{
 		entry("a", wall+60_000, 2000), // its writer's clock is ahead
 		entry("b", wall+500, 60_000),  // the registry's is behind
 		entry("c", wall+60_000, 60_000),
@@ -196,7 +196,7 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		out := ""
-		for _, e := range p.reader.At(p.clock()).Entries {
+		for _, e := range p.reader.Active(p.clock()).Directives {
 			out += e.ID
 		}
 		return out
@@ -213,7 +213,7 @@
 		wall = then
 	}
 	again := newPlaces(file, clock)
-	l.Entries = l.Entries[1:2] // told again, by a registry that still believes in it
+	l.Directives = l.Directives[1:2] // told again, by a registry that still believes in it
 	if err := again.take(l); err != nil || ids(again) != "" {
 		t.Errorf("what had ended is back: %q, %v", ids(again), err)
 	}
@@ -309,7 +309,7 @@
 		addr   string
 		refuse atomic.Bool
 		mu     sync.Mutex
-		got    []placement.Report
+		got    []placement.LoadReport
 	}
 	takers := []*taker{{addr: b.Addr(203, 0, 8500)}, {addr: b.Addr(203, 1, 8500)}}
 	takers[1].refuse.Store(true)
@@ -317,7 +317,7 @@
 		takers[k].mu.Lock()
 		defer takers[k].mu.Unlock()
 		for _, r := range takers[k].got {
-			rev = r.Rev
+			rev = r.PlacementRevision
 		}
 		return rev
 	}
@@ -329,7 +329,7 @@
 			t.Fatal(err)
 		}
 		srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			var in struct{ Reports []placement.Report }
+			var in struct{ Reports []placement.LoadReport }
 			if err := json.NewDecoder(r.Body).Decode(&in); err != nil || r.URL.Path != "/reports" {
 				t.Errorf("%s: %v", r.URL, err)
 			}
@@ -354,9 +354,9 @@
 		return resp.StatusCode
 	}
 	for name, nonsense := range map[string]string{
-		"no JSON": "what", "no name": `{"rev":9}`, "two": `{"name":"a","rev":9}{"name":"b","rev":9}`, "too long": `{"name":"` + strings.Repeat("a", placement.MaxReport) + `"}`,
+		"no JSON": "what", "no name": `{"rev":9}`, "two": `{"name":"a","rev":9}{"name":"b","rev":9}`, "too long": `{"name":"` + strings.Repeat("a", placement.MaxReportBytes) + `"}`,
 		"a load below 0": `{"name":"a","rev":9,"heat_all":-1}`, "a key that is none": `{"name":"a","rev":9,"heat":[{"key":"x","load":1}]}`,
-		"too many keys":     `{"name":"a","rev":9,"heat":[` + strings.Repeat(`{"key":"0123456789abcdef","load":1},`, placement.MaxHeat) + `{"key":"0123456789abcdef","load":1}]}`,
+		"too many keys":     `{"name":"a","rev":9,"heat":[` + strings.Repeat(`{"key":"0123456789abcdef","load":1},`, placement.MaxHotKeys) + `{"key":"0123456789abcdef","load":1}]}`,
 		"a count below 0":   `{"name":"a","rev":9,"counts":[{"class":"c","served":-1}]}`,
 		"an array of names": `{"name":["a"],"rev":9}`,
 	} {
--- a/internal/agent/reports.go
+++ b/internal/agent/reports.go
@@ -85,7 +85,7 @@
 	if control.SetReadDeadline(time.Now().Add(headWait)) != nil {
 		return
 	}
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, placement.MaxReport))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, placement.MaxReportBytes))
 	if err != nil {
 		http.Error(w, fmt.Sprintf("report: %v", err), http.StatusBadRequest)
 		return
@@ -93,15 +93,15 @@
 	if control.SetReadDeadline(time.Time{}) != nil {
 		return
 	}
-	var in placement.Report
+	var in placement.LoadReport
 	if err = json.Unmarshal(data, &in); err == nil {
-		err = in.Check()
+		err = in.Validate()
 	}
 	if err != nil {
 		http.Error(w, fmt.Sprintf("report: %v", err), http.StatusBadRequest)
 		return
 	}
-	if !p.put(in.Name, data, heard{in.Version, in.List, in.Rev}, time.Now()) {
+	if !p.put(in.Sidecar, data, heard{in.Version, in.EndpointRevision, in.PlacementRevision}, time.Now()) {
 		http.Error(w, fmt.Sprintf("report: %d sidecars report here already", mostReporters), http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/collect/bench_test.go
+++ b/internal/collect/bench_test.go
@@ -55,11 +55,11 @@
 // batches are what a fleet reports in a second, in batches of so many.
 func batches(b *testing.B, per int, counts bool) (out [][]byte) {
 	rnd := rand.New(rand.NewPCG(1, 2))
-	var all []placement.Report
+	var all []placement.LoadReport
 	for k := range fleet {
 		all = append(all, usual(fmt.Sprint("sidecar-", k), rnd))
 		if !counts {
-			all[k].Counts = nil
+			all[k].ClassCounts = nil
 		}
 	}
 	for k := 0; k < fleet; k += per {
--- a/internal/collect/collect.go
+++ b/internal/collect/collect.go
@@ -45,7 +45,7 @@
 // Seen is a report and when it came, by the collector's clock, which tells a new one from one that was read before:
 // counts are of the report's span and are to be added once. Its slices and maps are shared: nobody changes them.
 type Seen struct {
-	placement.Report
+	placement.LoadReport
 	At time.Duration
 }
 
@@ -82,8 +82,8 @@
 var errFull = errors.New("there are too many sidecars")
 
 // Take takes a report that is kept as it is, or says why it does not.
-func (c *Collector) Take(r *placement.Report) error {
-	err := r.Check()
+func (c *Collector) Take(r *placement.LoadReport) error {
+	err := r.Validate()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
@@ -94,11 +94,11 @@
 	if now-c.pruned >= pruneEvery || len(c.of) >= c.opts.Most {
 		c.prune(now)
 	}
-	if _, known := c.of[r.Name]; !known && len(c.of) >= c.opts.Most {
+	if _, known := c.of[r.Sidecar]; !known && len(c.of) >= c.opts.Most {
 		c.counts.Full++
 		return errFull
 	}
-	c.of[r.Name] = Seen{*r, now}
+	c.of[r.Sidecar] = Seen{*r, now}
 	c.counts.Taken++
 	return nil
 }
@@ -127,7 +127,7 @@
 		out = append(out, seen)
 	}
 	c.mu.Unlock()
-	slices.SortFunc(out, func(a, b Seen) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b Seen) int { return cmp.Compare(a.Sidecar, b.Sidecar) })
 	return out, now
 }
 
--- a/internal/collect/collect_test.go
+++ b/internal/collect/collect_test.go
@@ -18,25 +18,25 @@
 )
 
 // usual is a report as a sidecar under load makes it: 32 keys, three classes in three zones.
-func usual(name string, rnd *rand.Rand) placement.Report {
-	r := placement.Report{Name: name, Version: "v7", Zone: "zone-1", Rev: 1234567, Epoch: 1 << 52, List: 7654321, SpanMS: 1000.25,
-		Open: map[string]int{"window/w/tenant": 3}, HeatAll: 123456.789}
-	for range placement.MaxHeat {
-		r.Heat = append(r.Heat, placement.Heat{Key: fmt.Sprintf("%016x", rnd.Uint64()), Load: rnd.Float64() * 1e4, Error: rnd.Float64() * 10})
+func usual(name string, rnd *rand.Rand) placement.LoadReport {
+	r := placement.LoadReport{Sidecar: name, Version: "v7", Zone: "zone-1", PlacementRevision: 1234567, PlacementEpoch: 1 << 52, EndpointRevision: 7654321, IntervalMS: 1000.25,
+		ExcludedInFlight: map[string]int{"window/w/tenant": 3}, TotalKeyLoad: 123456.789}
+	for range placement.MaxHotKeys {
+		r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: fmt.Sprintf("%016x", rnd.Uint64()), Load: rnd.Float64() * 1e4, ErrorBound: rnd.Float64() * 10})
 	}
 	for _, class := range []string{"interactive", "batch", "effect"} {
 		for _, zone := range []string{"zone-1", "zone-2", "zone-3"} {
-			c := placement.Count{Class: class, Zone: zone, Served: rnd.IntN(1000), Late: rnd.IntN(10), Failed: rnd.IntN(10)}
-			for range len(placement.LatencyBounds) + 1 {
-				c.Latency = append(c.Latency, rnd.Uint32N(100))
+			c := placement.ClassCount{Class: class, Zone: zone, Succeeded: rnd.IntN(1000), Late: rnd.IntN(10), Failed: rnd.IntN(10)}
+			for range len(placement.LatencyBucketBounds) + 1 {
+				c.LatencyHistogram = append(c.LatencyHistogram, rnd.Uint32N(100))
 			}
-			r.Counts = append(r.Counts, c)
+			r.ClassCounts = append(r.ClassCounts, c)
 		}
 	}
 	return r
 }
 
-func body(t interface{ Fatal(...any) }, reports ...placement.Report) []byte {
+func body(t interface{ Fatal(...any) }, reports ...placement.LoadReport) []byte {
 	data, err := json.Marshal(map[string]any{"reports": reports})
 	if err != nil {
 		t.Fatal(err)
@@ -65,16 +65,16 @@
 	check := func(t *rapid.T) {
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		r := usual(rapid.SampledFrom([]string{"a", "", "ä", `"`, "\n", "<"}).Draw(t, "name"), rnd)
-		r.HeatAll = rapid.Float64().Draw(t, "heat all")
-		r.Rev = rapid.Uint64().Draw(t, "rev")
-		r.Counts[0].Late = rapid.Int().Draw(t, "late")
-		r.Heat = r.Heat[:rapid.IntRange(0, 3).Draw(t, "heat")]
-		r.Counts = r.Counts[:2]
-		for k := range r.Counts {
-			r.Counts[k].Latency = r.Counts[k].Latency[:k]
+		r.TotalKeyLoad = rapid.Float64().Draw(t, "heat all")
+		r.PlacementRevision = rapid.Uint64().Draw(t, "rev")
+		r.ClassCounts[0].Late = rapid.Int().Draw(t, "late")
+		r.HotKeys = r.HotKeys[:rapid.IntRange(0, 3).Draw(t, "heat")]
+		r.ClassCounts = r.ClassCounts[:2]
+		for k := range r.ClassCounts {
+			r.ClassCounts[k].LatencyHistogram = r.ClassCounts[k].LatencyHistogram[:k]
 		}
-		r.Suspended = rapid.SliceOfN(rapid.SampledFrom([]string{"x", "y"}), 0, 2).Draw(t, "suspended")
-		data := body(t, r, placement.Report{Name: "b"})
+		r.SuspendedDirectives = rapid.SliceOfN(rapid.SampledFrom([]string{"x", "y"}), 0, 2).Draw(t, "suspended")
+		data := body(t, r, placement.LoadReport{Sidecar: "b"})
 		if rapid.Bool().Draw(t, "indented") {
 			var out bytes.Buffer
 			if err := json.Indent(&out, data, " ", "\t"); err != nil {
@@ -92,7 +92,7 @@
 			return
 		}
 		plain++
-		var want struct{ Reports []placement.Report }
+		var want struct{ Reports []placement.LoadReport }
 		if err := json.Unmarshal(data, &want); err != nil {
 			t.Fatalf("%v: %s", err, data)
 		}
@@ -114,7 +114,9 @@
 func TestCollectorKeepsTheNewestOfThoseThatSpeak(t *testing.T) {
 	now := time.Duration(0)
 	c := New(Options{Most: 3, Keep: 5 * time.Second, Now: func() time.Duration { return now }})
-	report := func(name string, rev uint64) placement.Report { return placement.Report{Name: name, Rev: rev} }
+	report := func(name string, rev uint64) placement.LoadReport {
+		return placement.LoadReport{Sidecar: name, PlacementRevision: rev}
+	}
 	if code := post(t, c, body(t, report("a", 1))); code != http.StatusServiceUnavailable {
 		t.Errorf("closed, it answers %d", code)
 	}
@@ -123,15 +125,15 @@
 		seen, at := c.Snapshot()
 		out := ""
 		for _, s := range seen {
-			out += fmt.Sprintf("%s%d ", s.Name, s.Rev)
+			out += fmt.Sprintf("%s%d ", s.Sidecar, s.PlacementRevision)
 			if at-s.At > 5*time.Second {
-				t.Errorf("%s is %v old", s.Name, at-s.At)
+				t.Errorf("%s is %v old", s.Sidecar, at-s.At)
 			}
 		}
 		return strings.TrimSpace(out)
 	}
 	bad := report("d", 1)
-	bad.Heat = []placement.Heat{{Key: "no key"}}
+	bad.HotKeys = []placement.KeyLoad{{KeyHash: "no key"}}
 	for _, step := range []struct {
 		at   time.Duration
 		data []byte
--- a/internal/collect/decode.go
+++ b/internal/collect/decode.go
@@ -16,12 +16,12 @@
 
 // decode reads a batch. encoding/json alone takes a third of a core for what 2,000 sidecars report in a second; so
 // what its encoder writes is read directly, and what differs from that in any way is left to it.
-func decode(data []byte) ([]placement.Report, error) {
+func decode(data []byte) ([]placement.LoadReport, error) {
 	if reports, plain := decodePlain(data); plain {
 		return reports, nil
 	}
 	var in struct {
-		Reports []placement.Report `json:"reports"`
+		Reports []placement.LoadReport `json:"reports"`
 	}
 	err := json.Unmarshal(data, &in)
 	return in.Reports, err
@@ -29,7 +29,7 @@
 
 // decodePlain reads a batch of known fields, each named once, with plain texts and numbers in their usual form; false
 // tells that there is something else, which may be right or wrong.
-func decodePlain(data []byte) (out []placement.Report, plain bool) {
+func decodePlain(data []byte) (out []placement.LoadReport, plain bool) {
 	s := &scan{rest: data}
 	plain = s.object(func(name []byte) int {
 		return place(string(name) == "reports" && list(s, 1, &out, s.report), 0)
--- a/internal/collect/fixtures_test.go
+++ b/internal/collect/fixtures_test.go
@@ -17,14 +17,14 @@
 // A batch of reports as an agent posts it: one with every field, one of an idle sidecar.
 func fixtureBatch(t *testing.T) []byte {
 	t.Helper()
-	return body(t, placement.Report{
-		Name: "n0", Zone: "zone-a", Version: "2", Rev: 9, Epoch: 8, List: 41, SpanMS: 1000.25,
-		Open: map[string]int{"window/w/gold": 3, "window/w/silver": 0}, Suspended: []string{"spread/0123456789abcdef"}, HeatAll: 1.25e21,
-		Heat: []placement.Heat{{Key: "0123456789abcdef", Load: 10.5, Error: 0.5}, {Key: "ffffffffffffffff", Load: 1e-7}},
-		Counts: []placement.Count{
-			{Class: "lookup", Zone: "zone-b", Cohort: "canary", Served: 30, Late: 2, Failed: 1, Latency: []uint32{1, 0, 29}}, {Class: "batch"},
+	return body(t, placement.LoadReport{
+		Sidecar: "n0", Zone: "zone-a", Version: "2", PlacementRevision: 9, PlacementEpoch: 8, EndpointRevision: 41, IntervalMS: 1000.25,
+		ExcludedInFlight: map[string]int{"window/w/gold": 3, "window/w/silver": 0}, SuspendedDirectives: []string{"spread/0123456789abcdef"}, TotalKeyLoad: 1.25e21,
+		HotKeys: []placement.KeyLoad{{KeyHash: "0123456789abcdef", Load: 10.5, ErrorBound: 0.5}, {KeyHash: "ffffffffffffffff", Load: 1e-7}},
+		ClassCounts: []placement.ClassCount{
+			{Class: "lookup", Zone: "zone-b", Cohort: "canary", Succeeded: 30, Late: 2, Failed: 1, LatencyHistogram: []uint32{1, 0, 29}}, {Class: "batch"},
 		},
-	}, placement.Report{Name: "n1"})
+	}, placement.LoadReport{Sidecar: "n1"})
 }
 
 func TestBatchFormat(t *testing.T) {
--- a/internal/disruption/fixtures_test.go
+++ b/internal/disruption/fixtures_test.go
@@ -92,7 +92,7 @@
 }
 
 // play does a step at a revision and says what came of it.
-func play(t *testing.T, ledger *Table, revision uint64, step scriptStep) string {
+func play(t *testing.T, ledger *Ledger, revision uint64, step scriptStep) string {
 	t.Helper()
 	var unit Unit
 	if step.Unit != nil {
@@ -102,19 +102,19 @@
 	case "register":
 		ledger.Register(revision, unit)
 	case "set":
-		ledger.See(revision, unit)
+		ledger.SetUnit(revision, unit)
 	case "unknown":
-		ledger.Unsee(revision, step.ID)
+		ledger.MarkUnknown(revision, step.ID)
 	case "lost":
-		ledger.Lose(revision, step.ID)
+		ledger.MarkLost(revision, step.ID)
 	case "deregister":
-		ledger.Leave(revision, step.ID)
+		ledger.Deregister(revision, step.ID)
 	case "freeze":
 		ledger.Freeze(revision, step.Reason)
 	case "unfreeze":
-		ledger.Thaw(revision)
+		ledger.Unfreeze(revision)
 	case "uncertain":
-		ledger.Doubt(revision, step.Reason)
+		ledger.HaltForUncertainty(revision, step.Reason)
 	case "apply":
 		var op Op
 		decodeStrictly(t, step.Op, &op)
@@ -127,11 +127,11 @@
 }
 
 // trace is what came of a step and how each permit that is not over then stands.
-func trace(ledger *Table, revision uint64, came string) string {
+func trace(ledger *Ledger, revision uint64, came string) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%d %s\n", revision, came)
-	for _, permit := range ledger.Permits() {
-		fmt.Fprintf(&out, "    %s %s: %s\n", permit.ID, permit.Stage, permit.Why)
+	for _, permit := range ledger.OpenPermits() {
+		fmt.Fprintf(&out, "    %s %s: %s\n", permit.ID, permit.Stage, permit.WaitReason)
 	}
 	return out.String()
 }
@@ -140,13 +140,13 @@
 // snapshot and view; a ledger restored from the snapshot at any step goes on to the same snapshot.
 func TestStoredLedgerIsCompatible(t *testing.T) {
 	steps := readScript(t)
-	ledger := New()
+	ledger := NewLedger()
 	var traces strings.Builder
 	var snapshots [][]byte
 	for i, step := range steps {
 		revision := uint64(i + 1)
 		traces.WriteString(trace(ledger, revision, play(t, ledger, revision, step)))
-		snapshots = append(snapshots, encode(t, ledger.Save()))
+		snapshots = append(snapshots, encode(t, ledger.Snapshot()))
 	}
 	requireGolden(t, "trace.txt", []byte(traces.String()))
 	var stored bytes.Buffer
@@ -161,19 +161,19 @@
 	requireGolden(t, "view-unavailable.json", append(encode(t, ledger.View(false)), '\n'))
 
 	for i, data := range snapshots {
-		var snapshot Saved
+		var snapshot Snapshot
 		decodeStrictly(t, data, &snapshot)
-		restored, err := Load(snapshot)
+		restored, err := Restore(snapshot)
 		if err != nil {
 			t.Fatalf("snapshot %d: %v", i+1, err)
 		}
-		if again := encode(t, restored.Save()); !bytes.Equal(again, data) {
+		if again := encode(t, restored.Snapshot()); !bytes.Equal(again, data) {
 			t.Fatalf("snapshot %d is written as\n%s\nnot\n%s", i+1, again, data)
 		}
 		for k := i + 1; k < len(steps); k++ {
 			play(t, restored, uint64(k+1), steps[k])
 		}
-		if last := encode(t, restored.Save()); !bytes.Equal(last, snapshots[len(snapshots)-1]) {
+		if last := encode(t, restored.Snapshot()); !bytes.Equal(last, snapshots[len(snapshots)-1]) {
 			t.Fatalf("restored at step %d it ends as\n%s\nnot\n%s", i+1, last, snapshots[len(snapshots)-1])
 		}
 	}
@@ -227,14 +227,14 @@
 		got  []string
 		want string
 	}{
-		{"kinds", []string{string(Server), string(Sidecar)}, "server sidecar"},
-		{"conditions", []string{string(Up), string(Cold), string(Unready), string(Draining), string(Lost), string(Unseen)}, "up cold unready draining lost unseen"},
-		{"ranks", []string{fmt.Sprint(int(RankBack)), fmt.Sprint(int(RankPressed)), fmt.Sprint(int(RankDrain)), fmt.Sprint(int(RankForward))}, "0 1 2 3"},
-		{"stages", []string{string(Asked), string(Granted), string(Out), string(Returning), string(Settled), string(Cancelled)}, "asked granted out returning settled cancelled"},
-		{"ends", []string{string(ComesBack), string(Replaced), string(Retired)}, "back replace retire"},
-		{"outcomes", []string{string(Done), string(Refused), string(NotFound), string(TooMany)}, "done refused not_found too_many"},
-		{"operations", []string{string(OpBudget), string(OpAsk), string(OpBegin), string(OpReturn), string(OpSettle), string(OpCancel),
-			string(OpHalt), string(OpResume), string(OpSee), string(OpForget), string(OpRelease)},
+		{"kinds", []string{string(KindServer), string(KindSidecar)}, "server sidecar"},
+		{"conditions", []string{string(ConditionUp), string(ConditionWarmingUp), string(ConditionUnready), string(ConditionDraining), string(ConditionLost), string(ConditionUnknown)}, "up cold unready draining lost unseen"},
+		{"ranks", []string{fmt.Sprint(int(PriorityRollback)), fmt.Sprint(int(PriorityDeadline)), fmt.Sprint(int(PriorityDrain)), fmt.Sprint(int(PriorityRollout))}, "0 1 2 3"},
+		{"stages", []string{string(StageRequested), string(StageGranted), string(StageActive), string(StageReturning), string(StageCompleted), string(StageCancelled)}, "asked granted out returning settled cancelled"},
+		{"ends", []string{string(DispositionReturn), string(DispositionReplace), string(DispositionRetire)}, "back replace retire"},
+		{"outcomes", []string{string(OutcomeApplied), string(OutcomeRejected), string(OutcomeNotFound), string(OutcomeLimitReached)}, "done refused not_found too_many"},
+		{"operations", []string{string(OpSetBudget), string(OpRequest), string(OpBegin), string(OpReturn), string(OpComplete), string(OpCancel),
+			string(OpHalt), string(OpResume), string(OpObserve), string(OpForget), string(OpForceComplete)},
 			"budget ask begin return settle cancel halt resume see forget release"},
 	} {
 		if got := strings.Join(test.got, " "); got != test.want {
@@ -245,33 +245,33 @@
 
 // Checks tell the same fields and reasons, which clients are answered with.
 func TestFieldErrorTexts(t *testing.T) {
-	long := strings.Repeat("x", MaxName+1)
-	valid := Permit{ID: "p", Owner: "release/r", Units: []string{"server/a"}, End: ComesBack}
+	long := strings.Repeat("x", MaxNameLength+1)
+	valid := Permit{ID: "p", Owner: "release/r", Units: []string{"server/a"}, Disposition: DispositionReturn}
 	permit := func(change func(*Permit)) Op {
 		changed := valid
 		change(&changed)
-		return Op{Kind: OpAsk, Owner: "release/r", Permit: &changed}
+		return Op{Kind: OpRequest, Owner: "release/r", Permit: &changed}
 	}
-	budget := func(b Budget) Op { return Op{Kind: OpBudget, Owner: "operator/o", Budget: &b} }
+	budget := func(b Budget) Op { return Op{Kind: OpSetBudget, Owner: "operator/o", Budget: &b} }
 	var lines strings.Builder
 	for _, op := range []Op{
-		{}, {Kind: OpBudget}, {Kind: OpBudget, Owner: "release/r", Budget: &Budget{Name: "b"}}, {Kind: OpAsk}, {Kind: OpBegin},
+		{}, {Kind: OpSetBudget}, {Kind: OpSetBudget, Owner: "release/r", Budget: &Budget{Name: "b"}}, {Kind: OpRequest}, {Kind: OpBegin},
 		{Kind: OpBegin, Owner: "release/r", Permit: &Permit{}}, {Kind: OpBegin, Permit: &Permit{ID: "p"}},
-		{Kind: OpSettle, Owner: "release/r", Permit: &Permit{ID: "p"}, Units: []string{"a", ""}},
-		{Kind: OpRelease, Owner: "release/r", Permit: &Permit{ID: "p"}},
-		{Kind: OpHalt, Owner: "release/r"}, {Kind: OpHalt, Owner: "release/r", Halt: &Halt{Why: strings.Repeat("x", MaxText+1)}},
-		{Kind: OpSee}, {Kind: OpSee, Seen: []Unit{{Condition: Lost}}}, {Kind: OpForget, Owner: "operator/o"},
+		{Kind: OpComplete, Owner: "release/r", Permit: &Permit{ID: "p"}, Units: []string{"a", ""}},
+		{Kind: OpForceComplete, Owner: "release/r", Permit: &Permit{ID: "p"}},
+		{Kind: OpHalt, Owner: "release/r"}, {Kind: OpHalt, Owner: "release/r", Halt: &Halt{Reason: strings.Repeat("x", MaxTextLength+1)}},
+		{Kind: OpObserve}, {Kind: OpObserve, Observed: []Unit{{Condition: ConditionLost}}}, {Kind: OpForget, Owner: "operator/o"},
 		permit(func(p *Permit) { p.ID = long }), permit(func(p *Permit) { p.Owner = "release/x" }),
-		permit(func(p *Permit) { p.Purpose = strings.Repeat("x", MaxText+1) }),
-		permit(func(p *Permit) { p.Units = []string{"a", "a"} }), permit(func(p *Permit) { p.Rank = 4 }), permit(func(p *Permit) { p.End = "x" }),
-		permit(func(p *Permit) { p.Alone = true }), permit(func(p *Permit) { p.Instead = map[string]string{"server/a": "server/a"} }),
-		permit(func(p *Permit) { p.Instead = map[string]string{"a": "x", "b": "y"} }),
-		{Kind: OpAsk, Owner: "budget/b", Permit: &Permit{ID: "p", Owner: "budget/b", Units: []string{"server/a"}, End: ComesBack}},
-		budget(Budget{}), budget(Budget{Name: "b", MaxOut: Limit{Count: num(-1)}}), budget(Budget{Name: "b", MaxCold: Limit{Share: share(1.5)}}),
-		budget(Budget{Name: "b", Select: Selector{Kind: "x"}}), budget(Budget{Name: "b", Select: Selector{IDs: []string{long}}}),
+		permit(func(p *Permit) { p.Purpose = strings.Repeat("x", MaxTextLength+1) }),
+		permit(func(p *Permit) { p.Units = []string{"a", "a"} }), permit(func(p *Permit) { p.Priority = 4 }), permit(func(p *Permit) { p.Disposition = "x" }),
+		permit(func(p *Permit) { p.WithoutSubstitute = true }), permit(func(p *Permit) { p.Substitutes = map[string]string{"server/a": "server/a"} }),
+		permit(func(p *Permit) { p.Substitutes = map[string]string{"a": "x", "b": "y"} }),
+		{Kind: OpRequest, Owner: "budget/b", Permit: &Permit{ID: "p", Owner: "budget/b", Units: []string{"server/a"}, Disposition: DispositionReturn}},
+		budget(Budget{}), budget(Budget{Name: "b", MaxUnavailable: Limit{Count: intPointer(-1)}}), budget(Budget{Name: "b", MaxWarmingUp: Limit{Fraction: floatPointer(1.5)}}),
+		budget(Budget{Name: "b", Selector: Selector{Kind: "x"}}), budget(Budget{Name: "b", Selector: Selector{IDs: []string{long}}}),
 	} {
-		outcome, reason := New().Apply(1, &op)
-		fmt.Fprintf(&lines, "%s: %v; %s\n", outcome, op.Check(), reason)
+		outcome, reason := NewLedger().Apply(1, &op)
+		fmt.Fprintf(&lines, "%s: %v; %s\n", outcome, op.Validate(), reason)
 	}
 	requireGolden(t, "field-errors.txt", []byte(lines.String()))
 }
--- a/internal/disruption/model_test.go
+++ b/internal/disruption/model_test.go
@@ -11,13 +11,13 @@
 // model is the ledger written down as simply as can be: all sums are counted anew for each question, and after each
 // operation all that wait are gone through from the first until nothing more is granted.
 type model struct {
-	rev     uint64
-	units   map[string]Unit
-	permits map[string]Permit // over ones too
-	budgets map[string]Budget
-	halts   []Halt
-	frozen  bool
-	asking  *Permit // that is tried: its units count as under it
+	revision  uint64
+	units     map[string]Unit
+	permits   map[string]Permit // over ones too
+	budgets   map[string]Budget
+	halts     []Halt
+	frozen    bool
+	candidate *Permit // that is tried: its units count as under it
 }
 
 func newModel() *model {
@@ -25,169 +25,173 @@
 }
 
 func (m *model) clone() *model {
-	c := *m
-	c.units, c.permits, c.budgets, c.halts = maps.Clone(m.units), maps.Clone(m.permits), maps.Clone(m.budgets), slices.Clone(m.halts)
-	return &c
+	copied := *m
+	copied.units, copied.permits, copied.budgets, copied.halts = maps.Clone(m.units), maps.Clone(m.permits), maps.Clone(m.budgets), slices.Clone(m.halts)
+	return &copied
 }
 
-func (p *Permit) active() bool { return p.Stage == Granted || p.Stage == Out || p.Stage == Returning }
+func (p *Permit) holdsUnits() bool {
+	return p.Stage == StageGranted || p.Stage == StageActive || p.Stage == StageReturning
+}
 
-func (m *model) holder(id string) *Permit {
-	if p := m.asking; p != nil && slices.Contains(p.Units, id) {
-		return p
+func (m *model) permitOf(id string) *Permit {
+	if permit := m.candidate; permit != nil && slices.Contains(permit.Units, id) {
+		return permit
 	}
-	for _, p := range m.permits {
-		if p.active() && slices.Contains(p.Units, id) && !slices.Contains(p.Settled, id) {
-			return &p
+	for _, permit := range m.permits {
+		if permit.holdsUnits() && slices.Contains(permit.Units, id) && !slices.Contains(permit.CompletedUnits, id) {
+			return &permit
 		}
 	}
 	return nil
 }
 
-func (m *model) out(u Unit) bool { return u.Condition != Up || m.holder(u.ID) != nil }
+func (m *model) unavailable(unit Unit) bool {
+	return unit.Condition != ConditionUp || m.permitOf(unit.ID) != nil
+}
 
-func (m *model) serving(u Unit) bool {
-	return m.holder(u.ID) == nil && (u.Condition == Up || u.Condition == Cold || u.Condition == Unseen)
+func (m *model) serving(unit Unit) bool {
+	return m.permitOf(unit.ID) == nil && (unit.Condition == ConditionUp || unit.Condition == ConditionWarmingUp || unit.Condition == ConditionUnknown)
 }
 
-func (m *model) cold(u Unit) bool {
-	h := m.holder(u.ID)
-	return u.Condition == Cold || h != nil && (h.End != Retired || h.Undone)
+func (m *model) countsAsWarmingUp(unit Unit) bool {
+	permit := m.permitOf(unit.ID)
+	return unit.Condition == ConditionWarmingUp || permit != nil && (permit.Disposition != DispositionRetire || permit.Aborted)
 }
 
-// of gives the units of a group: of a zone, a pod group or a budget.
-func (m *model) of(in func(u *Unit) bool) []Unit {
-	var out []Unit
+// unitsWhere gives the units of a group: of a zone, a pod group or a budget.
+func (m *model) unitsWhere(selects func(unit *Unit) bool) []Unit {
+	var selected []Unit
 	for _, id := range slices.Sorted(maps.Keys(m.units)) {
-		if u := m.units[id]; in(&u) {
-			out = append(out, u)
+		if unit := m.units[id]; selects(&unit) {
+			selected = append(selected, unit)
 		}
 	}
-	return out
+	return selected
 }
 
-func (m *model) outOf(list []Unit) int {
-	n := 0
-	for _, u := range list {
-		if m.out(u) {
-			n++
+func (m *model) countUnavailable(units []Unit) int {
+	count := 0
+	for _, unit := range units {
+		if m.unavailable(unit) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func (m *model) zone(u *Unit) []Unit {
-	return m.of(func(v *Unit) bool { return v.Kind == u.Kind && v.Zone == u.Zone })
+func (m *model) unitsInZoneOf(unit *Unit) []Unit {
+	return m.unitsWhere(func(other *Unit) bool { return other.Kind == unit.Kind && other.Zone == unit.Zone })
 }
 
-// after gives how it would be with the permit granted.
-func (m *model) after(p Permit) *model {
-	c := m.clone()
-	c.asking = &p
-	return c
+// withCandidate gives how it would be with the permit granted.
+func (m *model) withCandidate(permit Permit) *model {
+	copied := m.clone()
+	copied.candidate = &permit
+	return copied
 }
 
-// can tells whether a permit can be granted but for those before it; which groups it needs; and whether it waits for
+// evaluate tells whether a permit can be granted but for those before it; which groups it needs; and whether it waits for
 // room alone, so that it holds back others.
-func (m *model) can(p Permit) (ok, ever, holds bool, needs map[string]bool) {
-	ever, needs = true, map[string]bool{}
-	var mine []Unit
-	free := true
-	for _, id := range p.Units {
-		u, is := m.units[id]
-		if !is {
+func (m *model) evaluate(permit Permit) (admissibleNow, feasible, blocksLater bool, needs map[string]bool) {
+	feasible, needs = true, map[string]bool{}
+	var units []Unit
+	available := true
+	for _, id := range permit.Units {
+		unit, known := m.units[id]
+		if !known {
 			return false, false, false, needs
 		}
-		mine = append(mine, u)
-		free = free && m.holder(id) == nil && !(m.serving(u) && m.standsIn(id))
+		units = append(units, unit)
+		available = available && m.permitOf(id) == nil && !(m.serving(unit) && m.usedAsSubstitute(id))
 	}
-	then, fit := m.after(p), true
-	serving := func(in func(*Unit) bool) (n int) {
-		for _, u := range mine {
-			if in(&u) && m.serving(u) {
-				n++
+	granted, fits := m.withCandidate(permit), true
+	serving := func(selects func(*Unit) bool) (count int) {
+		for _, unit := range units {
+			if selects(&unit) && m.serving(unit) {
+				count++
 			}
 		}
-		return n
+		return count
 	}
-	for name, b := range m.budgets {
-		in := func(u *Unit) bool { return b.Select.Selects(u) }
-		n := serving(in)
-		if n == 0 {
+	for name, budget := range m.budgets {
+		selects := func(unit *Unit) bool { return budget.Selector.Matches(unit) }
+		count := serving(selects)
+		if count == 0 {
 			continue
 		}
 		needs["budget/"+name] = true
-		list := m.of(in)
-		if limit, bound := b.MaxOut.of(len(list)); bound {
-			ever, fit = ever && n <= limit, fit && then.outOf(list) <= limit
-		}
-		size, now, cold := int64(0), int64(0), int64(0)
-		for _, u := range list {
-			size += u.size()
-			if m.cold(u) {
-				now += u.size()
+		selected := m.unitsWhere(selects)
+		if limit, bounded := budget.MaxUnavailable.unitLimit(len(selected)); bounded {
+			feasible, fits = feasible && count <= limit, fits && granted.countUnavailable(selected) <= limit
+		}
+		milliCapacity, warmingUpNow, warmingUpThen := int64(0), int64(0), int64(0)
+		for _, unit := range selected {
+			milliCapacity += unit.milliCapacity()
+			if m.countsAsWarmingUp(unit) {
+				warmingUpNow += unit.milliCapacity()
 			}
-			if then.cold(u) {
-				cold += u.size()
+			if granted.countsAsWarmingUp(unit) {
+				warmingUpThen += unit.milliCapacity()
 			}
 		}
-		if limit, bound := b.MaxCold.ofSize(size, len(list)); bound {
-			ever, fit = ever && cold-now <= limit, fit && cold <= limit
+		if limit, bounded := budget.MaxWarmingUp.capacityLimit(milliCapacity, len(selected)); bounded {
+			feasible, fits = feasible && warmingUpThen-warmingUpNow <= limit, fits && warmingUpThen <= limit
 		}
 	}
-	for _, u := range mine {
-		if !m.serving(u) {
+	for _, unit := range units {
+		if !m.serving(unit) {
 			continue
 		}
-		zone := m.zone(&u)
-		key := string(u.Kind) + " " + u.Zone
+		zone := m.unitsInZoneOf(&unit)
+		key := string(unit.Kind) + " " + unit.Zone
 		needs["zone "+key] = true
-		groups := [][]Unit{zone}
-		if u.Kind == Server {
-			needs[fmt.Sprint("pod ", u.Pod)] = true
-			groups = append(groups, m.of(func(v *Unit) bool { return v.Kind == Server && v.Pod == u.Pod }))
-			for _, g := range groups {
-				in := len(slices.DeleteFunc(slices.Clone(g), func(v Unit) bool { return !slices.Contains(p.Units, v.ID) }))
+		constraints := [][]Unit{zone}
+		if unit.Kind == KindServer {
+			needs[fmt.Sprint("pod ", unit.PodGroup)] = true
+			constraints = append(constraints, m.unitsWhere(func(other *Unit) bool { return other.Kind == KindServer && other.PodGroup == unit.PodGroup }))
+			for _, members := range constraints {
+				selects := len(slices.DeleteFunc(slices.Clone(members), func(other Unit) bool { return !slices.Contains(permit.Units, other.ID) }))
 				switch {
-				case len(g) == 1:
-					ever = ever && (p.Alone || p.Instead[u.ID] != "")
-				case in == len(g):
-					ever = false
+				case len(members) == 1:
+					feasible = feasible && (permit.WithoutSubstitute || permit.Substitutes[unit.ID] != "")
+				case selects == len(members):
+					feasible = false
 				default:
-					fit = fit && then.outOf(g) < len(g)
+					fits = fits && granted.countUnavailable(members) < len(members)
 				}
 			}
 		}
-		if 2*then.outOf(zone) > len(zone) {
-			needs["zones "+string(u.Kind)] = true
-			for _, v := range m.units {
-				if v.Kind == u.Kind && v.Zone != u.Zone && 2*then.outOf(m.zone(&v)) > len(m.zone(&v)) {
-					fit = false
+		if 2*granted.countUnavailable(zone) > len(zone) {
+			needs["zones "+string(unit.Kind)] = true
+			for _, other := range m.units {
+				if other.Kind == unit.Kind && other.Zone != unit.Zone && 2*granted.countUnavailable(m.unitsInZoneOf(&other)) > len(m.unitsInZoneOf(&other)) {
+					fits = false
 				}
 			}
 		}
 	}
-	kinds := map[Kind]map[string]bool{Server: {}, Sidecar: {}}
-	for _, u := range mine {
-		if n := serving(func(v *Unit) bool { return v.Kind == u.Kind && v.Zone == u.Zone }); 2*n > len(m.zone(&u)) {
-			kinds[u.Kind][u.Zone] = true
+	kinds := map[Kind]map[string]bool{KindServer: {}, KindSidecar: {}}
+	for _, unit := range units {
+		if count := serving(func(other *Unit) bool { return other.Kind == unit.Kind && other.Zone == unit.Zone }); 2*count > len(m.unitsInZoneOf(&unit)) {
+			kinds[unit.Kind][unit.Zone] = true
 		}
 	}
-	ever = ever && len(kinds[Server]) < 2 && len(kinds[Sidecar]) < 2
-	stands := true
-	for _, other := range p.Instead {
-		s, is := m.units[other]
-		stands = stands && is && !m.out(s)
+	feasible = feasible && len(kinds[KindServer]) < 2 && len(kinds[KindSidecar]) < 2
+	substitutesUp := true
+	for _, substitute := range permit.Substitutes {
+		substituteUnit, known := m.units[substitute]
+		substitutesUp = substitutesUp && known && !m.unavailable(substituteUnit)
 	}
-	holds = ever && free && stands && !m.halted(p)
-	return holds && fit, ever, holds, needs
+	blocksLater = feasible && available && substitutesUp && !m.halted(permit)
+	return blocksLater && fits, feasible, blocksLater, needs
 }
 
-func (m *model) standsIn(id string) bool {
-	for _, p := range m.permits {
-		if p.active() {
-			for _, other := range p.Instead {
-				if other == id {
+func (m *model) usedAsSubstitute(id string) bool {
+	for _, permit := range m.permits {
+		if permit.holdsUnits() {
+			for _, substitute := range permit.Substitutes {
+				if substitute == id {
 					return true
 				}
 			}
@@ -196,22 +200,22 @@
 	return false
 }
 
-func (m *model) halted(p Permit) bool {
-	if p.Rank == RankBack {
+func (m *model) halted(permit Permit) bool {
+	if permit.Priority == PriorityRollback {
 		return false
 	}
-	for _, u := range m.units {
-		if u.Condition == Unseen {
+	for _, unit := range m.units {
+		if unit.Condition == ConditionUnknown {
 			return true
 		}
 	}
-	for _, h := range m.halts {
-		if h.Scope == "" || h.Scope == p.Owner {
+	for _, halt := range m.halts {
+		if halt.Scope == "" || halt.Scope == permit.Owner {
 			return true
 		}
-		for name, b := range m.budgets {
-			for _, id := range p.Units {
-				if u, is := m.units[id]; is && h.Scope == "budget/"+name && b.Select.Selects(&u) {
+		for name, budget := range m.budgets {
+			for _, id := range permit.Units {
+				if unit, known := m.units[id]; known && halt.Scope == "budget/"+name && budget.Selector.Matches(&unit) {
 					return true
 				}
 			}
@@ -221,44 +225,44 @@
 }
 
 func (m *model) waiting() []Permit {
-	var out []Permit
-	for _, p := range m.permits {
-		if p.Stage == Asked {
-			out = append(out, p)
+	var waiting []Permit
+	for _, permit := range m.permits {
+		if permit.Stage == StageRequested {
+			waiting = append(waiting, permit)
 		}
 	}
-	sort.Slice(out, func(i, j int) bool {
-		a, b := out[i], out[j]
-		return a.Rank < b.Rank || a.Rank == b.Rank && a.AskedAt < b.AskedAt
+	sort.Slice(waiting, func(i, j int) bool {
+		a, b := waiting[i], waiting[j]
+		return a.Priority < b.Priority || a.Priority == b.Priority && a.RequestRevision < b.RequestRevision
 	})
-	return out
+	return waiting
 }
 
-// settle takes back what is halted and grants until nothing more fits.
-func (m *model) settle() {
-	for id, p := range m.permits {
-		if p.Stage == Granted && m.halted(p) {
-			p.Stage = Asked
-			m.permits[id] = p
+// grantAdmissible takes back what is halted and grants until nothing more fits.
+func (m *model) grantAdmissible() {
+	for id, permit := range m.permits {
+		if permit.Stage == StageGranted && m.halted(permit) {
+			permit.Stage = StageRequested
+			m.permits[id] = permit
 		}
 	}
 again:
 	for {
-		var before []map[string]bool
-		for _, p := range m.waiting() {
-			ok, _, holds, needs := m.can(p)
-			for _, other := range before {
+		var earlier []map[string]bool
+		for _, permit := range m.waiting() {
+			admissibleNow, _, blocksLater, needs := m.evaluate(permit)
+			for _, needed := range earlier {
 				for key := range needs {
-					ok = ok && !other[key]
+					admissibleNow = admissibleNow && !needed[key]
 				}
 			}
-			if ok {
-				p.Stage = Granted
-				m.permits[p.ID] = p
+			if admissibleNow {
+				permit.Stage = StageGranted
+				m.permits[permit.ID] = permit
 				continue again
 			}
-			if holds {
-				before = append(before, needs)
+			if blocksLater {
+				earlier = append(earlier, needs)
 			}
 		}
 		return
@@ -267,196 +271,196 @@
 
 // apply does an operation and says its outcome.
 func (m *model) apply(op *Op) Outcome {
-	if op.Check() != nil {
-		return Refused
+	if op.Validate() != nil {
+		return OutcomeRejected
 	}
-	var p Permit
+	var permit Permit
 	switch op.Kind {
-	case OpAsk, OpBegin, OpReturn, OpCancel, OpSettle, OpRelease:
-		p = m.permits[op.Permit.ID]
-		if op.Kind != OpAsk && p.ID == "" {
-			return NotFound
+	case OpRequest, OpBegin, OpReturn, OpCancel, OpComplete, OpForceComplete:
+		permit = m.permits[op.Permit.ID]
+		if op.Kind != OpRequest && permit.ID == "" {
+			return OutcomeNotFound
 		}
-		if op.Kind != OpAsk && op.Kind != OpRelease && op.Owner != p.Owner {
-			return Refused
+		if op.Kind != OpRequest && op.Kind != OpForceComplete && op.Owner != permit.Owner {
+			return OutcomeRejected
 		}
 	}
-	over := p.Stage == Settled || p.Stage == Cancelled
-	begun := p.Stage == Out || p.Stage == Returning
+	closed := permit.Stage == StageCompleted || permit.Stage == StageCancelled
+	begun := permit.Stage == StageActive || permit.Stage == StageReturning
 	switch op.Kind {
-	case OpBudget:
-		_, is := m.budgets[op.Budget.Name]
-		if op.Drop {
+	case OpSetBudget:
+		_, exists := m.budgets[op.Budget.Name]
+		if op.Delete {
 			delete(m.budgets, op.Budget.Name)
 		} else {
 			m.budgets[op.Budget.Name] = *op.Budget
 		}
-		if op.Drop && !is {
-			return NotFound
+		if op.Delete && !exists {
+			return OutcomeNotFound
 		}
-	case OpAsk:
-		if p.ID != "" {
-			if !same(&p, op.Permit) {
-				return Refused
+	case OpRequest:
+		if permit.ID != "" {
+			if !sameRequest(&permit, op.Permit) {
+				return OutcomeRejected
 			}
-			return Done
+			return OutcomeApplied
 		}
-		n := *op.Permit
-		n.Stage, n.AskedAt = Asked, m.rev
-		for _, id := range n.Units {
-			if _, is := m.units[id]; !is {
-				return NotFound
+		requested := *op.Permit
+		requested.Stage, requested.RequestRevision = StageRequested, m.revision
+		for _, id := range requested.Units {
+			if _, exists := m.units[id]; !exists {
+				return OutcomeNotFound
 			}
 		}
-		if _, ever, _, _ := m.can(n); !ever {
-			return Refused
+		if _, feasible, _, _ := m.evaluate(requested); !feasible {
+			return OutcomeRejected
 		}
-		m.permits[n.ID] = n
+		m.permits[requested.ID] = requested
 	case OpBegin:
-		if p.Stage != Granted && p.Stage != Out {
-			return Refused
+		if permit.Stage != StageGranted && permit.Stage != StageActive {
+			return OutcomeRejected
 		}
-		if p.Stage == Granted {
-			p.Stage, p.OutAt = Out, m.rev
+		if permit.Stage == StageGranted {
+			permit.Stage, permit.BeginRevision = StageActive, m.revision
 		}
 	case OpReturn, OpCancel:
 		switch {
-		case over && op.Kind == OpCancel:
-			return Done
-		case over, !begun && op.Kind == OpReturn:
-			return Refused
+		case closed && op.Kind == OpCancel:
+			return OutcomeApplied
+		case closed, !begun && op.Kind == OpReturn:
+			return OutcomeRejected
 		case !begun:
-			p.Stage = Cancelled
+			permit.Stage = StageCancelled
 		default:
-			if p.Stage == Out {
-				p.Stage, p.BackAt = Returning, m.rev
+			if permit.Stage == StageActive {
+				permit.Stage, permit.ReturnRevision = StageReturning, m.revision
 			}
-			p.Undone = p.Undone || op.Kind == OpCancel
+			permit.Aborted = permit.Aborted || op.Kind == OpCancel
 		}
-	case OpSettle:
-		if over && p.Stage == Settled {
-			return Done
+	case OpComplete:
+		if closed && permit.Stage == StageCompleted {
+			return OutcomeApplied
 		}
-		if !begun || !m.ends(&p, op) {
-			return Refused
+		if !begun || !m.completeUnits(&permit, op) {
+			return OutcomeRejected
 		}
-	case OpRelease:
+	case OpForceComplete:
 		switch {
-		case over:
-			return Done
-		case p.Stage == Asked:
-			p.Stage = Cancelled
+		case closed:
+			return OutcomeApplied
+		case permit.Stage == StageRequested:
+			permit.Stage = StageCancelled
 		default:
-			p.Stage, p.Settled = Settled, p.Units
+			permit.Stage, permit.CompletedUnits = StageCompleted, permit.Units
 		}
 	case OpHalt:
 		if m.budgets["a"].Name == "" && op.Halt.Scope == "budget/a" {
-			return NotFound
+			return OutcomeNotFound
 		}
-		if !slices.ContainsFunc(m.halts, func(h Halt) bool { return h.Scope == op.Halt.Scope && h.By == op.Owner }) {
-			m.halts = append(m.halts, Halt{Scope: op.Halt.Scope, By: op.Owner})
+		if !slices.ContainsFunc(m.halts, func(halt Halt) bool { return halt.Scope == op.Halt.Scope && halt.IssuedBy == op.Owner }) {
+			m.halts = append(m.halts, Halt{Scope: op.Halt.Scope, IssuedBy: op.Owner})
 		}
 	case OpResume:
-		m.halts = slices.DeleteFunc(m.halts, func(h Halt) bool {
-			return h.Scope == op.Halt.Scope && (Operator(op.Owner) || h.By == op.Owner)
+		m.halts = slices.DeleteFunc(m.halts, func(halt Halt) bool {
+			return halt.Scope == op.Halt.Scope && (IsOperator(op.Owner) || halt.IssuedBy == op.Owner)
 		})
 	case OpForget:
 		for _, id := range op.Units {
-			switch u, is := m.units[id]; {
-			case !is:
-				return NotFound
-			case u.Condition != Lost || m.holder(id) != nil:
-				return Refused
+			switch unit, exists := m.units[id]; {
+			case !exists:
+				return OutcomeNotFound
+			case unit.Condition != ConditionLost || m.permitOf(id) != nil:
+				return OutcomeRejected
 			}
 		}
 		for _, id := range op.Units {
 			delete(m.units, id)
 		}
 	}
-	if p.ID != "" {
-		m.permits[p.ID] = p
+	if permit.ID != "" {
+		m.permits[permit.ID] = permit
 	}
-	return Done
+	return OutcomeApplied
 }
 
-// ends takes the evidence for units of a permit.
-func (m *model) ends(p *Permit, op *Op) bool {
-	ids, used := op.Units, map[string]string{}
+// completeUnits takes the evidence for units of a permit.
+func (m *model) completeUnits(permit *Permit, op *Op) bool {
+	ids, predecessors := op.Units, map[string]string{}
 	if len(ids) == 0 {
-		ids = p.Units
+		ids = permit.Units
 	}
-	var now, gone []string
+	var completed, removed []string
 	for _, id := range ids {
-		if !slices.Contains(p.Units, id) {
+		if !slices.Contains(permit.Units, id) {
 			return false
 		}
-		if slices.Contains(p.Settled, id) {
+		if slices.Contains(permit.CompletedUnits, id) {
 			continue
 		}
-		u, by := m.units[id], m.units[op.Successors[id]]
-		back := u.Condition == Up && (u.Rev > p.OutAt || p.Stage == Returning && u.Seen > p.BackAt) && (p.End == ComesBack || p.Undone)
-		left := p.End == Retired && u.Condition == Lost
-		other := p.End != Retired && u.Condition == Lost && by.ID != "" && !m.out(by) && by.For == "" && used[by.ID] == "" &&
-			by.Kind == u.Kind && !slices.Contains(p.Units, by.ID)
-		if !back && !left && !other {
+		unit, successor := m.units[id], m.units[op.Successors[id]]
+		returned := unit.Condition == ConditionUp && (unit.TransitionRevision > permit.BeginRevision || permit.Stage == StageReturning && unit.ObservedRevision > permit.ReturnRevision) && (permit.Disposition == DispositionReturn || permit.Aborted)
+		retired := permit.Disposition == DispositionRetire && unit.Condition == ConditionLost
+		replaced := permit.Disposition != DispositionRetire && unit.Condition == ConditionLost && successor.ID != "" && !m.unavailable(successor) && successor.Predecessor == "" && predecessors[successor.ID] == "" &&
+			successor.Kind == unit.Kind && !slices.Contains(permit.Units, successor.ID)
+		if !returned && !retired && !replaced {
 			return false
 		}
-		now = append(now, id)
-		if !back {
-			gone = append(gone, id)
-			if other {
-				used[by.ID] = id
+		completed = append(completed, id)
+		if !returned {
+			removed = append(removed, id)
+			if replaced {
+				predecessors[successor.ID] = id
 			}
 		}
 	}
-	p.Settled = append(slices.Clone(p.Settled), now...)
-	if len(p.Settled) == len(p.Units) {
-		p.Stage = Settled
+	permit.CompletedUnits = append(slices.Clone(permit.CompletedUnits), completed...)
+	if len(permit.CompletedUnits) == len(permit.Units) {
+		permit.Stage = StageCompleted
 	}
-	for by, id := range used {
-		u := m.units[by]
-		u.For = id
-		m.units[by] = u
+	for successor, id := range predecessors {
+		unit := m.units[successor]
+		unit.Predecessor = id
+		m.units[successor] = unit
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		delete(m.units, id)
 	}
 	return true
 }
 
-// differs says where the ledger is not what the model says.
-func (m *model) differs(t *Table) error {
-	if got, want := t.Units(), m.of(func(*Unit) bool { return true }); !sameJSON(got, append([]Unit{}, want...)) {
-		return fmt.Errorf("units are %s, not %s", text2(got), text2(want))
+// compare says where the ledger is not what the model says.
+func (m *model) compare(l *Ledger) error {
+	if got, want := l.Units(), m.unitsWhere(func(*Unit) bool { return true }); !sameJSON(got, append([]Unit{}, want...)) {
+		return fmt.Errorf("units are %s, not %s", asJSON(got), asJSON(want))
 	}
 	for id, want := range m.permits {
-		got, is := t.Permit(id)
-		if !is || got.Stage != want.Stage || !slices.Equal(got.Settled, want.Settled) {
-			return fmt.Errorf("permit %s is %s, not %s", id, text2(got), text2(want))
+		got, found := l.Permit(id)
+		if !found || got.Stage != want.Stage || !slices.Equal(got.CompletedUnits, want.CompletedUnits) {
+			return fmt.Errorf("permit %s is %s, not %s", id, asJSON(got), asJSON(want))
 		}
-		for _, u := range want.Units { // nobody else has it
-			if h := t.units[u]; want.active() && !slices.Contains(want.Settled, u) && (h == nil || h.holder == nil || h.holder.ID != id) {
-				return fmt.Errorf("%s is not under permit %s", u, id)
+		for _, unitID := range want.Units { // nobody else has it
+			if unit := l.units[unitID]; want.holdsUnits() && !slices.Contains(want.CompletedUnits, unitID) && (unit == nil || unit.permit == nil || unit.permit.ID != id) {
+				return fmt.Errorf("%s is not under permit %s", unitID, id)
 			}
 		}
 	}
-	for _, r := range t.View(false).Rooms {
-		if g := t.groups[r.Name]; g.budget != nil {
-			list := m.of(func(u *Unit) bool { b := m.budgets[g.budget.Name]; return b.Select.Selects(u) })
-			if r.All != len(list) || r.Out != m.outOf(list) {
-				return fmt.Errorf("%s: %d of %d out, not %d of %d", r.Name, r.Out, r.All, m.outOf(list), len(list))
+	for _, status := range l.View(false).Constraints {
+		if c := l.constraints[status.Name]; c.budget != nil {
+			selected := m.unitsWhere(func(unitID *Unit) bool { budget := m.budgets[c.budget.Name]; return budget.Selector.Matches(unitID) })
+			if status.Total != len(selected) || status.Unavailable != m.countUnavailable(selected) {
+				return fmt.Errorf("%s: %d of %d out, not %d of %d", status.Name, status.Unavailable, status.Total, m.countUnavailable(selected), len(selected))
 			}
 		}
 	}
 	return nil
 }
 
-func text2(v any) string {
-	data, err := json.Marshal(v)
+func asJSON(value any) string {
+	data, err := json.Marshal(value)
 	if err != nil {
 		return err.Error()
 	}
 	return string(data)
 }
 
-func sameJSON(a, b any) bool { return text2(a) == text2(b) }
+func sameJSON(a, b any) bool { return asJSON(a) == asJSON(b) }
--- a/internal/lab/live/control.go
+++ b/internal/lab/live/control.go
@@ -148,10 +148,10 @@
 	for i := range c.file.Budgets {
 		b := &c.file.Budgets[i]
 		_, err := c.f.registry.client.Ledger(ctx, registry.Write{}, disruption.Op{
-			Kind: disruption.OpBudget, Owner: "operator/lab", Budget: &disruption.Budget{
-				Name:   b.Name,
-				Select: disruption.Selector{Kind: disruption.Kind(b.Kind), Zone: b.Zone, Model: b.Of},
-				MaxOut: disruption.Limit{Count: b.Told},
+			Kind: disruption.OpSetBudget, Owner: "operator/lab", Budget: &disruption.Budget{
+				Name:           b.Name,
+				Selector:       disruption.Selector{Kind: disruption.Kind(b.Kind), Zone: b.Zone, Model: b.Of},
+				MaxUnavailable: disruption.Limit{Count: b.Told},
 			},
 		})
 		if err != nil {
--- a/internal/lab/live/rogue.go
+++ b/internal/lab/live/rogue.go
@@ -75,12 +75,12 @@
 	client := c.f.registry.client
 	return duty.Run(ctx, client, "spread", duty.Options{}, func(ctx context.Context, l *duty.Lease) error {
 		now := time.Now()
-		var set []placement.Entry
+		var set []placement.Directive
 		for i := range min(rogueKeys, c.f.plan.File.Clients.Keys) {
 			key := fmt.Sprintf("%016x", keyHash(c.f.plan.Key(i)))
-			e := placement.Entry{ID: "spread/" + key, Kind: placement.Spread, Key: key, UntilMS: now.Add(rogueFor).UnixMilli()}
+			e := placement.Directive{ID: "spread/" + key, Kind: placement.KindSpreadKey, KeyHash: key, ExpiresAtMS: now.Add(rogueFor).UnixMilli()}
 			for _, uid := range servers {
-				e.Copies = append(e.Copies, placement.Copy{UID: uid, Share: 1 / float64(len(servers)+1)})
+				e.Copies = append(e.Copies, placement.KeyCopy{ServerUID: uid, LoadFraction: 1 / float64(len(servers)+1)})
 			}
 			set = append(set, e)
 		}
--- a/internal/lab/live/units.go
+++ b/internal/lab/live/units.go
@@ -100,12 +100,12 @@
 		var warm []disruption.Unit
 		for i := range v.Units {
 			u := &v.Units[i]
-			if n, mine := c.numbers[uid(u.ID)]; mine && u.Condition == disruption.Cold && c.isWarm(c.f.servers[n]) {
-				warm = append(warm, disruption.Unit{ID: u.ID, Condition: disruption.Up, Rev: u.Rev})
+			if n, mine := c.numbers[uid(u.ID)]; mine && u.Condition == disruption.ConditionWarmingUp && c.isWarm(c.f.servers[n]) {
+				warm = append(warm, disruption.Unit{ID: u.ID, Condition: disruption.ConditionUp, TransitionRevision: u.TransitionRevision})
 			}
 		}
 		if err == nil && len(warm) > 0 {
-			_, err = client.Ledger(ctx, registry.Write{}, disruption.Op{Kind: disruption.OpSee, Owner: "operator/lab", Seen: warm})
+			_, err = client.Ledger(ctx, registry.Write{}, disruption.Op{Kind: disruption.OpObserve, Owner: "operator/lab", Observed: warm})
 		}
 		if err != nil && c.ctx.Err() == nil {
 			slog.Debug("not seen as warm", "units", len(warm), "error", err)
--- a/internal/lab/live/watch_placement.go
+++ b/internal/lab/live/watch_placement.go
@@ -13,14 +13,14 @@
 // watchPlacement follows what an agent tells its sidecar beyond the list.
 func (c *control) watchPlacement(a *agent) {
 	began := time.Now()
-	reader := placement.NewReader()
+	reader := placement.NewCache()
 	for c.ctx.Err() == nil {
-		err := c.f.registry.client.WatchPlacement(c.ctx, a.addr(), reader.Rev(), reader.Epoch(), func(list *placement.List, _ time.Duration) error {
+		err := c.f.registry.client.WatchPlacement(c.ctx, a.addr(), reader.Revision(), reader.Epoch(), func(list *placement.Update, _ time.Duration) error {
 			if list == nil || c.over.Load() {
 				return nil
 			}
 			now := time.Now()
-			if _, err := reader.Take(list, now.UnixMilli(), now.Sub(began).Milliseconds()); err != nil {
+			if _, err := reader.Apply(list, now.UnixMilli(), now.Sub(began).Milliseconds()); err != nil {
 				return err
 			}
 			c.placed(a.n, reader, now, now.Sub(began).Milliseconds())
@@ -33,22 +33,22 @@
 }
 
 // placed tells the judge which servers a sidecar is told to keep off, and where keys have copies.
-func (c *control) placed(sidecar int, r *placement.Reader, wall time.Time, mono int64) {
+func (c *control) placed(sidecar int, r *placement.Cache, wall time.Time, mono int64) {
 	var kept []lab.Kept
 	var copies []lab.Copied
-	for _, e := range r.At(wall.UnixMilli(), mono).Entries {
+	for _, e := range r.Active(wall.UnixMilli(), mono).Directives {
 		switch e.Kind {
-		case placement.KeepOff:
+		case placement.KindExclude:
 			for _, s := range e.Servers {
-				kept = append(kept, lab.Kept{Tenant: e.Tenant, Server: s, Until: c.now() + float64(e.LeftMS)})
+				kept = append(kept, lab.Kept{Tenant: e.Tenant, Server: s, Until: c.now() + float64(e.RemainingMS)})
 			}
-		case placement.Spread:
-			key, err := strconv.ParseUint(e.Key, 16, 64)
+		case placement.KindSpreadKey:
+			key, err := strconv.ParseUint(e.KeyHash, 16, 64)
 			if err != nil {
 				continue // the reader takes none such
 			}
 			for _, s := range e.Copies {
-				copies = append(copies, lab.Copied{Key: key, Server: s.UID})
+				copies = append(copies, lab.Copied{Key: key, Server: s.ServerUID})
 			}
 		}
 	}
--- a/internal/lab/night/budgets.go
+++ b/internal/lab/night/budgets.go
@@ -10,8 +10,8 @@
 func (o *Options) budgets() []disruption.Budget {
 	servers, sidecars := max(o.Servers/20, 4), max(o.Sidecars/16, 2)
 	return slices.Clone([]disruption.Budget{
-		{Name: "servers", Select: disruption.Selector{Kind: disruption.Server}, MaxOut: disruption.Limit{Count: &servers}},
-		{Name: "sidecars", Select: disruption.Selector{Kind: disruption.Sidecar}, MaxOut: disruption.Limit{Count: &sidecars}},
+		{Name: "servers", Selector: disruption.Selector{Kind: disruption.KindServer}, MaxUnavailable: disruption.Limit{Count: &servers}},
+		{Name: "sidecars", Selector: disruption.Selector{Kind: disruption.KindSidecar}, MaxUnavailable: disruption.Limit{Count: &sidecars}},
 	})
 }
 
@@ -20,11 +20,11 @@
 	for _, b := range w.opt.budgets() {
 		n := 0
 		for _, id := range m.Units {
-			if b.Select.Selects(&w.by[id].Unit) {
+			if b.Selector.Matches(&w.by[id].Unit) {
 				n++
 			}
 		}
-		if n > 0 && w.outs[b.Name]+n > *b.MaxOut.Count {
+		if n > 0 && w.outs[b.Name]+n > *b.MaxUnavailable.Count {
 			return false
 		}
 	}
@@ -37,9 +37,9 @@
 	for _, b := range w.opt.budgets() {
 		n := 0
 		for _, u := range w.units {
-			if b.Select.Selects(&u.Unit) {
+			if b.Selector.Matches(&u.Unit) {
 				k, _ := w.plane.ledger.Unit(u.ID)
-				if _, under := w.plane.at[u.ID]; under || k.Condition != disruption.Up {
+				if _, under := w.plane.at[u.ID]; under || k.Condition != disruption.ConditionUp {
 					n++
 				}
 			}
--- a/internal/lab/night/finish.go
+++ b/internal/lab/night/finish.go
@@ -51,8 +51,8 @@
 			p, _ := w.plane.permit(win.PermitID())
 			j.breaks(ruleStranded, fmt.Sprintf("window %s is %s at the end: %s, permit %s", win.Name, win.Stage, win.Why, p.Stage))
 			for _, uid := range win.Servers {
-				k, _ := w.plane.ledger.Unit(disruption.UnitID(disruption.Server, uid))
-				j.breaks(ruleStranded, fmt.Sprintf("%s serves %v, ledger %+v, permit out %d back %d", uid, w.names[uid].judged.in, k, p.OutAt, p.BackAt))
+				k, _ := w.plane.ledger.Unit(disruption.UnitID(disruption.KindServer, uid))
+				j.breaks(ruleStranded, fmt.Sprintf("%s serves %v, ledger %+v, permit out %d back %d", uid, w.names[uid].judged.in, k, p.BeginRevision, p.ReturnRevision))
 			}
 		}
 	}
@@ -69,7 +69,7 @@
 			k, _ := w.plane.ledger.Unit(u.ID)
 			m, _ := w.plane.permit(s.PermitID(u))
 			out = append(out, fmt.Sprintf("%s %s back %v %s (ledger: %s, permit %s of revision %d, out at %d, undone %v)", u.ID, u.Stage, u.Back, u.Why,
-				k.Condition, m.Stage, m.GotAt, m.OutAt, m.Undone))
+				k.Condition, m.Stage, m.GrantRevision, m.BeginRevision, m.Aborted))
 		}
 	}
 	halts := w.plane.ledger.Halts()
--- a/internal/lab/night/judge.go
+++ b/internal/lab/night/judge.go
@@ -161,7 +161,7 @@
 	for _, b := range j.w.opt.budgets() {
 		n, by, outs := 0, "", []string(nil)
 		for _, u := range j.w.units {
-			if !b.Select.Selects(&u.Unit) {
+			if !b.Selector.Matches(&u.Unit) {
 				continue
 			}
 			if id, is := hit[u]; is {
@@ -174,8 +174,8 @@
 				}
 			}
 		}
-		if by != "" && n > *b.MaxOut.Count {
-			j.breaks(ruleBudget, fmt.Sprintf("%s is granted, and %d of %s are out, %d allowed: %s", by, n, b.Name, *b.MaxOut.Count, strings.Join(outs, ", ")))
+		if by != "" && n > *b.MaxUnavailable.Count {
+			j.breaks(ruleBudget, fmt.Sprintf("%s is granted, and %d of %s are out, %d allowed: %s", by, n, b.Name, *b.MaxUnavailable.Count, strings.Join(outs, ", ")))
 		}
 	}
 }
--- a/internal/lab/night/log.go
+++ b/internal/lab/night/log.go
@@ -17,7 +17,7 @@
 type state struct {
 	rev      uint64
 	epoch    uint64
-	ledger   *disruption.Table
+	ledger   *disruption.Ledger
 	releases *release.Table
 	windows  *window.Table
 	places   *placement.Table
@@ -36,9 +36,9 @@
 )
 
 func newState() *state {
-	s := &state{ledger: disruption.New(), releases: release.NewTable(), windows: window.New(), places: placement.New(),
+	s := &state{ledger: disruption.NewLedger(), releases: release.NewTable(), windows: window.New(), places: placement.NewTable(),
 		duties: table.New(), drains: map[string]uint64{}, done: map[string]answer{}, epoch: 1}
-	s.places.Begin(0, 1)
+	s.places.StartEpoch(0, 1)
 	s.join()
 	return s
 }
@@ -55,16 +55,16 @@
 type saved struct {
 	Rev      uint64
 	Epoch    uint64
-	Ledger   disruption.Saved
+	Ledger   disruption.Snapshot
 	Releases *release.Saved
 	Windows  *window.Saved
-	Places   *placement.Saved
+	Places   *placement.Snapshot
 	Drains   map[string]uint64
 }
 
 // copied is a state of its own, equal to this one.
 func (s *state) copied() *state {
-	data, err := json.Marshal(&saved{s.rev, s.epoch, s.ledger.Save(), s.releases.Save(), s.windows.Save(), s.places.Save(), s.drains})
+	data, err := json.Marshal(&saved{s.rev, s.epoch, s.ledger.Snapshot(), s.releases.Save(), s.windows.Save(), s.places.Snapshot(), s.drains})
 	if err != nil {
 		panic(err) // all of it is made for snapshots
 	}
@@ -72,12 +72,12 @@
 	if err := json.Unmarshal(data, &v); err != nil {
 		panic(err)
 	}
-	ledger, err := disruption.Load(v.Ledger)
+	ledger, err := disruption.Restore(v.Ledger)
 	if err != nil {
 		panic(fmt.Sprintf("a ledger that was saved: %v", err))
 	}
 	out := &state{rev: v.Rev, epoch: v.Epoch, ledger: ledger, releases: release.Load(v.Releases), windows: window.Load(v.Windows),
-		places: placement.Load(v.Places, v.Epoch), duties: s.duties, drains: v.Drains, done: maps.Clone(s.done)}
+		places: placement.Restore(v.Places, v.Epoch), duties: s.duties, drains: v.Drains, done: maps.Clone(s.done)}
 	if out.drains == nil {
 		out.drains = map[string]uint64{}
 	}
@@ -171,26 +171,26 @@
 	}
 	f := p.forged[op.Permit.ID]
 	switch {
-	case op.Kind == disruption.OpAsk && f == nil && p.w.roomy(op.Permit):
+	case op.Kind == disruption.OpRequest && f == nil && p.w.roomy(op.Permit):
 		c := *op.Permit
-		c.Stage, c.GotAt = disruption.Granted, p.rev
+		c.Stage, c.GrantRevision = disruption.StageGranted, p.rev
 		p.forged[c.ID] = &c
 		return true
 	case f == nil:
 		return false
-	case op.Kind == disruption.OpBegin && f.Stage == disruption.Granted:
-		f.Stage, f.OutAt = disruption.Out, p.rev
-	case op.Kind == disruption.OpReturn && f.Stage == disruption.Out:
-		f.Stage, f.BackAt = disruption.Returning, p.rev
+	case op.Kind == disruption.OpBegin && f.Stage == disruption.StageGranted:
+		f.Stage, f.BeginRevision = disruption.StageActive, p.rev
+	case op.Kind == disruption.OpReturn && f.Stage == disruption.StageActive:
+		f.Stage, f.ReturnRevision = disruption.StageReturning, p.rev
 	case op.Kind == disruption.OpCancel:
-		f.Stage = disruption.Cancelled
-	case op.Kind == disruption.OpSettle:
+		f.Stage = disruption.StageCancelled
+	case op.Kind == disruption.OpComplete:
 		for _, id := range f.Units {
-			if u, _ := p.ledger.Unit(id); u.Condition != disruption.Up {
+			if u, _ := p.ledger.Unit(id); u.Condition != disruption.ConditionUp {
 				return true
 			}
 		}
-		f.Stage = disruption.Settled
+		f.Stage = disruption.StageCompleted
 	}
 	return true
 }
@@ -218,12 +218,12 @@
 		now := p.w.now + p.leader.off
 		if p.w.opt.Bugs.PastClose {
 			for i := range r.Set {
-				r.Set[i].UntilMS = now + window.StepMS
+				r.Set[i].ExpiresAtMS = now + window.StepMS
 			}
 		}
-		r.Set = slices.DeleteFunc(r.Set, func(e placement.Entry) bool { return e.UntilMS <= now })
+		r.Set = slices.DeleteFunc(r.Set, func(e placement.Directive) bool { return e.ExpiresAtMS <= now })
 		if len(r.Set)+len(r.Drop) > 0 {
-			p.places.Apply(p.rev, "window", &placement.Op{NowMS: now, Set: r.Set, Drop: r.Drop})
+			p.places.Apply(p.rev, "window", &placement.Op{LeaderTimeMS: now, Set: r.Set, Delete: r.Drop})
 		}
 	}
 	if r.Outcome == window.Applied {
@@ -238,15 +238,17 @@
 	p.state = p.backup
 	p.backup = nil
 	p.rev, p.duties, p.done, p.epoch = rev+1, duties, done, p.epoch+1
-	p.places.Begin(p.rev, p.epoch)
-	p.ledger.Doubt(p.rev, "the list was restored from a backup")
+	p.places.StartEpoch(p.rev, p.epoch)
+	p.ledger.HaltForUncertainty(p.rev, "the list was restored from a backup")
 	p.got, p.at, p.atRev = map[string]uint64{}, map[string]disruption.Permit{}, 0
 	p.look()
 	p.fresh = nil // what was granted before the backup is not granted anew
 }
 
 // over tells whether a permit holds nothing any more.
-func over(s disruption.Stage) bool { return s == disruption.Settled || s == disruption.Cancelled }
+func over(s disruption.Stage) bool {
+	return s == disruption.StageCompleted || s == disruption.StageCancelled
+}
 
 // look brings up to date which unit is under which permit, and which grants are new.
 func (p *plane) look() {
@@ -255,21 +257,21 @@
 	}
 	p.atRev = p.rev
 	clear(p.at)
-	list := p.ledger.Permits()
+	list := p.ledger.OpenPermits()
 	for _, id := range slices.Sorted(maps.Keys(p.forged)) {
 		list = append(list, *p.forged[id])
 	}
 	for _, m := range list {
-		if m.Stage == disruption.Asked || over(m.Stage) {
+		if m.Stage == disruption.StageRequested || over(m.Stage) {
 			continue
 		}
 		for _, u := range m.Units {
-			if !slices.Contains(m.Settled, u) {
+			if !slices.Contains(m.CompletedUnits, u) {
 				p.at[u] = m
 			}
 		}
-		if p.got[m.ID] != m.GotAt {
-			p.got[m.ID] = m.GotAt
+		if p.got[m.ID] != m.GrantRevision {
+			p.got[m.ID] = m.GrantRevision
 			p.fresh = append(p.fresh, m)
 		}
 	}
--- a/internal/lab/night/night.go
+++ b/internal/lab/night/night.go
@@ -245,7 +245,7 @@
 			u.gone = true
 		}
 	}
-	p := release.DrainPlan(drainD, disruption.Selector{Kind: disruption.Server, IDs: gone}, 20000)
+	p := release.DrainPlan(drainD, disruption.Selector{Kind: disruption.KindServer, IDs: gone}, 20000)
 	s, err := release.NewDrain(p, w.now, w.plane.ledger.Units(), w.list())
 	if err == nil {
 		err = w.startRelease(s)
--- a/internal/lab/night/night_test.go
+++ b/internal/lab/night/night_test.go
@@ -60,13 +60,13 @@
 func TestCopiedStateIsItsOwn(t *testing.T) {
 	w := newWorld(5, Options{Sidecars: 16, Servers: 160, Start: 1_780_000_000_000})
 	c := w.plane.copied()
-	if diff := cmp.Diff(w.plane.ledger.Save(), c.ledger.Save()); diff != "" {
+	if diff := cmp.Diff(w.plane.ledger.Snapshot(), c.ledger.Snapshot()); diff != "" {
 		t.Error(diff)
 	}
-	before := c.ledger.Rev()
+	before := c.ledger.Revision()
 	w.plane.rev++
 	w.plane.ledger.Freeze(w.plane.rev, "test")
-	if c.ledger.Rev() != before {
+	if c.ledger.Revision() != before {
 		t.Error("a copy changes with what it is of")
 	}
 }
--- a/internal/lab/night/operator.go
+++ b/internal/lab/night/operator.go
@@ -16,7 +16,7 @@
 	for _, h := range p.ledger.Halts() {
 		if w.now-w.judge.restore > 30_000 {
 			p.rev++
-			p.ledger.Apply(p.rev, &disruption.Op{Kind: disruption.OpResume, Owner: "operator/ops", Halt: &disruption.Halt{Scope: h.Scope, By: h.By}})
+			p.ledger.Apply(p.rev, &disruption.Op{Kind: disruption.OpResume, Owner: "operator/ops", Halt: &disruption.Halt{Scope: h.Scope, IssuedBy: h.IssuedBy}})
 		}
 	}
 	claimed := map[string]bool{}
@@ -36,7 +36,7 @@
 			claimed[u.ID] = !h.Phase.Over() && u.Stage != release.Todo && u.Stage != release.Rest
 			if h.Phase.Over() && u.Stage == release.Lost {
 				p.rev++
-				p.ledger.Apply(p.rev, &disruption.Op{Kind: disruption.OpRelease, Owner: "operator/ops", Permit: &disruption.Permit{ID: s.PermitID(u)}})
+				p.ledger.Apply(p.rev, &disruption.Op{Kind: disruption.OpForceComplete, Owner: "operator/ops", Permit: &disruption.Permit{ID: s.PermitID(u)}})
 			}
 		}
 	}
--- a/internal/lab/night/release.go
+++ b/internal/lab/night/release.go
@@ -118,7 +118,7 @@
 
 // look takes in which lists sidecars have.
 func (c *releaser) look(s *state, _ *supervisor.List) {
-	if !c.state.Drain && c.state.Plan.Kind() != disruption.Server {
+	if !c.state.Drain && c.state.Plan.Kind() != disruption.KindServer {
 		return
 	}
 	var living []string
@@ -130,7 +130,7 @@
 		rev = max(rev, s.drains[id])
 	}
 	for _, u := range c.p.w.sidecars {
-		if k, is := s.ledger.Unit(u.ID); is && k.Condition != disruption.Lost {
+		if k, is := s.ledger.Unit(u.ID); is && k.Condition != disruption.ConditionLost {
 			living = append(living, u.name)
 			has[u.name] = u.car.list
 		}
@@ -187,9 +187,9 @@
 	case release.Ledger:
 		op := e.Op
 		a, known := c.p.write(token, func() (string, string) { return w.plane.ledgerOp(&op) })
-		if known && op.Kind == disruption.OpAsk {
+		if known && op.Kind == disruption.OpRequest {
 			delete(c.denied, op.Permit.ID)
-			if a.outcome != string(disruption.Done) && a.outcome != stale {
+			if a.outcome != string(disruption.OutcomeApplied) && a.outcome != stale {
 				c.denied[op.Permit.ID] = a.why
 			}
 		}
@@ -253,10 +253,10 @@
 
 // free is the planted fault of permits that end with their owner's lease.
 func (w *world) free(owner string) {
-	for _, m := range w.plane.ledger.Permits() {
-		if m.Owner == owner && !over(m.Stage) && m.Stage != disruption.Asked {
+	for _, m := range w.plane.ledger.OpenPermits() {
+		if m.Owner == owner && !over(m.Stage) && m.Stage != disruption.StageRequested {
 			w.plane.rev++
-			w.plane.ledger.Apply(w.plane.rev, &disruption.Op{Kind: disruption.OpRelease, Owner: "operator/ops", Permit: &disruption.Permit{ID: m.ID}})
+			w.plane.ledger.Apply(w.plane.rev, &disruption.Op{Kind: disruption.OpForceComplete, Owner: "operator/ops", Permit: &disruption.Permit{ID: m.ID}})
 		}
 	}
 }
--- a/internal/lab/night/sidecars.go
+++ b/internal/lab/night/sidecars.go
@@ -6,14 +6,14 @@
 
 // walk has sidecars take in what their agents have, and end what is over.
 func (w *world) walk() {
-	if rev := max(w.plane.places.Rev(), w.plane.rev); rev != w.moved {
+	if rev := max(w.plane.places.Revision(), w.plane.rev); rev != w.moved {
 		w.moved, w.walkTo = rev, w.now+3000
 	}
 	if w.now > w.walkTo && w.now%5000 != 0 {
 		return
 	}
 	leader := w.now + w.plane.leader.off
-	whole := w.plane.places.Whole(leader)
+	whole := w.plane.places.CompleteUpdate(leader)
 	for _, u := range w.sidecars {
 		c := u.car
 		for _, id := range sorted(c.forced) {
@@ -25,20 +25,20 @@
 			continue
 		}
 		c.list = w.plane.rev
-		if c.rev == whole.Rev && c.epoch == whole.Epoch {
+		if c.rev == whole.Revision && c.epoch == whole.Epoch {
 			continue
 		}
 		had := c.rev
 		if c.epoch != whole.Epoch {
 			had = 0
 		}
-		c.rev, c.epoch = whole.Rev, whole.Epoch
+		c.rev, c.epoch = whole.Revision, whole.Epoch
 		told := map[string]bool{}
-		for i := range whole.Entries {
-			if e := &whole.Entries[i]; e.Kind == placement.KeepOff {
+		for i := range whole.Directives {
+			if e := &whole.Directives[i]; e.Kind == placement.KindExclude {
 				told[e.ID] = true
-				if e.Rev > had || c.forced[e.ID] == nil {
-					w.force(u, e, e.UntilMS-leader)
+				if e.Revision > had || c.forced[e.ID] == nil {
+					w.force(u, e, e.ExpiresAtMS-leader)
 				}
 			}
 		}
@@ -51,9 +51,9 @@
 }
 
 // force has a sidecar follow an entry: until its own clock says that it is over, or what was left of it has passed.
-func (w *world) force(u *unit, e *placement.Entry, left int64) {
+func (w *world) force(u *unit, e *placement.Directive, left int64) {
 	c := u.car
-	end := min(e.UntilMS-c.off, w.now+left)
+	end := min(e.ExpiresAtMS-c.off, w.now+left)
 	f := c.forced[e.ID]
 	if f != nil && f.end <= w.now {
 		w.lapse(u, e.ID, f.end)
--- a/internal/lab/night/spreader.go
+++ b/internal/lab/night/spreader.go
@@ -38,7 +38,7 @@
 	d.Sidecars(len(c.p.w.sidecars))
 	d.Servers(c.servers())
 	w := c.p.w
-	d.Resume(float64(w.now)/1000, w.plane.places.Whole(w.now+w.plane.leader.off).Entries)
+	d.Resume(float64(w.now)/1000, w.plane.places.CompleteUpdate(w.now+w.plane.leader.off).Directives)
 }
 
 func (c *spreader) servers() []spread.Server {
@@ -54,11 +54,11 @@
 	list := make([]spread.Server, 0, len(w.servers))
 	for _, u := range w.servers {
 		k, _ := w.plane.ledger.Unit(u.ID)
-		if k.Condition == disruption.Lost {
+		if k.Condition == disruption.ConditionLost {
 			continue
 		}
-		list = append(list, spread.Server{UID: u.name, Zone: u.Zone, Pod: u.Pod, Capacity: 1, Boot: float64(u.bootMS), KeptOff: off[u.name],
-			Ready: k.Condition == disruption.Up || k.Condition == disruption.Cold, Cold: k.Condition == disruption.Cold})
+		list = append(list, spread.Server{UID: u.name, Zone: u.Zone, Pod: u.PodGroup, Capacity: 1, Boot: float64(u.bootMS), KeptOff: off[u.name],
+			Ready: k.Condition == disruption.ConditionUp || k.Condition == disruption.ConditionWarmingUp, Cold: k.Condition == disruption.ConditionWarmingUp})
 	}
 	return list
 }
@@ -76,9 +76,9 @@
 		if !u.alive || u.car.mute > w.now {
 			continue
 		}
-		r := placement.Report{Name: u.name, Rev: u.car.rev, SpanMS: 1000, HeatAll: 2 * all / float64(len(w.sidecars))}
+		r := placement.LoadReport{Sidecar: u.name, PlacementRevision: u.car.rev, IntervalMS: 1000, TotalKeyLoad: 2 * all / float64(len(w.sidecars))}
 		if w.hot() {
-			r.Heat = []placement.Heat{{Key: spread.Name(w.night.hotKey), Load: all / float64(len(w.sidecars))}}
+			r.HotKeys = []placement.KeyLoad{{KeyHash: spread.Name(w.night.hotKey), Load: all / float64(len(w.sidecars))}}
 		}
 		c.d.Report(now, &r)
 	}
@@ -95,29 +95,29 @@
 	id := e.Drop
 	if e.Put != nil {
 		id = e.Put.ID
-		op.Set = []placement.Entry{*e.Put}
+		op.Set = []placement.Directive{*e.Put}
 	} else {
-		op.Drop = []string{e.Drop}
+		op.Delete = []string{e.Drop}
 	}
 	a, known := c.p.write(c.token, func() (string, string) {
-		op.NowMS = w.now + w.plane.leader.off
+		op.LeaderTimeMS = w.now + w.plane.leader.off
 		had := map[string]bool{}
 		if e.Put != nil {
-			for _, old := range w.plane.places.Whole(op.NowMS).Entries {
+			for _, old := range w.plane.places.CompleteUpdate(op.LeaderTimeMS).Directives {
 				if old.ID == id {
 					for _, k := range old.Copies {
-						had[k.UID] = true
+						had[k.ServerUID] = true
 					}
 				}
 			}
 		}
 		out, why := w.plane.places.Apply(w.plane.rev, spread.Duty, op)
-		if out == placement.Done && e.Put != nil {
+		if out == placement.OutcomeApplied && e.Put != nil {
 			w.judge.copies(e.Put, had)
 		}
 		return string(out), why
 	})
-	if known && a.outcome == string(placement.Done) {
+	if known && a.outcome == string(placement.OutcomeApplied) {
 		d.Wrote(id, w.plane.rev)
 	}
 }
@@ -132,11 +132,11 @@
 }
 
 // copies: an entry is told, and its copies that were not there before are to be warmed.
-func (j *referee) copies(e *placement.Entry, had map[string]bool) {
+func (j *referee) copies(e *placement.Directive, had map[string]bool) {
 	cfg := j.w.spreadConfig()
 	added := 0
 	for _, k := range e.Copies {
-		if !had[k.UID] {
+		if !had[k.ServerUID] {
 			added++
 		}
 	}
--- a/internal/lab/night/windows.go
+++ b/internal/lab/night/windows.go
@@ -56,13 +56,13 @@
 }
 
 // report is what a sidecar says of what it keeps off.
-func (w *world) report(u *unit) placement.Report {
-	r := placement.Report{Name: u.name, Rev: u.car.rev, Open: map[string]int{}}
+func (w *world) report(u *unit) placement.LoadReport {
+	r := placement.LoadReport{Sidecar: u.name, PlacementRevision: u.car.rev, ExcludedInFlight: map[string]int{}}
 	for id, f := range u.car.forced {
 		if f.end > w.now {
-			r.Open[id] = 0
+			r.ExcludedInFlight[id] = 0
 			if f.drain > w.now {
-				r.Open[id] = 1
+				r.ExcludedInFlight[id] = 1
 			}
 		}
 	}
@@ -87,21 +87,21 @@
 // windowAct is an act on the ledger; its outcome is told in the words of windows.
 func (w *world) windowAct(a *window.Act) (string, string) {
 	op := a.Op()
-	if a.Kind == disruption.OpSee {
+	if a.Kind == disruption.OpObserve {
 		op.Permit = nil
 		for _, uid := range a.Servers {
 			if u := w.names[uid]; w.serves(u) {
-				op.Seen = append(op.Seen, disruption.Unit{ID: u.ID, Condition: disruption.Up})
+				op.Observed = append(op.Observed, disruption.Unit{ID: u.ID, Condition: disruption.ConditionUp})
 			}
 		}
-		if len(op.Seen) == 0 {
+		if len(op.Observed) == 0 {
 			return string(window.Applied), ""
 		}
 	}
 	switch out, why := w.plane.ledgerOp(op); {
-	case out == string(disruption.Done):
+	case out == string(disruption.OutcomeApplied):
 		return string(window.Applied), ""
-	case a.Kind == disruption.OpAsk:
+	case a.Kind == disruption.OpRequest:
 		return string(window.Bad), why
 	default:
 		return string(window.Held), why
@@ -164,5 +164,5 @@
 		w.judge.breaks(ruleHours, fmt.Sprintf("the contract of %s is %s", tenant, out))
 	}
 	w.plane.rev++ // the command that sets a contract sets the budget that goes with it
-	w.plane.ledger.Apply(w.plane.rev, &disruption.Op{Kind: disruption.OpBudget, Owner: "operator/ops", Budget: window.BudgetOf(&c)})
+	w.plane.ledger.Apply(w.plane.rev, &disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/ops", Budget: window.BudgetOf(&c)})
 }
--- a/internal/lab/night/world.go
+++ b/internal/lab/night/world.go
@@ -124,19 +124,19 @@
 	w.platform = fake.New(fake.Options{Versions: versions}, w.now)
 	for _, b := range opt.budgets() {
 		w.plane.rev++
-		w.plane.ledger.Apply(w.plane.rev, &disruption.Op{Kind: disruption.OpBudget, Owner: "operator/ops", Budget: &b})
+		w.plane.ledger.Apply(w.plane.rev, &disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/ops", Budget: &b})
 	}
 	for i := range opt.Servers {
 		u := &unit{name: fmt.Sprintf("s%04d", i)}
 		zone := i * len(zones) / opt.Servers
-		u.Unit = disruption.Unit{Kind: disruption.Server, Zone: zones[zone], Model: "m" + fmt.Sprint(i%4), Pod: i / 10, Capacity: 1}
+		u.Unit = disruption.Unit{Kind: disruption.KindServer, Zone: zones[zone], Model: "m" + fmt.Sprint(i%4), PodGroup: i / 10, Capacity: 1}
 		u.Tenants = [][]string{{"portal"}, {"teller"}, {"portal", "teller"}, {"island"}}[i/10%4]
 		w.fleet[u.name] = u.Tenants
 		w.addUnit(u)
 	}
 	for i := range opt.Sidecars {
 		u := &unit{name: fmt.Sprintf("c%04d", i), car: &sidecar{clock: w.goodClock(), lag: w.rng.Int64N(900), forced: map[string]*forced{}}}
-		u.Unit = disruption.Unit{Kind: disruption.Sidecar, Zone: zones[i*len(zones)/opt.Sidecars], Capacity: 1}
+		u.Unit = disruption.Unit{Kind: disruption.KindSidecar, Zone: zones[i*len(zones)/opt.Sidecars], Capacity: 1}
 		w.addUnit(u)
 	}
 	list := w.list()
@@ -155,7 +155,7 @@
 func (w *world) addUnit(u *unit) {
 	u.ID = disruption.UnitID(u.Kind, u.name)
 	w.units = append(w.units, u)
-	if u.Kind == disruption.Server {
+	if u.Kind == disruption.KindServer {
 		w.servers = append(w.servers, u)
 	} else {
 		w.sidecars = append(w.sidecars, u)
@@ -200,7 +200,7 @@
 		u.ready = far // the platform's own check is met, the list's is not
 	}
 	u.warm = u.ready
-	if u.Kind == disruption.Server && u.ready != far {
+	if u.Kind == disruption.KindServer && u.ready != far {
 		u.warm += warmMS
 	}
 	if u.car != nil { // it begins anew, and knows nothing
@@ -269,15 +269,15 @@
 		known, is := p.ledger.Unit(u.ID)
 		since := max(u.lost, p.since)
 		switch all := len(w.servers); {
-		case !is || known.Condition == disruption.Lost || w.now-since < leaseMS:
+		case !is || known.Condition == disruption.ConditionLost || w.now-since < leaseMS:
 		case u.car == nil && missing*massPart > all && w.now-since < holdMS:
-			if known.Condition != disruption.Unseen {
+			if known.Condition != disruption.ConditionUnknown {
 				p.rev++
-				p.ledger.Unsee(p.rev, u.ID)
+				p.ledger.MarkUnknown(p.rev, u.ID)
 			}
 		default:
 			p.rev++
-			p.ledger.Lose(p.rev, u.ID)
+			p.ledger.MarkLost(p.rev, u.ID)
 			if u.gone {
 				delete(p.drains, u.ID)
 			}
@@ -287,27 +287,27 @@
 	u.lost = 0
 	known, is := p.ledger.Unit(u.ID)
 	n := u.Unit
-	n.Version, n.Condition, n.BootMS = u.version, disruption.Up, float64(u.bootMS)
+	n.Version, n.Condition, n.BootMS = u.version, disruption.ConditionUp, float64(u.bootMS)
 	if is && known.BootMS != n.BootMS && p.drains[u.ID] != 0 {
 		delete(p.drains, u.ID) // it registers anew
 		p.rev++
 	}
 	switch {
 	case u.ready > w.now || u.busy:
-		n.Condition = disruption.Unready
+		n.Condition = disruption.ConditionUnready
 	case p.drains[u.ID] != 0:
-		n.Condition = disruption.Draining
+		n.Condition = disruption.ConditionDraining
 	}
 	p.rev++
 	p.ledger.Register(p.rev, n)
 	known, _ = p.ledger.Unit(u.ID)
 	found := n.Condition
-	if found == disruption.Up && u.warm > w.now {
-		found = disruption.Cold
+	if found == disruption.ConditionUp && u.warm > w.now {
+		found = disruption.ConditionWarmingUp
 	}
-	if found != disruption.Draining && known.Condition != found {
+	if found != disruption.ConditionDraining && known.Condition != found {
 		p.rev++
-		p.ledger.Apply(p.rev, &disruption.Op{Kind: disruption.OpSee, Owner: "prober", Seen: []disruption.Unit{{ID: u.ID, Condition: found}}})
+		p.ledger.Apply(p.rev, &disruption.Op{Kind: disruption.OpObserve, Owner: "prober", Observed: []disruption.Unit{{ID: u.ID, Condition: found}}})
 		known, _ = p.ledger.Unit(u.ID)
 	}
 	u.active = u.ready > w.now && u.ready != far || u.warm > w.now && u.warm != far || known.Condition != found
--- a/internal/lab/sim/spread.go
+++ b/internal/lab/sim/spread.go
@@ -33,7 +33,7 @@
 	decider *spread.Decider // nil: nobody decides
 	writing bool
 	rev     uint64
-	entries map[string]placement.Entry
+	entries map[string]placement.Directive
 	told    balance.Placement // all entries, as sidecars get them
 	cars    []car             // by sidecar
 
@@ -52,7 +52,7 @@
 	p := e.plan
 	s := &spreader{
 		e: e, file: p.File.Spread, judge: lab.NewSpreadJudge(p, e.judge), rng: rand.New(rand.NewPCG(p.Seed, 98)),
-		hot: p.HotKeys(), entries: map[string]placement.Entry{}, cars: make([]car, len(p.Sidecars)), lying: map[int]bool{},
+		hot: p.HotKeys(), entries: map[string]placement.Directive{}, cars: make([]car, len(p.Sidecars)), lying: map[int]bool{},
 	}
 	bear, work := s.file.Bear, s.file.WorkMS
 	if bear == 0 {
@@ -125,7 +125,7 @@
 	s.decider = d
 	s.look(now)
 	d.Sidecars(len(s.cars))
-	var entries []placement.Entry
+	var entries []placement.Directive
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
 		entries = append(entries, s.entries[id])
 	}
@@ -156,15 +156,15 @@
 		s.decider.Servers(list)
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
-		if e := s.entries[id]; float64(e.UntilMS) <= 1000*unix(now) {
+		if e := s.entries[id]; float64(e.ExpiresAtMS) <= 1000*unix(now) {
 			delete(s.entries, id)
 			s.judge.Placed(now, keyOf(&e), nil)
 		}
 	}
 }
 
-func keyOf(e *placement.Entry) uint64 {
-	key, _ := strconv.ParseUint(e.Key, 16, 64) // the decider wrote it
+func keyOf(e *placement.Directive) uint64 {
+	key, _ := strconv.ParseUint(e.KeyHash, 16, 64) // the decider wrote it
 	return key
 }
 
@@ -192,17 +192,17 @@
 	if !n.up || n.frozen {
 		return
 	}
-	top := c.heat.Top(now/1000, placement.MaxHeat)
-	r := &placement.Report{Name: n.plan.Name, Rev: c.rev, SpanMS: s.file.ReportMS, HeatAll: top.All}
+	top := c.heat.Top(now/1000, placement.MaxHotKeys)
+	r := &placement.LoadReport{Sidecar: n.plan.Name, PlacementRevision: c.rev, IntervalMS: s.file.ReportMS, TotalKeyLoad: top.All}
 	for _, f := range top.Figures {
-		r.Heat = append(r.Heat, placement.Heat{Key: spread.Name(f.Key), Load: f.Load, Error: f.Error})
+		r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: spread.Name(f.Key), Load: f.Load, ErrorBound: f.Error})
 	}
 	if s.lying[at] {
-		r.Heat = nil
+		r.HotKeys = nil
 		for k := range lies {
-			r.Heat = append(r.Heat, placement.Heat{Key: spread.Name(uint64(k + 1)), Load: top.All})
+			r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: spread.Name(uint64(k + 1)), Load: top.All})
 		}
-		r.HeatAll = lies * top.All
+		r.TotalKeyLoad = lies * top.All
 	}
 	for _, part := range s.lost {
 		if s.rng.Float64() < part {
@@ -240,12 +240,12 @@
 		if f.Put != nil {
 			id = f.Put.ID
 			e := *f.Put
-			e.Rev = s.rev
+			e.Revision = s.rev
 			s.entries[id] = e
 			shares := map[int]float64{}
 			for _, c := range e.Copies {
-				if h := s.e.byID[serverID(c.UID)]; h != nil {
-					shares[h.n] = c.Share
+				if h := s.e.byID[serverID(c.ServerUID)]; h != nil {
+					shares[h.n] = c.LoadFraction
 				}
 			}
 			s.judge.Placed(now, keyOf(&e), shares)
@@ -259,9 +259,9 @@
 	s.told = balance.Placement{}
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
 		e := s.entries[id]
-		one := balance.HotKey{Key: keyOf(&e), ExpiresAt: float64(e.UntilMS) - 1000*unixZero}
+		one := balance.HotKey{Key: keyOf(&e), ExpiresAt: float64(e.ExpiresAtMS) - 1000*unixZero}
 		for _, c := range e.Copies {
-			one.Replicas = append(one.Replicas, balance.Replica{Server: serverID(c.UID), LoadFraction: c.Share})
+			one.Replicas = append(one.Replicas, balance.Replica{Server: serverID(c.ServerUID), LoadFraction: c.LoadFraction})
 		}
 		s.told.HotKeys = append(s.told.HotKeys, one)
 	}
--- a/internal/placement/fixtures_test.go
+++ b/internal/placement/fixtures_test.go
@@ -92,21 +92,21 @@
 func play(t *testing.T, table *Table, stored storedOperation) (came string, nowMS int64) {
 	t.Helper()
 	if stored.Epoch != 0 {
-		table.Begin(stored.Index, stored.Epoch)
+		table.StartEpoch(stored.Index, stored.Epoch)
 		return fmt.Sprintf("%d epoch %d", stored.Index, stored.Epoch), 0
 	}
 	var op Op
 	decodeStrictly(t, stored.Op, &op)
 	outcome, reason := table.Apply(stored.Index, stored.Lease, &op)
-	return fmt.Sprintf("%d %s: %s", stored.Index, outcome, reason), op.NowMS
+	return fmt.Sprintf("%d %s: %s", stored.Index, outcome, reason), op.LeaderTimeMS
 }
 
 // Stored operations, snapshots and the lines that watchers are written are read and written as they were, and a table
 // restored from any snapshot goes on to the same one.
 func TestStoredPlacementIsCompatible(t *testing.T) {
 	operations := readOperations(t)
-	table := New()
-	table.Begin(1, 7)
+	table := NewTable()
+	table.StartEpoch(1, 7)
 	var outcomes, lines, snapshots bytes.Buffer
 	var saved [][]byte
 	var epochs []uint64
@@ -115,29 +115,29 @@
 		came, leaderMS := play(t, table, stored)
 		nowMS = max(nowMS, leaderMS)
 		fmt.Fprintln(&outcomes, came)
-		snapshot := encodeLine(t, table.Save())
+		snapshot := encodeLine(t, table.Snapshot())
 		saved, epochs = append(saved, snapshot), append(epochs, table.Epoch())
 		snapshots.Write(snapshot)
-		line := table.Since(after, epoch, nowMS)
+		line := table.ChangesSince(after, epoch, nowMS)
 		lines.Write(encodeLine(t, line))
-		after, epoch = line.Rev, line.Epoch
+		after, epoch = line.Revision, line.Epoch
 	}
-	lines.Write(encodeLine(t, table.Whole(nowMS)))
+	lines.Write(encodeLine(t, table.CompleteUpdate(nowMS)))
 	requireGolden(t, "outcomes.txt", outcomes.Bytes())
 	requireGolden(t, "snapshots.jsonl", snapshots.Bytes())
 	requireGolden(t, "watch.jsonl", lines.Bytes())
 
 	for i, data := range saved {
-		var snapshot Saved
+		var snapshot Snapshot
 		decodeStrictly(t, data, &snapshot)
-		restored := Load(&snapshot, epochs[i])
-		if again := encodeLine(t, restored.Save()); !bytes.Equal(again, data) {
+		restored := Restore(&snapshot, epochs[i])
+		if again := encodeLine(t, restored.Snapshot()); !bytes.Equal(again, data) {
 			t.Fatalf("snapshot %d is written as\n%s\nnot\n%s", i+1, again, data)
 		}
 		for _, stored := range operations[i+1:] {
 			play(t, restored, stored)
 		}
-		if last := encodeLine(t, restored.Save()); !bytes.Equal(last, saved[len(saved)-1]) {
+		if last := encodeLine(t, restored.Snapshot()); !bytes.Equal(last, saved[len(saved)-1]) {
 			t.Fatalf("restored after operation %d it ends as\n%s\nnot\n%s", i+1, last, saved[len(saved)-1])
 		}
 	}
@@ -146,34 +146,34 @@
 // The lines of a watch are read as they were: what is in force afterwards, what is told on and what is saved, each with
 // its end, by a wall clock that is 3 ms off and a monotonic clock of another origin.
 func TestWatchLinesAreReadAlike(t *testing.T) {
-	reader := NewReader()
+	reader := NewCache()
 	var rewritten, states bytes.Buffer
 	wallMS, monotonicMS := int64(1_000_003), int64(5_000)
 	for line := range bytes.Lines(readGolden(t, "watch.jsonl")) {
-		var list List
+		var list Update
 		decodeStrictly(t, line, &list)
 		rewritten.Write(encodeLine(t, list))
-		before := reader.Rev()
-		fresh, err := reader.Take(&list, wallMS, monotonicMS)
-		fmt.Fprintf(&states, "taken %v, error %v, %d entries at revision %d of epoch %d\n", fresh, err, reader.Len(), reader.Rev(), reader.Epoch())
-		states.Write(encodeLine(t, reader.At(wallMS, monotonicMS)))
-		states.Write(encodeLine(t, reader.Since(before, reader.Epoch(), wallMS+50, monotonicMS+50)))
-		states.Write(encodeLine(t, reader.Save(wallMS+100, monotonicMS+100)))
+		before := reader.Revision()
+		fresh, err := reader.Apply(&list, wallMS, monotonicMS)
+		fmt.Fprintf(&states, "taken %v, error %v, %d entries at revision %d of epoch %d\n", fresh, err, reader.Len(), reader.Revision(), reader.Epoch())
+		states.Write(encodeLine(t, reader.Active(wallMS, monotonicMS)))
+		states.Write(encodeLine(t, reader.ChangesSince(before, reader.Epoch(), wallMS+50, monotonicMS+50)))
+		states.Write(encodeLine(t, reader.Snapshot(wallMS+100, monotonicMS+100)))
 		wallMS, monotonicMS = wallMS+250, monotonicMS+260
 	}
 	requireGolden(t, "watch.jsonl", rewritten.Bytes())
 
-	saved := reader.Save(wallMS, monotonicMS)
-	restored := NewReader()
+	saved := reader.Snapshot(wallMS, monotonicMS)
+	restored := NewCache()
 	if err := restored.Restore(saved, wallMS, wallMS+400, 70); err != nil {
 		t.Fatal(err)
 	}
-	states.Write(encodeLine(t, restored.At(wallMS+400, 70)))
-	err := NewReader().Restore(saved, wallMS, wallMS-1, 70)
+	states.Write(encodeLine(t, restored.Active(wallMS+400, 70)))
+	err := NewCache().Restore(saved, wallMS, wallMS-1, 70)
 	fmt.Fprintln(&states, err)
-	_, err = NewReader().Take(&List{Rev: 3, Epoch: 7}, wallMS, monotonicMS)
+	_, err = NewCache().Apply(&Update{Revision: 3, Epoch: 7}, wallMS, monotonicMS)
 	fmt.Fprintln(&states, err)
-	_, err = NewReader().Take(&List{Rev: 3, Epoch: 7, All: true, Entries: make([]Entry, MaxEntries+1)}, wallMS, monotonicMS)
+	_, err = NewCache().Apply(&Update{Revision: 3, Epoch: 7, Complete: true, Directives: make([]Directive, MaxDirectives+1)}, wallMS, monotonicMS)
 	fmt.Fprintln(&states, err)
 	requireGolden(t, "watch-read.txt", states.Bytes())
 }
@@ -182,78 +182,80 @@
 func TestReportIsCompatible(t *testing.T) {
 	var rewritten bytes.Buffer
 	for line := range bytes.Lines(readGolden(t, "reports.jsonl")) {
-		var report Report
+		var report LoadReport
 		decodeStrictly(t, line, &report)
-		if err := report.Check(); err != nil {
+		if err := report.Validate(); err != nil {
 			t.Errorf("%s: %v", line, err)
 		}
 		rewritten.Write(encodeLine(t, report))
 	}
 	requireGolden(t, "reports.jsonl", rewritten.Bytes())
-	requireGolden(t, "latency-bounds.json", encodeLine(t, LatencyBounds))
+	requireGolden(t, "latency-bounds.json", encodeLine(t, LatencyBucketBounds))
 }
 
 // Checks tell the same fields and reasons, which clients are answered with.
 func TestFieldErrorTexts(t *testing.T) {
-	long := strings.Repeat("x", MaxID+1)
+	long := strings.Repeat("x", MaxIDLength+1)
 	var lines strings.Builder
-	entry := func(change func(*Entry)) {
-		changed := window("window/a/t", 10, "s")
+	entry := func(change func(*Directive)) {
+		changed := exclusion("window/a/t", 10, "s")
 		change(&changed)
-		fmt.Fprintln(&lines, changed.Check())
+		fmt.Fprintln(&lines, changed.Validate())
 	}
-	entry(func(e *Entry) { e.ID = long })
-	entry(func(e *Entry) { e.Tenant = long })
-	entry(func(e *Entry) { e.Servers = make([]string, MaxServers+1) })
-	entry(func(e *Entry) { e.Copies = make([]Copy, MaxCopies+1) })
-	entry(func(e *Entry) { e.Servers = []string{""} })
-	entry(func(e *Entry) { e.Copies = []Copy{{"s", 2}} })
-	entry(func(e *Entry) { e.ID = "what/a" })
-	entry(func(e *Entry) { e.ID = "window//t" })
-	entry(func(e *Entry) { e.Kind = Cohort })
-	entry(func(e *Entry) { e.UntilMS = 0 })
-	entry(func(e *Entry) { e.Least = math.NaN() })
-	entry(func(e *Entry) { e.Tenant = "" })
-	entry(func(e *Entry) { e.ID, e.Kind = "cohort/r", Cohort })
-	entry(func(e *Entry) { e.Servers = nil })
-	entry(func(e *Entry) { e.ID, e.Kind = "spread/k", Spread })
-	entry(func(e *Entry) { e.ID, e.Kind, e.Key = "spread/k", Spread, "0123456789abcdef" })
-	entry(func(e *Entry) { e.Servers = []string{"s", "s"} })
-	entry(func(e *Entry) { e.Copies = []Copy{{"s", 0}, {"s", 1}} })
-	valid := window("window/a/t", 10, "s")
+	entry(func(e *Directive) { e.ID = long })
+	entry(func(e *Directive) { e.Tenant = long })
+	entry(func(e *Directive) { e.Servers = make([]string, MaxServersPerDirective+1) })
+	entry(func(e *Directive) { e.Copies = make([]KeyCopy, MaxCopiesPerKey+1) })
+	entry(func(e *Directive) { e.Servers = []string{""} })
+	entry(func(e *Directive) { e.Copies = []KeyCopy{{"s", 2}} })
+	entry(func(e *Directive) { e.ID = "what/a" })
+	entry(func(e *Directive) { e.ID = "window//t" })
+	entry(func(e *Directive) { e.Kind = KindCohort })
+	entry(func(e *Directive) { e.ExpiresAtMS = 0 })
+	entry(func(e *Directive) { e.MinAvailable = math.NaN() })
+	entry(func(e *Directive) { e.Tenant = "" })
+	entry(func(e *Directive) { e.ID, e.Kind = "cohort/r", KindCohort })
+	entry(func(e *Directive) { e.Servers = nil })
+	entry(func(e *Directive) { e.ID, e.Kind = "spread/k", KindSpreadKey })
+	entry(func(e *Directive) { e.ID, e.Kind, e.KeyHash = "spread/k", KindSpreadKey, "0123456789abcdef" })
+	entry(func(e *Directive) { e.Servers = []string{"s", "s"} })
+	entry(func(e *Directive) { e.Copies = []KeyCopy{{"s", 0}, {"s", 1}} })
+	valid := exclusion("window/a/t", 10, "s")
 	for _, op := range []Op{
-		{}, {Set: make([]Entry, MaxSet+1)}, {Drop: make([]string, MaxEntries+1)}, {Set: []Entry{valid, valid}},
-		{Set: []Entry{valid}, Drop: []string{valid.ID}}, {Drop: []string{""}}, {Set: []Entry{{}}},
+		{}, {Set: make([]Directive, MaxSetPerOp+1)}, {Delete: make([]string, MaxDirectives+1)}, {Set: []Directive{valid, valid}},
+		{Set: []Directive{valid}, Delete: []string{valid.ID}}, {Delete: []string{""}}, {Set: []Directive{{}}},
 	} {
-		fmt.Fprintln(&lines, op.Check())
+		fmt.Fprintln(&lines, op.Validate())
 	}
-	report := func(change func(*Report)) {
-		changed := Report{Name: "sidecar"}
+	report := func(change func(*LoadReport)) {
+		changed := LoadReport{Sidecar: "sidecar"}
 		change(&changed)
-		fmt.Fprintln(&lines, changed.Check())
+		fmt.Fprintln(&lines, changed.Validate())
 	}
-	report(func(r *Report) { r.Name = "" })
-	report(func(r *Report) { r.Zone = long })
-	report(func(r *Report) { r.Version = long })
-	report(func(r *Report) { r.SpanMS = -1 })
-	report(func(r *Report) { r.Suspended = make([]string, MaxOpen+1) })
-	report(func(r *Report) { r.Heat = make([]Heat, MaxHeat+1) })
-	report(func(r *Report) { r.HeatAll = math.Inf(1) })
-	report(func(r *Report) { r.Counts = make([]Count, MaxCounts+1) })
-	report(func(r *Report) { r.Open = map[string]int{"window/a": -1} })
-	report(func(r *Report) { r.Suspended = []string{""} })
-	report(func(r *Report) { r.Heat = []Heat{{Key: "x", Load: 1, Error: 2}} })
-	report(func(r *Report) { r.Counts = []Count{{Class: long}} })
-	report(func(r *Report) { r.Counts = []Count{{Served: 3, Late: -1}} })
-	report(func(r *Report) { r.Counts = []Count{{Latency: make([]uint32, len(LatencyBounds)+2)}} })
-	report(func(r *Report) { r.Counts = []Count{{Latency: []uint32{math.MaxUint32, 1}}} })
+	report(func(r *LoadReport) { r.Sidecar = "" })
+	report(func(r *LoadReport) { r.Zone = long })
+	report(func(r *LoadReport) { r.Version = long })
+	report(func(r *LoadReport) { r.IntervalMS = -1 })
+	report(func(r *LoadReport) { r.SuspendedDirectives = make([]string, MaxExclusions+1) })
+	report(func(r *LoadReport) { r.HotKeys = make([]KeyLoad, MaxHotKeys+1) })
+	report(func(r *LoadReport) { r.TotalKeyLoad = math.Inf(1) })
+	report(func(r *LoadReport) { r.ClassCounts = make([]ClassCount, MaxClassCounts+1) })
+	report(func(r *LoadReport) { r.ExcludedInFlight = map[string]int{"window/a": -1} })
+	report(func(r *LoadReport) { r.SuspendedDirectives = []string{""} })
+	report(func(r *LoadReport) { r.HotKeys = []KeyLoad{{KeyHash: "x", Load: 1, ErrorBound: 2}} })
+	report(func(r *LoadReport) { r.ClassCounts = []ClassCount{{Class: long}} })
+	report(func(r *LoadReport) { r.ClassCounts = []ClassCount{{Succeeded: 3, Late: -1}} })
+	report(func(r *LoadReport) {
+		r.ClassCounts = []ClassCount{{LatencyHistogram: make([]uint32, len(LatencyBucketBounds)+2)}}
+	})
+	report(func(r *LoadReport) { r.ClassCounts = []ClassCount{{LatencyHistogram: []uint32{math.MaxUint32, 1}}} })
 	requireGolden(t, "field-errors.txt", []byte(lines.String()))
 }
 
 // Constants that are stored or sent have the values that earlier versions have written.
 func TestStoredConstants(t *testing.T) {
-	kinds := []Kind{KeepOff, Spread, Cohort}
-	outcomes := []Outcome{Done, Refused, TooMany}
+	kinds := []Kind{KindExclude, KindSpreadKey, KindCohort}
+	outcomes := []Outcome{OutcomeApplied, OutcomeRejected, OutcomeLimitReached}
 	if got, want := fmt.Sprint(kinds, outcomes), "[keep_off spread cohort] [done refused too_many]"; got != want {
 		t.Errorf("the constants are %s, want %s", got, want)
 	}
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -12,74 +12,74 @@
 	"pgregory.net/rapid"
 )
 
-func window(id string, untilMS int64, servers ...string) Entry {
-	return Entry{ID: id, Kind: KeepOff, Tenant: "t", Servers: servers, Least: 0.5, UntilMS: untilMS}
+func exclusion(id string, expiresAtMS int64, servers ...string) Directive {
+	return Directive{ID: id, Kind: KindExclude, Tenant: "t", Servers: servers, MinAvailable: 0.5, ExpiresAtMS: expiresAtMS}
 }
 
 // What the table tells since any revision, put onto what it told at that revision, is what it tells now; and rules and
 // bounds hold whatever is asked of it.
-func TestTableTellsEveryChange(t *testing.T) {
+func TestChangesSinceReproducesState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, epoch := New(), uint64(7)
-		table.Begin(1, epoch)
-		type told struct{ rev, epoch uint64 }
-		past := map[told]map[string]Entry{{1, epoch}: {}}
+		table, epoch := NewTable(), uint64(7)
+		table.StartEpoch(1, epoch)
+		type cursor struct{ rev, epoch uint64 }
+		history := map[cursor]map[string]Directive{{1, epoch}: {}}
 		for index := uint64(2); index < 30; index++ {
-			duty := rapid.SampledFrom([]string{"window/a", "window/b", "window", ""}).Draw(t, "duty")
-			o := &Op{NowMS: rapid.Int64Range(1000, 1010).Draw(t, "now")}
-			before := maps.Clone(table.entries)
+			lease := rapid.SampledFrom([]string{"window/a", "window/b", "window", ""}).Draw(t, "duty")
+			op := &Op{LeaderTimeMS: rapid.Int64Range(1000, 1010).Draw(t, "now")}
+			before := maps.Clone(table.directives)
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				o.Ended, duty = table.Ended(o.NowMS, 2), ""
+				op.Expired, lease = table.Expired(op.LeaderTimeMS, 2), ""
 			case 1:
-				table = Load(table.Save(), epoch)
+				table = Restore(table.Snapshot(), epoch)
 				continue
 			case 2:
 				epoch++
-				table.Begin(index, epoch)
-				past[told{index, epoch}] = maps.Clone(table.entries)
+				table.StartEpoch(index, epoch)
+				history[cursor{index, epoch}] = maps.Clone(table.directives)
 				continue
 			case 3, 4:
-				o.Drop = rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"window/a/x", "window/b/x", "window/b/y"}), 1, 2, rapid.ID[string]).Draw(t, "drop")
+				op.Delete = rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"window/a/x", "window/b/x", "window/b/y"}), 1, 2, rapid.ID[string]).Draw(t, "drop")
 			default:
 				for _, id := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"window/a/x", "window/b/x", "window/b/y", "window/ab/x"}), 1, 3, rapid.ID[string]).Draw(t, "set") {
-					o.Set = append(o.Set, window(id, rapid.Int64Range(1000, 1020).Draw(t, "until"), "s1"))
+					op.Set = append(op.Set, exclusion(id, rapid.Int64Range(1000, 1020).Draw(t, "until"), "s1"))
 				}
 			}
-			what, why := table.Apply(index, duty, o)
-			if what != Done && !reflect.DeepEqual(before, table.entries) {
-				t.Fatalf("refused (%s) and done in part: %v, before %v", why, table.entries, before)
+			outcome, reason := table.Apply(index, lease, op)
+			if outcome != OutcomeApplied && !reflect.DeepEqual(before, table.directives) {
+				t.Fatalf("refused (%s) and done in part: %v, before %v", reason, table.directives, before)
 			}
-			if what == Done {
-				for _, e := range o.Set {
-					if duty == "" || !strings.HasPrefix(e.ID, duty+"/") || e.UntilMS <= o.NowMS || table.entries[e.ID].UntilMS != e.UntilMS {
-						t.Fatalf("%+v under %q at %d: %+v", e, duty, o.NowMS, table.entries[e.ID])
+			if outcome == OutcomeApplied {
+				for _, directive := range op.Set {
+					if lease == "" || !strings.HasPrefix(directive.ID, lease+"/") || directive.ExpiresAtMS <= op.LeaderTimeMS || table.directives[directive.ID].ExpiresAtMS != directive.ExpiresAtMS {
+						t.Fatalf("%+v under %q at %d: %+v", directive, lease, op.LeaderTimeMS, table.directives[directive.ID])
 					}
 				}
 			}
-			bytes := 0
-			for _, e := range table.entries {
-				bytes += e.size()
+			totalBytes := 0
+			for _, directive := range table.directives {
+				totalBytes += directive.accountedBytes()
 			}
-			if bytes != table.bytes {
-				t.Fatalf("%d bytes counted, are %d", table.bytes, bytes)
+			if totalBytes != table.totalBytes {
+				t.Fatalf("%d bytes counted, are %d", table.totalBytes, totalBytes)
 			}
-			past[told{table.rev, epoch}] = maps.Clone(table.entries)
-			for at, then := range past {
-				l := table.Since(at.rev, at.epoch, 0) // at this time none has ended
-				now := map[string]Entry{}
-				if !l.All {
-					now = maps.Clone(then)
+			history[cursor{table.revision, epoch}] = maps.Clone(table.directives)
+			for cursorAt, state := range history {
+				update := table.ChangesSince(cursorAt.rev, cursorAt.epoch, 0) // at this time none has ended
+				replayed := map[string]Directive{}
+				if !update.Complete {
+					replayed = maps.Clone(state)
 				}
-				for _, e := range l.Entries {
-					e.LeftMS = 0
-					now[e.ID] = e
+				for _, directive := range update.Directives {
+					directive.RemainingMS = 0
+					replayed[directive.ID] = directive
 				}
-				for _, id := range l.Gone {
-					delete(now, id)
+				for _, id := range update.Removed {
+					delete(replayed, id)
 				}
-				if !reflect.DeepEqual(now, table.entries) || l.Rev != table.rev || l.Epoch != epoch {
-					t.Fatalf("since %v: %+v, makes %v, want %v", at, l, now, table.entries)
+				if !reflect.DeepEqual(replayed, table.directives) || update.Revision != table.revision || update.Epoch != epoch {
+					t.Fatalf("since %v: %+v, makes %v, want %v", cursorAt, update, replayed, table.directives)
 				}
 			}
 		}
@@ -88,139 +88,139 @@
 
 // A watch that is behind what history keeps gets the whole; one within gets no more than what changed.
 func TestHistoryIsBounded(t *testing.T) {
-	table := New()
-	table.Begin(1, 7)
-	const changes = 5 * keptChanges
-	for k := range uint64(changes) {
-		id := fmt.Sprint("window/a/", k%10)
-		if what, why := table.Apply(2+k, "window/a", &Op{NowMS: 1, Set: []Entry{window(id, int64(10+k), "s")}}); what != Done {
-			t.Fatal(why)
+	table := NewTable()
+	table.StartEpoch(1, 7)
+	const changes = 5 * minHistory
+	for i := range uint64(changes) {
+		id := fmt.Sprint("window/a/", i%10)
+		if outcome, reason := table.Apply(2+i, "window/a", &Op{LeaderTimeMS: 1, Set: []Directive{exclusion(id, int64(10+i), "s")}}); outcome != OutcomeApplied {
+			t.Fatal(reason)
 		}
-		if len(table.history) >= 2*keptChanges {
+		if len(table.history) >= 2*minHistory {
 			t.Fatalf("%d changes are kept", len(table.history))
 		}
 	}
-	newest := table.Rev()
-	if l := table.Since(newest-keptChanges+1, 7, 0); l.All || len(l.Entries) != 10 {
-		t.Errorf("%d changes back: all %v, %d entries", keptChanges-1, l.All, len(l.Entries))
+	newest := table.Revision()
+	if update := table.ChangesSince(newest-minHistory+1, 7, 0); update.Complete || len(update.Directives) != 10 {
+		t.Errorf("%d changes back: all %v, %d entries", minHistory-1, update.Complete, len(update.Directives))
 	}
-	for _, after := range []uint64{0, 1, newest - 2*keptChanges, newest + 1} {
-		if l := table.Since(after, 7, 0); !l.All {
+	for _, after := range []uint64{0, 1, newest - 2*minHistory, newest + 1} {
+		if update := table.ChangesSince(after, 7, 0); !update.Complete {
 			t.Errorf("after %d of %d it is not the whole", after, newest)
 		}
 	}
-	if l := table.Since(newest-3, 7, 0); l.All || len(l.Entries) != 3 {
-		t.Errorf("three changes back: %+v", l)
+	if update := table.ChangesSince(newest-3, 7, 0); update.Complete || len(update.Directives) != 3 {
+		t.Errorf("three changes back: %+v", update)
 	}
-	if l := table.Since(newest, 8, 0); !l.All {
+	if update := table.ChangesSince(newest, 8, 0); !update.Complete {
 		t.Error("of another epoch, and not the whole")
 	}
 }
 
 // What an entry counts is never less than what its line takes, so that the bounds of a line hold.
-func TestSizeCoversTheLine(t *testing.T) {
+func TestAccountedBytesCoverEncodedLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringOfN(rapid.RuneFrom([]rune{'a', '<', '"', '\\', 'ä', 0x7f, 0x2028, 1, 0xfffd}), 1, 20, -1)
-		e := Entry{ID: text.Draw(t, "id"), Kind: Kind(text.Draw(t, "kind")), Tenant: text.Draw(t, "tenant"), Key: text.Draw(t, "key"),
-			Name: text.Draw(t, "name"), Servers: rapid.SliceOfN(text, 1, 3).Draw(t, "servers"), Least: rapid.Float64().Draw(t, "least"),
-			UntilMS: rapid.Int64().Draw(t, "until"), LeftMS: MaxAheadMS, Rev: rapid.Uint64().Draw(t, "rev")}
-		for _, uid := range e.Servers {
-			e.Copies = append(e.Copies, Copy{uid, rapid.Float64().Draw(t, "share")})
+		directive := Directive{ID: text.Draw(t, "id"), Kind: Kind(text.Draw(t, "kind")), Tenant: text.Draw(t, "tenant"), KeyHash: text.Draw(t, "key"),
+			Cohort: text.Draw(t, "name"), Servers: rapid.SliceOfN(text, 1, 3).Draw(t, "servers"), MinAvailable: rapid.Float64().Draw(t, "least"),
+			ExpiresAtMS: rapid.Int64().Draw(t, "until"), RemainingMS: MaxLifetimeMS, Revision: rapid.Uint64().Draw(t, "rev")}
+		for _, uid := range directive.Servers {
+			directive.Copies = append(directive.Copies, KeyCopy{uid, rapid.Float64().Draw(t, "share")})
 		}
-		data, err := json.Marshal(e)
+		data, err := json.Marshal(directive)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(data)+len(",") > e.size() {
-			t.Fatalf("%d bytes count as %d: %s", len(data)+1, e.size(), data)
+		if len(data)+len(",") > directive.accountedBytes() {
+			t.Fatalf("%d bytes count as %d: %s", len(data)+1, directive.accountedBytes(), data)
 		}
 	})
 }
 
-func TestRulesAtApply(t *testing.T) {
+func TestApplyRules(t *testing.T) {
 	const now = 1_000_000_000
-	good := func() Entry { return window("window/a/t", now+1000, "s1", "s2") }
-	spread := Entry{ID: "spread/k", Kind: Spread, Key: "0123456789abcdef", Copies: []Copy{{"s", 0.5}}, UntilMS: now + 1}
-	cohort := Entry{ID: "cohort/r/new", Kind: Cohort, Name: "new", Servers: []string{"s"}, UntilMS: now + 1}
-	many := make([]string, MaxServers+1)
-	for k := range many {
-		many[k] = fmt.Sprint("s", k)
+	validExclusion := func() Directive { return exclusion("window/a/t", now+1000, "s1", "s2") }
+	spread := Directive{ID: "spread/k", Kind: KindSpreadKey, KeyHash: "0123456789abcdef", Copies: []KeyCopy{{"s", 0.5}}, ExpiresAtMS: now + 1}
+	cohort := Directive{ID: "cohort/r/new", Kind: KindCohort, Cohort: "new", Servers: []string{"s"}, ExpiresAtMS: now + 1}
+	serverUIDs := make([]string, MaxServersPerDirective+1)
+	for i := range serverUIDs {
+		serverUIDs[i] = fmt.Sprint("s", i)
 	}
-	copies := make([]Copy, MaxCopies+1)
-	for k := range copies {
-		copies[k].UID = fmt.Sprint("s", k)
+	copies := make([]KeyCopy, MaxCopiesPerKey+1)
+	for i := range copies {
+		copies[i].ServerUID = fmt.Sprint("s", i)
 	}
-	with := func(e Entry, change func(*Entry)) Entry { change(&e); return e }
+	modified := func(directive Directive, change func(*Directive)) Directive { change(&directive); return directive }
 	for _, c := range []struct {
 		name, duty string
 		at         int64
-		e          Entry
+		directive  Directive
 		want       Outcome
 	}{
-		{"as it should be", "window/a", now, good(), Done},
-		{"under the one duty", "window", 0, good(), Done},
-		{"a key's copies", "spread", now, spread, Done},
-		{"a release's cohort", "release/r", now, cohort, Done},
-		{"another window's", "window/b", now, good(), Refused},
-		{"a window's with a longer name", "window/", now, good(), Refused},
-		{"another release's cohort", "release/other", now, cohort, Refused},
-		{"no duty", "", now, good(), Refused},
-		{"ended", "window", now, with(good(), func(e *Entry) { e.UntilMS = now }), Refused},
-		{"ends as late as may be", "window", now, with(good(), func(e *Entry) { e.UntilMS = now + MaxAheadMS }), Done},
-		{"ends later", "window", now, with(good(), func(e *Entry) { e.UntilMS = now + MaxAheadMS + 1 }), Refused},
-		{"clocks an hour apart", "window", now + 3_600_000, good(), Refused},
-		{"clocks an hour apart, the other way", "window", now - 3_600_000, good(), Refused},
-		{"clocks a little apart", "window", now + MaxApartMS, good(), Done},
-		{"another kind", "window", now, with(good(), func(e *Entry) { e.Kind = Cohort }), Refused},
-		{"an empty part", "window", now, with(good(), func(e *Entry) { e.ID = "window//t" }), Refused},
-		{"of no known kind", "what", now, with(good(), func(e *Entry) { e.ID = "what/a" }), Refused},
-		{"no servers", "window", now, with(good(), func(e *Entry) { e.Servers = nil }), Refused},
-		{"a server twice", "window", now, with(good(), func(e *Entry) { e.Servers = []string{"s", "s"} }), Refused},
-		{"too many servers", "window", now, with(good(), func(e *Entry) { e.Servers = many }), Refused},
-		{"too many copies", "spread", now, with(spread, func(e *Entry) { e.Copies = copies }), Refused},
-		{"no key", "spread", now, with(spread, func(e *Entry) { e.Key = "0123456789ABCDEF" }), Refused},
-		{"a share above all", "spread", now, with(spread, func(e *Entry) { e.Copies = []Copy{{"s", 1.5}} }), Refused},
+		{"as it should be", "window/a", now, validExclusion(), OutcomeApplied},
+		{"under the one duty", "window", 0, validExclusion(), OutcomeApplied},
+		{"a key's copies", "spread", now, spread, OutcomeApplied},
+		{"a release's cohort", "release/r", now, cohort, OutcomeApplied},
+		{"another window's", "window/b", now, validExclusion(), OutcomeRejected},
+		{"a window's with a longer name", "window/", now, validExclusion(), OutcomeRejected},
+		{"another release's cohort", "release/other", now, cohort, OutcomeRejected},
+		{"no duty", "", now, validExclusion(), OutcomeRejected},
+		{"ended", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ExpiresAtMS = now }), OutcomeRejected},
+		{"ends as late as may be", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ExpiresAtMS = now + MaxLifetimeMS }), OutcomeApplied},
+		{"ends later", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ExpiresAtMS = now + MaxLifetimeMS + 1 }), OutcomeRejected},
+		{"clocks an hour apart", "window", now + 3_600_000, validExclusion(), OutcomeRejected},
+		{"clocks an hour apart, the other way", "window", now - 3_600_000, validExclusion(), OutcomeRejected},
+		{"clocks a little apart", "window", now + MaxClockSkewMS, validExclusion(), OutcomeApplied},
+		{"another kind", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Kind = KindCohort }), OutcomeRejected},
+		{"an empty part", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ID = "window//t" }), OutcomeRejected},
+		{"of no known kind", "what", now, modified(validExclusion(), func(directive *Directive) { directive.ID = "what/a" }), OutcomeRejected},
+		{"no servers", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Servers = nil }), OutcomeRejected},
+		{"a server twice", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Servers = []string{"s", "s"} }), OutcomeRejected},
+		{"too many servers", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Servers = serverUIDs }), OutcomeRejected},
+		{"too many copies", "spread", now, modified(spread, func(directive *Directive) { directive.Copies = copies }), OutcomeRejected},
+		{"no key", "spread", now, modified(spread, func(directive *Directive) { directive.KeyHash = "0123456789ABCDEF" }), OutcomeRejected},
+		{"a share above all", "spread", now, modified(spread, func(directive *Directive) { directive.Copies = []KeyCopy{{"s", 1.5}} }), OutcomeRejected},
 	} {
-		table := New()
-		table.Begin(1, 7)
-		what, why := table.Apply(2, c.duty, &Op{NowMS: now, AtMS: c.at, Set: []Entry{c.e}})
-		if what != c.want || what == Done && table.Len() != 1 || what != Done && table.Len() != 0 {
-			t.Errorf("%s: %s %s, %d entries, want %s", c.name, what, why, table.Len(), c.want)
+		table := NewTable()
+		table.StartEpoch(1, 7)
+		outcome, reason := table.Apply(2, c.duty, &Op{LeaderTimeMS: now, WriterTimeMS: c.at, Set: []Directive{c.directive}})
+		if outcome != c.want || outcome == OutcomeApplied && table.Len() != 1 || outcome != OutcomeApplied && table.Len() != 0 {
+			t.Errorf("%s: %s %s, %d entries, want %s", c.name, outcome, reason, table.Len(), c.want)
 		}
 	}
 	t.Run("full", func(t *testing.T) {
-		table := New()
+		table := NewTable()
 		full := 0
-		for ; full < MaxEntries && table.bytes+300 <= MaxBytes; full++ {
-			table.set(2, window(fmt.Sprint("window/a/", full), now+1, "s"))
+		for ; full < MaxDirectives && table.totalBytes+300 <= MaxTotalBytes; full++ {
+			table.set(2, exclusion(fmt.Sprint("window/a/", full), now+1, "s"))
 		}
-		large := good()
-		large.Servers = many[:100]
-		if what, _ := table.Apply(2, "window/a", &Op{NowMS: now, Set: []Entry{large}}); what != TooMany || table.Len() != full {
-			t.Errorf("one too many: %s", what)
+		oversized := validExclusion()
+		oversized.Servers = serverUIDs[:100]
+		if outcome, _ := table.Apply(2, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{oversized}}); outcome != OutcomeLimitReached || table.Len() != full {
+			t.Errorf("one too many: %s", outcome)
 		}
-		data, err := json.Marshal(table.Whole(now))
-		if err != nil || len(data) > MaxBytes {
+		data, err := json.Marshal(table.CompleteUpdate(now))
+		if err != nil || len(data) > MaxTotalBytes {
 			t.Errorf("the whole takes %d bytes: %v", len(data), err)
 		}
-		if l := table.Since(1, 0, now); full <= mostTold || !l.All {
+		if update := table.ChangesSince(1, 0, now); full <= maxIncremental || !update.Complete {
 			t.Errorf("%d changes are not told as the whole", full)
 		}
-		if what, why := table.Apply(3, "window/a", &Op{NowMS: now, Set: []Entry{good()}, Drop: []string{"window/a/7"}}); what != Done {
-			t.Errorf("one for one: %s %s", what, why)
+		if outcome, reason := table.Apply(3, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{validExclusion()}, Delete: []string{"window/a/7"}}); outcome != OutcomeApplied {
+			t.Errorf("one for one: %s %s", outcome, reason)
 		}
 	})
 	t.Run("ended", func(t *testing.T) {
-		table := New()
-		table.Apply(2, "window", &Op{NowMS: now, Set: []Entry{good(), window("window/b/t", now+5, "s")}})
-		found := table.Ended(now+1000, 10)
-		if len(found) != 2 || found[0].ID != "window/b/t" {
-			t.Fatalf("found %v", found)
+		table := NewTable()
+		table.Apply(2, "window", &Op{LeaderTimeMS: now, Set: []Directive{validExclusion(), exclusion("window/b/t", now+5, "s")}})
+		expired := table.Expired(now+1000, 10)
+		if len(expired) != 2 || expired[0].ID != "window/b/t" {
+			t.Fatalf("found %v", expired)
 		}
-		table.Apply(3, "window", &Op{NowMS: now + 1, Set: []Entry{window("window/a/t", now+5000, "s")}})
-		table.Apply(4, "", &Op{NowMS: now + 1000, Ended: found})
-		if left := slices.Collect(maps.Keys(table.entries)); len(left) != 1 || left[0] != "window/a/t" {
-			t.Errorf("left are %v, want the one that was prolonged", left)
+		table.Apply(3, "window", &Op{LeaderTimeMS: now + 1, Set: []Directive{exclusion("window/a/t", now+5000, "s")}})
+		table.Apply(4, "", &Op{LeaderTimeMS: now + 1000, Expired: expired})
+		if remaining := slices.Collect(maps.Keys(table.directives)); len(remaining) != 1 || remaining[0] != "window/a/t" {
+			t.Errorf("left are %v, want the one that was prolonged", remaining)
 		}
 	})
 }
--- a/internal/registry/fixtures_test.go
+++ b/internal/registry/fixtures_test.go
@@ -137,18 +137,18 @@
 
 	// The placement.
 	add("placement-spread", registry.Record{Op: registry.OpPlacement, ID: "write-placement", Guard: spreadGuard, Placement: &placement.Op{
-		NowMS: monday, AtMS: monday + 40, Set: []placement.Entry{
-			{ID: "spread/0123456789abcdef", Kind: placement.Spread, Key: "0123456789abcdef", UntilMS: monday + 60_000,
-				Copies: []placement.Copy{{UID: "s1", Share: 0.25}, {UID: "s2"}}},
-			{ID: "spread/fedcba9876543210", Kind: placement.Spread, Key: "fedcba9876543210", UntilMS: monday + 50_000,
-				Copies: []placement.Copy{{UID: "s3", Share: 0.5}}},
+		LeaderTimeMS: monday, WriterTimeMS: monday + 40, Set: []placement.Directive{
+			{ID: "spread/0123456789abcdef", Kind: placement.KindSpreadKey, KeyHash: "0123456789abcdef", ExpiresAtMS: monday + 60_000,
+				Copies: []placement.KeyCopy{{ServerUID: "s1", LoadFraction: 0.25}, {ServerUID: "s2"}}},
+			{ID: "spread/fedcba9876543210", Kind: placement.KindSpreadKey, KeyHash: "fedcba9876543210", ExpiresAtMS: monday + 50_000,
+				Copies: []placement.KeyCopy{{ServerUID: "s3", LoadFraction: 0.5}}},
 		}}})
 	cohort := add("placement-cohort", registry.Record{Op: registry.OpPlacement, Guard: releaseGuard, Placement: &placement.Op{
-		NowMS: monday, Set: []placement.Entry{{ID: "cohort/r", Kind: placement.Cohort, Name: "r", Servers: []string{"s1"}, UntilMS: monday + 30_000}}}})
+		LeaderTimeMS: monday, Set: []placement.Directive{{ID: "cohort/r", Kind: placement.KindCohort, Cohort: "r", Servers: []string{"s1"}, ExpiresAtMS: monday + 30_000}}}})
 	add("placement-drop", registry.Record{Op: registry.OpPlacement, Guard: spreadGuard, Placement: &placement.Op{
-		NowMS: monday + 10, Drop: []string{"spread/fedcba9876543210", "spread/none"}}})
+		LeaderTimeMS: monday + 10, Delete: []string{"spread/fedcba9876543210", "spread/none"}}})
 	add("placement-ended", registry.Record{Op: registry.OpPlacement, Placement: &placement.Op{
-		NowMS: monday + 40_000, Ended: []placement.Ref{{ID: "cohort/r", Rev: cohort}}}})
+		LeaderTimeMS: monday + 40_000, Expired: []placement.DirectiveRef{{ID: "cohort/r", Revision: cohort}}}})
 
 	// Releases.
 	add("release-start", registry.Record{Op: registry.OpRelease, ID: "write-release", Release: &release.Op{Start: drawn(t, "r", "2")}})
@@ -159,9 +159,9 @@
 
 	// The disruption ledger, with sidecars.
 	two, half := 2, 0.5
-	ledger("ledger-budget", nil, disruption.Op{Kind: disruption.OpBudget, Owner: "operator/eva", Budget: &disruption.Budget{
-		Name: "all", Select: disruption.Selector{Kind: disruption.Server}, MaxOut: disruption.Limit{Count: &two, Share: &half},
-		MaxCold: disruption.Limit{Share: &half}}})
+	ledger("ledger-budget", nil, disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/eva", Budget: &disruption.Budget{
+		Name: "all", Selector: disruption.Selector{Kind: disruption.KindServer}, MaxUnavailable: disruption.Limit{Count: &two, Fraction: &half},
+		MaxWarmingUp: disruption.Limit{Fraction: &half}}})
 	sidecars := add("sidecars", registry.Record{Op: registry.OpSidecars, ID: "write-sidecars", Sidecars: []registry.Sidecar{
 		{Name: "c1", Version: "v1", Zone: "z1", Tenant: "portal", Ready: true, BootMS: monday, TTLMS: 10_000},
 		{Name: "c2", Zone: "z2", Ready: true, Ending: true, TTLMS: 10_000},
@@ -173,26 +173,26 @@
 	add("sidecars-again", registry.Record{Op: registry.OpSidecars, Sidecars: []registry.Sidecar{{Name: "c3", Ready: true, TTLMS: 10_000}}})
 	permit := func(id string) *disruption.Permit { return &disruption.Permit{ID: id} }
 	ledger("ledger-forget", nil, disruption.Op{Kind: disruption.OpForget, Owner: "operator/eva", Units: []string{"sidecar/c4"}})
-	ledger("ledger-see", nil, disruption.Op{Kind: disruption.OpSee, Seen: []disruption.Unit{
-		{ID: "server/s1", Condition: disruption.Up}, {ID: "server/s6", Condition: disruption.Unready}}})
-	ledger("ledger-ask", releaseGuard, disruption.Op{Kind: disruption.OpAsk, Owner: "release/r", Permit: &disruption.Permit{ID: "p1", Owner: "release/r",
-		Purpose: "restart", Units: []string{"server/s2"}, Rank: disruption.RankForward, End: disruption.ComesBack}})
-	ledger("ledger-ask-waits", nil, disruption.Op{Kind: disruption.OpAsk, Owner: "operator/eva", Permit: &disruption.Permit{ID: "p2", Owner: "operator/eva",
-		Units: []string{"server/s3"}, Rank: disruption.RankDrain, End: disruption.Retired}})
+	ledger("ledger-see", nil, disruption.Op{Kind: disruption.OpObserve, Observed: []disruption.Unit{
+		{ID: "server/s1", Condition: disruption.ConditionUp}, {ID: "server/s6", Condition: disruption.ConditionUnready}}})
+	ledger("ledger-ask", releaseGuard, disruption.Op{Kind: disruption.OpRequest, Owner: "release/r", Permit: &disruption.Permit{ID: "p1", Owner: "release/r",
+		Purpose: "restart", Units: []string{"server/s2"}, Priority: disruption.PriorityRollout, Disposition: disruption.DispositionReturn}})
+	ledger("ledger-ask-waits", nil, disruption.Op{Kind: disruption.OpRequest, Owner: "operator/eva", Permit: &disruption.Permit{ID: "p2", Owner: "operator/eva",
+		Units: []string{"server/s3"}, Priority: disruption.PriorityDrain, Disposition: disruption.DispositionRetire}})
 	ledger("ledger-begin", releaseGuard, disruption.Op{Kind: disruption.OpBegin, Owner: "release/r", Permit: permit("p1")})
 	ledger("ledger-return", releaseGuard, disruption.Op{Kind: disruption.OpReturn, Owner: "release/r", Permit: permit("p1")})
 	restartedS2 := fixtureInstance("s2", "z2", 1, 9002)
 	restartedS2.BootMS = monday + 1
 	add("register-in-ledger", registry.Record{Op: registry.OpRegister, Instances: []registry.Instance{restartedS2}})
-	ledger("ledger-see-back", nil, disruption.Op{Kind: disruption.OpSee, Seen: []disruption.Unit{
-		{ID: "server/s2", Condition: disruption.Up}, {ID: "server/s6", Condition: disruption.Up}}})
-	ledger("ledger-settle", releaseGuard, disruption.Op{Kind: disruption.OpSettle, Owner: "release/r", Permit: permit("p1"), Units: []string{"server/s2"}})
+	ledger("ledger-see-back", nil, disruption.Op{Kind: disruption.OpObserve, Observed: []disruption.Unit{
+		{ID: "server/s2", Condition: disruption.ConditionUp}, {ID: "server/s6", Condition: disruption.ConditionUp}}})
+	ledger("ledger-settle", releaseGuard, disruption.Op{Kind: disruption.OpComplete, Owner: "release/r", Permit: permit("p1"), Units: []string{"server/s2"}})
 	ledger("ledger-cancel", nil, disruption.Op{Kind: disruption.OpCancel, Owner: "operator/eva", Permit: permit("p2")})
 	ledger("ledger-halt", nil, disruption.Op{Kind: disruption.OpHalt, Owner: "operator/eva",
-		Halt: &disruption.Halt{Scope: "release/r", By: "operator/eva", Why: "errors rise"}})
-	ledger("ledger-ask-halted", releaseGuard, disruption.Op{Kind: disruption.OpAsk, Owner: "release/r", Permit: &disruption.Permit{ID: "p3", Owner: "release/r",
-		Units: []string{"server/s1"}, Rank: disruption.RankForward, End: disruption.Replaced}})
-	ledger("ledger-release", nil, disruption.Op{Kind: disruption.OpRelease, Owner: "operator/eva", Permit: permit("p3")})
+		Halt: &disruption.Halt{Scope: "release/r", IssuedBy: "operator/eva", Reason: "errors rise"}})
+	ledger("ledger-ask-halted", releaseGuard, disruption.Op{Kind: disruption.OpRequest, Owner: "release/r", Permit: &disruption.Permit{ID: "p3", Owner: "release/r",
+		Units: []string{"server/s1"}, Priority: disruption.PriorityRollout, Disposition: disruption.DispositionReplace}})
+	ledger("ledger-release", nil, disruption.Op{Kind: disruption.OpForceComplete, Owner: "operator/eva", Permit: permit("p3")})
 	ledger("ledger-resume", nil, disruption.Op{Kind: disruption.OpResume, Owner: "operator/eva", Halt: &disruption.Halt{Scope: "release/r"}})
 
 	// Maintenance windows.
@@ -204,8 +204,8 @@
 		Months: []hours.Month{{Name: "2026-01", Interval: hours.Interval{From: monday - 4*24*hourMS, Until: monday + 27*24*hourMS}}}}
 	maintenance("window-plan", windowGuard, 2000, window.Op{Kind: window.OpPlan, Name: "w", Grants: []window.Grant{grant}, FromMS: monday + 2500})
 	maintenance("window-wait", windowGuard, 3000, window.Op{Kind: window.OpWait, Name: "w"})
-	ledger("window-ask", windowGuard, disruption.Op{Kind: disruption.OpAsk, Owner: window.Duty, Permit: &disruption.Permit{ID: "window/w/1", Owner: window.Duty,
-		Units: []string{"server/s1"}, Rank: disruption.RankDrain, End: disruption.ComesBack}})
+	ledger("window-ask", windowGuard, disruption.Op{Kind: disruption.OpRequest, Owner: window.Duty, Permit: &disruption.Permit{ID: "window/w/1", Owner: window.Duty,
+		Units: []string{"server/s1"}, Priority: disruption.PriorityDrain, Disposition: disruption.DispositionReturn}})
 	maintenance("window-drain", windowGuard, 4000, window.Op{Kind: window.OpDrain, Name: "w"})
 	ledger("window-begin", windowGuard, disruption.Op{Kind: disruption.OpBegin, Owner: window.Duty, Permit: permit("window/w/1")})
 	maintenance("window-tell", windowGuard, 5000, window.Op{Kind: window.OpTell, Name: "w", UntilMS: monday + 30_000})
@@ -363,14 +363,14 @@
 			fixtureInstance("s1", "z1", 1, 9001), fixtureInstance("s2", "z2", 1, 9002)}}},
 		{"state", registry.Record{Op: registry.OpState, State: registry.Terminating, Refs: []registry.Ref{{UID: "s1"}}}},
 		{"lease", registry.Record{Op: registry.OpDuty, Duty: &table.Op{Kind: table.Seek, Name: "spread", Who: "one", TTLMS: 5000}}},
-		{"placement", registry.Record{Op: registry.OpPlacement, Guard: guard, Placement: &placement.Op{NowMS: nowMS, Set: []placement.Entry{
-			{ID: "spread/0123456789abcdef", Kind: placement.Spread, Key: "0123456789abcdef", UntilMS: nowMS + 60_000, Copies: []placement.Copy{{UID: "s1", Share: 0.25}}},
-			{ID: "spread/fedcba9876543210", Kind: placement.Spread, Key: "fedcba9876543210", UntilMS: nowMS + 90_000, Copies: []placement.Copy{{UID: "s2"}}},
+		{"placement", registry.Record{Op: registry.OpPlacement, Guard: guard, Placement: &placement.Op{LeaderTimeMS: nowMS, Set: []placement.Directive{
+			{ID: "spread/0123456789abcdef", Kind: placement.KindSpreadKey, KeyHash: "0123456789abcdef", ExpiresAtMS: nowMS + 60_000, Copies: []placement.KeyCopy{{ServerUID: "s1", LoadFraction: 0.25}}},
+			{ID: "spread/fedcba9876543210", Kind: placement.KindSpreadKey, KeyHash: "fedcba9876543210", ExpiresAtMS: nowMS + 90_000, Copies: []placement.KeyCopy{{ServerUID: "s2"}}},
 		}}}},
 		{"suspect", registry.Record{Op: registry.OpSuspect, Refs: []registry.Ref{{UID: "s2"}}, On: true}},
 		{"register-batch", registry.Record{Op: registry.OpRegister, Instances: []registry.Instance{
 			fixtureInstance("s3", "z1", 2, 9003), fixtureInstance("s4", "z2", 2, 9004)}}},
-		{"placement-drop", registry.Record{Op: registry.OpPlacement, Guard: guard, Placement: &placement.Op{NowMS: nowMS, Drop: []string{"spread/fedcba9876543210"}}}},
+		{"placement-drop", registry.Record{Op: registry.OpPlacement, Guard: guard, Placement: &placement.Op{LeaderTimeMS: nowMS, Delete: []string{"spread/fedcba9876543210"}}}},
 		{"deregister", registry.Record{Op: registry.OpDeregister, Refs: []registry.Ref{{UID: "s1"}}}},
 	}
 	var log []logEntry
@@ -384,9 +384,9 @@
 func TestServedBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hub := registry.NewHub()
-		feed := registry.NewPlacementFeed(func(after, epoch uint64) (list placement.List) {
+		feed := registry.NewPlacementFeed(func(after, epoch uint64) (list placement.Update) {
 			hub.Read(func(state *registry.State) {
-				list = state.Placement().Since(after, epoch, time.Now().Add(50*time.Millisecond).UnixMilli())
+				list = state.Placement().ChangesSince(after, epoch, time.Now().Add(50*time.Millisecond).UnixMilli())
 			})
 			return list
 		})
@@ -589,8 +589,8 @@
 	lost, err := client.RenewDuties(ctx, "one", []registry.DutyRenewal{{Name: "spread", Token: 16}, {Name: "window"}})
 	call("renew leases", lost, err)
 
-	ledgerResult, err := client.Ledger(ctx, registry.Write{ID: "w6", Guard: guard}, disruption.Op{Kind: disruption.OpAsk, Owner: "operator/eva",
-		Permit: &disruption.Permit{ID: "p1", Owner: "operator/eva", Purpose: "restart", Units: []string{"server/s2"}, Rank: disruption.RankForward, End: disruption.ComesBack}})
+	ledgerResult, err := client.Ledger(ctx, registry.Write{ID: "w6", Guard: guard}, disruption.Op{Kind: disruption.OpRequest, Owner: "operator/eva",
+		Permit: &disruption.Permit{ID: "p1", Owner: "operator/eva", Purpose: "restart", Units: []string{"server/s2"}, Priority: disruption.PriorityRollout, Disposition: disruption.DispositionReturn}})
 	call("ledger", ledgerResult, err)
 	view, err := client.LedgerView(ctx, true, true)
 	call("ledger view", view, err)
@@ -603,7 +603,7 @@
 	call("sidecars", sidecars, err)
 
 	result, err = client.SetPlacement(ctx, registry.Write{ID: "w8", Guard: guard}, monday,
-		[]placement.Entry{{ID: "cohort/r", Kind: placement.Cohort, Name: "r", Servers: []string{"s1"}, UntilMS: monday + 1000}}, "cohort/q")
+		[]placement.Directive{{ID: "cohort/r", Kind: placement.KindCohort, Cohort: "r", Servers: []string{"s1"}, ExpiresAtMS: monday + 1000}}, "cohort/q")
 	call("set placement", result, err)
 	result, err = client.DropPlacement(ctx, registry.Write{ID: "w9", Guard: guard}, "cohort/r")
 	call("drop placement", result, err)
@@ -629,7 +629,7 @@
 	if !errors.Is(err, stop) {
 		t.Errorf("watch: %v", err)
 	}
-	err = client.WatchPlacement(ctx, address, 18, 5, func(list *placement.List, age time.Duration) error {
+	err = client.WatchPlacement(ctx, address, 18, 5, func(list *placement.Update, age time.Duration) error {
 		call(fmt.Sprintf("watch of the placement, %v old", age), list, nil)
 		return stop
 	})
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -62,9 +62,9 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	before, epoch, duties := h.state.Rev(), h.state.Epoch(), h.state.duties.Rev()
-	places := h.state.places.Rev()
+	places := h.state.places.Revision()
 	res := h.state.Apply(index, r)
-	if h.state.places.Rev() != places {
+	if h.state.places.Revision() != places {
 		h.places.Ring()
 	}
 	if h.state.duties.Rev() != duties {
--- a/internal/registry/ledger.go
+++ b/internal/registry/ledger.go
@@ -14,21 +14,21 @@
 // it then is: until then replicas of an earlier version, which know no such records, can be among the others. From
 // then on all have to be of this one.
 type ledger struct {
-	table    *disruption.Table
+	table    *disruption.Ledger
 	sidecars map[string]*Sidecar
 }
 
 // savedLedger is the ledger in a snapshot; an older one has none.
 type savedLedger struct {
-	Table    disruption.Saved `json:"table"`
-	Sidecars []*Sidecar       `json:"sidecars"`
+	Table    disruption.Snapshot `json:"table"`
+	Sidecars []*Sidecar          `json:"sidecars"`
 }
 
 func (l *ledger) save() *savedLedger {
 	if l == nil {
 		return nil
 	}
-	out := &savedLedger{Table: l.table.Save(), Sidecars: []*Sidecar{}}
+	out := &savedLedger{Table: l.table.Snapshot(), Sidecars: []*Sidecar{}}
 	for _, name := range slices.Sorted(maps.Keys(l.sidecars)) {
 		out.Sidecars = append(out.Sidecars, l.sidecars[name])
 	}
@@ -39,7 +39,7 @@
 	if saved == nil {
 		return nil, nil
 	}
-	t, err := disruption.Load(saved.Table)
+	t, err := disruption.Restore(saved.Table)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: ledger: %w", err)
 	}
@@ -56,21 +56,21 @@
 // unit is an instance as the ledger counts it; whether it is warm is not in the list.
 func (i *Instance) unit() disruption.Unit {
 	u := disruption.Unit{
-		ID: disruption.UnitID(disruption.Server, i.UID), Kind: disruption.Server, Zone: i.Zone, Model: i.Model, Pod: i.Pod,
-		Version: i.Version, Capacity: i.Capacity, Endpoint: i.Endpoint, BootMS: i.BootMS, Condition: disruption.Up,
+		ID: disruption.UnitID(disruption.KindServer, i.UID), Kind: disruption.KindServer, Zone: i.Zone, Model: i.Model, PodGroup: i.Pod,
+		Version: i.Version, Capacity: i.Capacity, Endpoint: i.Endpoint, BootMS: i.BootMS, Condition: disruption.ConditionUp,
 	}
 	switch {
 	case i.Suspect:
-		u.Condition = disruption.Unseen
+		u.Condition = disruption.ConditionUnknown
 	case i.State == Terminating:
-		u.Condition = disruption.Draining
+		u.Condition = disruption.ConditionDraining
 	}
 	return u
 }
 
 // units makes a ledger of the list as it is.
 func (s *State) units(index uint64) *ledger {
-	l := &ledger{table: disruption.New(), sidecars: map[string]*Sidecar{}}
+	l := &ledger{table: disruption.NewLedger(), sidecars: map[string]*Sidecar{}}
 	for _, uid := range slices.Sorted(maps.Keys(s.instances)) {
 		l.table.Register(index, s.instances[uid].unit())
 	}
@@ -97,21 +97,21 @@
 		}
 	}
 	for _, ref := range r.Refs {
-		id, i := disruption.UnitID(disruption.Server, ref.UID), s.instances[ref.UID]
+		id, i := disruption.UnitID(disruption.KindServer, ref.UID), s.instances[ref.UID]
 		u, _ := t.Unit(id)
 		switch {
-		case i == nil && r.Op == OpDeregister && u.Condition != disruption.Unseen:
-			t.Leave(index, id)
+		case i == nil && r.Op == OpDeregister && u.Condition != disruption.ConditionUnknown:
+			t.Deregister(index, id)
 		case i == nil && (r.Op == OpDeregister || r.Op == OpExpire): // what was held back did not leave: it was given up
-			t.Lose(index, id)
+			t.MarkLost(index, id)
 		case i != nil && r.Op == OpSuspect && r.On:
-			t.Unsee(index, id)
+			t.MarkUnknown(index, id)
 		case i != nil && (r.Op == OpSuspect || r.Op == OpState):
 			t.Register(index, i.unit())
 		}
 	}
 	if r.Op == OpEpoch {
-		t.Doubt(index, "the list was restored from a backup: what is out since is not in it")
+		t.HaltForUncertainty(index, "the list was restored from a backup: what is out since is not in it")
 	}
 }
 
@@ -121,18 +121,18 @@
 	if op == nil {
 		return Result{Conflict, s.rev, "no operation"}
 	}
-	if op.Kind != disruption.OpSee && !disruption.Operator(op.Owner) && (r.Guard == nil || r.Guard.Duty != op.Owner) {
+	if op.Kind != disruption.OpObserve && !disruption.IsOperator(op.Owner) && (r.Guard == nil || r.Guard.Duty != op.Owner) {
 		return Result{Conflict, s.rev, fmt.Sprintf("no token of %q", op.Owner)}
 	}
 	outcome, why := s.begin(index).table.Apply(index, op)
 	of := map[disruption.Outcome]Outcome{
-		disruption.Done: Done, disruption.Refused: Conflict, disruption.NotFound: NotFound, disruption.TooMany: TooMany,
+		disruption.OutcomeApplied: Done, disruption.OutcomeRejected: Conflict, disruption.OutcomeNotFound: NotFound, disruption.OutcomeLimitReached: TooMany,
 	}
 	return Result{of[outcome], index, why}
 }
 
 // Ledger is the ledger, for reading: of the list as it is where none was begun.
-func (s *State) Ledger() *disruption.Table {
+func (s *State) Ledger() *disruption.Ledger {
 	if s.ledger == nil {
 		return s.units(s.rev).table
 	}
@@ -160,7 +160,7 @@
 	in.Kind = disruption.OpKind(req.PathValue("op"))
 	err := writeID(in.ID)
 	if err == nil {
-		err = in.Check()
+		err = in.Validate()
 	}
 	if err != nil {
 		refuse(w, http.StatusBadRequest, err)
@@ -184,7 +184,7 @@
 			}
 		})
 	}
-	if in.Kind == disruption.OpHalt || in.Kind == disruption.OpResume || in.Kind == disruption.OpRelease || in.Kind == disruption.OpForget {
+	if in.Kind == disruption.OpHalt || in.Kind == disruption.OpResume || in.Kind == disruption.OpForceComplete || in.Kind == disruption.OpForget {
 		slog.Warn("ledger", "op", in.Kind, "owner", in.Owner, "rev", res.Rev, "why", res.Why)
 	}
 	answer(w, http.StatusOK, out)
--- a/internal/registry/ledger_state_test.go
+++ b/internal/registry/ledger_state_test.go
@@ -16,8 +16,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
 		one := 1
-		s.Apply(1, &Record{Op: OpLedger, Ledger: &disruption.Op{Kind: disruption.OpBudget, Owner: "operator/o",
-			Budget: &disruption.Budget{Name: "b", MaxOut: disruption.Limit{Count: &one}}}})
+		s.Apply(1, &Record{Op: OpLedger, Ledger: &disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/o",
+			Budget: &disruption.Budget{Name: "b", MaxUnavailable: disruption.Limit{Count: &one}}}})
 		left := map[string]bool{}
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for n := range steps {
@@ -41,7 +41,7 @@
 					r.Refs, r.Sidecars = nil, []Sidecar{{Name: uid, Ready: true}}
 				}
 			case OpLedger:
-				r.Refs, r.Ledger = nil, &disruption.Op{Kind: disruption.OpSee, Seen: []disruption.Unit{{ID: "server/" + uid, Condition: disruption.Up}}}
+				r.Refs, r.Ledger = nil, &disruption.Op{Kind: disruption.OpObserve, Observed: []disruption.Unit{{ID: "server/" + uid, Condition: disruption.ConditionUp}}}
 			}
 			res := s.Apply(index, r)
 			if r.Op == OpDeregister && res.Outcome == Done && was.UID != "" && !was.Suspect {
@@ -74,11 +74,11 @@
 		i, is := s.Get(uid)
 		ok := !is
 		switch u.Condition {
-		case disruption.Unseen:
+		case disruption.ConditionUnknown:
 			ok = is && i.Suspect
-		case disruption.Draining:
+		case disruption.ConditionDraining:
 			ok = is && !i.Suspect && i.State == Terminating
-		case disruption.Up, disruption.Cold:
+		case disruption.ConditionUp, disruption.ConditionWarmingUp:
 			ok = is && !i.Suspect && i.State == Ready
 		}
 		if !ok || !is && known == left[uid] && (known || left[uid]) {
@@ -111,11 +111,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if u, is := s.Ledger().Unit("server/a"); !is || u.Condition != disruption.Up || s.ledger != nil {
+	if u, is := s.Ledger().Unit("server/a"); !is || u.Condition != disruption.ConditionUp || s.ledger != nil {
 		t.Errorf("before it begins: %+v", u)
 	}
-	res := s.Apply(2, &Record{Op: OpLedger, Ledger: &disruption.Op{Kind: disruption.OpSee, Seen: []disruption.Unit{{ID: "server/a", Condition: disruption.Unready}}}})
-	if u, _ := s.Ledger().Unit("server/a"); res.Outcome != Done || u.Condition != disruption.Unready {
+	res := s.Apply(2, &Record{Op: OpLedger, Ledger: &disruption.Op{Kind: disruption.OpObserve, Observed: []disruption.Unit{{ID: "server/a", Condition: disruption.ConditionUnready}}}})
+	if u, _ := s.Ledger().Unit("server/a"); res.Outcome != Done || u.Condition != disruption.ConditionUnready {
 		t.Errorf("%+v: %+v", res, u)
 	}
 }
--- a/internal/registry/ledger_test.go
+++ b/internal/registry/ledger_test.go
@@ -51,15 +51,15 @@
 		i.BootMS, i.Zone, i.Pod = 0, fmt.Sprint(k%3), k/2
 		b.register(i)
 	}
-	b.ledger(disruption.Op{Kind: disruption.OpBudget, Budget: &disruption.Budget{Name: "all", MaxOut: disruption.Limit{Count: &out}}})
+	b.ledger(disruption.Op{Kind: disruption.OpSetBudget, Budget: &disruption.Budget{Name: "all", MaxUnavailable: disruption.Limit{Count: &out}}})
 }
 
 func ask(id string, servers ...string) disruption.Op {
-	p := &disruption.Permit{ID: id, Owner: operator, End: disruption.ComesBack, Rank: disruption.RankDrain}
+	p := &disruption.Permit{ID: id, Owner: operator, Disposition: disruption.DispositionReturn, Priority: disruption.PriorityDrain}
 	for _, s := range servers {
-		p.Units = append(p.Units, disruption.UnitID(disruption.Server, s))
+		p.Units = append(p.Units, disruption.UnitID(disruption.KindServer, s))
 	}
-	return disruption.Op{Kind: disruption.OpAsk, Owner: operator, Permit: p}
+	return disruption.Op{Kind: disruption.OpRequest, Owner: operator, Permit: p}
 }
 
 func about(kind disruption.OpKind, id string) disruption.Op {
@@ -105,7 +105,7 @@
 					v, err := one.LedgerView(b.ctx, false, false)
 					one.Close()
 					for _, p := range v.Permits {
-						if err == nil && p.ID == id && p.Stage == disruption.Granted {
+						if err == nil && p.ID == id && p.Stage == disruption.StageGranted {
 							granted = p
 							return true
 						}
@@ -117,11 +117,11 @@
 		old.Proc.Kill()
 		hangUp()
 		res, err := b.client.Ledger(b.ctx, registry.Write{ID: in.ID}, in.Op)
-		if err != nil || res.Permit == nil || res.Permit.GotAt != granted.GotAt || res.Permit.Stage != disruption.Granted {
+		if err != nil || res.Permit == nil || res.Permit.GrantRevision != granted.GrantRevision || res.Permit.Stage != disruption.StageGranted {
 			t.Fatalf("the repeat gives %+v: %v, not the grant %+v", res.Permit, err, granted)
 		}
 		again, err := b.client.Ledger(b.ctx, registry.Write{}, in.Op) // as who has lost the id of the write as well
-		if err != nil || again.Permit.GotAt != granted.GotAt {
+		if err != nil || again.Permit.GrantRevision != granted.GrantRevision {
 			t.Fatalf("asked anew: %+v: %v", again.Permit, err)
 		}
 		if v := b.view(false); len(v.Permits) != 1 || len(v.Units) != 1 {
@@ -147,7 +147,7 @@
 	b.ledger(about(disruption.OpBegin, "out"))
 	b.ledger(ask("granted", "s2"))
 	b.ledger(ask("waits", "s4"))
-	b.ledger(disruption.Op{Kind: disruption.OpHalt, Halt: &disruption.Halt{Scope: "release/x", Why: "test"}})
+	b.ledger(disruption.Op{Kind: disruption.OpHalt, Halt: &disruption.Halt{Scope: "release/x", Reason: "test"}})
 	before := asJSON(t, b.view(true))
 	for _, r := range b.c.Replicas {
 		r.Proc.Kill()
@@ -162,7 +162,7 @@
 		t.Fatalf("the ledger is\n%s\nand was\n%s", after, before)
 	}
 	b.ledger(about(disruption.OpCancel, "granted"))
-	if p, err := b.client.Permit(b.ctx, "waits"); err != nil || p.Stage != disruption.Granted {
+	if p, err := b.client.Permit(b.ctx, "waits"); err != nil || p.Stage != disruption.StageGranted {
 		t.Fatalf("who waited is %+v: %v", p, err)
 	}
 }
@@ -195,13 +195,13 @@
 	defer cancel()
 	for n := range 8 { // from the first moment of the cut, while it still believes
 		wg.Go(func() {
-			if res, err := one.Ledger(short, registry.Write{}, ask(fmt.Sprint("believed", n), fmt.Sprint("s", n))); err == nil && res.Permit.Stage == disruption.Granted {
+			if res, err := one.Ledger(short, registry.Write{}, ask(fmt.Sprint("believed", n), fmt.Sprint("s", n))); err == nil && res.Permit.Stage == disruption.StageGranted {
 				told.Add(1)
 			}
 		})
 	}
 	res, err := majority.Ledger(b.ctx, registry.Write{}, ask("real", "s10"))
-	if err != nil || res.Permit.Stage != disruption.Granted {
+	if err != nil || res.Permit.Stage != disruption.StageGranted {
 		t.Fatalf("the majority grants %+v: %v", res.Permit, err)
 	}
 	wg.Wait()
@@ -211,10 +211,10 @@
 	b.links.Cut(cut.N, 3, false)
 	b.until("the cut replica has what the others granted", func() bool {
 		v, err := one.LedgerView(b.ctx, false, false)
-		return err == nil && slices.ContainsFunc(v.Permits, func(p disruption.Permit) bool { return p.ID == "real" && p.Stage == disruption.Granted })
+		return err == nil && slices.ContainsFunc(v.Permits, func(p disruption.Permit) bool { return p.ID == "real" && p.Stage == disruption.StageGranted })
 	})
 	for _, p := range b.view(false).Permits {
-		if p.ID != "real" && p.Stage != disruption.Asked {
+		if p.ID != "real" && p.Stage != disruption.StageRequested {
 			t.Errorf("%s is %s beside the one that the budget allows", p.ID, p.Stage)
 		}
 	}
@@ -246,16 +246,16 @@
 			t.Errorf("begin of %s: %v", id, err)
 		}
 	}
-	if res := b.ledger(ask("new", "s2")); res.Permit.Stage != disruption.Asked || !strings.Contains(res.Permit.Why, "backup") {
+	if res := b.ledger(ask("new", "s2")); res.Permit.Stage != disruption.StageRequested || !strings.Contains(res.Permit.WaitReason, "backup") {
 		t.Errorf("after the restore: %+v", res.Permit)
 	}
-	b.until("it is seen that the unit is gone", func() bool { return b.view(false).Counts[disruption.Lost] == 1 })
+	b.until("it is seen that the unit is gone", func() bool { return b.view(false).Counts[disruption.ConditionLost] == 1 })
 	b.ledger(disruption.Op{Kind: disruption.OpResume, Halt: &disruption.Halt{}})
-	if p, err := b.client.Permit(b.ctx, "new"); err != nil || p.Stage != disruption.Asked || !strings.Contains(p.Why, "budget/all") {
+	if p, err := b.client.Permit(b.ctx, "new"); err != nil || p.Stage != disruption.StageRequested || !strings.Contains(p.WaitReason, "budget/all") {
 		t.Errorf("with one unit out already: %+v: %v", p, err)
 	}
 	b.ledger(disruption.Op{Kind: disruption.OpForget, Units: []string{"server/leased"}})
-	if p, err := b.client.Permit(b.ctx, "new"); err != nil || p.Stage != disruption.Granted {
+	if p, err := b.client.Permit(b.ctx, "new"); err != nil || p.Stage != disruption.StageGranted {
 		t.Errorf("with none out: %+v: %v", p, err)
 	}
 }
@@ -285,7 +285,7 @@
 	if _, err := b.client.Ledger(b.ctx, registry.Write{Guard: guard}, begin); !refused(err, http.StatusConflict) {
 		t.Errorf("under a token that was taken away: %v", err)
 	}
-	if p, err := b.client.Permit(b.ctx, "p"); err != nil || p.Stage != disruption.Granted {
+	if p, err := b.client.Permit(b.ctx, "p"); err != nil || p.Stage != disruption.StageGranted {
 		t.Errorf("its permit is %+v: %v", p, err)
 	}
 }
@@ -320,14 +320,14 @@
 	}
 	b.until("the silent one is lost", func() bool {
 		speak(all[1:]...)
-		return b.view(false).Counts[disruption.Lost] == 1
+		return b.view(false).Counts[disruption.ConditionLost] == 1
 	})
-	b.until("all others cannot be seen", func() bool { return b.view(false).Counts[disruption.Unseen] == 4 })
-	if res := b.ledger(ask("p", "s0")); res.Permit.Stage != disruption.Asked || !strings.Contains(res.Permit.Why, "doubt") {
+	b.until("all others cannot be seen", func() bool { return b.view(false).Counts[disruption.ConditionUnknown] == 4 })
+	if res := b.ledger(ask("p", "s0")); res.Permit.Stage != disruption.StageRequested || !strings.Contains(res.Permit.WaitReason, "doubt") {
 		t.Errorf("without sight: %+v", res.Permit)
 	}
 	speak(all...)
-	if p, err := b.client.Permit(b.ctx, "p"); err != nil || p.Stage != disruption.Granted {
+	if p, err := b.client.Permit(b.ctx, "p"); err != nil || p.Stage != disruption.StageGranted {
 		t.Errorf("with sight again: %+v: %v", p, err)
 	}
 }
@@ -370,8 +370,8 @@
 		b.Fatal(err)
 	}
 	out := workers
-	if _, err := c.Ledger(ctx, registry.Write{}, disruption.Op{Kind: disruption.OpBudget, Owner: operator,
-		Budget: &disruption.Budget{Name: "all", MaxOut: disruption.Limit{Count: &out}}}); err != nil {
+	if _, err := c.Ledger(ctx, registry.Write{}, disruption.Op{Kind: disruption.OpSetBudget, Owner: operator,
+		Budget: &disruption.Budget{Name: "all", MaxUnavailable: disruption.Limit{Count: &out}}}); err != nil {
 		b.Fatal(err)
 	}
 	var mu sync.Mutex
@@ -386,7 +386,7 @@
 				began := time.Now()
 				res, err := c.Ledger(ctx, registry.Write{}, ask(id, fmt.Sprint("s", w*40)))
 				spent := time.Since(began)
-				if err != nil || res.Permit.Stage != disruption.Granted {
+				if err != nil || res.Permit.Stage != disruption.StageGranted {
 					b.Errorf("%+v: %v", res.Permit, err)
 					return
 				}
--- a/internal/registry/placement.go
+++ b/internal/registry/placement.go
@@ -28,28 +28,28 @@
 
 func (s *State) doPlacement(index uint64, r *Record) Result {
 	if r.Placement == nil {
-		return Result{Conflict, s.places.Rev(), "no operation"}
+		return Result{Conflict, s.places.Revision(), "no operation"}
 	}
 	duty := ""
 	if r.Guard != nil {
 		duty = r.Guard.Duty
 	}
 	outcome, why := s.places.Apply(index, duty, r.Placement)
-	of := map[placement.Outcome]Outcome{placement.Done: Done, placement.Refused: Conflict, placement.TooMany: TooMany}
-	return Result{of[outcome], s.places.Rev(), why}
+	of := map[placement.Outcome]Outcome{placement.OutcomeApplied: Done, placement.OutcomeRejected: Conflict, placement.OutcomeLimitReached: TooMany}
+	return Result{of[outcome], s.places.Revision(), why}
 }
 
 // placement reads what changed, with what is left of each entry after sharedFor.
-func (h *Hub) placement(after, epoch uint64) placement.List {
+func (h *Hub) placement(after, epoch uint64) placement.Update {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	return h.state.places.Since(after, epoch, time.Now().Add(sharedFor).UnixMilli())
+	return h.state.places.ChangesSince(after, epoch, time.Now().Add(sharedFor).UnixMilli())
 }
 
 // PlacementFeed lets watchers follow a placement, as a Hub does for the list: a watcher is a cursor. As each line says
 // what is left of its entries, a line is encoded at each wake-up and shared by those who are woken with it.
 type PlacementFeed struct {
-	read func(after, epoch uint64) placement.List
+	read func(after, epoch uint64) placement.Update
 
 	ring  sync.Mutex // never held while anything is read: who rings may hold what read waits for
 	news  bell
@@ -68,7 +68,7 @@
 
 // NewPlacementFeed makes a feed of what read gives: what changed after a revision of an epoch, with what is left of
 // each entry 50 ms from now.
-func NewPlacementFeed(read func(after, epoch uint64) placement.List) *PlacementFeed {
+func NewPlacementFeed(read func(after, epoch uint64) placement.Update) *PlacementFeed {
 	return &PlacementFeed{read: read, news: bell{woken: make(chan struct{})}, lines: map[cursor]placementLine{}}
 }
 
@@ -95,7 +95,7 @@
 		}
 		l = placementLine{at: time.Now(), ring: ring}
 		list := f.read(at.rev, at.epoch)
-		l.now = cursor{list.Rev, list.Epoch, true}
+		l.now = cursor{list.Revision, list.Epoch, true}
 		if l.now != at {
 			data, err := json.Marshal(&list)
 			if err != nil {
@@ -144,11 +144,11 @@
 
 // PlacementChange is the body of a write of the placement.
 type PlacementChange struct {
-	ID    string            `json:"id"`
-	Guard *Guard            `json:"guard"` // the owner's duty; no write counts without
-	AtMS  int64             `json:"at_ms"` // the writer's clock, Unix ms; 0: it is not compared with the leader's
-	Set   []placement.Entry `json:"set,omitempty"`
-	Drop  []string          `json:"drop,omitempty"`
+	ID    string                `json:"id"`
+	Guard *Guard                `json:"guard"` // the owner's duty; no write counts without
+	AtMS  int64                 `json:"at_ms"` // the writer's clock, Unix ms; 0: it is not compared with the leader's
+	Set   []placement.Directive `json:"set,omitempty"`
+	Drop  []string              `json:"drop,omitempty"`
 }
 
 func (r *Replica) serveSetPlacement(w http.ResponseWriter, req *http.Request) {
@@ -156,13 +156,13 @@
 	if !body(w, req, &in) {
 		return
 	}
-	op := &placement.Op{NowMS: time.Now().UnixMilli(), AtMS: in.AtMS, Set: in.Set, Drop: in.Drop}
+	op := &placement.Op{LeaderTimeMS: time.Now().UnixMilli(), WriterTimeMS: in.AtMS, Set: in.Set, Delete: in.Drop}
 	err := writeID(in.ID)
 	if err == nil && in.Guard == nil {
 		err = bad("guard", "a placement is written under its owner's duty")
 	}
 	if err == nil {
-		err = op.Check()
+		err = op.Validate()
 	}
 	if err != nil {
 		refuse(w, http.StatusBadRequest, err)
@@ -178,12 +178,12 @@
 		return
 	}
 	r.swept = now
-	var over []placement.Ref
-	r.hub.Read(func(s *State) { over = s.places.Ended(now.Add(-sweptAfter).UnixMilli(), mostSwept) })
+	var over []placement.DirectiveRef
+	r.hub.Read(func(s *State) { over = s.places.Expired(now.Add(-sweptAfter).UnixMilli(), mostSwept) })
 	if len(over) == 0 {
 		return
 	}
-	op := &placement.Op{NowMS: now.UnixMilli(), Ended: over}
+	op := &placement.Op{LeaderTimeMS: now.UnixMilli(), Expired: over}
 	if _, err := r.write(&Record{Op: OpPlacement, Placement: op}); err != nil {
 		return // found again, by this leader or the next
 	}
--- a/internal/registry/placement_test.go
+++ b/internal/registry/placement_test.go
@@ -27,12 +27,12 @@
 	return &registry.Guard{Duty: name, Token: d.Token}
 }
 
-func keepOff(id string, length time.Duration) placement.Entry {
-	return placement.Entry{ID: id, Kind: placement.KeepOff, Tenant: "t", Servers: []string{"s1", "s2"}, Least: 0.5, UntilMS: time.Now().Add(length).UnixMilli()}
+func keepOff(id string, length time.Duration) placement.Directive {
+	return placement.Directive{ID: id, Kind: placement.KindExclude, Tenant: "t", Servers: []string{"s1", "s2"}, MinAvailable: 0.5, ExpiresAtMS: time.Now().Add(length).UnixMilli()}
 }
 
 // place sets entries, and returns the status that the write was refused with, 0 if it was done.
-func (b *bed) place(g *registry.Guard, entries ...placement.Entry) (registry.Result, int) {
+func (b *bed) place(g *registry.Guard, entries ...placement.Directive) (registry.Result, int) {
 	b.Helper()
 	res, err := b.client.SetPlacement(b.ctx, registry.Write{Guard: g}, time.Now().UnixMilli(), entries)
 	var status *registry.StatusError
@@ -48,7 +48,7 @@
 // follower reads the placement of one replica after the other.
 type follower struct {
 	mu     sync.Mutex
-	reader *placement.Reader
+	reader *placement.Cache
 	whole  int // lists that were told whole
 	news   func(rev uint64, at time.Time)
 	began  time.Time
@@ -56,28 +56,28 @@
 
 // follow begins with a replica and goes on to the next where a watch ends, until the test does.
 func (b *bed) follow(n int, news func(uint64, time.Time)) *follower {
-	f := &follower{reader: placement.NewReader(), began: time.Now(), news: news}
+	f := &follower{reader: placement.NewCache(), began: time.Now(), news: news}
 	ctx, stop := context.WithCancel(b.ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for ; ctx.Err() == nil; n++ {
 			f.mu.Lock()
-			rev, epoch := f.reader.Rev(), f.reader.Epoch()
+			rev, epoch := f.reader.Revision(), f.reader.Epoch()
 			f.mu.Unlock()
 			at := b.c.Replicas[n%len(b.c.Replicas)].HTTP
-			err := b.client.WatchPlacement(ctx, at, rev, epoch, func(l *placement.List, _ time.Duration) error {
+			err := b.client.WatchPlacement(ctx, at, rev, epoch, func(l *placement.Update, _ time.Duration) error {
 				if l == nil {
 					return nil
 				}
 				f.mu.Lock()
 				defer f.mu.Unlock()
-				if l.All {
+				if l.Complete {
 					f.whole++
 				}
-				is, err := f.reader.Take(l, time.Now().UnixMilli(), time.Since(f.began).Milliseconds())
+				is, err := f.reader.Apply(l, time.Now().UnixMilli(), time.Since(f.began).Milliseconds())
 				if is && f.news != nil {
-					f.news(l.Rev, time.Now())
+					f.news(l.Revision, time.Now())
 				}
 				return err
 			})
@@ -98,12 +98,12 @@
 func (f *follower) has() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return ids(f.reader.At(time.Now().UnixMilli(), time.Since(f.began).Milliseconds()))
+	return ids(f.reader.Active(time.Now().UnixMilli(), time.Since(f.began).Milliseconds()))
 }
 
-func ids(l placement.List) string {
+func ids(l placement.Update) string {
 	var out []string
-	for _, e := range l.Entries {
+	for _, e := range l.Directives {
 		out = append(out, e.ID)
 	}
 	return strings.Join(out, " ")
@@ -136,7 +136,7 @@
 	}
 	for name, c := range map[string]struct {
 		g    *registry.Guard
-		e    placement.Entry
+		e    placement.Directive
 		want int
 	}{
 		"another's entry":   {other, keepOff("window/a/1", time.Minute), http.StatusConflict},
@@ -144,20 +144,20 @@
 		"no duty":           {nil, keepOff("window/a/1", time.Minute), http.StatusBadRequest},
 		"beyond an hour":    {g, keepOff("window/a/1", 2*time.Hour), http.StatusConflict},
 		"ended":             {g, keepOff("window/a/1", -time.Second), http.StatusConflict},
-		"what cannot be":    {g, placement.Entry{ID: "window/a/1", Kind: placement.Spread, UntilMS: 1}, http.StatusBadRequest},
+		"what cannot be":    {g, placement.Directive{ID: "window/a/1", Kind: placement.KindSpreadKey, ExpiresAtMS: 1}, http.StatusBadRequest},
 		"not of any window": {g, keepOff("window", time.Minute), http.StatusBadRequest},
 	} {
 		if _, status := b.place(c.g, c.e); status != c.want {
 			t.Errorf("%s: %d, want %d", name, status, c.want)
 		}
 	}
-	if _, err := b.client.SetPlacement(b.ctx, registry.Write{Guard: g}, time.Now().UnixMilli()-3_600_000, []placement.Entry{keepOff("window/a/1", time.Minute)}); err == nil {
+	if _, err := b.client.SetPlacement(b.ctx, registry.Write{Guard: g}, time.Now().UnixMilli()-3_600_000, []placement.Directive{keepOff("window/a/1", time.Minute)}); err == nil {
 		t.Error("a writer whose clock is an hour behind is taken")
 	}
 	everyone("all have the third, and none longer than it lasts", "window/a/1 window/a/2")
 	b.until("the leader drops what ended", func() bool {
 		l, err := b.client.PlacementView(b.ctx, true)
-		return err == nil && l.Rev > res.Rev && ids(l) == "window/a/1 window/a/2"
+		return err == nil && l.Revision > res.Rev && ids(l) == "window/a/1 window/a/2"
 	})
 	if err := leader.Start(); err != nil {
 		t.Fatal(err)
@@ -177,12 +177,12 @@
 	defer one.Close()
 	b.until("the killed one tells the same", func() bool {
 		l, err := one.PlacementView(b.ctx, false)
-		return err == nil && l.Rev == want.Rev && l.Epoch == want.Epoch && ids(l) == "window/a/1"
+		return err == nil && l.Revision == want.Revision && l.Epoch == want.Epoch && ids(l) == "window/a/1"
 	})
 	for n, f := range all {
 		f.mu.Lock()
-		if f.reader.Rev() != want.Rev {
-			t.Errorf("follower %d has revision %d, want %d", n, f.reader.Rev(), want.Rev)
+		if f.reader.Revision() != want.Revision {
+			t.Errorf("follower %d has revision %d, want %d", n, f.reader.Revision(), want.Revision)
 		}
 		f.mu.Unlock()
 	}
@@ -229,12 +229,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.until("all watch", func() bool { return count(first.Rev) == watchers })
+	b.until("all watch", func() bool { return count(first.Revision) == watchers })
 	var took []time.Duration
 	for k := range changes {
-		e := placement.Entry{ID: fmt.Sprint("spread/", k), Kind: placement.Spread, Key: "0123456789abcdef", UntilMS: time.Now().Add(time.Minute).UnixMilli()}
+		e := placement.Directive{ID: fmt.Sprint("spread/", k), Kind: placement.KindSpreadKey, KeyHash: "0123456789abcdef", ExpiresAtMS: time.Now().Add(time.Minute).UnixMilli()}
 		for c := range 8 {
-			e.Copies = append(e.Copies, placement.Copy{UID: fmt.Sprint("s", c), Share: 0.1})
+			e.Copies = append(e.Copies, placement.KeyCopy{ServerUID: fmt.Sprint("s", c), LoadFraction: 0.1})
 		}
 		asked := time.Now()
 		res, status := b.place(g, e)
--- a/internal/registry/release_test.go
+++ b/internal/registry/release_test.go
@@ -23,7 +23,7 @@
 	l := &supervisor.List{Memory: 1, Complete: true}
 	var units []disruption.Unit
 	for i, n := range []string{"a", "b", "c", "d"} {
-		units = append(units, disruption.Unit{ID: "server/" + n, Kind: disruption.Server, Zone: "z", Pod: i % 2, Capacity: 1, Condition: disruption.Up})
+		units = append(units, disruption.Unit{ID: "server/" + n, Kind: disruption.KindServer, Zone: "z", PodGroup: i % 2, Capacity: 1, Condition: disruption.ConditionUp})
 		l.Units = append(l.Units, supervisor.Unit{Name: n, Kind: supervisor.Server, Version: "1", State: supervisor.Running, Incarnation: 1})
 	}
 	s, err := release.New(p, 1000, units, nil, l)
--- a/internal/registry/sidecars.go
+++ b/internal/registry/sidecars.go
@@ -57,17 +57,17 @@
 
 func (s *Sidecar) unit() disruption.Unit {
 	u := disruption.Unit{
-		ID: disruption.UnitID(disruption.Sidecar, s.Name), Kind: disruption.Sidecar, Zone: s.Zone, Version: s.Version,
-		Capacity: 1, BootMS: s.BootMS, Condition: disruption.Unready,
+		ID: disruption.UnitID(disruption.KindSidecar, s.Name), Kind: disruption.KindSidecar, Zone: s.Zone, Version: s.Version,
+		Capacity: 1, BootMS: s.BootMS, Condition: disruption.ConditionUnready,
 	}
 	if s.Tenant != "" {
 		u.Tenants = []string{s.Tenant}
 	}
 	switch {
 	case s.Ending:
-		u.Condition = disruption.Draining
+		u.Condition = disruption.ConditionDraining
 	case s.Ready:
-		u.Condition = disruption.Up
+		u.Condition = disruption.ConditionUp
 	}
 	return u
 }
@@ -91,22 +91,22 @@
 		l.table.Register(index, n.unit())
 	}
 	for _, ref := range r.Refs {
-		old, id := l.sidecars[ref.UID], disruption.UnitID(disruption.Sidecar, ref.UID)
+		old, id := l.sidecars[ref.UID], disruption.UnitID(disruption.KindSidecar, ref.UID)
 		if old == nil || ref.Rev != 0 && ref.Rev != old.Rev {
 			continue // it has registered anew since
 		}
 		switch r.State {
 		case sidecarLeft:
 			delete(l.sidecars, ref.UID)
-			l.table.Leave(index, id)
+			l.table.Deregister(index, id)
 		case sidecarLost:
 			delete(l.sidecars, ref.UID)
-			l.table.Lose(index, id)
+			l.table.MarkLost(index, id)
 		case sidecarHeld:
 			next := *old
 			next.Suspect = true
 			l.sidecars[ref.UID] = &next
-			l.table.Unsee(index, id)
+			l.table.MarkUnknown(index, id)
 		}
 	}
 	return Result{Outcome: Done, Rev: index}
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -69,7 +69,7 @@
 
 // NewState is the empty state.
 func NewState() *State {
-	s := &State{instances: map[string]*Instance{}, writes: map[string]Result{}, duties: table.New(), places: placement.New(),
+	s := &State{instances: map[string]*Instance{}, writes: map[string]Result{}, duties: table.New(), places: placement.NewTable(),
 		releases: release.NewTable()}
 	s.setWindows(window.New())
 	return s
@@ -174,7 +174,7 @@
 	case OpEpoch:
 		s.epoch, s.history, s.forgotten = r.Epoch, nil, index
 		s.rev = index
-		s.places.Begin(index, r.Epoch)
+		s.places.StartEpoch(index, r.Epoch)
 		return Result{Outcome: Done, Rev: index}
 	default:
 		// Of a later version: every replica of this one skips it alike.
@@ -337,23 +337,23 @@
 const maxSnapshot = 512 << 20
 
 type snapshot struct {
-	Rev       uint64            `json:"rev"`
-	Applied   uint64            `json:"applied"`
-	Epoch     uint64            `json:"epoch"`
-	Instances []*Instance       `json:"instances"`
-	Writes    map[string]Result `json:"writes"`
-	Order     []string          `json:"order"`
-	Duties    []*table.Duty     `json:"duties,omitempty"`
-	Placement *placement.Saved  `json:"placement,omitempty"`
-	Releases  *release.Saved    `json:"releases,omitempty"`
-	Windows   *window.Saved     `json:"windows,omitempty"`
-	Ledger    *savedLedger      `json:"ledger,omitempty"`
+	Rev       uint64              `json:"rev"`
+	Applied   uint64              `json:"applied"`
+	Epoch     uint64              `json:"epoch"`
+	Instances []*Instance         `json:"instances"`
+	Writes    map[string]Result   `json:"writes"`
+	Order     []string            `json:"order"`
+	Duties    []*table.Duty       `json:"duties,omitempty"`
+	Placement *placement.Snapshot `json:"placement,omitempty"`
+	Releases  *release.Saved      `json:"releases,omitempty"`
+	Windows   *window.Saved       `json:"windows,omitempty"`
+	Ledger    *savedLedger        `json:"ledger,omitempty"`
 }
 
 // Snapshot writes the state. History is left out: watches that come back after a restore get the whole list.
 func (s *State) Snapshot(w io.Writer) error {
 	snap := snapshot{Rev: s.rev, Applied: s.applied, Epoch: s.epoch, Instances: []*Instance{}, Writes: s.writes, Order: s.order,
-		Duties: s.duties.Save(), Placement: s.places.Save(), Releases: s.releases.Save(), Windows: s.windows.Save()}
+		Duties: s.duties.Save(), Placement: s.places.Snapshot(), Releases: s.releases.Save(), Windows: s.windows.Save()}
 	snap.Ledger = s.ledger.save()
 	for _, uid := range slices.Sorted(maps.Keys(s.instances)) {
 		snap.Instances = append(snap.Instances, s.instances[uid])
@@ -408,7 +408,7 @@
 		return nil, fmt.Errorf("snapshot: an empty duty")
 	}
 	s.duties = table.Load(snap.Duties)
-	s.places = placement.Load(snap.Placement, snap.Epoch)
+	s.places = placement.Restore(snap.Placement, snap.Epoch)
 	s.releases = release.Load(snap.Releases)
 	s.setWindows(window.Load(snap.Windows))
 	if s.ledger, err = loadLedger(snap.Ledger); err != nil {
--- a/internal/registry/warm.go
+++ b/internal/registry/warm.go
@@ -38,12 +38,12 @@
 	var warm []disruption.Unit
 	for _, u := range cold {
 		life, known := w.since[u.ID]
-		if !known || life.rev != u.Rev {
-			life = coldLife{u.Rev, now}
+		if !known || life.rev != u.TransitionRevision {
+			life = coldLife{u.TransitionRevision, now}
 		}
 		since[u.ID] = life
 		if now.Sub(life.at) >= w.after && len(warm) < mostFound {
-			warm = append(warm, disruption.Unit{ID: u.ID, Condition: disruption.Up, Rev: u.Rev})
+			warm = append(warm, disruption.Unit{ID: u.ID, Condition: disruption.ConditionUp, TransitionRevision: u.TransitionRevision})
 		}
 	}
 	w.since = since
@@ -60,14 +60,14 @@
 	var cold []disruption.Unit
 	r.hub.Read(func(s *State) {
 		if s.ledger != nil {
-			cold = s.ledger.table.In(disruption.Cold)
+			cold = s.ledger.table.UnitsIn(disruption.ConditionWarmingUp)
 		}
 	})
 	warm := r.warmth.found(now, cold)
 	if len(warm) == 0 {
 		return
 	}
-	op := disruption.Op{Kind: disruption.OpSee, Seen: warm}
+	op := disruption.Op{Kind: disruption.OpObserve, Observed: warm}
 	if _, err := r.write(&Record{Op: OpLedger, Ledger: &op}); err != nil {
 		return // found again at the next look
 	}
--- a/internal/registry/warm_test.go
+++ b/internal/registry/warm_test.go
@@ -13,7 +13,7 @@
 	w := newWarmth(60 * time.Second)
 	start := time.Unix(1000, 0)
 	cold := func(id string, rev uint64) disruption.Unit {
-		return disruption.Unit{ID: id, Rev: rev, Condition: disruption.Cold}
+		return disruption.Unit{ID: id, TransitionRevision: rev, Condition: disruption.ConditionWarmingUp}
 	}
 	for _, step := range []struct {
 		at   time.Duration
@@ -30,7 +30,7 @@
 	} {
 		got := ""
 		for _, u := range w.found(start.Add(step.at), step.cold) {
-			if u.Condition != disruption.Up || u.Rev == 0 {
+			if u.Condition != disruption.ConditionUp || u.TransitionRevision == 0 {
 				t.Errorf("%v: %+v", step.at, u)
 			}
 			got += u.ID
--- a/internal/registry/window.go
+++ b/internal/registry/window.go
@@ -56,29 +56,29 @@
 
 // tellWindow puts what sidecars are told into the placement. Where that is full they keep off nothing new, and the window
 // does not become empty and comes back; what they keep off no more is dropped all the same.
-func (s *State) tellWindow(index uint64, now int64, set []placement.Entry, drop []string) string {
+func (s *State) tellWindow(index uint64, now int64, set []placement.Directive, drop []string) string {
 	if len(set)+len(drop) == 0 {
 		return ""
 	}
-	outcome, why := s.places.Apply(index, window.Duty, &placement.Op{NowMS: now, Set: set, Drop: drop})
-	if outcome != placement.Done && len(set) > 0 && len(drop) > 0 {
-		s.places.Apply(index, window.Duty, &placement.Op{NowMS: now, Drop: drop})
+	outcome, why := s.places.Apply(index, window.Duty, &placement.Op{LeaderTimeMS: now, Set: set, Delete: drop})
+	if outcome != placement.OutcomeApplied && len(set) > 0 && len(drop) > 0 {
+		s.places.Apply(index, window.Duty, &placement.Op{LeaderTimeMS: now, Delete: drop})
 	}
 	return why
 }
 
 // budgetOf has the ledger bound what is out of a contract's servers, for whatever reason, from the same entry of the log on.
 func (s *State) budgetOf(index uint64, op *window.Op) string {
-	in := &disruption.Op{Kind: disruption.OpBudget, Owner: "operator/contract"} // people alone set contracts
+	in := &disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/contract"} // people alone set contracts
 	switch op.Kind {
 	case window.OpContract:
 		in.Budget = window.BudgetOf(op.Contract)
 	case window.OpWithdraw:
-		in.Budget, in.Drop = &disruption.Budget{Name: window.BudgetName(op.Tenant)}, true
+		in.Budget, in.Delete = &disruption.Budget{Name: window.BudgetName(op.Tenant)}, true
 	default:
 		return ""
 	}
-	if outcome, why := s.begin(index).table.Apply(index, in); outcome != disruption.Done {
+	if outcome, why := s.begin(index).table.Apply(index, in); outcome != disruption.OutcomeApplied {
 		return "no budget of the ledger goes with it: " + why
 	}
 	return ""
--- a/internal/registry/window_test.go
+++ b/internal/registry/window_test.go
@@ -85,7 +85,7 @@
 			t.Fatalf("%s: %v", kind, err)
 		}
 	}
-	act(disruption.OpAsk)
+	act(disruption.OpRequest)
 	must(g, window.Op{Kind: window.OpDrain, Name: "w"})
 	act(disruption.OpBegin)
 	b.leader().Proc.Kill()
@@ -115,7 +115,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return len(l.Entries)
+		return len(l.Directives)
 	}
 	if n := told(); n != 1 {
 		t.Fatalf("%d entries are told", n)
@@ -127,7 +127,7 @@
 	if bounded() {
 		t.Error("its budget outlives the contract")
 	}
-	if w := view().Table.Window("w"); w == nil || w.Stage != window.Draining || view().Permits["window/w/1"] != disruption.Out {
+	if w := view().Table.Window("w"); w == nil || w.Stage != window.Draining || view().Permits["window/w/1"] != disruption.StageActive {
 		t.Errorf("%+v", w)
 	}
 }
--- a/internal/release/begin.go
+++ b/internal/release/begin.go
@@ -47,7 +47,7 @@
 // DrainPlan is the plan of a plain drain: the units that a selector names, bounded by the budgets alone.
 func DrainPlan(name string, sel disruption.Selector, deadlineS float64) *plan.Plan {
 	if sel.Kind == "" {
-		sel.Kind = disruption.Server
+		sel.Kind = disruption.KindServer
 	}
 	n := maxUnits
 	return &plan.Plan{
@@ -61,7 +61,7 @@
 	name, sel := p.Name, p.Select
 	s := &State{Name: name, Plan: p, Hash: p.Hash(), Drain: true, StartMS: nowMS, Head: Head{Phase: Forward}}
 	for _, d := range units {
-		if !sel.Selects(&d) {
+		if !sel.Matches(&d) {
 			continue
 		}
 		u, err := draw(l, d, 0)
--- a/internal/release/cases_test.go
+++ b/internal/release/cases_test.go
@@ -38,7 +38,7 @@
 		{"fails at start", func(w *world) { w.broken["2"] = true }, "exit status 1"},
 		{"is never ready", func(w *world) { w.never["2"] = true }, "it runs, but is unready"},
 	} {
-		w := newWorld(t, disruption.Server, 2, 10, 4)
+		w := newWorld(t, disruption.KindServer, 2, 10, 4)
 		w.start(serverPlan)
 		c.set(w)
 		s, err := w.finish(&kill{at: -1}, 4000, nil)
@@ -58,7 +58,7 @@
 }
 
 func TestAVersionThatThePlatformLacksGoesBack(t *testing.T) {
-	w := newWorld(t, disruption.Server, 2, 3, 2)
+	w := newWorld(t, disruption.KindServer, 2, 3, 2)
 	w.start(strings.Replace(serverPlan, `server = "2"`, `server = "9"`, 1))
 	if s, err := w.finish(&kill{at: -1}, 1000, nil); err != nil || s.Head.Phase != Backed || !strings.Contains(s.Head.Why, "no server of version 9") {
 		t.Errorf("%s, %v: %s", s.Head.Phase, err, s.Head.Why)
@@ -67,7 +67,7 @@
 
 // A configuration that is refused at SIGHUP counts as failed there, halts the wave, and is taken back where it was given.
 func TestARefusedConfigurationHalts(t *testing.T) {
-	w := newWorld(t, disruption.Sidecar, 2, 3, 2)
+	w := newWorld(t, disruption.KindSidecar, 2, 3, 2)
 	w.start(configPlan)
 	w.badConf["c2"] = true
 	s, _ := w.run("r", &kill{at: -1}, 300, nil)
@@ -93,7 +93,7 @@
 // rest, and resumed the release ends as if nothing had been.
 func TestHaltAtEveryMoment(t *testing.T) {
 	for at := range 80 {
-		w := newWorld(t, disruption.Server, 2, 3, 2)
+		w := newWorld(t, disruption.KindServer, 2, 3, 2)
 		w.start(strings.Replace(serverPlan, `"back"`, `"`+holdPlan+`"`, 1))
 		begun := map[string]bool{}
 		before := 0
@@ -125,8 +125,8 @@
 
 // out are the units under a permit that has begun.
 func (w *world) out() (ids []string) {
-	for _, p := range w.ledger.Permits() {
-		if p.Stage == disruption.Out || p.Stage == disruption.Returning {
+	for _, p := range w.ledger.OpenPermits() {
+		if p.Stage == disruption.StageActive || p.Stage == disruption.StageReturning {
 			ids = append(ids, p.Units...)
 		}
 	}
@@ -135,7 +135,7 @@
 
 func TestResumeCrossingBackAndBackWhileBack(t *testing.T) {
 	for at := 20; at < 70; at += 3 {
-		w := newWorld(t, disruption.Server, 2, 3, 2)
+		w := newWorld(t, disruption.KindServer, 2, 3, 2)
 		w.start(serverPlan)
 		s, err := w.finish(&kill{at: -1}, 1000, func(i int, _ *State) {
 			switch i {
@@ -161,7 +161,7 @@
 
 // The way back to a version that is broken too ends, with the exact list, and leaves what still serves.
 func TestBackToABrokenVersion(t *testing.T) {
-	w := newWorld(t, disruption.Server, 2, 10, 4)
+	w := newWorld(t, disruption.KindServer, 2, 10, 4)
 	w.start(serverPlan)
 	sent := false
 	s, err := w.finish(&kill{at: -1}, 4000, func(_ int, s *State) {
@@ -192,7 +192,7 @@
 }
 
 func TestDoneMayGoBackUntilItIsFinal(t *testing.T) {
-	w := newWorld(t, disruption.Server, 2, 3, 2)
+	w := newWorld(t, disruption.KindServer, 2, 3, 2)
 	first := w.start(serverPlan)
 	if s, err := w.finish(&kill{at: -1}, 1000, nil); err != nil || s.Head.Phase != Done {
 		t.Fatal(s.Head.Phase, err)
@@ -212,7 +212,7 @@
 }
 
 func TestWhatIsFinalGoesBackNoMore(t *testing.T) {
-	w := newWorld(t, disruption.Server, 2, 3, 2)
+	w := newWorld(t, disruption.KindServer, 2, 3, 2)
 	first := w.start(serverPlan)
 	if err := w.apply(&Op{Name: "r", Tell: &Command{What: CmdFinalize, By: "operator/eva"}}); err == nil {
 		t.Error("a release under way is made final")
@@ -232,7 +232,7 @@
 }
 
 func TestAnEditedPlanUnderWayIsRefused(t *testing.T) {
-	w := newWorld(t, disruption.Server, 2, 3, 2)
+	w := newWorld(t, disruption.KindServer, 2, 3, 2)
 	s := w.start(serverPlan)
 	if err := w.apply(&Op{Start: s}); err != nil {
 		t.Errorf("the same start again: %v", err)
@@ -252,7 +252,7 @@
 
 func TestSilenceAndTooLittleTrafficHold(t *testing.T) {
 	for _, kind := range []judge.Kind{judge.Silent, judge.Wait, ""} {
-		w := newWorld(t, disruption.Server, 2, 3, 2)
+		w := newWorld(t, disruption.KindServer, 2, 3, 2)
 		w.start(serverPlan)
 		w.verdict = func(*State) judge.Verdict { return judge.Verdict{Kind: kind} }
 		s, _ := w.run("r", &kill{at: -1}, 400, nil)
@@ -260,7 +260,7 @@
 			t.Errorf("verdict %q: it is %s in wave %d, want held in the first", kind, s.Head.Phase, s.Head.Wave)
 		}
 	}
-	w := newWorld(t, disruption.Server, 2, 3, 2)
+	w := newWorld(t, disruption.KindServer, 2, 3, 2)
 	w.start(strings.Replace(serverPlan, "bake_s = 5", "bake_s = 5\nwiden = 1", 1))
 	w.verdict = func(*State) judge.Verdict { return judge.Verdict{Kind: judge.Wait} }
 	s, _ := w.run("r", &kill{at: -1}, 400, nil)
@@ -276,7 +276,7 @@
 }
 
 func TestDeadlineHalts(t *testing.T) {
-	w := newWorld(t, disruption.Server, 2, 3, 2)
+	w := newWorld(t, disruption.KindServer, 2, 3, 2)
 	w.start(strings.Replace(serverPlan, "3600", "40", 1))
 	if s, err := w.finish(&kill{at: -1}, 1000, nil); err != nil || s.Head.Phase != Backed || !strings.Contains(s.Head.Why, "deadline") {
 		t.Errorf("%s, %v: %s", s.Head.Phase, err, s.Head.Why)
@@ -286,7 +286,7 @@
 // Hard case 1: two releases, a window's permit and an operator's drain ask at once in one zone; then servers fail alone.
 func TestAllAskAtOnce(t *testing.T) {
 	const maxOut = 2
-	w := newWorld(t, disruption.Server, 2, 6, maxOut)
+	w := newWorld(t, disruption.KindServer, 2, 6, maxOut)
 	half := func(name, ids string) string {
 		return strings.Replace(strings.Replace(serverPlan, `name = "r"`, `name = "`+name+`"`, 1), "[[wave]]", "[select]\nids = ["+ids+"]\n[[wave]]", 1)
 	}
@@ -299,8 +299,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	window := &disruption.Permit{ID: "window/1", Owner: "window/w", Purpose: "work", Units: []string{"server/a4"}, Rank: disruption.RankPressed, End: disruption.ComesBack}
-	w.op(&disruption.Op{Kind: disruption.OpAsk, Owner: window.Owner, Permit: window})
+	window := &disruption.Permit{ID: "window/1", Owner: "window/w", Purpose: "work", Units: []string{"server/a4"}, Priority: disruption.PriorityDeadline, Disposition: disruption.DispositionReturn}
+	w.op(&disruption.Op{Kind: disruption.OpRequest, Owner: window.Owner, Permit: window})
 	cs := map[string]*controller{}
 	for _, name := range w.table.Names() {
 		cs[name] = w.take(name)
@@ -315,12 +315,12 @@
 			}
 		}
 		switch p, _ := w.ledger.Permit("window/1"); {
-		case p.Stage == disruption.Granted:
+		case p.Stage == disruption.StageGranted:
 			w.op(&disruption.Op{Kind: disruption.OpBegin, Owner: window.Owner, Permit: window})
-		case p.Stage == disruption.Out && i > 60:
+		case p.Stage == disruption.StageActive && i > 60:
 			w.op(&disruption.Op{Kind: disruption.OpReturn, Owner: window.Owner, Permit: window})
-		case p.Stage == disruption.Returning:
-			w.op(&disruption.Op{Kind: disruption.OpSettle, Owner: window.Owner, Permit: window})
+		case p.Stage == disruption.StageReturning:
+			w.op(&disruption.Op{Kind: disruption.OpComplete, Owner: window.Owner, Permit: window})
 		}
 		if i == 30 {
 			w.platform.Crash("b5", "signal: killed")
@@ -339,7 +339,7 @@
 			t.Errorf("%s is %s: %+v", name, s.Head.Phase, s.Units)
 		}
 	}
-	if p, _ := w.ledger.Permit("window/1"); p.Stage != disruption.Settled {
+	if p, _ := w.ledger.Permit("window/1"); p.Stage != disruption.StageCompleted {
 		t.Errorf("the window's permit is %s", p.Stage)
 	}
 }
@@ -348,7 +348,7 @@
 // Its permit is settled all the same.
 func TestAHaltBeforeTheFirstActSettles(t *testing.T) {
 	for at := range 12 {
-		w := newWorld(t, disruption.Sidecar, 2, 3, 2)
+		w := newWorld(t, disruption.KindSidecar, 2, 3, 2)
 		w.quiet = true
 		w.start(strings.Replace(strings.Replace(serverPlan, "server =", "sidecar =", 1), `"back"`, `"hold"`, 1))
 		s, _ := w.run("r", &kill{at: -1}, 400, func(i int, s *State) {
@@ -369,7 +369,7 @@
 // stopped all the same.
 func TestADrainedServerThatThePlatformStartsAgainIsStopped(t *testing.T) {
 	for at := range 16 {
-		w := newWorld(t, disruption.Server, 2, 3, 2)
+		w := newWorld(t, disruption.KindServer, 2, 3, 2)
 		s, err := NewDrain(DrainPlan("r", disruption.Selector{IDs: []string{"server/a0"}}, 3600), w.now, w.ledger.Units(), w.list())
 		if err == nil {
 			err = w.apply(&Op{Start: s})
--- a/internal/release/drive/drive.go
+++ b/internal/release/drive/drive.go
@@ -37,7 +37,7 @@
 	WriteRelease(ctx context.Context, w registry.Write, name string, op release.Op) (registry.Result, error)
 	List(ctx context.Context, fresh bool) (registry.List, error)
 	SetState(ctx context.Context, w registry.Write, uid, state string) (registry.Result, error)
-	SetPlacement(ctx context.Context, w registry.Write, atMS int64, set []placement.Entry, drop ...string) (registry.Result, error)
+	SetPlacement(ctx context.Context, w registry.Write, atMS int64, set []placement.Directive, drop ...string) (registry.Result, error)
 	LedgerView(ctx context.Context, fresh, units bool) (disruption.View, error)
 	Sidecars(ctx context.Context) ([]registry.Sidecar, error)
 	Ledger(ctx context.Context, w registry.Write, op disruption.Op) (registry.LedgerResult, error)
@@ -254,7 +254,7 @@
 	case err == nil:
 		t.ledgerRev = max(t.ledgerRev, res.Rev)
 		delete(t.denied, op.Permit.ID)
-	case op.Kind == disruption.OpAsk && errors.As(err, &status) && (status.Status == http.StatusConflict || status.Status == http.StatusNotFound):
+	case op.Kind == disruption.OpRequest && errors.As(err, &status) && (status.Status == http.StatusConflict || status.Status == http.StatusNotFound):
 		t.denied[op.Permit.ID] = status.Text
 	default:
 		slog.Debug("ledger", "release", t.Name, "kind", op.Kind, "permit", op.Permit.ID, "error", err)
@@ -285,8 +285,8 @@
 // place has sidecars count the new version's servers apart, anew before the entry ends.
 func (t *tenure) place(ctx context.Context) {
 	moved := t.state.Moved()
-	if len(moved) > placement.MaxServers {
-		moved = moved[:placement.MaxServers]
+	if len(moved) > placement.MaxServersPerDirective {
+		moved = moved[:placement.MaxServersPerDirective]
 	}
 	same := len(moved) == len(t.cohort)
 	for i := 0; same && i < len(moved); i++ {
@@ -298,8 +298,8 @@
 	ctx, stop := limited(ctx)
 	defer stop()
 	now := time.Now()
-	e := placement.Entry{ID: t.state.CohortID(), Kind: placement.Cohort, Name: t.Name, Servers: moved, UntilMS: now.Add(cohortFor).UnixMilli()}
-	if _, err := t.Store.SetPlacement(ctx, registry.Write{Guard: t.guard}, now.UnixMilli(), []placement.Entry{e}); err != nil {
+	e := placement.Directive{ID: t.state.CohortID(), Kind: placement.KindCohort, Cohort: t.Name, Servers: moved, ExpiresAtMS: now.Add(cohortFor).UnixMilli()}
+	if _, err := t.Store.SetPlacement(ctx, registry.Write{Guard: t.guard}, now.UnixMilli(), []placement.Directive{e}); err != nil {
 		slog.Debug("cohort not placed", "release", t.Name, "error", err)
 		return
 	}
