--- a/internal/release/drive/drive_test.go
+++ b/internal/release/drive/drive_test.go
@@ -28,7 +28,7 @@
 	mu        sync.Mutex
 	rev       uint64
 	token     uint64
-	ledger    *disruption.Table
+	ledger    *disruption.Ledger
 	releases  *release.Table
 	platform  *fake.Platform
 	servers   map[string]*registry.Target
@@ -45,7 +45,7 @@
 var names = []string{"a1", "a2", "a3", "b1", "b2", "b3"}
 
 func newFleet() *fleet {
-	f := &fleet{ledger: disruption.New(), releases: release.NewTable(), servers: map[string]*registry.Target{}, launches: map[string]int{},
+	f := &fleet{ledger: disruption.NewLedger(), releases: release.NewTable(), servers: map[string]*registry.Target{}, launches: map[string]int{},
 		boots: map[string]int64{}, versions: map[string]string{}}
 	now := time.Now().UnixMilli()
 	server := func(v string) core.Version { return core.Version{Kind: supervisor.Server, Name: v} }
@@ -59,8 +59,8 @@
 	}
 	one := 1
 	f.rev = 100
-	f.ledger.Apply(f.rev, &disruption.Op{Kind: disruption.OpBudget, Owner: "operator/ci", Budget: &disruption.Budget{Name: "all",
-		Select: disruption.Selector{Kind: disruption.Server}, MaxOut: disruption.Limit{Count: &one}}})
+	f.ledger.Apply(f.rev, &disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/ci", Budget: &disruption.Budget{Name: "all",
+		Selector: disruption.Selector{Kind: disruption.KindServer}, MaxUnavailable: disruption.Limit{Count: &one}}})
 	return f
 }
 
@@ -84,27 +84,27 @@
 		t := f.servers[n]
 		at := l.Find(n)
 		f.rev++
-		id := disruption.UnitID(disruption.Server, n)
+		id := disruption.UnitID(disruption.KindServer, n)
 		if at == nil || at.State == supervisor.Exited {
-			f.ledger.Lose(f.rev, id)
+			f.ledger.MarkLost(f.rev, id)
 			continue
 		}
 		if boot := float64(f.boots[n]); t.BootMS != boot {
 			t.BootMS, t.State = boot, registry.Ready
 		}
-		u := disruption.Unit{ID: id, Kind: disruption.Server, Zone: t.Zone, Pod: t.Pod, Capacity: 1, BootMS: t.BootMS, Version: f.versions[n], Condition: disruption.Up}
+		u := disruption.Unit{ID: id, Kind: disruption.KindServer, Zone: t.Zone, PodGroup: t.Pod, Capacity: 1, BootMS: t.BootMS, Version: f.versions[n], Condition: disruption.ConditionUp}
 		if t.State == registry.Terminating {
-			u.Condition = disruption.Draining
+			u.Condition = disruption.ConditionDraining
 		}
 		f.ledger.Register(f.rev, u)
-		if at.State == supervisor.Running && u.Condition == disruption.Up {
+		if at.State == supervisor.Running && u.Condition == disruption.ConditionUp {
 			f.rev++
-			f.ledger.Apply(f.rev, &disruption.Op{Kind: disruption.OpSee, Owner: "prober", Seen: []disruption.Unit{{ID: id, Condition: disruption.Up}}})
+			f.ledger.Apply(f.rev, &disruption.Op{Kind: disruption.OpObserve, Owner: "prober", Observed: []disruption.Unit{{ID: id, Condition: disruption.ConditionUp}}})
 		}
 	}
 	for _, s := range []string{"s1", "s2"} {
 		f.rev++
-		f.ledger.Register(f.rev, disruption.Unit{ID: disruption.UnitID(disruption.Sidecar, s), Kind: disruption.Sidecar, Zone: "a", Capacity: 1, Condition: disruption.Up})
+		f.ledger.Register(f.rev, disruption.Unit{ID: disruption.UnitID(disruption.KindSidecar, s), Kind: disruption.KindSidecar, Zone: "a", Capacity: 1, Condition: disruption.ConditionUp})
 	}
 }
 
@@ -116,13 +116,13 @@
 	defer f.mu.Unlock()
 	var out []collect.Seen
 	for _, s := range []string{"s1", "s2"} {
-		r := placement.Report{Name: s, Zone: "a", List: f.rev}
+		r := placement.LoadReport{Sidecar: s, Zone: "a", EndpointRevision: f.rev}
 		for _, cohort := range []string{"", "r"} {
 			for _, zone := range []string{"a", "b"} {
-				r.Counts = append(r.Counts, placement.Count{Class: "c", Zone: zone, Cohort: cohort, Served: 400, Latency: []uint32{300, 60, 40}})
+				r.ClassCounts = append(r.ClassCounts, placement.ClassCount{Class: "c", Zone: zone, Cohort: cohort, Succeeded: 400, LatencyHistogram: []uint32{300, 60, 40}})
 			}
 		}
-		out = append(out, collect.Seen{Report: r, At: time.Duration(time.Now().UnixMilli())})
+		out = append(out, collect.Seen{LoadReport: r, At: time.Duration(time.Now().UnixMilli())})
 	}
 	return out, 0
 }
@@ -186,14 +186,14 @@
 	return registry.Result{}, f.fails()
 }
 
-func (f *fleet) SetPlacement(_ context.Context, w registry.Write, _ int64, set []placement.Entry, _ ...string) (registry.Result, error) {
+func (f *fleet) SetPlacement(_ context.Context, w registry.Write, _ int64, set []placement.Directive, _ ...string) (registry.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.guarded(w); err != nil {
 		return registry.Result{}, err
 	}
 	f.cohort = set[0].Servers
-	return registry.Result{}, set[0].Check()
+	return registry.Result{}, set[0].Validate()
 }
 
 func (f *fleet) Sidecars(context.Context) ([]registry.Sidecar, error) {
@@ -214,7 +214,7 @@
 	if err := f.guarded(w); err != nil {
 		return registry.LedgerResult{}, err
 	}
-	if out, why := f.ledger.Apply(f.rev, &op); out != disruption.Done {
+	if out, why := f.ledger.Apply(f.rev, &op); out != disruption.OutcomeApplied {
 		return registry.LedgerResult{}, &registry.StatusError{Status: http.StatusConflict, Text: why}
 	}
 	return registry.LedgerResult{}, f.fails()
--- a/internal/release/drive/look.go
+++ b/internal/release/drive/look.go
@@ -30,10 +30,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("release %s: the ledger: %w", t.Name, err)
 	}
-	if ledger.Rev < t.ledgerRev { // a replica that has fallen behind: what it lacks is no news
-		return nil, fmt.Errorf("release %s: the ledger at revision %d, after %d", t.Name, ledger.Rev, t.ledgerRev)
+	if ledger.Revision < t.ledgerRev { // a replica that has fallen behind: what it lacks is no news
+		return nil, fmt.Errorf("release %s: the ledger at revision %d, after %d", t.Name, ledger.Revision, t.ledgerRev)
 	}
-	t.ledgerRev = ledger.Rev
+	t.ledgerRev = ledger.Revision
 	list, err := t.Store.List(ctx, true)
 	if err != nil {
 		return nil, fmt.Errorf("release %s: the list: %w", t.Name, err)
@@ -61,7 +61,7 @@
 	var terminating []string
 	for _, i := range list.Targets {
 		if i.State == registry.Terminating {
-			terminating = append(terminating, disruption.UnitID(disruption.Server, i.UID))
+			terminating = append(terminating, disruption.UnitID(disruption.KindServer, i.UID))
 		}
 	}
 	now := t.clock()
@@ -89,8 +89,8 @@
 	seen, _ := t.Reports.Snapshot()
 	living := slices.Sorted(maps.Keys(has))
 	for i := range seen {
-		if r, lives := has[seen[i].Name]; lives {
-			has[seen[i].Name] = max(r, seen[i].List)
+		if r, lives := has[seen[i].Sidecar]; lives {
+			has[seen[i].Sidecar] = max(r, seen[i].EndpointRevision)
 		}
 	}
 	t.empty.Look(now, terminating, rev, living, has)
@@ -98,15 +98,15 @@
 		return
 	}
 	t.judged = time.Now()
-	var news []placement.Report
+	var news []placement.LoadReport
 	for i := range seen {
-		if at, known := t.seen[seen[i].Name]; !known || at != seen[i].At {
-			news = append(news, seen[i].Report)
+		if at, known := t.seen[seen[i].Sidecar]; !known || at != seen[i].At {
+			news = append(news, seen[i].LoadReport)
 		}
 	}
 	clear(t.seen)
 	for i := range seen {
-		t.seen[seen[i].Name] = seen[i].At
+		t.seen[seen[i].Sidecar] = seen[i].At
 	}
 	t.watch.Add(t.state, t.state.Interval(news, len(living), t.before, platform))
 	if platform != nil {
@@ -124,15 +124,15 @@
 	for i := range t.state.Units {
 		u := &t.state.Units[i]
 		d, at := units[u.ID], platform.Find(u.Name)
-		if u.Stage == release.Rise && d.Kind == disruption.Server && (d.Condition == disruption.Cold || d.Condition == disruption.Unready) &&
+		if u.Stage == release.Rise && d.Kind == disruption.KindServer && (d.Condition == disruption.ConditionWarmingUp || d.Condition == disruption.ConditionUnready) &&
 			at != nil && at.State == supervisor.Running && platform.AtMS-at.SinceMS >= t.Warm.Milliseconds() {
-			warm = append(warm, disruption.Unit{ID: u.ID, Condition: disruption.Up, Rev: d.Rev})
+			warm = append(warm, disruption.Unit{ID: u.ID, Condition: disruption.ConditionUp, TransitionRevision: d.TransitionRevision})
 		}
 	}
 	if len(warm) == 0 {
 		return
 	}
-	op := disruption.Op{Kind: disruption.OpSee, Owner: release.Owner(t.Name), Seen: warm}
+	op := disruption.Op{Kind: disruption.OpObserve, Owner: release.Owner(t.Name), Observed: warm}
 	if _, err := t.Store.Ledger(ctx, registry.Write{Guard: t.guard}, op); err != nil {
 		slog.Debug("not seen as warm", "release", t.Name, "units", len(warm), "error", err)
 	}
--- a/internal/release/drive/process_test.go
+++ b/internal/release/drive/process_test.go
@@ -132,8 +132,8 @@
 	must(err)
 	t.Cleanup(s.platform.Close)
 	one := 1
-	_, err = s.client.Ledger(ctx, registry.Write{}, disruption.Op{Kind: disruption.OpBudget, Owner: "operator/ci", Budget: &disruption.Budget{Name: "all",
-		Select: disruption.Selector{Kind: disruption.Server}, MaxOut: disruption.Limit{Count: &one}}})
+	_, err = s.client.Ledger(ctx, registry.Write{}, disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/ci", Budget: &disruption.Budget{Name: "all",
+		Selector: disruption.Selector{Kind: disruption.KindServer}, MaxUnavailable: disruption.Limit{Count: &one}}})
 	must(err)
 	l, err := s.platform.List(ctx)
 	must(err)
@@ -155,19 +155,19 @@
 	// What was started first is warm.
 	s.until("all servers are up", func() bool {
 		v, err := s.client.LedgerView(ctx, true, true)
-		if err != nil || v.Counts[disruption.Up]+v.Counts[disruption.Cold] < len(fleetNames)+2 {
+		if err != nil || v.Counts[disruption.ConditionUp]+v.Counts[disruption.ConditionWarmingUp] < len(fleetNames)+2 {
 			return false
 		}
 		var seen []disruption.Unit
 		for _, u := range v.Units {
-			if u.Condition == disruption.Cold {
-				seen = append(seen, disruption.Unit{ID: u.ID, Condition: disruption.Up, Rev: u.Rev})
+			if u.Condition == disruption.ConditionWarmingUp {
+				seen = append(seen, disruption.Unit{ID: u.ID, Condition: disruption.ConditionUp, TransitionRevision: u.TransitionRevision})
 			}
 		}
 		if len(seen) > 0 {
-			s.client.Ledger(ctx, registry.Write{}, disruption.Op{Kind: disruption.OpSee, Owner: "operator/ci", Seen: seen})
+			s.client.Ledger(ctx, registry.Write{}, disruption.Op{Kind: disruption.OpObserve, Owner: "operator/ci", Observed: seen})
 		}
-		return v.Counts[disruption.Up] == len(fleetNames)+2
+		return v.Counts[disruption.ConditionUp] == len(fleetNames)+2
 	})
 	return s
 }
--- a/internal/release/faults_test.go
+++ b/internal/release/faults_test.go
@@ -50,7 +50,7 @@
 
 // halted plays a release that a guard sends back while an operator has halted the whole fleet.
 func halted(t testing.TB, b bugs) error {
-	w := newWorld(t, disruption.Server, 2, 3, 2)
+	w := newWorld(t, disruption.KindServer, 2, 3, 2)
 	w.bugs = b
 	w.start(serverPlan)
 	w.verdict = func(s *State) judge.Verdict {
@@ -61,7 +61,7 @@
 	}
 	s, err := w.finish(&kill{at: -1}, 1000, func(_ int, s *State) {
 		if s.Head.Phase == Back {
-			w.op(&disruption.Op{Kind: disruption.OpHalt, Owner: "operator/eva", Halt: &disruption.Halt{Why: "a bad night"}})
+			w.op(&disruption.Op{Kind: disruption.OpHalt, Owner: "operator/eva", Halt: &disruption.Halt{Reason: "a bad night"}})
 		}
 	})
 	if err == nil && s.Head.Phase != Backed {
@@ -72,7 +72,7 @@
 
 // forgotten plays a release while the platform forgets at a tick, and finds all again 8 s later.
 func forgotten(t testing.TB, b bugs, at int) error {
-	w := newWorld(t, disruption.Server, 2, 3, 2)
+	w := newWorld(t, disruption.KindServer, 2, 3, 2)
 	w.bugs = b
 	w.start(serverPlan)
 	two := 0
@@ -161,7 +161,7 @@
 	for _, f := range faults {
 		for _, back := range []int{0, 62} {
 			for at := 0; at < 100; at += 7 {
-				w := newWorld(t, disruption.Server, 2, 3, 2)
+				w := newWorld(t, disruption.KindServer, 2, 3, 2)
 				w.start(serverPlan)
 				_, err := w.finish(&kill{at: -1}, 3000, func(i int, s *State) {
 					if i == at {
@@ -202,7 +202,7 @@
 func random(t testing.TB, seed uint64, ends map[Phase]int) error {
 	r := rand.New(rand.NewPCG(seed, 7))
 	const maxOut = 12
-	w := newWorld(t, disruption.Server, 4, 50, maxOut)
+	w := newWorld(t, disruption.KindServer, 4, 50, maxOut)
 	text := strings.Replace(serverPlan, "count = 1", "share = 0.05", 1)
 	text = strings.Replace(text, "count = 2", "count = 10", 1)
 	if r.IntN(2) == 0 {
@@ -286,7 +286,7 @@
 			continue
 		}
 		p, known := w.ledger.Permit(s.PermitID(&s.Units[i]))
-		if known && (p.Stage == disruption.Out || p.Stage == disruption.Returning) && !w.up(w.units[s.Units[i].ID]) {
+		if known && (p.Stage == disruption.StageActive || p.Stage == disruption.StageReturning) && !w.up(w.units[s.Units[i].ID]) {
 			n++
 		}
 	}
--- a/internal/release/figures_test.go
+++ b/internal/release/figures_test.go
@@ -148,7 +148,7 @@
 	seeds := *seedsFlag
 	early, ratios, shares := uint64(0), []float64{}, []float64{}
 	for seed := range seeds {
-		w := newWorld(t, disruption.Server, 4, 25, 8)
+		w := newWorld(t, disruption.KindServer, 4, 25, 8)
 		o := &observer{r: rand.New(rand.NewPCG(seed, 9)), w: w, harm: harms[seed%uint64(len(harms))]}
 		w.verdict = o.verdict
 		w.start(figuresPlan)
@@ -195,7 +195,7 @@
 	seeds := *seedsFlag
 	done := uint64(0)
 	for seed := range seeds {
-		w := newWorld(t, disruption.Server, 4, 25, 8)
+		w := newWorld(t, disruption.KindServer, 4, 25, 8)
 		o := &observer{r: rand.New(rand.NewPCG(seed, 11)), w: w}
 		w.verdict = o.verdict
 		w.start(figuresPlan)
@@ -215,7 +215,7 @@
 
 // A way back from the middle of a release without a bake: the least favourable moment.
 func TestWayBackFromTheMiddle(t *testing.T) {
-	w := newWorld(t, disruption.Server, 4, 25, 8)
+	w := newWorld(t, disruption.KindServer, 4, 25, 8)
 	w.start(serverPlan)
 	begun, sent := w.now, int64(0)
 	s, err := w.finish(&kill{at: -1}, 20000, func(_ int, s *State) {
--- a/internal/release/fixtures_test.go
+++ b/internal/release/fixtures_test.go
@@ -27,7 +27,7 @@
 }
 
 var fixtureScenarios = []fixtureScenario{
-	{name: "halt-resume-rollback", kind: disruption.Server, plan: serverPlan, phase: Backed,
+	{name: "halt-resume-rollback", kind: disruption.KindServer, plan: serverPlan, phase: Backed,
 		script: func(t *testing.T, w *world, tick int, _ *State) {
 			switch tick {
 			case 8, 12:
@@ -38,22 +38,22 @@
 				tell(t, w, CmdBack)
 			}
 		}},
-	{name: "sidecars-finalized", kind: disruption.Sidecar, plan: sidecarPlan, phase: Done},
-	{name: "configuration-refused", kind: disruption.Sidecar, plan: configPlan, phase: Backed,
+	{name: "sidecars-finalized", kind: disruption.KindSidecar, plan: sidecarPlan, phase: Done},
+	{name: "configuration-refused", kind: disruption.KindSidecar, plan: configPlan, phase: Backed,
 		script: func(t *testing.T, w *world, tick int, s *State) {
 			w.badConf["c2"] = true
 			if s.Head.Phase == Held && tick >= 60 {
 				tell(t, w, CmdBack)
 			}
 		}},
-	{name: "rollback-stranded", kind: disruption.Server, plan: serverPlan, phase: Stranded,
+	{name: "rollback-stranded", kind: disruption.KindServer, plan: serverPlan, phase: Stranded,
 		script: func(t *testing.T, w *world, _ int, s *State) {
 			if s.Head.Phase == Forward && s.Units[3].Stage == Rest {
 				w.broken["1"] = true
 				tell(t, w, CmdBack)
 			}
 		}},
-	{name: "drain", kind: disruption.Server, phase: Done},
+	{name: "drain", kind: disruption.KindServer, phase: Done},
 }
 
 // loggedOperation is one line of a golden log.
--- a/internal/release/kill_test.go
+++ b/internal/release/kill_test.go
@@ -56,14 +56,14 @@
 }
 
 var scenarios = []scenario{
-	{name: "servers", kind: disruption.Server, plan: serverPlan, want: Done, image: Image{"2", "c1"}, launch: 1},
-	{name: "servers back, some of them out", kind: disruption.Server, plan: serverPlan, back: 62, want: Backed, image: Image{"1", "c1"}, launch: 1},
-	{name: "servers back", kind: disruption.Server, plan: serverPlan, back: 82, want: Backed, image: Image{"1", "c1"}, launch: 1},
-	{name: "sidecars", kind: disruption.Sidecar, plan: sidecarPlan, want: Done, image: Image{"2", "c2"}, launch: 1},
-	{name: "configuration", kind: disruption.Sidecar, plan: reloadPlan, want: Done, image: Image{"1", "c2"}},
-	{name: "sidecars back", kind: disruption.Sidecar, plan: sidecarPlan, back: 35, want: Backed, image: Image{"1", "c1"}, launch: 1},
-	{name: "configuration back", kind: disruption.Sidecar, plan: reloadPlan, back: 30, want: Backed, image: Image{"1", "c1"}},
-	{name: "drain", kind: disruption.Server, drain: true, want: Done},
+	{name: "servers", kind: disruption.KindServer, plan: serverPlan, want: Done, image: Image{"2", "c1"}, launch: 1},
+	{name: "servers back, some of them out", kind: disruption.KindServer, plan: serverPlan, back: 62, want: Backed, image: Image{"1", "c1"}, launch: 1},
+	{name: "servers back", kind: disruption.KindServer, plan: serverPlan, back: 82, want: Backed, image: Image{"1", "c1"}, launch: 1},
+	{name: "sidecars", kind: disruption.KindSidecar, plan: sidecarPlan, want: Done, image: Image{"2", "c2"}, launch: 1},
+	{name: "configuration", kind: disruption.KindSidecar, plan: reloadPlan, want: Done, image: Image{"1", "c2"}},
+	{name: "sidecars back", kind: disruption.KindSidecar, plan: sidecarPlan, back: 35, want: Backed, image: Image{"1", "c1"}, launch: 1},
+	{name: "configuration back", kind: disruption.KindSidecar, plan: reloadPlan, back: 30, want: Backed, image: Image{"1", "c1"}},
+	{name: "drain", kind: disruption.KindServer, drain: true, want: Done},
 }
 
 // errEarly says that a release was over before it was sent back.
@@ -113,7 +113,7 @@
 			return effects, fmt.Errorf("once: %s was told %d times", what, n)
 		}
 	}
-	for _, p := range w.ledger.Permits() {
+	for _, p := range w.ledger.OpenPermits() {
 		return effects, fmt.Errorf("permit %s is %s at the end", p.ID, p.Stage)
 	}
 	if sc.drain {
--- a/internal/release/plan/check.go
+++ b/internal/release/plan/check.go
@@ -55,7 +55,7 @@
 		w := PreviewWave{Units: ids, Bake: p.Waves[i].Bake}
 		done += len(ids)
 		w.Share = float64(done) / float64(len(moved))
-		if p.Kind() == disruption.Server {
+		if p.Kind() == disruption.KindServer {
 			for _, id := range ids {
 				w.Cold += capacity(byID[id])
 			}
@@ -87,28 +87,28 @@
 func (v *Preview) budgets(p *Plan, moved, units []disruption.Unit, budgets []disruption.Budget) {
 	budgets = slices.Clone(budgets)
 	slices.SortFunc(budgets, func(a, b disruption.Budget) int { return strings.Compare(a.Name, b.Name) })
-	own := disruption.Budget{Name: "limits of " + p.Name, MaxCold: p.Limits.MaxCold}
+	own := disruption.Budget{Name: "limits of " + p.Name, MaxWarmingUp: p.Limits.MaxCold}
 	for _, u := range moved {
-		own.Select.IDs = append(own.Select.IDs, u.ID)
+		own.Selector.IDs = append(own.Selector.IDs, u.ID)
 	}
 	for _, b := range append(budgets, own) {
 		all, total := 0, 0.0
 		for _, u := range units {
-			if b.Select.Selects(&u) {
+			if b.Selector.Matches(&u) {
 				all++
 				total += capacity(u)
 			}
 		}
 		var hit []disruption.Unit
 		for _, u := range moved {
-			if b.Select.Selects(&u) {
+			if b.Selector.Matches(&u) {
 				hit = append(hit, u)
 			}
 		}
 		if len(hit) == 0 {
 			continue
 		}
-		if out, bound := allowed(b.MaxOut, float64(all)); bound {
+		if out, bound := allowed(b.MaxUnavailable, float64(all)); bound {
 			if out < 1 {
 				v.refuse("budget %q: max_out allows %d of its %d units out, and %s is one of them (%d of the release)",
 					b.Name, int(out), all, hit[0].ID, len(hit))
@@ -117,12 +117,12 @@
 				v.MaxOut = min(v.MaxOut, int(out))
 			}
 		}
-		if p.Kind() != disruption.Server || all == 0 {
+		if p.Kind() != disruption.KindServer || all == 0 {
 			continue
 		}
 		// A count of cold is in units of mean capacity, a share is of the capacity.
 		mean := total / float64(all)
-		if cold, bound := coldAllowed(b.MaxCold, float64(all), mean); bound {
+		if cold, bound := coldAllowed(b.MaxWarmingUp, float64(all), mean); bound {
 			for _, u := range hit {
 				if capacity(u) > cold+1e-9 {
 					v.refuse("budget %q: max_cold allows a capacity of %.3g cold, and %s alone is %.3g", b.Name, cold, u.ID, capacity(u))
@@ -135,14 +135,14 @@
 
 // groups tells which pod group or zone would be wholly out with one of its servers: that is never granted.
 func (v *Preview) groups(p *Plan, moved, units []disruption.Unit) {
-	if p.Kind() != disruption.Server {
+	if p.Kind() != disruption.KindServer {
 		return
 	}
 	size := map[string]int{}
-	pod := func(u disruption.Unit) string { return fmt.Sprintf("pod group %d", u.Pod) }
+	pod := func(u disruption.Unit) string { return fmt.Sprintf("pod group %d", u.PodGroup) }
 	zone := func(u disruption.Unit) string { return fmt.Sprintf("zone %q", u.Zone) }
 	for _, u := range units {
-		if u.Kind == disruption.Server {
+		if u.Kind == disruption.KindServer {
 			size[pod(u)]++
 			size[zone(u)]++
 		}
@@ -166,7 +166,7 @@
 		for _, zone := range []string{u.Zone, ""} {
 			c := v.Stays[zone]
 			c.All += capacity(u)
-			if u.Condition == disruption.Up {
+			if u.Condition == disruption.ConditionUp {
 				c.Stays += capacity(u)
 			}
 			v.Stays[zone] = c
@@ -174,7 +174,7 @@
 	}
 	byZone := map[string][]float64{}
 	for _, u := range moved {
-		if u.Condition == disruption.Up {
+		if u.Condition == disruption.ConditionUp {
 			byZone[u.Zone] = append(byZone[u.Zone], capacity(u))
 			if u.Zone != "" {
 				byZone[""] = append(byZone[""], capacity(u))
@@ -210,7 +210,7 @@
 	sel.Kind = p.Kind()
 	var out []disruption.Unit
 	for _, u := range units {
-		if sel.Selects(&u) {
+		if sel.Matches(&u) {
 			out = append(out, u)
 		}
 	}
@@ -268,8 +268,8 @@
 	if l.Count != nil {
 		out = float64(*l.Count)
 	}
-	if l.Share != nil {
-		out = min(out, math.Floor(*l.Share*n+1e-9))
+	if l.Fraction != nil {
+		out = min(out, math.Floor(*l.Fraction*n+1e-9))
 	}
 	return out, !math.IsInf(out, 1)
 }
@@ -280,8 +280,8 @@
 	if l.Count != nil {
 		out = float64(*l.Count) * mean
 	}
-	if l.Share != nil {
-		out = min(out, *l.Share*n*mean)
+	if l.Fraction != nil {
+		out = min(out, *l.Fraction*n*mean)
 	}
 	return out, !math.IsInf(out, 1)
 }
--- a/internal/release/plan/fixtures_test.go
+++ b/internal/release/plan/fixtures_test.go
@@ -95,11 +95,11 @@
 		units      []disruption.Unit
 		budgets    []disruption.Budget
 	}{
-		{"fits", "complete", fleet(2, 20), []disruption.Budget{{Name: "all", MaxOut: disruption.Limit{Share: &share}}}},
-		{"refused", "complete", append(fleet(2, 4), disruption.Unit{ID: "server/large", Kind: disruption.Server, Model: "loan",
-			Zone: "c", Pod: 9, Capacity: 7, Condition: disruption.Cold}), []disruption.Budget{
-			{Name: "warm", MaxCold: disruption.Limit{Count: &count}},
-			{Name: "shut", Select: disruption.Selector{Zone: "a"}, MaxOut: disruption.Limit{Count: &none}}}},
+		{"fits", "complete", fleet(2, 20), []disruption.Budget{{Name: "all", MaxUnavailable: disruption.Limit{Fraction: &share}}}},
+		{"refused", "complete", append(fleet(2, 4), disruption.Unit{ID: "server/large", Kind: disruption.KindServer, Model: "loan",
+			Zone: "c", PodGroup: 9, Capacity: 7, Condition: disruption.ConditionWarmingUp}), []disruption.Budget{
+			{Name: "warm", MaxWarmingUp: disruption.Limit{Count: &count}},
+			{Name: "shut", Selector: disruption.Selector{Zone: "a"}, MaxUnavailable: disruption.Limit{Count: &none}}}},
 		{"none", "sidecar", fleet(1, 3), nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/release/plan/plan.go
+++ b/internal/release/plan/plan.go
@@ -103,9 +103,9 @@
 // Kind is the kind of units that the release moves.
 func (p *Plan) Kind() disruption.Kind {
 	if p.What.Server != "" {
-		return disruption.Server
+		return disruption.KindServer
 	}
-	return disruption.Sidecar
+	return disruption.KindSidecar
 }
 
 // Hash tells two plans apart: a plan that was edited under way is another one.
@@ -178,8 +178,8 @@
 	if l.Count != nil && *l.Count < 1 {
 		return f.Errorf(key+".count", "%d would let nothing move", *l.Count)
 	}
-	if l.Share != nil && !(*l.Share > 0 && *l.Share <= 1) {
-		return f.Errorf(key+".share", "%v is not above 0 and at most 1", *l.Share)
+	if l.Fraction != nil && !(*l.Fraction > 0 && *l.Fraction <= 1) {
+		return f.Errorf(key+".share", "%v is not above 0 and at most 1", *l.Fraction)
 	}
 	return nil
 }
--- a/internal/release/plan/plan_test.go
+++ b/internal/release/plan/plan_test.go
@@ -85,8 +85,8 @@
 func fleet(zones, each int) (out []disruption.Unit) {
 	for z := range zones {
 		for i := range each {
-			out = append(out, disruption.Unit{ID: fmt.Sprintf("server/%c%03d", 'a'+z, i), Kind: disruption.Server,
-				Zone: string(rune('a' + z)), Model: "loan", Pod: i / 4, Capacity: 1, Condition: disruption.Up})
+			out = append(out, disruption.Unit{ID: fmt.Sprintf("server/%c%03d", 'a'+z, i), Kind: disruption.KindServer,
+				Zone: string(rune('a' + z)), Model: "loan", PodGroup: i / 4, Capacity: 1, Condition: disruption.ConditionUp})
 		}
 	}
 	return out
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	share := 0.1
-	v := Check(p, fleet(2, 20), []disruption.Budget{{Name: "all", MaxOut: disruption.Limit{Share: &share}}})
+	v := Check(p, fleet(2, 20), []disruption.Budget{{Name: "all", MaxUnavailable: disruption.Limit{Fraction: &share}}})
 	if len(v.Refused) > 0 || v.MaxOut != 4 || v.Cold != 40 {
 		t.Errorf("refused %q, %d out at most, %v cold; want none, 4, 40", v.Refused, v.MaxOut, v.Cold)
 	}
@@ -122,10 +122,10 @@
 		units          []disruption.Unit
 		want           string
 	}{
-		{"share rounds down to none", "", "", disruption.Budget{Name: "zone-a", Select: disruption.Selector{Zone: "a"},
-			MaxOut: disruption.Limit{Share: &small}}, nil, `budget "zone-a": max_out allows 0 of its 20 units`},
-		{"a unit too large to be cold", "", "", disruption.Budget{Name: "warm", MaxCold: disruption.Limit{Count: &n}},
-			append(fleet(2, 20), disruption.Unit{ID: "server/big", Kind: disruption.Server, Model: "loan", Zone: "a", Capacity: 9}),
+		{"share rounds down to none", "", "", disruption.Budget{Name: "zone-a", Selector: disruption.Selector{Zone: "a"},
+			MaxUnavailable: disruption.Limit{Fraction: &small}}, nil, `budget "zone-a": max_out allows 0 of its 20 units`},
+		{"a unit too large to be cold", "", "", disruption.Budget{Name: "warm", MaxWarmingUp: disruption.Limit{Count: &n}},
+			append(fleet(2, 20), disruption.Unit{ID: "server/big", Kind: disruption.KindServer, Model: "loan", Zone: "a", Capacity: 9}),
 			`budget "warm": max_cold allows a capacity of 1.2 cold, and server/big alone is 9`},
 		{"a pod group of one", "", "", disruption.Budget{}, fleet(1, 21), "pod group 5 is server/a020 alone"},
 		{"units in no wave", "[[wave]]\nbake_s = 60", "", disruption.Budget{}, nil, "29 of 40 units are in no wave"},
--- a/internal/release/reports.go
+++ b/internal/release/reports.go
@@ -28,18 +28,18 @@
 // Interval makes an interval for the judge of reports that came in one second, one of each sidecar at most, and of units
 // as the platform lists them. Expected is how many sidecars live. For servers the reports' cohorts say what met the new
 // version, for sidecars who reports. Restarts are those since the list before.
-func (s *State) Interval(reports []placement.Report, expected int, before, now *supervisor.List) judge.Interval {
+func (s *State) Interval(reports []placement.LoadReport, expected int, before, now *supervisor.List) judge.Interval {
 	moved := map[string]bool{}
 	for _, name := range s.Moved() {
 		moved[name] = true
 	}
-	servers := s.ledgerKind() == disruption.Server
+	servers := s.ledgerKind() == disruption.KindServer
 	pairs := map[[2]string]*judge.Pair{}
 	for i := range reports {
 		r := &reports[i]
-		for k := range r.Counts {
-			c := &r.Counts[k]
-			zone, side := c.Zone, moved[r.Name]
+		for k := range r.ClassCounts {
+			c := &r.ClassCounts[k]
+			zone, side := c.Zone, moved[r.Sidecar]
 			switch {
 			case !servers:
 				zone = r.Zone // a sidecar is compared with those beside it
@@ -71,14 +71,14 @@
 	return in
 }
 
-func sum(to *judge.Counts, c *placement.Count) {
-	to.Served += c.Served
+func sum(to *judge.Counts, c *placement.ClassCount) {
+	to.Served += c.Succeeded
 	to.Late += c.Late
 	to.Failed += c.Failed
-	for len(to.Latency) < len(c.Latency) {
+	for len(to.Latency) < len(c.LatencyHistogram) {
 		to.Latency = append(to.Latency, 0)
 	}
-	for i, n := range c.Latency {
+	for i, n := range c.LatencyHistogram {
 		to.Latency[i] += n
 	}
 }
--- a/internal/release/reports_test.go
+++ b/internal/release/reports_test.go
@@ -44,8 +44,8 @@
 func TestIntervalOfReports(t *testing.T) {
 	s := &State{Name: "r", Plan: &plan.Plan{What: plan.What{Server: "2"}}, Units: []Unit{
 		{ID: "server/n", Name: "n", Stage: Rest}, {ID: "server/o", Name: "o", Stage: Todo}}}
-	count := func(cohort string, served int, slow uint32) placement.Count {
-		return placement.Count{Class: "c", Zone: "z", Cohort: cohort, Served: served, Failed: 1, Latency: []uint32{uint32(served) - slow, slow}}
+	count := func(cohort string, served int, slow uint32) placement.ClassCount {
+		return placement.ClassCount{Class: "c", Zone: "z", Cohort: cohort, Succeeded: served, Failed: 1, LatencyHistogram: []uint32{uint32(served) - slow, slow}}
 	}
 	list := func(restarts int) *supervisor.List {
 		return &supervisor.List{Memory: 1, Units: []supervisor.Unit{
@@ -53,9 +53,9 @@
 			{Name: "o", Kind: supervisor.Server, Zone: "z", State: supervisor.Running, Incarnation: 1},
 			{Name: "x", Kind: supervisor.Sidecar, Zone: "z", State: supervisor.Running, Incarnation: 3}}}
 	}
-	got := s.Interval([]placement.Report{
-		{Name: "a", Zone: "y", Counts: []placement.Count{count("r", 5, 1), count("", 20, 2)}},
-		{Name: "b", Zone: "y", Counts: []placement.Count{count("r", 4, 0), count("other", 30, 0)}},
+	got := s.Interval([]placement.LoadReport{
+		{Sidecar: "a", Zone: "y", ClassCounts: []placement.ClassCount{count("r", 5, 1), count("", 20, 2)}},
+		{Sidecar: "b", Zone: "y", ClassCounts: []placement.ClassCount{count("r", 4, 0), count("other", 30, 0)}},
 	}, 3, list(1), list(3))
 	want := judge.Interval{Expected: 3, Reports: 2,
 		Pairs: []judge.Pair{{Class: "c", Zone: "z", New: judge.Counts{Served: 9, Failed: 2, Latency: []uint32{8, 1}},
--- a/internal/release/state.go
+++ b/internal/release/state.go
@@ -199,7 +199,7 @@
 }
 
 func (s *State) kind() supervisor.Kind {
-	if s.ledgerKind() == disruption.Sidecar {
+	if s.ledgerKind() == disruption.KindSidecar {
 		return supervisor.Sidecar
 	}
 	return supervisor.Server
--- a/internal/release/unit.go
+++ b/internal/release/unit.go
@@ -20,7 +20,7 @@
 	}
 	u = c.at(i)
 	p, known := c.v.Permits(c.s.PermitID(&u))
-	if held := known && (p.Stage == disruption.Out || p.Stage == disruption.Returning); !held && (u.Stage == Stop || u.Stage == Reload) {
+	if held := known && (p.Stage == disruption.StageActive || p.Stage == disruption.StageReturning); !held && (u.Stage == Stop || u.Stage == Reload) {
 		// Evidence had settled its permit when it was turned, or an operator has: nobody is taken out without one.
 		c.to(&u, Todo)
 		c.put(i, u)
@@ -55,23 +55,23 @@
 // ask asks for a unit's permit; a repeat is no second one.
 func (c *stepper) ask(u *Unit) {
 	p := &disruption.Permit{
-		ID: c.s.PermitID(u), Owner: Owner(c.s.Name), Units: []string{u.ID}, Rank: disruption.RankForward, End: disruption.ComesBack,
+		ID: c.s.PermitID(u), Owner: Owner(c.s.Name), Units: []string{u.ID}, Priority: disruption.PriorityRollout, Disposition: disruption.DispositionReturn,
 		Purpose: strings.TrimSpace("to " + u.goal().Version + " " + u.goal().Config),
 	}
 	switch {
 	case u.AskedBack:
-		p.Rank = disruption.RankBack
+		p.Priority = disruption.PriorityRollback
 	case c.s.Drain:
-		p.Rank, p.End, p.Purpose = disruption.RankDrain, disruption.Retired, "drained"
+		p.Priority, p.Disposition, p.Purpose = disruption.PriorityDrain, disruption.DispositionRetire, "drained"
 	}
-	c.do(Ledger{disruption.Op{Kind: disruption.OpAsk, Owner: p.Owner, Permit: p}})
+	c.do(Ledger{disruption.Op{Kind: disruption.OpRequest, Owner: p.Owner, Permit: p}})
 }
 
 // permit follows a permit from its asking to its begin. A grant that a halt has taken back is waited for again.
 func (c *stepper) permit(u *Unit, p disruption.Permit, known bool) {
-	got := known && p.Stage != disruption.Asked
+	got := known && p.Stage != disruption.StageRequested
 	switch {
-	case known && (p.Stage == disruption.Cancelled || p.Stage == disruption.Settled):
+	case known && (p.Stage == disruption.StageCancelled || p.Stage == disruption.StageCompleted):
 		u.Why = "its permit was ended by an operator"
 		c.to(u, Todo)
 	case u.Stage == Ask && !known:
@@ -85,20 +85,20 @@
 		}
 	case u.Stage == Ask && got:
 		c.to(u, Make)
-		if c.s.ledgerKind() != disruption.Server {
+		if c.s.ledgerKind() != disruption.KindServer {
 			c.to(u, Begin)
 		}
 	case u.Stage == Ask:
-		u.Why = p.Why
+		u.Why = p.WaitReason
 	case !got:
 		c.to(u, Ask)
 	case u.Stage == Make && (c.v.Made(u.ID) || c.gone(u)):
 		c.to(u, Begin)
 	case u.Stage == Make:
 		c.do(Prepare{u.ID})
-	case p.Stage == disruption.Granted:
+	case p.Stage == disruption.StageGranted:
 		c.ledger(disruption.OpBegin, u)
-	case c.s.ledgerKind() == disruption.Server:
+	case c.s.ledgerKind() == disruption.KindServer:
 		c.to(u, Drain)
 	default:
 		c.to(u, c.s.first())
@@ -111,7 +111,7 @@
 // gone tells whether a unit has ended by itself, so that nothing can be open on it.
 func (c *stepper) gone(u *Unit) bool {
 	d, known := c.v.Unit(u.ID)
-	if known && d.Condition == disruption.Lost {
+	if known && d.Condition == disruption.ConditionLost {
 		return true
 	}
 	l := c.v.Platform
@@ -285,14 +285,14 @@
 // rise waits for the evidence that a unit is back: its permit settled. The platform's word that it runs is not enough.
 func (c *stepper) rise(u *Unit, p disruption.Permit, known bool) {
 	switch {
-	case known && (p.Stage == disruption.Settled || p.Stage == disruption.Cancelled):
+	case known && (p.Stage == disruption.StageCompleted || p.Stage == disruption.StageCancelled):
 		u.Fails, u.Why = 0, ""
 		c.to(u, Rest)
 		return
 	case c.s.Drain && !u.Back && c.runs(u):
 		c.to(u, Stop) // it had ended by itself, and the platform has started it again
 		return
-	case known && p.Stage == disruption.Out && !(c.s.Drain && !u.Back):
+	case known && p.Stage == disruption.StageActive && !(c.s.Drain && !u.Back):
 		c.ledger(disruption.OpReturn, u)
 	}
 	d, seen := c.v.Unit(u.ID)
@@ -300,9 +300,9 @@
 	case !seen && !known && c.s.Drain && !u.Back: // its permit is settled, and it is out of the list for good
 		c.to(u, Rest)
 		return
-	case !seen || d.Condition != disruption.Up && !(c.s.Drain && d.Condition == disruption.Lost):
+	case !seen || d.Condition != disruption.ConditionUp && !(c.s.Drain && d.Condition == disruption.ConditionLost):
 	case known:
-		c.ledger(disruption.OpSettle, u)
+		c.ledger(disruption.OpComplete, u)
 		return
 	default: // it was over so long ago that it is not kept
 		c.to(u, Rest)
@@ -346,22 +346,22 @@
 func (c *stepper) cancel(u *Unit, p disruption.Permit, known bool) {
 	d, seen := c.v.Unit(u.ID)
 	switch {
-	case !known || p.Stage == disruption.Cancelled || p.Stage == disruption.Settled:
+	case !known || p.Stage == disruption.StageCancelled || p.Stage == disruption.StageCompleted:
 		u.Why = ""
 		c.to(u, Todo)
 		return
-	case c.s.ledgerKind() == disruption.Server:
+	case c.s.ledgerKind() == disruption.KindServer:
 		// Whether it drains already cannot be known from what is seen: it may have been told so a moment ago.
 		c.do(Restore{u.ID})
 	}
 	switch {
-	case !p.Undone:
+	case !p.Aborted:
 		c.ledger(disruption.OpCancel, u)
-	case seen && d.Condition == disruption.Up:
-		if c.s.ledgerKind() == disruption.Sidecar {
+	case seen && d.Condition == disruption.ConditionUp:
+		if c.s.ledgerKind() == disruption.KindSidecar {
 			c.see(u, d)
 		}
-		c.ledger(disruption.OpSettle, u)
+		c.ledger(disruption.OpComplete, u)
 	}
 }
 
@@ -373,8 +373,8 @@
 		return
 	}
 	if at := l.Find(u.Name); at != nil && at.State == supervisor.Running {
-		c.do(Ledger{disruption.Op{Kind: disruption.OpSee, Owner: Owner(c.s.Name),
-			Seen: []disruption.Unit{{ID: u.ID, Condition: disruption.Up, Rev: d.Rev}}}})
+		c.do(Ledger{disruption.Op{Kind: disruption.OpObserve, Owner: Owner(c.s.Name),
+			Observed: []disruption.Unit{{ID: u.ID, Condition: disruption.ConditionUp, TransitionRevision: d.TransitionRevision}}}})
 	}
 }
 
--- a/internal/release/waves.go
+++ b/internal/release/waves.go
@@ -134,14 +134,14 @@
 		all += s.Units[i].Capacity
 	}
 	out := math.Inf(1)
-	if s.ledgerKind() != disruption.Server {
+	if s.ledgerKind() != disruption.KindServer {
 		return out
 	}
 	if l.Count != nil {
 		out = float64(*l.Count) * all / float64(len(s.Units))
 	}
-	if l.Share != nil {
-		out = min(out, *l.Share*all)
+	if l.Fraction != nil {
+		out = min(out, *l.Fraction*all)
 	}
 	return out
 }
--- a/internal/release/world_test.go
+++ b/internal/release/world_test.go
@@ -37,7 +37,7 @@
 	now      int64
 	rev      uint64
 	token    uint64
-	ledger   *disruption.Table
+	ledger   *disruption.Ledger
 	platform *fake.Platform
 	table    *Table
 	units    map[string]*unitWorld
@@ -67,7 +67,7 @@
 const sleepyStop = 700 // ms from SIGTERM to a process's end
 
 func newWorld(t testing.TB, kind disruption.Kind, zones, each, maxOut int) *world {
-	w := &world{t: t, now: 1_000_000, ledger: disruption.New(), table: NewTable(), units: map[string]*unitWorld{}, token: 100, rev: 1000,
+	w := &world{t: t, now: 1_000_000, ledger: disruption.NewLedger(), table: NewTable(), units: map[string]*unitWorld{}, token: 100, rev: 1000,
 		launches: map[string]int{}, reloads: map[string]int{}, broken: map[string]bool{}, never: map[string]bool{}, badConf: map[string]bool{},
 		verdict: func(*State) judge.Verdict { return judge.Verdict{Kind: judge.Pass} }}
 	versions := map[core.Version]fake.Version{}
@@ -77,11 +77,11 @@
 		}
 	}
 	w.platform = fake.New(fake.Options{Versions: versions}, w.now)
-	w.op(&disruption.Op{Kind: disruption.OpBudget, Owner: "operator/ci", Budget: &disruption.Budget{Name: "all", MaxOut: disruption.Limit{Count: &maxOut}}})
+	w.op(&disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/ci", Budget: &disruption.Budget{Name: "all", MaxUnavailable: disruption.Limit{Count: &maxOut}}})
 	for z := range zones {
 		for i := range each {
 			name := fmt.Sprintf("%c%d", 'a'+z, i)
-			u := &unitWorld{unit: disruption.Unit{ID: disruption.UnitID(kind, name), Kind: kind, Zone: string(rune('a' + z)), Pod: i % 3, Capacity: 1}}
+			u := &unitWorld{unit: disruption.Unit{ID: disruption.UnitID(kind, name), Kind: kind, Zone: string(rune('a' + z)), PodGroup: i % 3, Capacity: 1}}
 			w.units[u.unit.ID] = u
 			w.ids = append(w.ids, u.unit.ID)
 			l, _ := w.platform.List(context.Background())
@@ -93,7 +93,7 @@
 		w.advance()
 	}
 	for _, id := range w.ids {
-		if u, _ := w.ledger.Unit(id); u.Condition != disruption.Up {
+		if u, _ := w.ledger.Unit(id); u.Condition != disruption.ConditionUp {
 			t.Fatalf("%s is %q at the start", id, u.Condition)
 		}
 	}
@@ -174,33 +174,33 @@
 				u.lostAt = w.now + 1000
 			}
 			if is && w.now >= u.lostAt {
-				w.ledger.Lose(w.rev, id)
+				w.ledger.MarkLost(w.rev, id)
 			}
 		default:
 			u.lostAt = 0
 			n := u.unit
-			n.Version, n.Condition, n.BootMS = u.version, disruption.Up, float64(u.bootMS)
+			n.Version, n.Condition, n.BootMS = u.version, disruption.ConditionUp, float64(u.bootMS)
 			if u.readyMS < 0 || u.readyMS > w.now {
-				n.Condition = disruption.Unready
+				n.Condition = disruption.ConditionUnready
 			}
 			if is && known.BootMS != n.BootMS {
 				u.terminating = false // it registers anew
-				if n.Kind == disruption.Server {
+				if n.Kind == disruption.KindServer {
 					u.cold = w.now + 3000
 				}
 			}
 			if u.terminating {
-				n.Condition = disruption.Draining
+				n.Condition = disruption.ConditionDraining
 			}
 			if !w.quiet || !is || known.BootMS != n.BootMS || known.Version != n.Version ||
-				(known.Condition == disruption.Draining || known.Condition == disruption.Lost) != u.terminating {
+				(known.Condition == disruption.ConditionDraining || known.Condition == disruption.ConditionLost) != u.terminating {
 				w.ledger.Register(w.rev, n)
 			}
-			if known, _ = w.ledger.Unit(id); n.Condition == disruption.Up && known.Condition != disruption.Up && u.cold <= w.now {
-				w.op(&disruption.Op{Kind: disruption.OpSee, Owner: "prober", Seen: []disruption.Unit{{ID: id, Condition: disruption.Up}}})
+			if known, _ = w.ledger.Unit(id); n.Condition == disruption.ConditionUp && known.Condition != disruption.ConditionUp && u.cold <= w.now {
+				w.op(&disruption.Op{Kind: disruption.OpObserve, Owner: "prober", Observed: []disruption.Unit{{ID: id, Condition: disruption.ConditionUp}}})
 			}
-			if known, _ = w.ledger.Unit(id); n.Condition == disruption.Unready && known.Condition == disruption.Up {
-				w.op(&disruption.Op{Kind: disruption.OpSee, Owner: "prober", Seen: []disruption.Unit{{ID: id, Condition: disruption.Unready}}})
+			if known, _ = w.ledger.Unit(id); n.Condition == disruption.ConditionUnready && known.Condition == disruption.ConditionUp {
+				w.op(&disruption.Op{Kind: disruption.OpObserve, Owner: "prober", Observed: []disruption.Unit{{ID: id, Condition: disruption.ConditionUnready}}})
 			}
 		}
 		if !w.up(u) {
@@ -285,7 +285,7 @@
 // permit is a permit as a view of the ledger shows it: those that are over are not in every view.
 func (w *world) permit(id string) (disruption.Permit, bool) {
 	p, known := w.ledger.Permit(id)
-	if w.brief && known && (p.Stage == disruption.Settled || p.Stage == disruption.Cancelled) {
+	if w.brief && known && (p.Stage == disruption.StageCompleted || p.Stage == disruption.StageCancelled) {
 		return disruption.Permit{}, false
 	}
 	return p, known
@@ -298,13 +298,13 @@
 	switch e := e.(type) {
 	case Ledger:
 		op := e.Op
-		if w.bugs.behind && op.Kind == disruption.OpAsk {
+		if w.bugs.behind && op.Kind == disruption.OpRequest {
 			p := *op.Permit
-			p.Rank = disruption.RankForward
+			p.Priority = disruption.PriorityRollout
 			op.Permit = &p
 		}
 		if current {
-			if out, why := w.op(&op); op.Kind == disruption.OpAsk && out != disruption.Done && !lost {
+			if out, why := w.op(&op); op.Kind == disruption.OpRequest && out != disruption.OutcomeApplied && !lost {
 				c.denied[op.Permit.ID] = why
 			}
 		}
--- a/internal/sidecar/fixtures_test.go
+++ b/internal/sidecar/fixtures_test.go
@@ -254,11 +254,11 @@
 }
 
 // fixtureReport is the report of a loop with each kind of entry in force and requests that ended in each way.
-func fixtureReport(l *loop, p *placing, startMS float64) *placement.Report {
+func fixtureReport(l *loop, p *placing, startMS float64) *placement.LoadReport {
 	l.placed = &inForce{placing: p, gather: newGather(l.cfg, startMS), numbers: map[string]int{}}
-	list := placement.List{Rev: 12, Epoch: 5, Entries: entries()}
-	for i := range list.Entries {
-		list.Entries[i].UntilMS, list.Entries[i].LeftMS = 1_700_000_600_000, 600_000
+	list := placement.Update{Revision: 12, Epoch: 5, Directives: entries()}
+	for i := range list.Directives {
+		list.Directives[i].ExpiresAtMS, list.Directives[i].RemainingMS = 1_700_000_600_000, 600_000
 	}
 	l.takePlaced(startMS, placed{at: l.clock.time(startMS), list: list})
 	c := &call{answers: make(chan answer, 1), deadline: l.clock.time(startMS + 900), out: &outbound{
@@ -283,7 +283,7 @@
 			call: &call{ev: request}, up: &upstream{id: l.cfg.serverID(ended.server), zone: "z"}, from: now,
 		}, ended.result)
 	}
-	due := make(chan *placement.Report, 1)
+	due := make(chan *placement.LoadReport, 1)
 	l.takePlaced(startMS+1000, placed{at: l.clock.time(startMS), list: list, report: due})
 	return <-due
 }
--- a/internal/sidecar/inforce.go
+++ b/internal/sidecar/inforce.go
@@ -31,7 +31,7 @@
 }
 
 type entryInForce struct {
-	placement.Entry
+	placement.Directive
 	until  float64 // by the loop's clock
 	tenant int     // of a keep-off
 	off    map[balance.ServerID]bool
@@ -72,10 +72,10 @@
 	if f == nil || ev.gen != f.gen {
 		return
 	}
-	f.rev, f.epoch = ev.list.Rev, ev.list.Epoch
+	f.rev, f.epoch = ev.list.Revision, ev.list.Epoch
 	base := l.clock.ms(ev.at)
-	if !f.same(base, ev.list.Entries) {
-		l.renew(now, base, ev.list.Entries)
+	if !f.same(base, ev.list.Directives) {
+		l.renew(now, base, ev.list.Directives)
 	}
 	if ev.report != nil {
 		ev.report <- l.report(now)
@@ -83,30 +83,30 @@
 }
 
 // same tells whether entries are those that the module has been told, with the same ends.
-func (f *inForce) same(base float64, entries []placement.Entry) bool {
-	return slices.EqualFunc(f.entries, entries, func(e entryInForce, of placement.Entry) bool {
-		return e.again(&of) && base+float64(of.LeftMS) > e.until-jumpMS
+func (f *inForce) same(base float64, entries []placement.Directive) bool {
+	return slices.EqualFunc(f.entries, entries, func(e entryInForce, of placement.Directive) bool {
+		return e.again(&of) && base+float64(of.RemainingMS) > e.until-jumpMS
 	})
 }
 
-func (e *entryInForce) again(of *placement.Entry) bool {
-	return e.ID == of.ID && e.Rev == of.Rev && e.UntilMS == of.UntilMS
+func (e *entryInForce) again(of *placement.Directive) bool {
+	return e.ID == of.ID && e.Revision == of.Revision && e.ExpiresAtMS == of.ExpiresAtMS
 }
 
 // renew takes over entries and tells the module. What was told before keeps its end, if that is earlier.
-func (l *loop) renew(now, base float64, entries []placement.Entry) {
+func (l *loop) renew(now, base float64, entries []placement.Directive) {
 	f := l.placed
 	old, numbers := f.entries, f.numbers
 	f.entries, f.numbers, f.cohorts = nil, map[string]int{}, map[balance.ServerID]string{}
 	var told balance.Placement
 	for i := range entries {
-		e := entryInForce{Entry: entries[i], until: base + float64(entries[i].LeftMS)}
+		e := entryInForce{Directive: entries[i], until: base + float64(entries[i].RemainingMS)}
 		k, found := slices.BinarySearchFunc(old, e.ID, func(o entryInForce, id string) int { return cmp.Compare(o.ID, id) })
-		if found && old[k].again(&e.Entry) {
+		if found && old[k].again(&e.Directive) {
 			e.until = math.Min(e.until, old[k].until)
 		}
 		switch e.Kind {
-		case placement.KeepOff:
+		case placement.KindExclude:
 			if l.keepOff(&e) {
 				n, known := numbers[e.ID]
 				if !known {
@@ -114,27 +114,27 @@
 					n = f.lastNumber
 				}
 				f.numbers[e.ID] = n
-				k := balance.Exclusion{ID: n, Tenant: e.tenant, MinAvailable: e.Least, ExpiresAt: e.until}
+				k := balance.Exclusion{ID: n, Tenant: e.tenant, MinAvailable: e.MinAvailable, ExpiresAt: e.until}
 				for _, uid := range e.Servers {
 					k.Servers = append(k.Servers, l.cfg.serverID(uid))
 				}
 				told.Exclusions = append(told.Exclusions, k)
 			}
-		case placement.Spread:
-			key, err := strconv.ParseUint(e.Key, 16, 64)
+		case placement.KindSpreadKey:
+			key, err := strconv.ParseUint(e.KeyHash, 16, 64)
 			if err != nil {
 				slog.Warn("placement: a spread of no key", "id", e.ID, "error", err)
 				break
 			}
 			s := balance.HotKey{Key: key, ExpiresAt: e.until}
 			for _, c := range e.Copies {
-				s.Replicas = append(s.Replicas, balance.Replica{Server: l.cfg.serverID(c.UID), LoadFraction: c.Share})
+				s.Replicas = append(s.Replicas, balance.Replica{Server: l.cfg.serverID(c.ServerUID), LoadFraction: c.LoadFraction})
 			}
 			told.HotKeys = append(told.HotKeys, s)
-		case placement.Cohort:
+		case placement.KindCohort:
 			for _, uid := range e.Servers {
 				if id := l.cfg.serverID(uid); f.cohorts[id] == "" { // of two the first by ID
-					f.cohorts[id] = e.Name
+					f.cohorts[id] = e.Cohort
 				}
 			}
 		}
@@ -176,11 +176,11 @@
 }
 
 // report says what is in force here and what became of the requests since the last report.
-func (l *loop) report(now float64) *placement.Report {
+func (l *loop) report(now float64) *placement.LoadReport {
 	f := l.placed
-	r := &placement.Report{
-		Name: l.cfg.Name, Version: l.version, Rev: f.rev, Epoch: f.epoch, List: uint64(max(l.disc.rev.Load(), 0)),
-		Open: map[string]int{},
+	r := &placement.LoadReport{
+		Sidecar: l.cfg.Name, Version: l.version, PlacementRevision: f.rev, PlacementEpoch: f.epoch, EndpointRevision: uint64(max(l.disc.rev.Load(), 0)),
+		ExcludedInFlight: map[string]int{},
 	}
 	for name, i := range l.cfg.zones {
 		if i == l.cfg.balance.Zone {
@@ -190,18 +190,18 @@
 	for _, e := range f.entries {
 		switch {
 		case e.off != nil:
-			r.Open[e.ID] = l.openAt(&e)
-		case e.Kind == placement.KeepOff: // of no tenant here: in force all the same, which who waits for it has to know
-			r.Open[e.ID] = 0
+			r.ExcludedInFlight[e.ID] = l.openAt(&e)
+		case e.Kind == placement.KindExclude: // of no tenant here: in force all the same, which who waits for it has to know
+			r.ExcludedInFlight[e.ID] = 0
 		}
 	}
-	if len(r.Open) > placement.MaxOpen { // too many to be told: none told means none open
-		maps.DeleteFunc(r.Open, func(_ string, n int) bool { return n == 0 })
+	if len(r.ExcludedInFlight) > placement.MaxExclusions { // too many to be told: none told means none open
+		maps.DeleteFunc(r.ExcludedInFlight, func(_ string, n int) bool { return n == 0 })
 	}
 	suspended := l.bal.SuspendedExclusions()
 	for _, e := range f.entries {
-		if n, is := f.numbers[e.ID]; is && slices.Contains(suspended, n) && len(r.Suspended) < placement.MaxOpen {
-			r.Suspended = append(r.Suspended, e.ID)
+		if n, is := f.numbers[e.ID]; is && slices.Contains(suspended, n) && len(r.SuspendedDirectives) < placement.MaxExclusions {
+			r.SuspendedDirectives = append(r.SuspendedDirectives, e.ID)
 		}
 	}
 	f.gather.into(r, now)
--- a/internal/sidecar/placement.go
+++ b/internal/sidecar/placement.go
@@ -45,7 +45,7 @@
 	placementPace
 
 	mu      sync.Mutex
-	reader  *placement.Reader
+	reader  *placement.Cache
 	strange bool // the next watch asks for the whole
 }
 
@@ -64,13 +64,13 @@
 type placed struct {
 	gen    int
 	at     time.Time
-	list   placement.List
-	report chan<- *placement.Report
+	list   placement.Update
+	report chan<- *placement.LoadReport
 }
 
 func newPlacing(addr string, gen int, post func(any), pace placementPace) *placing {
 	return &placing{
-		addr: addr, base: "http://" + addr + "/registry/", gen: gen, post: post, reader: placement.NewReader(),
+		addr: addr, base: "http://" + addr + "/registry/", gen: gen, post: post, reader: placement.NewCache(),
 		began: time.Now(), placementPace: pace,
 		client: &http.Client{Transport: &http.Transport{
 			DisableCompression: true, MaxResponseHeaderBytes: maxHeader, MaxIdleConnsPerHost: 1, IdleConnTimeout: 3 * reportEvery,
@@ -89,8 +89,8 @@
 // check refuses what is no address and port, and names that no report may hold.
 func (f *placementFile) check() error {
 	for key, name := range map[string]string{"application": f.Application, "version": f.Version} {
-		if len(name) > placement.MaxName {
-			return fmt.Errorf("%s: %d bytes, at most %d", key, len(name), placement.MaxName)
+		if len(name) > placement.MaxNameLength {
+			return fmt.Errorf("%s: %d bytes, at most %d", key, len(name), placement.MaxNameLength)
 		}
 	}
 	if f.Placement == "" {
@@ -142,8 +142,8 @@
 	defer guard.Stop()
 	p.mu.Lock()
 	url := p.base + "placement?watch=1"
-	if p.reader.Known() && !p.strange {
-		url += fmt.Sprintf("&after=%d&epoch=%d", p.reader.Rev(), p.reader.Epoch())
+	if p.reader.Synced() && !p.strange {
+		url += fmt.Sprintf("&after=%d&epoch=%d", p.reader.Revision(), p.reader.Epoch())
 	}
 	p.mu.Unlock()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -185,17 +185,17 @@
 // take takes a line in. What does not continue what is known has the next watch ask for the whole; what is known
 // holds until that has come.
 func (p *placing) take(value []byte) error {
-	var l placement.List
+	var l placement.Update
 	if err := json.Unmarshal(value, &l); err != nil {
 		return err
 	}
-	if l.All && l.Entries == nil {
+	if l.Complete && l.Directives == nil {
 		return errors.New("a whole placement without entries")
 	}
 	p.mu.Lock()
 	wall, mono := p.clock()
-	news, err := p.reader.Take(&l, wall, mono)
-	p.strange = errors.Is(err, placement.ErrStrange)
+	news, err := p.reader.Apply(&l, wall, mono)
+	p.strange = errors.Is(err, placement.ErrDiscontinuous)
 	p.mu.Unlock()
 	if news {
 		p.post(p.now(nil))
@@ -207,19 +207,19 @@
 func (p *placing) clock() (wallMS, monoMS int64) { return p.wall(), time.Since(p.began).Milliseconds() }
 
 // now is what is in force.
-func (p *placing) now(report chan<- *placement.Report) placed {
+func (p *placing) now(report chan<- *placement.LoadReport) placed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := time.Now()
 	wall, mono := p.clock()
-	return placed{p.gen, at, p.reader.At(wall, mono), report}
+	return placed{p.gen, at, p.reader.Active(wall, mono), report}
 }
 
 // known tells whether any placement has come.
 func (p *placing) known() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.reader.Known()
+	return p.reader.Synced()
 }
 
 // readValue reads a JSON object of any form, over one line or several. A blank line between objects is a sign of
--- a/internal/sidecar/placement_test.go
+++ b/internal/sidecar/placement_test.go
@@ -19,20 +19,20 @@
 // agent tells a placement as the test says and takes reports.
 type agent struct {
 	*registry
-	reports chan placement.Report
+	reports chan placement.LoadReport
 }
 
 func newAgent(t *testing.T) *agent {
-	a := &agent{newRegistry(t), make(chan placement.Report, 1000)}
+	a := &agent{newRegistry(t), make(chan placement.LoadReport, 1000)}
 	watch := a.Config.Handler
 	a.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Path != "/registry/report" {
 			watch.ServeHTTP(w, req)
 			return
 		}
-		var r placement.Report
-		if err := json.NewDecoder(req.Body).Decode(&r); err != nil || r.Check() != nil || req.Method != http.MethodPost {
-			t.Errorf("%s: %v, %v of %+v", req.Method, err, r.Check(), r)
+		var r placement.LoadReport
+		if err := json.NewDecoder(req.Body).Decode(&r); err != nil || r.Validate() != nil || req.Method != http.MethodPost {
+			t.Errorf("%s: %v, %v of %+v", req.Method, err, r.Validate(), r)
 		}
 		a.reports <- r
 		w.WriteHeader(http.StatusNoContent)
@@ -41,7 +41,7 @@
 }
 
 // next is a report that the sidecar began after this call, and what was counted until then.
-func (a *agent) next(t *testing.T, all *[]placement.Report) placement.Report {
+func (a *agent) next(t *testing.T, all *[]placement.LoadReport) placement.LoadReport {
 	t.Helper()
 	for len(a.reports) > 0 {
 		*all = append(*all, <-a.reports)
@@ -52,12 +52,12 @@
 	return last
 }
 
-func (c registryCall) place(t *testing.T, rev uint64, entries ...placement.Entry) {
+func (c registryCall) place(t *testing.T, rev uint64, entries ...placement.Directive) {
 	t.Helper()
 	for i := range entries {
-		entries[i].Rev = rev
+		entries[i].Revision = rev
 	}
-	data, err := json.Marshal(placement.List{Rev: rev, All: true, Epoch: 5, Entries: append([]placement.Entry{}, entries...)})
+	data, err := json.Marshal(placement.Update{Revision: rev, Complete: true, Epoch: 5, Directives: append([]placement.Directive{}, entries...)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,10 +65,10 @@
 }
 
 // keepOff keeps kita off servers for as long as it says by either clock.
-func keepOff(left time.Duration, uids ...string) placement.Entry {
-	return placement.Entry{
-		ID: "window/w/kita", Kind: placement.KeepOff, Tenant: "kita", Servers: uids,
-		UntilMS: time.Now().Add(left).UnixMilli(), LeftMS: left.Milliseconds(),
+func keepOff(left time.Duration, uids ...string) placement.Directive {
+	return placement.Directive{
+		ID: "window/w/kita", Kind: placement.KindExclude, Tenant: "kita", Servers: uids,
+		ExpiresAtMS: time.Now().Add(left).UnixMilli(), RemainingMS: left.Milliseconds(),
 	}
 }
 
@@ -120,10 +120,10 @@
 }
 
 // inForce waits until a revision is in force.
-func (p *placedRig) inForce(rev uint64) placement.Report {
+func (p *placedRig) inForce(rev uint64) placement.LoadReport {
 	p.t.Helper()
 	for {
-		if r := receive(p.t, "a report", p.agent.reports); r.Rev == rev {
+		if r := receive(p.t, "a report", p.agent.reports); r.PlacementRevision == rev {
 			return r
 		}
 	}
@@ -138,7 +138,7 @@
 	told := time.Now()
 	call.place(t, 3, keepOff(700*time.Millisecond, "a", "no such server"))
 	r := p.inForce(3)
-	if open, is := r.Open["window/w/kita"]; r.Name != "n0" || r.Version != "v7" || r.Zone != "z" || r.Epoch != 5 || r.List != 1 || !is || open != 0 || r.Suspended != nil {
+	if open, is := r.ExcludedInFlight["window/w/kita"]; r.Sidecar != "n0" || r.Version != "v7" || r.Zone != "z" || r.PlacementEpoch != 5 || r.EndpointRevision != 1 || !is || open != 0 || r.SuspendedDirectives != nil {
 		t.Errorf("reported %+v", r)
 	}
 	if n := p.lookups(10); n > 0 && time.Since(told) < 700*time.Millisecond {
@@ -154,10 +154,10 @@
 
 // Whatever clock is wrong ends an entry early, never late; also one that is set while the entry is in force.
 func TestEitherClockEndsAnEntry(t *testing.T) {
-	for what, change := range map[string]func(*placement.Entry){
-		"little left":                func(e *placement.Entry) { e.LeftMS = 200 },
-		"the writer's clock is late": func(e *placement.Entry) { e.UntilMS = time.Now().UnixMilli() + 200 },
-		"it was over by then":        func(e *placement.Entry) { e.UntilMS = 1 },
+	for what, change := range map[string]func(*placement.Directive){
+		"little left":                func(e *placement.Directive) { e.RemainingMS = 200 },
+		"the writer's clock is late": func(e *placement.Directive) { e.ExpiresAtMS = time.Now().UnixMilli() + 200 },
+		"it was over by then":        func(e *placement.Directive) { e.ExpiresAtMS = 1 },
 	} {
 		t.Run(what, func(t *testing.T) {
 			p := placedSidecar(t, nil)
@@ -180,7 +180,7 @@
 	ahead.Store(2 * time.Hour.Milliseconds())
 	until(t, "the entry's end", func() bool { return p.lookups(2) > 0 })
 	ahead.Store(0)
-	p.agent.next(t, &[]placement.Report{})
+	p.agent.next(t, &[]placement.LoadReport{})
 	if p.lookups(20) == 0 {
 		t.Error("the entry began again when the clock was put back")
 	}
@@ -192,7 +192,7 @@
 		s.loop.pace.silence, s.loop.pace.most = 300*time.Millisecond, 50*time.Millisecond
 	})
 	call := receive(t, "the watch", p.agent.calls)
-	indented, _ := json.MarshalIndent(placement.List{Rev: 1, All: true, Epoch: 5, Entries: []placement.Entry{keepOff(time.Hour, "a")}}, "", "  ")
+	indented, _ := json.MarshalIndent(placement.Update{Revision: 1, Complete: true, Epoch: 5, Directives: []placement.Directive{keepOff(time.Hour, "a")}}, "", "  ")
 	call.line(t, "\n"+string(indented))
 	p.inForce(1)
 	endless := strings.Repeat(`"window/w/kita",`, maxPlacement/16)
@@ -231,10 +231,10 @@
 // An entry that is told again with the same end is no news; one that ends earlier than was told is.
 func TestEarlierEndIsNews(t *testing.T) {
 	e := keepOff(time.Second, "a")
-	f := inForce{entries: []entryInForce{{Entry: e, until: 6000}}}
+	f := inForce{entries: []entryInForce{{Directive: e, until: 6000}}}
 	for left, want := range map[int64]bool{1000: true, 980: true, 5000: true, 900: false} {
-		e.LeftMS = left
-		if f.same(5000, []placement.Entry{e}) != want {
+		e.RemainingMS = left
+		if f.same(5000, []placement.Directive{e}) != want {
 			t.Errorf("%d ms left: same %v, want %v", left, !want, want)
 		}
 	}
@@ -285,35 +285,35 @@
 	}
 	held := ask("hold", "") // fails at b, which takes the first attempt, and is out at a
 	receive(t, "the held request", p.held)
-	var all []placement.Report
+	var all []placement.LoadReport
 	last := p.agent.next(t, &all)
-	if v, w := last.Open["window/v/kita"], last.Open["window/w/kita"]; v != 1 || w != 1 || len(last.Open) != 3 {
-		t.Errorf("open %v, want the held request at a, which both keep off, and none of another tenant", last.Open)
+	if v, w := last.ExcludedInFlight["window/v/kita"], last.ExcludedInFlight["window/w/kita"]; v != 1 || w != 1 || len(last.ExcludedInFlight) != 3 {
+		t.Errorf("open %v, want the held request at a, which both keep off, and none of another tenant", last.ExcludedInFlight)
 	}
 	p.hold <- true
 	<-held
 	last = p.agent.next(t, &all)
-	if last.Open["window/w/kita"] != 0 {
-		t.Errorf("open %v after its end", last.Open)
+	if last.ExcludedInFlight["window/w/kita"] != 0 {
+		t.Errorf("open %v after its end", last.ExcludedInFlight)
 	}
-	if len(last.Heat) != 1 || last.Heat[0].Key != "335f24192ff5d0d4" || !(last.Heat[0].Load > 0) || last.Heat[0].Error != 0 || last.Heat[0].Load != last.HeatAll {
-		t.Errorf("heat %+v of %v", last.Heat, last.HeatAll)
+	if len(last.HotKeys) != 1 || last.HotKeys[0].KeyHash != "335f24192ff5d0d4" || !(last.HotKeys[0].Load > 0) || last.HotKeys[0].ErrorBound != 0 || last.HotKeys[0].Load != last.TotalKeyLoad {
+		t.Errorf("heat %+v of %v", last.HotKeys, last.TotalKeyLoad)
 	}
 	got := map[string][3]int{}
 	suspended := map[string]bool{}
 	for _, r := range all {
-		for _, id := range r.Suspended {
+		for _, id := range r.SuspendedDirectives {
 			suspended[id] = true
 		}
-		for _, c := range r.Counts {
+		for _, c := range r.ClassCounts {
 			name, sum := c.Class+" "+c.Zone+" "+c.Cohort, 0
-			for _, n := range c.Latency {
+			for _, n := range c.LatencyHistogram {
 				sum += int(n)
 			}
-			if sum != c.Served {
-				t.Errorf("%d latencies of %d served", sum, c.Served)
+			if sum != c.Succeeded {
+				t.Errorf("%d latencies of %d served", sum, c.Succeeded)
 			}
-			got[name] = [3]int{got[name][0] + c.Served, got[name][1] + c.Late, got[name][2] + c.Failed}
+			got[name] = [3]int{got[name][0] + c.Succeeded, got[name][1] + c.Late, got[name][2] + c.Failed}
 		}
 	}
 	if want := map[string][3]int{"lookup z new": {20, 0, 1}, "lookup z ": {1, 0, 0}}; !maps.Equal(got, want) {
@@ -325,12 +325,12 @@
 }
 
 // entries keep kita off a, then off both, which leaves too little; another tenant is not of this sidecar.
-func entries() []placement.Entry {
+func entries() []placement.Directive {
 	first, both, other, cohort := keepOff(time.Hour, "a"), keepOff(time.Hour, "a", "b"), keepOff(time.Hour, "b"), keepOff(time.Hour, "b")
-	first.ID, both.Least = "window/v/kita", 0.5
+	first.ID, both.MinAvailable = "window/v/kita", 0.5
 	other.ID, other.Tenant = "window/x/other", "other"
-	cohort.ID, cohort.Kind, cohort.Name = "cohort/new", placement.Cohort, "new"
-	return []placement.Entry{first, both, other, cohort}
+	cohort.ID, cohort.Kind, cohort.Cohort = "cohort/new", placement.KindCohort, "new"
+	return []placement.Directive{first, both, other, cohort}
 }
 
 // Where the settings name no tenants, all requests are the calling application's.
@@ -342,7 +342,7 @@
 		})
 		receive(t, "the watch", p.agent.calls).place(t, 1, keepOff(time.Hour, "a"))
 		r := p.inForce(1)
-		if open, is := r.Open["window/w/kita"]; !is || open != 0 {
+		if open, is := r.ExcludedInFlight["window/w/kita"]; !is || open != 0 {
 			t.Errorf("%q: open %d, in force %v", application, open, is)
 		}
 		if kept := p.lookups(10) == 0; kept != want {
@@ -355,7 +355,7 @@
 func TestSpreadReachesTheModule(t *testing.T) {
 	p := placedSidecar(t, func(c conf) { c.setting(`"quantum_ms": 2,`, `"quantum_ms": 2, "family_info": {"warm_keys": true},`) })
 	spread := keepOff(time.Hour)
-	spread.ID, spread.Kind, spread.Key, spread.Copies = "spread/335f24192ff5d0d4", placement.Spread, "335f24192ff5d0d4", []placement.Copy{{UID: "a", Share: 1}}
+	spread.ID, spread.Kind, spread.KeyHash, spread.Copies = "spread/335f24192ff5d0d4", placement.KindSpreadKey, "335f24192ff5d0d4", []placement.KeyCopy{{ServerUID: "a", LoadFraction: 1}}
 	receive(t, "the watch", p.agent.calls).place(t, 1, spread)
 	p.inForce(1)
 	before := p.a.requests.Load()
@@ -386,10 +386,10 @@
 		t.Errorf("asked %q; the entry has to hold", call.query)
 	}
 	call.place(t, 1)
-	if r := receive(t, "a report", other.reports); r.Rev != 1 || r.Version != "v8" {
+	if r := receive(t, "a report", other.reports); r.PlacementRevision != 1 || r.Version != "v8" {
 		t.Errorf("reported %+v", r)
 	}
-	p.loop.post(placed{gen: 0, at: time.Now(), list: placement.List{Entries: []placement.Entry{keepOff(time.Hour, "a")}}})
+	p.loop.post(placed{gen: 0, at: time.Now(), list: placement.Update{Directives: []placement.Directive{keepOff(time.Hour, "a")}}})
 	if p.lookups(10) == 0 {
 		t.Error("the entry holds on")
 	}
--- a/internal/sidecar/report.go
+++ b/internal/sidecar/report.go
@@ -32,7 +32,7 @@
 	cfg    *Config
 	heat   *summary.Summary
 	work   []meanWork // by class
-	counts map[countOf]*placement.Count
+	counts map[countOf]*placement.ClassCount
 	since  float64
 }
 
@@ -47,7 +47,7 @@
 func newGather(cfg *Config, now float64) *gather {
 	return &gather{
 		cfg: cfg, heat: summary.New(heatKeys, heatHalf), work: make([]meanWork, len(cfg.balance.Classes)),
-		counts: map[countOf]*placement.Count{}, since: now,
+		counts: map[countOf]*placement.ClassCount{}, since: now,
 	}
 }
 
@@ -73,10 +73,10 @@
 	of := countOf{class, a.up.zone, cohort}
 	c := g.counts[of]
 	if c == nil {
-		if len(g.counts) >= placement.MaxCounts {
+		if len(g.counts) >= placement.MaxClassCounts {
 			return
 		}
-		c = &placement.Count{Zone: of.zone, Cohort: of.cohort, Latency: make([]uint32, len(placement.LatencyBounds)+1)}
+		c = &placement.ClassCount{Zone: of.zone, Cohort: of.cohort, LatencyHistogram: make([]uint32, len(placement.LatencyBucketBounds)+1)}
 		g.counts[of] = c
 	}
 	if result != balance.OK {
@@ -84,23 +84,23 @@
 		return
 	}
 	took, aim := now-a.from, g.cfg.balance.Classes[class].LatencyObjective
-	c.Served++
+	c.Succeeded++
 	if took > aim {
 		c.Late++
 	}
-	c.Latency[sort.SearchFloat64s(placement.LatencyBounds, took)]++
+	c.LatencyHistogram[sort.SearchFloat64s(placement.LatencyBucketBounds, took)]++
 	w := &g.work[class]
 	w.n = math.Min(w.n+1, workOf)
 	w.ms += (math.Min(took, aim) - w.ms) / w.n
 }
 
 // into writes what was counted since the last time into a report and begins anew.
-func (g *gather) into(r *placement.Report, now float64) {
-	r.SpanMS, g.since = math.Max(now-g.since, 0), now
-	top := g.heat.Top(now/1e3, placement.MaxHeat)
-	r.HeatAll = top.All
+func (g *gather) into(r *placement.LoadReport, now float64) {
+	r.IntervalMS, g.since = math.Max(now-g.since, 0), now
+	top := g.heat.Top(now/1e3, placement.MaxHotKeys)
+	r.TotalKeyLoad = top.All
 	for _, f := range top.Figures {
-		r.Heat = append(r.Heat, placement.Heat{Key: fmt.Sprintf("%016x", f.Key), Load: f.Load, Error: f.Error})
+		r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: fmt.Sprintf("%016x", f.Key), Load: f.Load, ErrorBound: f.Error})
 	}
 	for of, c := range g.counts {
 		for name, i := range g.cfg.classes {
@@ -108,12 +108,12 @@
 				c.Class = name
 			}
 		}
-		for len(c.Latency) > 0 && c.Latency[len(c.Latency)-1] == 0 {
-			c.Latency = c.Latency[:len(c.Latency)-1]
+		for len(c.LatencyHistogram) > 0 && c.LatencyHistogram[len(c.LatencyHistogram)-1] == 0 {
+			c.LatencyHistogram = c.LatencyHistogram[:len(c.LatencyHistogram)-1]
 		}
-		r.Counts = append(r.Counts, *c)
+		r.ClassCounts = append(r.ClassCounts, *c)
 	}
-	slices.SortFunc(r.Counts, func(a, b placement.Count) int {
+	slices.SortFunc(r.ClassCounts, func(a, b placement.ClassCount) int {
 		return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Cohort, b.Cohort))
 	})
 	clear(g.counts)
@@ -131,7 +131,7 @@
 		}
 		began := time.Now()
 		if p.known() {
-			due := make(chan *placement.Report, 1)
+			due := make(chan *placement.LoadReport, 1)
 			p.post(p.now(due))
 			select {
 			case <-ctx.Done():
@@ -148,10 +148,10 @@
 
 // tell posts a report within the time to the next. One that is too large goes without counts, then without heat; what
 // is open is told whole or not at all, as none told means none open.
-func (p *placing) tell(ctx context.Context, r *placement.Report) error {
+func (p *placing) tell(ctx context.Context, r *placement.LoadReport) error {
 	data, err := json.Marshal(r)
-	for _, drop := range []func(){func() { r.Counts = nil }, func() { r.Heat, r.HeatAll = nil, 0 }} {
-		if err == nil && len(data) > placement.MaxReport {
+	for _, drop := range []func(){func() { r.ClassCounts = nil }, func() { r.HotKeys, r.TotalKeyLoad = nil, 0 }} {
+		if err == nil && len(data) > placement.MaxReportBytes {
 			drop()
 			data, err = json.Marshal(r)
 		}
@@ -159,8 +159,8 @@
 	if err != nil {
 		return err
 	}
-	if len(data) > placement.MaxReport {
-		return fmt.Errorf("%d bytes, at most %d", len(data), placement.MaxReport)
+	if len(data) > placement.MaxReportBytes {
+		return fmt.Errorf("%d bytes, at most %d", len(data), placement.MaxReportBytes)
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.every)
 	defer cancel()
--- a/internal/spread/bench_test.go
+++ b/internal/spread/bench_test.go
@@ -59,14 +59,14 @@
 	}
 	d.Servers(list)
 	rnd := rand.New(rand.NewPCG(1, 1))
-	var reports []*placement.Report
+	var reports []*placement.LoadReport
 	for i := range sidecars {
-		r := &placement.Report{Name: fmt.Sprint(i), HeatAll: 4000}
-		for k := range uint64(placement.MaxHeat) {
+		r := &placement.LoadReport{Sidecar: fmt.Sprint(i), TotalKeyLoad: 4000}
+		for k := range uint64(placement.MaxHotKeys) {
 			if k < 8 {
-				r.Heat = append(r.Heat, placement.Heat{Key: Name(k + 1), Load: 300})
+				r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: Name(k + 1), Load: 300})
 			} else {
-				r.Heat = append(r.Heat, placement.Heat{Key: Name(rnd.Uint64N(10_000) + 100), Load: 30 + float64(k)/100})
+				r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: Name(rnd.Uint64N(10_000) + 100), Load: 30 + float64(k)/100})
 			}
 		}
 		reports = append(reports, r)
@@ -76,7 +76,7 @@
 	for n := 0; b.Loop(); n++ {
 		now += 0.1
 		for i := n % 10; i < len(reports); i += 10 {
-			reports[i].Rev = rev
+			reports[i].PlacementRevision = rev
 			d.Report(now, reports[i])
 		}
 		for _, f := range d.Decide(now) {
--- a/internal/spread/decide.go
+++ b/internal/spread/decide.go
@@ -29,7 +29,7 @@
 
 // Effect is a change of the placement: an entry to be put, or the id of one to be dropped.
 type Effect struct {
-	Put  *placement.Entry
+	Put  *placement.Directive
 	Drop string
 }
 
@@ -83,8 +83,8 @@
 
 // Report takes a sidecar's report; false: it is nonsense or one too many, and counts as lost. It shows what copies have
 // answered: a sidecar that follows an entry sends them their parts of what it reports of the key.
-func (d *Decider) Report(now float64, r *placement.Report) bool {
-	before := d.heat.reporters[r.Name]
+func (d *Decider) Report(now float64, r *placement.LoadReport) bool {
+	before := d.heat.reporters[r.Sidecar]
 	if !d.heat.take(now, r) {
 		return false
 	}
@@ -94,37 +94,37 @@
 	if before == nil {
 		return true // how long it has counted is not known
 	}
-	this := d.heat.reporters[r.Name]
+	this := d.heat.reporters[r.Sidecar]
 	for _, l := range this.heat {
 		k := d.keys[l.key]
-		if k == nil || slices.Contains(r.Suspended, ID(l.key)) {
+		if k == nil || slices.Contains(r.SuspendedDirectives, ID(l.key)) {
 			continue
 		}
-		k.note(shown{r.Name, this.work(before, l, d.heat.half) / d.cfg.Work, before.rev, this.rev})
+		k.note(shown{r.Sidecar, this.work(before, l, d.heat.half) / d.cfg.Work, before.rev, this.rev})
 	}
 	return true
 }
 
 // Resume takes over the table that a predecessor left in the placement, after Servers. Copies carry what they carried
 // and not more before they have shown again that they can; those that were warming begin anew.
-func (d *Decider) Resume(now float64, entries []placement.Entry) {
+func (d *Decider) Resume(now float64, entries []placement.Directive) {
 	for i := range entries {
 		e := &entries[i]
-		key, err := strconv.ParseUint(e.Key, 16, 64)
-		if e.Kind != placement.Spread || err != nil || e.ID != ID(key) || float64(e.UntilMS) <= now*1000 || len(d.keys) >= d.cfg.MaxKeys {
+		key, err := strconv.ParseUint(e.KeyHash, 16, 64)
+		if e.Kind != placement.KindSpreadKey || err != nil || e.ID != ID(key) || float64(e.ExpiresAtMS) <= now*1000 || len(d.keys) >= d.cfg.MaxKeys {
 			continue
 		}
-		k := &spreadKey{key: key, narrowAt: now + d.cfg.Hold, told: *e, until: float64(e.UntilMS) / 1000}
+		k := &spreadKey{key: key, narrowAt: now + d.cfg.Hold, told: *e, until: float64(e.ExpiresAtMS) / 1000}
 		given, carry, little := 0.0, 0, trickle(&d.cfg, e.Copies)
 		for _, c := range e.Copies {
-			i, ok := d.fleet.at[c.UID]
-			if !(c.Share >= 0 && c.Share <= 1) || k.find(c.UID) != nil || !ok || !d.fleet.usable(i) {
+			i, ok := d.fleet.at[c.ServerUID]
+			if !(c.LoadFraction >= 0 && c.LoadFraction <= 1) || k.find(c.ServerUID) != nil || !ok || !d.fleet.usable(i) {
 				continue
 			}
-			if given += c.Share; c.Share > 0 {
+			if given += c.LoadFraction; c.LoadFraction > 0 {
 				carry++
 			}
-			k.copies = append(k.copies, &copyOf{uid: c.UID, rev: e.Rev, part: max(c.Share, little), since: now, base: c.Share})
+			k.copies = append(k.copies, &copyOf{uid: c.ServerUID, rev: e.Revision, part: max(c.LoadFraction, little), since: now, base: c.LoadFraction})
 		}
 		own, rest := k.ownBears(&d.fleet), 1-math.Min(d.cfg.Trickles, d.cfg.Trickle*float64(k.count(Warming)-carry))
 		for _, c := range k.copies {
@@ -152,8 +152,8 @@
 		k.unsure = false
 		little := trickle(&d.cfg, k.told.Copies)
 		for _, told := range k.told.Copies {
-			if c := k.find(told.UID); c != nil {
-				if c.part = told.Share; c.part == 0 {
+			if c := k.find(told.ServerUID); c != nil {
+				if c.part = told.LoadFraction; c.part == 0 {
 					c.part = little
 				}
 				if c.rev == 0 {
--- a/internal/spread/driver.go
+++ b/internal/spread/driver.go
@@ -33,8 +33,8 @@
 // Store is what the Driver needs of the list service; registry.Client is one.
 type Store interface {
 	List(ctx context.Context, fresh bool) (registry.List, error)
-	PlacementView(ctx context.Context, fresh bool) (placement.List, error)
-	SetPlacement(ctx context.Context, w registry.Write, atMS int64, set []placement.Entry, drop ...string) (registry.Result, error)
+	PlacementView(ctx context.Context, fresh bool) (placement.Update, error)
+	SetPlacement(ctx context.Context, w registry.Write, atMS int64, set []placement.Directive, drop ...string) (registry.Result, error)
 }
 
 // Reports is where sidecars' reports come from; collect.Collector is one.
@@ -58,7 +58,7 @@
 // view is what the list service told last.
 type view struct {
 	servers []Server
-	places  placement.List
+	places  placement.Update
 }
 
 // Work decides until ctx ends or the placement cannot be taken over. The table goes on from the placement and stays in
@@ -125,7 +125,7 @@
 		return err
 	}
 	d.Servers(v.servers)
-	d.Resume(now, v.places.Entries)
+	d.Resume(now, v.places.Directives)
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	dr.decider, dr.leaving = d, map[string]time.Time{}
@@ -153,12 +153,12 @@
 	there := make(map[string]bool, len(reports))
 	for i := range reports {
 		r := &reports[i]
-		there[r.Name] = true
-		if last, ok := seen[r.Name]; ok && last == r.At {
+		there[r.Sidecar] = true
+		if last, ok := seen[r.Sidecar]; ok && last == r.At {
 			continue
 		}
-		seen[r.Name] = r.At
-		dr.decider.Report(now-math.Max((at-r.At).Seconds(), 0), &r.Report)
+		seen[r.Sidecar] = r.At
+		dr.decider.Report(now-math.Max((at-r.At).Seconds(), 0), &r.LoadReport)
 	}
 	for name := range seen {
 		if !there[name] {
@@ -170,7 +170,7 @@
 
 // write places effects under the lease's token, all or none.
 func (dr *Driver) write(ctx context.Context, l *duty.Lease, atMS int64, effects []Effect) error {
-	var set []placement.Entry
+	var set []placement.Directive
 	var drop, ids []string
 	for _, f := range effects {
 		if f.Put != nil {
@@ -234,10 +234,10 @@
 }
 
 // serversOf makes servers of the list and of what the placement keeps off.
-func (dr *Driver) serversOf(list *registry.List, places *placement.List) []Server {
+func (dr *Driver) serversOf(list *registry.List, places *placement.Update) []Server {
 	off := map[string]bool{}
-	for i := range places.Entries {
-		if e := &places.Entries[i]; e.Kind == placement.KeepOff {
+	for i := range places.Directives {
+		if e := &places.Directives[i]; e.Kind == placement.KindExclude {
 			for _, uid := range e.Servers {
 				off[uid] = true
 			}
--- a/internal/spread/driver_test.go
+++ b/internal/spread/driver_test.go
@@ -23,7 +23,7 @@
 type store struct {
 	mu      sync.Mutex
 	list    registry.List
-	entries map[string]placement.Entry
+	entries map[string]placement.Directive
 	rev     uint64
 	token   uint64 // the one that counts
 	down    bool   // no write is answered
@@ -32,17 +32,17 @@
 
 func (s *store) List(context.Context, bool) (registry.List, error) { return s.list, nil }
 
-func (s *store) PlacementView(context.Context, bool) (placement.List, error) {
+func (s *store) PlacementView(context.Context, bool) (placement.Update, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := placement.List{Rev: s.rev, All: true}
+	l := placement.Update{Revision: s.rev, Complete: true}
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
-		l.Entries = append(l.Entries, s.entries[id])
+		l.Directives = append(l.Directives, s.entries[id])
 	}
 	return l, nil
 }
 
-func (s *store) SetPlacement(_ context.Context, w registry.Write, atMS int64, set []placement.Entry, drop ...string) (registry.Result, error) {
+func (s *store) SetPlacement(_ context.Context, w registry.Write, atMS int64, set []placement.Directive, drop ...string) (registry.Result, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -56,10 +56,10 @@
 	}
 	s.rev++
 	for _, e := range set {
-		if err := e.Check(); err != nil {
+		if err := e.Validate(); err != nil {
 			return registry.Result{}, err
 		}
-		e.Rev = s.rev
+		e.Revision = s.rev
 		s.entries[e.ID] = e
 	}
 	for _, id := range drop {
@@ -73,10 +73,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.entries[ID(hotKey)].Copies {
-		if c.Share > 0 {
-			carry = append(carry, c.UID)
+		if c.LoadFraction > 0 {
+			carry = append(carry, c.ServerUID)
 		} else {
-			warm = append(warm, c.UID)
+			warm = append(warm, c.ServerUID)
 		}
 	}
 	return carry, warm
@@ -98,7 +98,7 @@
 // One driver after the other over a stand-in of the list service, on synctest's clock.
 func TestDriver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &store{entries: map[string]placement.Entry{}, token: 7, down: true}
+		s := &store{entries: map[string]placement.Directive{}, token: 7, down: true}
 		for i := range 60 {
 			s.list.Targets = append(s.list.Targets, registry.Target{UID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%3), Pod: i / 4,
 				State: registry.Ready, Capacity: 1})
@@ -115,8 +115,8 @@
 					s.mu.Lock()
 					rev := s.rev
 					s.mu.Unlock()
-					_ = reports.Take(&placement.Report{Name: fmt.Sprint("car", i), Rev: rev, SpanMS: 1000, HeatAll: 900,
-						Heat: []placement.Heat{{Key: Name(hotKey), Load: 300}}})
+					_ = reports.Take(&placement.LoadReport{Sidecar: fmt.Sprint("car", i), PlacementRevision: rev, IntervalMS: 1000, TotalKeyLoad: 900,
+						HotKeys: []placement.KeyLoad{{KeyHash: Name(hotKey), Load: 300}}})
 				}
 			})
 		}
@@ -189,14 +189,14 @@
 			list = append(list, Server{UID: fmt.Sprint("s", i), Zone: fmt.Sprint(i % 3), Pod: i / 2, Capacity: 1, Ready: true})
 		}
 		d.Servers(list)
-		table := map[string]placement.Entry{}
+		table := map[string]placement.Directive{}
 		uid := func() string { return fmt.Sprint("s", rapid.IntRange(0, 41).Draw(t, "uid")) }
 		t.Repeat(map[string]func(*rapid.T){
 			"reports": func(t *rapid.T) {
 				load := rapid.SampledFrom([]float64{0, 10, 100, 1000, 1e9}).Draw(t, "load")
 				key := rapid.Uint64Range(1, 5).Draw(t, "key")
 				for i := range rapid.IntRange(1, 8).Draw(t, "sidecars") {
-					d.Report(now, &placement.Report{Name: fmt.Sprint(i), Rev: rev, HeatAll: load, Heat: []placement.Heat{{Key: Name(key), Load: load}}})
+					d.Report(now, &placement.LoadReport{Sidecar: fmt.Sprint(i), PlacementRevision: rev, TotalKeyLoad: load, HotKeys: []placement.KeyLoad{{KeyHash: Name(key), Load: load}}})
 				}
 			},
 			"server": func(t *rapid.T) {
@@ -224,16 +224,16 @@
 						d.Wrote(f.Drop, rev)
 						continue
 					}
-					if err := f.Put.Check(); err != nil {
+					if err := f.Put.Validate(); err != nil {
 						t.Fatal(err)
 					}
 					sum := 0.0
 					for _, c := range f.Put.Copies {
-						if i := slices.IndexFunc(list, func(s Server) bool { return s.UID == c.UID }); i < 0 || !list[i].Ready || list[i].KeptOff {
-							t.Fatalf("a copy on %s", c.UID)
+						if i := slices.IndexFunc(list, func(s Server) bool { return s.UID == c.ServerUID }); i < 0 || !list[i].Ready || list[i].KeptOff {
+							t.Fatalf("a copy on %s", c.ServerUID)
 						}
-						sum += c.Share
-						began[f.Put.ID+c.UID] = true
+						sum += c.LoadFraction
+						began[f.Put.ID+c.ServerUID] = true
 					}
 					if sum > 1.0001 || len(d.keys) > 3 {
 						t.Fatalf("shares of %v, %d keys", sum, len(d.keys))
--- a/internal/spread/fixtures_test.go
+++ b/internal/spread/fixtures_test.go
@@ -56,9 +56,9 @@
 
 // fixtureChange is a change of the placement as the fixtures hold it.
 type fixtureChange struct {
-	AtMS int64            `json:"at_ms"`
-	Put  *placement.Entry `json:"put,omitempty"`
-	Drop string           `json:"drop,omitempty"`
+	AtMS int64                `json:"at_ms"`
+	Put  *placement.Directive `json:"put,omitempty"`
+	Drop string               `json:"drop,omitempty"`
 }
 
 func fixtureFleet() []Server {
@@ -89,15 +89,15 @@
 				if step >= 36 {
 					load = 5
 				}
-				r := &placement.Report{Name: fmt.Sprint("sidecar-", i), Rev: rev, SpanMS: 1000, HeatAll: load + 200,
-					Heat: []placement.Heat{{Key: Name(fixtureKey), Load: load, Error: 2}, {Key: Name(7), Load: 20 + float64(i), Error: 1}}}
+				r := &placement.LoadReport{Sidecar: fmt.Sprint("sidecar-", i), PlacementRevision: rev, IntervalMS: 1000, TotalKeyLoad: load + 200,
+					HotKeys: []placement.KeyLoad{{KeyHash: Name(fixtureKey), Load: load, ErrorBound: 2}, {KeyHash: Name(7), Load: 20 + float64(i), ErrorBound: 1}}}
 				if !d.Report(now, r) {
 					t.Fatalf("step %d: a report was not taken", step)
 				}
 			}
 		}
 		if step == 20 {
-			drained = changes[len(changes)-1].Put.Copies[0].UID
+			drained = changes[len(changes)-1].Put.Copies[0].ServerUID
 		}
 		if drained != "" && !d.May(drained) {
 			d.Leave(drained)
@@ -147,10 +147,10 @@
 			last = change
 		}
 	}
-	last.Put.Rev = 9
+	last.Put.Revision = 9
 	successor := newDecider(Default(1000, 50))
 	successor.Servers(fixtureFleet())
-	successor.Resume(fixtureStart+5, []placement.Entry{*last.Put})
+	successor.Resume(fixtureStart+5, []placement.Directive{*last.Put})
 	golden(t, "table-resumed.json", call(t, &Driver{decider: successor}, http.MethodGet, "/spread", http.StatusOK))
 	var changes []fixtureChange
 	for step := range 32 {
@@ -176,7 +176,7 @@
 	golden(t, "leave-ready.json", call(t, held, http.MethodPost, "/spread/leave?uid=server-1", http.StatusOK))
 	golden(t, "leave-unnamed.txt", call(t, held, http.MethodPost, "/spread/leave", http.StatusBadRequest))
 	held.decider = d
-	golden(t, "leave-waits.json", call(t, held, http.MethodPost, "/spread/leave?uid="+d.Table()[0].Placement.Copies[0].UID, http.StatusOK))
+	golden(t, "leave-waits.json", call(t, held, http.MethodPost, "/spread/leave?uid="+d.Table()[0].Placement.Copies[0].ServerUID, http.StatusOK))
 	golden(t, "not-held.txt", call(t, &Driver{}, http.MethodGet, "/spread", http.StatusServiceUnavailable))
 	golden(t, "not-held.txt", call(t, &Driver{}, http.MethodPost, "/spread/leave?uid=server-1", http.StatusServiceUnavailable))
 	call(t, held, http.MethodPost, "/spread", http.StatusMethodNotAllowed)
--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -26,7 +26,7 @@
 	d       *spread.Decider
 	next    float64 // ms: the next decision
 	rev     uint64
-	entries map[string]placement.Entry
+	entries map[string]placement.Directive
 	cars    []*car
 }
 
@@ -83,10 +83,10 @@
 		var p balance.Placement
 		for _, id := range slices.Sorted(maps.Keys(c.of.entries)) {
 			e := c.of.entries[id]
-			s := balance.HotKey{ExpiresAt: float64(e.UntilMS) - unix*1000}
-			s.Key, _ = strconv.ParseUint(e.Key, 16, 64)
+			s := balance.HotKey{ExpiresAt: float64(e.ExpiresAtMS) - unix*1000}
+			s.Key, _ = strconv.ParseUint(e.KeyHash, 16, 64)
 			for _, copied := range e.Copies {
-				s.Replicas = append(s.Replicas, balance.Replica{Server: serverID(copied.UID), LoadFraction: copied.Share})
+				s.Replicas = append(s.Replicas, balance.Replica{Server: serverID(copied.ServerUID), LoadFraction: copied.LoadFraction})
 			}
 			p.HotKeys = append(p.HotKeys, s)
 		}
@@ -101,10 +101,10 @@
 	}
 	if now >= c.next {
 		c.next = now + 1000
-		top := c.heat.Top(now/1000, placement.MaxHeat)
-		r := placement.Report{Name: c.name, Rev: c.rev, SpanMS: 1000, HeatAll: top.All}
+		top := c.heat.Top(now/1000, placement.MaxHotKeys)
+		r := placement.LoadReport{Sidecar: c.name, PlacementRevision: c.rev, IntervalMS: 1000, TotalKeyLoad: top.All}
 		for _, f := range top.Figures {
-			r.Heat = append(r.Heat, placement.Heat{Key: spread.Name(f.Key), Load: f.Load, Error: f.Error})
+			r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: spread.Name(f.Key), Load: f.Load, ErrorBound: f.Error})
 		}
 		c.of.d.Report(unix+now/1000, &r)
 	}
@@ -179,7 +179,7 @@
 	}
 	d.Servers(list)
 	d.Sidecars(len(p.Sidecars))
-	return &control{d: d, entries: map[string]placement.Entry{}}
+	return &control{d: d, entries: map[string]placement.Directive{}}
 }
 
 // instance makes one sidecar's.
--- a/internal/spread/heat.go
+++ b/internal/spread/heat.go
@@ -72,44 +72,44 @@
 }
 
 // take keeps a report; false: it is nonsense, or one too many, and tells nothing.
-func (h *heat) take(now float64, r *placement.Report) bool {
-	next := &reporter{first: now, at: now, rev: r.Rev, epoch: r.Epoch, all: r.HeatAll}
-	if r.Name == "" || len(r.Name) > 256 || len(r.Heat) > placement.MaxHeat || !(r.HeatAll >= 0) || math.IsInf(r.HeatAll, 1) {
+func (h *heat) take(now float64, r *placement.LoadReport) bool {
+	next := &reporter{first: now, at: now, rev: r.PlacementRevision, epoch: r.PlacementEpoch, all: r.TotalKeyLoad}
+	if r.Sidecar == "" || len(r.Sidecar) > 256 || len(r.HotKeys) > placement.MaxHotKeys || !(r.TotalKeyLoad >= 0) || math.IsInf(r.TotalKeyLoad, 1) {
 		return false
 	}
 	surely := 0.0
-	for _, k := range r.Heat {
-		key, err := strconv.ParseUint(k.Key, 16, 64)
+	for _, k := range r.HotKeys {
+		key, err := strconv.ParseUint(k.KeyHash, 16, 64)
 		switch {
-		case err != nil || len(k.Key) != 16,
-			!(k.Load >= 0) || !(k.Error >= 0) || k.Error > k.Load*(1+1e-6)+1e-9,
+		case err != nil || len(k.KeyHash) != 16,
+			!(k.Load >= 0) || !(k.ErrorBound >= 0) || k.ErrorBound > k.Load*(1+1e-6)+1e-9,
 			slices.ContainsFunc(next.heat, func(l listed) bool { return l.key == key }):
 			return false
 		}
-		low := math.Max(k.Load-k.Error, 0)
+		low := math.Max(k.Load-k.ErrorBound, 0)
 		surely += low
-		next.heat = append(next.heat, listed{key, low, math.Min(k.Load, r.HeatAll)})
+		next.heat = append(next.heat, listed{key, low, math.Min(k.Load, r.TotalKeyLoad)})
 	}
-	if surely > r.HeatAll*1.01+1e-6 { // more than all together
+	if surely > r.TotalKeyLoad*1.01+1e-6 { // more than all together
 		return false
 	}
-	if n := len(r.Heat); n == placement.MaxHeat {
+	if n := len(r.HotKeys); n == placement.MaxHotKeys {
 		next.floor = next.heat[0].high
 		for _, l := range next.heat {
 			next.floor = math.Min(next.floor, l.high)
 		}
 	}
-	last := h.reporters[r.Name]
+	last := h.reporters[r.Sidecar]
 	if last == nil {
 		if len(h.reporters) >= maxReporters {
 			return false
 		}
-		i, _ := slices.BinarySearch(h.names, r.Name)
-		h.names = slices.Insert(h.names, i, r.Name)
+		i, _ := slices.BinarySearch(h.names, r.Sidecar)
+		h.names = slices.Insert(h.names, i, r.Sidecar)
 	} else {
 		next.first = last.first
 	}
-	h.reporters[r.Name] = next
+	h.reporters[r.Sidecar] = next
 	return true
 }
 
--- a/internal/spread/leave.go
+++ b/internal/spread/leave.go
@@ -98,13 +98,13 @@
 
 // Row is a spread key as operators see it. Loads are in ms of work a second.
 type Row struct {
-	Key       string           `json:"key"`
-	Low       float64          `json:"low"`  // the fleet's figure at least
-	High      float64          `json:"high"` // and at most; the highest number where no report is at hand
-	Warming   int              `json:"warming"`
-	Carrying  int              `json:"carrying"`
-	Cooling   int              `json:"cooling"`
-	Placement *placement.Entry `json:"placement,omitempty"` // as told last
+	Key       string               `json:"key"`
+	Low       float64              `json:"low"`  // the fleet's figure at least
+	High      float64              `json:"high"` // and at most; the highest number where no report is at hand
+	Warming   int                  `json:"warming"`
+	Carrying  int                  `json:"carrying"`
+	Cooling   int                  `json:"cooling"`
+	Placement *placement.Directive `json:"placement,omitempty"` // as told last
 }
 
 // Table returns the table, ordered by key.
--- a/internal/spread/process_test.go
+++ b/internal/spread/process_test.go
@@ -126,11 +126,11 @@
 	if err != nil {
 		return 0, nil
 	}
-	for _, e := range l.Entries {
+	for _, e := range l.Directives {
 		for _, c := range e.Copies {
-			if e.ID == spread.ID(key) && c.Share > 0 {
-				part += c.Share
-				by = append(by, c.UID)
+			if e.ID == spread.ID(key) && c.LoadFraction > 0 {
+				part += c.LoadFraction
+				by = append(by, c.ServerUID)
 			}
 		}
 	}
@@ -141,14 +141,14 @@
 // nonsense makes up a key of its own.
 func (b *bed) sidecar(addr, name string, nonsense bool) {
 	for n := 0; b.ctx.Err() == nil; n++ {
-		var l placement.List
+		var l placement.Update
 		if !b.get(http.MethodGet, "http://"+addr+"/registry/placement", &l) {
-			l = placement.List{} // nothing is known there yet
+			l = placement.Update{} // nothing is known there yet
 		}
-		r := placement.Report{Name: fmt.Sprint(name, "-", b.life.Load()), Rev: l.Rev, Epoch: l.Epoch, SpanMS: 1000, HeatAll: 900,
-			Heat: []placement.Heat{{Key: spread.Name(b.hot.Load()), Load: 300}}}
+		r := placement.LoadReport{Sidecar: fmt.Sprint(name, "-", b.life.Load()), PlacementRevision: l.Revision, PlacementEpoch: l.Epoch, IntervalMS: 1000, TotalKeyLoad: 900,
+			HotKeys: []placement.KeyLoad{{KeyHash: spread.Name(b.hot.Load()), Load: 300}}}
 		if nonsense {
-			r.HeatAll, r.Heat = 7000, []placement.Heat{{Key: spread.Name(999), Load: 7000}}
+			r.TotalKeyLoad, r.HotKeys = 7000, []placement.KeyLoad{{KeyHash: spread.Name(999), Load: 7000}}
 		}
 		if data, err := json.Marshal(r); err == nil && !(b.lossy.Load() && (n+len(name))%2 == 0) {
 			if resp, err := http.Post("http://"+addr+"/registry/report", "application/json", bytes.NewReader(data)); err == nil {
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -76,28 +76,28 @@
 	},
 	"nonsense": func(w *world) { // one sidecar says what it likes
 		n := uint64(0)
-		w.twist = func(r *placement.Report) {
+		w.twist = func(r *placement.LoadReport) {
 			n++
-			if len(r.Heat) == 0 {
+			if len(r.HotKeys) == 0 {
 				return
 			}
 			switch n % 6 {
 			case 0: // all else as it is
-				r.Heat[0].Load = math.NaN()
+				r.HotKeys[0].Load = math.NaN()
 			case 1:
-				r.Heat[0].Load, r.Heat[0].Error = -1e9, -2e9
+				r.HotKeys[0].Load, r.HotKeys[0].ErrorBound = -1e9, -2e9
 			case 2: // more than all together
-				r.Heat[0].Load, r.Heat[0].Error = 1e9, 0
+				r.HotKeys[0].Load, r.HotKeys[0].ErrorBound = 1e9, 0
 			case 3: // more than any sidecar has
-				r.Heat, r.HeatAll = []placement.Heat{{Key: Name(hotKey), Load: 1e12}}, 1e12
+				r.HotKeys, r.TotalKeyLoad = []placement.KeyLoad{{KeyHash: Name(hotKey), Load: 1e12}}, 1e12
 			case 4: // just what passes
-				r.Heat, r.HeatAll = []placement.Heat{{Key: Name(1<<32 + 1), Load: 3500}}, 3500
+				r.HotKeys, r.TotalKeyLoad = []placement.KeyLoad{{KeyHash: Name(1<<32 + 1), Load: 3500}}, 3500
 			case 5: // ever new keys
-				r.Heat = r.Heat[:0]
-				for i := range uint64(placement.MaxHeat) {
-					r.Heat = append(r.Heat, placement.Heat{Key: Name(n*100 + i), Load: 100})
+				r.HotKeys = r.HotKeys[:0]
+				for i := range uint64(placement.MaxHotKeys) {
+					r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: Name(n*100 + i), Load: 100})
 				}
-				r.HeatAll = 3200
+				r.TotalKeyLoad = 3200
 			}
 		}
 	},
@@ -252,8 +252,8 @@
 func TestNonsenseBesideHeat(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, few, 3, testConfig())
-	w.twist = func(r *placement.Report) {
-		r.Heat, r.HeatAll = []placement.Heat{{Key: Name(hotKey), Load: 3000}, {Key: Name(1<<32 + 1), Load: 12000}}, 15000
+	w.twist = func(r *placement.LoadReport) {
+		r.HotKeys, r.TotalKeyLoad = []placement.KeyLoad{{KeyHash: Name(hotKey), Load: 3000}, {KeyHash: Name(1<<32 + 1), Load: 12000}}, 15000
 	}
 	w.run(2, nil)
 	w.hot[hotKey] = 1.5 * brink
@@ -281,9 +281,9 @@
 	w.run(8, nil)
 	var old []string
 	for _, c := range w.table[hotKey].Copies {
-		old = append(old, c.UID)
-		if w.d.May(c.UID) {
-			t.Fatalf("%s may go unasked", c.UID)
+		old = append(old, c.ServerUID)
+		if w.d.May(c.ServerUID) {
+			t.Fatalf("%s may go unasked", c.ServerUID)
 		}
 	}
 	before, _ := w.carried(hotKey)
@@ -314,7 +314,7 @@
 	}
 	for i, c := range w.table[hotKey].Copies {
 		if i%2 == 0 {
-			w.list[w.server(c.UID)].Ready = false
+			w.list[w.server(c.ServerUID)].Ready = false
 		}
 	}
 	w.d.Servers(w.list)
@@ -330,7 +330,7 @@
 	w, _, _ := onset(t, few, 1, testConfig(), 8)
 	zones := map[string]int{}
 	for _, c := range w.table[hotKey].Copies {
-		zones[w.list[w.server(c.UID)].Zone]++
+		zones[w.list[w.server(c.ServerUID)].Zone]++
 	}
 	if len(zones) != 3 || slices.Max([]int{zones["z0"], zones["z1"], zones["z2"]}) > len(w.table[hotKey].Copies)/2 {
 		t.Errorf("copies by zone: %v", zones)
@@ -342,7 +342,7 @@
 	}
 	held := map[string]bool{}
 	for _, c := range w.table[hotKey].Copies {
-		held[c.UID] = true
+		held[c.ServerUID] = true
 	}
 	w.load, w.hot[hotKey] = 2000, 0.45 // two thirds of the fleet
 	w.d.Servers(w.list)
@@ -351,7 +351,7 @@
 		t.Errorf("%d copies carry %v", n, part)
 	}
 	for _, c := range w.table[hotKey].Copies {
-		if s := w.list[w.server(c.UID)]; !held[c.UID] && (s.Choked || s.Cold) {
+		if s := w.list[w.server(c.ServerUID)]; !held[c.ServerUID] && (s.Choked || s.Cold) {
 			t.Errorf("a new copy on %+v", s)
 		}
 	}
--- a/internal/spread/table.go
+++ b/internal/spread/table.go
@@ -29,7 +29,7 @@
 	least    float64 // ... and at least
 	narrowAt float64 // s: not narrowed before
 	doubtAt  float64 // s: since when only the floors of reports speak for the key
-	told     placement.Entry
+	told     placement.Directive
 	until    float64 // s: end of the entry as it was told
 	shown    []shown // of sidecars since copies were credited last, one of each
 	unsure   bool    // the entry told last is not known to be in force
@@ -85,10 +85,10 @@
 }
 
 // trickle is the part of a key's load that each copy without a share gets, by an entry.
-func trickle(cfg *Config, copies []placement.Copy) float64 {
+func trickle(cfg *Config, copies []placement.KeyCopy) float64 {
 	n := 0
 	for _, c := range copies {
-		if !(c.Share > 0) {
+		if !(c.LoadFraction > 0) {
 			n++
 		}
 	}
@@ -205,8 +205,8 @@
 
 // entry is the key as it is to be told. A share is the server's part of what all that carry the key bear, times what
 // the copy can carry by now, of what those that get a trickle leave.
-func (k *spreadKey) entry(f *fleet, cfg *Config, now float64) placement.Entry {
-	e := placement.Entry{ID: ID(k.key), Kind: placement.Spread, Key: Name(k.key), UntilMS: int64((now + cfg.Until) * 1000)}
+func (k *spreadKey) entry(f *fleet, cfg *Config, now float64) placement.Directive {
+	e := placement.Directive{ID: ID(k.key), Kind: placement.KindSpreadKey, KeyHash: Name(k.key), ExpiresAtMS: int64((now + cfg.Until) * 1000)}
 	weights, total := make([]float64, len(k.copies)), 0.0
 	f.eachOwn(k.key, func(i int) {
 		if k.find(f.servers[i].UID) == nil {
@@ -225,14 +225,14 @@
 		if total > 0 {
 			share = math.Round(rest*weights[i]/total*1e5) / 1e5
 		}
-		e.Copies = append(e.Copies, placement.Copy{UID: c.uid, Share: share})
+		e.Copies = append(e.Copies, placement.KeyCopy{ServerUID: c.uid, LoadFraction: share})
 	}
 	return e
 }
 
 // differs tells whether an entry says something that is worth a write: other copies, or a share by a tenth.
-func differs(a, b []placement.Copy) bool {
-	return !slices.EqualFunc(a, b, func(x, y placement.Copy) bool {
-		return x.UID == y.UID && (x.Share > 0) == (y.Share > 0) && math.Abs(x.Share-y.Share) <= 0.1*math.Max(x.Share, y.Share)
+func differs(a, b []placement.KeyCopy) bool {
+	return !slices.EqualFunc(a, b, func(x, y placement.KeyCopy) bool {
+		return x.ServerUID == y.ServerUID && (x.LoadFraction > 0) == (y.LoadFraction > 0) && math.Abs(x.LoadFraction-y.LoadFraction) <= 0.1*math.Max(x.LoadFraction, y.LoadFraction)
 	})
 }
--- a/internal/spread/widen.go
+++ b/internal/spread/widen.go
@@ -35,7 +35,7 @@
 	}
 	// gain is what a further copy takes off the key's servers, of what is too much for them.
 	gain := func(w *want) float64 {
-		if len(w.k.copies) >= placement.MaxCopies || w.have >= w.k.need || w.k.count(Warming) >= max(d.cfg.Warmers, w.k.count(Carrying)) {
+		if len(w.k.copies) >= placement.MaxCopiesPerKey || w.have >= w.k.need || w.k.count(Warming) >= max(d.cfg.Warmers, w.k.count(Carrying)) {
 			return 0
 		}
 		if w.k.keep > w.have {
--- a/internal/spread/world_test.go
+++ b/internal/spread/world_test.go
@@ -34,18 +34,18 @@
 	cars []*car
 	list []Server
 
-	load  float64                   // requests a second, of the fleet
-	draw  func() uint64             // the key of a request that is not for a hot one
-	hot   map[uint64]float64        // parts of all requests
-	hots  []uint64                  // its keys, sorted
-	lost  float64                   // part of the reports that are lost
-	twist func(r *placement.Report) // what nonsense the first sidecar reports; nil: none
-	plant func(*Decider)            // plants a bug in each decider; nil: none
-	wrong func(*Decider)            // a planted bug that acts before each decision; nil: none
-	dead  bool                      // there is no decider
-	every float64                   // s between decisions
-	rev   uint64                    // of the placement
-	table map[uint64]told           // in force
+	load  float64                       // requests a second, of the fleet
+	draw  func() uint64                 // the key of a request that is not for a hot one
+	hot   map[uint64]float64            // parts of all requests
+	hots  []uint64                      // its keys, sorted
+	lost  float64                       // part of the reports that are lost
+	twist func(r *placement.LoadReport) // what nonsense the first sidecar reports; nil: none
+	plant func(*Decider)                // plants a bug in each decider; nil: none
+	wrong func(*Decider)                // a planted bug that acts before each decision; nil: none
+	dead  bool                          // there is no decider
+	every float64                       // s between decisions
+	rev   uint64                        // of the placement
+	table map[uint64]told               // in force
 
 	firsts  int            // copies that were told
 	early   int            // copies that were told a share before they had answered half of what they should have
@@ -57,7 +57,7 @@
 
 // told is an entry with what its copies have really answered, in the mean, since they were told.
 type told struct {
-	placement.Entry
+	placement.Directive
 	little   float64 // part that a copy without a share gets
 	answered []*float64
 }
@@ -95,9 +95,9 @@
 	}
 	w.d.Sidecars(len(w.cars))
 	w.d.Servers(w.list)
-	var es []placement.Entry
+	var es []placement.Directive
 	for _, key := range slices.Sorted(maps.Keys(w.table)) {
-		es = append(es, w.table[key].Entry)
+		es = append(es, w.table[key].Directive)
 	}
 	w.d.Resume(start+w.now, es)
 	w.dead = false
@@ -132,7 +132,7 @@
 		}
 	}
 	for key, e := range w.table {
-		if float64(e.UntilMS) < (start+w.now)*1000 {
+		if float64(e.ExpiresAtMS) < (start+w.now)*1000 {
 			w.change(func(t map[uint64]told) { delete(t, key) })
 		}
 	}
@@ -166,7 +166,7 @@
 		return
 	}
 	for i, copied := range e.Copies { // in the mean, so that what is asserted is no matter of chance
-		p, n := copied.Share, e.answered[i]
+		p, n := copied.LoadFraction, e.answered[i]
 		if p == 0 {
 			p = e.little
 		}
@@ -176,10 +176,10 @@
 }
 
 func (w *world) report(c *car) {
-	p := c.sum.Top(w.now, placement.MaxHeat)
-	r := placement.Report{Name: c.name, Rev: c.sees, SpanMS: 1000, HeatAll: p.All}
+	p := c.sum.Top(w.now, placement.MaxHotKeys)
+	r := placement.LoadReport{Sidecar: c.name, PlacementRevision: c.sees, IntervalMS: 1000, TotalKeyLoad: p.All}
 	for _, f := range p.Figures {
-		r.Heat = append(r.Heat, placement.Heat{Key: Name(f.Key), Load: f.Load, Error: f.Error})
+		r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: Name(f.Key), Load: f.Load, ErrorBound: f.Error})
 	}
 	if c == w.cars[0] && w.twist != nil {
 		w.twist(&r)
@@ -212,19 +212,19 @@
 			w.d.Wrote(f.Drop, w.rev)
 			continue
 		}
-		if err := f.Put.Check(); err != nil {
+		if err := f.Put.Validate(); err != nil {
 			w.t.Errorf("%.2f s: %v", w.now, err)
 		}
-		key, _ := strconv.ParseUint(f.Put.Key, 16, 64)
+		key, _ := strconv.ParseUint(f.Put.KeyHash, 16, 64)
 		old, was := w.table[key]
 		if !was {
 			w.widened[key]++
 		}
-		next := told{Entry: *f.Put, little: trickle(&w.cfg, f.Put.Copies)}
-		next.Rev = w.rev + 1
+		next := told{Directive: *f.Put, little: trickle(&w.cfg, f.Put.Copies)}
+		next.Revision = w.rev + 1
 		parts := 0.0
 		for _, c := range f.Put.Copies {
-			i := slices.IndexFunc(old.Copies, func(o placement.Copy) bool { return o.UID == c.UID })
+			i := slices.IndexFunc(old.Copies, func(o placement.KeyCopy) bool { return o.ServerUID == c.ServerUID })
 			n := new(float64)
 			if i >= 0 {
 				n = old.answered[i]
@@ -233,14 +233,14 @@
 				w.started += w.cfg.ColdWork
 			}
 			next.answered = append(next.answered, n)
-			if c.Share > 0 && *n < testConfig().Warm/2 {
+			if c.LoadFraction > 0 && *n < testConfig().Warm/2 {
 				w.early++
 			}
-			if parts += c.Share; c.Share == 0 {
+			if parts += c.LoadFraction; c.LoadFraction == 0 {
 				parts += next.little
 			}
-			if s := &w.list[w.server(c.UID)]; !s.Ready || s.KeptOff {
-				w.t.Errorf("%.2f s: %s has a copy", w.now, c.UID)
+			if s := &w.list[w.server(c.ServerUID)]; !s.Ready || s.KeptOff {
+				w.t.Errorf("%.2f s: %s has a copy", w.now, c.ServerUID)
 			}
 		}
 		if parts > 1.001 {
@@ -258,8 +258,8 @@
 // carried is the part of a key's load that copies carry by the placement in force, and how many do.
 func (w *world) carried(key uint64) (part float64, copies int) {
 	for _, c := range w.table[key].Copies {
-		part += c.Share
-		if c.Share > 0 {
+		part += c.LoadFraction
+		if c.LoadFraction > 0 {
 			copies++
 		}
 	}
--- a/internal/window/apply.go
+++ b/internal/window/apply.go
@@ -13,7 +13,7 @@
 type Result struct {
 	Outcome Outcome
 	Why     string
-	Set     []placement.Entry
+	Set     []placement.Directive
 	Drop    []string // ids of entries
 }
 
@@ -213,12 +213,12 @@
 		t.windows[w.Name] = &w
 		still := t.Entries(&w)
 		for _, id := range one.ids {
-			if !slices.ContainsFunc(still, func(e placement.Entry) bool { return e.ID == id }) {
+			if !slices.ContainsFunc(still, func(e placement.Directive) bool { return e.ID == id }) {
 				t.drop = append(t.drop, id)
 			}
 		}
 		for _, e := range still { // a changed least share is told too
-			if (e.Tenant == tenant || shorter) && e.UntilMS > at.hi && at.doubt == "" {
+			if (e.Tenant == tenant || shorter) && e.ExpiresAtMS > at.hi && at.doubt == "" {
 				t.set = append(t.set, e)
 			}
 		}
--- a/internal/window/control.go
+++ b/internal/window/control.go
@@ -53,7 +53,7 @@
 	Kind    disruption.OpKind // ask, begin, return, see, settle or cancel
 	ID      string
 	Servers []string
-	Rank    disruption.Rank
+	Rank    disruption.Priority
 	Purpose string
 }
 
@@ -76,7 +76,7 @@
 }
 
 type report struct {
-	placement.Report
+	placement.LoadReport
 	at int64 // monotonic
 }
 
@@ -87,8 +87,8 @@
 }
 
 // Heard takes in a sidecar's report.
-func (c *Core) Heard(now Now, r placement.Report) {
-	if _, known := c.heard[r.Name]; !known && len(c.heard) >= maxHeard {
+func (c *Core) Heard(now Now, r placement.LoadReport) {
+	if _, known := c.heard[r.Sidecar]; !known && len(c.heard) >= maxHeard {
 		for name, old := range c.heard {
 			if now.MonoMS-old.at > freshMS {
 				delete(c.heard, name)
@@ -98,17 +98,17 @@
 			return // the window stays as if this sidecar were silent: it is not taken for empty
 		}
 	}
-	c.heard[r.Name] = report{r, now.MonoMS}
+	c.heard[r.Sidecar] = report{r, now.MonoMS}
 }
 
 // Answered takes in what became of an effect, and the revision of the log that has it.
 func (c *Core) Answered(now Now, e Effect, outcome Outcome, why string, rev uint64) {
 	c.seen[e.Window] = max(c.seen[e.Window], rev)
-	if e.Act != nil && e.Act.Kind == disruption.OpAsk && outcome == Bad {
+	if e.Act != nil && e.Act.Kind == disruption.OpRequest && outcome == Bad {
 		c.never[e.Window] = why
 	}
 	switch {
-	case e.Act != nil && e.Act.Kind == disruption.OpSee:
+	case e.Act != nil && e.Act.Kind == disruption.OpObserve:
 		c.sent[e.Window] = now.MonoMS + againMS // servers take their time
 	case outcome == Applied:
 		delete(c.sent, e.Window)
--- a/internal/window/control_steps.go
+++ b/internal/window/control_steps.go
@@ -9,14 +9,14 @@
 func operation(o Op) Effect { return Effect{Op: &o} }
 
 // act is an act on the window's permit.
-func act(kind disruption.OpKind, w *Window, rank disruption.Rank) Effect {
+func act(kind disruption.OpKind, w *Window, rank disruption.Priority) Effect {
 	return Effect{Act: &Act{Kind: kind, ID: w.PermitID(), Servers: w.Servers, Rank: rank, Purpose: "window " + w.Name}}
 }
 
 // permit is the stage of the window's permit; "" where there is none any more, or none yet.
 func (s *look) permit(w *Window) disruption.Stage {
 	stage := s.v.Permits[w.PermitID()]
-	if stage == disruption.Settled || stage == disruption.Cancelled {
+	if stage == disruption.StageCompleted || stage == disruption.StageCancelled {
 		return ""
 	}
 	return stage
@@ -98,14 +98,14 @@
 	case outcome != Applied || !s.granted(w):
 		return s.plan(w)
 	case !known:
-		rank := disruption.RankDrain
+		rank := disruption.PriorityDrain
 		if w.CloseMS-s.at.hi-s.t.NeedMS(w.WorkMS) < pressMS {
-			rank = disruption.RankPressed
+			rank = disruption.PriorityDeadline
 		}
-		return act(disruption.OpAsk, w, rank)
-	case stage == disruption.Granted:
+		return act(disruption.OpRequest, w, rank)
+	case stage == disruption.StageGranted:
 		return operation(Op{Kind: OpDrain})
-	case stage == disruption.Settled || stage == disruption.Cancelled:
+	case stage == disruption.StageCompleted || stage == disruption.StageCancelled:
 		return s.plan(w)
 	}
 	return Effect{}
@@ -130,9 +130,9 @@
 		return back("it did not drain in time")
 	case permit == "":
 		return operation(Op{Kind: OpReturn, End: Halted, Why: "its permit was taken away"})
-	case permit == disruption.Granted:
+	case permit == disruption.StageGranted:
 		return act(disruption.OpBegin, w, 0)
-	case permit != disruption.Out: // a halt has taken the grant back
+	case permit != disruption.StageActive: // a halt has taken the grant back
 		return Effect{}
 	case s.empty(w):
 		return operation(Op{Kind: OpFree})
@@ -151,11 +151,11 @@
 	}
 	for _, name := range s.v.Sidecars {
 		r, known := s.c.heard[name]
-		if !known || s.now.MonoMS-r.at > freshMS || r.Rev < w.ToldRev {
+		if !known || s.now.MonoMS-r.at > freshMS || r.PlacementRevision < w.ToldRev {
 			return false
 		}
 		for _, e := range entries {
-			if open, inForce := r.Open[e.ID]; !inForce || open != 0 || slices.Contains(r.Suspended, e.ID) {
+			if open, inForce := r.ExcludedInFlight[e.ID]; !inForce || open != 0 || slices.Contains(r.SuspendedDirectives, e.ID) {
 				return false
 			}
 		}
@@ -192,21 +192,21 @@
 		up = up && s.v.Out[uid].Up
 	}
 	switch permit := s.permit(w); {
-	case permit == disruption.Asked || permit == disruption.Granted: // it never began
+	case permit == disruption.StageRequested || permit == disruption.StageGranted: // it never began
 		return act(disruption.OpCancel, w, 0)
-	case permit == disruption.Out:
+	case permit == disruption.StageActive:
 		return act(disruption.OpReturn, w, 0)
 	case up && permit == "":
 		return operation(Op{Kind: OpBack})
 	case up:
-		return act(disruption.OpSettle, w, 0)
+		return act(disruption.OpComplete, w, 0)
 	case w.Stage == Returning && s.at.hi >= w.CloseMS && s.t.InDoubt() == "":
 		return operation(Op{Kind: OpOverrun})
 	}
 	if e := s.tell(w); w.Stage == Returning && e.Op != nil {
 		return e
 	}
-	return act(disruption.OpSee, w, 0)
+	return act(disruption.OpObserve, w, 0)
 }
 
 // tell prolongs what tenants are told, in time and never past the close.
--- a/internal/window/drive/drive.go
+++ b/internal/window/drive/drive.go
@@ -108,7 +108,7 @@
 	for i := range seen {
 		heard := t.now()
 		heard.MonoMS -= (at - seen[i].At).Milliseconds()
-		t.core.Heard(heard, seen[i].Report)
+		t.core.Heard(heard, seen[i].LoadReport)
 	}
 	now := t.now()
 	effects, wake := t.core.Step(now, v)
@@ -173,7 +173,7 @@
 	switch {
 	case e.Op != nil:
 		res, err = t.Store.WriteWindow(ctx, w, t.now().Stamp(), *e.Op)
-	case e.Act.Kind == disruption.OpSee:
+	case e.Act.Kind == disruption.OpObserve:
 		op := t.found(ctx, v, e.Act)
 		var out registry.LedgerResult
 		out, err = t.Store.Ledger(ctx, w, *op)
@@ -192,7 +192,7 @@
 	case !errors.As(err, &status):
 	case e.Op != nil && strings.Contains(status.Error(), string(window.Doubt)+": "):
 		outcome = window.Doubt
-	case e.Act != nil && e.Act.Kind == disruption.OpAsk && (status.Status == http.StatusConflict || status.Status == http.StatusNotFound):
+	case e.Act != nil && e.Act.Kind == disruption.OpRequest && (status.Status == http.StatusConflict || status.Status == http.StatusNotFound):
 		outcome = window.Bad // it can never be granted
 	}
 	return answer{outcome, err.Error(), 0}
@@ -214,9 +214,9 @@
 	ctx, stop := context.WithTimeout(ctx, probeWait)
 	defer stop()
 	if s.Endpoint != "" && t.Ready(ctx, s.Endpoint) {
-		return disruption.Up
+		return disruption.ConditionUp
 	}
-	return disruption.Unready
+	return disruption.ConditionUnready
 }
 
 // Ready asks a server over HTTP whether it is ready: 200 at the path.
--- a/internal/window/drive/drive_test.go
+++ b/internal/window/drive/drive_test.go
@@ -187,7 +187,7 @@
 }
 
 // places is what an agent tells its sidecar.
-func (b *bed) places(agent string) (l placement.List) {
+func (b *bed) places(agent string) (l placement.Update) {
 	ctx, stop := context.WithTimeout(b.ctx, time.Second)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+agent+"/registry/placement", nil)
@@ -200,7 +200,7 @@
 	}
 	defer resp.Body.Close()
 	if json.NewDecoder(resp.Body).Decode(&l) != nil {
-		return placement.List{} // nothing is known there yet
+		return placement.Update{} // nothing is known there yet
 	}
 	return l
 }
@@ -208,7 +208,7 @@
 // keepsOff tells whether an agent has its sidecars keep off.
 func (b *bed) keepsOff() bool {
 	for _, a := range b.agents {
-		if len(b.places(a).Entries) > 0 {
+		if len(b.places(a).Directives) > 0 {
 			return true
 		}
 	}
@@ -219,9 +219,9 @@
 func (b *bed) sidecar(addr, name string) {
 	for b.ctx.Err() == nil {
 		l := b.places(addr)
-		r := placement.Report{Name: name, Rev: l.Rev, Epoch: l.Epoch, SpanMS: 100, Open: map[string]int{}}
-		for _, e := range l.Entries {
-			r.Open[e.ID] = int(b.open.Load())
+		r := placement.LoadReport{Sidecar: name, PlacementRevision: l.Revision, PlacementEpoch: l.Epoch, IntervalMS: 100, ExcludedInFlight: map[string]int{}}
+		for _, e := range l.Directives {
+			r.ExcludedInFlight[e.ID] = int(b.open.Load())
 			b.told.Add(1)
 			if end := b.closeMS.Load(); end != 0 && time.Now().UnixMilli() >= end {
 				b.late.Add(1)
@@ -248,7 +248,7 @@
 			return false
 		}
 		for _, p := range v.Permits {
-			if p.Stage != disruption.Settled && p.Stage != disruption.Cancelled {
+			if p.Stage != disruption.StageCompleted && p.Stage != disruption.StageCancelled {
 				return false
 			}
 		}
--- a/internal/window/fixtures_test.go
+++ b/internal/window/fixtures_test.go
@@ -31,10 +31,10 @@
 // storedResult is what applying an operation gave: the entries go into the placement from the same record. The reason is
 // left out: it is text for operators.
 type storedResult struct {
-	Revision uint64            `json:"revision"`
-	Outcome  Outcome           `json:"outcome"`
-	Set      []placement.Entry `json:"set,omitempty"`
-	Drop     []string          `json:"drop,omitempty"`
+	Revision uint64                `json:"revision"`
+	Outcome  Outcome               `json:"outcome"`
+	Set      []placement.Directive `json:"set,omitempty"`
+	Drop     []string              `json:"drop,omitempty"`
 }
 
 // fixtureScript applies a fixed history of windows to a table and records what a replica would store.
@@ -268,15 +268,15 @@
 	portal, _ := fixtureContracts()
 	view := &View{Out: map[string]Server{"m0": {Rev: 3, Endpoint: "127.0.0.1:7001"}, "m1": {Up: true, Rev: 4, Endpoint: "127.0.0.1:7002"}}}
 	w := &Window{Name: "disks", Servers: []string{"m0", "m1"}, Attempt: 2}
-	operations := []*disruption.Op{{Kind: disruption.OpBudget, Budget: BudgetOf(&portal)}}
-	for _, kind := range []disruption.OpKind{disruption.OpAsk, disruption.OpBegin, disruption.OpReturn, disruption.OpSettle, disruption.OpCancel} {
-		operations = append(operations, act(kind, w, disruption.RankDrain).Act.Op())
+	operations := []*disruption.Op{{Kind: disruption.OpSetBudget, Budget: BudgetOf(&portal)}}
+	for _, kind := range []disruption.OpKind{disruption.OpRequest, disruption.OpBegin, disruption.OpReturn, disruption.OpComplete, disruption.OpCancel} {
+		operations = append(operations, act(kind, w, disruption.PriorityDrain).Act.Op())
 	}
-	operations = append(operations, act(disruption.OpSee, w, 0).Act.Found(view, func(s Server) disruption.Condition {
+	operations = append(operations, act(disruption.OpObserve, w, 0).Act.Found(view, func(s Server) disruption.Condition {
 		if s.Up {
-			return disruption.Up
+			return disruption.ConditionUp
 		}
-		return disruption.Unready
+		return disruption.ConditionUnready
 	}))
 	checkGolden(t, "ledger_operations.json", operations, func(data []byte) (any, error) {
 		var stored []*disruption.Op
--- a/internal/window/hard_test.go
+++ b/internal/window/hard_test.go
@@ -189,52 +189,52 @@
 		w.wake(w.ctl, 50)
 		return out
 	}
-	apply(disruption.Op{Kind: disruption.OpBudget, Owner: "operator/ops", Budget: &disruption.Budget{Name: "zone",
-		Select: disruption.Selector{Kind: disruption.Server, Zone: "z"}, MaxOut: disruption.Limit{Count: &two}}})
+	apply(disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/ops", Budget: &disruption.Budget{Name: "zone",
+		Selector: disruption.Selector{Kind: disruption.KindServer, Zone: "z"}, MaxUnavailable: disruption.Limit{Count: &two}}})
 	done := map[string]bool{}
-	var play func(owner, uid string, rank disruption.Rank)
-	play = func(owner, uid string, rank disruption.Rank) {
-		p := disruption.Permit{ID: owner + "/" + uid, Owner: owner, Units: []string{serverID(uid)}, Rank: rank, End: disruption.ComesBack}
-		apply(disruption.Op{Kind: disruption.OpAsk, Owner: owner, Permit: &p})
+	var play func(owner, uid string, rank disruption.Priority)
+	play = func(owner, uid string, rank disruption.Priority) {
+		p := disruption.Permit{ID: owner + "/" + uid, Owner: owner, Units: []string{serverID(uid)}, Priority: rank, Disposition: disruption.DispositionReturn}
+		apply(disruption.Op{Kind: disruption.OpRequest, Owner: owner, Permit: &p})
 		switch now, _ := w.led.Permit(p.ID); now.Stage {
-		case disruption.Settled:
+		case disruption.StageCompleted:
 			done[p.ID] = true
 			return
-		case disruption.Granted:
+		case disruption.StageGranted:
 			apply(disruption.Op{Kind: disruption.OpBegin, Owner: owner, Permit: &p})
 			w.register(uid, false)
 			w.after(3*minute, func() {
 				apply(disruption.Op{Kind: disruption.OpReturn, Owner: owner, Permit: &p})
 				w.register(uid, true)
-				apply(disruption.Op{Kind: disruption.OpSee, Owner: owner, Seen: []disruption.Unit{{ID: serverID(uid), Condition: disruption.Up}}})
-				apply(disruption.Op{Kind: disruption.OpSettle, Owner: owner, Permit: &p})
+				apply(disruption.Op{Kind: disruption.OpObserve, Owner: owner, Observed: []disruption.Unit{{ID: serverID(uid), Condition: disruption.ConditionUp}}})
+				apply(disruption.Op{Kind: disruption.OpComplete, Owner: owner, Permit: &p})
 			})
 		}
 		w.after(1000, func() { play(owner, uid, rank) })
 	}
 	w.propose("w", 2*minute, "m0")
 	w.until(t, "w", Waiting)
-	play("release/a", "m1", disruption.RankForward)
-	play("release/b", "m2", disruption.RankForward)
-	play("operator/ops", "m4", disruption.RankDrain)
+	play("release/a", "m1", disruption.PriorityRollout)
+	play("release/b", "m2", disruption.PriorityRollout)
+	play("operator/ops", "m4", disruption.PriorityDrain)
 	w.after(60_000, func() { // beside those that are out
 		w.rev++
-		w.led.Lose(w.rev, serverID("m3"))
+		w.led.MarkLost(w.rev, serverID("m3"))
 	})
 	w.after(15*minute, func() { w.register("m3", true) })
 	granted := map[string]bool{}
 	for end := w.now + 55*minute; w.now < end; w.run(w.now + 50) {
 		out, fresh := 0, false
 		for _, u := range w.led.Units() {
-			if u.Kind == disruption.Server && (u.Condition == disruption.Lost || u.Condition == disruption.Unready) {
+			if u.Kind == disruption.KindServer && (u.Condition == disruption.ConditionLost || u.Condition == disruption.ConditionUnready) {
 				out++
 			}
 		}
-		for _, p := range w.led.Permits() {
-			if p.Stage == disruption.Granted || p.Stage == disruption.Out {
+		for _, p := range w.led.OpenPermits() {
+			if p.Stage == disruption.StageGranted || p.Stage == disruption.StageActive {
 				fresh = fresh || !granted[p.ID]
 				granted[p.ID] = true
-				if u, _ := w.led.Unit(p.Units[0]); u.Condition == disruption.Up {
+				if u, _ := w.led.Unit(p.Units[0]); u.Condition == disruption.ConditionUp {
 					out++ // it is as good as out
 				}
 			}
@@ -295,7 +295,7 @@
 	}{
 		{"token test left out", "under token", 8, func(w *world) { w.noGuard = true }},
 		{"until past the close", "outside the hours", 38, func(w *world) {
-			w.lie = func(e *placement.Entry) { e.UntilMS = w.now + StepMS }
+			w.lie = func(e *placement.Directive) { e.ExpiresAtMS = w.now + StepMS }
 		}},
 		{"uncertainty ignored", "outside the hours", 0, func(w *world) {
 			w.leader = clock{4500, 0}
--- a/internal/window/refuse_test.go
+++ b/internal/window/refuse_test.go
@@ -27,8 +27,8 @@
 	w.propose("w", 10*minute, "m0")
 	win := w.until(t, "w", Free)
 	w.rev++
-	if out, why := w.led.Apply(w.rev, &disruption.Op{Kind: disruption.OpRelease, Owner: "operator/ops",
-		Permit: &disruption.Permit{ID: win.PermitID()}}); out != disruption.Done {
+	if out, why := w.led.Apply(w.rev, &disruption.Op{Kind: disruption.OpForceComplete, Owner: "operator/ops",
+		Permit: &disruption.Permit{ID: win.PermitID()}}); out != disruption.OutcomeApplied {
 		t.Fatal(why)
 	}
 	w.until(t, "w", Halted)
--- a/internal/window/step.go
+++ b/internal/window/step.go
@@ -39,7 +39,7 @@
 			return outcome, why
 		}
 		if t.Permit != nil {
-			if stage, is := t.Permit(w.PermitID()); !is || stage != disruption.Granted {
+			if stage, is := t.Permit(w.PermitID()); !is || stage != disruption.StageGranted {
 				return Held, "permit " + w.PermitID() + " is not granted"
 			}
 		}
@@ -256,7 +256,7 @@
 		return Closed, fmt.Sprintf("until is not within %d ms", StepMS)
 	}
 	if t.Permit != nil && w.Stage == Draining {
-		if stage, is := t.Permit(w.PermitID()); !is || stage != disruption.Out {
+		if stage, is := t.Permit(w.PermitID()); !is || stage != disruption.StageActive {
 			return Held, "permit " + w.PermitID() + " has not begun"
 		}
 	}
--- a/internal/window/table.go
+++ b/internal/window/table.go
@@ -23,7 +23,7 @@
 	doubt     string // why the last step's times were not trusted; "" where they were
 	rev       uint64
 
-	set  []placement.Entry // by the operation that is being applied
+	set  []placement.Directive // by the operation that is being applied
 	drop []string
 
 	// Permit looks up the ledger's permit as it stands when a drain is applied; nil: not asked.
@@ -122,18 +122,18 @@
 func (t *Table) UsedMS(tenant, month string) int64 { return t.used[tenant][month] }
 
 // Entries are what sidecars are told of a window, by tenant; none where they are told nothing.
-func (t *Table) Entries(w *Window) []placement.Entry {
+func (t *Table) Entries(w *Window) []placement.Directive {
 	if w.ToldMS == 0 {
 		return nil
 	}
-	var out []placement.Entry
+	var out []placement.Directive
 	for _, g := range w.Grants {
 		c := t.contracts[g.Tenant]
 		if c == nil || c.Version != g.Version || w.ToldMS > g.CloseMS-GuardMS {
 			continue
 		}
-		out = append(out, placement.Entry{ID: entryID(w.Name, g.Tenant), Kind: placement.KeepOff, Tenant: g.Tenant,
-			Servers: w.Servers, Least: c.LeastShare, UntilMS: w.ToldMS})
+		out = append(out, placement.Directive{ID: entryID(w.Name, g.Tenant), Kind: placement.KindExclude, Tenant: g.Tenant,
+			Servers: w.Servers, MinAvailable: c.LeastShare, ExpiresAtMS: w.ToldMS})
 	}
 	return out
 }
--- a/internal/window/table_test.go
+++ b/internal/window/table_test.go
@@ -102,7 +102,7 @@
 	for _, w := range t.Windows() {
 		for _, e := range t.Entries(w) {
 			c := t.Contract(e.Tenant)
-			if c == nil || !w.Out() || w.Stage == Overrun && e.UntilMS > w.CloseMS || e.UntilMS > w.CloseMS-GuardMS {
+			if c == nil || !w.Out() || w.Stage == Overrun && e.ExpiresAtMS > w.CloseMS || e.ExpiresAtMS > w.CloseMS-GuardMS {
 				return fmt.Errorf("%s is told %v", w.Name, e)
 			}
 		}
@@ -125,10 +125,10 @@
 	return func(id string) (disruption.Stage, bool) {
 		for _, w := range t.windows {
 			if w.PermitID() == id && w.Out() {
-				return disruption.Out, true
+				return disruption.StageActive, true
 			}
 		}
-		return disruption.Granted, true
+		return disruption.StageGranted, true
 	}
 }
 
--- a/internal/window/told_test.go
+++ b/internal/window/told_test.go
@@ -29,7 +29,7 @@
 			res := next.Apply(100, &Op{Kind: OpContract, Contract: &one, Grant: g}, c.at)
 			told := int64(0)
 			for _, e := range res.Set {
-				told = e.UntilMS
+				told = e.ExpiresAtMS
 			}
 			if res.Outcome != Applied || told != c.until || (len(res.Drop) == 1) != (c.until == 0) || next.Window("w").ToldMS != c.until {
 				t.Errorf("%s: %+v, told until %d, want %d", what, res, next.Window("w").ToldMS, c.until)
--- a/internal/window/world_test.go
+++ b/internal/window/world_test.go
@@ -22,7 +22,7 @@
 	table *Table
 	rev   uint64
 	token uint64 // that the duty has now
-	led   *disruption.Table
+	led   *disruption.Ledger
 	view  *View // of the newest revision
 	down  bool  // the registry answers nobody
 
@@ -33,14 +33,14 @@
 	up       map[string]bool
 	judge    *judge
 
-	onOut      []func()               // faults that wait for a window to be out
-	slow       map[string]bool        // windows whose servers came back far later than ever
-	slowReturn bool                   // servers do
-	grantMS    int64                  // that the ledger takes for a grant, at most
-	plant      func(*Op)              // a planted bug: an operation is changed
-	lie        func(*placement.Entry) // a planted bug: what sidecars are told is changed
-	noGuard    bool                   // a planted bug: tokens are not looked at
-	onWrite    func(e *Effect)        // sees each write that reaches the log
+	onOut      []func()                   // faults that wait for a window to be out
+	slow       map[string]bool            // windows whose servers came back far later than ever
+	slowReturn bool                       // servers do
+	grantMS    int64                      // that the ledger takes for a grant, at most
+	plant      func(*Op)                  // a planted bug: an operation is changed
+	lie        func(*placement.Directive) // a planted bug: what sidecars are told is changed
+	noGuard    bool                       // a planted bug: tokens are not looked at
+	onWrite    func(e *Effect)            // sees each write that reaches the log
 	writes     int
 	why        string   // the ledger refused last
 	log        []string // applied steps and acts, but for prolongations
@@ -67,7 +67,7 @@
 
 // forced is an entry that a sidecar follows.
 type forced struct {
-	e     placement.Entry
+	e     placement.Directive
 	since int64
 	end   int64 // by itself
 	drain int64 // when its last request is answered
@@ -93,7 +93,7 @@
 }
 
 func newWorld(seed uint64, start time.Time, sidecars int, fleet Fleet) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), now: start.UnixMilli(), table: New(), led: disruption.New(),
+	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), now: start.UnixMilli(), table: New(), led: disruption.NewLedger(),
 		fleet: fleet, up: map[string]bool{}, judge: newJudge(), slow: map[string]bool{}}
 	w.table.Permit = func(id string) (disruption.Stage, bool) { p, is := w.led.Permit(id); return p.Stage, is }
 	for _, uid := range sortedKeys(fleet) {
@@ -102,7 +102,7 @@
 	for i := range sidecars {
 		w.sidecars = append(w.sidecars, &sidecar{name: fmt.Sprint("s", i), clock: w.goodClock(), forced: map[string]*forced{}})
 		w.rev++
-		w.led.Register(w.rev, disruption.Unit{ID: disruption.UnitID(disruption.Sidecar, fmt.Sprint("s", i)), Kind: disruption.Sidecar, Condition: disruption.Up})
+		w.led.Register(w.rev, disruption.Unit{ID: disruption.UnitID(disruption.KindSidecar, fmt.Sprint("s", i)), Kind: disruption.KindSidecar, Condition: disruption.ConditionUp})
 	}
 	w.leader = w.goodClock()
 	w.takeOver(w.goodClock())
@@ -237,7 +237,7 @@
 		w.log = append(w.log, fmt.Sprintf("%s %s/%d", op.Kind, op.Name, win.Attempt))
 	}
 	for _, entry := range res.Set {
-		entry.Rev = w.rev
+		entry.Revision = w.rev
 		if w.lie != nil {
 			w.lie(&entry)
 		}
@@ -259,12 +259,12 @@
 
 // register has the list say whether a server serves; each time that it does is another life.
 func (w *world) register(uid string, up bool) {
-	u := disruption.Unit{ID: serverID(uid), Endpoint: uid, Kind: disruption.Server, Tenants: w.fleet[uid], Zone: "z", Pod: len(w.up) % 2, Condition: disruption.Unready}
+	u := disruption.Unit{ID: serverID(uid), Endpoint: uid, Kind: disruption.KindServer, Tenants: w.fleet[uid], Zone: "z", PodGroup: len(w.up) % 2, Condition: disruption.ConditionUnready}
 	if old, known := w.led.Unit(u.ID); known {
-		u.BootMS, u.Pod = old.BootMS, old.Pod
+		u.BootMS, u.PodGroup = old.BootMS, old.PodGroup
 	}
 	if up {
-		u.BootMS, u.Condition = float64(w.now), disruption.Up
+		u.BootMS, u.Condition = float64(w.now), disruption.ConditionUp
 	}
 	w.up[uid] = up
 	w.rev++
@@ -274,20 +274,20 @@
 func (w *world) ledger(a *Act) Outcome {
 	before, _ := w.led.Permit(a.ID)
 	op := a.Op()
-	if a.Kind == disruption.OpSee {
+	if a.Kind == disruption.OpObserve {
 		op = a.Found(Look(w.rev, w.table, w.led), func(u Server) disruption.Condition {
 			if w.up[u.Endpoint] {
-				return disruption.Up
+				return disruption.ConditionUp
 			}
-			return disruption.Unready
+			return disruption.ConditionUnready
 		})
 	}
 	out, why := w.led.Apply(w.rev, op)
 	w.why = why
 	switch {
-	case out != disruption.Done && a.Kind == disruption.OpAsk:
+	case out != disruption.OutcomeApplied && a.Kind == disruption.OpRequest:
 		return Bad
-	case out != disruption.Done:
+	case out != disruption.OutcomeApplied:
 		return Held
 	}
 	if after, _ := w.led.Permit(a.ID); after.Stage != before.Stage {
@@ -297,18 +297,18 @@
 }
 
 // tell carries an entry to the sidecars that hear. What is left is said by the replica's clock, as the line is written.
-func (w *world) tell(e placement.Entry) {
+func (w *world) tell(e placement.Directive) {
 	if list := w.judge.terms[e.Tenant]; list[len(list)-1].none {
 		w.judge.broken = append(w.judge.broken, e.Tenant+" is told to keep off after its contract ended")
 	}
 	for _, s := range w.sidecars {
-		left := e.UntilMS - (w.now + w.leader.off)
+		left := e.ExpiresAtMS - (w.now + w.leader.off)
 		w.after(5+w.rng.Int64N(300), func() {
 			if s.cut || w.down && w.rng.IntN(2) == 0 {
 				return
 			}
-			s.rev = max(s.rev, e.Rev)
-			end := min(e.UntilMS-s.clock.off, w.now+min(left, StepMS))
+			s.rev = max(s.rev, e.Revision)
+			end := min(e.ExpiresAtMS-s.clock.off, w.now+min(left, StepMS))
 			if end <= w.now {
 				return
 			}
@@ -347,16 +347,16 @@
 		if s.cut || w.down {
 			continue
 		}
-		r := placement.Report{Name: s.name, Rev: s.rev, Open: map[string]int{}}
+		r := placement.LoadReport{Sidecar: s.name, PlacementRevision: s.rev, ExcludedInFlight: map[string]int{}}
 		for _, id := range sortedKeys(s.forced) {
 			f := s.forced[id]
 			if f.end <= w.now {
 				w.lapse(s, f)
 				continue
 			}
-			r.Open[id] = 0
+			r.ExcludedInFlight[id] = 0
 			if f.drain > w.now {
-				r.Open[id] = 1
+				r.ExcludedInFlight[id] = 1
 			}
 		}
 		c.core.Heard(now, r)
@@ -431,7 +431,7 @@
 	m.from = w.now
 	w.judge.terms[c.Tenant] = append(w.judge.terms[c.Tenant], m)
 	w.rev++
-	w.led.Apply(w.rev, &disruption.Op{Kind: disruption.OpBudget, Budget: BudgetOf(&c), Owner: "operator/ops"})
+	w.led.Apply(w.rev, &disruption.Op{Kind: disruption.OpSetBudget, Budget: BudgetOf(&c), Owner: "operator/ops"})
 	if out := w.operate(Op{Kind: OpContract, Contract: &c, Grant: grant}); out != Applied {
 		panic(out)
 	}
