--- a/cmd/milldeck/duty.go
+++ b/cmd/milldeck/duty.go
@@ -65,11 +65,11 @@
 			}
 			defer client.Close()
 			opts.Clock = clk
-			if opts.Who == "" {
-				opts.Who = registry.NewID() // one for all, whose renewals then go together
+			if opts.Candidate == "" {
+				opts.Candidate = registry.NewID() // one for all, whose renewals then go together
 			}
 			out := &lines{enc: json.NewEncoder(c.OutOrStdout())}
-			opts.Events = func(e duty.Event) { out.print(step{e, clk.NS(e.At), clk.NS(e.Until)}) }
+			opts.OnEvent = func(e duty.Event) { out.print(step{e, clk.MonotonicNSOf(e.At), clk.MonotonicNSOf(e.ValidUntil)}) }
 			ended := make(chan error, len(args))
 			for _, name := range args {
 				go func() {
@@ -79,7 +79,7 @@
 				}()
 			}
 			for range args {
-				if e := <-ended; !errors.Is(e, duty.ErrAsked) {
+				if e := <-ended; !errors.Is(e, duty.ErrStepDownRequested) {
 					err = errors.Join(err, e)
 				}
 			}
@@ -90,9 +90,9 @@
 		},
 	}
 	c.Flags().StringSliceVar(&a.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
-	c.Flags().StringVar(&opts.Who, "who", "", "this candidate's name, another with each start (default: drawn)")
+	c.Flags().StringVar(&opts.Candidate, "who", "", "this candidate's name, another with each start (default: drawn)")
 	c.Flags().DurationVar(&opts.TTL, "ttl", duty.DefaultTTL, "lease, where this candidate is the duty's first")
-	c.Flags().BoolVar(&opts.Once, "once", false, "end after the first tenure, however it ended")
+	c.Flags().BoolVar(&opts.SingleTenure, "once", false, "end after the first tenure, however it ended")
 	c.Flags().DurationVar(&save, "save-every", 0, "count up in the duty's checkpoint so often, as a trial of its guard; 0: never")
 	c.Flags().StringVar(&wrong, "clock", "", `a fault of this process's clock, for trials: "rate=0.9" or "jump=1h/300ms"`)
 	_ = c.Flags().MarkHidden("clock") // there is such a flag
@@ -134,7 +134,7 @@
 		}
 		count++
 		began := time.Now()
-		err := l.Save(context.WithoutCancel(ctx), []byte(strconv.Itoa(count)))
+		err := l.SaveCheckpoint(context.WithoutCancel(ctx), []byte(strconv.Itoa(count)))
 		what := "saved"
 		var status *registry.StatusError
 		if errors.As(err, &status) {
@@ -142,7 +142,7 @@
 		} else if err != nil {
 			what = "unknown"
 		}
-		out.print(map[string]any{"what": what, "duty": l.Name, "who": l.Who, "token": l.Token, "count": count, "began": began, "at": time.Now()})
+		out.print(map[string]any{"what": what, "duty": l.Name, "who": l.Holder, "token": l.Token, "count": count, "began": began, "at": time.Now()})
 	}
 }
 
@@ -162,17 +162,17 @@
 	})
 }
 
-func dutyLine(d *table.Duty) string {
+func dutyLine(d *table.Lease) string {
 	state := "held by " + d.Holder
 	switch {
 	case d.Holder == "":
 		state = "free"
 	case d.Revoked:
 		state = "taken away from " + d.Holder
-	case d.Asked:
+	case d.StepDownRequested:
 		state += ", asked to step down"
 	}
-	return fmt.Sprintf("%s\ttoken %d\t%s\t%d waiting\t%d changes", d.Name, d.Token, state, len(d.Queue), d.Changes)
+	return fmt.Sprintf("%s\ttoken %d\t%s\t%d waiting\t%d changes", d.Name, d.Token, state, len(d.Queue), d.Transitions)
 }
 
 func newDutyWatch() *cobra.Command {
@@ -182,7 +182,7 @@
 		Long: "watch prints a duty and each of its changes, until an interrupt.\n\n" + exitHelp,
 		RunE: func(c *cobra.Command, args []string) error {
 			return a.with(c, func(_ context.Context, client *registry.Client) error {
-				err := client.WatchDuty(c.Context(), args[0], func(d table.Duty) {
+				err := client.WatchDuty(c.Context(), args[0], func(d table.Lease) {
 					_ = a.show(c.OutOrStdout(), d, func(w io.Writer) error { // a reader that is gone ends the program by its own signal
 						_, err := fmt.Fprintln(w, strings.ReplaceAll(dutyLine(&d), "\t", "  "))
 						return err
@@ -200,7 +200,7 @@
 }
 
 // dutyCall makes a command of one call about a duty.
-func dutyCall(use, short string, kind table.Kind, call func(args []string) registry.DutyCall, flags func(*cobra.Command)) *cobra.Command {
+func dutyCall(use, short string, kind table.OperationKind, call func(args []string) registry.DutyCall, flags func(*cobra.Command)) *cobra.Command {
 	c := asks(use, short, 1, func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
 		d, err := client.Duty(ctx, kind, args[0], call(args))
 		if err != nil {
@@ -234,5 +234,5 @@
 
 func newTakeaway() *cobra.Command {
 	return dutyCall("takeaway NAME", "Takes a duty away from its holder: its token counts no more, and once its lease has ended the next has it",
-		table.Takeaway, func([]string) registry.DutyCall { return registry.DutyCall{} }, func(*cobra.Command) {})
+		table.Revoke, func([]string) registry.DutyCall { return registry.DutyCall{} }, func(*cobra.Command) {})
 }
--- a/cmd/milldeck/dutybench.go
+++ b/cmd/milldeck/dutybench.go
@@ -24,15 +24,15 @@
 			"or a write that counted twice is a failure.",
 		full: "four times as many faults",
 		run: func(ctx context.Context, full bool, self, dir string, say func(string)) (outcome, error) {
-			o := bench.Quick()
+			o := bench.QuickOptions()
 			if full {
-				o = bench.Full()
+				o = bench.FullOptions()
 			}
 			if faults > 0 {
 				o.Faults = faults
 			}
 			if most > 0 {
-				o.For = most
+				o.FaultTime = most
 			}
 			if logs != "" {
 				if there, _ := os.ReadDir(logs); len(there) > 0 { // logs of another run would be judged with this one's
@@ -54,8 +54,8 @@
 type dutyOutcome struct{ *bench.Result }
 
 func (r dutyOutcome) verdict() error {
-	if len(r.Broken) > 0 {
-		return fmt.Errorf("%d overlaps, %d writes counted twice: %v", r.Overlaps, r.Twice, r.Broken)
+	if len(r.Violations) > 0 {
+		return fmt.Errorf("%d overlaps, %d writes counted twice: %v", r.Overlaps, r.DuplicateWrites, r.Violations)
 	}
 	return nil
 }
@@ -66,11 +66,11 @@
 		"%d releases heard of after the next had begun, %d times given and not taken up\n"+
 		"without a holder after a release  p50 %.0f ms, p99 %.0f ms\n"+
 		"after a kill, lease %d ms         p50 %.0f ms, p99 %.0f ms\n%.0f renewals a second\n",
-		r.Faults, r.Kills, r.Freezes, r.Stops, r.LeaderKills, r.Seconds, r.Tenures, r.Overlaps, r.Saves, r.Refused, r.Twice, r.ToldLate, r.NotTaken,
-		r.ReleaseP50, r.ReleaseP99, r.TTLMS, r.KillP50, r.KillP99, r.RenewalsSec)
-	for _, n := range r.WritesOf {
+		r.Faults, r.Kills, r.Freezes, r.Stops, r.LeaderKills, r.Seconds, r.Tenures, r.Overlaps, r.GuardedWrites, r.RejectedWrites, r.DuplicateWrites, r.LateReleaseNotices, r.ExpiredUnclaimed,
+		r.ReleaseGapP50MS, r.ReleaseGapP99MS, r.TTLMS, r.KillGapP50MS, r.KillGapP99MS, r.RenewalsPerSecond)
+	for _, n := range r.HandoverCosts {
 		if err == nil {
-			_, err = fmt.Fprintf(w, "%.1f log entries a handover with %d candidates\n", n.Entries, n.Candidates)
+			_, err = fmt.Fprintf(w, "%.1f log entries a handover with %d candidates\n", n.LogEntries, n.Candidates)
 		}
 	}
 	return err
--- a/cmd/milldeck/registry.go
+++ b/cmd/milldeck/registry.go
@@ -77,7 +77,7 @@
 func (f *serveFile) backups() duty.BackupOptions {
 	every := time.Duration(f.Backup.EveryS * float64(time.Second))
 	return duty.BackupOptions{
-		Dir: f.Backup.Dir, Every: cmp.Or(every, time.Hour), Keep: cmp.Or(f.Backup.Keep, 24), Who: f.HTTP + "/" + registry.NewID(),
+		Dir: f.Backup.Dir, MinInterval: cmp.Or(every, time.Hour), RetainCount: cmp.Or(f.Backup.Keep, 24), Candidate: f.HTTP + "/" + registry.NewID(),
 	}
 }
 
@@ -195,7 +195,7 @@
 		defer close(done)
 		defer client.Close()
 		for ctx.Err() == nil {
-			if err := duty.Backup(ctx, client, b); err != nil && ctx.Err() == nil {
+			if err := duty.RunBackups(ctx, client, b); err != nil && ctx.Err() == nil {
 				slog.Error("no part in the duty of backups", "error", err)
 				time.Sleep(time.Second) // the registry has had no leader for long
 			}
@@ -545,13 +545,13 @@
 	LeaseMS int64  `toml:"lease_ms"`
 }
 
-func (f *homeFile) home() *agent.Home {
+func (f *homeFile) home() *agent.SidecarOptions {
 	if f == nil {
 		return nil
 	}
-	return &agent.Home{
+	return &agent.SidecarOptions{
 		Name: f.Name, Address: f.Address, Zone: f.Zone, Tenant: f.Tenant, Version: f.Version,
-		Lease: time.Duration(f.LeaseMS) * time.Millisecond,
+		LeaseTTL: time.Duration(f.LeaseMS) * time.Millisecond,
 	}
 }
 
@@ -584,12 +584,12 @@
 			}
 			home := f.Sidecar.home()
 			if home != nil {
-				if err := home.Check(); err != nil {
+				if err := home.Validate(); err != nil {
 					return at.Errorf("sidecar", "%v", err)
 				}
 			}
-			a, err := agent.Start(agent.Options{Listen: f.Listen, Replicas: f.Replicas, Saved: f.Saved, Fleet: f.Fleet, Share: f.Share,
-				SavedPlacement: f.SavedPlacement, Reports: append(f.Reports, reports...), Home: home})
+			a, err := agent.Start(agent.Options{Listen: f.Listen, Replicas: f.Replicas, ListFile: f.Saved, FleetSize: f.Fleet, MaxLossFraction: f.Share,
+				PlacementFile: f.SavedPlacement, ReportAddresses: append(f.Reports, reports...), Sidecar: home})
 			if err != nil {
 				return err
 			}
--- a/cmd/milldeck/releasestart.go
+++ b/cmd/milldeck/releasestart.go
@@ -105,9 +105,9 @@
 	go func() { served <- server.Serve(listener) }()
 	d := &drive.Driver{Name: name, Store: client, Platform: platform, Reports: reports, Longest: f.longest, Warm: f.warm, Strata: f.strata, File: f.file, Made: f.made()}
 	slog.Info("controls", "release", name, "reports", listener.Addr().String())
-	err = duty.Run(ctx, client, release.Owner(name), duty.Options{Events: func(e duty.Event) {
-		if e.What != "renewed" {
-			slog.Info("duty", "what", e.What, "duty", e.Duty, "token", e.Token)
+	err = duty.Run(ctx, client, release.Owner(name), duty.Options{OnEvent: func(e duty.Event) {
+		if e.Type != "renewed" {
+			slog.Info("duty", "what", e.Type, "duty", e.Lease, "token", e.Token)
 		}
 	}}, d.Work)
 	down, done := context.WithTimeout(context.WithoutCancel(ctx), reportsWait)
--- a/cmd/milldeck/windowserve.go
+++ b/cmd/milldeck/windowserve.go
@@ -91,9 +91,9 @@
 	go func() {
 		defer close(over)
 		for {
-			err := duty.Run(ctx, client, name, duty.Options{TTL: ttl, Events: func(e duty.Event) {
-				if e.What != "renewed" {
-					slog.Info("duty", "what", e.What, "duty", e.Duty, "token", e.Token)
+			err := duty.Run(ctx, client, name, duty.Options{TTL: ttl, OnEvent: func(e duty.Event) {
+				if e.Type != "renewed" {
+					slog.Info("duty", "what", e.Type, "duty", e.Lease, "token", e.Token)
 				}
 			}}, work)
 			if ctx.Err() != nil {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -20,76 +20,76 @@
 )
 
 const (
-	// staleAfter is the age of a replica's list from which on another is tried.
-	staleAfter = 3 * time.Second
-	// silentAfter is how long ago the registry must have spoken for this agent's silence to be news.
-	silentAfter = 4 * time.Second
-	// holdWait is between two looks at a list that is held, where there is but one replica to ask.
-	holdWait  = 2 * time.Second
-	askWait   = 3 * time.Second
-	saveEvery = 200 * time.Millisecond
-	headWait  = 3 * time.Second
+	// maxListAge is the age of a replica's list from which on another is tried.
+	maxListAge = 3 * time.Second
+	// registryHeartbeatTimeout is how long ago the registry must have spoken for this agent's silence to be news.
+	registryHeartbeatTimeout = 4 * time.Second
+	// confirmationDelay is between two looks at a list that is held, where there is but one replica to ask.
+	confirmationDelay  = 2 * time.Second
+	listRequestTimeout = 3 * time.Second
+	saveInterval       = 200 * time.Millisecond
+	requestReadTimeout = 3 * time.Second
 
-	defaultShare = 0.5
-	defaultFleet = 100
+	defaultMaxLossFraction = 0.5
+	defaultFleetSize       = 100
 )
 
 // Options say how an agent runs.
 type Options struct {
-	Listen   string // where the sidecar asks; loopback only
-	Replicas []string
-	Saved    string  // file for the last good list; "" keeps none
-	Fleet    int     // how many agents there are, about
-	Share    float64 // of the ready servers that a list may take away unconfirmed
-	// SavedPlacement is the file for the last placement; "" keeps none.
-	SavedPlacement string
+	Listen          string // where the sidecar asks; loopback only
+	Replicas        []string
+	ListFile        string  // file for the last good list; "" keeps none
+	FleetSize       int     // how many agents there are, about
+	MaxLossFraction float64 // of the ready servers that a list may take away unconfirmed
+	// PlacementFile is the file for the last placement; "" keeps none.
+	PlacementFile string
 	// Reports are addresses that sidecars' reports are passed on to, each to all of them; loopback only.
-	Reports []string
-	Home    *Home // the sidecar to be registered; nil: none is
+	ReportAddresses []string
+	Sidecar         *SidecarOptions // the sidecar to be registered; nil: none is
 }
 
 // Agent follows the registry and serves one machine's sidecar.
 type Agent struct {
-	opts   Options
-	client *registry.Client
-	hub    *registry.Hub
-	srv    *http.Server
-	ln     net.Listener
-	ctx    context.Context
-	stop   context.CancelFunc
-	around sync.WaitGroup
+	opts       Options
+	client     *registry.Client
+	hub        *registry.Hub
+	server     *http.Server
+	listener   net.Listener
+	ctx        context.Context
+	cancel     context.CancelFunc
+	background sync.WaitGroup
 
-	mu    sync.Mutex
-	core  core
-	dirty bool // the saved list is out of date
+	mu        sync.Mutex
+	list      instanceList
+	listDirty bool // the saved list is out of date
 
-	began   time.Time
-	spoke   atomic.Int64 // when the registry last spoke, ns since began; 0: never
-	hasList atomic.Bool
+	startedAt       time.Time
+	registryHeardNS atomic.Int64 // when the registry last spoke, ns since began; 0: never
+	listKnown       atomic.Bool
 
-	places  *places
-	reports *reports
+	placement *placementCache
+	forwarder *reportForwarder
 
-	metrics *prometheus.Registry
-	moves   prometheus.Counter
-	helds   prometheus.Counter
-	epochs  prometheus.Counter
+	metricsRegistry  *prometheus.Registry
+	replicaSwitches  prometheus.Counter
+	unconfirmedLists prometheus.Counter
+	epochChanges     prometheus.Counter
 }
 
-// errStale ends a watch of a replica that hears of no leader.
-var errStale = errors.New("its list is out of date")
+// errReplicaStale ends a watch of a replica that hears of no leader.
+var errReplicaStale = errors.New("its list is out of date")
 
 // Start starts an agent.
 func Start(opts Options) (*Agent, error) {
 	if err := registry.Loopback("listen", opts.Listen); err != nil {
 		return nil, err
 	}
-	if opts.Home != nil {
-		if err := opts.Home.Check(); err != nil {
+	if opts.Sidecar != nil {
+		if err := opts.Sidecar.Validate(); err != nil {
 			return nil, fmt.Errorf("sidecar.%w", err)
 		}
 	}
-	reports, err := newReports(opts.Reports)
+	forwarder, err := newReportForwarder(opts.ReportAddresses)
 	if err != nil {
 		return nil, err
 	}
@@ -97,249 +97,251 @@
 	if err != nil {
 		return nil, err
 	}
-	if opts.Share == 0 {
-		opts.Share = defaultShare
+	if opts.MaxLossFraction == 0 {
+		opts.MaxLossFraction = defaultMaxLossFraction
 	}
-	if opts.Fleet == 0 {
-		opts.Fleet = defaultFleet
+	if opts.FleetSize == 0 {
+		opts.FleetSize = defaultFleetSize
 	}
-	a := &Agent{opts: opts, client: client, hub: registry.NewHub(), began: time.Now(), core: core{share: opts.Share}}
-	a.reports = reports
-	a.places = newPlaces(opts.SavedPlacement, func() (wallMS, monoMS int64) {
-		return time.Now().UnixMilli(), time.Since(a.began).Milliseconds()
+	a := &Agent{opts: opts, client: client, hub: registry.NewHub(), startedAt: time.Now(), list: instanceList{maxLossFraction: opts.MaxLossFraction}}
+	a.forwarder = forwarder
+	a.placement = newPlacementCache(opts.PlacementFile, func() (wallMS, monoMS int64) {
+		return time.Now().UnixMilli(), time.Since(a.startedAt).Milliseconds()
 	})
-	a.measure()
-	if opts.Saved != "" {
-		switch err := a.core.load(opts.Saved); {
+	a.registerMetrics()
+	if opts.ListFile != "" {
+		switch err := a.list.load(opts.ListFile); {
 		case err != nil:
-			slog.Warn("the saved list is not used", "file", opts.Saved, "error", err)
-		case a.core.rev != 0:
-			var u update
-			for _, t := range a.core.targets {
-				u.set = append(u.set, registry.Instance{Target: t})
+			slog.Warn("the saved list is not used", "file", opts.ListFile, "error", err)
+		case a.list.rev != 0:
+			var changes listChanges
+			for _, target := range a.list.targets {
+				changes.upserted = append(changes.upserted, registry.Instance{Target: target})
 			}
-			if err := a.tell(u); err != nil {
+			if err := a.publish(changes); err != nil {
 				return nil, err
 			}
-			slog.Info("serves the saved list until a replica answers", "rev", a.core.rev, "servers", len(a.core.targets))
+			slog.Info("serves the saved list until a replica answers", "rev", a.list.rev, "servers", len(a.list.targets))
 		}
 	}
-	if a.ln, err = net.Listen("tcp", opts.Listen); err != nil {
+	if a.listener, err = net.Listen("tcp", opts.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	a.ctx, a.stop = context.WithCancel(context.Background())
+	a.ctx, a.cancel = context.WithCancel(context.Background())
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /registry/instances", a.serve)
+	mux.HandleFunc("GET /registry/instances", a.serveInstances)
 	mux.HandleFunc("GET /registry/placement", a.servePlacement)
-	mux.HandleFunc("POST /registry/report", a.reports.serve)
+	mux.HandleFunc("POST /registry/report", a.forwarder.serve)
 	mux.HandleFunc("GET /health/ready", a.serveReady)
-	mux.Handle("GET /metrics", promhttp.HandlerFor(a.metrics, promhttp.HandlerOpts{}))
-	a.srv = &http.Server{
-		Handler: mux, ReadHeaderTimeout: headWait, MaxHeaderBytes: 16 << 10,
+	mux.Handle("GET /metrics", promhttp.HandlerFor(a.metricsRegistry, promhttp.HandlerOpts{}))
+	a.server = &http.Server{
+		Handler: mux, ReadHeaderTimeout: requestReadTimeout, MaxHeaderBytes: 16 << 10,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
-	a.around.Go(func() {
-		if err := a.srv.Serve(a.ln); !errors.Is(err, http.ErrServerClosed) {
+	a.background.Go(func() {
+		if err := a.server.Serve(a.listener); !errors.Is(err, http.ErrServerClosed) {
 			slog.Error("no longer served", "error", err)
 		}
 	})
-	a.around.Go(a.follow)
-	a.around.Go(a.followPlacement)
-	a.around.Go(a.keep)
-	for _, to := range opts.Reports {
-		a.around.Go(func() { a.reports.pass(a.ctx, to) })
+	a.background.Go(a.followList)
+	a.background.Go(a.followPlacement)
+	a.background.Go(a.saveLoop)
+	for _, address := range opts.ReportAddresses {
+		a.background.Go(func() { a.forwarder.forward(a.ctx, address) })
 	}
-	if opts.Home != nil {
-		a.around.Go(func() { a.register(*opts.Home) })
+	if opts.Sidecar != nil {
+		a.background.Go(func() { a.maintainSidecarRegistration(*opts.Sidecar) })
 	}
 	return a, nil
 }
 
 // Addr is where the sidecar asks.
-func (a *Agent) Addr() string { return a.ln.Addr().String() }
+func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
 // Close ends the agent.
 func (a *Agent) Close() error {
-	a.stop()
-	err := a.srv.Close()
-	a.around.Wait()
+	a.cancel()
+	err := a.server.Close()
+	a.background.Wait()
 	a.client.Close()
-	a.reports.http.CloseIdleConnections()
+	a.forwarder.client.CloseIdleConnections()
 	return err
 }
 
-// silence is how long ago the registry last spoke.
-func (a *Agent) silence() time.Duration { return time.Since(a.began) - time.Duration(a.spoke.Load()) }
+// registrySilence is how long ago the registry last spoke.
+func (a *Agent) registrySilence() time.Duration {
+	return time.Since(a.startedAt) - time.Duration(a.registryHeardNS.Load())
+}
 
-// follow follows the list for as long as the agent runs, beginning with any replica.
-func (a *Agent) follow() { a.followFrom(rand.IntN(len(a.opts.Replicas))) }
+// followList follows the list for as long as the agent runs, beginning with any replica.
+func (a *Agent) followList() { a.followListFrom(rand.IntN(len(a.opts.Replicas))) }
 
-func (a *Agent) followFrom(at int) {
-	a.follower().run(at, func(at int, replica string, spoke func()) error {
+func (a *Agent) followListFrom(replicaIndex int) {
+	a.newReplicaFollower().run(replicaIndex, func(replicaIndex int, replica string, markAlive func()) error {
 		a.mu.Lock()
-		rev, epoch := a.core.rev, a.core.epoch
+		rev, epoch := a.list.rev, a.list.epoch
 		a.mu.Unlock()
-		return a.client.WatchReplica(a.ctx, replica, rev, epoch, func(l *registry.List, age time.Duration) error {
-			if l != nil {
-				if err := a.take(l, at); err != nil {
+		return a.client.WatchReplica(a.ctx, replica, rev, epoch, func(list *registry.List, age time.Duration) error {
+			if list != nil {
+				if err := a.handleList(list, replicaIndex); err != nil {
 					return err
 				}
-				if age > staleAfter && len(a.opts.Replicas) > 1 {
-					return errStale
+				if age > maxListAge && len(a.opts.Replicas) > 1 {
+					return errReplicaStale
 				}
 			}
-			spoke()
-			a.spoke.Store(int64(time.Since(a.began)))
+			markAlive()
+			a.registryHeardNS.Store(int64(time.Since(a.startedAt)))
 			return nil
 		})
 	})
 }
 
-// take takes over what a replica told; one list that is held is confirmed by another replica first.
-func (a *Agent) take(l *registry.List, from int) error {
-	v, err := a.apply(l, false)
-	if err != nil || v == applied || v == ignored {
+// handleList takes over what a replica told; one list that is held is confirmed by another replica first.
+func (a *Agent) handleList(list *registry.List, replicaIndex int) error {
+	result, err := a.applyList(list, false)
+	if err != nil || result == listApplied || result == listOutdated {
 		return err
 	}
-	if v == held {
-		a.helds.Inc()
+	if result == listUnconfirmed {
+		a.unconfirmedLists.Inc()
 		slog.Warn("a list that would take most servers away, or begins another history, is held for confirmation",
-			"replica", a.opts.Replicas[from%len(a.opts.Replicas)], "rev", l.Rev, "epoch", l.Epoch)
+			"replica", a.opts.Replicas[replicaIndex%len(a.opts.Replicas)], "rev", list.Rev, "epoch", list.Epoch)
 	}
-	other := a.opts.Replicas[(from+1)%len(a.opts.Replicas)]
+	otherReplica := a.opts.Replicas[(replicaIndex+1)%len(a.opts.Replicas)]
 	if len(a.opts.Replicas) == 1 {
 		select {
 		case <-a.ctx.Done():
 			return a.ctx.Err()
-		case <-time.After(holdWait):
+		case <-time.After(confirmationDelay):
 		}
 	}
-	second, err := a.ask(other)
+	confirmation, err := a.fetchList(otherReplica)
 	if err != nil {
-		return fmt.Errorf("not confirmed by %s: %w", other, err)
+		return fmt.Errorf("not confirmed by %s: %w", otherReplica, err)
 	}
-	if second.Epoch != l.Epoch || second.Rev < l.Rev {
-		return fmt.Errorf("not confirmed: %s has revision %d of epoch %d, told were %d of %d", other, second.Rev, second.Epoch, l.Rev, l.Epoch)
+	if confirmation.Epoch != list.Epoch || confirmation.Rev < list.Rev {
+		return fmt.Errorf("not confirmed: %s has revision %d of epoch %d, told were %d of %d", otherReplica, confirmation.Rev, confirmation.Epoch, list.Rev, list.Epoch)
 	}
-	_, err = a.apply(second, true)
+	_, err = a.applyList(confirmation, true)
 	return err
 }
 
-// ask reads a replica's whole list.
-func (a *Agent) ask(replica string) (*registry.List, error) {
-	ctx, cancel := context.WithTimeout(a.ctx, askWait)
+// fetchList reads a replica's whole list.
+func (a *Agent) fetchList(replica string) (*registry.List, error) {
+	ctx, cancel := context.WithTimeout(a.ctx, listRequestTimeout)
 	defer cancel()
-	one, err := registry.NewClient([]string{replica})
+	client, err := registry.NewClient([]string{replica})
 	if err != nil {
 		return nil, err
 	}
-	defer one.Close()
-	l, err := one.List(ctx, false)
-	return &l, err
+	defer client.Close()
+	list, err := client.List(ctx, false)
+	return &list, err
 }
 
-func (a *Agent) apply(l *registry.List, confirmed bool) (verdict, error) {
+func (a *Agent) applyList(list *registry.List, confirmed bool) (mergeResult, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	epoch := a.core.epoch
-	v, u := a.core.take(l, confirmed)
-	if v != applied {
-		return v, nil
+	previousEpoch := a.list.epoch
+	result, changes := a.list.merge(list, confirmed)
+	if result != listApplied {
+		return result, nil
 	}
-	if epoch != 0 && epoch != a.core.epoch {
-		a.epochs.Inc()
-		slog.Warn("the registry's history is another one now, as after a restore", "epoch", a.core.epoch, "rev", a.core.rev)
+	if previousEpoch != 0 && previousEpoch != a.list.epoch {
+		a.epochChanges.Inc()
+		slog.Warn("the registry's history is another one now, as after a restore", "epoch", a.list.epoch, "rev", a.list.rev)
 	}
-	a.dirty = true
-	return v, a.tell(u)
+	a.listDirty = true
+	return result, a.publish(changes)
 }
 
-// tell hands changes to the sidecar's watches; the caller holds the lock, or is the only one.
-func (a *Agent) tell(u update) error {
-	if _, err := a.hub.Apply(a.core.served, &registry.Record{Op: registry.OpFollow, Instances: u.set, Refs: u.gone}); err != nil {
+// publish hands changes to the sidecar's watches; the caller holds the lock, or is the only one.
+func (a *Agent) publish(changes listChanges) error {
+	if _, err := a.hub.Apply(a.list.servedRev, &registry.Record{Op: registry.OpFollow, Instances: changes.upserted, Refs: changes.removed}); err != nil {
 		return err
 	}
-	a.hasList.Store(true)
+	a.listKnown.Store(true)
 	return nil
 }
 
-// keep saves the list and the placement soon after they have changed.
-func (a *Agent) keep() {
-	tick := time.NewTicker(saveEvery)
-	defer tick.Stop()
-	for end := false; !end; {
+// saveLoop saves the list and the placement soon after they have changed.
+func (a *Agent) saveLoop() {
+	ticker := time.NewTicker(saveInterval)
+	defer ticker.Stop()
+	for stopping := false; !stopping; {
 		select {
 		case <-a.ctx.Done():
-			end = true
-		case <-tick.C:
+			stopping = true
+		case <-ticker.C:
 		}
-		a.keepList()
-		a.places.keep()
+		a.saveList()
+		a.placement.saveIfDirty()
 	}
 }
 
-func (a *Agent) keepList() {
-	if a.opts.Saved == "" {
+func (a *Agent) saveList() {
+	if a.opts.ListFile == "" {
 		return
 	}
 	a.mu.Lock()
-	dirty := a.dirty
-	a.dirty = false
+	dirty := a.listDirty
+	a.listDirty = false
 	data, err := []byte(nil), error(nil)
 	if dirty {
-		data, err = a.core.encode()
+		data, err = a.list.encode()
 	}
 	a.mu.Unlock()
 	if dirty && err == nil {
-		err = save(a.opts.Saved, data)
+		err = writeStateFile(a.opts.ListFile, data)
 	}
 	if err != nil {
-		slog.Error("the list is not saved", "file", a.opts.Saved, "error", err)
+		slog.Error("the list is not saved", "file", a.opts.ListFile, "error", err)
 	}
 }
 
 func (a *Agent) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if !a.hasList.Load() {
+	if !a.listKnown.Load() {
 		http.Error(w, "no list yet", http.StatusServiceUnavailable)
 		return
 	}
 	fmt.Fprintln(w, "ready")
 }
 
-// serve speaks PROTOCOL's discovery. Without any list it has nothing to say.
-func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
-	if !a.hasList.Load() {
+// serveInstances speaks PROTOCOL's discovery. Without any list it has nothing to say.
+func (a *Agent) serveInstances(w http.ResponseWriter, r *http.Request) {
+	if !a.listKnown.Load() {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "no list yet", http.StatusServiceUnavailable)
 		return
 	}
-	q := r.URL.Query()
-	if q.Get("watch") == "" {
+	query := r.URL.Query()
+	if query.Get("watch") == "" {
 		if err := a.hub.WriteWhole(w); err != nil {
 			slog.Debug("list not written", "error", err)
 		}
 		return
 	}
-	after, err := number(r, "after")
+	after, err := queryUint(r, "after")
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	err = a.hub.Watch(a.ctx, w, r, after, 0, func() bool { return a.spoke.Load() > 0 && a.silence() < silentAfter })
+	err = a.hub.Watch(a.ctx, w, r, after, 0, func() bool { return a.registryHeardNS.Load() > 0 && a.registrySilence() < registryHeartbeatTimeout })
 	if err != nil {
 		slog.Debug("sidecar's watch ended", "error", err)
 	}
 }
 
-// number reads a query's figure; absent it is 0.
-func number(r *http.Request, name string) (uint64, error) {
-	v := r.URL.Query().Get(name)
-	if v == "" {
+// queryUint reads a query's figure; absent it is 0.
+func queryUint(r *http.Request, name string) (uint64, error) {
+	value := r.URL.Query().Get(name)
+	if value == "" {
 		return 0, nil
 	}
-	n, err := strconv.ParseUint(v, 10, 64)
+	n, err := strconv.ParseUint(value, 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%s: %q is no number", name, v)
+		return 0, fmt.Errorf("%s: %q is no number", name, value)
 	}
 	return n, nil
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -18,41 +18,41 @@
 	"milldeck/internal/registry"
 )
 
-// replica runs one in this process.
-func replica(t *testing.T, block *proc.Block, n int) *registry.Replica {
+// startReplica runs one in this process.
+func startReplica(t *testing.T, block *proc.Block, n int) *registry.Replica {
 	t.Helper()
 	http, raft := block.Addr(200, n, 8500), block.Addr(200, n, 8501)
-	r, err := registry.Open(registry.Options{HTTP: http, Raft: raft, Members: []registry.Member{{HTTP: http, Raft: raft}}})
+	replica, err := registry.Open(registry.Options{HTTP: http, Raft: raft, Members: []registry.Member{{HTTP: http, Raft: raft}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.Close() })
-	return r
+	t.Cleanup(func() { replica.Close() })
+	return replica
 }
 
-func block(t *testing.T) *proc.Block {
+func takeBlock(t *testing.T) *proc.Block {
 	t.Helper()
-	b, err := proc.TakeBlock()
+	block, err := proc.TakeBlock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(b.Release)
-	return b
+	t.Cleanup(block.Release)
+	return block
 }
 
-func until(t *testing.T, what string, done func() bool) {
+func waitFor(t *testing.T, description string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !done(); {
-		if time.Now().After(end) {
-			t.Fatal("not within 30 s: " + what)
+	for deadline := time.Now().Add(30 * time.Second); !done(); {
+		if time.Now().After(deadline) {
+			t.Fatal("not within 30 s: " + description)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-func begin(t *testing.T, o Options) *Agent {
+func startAgent(t *testing.T, opts Options) *Agent {
 	t.Helper()
-	a, err := Start(o)
+	a, err := Start(opts)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,296 +60,296 @@
 	return a
 }
 
-// told is the list that an agent answers with.
-func told(t *testing.T, a *Agent) registry.List {
+// servedList is the list that an agent answers with.
+func servedList(t *testing.T, agent *Agent) registry.List {
 	t.Helper()
-	resp, err := http.Get("http://" + a.Addr() + "/registry/instances")
+	response, err := http.Get("http://" + agent.Addr() + "/registry/instances")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
-	var l registry.List
-	if resp.StatusCode == http.StatusOK {
-		if err := json.NewDecoder(resp.Body).Decode(&l); err != nil {
+	defer response.Body.Close()
+	var list registry.List
+	if response.StatusCode == http.StatusOK {
+		if err := json.NewDecoder(response.Body).Decode(&list); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return l
+	return list
 }
 
-func targets(n int) []registry.Instance {
-	var out []registry.Instance
+func readyInstances(n int) []registry.Instance {
+	var instances []registry.Instance
 	for k := range n {
-		out = append(out, registry.Instance{Target: registry.Target{UID: fmt.Sprint("s", k), Endpoint: fmt.Sprintf("127.0.0.1:%d", 1000+k), State: registry.Ready, Capacity: 1}})
+		instances = append(instances, registry.Instance{Target: registry.Target{UID: fmt.Sprint("s", k), Endpoint: fmt.Sprintf("127.0.0.1:%d", 1000+k), State: registry.Ready, Capacity: 1}})
 	}
-	return out
+	return instances
 }
 
 // An agent serves what its replica tells, outlives it, and serves the saved list at its own start while no replica
 // is there; a saved list that is torn is not used.
-func TestAgentOutlivesTheRegistry(t *testing.T) {
-	b := block(t)
-	r := replica(t, b, 0)
-	client, err := registry.NewClient([]string{r.Addr()})
+func TestAgentServesWithoutRegistry(t *testing.T) {
+	block := takeBlock(t)
+	replica := startReplica(t, block, 0)
+	client, err := registry.NewClient([]string{replica.Addr()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := client.Register(t.Context(), registry.Write{}, targets(5)...); err != nil {
+	if _, err := client.Register(t.Context(), registry.Write{}, readyInstances(5)...); err != nil {
 		t.Fatal(err)
 	}
-	saved := filepath.Join(t.TempDir(), "list")
-	o := Options{Listen: b.Addr(201, 0, 8500), Replicas: []string{r.Addr()}, Saved: saved}
-	a := begin(t, o)
-	until(t, "the list is there", func() bool { return len(told(t, a).Targets) == 5 })
-	before := told(t, a)
-	if err := r.Close(); err != nil {
+	path := filepath.Join(t.TempDir(), "list")
+	opts := Options{Listen: block.Addr(201, 0, 8500), Replicas: []string{replica.Addr()}, ListFile: path}
+	agent := startAgent(t, opts)
+	waitFor(t, "the list is there", func() bool { return len(servedList(t, agent).Targets) == 5 })
+	before := servedList(t, agent)
+	if err := replica.Close(); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the list is saved", func() bool { _, err := os.Stat(saved); return err == nil })
-	if l := told(t, a); len(l.Targets) != 5 || l.Rev != before.Rev {
-		t.Errorf("without the registry it tells %+v", l)
+	waitFor(t, "the list is saved", func() bool { _, err := os.Stat(path); return err == nil })
+	if list := servedList(t, agent); len(list.Targets) != 5 || list.Rev != before.Rev {
+		t.Errorf("without the registry it tells %+v", list)
 	}
-	if err := a.Close(); err != nil {
+	if err := agent.Close(); err != nil {
 		t.Fatal(err)
 	}
-	again := begin(t, o)
-	if l := told(t, again); len(l.Targets) != 5 || l.Rev < before.Rev {
-		t.Errorf("at its start without the registry it tells %+v, want all of %+v", l, before)
+	restarted := startAgent(t, opts)
+	if list := servedList(t, restarted); len(list.Targets) != 5 || list.Rev < before.Rev {
+		t.Errorf("at its start without the registry it tells %+v, want all of %+v", list, before)
 	}
-	if err := again.Close(); err != nil {
+	if err := restarted.Close(); err != nil {
 		t.Fatal(err)
 	}
-	data, err := os.ReadFile(saved)
+	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(saved, bytes.Replace(data, []byte("s3"), []byte("s9"), 1), 0o600); err != nil {
+	if err := os.WriteFile(path, bytes.Replace(data, []byte("s3"), []byte("s9"), 1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	torn := begin(t, o)
-	if l := told(t, torn); len(l.Targets) != 0 {
-		t.Errorf("of a torn file it tells %+v", l)
+	corrupted := startAgent(t, opts)
+	if list := servedList(t, corrupted); len(list.Targets) != 0 {
+		t.Errorf("of a torn file it tells %+v", list)
 	}
 }
 
-// standIn answers as a replica that has a list of its own.
-func standIn(t *testing.T, addr string, l *registry.List) {
+// startFakeReplica answers as a replica that has a list of its own.
+func startFakeReplica(t *testing.T, addr string, list *registry.List) {
 	t.Helper()
-	ln, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		json.NewEncoder(w).Encode(l)
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		json.NewEncoder(w).Encode(list)
 		if r.URL.Query().Get("watch") != "" {
 			http.NewResponseController(w).Flush()
 			<-r.Context().Done()
 		}
 	})}
-	go srv.Serve(ln)
-	t.Cleanup(func() { srv.Close() })
+	go server.Serve(listener)
+	t.Cleanup(func() { server.Close() })
 }
 
 // A list that would remove most servers is held while the second replica does not agree, and taken when it does.
-func TestAShrunkenListIsConfirmedFirst(t *testing.T) {
+func TestShrunkenListNeedsConfirmation(t *testing.T) {
 	for name, agrees := range map[string]bool{"agrees": true, "disagrees": false} {
 		t.Run(name, func(t *testing.T) {
-			b := block(t)
-			full := list(5, 9, true, "a", "b", "c", "d", "e", "f")
-			shrunk := list(7, 9, true, "a")
-			second := list(6, 9, true, "a", "b", "c", "d", "e", "f")
+			block := takeBlock(t)
+			full := newList(5, 9, true, "a", "b", "c", "d", "e", "f")
+			shrunk := newList(7, 9, true, "a")
+			second := newList(6, 9, true, "a", "b", "c", "d", "e", "f")
 			if agrees {
 				second = shrunk
 			}
-			saved := filepath.Join(t.TempDir(), "list")
-			c := core{share: 0.5}
-			c.take(full, false)
-			data, err := c.encode()
+			path := filepath.Join(t.TempDir(), "list")
+			cached := instanceList{maxLossFraction: 0.5}
+			cached.merge(full, false)
+			data, err := cached.encode()
 			if err == nil {
-				err = save(saved, data)
+				err = writeStateFile(path, data)
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
-			first, other := b.Addr(200, 0, 8500), b.Addr(200, 1, 8500)
-			standIn(t, first, shrunk)
-			standIn(t, other, second)
-			a := begin(t, Options{Listen: b.Addr(201, 0, 8500), Replicas: []string{first, other}, Saved: saved, Fleet: 1})
-			metric := func(name string) bool {
-				resp, err := http.Get("http://" + a.Addr() + "/metrics")
+			first, other := block.Addr(200, 0, 8500), block.Addr(200, 1, 8500)
+			startFakeReplica(t, first, shrunk)
+			startFakeReplica(t, other, second)
+			agent := startAgent(t, Options{Listen: block.Addr(201, 0, 8500), Replicas: []string{first, other}, ListFile: path, FleetSize: 1})
+			counted := func(name string) bool {
+				response, err := http.Get("http://" + agent.Addr() + "/metrics")
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer resp.Body.Close()
+				defer response.Body.Close()
 				var text bytes.Buffer
-				text.ReadFrom(resp.Body)
+				text.ReadFrom(response.Body)
 				return !strings.Contains(text.String(), name+" 0\n")
 			}
 			if agrees {
-				until(t, "the short list is taken", func() bool { return len(told(t, a).Targets) == 1 })
+				waitFor(t, "the short list is taken", func() bool { return len(servedList(t, agent).Targets) == 1 })
 				return
 			}
-			until(t, "the short list is held", func() bool { return metric("milldeck_agent_held_total") })
-			until(t, "the agent has heard the second replica", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.core.rev == 6 })
-			if l := told(t, a); len(l.Targets) != 6 {
-				t.Errorf("unconfirmed, it tells %+v", l)
+			waitFor(t, "the short list is held", func() bool { return counted("milldeck_agent_held_total") })
+			waitFor(t, "the agent has heard the second replica", func() bool { agent.mu.Lock(); defer agent.mu.Unlock(); return agent.list.rev == 6 })
+			if served := servedList(t, agent); len(served.Targets) != 6 {
+				t.Errorf("unconfirmed, it tells %+v", served)
 			}
 		})
 	}
 }
 
-// counter is a door before a replica that counts who comes, in steps of 100 ms.
-type counter struct {
-	ln     net.Listener
-	mu     sync.Mutex
-	began  time.Time
-	perBin map[int]int
-	conns  []net.Conn
+// countingProxy is a door before a replica that counts who comes, in steps of 100 ms.
+type countingProxy struct {
+	listener    net.Listener
+	mu          sync.Mutex
+	startedAt   time.Time
+	perInterval map[int]int
+	conns       []net.Conn
 }
 
-func newCounter(t *testing.T, addr, to string) *counter {
+func newCountingProxy(t *testing.T, addr, target string) *countingProxy {
 	t.Helper()
-	ln, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &counter{ln: ln, began: time.Now(), perBin: map[int]int{}}
+	p := &countingProxy{listener: listener, startedAt: time.Now(), perInterval: map[int]int{}}
 	go func() {
 		for {
-			in, err := ln.Accept()
+			downstream, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			c.mu.Lock()
-			c.perBin[int(time.Since(c.began)/(100*time.Millisecond))]++
-			c.conns = append(c.conns, in)
-			c.mu.Unlock()
+			p.mu.Lock()
+			p.perInterval[int(time.Since(p.startedAt)/(100*time.Millisecond))]++
+			p.conns = append(p.conns, downstream)
+			p.mu.Unlock()
 			go func() {
-				defer in.Close()
-				out, err := net.Dial("tcp", to)
+				defer downstream.Close()
+				upstream, err := net.Dial("tcp", target)
 				if err != nil {
 					return
 				}
-				defer out.Close()
+				defer upstream.Close()
 				go func() {
 					buf := make([]byte, 4096)
 					for {
-						n, err := in.Read(buf)
+						n, err := downstream.Read(buf)
 						if err != nil {
-							out.Close()
+							upstream.Close()
 							return
 						}
-						out.Write(buf[:n])
+						upstream.Write(buf[:n])
 					}
 				}()
 				buf := make([]byte, 4096)
 				for {
-					n, err := out.Read(buf)
+					n, err := upstream.Read(buf)
 					if err != nil {
 						return
 					}
-					if _, err := in.Write(buf[:n]); err != nil {
+					if _, err := downstream.Write(buf[:n]); err != nil {
 						return
 					}
 				}
 			}()
 		}
 	}()
-	t.Cleanup(c.close)
-	return c
+	t.Cleanup(p.close)
+	return p
 }
 
-func (c *counter) close() {
-	c.ln.Close()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, in := range c.conns {
-		in.Close()
+func (p *countingProxy) close() {
+	p.listener.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, conn := range p.conns {
+		conn.Close()
 	}
 }
 
-func (c *counter) all() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	n := 0
-	for _, k := range c.perBin {
-		n += k
+func (p *countingProxy) total() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	sum := 0
+	for _, count := range p.perInterval {
+		sum += count
 	}
-	return n
+	return sum
 }
 
 // peak is the most that came in a second, over any ten steps.
-func (c *counter) peak() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	most := 0
-	for bin := range c.perBin {
+func (p *countingProxy) peak() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	highest := 0
+	for first := range p.perInterval {
 		sum := 0
 		for k := range 10 {
-			sum += c.perBin[bin+k]
+			sum += p.perInterval[first+k]
 		}
-		most = max(most, sum)
+		highest = max(highest, sum)
 	}
-	return most
+	return highest
 }
 
 // 6. 2,000 watchers lose their replica at once: no thundering herd at the next, measured against agents that know
 // of no fleet and hardly spread.
-func TestNoHerdAfterALostReplica(t *testing.T) {
+func TestNoThunderingHerdAfterReplicaLoss(t *testing.T) {
 	const agents = 2000
-	peak := func(fleet int) int {
-		b := block(t)
-		r := replica(t, b, 0)
-		client, err := registry.NewClient([]string{r.Addr()})
+	peakReconnects := func(fleetSize int) int {
+		block := takeBlock(t)
+		replica := startReplica(t, block, 0)
+		client, err := registry.NewClient([]string{replica.Addr()})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer client.Close()
-		if _, err := client.Register(t.Context(), registry.Write{}, targets(3)...); err != nil {
+		if _, err := client.Register(t.Context(), registry.Write{}, readyInstances(3)...); err != nil {
 			t.Fatal(err)
 		}
-		first := newCounter(t, b.Addr(202, 0, 8500), r.Addr())
-		next := newCounter(t, b.Addr(202, 1, 8500), r.Addr())
+		first := newCountingProxy(t, block.Addr(202, 0, 8500), replica.Addr())
+		second := newCountingProxy(t, block.Addr(202, 1, 8500), replica.Addr())
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		var up sync.WaitGroup
-		var all sync.WaitGroup
-		defer all.Wait()
+		var started sync.WaitGroup
+		var running sync.WaitGroup
+		defer running.Wait()
 		defer stop()
 		for n := range agents {
-			up.Add(1)
-			all.Go(func() {
+			started.Add(1)
+			running.Go(func() {
 				// The following alone, with no listener of its own: thousands run in one process.
-				a := &Agent{
-					opts: Options{Replicas: []string{first.ln.Addr().String(), next.ln.Addr().String()}, Fleet: fleet},
-					hub:  registry.NewHub(), began: time.Now(), core: core{share: defaultShare}, ctx: ctx, stop: stop,
+				agent := &Agent{
+					opts: Options{Replicas: []string{first.listener.Addr().String(), second.listener.Addr().String()}, FleetSize: fleetSize},
+					hub:  registry.NewHub(), startedAt: time.Now(), list: instanceList{maxLossFraction: defaultMaxLossFraction}, ctx: ctx, cancel: stop,
 				}
-				a.measure()
+				agent.registerMetrics()
 				var err error
-				if a.client, err = registry.NewClient(a.opts.Replicas); err != nil {
+				if agent.client, err = registry.NewClient(agent.opts.Replicas); err != nil {
 					t.Error(err)
-					up.Done()
+					started.Done()
 					return
 				}
-				defer a.client.Close()
+				defer agent.client.Close()
 				go func() {
-					for !a.hasList.Load() && ctx.Err() == nil {
+					for !agent.listKnown.Load() && ctx.Err() == nil {
 						time.Sleep(10 * time.Millisecond)
 					}
-					up.Done()
+					started.Done()
 				}()
-				a.followFrom(0)
+				agent.followListFrom(0)
 			})
 			if n%100 == 99 {
-				up.Wait() // they come up in order; the herd is at the loss
+				started.Wait() // they come up in order; the herd is at the loss
 			}
 		}
-		up.Wait()
+		started.Wait()
 		first.close()
-		until(t, "all are at the next replica", func() bool { return next.all() >= agents })
-		return next.peak()
+		waitFor(t, "all are at the next replica", func() bool { return second.total() >= agents })
+		return second.peak()
 	}
-	without, with := peak(1), peak(agents)
+	without, with := peakReconnects(1), peakReconnects(agents)
 	t.Logf("peak reconnects a second: %d spread by fleet size, %d without", with, without)
 	if with > 1400 || with > without*3/4 {
 		t.Errorf("%d come within a second, %d without the spread", with, without)
--- a/internal/agent/fixtures_test.go
+++ b/internal/agent/fixtures_test.go
@@ -30,34 +30,34 @@
 
 func fixtureClock() (wallMS, monoMS int64) { return fixtureWallMS, fixtureMonoMS }
 
-// fixtureCore holds a list with every field of an instance set. The registry was restored once, so the revision that is
+// fixtureInstanceList holds a list with every field of an instance set. The registry was restored once, so the revision that is
 // served differs from the registry's.
-func fixtureCore(t *testing.T) *core {
+func fixtureInstanceList(t *testing.T) *instanceList {
 	t.Helper()
-	c := &core{share: defaultShare}
+	list := &instanceList{maxLossFraction: defaultMaxLossFraction}
 	first := &registry.List{Rev: 41, Epoch: 7, All: true, Targets: []registry.Target{{UID: "s1", Endpoint: "127.0.0.1:9001", State: registry.Ready}}}
 	second := &registry.List{Rev: 12, Epoch: 8, All: true, Targets: []registry.Target{
 		{UID: "s2", Endpoint: "127.0.0.1:9002", Zone: "zone-b", State: registry.Terminating, Capacity: 0.25},
 		{UID: "s1", Endpoint: "127.0.0.1:9001", Zone: "zone-a", Model: "m1", Pod: 3, State: registry.Ready, Capacity: 1.5, BootMS: 1_764_633_500_125.5},
 		{UID: "s3 <ä>", Endpoint: "[::1]:9003", State: registry.Ready, Capacity: 1},
 	}}
-	for _, l := range []*registry.List{first, second} {
-		if v, _ := c.take(l, true); v != applied {
-			t.Fatalf("the list of revision %d: verdict %d", l.Rev, v)
+	for _, received := range []*registry.List{first, second} {
+		if result, _ := list.merge(received, true); result != listApplied {
+			t.Fatalf("the list of revision %d: verdict %d", received.Rev, result)
 		}
 	}
-	return c
+	return list
 }
 
 func TestListFileFormat(t *testing.T) {
-	want := fixtureCore(t)
+	want := fixtureInstanceList(t)
 	data, err := want.encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldentest.Compare(t, "list.bin", data)
 
-	read := &core{share: defaultShare}
+	read := &instanceList{maxLossFraction: defaultMaxLossFraction}
 	if err := read.load(goldentest.Path("list.bin")); err != nil {
 		t.Fatal(err)
 	}
@@ -76,22 +76,22 @@
 	goldentest.Compare(t, "list-flipped.bin", bytes.Replace(golden, []byte("9001"), []byte("9009"), 1))
 	goldentest.Compare(t, "list-truncated.bin", golden[:len(golden)-10])
 	for _, name := range []string{"list-flipped.bin", "list-truncated.bin"} {
-		var c core
-		if err := c.load(goldentest.Path(name)); !errors.Is(err, errTorn) || len(c.targets) != 0 {
-			t.Errorf("%s: error %v, %d targets", name, err, len(c.targets))
+		var list instanceList
+		if err := list.load(goldentest.Path(name)); !errors.Is(err, errChecksumMismatch) || len(list.targets) != 0 {
+			t.Errorf("%s: error %v, %d targets", name, err, len(list.targets))
 		}
 	}
-	var c core
-	if err := c.load(goldentest.Path("placement.bin")); err == nil || !strings.Contains(err.Error(), `it does not begin with "milldeck-agent-list 1"`) {
+	var list instanceList
+	if err := list.load(goldentest.Path("placement.bin")); err == nil || !strings.Contains(err.Error(), `it does not begin with "milldeck-agent-list 1"`) {
 		t.Errorf("a file of another form: %v", err)
 	}
 }
 
-// fixturePlaces holds an entry of each kind, and one that has ended.
-func fixturePlaces(t *testing.T) *places {
+// fixturePlacementCache holds an entry of each kind, and one that has ended.
+func fixturePlacementCache(t *testing.T) *placementCache {
 	t.Helper()
-	p := newPlaces("", fixtureClock)
-	l := &placement.Update{Revision: 9, Epoch: 8, Complete: true, Directives: []placement.Directive{
+	cache := newPlacementCache("", fixtureClock)
+	list := &placement.Update{Revision: 9, Epoch: 8, Complete: true, Directives: []placement.Directive{
 		{ID: "window/w/gold", Kind: placement.KindExclude, Tenant: "gold", Servers: []string{"s1", "s2"}, MinAvailable: 0.5,
 			ExpiresAtMS: fixtureWallMS + 60_000, RemainingMS: 50_000, Revision: 7},
 		{ID: "spread/0123456789abcdef", Kind: placement.KindSpreadKey, KeyHash: "0123456789abcdef",
@@ -99,21 +99,21 @@
 		{ID: "cohort/canary", Kind: placement.KindCohort, Cohort: "canary", Servers: []string{"s3"}, ExpiresAtMS: fixtureWallMS + 1000, RemainingMS: 1000, Revision: 9},
 		{ID: "cohort/over", Kind: placement.KindCohort, Cohort: "over", Servers: []string{"s3"}, ExpiresAtMS: fixtureWallMS - 1, Revision: 3},
 	}}
-	if err := p.take(l); err != nil {
+	if err := cache.merge(list); err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return cache
 }
 
 func TestPlacementFileFormat(t *testing.T) {
-	data, err := fixturePlaces(t).encode()
+	data, err := fixturePlacementCache(t).encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldentest.Compare(t, "placement.bin", data)
 
-	read := newPlaces(goldentest.Path("placement.bin"), fixtureClock)
-	if rev, epoch := read.at(); rev != 9 || epoch != 8 || read.reader.Len() != 4 {
+	read := newPlacementCache(goldentest.Path("placement.bin"), fixtureClock)
+	if rev, epoch := read.position(); rev != 9 || epoch != 8 || read.reader.Len() != 4 {
 		t.Errorf("read revision %d of epoch %d with %d entries", rev, epoch, read.reader.Len())
 	}
 	again, err := read.encode()
@@ -126,17 +126,17 @@
 func TestPlacementFileChecksum(t *testing.T) {
 	golden := goldentest.Read(t, "placement.bin")
 	goldentest.Compare(t, "placement-flipped.bin", bytes.Replace(golden, []byte("gold"), []byte("gone"), 1))
-	p := newPlaces(goldentest.Path("placement-flipped.bin"), fixtureClock)
-	if err := p.load(); !errors.Is(err, errTorn) || p.reader.Synced() {
-		t.Errorf("error %v, placement known: %v", err, p.reader.Synced())
+	cache := newPlacementCache(goldentest.Path("placement-flipped.bin"), fixtureClock)
+	if err := cache.load(); !errors.Is(err, errChecksumMismatch) || cache.reader.Synced() {
+		t.Errorf("error %v, placement known: %v", err, cache.reader.Synced())
 	}
 }
 
 // The registration of the agent's sidecar, as it is sent to the registry.
 func TestSidecarCallFormat(t *testing.T) {
-	c := homeCore{home: Home{Name: "n0", Address: "127.0.0.1:8600", Zone: "zone-a", Tenant: "gold", Version: "1", Lease: 9 * time.Second}}
-	c.look(fixtureWallMS, true, &heard{version: "2", list: 41, rev: 9})
-	call := registry.SidecarCall{ID: "call-1", TTLMS: c.home.Lease.Milliseconds(), Sidecars: []registry.Sidecar{c.now}}
+	registration := sidecarRegistration{opts: SidecarOptions{Name: "n0", Address: "127.0.0.1:8600", Zone: "zone-a", Tenant: "gold", Version: "1", LeaseTTL: 9 * time.Second}}
+	registration.observe(fixtureWallMS, true, &reportedState{version: "2", listRev: 41, placementRev: 9})
+	call := registry.SidecarCall{ID: "call-1", TTLMS: registration.opts.LeaseTTL.Milliseconds(), Sidecars: []registry.Sidecar{registration.observed}}
 	data, err := json.Marshal(call)
 	if err != nil {
 		t.Fatal(err)
@@ -181,12 +181,12 @@
 	}))
 	defer collector.Close()
 	address := strings.TrimPrefix(collector.URL, "http://")
-	p, err := newReports([]string{address})
+	forwarder, err := newReportForwarder([]string{address})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer p.http.CloseIdleConnections()
-	agent := httptest.NewServer(http.HandlerFunc(p.serve))
+	defer forwarder.client.CloseIdleConnections()
+	agent := httptest.NewServer(http.HandlerFunc(forwarder.serve))
 	defer agent.Close()
 	response, err := http.Post(agent.URL, "application/json", bytes.NewReader(goldentest.Read(t, "report.json")))
 	if err != nil {
@@ -195,11 +195,11 @@
 	if err := response.Body.Close(); err != nil || response.StatusCode != http.StatusNoContent {
 		t.Fatalf("status %d, error %v", response.StatusCode, err)
 	}
-	if got, want := p.latest("n0", time.Now()), (heard{version: "2", list: 41, rev: 9}); got == nil || *got != want {
+	if got, want := forwarder.latest("n0", time.Now()), (reportedState{version: "2", listRev: 41, placementRev: 9}); got == nil || *got != want {
 		t.Errorf("the agent read %+v, want %+v", got, want)
 	}
-	body, _, _ := p.batch(0, time.Now())
-	if err := p.post(t.Context(), address, body); err != nil {
+	body, _, _ := forwarder.batch(0, time.Now())
+	if err := forwarder.post(t.Context(), address, body); err != nil {
 		t.Fatal(err)
 	}
 	goldentest.Compare(t, "report-forwarded.txt", forwarded.Bytes())
@@ -249,12 +249,12 @@
 	if err := os.WriteFile(path, goldentest.Read(t, "list.bin"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	a, err := Start(Options{Listen: "127.0.0.1:0", Replicas: []string{"127.0.0.1:1"}, Saved: path})
+	agent, err := Start(Options{Listen: "127.0.0.1:0", Replicas: []string{"127.0.0.1:1"}, ListFile: path})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Close()
-	base := "http://" + a.Addr()
+	defer agent.Close()
+	base := "http://" + agent.Addr()
 	var transcript bytes.Buffer
 	for _, request := range []struct{ method, path, body string }{
 		{"GET", "/health/ready", ""},
@@ -273,46 +273,46 @@
 	} {
 		exchange(t, &transcript, request.method, base, request.path, request.body)
 	}
-	for n := range mostReporters {
+	for n := range maxReportingSidecars {
 		exchange(t, &transcript, "POST", base, "/registry/report", fmt.Sprintf(`{"name":"more-%d"}`, n))
 	}
 	goldentest.Compare(t, "answers.txt", transcript.Bytes())
 }
 
 // What an agent answers before it knows any list.
-func TestAgentAnswersWithoutAList(t *testing.T) {
-	a, err := Start(Options{Listen: "127.0.0.1:0", Replicas: []string{"127.0.0.1:1"}})
+func TestAgentAnswersWithoutList(t *testing.T) {
+	agent, err := Start(Options{Listen: "127.0.0.1:0", Replicas: []string{"127.0.0.1:1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Close()
+	defer agent.Close()
 	var transcript bytes.Buffer
 	for _, path := range []string{"/health/ready", "/registry/instances", "/registry/instances?watch=1"} {
-		exchange(t, &transcript, "GET", "http://"+a.Addr(), path, "")
+		exchange(t, &transcript, "GET", "http://"+agent.Addr(), path, "")
 	}
 	goldentest.Compare(t, "answers-no-list.txt", transcript.Bytes())
 }
 
 // What an agent answers about the placement: with one, while none is known yet, and where the registry knows none.
 func TestPlacementAnswers(t *testing.T) {
-	known := fixturePlaces(t)
-	pending, unsupported := newPlaces("", fixtureClock), newPlaces("", fixtureClock)
-	unsupported.unknown.Store(true)
-	for _, p := range []*places{pending, unsupported} {
-		p.settle.Do(func() { close(p.settled) })
+	known := fixturePlacementCache(t)
+	pending, unsupported := newPlacementCache("", fixtureClock), newPlacementCache("", fixtureClock)
+	unsupported.unsupported.Store(true)
+	for _, p := range []*placementCache{pending, unsupported} {
+		p.settleOnce.Do(func() { close(p.settled) })
 	}
 	var transcript bytes.Buffer
 	for _, c := range []struct {
 		name  string
-		cache *places
+		cache *placementCache
 		paths []string
 	}{
 		{"known", known, []string{"", "?watch=1", "?watch=1&after=9&epoch=8", "?watch=1&after=x", "?epoch=x"}},
 		{"pending", pending, []string{"", "?watch=1"}},
 		{"unsupported", unsupported, []string{"", "?watch=1"}},
 	} {
-		a := &Agent{places: c.cache, ctx: t.Context()}
-		server := httptest.NewServer(http.HandlerFunc(a.servePlacement))
+		agent := &Agent{placement: c.cache, ctx: t.Context()}
+		server := httptest.NewServer(http.HandlerFunc(agent.servePlacement))
 		defer server.Close()
 		fmt.Fprintf(&transcript, "# %s\n", c.name)
 		for _, query := range c.paths {
@@ -324,12 +324,12 @@
 
 // The names, types and help texts of the agent's metrics.
 func TestMetricNames(t *testing.T) {
-	a, err := Start(Options{Listen: "127.0.0.1:0", Replicas: []string{"127.0.0.1:1"}})
+	agent, err := Start(Options{Listen: "127.0.0.1:0", Replicas: []string{"127.0.0.1:1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Close()
-	response, err := http.Get("http://" + a.Addr() + "/metrics")
+	defer agent.Close()
+	response, err := http.Get("http://" + agent.Addr() + "/metrics")
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/agent/instance_list_test.go
@@ -0,0 +1,76 @@
+package agent
+
+import (
+	"bytes"
+	"fmt"
+	"testing"
+
+	"milldeck/internal/registry"
+)
+
+func newList(rev, epoch uint64, all bool, uids ...string) *registry.List {
+	list := &registry.List{Rev: rev, Epoch: epoch, All: all, Targets: []registry.Target{}}
+	for _, uid := range uids {
+		state := registry.Ready
+		if uid[0] == '-' {
+			uid, state = uid[1:], registry.Gone
+		}
+		list.Targets = append(list.Targets, registry.Target{UID: uid, Endpoint: "10.0.0.1:80", State: state})
+	}
+	return list
+}
+
+func TestInstanceListMerge(t *testing.T) {
+	uids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
+	list := &instanceList{maxLossFraction: 0.5}
+	for _, step := range []struct {
+		name      string
+		l         *registry.List
+		confirmed bool
+		want      mergeResult
+		servers   int
+	}{
+		{"changes before any list", newList(4, 9, false, "a"), false, listDiscontinuous, 0},
+		{"the first list", newList(5, 9, true, uids...), false, listApplied, 8},
+		{"an older list", newList(4, 9, true, "a"), false, listOutdated, 8},
+		{"the same changes again", newList(5, 9, false, "-a"), false, listOutdated, 8},
+		{"one goes", newList(6, 9, false, "-a"), false, listApplied, 7},
+		{"most go", newList(7, 9, true, "b", "c"), false, listUnconfirmed, 7},
+		{"most go, as changes", newList(7, 9, false, "-b", "-c", "-d", "-e"), false, listUnconfirmed, 7},
+		{"most go, and a second replica says so", newList(7, 9, true, "b", "c"), true, listApplied, 2},
+		{"the last two go: too few to be held", newList(8, 9, false, "-b", "-c"), false, listApplied, 0},
+		{"they are back", newList(9, 9, false, uids...), false, listApplied, 8},
+		{"changes of another epoch", newList(20, 10, false, "-a"), false, listDiscontinuous, 8},
+		{"an older backup, restored", newList(3, 10, true, uids...), false, listUnconfirmed, 8},
+		{"and confirmed", newList(3, 10, true, uids[:6]...), true, listApplied, 6},
+	} {
+		previousRev := list.servedRev
+		result, changes := list.merge(step.l, step.confirmed)
+		if result != step.want || len(list.targets) != step.servers {
+			t.Errorf("%s: verdict %d, %d servers, want %d, %d", step.name, result, len(list.targets), step.want, step.servers)
+		}
+		if result == listApplied && list.servedRev <= previousRev || result != listApplied && (list.servedRev != previousRev || len(changes.upserted)+len(changes.removed) > 0) {
+			t.Errorf("%s: served revision %d after %d, update %+v", step.name, list.servedRev, previousRev, changes)
+		}
+	}
+}
+
+func TestCorruptListFileIsRejected(t *testing.T) {
+	list := &instanceList{maxLossFraction: 0.5}
+	list.merge(newList(5, 9, true, "a", "b"), false)
+	data, err := list.encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var decoded instanceList
+	if err := decoded.decode(data); err != nil || fmt.Sprint(decoded.targets) != fmt.Sprint(list.targets) || decoded.servedRev != list.servedRev {
+		t.Errorf("%+v, want %+v: %v", decoded, list, err)
+	}
+	for k := range data {
+		corrupted := bytes.Clone(data)
+		corrupted[k] ^= 1
+		if (&instanceList{}).decode(corrupted) == nil {
+			t.Errorf("byte %d flipped, and used all the same", k)
+		}
+	}
+}
--- a/internal/agent/placement.go
+++ b/internal/agent/placement.go
@@ -15,144 +15,144 @@
 )
 
 const (
-	// aheadMS is how far ahead what is left of an entry is told, as a line may be written so long after it was made.
-	aheadMS = 50
-	// firstWait is how long the first who asks may wait for the registry's first answer.
-	firstWait = time.Second
+	// writeAllowanceMS is how far ahead what is left of an entry is told, as a line may be written so long after it was made.
+	writeAllowanceMS = 50
+	// firstAnswerTimeout is how long the first who asks may wait for the registry's first answer.
+	firstAnswerTimeout = time.Second
 
-	placementMagic = "milldeck-agent-placement 1\n"
+	placementFileMagic = "milldeck-agent-placement 1\n"
 )
 
-// places is the placement as the agent has it and tells it on. It is followed once a sidecar has asked for it: one
+// placementCache is the placement as the agent has it and tells it on. It is followed once a sidecar has asked for it: one
 // that knows no placement costs the registry no second watch.
-type places struct {
-	file  string                        // of the last placement; "": none
+type placementCache struct {
+	path  string                        // of the last placement; "": none
 	clock func() (wallMS, monoMS int64) // the machine's
 
 	mu     sync.Mutex
 	reader *placement.Cache
 	dirty  bool // the saved placement is out of date
 
-	feed    *registry.PlacementFeed
-	spoke   atomic.Int64  // when the registry last spoke, ms of the monotonic clock + 1; 0: never
-	asked   chan struct{} // closed when a sidecar asks
-	asking  sync.Once
-	settled chan struct{} // closed when a placement is known, or that there is none to be known
-	settle  sync.Once
-	unknown atomic.Bool // no replica knows of a placement
+	feed            *registry.PlacementFeed
+	registryHeardMS atomic.Int64  // when the registry last spoke, ms of the monotonic clock + 1; 0: never
+	requested       chan struct{} // closed when a sidecar asks
+	requestOnce     sync.Once
+	settled         chan struct{} // closed when a placement is known, or that there is none to be known
+	settleOnce      sync.Once
+	unsupported     atomic.Bool // no replica knows of a placement
 }
 
-// newPlaces takes up a saved placement where there is one that still counts.
-func newPlaces(file string, clock func() (wallMS, monoMS int64)) *places {
-	p := &places{file: file, clock: clock, reader: placement.NewCache(), asked: make(chan struct{}), settled: make(chan struct{})}
-	p.feed = registry.NewPlacementFeed(func(after, epoch uint64) placement.Update {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		wall, mono := p.clock()
-		return p.reader.ChangesSince(after, epoch, wall+aheadMS, mono+aheadMS)
+// newPlacementCache takes up a saved placement where there is one that still counts.
+func newPlacementCache(path string, clock func() (wallMS, monoMS int64)) *placementCache {
+	c := &placementCache{path: path, clock: clock, reader: placement.NewCache(), requested: make(chan struct{}), settled: make(chan struct{})}
+	c.feed = registry.NewPlacementFeed(func(after, epoch uint64) placement.Update {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		wallMS, monoMS := c.clock()
+		return c.reader.ChangesSince(after, epoch, wallMS+writeAllowanceMS, monoMS+writeAllowanceMS)
 	})
-	if file == "" {
-		return p
+	if path == "" {
+		return c
 	}
-	if err := p.load(); err != nil {
-		slog.Warn("the saved placement is not used", "file", file, "error", err)
+	if err := c.load(); err != nil {
+		slog.Warn("the saved placement is not used", "file", path, "error", err)
 	}
-	if p.reader.Synced() {
-		p.settle.Do(func() { close(p.settled) })
-		slog.Info("serves the saved placement until a replica answers", "rev", p.reader.Revision(), "entries", p.reader.Len())
+	if c.reader.Synced() {
+		c.settleOnce.Do(func() { close(c.settled) })
+		slog.Info("serves the saved placement until a replica answers", "rev", c.reader.Revision(), "entries", c.reader.Len())
 	}
-	return p
+	return c
 }
 
-type savedPlacement struct {
-	SavedMS int64            `json:"saved_ms"` // by the wall clock
-	List    placement.Update `json:"list"`     // with what was left of each entry then
+type placementFile struct {
+	SavedAtMS int64            `json:"saved_ms"` // by the wall clock
+	List      placement.Update `json:"list"`     // with what was left of each entry then
 }
 
 // encode gives the bytes of the saved placement; the caller holds the lock.
-func (p *places) encode() ([]byte, error) {
-	wall, mono := p.clock()
-	body, err := json.Marshal(savedPlacement{wall, p.reader.Snapshot(wall, mono)})
+func (c *placementCache) encode() ([]byte, error) {
+	wallMS, monoMS := c.clock()
+	body, err := json.Marshal(placementFile{wallMS, c.reader.Snapshot(wallMS, monoMS)})
 	if err != nil {
 		return nil, err
 	}
-	return seal(placementMagic, body), nil
+	return encodeChecksummed(placementFileMagic, body), nil
 }
 
-func (p *places) load() error {
-	data, err := read(p.file)
+func (c *placementCache) load() error {
+	data, err := readStateFile(c.path)
 	if data == nil || err != nil {
 		return err
 	}
-	body, err := unseal(placementMagic, data)
+	body, err := decodeChecksummed(placementFileMagic, data)
 	if err != nil {
 		return err
 	}
-	var s savedPlacement
-	if err := json.Unmarshal(body, &s); err != nil {
+	var file placementFile
+	if err := json.Unmarshal(body, &file); err != nil {
 		return err
 	}
-	wall, mono := p.clock()
-	return p.reader.Restore(s.List, s.SavedMS, wall, mono)
+	wallMS, monoMS := c.clock()
+	return c.reader.Restore(file.List, file.SavedAtMS, wallMS, monoMS)
 }
 
-// keep saves the placement if it has changed.
-func (p *places) keep() {
-	if p.file == "" {
+// saveIfDirty saves the placement if it has changed.
+func (c *placementCache) saveIfDirty() {
+	if c.path == "" {
 		return
 	}
-	p.mu.Lock()
-	dirty := p.dirty
-	p.dirty = false
+	c.mu.Lock()
+	dirty := c.dirty
+	c.dirty = false
 	data, err := []byte(nil), error(nil)
 	if dirty {
-		data, err = p.encode()
+		data, err = c.encode()
 	}
-	p.mu.Unlock()
+	c.mu.Unlock()
 	if dirty && err == nil {
-		err = save(p.file, data)
+		err = writeStateFile(c.path, data)
 	}
 	if err != nil {
-		slog.Error("the placement is not saved", "file", p.file, "error", err)
+		slog.Error("the placement is not saved", "file", c.path, "error", err)
 	}
 }
 
-// at is what is known, as a watch continues it.
-func (p *places) at() (rev, epoch uint64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.reader.Revision(), p.reader.Epoch()
+// position is what is known, as a watch continues it.
+func (c *placementCache) position() (rev, epoch uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.reader.Revision(), c.reader.Epoch()
 }
 
-// take takes over what a replica told.
-func (p *places) take(l *placement.Update) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	wall, mono := p.clock()
-	news, err := p.reader.Apply(l, wall, mono)
+// merge takes over what a replica told.
+func (c *placementCache) merge(list *placement.Update) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	wallMS, monoMS := c.clock()
+	changed, err := c.reader.Apply(list, wallMS, monoMS)
 	if err != nil {
 		return fmt.Errorf("placement: %w", err)
 	}
-	if news {
-		p.dirty = true
-		p.feed.Ring()
-		p.settle.Do(func() { close(p.settled) })
+	if changed {
+		c.dirty = true
+		c.feed.Ring()
+		c.settleOnce.Do(func() { close(c.settled) })
 	}
 	return nil
 }
 
-// heard notes that the registry has spoken.
-func (p *places) heard() {
-	_, mono := p.clock()
-	p.spoke.Store(mono + 1)
-	p.unknown.Store(false)
+// markAlive notes that the registry has spoken.
+func (c *placementCache) markAlive() {
+	_, monoMS := c.clock()
+	c.registryHeardMS.Store(monoMS + 1)
+	c.unsupported.Store(false)
 }
 
-// alive tells whether the agent's silence is news.
-func (p *places) alive() bool {
-	_, mono := p.clock()
-	spoke := p.spoke.Load()
-	return spoke != 0 && mono+1-spoke < silentAfter.Milliseconds()
+// registryAlive tells whether the agent's silence is news.
+func (c *placementCache) registryAlive() bool {
+	_, monoMS := c.clock()
+	heardMS := c.registryHeardMS.Load()
+	return heardMS != 0 && monoMS+1-heardMS < registryHeartbeatTimeout.Milliseconds()
 }
 
 // followPlacement follows the placement once it was asked for.
@@ -160,30 +160,30 @@
 	select {
 	case <-a.ctx.Done():
 		return
-	case <-a.places.asked:
-	}
-	f := a.follower()
-	f.unknown = func() {
-		a.places.unknown.Store(true)
-		a.places.settle.Do(func() { close(a.places.settled) })
-	}
-	f.run(rand.IntN(len(a.opts.Replicas)), func(_ int, replica string, spoke func()) error {
-		rev, epoch := a.places.at()
-		return a.client.WatchPlacement(a.ctx, replica, rev, epoch, func(l *placement.Update, age time.Duration) error {
-			if l != nil {
-				stale := age > staleAfter && len(a.opts.Replicas) > 1
-				if stale && rev != 0 && l.Epoch != epoch {
-					return errStale // another history from one who may have missed the end of it
+	case <-a.placement.requested:
+	}
+	follower := a.newReplicaFollower()
+	follower.onUnsupported = func() {
+		a.placement.unsupported.Store(true)
+		a.placement.settleOnce.Do(func() { close(a.placement.settled) })
+	}
+	follower.run(rand.IntN(len(a.opts.Replicas)), func(_ int, replica string, markAlive func()) error {
+		rev, epoch := a.placement.position()
+		return a.client.WatchPlacement(a.ctx, replica, rev, epoch, func(list *placement.Update, age time.Duration) error {
+			if list != nil {
+				stale := age > maxListAge && len(a.opts.Replicas) > 1
+				if stale && rev != 0 && list.Epoch != epoch {
+					return errReplicaStale // another history from one who may have missed the end of it
 				}
-				if err := a.places.take(l); err != nil {
+				if err := a.placement.merge(list); err != nil {
 					return err
 				}
 				if stale {
-					return errStale
+					return errReplicaStale
 				}
 			}
-			spoke()
-			a.places.heard()
+			markAlive()
+			a.placement.markAlive()
 			return nil
 		})
 	})
@@ -191,19 +191,19 @@
 
 // servePlacement tells the placement to the sidecar, as a replica does, with what is left by this machine's clocks.
 func (a *Agent) servePlacement(w http.ResponseWriter, r *http.Request) {
-	p := a.places
-	p.asking.Do(func() { close(p.asked) })
+	cache := a.placement
+	cache.requestOnce.Do(func() { close(cache.requested) })
 	select {
-	case <-p.settled:
-	case <-time.After(firstWait):
+	case <-cache.settled:
+	case <-time.After(firstAnswerTimeout):
 	case <-r.Context().Done():
 		return
 	}
-	p.mu.Lock()
-	known := p.reader.Synced()
-	p.mu.Unlock()
+	cache.mu.Lock()
+	known := cache.reader.Synced()
+	cache.mu.Unlock()
 	switch {
-	case !known && p.unknown.Load():
+	case !known && cache.unsupported.Load():
 		http.Error(w, "the registry knows no placement", http.StatusNotFound)
 		return
 	case !known:
@@ -211,19 +211,19 @@
 		http.Error(w, "no placement yet", http.StatusServiceUnavailable)
 		return
 	}
-	after, err := number(r, "after")
+	after, err := queryUint(r, "after")
 	epoch := uint64(0)
 	if err == nil {
-		epoch, err = number(r, "epoch")
+		epoch, err = queryUint(r, "epoch")
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	if r.URL.Query().Get("watch") == "" {
-		err = p.feed.WriteWhole(w)
+		err = cache.feed.WriteWhole(w)
 	} else {
-		err = p.feed.Watch(a.ctx, w, r, after, epoch, p.alive)
+		err = cache.feed.Watch(a.ctx, w, r, after, epoch, cache.registryAlive)
 	}
 	if err != nil {
 		slog.Debug("placement not written", "error", err)
--- /dev/null
+++ b/internal/agent/sidecar_registration_test.go
@@ -0,0 +1,117 @@
+package agent
+
+import (
+	"bytes"
+	"encoding/json"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"milldeck/internal/disruption"
+	"milldeck/internal/placement"
+	"milldeck/internal/registry"
+)
+
+// What is told of a sidecar, and when: at once what changes, else before the lease ends.
+func TestSidecarRegistration(t *testing.T) {
+	registration := sidecarRegistration{opts: SidecarOptions{Name: "n0", Zone: "a", Tenant: "branch", Version: "1", LeaseTTL: 9 * time.Second}}
+	now := time.Unix(1000, 0)
+	step := func(name string, after time.Duration, ready bool, report *reportedState, due bool, want registry.Sidecar) {
+		t.Helper()
+		now = now.Add(after)
+		registration.observe(now.UnixMilli(), ready, report)
+		want.Name, want.Zone, want.Tenant = "n0", "a", "branch"
+		if registration.observed != want {
+			t.Errorf("%s: %+v, want %+v", name, registration.observed, want)
+		}
+		if got := registration.registrationDue(now); got != due {
+			t.Errorf("%s: due is %v", name, got)
+		}
+		if due {
+			registration.markRegistered(registration.observed, now)
+		}
+	}
+	boot := func(seconds int64) float64 { return float64(seconds * 1000) }
+	step("not up yet", 0, false, nil, true, registry.Sidecar{Version: "1"})
+	step("still not", time.Second, false, nil, false, registry.Sidecar{Version: "1"})
+	step("up", time.Second, true, nil, true, registry.Sidecar{Version: "1", Ready: true, BootMS: boot(1002)})
+	step("it reports", time.Second, true, &reportedState{version: "2", listRev: 7, placementRev: 8}, true, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRev: 7, PlacementRev: 8})
+	step("revisions alone can wait", time.Second, true, &reportedState{"2", 9, 8}, false, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRev: 9, PlacementRev: 8})
+	step("no report any more", time.Second, true, nil, false, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRev: 9, PlacementRev: 8})
+	step("renewed", time.Second, true, nil, true, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRev: 9, PlacementRev: 8})
+	step("away", time.Second, false, nil, true, registry.Sidecar{Version: "2", BootMS: boot(1002), ListRev: 9, PlacementRev: 8})
+	step("another life", time.Second, true, nil, true, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1008), ListRev: 9, PlacementRev: 8})
+}
+
+// A sidecar is a unit of the ledger while its agent finds it ready; away it counts as out, and back it is up again in
+// another life. The agent's own end takes nothing out.
+func TestAgentRegistersItsSidecar(t *testing.T) {
+	block := takeBlock(t)
+	replica := startReplica(t, block, 0)
+	client, err := registry.NewClient([]string{replica.Addr()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer client.Close()
+	address := block.Addr(203, 0, 8600)
+	serve := func() *http.Server {
+		listener, err := net.Listen("tcp", address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})}
+		go func() { _ = server.Serve(listener) }() // ends with Close
+		t.Cleanup(func() { server.Close() })
+		return server
+	}
+	server := serve()
+	agent, err := Start(Options{Listen: block.Addr(203, 0, 8601), Replicas: []string{replica.Addr()}, Sidecar: &SidecarOptions{Name: "n0", Address: address, Zone: "a", Version: "1"}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer agent.Close()
+	unit := func() disruption.Unit {
+		view, err := client.LedgerView(t.Context(), true, true)
+		if err != nil {
+			return disruption.Unit{}
+		}
+		for _, u := range view.Units {
+			if u.ID == disruption.UnitID(disruption.KindSidecar, "n0") {
+				return u
+			}
+		}
+		return disruption.Unit{}
+	}
+	conditionIs := func(condition disruption.Condition) func() bool {
+		return func() bool { return unit().Condition == condition }
+	}
+	waitFor(t, "the sidecar to be up", conditionIs(disruption.ConditionUp))
+	first := unit()
+	if first.Zone != "a" || first.Version != "1" {
+		t.Errorf("%+v", first)
+	}
+	report, err := json.Marshal(placement.LoadReport{Sidecar: "n0", Version: "2", PlacementRevision: 1, EndpointRevision: 1, IntervalMS: 1000})
+	if err != nil {
+		t.Fatal(err)
+	}
+	response, err := http.Post("http://"+agent.Addr()+"/registry/report", "application/json", bytes.NewReader(report))
+	if err != nil || response.StatusCode != http.StatusNoContent {
+		t.Fatalf("%v, %+v", err, response)
+	}
+	response.Body.Close()
+	waitFor(t, "the reported version", func() bool { return unit().Version == "2" })
+	server.Close()
+	waitFor(t, "the sidecar to be out", conditionIs(disruption.ConditionUnready))
+	serve()
+	waitFor(t, "the sidecar to be back", conditionIs(disruption.ConditionUp))
+	if restarted := unit(); restarted.BootMS <= first.BootMS {
+		t.Errorf("%+v is no later life than %+v", restarted, first)
+	}
+	if err := agent.Close(); err != nil {
+		t.Error(err)
+	}
+	if u := unit(); u.Condition != disruption.ConditionUp {
+		t.Errorf("after the agent's end: %+v", u)
+	}
+}
--- a/internal/collect/bench_test.go
+++ b/internal/collect/bench_test.go
@@ -19,89 +19,91 @@
 	"milldeck/internal/placement"
 )
 
-// child has this program be a collector that others measure, until its standard input ends.
-const child = "MILLDECK_COLLECT_CHILD"
+// collectorProcessEnv has this program be a collector that others measure, until its standard input ends.
+const collectorProcessEnv = "MILLDECK_COLLECT_CHILD"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(child) == "" {
+	if os.Getenv(collectorProcessEnv) == "" {
 		os.Exit(m.Run())
 	}
 	c := New(Options{})
-	c.SetOpen(true)
+	c.SetAccepting(true)
 	mux := http.NewServeMux()
 	mux.Handle("/reports", c)
-	mux.HandleFunc("/cpu", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, int64(cpu()), c.Counts().Taken) })
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	mux.HandleFunc("/cpu", func(w http.ResponseWriter, _ *http.Request) {
+		fmt.Fprintln(w, int64(processCPUTime()), c.Counts().Accepted)
+	})
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	go http.Serve(ln, mux)
-	fmt.Println(ln.Addr())
+	go http.Serve(listener, mux)
+	fmt.Println(listener.Addr())
 	io.Copy(io.Discard, os.Stdin)
 }
 
-// cpu is the time that this process has spent on all cores.
-func cpu() time.Duration {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
+// processCPUTime is the time that this process has spent on all cores.
+func processCPUTime() time.Duration {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-const fleet = 2000
+const fleetSize = 2000
 
-// batches are what a fleet reports in a second, in batches of so many.
-func batches(b *testing.B, per int, counts bool) (out [][]byte) {
-	rnd := rand.New(rand.NewPCG(1, 2))
-	var all []placement.LoadReport
-	for k := range fleet {
-		all = append(all, usual(fmt.Sprint("sidecar-", k), rnd))
+// fleetBatches are what a fleet reports in a second, in batches of so many.
+func fleetBatches(b *testing.B, batchSize int, counts bool) (bodies [][]byte) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	var reports []placement.LoadReport
+	for k := range fleetSize {
+		reports = append(reports, typicalReport(fmt.Sprint("sidecar-", k), rng))
 		if !counts {
-			all[k].ClassCounts = nil
+			reports[k].ClassCounts = nil
 		}
 	}
-	for k := 0; k < fleet; k += per {
-		out = append(out, body(b, all[k:k+per]...))
+	for k := 0; k < fleetSize; k += batchSize {
+		bodies = append(bodies, encodeBatch(b, reports[k:k+batchSize]...))
 	}
-	return out
+	return bodies
 }
 
-// BenchmarkASecondOfAFleet is what 2,000 sidecars report in a second: core-seconds at the collector, by its handler
+// BenchmarkFleetSecond is what 2,000 sidecars report in a second: core-seconds at the collector, by its handler
 // alone, and in a process of its own with 2,000 connections.
-func BenchmarkASecondOfAFleet(b *testing.B) {
+func BenchmarkFleetSecond(b *testing.B) {
 	for _, counts := range []bool{false, true} {
-		for _, per := range []int{1, 50} {
-			name := fmt.Sprintf("counts=%v/batch=%d", counts, per)
+		for _, batchSize := range []int{1, 50} {
+			name := fmt.Sprintf("counts=%v/batch=%d", counts, batchSize)
 			b.Run("handler/"+name, func(b *testing.B) {
-				all := batches(b, per, counts)
+				bodies := fleetBatches(b, batchSize, counts)
 				c := New(Options{})
-				c.SetOpen(true)
-				before := cpu()
+				c.SetAccepting(true)
+				before := processCPUTime()
 				for b.Loop() {
-					for _, data := range all {
-						if code := post(b, c, data); code != http.StatusNoContent {
+					for _, data := range bodies {
+						if code := postBatch(b, c, data); code != http.StatusNoContent {
 							b.Fatal(code)
 						}
 					}
 				}
-				b.ReportMetric((cpu()-before).Seconds()/float64(b.N), "core-s/fleet-s")
+				b.ReportMetric((processCPUTime()-before).Seconds()/float64(b.N), "core-s/fleet-s")
 			})
-			b.Run("process/"+name, func(b *testing.B) { overSockets(b, batches(b, per, counts)) })
+			b.Run("process/"+name, func(b *testing.B) { benchmarkOverSockets(b, fleetBatches(b, batchSize, counts)) })
 		}
 	}
 }
 
-func overSockets(b *testing.B, all [][]byte) {
+func benchmarkOverSockets(b *testing.B, requests [][]byte) {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), child+"=1")
+	cmd.Env = append(os.Environ(), collectorProcessEnv+"=1")
 	cmd.Stderr = os.Stderr
-	in, err := cmd.StdinPipe()
+	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		b.Fatal(err)
 	}
-	out, err := cmd.StdoutPipe()
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -109,46 +111,46 @@
 		b.Fatal(err)
 	}
 	defer cmd.Wait()
-	defer in.Close()
-	addr, err := bufio.NewReader(out).ReadString('\n')
+	defer stdin.Close()
+	addr, err := bufio.NewReader(stdout).ReadString('\n')
 	if err != nil {
 		b.Fatal(err)
 	}
 	addr = strings.TrimSpace(addr)
-	spent := func() (ns, taken int64) {
-		resp, err := http.Get("http://" + addr + "/cpu")
+	readUsage := func() (ns, accepted int64) {
+		response, err := http.Get("http://" + addr + "/cpu")
 		if err != nil {
 			b.Fatal(err)
 		}
-		defer resp.Body.Close()
-		if _, err := fmt.Fscan(resp.Body, &ns, &taken); err != nil {
+		defer response.Body.Close()
+		if _, err := fmt.Fscan(response.Body, &ns, &accepted); err != nil {
 			b.Fatal(err)
 		}
-		return ns, taken
+		return ns, accepted
 	}
-	conns := make([]net.Conn, len(all))
-	for k, data := range all {
+	conns := make([]net.Conn, len(requests))
+	for k, data := range requests {
 		if conns[k], err = net.Dial("tcp", addr); err != nil {
 			b.Fatal(err)
 		}
 		defer conns[k].Close()
-		all[k] = append(fmt.Appendf(nil, "POST /reports HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n", addr, len(data)), data...)
+		requests[k] = append(fmt.Appendf(nil, "POST /reports HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n", addr, len(data)), data...)
 	}
-	before, _ := spent()
+	before, _ := readUsage()
 	for b.Loop() {
 		var workers sync.WaitGroup
-		const at = 16 // connections at a time
-		for w := range at {
+		const concurrency = 16 // connections at a time
+		for worker := range concurrency {
 			workers.Go(func() {
-				answer := make([]byte, 4096)
-				for k := w; k < len(conns); k += at {
-					if _, err := conns[k].Write(all[k]); err != nil {
+				response := make([]byte, 4096)
+				for k := worker; k < len(conns); k += concurrency {
+					if _, err := conns[k].Write(requests[k]); err != nil {
 						b.Error(err)
 						return
 					}
-					n, err := conns[k].Read(answer)
-					if err != nil || !bytes.HasPrefix(answer[:n], []byte("HTTP/1.1 204")) {
-						b.Errorf("%v: %s", err, answer[:n])
+					n, err := conns[k].Read(response)
+					if err != nil || !bytes.HasPrefix(response[:n], []byte("HTTP/1.1 204")) {
+						b.Errorf("%v: %s", err, response[:n])
 						return
 					}
 				}
@@ -156,9 +158,9 @@
 		}
 		workers.Wait()
 	}
-	after, taken := spent()
-	if taken != int64(b.N)*fleet {
-		b.Errorf("%d taken in %d rounds", taken, b.N)
+	after, accepted := readUsage()
+	if accepted != int64(b.N)*fleetSize {
+		b.Errorf("%d taken in %d rounds", accepted, b.N)
 	}
 	b.ReportMetric(time.Duration(after-before).Seconds()/float64(b.N), "core-s/fleet-s")
 }
--- a/internal/collect/fixtures_test.go
+++ b/internal/collect/fixtures_test.go
@@ -17,7 +17,7 @@
 // A batch of reports as an agent posts it: one with every field, one of an idle sidecar.
 func fixtureBatch(t *testing.T) []byte {
 	t.Helper()
-	return body(t, placement.LoadReport{
+	return encodeBatch(t, placement.LoadReport{
 		Sidecar: "n0", Zone: "zone-a", Version: "2", PlacementRevision: 9, PlacementEpoch: 8, EndpointRevision: 41, IntervalMS: 1000.25,
 		ExcludedInFlight: map[string]int{"window/w/gold": 3, "window/w/silver": 0}, SuspendedDirectives: []string{"spread/0123456789abcdef"}, TotalKeyLoad: 1.25e21,
 		HotKeys: []placement.KeyLoad{{KeyHash: "0123456789abcdef", Load: 10.5, ErrorBound: 0.5}, {KeyHash: "ffffffffffffffff", Load: 1e-7}},
@@ -30,21 +30,21 @@
 func TestBatchFormat(t *testing.T) {
 	goldentest.Compare(t, "batch.json", fixtureBatch(t))
 	golden := goldentest.Read(t, "batch.json")
-	reports, plain := decodePlain(golden)
+	reports, plain := decodeFast(golden)
 	if !plain {
 		t.Fatal("the batch is not read directly")
 	}
-	goldentest.Compare(t, "batch.json", body(t, reports...))
-	reports, err := decode(append([]byte(" \n"), bytes.Replace(golden, []byte(`"n1"`), []byte(`"\u006e1"`), 1)...))
+	goldentest.Compare(t, "batch.json", encodeBatch(t, reports...))
+	reports, err := decodeBatch(append([]byte(" \n"), bytes.Replace(golden, []byte(`"n1"`), []byte(`"\u006e1"`), 1)...))
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Compare(t, "batch.json", body(t, reports...))
+	goldentest.Compare(t, "batch.json", encodeBatch(t, reports...))
 }
 
 // What a collector answers, and what it counts.
 func TestAnswers(t *testing.T) {
-	c := New(Options{Most: 2, Now: func() time.Duration { return time.Hour }})
+	collector := New(Options{MaxSidecars: 2, Now: func() time.Duration { return time.Hour }})
 	var transcript bytes.Buffer
 	exchange := func(method, data string) {
 		t.Helper()
@@ -52,26 +52,26 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := deadliner{httptest.NewRecorder()}
-		c.ServeHTTP(w, request)
-		fmt.Fprintf(&transcript, "%s /reports %.100s\n< %d\n", method, data, w.Code)
+		recorder := deadlineRecorder{httptest.NewRecorder()}
+		collector.ServeHTTP(recorder, request)
+		fmt.Fprintf(&transcript, "%s /reports %.100s\n< %d\n", method, data, recorder.Code)
 		for _, name := range []string{"Allow", "Content-Type", "Retry-After"} {
-			if value := w.Header().Get(name); value != "" {
+			if value := recorder.Header().Get(name); value != "" {
 				fmt.Fprintf(&transcript, "< %s: %s\n", name, value)
 			}
 		}
-		fmt.Fprintf(&transcript, "%s\n", w.Body)
+		fmt.Fprintf(&transcript, "%s\n", recorder.Body)
 	}
 	exchange("GET", "")
 	exchange("POST", `{"reports":[{"name":"n0"}]}`)
-	c.SetOpen(true)
+	collector.SetAccepting(true)
 	exchange("POST", `{"reports":[]}`)
 	exchange("POST", `{"reports":[{"name":"n0"}]}`)
 	exchange("POST", `{"reports":[{"name":"n1","span_ms":-1},{"name":"n1"},{"name":""}]}`)
 	exchange("POST", `{"reports":[{"name":"n2"},{"name":"n0","rev":2}]}`)
 	exchange("POST", `no JSON`)
-	exchange("POST", strings.Repeat(" ", MaxBody+1))
-	counts, err := json.Marshal(c.Counts())
+	exchange("POST", strings.Repeat(" ", MaxBodyBytes+1))
+	counts, err := json.Marshal(collector.Counts())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/conf/conf.go
+++ b/internal/conf/config.go
@@ -14,8 +14,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxFile bounds what is read, in bytes: a file that people write by hand is far smaller.
-const maxFile = 4 << 20
+// maxFileBytes bounds what is read, in bytes: a file that people write by hand is far smaller.
+const maxFileBytes = 4 << 20
 
 // Error is a fault in a file, at a line (from 1; 0 where none is known) and a key (dotted, may be empty).
 type Error struct {
@@ -26,15 +26,15 @@
 }
 
 func (e *Error) Error() string {
-	var b strings.Builder
-	b.WriteString(e.File)
+	var text strings.Builder
+	text.WriteString(e.File)
 	if e.Line > 0 {
-		b.WriteString(":" + strconv.Itoa(e.Line))
+		text.WriteString(":" + strconv.Itoa(e.Line))
 	}
 	if e.Key != "" {
-		b.WriteString(": " + e.Key)
+		text.WriteString(": " + e.Key)
 	}
-	return b.String() + ": " + e.Err.Error()
+	return text.String() + ": " + e.Err.Error()
 }
 
 func (e *Error) Unwrap() error { return e.Err }
@@ -56,25 +56,25 @@
 
 // Parse is Load for bytes at hand; path only names them in errors.
 func Parse(path string, data []byte, v any) (*File, error) {
-	if len(data) > maxFile {
-		return nil, &Error{File: path, Err: fmt.Errorf("%d bytes, at most %d are read", len(data), maxFile)}
+	if len(data) > maxFileBytes {
+		return nil, &Error{File: path, Err: fmt.Errorf("%d bytes, at most %d are read", len(data), maxFileBytes)}
 	}
 	f := &File{Path: path, lines: keyLines(data)}
 	err := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().EnableUnmarshalerInterface().Decode(v)
-	var unknown *toml.StrictMissingError
-	var bad *toml.DecodeError
+	var unknownKeys *toml.StrictMissingError
+	var decodeErr *toml.DecodeError
 	switch {
 	case err == nil:
 		return f, nil
-	case errors.As(err, &unknown) && len(unknown.Errors) > 0:
-		first := &unknown.Errors[0]
+	case errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0:
+		first := &unknownKeys.Errors[0]
 		line, _ := first.Position()
 		return nil, &Error{path, line, strings.Join(first.Key(), "."), errors.New("unknown key")}
-	case errors.As(err, &bad):
-		line, _ := bad.Position()
+	case errors.As(err, &decodeErr):
+		line, _ := decodeErr.Position()
 		// The library says "toml: ..." and, for types, the Go field; the first is noise beside file and line.
-		msg := strings.TrimPrefix(bad.Error(), "toml: ")
-		return nil, &Error{path, line, strings.Join(bad.Key(), "."), errors.New(msg)}
+		message := strings.TrimPrefix(decodeErr.Error(), "toml: ")
+		return nil, &Error{path, line, strings.Join(decodeErr.Key(), "."), errors.New(message)}
 	default:
 		return nil, &Error{File: path, Err: err}
 	}
@@ -83,12 +83,12 @@
 // Errorf makes an error at a key as written in the file, as "rate", "class[1].aim_ms" or "fault[0]". Where the
 // key is absent, the line is that of the table that lacks it.
 func (f *File) Errorf(key, format string, args ...any) error {
-	at := key
-	for at != "" && f.lines[at] == 0 {
-		cut := strings.LastIndexAny(at, ".[")
-		at = at[:max(cut, 0)]
+	known := key
+	for known != "" && f.lines[known] == 0 {
+		parent := strings.LastIndexAny(known, ".[")
+		known = known[:max(parent, 0)]
 	}
-	return &Error{f.Path, f.lines[at], key, fmt.Errorf(format, args...)}
+	return &Error{f.Path, f.lines[known], key, fmt.Errorf(format, args...)}
 }
 
 // keyLines maps each key and table of a document to its line. Array tables carry their index. What cannot be
@@ -96,22 +96,22 @@
 func keyLines(data []byte) map[string]int {
 	lines := map[string]int{}
 	counts := map[string]int{}
-	var p unstable.Parser
-	p.Reset(data)
+	var parser unstable.Parser
+	parser.Reset(data)
 	table := ""
-	for p.NextExpression() {
-		e := p.Expression()
+	for parser.NextExpression() {
+		expression := parser.Expression()
 		var parts []string
 		line := 0
-		for it := e.Key(); it.Next(); {
-			n := it.Node()
+		for key := expression.Key(); key.Next(); {
+			node := key.Node()
 			if line == 0 {
-				line = p.Shape(p.Range(n.Data)).Start.Line
+				line = parser.Shape(parser.Range(node.Data)).Start.Line
 			}
-			parts = append(parts, string(n.Data))
+			parts = append(parts, string(node.Data))
 		}
 		name := strings.Join(parts, ".")
-		switch e.Kind {
+		switch expression.Kind {
 		case unstable.Table:
 			table = name
 		case unstable.ArrayTable:
--- a/internal/conf/conf_test.go
+++ b/internal/conf/config_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestLaterChecksNameTheLine(t *testing.T) {
+func TestErrorfNamesTheLine(t *testing.T) {
 	text := "name = \"x\"\n\n[inner]\ndepth = 3\n\n[[part]]\nkind = \"a\"\n\n[[part]]\nkind = \"b\"\n"
 	f, err := Parse("f.toml", []byte(text), &sample{})
 	if err != nil {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestAMissingFileIsNamed(t *testing.T) {
+func TestMissingFileIsNamed(t *testing.T) {
 	if _, err := Load("no/such.toml", &sample{}); err == nil || !strings.Contains(err.Error(), "no/such.toml") {
 		t.Errorf("%v does not name the file", err)
 	}
--- a/internal/duty/bench/judge.go
+++ b/internal/duty/bench/judge.go
@@ -12,148 +12,148 @@
 	"time"
 )
 
-// event is a line that a holder prints. Times are ns of the machine's monotonic clock.
-type event struct {
-	What  string `json:"what"`
-	Duty  string `json:"duty"`
-	Who   string `json:"who"`
-	Token uint64 `json:"token"`
-	At    int64  `json:"at_ns"`
-	Until int64  `json:"until_ns"`
-	Count int    `json:"count"`
+// holderEvent is a line that a holder prints. Times are ns of the machine's monotonic clock.
+type holderEvent struct {
+	Type         string `json:"what"`
+	Lease        string `json:"duty"`
+	Candidate    string `json:"who"`
+	Token        uint64 `json:"token"`
+	AtNS         int64  `json:"at_ns"`
+	ValidUntilNS int64  `json:"until_ns"`
+	Count        int    `json:"count"`
 }
 
 // tenure is the time in which a process believed that it held a duty.
 type tenure struct {
-	who      string
-	token    uint64
-	from, to int64
-	released int64 // when the holder heard that its release was done; 0: it did not
-	saves    []int
+	candidate        string
+	token            uint64
+	beganNS, endedNS int64
+	releasedNS       int64 // when the holder heard that its release was done; 0: it did not
+	counts           []int
 }
 
 // judge reads what all processes printed.
-func (p *play) judge() error {
-	logs, err := filepath.Glob(filepath.Join(p.opts.Dir, "duty-*.log"))
+func (b *benchRun) judge() error {
+	logs, err := filepath.Glob(filepath.Join(b.opts.Dir, "duty-*.log"))
 	if err != nil {
 		return err
 	}
-	byDuty := map[string][]*tenure{}
+	byLease := map[string][]*tenure{}
 	for _, path := range logs {
 		data, err := os.ReadFile(path)
 		if err != nil {
 			return err
 		}
-		for _, t := range p.tenures(data, byDuty) {
-			if at, killed := p.ended[t.who]; killed {
-				t.to = min(t.to, at)
+		for _, t := range b.readTenures(data, byLease) {
+			if killedNS, killed := b.killedAt[t.candidate]; killed {
+				t.endedNS = min(t.endedNS, killedNS)
 			}
 		}
 	}
-	for name, list := range byDuty {
-		p.judgeDuty(name, list)
+	for name, tenures := range byLease {
+		b.judgeLease(name, tenures)
 	}
-	slices.Sort(p.r.Broken)
-	p.r.Broken = p.r.Broken[:min(len(p.r.Broken), mostBroken)]
-	p.r.ReleaseP50, p.r.ReleaseP99 = quantiles(p.r.ReleaseGap)
-	p.r.KillP50, p.r.KillP99 = quantiles(p.r.KillGap)
+	slices.Sort(b.result.Violations)
+	b.result.Violations = b.result.Violations[:min(len(b.result.Violations), maxViolations)]
+	b.result.ReleaseGapP50MS, b.result.ReleaseGapP99MS = quantiles(b.result.releaseGaps)
+	b.result.KillGapP50MS, b.result.KillGapP99MS = quantiles(b.result.killGaps)
 	return nil
 }
 
-// tenures reads those of one process, and adds them to their duties.
-func (p *play) tenures(log []byte, byDuty map[string][]*tenure) map[uint64]*tenure {
-	of := map[uint64]*tenure{}
-	for in := bufio.NewScanner(bytes.NewReader(log)); in.Scan(); {
-		var e event
-		if json.Unmarshal(in.Bytes(), &e) != nil || e.Duty == "" {
+// readTenures reads those of one process, and adds them to their duties.
+func (b *benchRun) readTenures(log []byte, byLease map[string][]*tenure) map[uint64]*tenure {
+	byToken := map[uint64]*tenure{}
+	for lines := bufio.NewScanner(bytes.NewReader(log)); lines.Scan(); {
+		var event holderEvent
+		if json.Unmarshal(lines.Bytes(), &event) != nil || event.Lease == "" {
 			continue // of the log, or cut off by a kill
 		}
-		t := of[e.Token]
+		t := byToken[event.Token]
 		switch {
-		case e.What == "acquired":
-			t = &tenure{who: e.Who, token: e.Token, from: e.At, to: e.Until}
-			of[e.Token] = t
-			byDuty[e.Duty] = append(byDuty[e.Duty], t)
-		case e.What == "waiting":
-		case t == nil && e.What == "released":
-			p.r.NotTaken++ // it was given the duty, did not hear in time that its lease ran, and never worked
+		case event.Type == "acquired":
+			t = &tenure{candidate: event.Candidate, token: event.Token, beganNS: event.AtNS, endedNS: event.ValidUntilNS}
+			byToken[event.Token] = t
+			byLease[event.Lease] = append(byLease[event.Lease], t)
+		case event.Type == "waiting":
+		case t == nil && event.Type == "released":
+			b.result.ExpiredUnclaimed++ // it was given the duty, did not hear in time that its lease ran, and never worked
 		case t == nil:
-			p.broken("%s: %s was %s under token %d, which it never acquired", e.Duty, e.Who, e.What, e.Token)
-		case e.What == "renewed":
-			t.to = max(t.to, e.Until)
-		case e.What == "lost" || e.What == "stopped":
-			t.to = min(t.to, e.At)
-		case e.What == "released":
-			t.released = e.At
-		case e.What == "saved":
-			p.r.Saves++
-			t.saves = append(t.saves, e.Count)
-		case e.What == "refused":
-			p.r.Refused++
+			b.addViolation("%s: %s was %s under token %d, which it never acquired", event.Lease, event.Candidate, event.Type, event.Token)
+		case event.Type == "renewed":
+			t.endedNS = max(t.endedNS, event.ValidUntilNS)
+		case event.Type == "lost" || event.Type == "stopped":
+			t.endedNS = min(t.endedNS, event.AtNS)
+		case event.Type == "released":
+			t.releasedNS = event.AtNS
+		case event.Type == "saved":
+			b.result.GuardedWrites++
+			t.counts = append(t.counts, event.Count)
+		case event.Type == "refused":
+			b.result.RejectedWrites++
 		}
 	}
-	return of
+	return byToken
 }
 
-func (p *play) judgeDuty(name string, list []*tenure) {
-	slices.SortFunc(list, func(a, b *tenure) int { return cmp.Compare(a.token, b.token) })
-	p.r.Tenures += len(list)
+func (b *benchRun) judgeLease(name string, tenures []*tenure) {
+	slices.SortFunc(tenures, func(a, b *tenure) int { return cmp.Compare(a.token, b.token) })
+	b.result.Tenures += len(tenures)
 	last := 0
-	for i, t := range list {
+	for i, t := range tenures {
 		if i > 0 {
-			p.judgePair(name, list[i-1], t)
+			b.judgeTransition(name, tenures[i-1], t)
 		}
-		for _, count := range t.saves {
+		for _, count := range t.counts {
 			// Each count is one above the newest checkpoint, so none comes twice, in the order of tokens.
 			if count <= last {
-				p.r.Twice++
-				p.broken("%s: count %d under token %d after %d", name, count, t.token, last)
+				b.result.DuplicateWrites++
+				b.addViolation("%s: count %d under token %d after %d", name, count, t.token, last)
 			}
 			last = max(last, count)
 		}
 	}
 }
 
-// judgePair looks at the change from one tenure to the next.
-func (p *play) judgePair(name string, before, t *tenure) {
-	if t.from < before.to {
-		p.r.Overlaps++
-		p.broken("%s: %s under token %d believes from %d ns on, %s under %d for %v longer",
-			name, t.who, t.token, t.from, before.who, before.token, time.Duration(before.to-t.from))
-	} else if t.from < before.released {
-		p.r.ToldLate++
+// judgeTransition looks at the change from one tenure to the next.
+func (b *benchRun) judgeTransition(name string, previous, next *tenure) {
+	if next.beganNS < previous.endedNS {
+		b.result.Overlaps++
+		b.addViolation("%s: %s under token %d believes from %d ns on, %s under %d for %v longer",
+			name, next.candidate, next.token, next.beganNS, previous.candidate, previous.token, time.Duration(previous.endedNS-next.beganNS))
+	} else if next.beganNS < previous.releasedNS {
+		b.result.LateReleaseNotices++
 	}
-	asked, told := p.asked[before.who]
-	if !told || asked < before.from || asked >= t.from {
+	requestedNS, requested := b.stopRequestedAt[previous.candidate]
+	if !requested || requestedNS < previous.beganNS || requestedNS >= next.beganNS {
 		return
 	}
-	if g := (gap{float64(t.from-asked) / 1e6, p.leaderless(asked, t.from)}); before.released != 0 {
-		g.ms = float64(t.from-before.to) / 1e6
-		p.r.ReleaseGap = append(p.r.ReleaseGap, g)
+	if gap := (holderGap{float64(next.beganNS-requestedNS) / 1e6, b.leaderless(requestedNS, next.beganNS)}); previous.releasedNS != 0 {
+		gap.ms = float64(next.beganNS-previous.endedNS) / 1e6
+		b.result.releaseGaps = append(b.result.releaseGaps, gap)
 	} else {
-		p.r.KillGap = append(p.r.KillGap, g)
+		b.result.killGaps = append(b.result.killGaps, gap)
 	}
 }
 
-// mostBroken are told of all that was wrong; one would do.
-const mostBroken = 20
+// maxViolations are told of all that was wrong; one would do.
+const maxViolations = 20
 
-func (p *play) broken(format string, args ...any) {
-	p.r.Broken = append(p.r.Broken, fmt.Sprintf(format, args...))
+func (b *benchRun) addViolation(format string, args ...any) {
+	b.result.Violations = append(b.result.Violations, fmt.Sprintf(format, args...))
 }
 
 // leaderless tells whether the registry had to elect a leader within a time.
-func (p *play) leaderless(from, to int64) bool {
+func (b *benchRun) leaderless(from, to int64) bool {
 	const election = int64(2 * time.Second)
-	return slices.ContainsFunc(p.down, func(at int64) bool { return at > from-election && at < to })
+	return slices.ContainsFunc(b.leaderKills, func(at int64) bool { return at > from-election && at < to })
 }
 
 // quantiles of the gaps in which the registry had a leader: what an election adds is the registry's figure.
-func quantiles(list []gap) (p50, p99 float64) {
+func quantiles(gaps []holderGap) (p50, p99 float64) {
 	var ms []float64
-	for _, g := range list {
-		if !g.leaderless {
-			ms = append(ms, g.ms)
+	for _, gap := range gaps {
+		if !gap.leaderless {
+			ms = append(ms, gap.ms)
 		}
 	}
 	if len(ms) == 0 {
--- a/internal/duty/clock/clock_test.go
+++ b/internal/duty/clock/clock_test.go
@@ -6,18 +6,18 @@
 )
 
 // A reading of any clock leads back to the machine's, and a jump of the wall clock leaves the monotonic part alone.
-func TestClockLeadsBack(t *testing.T) {
+func TestReadingsMapToMonotonicClock(t *testing.T) {
 	for _, text := range []string{"", "rate=0.5", "rate=2", "jump=1h/1ms", "rate=0.9,jump=1h/1ms"} {
 		c, err := Parse(text)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range 100 {
-			before := MachineNS()
+			before := MonotonicNS()
 			now := c.Now()
-			after := MachineNS()
+			after := MonotonicNS()
 			// A clock's two readings at its start are at most a few µs apart, unless the test was interrupted.
-			if ns := c.NS(now); ns < before-int64(time.Millisecond) || ns > after+int64(time.Millisecond) {
+			if ns := c.MonotonicNSOf(now); ns < before-int64(time.Millisecond) || ns > after+int64(time.Millisecond) {
 				t.Fatalf("%q: %d is not between %d and %d", text, ns, before, after)
 			}
 		}
@@ -30,7 +30,7 @@
 			t.Errorf("%q was read", text)
 		}
 	}
-	if True().NS(time.Time{}) != 0 {
+	if Accurate().MonotonicNSOf(time.Time{}) != 0 {
 		t.Error("no time has a reading")
 	}
 }
--- a/internal/duty/fixtures_test.go
+++ b/internal/duty/fixtures_test.go
@@ -24,18 +24,18 @@
 // fixtureState is a registry with instances and the lease under which it is backed up.
 func fixtureState(t *testing.T) *registry.State {
 	t.Helper()
-	s := registry.NewState()
+	state := registry.NewState()
 	target := registry.Target{UID: "s1", Endpoint: "127.0.0.1:9001", Zone: "zone-a", Model: "m1", Pod: 3, State: registry.Ready, Capacity: 1.5, BootMS: 125.5}
 	for n, record := range []registry.Record{
 		{Op: registry.OpEpoch, Epoch: 8},
 		{Op: registry.OpRegister, ID: "write-1", Instances: []registry.Instance{{Target: target, Version: "v1", TTLMS: 5000}}},
-		{Op: registry.OpDuty, ID: "write-2", Duty: &table.Op{Kind: table.Seek, Name: BackupDuty, Who: "127.0.0.1:8500/ab", TTLMS: 5000}},
+		{Op: registry.OpDuty, ID: "write-2", Duty: &table.Operation{Kind: table.Campaign, Name: BackupLease, Candidate: "127.0.0.1:8500/ab", TTLMS: 5000}},
 	} {
-		if result := s.Apply(uint64(n+1), &record); result.Outcome != registry.Done {
+		if result := state.Apply(uint64(n+1), &record); result.Outcome != registry.Done {
 			t.Fatalf("record %d: %+v", n+1, result)
 		}
 	}
-	return s
+	return state
 }
 
 // A backup's file name and bytes, the call that notes it as the lease's checkpoint, and which older files it replaces.
@@ -82,13 +82,13 @@
 			t.Fatal(err)
 		}
 	}
-	lease := &Lease{Name: BackupDuty, Who: "127.0.0.1:8500/ab", Token: 3, client: client, clock: ownClock{}}
-	opts := BackupOptions{Dir: dir, Keep: 2}
-	rev, err := opts.save(t.Context(), client, lease, 0)
+	lease := &Lease{Name: BackupLease, Holder: "127.0.0.1:8500/ab", Token: 3, client: client, clock: systemClock{}}
+	opts := BackupOptions{Dir: dir, RetainCount: 2}
+	rev, err := opts.saveIfChanged(t.Context(), client, lease, 0)
 	if err != nil || rev != 2 {
 		t.Fatalf("saved revision %d: %v", rev, err)
 	}
-	if rev, err := opts.save(t.Context(), client, lease, rev); err != nil || rev != 2 {
+	if rev, err := opts.saveIfChanged(t.Context(), client, lease, rev); err != nil || rev != 2 {
 		t.Errorf("without a change, saved revision %d: %v", rev, err)
 	}
 	var files []string
@@ -116,8 +116,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d, known := state.Duties().Get(BackupDuty); !known || d.Token != 3 || state.Rev() != 2 || state.Len() != 1 {
-		t.Errorf("revision %d, %d instances, lease %+v", state.Rev(), state.Len(), d)
+	if lease, known := state.Duties().Get(BackupLease); !known || lease.Token != 3 || state.Rev() != 2 || state.Len() != 1 {
+		t.Errorf("revision %d, %d instances, lease %+v", state.Rev(), state.Len(), lease)
 	}
 	var again bytes.Buffer
 	if err := state.Snapshot(&again); err != nil {
@@ -133,9 +133,9 @@
 func TestEventFormat(t *testing.T) {
 	at := time.Date(2026, 12, 2, 3, 4, 5, 678_000_000, time.UTC)
 	events := []Event{
-		{What: "waiting", Duty: "d", Who: "one", At: at, Place: 2},
-		{What: "acquired", Duty: "d", Who: "one", Token: 57, At: at, Until: at.Add(4500 * time.Millisecond)},
-		{What: "released", Duty: "d", Who: "one", Token: 57, At: at.Add(time.Second)},
+		{Type: "waiting", Lease: "d", Candidate: "one", At: at, QueuePosition: 2},
+		{Type: "acquired", Lease: "d", Candidate: "one", Token: 57, At: at, ValidUntil: at.Add(4500 * time.Millisecond)},
+		{Type: "released", Lease: "d", Candidate: "one", Token: 57, At: at.Add(time.Second)},
 	}
 	var lines, again bytes.Buffer
 	for _, event := range events {
--- a/internal/duty/table/fixtures_test.go
+++ b/internal/duty/table/fixtures_test.go
@@ -12,31 +12,31 @@
 
 // fixtureOps are operations of every kind, with every outcome but a full table. An operation's index in the log is ten
 // times its place here, from 1.
-func fixtureOps() []Op {
-	return []Op{
-		{Kind: Checkpoint, Name: "alpha", Who: "a", Token: 1, Data: []byte("nowhere")},
-		{Kind: Release, Name: "alpha", Who: "a", Token: 1},
-		{Kind: Seek, Name: "alpha", Who: "a", TTLMS: 5000}, // holds under token 30
-		{Kind: Seek, Name: "alpha", Who: "b", TTLMS: 9000},
-		{Kind: Seek, Name: "alpha", Who: "c", TTLMS: 9000},
-		{Kind: Checkpoint, Name: "alpha", Who: "a", Token: 30, Data: []byte("step 1 \x00\xff")},
-		{Kind: Checkpoint, Name: "alpha", Who: "b", Token: 30, Data: []byte("stale")},
-		{Kind: Handover, Name: "alpha", To: "d"},
-		{Kind: Handover, Name: "alpha", To: "c"},
-		{Kind: Release, Name: "alpha", Who: "a", Token: 30, Short: true}, // c holds under token 100, a did not fall
-		{Kind: Takeaway, Name: "alpha"},
-		{Kind: Checkpoint, Name: "alpha", Who: "c", Token: 100, Data: []byte("revoked")},
-		{Kind: Lapse, Name: "alpha", Who: "c", Token: 100, Short: true}, // b holds under token 130
-		{Kind: Seek, Name: "beta", Who: "a <ä>", TTLMS: 500},
-		{Kind: Release, Name: "beta", Who: "a <ä>", Token: 140, Short: true},
-		{Kind: Checkpoint, Name: "beta", Who: "a <ä>", Token: 140},
-		{Kind: Takeaway, Name: "beta"},
-		{Kind: Takeaway, Name: "alpha"},
-		{Kind: Seek, Name: "alpha", Who: "e", TTLMS: 5000},
-		{Kind: Handover, Name: "alpha", To: "e"},
-		{Kind: Seek, Name: "gamma", Who: "f", TTLMS: 3_600_000},
-		{Kind: Lapse, Name: "gamma", Who: "nobody"},
-		{Kind: "later", Name: "gamma", Who: "f", Token: 210},
+func fixtureOps() []Operation {
+	return []Operation{
+		{Kind: Checkpoint, Name: "alpha", Candidate: "a", Token: 1, Data: []byte("nowhere")},
+		{Kind: Release, Name: "alpha", Candidate: "a", Token: 1},
+		{Kind: Campaign, Name: "alpha", Candidate: "a", TTLMS: 5000}, // holds under token 30
+		{Kind: Campaign, Name: "alpha", Candidate: "b", TTLMS: 9000},
+		{Kind: Campaign, Name: "alpha", Candidate: "c", TTLMS: 9000},
+		{Kind: Checkpoint, Name: "alpha", Candidate: "a", Token: 30, Data: []byte("step 1 \x00\xff")},
+		{Kind: Checkpoint, Name: "alpha", Candidate: "b", Token: 30, Data: []byte("stale")},
+		{Kind: Handover, Name: "alpha", Successor: "d"},
+		{Kind: Handover, Name: "alpha", Successor: "c"},
+		{Kind: Release, Name: "alpha", Candidate: "a", Token: 30, ShortTenure: true}, // c holds under token 100, a did not fall
+		{Kind: Revoke, Name: "alpha"},
+		{Kind: Checkpoint, Name: "alpha", Candidate: "c", Token: 100, Data: []byte("revoked")},
+		{Kind: Expire, Name: "alpha", Candidate: "c", Token: 100, ShortTenure: true}, // b holds under token 130
+		{Kind: Campaign, Name: "beta", Candidate: "a <ä>", TTLMS: 500},
+		{Kind: Release, Name: "beta", Candidate: "a <ä>", Token: 140, ShortTenure: true},
+		{Kind: Checkpoint, Name: "beta", Candidate: "a <ä>", Token: 140},
+		{Kind: Revoke, Name: "beta"},
+		{Kind: Revoke, Name: "alpha"},
+		{Kind: Campaign, Name: "alpha", Candidate: "e", TTLMS: 5000},
+		{Kind: Handover, Name: "alpha", Successor: "e"},
+		{Kind: Campaign, Name: "gamma", Candidate: "f", TTLMS: 3_600_000},
+		{Kind: Expire, Name: "gamma", Candidate: "nobody"},
+		{Kind: "later", Name: "gamma", Candidate: "f", Token: 210},
 	}
 }
 
@@ -60,7 +60,7 @@
 	leases := New()
 	var again, outcomes bytes.Buffer
 	for n, line := range strings.Split(strings.TrimSpace(string(goldentest.Read(t, "operations.jsonl"))), "\n") {
-		var op Op
+		var op Operation
 		if err := json.Unmarshal([]byte(line), &op); err != nil {
 			t.Fatal(err)
 		}
@@ -70,14 +70,14 @@
 	}
 	goldentest.Compare(t, "operations.jsonl", again.Bytes())
 	goldentest.Compare(t, "outcomes.txt", outcomes.Bytes())
-	goldentest.Compare(t, "table.json", encode(t, leases.Save()))
+	goldentest.Compare(t, "table.json", encode(t, leases.Snapshot()))
 
-	var saved []*Duty
+	var saved []*Lease
 	if err := json.Unmarshal(goldentest.Read(t, "table.json"), &saved); err != nil {
 		t.Fatal(err)
 	}
-	read := Load(saved)
-	goldentest.Compare(t, "table.json", encode(t, read.Save()))
+	read := FromSnapshot(saved)
+	goldentest.Compare(t, "table.json", encode(t, read.Snapshot()))
 	if read.Rev() != leases.Rev() {
 		t.Errorf("read revision %d, want %d", read.Rev(), leases.Rev())
 	}
@@ -85,21 +85,21 @@
 
 // What is answered to an operation that cannot be.
 func TestOperationErrors(t *testing.T) {
-	long := strings.Repeat("x", MaxName+1)
+	long := strings.Repeat("x", MaxNameLength+1)
 	var errs bytes.Buffer
-	for _, op := range []Op{
-		{Kind: "later", Name: "alpha", Who: "a"},
-		{Kind: Seek, Who: "a", TTLMS: 5000},
-		{Kind: Seek, Name: long, Who: "a", TTLMS: 5000},
-		{Kind: Seek, Name: "alpha", TTLMS: 5000},
-		{Kind: Seek, Name: "alpha", Who: long, TTLMS: 5000},
-		{Kind: Seek, Name: "alpha", Who: "a", TTLMS: MinTTLMS - 1},
-		{Kind: Seek, Name: "alpha", Who: "a", TTLMS: MaxTTLMS + 1},
+	for _, op := range []Operation{
+		{Kind: "later", Name: "alpha", Candidate: "a"},
+		{Kind: Campaign, Candidate: "a", TTLMS: 5000},
+		{Kind: Campaign, Name: long, Candidate: "a", TTLMS: 5000},
+		{Kind: Campaign, Name: "alpha", TTLMS: 5000},
+		{Kind: Campaign, Name: "alpha", Candidate: long, TTLMS: 5000},
+		{Kind: Campaign, Name: "alpha", Candidate: "a", TTLMS: MinTTLMS - 1},
+		{Kind: Campaign, Name: "alpha", Candidate: "a", TTLMS: MaxTTLMS + 1},
 		{Kind: Handover, Name: "alpha"},
-		{Kind: Checkpoint, Name: "alpha", Who: "a", Data: make([]byte, MaxCheckpoint+1)},
-		{Kind: Takeaway, Name: "alpha"},
+		{Kind: Checkpoint, Name: "alpha", Candidate: "a", Data: make([]byte, MaxCheckpointBytes+1)},
+		{Kind: Revoke, Name: "alpha"},
 	} {
-		fmt.Fprintln(&errs, op.Check())
+		fmt.Fprintln(&errs, op.Validate())
 	}
 	goldentest.Compare(t, "errors.txt", errs.Bytes())
 }
@@ -107,16 +107,16 @@
 // What is answered where a table or a queue is full.
 func TestFullTableReasons(t *testing.T) {
 	leases, index := New(), uint64(0)
-	seek := func(name, who string) string {
+	campaign := func(name, who string) string {
 		index++
-		outcome, reason := leases.Apply(index, &Op{Kind: Seek, Name: name, Who: who, TTLMS: 5000})
+		outcome, reason := leases.Apply(index, &Operation{Kind: Campaign, Name: name, Candidate: who, TTLMS: 5000})
 		return fmt.Sprintf("%s %q\n", outcome, reason)
 	}
-	for n := range MaxDuties {
-		seek(fmt.Sprint("lease-", n), "a")
+	for n := range MaxLeases {
+		campaign(fmt.Sprint("lease-", n), "a")
 	}
-	for n := range MaxQueue {
-		seek("lease-0", fmt.Sprint("candidate-", n))
+	for n := range MaxQueueLength {
+		campaign("lease-0", fmt.Sprint("candidate-", n))
 	}
-	goldentest.Compare(t, "full.txt", []byte(seek("one more", "a")+seek("lease-0", "one more")))
+	goldentest.Compare(t, "full.txt", []byte(campaign("one more", "a")+campaign("lease-0", "one more")))
 }
--- a/internal/duty/table/table.go
+++ b/internal/duty/table/table.go
@@ -12,12 +12,12 @@
 
 // Bounds of what the table keeps.
 const (
-	MaxDuties     = 10_000
-	MaxQueue      = 1000
-	MaxCheckpoint = 4096 // bytes: where work goes on, not the work itself
-	MaxFalls      = 16   // candidates of a duty whose short tenures are counted, the latest
-	MostFalls     = 8    // that are counted of one: no wait grows further
-	MaxName       = 128
+	MaxLeases          = 10_000
+	MaxQueueLength     = 1000
+	MaxCheckpointBytes = 4096 // bytes: where work goes on, not the work itself
+	MaxFailoverRecords = 16   // candidates of a duty whose short tenures are counted, the latest
+	MaxFailoverCount   = 8    // that are counted of one: no wait grows further
+	MaxNameLength      = 128
 
 	MinTTLMS = 500         // shorter leases do not outlive an election
 	MaxTTLMS = 3600 * 1000 // longer than an hour is no lease
@@ -26,98 +26,98 @@
 // A holder stops so long before its lease ends: what it began has to be over by then, and a scheduler that keeps it
 // waiting for a moment must not carry it past the end.
 const (
-	marginPart  = 0.1
-	leastMargin = 50 * time.Millisecond
+	marginFraction = 0.1
+	minMargin      = 50 * time.Millisecond
 )
 
-// Margin is how long before the end of a lease its holder stops.
-func Margin(ttl time.Duration) time.Duration {
-	return max(time.Duration(marginPart*float64(ttl)), leastMargin)
+// SafetyMargin is how long before the end of a lease its holder stops.
+func SafetyMargin(ttl time.Duration) time.Duration {
+	return max(time.Duration(marginFraction*float64(ttl)), minMargin)
 }
 
-// Duty is one duty. Token is the log's index at which the holder got it; it only rises.
-type Duty struct {
-	Name    string   `json:"name"`
-	Holder  string   `json:"holder,omitempty"`
-	Token   uint64   `json:"token"`
-	TTLMS   int64    `json:"ttl_ms"`
-	Queue   []string `json:"queue,omitempty"` // candidates in order
-	Next    string   `json:"next,omitempty"`  // a candidate that goes before the queue
-	Asked   bool     `json:"asked,omitempty"` // the holder is to step down
-	Revoked bool     `json:"revoked,omitempty"`
-	Changes uint64   `json:"changes"` // of its holder
-	Rev     uint64   `json:"rev"`     // of its last change
+// Lease is one duty. Token is the log's index at which the holder got it; it only rises.
+type Lease struct {
+	Name               string   `json:"name"`
+	Holder             string   `json:"holder,omitempty"`
+	Token              uint64   `json:"token"`
+	TTLMS              int64    `json:"ttl_ms"`
+	Queue              []string `json:"queue,omitempty"` // candidates in order
+	PreferredSuccessor string   `json:"next,omitempty"`  // a candidate that goes before the queue
+	StepDownRequested  bool     `json:"asked,omitempty"` // the holder is to step down
+	Revoked            bool     `json:"revoked,omitempty"`
+	Transitions        uint64   `json:"changes"` // of its holder
+	Rev                uint64   `json:"rev"`     // of its last change
 
 	Checkpoint      []byte `json:"checkpoint,omitempty"`
 	CheckpointToken uint64 `json:"checkpoint_token,omitempty"` // under which it was written
 
-	Falls []Fall `json:"falls,omitempty"` // the latest last
+	Failovers []Failover `json:"falls,omitempty"` // the latest last
 }
 
-// Fall counts the short tenures of a candidate since its last long one. The table does nothing by it: the leader has who
+// Failover counts the short tenures of a candidate since its last long one. The table does nothing by it: the leader has who
 // fell several times wait before its next seek goes into the log, so versions that do not know of falls agree on the rest.
-type Fall struct {
-	Who   string `json:"who"`
-	N     int    `json:"n"`
-	Token uint64 `json:"token"` // of the last of them
+type Failover struct {
+	Candidate string `json:"who"`
+	Count     int    `json:"n"`
+	Token     uint64 `json:"token"` // of the last of them
 }
 
-// Fallen is how many short tenures a candidate has had since its last long one.
-func (d *Duty) Fallen(who string) Fall {
-	for _, f := range d.Falls {
-		if f.Who == who {
-			return f
+// FailoversOf is how many short tenures a candidate has had since its last long one.
+func (l *Lease) FailoversOf(candidate string) Failover {
+	for _, failover := range l.Failovers {
+		if failover.Candidate == candidate {
+			return failover
 		}
 	}
-	return Fall{Who: who}
+	return Failover{Candidate: candidate}
 }
 
-// Kind is what an operation does.
-type Kind string
+// OperationKind is what an operation does.
+type OperationKind string
 
 // The operations.
 const (
-	Seek       Kind = "seek"       // Who gets the duty or a place in its queue; TTLMS
-	Release    Kind = "release"    // Who gives it up under Token, or its place in the queue
-	Lapse      Kind = "lapse"      // the lease of Who under Token has ended; Token 0: its place in the queue
-	Handover   Kind = "handover"   // the holder is asked to step down for To, a candidate
-	Takeaway   Kind = "takeaway"   // what the holder does under its token counts no more
-	Checkpoint Kind = "checkpoint" // Who writes Data under Token
+	Campaign   OperationKind = "seek"       // Who gets the duty or a place in its queue; TTLMS
+	Release    OperationKind = "release"    // Who gives it up under Token, or its place in the queue
+	Expire     OperationKind = "lapse"      // the lease of Who under Token has ended; Token 0: its place in the queue
+	Handover   OperationKind = "handover"   // the holder is asked to step down for To, a candidate
+	Revoke     OperationKind = "takeaway"   // what the holder does under its token counts no more
+	Checkpoint OperationKind = "checkpoint" // Who writes Data under Token
 )
 
-// Op is one operation.
-type Op struct {
-	Kind  Kind   `json:"kind"`
-	Name  string `json:"name"`
-	Who   string `json:"who,omitempty"`
-	Token uint64 `json:"token,omitempty"`
-	TTLMS int64  `json:"ttl_ms,omitempty"`
-	To    string `json:"to,omitempty"`
-	Data  []byte `json:"data,omitempty"`
-	Short bool   `json:"short,omitempty"` // of a release or lapse: the tenure was short, by the leader's clock
+// Operation is one operation.
+type Operation struct {
+	Kind        OperationKind `json:"kind"`
+	Name        string        `json:"name"`
+	Candidate   string        `json:"who,omitempty"`
+	Token       uint64        `json:"token,omitempty"`
+	TTLMS       int64         `json:"ttl_ms,omitempty"`
+	Successor   string        `json:"to,omitempty"`
+	Data        []byte        `json:"data,omitempty"`
+	ShortTenure bool          `json:"short,omitempty"` // of a release or lapse: the tenure was short, by the leader's clock
 }
 
 // FieldError is what is wrong with an operation: the field and why.
-type FieldError struct{ Field, Why string }
+type FieldError struct{ Field, Reason string }
 
-func (e *FieldError) Error() string { return e.Field + ": " + e.Why }
+func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// Check tells which field cannot be, before the operation goes into the log.
-func (o *Op) Check() error {
-	needsWho := o.Kind != Handover && o.Kind != Takeaway
+// Validate tells which field cannot be, before the operation goes into the log.
+func (o *Operation) Validate() error {
+	needsCandidate := o.Kind != Handover && o.Kind != Revoke
 	switch {
-	case !slices.Contains([]Kind{Seek, Release, Lapse, Handover, Takeaway, Checkpoint}, o.Kind):
+	case !slices.Contains([]OperationKind{Campaign, Release, Expire, Handover, Revoke, Checkpoint}, o.Kind):
 		return &FieldError{"kind", fmt.Sprintf("%q is no operation", o.Kind)}
-	case o.Name == "" || len(o.Name) > MaxName:
-		return &FieldError{"name", fmt.Sprintf("%d characters, wanted 1 to %d", len(o.Name), MaxName)}
-	case needsWho && o.Who == "" || len(o.Who) > MaxName:
-		return &FieldError{"who", fmt.Sprintf("%d characters, wanted 1 to %d", len(o.Who), MaxName)}
-	case o.Kind == Handover && o.To == "":
+	case o.Name == "" || len(o.Name) > MaxNameLength:
+		return &FieldError{"name", fmt.Sprintf("%d characters, wanted 1 to %d", len(o.Name), MaxNameLength)}
+	case needsCandidate && o.Candidate == "" || len(o.Candidate) > MaxNameLength:
+		return &FieldError{"who", fmt.Sprintf("%d characters, wanted 1 to %d", len(o.Candidate), MaxNameLength)}
+	case o.Kind == Handover && o.Successor == "":
 		return &FieldError{"to", "a handover names its candidate"}
-	case o.Kind == Seek && (o.TTLMS < MinTTLMS || o.TTLMS > MaxTTLMS):
+	case o.Kind == Campaign && (o.TTLMS < MinTTLMS || o.TTLMS > MaxTTLMS):
 		return &FieldError{"ttl_ms", fmt.Sprintf("%d is not within %d to %d", o.TTLMS, MinTTLMS, MaxTTLMS)}
-	case len(o.Data) > MaxCheckpoint:
-		return &FieldError{"data", fmt.Sprintf("%d bytes, at most %d", len(o.Data), MaxCheckpoint)}
+	case len(o.Data) > MaxCheckpointBytes:
+		return &FieldError{"data", fmt.Sprintf("%d bytes, at most %d", len(o.Data), MaxCheckpointBytes)}
 	}
 	return nil
 }
@@ -127,179 +127,179 @@
 
 // The outcomes.
 const (
-	Done     Outcome = "done"
-	Stale    Outcome = "stale" // another holds the duty, or the same under another token
-	NotFound Outcome = "not_found"
-	TooMany  Outcome = "too_many"
+	Applied       Outcome = "done"
+	Stale         Outcome = "stale" // another holds the duty, or the same under another token
+	NotFound      Outcome = "not_found"
+	LimitExceeded Outcome = "too_many"
 )
 
 // Table is all duties. It is not safe for concurrent use.
 type Table struct {
-	duties map[string]*Duty
+	leases map[string]*Lease
 	rev    uint64
 }
 
 // New is an empty table.
-func New() *Table { return &Table{duties: map[string]*Duty{}} }
+func New() *Table { return &Table{leases: map[string]*Lease{}} }
 
-// Load puts duties back, as Save gave them.
-func Load(list []*Duty) *Table {
+// FromSnapshot puts duties back, as Save gave them.
+func FromSnapshot(leases []*Lease) *Table {
 	t := New()
-	for _, d := range list {
-		t.duties[d.Name] = d
-		t.rev = max(t.rev, d.Rev)
+	for _, lease := range leases {
+		t.leases[lease.Name] = lease
+		t.rev = max(t.rev, lease.Rev)
 	}
 	return t
 }
 
-// Save gives all duties by name. They are shared: nobody changes them.
-func (t *Table) Save() []*Duty {
-	out := make([]*Duty, 0, len(t.duties))
-	for _, name := range slices.Sorted(maps.Keys(t.duties)) {
-		out = append(out, t.duties[name])
+// Snapshot gives all duties by name. They are shared: nobody changes them.
+func (t *Table) Snapshot() []*Lease {
+	leases := make([]*Lease, 0, len(t.leases))
+	for _, name := range slices.Sorted(maps.Keys(t.leases)) {
+		leases = append(leases, t.leases[name])
 	}
-	return out
+	return leases
 }
 
 // Rev is the index of the last change.
 func (t *Table) Rev() uint64 { return t.rev }
 
 // Get is one duty; its slices are shared and never changed in place.
-func (t *Table) Get(name string) (Duty, bool) {
-	d := t.duties[name]
-	if d == nil {
-		return Duty{}, false
+func (t *Table) Get(name string) (Lease, bool) {
+	lease := t.leases[name]
+	if lease == nil {
+		return Lease{}, false
 	}
-	return *d, true
+	return *lease, true
 }
 
-// Holds tells whether a token still counts: what a guarded write asks.
-func (t *Table) Holds(name string, token uint64) bool {
-	d := t.duties[name]
-	return d != nil && token != 0 && d.Holder != "" && d.Token == token && !d.Revoked
+// TokenValid tells whether a token still counts: what a guarded write asks.
+func (t *Table) TokenValid(name string, token uint64) bool {
+	lease := t.leases[name]
+	return lease != nil && token != 0 && lease.Holder != "" && lease.Token == token && !lease.Revoked
 }
 
 // Apply takes in an operation of the log. Index is its place there, which only grows.
-func (t *Table) Apply(index uint64, o *Op) (Outcome, string) {
-	old := t.duties[o.Name]
-	if old == nil {
-		if o.Kind != Seek {
-			if o.Kind == Release || o.Kind == Lapse {
-				return Done, "" // nothing is held
+func (t *Table) Apply(index uint64, op *Operation) (Outcome, string) {
+	previous := t.leases[op.Name]
+	if previous == nil {
+		if op.Kind != Campaign {
+			if op.Kind == Release || op.Kind == Expire {
+				return Applied, "" // nothing is held
 			}
-			return NotFound, "there is no duty " + o.Name
+			return NotFound, "there is no duty " + op.Name
 		}
-		if len(t.duties) >= MaxDuties {
-			return TooMany, fmt.Sprintf("there are %d duties", len(t.duties))
+		if len(t.leases) >= MaxLeases {
+			return LimitExceeded, fmt.Sprintf("there are %d duties", len(t.leases))
 		}
-		old = &Duty{Name: o.Name, TTLMS: o.TTLMS}
+		previous = &Lease{Name: op.Name, TTLMS: op.TTLMS}
 	}
-	d := *old // copied, so that who has read the old one keeps it as it was
-	d.Queue, d.Falls = slices.Clone(old.Queue), slices.Clone(old.Falls)
-	outcome, why := d.do(index, o)
-	if outcome == Done && !same(&d, old) {
-		d.Rev, t.rev = index, index
-		t.duties[o.Name] = &d
+	updated := *previous // copied, so that who has read the old one keeps it as it was
+	updated.Queue, updated.Failovers = slices.Clone(previous.Queue), slices.Clone(previous.Failovers)
+	outcome, reason := updated.apply(index, op)
+	if outcome == Applied && !equalState(&updated, previous) {
+		updated.Rev, t.rev = index, index
+		t.leases[op.Name] = &updated
 	}
-	return outcome, why
+	return outcome, reason
 }
 
-func same(a, b *Duty) bool {
-	return a.Holder == b.Holder && a.Token == b.Token && a.TTLMS == b.TTLMS && a.Next == b.Next && a.Asked == b.Asked &&
+func equalState(a, b *Lease) bool {
+	return a.Holder == b.Holder && a.Token == b.Token && a.TTLMS == b.TTLMS && a.PreferredSuccessor == b.PreferredSuccessor && a.StepDownRequested == b.StepDownRequested &&
 		a.Revoked == b.Revoked && a.CheckpointToken == b.CheckpointToken && slices.Equal(a.Queue, b.Queue) &&
-		slices.Equal(a.Falls, b.Falls) &&
+		slices.Equal(a.Failovers, b.Failovers) &&
 		slices.Equal(a.Checkpoint, b.Checkpoint)
 }
 
-func (d *Duty) do(index uint64, o *Op) (Outcome, string) {
-	holds := d.Holder != "" && d.Holder == o.Who && d.Token == o.Token
-	switch o.Kind {
-	case Seek:
-		return d.seek(index, o)
-	case Release, Lapse:
-		if holds {
-			d.count(o)
-			d.pass(index)
-		} else if o.Token == 0 && o.Who != d.Holder {
-			d.leave(o.Who)
+func (l *Lease) apply(index uint64, op *Operation) (Outcome, string) {
+	isHolder := l.Holder != "" && l.Holder == op.Candidate && l.Token == op.Token
+	switch op.Kind {
+	case Campaign:
+		return l.campaign(index, op)
+	case Release, Expire:
+		if isHolder {
+			l.recordTenure(op)
+			l.assignNext(index)
+		} else if op.Token == 0 && op.Candidate != l.Holder {
+			l.removeFromQueue(op.Candidate)
 		}
-		return Done, "" // a repeat, or what was lost already
+		return Applied, "" // a repeat, or what was lost already
 	case Handover:
-		if !slices.Contains(d.Queue, o.To) {
-			return NotFound, o.To + " is no candidate"
+		if !slices.Contains(l.Queue, op.Successor) {
+			return NotFound, op.Successor + " is no candidate"
 		}
-		d.Next, d.Asked = o.To, true
-		return Done, ""
-	case Takeaway:
-		if d.Holder == "" {
-			return NotFound, "nobody holds " + d.Name
+		l.PreferredSuccessor, l.StepDownRequested = op.Successor, true
+		return Applied, ""
+	case Revoke:
+		if l.Holder == "" {
+			return NotFound, "nobody holds " + l.Name
 		}
-		d.Revoked, d.Asked = true, true
-		return Done, ""
+		l.Revoked, l.StepDownRequested = true, true
+		return Applied, ""
 	case Checkpoint:
-		if !holds || d.Revoked {
-			return Stale, d.heldBy()
+		if !isHolder || l.Revoked {
+			return Stale, l.describeHolder()
 		}
-		d.Checkpoint, d.CheckpointToken = o.Data, o.Token
-		return Done, ""
+		l.Checkpoint, l.CheckpointToken = op.Data, op.Token
+		return Applied, ""
 	}
-	return Stale, fmt.Sprintf("unknown operation %q", o.Kind) // of a later version: all replicas of this one skip it
+	return Stale, fmt.Sprintf("unknown operation %q", op.Kind) // of a later version: all replicas of this one skip it
 }
 
-func (d *Duty) heldBy() string {
+func (l *Lease) describeHolder() string {
 	switch {
-	case d.Holder == "":
-		return "nobody holds " + d.Name
-	case d.Revoked:
-		return d.Name + " was taken away"
+	case l.Holder == "":
+		return "nobody holds " + l.Name
+	case l.Revoked:
+		return l.Name + " was taken away"
 	}
-	return fmt.Sprintf("%s is held by %s under token %d", d.Name, d.Holder, d.Token)
+	return fmt.Sprintf("%s is held by %s under token %d", l.Name, l.Holder, l.Token)
 }
 
-func (d *Duty) seek(index uint64, o *Op) (Outcome, string) {
+func (l *Lease) campaign(index uint64, op *Operation) (Outcome, string) {
 	switch {
-	case d.Holder == o.Who || slices.Contains(d.Queue, o.Who):
-		return Done, "" // a client that asks again does not wait for itself
-	case len(d.Queue) >= MaxQueue:
-		return TooMany, fmt.Sprintf("%d candidates wait", len(d.Queue))
+	case l.Holder == op.Candidate || slices.Contains(l.Queue, op.Candidate):
+		return Applied, "" // a client that asks again does not wait for itself
+	case len(l.Queue) >= MaxQueueLength:
+		return LimitExceeded, fmt.Sprintf("%d candidates wait", len(l.Queue))
 	}
-	d.Queue = append(d.Queue, o.Who)
-	if d.Holder == "" {
-		d.TTLMS = o.TTLMS
-		d.pass(index)
+	l.Queue = append(l.Queue, op.Candidate)
+	if l.Holder == "" {
+		l.TTLMS = op.TTLMS
+		l.assignNext(index)
 	}
-	return Done, ""
+	return Applied, ""
 }
 
-// pass gives the duty to the next in line, in the same entry of the log in which it became free.
-func (d *Duty) pass(index uint64) {
-	next := d.Next
-	if !slices.Contains(d.Queue, next) {
+// assignNext gives the duty to the next in line, in the same entry of the log in which it became free.
+func (l *Lease) assignNext(index uint64) {
+	next := l.PreferredSuccessor
+	if !slices.Contains(l.Queue, next) {
 		next = ""
-		if len(d.Queue) > 0 {
-			next = d.Queue[0]
+		if len(l.Queue) > 0 {
+			next = l.Queue[0]
 		}
 	}
-	d.leave(next)
-	d.Holder, d.Token, d.Next, d.Asked, d.Revoked = next, index, "", false, false
-	d.Changes++
+	l.removeFromQueue(next)
+	l.Holder, l.Token, l.PreferredSuccessor, l.StepDownRequested, l.Revoked = next, index, "", false, false
+	l.Transitions++
 }
 
-// count takes into account how long the holder that goes has held. Who was asked to, or had it taken away, did not fall.
-func (d *Duty) count(o *Op) {
-	if d.Asked || d.Revoked {
+// recordTenure takes into account how long the holder that goes has held. Who was asked to, or had it taken away, did not fall.
+func (l *Lease) recordTenure(op *Operation) {
+	if l.StepDownRequested || l.Revoked {
 		return
 	}
-	n := d.Fallen(o.Who).N
-	d.Falls = slices.DeleteFunc(d.Falls, func(f Fall) bool { return f.Who == o.Who })
-	if o.Short {
-		d.Falls = append(d.Falls, Fall{o.Who, min(n+1, MostFalls), o.Token})
-		d.Falls = d.Falls[max(0, len(d.Falls)-MaxFalls):]
+	count := l.FailoversOf(op.Candidate).Count
+	l.Failovers = slices.DeleteFunc(l.Failovers, func(failover Failover) bool { return failover.Candidate == op.Candidate })
+	if op.ShortTenure {
+		l.Failovers = append(l.Failovers, Failover{op.Candidate, min(count+1, MaxFailoverCount), op.Token})
+		l.Failovers = l.Failovers[max(0, len(l.Failovers)-MaxFailoverRecords):]
 	}
 }
 
-func (d *Duty) leave(who string) {
-	if i := slices.Index(d.Queue, who); i >= 0 {
-		d.Queue = slices.Delete(d.Queue, i, i+1)
+func (l *Lease) removeFromQueue(candidate string) {
+	if i := slices.Index(l.Queue, candidate); i >= 0 {
+		l.Queue = slices.Delete(l.Queue, i, i+1)
 	}
 }
--- a/internal/lab/night/log.go
+++ b/internal/lab/night/log.go
@@ -132,7 +132,7 @@
 		return old, true
 	}
 	p.rev++
-	if duty != "" && !p.w.opt.Bugs.NoToken && !p.duties.Holds(duty, token) {
+	if duty != "" && !p.w.opt.Bugs.NoToken && !p.duties.TokenValid(duty, token) {
 		a = answer{stale, fmt.Sprintf("token %d of %s counts no more", token, duty)}
 	} else {
 		a.outcome, a.why = do()
--- a/internal/registry/duty.go
+++ b/internal/registry/duty.go
@@ -58,7 +58,7 @@
 	defer l.mu.Unlock()
 	fresh := newDutyLeases()
 	l.of, l.down, l.held = fresh.of, fresh.down, fresh.held
-	for _, d := range s.duties.Save() {
+	for _, d := range s.duties.Snapshot() {
 		l.put(now, d, false)
 	}
 }
@@ -89,7 +89,7 @@
 }
 
 // put begins the leases and waits that are not known, seen from their beginning or not; the caller holds the lock.
-func (l *dutyLeases) put(now time.Time, d *table.Duty, seen bool) {
+func (l *dutyLeases) put(now time.Time, d *table.Lease, seen bool) {
 	l.putDown(now, d)
 	ttl := time.Duration(d.TTLMS) * time.Millisecond
 	of := l.of[d.Name]
@@ -122,7 +122,7 @@
 	if e == nil || e.ending || e.token != token {
 		return false
 	}
-	if d, _ := s.duties.Get(name); token != 0 && !s.duties.Holds(name, token) || token == 0 && !slices.Contains(d.Queue, who) {
+	if d, _ := s.duties.Get(name); token != 0 && !s.duties.TokenValid(name, token) || token == 0 && !slices.Contains(d.Queue, who) {
 		return false
 	}
 	e.renewed = now
@@ -136,7 +136,7 @@
 }
 
 // age is how long a duty has been held under its token, as far as this leader knows.
-func (l *dutyLeases) age(now time.Time, d *table.Duty) time.Duration {
+func (l *dutyLeases) age(now time.Time, d *table.Lease) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.of[d.Name][d.Holder]; e != nil && d.Holder != "" {
@@ -146,20 +146,20 @@
 }
 
 // ended finds the leases that are over, and those that an earlier call found and that still stand.
-func (l *dutyLeases) ended(now time.Time) []table.Op {
+func (l *dutyLeases) ended(now time.Time) []table.Operation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []table.Op
+	var out []table.Operation
 	for name, of := range l.of {
 		for who, e := range of {
 			if now.Sub(e.renewed) > e.ttl+time.Duration(dutyDrift*float64(e.ttl)) {
 				e.ending = true
-				out = append(out, table.Op{Kind: table.Lapse, Name: name, Who: who, Token: e.token, Short: e.short(now)})
+				out = append(out, table.Operation{Kind: table.Expire, Name: name, Candidate: who, Token: e.token, ShortTenure: e.short(now)})
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b table.Op) int {
-		return cmp.Or(strings.Compare(a.Name, b.Name), cmp.Compare(b.Token, a.Token), strings.Compare(a.Who, b.Who))
+	slices.SortFunc(out, func(a, b table.Operation) int {
+		return cmp.Or(strings.Compare(a.Name, b.Name), cmp.Compare(b.Token, a.Token), strings.Compare(a.Candidate, b.Candidate))
 	})
 	return out
 }
@@ -171,7 +171,7 @@
 			return // found again, by this leader or the next
 		}
 		r.followDuty(op.Name)
-		slog.Info("lease of a duty ended", "duty", op.Name, "who", op.Who, "token", op.Token)
+		slog.Info("lease of a duty ended", "duty", op.Name, "who", op.Candidate, "token", op.Token)
 	}
 }
 
@@ -194,12 +194,12 @@
 	if !body(w, req, &in) {
 		return
 	}
-	op := table.Op{
-		Kind: table.Kind(req.PathValue("op")), Name: req.PathValue("name"), Who: in.Who, Token: in.Token, TTLMS: in.TTLMS,
-		To: in.To, Data: in.Data,
+	op := table.Operation{
+		Kind: table.OperationKind(req.PathValue("op")), Name: req.PathValue("name"), Candidate: in.Who, Token: in.Token, TTLMS: in.TTLMS,
+		Successor: in.To, Data: in.Data,
 	}
-	err := op.Check()
-	if err == nil && op.Kind == table.Lapse {
+	err := op.Validate()
+	if err == nil && op.Kind == table.Expire {
 		err = bad("op", "only the leader finds that a lease has ended")
 	}
 	if err == nil {
@@ -210,13 +210,13 @@
 		return
 	}
 	switch op.Kind {
-	case table.Seek:
-		if !r.admits(op.Name, op.Who) {
+	case table.Campaign:
+		if !r.admits(op.Name, op.Candidate) {
 			r.answerDuty(w, op.Name)
 			return
 		}
 	case table.Release:
-		op.Short = r.duties.short(time.Now(), op.Name, op.Who, op.Token)
+		op.ShortTenure = r.duties.short(time.Now(), op.Name, op.Candidate, op.Token)
 	}
 	res, err := r.write(&Record{Op: OpDuty, ID: in.ID, Duty: &op})
 	if err != nil {
@@ -233,7 +233,7 @@
 }
 
 func (r *Replica) answerDuty(w http.ResponseWriter, name string) {
-	var d table.Duty
+	var d table.Lease
 	var is bool
 	r.hub.Read(func(s *State) { d, is = s.duties.Get(name) })
 	if !is {
@@ -264,7 +264,7 @@
 	if !body(w, req, &in) {
 		return
 	}
-	if in.Who == "" || len(in.Duties) == 0 || len(in.Duties) > table.MaxDuties {
+	if in.Who == "" || len(in.Duties) == 0 || len(in.Duties) > table.MaxLeases {
 		refuse(w, http.StatusBadRequest, bad("duties", "%d entries of %q", len(in.Duties), in.Who))
 		return
 	}
@@ -293,8 +293,8 @@
 		if !r.fresh(w, req) {
 			return
 		}
-		var list []*table.Duty
-		r.hub.Read(func(s *State) { list = s.duties.Save() })
+		var list []*table.Lease
+		r.hub.Read(func(s *State) { list = s.duties.Snapshot() })
 		r.mark(w)
 		answer(w, http.StatusOK, list)
 		return
@@ -332,23 +332,23 @@
 }
 
 // Duty makes one call about a duty and returns it as it then is.
-func (c *Client) Duty(ctx context.Context, kind table.Kind, name string, in DutyCall) (table.Duty, error) {
+func (c *Client) Duty(ctx context.Context, kind table.OperationKind, name string, in DutyCall) (table.Lease, error) {
 	if in.ID == "" {
 		in.ID = NewID()
 	}
-	var d table.Duty
+	var d table.Lease
 	return d, c.post(ctx, "/duties/"+url.PathEscape(name)+"/"+string(kind), in, &d)
 }
 
 // GetDuty reads a duty, as the leader has it.
-func (c *Client) GetDuty(ctx context.Context, name string) (table.Duty, error) {
-	var d table.Duty
+func (c *Client) GetDuty(ctx context.Context, name string) (table.Lease, error) {
+	var d table.Lease
 	return d, c.call(ctx, http.MethodGet, "/duties/"+url.PathEscape(name)+"?fresh=1", nil, &d)
 }
 
 // Duties lists them, as the leader has them.
-func (c *Client) Duties(ctx context.Context) ([]table.Duty, error) {
-	var list []table.Duty
+func (c *Client) Duties(ctx context.Context) ([]table.Lease, error) {
+	var list []table.Lease
 	return list, c.call(ctx, http.MethodGet, "/duties?fresh=1", nil, &list)
 }
 
@@ -362,11 +362,11 @@
 
 // WatchDuty calls do with a duty as it is and after each change, going from replica to replica until ctx ends. An
 // older state than one told before is left out.
-func (c *Client) WatchDuty(ctx context.Context, name string, do func(table.Duty)) error {
+func (c *Client) WatchDuty(ctx context.Context, name string, do func(table.Lease)) error {
 	newest, begun := uint64(0), false
 	for backoff := firstBackoff; ; backoff = min(2*backoff, mostBackoff) {
 		n := c.at.Load()
-		err := c.watchDuty(ctx, c.replicas[int(n)%len(c.replicas)], name, func(d table.Duty) {
+		err := c.watchDuty(ctx, c.replicas[int(n)%len(c.replicas)], name, func(d table.Lease) {
 			backoff = firstBackoff
 			if d.Rev > newest || !begun {
 				newest, begun = d.Rev, true
@@ -386,13 +386,13 @@
 	}
 }
 
-func (c *Client) watchDuty(ctx context.Context, replica, name string, do func(table.Duty)) error {
+func (c *Client) watchDuty(ctx context.Context, replica, name string, do func(table.Lease)) error {
 	at := "http://" + replica + "/duties?watch=" + url.QueryEscape(name)
 	return c.follow(ctx, at, func(http.Header) {}, func(data []byte) error {
 		if len(data) == 0 {
 			return nil
 		}
-		var d table.Duty
+		var d table.Lease
 		if err := json.Unmarshal(data, &d); err != nil {
 			return fmt.Errorf("watch of duty %s: %w", name, err)
 		}
--- a/internal/registry/duty_test.go
+++ b/internal/registry/duty_test.go
@@ -34,9 +34,9 @@
 
 	index   uint64
 	state   *State
-	leader  *dutyLeases // of the leader that the majority follows
-	old     *dutyLeases // of one that was deposed and does not know it; nil: none
-	logged  []table.Op  // entries of the leader that are not applied yet
+	leader  *dutyLeases       // of the leader that the majority follows
+	old     *dutyLeases       // of one that was deposed and does not know it; nil: none
+	logged  []table.Operation // entries of the leader that are not applied yet
 	holders []*modelHolder
 	newest  uint64 // token of the newest write that the resource took
 	wrong   string
@@ -77,7 +77,7 @@
 	return time.Duration(rapid.IntRange(least, most).Draw(w.t, what)) * time.Millisecond
 }
 
-func (w *dutyWorld) apply(op table.Op) {
+func (w *dutyWorld) apply(op table.Operation) {
 	w.index++
 	w.state.Apply(w.index, &Record{Op: OpDuty, Duty: &op})
 	w.leader.follow(w.clock(), w.state, op.Name)
@@ -91,7 +91,9 @@
 	}
 	d, _ := w.state.Duties().Get("d") // its watch; a message later it would be as good
 	if d.Holder != h.who {
-		w.message(func() { w.apply(table.Op{Kind: table.Seek, Name: "d", Who: h.who, TTLMS: modelTTL.Milliseconds()}) })
+		w.message(func() {
+			w.apply(table.Operation{Kind: table.Campaign, Name: "d", Candidate: h.who, TTLMS: modelTTL.Milliseconds()})
+		})
 		if slices.Contains(d.Queue, h.who) {
 			w.message(func() { w.leader.renew(w.clock(), w.state, "d", h.who, 0) })
 		}
@@ -118,7 +120,7 @@
 			if token <= h.over {
 				return
 			}
-			h.token, h.until = token, max(h.until, from+modelTTL-table.Margin(modelTTL))
+			h.token, h.until = token, max(h.until, from+modelTTL-table.SafetyMargin(modelTTL))
 			w.held++
 		})
 	})
@@ -129,7 +131,7 @@
 }
 
 func (w *dutyWorld) write(token uint64) {
-	if w.broken != noToken && !w.state.Duties().Holds("d", token) {
+	if w.broken != noToken && !w.state.Duties().TokenValid("d", token) {
 		return
 	}
 	if token < w.newest {
@@ -158,10 +160,10 @@
 		if w.now < h.until { // it stops first
 			h.until, h.over = w.now, h.token
 			token := h.token
-			w.message(func() { w.apply(table.Op{Kind: table.Release, Name: "d", Who: h.who, Token: token}) })
+			w.message(func() { w.apply(table.Operation{Kind: table.Release, Name: "d", Candidate: h.who, Token: token}) })
 		}
 	case 3:
-		w.apply(table.Op{Kind: table.Takeaway, Name: "d"})
+		w.apply(table.Operation{Kind: table.Revoke, Name: "d"})
 	}
 }
 
@@ -170,7 +172,7 @@
 	for _, op := range w.leader.ended(w.clock()) {
 		w.logged = append(w.logged, op)
 		w.after(w.ms("into the log", 0, 50), func() {
-			if i := slices.IndexFunc(w.logged, func(o table.Op) bool { return o.Who == op.Who && o.Token == op.Token }); i >= 0 {
+			if i := slices.IndexFunc(w.logged, func(o table.Operation) bool { return o.Candidate == op.Candidate && o.Token == op.Token }); i >= 0 {
 				w.logged = slices.Delete(w.logged, i, i+1)
 				w.apply(op)
 			}
--- a/internal/registry/fixtures_test.go
+++ b/internal/registry/fixtures_test.go
@@ -89,7 +89,7 @@
 		log = append(log, logEntry{fmt.Sprintf("%02d-%s", index, name), index, record})
 		return index
 	}
-	lease := func(name string, op table.Op) uint64 {
+	lease := func(name string, op table.Operation) uint64 {
 		return add(name, registry.Record{Op: registry.OpDuty, Duty: &op})
 	}
 	ledger := func(name string, guard *registry.Guard, op disruption.Op) uint64 {
@@ -122,18 +122,18 @@
 		Refs: []registry.Ref{{UID: "s7"}}})
 
 	// Leader election.
-	first := lease("lease-seek", table.Op{Kind: table.Seek, Name: "release/r", Who: "one", TTLMS: 15_000})
-	lease("lease-queue", table.Op{Kind: table.Seek, Name: "release/r", Who: "two", TTLMS: 15_000})
-	lease("lease-queue-third", table.Op{Kind: table.Seek, Name: "release/r", Who: "three", TTLMS: 15_000})
-	lease("lease-checkpoint", table.Op{Kind: table.Checkpoint, Name: "release/r", Who: "one", Token: first, Data: []byte("wave 2")})
-	lease("lease-handover", table.Op{Kind: table.Handover, Name: "release/r", To: "three"})
-	third := lease("lease-release", table.Op{Kind: table.Release, Name: "release/r", Who: "one", Token: first})
-	second := lease("lease-lapse", table.Op{Kind: table.Lapse, Name: "release/r", Who: "three", Token: third, Short: true})
-	spreadGuard := &registry.Guard{Duty: "spread", Token: lease("lease-seek-spread", table.Op{Kind: table.Seek, Name: "spread", Who: "one", TTLMS: 5000})}
-	windowGuard := &registry.Guard{Duty: window.Duty, Token: lease("lease-seek-window", table.Op{Kind: table.Seek, Name: window.Duty, Who: "one", TTLMS: 5000})}
+	first := lease("lease-seek", table.Operation{Kind: table.Campaign, Name: "release/r", Candidate: "one", TTLMS: 15_000})
+	lease("lease-queue", table.Operation{Kind: table.Campaign, Name: "release/r", Candidate: "two", TTLMS: 15_000})
+	lease("lease-queue-third", table.Operation{Kind: table.Campaign, Name: "release/r", Candidate: "three", TTLMS: 15_000})
+	lease("lease-checkpoint", table.Operation{Kind: table.Checkpoint, Name: "release/r", Candidate: "one", Token: first, Data: []byte("wave 2")})
+	lease("lease-handover", table.Operation{Kind: table.Handover, Name: "release/r", Successor: "three"})
+	third := lease("lease-release", table.Operation{Kind: table.Release, Name: "release/r", Candidate: "one", Token: first})
+	second := lease("lease-lapse", table.Operation{Kind: table.Expire, Name: "release/r", Candidate: "three", Token: third, ShortTenure: true})
+	spreadGuard := &registry.Guard{Duty: "spread", Token: lease("lease-seek-spread", table.Operation{Kind: table.Campaign, Name: "spread", Candidate: "one", TTLMS: 5000})}
+	windowGuard := &registry.Guard{Duty: window.Duty, Token: lease("lease-seek-window", table.Operation{Kind: table.Campaign, Name: window.Duty, Candidate: "one", TTLMS: 5000})}
 	releaseGuard := &registry.Guard{Duty: "release/r", Token: second}
-	lease("lease-seek-backup", table.Op{Kind: table.Seek, Name: "backup", Who: "one", TTLMS: 5000})
-	lease("lease-takeaway", table.Op{Kind: table.Takeaway, Name: "backup"})
+	lease("lease-seek-backup", table.Operation{Kind: table.Campaign, Name: "backup", Candidate: "one", TTLMS: 5000})
+	lease("lease-takeaway", table.Operation{Kind: table.Revoke, Name: "backup"})
 
 	// The placement.
 	add("placement-spread", registry.Record{Op: registry.OpPlacement, ID: "write-placement", Guard: spreadGuard, Placement: &placement.Op{
@@ -362,7 +362,7 @@
 		{"register", registry.Record{Op: registry.OpRegister, Instances: []registry.Instance{
 			fixtureInstance("s1", "z1", 1, 9001), fixtureInstance("s2", "z2", 1, 9002)}}},
 		{"state", registry.Record{Op: registry.OpState, State: registry.Terminating, Refs: []registry.Ref{{UID: "s1"}}}},
-		{"lease", registry.Record{Op: registry.OpDuty, Duty: &table.Op{Kind: table.Seek, Name: "spread", Who: "one", TTLMS: 5000}}},
+		{"lease", registry.Record{Op: registry.OpDuty, Duty: &table.Operation{Kind: table.Campaign, Name: "spread", Candidate: "one", TTLMS: 5000}}},
 		{"placement", registry.Record{Op: registry.OpPlacement, Guard: guard, Placement: &placement.Op{LeaderTimeMS: nowMS, Set: []placement.Directive{
 			{ID: "spread/0123456789abcdef", Kind: placement.KindSpreadKey, KeyHash: "0123456789abcdef", ExpiresAtMS: nowMS + 60_000, Copies: []placement.KeyCopy{{ServerUID: "s1", LoadFraction: 0.25}}},
 			{ID: "spread/fedcba9876543210", Kind: placement.KindSpreadKey, KeyHash: "fedcba9876543210", ExpiresAtMS: nowMS + 90_000, Copies: []placement.KeyCopy{{ServerUID: "s2"}}},
@@ -576,11 +576,11 @@
 	status, err := client.StatusOf(ctx, address)
 	call("status", status, err)
 
-	lease, err := client.Duty(ctx, table.Seek, "release/r", registry.DutyCall{ID: "w2", Who: "one", TTLMS: 15_000})
+	lease, err := client.Duty(ctx, table.Campaign, "release/r", registry.DutyCall{ID: "w2", Who: "one", TTLMS: 15_000})
 	call("seek", lease, err)
 	lease, err = client.Duty(ctx, table.Handover, "release/r", registry.DutyCall{ID: "w3", To: "two"})
 	call("handover", lease, err)
-	lease, err = client.Duty(ctx, table.Takeaway, "release/r", registry.DutyCall{ID: "w4"})
+	lease, err = client.Duty(ctx, table.Revoke, "release/r", registry.DutyCall{ID: "w4"})
 	call("takeaway", lease, err)
 	lease, err = client.Duty(ctx, table.Checkpoint, "backup", registry.DutyCall{ID: "w5", Who: "one", Token: 16, Data: []byte("wave 2")})
 	call("checkpoint", lease, err)
--- a/internal/registry/holddown.go
+++ b/internal/registry/holddown.go
@@ -23,7 +23,7 @@
 // holdDown is the wait of a candidate that had a duty several times for a short while each. The count is the table's,
 // the time the leader's; a new leader begins all waits anew.
 type holdDown struct {
-	fall   table.Fall
+	fall   table.Failover
 	until  time.Time
 	sought time.Time // when it last asked for the duty and had to wait
 }
@@ -37,21 +37,21 @@
 }
 
 // putDown begins the waits that are not known; the caller holds the lock.
-func (l *dutyLeases) putDown(now time.Time, d *table.Duty) {
+func (l *dutyLeases) putDown(now time.Time, d *table.Lease) {
 	for who, h := range l.down[d.Name] {
-		if d.Fallen(who).Token != h.fall.Token {
+		if d.FailoversOf(who).Token != h.fall.Token {
 			delete(l.down[d.Name], who)
 		}
 	}
-	for _, f := range d.Falls {
-		wait := downFor(time.Duration(d.TTLMS)*time.Millisecond, f.N)
-		if wait == 0 || l.down[d.Name][f.Who] != nil {
+	for _, f := range d.Failovers {
+		wait := downFor(time.Duration(d.TTLMS)*time.Millisecond, f.Count)
+		if wait == 0 || l.down[d.Name][f.Candidate] != nil {
 			continue
 		}
 		if l.down[d.Name] == nil {
 			l.down[d.Name] = map[string]*holdDown{}
 		}
-		l.down[d.Name][f.Who] = &holdDown{fall: f, until: now.Add(wait)}
+		l.down[d.Name][f.Candidate] = &holdDown{fall: f, until: now.Add(wait)}
 	}
 }
 
@@ -66,7 +66,7 @@
 		return true
 	}
 	if h.sought.IsZero() {
-		slog.Info("candidate of a duty is held down", "duty", name, "who", who, "falls", h.fall.N, "for", h.until.Sub(now))
+		slog.Info("candidate of a duty is held down", "duty", name, "who", who, "falls", h.fall.Count, "for", h.until.Sub(now))
 	}
 	h.sought = now
 	if d.Holder != "" || len(d.Queue) > 0 {
--- a/internal/registry/holddown_test.go
+++ b/internal/registry/holddown_test.go
@@ -52,24 +52,24 @@
 
 func (w *downWorld) clock() time.Time { return time.Unix(1_000_000, 0).Add(w.now) }
 
-func (w *downWorld) apply(op table.Op) {
+func (w *downWorld) apply(op table.Operation) {
 	w.index++
 	w.state.Apply(w.index, &Record{Op: OpDuty, Duty: &op})
 	w.leader.follow(w.clock(), w.state, op.Name)
 }
 
-func (w *downWorld) duty() table.Duty {
+func (w *downWorld) duty() table.Lease {
 	d, _ := w.state.Duties().Get("d")
 	return d
 }
 
 // went ends a tenure, by a release or a lapse.
-func (w *downWorld) went(op table.Op) {
+func (w *downWorld) went(op table.Operation) {
 	if w.broken == neverCounts {
-		op.Short = false
+		op.ShortTenure = false
 	}
 	for _, c := range w.all {
-		if c.who == op.Who && c.holds {
+		if c.who == op.Candidate && c.holds {
 			c.holds, c.wentAt = false, w.now
 			if w.now-c.heldFrom < shortLeases*modelTTL && c.heldFrom > w.since+modelTTL { // seen from its beginning
 				c.short++
@@ -91,7 +91,7 @@
 		}
 	}
 	// After a change of the leader the waits begin anew, so that only their bounds are known.
-	waits := c.short > fallsAllowed && c.wentAt >= w.since && w.now < c.wentAt+downFor(modelTTL, min(c.short, table.MostFalls))
+	waits := c.short > fallsAllowed && c.wentAt >= w.since && w.now < c.wentAt+downFor(modelTTL, min(c.short, table.MaxFailoverCount))
 	yes := w.leader.admit(w.clock(), w.state, "d", c.who)
 	if w.broken == alwaysWaits && waits || w.broken == noEnd && c.short > fallsAllowed {
 		yes = false
@@ -106,7 +106,7 @@
 	}
 	if yes {
 		c.refused = 0
-		w.apply(table.Op{Kind: table.Seek, Name: "d", Who: c.who, TTLMS: modelTTL.Milliseconds()})
+		w.apply(table.Operation{Kind: table.Campaign, Name: "d", Candidate: c.who, TTLMS: modelTTL.Milliseconds()})
 	} else if c.refused == 0 {
 		c.refused = w.now
 	}
@@ -128,8 +128,8 @@
 				c.away = w.now + modelTTL*3/2
 				return
 			}
-			w.went(table.Op{Kind: table.Release, Name: "d", Who: c.who, Token: d.Token,
-				Short: w.leader.short(w.clock(), "d", c.who, d.Token)})
+			w.went(table.Operation{Kind: table.Release, Name: "d", Candidate: c.who, Token: d.Token,
+				ShortTenure: w.leader.short(w.clock(), "d", c.who, d.Token)})
 			return
 		}
 		w.leader.renew(w.clock(), w.state, "d", c.who, d.Token)
@@ -158,7 +158,7 @@
 			w.leader.reset(w.clock(), w.state)
 		}
 	}
-	return w.wrong, w.duty().Changes, w
+	return w.wrong, w.duty().Transitions, w
 }
 
 // downExamples plays on so many seeds, the same with each run.
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -124,7 +124,7 @@
 }
 
 // Duty gives a duty as it is, and what to wait on for a change of any.
-func (h *Hub) Duty(name string) (d table.Duty, woken <-chan struct{}) {
+func (h *Hub) Duty(name string) (d table.Lease, woken <-chan struct{}) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	d, _ = h.state.duties.Get(name)
--- a/internal/registry/ledger_test.go
+++ b/internal/registry/ledger_test.go
@@ -270,7 +270,7 @@
 	if _, err := b.client.Ledger(b.ctx, registry.Write{}, op); !refused(err, http.StatusConflict) {
 		t.Errorf("without a token: %v", err)
 	}
-	first, err := b.client.Duty(b.ctx, table.Seek, duty, registry.DutyCall{Who: "a", TTLMS: 60_000})
+	first, err := b.client.Duty(b.ctx, table.Campaign, duty, registry.DutyCall{Who: "a", TTLMS: 60_000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -278,7 +278,7 @@
 	if _, err := b.client.Ledger(b.ctx, registry.Write{Guard: guard}, op); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := b.client.Duty(b.ctx, table.Takeaway, duty, registry.DutyCall{}); err != nil {
+	if _, err := b.client.Duty(b.ctx, table.Revoke, duty, registry.DutyCall{}); err != nil {
 		t.Fatal(err)
 	}
 	begin := disruption.Op{Kind: disruption.OpBegin, Owner: duty, Permit: &disruption.Permit{ID: "p"}}
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -71,8 +71,8 @@
 }
 
 func (c *dutyCollector) Collect(to chan<- prometheus.Metric) {
-	var list []*table.Duty
-	c.r.hub.Read(func(s *State) { list = s.duties.Save() })
+	var list []*table.Lease
+	c.r.hub.Read(func(s *State) { list = s.duties.Snapshot() })
 	now := time.Now()
 	for _, d := range list[:min(len(list), mostDutyMetrics)] {
 		held := 0.0
@@ -80,7 +80,7 @@
 			held = 1
 		}
 		to <- prometheus.MustNewConstMetric(dutyHeld, prometheus.GaugeValue, held, d.Name)
-		to <- prometheus.MustNewConstMetric(dutyChanges, prometheus.CounterValue, float64(d.Changes), d.Name)
+		to <- prometheus.MustNewConstMetric(dutyChanges, prometheus.CounterValue, float64(d.Transitions), d.Name)
 		to <- prometheus.MustNewConstMetric(dutyQueue, prometheus.GaugeValue, float64(len(d.Queue)), d.Name)
 		if c.r.leading.Load() {
 			to <- prometheus.MustNewConstMetric(dutyAge, prometheus.GaugeValue, c.r.duties.age(now, d).Seconds(), d.Name)
--- a/internal/registry/placement_test.go
+++ b/internal/registry/placement_test.go
@@ -20,7 +20,7 @@
 // seek gets a duty for as long as a test lasts.
 func (b *bed) seek(name string) *registry.Guard {
 	b.Helper()
-	d, err := b.client.Duty(b.ctx, table.Seek, name, registry.DutyCall{Who: "me", TTLMS: 3600_000})
+	d, err := b.client.Duty(b.ctx, table.Campaign, name, registry.DutyCall{Who: "me", TTLMS: 3600_000})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -131,16 +131,16 @@
 
 // Record is one entry of the log. Fields of a later version that are not known here are skipped.
 type Record struct {
-	Op        Op         `json:"op"`
-	ID        string     `json:"id,omitempty"` // of the write: a repeat after a lost answer is not done twice
-	IfRev     *uint64    `json:"if_rev,omitempty"`
-	Instances []Instance `json:"instances,omitempty"`
-	Refs      []Ref      `json:"refs,omitempty"`
-	State     string     `json:"state,omitempty"`
-	On        bool       `json:"on,omitempty"`
-	Epoch     uint64     `json:"epoch,omitempty"`
-	Duty      *table.Op  `json:"duty,omitempty"`
-	Guard     *Guard     `json:"guard,omitempty"` // the write counts only under this duty's token
+	Op        Op               `json:"op"`
+	ID        string           `json:"id,omitempty"` // of the write: a repeat after a lost answer is not done twice
+	IfRev     *uint64          `json:"if_rev,omitempty"`
+	Instances []Instance       `json:"instances,omitempty"`
+	Refs      []Ref            `json:"refs,omitempty"`
+	State     string           `json:"state,omitempty"`
+	On        bool             `json:"on,omitempty"`
+	Epoch     uint64           `json:"epoch,omitempty"`
+	Duty      *table.Operation `json:"duty,omitempty"`
+	Guard     *Guard           `json:"guard,omitempty"` // the write counts only under this duty's token
 
 	Placement *placement.Op  `json:"placement,omitempty"`
 	Release   *release.Op    `json:"release,omitempty"`
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -122,7 +122,7 @@
 }
 
 func (s *State) do(index uint64, r *Record) Result {
-	if g := r.Guard; g != nil && !s.duties.Holds(g.Duty, g.Token) {
+	if g := r.Guard; g != nil && !s.duties.TokenValid(g.Duty, g.Token) {
 		return Result{Conflict, s.duties.Rev(), fmt.Sprintf("token %d of duty %s counts no more", g.Token, g.Duty)}
 	}
 	switch r.Op {
@@ -185,12 +185,12 @@
 // Duties is the table of duties, for reading.
 func (s *State) Duties() *table.Table { return s.duties }
 
-func (s *State) doDuty(index uint64, op *table.Op) Result {
+func (s *State) doDuty(index uint64, op *table.Operation) Result {
 	if op == nil {
 		return Result{Conflict, s.duties.Rev(), "no operation"}
 	}
 	outcome, why := s.duties.Apply(index, op)
-	of := map[table.Outcome]Outcome{table.Done: Done, table.Stale: Conflict, table.NotFound: NotFound, table.TooMany: TooMany}
+	of := map[table.Outcome]Outcome{table.Applied: Done, table.Stale: Conflict, table.NotFound: NotFound, table.LimitExceeded: TooMany}
 	return Result{of[outcome], s.duties.Rev(), why}
 }
 
@@ -343,7 +343,7 @@
 	Instances []*Instance         `json:"instances"`
 	Writes    map[string]Result   `json:"writes"`
 	Order     []string            `json:"order"`
-	Duties    []*table.Duty       `json:"duties,omitempty"`
+	Duties    []*table.Lease      `json:"duties,omitempty"`
 	Placement *placement.Snapshot `json:"placement,omitempty"`
 	Releases  *release.Saved      `json:"releases,omitempty"`
 	Windows   *window.Saved       `json:"windows,omitempty"`
@@ -353,7 +353,7 @@
 // Snapshot writes the state. History is left out: watches that come back after a restore get the whole list.
 func (s *State) Snapshot(w io.Writer) error {
 	snap := snapshot{Rev: s.rev, Applied: s.applied, Epoch: s.epoch, Instances: []*Instance{}, Writes: s.writes, Order: s.order,
-		Duties: s.duties.Save(), Placement: s.places.Snapshot(), Releases: s.releases.Save(), Windows: s.windows.Save()}
+		Duties: s.duties.Snapshot(), Placement: s.places.Snapshot(), Releases: s.releases.Save(), Windows: s.windows.Save()}
 	snap.Ledger = s.ledger.save()
 	for _, uid := range slices.Sorted(maps.Keys(s.instances)) {
 		snap.Instances = append(snap.Instances, s.instances[uid])
@@ -407,7 +407,7 @@
 	if slices.Contains(snap.Duties, nil) {
 		return nil, fmt.Errorf("snapshot: an empty duty")
 	}
-	s.duties = table.Load(snap.Duties)
+	s.duties = table.FromSnapshot(snap.Duties)
 	s.places = placement.Restore(snap.Placement, snap.Epoch)
 	s.releases = release.Load(snap.Releases)
 	s.setWindows(window.Load(snap.Windows))
--- a/internal/release/drive/drive.go
+++ b/internal/release/drive/drive.go
@@ -45,8 +45,8 @@
 
 // Reports is where sidecars' reports come from; collect.Collector is one.
 type Reports interface {
-	SetOpen(open bool)
-	Snapshot() ([]collect.Seen, time.Duration)
+	SetAccepting(open bool)
+	Snapshot() ([]collect.ReceivedReport, time.Duration)
 }
 
 // Driver carries out the release Name. Its Work is what duty.Run calls for the duty release.Owner(Name).
@@ -90,8 +90,8 @@
 
 // Work carries the release out until it is over and nothing was told it since, or ctx ends.
 func (d *Driver) Work(ctx context.Context, l *duty.Lease) error {
-	d.Reports.SetOpen(true)
-	defer d.Reports.SetOpen(false)
+	d.Reports.SetAccepting(true)
+	defer d.Reports.SetAccepting(false)
 	t := &tenure{Driver: d, guard: l.Guard(), answers: map[string]supervisor.Outcome{}, denied: map[string]string{}, made: map[string]bool{},
 		watch: release.NewWatch(d.Strata), empty: release.NewEmptiness(d.Longest.Milliseconds()), began: time.Now(), seen: map[string]time.Duration{}}
 	pause := time.Duration(0)
--- a/internal/release/drive/drive_test.go
+++ b/internal/release/drive/drive_test.go
@@ -108,13 +108,13 @@
 	}
 }
 
-func (f *fleet) SetOpen(bool) {}
+func (f *fleet) SetAccepting(bool) {}
 
 // Snapshot is a report of both sidecars, who have the list as it is.
-func (f *fleet) Snapshot() ([]collect.Seen, time.Duration) {
+func (f *fleet) Snapshot() ([]collect.ReceivedReport, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []collect.Seen
+	var out []collect.ReceivedReport
 	for _, s := range []string{"s1", "s2"} {
 		r := placement.LoadReport{Sidecar: s, Zone: "a", EndpointRevision: f.rev}
 		for _, cohort := range []string{"", "r"} {
@@ -122,7 +122,7 @@
 				r.ClassCounts = append(r.ClassCounts, placement.ClassCount{Class: "c", Zone: zone, Cohort: cohort, Succeeded: 400, LatencyHistogram: []uint32{300, 60, 40}})
 			}
 		}
-		out = append(out, collect.Seen{LoadReport: r, At: time.Duration(time.Now().UnixMilli())})
+		out = append(out, collect.ReceivedReport{LoadReport: r, ReceivedAt: time.Duration(time.Now().UnixMilli())})
 	}
 	return out, 0
 }
--- a/internal/release/drive/look.go
+++ b/internal/release/drive/look.go
@@ -100,13 +100,13 @@
 	t.judged = time.Now()
 	var news []placement.LoadReport
 	for i := range seen {
-		if at, known := t.seen[seen[i].Sidecar]; !known || at != seen[i].At {
+		if at, known := t.seen[seen[i].Sidecar]; !known || at != seen[i].ReceivedAt {
 			news = append(news, seen[i].LoadReport)
 		}
 	}
 	clear(t.seen)
 	for i := range seen {
-		t.seen[seen[i].Sidecar] = seen[i].At
+		t.seen[seen[i].Sidecar] = seen[i].ReceivedAt
 	}
 	t.watch.Add(t.state, t.state.Interval(news, len(living), t.before, platform))
 	if platform != nil {
--- a/internal/spread/driver.go
+++ b/internal/spread/driver.go
@@ -39,8 +39,8 @@
 
 // Reports is where sidecars' reports come from; collect.Collector is one.
 type Reports interface {
-	SetOpen(open bool)
-	Snapshot() ([]collect.Seen, time.Duration)
+	SetAccepting(open bool)
+	Snapshot() ([]collect.ReceivedReport, time.Duration)
 }
 
 // Driver runs a Decider while the duty is held. Its Work is what duty.Run calls.
@@ -64,8 +64,8 @@
 // Work decides until ctx ends or the placement cannot be taken over. The table goes on from the placement and stays in
 // it: the next holder, or none, finds the entries until they end.
 func (dr *Driver) Work(ctx context.Context, l *duty.Lease) error {
-	dr.Reports.SetOpen(true)
-	defer dr.Reports.SetOpen(false)
+	dr.Reports.SetAccepting(true)
+	defer dr.Reports.SetAccepting(false)
 	v, err := dr.look(ctx, true)
 	if err != nil {
 		return err
@@ -154,11 +154,11 @@
 	for i := range reports {
 		r := &reports[i]
 		there[r.Sidecar] = true
-		if last, ok := seen[r.Sidecar]; ok && last == r.At {
+		if last, ok := seen[r.Sidecar]; ok && last == r.ReceivedAt {
 			continue
 		}
-		seen[r.Sidecar] = r.At
-		dr.decider.Report(now-math.Max((at-r.At).Seconds(), 0), &r.LoadReport)
+		seen[r.Sidecar] = r.ReceivedAt
+		dr.decider.Report(now-math.Max((at-r.ReceivedAt).Seconds(), 0), &r.LoadReport)
 	}
 	for name := range seen {
 		if !there[name] {
--- a/internal/spread/driver_test.go
+++ b/internal/spread/driver_test.go
@@ -115,7 +115,7 @@
 					s.mu.Lock()
 					rev := s.rev
 					s.mu.Unlock()
-					_ = reports.Take(&placement.LoadReport{Sidecar: fmt.Sprint("car", i), PlacementRevision: rev, IntervalMS: 1000, TotalKeyLoad: 900,
+					_ = reports.Add(&placement.LoadReport{Sidecar: fmt.Sprint("car", i), PlacementRevision: rev, IntervalMS: 1000, TotalKeyLoad: 900,
 						HotKeys: []placement.KeyLoad{{KeyHash: Name(hotKey), Load: 300}}})
 				}
 			})
@@ -124,7 +124,7 @@
 			ctx, stop := context.WithCancelCause(all)
 			ended := make(chan error, 1)
 			around.Go(func() { ended <- dr.Work(ctx, &duty.Lease{Name: Duty, Token: token}) })
-			return func() error { stop(duty.ErrLost); return <-ended }
+			return func() error { stop(duty.ErrLeaseLost); return <-ended }
 		}
 		driver := func() *Driver { return &Driver{Store: s, Reports: reports, Config: Default(1000, 50)} }
 
@@ -138,7 +138,7 @@
 		s.down = false
 		s.mu.Unlock()
 		waitFor(t, 5*time.Second, "copies that carry once writes pass", func() bool { c, _ := s.copies(); return len(c) > 3 })
-		if err := end(); !errors.Is(err, duty.ErrLost) {
+		if err := end(); !errors.Is(err, duty.ErrLeaseLost) {
 			t.Errorf("ended by %v", err)
 		}
 
--- a/internal/spread/process_test.go
+++ b/internal/spread/process_test.go
@@ -74,7 +74,7 @@
 	t.Cleanup(around.Wait)
 	t.Cleanup(stop)
 	for n := range 2 {
-		a, err := agent.Start(agent.Options{Listen: block.Addr(201, n, 8500), Replicas: b.c.HTTPs(), Reports: b.at})
+		a, err := agent.Start(agent.Options{Listen: block.Addr(201, n, 8500), Replicas: b.c.HTTPs(), ReportAddresses: b.at})
 		b.no(err)
 		t.Cleanup(func() { a.Close() })
 		for i := range 15 {
--- a/internal/window/drive/drive.go
+++ b/internal/window/drive/drive.go
@@ -39,8 +39,8 @@
 
 // Reports is where sidecars' reports come from; collect.Collector is one.
 type Reports interface {
-	SetOpen(open bool)
-	Snapshot() ([]collect.Seen, time.Duration)
+	SetAccepting(open bool)
+	Snapshot() ([]collect.ReceivedReport, time.Duration)
 }
 
 // Driver carries windows out. Its Work is what duty.Run calls for the duty window.Duty.
@@ -62,8 +62,8 @@
 
 // Work carries windows out until ctx ends.
 func (d *Driver) Work(ctx context.Context, l *duty.Lease) error {
-	d.Reports.SetOpen(true)
-	defer d.Reports.SetOpen(false)
+	d.Reports.SetAccepting(true)
+	defer d.Reports.SetAccepting(false)
 	t := &tenure{d, window.NewCore(l.Token), l.Guard(), time.Now()}
 	pause := time.Duration(0)
 	for {
@@ -107,7 +107,7 @@
 	seen, at := t.Reports.Snapshot()
 	for i := range seen {
 		heard := t.now()
-		heard.MonoMS -= (at - seen[i].At).Milliseconds()
+		heard.MonoMS -= (at - seen[i].ReceivedAt).Milliseconds()
 		t.core.Heard(heard, seen[i].LoadReport)
 	}
 	now := t.now()
--- a/internal/window/drive/drive_test.go
+++ b/internal/window/drive/drive_test.go
@@ -84,7 +84,7 @@
 	t.Cleanup(stop)
 	cars := registry.SidecarCall{TTLMS: 600_000}
 	for n := range 2 {
-		a, err := agent.Start(agent.Options{Listen: block.Addr(201, n, 8500), Replicas: b.c.HTTPs(), Reports: b.at})
+		a, err := agent.Start(agent.Options{Listen: block.Addr(201, n, 8500), Replicas: b.c.HTTPs(), ReportAddresses: b.at})
 		b.no(err)
 		t.Cleanup(func() { a.Close() })
 		b.agents = append(b.agents, a.Addr())
