--- a/cmd/milldeck/releasestart.go
+++ b/cmd/milldeck/releasestart.go
@@ -170,8 +170,8 @@
 	if err != nil {
 		return "", err
 	}
-	if info.Size() > supervisor.MaxFile {
-		return "", fmt.Errorf("%s: %d bytes, at most %d are taken", path, info.Size(), supervisor.MaxFile)
+	if info.Size() > supervisor.MaxConfigBytes {
+		return "", fmt.Errorf("%s: %d bytes, at most %d are taken", path, info.Size(), supervisor.MaxConfigBytes)
 	}
 	data, err := os.ReadFile(path)
 	return string(data), err
--- a/cmd/milldeck/spread.go
+++ b/cmd/milldeck/spread.go
@@ -42,13 +42,13 @@
 	a := &asking{}
 	c := &cobra.Command{
 		Use:   "serve",
-		Short: "Seeks the duty " + spread.Duty + " and decides while it is held, until SIGTERM",
-		Long: "serve takes sidecars' reports, seeks the duty " + spread.Duty + " and decides while it is held. Run two or three; agents\n" +
+		Short: "Seeks the duty " + spread.LeaseName + " and decides while it is held, until SIGTERM",
+		Long: "serve takes sidecars' reports, seeks the duty " + spread.LeaseName + " and decides while it is held. Run two or three; agents\n" +
 			"pass reports on to all of them.\n\n" + exitHelp,
 		Args: exactly(0),
 		RunE: func(c *cobra.Command, _ []string) error {
-			config := spread.Default(bear, work)
-			if err := config.Check(); err != nil {
+			config := spread.DefaultConfig(bear, work)
+			if err := config.Validate(); err != nil {
 				return usageError{err}
 			}
 			if err := registry.Loopback("listen", listen); err != nil {
@@ -60,7 +60,7 @@
 			}
 			defer client.Close()
 			reports := collect.New(collect.Options{})
-			return serveSpread(c.Context(), listen, client, &spread.Driver{Store: client, Reports: reports, Config: config, ColdFor: coldFor}, reports)
+			return serveSpread(c.Context(), listen, client, &spread.Controller{Store: client, Reports: reports, Config: config, ServerWarmup: coldFor}, reports)
 		},
 	}
 	c.Flags().StringVar(&listen, "listen", devSpread, "address for reports and questions")
@@ -71,12 +71,12 @@
 	return c
 }
 
-func serveSpread(ctx context.Context, listen string, client *registry.Client, dr *spread.Driver, reports http.Handler) error {
+func serveSpread(ctx context.Context, listen string, client *registry.Client, dr *spread.Controller, reports http.Handler) error {
 	mux := http.NewServeMux()
 	mux.Handle("/reports", reports)
 	mux.Handle("/spread", dr.Handler())
 	mux.Handle("/spread/", dr.Handler())
-	return serveDuty(ctx, listen, mux, client, spread.Duty, duty.DefaultTTL, dr.Work)
+	return serveDuty(ctx, listen, mux, client, spread.LeaseName, duty.DefaultTTL, dr.Run)
 }
 
 func newSpreadShow() *cobra.Command {
@@ -97,7 +97,7 @@
 			return a.show(c.OutOrStdout(), rows, func(w io.Writer) error {
 				t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 				for _, r := range rows {
-					fmt.Fprintf(t, "%s\t%.0f to %.0f ms/s\t%d warming\t%d carrying\t%d cooling\n", r.Key, r.Low, r.High, r.Warming, r.Carrying, r.Cooling)
+					fmt.Fprintf(t, "%s\t%.0f to %.0f ms/s\t%d warming\t%d carrying\t%d cooling\n", r.Key, r.LowerBound, r.UpperBound, r.Warming, r.Active, r.Retiring)
 				}
 				return t.Flush()
 			})
@@ -109,7 +109,7 @@
 	return c
 }
 
-func askSpread(ctx context.Context, at string) (rows []spread.Row, err error) {
+func askSpread(ctx context.Context, at string) (rows []spread.KeyStatus, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+"/spread", nil)
 	if err != nil {
 		return nil, usageError{err}
--- a/internal/lab/live/plane_faults.go
+++ b/internal/lab/live/plane_faults.go
@@ -126,8 +126,8 @@
 		return nil
 	}
 	_, err = c.client.Do(ctx, supervisor.Request{
-		ID: fmt.Sprintf("lab/%s/%s/%d", op, unit, u.Incarnation), Op: op, Memory: known.Memory, Unit: unit, Incarnation: u.Incarnation,
-		Kind: u.Kind, Version: u.Version, Listen: u.Listen, Zone: u.Zone, Config: u.Config,
+		ID: fmt.Sprintf("lab/%s/%s/%d", op, unit, u.Incarnation), Op: op, Epoch: known.Epoch, Unit: unit, Incarnation: u.Incarnation,
+		Kind: u.Kind, Version: u.Version, Listen: u.Listen, Zone: u.Zone, ConfigName: u.ConfigName,
 	})
 	return err
 }
--- a/internal/lab/live/platform.go
+++ b/internal/lab/live/platform.go
@@ -75,7 +75,7 @@
 	for len(all) > 0 {
 		n := min(len(all), startBatch)
 		for i := range all[:n] {
-			all[i].Memory = known.Memory
+			all[i].Epoch = known.Epoch
 		}
 		out, err := c.client.Do(ctx, all[:n]...)
 		if err != nil {
@@ -99,7 +99,7 @@
 		all = append(all, supervisor.Request{
 			ID: "lab/start/" + s.plan.UID, Op: supervisor.Start, Unit: s.plan.UID, Kind: supervisor.Server,
 			Version: c.file.ServerVersion, Listen: c.f.addrs.server(s.plan.Slot, 0), Zone: c.f.plan.File.Zones[s.plan.Zone],
-			Config: "base", File: c.serverFile(s),
+			ConfigName: "base", ConfigText: c.serverFile(s),
 		})
 	}
 	if err := c.launch(ctx, all); err != nil {
@@ -130,7 +130,7 @@
 		p := &c.f.plan.Sidecars[n.n]
 		all = append(all, supervisor.Request{
 			ID: "lab/start/" + p.Name, Op: supervisor.Start, Unit: p.Name, Kind: supervisor.Sidecar,
-			Version: c.file.SidecarVersion, Listen: n.addr, Zone: c.f.plan.File.Zones[p.Zone], Config: "base", File: string(text),
+			Version: c.file.SidecarVersion, Listen: n.addr, Zone: c.f.plan.File.Zones[p.Zone], ConfigName: "base", ConfigText: string(text),
 		})
 	}
 	if err := c.launch(ctx, all); err != nil {
--- a/internal/lab/live/rogue.go
+++ b/internal/lab/live/rogue.go
@@ -55,9 +55,9 @@
 		if u == nil {
 			return fmt.Errorf("the platform knows no unit %s", name)
 		}
-		r := supervisor.Request{ID: fmt.Sprintf("lab/step%d/%s", n, name), Op: op, Memory: known.Memory, Unit: name, Incarnation: u.Incarnation}
+		r := supervisor.Request{ID: fmt.Sprintf("lab/step%d/%s", n, name), Op: op, Epoch: known.Epoch, Unit: name, Incarnation: u.Incarnation}
 		if op != supervisor.Stop {
-			r.Kind, r.Version, r.Listen, r.Zone, r.Config = u.Kind, u.Version, u.Listen, u.Zone, u.Config
+			r.Kind, r.Version, r.Listen, r.Zone, r.ConfigName = u.Kind, u.Version, u.Listen, u.Zone, u.ConfigName
 		}
 		all = append(all, r)
 	}
--- a/internal/lab/night/faults.go
+++ b/internal/lab/night/faults.go
@@ -17,14 +17,14 @@
 		if inc = at.Incarnation; at.State != supervisor.Exited {
 			if at.State == supervisor.Starting && !u.alive { // listed, and no process: half was done
 				w.calls++
-				w.platform.Do(context.Background(), supervisor.Request{ID: fmt.Sprintf("ops-%d", w.calls), Op: supervisor.Stop, Memory: memory, Unit: u.name, Incarnation: inc})
+				w.platform.Do(context.Background(), supervisor.Request{ID: fmt.Sprintf("ops-%d", w.calls), Op: supervisor.Stop, Epoch: memory, Unit: u.name, Incarnation: inc})
 			}
 			return
 		}
 	}
 	w.calls++
-	w.platform.Do(context.Background(), supervisor.Request{ID: fmt.Sprintf("ops-%d", w.calls), Op: supervisor.Start, Memory: memory, Unit: u.name,
-		Incarnation: inc, Kind: supervisor.Kind(u.Kind), Version: u.version, Config: "c1", File: "c1", Listen: "127.0.0.1:7000", Zone: u.Zone})
+	w.platform.Do(context.Background(), supervisor.Request{ID: fmt.Sprintf("ops-%d", w.calls), Op: supervisor.Start, Epoch: memory, Unit: u.name,
+		Incarnation: inc, Kind: supervisor.Kind(u.Kind), Version: u.version, ConfigName: "c1", ConfigText: "c1", Listen: "127.0.0.1:7000", Zone: u.Zone})
 }
 
 // The night's faults come within busyMS of its begin.
@@ -130,18 +130,18 @@
 
 func (w *world) platformFaults(at func() int64) {
 	r := w.rng
-	hang := core.Fault{Kind: core.Hang, ForMS: 2000 + r.Int64N(30_000)}
-	w.fault(at(), fmt.Sprintf("the platform hangs for %d ms", hang.ForMS), w.platformFault(hang))
+	hang := core.Fault{Kind: core.FaultHang, DurationMS: 2000 + r.Int64N(30_000)}
+	w.fault(at(), fmt.Sprintf("the platform hangs for %d ms", hang.DurationMS), w.platformFault(hang))
 	for range 1 + r.IntN(4) {
-		f := core.Fault{Kind: []core.FaultKind{core.Half, core.Lose, core.Twice, core.Wrong, core.Forget, core.Fail}[r.IntN(6)], Count: 1 + r.IntN(3)}
+		f := core.Fault{Kind: []core.FaultKind{core.FaultPartial, core.FaultDropResponse, core.FaultDuplicate, core.FaultWrongUnit, core.FaultLoseState, core.FaultError}[r.IntN(6)], Count: 1 + r.IntN(3)}
 		switch f.Kind {
-		case core.Forget:
-			f.Count, f.ForMS = 0, 1000+r.Int64N(20_000)
+		case core.FaultLoseState:
+			f.Count, f.DurationMS = 0, 1000+r.Int64N(20_000)
 			w.judge.excused = true
-		case core.Twice:
+		case core.FaultDuplicate:
 			f.On, f.Count = core.OnDo, 1
 			w.judge.excused = true
-		case core.Half, core.Wrong:
+		case core.FaultPartial, core.FaultWrongUnit:
 			f.On = core.OnDo
 		}
 		w.fault(at(), "the platform: "+string(f.Kind), w.platformFault(f))
--- a/internal/lab/night/judge.go
+++ b/internal/lab/night/judge.go
@@ -122,7 +122,7 @@
 		d.wasOut = true
 	}
 	d.in = in
-	if n := j.w.platform.Alive(u.name); n > 1 && !j.excused && !j.seen["twice "+u.ID] {
+	if n := j.w.platform.LiveProcesses(u.name); n > 1 && !j.excused && !j.seen["twice "+u.ID] {
 		j.seen["twice "+u.ID] = true
 		j.breaks(ruleOnce, fmt.Sprintf("%s has %d processes", u.ID, n))
 	}
--- a/internal/lab/night/operator.go
+++ b/internal/lab/night/operator.go
@@ -66,7 +66,7 @@
 		}
 		at := l.Find(u.name)
 		if !u.alive {
-			w.startUnit(u, at, l.Memory)
+			w.startUnit(u, at, l.Epoch)
 		}
 		if _, under := w.plane.at[u.ID]; !under && u.alive && w.plane.drains[u.ID] != 0 {
 			delete(w.plane.drains, u.ID)
--- a/internal/lab/night/release.go
+++ b/internal/lab/night/release.go
@@ -156,10 +156,10 @@
 	w := c.p.w
 	var reqs []supervisor.Request
 	for _, e := range effects {
-		if do, is := e.(release.Do); is && len(reqs) < supervisor.MostRequests {
+		if do, is := e.(release.Do); is && len(reqs) < supervisor.MaxRequests {
 			r := do.Request
-			if r.Op == supervisor.Start && r.Config != "" {
-				r.File = r.Config
+			if r.Op == supervisor.Start && r.ConfigName != "" {
+				r.ConfigText = r.ConfigName
 			}
 			reqs = append(reqs, r)
 		}
--- a/internal/lab/night/spreader.go
+++ b/internal/lab/night/spreader.go
@@ -20,25 +20,25 @@
 type spreader struct {
 	p     *process
 	token uint64
-	d     *spread.Decider
+	d     *spread.Planner
 }
 
 func (w *world) spreader(k int) *process {
-	return w.process(fmt.Sprintf("spread-%d", k), spread.Duty, func(p *process) controller { return &spreader{p: p} })
+	return w.process(fmt.Sprintf("spread-%d", k), spread.LeaseName, func(p *process) controller { return &spreader{p: p} })
 }
 
-func (w *world) spreadConfig() spread.Config { return spread.Default(bearMS, workMS) }
+func (w *world) spreadConfig() spread.Config { return spread.DefaultConfig(bearMS, workMS) }
 
 func (c *spreader) take(token uint64) {
-	d, err := spread.New(c.p.w.spreadConfig())
+	d, err := spread.NewPlanner(c.p.w.spreadConfig())
 	if err != nil {
 		panic(err) // the default can be
 	}
 	c.token, c.d = token, d
-	d.Sidecars(len(c.p.w.sidecars))
-	d.Servers(c.servers())
+	d.SetExpectedSidecars(len(c.p.w.sidecars))
+	d.SetServers(c.servers())
 	w := c.p.w
-	d.Resume(float64(w.now)/1000, w.plane.places.CompleteUpdate(w.now+w.plane.leader.off).Directives)
+	d.Restore(float64(w.now)/1000, w.plane.places.CompleteUpdate(w.now+w.plane.leader.off).Directives)
 }
 
 func (c *spreader) servers() []spread.Server {
@@ -57,8 +57,8 @@
 		if k.Condition == disruption.ConditionLost {
 			continue
 		}
-		list = append(list, spread.Server{UID: u.name, Zone: u.Zone, Pod: u.PodGroup, Capacity: 1, Boot: float64(u.bootMS), KeptOff: off[u.name],
-			Ready: k.Condition == disruption.ConditionUp || k.Condition == disruption.ConditionWarmingUp, Cold: k.Condition == disruption.ConditionWarmingUp})
+		list = append(list, spread.Server{UID: u.name, Zone: u.Zone, Pod: u.PodGroup, Capacity: 1, BootMS: float64(u.bootMS), Excluded: off[u.name],
+			Ready: k.Condition == disruption.ConditionUp || k.Condition == disruption.ConditionWarmingUp, WarmingUp: k.Condition == disruption.ConditionWarmingUp})
 	}
 	return list
 }
@@ -70,7 +70,7 @@
 	if w.now%1000 != 0 || c.p.cut > w.now || !w.heated() {
 		return
 	}
-	c.d.Servers(c.servers())
+	c.d.SetServers(c.servers())
 	all := hotPart * bearMS * float64(len(w.servers))
 	for _, u := range w.sidecars {
 		if !u.alive || u.car.mute > w.now {
@@ -78,31 +78,31 @@
 		}
 		r := placement.LoadReport{Sidecar: u.name, PlacementRevision: u.car.rev, IntervalMS: 1000, TotalKeyLoad: 2 * all / float64(len(w.sidecars))}
 		if w.hot() {
-			r.HotKeys = []placement.KeyLoad{{KeyHash: spread.Name(w.night.hotKey), Load: all / float64(len(w.sidecars))}}
+			r.HotKeys = []placement.KeyLoad{{KeyHash: spread.FormatKey(w.night.hotKey), Load: all / float64(len(w.sidecars))}}
 		}
-		c.d.Report(now, &r)
+		c.d.AddReport(now, &r)
 	}
-	for _, e := range c.d.Decide(now) {
+	for _, e := range c.d.Plan(now) {
 		if !c.p.act(func() { c.carry(e) }) {
 			return
 		}
 	}
 }
 
-func (c *spreader) carry(e spread.Effect) {
+func (c *spreader) carry(e spread.Change) {
 	w, d := c.p.w, c.d
 	op := &placement.Op{}
-	id := e.Drop
-	if e.Put != nil {
-		id = e.Put.ID
-		op.Set = []placement.Directive{*e.Put}
+	id := e.RemoveID
+	if e.Set != nil {
+		id = e.Set.ID
+		op.Set = []placement.Directive{*e.Set}
 	} else {
-		op.Delete = []string{e.Drop}
+		op.Delete = []string{e.RemoveID}
 	}
 	a, known := c.p.write(c.token, func() (string, string) {
 		op.LeaderTimeMS = w.now + w.plane.leader.off
 		had := map[string]bool{}
-		if e.Put != nil {
+		if e.Set != nil {
 			for _, old := range w.plane.places.CompleteUpdate(op.LeaderTimeMS).Directives {
 				if old.ID == id {
 					for _, k := range old.Copies {
@@ -111,14 +111,14 @@
 				}
 			}
 		}
-		out, why := w.plane.places.Apply(w.plane.rev, spread.Duty, op)
-		if out == placement.OutcomeApplied && e.Put != nil {
-			w.judge.copies(e.Put, had)
+		out, why := w.plane.places.Apply(w.plane.rev, spread.LeaseName, op)
+		if out == placement.OutcomeApplied && e.Set != nil {
+			w.judge.copies(e.Set, had)
 		}
 		return string(out), why
 	})
 	if known && a.outcome == string(placement.OutcomeApplied) {
-		d.Wrote(id, w.plane.rev)
+		d.Confirm(id, w.plane.rev)
 	}
 }
 
@@ -141,17 +141,17 @@
 		}
 	}
 	sec := j.w.now / 1000
-	j.cold[sec] += float64(added) * cfg.ColdWork
+	j.cold[sec] += float64(added) * cfg.WarmupWork
 	sum := 0.0
 	for s := sec - coldSpan + 1; s <= sec; s++ {
 		sum += j.cold[s]
 	}
 	// A second of the budget may be saved up, and so may a second of the least.
-	rate := max(cfg.Budget*bearMS*float64(len(j.w.servers)), cfg.Least)
+	rate := max(cfg.WarmupBudget*bearMS*float64(len(j.w.servers)), cfg.MinWarmupBudget)
 	if sum > rate*(coldSpan+1) {
 		j.breaks(ruleSpread, fmt.Sprintf("%.0f ms of cold work within %d s, %.0f allowed", sum, coldSpan, rate*(coldSpan+1)))
 	}
-	if n := float64(len(e.Copies)); n > cfg.Copies*float64(len(j.w.servers)) {
+	if n := float64(len(e.Copies)); n > cfg.ReplicasPerServer*float64(len(j.w.servers)) {
 		j.breaks(ruleSpread, fmt.Sprintf("%.0f copies", n))
 	}
 }
--- a/internal/lab/night/world.go
+++ b/internal/lab/night/world.go
@@ -118,7 +118,7 @@
 	versions := map[core.Version]fake.Version{}
 	for _, kind := range []supervisor.Kind{supervisor.Server, supervisor.Sidecar} {
 		for _, v := range []string{"1", goodVersion, deadVersion, neverVersion} {
-			versions[core.Version{Kind: kind, Name: v}] = fake.Version{Rules: core.Rules{GraceMS: 10_000, Restarts: 3}, Behave: w.behave}
+			versions[core.Version{Kind: kind, Name: v}] = fake.Version{ProcessPolicy: core.ProcessPolicy{GraceMS: 10_000, MaxRestarts: 3}, Behave: w.behave}
 		}
 	}
 	w.platform = fake.New(fake.Options{Versions: versions}, w.now)
@@ -141,8 +141,8 @@
 	}
 	list := w.list()
 	for _, u := range w.units {
-		w.platform.Do(context.Background(), supervisor.Request{ID: "first-" + u.name, Op: supervisor.Start, Memory: list.Memory, Unit: u.name,
-			Kind: supervisor.Kind(u.Kind), Version: "1", Config: "c1", File: "c1", Listen: "127.0.0.1:7000", Zone: u.Zone})
+		w.platform.Do(context.Background(), supervisor.Request{ID: "first-" + u.name, Op: supervisor.Start, Epoch: list.Epoch, Unit: u.name,
+			Kind: supervisor.Kind(u.Kind), Version: "1", ConfigName: "c1", ConfigText: "c1", Listen: "127.0.0.1:7000", Zone: u.Zone})
 	}
 	for range 16 {
 		w.tick()
@@ -183,19 +183,19 @@
 }
 
 // behave is told of each launch by the platform.
-func (w *world) behave(p supervisor.Unit) fake.Life {
+func (w *world) behave(p supervisor.Unit) fake.Behavior {
 	u := w.names[p.Name]
 	w.judge.launched(u, p.Version, p.Incarnation)
 	u.version, u.bootMS, u.active = p.Version, w.now, true
 	u.ready = w.now + readyMS
-	life := fake.Life{ReadyMS: readyMS, StopMS: stopMS}
+	life := fake.Behavior{ReadyAfterMS: readyMS, StopAfterMS: stopMS}
 	if off := w.powerOff[u.Zone]; off > w.now {
-		life.ReadyMS += off - w.now
+		life.ReadyAfterMS += off - w.now
 		u.ready = off + readyMS
 	}
 	switch p.Version {
 	case deadVersion:
-		u.ready, life.ReadyMS, life.EndsMS, life.Exit = far, -1, 100, "exit status 1"
+		u.ready, life.ReadyAfterMS, life.ExitAfterMS, life.ExitText = far, -1, 100, "exit status 1"
 	case neverVersion:
 		u.ready = far // the platform's own check is met, the list's is not
 	}
@@ -228,7 +228,7 @@
 	w.timers = slices.DeleteFunc(w.timers, func(t timer) bool { return t.do == nil })
 	missing := map[disruption.Kind]int{}
 	for _, u := range w.units {
-		if alive := w.platform.Alive(u.name) > 0; alive != u.alive {
+		if alive := w.platform.LiveProcesses(u.name) > 0; alive != u.alive {
 			u.alive, u.active = alive, true
 			if !alive && u.car != nil {
 				w.lapseAll(u)
--- a/internal/lab/sim/spread.go
+++ b/internal/lab/sim/spread.go
@@ -30,7 +30,7 @@
 	rng   *rand.Rand // of reports and placement: it moves no other chance
 	hot   map[uint64]bool
 
-	decider *spread.Decider // nil: nobody decides
+	decider *spread.Planner // nil: nobody decides
 	writing bool
 	rev     uint64
 	entries map[string]placement.Directive
@@ -43,7 +43,7 @@
 
 // car is what the sidecar's program keeps beside the module.
 type car struct {
-	heat *summary.Summary
+	heat *summary.Sketch
 	rev  uint64
 	due  bool // the placement is on its way
 }
@@ -61,12 +61,12 @@
 	if work == 0 {
 		work = p.MeanWork()
 	}
-	s.cfg = spread.Default(bear, work)
+	s.cfg = spread.DefaultConfig(bear, work)
 	if s.file.Budget > 0 {
-		s.cfg.Budget = s.file.Budget
+		s.cfg.WarmupBudget = s.file.Budget
 	}
 	if s.file.Copies > 0 {
-		s.cfg.Copies = s.file.Copies
+		s.cfg.ReplicasPerServer = s.file.Copies
 	}
 	if s.file.Keys > 0 {
 		s.cfg.MaxKeys = s.file.Keys
@@ -76,7 +76,7 @@
 			h.model.Knows = s.hot
 		}
 	}
-	return s, s.cfg.Check()
+	return s, s.cfg.Validate()
 }
 
 // begin starts what goes on by itself.
@@ -118,18 +118,18 @@
 
 // takeOver begins a decider, which goes on from the placement.
 func (s *spreader) takeOver(now float64) {
-	d, err := spread.New(s.cfg)
+	d, err := spread.NewPlanner(s.cfg)
 	if err != nil {
 		panic(err) // its settings were checked
 	}
 	s.decider = d
 	s.look(now)
-	d.Sidecars(len(s.cars))
+	d.SetExpectedSidecars(len(s.cars))
 	var entries []placement.Directive
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
 		entries = append(entries, s.entries[id])
 	}
-	d.Resume(unix(now), entries)
+	d.Restore(unix(now), entries)
 }
 
 // look tells the decider of the list, and drops entries that are over.
@@ -147,13 +147,13 @@
 			ready++
 		}
 		list = append(list, spread.Server{
-			UID: h.plan.UID, Zone: strconv.Itoa(h.plan.Zone), Pod: h.plan.Pod, Capacity: 1, Boot: unixZero*1000 + h.boot,
-			Ready: h.listed, Cold: h.boot > 0 && now < h.boot+coldFor,
+			UID: h.plan.UID, Zone: strconv.Itoa(h.plan.Zone), Pod: h.plan.Pod, Capacity: 1, BootMS: unixZero*1000 + h.boot,
+			Ready: h.listed, WarmingUp: h.boot > 0 && now < h.boot+coldFor,
 		})
 	}
 	s.judge.Ready(ready)
 	if s.decider != nil {
-		s.decider.Servers(list)
+		s.decider.SetServers(list)
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
 		if e := s.entries[id]; float64(e.ExpiresAtMS) <= 1000*unix(now) {
@@ -170,7 +170,7 @@
 
 // started: a sidecar begins a life; its agent has the placement at hand.
 func (s *spreader) started(n *node) {
-	s.cars[n.n] = car{heat: summary.New(heatKeys, s.cfg.Half)}
+	s.cars[n.n] = car{heat: summary.New(heatKeys, s.cfg.HalfLife)}
 	if s.rev > 0 {
 		s.send(n)
 	}
@@ -193,16 +193,16 @@
 		return
 	}
 	top := c.heat.Top(now/1000, placement.MaxHotKeys)
-	r := &placement.LoadReport{Sidecar: n.plan.Name, PlacementRevision: c.rev, IntervalMS: s.file.ReportMS, TotalKeyLoad: top.All}
-	for _, f := range top.Figures {
-		r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: spread.Name(f.Key), Load: f.Load, ErrorBound: f.Error})
+	r := &placement.LoadReport{Sidecar: n.plan.Name, PlacementRevision: c.rev, IntervalMS: s.file.ReportMS, TotalKeyLoad: top.Total}
+	for _, f := range top.Keys {
+		r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: spread.FormatKey(f.Key), Load: f.Load, ErrorBound: f.Error})
 	}
 	if s.lying[at] {
 		r.HotKeys = nil
 		for k := range lies {
-			r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: spread.Name(uint64(k + 1)), Load: top.All})
+			r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: spread.FormatKey(uint64(k + 1)), Load: top.Total})
 		}
-		r.TotalKeyLoad = lies * top.All
+		r.TotalKeyLoad = lies * top.Total
 	}
 	for _, part := range s.lost {
 		if s.rng.Float64() < part {
@@ -211,7 +211,7 @@
 	}
 	s.e.at(now+s.draw(s.file.TellMS), func(now float64) {
 		if s.decider != nil {
-			s.decider.Report(unix(now), r)
+			s.decider.AddReport(unix(now), r)
 		}
 	})
 }
@@ -221,7 +221,7 @@
 	if s.decider == nil || s.writing {
 		return
 	}
-	effects := s.decider.Decide(unix(now))
+	effects := s.decider.Plan(unix(now))
 	if len(effects) == 0 {
 		return
 	}
@@ -233,13 +233,13 @@
 	})
 }
 
-func (s *spreader) write(now float64, by *spread.Decider, effects []spread.Effect) {
+func (s *spreader) write(now float64, by *spread.Planner, effects []spread.Change) {
 	s.rev++
 	for _, f := range effects {
-		id := f.Drop
-		if f.Put != nil {
-			id = f.Put.ID
-			e := *f.Put
+		id := f.RemoveID
+		if f.Set != nil {
+			id = f.Set.ID
+			e := *f.Set
 			e.Revision = s.rev
 			s.entries[id] = e
 			shares := map[int]float64{}
@@ -253,7 +253,7 @@
 			delete(s.entries, id)
 			s.judge.Placed(now, keyOf(&e), nil)
 		}
-		by.Wrote(id, s.rev)
+		by.Confirm(id, s.rev)
 	}
 	s.judge.Written(now)
 	s.told = balance.Placement{}
--- a/internal/registry/release_test.go
+++ b/internal/registry/release_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &supervisor.List{Memory: 1, Complete: true}
+	l := &supervisor.List{Epoch: 1, Complete: true}
 	var units []disruption.Unit
 	for i, n := range []string{"a", "b", "c", "d"} {
 		units = append(units, disruption.Unit{ID: "server/" + n, Kind: disruption.KindServer, Zone: "z", PodGroup: i % 2, Capacity: 1, Condition: disruption.ConditionUp})
--- a/internal/release/begin.go
+++ b/internal/release/begin.go
@@ -89,6 +89,6 @@
 	if capacity == 0 {
 		capacity = 1
 	}
-	return Unit{ID: d.ID, Name: name, Wave: wave, Was: Image{at.Version, at.Config}, Listen: at.Listen, Zone: at.Zone,
+	return Unit{ID: d.ID, Name: name, Wave: wave, Was: Image{at.Version, at.ConfigName}, Listen: at.Listen, Zone: at.Zone,
 		Capacity: capacity, Stage: Todo}, nil
 }
--- a/internal/release/cases_test.go
+++ b/internal/release/cases_test.go
@@ -80,8 +80,8 @@
 			told++
 		}
 	}
-	if l := w.list(); told != 1 || l.Find(s.Units[0].Name).Config != "c1" || w.most > 0 {
-		t.Errorf("%d were told, the first is at %s, %d were out at once; want 1, c1, 0", told, l.Find(s.Units[0].Name).Config, w.most)
+	if l := w.list(); told != 1 || l.Find(s.Units[0].Name).ConfigName != "c1" || w.most > 0 {
+		t.Errorf("%d were told, the first is at %s, %d were out at once; want 1, c1, 0", told, l.Find(s.Units[0].Name).ConfigName, w.most)
 	}
 	tell(t, w, CmdBack)
 	if s, err := w.finish(&kill{at: -1}, 300, nil); err != nil || s.Head.Phase != Backed {
@@ -382,8 +382,8 @@
 				w.platform.Crash("a0", "signal: killed")
 			}
 		})
-		if s.Head.Phase != Done || w.platform.Alive("a0") != 0 {
-			t.Errorf("ended by itself at tick %d: %s, %d processes, %+v", at, s.Head.Phase, w.platform.Alive("a0"), s.Units[0])
+		if s.Head.Phase != Done || w.platform.LiveProcesses("a0") != 0 {
+			t.Errorf("ended by itself at tick %d: %s, %d processes, %+v", at, s.Head.Phase, w.platform.LiveProcesses("a0"), s.Units[0])
 		}
 	}
 }
--- a/internal/release/drive/drive.go
+++ b/internal/release/drive/drive.go
@@ -217,15 +217,15 @@
 func (t *tenure) call(ctx context.Context, calls []supervisor.Request) {
 	var ready []supervisor.Request
 	for _, r := range calls {
-		if r.Config != "" && t.File != nil {
-			text, err := t.File(r.Unit, r.Config)
+		if r.ConfigName != "" && t.File != nil {
+			text, err := t.File(r.Unit, r.ConfigName)
 			if err != nil {
 				slog.Warn("no configuration", "release", t.Name, "unit", r.Unit, "error", err)
 				continue
 			}
-			r.File = text
+			r.ConfigText = text
 		}
-		if ready = append(ready, r); len(ready) == supervisor.MostRequests {
+		if ready = append(ready, r); len(ready) == supervisor.MaxRequests {
 			break
 		}
 	}
--- a/internal/release/drive/drive_test.go
+++ b/internal/release/drive/drive_test.go
@@ -54,7 +54,7 @@
 	l, _ := f.platform.List(context.Background())
 	for i, n := range names {
 		f.servers[n] = &registry.Target{UID: n, Zone: n[:1], State: registry.Ready, Capacity: 1, Pod: i % 3}
-		f.platform.Do(context.Background(), supervisor.Request{ID: "first-" + n, Op: supervisor.Start, Memory: l.Memory, Unit: n,
+		f.platform.Do(context.Background(), supervisor.Request{ID: "first-" + n, Op: supervisor.Start, Epoch: l.Epoch, Unit: n,
 			Kind: supervisor.Server, Version: "1", Listen: "127.0.0.1:7000", Zone: n[:1]})
 	}
 	one := 1
@@ -65,13 +65,13 @@
 }
 
 // behave is told of each launch, within the platform's lock.
-func (f *fleet) behave(u supervisor.Unit) fake.Life {
+func (f *fleet) behave(u supervisor.Unit) fake.Behavior {
 	f.launches[u.Name+" "+u.Version]++
 	f.boots[u.Name], f.versions[u.Name] = int64(len(f.launches)), u.Version
 	if f.broken && u.Version == "2" {
-		return fake.Life{ReadyMS: -1, EndsMS: 50, Exit: "exit status 1"}
+		return fake.Behavior{ReadyAfterMS: -1, ExitAfterMS: 50, ExitText: "exit status 1"}
 	}
-	return fake.Life{ReadyMS: 300, StopMS: 200}
+	return fake.Behavior{ReadyAfterMS: 300, StopAfterMS: 200}
 }
 
 // live has a quarter of a second pass for servers and sidecars.
@@ -315,8 +315,8 @@
 func (f *fleet) check(t *testing.T, version string) {
 	t.Helper()
 	for _, n := range names {
-		if f.versions[n] != version || f.platform.Alive(n) != 1 {
-			t.Errorf("%s runs %s in %d processes, want one of %s", n, f.versions[n], f.platform.Alive(n), version)
+		if f.versions[n] != version || f.platform.LiveProcesses(n) != 1 {
+			t.Errorf("%s runs %s in %d processes, want one of %s", n, f.versions[n], f.platform.LiveProcesses(n), version)
 		}
 	}
 	for what, n := range f.launches {
@@ -355,7 +355,7 @@
 			t.Fatalf("%s: %s, %+v", s.Head.Phase, s.Head.Why, s.Units)
 		}
 		for _, n := range names {
-			if f.versions[n] != "1" || f.platform.Alive(n) != 1 {
+			if f.versions[n] != "1" || f.platform.LiveProcesses(n) != 1 {
 				t.Errorf("%s runs %s", n, f.versions[n])
 			}
 		}
--- a/internal/release/drive/process_test.go
+++ b/internal/release/drive/process_test.go
@@ -138,7 +138,7 @@
 	l, err := s.platform.List(ctx)
 	must(err)
 	for i, n := range fleetNames {
-		_, err = s.platform.Do(ctx, supervisor.Request{ID: "first-" + n, Op: supervisor.Start, Memory: l.Memory, Unit: n, Kind: supervisor.Server,
+		_, err = s.platform.Do(ctx, supervisor.Request{ID: "first-" + n, Op: supervisor.Start, Epoch: l.Epoch, Unit: n, Kind: supervisor.Server,
 			Version: "1", Listen: s.block.Addr(10, i+1, 9000), Zone: n[:1]})
 		must(err)
 	}
--- a/internal/release/faults_test.go
+++ b/internal/release/faults_test.go
@@ -78,12 +78,12 @@
 	two := 0
 	_, err := w.finish(&kill{at: -1}, 1000, func(i int, _ *State) {
 		if i == at {
-			if err := w.platform.SetFault(core.Fault{Kind: core.Forget, ForMS: 8000}); err != nil {
+			if err := w.platform.SetFault(core.Fault{Kind: core.FaultLoseState, DurationMS: 8000}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for _, id := range w.ids {
-			two = max(two, w.platform.Alive(w.units[id].name()))
+			two = max(two, w.platform.LiveProcesses(w.units[id].name()))
 		}
 	})
 	if two > 1 {
@@ -155,8 +155,8 @@
 // every moment of a release and of a way back.
 func TestFaultsOfThePlatform(t *testing.T) {
 	faults := []core.Fault{
-		{Kind: core.Hang, ForMS: 20_000}, {Kind: core.Fail, Count: 3}, {Kind: core.Half, On: core.OnDo}, {Kind: core.Lose, Count: 2},
-		{Kind: core.Wrong, On: core.OnDo}, {Kind: core.Forget, ForMS: 5000},
+		{Kind: core.FaultHang, DurationMS: 20_000}, {Kind: core.FaultError, Count: 3}, {Kind: core.FaultPartial, On: core.OnDo}, {Kind: core.FaultDropResponse, Count: 2},
+		{Kind: core.FaultWrongUnit, On: core.OnDo}, {Kind: core.FaultLoseState, DurationMS: 5000},
 	}
 	for _, f := range faults {
 		for _, back := range []int{0, 62} {
@@ -233,8 +233,8 @@
 		}
 		if i < 400 && r.IntN(40) == 0 {
 			w.platform.SetFault([]core.Fault{
-				{Kind: core.Hang, ForMS: 5000}, {Kind: core.Fail, Count: 2}, {Kind: core.Half, On: core.OnDo}, {Kind: core.Lose, Count: 2},
-				{Kind: core.Forget, ForMS: 3000}, {Kind: core.Late, DelayMS: 3000},
+				{Kind: core.FaultHang, DurationMS: 5000}, {Kind: core.FaultError, Count: 2}, {Kind: core.FaultPartial, On: core.OnDo}, {Kind: core.FaultDropResponse, Count: 2},
+				{Kind: core.FaultLoseState, DurationMS: 3000}, {Kind: core.FaultDelay, DelayMS: 3000},
 			}[r.IntN(6)])
 		}
 		if i < 400 && r.IntN(60) == 0 {
--- a/internal/release/kill_test.go
+++ b/internal/release/kill_test.go
@@ -118,7 +118,7 @@
 	}
 	if sc.drain {
 		for i := range s.Units {
-			if n := w.platform.Alive(s.Units[i].Name); n != 0 {
+			if n := w.platform.LiveProcesses(s.Units[i].Name); n != 0 {
 				return effects, fmt.Errorf("%s is drained and has %d processes", s.Units[i].ID, n)
 			}
 		}
--- a/internal/release/reports.go
+++ b/internal/release/reports.go
@@ -104,7 +104,7 @@
 			side = &z.New
 		}
 		side.Units++
-		if before == nil || before.Memory != now.Memory {
+		if before == nil || before.Epoch != now.Epoch {
 			continue
 		}
 		if was := before.Find(u.Name); was != nil && was.Incarnation == u.Incarnation {
--- a/internal/release/reports_test.go
+++ b/internal/release/reports_test.go
@@ -48,7 +48,7 @@
 		return placement.ClassCount{Class: "c", Zone: "z", Cohort: cohort, Succeeded: served, Failed: 1, LatencyHistogram: []uint32{uint32(served) - slow, slow}}
 	}
 	list := func(restarts int) *supervisor.List {
-		return &supervisor.List{Memory: 1, Units: []supervisor.Unit{
+		return &supervisor.List{Epoch: 1, Units: []supervisor.Unit{
 			{Name: "n", Kind: supervisor.Server, Zone: "z", State: supervisor.Running, Incarnation: 2, Restarts: restarts},
 			{Name: "o", Kind: supervisor.Server, Zone: "z", State: supervisor.Running, Incarnation: 1},
 			{Name: "x", Kind: supervisor.Sidecar, Zone: "z", State: supervisor.Running, Incarnation: 3}}}
--- a/internal/release/state.go
+++ b/internal/release/state.go
@@ -187,13 +187,13 @@
 // request is the call in the platform's form. The configuration's text is for whoever makes the call: it follows from
 // the unit and the configuration's name.
 func (s *State) request(u *Unit) supervisor.Request {
-	r := supervisor.Request{ID: s.RequestID(u), Op: u.Call.Op, Memory: u.Call.Memory, Unit: u.Name, Incarnation: u.Call.Incarnation}
+	r := supervisor.Request{ID: s.RequestID(u), Op: u.Call.Op, Epoch: u.Call.Memory, Unit: u.Name, Incarnation: u.Call.Incarnation}
 	switch u.Call.Op {
 	case supervisor.Start:
-		r.Kind, r.Version, r.Config = s.kind(), u.goal().Version, u.goal().Config
+		r.Kind, r.Version, r.ConfigName = s.kind(), u.goal().Version, u.goal().Config
 		r.Listen, r.Zone = u.Listen, u.Zone
 	case supervisor.Reload:
-		r.Config = u.goal().Config
+		r.ConfigName = u.goal().Config
 	}
 	return r
 }
--- a/internal/release/unit.go
+++ b/internal/release/unit.go
@@ -183,7 +183,7 @@
 	switch {
 	case at == nil && !l.Complete:
 		return // it may run already
-	case at != nil && at.State != supervisor.Exited && (at.Version != goal.Version || at.Config != goal.Config):
+	case at != nil && at.State != supervisor.Exited && (at.Version != goal.Version || at.ConfigName != goal.Config):
 		c.to(u, Stop) // something else was started in its place
 		return
 	case at != nil && at.State == supervisor.Running:
@@ -199,7 +199,7 @@
 		return
 	}
 	// It is not there, or has exited: as it was before the call, or by itself after it.
-	if u.Call != nil && u.Call.Memory == l.Memory && at != nil && incarnation != u.Call.Incarnation {
+	if u.Call != nil && u.Call.Memory == l.Epoch && at != nil && incarnation != u.Call.Incarnation {
 		if l.AtMS-at.SinceMS > exitWait && at.Version == goal.Version {
 			c.fails(u, cmp.Or(at.Exit, "it ended"))
 		}
@@ -225,7 +225,7 @@
 	at := l.Find(u.Name)
 	// It serves on by what it has until it has read the other: the platform's word alone is no evidence, nor is its own,
 	// as one that was refused the other has the old one still, and would read the other at its next start.
-	if is, known := c.v.Running(u.ID); known && is == u.goal() && at != nil && at.Config == u.goal().Config {
+	if is, known := c.v.Running(u.ID); known && is == u.goal() && at != nil && at.ConfigName == u.goal().Config {
 		c.to(u, Rise)
 		return
 	}
@@ -246,13 +246,13 @@
 // call has the written call made, or a new one decided, which is written before it is made. It tells whether that is all
 // for now: once the call was answered, its evidence is looked for in the list.
 func (c *stepper) call(u *Unit, l *supervisor.List, op supervisor.Op, incarnation uint64) bool {
-	if u.Call == nil || u.Call.Op != op || u.Call.Memory != l.Memory {
+	if u.Call == nil || u.Call.Op != op || u.Call.Memory != l.Epoch {
 		if u.Calls >= maxCalls {
 			c.fails(u, "the platform does not do what it says")
 			return true
 		}
 		u.Calls++
-		u.Call = &Call{N: u.Calls, Op: op, Memory: l.Memory, Incarnation: incarnation, AtMS: c.v.NowMS}
+		u.Call = &Call{N: u.Calls, Op: op, Memory: l.Epoch, Incarnation: incarnation, AtMS: c.v.NowMS}
 		return true
 	}
 	out, answered := c.v.Answers[c.s.RequestID(u)]
@@ -260,11 +260,11 @@
 		c.do(Do{c.s.request(u)})
 		return true
 	}
-	switch out.Refused {
+	switch out.Rejected {
 	case "":
 		return false
-	case supervisor.NoVersion:
-		c.refuses(u, cmp.Or(out.Text, "the platform has no such version"))
+	case supervisor.UnknownVersion:
+		c.refuses(u, cmp.Or(out.Detail, "the platform has no such version"))
 		return true
 	}
 	// A refusal has changed nothing, and a repeat would be refused alike: the list tells what is to be asked now.
@@ -279,7 +279,7 @@
 		return false
 	}
 	out, is := c.v.Answers[c.s.RequestID(u)]
-	return is && out.Refused == ""
+	return is && out.Rejected == ""
 }
 
 // rise waits for the evidence that a unit is back: its permit settled. The platform's word that it runs is not enough.
--- a/internal/release/waves.go
+++ b/internal/release/waves.go
@@ -154,7 +154,7 @@
 		return false
 	}
 	at := l.Find(u.Name)
-	return at == nil || at.State == supervisor.Exited && l.AtMS-at.SinceMS > startWait || at.Version != u.goal().Version || at.Config != u.goal().Config
+	return at == nil || at.State == supervisor.Exited && l.AtMS-at.SinceMS > startWait || at.Version != u.goal().Version || at.ConfigName != u.goal().Config
 }
 
 func (c *stepper) reopen(i int, u Unit) {
--- a/internal/release/world_test.go
+++ b/internal/release/world_test.go
@@ -73,7 +73,7 @@
 	versions := map[core.Version]fake.Version{}
 	for _, v := range []string{"1", "2", "3"} {
 		versions[core.Version{Kind: supervisor.Kind(kind), Name: v}] = fake.Version{
-			Rules: core.Rules{GraceMS: 10_000, Restarts: 1}, Behave: w.behave,
+			ProcessPolicy: core.ProcessPolicy{GraceMS: 10_000, MaxRestarts: 1}, Behave: w.behave,
 		}
 	}
 	w.platform = fake.New(fake.Options{Versions: versions}, w.now)
@@ -85,8 +85,8 @@
 			w.units[u.unit.ID] = u
 			w.ids = append(w.ids, u.unit.ID)
 			l, _ := w.platform.List(context.Background())
-			w.do(supervisor.Request{ID: "first-" + name, Op: supervisor.Start, Memory: l.Memory, Unit: name, Kind: supervisor.Kind(kind),
-				Version: "1", Config: "c1", File: "c1", Listen: "127.0.0.1:7000", Zone: u.unit.Zone})
+			w.do(supervisor.Request{ID: "first-" + name, Op: supervisor.Start, Epoch: l.Epoch, Unit: name, Kind: supervisor.Kind(kind),
+				Version: "1", ConfigName: "c1", ConfigText: "c1", Listen: "127.0.0.1:7000", Zone: u.unit.Zone})
 		}
 	}
 	for range 16 {
@@ -130,11 +130,11 @@
 }
 
 // behave is told of each launch by the platform.
-func (w *world) behave(p supervisor.Unit) fake.Life {
+func (w *world) behave(p supervisor.Unit) fake.Behavior {
 	u := w.units[w.id(p.Name)]
 	w.launches[u.unit.ID+" "+p.Version]++
-	u.version, u.config, u.bootMS, u.readyMS = p.Version, p.Config, w.now, w.now+800
-	life := fake.Life{ReadyMS: 800, StopMS: sleepyStop, Reloaded: func(config, _ string) {
+	u.version, u.config, u.bootMS, u.readyMS = p.Version, p.ConfigName, w.now, w.now+800
+	life := fake.Behavior{ReadyAfterMS: 800, StopAfterMS: sleepyStop, OnReload: func(config, _ string) {
 		w.reloads[u.unit.ID+" "+config]++
 		if w.badConf[config] {
 			u.refused = config
@@ -143,7 +143,7 @@
 		}
 	}}
 	if w.broken[p.Version] {
-		u.readyMS, life.ReadyMS, life.EndsMS, life.Exit = -1, -1, 100, "exit status 1"
+		u.readyMS, life.ReadyAfterMS, life.ExitAfterMS, life.ExitText = -1, -1, 100, "exit status 1"
 	}
 	if w.never[p.Version] {
 		u.readyMS = -1 // the platform's own check is met, the list's is not
@@ -155,7 +155,7 @@
 
 // up is the truth about a unit.
 func (w *world) up(u *unitWorld) bool {
-	return w.platform.Alive(u.name()) > 0 && u.readyMS >= 0 && u.readyMS <= w.now && !u.terminating && u.cold <= w.now
+	return w.platform.LiveProcesses(u.name()) > 0 && u.readyMS >= 0 && u.readyMS <= w.now && !u.terminating && u.cold <= w.now
 }
 
 // advance has a tick pass: processes go on, leases end, what registers is seen.
@@ -165,7 +165,7 @@
 	out := 0
 	for _, id := range w.ids {
 		u := w.units[id]
-		alive := w.platform.Alive(u.name()) > 0
+		alive := w.platform.LiveProcesses(u.name()) > 0
 		known, is := w.ledger.Unit(id)
 		w.rev++
 		switch {
@@ -315,14 +315,14 @@
 			r.ID = fmt.Sprintf("%s-%d", r.ID, c.token)
 		}
 		if r.Op == supervisor.Reload {
-			r.File = r.Config
+			r.ConfigText = r.ConfigName
 		}
 		out, err := w.do(r)
 		if err == nil && !lost {
 			c.answers[id] = out[0]
 		}
 	case Terminate:
-		if u := w.units[e.Unit]; current && !u.terminating && w.platform.Alive(u.name()) > 0 {
+		if u := w.units[e.Unit]; current && !u.terminating && w.platform.LiveProcesses(u.name()) > 0 {
 			u.terminating, u.drainedMS = true, w.now
 		}
 	case Restore:
@@ -422,7 +422,7 @@
 		if !w.up(u) || u.version != version || u.config != config {
 			return fmt.Errorf("%s runs %s %s, up %v, want %s %s", u.unit.ID, u.version, u.config, w.up(u), version, config)
 		}
-		if n := w.platform.Alive(s.Units[i].Name); n != 1 {
+		if n := w.platform.LiveProcesses(s.Units[i].Name); n != 1 {
 			return fmt.Errorf("%s has %d processes", u.unit.ID, n)
 		}
 	}
--- a/internal/sidecar/report.go
+++ b/internal/sidecar/report.go
@@ -30,7 +30,7 @@
 // gather counts what the next report says. It is the loop's alone.
 type gather struct {
 	cfg    *Config
-	heat   *summary.Summary
+	heat   *summary.Sketch
 	work   []meanWork // by class
 	counts map[countOf]*placement.ClassCount
 	since  float64
@@ -98,8 +98,8 @@
 func (g *gather) into(r *placement.LoadReport, now float64) {
 	r.IntervalMS, g.since = math.Max(now-g.since, 0), now
 	top := g.heat.Top(now/1e3, placement.MaxHotKeys)
-	r.TotalKeyLoad = top.All
-	for _, f := range top.Figures {
+	r.TotalKeyLoad = top.Total
+	for _, f := range top.Keys {
 		r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: fmt.Sprintf("%016x", f.Key), Load: f.Load, ErrorBound: f.Error})
 	}
 	for of, c := range g.counts {
--- a/internal/spread/bench_test.go
+++ b/internal/spread/bench_test.go
@@ -14,80 +14,80 @@
 func BenchmarkFigures(b *testing.B) {
 	const seeds = 200
 	for range b.N {
-		var carry, relieved []float64
+		var active, relieved []float64
 		work := 0.0
 		for seed := range uint64(seeds) {
-			w, c, r := onset(b, sidecars, 1000+seed, testConfig(), 20)
-			w.sound("onset")
-			carry, relieved = append(carry, c), append(relieved, r)
-			work = max(work, w.extra/(w.budget()*(w.now+1)))
+			cluster, c, r := playOnset(b, manySidecars, 1000+seed, testConfig(), 20)
+			cluster.checkInvariants("onset")
+			active, relieved = append(active, c), append(relieved, r)
+			work = max(work, cluster.warmupWork/(cluster.warmupBudget()*(cluster.now+1)))
 		}
-		slices.Sort(carry)
+		slices.Sort(active)
 		slices.Sort(relieved)
 		for _, q := range []int{50, 99} {
-			b.ReportMetric(carry[seeds*q/100], fmt.Sprintf("s-to-carry-p%d", q))
+			b.ReportMetric(active[seeds*q/100], fmt.Sprintf("s-to-carry-p%d", q))
 			b.ReportMetric(relieved[seeds*q/100], fmt.Sprintf("s-to-relief-p%d", q))
 		}
 		b.ReportMetric(work, "cold-work-of-budget")
-		hits := 0
+		detected := 0
 		for seed := range uint64(seeds) {
-			if found(b, sidecars, seed, 1.4+3*float64(seed)/seeds) {
-				hits++
+			if isDetected(b, manySidecars, seed, 1.4+3*float64(seed)/seeds) {
+				detected++
 			}
 		}
-		b.ReportMetric(float64(hits)/seeds, "found")
-		spread := 0
-		for _, name := range slices.Sorted(maps.Keys(worlds)) {
+		b.ReportMetric(float64(detected)/seeds, "found")
+		falsePositives := 0
+		for _, name := range slices.Sorted(maps.Keys(quietScenarios)) {
 			for seed := range uint64(seeds / 2) {
-				if !calm(b, sidecars, name, seed, nil) {
+				if !staysQuiet(b, manySidecars, name, seed, nil) {
 					b.Logf("false spread: %s, seed %d", name, seed)
-					spread++
+					falsePositives++
 				}
 			}
 		}
-		b.ReportMetric(float64(spread)/float64(len(worlds)*seeds/2), "false-spreads")
+		b.ReportMetric(float64(falsePositives)/float64(len(quietScenarios)*seeds/2), "false-spreads")
 	}
 }
 
-// BenchmarkDecide is one decision over 300 sidecars' reports of 32 keys each, with 8 keys spread over 2,000 servers; a
+// BenchmarkPlan is one decision over 300 sidecars' reports of 32 keys each, with 8 keys spread over 2,000 servers; a
 // tenth of the reports is new each time.
-func BenchmarkDecide(b *testing.B) {
-	d := newDecider(Default(testBear, testWork))
-	var list []Server
+func BenchmarkPlan(b *testing.B) {
+	planner := newPlanner(DefaultConfig(testServerCapacity, testRequestWork))
+	var servers []Server
 	for i := range 2000 {
-		list = append(list, Server{UID: fmt.Sprint("server-", i), Zone: fmt.Sprint(i % 3), Pod: i / 8, Capacity: 1, Ready: true})
+		servers = append(servers, Server{UID: fmt.Sprint("server-", i), Zone: fmt.Sprint(i % 3), Pod: i / 8, Capacity: 1, Ready: true})
 	}
-	d.Servers(list)
-	rnd := rand.New(rand.NewPCG(1, 1))
+	planner.SetServers(servers)
+	rng := rand.New(rand.NewPCG(1, 1))
 	var reports []*placement.LoadReport
-	for i := range sidecars {
+	for i := range manySidecars {
 		r := &placement.LoadReport{Sidecar: fmt.Sprint(i), TotalKeyLoad: 4000}
 		for k := range uint64(placement.MaxHotKeys) {
 			if k < 8 {
-				r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: Name(k + 1), Load: 300})
+				r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: FormatKey(k + 1), Load: 300})
 			} else {
-				r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: Name(rnd.Uint64N(10_000) + 100), Load: 30 + float64(k)/100})
+				r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: FormatKey(rng.Uint64N(10_000) + 100), Load: 30 + float64(k)/100})
 			}
 		}
 		reports = append(reports, r)
 	}
-	now, rev := float64(start), uint64(0)
+	now, revision := float64(startTime), uint64(0)
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
 		now += 0.1
 		for i := n % 10; i < len(reports); i += 10 {
-			reports[i].PlacementRevision = rev
-			d.Report(now, reports[i])
+			reports[i].PlacementRevision = revision
+			planner.AddReport(now, reports[i])
 		}
-		for _, f := range d.Decide(now) {
-			rev++
-			if f.Put != nil {
-				d.Wrote(f.Put.ID, rev)
+		for _, change := range planner.Plan(now) {
+			revision++
+			if change.Set != nil {
+				planner.Confirm(change.Set.ID, revision)
 			} else {
-				d.Wrote(f.Drop, rev)
+				planner.Confirm(change.RemoveID, revision)
 			}
 		}
 	}
-	b.ReportMetric(float64(len(d.keys)), "keys")
-	b.ReportMetric(float64(d.copies()), "copies")
+	b.ReportMetric(float64(len(planner.keys)), "keys")
+	b.ReportMetric(float64(planner.replicaCount()), "copies")
 }
--- /dev/null
+++ b/internal/spread/cluster_model_test.go
@@ -0,0 +1,281 @@
+package spread
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"strconv"
+	"testing"
+
+	"milldeck/internal/placement"
+	"milldeck/internal/spread/summary"
+)
+
+const (
+	tickSeconds        = 0.05 // s
+	testServerCapacity = 1000 // ms/s
+	testRequestWork    = 50   // ms
+	manySidecars       = 300  // of the figures
+	fewSidecars        = 75   // of the scenarios, with the same load
+	serverCount        = 300
+	startTime          = 1e9 // s, Unix time of the virtual clock
+)
+
+// world is a fleet of sidecars that meet thinned Poisson traffic, a placement and a decider, on a virtual clock.
+
+type clusterModel struct {
+	t        testing.TB
+	rng      *rand.Rand
+	config   Config
+	planner  *Planner
+	now      float64 // s since the start
+	sidecars []*sidecarModel
+	servers  []Server
+
+	requestRate    float64                       // requests a second, of the fleet
+	drawKey        func() uint64                 // the key of a request that is not for a hot one
+	hotShares      map[uint64]float64            // parts of all requests
+	hotKeys        []uint64                      // its keys, sorted
+	lostReports    float64                       // part of the reports that are lost
+	corruptReport  func(r *placement.LoadReport) // what nonsense the first sidecar reports; nil: none
+	plantBug       func(*Planner)                // plants a bug in each decider; nil: none
+	corruptPlanner func(*Planner)                // a planted bug that acts before each decision; nil: none
+	plannerDown    bool                          // there is no decider
+	planInterval   float64                       // s between decisions
+	revision       uint64                        // of the placement
+	published      map[uint64]publishedDirective // in force
+
+	replicasStarted   int            // copies that were told
+	prematureShares   int            // copies that were told a share before they had answered half of what they should have
+	warmupWork        float64        // ms of extra cold work that copies really had
+	plannedWarmupWork float64        // ms of it that was decided
+	budgetExceeded    bool           // more of either than the budget allowed since the start
+	timesReplicated   map[uint64]int // times that a key was told first
+}
+
+// publishedDirective is an entry with what its copies have really answered, in the mean, since they were told.
+type publishedDirective struct {
+	placement.Directive
+	warmupShare float64 // part that a copy without a share gets
+	responses   []*float64
+}
+
+type sidecarModel struct {
+	name         string
+	sketch       *summary.Sketch
+	nextReport   float64 // s: its next report
+	revision     uint64  // revision in force
+	published    map[uint64]publishedDirective
+	placementDue float64 // s: when it has the placement as it is now
+}
+
+func newClusterModel(t testing.TB, sidecarCount int, seed uint64, config Config) *clusterModel {
+	m := &clusterModel{t: t, rng: rand.New(rand.NewPCG(seed, 7)), config: config, requestRate: 3000, hotShares: map[uint64]float64{}, planInterval: 0.25,
+		published: map[uint64]publishedDirective{}, timesReplicated: map[uint64]int{}}
+	m.drawKey = func() uint64 { return 1<<32 + m.rng.Uint64N(10_000) }
+	for i := range sidecarCount {
+		m.sidecars = append(m.sidecars, &sidecarModel{name: fmt.Sprint("sidecar-", i), sketch: newSketch(config), nextReport: m.rng.Float64()})
+	}
+	for i := range serverCount {
+		m.servers = append(m.servers, Server{UID: fmt.Sprint("server-", i), Zone: fmt.Sprint("z", i%3), Pod: i / 4, Capacity: 1, Ready: true})
+	}
+	m.startPlanner()
+	return m
+}
+
+func testConfig() Config { return DefaultConfig(testServerCapacity, testRequestWork) }
+
+// startPlanner begins a new decider, which takes the table over.
+func (m *clusterModel) startPlanner() {
+	m.planner = newPlanner(m.config) // planted settings need not pass New
+	if m.plantBug != nil {
+		m.plantBug(m.planner)
+	}
+	m.planner.SetExpectedSidecars(len(m.sidecars))
+	m.planner.SetServers(m.servers)
+	var directives []placement.Directive
+	for _, key := range slices.Sorted(maps.Keys(m.published)) {
+		directives = append(directives, m.published[key].Directive)
+	}
+	m.planner.Restore(startTime+m.now, directives)
+	m.plannerDown = false
+}
+
+// run plays until done says so or for some seconds, and returns how long it took.
+func (m *clusterModel) run(seconds float64, stop func() bool) float64 {
+	began := m.now
+	for m.now < began+seconds-tickSeconds/2 {
+		m.step()
+		if stop != nil && stop() {
+			break
+		}
+	}
+	return m.now - began
+}
+
+func (m *clusterModel) step() {
+	previous := m.now
+	m.now += tickSeconds
+	m.hotKeys = slices.Sorted(maps.Keys(m.hotShares))
+	for _, sidecar := range m.sidecars {
+		if m.now >= sidecar.placementDue {
+			sidecar.placementDue, sidecar.revision, sidecar.published = math.Inf(1), m.revision, m.published
+		}
+		for range m.poisson(m.requestRate / float64(len(m.sidecars)) * tickSeconds) {
+			m.request(sidecar)
+		}
+		if m.now >= sidecar.nextReport {
+			sidecar.nextReport++
+			m.report(sidecar)
+		}
+	}
+	for key, directive := range m.published {
+		if float64(directive.ExpiresAtMS) < (startTime+m.now)*1000 {
+			m.publish(func(directives map[uint64]publishedDirective) { delete(directives, key) })
+		}
+	}
+	if !m.plannerDown && math.Floor(m.now/m.planInterval) > math.Floor(previous/m.planInterval) {
+		m.plan()
+	}
+	if budget := m.warmupBudget() * (m.now + 1); m.warmupWork > budget || m.plannedWarmupWork > budget {
+		m.budgetExceeded = true
+	}
+}
+
+func (m *clusterModel) poisson(mean float64) int {
+	n, p := 0, m.rng.Float64()
+	for limit := math.Exp(-mean); p > limit; n++ {
+		p *= m.rng.Float64()
+	}
+	return n
+}
+
+func (m *clusterModel) request(sidecar *sidecarModel) {
+	key, choice := m.drawKey(), m.rng.Float64()
+	for _, hotKey := range m.hotKeys {
+		if choice -= m.hotShares[hotKey]; choice < 0 {
+			key = hotKey
+			break
+		}
+	}
+	sidecar.sketch.Add(m.now, key, testRequestWork*(0.5+m.rng.Float64()))
+	directive, ok := sidecar.published[key]
+	if !ok {
+		return
+	}
+	for i, replica := range directive.Copies { // in the mean, so that what is asserted is no matter of chance
+		share, responses := replica.LoadFraction, directive.responses[i]
+		if share == 0 {
+			share = directive.warmupShare
+		}
+		m.warmupWork += math.Max(math.Min(*responses+share, 3)-*responses, 0) * testRequestWork // the first three answers are cold
+		*responses += share
+	}
+}
+
+func (m *clusterModel) report(sidecar *sidecarModel) {
+	top := sidecar.sketch.Top(m.now, placement.MaxHotKeys)
+	report := placement.LoadReport{Sidecar: sidecar.name, PlacementRevision: sidecar.revision, IntervalMS: 1000, TotalKeyLoad: top.Total}
+	for _, load := range top.Keys {
+		report.HotKeys = append(report.HotKeys, placement.KeyLoad{KeyHash: FormatKey(load.Key), Load: load.Load, ErrorBound: load.Error})
+	}
+	if sidecar == m.sidecars[0] && m.corruptReport != nil {
+		m.corruptReport(&report)
+	}
+	if m.rng.Float64() >= m.lostReports && !m.plannerDown {
+		m.planner.AddReport(startTime+m.now, &report)
+	}
+}
+
+func (m *clusterModel) publish(mutate func(map[uint64]publishedDirective)) {
+	m.published = maps.Clone(m.published)
+	mutate(m.published)
+	m.revision++
+	for _, sidecar := range m.sidecars {
+		if math.IsInf(sidecar.placementDue, 1) || sidecar.placementDue == 0 {
+			sidecar.placementDue = m.now + 0.02 + 0.1*m.rng.Float64() // log, watch, agent
+		}
+	}
+}
+
+func (m *clusterModel) plan() {
+	if m.corruptPlanner != nil {
+		m.corruptPlanner(m.planner)
+	}
+	for _, change := range m.planner.Plan(startTime + m.now) {
+		if change.Set == nil {
+			m.publish(func(directives map[uint64]publishedDirective) {
+				maps.DeleteFunc(directives, func(_ uint64, e publishedDirective) bool { return e.ID == change.RemoveID })
+			})
+			m.planner.Confirm(change.RemoveID, m.revision)
+			continue
+		}
+		if err := change.Set.Validate(); err != nil {
+			m.t.Errorf("%.2f s: %v", m.now, err)
+		}
+		key, _ := strconv.ParseUint(change.Set.KeyHash, 16, 64)
+		previous, known := m.published[key]
+		if !known {
+			m.timesReplicated[key]++
+		}
+		next := publishedDirective{Directive: *change.Set, warmupShare: perReplicaWarmupShare(&m.config, change.Set.Copies)}
+		next.Revision = m.revision + 1
+		totalShare := 0.0
+		for _, replica := range change.Set.Copies {
+			i := slices.IndexFunc(previous.Copies, func(other placement.KeyCopy) bool { return other.ServerUID == replica.ServerUID })
+			responses := new(float64)
+			if i >= 0 {
+				responses = previous.responses[i]
+			} else {
+				m.replicasStarted++
+				m.plannedWarmupWork += m.config.WarmupWork
+			}
+			next.responses = append(next.responses, responses)
+			if replica.LoadFraction > 0 && *responses < testConfig().WarmResponses/2 {
+				m.prematureShares++
+			}
+			if totalShare += replica.LoadFraction; replica.LoadFraction == 0 {
+				totalShare += next.warmupShare
+			}
+			if server := &m.servers[m.serverIndex(replica.ServerUID)]; !server.Ready || server.Excluded {
+				m.t.Errorf("%.2f s: %s has a copy", m.now, replica.ServerUID)
+			}
+		}
+		if totalShare > 1.001 {
+			m.t.Errorf("%.2f s: parts of %v in all", m.now, totalShare)
+		}
+		m.publish(func(directives map[uint64]publishedDirective) { directives[key] = next })
+		m.planner.Confirm(change.Set.ID, m.revision)
+	}
+}
+
+func (m *clusterModel) serverIndex(uid string) int {
+	return slices.IndexFunc(m.servers, func(s Server) bool { return s.UID == uid })
+}
+
+// replicatedShare is the part of a key's load that copies carry by the placement in force, and how many do.
+func (m *clusterModel) replicatedShare(key uint64) (share float64, active int) {
+	for _, replica := range m.published[key].Copies {
+		share += replica.LoadFraction
+		if replica.LoadFraction > 0 {
+			active++
+		}
+	}
+	return share, active
+}
+
+// checkInvariants fails the test where a copy had a share too early, or the budget was overrun.
+func (m *clusterModel) checkInvariants(scenario string) {
+	m.t.Helper()
+	if m.prematureShares > 0 || m.budgetExceeded {
+		m.t.Errorf("%s: %d of %d copies had a share too early; budget overrun: %v (%.0f ms began, %.0f ms real in %.1f s)",
+			scenario, m.prematureShares, m.replicasStarted, m.budgetExceeded, m.plannedWarmupWork, m.warmupWork, m.now)
+	}
+}
+func newSketch(config Config) *summary.Sketch { return summary.New(64, config.HalfLife) }
+
+func (m *clusterModel) warmupBudget() float64 {
+	return m.config.WarmupBudget * serverCount * testServerCapacity
+}
--- a/internal/spread/fixtures_test.go
+++ b/internal/spread/fixtures_test.go
@@ -56,31 +56,31 @@
 
 // fixtureChange is a change of the placement as the fixtures hold it.
 type fixtureChange struct {
-	AtMS int64                `json:"at_ms"`
-	Put  *placement.Directive `json:"put,omitempty"`
-	Drop string               `json:"drop,omitempty"`
+	AtMS     int64                `json:"at_ms"`
+	Set      *placement.Directive `json:"put,omitempty"`
+	RemoveID string               `json:"drop,omitempty"`
 }
 
 func fixtureFleet() []Server {
-	var list []Server
+	var servers []Server
 	for i := range fixtureServers {
-		list = append(list, Server{UID: fmt.Sprint("server-", i), Zone: fmt.Sprint("z", i%3), Pod: i / 2, Capacity: 1, Ready: true})
+		servers = append(servers, Server{UID: fmt.Sprint("server-", i), Zone: fmt.Sprint("z", i%3), Pod: i / 2, Capacity: 1, Ready: true})
 	}
-	return list
+	return servers
 }
 
 // playFixture has a decider see a key that is hot for 9 s of 20 s, one server drained at 5 s. It returns all changes of
 // the placement and the decider as it is after stop steps of 250 ms.
-func playFixture(t *testing.T, stop int) ([]fixtureChange, *Decider) {
+func playFixture(t *testing.T, stop int) ([]fixtureChange, *Planner) {
 	t.Helper()
-	d, err := New(Default(1000, 50))
+	planner, err := NewPlanner(DefaultConfig(1000, 50))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Servers(fixtureFleet())
-	d.Sidecars(fixtureSidecars)
+	planner.SetServers(fixtureFleet())
+	planner.SetExpectedSidecars(fixtureSidecars)
 	var changes []fixtureChange
-	rev, drained := uint64(0), ""
+	revision, drained := uint64(0), ""
 	for step := range stop {
 		now := fixtureStart + float64(step)/4
 		if step%4 == 0 {
@@ -89,45 +89,45 @@
 				if step >= 36 {
 					load = 5
 				}
-				r := &placement.LoadReport{Sidecar: fmt.Sprint("sidecar-", i), PlacementRevision: rev, IntervalMS: 1000, TotalKeyLoad: load + 200,
-					HotKeys: []placement.KeyLoad{{KeyHash: Name(fixtureKey), Load: load, ErrorBound: 2}, {KeyHash: Name(7), Load: 20 + float64(i), ErrorBound: 1}}}
-				if !d.Report(now, r) {
+				r := &placement.LoadReport{Sidecar: fmt.Sprint("sidecar-", i), PlacementRevision: revision, IntervalMS: 1000, TotalKeyLoad: load + 200,
+					HotKeys: []placement.KeyLoad{{KeyHash: FormatKey(fixtureKey), Load: load, ErrorBound: 2}, {KeyHash: FormatKey(7), Load: 20 + float64(i), ErrorBound: 1}}}
+				if !planner.AddReport(now, r) {
 					t.Fatalf("step %d: a report was not taken", step)
 				}
 			}
 		}
 		if step == 20 {
-			drained = changes[len(changes)-1].Put.Copies[0].ServerUID
+			drained = changes[len(changes)-1].Set.Copies[0].ServerUID
 		}
-		if drained != "" && !d.May(drained) {
-			d.Leave(drained)
+		if drained != "" && !planner.Drained(drained) {
+			planner.StartDrain(drained)
 		}
-		for _, f := range d.Decide(now) {
-			rev++
-			changes = append(changes, fixtureChange{int64(now * 1000), f.Put, f.Drop})
-			if f.Put != nil {
-				d.Wrote(f.Put.ID, rev)
+		for _, f := range planner.Plan(now) {
+			revision++
+			changes = append(changes, fixtureChange{int64(now * 1000), f.Set, f.RemoveID})
+			if f.Set != nil {
+				planner.Confirm(f.Set.ID, revision)
 			} else {
-				d.Wrote(f.Drop, rev)
+				planner.Confirm(f.RemoveID, revision)
 			}
 		}
 	}
-	return changes, d
+	return changes, planner
 }
 
 // The entries that a decider writes into the placement keep their bytes.
 func TestFixturePlacementChanges(t *testing.T) {
-	changes, d := playFixture(t, 80)
+	changes, planner := playFixture(t, 80)
 	golden(t, "placement-changes.jsonl", jsonLines(t, changes))
-	if len(d.keys) != 0 || changes[len(changes)-1].Drop != ID(fixtureKey) {
-		t.Errorf("%d keys are left, want the key narrowed to nothing", len(d.keys))
+	if len(planner.keys) != 0 || changes[len(changes)-1].RemoveID != DirectiveID(fixtureKey) {
+		t.Errorf("%d keys are left, want the key narrowed to nothing", len(planner.keys))
 	}
 }
 
 // The table on HTTP keeps its bytes, also that of a successor that reads the entries of the golden file.
 func TestFixtureTableOverHTTP(t *testing.T) {
-	_, d := playFixture(t, 18)
-	golden(t, "table.json", call(t, &Driver{decider: d}, http.MethodGet, "/spread", http.StatusOK))
+	_, planner := playFixture(t, 18)
+	golden(t, "table.json", call(t, &Controller{planner: planner}, http.MethodGet, "/spread", http.StatusOK))
 
 	data, err := os.ReadFile(filepath.Join("testdata", "placement-changes.jsonl"))
 	if err != nil {
@@ -143,22 +143,22 @@
 		if err != nil || !bytes.Equal(again, bytes.TrimSpace(line)) {
 			t.Errorf("%s, %v, was read from %s", again, err, line)
 		}
-		if change.AtMS <= fixtureStart*1000+4250 && change.Put != nil {
+		if change.AtMS <= fixtureStart*1000+4250 && change.Set != nil {
 			last = change
 		}
 	}
-	last.Put.Revision = 9
-	successor := newDecider(Default(1000, 50))
-	successor.Servers(fixtureFleet())
-	successor.Resume(fixtureStart+5, []placement.Directive{*last.Put})
-	golden(t, "table-resumed.json", call(t, &Driver{decider: successor}, http.MethodGet, "/spread", http.StatusOK))
+	last.Set.Revision = 9
+	successor := newPlanner(DefaultConfig(1000, 50))
+	successor.SetServers(fixtureFleet())
+	successor.Restore(fixtureStart+5, []placement.Directive{*last.Set})
+	golden(t, "table-resumed.json", call(t, &Controller{planner: successor}, http.MethodGet, "/spread", http.StatusOK))
 	var changes []fixtureChange
 	for step := range 32 {
 		now := fixtureStart + 5 + float64(step)/4
-		for _, f := range successor.Decide(now) {
-			changes = append(changes, fixtureChange{int64(now * 1000), f.Put, f.Drop})
-			if f.Put != nil {
-				successor.Wrote(f.Put.ID, uint64(10+step))
+		for _, f := range successor.Plan(now) {
+			changes = append(changes, fixtureChange{int64(now * 1000), f.Set, f.RemoveID})
+			if f.Set != nil {
+				successor.Confirm(f.Set.ID, uint64(10+step))
 			}
 		}
 	}
@@ -167,37 +167,37 @@
 
 // The other answers on HTTP keep their bytes.
 func TestFixtureHTTPAnswers(t *testing.T) {
-	_, d := playFixture(t, 18)
-	held := &Driver{Config: Default(1000, 50)}
-	if err := held.takeOver(fixtureStart, &view{servers: fixtureFleet()}); err != nil {
+	_, planner := playFixture(t, 18)
+	controller := &Controller{Config: DefaultConfig(1000, 50)}
+	if err := controller.restorePlanner(fixtureStart, &snapshot{servers: fixtureFleet()}); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "table-empty.json", call(t, held, http.MethodGet, "/spread", http.StatusOK))
-	golden(t, "leave-ready.json", call(t, held, http.MethodPost, "/spread/leave?uid=server-1", http.StatusOK))
-	golden(t, "leave-unnamed.txt", call(t, held, http.MethodPost, "/spread/leave", http.StatusBadRequest))
-	held.decider = d
-	golden(t, "leave-waits.json", call(t, held, http.MethodPost, "/spread/leave?uid="+d.Table()[0].Placement.Copies[0].ServerUID, http.StatusOK))
-	golden(t, "not-held.txt", call(t, &Driver{}, http.MethodGet, "/spread", http.StatusServiceUnavailable))
-	golden(t, "not-held.txt", call(t, &Driver{}, http.MethodPost, "/spread/leave?uid=server-1", http.StatusServiceUnavailable))
-	call(t, held, http.MethodPost, "/spread", http.StatusMethodNotAllowed)
+	golden(t, "table-empty.json", call(t, controller, http.MethodGet, "/spread", http.StatusOK))
+	golden(t, "leave-ready.json", call(t, controller, http.MethodPost, "/spread/leave?uid=server-1", http.StatusOK))
+	golden(t, "leave-unnamed.txt", call(t, controller, http.MethodPost, "/spread/leave", http.StatusBadRequest))
+	controller.planner = planner
+	golden(t, "leave-waits.json", call(t, controller, http.MethodPost, "/spread/leave?uid="+planner.Status()[0].Placement.Copies[0].ServerUID, http.StatusOK))
+	golden(t, "not-held.txt", call(t, &Controller{}, http.MethodGet, "/spread", http.StatusServiceUnavailable))
+	golden(t, "not-held.txt", call(t, &Controller{}, http.MethodPost, "/spread/leave?uid=server-1", http.StatusServiceUnavailable))
+	call(t, controller, http.MethodPost, "/spread", http.StatusMethodNotAllowed)
 }
 
 // call asks a driver's handler and returns the body of its answer.
-func call(t *testing.T, dr *Driver, method, target string, status int) []byte {
+func call(t *testing.T, controller *Controller, method, target string, status int) []byte {
 	t.Helper()
 	w := httptest.NewRecorder()
-	dr.Handler().ServeHTTP(w, httptest.NewRequest(method, target, nil))
+	controller.Handler().ServeHTTP(w, httptest.NewRequest(method, target, nil))
 	if w.Code != status {
 		t.Errorf("%s %s: status %d, want %d", method, target, w.Code, status)
 	}
-	retry, kind := "", "text/plain; charset=utf-8"
+	retryAfter, contentType := "", "text/plain; charset=utf-8"
 	switch status {
 	case http.StatusServiceUnavailable:
-		retry = "1"
+		retryAfter = "1"
 	case http.StatusOK:
-		kind = "application/json"
+		contentType = "application/json"
 	}
-	if w.Header().Get("Retry-After") != retry || w.Header().Get("Content-Type") != kind {
+	if w.Header().Get("Retry-After") != retryAfter || w.Header().Get("Content-Type") != contentType {
 		t.Errorf("%s %s: header %v", method, target, w.Header())
 	}
 	return w.Body.Bytes()
--- a/internal/spread/http.go
+++ b/internal/spread/http.go
@@ -9,31 +9,31 @@
 // Handler serves what operators and drain controllers ask. All answer 503 while the duty is another's.
 //
 //	GET  /spread                 the table, [Row...]
-//	POST /spread/leave?uid=UID   MakeBeforeBreak: {"ready":BOOL}
-func (dr *Driver) Handler() http.Handler {
+//	POST /spread/leave?uid=UID   Drain: {"ready":BOOL}
+func (c *Controller) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /spread", func(w http.ResponseWriter, _ *http.Request) {
-		rows, err := dr.Table()
-		if rows == nil {
-			rows = []Row{}
+		statuses, err := c.Status()
+		if statuses == nil {
+			statuses = []KeyStatus{}
 		}
-		reply(w, rows, err)
+		writeResponse(w, statuses, err)
 	})
 	mux.HandleFunc("POST /spread/leave", func(w http.ResponseWriter, r *http.Request) {
-		ready, err := dr.MakeBeforeBreak(r.URL.Query().Get("uid"))
-		reply(w, Leaving{ready}, err)
+		drained, err := c.Drain(r.URL.Query().Get("uid"))
+		writeResponse(w, DrainStatus{drained}, err)
 	})
 	return mux
 }
 
-// Leaving is the answer about a server that is to leave.
-type Leaving struct {
-	Ready bool `json:"ready"` // what it carried is warm elsewhere
+// DrainStatus is the answer about a server that is to leave.
+type DrainStatus struct {
+	Drained bool `json:"ready"` // what it carried is warm elsewhere
 }
 
-func reply(w http.ResponseWriter, v any, err error) {
+func writeResponse(w http.ResponseWriter, v any, err error) {
 	switch {
-	case errors.Is(err, ErrNotHeld):
+	case errors.Is(err, ErrNotLeader):
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	case err != nil:
--- a/internal/spread/process_test.go
+++ b/internal/spread/process_test.go
@@ -25,93 +25,93 @@
 
 func TestMain(m *testing.M) { proctest.Main(m) }
 
-// bed is three replicas and two deciders as processes, two agents, and thirty sidecars that report to these over sockets.
+// processCluster is three replicas and two deciders as processes, two agents, and thirty sidecars that report to these over sockets.
 // The first decider holds the duty.
-type bed struct {
+type processCluster struct {
 	*testing.T
-	ctx      context.Context
-	c        *cluster.Cluster
-	client   *registry.Client
-	deciders []*proc.Process
-	at       []string // their addresses
-	hot      atomic.Uint64
-	lossy    atomic.Bool  // each second report of a sidecar is lost
-	life     atomic.Int64 // of the sidecars: they restart when it changes
+	ctx             context.Context
+	registryCluster *cluster.Cluster
+	client          *registry.Client
+	controllers     []*proc.Process
+	controllerAddrs []string // their addresses
+	hotKey          atomic.Uint64
+	loseReports     atomic.Bool  // each second report of a sidecar is lost
+	incarnation     atomic.Int64 // of the sidecars: they restart when it changes
 }
 
-func newBed(t *testing.T) *bed {
+func newProcessCluster(t *testing.T) *processCluster {
 	t.Parallel()
-	ctx, stop := context.WithTimeout(t.Context(), 100*time.Second)
-	t.Cleanup(stop)
-	b := &bed{T: t, ctx: ctx}
+	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Second)
+	t.Cleanup(cancel)
+	c := &processCluster{T: t, ctx: ctx}
 	block, err := proc.TakeBlock()
-	b.no(err)
+	c.noError(err)
 	t.Cleanup(block.Release)
 	program, dir := proctest.Program(t, "milldeck"), t.TempDir()
-	b.c, err = cluster.Start(ctx, 3, cluster.Options{Program: program, Dir: dir, Block: block})
-	t.Cleanup(func() { b.c.Close() })
-	b.no(err)
-	b.client, err = b.c.Client()
-	b.no(err)
-	t.Cleanup(b.client.Close)
+	c.registryCluster, err = cluster.Start(ctx, 3, cluster.Options{Program: program, Dir: dir, Block: block})
+	t.Cleanup(func() { c.registryCluster.Close() })
+	c.noError(err)
+	c.client, err = c.registryCluster.Client()
+	c.noError(err)
+	t.Cleanup(c.client.Close)
 	var list []registry.Instance
 	for i := range 60 {
 		list = append(list, registry.Instance{Target: registry.Target{UID: fmt.Sprint("s", i), Endpoint: fmt.Sprintf("127.0.0.1:%d", 1000+i),
 			Zone: fmt.Sprint("z", i%3), Pod: i / 4, State: registry.Ready, Capacity: 1}})
 	}
-	_, err = b.client.Register(ctx, registry.Write{}, list...)
-	b.no(err)
+	_, err = c.client.Register(ctx, registry.Write{}, list...)
+	c.noError(err)
 	for n := range 2 {
 		addr := block.Addr(210, n, 8520)
 		p, err := proc.Start(proc.Spec{Name: fmt.Sprint("decider ", n), Path: program, Log: filepath.Join(dir, fmt.Sprint("decider", n)),
-			Args: []string{"spread", "serve", "--listen", addr, "--replicas", strings.Join(b.c.HTTPs(), ","), "--cold-for", "0s"}})
-		b.no(err)
+			Args: []string{"spread", "serve", "--listen", addr, "--replicas", strings.Join(c.registryCluster.HTTPs(), ","), "--cold-for", "0s"}})
+		c.noError(err)
 		t.Cleanup(p.Kill)
-		b.deciders, b.at = append(b.deciders, p), append(b.at, addr)
-		b.log(n, []string{"what=acquired", "serves"}[n])
+		c.controllers, c.controllerAddrs = append(c.controllers, p), append(c.controllerAddrs, addr)
+		c.waitLog(n, []string{"what=acquired", "serves"}[n])
 	}
-	var around sync.WaitGroup
-	t.Cleanup(around.Wait)
-	t.Cleanup(stop)
+	var background sync.WaitGroup
+	t.Cleanup(background.Wait)
+	t.Cleanup(cancel)
 	for n := range 2 {
-		a, err := agent.Start(agent.Options{Listen: block.Addr(201, n, 8500), Replicas: b.c.HTTPs(), ReportAddresses: b.at})
-		b.no(err)
+		a, err := agent.Start(agent.Options{Listen: block.Addr(201, n, 8500), Replicas: c.registryCluster.HTTPs(), ReportAddresses: c.controllerAddrs})
+		c.noError(err)
 		t.Cleanup(func() { a.Close() })
 		for i := range 15 {
-			around.Go(func() { b.sidecar(a.Addr(), fmt.Sprint("car-", n, "-", i), n+i == 0) })
+			background.Go(func() { c.runSidecar(a.Addr(), fmt.Sprint("car-", n, "-", i), n+i == 0) })
 		}
 	}
-	return b
+	return c
 }
 
-func (b *bed) no(err error) {
-	b.Helper()
+func (c *processCluster) noError(err error) {
+	c.Helper()
 	if err != nil {
-		b.Fatal(err)
+		c.Fatal(err)
 	}
 }
 
-func (b *bed) log(n int, text string) {
-	b.Helper()
-	_, err := b.deciders[n].WaitLog(b.ctx, text)
-	b.no(err)
+func (c *processCluster) waitLog(n int, text string) {
+	c.Helper()
+	_, err := c.controllers[n].WaitLog(c.ctx, text)
+	c.noError(err)
 }
 
-func (b *bed) until(what string, ok func() bool) {
-	b.Helper()
-	for !ok() {
+func (c *processCluster) waitUntil(condition string, done func() bool) {
+	c.Helper()
+	for !done() {
 		select {
-		case <-b.ctx.Done():
-			b.Fatalf("not in time: %s\n%s\n%s", what, b.deciders[0].Log(), b.deciders[1].Log())
+		case <-c.ctx.Done():
+			c.Fatalf("not in time: %s\n%s\n%s", condition, c.controllers[0].Log(), c.controllers[1].Log())
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// get calls a decider; false where it does not answer 200.
-func (b *bed) get(method, url string, v any) bool {
-	req, err := http.NewRequestWithContext(b.ctx, method, url, nil)
-	b.no(err)
+// call calls a decider; false where it does not answer 200.
+func (c *processCluster) call(method, url string, v any) bool {
+	req, err := http.NewRequestWithContext(c.ctx, method, url, nil)
+	c.noError(err)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return false
@@ -120,43 +120,43 @@
 	return resp.StatusCode == http.StatusOK && json.NewDecoder(resp.Body).Decode(v) == nil
 }
 
-// carried is the part of a key that copies carry by the placement, and by which servers.
-func (b *bed) carried(key uint64) (part float64, by []string) {
-	l, err := b.client.PlacementView(b.ctx, false)
+// replicatedShare is the part of a key that copies carry by the placement, and by which servers.
+func (c *processCluster) replicatedShare(key uint64) (share float64, servers []string) {
+	directives, err := c.client.PlacementView(c.ctx, false)
 	if err != nil {
 		return 0, nil
 	}
-	for _, e := range l.Directives {
+	for _, e := range directives.Directives {
 		for _, c := range e.Copies {
-			if e.ID == spread.ID(key) && c.LoadFraction > 0 {
-				part += c.LoadFraction
-				by = append(by, c.ServerUID)
+			if e.ID == spread.DirectiveID(key) && c.LoadFraction > 0 {
+				share += c.LoadFraction
+				servers = append(servers, c.ServerUID)
 			}
 		}
 	}
-	return part, by
+	return share, servers
 }
 
-// sidecar reports once a second what it sees of the hot key, and the revision that its agent has. One that tells
+// runSidecar reports once a second what it sees of the hot key, and the revision that its agent has. One that tells
 // nonsense makes up a key of its own.
-func (b *bed) sidecar(addr, name string, nonsense bool) {
-	for n := 0; b.ctx.Err() == nil; n++ {
-		var l placement.Update
-		if !b.get(http.MethodGet, "http://"+addr+"/registry/placement", &l) {
-			l = placement.Update{} // nothing is known there yet
+func (c *processCluster) runSidecar(addr, name string, misreports bool) {
+	for n := 0; c.ctx.Err() == nil; n++ {
+		var directives placement.Update
+		if !c.call(http.MethodGet, "http://"+addr+"/registry/placement", &directives) {
+			directives = placement.Update{} // nothing is known there yet
 		}
-		r := placement.LoadReport{Sidecar: fmt.Sprint(name, "-", b.life.Load()), PlacementRevision: l.Revision, PlacementEpoch: l.Epoch, IntervalMS: 1000, TotalKeyLoad: 900,
-			HotKeys: []placement.KeyLoad{{KeyHash: spread.Name(b.hot.Load()), Load: 300}}}
-		if nonsense {
-			r.TotalKeyLoad, r.HotKeys = 7000, []placement.KeyLoad{{KeyHash: spread.Name(999), Load: 7000}}
+		report := placement.LoadReport{Sidecar: fmt.Sprint(name, "-", c.incarnation.Load()), PlacementRevision: directives.Revision, PlacementEpoch: directives.Epoch, IntervalMS: 1000, TotalKeyLoad: 900,
+			HotKeys: []placement.KeyLoad{{KeyHash: spread.FormatKey(c.hotKey.Load()), Load: 300}}}
+		if misreports {
+			report.TotalKeyLoad, report.HotKeys = 7000, []placement.KeyLoad{{KeyHash: spread.FormatKey(999), Load: 7000}}
 		}
-		if data, err := json.Marshal(r); err == nil && !(b.lossy.Load() && (n+len(name))%2 == 0) {
+		if data, err := json.Marshal(report); err == nil && !(c.loseReports.Load() && (n+len(name))%2 == 0) {
 			if resp, err := http.Post("http://"+addr+"/registry/report", "application/json", bytes.NewReader(data)); err == nil {
 				resp.Body.Close()
 			}
 		}
 		select {
-		case <-b.ctx.Done():
+		case <-c.ctx.Done():
 		case <-time.After(time.Second):
 		}
 	}
@@ -164,59 +164,59 @@
 
 // Case 9: a key takes a third of all load, then another does; the decider is killed while copies of that warm, and the
 // leader of the list service with it; half of the reports are lost; a sidecar reports nonsense.
-func TestCase9HotKeys(t *testing.T) {
-	b := newBed(t)
-	b.hot.Store(1)
-	b.until("copies of the first key carry", func() bool { part, _ := b.carried(1); return part > 0.5 })
-	before, _ := b.carried(1)
-	b.lossy.Store(true)
-	b.hot.Store(2)
-	b.until("copies of the second key warm", func() bool {
-		var rows []spread.Row
-		return b.get(http.MethodGet, "http://"+b.at[0]+"/spread", &rows) && slices.ContainsFunc(rows, func(r spread.Row) bool {
-			return r.Key == spread.Name(2) && r.Warming > 0
+func TestHotKeysSurviveControllerAndLeaderLoss(t *testing.T) {
+	cluster := newProcessCluster(t)
+	cluster.hotKey.Store(1)
+	cluster.waitUntil("copies of the first key carry", func() bool { share, _ := cluster.replicatedShare(1); return share > 0.5 })
+	before, _ := cluster.replicatedShare(1)
+	cluster.loseReports.Store(true)
+	cluster.hotKey.Store(2)
+	cluster.waitUntil("copies of the second key warm", func() bool {
+		var statuses []spread.KeyStatus
+		return cluster.call(http.MethodGet, "http://"+cluster.controllerAddrs[0]+"/spread", &statuses) && slices.ContainsFunc(statuses, func(r spread.KeyStatus) bool {
+			return r.Key == spread.FormatKey(2) && r.Warming > 0
 		})
 	})
-	leader, err := b.c.Leader(b.ctx)
-	b.no(err)
-	b.deciders[0].Kill()
+	leader, err := cluster.registryCluster.Leader(cluster.ctx)
+	cluster.noError(err)
+	cluster.controllers[0].Kill()
 	leader.Proc.Kill()
-	if part, _ := b.carried(1); part < 0.5*before {
-		b.Errorf("with the decider dead %v is carried of the first key, %v before", part, before)
+	if share, _ := cluster.replicatedShare(1); share < 0.5*before {
+		cluster.Errorf("with the decider dead %v is carried of the first key, %v before", share, before)
 	}
-	b.log(1, "what=acquired")
-	b.until("copies of the second key carry", func() bool { part, _ := b.carried(2); return part > 0.4 })
-	if _, by := b.carried(999); len(by) > 0 {
-		b.Errorf("one sidecar alone has a key carried by %v", by)
+	cluster.waitLog(1, "what=acquired")
+	cluster.waitUntil("copies of the second key carry", func() bool { share, _ := cluster.replicatedShare(2); return share > 0.4 })
+	if _, servers := cluster.replicatedShare(999); len(servers) > 0 {
+		cluster.Errorf("one sidecar alone has a key carried by %v", servers)
 	}
 }
 
 // Case 10: servers with warm copies are drained, then lost with others, while all sidecars restart.
-func TestCase10WarmCopiesDrainedThenLost(t *testing.T) {
-	b := newBed(t)
-	b.hot.Store(1)
-	var by []string
-	b.until("copies carry", func() bool {
-		var part float64
-		part, by = b.carried(1)
-		return part > 0.5 && len(by) >= 4
+func TestActiveReplicasDrainedThenServersLost(t *testing.T) {
+	cluster := newProcessCluster(t)
+	cluster.hotKey.Store(1)
+	var servers []string
+	cluster.waitUntil("copies carry", func() bool {
+		var share float64
+		share, servers = cluster.replicatedShare(1)
+		return share > 0.5 && len(servers) >= 4
 	})
-	b.life.Add(1)
-	for _, uid := range by[:2] {
-		b.until(uid+" is emptied", func() bool {
-			var l spread.Leaving
-			return b.get(http.MethodPost, "http://"+b.at[0]+"/spread/leave?uid="+uid, &l) && l.Ready
+	cluster.incarnation.Add(1)
+	for _, uid := range servers[:2] {
+		cluster.waitUntil(uid+" is emptied", func() bool {
+			var l spread.DrainStatus
+			return cluster.call(http.MethodPost, "http://"+cluster.controllerAddrs[0]+"/spread/leave?uid="+uid, &l) && l.Drained
 		})
-		if part, _ := b.carried(1); part < 0.4 {
-			b.Errorf("%s is emptied and %v is carried", uid, part)
+		if share, _ := cluster.replicatedShare(1); share < 0.4 {
+			cluster.Errorf("%s is emptied and %v is carried", uid, share)
 		}
 	}
-	for _, uid := range by[:4] {
-		_, err := b.client.Deregister(b.ctx, registry.Write{}, uid)
-		b.no(err)
+	for _, uid := range servers[:4] {
+		_, err := cluster.client.Deregister(cluster.ctx, registry.Write{}, uid)
+		cluster.noError(err)
 	}
-	b.until("others carry for those lost", func() bool {
-		part, now := b.carried(1)
-		return part > 0.5 && !slices.ContainsFunc(by[:4], func(uid string) bool { return slices.Contains(now, uid) })
+	cluster.waitUntil("others carry for those lost", func() bool {
+		share, now := cluster.replicatedShare(1)
+		return share > 0.5 && !slices.ContainsFunc(servers[:4], func(uid string) bool { return slices.Contains(now, uid) })
 	})
 }
--- a/internal/spread/summary/fixtures_test.go
+++ b/internal/spread/summary/fixtures_test.go
@@ -12,9 +12,9 @@
 var updateGolden = flag.Bool("update", false, "write the golden file anew")
 
 // describe writes a part with all digits of its numbers.
-func describe(out *bytes.Buffer, name string, p Part) {
-	fmt.Fprintf(out, "%s all %x floor %x\n", name, p.All, p.Floor)
-	for _, f := range p.Figures {
+func describe(out *bytes.Buffer, name string, p Snapshot) {
+	fmt.Fprintf(out, "%s all %x floor %x\n", name, p.Total, p.UnlistedBound)
+	for _, f := range p.Keys {
 		fmt.Fprintf(out, "  %016x load %x error %x\n", f.Key, f.Load, f.Error)
 	}
 }
@@ -22,7 +22,7 @@
 // What is counted of the same requests, and merged of the same parts, keeps every bit: sidecars' reports hold it.
 func TestFixtureFigures(t *testing.T) {
 	var out bytes.Buffer
-	var parts []Part
+	var parts []Snapshot
 	z := uint64(1)
 	for sidecar := range 3 {
 		s := New(16, 0.7)
--- a/internal/spread/summary/summary_test.go
+++ b/internal/spread/summary/sketch_test.go
@@ -7,42 +7,42 @@
 	"pgregory.net/rapid"
 )
 
-// exact counts as a Summary does, with all keys.
-type exact struct {
-	half, at float64
-	of       map[uint64]float64
+// exactCounts counts as a Summary does, with all keys.
+type exactCounts struct {
+	halfLife, updatedAt float64
+	byKey               map[uint64]float64
 }
 
-func (e *exact) add(now float64, key uint64, work float64) {
+func (e *exactCounts) add(now float64, key uint64, work float64) {
 	e.decay(now)
-	e.of[key] += work
+	e.byKey[key] += work
 }
 
-func (e *exact) decay(now float64) {
-	f := math.Exp2(-(now - e.at) / e.half)
-	for k := range e.of {
-		e.of[k] *= f
+func (e *exactCounts) decay(now float64) {
+	f := math.Exp2(-(now - e.updatedAt) / e.halfLife)
+	for k := range e.byKey {
+		e.byKey[k] *= f
 	}
-	e.at = now
+	e.updatedAt = now
 }
 
-// sound tells whether a part's bounds hold for each key of the exact counts.
-func sound(p Part, truth map[uint64]float64) bool {
-	listed, all := map[uint64]Figure{}, 0.0
-	for _, f := range p.Figures {
+// boundsHold tells whether a part's bounds hold for each key of the exact counts.
+func boundsHold(p Snapshot, truth map[uint64]float64) bool {
+	listed, all := map[uint64]KeyLoad{}, 0.0
+	for _, f := range p.Keys {
 		listed[f.Key] = f
 	}
 	for _, v := range truth {
 		all += v
 	}
 	slack := 1e-9 * (1 + all)
-	if math.Abs(p.All-all) > slack {
+	if math.Abs(p.Total-all) > slack {
 		return false
 	}
 	for k, v := range truth {
 		f, ok := listed[k]
 		if !ok {
-			f = Figure{Load: p.Floor, Error: p.Floor}
+			f = KeyLoad{Load: p.UnlistedBound, Error: p.UnlistedBound}
 		}
 		if v > f.Load+slack || v < f.Load-f.Error-slack {
 			return false
@@ -51,11 +51,11 @@
 	return true
 }
 
-// play adds drawn requests to a Summary and to exact counts, and returns both as loads.
-func play(t *rapid.T, name string, now float64) (Part, map[uint64]float64) {
+// playRequests adds drawn requests to a Summary and to exact counts, and returns both as loads.
+func playRequests(t *rapid.T, name string, now float64) (Snapshot, map[uint64]float64) {
 	half := 2.0
 	s := New(rapid.IntRange(1, 8).Draw(t, name+" size"), half)
-	e := &exact{half: half, of: map[uint64]float64{}}
+	e := &exactCounts{halfLife: half, byKey: map[uint64]float64{}}
 	at := 0.0
 	for range rapid.IntRange(0, 60).Draw(t, name+" requests") {
 		at = math.Min(at+rapid.SampledFrom([]float64{0, 0.01, 0.5, 3, 100}).Draw(t, "gap"), now)
@@ -64,16 +64,16 @@
 		e.add(at, key, work)
 	}
 	e.decay(now)
-	for k := range e.of {
-		e.of[k] *= math.Ln2 / half
+	for k := range e.byKey {
+		e.byKey[k] *= math.Ln2 / half
 	}
-	return s.Top(now, rapid.IntRange(1, 8).Draw(t, name+" top")), e.of
+	return s.Top(now, rapid.IntRange(1, 8).Draw(t, name+" top")), e.byKey
 }
 
 func TestBoundsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, truth := play(t, "one", 5000)
-		if !sound(p, truth) {
+		p, truth := playRequests(t, "one", 5000)
+		if !boundsHold(p, truth) {
 			t.Fatalf("%+v does not hold for %v", p, truth)
 		}
 	})
@@ -83,9 +83,9 @@
 func TestMergedBoundsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sum := map[uint64]float64{}
-		var parts []Part
+		var parts []Snapshot
 		for range rapid.IntRange(1, 5).Draw(t, "sidecars") {
-			p, truth := play(t, "part", 5000)
+			p, truth := playRequests(t, "part", 5000)
 			parts = append(parts, p)
 			for k, v := range truth {
 				sum[k] += v
@@ -95,7 +95,7 @@
 		half := len(parts) / 2
 		flat := Merge(size, parts...)
 		tree := Merge(size, Merge(size, parts[:half]...), Merge(size, parts[half:]...))
-		if !sound(flat, sum) || !sound(tree, sum) {
+		if !boundsHold(flat, sum) || !boundsHold(tree, sum) {
 			t.Fatalf("%+v or %+v does not hold for %v", flat, tree, sum)
 		}
 	})
@@ -114,23 +114,23 @@
 		s.Add(now, key, 20)
 	}
 	p := s.Top(now, 16)
-	if p.Figures[0].Key != 7 || p.Figures[0].Low() < 0.05*p.All {
-		t.Fatalf("first is %+v of %v", p.Figures[0], p.All)
+	if p.Keys[0].Key != 7 || p.Keys[0].LowerBound() < 0.05*p.Total {
+		t.Fatalf("first is %+v of %v", p.Keys[0], p.Total)
 	}
-	if want := 20 / 0.003; math.Abs(p.All-want) > 0.02*want {
-		t.Fatalf("all %v ms/s, wanted %v", p.All, want)
+	if want := 20 / 0.003; math.Abs(p.Total-want) > 0.02*want {
+		t.Fatalf("all %v ms/s, wanted %v", p.Total, want)
 	}
-	if len(s.heap) != 16 || len(s.of) != 16 {
-		t.Fatalf("%d counters, %d keys", len(s.heap), len(s.of))
+	if len(s.counters) != 16 || len(s.byKey) != 16 {
+		t.Fatalf("%d counters, %d keys", len(s.counters), len(s.byKey))
 	}
 }
 
-func TestNonsenseCountsAsNothing(t *testing.T) {
+func TestInvalidWorkIsIgnored(t *testing.T) {
 	s := New(4, 1)
 	for _, work := range []float64{math.NaN(), math.Inf(1), -1, 0} {
 		s.Add(1, 9, work)
 	}
-	if p := s.Top(1, 4); len(p.Figures) != 0 || p.All != 0 {
+	if p := s.Top(1, 4); len(p.Keys) != 0 || p.Total != 0 {
 		t.Fatalf("%+v", p)
 	}
 }
--- a/internal/supervisor/client_test.go
+++ b/internal/supervisor/client_test.go
@@ -16,18 +16,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func stopOf(id string) Request {
-	return Request{ID: id, Op: Stop, Memory: 7, Unit: "u", Incarnation: 3}
+func stopRequest(id string) Request {
+	return Request{ID: id, Op: Stop, Epoch: 7, Unit: "u", Incarnation: 3}
 }
 
-// answering gives a client of a platform that answers each call with the next of some texts, the last for good.
-func answering(t *testing.T, status int, texts ...string) (*Client, *atomic.Int64) {
+// newScriptedClient gives a client of a platform that answers each call with the next of some texts, the last for good.
+func newScriptedClient(t *testing.T, status int, responses ...string) (*Client, *atomic.Int64) {
 	t.Helper()
 	var calls atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		n := min(int(calls.Add(1)), len(texts))
+		n := min(int(calls.Add(1)), len(responses))
 		w.WriteHeader(status)
-		w.Write([]byte(texts[n-1]))
+		w.Write([]byte(responses[n-1]))
 	}))
 	t.Cleanup(srv.Close)
 	c, err := NewClient(srv.Listener.Addr().String())
@@ -38,14 +38,14 @@
 	return c, &calls
 }
 
-func TestAnswersThatCannotBeAreNotTaken(t *testing.T) {
+func TestInvalidResponsesAreRetried(t *testing.T) {
 	const done = `{"outcomes":[{"id":"a","unit":"u","memory":7,"incarnation":3}]}`
 	for _, bad := range []string{
 		"", "null", "{}", done[:30], done + "{}", `{"outcomes":[]}`, strings.Replace(done, `"a"`, `"b"`, 1), strings.Replace(done, `"u"`, `"v"`, 1),
 		strings.Replace(done, "7", "8", 1), strings.Replace(done, "7", "0", 1), strings.Replace(done, "3", "0", 1), strings.Replace(done, "3", `"3"`, 1),
 	} {
-		c, calls := answering(t, 200, bad, done)
-		out, err := c.Do(t.Context(), stopOf("a"))
+		c, calls := newScriptedClient(t, 200, bad, done)
+		out, err := c.Do(t.Context(), stopRequest("a"))
 		if err != nil || len(out) != 1 || out[0].Incarnation != 3 || calls.Load() != 2 {
 			t.Errorf("%q: %+v, %v after %d calls, want the second answer", bad, out, err, calls.Load())
 		}
@@ -55,7 +55,7 @@
 		"[]", `{"memory":7}`, strings.Replace(list, "7", "0", 1), strings.Replace(list, "running", "well", 1), strings.Replace(list, `"a"`, `"../a"`, 1),
 		strings.Replace(list, `"server"`, `"s"`, 1), strings.Replace(list, `[{`, `[{"name":"a","kind":"server","state":"exited","incarnation":1},{`, 1),
 	} {
-		c, calls := answering(t, 200, bad, list)
+		c, calls := newScriptedClient(t, 200, bad, list)
 		l, err := c.List(t.Context())
 		if err != nil || l.Find("a") == nil || l.Find("b") != nil || calls.Load() != 2 {
 			t.Errorf("%q: %+v, %v after %d calls, want the second answer", bad, l, err, calls.Load())
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestWhatIsKnownOfFailures(t *testing.T) {
+func TestFailuresAndUnknownOutcomes(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -73,8 +73,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	failing, _ := answering(t, 500, `{"error":"the platform\nfailed"}`)
-	refusing, refused := answering(t, 400, `{"error":"no"}`)
+	failing, _ := newScriptedClient(t, 500, `{"error":"the platform\nfailed"}`)
+	refusing, refused := newScriptedClient(t, 400, `{"error":"no"}`)
 	for _, c := range []struct {
 		name    string
 		client  *Client
@@ -88,9 +88,9 @@
 		{"ended before", failing, 0, false, "deadline exceeded"},
 	} {
 		ctx, cancel := context.WithTimeout(t.Context(), c.wait)
-		_, err := c.client.Do(ctx, stopOf("a"))
+		_, err := c.client.Do(ctx, stopRequest("a"))
 		cancel()
-		if err == nil || errors.Is(err, ErrUnknown) != c.unknown || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+		if err == nil || errors.Is(err, ErrOutcomeUnknown) != c.unknown || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want unknown %v and one line with %q", c.name, err, c.unknown, c.want)
 		}
 	}
@@ -99,28 +99,28 @@
 	}
 }
 
-func TestRequestsAreChecked(t *testing.T) {
-	start := Request{ID: "release/3/u", Op: Start, Memory: 1, Unit: "u", Kind: Sidecar, Version: "1.0", Listen: "127.0.0.1:80"}
-	if err := start.Check(); err != nil {
+func TestRequestValidation(t *testing.T) {
+	start := Request{ID: "release/3/u", Op: Start, Epoch: 1, Unit: "u", Kind: Sidecar, Version: "1.0", Listen: "127.0.0.1:80"}
+	if err := start.Validate(); err != nil {
 		t.Error(err)
 	}
 	for name, change := range map[string]func(*Request){
 		"no id": func(r *Request) { r.ID = "" }, "id with an empty part": func(r *Request) { r.ID = "a//b" },
 		"long id": func(r *Request) { r.ID = strings.Repeat("a/", 100) + "a" }, "a path": func(r *Request) { r.Unit = "../u" }, "an option": func(r *Request) { r.Version = "-v" },
 		"not on loopback": func(r *Request) { r.Listen = "10.0.0.1:80" }, "no port": func(r *Request) { r.Listen = "127.0.0.1:0" },
-		"no memory": func(r *Request) { r.Memory = 0 }, "kind": func(r *Request) { r.Kind = "x" }, "op": func(r *Request) { r.Op = "x" },
-		"grace": func(r *Request) { r.GraceMS = 1 }, "stop of none": func(r *Request) { *r = stopOf("a"); r.Incarnation = 0 },
-		"stop with a version": func(r *Request) { *r = stopOf("a"); r.Version = "1" }, "long grace": func(r *Request) { *r = stopOf("a"); r.GraceMS = 1e9 },
-		"reload of nothing": func(r *Request) { *r = stopOf("a"); r.Op = Reload; r.Config = "c" },
-		"large file":        func(r *Request) { r.File = strings.Repeat("x", MaxFile+1) },
+		"no memory": func(r *Request) { r.Epoch = 0 }, "kind": func(r *Request) { r.Kind = "x" }, "op": func(r *Request) { r.Op = "x" },
+		"grace": func(r *Request) { r.GraceMS = 1 }, "stop of none": func(r *Request) { *r = stopRequest("a"); r.Incarnation = 0 },
+		"stop with a version": func(r *Request) { *r = stopRequest("a"); r.Version = "1" }, "long grace": func(r *Request) { *r = stopRequest("a"); r.GraceMS = 1e9 },
+		"reload of nothing": func(r *Request) { *r = stopRequest("a"); r.Op = Reload; r.ConfigName = "c" },
+		"large file":        func(r *Request) { r.ConfigText = strings.Repeat("x", MaxConfigBytes+1) },
 	} {
 		r := start
 		change(&r)
-		if err := r.Check(); err == nil || strings.Contains(err.Error(), "\n") {
+		if err := r.Validate(); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if err := CheckCall([]Request{start, start}); err == nil {
+	if err := ValidateBatch([]Request{start, start}); err == nil {
 		t.Error("an id stands twice in a call")
 	}
 }
--- a/internal/supervisor/core/core_test.go
+++ b/internal/supervisor/core/core_test.go
@@ -7,24 +7,24 @@
 	"milldeck/internal/supervisor"
 )
 
-var versions = map[Version]Rules{
-	{supervisor.Sidecar, "1"}: {}, {supervisor.Sidecar, "2"}: {GraceMS: 500}, {supervisor.Sidecar, "crash"}: {Restarts: 2},
+var versions = map[Version]ProcessPolicy{
+	{supervisor.Sidecar, "1"}: {}, {supervisor.Sidecar, "2"}: {GraceMS: 500}, {supervisor.Sidecar, "crash"}: {MaxRestarts: 2},
 }
 
 func start(c *Core, id, unit, version string, incarnation uint64) request {
 	return request{
-		ID: id, Op: supervisor.Start, Memory: c.memory, Unit: unit, Incarnation: incarnation, Kind: supervisor.Sidecar, Version: version,
+		ID: id, Op: supervisor.Start, Epoch: c.epoch, Unit: unit, Incarnation: incarnation, Kind: supervisor.Sidecar, Version: version,
 		Listen: "127.0.0.1:1",
 	}
 }
 
 func stop(c *Core, id, unit string, incarnation uint64) request {
-	return request{ID: id, Op: supervisor.Stop, Memory: c.memory, Unit: unit, Incarnation: incarnation}
+	return request{ID: id, Op: supervisor.Stop, Epoch: c.epoch, Unit: unit, Incarnation: incarnation}
 }
 
-// one does one request and gives its outcome.
-func one(t interface{ Fatalf(string, ...any) }, c *Core, now int64, r request) supervisor.Outcome {
-	if err := supervisor.CheckCall([]request{r}); err != nil {
+// executeOne does one request and gives its outcome.
+func executeOne(t interface{ Fatalf(string, ...any) }, c *Core, now int64, r request) supervisor.Outcome {
+	if err := supervisor.ValidateBatch([]request{r}); err != nil {
 		t.Fatalf("%v", err)
 	}
 	a := c.Do(now, []request{r})
@@ -41,15 +41,15 @@
 	return supervisor.Unit{}
 }
 
-// effects as text, in order.
-func effects(c *Core) string {
+// drainEffects as text, in order.
+func drainEffects(c *Core) string {
 	s := ""
 	for _, e := range c.Effects() {
 		switch e := e.(type) {
 		case Launch:
-			s += fmt.Sprintf("launch %d %s %s;", e.Proc, e.Unit.Name, e.Unit.Version)
+			s += fmt.Sprintf("launch %d %s %s;", e.Process, e.Unit.Name, e.Unit.Version)
 		case Signal:
-			s += fmt.Sprintf("%s %d;", [...]string{"term", "kill", "hup"}[e.Sig], e.Proc)
+			s += fmt.Sprintf("%s %d;", [...]string{"term", "kill", "hup"}[e.Kind], e.Process)
 		default:
 			s += fmt.Sprintf("%T;", e)
 		}
@@ -57,59 +57,59 @@
 	return s
 }
 
-func want(t *testing.T, what, got, want string) {
+func expect(t *testing.T, what, got, expect string) {
 	t.Helper()
-	if got != want {
-		t.Errorf("%s: %q, want %q", what, got, want)
+	if got != expect {
+		t.Errorf("%s: %q, want %q", what, got, expect)
 	}
 }
 
-func TestLifeOfAUnit(t *testing.T) {
+func TestUnitLifecycle(t *testing.T) {
 	c := New(Options{Versions: versions}, 1000)
-	first := one(t, c, 1000, start(c, "a", "u", "1", 0))
-	want(t, "start", effects(c), "launch 1 u 1;")
-	want(t, "a second start", string(one(t, c, 1000, start(c, "b", "u", "1", first.Incarnation)).Refused), "busy")
-	c.Ready(1100, 1)
-	want(t, "ready", string(state(c, "u").State), "running")
-	next := one(t, c, 1200, request{
-		ID: "c", Op: supervisor.Restart, Memory: c.memory, Unit: "u", Incarnation: first.Incarnation, Kind: supervisor.Sidecar, Version: "2",
+	first := executeOne(t, c, 1000, start(c, "a", "u", "1", 0))
+	expect(t, "start", drainEffects(c), "launch 1 u 1;")
+	expect(t, "a second start", string(executeOne(t, c, 1000, start(c, "b", "u", "1", first.Incarnation)).Rejected), "busy")
+	c.ProcessReady(1100, 1)
+	expect(t, "ready", string(state(c, "u").State), "running")
+	next := executeOne(t, c, 1200, request{
+		ID: "c", Op: supervisor.Restart, Epoch: c.epoch, Unit: "u", Incarnation: first.Incarnation, Kind: supervisor.Sidecar, Version: "2",
 		Listen: "127.0.0.1:1", GraceMS: 300,
 	})
-	want(t, "restart", effects(c), "term 1;")
+	expect(t, "restart", drainEffects(c), "term 1;")
 	c.Tick(1499)
-	want(t, "within the grace", effects(c), "")
+	expect(t, "within the grace", drainEffects(c), "")
 	c.Tick(1500)
-	want(t, "the grace", effects(c), "kill 1;")
-	c.Ended(1501, 1, "signal: killed")
-	want(t, "the end", effects(c), "launch 2 u 2;")
+	expect(t, "the grace", drainEffects(c), "kill 1;")
+	c.ProcessExited(1501, 1, "signal: killed")
+	expect(t, "the end", drainEffects(c), "launch 2 u 2;")
 	if u := state(c, "u"); u.Incarnation != next.Incarnation || u.Incarnation == first.Incarnation || u.Version != "2" {
 		t.Errorf("%+v, want incarnation %d of version 2", u, next.Incarnation)
 	}
-	want(t, "a late stop of the one before", string(one(t, c, 1600, stop(c, "d", "u", first.Incarnation)).Refused), "stale")
-	one(t, c, 1600, stop(c, "e", "u", next.Incarnation))
+	expect(t, "a late stop of the one before", string(executeOne(t, c, 1600, stop(c, "d", "u", first.Incarnation)).Rejected), "stale")
+	executeOne(t, c, 1600, stop(c, "e", "u", next.Incarnation))
 	c.Tick(2099)
-	want(t, "the version's grace", effects(c), "term 2;")
+	expect(t, "the version's grace", drainEffects(c), "term 2;")
 	c.Tick(2100)
-	want(t, "the version's grace", effects(c), "kill 2;")
-	c.Ended(2100, 2, "signal: killed")
-	want(t, "no version", string(one(t, c, 1600, start(c, "f", "u", "9", next.Incarnation)).Refused), "no_version")
-	one(t, c, 3000, start(c, "g", "u", "crash", next.Incarnation))
+	expect(t, "the version's grace", drainEffects(c), "kill 2;")
+	c.ProcessExited(2100, 2, "signal: killed")
+	expect(t, "no version", string(executeOne(t, c, 1600, start(c, "f", "u", "9", next.Incarnation)).Rejected), "no_version")
+	executeOne(t, c, 3000, start(c, "g", "u", "crash", next.Incarnation))
 	for i, due := range []int64{3200, 3600} {
-		c.Ended(due-200<<i, uint64(3+i), "exit status 1")
-		effects(c)
+		c.ProcessExited(due-200<<i, uint64(3+i), "exit status 1")
+		drainEffects(c)
 		c.Tick(due - 1)
-		want(t, "before the restart", string(state(c, "u").State)+effects(c), "exited")
+		expect(t, "before the restart", string(state(c, "u").State)+drainEffects(c), "exited")
 		c.Tick(due)
-		want(t, "by itself", effects(c), fmt.Sprintf("launch %d u crash;", 4+i))
+		expect(t, "by itself", drainEffects(c), fmt.Sprintf("launch %d u crash;", 4+i))
 	}
-	c.Ended(4000, 5, "exit status 1")
+	c.ProcessExited(4000, 5, "exit status 1")
 	c.Tick(1e6)
-	if u := state(c, "u"); u.State != supervisor.Exited || u.Restarts != 2 || effects(c) != "" {
+	if u := state(c, "u"); u.State != supervisor.Exited || u.Restarts != 2 || drainEffects(c) != "" {
 		t.Errorf("%+v, want an end after two restarts", u)
 	}
 }
 
-func TestFaultsDoWhatTheySay(t *testing.T) {
+func TestFaults(t *testing.T) {
 	set := func(c *Core, f Fault) {
 		t.Helper()
 		if err := c.SetFault(1000, f); err != nil {
@@ -119,56 +119,56 @@
 	fresh := func() *Core {
 		c := New(Options{Versions: versions}, 1000)
 		for i, unit := range []string{"a", "b"} {
-			one(t, c, 1000, start(c, unit, unit, "1", 0))
-			c.Ready(1000, uint64(1+i))
+			executeOne(t, c, 1000, start(c, unit, unit, "1", 0))
+			c.ProcessReady(1000, uint64(1+i))
 		}
-		effects(c)
+		drainEffects(c)
 		return c
 	}
 	c := fresh()
-	set(c, Fault{Kind: Twice})
-	one(t, c, 1000, start(c, "x", "c", "1", 0))
-	want(t, "twice", effects(c), "launch 3 c 1;launch 4 c 1;")
+	set(c, Fault{Kind: FaultDuplicate})
+	executeOne(t, c, 1000, start(c, "x", "c", "1", 0))
+	expect(t, "twice", drainEffects(c), "launch 3 c 1;launch 4 c 1;")
 
-	set(c, Fault{Kind: Wrong})
-	one(t, c, 1000, stop(c, "y", "a", 1))
-	want(t, "wrong", effects(c)+string(state(c, "a").State+state(c, "b").State), "term 2;runningstopping")
+	set(c, Fault{Kind: FaultWrongUnit})
+	executeOne(t, c, 1000, stop(c, "y", "a", 1))
+	expect(t, "wrong", drainEffects(c)+string(state(c, "a").State+state(c, "b").State), "term 2;runningstopping")
 
 	c = fresh()
-	set(c, Fault{Kind: Half, On: OnDo})
+	set(c, Fault{Kind: FaultPartial, On: OnDo})
 	both := []request{stop(c, "s1", "a", 1), stop(c, "s2", "b", 2)}
-	if a := c.Do(1000, both); a.Failed == "" {
+	if a := c.Do(1000, both); a.Failure == "" {
 		t.Errorf("%+v, want a failure", a)
 	}
-	want(t, "half of two", effects(c), "term 1;")
-	if a := c.Do(1000, both); a.Failed != "" || len(a.Outcomes) != 2 {
+	expect(t, "half of two", drainEffects(c), "term 1;")
+	if a := c.Do(1000, both); a.Failure != "" || len(a.Outcomes) != 2 {
 		t.Errorf("%+v, want both done by the repeat", a)
 	}
-	want(t, "the other half", effects(c), "term 2;")
+	expect(t, "the other half", drainEffects(c), "term 2;")
 
 	c = fresh()
-	set(c, Fault{Kind: Half})
-	one(t, c, 1000, request{
-		ID: "r", Op: supervisor.Restart, Memory: c.memory, Unit: "a", Incarnation: 1, Kind: supervisor.Sidecar, Version: "2", Listen: "127.0.0.1:1",
+	set(c, Fault{Kind: FaultPartial})
+	executeOne(t, c, 1000, request{
+		ID: "r", Op: supervisor.Restart, Epoch: c.epoch, Unit: "a", Incarnation: 1, Kind: supervisor.Sidecar, Version: "2", Listen: "127.0.0.1:1",
 	})
-	c.Ended(1100, 1, "exit status 0")
-	want(t, "half of a restart", effects(c)+string(state(c, "a").State), "term 1;exited")
+	c.ProcessExited(1100, 1, "exit status 0")
+	expect(t, "half of a restart", drainEffects(c)+string(state(c, "a").State), "term 1;exited")
 
 	c = fresh()
-	set(c, Fault{Kind: Hang, ForMS: 500})
+	set(c, Fault{Kind: FaultHang, DurationMS: 500})
 	a := c.Do(1000, []request{stop(c, "h", "a", 1)})
-	want(t, "hangs", fmt.Sprint(a.Held != 0)+effects(c), "true")
+	expect(t, "hangs", fmt.Sprint(a.HeldTicket != 0)+drainEffects(c), "true")
 	c.Tick(1500)
-	want(t, "goes on", effects(c), "term 1;core.Answered;")
+	expect(t, "goes on", drainEffects(c), "term 1;core.Answered;")
 
 	c = fresh()
 	before := c.list(0)
 	late := stop(c, "l", "a", 1)
-	set(c, Fault{Kind: Forget, ForMS: 500})
-	if l := c.list(0); l.Memory <= before.Memory || l.Complete || len(l.Units) != 0 {
+	set(c, Fault{Kind: FaultLoseState, DurationMS: 500})
+	if l := c.list(0); l.Epoch <= before.Epoch || l.Complete || len(l.Units) != 0 {
 		t.Errorf("%+v, want another memory and no units", l)
 	}
-	want(t, "asked of the memory before", string(one(t, c, 1000, late).Refused), "forgotten")
+	expect(t, "asked of the memory before", string(executeOne(t, c, 1000, late).Rejected), "forgotten")
 	c.Tick(1500)
 	if l := c.list(0); !l.Complete || len(l.Units) != 2 || l.Units[0].State != supervisor.Running {
 		t.Errorf("%+v, want both found again", l)
@@ -176,24 +176,24 @@
 }
 
 // Ids and units are bounded; what goes is the oldest that has settled, and a unit that lives never goes.
-func TestMemoryIsBounded(t *testing.T) {
-	c := New(Options{Versions: versions, MostUnits: 2, MostIDs: 4}, 1)
+func TestRecordsAndUnitsAreBounded(t *testing.T) {
+	c := New(Options{Versions: versions, MaxUnits: 2, MaxRequestIDs: 4}, 1)
 	a := start(c, "a", "a", "1", 0)
-	one(t, c, 1, a)
-	b := one(t, c, 1, start(c, "b", "b", "1", 0))
-	want(t, "a third unit", string(one(t, c, 1, start(c, "c", "c", "1", 0)).Refused), "full")
-	c.Ready(2, 2)
-	one(t, c, 3, stop(c, "d", "b", b.Incarnation))
-	c.Ended(4, 2, "exit status 0")
-	effects(c)
-	if out := one(t, c, 5, start(c, "e", "c", "1", 0)); out.Refused != "" {
+	executeOne(t, c, 1, a)
+	b := executeOne(t, c, 1, start(c, "b", "b", "1", 0))
+	expect(t, "a third unit", string(executeOne(t, c, 1, start(c, "c", "c", "1", 0)).Rejected), "full")
+	c.ProcessReady(2, 2)
+	executeOne(t, c, 3, stop(c, "d", "b", b.Incarnation))
+	c.ProcessExited(4, 2, "exit status 0")
+	drainEffects(c)
+	if out := executeOne(t, c, 5, start(c, "e", "c", "1", 0)); out.Rejected != "" {
 		t.Errorf("%+v, want the place of the one that has exited", out)
 	}
-	want(t, "the one that has exited", effects(c), "core.Dropped;launch 3 c 1;")
-	if len(c.ids) != 4 || len(c.order) != 4 || c.ids["a"] == nil || c.ids["b"] != nil {
-		t.Errorf("%d ids, a %v, b %v, want a kept as it starts", len(c.ids), c.ids["a"], c.ids["b"])
+	expect(t, "the one that has exited", drainEffects(c), "core.Dropped;launch 3 c 1;")
+	if len(c.records) != 4 || len(c.recordOrder) != 4 || c.records["a"] == nil || c.records["b"] != nil {
+		t.Errorf("%d ids, a %v, b %v, want a kept as it starts", len(c.records), c.records["a"], c.records["b"])
 	}
-	if out := one(t, c, 5, a); out.Refused != "" || effects(c) != "" {
+	if out := executeOne(t, c, 5, a); out.Rejected != "" || drainEffects(c) != "" {
 		t.Errorf("a repeat did something: %+v", out)
 	}
 }
--- a/internal/supervisor/core/fixtures_test.go
+++ b/internal/supervisor/core/fixtures_test.go
@@ -34,8 +34,8 @@
 
 func fixtureFaults() []Fault {
 	return []Fault{
-		{Kind: Fail, On: OnList, Count: 2}, {Kind: Hang, ForMS: 500}, {Kind: Late, DelayMS: 100}, {Kind: Half, On: OnDo, Unit: "u1"},
-		{Kind: Lose}, {Kind: Twice, On: OnDo}, {Kind: Wrong, On: OnDo}, {Kind: Forget, ForMS: 1000},
+		{Kind: FaultError, On: OnList, Count: 2}, {Kind: FaultHang, DurationMS: 500}, {Kind: FaultDelay, DelayMS: 100}, {Kind: FaultPartial, On: OnDo, Unit: "u1"},
+		{Kind: FaultDropResponse}, {Kind: FaultDuplicate, On: OnDo}, {Kind: FaultWrongUnit, On: OnDo}, {Kind: FaultLoseState, DurationMS: 1000},
 	}
 }
 
@@ -43,7 +43,7 @@
 func TestFixtureFaults(t *testing.T) {
 	var out bytes.Buffer
 	for _, f := range fixtureFaults() {
-		if err := f.Check(); err != nil {
+		if err := f.Validate(); err != nil {
 			t.Error(err)
 		}
 		if err := json.NewEncoder(&out).Encode(f); err != nil {
@@ -62,7 +62,7 @@
 
 // The outcomes and the list of a scripted run keep their bytes, with refusals of every reason.
 func TestFixtureOutcomes(t *testing.T) {
-	c := New(Options{Versions: versions, MostUnits: 2, MostIDs: 64}, 1000)
+	c := New(Options{Versions: versions, MaxUnits: 2, MaxRequestIDs: 64}, 1000)
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
 	note := func(v any) {
@@ -72,34 +72,34 @@
 		}
 	}
 	first := start(c, "a", "u", "1", 0)
-	note(one(t, c, 1000, first))
-	note(one(t, c, 1000, start(c, "b", "u", "1", 1)))
-	note(one(t, c, 1000, start(c, "b", "v", "1", 1)))
-	note(one(t, c, 1000, start(c, "c", "v", "9", 0)))
-	note(one(t, c, 1000, start(c, "d", "v", "1", 4)))
-	note(one(t, c, 1000, start(c, "e", "v", "crash", 0)))
-	note(one(t, c, 1000, start(c, "f", "w", "1", 0)))
+	note(executeOne(t, c, 1000, first))
+	note(executeOne(t, c, 1000, start(c, "b", "u", "1", 1)))
+	note(executeOne(t, c, 1000, start(c, "b", "v", "1", 1)))
+	note(executeOne(t, c, 1000, start(c, "c", "v", "9", 0)))
+	note(executeOne(t, c, 1000, start(c, "d", "v", "1", 4)))
+	note(executeOne(t, c, 1000, start(c, "e", "v", "crash", 0)))
+	note(executeOne(t, c, 1000, start(c, "f", "w", "1", 0)))
 	note(c.list(1050))
-	c.Ready(1100, 1)
-	note(one(t, c, 1200, request{ID: "g", Op: supervisor.Reload, Memory: c.memory, Unit: "v", Incarnation: 2, Config: "c2", File: "text"}))
-	note(one(t, c, 1200, request{ID: "h", Op: supervisor.Reload, Memory: c.memory, Unit: "u", Incarnation: 1, Config: "c2", File: "text"}))
-	note(one(t, c, 1200, request{ID: "i", Op: supervisor.Restart, Memory: c.memory, Unit: "u", Incarnation: 1, Kind: supervisor.Sidecar,
-		Version: "2", Listen: "127.0.0.1:2", Zone: "z", Config: "c3", GraceMS: 300}))
-	c.Ended(1250, 2, "exit status 1")
+	c.ProcessReady(1100, 1)
+	note(executeOne(t, c, 1200, request{ID: "g", Op: supervisor.Reload, Epoch: c.epoch, Unit: "v", Incarnation: 2, ConfigName: "c2", ConfigText: "text"}))
+	note(executeOne(t, c, 1200, request{ID: "h", Op: supervisor.Reload, Epoch: c.epoch, Unit: "u", Incarnation: 1, ConfigName: "c2", ConfigText: "text"}))
+	note(executeOne(t, c, 1200, request{ID: "i", Op: supervisor.Restart, Epoch: c.epoch, Unit: "u", Incarnation: 1, Kind: supervisor.Sidecar,
+		Version: "2", Listen: "127.0.0.1:2", Zone: "z", ConfigName: "c3", GraceMS: 300}))
+	c.ProcessExited(1250, 2, "exit status 1")
 	note(c.list(1300))
 	c.Tick(1500)
-	c.Ended(1501, 1, "signal: killed")
-	note(one(t, c, 1600, first))
+	c.ProcessExited(1501, 1, "signal: killed")
+	note(executeOne(t, c, 1600, first))
 	note(c.list(1600))
-	for _, set := range []Fault{{Kind: Fail}, {Kind: Forget}} {
+	for _, set := range []Fault{{Kind: FaultError}, {Kind: FaultLoseState}} {
 		if err := c.SetFault(1700, set); err != nil {
 			t.Fatal(err)
 		}
-		if set.Kind == Fail {
-			note(c.Do(1700, []request{first}).Failed)
+		if set.Kind == FaultError {
+			note(c.Do(1700, []request{first}).Failure)
 		}
 	}
-	note(one(t, c, 1700, first))
+	note(executeOne(t, c, 1700, first))
 	note(c.list(1700))
 	golden(t, "outcomes.jsonl", out.Bytes())
 }
--- a/internal/supervisor/core/units.go
+++ b/internal/supervisor/core/units.go
@@ -10,234 +10,234 @@
 )
 
 // apply does what a request asks for, or says why not.
-func (c *Core) apply(now int64, r *request, fault *FaultKind) (supervisor.Reason, string) {
+func (c *Core) apply(now int64, r *request, fault *FaultKind) (supervisor.RejectionReason, string) {
 	u := c.units[r.Unit]
 	current := uint64(0)
 	if u != nil {
 		current = u.Incarnation
 	}
 	if r.Incarnation != current {
-		return supervisor.Stale, fmt.Sprintf("it is incarnation %d, not %d", current, r.Incarnation)
+		return supervisor.IncarnationMismatch, fmt.Sprintf("it is incarnation %d, not %d", current, r.Incarnation)
 	}
 	if r.Op == supervisor.Start || r.Op == supervisor.Restart {
-		if _, known := c.opts.Versions[Version{r.Kind, r.Version}]; !known {
-			return supervisor.NoVersion, fmt.Sprintf("there is no %s of version %s", r.Kind, r.Version)
+		if _, ok := c.options.Versions[Version{r.Kind, r.Version}]; !ok {
+			return supervisor.UnknownVersion, fmt.Sprintf("there is no %s of version %s", r.Kind, r.Version)
 		}
 	}
 	switch r.Op {
 	case supervisor.Start:
 		if u != nil && u.State != supervisor.Exited {
-			return supervisor.Busy, fmt.Sprintf("it is %s", u.State)
+			return supervisor.InvalidState, fmt.Sprintf("it is %s", u.State)
 		}
-		if u == nil && len(c.units) >= c.opts.MostUnits && !c.drop() {
-			return supervisor.Full, fmt.Sprintf("%d units are listed, none has exited", len(c.units))
+		if u == nil && len(c.units) >= c.options.MaxUnits && !c.evictExitedUnit() {
+			return supervisor.LimitReached, fmt.Sprintf("%d units are listed, none has exited", len(c.units))
 		}
-		if len(c.procs) >= 2*c.opts.MostUnits { // more than are listed, after a memory was lost
-			return supervisor.Full, fmt.Sprintf("%d processes run", len(c.procs))
+		if len(c.processes) >= 2*c.options.MaxUnits { // more than are listed, after a memory was lost
+			return supervisor.LimitReached, fmt.Sprintf("%d processes run", len(c.processes))
 		}
-		c.launch(now, c.planned(r), r.File, fault)
+		c.launch(now, c.newIncarnation(r), r.ConfigText, fault)
 	case supervisor.Stop:
-		u.next = nil
-		c.stop(now, u, r.GraceMS, fault)
+		u.pending = nil
+		c.stopUnit(now, u, r.GraceMS, fault)
 	case supervisor.Restart:
-		next := c.planned(r)
+		next := c.newIncarnation(r)
 		if u.State == supervisor.Exited {
-			c.launch(now, next, r.File, fault)
+			c.launch(now, next, r.ConfigText, fault)
 			return "", ""
 		}
-		u.next = &pendingLaunch{unit: next, file: r.File}
+		u.pending = &pendingLaunch{unit: next, configText: r.ConfigText}
 		switch *fault {
-		case Half:
-			u.next, *fault = nil, ""
-		case Twice:
-			u.next.fault, *fault = Twice, ""
+		case FaultPartial:
+			u.pending, *fault = nil, ""
+		case FaultDuplicate:
+			u.pending.fault, *fault = FaultDuplicate, ""
 		}
-		c.stop(now, u, r.GraceMS, fault)
+		c.stopUnit(now, u, r.GraceMS, fault)
 	case supervisor.Reload:
 		if u.State != supervisor.Running {
-			return supervisor.Busy, fmt.Sprintf("it is %s", u.State)
+			return supervisor.InvalidState, fmt.Sprintf("it is %s", u.State)
 		}
-		u.Config = r.Config
-		c.effect(Rewrite{u.Name, r.Config, r.File})
-		if *fault == Half {
+		u.ConfigName = r.ConfigName
+		c.emit(Rewrite{u.Name, r.ConfigName, r.ConfigText})
+		if *fault == FaultPartial {
 			*fault = ""
 		} else {
-			c.effect(Signal{u.proc, Hup})
+			c.emit(Signal{u.process, Hangup})
 		}
 	}
 	return "", ""
 }
 
-// planned is the unit that a request asks for, with an incarnation of its own.
-func (c *Core) planned(r *request) supervisor.Unit {
+// newIncarnation is the unit that a request asks for, with an incarnation of its own.
+func (c *Core) newIncarnation(r *request) supervisor.Unit {
 	c.lastIncarnation++
 	return supervisor.Unit{
-		Name: r.Unit, Kind: r.Kind, Version: r.Version, Config: r.Config, Zone: r.Zone, Listen: r.Listen, Incarnation: c.lastIncarnation,
+		Name: r.Unit, Kind: r.Kind, Version: r.Version, ConfigName: r.ConfigName, Zone: r.Zone, Listen: r.Listen, Incarnation: c.lastIncarnation,
 	}
 }
 
 // launch has a unit come up, in place of the one of its name.
-func (c *Core) launch(now int64, as supervisor.Unit, file string, fault *FaultKind) {
-	rules := c.opts.Versions[Version{as.Kind, as.Version}]
-	u := &unit{Unit: as, rules: rules}
+func (c *Core) launch(now int64, planned supervisor.Unit, configText string, fault *FaultKind) {
+	policy := c.options.Versions[Version{planned.Kind, planned.Version}]
+	u := &unit{Unit: planned, policy: policy}
 	u.State, u.SinceMS = supervisor.Starting, now
 	c.units[u.Name] = u
-	if *fault == Half {
+	if *fault == FaultPartial {
 		*fault = ""
 		return
 	}
-	c.run(u, file)
-	if *fault == Twice {
+	c.startProcess(u, configText)
+	if *fault == FaultDuplicate {
 		*fault = ""
-		c.run(&unit{Unit: u.Unit, rules: rules}, "")
+		c.startProcess(&unit{Unit: u.Unit, policy: policy}, "")
 	}
 }
 
-// run starts a unit's process.
-func (c *Core) run(u *unit, file string) {
-	c.lastProc++
-	u.proc = c.lastProc
-	c.procs[u.proc] = u
-	c.effect(Launch{u.proc, u.Unit, file})
+// startProcess starts a unit's process.
+func (c *Core) startProcess(u *unit, configText string) {
+	c.lastProcess++
+	u.process = c.lastProcess
+	c.processes[u.process] = u
+	c.emit(Launch{u.process, u.Unit, configText})
 }
 
-// stop asks a unit to end; a second time only to end sooner.
-func (c *Core) stop(now int64, u *unit, grace int64, fault *FaultKind) {
-	if *fault == Wrong {
+// stopUnit asks a unit to end; a second time only to end sooner.
+func (c *Core) stopUnit(now int64, u *unit, graceMS int64, fault *FaultKind) {
+	if *fault == FaultWrongUnit {
 		*fault = ""
-		if u = c.other(u); u == nil {
+		if u = c.nextRunning(u); u == nil {
 			return
 		}
 	}
-	grace = cmp.Or(grace, u.rules.GraceMS, defaultGrace)
+	graceMS = cmp.Or(graceMS, u.policy.GraceMS, defaultGraceMS)
 	switch {
 	case u.State == supervisor.Exited:
-		u.restartAt = 0
+		u.restartAtMS = 0
 		return
-	case u.proc == 0: // a start that was done by half
-		c.exited(now, u, "never started")
+	case u.process == 0: // a start that was done by half
+		c.unitExited(now, u, "never started")
 		return
 	case u.State != supervisor.Stopping:
 		u.State, u.SinceMS = supervisor.Stopping, now
-		c.effect(Signal{u.proc, Term})
-		if *fault == Half {
+		c.emit(Signal{u.process, Terminate})
+		if *fault == FaultPartial {
 			*fault = ""
 			return
 		}
 	}
-	if due := now + grace; u.killAt == 0 || due < u.killAt {
-		u.killAt = due
-		proc := u.proc
-		c.at(due, func(int64) {
-			if u.proc == proc && u.killAt == due {
-				c.effect(Signal{proc, Kill})
+	if dueMS := now + graceMS; u.killAtMS == 0 || dueMS < u.killAtMS {
+		u.killAtMS = dueMS
+		process := u.process
+		c.schedule(dueMS, func(int64) {
+			if u.process == process && u.killAtMS == dueMS {
+				c.emit(Signal{process, Kill})
 			}
 		})
 	}
 }
 
-// other is the next unit by name, round the list, of the same kind that runs.
-func (c *Core) other(than *unit) *unit {
-	all := slices.Sorted(maps.Keys(c.units))
-	at, _ := slices.BinarySearch(all, than.Name)
-	for i := range all {
-		u := c.units[all[(at+1+i)%len(all)]]
-		if u != than && u.Kind == than.Kind && u.State == supervisor.Running {
+// nextRunning is the next unit by name, round the list, of the same kind that runs.
+func (c *Core) nextRunning(after *unit) *unit {
+	names := slices.Sorted(maps.Keys(c.units))
+	position, _ := slices.BinarySearch(names, after.Name)
+	for i := range names {
+		u := c.units[names[(position+1+i)%len(names)]]
+		if u != after && u.Kind == after.Kind && u.State == supervisor.Running {
 			return u
 		}
 	}
 	return nil
 }
 
-// Ready tells that a process has answered its ready check.
-func (c *Core) Ready(now int64, proc uint64) {
-	if u := c.procs[proc]; u != nil && u.State == supervisor.Starting {
+// ProcessReady tells that a process has answered its ready check.
+func (c *Core) ProcessReady(now int64, process uint64) {
+	if u := c.processes[process]; u != nil && u.State == supervisor.Starting {
 		u.State, u.SinceMS = supervisor.Running, now
 	}
 }
 
-// Ended tells that a process has ended or could not be started, and how: one line.
-func (c *Core) Ended(now int64, proc uint64, how string) {
-	u := c.procs[proc]
+// ProcessExited tells that a process has ended or could not be started, and how: one line.
+func (c *Core) ProcessExited(now int64, process uint64, exit string) {
+	u := c.processes[process]
 	if u == nil {
 		return
 	}
-	delete(c.procs, proc)
-	u.proc, u.killAt = 0, 0
+	delete(c.processes, process)
+	u.process, u.killAtMS = 0, 0
 	if c.units[u.Name] != u {
 		return
 	}
-	asked := u.State == supervisor.Stopping
-	c.exited(now, u, how)
-	if asked || u.Restarts >= u.rules.Restarts {
+	requested := u.State == supervisor.Stopping
+	c.unitExited(now, u, exit)
+	if requested || u.Restarts >= u.policy.MaxRestarts {
 		return
 	}
-	wait := int64(restartMost)
+	backoffMS := int64(maxRestartBackoffMS)
 	if u.Restarts < 6 { // 200 ms doubled six times is above the most
-		wait = restartFirst << u.Restarts
+		backoffMS = initialRestartBackoffMS << u.Restarts
 	}
-	due := now + wait
-	u.restartAt = due
-	c.at(due, func(now int64) {
-		if c.units[u.Name] == u && u.restartAt == due {
-			u.restartAt = 0
+	dueMS := now + backoffMS
+	u.restartAtMS = dueMS
+	c.schedule(dueMS, func(now int64) {
+		if c.units[u.Name] == u && u.restartAtMS == dueMS {
+			u.restartAtMS = 0
 			u.Restarts++
 			u.State, u.SinceMS = supervisor.Starting, now
-			c.run(u, "")
+			c.startProcess(u, "")
 		}
 	})
 }
 
-// exited notes that a unit has no process, and has the one come up that waits for that.
-func (c *Core) exited(now int64, u *unit, how string) {
-	u.State, u.SinceMS, u.Exit = supervisor.Exited, now, how
-	if next := u.next; next != nil {
-		c.launch(now, next.unit, next.file, &next.fault)
+// unitExited notes that a unit has no process, and has the one come up that waits for that.
+func (c *Core) unitExited(now int64, u *unit, exit string) {
+	u.State, u.SinceMS, u.Exit = supervisor.Exited, now, exit
+	if pending := u.pending; pending != nil {
+		c.launch(now, pending.unit, pending.configText, &pending.fault)
 	}
 }
 
-// drop takes the unit off the list that has exited first and that nothing starts again.
-func (c *Core) drop() bool {
-	var first *unit
+// evictExitedUnit takes the unit off the list that has exited first and that nothing starts again.
+func (c *Core) evictExitedUnit() bool {
+	var oldest *unit
 	for _, u := range c.units {
-		if u.State == supervisor.Exited && u.restartAt == 0 && (first == nil || cmp.Or(cmp.Compare(u.SinceMS, first.SinceMS), cmp.Compare(u.Name, first.Name)) < 0) {
-			first = u
+		if u.State == supervisor.Exited && u.restartAtMS == 0 && (oldest == nil || cmp.Or(cmp.Compare(u.SinceMS, oldest.SinceMS), cmp.Compare(u.Name, oldest.Name)) < 0) {
+			oldest = u
 		}
 	}
-	if first == nil {
+	if oldest == nil {
 		return false
 	}
-	delete(c.units, first.Name)
-	c.effect(Dropped{first.Name})
+	delete(c.units, oldest.Name)
+	c.emit(Dropped{oldest.Name})
 	return true
 }
 
-// forget loses ids, units and all that was to be done to them; processes run on.
-func (c *Core) forget(now, findIn int64) {
-	c.memory = max(c.memory+1, uint64(now))
+// loseState loses ids, units and all that was to be done to them; processes run on.
+func (c *Core) loseState(now, rediscoverAfterMS int64) {
+	c.epoch = max(c.epoch+1, uint64(now))
 	c.complete = false
 	c.units = map[string]*unit{}
-	c.ids = map[string]*remembered{}
-	c.order = nil
+	c.records = map[string]*requestRecord{}
+	c.recordOrder = nil
 	c.lastIncarnation = 0
-	for _, u := range c.procs {
-		u.killAt, u.restartAt, u.next = 0, 0, nil
-	}
-	if findIn > 0 {
-		memory := c.memory
-		c.at(now+findIn, func(now int64) {
-			if c.memory == memory {
-				c.find(now)
+	for _, u := range c.processes {
+		u.killAtMS, u.restartAtMS, u.pending = 0, 0, nil
+	}
+	if rediscoverAfterMS > 0 {
+		epoch := c.epoch
+		c.schedule(now+rediscoverAfterMS, func(now int64) {
+			if c.epoch == epoch {
+				c.rediscover(now)
 			}
 		})
 	}
 }
 
-// find lists again what runs and is not known, but for processes of a unit that has another by now.
-func (c *Core) find(now int64) {
+// rediscover lists again what runs and is not known, but for processes of a unit that has another by now.
+func (c *Core) rediscover(now int64) {
 	c.complete = true
-	for _, proc := range slices.Sorted(maps.Keys(c.procs)) {
-		u := c.procs[proc]
+	for _, process := range slices.Sorted(maps.Keys(c.processes)) {
+		u := c.processes[process]
 		if c.units[u.Name] != nil {
 			continue
 		}
--- a/internal/supervisor/fake/fake.go
+++ b/internal/supervisor/fake/fake.go
@@ -15,85 +15,85 @@
 	"milldeck/internal/supervisor/core"
 )
 
-// Life is how one process goes.
-type Life struct {
-	ReadyMS int64  // from its start to its first good ready check; below 0: never
-	EndsMS  int64  // from its start to its end by itself; 0: never
-	Exit    string // how it ends by itself, as "exit status 1"
-	StopMS  int64  // from SIGTERM to its end; below 0: only SIGKILL ends it
+// Behavior is how one process goes.
+type Behavior struct {
+	ReadyAfterMS int64  // from its start to its first good ready check; below 0: never
+	ExitAfterMS  int64  // from its start to its end by itself; 0: never
+	ExitText     string // how it ends by itself, as "exit status 1"
+	StopAfterMS  int64  // from SIGTERM to its end; below 0: only SIGKILL ends it
 	// Reloaded, where set, is called with each configuration that SIGHUP has it read. It must not call the platform.
-	Reloaded func(config, file string)
+	OnReload func(config, file string)
 }
 
 // Version is what the platform knows of a version and how its processes go.
 type Version struct {
-	core.Rules
-	Behave func(u supervisor.Unit) Life // nil: ready and ended at once; must not call the platform
+	core.ProcessPolicy
+	Behave func(u supervisor.Unit) Behavior // nil: ready and ended at once; must not call the platform
 }
 
 // Options say what there is.
 type Options struct {
-	Versions  map[core.Version]Version
-	MostUnits int // listed; 0: 65,536
-	MostIDs   int // remembered; 0: the core's default
+	Versions      map[core.Version]Version
+	MaxUnits      int // listed; 0: 65,536
+	MaxRequestIDs int // remembered; 0: the core's default
 	// TimeoutMS is how long a caller waits for an answer that comes late; 0: as long as it takes. The answer itself
 	// comes without a wait, as there is nothing to wait on.
 	TimeoutMS int64
 }
 
-const mostUnits = 1 << 16 // the fake's cost a unit is some hundred bytes
+const defaultMaxUnits = 1 << 16 // the fake's cost a unit is some hundred bytes
 
 // Platform is the fake. It is safe for concurrent use.
 type Platform struct {
-	mu     sync.Mutex
-	opts   Options
-	core   *core.Core
-	now    int64 // ms
-	events events
-	lives  map[uint64]*process
-	alive  map[string]int
-	files  map[string]core.Rewrite // the last of each unit
-	set    uint64
+	mu         sync.Mutex
+	options    Options
+	core       *core.Core
+	nowMS      int64 // ms
+	events     eventHeap
+	processes  map[uint64]*process
+	liveCounts map[string]int
+	configs    map[string]core.Rewrite // the last of each unit
+	lastEvent  uint64
 }
 
 var _ supervisor.Supervisor = (*Platform)(nil)
 
 type process struct {
-	unit supervisor.Unit
-	life Life
+	unit     supervisor.Unit
+	behavior Behavior
 }
 
 // New makes a platform at a time in ms, above 0.
-func New(opts Options, now int64) *Platform {
-	rules := make(map[core.Version]core.Rules, len(opts.Versions))
-	for v, of := range opts.Versions {
-		rules[v] = of.Rules
+func New(options Options, nowMS int64) *Platform {
+	policies := make(map[core.Version]core.ProcessPolicy, len(options.Versions))
+	for id, version := range options.Versions {
+		policies[id] = version.ProcessPolicy
 	}
-	if opts.MostUnits == 0 {
-		opts.MostUnits = mostUnits
+	if options.MaxUnits == 0 {
+		options.MaxUnits = defaultMaxUnits
 	}
 	return &Platform{
-		opts: opts, now: now, lives: map[uint64]*process{}, alive: map[string]int{}, files: map[string]core.Rewrite{},
-		core: core.New(core.Options{Versions: rules, MostUnits: opts.MostUnits, MostIDs: opts.MostIDs}, now),
+		options: options, nowMS: nowMS, processes: map[uint64]*process{}, liveCounts: map[string]int{}, configs: map[string]core.Rewrite{},
+		core: core.New(core.Options{Versions: policies, MaxUnits: options.MaxUnits, MaxRequestIDs: options.MaxRequestIDs}, nowMS),
 	}
 }
 
 // Do is a single attempt: an answer that does not come is an unknown outcome at once.
-func (p *Platform) Do(ctx context.Context, reqs ...supervisor.Request) ([]supervisor.Outcome, error) {
+func (p *Platform) Do(ctx context.Context, requests ...supervisor.Request) ([]supervisor.Outcome, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	if err := supervisor.CheckCall(reqs); err != nil {
+	if err := supervisor.ValidateBatch(requests); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a := p.core.Do(p.now, reqs)
-	p.settle()
-	if err := p.lost(&a); err != nil {
-		return nil, fmt.Errorf("%w: %w", supervisor.ErrUnknown, err)
+	response := p.core.Do(p.nowMS, requests)
+	p.drainEffects()
+	if err := p.deliveryError(&response); err != nil {
+		return nil, fmt.Errorf("%w: %w", supervisor.ErrOutcomeUnknown, err)
 	}
-	return a.Outcomes, nil
+	return response.Outcomes, nil
 }
 
 // List is a single attempt.
@@ -103,32 +103,32 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a := p.core.List(p.now)
-	if err := p.lost(&a); err != nil {
+	response := p.core.List(p.nowMS)
+	if err := p.deliveryError(&response); err != nil {
 		return nil, err
 	}
-	return a.List, nil
+	return response.List, nil
 }
 
-// lost says why an answer does not arrive.
-func (p *Platform) lost(a *core.Answer) error {
+// deliveryError says why an answer does not arrive.
+func (p *Platform) deliveryError(response *core.Response) error {
 	switch {
-	case a.Failed != "":
-		return fmt.Errorf("500: %s", a.Failed)
-	case a.Cut:
+	case response.Failure != "":
+		return fmt.Errorf("500: %s", response.Failure)
+	case response.Disconnect:
 		return errors.New("the connection was cut")
-	case a.Held != 0 || p.opts.TimeoutMS > 0 && a.DelayMS > p.opts.TimeoutMS:
+	case response.HeldTicket != 0 || p.options.TimeoutMS > 0 && response.DelayMS > p.options.TimeoutMS:
 		return errors.New("no answer in time")
 	}
 	return nil
 }
 
 // SetFault has the platform fail from now on.
-func (p *Platform) SetFault(f core.Fault) error {
+func (p *Platform) SetFault(fault core.Fault) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	err := p.core.SetFault(p.now, f)
-	p.settle()
+	err := p.core.SetFault(p.nowMS, fault)
+	p.drainEffects()
 	return err
 }
 
@@ -136,142 +136,142 @@
 func (p *Platform) ClearFaults() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.core.Clear(p.now)
-	p.settle()
+	p.core.ClearFaults(p.nowMS)
+	p.drainEffects()
 }
 
 // Advance has all happen that is due up to a time in ms, in order. Time never runs back.
-func (p *Platform) Advance(to int64) {
+func (p *Platform) Advance(untilMS int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for {
-		at, of := to+1, -1
-		if len(p.events) > 0 && p.events[0].at < at {
-			at, of = p.events[0].at, 0
+		at, of := untilMS+1, -1
+		if len(p.events) > 0 && p.events[0].atMS < at {
+			at, of = p.events[0].atMS, 0
 		}
-		if due, ok := p.core.Next(); ok && due < at {
+		if due, ok := p.core.NextTimer(); ok && due < at {
 			at, of = due, 1
 		}
 		if of < 0 {
 			break
 		}
-		p.now = max(p.now, at)
+		p.nowMS = max(p.nowMS, at)
 		if of == 0 {
 			heap.Pop(&p.events).(event).run()
 		} else {
-			p.core.Tick(p.now)
+			p.core.Tick(p.nowMS)
 		}
-		p.settle()
+		p.drainEffects()
 	}
-	p.now = max(p.now, to)
+	p.nowMS = max(p.nowMS, untilMS)
 }
 
-// Alive is how many processes of a unit live, whatever the platform knows of them.
-func (p *Platform) Alive(unit string) int {
+// LiveProcesses is how many processes of a unit live, whatever the platform knows of them.
+func (p *Platform) LiveProcesses(unit string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.alive[unit]
+	return p.liveCounts[unit]
 }
 
 // Crash ends all processes of a unit by themselves.
-func (p *Platform) Crash(unit, how string) {
+func (p *Platform) Crash(unit, exit string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, n := range slices.Sorted(maps.Keys(p.lives)) {
-		if p.lives[n].unit.Name == unit {
-			p.end(n, how)
+	for _, number := range slices.Sorted(maps.Keys(p.processes)) {
+		if p.processes[number].unit.Name == unit {
+			p.endProcess(number, exit)
 		}
 	}
-	p.settle()
+	p.drainEffects()
 }
 
-// settle does what the core asks for.
-func (p *Platform) settle() {
+// drainEffects does what the core asks for.
+func (p *Platform) drainEffects() {
 	for effects := p.core.Effects(); len(effects) > 0; effects = p.core.Effects() {
 		for _, e := range effects {
-			p.effect(e)
+			p.execute(e)
 		}
 	}
 }
 
-func (p *Platform) effect(e core.Effect) {
+func (p *Platform) execute(e core.Effect) {
 	switch e := e.(type) {
 	case core.Launch:
-		pr := &process{unit: e.Unit}
-		if behave := p.opts.Versions[core.Version{Kind: e.Unit.Kind, Name: e.Unit.Version}].Behave; behave != nil {
-			pr.life = behave(e.Unit)
+		process := &process{unit: e.Unit}
+		if behave := p.options.Versions[core.Version{Kind: e.Unit.Kind, Name: e.Unit.Version}].Behave; behave != nil {
+			process.behavior = behave(e.Unit)
 		}
-		if e.File != "" {
-			p.files[e.Unit.Name] = core.Rewrite{Unit: e.Unit.Name, Config: e.Unit.Config, File: e.File}
+		if e.ConfigText != "" {
+			p.configs[e.Unit.Name] = core.Rewrite{Unit: e.Unit.Name, ConfigName: e.Unit.ConfigName, ConfigText: e.ConfigText}
 		}
-		p.lives[e.Proc] = pr
-		p.alive[e.Unit.Name]++
-		if pr.life.ReadyMS >= 0 {
-			p.after(pr.life.ReadyMS, e.Proc, func() { p.core.Ready(p.now, e.Proc) })
+		p.processes[e.Process] = process
+		p.liveCounts[e.Unit.Name]++
+		if process.behavior.ReadyAfterMS >= 0 {
+			p.schedule(process.behavior.ReadyAfterMS, e.Process, func() { p.core.ProcessReady(p.nowMS, e.Process) })
 		}
-		if pr.life.EndsMS > 0 {
-			p.after(pr.life.EndsMS, e.Proc, func() { p.end(e.Proc, pr.life.Exit) })
+		if process.behavior.ExitAfterMS > 0 {
+			p.schedule(process.behavior.ExitAfterMS, e.Process, func() { p.endProcess(e.Process, process.behavior.ExitText) })
 		}
 	case core.Signal:
-		pr := p.lives[e.Proc]
+		process := p.processes[e.Process]
 		switch {
-		case pr == nil:
-		case e.Sig == core.Kill:
-			p.after(0, e.Proc, func() { p.end(e.Proc, "signal: killed") })
-		case e.Sig == core.Hup:
-			if pr.life.Reloaded != nil {
-				file := p.files[pr.unit.Name]
-				pr.life.Reloaded(file.Config, file.File)
+		case process == nil:
+		case e.Kind == core.Kill:
+			p.schedule(0, e.Process, func() { p.endProcess(e.Process, "signal: killed") })
+		case e.Kind == core.Hangup:
+			if process.behavior.OnReload != nil {
+				config := p.configs[process.unit.Name]
+				process.behavior.OnReload(config.ConfigName, config.ConfigText)
 			}
-		case pr.life.StopMS >= 0:
-			p.after(pr.life.StopMS, e.Proc, func() { p.end(e.Proc, "exit status 0") })
+		case process.behavior.StopAfterMS >= 0:
+			p.schedule(process.behavior.StopAfterMS, e.Process, func() { p.endProcess(e.Process, "exit status 0") })
 		}
 	case core.Rewrite:
-		p.files[e.Unit] = e
+		p.configs[e.Unit] = e
 	case core.Dropped:
-		delete(p.files, e.Unit)
+		delete(p.configs, e.Unit)
 	case core.Answered: // who asked has long been told that the outcome is unknown
 	}
 }
 
-// after has something happen to a process, unless it has ended by then.
-func (p *Platform) after(ms int64, proc uint64, run func()) {
-	p.set++
-	heap.Push(&p.events, event{p.now + ms, p.set, func() {
-		if p.lives[proc] != nil {
+// schedule has something happen to a process, unless it has ended by then.
+func (p *Platform) schedule(delayMS int64, number uint64, run func()) {
+	p.lastEvent++
+	heap.Push(&p.events, event{p.nowMS + delayMS, p.lastEvent, func() {
+		if p.processes[number] != nil {
 			run()
 		}
 	}})
 }
 
-func (p *Platform) end(proc uint64, how string) {
-	name := p.lives[proc].unit.Name
-	delete(p.lives, proc)
-	if p.alive[name]--; p.alive[name] == 0 {
-		delete(p.alive, name)
+func (p *Platform) endProcess(number uint64, exit string) {
+	name := p.processes[number].unit.Name
+	delete(p.processes, number)
+	if p.liveCounts[name]--; p.liveCounts[name] == 0 {
+		delete(p.liveCounts, name)
 	}
-	p.core.Ended(p.now, proc, how)
+	p.core.ProcessExited(p.nowMS, number, exit)
 }
 
 // event is something that happens to a process.
 type event struct {
-	at  int64
-	n   uint64 // those of one time go in the order in which they were set
-	run func()
+	atMS     int64
+	sequence uint64 // those of one time go in the order in which they were set
+	run      func()
 }
 
-type events []event
+type eventHeap []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].n < e[j].n
+func (e eventHeap) Len() int { return len(e) }
+func (e eventHeap) Less(i, j int) bool {
+	return e[i].atMS < e[j].atMS || e[i].atMS == e[j].atMS && e[i].sequence < e[j].sequence
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventHeap) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventHeap) Pop() any {
 	old := *e
-	x := old[len(old)-1]
+	removed := old[len(old)-1]
 	old[len(old)-1] = event{}
 	*e = old[:len(old)-1]
-	return x
+	return removed
 }
--- a/internal/supervisor/fake/fake_test.go
+++ b/internal/supervisor/fake/fake_test.go
@@ -12,17 +12,19 @@
 
 func versions() map[core.Version]Version {
 	return map[core.Version]Version{
-		{Kind: supervisor.Sidecar, Name: "good"}: {Behave: func(supervisor.Unit) Life { return Life{ReadyMS: 30, StopMS: 500} }},
-		{Kind: supervisor.Sidecar, Name: "deaf"}: {Rules: core.Rules{GraceMS: 2000}, Behave: func(supervisor.Unit) Life { return Life{ReadyMS: 30, StopMS: -1} }},
+		{Kind: supervisor.Sidecar, Name: "good"}: {Behave: func(supervisor.Unit) Behavior { return Behavior{ReadyAfterMS: 30, StopAfterMS: 500} }},
+		{Kind: supervisor.Sidecar, Name: "deaf"}: {ProcessPolicy: core.ProcessPolicy{GraceMS: 2000}, Behave: func(supervisor.Unit) Behavior { return Behavior{ReadyAfterMS: 30, StopAfterMS: -1} }},
 		{Kind: supervisor.Sidecar, Name: "bad"}: {
-			Rules: core.Rules{Restarts: 3}, Behave: func(supervisor.Unit) Life { return Life{ReadyMS: -1, EndsMS: 100, Exit: "exit status 1"} },
+			ProcessPolicy: core.ProcessPolicy{MaxRestarts: 3}, Behave: func(supervisor.Unit) Behavior {
+				return Behavior{ReadyAfterMS: -1, ExitAfterMS: 100, ExitText: "exit status 1"}
+			},
 		},
 	}
 }
 
-func start(memory uint64, unit, version string) supervisor.Request {
+func start(epoch uint64, unit, version string) supervisor.Request {
 	return supervisor.Request{
-		ID: "start-" + unit, Op: supervisor.Start, Memory: memory, Unit: unit, Kind: supervisor.Sidecar, Version: version, Listen: "127.0.0.1:1",
+		ID: "start-" + unit, Op: supervisor.Start, Epoch: epoch, Unit: unit, Kind: supervisor.Sidecar, Version: version, Listen: "127.0.0.1:1",
 	}
 }
 
@@ -35,21 +37,21 @@
 	return l
 }
 
-func TestProcessesGoAsTheirVersionsDo(t *testing.T) {
+func TestProcessesFollowTheirBehavior(t *testing.T) {
 	p := New(Options{Versions: versions()}, 1000)
-	memory := list(t, p).Memory
-	if _, err := p.Do(t.Context(), start(memory, "a", "good"), start(memory, "b", "deaf"), start(memory, "c", "bad")); err != nil {
+	epoch := list(t, p).Epoch
+	if _, err := p.Do(t.Context(), start(epoch, "a", "good"), start(epoch, "b", "deaf"), start(epoch, "c", "bad")); err != nil {
 		t.Fatal(err)
 	}
 	states := func() string {
 		s := ""
 		for _, u := range list(t, p).Units {
-			s += fmt.Sprintf("%s %s %d/%d;", u.Name, u.State, u.Restarts, p.Alive(u.Name))
+			s += fmt.Sprintf("%s %s %d/%d;", u.Name, u.State, u.Restarts, p.LiveProcesses(u.Name))
 		}
 		return s
 	}
 	stop := func(n uint64, unit string) supervisor.Request {
-		return supervisor.Request{ID: "stop-" + unit, Op: supervisor.Stop, Memory: memory, Unit: unit, Incarnation: n}
+		return supervisor.Request{ID: "stop-" + unit, Op: supervisor.Stop, Epoch: epoch, Unit: unit, Incarnation: n}
 	}
 	for _, step := range []struct {
 		at   int64
@@ -80,39 +82,39 @@
 	}
 }
 
-func TestFaultsOfTheFake(t *testing.T) {
+func TestFaults(t *testing.T) {
 	p := New(Options{Versions: versions(), TimeoutMS: 2000}, 1)
-	memory := list(t, p).Memory
+	epoch := list(t, p).Epoch
 	for i, f := range []core.Fault{
-		{Kind: core.Fail}, {Kind: core.Hang}, {Kind: core.Late, DelayMS: 3000}, {Kind: core.Lose},
+		{Kind: core.FaultError}, {Kind: core.FaultHang}, {Kind: core.FaultDelay, DelayMS: 3000}, {Kind: core.FaultDropResponse},
 	} {
 		if err := p.SetFault(f); err != nil {
 			t.Fatal(err)
 		}
-		q := start(memory, fmt.Sprint("u", i), "good")
-		if _, err := p.Do(t.Context(), q); !errors.Is(err, supervisor.ErrUnknown) {
+		q := start(epoch, fmt.Sprint("u", i), "good")
+		if _, err := p.Do(t.Context(), q); !errors.Is(err, supervisor.ErrOutcomeUnknown) {
 			t.Errorf("%s: %v", f.Kind, err)
 		}
 		p.ClearFaults()
 		out, err := p.Do(t.Context(), q)
-		if err != nil || out[0].Refused != "" || p.Alive(q.Unit) != 1 {
-			t.Errorf("%s: %+v, %v, %d alive", f.Kind, out, err, p.Alive(q.Unit))
+		if err != nil || out[0].Rejected != "" || p.LiveProcesses(q.Unit) != 1 {
+			t.Errorf("%s: %+v, %v, %d alive", f.Kind, out, err, p.LiveProcesses(q.Unit))
 		}
 	}
 }
 
 // Thousands of units, alike each time.
-func TestManyUnitsAlikeEachTime(t *testing.T) {
+func TestManyUnitsAreDeterministic(t *testing.T) {
 	const units = 3000
 	run := func() *supervisor.List {
 		p := New(Options{Versions: versions()}, 1)
-		memory := list(t, p).Memory
-		for i := 0; i < units; i += supervisor.MostRequests {
-			var reqs []supervisor.Request
-			for n := i; n < min(units, i+supervisor.MostRequests); n++ {
-				reqs = append(reqs, start(memory, fmt.Sprint("u", n), []string{"good", "deaf", "bad"}[n%3]))
+		epoch := list(t, p).Epoch
+		for i := 0; i < units; i += supervisor.MaxRequests {
+			var requests []supervisor.Request
+			for n := i; n < min(units, i+supervisor.MaxRequests); n++ {
+				requests = append(requests, start(epoch, fmt.Sprint("u", n), []string{"good", "deaf", "bad"}[n%3]))
 			}
-			if _, err := p.Do(t.Context(), reqs...); err != nil {
+			if _, err := p.Do(t.Context(), requests...); err != nil {
 				t.Fatal(err)
 			}
 			p.Advance(int64(i) * 10)
--- a/internal/supervisor/fixtures_test.go
+++ b/internal/supervisor/fixtures_test.go
@@ -54,46 +54,46 @@
 
 func fixtureRequests() []Request {
 	return []Request{
-		{ID: "release/3/u1", Op: Start, Memory: 7, Unit: "u1", Kind: Sidecar, Version: "1.4", Listen: "127.0.0.9:9000", Zone: "north",
-			Config: "c7", File: "{\"name\":\"<u1>\"}\n"},
-		{ID: "release/3/u2", Op: Start, Memory: 7, Unit: "u2", Kind: Server, Version: "2", Listen: "127.0.0.9:9001"},
-		{ID: "stop-u3", Op: Stop, Memory: 7, Unit: "u3", Incarnation: 41, GraceMS: 1500},
-		{ID: "restart-u4", Op: Restart, Memory: 7, Unit: "u4", Incarnation: 42, Kind: Server, Version: "2", Listen: "127.0.0.9:9003", GraceMS: 1},
-		{ID: "reload-u5", Op: Reload, Memory: 7, Unit: "u5", Incarnation: 43, Config: "c8", File: "text"},
+		{ID: "release/3/u1", Op: Start, Epoch: 7, Unit: "u1", Kind: Sidecar, Version: "1.4", Listen: "127.0.0.9:9000", Zone: "north",
+			ConfigName: "c7", ConfigText: "{\"name\":\"<u1>\"}\n"},
+		{ID: "release/3/u2", Op: Start, Epoch: 7, Unit: "u2", Kind: Server, Version: "2", Listen: "127.0.0.9:9001"},
+		{ID: "stop-u3", Op: Stop, Epoch: 7, Unit: "u3", Incarnation: 41, GraceMS: 1500},
+		{ID: "restart-u4", Op: Restart, Epoch: 7, Unit: "u4", Incarnation: 42, Kind: Server, Version: "2", Listen: "127.0.0.9:9003", GraceMS: 1},
+		{ID: "reload-u5", Op: Reload, Epoch: 7, Unit: "u5", Incarnation: 43, ConfigName: "c8", ConfigText: "text"},
 	}
 }
 
 func fixtureOutcomes() []Outcome {
 	outcomes := []Outcome{
-		{ID: "release/3/u1", Unit: "u1", Memory: 7, Incarnation: 51},
-		{ID: "release/3/u2", Unit: "u2", Memory: 8, Refused: Forgotten, Text: "this is memory 8, not 7"},
+		{ID: "release/3/u1", Unit: "u1", Epoch: 7, Incarnation: 51},
+		{ID: "release/3/u2", Unit: "u2", Epoch: 8, Rejected: EpochMismatch, Detail: "this is memory 8, not 7"},
 	}
-	for _, reason := range []Reason{Reused, Stale, Busy, NoVersion, Full} {
-		outcomes = append(outcomes, Outcome{ID: "i", Unit: "u", Memory: 7, Incarnation: 3, Refused: reason, Text: "why"})
+	for _, reason := range []RejectionReason{RequestIDReused, IncarnationMismatch, InvalidState, UnknownVersion, LimitReached} {
+		outcomes = append(outcomes, Outcome{ID: "i", Unit: "u", Epoch: 7, Incarnation: 3, Rejected: reason, Detail: "why"})
 	}
 	return outcomes
 }
 
 // What goes over HTTP keeps its bytes, both ways.
 func TestFixtureJSON(t *testing.T) {
-	if err := CheckCall(fixtureRequests()); err != nil {
+	if err := ValidateBatch(fixtureRequests()); err != nil {
 		t.Error(err)
 	}
-	goldenJSON(t, "call.json", Call{fixtureRequests()})
-	goldenJSON(t, "answer.json", Answer{Outcomes: fixtureOutcomes()})
-	goldenJSON(t, "answer-error.json", Answer{Error: "body: more than 8388608 bytes"})
-	list := List{Memory: 7, Complete: true, AtMS: 1796173699000}
+	goldenJSON(t, "call.json", Batch{fixtureRequests()})
+	goldenJSON(t, "answer.json", BatchResponse{Outcomes: fixtureOutcomes()})
+	goldenJSON(t, "answer-error.json", BatchResponse{Error: "body: more than 8388608 bytes"})
+	list := List{Epoch: 7, Complete: true, AtMS: 1796173699000}
 	for i, state := range []State{Starting, Running, Stopping, Exited} {
 		list.Units = append(list.Units, Unit{Name: fmt.Sprint("u", i), Kind: Server, Version: "1", Listen: "127.0.0.9:9000", State: state,
 			Incarnation: uint64(40 + i), SinceMS: 1796173695120})
 	}
-	list.Units[3].Kind, list.Units[3].Config, list.Units[3].Zone = Sidecar, "c7", "north"
+	list.Units[3].Kind, list.Units[3].ConfigName, list.Units[3].Zone = Sidecar, "c7", "north"
 	list.Units[3].Restarts, list.Units[3].Exit = 2, "exit status 0"
-	if err := list.check(); err != nil {
+	if err := list.validate(); err != nil {
 		t.Error(err)
 	}
 	goldenJSON(t, "list.json", list)
-	goldenJSON(t, "list-forgotten.json", List{Memory: 8, AtMS: 1, Units: []Unit{}})
+	goldenJSON(t, "list-forgotten.json", List{Epoch: 8, AtMS: 1, Units: []Unit{}})
 }
 
 // A request's digest and the texts of outcomes keep their bytes: platforms remember the one, callers log the other.
@@ -109,12 +109,12 @@
 }
 
 // fixtureAnswer answers the requests of fixtureRequests.
-func fixtureAnswer() Answer {
-	var a Answer
+func fixtureAnswer() BatchResponse {
+	var a BatchResponse
 	for i, r := range fixtureRequests() {
-		a.Outcomes = append(a.Outcomes, Outcome{ID: r.ID, Unit: r.Unit, Memory: 7, Incarnation: uint64(51 + i)})
+		a.Outcomes = append(a.Outcomes, Outcome{ID: r.ID, Unit: r.Unit, Epoch: 7, Incarnation: uint64(51 + i)})
 	}
-	a.Outcomes[3].Refused, a.Outcomes[3].Text = Stale, "it is incarnation 54, not 42"
+	a.Outcomes[3].Rejected, a.Outcomes[3].Detail = IncarnationMismatch, "it is incarnation 54, not 42"
 	return a
 }
 
--- a/internal/supervisor/standin/bench_test.go
+++ b/internal/supervisor/standin/bench_test.go
@@ -11,18 +11,18 @@
 
 // One sidecar at a time, from the call to ready, and from the call to its end.
 func BenchmarkSidecar(b *testing.B) {
-	r := newRig(b)
+	r := newTestPlatform(b)
 	var up, down []time.Duration
 	for b.Loop() {
 		q := r.request(supervisor.Start, 1, "1")
 		began := time.Now()
-		r.do(q)
-		r.until(1, supervisor.Running)
+		r.mustDo(q)
+		r.waitState(1, supervisor.Running)
 		up = append(up, time.Since(began))
 		q = r.request(supervisor.Stop, 1, "")
 		began = time.Now()
-		r.do(q)
-		r.until(1, supervisor.Exited)
+		r.mustDo(q)
+		r.waitState(1, supervisor.Exited)
 		down = append(down, time.Since(began))
 	}
 	for _, of := range []struct {
@@ -37,21 +37,21 @@
 
 // Calls that change nothing: a repeat of a start, and the list of 200 units that have exited.
 func BenchmarkCalls(b *testing.B) {
-	r := newRig(b)
-	var reqs []supervisor.Request
-	memory := r.list().Memory
+	r := newTestPlatform(b)
+	var requests []supervisor.Request
+	epoch := r.mustList().Epoch
 	for n := range 200 {
 		unit := fmt.Sprint("u", n)
-		reqs = append(reqs, supervisor.Request{
-			ID: unit, Op: supervisor.Start, Memory: memory, Unit: unit, Kind: supervisor.Server, Version: "crash", Listen: r.listen(n),
+		requests = append(requests, supervisor.Request{
+			ID: unit, Op: supervisor.Start, Epoch: epoch, Unit: unit, Kind: supervisor.Server, Version: "crash", Listen: r.listenAddr(n),
 		})
 	}
-	r.do(reqs...)
-	for n := range reqs {
-		r.soon("gave up", func() bool { return r.until(n, supervisor.Exited).Restarts == 2 })
+	r.mustDo(requests...)
+	for n := range requests {
+		r.eventually("gave up", func() bool { return r.waitState(n, supervisor.Exited).Restarts == 2 })
 	}
 	for name, call := range map[string]func() error{
-		"repeat": func() error { _, err := r.client.Do(r.ctx, reqs[0]); return err },
+		"repeat": func() error { _, err := r.client.Do(r.ctx, requests[0]); return err },
 		"list":   func() error { _, err := r.client.List(r.ctx); return err },
 	} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/supervisor/standin/fixtures_test.go
+++ b/internal/supervisor/standin/fixtures_test.go
@@ -45,10 +45,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Versions{MostUnits: 9, Versions: []Version{
+	want := &Versions{MaxUnits: 9, Versions: []Version{
 		{Name: "1.4", Kind: supervisor.Sidecar, Argv: []string{"bin/sidecar", "--zone={zone}"},
-			Env:   map[string]string{"NODE_CONFIG": "{config}", "NODE_LISTEN": "{listen}", "NODE_NAME": "{name} {version}"},
-			Ready: "/health/ready", GraceMS: 2500, Restarts: 3},
+			Env:       map[string]string{"NODE_CONFIG": "{config}", "NODE_LISTEN": "{listen}", "NODE_NAME": "{name} {version}"},
+			ReadyPath: "/health/ready", GraceMS: 2500, MaxRestarts: 3},
 		{Name: "2", Kind: supervisor.Server, Argv: []string{"bin/server"}},
 	}}
 	if !reflect.DeepEqual(v, want) {
@@ -68,26 +68,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- Serve(ctx, ln, versions, t.TempDir()) }()
+	go func() { ended <- Serve(ctx, listener, versions, t.TempDir()) }()
 	defer func() {
 		cancel()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
 	}()
-	var memory string
+	var epoch string
 	clock := regexp.MustCompile(`"(at_ms|since_ms)":\d+`)
 	var out bytes.Buffer
-	ask := func(method, path, body string) {
+	request := func(method, path, body string) {
 		t.Helper()
-		body = strings.ReplaceAll(body, "MEMORY", memory)
-		req, err := http.NewRequestWithContext(ctx, method, "http://"+ln.Addr().String()+path, strings.NewReader(body))
+		body = strings.ReplaceAll(body, "MEMORY", epoch)
+		req, err := http.NewRequestWithContext(ctx, method, "http://"+listener.Addr().String()+path, strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -100,38 +100,38 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if memory == "" {
+		if epoch == "" {
 			var list supervisor.List
 			if err := json.Unmarshal(answer, &list); err != nil {
 				t.Fatal(err)
 			}
-			memory = fmt.Sprint(list.Memory)
+			epoch = fmt.Sprint(list.Epoch)
 		}
-		answer = bytes.ReplaceAll(clock.ReplaceAll(answer, []byte(`"$1":0`)), []byte(memory), []byte("MEMORY"))
+		answer = bytes.ReplaceAll(clock.ReplaceAll(answer, []byte(`"$1":0`)), []byte(epoch), []byte("MEMORY"))
 		fmt.Fprintf(&out, "%s %s: %d %s: %s", method, path, resp.StatusCode, resp.Header.Get("Content-Type"), answer)
 	}
 	const units, faults = "/supervisor/units", "/faults"
-	ask("GET", units, "")
+	request("GET", units, "")
 	// The version's program is not there: it has exited before the answer comes.
-	ask("POST", units, `{"requests":[{"id":"a","op":"start","memory":MEMORY,"unit":"u1","incarnation":0,"kind":"server","version":"2","listen":"127.0.0.1:9"}]}`)
-	ask("GET", units, "")
-	ask("POST", units, `{"requests":[{"id":"b","op":"stop","memory":MEMORY,"unit":"u1","incarnation":9},
+	request("POST", units, `{"requests":[{"id":"a","op":"start","memory":MEMORY,"unit":"u1","incarnation":0,"kind":"server","version":"2","listen":"127.0.0.1:9"}]}`)
+	request("GET", units, "")
+	request("POST", units, `{"requests":[{"id":"b","op":"stop","memory":MEMORY,"unit":"u1","incarnation":9},
 		{"id":"c","op":"stop","memory":1,"unit":"u1","incarnation":1}]}`)
-	ask("POST", units, `{"requests":[{"id":"a","op":"stop","memory":MEMORY,"unit":"u1","incarnation":1},
+	request("POST", units, `{"requests":[{"id":"a","op":"stop","memory":MEMORY,"unit":"u1","incarnation":1},
 		{"id":"d","op":"start","memory":MEMORY,"unit":"u2","incarnation":0,"kind":"server","version":"3","listen":"127.0.0.1:9"}]}`)
-	ask("POST", units, `{"requests":[]}`)
-	ask("POST", units, `{"requests":[{"id":"e","op":"stop","memory":MEMORY,"unit":"u1"}]}`)
-	ask("POST", units, `{"request":[]}`)
-	ask("POST", units, `{"requests":[]} {}`)
-	ask("POST", units, `[`)
-	ask("DELETE", units, "")
-	ask("POST", faults, `{"kind":"fail","on":"list","count":1}`)
-	ask("GET", units, "")
-	ask("POST", faults, `{"kind":"late"}`)
-	ask("POST", faults, `{"kind":"fail","for":1}`)
-	ask("POST", faults, `{"kind":"`+strings.Repeat("x", 5000)+`"}`)
-	ask("DELETE", faults, "")
-	ask("GET", "/health/ready", "")
+	request("POST", units, `{"requests":[]}`)
+	request("POST", units, `{"requests":[{"id":"e","op":"stop","memory":MEMORY,"unit":"u1"}]}`)
+	request("POST", units, `{"request":[]}`)
+	request("POST", units, `{"requests":[]} {}`)
+	request("POST", units, `[`)
+	request("DELETE", units, "")
+	request("POST", faults, `{"kind":"fail","on":"list","count":1}`)
+	request("GET", units, "")
+	request("POST", faults, `{"kind":"late"}`)
+	request("POST", faults, `{"kind":"fail","for":1}`)
+	request("POST", faults, `{"kind":"`+strings.Repeat("x", 5000)+`"}`)
+	request("DELETE", faults, "")
+	request("GET", "/health/ready", "")
 	http.DefaultClient.CloseIdleConnections()
 	golden(t, "answers.txt", out.Bytes())
 }
--- a/internal/supervisor/standin/rig_test.go
+++ b/internal/supervisor/standin/rig_test.go
@@ -21,61 +21,61 @@
 
 // The test binary stands in for a model server where this is set: "good" serves, "deaf" leaves SIGTERM alone as well, "loud"
 // logs 4 MB before, "crash" ends at once.
-const asServer = "STANDIN_TEST_AS_SERVER"
+const serverModeEnv = "STANDIN_TEST_AS_SERVER"
 
 func TestMain(m *testing.M) {
-	if how, is := os.LookupEnv(asServer); is {
-		serve(how)
+	if mode, ok := os.LookupEnv(serverModeEnv); ok {
+		serveAsModel(mode)
 		return
 	}
 	proctest.Main(m)
 }
 
-func serve(how string) {
-	if how == "crash" {
+func serveAsModel(mode string) {
+	if mode == "crash" {
 		fmt.Fprintln(os.Stderr, "cannot go on")
 		os.Exit(3)
 	}
-	if how == "loud" {
+	if mode == "loud" {
 		for range 64 {
 			fmt.Fprintln(os.Stderr, strings.Repeat("x", 64<<10))
 		}
 	}
-	if how == "deaf" {
+	if mode == "deaf" {
 		signal.Ignore(syscall.SIGTERM)
 	}
 	http.HandleFunc("/health/ready", func(http.ResponseWriter, *http.Request) {})
 	fmt.Fprintln(os.Stderr, http.ListenAndServe(os.Args[1], nil))
 }
 
-const bound = 10 * time.Second // of what takes milliseconds on a machine that is not busy
-
-// rig is a stand-in as a process, and a client of it.
-type rig struct {
-	t      testing.TB
-	ctx    context.Context
-	block  *proc.Block
-	proc   *proc.Process
-	addr   string
-	dir    string
-	client *supervisor.Client
-	ids    int
+const waitTimeout = 10 * time.Second // of what takes milliseconds on a machine that is not busy
+
+// testPlatform is a stand-in as a process, and a client of it.
+type testPlatform struct {
+	t           testing.TB
+	ctx         context.Context
+	block       *proc.Block
+	process     *proc.Process
+	addr        string
+	dir         string
+	client      *supervisor.Client
+	lastRequest int
 }
 
-const config = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":
+const sidecarConfig = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":
 	{"classes":[{"name":"c","effect":"read_like","on_time_ms":50,"hard_limit_ms":100}]}}`
 
-// versionsFile has silverreel as versions 1 and 2, and servers that are the test binary.
-func versionsFile(t testing.TB) string {
+// writeVersionsFile has silverreel as versions 1 and 2, and servers that are the test binary.
+func writeVersionsFile(t testing.TB) string {
 	t.Helper()
 	text := ""
 	for _, v := range []string{"1", "2"} {
 		text += fmt.Sprintf("[[version]]\nname = %q\nkind = \"sidecar\"\nargv = [%q]\nready = \"/health/ready\"\ngrace_ms = 5000\n"+
 			"env = { NODE_CONFIG = \"{config}\", NODE_LISTEN = \"{listen}\", NODE_NAME = \"{name}\" }\n", v, proctest.Program(t, "silverreel"))
 	}
-	for _, how := range []string{"good", "deaf", "loud", "crash"} {
+	for _, mode := range []string{"good", "deaf", "loud", "crash"} {
 		text += fmt.Sprintf("[[version]]\nname = %q\nkind = \"server\"\nargv = [%q, \"{listen}\"]\nready = \"/health/ready\"\nrestarts = 2\n"+
-			"env = { %s = %q }\n", how, os.Args[0], asServer, how)
+			"env = { %s = %q }\n", mode, os.Args[0], serverModeEnv, mode)
 	}
 	path := filepath.Join(t.TempDir(), "versions.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -84,29 +84,29 @@
 	return path
 }
 
-func newRig(t testing.TB) *rig {
+func newTestPlatform(t testing.TB) *testPlatform {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
-	r := &rig{t: t, ctx: ctx, dir: t.TempDir()}
+	r := &testPlatform{t: t, ctx: ctx, dir: t.TempDir()}
 	var err error
 	if r.block, err = proc.TakeBlock(); err != nil {
 		t.Fatal(err)
 	}
-	r.proc, err = proc.Start(proc.Spec{
+	r.process, err = proc.Start(proc.Spec{
 		Name: "stand-in", Path: proctest.Program(t, "milldeck"), Log: filepath.Join(r.dir, "standin-log"),
-		Args: []string{"supervisor", "stand-in", "--versions", versionsFile(t), "--dir", r.dir},
+		Args: []string{"supervisor", "stand-in", "--versions", writeVersionsFile(t), "--dir", r.dir},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		cancel()
-		if r.proc.Running() {
-			r.proc.Kill()
+		if r.process.Running() {
+			r.process.Kill()
 		}
 		r.block.Release()
 	})
-	line, err := r.proc.WaitLog(ctx, "msg=serves")
+	line, err := r.process.WaitLog(ctx, "msg=serves")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,40 +119,40 @@
 	return r
 }
 
-func (r *rig) listen(n int) string { return r.block.Addr(0, n, 9000) }
+func (r *testPlatform) listenAddr(n int) string { return r.block.Addr(0, n, 9000) }
 
-func (r *rig) list() *supervisor.List {
+func (r *testPlatform) mustList() *supervisor.List {
 	r.t.Helper()
 	l, err := r.client.List(r.ctx)
 	if err != nil {
-		r.t.Fatalf("%v\n%s", err, r.proc.Log())
+		r.t.Fatalf("%v\n%s", err, r.process.Log())
 	}
 	return l
 }
 
 // request names the memory and incarnation that stand now.
-func (r *rig) request(op supervisor.Op, n int, version string) supervisor.Request {
+func (r *testPlatform) request(op supervisor.Op, n int, version string) supervisor.Request {
 	r.t.Helper()
-	r.ids++
-	l := r.list()
-	q := supervisor.Request{ID: fmt.Sprint("r", r.ids), Op: op, Memory: l.Memory, Unit: fmt.Sprint("u", n)}
+	r.lastRequest++
+	l := r.mustList()
+	q := supervisor.Request{ID: fmt.Sprint("r", r.lastRequest), Op: op, Epoch: l.Epoch, Unit: fmt.Sprint("u", n)}
 	if u := l.Find(q.Unit); u != nil {
 		q.Incarnation = u.Incarnation
 	}
 	if op == supervisor.Start || op == supervisor.Restart {
-		q.Version, q.Listen, q.Kind = version, r.listen(n), supervisor.Server
+		q.Version, q.Listen, q.Kind = version, r.listenAddr(n), supervisor.Server
 		if version == "1" || version == "2" {
-			q.Kind, q.Config, q.File = supervisor.Sidecar, "c1", config
+			q.Kind, q.ConfigName, q.ConfigText = supervisor.Sidecar, "c1", sidecarConfig
 		}
 	}
 	return q
 }
 
-func (r *rig) do(reqs ...supervisor.Request) []supervisor.Outcome {
+func (r *testPlatform) mustDo(requests ...supervisor.Request) []supervisor.Outcome {
 	r.t.Helper()
-	out, err := r.client.Do(r.ctx, reqs...)
+	out, err := r.client.Do(r.ctx, requests...)
 	if err != nil {
-		r.t.Fatalf("%v\n%s", err, r.proc.Log())
+		r.t.Fatalf("%v\n%s", err, r.process.Log())
 	}
 	for i := range out {
 		if err := out[i].Err(); err != nil {
@@ -162,50 +162,50 @@
 	return out
 }
 
-// until waits for a unit's state.
-func (r *rig) until(n int, state supervisor.State) supervisor.Unit {
+// waitState waits for a unit's state.
+func (r *testPlatform) waitState(n int, state supervisor.State) supervisor.Unit {
 	r.t.Helper()
 	var u *supervisor.Unit
-	r.soon(fmt.Sprintf("u%d %s", n, state), func() bool {
-		u = r.list().Find(fmt.Sprint("u", n))
+	r.eventually(fmt.Sprintf("u%d %s", n, state), func() bool {
+		u = r.mustList().Find(fmt.Sprint("u", n))
 		return u != nil && u.State == state
 	})
 	return *u
 }
 
-// soon waits for something that takes milliseconds.
-func (r *rig) soon(what string, is func() bool) {
+// eventually waits for something that takes milliseconds.
+func (r *testPlatform) eventually(what string, done func() bool) {
 	r.t.Helper()
-	for began := time.Now(); !is(); time.Sleep(2 * time.Millisecond) {
-		if time.Since(began) > bound {
-			r.t.Fatalf("not within %v: %s\n%s", bound, what, r.proc.Log())
+	for began := time.Now(); !done(); time.Sleep(2 * time.Millisecond) {
+		if time.Since(began) > waitTimeout {
+			r.t.Fatalf("not within %v: %s\n%s", waitTimeout, what, r.process.Log())
 		}
 	}
 }
 
-func (r *rig) up(ns ...int) {
+func (r *testPlatform) startSidecars(ns ...int) {
 	r.t.Helper()
 	for _, n := range ns {
-		r.do(r.request(supervisor.Start, n, "1"))
+		r.mustDo(r.request(supervisor.Start, n, "1"))
 	}
 	for _, n := range ns {
-		r.until(n, supervisor.Running)
+		r.waitState(n, supervisor.Running)
 	}
 }
 
-func (r *rig) fault(f core.Fault) {
+func (r *testPlatform) setFault(f core.Fault) {
 	r.t.Helper()
 	if err := SetFault(r.ctx, r.addr, f); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// started is how often processes of a unit were started.
-func (r *rig) started(n int) int {
-	return strings.Count(r.whole("standin-log"), fmt.Sprintf("msg=started unit=u%d ", n))
+// startCount is how often processes of a unit were started.
+func (r *testPlatform) startCount(n int) int {
+	return strings.Count(r.readFile("standin-log"), fmt.Sprintf("msg=started unit=u%d ", n))
 }
 
-func (r *rig) whole(name string) string {
+func (r *testPlatform) readFile(name string) string {
 	r.t.Helper()
 	data, err := os.ReadFile(filepath.Join(r.dir, name))
 	if err != nil {
@@ -214,9 +214,9 @@
 	return string(data)
 }
 
-// serves tells whether something listens at a unit's address.
-func (r *rig) serves(n int) bool {
-	c, err := net.Dial("tcp4", r.listen(n))
+// isListening tells whether something listens at a unit's address.
+func (r *testPlatform) isListening(n int) bool {
+	c, err := net.Dial("tcp4", r.listenAddr(n))
 	if err == nil {
 		c.Close()
 	}
--- a/internal/supervisor/standin/standin_test.go
+++ b/internal/supervisor/standin/standin_test.go
@@ -16,100 +16,100 @@
 	"milldeck/internal/supervisor/core"
 )
 
-func TestLifeOfSidecars(t *testing.T) {
-	r := newRig(t)
-	r.up(1, 2)
+func TestSidecarLifecycle(t *testing.T) {
+	r := newTestPlatform(t)
+	r.startSidecars(1, 2)
 	reload := r.request(supervisor.Reload, 1, "")
-	reload.Config, reload.File = "c2", strings.Replace(config, "127.0.0.1:1", "127.0.0.1:2", 1)
-	r.do(reload)
-	r.soon("reloaded", func() bool { return strings.Contains(r.whole("u1.log"), "reloaded discovery=127.0.0.1:2") })
-	if u := r.until(1, supervisor.Running); u.Config != "c2" {
+	reload.ConfigName, reload.ConfigText = "c2", strings.Replace(sidecarConfig, "127.0.0.1:1", "127.0.0.1:2", 1)
+	r.mustDo(reload)
+	r.eventually("reloaded", func() bool { return strings.Contains(r.readFile("u1.log"), "reloaded discovery=127.0.0.1:2") })
+	if u := r.waitState(1, supervisor.Running); u.ConfigName != "c2" {
 		t.Errorf("%+v, want configuration c2", u)
 	}
-	was := r.until(1, supervisor.Running).Incarnation
-	if now := r.do(r.request(supervisor.Restart, 1, "2"))[0].Incarnation; now == was {
+	was := r.waitState(1, supervisor.Running).Incarnation
+	if now := r.mustDo(r.request(supervisor.Restart, 1, "2"))[0].Incarnation; now == was {
 		t.Errorf("incarnation %d after the restart too", now)
 	}
-	if u := r.until(1, supervisor.Running); u.Version != "2" || u.Restarts != 0 {
+	if u := r.waitState(1, supervisor.Running); u.Version != "2" || u.Restarts != 0 {
 		t.Errorf("%+v, want version 2", u)
 	}
 	stop := r.request(supervisor.Stop, 1, "")
-	first := r.do(stop)
-	if u := r.until(1, supervisor.Exited); u.Exit != "exit status 0" {
+	first := r.mustDo(stop)
+	if u := r.waitState(1, supervisor.Exited); u.Exit != "exit status 0" {
 		t.Errorf("%+v, want status 0", u)
 	}
-	r.do(r.request(supervisor.Start, 1, "1"))
-	r.until(1, supervisor.Running)
-	if again := r.do(stop); again[0] != first[0] || r.until(1, supervisor.Running).State != supervisor.Running {
+	r.mustDo(r.request(supervisor.Start, 1, "1"))
+	r.waitState(1, supervisor.Running)
+	if again := r.mustDo(stop); again[0] != first[0] || r.waitState(1, supervisor.Running).State != supervisor.Running {
 		t.Errorf("a late repeat had %+v, before %+v", again, first)
 	}
 	other := stop
 	other.GraceMS = 1
-	if out, err := r.client.Do(r.ctx, other); err != nil || out[0].Refused != supervisor.Reused {
+	if out, err := r.client.Do(r.ctx, other); err != nil || out[0].Rejected != supervisor.RequestIDReused {
 		t.Errorf("%+v, %v, want the id refused", out, err)
 	}
-	if err := r.proc.Stop(r.ctx); err != nil {
-		t.Errorf("%v\n%s", err, r.proc.Log())
+	if err := r.process.Stop(r.ctx); err != nil {
+		t.Errorf("%v\n%s", err, r.process.Log())
 	}
-	if r.serves(1) || r.serves(2) {
+	if r.isListening(1) || r.isListening(2) {
 		t.Error("a sidecar outlived the platform")
 	}
-	if _, err := r.client.Do(r.ctx, stop); err == nil || errors.Is(err, supervisor.ErrUnknown) || strings.Contains(err.Error(), "\n") {
+	if _, err := r.client.Do(r.ctx, stop); err == nil || errors.Is(err, supervisor.ErrOutcomeUnknown) || strings.Contains(err.Error(), "\n") {
 		t.Errorf("%v, want one line that says that nothing was asked", err)
 	}
 }
 
-func TestServersThatGoWrong(t *testing.T) {
-	r := newRig(t)
-	r.do(r.request(supervisor.Start, 1, "deaf"), r.request(supervisor.Start, 2, "crash"), r.request(supervisor.Start, 3, "good"),
+func TestMisbehavingServers(t *testing.T) {
+	r := newTestPlatform(t)
+	r.mustDo(r.request(supervisor.Start, 1, "deaf"), r.request(supervisor.Start, 2, "crash"), r.request(supervisor.Start, 3, "good"),
 		r.request(supervisor.Start, 4, "loud"))
 	for _, n := range []int{1, 3, 4} {
-		r.until(n, supervisor.Running)
+		r.waitState(n, supervisor.Running)
 	}
 	stop := r.request(supervisor.Stop, 1, "")
 	stop.GraceMS = 100
-	r.do(stop, r.request(supervisor.Stop, 3, ""))
-	if u := r.until(1, supervisor.Exited); u.Exit != "signal: killed" {
+	r.mustDo(stop, r.request(supervisor.Stop, 3, ""))
+	if u := r.waitState(1, supervisor.Exited); u.Exit != "signal: killed" {
 		t.Errorf("%+v, want it killed", u)
 	}
-	if u := r.until(3, supervisor.Exited); u.Exit != "signal: terminated" {
+	if u := r.waitState(3, supervisor.Exited); u.Exit != "signal: terminated" {
 		t.Errorf("%+v, want it terminated", u)
 	}
-	r.soon("two restarts", func() bool { return r.until(2, supervisor.Exited).Restarts == 2 })
-	if u := r.until(2, supervisor.Exited); u.Exit != "exit status 3 cannot go on" || r.started(2) != 3 {
-		t.Errorf("%+v after %d starts", u, r.started(2))
+	r.eventually("two restarts", func() bool { return r.waitState(2, supervisor.Exited).Restarts == 2 })
+	if u := r.waitState(2, supervisor.Exited); u.Exit != "exit status 3 cannot go on" || r.startCount(2) != 3 {
+		t.Errorf("%+v after %d starts", u, r.startCount(2))
 	}
-	r.soon("its log emptied", func() bool { return len(r.whole("u4.log")) <= maxOutput })
-	r.proc.Kill()
-	r.soon("the end of what a killed platform ran", func() bool { return !r.serves(4) })
+	r.eventually("its log emptied", func() bool { return len(r.readFile("u4.log")) <= maxLogBytes })
+	r.process.Kill()
+	r.eventually("the end of what a killed platform ran", func() bool { return !r.isListening(4) })
 }
 
 func TestFaultsBetweenClientAndPlatform(t *testing.T) {
-	r := newRig(t)
-	r.up(1, 2)
+	r := newTestPlatform(t)
+	r.startSidecars(1, 2)
 	short := func(t *testing.T) context.Context {
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		t.Cleanup(cancel)
 		return ctx
 	}
 	for i, f := range []core.Fault{
-		{Kind: core.Fail, On: core.OnDo, Count: 2}, {Kind: core.Lose, On: core.OnDo, Count: 2}, {Kind: core.Late, On: core.OnDo, DelayMS: 100},
+		{Kind: core.FaultError, On: core.OnDo, Count: 2}, {Kind: core.FaultDropResponse, On: core.OnDo, Count: 2}, {Kind: core.FaultDelay, On: core.OnDo, DelayMS: 100},
 	} {
 		t.Run(string(f.Kind)+" and asked again", func(t *testing.T) {
 			n := 10 + i
 			q := r.request(supervisor.Start, n, "1")
-			r.fault(f)
-			out := r.do(q)
-			u := r.until(n, supervisor.Running)
-			if r.started(n) != 1 || u.Incarnation != out[0].Incarnation {
-				t.Errorf("started %d times, %+v, told %+v", r.started(n), u, out)
+			r.setFault(f)
+			out := r.mustDo(q)
+			u := r.waitState(n, supervisor.Running)
+			if r.startCount(n) != 1 || u.Incarnation != out[0].Incarnation {
+				t.Errorf("started %d times, %+v, told %+v", r.startCount(n), u, out)
 			}
 		})
 	}
 	t.Run("fail without end", func(t *testing.T) {
 		q := r.request(supervisor.Start, 20, "1")
-		r.fault(core.Fault{Kind: core.Fail, ForMS: 60_000})
-		if _, err := r.client.Do(short(t), q); !errors.Is(err, supervisor.ErrUnknown) {
+		r.setFault(core.Fault{Kind: core.FaultError, DurationMS: 60_000})
+		if _, err := r.client.Do(short(t), q); !errors.Is(err, supervisor.ErrOutcomeUnknown) {
 			t.Errorf("%v, want the outcome unknown", err)
 		}
 		if _, err := r.client.List(short(t)); err == nil {
@@ -118,98 +118,98 @@
 		if err := ClearFaults(r.ctx, r.addr); err != nil {
 			t.Fatal(err)
 		}
-		if u := r.list().Find("u20"); u != nil {
+		if u := r.mustList().Find("u20"); u != nil {
 			t.Errorf("%+v was started", u)
 		}
 	})
 	t.Run("hang", func(t *testing.T) {
 		q := r.request(supervisor.Stop, 1, "")
-		r.fault(core.Fault{Kind: core.Hang, On: core.OnDo})
-		if _, err := r.client.Do(short(t), q); !errors.Is(err, supervisor.ErrUnknown) {
+		r.setFault(core.Fault{Kind: core.FaultHang, On: core.OnDo})
+		if _, err := r.client.Do(short(t), q); !errors.Is(err, supervisor.ErrOutcomeUnknown) {
 			t.Errorf("%v, want the outcome unknown", err)
 		}
-		r.until(1, supervisor.Running)
+		r.waitState(1, supervisor.Running)
 		restart := r.request(supervisor.Restart, 1, "2") // the caller has looked and decides anew
-		now := r.do(restart)[0].Incarnation
-		r.until(1, supervisor.Running)
+		now := r.mustDo(restart)[0].Incarnation
+		r.waitState(1, supervisor.Running)
 		if err := ClearFaults(r.ctx, r.addr); err != nil {
 			t.Fatal(err)
 		}
-		if out, err := r.client.Do(r.ctx, q); err != nil || out[0].Refused != supervisor.Stale {
+		if out, err := r.client.Do(r.ctx, q); err != nil || out[0].Rejected != supervisor.IncarnationMismatch {
 			t.Errorf("%+v, %v, want the late stop refused", out, err)
 		}
-		if u := r.until(1, supervisor.Running); u.Incarnation != now || u.Version != "2" {
+		if u := r.waitState(1, supervisor.Running); u.Incarnation != now || u.Version != "2" {
 			t.Errorf("%+v, want incarnation %d left alone", u, now)
 		}
 	})
 	t.Run("half of two starts", func(t *testing.T) {
 		a, b := r.request(supervisor.Start, 30, "1"), r.request(supervisor.Start, 31, "1")
-		r.fault(core.Fault{Kind: core.Half, On: core.OnDo})
-		r.do(a, b)
-		r.until(30, supervisor.Running)
-		r.until(31, supervisor.Running)
-		if r.started(30) != 1 || r.started(31) != 1 {
-			t.Errorf("started %d and %d times", r.started(30), r.started(31))
+		r.setFault(core.Fault{Kind: core.FaultPartial, On: core.OnDo})
+		r.mustDo(a, b)
+		r.waitState(30, supervisor.Running)
+		r.waitState(31, supervisor.Running)
+		if r.startCount(30) != 1 || r.startCount(31) != 1 {
+			t.Errorf("started %d and %d times", r.startCount(30), r.startCount(31))
 		}
 	})
 	t.Run("half of a restart", func(t *testing.T) {
 		q := r.request(supervisor.Restart, 30, "2")
-		r.fault(core.Fault{Kind: core.Half, Unit: "u30", On: core.OnDo})
-		r.do(q)
-		if u := r.until(30, supervisor.Exited); u.Version != "1" || r.serves(30) {
+		r.setFault(core.Fault{Kind: core.FaultPartial, Unit: "u30", On: core.OnDo})
+		r.mustDo(q)
+		if u := r.waitState(30, supervisor.Exited); u.Version != "1" || r.isListening(30) {
 			t.Errorf("%+v, want it stopped and not started", u)
 		}
 	})
 	t.Run("twice", func(t *testing.T) {
 		q := r.request(supervisor.Start, 40, "1")
-		r.fault(core.Fault{Kind: core.Twice, On: core.OnDo})
-		r.do(q)
+		r.setFault(core.Fault{Kind: core.FaultDuplicate, On: core.OnDo})
+		r.mustDo(q)
 		// One gets the address and the other ends, the platform's own or the one that it does not know.
-		r.soon("one serves", func() bool { return r.serves(40) })
-		if r.started(40) != 2 {
-			t.Errorf("started %d times", r.started(40))
+		r.eventually("one serves", func() bool { return r.isListening(40) })
+		if r.startCount(40) != 2 {
+			t.Errorf("started %d times", r.startCount(40))
 		}
 	})
 	t.Run("wrong", func(t *testing.T) {
 		q := r.request(supervisor.Stop, 1, "")
-		r.fault(core.Fault{Kind: core.Wrong, On: core.OnDo})
-		r.do(q)
-		r.until(10, supervisor.Exited) // by name the next after u1
-		if u := r.until(1, supervisor.Running); !r.serves(1) {
+		r.setFault(core.Fault{Kind: core.FaultWrongUnit, On: core.OnDo})
+		r.mustDo(q)
+		r.waitState(10, supervisor.Exited) // by name the next after u1
+		if u := r.waitState(1, supervisor.Running); !r.isListening(1) {
 			t.Errorf("%+v was stopped", u)
 		}
 	})
 	t.Run("forget", func(t *testing.T) {
-		q, before := r.request(supervisor.Stop, 2, ""), r.list()
-		r.fault(core.Fault{Kind: core.Forget, ForMS: 1000})
-		if l := r.list(); l.Memory <= before.Memory || l.Complete || len(l.Units) != 0 || !r.serves(2) {
+		q, before := r.request(supervisor.Stop, 2, ""), r.mustList()
+		r.setFault(core.Fault{Kind: core.FaultLoseState, DurationMS: 1000})
+		if l := r.mustList(); l.Epoch <= before.Epoch || l.Complete || len(l.Units) != 0 || !r.isListening(2) {
 			t.Errorf("%+v, want no unit listed and u2 serving", l)
 		}
-		if out, err := r.client.Do(r.ctx, q); err != nil || out[0].Refused != supervisor.Forgotten {
+		if out, err := r.client.Do(r.ctx, q); err != nil || out[0].Rejected != supervisor.EpochMismatch {
 			t.Errorf("%+v, %v, want the stop refused", out, err)
 		}
-		r.until(2, supervisor.Running)
-		if l := r.list(); !l.Complete {
+		r.waitState(2, supervisor.Running)
+		if l := r.mustList(); !l.Complete {
 			t.Errorf("%+v, want all found", l)
 		}
-		r.do(r.request(supervisor.Stop, 2, ""))
-		r.until(2, supervisor.Exited)
+		r.mustDo(r.request(supervisor.Stop, 2, ""))
+		r.waitState(2, supervisor.Exited)
 	})
 	// A platform that ends takes along what it forgot and what it did not know.
-	if err := r.proc.Stop(r.ctx); err != nil {
-		t.Errorf("%v\n%s", err, r.proc.Log())
+	if err := r.process.Stop(r.ctx); err != nil {
+		t.Errorf("%v\n%s", err, r.process.Log())
 	}
 	for _, n := range []int{1, 11, 12, 31, 40} {
-		if r.serves(n) {
+		if r.isListening(n) {
 			t.Errorf("u%d outlived the platform", n)
 		}
 	}
 }
 
 // Within the program: nothing is left running.
-func TestServeLeavesNothing(t *testing.T) {
+func TestServeLeaksNothing(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
-	v, err := LoadVersions(versionsFile(t))
+	v, err := LoadVersions(writeVersionsFile(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,12 +230,12 @@
 		t.Fatal(err)
 	}
 	q := supervisor.Request{
-		ID: "a", Op: supervisor.Start, Memory: l.Memory, Unit: "a", Kind: supervisor.Server, Version: "good", Listen: ln.Addr().String(),
+		ID: "a", Op: supervisor.Start, Epoch: l.Epoch, Unit: "a", Kind: supervisor.Server, Version: "good", Listen: ln.Addr().String(),
 	}
 	if out, err := client.Do(ctx, q); err != nil || out[0].Err() != nil {
 		t.Fatal(out, err)
 	}
-	if err := SetFault(ctx, ln.Addr().String(), core.Fault{Kind: core.Hang, ForMS: 60_000}); err != nil {
+	if err := SetFault(ctx, ln.Addr().String(), core.Fault{Kind: core.FaultHang, DurationMS: 60_000}); err != nil {
 		t.Fatal(err)
 	}
 	hung := make(chan error, 1)
@@ -254,7 +254,7 @@
 	goleak.VerifyNone(t, leaks, goleak.IgnoreTopFunction("milldeck/internal/lab/proc.init.func1.1"))
 }
 
-func TestBadVersionsAreRefusedByLine(t *testing.T) {
+func TestInvalidVersionsAreRejectedByLine(t *testing.T) {
 	const good = "[[version]]\nname = \"1\"\nkind = \"sidecar\"\nargv = [\"x\"]\n"
 	for _, c := range []struct{ text, want string }{
 		{"", "0 versions"},
--- a/internal/supervisor/standin/versions.go
+++ b/internal/supervisor/standin/versions.go
@@ -15,83 +15,83 @@
 
 // Versions are the programs that a platform can run.
 type Versions struct {
-	MostUnits int       `toml:"most_units"` // listed at a time; 0: the core's default
-	Versions  []Version `toml:"version"`
+	MaxUnits int       `toml:"most_units"` // listed at a time; 0: the core's default
+	Versions []Version `toml:"version"`
 }
 
 // Version is one of them. In Argv and the values of Env, {name}, {listen}, {zone}, {version} and {config}, the path
 // of the unit's configuration file, stand for the unit's own.
 type Version struct {
-	Name     string            `toml:"name"`
-	Kind     supervisor.Kind   `toml:"kind"`
-	Argv     []string          `toml:"argv"`
-	Env      map[string]string `toml:"env"`      // beside the platform's
-	Ready    string            `toml:"ready"`    // path of the ready check at the unit's address; empty: ready once started
-	GraceMS  int64             `toml:"grace_ms"` // 0: the core's default
-	Restarts int               `toml:"restarts"` // by the platform itself, of one incarnation
+	Name        string            `toml:"name"`
+	Kind        supervisor.Kind   `toml:"kind"`
+	Argv        []string          `toml:"argv"`
+	Env         map[string]string `toml:"env"`      // beside the platform's
+	ReadyPath   string            `toml:"ready"`    // path of the ready check at the unit's address; empty: ready once started
+	GraceMS     int64             `toml:"grace_ms"` // 0: the core's default
+	MaxRestarts int               `toml:"restarts"` // by the platform itself, of one incarnation
 }
 
 const (
-	mostVersions = 256
-	mostArgs     = 64
-	mostRestarts = 1000
+	maxVersions = 256
+	maxArgs     = 64
+	maxRestarts = 1000
 )
 
 var placeholders = []string{"name", "listen", "zone", "version", "config"}
 
 // LoadVersions reads a versions' file.
 func LoadVersions(path string) (*Versions, error) {
-	v := &Versions{}
-	f, err := conf.Load(path, v)
+	versions := &Versions{}
+	file, err := conf.Load(path, versions)
 	if err != nil {
 		return nil, err
 	}
-	if len(v.Versions) == 0 || len(v.Versions) > mostVersions {
-		return nil, f.Errorf("version", "%d versions, 1 to %d can be", len(v.Versions), mostVersions)
+	if len(versions.Versions) == 0 || len(versions.Versions) > maxVersions {
+		return nil, file.Errorf("version", "%d versions, 1 to %d can be", len(versions.Versions), maxVersions)
 	}
-	if v.MostUnits < 0 {
-		return nil, f.Errorf("most_units", "%d is negative", v.MostUnits)
+	if versions.MaxUnits < 0 {
+		return nil, file.Errorf("most_units", "%d is negative", versions.MaxUnits)
 	}
 	seen := map[core.Version]bool{}
-	for i := range v.Versions {
-		one := &v.Versions[i]
-		at := func(key string) string { return fmt.Sprintf("version[%d].%s", i, key) }
-		id := core.Version{Kind: one.Kind, Name: one.Name}
-		if err := supervisor.CheckVersion(one.Kind, one.Name); err != nil {
-			return nil, f.Errorf(at("name"), "%w", err)
+	for i := range versions.Versions {
+		version := &versions.Versions[i]
+		field := func(key string) string { return fmt.Sprintf("version[%d].%s", i, key) }
+		id := core.Version{Kind: version.Kind, Name: version.Name}
+		if err := supervisor.ValidateVersion(version.Kind, version.Name); err != nil {
+			return nil, file.Errorf(field("name"), "%w", err)
 		}
 		if seen[id] {
-			return nil, f.Errorf(at("name"), "%s %s stands twice", one.Kind, one.Name)
+			return nil, file.Errorf(field("name"), "%s %s stands twice", version.Kind, version.Name)
 		}
 		seen[id] = true
-		if len(one.Argv) == 0 || len(one.Argv) > mostArgs || one.Argv[0] == "" {
-			return nil, f.Errorf(at("argv"), "%d parts, a program and at most %d in all can be", len(one.Argv), mostArgs)
+		if len(version.Argv) == 0 || len(version.Argv) > maxArgs || version.Argv[0] == "" {
+			return nil, file.Errorf(field("argv"), "%d parts, a program and at most %d in all can be", len(version.Argv), maxArgs)
 		}
-		for _, a := range one.Argv {
-			if bad := unknown(a); bad != "" {
-				return nil, f.Errorf(at("argv"), "%s stands for nothing", bad)
+		for _, a := range version.Argv {
+			if bad := unknownPlaceholder(a); bad != "" {
+				return nil, file.Errorf(field("argv"), "%s stands for nothing", bad)
 			}
 		}
-		for _, k := range slices.Sorted(maps.Keys(one.Env)) {
-			if bad := unknown(one.Env[k]); bad != "" {
-				return nil, f.Errorf(at("env")+"."+k, "%s stands for nothing", bad)
+		for _, k := range slices.Sorted(maps.Keys(version.Env)) {
+			if bad := unknownPlaceholder(version.Env[k]); bad != "" {
+				return nil, file.Errorf(field("env")+"."+k, "%s stands for nothing", bad)
 			}
 		}
-		if one.Ready != "" && one.Ready[0] != '/' {
-			return nil, f.Errorf(at("ready"), "%q is no path", one.Ready)
+		if version.ReadyPath != "" && version.ReadyPath[0] != '/' {
+			return nil, file.Errorf(field("ready"), "%q is no path", version.ReadyPath)
 		}
-		if one.GraceMS < 0 || one.GraceMS > supervisor.MaxGraceMS {
-			return nil, f.Errorf(at("grace_ms"), "%d is not within 0 to %d", one.GraceMS, supervisor.MaxGraceMS)
+		if version.GraceMS < 0 || version.GraceMS > supervisor.MaxGraceMS {
+			return nil, file.Errorf(field("grace_ms"), "%d is not within 0 to %d", version.GraceMS, supervisor.MaxGraceMS)
 		}
-		if one.Restarts < 0 || one.Restarts > mostRestarts {
-			return nil, f.Errorf(at("restarts"), "%d is not within 0 to %d", one.Restarts, mostRestarts)
+		if version.MaxRestarts < 0 || version.MaxRestarts > maxRestarts {
+			return nil, file.Errorf(field("restarts"), "%d is not within 0 to %d", version.MaxRestarts, maxRestarts)
 		}
 	}
-	return v, nil
+	return versions, nil
 }
 
-// unknown is the first placeholder of a text that stands for nothing.
-func unknown(text string) string {
+// unknownPlaceholder is the first placeholder of a text that stands for nothing.
+func unknownPlaceholder(text string) string {
 	for {
 		_, rest, found := strings.Cut(text, "{")
 		if !found {
@@ -105,13 +105,13 @@
 	}
 }
 
-// options are the core's.
-func (v *Versions) options() core.Options {
-	rules := make(map[core.Version]core.Rules, len(v.Versions))
-	for _, one := range v.Versions {
-		rules[core.Version{Kind: one.Kind, Name: one.Name}] = core.Rules{GraceMS: one.GraceMS, Restarts: one.Restarts}
+// coreOptions are the core's.
+func (v *Versions) coreOptions() core.Options {
+	policies := make(map[core.Version]core.ProcessPolicy, len(v.Versions))
+	for _, version := range v.Versions {
+		policies[core.Version{Kind: version.Kind, Name: version.Name}] = core.ProcessPolicy{GraceMS: version.GraceMS, MaxRestarts: version.MaxRestarts}
 	}
-	return core.Options{Versions: rules, MostUnits: v.MostUnits}
+	return core.Options{Versions: policies, MaxUnits: v.MaxUnits}
 }
 
 // find is a version that the core knows.
@@ -125,15 +125,15 @@
 }
 
 // command is a unit's command line and environment, and whether they name a configuration file.
-func (v *Version) command(u *supervisor.Unit, config string) (argv, env []string, configured bool) {
-	r := strings.NewReplacer("{name}", u.Name, "{listen}", u.Listen, "{zone}", u.Zone, "{version}", u.Version, "{config}", config)
-	for _, a := range v.Argv {
-		argv = append(argv, r.Replace(a))
-		configured = configured || strings.Contains(a, "{config}")
+func (version *Version) command(u *supervisor.Unit, configPath string) (argv, env []string, usesConfig bool) {
+	replacer := strings.NewReplacer("{name}", u.Name, "{listen}", u.Listen, "{zone}", u.Zone, "{version}", u.Version, "{config}", configPath)
+	for _, a := range version.Argv {
+		argv = append(argv, replacer.Replace(a))
+		usesConfig = usesConfig || strings.Contains(a, "{config}")
 	}
-	for _, k := range slices.Sorted(maps.Keys(v.Env)) {
-		env = append(env, k+"="+r.Replace(v.Env[k]))
-		configured = configured || strings.Contains(v.Env[k], "{config}")
+	for _, k := range slices.Sorted(maps.Keys(version.Env)) {
+		env = append(env, k+"="+replacer.Replace(version.Env[k]))
+		usesConfig = usesConfig || strings.Contains(version.Env[k], "{config}")
 	}
-	return argv, env, configured
+	return argv, env, usesConfig
 }
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -19,25 +19,25 @@
 
 // Bounds of requests.
 const (
-	MostRequests = 256     // in one call
-	MaxFile      = 1 << 20 // bytes of a configuration; one with 2,000 known servers has a third of it
-	MaxGraceMS   = 600_000 // ten minutes: longer than any drain waits for what is open
-	maxName      = 64      // bytes of a name: it also names files
-	maxID        = 160     // bytes of a request's id: names of what is done, of a step and of a unit fit in
+	MaxRequests    = 256     // in one call
+	MaxConfigBytes = 1 << 20 // bytes of a configuration; one with 2,000 known servers has a third of it
+	MaxGraceMS     = 600_000 // ten minutes: longer than any drain waits for what is open
+	maxNameBytes   = 64      // bytes of a name: it also names files
+	maxIDBytes     = 160     // bytes of a request's id: names of what is done, of a step and of a unit fit in
 )
 
 // Supervisor is the platform.
 type Supervisor interface {
 	// Do carries out requests one after the other and tells what became of each, in their order. An error that is
-	// ErrUnknown says that some may have been done, others not: look at List, or ask again with the same ids. Any
+	// ErrOutcomeUnknown says that some may have been done, others not: look at List, or ask again with the same ids. Any
 	// other error says that none was done.
-	Do(ctx context.Context, reqs ...Request) ([]Outcome, error)
+	Do(ctx context.Context, requests ...Request) ([]Outcome, error)
 	// List tells what the platform knows of. An error says nothing about any unit.
 	List(ctx context.Context) (*List, error)
 }
 
-// ErrUnknown marks a call whose outcome is not known.
-var ErrUnknown = errors.New("outcome unknown")
+// ErrOutcomeUnknown marks a call whose outcome is not known.
+var ErrOutcomeUnknown = errors.New("outcome unknown")
 
 // Kind is what a unit is.
 type Kind string
@@ -66,51 +66,51 @@
 	ID string `json:"id"`
 	Op Op     `json:"op"`
 	// Memory is the platform's, as listed. A platform that has forgotten since refuses.
-	Memory uint64 `json:"memory"`
-	Unit   string `json:"unit"`
+	Epoch uint64 `json:"memory"`
+	Unit  string `json:"unit"`
 	// Incarnation is the unit's as listed, 0 where it is not listed. A unit that has another since is left alone.
 	Incarnation uint64 `json:"incarnation"`
 
-	Kind    Kind   `json:"kind,omitempty"`    // start, restart
-	Version string `json:"version,omitempty"` // start, restart
-	Listen  string `json:"listen,omitempty"`  // start, restart: the unit's address, on loopback
-	Zone    string `json:"zone,omitempty"`    // start, restart
-	Config  string `json:"config,omitempty"`  // start, restart, reload: the configuration's name
-	File    string `json:"file,omitempty"`    // start, restart, reload: its text; empty: the unit's last one
-	GraceMS int64  `json:"grace_ms,omitempty"`
+	Kind       Kind   `json:"kind,omitempty"`    // start, restart
+	Version    string `json:"version,omitempty"` // start, restart
+	Listen     string `json:"listen,omitempty"`  // start, restart: the unit's address, on loopback
+	Zone       string `json:"zone,omitempty"`    // start, restart
+	ConfigName string `json:"config,omitempty"`  // start, restart, reload: the configuration's name
+	ConfigText string `json:"file,omitempty"`    // start, restart, reload: its text; empty: the unit's last one
+	GraceMS    int64  `json:"grace_ms,omitempty"`
 	// GraceMS is for stop and restart, from SIGTERM to SIGKILL; 0: the version's own.
 }
 
-// Reason says why a request was refused; empty: it was not.
-type Reason string
+// RejectionReason says why a request was refused; empty: it was not.
+type RejectionReason string
 
 // Reasons of refusals. None changes anything, and but for Forgotten and Reused a repeat is refused alike.
 const (
-	Forgotten Reason = "forgotten" // the platform has lost its memory since; what was asked there may have been done
-	Reused    Reason = "reused"    // the id was used for something else
-	Stale     Reason = "stale"     // the unit has another incarnation than the request names
-	Busy      Reason = "busy"      // the unit is not in a state for this
-	NoVersion Reason = "no_version"
-	Full      Reason = "full" // no more units can be had
+	EpochMismatch       RejectionReason = "forgotten" // the platform has lost its memory since; what was asked there may have been done
+	RequestIDReused     RejectionReason = "reused"    // the id was used for something else
+	IncarnationMismatch RejectionReason = "stale"     // the unit has another incarnation than the request names
+	InvalidState        RejectionReason = "busy"      // the unit is not in a state for this
+	UnknownVersion      RejectionReason = "no_version"
+	LimitReached        RejectionReason = "full" // no more units can be had
 )
 
 // Outcome is what became of a request.
 type Outcome struct {
-	ID      string `json:"id"`
-	Unit    string `json:"unit"`
-	Refused Reason `json:"refused,omitempty"`
-	Text    string `json:"text,omitempty"` // one line, where it was refused
+	ID       string          `json:"id"`
+	Unit     string          `json:"unit"`
+	Rejected RejectionReason `json:"refused,omitempty"`
+	Detail   string          `json:"text,omitempty"` // one line, where it was refused
 	// Memory and Incarnation are the platform's and the unit's after it: for start and restart the new one.
-	Memory      uint64 `json:"memory"`
+	Epoch       uint64 `json:"memory"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
 // Err is the refusal as an error, nil where there is none.
 func (o *Outcome) Err() error {
-	if o.Refused == "" {
+	if o.Rejected == "" {
 		return nil
 	}
-	return fmt.Errorf("%s: %s: %s", o.Unit, o.Refused, o.Text)
+	return fmt.Errorf("%s: %s: %s", o.Unit, o.Rejected, o.Detail)
 }
 
 // State is how far a unit has come.
@@ -127,13 +127,13 @@
 
 // Unit is a unit as listed.
 type Unit struct {
-	Name    string `json:"name"`
-	Kind    Kind   `json:"kind"`
-	Version string `json:"version"`
-	Config  string `json:"config,omitempty"`
-	Zone    string `json:"zone,omitempty"`
-	Listen  string `json:"listen"`
-	State   State  `json:"state"`
+	Name       string `json:"name"`
+	Kind       Kind   `json:"kind"`
+	Version    string `json:"version"`
+	ConfigName string `json:"config,omitempty"`
+	Zone       string `json:"zone,omitempty"`
+	Listen     string `json:"listen"`
+	State      State  `json:"state"`
 	// Incarnation is another with each start that was asked for, unique within a memory.
 	Incarnation uint64 `json:"incarnation"`
 	SinceMS     int64  `json:"since_ms"`       // of the state, in ms by the platform's clock
@@ -144,7 +144,7 @@
 // List is what the platform knows of.
 type List struct {
 	// Memory names the span since which the platform remembers: it grows when the platform has forgotten all.
-	Memory uint64 `json:"memory"`
+	Epoch uint64 `json:"memory"`
 	// Complete says that the platform has seen all that it runs. Until then a unit that is not listed may run.
 	// After, it was not started in this memory or has exited long ago.
 	Complete bool   `json:"complete"`
@@ -168,33 +168,33 @@
 	return sha256.Sum256(data)
 }
 
-// Check tells what a request lacks or has too much.
-func (r *Request) Check() error {
-	if r.ID == "" || len(r.ID) > maxID {
-		return fmt.Errorf("id: %d bytes, 1 to %d can be", len(r.ID), maxID)
+// Validate tells what a request lacks or has too much.
+func (r *Request) Validate() error {
+	if r.ID == "" || len(r.ID) > maxIDBytes {
+		return fmt.Errorf("id: %d bytes, 1 to %d can be", len(r.ID), maxIDBytes)
 	}
 	for part := range strings.SplitSeq(r.ID, "/") {
-		if err := checkName(part); err != nil {
+		if err := validateName(part); err != nil {
 			return fmt.Errorf("id: %w", err)
 		}
 	}
-	for _, n := range []struct {
+	for _, name := range []struct {
 		key, value string
 		must       bool
 	}{
-		{"unit", r.Unit, true}, {"version", r.Version, r.launches()}, {"config", r.Config, r.Op == Reload},
+		{"unit", r.Unit, true}, {"version", r.Version, r.startsProcess()}, {"config", r.ConfigName, r.Op == Reload},
 		{"zone", r.Zone, false},
 	} {
-		if n.value == "" && !n.must {
+		if name.value == "" && !name.must {
 			continue
 		}
-		if err := checkName(n.value); err != nil {
-			return fmt.Errorf("%s: %w", n.key, err)
+		if err := validateName(name.value); err != nil {
+			return fmt.Errorf("%s: %w", name.key, err)
 		}
 	}
 	switch r.Op {
 	case Start, Restart:
-		if err := r.Kind.check(); err != nil {
+		if err := r.Kind.validate(); err != nil {
 			return err
 		}
 		if at, err := netip.ParseAddrPort(r.Listen); err != nil || !at.Addr().IsLoopback() || at.Port() == 0 {
@@ -208,7 +208,7 @@
 		return fmt.Errorf("op: %q is none of start, stop, restart, reload", r.Op)
 	}
 	switch {
-	case r.Memory == 0:
+	case r.Epoch == 0:
 		return errors.New("memory: is not named")
 	case r.Incarnation == 0 && r.Op != Start:
 		return fmt.Errorf("incarnation: %s has to name one", r.Op)
@@ -216,62 +216,62 @@
 		return fmt.Errorf("grace_ms: %d is not within 0 to %d", r.GraceMS, MaxGraceMS)
 	case r.GraceMS != 0 && r.Op != Stop && r.Op != Restart:
 		return fmt.Errorf("grace_ms: %s takes none", r.Op)
-	case len(r.File) > MaxFile:
-		return fmt.Errorf("file: %d bytes, at most %d are taken", len(r.File), MaxFile)
-	case r.File == "" && r.Op == Reload:
+	case len(r.ConfigText) > MaxConfigBytes:
+		return fmt.Errorf("file: %d bytes, at most %d are taken", len(r.ConfigText), MaxConfigBytes)
+	case r.ConfigText == "" && r.Op == Reload:
 		return errors.New("file: reload needs one")
-	case r.Op == Stop && r.File+r.Config != "":
+	case r.Op == Stop && r.ConfigText+r.ConfigName != "":
 		return errors.New("op: stop takes no config or file")
 	}
 	return nil
 }
 
-func (r *Request) launches() bool { return r.Op == Start || r.Op == Restart }
+func (r *Request) startsProcess() bool { return r.Op == Start || r.Op == Restart }
 
-func (k Kind) check() error {
+func (k Kind) validate() error {
 	if k != Server && k != Sidecar {
 		return fmt.Errorf("kind: %q is neither server nor sidecar", string(k))
 	}
 	return nil
 }
 
-// checkName holds names to what is safe in a path, an argument and a log line.
-func checkName(s string) error {
-	if s == "" || len(s) > maxName || s[0] == '.' || s[0] == '-' {
-		return fmt.Errorf("%.80q is no name of 1 to %d characters that begins with neither a dot nor a dash", s, maxName)
+// validateName holds names to what is safe in a path, an argument and a log line.
+func validateName(name string) error {
+	if name == "" || len(name) > maxNameBytes || name[0] == '.' || name[0] == '-' {
+		return fmt.Errorf("%.80q is no name of 1 to %d characters that begins with neither a dot nor a dash", name, maxNameBytes)
 	}
-	for _, c := range []byte(s) {
+	for _, c := range []byte(name) {
 		switch {
 		case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9', c == '.', c == '-', c == '_', c == '+', c == ':':
 		default:
-			return fmt.Errorf("%q: only letters, digits and . - _ + : stand in a name", s)
+			return fmt.Errorf("%q: only letters, digits and . - _ + : stand in a name", name)
 		}
 	}
 	return nil
 }
 
-// CheckVersion holds the name and kind of a version to what requests can ask for.
-func CheckVersion(k Kind, name string) error {
-	if err := k.check(); err != nil {
+// ValidateVersion holds the name and kind of a version to what requests can ask for.
+func ValidateVersion(k Kind, name string) error {
+	if err := k.validate(); err != nil {
 		return err
 	}
-	return checkName(name)
+	return validateName(name)
 }
 
-// CheckCall tells what is wrong with the requests of one call.
-func CheckCall(reqs []Request) error {
-	if len(reqs) == 0 || len(reqs) > MostRequests {
-		return fmt.Errorf("%d requests in a call, 1 to %d can be", len(reqs), MostRequests)
+// ValidateBatch tells what is wrong with the requests of one call.
+func ValidateBatch(requests []Request) error {
+	if len(requests) == 0 || len(requests) > MaxRequests {
+		return fmt.Errorf("%d requests in a call, 1 to %d can be", len(requests), MaxRequests)
 	}
-	seen := make(map[string]bool, len(reqs))
-	for i := range reqs {
-		if err := reqs[i].Check(); err != nil {
+	ids := make(map[string]bool, len(requests))
+	for i := range requests {
+		if err := requests[i].Validate(); err != nil {
 			return fmt.Errorf("request %d: %w", i, err)
 		}
-		if seen[reqs[i].ID] {
-			return fmt.Errorf("request %d: id %s stands twice in the call", i, reqs[i].ID)
+		if ids[requests[i].ID] {
+			return fmt.Errorf("request %d: id %s stands twice in the call", i, requests[i].ID)
 		}
-		seen[reqs[i].ID] = true
+		ids[requests[i].ID] = true
 	}
 	return nil
 }
