--- a/cmd/milldeck/bench.go
+++ b/cmd/milldeck/bench.go
@@ -41,10 +41,10 @@
 writes a second, 1 replica              %.0f, p99 %.1f ms
 writes a second, 3 replicas             %.0f, p99 %.1f ms
 without a leader after a kill           p50 %.0f ms, at most %.0f ms over %d kills
-`, r.Instances, r.Watchers, r.Changes, r.Seconds, r.WatchP50, r.WatchP99, r.WatchMax, r.Missed, r.DeltaBytes, r.WholeBytes, r.DeltaRatio,
-		r.PerWatcher, r.Writes1, r.Writes1P99, r.Writes3, r.Writes3P99, r.LeaderGapP50, r.LeaderGapMax, r.Kills)
+`, r.Instances, r.Watchers, r.Changes, r.Seconds, r.WatchP50MS, r.WatchP99MS, r.WatchMaxMS, r.MissedChanges, r.DeltaBytes, r.FullListBytes, r.DeltaRatio,
+		r.BytesPerWatcher, r.SingleWritesPerSecond, r.SingleWriteP99MS, r.ClusterWritesPerSecond, r.ClusterWriteP99MS, r.LeaderGapP50MS, r.LeaderGapMaxMS, r.LeaderKills)
 	if err == nil && r.LogEntries > 0 {
-		_, err = fmt.Fprintf(w, "restart with %d log entries           %.0f ms, with a snapshot %.0f ms\n", r.LogEntries, r.RestartPlain, r.RestartByCopy)
+		_, err = fmt.Fprintf(w, "restart with %d log entries           %.0f ms, with a snapshot %.0f ms\n", r.LogEntries, r.RestartFromLogMS, r.RestartFromSnapshotMS)
 	}
 	return err
 }
--- a/cmd/milldeck/duty.go
+++ b/cmd/milldeck/duty.go
@@ -148,7 +148,7 @@
 
 func newDutyList() *cobra.Command {
 	return asks("list", "Prints the duties", 0, func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, _ []string) error {
-		list, err := client.Duties(ctx)
+		list, err := client.Leases(ctx)
 		if err != nil {
 			return err
 		}
@@ -182,7 +182,7 @@
 		Long: "watch prints a duty and each of its changes, until an interrupt.\n\n" + exitHelp,
 		RunE: func(c *cobra.Command, args []string) error {
 			return a.with(c, func(_ context.Context, client *registry.Client) error {
-				err := client.WatchDuty(c.Context(), args[0], func(d table.Lease) {
+				err := client.WatchLease(c.Context(), args[0], func(d table.Lease) {
 					_ = a.show(c.OutOrStdout(), d, func(w io.Writer) error { // a reader that is gone ends the program by its own signal
 						_, err := fmt.Fprintln(w, strings.ReplaceAll(dutyLine(&d), "\t", "  "))
 						return err
@@ -200,9 +200,9 @@
 }
 
 // dutyCall makes a command of one call about a duty.
-func dutyCall(use, short string, kind table.OperationKind, call func(args []string) registry.DutyCall, flags func(*cobra.Command)) *cobra.Command {
+func dutyCall(use, short string, kind table.OperationKind, call func(args []string) registry.LeaseRequest, flags func(*cobra.Command)) *cobra.Command {
 	c := asks(use, short, 1, func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
-		d, err := client.Duty(ctx, kind, args[0], call(args))
+		d, err := client.UpdateLease(ctx, kind, args[0], call(args))
 		if err != nil {
 			return err
 		}
@@ -216,23 +216,23 @@
 }
 
 func newDutyRelease() *cobra.Command {
-	var in registry.DutyCall
+	var in registry.LeaseRequest
 	return dutyCall("release NAME", "Gives up a duty for its holder, or a place in its queue", table.Release,
-		func([]string) registry.DutyCall { return in }, func(c *cobra.Command) {
-			c.Flags().StringVar(&in.Who, "who", "", "the holder or candidate")
+		func([]string) registry.LeaseRequest { return in }, func(c *cobra.Command) {
+			c.Flags().StringVar(&in.Candidate, "who", "", "the holder or candidate")
 			c.Flags().Uint64Var(&in.Token, "token", 0, "the holder's token; 0: a place in the queue")
 		})
 }
 
 func newHandover() *cobra.Command {
-	var in registry.DutyCall
+	var in registry.LeaseRequest
 	return dutyCall("handover NAME", "Asks the holder to step down for a candidate", table.Handover,
-		func([]string) registry.DutyCall { return in }, func(c *cobra.Command) {
-			c.Flags().StringVar(&in.To, "to", "", "the candidate")
+		func([]string) registry.LeaseRequest { return in }, func(c *cobra.Command) {
+			c.Flags().StringVar(&in.Successor, "to", "", "the candidate")
 		})
 }
 
 func newTakeaway() *cobra.Command {
 	return dutyCall("takeaway NAME", "Takes a duty away from its holder: its token counts no more, and once its lease has ended the next has it",
-		table.Revoke, func([]string) registry.DutyCall { return registry.DutyCall{} }, func(*cobra.Command) {})
+		table.Revoke, func([]string) registry.LeaseRequest { return registry.LeaseRequest{} }, func(*cobra.Command) {})
 }
--- a/cmd/milldeck/fleet.go
+++ b/cmd/milldeck/fleet.go
@@ -77,12 +77,12 @@
 		short = "Ends a halt"
 	}
 	c := asks(string(kind), short, 0, func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, _ []string) error {
-		res, err := client.Ledger(ctx, registry.Write{}, disruption.Op{Kind: kind, Owner: "operator/" + by, Halt: &disruption.Halt{Scope: scope, Reason: why}})
+		res, err := client.ApplyLedgerOp(ctx, registry.WriteOptions{}, disruption.Op{Kind: kind, Owner: "operator/" + by, Halt: &disruption.Halt{Scope: scope, Reason: why}})
 		if err != nil {
 			return err
 		}
 		return a.show(c.OutOrStdout(), res, func(w io.Writer) error {
-			_, err := fmt.Fprintf(w, "%s at revision %d\n", kind, res.Rev)
+			_, err := fmt.Fprintf(w, "%s at revision %d\n", kind, res.Revision)
 			return err
 		})
 	})
--- a/cmd/milldeck/fleetbudgets.go
+++ b/cmd/milldeck/fleetbudgets.go
@@ -85,7 +85,7 @@
 func setBudgets(ctx context.Context, client *registry.Client, owner string, have []disruption.Budget, want map[string]*disruption.Budget) error {
 	for _, name := range slices.Sorted(maps.Keys(want)) {
 		op := disruption.Op{Kind: disruption.OpSetBudget, Owner: owner, Budget: want[name]}
-		if _, err := client.Ledger(ctx, registry.Write{}, op); err != nil {
+		if _, err := client.ApplyLedgerOp(ctx, registry.WriteOptions{}, op); err != nil {
 			return fmt.Errorf("budget %s: %w", name, err)
 		}
 	}
@@ -94,7 +94,7 @@
 			continue
 		}
 		op := disruption.Op{Kind: disruption.OpSetBudget, Owner: owner, Budget: &have[i], Delete: true}
-		if _, err := client.Ledger(ctx, registry.Write{}, op); err != nil {
+		if _, err := client.ApplyLedgerOp(ctx, registry.WriteOptions{}, op); err != nil {
 			return fmt.Errorf("budget %s: %w", have[i].Name, err)
 		}
 	}
--- a/cmd/milldeck/fleetbudgets_test.go
+++ b/cmd/milldeck/fleetbudgets_test.go
@@ -18,8 +18,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(block.Release)
-	m := registry.Member{HTTP: block.Addr(200, 1, 8500), Raft: block.Addr(200, 1, 8501)}
-	r, err := registry.Open(registry.Options{HTTP: m.HTTP, Raft: m.Raft, Members: []registry.Member{m}})
+	m := registry.Member{HTTPAddr: block.Addr(200, 1, 8500), RaftAddr: block.Addr(200, 1, 8501)}
+	r, err := registry.Open(registry.Options{HTTPAddr: m.HTTPAddr, RaftAddr: m.RaftAddr, Members: []registry.Member{m}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 		var out, log bytes.Buffer // the replica logs as well
-		code := execute(t.Context(), []string{"fleet", "budgets", path, "--replicas", m.HTTP}, &out, &log)
+		code := execute(t.Context(), []string{"fleet", "budgets", path, "--replicas", m.HTTPAddr}, &out, &log)
 		if code != 0 {
 			out = log
 		}
--- a/cmd/milldeck/registry.go
+++ b/cmd/milldeck/registry.go
@@ -92,11 +92,11 @@
 	if err != nil {
 		return registry.Options{}, err
 	}
-	o := registry.Options{HTTP: f.HTTP, Raft: f.Raft, Advertise: f.Advertise, Dir: f.Dir, SnapshotEvery: f.Snapshot,
-		Expiry:    registry.Expiry{Share: f.Expiry.Share, Within: time.Duration(f.Expiry.WithinS * float64(time.Second))},
-		WarmAfter: f.warmAfter()}
+	o := registry.Options{HTTPAddr: f.HTTP, RaftAddr: f.Raft, AdvertiseRaftAddr: f.Advertise, DataDir: f.Dir, SnapshotThreshold: f.Snapshot,
+		Expiry:         registry.ExpiryPolicy{MaxShare: f.Expiry.Share, Window: time.Duration(f.Expiry.WithinS * float64(time.Second))},
+		WarmUpDuration: f.warmAfter()}
 	for key, addr := range map[string]string{"http": f.HTTP, "raft": f.Raft} {
-		if err := registry.Loopback(key, addr); err != nil {
+		if err := registry.CheckLoopback(key, addr); err != nil {
 			return o, at.Errorf(key, "%v", err)
 		}
 	}
@@ -119,12 +119,12 @@
 	self := len(f.Members) == 0
 	for i, m := range f.Members {
 		for key, addr := range map[string]string{"http": m.HTTP, "raft": m.Raft} {
-			if err := registry.Loopback(key, addr); err != nil {
+			if err := registry.CheckLoopback(key, addr); err != nil {
 				return o, at.Errorf(fmt.Sprintf("member[%d].%s", i, key), "%v", err)
 			}
 		}
 		self = self || m.HTTP == f.HTTP
-		o.Members = append(o.Members, registry.Member{HTTP: m.HTTP, Raft: m.Raft})
+		o.Members = append(o.Members, registry.Member{HTTPAddr: m.HTTP, RaftAddr: m.Raft})
 	}
 	if !self {
 		return o, at.Errorf("member", "this replica, %s, is not among them", f.HTTP)
@@ -142,7 +142,7 @@
 			"members in its configuration waits until `registry members add` takes it in.\n\n" + exitHelp,
 		Args: exactly(0),
 		RunE: func(c *cobra.Command, _ []string) error {
-			o := registry.Options{HTTP: devHTTP, Raft: devRaft, Members: []registry.Member{{HTTP: devHTTP, Raft: devRaft}}}
+			o := registry.Options{HTTPAddr: devHTTP, RaftAddr: devRaft, Members: []registry.Member{{HTTPAddr: devHTTP, RaftAddr: devRaft}}}
 			var f serveFile
 			switch {
 			case dev == (path != ""):
@@ -157,7 +157,7 @@
 			if err != nil {
 				return err
 			}
-			slog.Info("serves", "http", r.Addr(), "raft", o.Raft)
+			slog.Info("serves", "http", r.Addr(), "raft", o.RaftAddr)
 			if f.Backup.Dir != "" {
 				ended, err := backUp(c.Context(), o, f.backups())
 				if err != nil {
@@ -180,10 +180,10 @@
 
 // backUp takes part in the duty of backups, by way of any replica, until ctx ends.
 func backUp(ctx context.Context, o registry.Options, b duty.BackupOptions) (ended <-chan struct{}, err error) {
-	replicas := []string{o.HTTP}
+	replicas := []string{o.HTTPAddr}
 	for _, m := range o.Members {
-		if m.HTTP != o.HTTP {
-			replicas = append(replicas, m.HTTP)
+		if m.HTTPAddr != o.HTTPAddr {
+			replicas = append(replicas, m.HTTPAddr)
 		}
 	}
 	client, err := registry.NewClient(replicas)
@@ -258,7 +258,7 @@
 			return err
 		}
 		return a.show(c.OutOrStdout(), l, func(w io.Writer) error {
-			fmt.Fprintf(w, "revision %d, epoch %d, %d instances\n", l.Rev, l.Epoch, len(l.Targets))
+			fmt.Fprintf(w, "revision %d, epoch %d, %d instances\n", l.Revision, l.Epoch, len(l.Targets))
 			t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 			for _, i := range l.Targets {
 				fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%g\n", i.UID, i.Endpoint, i.Zone, i.Model, i.State, i.Capacity)
@@ -278,7 +278,7 @@
 			return err
 		}
 		return a.show(c.OutOrStdout(), i, func(w io.Writer) error {
-			_, err := fmt.Fprintf(w, "%s %s %s %s, revision %d, lease %d ms\n", i.UID, i.Endpoint, i.Zone, i.State, i.Rev, i.TTLMS)
+			_, err := fmt.Fprintf(w, "%s %s %s %s, revision %d, lease %d ms\n", i.UID, i.Endpoint, i.Zone, i.State, i.Revision, i.TTLMS)
 			return err
 		})
 	})
@@ -309,14 +309,14 @@
 	ctx := c.Context()
 	out := c.OutOrStdout()
 	for at := 0; ctx.Err() == nil; at++ {
-		err := client.WatchReplica(ctx, client.Replicas()[at%len(client.Replicas())], rev, epoch, func(l *registry.List, _ time.Duration) error {
-			if l == nil || l.Epoch == epoch && l.Rev <= rev && !l.All {
+		err := client.WatchEndpoints(ctx, client.Replicas()[at%len(client.Replicas())], rev, epoch, func(l *registry.EndpointList, _ time.Duration) error {
+			if l == nil || l.Epoch == epoch && l.Revision <= rev && !l.Full {
 				return nil
 			}
-			rev, epoch = l.Rev, l.Epoch
+			rev, epoch = l.Revision, l.Epoch
 			return a.show(out, l, func(w io.Writer) error {
 				for _, t := range l.Targets {
-					fmt.Fprintf(w, "%d %s %s %s\n", l.Rev, t.UID, t.Endpoint, t.State)
+					fmt.Fprintf(w, "%d %s %s %s\n", l.Revision, t.UID, t.Endpoint, t.State)
 				}
 				return nil
 			})
@@ -338,17 +338,17 @@
 		Use: "register UID ENDPOINT", Short: "Registers an instance", Args: exactly(2),
 		Long: "register registers an instance. With --hold it renews the lease until an interrupt and deregisters then.\n\n" + exitHelp,
 		RunE: func(c *cobra.Command, args []string) error {
-			i.UID, i.Endpoint, i.State = args[0], args[1], registry.Ready
+			i.UID, i.Endpoint, i.State = args[0], args[1], registry.InstanceReady
 			return a.with(c, func(ctx context.Context, client *registry.Client) error {
 				if hold {
-					return registry.NewKeeper(client, i).Run(c.Context())
+					return registry.NewLeaseKeepAlive(client, i).Run(c.Context())
 				}
-				res, err := client.Register(ctx, registry.Write{}, i)
+				res, err := client.Register(ctx, registry.WriteOptions{}, i)
 				if err != nil {
 					return err
 				}
 				return a.show(c.OutOrStdout(), res, func(w io.Writer) error {
-					_, err := fmt.Fprintf(w, "registered at revision %d\n", res.Rev)
+					_, err := fmt.Fprintf(w, "registered at revision %d\n", res.Revision)
 					return err
 				})
 			})
@@ -357,7 +357,7 @@
 	a.flags(c)
 	c.Flags().StringVar(&i.Zone, "zone", "", "zone")
 	c.Flags().StringVar(&i.Model, "model", "", "kind of machine")
-	c.Flags().IntVar(&i.Pod, "pod", 0, "pod group")
+	c.Flags().IntVar(&i.PodGroup, "pod", 0, "pod group")
 	c.Flags().Float64Var(&i.Capacity, "capacity", 1, "capacity hint")
 	c.Flags().Float64Var(&i.BootMS, "boot-ms", 0, "last start, Unix ms")
 	c.Flags().Int64Var(&i.TTLMS, "ttl-ms", 0, "lease; 0: without end")
@@ -367,12 +367,12 @@
 
 func newDeregister() *cobra.Command {
 	return asks("deregister UID", "Removes an instance", 1, func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
-		res, err := client.Deregister(ctx, registry.Write{}, args[0])
+		res, err := client.Deregister(ctx, registry.WriteOptions{}, args[0])
 		if err != nil {
 			return err
 		}
 		return a.show(c.OutOrStdout(), res, func(w io.Writer) error {
-			_, err := fmt.Fprintf(w, "gone at revision %d\n", res.Rev)
+			_, err := fmt.Fprintf(w, "gone at revision %d\n", res.Revision)
 			return err
 		})
 	})
@@ -386,10 +386,10 @@
 		}
 		var all []line
 		for _, replica := range client.Replicas() {
-			st, err := client.StatusOf(ctx, replica)
+			st, err := client.ReplicaStatus(ctx, replica)
 			l := line{Status: st}
 			if err != nil {
-				l.HTTP, l.Error = replica, err.Error()
+				l.HTTPAddr, l.Error = replica, err.Error()
 			}
 			all = append(all, l)
 		}
@@ -398,10 +398,10 @@
 			fmt.Fprintln(t, "replica\trole\trevision\tinstances\theld back\twatchers\tage ms")
 			for _, l := range all {
 				if l.Error != "" {
-					fmt.Fprintf(t, "%s\t%s\n", l.HTTP, l.Error)
+					fmt.Fprintf(t, "%s\t%s\n", l.HTTPAddr, l.Error)
 					continue
 				}
-				fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\n", l.HTTP, l.Role, l.Rev, l.Instances, l.Suspects, l.Watchers, l.AgeMS)
+				fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\n", l.HTTPAddr, l.Role, l.Revision, l.Instances, l.Suspects, l.Watchers, l.AgeMS)
 			}
 			return t.Flush()
 		})
@@ -413,12 +413,12 @@
 		if args[0] != "keep" && args[0] != "expire" {
 			return usageError{fmt.Errorf("registry suspects takes keep or expire, not %q", args[0])}
 		}
-		res, err := client.Suspects(ctx, args[0] == "expire")
+		res, err := client.ResolveSuspects(ctx, args[0] == "expire")
 		if err != nil {
 			return err
 		}
 		return a.show(c.OutOrStdout(), res, func(w io.Writer) error {
-			_, err := fmt.Fprintln(w, res.Outcome, res.Why)
+			_, err := fmt.Fprintln(w, res.Outcome, res.Reason)
 			return err
 		})
 	})
@@ -435,7 +435,7 @@
 		}
 		return a.show(c.OutOrStdout(), list, func(w io.Writer) error {
 			for _, m := range list {
-				fmt.Fprintf(w, "%s (raft %s)\n", m.HTTP, m.Raft)
+				fmt.Fprintf(w, "%s (raft %s)\n", m.HTTPAddr, m.RaftAddr)
 			}
 			return nil
 		})
@@ -446,7 +446,7 @@
 			return show(c, a, list, err)
 		}),
 		asks("add HTTP RAFT", "Takes in a replica that runs with an empty folder", 2, func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
-			list, err := client.AddMember(ctx, registry.Member{HTTP: args[0], Raft: args[1]})
+			list, err := client.AddMember(ctx, registry.Member{HTTPAddr: args[0], RaftAddr: args[1]})
 			return show(c, a, list, err)
 		}),
 		asks("remove HTTP", "Takes a replica out", 1, func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
@@ -482,7 +482,7 @@
 				return err
 			}
 			return a.show(c.OutOrStdout(), res, func(w io.Writer) error {
-				_, err := fmt.Fprintf(w, "restored, the list goes on at revision %d under a new epoch\n", res.Rev)
+				_, err := fmt.Fprintf(w, "restored, the list goes on at revision %d under a new epoch\n", res.Revision)
 				return err
 			})
 		}),
@@ -514,9 +514,9 @@
 	if err != nil {
 		return err
 	}
-	v := map[string]any{"rev": s.Rev(), "epoch": s.Epoch(), "instances": s.Len(), "bytes": len(data), "version": registry.SnapshotVersion}
+	v := map[string]any{"rev": s.Revision(), "epoch": s.Epoch(), "instances": s.Len(), "bytes": len(data), "version": registry.SnapshotVersion}
 	return a.show(w, v, func(w io.Writer) error {
-		_, err := fmt.Fprintf(w, "revision %d, epoch %d, %d instances, %d bytes\n", s.Rev(), s.Epoch(), s.Len(), len(data))
+		_, err := fmt.Fprintf(w, "revision %d, epoch %d, %d instances, %d bytes\n", s.Revision(), s.Epoch(), s.Len(), len(data))
 		return err
 	})
 }
@@ -573,7 +573,7 @@
 			if err != nil {
 				return err
 			}
-			if err := registry.Loopback("listen", f.Listen); err != nil {
+			if err := registry.CheckLoopback("listen", f.Listen); err != nil {
 				return at.Errorf("listen", "%v", err)
 			}
 			if _, err := registry.NewClient(f.Replicas); err != nil {
--- a/cmd/milldeck/releasestart.go
+++ b/cmd/milldeck/releasestart.go
@@ -76,7 +76,7 @@
 		return usageError{fmt.Errorf("--platform: %w", err)}
 	}
 	defer platform.Close()
-	if err := registry.Loopback("listen", f.listen); err != nil {
+	if err := registry.CheckLoopback("listen", f.listen); err != nil {
 		return usageError{err}
 	}
 	err = begin(ctx, client, p, func() (*release.State, error) {
@@ -139,10 +139,10 @@
 	v, err := client.Release(ctx, p.Name, true, true)
 	var status *registry.StatusError
 	switch {
-	case errors.As(err, &status) && status.Status == http.StatusNotFound:
+	case errors.As(err, &status) && status.StatusCode == http.StatusNotFound:
 	case err != nil:
 		return err
-	case !v.Head.Phase.Over() || v.Head.Commands < len(v.Told):
+	case !v.Head.Phase.Over() || v.Head.Commands < len(v.Commands):
 		if v.Hash != p.Hash() {
 			return fmt.Errorf("release %s is under way with another plan (%s, not %s): send it back or let it end first", p.Name, v.Hash, p.Hash())
 		}
@@ -153,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = client.WriteRelease(ctx, registry.Write{}, p.Name, release.Op{Start: s})
+	_, err = client.WriteRelease(ctx, registry.WriteOptions{}, p.Name, release.Op{Start: s})
 	return err
 }
 
--- a/cmd/milldeck/releasetell.go
+++ b/cmd/milldeck/releasetell.go
@@ -86,12 +86,12 @@
 func newReleaseTell(what, short string) *cobra.Command {
 	var by, why string
 	c := asks(what+" NAME", short, 1, func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
-		res, err := client.WriteRelease(ctx, registry.Write{}, args[0], release.Op{Tell: &release.Command{What: what, By: "operator/" + by, Why: why}})
+		res, err := client.WriteRelease(ctx, registry.WriteOptions{}, args[0], release.Op{Tell: &release.Command{What: what, By: "operator/" + by, Why: why}})
 		if err != nil {
 			return err
 		}
 		return a.show(c.OutOrStdout(), res, func(w io.Writer) error {
-			_, err := fmt.Fprintf(w, "%s: told to %s at revision %d\n", args[0], what, res.Rev)
+			_, err := fmt.Fprintf(w, "%s: told to %s at revision %d\n", args[0], what, res.Revision)
 			return err
 		})
 	})
--- a/cmd/milldeck/spread.go
+++ b/cmd/milldeck/spread.go
@@ -51,7 +51,7 @@
 			if err := config.Validate(); err != nil {
 				return usageError{err}
 			}
-			if err := registry.Loopback("listen", listen); err != nil {
+			if err := registry.CheckLoopback("listen", listen); err != nil {
 				return usageError{err}
 			}
 			client, err := registry.NewClient(a.replicas)
--- a/cmd/milldeck/windowserve.go
+++ b/cmd/milldeck/windowserve.go
@@ -44,7 +44,7 @@
 			if !strings.HasPrefix(ready, "/") {
 				return usageError{fmt.Errorf("--ready-path: %q does not begin with /", ready)}
 			}
-			if err := registry.Loopback("reports-listen", listen); err != nil {
+			if err := registry.CheckLoopback("reports-listen", listen); err != nil {
 				return usageError{err}
 			}
 			client, err := registry.NewClient(a.replicas)
--- a/cmd/milldeck/windowtell.go
+++ b/cmd/milldeck/windowtell.go
@@ -46,14 +46,14 @@
 	if err := op.Validate(); err != nil {
 		return usageError{err}
 	}
-	res, err := client.WriteWindow(ctx, registry.Write{}, window.Timestamp{}, op)
+	res, err := client.WriteWindow(ctx, registry.WriteOptions{}, window.Timestamp{}, op)
 	if err != nil {
 		return err
 	}
 	return a.show(c.OutOrStdout(), res, func(out io.Writer) error {
-		line := fmt.Sprintf("done, revision %d", res.Rev)
-		if res.Why != "" {
-			line += ": " + res.Why
+		line := fmt.Sprintf("done, revision %d", res.Revision)
+		if res.Reason != "" {
+			line += ": " + res.Reason
 		}
 		_, err := fmt.Fprintln(out, line)
 		return err
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -81,7 +81,7 @@
 
 // Start starts an agent.
 func Start(opts Options) (*Agent, error) {
-	if err := registry.Loopback("listen", opts.Listen); err != nil {
+	if err := registry.CheckLoopback("listen", opts.Listen); err != nil {
 		return nil, err
 	}
 	if opts.Sidecar != nil {
@@ -181,7 +181,7 @@
 		a.mu.Lock()
 		rev, epoch := a.list.rev, a.list.epoch
 		a.mu.Unlock()
-		return a.client.WatchReplica(a.ctx, replica, rev, epoch, func(list *registry.List, age time.Duration) error {
+		return a.client.WatchEndpoints(a.ctx, replica, rev, epoch, func(list *registry.EndpointList, age time.Duration) error {
 			if list != nil {
 				if err := a.handleList(list, replicaIndex); err != nil {
 					return err
@@ -198,7 +198,7 @@
 }
 
 // handleList takes over what a replica told; one list that is held is confirmed by another replica first.
-func (a *Agent) handleList(list *registry.List, replicaIndex int) error {
+func (a *Agent) handleList(list *registry.EndpointList, replicaIndex int) error {
 	result, err := a.applyList(list, false)
 	if err != nil || result == listApplied || result == listOutdated {
 		return err
@@ -206,7 +206,7 @@
 	if result == listUnconfirmed {
 		a.unconfirmedLists.Inc()
 		slog.Warn("a list that would take most servers away, or begins another history, is held for confirmation",
-			"replica", a.opts.Replicas[replicaIndex%len(a.opts.Replicas)], "rev", list.Rev, "epoch", list.Epoch)
+			"replica", a.opts.Replicas[replicaIndex%len(a.opts.Replicas)], "rev", list.Revision, "epoch", list.Epoch)
 	}
 	otherReplica := a.opts.Replicas[(replicaIndex+1)%len(a.opts.Replicas)]
 	if len(a.opts.Replicas) == 1 {
@@ -220,15 +220,15 @@
 	if err != nil {
 		return fmt.Errorf("not confirmed by %s: %w", otherReplica, err)
 	}
-	if confirmation.Epoch != list.Epoch || confirmation.Rev < list.Rev {
-		return fmt.Errorf("not confirmed: %s has revision %d of epoch %d, told were %d of %d", otherReplica, confirmation.Rev, confirmation.Epoch, list.Rev, list.Epoch)
+	if confirmation.Epoch != list.Epoch || confirmation.Revision < list.Revision {
+		return fmt.Errorf("not confirmed: %s has revision %d of epoch %d, told were %d of %d", otherReplica, confirmation.Revision, confirmation.Epoch, list.Revision, list.Epoch)
 	}
 	_, err = a.applyList(confirmation, true)
 	return err
 }
 
 // fetchList reads a replica's whole list.
-func (a *Agent) fetchList(replica string) (*registry.List, error) {
+func (a *Agent) fetchList(replica string) (*registry.EndpointList, error) {
 	ctx, cancel := context.WithTimeout(a.ctx, listRequestTimeout)
 	defer cancel()
 	client, err := registry.NewClient([]string{replica})
@@ -240,7 +240,7 @@
 	return &list, err
 }
 
-func (a *Agent) applyList(list *registry.List, confirmed bool) (mergeResult, error) {
+func (a *Agent) applyList(list *registry.EndpointList, confirmed bool) (mergeResult, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	previousEpoch := a.list.epoch
@@ -258,7 +258,7 @@
 
 // publish hands changes to the sidecar's watches; the caller holds the lock, or is the only one.
 func (a *Agent) publish(changes listChanges) error {
-	if _, err := a.hub.Apply(a.list.servedRev, &registry.Record{Op: registry.OpFollow, Instances: changes.upserted, Refs: changes.removed}); err != nil {
+	if _, err := a.hub.Apply(a.list.servedRev, &registry.Record{Op: registry.OpMirror, Instances: changes.upserted, Refs: changes.removed}); err != nil {
 		return err
 	}
 	a.listKnown.Store(true)
@@ -317,7 +317,7 @@
 	}
 	query := r.URL.Query()
 	if query.Get("watch") == "" {
-		if err := a.hub.WriteWhole(w); err != nil {
+		if err := a.hub.WriteFullList(w); err != nil {
 			slog.Debug("list not written", "error", err)
 		}
 		return
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -22,7 +22,7 @@
 func startReplica(t *testing.T, block *proc.Block, n int) *registry.Replica {
 	t.Helper()
 	http, raft := block.Addr(200, n, 8500), block.Addr(200, n, 8501)
-	replica, err := registry.Open(registry.Options{HTTP: http, Raft: raft, Members: []registry.Member{{HTTP: http, Raft: raft}}})
+	replica, err := registry.Open(registry.Options{HTTPAddr: http, RaftAddr: raft, Members: []registry.Member{{HTTPAddr: http, RaftAddr: raft}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,14 +61,14 @@
 }
 
 // servedList is the list that an agent answers with.
-func servedList(t *testing.T, agent *Agent) registry.List {
+func servedList(t *testing.T, agent *Agent) registry.EndpointList {
 	t.Helper()
 	response, err := http.Get("http://" + agent.Addr() + "/registry/instances")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer response.Body.Close()
-	var list registry.List
+	var list registry.EndpointList
 	if response.StatusCode == http.StatusOK {
 		if err := json.NewDecoder(response.Body).Decode(&list); err != nil {
 			t.Fatal(err)
@@ -80,7 +80,7 @@
 func readyInstances(n int) []registry.Instance {
 	var instances []registry.Instance
 	for k := range n {
-		instances = append(instances, registry.Instance{Target: registry.Target{UID: fmt.Sprint("s", k), Endpoint: fmt.Sprintf("127.0.0.1:%d", 1000+k), State: registry.Ready, Capacity: 1}})
+		instances = append(instances, registry.Instance{Target: registry.Target{UID: fmt.Sprint("s", k), Endpoint: fmt.Sprintf("127.0.0.1:%d", 1000+k), State: registry.InstanceReady, Capacity: 1}})
 	}
 	return instances
 }
@@ -94,7 +94,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := client.Register(t.Context(), registry.Write{}, readyInstances(5)...); err != nil {
+	if _, err := client.Register(t.Context(), registry.WriteOptions{}, readyInstances(5)...); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "list")
@@ -106,14 +106,14 @@
 		t.Fatal(err)
 	}
 	waitFor(t, "the list is saved", func() bool { _, err := os.Stat(path); return err == nil })
-	if list := servedList(t, agent); len(list.Targets) != 5 || list.Rev != before.Rev {
+	if list := servedList(t, agent); len(list.Targets) != 5 || list.Revision != before.Revision {
 		t.Errorf("without the registry it tells %+v", list)
 	}
 	if err := agent.Close(); err != nil {
 		t.Fatal(err)
 	}
 	restarted := startAgent(t, opts)
-	if list := servedList(t, restarted); len(list.Targets) != 5 || list.Rev < before.Rev {
+	if list := servedList(t, restarted); len(list.Targets) != 5 || list.Revision < before.Revision {
 		t.Errorf("at its start without the registry it tells %+v, want all of %+v", list, before)
 	}
 	if err := restarted.Close(); err != nil {
@@ -133,7 +133,7 @@
 }
 
 // startFakeReplica answers as a replica that has a list of its own.
-func startFakeReplica(t *testing.T, addr string, list *registry.List) {
+func startFakeReplica(t *testing.T, addr string, list *registry.EndpointList) {
 	t.Helper()
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -305,7 +305,7 @@
 			t.Fatal(err)
 		}
 		defer client.Close()
-		if _, err := client.Register(t.Context(), registry.Write{}, readyInstances(3)...); err != nil {
+		if _, err := client.Register(t.Context(), registry.WriteOptions{}, readyInstances(3)...); err != nil {
 			t.Fatal(err)
 		}
 		first := newCountingProxy(t, block.Addr(202, 0, 8500), replica.Addr())
--- a/internal/agent/fixtures_test.go
+++ b/internal/agent/fixtures_test.go
@@ -35,15 +35,15 @@
 func fixtureInstanceList(t *testing.T) *instanceList {
 	t.Helper()
 	list := &instanceList{maxLossFraction: defaultMaxLossFraction}
-	first := &registry.List{Rev: 41, Epoch: 7, All: true, Targets: []registry.Target{{UID: "s1", Endpoint: "127.0.0.1:9001", State: registry.Ready}}}
-	second := &registry.List{Rev: 12, Epoch: 8, All: true, Targets: []registry.Target{
-		{UID: "s2", Endpoint: "127.0.0.1:9002", Zone: "zone-b", State: registry.Terminating, Capacity: 0.25},
-		{UID: "s1", Endpoint: "127.0.0.1:9001", Zone: "zone-a", Model: "m1", Pod: 3, State: registry.Ready, Capacity: 1.5, BootMS: 1_764_633_500_125.5},
-		{UID: "s3 <ä>", Endpoint: "[::1]:9003", State: registry.Ready, Capacity: 1},
+	first := &registry.EndpointList{Revision: 41, Epoch: 7, Full: true, Targets: []registry.Target{{UID: "s1", Endpoint: "127.0.0.1:9001", State: registry.InstanceReady}}}
+	second := &registry.EndpointList{Revision: 12, Epoch: 8, Full: true, Targets: []registry.Target{
+		{UID: "s2", Endpoint: "127.0.0.1:9002", Zone: "zone-b", State: registry.InstanceTerminating, Capacity: 0.25},
+		{UID: "s1", Endpoint: "127.0.0.1:9001", Zone: "zone-a", Model: "m1", PodGroup: 3, State: registry.InstanceReady, Capacity: 1.5, BootMS: 1_764_633_500_125.5},
+		{UID: "s3 <ä>", Endpoint: "[::1]:9003", State: registry.InstanceReady, Capacity: 1},
 	}}
-	for _, received := range []*registry.List{first, second} {
+	for _, received := range []*registry.EndpointList{first, second} {
 		if result, _ := list.merge(received, true); result != listApplied {
-			t.Fatalf("the list of revision %d: verdict %d", received.Rev, result)
+			t.Fatalf("the list of revision %d: verdict %d", received.Revision, result)
 		}
 	}
 	return list
@@ -136,14 +136,14 @@
 func TestSidecarCallFormat(t *testing.T) {
 	registration := sidecarRegistration{opts: SidecarOptions{Name: "n0", Address: "127.0.0.1:8600", Zone: "zone-a", Tenant: "gold", Version: "1", LeaseTTL: 9 * time.Second}}
 	registration.observe(fixtureWallMS, true, &reportedState{version: "2", listRev: 41, placementRev: 9})
-	call := registry.SidecarCall{ID: "call-1", TTLMS: registration.opts.LeaseTTL.Milliseconds(), Sidecars: []registry.Sidecar{registration.observed}}
+	call := registry.SidecarRequest{ID: "call-1", TTLMS: registration.opts.LeaseTTL.Milliseconds(), Sidecars: []registry.Sidecar{registration.observed}}
 	data, err := json.Marshal(call)
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldentest.Compare(t, "sidecar-call.json", data)
 
-	var read registry.SidecarCall
+	var read registry.SidecarRequest
 	if err := json.Unmarshal(goldentest.Read(t, "sidecar-call.json"), &read); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/instance_list.go
+++ b/internal/agent/instance_list.go
@@ -45,26 +45,26 @@
 // listChanges is what sidecars are to be told.
 type listChanges struct {
 	upserted []registry.Instance
-	removed  []registry.Ref
+	removed  []registry.InstanceRef
 }
 
 // merge takes a list in. Confirmed tells that a second source agrees, so that it is not held.
-func (l *instanceList) merge(received *registry.List, confirmed bool) (mergeResult, listChanges) {
+func (l *instanceList) merge(received *registry.EndpointList, confirmed bool) (mergeResult, listChanges) {
 	known := l.rev != 0
 	switch {
-	case known && received.Epoch == l.epoch && (received.Rev < l.rev || received.Rev == l.rev && !received.All):
+	case known && received.Epoch == l.epoch && (received.Revision < l.rev || received.Revision == l.rev && !received.Full):
 		return listOutdated, listChanges{}
-	case !received.All && (!known || received.Epoch != l.epoch):
+	case !received.Full && (!known || received.Epoch != l.epoch):
 		return listDiscontinuous, listChanges{}
 	}
 	next := map[string]registry.Target{}
-	if !received.All {
+	if !received.Full {
 		for uid, target := range l.targets {
 			next[uid] = target
 		}
 	}
 	for _, target := range received.Targets {
-		if target.State == registry.Gone {
+		if target.State == registry.InstanceRemoved {
 			delete(next, target.UID)
 		} else {
 			next[target.UID] = target
@@ -76,7 +76,7 @@
 	var changes listChanges
 	for uid := range l.targets {
 		if _, present := next[uid]; !present {
-			changes.removed = append(changes.removed, registry.Ref{UID: uid})
+			changes.removed = append(changes.removed, registry.InstanceRef{UID: uid})
 		}
 	}
 	for uid, target := range next {
@@ -84,10 +84,10 @@
 			changes.upserted = append(changes.upserted, registry.Instance{Target: target})
 		}
 	}
-	slices.SortFunc(changes.removed, func(a, b registry.Ref) int { return strings.Compare(a.UID, b.UID) })
+	slices.SortFunc(changes.removed, func(a, b registry.InstanceRef) int { return strings.Compare(a.UID, b.UID) })
 	slices.SortFunc(changes.upserted, func(a, b registry.Instance) int { return strings.Compare(a.UID, b.UID) })
-	l.rev, l.epoch, l.targets = received.Rev, received.Epoch, next
-	l.servedRev = max(l.servedRev+1, received.Rev)
+	l.rev, l.epoch, l.targets = received.Revision, received.Epoch, next
+	l.servedRev = max(l.servedRev+1, received.Revision)
 	return listApplied, changes
 }
 
@@ -95,9 +95,9 @@
 func (l *instanceList) exceedsLossLimit(next map[string]registry.Target) bool {
 	ready, lost := 0, 0
 	for uid, target := range l.targets {
-		if target.State == registry.Ready {
+		if target.State == registry.InstanceReady {
 			ready++
-			if next[uid].State != registry.Ready {
+			if next[uid].State != registry.InstanceReady {
 				lost++
 			}
 		}
--- a/internal/agent/instance_list_test.go
+++ b/internal/agent/instance_list_test.go
@@ -8,12 +8,12 @@
 	"milldeck/internal/registry"
 )
 
-func newList(rev, epoch uint64, all bool, uids ...string) *registry.List {
-	list := &registry.List{Rev: rev, Epoch: epoch, All: all, Targets: []registry.Target{}}
+func newList(rev, epoch uint64, all bool, uids ...string) *registry.EndpointList {
+	list := &registry.EndpointList{Revision: rev, Epoch: epoch, Full: all, Targets: []registry.Target{}}
 	for _, uid := range uids {
-		state := registry.Ready
+		state := registry.InstanceReady
 		if uid[0] == '-' {
-			uid, state = uid[1:], registry.Gone
+			uid, state = uid[1:], registry.InstanceRemoved
 		}
 		list.Targets = append(list.Targets, registry.Target{UID: uid, Endpoint: "10.0.0.1:80", State: state})
 	}
@@ -25,7 +25,7 @@
 	list := &instanceList{maxLossFraction: 0.5}
 	for _, step := range []struct {
 		name      string
-		l         *registry.List
+		l         *registry.EndpointList
 		confirmed bool
 		want      mergeResult
 		servers   int
--- a/internal/agent/placement.go
+++ b/internal/agent/placement.go
@@ -135,7 +135,7 @@
 	}
 	if changed {
 		c.dirty = true
-		c.feed.Ring()
+		c.feed.Notify()
 		c.settleOnce.Do(func() { close(c.settled) })
 	}
 	return nil
@@ -221,7 +221,7 @@
 		return
 	}
 	if r.URL.Query().Get("watch") == "" {
-		err = cache.feed.WriteWhole(w)
+		err = cache.feed.WriteFullList(w)
 	} else {
 		err = cache.feed.Watch(a.ctx, w, r, after, epoch, cache.registryAlive)
 	}
--- a/internal/agent/placement_test.go
+++ b/internal/agent/placement_test.go
@@ -34,11 +34,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(client.Close)
-	lease, err := client.Duty(t.Context(), table.Campaign, "window/w", registry.DutyCall{Who: "me", TTLMS: 3600_000})
+	lease, err := client.UpdateLease(t.Context(), table.Campaign, "window/w", registry.LeaseRequest{Candidate: "me", TTLMS: 3600_000})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &leaseOwner{t, client, &registry.Guard{Duty: lease.Name, Token: lease.Token}}
+	return &leaseOwner{t, client, &registry.Guard{Lease: lease.Name, Token: lease.Token}}
 }
 
 // setEntry sets an entry that lasts so long from now.
@@ -46,7 +46,7 @@
 	o.Helper()
 	now := time.Now().UnixMilli()
 	entry := placement.Directive{ID: "window/w/" + tenant, Kind: placement.KindExclude, Tenant: tenant, Servers: []string{"s1"}, ExpiresAtMS: now + duration.Milliseconds()}
-	if _, err := o.client.SetPlacement(o.Context(), registry.Write{Guard: o.guard}, now, []placement.Directive{entry}); err != nil {
+	if _, err := o.client.SetPlacement(o.Context(), registry.WriteOptions{Guard: o.guard}, now, []placement.Directive{entry}); err != nil {
 		o.Fatal(err)
 	}
 	return entry.ExpiresAtMS
@@ -283,7 +283,7 @@
 	waitFor(t, "the second is there", func() bool { ids, _ := watcher.activeEntries(); return ids == "window/w/a window/w/b" })
 	first.closeConnections()
 	other.closeConnections()
-	if _, err := owner.client.DropPlacement(t.Context(), registry.Write{Guard: owner.guard}, "window/w/a"); err != nil {
+	if _, err := owner.client.RemovePlacement(t.Context(), registry.WriteOptions{Guard: owner.guard}, "window/w/a"); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "the first is gone", func() bool { ids, _ := watcher.activeEntries(); return ids == "window/w/b" })
--- a/internal/agent/replica_follower.go
+++ b/internal/agent/replica_follower.go
@@ -68,7 +68,7 @@
 			backoff = min(2*backoff, maxBackoff)
 		}
 		unsupportedReplicas++
-		if status := (*registry.StatusError)(nil); !errors.As(err, &status) || status.Status != http.StatusNotFound {
+		if status := (*registry.StatusError)(nil); !errors.As(err, &status) || status.StatusCode != http.StatusNotFound {
 			unsupportedReplicas = 0
 		}
 		if unsupportedReplicas >= len(f.replicas) && f.onUnsupported != nil {
--- a/internal/agent/report_forwarder.go
+++ b/internal/agent/report_forwarder.go
@@ -70,7 +70,7 @@
 		return nil, fmt.Errorf("reports: %d addresses, at most %d", len(addresses), maxReportAddresses)
 	}
 	for _, address := range addresses {
-		if err := registry.Loopback("reports", address); err != nil {
+		if err := registry.CheckLoopback("reports", address); err != nil {
 			return nil, err
 		}
 	}
@@ -191,7 +191,7 @@
 		return err
 	}
 	if response.StatusCode >= http.StatusInternalServerError { // it does not take any; what it refuses is lost
-		return &registry.StatusError{Status: response.StatusCode, Text: response.Status}
+		return &registry.StatusError{StatusCode: response.StatusCode, Message: response.Status}
 	}
 	return nil
 }
--- a/internal/agent/sidecar_registration.go
+++ b/internal/agent/sidecar_registration.go
@@ -43,7 +43,7 @@
 	if o.Name == "" {
 		return errors.New("name: it is empty")
 	}
-	if err := registry.Loopback("address", o.Address); err != nil {
+	if err := registry.CheckLoopback("address", o.Address); err != nil {
 		return err
 	}
 	if ttl := cmp.Or(o.LeaseTTL, defaultLeaseTTL); ttl < minLeaseTTL || ttl > maxLeaseTTL {
@@ -70,7 +70,7 @@
 	s.observed.Version = cmp.Or(s.observed.Version, s.opts.Version)
 	if report != nil {
 		s.observed.Version = cmp.Or(report.version, s.opts.Version)
-		s.observed.ListRev, s.observed.PlacementRev = report.listRev, report.placementRev
+		s.observed.ListRevision, s.observed.PlacementRevision = report.listRev, report.placementRev
 	}
 }
 
@@ -99,7 +99,7 @@
 		if now := time.Now(); registration.registrationDue(now) {
 			sidecar := registration.observed
 			ctx, cancel := context.WithTimeout(a.ctx, opts.LeaseTTL/renewalsPerLease)
-			_, err := a.client.RegisterSidecars(ctx, registry.SidecarCall{TTLMS: opts.LeaseTTL.Milliseconds(), Sidecars: []registry.Sidecar{sidecar}})
+			_, err := a.client.RegisterSidecars(ctx, registry.SidecarRequest{TTLMS: opts.LeaseTTL.Milliseconds(), Sidecars: []registry.Sidecar{sidecar}})
 			cancel()
 			if err == nil {
 				registration.markRegistered(sidecar, now)
--- a/internal/agent/sidecar_registration_test.go
+++ b/internal/agent/sidecar_registration_test.go
@@ -36,12 +36,12 @@
 	step("not up yet", 0, false, nil, true, registry.Sidecar{Version: "1"})
 	step("still not", time.Second, false, nil, false, registry.Sidecar{Version: "1"})
 	step("up", time.Second, true, nil, true, registry.Sidecar{Version: "1", Ready: true, BootMS: boot(1002)})
-	step("it reports", time.Second, true, &reportedState{version: "2", listRev: 7, placementRev: 8}, true, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRev: 7, PlacementRev: 8})
-	step("revisions alone can wait", time.Second, true, &reportedState{"2", 9, 8}, false, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRev: 9, PlacementRev: 8})
-	step("no report any more", time.Second, true, nil, false, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRev: 9, PlacementRev: 8})
-	step("renewed", time.Second, true, nil, true, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRev: 9, PlacementRev: 8})
-	step("away", time.Second, false, nil, true, registry.Sidecar{Version: "2", BootMS: boot(1002), ListRev: 9, PlacementRev: 8})
-	step("another life", time.Second, true, nil, true, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1008), ListRev: 9, PlacementRev: 8})
+	step("it reports", time.Second, true, &reportedState{version: "2", listRev: 7, placementRev: 8}, true, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRevision: 7, PlacementRevision: 8})
+	step("revisions alone can wait", time.Second, true, &reportedState{"2", 9, 8}, false, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRevision: 9, PlacementRevision: 8})
+	step("no report any more", time.Second, true, nil, false, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRevision: 9, PlacementRevision: 8})
+	step("renewed", time.Second, true, nil, true, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRevision: 9, PlacementRevision: 8})
+	step("away", time.Second, false, nil, true, registry.Sidecar{Version: "2", BootMS: boot(1002), ListRevision: 9, PlacementRevision: 8})
+	step("another life", time.Second, true, nil, true, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1008), ListRevision: 9, PlacementRevision: 8})
 }
 
 // A sidecar is a unit of the ledger while its agent finds it ready; away it counts as out, and back it is up again in
--- a/internal/duty/backup.go
+++ b/internal/duty/backup.go
@@ -64,23 +64,23 @@
 // saveIfChanged writes a backup where the list has changed since a revision, and returns the revision it has.
 func (o *BackupOptions) saveIfChanged(ctx context.Context, client *registry.Client, lease *Lease, sinceRev uint64) (uint64, error) {
 	list, err := client.List(ctx, true)
-	if err != nil || list.Rev == sinceRev {
+	if err != nil || list.Revision == sinceRev {
 		return sinceRev, err
 	}
 	data, err := client.SaveSnapshot(ctx) // checked by its checksum
 	if err != nil {
 		return sinceRev, err
 	}
-	path := filepath.Join(o.Dir, fmt.Sprintf("%s%020d%s", backupFilePrefix, list.Rev, backupFileSuffix))
+	path := filepath.Join(o.Dir, fmt.Sprintf("%s%020d%s", backupFilePrefix, list.Revision, backupFileSuffix))
 	if err := renameio.WriteFile(path, data, 0o600); err != nil {
 		return sinceRev, err
 	}
 	// Only now, under the token: a holder that was cut off may leave a file, which does no harm, but no note.
-	if err := lease.SaveCheckpoint(ctx, []byte(strconv.FormatUint(list.Rev, 10))); err != nil {
+	if err := lease.SaveCheckpoint(ctx, []byte(strconv.FormatUint(list.Revision, 10))); err != nil {
 		return sinceRev, err
 	}
-	slog.Info("backed up", "path", path, "rev", list.Rev, "token", lease.Token)
-	return list.Rev, o.pruneOldest()
+	slog.Info("backed up", "path", path, "rev", list.Revision, "token", lease.Token)
+	return list.Revision, o.pruneOldest()
 }
 
 // pruneOldest removes all but the newest backups.
--- a/internal/duty/bench/bench.go
+++ b/internal/duty/bench/bench.go
@@ -134,7 +134,7 @@
 		return nil, err
 	}
 	defer block.Release()
-	replicas, err := cluster.Start(ctx, opts.Replicas, cluster.Options{Program: opts.Program, Dir: opts.Dir, Block: block})
+	replicas, err := cluster.Start(ctx, opts.Replicas, cluster.Options{Program: opts.Program, DataDir: opts.Dir, Addresses: block})
 	defer func() { _ = replicas.Close() }()
 	if err != nil {
 		return nil, err
@@ -170,18 +170,18 @@
 func (b *benchRun) measureSteadyState(ctx context.Context) error {
 	const handovers = 10
 	appliedIndex := func() (uint64, error) {
-		leader, err := b.cluster.Leader(ctx)
+		leader, err := b.cluster.AwaitLeader(ctx)
 		if err != nil {
 			return 0, err
 		}
-		status, err := b.client.StatusOf(ctx, leader.HTTP)
-		return status.Applied, err
+		status, err := b.client.ReplicaStatus(ctx, leader.HTTPAddr)
+		return status.AppliedIndex, err
 	}
 	for _, candidates := range b.opts.QueueLengths {
 		name := fmt.Sprintf("queue-%d", candidates)
 		for i := range candidates + handovers {
-			call := registry.DutyCall{Who: fmt.Sprint("c", i), TTLMS: 600_000}
-			if _, err := b.client.Duty(ctx, table.Campaign, name, call); err != nil {
+			call := registry.LeaseRequest{Candidate: fmt.Sprint("c", i), TTLMS: 600_000}
+			if _, err := b.client.UpdateLease(ctx, table.Campaign, name, call); err != nil {
 				return err
 			}
 		}
@@ -190,11 +190,11 @@
 			return err
 		}
 		for range handovers {
-			lease, err := b.client.GetDuty(ctx, name)
+			lease, err := b.client.Lease(ctx, name)
 			if err != nil {
 				return err
 			}
-			if _, err := b.client.Duty(ctx, table.Release, name, registry.DutyCall{Who: lease.Holder, Token: lease.Token}); err != nil {
+			if _, err := b.client.UpdateLease(ctx, table.Release, name, registry.LeaseRequest{Candidate: lease.Holder, Token: lease.Token}); err != nil {
 				return err
 			}
 		}
@@ -208,17 +208,17 @@
 	if b.opts.BatchedRenewals == 0 {
 		return nil
 	}
-	var renewals []registry.DutyRenewal
+	var renewals []registry.LeaseRenewal
 	for i := range b.opts.BatchedRenewals {
-		lease, err := b.client.Duty(ctx, table.Campaign, fmt.Sprint("many-", i), registry.DutyCall{Who: "one", TTLMS: 600_000})
+		lease, err := b.client.UpdateLease(ctx, table.Campaign, fmt.Sprint("many-", i), registry.LeaseRequest{Candidate: "one", TTLMS: 600_000})
 		if err != nil {
 			return err
 		}
-		renewals = append(renewals, registry.DutyRenewal{Name: lease.Name, Token: lease.Token})
+		renewals = append(renewals, registry.LeaseRenewal{Name: lease.Name, Token: lease.Token})
 	}
 	calls, startedAt := 0, time.Now()
 	for ; time.Since(startedAt) < time.Second; calls++ {
-		lost, err := b.client.RenewDuties(ctx, "one", renewals)
+		lost, err := b.client.RenewLeases(ctx, "one", renewals)
 		if err != nil || len(lost) > 0 {
 			return fmt.Errorf("%d of %d renewals lost: %w", len(lost), len(renewals), err)
 		}
--- a/internal/duty/bench/faults.go
+++ b/internal/duty/bench/faults.go
@@ -62,7 +62,7 @@
 		if !sleep(ctx, b.opts.LeaderKillInterval) {
 			return nil
 		}
-		leader, err := b.cluster.Leader(ctx)
+		leader, err := b.cluster.AwaitLeader(ctx)
 		if ctx.Err() != nil {
 			return nil
 		} else if err != nil {
@@ -72,7 +72,7 @@
 		b.leaderKills = append(b.leaderKills, clock.MonotonicNS())
 		b.result.LeaderKills++
 		b.mu.Unlock()
-		leader.Proc.Kill()
+		leader.Process.Kill()
 		if err := leader.Start(); err != nil {
 			return err
 		}
@@ -119,7 +119,7 @@
 	candidate := fmt.Sprintf("%s-%d", c.leaseName, c.started)
 	args := []string{
 		"duty", "hold", c.leaseName, "--who", candidate, "--ttl", c.opts.TTL.String(), "--save-every", c.opts.CheckpointInterval.String(),
-		"--log-level", "error", "--replicas", strings.Join(c.cluster.HTTPs(), ","),
+		"--log-level", "error", "--replicas", strings.Join(c.cluster.HTTPAddrs(), ","),
 	}
 	if n := len(c.opts.ClockFaults); n > 0 {
 		args = append(args, "--clock", c.opts.ClockFaults[c.started%n])
@@ -138,7 +138,7 @@
 	c := &contest{benchRun: b, leaseName: fmt.Sprint("duty-", n), updates: make(chan table.Lease, 1), candidates: map[string]*proc.Process{}}
 	watchCtx, stopWatch := context.WithCancel(ctx)
 	var background sync.WaitGroup
-	background.Go(func() { _ = b.client.WatchDuty(watchCtx, c.leaseName, c.enqueueLatest) }) // ends with its context
+	background.Go(func() { _ = b.client.WatchLease(watchCtx, c.leaseName, c.enqueueLatest) }) // ends with its context
 	defer background.Wait()
 	defer stopWatch()
 	defer func() {
--- a/internal/duty/election.go
+++ b/internal/duty/election.go
@@ -100,11 +100,11 @@
 }
 
 // Guard makes a write to the list service count only under this lease.
-func (l *Lease) Guard() *registry.Guard { return &registry.Guard{Duty: l.Name, Token: l.Token} }
+func (l *Lease) Guard() *registry.Guard { return &registry.Guard{Lease: l.Name, Token: l.Token} }
 
 // SaveCheckpoint writes where the work is, for whoever goes on. It fails once the duty is another's.
 func (l *Lease) SaveCheckpoint(ctx context.Context, checkpoint []byte) error {
-	_, err := l.client.Duty(ctx, table.Checkpoint, l.Name, registry.DutyCall{Who: l.Holder, Token: l.Token, Data: checkpoint})
+	_, err := l.client.UpdateLease(ctx, table.Checkpoint, l.Name, registry.LeaseRequest{Candidate: l.Holder, Token: l.Token, Data: checkpoint})
 	if err != nil {
 		return fmt.Errorf("checkpoint of %s: %w", l.Name, err)
 	}
@@ -130,7 +130,7 @@
 	var background sync.WaitGroup
 	defer background.Wait()
 	defer stopWatch()
-	background.Go(func() { _ = client.WatchDuty(watchCtx, name, c.enqueueLatest) }) // ends with its context
+	background.Go(func() { _ = client.WatchLease(watchCtx, name, c.enqueueLatest) }) // ends with its context
 	for {
 		state, err := c.campaign(ctx)
 		if err != nil {
@@ -185,7 +185,7 @@
 // campaign seeks the duty and keeps its place in the queue until it is the holder.
 func (c *candidate) campaign(ctx context.Context) (table.Lease, error) {
 	joinQueue := func() (table.Lease, error) {
-		return c.client.Duty(ctx, table.Campaign, c.leaseName, registry.DutyCall{Who: c.opts.Candidate, TTLMS: c.opts.TTL.Milliseconds()})
+		return c.client.UpdateLease(ctx, table.Campaign, c.leaseName, registry.LeaseRequest{Candidate: c.opts.Candidate, TTLMS: c.opts.TTL.Milliseconds()})
 	}
 	state, err := joinQueue()
 	if err != nil {
@@ -219,7 +219,7 @@
 				}
 			}
 		case <-c.opts.Clock.After(c.opts.TTL / renewalsPerLease):
-			lost, err := renewBatched(ctx, c.client, c.opts.Candidate, registry.DutyRenewal{Name: c.leaseName}, c.opts.TTL/lingerDivisor)
+			lost, err := renewBatched(ctx, c.client, c.opts.Candidate, registry.LeaseRenewal{Name: c.leaseName}, c.opts.TTL/lingerDivisor)
 			if err != nil && ctx.Err() != nil {
 				return state, ctx.Err()
 			}
@@ -254,7 +254,7 @@
 // when the answer was there.
 func (c *candidate) renew(ctx context.Context, lease *Lease, ttl, linger time.Duration) (answeredAt time.Time, err error) {
 	sentAt := c.now()
-	lost, err := renewBatched(ctx, c.client, lease.Holder, registry.DutyRenewal{Name: lease.Name, Token: lease.Token}, linger)
+	lost, err := renewBatched(ctx, c.client, lease.Holder, registry.LeaseRenewal{Name: lease.Name, Token: lease.Token}, linger)
 	answeredAt = c.now()
 	if err != nil {
 		return answeredAt, err
@@ -338,7 +338,7 @@
 func (c *candidate) release(token uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	if _, err := c.client.Duty(ctx, table.Release, c.leaseName, registry.DutyCall{Who: c.opts.Candidate, Token: token}); err == nil && token != 0 {
+	if _, err := c.client.UpdateLease(ctx, table.Release, c.leaseName, registry.LeaseRequest{Candidate: c.opts.Candidate, Token: token}); err == nil && token != 0 {
 		c.emit(c.now(), "released", token, time.Time{}, 0)
 	}
 }
--- a/internal/duty/faults_test.go
+++ b/internal/duty/faults_test.go
@@ -119,7 +119,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	tc := &testCluster{T: t, ctx: ctx}
-	tc.cluster, err = cluster.Start(ctx, 3, cluster.Options{Program: proctest.Program(t, "milldeck"), Dir: t.TempDir(), Block: block, More: strings.Join(sections, "\n")})
+	tc.cluster, err = cluster.Start(ctx, 3, cluster.Options{Program: proctest.Program(t, "milldeck"), DataDir: t.TempDir(), Addresses: block, ExtraConfig: strings.Join(sections, "\n")})
 	t.Cleanup(func() { tc.cluster.Close() })
 	if err == nil {
 		tc.client, err = tc.cluster.Client()
@@ -243,7 +243,7 @@
 	tc := startCluster(t)
 	var proxied []string
 	var proxies []*partitionProxy
-	for _, stoppedAt := range tc.cluster.HTTPs() {
+	for _, stoppedAt := range tc.cluster.HTTPAddrs() {
 		proxy := newPartitionProxy(t, stoppedAt)
 		proxies = append(proxies, proxy)
 		proxied = append(proxied, proxy.Addr().String())
@@ -266,11 +266,11 @@
 	if lease.Valid() || time.Since(stoppedAt) < 0 || next.Token <= lease.Token {
 		t.Errorf("tokens %d and %d, the first still valid: %v", lease.Token, next.Token, lease.Valid())
 	}
-	lateCall := registry.DutyCall{Who: lease.Holder, Token: lease.Token, Data: []byte("late")}
-	if _, err := tc.client.Duty(tc.ctx, table.Checkpoint, "d", lateCall); err == nil {
+	lateCall := registry.LeaseRequest{Candidate: lease.Holder, Token: lease.Token, Data: []byte("late")}
+	if _, err := tc.client.UpdateLease(tc.ctx, table.Checkpoint, "d", lateCall); err == nil {
 		t.Error("a late write counted")
 	}
-	write := registry.Write{Guard: lease.Guard()}
+	write := registry.WriteOptions{Guard: lease.Guard()}
 	if _, err := tc.client.Register(tc.ctx, write, registry.Instance{Target: registry.Target{UID: "x", Endpoint: "127.0.0.1:9"}}); err == nil {
 		t.Error("a late registration counted")
 	}
@@ -292,7 +292,7 @@
 		t.Fatal(err)
 	}
 	for _, replica := range tc.cluster.Replicas {
-		replica.Proc.Kill()
+		replica.Process.Kill()
 	}
 	if err := receive(tc, "the stop", stopped); !errors.Is(err, duty.ErrLeaseLost) || time.Until(lease.ValidUntil()) > 50*time.Millisecond {
 		t.Errorf("it was told %v, %v before its lease ended", err, time.Until(lease.ValidUntil()))
@@ -316,7 +316,7 @@
 	for i := range tokens {
 		candidates.Go(func() {
 			candidate := fmt.Sprint("s", i)
-			state, err := tc.client.Duty(tc.ctx, table.Campaign, "many", registry.DutyCall{Who: candidate, TTLMS: 60_000})
+			state, err := tc.client.UpdateLease(tc.ctx, table.Campaign, "many", registry.LeaseRequest{Candidate: candidate, TTLMS: 60_000})
 			if err == nil && state.Holder == candidate {
 				tokens[i] = state.Token
 			}
@@ -336,11 +336,11 @@
 	acquired, stopped, _ := tc.startCandidate(tc.client, "d", "one")
 	lease := receive(tc, "the first tenure", acquired)
 	for _, candidate := range []string{"dead", "later"} { // neither ever renews
-		if _, err := tc.client.Duty(tc.ctx, table.Campaign, "d", registry.DutyCall{Who: candidate, TTLMS: 800}); err != nil {
+		if _, err := tc.client.UpdateLease(tc.ctx, table.Campaign, "d", registry.LeaseRequest{Candidate: candidate, TTLMS: 800}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := tc.client.Duty(tc.ctx, table.Handover, "d", registry.DutyCall{To: "dead"}); err != nil {
+	if _, err := tc.client.UpdateLease(tc.ctx, table.Handover, "d", registry.LeaseRequest{Successor: "dead"}); err != nil {
 		t.Fatal(err)
 	}
 	if err := receive(tc, "the stop", stopped); !errors.Is(err, duty.ErrStepDownRequested) {
@@ -349,7 +349,7 @@
 	if again := receive(tc, "the tenure after the dead", acquired); again.Token <= lease.Token {
 		t.Errorf("token %d after %d", again.Token, lease.Token)
 	}
-	if lost, err := tc.client.RenewDuties(tc.ctx, "one", []registry.DutyRenewal{{Name: "d", Token: lease.Token}}); err != nil || len(lost) != 1 {
+	if lost, err := tc.client.RenewLeases(tc.ctx, "one", []registry.LeaseRenewal{{Name: "d", Token: lease.Token}}); err != nil || len(lost) != 1 {
 		t.Errorf("a lost duty was renewed: %v %v", lost, err)
 	}
 }
@@ -357,12 +357,12 @@
 // Case 7: a client that asks again because the answer was lost does not wait for itself.
 func TestLostResponseRetried(t *testing.T) {
 	tc := startCluster(t)
-	call := registry.DutyCall{Who: "one", TTLMS: 60_000}
-	first, err := tc.client.Duty(tc.ctx, table.Campaign, "d", call)
+	call := registry.LeaseRequest{Candidate: "one", TTLMS: 60_000}
+	first, err := tc.client.UpdateLease(tc.ctx, table.Campaign, "d", call)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := tc.client.Duty(tc.ctx, table.Campaign, "d", call)
+	again, err := tc.client.UpdateLease(tc.ctx, table.Campaign, "d", call)
 	if err != nil || again.Holder != "one" || again.Token != first.Token || len(again.Queue) > 0 {
 		t.Errorf("%+v after %+v: %v", again, first, err)
 	}
@@ -374,15 +374,15 @@
 	dir := t.TempDir()
 	tc := startCluster(t, fmt.Sprintf("[backup]\ndir = %q\nevery_s = 0.1\nkeep = 3", dir))
 	register := func(uid string) uint64 {
-		result, err := tc.client.Register(tc.ctx, registry.Write{}, registry.Instance{Target: registry.Target{UID: uid, Endpoint: "127.0.0.1:9"}})
+		result, err := tc.client.Register(tc.ctx, registry.WriteOptions{}, registry.Instance{Target: registry.Target{UID: uid, Endpoint: "127.0.0.1:9"}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return result.Rev
+		return result.Revision
 	}
 	awaitBackup := func(rev uint64) table.Lease {
 		for {
-			state, err := tc.client.GetDuty(tc.ctx, duty.BackupLease)
+			state, err := tc.client.Lease(tc.ctx, duty.BackupLease)
 			if tc.ctx.Err() != nil {
 				t.Fatalf("no backup of revision %d: %+v %v", rev, state, err)
 			}
@@ -394,8 +394,8 @@
 	}
 	before := awaitBackup(register("a"))
 	for _, replica := range tc.cluster.Replicas {
-		if strings.HasPrefix(before.Holder, replica.HTTP+"/") {
-			replica.Proc.Kill()
+		if strings.HasPrefix(before.Holder, replica.HTTPAddr+"/") {
+			replica.Process.Kill()
 		}
 	}
 	rev := uint64(0)
@@ -414,7 +414,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if snapshot, err := registry.ReadSnapshot(bytes.NewReader(data)); err != nil || snapshot.Rev() != rev {
+	if snapshot, err := registry.ReadSnapshot(bytes.NewReader(data)); err != nil || snapshot.Revision() != rev {
 		t.Errorf("the newest backup cannot be used: %v", err)
 	}
 }
@@ -427,7 +427,7 @@
 	var running []*proc.Process
 	startAll := func(incarnation int) {
 		for process := range processes {
-			args := []string{"duty", "hold", "--who", fmt.Sprintf("p%d-%d", process, incarnation), "--ttl", "2s", "--replicas", strings.Join(tc.cluster.HTTPs(), ",")}
+			args := []string{"duty", "hold", "--who", fmt.Sprintf("p%d-%d", process, incarnation), "--ttl", "2s", "--replicas", strings.Join(tc.cluster.HTTPAddrs(), ",")}
 			for d := range leasesPerProcess {
 				args = append(args, fmt.Sprintf("duty-%d", process*leasesPerProcess+d))
 			}
@@ -447,7 +447,7 @@
 	}()
 	awaitAllHeld := func(incarnation int) map[string]uint64 {
 		for suffix := fmt.Sprint("-", incarnation); ; time.Sleep(50 * time.Millisecond) {
-			list, err := tc.client.Duties(tc.ctx)
+			list, err := tc.client.Leases(tc.ctx)
 			if tc.ctx.Err() != nil {
 				t.Fatalf("%d of the duties are not held again: %v", processes*leasesPerProcess-len(list), err)
 			}
@@ -487,7 +487,7 @@
 		var absent uint64
 		uid := "step-" + string(lease.Checkpoint)
 		target := registry.Instance{Target: registry.Target{UID: uid, Endpoint: "127.0.0.1:9"}}
-		_, err := tc.client.Register(tc.ctx, registry.Write{IfRev: &absent, Guard: lease.Guard()}, target)
+		_, err := tc.client.Register(tc.ctx, registry.WriteOptions{IfRevision: &absent, Guard: lease.Guard()}, target)
 		var status *registry.StatusError
 		if errors.As(err, &status) { // it is there
 			return nil
@@ -506,7 +506,7 @@
 			t.Fatal(err)
 		}
 	}
-	state, err := tc.client.GetDuty(tc.ctx, "d")
+	state, err := tc.client.Lease(tc.ctx, "d")
 	if err != nil || effects != 1 || string(state.Checkpoint) != "1" {
 		t.Errorf("%d effects, checkpoint %q: %v", effects, state.Checkpoint, err)
 	}
--- a/internal/duty/fixtures_test.go
+++ b/internal/duty/fixtures_test.go
@@ -22,16 +22,16 @@
 const fixtureBackup = "registry-00000000000000000002.snapshot"
 
 // fixtureState is a registry with instances and the lease under which it is backed up.
-func fixtureState(t *testing.T) *registry.State {
+func fixtureState(t *testing.T) *registry.StateMachine {
 	t.Helper()
-	state := registry.NewState()
-	target := registry.Target{UID: "s1", Endpoint: "127.0.0.1:9001", Zone: "zone-a", Model: "m1", Pod: 3, State: registry.Ready, Capacity: 1.5, BootMS: 125.5}
+	state := registry.NewStateMachine()
+	target := registry.Target{UID: "s1", Endpoint: "127.0.0.1:9001", Zone: "zone-a", Model: "m1", PodGroup: 3, State: registry.InstanceReady, Capacity: 1.5, BootMS: 125.5}
 	for n, record := range []registry.Record{
 		{Op: registry.OpEpoch, Epoch: 8},
 		{Op: registry.OpRegister, ID: "write-1", Instances: []registry.Instance{{Target: target, Version: "v1", TTLMS: 5000}}},
-		{Op: registry.OpDuty, ID: "write-2", Duty: &table.Operation{Kind: table.Campaign, Name: BackupLease, Candidate: "127.0.0.1:8500/ab", TTLMS: 5000}},
+		{Op: registry.OpLease, ID: "write-2", Lease: &table.Operation{Kind: table.Campaign, Name: BackupLease, Candidate: "127.0.0.1:8500/ab", TTLMS: 5000}},
 	} {
-		if result := state.Apply(uint64(n+1), &record); result.Outcome != registry.Done {
+		if result := state.Apply(uint64(n+1), &record); result.Outcome != registry.OutcomeDone {
 			t.Fatalf("record %d: %+v", n+1, result)
 		}
 	}
@@ -42,12 +42,12 @@
 func TestBackupFormat(t *testing.T) {
 	state := fixtureState(t)
 	var snapshot, checkpoint bytes.Buffer
-	if err := state.Snapshot(&snapshot); err != nil {
+	if err := state.WriteSnapshot(&snapshot); err != nil {
 		t.Fatal(err)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", func(w http.ResponseWriter, _ *http.Request) {
-		if err := json.NewEncoder(w).Encode(state.Whole()); err != nil {
+		if err := json.NewEncoder(w).Encode(state.FullList()); err != nil {
 			t.Error(err)
 		}
 	})
@@ -116,11 +116,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if lease, known := state.Duties().Get(BackupLease); !known || lease.Token != 3 || state.Rev() != 2 || state.Len() != 1 {
-		t.Errorf("revision %d, %d instances, lease %+v", state.Rev(), state.Len(), lease)
+	if lease, known := state.Leases().Get(BackupLease); !known || lease.Token != 3 || state.Revision() != 2 || state.Len() != 1 {
+		t.Errorf("revision %d, %d instances, lease %+v", state.Revision(), state.Len(), lease)
 	}
 	var again bytes.Buffer
-	if err := state.Snapshot(&again); err != nil {
+	if err := state.WriteSnapshot(&again); err != nil {
 		t.Fatal(err)
 	}
 	goldentest.Compare(t, fixtureBackup, again.Bytes())
--- a/internal/duty/linearizability_test.go
+++ b/internal/duty/linearizability_test.go
@@ -178,7 +178,7 @@
 // rejected tells a write that did not count from one of which nothing is known.
 func rejected(err error) bool {
 	var status *registry.StatusError
-	return errors.As(err, &status) && (status.Status == http.StatusConflict || status.Status == http.StatusNotFound)
+	return errors.As(err, &status) && (status.StatusCode == http.StatusConflict || status.StatusCode == http.StatusNotFound)
 }
 
 // runClient does one random operation after another on a duty until it is told to end.
@@ -196,25 +196,25 @@
 		state, err := table.Lease{}, error(nil)
 		switch in.operation {
 		case "seek":
-			state, err = runClient.Duty(tc.ctx, table.Campaign, leaseName, registry.DutyCall{Who: candidate, TTLMS: ttl.Milliseconds()})
+			state, err = runClient.UpdateLease(tc.ctx, table.Campaign, leaseName, registry.LeaseRequest{Candidate: candidate, TTLMS: ttl.Milliseconds()})
 		case "release":
-			state, err = runClient.Duty(tc.ctx, table.Release, leaseName, registry.DutyCall{Who: candidate, Token: token})
+			state, err = runClient.UpdateLease(tc.ctx, table.Release, leaseName, registry.LeaseRequest{Candidate: candidate, Token: token})
 			if rejected(err) { // nobody has sought the duty yet
 				state, err = table.Lease{}, nil
 			}
 		case "renew":
 			var lost []string
-			lost, err = runClient.RenewDuties(tc.ctx, candidate, []registry.DutyRenewal{{Name: leaseName, Token: token}})
+			lost, err = runClient.RenewLeases(tc.ctx, candidate, []registry.LeaseRenewal{{Name: leaseName, Token: token}})
 			if err == nil && token != 0 {
 				h.record(calledAt, in, leaseOutput{accepted: len(lost) == 0})
 			}
 		case "checkpoint":
-			state, err = runClient.Duty(tc.ctx, table.Checkpoint, leaseName, registry.DutyCall{Who: candidate, Token: token, Data: []byte(strconv.Itoa(in.value))})
+			state, err = runClient.UpdateLease(tc.ctx, table.Checkpoint, leaseName, registry.LeaseRequest{Candidate: candidate, Token: token, Data: []byte(strconv.Itoa(in.value))})
 		case "write":
-			instance := registry.Instance{Target: registry.Target{UID: leaseName, Endpoint: "127.0.0.1:9", State: registry.Ready, Capacity: float64(in.value) / 1000}}
-			_, err = runClient.Register(tc.ctx, registry.Write{Guard: &registry.Guard{Duty: leaseName, Token: token}}, instance)
+			instance := registry.Instance{Target: registry.Target{UID: leaseName, Endpoint: "127.0.0.1:9", State: registry.InstanceReady, Capacity: float64(in.value) / 1000}}
+			_, err = runClient.Register(tc.ctx, registry.WriteOptions{Guard: &registry.Guard{Lease: leaseName, Token: token}}, instance)
 		case "read":
-			state, err = runClient.GetDuty(tc.ctx, leaseName)
+			state, err = runClient.Lease(tc.ctx, leaseName)
 		case "value":
 			var instance registry.Instance
 			if instance, err = runClient.Get(tc.ctx, leaseName, true); rejected(err) {
@@ -276,24 +276,24 @@
 	}
 	rng := rand.New(rand.NewPCG(7, 7))
 	for n := range faultCount {
-		replica, err := tc.cluster.Leader(tc.ctx)
+		replica, err := tc.cluster.AwaitLeader(tc.ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Duration(300+rng.IntN(400)) * time.Millisecond) // amid the operations
 		if n%2 == 0 {
-			replica.Proc.Kill()
+			replica.Process.Kill()
 			err = replica.Start()
 		} else {
-			err = replica.Freeze()
+			err = replica.Pause()
 			time.Sleep(time.Second) // until others have elected a leader, while it believes that it is the one
-			err = errors.Join(err, replica.Thaw())
+			err = errors.Join(err, replica.Resume())
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := tc.cluster.Leader(tc.ctx); err != nil {
+	if _, err := tc.cluster.AwaitLeader(tc.ctx); err != nil {
 		t.Fatal(err)
 	}
 	stopping.Store(true)
--- a/internal/duty/renewal_batch.go
+++ b/internal/duty/renewal_batch.go
@@ -22,7 +22,7 @@
 type renewalBatch struct {
 	ctx        context.Context
 	cancel     context.CancelFunc
-	renewals   []registry.DutyRenewal
+	renewals   []registry.LeaseRenewal
 	waiters    int           // that still wait for the answer
 	done       chan struct{} // closed once lost and err are there
 	lostLeases []string
@@ -41,9 +41,9 @@
 }{open: map[batchKey]*renewalBatch{}}
 
 // renewBatched renews one duty in a call with others of the candidate that come within linger; 0: at once, by itself.
-func renewBatched(ctx context.Context, client *registry.Client, candidateName string, renewal registry.DutyRenewal, linger time.Duration) (lost bool, err error) {
+func renewBatched(ctx context.Context, client *registry.Client, candidateName string, renewal registry.LeaseRenewal, linger time.Duration) (lost bool, err error) {
 	if linger == 0 {
-		lostLeases, err := client.RenewDuties(ctx, candidateName, []registry.DutyRenewal{renewal})
+		lostLeases, err := client.RenewLeases(ctx, candidateName, []registry.LeaseRenewal{renewal})
 		return len(lostLeases) > 0, err
 	}
 	key := batchKey{client, candidateName}
@@ -85,6 +85,6 @@
 		delete(pendingBatches.open, key)
 	}
 	pendingBatches.Unlock()
-	b.lostLeases, b.err = key.client.RenewDuties(b.ctx, key.candidate, b.renewals)
+	b.lostLeases, b.err = key.client.RenewLeases(b.ctx, key.candidate, b.renewals)
 	close(b.done)
 }
--- a/internal/lab/live/control.go
+++ b/internal/lab/live/control.go
@@ -147,7 +147,7 @@
 func (c *control) budgets(ctx context.Context) error {
 	for i := range c.file.Budgets {
 		b := &c.file.Budgets[i]
-		_, err := c.f.registry.client.Ledger(ctx, registry.Write{}, disruption.Op{
+		_, err := c.f.registry.client.ApplyLedgerOp(ctx, registry.WriteOptions{}, disruption.Op{
 			Kind: disruption.OpSetBudget, Owner: "operator/lab", Budget: &disruption.Budget{
 				Name:           b.Name,
 				Selector:       disruption.Selector{Kind: disruption.Kind(b.Kind), Zone: b.Zone, Model: b.Of},
--- a/internal/lab/live/controllers.go
+++ b/internal/lab/live/controllers.go
@@ -40,7 +40,7 @@
 
 // fill puts in what placeholders stand for.
 func (c *control) fill(text, name, listen, config, file string) string {
-	https := c.f.registry.cluster.HTTPs()
+	https := c.f.registry.cluster.HTTPAddrs()
 	var quoted []string
 	for _, a := range https {
 		quoted = append(quoted, fmt.Sprintf("%q", a))
--- a/internal/lab/live/plane_faults.go
+++ b/internal/lab/live/plane_faults.go
@@ -32,7 +32,7 @@
 	}
 	for _, n := range ft.Replicas {
 		if links := c.f.registry.links; ft.Kind == lab.Cut && links != nil {
-			links.Cut(n, lab.Replicas, true)
+			links.Partition(n, lab.Replicas, true)
 		}
 	}
 	switch ft.Kind {
@@ -51,7 +51,7 @@
 func (c *control) end(ctx context.Context, ft *lab.Fault) {
 	for _, n := range ft.Replicas {
 		if links := c.f.registry.links; ft.Kind == lab.Cut && links != nil {
-			links.Cut(n, lab.Replicas, false)
+			links.Partition(n, lab.Replicas, false)
 		}
 	}
 	switch {
@@ -136,20 +136,20 @@
 func (c *control) leader(ctx context.Context, ft *lab.Fault) {
 	ctx, cancel := context.WithTimeout(ctx, leaderWait)
 	defer cancel()
-	r, err := c.f.registry.cluster.Leader(ctx)
+	r, err := c.f.registry.cluster.AwaitLeader(ctx)
 	if err != nil {
 		slog.Warn("nobody leads, so that replica 0 is taken", "fault", ft.Label)
 		ft.Replicas = []int{0}
 		return
 	}
-	ft.Replicas = []int{r.N}
+	ft.Replicas = []int{r.Index}
 }
 
 // befallen are the processes that a fault befalls.
 func (c *control) befallen(ft *lab.Fault) []*proc.Process {
 	var out []*proc.Process
 	for _, n := range ft.Replicas {
-		out = append(out, c.f.registry.cluster.Replicas[n].Proc)
+		out = append(out, c.f.registry.cluster.Replicas[n].Process)
 	}
 	for _, n := range ft.Agents {
 		out = append(out, c.f.registry.agents[n])
--- a/internal/lab/live/registry.go
+++ b/internal/lab/live/registry.go
@@ -27,9 +27,9 @@
 	f       *fleet
 	cluster *cluster.Cluster
 	client  *registry.Client
-	keeper  *registry.Keeper
-	links   *cluster.Links  // nil: no replica is ever cut off
-	agents  []*proc.Process // by sidecar
+	keeper  *registry.LeaseKeepAlive
+	links   *cluster.Network // nil: no replica is ever cut off
+	agents  []*proc.Process  // by sidecar
 	ctx     context.Context
 	stop    context.CancelFunc
 	around  sync.WaitGroup
@@ -49,7 +49,7 @@
 			l.keeper.Add(l.instance(s))
 		}
 	}
-	if err := l.keeper.Once(ctx); err != nil {
+	if err := l.keeper.RenewOnce(ctx); err != nil {
 		return fmt.Errorf("list service: %w", err)
 	}
 	l.around.Go(func() { l.keep() })
@@ -59,9 +59,9 @@
 // startReplicas starts the replicas, with no server registered.
 func (l *listService) startReplicas(ctx context.Context) error {
 	f := l.f
-	opts := cluster.Options{Program: f.opts.Milldeck, Dir: f.opts.Dir, Block: f.addrs.Block}
+	opts := cluster.Options{Program: f.opts.Milldeck, DataDir: f.opts.Dir, Addresses: f.addrs.Block}
 	if f.plan.CutsReplicas() {
-		l.links = cluster.NewLinks(f.addrs.Block)
+		l.links = cluster.NewNetwork(f.addrs.Block)
 		opts.Advertise = l.links.Advertise
 	}
 	var err error
@@ -71,7 +71,7 @@
 	if l.client, err = l.cluster.Client(); err != nil {
 		return err
 	}
-	l.keeper = registry.NewKeeper(l.client)
+	l.keeper = registry.NewLeaseKeepAlive(l.client)
 	return nil
 }
 
@@ -89,7 +89,7 @@
 	wait := time.Duration(l.f.plan.File.Discovery.LeaseMS) * time.Millisecond / 3
 	for sleep(l.ctx, wait) {
 		ctx, cancel := context.WithTimeout(l.ctx, wait)
-		if err := l.keeper.Once(ctx); err != nil && l.ctx.Err() == nil {
+		if err := l.keeper.RenewOnce(ctx); err != nil && l.ctx.Err() == nil {
 			slog.Debug("leases not renewed", "error", err)
 		}
 		cancel()
@@ -99,7 +99,7 @@
 func (l *listService) instance(s *server) registry.Instance {
 	t := l.f.entry(s, 0, ready)
 	return registry.Instance{
-		Target: registry.Target{UID: t.UID, Endpoint: t.Endpoint, Zone: t.Zone, Model: t.Model, Pod: t.Pod, State: t.State, Capacity: t.Capacity, BootMS: t.Boot},
+		Target: registry.Target{UID: t.UID, Endpoint: t.Endpoint, Zone: t.Zone, Model: t.Model, PodGroup: t.Pod, State: t.State, Capacity: t.Capacity, BootMS: t.Boot},
 		TTLMS:  l.f.plan.File.Discovery.LeaseMS, Version: s.version,
 	}
 }
@@ -108,8 +108,8 @@
 func (l *listService) startAgent(ctx context.Context, a *agent) error {
 	f, name := l.f, agentName(a.n)
 	path := filepath.Join(f.opts.Dir, name+".toml")
-	text := fmt.Sprintf("listen = %q\nreplicas = [%q, %q, %q]\nsaved = %q\nfleet = %d\n", a.addr(), l.cluster.Replicas[0].HTTP,
-		l.cluster.Replicas[1].HTTP, l.cluster.Replicas[2].HTTP, filepath.Join(f.opts.Dir, name+".list"), len(f.agents))
+	text := fmt.Sprintf("listen = %q\nreplicas = [%q, %q, %q]\nsaved = %q\nfleet = %d\n", a.addr(), l.cluster.Replicas[0].HTTPAddr,
+		l.cluster.Replicas[1].HTTPAddr, l.cluster.Replicas[2].HTTPAddr, filepath.Join(f.opts.Dir, name+".list"), len(f.agents))
 	if f.control != nil {
 		text += f.control.agentMore(a.n, name)
 	}
@@ -162,11 +162,11 @@
 		index[s.plan.UID] = s.n
 	}
 	for l.ctx.Err() == nil {
-		err := l.client.WatchReplica(l.ctx, a.addr(), rev, 0, func(list *registry.List, _ time.Duration) error {
+		err := l.client.WatchEndpoints(l.ctx, a.addr(), rev, 0, func(list *registry.EndpointList, _ time.Duration) error {
 			if list == nil {
 				return nil
 			}
-			rev = list.Rev
+			rev = list.Revision
 			a.took(list, index)
 			return nil
 		})
@@ -176,16 +176,16 @@
 }
 
 // took takes over what the agent has told, to it and to its sidecar.
-func (a *agent) took(list *registry.List, index map[string]int) {
+func (a *agent) took(list *registry.EndpointList, index map[string]int) {
 	told := map[int]bool{}
 	a.mu.Lock()
-	if list.All {
+	if list.Full {
 		for n := range a.entries {
 			told[n] = false
 		}
 		a.entries = map[int]target{}
 	}
-	a.rev = max(a.rev, int64(list.Rev))
+	a.rev = max(a.rev, int64(list.Revision))
 	for _, t := range list.Targets {
 		n, mine := index[t.UID]
 		if !mine {
@@ -196,7 +196,7 @@
 		if t.State == gone {
 			delete(a.entries, n)
 		} else {
-			a.entries[n] = target{t.UID, t.Endpoint, t.Zone, t.Model, t.Pod, t.State, t.Capacity, t.BootMS}
+			a.entries[n] = target{t.UID, t.Endpoint, t.Zone, t.Model, t.PodGroup, t.State, t.Capacity, t.BootMS}
 		}
 	}
 	a.mu.Unlock()
@@ -211,7 +211,7 @@
 	if state == ready {
 		l.keeper.Add(l.instance(s))
 	} else {
-		l.keeper.Drop(s.plan.UID)
+		l.keeper.Remove(s.plan.UID)
 	}
 	// In order, and again until the list service is back: a server that has gone must be told as gone.
 	l.around.Go(func() {
@@ -220,11 +220,11 @@
 			var err error
 			switch state {
 			case ready:
-				_, err = l.client.Register(ctx, registry.Write{}, l.instance(s))
+				_, err = l.client.Register(ctx, registry.WriteOptions{}, l.instance(s))
 			case terminating:
-				_, err = l.client.SetState(ctx, registry.Write{}, s.plan.UID, registry.Terminating)
+				_, err = l.client.SetState(ctx, registry.WriteOptions{}, s.plan.UID, registry.InstanceTerminating)
 			default:
-				_, err = l.client.Deregister(ctx, registry.Write{}, s.plan.UID)
+				_, err = l.client.Deregister(ctx, registry.WriteOptions{}, s.plan.UID)
 			}
 			cancel()
 			if err == nil {
@@ -239,7 +239,7 @@
 // kill ends all replicas at once.
 func (l *listService) kill() {
 	for _, r := range l.cluster.Replicas {
-		r.Proc.Kill()
+		r.Process.Kill()
 	}
 }
 
--- a/internal/lab/live/rogue.go
+++ b/internal/lab/live/rogue.go
@@ -32,7 +32,7 @@
 	switch s.Do {
 	case "drain":
 		for _, uid := range servers {
-			if _, err := c.f.registry.client.SetState(ctx, registry.Write{}, uid, registry.Terminating); err != nil {
+			if _, err := c.f.registry.client.SetState(ctx, registry.WriteOptions{}, uid, registry.InstanceTerminating); err != nil {
 				return err
 			}
 		}
@@ -84,7 +84,7 @@
 			}
 			set = append(set, e)
 		}
-		_, err := client.SetPlacement(ctx, registry.Write{Guard: l.Guard()}, now.UnixMilli(), set)
+		_, err := client.SetPlacement(ctx, registry.WriteOptions{Guard: l.Guard()}, now.UnixMilli(), set)
 		return err
 	})
 }
--- a/internal/lab/live/server.go
+++ b/internal/lab/live/server.go
@@ -59,7 +59,7 @@
 // die ends the process: its connections are reset, new ones refused.
 func (s *server) die() {
 	if s.f.registry != nil {
-		s.f.registry.keeper.Drop(s.plan.UID) // nobody renews its lease any more
+		s.f.registry.keeper.Remove(s.plan.UID) // nobody renews its lease any more
 	}
 	for _, p := range s.ports {
 		p.close()
--- a/internal/lab/live/units.go
+++ b/internal/lab/live/units.go
@@ -51,7 +51,7 @@
 	c.f.listed[s.n] = ready
 	c.f.listMu.Unlock()
 	l.keeper.Add(l.instance(s))
-	if err := l.keeper.Once(ctx); err != nil {
+	if err := l.keeper.RenewOnce(ctx); err != nil {
 		return fmt.Errorf("list service: %w", err)
 	}
 	return nil
@@ -86,7 +86,7 @@
 	case told:
 		c.f.publish(s, gone)
 	default:
-		c.f.registry.keeper.Drop(s.plan.UID)
+		c.f.registry.keeper.Remove(s.plan.UID)
 	}
 }
 
@@ -105,7 +105,7 @@
 			}
 		}
 		if err == nil && len(warm) > 0 {
-			_, err = client.Ledger(ctx, registry.Write{}, disruption.Op{Kind: disruption.OpObserve, Owner: "operator/lab", Observed: warm})
+			_, err = client.ApplyLedgerOp(ctx, registry.WriteOptions{}, disruption.Op{Kind: disruption.OpObserve, Owner: "operator/lab", Observed: warm})
 		}
 		if err != nil && c.ctx.Err() == nil {
 			slog.Debug("not seen as warm", "units", len(warm), "error", err)
--- a/internal/lab/live/watch.go
+++ b/internal/lab/live/watch.go
@@ -201,7 +201,7 @@
 	l := c.f.registry
 	for i := 0; c.ctx.Err() == nil; i++ {
 		states := map[string]string{}
-		err := l.client.WatchReplica(c.ctx, l.cluster.Replicas[i%len(l.cluster.Replicas)].HTTP, 0, 0, func(list *registry.List, _ time.Duration) error {
+		err := l.client.WatchEndpoints(c.ctx, l.cluster.Replicas[i%len(l.cluster.Replicas)].HTTPAddr, 0, 0, func(list *registry.EndpointList, _ time.Duration) error {
 			if list == nil || c.over.Load() {
 				return nil
 			}
@@ -215,13 +215,13 @@
 }
 
 // tookList tells the judge what a line of a watch changes.
-func (c *control) tookList(states map[string]string, list *registry.List) {
+func (c *control) tookList(states map[string]string, list *registry.EndpointList) {
 	now := c.now()
 	next := map[string]string{}
 	for _, t := range list.Targets {
 		next[t.UID] = t.State
 	}
-	if list.All {
+	if list.Full {
 		for unit := range c.numbers {
 			if _, there := next[unit]; !there {
 				next[unit] = ""
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -21,28 +21,28 @@
 )
 
 const (
-	attemptWait  = 4 * time.Second // for one call; the registry answers or gives up within 3 s
-	firstBackoff = 50 * time.Millisecond
-	mostBackoff  = 250 * time.Millisecond // an election takes about a second: most of it would be missed otherwise
-	mostTries    = 100                    // of one call; ctx usually ends it sooner
-	maxAnswer    = 64 << 20
-	// Silence is two empty lines that did not come: the connection is cut off, or its replica is.
-	Silence = 4500 * time.Millisecond
+	attemptTimeout   = 4 * time.Second // for one call; the registry answers or gives up within 3 s
+	initialBackoff   = 50 * time.Millisecond
+	maxBackoff       = 250 * time.Millisecond // an election takes about a second: most of it would be missed otherwise
+	maxAttempts      = 100                    // of one call; ctx usually ends it sooner
+	maxResponseBytes = 64 << 20
+	// HeartbeatTimeout is two empty lines that did not come: the connection is cut off, or its replica is.
+	HeartbeatTimeout = 4500 * time.Millisecond
 )
 
 // StatusError is an answer that is no success and that no other replica would better.
 type StatusError struct {
-	Status int
-	Text   string
+	StatusCode int
+	Message    string
 }
 
-func (e *StatusError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Text) }
+func (e *StatusError) Error() string { return fmt.Sprintf("%d: %s", e.StatusCode, e.Message) }
 
 // Client talks to a cluster: to one replica, and to another when that fails. It is safe for concurrent use.
 type Client struct {
-	replicas []string
-	http     *http.Client
-	at       atomic.Int64
+	replicas   []string
+	httpClient *http.Client
+	current    atomic.Int64
 }
 
 // NewClient makes a client of the replicas at these HTTP addresses.
@@ -50,21 +50,21 @@
 	if len(replicas) == 0 {
 		return nil, errors.New("no replicas")
 	}
-	for _, a := range replicas {
-		if err := loopback("replica", a); err != nil {
+	for _, address := range replicas {
+		if err := checkLoopback("replica", address); err != nil {
 			return nil, err
 		}
 	}
-	c := &Client{replicas: replicas, http: &http.Client{Transport: &http.Transport{
-		DialContext: (&net.Dialer{Timeout: dialWait}).DialContext, MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second,
+	client := &Client{replicas: replicas, httpClient: &http.Client{Transport: &http.Transport{
+		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second,
 		DisableCompression: true,
 	}}}
-	c.at.Store(int64(mrand.IntN(len(replicas))))
-	return c, nil
+	client.current.Store(int64(mrand.IntN(len(replicas))))
+	return client, nil
 }
 
 // Close ends the client's idle connections.
-func (c *Client) Close() { c.http.CloseIdleConnections() }
+func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
 // Replicas are the addresses it knows.
 func (c *Client) Replicas() []string { return c.replicas }
@@ -74,83 +74,83 @@
 
 // call makes one call until an answer comes that counts, moving on from replica to replica. Each call may be
 // repeated: writes carry an id.
-func (c *Client) call(ctx context.Context, method, path string, in []byte, out any) error {
-	backoff := firstBackoff
-	var last error
-	for range mostTries {
-		n := c.at.Load()
-		err := c.once(ctx, method, "http://"+c.replicas[int(n)%len(c.replicas)]+path, in, out)
-		var status *StatusError
+func (c *Client) call(ctx context.Context, method, path string, body []byte, response any) error {
+	backoff := initialBackoff
+	var lastErr error
+	for range maxAttempts {
+		current := c.current.Load()
+		err := c.attempt(ctx, method, "http://"+c.replicas[int(current)%len(c.replicas)]+path, body, response)
+		var statusErr *StatusError
 		switch {
-		case err == nil, errors.As(err, &status) && status.Status != http.StatusServiceUnavailable:
+		case err == nil, errors.As(err, &statusErr) && statusErr.StatusCode != http.StatusServiceUnavailable:
 			return err
 		case ctx.Err() != nil:
-			return errors.Join(last, ctx.Err())
+			return errors.Join(lastErr, ctx.Err())
 		}
-		last = err
-		c.at.CompareAndSwap(n, n+1)
+		lastErr = err
+		c.current.CompareAndSwap(current, current+1)
 		select {
 		case <-ctx.Done():
-			return errors.Join(last, ctx.Err())
+			return errors.Join(lastErr, ctx.Err())
 		case <-time.After(backoff/2 + mrand.N(backoff)):
 		}
-		backoff = min(2*backoff, mostBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
-	return fmt.Errorf("no replica answers: %w", last)
+	return fmt.Errorf("no replica answers: %w", lastErr)
 }
 
-func (c *Client) once(ctx context.Context, method, url string, in []byte, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, attemptWait)
+func (c *Client) attempt(ctx context.Context, method, requestURL string, body []byte, response any) error {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(in))
+	request, err := http.NewRequestWithContext(ctx, method, requestURL, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	resp, err := c.http.Do(req)
+	httpResponse, err := c.httpClient.Do(request)
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	defer httpResponse.Body.Close()
+	data, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
-	if resp.StatusCode != http.StatusOK {
-		var said struct {
+	if httpResponse.StatusCode != http.StatusOK {
+		var failure struct {
 			Error string `json:"error"`
 			Why   string `json:"why"`
 		}
-		if json.Unmarshal(data, &said) != nil || said.Error+said.Why == "" {
-			said.Error = strings.TrimSpace(string(data))
+		if json.Unmarshal(data, &failure) != nil || failure.Error+failure.Why == "" {
+			failure.Error = strings.TrimSpace(string(data))
 		}
-		return &StatusError{resp.StatusCode, said.Error + said.Why}
+		return &StatusError{httpResponse.StatusCode, failure.Error + failure.Why}
 	}
-	if raw, is := out.(*[]byte); is {
+	if raw, ok := response.(*[]byte); ok {
 		*raw = data
 		return nil
 	}
-	if out == nil {
+	if response == nil {
 		return nil
 	}
-	return json.Unmarshal(data, out)
+	return json.Unmarshal(data, response)
 }
 
-func (c *Client) post(ctx context.Context, path string, in, out any) error {
-	data, err := json.Marshal(in)
+func (c *Client) post(ctx context.Context, path string, request, response any) error {
+	data, err := json.Marshal(request)
 	if err != nil {
 		return err
 	}
-	return c.call(ctx, http.MethodPost, path, data, out)
+	return c.call(ctx, http.MethodPost, path, data, response)
 }
 
-// Write is what all writes carry.
-type Write struct {
-	ID    string  // "" takes a new one
-	IfRev *uint64 // the revision that the entry must have; 0: it must not be there. nil: any
-	Guard *Guard  // the duty under whose token the write counts, for Register and SetState; nil: none
+// WriteOptions is what all writes carry.
+type WriteOptions struct {
+	ID         string  // "" takes a new one
+	IfRevision *uint64 // the revision that the entry must have; 0: it must not be there. nil: any
+	Guard      *Guard  // the duty under whose token the write counts, for Register and SetState; nil: none
 }
 
-func (w *Write) id() string {
+func (w *WriteOptions) ensureID() string {
 	if w.ID == "" {
 		w.ID = NewID()
 	}
@@ -158,45 +158,45 @@
 }
 
 // Register registers instances, all or none.
-func (c *Client) Register(ctx context.Context, w Write, targets ...Instance) (Result, error) {
-	var res Result
-	in := map[string]any{"id": w.id(), "targets": targets}
-	if w.IfRev != nil {
-		in["if_rev"] = *w.IfRev
+func (c *Client) Register(ctx context.Context, options WriteOptions, targets ...Instance) (Result, error) {
+	var result Result
+	body := map[string]any{"id": options.ensureID(), "targets": targets}
+	if options.IfRevision != nil {
+		body["if_rev"] = *options.IfRevision
 	}
-	if w.Guard != nil {
-		in["guard"] = w.Guard
+	if options.Guard != nil {
+		body["guard"] = options.Guard
 	}
-	return res, c.post(ctx, "/registry/instances", in, &res)
+	return result, c.post(ctx, "/registry/instances", body, &result)
 }
 
-// Renew extends the leases of instances; those unknown have to be registered again.
-func (c *Client) Renew(ctx context.Context, uids []string) (Renewal, error) {
-	var res Renewal
-	return res, c.post(ctx, "/registry/renew", map[string]any{"uids": uids}, &res)
+// RenewInstances extends the leases of instances; those unknown have to be registered again.
+func (c *Client) RenewInstances(ctx context.Context, uids []string) (InstanceRenewal, error) {
+	var renewal InstanceRenewal
+	return renewal, c.post(ctx, "/registry/renew", map[string]any{"uids": uids}, &renewal)
 }
 
 // SetState sets an instance's state.
-func (c *Client) SetState(ctx context.Context, w Write, uid, state string) (Result, error) {
-	var res Result
-	in := map[string]any{"id": w.id(), "uid": uid, "state": state}
-	if w.IfRev != nil {
-		in["if_rev"] = *w.IfRev
+func (c *Client) SetState(ctx context.Context, options WriteOptions, uid, state string) (Result, error) {
+	var result Result
+	body := map[string]any{"id": options.ensureID(), "uid": uid, "state": state}
+	if options.IfRevision != nil {
+		body["if_rev"] = *options.IfRevision
 	}
-	if w.Guard != nil {
-		in["guard"] = w.Guard
+	if options.Guard != nil {
+		body["guard"] = options.Guard
 	}
-	return res, c.post(ctx, "/registry/state", in, &res)
+	return result, c.post(ctx, "/registry/state", body, &result)
 }
 
 // Deregister removes an instance.
-func (c *Client) Deregister(ctx context.Context, w Write, uid string) (Result, error) {
-	q := url.Values{"id": {w.id()}}
-	if w.IfRev != nil {
-		q.Set("if_rev", strconv.FormatUint(*w.IfRev, 10))
+func (c *Client) Deregister(ctx context.Context, options WriteOptions, uid string) (Result, error) {
+	query := url.Values{"id": {options.ensureID()}}
+	if options.IfRevision != nil {
+		query.Set("if_rev", strconv.FormatUint(*options.IfRevision, 10))
 	}
-	var res Result
-	return res, c.call(ctx, http.MethodDelete, "/registry/instances/"+url.PathEscape(uid)+"?"+q.Encode(), nil, &res)
+	var result Result
+	return result, c.call(ctx, http.MethodDelete, "/registry/instances/"+url.PathEscape(uid)+"?"+query.Encode(), nil, &result)
 }
 
 // Get reads one instance; fresh asks the leader for what no later write has changed.
@@ -205,42 +205,42 @@
 	if fresh {
 		path += "?fresh=1"
 	}
-	var i Instance
-	return i, c.call(ctx, http.MethodGet, path, nil, &i)
+	var instance Instance
+	return instance, c.call(ctx, http.MethodGet, path, nil, &instance)
 }
 
 // List reads the whole list.
-func (c *Client) List(ctx context.Context, fresh bool) (List, error) {
+func (c *Client) List(ctx context.Context, fresh bool) (EndpointList, error) {
 	path := "/registry/instances"
 	if fresh {
 		path += "?fresh=1"
 	}
-	var l List
-	return l, c.call(ctx, http.MethodGet, path, nil, &l)
+	var list EndpointList
+	return list, c.call(ctx, http.MethodGet, path, nil, &list)
 }
 
-// Suspects decides on what was held back: expire removes them, else they count as alive.
-func (c *Client) Suspects(ctx context.Context, expire bool) (Result, error) {
-	var res Result
-	return res, c.post(ctx, "/registry/suspects", map[string]bool{"expire": expire}, &res)
+// ResolveSuspects decides on what was held back: expire removes them, else they count as alive.
+func (c *Client) ResolveSuspects(ctx context.Context, expire bool) (Result, error) {
+	var result Result
+	return result, c.post(ctx, "/registry/suspects", map[string]bool{"expire": expire}, &result)
 }
 
 // Members lists the replicas.
 func (c *Client) Members(ctx context.Context) ([]Member, error) {
-	var out []Member
-	return out, c.call(ctx, http.MethodGet, "/registry/members", nil, &out)
+	var members []Member
+	return members, c.call(ctx, http.MethodGet, "/registry/members", nil, &members)
 }
 
 // AddMember takes a replica into the cluster; it has to run, with an empty folder.
-func (c *Client) AddMember(ctx context.Context, m Member) ([]Member, error) {
-	var out []Member
-	return out, c.post(ctx, "/registry/members", m, &out)
+func (c *Client) AddMember(ctx context.Context, member Member) ([]Member, error) {
+	var members []Member
+	return members, c.post(ctx, "/registry/members", member, &members)
 }
 
 // RemoveMember takes a replica out of the cluster.
-func (c *Client) RemoveMember(ctx context.Context, http string) ([]Member, error) {
-	var out []Member
-	return out, c.call(ctx, "DELETE", "/registry/members?"+url.Values{"http": {http}}.Encode(), nil, &out)
+func (c *Client) RemoveMember(ctx context.Context, httpAddr string) ([]Member, error) {
+	var members []Member
+	return members, c.call(ctx, "DELETE", "/registry/members?"+url.Values{"http": {httpAddr}}.Encode(), nil, &members)
 }
 
 // SaveSnapshot reads the leader's state as a snapshot, and checks it.
@@ -255,54 +255,54 @@
 
 // RestoreSnapshot puts a snapshot in place of the cluster's state, under a new epoch.
 func (c *Client) RestoreSnapshot(ctx context.Context, data []byte) (Result, error) {
-	var res Result
-	return res, c.call(ctx, http.MethodPost, "/registry/snapshot", data, &res)
+	var result Result
+	return result, c.call(ctx, http.MethodPost, "/registry/snapshot", data, &result)
 }
 
-// StatusOf asks one replica how it is.
-func (c *Client) StatusOf(ctx context.Context, replica string) (Status, error) {
-	var st Status
-	return st, c.once(ctx, http.MethodGet, "http://"+replica+"/registry/status", nil, &st)
+// ReplicaStatus asks one replica how it is.
+func (c *Client) ReplicaStatus(ctx context.Context, replica string) (Status, error) {
+	var status Status
+	return status, c.attempt(ctx, http.MethodGet, "http://"+replica+"/registry/status", nil, &status)
 }
 
-// errSilent is why a watch ends that says nothing.
-var errSilent = errors.New("no line in time")
+// errHeartbeatTimeout is why a watch ends that says nothing.
+var errHeartbeatTimeout = errors.New("no line in time")
 
-// maxLine bounds one line of a watch.
-const maxLine = 32 << 20
+// maxWatchLineBytes bounds one line of a watch.
+const maxWatchLineBytes = 32 << 20
 
-// WatchReplica follows one replica's list after a revision of an epoch, until ctx or the watch ends, which is
+// WatchEndpoints follows one replica's list after a revision of an epoch, until ctx or the watch ends, which is
 // always an error. Each line is handed on; nil is an empty one. Age is how old the replica's list was at first.
-func (c *Client) WatchReplica(ctx context.Context, replica string, rev, epoch uint64, line func(l *List, age time.Duration) error) error {
-	return watchLines(ctx, c, replica, "instances", rev, epoch, line)
+func (c *Client) WatchEndpoints(ctx context.Context, replica string, revision, epoch uint64, handle func(list *EndpointList, age time.Duration) error) error {
+	return watchStream(ctx, c, replica, "instances", revision, epoch, handle)
 }
 
-// follow reads a watch line by line until ctx, the watch or the replica's voice ends, which is always an error.
-func (c *Client) follow(ctx context.Context, url string, begin func(http.Header), line func([]byte) error) error {
+// streamLines reads a watch line by line until ctx, the watch or the replica's voice ends, which is always an error.
+func (c *Client) streamLines(ctx context.Context, watchURL string, onHeader func(http.Header), handle func([]byte) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	guard := time.AfterFunc(Silence, func() { cancel(errSilent) })
-	defer guard.Stop()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	silenceTimer := time.AfterFunc(HeartbeatTimeout, func() { cancel(errHeartbeatTimeout) })
+	defer silenceTimer.Stop()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, watchURL, nil)
 	if err != nil {
 		return err
 	}
-	resp, err := c.http.Do(req)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
 		return cmp.Or(context.Cause(ctx), err)
 	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		return &StatusError{resp.StatusCode, resp.Status}
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return &StatusError{response.StatusCode, response.Status}
 	}
-	begin(resp.Header)
-	in := bufio.NewScanner(resp.Body)
-	in.Buffer(make([]byte, 0, 4096), maxLine)
-	for in.Scan() {
-		guard.Reset(Silence)
-		if err := line(bytes.TrimSpace(in.Bytes())); err != nil {
+	onHeader(response.Header)
+	scanner := bufio.NewScanner(response.Body)
+	scanner.Buffer(make([]byte, 0, 4096), maxWatchLineBytes)
+	for scanner.Scan() {
+		silenceTimer.Reset(HeartbeatTimeout)
+		if err := handle(bytes.TrimSpace(scanner.Bytes())); err != nil {
 			return err
 		}
 	}
-	return cmp.Or(context.Cause(ctx), in.Err(), io.ErrUnexpectedEOF)
+	return cmp.Or(context.Cause(ctx), scanner.Err(), io.ErrUnexpectedEOF)
 }
--- a/internal/registry/fixtures_test.go
+++ b/internal/registry/fixtures_test.go
@@ -72,7 +72,7 @@
 func fixtureInstance(uid, zone string, pod, port int) registry.Instance {
 	return registry.Instance{
 		Target: registry.Target{
-			UID: uid, Endpoint: fmt.Sprintf("127.0.0.1:%d", port), Zone: zone, Model: "m1", Pod: pod, State: registry.Ready,
+			UID: uid, Endpoint: fmt.Sprintf("127.0.0.1:%d", port), Zone: zone, Model: "m1", PodGroup: pod, State: registry.InstanceReady,
 			Capacity: 1.5, BootMS: monday - hourMS,
 		},
 		Version: "v1", TTLMS: 15_000,
@@ -90,7 +90,7 @@
 		return index
 	}
 	lease := func(name string, op table.Operation) uint64 {
-		return add(name, registry.Record{Op: registry.OpDuty, Duty: &op})
+		return add(name, registry.Record{Op: registry.OpLease, Lease: &op})
 	}
 	ledger := func(name string, guard *registry.Guard, op disruption.Op) uint64 {
 		return add(name, registry.Record{Op: registry.OpLedger, ID: "write-" + name, Guard: guard, Ledger: &op})
@@ -110,16 +110,16 @@
 	restarted := fixtureInstance("s5", "z1", 2, 9005)
 	restarted.BootMS, restarted.Version = monday, "v2"
 	revision := uint64(3)
-	compared := add("register-compare", registry.Record{Op: registry.OpRegister, IfRev: &revision, Instances: []registry.Instance{restarted}})
-	add("state", registry.Record{Op: registry.OpState, ID: "write-state", State: registry.Terminating,
-		Refs: []registry.Ref{{UID: "s5", Rev: compared}}})
-	add("suspect", registry.Record{Op: registry.OpSuspect, Refs: []registry.Ref{{UID: "s4", Rev: 3}}, On: true})
-	add("suspect-cleared", registry.Record{Op: registry.OpSuspect, Refs: []registry.Ref{{UID: "s4"}}})
-	add("deregister", registry.Record{Op: registry.OpDeregister, ID: "write-deregister", Refs: []registry.Ref{{UID: "s5"}}})
+	compared := add("register-compare", registry.Record{Op: registry.OpRegister, IfRevision: &revision, Instances: []registry.Instance{restarted}})
+	add("state", registry.Record{Op: registry.OpSetState, ID: "write-state", State: registry.InstanceTerminating,
+		Refs: []registry.InstanceRef{{UID: "s5", Revision: compared}}})
+	add("suspect", registry.Record{Op: registry.OpSuspect, Refs: []registry.InstanceRef{{UID: "s4", Revision: 3}}, Suspected: true})
+	add("suspect-cleared", registry.Record{Op: registry.OpSuspect, Refs: []registry.InstanceRef{{UID: "s4"}}})
+	add("deregister", registry.Record{Op: registry.OpDeregister, ID: "write-deregister", Refs: []registry.InstanceRef{{UID: "s5"}}})
 	again := add("register-again", registry.Record{Op: registry.OpRegister, Instances: []registry.Instance{restarted}})
-	add("expire", registry.Record{Op: registry.OpExpire, Refs: []registry.Ref{{UID: "s5", Rev: again}}})
-	add("follow", registry.Record{Op: registry.OpFollow, Instances: []registry.Instance{fixtureInstance("s6", "z1", 2, 9006)},
-		Refs: []registry.Ref{{UID: "s7"}}})
+	add("expire", registry.Record{Op: registry.OpExpire, Refs: []registry.InstanceRef{{UID: "s5", Revision: again}}})
+	add("follow", registry.Record{Op: registry.OpMirror, Instances: []registry.Instance{fixtureInstance("s6", "z1", 2, 9006)},
+		Refs: []registry.InstanceRef{{UID: "s7"}}})
 
 	// Leader election.
 	first := lease("lease-seek", table.Operation{Kind: table.Campaign, Name: "release/r", Candidate: "one", TTLMS: 15_000})
@@ -129,9 +129,9 @@
 	lease("lease-handover", table.Operation{Kind: table.Handover, Name: "release/r", Successor: "three"})
 	third := lease("lease-release", table.Operation{Kind: table.Release, Name: "release/r", Candidate: "one", Token: first})
 	second := lease("lease-lapse", table.Operation{Kind: table.Expire, Name: "release/r", Candidate: "three", Token: third, ShortTenure: true})
-	spreadGuard := &registry.Guard{Duty: "spread", Token: lease("lease-seek-spread", table.Operation{Kind: table.Campaign, Name: "spread", Candidate: "one", TTLMS: 5000})}
-	windowGuard := &registry.Guard{Duty: window.LeaseName, Token: lease("lease-seek-window", table.Operation{Kind: table.Campaign, Name: window.LeaseName, Candidate: "one", TTLMS: 5000})}
-	releaseGuard := &registry.Guard{Duty: "release/r", Token: second}
+	spreadGuard := &registry.Guard{Lease: "spread", Token: lease("lease-seek-spread", table.Operation{Kind: table.Campaign, Name: "spread", Candidate: "one", TTLMS: 5000})}
+	windowGuard := &registry.Guard{Lease: window.LeaseName, Token: lease("lease-seek-window", table.Operation{Kind: table.Campaign, Name: window.LeaseName, Candidate: "one", TTLMS: 5000})}
+	releaseGuard := &registry.Guard{Lease: "release/r", Token: second}
 	lease("lease-seek-backup", table.Operation{Kind: table.Campaign, Name: "backup", Candidate: "one", TTLMS: 5000})
 	lease("lease-takeaway", table.Operation{Kind: table.Revoke, Name: "backup"})
 
@@ -151,7 +151,7 @@
 		LeaderTimeMS: monday + 40_000, Expired: []placement.DirectiveRef{{ID: "cohort/r", Revision: cohort}}}})
 
 	// Releases.
-	add("release-start", registry.Record{Op: registry.OpRelease, ID: "write-release", Release: &release.Op{Start: drawn(t, "r", "2")}})
+	add("release-start", registry.Record{Op: registry.OpRelease, ID: "write-release", Release: &release.Op{Start: newReleaseState(t, "r", "2")}})
 	add("release-step", registry.Record{Op: registry.OpRelease, Guard: releaseGuard, Release: &release.Op{Name: "r",
 		Step: &release.Delta{Head: &release.Head{Phase: release.Forward, Wave: 1, Token: second}}}})
 	add("release-command", registry.Record{Op: registry.OpRelease, Release: &release.Op{Name: "r",
@@ -164,12 +164,12 @@
 		MaxWarmingUp: disruption.Limit{Fraction: &half}}})
 	sidecars := add("sidecars", registry.Record{Op: registry.OpSidecars, ID: "write-sidecars", Sidecars: []registry.Sidecar{
 		{Name: "c1", Version: "v1", Zone: "z1", Tenant: "portal", Ready: true, BootMS: monday, TTLMS: 10_000},
-		{Name: "c2", Zone: "z2", Ready: true, Ending: true, TTLMS: 10_000},
+		{Name: "c2", Zone: "z2", Ready: true, Draining: true, TTLMS: 10_000},
 		{Name: "c3", Ready: true, TTLMS: 10_000}, {Name: "c4", TTLMS: 10_000},
 	}})
-	add("sidecars-left", registry.Record{Op: registry.OpSidecars, Refs: []registry.Ref{{UID: "c2"}}, State: "left"})
-	add("sidecars-lost", registry.Record{Op: registry.OpSidecars, Refs: []registry.Ref{{UID: "c4", Rev: sidecars}}, State: "lost"})
-	add("sidecars-held", registry.Record{Op: registry.OpSidecars, Refs: []registry.Ref{{UID: "c3", Rev: sidecars}}, State: "held"})
+	add("sidecars-left", registry.Record{Op: registry.OpSidecars, Refs: []registry.InstanceRef{{UID: "c2"}}, State: "left"})
+	add("sidecars-lost", registry.Record{Op: registry.OpSidecars, Refs: []registry.InstanceRef{{UID: "c4", Revision: sidecars}}, State: "lost"})
+	add("sidecars-held", registry.Record{Op: registry.OpSidecars, Refs: []registry.InstanceRef{{UID: "c3", Revision: sidecars}}, State: "held"})
 	add("sidecars-again", registry.Record{Op: registry.OpSidecars, Sidecars: []registry.Sidecar{{Name: "c3", Ready: true, TTLMS: 10_000}}})
 	permit := func(id string) *disruption.Permit { return &disruption.Permit{ID: id} }
 	ledger("ledger-forget", nil, disruption.Op{Kind: disruption.OpForget, Owner: "operator/eva", Units: []string{"sidecar/c4"}})
@@ -226,10 +226,10 @@
 }
 
 // snapshotBody is a snapshot without its first line and checksum: JSON.
-func snapshotBody(t *testing.T, state *registry.State) []byte {
+func snapshotBody(t *testing.T, state *registry.StateMachine) []byte {
 	t.Helper()
 	var buffer bytes.Buffer
-	if err := state.Snapshot(&buffer); err != nil {
+	if err := state.WriteSnapshot(&buffer); err != nil {
 		t.Fatal(err)
 	}
 	_, rest, found := bytes.Cut(buffer.Bytes(), []byte("\n"))
@@ -242,7 +242,7 @@
 // TestStoredRecords reads the stored bytes of a record of every kind, writes the same bytes again, and applies them: the
 // outcome, the revision and the whole state after each record are those of the version that wrote them.
 func TestStoredRecords(t *testing.T) {
-	state := registry.NewState()
+	state := registry.NewStateMachine()
 	operations := map[registry.Op]bool{}
 	var states bytes.Buffer
 	for _, entry := range fixtureLog(t) {
@@ -263,15 +263,15 @@
 			t.Errorf("%s: read and written again it is\n%q\nnot\n%q: %v", entry.name, again, stored, err)
 		}
 		result := state.Apply(entry.index, decoded)
-		if result.Outcome != registry.Done {
+		if result.Outcome != registry.OutcomeDone {
 			t.Errorf("%s is not applied: %+v", entry.name, result)
 		}
 		operations[decoded.Op] = true
-		fmt.Fprintf(&states, "# %s: %s at revision %d\n%s\n", entry.name, result.Outcome, result.Rev, snapshotBody(t, state))
+		fmt.Fprintf(&states, "# %s: %s at revision %d\n%s\n", entry.name, result.Outcome, result.Revision, snapshotBody(t, state))
 	}
 	for _, op := range []registry.Op{
-		registry.OpRegister, registry.OpState, registry.OpDeregister, registry.OpExpire, registry.OpSuspect, registry.OpEpoch, registry.OpDuty,
-		registry.OpPlacement, registry.OpRelease, registry.OpWindow, registry.OpLedger, registry.OpSidecars, registry.OpFollow,
+		registry.OpRegister, registry.OpSetState, registry.OpDeregister, registry.OpExpire, registry.OpSuspect, registry.OpEpoch, registry.OpLease,
+		registry.OpPlacement, registry.OpRelease, registry.OpWindow, registry.OpLedger, registry.OpSidecars, registry.OpMirror,
 	} {
 		if !operations[op] {
 			t.Errorf("no record of operation %q", op)
@@ -293,14 +293,14 @@
 	}
 	for name, included := range snapshots {
 		t.Run(name, func(t *testing.T) {
-			state := registry.NewState()
+			state := registry.NewStateMachine()
 			for _, entry := range fixtureLog(t) {
 				if included(entry) {
 					state.Apply(entry.index, &entry.record)
 				}
 			}
 			var written bytes.Buffer
-			if err := state.Snapshot(&written); err != nil {
+			if err := state.WriteSnapshot(&written); err != nil {
 				t.Fatal(err)
 			}
 			golden(t, name, written.Bytes())
@@ -313,11 +313,11 @@
 				t.Fatal(err)
 			}
 			var again bytes.Buffer
-			if err := restored.Snapshot(&again); err != nil || !bytes.Equal(again.Bytes(), stored) {
+			if err := restored.WriteSnapshot(&again); err != nil || !bytes.Equal(again.Bytes(), stored) {
 				t.Errorf("read and written again it is\n%q\nnot\n%q: %v", again.Bytes(), stored, err)
 			}
-			if restored.Rev() != state.Rev() || restored.Epoch() != state.Epoch() || restored.Len() != state.Len() {
-				t.Errorf("restored: revision %d, epoch %d, %d instances; was %d, %d, %d", restored.Rev(), restored.Epoch(), restored.Len(), state.Rev(), state.Epoch(), state.Len())
+			if restored.Revision() != state.Revision() || restored.Epoch() != state.Epoch() || restored.Len() != state.Len() {
+				t.Errorf("restored: revision %d, epoch %d, %d instances; was %d, %d, %d", restored.Revision(), restored.Epoch(), restored.Len(), state.Revision(), state.Epoch(), state.Len())
 			}
 		})
 	}
@@ -353,7 +353,7 @@
 
 // servedLog is a log of what watchers are served, by the clock of a synctest bubble.
 func servedLog(nowMS int64) []logEntry {
-	guard := &registry.Guard{Duty: "spread", Token: 5}
+	guard := &registry.Guard{Lease: "spread", Token: 5}
 	records := []struct {
 		name   string
 		record registry.Record
@@ -361,17 +361,17 @@
 		{"epoch", registry.Record{Op: registry.OpEpoch, Epoch: 4_503_599_627_370_495}},
 		{"register", registry.Record{Op: registry.OpRegister, Instances: []registry.Instance{
 			fixtureInstance("s1", "z1", 1, 9001), fixtureInstance("s2", "z2", 1, 9002)}}},
-		{"state", registry.Record{Op: registry.OpState, State: registry.Terminating, Refs: []registry.Ref{{UID: "s1"}}}},
-		{"lease", registry.Record{Op: registry.OpDuty, Duty: &table.Operation{Kind: table.Campaign, Name: "spread", Candidate: "one", TTLMS: 5000}}},
+		{"state", registry.Record{Op: registry.OpSetState, State: registry.InstanceTerminating, Refs: []registry.InstanceRef{{UID: "s1"}}}},
+		{"lease", registry.Record{Op: registry.OpLease, Lease: &table.Operation{Kind: table.Campaign, Name: "spread", Candidate: "one", TTLMS: 5000}}},
 		{"placement", registry.Record{Op: registry.OpPlacement, Guard: guard, Placement: &placement.Op{LeaderTimeMS: nowMS, Set: []placement.Directive{
 			{ID: "spread/0123456789abcdef", Kind: placement.KindSpreadKey, KeyHash: "0123456789abcdef", ExpiresAtMS: nowMS + 60_000, Copies: []placement.KeyCopy{{ServerUID: "s1", LoadFraction: 0.25}}},
 			{ID: "spread/fedcba9876543210", Kind: placement.KindSpreadKey, KeyHash: "fedcba9876543210", ExpiresAtMS: nowMS + 90_000, Copies: []placement.KeyCopy{{ServerUID: "s2"}}},
 		}}}},
-		{"suspect", registry.Record{Op: registry.OpSuspect, Refs: []registry.Ref{{UID: "s2"}}, On: true}},
+		{"suspect", registry.Record{Op: registry.OpSuspect, Refs: []registry.InstanceRef{{UID: "s2"}}, Suspected: true}},
 		{"register-batch", registry.Record{Op: registry.OpRegister, Instances: []registry.Instance{
 			fixtureInstance("s3", "z1", 2, 9003), fixtureInstance("s4", "z2", 2, 9004)}}},
 		{"placement-drop", registry.Record{Op: registry.OpPlacement, Guard: guard, Placement: &placement.Op{LeaderTimeMS: nowMS, Delete: []string{"spread/fedcba9876543210"}}}},
-		{"deregister", registry.Record{Op: registry.OpDeregister, Refs: []registry.Ref{{UID: "s1"}}}},
+		{"deregister", registry.Record{Op: registry.OpDeregister, Refs: []registry.InstanceRef{{UID: "s1"}}}},
 	}
 	var log []logEntry
 	for n, r := range records {
@@ -385,7 +385,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		hub := registry.NewHub()
 		feed := registry.NewPlacementFeed(func(after, epoch uint64) (list placement.Update) {
-			hub.Read(func(state *registry.State) {
+			hub.Read(func(state *registry.StateMachine) {
 				list = state.Placement().ChangesSince(after, epoch, time.Now().Add(50*time.Millisecond).UnixMilli())
 			})
 			return list
@@ -414,7 +414,7 @@
 			if _, err := hub.Apply(entry.index, &entry.record); err != nil {
 				t.Fatal(err)
 			}
-			feed.Ring()
+			feed.Notify()
 			time.Sleep(100 * time.Millisecond) // of the bubble's clock: watchers are woken together
 			synctest.Wait()
 			note("list watch after "+entry.name, list)
@@ -426,7 +426,7 @@
 		note("placement watch, heartbeat", entries)
 
 		var epoch uint64
-		hub.Read(func(state *registry.State) { epoch = state.Epoch() })
+		hub.Read(func(state *registry.StateMachine) { epoch = state.Epoch() })
 		for _, cursor := range []struct {
 			name         string
 			after, epoch uint64
@@ -439,7 +439,7 @@
 			note("list watch "+cursor.name, late)
 			note("placement watch "+cursor.name, lateEntries)
 		}
-		for name, write := range map[string]func(http.ResponseWriter) error{"list.json": hub.WriteWhole, "placement.json": feed.WriteWhole} {
+		for name, write := range map[string]func(http.ResponseWriter) error{"list.json": hub.WriteFullList, "placement.json": feed.WriteFullList} {
 			recorder := newBodyRecorder()
 			if err := write(recorder); err != nil {
 				t.Fatal(err)
@@ -534,8 +534,8 @@
 	e, client, address := startExchange(t, servedAnswers)
 	ctx := t.Context()
 	revision := uint64(11)
-	guard := &registry.Guard{Duty: "release/r", Token: 16}
-	write := registry.Write{ID: "w1", IfRev: &revision, Guard: guard}
+	guard := &registry.Guard{Lease: "release/r", Token: 16}
+	write := registry.WriteOptions{ID: "w1", IfRevision: &revision, Guard: guard}
 	var calls bytes.Buffer
 	call := func(name string, value any, err error) {
 		t.Helper()
@@ -553,9 +553,9 @@
 	}
 	result, err := client.Register(ctx, write, fixtureInstance("s1", "z1", 1, 9001), fixtureInstance("s2", "z2", 1, 9002))
 	call("register", result, err)
-	renewal, err := client.Renew(ctx, []string{"s1", "s2"})
+	renewal, err := client.RenewInstances(ctx, []string{"s1", "s2"})
 	call("renew", renewal, err)
-	result, err = client.SetState(ctx, write, "s1", registry.Terminating)
+	result, err = client.SetState(ctx, write, "s1", registry.InstanceTerminating)
 	call("set state", result, err)
 	result, err = client.Deregister(ctx, write, "s/1")
 	call("deregister", result, err)
@@ -565,64 +565,64 @@
 	call("list", list, err)
 	list, err = client.List(ctx, false)
 	call("list of any replica", list, err)
-	result, err = client.Suspects(ctx, true)
+	result, err = client.ResolveSuspects(ctx, true)
 	call("suspects", result, err)
 	members, err := client.Members(ctx)
 	call("members", members, err)
-	members, err = client.AddMember(ctx, registry.Member{HTTP: "127.0.0.1:8600", Raft: "127.0.0.1:8601"})
+	members, err = client.AddMember(ctx, registry.Member{HTTPAddr: "127.0.0.1:8600", RaftAddr: "127.0.0.1:8601"})
 	call("add member", members, err)
 	members, err = client.RemoveMember(ctx, "127.0.0.1:8600")
 	call("remove member", members, err)
-	status, err := client.StatusOf(ctx, address)
+	status, err := client.ReplicaStatus(ctx, address)
 	call("status", status, err)
 
-	lease, err := client.Duty(ctx, table.Campaign, "release/r", registry.DutyCall{ID: "w2", Who: "one", TTLMS: 15_000})
+	lease, err := client.UpdateLease(ctx, table.Campaign, "release/r", registry.LeaseRequest{ID: "w2", Candidate: "one", TTLMS: 15_000})
 	call("seek", lease, err)
-	lease, err = client.Duty(ctx, table.Handover, "release/r", registry.DutyCall{ID: "w3", To: "two"})
+	lease, err = client.UpdateLease(ctx, table.Handover, "release/r", registry.LeaseRequest{ID: "w3", Successor: "two"})
 	call("handover", lease, err)
-	lease, err = client.Duty(ctx, table.Revoke, "release/r", registry.DutyCall{ID: "w4"})
+	lease, err = client.UpdateLease(ctx, table.Revoke, "release/r", registry.LeaseRequest{ID: "w4"})
 	call("takeaway", lease, err)
-	lease, err = client.Duty(ctx, table.Checkpoint, "backup", registry.DutyCall{ID: "w5", Who: "one", Token: 16, Data: []byte("wave 2")})
+	lease, err = client.UpdateLease(ctx, table.Checkpoint, "backup", registry.LeaseRequest{ID: "w5", Candidate: "one", Token: 16, Data: []byte("wave 2")})
 	call("checkpoint", lease, err)
-	lease, err = client.GetDuty(ctx, "release/r")
+	lease, err = client.Lease(ctx, "release/r")
 	call("lease", lease, err)
-	lost, err := client.RenewDuties(ctx, "one", []registry.DutyRenewal{{Name: "spread", Token: 16}, {Name: "window"}})
+	lost, err := client.RenewLeases(ctx, "one", []registry.LeaseRenewal{{Name: "spread", Token: 16}, {Name: "window"}})
 	call("renew leases", lost, err)
 
-	ledgerResult, err := client.Ledger(ctx, registry.Write{ID: "w6", Guard: guard}, disruption.Op{Kind: disruption.OpRequest, Owner: "operator/eva",
+	ledgerResult, err := client.ApplyLedgerOp(ctx, registry.WriteOptions{ID: "w6", Guard: guard}, disruption.Op{Kind: disruption.OpRequest, Owner: "operator/eva",
 		Permit: &disruption.Permit{ID: "p1", Owner: "operator/eva", Purpose: "restart", Units: []string{"server/s2"}, Priority: disruption.PriorityRollout, Disposition: disruption.DispositionReturn}})
 	call("ledger", ledgerResult, err)
 	view, err := client.LedgerView(ctx, true, true)
 	call("ledger view", view, err)
 	permit, err := client.Permit(ctx, "p/1")
 	call("permit", permit, err)
-	result, err = client.RegisterSidecars(ctx, registry.SidecarCall{ID: "w7", TTLMS: 10_000, Gone: []string{"c2"}, Sidecars: []registry.Sidecar{
-		{Name: "c1", Version: "v1", Zone: "z1", Tenant: "portal", Ready: true, Ending: true, BootMS: 7, TTLMS: 10_000, ListRev: 11, PlacementRev: 10}}})
+	result, err = client.RegisterSidecars(ctx, registry.SidecarRequest{ID: "w7", TTLMS: 10_000, Deregistered: []string{"c2"}, Sidecars: []registry.Sidecar{
+		{Name: "c1", Version: "v1", Zone: "z1", Tenant: "portal", Ready: true, Draining: true, BootMS: 7, TTLMS: 10_000, ListRevision: 11, PlacementRevision: 10}}})
 	call("register sidecars", result, err)
 	sidecars, err := client.Sidecars(ctx)
 	call("sidecars", sidecars, err)
 
-	result, err = client.SetPlacement(ctx, registry.Write{ID: "w8", Guard: guard}, monday,
+	result, err = client.SetPlacement(ctx, registry.WriteOptions{ID: "w8", Guard: guard}, monday,
 		[]placement.Directive{{ID: "cohort/r", Kind: placement.KindCohort, Cohort: "r", Servers: []string{"s1"}, ExpiresAtMS: monday + 1000}}, "cohort/q")
 	call("set placement", result, err)
-	result, err = client.DropPlacement(ctx, registry.Write{ID: "w9", Guard: guard}, "cohort/r")
+	result, err = client.RemovePlacement(ctx, registry.WriteOptions{ID: "w9", Guard: guard}, "cohort/r")
 	call("drop placement", result, err)
 	entries, err := client.PlacementView(ctx, true)
 	call("placement", entries, err)
 
-	result, err = client.WriteRelease(ctx, registry.Write{ID: "w10", Guard: guard}, "r", release.Op{Step: &release.Delta{Seq: 1, Head: &release.Head{Phase: release.Forward, Wave: 2}}})
+	result, err = client.WriteRelease(ctx, registry.WriteOptions{ID: "w10", Guard: guard}, "r", release.Op{Step: &release.Delta{Seq: 1, Head: &release.Head{Phase: release.Forward, Wave: 2}}})
 	call("write release", result, err)
 	found, err := client.Release(ctx, "r", true, true)
 	call("release", found, err)
 	releases, err := client.Releases(ctx)
 	call("releases", releases, err)
-	result, err = client.WriteWindow(ctx, registry.Write{ID: "w11", Guard: guard}, window.Timestamp{ControllerMS: monday, UncertaintyMS: 100}, window.Operation{Kind: window.OpAwaitPermit, Window: "w"})
+	result, err = client.WriteWindow(ctx, registry.WriteOptions{ID: "w11", Guard: guard}, window.Timestamp{ControllerMS: monday, UncertaintyMS: 100}, window.Operation{Kind: window.OpAwaitPermit, Window: "w"})
 	call("write window", result, err)
 	windows, err := client.Windows(ctx, true)
 	call("windows", windows, err)
 
 	stop := errors.New("one line is enough")
-	err = client.WatchReplica(ctx, address, 11, 5, func(list *registry.List, age time.Duration) error {
+	err = client.WatchEndpoints(ctx, address, 11, 5, func(list *registry.EndpointList, age time.Duration) error {
 		call(fmt.Sprintf("watch, %v old", age), list, nil)
 		return stop
 	})
@@ -643,14 +643,14 @@
 // does not know any more is registered again.
 func TestKeepAliveRequests(t *testing.T) {
 	e, client, _ := startExchange(t, servedAnswers)
-	keepAlive := registry.NewKeeper(client, fixtureInstance("s1", "z1", 1, 9001), fixtureInstance("s2", "z2", 1, 9002))
+	keepAlive := registry.NewLeaseKeepAlive(client, fixtureInstance("s1", "z1", 1, 9001), fixtureInstance("s2", "z2", 1, 9002))
 	for range 2 {
-		if err := keepAlive.Once(t.Context()); err != nil {
+		if err := keepAlive.RenewOnce(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	keepAlive.Drop("s2")
-	if err := keepAlive.Once(t.Context()); err != nil {
+	keepAlive.Remove("s2")
+	if err := keepAlive.RenewOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "keepalive.txt", e.requests.Bytes())
--- a/internal/registry/holddown.go
+++ b/internal/registry/holddown.go
@@ -9,93 +9,95 @@
 )
 
 const (
-	// shortLeases is how many leases a tenure has to last to count as one that went well: who takes a duty up and fails
+	// shortTenureLeases is how many leases a tenure has to last to count as one that went well: who takes a duty up and fails
 	// then loses it within two.
-	shortLeases = 3
-	// fallsAllowed come without a wait: two may be bad luck.
-	fallsAllowed = 2
-	// firstWait is how many leases the first wait lasts, and each further one twice as long, up to mostWait: by then the
+	shortTenureLeases = 3
+	// allowedShortTenures come without a wait: two may be bad luck.
+	allowedShortTenures = 2
+	// initialHoldDownLeases is how many leases the first wait lasts, and each further one twice as long, up to maxHoldDown: by then the
 	// next in line has had the time for a tenure that counts.
-	firstWait = 4
-	mostWait  = time.Minute
+	initialHoldDownLeases = 4
+	maxHoldDown           = time.Minute
 )
 
 // holdDown is the wait of a candidate that had a duty several times for a short while each. The count is the table's,
 // the time the leader's; a new leader begins all waits anew.
 type holdDown struct {
-	fall   table.Failover
-	until  time.Time
-	sought time.Time // when it last asked for the duty and had to wait
+	failover       table.Failover
+	expiresAt      time.Time
+	lastCampaignAt time.Time // when it last asked for the duty and had to wait
 }
 
-// downFor is how long a candidate waits after so many falls.
-func downFor(ttl time.Duration, falls int) time.Duration {
-	if falls <= fallsAllowed {
+// holdDownDuration is how long a candidate waits after so many falls.
+func holdDownDuration(ttl time.Duration, shortTenures int) time.Duration {
+	if shortTenures <= allowedShortTenures {
 		return 0
 	}
-	return min(firstWait*ttl<<(falls-fallsAllowed-1), mostWait)
+	return min(initialHoldDownLeases*ttl<<(shortTenures-allowedShortTenures-1), maxHoldDown)
 }
 
-// putDown begins the waits that are not known; the caller holds the lock.
-func (l *dutyLeases) putDown(now time.Time, d *table.Lease) {
-	for who, h := range l.down[d.Name] {
-		if d.FailoversOf(who).Token != h.fall.Token {
-			delete(l.down[d.Name], who)
+// trackHoldDownsLocked begins the waits that are not known; the caller holds the lock.
+func (l *leaseTracker) trackHoldDownsLocked(now time.Time, current *table.Lease) {
+	for candidate, entry := range l.holdDowns[current.Name] {
+		if current.FailoversOf(candidate).Token != entry.failover.Token {
+			delete(l.holdDowns[current.Name], candidate)
 		}
 	}
-	for _, f := range d.Failovers {
-		wait := downFor(time.Duration(d.TTLMS)*time.Millisecond, f.Count)
-		if wait == 0 || l.down[d.Name][f.Candidate] != nil {
+	for _, failover := range current.Failovers {
+		duration := holdDownDuration(time.Duration(current.TTLMS)*time.Millisecond, failover.Count)
+		if duration == 0 || l.holdDowns[current.Name][failover.Candidate] != nil {
 			continue
 		}
-		if l.down[d.Name] == nil {
-			l.down[d.Name] = map[string]*holdDown{}
+		if l.holdDowns[current.Name] == nil {
+			l.holdDowns[current.Name] = map[string]*holdDown{}
 		}
-		l.down[d.Name][f.Candidate] = &holdDown{fall: f, until: now.Add(wait)}
+		l.holdDowns[current.Name][failover.Candidate] = &holdDown{failover: failover, expiresAt: now.Add(duration)}
 	}
 }
 
-// admit tells whether a candidate may have the duty or a place in its queue. One that is held down waits, unless nobody
+// admitCandidate tells whether a candidate may have the duty or a place in its queue. One that is held down waits, unless nobody
 // else is there: no holder, no queue, and no other that waits like it and has asked within a lease.
-func (l *dutyLeases) admit(now time.Time, s *State, name, who string) bool {
+func (l *leaseTracker) admitCandidate(now time.Time, state *StateMachine, name, candidate string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d, _ := s.duties.Get(name)
-	h := l.down[name][who]
-	if h == nil || !now.Before(h.until) || d.Holder == who || slices.Contains(d.Queue, who) {
+	current, _ := state.leases.Get(name)
+	entry := l.holdDowns[name][candidate]
+	if entry == nil || !now.Before(entry.expiresAt) || current.Holder == candidate || slices.Contains(current.Queue, candidate) {
 		return true
 	}
-	if h.sought.IsZero() {
-		slog.Info("candidate of a duty is held down", "duty", name, "who", who, "falls", h.fall.Count, "for", h.until.Sub(now))
+	if entry.lastCampaignAt.IsZero() {
+		slog.Info("candidate of a duty is held down", "duty", name, "who", candidate, "falls", entry.failover.Count, "for", entry.expiresAt.Sub(now))
 	}
-	h.sought = now
-	if d.Holder != "" || len(d.Queue) > 0 {
+	entry.lastCampaignAt = now
+	if current.Holder != "" || len(current.Queue) > 0 {
 		return false
 	}
-	ttl := time.Duration(d.TTLMS) * time.Millisecond
-	for other, o := range l.down[name] {
-		if other != who && !o.sought.IsZero() && now.Sub(o.sought) < ttl {
+	ttl := time.Duration(current.TTLMS) * time.Millisecond
+	for other, otherEntry := range l.holdDowns[name] {
+		if other != candidate && !otherEntry.lastCampaignAt.IsZero() && now.Sub(otherEntry.lastCampaignAt) < ttl {
 			return false
 		}
 	}
 	return true
 }
 
-// short tells whether a tenure that ends now was one.
-func (l *dutyLeases) short(now time.Time, name, who string, token uint64) bool {
+// isShortTenure tells whether a tenure that ends now was one.
+func (l *leaseTracker) isShortTenure(now time.Time, name, candidate string, token uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.of[name][who]
-	return e != nil && e.token == token && e.short(now)
+	entry := l.leases[name][candidate]
+	return entry != nil && entry.token == token && entry.isShortTenure(now)
 }
 
-// short needs to have seen the beginning: what began under another leader may have lasted for long.
-func (e *dutyLease) short(now time.Time) bool {
-	return e.token != 0 && e.seen && now.Sub(e.begun) < shortLeases*e.ttl
+// isShortTenure needs to have seen the beginning: what began under another leader may have lasted for long.
+func (e *trackedLease) isShortTenure(now time.Time) bool {
+	return e.token != 0 && e.startObserved && now.Sub(e.startedAt) < shortTenureLeases*e.ttl
 }
 
-// admits is admit for a call.
-func (r *Replica) admits(name, who string) (yes bool) {
-	r.hub.Read(func(s *State) { yes = r.duties.admit(time.Now(), s, name, who) })
-	return yes
+// admitCandidate is admit for a call.
+func (r *Replica) admitCandidate(name, candidate string) (admitted bool) {
+	r.hub.Read(func(state *StateMachine) {
+		admitted = r.leaseTracker.admitCandidate(time.Now(), state, name, candidate)
+	})
+	return admitted
 }
--- a/internal/registry/holddown_test.go
+++ b/internal/registry/holddown_test.go
@@ -10,171 +10,171 @@
 	"milldeck/internal/duty/table"
 )
 
-// downFault is what a mutant of the hold-down's model leaves out.
-type downFault int
+// holdDownMutant is what a mutant of the hold-down's model leaves out.
+type holdDownMutant int
 
 const (
-	downSound   downFault = iota
-	neverCounts           // no tenure counts as short
-	alwaysWaits           // also who is the only one waits
-	noEnd                 // a wait never ends
+	noHoldDownMutant holdDownMutant = iota
+	neverCountsShort                // no tenure counts as short
+	holdsDownAlone                  // also who is the only one waits
+	holdsDownForever                // a wait never ends
 )
 
-// downWorld is candidates of one duty on a virtual clock in steps of 50 ms. A flapper gives the duty up, or falls silent,
+// holdDownModel is candidates of one duty on a virtual clock in steps of 50 ms. A flapper gives the duty up, or falls silent,
 // within short of three leases; a steady one holds until it is told to go.
-type downWorld struct {
-	t      *rapid.T
-	broken downFault
-	now    time.Duration
-	index  uint64
-	state  *State
-	leader *dutyLeases
-	all    []*downCandidate
-	since  time.Duration // of the newest leader
-	wrong  string
+type holdDownModel struct {
+	t           *rapid.T
+	mutant      holdDownMutant
+	now         time.Duration
+	index       uint64
+	state       *StateMachine
+	leader      *leaseTracker
+	candidates  []*holdDownCandidate
+	leaderSince time.Duration // of the newest leader
+	violation   string
 }
 
-type downCandidate struct {
-	who       string
-	flaps     bool
-	away      time.Duration // until when it is silent
-	heldFrom  time.Duration
-	holds     bool
-	failsAt   time.Duration
-	wentAt    time.Duration // when its last tenure ended
-	short     int           // tenures in a row, as this model counts them
-	refused   time.Duration // since when it has been refused; 0: it is not
-	tenures   int
-	lastSeeks time.Duration
+type holdDownCandidate struct {
+	name          string
+	flaps         bool
+	silentUntil   time.Duration // until when it is silent
+	heldFrom      time.Duration
+	holds         bool
+	failsAt       time.Duration
+	tenureEndedAt time.Duration // when its last tenure ended
+	shortTenures  int           // tenures in a row, as this model counts them
+	refusedSince  time.Duration // since when it has been refused; 0: it is not
+	tenures       int
+	lastCampaign  time.Duration
 }
 
-const downStep = 50 * time.Millisecond
+const holdDownStep = 50 * time.Millisecond
 
-func (w *downWorld) clock() time.Time { return time.Unix(1_000_000, 0).Add(w.now) }
+func (w *holdDownModel) clock() time.Time { return time.Unix(1_000_000, 0).Add(w.now) }
 
-func (w *downWorld) apply(op table.Operation) {
+func (w *holdDownModel) apply(op table.Operation) {
 	w.index++
-	w.state.Apply(w.index, &Record{Op: OpDuty, Duty: &op})
-	w.leader.follow(w.clock(), w.state, op.Name)
+	w.state.Apply(w.index, &Record{Op: OpLease, Lease: &op})
+	w.leader.refresh(w.clock(), w.state, op.Name)
 }
 
-func (w *downWorld) duty() table.Lease {
-	d, _ := w.state.Duties().Get("d")
-	return d
+func (w *holdDownModel) current() table.Lease {
+	current, _ := w.state.Leases().Get("d")
+	return current
 }
 
-// went ends a tenure, by a release or a lapse.
-func (w *downWorld) went(op table.Operation) {
-	if w.broken == neverCounts {
+// endTenure ends a tenure, by a release or a lapse.
+func (w *holdDownModel) endTenure(op table.Operation) {
+	if w.mutant == neverCountsShort {
 		op.ShortTenure = false
 	}
-	for _, c := range w.all {
-		if c.who == op.Candidate && c.holds {
-			c.holds, c.wentAt = false, w.now
-			if w.now-c.heldFrom < shortLeases*modelTTL && c.heldFrom > w.since+modelTTL { // seen from its beginning
-				c.short++
+	for _, candidate := range w.candidates {
+		if candidate.name == op.Candidate && candidate.holds {
+			candidate.holds, candidate.tenureEndedAt = false, w.now
+			if w.now-candidate.heldFrom < shortTenureLeases*modelTTL && candidate.heldFrom > w.leaderSince+modelTTL { // seen from its beginning
+				candidate.shortTenures++
 			} else {
-				c.short = 0
+				candidate.shortTenures = 0
 			}
 		}
 	}
 	w.apply(op)
 }
 
-func (w *downWorld) seek(c *downCandidate) {
-	c.lastSeeks = w.now
+func (w *holdDownModel) campaign(candidate *holdDownCandidate) {
+	candidate.lastCampaign = w.now
 	others := 0
-	d := w.duty()
-	for _, o := range w.all {
-		if o != c && (d.Holder == o.who || len(d.Queue) > 0 || o.refused > 0 && w.now-o.lastSeeks < modelTTL) {
+	current := w.current()
+	for _, other := range w.candidates {
+		if other != candidate && (current.Holder == other.name || len(current.Queue) > 0 || other.refusedSince > 0 && w.now-other.lastCampaign < modelTTL) {
 			others++
 		}
 	}
 	// After a change of the leader the waits begin anew, so that only their bounds are known.
-	waits := c.short > fallsAllowed && c.wentAt >= w.since && w.now < c.wentAt+downFor(modelTTL, min(c.short, table.MaxFailoverCount))
-	yes := w.leader.admit(w.clock(), w.state, "d", c.who)
-	if w.broken == alwaysWaits && waits || w.broken == noEnd && c.short > fallsAllowed {
-		yes = false
+	heldDown := candidate.shortTenures > allowedShortTenures && candidate.tenureEndedAt >= w.leaderSince && w.now < candidate.tenureEndedAt+holdDownDuration(modelTTL, min(candidate.shortTenures, table.MaxFailoverCount))
+	admitted := w.leader.admitCandidate(w.clock(), w.state, "d", candidate.name)
+	if w.mutant == holdsDownAlone && heldDown || w.mutant == holdsDownForever && candidate.shortTenures > allowedShortTenures {
+		admitted = false
 	}
 	switch {
-	case yes && waits && others > 0:
-		w.wrong = fmt.Sprintf("at %v %s came back after %d short tenures, the last until %v", w.now, c.who, c.short, c.wentAt)
-	case !yes && others == 0:
-		w.wrong = fmt.Sprintf("at %v %s has to wait though it is the only one", w.now, c.who)
-	case !yes && c.refused > 0 && w.now > max(c.refused, w.since)+mostWait:
-		w.wrong = fmt.Sprintf("at %v %s has waited since %v", w.now, c.who, c.refused)
+	case admitted && heldDown && others > 0:
+		w.violation = fmt.Sprintf("at %v %s came back after %d short tenures, the last until %v", w.now, candidate.name, candidate.shortTenures, candidate.tenureEndedAt)
+	case !admitted && others == 0:
+		w.violation = fmt.Sprintf("at %v %s has to wait though it is the only one", w.now, candidate.name)
+	case !admitted && candidate.refusedSince > 0 && w.now > max(candidate.refusedSince, w.leaderSince)+maxHoldDown:
+		w.violation = fmt.Sprintf("at %v %s has waited since %v", w.now, candidate.name, candidate.refusedSince)
 	}
-	if yes {
-		c.refused = 0
-		w.apply(table.Operation{Kind: table.Campaign, Name: "d", Candidate: c.who, TTLMS: modelTTL.Milliseconds()})
-	} else if c.refused == 0 {
-		c.refused = w.now
+	if admitted {
+		candidate.refusedSince = 0
+		w.apply(table.Operation{Kind: table.Campaign, Name: "d", Candidate: candidate.name, TTLMS: modelTTL.Milliseconds()})
+	} else if candidate.refusedSince == 0 {
+		candidate.refusedSince = w.now
 	}
 }
 
-func (w *downWorld) step(c *downCandidate) {
-	if w.now < c.away {
+func (w *holdDownModel) step(candidate *holdDownCandidate) {
+	if w.now < candidate.silentUntil {
 		return
 	}
-	d := w.duty()
+	current := w.current()
 	switch {
-	case d.Holder == c.who:
-		if !c.holds {
-			c.holds, c.heldFrom, c.tenures = true, w.now, c.tenures+1
-			c.failsAt = w.now + time.Duration(rapid.IntRange(1, 30).Draw(w.t, "fails after"))*downStep
+	case current.Holder == candidate.name:
+		if !candidate.holds {
+			candidate.holds, candidate.heldFrom, candidate.tenures = true, w.now, candidate.tenures+1
+			candidate.failsAt = w.now + time.Duration(rapid.IntRange(1, 30).Draw(w.t, "fails after"))*holdDownStep
 		}
-		if c.flaps && w.now >= c.failsAt {
+		if candidate.flaps && w.now >= candidate.failsAt {
 			if rapid.Bool().Draw(w.t, "silent") {
-				c.away = w.now + modelTTL*3/2
+				candidate.silentUntil = w.now + modelTTL*3/2
 				return
 			}
-			w.went(table.Operation{Kind: table.Release, Name: "d", Candidate: c.who, Token: d.Token,
-				ShortTenure: w.leader.short(w.clock(), "d", c.who, d.Token)})
+			w.endTenure(table.Operation{Kind: table.Release, Name: "d", Candidate: candidate.name, Token: current.Token,
+				ShortTenure: w.leader.isShortTenure(w.clock(), "d", candidate.name, current.Token)})
 			return
 		}
-		w.leader.renew(w.clock(), w.state, "d", c.who, d.Token)
-	case w.now-c.lastSeeks >= modelTTL/3:
-		if !w.leader.renew(w.clock(), w.state, "d", c.who, 0) {
-			w.seek(c)
+		w.leader.renew(w.clock(), w.state, "d", candidate.name, current.Token)
+	case w.now-candidate.lastCampaign >= modelTTL/3:
+		if !w.leader.renew(w.clock(), w.state, "d", candidate.name, 0) {
+			w.campaign(candidate)
 		}
 	}
 }
 
-// playDown runs candidates for two minutes; changes is how often the duty passed on.
-func playDown(t *rapid.T, broken downFault, flappers, steady int, leaders bool) (wrong string, changes uint64, w *downWorld) {
-	w = &downWorld{t: t, broken: broken, state: NewState(), leader: newDutyLeases(), since: -time.Hour}
-	for i := range flappers + steady {
-		w.all = append(w.all, &downCandidate{who: fmt.Sprint("c", i), flaps: i < flappers, lastSeeks: -modelTTL})
+// runHoldDownModel runs candidates for two minutes; changes is how often the duty passed on.
+func runHoldDownModel(t *rapid.T, mutant holdDownMutant, flappers, steady int, leaders bool) (violation string, changes uint64, model *holdDownModel) {
+	model = &holdDownModel{t: t, mutant: mutant, state: NewStateMachine(), leader: newLeaseTracker(), leaderSince: -time.Hour}
+	for index := range flappers + steady {
+		model.candidates = append(model.candidates, &holdDownCandidate{name: fmt.Sprint("c", index), flaps: index < flappers, lastCampaign: -modelTTL})
 	}
-	for ; w.now < 2*time.Minute && w.wrong == ""; w.now += downStep {
-		for _, c := range w.all {
-			w.step(c)
+	for ; model.now < 2*time.Minute && model.violation == ""; model.now += holdDownStep {
+		for _, candidate := range model.candidates {
+			model.step(candidate)
 		}
-		for _, op := range w.leader.ended(w.clock()) {
-			w.went(op)
+		for _, op := range model.leader.findExpired(model.clock()) {
+			model.endTenure(op)
 		}
 		if leaders && rapid.IntRange(0, 99).Draw(t, "another leader") == 0 {
-			w.leader, w.since = newDutyLeases(), w.now
-			w.leader.reset(w.clock(), w.state)
+			model.leader, model.leaderSince = newLeaseTracker(), model.now
+			model.leader.reset(model.clock(), model.state)
 		}
 	}
-	return w.wrong, w.duty().Transitions, w
+	return model.violation, model.current().Transitions, model
 }
 
-// downExamples plays on so many seeds, the same with each run.
-func downExamples(n int, broken downFault, flappers, steady int, leaders bool) (wrong string, changes uint64, steadyHeld bool) {
+// runHoldDownExamples plays on so many seeds, the same with each run.
+func runHoldDownExamples(n int, mutant holdDownMutant, flappers, steady int, leaders bool) (violation string, changes uint64, steadyHeld bool) {
 	steadyHeld = true
 	for seed := range n {
-		wrong = rapid.Custom(func(t *rapid.T) string {
-			found, n, w := playDown(t, broken, flappers, steady, leaders)
+		violation = rapid.Custom(func(t *rapid.T) string {
+			found, n, model := runHoldDownModel(t, mutant, flappers, steady, leaders)
 			changes = max(changes, n)
-			if steady > 0 && !w.all[flappers].holds {
+			if steady > 0 && !model.candidates[flappers].holds {
 				steadyHeld = false
 			}
 			return found
 		}).Example(seed)
-		if wrong != "" {
-			return fmt.Sprintf("seed %d: %s", seed, wrong), changes, false
+		if violation != "" {
+			return fmt.Sprintf("seed %d: %s", seed, violation), changes, false
 		}
 	}
 	return "", changes, steadyHeld
@@ -182,29 +182,29 @@
 
 // Two that flap hardly trade the duty, a steady third soon has it, one alone never waits, and no wait is without end.
 func TestHoldDownModel(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		flappers, steady int
 		leaders          bool
-		most             uint64 // changes of the holder in two minutes
+		maxChanges       uint64 // changes of the holder in two minutes
 	}{
 		{2, 0, false, 80}, {3, 0, false, 80}, {2, 1, false, 12}, {1, 0, false, 400}, {2, 0, true, 400}, {2, 1, true, 400},
 	} {
-		wrong, changes, held := downExamples(15, downSound, c.flappers, c.steady, c.leaders)
-		if wrong != "" || changes > c.most || !held {
-			t.Errorf("%+v: %d changes, held by the steady one: %v; %s", c, changes, held, wrong)
+		violation, changes, held := runHoldDownExamples(15, noHoldDownMutant, tc.flappers, tc.steady, tc.leaders)
+		if violation != "" || changes > tc.maxChanges || !held {
+			t.Errorf("%+v: %d changes, held by the steady one: %v; %s", tc, changes, held, violation)
 		}
-		t.Logf("%+v: at most %d changes", c, changes)
+		t.Logf("%+v: at most %d changes", tc, changes)
 	}
 }
 
 // The model finds what is taken out.
-func TestHoldDownModelFindsBugs(t *testing.T) {
-	for name, c := range map[string]struct {
-		broken           downFault
+func TestHoldDownModelDetectsMutants(t *testing.T) {
+	for name, tc := range map[string]struct {
+		broken           holdDownMutant
 		flappers, steady int
-	}{"counts": {neverCounts, 2, 0}, "only one": {alwaysWaits, 1, 0}, "end": {noEnd, 3, 0}} {
+	}{"counts": {neverCountsShort, 2, 0}, "only one": {holdsDownAlone, 1, 0}, "end": {holdsDownForever, 3, 0}} {
 		t.Run(name, func(t *testing.T) {
-			if wrong, _, _ := downExamples(15, c.broken, c.flappers, c.steady, false); wrong == "" {
+			if violation, _, _ := runHoldDownExamples(15, tc.broken, tc.flappers, tc.steady, false); violation == "" {
 				t.Error("nothing was found in 15 plays")
 			}
 		})
--- a/internal/registry/http_admin.go
+++ b/internal/registry/http_admin.go
@@ -13,131 +13,131 @@
 
 // Status is what a replica says of itself.
 type Status struct {
-	HTTP      string `json:"http"`
-	Role      string `json:"role"` // as raft names it: Leader, Follower, Candidate
-	Leader    string `json:"leader"`
-	Rev       uint64 `json:"rev"`
-	Epoch     uint64 `json:"epoch"`
-	Instances int    `json:"instances"`
-	Suspects  int    `json:"suspects"`
-	Watchers  int64  `json:"watchers"`
-	AgeMS     int64  `json:"age_ms"`
-	Applied   uint64 `json:"applied"`
-	Fresh     bool   `json:"fresh"`
+	HTTPAddr     string `json:"http"`
+	Role         string `json:"role"` // as raft names it: Leader, Follower, Candidate
+	Leader       string `json:"leader"`
+	Revision     uint64 `json:"rev"`
+	Epoch        uint64 `json:"epoch"`
+	Instances    int    `json:"instances"`
+	Suspects     int    `json:"suspects"`
+	Watchers     int64  `json:"watchers"`
+	AgeMS        int64  `json:"age_ms"`
+	AppliedIndex uint64 `json:"applied"`
+	Fresh        bool   `json:"fresh"`
 }
 
 func (r *Replica) status() Status {
-	age := r.age()
-	st := Status{
-		HTTP: r.opts.HTTP, Role: r.raft.State().String(), Leader: r.leader(), Watchers: r.watchers.Load(),
-		AgeMS: age.Milliseconds(), Applied: r.raft.AppliedIndex(), Fresh: r.leading.Load() && age < freshFor,
+	age := r.listAge()
+	status := Status{
+		HTTPAddr: r.options.HTTPAddr, Role: r.raft.State().String(), Leader: r.leaderAddr(), Watchers: r.watchers.Load(),
+		AgeMS: age.Milliseconds(), AppliedIndex: r.raft.AppliedIndex(), Fresh: r.isLeader.Load() && age < maxFreshAge,
 	}
-	r.hub.Read(func(s *State) {
-		st.Rev, st.Epoch, st.Instances = s.Rev(), s.Epoch(), s.Len()
-		s.All(func(i *Instance) {
-			if i.Suspect {
-				st.Suspects++
+	r.hub.Read(func(state *StateMachine) {
+		status.Revision, status.Epoch, status.Instances = state.Revision(), state.Epoch(), state.Len()
+		state.ForEach(func(instance *Instance) {
+			if instance.Suspect {
+				status.Suspects++
 			}
 		})
 	})
-	return st
+	return status
 }
 
 func (r *Replica) serveStatus(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, r.status())
+	writeJSON(w, http.StatusOK, r.status())
 }
 
 // serveReady: a replica is ready while it knows a leader, so that its reads are of today.
 func (r *Replica) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if st := r.status(); st.Leader == "" || st.Epoch == 0 {
-		refuse(w, http.StatusServiceUnavailable, errors.New("no leader yet"))
+	if status := r.status(); status.Leader == "" || status.Epoch == 0 {
+		writeError(w, http.StatusServiceUnavailable, errors.New("no leader yet"))
 		return
 	}
-	answer(w, http.StatusOK, map[string]bool{"ready": true})
+	writeJSON(w, http.StatusOK, map[string]bool{"ready": true})
 }
 
 func (r *Replica) serveMembers(w http.ResponseWriter, _ *http.Request) {
 	list, err := r.members()
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, err)
+		writeError(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	answer(w, http.StatusOK, list)
+	writeJSON(w, http.StatusOK, list)
 }
 
-func (r *Replica) serveAddMember(w http.ResponseWriter, req *http.Request) {
-	var m Member
-	if !body(w, req, &m) {
+func (r *Replica) serveAddMember(w http.ResponseWriter, request *http.Request) {
+	var member Member
+	if !readJSON(w, request, &member) {
 		return
 	}
-	err := loopback("http", m.HTTP)
+	err := checkLoopback("http", member.HTTPAddr)
 	if err == nil {
-		err = loopback("raft", m.Raft)
+		err = checkLoopback("raft", member.RaftAddr)
 	}
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	r.reconfigured(w, r.raft.AddVoter(raft.ServerID(m.HTTP), raft.ServerAddress(m.Raft), 0, applyWait).Error())
+	r.writeReconfigured(w, r.raft.AddVoter(raft.ServerID(member.HTTPAddr), raft.ServerAddress(member.RaftAddr), 0, applyTimeout).Error())
 }
 
-func (r *Replica) serveRemoveMember(w http.ResponseWriter, req *http.Request) {
-	name := req.URL.Query().Get("http")
+func (r *Replica) serveRemoveMember(w http.ResponseWriter, request *http.Request) {
+	name := request.URL.Query().Get("http")
 	list, err := r.members()
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, err)
+		writeError(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	for _, m := range list {
-		if m.HTTP == name {
-			r.reconfigured(w, r.raft.RemoveServer(raft.ServerID(name), 0, applyWait).Error())
+	for _, member := range list {
+		if member.HTTPAddr == name {
+			r.writeReconfigured(w, r.raft.RemoveServer(raft.ServerID(name), 0, applyTimeout).Error())
 			return
 		}
 	}
-	refuse(w, http.StatusNotFound, fmt.Errorf("no member %q", name))
+	writeError(w, http.StatusNotFound, fmt.Errorf("no member %q", name))
 }
 
-func (r *Replica) reconfigured(w http.ResponseWriter, err error) {
+func (r *Replica) writeReconfigured(w http.ResponseWriter, err error) {
 	if err != nil {
-		w.Header().Set("Retry-After", retryIn)
-		refuse(w, http.StatusServiceUnavailable, err)
+		w.Header().Set("Retry-After", retryAfterSeconds)
+		writeError(w, http.StatusServiceUnavailable, err)
 		return
 	}
 	r.serveMembers(w, nil)
 }
 
-func (r *Replica) serveSave(w http.ResponseWriter, req *http.Request) {
-	if !r.fresh(w, req) {
+func (r *Replica) serveSaveSnapshot(w http.ResponseWriter, request *http.Request) {
+	if !r.ensureFresh(w, request) {
 		return
 	}
-	var buf writer
+	var buffer snapshotBuffer
 	var err error
-	r.hub.Read(func(s *State) { err = s.Snapshot(&buf) })
+	r.hub.Read(func(state *StateMachine) { err = state.WriteSnapshot(&buffer) })
 	if err != nil {
-		refuse(w, http.StatusInternalServerError, err)
+		writeError(w, http.StatusInternalServerError, err)
 		return
 	}
-	r.mark(w)
+	r.setFreshnessHeaders(w)
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Write(buf.data) // a client that is gone is told by nobody
+	w.Write(buffer.data) // a client that is gone is told by nobody
 }
 
-func (r *Replica) serveRestore(w http.ResponseWriter, req *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxSnapshot))
+func (r *Replica) serveRestoreSnapshot(w http.ResponseWriter, request *http.Request) {
+	data, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxSnapshotBytes))
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	s, err := ReadSnapshot(bytes.NewReader(data))
+	state, err := ReadSnapshot(bytes.NewReader(data))
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	res, err := r.restore(s)
+	result, err := r.restore(state)
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, err)
+		writeError(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	slog.Warn("restored from a backup, under a new epoch", "rev", res.Rev)
-	answer(w, http.StatusOK, res)
+	slog.Warn("restored from a backup, under a new epoch", "rev", result.Revision)
+	writeJSON(w, http.StatusOK, result)
 }
--- a/internal/registry/http_write.go
+++ b/internal/registry/http_write.go
@@ -7,184 +7,184 @@
 	"time"
 )
 
-// done answers a write.
-func (r *Replica) done(w http.ResponseWriter, rec *Record, uids []string) {
-	res, err := r.write(rec)
+// proposeAndRespond answers a write.
+func (r *Replica) proposeAndRespond(w http.ResponseWriter, record *Record, uids []string) {
+	result, err := r.propose(record)
 	switch {
 	case errors.Is(err, ErrNotLeader):
-		r.noLeader(w)
+		r.writeNoLeader(w)
 		return
 	case err != nil:
-		w.Header().Set("Retry-After", retryIn)
-		refuse(w, http.StatusServiceUnavailable, err)
+		w.Header().Set("Retry-After", retryAfterSeconds)
+		writeError(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	r.hub.Read(func(s *State) { r.leases.follow(time.Now(), s, uids) })
-	status := map[Outcome]int{Done: http.StatusOK, Conflict: http.StatusConflict, NotFound: http.StatusNotFound, TooMany: http.StatusInsufficientStorage}[res.Outcome]
-	answer(w, status, res)
+	r.hub.Read(func(state *StateMachine) { r.registrations.refresh(time.Now(), state, uids) })
+	statusCode := map[Outcome]int{OutcomeDone: http.StatusOK, OutcomeConflict: http.StatusConflict, OutcomeNotFound: http.StatusNotFound, OutcomeLimitExceeded: http.StatusInsufficientStorage}[result.Outcome]
+	writeJSON(w, statusCode, result)
 }
 
-// writeID checks the id of a write.
-func writeID(id string) error {
-	if len(id) > maxName {
-		return bad("id", "over %d characters", maxName)
+// checkWriteID checks the id of a write.
+func checkWriteID(id string) error {
+	if len(id) > maxNameLength {
+		return fieldErrorf("id", "over %d characters", maxNameLength)
 	}
 	return nil
 }
 
-// registration is the body of a register call.
-type registration struct {
-	ID      string     `json:"id"`
-	IfRev   *uint64    `json:"if_rev"`
-	Guard   *Guard     `json:"guard"`
-	Targets []Instance `json:"targets"`
+// registerRequest is the body of a register call.
+type registerRequest struct {
+	ID         string     `json:"id"`
+	IfRevision *uint64    `json:"if_rev"`
+	Guard      *Guard     `json:"guard"`
+	Targets    []Instance `json:"targets"`
 }
 
-// record checks a registration and makes the record of it, and the uids that it is about.
-func (in *registration) record() (*Record, []string, error) {
-	if err := writeID(in.ID); err != nil {
+// toRecord checks a registration and makes the record of it, and the uids that it is about.
+func (in *registerRequest) toRecord() (*Record, []string, error) {
+	if err := checkWriteID(in.ID); err != nil {
 		return nil, nil, err
 	}
-	if len(in.Targets) == 0 || len(in.Targets) > maxBatch {
-		return nil, nil, bad("targets", "%d entries, wanted 1 to %d", len(in.Targets), maxBatch)
+	if len(in.Targets) == 0 || len(in.Targets) > maxBatchSize {
+		return nil, nil, fieldErrorf("targets", "%d entries, wanted 1 to %d", len(in.Targets), maxBatchSize)
 	}
 	var uids []string
 	for k := range in.Targets {
-		t := &in.Targets[k]
-		if t.State == "" {
-			t.State = Ready
+		instance := &in.Targets[k]
+		if instance.State == "" {
+			instance.State = InstanceReady
 		}
-		if t.Capacity == 0 {
-			t.Capacity = 1
+		if instance.Capacity == 0 {
+			instance.Capacity = 1
 		}
-		t.Rev, t.Suspect = 0, false
-		if err := t.check(); err != nil {
+		instance.Revision, instance.Suspect = 0, false
+		if err := instance.validate(); err != nil {
 			return nil, nil, fmt.Errorf("targets[%d].%w", k, err)
 		}
-		uids = append(uids, t.UID)
+		uids = append(uids, instance.UID)
 	}
-	return &Record{Op: OpRegister, ID: in.ID, IfRev: in.IfRev, Guard: in.Guard, Instances: in.Targets}, uids, nil
+	return &Record{Op: OpRegister, ID: in.ID, IfRevision: in.IfRevision, Guard: in.Guard, Instances: in.Targets}, uids, nil
 }
 
-func (r *Replica) serveRegister(w http.ResponseWriter, req *http.Request) {
-	var in registration
-	if !body(w, req, &in) {
+func (r *Replica) serveRegister(w http.ResponseWriter, request *http.Request) {
+	var body registerRequest
+	if !readJSON(w, request, &body) {
 		return
 	}
-	rec, uids, err := in.record()
+	record, uids, err := body.toRecord()
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	r.done(w, rec, uids)
+	r.proposeAndRespond(w, record, uids)
 }
 
-func (r *Replica) serveDeregister(w http.ResponseWriter, req *http.Request) {
-	uid, id := req.PathValue("uid"), req.URL.Query().Get("id")
-	rev, err := number(req, "if_rev")
+func (r *Replica) serveDeregister(w http.ResponseWriter, request *http.Request) {
+	uid, id := request.PathValue("uid"), request.URL.Query().Get("id")
+	revision, err := queryUint(request, "if_rev")
 	if err == nil {
-		err = writeID(id)
+		err = checkWriteID(id)
 	}
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	r.done(w, &Record{Op: OpDeregister, ID: id, Refs: []Ref{{uid, rev}}}, []string{uid})
+	r.proposeAndRespond(w, &Record{Op: OpDeregister, ID: id, Refs: []InstanceRef{{uid, revision}}}, []string{uid})
 }
 
-func (r *Replica) serveState(w http.ResponseWriter, req *http.Request) {
-	var in struct {
-		ID    string `json:"id"`
-		UID   string `json:"uid"`
-		State string `json:"state"`
-		IfRev uint64 `json:"if_rev"`
-		Guard *Guard `json:"guard"`
-	}
-	if !body(w, req, &in) {
+func (r *Replica) serveState(w http.ResponseWriter, request *http.Request) {
+	var body struct {
+		ID         string `json:"id"`
+		UID        string `json:"uid"`
+		State      string `json:"state"`
+		IfRevision uint64 `json:"if_rev"`
+		Guard      *Guard `json:"guard"`
+	}
+	if !readJSON(w, request, &body) {
 		return
 	}
-	err := writeID(in.ID)
-	if err == nil && in.UID == "" {
-		err = bad("uid", "it is empty")
+	err := checkWriteID(body.ID)
+	if err == nil && body.UID == "" {
+		err = fieldErrorf("uid", "it is empty")
 	}
-	if err == nil && in.State != Ready && in.State != Terminating {
-		err = bad("state", "%q is not %s or %s", in.State, Ready, Terminating)
+	if err == nil && body.State != InstanceReady && body.State != InstanceTerminating {
+		err = fieldErrorf("state", "%q is not %s or %s", body.State, InstanceReady, InstanceTerminating)
 	}
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	r.done(w, &Record{Op: OpState, ID: in.ID, State: in.State, Guard: in.Guard, Refs: []Ref{{in.UID, in.IfRev}}}, []string{in.UID})
+	r.proposeAndRespond(w, &Record{Op: OpSetState, ID: body.ID, State: body.State, Guard: body.Guard, Refs: []InstanceRef{{body.UID, body.IfRevision}}}, []string{body.UID})
 }
 
-// Renewal answers a batch of renewals.
-type Renewal struct {
+// InstanceRenewal answers a batch of renewals.
+type InstanceRenewal struct {
 	Renewed int      `json:"renewed"`
 	Unknown []string `json:"unknown"` // they have to register again
 }
 
-func (r *Replica) serveRenew(w http.ResponseWriter, req *http.Request) {
-	var in struct {
+func (r *Replica) serveRenew(w http.ResponseWriter, request *http.Request) {
+	var body struct {
 		UIDs []string `json:"uids"`
 	}
-	if !body(w, req, &in) {
+	if !readJSON(w, request, &body) {
 		return
 	}
-	if len(in.UIDs) == 0 || len(in.UIDs) > maxBatch {
-		refuse(w, http.StatusBadRequest, bad("uids", "%d entries, wanted 1 to %d", len(in.UIDs), maxBatch))
+	if len(body.UIDs) == 0 || len(body.UIDs) > maxBatchSize {
+		writeError(w, http.StatusBadRequest, fieldErrorf("uids", "%d entries, wanted 1 to %d", len(body.UIDs), maxBatchSize))
 		return
 	}
 	// A leader that was frozen must not promise a time that its successor does not know of.
-	if r.age() > freshFor {
-		r.noLeader(w)
+	if r.listAge() > maxFreshAge {
+		r.writeNoLeader(w)
 		return
 	}
 	var unknown, alive []string
-	r.hub.Read(func(s *State) { unknown, alive = r.leases.renew(time.Now(), s, in.UIDs) })
+	r.hub.Read(func(state *StateMachine) { unknown, alive = r.registrations.renew(time.Now(), state, body.UIDs) })
 	if len(alive) > 0 {
-		if err := r.unsuspect(alive); err != nil {
-			r.noLeader(w)
+		if err := r.clearSuspicion(alive); err != nil {
+			r.writeNoLeader(w)
 			return
 		}
 	}
-	answer(w, http.StatusOK, Renewal{len(in.UIDs) - len(unknown), append([]string{}, unknown...)})
+	writeJSON(w, http.StatusOK, InstanceRenewal{len(body.UIDs) - len(unknown), append([]string{}, unknown...)})
 }
 
-func (r *Replica) unsuspect(uids []string) error {
-	refs := make([]Ref, 0, len(uids))
+func (r *Replica) clearSuspicion(uids []string) error {
+	refs := make([]InstanceRef, 0, len(uids))
 	for _, uid := range uids {
-		refs = append(refs, Ref{UID: uid})
+		refs = append(refs, InstanceRef{UID: uid})
 	}
-	_, err := r.write(&Record{Op: OpSuspect, Refs: refs})
-	r.follow(refs)
+	_, err := r.propose(&Record{Op: OpSuspect, Refs: refs})
+	r.refreshRegistrations(refs)
 	return err
 }
 
 // serveSuspects is the operator's decision on what was held back: they are alive, or they go.
-func (r *Replica) serveSuspects(w http.ResponseWriter, req *http.Request) {
-	var in struct {
+func (r *Replica) serveSuspects(w http.ResponseWriter, request *http.Request) {
+	var body struct {
 		Expire bool `json:"expire"`
 	}
-	if !body(w, req, &in) {
+	if !readJSON(w, request, &body) {
 		return
 	}
-	var refs []Ref
+	var refs []InstanceRef
 	var uids []string
-	r.hub.Read(func(s *State) {
-		s.All(func(i *Instance) {
-			if i.Suspect {
-				refs = append(refs, Ref{UID: i.UID})
-				uids = append(uids, i.UID)
+	r.hub.Read(func(state *StateMachine) {
+		state.ForEach(func(instance *Instance) {
+			if instance.Suspect {
+				refs = append(refs, InstanceRef{UID: instance.UID})
+				uids = append(uids, instance.UID)
 			}
 		})
 	})
 	if len(refs) == 0 {
-		answer(w, http.StatusOK, Result{Outcome: Done, Why: "nothing is held back"})
+		writeJSON(w, http.StatusOK, Result{Outcome: OutcomeDone, Reason: "nothing is held back"})
 		return
 	}
 	op := OpSuspect
-	if in.Expire {
+	if body.Expire {
 		op = OpDeregister
 	}
-	r.done(w, &Record{Op: op, Refs: refs}, uids)
+	r.proposeAndRespond(w, &Record{Op: op, Refs: refs}, uids)
 }
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -12,254 +12,254 @@
 )
 
 const (
-	// keptLines are the encoded changes that watchers share; who is further behind gets one folded from the state.
-	keptLines = 1024
-	// foldAfter is how many lines a watcher that is behind is written one by one.
-	foldAfter = 64
-	// wakeEvery bounds how often watchers are woken: changes that come closer together go out in one write, which
+	// maxEncodedChanges are the encoded changes that watchers share; who is further behind gets one folded from the state.
+	maxEncodedChanges = 1024
+	// maxChangesWritten is how many lines a watcher that is behind is written one by one.
+	maxChangesWritten = 64
+	// broadcastDelay bounds how often watchers are woken: changes that come closer together go out in one write, which
 	// costs thousands of watchers a wake-up less for each.
-	wakeEvery = 20 * time.Millisecond
-	emptyLine = 2 * time.Second // PROTOCOL: while nothing changes
-	writeWait = 10 * time.Second
+	broadcastDelay    = 20 * time.Millisecond
+	heartbeatInterval = 2 * time.Second // PROTOCOL: while nothing changes
+	watchWriteTimeout = 10 * time.Second
 )
 
 // Hub holds the state and lets watchers follow it. A watcher has no queue of its own: it is a cursor, so a slow
 // one takes no memory and holds nobody up; when it comes back it gets the newest state of each instance.
 type Hub struct {
-	mu     sync.RWMutex
-	state  *State
-	lines  []line
-	news   bell // of the list
-	duties bell // of duties: thousands who follow the list are not woken for them
-	places *PlacementFeed
+	mu            sync.RWMutex
+	state         *StateMachine
+	encoded       []encodedChange
+	listChanged   broadcaster // of the list
+	leasesChanged broadcaster // of duties: thousands who follow the list are not woken for them
+	placementFeed *PlacementFeed
 
-	wholeMu sync.Mutex
-	whole   line // the whole list as last encoded: thousands who come at once get the same bytes
+	fullListMu sync.Mutex
+	fullList   encodedChange // the whole list as last encoded: thousands who come at once get the same bytes
 }
 
-// line is one revision's change, encoded once for all.
-type line struct {
-	rev  uint64
-	prev uint64 // the revision before; of a whole list its epoch
-	data []byte
+// encodedChange is one revision's change, encoded once for all.
+type encodedChange struct {
+	revision uint64
+	previous uint64 // the revision before; of a whole list its epoch
+	data     []byte
 }
 
-// bell wakes those who wait for its channel. The lock of what it is part of guards it.
-type bell struct {
-	woken  chan struct{}
-	waking bool
+// broadcaster wakes those who wait for its channel. The lock of what it is part of guards it.
+type broadcaster struct {
+	changed chan struct{}
+	pending bool
 }
 
 // NewHub makes a hub with the empty state.
 func NewHub() *Hub {
-	h := &Hub{state: NewState(), news: bell{woken: make(chan struct{})}, duties: bell{woken: make(chan struct{})}}
-	h.places = NewPlacementFeed(h.placement)
-	return h
+	hub := &Hub{state: NewStateMachine(), listChanged: broadcaster{changed: make(chan struct{})}, leasesChanged: broadcaster{changed: make(chan struct{})}}
+	hub.placementFeed = NewPlacementFeed(hub.readPlacement)
+	return hub
 }
 
 // Apply takes a record in and hands its changes to the watchers.
-func (h *Hub) Apply(index uint64, r *Record) (Result, error) {
+func (h *Hub) Apply(index uint64, record *Record) (Result, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	before, epoch, duties := h.state.Rev(), h.state.Epoch(), h.state.duties.Rev()
-	places := h.state.places.Revision()
-	res := h.state.Apply(index, r)
-	if h.state.places.Revision() != places {
-		h.places.Ring()
+	previousRevision, epoch, leasesRevision := h.state.Revision(), h.state.Epoch(), h.state.leases.Rev()
+	placementRevision := h.state.placement.Revision()
+	result := h.state.Apply(index, record)
+	if h.state.placement.Revision() != placementRevision {
+		h.placementFeed.Notify()
 	}
-	if h.state.duties.Rev() != duties {
-		h.wake(&h.duties)
+	if h.state.leases.Rev() != leasesRevision {
+		h.broadcast(&h.leasesChanged)
 	}
 	if h.state.Epoch() != epoch {
-		h.lines = nil
-		h.wake(&h.news)
-		return res, nil
+		h.encoded = nil
+		h.broadcast(&h.listChanged)
+		return result, nil
 	}
-	if h.state.Rev() == before {
-		return res, nil
+	if h.state.Revision() == previousRevision {
+		return result, nil
 	}
-	l := h.state.Since(before, 0)
-	if before == 0 {
-		l = h.state.Whole()
+	changes := h.state.ChangesSince(previousRevision, 0)
+	if previousRevision == 0 {
+		changes = h.state.FullList()
 	}
-	data, err := json.Marshal(l)
+	data, err := json.Marshal(changes)
 	if err != nil {
-		return res, err
+		return result, err
 	}
-	h.lines = append(h.lines, line{h.state.Rev(), before, append(data, '\n')})
-	if extra := len(h.lines) - keptLines; extra > 0 {
-		h.lines = append(h.lines[:0], h.lines[extra:]...)
+	h.encoded = append(h.encoded, encodedChange{h.state.Revision(), previousRevision, append(data, '\n')})
+	if excess := len(h.encoded) - maxEncodedChanges; excess > 0 {
+		h.encoded = append(h.encoded[:0], h.encoded[excess:]...)
 	}
-	h.wake(&h.news)
-	return res, nil
+	h.broadcast(&h.listChanged)
+	return result, nil
 }
 
 // Replace puts another state in place, as from a snapshot.
-func (h *Hub) Replace(s *State) {
+func (h *Hub) Replace(state *StateMachine) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.state, h.lines = s, nil
-	h.wake(&h.news)
-	h.wake(&h.duties)
-	h.places.Ring()
+	h.state, h.encoded = state, nil
+	h.broadcast(&h.listChanged)
+	h.broadcast(&h.leasesChanged)
+	h.placementFeed.Notify()
 }
 
-// wake wakes watchers soon; the caller holds the lock.
-func (h *Hub) wake(b *bell) { b.wake(&h.mu, func() {}) }
+// broadcast wakes watchers soon; the caller holds the lock.
+func (h *Hub) broadcast(target *broadcaster) { target.broadcast(&h.mu, func() {}) }
 
-// wake wakes those who wait soon, and calls first before, both under the bell's lock, which the caller holds.
-func (b *bell) wake(mu sync.Locker, first func()) {
-	if b.waking {
+// broadcast wakes those who wait soon, and calls first before, both under the bell's lock, which the caller holds.
+func (b *broadcaster) broadcast(lock sync.Locker, before func()) {
+	if b.pending {
 		return
 	}
-	b.waking = true
-	time.AfterFunc(wakeEvery, func() {
-		mu.Lock()
-		defer mu.Unlock()
-		first()
-		b.waking = false
-		close(b.woken)
-		b.woken = make(chan struct{})
+	b.pending = true
+	time.AfterFunc(broadcastDelay, func() {
+		lock.Lock()
+		defer lock.Unlock()
+		before()
+		b.pending = false
+		close(b.changed)
+		b.changed = make(chan struct{})
 	})
 }
 
-// Duty gives a duty as it is, and what to wait on for a change of any.
-func (h *Hub) Duty(name string) (d table.Lease, woken <-chan struct{}) {
+// Lease gives a duty as it is, and what to wait on for a change of any.
+func (h *Hub) Lease(name string) (lease table.Lease, changed <-chan struct{}) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	d, _ = h.state.duties.Get(name)
-	return d, h.duties.woken
+	lease, _ = h.state.leases.Get(name)
+	return lease, h.leasesChanged.changed
 }
 
 // cursor is how far a watcher has come.
 type cursor struct {
-	rev, epoch uint64
-	begun      bool // something has been written to it
+	revision, epoch uint64
+	started         bool // something has been written to it
 }
 
 // next gives the bytes that a watcher is to be written, its new cursor, and what to wait on when there are none.
 // The slices are shared: nobody writes to them.
-func (h *Hub) next(at cursor) (out [][]byte, now cursor, woken <-chan struct{}, err error) {
+func (h *Hub) next(at cursor) (lines [][]byte, now cursor, changed <-chan struct{}, err error) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	now = cursor{h.state.Rev(), h.state.Epoch(), true}
+	now = cursor{h.state.Revision(), h.state.Epoch(), true}
 	if at == now {
-		return nil, now, h.news.woken, nil
+		return nil, now, h.listChanged.changed, nil
 	}
-	if at.rev == now.rev && at.epoch == now.epoch { // it knows all: an empty change says so at once
-		return [][]byte{fmt.Appendf(nil, "{\"rev\":%d,\"all\":false,\"targets\":[],\"epoch\":%d}\n", now.rev, now.epoch)}, now, h.news.woken, nil
+	if at.revision == now.revision && at.epoch == now.epoch { // it knows all: an empty change says so at once
+		return [][]byte{fmt.Appendf(nil, "{\"rev\":%d,\"all\":false,\"targets\":[],\"epoch\":%d}\n", now.revision, now.epoch)}, now, h.listChanged.changed, nil
 	}
-	if at.epoch == now.epoch && at.rev != 0 {
-		for k := len(h.lines) - 1; k >= 0 && len(h.lines)-k <= foldAfter; k-- {
-			if h.lines[k].prev == at.rev {
-				for _, l := range h.lines[k:] {
-					out = append(out, l.data)
+	if at.epoch == now.epoch && at.revision != 0 {
+		for k := len(h.encoded) - 1; k >= 0 && len(h.encoded)-k <= maxChangesWritten; k-- {
+			if h.encoded[k].previous == at.revision {
+				for _, encoded := range h.encoded[k:] {
+					lines = append(lines, encoded.data)
 				}
-				return out, now, h.news.woken, nil
+				return lines, now, h.listChanged.changed, nil
 			}
 		}
 	}
-	if !h.state.Keeps(at.rev, at.epoch) {
-		data, err := h.encodeWhole()
-		return [][]byte{data}, now, h.news.woken, err
+	if !h.state.HasHistorySince(at.revision, at.epoch) {
+		data, err := h.encodeFullList()
+		return [][]byte{data}, now, h.listChanged.changed, err
 	}
-	data, err := json.Marshal(h.state.Since(at.rev, at.epoch))
+	data, err := json.Marshal(h.state.ChangesSince(at.revision, at.epoch))
 	if err != nil {
-		return nil, at, h.news.woken, err
+		return nil, at, h.listChanged.changed, err
 	}
-	return [][]byte{append(data, '\n')}, now, h.news.woken, nil
+	return [][]byte{append(data, '\n')}, now, h.listChanged.changed, nil
 }
 
-// encodeWhole gives the whole list's bytes, encoded once for each revision. The caller holds the lock for reading.
-func (h *Hub) encodeWhole() ([]byte, error) {
-	h.wholeMu.Lock()
-	defer h.wholeMu.Unlock()
-	rev, epoch := h.state.Rev(), h.state.Epoch()
-	if h.whole.data != nil && h.whole.rev == rev && h.whole.prev == epoch {
-		return h.whole.data, nil
+// encodeFullList gives the whole list's bytes, encoded once for each revision. The caller holds the lock for reading.
+func (h *Hub) encodeFullList() ([]byte, error) {
+	h.fullListMu.Lock()
+	defer h.fullListMu.Unlock()
+	rev, epoch := h.state.Revision(), h.state.Epoch()
+	if h.fullList.data != nil && h.fullList.revision == rev && h.fullList.previous == epoch {
+		return h.fullList.data, nil
 	}
-	data, err := json.Marshal(h.state.Whole())
+	data, err := json.Marshal(h.state.FullList())
 	if err != nil {
 		return nil, err
 	}
-	h.whole = line{rev: rev, prev: epoch, data: append(data, '\n')}
-	return h.whole.data, nil
+	h.fullList = encodedChange{revision: rev, previous: epoch, data: append(data, '\n')}
+	return h.fullList.data, nil
 }
 
 // Watch writes the changes after a revision of an epoch to a watcher as PROTOCOL words them, until the watcher, ctx
 // or the connection ends. While nothing changes it writes an empty line every 2 s, as long as alive says that
 // silence is news.
-func (h *Hub) Watch(ctx context.Context, w http.ResponseWriter, req *http.Request, after, epoch uint64, alive func() bool) error {
-	return watch(ctx, w, req, cursor{rev: after, epoch: epoch}, alive, h)
+func (h *Hub) Watch(ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, alive func() bool) error {
+	return streamChanges(ctx, w, request, cursor{revision: after, epoch: epoch}, alive, h)
 }
 
 // watchFunc is Watch of a hub or a feed.
-type watchFunc func(ctx context.Context, w http.ResponseWriter, req *http.Request, after, epoch uint64, alive func() bool) error
+type watchFunc func(ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, alive func() bool) error
 
-// watched is what watchers follow. One that has not begun is always written something.
-type watched interface {
+// changeSource is what watchers follow. One that has not begun is always written something.
+type changeSource interface {
 	next(at cursor) (out [][]byte, now cursor, woken <-chan struct{}, err error)
 }
 
-func watch(ctx context.Context, w http.ResponseWriter, req *http.Request, at cursor, alive func() bool, what watched) error {
+func streamChanges(ctx context.Context, w http.ResponseWriter, request *http.Request, position cursor, alive func() bool, source changeSource) error {
 	w.Header().Set("Content-Type", "application/json")
-	out := http.NewResponseController(w)
-	quiet := time.NewTimer(emptyLine)
-	defer quiet.Stop()
+	controller := http.NewResponseController(w)
+	heartbeat := time.NewTimer(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
-		lines, now, woken, err := what.next(at)
+		lines, now, changed, err := source.next(position)
 		if err != nil {
 			return err
 		}
-		at = now
+		position = now
 		if len(lines) > 0 {
-			if err := send(w, out, lines); err != nil {
+			if err := writeLines(w, controller, lines); err != nil {
 				return err
 			}
-			quiet.Reset(emptyLine)
+			heartbeat.Reset(heartbeatInterval)
 		}
 		select {
-		case <-req.Context().Done():
+		case <-request.Context().Done():
 			return nil
 		case <-ctx.Done():
 			return nil
-		case <-woken:
-		case <-quiet.C:
+		case <-changed:
+		case <-heartbeat.C:
 			if alive() {
-				if err := send(w, out, [][]byte{{'\n'}}); err != nil {
+				if err := writeLines(w, controller, [][]byte{{'\n'}}); err != nil {
 					return err
 				}
 			}
-			quiet.Reset(emptyLine)
+			heartbeat.Reset(heartbeatInterval)
 		}
 	}
 }
 
-// send writes lines to a watcher; one that does not read them in time is let go.
-func send(w http.ResponseWriter, out *http.ResponseController, lines [][]byte) error {
-	if err := out.SetWriteDeadline(time.Now().Add(writeWait)); err != nil {
+// writeLines writes lines to a watcher; one that does not read them in time is let go.
+func writeLines(w http.ResponseWriter, controller *http.ResponseController, lines [][]byte) error {
+	if err := controller.SetWriteDeadline(time.Now().Add(watchWriteTimeout)); err != nil {
 		return err
 	}
-	for _, l := range lines {
-		if _, err := w.Write(l); err != nil {
+	for _, line := range lines {
+		if _, err := w.Write(line); err != nil {
 			return err
 		}
 	}
-	return out.Flush()
+	return controller.Flush()
 }
 
 // Read calls do with the state, which it must not change or keep.
-func (h *Hub) Read(do func(*State)) {
+func (h *Hub) Read(view func(*StateMachine)) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	do(h.state)
+	view(h.state)
 }
 
-// WriteWhole answers with the whole list.
-func (h *Hub) WriteWhole(w http.ResponseWriter) error {
+// WriteFullList answers with the whole list.
+func (h *Hub) WriteFullList(w http.ResponseWriter) error {
 	var data []byte
 	var err error
-	h.Read(func(*State) { data, err = h.encodeWhole() })
+	h.Read(func(*StateMachine) { data, err = h.encodeFullList() })
 	if err != nil {
 		return err
 	}
--- a/internal/registry/ledger.go
+++ b/internal/registry/ledger.go
@@ -18,129 +18,129 @@
 	sidecars map[string]*Sidecar
 }
 
-// savedLedger is the ledger in a snapshot; an older one has none.
-type savedLedger struct {
+// ledgerSnapshot is the ledger in a snapshot; an older one has none.
+type ledgerSnapshot struct {
 	Table    disruption.Snapshot `json:"table"`
 	Sidecars []*Sidecar          `json:"sidecars"`
 }
 
-func (l *ledger) save() *savedLedger {
+func (l *ledger) snapshot() *ledgerSnapshot {
 	if l == nil {
 		return nil
 	}
-	out := &savedLedger{Table: l.table.Snapshot(), Sidecars: []*Sidecar{}}
+	saved := &ledgerSnapshot{Table: l.table.Snapshot(), Sidecars: []*Sidecar{}}
 	for _, name := range slices.Sorted(maps.Keys(l.sidecars)) {
-		out.Sidecars = append(out.Sidecars, l.sidecars[name])
+		saved.Sidecars = append(saved.Sidecars, l.sidecars[name])
 	}
-	return out
+	return saved
 }
 
-func loadLedger(saved *savedLedger) (*ledger, error) {
+func restoreLedger(saved *ledgerSnapshot) (*ledger, error) {
 	if saved == nil {
 		return nil, nil
 	}
-	t, err := disruption.Restore(saved.Table)
+	table, err := disruption.Restore(saved.Table)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: ledger: %w", err)
 	}
-	l := &ledger{table: t, sidecars: map[string]*Sidecar{}}
-	for _, s := range saved.Sidecars {
-		if s == nil {
+	restored := &ledger{table: table, sidecars: map[string]*Sidecar{}}
+	for _, sidecar := range saved.Sidecars {
+		if sidecar == nil {
 			return nil, fmt.Errorf("snapshot: ledger: an empty sidecar")
 		}
-		l.sidecars[s.Name] = s
+		restored.sidecars[sidecar.Name] = sidecar
 	}
-	return l, nil
+	return restored, nil
 }
 
-// unit is an instance as the ledger counts it; whether it is warm is not in the list.
-func (i *Instance) unit() disruption.Unit {
-	u := disruption.Unit{
-		ID: disruption.UnitID(disruption.KindServer, i.UID), Kind: disruption.KindServer, Zone: i.Zone, Model: i.Model, PodGroup: i.Pod,
+// disruptionUnit is an instance as the ledger counts it; whether it is warm is not in the list.
+func (i *Instance) disruptionUnit() disruption.Unit {
+	unit := disruption.Unit{
+		ID: disruption.UnitID(disruption.KindServer, i.UID), Kind: disruption.KindServer, Zone: i.Zone, Model: i.Model, PodGroup: i.PodGroup,
 		Version: i.Version, Capacity: i.Capacity, Endpoint: i.Endpoint, BootMS: i.BootMS, Condition: disruption.ConditionUp,
 	}
 	switch {
 	case i.Suspect:
-		u.Condition = disruption.ConditionUnknown
-	case i.State == Terminating:
-		u.Condition = disruption.ConditionDraining
+		unit.Condition = disruption.ConditionUnknown
+	case i.State == InstanceTerminating:
+		unit.Condition = disruption.ConditionDraining
 	}
-	return u
+	return unit
 }
 
-// units makes a ledger of the list as it is.
-func (s *State) units(index uint64) *ledger {
-	l := &ledger{table: disruption.NewLedger(), sidecars: map[string]*Sidecar{}}
+// newLedger makes a ledger of the list as it is.
+func (s *StateMachine) newLedger(index uint64) *ledger {
+	ledger := &ledger{table: disruption.NewLedger(), sidecars: map[string]*Sidecar{}}
 	for _, uid := range slices.Sorted(maps.Keys(s.instances)) {
-		l.table.Register(index, s.instances[uid].unit())
+		ledger.table.Register(index, s.instances[uid].disruptionUnit())
 	}
-	return l
+	return ledger
 }
 
-// begin gives the ledger, which begins now if it has not.
-func (s *State) begin(index uint64) *ledger {
+// ensureLedger gives the ledger, which begins now if it has not.
+func (s *StateMachine) ensureLedger(index uint64) *ledger {
 	if s.ledger == nil {
-		s.ledger = s.units(index)
+		s.ledger = s.newLedger(index)
 	}
 	return s.ledger
 }
 
-// feed tells the ledger what a record has done to the list.
-func (s *State) feed(index uint64, r *Record, res Result) {
-	if s.ledger == nil || res.Outcome != Done {
+// updateLedger tells the ledger what a record has done to the list.
+func (s *StateMachine) updateLedger(index uint64, record *Record, result Result) {
+	if s.ledger == nil || result.Outcome != OutcomeDone {
 		return
 	}
-	t := s.ledger.table
-	for k := range r.Instances {
-		if i := s.instances[r.Instances[k].UID]; i != nil && r.Op == OpRegister {
-			t.Register(index, i.unit())
+	ledger := s.ledger.table
+	for k := range record.Instances {
+		if instance := s.instances[record.Instances[k].UID]; instance != nil && record.Op == OpRegister {
+			ledger.Register(index, instance.disruptionUnit())
 		}
 	}
-	for _, ref := range r.Refs {
-		id, i := disruption.UnitID(disruption.KindServer, ref.UID), s.instances[ref.UID]
-		u, _ := t.Unit(id)
+	for _, ref := range record.Refs {
+		id, instance := disruption.UnitID(disruption.KindServer, ref.UID), s.instances[ref.UID]
+		unit, _ := ledger.Unit(id)
 		switch {
-		case i == nil && r.Op == OpDeregister && u.Condition != disruption.ConditionUnknown:
-			t.Deregister(index, id)
-		case i == nil && (r.Op == OpDeregister || r.Op == OpExpire): // what was held back did not leave: it was given up
-			t.MarkLost(index, id)
-		case i != nil && r.Op == OpSuspect && r.On:
-			t.MarkUnknown(index, id)
-		case i != nil && (r.Op == OpSuspect || r.Op == OpState):
-			t.Register(index, i.unit())
+		case instance == nil && record.Op == OpDeregister && unit.Condition != disruption.ConditionUnknown:
+			ledger.Deregister(index, id)
+		case instance == nil && (record.Op == OpDeregister || record.Op == OpExpire): // what was held back did not leave: it was given up
+			ledger.MarkLost(index, id)
+		case instance != nil && record.Op == OpSuspect && record.Suspected:
+			ledger.MarkUnknown(index, id)
+		case instance != nil && (record.Op == OpSuspect || record.Op == OpSetState):
+			ledger.Register(index, instance.disruptionUnit())
 		}
 	}
-	if r.Op == OpEpoch {
-		t.HaltForUncertainty(index, "the list was restored from a backup: what is out since is not in it")
+	if record.Op == OpEpoch {
+		ledger.HaltForUncertainty(index, "the list was restored from a backup: what is out since is not in it")
 	}
 }
 
-// doLedger applies an operation of the ledger. Its guard was tested already; here it has to be the owner's.
-func (s *State) doLedger(index uint64, r *Record) Result {
-	op := r.Ledger
+// applyLedger applies an operation of the ledger. Its guard was tested already; here it has to be the owner's.
+func (s *StateMachine) applyLedger(index uint64, record *Record) Result {
+	op := record.Ledger
 	if op == nil {
-		return Result{Conflict, s.rev, "no operation"}
+		return Result{OutcomeConflict, s.revision, "no operation"}
 	}
-	if op.Kind != disruption.OpObserve && !disruption.IsOperator(op.Owner) && (r.Guard == nil || r.Guard.Duty != op.Owner) {
-		return Result{Conflict, s.rev, fmt.Sprintf("no token of %q", op.Owner)}
+	if op.Kind != disruption.OpObserve && !disruption.IsOperator(op.Owner) && (record.Guard == nil || record.Guard.Lease != op.Owner) {
+		return Result{OutcomeConflict, s.revision, fmt.Sprintf("no token of %q", op.Owner)}
 	}
-	outcome, why := s.begin(index).table.Apply(index, op)
-	of := map[disruption.Outcome]Outcome{
-		disruption.OutcomeApplied: Done, disruption.OutcomeRejected: Conflict, disruption.OutcomeNotFound: NotFound, disruption.OutcomeLimitReached: TooMany,
+	outcome, reason := s.ensureLedger(index).table.Apply(index, op)
+	outcomes := map[disruption.Outcome]Outcome{
+		disruption.OutcomeApplied: OutcomeDone, disruption.OutcomeRejected: OutcomeConflict, disruption.OutcomeNotFound: OutcomeNotFound, disruption.OutcomeLimitReached: OutcomeLimitExceeded,
 	}
-	return Result{of[outcome], index, why}
+	return Result{outcomes[outcome], index, reason}
 }
 
 // Ledger is the ledger, for reading: of the list as it is where none was begun.
-func (s *State) Ledger() *disruption.Ledger {
+func (s *StateMachine) Ledger() *disruption.Ledger {
 	if s.ledger == nil {
-		return s.units(s.rev).table
+		return s.newLedger(s.revision).table
 	}
 	return s.ledger.table
 }
 
-// LedgerCall is an operation of the ledger as it is sent: its kind is in the path.
-type LedgerCall struct {
+// LedgerRequest is an operation of the ledger as it is sent: its kind is in the path.
+type LedgerRequest struct {
 	ID    string `json:"id"` // of the write: a repeat after a lost answer is not done twice
 	Guard *Guard `json:"guard,omitempty"`
 	disruption.Op
@@ -152,65 +152,65 @@
 	Permit *disruption.Permit `json:"permit,omitempty"`
 }
 
-func (r *Replica) serveLedger(w http.ResponseWriter, req *http.Request) {
-	var in LedgerCall
-	if !body(w, req, &in) {
+func (r *Replica) serveLedgerOp(w http.ResponseWriter, request *http.Request) {
+	var body LedgerRequest
+	if !readJSON(w, request, &body) {
 		return
 	}
-	in.Kind = disruption.OpKind(req.PathValue("op"))
-	err := writeID(in.ID)
+	body.Kind = disruption.OpKind(request.PathValue("op"))
+	err := checkWriteID(body.ID)
 	if err == nil {
-		err = in.Validate()
+		err = body.Validate()
 	}
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	res, err := r.write(&Record{Op: OpLedger, ID: in.ID, Guard: in.Guard, Ledger: &in.Op})
+	result, err := r.propose(&Record{Op: OpLedger, ID: body.ID, Guard: body.Guard, Ledger: &body.Op})
 	if err != nil {
-		r.noLeader(w)
+		r.writeNoLeader(w)
 		return
 	}
-	if res.Outcome != Done {
-		status := map[Outcome]int{Conflict: http.StatusConflict, NotFound: http.StatusNotFound, TooMany: http.StatusInsufficientStorage}
-		answer(w, status[res.Outcome], res)
+	if result.Outcome != OutcomeDone {
+		statusCodes := map[Outcome]int{OutcomeConflict: http.StatusConflict, OutcomeNotFound: http.StatusNotFound, OutcomeLimitExceeded: http.StatusInsufficientStorage}
+		writeJSON(w, statusCodes[result.Outcome], result)
 		return
 	}
-	out := LedgerResult{Result: res}
-	if in.Permit != nil {
-		r.hub.Read(func(s *State) {
-			if p, is := s.Ledger().Permit(in.Permit.ID); is {
-				out.Permit = &p
+	response := LedgerResult{Result: result}
+	if body.Permit != nil {
+		r.hub.Read(func(state *StateMachine) {
+			if permit, ok := state.Ledger().Permit(body.Permit.ID); ok {
+				response.Permit = &permit
 			}
 		})
 	}
-	if in.Kind == disruption.OpHalt || in.Kind == disruption.OpResume || in.Kind == disruption.OpForceComplete || in.Kind == disruption.OpForget {
-		slog.Warn("ledger", "op", in.Kind, "owner", in.Owner, "rev", res.Rev, "why", res.Why)
+	if body.Kind == disruption.OpHalt || body.Kind == disruption.OpResume || body.Kind == disruption.OpForceComplete || body.Kind == disruption.OpForget {
+		slog.Warn("ledger", "op", body.Kind, "owner", body.Owner, "rev", result.Revision, "why", result.Reason)
 	}
-	answer(w, http.StatusOK, out)
+	writeJSON(w, http.StatusOK, response)
 }
 
-func (r *Replica) serveLedgerView(w http.ResponseWriter, req *http.Request) {
-	if !r.fresh(w, req) {
+func (r *Replica) serveLedgerView(w http.ResponseWriter, request *http.Request) {
+	if !r.ensureFresh(w, request) {
 		return
 	}
-	var v disruption.View
-	r.hub.Read(func(s *State) { v = s.Ledger().View(req.URL.Query().Get("units") != "") })
-	r.mark(w)
-	answer(w, http.StatusOK, v)
+	var view disruption.View
+	r.hub.Read(func(state *StateMachine) { view = state.Ledger().View(request.URL.Query().Get("units") != "") })
+	r.setFreshnessHeaders(w)
+	writeJSON(w, http.StatusOK, view)
 }
 
-func (r *Replica) servePermit(w http.ResponseWriter, req *http.Request) {
-	if !r.fresh(w, req) {
+func (r *Replica) servePermit(w http.ResponseWriter, request *http.Request) {
+	if !r.ensureFresh(w, request) {
 		return
 	}
-	var p disruption.Permit
-	var is bool
-	r.hub.Read(func(s *State) { p, is = s.Ledger().Permit(req.PathValue("id")) })
-	r.mark(w)
-	if !is {
-		refuse(w, http.StatusNotFound, fmt.Errorf("there is no permit %s", req.PathValue("id")))
+	var permit disruption.Permit
+	var ok bool
+	r.hub.Read(func(state *StateMachine) { permit, ok = state.Ledger().Permit(request.PathValue("id")) })
+	r.setFreshnessHeaders(w)
+	if !ok {
+		writeError(w, http.StatusNotFound, fmt.Errorf("there is no permit %s", request.PathValue("id")))
 		return
 	}
-	answer(w, http.StatusOK, p)
+	writeJSON(w, http.StatusOK, permit)
 }
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -10,80 +10,80 @@
 
 // metrics are a replica's own, on a register of its own, so that several run in one process.
 type metrics struct {
-	all     *prometheus.Registry
-	writes  *prometheus.CounterVec
-	held    prometheus.Counter
-	expired prometheus.Counter
-	changes prometheus.Counter // of leadership to this replica
-	gaps    prometheus.Histogram
+	registry         *prometheus.Registry
+	writes           *prometheus.CounterVec
+	heldBack         prometheus.Counter
+	expired          prometheus.Counter
+	leadershipGained prometheus.Counter // of leadership to this replica
+	leaseGaps        prometheus.Histogram
 }
 
-func newMetrics(r *Replica) *metrics {
-	m := &metrics{
-		all: prometheus.NewRegistry(),
+func newMetrics(replica *Replica) *metrics {
+	instruments := &metrics{
+		registry: prometheus.NewRegistry(),
 		writes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "milldeck_registry_writes_total", Help: "Writes applied on this leader, by operation and outcome.",
 		}, []string{"op", "outcome"}),
-		held:    prometheus.NewCounter(prometheus.CounterOpts{Name: "milldeck_registry_held_total", Help: "Instances held back from a mass expiry."}),
-		expired: prometheus.NewCounter(prometheus.CounterOpts{Name: "milldeck_registry_expired_total", Help: "Leases that ended."}),
-		changes: prometheus.NewCounter(prometheus.CounterOpts{Name: "milldeck_registry_led_total", Help: "Times that this replica became the leader."}),
+		heldBack:         prometheus.NewCounter(prometheus.CounterOpts{Name: "milldeck_registry_held_total", Help: "Instances held back from a mass expiry."}),
+		expired:          prometheus.NewCounter(prometheus.CounterOpts{Name: "milldeck_registry_expired_total", Help: "Leases that ended."}),
+		leadershipGained: prometheus.NewCounter(prometheus.CounterOpts{Name: "milldeck_registry_led_total", Help: "Times that this replica became the leader."}),
 	}
-	m.gaps = prometheus.NewHistogram(prometheus.HistogramOpts{
+	instruments.leaseGaps = prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name: "milldeck_duty_gap_seconds", Help: "Time without a holder, seen by this leader: from a release or the last renewal to the next holder's first.",
 		Buckets: prometheus.ExponentialBuckets(0.01, 2, 14),
 	})
-	r.duties.gap = func(d time.Duration) { m.gaps.Observe(d.Seconds()) }
-	gauge := func(name, help string, of func(Status) float64) {
-		m.all.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return of(r.status()) }))
+	replica.leaseTracker.observeGap = func(gap time.Duration) { instruments.leaseGaps.Observe(gap.Seconds()) }
+	gauge := func(name, help string, value func(Status) float64) {
+		instruments.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return value(replica.status()) }))
 	}
-	gauge("milldeck_registry_revision", "Revision of the list.", func(s Status) float64 { return float64(s.Rev) })
-	gauge("milldeck_registry_instances", "Instances in the list.", func(s Status) float64 { return float64(s.Instances) })
-	gauge("milldeck_registry_suspects", "Instances held back from expiry.", func(s Status) float64 { return float64(s.Suspects) })
-	gauge("milldeck_registry_watchers", "Open watches.", func(s Status) float64 { return float64(s.Watchers) })
-	gauge("milldeck_registry_age_seconds", "How old the list may be.", func(s Status) float64 { return float64(s.AgeMS) / 1000 })
-	gauge("milldeck_registry_leader", "1 while this replica leads.", func(s Status) float64 {
-		if s.Role == "Leader" {
+	gauge("milldeck_registry_revision", "Revision of the list.", func(status Status) float64 { return float64(status.Revision) })
+	gauge("milldeck_registry_instances", "Instances in the list.", func(status Status) float64 { return float64(status.Instances) })
+	gauge("milldeck_registry_suspects", "Instances held back from expiry.", func(status Status) float64 { return float64(status.Suspects) })
+	gauge("milldeck_registry_watchers", "Open watches.", func(status Status) float64 { return float64(status.Watchers) })
+	gauge("milldeck_registry_age_seconds", "How old the list may be.", func(status Status) float64 { return float64(status.AgeMS) / 1000 })
+	gauge("milldeck_registry_leader", "1 while this replica leads.", func(status Status) float64 {
+		if status.Role == "Leader" {
 			return 1
 		}
 		return 0
 	})
-	m.all.MustRegister(m.writes, m.held, m.expired, m.changes, m.gaps, &dutyCollector{r})
-	return m
+	instruments.registry.MustRegister(instruments.writes, instruments.heldBack, instruments.expired, instruments.leadershipGained, instruments.leaseGaps, &leaseCollector{replica})
+	return instruments
 }
 
-// mostDutyMetrics bounds the series: beyond so many duties only the first by name have their own.
-const mostDutyMetrics = 1000
+// maxLeaseMetrics bounds the series: beyond so many duties only the first by name have their own.
+const maxLeaseMetrics = 1000
 
 var (
-	dutyHeld    = prometheus.NewDesc("milldeck_duty_held", "1 while the duty has a holder whose token counts.", []string{"duty"}, nil)
-	dutyChanges = prometheus.NewDesc("milldeck_duty_changes_total", "Changes of the duty's holder.", []string{"duty"}, nil)
-	dutyQueue   = prometheus.NewDesc("milldeck_duty_candidates", "Candidates that wait for the duty.", []string{"duty"}, nil)
-	dutyAge     = prometheus.NewDesc("milldeck_duty_age_seconds", "How long the duty has been held, on the leader.", []string{"duty"}, nil)
+	leaseHeldDesc       = prometheus.NewDesc("milldeck_duty_held", "1 while the duty has a holder whose token counts.", []string{"duty"}, nil)
+	leaseChangesDesc    = prometheus.NewDesc("milldeck_duty_changes_total", "Changes of the duty's holder.", []string{"duty"}, nil)
+	leaseCandidatesDesc = prometheus.NewDesc("milldeck_duty_candidates", "Candidates that wait for the duty.", []string{"duty"}, nil)
+	leaseAgeDesc        = prometheus.NewDesc("milldeck_duty_age_seconds", "How long the duty has been held, on the leader.", []string{"duty"}, nil)
 )
 
-// dutyCollector tells of each duty as the replica has it.
-type dutyCollector struct{ r *Replica }
+// leaseCollector tells of each duty as the replica has it.
+type leaseCollector struct{ replica *Replica }
 
-func (c *dutyCollector) Describe(to chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{dutyHeld, dutyChanges, dutyQueue, dutyAge} {
-		to <- d
+func (c *leaseCollector) Describe(descs chan<- *prometheus.Desc) {
+	for _, desc := range []*prometheus.Desc{leaseHeldDesc, leaseChangesDesc, leaseCandidatesDesc, leaseAgeDesc} {
+		descs <- desc
 	}
 }
 
-func (c *dutyCollector) Collect(to chan<- prometheus.Metric) {
-	var list []*table.Lease
-	c.r.hub.Read(func(s *State) { list = s.duties.Snapshot() })
+func (c *leaseCollector) Collect(output chan<- prometheus.Metric) {
+	var leases []*table.Lease
+	c.replica.hub.Read(func(state *StateMachine) { leases = state.leases.Snapshot() })
 	now := time.Now()
-	for _, d := range list[:min(len(list), mostDutyMetrics)] {
+	for _, lease := range leases[:min(len(leases), maxLeaseMetrics)] {
 		held := 0.0
-		if d.Holder != "" && !d.Revoked {
+		if lease.Holder != "" && !lease.Revoked {
 			held = 1
 		}
-		to <- prometheus.MustNewConstMetric(dutyHeld, prometheus.GaugeValue, held, d.Name)
-		to <- prometheus.MustNewConstMetric(dutyChanges, prometheus.CounterValue, float64(d.Transitions), d.Name)
-		to <- prometheus.MustNewConstMetric(dutyQueue, prometheus.GaugeValue, float64(len(d.Queue)), d.Name)
-		if c.r.leading.Load() {
-			to <- prometheus.MustNewConstMetric(dutyAge, prometheus.GaugeValue, c.r.duties.age(now, d).Seconds(), d.Name)
+		output <- prometheus.MustNewConstMetric(leaseHeldDesc, prometheus.GaugeValue, held, lease.Name)
+		output <- prometheus.MustNewConstMetric(leaseChangesDesc, prometheus.CounterValue, float64(lease.Transitions), lease.Name)
+		output <- prometheus.MustNewConstMetric(leaseCandidatesDesc, prometheus.GaugeValue, float64(len(lease.Queue)), lease.Name)
+		if c.replica.isLeader.Load() {
+			output <- prometheus.MustNewConstMetric(leaseAgeDesc, prometheus.GaugeValue, c.replica.leaseTracker.heldFor(now, lease).Seconds(), lease.Name)
 		}
 	}
 }
