--- a/internal/registry/placement_test.go
+++ b/internal/registry/placement_test.go
@@ -17,72 +17,72 @@
 	"milldeck/internal/registry"
 )
 
-// seek gets a duty for as long as a test lasts.
-func (b *bed) seek(name string) *registry.Guard {
+// acquireLease gets a duty for as long as a test lasts.
+func (b *testEnv) acquireLease(name string) *registry.Guard {
 	b.Helper()
-	d, err := b.client.Duty(b.ctx, table.Campaign, name, registry.DutyCall{Who: "me", TTLMS: 3600_000})
+	lease, err := b.client.UpdateLease(b.ctx, table.Campaign, name, registry.LeaseRequest{Candidate: "me", TTLMS: 3600_000})
 	if err != nil {
 		b.Fatal(err)
 	}
-	return &registry.Guard{Duty: name, Token: d.Token}
+	return &registry.Guard{Lease: name, Token: lease.Token}
 }
 
-func keepOff(id string, length time.Duration) placement.Directive {
-	return placement.Directive{ID: id, Kind: placement.KindExclude, Tenant: "t", Servers: []string{"s1", "s2"}, MinAvailable: 0.5, ExpiresAtMS: time.Now().Add(length).UnixMilli()}
+func keepOff(id string, duration time.Duration) placement.Directive {
+	return placement.Directive{ID: id, Kind: placement.KindExclude, Tenant: "t", Servers: []string{"s1", "s2"}, MinAvailable: 0.5, ExpiresAtMS: time.Now().Add(duration).UnixMilli()}
 }
 
-// place sets entries, and returns the status that the write was refused with, 0 if it was done.
-func (b *bed) place(g *registry.Guard, entries ...placement.Directive) (registry.Result, int) {
+// setPlacement sets entries, and returns the status that the write was refused with, 0 if it was done.
+func (b *testEnv) setPlacement(guard *registry.Guard, entries ...placement.Directive) (registry.Result, int) {
 	b.Helper()
-	res, err := b.client.SetPlacement(b.ctx, registry.Write{Guard: g}, time.Now().UnixMilli(), entries)
-	var status *registry.StatusError
+	result, err := b.client.SetPlacement(b.ctx, registry.WriteOptions{Guard: guard}, time.Now().UnixMilli(), entries)
+	var statusErr *registry.StatusError
 	switch {
-	case errors.As(err, &status):
-		return res, status.Status
+	case errors.As(err, &statusErr):
+		return result, statusErr.StatusCode
 	case err != nil:
 		b.Fatal(err)
 	}
-	return res, 0
+	return result, 0
 }
 
-// follower reads the placement of one replica after the other.
-type follower struct {
-	mu     sync.Mutex
-	reader *placement.Cache
-	whole  int // lists that were told whole
-	news   func(rev uint64, at time.Time)
-	began  time.Time
+// placementFollower reads the placement of one replica after the other.
+type placementFollower struct {
+	mu        sync.Mutex
+	reader    *placement.Cache
+	fullLists int // lists that were told whole
+	onUpdate  func(rev uint64, at time.Time)
+	startedAt time.Time
 }
 
-// follow begins with a replica and goes on to the next where a watch ends, until the test does.
-func (b *bed) follow(n int, news func(uint64, time.Time)) *follower {
-	f := &follower{reader: placement.NewCache(), began: time.Now(), news: news}
-	ctx, stop := context.WithCancel(b.ctx)
+// followPlacement begins with a replica and goes on to the next where a watch ends, until the test does.
+func (b *testEnv) followPlacement(first int, onUpdate func(uint64, time.Time)) *placementFollower {
+	follower := &placementFollower{reader: placement.NewCache(), startedAt: time.Now(), onUpdate: onUpdate}
+	ctx, cancel := context.WithCancel(b.ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for ; ctx.Err() == nil; n++ {
-			f.mu.Lock()
-			rev, epoch := f.reader.Revision(), f.reader.Epoch()
-			f.mu.Unlock()
-			at := b.c.Replicas[n%len(b.c.Replicas)].HTTP
-			err := b.client.WatchPlacement(ctx, at, rev, epoch, func(l *placement.Update, _ time.Duration) error {
-				if l == nil {
+		for ; ctx.Err() == nil; first++ {
+			follower.mu.Lock()
+			revision, epoch := follower.reader.Revision(), follower.reader.Epoch()
+			follower.mu.Unlock()
+			address := b.cluster.Replicas[first%len(b.cluster.Replicas)].HTTPAddr
+			err := b.client.WatchPlacement(ctx, address, revision, epoch, func(list *placement.Update, _ time.Duration) error {
+				if list == nil {
 					return nil
 				}
-				f.mu.Lock()
-				defer f.mu.Unlock()
-				if l.Complete {
-					f.whole++
+				follower.mu.Lock()
+				defer follower.mu.Unlock()
+				if list.Complete {
+					follower.fullLists++
 				}
-				is, err := f.reader.Apply(l, time.Now().UnixMilli(), time.Since(f.began).Milliseconds())
-				if is && f.news != nil {
-					f.news(l.Revision, time.Now())
+				updated, err := follower.reader.Apply(list, time.Now().UnixMilli(), time.Since(follower.startedAt).Milliseconds())
+				if updated && follower.onUpdate != nil {
+					follower.onUpdate(list.Revision, time.Now())
 				}
 				return err
 			})
 			if ctx.Err() == nil {
-				b.Logf("watch of %s ended: %v", at, err)
+				b.Logf("watch of %s ended: %v", address, err)
 			}
 			select {
 			case <-ctx.Done():
@@ -90,165 +90,165 @@
 			}
 		}
 	}()
-	b.Cleanup(func() { stop(); <-done })
-	return f
+	b.Cleanup(func() { cancel(); <-done })
+	return follower
 }
 
-// has gives the ids in force.
-func (f *follower) has() string {
+// entryIDs gives the ids in force.
+func (f *placementFollower) entryIDs() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return ids(f.reader.Active(time.Now().UnixMilli(), time.Since(f.began).Milliseconds()))
+	return ids(f.reader.Active(time.Now().UnixMilli(), time.Since(f.startedAt).Milliseconds()))
 }
 
-func ids(l placement.Update) string {
-	var out []string
-	for _, e := range l.Directives {
-		out = append(out, e.ID)
+func ids(list placement.Update) string {
+	var entryIDs []string
+	for _, entry := range list.Directives {
+		entryIDs = append(entryIDs, entry.ID)
 	}
-	return strings.Join(out, " ")
+	return strings.Join(entryIDs, " ")
 }
 
 // The leader is killed while watches are open: every one goes on where it was, nothing acknowledged is lost, and the
 // replica that comes back from its snapshot tells the same. What is not its owner's is refused before and after.
-func TestPlacementOverALostLeader(t *testing.T) {
-	b := start(t, 3, false, "snapshot_every = 10")
-	leader := b.leader()
-	g, other := b.seek("window/a"), b.seek("window/b")
-	var all []*follower
-	for n := range 3 {
-		all = append(all, b.follow(n, nil))
-	}
-	everyone := func(what, want string) {
+func TestPlacementSurvivesLeaderLoss(t *testing.T) {
+	env := startEnv(t, 3, false, "snapshot_every = 10")
+	leader := env.leader()
+	guard, other := env.acquireLease("window/a"), env.acquireLease("window/b")
+	var followers []*placementFollower
+	for ordinal := range 3 {
+		followers = append(followers, env.followPlacement(ordinal, nil))
+	}
+	allFollowersHave := func(what, want string) {
 		t.Helper()
-		b.until(what, func() bool {
-			return !slices.ContainsFunc(all, func(f *follower) bool { return f.has() != want })
+		env.eventually(what, func() bool {
+			return !slices.ContainsFunc(followers, func(follower *placementFollower) bool { return follower.entryIDs() != want })
 		})
 	}
-	if _, status := b.place(g, keepOff("window/a/1", time.Minute), keepOff("window/a/2", time.Minute)); status != 0 {
+	if _, status := env.setPlacement(guard, keepOff("window/a/1", time.Minute), keepOff("window/a/2", time.Minute)); status != 0 {
 		t.Fatalf("refused: %d", status)
 	}
-	everyone("all have the first two", "window/a/1 window/a/2")
-	leader.Proc.Kill()
-	res, status := b.place(g, keepOff("window/a/3", 2*time.Second), keepOff("window/a/1", time.Minute))
+	allFollowersHave("all have the first two", "window/a/1 window/a/2")
+	leader.Process.Kill()
+	result, status := env.setPlacement(guard, keepOff("window/a/3", 2*time.Second), keepOff("window/a/1", time.Minute))
 	if status != 0 {
 		t.Fatalf("refused: %d", status)
 	}
-	for name, c := range map[string]struct {
-		g    *registry.Guard
-		e    placement.Directive
-		want int
+	for name, tc := range map[string]struct {
+		guard *registry.Guard
+		entry placement.Directive
+		want  int
 	}{
 		"another's entry":   {other, keepOff("window/a/1", time.Minute), http.StatusConflict},
-		"an old token":      {&registry.Guard{Duty: g.Duty, Token: g.Token - 1}, keepOff("window/a/1", time.Minute), http.StatusConflict},
+		"an old token":      {&registry.Guard{Lease: guard.Lease, Token: guard.Token - 1}, keepOff("window/a/1", time.Minute), http.StatusConflict},
 		"no duty":           {nil, keepOff("window/a/1", time.Minute), http.StatusBadRequest},
-		"beyond an hour":    {g, keepOff("window/a/1", 2*time.Hour), http.StatusConflict},
-		"ended":             {g, keepOff("window/a/1", -time.Second), http.StatusConflict},
-		"what cannot be":    {g, placement.Directive{ID: "window/a/1", Kind: placement.KindSpreadKey, ExpiresAtMS: 1}, http.StatusBadRequest},
-		"not of any window": {g, keepOff("window", time.Minute), http.StatusBadRequest},
+		"beyond an hour":    {guard, keepOff("window/a/1", 2*time.Hour), http.StatusConflict},
+		"ended":             {guard, keepOff("window/a/1", -time.Second), http.StatusConflict},
+		"what cannot be":    {guard, placement.Directive{ID: "window/a/1", Kind: placement.KindSpreadKey, ExpiresAtMS: 1}, http.StatusBadRequest},
+		"not of any window": {guard, keepOff("window", time.Minute), http.StatusBadRequest},
 	} {
-		if _, status := b.place(c.g, c.e); status != c.want {
-			t.Errorf("%s: %d, want %d", name, status, c.want)
+		if _, status := env.setPlacement(tc.guard, tc.entry); status != tc.want {
+			t.Errorf("%s: %d, want %d", name, status, tc.want)
 		}
 	}
-	if _, err := b.client.SetPlacement(b.ctx, registry.Write{Guard: g}, time.Now().UnixMilli()-3_600_000, []placement.Directive{keepOff("window/a/1", time.Minute)}); err == nil {
+	if _, err := env.client.SetPlacement(env.ctx, registry.WriteOptions{Guard: guard}, time.Now().UnixMilli()-3_600_000, []placement.Directive{keepOff("window/a/1", time.Minute)}); err == nil {
 		t.Error("a writer whose clock is an hour behind is taken")
 	}
-	everyone("all have the third, and none longer than it lasts", "window/a/1 window/a/2")
-	b.until("the leader drops what ended", func() bool {
-		l, err := b.client.PlacementView(b.ctx, true)
-		return err == nil && l.Revision > res.Rev && ids(l) == "window/a/1 window/a/2"
+	allFollowersHave("all have the third, and none longer than it lasts", "window/a/1 window/a/2")
+	env.eventually("the leader drops what ended", func() bool {
+		list, err := env.client.PlacementView(env.ctx, true)
+		return err == nil && list.Revision > result.Revision && ids(list) == "window/a/1 window/a/2"
 	})
 	if err := leader.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := b.client.DropPlacement(b.ctx, registry.Write{Guard: g}, "window/a/2", "window/a/never"); err != nil {
+	if _, err := env.client.RemovePlacement(env.ctx, registry.WriteOptions{Guard: guard}, "window/a/2", "window/a/never"); err != nil {
 		t.Fatal(err)
 	}
-	everyone("the drop reaches all", "window/a/1")
-	want, err := b.client.PlacementView(b.ctx, true)
+	allFollowersHave("the drop reaches all", "window/a/1")
+	want, err := env.client.PlacementView(env.ctx, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	one, err := registry.NewClient([]string{leader.HTTP})
+	restarted, err := registry.NewClient([]string{leader.HTTPAddr})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer one.Close()
-	b.until("the killed one tells the same", func() bool {
-		l, err := one.PlacementView(b.ctx, false)
-		return err == nil && l.Revision == want.Revision && l.Epoch == want.Epoch && ids(l) == "window/a/1"
+	defer restarted.Close()
+	env.eventually("the killed one tells the same", func() bool {
+		list, err := restarted.PlacementView(env.ctx, false)
+		return err == nil && list.Revision == want.Revision && list.Epoch == want.Epoch && ids(list) == "window/a/1"
 	})
-	for n, f := range all {
-		f.mu.Lock()
-		if f.reader.Revision() != want.Revision {
-			t.Errorf("follower %d has revision %d, want %d", n, f.reader.Revision(), want.Revision)
+	for ordinal, follower := range followers {
+		follower.mu.Lock()
+		if follower.reader.Revision() != want.Revision {
+			t.Errorf("follower %d has revision %d, want %d", ordinal, follower.reader.Revision(), want.Revision)
 		}
-		f.mu.Unlock()
+		follower.mu.Unlock()
 	}
 }
 
 // A restored backup begins another history: watchers get it whole, and what was written since it was taken is gone.
-func TestPlacementOfAnOlderBackup(t *testing.T) {
-	b := start(t, 1, false, "")
-	g := b.seek("window/a")
-	f := b.follow(0, nil)
-	b.place(g, keepOff("window/a/1", time.Minute))
-	backup, err := b.client.SaveSnapshot(b.ctx)
+func TestPlacementAfterRestore(t *testing.T) {
+	env := startEnv(t, 1, false, "")
+	guard := env.acquireLease("window/a")
+	follower := env.followPlacement(0, nil)
+	env.setPlacement(guard, keepOff("window/a/1", time.Minute))
+	backup, err := env.client.SaveSnapshot(env.ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.place(g, keepOff("window/a/2", time.Minute))
-	b.until("both are there", func() bool { return f.has() == "window/a/1 window/a/2" })
-	if _, err := b.client.RestoreSnapshot(b.ctx, backup); err != nil {
+	env.setPlacement(guard, keepOff("window/a/2", time.Minute))
+	env.eventually("both are there", func() bool { return follower.entryIDs() == "window/a/1 window/a/2" })
+	if _, err := env.client.RestoreSnapshot(env.ctx, backup); err != nil {
 		t.Fatal(err)
 	}
-	b.until("the older one is told", func() bool { return f.has() == "window/a/1" })
-	if _, status := b.place(g, keepOff("window/a/3", time.Minute)); status != 0 {
+	env.eventually("the older one is told", func() bool { return follower.entryIDs() == "window/a/1" })
+	if _, status := env.setPlacement(guard, keepOff("window/a/3", time.Minute)); status != 0 {
 		t.Fatalf("refused: %d", status)
 	}
-	b.until("and goes on", func() bool { return f.has() == "window/a/1 window/a/3" })
+	env.eventually("and goes on", func() bool { return follower.entryIDs() == "window/a/1 window/a/3" })
 }
 
 // A change reaches 1,000 watchers on three replicas, followers of the leader among them.
-func TestAThousandWatchersGetAChange(t *testing.T) {
-	b := start(t, 3, false, "")
-	g := b.seek("spread")
+func TestThousandWatchersReceiveChange(t *testing.T) {
+	env := startEnv(t, 3, false, "")
+	guard := env.acquireLease("spread")
 	const watchers, changes = 1000, 10
 	var mu sync.Mutex
 	got := map[uint64][]time.Time{}
-	for n := range watchers {
-		b.follow(n, func(rev uint64, at time.Time) {
+	for ordinal := range watchers {
+		env.followPlacement(ordinal, func(revision uint64, at time.Time) {
 			mu.Lock()
 			defer mu.Unlock()
-			got[rev] = append(got[rev], at)
+			got[revision] = append(got[revision], at)
 		})
 	}
-	count := func(rev uint64) int { mu.Lock(); defer mu.Unlock(); return len(got[rev]) }
-	first, err := b.client.PlacementView(b.ctx, true)
+	count := func(revision uint64) int { mu.Lock(); defer mu.Unlock(); return len(got[revision]) }
+	first, err := env.client.PlacementView(env.ctx, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.until("all watch", func() bool { return count(first.Revision) == watchers })
-	var took []time.Duration
-	for k := range changes {
-		e := placement.Directive{ID: fmt.Sprint("spread/", k), Kind: placement.KindSpreadKey, KeyHash: "0123456789abcdef", ExpiresAtMS: time.Now().Add(time.Minute).UnixMilli()}
-		for c := range 8 {
-			e.Copies = append(e.Copies, placement.KeyCopy{ServerUID: fmt.Sprint("s", c), LoadFraction: 0.1})
+	env.eventually("all watch", func() bool { return count(first.Revision) == watchers })
+	var latencies []time.Duration
+	for round := range changes {
+		entry := placement.Directive{ID: fmt.Sprint("spread/", round), Kind: placement.KindSpreadKey, KeyHash: "0123456789abcdef", ExpiresAtMS: time.Now().Add(time.Minute).UnixMilli()}
+		for copyIndex := range 8 {
+			entry.Copies = append(entry.Copies, placement.KeyCopy{ServerUID: fmt.Sprint("s", copyIndex), LoadFraction: 0.1})
 		}
-		asked := time.Now()
-		res, status := b.place(g, e)
+		startedAt := time.Now()
+		result, status := env.setPlacement(guard, entry)
 		if status != 0 {
 			t.Fatalf("refused: %d", status)
 		}
-		b.until("all have the change", func() bool { return count(res.Rev) == watchers })
-		for _, at := range got[res.Rev] {
-			took = append(took, at.Sub(asked))
+		env.eventually("all have the change", func() bool { return count(result.Revision) == watchers })
+		for _, at := range got[result.Revision] {
+			latencies = append(latencies, at.Sub(startedAt))
 		}
 	}
-	slices.SortFunc(took, func(x, y time.Duration) int { return cmp.Compare(x, y) })
-	p99 := took[len(took)*99/100]
-	t.Logf("from the call to the last of %d watchers: p50 %v, p99 %v, most %v", watchers, took[len(took)/2], p99, took[len(took)-1])
+	slices.SortFunc(latencies, func(first, second time.Duration) int { return cmp.Compare(first, second) })
+	p99 := latencies[len(latencies)*99/100]
+	t.Logf("from the call to the last of %d watchers: p50 %v, p99 %v, most %v", watchers, latencies[len(latencies)/2], p99, latencies[len(latencies)-1])
 	if p99 > 2*time.Second {
 		t.Errorf("p99 %v", p99)
 	}
--- a/internal/registry/raft.go
+++ b/internal/registry/raft.go
@@ -17,73 +17,73 @@
 )
 
 func (r *Replica) openRaft() error {
-	cfg := raft.DefaultConfig()
-	cfg.LocalID = raft.ServerID(r.opts.HTTP)
-	cfg.HeartbeatTimeout, cfg.ElectionTimeout, cfg.LeaderLeaseTimeout = heartbeat, election, leaderLease
-	cfg.CommitTimeout = commitEvery
-	cfg.SnapshotThreshold = r.opts.SnapshotEvery
-	cfg.TrailingLogs = r.opts.SnapshotEvery / 2
-	cfg.SnapshotInterval = 2 * time.Second
-	cfg.Logger = hclog.FromStandardLogger(slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
+	config := raft.DefaultConfig()
+	config.LocalID = raft.ServerID(r.options.HTTPAddr)
+	config.HeartbeatTimeout, config.ElectionTimeout, config.LeaderLeaseTimeout = raftHeartbeatTimeout, raftElectionTimeout, raftLeaderLeaseTimeout
+	config.CommitTimeout = raftCommitTimeout
+	config.SnapshotThreshold = r.options.SnapshotThreshold
+	config.TrailingLogs = r.options.SnapshotThreshold / 2
+	config.SnapshotInterval = 2 * time.Second
+	config.Logger = hclog.FromStandardLogger(slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 		&hclog.LoggerOptions{Name: "raft", Level: hclog.Info})
 
 	var logs raft.LogStore
 	var stable raft.StableStore
-	var snaps raft.SnapshotStore
-	if r.opts.Dir == "" {
-		mem := raft.NewInmemStore()
-		logs, stable, snaps, r.store = mem, mem, raft.NewInmemSnapshotStore(), io.NopCloser(nil)
+	var snapshots raft.SnapshotStore
+	if r.options.DataDir == "" {
+		memory := raft.NewInmemStore()
+		logs, stable, snapshots, r.logStore = memory, memory, raft.NewInmemSnapshotStore(), io.NopCloser(nil)
 	} else {
-		if err := os.MkdirAll(r.opts.Dir, 0o700); err != nil {
+		if err := os.MkdirAll(r.options.DataDir, 0o700); err != nil {
 			return fmt.Errorf("dir: %w", err)
 		}
-		store, err := openStore(filepath.Join(r.opts.Dir, logFile))
+		store, err := openLogStore(filepath.Join(r.options.DataDir, logFileName))
 		if err != nil {
 			return err
 		}
-		r.store = store
-		files, err := raft.NewFileSnapshotStoreWithLogger(r.opts.Dir, keptSnaps, cfg.Logger)
+		r.logStore = store
+		fileSnapshots, err := raft.NewFileSnapshotStoreWithLogger(r.options.DataDir, retainedSnapshots, config.Logger)
 		if err == nil {
-			err = verifyFolder(store, files)
+			err = verifyDataDir(store, fileSnapshots)
 		}
 		if err != nil {
 			store.Close()
-			return fmt.Errorf("%s: %w", r.opts.Dir, err)
+			return fmt.Errorf("%s: %w", r.options.DataDir, err)
 		}
-		logs, stable, snaps = store, store, files
+		logs, stable, snapshots = store, store, fileSnapshots
 	}
-	layer, err := newLayer(r.opts.Raft, r.opts.Advertise)
+	layer, err := newStreamLayer(r.options.RaftAddr, r.options.AdvertiseRaftAddr)
 	if err != nil {
-		r.store.Close()
+		r.logStore.Close()
 		return fmt.Errorf("raft: %w", err)
 	}
-	r.trans = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: layer, MaxPool: poolSize, Timeout: applyWait, Logger: cfg.Logger,
+	r.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+		Stream: layer, MaxPool: maxRaftConnections, Timeout: applyTimeout, Logger: config.Logger,
 	})
-	fresh, err := raft.HasExistingState(logs, stable, snaps)
-	if err == nil && !fresh && len(r.opts.Members) > 0 {
+	exists, err := raft.HasExistingState(logs, stable, snapshots)
+	if err == nil && !exists && len(r.options.Members) > 0 {
 		var servers []raft.Server
-		for _, m := range r.opts.Members {
-			servers = append(servers, raft.Server{ID: raft.ServerID(m.HTTP), Address: raft.ServerAddress(m.Raft)})
+		for _, member := range r.options.Members {
+			servers = append(servers, raft.Server{ID: raft.ServerID(member.HTTPAddr), Address: raft.ServerAddress(member.RaftAddr)})
 		}
-		err = raft.BootstrapCluster(cfg, logs, stable, snaps, r.trans, raft.Configuration{Servers: servers})
+		err = raft.BootstrapCluster(config, logs, stable, snapshots, r.transport, raft.Configuration{Servers: servers})
 	}
 	if err == nil {
-		r.raft, err = raft.NewRaft(cfg, (*fsm)(r), logs, stable, snaps, r.trans)
+		r.raft, err = raft.NewRaft(config, (*fsm)(r), logs, stable, snapshots, r.transport)
 	}
 	if err != nil {
-		r.trans.Close()
-		r.store.Close()
+		r.transport.Close()
+		r.logStore.Close()
 		return fmt.Errorf("raft: %w", err)
 	}
 	return nil
 }
 
-// openStore opens the log's file. The library panics on some torn files; that is an error like any other here.
-func openStore(path string) (store *raftboltdb.BoltStore, err error) {
+// openLogStore opens the log's file. The library panics on some torn files; that is an error like any other here.
+func openLogStore(path string) (store *raftboltdb.BoltStore, err error) {
 	defer func() {
-		if p := recover(); p != nil {
-			err = fmt.Errorf("%s: %v", path, p)
+		if panicked := recover(); panicked != nil {
+			err = fmt.Errorf("%s: %v", path, panicked)
 		}
 	}()
 	store, err = raftboltdb.New(raftboltdb.Options{Path: path})
@@ -93,25 +93,25 @@
 	return store, nil
 }
 
-// verifyFolder reads all that the replica would build on, so that what is torn is found before it votes.
-func verifyFolder(store *raftboltdb.BoltStore, snaps raft.SnapshotStore) (err error) {
+// verifyDataDir reads all that the replica would build on, so that what is torn is found before it votes.
+func verifyDataDir(store *raftboltdb.BoltStore, snapshots raft.SnapshotStore) (err error) {
 	defer func() {
-		if p := recover(); p != nil {
-			err = fmt.Errorf("log: %v", p)
+		if panicked := recover(); panicked != nil {
+			err = fmt.Errorf("log: %v", panicked)
 		}
 	}()
-	list, err := snaps.List()
+	available, err := snapshots.List()
 	if err != nil {
 		return fmt.Errorf("snapshots: %w", err)
 	}
-	for _, meta := range list { // the older one is what is left when the newest cannot be read
-		_, from, err := snaps.Open(meta.ID)
+	for _, metadata := range available { // the older one is what is left when the newest cannot be read
+		_, reader, err := snapshots.Open(metadata.ID)
 		if err == nil {
-			_, err = ReadSnapshot(from)
-			from.Close()
+			_, err = ReadSnapshot(reader)
+			reader.Close()
 		}
 		if err != nil {
-			return fmt.Errorf("snapshot %s: %w", meta.ID, err)
+			return fmt.Errorf("snapshot %s: %w", metadata.ID, err)
 		}
 	}
 	first, err := store.FirstIndex()
@@ -122,144 +122,144 @@
 	if err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
-	for i := first; i != 0 && i <= last; i++ {
-		var l raft.Log
-		if err := store.GetLog(i, &l); err != nil {
-			return fmt.Errorf("log entry %d: %w", i, err)
+	for index := first; index != 0 && index <= last; index++ {
+		var entry raft.Log
+		if err := store.GetLog(index, &entry); err != nil {
+			return fmt.Errorf("log entry %d: %w", index, err)
 		}
-		if l.Index != i {
-			return fmt.Errorf("log entry %d: %w", i, errTorn)
+		if entry.Index != index {
+			return fmt.Errorf("log entry %d: %w", index, errChecksumMismatch)
 		}
-		if l.Type == raft.LogCommand {
-			if _, err := DecodeRecord(l.Data); err != nil {
-				return fmt.Errorf("log entry %d: %w", i, err)
+		if entry.Type == raft.LogCommand {
+			if _, err := DecodeRecord(entry.Data); err != nil {
+				return fmt.Errorf("log entry %d: %w", index, err)
 			}
 		}
 	}
 	return nil
 }
 
-// layer is the connections between replicas. It dials from the replica's own address, so that the other side, and
+// streamLayer is the connections between replicas. It dials from the replica's own address, so that the other side, and
 // whatever stands between, sees who it is.
-type layer struct {
+type streamLayer struct {
 	net.Listener
-	own       net.IP
+	localIP   net.IP
 	advertise net.Addr
 }
 
-func newLayer(addr, advertise string) (*layer, error) {
-	ln, err := net.Listen("tcp", addr)
+func newStreamLayer(address, advertise string) (*streamLayer, error) {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	public, err := net.ResolveTCPAddr("tcp", advertise)
+	advertised, err := net.ResolveTCPAddr("tcp", advertise)
 	if err != nil {
-		ln.Close()
+		listener.Close()
 		return nil, err
 	}
-	return &layer{ln, ln.Addr().(*net.TCPAddr).IP, public}, nil
+	return &streamLayer{listener, listener.Addr().(*net.TCPAddr).IP, advertised}, nil
 }
 
-func (l *layer) Addr() net.Addr { return l.advertise }
+func (l *streamLayer) Addr() net.Addr { return l.advertise }
 
-func (l *layer) Dial(to raft.ServerAddress, wait time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: min(wait, dialWait), LocalAddr: &net.TCPAddr{IP: l.own}}
-	c, err := d.Dial("tcp", string(to))
+func (l *streamLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: min(timeout, dialTimeout), LocalAddr: &net.TCPAddr{IP: l.localIP}}
+	conn, err := dialer.Dial("tcp", string(to))
 	if err != nil {
 		return nil, err
 	}
-	return &prompt{Conn: c, within: answerWithin}, nil
+	return &responseAgeConn{Conn: conn, maxAge: maxResponseAge}, nil
 }
 
 const (
-	// answerWithin is how old an answer of another replica may be. Who answered a heartbeat elects nobody else for the
+	// maxResponseAge is how old an answer of another replica may be. Who answered a heartbeat elects nobody else for the
 	// time of the heartbeat; an answer that is read later, as after this process was frozen or a link cut, proves no
 	// leadership of now. Raft would take it as the proof of a read that was asked for meanwhile, and a deposed leader
 	// would answer what is out of date as fresh.
-	answerWithin = heartbeat - 50*time.Millisecond
-	// smallAsk is the most bytes of a question that is answered at once: heartbeats are far under it, batches of the
+	maxResponseAge = raftHeartbeatTimeout - 50*time.Millisecond
+	// maxHeartbeatBytes is the most bytes of a question that is answered at once: heartbeats are far under it, batches of the
 	// log and snapshots, which take the other side's disk its time, are not.
-	smallAsk = 1 << 10
+	maxHeartbeatBytes = 1 << 10
 )
 
-var errLateAnswer = errors.New("the answer is too old to count")
+var errStaleResponse = errors.New("the answer is too old to count")
 
-// prompt is a connection to another replica on which answers count while they are young alone.
-type prompt struct {
+// responseAgeConn is a connection to another replica on which answers count while they are young alone.
+type responseAgeConn struct {
 	net.Conn
-	within time.Duration
+	maxAge time.Duration
 
-	mu    sync.Mutex
-	asked time.Time // when the last bytes were written
-	size  int       // how many, since the last answer
+	mu        sync.Mutex
+	sentAt    time.Time // when the last bytes were written
+	sentBytes int       // how many, since the last answer
 }
 
-func (p *prompt) Write(b []byte) (int, error) {
+func (p *responseAgeConn) Write(b []byte) (int, error) {
 	p.mu.Lock()
-	p.asked = time.Now()
-	p.size += len(b)
+	p.sentAt = time.Now()
+	p.sentBytes += len(b)
 	p.mu.Unlock()
 	return p.Conn.Write(b)
 }
 
-func (p *prompt) Read(b []byte) (int, error) {
+func (p *responseAgeConn) Read(b []byte) (int, error) {
 	n, err := p.Conn.Read(b)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if n > 0 && p.size <= smallAsk && time.Since(p.asked) > p.within {
-		return 0, errLateAnswer
+	if n > 0 && p.sentBytes <= maxHeartbeatBytes && time.Since(p.sentAt) > p.maxAge {
+		return 0, errStaleResponse
 	}
-	p.size = 0
+	p.sentBytes = 0
 	return n, err
 }
 
 // fsm is the replica as raft drives it.
 type fsm Replica
 
-func (f *fsm) Apply(l *raft.Log) any {
-	r := (*Replica)(f)
-	rec, err := DecodeRecord(l.Data)
+func (f *fsm) Apply(entry *raft.Log) any {
+	replica := (*Replica)(f)
+	record, err := DecodeRecord(entry.Data)
 	if err == nil {
-		var res Result
-		if res, err = r.hub.Apply(l.Index, rec); err == nil {
-			return res
+		var result Result
+		if result, err = replica.hub.Apply(entry.Index, record); err == nil {
+			return result
 		}
 	}
 	// Every replica would have to skip it alike, and this one cannot know that they do.
-	r.die(fmt.Errorf("log entry %d: %w", l.Index, err))
+	replica.fail(fmt.Errorf("log entry %d: %w", entry.Index, err))
 	return err
 }
 
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
-	var buf writer
+	var buffer snapshotBuffer
 	var err error
-	(*Replica)(f).hub.Read(func(s *State) { err = s.Snapshot(&buf) })
-	return &buf, err
+	(*Replica)(f).hub.Read(func(state *StateMachine) { err = state.WriteSnapshot(&buffer) })
+	return &buffer, err
 }
 
-func (f *fsm) Restore(from io.ReadCloser) error {
-	defer from.Close()
-	s, err := ReadSnapshot(from)
+func (f *fsm) Restore(reader io.ReadCloser) error {
+	defer reader.Close()
+	state, err := ReadSnapshot(reader)
 	if err != nil {
 		return err
 	}
-	(*Replica)(f).hub.Replace(s)
+	(*Replica)(f).hub.Replace(state)
 	return nil
 }
 
-// writer keeps a snapshot's bytes, taken at one moment, until raft has written them.
-type writer struct{ data []byte }
+// snapshotBuffer keeps a snapshot's bytes, taken at one moment, until raft has written them.
+type snapshotBuffer struct{ data []byte }
 
-func (w *writer) Write(p []byte) (int, error) {
+func (w *snapshotBuffer) Write(p []byte) (int, error) {
 	w.data = append(w.data, p...)
 	return len(p), nil
 }
 
-func (w *writer) Persist(sink raft.SnapshotSink) error {
+func (w *snapshotBuffer) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(w.data); err != nil {
 		return errors.Join(err, sink.Cancel())
 	}
 	return sink.Close()
 }
 
-func (w *writer) Release() {}
+func (w *snapshotBuffer) Release() {}
--- /dev/null
+++ b/internal/registry/raft_transport_test.go
@@ -0,0 +1,46 @@
+package registry
+
+import (
+	"errors"
+	"net"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// An answer counts for as long as nobody else can have been elected since its question; what takes a disk its time may
+// come later.
+func TestStaleResponsesAreRejected(t *testing.T) {
+	for name, tc := range map[string]struct {
+		requestBytes int
+		wait         time.Duration
+		late         bool
+	}{
+		"at once":               {100, 0, false},
+		"in time":               {100, maxResponseAge, false},
+		"too late":              {100, maxResponseAge + time.Millisecond, true},
+		"a batch that was late": {2 * maxHeartbeatBytes, time.Second, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				near, far := net.Pipe()
+				defer near.Close()
+				go func() {
+					defer far.Close()
+					if _, err := far.Read(make([]byte, tc.requestBytes)); err != nil {
+						return
+					}
+					time.Sleep(tc.wait)
+					far.Write([]byte("yes"))
+				}()
+				conn := &responseAgeConn{Conn: near, maxAge: maxResponseAge}
+				if _, err := conn.Write(make([]byte, tc.requestBytes)); err != nil {
+					t.Fatal(err)
+				}
+				if _, err := conn.Read(make([]byte, 10)); errors.Is(err, errStaleResponse) != tc.late {
+					t.Errorf("read: %v", err)
+				}
+			})
+		})
+	}
+}
--- a/internal/registry/release.go
+++ b/internal/registry/release.go
@@ -10,120 +10,120 @@
 )
 
 // Releases is the table of releases, for reading.
-func (s *State) Releases() *release.Table { return s.releases }
+func (s *StateMachine) Releases() *release.Table { return s.releases }
 
-func (s *State) doRelease(index uint64, r *Record) Result {
-	if op := r.Release; op != nil && op.Guarded() && (r.Guard == nil || r.Guard.Duty != release.Owner(op.Name)) {
-		return Result{Conflict, index, "a step of a release is written under its own duty"}
+func (s *StateMachine) applyRelease(index uint64, record *Record) Result {
+	if op := record.Release; op != nil && op.Guarded() && (record.Guard == nil || record.Guard.Lease != release.Owner(op.Name)) {
+		return Result{OutcomeConflict, index, "a step of a release is written under its own duty"}
 	}
-	if err := s.releases.Apply(index, r.Release); err != nil {
-		return Result{Conflict, index, err.Error()}
+	if err := s.releases.Apply(index, record.Release); err != nil {
+		return Result{OutcomeConflict, index, err.Error()}
 	}
-	return Result{Outcome: Done, Rev: index}
+	return Result{Outcome: OutcomeDone, Revision: index}
 }
 
 // ReleaseView is a release as it stands in the log, and what operators have told it, oldest first.
 type ReleaseView struct {
 	*release.State
-	Told []release.Command `json:"told,omitempty"`
+	Commands []release.Command `json:"told,omitempty"`
 }
 
 // serveReleases answers with all releases, without their units and plans.
-func (r *Replica) serveReleases(w http.ResponseWriter, req *http.Request) {
-	if !r.fresh(w, req) {
+func (r *Replica) serveReleases(w http.ResponseWriter, request *http.Request) {
+	if !r.ensureFresh(w, request) {
 		return
 	}
-	out := []ReleaseView{}
-	r.hub.Read(func(s *State) {
-		for _, name := range s.releases.Names() {
-			out = append(out, view(s, name, true))
+	views := []ReleaseView{}
+	r.hub.Read(func(state *StateMachine) {
+		for _, name := range state.releases.Names() {
+			views = append(views, viewRelease(state, name, true))
 		}
 	})
-	r.mark(w)
-	answer(w, http.StatusOK, out)
+	r.setFreshnessHeaders(w)
+	writeJSON(w, http.StatusOK, views)
 }
 
 // serveRelease answers with one release; brief leaves its units and plan out.
-func (r *Replica) serveRelease(w http.ResponseWriter, req *http.Request) {
-	if !r.fresh(w, req) {
+func (r *Replica) serveRelease(w http.ResponseWriter, request *http.Request) {
+	if !r.ensureFresh(w, request) {
 		return
 	}
-	var v ReleaseView
-	name := req.PathValue("name")
-	r.hub.Read(func(s *State) { v = view(s, name, req.URL.Query().Get("brief") != "") })
-	if v.State == nil {
-		refuse(w, http.StatusNotFound, fmt.Errorf("there is no release %s", name))
+	var found ReleaseView
+	name := request.PathValue("name")
+	r.hub.Read(func(state *StateMachine) { found = viewRelease(state, name, request.URL.Query().Get("brief") != "") })
+	if found.State == nil {
+		writeError(w, http.StatusNotFound, fmt.Errorf("there is no release %s", name))
 		return
 	}
-	r.mark(w)
-	answer(w, http.StatusOK, v)
+	r.setFreshnessHeaders(w)
+	writeJSON(w, http.StatusOK, found)
 }
 
-// view copies a release; the caller holds the state for reading.
-func view(s *State, name string, brief bool) ReleaseView {
-	of, told := s.releases.Get(name)
-	if of == nil {
+// viewRelease copies a release; the caller holds the state for reading.
+func viewRelease(state *StateMachine, name string, brief bool) ReleaseView {
+	stored, commands := state.releases.Get(name)
+	if stored == nil {
 		return ReleaseView{}
 	}
-	c := *of
-	c.Units = append([]release.Unit(nil), of.Units...)
+	copied := *stored
+	copied.Units = append([]release.Unit(nil), stored.Units...)
 	if brief {
-		c.Units, c.Plan = nil, nil
+		copied.Units, copied.Plan = nil, nil
 	}
-	return ReleaseView{&c, append([]release.Command(nil), told...)}
+	return ReleaseView{&copied, append([]release.Command(nil), commands...)}
 }
 
-// ReleaseWrite is the body of a write about a release.
-type ReleaseWrite struct {
+// ReleaseRequest is the body of a write about a release.
+type ReleaseRequest struct {
 	ID    string     `json:"id"`
 	Guard *Guard     `json:"guard,omitempty"`
 	Op    release.Op `json:"op"`
 }
 
-func (r *Replica) serveReleaseOp(w http.ResponseWriter, req *http.Request) {
-	var in ReleaseWrite
-	if !body(w, req, &in) {
+func (r *Replica) serveReleaseOp(w http.ResponseWriter, request *http.Request) {
+	var body ReleaseRequest
+	if !readJSON(w, request, &body) {
 		return
 	}
-	err := writeID(in.ID)
-	switch name := req.PathValue("name"); {
+	err := checkWriteID(body.ID)
+	switch name := request.PathValue("name"); {
 	case err != nil:
-	case in.Op.Start != nil && in.Op.Start.Name != name || in.Op.Start == nil && in.Op.Name != name:
-		err = bad("op.name", "it is not that of the path, %q", name)
-	case in.Op.Guarded() && in.Guard == nil:
-		err = bad("guard", "a step is written under the release's duty")
+	case body.Op.Start != nil && body.Op.Start.Name != name || body.Op.Start == nil && body.Op.Name != name:
+		err = fieldErrorf("op.name", "it is not that of the path, %q", name)
+	case body.Op.Guarded() && body.Guard == nil:
+		err = fieldErrorf("guard", "a step is written under the release's duty")
 	}
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	r.done(w, &Record{Op: OpRelease, ID: in.ID, Guard: in.Guard, Release: &in.Op}, nil)
+	r.proposeAndRespond(w, &Record{Op: OpRelease, ID: body.ID, Guard: body.Guard, Release: &body.Op}, nil)
 }
 
 // WriteRelease writes an operation about a release; a step needs the write's guard to be the release's duty.
-func (c *Client) WriteRelease(ctx context.Context, w Write, name string, op release.Op) (Result, error) {
-	var res Result
+func (c *Client) WriteRelease(ctx context.Context, options WriteOptions, name string, op release.Op) (Result, error) {
+	var result Result
 	if op.Start == nil {
 		op.Name = name
 	}
-	return res, c.post(ctx, "/releases/"+url.PathEscape(name), ReleaseWrite{w.id(), w.Guard, op}, &res)
+	return result, c.post(ctx, "/releases/"+url.PathEscape(name), ReleaseRequest{options.ensureID(), options.Guard, op}, &result)
 }
 
 // Release reads a release; brief leaves its units and plan out. Fresh: as no later write has changed it.
 func (c *Client) Release(ctx context.Context, name string, brief, fresh bool) (ReleaseView, error) {
-	q := url.Values{}
+	query := url.Values{}
 	if brief {
-		q.Set("brief", "1")
+		query.Set("brief", "1")
 	}
 	if fresh {
-		q.Set("fresh", "1")
+		query.Set("fresh", "1")
 	}
-	var v ReleaseView
-	return v, c.call(ctx, http.MethodGet, "/releases/"+url.PathEscape(name)+"?"+q.Encode(), nil, &v)
+	var found ReleaseView
+	return found, c.call(ctx, http.MethodGet, "/releases/"+url.PathEscape(name)+"?"+query.Encode(), nil, &found)
 }
 
 // Releases reads all releases, without their units and plans.
 func (c *Client) Releases(ctx context.Context) ([]ReleaseView, error) {
-	var out []ReleaseView
-	return out, c.call(ctx, http.MethodGet, "/releases", nil, &out)
+	var views []ReleaseView
+	return views, c.call(ctx, http.MethodGet, "/releases", nil, &views)
 }
--- a/internal/registry/warm_test.go
+++ b/internal/registry/warmup_test.go
@@ -9,11 +9,11 @@
 
 // A server counts as warm once the leader has seen it cold for the time, in one life of it; one that starts again, or
 // was away, waits anew.
-func TestWarmthByTime(t *testing.T) {
-	w := newWarmth(60 * time.Second)
+func TestWarmUpByDuration(t *testing.T) {
+	tracker := newWarmUpTracker(60 * time.Second)
 	start := time.Unix(1000, 0)
-	cold := func(id string, rev uint64) disruption.Unit {
-		return disruption.Unit{ID: id, TransitionRevision: rev, Condition: disruption.ConditionWarmingUp}
+	cold := func(id string, revision uint64) disruption.Unit {
+		return disruption.Unit{ID: id, TransitionRevision: revision, Condition: disruption.ConditionWarmingUp}
 	}
 	for _, step := range []struct {
 		at   time.Duration
@@ -29,11 +29,11 @@
 		{179 * time.Second, []disruption.Unit{cold("server/b", 7)}, "server/b"},
 	} {
 		got := ""
-		for _, u := range w.found(start.Add(step.at), step.cold) {
-			if u.Condition != disruption.ConditionUp || u.TransitionRevision == 0 {
-				t.Errorf("%v: %+v", step.at, u)
+		for _, unit := range tracker.update(start.Add(step.at), step.cold) {
+			if unit.Condition != disruption.ConditionUp || unit.TransitionRevision == 0 {
+				t.Errorf("%v: %+v", step.at, unit)
 			}
-			got += u.ID
+			got += unit.ID
 		}
 		if got != step.want {
 			t.Errorf("%v: found %q, want %q", step.at, got, step.want)
--- a/internal/release/drive/drive.go
+++ b/internal/release/drive/drive.go
@@ -34,13 +34,13 @@
 // Store is the list service; registry.Client is one.
 type Store interface {
 	Release(ctx context.Context, name string, brief, fresh bool) (registry.ReleaseView, error)
-	WriteRelease(ctx context.Context, w registry.Write, name string, op release.Op) (registry.Result, error)
-	List(ctx context.Context, fresh bool) (registry.List, error)
-	SetState(ctx context.Context, w registry.Write, uid, state string) (registry.Result, error)
-	SetPlacement(ctx context.Context, w registry.Write, atMS int64, set []placement.Directive, drop ...string) (registry.Result, error)
+	WriteRelease(ctx context.Context, w registry.WriteOptions, name string, op release.Op) (registry.Result, error)
+	List(ctx context.Context, fresh bool) (registry.EndpointList, error)
+	SetState(ctx context.Context, w registry.WriteOptions, uid, state string) (registry.Result, error)
+	SetPlacement(ctx context.Context, w registry.WriteOptions, atMS int64, set []placement.Directive, drop ...string) (registry.Result, error)
 	LedgerView(ctx context.Context, fresh, units bool) (disruption.View, error)
 	Sidecars(ctx context.Context) ([]registry.Sidecar, error)
-	Ledger(ctx context.Context, w registry.Write, op disruption.Op) (registry.LedgerResult, error)
+	ApplyLedgerOp(ctx context.Context, w registry.WriteOptions, op disruption.Op) (registry.LedgerResult, error)
 }
 
 // Reports is where sidecars' reports come from; collect.Collector is one.
@@ -152,9 +152,9 @@
 		case release.Prepare:
 			t.prepare(ctx, e.Unit)
 		case release.Terminate:
-			t.setState(ctx, e.Unit, registry.Terminating)
+			t.setState(ctx, e.Unit, registry.InstanceTerminating)
 		case release.Restore:
-			t.setState(ctx, e.Unit, registry.Ready)
+			t.setState(ctx, e.Unit, registry.InstanceReady)
 		case release.Write:
 			if err := t.write(ctx, e.Delta); err != nil {
 				return false, err
@@ -181,7 +181,7 @@
 	if v.State == nil {
 		return fmt.Errorf("release %s: there is none", t.Name)
 	}
-	t.told = v.Told
+	t.told = v.Commands
 	if t.state != nil && v.Run == t.state.Run && v.Seq < t.state.Seq {
 		return fmt.Errorf("release %s: a replica is behind, at step %d of %d", t.Name, v.Seq, t.state.Seq)
 	}
@@ -199,7 +199,7 @@
 func (t *tenure) write(ctx context.Context, d release.Delta) error {
 	ctx, stop := limited(ctx)
 	defer stop()
-	if _, err := t.Store.WriteRelease(ctx, registry.Write{Guard: t.guard}, t.Name, release.Op{Step: &d}); err != nil {
+	if _, err := t.Store.WriteRelease(ctx, registry.WriteOptions{Guard: t.guard}, t.Name, release.Op{Step: &d}); err != nil {
 		t.state = nil
 		return fmt.Errorf("release %s: step %d: %w", t.Name, d.Seq, err)
 	}
@@ -247,15 +247,15 @@
 func (t *tenure) ledger(ctx context.Context, op disruption.Op) {
 	ctx, stop := limited(ctx)
 	defer stop()
-	res, err := t.Store.Ledger(ctx, registry.Write{Guard: t.guard}, op)
+	res, err := t.Store.ApplyLedgerOp(ctx, registry.WriteOptions{Guard: t.guard}, op)
 	var status *registry.StatusError
 	switch {
 	case op.Permit == nil: // what was seen; it is told again where it has not got there
 	case err == nil:
-		t.ledgerRev = max(t.ledgerRev, res.Rev)
+		t.ledgerRev = max(t.ledgerRev, res.Revision)
 		delete(t.denied, op.Permit.ID)
-	case op.Kind == disruption.OpRequest && errors.As(err, &status) && (status.Status == http.StatusConflict || status.Status == http.StatusNotFound):
-		t.denied[op.Permit.ID] = status.Text
+	case op.Kind == disruption.OpRequest && errors.As(err, &status) && (status.StatusCode == http.StatusConflict || status.StatusCode == http.StatusNotFound):
+		t.denied[op.Permit.ID] = status.Message
 	default:
 		slog.Debug("ledger", "release", t.Name, "kind", op.Kind, "permit", op.Permit.ID, "error", err)
 	}
@@ -264,7 +264,7 @@
 func (t *tenure) setState(ctx context.Context, id, state string) {
 	ctx, stop := limited(ctx)
 	defer stop()
-	if _, err := t.Store.SetState(ctx, registry.Write{Guard: t.guard}, uid(id), state); err != nil {
+	if _, err := t.Store.SetState(ctx, registry.WriteOptions{Guard: t.guard}, uid(id), state); err != nil {
 		slog.Debug("state not set", "release", t.Name, "unit", id, "state", state, "error", err)
 	}
 }
@@ -299,7 +299,7 @@
 	defer stop()
 	now := time.Now()
 	e := placement.Directive{ID: t.state.CohortID(), Kind: placement.KindCohort, Cohort: t.Name, Servers: moved, ExpiresAtMS: now.Add(cohortFor).UnixMilli()}
-	if _, err := t.Store.SetPlacement(ctx, registry.Write{Guard: t.guard}, now.UnixMilli(), []placement.Directive{e}); err != nil {
+	if _, err := t.Store.SetPlacement(ctx, registry.WriteOptions{Guard: t.guard}, now.UnixMilli(), []placement.Directive{e}); err != nil {
 		slog.Debug("cohort not placed", "release", t.Name, "error", err)
 		return
 	}
--- a/internal/release/drive/drive_test.go
+++ b/internal/release/drive/drive_test.go
@@ -53,7 +53,7 @@
 		server("1"): {Behave: f.behave}, server("2"): {Behave: f.behave}}}, now)
 	l, _ := f.platform.List(context.Background())
 	for i, n := range names {
-		f.servers[n] = &registry.Target{UID: n, Zone: n[:1], State: registry.Ready, Capacity: 1, Pod: i % 3}
+		f.servers[n] = &registry.Target{UID: n, Zone: n[:1], State: registry.InstanceReady, Capacity: 1, PodGroup: i % 3}
 		f.platform.Do(context.Background(), supervisor.Request{ID: "first-" + n, Op: supervisor.Start, Epoch: l.Epoch, Unit: n,
 			Kind: supervisor.Server, Version: "1", Listen: "127.0.0.1:7000", Zone: n[:1]})
 	}
@@ -90,10 +90,10 @@
 			continue
 		}
 		if boot := float64(f.boots[n]); t.BootMS != boot {
-			t.BootMS, t.State = boot, registry.Ready
+			t.BootMS, t.State = boot, registry.InstanceReady
 		}
-		u := disruption.Unit{ID: id, Kind: disruption.KindServer, Zone: t.Zone, PodGroup: t.Pod, Capacity: 1, BootMS: t.BootMS, Version: f.versions[n], Condition: disruption.ConditionUp}
-		if t.State == registry.Terminating {
+		u := disruption.Unit{ID: id, Kind: disruption.KindServer, Zone: t.Zone, PodGroup: t.PodGroup, Capacity: 1, BootMS: t.BootMS, Version: f.versions[n], Condition: disruption.ConditionUp}
+		if t.State == registry.InstanceTerminating {
 			u.Condition = disruption.ConditionDraining
 		}
 		f.ledger.Register(f.rev, u)
@@ -136,9 +136,9 @@
 	return nil
 }
 
-func (f *fleet) guarded(w registry.Write) error {
+func (f *fleet) guarded(w registry.WriteOptions) error {
 	if w.Guard == nil || w.Guard.Token != f.token {
-		return &registry.StatusError{Status: http.StatusConflict, Text: "the token counts no more"}
+		return &registry.StatusError{StatusCode: http.StatusConflict, Message: "the token counts no more"}
 	}
 	f.rev++
 	return nil
@@ -150,10 +150,10 @@
 	s, told := f.releases.Get(name)
 	c := *s
 	c.Units = append([]release.Unit(nil), s.Units...)
-	return registry.ReleaseView{State: &c, Told: told}, f.fails()
+	return registry.ReleaseView{State: &c, Commands: told}, f.fails()
 }
 
-func (f *fleet) WriteRelease(_ context.Context, w registry.Write, name string, op release.Op) (registry.Result, error) {
+func (f *fleet) WriteRelease(_ context.Context, w registry.WriteOptions, name string, op release.Op) (registry.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.guarded(w); err != nil {
@@ -161,22 +161,22 @@
 	}
 	op.Name = name
 	if err := f.releases.Apply(f.rev, &op); err != nil {
-		return registry.Result{}, &registry.StatusError{Status: http.StatusConflict, Text: err.Error()}
+		return registry.Result{}, &registry.StatusError{StatusCode: http.StatusConflict, Message: err.Error()}
 	}
 	return registry.Result{}, f.fails()
 }
 
-func (f *fleet) List(context.Context, bool) (registry.List, error) {
+func (f *fleet) List(context.Context, bool) (registry.EndpointList, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := registry.List{Rev: f.rev}
+	l := registry.EndpointList{Revision: f.rev}
 	for _, n := range names {
 		l.Targets = append(l.Targets, *f.servers[n])
 	}
 	return l, nil
 }
 
-func (f *fleet) SetState(_ context.Context, w registry.Write, uid, state string) (registry.Result, error) {
+func (f *fleet) SetState(_ context.Context, w registry.WriteOptions, uid, state string) (registry.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.guarded(w); err != nil {
@@ -186,7 +186,7 @@
 	return registry.Result{}, f.fails()
 }
 
-func (f *fleet) SetPlacement(_ context.Context, w registry.Write, _ int64, set []placement.Directive, _ ...string) (registry.Result, error) {
+func (f *fleet) SetPlacement(_ context.Context, w registry.WriteOptions, _ int64, set []placement.Directive, _ ...string) (registry.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.guarded(w); err != nil {
@@ -199,7 +199,7 @@
 func (f *fleet) Sidecars(context.Context) ([]registry.Sidecar, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return []registry.Sidecar{{Name: "s1", ListRev: f.rev}, {Name: "s2"}}, nil
+	return []registry.Sidecar{{Name: "s1", ListRevision: f.rev}, {Name: "s2"}}, nil
 }
 
 func (f *fleet) LedgerView(context.Context, bool, bool) (disruption.View, error) {
@@ -208,14 +208,14 @@
 	return f.ledger.View(true), nil
 }
 
-func (f *fleet) Ledger(_ context.Context, w registry.Write, op disruption.Op) (registry.LedgerResult, error) {
+func (f *fleet) ApplyLedgerOp(_ context.Context, w registry.WriteOptions, op disruption.Op) (registry.LedgerResult, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.guarded(w); err != nil {
 		return registry.LedgerResult{}, err
 	}
 	if out, why := f.ledger.Apply(f.rev, &op); out != disruption.OutcomeApplied {
-		return registry.LedgerResult{}, &registry.StatusError{Status: http.StatusConflict, Text: why}
+		return registry.LedgerResult{}, &registry.StatusError{StatusCode: http.StatusConflict, Message: why}
 	}
 	return registry.LedgerResult{}, f.fails()
 }
@@ -227,7 +227,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range reqs {
-		if t := p.servers[r.Unit]; r.Op == supervisor.Stop && t.State != registry.Terminating && !p.broken {
+		if t := p.servers[r.Unit]; r.Op == supervisor.Stop && t.State != registry.InstanceTerminating && !p.broken {
 			p.stoppedIn = append(p.stoppedIn, r.Unit)
 		}
 	}
--- a/internal/release/drive/look.go
+++ b/internal/release/drive/look.go
@@ -52,7 +52,7 @@
 	}
 	has := make(map[string]uint64, len(sidecars)) // the list of each sidecar that lives
 	for i := range sidecars {
-		has[sidecars[i].Name] = sidecars[i].ListRev
+		has[sidecars[i].Name] = sidecars[i].ListRevision
 	}
 	permits := make(map[string]disruption.Permit, len(ledger.Permits))
 	for _, p := range ledger.Permits {
@@ -60,12 +60,12 @@
 	}
 	var terminating []string
 	for _, i := range list.Targets {
-		if i.State == registry.Terminating {
+		if i.State == registry.InstanceTerminating {
 			terminating = append(terminating, disruption.UnitID(disruption.KindServer, i.UID))
 		}
 	}
 	now := t.clock()
-	t.report(has, terminating, list.Rev, platform, now)
+	t.report(has, terminating, list.Revision, platform, now)
 	t.see(ctx, units, platform)
 	return &release.View{
 		NowMS: time.Now().UnixMilli(), Token: t.guard.Token, Platform: platform, Answers: t.answers, Denied: t.denied, Commands: t.told,
@@ -133,7 +133,7 @@
 		return
 	}
 	op := disruption.Op{Kind: disruption.OpObserve, Owner: release.Owner(t.Name), Observed: warm}
-	if _, err := t.Store.Ledger(ctx, registry.Write{Guard: t.guard}, op); err != nil {
+	if _, err := t.Store.ApplyLedgerOp(ctx, registry.WriteOptions{Guard: t.guard}, op); err != nil {
 		slog.Debug("not seen as warm", "release", t.Name, "units", len(warm), "error", err)
 	}
 }
--- a/internal/release/drive/process_test.go
+++ b/internal/release/drive/process_test.go
@@ -51,9 +51,9 @@
 		return err
 	}
 	i := registry.Instance{TTLMS: 2000, Version: version, Target: registry.Target{UID: name, Endpoint: listen, Zone: zone, Model: "m",
-		Pod: int(name[1]) % 3, State: registry.Ready, Capacity: 1, BootMS: float64(time.Now().UnixMilli())}}
+		PodGroup: int(name[1]) % 3, State: registry.InstanceReady, Capacity: 1, BootMS: float64(time.Now().UnixMilli())}}
 	for {
-		if _, err = client.Register(ctx, registry.Write{}, i); err == nil || ctx.Err() != nil {
+		if _, err = client.Register(ctx, registry.WriteOptions{}, i); err == nil || ctx.Err() != nil {
 			break
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -63,10 +63,10 @@
 		case <-ctx.Done():
 			leave, done := context.WithTimeout(context.Background(), 2*time.Second)
 			defer done()
-			client.Deregister(leave, registry.Write{}, name)
+			client.Deregister(leave, registry.WriteOptions{}, name)
 			return nil
 		case <-time.After(400 * time.Millisecond):
-			client.Renew(ctx, []string{name})
+			client.RenewInstances(ctx, []string{name})
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	s.block, err = proc.TakeBlock()
 	must(err)
 	t.Cleanup(s.block.Release)
-	s.cluster, err = cluster.Start(ctx, 3, cluster.Options{Program: s.program, Dir: s.dir, Block: s.block})
+	s.cluster, err = cluster.Start(ctx, 3, cluster.Options{Program: s.program, DataDir: s.dir, Addresses: s.block})
 	t.Cleanup(func() {
 		if t.Failed() {
 			t.Log(s.cluster.Logs())
@@ -116,7 +116,7 @@
 	text := ""
 	for _, v := range []string{"1", "2"} {
 		text += fmt.Sprintf("[[version]]\nname = %q\nkind = \"server\"\nargv = [%q, \"{name}\", \"{listen}\", \"{zone}\", \"{version}\"]\nready = \"/health/ready\"\nenv = { %s = %q }\n",
-			v, os.Args[0], asServer, strings.Join(s.cluster.HTTPs(), ","))
+			v, os.Args[0], asServer, strings.Join(s.cluster.HTTPAddrs(), ","))
 	}
 	versions := filepath.Join(s.dir, "versions.toml")
 	must(os.WriteFile(versions, []byte(text), 0o600))
@@ -132,7 +132,7 @@
 	must(err)
 	t.Cleanup(s.platform.Close)
 	one := 1
-	_, err = s.client.Ledger(ctx, registry.Write{}, disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/ci", Budget: &disruption.Budget{Name: "all",
+	_, err = s.client.ApplyLedgerOp(ctx, registry.WriteOptions{}, disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/ci", Budget: &disruption.Budget{Name: "all",
 		Selector: disruption.Selector{Kind: disruption.KindServer}, MaxUnavailable: disruption.Limit{Count: &one}}})
 	must(err)
 	l, err := s.platform.List(ctx)
@@ -146,8 +146,8 @@
 	go func() {
 		for ctx.Err() == nil {
 			if list, err := s.client.List(ctx, false); err == nil {
-				s.client.RegisterSidecars(ctx, registry.SidecarCall{TTLMS: 5000, Sidecars: []registry.Sidecar{
-					{Name: "s1", Zone: "a", Ready: true, ListRev: list.Rev}, {Name: "s2", Zone: "b", Ready: true, ListRev: list.Rev}}})
+				s.client.RegisterSidecars(ctx, registry.SidecarRequest{TTLMS: 5000, Sidecars: []registry.Sidecar{
+					{Name: "s1", Zone: "a", Ready: true, ListRevision: list.Revision}, {Name: "s2", Zone: "b", Ready: true, ListRevision: list.Revision}}})
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -165,7 +165,7 @@
 			}
 		}
 		if len(seen) > 0 {
-			s.client.Ledger(ctx, registry.Write{}, disruption.Op{Kind: disruption.OpObserve, Owner: "operator/ci", Observed: seen})
+			s.client.ApplyLedgerOp(ctx, registry.WriteOptions{}, disruption.Op{Kind: disruption.OpObserve, Owner: "operator/ci", Observed: seen})
 		}
 		return v.Counts[disruption.ConditionUp] == len(fleetNames)+2
 	})
@@ -191,7 +191,7 @@
 		args = append(args, "--platform", s.addr, "--listen", s.block.Addr(20, n, 8530), "--longest", "300ms", "--warm-after", "200ms")
 	}
 	p, err := proc.Start(proc.Spec{Name: "milldeck", Path: s.program, Log: filepath.Join(s.dir, fmt.Sprintf("controller-%d", n)),
-		Args: append(args, "--replicas", strings.Join(s.cluster.HTTPs(), ","))})
+		Args: append(args, "--replicas", strings.Join(s.cluster.HTTPAddrs(), ","))})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -285,8 +285,8 @@
 	s.ended(fin)
 	drain := s.command(91, "fleet", "drain", "d", "--ids", "server/a2")
 	s.until("the drain begins", func() bool { v, err := s.client.Release(s.ctx, "d", true, true); return err == nil && v.Seq > 2 })
-	if leader, err := s.cluster.Leader(s.ctx); err == nil {
-		leader.Proc.Kill()
+	if leader, err := s.cluster.AwaitLeader(s.ctx); err == nil {
+		leader.Process.Kill()
 	}
 	s.ended(drain)
 	l, err := s.platform.List(s.ctx)
--- a/internal/spread/controller.go
+++ b/internal/spread/controller.go
@@ -32,9 +32,9 @@
 
 // Store is what the Driver needs of the list service; registry.Client is one.
 type Store interface {
-	List(ctx context.Context, fresh bool) (registry.List, error)
+	List(ctx context.Context, fresh bool) (registry.EndpointList, error)
 	PlacementView(ctx context.Context, fresh bool) (placement.Update, error)
-	SetPlacement(ctx context.Context, w registry.Write, atMS int64, set []placement.Directive, drop ...string) (registry.Result, error)
+	SetPlacement(ctx context.Context, w registry.WriteOptions, atMS int64, set []placement.Directive, drop ...string) (registry.Result, error)
 }
 
 // ReportSource is where sidecars' reports come from; collect.Collector is one.
@@ -183,14 +183,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	result, err := c.Store.SetPlacement(ctx, registry.Write{Guard: lease.Guard()}, atMS, directives, removals...)
+	result, err := c.Store.SetPlacement(ctx, registry.WriteOptions{Guard: lease.Guard()}, atMS, directives, removals...)
 	if err != nil {
 		return err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range ids {
-		c.planner.Confirm(id, result.Rev)
+		c.planner.Confirm(id, result.Revision)
 	}
 	return nil
 }
@@ -234,7 +234,7 @@
 }
 
 // serversFrom makes servers of the list and of what the placement keeps off.
-func (c *Controller) serversFrom(list *registry.List, directives *placement.Update) []Server {
+func (c *Controller) serversFrom(list *registry.EndpointList, directives *placement.Update) []Server {
 	excluded := map[string]bool{}
 	for i := range directives.Directives {
 		if directive := &directives.Directives[i]; directive.Kind == placement.KindExclude {
@@ -247,8 +247,8 @@
 	servers := make([]Server, 0, len(list.Targets))
 	for i := range list.Targets {
 		target := &list.Targets[i]
-		servers = append(servers, Server{UID: target.UID, Zone: target.Zone, Pod: target.Pod, Capacity: target.Capacity, BootMS: target.BootMS,
-			Ready: target.State == registry.Ready, Excluded: excluded[target.UID], WarmingUp: target.BootMS > warmBeforeMS})
+		servers = append(servers, Server{UID: target.UID, Zone: target.Zone, Pod: target.PodGroup, Capacity: target.Capacity, BootMS: target.BootMS,
+			Ready: target.State == registry.InstanceReady, Excluded: excluded[target.UID], WarmingUp: target.BootMS > warmBeforeMS})
 	}
 	return servers
 }
--- a/internal/spread/controller_test.go
+++ b/internal/spread/controller_test.go
@@ -22,7 +22,7 @@
 // registryStub stands in for the list service.
 type registryStub struct {
 	mu             sync.Mutex
-	list           registry.List
+	list           registry.EndpointList
 	entries        map[string]placement.Directive
 	revision       uint64
 	token          uint64 // the one that counts
@@ -30,7 +30,7 @@
 	rejectedWrites int    // writes under a token that does not count
 }
 
-func (s *registryStub) List(context.Context, bool) (registry.List, error) { return s.list, nil }
+func (s *registryStub) List(context.Context, bool) (registry.EndpointList, error) { return s.list, nil }
 
 func (s *registryStub) PlacementView(context.Context, bool) (placement.Update, error) {
 	s.mu.Lock()
@@ -42,13 +42,13 @@
 	return l, nil
 }
 
-func (s *registryStub) SetPlacement(_ context.Context, write registry.Write, atMS int64, set []placement.Directive, removals ...string) (registry.Result, error) {
+func (s *registryStub) SetPlacement(_ context.Context, write registry.WriteOptions, atMS int64, set []placement.Directive, removals ...string) (registry.Result, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.unavailable:
 		return registry.Result{}, errors.New("no leader")
-	case write.Guard == nil || write.Guard.Duty != LeaseName || write.Guard.Token != s.token:
+	case write.Guard == nil || write.Guard.Lease != LeaseName || write.Guard.Token != s.token:
 		s.rejectedWrites++
 		return registry.Result{}, errors.New("the token counts no more")
 	case max(atMS-time.Now().UnixMilli(), time.Now().UnixMilli()-atMS) > 1000:
@@ -65,7 +65,7 @@
 	for _, id := range removals {
 		delete(s.entries, id)
 	}
-	return registry.Result{Outcome: registry.Done, Rev: s.revision}, nil
+	return registry.Result{Outcome: registry.OutcomeDone, Revision: s.revision}, nil
 }
 
 // replicas returns the servers that carry the hot key, and those that warm.
@@ -100,8 +100,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		registryStub := &registryStub{entries: map[string]placement.Directive{}, token: 7, unavailable: true}
 		for i := range 60 {
-			registryStub.list.Targets = append(registryStub.list.Targets, registry.Target{UID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%3), Pod: i / 4,
-				State: registry.Ready, Capacity: 1})
+			registryStub.list.Targets = append(registryStub.list.Targets, registry.Target{UID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%3), PodGroup: i / 4,
+				State: registry.InstanceReady, Capacity: 1})
 		}
 		all, endAll := context.WithCancel(t.Context())
 		reports := collect.New(collect.Options{})
--- a/internal/spread/process_test.go
+++ b/internal/spread/process_test.go
@@ -48,7 +48,7 @@
 	c.noError(err)
 	t.Cleanup(block.Release)
 	program, dir := proctest.Program(t, "milldeck"), t.TempDir()
-	c.registryCluster, err = cluster.Start(ctx, 3, cluster.Options{Program: program, Dir: dir, Block: block})
+	c.registryCluster, err = cluster.Start(ctx, 3, cluster.Options{Program: program, DataDir: dir, Addresses: block})
 	t.Cleanup(func() { c.registryCluster.Close() })
 	c.noError(err)
 	c.client, err = c.registryCluster.Client()
@@ -57,14 +57,14 @@
 	var list []registry.Instance
 	for i := range 60 {
 		list = append(list, registry.Instance{Target: registry.Target{UID: fmt.Sprint("s", i), Endpoint: fmt.Sprintf("127.0.0.1:%d", 1000+i),
-			Zone: fmt.Sprint("z", i%3), Pod: i / 4, State: registry.Ready, Capacity: 1}})
+			Zone: fmt.Sprint("z", i%3), PodGroup: i / 4, State: registry.InstanceReady, Capacity: 1}})
 	}
-	_, err = c.client.Register(ctx, registry.Write{}, list...)
+	_, err = c.client.Register(ctx, registry.WriteOptions{}, list...)
 	c.noError(err)
 	for n := range 2 {
 		addr := block.Addr(210, n, 8520)
 		p, err := proc.Start(proc.Spec{Name: fmt.Sprint("decider ", n), Path: program, Log: filepath.Join(dir, fmt.Sprint("decider", n)),
-			Args: []string{"spread", "serve", "--listen", addr, "--replicas", strings.Join(c.registryCluster.HTTPs(), ","), "--cold-for", "0s"}})
+			Args: []string{"spread", "serve", "--listen", addr, "--replicas", strings.Join(c.registryCluster.HTTPAddrs(), ","), "--cold-for", "0s"}})
 		c.noError(err)
 		t.Cleanup(p.Kill)
 		c.controllers, c.controllerAddrs = append(c.controllers, p), append(c.controllerAddrs, addr)
@@ -74,7 +74,7 @@
 	t.Cleanup(background.Wait)
 	t.Cleanup(cancel)
 	for n := range 2 {
-		a, err := agent.Start(agent.Options{Listen: block.Addr(201, n, 8500), Replicas: c.registryCluster.HTTPs(), ReportAddresses: c.controllerAddrs})
+		a, err := agent.Start(agent.Options{Listen: block.Addr(201, n, 8500), Replicas: c.registryCluster.HTTPAddrs(), ReportAddresses: c.controllerAddrs})
 		c.noError(err)
 		t.Cleanup(func() { a.Close() })
 		for i := range 15 {
@@ -177,10 +177,10 @@
 			return r.Key == spread.FormatKey(2) && r.Warming > 0
 		})
 	})
-	leader, err := cluster.registryCluster.Leader(cluster.ctx)
+	leader, err := cluster.registryCluster.AwaitLeader(cluster.ctx)
 	cluster.noError(err)
 	cluster.controllers[0].Kill()
-	leader.Proc.Kill()
+	leader.Process.Kill()
 	if share, _ := cluster.replicatedShare(1); share < 0.5*before {
 		cluster.Errorf("with the decider dead %v is carried of the first key, %v before", share, before)
 	}
@@ -212,7 +212,7 @@
 		}
 	}
 	for _, uid := range servers[:4] {
-		_, err := cluster.client.Deregister(cluster.ctx, registry.Write{}, uid)
+		_, err := cluster.client.Deregister(cluster.ctx, registry.WriteOptions{}, uid)
 		cluster.noError(err)
 	}
 	cluster.waitUntil("others carry for those lost", func() bool {
--- a/internal/window/drive/controller.go
+++ b/internal/window/drive/controller.go
@@ -33,8 +33,8 @@
 // Registry is the list service; registry.Client is one.
 type Registry interface {
 	Windows(ctx context.Context, fresh bool) (*registry.WindowsView, error)
-	WriteWindow(ctx context.Context, w registry.Write, at window.Timestamp, op window.Operation) (registry.Result, error)
-	Ledger(ctx context.Context, w registry.Write, op disruption.Op) (registry.LedgerResult, error)
+	WriteWindow(ctx context.Context, w registry.WriteOptions, at window.Timestamp, op window.Operation) (registry.Result, error)
+	ApplyLedgerOp(ctx context.Context, w registry.WriteOptions, op disruption.Op) (registry.LedgerResult, error)
 }
 
 // ReportSource is where sidecars' reports come from; collect.Collector is one.
@@ -169,22 +169,22 @@
 	defer cancel()
 	var result registry.Result
 	var err error
-	guarded := registry.Write{Guard: t.guard}
+	guarded := registry.WriteOptions{Guard: t.guard}
 	switch {
 	case effect.Operation != nil:
 		result, err = t.Registry.WriteWindow(ctx, guarded, t.readClock().Timestamp(), *effect.Operation)
 	case effect.LedgerAction.Kind == disruption.OpObserve:
 		op := t.observeServers(ctx, view, effect.LedgerAction)
 		var ledgerResult registry.LedgerResult
-		ledgerResult, err = t.Registry.Ledger(ctx, guarded, *op)
+		ledgerResult, err = t.Registry.ApplyLedgerOp(ctx, guarded, *op)
 		result = ledgerResult.Result
 	default:
 		var ledgerResult registry.LedgerResult
-		ledgerResult, err = t.Registry.Ledger(ctx, guarded, *effect.LedgerAction.Operation())
+		ledgerResult, err = t.Registry.ApplyLedgerOp(ctx, guarded, *effect.LedgerAction.Operation())
 		result = ledgerResult.Result
 	}
 	if err == nil {
-		return writeResult{window.OutcomeApplied, result.Why, result.Rev}
+		return writeResult{window.OutcomeApplied, result.Reason, result.Revision}
 	}
 	var status *registry.StatusError
 	outcome := window.OutcomeBlocked
@@ -192,7 +192,7 @@
 	case !errors.As(err, &status):
 	case effect.Operation != nil && strings.Contains(status.Error(), string(window.OutcomeClockFault)+": "):
 		outcome = window.OutcomeClockFault
-	case effect.LedgerAction != nil && effect.LedgerAction.Kind == disruption.OpRequest && (status.Status == http.StatusConflict || status.Status == http.StatusNotFound):
+	case effect.LedgerAction != nil && effect.LedgerAction.Kind == disruption.OpRequest && (status.StatusCode == http.StatusConflict || status.StatusCode == http.StatusNotFound):
 		outcome = window.OutcomeInvalid // it can never be granted
 	}
 	return writeResult{outcome, err.Error(), 0}
--- a/internal/window/drive/controller_test.go
+++ b/internal/window/drive/controller_test.go
@@ -56,7 +56,7 @@
 	block, err := proc.TakeBlock()
 	b.must(err)
 	t.Cleanup(block.Release)
-	b.cluster, err = cluster.Start(ctx, 3, cluster.Options{Program: b.program, Dir: b.dir, Block: block})
+	b.cluster, err = cluster.Start(ctx, 3, cluster.Options{Program: b.program, DataDir: b.dir, Addresses: block})
 	t.Cleanup(func() { b.cluster.Close() })
 	b.must(err)
 	b.client, err = b.cluster.Client()
@@ -71,10 +71,10 @@
 	var instances []registry.Instance
 	for i := range 16 {
 		instances = append(instances, registry.Instance{Target: registry.Target{UID: fmt.Sprint("s", i), Endpoint: fmt.Sprintf("127.0.0.1:%d", 1000+i),
-			Zone: fmt.Sprint("z", i%2), Pod: i / 4, State: registry.Ready, Capacity: 1, BootMS: 1}})
+			Zone: fmt.Sprint("z", i%2), PodGroup: i / 4, State: registry.InstanceReady, Capacity: 1, BootMS: 1}})
 	}
 	instances[0].Endpoint = strings.TrimPrefix(server.URL, "http://")
-	_, err = b.client.Register(ctx, registry.Write{}, instances...)
+	_, err = b.client.Register(ctx, registry.WriteOptions{}, instances...)
 	b.must(err)
 	for n := range 2 {
 		b.reportAddrs = append(b.reportAddrs, block.Addr(211, n, 8550))
@@ -82,9 +82,9 @@
 	var sidecars sync.WaitGroup
 	t.Cleanup(sidecars.Wait)
 	t.Cleanup(cancel)
-	call := registry.SidecarCall{TTLMS: 600_000}
+	call := registry.SidecarRequest{TTLMS: 600_000}
 	for n := range 2 {
-		started, err := agent.Start(agent.Options{Listen: block.Addr(201, n, 8500), Replicas: b.cluster.HTTPs(), ReportAddresses: b.reportAddrs})
+		started, err := agent.Start(agent.Options{Listen: block.Addr(201, n, 8500), Replicas: b.cluster.HTTPAddrs(), ReportAddresses: b.reportAddrs})
 		b.must(err)
 		t.Cleanup(func() { started.Close() })
 		b.agents = append(b.agents, started.Addr())
@@ -110,7 +110,7 @@
 // startController starts a controller and waits until it says that it is ready.
 func (b *testbed) startController(n int, more ...string) *proc.Process {
 	b.Helper()
-	args := append([]string{"window", "serve", "--reports-listen", b.reportAddrs[n], "--replicas", strings.Join(b.cluster.HTTPs(), ","), "--ttl", "2s",
+	args := append([]string{"window", "serve", "--reports-listen", b.reportAddrs[n], "--replicas", strings.Join(b.cluster.HTTPAddrs(), ","), "--ttl", "2s",
 		"--ready-path", "/ready"}, more...)
 	process, err := proc.Start(proc.Spec{Name: fmt.Sprint("controller ", len(b.controllers)), Path: b.program, Args: args,
 		Log: filepath.Join(b.dir, fmt.Sprint("controller", len(b.controllers)))})
@@ -139,7 +139,7 @@
 // write makes an operator's operation.
 func (b *testbed) write(op window.Operation) {
 	b.Helper()
-	if _, err := b.client.WriteWindow(b.ctx, registry.Write{}, window.Timestamp{}, op); err != nil {
+	if _, err := b.client.WriteWindow(b.ctx, registry.WriteOptions{}, window.Timestamp{}, op); err != nil {
 		b.Fatalf("%s: %v", op.Kind, err)
 	}
 }
@@ -268,10 +268,10 @@
 	b.propose("disks", 4*time.Second)
 	b.awaitStage("disks", window.StageDraining)
 	b.eventually("sidecars are told", b.excluded)
-	leader, err := b.cluster.Leader(b.ctx)
+	leader, err := b.cluster.AwaitLeader(b.ctx)
 	b.must(err)
-	leader.Proc.Kill()
-	_, err = b.cluster.Leader(b.ctx)
+	leader.Process.Kill()
+	_, err = b.cluster.AwaitLeader(b.ctx)
 	b.must(err)
 	if w := b.awaitStage("disks", window.StageDraining); w.DrainedAtMS != 0 {
 		t.Errorf("free with requests open: %+v", w)
@@ -323,7 +323,7 @@
 			controller.Kill()
 			if registryDown {
 				for _, replica := range b.cluster.Replicas {
-					replica.Proc.Kill()
+					replica.Process.Kill()
 				}
 			}
 			exclusionsBefore := b.exclusionsSeen.Load()
@@ -338,7 +338,7 @@
 				for _, replica := range b.cluster.Replicas {
 					b.must(replica.Start())
 				}
-				_, err := b.cluster.Leader(b.ctx)
+				_, err := b.cluster.AwaitLeader(b.ctx)
 				b.must(err)
 			}
 			b.startController(1)
