--- a/cmd/milldeck/release.go
+++ b/cmd/milldeck/release.go
@@ -28,10 +28,10 @@
 		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	c.AddCommand(newReleaseCheck(), newReleaseStart(), newReleaseStatus(),
-		newReleaseTell(release.CmdHalt, "Halts a release: nothing further goes out, what is out comes to rest"),
-		newReleaseTell(release.CmdResume, "Has a halted release go on"),
-		newReleaseTell(release.CmdBack, "Sends a release back to the version that its units had"),
-		newReleaseTell(release.CmdFinalize, "Makes a release that is over final: it goes back no more, and its units are free"))
+		newReleaseTell(release.CommandHalt, "Halts a release: nothing further goes out, what is out comes to rest"),
+		newReleaseTell(release.CommandResume, "Has a halted release go on"),
+		newReleaseTell(release.CommandRollback, "Sends a release back to the version that its units had"),
+		newReleaseTell(release.CommandFinalize, "Makes a release that is over final: it goes back no more, and its units are free"))
 	return c
 }
 
@@ -71,11 +71,11 @@
 			}); err != nil {
 				return err
 			}
-			dry := plan.Check(p, v.Units, v.Budgets)
+			dry := plan.NewPreview(p, v.Units, v.Budgets)
 			if err := a.show(out, dry, func(w io.Writer) error { return writeDry(w, dry) }); err != nil {
 				return err
 			}
-			if n := len(dry.Refused); n > 0 {
+			if n := len(dry.Infeasible); n > 0 {
 				return fmt.Errorf("release %s can never be as it is planned: %d reasons", p.Name, n)
 			}
 			return nil
@@ -113,7 +113,7 @@
 // writeDry prints a dry run for people.
 func writeDry(out io.Writer, dry *plan.Preview) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "release %s, plan %s: at most %d out at once\n", dry.Name, dry.Hash, dry.MaxOut)
+	fmt.Fprintf(w, "release %s, plan %s: at most %d out at once\n", dry.Name, dry.Hash, dry.MaxUnavailable)
 	fmt.Fprintln(w, "wave\tunits\tmoved after it\tbake\twarmed anew\tnames")
 	for i, wave := range dry.Waves {
 		names := wave.Units
@@ -122,16 +122,16 @@
 			more = fmt.Sprintf(" and %d more", len(names)-8)
 			names = names[:8]
 		}
-		fmt.Fprintf(w, "%d\t%d\t%.0f%%\t%v s\t%.4g\t%v%s\n", i, len(wave.Units), 100*wave.Share, wave.Bake, wave.Cold, names, more)
+		fmt.Fprintf(w, "%d\t%d\t%.0f%%\t%v s\t%.4g\t%v%s\n", i, len(wave.Units), 100*wave.UpdatedShare, wave.BakeSeconds, wave.WarmUpCapacity, names, more)
 	}
-	for _, zone := range slices.Sorted(maps.Keys(dry.Stays)) {
-		c, name := dry.Stays[zone], "zone "+zone
+	for _, zone := range slices.Sorted(maps.Keys(dry.RemainingCapacity)) {
+		c, name := dry.RemainingCapacity[zone], "zone "+zone
 		if zone == "" {
 			name = "the fleet"
 		}
-		fmt.Fprintf(w, "%s keeps %.4g of a capacity of %.4g\n", name, c.Stays, c.All)
+		fmt.Fprintf(w, "%s keeps %.4g of a capacity of %.4g\n", name, c.Remaining, c.Total)
 	}
-	for _, why := range dry.Refused {
+	for _, why := range dry.Infeasible {
 		fmt.Fprintln(w, "refused:", why)
 	}
 	return w.Flush()
--- a/cmd/milldeck/releasestart.go
+++ b/cmd/milldeck/releasestart.go
@@ -103,13 +103,13 @@
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: reportsWait, WriteTimeout: 2 * reportsWait, IdleTimeout: time.Minute}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
-	d := &drive.Driver{Name: name, Store: client, Platform: platform, Reports: reports, Longest: f.longest, Warm: f.warm, Strata: f.strata, File: f.file, Made: f.made()}
+	d := &drive.Controller{Name: name, Store: client, Platform: platform, Reports: reports, MaxRequestDuration: f.longest, WarmUpTime: f.warm, Strata: f.strata, ConfigText: f.file, PrepareUnit: f.made()}
 	slog.Info("controls", "release", name, "reports", listener.Addr().String())
 	err = duty.Run(ctx, client, release.Owner(name), duty.Options{OnEvent: func(e duty.Event) {
 		if e.Type != "renewed" {
 			slog.Info("duty", "what", e.Type, "duty", e.Lease, "token", e.Token)
 		}
-	}}, d.Work)
+	}}, d.Run)
 	down, done := context.WithTimeout(context.WithoutCancel(ctx), reportsWait)
 	defer done()
 	if e := server.Shutdown(down); err == nil {
@@ -128,8 +128,8 @@
 	if err := writeRelease(out, v.State); err != nil {
 		return err
 	}
-	if v.Head.Phase != release.Done {
-		return fmt.Errorf("release %s is %s: %s", name, v.Head.Phase, v.Head.Why)
+	if v.Status.Phase != release.PhaseCompleted {
+		return fmt.Errorf("release %s is %s: %s", name, v.Status.Phase, v.Status.HaltReason)
 	}
 	return nil
 }
@@ -142,18 +142,18 @@
 	case errors.As(err, &status) && status.StatusCode == http.StatusNotFound:
 	case err != nil:
 		return err
-	case !v.Head.Phase.Over() || v.Head.Commands < len(v.Commands):
-		if v.Hash != p.Hash() {
-			return fmt.Errorf("release %s is under way with another plan (%s, not %s): send it back or let it end first", p.Name, v.Hash, p.Hash())
+	case !v.Status.Phase.Finished() || v.Status.HandledCommands < len(v.Commands):
+		if v.PlanHash != p.Hash() {
+			return fmt.Errorf("release %s is under way with another plan (%s, not %s): send it back or let it end first", p.Name, v.PlanHash, p.Hash())
 		}
-		slog.Info("goes on", "release", p.Name, "phase", v.Head.Phase, "plan", v.Hash)
+		slog.Info("goes on", "release", p.Name, "phase", v.Status.Phase, "plan", v.PlanHash)
 		return nil
 	}
 	s, err := draw()
 	if err != nil {
 		return err
 	}
-	_, err = client.WriteRelease(ctx, registry.WriteOptions{}, p.Name, release.Op{Start: s})
+	_, err = client.WriteRelease(ctx, registry.WriteOptions{}, p.Name, release.Operation{Start: s})
 	return err
 }
 
--- a/cmd/milldeck/releasetell.go
+++ b/cmd/milldeck/releasetell.go
@@ -44,12 +44,12 @@
 }
 
 func releaseLine(s *release.State) string {
-	line := fmt.Sprintf("%s\t%s\twave %d\tplan %s", s.Name, s.Head.Phase, s.Head.Wave, s.Hash)
-	if s.Head.Final {
+	line := fmt.Sprintf("%s\t%s\twave %d\tplan %s", s.Name, s.Status.Phase, s.Status.Wave, s.PlanHash)
+	if s.Status.Finalized {
 		line += "\tfinal"
 	}
-	if s.Head.Why != "" {
-		line += fmt.Sprintf("\tby %s: %s", s.Head.By, s.Head.Why)
+	if s.Status.HaltReason != "" {
+		line += fmt.Sprintf("\tby %s: %s", s.Status.HaltedBy, s.Status.HaltReason)
 	}
 	return line
 }
@@ -61,22 +61,22 @@
 	rest, back, todo := 0, 0, 0
 	for i := range s.Units {
 		switch u := &s.Units[i]; {
-		case u.Stage == release.Rest && u.Back:
+		case u.Stage == release.StageConverged && u.Rollback:
 			back++
-		case u.Stage == release.Rest:
+		case u.Stage == release.StageConverged:
 			rest++
-		case u.Stage == release.Todo:
+		case u.Stage == release.StagePending:
 			todo++
 		default:
-			to := u.To
-			if u.Back {
-				to = u.Was
+			to := u.Target
+			if u.Rollback {
+				to = u.Previous
 			}
-			fmt.Fprintf(w, "%s\t%s\tto %s %s\ttry %d\t%s\n", u.ID, u.Stage, to.Version, to.Config, u.Try, u.Why)
+			fmt.Fprintf(w, "%s\t%s\tto %s %s\ttry %d\t%s\n", u.ID, u.Stage, to.Version, to.ConfigName, u.PermitAttempt, u.Reason)
 		}
 	}
 	fmt.Fprintf(w, "%d units: %d moved, %d back, %d wait\n", len(s.Units), rest, back, todo)
-	for _, line := range s.Head.Stranded {
+	for _, line := range s.Status.Stranded {
 		fmt.Fprintln(w, "stranded:", line)
 	}
 	return w.Flush()
@@ -86,7 +86,7 @@
 func newReleaseTell(what, short string) *cobra.Command {
 	var by, why string
 	c := asks(what+" NAME", short, 1, func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
-		res, err := client.WriteRelease(ctx, registry.WriteOptions{}, args[0], release.Op{Tell: &release.Command{What: what, By: "operator/" + by, Why: why}})
+		res, err := client.WriteRelease(ctx, registry.WriteOptions{}, args[0], release.Operation{Command: &release.Command{Action: what, Operator: "operator/" + by, Reason: why}})
 		if err != nil {
 			return err
 		}
--- a/internal/lab/night/faults.go
+++ b/internal/lab/night/faults.go
@@ -189,16 +189,16 @@
 		return func() {
 			if w.plane.leads() {
 				w.plane.rev++
-				_ = w.plane.releases.Apply(w.plane.rev, &release.Op{Name: name, Tell: &release.Command{What: what, By: "operator/eva"}})
+				_ = w.plane.releases.Apply(w.plane.rev, &release.Operation{Name: name, Command: &release.Command{Action: what, Operator: "operator/eva"}})
 			}
 		}
 	}
 	name := []string{releaseS, releaseC}[r.IntN(2)]
 	switch r.IntN(5) {
 	case 0:
-		w.fault(at(), "release "+name+" halted", tell(name, release.CmdHalt))
+		w.fault(at(), "release "+name+" halted", tell(name, release.CommandHalt))
 	case 1:
-		w.fault(at(), "release "+name+" sent back", tell(name, release.CmdBack))
+		w.fault(at(), "release "+name+" sent back", tell(name, release.CommandRollback))
 	case 2:
 		t := tenants[r.IntN(len(tenants))].name
 		w.fault(at(), "the contract of "+t+" withdrawn", func() {
--- a/internal/lab/night/figures.go
+++ b/internal/lab/night/figures.go
@@ -72,10 +72,10 @@
 	for w.now-begun < mostMS {
 		w.tick()
 		s, _ := w.plane.releases.Get(releaseS)
-		if s.Head.Phase == release.Back && turned == 0 {
+		if s.Status.Phase == release.PhaseRollback && turned == 0 {
 			turned = w.now
 		}
-		if s.Head.Phase.Over() {
+		if s.Status.Phase.Finished() {
 			break
 		}
 		if w.now%5000 == 0 {
@@ -83,7 +83,7 @@
 		}
 	}
 	s, _ = w.plane.releases.Get(releaseS)
-	out.Phase, out.Why = string(s.Head.Phase), s.Head.Why
+	out.Phase, out.Why = string(s.Status.Phase), s.Status.HaltReason
 	out.Share = float64(len(w.judge.hit)) / float64(len(w.servers))
 	if turned > begun {
 		out.BackFor = float64(w.now-turned) / float64(turned-begun)
@@ -151,7 +151,7 @@
 	early, halts, ratios := 0, 0, []float64{}
 	for _, r := range harmful {
 		f.ReleaseRules += r.Broken
-		if r.Phase == string(release.Backed) && r.Share < 0.1 {
+		if r.Phase == string(release.PhaseRolledBack) && r.Share < 0.1 {
 			early++
 		}
 		if r.BackFor > 0 {
@@ -160,7 +160,7 @@
 	}
 	for _, r := range healthy {
 		f.ReleaseRules += r.Broken
-		if r.Phase != string(release.Done) {
+		if r.Phase != string(release.PhaseCompleted) {
 			halts++
 		}
 	}
--- a/internal/lab/night/finish.go
+++ b/internal/lab/night/finish.go
@@ -14,16 +14,16 @@
 	want, listed := map[string]string{}, map[string]bool{}
 	for _, name := range w.plane.releases.Names() {
 		s, _ := w.plane.releases.Get(name)
-		if !s.Head.Phase.Over() {
-			j.breaks(ruleStranded, fmt.Sprintf("release %s is %s at the end: %s %s", name, s.Head.Phase, s.Head.Why, w.why(s)))
+		if !s.Status.Phase.Finished() {
+			j.breaks(ruleStranded, fmt.Sprintf("release %s is %s at the end: %s %s", name, s.Status.Phase, s.Status.HaltReason, w.why(s)))
 		}
 		for i := range s.Units {
 			u := &s.Units[i]
-			want[u.ID] = u.Was.Version
-			if s.Head.Phase == release.Done {
-				want[u.ID] = u.To.Version
+			want[u.ID] = u.Previous.Version
+			if s.Status.Phase == release.PhaseCompleted {
+				want[u.ID] = u.Target.Version
 			}
-			for _, line := range s.Head.Stranded {
+			for _, line := range s.Status.Stranded {
 				listed[u.ID] = listed[u.ID] || strings.HasPrefix(line, u.ID+" ") || strings.HasPrefix(line, u.ID+":")
 			}
 		}
@@ -65,10 +65,10 @@
 func (w *world) why(s *release.State) string {
 	var out []string
 	for i := range s.Units {
-		if u := &s.Units[i]; u.Stage != release.Rest && u.Stage != release.Todo && len(out) < 3 {
+		if u := &s.Units[i]; u.Stage != release.StageConverged && u.Stage != release.StagePending && len(out) < 3 {
 			k, _ := w.plane.ledger.Unit(u.ID)
 			m, _ := w.plane.permit(s.PermitID(u))
-			out = append(out, fmt.Sprintf("%s %s back %v %s (ledger: %s, permit %s of revision %d, out at %d, undone %v)", u.ID, u.Stage, u.Back, u.Why,
+			out = append(out, fmt.Sprintf("%s %s back %v %s (ledger: %s, permit %s of revision %d, out at %d, undone %v)", u.ID, u.Stage, u.Rollback, u.Reason,
 				k.Condition, m.Stage, m.GrantRevision, m.BeginRevision, m.Aborted))
 		}
 	}
--- a/internal/lab/night/judge.go
+++ b/internal/lab/night/judge.go
@@ -246,7 +246,7 @@
 
 // phase notes whether a release is, or was, sent elsewhere than forward: what was stopped then starts as it was.
 func (j *referee) phase(name string) {
-	if s, _ := j.w.plane.releases.Get(name); s.Head.Phase != release.Forward && s.Head.Phase != release.Done {
+	if s, _ := j.w.plane.releases.Get(name); s.Status.Phase != release.PhaseRollout && s.Status.Phase != release.PhaseCompleted {
 		j.halted[name] = true
 	}
 }
--- a/internal/lab/night/log.go
+++ b/internal/lab/night/log.go
@@ -56,7 +56,7 @@
 	Rev      uint64
 	Epoch    uint64
 	Ledger   disruption.Snapshot
-	Releases *release.Saved
+	Releases *release.Snapshot
 	Windows  *window.Snapshot
 	Places   *placement.Snapshot
 	Drains   map[string]uint64
@@ -64,7 +64,7 @@
 
 // copied is a state of its own, equal to this one.
 func (s *state) copied() *state {
-	data, err := json.Marshal(&saved{s.rev, s.epoch, s.ledger.Snapshot(), s.releases.Save(), s.windows.Snapshot(), s.places.Snapshot(), s.drains})
+	data, err := json.Marshal(&saved{s.rev, s.epoch, s.ledger.Snapshot(), s.releases.Snapshot(), s.windows.Snapshot(), s.places.Snapshot(), s.drains})
 	if err != nil {
 		panic(err) // all of it is made for snapshots
 	}
@@ -76,7 +76,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("a ledger that was saved: %v", err))
 	}
-	out := &state{rev: v.Rev, epoch: v.Epoch, ledger: ledger, releases: release.Load(v.Releases), windows: window.Restore(v.Windows),
+	out := &state{rev: v.Rev, epoch: v.Epoch, ledger: ledger, releases: release.Restore(v.Releases), windows: window.Restore(v.Windows),
 		places: placement.Restore(v.Places, v.Epoch), duties: s.duties, drains: v.Drains, done: maps.Clone(s.done)}
 	if out.drains == nil {
 		out.drains = map[string]uint64{}
--- a/internal/lab/night/night.go
+++ b/internal/lab/night/night.go
@@ -170,7 +170,7 @@
 	}
 	for _, name := range w.plane.releases.Names() {
 		s, _ := w.plane.releases.Get(name)
-		r.Releases[name] = string(s.Head.Phase)
+		r.Releases[name] = string(s.Status.Phase)
 	}
 	for _, win := range w.plane.windows.Windows() {
 		r.Windows[win.Name] = string(win.Stage)
@@ -295,7 +295,7 @@
 
 func (w *world) startRelease(s *release.State) error {
 	w.plane.rev++
-	return w.plane.releases.Apply(w.plane.rev, &release.Op{Start: s})
+	return w.plane.releases.Apply(w.plane.rev, &release.Operation{Start: s})
 }
 
 // rest tells whether the night is over: nothing moves and nothing is left to come.
@@ -305,7 +305,7 @@
 	}
 	for _, name := range w.plane.releases.Names() {
 		s, cmds := w.plane.releases.Get(name)
-		if !s.Head.Phase.Over() || s.Head.Commands != len(cmds) {
+		if !s.Status.Phase.Finished() || s.Status.HandledCommands != len(cmds) {
 			return false
 		}
 	}
--- a/internal/lab/night/operator.go
+++ b/internal/lab/night/operator.go
@@ -22,19 +22,19 @@
 	claimed := map[string]bool{}
 	for _, name := range p.releases.Names() {
 		s, cmds := p.releases.Get(name)
-		h := s.Head
-		if h.Phase == release.Held && h.Commands == len(cmds) {
-			what := release.CmdResume
-			if len(cmds) > 20 && !s.Drain { // it does not get on: people give up
-				what = release.CmdBack
+		h := s.Status
+		if h.Phase == release.PhaseHalted && h.HandledCommands == len(cmds) {
+			what := release.CommandResume
+			if len(cmds) > 20 && !s.DrainOnly { // it does not get on: people give up
+				what = release.CommandRollback
 			}
 			p.rev++
-			p.releases.Apply(p.rev, &release.Op{Name: name, Tell: &release.Command{What: what, By: "operator/ops"}})
+			p.releases.Apply(p.rev, &release.Operation{Name: name, Command: &release.Command{Action: what, Operator: "operator/ops"}})
 		}
 		for i := range s.Units {
 			u := &s.Units[i]
-			claimed[u.ID] = !h.Phase.Over() && u.Stage != release.Todo && u.Stage != release.Rest
-			if h.Phase.Over() && u.Stage == release.Lost {
+			claimed[u.ID] = !h.Phase.Finished() && u.Stage != release.StagePending && u.Stage != release.StageConverged
+			if h.Phase.Finished() && u.Stage == release.StageFailed {
 				p.rev++
 				p.ledger.Apply(p.rev, &disruption.Op{Kind: disruption.OpForceComplete, Owner: "operator/ops", Permit: &disruption.Permit{ID: s.PermitID(u)}})
 			}
--- a/internal/lab/night/release.go
+++ b/internal/lab/night/release.go
@@ -19,8 +19,8 @@
 	state   *release.State
 	answers map[string]supervisor.Outcome
 	denied  map[string]string
-	empty   *release.Emptiness
-	watch   *release.Watch
+	empty   *release.DrainTracker
+	watch   *release.WaveAnalysis
 	begun   int64
 	seen    int64
 	late    []release.Delta // by a planted fault: not written yet
@@ -33,7 +33,7 @@
 func (c *releaser) take(token uint64) {
 	c.token, c.state = token, nil
 	c.answers, c.denied, c.late = map[string]supervisor.Outcome{}, map[string]string{}, nil
-	c.empty, c.watch, c.begun = release.NewEmptiness(longest), release.NewWatch(8), c.p.w.now
+	c.empty, c.watch, c.begun = release.NewDrainTracker(longest), release.NewWaveAnalysis(8), c.p.w.now
 }
 
 // load reads the release anew where it is not known, or was written by another.
@@ -43,7 +43,7 @@
 		c.state = nil
 		return false
 	}
-	if c.state == nil || len(c.late) == 0 && (c.state.Seq != at.Seq || c.state.Run != at.Run) {
+	if c.state == nil || len(c.late) == 0 && (c.state.Sequence != at.Sequence || c.state.StartRevision != at.StartRevision) {
 		own := *at
 		own.Units = slices.Clone(at.Units)
 		c.state = &own
@@ -73,35 +73,35 @@
 		return false
 	}
 	_, told := s.releases.Get(c.name)
-	if c.state.Head.Phase.Over() && c.state.Head.Commands == len(told) {
+	if c.state.Status.Phase.Finished() && c.state.Status.HandledCommands == len(told) {
 		return false
 	}
 	l := w.list()
 	c.look(s, l)
 	wall := w.now
 	v := &release.View{
-		NowMS: wall, Token: c.token, Platform: l, Answers: c.answers, Denied: c.denied, Commands: told,
-		Unit:    s.ledger.Unit,
-		Permits: func(id string) (disruption.Permit, bool) { return c.permit(s, id) },
-		Made:    func(string) bool { return true },
-		Empty:   func(id string) bool { return c.empty.Empty(w.now-c.begun+1, id) },
-		Running: func(string) (release.Image, bool) { return release.Image{}, false },
-		Refused: func(string, string) string { return "" },
-		Verdict: c.verdict(l),
+		NowMS: wall, Token: c.token, Platform: l, Outcomes: c.answers, DeniedPermits: c.denied, Commands: told,
+		Unit:            s.ledger.Unit,
+		Permit:          func(id string) (disruption.Permit, bool) { return c.permit(s, id) },
+		Prepared:        func(string) bool { return true },
+		Drained:         func(id string) bool { return c.empty.Drained(w.now-c.begun+1, id) },
+		Running:         func(string) (release.Image, bool) { return release.Image{}, false },
+		ConfigRejection: func(string, string) string { return "" },
+		Verdict:         c.verdict(l),
 	}
-	effects := c.state.Step(v)
+	effects := c.state.Reconcile(v)
 	if !c.call(effects) {
 		return false
 	}
 	wrote := false
 	for _, e := range effects {
-		if _, is := e.(release.Do); is {
+		if _, is := e.(release.CallPlatform); is {
 			continue
 		}
 		if !c.p.act(func() { c.carry(e) }) || c.state == nil {
 			return false
 		}
-		_, wrote = e.(release.Write)
+		_, wrote = e.(release.WriteDelta)
 	}
 	if w.now%3000 == 0 {
 		c.flush()
@@ -118,7 +118,7 @@
 
 // look takes in which lists sidecars have.
 func (c *releaser) look(s *state, _ *supervisor.List) {
-	if !c.state.Drain && c.state.Plan.Kind() != disruption.KindServer {
+	if !c.state.DrainOnly && c.state.Plan.Kind() != disruption.KindServer {
 		return
 	}
 	var living []string
@@ -135,14 +135,14 @@
 			has[u.name] = u.car.list
 		}
 	}
-	c.empty.Look(c.p.w.now-c.begun+1, drains, rev, living, has)
+	c.empty.Update(c.p.w.now-c.begun+1, drains, rev, living, has)
 }
 
 // verdict is the watch's, of what requests met in the second before.
 func (c *releaser) verdict(l *supervisor.List) judge.Verdict {
 	w := c.p.w
-	if w.traffic == nil || c.state.Plan.What.Server == "" || c.state.Drain {
-		return judge.Verdict{Kind: judge.Pass}
+	if w.traffic == nil || c.state.Plan.Change.ServerVersion == "" || c.state.DrainOnly {
+		return judge.Verdict{Outcome: judge.Pass}
 	}
 	if w.now-c.seen >= 1000 {
 		c.seen = w.now
@@ -156,7 +156,7 @@
 	w := c.p.w
 	var reqs []supervisor.Request
 	for _, e := range effects {
-		if do, is := e.(release.Do); is && len(reqs) < supervisor.MaxRequests {
+		if do, is := e.(release.CallPlatform); is && len(reqs) < supervisor.MaxRequests {
 			r := do.Request
 			if r.Op == supervisor.Start && r.ConfigName != "" {
 				r.ConfigText = r.ConfigName
@@ -184,7 +184,7 @@
 func (c *releaser) carry(e release.Effect) {
 	w, token := c.p.w, c.token
 	switch e := e.(type) {
-	case release.Ledger:
+	case release.ApplyLedgerOp:
 		op := e.Op
 		a, known := c.p.write(token, func() (string, string) { return w.plane.ledgerOp(&op) })
 		if known && op.Kind == disruption.OpRequest {
@@ -193,15 +193,15 @@
 				c.denied[op.Permit.ID] = a.why
 			}
 		}
-	case release.Terminate:
+	case release.MarkTerminating:
 		c.p.write(token, func() (string, string) { return w.terminate(e.Unit), "" })
-	case release.Restore:
+	case release.MarkReady:
 		c.p.write(token, func() (string, string) {
 			delete(w.plane.drains, e.Unit)
 			w.by[e.Unit].active = true
 			return okay, ""
 		})
-	case release.Write:
+	case release.WriteDelta:
 		if w.opt.Bugs.WrittenAfter {
 			if c.state.Apply(e.Delta) == nil {
 				c.late = append(c.late, e.Delta)
@@ -216,7 +216,7 @@
 func (c *releaser) put(d release.Delta) {
 	w := c.p.w
 	a, known := c.p.write(c.token, func() (string, string) {
-		if err := w.plane.releases.Apply(w.plane.rev, &release.Op{Name: c.name, Step: &d}); err != nil {
+		if err := w.plane.releases.Apply(w.plane.rev, &release.Operation{Name: c.name, Delta: &d}); err != nil {
 			return "refused", err.Error()
 		}
 		return okay, ""
@@ -231,7 +231,7 @@
 	w := c.p.w
 	for _, d := range c.late {
 		c.p.write(c.token, func() (string, string) {
-			if err := w.plane.releases.Apply(w.plane.rev, &release.Op{Name: c.name, Step: &d}); err != nil {
+			if err := w.plane.releases.Apply(w.plane.rev, &release.Operation{Name: c.name, Delta: &d}); err != nil {
 				return "refused", err.Error()
 			}
 			return okay, ""
--- a/internal/lab/night/traffic.go
+++ b/internal/lab/night/traffic.go
@@ -37,7 +37,7 @@
 
 // interval is one second, as sidecars would have reported it.
 func (t *traffic) interval(s *release.State) judge.Interval {
-	in := judge.Interval{Expected: len(t.w.sidecars), Reports: len(t.w.sidecars)}
+	in := judge.Interval{ExpectedReports: len(t.w.sidecars), ReceivedReports: len(t.w.sidecars)}
 	now := t.w.now / 1000
 	load, fail, slow := 1.0, 0.003, 0.18
 	if now%50 >= 30 {
@@ -46,10 +46,10 @@
 	if now%170 >= 150 { // an ordinary trouble, felt by all
 		fail = 0.1
 	}
-	sides := map[string]*[2]judge.Side{}
+	sides := map[string]*[2]judge.UnitStats{}
 	ages := map[string]float64{}
 	for _, zone := range zones {
-		sides[zone] = &[2]judge.Side{}
+		sides[zone] = &[2]judge.UnitStats{}
 	}
 	for i := range s.Units {
 		u := t.w.by[s.Units[i].ID]
@@ -66,11 +66,11 @@
 	for _, zone := range zones {
 		at := sides[zone]
 		for k := range at {
-			at[k].Memory = 100 * (1 + 0.02*t.rng.NormFloat64())
+			at[k].MeanMemory = 100 * (1 + 0.02*t.rng.NormFloat64())
 		}
-		at[1].Memory += 100 * t.harm.Leak * ages[zone] / math.Max(float64(at[1].Units), 1)
+		at[1].MeanMemory += 100 * t.harm.Leak * ages[zone] / math.Max(float64(at[1].Units), 1)
 		at[1].Restarts = t.draw(at[1].Units, t.harm.Restarting)
-		in.Zones = append(in.Zones, judge.ZonePair{Zone: zone, New: at[1], Old: at[0]})
+		in.Zones = append(in.Zones, judge.ZoneSample{Zone: zone, Canary: at[1], Baseline: at[0]})
 		for c, class := range []string{"lookup", "simulate"} {
 			counts := func(side int) judge.Counts {
 				f, sl := fail, slow
@@ -86,9 +86,9 @@
 				beyond := t.draw(served, sl)
 				near := t.draw(served-beyond, 0.25)
 				return judge.Counts{Served: served, Late: t.draw(served, 0.01), Failed: failed,
-					Latency: []uint32{uint32(served - beyond - near), uint32(near), uint32(beyond)}}
+					LatencyHistogram: []uint32{uint32(served - beyond - near), uint32(near), uint32(beyond)}}
 			}
-			in.Pairs = append(in.Pairs, judge.Pair{Class: class, Zone: zone, New: counts(1), Old: counts(0)})
+			in.Classes = append(in.Classes, judge.ClassSample{Class: class, Zone: zone, Canary: counts(1), Baseline: counts(0)})
 		}
 	}
 	return in
--- a/internal/registry/fixtures_test.go
+++ b/internal/registry/fixtures_test.go
@@ -151,11 +151,11 @@
 		LeaderTimeMS: monday + 40_000, Expired: []placement.DirectiveRef{{ID: "cohort/r", Revision: cohort}}}})
 
 	// Releases.
-	add("release-start", registry.Record{Op: registry.OpRelease, ID: "write-release", Release: &release.Op{Start: newReleaseState(t, "r", "2")}})
-	add("release-step", registry.Record{Op: registry.OpRelease, Guard: releaseGuard, Release: &release.Op{Name: "r",
-		Step: &release.Delta{Head: &release.Head{Phase: release.Forward, Wave: 1, Token: second}}}})
-	add("release-command", registry.Record{Op: registry.OpRelease, Release: &release.Op{Name: "r",
-		Tell: &release.Command{What: release.CmdHalt, By: "operator/eva", Why: "errors rise"}}})
+	add("release-start", registry.Record{Op: registry.OpRelease, ID: "write-release", Release: &release.Operation{Start: newReleaseState(t, "r", "2")}})
+	add("release-step", registry.Record{Op: registry.OpRelease, Guard: releaseGuard, Release: &release.Operation{Name: "r",
+		Delta: &release.Delta{Status: &release.Status{Phase: release.PhaseRollout, Wave: 1, Token: second}}}})
+	add("release-command", registry.Record{Op: registry.OpRelease, Release: &release.Operation{Name: "r",
+		Command: &release.Command{Action: release.CommandHalt, Operator: "operator/eva", Reason: "errors rise"}}})
 
 	// The disruption ledger, with sidecars.
 	two, half := 2, 0.5
@@ -610,7 +610,7 @@
 	entries, err := client.PlacementView(ctx, true)
 	call("placement", entries, err)
 
-	result, err = client.WriteRelease(ctx, registry.WriteOptions{ID: "w10", Guard: guard}, "r", release.Op{Step: &release.Delta{Seq: 1, Head: &release.Head{Phase: release.Forward, Wave: 2}}})
+	result, err = client.WriteRelease(ctx, registry.WriteOptions{ID: "w10", Guard: guard}, "r", release.Operation{Delta: &release.Delta{Sequence: 1, Status: &release.Status{Phase: release.PhaseRollout, Wave: 2}}})
 	call("write release", result, err)
 	found, err := client.Release(ctx, "r", true, true)
 	call("release", found, err)
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -142,12 +142,12 @@
 	Lease      *table.Operation `json:"duty,omitempty"`
 	Guard      *Guard           `json:"guard,omitempty"` // the write counts only under this duty's token
 
-	Placement *placement.Op     `json:"placement,omitempty"`
-	Release   *release.Op       `json:"release,omitempty"`
-	Window    *window.Operation `json:"window,omitempty"`
-	Stamp     *window.Timestamp `json:"stamp,omitempty"`
-	Ledger    *disruption.Op    `json:"ledger,omitempty"`
-	Sidecars  []Sidecar         `json:"sidecars,omitempty"`
+	Placement *placement.Op      `json:"placement,omitempty"`
+	Release   *release.Operation `json:"release,omitempty"`
+	Window    *window.Operation  `json:"window,omitempty"`
+	Stamp     *window.Timestamp  `json:"stamp,omitempty"`
+	Ledger    *disruption.Op     `json:"ledger,omitempty"`
+	Sidecars  []Sidecar          `json:"sidecars,omitempty"`
 }
 
 // recordVersion is the first byte of a record; a newer one is refused, an older one read.
--- a/internal/registry/release.go
+++ b/internal/registry/release.go
@@ -13,7 +13,7 @@
 func (s *StateMachine) Releases() *release.Table { return s.releases }
 
 func (s *StateMachine) applyRelease(index uint64, record *Record) Result {
-	if op := record.Release; op != nil && op.Guarded() && (record.Guard == nil || record.Guard.Lease != release.Owner(op.Name)) {
+	if op := record.Release; op != nil && op.RequiresToken() && (record.Guard == nil || record.Guard.Lease != release.Owner(op.Name)) {
 		return Result{OutcomeConflict, index, "a step of a release is written under its own duty"}
 	}
 	if err := s.releases.Apply(index, record.Release); err != nil {
@@ -75,9 +75,9 @@
 
 // ReleaseRequest is the body of a write about a release.
 type ReleaseRequest struct {
-	ID    string     `json:"id"`
-	Guard *Guard     `json:"guard,omitempty"`
-	Op    release.Op `json:"op"`
+	ID    string            `json:"id"`
+	Guard *Guard            `json:"guard,omitempty"`
+	Op    release.Operation `json:"op"`
 }
 
 func (r *Replica) serveReleaseOp(w http.ResponseWriter, request *http.Request) {
@@ -90,7 +90,7 @@
 	case err != nil:
 	case body.Op.Start != nil && body.Op.Start.Name != name || body.Op.Start == nil && body.Op.Name != name:
 		err = fieldErrorf("op.name", "it is not that of the path, %q", name)
-	case body.Op.Guarded() && body.Guard == nil:
+	case body.Op.RequiresToken() && body.Guard == nil:
 		err = fieldErrorf("guard", "a step is written under the release's duty")
 	}
 	if err != nil {
@@ -101,7 +101,7 @@
 }
 
 // WriteRelease writes an operation about a release; a step needs the write's guard to be the release's duty.
-func (c *Client) WriteRelease(ctx context.Context, options WriteOptions, name string, op release.Op) (Result, error) {
+func (c *Client) WriteRelease(ctx context.Context, options WriteOptions, name string, op release.Operation) (Result, error) {
 	var result Result
 	if op.Start == nil {
 		op.Name = name
--- a/internal/registry/release_test.go
+++ b/internal/registry/release_test.go
@@ -36,7 +36,7 @@
 // A release's steps count under its token alone, each once, over a lost leader and a restart of all.
 func TestReleaseSurvivesLeaderLoss(t *testing.T) {
 	env := startEnv(t, 3, false, "snapshot_every = 5")
-	write := func(guard *registry.Guard, name string, op release.Op) int {
+	write := func(guard *registry.Guard, name string, op release.Operation) int {
 		t.Helper()
 		_, err := env.client.WriteRelease(env.ctx, registry.WriteOptions{Guard: guard}, name, op)
 		var status *registry.StatusError
@@ -49,11 +49,11 @@
 		return 0
 	}
 	guard, other := env.acquireLease("release/r"), env.acquireLease("release/q")
-	if status := write(nil, "r", release.Op{Start: newReleaseState(t, "r", "2")}); status != 0 {
+	if status := write(nil, "r", release.Operation{Start: newReleaseState(t, "r", "2")}); status != 0 {
 		t.Fatalf("not started: %d", status)
 	}
-	step := func(sequence uint64, wave int) release.Op {
-		return release.Op{Step: &release.Delta{Seq: sequence, Head: &release.Head{Phase: release.Forward, Wave: wave}}}
+	step := func(sequence uint64, wave int) release.Operation {
+		return release.Operation{Delta: &release.Delta{Sequence: sequence, Status: &release.Status{Phase: release.PhaseRollout, Wave: wave}}}
 	}
 	if status := write(guard, "r", step(0, 1)); status != 0 {
 		t.Fatalf("a step is refused: %d", status)
@@ -62,31 +62,31 @@
 	for what, tc := range map[string]struct {
 		guard *registry.Guard
 		name  string
-		op    release.Op
+		op    release.Operation
 		want  int
 	}{
 		"the same step again":                 {guard, "r", step(0, 1), http.StatusConflict},
 		"another's token":                     {other, "r", step(1, 2), http.StatusConflict},
 		"no token":                            {nil, "r", step(1, 2), http.StatusBadRequest},
 		"an old token":                        {&registry.Guard{Lease: guard.Lease, Token: guard.Token - 1}, "r", step(1, 2), http.StatusConflict},
-		"an edited plan":                      {nil, "r", release.Op{Start: newReleaseState(t, "r", "3")}, http.StatusConflict},
-		"another release of the same units":   {nil, "q", release.Op{Start: newReleaseState(t, "q", "2")}, http.StatusConflict},
-		"a name that is not that of the path": {nil, "x", release.Op{Start: newReleaseState(t, "q", "2")}, http.StatusBadRequest},
-		"an order that there is not":          {nil, "r", release.Op{Tell: &release.Command{What: "jump"}}, http.StatusConflict},
-		"final while it is under way":         {nil, "r", release.Op{Tell: &release.Command{What: release.CmdFinalize}}, http.StatusConflict},
+		"an edited plan":                      {nil, "r", release.Operation{Start: newReleaseState(t, "r", "3")}, http.StatusConflict},
+		"another release of the same units":   {nil, "q", release.Operation{Start: newReleaseState(t, "q", "2")}, http.StatusConflict},
+		"a name that is not that of the path": {nil, "x", release.Operation{Start: newReleaseState(t, "q", "2")}, http.StatusBadRequest},
+		"an order that there is not":          {nil, "r", release.Operation{Command: &release.Command{Action: "jump"}}, http.StatusConflict},
+		"final while it is under way":         {nil, "r", release.Operation{Command: &release.Command{Action: release.CommandFinalize}}, http.StatusConflict},
 	} {
 		if status := write(tc.guard, tc.name, tc.op); status != tc.want {
 			t.Errorf("%s: %d, want %d", what, status, tc.want)
 		}
 	}
-	if status := write(nil, "r", release.Op{Tell: &release.Command{What: release.CmdHalt, By: "operator/eva"}}); status != 0 {
+	if status := write(nil, "r", release.Operation{Command: &release.Command{Action: release.CommandHalt, Operator: "operator/eva"}}); status != 0 {
 		t.Errorf("a halt is refused: %d", status)
 	}
 	if status := write(guard, "r", step(1, 2)); status != 0 {
 		t.Errorf("the next step is refused: %d", status)
 	}
 	view, err := env.client.Release(env.ctx, "r", false, true)
-	if err != nil || view.Seq != 2 || view.Head.Wave != 2 || len(view.Commands) != 1 || len(view.Units) != 2 || view.Run == 0 {
+	if err != nil || view.Sequence != 2 || view.Status.Wave != 2 || len(view.Commands) != 1 || len(view.Units) != 2 || view.StartRevision == 0 {
 		t.Errorf("%+v, %v", view.State, err)
 	}
 	all, err := env.client.Releases(env.ctx)
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -345,7 +345,7 @@
 	WriteOrder      []string            `json:"order"`
 	Leases          []*table.Lease      `json:"duties,omitempty"`
 	Placement       *placement.Snapshot `json:"placement,omitempty"`
-	Releases        *release.Saved      `json:"releases,omitempty"`
+	Releases        *release.Snapshot   `json:"releases,omitempty"`
 	Windows         *window.Snapshot    `json:"windows,omitempty"`
 	Ledger          *ledgerSnapshot     `json:"ledger,omitempty"`
 }
@@ -353,7 +353,7 @@
 // WriteSnapshot writes the state. History is left out: watches that come back after a restore get the whole list.
 func (s *StateMachine) WriteSnapshot(w io.Writer) error {
 	contents := snapshot{Revision: s.revision, AppliedIndex: s.appliedIndex, Epoch: s.epoch, Instances: []*Instance{}, CompletedWrites: s.completedWrites, WriteOrder: s.writeOrder,
-		Leases: s.leases.Snapshot(), Placement: s.placement.Snapshot(), Releases: s.releases.Save(), Windows: s.windows.Snapshot()}
+		Leases: s.leases.Snapshot(), Placement: s.placement.Snapshot(), Releases: s.releases.Snapshot(), Windows: s.windows.Snapshot()}
 	contents.Ledger = s.ledger.snapshot()
 	for _, uid := range slices.Sorted(maps.Keys(s.instances)) {
 		contents.Instances = append(contents.Instances, s.instances[uid])
@@ -409,7 +409,7 @@
 	}
 	state.leases = table.FromSnapshot(contents.Leases)
 	state.placement = placement.Restore(contents.Placement, contents.Epoch)
-	state.releases = release.Load(contents.Releases)
+	state.releases = release.Restore(contents.Releases)
 	state.setWindowTable(window.Restore(contents.Windows))
 	if state.ledger, err = restoreLedger(contents.Ledger); err != nil {
 		return nil, err
--- a/internal/release/faults_test.go
+++ b/internal/release/faults_test.go
@@ -17,105 +17,105 @@
 // seedsFlag is how many seeds of random faults are played. The figures are of 300.
 var seedsFlag = flag.Uint64("seeds", 6, "seeds of random faults")
 
-// finish plays a release to its end and tells whether all its units are where its phase says.
-func (w *world) finish(k *kill, ticks int, before func(int, *State)) (*State, error) {
-	s, _ := w.run("r", k, ticks, before)
+// runToEnd plays a release to its end and tells whether all its units are where its phase says.
+func (m *clusterModel) runToEnd(planned *crash, ticks int, beforeTick func(int, *State)) (*State, error) {
+	state, _ := m.run("r", planned, ticks, beforeTick)
 	for range 60 { // who has failed alone at the very end comes up again by itself
-		w.advance()
+		m.advance()
 	}
-	switch s.Head.Phase {
-	case Done:
-		return s, w.all(s, s.Units[0].To.Version, s.Units[0].To.Config)
-	case Backed:
-		return s, w.all(s, s.Units[0].Was.Version, s.Units[0].Was.Config)
-	case Stranded:
-		return s, w.exact(s)
+	switch state.Status.Phase {
+	case PhaseCompleted:
+		return state, m.checkAllRun(state, state.Units[0].Target.Version, state.Units[0].Target.ConfigName)
+	case PhaseRolledBack:
+		return state, m.checkAllRun(state, state.Units[0].Previous.Version, state.Units[0].Previous.ConfigName)
+	case PhaseStranded:
+		return state, m.checkStranded(state)
 	}
-	return s, fmt.Errorf("it is still %s: %s", s.Head.Phase, s.Head.Why)
+	return state, fmt.Errorf("it is still %s: %s", state.Status.Phase, state.Status.HaltReason)
 }
 
-// exact tells whether the list of a way back that has left units stranded is that of those that are not on the old version.
-func (w *world) exact(s *State) error {
-	for i := range s.Units {
-		u := w.units[s.Units[i].ID]
-		listed := slices.ContainsFunc(s.Head.Stranded, func(line string) bool {
-			return strings.HasPrefix(line, u.unit.ID+":") || strings.HasPrefix(line, u.unit.ID+" ")
+// checkStranded tells whether the list of a way back that has left units stranded is that of those that are not on the old version.
+func (m *clusterModel) checkStranded(state *State) error {
+	for i := range state.Units {
+		unit := m.units[state.Units[i].ID]
+		listed := slices.ContainsFunc(state.Status.Stranded, func(line string) bool {
+			return strings.HasPrefix(line, unit.unit.ID+":") || strings.HasPrefix(line, unit.unit.ID+" ")
 		})
-		if old := w.up(u) && u.version == s.Units[i].Was.Version && u.config == s.Units[i].Was.Config; old == listed {
-			return fmt.Errorf("%s runs %s, up %v, and is listed as stranded: %v", u.unit.ID, u.version, w.up(u), listed)
+		if onPrevious := m.serves(unit) && unit.version == state.Units[i].Previous.Version && unit.config == state.Units[i].Previous.ConfigName; onPrevious == listed {
+			return fmt.Errorf("%s runs %s, up %v, and is listed as stranded: %v", unit.unit.ID, unit.version, m.serves(unit), listed)
 		}
 	}
 	return nil
 }
 
-// halted plays a release that a guard sends back while an operator has halted the whole fleet.
-func halted(t testing.TB, b bugs) error {
-	w := newWorld(t, disruption.KindServer, 2, 3, 2)
-	w.bugs = b
-	w.start(serverPlan)
-	w.verdict = func(s *State) judge.Verdict {
-		if s.Head.Wave == 1 {
-			return judge.Verdict{Kind: judge.Harm, Why: "planted"}
+// rollbackUnderFleetHalt plays a release that a guard sends back while an operator has halted the whole fleet.
+func rollbackUnderFleetHalt(t testing.TB, planted plantedBugs) error {
+	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
+	model.bugs = planted
+	model.startRelease(serverPlan)
+	model.verdict = func(state *State) judge.Verdict {
+		if state.Status.Wave == 1 {
+			return judge.Verdict{Outcome: judge.Regression, Reason: "planted"}
 		}
-		return judge.Verdict{Kind: judge.Pass}
+		return judge.Verdict{Outcome: judge.Pass}
 	}
-	s, err := w.finish(&kill{at: -1}, 1000, func(_ int, s *State) {
-		if s.Head.Phase == Back {
-			w.op(&disruption.Op{Kind: disruption.OpHalt, Owner: "operator/eva", Halt: &disruption.Halt{Reason: "a bad night"}})
+	state, err := model.runToEnd(&crash{effectIndex: -1}, 1000, func(_ int, state *State) {
+		if state.Status.Phase == PhaseRollback {
+			model.applyLedgerOp(&disruption.Op{Kind: disruption.OpHalt, Owner: "operator/eva", Halt: &disruption.Halt{Reason: "a bad night"}})
 		}
 	})
-	if err == nil && s.Head.Phase != Backed {
-		err = fmt.Errorf("it is %s", s.Head.Phase)
+	if err == nil && state.Status.Phase != PhaseRolledBack {
+		err = fmt.Errorf("it is %s", state.Status.Phase)
 	}
 	return err
 }
 
-// forgotten plays a release while the platform forgets at a tick, and finds all again 8 s later.
-func forgotten(t testing.TB, b bugs, at int) error {
-	w := newWorld(t, disruption.KindServer, 2, 3, 2)
-	w.bugs = b
-	w.start(serverPlan)
-	two := 0
-	_, err := w.finish(&kill{at: -1}, 1000, func(i int, _ *State) {
-		if i == at {
-			if err := w.platform.SetFault(core.Fault{Kind: core.FaultLoseState, DurationMS: 8000}); err != nil {
+// losePlatformState plays a release while the platform forgets at a tick, and finds all again 8 s later.
+func losePlatformState(t testing.TB, planted plantedBugs, lossTick int) error {
+	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
+	model.bugs = planted
+	model.startRelease(serverPlan)
+	maxProcesses := 0
+	_, err := model.runToEnd(&crash{effectIndex: -1}, 1000, func(i int, _ *State) {
+		if i == lossTick {
+			if err := model.platform.SetFault(core.Fault{Kind: core.FaultLoseState, DurationMS: 8000}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		for _, id := range w.ids {
-			two = max(two, w.platform.LiveProcesses(w.units[id].name()))
+		for _, id := range model.ids {
+			maxProcesses = max(maxProcesses, model.platform.LiveProcesses(model.units[id].name()))
 		}
 	})
-	if two > 1 {
-		err = fmt.Errorf("once: a unit had %d processes", two)
+	if maxProcesses > 1 {
+		err = fmt.Errorf("once: a unit had %d processes", maxProcesses)
 	}
 	return err
 }
 
-func TestAWayBackGoesOnWhileTheFleetIsHalted(t *testing.T) {
-	if err := halted(t, bugs{}); err != nil {
+func TestRollbackContinuesUnderFleetHalt(t *testing.T) {
+	if err := rollbackUnderFleetHalt(t, plantedBugs{}); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestAPlatformThatForgetsIsNoEvidence(t *testing.T) {
-	for at := range 60 {
-		if err := forgotten(t, bugs{}, at); err != nil {
-			t.Errorf("forgets at tick %d: %v", at, err)
+func TestPlatformStateLossIsNotEvidence(t *testing.T) {
+	for lossTick := range 60 {
+		if err := losePlatformState(t, plantedBugs{}, lossTick); err != nil {
+			t.Errorf("forgets at tick %d: %v", lossTick, err)
 		}
 	}
 }
 
 // Each planted bug is found by the tests that are there for it.
-func TestPlantedBugsAreFound(t *testing.T) {
-	kills := func(sc scenario, b bugs) (err error) {
-		if _, e := sc.play(t, &kill{at: -1}, b); e != nil {
-			t.Errorf("%+v shows without a kill: %v", b, e)
+func TestPlantedBugsAreDetected(t *testing.T) {
+	crashAtEveryEffect := func(tested scenario, planted plantedBugs) (err error) {
+		if _, runErr := tested.play(t, &crash{effectIndex: -1}, planted); runErr != nil {
+			t.Errorf("%+v shows without a kill: %v", planted, runErr)
 		}
-		for at := 0; at < 120 && err == nil; at++ {
+		for index := 0; index < 120 && err == nil; index++ {
 			for _, mode := range []string{"before", "after", "frozen"} {
-				if _, e := sc.play(t, &kill{at: at, mode: mode}, b); e != nil {
-					err = e
+				if _, runErr := tested.play(t, &crash{effectIndex: index, mode: mode}, planted); runErr != nil {
+					err = runErr
 				}
 			}
 		}
@@ -125,19 +125,19 @@
 		name string
 		find func() error
 	}{
-		{"steps written after what they do", func() error { return kills(scenarios[0], bugs{late: true}) }},
+		{"steps written after what they do", func() error { return crashAtEveryEffect(scenarios[0], plantedBugs{writesAfterEffects: true}) }},
 		{"request ids that do not follow from what is written", func() error {
-			for _, sc := range scenarios {
-				if sc.name == "configuration" {
-					return kills(sc, bugs{random: true})
+			for _, tested := range scenarios {
+				if tested.name == "configuration" {
+					return crashAtEveryEffect(tested, plantedBugs{requestIDsPerController: true})
 				}
 			}
 			return nil
 		}},
-		{"ways back that ask behind forward steps", func() error { return halted(t, bugs{behind: true}) }},
+		{"ways back that ask behind forward steps", func() error { return rollbackUnderFleetHalt(t, plantedBugs{rollbackRankForward: true}) }},
 		{"absence at a platform that has forgotten taken for an end", func() (err error) {
-			for at := 0; at < 60 && err == nil; at++ {
-				err = forgotten(t, bugs{forgets: true}, at)
+			for index := 0; index < 60 && err == nil; index++ {
+				err = losePlatformState(t, plantedBugs{trustsIncompleteList: true}, index)
 			}
 			return err
 		}},
@@ -153,32 +153,32 @@
 
 // Hard case 4: the platform hangs, does half, loses answers, starts one twice, stops the wrong one, forgets all, each at
 // every moment of a release and of a way back.
-func TestFaultsOfThePlatform(t *testing.T) {
+func TestPlatformFaults(t *testing.T) {
 	faults := []core.Fault{
 		{Kind: core.FaultHang, DurationMS: 20_000}, {Kind: core.FaultError, Count: 3}, {Kind: core.FaultPartial, On: core.OnDo}, {Kind: core.FaultDropResponse, Count: 2},
 		{Kind: core.FaultWrongUnit, On: core.OnDo}, {Kind: core.FaultLoseState, DurationMS: 5000},
 	}
-	for _, f := range faults {
-		for _, back := range []int{0, 62} {
-			for at := 0; at < 100; at += 7 {
-				w := newWorld(t, disruption.KindServer, 2, 3, 2)
-				w.start(serverPlan)
-				_, err := w.finish(&kill{at: -1}, 3000, func(i int, s *State) {
-					if i == at {
-						if err := w.platform.SetFault(f); err != nil {
+	for _, fault := range faults {
+		for _, rollbackTick := range []int{0, 62} {
+			for faultTick := 0; faultTick < 100; faultTick += 7 {
+				model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
+				model.startRelease(serverPlan)
+				_, err := model.runToEnd(&crash{effectIndex: -1}, 3000, func(i int, s *State) {
+					if i == faultTick {
+						if err := model.platform.SetFault(fault); err != nil {
 							t.Fatal(err)
 						}
 					}
-					if i == back && back > 0 {
-						w.apply(&Op{Name: "r", Tell: &Command{What: CmdBack, By: "operator/eva"}})
+					if i == rollbackTick && rollbackTick > 0 {
+						model.apply(&Operation{Name: "r", Command: &Command{Action: CommandRollback, Operator: "operator/eva"}})
 					}
 				})
 				if err != nil {
-					t.Errorf("%s at tick %d, back at %d: %v", f.Kind, at, back, err)
+					t.Errorf("%s at tick %d, back at %d: %v", fault.Kind, faultTick, rollbackTick, err)
 				}
-				for what, n := range w.launches {
-					if most := 2; n > most { // a start that was done by half, or a unit that was stopped wrongly, is started again
-						t.Errorf("%s at tick %d, back at %d: %s was started %d times", f.Kind, at, back, what, n)
+				for launch, n := range model.launches {
+					if maxLaunches := 2; n > maxLaunches { // a start that was done by half, or a unit that was stopped wrongly, is started again
+						t.Errorf("%s at tick %d, back at %d: %s was started %d times", fault.Kind, faultTick, rollbackTick, launch, n)
 					}
 				}
 			}
@@ -190,105 +190,105 @@
 // killed and frozen, halts and resumes by hand, harm. It ends on all new or all old, never over its budget.
 func TestRandomFaults(t *testing.T) {
 	seeds := *seedsFlag
-	ends := map[Phase]int{}
+	outcomes := map[Phase]int{}
 	for seed := range seeds {
-		if err := random(t, seed, ends); err != nil {
+		if err := runRandomFaults(t, seed, outcomes); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
-	t.Logf("%d seeds ended %v", seeds, ends)
+	t.Logf("%d seeds ended %v", seeds, outcomes)
 }
 
-func random(t testing.TB, seed uint64, ends map[Phase]int) error {
-	r := rand.New(rand.NewPCG(seed, 7))
+func runRandomFaults(t testing.TB, seed uint64, outcomes map[Phase]int) error {
+	rng := rand.New(rand.NewPCG(seed, 7))
 	const maxOut = 12
-	w := newWorld(t, disruption.KindServer, 4, 50, maxOut)
-	text := strings.Replace(serverPlan, "count = 1", "share = 0.05", 1)
-	text = strings.Replace(text, "count = 2", "count = 10", 1)
-	if r.IntN(2) == 0 {
-		text = strings.Replace(text, `"back"`, `"hold"`, 1)
+	model := newClusterModel(t, disruption.KindServer, 4, 50, maxOut)
+	planText := strings.Replace(serverPlan, "count = 1", "share = 0.05", 1)
+	planText = strings.Replace(planText, "count = 2", "count = 10", 1)
+	if rng.IntN(2) == 0 {
+		planText = strings.Replace(planText, `"back"`, `"hold"`, 1)
 	}
-	w.start(text)
-	harm := -1
-	if r.IntN(2) == 0 {
-		harm = r.IntN(300)
+	model.startRelease(planText)
+	regressionTick := -1
+	if rng.IntN(2) == 0 {
+		regressionTick = rng.IntN(300)
 	}
-	tick := 0
-	w.verdict = func(*State) judge.Verdict {
-		if harm >= 0 && tick >= harm {
-			return judge.Verdict{Kind: judge.Harm, Why: "planted"}
+	currentTick := 0
+	model.verdict = func(*State) judge.Verdict {
+		if regressionTick >= 0 && currentTick >= regressionTick {
+			return judge.Verdict{Outcome: judge.Regression, Reason: "planted"}
 		}
-		return judge.Verdict{Kind: judge.Pass}
+		return judge.Verdict{Outcome: judge.Pass}
 	}
-	k := &kill{at: r.IntN(200), mode: []string{"before", "after", "frozen"}[r.IntN(3)]}
-	var tooMany error
+	planned := &crash{effectIndex: rng.IntN(200), mode: []string{"before", "after", "frozen"}[rng.IntN(3)]}
+	var budgetErr error
 	crashed := map[int]bool{}
-	s, err := w.finish(k, 4000, func(i int, s *State) {
-		tick = i
-		if k.fired && k.thaw == 0 && r.IntN(20) == 0 {
-			k.fired, k.at, k.mode = false, k.effect+r.IntN(60), []string{"before", "after", "frozen"}[r.IntN(3)]
+	state, err := model.runToEnd(planned, 4000, func(i int, state *State) {
+		currentTick = i
+		if planned.happened && planned.ticksToThaw == 0 && rng.IntN(20) == 0 {
+			planned.happened, planned.effectIndex, planned.mode = false, planned.effectsDone+rng.IntN(60), []string{"before", "after", "frozen"}[rng.IntN(3)]
 		}
 		if i%50 == 49 { // a replica that was restored from a snapshot goes on alike
-			w.restore()
+			model.restoreSnapshot()
 		}
-		if i < 400 && r.IntN(40) == 0 {
-			w.platform.SetFault([]core.Fault{
+		if i < 400 && rng.IntN(40) == 0 {
+			model.platform.SetFault([]core.Fault{
 				{Kind: core.FaultHang, DurationMS: 5000}, {Kind: core.FaultError, Count: 2}, {Kind: core.FaultPartial, On: core.OnDo}, {Kind: core.FaultDropResponse, Count: 2},
 				{Kind: core.FaultLoseState, DurationMS: 3000}, {Kind: core.FaultDelay, DelayMS: 3000},
-			}[r.IntN(6)])
+			}[rng.IntN(6)])
 		}
-		if i < 400 && r.IntN(60) == 0 {
-			n := r.IntN(len(w.ids))
+		if i < 400 && rng.IntN(60) == 0 {
+			n := rng.IntN(len(model.ids))
 			if !crashed[n] { // it fails alone; the platform starts it again, once
-				w.platform.Crash(w.units[w.ids[n]].name(), "signal: killed")
+				model.platform.Crash(model.units[model.ids[n]].name(), "signal: killed")
 			}
 			crashed[n] = true
 		}
-		if i < 400 && r.IntN(80) == 0 {
-			w.apply(&Op{Name: "r", Tell: &Command{What: []string{CmdHalt, CmdResume}[r.IntN(2)], By: "operator/eva"}})
+		if i < 400 && rng.IntN(80) == 0 {
+			model.apply(&Operation{Name: "r", Command: &Command{Action: []string{CommandHalt, CommandResume}[rng.IntN(2)], Operator: "operator/eva"}})
 		}
-		if i > 400 && s.Head.Phase == Held && i%50 == 0 {
-			w.apply(&Op{Name: "r", Tell: &Command{What: CmdBack, By: "operator/eva"}})
+		if i > 400 && state.Status.Phase == PhaseHalted && i%50 == 0 {
+			model.apply(&Operation{Name: "r", Command: &Command{Action: CommandRollback, Operator: "operator/eva"}})
 		}
-		if n := w.planned(s, crashed); n > maxOut && tooMany == nil {
-			tooMany = fmt.Errorf("budget: %d units are out for planned reasons at tick %d, %d may be", n, i, maxOut)
+		if n := model.plannedOut(state, crashed); n > maxOut && budgetErr == nil {
+			budgetErr = fmt.Errorf("budget: %d units are out for planned reasons at tick %d, %d may be", n, i, maxOut)
 		}
 	})
-	ends[s.Head.Phase]++
+	outcomes[state.Status.Phase]++
 	if err == nil {
-		err = tooMany
+		err = budgetErr
 	}
 	return err
 }
 
-// restore takes the table through a snapshot.
-func (w *world) restore() {
-	data, err := json.Marshal(w.table.Save())
+// restoreSnapshot takes the table through a snapshot.
+func (m *clusterModel) restoreSnapshot() {
+	data, err := json.Marshal(m.table.Snapshot())
 	if err != nil {
-		w.t.Fatal(err)
+		m.t.Fatal(err)
 	}
-	var s Saved
-	if err := json.Unmarshal(data, &s); err != nil {
-		w.t.Fatal(err)
+	var snapshot Snapshot
+	if err := json.Unmarshal(data, &snapshot); err != nil {
+		m.t.Fatal(err)
 	}
-	claims := len(w.table.claims)
-	if w.table = Load(&s); len(w.table.claims) != claims {
-		w.t.Fatalf("%d claims after a restore, %d before", len(w.table.claims), claims)
+	claims := len(m.table.claims)
+	if m.table = Restore(&snapshot); len(m.table.claims) != claims {
+		m.t.Fatalf("%d claims after a restore, %d before", len(m.table.claims), claims)
 	}
 }
 
-// planned counts the units that are truly out and under a permit, but for those that have failed alone: a permit for one
+// plannedOut counts the units that are truly out and under a permit, but for those that have failed alone: a permit for one
 // that is out anyway takes no room.
-func (w *world) planned(s *State, crashed map[int]bool) int {
-	n := 0
-	for i := range s.Units {
-		if !s.Units[i].flying() || crashed[slices.Index(w.ids, s.Units[i].ID)] {
+func (m *clusterModel) plannedOut(state *State, crashed map[int]bool) int {
+	out := 0
+	for i := range state.Units {
+		if !state.Units[i].inProgress() || crashed[slices.Index(m.ids, state.Units[i].ID)] {
 			continue
 		}
-		p, known := w.ledger.Permit(s.PermitID(&s.Units[i]))
-		if known && (p.Stage == disruption.StageActive || p.Stage == disruption.StageReturning) && !w.up(w.units[s.Units[i].ID]) {
-			n++
+		permit, known := m.ledger.Permit(state.PermitID(&state.Units[i]))
+		if known && (permit.Stage == disruption.StageActive || permit.Stage == disruption.StageReturning) && !m.serves(m.units[state.Units[i].ID]) {
+			out++
 		}
 	}
-	return n
+	return out
 }
--- a/internal/release/fixtures_test.go
+++ b/internal/release/fixtures_test.go
@@ -19,41 +19,41 @@
 
 // fixtureScenario is a scripted release. Its log and its snapshots are compared with golden files byte by byte.
 type fixtureScenario struct {
-	name   string
-	kind   disruption.Kind
-	plan   string                                           // empty: a drain
-	script func(t *testing.T, w *world, tick int, s *State) // called before each tick
-	phase  Phase                                            // at the end
+	name      string
+	kind      disruption.Kind
+	plan      string                                                  // empty: a drain
+	script    func(t *testing.T, w *clusterModel, tick int, s *State) // called before each tick
+	wantPhase Phase                                                   // at the end
 }
 
 var fixtureScenarios = []fixtureScenario{
-	{name: "halt-resume-rollback", kind: disruption.KindServer, plan: serverPlan, phase: Backed,
-		script: func(t *testing.T, w *world, tick int, _ *State) {
+	{name: "halt-resume-rollback", kind: disruption.KindServer, plan: serverPlan, wantPhase: PhaseRolledBack,
+		script: func(t *testing.T, w *clusterModel, tick int, _ *State) {
 			switch tick {
 			case 8, 12:
-				tell(t, w, CmdHalt)
+				sendCommand(t, w, CommandHalt)
 			case 10, 62:
-				tell(t, w, CmdResume)
+				sendCommand(t, w, CommandResume)
 			case 90:
-				tell(t, w, CmdBack)
+				sendCommand(t, w, CommandRollback)
 			}
 		}},
-	{name: "sidecars-finalized", kind: disruption.KindSidecar, plan: sidecarPlan, phase: Done},
-	{name: "configuration-refused", kind: disruption.KindSidecar, plan: configPlan, phase: Backed,
-		script: func(t *testing.T, w *world, tick int, s *State) {
-			w.badConf["c2"] = true
-			if s.Head.Phase == Held && tick >= 60 {
-				tell(t, w, CmdBack)
+	{name: "sidecars-finalized", kind: disruption.KindSidecar, plan: sidecarPlan, wantPhase: PhaseCompleted},
+	{name: "configuration-refused", kind: disruption.KindSidecar, plan: configPlan, wantPhase: PhaseRolledBack,
+		script: func(t *testing.T, w *clusterModel, tick int, s *State) {
+			w.rejectedConfigs["c2"] = true
+			if s.Status.Phase == PhaseHalted && tick >= 60 {
+				sendCommand(t, w, CommandRollback)
 			}
 		}},
-	{name: "rollback-stranded", kind: disruption.KindServer, plan: serverPlan, phase: Stranded,
-		script: func(t *testing.T, w *world, _ int, s *State) {
-			if s.Head.Phase == Forward && s.Units[3].Stage == Rest {
+	{name: "rollback-stranded", kind: disruption.KindServer, plan: serverPlan, wantPhase: PhaseStranded,
+		script: func(t *testing.T, w *clusterModel, _ int, s *State) {
+			if s.Status.Phase == PhaseRollout && s.Units[3].Stage == StageConverged {
 				w.broken["1"] = true
-				tell(t, w, CmdBack)
+				sendCommand(t, w, CommandRollback)
 			}
 		}},
-	{name: "drain", kind: disruption.KindServer, phase: Done},
+	{name: "drain", kind: disruption.KindServer, wantPhase: PhaseCompleted},
 }
 
 // loggedOperation is one line of a golden log.
@@ -65,43 +65,43 @@
 // playFixture runs a scenario and returns the log that it wrote, and a snapshot after each change of phase or wave.
 func playFixture(t *testing.T, scenario *fixtureScenario) (log, snapshots []byte) {
 	t.Helper()
-	w := newWorld(t, scenario.kind, 2, 3, 2)
+	model := newClusterModel(t, scenario.kind, 2, 3, 2)
 	var logLines, snapshotLines bytes.Buffer
-	w.applied = func(rev uint64, op *Op) {
+	model.applied = func(rev uint64, op *Operation) {
 		logLines.Write(jsonLine(t, loggedOperation{Rev: rev, Op: jsonLine(t, op)}))
 	}
 	if scenario.plan == "" {
 		selector := disruption.Selector{IDs: []string{"server/a0", "server/b1"}}
-		s, err := NewDrain(DrainPlan("r", selector, 3600), w.now, w.ledger.Units(), w.list())
+		state, err := NewDrain(DrainPlan("r", selector, 3600), model.nowMS, model.ledger.Units(), model.list())
 		if err == nil {
-			err = w.apply(&Op{Start: s})
+			err = model.apply(&Operation{Start: state})
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 	} else {
-		w.start(scenario.plan)
+		model.startRelease(scenario.plan)
 	}
 	previous := ""
-	snapshot := func(s *State) {
-		if position := fmt.Sprint(s.Head.Phase, s.Head.Wave); position != previous {
+	snapshot := func(state *State) {
+		if position := fmt.Sprint(state.Status.Phase, state.Status.Wave); position != previous {
 			previous = position
-			snapshotLines.Write(jsonLine(t, w.table.Save()))
+			snapshotLines.Write(jsonLine(t, model.table.Snapshot()))
 		}
 	}
-	s, _ := w.run("r", &kill{at: -1}, 1000, func(tick int, s *State) {
+	state, _ := model.run("r", &crash{effectIndex: -1}, 1000, func(tick int, state *State) {
 		if scenario.script != nil {
-			scenario.script(t, w, tick, s)
+			scenario.script(t, model, tick, state)
 		}
-		snapshot(s)
+		snapshot(state)
 	})
-	snapshot(s)
-	if s.Head.Phase != scenario.phase {
-		t.Fatalf("release ended %s, want %s", s.Head.Phase, scenario.phase)
+	snapshot(state)
+	if state.Status.Phase != scenario.wantPhase {
+		t.Fatalf("release ended %s, want %s", state.Status.Phase, scenario.wantPhase)
 	}
-	if s.Head.Phase == Done {
-		tell(t, w, CmdFinalize)
-		snapshotLines.Write(jsonLine(t, w.table.Save()))
+	if state.Status.Phase == PhaseCompleted {
+		sendCommand(t, model, CommandFinalize)
+		snapshotLines.Write(jsonLine(t, model.table.Snapshot()))
 	}
 	return logLines.Bytes(), snapshotLines.Bytes()
 }
@@ -175,7 +175,7 @@
 			for line := range bytes.Lines(readGolden(t, scenario.name+".log.jsonl")) {
 				var logged loggedOperation
 				readStrictly(t, line, &logged)
-				var op Op
+				var op Operation
 				readStrictly(t, logged.Op, &op)
 				if again := bytes.TrimSpace(jsonLine(t, &op)); !bytes.Equal(again, logged.Op) {
 					t.Fatalf("read and written again:\n got %s\nwant %s", again, logged.Op)
@@ -184,11 +184,11 @@
 					t.Fatalf("revision %d: %v", logged.Rev, err)
 				}
 				s, _ := table.Get("r")
-				phases[s.Head.Phase] = true
+				phases[s.Status.Phase] = true
 				for _, u := range s.Units {
 					stages[u.Stage] = true
 				}
-				written[string(jsonLine(t, table.Save()))] = true
+				written[string(jsonLine(t, table.Snapshot()))] = true
 			}
 			for line := range bytes.Lines(readGolden(t, scenario.name+".snapshots.jsonl")) {
 				if !written[string(line)] {
@@ -197,12 +197,12 @@
 			}
 		})
 	}
-	for _, stage := range []Stage{Todo, Ask, Make, Begin, Drain, Stop, Start, Reload, Rise, Cancel, Rest, Lost} {
+	for _, stage := range []Stage{StagePending, StageRequestingPermit, StagePreparing, StageBeginningDisruption, StageDraining, StageStopping, StageStarting, StageReloading, StageWarmingUp, StageCancelling, StageConverged, StageFailed} {
 		if !stages[stage] {
 			t.Errorf("no stored log has a unit at stage %q", stage)
 		}
 	}
-	for _, phase := range []Phase{Forward, Held, Back, Done, Backed, Stranded} {
+	for _, phase := range []Phase{PhaseRollout, PhaseHalted, PhaseRollback, PhaseCompleted, PhaseRolledBack, PhaseStranded} {
 		if !phases[phase] {
 			t.Errorf("no stored log has a release in phase %q", phase)
 		}
@@ -216,19 +216,19 @@
 		scenario := &fixtureScenarios[i]
 		t.Run(scenario.name, func(t *testing.T) {
 			for line := range bytes.Lines(readGolden(t, scenario.name+".snapshots.jsonl")) {
-				var saved Saved
+				var saved Snapshot
 				readStrictly(t, line, &saved)
-				table := Load(&saved)
-				if again := jsonLine(t, table.Save()); !bytes.Equal(again, line) {
+				table := Restore(&saved)
+				if again := jsonLine(t, table.Snapshot()); !bytes.Equal(again, line) {
 					t.Fatalf("restored and saved again:\n got %s\nwant %s", again, line)
 				}
 				s, _ := table.Get("r")
 				claims := len(s.Units)
-				if s.Head.Phase == Backed || s.Head.Final {
+				if s.Status.Phase == PhaseRolledBack || s.Status.Finalized {
 					claims = 0
 				}
 				if len(table.claims) != claims {
-					t.Errorf("%d claims in phase %s, want %d", len(table.claims), s.Head.Phase, claims)
+					t.Errorf("%d claims in phase %s, want %d", len(table.claims), s.Status.Phase, claims)
 				}
 			}
 		})
@@ -244,18 +244,18 @@
 		for line := range bytes.Lines(readGolden(t, fixtureScenarios[i].name+".log.jsonl")) {
 			var logged loggedOperation
 			readStrictly(t, line, &logged)
-			var op Op
+			var op Operation
 			readStrictly(t, logged.Op, &op)
 			if err := table.Apply(logged.Rev, &op); err != nil {
 				t.Fatal(err)
 			}
-			if op.Step == nil {
+			if op.Delta == nil {
 				continue
 			}
 			s, _ := table.Get("r")
-			for _, u := range op.Step.Units {
+			for _, u := range op.Delta.Units {
 				fmt.Fprintf(&names, "%s %s %s %s", fixtureScenarios[i].name, u.ID, u.Stage, s.PermitID(&u))
-				if u.Call != nil {
+				if u.Request != nil {
 					fmt.Fprintf(&names, " %s", s.RequestID(&u))
 				}
 				fmt.Fprintln(&names)
--- a/internal/release/judge/fixtures_test.go
+++ b/internal/release/judge/fixtures_test.go
@@ -18,29 +18,29 @@
 	counts := func(requests, failed, late, slow int) Counts {
 		served := requests - failed
 		return Counts{Served: served, Late: late, Failed: failed,
-			Latency: []uint32{uint32(served - served/5 - slow), uint32(served / 5), uint32(slow)}}
+			LatencyHistogram: []uint32{uint32(served - served/5 - slow), uint32(served / 5), uint32(slow)}}
 	}
 	requests := 60 + second%7
 	if second%20 >= 15 {
 		requests *= 2
 	}
-	in := Interval{Expected: 4, Reports: 4}
+	interval := Interval{ExpectedReports: 4, ReceivedReports: 4}
 	if second%33 == 32 {
-		in.Reports = 1
+		interval.ReceivedReports = 1
 	}
-	for _, p := range []struct {
+	for _, stratum := range []struct {
 		class, zone string
 		share       int
 	}{{"lookup", "a", 1}, {"lookup", "b", 1}, {"simulate", "a", 4}} {
-		n := requests / p.share
-		in.Pairs = append(in.Pairs, Pair{Class: p.class, Zone: p.zone,
-			New: counts(n, failing*n/100, late*n/100, slow*n/100), Old: counts(10*n, second%3, second%5, n)})
+		classRequests := requests / stratum.share
+		interval.Classes = append(interval.Classes, ClassSample{Class: stratum.class, Zone: stratum.zone,
+			Canary: counts(classRequests, failing*classRequests/100, late*classRequests/100, slow*classRequests/100), Baseline: counts(10*classRequests, second%3, second%5, classRequests)})
 	}
 	for _, zone := range []string{"a", "b"} {
-		in.Zones = append(in.Zones, ZonePair{Zone: zone, New: Side{Units: 2, Restarts: restarts, Memory: 100 * memory},
-			Old: Side{Units: 20, Restarts: second % 2, Memory: 100}})
+		interval.Zones = append(interval.Zones, ZoneSample{Zone: zone, Canary: UnitStats{Units: 2, Restarts: restarts, MeanMemory: 100 * memory},
+			Baseline: UnitStats{Units: 20, Restarts: second % 2, MeanMemory: 100}})
 	}
-	return in
+	return interval
 }
 
 // Each change of a verdict, its reason included, is as before: operators and logs read the reason, and a halt follows from
@@ -60,17 +60,17 @@
 		{"silent", func(second int) Interval {
 			in := fixtureInterval(second, 0, 0, 5, 0, 1)
 			if second > 10 {
-				in.Reports = 0
+				in.ReceivedReports = 0
 			}
 			return in
 		}},
 	} {
-		j := New(tolerated)
-		last := Verdict{Kind: "none"}
+		watched := New(testSettings)
+		last := Verdict{Outcome: "none"}
 		for second := range 120 {
-			if v := j.Add(c.at(second)); v != last {
+			if v := watched.Add(c.at(second)); v != last {
 				last = v
-				fmt.Fprintf(&lines, "%s %d %s: %s\n", c.name, second, v.Kind, v.Why)
+				fmt.Fprintf(&lines, "%s %d %s: %s\n", c.name, second, v.Outcome, v.Reason)
 			}
 		}
 	}
--- a/internal/release/plan/fixtures_test.go
+++ b/internal/release/plan/fixtures_test.go
@@ -95,19 +95,19 @@
 		units      []disruption.Unit
 		budgets    []disruption.Budget
 	}{
-		{"fits", "complete", fleet(2, 20), []disruption.Budget{{Name: "all", MaxUnavailable: disruption.Limit{Fraction: &share}}}},
-		{"refused", "complete", append(fleet(2, 4), disruption.Unit{ID: "server/large", Kind: disruption.KindServer, Model: "loan",
+		{"fits", "complete", testUnits(2, 20), []disruption.Budget{{Name: "all", MaxUnavailable: disruption.Limit{Fraction: &share}}}},
+		{"refused", "complete", append(testUnits(2, 4), disruption.Unit{ID: "server/large", Kind: disruption.KindServer, Model: "loan",
 			Zone: "c", PodGroup: 9, Capacity: 7, Condition: disruption.ConditionWarmingUp}), []disruption.Budget{
 			{Name: "warm", MaxWarmingUp: disruption.Limit{Count: &count}},
 			{Name: "shut", Selector: disruption.Selector{Zone: "a"}, MaxUnavailable: disruption.Limit{Count: &none}}}},
-		{"none", "sidecar", fleet(1, 3), nil},
+		{"none", "sidecar", testUnits(1, 3), nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p, err := Load(filepath.Join("testdata", c.plan+".toml"))
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkGolden(t, "preview-"+c.name+".json", encode(t, Check(p, c.units, c.budgets)))
+			checkGolden(t, "preview-"+c.name+".json", encode(t, NewPreview(p, c.units, c.budgets)))
 		})
 	}
 }
--- a/internal/release/plan/plan_test.go
+++ b/internal/release/plan/plan_test.go
@@ -12,7 +12,7 @@
 	"milldeck/internal/disruption"
 )
 
-const good = `name = "server-3"
+const validPlan = `name = "server-3"
 on_halt = "back"
 deadline_s = 1800
 
@@ -43,7 +43,7 @@
 `
 
 func TestErrorsNameFileLineAndKey(t *testing.T) {
-	if _, err := Parse("p.toml", []byte(good)); err != nil {
+	if _, err := Parse("p.toml", []byte(validPlan)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ name, from, to, want string }{
@@ -63,59 +63,59 @@
 		{"limit", "share = 0.1 }", "count = 0 }", "p.toml:25: limits.max_out.count: "},
 		{"guard", "failed = 0.01", "failed = -0.01", "p.toml:28: guards.failed: "},
 	} {
-		if !strings.Contains(good, c.from) {
+		if !strings.Contains(validPlan, c.from) {
 			t.Fatalf("%s: %q is not in the plan", c.name, c.from)
 		}
-		_, err := Parse("p.toml", []byte(strings.Replace(good, c.from, c.to, 1)))
+		_, err := Parse("p.toml", []byte(strings.Replace(validPlan, c.from, c.to, 1)))
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want one line that begins %q", c.name, err, c.want)
 		}
 	}
 }
 
-func TestAnEditedPlanHasAnotherHash(t *testing.T) {
-	a, _ := Parse("p.toml", []byte(good))
-	b, _ := Parse("q.toml", []byte("# words\n"+good))
-	c, _ := Parse("p.toml", []byte(strings.Replace(good, "count = 1", "count = 2", 1)))
-	if a.Hash() != b.Hash() || a.Hash() == c.Hash() {
-		t.Errorf("hashes %s, %s with a comment, %s with another count", a.Hash(), b.Hash(), c.Hash())
+func TestEditedPlanHasDifferentHash(t *testing.T) {
+	original, _ := Parse("p.toml", []byte(validPlan))
+	commented, _ := Parse("q.toml", []byte("# words\n"+validPlan))
+	edited, _ := Parse("p.toml", []byte(strings.Replace(validPlan, "count = 1", "count = 2", 1)))
+	if original.Hash() != commented.Hash() || original.Hash() == edited.Hash() {
+		t.Errorf("hashes %s, %s with a comment, %s with another count", original.Hash(), commented.Hash(), edited.Hash())
 	}
 }
 
-func fleet(zones, each int) (out []disruption.Unit) {
-	for z := range zones {
-		for i := range each {
-			out = append(out, disruption.Unit{ID: fmt.Sprintf("server/%c%03d", 'a'+z, i), Kind: disruption.KindServer,
-				Zone: string(rune('a' + z)), Model: "loan", PodGroup: i / 4, Capacity: 1, Condition: disruption.ConditionUp})
+func testUnits(zones, unitsPerZone int) (units []disruption.Unit) {
+	for zone := range zones {
+		for i := range unitsPerZone {
+			units = append(units, disruption.Unit{ID: fmt.Sprintf("server/%c%03d", 'a'+zone, i), Kind: disruption.KindServer,
+				Zone: string(rune('a' + zone)), Model: "loan", PodGroup: i / 4, Capacity: 1, Condition: disruption.ConditionUp})
 		}
 	}
-	return out
+	return units
 }
 
-func TestDryRun(t *testing.T) {
-	p, err := Parse("p.toml", []byte(good))
+func TestPreview(t *testing.T) {
+	p, err := Parse("p.toml", []byte(validPlan))
 	if err != nil {
 		t.Fatal(err)
 	}
 	share := 0.1
-	v := Check(p, fleet(2, 20), []disruption.Budget{{Name: "all", MaxUnavailable: disruption.Limit{Fraction: &share}}})
-	if len(v.Refused) > 0 || v.MaxOut != 4 || v.Cold != 40 {
-		t.Errorf("refused %q, %d out at most, %v cold; want none, 4, 40", v.Refused, v.MaxOut, v.Cold)
+	preview := NewPreview(p, testUnits(2, 20), []disruption.Budget{{Name: "all", MaxUnavailable: disruption.Limit{Fraction: &share}}})
+	if len(preview.Infeasible) > 0 || preview.MaxUnavailable != 4 || preview.WarmUpCapacity != 40 {
+		t.Errorf("refused %q, %d out at most, %v cold; want none, 4, 40", preview.Infeasible, preview.MaxUnavailable, preview.WarmUpCapacity)
 	}
 	var sizes []int
-	for _, w := range v.Waves {
+	for _, w := range preview.Waves {
 		sizes = append(sizes, len(w.Units))
 	}
 	if !reflect.DeepEqual(sizes, []int{1, 10, 29}) {
 		t.Errorf("waves of %v, want 1, 10, 29", sizes)
 	}
-	if c := v.Stays[""]; c != (Cap{36, 40}) {
-		t.Errorf("%+v stays, want 36 of 40", c)
+	if remaining := preview.RemainingCapacity[""]; remaining != (Capacity{36, 40}) {
+		t.Errorf("%+v stays, want 36 of 40", remaining)
 	}
 }
 
-func TestWhatBudgetsCanNeverAllowIsRefused(t *testing.T) {
-	n, small := 1, 0.04
+func TestInfeasibleBudgetsAreReported(t *testing.T) {
+	one, small := 1, 0.04
 	for _, c := range []struct {
 		name, from, to string
 		budget         disruption.Budget
@@ -124,38 +124,38 @@
 	}{
 		{"share rounds down to none", "", "", disruption.Budget{Name: "zone-a", Selector: disruption.Selector{Zone: "a"},
 			MaxUnavailable: disruption.Limit{Fraction: &small}}, nil, `budget "zone-a": max_out allows 0 of its 20 units`},
-		{"a unit too large to be cold", "", "", disruption.Budget{Name: "warm", MaxWarmingUp: disruption.Limit{Count: &n}},
-			append(fleet(2, 20), disruption.Unit{ID: "server/big", Kind: disruption.KindServer, Model: "loan", Zone: "a", Capacity: 9}),
+		{"a unit too large to be cold", "", "", disruption.Budget{Name: "warm", MaxWarmingUp: disruption.Limit{Count: &one}},
+			append(testUnits(2, 20), disruption.Unit{ID: "server/big", Kind: disruption.KindServer, Model: "loan", Zone: "a", Capacity: 9}),
 			`budget "warm": max_cold allows a capacity of 1.2 cold, and server/big alone is 9`},
-		{"a pod group of one", "", "", disruption.Budget{}, fleet(1, 21), "pod group 5 is server/a020 alone"},
+		{"a pod group of one", "", "", disruption.Budget{}, testUnits(1, 21), "pod group 5 is server/a020 alone"},
 		{"units in no wave", "[[wave]]\nbake_s = 60", "", disruption.Budget{}, nil, "29 of 40 units are in no wave"},
 		{"none selected", `"loan"`, `"none"`, disruption.Budget{}, nil, "selects no server"},
 		{"an empty wave", `zone = "a"`, `zone = "q"`, disruption.Budget{}, nil, "wave[0] has no units"},
 	} {
-		p, err := Parse("p.toml", []byte(strings.Replace(good, c.from, c.to, 1)))
+		p, err := Parse("p.toml", []byte(strings.Replace(validPlan, c.from, c.to, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if c.units == nil {
-			c.units = fleet(2, 20)
+			c.units = testUnits(2, 20)
 		}
-		v := Check(p, c.units, []disruption.Budget{c.budget})
-		if !slices.ContainsFunc(v.Refused, func(s string) bool { return strings.Contains(s, c.want) }) {
-			t.Errorf("%s: refused %q, want one with %q", c.name, v.Refused, c.want)
+		preview := NewPreview(p, c.units, []disruption.Budget{c.budget})
+		if !slices.ContainsFunc(preview.Infeasible, func(s string) bool { return strings.Contains(s, c.want) }) {
+			t.Errorf("%s: refused %q, want one with %q", c.name, preview.Infeasible, c.want)
 		}
 	}
 }
 
 // Whatever the fleet and the order in which it is told: each unit is in one wave at most, and the waves are the same.
-func TestWavesDivideTheUnits(t *testing.T) {
-	p, err := Parse("p.toml", []byte(good))
+func TestWavesPartitionUnits(t *testing.T) {
+	p, err := Parse("p.toml", []byte(validPlan))
 	if err != nil {
 		t.Fatal(err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		units := fleet(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 30).Draw(t, "each"))
-		waves := Waves(p, Units(p, units))
-		again := Waves(p, Units(p, rapid.Permutation(units).Draw(t, "order")))
+		units := testUnits(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 30).Draw(t, "each"))
+		waves := AssignWaves(p, SelectUnits(p, units))
+		again := AssignWaves(p, SelectUnits(p, rapid.Permutation(units).Draw(t, "order")))
 		if !reflect.DeepEqual(waves, again) {
 			t.Fatal("another order of the units gives other waves")
 		}
--- a/internal/release/state.go
+++ b/internal/release/state.go
@@ -21,21 +21,23 @@
 
 // The phases. In the last three nothing is done any more.
 const (
-	Forward  Phase = "forward"
-	Held     Phase = "held"     // halted: nothing new goes out; what is out comes to rest
-	Back     Phase = "back"     // every unit that was touched goes back
-	Done     Phase = "done"     // all units are on the new version
-	Backed   Phase = "backed"   // all units are on the version that they had
-	Stranded Phase = "stranded" // the way back is over, and Head.Stranded lists who is not on the old version
+	PhaseRollout    Phase = "forward"
+	PhaseHalted     Phase = "held"     // halted: nothing new goes out; what is out comes to rest
+	PhaseRollback   Phase = "back"     // every unit that was touched goes back
+	PhaseCompleted  Phase = "done"     // all units are on the new version
+	PhaseRolledBack Phase = "backed"   // all units are on the version that they had
+	PhaseStranded   Phase = "stranded" // the way back is over, and Head.Stranded lists who is not on the old version
 )
 
-// Over tells whether a release in this phase does nothing any more.
-func (p Phase) Over() bool { return p == Done || p == Backed || p == Stranded }
+// Finished tells whether a release in this phase does nothing any more.
+func (p Phase) Finished() bool {
+	return p == PhaseCompleted || p == PhaseRolledBack || p == PhaseStranded
+}
 
 // Image is what a unit runs.
 type Image struct {
-	Version string `json:"version"`
-	Config  string `json:"config,omitempty"`
+	Version    string `json:"version"`
+	ConfigName string `json:"config,omitempty"`
 }
 
 // Stage is where a unit stands within its permit.
@@ -43,27 +45,27 @@
 
 // The stages, in order. A unit whose Back is set goes through them towards Was.
 const (
-	Todo   Stage = "todo"   // untouched in this direction
-	Ask    Stage = "ask"    // its permit is asked for
-	Make   Stage = "make"   // granted: what stands only there is made ready elsewhere
-	Begin  Stage = "begin"  // the ledger is told that it goes out
-	Drain  Stage = "drain"  // Terminating in the list, until it is proved to be empty
-	Stop   Stage = "stop"   // the platform is asked to end it
-	Start  Stage = "start"  // the platform is asked to start it as the image that it goes to
-	Reload Stage = "reload" // a sidecar is given another configuration while it serves on
-	Rise   Stage = "rise"   // it runs: until it is registered, ready, warm, and its permit settled
-	Cancel Stage = "cancel" // its permit is given back before anything was done under it, or by a drain that is undone
-	Rest   Stage = "rest"   // it is as its direction wants it
-	Lost   Stage = "lost"   // it could not be brought back; its permit is for an operator to settle
+	StagePending             Stage = "todo"   // untouched in this direction
+	StageRequestingPermit    Stage = "ask"    // its permit is asked for
+	StagePreparing           Stage = "make"   // granted: what stands only there is made ready elsewhere
+	StageBeginningDisruption Stage = "begin"  // the ledger is told that it goes out
+	StageDraining            Stage = "drain"  // Terminating in the list, until it is proved to be empty
+	StageStopping            Stage = "stop"   // the platform is asked to end it
+	StageStarting            Stage = "start"  // the platform is asked to start it as the image that it goes to
+	StageReloading           Stage = "reload" // a sidecar is given another configuration while it serves on
+	StageWarmingUp           Stage = "rise"   // it runs: until it is registered, ready, warm, and its permit settled
+	StageCancelling          Stage = "cancel" // its permit is given back before anything was done under it, or by a drain that is undone
+	StageConverged           Stage = "rest"   // it is as its direction wants it
+	StageFailed              Stage = "lost"   // it could not be brought back; its permit is for an operator to settle
 )
 
-// Call is one request to the platform, complete before it is first made.
-type Call struct {
-	N           int           `json:"n"` // of this unit in this release
+// PlatformRequest is one request to the platform, complete before it is first made.
+type PlatformRequest struct {
+	Sequence    int           `json:"n"` // of this unit in this release
 	Op          supervisor.Op `json:"op"`
-	Memory      uint64        `json:"memory"`
+	Epoch       uint64        `json:"memory"`
 	Incarnation uint64        `json:"incarnation"`
-	AtMS        int64         `json:"at_ms"` // when it was decided
+	DecidedAtMS int64         `json:"at_ms"` // when it was decided
 }
 
 // Unit is one unit of a release, as it is written.
@@ -71,93 +73,95 @@
 	ID       string  `json:"id"` // in the ledger
 	Name     string  `json:"name"`
 	Wave     int     `json:"wave"`
-	Was      Image   `json:"was"`
-	To       Image   `json:"to"`
+	Previous Image   `json:"was"`
+	Target   Image   `json:"to"`
 	Listen   string  `json:"listen,omitempty"`
 	Zone     string  `json:"zone,omitempty"`
 	Capacity float64 `json:"capacity"`
 
-	Back    bool  `json:"back,omitempty"`
-	Stage   Stage `json:"stage"`
-	Widened bool  `json:"widened,omitempty"` // it was of a later wave
-	Try     int   `json:"try,omitempty"`     // of permits
-	// AskedBack says that its permit was asked for by the way back: one that is turned while it is out keeps its permit.
-	AskedBack bool   `json:"asked_back,omitempty"`
-	Fails     int    `json:"fails,omitempty"` // starts that came to nothing, in this direction
-	Calls     int    `json:"calls,omitempty"`
-	Call      *Call  `json:"call,omitempty"` // the last, while its stage lasts
-	SinceMS   int64  `json:"since_ms,omitempty"`
-	Why       string `json:"why,omitempty"`
-}
-
-// goal is the image that the unit goes to.
-func (u *Unit) goal() Image {
-	if u.Back {
-		return u.Was
+	Rollback      bool  `json:"back,omitempty"`
+	Stage         Stage `json:"stage"`
+	FromLaterWave bool  `json:"widened,omitempty"` // it was of a later wave
+	PermitAttempt int   `json:"try,omitempty"`     // of permits
+	// RollbackPermit says that its permit was asked for by the way back: one that is turned while it is out keeps its permit.
+	RollbackPermit bool             `json:"asked_back,omitempty"`
+	FailedStarts   int              `json:"fails,omitempty"` // starts that came to nothing, in this direction
+	RequestCount   int              `json:"calls,omitempty"`
+	Request        *PlatformRequest `json:"call,omitempty"` // the last, while its stage lasts
+	StageSinceMS   int64            `json:"since_ms,omitempty"`
+	Reason         string           `json:"why,omitempty"`
+}
+
+// desiredImage is the image that the unit goes to.
+func (u *Unit) desiredImage() Image {
+	if u.Rollback {
+		return u.Previous
 	}
-	return u.To
+	return u.Target
 }
 
-// flying tells whether the unit is between its asking and its rest.
-func (u *Unit) flying() bool { return u.Stage != Todo && u.Stage != Rest && u.Stage != Lost }
+// inProgress tells whether the unit is between its asking and its rest.
+func (u *Unit) inProgress() bool {
+	return u.Stage != StagePending && u.Stage != StageConverged && u.Stage != StageFailed
+}
 
-// Head is the release without its units and plan, as it is written.
-type Head struct {
-	Phase    Phase    `json:"phase"`
-	Wave     int      `json:"wave"`
-	BakeMS   int64    `json:"bake_ms,omitempty"` // when the wave's last unit came to rest; 0: not yet
-	Token    uint64   `json:"token"`             // under which it was written: another one's watch begins anew
-	Commands int      `json:"commands"`          // of operators that were taken in
-	By       string   `json:"by,omitempty"`      // who halted it or sent it back
-	Why      string   `json:"why,omitempty"`
-	Final    bool     `json:"final,omitempty"`    // nobody goes back any more: records may be of the new form
-	StuckMS  int64    `json:"stuck_ms,omitempty"` // since when a way back that has lost a unit gets no permit; 0: it does
-	GaveUp   bool     `json:"gave_up,omitempty"`  // nothing further is taken out for the way back
-	Stranded []string `json:"stranded,omitempty"` // units that are not on the old version, with what is known
+// Status is the release without its units and plan, as it is written.
+type Status struct {
+	Phase             Phase    `json:"phase"`
+	Wave              int      `json:"wave"`
+	BakeStartMS       int64    `json:"bake_ms,omitempty"` // when the wave's last unit came to rest; 0: not yet
+	Token             uint64   `json:"token"`             // under which it was written: another one's watch begins anew
+	HandledCommands   int      `json:"commands"`          // of operators that were taken in
+	HaltedBy          string   `json:"by,omitempty"`      // who halted it or sent it back
+	HaltReason        string   `json:"why,omitempty"`
+	Finalized         bool     `json:"final,omitempty"`    // nobody goes back any more: records may be of the new form
+	StalledSinceMS    int64    `json:"stuck_ms,omitempty"` // since when a way back that has lost a unit gets no permit; 0: it does
+	RollbackAbandoned bool     `json:"gave_up,omitempty"`  // nothing further is taken out for the way back
+	Stranded          []string `json:"stranded,omitempty"` // units that are not on the old version, with what is known
 }
 
 // State is a release as it stands in the log.
 type State struct {
-	Name    string     `json:"name"`
-	Run     uint64     `json:"run"` // revision of its start: two releases of one name are two
-	Plan    *plan.Plan `json:"plan,omitempty"`
-	Hash    string     `json:"hash"`
-	Drain   bool       `json:"drain,omitempty"` // no new version: the units are emptied and stopped
-	StartMS int64      `json:"start_ms"`
-	Head    Head       `json:"head"`
-	Units   []Unit     `json:"units"` // in the order in which they go
-	Seq     uint64     `json:"seq"`   // deltas so far
+	Name          string     `json:"name"`
+	StartRevision uint64     `json:"run"` // revision of its start: two releases of one name are two
+	Plan          *plan.Plan `json:"plan,omitempty"`
+	PlanHash      string     `json:"hash"`
+	DrainOnly     bool       `json:"drain,omitempty"` // no new version: the units are emptied and stopped
+	StartedAtMS   int64      `json:"start_ms"`
+	Status        Status     `json:"head"`
+	Units         []Unit     `json:"units"` // in the order in which they go
+	Sequence      uint64     `json:"seq"`   // deltas so far
 }
 
 // Delta is one step as it is written. It counts only on the state that it was made from.
 type Delta struct {
-	Seq   uint64 `json:"seq"` // of the state before
-	Head  *Head  `json:"head,omitempty"`
-	Units []Unit `json:"units,omitempty"`
+	Sequence uint64  `json:"seq"` // of the state before
+	Status   *Status `json:"head,omitempty"`
+	Units    []Unit  `json:"units,omitempty"`
 }
 
 // Apply takes a step in. One that was made from another state is refused and changes nothing.
-func (s *State) Apply(d Delta) error {
-	if d.Seq != s.Seq {
-		return fmt.Errorf("release %s: a step from %d, it stands at %d", s.Name, d.Seq, s.Seq)
+func (s *State) Apply(delta Delta) error {
+	if delta.Sequence != s.Sequence {
+		return fmt.Errorf("release %s: a step from %d, it stands at %d", s.Name, delta.Sequence, s.Sequence)
 	}
-	at := make([]int, len(d.Units))
-	for i, u := range d.Units {
-		if at[i] = s.index(u.ID); at[i] < 0 {
+	indexes := make([]int, len(delta.Units))
+	for i, u := range delta.Units {
+		if indexes[i] = s.unitIndex(u.ID); indexes[i] < 0 {
 			return fmt.Errorf("release %s: %s is none of its units", s.Name, u.ID)
 		}
 	}
-	for i, u := range d.Units {
-		s.Units[at[i]] = u
+	for i, u := range delta.Units {
+		s.Units[indexes[i]] = u
 	}
-	if d.Head != nil {
-		s.Head = *d.Head
+	if delta.Status != nil {
+		s.Status = *delta.Status
 	}
-	s.Seq++
+	s.Sequence++
 	return nil
 }
 
-func (s *State) index(id string) int {
+func (s *State) unitIndex(id string) int {
 	for i := range s.Units {
 		if s.Units[i].ID == id {
 			return i
@@ -170,57 +174,57 @@
 func Owner(name string) string { return "release/" + name }
 
 // PermitID is the permit of a unit's try.
-func (s *State) PermitID(u *Unit) string {
-	way := "to"
-	if u.AskedBack {
-		way = "back"
+func (s *State) PermitID(unit *Unit) string {
+	direction := "to"
+	if unit.RollbackPermit {
+		direction = "back"
 	}
-	return fmt.Sprintf("%s@%d/%s/%d/%s", Owner(s.Name), s.Run, way, u.Try, u.ID)
+	return fmt.Sprintf("%s@%d/%s/%d/%s", Owner(s.Name), s.StartRevision, direction, unit.PermitAttempt, unit.ID)
 }
 
 // RequestID names a call: it follows from what is written, so that whoever makes the call makes the same one.
-func (s *State) RequestID(u *Unit) string {
-	sum := sha256.Sum256(fmt.Appendf(nil, "%s\x00%d\x00%s\x00%d", s.Name, s.Run, u.ID, u.Call.N))
+func (s *State) RequestID(unit *Unit) string {
+	sum := sha256.Sum256(fmt.Appendf(nil, "%s\x00%d\x00%s\x00%d", s.Name, s.StartRevision, unit.ID, unit.Request.Sequence))
 	return "rel-" + hex.EncodeToString(sum[:12])
 }
 
-// request is the call in the platform's form. The configuration's text is for whoever makes the call: it follows from
+// platformRequest is the call in the platform's form. The configuration's text is for whoever makes the call: it follows from
 // the unit and the configuration's name.
-func (s *State) request(u *Unit) supervisor.Request {
-	r := supervisor.Request{ID: s.RequestID(u), Op: u.Call.Op, Epoch: u.Call.Memory, Unit: u.Name, Incarnation: u.Call.Incarnation}
-	switch u.Call.Op {
+func (s *State) platformRequest(unit *Unit) supervisor.Request {
+	request := supervisor.Request{ID: s.RequestID(unit), Op: unit.Request.Op, Epoch: unit.Request.Epoch, Unit: unit.Name, Incarnation: unit.Request.Incarnation}
+	switch unit.Request.Op {
 	case supervisor.Start:
-		r.Kind, r.Version, r.ConfigName = s.kind(), u.goal().Version, u.goal().Config
-		r.Listen, r.Zone = u.Listen, u.Zone
+		request.Kind, request.Version, request.ConfigName = s.platformKind(), unit.desiredImage().Version, unit.desiredImage().ConfigName
+		request.Listen, request.Zone = unit.Listen, unit.Zone
 	case supervisor.Reload:
-		r.ConfigName = u.goal().Config
+		request.ConfigName = unit.desiredImage().ConfigName
 	}
-	return r
+	return request
 }
 
-func (s *State) kind() supervisor.Kind {
-	if s.ledgerKind() == disruption.KindSidecar {
+func (s *State) platformKind() supervisor.Kind {
+	if s.unitKind() == disruption.KindSidecar {
 		return supervisor.Sidecar
 	}
 	return supervisor.Server
 }
 
-func (s *State) ledgerKind() disruption.Kind {
-	if s.Plan.Select.Kind != "" {
-		return s.Plan.Select.Kind
+func (s *State) unitKind() disruption.Kind {
+	if s.Plan.Selector.Kind != "" {
+		return s.Plan.Selector.Kind
 	}
 	return s.Plan.Kind()
 }
 
-// first is what is done first to a unit that its permit has taken out, and that is empty.
-func (s *State) first() Stage {
-	if s.reloads() {
-		return Reload
+// replacementStage is what is done first to a unit that its permit has taken out, and that is empty.
+func (s *State) replacementStage() Stage {
+	if s.reloadsInPlace() {
+		return StageReloading
 	}
-	return Stop
+	return StageStopping
 }
 
-// reloads tells whether the units serve on while they move.
-func (s *State) reloads() bool {
-	return !s.Drain && s.Plan.What.Server == "" && s.Plan.What.Sidecar == ""
+// reloadsInPlace tells whether the units serve on while they move.
+func (s *State) reloadsInPlace() bool {
+	return !s.DrainOnly && s.Plan.Change.ServerVersion == "" && s.Plan.Change.SidecarVersion == ""
 }
--- a/internal/release/table.go
+++ b/internal/release/table.go
@@ -16,17 +16,17 @@
 
 // Command is what an operator tells a release.
 type Command struct {
-	What string `json:"what"` // halt, resume, back, finalize
-	By   string `json:"by"`
-	Why  string `json:"why,omitempty"`
+	Action   string `json:"what"` // halt, resume, back, finalize
+	Operator string `json:"by"`
+	Reason   string `json:"why,omitempty"`
 }
 
 // The commands.
 const (
-	CmdHalt     = "halt"
-	CmdResume   = "resume"
-	CmdBack     = "back"
-	CmdFinalize = "finalize"
+	CommandHalt     = "halt"
+	CommandResume   = "resume"
+	CommandRollback = "back"
+	CommandFinalize = "finalize"
 )
 
 // Table is the releases as they stand in the replicated state: pure, the same on every replica. That a step is its
@@ -44,116 +44,118 @@
 	return &Table{releases: map[string]*State{}, commands: map[string][]Command{}, claims: map[string]string{}}
 }
 
-// Op is one operation on the table: Start, or a Step or Tell of Name.
-type Op struct {
-	Name  string   `json:"name"`
-	Start *State   `json:"start,omitempty"`
-	Step  *Delta   `json:"step,omitempty"` // under the token of the duty Owner(Name)
-	Tell  *Command `json:"tell,omitempty"`
+// Operation is one operation on the table: Start, or a Step or Tell of Name.
+type Operation struct {
+	Name    string   `json:"name"`
+	Start   *State   `json:"start,omitempty"`
+	Delta   *Delta   `json:"step,omitempty"` // under the token of the duty Owner(Name)
+	Command *Command `json:"tell,omitempty"`
 }
 
-// Guarded tells whether an operation counts only under the owner's duty and token.
-func (op *Op) Guarded() bool { return op.Step != nil }
+// RequiresToken tells whether an operation counts only under the owner's duty and token.
+func (op *Operation) RequiresToken() bool { return op.Delta != nil }
 
 // Apply takes one operation in; rev is its place in the log. An error says why it changed nothing.
-func (t *Table) Apply(rev uint64, op *Op) error {
+func (t *Table) Apply(revision uint64, op *Operation) error {
 	switch {
 	case op == nil:
 		return errors.New("no operation")
 	case op.Start != nil:
-		return t.start(rev, op.Start)
-	case op.Step != nil:
-		return t.step(op.Name, *op.Step)
-	case op.Tell != nil:
-		return t.tell(op.Name, *op.Tell)
+		return t.start(revision, op.Start)
+	case op.Delta != nil:
+		return t.applyDelta(op.Name, *op.Delta)
+	case op.Command != nil:
+		return t.addCommand(op.Name, *op.Command)
 	}
 	return errors.New("no operation")
 }
 
 // start takes a release in and claims its units; its run is the revision. The same start again changes nothing; a release
 // that is over and needs its units no more makes room for another of its name.
-func (t *Table) start(rev uint64, s *State) error {
-	if s.Plan == nil || !validName(s.Name) || s.Hash != s.Plan.Hash() {
+func (t *Table) start(revision uint64, state *State) error {
+	if state.Plan == nil || !validName(state.Name) || state.PlanHash != state.Plan.Hash() {
 		return errors.New("a release has a name of 1 to 64 characters, a plan, and that plan's hash")
 	}
-	if old := t.releases[s.Name]; old != nil {
+	if existing := t.releases[state.Name]; existing != nil {
 		switch {
-		case old.Hash == s.Hash && !old.Head.Phase.Over():
+		case existing.PlanHash == state.PlanHash && !existing.Status.Phase.Finished():
 			return nil
-		case !old.Head.Phase.Over():
-			return fmt.Errorf("release %s is under way with another plan (%s, not %s): send it back or let it end first", s.Name, old.Hash, s.Hash)
-		case !old.free():
-			return fmt.Errorf("release %s is %s and may go back still: finalize it first", s.Name, old.Head.Phase)
+		case !existing.Status.Phase.Finished():
+			return fmt.Errorf("release %s is under way with another plan (%s, not %s): send it back or let it end first", state.Name, existing.PlanHash, state.PlanHash)
+		case !existing.holdsNoClaims():
+			return fmt.Errorf("release %s is %s and may go back still: finalize it first", state.Name, existing.Status.Phase)
 		}
-	} else if len(t.releases) >= maxReleases && !t.forget() {
+	} else if len(t.releases) >= maxReleases && !t.evictOldest() {
 		return fmt.Errorf("%d releases are under way", maxReleases)
 	}
-	if len(s.Units) == 0 || len(s.Units) > maxUnits {
-		return fmt.Errorf("release %s has %d units, 1 to %d can be", s.Name, len(s.Units), maxUnits)
+	if len(state.Units) == 0 || len(state.Units) > maxUnits {
+		return fmt.Errorf("release %s has %d units, 1 to %d can be", state.Name, len(state.Units), maxUnits)
 	}
-	for i := range s.Units {
-		if by, taken := t.claims[s.Units[i].ID]; taken && by != s.Name {
-			return fmt.Errorf("release %s: %s is claimed by release %s", s.Name, s.Units[i].ID, by)
+	for i := range state.Units {
+		if claimant, claimed := t.claims[state.Units[i].ID]; claimed && claimant != state.Name {
+			return fmt.Errorf("release %s: %s is claimed by release %s", state.Name, state.Units[i].ID, claimant)
 		}
 	}
-	for i := range s.Units {
-		t.claims[s.Units[i].ID] = s.Name
+	for i := range state.Units {
+		t.claims[state.Units[i].ID] = state.Name
 	}
-	c := *s
-	c.Units, c.Run, c.Seq, c.Head = slices.Clone(s.Units), rev, 0, Head{Phase: Forward}
-	t.releases[s.Name] = &c
-	delete(t.commands, s.Name)
+	started := *state
+	started.Units, started.StartRevision, started.Sequence, started.Status = slices.Clone(state.Units), revision, 0, Status{Phase: PhaseRollout}
+	t.releases[state.Name] = &started
+	delete(t.commands, state.Name)
 	return nil
 }
 
-// free tells whether a release needs its units no more: it is back, or over and final.
-func (s *State) free() bool { return s.Head.Phase == Backed || s.Head.Phase.Over() && s.Head.Final }
+// holdsNoClaims tells whether a release needs its units no more: it is back, or over and final.
+func (s *State) holdsNoClaims() bool {
+	return s.Status.Phase == PhaseRolledBack || s.Status.Phase.Finished() && s.Status.Finalized
+}
 
-// step takes a step in. A release that may still go back keeps its claims.
-func (t *Table) step(name string, d Delta) error {
-	s := t.releases[name]
-	if s == nil {
+// applyDelta takes a step in. A release that may still go back keeps its claims.
+func (t *Table) applyDelta(name string, delta Delta) error {
+	state := t.releases[name]
+	if state == nil {
 		return fmt.Errorf("there is no release %s", name)
 	}
-	if err := s.Apply(d); err != nil {
+	if err := state.Apply(delta); err != nil {
 		return err
 	}
-	t.unclaim(s)
+	t.dropClaims(state)
 	return nil
 }
 
-// tell takes an operator's command in. It counts once the release's controller has taken it up; what is made final is so
+// addCommand takes an operator's command in. It counts once the release's controller has taken it up; what is made final is so
 // at once, as nobody works on it any more.
-func (t *Table) tell(name string, c Command) error {
-	s := t.releases[name]
+func (t *Table) addCommand(name string, command Command) error {
+	state := t.releases[name]
 	switch {
-	case s == nil:
+	case state == nil:
 		return fmt.Errorf("there is no release %s", name)
-	case c.What != CmdHalt && c.What != CmdResume && c.What != CmdBack && c.What != CmdFinalize:
-		return fmt.Errorf("%q is none of halt, resume, back, finalize", c.What)
+	case command.Action != CommandHalt && command.Action != CommandResume && command.Action != CommandRollback && command.Action != CommandFinalize:
+		return fmt.Errorf("%q is none of halt, resume, back, finalize", command.Action)
 	case len(t.commands[name]) >= maxCommands:
 		return fmt.Errorf("release %s has been told %d things", name, maxCommands)
-	case c.What == CmdFinalize && !s.Head.Phase.Over():
-		return fmt.Errorf("release %s is %s: only what is over can be finalized", name, s.Head.Phase)
-	case c.What == CmdBack && s.Drain:
+	case command.Action == CommandFinalize && !state.Status.Phase.Finished():
+		return fmt.Errorf("release %s is %s: only what is over can be finalized", name, state.Status.Phase)
+	case command.Action == CommandRollback && state.DrainOnly:
 		return fmt.Errorf("a drain has no version to go back to: halt it, and start its servers")
-	case c.What == CmdBack && s.Head.Final:
+	case command.Action == CommandRollback && state.Status.Finalized:
 		return fmt.Errorf("release %s is final", name)
 	}
-	if c.What == CmdFinalize {
-		s.Head.Final = true
-		s.Seq++ // a step that was decided before counts no more
-		t.unclaim(s)
+	if command.Action == CommandFinalize {
+		state.Status.Finalized = true
+		state.Sequence++ // a step that was decided before counts no more
+		t.dropClaims(state)
 		return nil
 	}
-	t.commands[name] = append(t.commands[name], c)
+	t.commands[name] = append(t.commands[name], command)
 	return nil
 }
 
-// unclaim gives the units of a release that needs them no more to others.
-func (t *Table) unclaim(s *State) {
-	if s.free() {
-		maps.DeleteFunc(t.claims, func(_, by string) bool { return by == s.Name })
+// dropClaims gives the units of a release that needs them no more to others.
+func (t *Table) dropClaims(state *State) {
+	if state.holdsNoClaims() {
+		maps.DeleteFunc(t.claims, func(_, claimant string) bool { return claimant == state.Name })
 	}
 }
 
@@ -163,13 +165,13 @@
 // Names are those of all releases, sorted.
 func (t *Table) Names() []string { return slices.Sorted(maps.Keys(t.releases)) }
 
-// forget drops the oldest release that claims nothing.
-func (t *Table) forget() bool {
+// evictOldest drops the oldest release that claims nothing.
+func (t *Table) evictOldest() bool {
 	var oldest *State
 	for _, name := range t.Names() {
-		s := t.releases[name]
-		if s.free() && (oldest == nil || s.Run < oldest.Run) {
-			oldest = s
+		state := t.releases[name]
+		if state.holdsNoClaims() && (oldest == nil || state.StartRevision < oldest.StartRevision) {
+			oldest = state
 		}
 	}
 	if oldest == nil {
@@ -180,39 +182,39 @@
 	return true
 }
 
-// Saved is the table as it is kept in a snapshot.
-type Saved struct {
+// Snapshot is the table as it is kept in a snapshot.
+type Snapshot struct {
 	Releases []*State             `json:"releases"` // by name
 	Commands map[string][]Command `json:"commands,omitempty"`
 }
 
-// Save gives the whole table, in a fixed order. What it holds is shared with the table until that is next changed.
-func (t *Table) Save() *Saved {
-	s := &Saved{Releases: []*State{}, Commands: t.commands}
+// Snapshot gives the whole table, in a fixed order. What it holds is shared with the table until that is next changed.
+func (t *Table) Snapshot() *Snapshot {
+	snapshot := &Snapshot{Releases: []*State{}, Commands: t.commands}
 	for _, name := range t.Names() {
-		s.Releases = append(s.Releases, t.releases[name])
+		snapshot.Releases = append(snapshot.Releases, t.releases[name])
 	}
-	return s
+	return snapshot
 }
 
-// Load makes a table of what was saved; nil is the empty one. Claims follow from the releases.
-func Load(s *Saved) *Table {
-	t := NewTable()
-	if s == nil {
-		return t
+// Restore makes a table of what was saved; nil is the empty one. Claims follow from the releases.
+func Restore(snapshot *Snapshot) *Table {
+	table := NewTable()
+	if snapshot == nil {
+		return table
 	}
-	for _, r := range s.Releases {
-		t.releases[r.Name] = r
-		if cmds := s.Commands[r.Name]; len(cmds) > 0 {
-			t.commands[r.Name] = cmds
+	for _, state := range snapshot.Releases {
+		table.releases[state.Name] = state
+		if commands := snapshot.Commands[state.Name]; len(commands) > 0 {
+			table.commands[state.Name] = commands
 		}
-		for i := range r.Units {
-			if !r.free() {
-				t.claims[r.Units[i].ID] = r.Name
+		for i := range state.Units {
+			if !state.holdsNoClaims() {
+				table.claims[state.Units[i].ID] = state.Name
 			}
 		}
 	}
-	return t
+	return table
 }
 
 func validName(s string) bool { return s != "" && len(s) <= 64 }
--- a/internal/release/unit.go
+++ b/internal/release/unit.go
@@ -9,395 +9,397 @@
 	"milldeck/internal/supervisor"
 )
 
-// unit does what a unit's written stage asks for, and goes on to the next once there is evidence.
-func (c *stepper) unit(i int) {
-	u := c.s.Units[i]
-	if next, decided := c.next[i]; decided && next.Stage != u.Stage {
+// reconcileUnit does what a unit's written stage asks for, and goes on to the next once there is evidence.
+func (r *reconciler) reconcileUnit(i int) {
+	unit := r.release.Units[i]
+	if changed, ok := r.changed[i]; ok && changed.Stage != unit.Stage {
 		return // a halt has just sent it elsewhere: that is written first
 	}
-	if !u.flying() {
+	if !unit.inProgress() {
 		return
 	}
-	u = c.at(i)
-	p, known := c.v.Permits(c.s.PermitID(&u))
-	if held := known && (p.Stage == disruption.StageActive || p.Stage == disruption.StageReturning); !held && (u.Stage == Stop || u.Stage == Reload) {
+	unit = r.unit(i)
+	permit, known := r.view.Permit(r.release.PermitID(&unit))
+	if active := known && (permit.Stage == disruption.StageActive || permit.Stage == disruption.StageReturning); !active && (unit.Stage == StageStopping || unit.Stage == StageReloading) {
 		// Evidence had settled its permit when it was turned, or an operator has: nobody is taken out without one.
-		c.to(&u, Todo)
-		c.put(i, u)
+		r.enterStage(&unit, StagePending)
+		r.setUnit(i, unit)
 		return
 	}
-	switch u.Stage {
-	case Ask, Make, Begin:
-		c.permit(&u, p, known)
-	case Drain:
-		c.drain(&u)
-	case Stop:
-		c.stop(&u)
-	case Start:
-		c.start(&u)
-	case Reload:
-		c.reload(&u)
-	case Rise:
-		c.rise(&u, p, known)
-	case Cancel:
-		c.cancel(&u, p, known)
-	}
-	c.put(i, u)
+	switch unit.Stage {
+	case StageRequestingPermit, StagePreparing, StageBeginningDisruption:
+		r.reconcilePermit(&unit, permit, known)
+	case StageDraining:
+		r.reconcileDrain(&unit)
+	case StageStopping:
+		r.reconcileStop(&unit)
+	case StageStarting:
+		r.reconcileStart(&unit)
+	case StageReloading:
+		r.reconcileReload(&unit)
+	case StageWarmingUp:
+		r.reconcileWarmUp(&unit, permit, known)
+	case StageCancelling:
+		r.reconcileCancel(&unit, permit, known)
+	}
+	r.setUnit(i, unit)
 }
 
-// to goes on to a stage.
-func (c *stepper) to(u *Unit, s Stage) { u.Stage, u.SinceMS, u.Call = s, c.v.NowMS, nil }
+// enterStage goes on to a stage.
+func (r *reconciler) enterStage(unit *Unit, stage Stage) {
+	unit.Stage, unit.StageSinceMS, unit.Request = stage, r.view.NowMS, nil
+}
 
-func (c *stepper) ledger(kind disruption.OpKind, u *Unit) {
-	c.do(Ledger{disruption.Op{Kind: kind, Owner: Owner(c.s.Name), Permit: &disruption.Permit{ID: c.s.PermitID(u)}}})
+func (r *reconciler) emitPermitOp(kind disruption.OpKind, unit *Unit) {
+	r.emit(ApplyLedgerOp{disruption.Op{Kind: kind, Owner: Owner(r.release.Name), Permit: &disruption.Permit{ID: r.release.PermitID(unit)}}})
 }
 
-// ask asks for a unit's permit; a repeat is no second one.
-func (c *stepper) ask(u *Unit) {
-	p := &disruption.Permit{
-		ID: c.s.PermitID(u), Owner: Owner(c.s.Name), Units: []string{u.ID}, Priority: disruption.PriorityRollout, Disposition: disruption.DispositionReturn,
-		Purpose: strings.TrimSpace("to " + u.goal().Version + " " + u.goal().Config),
+// requestPermit asks for a unit's permit; a repeat is no second one.
+func (r *reconciler) requestPermit(unit *Unit) {
+	permit := &disruption.Permit{
+		ID: r.release.PermitID(unit), Owner: Owner(r.release.Name), Units: []string{unit.ID}, Priority: disruption.PriorityRollout, Disposition: disruption.DispositionReturn,
+		Purpose: strings.TrimSpace("to " + unit.desiredImage().Version + " " + unit.desiredImage().ConfigName),
 	}
 	switch {
-	case u.AskedBack:
-		p.Priority = disruption.PriorityRollback
-	case c.s.Drain:
-		p.Priority, p.Disposition, p.Purpose = disruption.PriorityDrain, disruption.DispositionRetire, "drained"
+	case unit.RollbackPermit:
+		permit.Priority = disruption.PriorityRollback
+	case r.release.DrainOnly:
+		permit.Priority, permit.Disposition, permit.Purpose = disruption.PriorityDrain, disruption.DispositionRetire, "drained"
 	}
-	c.do(Ledger{disruption.Op{Kind: disruption.OpRequest, Owner: p.Owner, Permit: p}})
+	r.emit(ApplyLedgerOp{disruption.Op{Kind: disruption.OpRequest, Owner: permit.Owner, Permit: permit}})
 }
 
-// permit follows a permit from its asking to its begin. A grant that a halt has taken back is waited for again.
-func (c *stepper) permit(u *Unit, p disruption.Permit, known bool) {
-	got := known && p.Stage != disruption.StageRequested
+// reconcilePermit follows a permit from its asking to its begin. A grant that a halt has taken back is waited for again.
+func (r *reconciler) reconcilePermit(unit *Unit, permit disruption.Permit, known bool) {
+	granted := known && permit.Stage != disruption.StageRequested
 	switch {
-	case known && (p.Stage == disruption.StageCancelled || p.Stage == disruption.StageCompleted):
-		u.Why = "its permit was ended by an operator"
-		c.to(u, Todo)
-	case u.Stage == Ask && !known:
-		c.ask(u)
-		if why := c.v.Denied[c.s.PermitID(u)]; why != "" && c.v.NowMS-u.SinceMS > callWait {
-			c.failed = append(c.failed, u.ID+": no permit can be had: "+why)
-			u.Stage, u.Why = Lost, "no permit can be had: "+why
-			if !u.Back {
-				c.to(u, Todo)
+	case known && (permit.Stage == disruption.StageCancelled || permit.Stage == disruption.StageCompleted):
+		unit.Reason = "its permit was ended by an operator"
+		r.enterStage(unit, StagePending)
+	case unit.Stage == StageRequestingPermit && !known:
+		r.requestPermit(unit)
+		if reason := r.view.DeniedPermits[r.release.PermitID(unit)]; reason != "" && r.view.NowMS-unit.StageSinceMS > requestEffectTimeoutMS {
+			r.failures = append(r.failures, unit.ID+": no permit can be had: "+reason)
+			unit.Stage, unit.Reason = StageFailed, "no permit can be had: "+reason
+			if !unit.Rollback {
+				r.enterStage(unit, StagePending)
 			}
 		}
-	case u.Stage == Ask && got:
-		c.to(u, Make)
-		if c.s.ledgerKind() != disruption.KindServer {
-			c.to(u, Begin)
+	case unit.Stage == StageRequestingPermit && granted:
+		r.enterStage(unit, StagePreparing)
+		if r.release.unitKind() != disruption.KindServer {
+			r.enterStage(unit, StageBeginningDisruption)
 		}
-	case u.Stage == Ask:
-		u.Why = p.WaitReason
-	case !got:
-		c.to(u, Ask)
-	case u.Stage == Make && (c.v.Made(u.ID) || c.gone(u)):
-		c.to(u, Begin)
-	case u.Stage == Make:
-		c.do(Prepare{u.ID})
-	case p.Stage == disruption.StageGranted:
-		c.ledger(disruption.OpBegin, u)
-	case c.s.ledgerKind() == disruption.KindServer:
-		c.to(u, Drain)
+	case unit.Stage == StageRequestingPermit:
+		unit.Reason = permit.WaitReason
+	case !granted:
+		r.enterStage(unit, StageRequestingPermit)
+	case unit.Stage == StagePreparing && (r.view.Prepared(unit.ID) || r.exitedOrLost(unit)):
+		r.enterStage(unit, StageBeginningDisruption)
+	case unit.Stage == StagePreparing:
+		r.emit(PrepareUnit{unit.ID})
+	case permit.Stage == disruption.StageGranted:
+		r.emitPermitOp(disruption.OpBegin, unit)
+	case r.release.unitKind() == disruption.KindServer:
+		r.enterStage(unit, StageDraining)
 	default:
-		c.to(u, c.s.first())
+		r.enterStage(unit, r.release.replacementStage())
 	}
-	if u.Stage != Ask {
-		u.Why = ""
+	if unit.Stage != StageRequestingPermit {
+		unit.Reason = ""
 	}
 }
 
-// gone tells whether a unit has ended by itself, so that nothing can be open on it.
-func (c *stepper) gone(u *Unit) bool {
-	d, known := c.v.Unit(u.ID)
-	if known && d.Condition == disruption.ConditionLost {
+// exitedOrLost tells whether a unit has ended by itself, so that nothing can be open on it.
+func (r *reconciler) exitedOrLost(unit *Unit) bool {
+	ledgerUnit, known := r.view.Unit(unit.ID)
+	if known && ledgerUnit.Condition == disruption.ConditionLost {
 		return true
 	}
-	l := c.v.Platform
-	if l == nil {
+	platform := r.view.Platform
+	if platform == nil {
 		return false
 	}
-	at := l.Find(u.Name)
-	return at != nil && at.State == supervisor.Exited
+	listed := platform.Find(unit.Name)
+	return listed != nil && listed.State == supervisor.Exited
 }
 
-func (c *stepper) drain(u *Unit) {
-	if c.v.Empty(u.ID) || c.gone(u) {
-		c.to(u, Stop)
+func (r *reconciler) reconcileDrain(unit *Unit) {
+	if r.view.Drained(unit.ID) || r.exitedOrLost(unit) {
+		r.enterStage(unit, StageStopping)
 		return
 	}
-	c.do(Terminate{u.ID})
+	r.emit(MarkTerminating{unit.ID})
 }
 
-// ended is the evidence that a unit has no process. That it is not listed says so only where the platform knows all that
+// confirmedStopped is the evidence that a unit has no process. That it is not listed says so only where the platform knows all that
 // it runs: one that has forgotten lists nothing, and everything runs on.
-func ended(l *supervisor.List, name string) bool {
-	at := l.Find(name)
-	if at == nil {
-		return l.Complete
+func confirmedStopped(platform *supervisor.List, name string) bool {
+	listed := platform.Find(name)
+	if listed == nil {
+		return platform.Complete
 	}
-	return at.State == supervisor.Exited
+	return listed.State == supervisor.Exited
 }
 
-func (c *stepper) stop(u *Unit) {
-	l := c.v.Platform
-	if l == nil {
+func (r *reconciler) reconcileStop(unit *Unit) {
+	platform := r.view.Platform
+	if platform == nil {
 		return
 	}
-	if ended(l, u.Name) {
-		if c.s.Drain && !u.Back {
-			c.to(u, Rise)
+	if confirmedStopped(platform, unit.Name) {
+		if r.release.DrainOnly && !unit.Rollback {
+			r.enterStage(unit, StageWarmingUp)
 			return
 		}
-		c.to(u, Start)
+		r.enterStage(unit, StageStarting)
 		return
 	}
-	at := l.Find(u.Name)
-	if at == nil {
+	listed := platform.Find(unit.Name)
+	if listed == nil {
 		return // it may run: the platform has forgotten, and has not found all again
 	}
-	if c.call(u, l, supervisor.Stop, at.Incarnation) {
+	if r.ensureRequested(unit, platform, supervisor.Stop, listed.Incarnation) {
 		return
 	}
 	// It was asked and answered. What is still there after a while was not stopped, or only told to: ask anew.
-	wait := int64(callWait)
-	if at.State == supervisor.Stopping {
-		wait = stopWait
+	timeoutMS := int64(requestEffectTimeoutMS)
+	if listed.State == supervisor.Stopping {
+		timeoutMS = stopTimeoutMS
 	}
-	if c.answered(u) && l.AtMS-at.SinceMS > wait && c.v.NowMS-u.Call.AtMS > wait {
-		u.Call = nil
+	if r.requestAccepted(unit) && platform.AtMS-listed.SinceMS > timeoutMS && r.view.NowMS-unit.Request.DecidedAtMS > timeoutMS {
+		unit.Request = nil
 	}
 }
 
-func (c *stepper) start(u *Unit) {
-	l := c.v.Platform
-	if l == nil {
+func (r *reconciler) reconcileStart(unit *Unit) {
+	platform := r.view.Platform
+	if platform == nil {
 		return
 	}
-	at, goal := l.Find(u.Name), u.goal()
+	listed, desired := platform.Find(unit.Name), unit.desiredImage()
 	incarnation := uint64(0)
-	if at != nil {
-		incarnation = at.Incarnation
+	if listed != nil {
+		incarnation = listed.Incarnation
 	}
 	switch {
-	case at == nil && !l.Complete:
+	case listed == nil && !platform.Complete:
 		return // it may run already
-	case at != nil && at.State != supervisor.Exited && (at.Version != goal.Version || at.ConfigName != goal.Config):
-		c.to(u, Stop) // something else was started in its place
+	case listed != nil && listed.State != supervisor.Exited && (listed.Version != desired.Version || listed.ConfigName != desired.ConfigName):
+		r.enterStage(unit, StageStopping) // something else was started in its place
 		return
-	case at != nil && at.State == supervisor.Running:
-		c.to(u, Rise)
+	case listed != nil && listed.State == supervisor.Running:
+		r.enterStage(unit, StageWarmingUp)
 		return
-	case at != nil && at.State == supervisor.Starting:
-		if c.v.NowMS-u.SinceMS > startWait && l.AtMS-at.SinceMS > startWait {
-			c.fails(u, "it was started and is not ready")
+	case listed != nil && listed.State == supervisor.Starting:
+		if r.view.NowMS-unit.StageSinceMS > startTimeoutMS && platform.AtMS-listed.SinceMS > startTimeoutMS {
+			r.recordFailedStart(unit, "it was started and is not ready")
 		}
 		return
-	case at != nil && at.State == supervisor.Stopping:
-		c.to(u, Stop)
+	case listed != nil && listed.State == supervisor.Stopping:
+		r.enterStage(unit, StageStopping)
 		return
 	}
 	// It is not there, or has exited: as it was before the call, or by itself after it.
-	if u.Call != nil && u.Call.Memory == l.Epoch && at != nil && incarnation != u.Call.Incarnation {
-		if l.AtMS-at.SinceMS > exitWait && at.Version == goal.Version {
-			c.fails(u, cmp.Or(at.Exit, "it ended"))
+	if unit.Request != nil && unit.Request.Epoch == platform.Epoch && listed != nil && incarnation != unit.Request.Incarnation {
+		if platform.AtMS-listed.SinceMS > exitConfirmationMS && listed.Version == desired.Version {
+			r.recordFailedStart(unit, cmp.Or(listed.Exit, "it ended"))
 		}
 		return
 	}
-	if c.call(u, l, supervisor.Start, incarnation) {
+	if r.ensureRequested(unit, platform, supervisor.Start, incarnation) {
 		return
 	}
-	if c.answered(u) && c.v.NowMS-u.Call.AtMS > callWait {
-		u.Call = nil
+	if r.requestAccepted(unit) && r.view.NowMS-unit.Request.DecidedAtMS > requestEffectTimeoutMS {
+		unit.Request = nil
 	}
 }
 
-func (c *stepper) reload(u *Unit) {
-	if why := c.v.Refused(u.ID, u.goal().Config); why != "" && c.answered(u) {
-		c.refuses(u, "it refuses the configuration: "+why)
+func (r *reconciler) reconcileReload(unit *Unit) {
+	if reason := r.view.ConfigRejection(unit.ID, unit.desiredImage().ConfigName); reason != "" && r.requestAccepted(unit) {
+		r.failUnit(unit, "it refuses the configuration: "+reason)
 		return
 	}
-	l := c.v.Platform
-	if l == nil {
+	platform := r.view.Platform
+	if platform == nil {
 		return
 	}
-	at := l.Find(u.Name)
+	listed := platform.Find(unit.Name)
 	// It serves on by what it has until it has read the other: the platform's word alone is no evidence, nor is its own,
 	// as one that was refused the other has the old one still, and would read the other at its next start.
-	if is, known := c.v.Running(u.ID); known && is == u.goal() && at != nil && at.ConfigName == u.goal().Config {
-		c.to(u, Rise)
+	if running, known := r.view.Running(unit.ID); known && running == unit.desiredImage() && listed != nil && listed.ConfigName == unit.desiredImage().ConfigName {
+		r.enterStage(unit, StageWarmingUp)
 		return
 	}
-	if at == nil || at.State != supervisor.Running {
-		if c.v.NowMS-u.SinceMS > startWait {
-			c.fails(u, "it does not run")
+	if listed == nil || listed.State != supervisor.Running {
+		if r.view.NowMS-unit.StageSinceMS > startTimeoutMS {
+			r.recordFailedStart(unit, "it does not run")
 		}
 		return
 	}
-	if c.call(u, l, supervisor.Reload, at.Incarnation) {
+	if r.ensureRequested(unit, platform, supervisor.Reload, listed.Incarnation) {
 		return
 	}
-	if c.answered(u) && c.v.NowMS-u.Call.AtMS > callWait {
-		c.fails(u, "it does not take the configuration up")
+	if r.requestAccepted(unit) && r.view.NowMS-unit.Request.DecidedAtMS > requestEffectTimeoutMS {
+		r.recordFailedStart(unit, "it does not take the configuration up")
 	}
 }
 
-// call has the written call made, or a new one decided, which is written before it is made. It tells whether that is all
+// ensureRequested has the written call made, or a new one decided, which is written before it is made. It tells whether that is all
 // for now: once the call was answered, its evidence is looked for in the list.
-func (c *stepper) call(u *Unit, l *supervisor.List, op supervisor.Op, incarnation uint64) bool {
-	if u.Call == nil || u.Call.Op != op || u.Call.Memory != l.Epoch {
-		if u.Calls >= maxCalls {
-			c.fails(u, "the platform does not do what it says")
+func (r *reconciler) ensureRequested(unit *Unit, platform *supervisor.List, op supervisor.Op, incarnation uint64) bool {
+	if unit.Request == nil || unit.Request.Op != op || unit.Request.Epoch != platform.Epoch {
+		if unit.RequestCount >= maxRequestsPerUnit {
+			r.recordFailedStart(unit, "the platform does not do what it says")
 			return true
 		}
-		u.Calls++
-		u.Call = &Call{N: u.Calls, Op: op, Memory: l.Epoch, Incarnation: incarnation, AtMS: c.v.NowMS}
+		unit.RequestCount++
+		unit.Request = &PlatformRequest{Sequence: unit.RequestCount, Op: op, Epoch: platform.Epoch, Incarnation: incarnation, DecidedAtMS: r.view.NowMS}
 		return true
 	}
-	out, answered := c.v.Answers[c.s.RequestID(u)]
+	outcome, answered := r.view.Outcomes[r.release.RequestID(unit)]
 	if !answered {
-		c.do(Do{c.s.request(u)})
+		r.emit(CallPlatform{r.release.platformRequest(unit)})
 		return true
 	}
-	switch out.Rejected {
+	switch outcome.Rejected {
 	case "":
 		return false
 	case supervisor.UnknownVersion:
-		c.refuses(u, cmp.Or(out.Detail, "the platform has no such version"))
+		r.failUnit(unit, cmp.Or(outcome.Detail, "the platform has no such version"))
 		return true
 	}
 	// A refusal has changed nothing, and a repeat would be refused alike: the list tells what is to be asked now.
-	if c.v.NowMS-u.Call.AtMS > callWait {
-		u.Call = nil
+	if r.view.NowMS-unit.Request.DecidedAtMS > requestEffectTimeoutMS {
+		unit.Request = nil
 	}
 	return true
 }
 
-func (c *stepper) answered(u *Unit) bool {
-	if u.Call == nil {
+func (r *reconciler) requestAccepted(unit *Unit) bool {
+	if unit.Request == nil {
 		return false
 	}
-	out, is := c.v.Answers[c.s.RequestID(u)]
-	return is && out.Rejected == ""
+	outcome, answered := r.view.Outcomes[r.release.RequestID(unit)]
+	return answered && outcome.Rejected == ""
 }
 
-// rise waits for the evidence that a unit is back: its permit settled. The platform's word that it runs is not enough.
-func (c *stepper) rise(u *Unit, p disruption.Permit, known bool) {
+// reconcileWarmUp waits for the evidence that a unit is back: its permit settled. The platform's word that it runs is not enough.
+func (r *reconciler) reconcileWarmUp(unit *Unit, permit disruption.Permit, known bool) {
 	switch {
-	case known && (p.Stage == disruption.StageCompleted || p.Stage == disruption.StageCancelled):
-		u.Fails, u.Why = 0, ""
-		c.to(u, Rest)
+	case known && (permit.Stage == disruption.StageCompleted || permit.Stage == disruption.StageCancelled):
+		unit.FailedStarts, unit.Reason = 0, ""
+		r.enterStage(unit, StageConverged)
 		return
-	case c.s.Drain && !u.Back && c.runs(u):
-		c.to(u, Stop) // it had ended by itself, and the platform has started it again
+	case r.release.DrainOnly && !unit.Rollback && r.listedAlive(unit):
+		r.enterStage(unit, StageStopping) // it had ended by itself, and the platform has started it again
 		return
-	case known && p.Stage == disruption.StageActive && !(c.s.Drain && !u.Back):
-		c.ledger(disruption.OpReturn, u)
+	case known && permit.Stage == disruption.StageActive && !(r.release.DrainOnly && !unit.Rollback):
+		r.emitPermitOp(disruption.OpReturn, unit)
 	}
-	d, seen := c.v.Unit(u.ID)
+	ledgerUnit, registered := r.view.Unit(unit.ID)
 	switch {
-	case !seen && !known && c.s.Drain && !u.Back: // its permit is settled, and it is out of the list for good
-		c.to(u, Rest)
+	case !registered && !known && r.release.DrainOnly && !unit.Rollback: // its permit is settled, and it is out of the list for good
+		r.enterStage(unit, StageConverged)
 		return
-	case !seen || d.Condition != disruption.ConditionUp && !(c.s.Drain && d.Condition == disruption.ConditionLost):
+	case !registered || ledgerUnit.Condition != disruption.ConditionUp && !(r.release.DrainOnly && ledgerUnit.Condition == disruption.ConditionLost):
 	case known:
-		c.ledger(disruption.OpComplete, u)
+		r.emitPermitOp(disruption.OpComplete, unit)
 		return
 	default: // it was over so long ago that it is not kept
-		c.to(u, Rest)
+		r.enterStage(unit, StageConverged)
 		return
 	}
-	if c.s.Drain && !u.Back {
+	if r.release.DrainOnly && !unit.Rollback {
 		return
 	}
-	l := c.v.Platform
-	if l != nil {
-		at := l.Find(u.Name)
+	platform := r.view.Platform
+	if platform != nil {
+		listed := platform.Find(unit.Name)
 		switch {
-		case at != nil && at.State == supervisor.Exited && l.AtMS-at.SinceMS > exitWait:
-			c.fails(u, cmp.Or(at.Exit, "it ended"))
+		case listed != nil && listed.State == supervisor.Exited && platform.AtMS-listed.SinceMS > exitConfirmationMS:
+			r.recordFailedStart(unit, cmp.Or(listed.Exit, "it ended"))
 			return
-		case at == nil && l.Complete:
-			c.to(u, Start)
+		case listed == nil && platform.Complete:
+			r.enterStage(unit, StageStarting)
 			return
 		}
 	}
-	if c.v.NowMS-u.SinceMS > riseWait {
+	if r.view.NowMS-unit.StageSinceMS > warmUpTimeoutMS {
 		condition := disruption.Condition("not registered")
-		if seen {
-			condition = d.Condition
+		if registered {
+			condition = ledgerUnit.Condition
 		}
-		c.fails(u, fmt.Sprintf("it runs, but is %s after %d s", condition, riseWait/1000))
+		r.recordFailedStart(unit, fmt.Sprintf("it runs, but is %s after %d s", condition, warmUpTimeoutMS/1000))
 	}
 }
 
-// runs tells whether the platform lists a unit as one that is not over.
-func (c *stepper) runs(u *Unit) bool {
-	l := c.v.Platform
-	if l == nil {
+// listedAlive tells whether the platform lists a unit as one that is not over.
+func (r *reconciler) listedAlive(unit *Unit) bool {
+	platform := r.view.Platform
+	if platform == nil {
 		return false
 	}
-	at := l.Find(u.Name)
-	return at != nil && at.State != supervisor.Exited
+	listed := platform.Find(unit.Name)
+	return listed != nil && listed.State != supervisor.Exited
 }
 
-// cancel gives a permit back before anything was stopped under it, and puts a server that drains into the list again.
-func (c *stepper) cancel(u *Unit, p disruption.Permit, known bool) {
-	d, seen := c.v.Unit(u.ID)
+// reconcileCancel gives a permit back before anything was stopped under it, and puts a server that drains into the list again.
+func (r *reconciler) reconcileCancel(unit *Unit, permit disruption.Permit, known bool) {
+	ledgerUnit, registered := r.view.Unit(unit.ID)
 	switch {
-	case !known || p.Stage == disruption.StageCancelled || p.Stage == disruption.StageCompleted:
-		u.Why = ""
-		c.to(u, Todo)
+	case !known || permit.Stage == disruption.StageCancelled || permit.Stage == disruption.StageCompleted:
+		unit.Reason = ""
+		r.enterStage(unit, StagePending)
 		return
-	case c.s.ledgerKind() == disruption.KindServer:
+	case r.release.unitKind() == disruption.KindServer:
 		// Whether it drains already cannot be known from what is seen: it may have been told so a moment ago.
-		c.do(Restore{u.ID})
+		r.emit(MarkReady{unit.ID})
 	}
 	switch {
-	case !p.Aborted:
-		c.ledger(disruption.OpCancel, u)
-	case seen && d.Condition == disruption.ConditionUp:
-		if c.s.ledgerKind() == disruption.KindSidecar {
-			c.see(u, d)
+	case !permit.Aborted:
+		r.emitPermitOp(disruption.OpCancel, unit)
+	case registered && ledgerUnit.Condition == disruption.ConditionUp:
+		if r.release.unitKind() == disruption.KindSidecar {
+			r.reportSidecarUp(unit, ledgerUnit)
 		}
-		c.ledger(disruption.OpComplete, u)
+		r.emitPermitOp(disruption.OpComplete, unit)
 	}
 }
 
-// see tells the ledger that a sidecar under whose permit nothing was done runs on as before. The list tells of changes
+// reportSidecarUp tells the ledger that a sidecar under whose permit nothing was done runs on as before. The list tells of changes
 // alone, and here there was none, so that no other evidence would ever come.
-func (c *stepper) see(u *Unit, d disruption.Unit) {
-	l := c.v.Platform
-	if l == nil {
+func (r *reconciler) reportSidecarUp(unit *Unit, ledgerUnit disruption.Unit) {
+	platform := r.view.Platform
+	if platform == nil {
 		return
 	}
-	if at := l.Find(u.Name); at != nil && at.State == supervisor.Running {
-		c.do(Ledger{disruption.Op{Kind: disruption.OpObserve, Owner: Owner(c.s.Name),
-			Observed: []disruption.Unit{{ID: u.ID, Condition: disruption.ConditionUp, TransitionRevision: d.TransitionRevision}}}})
+	if listed := platform.Find(unit.Name); listed != nil && listed.State == supervisor.Running {
+		r.emit(ApplyLedgerOp{disruption.Op{Kind: disruption.OpObserve, Owner: Owner(r.release.Name),
+			Observed: []disruption.Unit{{ID: unit.ID, Condition: disruption.ConditionUp, TransitionRevision: ledgerUnit.TransitionRevision}}}})
 	}
 }
 
-// fails notes a start that came to nothing. It is tried again; then the unit has failed.
-func (c *stepper) fails(u *Unit, why string) {
-	u.Fails++
-	if u.Fails < maxFails && u.Calls < maxCalls {
-		u.Why = why
-		c.to(u, c.s.first())
+// recordFailedStart notes a start that came to nothing. It is tried again; then the unit has failed.
+func (r *reconciler) recordFailedStart(unit *Unit, reason string) {
+	unit.FailedStarts++
+	if unit.FailedStarts < maxFailedStarts && unit.RequestCount < maxRequestsPerUnit {
+		unit.Reason = reason
+		r.enterStage(unit, r.release.replacementStage())
 		return
 	}
-	c.refuses(u, why)
+	r.failUnit(unit, reason)
 }
 
-// refuses notes a unit that cannot come up as it is wanted. On the way forward that halts the release, and the unit goes
+// failUnit notes a unit that cannot come up as it is wanted. On the way forward that halts the release, and the unit goes
 // back at once; on the way back it is lost.
-func (c *stepper) refuses(u *Unit, why string) {
-	why = fmt.Sprintf("%s on %s: %s", u.ID, strings.TrimSpace(u.goal().Version+" "+u.goal().Config), why)
-	if u.Back {
-		u.Stage, u.Call, u.Why = Lost, nil, why
+func (r *reconciler) failUnit(unit *Unit, reason string) {
+	reason = fmt.Sprintf("%s on %s: %s", unit.ID, strings.TrimSpace(unit.desiredImage().Version+" "+unit.desiredImage().ConfigName), reason)
+	if unit.Rollback {
+		unit.Stage, unit.Request, unit.Reason = StageFailed, nil, reason
 		return
 	}
-	*u = c.turn(*u)
-	u.Why = why
-	c.failed = append(c.failed, why)
+	*unit = r.rollbackUnit(*unit)
+	unit.Reason = reason
+	r.failures = append(r.failures, reason)
 }
