--- a/cmd/silverreel/discovery_test.go
+++ b/cmd/silverreel/discovery_test.go
@@ -17,82 +17,82 @@
 )
 
 const (
-	patience = 20 * time.Second // bounds every wait; none is expected to last
-	// toldBy is after what time of silence a drain counts as told, and sends there must have ended: PROTOCOL's 6 s and
+	testTimeout = 20 * time.Second // bounds every wait; none is expected to last
+	// notificationDeadline is after what time of silence a drain counts as told, and sends there must have ended: PROTOCOL's 6 s and
 	// the grace of the settings below.
-	toldBy = 6*time.Second + 750*time.Millisecond
+	notificationDeadline = 6*time.Second + 750*time.Millisecond
 
 	listHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
 )
 
-// service is a list service whose calls the test plays one by one.
-type service struct {
+// fakeRegistry is a list service whose calls the test plays one by one.
+type fakeRegistry struct {
 	net.Listener
 	calls chan net.Conn // each after its request was read
 }
 
-func newService(t *testing.T) *service {
+func newFakeRegistry(t *testing.T) *fakeRegistry {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &service{ln, make(chan net.Conn, 64)}
+	registry := &fakeRegistry{listener, make(chan net.Conn, 64)}
 	var work sync.WaitGroup
 	work.Go(func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { c.Close() })
-			if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-				s.calls <- c
+			t.Cleanup(func() { conn.Close() })
+			if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
+				registry.calls <- conn
 			}
 		}
 	})
-	t.Cleanup(func() { ln.Close(); work.Wait() })
-	return s
+	t.Cleanup(func() { listener.Close(); work.Wait() })
+	return registry
 }
 
-func (s *service) call(t *testing.T) net.Conn {
+func (registry *fakeRegistry) nextCall(t *testing.T) net.Conn {
 	t.Helper()
 	select {
-	case c := <-s.calls:
-		return c
-	case <-time.After(patience):
+	case conn := <-registry.calls:
+		return conn
+	case <-time.After(testTimeout):
 		t.Fatal("discovery is not asked")
 		return nil
 	}
 }
 
-// fleet is a sidecar as a program with two servers, of which the first is to drain.
-type fleet struct {
-	t       *testing.T
-	service *service
-	addr    string
-	hangUp  func(discovery string) // a new configuration and SIGHUP
-	first   int                    // its place in the answers that ask returns
-	end     func()                 // the program, in good order
-	servers []*httptest.Server
-	client  *http.Client
-	pid     int
+// sidecarRig is a sidecar as a program with two servers, of which the first is to drain.
+type sidecarRig struct {
+	t               *testing.T
+	registry        *fakeRegistry
+	address         string
+	reloadDiscovery func(discovery string) // a new configuration and SIGHUP
+	drainingIndex   int                    // its place in the answers that ask returns
+	terminate       func()                 // the program, in good order
+	servers         []*httptest.Server
+	client          *http.Client
+	pid             int
 }
 
-func newFleet(t *testing.T) *fleet {
+func startRig(t *testing.T) *sidecarRig {
 	t.Helper()
-	return newFleetOf(t, "automatic", 1, 0)
+	return startRigWith(t, "automatic", 1, 0)
 }
 
-// newFleetOf says how lists are told, of how many sidecars there is talk, and what descriptors the system and the
+// startRigWith says how lists are told, of how many sidecars there is talk, and what descriptors the system and the
 // configuration allow; 0: as usual.
-func newFleetOf(t *testing.T, mode string, peers, sockets int) *fleet {
+func startRigWith(t *testing.T, mode string, peers, sockets int) *sidecarRig {
 	t.Helper()
-	f := &fleet{t: t, service: newService(t), client: http.DefaultClient}
+	rig := &sidecarRig{t: t, registry: newFakeRegistry(t), client: http.DefaultClient}
 	for i := range 2 {
-		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, i) }))
-		t.Cleanup(srv.Close)
-		f.servers = append(f.servers, srv)
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, i) }))
+		t.Cleanup(server.Close)
+		rig.servers = append(rig.servers, server)
 	}
 	config := func(discovery string) string {
 		return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"sockets":%d},"settings":{
@@ -101,63 +101,63 @@
 		"classes":[{"name":"c","effect":"read_like","group":"all","on_time_ms":500,"hard_limit_ms":2000}]}}`,
 			discovery, sockets, mode, peers)
 	}
-	cmd, _ := program(t, config(f.service.Addr().String()))
+	command, _ := newProgram(t, config(rig.registry.Addr().String()))
 	if sockets > 0 {
-		cmd.Args = []string{"sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, sockets), cmd.Path}
-		cmd.Path = "/bin/sh"
-	}
-	cmd, lines, addr := launch(t, cmd)
-	f.addr, f.pid = addr, cmd.Process.Pid
-	f.hangUp = func(discovery string) {
-		for _, v := range cmd.Env {
-			if path, found := strings.CutPrefix(v, "NODE_CONFIG="); found {
+		command.Args = []string{"sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, sockets), command.Path}
+		command.Path = "/bin/sh"
+	}
+	command, lines, address := awaitListening(t, command)
+	rig.address, rig.pid = address, command.Process.Pid
+	rig.reloadDiscovery = func(discovery string) {
+		for _, variable := range command.Env {
+			if path, found := strings.CutPrefix(variable, "NODE_CONFIG="); found {
 				if err := os.WriteFile(path, []byte(config(discovery)), 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
+		if err := command.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f.end = func() { end(t, cmd, lines) }
-	return f
+	rig.terminate = func() { terminate(t, command, lines) }
+	return rig
 }
 
-// list is what discovery tells; indent spreads it over several lines.
-func (f *fleet) list(rev int, all bool, state string, indent string) string {
+// listJSON is what discovery tells; indent spreads it over several lines.
+func (rig *sidecarRig) listJSON(revision int, complete bool, state string, indent string) string {
 	var targets []map[string]any
-	for i, srv := range f.servers {
-		s := "Ready"
-		if i == f.first {
-			s = state
+	for i, server := range rig.servers {
+		entryState := "Ready"
+		if i == rig.drainingIndex {
+			entryState = state
 		}
-		targets = append(targets, map[string]any{"uid": fmt.Sprint("s", i), "endpoint": srv.Listener.Addr().String(), "state": s, "capacity_hint": 1})
+		targets = append(targets, map[string]any{"uid": fmt.Sprint("s", i), "endpoint": server.Listener.Addr().String(), "state": entryState, "capacity_hint": 1})
 	}
-	told := map[string]any{"rev": rev, "all": all, "targets": targets}
-	data, err := json.Marshal(told)
+	list := map[string]any{"rev": revision, "all": complete, "targets": targets}
+	data, err := json.Marshal(list)
 	if indent != "" {
-		data, err = json.MarshalIndent(told, "", indent)
+		data, err = json.MarshalIndent(list, "", indent)
 	}
 	if err != nil {
-		f.t.Fatal(err)
+		rig.t.Fatal(err)
 	}
 	return string(data) + "\n"
 }
 
-// ask sends a request and tells which server answered it, "" for none.
-func (f *fleet) ask() string {
-	f.t.Helper()
-	req, err := http.NewRequest(http.MethodGet, "http://"+f.addr+"/api", nil)
+// request sends a request and tells which server answered it, "" for none.
+func (rig *sidecarRig) request() string {
+	rig.t.Helper()
+	req, err := http.NewRequest(http.MethodGet, "http://"+rig.address+"/api", nil)
 	if err != nil {
-		f.t.Fatal(err)
+		rig.t.Fatal(err)
 	}
-	for name, v := range map[string]string{"X-Request-ID": fmt.Sprintf("%016x", time.Now().UnixNano()), "X-Priority-Class": "c", "X-Timeout-Ms": "1000"} {
-		req.Header.Set(name, v)
+	for name, value := range map[string]string{"X-Request-ID": fmt.Sprintf("%016x", time.Now().UnixNano()), "X-Priority-Class": "c", "X-Timeout-Ms": "1000"} {
+		req.Header.Set(name, value)
 	}
-	resp, err := f.client.Do(req)
+	resp, err := rig.client.Do(req)
 	if err != nil {
-		f.t.Fatal(err)
+		rig.t.Fatal(err)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
@@ -167,79 +167,79 @@
 	return string(body)
 }
 
-// settles asks until so many answers in a row fit, and fails at a time when they should have.
-func (f *fleet) settles(what string, by time.Time, fits func(answer string) bool) {
-	f.t.Helper()
-	for row := 0; row < 10; {
-		if row++; !fits(f.ask()) {
-			row = 0
+// awaitAnswers asks until so many answers in a row fit, and fails at a time when they should have.
+func (rig *sidecarRig) awaitAnswers(description string, deadline time.Time, matches func(answer string) bool) {
+	rig.t.Helper()
+	for inARow := 0; inARow < 10; {
+		if inARow++; !matches(rig.request()) {
+			inARow = 0
 		}
-		if time.Now().After(by) {
-			f.t.Fatalf("%s: not by then", what)
+		if time.Now().After(deadline) {
+			rig.t.Fatalf("%s: not by then", description)
 		}
 	}
 }
 
 // Lists may come indented: the first object of a watch, and a change.
 func TestIndentedLists(t *testing.T) {
-	f := newFleet(t)
-	defer f.end()
-	watch := f.service.call(t)
-	io.WriteString(watch, listHead+f.list(1, true, "Ready", "  "))
-	f.settles("the list", time.Now().Add(patience), func(a string) bool { return a != "" })
-	io.WriteString(watch, "\n"+f.list(2, false, "Terminating", "\t")+"\n")
-	f.settles("the change", time.Now().Add(patience), func(a string) bool { return a == "1" })
-	io.WriteString(watch, f.list(3, true, "Ready", " "))
-	f.settles("the whole list", time.Now().Add(patience), func(a string) bool { return a != "" })
-	both := map[string]bool{}
+	rig := startRig(t)
+	defer rig.terminate()
+	watch := rig.registry.nextCall(t)
+	io.WriteString(watch, listHead+rig.listJSON(1, true, "Ready", "  "))
+	rig.awaitAnswers("the list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
+	io.WriteString(watch, "\n"+rig.listJSON(2, false, "Terminating", "\t")+"\n")
+	rig.awaitAnswers("the change", time.Now().Add(testTimeout), func(answer string) bool { return answer == "1" })
+	io.WriteString(watch, rig.listJSON(3, true, "Ready", " "))
+	rig.awaitAnswers("the whole list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
+	answeredBy := map[string]bool{}
 	for range 20 {
-		both[f.ask()] = true
+		answeredBy[rig.request()] = true
 	}
-	if !both["0"] || !both["1"] {
-		t.Errorf("answered by %v", both)
+	if !answeredBy["0"] || !answeredBy["1"] {
+		t.Errorf("answered by %v", answeredBy)
 	}
-	if n := len(f.service.calls); n > 0 {
-		t.Errorf("%d more calls: a list was refused", n)
+	if calls := len(rig.registry.calls); calls > 0 {
+		t.Errorf("%d more calls: a list was refused", calls)
 	}
 }
 
 // Wherever discovery falls silent while a server begins to drain, and though the next call is silent as well, no
 // request goes there once it counts as told.
-func TestDrainBehindSilence(t *testing.T) {
-	for name, quiet := range map[string]string{
+func TestDrainAnnouncedAfterSilence(t *testing.T) {
+	for name, partialLine := range map[string]string{
 		"between lines":             "",
 		"in the middle of a line":   `{"rev":2,"all":false,"tar`,
 		"inside of an indented one": "{\n \"rev\": 2,\n",
 	} {
-		for _, again := range []string{"", listHead} {
-			t.Run(fmt.Sprintf("%s, then after %d bytes", name, len(again)), func(t *testing.T) {
+		for _, secondResponse := range []string{"", listHead} {
+			t.Run(fmt.Sprintf("%s, then after %d bytes", name, len(secondResponse)), func(t *testing.T) {
 				t.Parallel()
-				f := newFleet(t)
-				defer f.end()
-				watch := f.service.call(t)
-				io.WriteString(watch, listHead+f.list(1, true, "Ready", ""))
-				f.settles("the list", time.Now().Add(patience), func(a string) bool { return a != "" })
+				rig := startRig(t)
+				defer rig.terminate()
+				watch := rig.registry.nextCall(t)
+				io.WriteString(watch, listHead+rig.listJSON(1, true, "Ready", ""))
+				rig.awaitAnswers("the list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
 				io.WriteString(watch, "\n")
-				silent := time.Now()
-				io.WriteString(watch, quiet)
-				io.WriteString(f.service.call(t), again)
-				io.WriteString(f.service.call(t), listHead+f.list(2, false, "Terminating", ""))
-				f.settles("the drain", silent.Add(toldBy), func(a string) bool { return a == "1" })
+				silentFrom := time.Now()
+				io.WriteString(watch, partialLine)
+				io.WriteString(rig.registry.nextCall(t), secondResponse)
+				io.WriteString(rig.registry.nextCall(t), listHead+rig.listJSON(2, false, "Terminating", ""))
+				rig.awaitAnswers("the drain", silentFrom.Add(notificationDeadline), func(answer string) bool { return answer == "1" })
 			})
 		}
 	}
 }
 
 // After SIGHUP the new service may be silent at first, and the old one tells nothing more.
-func TestDrainBehindSilentMove(t *testing.T) {
-	f := newFleet(t)
-	defer f.end()
-	io.WriteString(f.service.call(t), listHead+f.list(1, true, "Ready", ""))
-	f.settles("the list", time.Now().Add(patience), func(a string) bool { return a != "" })
-	next := newService(t)
-	f.hangUp(next.Addr().String())
-	moved := time.Now()
-	next.call(t)
-	io.WriteString(next.call(t), listHead+f.list(1, true, "Terminating", strings.Repeat(" ", 2)))
-	f.settles("the drain", moved.Add(4*time.Second+750*time.Millisecond), func(a string) bool { return a == "1" })
+func TestDrainAnnouncedAfterSilentAddressChange(t *testing.T) {
+	rig := startRig(t)
+	defer rig.terminate()
+	io.WriteString(rig.registry.nextCall(t), listHead+rig.listJSON(1, true, "Ready", ""))
+	rig.awaitAnswers("the list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
+	next := newFakeRegistry(t)
+	rig.reloadDiscovery(next.Addr().String())
+	movedAt := time.Now()
+	next.nextCall(t)
+	io.WriteString(next.nextCall(t), listHead+rig.listJSON(1, true, "Terminating", strings.Repeat(" ", 2)))
+	rig.awaitAnswers("the drain", movedAt.Add(4*time.Second+750*time.Millisecond), func(answer string) bool { return answer == "1" })
 }
--- a/cmd/silverreel/main.go
+++ b/cmd/silverreel/main.go
@@ -23,41 +23,41 @@
 func run() error {
 	// Before all else and up to the end of the process, as one of these may come at any time: SIGHUP never ends it, and
 	// a second SIGTERM does not kill what is ending well.
-	hup, term := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	signal.Notify(term, syscall.SIGTERM, syscall.SIGINT)
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	reloadSignals, stopSignals := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	signal.Notify(stopSignals, syscall.SIGTERM, syscall.SIGINT)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	go func() {
-		<-term
-		end()
+		<-stopSignals
+		cancel()
 	}()
-	cfg, err := sidecar.LoadConfig(os.Getenv)
+	config, err := sidecar.LoadConfig(os.Getenv)
 	if err != nil {
 		return err
 	}
-	sidecar.Limit(cfg)
-	s, err := sidecar.New(cfg)
+	sidecar.ApplyRuntimeLimits(config)
+	instance, err := sidecar.New(config)
 	if err != nil {
 		return err
 	}
-	go reload(ctx, hup, s)
-	return s.Run(ctx)
+	go reload(ctx, reloadSignals, instance)
+	return instance.Run(ctx)
 }
 
 // reload takes a new configuration over at each SIGHUP. A bad one changes nothing.
-func reload(ctx context.Context, hup <-chan os.Signal, s *sidecar.Sidecar) {
+func reload(ctx context.Context, reloadSignals <-chan os.Signal, instance *sidecar.Sidecar) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hup:
+		case <-reloadSignals:
 		}
-		cfg, err := sidecar.ReloadConfig(os.Getenv)
+		config, err := sidecar.ReloadConfig(os.Getenv)
 		if err != nil {
 			slog.Error("not reloaded, the configuration before holds", "error", err)
 			continue
 		}
-		s.Reload(cfg)
+		instance.Reload(config)
 	}
 }
--- a/cmd/silverreel/main_test.go
+++ b/cmd/silverreel/main_test.go
@@ -16,12 +16,12 @@
 
 // The test binary stands in for the program where the first is set; the second names signals that come last of all.
 const (
-	asProgram   = "SILVERREEL_TEST_AS_PROGRAM"
-	lastSignals = "SILVERREEL_TEST_LAST_SIGNALS"
+	runAsProgram = "SILVERREEL_TEST_AS_PROGRAM"
+	lastSignals  = "SILVERREEL_TEST_LAST_SIGNALS"
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgram) != "" {
 		main()
 		if os.Getenv(lastSignals) != "" {
 			runtime.LockOSThread() // to this very thread they come at once, not on the way out
@@ -34,26 +34,26 @@
 	os.Exit(m.Run())
 }
 
-func program(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
+func newProgram(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.CommandContext(t.Context(), os.Args[0])
-	cmd.Env = append(os.Environ(), asProgram+"=1",
+	command := exec.CommandContext(t.Context(), os.Args[0])
+	command.Env = append(os.Environ(), runAsProgram+"=1",
 		"GORACE=atexit_sleep_ms=0", // the race detector's second at the exit is not the program's
 		"NODE_CONFIG="+path)
 	log := &bytes.Buffer{}
-	cmd.Stderr = log
-	return cmd, log
+	command.Stderr = log
+	return command, log
 }
 
-func TestBadConfigurationEndsTheStart(t *testing.T) {
-	cmd, log := program(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{}}`)
-	err := cmd.Run()
-	exit, is := err.(*exec.ExitError)
-	if !is || exit.ExitCode() != 1 {
+func TestInvalidConfigurationFailsStart(t *testing.T) {
+	command, log := newProgram(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{}}`)
+	err := command.Run()
+	exit, ok := err.(*exec.ExitError)
+	if !ok || exit.ExitCode() != 1 {
 		t.Errorf("ended with %v, want status 1", err)
 	}
 	if text := log.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, "no classes") {
@@ -61,65 +61,65 @@
 	}
 }
 
-func TestBadPlacementAddressEndsTheStart(t *testing.T) {
-	for _, addr := range []string{"agent", "127.0.0.1", "127.0.0.1:0", "agent:80", "127.0.0.1:99999"} {
-		cmd, log := program(t, strings.Replace(config, "{", `{"placement":"`+addr+`",`, 1))
-		err := cmd.Run()
-		exit, is := err.(*exec.ExitError)
-		file := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "NODE_CONFIG=")
+func TestInvalidPlacementAddressFailsStart(t *testing.T) {
+	for _, address := range []string{"agent", "127.0.0.1", "127.0.0.1:0", "agent:80", "127.0.0.1:99999"} {
+		command, log := newProgram(t, strings.Replace(config, "{", `{"placement":"`+address+`",`, 1))
+		err := command.Run()
+		exit, ok := err.(*exec.ExitError)
+		file := strings.TrimPrefix(command.Env[len(command.Env)-1], "NODE_CONFIG=")
 		text := log.String()
-		if !is || exit.ExitCode() != 1 || strings.Count(text, "\n") != 1 || !strings.Contains(text, file+": placement: ") {
-			t.Errorf("%s: %v, %q, want status 1 and one line that names the file and the key", addr, err, text)
+		if !ok || exit.ExitCode() != 1 || strings.Count(text, "\n") != 1 || !strings.Contains(text, file+": placement: ") {
+			t.Errorf("%s: %v, %q, want status 1 and one line that names the file and the key", address, err, text)
 		}
 	}
 }
 
-// started runs the program until its log names the address where it listens.
-func started(t *testing.T, config string) (cmd *exec.Cmd, lines *bufio.Scanner, addr string) {
+// startProgram runs the program until its log names the address where it listens.
+func startProgram(t *testing.T, config string) (command *exec.Cmd, lines *bufio.Scanner, address string) {
 	t.Helper()
-	cmd, _ = program(t, config)
-	return launch(t, cmd)
+	command, _ = newProgram(t, config)
+	return awaitListening(t, command)
 }
 
-// launch is started for a program that the test prepared.
-func launch(t *testing.T, cmd *exec.Cmd) (_ *exec.Cmd, lines *bufio.Scanner, addr string) {
+// awaitListening is started for a program that the test prepared.
+func awaitListening(t *testing.T, command *exec.Cmd) (_ *exec.Cmd, lines *bufio.Scanner, address string) {
 	t.Helper()
-	lines = begin(t, cmd)
-	late := time.AfterFunc(patience, func() { cmd.Process.Kill() })
-	defer late.Stop()
-	_, addr = logged(t, lines, "listen=")
-	return cmd, lines, addr
+	lines = startWithLog(t, command)
+	watchdog := time.AfterFunc(testTimeout, func() { command.Process.Kill() })
+	defer watchdog.Stop()
+	_, address = awaitLogLine(t, lines, "listen=")
+	return command, lines, address
 }
 
-// begin starts a program and returns its log.
-func begin(t *testing.T, cmd *exec.Cmd) *bufio.Scanner {
+// startWithLog starts a program and returns its log.
+func startWithLog(t *testing.T, command *exec.Cmd) *bufio.Scanner {
 	t.Helper()
-	cmd.Stderr = nil
-	log, err := cmd.StderrPipe()
+	command.Stderr = nil
+	log, err := command.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := cmd.Start(); err != nil {
+	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
 	return bufio.NewScanner(log)
 }
 
-// logged reads on to a line that holds text, and returns it and what follows the text.
-func logged(t *testing.T, lines *bufio.Scanner, text string) (line, after string) {
+// awaitLogLine reads on to a line that holds text, and returns it and what follows the text.
+func awaitLogLine(t *testing.T, lines *bufio.Scanner, marker string) (line, after string) {
 	t.Helper()
 	for lines.Scan() {
-		if _, after, found := strings.Cut(lines.Text(), text); found {
+		if _, after, found := strings.Cut(lines.Text(), marker); found {
 			return lines.Text(), after
 		}
 	}
-	t.Fatalf("the log ends without %q", text)
+	t.Fatalf("the log ends without %q", marker)
 	return "", ""
 }
 
-func end(t *testing.T, cmd *exec.Cmd, lines *bufio.Scanner) {
+func terminate(t *testing.T, command *exec.Cmd, lines *bufio.Scanner) {
 	t.Helper()
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := command.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	for lines.Scan() {
@@ -128,7 +128,7 @@
 			t.Error("it ran out of descriptors")
 		}
 	}
-	if err := cmd.Wait(); err != nil {
+	if err := command.Wait(); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
@@ -136,10 +136,10 @@
 const config = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":
 	{"classes":[{"name":"c","effect":"read_like","on_time_ms":50,"hard_limit_ms":100}]}}`
 
-func TestTermEndsItCleanly(t *testing.T) {
-	cmd, lines, addr := started(t, config)
+func TestTerminationIsClean(t *testing.T) {
+	command, lines, address := startProgram(t, config)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := client.Get("http://" + addr + "/health/ready")
+	resp, err := client.Get("http://" + address + "/health/ready")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,17 +147,17 @@
 	if resp.StatusCode != 200 {
 		t.Errorf("ready check: %s", resp.Status)
 	}
-	end(t, cmd, lines)
+	terminate(t, command, lines)
 }
 
 // SIGHUP takes the file's discovery over, also where the environment named another at the start; a bad file
 // is told in one line and changes nothing.
-func TestHangupReloads(t *testing.T) {
+func TestReloadOnSIGHUP(t *testing.T) {
 	t.Setenv("NODE_DISCOVERY", "127.0.0.1:2")
-	cmd, lines, _ := started(t, config)
+	command, lines, _ := startProgram(t, config)
 	path := ""
-	for _, v := range cmd.Env {
-		if after, found := strings.CutPrefix(v, "NODE_CONFIG="); found {
+	for _, variable := range command.Env {
+		if after, found := strings.CutPrefix(variable, "NODE_CONFIG="); found {
 			path = after
 		}
 	}
@@ -170,12 +170,12 @@
 		if err := os.WriteFile(path, []byte(reload.file), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
+		if err := command.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		if line, _ := logged(t, lines, "reloaded"); !strings.Contains(line, reload.want) {
+		if line, _ := awaitLogLine(t, lines, "reloaded"); !strings.Contains(line, reload.want) {
 			t.Errorf("said %q, want %q", line, reload.want)
 		}
 	}
-	end(t, cmd, lines)
+	terminate(t, command, lines)
 }
--- /dev/null
+++ b/cmd/silverreel/outage_test.go
@@ -0,0 +1,226 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// resetConn ends a connection as the end of its process does.
+func resetConn(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if err := conn.(*net.TCPConn).SetLinger(0); err != nil {
+		t.Error(err)
+	}
+	conn.Close()
+}
+
+// answerAll has a service answer every call from now on, also one that has waited, with the same text.
+func (registry *fakeRegistry) answerAll(t *testing.T, text string) {
+	done := make(chan struct{})
+	var work sync.WaitGroup
+	work.Go(func() {
+		for {
+			select {
+			case conn := <-registry.calls:
+				io.WriteString(conn, text)
+			case <-done:
+				return
+			}
+		}
+	})
+	t.Cleanup(func() { close(done); work.Wait() })
+}
+
+// fillWithClients fills the sidecar with more clients than it has room for: every other one sends a request, gets its answer and
+// rests, the others send nothing.
+func (rig *sidecarRig) fillWithClients() {
+	rig.t.Helper()
+	for i := range 300 {
+		conn, err := net.Dial("tcp", rig.address)
+		if err != nil {
+			rig.t.Fatal(err)
+		}
+		rig.t.Cleanup(func() { conn.Close() })
+		conn.SetDeadline(time.Now().Add(testTimeout))
+		if i%2 == 0 {
+			continue
+		}
+		fmt.Fprintf(conn, "GET /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: %016x\r\nX-Priority-Class: c\r\nX-Timeout-Ms: 1000\r\n\r\n",
+			time.Now().UnixNano())
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		if err != nil || resp.StatusCode != http.StatusOK {
+			rig.t.Fatalf("client %d: %v, %v", i, resp, err)
+		}
+		io.Copy(io.Discard, resp.Body)
+	}
+	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", rig.pid))
+	if err != nil {
+		rig.t.Fatal(err)
+	}
+	rig.t.Logf("%d descriptors are open", len(open))
+}
+
+// Discovery resets the watch, resets calls for a while, and is back with a drain: sends there end within the grace of
+// when it counts as told, also in a large fleet, and also where idle clients fill all descriptors that the system
+// allows. Then SIGHUP is followed, and SIGTERM ends the program in time.
+func TestDiscoveryOutage(t *testing.T) {
+	for _, mode := range []string{"automatic", "subscribe"} {
+		for _, crowded := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, crowded %v", mode, crowded), func(t *testing.T) {
+				t.Parallel()
+				fillWithClients, sockets := func() {}, 0
+				if crowded {
+					sockets = 128
+				}
+				rig := startRigWith(t, mode, 80, sockets)
+				rig.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}} // each request is a new client's
+				if crowded {
+					fillWithClients = rig.fillWithClients
+				}
+				watch := rig.registry.nextCall(t)
+				io.WriteString(watch, listHead+rig.listJSON(1, true, "Ready", ""))
+				rig.awaitAnswers("the list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
+				resetConn(t, watch)
+				fillWithClients()
+				resetConn(t, rig.registry.nextCall(t))
+				resetConn(t, rig.registry.nextCall(t))
+				availableFrom := time.Now()
+				rig.registry.answerAll(t, listHead+rig.listJSON(2, false, "Terminating", ""))
+				rig.awaitAnswers("the drain", availableFrom.Add(notificationDeadline), func(answer string) bool { return answer == "1" })
+
+				fillWithClients()
+				next := newFakeRegistry(t)
+				rig.drainingIndex = 1
+				rig.reloadDiscovery(next.Addr().String())
+				reloadedAt := time.Now()
+				next.answerAll(t, listHead+rig.listJSON(1, true, "Terminating", ""))
+				rig.awaitAnswers("the move", reloadedAt.Add(4*time.Second+750*time.Millisecond), func(answer string) bool { return answer == "0" })
+
+				fillWithClients()
+				terminatedAt := time.Now()
+				rig.terminate()
+				if elapsed := time.Since(terminatedAt); elapsed >= 3700*time.Millisecond { // SIGKILL may come then
+					t.Errorf("it ends %v after SIGTERM", elapsed)
+				}
+			})
+		}
+	}
+}
+
+// Ready does not wait for discovery.
+func TestReadyWithoutDiscovery(t *testing.T) {
+	silent := newFakeRegistry(t)
+	for _, address := range []string{"127.0.0.1:1", silent.Addr().String()} {
+		for _, mode := range []string{"automatic", "subscribe"} {
+			startedAt := time.Now()
+			command, lines, listen := startProgram(t, strings.NewReplacer(
+				"127.0.0.1:1", address, `"classes"`, `"discovery":"`+mode+`","classes"`).Replace(config))
+			resp, err := http.Get("http://" + listen + "/health/ready")
+			if err != nil {
+				t.Fatal(err)
+			}
+			resp.Body.Close()
+			if elapsed := time.Since(startedAt); resp.StatusCode != http.StatusOK || elapsed >= 10*time.Second {
+				t.Errorf("%s at %s: %s after %v", mode, address, resp.Status, elapsed)
+			}
+			terminate(t, command, lines)
+		}
+	}
+}
+
+// A signal that comes while the configuration is read, which is a pipe here, is obeyed once the sidecar is ready.
+func TestSignalsDuringStart(t *testing.T) {
+	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP} {
+		command, _ := newProgram(t, config)
+		path := strings.TrimPrefix(command.Env[len(command.Env)-1], "NODE_CONFIG=")
+		if err := os.Remove(path); err != nil {
+			t.Fatal(err)
+		}
+		if err := syscall.Mkfifo(path, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		written := make(chan error, 1)
+		writeConfig := func(text string, before func() error) { // once the program reads
+			file, err := os.OpenFile(path, os.O_WRONLY, 0)
+			if err == nil {
+				err = before()
+				io.WriteString(file, text)
+				file.Close()
+			}
+			written <- err
+		}
+		lines := startWithLog(t, command)
+		watchdog := time.AfterFunc(testTimeout, func() { command.Process.Kill() })
+		defer watchdog.Stop()
+		go writeConfig(config, func() error { return command.Process.Signal(sig) })
+		awaitLogLine(t, lines, "listen=")
+		if err := <-written; err != nil {
+			t.Fatal(err)
+		}
+		if sig == syscall.SIGHUP {
+			go writeConfig(strings.Replace(config, "127.0.0.1:1", "127.0.0.1:3", 1), func() error { return nil })
+			if line, _ := awaitLogLine(t, lines, "reloaded"); !strings.Contains(line, "discovery=127.0.0.1:3") {
+				t.Errorf("said %q", line)
+			}
+			if err := <-written; err != nil {
+				t.Fatal(err)
+			}
+			terminate(t, command, lines)
+			continue
+		}
+		awaitLogLine(t, lines, "drained")
+		if err := command.Wait(); err != nil {
+			t.Errorf("ended with %v", err)
+		}
+	}
+}
+
+// A further signal during the drain, or in the last moment of the process, costs nothing: the request under way has its
+// answer, and the program ends in good order.
+func TestSignalsDuringDrain(t *testing.T) {
+	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP} {
+		t.Run(sig.String(), func(t *testing.T) {
+			arrived, release := make(chan struct{}), make(chan struct{})
+			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				close(arrived)
+				<-release
+				fmt.Fprint(w, "0")
+			}))
+			defer server.Close()
+			command, _ := newProgram(t, strings.NewReplacer(`"seed"`, fmt.Sprintf(`"known":{"rev":1,"all":true,"targets":[
+				{"uid":"s0","endpoint":%q,"state":"Ready","capacity_hint":1}]},"seed"`, server.Listener.Addr()),
+				"50", "1500", "100", "2000").Replace(config))
+			command.Env = append(command.Env, lastSignals+"=1")
+			command, lines, address := awaitListening(t, command)
+			rig := &sidecarRig{t: t, address: address, client: &http.Client{}}
+			answer := make(chan string, 1)
+			go func() { answer <- rig.request() }()
+			<-arrived
+			if err := command.Process.Signal(syscall.SIGTERM); err != nil {
+				t.Fatal(err)
+			}
+			awaitLogLine(t, lines, "draining")
+			if err := command.Process.Signal(sig); err != nil {
+				t.Fatal(err)
+			}
+			close(release)
+			if got := <-answer; got != "0" {
+				t.Errorf("answered %q", got)
+			}
+			awaitLogLine(t, lines, "drained")
+			if err := command.Wait(); err != nil {
+				t.Errorf("ended with %v", err)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/sidecar/attempt_start_test.go
@@ -0,0 +1,279 @@
+package sidecar
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"milldeck/balance"
+)
+
+// blockedDial is a dialer's hook that holds a connection back before it comes up.
+type blockedDial struct{ started, release chan struct{} }
+
+func blockDials(pool *connPool) blockedDial {
+	blocked := blockedDial{make(chan struct{}, 8), make(chan struct{})}
+	pool.dialer.Control = func(string, string, syscall.RawConn) error {
+		blocked.started <- struct{}{}
+		<-blocked.release
+		return nil
+	}
+	return blocked
+}
+
+// What discovery may tell of a server between the decision for it and the first byte.
+func endpointRemovals(server *backend) map[string]endpointUpdate {
+	updateWith := func(kind balance.UpdateKind, change func(*endpoint)) endpointUpdate {
+		changed := server.endpoint
+		change(&changed)
+		return endpointUpdate{kind: kind, endpoints: endpointList{Revision: 2, Endpoints: []endpoint{changed}}}
+	}
+	return map[string]endpointUpdate{
+		"drains":   updateWith(balance.UpdateDelta, func(changed *endpoint) { changed.State = "Terminating" }),
+		"is gone":  updateWith(balance.UpdateDelta, func(changed *endpoint) { changed.State = "Gone" }),
+		"restarts": updateWith(balance.UpdateDelta, func(changed *endpoint) { changed.BootMS = 1e12 }),
+		"moves":    updateWith(balance.UpdateDelta, func(changed *endpoint) { changed.Address = "127.0.0.1:1" }),
+		"unlisted": updateWith(balance.UpdateFull, func(changed *endpoint) { changed.UID = "z" }),
+	}
+}
+
+// A server that drains, goes or restarts between decision and first byte gets nothing, neither on a kept connection nor
+// on one that was being dialled. The attempt never ran, and the request goes elsewhere, also an unsafe one.
+func TestEndpointRemovedBeforeFirstByte(t *testing.T) {
+	for _, reused := range []bool{true, false} {
+		server := newBackend(t, "a", serveOK)
+		for name, removal := range endpointRemovals(server) {
+			t.Run(fmt.Sprintf("%s, connection kept %v", name, reused), func(t *testing.T) {
+				other := newBackend(t, "b", serveOK)
+				var dials blockedDial
+				loop := newSteppedLoop(t, newConfigDocument("127.0.0.1:1", server.endpoint), func(pool *connPool) {
+					if !reused {
+						dials = blockDials(pool)
+					}
+				})
+				if reused { // leaves a connection
+					call := loop.submit("charge")
+					loop.handleEvent(loop.nowMS(), loop.nextCompleted())
+					loop.takeResponse(call)
+				}
+				before := server.requests.Load()
+				call := loop.newCall("charge")
+				call.writeMu.Lock() // held back at the last check
+				loop.handleEvent(loop.nowMS(), requestArrived{call})
+				if !reused {
+					receiveWithin(t, "the dial", dials.started)
+				} else {
+					waitUntil(t, "the kept connection to be taken", func() bool {
+						loop.pool.mu.Lock()
+						defer loop.pool.mu.Unlock()
+						return len(loop.pool.withIdle) == 0
+					})
+				}
+				loop.applyEndpointUpdate(loop.nowMS(), endpointUpdate{kind: balance.UpdateDelta, endpoints: endpointList{Revision: 2, Endpoints: []endpoint{other.endpoint}}})
+				loop.applyEndpointUpdate(loop.nowMS(), removal)
+				if !reused {
+					close(dials.release)
+				}
+				call.writeMu.Unlock()
+				event := loop.nextCompleted()
+				if event.exchange.outcome != balance.Obsolete {
+					t.Fatalf("result %v, want it moot", event.exchange.outcome)
+				}
+				if name == "unlisted" { // the full list named only one more, which answers nowhere
+					loop.applyEndpointUpdate(loop.nowMS(), endpointUpdate{kind: balance.UpdateFull, endpoints: endpointList{Revision: 3, Endpoints: []endpoint{other.endpoint}}})
+				}
+				loop.handleEvent(loop.nowMS(), event)
+				loop.handleEvent(loop.nowMS(), loop.nextCompleted())
+				if resp := loop.takeResponse(call); resp.status != 200 || other.requests.Load() != 1 {
+					t.Errorf("%+v, %d requests at the other server", resp, other.requests.Load())
+				}
+				if requests := server.requests.Load() - before; requests != 0 {
+					t.Errorf("%d requests came to the server that went", requests)
+				}
+				loop.assertReleased(call)
+			})
+		}
+	}
+}
+
+// A request that is given up while its connection comes up, or at the last check, is not written, and its connection goes.
+func TestCallEndedBeforeFirstByte(t *testing.T) {
+	endings := map[string]func(loop *steppedLoop, call *call){
+		"hang-up": func(loop *steppedLoop, call *call) { loop.disconnect(call) },
+		"time-out": func(loop *steppedLoop, call *call) {
+			loop.runDueTimers(loop.clock.unixMS(call.deadline) + 1)
+			if resp := loop.takeResponse(call); resp.status != statusTimedOut { // at once, though the attempt is not over
+				loop.t.Errorf("%+v", resp)
+			}
+		},
+	}
+	for name, end := range endings {
+		for _, dialling := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, while dialling %v", name, dialling), func(t *testing.T) {
+				server := newBackend(t, "a", serveOK)
+				var dials blockedDial
+				loop := newSteppedLoop(t, newConfigDocument("127.0.0.1:1", server.endpoint), func(pool *connPool) { dials = blockDials(pool) })
+				call := loop.newCall("charge")
+				if !dialling {
+					call.writeMu.Lock()
+				}
+				loop.handleEvent(loop.nowMS(), requestArrived{call})
+				receiveWithin(t, "the dial", dials.started)
+				if dialling {
+					end(loop, call)
+					close(dials.release)
+				} else {
+					close(dials.release)
+					waitUntil(t, "the connection to come up", func() bool { return server.conns.Load() == 1 })
+					end(loop, call)
+					call.writeMu.Unlock()
+				}
+				event := loop.nextCompleted()
+				if event.exchange.outcome != balance.Obsolete || event.attempt.fullyWritten.Load() {
+					t.Errorf("%+v, sent %v", event.exchange, event.attempt.fullyWritten.Load())
+				}
+				loop.handleEvent(loop.nowMS(), event)
+				loop.assertReleased(call)
+				if loop.pool.openConns != 0 || server.requests.Load() != 0 {
+					t.Errorf("%d connections open, %d requests at the server", loop.pool.openConns, server.requests.Load())
+				}
+			})
+		}
+	}
+}
+
+// newFullListener listens, but its queue of connections is full: new ones come up once the fillers are accepted.
+func newFullListener(t *testing.T) (listener net.Listener, fillers int) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
+	rawConn, err := listener.(*net.TCPListener).SyscallConn()
+	if err == nil {
+		rawConn.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) })
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	for ; ; fillers++ {
+		conn, err := net.DialTimeout("tcp", listener.Addr().String(), 100*time.Millisecond)
+		if err != nil {
+			return listener, fillers
+		}
+		t.Cleanup(func() { conn.Close() })
+	}
+}
+
+// A connection that comes up after the time for it, or after its request, carries nothing and is not left behind.
+func TestLateConnectionCarriesNothing(t *testing.T) {
+	for name, test := range map[string]struct {
+		setting string
+		timeout time.Duration
+		status  int
+	}{
+		"after the connect time-out": {`"connect_timeout_ms": 50`, 2 * time.Second, statusRejected},
+		"after the request":          {`"connect_timeout_ms": 60000`, 100 * time.Millisecond, statusTimedOut},
+	} {
+		t.Run(name, func(t *testing.T) {
+			listener, fillers := newFullListener(t)
+			document := newConfigDocument(newFakeRegistry(t).address(), readyEndpoint("a", listener.Addr().String())).replaceSetting(`"connect_timeout_ms": 100`, test.setting)
+			sidecar := startSidecar(t, document)
+			if got := sidecar.do(sidecar.newRequest("charge", test.timeout)); got.status != test.status {
+				t.Errorf("%+v, want %d", got, test.status)
+			}
+			waitUntil(t, "the descriptor to be free", func() bool {
+				sidecar.loop.pool.mu.Lock()
+				defer sidecar.loop.pool.mu.Unlock()
+				return sidecar.loop.pool.openConns == 0
+			})
+			accept := func() net.Conn {
+				conn, err := listener.Accept()
+				if err != nil {
+					t.Fatal(err)
+				}
+				t.Cleanup(func() { conn.Close() })
+				return conn
+			}
+			for range fillers {
+				accept() // there is room again: what comes next is the next request
+			}
+			answered := sidecar.doAsync(sidecar.newRequest("charge", 2*time.Second))
+			conn := accept()
+			if !readsCompleteRequest(t, conn) {
+				t.Error("the first connection to come up carries no whole request")
+			}
+			serveOK(conn, nil, "")
+			if got := receiveWithin(t, "the answer", answered); got.status != 200 {
+				t.Errorf("%+v", got)
+			}
+		})
+	}
+}
+
+// Nothing is known of servers when this machine has no socket left: they are not blamed, the request is turned away
+// unsent, and the server serves again once there is room.
+func TestSocketExhaustionIsNotBlamedOnServer(t *testing.T) {
+	for name, exhaust := range map[string]func(pool *connPool, full bool){
+		"own bound": func(pool *connPool, full bool) {
+			pool.mu.Lock()
+			defer pool.mu.Unlock()
+			if pool.maxConns = 10; full {
+				pool.maxConns = pool.openConns
+			}
+		},
+		"process": func(pool *connPool, full bool) { pool.dialer.Control = dialErrorControl(full, syscall.EMFILE) },
+		"machine": func(pool *connPool, full bool) { pool.dialer.Control = dialErrorControl(full, syscall.ENFILE) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			release := make(chan struct{})
+			server := newBackend(t, "a", func(conn net.Conn, r *http.Request, body string) bool {
+				<-release
+				return serveOK(conn, r, body)
+			})
+			serve := sync.OnceFunc(func() { close(release) })
+			t.Cleanup(serve)
+			loop := newSteppedLoop(t, newConfigDocument("127.0.0.1:1", server.endpoint))
+			first := loop.submit("charge")
+			waitUntil(t, "the first request at the server", func() bool { return server.requests.Load() == 1 })
+			exhaust(loop.pool, true)
+			second := loop.submit("charge")
+			event := loop.nextCompleted()
+			if event.attempt.call != second || event.exchange.outcome != balance.Obsolete {
+				t.Errorf("%+v, want the second moot", event.exchange)
+			}
+			loop.handleEvent(loop.nowMS(), event)
+			serve()
+			loop.handleEvent(loop.nowMS(), loop.nextCompleted())
+			if resp := loop.takeResponse(first); resp.status != 200 {
+				t.Errorf("%+v", resp)
+			}
+			exhaust(loop.pool, false)
+			loop.pool.closeIdle(loop.readyUpstreams[first.attempts[0].upstream.id])
+			third := loop.submit("charge")
+			loop.handleEvent(loop.nowMS(), loop.nextCompleted())
+			if resp := loop.takeResponse(third); resp.status != 200 {
+				t.Errorf("%+v", resp)
+			}
+			loop.runDueTimers(loop.nowMS() + loop.config.settings.Classes[second.request.Class].LatencyObjective) // no other server has come up for it
+			if resp := loop.takeResponse(second); resp.status != statusRejected {
+				t.Errorf("%+v", resp)
+			}
+			loop.assertReleased(second)
+		})
+	}
+}
+
+func dialErrorControl(active bool, err error) func(string, string, syscall.RawConn) error {
+	if !active {
+		return nil
+	}
+	return func(string, string, syscall.RawConn) error { return os.NewSyscallError("socket", err) }
+}
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -18,10 +18,10 @@
 
 // Config is what a sidecar is told at its start.
 type Config struct {
-	Name      string
-	Listen    string // where the application connects
-	Discovery string
-	Placement string // where the placement is told and reports are taken; "": nowhere
+	Name             string
+	ListenAddress    string // where the application connects
+	DiscoveryAddress string
+	PlacementAddress string // where the placement is told and reports are taken; "": nowhere
 	// Application is the calling application, which is the tenant of all requests where the settings name none.
 	Application string
 	Version     string // a label for reports
@@ -29,51 +29,51 @@
 	MemoryMB    int // 0: no limit
 	Sockets     int // descriptors in all
 
-	balance     balance.Config
-	classes     map[string]int
-	tenants     map[string]int // empty: the site has none
-	zones       map[string]int
-	kinds       map[string]int
-	reportNames []string // of a load report's figures, in the order of balance.Config.Fields
-	connIdle    time.Duration
-	maxOpen     int
-	known       list
-	peers       *peerConfig // nil: no messages between sidecars
+	settings         balance.Config
+	classNumbers     map[string]int
+	tenantNumbers    map[string]int // empty: the site has none
+	zoneNumbers      map[string]int
+	kindNumbers      map[string]int
+	loadReportFields []string // of a load report's figures, in the order of balance.Config.Fields
+	connIdleTimeout  time.Duration
+	maxOpenRequests  int
+	knownEndpoints   endpointList
+	peers            *peerConfig // nil: no messages between sidecars
 }
 
 // defaultSockets holds where the configuration sets no limit.
 const defaultSockets = 1024
 
-// fewestSockets is the least of which clients get a third beside the reserve.
-const fewestSockets = 5 * reservedSockets
+// minSockets is the least of which clients get a third beside the reserve.
+const minSockets = 5 * reservedDescriptors
 
-type named struct {
+type namedEntry struct {
 	Name string `json:"name"`
 }
 
-// file is the configuration's JSON form.
-type file struct {
+// configFile is the configuration's JSON form.
+type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
 	Seed      string `json:"seed"`
-	placementFile
+	placementConfigFile
 	Limits struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	peerFile
-	Known    list            `json:"known"`
+	peerConfigFile
+	Known    endpointList    `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 }
 
-// names is what the sidecar itself reads of the settings: names of what the module counts, and its limits.
-type names struct {
-	Classes []named  `json:"classes"`
-	Tenants []named  `json:"tenants"`
-	Zones   []string `json:"zones"`
-	Kinds   []string `json:"kinds"`
+// settingsNames is what the sidecar itself reads of the settings: names of what the module counts, and its limits.
+type settingsNames struct {
+	Classes []namedEntry `json:"classes"`
+	Tenants []namedEntry `json:"tenants"`
+	Zones   []string     `json:"zones"`
+	Kinds   []string     `json:"kinds"`
 	Report  struct {
 		Fields []string `json:"fields"`
 	} `json:"report"`
@@ -94,22 +94,22 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	var f file
-	if err := json.Unmarshal(data, &f); err != nil {
+	var file configFile
+	if err := json.Unmarshal(data, &file); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	for name, field := range map[string]*string{
-		"NODE_NAME": &f.Name, "NODE_LISTEN": &f.Listen, "NODE_DISCOVERY": &f.Discovery,
+		"NODE_NAME": &file.Name, "NODE_LISTEN": &file.Listen, "NODE_DISCOVERY": &file.Discovery,
 	} {
-		if v := getenv(name); v != "" {
-			*field = v
+		if value := getenv(name); value != "" {
+			*field = value
 		}
 	}
-	cfg, err := f.config()
+	config, err := file.resolve()
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	return cfg, nil
+	return config, nil
 }
 
 // ReloadConfig reads the file again while the sidecar runs. The environment is as old as the process, so for
@@ -123,13 +123,13 @@
 	})
 }
 
-func (f *file) config() (*Config, error) {
-	for name, addr := range map[string]string{"listen": f.Listen, "discovery": f.Discovery} {
-		if _, _, err := net.SplitHostPort(addr); err != nil {
+func (f *configFile) resolve() (*Config, error) {
+	for name, address := range map[string]string{"listen": f.Listen, "discovery": f.Discovery} {
+		if _, _, err := net.SplitHostPort(address); err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	if err := f.placementFile.check(); err != nil {
+	if err := f.placementConfigFile.validate(); err != nil {
 		return nil, err
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
@@ -143,60 +143,60 @@
 	if err != nil {
 		return nil, err
 	}
-	var n names
-	if err := json.Unmarshal(f.Settings, &n); err != nil {
+	var names settingsNames
+	if err := json.Unmarshal(f.Settings, &names); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	cfg := &Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery,
-		Placement: f.Placement, Application: f.Application, Version: f.Version,
+	config := &Config{
+		Name: f.Name, ListenAddress: f.Listen, DiscoveryAddress: f.Discovery,
+		PlacementAddress: f.Placement, Application: f.Application, Version: f.Version,
 		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets,
-		balance: settings, zones: index(n.Zones), kinds: index(n.Kinds), reportNames: n.Report.Fields,
-		connIdle: millis(n.Limits.ConnIdle), maxOpen: n.Limits.MaxOpen, known: f.Known,
+		settings: settings, zoneNumbers: numberByName(names.Zones), kindNumbers: numberByName(names.Kinds), loadReportFields: names.Report.Fields,
+		connIdleTimeout: durationFromMS(names.Limits.ConnIdle), maxOpenRequests: names.Limits.MaxOpen, knownEndpoints: f.Known,
 	}
-	if cfg.Sockets == 0 {
-		cfg.Sockets = defaultSockets
+	if config.Sockets == 0 {
+		config.Sockets = defaultSockets
 	}
-	if cfg.Sockets < fewestSockets || cfg.MemoryMB < 0 || cfg.Cores < 0 {
-		return nil, fmt.Errorf("limits cannot be: %+v (at least %d sockets)", f.Limits, fewestSockets)
+	if config.Sockets < minSockets || config.MemoryMB < 0 || config.Cores < 0 {
+		return nil, fmt.Errorf("limits cannot be: %+v (at least %d sockets)", f.Limits, minSockets)
 	}
-	if err := cfg.known.check(); err != nil {
+	if err := config.knownEndpoints.sanitize(); err != nil {
 		slog.Warn("the known list is not used", "error", err)
-		cfg.known = list{}
+		config.knownEndpoints = endpointList{}
 	}
-	if cfg.balance.AllowGossip {
-		if cfg.peers, err = f.peerFile.config(f.Listen, settings.SidecarIndex, settings.SidecarCount); err != nil {
+	if config.settings.AllowGossip {
+		if config.peers, err = f.peerConfigFile.resolve(f.Listen, settings.SidecarIndex, settings.SidecarCount); err != nil {
 			return nil, err
 		}
 	}
-	cfg.balance.AllowGossip = cfg.peers != nil
-	if cfg.classes, err = indexNamed("classes", n.Classes); err != nil {
+	config.settings.AllowGossip = config.peers != nil
+	if config.classNumbers, err = numberByUniqueName("classes", names.Classes); err != nil {
 		return nil, err
 	}
-	if cfg.tenants, err = indexNamed("tenants", n.Tenants); err != nil {
+	if config.tenantNumbers, err = numberByUniqueName("tenants", names.Tenants); err != nil {
 		return nil, err
 	}
-	return cfg, nil
+	return config, nil
 }
 
-func index(names []string) map[string]int {
-	m := make(map[string]int, len(names))
-	for i, n := range names {
-		m[n] = i
+func numberByName(names []string) map[string]int {
+	numbers := make(map[string]int, len(names))
+	for i, name := range names {
+		numbers[name] = i
 	}
-	return m
+	return numbers
 }
 
-// indexNamed also refuses names by which a request could not tell one class or tenant from another.
-func indexNamed(what string, entries []named) (map[string]int, error) {
-	m := make(map[string]int, len(entries))
-	for i, e := range entries {
-		if _, twice := m[e.Name]; twice || e.Name == "" {
-			return nil, fmt.Errorf("settings: %s: entry %d has no name of its own: %q", what, i, e.Name)
+// numberByUniqueName also refuses names by which a request could not tell one class or tenant from another.
+func numberByUniqueName(section string, entries []namedEntry) (map[string]int, error) {
+	numbers := make(map[string]int, len(entries))
+	for i, entry := range entries {
+		if _, duplicate := numbers[entry.Name]; duplicate || entry.Name == "" {
+			return nil, fmt.Errorf("settings: %s: entry %d has no name of its own: %q", section, i, entry.Name)
 		}
-		m[e.Name] = i
+		numbers[entry.Name] = i
 	}
-	return m, nil
+	return numbers, nil
 }
 
-func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func durationFromMS(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- /dev/null
+++ b/internal/sidecar/discovery_failure_test.go
@@ -0,0 +1,329 @@
+package sidecar
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"milldeck/balance"
+)
+
+// callScript is how discovery meets one call: its connection comes up or does not, and then play has it.
+type callScript struct {
+	name   string
+	dial   func(ctx context.Context) error
+	play   func(far net.Conn)
+	resets bool // its end is a reset
+	silent bool // it takes its time, and discovery may be back meanwhile; else discovery is back right after it
+}
+
+func closeImmediately(remote net.Conn) { remote.Close() }
+
+var failureScripts = []callScript{
+	{name: "refused", dial: func(context.Context) error { return syscall.ECONNREFUSED }},
+	{name: "reset", play: closeImmediately, resets: true},
+	{name: "503", play: func(remote net.Conn) {
+		io.WriteString(remote, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+	}},
+	{name: "closed at once", play: closeImmediately},
+	{name: "silent", play: func(net.Conn) {}, silent: true},
+	{name: "not coming up", silent: true, dial: func(ctx context.Context) error {
+		select { // as the dialer does, which this stands in for
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(dialTimeout):
+			return os.ErrDeadlineExceeded
+		}
+	}},
+}
+
+// resetConnReader reads a reset where its peer closed.
+type resetConnReader struct{ net.Conn }
+
+func (r resetConnReader) Read(buffer []byte) (int, error) {
+	n, err := r.Conn.Read(buffer)
+	if err == io.EOF {
+		err = syscall.ECONNRESET
+	}
+	return n, err
+}
+
+// runAgainstScript runs a sidecar's loop under a fake clock against a discovery that meets call after call as the row says and
+// the one after it with list 9. Before, it may have had a watch that was closed, or be moved from one that stood.
+// follows returns when each call of the row came and when list 9 was in hand.
+func runAgainstScript(t *testing.T, mode, before string, seed int, script []callScript) (calls []time.Time, receivedAt time.Time) {
+	document := newConfigDocument("127.0.0.1:1").replaceSetting(`"subscribe"`, fmt.Sprintf(`%q, "peers_total": 80`, mode))
+	document["seed"] = fmt.Sprintf("%x", seed)
+	config, err := document.load(t)
+	if err != nil {
+		t.Fatal(err)
+	}
+	balancer, err := balance.New(config.settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	synctest.Test(t, func(t *testing.T) {
+		established := make(chan net.Conn, 1)
+		if before != "start" {
+			script = append([]callScript{{play: func(remote net.Conn) { io.WriteString(remote, streamHeader+firstList); established <- remote }}}, script...)
+		}
+		listSent := make(chan struct{})
+		script := append(script, callScript{play: func(remote net.Conn) {
+			io.WriteString(remote, streamHeader+strings.Replace(firstList, "1", "9", 1))
+			close(listSent)
+		}})
+		loop := newEventLoop(config, balancer, newConnPool(config, 100, &byteBudget{}))
+		loop.discovery = newDiscoveryClient(config.DiscoveryAddress, loop.post, func(task func()) { loop.workers.Go(task) })
+		var work sync.WaitGroup
+		loop.discovery.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
+			step := script[min(len(calls), len(script)-1)]
+			calls = append(calls, time.Now())
+			if step.dial != nil {
+				return nil, step.dial(ctx)
+			}
+			local, remote := net.Pipe()
+			work.Go(func() {
+				defer remote.Close()
+				if _, err := http.ReadRequest(bufio.NewReader(remote)); err == nil {
+					step.play(remote)
+					io.Copy(io.Discard, remote) // silent, until the sidecar gives the call up
+				}
+			})
+			if step.resets {
+				return resetConnReader{local}, nil
+			}
+			return local, nil
+		}
+		ctx, cancel := context.WithCancel(t.Context())
+		work.Go(func() { loop.run(ctx) })
+		if before != "start" {
+			watch := <-established
+			synctest.Wait()
+			if before == "moved" {
+				loop.post(discoveryAddressChanged{"127.0.0.1:2"})
+			} else {
+				watch.Close()
+			}
+		}
+		select {
+		case <-listSent:
+		case <-time.After(5 * time.Minute):
+		}
+		receivedAt = time.Now()
+		if synctest.Wait(); loop.discovery.revision.Load() != 9 {
+			t.Error("the list is not in hand")
+		}
+		cancel()
+		work.Wait()
+	})
+	if before != "start" {
+		calls = calls[1:]
+	}
+	return calls, receivedAt
+}
+
+// However the last one or two calls fail, and after however many, what discovery has is in hand before it counts as
+// told: 6 s after it can be reached. That is the instant of a call that failed at once, as discovery may be back right
+// after it, and the beginning of one that was silent.
+func TestFailedCallsEndBeforeNotificationDeadline(t *testing.T) {
+	for _, mode := range []string{"automatic", "subscribe"} {
+		for _, before := range []string{"start", "closed", "moved"} {
+			for _, outage := range []int{0, 6} { // calls refused before
+				worst := map[string]time.Duration{}
+				for lastIndex, last := range failureScripts {
+					for otherIndex, other := range append([]callScript{{name: ""}}, failureScripts...) {
+						script := make([]callScript, outage, outage+3)
+						for i := range script {
+							script[i] = failureScripts[0]
+						}
+						firstFailure := outage
+						if other.name != "" {
+							script = append(script, other)
+							if !other.silent && !last.silent {
+								firstFailure++
+							}
+						}
+						script = append(script, last)
+						calls, receivedAt := runAgainstScript(t, mode, before, 10*lastIndex+otherIndex+1, script)
+						elapsed := receivedAt.Sub(calls[firstFailure])
+						if elapsed >= notificationDeadline {
+							t.Errorf("%s, %s, %d refused, then %q, then %q: %v", mode, before, outage, other.name, last.name, elapsed)
+						}
+						kind := fmt.Sprintf("%d in a row, silent %v", len(script)-firstFailure, other.silent || last.silent)
+						worst[kind] = max(worst[kind], elapsed)
+					}
+				}
+				t.Logf("worst, %s, %s, %d refused before: %v", mode, before, outage, worst)
+			}
+		}
+	}
+}
+
+// Only an answer that refuses a call after a while tells the module of a queue at discovery. The third silent call in a
+// row waits longer, as in a queue one given up goes to the end; after a sign of life the count begins anew.
+func TestQueuedCallsAreReported(t *testing.T) {
+	rejectCall, queueTime := failureScripts[2].play, 4*time.Second
+	after := func(wait time.Duration, play func(net.Conn)) func(net.Conn) {
+		return func(remote net.Conn) { time.Sleep(wait); play(remote) }
+	}
+	sendHeartbeat := func(remote net.Conn) { io.WriteString(remote, streamHeader+"\n") }
+	stall := func(net.Conn) {}
+	closeAfterHeartbeat := func(remote net.Conn) {
+		sendHeartbeat(remote)
+		after(minQueuedTime, closeImmediately)(remote)
+	}
+	for name, test := range map[string]struct {
+		scripts []func(net.Conn)
+		queued  bool
+		calls   int
+	}{
+		"refused at once":         {[]func(net.Conn){rejectCall}, false, 1},
+		"refused after a wait":    {[]func(net.Conn){after(minQueuedTime, rejectCall)}, true, 1},
+		"closed after a wait":     {[]func(net.Conn){after(minQueuedTime, closeImmediately)}, false, 1},
+		"stood, then closed":      {[]func(net.Conn){closeAfterHeartbeat}, false, 1},
+		"the first of a queue":    {[]func(net.Conn){after(queueTime, rejectCall), rejectCall}, false, 2},
+		"the third of a queue":    {[]func(net.Conn){stall, stall, after(queueTime, rejectCall)}, true, 3},
+		"a silence after a watch": {[]func(net.Conn){stall, stall, sendHeartbeat, after(queueTime, rejectCall), rejectCall}, false, 5},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				scripted := &scriptedDiscovery{scripts: test.scripts}
+				updates := make(chan endpointUpdate, 1)
+				var work sync.WaitGroup
+				client := newDiscoveryClient("127.0.0.1:1", func(event any) { updates <- event.(endpointUpdate) }, func(front func()) { work.Go(front) })
+				client.client.Transport.(*http.Transport).DialContext = scripted.dial
+				client.watch(t.Context())
+				select {
+				case update := <-updates:
+					if update.kind != balance.UpdateFailed || update.unqueued == test.queued || scripted.calls != test.calls {
+						t.Errorf("%+v after %d calls", update, scripted.calls)
+					}
+				case <-time.After(5 * time.Minute):
+					t.Error("no report in five minutes")
+				}
+				client.cancel()
+				work.Wait()
+				scripted.work.Wait()
+			})
+		})
+	}
+}
+
+// A list that comes before the sidecar takes its first connection holds at once, whether the known one's rev is older or
+// newer, and a drain in it is obeyed by the first request.
+func TestListBeforeFirstRequest(t *testing.T) {
+	for _, known := range []int64{1, 5, 900} {
+		for _, complete := range []bool{true, false} {
+			serverA, serverB := newBackend(t, "a", serveOK), newBackend(t, "b", serveOK)
+			registry := newFakeRegistry(t)
+			document := newConfigDocument(registry.address())
+			document["known"] = endpointList{Revision: known, Complete: true, Endpoints: []endpoint{serverA.endpoint}}
+			var serve func()
+			sidecar := startSidecar(t, document, func(sidecar *Sidecar) {
+				sidecar.frontend.listener.mu.Lock() // no connection is taken before that
+				serve = sync.OnceFunc(sidecar.frontend.listener.mu.Unlock)
+			})
+			defer serve()
+			answers := sidecar.doAsync(sidecar.newRequest("charge", 2*time.Second))
+			watch := receiveWithin(t, "the watch", registry.calls)
+			if want := fmt.Sprintf("watch=1&after=%d", known); watch.query != want {
+				t.Errorf("asked %q, want %q", watch.query, want)
+			}
+			update := listWithState(6, serverA, serverB, "Terminating")
+			update.Complete = complete
+			watch.sendList(t, update)
+			waitUntil(t, "the list", func() bool { return sidecar.loop.discovery.revision.Load() == 6 })
+			serve()
+			if got := <-answers; got.status != 200 || serverA.requests.Load() != 0 || serverB.requests.Load() != 1 {
+				t.Errorf("known %d, whole %v: %+v, %d sent to the one that drains", known, complete, got, serverA.requests.Load())
+			}
+		}
+	}
+}
+
+// A list and the first request come in one batch, in either order: with no server known the request has its answer, and
+// after the news of a drain nothing begins there.
+func TestListInSameBatchAsFirstRequest(t *testing.T) {
+	for _, first := range []string{"list", "request"} {
+		for _, known := range []bool{false, true} {
+			serverA, serverB := newBackend(t, "a", serveOK), newBackend(t, "b", serveOK)
+			blocked, release := make(chan struct{}), make(chan struct{})
+			resume := sync.OnceFunc(func() { close(release) })
+			defer resume()
+			document := newConfigDocument(newFakeRegistry(t).address())
+			if known {
+				document["known"] = endpointList{Revision: 1, Complete: true, Endpoints: []endpoint{serverA.endpoint}}
+			}
+			sidecar := startSidecar(t, document, func(sidecar *Sidecar) {
+				sidecar.loop.discovery.spawn = func(func()) { // the loop stands still as it opens its watch
+					close(blocked)
+					<-release
+				}
+			})
+			receiveWithin(t, "the loop to stand", blocked)
+			var answers <-chan clientResult
+			for _, event := range []string{first, "the other"} {
+				waiting := len(sidecar.loop.events)
+				if event == "list" || event == "the other" && first == "request" {
+					sidecar.loop.post(endpointUpdate{kind: balance.UpdateFull, endpoints: listWithState(2, serverA, serverB, "Terminating")})
+				} else {
+					answers = sidecar.doAsync(sidecar.newRequest("charge", time.Second))
+				}
+				waitUntil(t, event, func() bool { return len(sidecar.loop.events) == waiting+1 })
+			}
+			resume()
+			if got := <-answers; got.status != 200 || first == "list" && serverA.requests.Load() > 0 {
+				t.Errorf("%s first, known %v: %+v, %d sent to the one that drains", first, known, got, serverA.requests.Load())
+			}
+		}
+	}
+}
+
+// SIGHUP leads to another service and back, with and without a call there, and then names the same one again: the first
+// is asked from the beginning, what the other one told late counts for nothing, and a watch that stands is left alone.
+func TestAddressChangedThereAndBack(t *testing.T) {
+	for _, mode := range []string{"subscribe", "automatic"} {
+		for _, called := range []bool{true, false} {
+			serverA, serverB := newBackend(t, "a", serveOK), newBackend(t, "b", serveOK)
+			first, second := newFakeRegistry(t), newFakeRegistry(t)
+			sidecar := startSidecar(t, newConfigDocument(first.address(), serverA.endpoint).replaceSetting(`"subscribe"`, fmt.Sprintf("%q", mode)))
+			watch := receiveWithin(t, "the watch", first.calls)
+			watch.sendList(t, endpointList{Revision: 5, Complete: true, Endpoints: []endpoint{serverA.endpoint}})
+			waitUntil(t, "the list", func() bool { return sidecar.loop.discovery.revision.Load() == 5 })
+			sidecar.reloadDiscovery(second.address())
+			if called {
+				call := receiveWithin(t, "the call elsewhere", second.calls)
+				sidecar.reloadDiscovery(first.address())
+				receiveWithin(t, "the call elsewhere to end", call.disconnected)
+			} else {
+				sidecar.reloadDiscovery(first.address())
+			}
+			receiveWithin(t, "the first watch to end", watch.disconnected)
+			if watch = receiveWithin(t, "the watch again", first.calls); watch.query != "watch=1" {
+				t.Errorf("asked %q", watch.query)
+			}
+			sidecar.loop.post(endpointUpdate{generation: 1, endpoints: listWithState(9, serverA, serverB, "Gone")}) // queued from elsewhere
+			watch.sendList(t, endpointList{Revision: 3, Endpoints: []endpoint{serverA.endpoint}})
+			waitUntil(t, "the list from the first", func() bool { return sidecar.loop.discovery.revision.Load() == 3 })
+			sidecar.reloadDiscovery(first.address())
+			if got := sidecar.do(sidecar.newRequest("charge", time.Second)); got.status != 200 || serverA.requests.Load() != 1 {
+				t.Errorf("%+v", got)
+			}
+			watch.sendList(t, listWithState(4, serverA, serverB, "Terminating"))
+			waitUntil(t, "the change", func() bool { return sidecar.loop.discovery.revision.Load() == 4 })
+			if got := sidecar.do(sidecar.newRequest("charge", time.Second)); got.status != 200 || serverB.requests.Load() != 1 || len(first.calls) > 0 {
+				t.Errorf("%+v, %d more calls", got, len(first.calls))
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/sidecar/discovery_silence_test.go
@@ -0,0 +1,199 @@
+package sidecar
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"milldeck/balance"
+)
+
+// notificationDeadline is after what time a silent watch counts as told of what it misses, whether it is or not.
+const notificationDeadline = 6 * time.Second
+
+const (
+	streamHeader = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+	firstList    = `{"rev":1,"all":true,"targets":[]}` + "\n"
+)
+
+// scriptedDiscovery is a discovery under a fake clock: each call is played by the next script, the last one again and again.
+type scriptedDiscovery struct {
+	scripts []func(c net.Conn)
+	calls   int
+	work    sync.WaitGroup
+}
+
+func (scripted *scriptedDiscovery) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+	local, remote := net.Pipe()
+	play := scripted.scripts[min(scripted.calls, len(scripted.scripts)-1)]
+	scripted.calls++
+	scripted.work.Go(func() {
+		defer remote.Close()
+		if _, err := http.ReadRequest(bufio.NewReader(remote)); err != nil {
+			return
+		}
+		play(remote)
+		io.Copy(io.Discard, remote) // silent, until the sidecar gives the call up
+	})
+	return local, nil
+}
+
+// Where silence may begin; each script says in quiet when it did.
+var silenceScripts = map[string]func(conn net.Conn, silenceBegins func()){
+	"before the first byte": func(conn net.Conn, silenceBegins func()) { silenceBegins() },
+	"in the head":           func(conn net.Conn, silenceBegins func()) { silenceBegins(); io.WriteString(conn, streamHeader[:20]) },
+	"after the head":        func(conn net.Conn, silenceBegins func()) { silenceBegins(); io.WriteString(conn, streamHeader) },
+	"after the first list": func(conn net.Conn, silenceBegins func()) {
+		io.WriteString(conn, streamHeader+firstList)
+		silenceBegins()
+	},
+	"after an empty line": func(conn net.Conn, silenceBegins func()) {
+		io.WriteString(conn, streamHeader+firstList)
+		for range 3 {
+			time.Sleep(2 * time.Second)
+			io.WriteString(conn, "\n")
+		}
+		silenceBegins()
+	},
+	"in the middle of a line": func(conn net.Conn, silenceBegins func()) {
+		io.WriteString(conn, streamHeader+firstList)
+		silenceBegins()
+		io.WriteString(conn, `{"rev":2,"all":fal`)
+	},
+	"by trickling bytes": func(conn net.Conn, silenceBegins func()) {
+		io.WriteString(conn, streamHeader+firstList)
+		silenceBegins()
+		for _, char := range []byte(`{"rev":2,"all":false,"targets":[{"uid":"a"}]`) {
+			if _, err := conn.Write([]byte{char}); err != nil {
+				return
+			}
+			time.Sleep(500 * time.Millisecond)
+		}
+	},
+	"by empty lines inside a list": func(conn net.Conn, silenceBegins func()) {
+		io.WriteString(conn, streamHeader+firstList)
+		silenceBegins()
+		for _, err := io.WriteString(conn, "{\n"); err == nil; _, err = io.WriteString(conn, "\n  \n") {
+			time.Sleep(time.Second)
+		}
+	},
+}
+
+// measureSilence plays a way of silence, calls that are silent from the start up to so many in a row, and then a discovery that answers at once, and returns the time from
+// the beginning of the first silence to the next list in hand.
+func measureSilence(t *testing.T, script func(net.Conn, func()), silentCalls int, follow func(*discoveryClient, context.Context)) time.Duration {
+	var silentFrom, receivedAt time.Time
+	synctest.Test(t, func(t *testing.T) {
+		scripted := &scriptedDiscovery{}
+		var once sync.Once
+		silenceBegins := func() { once.Do(func() { silentFrom = time.Now() }) }
+		scripted.scripts = append(scripted.scripts, func(conn net.Conn) { script(conn, silenceBegins) })
+		for range silentCalls - 1 {
+			scripted.scripts = append(scripted.scripts, func(net.Conn) {})
+		}
+		scripted.scripts = append(scripted.scripts, func(conn net.Conn) {
+			io.WriteString(conn, streamHeader+strings.Replace(firstList, "1", "9", 1))
+		})
+		ctx, cancel := context.WithCancel(t.Context())
+		received := make(chan struct{})
+		var work sync.WaitGroup
+		client := newDiscoveryClient("127.0.0.1:1", func(event any) {
+			if update := event.(endpointUpdate); update.kind != balance.UpdateFailed && update.endpoints.Revision == 9 && receivedAt.IsZero() {
+				receivedAt = time.Now()
+				close(received)
+			}
+		}, func(front func()) { work.Go(front) })
+		client.client.Transport.(*http.Transport).DialContext = scripted.dial
+		follow(client, ctx)
+		select {
+		case <-received:
+		case <-time.After(time.Minute):
+			t.Error("no list within a minute")
+		}
+		cancel()
+		work.Wait()
+		scripted.work.Wait()
+	})
+	return receivedAt.Sub(silentFrom)
+}
+
+// Wherever a watch falls silent, and though the next calls do as well, the list is in hand before it counts as told.
+func TestSilenceEndsBeforeNotificationDeadline(t *testing.T) {
+	worst := map[string]time.Duration{}
+	for name, script := range silenceScripts {
+		for silentCalls := 1; silentCalls <= 3; silentCalls++ {
+			elapsed := measureSilence(t, script, silentCalls, (*discoveryClient).subscribe)
+			if elapsed >= notificationDeadline {
+				t.Errorf("pushed, silent %s, %d times in a row: %v", name, silentCalls, elapsed)
+			}
+			key := fmt.Sprintf("pushed, %d in a row", silentCalls)
+			worst[key] = max(worst[key], elapsed)
+		}
+		for silentCalls := 1; silentCalls <= 2; silentCalls++ { // where lists are asked for a call may wait in turn, and has longer
+			elapsed := measureSilence(t, script, silentCalls, (*discoveryClient).watch)
+			if elapsed >= notificationDeadline {
+				t.Errorf("asked for, silent %s, %d times in a row: %v", name, silentCalls, elapsed)
+			}
+			key := fmt.Sprintf("asked for, %d in a row", silentCalls)
+			worst[key] = max(worst[key], elapsed)
+		}
+	}
+	t.Log("worst:", worst)
+}
+
+// After a move the new service may be silent as well: what it has to tell counts 4 s after the move.
+func TestAddressChangeToSilentService(t *testing.T) {
+	for _, name := range []string{"before the first byte", "in the head", "after the head"} { // else it has told
+		elapsed := measureSilence(t, silenceScripts[name], 2, func(client *discoveryClient, ctx context.Context) {
+			client.switchAddress("127.0.0.1:2")
+			client.subscribe(ctx)
+		})
+		if elapsed >= 4*time.Second {
+			t.Errorf("silent %s: %v", name, elapsed)
+		}
+	}
+}
+
+// Lists may come indented: a whole one, the first of a watch and a change. Empty lines between them stay signs of life.
+func TestIndentedLists(t *testing.T) {
+	indented := func(revision int64, all bool) string {
+		data, err := json.MarshalIndent(endpointList{Revision: revision, Complete: all, Endpoints: []endpoint{readyEndpoint("a", "127.0.0.1:7")}}, "", "\t")
+		if err != nil {
+			t.Fatal(err)
+		}
+		return string(data)
+	}
+	registry := newFakeRegistry(t)
+	client, updates := newRecordingClient(t, registry.address())
+	client.fetchList(t.Context())
+	call := receiveWithin(t, "the call", registry.calls)
+	call.sendLine(t, indented(7, true))
+	if update := receiveWithin(t, "the list", updates); update.kind != balance.UpdateFull || update.endpoints.Revision != 7 || len(update.endpoints.Endpoints) != 1 {
+		t.Errorf("%+v", update)
+	}
+	close(call.lines)
+	client.watch(t.Context())
+	call = receiveWithin(t, "the watch", registry.calls)
+	for revision := int64(8); revision < 12; revision++ {
+		call.sendLine(t, "\n"+indented(revision, revision == 8))
+		call.sendLine(t, "")
+		if update := receiveWithin(t, "the change", updates); update.endpoints.Revision != revision || (update.kind == balance.UpdateFull) != (revision == 8) {
+			t.Errorf("%+v", update)
+		}
+	}
+	call.sendLine(t, indented(12, false)+indented(13, false)) // two at once, on one line
+	for revision := int64(12); revision < 14; revision++ {
+		if update := receiveWithin(t, "the change", updates); update.endpoints.Revision != revision {
+			t.Errorf("%+v", update)
+		}
+	}
+}
--- /dev/null
+++ b/internal/sidecar/drain_test.go
@@ -0,0 +1,395 @@
+package sidecar
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"reflect"
+	"runtime"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// A request that crosses the end of a resting connection, or half of one, is not read, and resets nothing: the client
+// sees an end and is served on a new connection. What waits to be accepted is served too, one by one where there is
+// room for one, and each answer ends its connection.
+func TestDrainClosesIdleAndServesQueued(t *testing.T) {
+	calls := make(chan *call, 10)
+	front := newTestFrontend(t, 1, 1, func(event any) {
+		if arrived, ok := event.(requestArrived); ok {
+			calls <- arrived.call
+		}
+	})
+	httpServer := front.httpServer()
+	serveErr, drainErr := make(chan error, 1), make(chan error, 1)
+	go func() { serveErr <- httpServer.Serve(front.listener) }()
+	sidecar := &testSidecar{t: t, Sidecar: &Sidecar{frontend: front}}
+	respondNext := func(reader *bufio.Reader) {
+		t.Helper()
+		call := receiveWithin(t, "a request", calls)
+		call.markAnswered()
+		call.response <- response{status: 200}
+		if got := readStatus(t, reader); got != 200 {
+			t.Errorf("answered %d", got)
+		}
+	}
+	conn := sidecar.dial()
+	reader := bufio.NewReader(conn)
+	requestText := sidecar.wireText(sidecar.newRequest("lookup", testTimeout))
+	writeTo(t, conn, requestText)
+	respondNext(reader)
+	front.listener.awaitIdle(t)
+	front.listener.shutdownIdle()
+	writeTo(t, conn, requestText) // after the shutdown, before the close
+	if _, err := reader.ReadByte(); err != io.EOF {
+		t.Errorf("the end: %v", err)
+	}
+	if len(calls) > 0 {
+		t.Error("what came after the end was sent on")
+	}
+	conn.Close()
+
+	var waiting []*bufio.Reader
+	for range 3 {
+		conn := sidecar.dial()
+		writeTo(t, conn, sidecar.wireText(sidecar.newRequest("lookup", testTimeout)))
+		waiting = append(waiting, bufio.NewReader(conn))
+	}
+	call := receiveWithin(t, "the first", calls)
+	go func() { drainErr <- front.closeConnections(httpServer, serveErr, time.Now().Add(testTimeout)) }()
+	waitUntil(t, "the end", front.closeAfterResponse.Load)
+	calls <- call
+	for _, reader := range waiting {
+		respondNext(reader)
+		if _, err := reader.ReadByte(); err != io.EOF {
+			t.Errorf("after the answer: %v", err)
+		}
+	}
+	if err := receiveWithin(t, "the end", drainErr); err != nil {
+		t.Error(err)
+	}
+	if _, err := net.Dial("tcp", front.listener.Addr().String()); err == nil {
+		t.Error("connects after the end")
+	}
+}
+
+// delayedConn gives what it has read to its reader when the test says so.
+type delayedConn struct {
+	*clientConn
+	read    chan struct{}
+	release chan struct{}
+}
+
+func (c *delayedConn) Read(p []byte) (int, error) {
+	n, err := c.clientConn.Read(p)
+	if n > 1 {
+		c.read <- struct{}{}
+		<-c.release
+	}
+	return n, err
+}
+
+// delayedListener makes all connections late ones.
+type delayedListener struct {
+	*clientListener
+	read, release chan struct{}
+}
+
+func (loop delayedListener) Accept() (net.Conn, error) {
+	c, err := loop.clientListener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return &delayedConn{c.(*clientConn), loop.read, loop.release}, nil
+}
+
+// A request that was read when the drain came to its end is answered, though net/http holds its connection to be idle
+// still; one that rests is closed.
+func TestRequestReadDuringDrainIsAnswered(t *testing.T) {
+	front := newTestFrontend(t, 10, 10, func(event any) {
+		if arrived, ok := event.(requestArrived); ok && arrived.call.markAnswered() {
+			arrived.call.response <- response{status: 200}
+		}
+	})
+	delayed := delayedListener{front.listener, make(chan struct{}, 10), make(chan struct{}, 10)}
+	httpServer := front.httpServer()
+	onConnState, withConn := httpServer.ConnState, httpServer.ConnContext
+	httpServer.ConnState = func(netConn net.Conn, state http.ConnState) { onConnState(netConn.(*delayedConn).clientConn, state) }
+	httpServer.ConnContext = func(ctx context.Context, netConn net.Conn) context.Context {
+		return withConn(ctx, netConn.(*delayedConn).clientConn)
+	}
+	serveErr, drainErr := make(chan error, 1), make(chan error, 1)
+	go func() { serveErr <- httpServer.Serve(delayed) }()
+	sidecar := &testSidecar{t: t, Sidecar: &Sidecar{frontend: front}}
+	var conns [2]net.Conn
+	var readers [2]*bufio.Reader
+	for i := range conns {
+		conns[i] = sidecar.dial()
+		readers[i] = bufio.NewReader(conns[i])
+		delayed.release <- struct{}{}
+		writeTo(t, conns[i], sidecar.wireText(sidecar.newRequest("lookup", testTimeout)))
+		receiveWithin(t, "the request", delayed.read)
+		if got := readStatus(t, readers[i]); got != 200 {
+			t.Fatal(got)
+		}
+	}
+	writeTo(t, conns[0], sidecar.wireText(sidecar.newRequest("lookup", testTimeout)))
+	receiveWithin(t, "the next request", delayed.read)
+	go func() { drainErr <- front.closeConnections(httpServer, serveErr, time.Now().Add(testTimeout)) }()
+	if got := readStatus(t, readers[1]); got != 0 {
+		t.Errorf("the resting one: %d", got)
+	}
+	delayed.release <- struct{}{}
+	if got := readStatus(t, readers[0]); got != 200 {
+		t.Errorf("the one that was read: %d", got)
+	}
+	conns[0].Close()
+	conns[1].Close()
+	if err := receiveWithin(t, "the end", drainErr); err != nil {
+		t.Error(err)
+	}
+}
+
+// allStacks is what all goroutines are at.
+func allStacks() string {
+	buffer := make([]byte, 1<<20)
+	return string(buffer[:runtime.Stack(buffer, true)])
+}
+
+// stackEntry is how a function stands in allStacks, whatever it is called.
+func stackEntry(function any) string {
+	return runtime.FuncForPC(reflect.ValueOf(function).Pointer()).Name() + "("
+}
+
+// A time-out, a client's end and the end of the process that cross the loop's answer leave one answer, the loop's.
+func TestTerminationRacingResponse(t *testing.T) {
+	for name, terminate := range map[string]func(front *frontend, conn net.Conn){
+		"time-out":           func(*frontend, net.Conn) {},
+		"client's end":       func(_ *frontend, conn net.Conn) { conn.(*net.TCPConn).CloseWrite() },
+		"end of the process": func(front *frontend, _ net.Conn) { close(front.drainExpired) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			posted := make(chan any, 10)
+			front := newTestFrontend(t, 10, 10, func(event any) { posted <- event })
+			httpServer := front.httpServer()
+			go httpServer.Serve(front.listener)
+			defer httpServer.Close()
+			sidecar := &testSidecar{t: t, Sidecar: &Sidecar{frontend: front}}
+			conn := sidecar.dial()
+			timeout := testTimeout
+			if name == "time-out" {
+				timeout = time.Millisecond
+			}
+			writeTo(t, conn, sidecar.wireText(sidecar.newRequest("lookup", timeout)))
+			call := receiveWithin(t, "the request", posted).(requestArrived).call
+			call.markAnswered() // the loop has decided
+			terminate(front, conn)
+			waitUntil(t, "the handler to see the end", func() bool { return strings.Contains(allStacks(), stackEntry((*frontend).concludeCall)) })
+			call.response <- response{status: 200}
+			if got := readStatus(t, bufio.NewReader(conn)); got != 200 {
+				t.Errorf("answered %d", got)
+			}
+			if len(posted) > 0 {
+				t.Error("the loop is told of an end")
+			}
+		})
+	}
+}
+
+// Clients that send on every connection as long as it is open, and such that rest until they are closed: whatever was
+// sent on is answered, and no connection is open once the sidecar has ended.
+func TestDrainUnderContinuousRequests(t *testing.T) {
+	var answered sync.Map // ids that were sent on, and whether their clients have an answer
+	var sent atomic.Int64
+	front := newTestFrontend(t, 20, 20, func(event any) {
+		if arrived, ok := event.(requestArrived); ok && arrived.call.markAnswered() {
+			answered.Store(arrived.call.outbound.header.Get("X-Request-ID"), false)
+			sent.Add(1)
+			arrived.call.response <- response{status: 200}
+		}
+	})
+	front.maxInFlight = 20
+	httpServer := front.httpServer()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- httpServer.Serve(front.listener) }()
+	sidecar := &testSidecar{t: t, Sidecar: &Sidecar{frontend: front}}
+	var clients sync.WaitGroup
+	for i := range 12 {
+		conn := sidecar.dial()
+		clients.Go(func() {
+			reader := bufio.NewReader(conn)
+			for {
+				req := sidecar.newRequest("charge", time.Second)
+				if req.Write(conn) != nil {
+					return
+				}
+				got := readStatus(t, reader)
+				if got == 0 {
+					return // it crossed the end
+				}
+				if got != 200 {
+					t.Errorf("answered %d", got)
+				}
+				answered.Store(req.Header.Get("X-Request-ID"), true)
+				if i%3 == 0 { // rests from its first answer on
+					if _, err := reader.ReadByte(); err != io.EOF {
+						t.Errorf("the end of a rest: %v", err)
+					}
+					return
+				}
+			}
+		})
+	}
+	waitUntil(t, "some load", func() bool { return sent.Load() > 50 })
+	if err := front.closeConnections(httpServer, serveErr, time.Now().Add(testTimeout)); err != nil {
+		t.Error(err)
+	}
+	if open := front.listener.openCount(); open != 0 {
+		t.Errorf("%d connections are open", open)
+	}
+	clients.Wait()
+	answered.Range(func(id, ok any) bool {
+		if !ok.(bool) {
+			t.Errorf("%v was sent on and not answered", id)
+		}
+		return true
+	})
+}
+
+// A client that does not take its answer holds a drain up no longer than the process may live.
+func TestDrainWithClientThatDoesNotRead(t *testing.T) {
+	body := strings.Repeat("x", maxBody)
+	server := newBackend(t, "a", respondWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
+	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
+	sidecar.frontend.writeTimeout = time.Hour
+	conn := sidecar.dial()
+	conn.(*net.TCPConn).SetReadBuffer(4 << 10)
+	stuck := func() bool {
+		for stack := range strings.SplitSeq(allStacks(), "\n\n") {
+			if strings.Contains(stack, stackEntry(writeResponse)) && strings.Contains(stack, "waitWrite") {
+				return true
+			}
+		}
+		return false
+	}
+	requested := int64(0)
+	waitUntil(t, "an answer that is not taken", func() bool {
+		if server.requests.Load() == requested {
+			writeTo(t, conn, sidecar.wireText(sidecar.newRequest("lookup", testTimeout)))
+			requested++
+		}
+		return stuck()
+	})
+	sidecar.terminate()
+	if err := receiveWithin(t, "the end", sidecar.done); err != nil {
+		t.Error(err)
+	}
+	sidecar.done <- nil
+}
+
+// Bad clients in numbers, of every kind that leaves, keep nobody out and leave nothing behind.
+func TestFloodOfDisconnectingClients(t *testing.T) {
+	server := newBackend(t, "a", serveOK)
+	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
+	document["limits"] = map[string]any{"sockets": minSockets, "memory_mb": 64}
+	sidecar := startSidecar(t, document)
+	memory := sidecar.frontend.bodyMemory.remaining.Load()
+	requestText := sidecar.wireText(sidecar.newRequest("lookup", time.Minute)) // one id: all but the first are turned away, or go on to no server
+	payloads := []string{
+		"", "GET /api HT", requestText[:len(requestText)-2], "POST /api HTTP/1.1\r\nHost: b\r\nContent-Length: 60000\r\n\r\nhalf",
+		requestText, requestText + requestText, requestText + strings.Repeat("x", 5000), requestText + strings.Repeat("x", 1<<18), strings.Repeat("x", 1<<18),
+		"GET /api HTTP/1.1\r\nX: " + strings.Repeat("x", 2*maxRequestHeader),
+	}
+	var flood sync.WaitGroup
+	for i := range 4 {
+		flood.Go(func() {
+			for j := range 100 {
+				conn, err := net.Dial("tcp", sidecar.Addr())
+				if err != nil {
+					t.Error(err)
+					return
+				}
+				conn.SetDeadline(time.Now().Add(testTimeout))
+				if (i+j)%2 == 0 {
+					conn.(*net.TCPConn).SetLinger(0) // leaves with a reset
+				}
+				io.WriteString(conn, payloads[j%len(payloads)])
+				conn.Close()
+			}
+		})
+	}
+	for range 20 {
+		if got := sidecar.do(sidecar.newRequest("lookup", testTimeout)); got.status != 200 { // GET: sent again where it crosses an end
+			t.Errorf("beside the flood: %+v", got)
+		}
+	}
+	flood.Wait()
+	sidecar.client.CloseIdleConnections()
+	waitUntil(t, "all to be over", func() bool {
+		return sidecar.frontend.listener.openCount() == 0 && sidecar.frontend.inFlight.Load() == 0 && sidecar.frontend.bodyMemory.remaining.Load() == memory
+	})
+}
+
+// Where idle clients hold all their descriptors a new configuration is followed, servers are reached, and one that
+// rests gives way to one that asks; at the end all are closed.
+func TestIdleClientsHoldingAllDescriptors(t *testing.T) {
+	server := newBackend(t, "a", serveOK)
+	secondServer := newBackend(t, "b", serveOK)
+	registry, secondRegistry := newFakeRegistry(t), newFakeRegistry(t)
+	document := newConfigDocument(registry.address(), server.endpoint)
+	document["limits"] = map[string]any{"sockets": minSockets}
+	sidecar := startSidecar(t, document, func(sidecar *Sidecar) { sidecar.frontend.listener.maxPersistent = minSockets })
+	maxConns := sidecar.frontend.listener.maxConns
+	requestOn := func(conn net.Conn) {
+		t.Helper()
+		writeTo(t, conn, sidecar.wireText(sidecar.newRequest("charge", testTimeout)))
+		if got := readStatus(t, bufio.NewReader(conn)); got != 200 {
+			t.Fatalf("answered %d", got)
+		}
+	}
+	startedAt := time.Now()
+	var idleConns []net.Conn
+	for range maxConns {
+		idleConns = append(idleConns, sidecar.dial())
+		requestOn(idleConns[len(idleConns)-1])
+	}
+	if open := sidecar.frontend.listener.openCount(); open != maxConns {
+		t.Fatalf("%d connections are open, want %d", open, maxConns)
+	}
+	requestOn(sidecar.dial())
+	if elapsed := time.Since(startedAt); elapsed >= idleTimeout { // when the first of them ends by itself
+		t.Errorf("one that asks is served after %v", elapsed)
+	}
+	receiveWithin(t, "the watch", registry.calls).failWith <- http.StatusInternalServerError // an outage; it is asked again
+	receiveWithin(t, "the watch that comes back", registry.calls)
+	document["discovery"] = secondRegistry.address()
+	config, err := document.load(t)
+	if err != nil {
+		t.Fatal(err)
+	}
+	sidecar.Reload(config)
+	receiveWithin(t, "the watch at the new address", secondRegistry.calls).sendList(t, endpointList{Revision: 2, Complete: true, Endpoints: []endpoint{secondServer.endpoint}})
+	waitUntil(t, "the new list", func() bool {
+		requestOn(sidecar.dial())
+		return secondServer.requests.Load() > 0
+	})
+	if open := sidecar.frontend.listener.openCount(); open > maxConns {
+		t.Errorf("%d connections are open, of %d", open, maxConns)
+	}
+	sidecar.terminate()
+	if err := receiveWithin(t, "the end", sidecar.done); err != nil {
+		t.Error(err)
+	}
+	sidecar.done <- nil
+	for _, conn := range idleConns {
+		if _, err := conn.Read(make([]byte, 1)); err != io.EOF {
+			t.Fatalf("a resting connection: %v", err)
+		}
+	}
+}
--- a/internal/sidecar/fixtures_test.go
+++ b/internal/sidecar/fixtures_test.go
@@ -48,10 +48,10 @@
 // transcript collects messages under their names, one quoted line for each line of a message.
 type transcript struct{ bytes.Buffer }
 
-func (tr *transcript) add(name, message string) {
-	fmt.Fprintf(tr, "## %s\n", name)
+func (record *transcript) add(name, message string) {
+	fmt.Fprintf(record, "## %s\n", name)
 	for line := range strings.Lines(message) {
-		fmt.Fprintln(tr, strconv.Quote(line))
+		fmt.Fprintln(record, strconv.Quote(line))
 	}
 }
 
@@ -68,7 +68,7 @@
 // each connection ends after one.
 func newRecorder(t *testing.T, responses ...string) (address string, requests <-chan string) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 	var work sync.WaitGroup
 	work.Go(func() {
 		for _, response := range responses {
-			conn, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -86,16 +86,16 @@
 		}
 	})
 	t.Cleanup(func() {
-		ln.Close()
+		listener.Close()
 		work.Wait()
 	})
-	return ln.Addr().String(), recorded
+	return listener.Addr().String(), recorded
 }
 
 // recordRequest reads one request and returns its bytes.
 func recordRequest(conn net.Conn) string {
 	var raw bytes.Buffer
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	req, err := http.ReadRequest(bufio.NewReader(io.TeeReader(conn, &raw)))
 	if err != nil {
 		return err.Error()
@@ -111,22 +111,22 @@
 // The configuration is read from its file's JSON as ever.
 func TestConfigurationFixture(t *testing.T) {
 	environment := map[string]string{"NODE_CONFIG": filepath.Join("testdata", "config.json")}
-	cfg, err := LoadConfig(func(name string) string { return environment[name] })
+	config, err := LoadConfig(func(name string) string { return environment[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
 	var peers []string
-	for _, address := range cfg.peers.addrs {
+	for _, address := range config.peers.addresses {
 		peers = append(peers, address.String())
 	}
 	got, err := json.MarshalIndent(map[string]any{
-		"name": cfg.Name, "listen": cfg.Listen, "discovery": cfg.Discovery, "placement": cfg.Placement,
-		"application": cfg.Application, "version": cfg.Version,
-		"cores": cfg.Cores, "memory_mb": cfg.MemoryMB, "sockets": cfg.Sockets,
-		"classes": cfg.classes, "tenants": cfg.tenants, "zones": cfg.zones, "kinds": cfg.kinds,
-		"report_fields": cfg.reportNames, "conn_idle": cfg.connIdle.String(), "open_cap": cfg.maxOpen,
-		"known": cfg.known, "peer_listen": cfg.peers.listen.String(), "peers": peers, "peers_all": cfg.peers.all.String(),
-		"settings": settingsAsRead(&cfg.balance),
+		"name": config.Name, "listen": config.ListenAddress, "discovery": config.DiscoveryAddress, "placement": config.PlacementAddress,
+		"application": config.Application, "version": config.Version,
+		"cores": config.Cores, "memory_mb": config.MemoryMB, "sockets": config.Sockets,
+		"classes": config.classNumbers, "tenants": config.tenantNumbers, "zones": config.zoneNumbers, "kinds": config.kindNumbers,
+		"report_fields": config.loadReportFields, "conn_idle": config.connIdleTimeout.String(), "open_cap": config.maxOpenRequests,
+		"known": config.knownEndpoints, "peer_listen": config.peers.listen.String(), "peers": peers, "peers_all": config.peers.broadcast.String(),
+		"settings": settingsAsRead(&config.settings),
 	}, "", "  ")
 	if err != nil {
 		t.Fatal(err)
@@ -135,29 +135,29 @@
 }
 
 // settingsAsRead names the module's settings by their keys in the configuration.
-func settingsAsRead(cfg *balance.Config) map[string]any {
+func settingsAsRead(config *balance.Config) map[string]any {
 	var classes, tenants []map[string]any
-	for i := range cfg.Classes {
-		class := &cfg.Classes[i]
+	for i := range config.Classes {
+		class := &config.Classes[i]
 		classes = append(classes, map[string]any{
 			"effect": class.Idempotency, "group": class.DeduplicationScope, "window_ms": fmt.Sprint(class.IdempotencyWindow), "on_time_ms": class.LatencyObjective,
 			"aim_stretch": class.LatencyObjectivePerWork, "hard_limit_ms": class.Deadline, "worth": class.PriorityWeight,
 			"late_worth": class.LateWeight, "stream": class.Streaming,
 		})
 	}
-	for _, tenant := range cfg.Tenants {
+	for _, tenant := range config.Tenants {
 		tenants = append(tenants, map[string]any{"allowance_per_s": tenant.QuotaRate, "share": tenant.Quota})
 	}
 	return map[string]any{
-		"seed": cfg.Seed, "my_number": cfg.SidecarIndex, "peers_total": cfg.SidecarCount, "zone": cfg.Zone,
-		"classes": classes, "tenants": tenants, "over_share_worth": cfg.OverQuotaWeight, "quantum_ms": cfg.EventInterval,
-		"warm_keys": cfg.KeyAffinity, "subscribe": cfg.Subscribe, "report_via": cfg.LoadReports, "report_fields": fmt.Sprint(cfg.LoadReportFields),
-		"max_attempts": cfg.MaxAttempts, "parallel_tries": cfg.AllowParallelAttempts, "cancel": cfg.AllowCancel, "probes": cfg.AllowHealthChecks,
-		"may_tell": cfg.AllowGossip, "retry_after": cfg.SendRetryAfter, "max_retry_after_ms": cfg.MaxRetryAfter,
-		"connect_timeout_ms": cfg.ConnectTimeout, "drain_grace_ms": cfg.DrainGracePeriod, "cold_from": cfg.SlowStartMinCapacity,
-		"cold_ms": cfg.SlowStartDuration, "fall_multiple": cfg.OverloadMultiple, "fall_ms": cfg.OverloadDuration,
-		"ask_within_ms": cfg.PollInterval, "answer_slack_ms": cfg.AnswerGracePeriod,
-		"result_mix": fmt.Sprint(cfg.Objective), "penalties": fmt.Sprint(cfg.Costs),
+		"seed": config.Seed, "my_number": config.SidecarIndex, "peers_total": config.SidecarCount, "zone": config.Zone,
+		"classes": classes, "tenants": tenants, "over_share_worth": config.OverQuotaWeight, "quantum_ms": config.EventInterval,
+		"warm_keys": config.KeyAffinity, "subscribe": config.Subscribe, "report_via": config.LoadReports, "report_fields": fmt.Sprint(config.LoadReportFields),
+		"max_attempts": config.MaxAttempts, "parallel_tries": config.AllowParallelAttempts, "cancel": config.AllowCancel, "probes": config.AllowHealthChecks,
+		"may_tell": config.AllowGossip, "retry_after": config.SendRetryAfter, "max_retry_after_ms": config.MaxRetryAfter,
+		"connect_timeout_ms": config.ConnectTimeout, "drain_grace_ms": config.DrainGracePeriod, "cold_from": config.SlowStartMinCapacity,
+		"cold_ms": config.SlowStartDuration, "fall_multiple": config.OverloadMultiple, "fall_ms": config.OverloadDuration,
+		"ask_within_ms": config.PollInterval, "answer_slack_ms": config.AnswerGracePeriod,
+		"result_mix": fmt.Sprint(config.Objective), "penalties": fmt.Sprint(config.Costs),
 	}
 }
 
@@ -168,247 +168,247 @@
 		t.Fatal(err)
 	}
 	address, requests := newRecorder(t, endedStream+string(stream), endedStream+string(stream), endedStream+string(stream))
-	posted := make(chan news, 64)
+	posted := make(chan endpointUpdate, 64)
 	var work sync.WaitGroup
-	d := newDiscovery(address, func(ev any) { posted <- ev.(news) }, func(f func()) { work.Go(f) })
-	t.Cleanup(func() { d.stop() })
+	client := newDiscoveryClient(address, func(event any) { posted <- event.(endpointUpdate) }, func(front func()) { work.Go(front) })
+	t.Cleanup(func() { client.cancel() })
 	var got transcript
 	for _, call := range []struct {
 		name string
 		make func()
 	}{
-		{"a list call", func() { d.fetch(t.Context()) }},
-		{"a first watch", func() { d.watch(t.Context()) }},
-		{"a watch after revision 41", func() { d.rev.Store(41); d.watch(t.Context()) }},
+		{"a list call", func() { client.fetchList(t.Context()) }},
+		{"a first watch", func() { client.watch(t.Context()) }},
+		{"a watch after revision 41", func() { client.revision.Store(41); client.watch(t.Context()) }},
 	} {
 		call.make()
-		got.add(call.name, withoutVolatile(receive(t, call.name, requests), address))
+		got.add(call.name, withoutVolatile(receiveWithin(t, call.name, requests), address))
 		work.Wait()
 		for len(posted) > 0 {
-			got.add("is told", describeNews(t, <-posted))
+			got.add("is told", describeUpdate(t, <-posted))
 		}
 	}
 	checkGolden(t, "discovery.golden.txt", got.Bytes())
 }
 
-func describeNews(t *testing.T, n news) string {
+func describeUpdate(t *testing.T, update endpointUpdate) string {
 	t.Helper()
-	if n.kind == balance.UpdateFailed {
-		return fmt.Sprintf("failed, unqueued %v", n.unqueued)
+	if update.kind == balance.UpdateFailed {
+		return fmt.Sprintf("failed, unqueued %v", update.unqueued)
 	}
-	data, err := json.Marshal(n.list)
+	data, err := json.Marshal(update.endpoints)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return fmt.Sprintf("kind %d %s", n.kind, data)
+	return fmt.Sprintf("kind %d %s", update.kind, data)
 }
 
 // The placement is asked for in the same words, and a report is posted in the same bytes.
 func TestPlacementFixture(t *testing.T) {
-	l, start := newFixtureLoop(t)
+	loop, start := newFixtureLoop(t)
 	address, requests := newRecorder(t,
 		endedStream+`{"rev":3,"all":true,"epoch":5,"entries":[]}`+"\n",
 		endedStream+`{"rev":4,"epoch":6,"entries":[]}`+"\n",
 		endedStream+`{"rev":4,"all":true,"epoch":6,"entries":[]}`+"\n",
 		"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n")
-	p := newPlacing(address, 0, func(any) {}, placementPace{patience, patience, patience, unixMS})
+	client := newPlacementClient(address, 0, func(any) {}, placementTiming{testTimeout, testTimeout, testTimeout, nowUnixMS})
 	var got transcript
 	for _, name := range []string{"a first watch", "a watch that goes on", "a watch for the whole"} {
-		if _, err := p.watch(t.Context()); err == nil {
+		if _, err := client.watchOnce(t.Context()); err == nil {
 			t.Error("a watch ends without an error")
 		}
-		got.add(name, withoutVolatile(receive(t, name, requests), address))
+		got.add(name, withoutVolatile(receiveWithin(t, name, requests), address))
 	}
-	if err := p.tell(t.Context(), fixtureReport(l, p, start)); err != nil {
+	if err := client.postReport(t.Context(), fixtureReport(loop, client, start)); err != nil {
 		t.Error(err)
 	}
-	got.add("a report", withoutVolatile(receive(t, "the report", requests), address))
+	got.add("a report", withoutVolatile(receiveWithin(t, "the report", requests), address))
 	checkGolden(t, "placement.golden.txt", got.Bytes())
 }
 
 // newFixtureLoop is a loop under a clock that stands in the past, so that none of its attempts is sent. It knows the
 // servers a and b.
-func newFixtureLoop(t *testing.T) (l *loop, startMS float64) {
+func newFixtureLoop(t *testing.T) (loop *eventLoop, startMS float64) {
 	t.Helper()
-	c := newConf("127.0.0.1:1", ready("a", "127.0.0.1:7"), ready("b", "127.0.0.1:8"))
-	c["version"] = "v7"
-	cfg, err := c.load(t)
+	document := newConfigDocument("127.0.0.1:1", readyEndpoint("a", "127.0.0.1:7"), readyEndpoint("b", "127.0.0.1:8"))
+	document["version"] = "v7"
+	config, err := document.load(t)
 	if err != nil {
 		t.Fatal(err)
 	}
-	bal, err := balance.New(cfg.balance)
+	balancer, err := balance.New(config.settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l = newLoop(cfg, bal, newUpstreams(cfg, 10, &budget{}))
-	l.clock = clock{start: time.Unix(1_700_000_000, 0), base: 1_700_000_000_000}
-	l.disc = newDiscovery(cfg.Discovery, l.post, func(func()) {})
-	l.ctx = t.Context()
-	l.act(l.clock.base, bal.Start(l.clock.base))
-	l.takeNews(l.clock.base, news{kind: balance.UpdateCached, list: cfg.known})
+	loop = newEventLoop(config, balancer, newConnPool(config, 10, &byteBudget{}))
+	loop.clock = clock{start: time.Unix(1_700_000_000, 0), startUnixMS: 1_700_000_000_000}
+	loop.discovery = newDiscoveryClient(config.DiscoveryAddress, loop.post, func(func()) {})
+	loop.ctx = t.Context()
+	loop.execute(loop.clock.startUnixMS, balancer.Start(loop.clock.startUnixMS))
+	loop.applyEndpointUpdate(loop.clock.startUnixMS, endpointUpdate{kind: balance.UpdateCached, endpoints: config.knownEndpoints})
 	t.Cleanup(func() {
-		close(l.stopped)
-		l.workers.Wait()
+		close(loop.stopped)
+		loop.workers.Wait()
 	})
-	return l, l.clock.base
+	return loop, loop.clock.startUnixMS
 }
 
 // fixtureReport is the report of a loop with each kind of entry in force and requests that ended in each way.
-func fixtureReport(l *loop, p *placing, startMS float64) *placement.LoadReport {
-	l.placed = &inForce{placing: p, gather: newGather(l.cfg, startMS), numbers: map[string]int{}}
-	list := placement.Update{Revision: 12, Epoch: 5, Directives: entries()}
+func fixtureReport(loop *eventLoop, client *placementClient, startMS float64) *placement.LoadReport {
+	loop.placement = &activePlacement{placementClient: client, recorder: newReportRecorder(loop.config, startMS), numberByID: map[string]int{}}
+	list := placement.Update{Revision: 12, Epoch: 5, Directives: reportDirectives()}
 	for i := range list.Directives {
 		list.Directives[i].ExpiresAtMS, list.Directives[i].RemainingMS = 1_700_000_600_000, 600_000
 	}
-	l.takePlaced(startMS, placed{at: l.clock.time(startMS), list: list})
-	c := &call{answers: make(chan answer, 1), deadline: l.clock.time(startMS + 900), out: &outbound{
+	loop.applyPlacementUpdate(startMS, placementUpdate{takenAt: loop.clock.timeAt(startMS), placement: list})
+	fixtureCall := &call{response: make(chan response, 1), deadline: loop.clock.timeAt(startMS + 900), outbound: &outboundRequest{
 		method: "GET", url: &url.URL{Path: "/api"}, host: "b", header: http.Header{},
 	}}
-	c.ev.Key, c.ev.ExpectedWork = 0x335f24192ff5d0d4, 3
-	l.take(startMS+10, arrival{c})
-	for i, ended := range []struct {
-		class  string
-		server string
-		result balance.Result
-		took   float64
+	fixtureCall.request.Key, fixtureCall.request.ExpectedWork = 0x335f24192ff5d0d4, 3
+	loop.handleEvent(startMS+10, requestArrived{fixtureCall})
+	for i, completed := range []struct {
+		class   string
+		server  string
+		result  balance.Result
+		elapsed float64
 	}{
 		{"lookup", "a", balance.OK, 0.4}, {"lookup", "a", balance.OK, 20}, {"lookup", "b", balance.OK, 760},
 		{"lookup", "b", balance.Failed, 5}, {"reserve", "b", balance.Reset, 90}, {"charge", "a", balance.OK, 500},
 		{"charge", "a", balance.Cancelled, 1}, {"charge", "a", balance.Obsolete, 1}, {"charge", "b", balance.TimedOut, 1000},
 	} {
-		now := startMS + 100*float64(i)
-		request := balance.Request{Class: l.cfg.classes[ended.class], Key: uint64(i % 3)}
-		l.placed.arrived(now, &request)
-		l.placed.ended(now+ended.took, &attempt{
-			call: &call{ev: request}, up: &upstream{id: l.cfg.serverID(ended.server), zone: "z"}, from: now,
-		}, ended.result)
+		nowMS := startMS + 100*float64(i)
+		request := balance.Request{Class: loop.config.classNumbers[completed.class], Key: uint64(i % 3)}
+		loop.placement.recordRequest(nowMS, &request)
+		loop.placement.recordOutcome(nowMS+completed.elapsed, &attempt{
+			call: &call{request: request}, upstream: &upstreamHost{id: loop.config.serverID(completed.server), zone: "z"}, decidedAtMS: nowMS,
+		}, completed.result)
 	}
-	due := make(chan *placement.LoadReport, 1)
-	l.takePlaced(startMS+1000, placed{at: l.clock.time(startMS), list: list, report: due})
-	return <-due
+	reportDue := make(chan *placement.LoadReport, 1)
+	loop.applyPlacementUpdate(startMS+1000, placementUpdate{takenAt: loop.clock.timeAt(startMS), placement: list, reportDue: reportDue})
+	return <-reportDue
 }
 
 // The sidecar's own answers to its client are the same bytes, but for the date.
-func TestOwnAnswersFixture(t *testing.T) {
-	var l *loop
+func TestLocalResponsesFixture(t *testing.T) {
+	var loop *eventLoop
 	actions := map[string]balance.Action{
 		"hold-off=1": {Kind: balance.Reject, At: 1250}, "hold-off=0": {Kind: balance.Reject}, "fail": {Kind: balance.Fail},
 	}
-	f := bareFrontend(t, 10, 10, func(ev any) {
-		a, ok := ev.(arrival)
+	front := newTestFrontend(t, 10, 10, func(event any) {
+		arrived, ok := event.(requestArrived)
 		if !ok {
 			return
 		}
-		if query := a.call.out.url.RawQuery; query == "serve" {
-			a.call.finish()
-			a.call.answers <- answer{status: 200, contentType: "text/plain", body: []byte("done")}
+		if query := arrived.call.outbound.url.RawQuery; query == "serve" {
+			arrived.call.markAnswered()
+			arrived.call.response <- response{status: 200, contentType: "text/plain", body: []byte("done")}
 		} else if action, ok := actions[query]; ok {
-			l.lastID++
-			a.call.ev.ID, action.Request = l.lastID, l.lastID
-			l.calls[l.lastID] = a.call
-			l.act(l.clock.ms(time.Now()), []balance.Action{action})
+			loop.lastRequestID++
+			arrived.call.request.ID, action.Request = loop.lastRequestID, loop.lastRequestID
+			loop.calls[loop.lastRequestID] = arrived.call
+			loop.execute(loop.clock.unixMS(time.Now()), []balance.Action{action})
 		} else if query == "late" {
-			l.lastID++
-			a.call.ev.ID = l.lastID
-			l.calls[l.lastID] = a.call
-			l.act(l.clock.ms(a.call.deadline), []balance.Action{{Kind: balance.Fail, Request: l.lastID}})
+			loop.lastRequestID++
+			arrived.call.request.ID = loop.lastRequestID
+			loop.calls[loop.lastRequestID] = arrived.call
+			loop.execute(loop.clock.unixMS(arrived.call.deadline), []balance.Action{{Kind: balance.Fail, Request: loop.lastRequestID}})
 		}
 	})
-	l = newLoop(f.cfg, nil, nil)
-	srv := f.server()
-	go srv.Serve(f.conns)
-	defer srv.Close()
+	loop = newEventLoop(front.config, nil, nil)
+	httpServer := front.httpServer()
+	go httpServer.Serve(front.listener)
+	defer httpServer.Close()
 
 	const lookup = "X-Priority-Class: lookup\r\n"
 	const charge = "X-Priority-Class: charge\r\n"
 	const reserve = "X-Priority-Class: reserve\r\n"
 	var got transcript
-	last := 0
-	ask := func(name, line, headers, body string) {
+	lastID := 0
+	exchange := func(name, line, headers, body string) {
 		t.Helper()
-		last++
-		conn, err := net.Dial("tcp", f.conns.Addr().String())
+		lastID++
+		conn, err := net.Dial("tcp", front.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		text := line + " HTTP/1.1\r\nHost: b\r\nX-Tenant-Id: kita\r\n" + headers
 		if !strings.Contains(headers, "X-Request-ID") {
-			text += fmt.Sprintf("X-Request-ID: %d\r\n", last)
+			text += fmt.Sprintf("X-Request-ID: %d\r\n", lastID)
 		}
 		if body != "" {
 			text += fmt.Sprintf("Content-Length: %d\r\n", len(body))
 		}
-		send(t, conn, text+"\r\n"+body)
+		writeTo(t, conn, text+"\r\n"+body)
 		var raw bytes.Buffer
-		in := bufio.NewReader(io.TeeReader(conn, &raw))
-		if status(t, in) == 0 {
+		reader := bufio.NewReader(io.TeeReader(conn, &raw))
+		if readStatus(t, reader) == 0 {
 			t.Errorf("%s: no answer", name)
 		}
-		got.add(name, withoutVolatile(raw.String(), f.conns.Addr().String()))
+		got.add(name, withoutVolatile(raw.String(), front.listener.Addr().String()))
 	}
-	ask("ready", "GET /health/ready", "", "")
-	ask("served", "GET /api?serve", lookup, "")
-	ask("rejected with Retry-After", "GET /api?hold-off=1", lookup, "")
-	ask("rejected without", "GET /api?hold-off=0", lookup, "")
-	ask("failed", "POST /api?fail", charge, "body")
-	ask("timed out", "GET /api?late", lookup, "")
-	ask("no request ID", "GET /api", "X-Request-ID: \r\n"+lookup, "")
-	ask("two request IDs", "GET /api", "X-Request-ID: 1\r\nX-Request-ID: 2\r\n"+lookup, "")
-	ask("request ID in use", "GET /api?serve", "X-Request-ID: 2\r\n"+lookup, "")
-	ask("unknown class", "GET /api", "X-Priority-Class: none\r\n", "")
-	ask("timeout that cannot be", "GET /api", "X-Timeout-Ms: soon\r\n"+lookup, "")
-	ask("cost that cannot be", "GET /api", "X-Cost: NaN\r\n"+lookup, "")
-	ask("GET class by POST", "POST /api", lookup, "")
-	ask("POST class by GET", "GET /api", charge, "")
-	ask("no idempotency key", "POST /api", reserve, "")
-	ask("unsafe class with a key", "POST /api", charge+"Idempotency-Key: 1\r\n", "")
-	ask("GET with a body", "GET /api", lookup, "body")
-	ask("chunked", "POST /api", charge+"Transfer-Encoding: chunked\r\n", "")
-	ask("body too large", "POST /api", charge, strings.Repeat("x", maxBody+1))
-	ask("other path", "GET /other", lookup, "")
-	ask("other method", "PUT /api", lookup, "")
-	f.maxTaken = 0
-	ask("too many requests", "GET /api", lookup, "")
-	f.memory.left.Store(0)
-	ask("no memory for a body", "POST /api", charge, "body")
-	f.maxTaken = 10
-	drainEnd := time.Now().Add(patience)
-	f.drain.Store(&drainEnd)
-	ask("not ready while draining", "GET /health/ready", "", "")
-	f.closing.Store(true)
-	ask("served on a connection that ends", "GET /api?serve", lookup, "")
-	close(f.ending)
-	ask("ended with the process", "GET /api?never", lookup, "")
+	exchange("ready", "GET /health/ready", "", "")
+	exchange("served", "GET /api?serve", lookup, "")
+	exchange("rejected with Retry-After", "GET /api?hold-off=1", lookup, "")
+	exchange("rejected without", "GET /api?hold-off=0", lookup, "")
+	exchange("failed", "POST /api?fail", charge, "body")
+	exchange("timed out", "GET /api?late", lookup, "")
+	exchange("no request ID", "GET /api", "X-Request-ID: \r\n"+lookup, "")
+	exchange("two request IDs", "GET /api", "X-Request-ID: 1\r\nX-Request-ID: 2\r\n"+lookup, "")
+	exchange("request ID in use", "GET /api?serve", "X-Request-ID: 2\r\n"+lookup, "")
+	exchange("unknown class", "GET /api", "X-Priority-Class: none\r\n", "")
+	exchange("timeout that cannot be", "GET /api", "X-Timeout-Ms: soon\r\n"+lookup, "")
+	exchange("cost that cannot be", "GET /api", "X-Cost: NaN\r\n"+lookup, "")
+	exchange("GET class by POST", "POST /api", lookup, "")
+	exchange("POST class by GET", "GET /api", charge, "")
+	exchange("no idempotency key", "POST /api", reserve, "")
+	exchange("unsafe class with a key", "POST /api", charge+"Idempotency-Key: 1\r\n", "")
+	exchange("GET with a body", "GET /api", lookup, "body")
+	exchange("chunked", "POST /api", charge+"Transfer-Encoding: chunked\r\n", "")
+	exchange("body too large", "POST /api", charge, strings.Repeat("x", maxBody+1))
+	exchange("other path", "GET /other", lookup, "")
+	exchange("other method", "PUT /api", lookup, "")
+	front.maxInFlight = 0
+	exchange("too many requests", "GET /api", lookup, "")
+	front.bodyMemory.remaining.Store(0)
+	exchange("no memory for a body", "POST /api", charge, "body")
+	front.maxInFlight = 10
+	drainEnd := time.Now().Add(testTimeout)
+	front.drainDeadline.Store(&drainEnd)
+	exchange("not ready while draining", "GET /health/ready", "", "")
+	front.closeAfterResponse.Store(true)
+	exchange("served on a connection that ends", "GET /api?serve", lookup, "")
+	close(front.drainExpired)
+	exchange("ended with the process", "GET /api?never", lookup, "")
 	checkGolden(t, "answers.golden.txt", got.Bytes())
 }
 
 // What servers get, attempts and health checks, is the same bytes, but for the time left.
 func TestUpstreamRequestsFixture(t *testing.T) {
 	const response = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 15\r\n\r\nbusy=0.5,rate=7"
-	cfg, err := newConf("127.0.0.1:1").load(t)
+	config, err := newConfigDocument("127.0.0.1:1").load(t)
 	if err != nil {
 		t.Fatal(err)
 	}
 	address, requests := newRecorder(t, response, response, response, response)
-	memory := &budget{}
-	memory.give(4 * maxBody)
-	up := &upstream{id: 1, endpoint: address}
+	memory := &byteBudget{}
+	memory.release(4 * maxBody)
+	host := &upstreamHost{id: 1, address: address}
 	var got transcript
-	record := func(name string, r reply) {
+	record := func(name string, exchange exchangeResult) {
 		t.Helper()
-		if r.result != balance.OK {
-			t.Errorf("%s: %+v", name, r)
+		if exchange.outcome != balance.OK {
+			t.Errorf("%s: %+v", name, exchange)
 		}
-		got.add(name, withoutVolatile(receive(t, name, requests), address))
-		got.add("its report", fmt.Sprint(r.report))
+		got.add(name, withoutVolatile(receiveWithin(t, name, requests), address))
+		got.add("its report", fmt.Sprint(exchange.loadReport))
 	}
-	record("a health check with a load report", newUpstreams(cfg, 10, memory).probe(t.Context(), up))
-	cfg.balance.LoadReports = balance.LoadReportNone
-	p := newUpstreams(cfg, 10, memory)
-	record("a health check", p.probe(t.Context(), up))
-	for _, out := range []*outbound{
+	record("a health check with a load report", newConnPool(config, 10, memory).checkHealth(t.Context(), host))
+	config.settings.LoadReports = balance.LoadReportNone
+	pool := newConnPool(config, 10, memory)
+	record("a health check", pool.checkHealth(t.Context(), host))
+	for _, request := range []*outboundRequest{
 		{method: "GET", url: &url.URL{Path: "/api", RawQuery: "b=2&a=%2F"}, host: "backend.local", header: http.Header{
 			"X-Request-Id": {"9b1f03aa5c7e2d41"}, "X-Priority-Class": {"lookup"}, "Cookie": {"k=7f3a9c21e0b4d655"}, "X-Timeout-Ms": {"900"},
 		}},
@@ -416,8 +416,8 @@
 			"X-Request-Id": {"9b1f03aa5c7e2d42"}, "Idempotency-Key": {"5c0f6e1a2b3d4c59"}, "User-Agent": {"shop/1"},
 		}},
 	} {
-		a := &attempt{call: &call{out: out}, up: up, cut: time.Now().Add(patience), ctx: t.Context()}
-		record("an attempt by "+out.method, p.send(a))
+		upstreamAttempt := &attempt{call: &call{outbound: request}, upstream: host, deadline: time.Now().Add(testTimeout), ctx: t.Context()}
+		record("an attempt by "+request.method, pool.sendAttempt(upstreamAttempt))
 	}
 	checkGolden(t, "upstream.golden.txt", got.Bytes())
 }
--- a/internal/sidecar/placement_test.go
+++ b/internal/sidecar/placement_test.go
@@ -16,244 +16,244 @@
 	"milldeck/internal/placement"
 )
 
-// agent tells a placement as the test says and takes reports.
-type agent struct {
-	*registry
+// fakeAgent tells a placement as the test says and takes reports.
+type fakeAgent struct {
+	*fakeRegistry
 	reports chan placement.LoadReport
 }
 
-func newAgent(t *testing.T) *agent {
-	a := &agent{newRegistry(t), make(chan placement.LoadReport, 1000)}
-	watch := a.Config.Handler
-	a.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+func newFakeAgent(t *testing.T) *fakeAgent {
+	agent := &fakeAgent{newFakeRegistry(t), make(chan placement.LoadReport, 1000)}
+	watch := agent.Config.Handler
+	agent.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Path != "/registry/report" {
 			watch.ServeHTTP(w, req)
 			return
 		}
-		var r placement.LoadReport
-		if err := json.NewDecoder(req.Body).Decode(&r); err != nil || r.Validate() != nil || req.Method != http.MethodPost {
-			t.Errorf("%s: %v, %v of %+v", req.Method, err, r.Validate(), r)
+		var report placement.LoadReport
+		if err := json.NewDecoder(req.Body).Decode(&report); err != nil || report.Validate() != nil || req.Method != http.MethodPost {
+			t.Errorf("%s: %v, %v of %+v", req.Method, err, report.Validate(), report)
 		}
-		a.reports <- r
+		agent.reports <- report
 		w.WriteHeader(http.StatusNoContent)
 	})
-	return a
+	return agent
 }
 
-// next is a report that the sidecar began after this call, and what was counted until then.
-func (a *agent) next(t *testing.T, all *[]placement.LoadReport) placement.LoadReport {
+// nextReport is a report that the sidecar began after this call, and what was counted until then.
+func (agent *fakeAgent) nextReport(t *testing.T, reports *[]placement.LoadReport) placement.LoadReport {
 	t.Helper()
-	for len(a.reports) > 0 {
-		*all = append(*all, <-a.reports)
+	for len(agent.reports) > 0 {
+		*reports = append(*reports, <-agent.reports)
 	}
-	*all = append(*all, receive(t, "a report", a.reports)) // may have begun before
-	last := receive(t, "another report", a.reports)
-	*all = append(*all, last)
+	*reports = append(*reports, receiveWithin(t, "a report", agent.reports)) // may have begun before
+	last := receiveWithin(t, "another report", agent.reports)
+	*reports = append(*reports, last)
 	return last
 }
 
-func (c registryCall) place(t *testing.T, rev uint64, entries ...placement.Directive) {
+func (call registryCall) sendPlacement(t *testing.T, revision uint64, entries ...placement.Directive) {
 	t.Helper()
 	for i := range entries {
-		entries[i].Revision = rev
+		entries[i].Revision = revision
 	}
-	data, err := json.Marshal(placement.Update{Revision: rev, Complete: true, Epoch: 5, Directives: append([]placement.Directive{}, entries...)})
+	data, err := json.Marshal(placement.Update{Revision: revision, Complete: true, Epoch: 5, Directives: append([]placement.Directive{}, entries...)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.line(t, string(data))
+	call.sendLine(t, string(data))
 }
 
-// keepOff keeps kita off servers for as long as it says by either clock.
-func keepOff(left time.Duration, uids ...string) placement.Directive {
+// excludeDirective keeps kita off servers for as long as it says by either clock.
+func excludeDirective(remaining time.Duration, uids ...string) placement.Directive {
 	return placement.Directive{
 		ID: "window/w/kita", Kind: placement.KindExclude, Tenant: "kita", Servers: uids,
-		ExpiresAtMS: time.Now().Add(left).UnixMilli(), RemainingMS: left.Milliseconds(),
+		ExpiresAtMS: time.Now().Add(remaining).UnixMilli(), RemainingMS: remaining.Milliseconds(),
 	}
 }
 
-type placedRig struct {
-	*running
-	agent *agent
-	a, b  *backend
-	held  chan bool // a got a request with the query hold, which b fails
-	hold  chan bool // ... and answers it then
+type placementRig struct {
+	*testSidecar
+	agent            *fakeAgent
+	serverA, serverB *backend
+	holding          chan bool // a got a request with the query hold, which b fails
+	release          chan bool // ... and answers it then
 }
 
-// placedSidecar is a sidecar with two servers, a and b, that follows an agent's placement.
-func placedSidecar(t *testing.T, change func(conf), tweaks ...func(*Sidecar)) *placedRig {
+// startPlacementRig is a sidecar with two servers, a and b, that follows an agent's placement.
+func startPlacementRig(t *testing.T, change func(configDocument), tweaks ...func(*Sidecar)) *placementRig {
 	t.Helper()
-	p := &placedRig{agent: newAgent(t), held: make(chan bool, 1), hold: make(chan bool)}
-	hold := func(c net.Conn, req *http.Request, body string) bool {
+	rig := &placementRig{agent: newFakeAgent(t), holding: make(chan bool, 1), release: make(chan bool)}
+	serveHeld := func(c net.Conn, req *http.Request, body string) bool {
 		if req.URL.RawQuery == "hold" {
-			p.held <- true
-			<-p.hold
+			rig.holding <- true
+			<-rig.release
 		}
-		return ok(c, req, body)
+		return serveOK(c, req, body)
 	}
-	p.a = newBackend(t, "a", hold)
-	p.b = newBackend(t, "b", func(c net.Conn, req *http.Request, body string) bool {
+	rig.serverA = newBackend(t, "a", serveHeld)
+	rig.serverB = newBackend(t, "b", func(c net.Conn, req *http.Request, body string) bool {
 		if req.URL.RawQuery == "hold" {
-			return respond("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true)(c, req, body)
+			return respondWith("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true)(c, req, body)
 		}
-		return ok(c, req, body)
+		return serveOK(c, req, body)
 	})
-	c := newConf("127.0.0.1:1", p.a.target, p.b.target)
-	c["placement"], c["version"] = p.agent.addr(), "v7"
+	c := newConfigDocument("127.0.0.1:1", rig.serverA.endpoint, rig.serverB.endpoint)
+	c["placement"], c["version"] = rig.agent.address(), "v7"
 	if change != nil {
 		change(c)
 	}
-	p.running = start(t, c, append(tweaks, func(s *Sidecar) { s.loop.pace.every = 10 * time.Millisecond })...)
-	return p
+	rig.testSidecar = startSidecar(t, c, append(tweaks, func(instance *Sidecar) { instance.loop.placementTiming.reportInterval = 10 * time.Millisecond })...)
+	return rig
 }
 
-// lookups tells how many of n requests reach server a.
-func (p *placedRig) lookups(n int) int {
-	p.t.Helper()
-	before := p.a.requests.Load()
-	for range n {
-		if r := p.do(p.request("lookup", time.Second)); r.status != 200 {
-			p.t.Fatalf("answered %d", r.status)
+// countLookups tells how many of n requests reach server a.
+func (rig *placementRig) countLookups(count int) int {
+	rig.t.Helper()
+	before := rig.serverA.requests.Load()
+	for range count {
+		if response := rig.do(rig.newRequest("lookup", time.Second)); response.status != 200 {
+			rig.t.Fatalf("answered %d", response.status)
 		}
 	}
-	return int(p.a.requests.Load() - before)
+	return int(rig.serverA.requests.Load() - before)
 }
 
-// inForce waits until a revision is in force.
-func (p *placedRig) inForce(rev uint64) placement.LoadReport {
-	p.t.Helper()
+// awaitRevision waits until a revision is in force.
+func (rig *placementRig) awaitRevision(revision uint64) placement.LoadReport {
+	rig.t.Helper()
 	for {
-		if r := receive(p.t, "a report", p.agent.reports); r.PlacementRevision == rev {
-			return r
+		if report := receiveWithin(rig.t, "a report", rig.agent.reports); report.PlacementRevision == revision {
+			return report
 		}
 	}
 }
 
-func TestKeepOffIsObeyedAndEndsWithoutItsAgent(t *testing.T) {
-	p := placedSidecar(t, nil)
-	call := receive(t, "the watch", p.agent.calls)
+func TestExclusionIsObeyedAndExpiresWithoutAgent(t *testing.T) {
+	rig := startPlacementRig(t, nil)
+	call := receiveWithin(t, "the watch", rig.agent.calls)
 	if call.query != "watch=1" {
 		t.Errorf("asked %q", call.query)
 	}
-	told := time.Now()
-	call.place(t, 3, keepOff(700*time.Millisecond, "a", "no such server"))
-	r := p.inForce(3)
-	if open, is := r.ExcludedInFlight["window/w/kita"]; r.Sidecar != "n0" || r.Version != "v7" || r.Zone != "z" || r.PlacementEpoch != 5 || r.EndpointRevision != 1 || !is || open != 0 || r.SuspendedDirectives != nil {
-		t.Errorf("reported %+v", r)
+	notifiedAt := time.Now()
+	call.sendPlacement(t, 3, excludeDirective(700*time.Millisecond, "a", "no such server"))
+	report := rig.awaitRevision(3)
+	if open, ok := report.ExcludedInFlight["window/w/kita"]; report.Sidecar != "n0" || report.Version != "v7" || report.Zone != "z" || report.PlacementEpoch != 5 || report.EndpointRevision != 1 || !ok || open != 0 || report.SuspendedDirectives != nil {
+		t.Errorf("reported %+v", report)
 	}
-	if n := p.lookups(10); n > 0 && time.Since(told) < 700*time.Millisecond {
-		t.Errorf("%d requests reached the server that is kept off", n)
+	if reached := rig.countLookups(10); reached > 0 && time.Since(notifiedAt) < 700*time.Millisecond {
+		t.Errorf("%d requests reached the server that is kept off", reached)
 	}
-	p.agent.CloseClientConnections()
-	p.agent.Listener.Close()
-	until(t, "the entry's end", func() bool { return p.lookups(2) > 0 })
-	if time.Since(told) < 690*time.Millisecond {
-		t.Errorf("it ended after %v", time.Since(told))
+	rig.agent.CloseClientConnections()
+	rig.agent.Listener.Close()
+	waitUntil(t, "the entry's end", func() bool { return rig.countLookups(2) > 0 })
+	if time.Since(notifiedAt) < 690*time.Millisecond {
+		t.Errorf("it ended after %v", time.Since(notifiedAt))
 	}
 }
 
 // Whatever clock is wrong ends an entry early, never late; also one that is set while the entry is in force.
-func TestEitherClockEndsAnEntry(t *testing.T) {
-	for what, change := range map[string]func(*placement.Directive){
-		"little left":                func(e *placement.Directive) { e.RemainingMS = 200 },
-		"the writer's clock is late": func(e *placement.Directive) { e.ExpiresAtMS = time.Now().UnixMilli() + 200 },
-		"it was over by then":        func(e *placement.Directive) { e.ExpiresAtMS = 1 },
+func TestEitherClockExpiresDirective(t *testing.T) {
+	for name, change := range map[string]func(*placement.Directive){
+		"little left":                func(directive *placement.Directive) { directive.RemainingMS = 200 },
+		"the writer's clock is late": func(directive *placement.Directive) { directive.ExpiresAtMS = time.Now().UnixMilli() + 200 },
+		"it was over by then":        func(directive *placement.Directive) { directive.ExpiresAtMS = 1 },
 	} {
-		t.Run(what, func(t *testing.T) {
-			p := placedSidecar(t, nil)
-			e := keepOff(time.Hour, "a")
-			change(&e)
-			receive(t, "the watch", p.agent.calls).place(t, 1, e)
-			p.inForce(1)
-			until(t, "the entry's end", func() bool { return p.lookups(2) > 0 })
+		t.Run(name, func(t *testing.T) {
+			rig := startPlacementRig(t, nil)
+			directive := excludeDirective(time.Hour, "a")
+			change(&directive)
+			receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, directive)
+			rig.awaitRevision(1)
+			waitUntil(t, "the entry's end", func() bool { return rig.countLookups(2) > 0 })
 		})
 	}
 	var ahead atomic.Int64
-	p := placedSidecar(t, nil, func(s *Sidecar) {
-		s.loop.pace.wall = func() int64 { return time.Now().UnixMilli() + ahead.Load() }
+	rig := startPlacementRig(t, nil, func(instance *Sidecar) {
+		instance.loop.placementTiming.wallClockMS = func() int64 { return time.Now().UnixMilli() + ahead.Load() }
 	})
-	receive(t, "the watch", p.agent.calls).place(t, 1, keepOff(time.Hour, "a"))
-	p.inForce(1)
-	if n := p.lookups(10); n > 0 {
-		t.Errorf("%d requests reached the server that is kept off", n)
+	receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, excludeDirective(time.Hour, "a"))
+	rig.awaitRevision(1)
+	if reached := rig.countLookups(10); reached > 0 {
+		t.Errorf("%d requests reached the server that is kept off", reached)
 	}
 	ahead.Store(2 * time.Hour.Milliseconds())
-	until(t, "the entry's end", func() bool { return p.lookups(2) > 0 })
+	waitUntil(t, "the entry's end", func() bool { return rig.countLookups(2) > 0 })
 	ahead.Store(0)
-	p.agent.next(t, &[]placement.LoadReport{})
-	if p.lookups(20) == 0 {
+	rig.agent.nextReport(t, &[]placement.LoadReport{})
+	if rig.countLookups(20) == 0 {
 		t.Error("the entry began again when the clock was put back")
 	}
 }
 
 // A line that cannot be used ends its watch and leaves what was told before; the next asks after that.
-func TestBadPlacementsLeaveTheLastGoodOne(t *testing.T) {
-	p := placedSidecar(t, nil, func(s *Sidecar) {
-		s.loop.pace.silence, s.loop.pace.most = 300*time.Millisecond, 50*time.Millisecond
+func TestInvalidPlacementKeepsLastValid(t *testing.T) {
+	rig := startPlacementRig(t, nil, func(instance *Sidecar) {
+		instance.loop.placementTiming.silenceTimeout, instance.loop.placementTiming.maxBackoff = 300*time.Millisecond, 50*time.Millisecond
 	})
-	call := receive(t, "the watch", p.agent.calls)
-	indented, _ := json.MarshalIndent(placement.Update{Revision: 1, Complete: true, Epoch: 5, Directives: []placement.Directive{keepOff(time.Hour, "a")}}, "", "  ")
-	call.line(t, "\n"+string(indented))
-	p.inForce(1)
-	endless := strings.Repeat(`"window/w/kita",`, maxPlacement/16)
-	for what, bad := range map[string]func(c registryCall){
-		"torn":         func(c registryCall) { c.line(t, `{"rev":2,"all":true,`); close(c.lines) },
-		"endless":      func(c registryCall) { c.line(t, `{"rev":2,"gone":[`+endless); <-c.gone },
-		"no placement": func(c registryCall) { c.line(t, `["rev"]`); <-c.gone },
-		"no entries":   func(c registryCall) { c.line(t, `{"rev":2,"all":true,"epoch":5}`); <-c.gone },
-		"silent":       func(c registryCall) { c.line(t, ""); <-c.gone },
-		"trickling":    func(c registryCall) { c.line(t, `{"rev":`); <-c.gone },
-		"refused":      func(c registryCall) { c.fail <- http.StatusServiceUnavailable },
-		"too large":    func(c registryCall) { c.line(t, `{"rev":2,"epoch":5,"entries":[{"id":""}]}`); <-c.gone },
+	call := receiveWithin(t, "the watch", rig.agent.calls)
+	indented, _ := json.MarshalIndent(placement.Update{Revision: 1, Complete: true, Epoch: 5, Directives: []placement.Directive{excludeDirective(time.Hour, "a")}}, "", "  ")
+	call.sendLine(t, "\n"+string(indented))
+	rig.awaitRevision(1)
+	endless := strings.Repeat(`"window/w/kita",`, maxPlacementBytes/16)
+	for name, bad := range map[string]func(c registryCall){
+		"torn":         func(c registryCall) { c.sendLine(t, `{"rev":2,"all":true,`); close(c.lines) },
+		"endless":      func(c registryCall) { c.sendLine(t, `{"rev":2,"gone":[`+endless); <-c.disconnected },
+		"no placement": func(c registryCall) { c.sendLine(t, `["rev"]`); <-c.disconnected },
+		"no entries":   func(c registryCall) { c.sendLine(t, `{"rev":2,"all":true,"epoch":5}`); <-c.disconnected },
+		"silent":       func(c registryCall) { c.sendLine(t, ""); <-c.disconnected },
+		"trickling":    func(c registryCall) { c.sendLine(t, `{"rev":`); <-c.disconnected },
+		"refused":      func(c registryCall) { c.failWith <- http.StatusServiceUnavailable },
+		"too large":    func(c registryCall) { c.sendLine(t, `{"rev":2,"epoch":5,"entries":[{"id":""}]}`); <-c.disconnected },
 	} {
 		bad(call)
-		call = receive(t, what+": the next watch", p.agent.calls)
+		call = receiveWithin(t, name+": the next watch", rig.agent.calls)
 		if call.query != "watch=1&after=1&epoch=5" {
-			t.Errorf("%s: asked %q", what, call.query)
+			t.Errorf("%s: asked %q", name, call.query)
 		}
-		if n := p.lookups(4); n > 0 {
-			t.Errorf("%s: %d requests reached the server that is kept off", what, n)
+		if reached := rig.countLookups(4); reached > 0 {
+			t.Errorf("%s: %d requests reached the server that is kept off", name, reached)
 		}
 	}
 	// Another history that does not begin with its whole: that is asked for, and then in force.
-	call.line(t, `{"rev":2,"epoch":6,"entries":[]}`)
-	call = receive(t, "the next watch", p.agent.calls)
+	call.sendLine(t, `{"rev":2,"epoch":6,"entries":[]}`)
+	call = receiveWithin(t, "the next watch", rig.agent.calls)
 	if call.query != "watch=1" {
 		t.Errorf("asked %q", call.query)
 	}
-	call.line(t, `{"rev":2,"epoch":6,"all":true,"entries":[]}`)
-	p.inForce(2)
-	if p.lookups(10) == 0 {
+	call.sendLine(t, `{"rev":2,"epoch":6,"all":true,"entries":[]}`)
+	rig.awaitRevision(2)
+	if rig.countLookups(10) == 0 {
 		t.Error("the entry is still in force")
 	}
 }
 
 // An entry that is told again with the same end is no news; one that ends earlier than was told is.
-func TestEarlierEndIsNews(t *testing.T) {
-	e := keepOff(time.Second, "a")
-	f := inForce{entries: []entryInForce{{Directive: e, until: 6000}}}
-	for left, want := range map[int64]bool{1000: true, 980: true, 5000: true, 900: false} {
-		e.RemainingMS = left
-		if f.same(5000, []placement.Directive{e}) != want {
-			t.Errorf("%d ms left: same %v, want %v", left, !want, want)
+func TestEarlierExpiryIsApplied(t *testing.T) {
+	directive := excludeDirective(time.Second, "a")
+	active := activePlacement{directives: []activeDirective{{Directive: directive, endsAtMS: 6000}}}
+	for remaining, want := range map[int64]bool{1000: true, 980: true, 5000: true, 900: false} {
+		directive.RemainingMS = remaining
+		if active.holds(5000, []placement.Directive{directive}) != want {
+			t.Errorf("%d ms left: same %v, want %v", remaining, !want, want)
 		}
 	}
 }
 
-func TestReadValue(t *testing.T) {
+func TestReadObject(t *testing.T) {
 	for text, want := range map[string]string{
-		`{"a":"}\"{"}{"b":[{}]}` + "\n":     `{"a":"}\"{"} {"b":[{}]} EOF`,
-		"\n \t\r\n{\n \"a\": 1\n}\n\n":      "{\n \"a\": 1\n} EOF",
-		`{"a":"`:                            "unexpected EOF",
-		`{"a":"\`:                           "unexpected EOF",
-		`null`:                              `'n' begins no placement`,
-		"":                                  "EOF",
-		strings.Repeat("{", maxPlacement+1): errPlacementLarge.Error(),
+		`{"a":"}\"{"}{"b":[{}]}` + "\n":          `{"a":"}\"{"} {"b":[{}]} EOF`,
+		"\n \t\r\n{\n \"a\": 1\n}\n\n":           "{\n \"a\": 1\n} EOF",
+		`{"a":"`:                                 "unexpected EOF",
+		`{"a":"\`:                                "unexpected EOF",
+		`null`:                                   `'n' begins no placement`,
+		"":                                       "EOF",
+		strings.Repeat("{", maxPlacementBytes+1): errPlacementTooLarge.Error(),
 	} {
-		in := bufio.NewReader(strings.NewReader(text))
+		reader := bufio.NewReader(strings.NewReader(text))
 		var got []string
 		for {
-			value, err := readValue(in, func() {})
+			value, err := readObject(reader, func() {})
 			if err != nil {
 				got = append(got, err.Error())
 				break
@@ -266,33 +266,33 @@
 	}
 }
 
-func TestReportTellsWhatBecameOfRequests(t *testing.T) {
-	p := placedSidecar(t, func(c conf) { c["application"] = "other" }) // it is no tenant where the settings name some
-	receive(t, "the watch", p.agent.calls).place(t, 1, entries()...)
-	p.inForce(1)
-	ask := func(query, key string) <-chan result {
-		req := p.request("lookup", patience/2)
+func TestReportCountsRequestOutcomes(t *testing.T) {
+	rig := startPlacementRig(t, func(c configDocument) { c["application"] = "other" }) // it is no tenant where the settings name some
+	receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, reportDirectives()...)
+	rig.awaitRevision(1)
+	lookupAsync := func(query, key string) <-chan clientResult {
+		req := rig.newRequest("lookup", testTimeout/2)
 		req.URL.RawQuery = query
 		req.Header.Set("X-Cost", "3000")
 		if key != "" {
 			req.AddCookie(&http.Cookie{Name: "k", Value: key})
 		}
-		return p.goDo(req)
+		return rig.doAsync(req)
 	}
 	for range 10 {
-		<-ask("", "hot")
-		<-ask("", "")
+		<-lookupAsync("", "hot")
+		<-lookupAsync("", "")
 	}
-	held := ask("hold", "") // fails at b, which takes the first attempt, and is out at a
-	receive(t, "the held request", p.held)
-	var all []placement.LoadReport
-	last := p.agent.next(t, &all)
+	pending := lookupAsync("hold", "") // fails at b, which takes the first attempt, and is out at a
+	receiveWithin(t, "the held request", rig.holding)
+	var reports []placement.LoadReport
+	last := rig.agent.nextReport(t, &reports)
 	if v, w := last.ExcludedInFlight["window/v/kita"], last.ExcludedInFlight["window/w/kita"]; v != 1 || w != 1 || len(last.ExcludedInFlight) != 3 {
 		t.Errorf("open %v, want the held request at a, which both keep off, and none of another tenant", last.ExcludedInFlight)
 	}
-	p.hold <- true
-	<-held
-	last = p.agent.next(t, &all)
+	rig.release <- true
+	<-pending
+	last = rig.agent.nextReport(t, &reports)
 	if last.ExcludedInFlight["window/w/kita"] != 0 {
 		t.Errorf("open %v after its end", last.ExcludedInFlight)
 	}
@@ -301,14 +301,14 @@
 	}
 	got := map[string][3]int{}
 	suspended := map[string]bool{}
-	for _, r := range all {
-		for _, id := range r.SuspendedDirectives {
+	for _, report := range reports {
+		for _, id := range report.SuspendedDirectives {
 			suspended[id] = true
 		}
-		for _, c := range r.ClassCounts {
+		for _, c := range report.ClassCounts {
 			name, sum := c.Class+" "+c.Zone+" "+c.Cohort, 0
-			for _, n := range c.LatencyHistogram {
-				sum += int(n)
+			for _, latencyCount := range c.LatencyHistogram {
+				sum += int(latencyCount)
 			}
 			if sum != c.Succeeded {
 				t.Errorf("%d latencies of %d served", sum, c.Succeeded)
@@ -324,9 +324,9 @@
 	}
 }
 
-// entries keep kita off a, then off both, which leaves too little; another tenant is not of this sidecar.
-func entries() []placement.Directive {
-	first, both, other, cohort := keepOff(time.Hour, "a"), keepOff(time.Hour, "a", "b"), keepOff(time.Hour, "b"), keepOff(time.Hour, "b")
+// reportDirectives keep kita off a, then off both, which leaves too little; another tenant is not of this sidecar.
+func reportDirectives() []placement.Directive {
+	first, both, other, cohort := excludeDirective(time.Hour, "a"), excludeDirective(time.Hour, "a", "b"), excludeDirective(time.Hour, "b"), excludeDirective(time.Hour, "b")
 	first.ID, both.MinAvailable = "window/v/kita", 0.5
 	other.ID, other.Tenant = "window/x/other", "other"
 	cohort.ID, cohort.Kind, cohort.Cohort = "cohort/new", placement.KindCohort, "new"
@@ -334,91 +334,93 @@
 }
 
 // Where the settings name no tenants, all requests are the calling application's.
-func TestApplicationIsTheTenant(t *testing.T) {
+func TestApplicationIsDefaultTenant(t *testing.T) {
 	for application, want := range map[string]bool{"kita": true, "portal": false, "": false} {
-		p := placedSidecar(t, func(c conf) {
-			c.setting(`"tenants": [{"name": "kita", "share": 1, "allowance_per_s": 100}],`, "")
+		rig := startPlacementRig(t, func(c configDocument) {
+			c.replaceSetting(`"tenants": [{"name": "kita", "share": 1, "allowance_per_s": 100}],`, "")
 			c["application"] = application
 		})
-		receive(t, "the watch", p.agent.calls).place(t, 1, keepOff(time.Hour, "a"))
-		r := p.inForce(1)
-		if open, is := r.ExcludedInFlight["window/w/kita"]; !is || open != 0 {
-			t.Errorf("%q: open %d, in force %v", application, open, is)
+		receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, excludeDirective(time.Hour, "a"))
+		report := rig.awaitRevision(1)
+		if open, ok := report.ExcludedInFlight["window/w/kita"]; !ok || open != 0 {
+			t.Errorf("%q: open %d, in force %v", application, open, ok)
 		}
-		if kept := p.lookups(10) == 0; kept != want {
-			t.Errorf("%q: kept off %v, want %v", application, kept, want)
+		if excluded := rig.countLookups(10) == 0; excluded != want {
+			t.Errorf("%q: kept off %v, want %v", application, excluded, want)
 		}
 	}
 }
 
 // A spread key goes to its copy as told.
-func TestSpreadReachesTheModule(t *testing.T) {
-	p := placedSidecar(t, func(c conf) { c.setting(`"quantum_ms": 2,`, `"quantum_ms": 2, "family_info": {"warm_keys": true},`) })
-	spread := keepOff(time.Hour)
+func TestSpreadReachesBalancer(t *testing.T) {
+	rig := startPlacementRig(t, func(c configDocument) {
+		c.replaceSetting(`"quantum_ms": 2,`, `"quantum_ms": 2, "family_info": {"warm_keys": true},`)
+	})
+	spread := excludeDirective(time.Hour)
 	spread.ID, spread.Kind, spread.KeyHash, spread.Copies = "spread/335f24192ff5d0d4", placement.KindSpreadKey, "335f24192ff5d0d4", []placement.KeyCopy{{ServerUID: "a", LoadFraction: 1}}
-	receive(t, "the watch", p.agent.calls).place(t, 1, spread)
-	p.inForce(1)
-	before := p.a.requests.Load()
+	receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, spread)
+	rig.awaitRevision(1)
+	before := rig.serverA.requests.Load()
 	for range 20 {
-		req := p.request("lookup", time.Second)
+		req := rig.newRequest("lookup", time.Second)
 		req.AddCookie(&http.Cookie{Name: "k", Value: "hot"})
-		p.do(req)
+		rig.do(req)
 	}
-	if n := p.a.requests.Load() - before; n != 20 {
-		t.Errorf("the copy got %d of 20", n)
+	if reached := rig.serverA.requests.Load() - before; reached != 20 {
+		t.Errorf("the copy got %d of 20", reached)
 	}
 }
 
 // A reload follows the placement to another address. What the old one told holds until the new one has told; without
 // an address it ends at once, and nothing is left running.
-func TestReloadMovesThePlacement(t *testing.T) {
-	p := placedSidecar(t, nil)
-	old := receive(t, "the watch", p.agent.calls)
-	old.place(t, 9, keepOff(time.Hour, "a"))
-	p.inForce(9)
-	other := newAgent(t)
-	cfg := *p.cfg
-	cfg.Placement, cfg.Version = other.addr(), "v8"
-	p.Reload(&cfg)
-	receive(t, "the old watch to end", old.gone)
-	call := receive(t, "the new watch", other.calls)
-	if call.query != "watch=1" || p.lookups(10) > 0 {
+func TestReloadSwitchesPlacement(t *testing.T) {
+	rig := startPlacementRig(t, nil)
+	previous := receiveWithin(t, "the watch", rig.agent.calls)
+	previous.sendPlacement(t, 9, excludeDirective(time.Hour, "a"))
+	rig.awaitRevision(9)
+	secondAgent := newFakeAgent(t)
+	config := *rig.config
+	config.PlacementAddress, config.Version = secondAgent.address(), "v8"
+	rig.Reload(&config)
+	receiveWithin(t, "the old watch to end", previous.disconnected)
+	call := receiveWithin(t, "the new watch", secondAgent.calls)
+	if call.query != "watch=1" || rig.countLookups(10) > 0 {
 		t.Errorf("asked %q; the entry has to hold", call.query)
 	}
-	call.place(t, 1)
-	if r := receive(t, "a report", other.reports); r.PlacementRevision != 1 || r.Version != "v8" {
-		t.Errorf("reported %+v", r)
+	call.sendPlacement(t, 1)
+	if report := receiveWithin(t, "a report", secondAgent.reports); report.PlacementRevision != 1 || report.Version != "v8" {
+		t.Errorf("reported %+v", report)
 	}
-	p.loop.post(placed{gen: 0, at: time.Now(), list: placement.Update{Directives: []placement.Directive{keepOff(time.Hour, "a")}}})
-	if p.lookups(10) == 0 {
+	rig.loop.post(placementUpdate{generation: 0, takenAt: time.Now(), placement: placement.Update{Directives: []placement.Directive{excludeDirective(time.Hour, "a")}}})
+	if rig.countLookups(10) == 0 {
 		t.Error("the entry holds on")
 	}
-	call.place(t, 2, keepOff(time.Hour, "a"))
-	p.agent = other
-	p.inForce(2)
-	if p.lookups(10) > 0 {
+	call.sendPlacement(t, 2, excludeDirective(time.Hour, "a"))
+	rig.agent = secondAgent
+	rig.awaitRevision(2)
+	if rig.countLookups(10) > 0 {
 		t.Error("the new entry does not hold")
 	}
-	cfg.Placement = ""
-	p.Reload(&cfg)
-	receive(t, "the new watch to end", call.gone)
-	until(t, "the end of the entry", func() bool { return p.lookups(2) > 0 })
-	until(t, "nothing left running", func() bool { return followers() == 0 })
+	config.PlacementAddress = ""
+	rig.Reload(&config)
+	receiveWithin(t, "the new watch to end", call.disconnected)
+	waitUntil(t, "the end of the entry", func() bool { return rig.countLookups(2) > 0 })
+	waitUntil(t, "nothing left running", func() bool { return countPlacementGoroutines() == 0 })
 }
 
-// followers counts the goroutines that follow a placement or report.
-func followers() int {
-	buf := make([]byte, 1<<20)
-	return strings.Count(string(buf[:runtime.Stack(buf, true)]), "sidecar.(*"+reflect.TypeFor[placing]().Name()+")")
+// countPlacementGoroutines counts the goroutines that follow a placement or report.
+func countPlacementGoroutines() int {
+	buffer := make([]byte, 1<<20)
+	return strings.Count(string(buffer[:runtime.Stack(buffer, true)]), "sidecar.(*"+reflect.TypeFor[placementClient]().Name()+")")
 }
 
-func TestWithoutPlacementNothingRuns(t *testing.T) {
-	p := placedSidecar(t, func(c conf) { delete(c, "placement") })
-	if n := p.lookups(10); n == 0 || followers() > 0 || len(p.agent.calls)+len(p.agent.reports) > 0 {
-		t.Errorf("%d requests on a, %d goroutines, %d calls", n, followers(), len(p.agent.calls))
+func TestNoPlacementGoroutinesWhenDisabled(t *testing.T) {
+	rig := startPlacementRig(t, func(c configDocument) { delete(c, "placement") })
+	if reached := rig.countLookups(10); reached == 0 || countPlacementGoroutines() > 0 || len(rig.agent.calls)+len(rig.agent.reports) > 0 {
+		t.Errorf("%d requests on a, %d goroutines, %d calls", reached, countPlacementGoroutines(), len(rig.agent.calls))
 	}
-	receive(t, "the watch", placedSidecar(t, nil).agent.calls)
-	if followers() == 0 {
+	receiveWithin(t, "the watch", startPlacementRig(t, nil).agent.calls)
+	if countPlacementGoroutines() == 0 {
 		t.Error("followers are not found where there are some")
 	}
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -20,8 +20,8 @@
 	"time"
 )
 
-// patience bounds every wait of the tests; none is expected to last.
-const patience = 10 * time.Second
+// testTimeout bounds every wait of the tests; none is expected to last.
+const testTimeout = 10 * time.Second
 
 const testSettings = `{
  "classes": [
@@ -41,31 +41,31 @@
 	os.Exit(m.Run())
 }
 
-// conf is a configuration file under change.
-type conf map[string]any
+// configDocument is a configuration file under change.
+type configDocument map[string]any
 
-func newConf(discovery string, known ...target) conf {
-	return conf{
+func newConfigDocument(discovery string, known ...endpoint) configDocument {
+	return configDocument{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"known":    list{Rev: 1, All: true, Targets: known},
+		"known":    endpointList{Revision: 1, Complete: true, Endpoints: known},
 		"settings": json.RawMessage(testSettings),
 	}
 }
 
-// setting replaces text in the settings.
-func (c conf) setting(old, to string) conf {
-	text := string(c["settings"].(json.RawMessage))
+// replaceSetting replaces text in the settings.
+func (document configDocument) replaceSetting(old, new string) configDocument {
+	text := string(document["settings"].(json.RawMessage))
 	if !strings.Contains(text, old) {
 		panic("the settings lack " + old)
 	}
-	c["settings"] = json.RawMessage(strings.Replace(text, old, to, 1))
-	return c
+	document["settings"] = json.RawMessage(strings.Replace(text, old, new, 1))
+	return document
 }
 
-func (c conf) write(t *testing.T) string {
+func (document configDocument) writeFile(t *testing.T) string {
 	t.Helper()
-	data, err := json.Marshal(c)
+	data, err := json.Marshal(document)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,8 +76,8 @@
 	return path
 }
 
-func (c conf) load(t *testing.T) (*Config, error) {
-	path := c.write(t)
+func (document configDocument) load(t *testing.T) (*Config, error) {
+	path := document.writeFile(t)
 	return LoadConfig(func(name string) string {
 		if name == "NODE_CONFIG" {
 			return path
@@ -86,76 +86,76 @@
 	})
 }
 
-// running is a sidecar under test.
-type running struct {
+// testSidecar is a sidecar under test.
+type testSidecar struct {
 	*Sidecar
-	t      *testing.T
-	client *http.Client
-	term   context.CancelFunc
-	ended  chan error
+	t         *testing.T
+	client    *http.Client
+	terminate context.CancelFunc
+	done      chan error
 }
 
-// start runs a sidecar; tweaks change it before. Connections are used again at once, unless a test says else.
-func start(t *testing.T, c conf, tweaks ...func(*Sidecar)) *running {
+// startSidecar runs a sidecar; tweaks change it before. Connections are used again at once, unless a test says else.
+func startSidecar(t *testing.T, document configDocument, tweaks ...func(*Sidecar)) *testSidecar {
 	t.Helper()
-	before := runtime.NumGoroutine()
-	cfg, err := c.load(t)
+	goroutinesBefore := runtime.NumGoroutine()
+	config, err := document.load(t)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := New(cfg)
+	instance, err := New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.drainAccept, s.drainServe, s.loop.ups.restWait = 0, 0, 0
+	instance.acceptWindow, instance.serveWindow, instance.loop.pool.reuseDelay = 0, 0, 0
 	for _, tweak := range tweaks {
-		tweak(s)
+		tweak(instance)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{Sidecar: s, t: t, term: cancel, ended: make(chan error, 1)}
-	r.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: patience}
-	go func() { r.ended <- s.Run(ctx) }()
+	sidecar := &testSidecar{Sidecar: instance, t: t, terminate: cancel, done: make(chan error, 1)}
+	sidecar.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: testTimeout}
+	go func() { sidecar.done <- instance.Run(ctx) }()
 	t.Cleanup(func() {
-		r.client.CloseIdleConnections()
+		sidecar.client.CloseIdleConnections()
 		cancel()
-		if err := <-r.ended; err != nil {
+		if err := <-sidecar.done; err != nil {
 			t.Errorf("the sidecar ended with %v", err)
 		}
-		r.ended <- nil
-		noMoreGoroutines(t, before)
+		sidecar.done <- nil
+		waitForGoroutines(t, goroutinesBefore)
 	})
-	return r
+	return sidecar
 }
 
-// noMoreGoroutines waits until only those of before are left, beside the test's own servers' few.
-func noMoreGoroutines(t *testing.T, before int) {
+// waitForGoroutines waits until only those of before are left, beside the test's own servers' few.
+func waitForGoroutines(t *testing.T, before int) {
 	t.Helper()
-	until(t, "goroutines to end", func() bool { return runtime.NumGoroutine() <= before+3 })
+	waitUntil(t, "goroutines to end", func() bool { return runtime.NumGoroutine() <= before+3 })
 }
 
-// until polls what has no event of its own.
-func until(t *testing.T, what string, done func() bool) {
+// waitUntil polls what has no event of its own.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !done(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			buf := make([]byte, 1<<16)
-			t.Fatalf("waited in vain for %s\n%s", what, buf[:runtime.Stack(buf, true)])
+	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			buffer := make([]byte, 1<<16)
+			t.Fatalf("waited in vain for %s\n%s", what, buffer[:runtime.Stack(buffer, true)])
 		}
 	}
 }
 
 var lastRequestID atomic.Int64
 
-// request makes a well-formed request of a class.
-func (r *running) request(class string, timeout time.Duration) *http.Request {
-	r.t.Helper()
+// newRequest makes a well-formed request of a class.
+func (sidecar *testSidecar) newRequest(class string, timeout time.Duration) *http.Request {
+	sidecar.t.Helper()
 	method, body := http.MethodPost, io.Reader(strings.NewReader("plate 12-34"))
 	if class == "lookup" {
 		method, body = http.MethodGet, nil
 	}
-	req, err := http.NewRequest(method, "http://"+r.Addr()+"/api?q=1", body)
+	req, err := http.NewRequest(method, "http://"+sidecar.Addr()+"/api?q=1", body)
 	if err != nil {
-		r.t.Fatal(err)
+		sidecar.t.Fatal(err)
 	}
 	req.Header.Set("X-Request-ID", fmt.Sprintf("%016x", lastRequestID.Add(1)))
 	req.Header.Set("X-Priority-Class", class)
@@ -167,43 +167,43 @@
 	return req
 }
 
-type result struct {
-	status int
-	header http.Header
-	body   string
-	took   time.Duration
-	closed bool // its connection ends with it
+type clientResult struct {
+	status     int
+	header     http.Header
+	body       string
+	elapsed    time.Duration
+	connClosed bool // its connection ends with it
 }
 
-func (r *running) do(req *http.Request) result {
-	r.t.Helper()
-	began := time.Now()
-	resp, err := r.client.Do(req)
+func (sidecar *testSidecar) do(req *http.Request) clientResult {
+	sidecar.t.Helper()
+	startedAt := time.Now()
+	resp, err := sidecar.client.Do(req)
 	if err != nil {
-		r.t.Error(err)
-		return result{}
+		sidecar.t.Error(err)
+		return clientResult{}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		r.t.Error(err)
+		sidecar.t.Error(err)
 	}
-	return result{resp.StatusCode, resp.Header, string(body), time.Since(began), resp.Close}
+	return clientResult{resp.StatusCode, resp.Header, string(body), time.Since(startedAt), resp.Close}
 }
 
-// goDo makes a request beside the test.
-func (r *running) goDo(req *http.Request) <-chan result {
-	done := make(chan result, 1)
-	go func() { done <- r.do(req) }()
+// doAsync makes a request beside the test.
+func (sidecar *testSidecar) doAsync(req *http.Request) <-chan clientResult {
+	done := make(chan clientResult, 1)
+	go func() { done <- sidecar.do(req) }()
 	return done
 }
 
-func receive[T any](t *testing.T, what string, from <-chan T) T {
+func receiveWithin[T any](t *testing.T, what string, channel <-chan T) T {
 	t.Helper()
 	select {
-	case v := <-from:
-		return v
-	case <-time.After(patience):
+	case value := <-channel:
+		return value
+	case <-time.After(testTimeout):
 		t.Fatalf("waited in vain for %s", what)
 		panic("unreachable")
 	}
@@ -212,7 +212,7 @@
 // backend is a server that counts what reaches it and lets each test say what it does on a connection.
 type backend struct {
 	net.Listener
-	target   target
+	endpoint endpoint
 	requests atomic.Int64
 	conns    atomic.Int64
 
@@ -220,43 +220,43 @@
 	open map[net.Conn]bool
 }
 
-// serveOne handles one request that was read whole; false ends the connection.
-type serveOne func(c net.Conn, req *http.Request, body string) bool
+// serveFunc handles one request that was read whole; false ends the connection.
+type serveFunc func(c net.Conn, req *http.Request, body string) bool
 
-func newBackend(t *testing.T, uid string, serve serveOne) *backend {
+func newBackend(t *testing.T, uid string, serve serveFunc) *backend {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &backend{Listener: ln, open: map[net.Conn]bool{}, target: ready(uid, ln.Addr().String())}
+	server := &backend{Listener: listener, open: map[net.Conn]bool{}, endpoint: readyEndpoint(uid, listener.Addr().String())}
 	var handlers sync.WaitGroup
 	handlers.Go(func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			b.conns.Add(1)
-			b.mu.Lock()
-			b.open[c] = true
-			b.mu.Unlock()
-			handlers.Go(func() { b.handle(c, serve) })
+			server.conns.Add(1)
+			server.mu.Lock()
+			server.open[conn] = true
+			server.mu.Unlock()
+			handlers.Go(func() { server.handle(conn, serve) })
 		}
 	})
 	t.Cleanup(func() {
-		ln.Close()
-		b.drop()
+		listener.Close()
+		server.closeConns()
 		handlers.Wait()
 	})
-	return b
+	return server
 }
 
-func (b *backend) handle(c net.Conn, serve serveOne) {
-	defer c.Close()
-	in := bufio.NewReader(c)
+func (server *backend) handle(conn net.Conn, serve serveFunc) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
 	for {
-		req, err := http.ReadRequest(in)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -264,69 +264,69 @@
 		if err != nil {
 			return
 		}
-		b.requests.Add(1)
-		if !serve(c, req, string(body)) {
+		server.requests.Add(1)
+		if !serve(conn, req, string(body)) {
 			return
 		}
 	}
 }
 
-// drop closes all connections, as the end of a process does.
-func (b *backend) drop() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for c := range b.open {
-		c.Close()
+// closeConns closes all connections, as the end of a process does.
+func (server *backend) closeConns() {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	for conn := range server.open {
+		conn.Close()
 	}
-	clear(b.open)
+	clear(server.open)
 }
 
-func ready(uid, addr string) target {
-	return target{UID: uid, Endpoint: addr, Zone: "z", Model: "k", PodGroup: 1, State: "Ready", Capacity: 1}
+func readyEndpoint(uid, address string) endpoint {
+	return endpoint{UID: uid, Address: address, Zone: "z", Model: "k", PodGroup: 1, State: "Ready", CapacityHint: 1}
 }
 
-func ok(c net.Conn, _ *http.Request, _ string) bool {
-	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Server-Load: busy=0.5,rate=7\r\n\r\ndone")
+func serveOK(conn net.Conn, _ *http.Request, _ string) bool {
+	_, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Server-Load: busy=0.5,rate=7\r\n\r\ndone")
 	return err == nil
 }
 
-// respond answers with fixed text and keeps the connection or ends it.
-func respond(text string, keep bool) serveOne {
-	return func(c net.Conn, _ *http.Request, _ string) bool {
-		_, err := io.WriteString(c, text)
-		return err == nil && keep
+// respondWith answers with fixed text and keeps the connection or ends it.
+func respondWith(text string, keepOpen bool) serveFunc {
+	return func(conn net.Conn, _ *http.Request, _ string) bool {
+		_, err := io.WriteString(conn, text)
+		return err == nil && keepOpen
 	}
 }
 
-// registry is discovery: each call takes what the test gives it next.
-type registry struct {
+// fakeRegistry is discovery: each call takes what the test gives it next.
+type fakeRegistry struct {
 	*httptest.Server
 	calls chan registryCall
 }
 
 type registryCall struct {
-	query string
-	lines chan string // closed: the answer ends
-	fail  chan int    // a status instead of lines
-	gone  <-chan struct{}
+	query        string
+	lines        chan string // closed: the answer ends
+	failWith     chan int    // a status instead of lines
+	disconnected <-chan struct{}
 }
 
-func newRegistry(t *testing.T) *registry {
-	r := &registry{calls: make(chan registryCall, 16)}
-	r.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+func newFakeRegistry(t *testing.T) *fakeRegistry {
+	registry := &fakeRegistry{calls: make(chan registryCall, 16)}
+	registry.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		call := registryCall{
-			query: req.URL.RawQuery, lines: make(chan string), fail: make(chan int), gone: req.Context().Done(),
+			query: req.URL.RawQuery, lines: make(chan string), failWith: make(chan int), disconnected: req.Context().Done(),
 		}
-		r.calls <- call
+		registry.calls <- call
 		for {
 			select {
-			case <-call.gone:
+			case <-call.disconnected:
 				return
-			case status := <-call.fail:
+			case status := <-call.failWith:
 				w.WriteHeader(status)
 				return
-			case line, more := <-call.lines:
-				if !more {
+			case line, open := <-call.lines:
+				if !open {
 					return
 				}
 				io.WriteString(w, line+"\n")
@@ -334,26 +334,26 @@
 			}
 		}
 	}))
-	t.Cleanup(r.Close)
-	return r
+	t.Cleanup(registry.Close)
+	return registry
 }
 
-func (r *registry) addr() string { return r.Listener.Addr().String() }
+func (r *fakeRegistry) address() string { return r.Listener.Addr().String() }
 
-func (c registryCall) send(t *testing.T, l list) {
+func (c registryCall) sendList(t *testing.T, list endpointList) {
 	t.Helper()
-	data, err := json.Marshal(l)
+	data, err := json.Marshal(list)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.line(t, string(data))
+	c.sendLine(t, string(data))
 }
 
-func (c registryCall) line(t *testing.T, text string) {
+func (c registryCall) sendLine(t *testing.T, text string) {
 	t.Helper()
 	select {
 	case c.lines <- text:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("discovery's line is not taken")
 	}
 }
