--- a/cmd/milldeck/duty.go
+++ b/cmd/milldeck/duty.go
@@ -14,9 +14,9 @@
 
 	"github.com/spf13/cobra"
 
-	"milldeck/internal/duty"
-	"milldeck/internal/duty/clock"
-	"milldeck/internal/duty/table"
+	"milldeck/internal/leaderelection"
+	"milldeck/internal/leaderelection/clock"
+	"milldeck/internal/leaderelection/leasetable"
 	"milldeck/internal/registry"
 )
 
@@ -24,7 +24,7 @@
 	c := &cobra.Command{
 		Use:   "duty",
 		Short: "Duties: what only one process may do at a time",
-		Long: "duty holds, shows and passes on what only one process may do at a time. docs/duties.md tells what is promised.\n\n" +
+		Long: "duty holds, shows and passes on what only one process may do at a time. docs/leader-election.md tells what is promised.\n\n" +
 			exitHelp,
 		Args: exactly(0),
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
@@ -34,7 +34,7 @@
 }
 
 func newHold() *cobra.Command {
-	var opts duty.Options
+	var opts leaderelection.Options
 	var save time.Duration
 	var wrong string
 	a := &asking{}
@@ -52,8 +52,8 @@
 			return nil
 		},
 		RunE: func(c *cobra.Command, args []string) error {
-			if ttl := opts.TTL.Milliseconds(); ttl < table.MinTTLMS || ttl > table.MaxTTLMS {
-				return usageError{fmt.Errorf("--ttl: %v is not within %d ms to %d ms", opts.TTL, table.MinTTLMS, table.MaxTTLMS)}
+			if ttl := opts.TTL.Milliseconds(); ttl < leasetable.MinTTLMS || ttl > leasetable.MaxTTLMS {
+				return usageError{fmt.Errorf("--ttl: %v is not within %d ms to %d ms", opts.TTL, leasetable.MinTTLMS, leasetable.MaxTTLMS)}
 			}
 			clk, err := clock.Parse(wrong)
 			if err != nil {
@@ -69,17 +69,19 @@
 				opts.Candidate = registry.NewID() // one for all, whose renewals then go together
 			}
 			out := &lines{enc: json.NewEncoder(c.OutOrStdout())}
-			opts.OnEvent = func(e duty.Event) { out.print(step{e, clk.MonotonicNSOf(e.At), clk.MonotonicNSOf(e.ValidUntil)}) }
+			opts.OnEvent = func(e leaderelection.Event) {
+				out.print(step{e, clk.MonotonicNSOf(e.At), clk.MonotonicNSOf(e.ValidUntil)})
+			}
 			ended := make(chan error, len(args))
 			for _, name := range args {
 				go func() {
-					ended <- duty.Run(c.Context(), client, name, opts, func(ctx context.Context, l *duty.Lease) error {
+					ended <- leaderelection.Run(c.Context(), client, name, opts, func(ctx context.Context, l *leaderelection.Lease) error {
 						return keep(ctx, l, save, out)
 					})
 				}()
 			}
 			for range args {
-				if e := <-ended; !errors.Is(e, duty.ErrStepDownRequested) {
+				if e := <-ended; !errors.Is(e, leaderelection.ErrStepDownRequested) {
 					err = errors.Join(err, e)
 				}
 			}
@@ -91,7 +93,7 @@
 	}
 	c.Flags().StringSliceVar(&a.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
 	c.Flags().StringVar(&opts.Candidate, "who", "", "this candidate's name, another with each start (default: drawn)")
-	c.Flags().DurationVar(&opts.TTL, "ttl", duty.DefaultTTL, "lease, where this candidate is the duty's first")
+	c.Flags().DurationVar(&opts.TTL, "ttl", leaderelection.DefaultTTL, "lease, where this candidate is the duty's first")
 	c.Flags().BoolVar(&opts.SingleTenure, "once", false, "end after the first tenure, however it ended")
 	c.Flags().DurationVar(&save, "save-every", 0, "count up in the duty's checkpoint so often, as a trial of its guard; 0: never")
 	c.Flags().StringVar(&wrong, "clock", "", `a fault of this process's clock, for trials: "rate=0.9" or "jump=1h/300ms"`)
@@ -101,7 +103,7 @@
 
 // step is an event with its times on the clock that all processes of the machine share: what a judge compares.
 type step struct {
-	duty.Event
+	leaderelection.Event
 	AtNS    int64 `json:"at_ns"`
 	UntilNS int64 `json:"until_ns,omitempty"`
 }
@@ -119,7 +121,7 @@
 }
 
 // keep holds a duty until it is told to stop. With save it counts up in the checkpoint and prints what became of it.
-func keep(ctx context.Context, l *duty.Lease, save time.Duration, out *lines) error {
+func keep(ctx context.Context, l *leaderelection.Lease, save time.Duration, out *lines) error {
 	if save == 0 {
 		<-ctx.Done()
 		return context.Cause(ctx)
@@ -162,7 +164,7 @@
 	})
 }
 
-func dutyLine(d *table.Lease) string {
+func dutyLine(d *leasetable.Lease) string {
 	state := "held by " + d.Holder
 	switch {
 	case d.Holder == "":
@@ -182,7 +184,7 @@
 		Long: "watch prints a duty and each of its changes, until an interrupt.\n\n" + exitHelp,
 		RunE: func(c *cobra.Command, args []string) error {
 			return a.with(c, func(_ context.Context, client *registry.Client) error {
-				err := client.WatchLease(c.Context(), args[0], func(d table.Lease) {
+				err := client.WatchLease(c.Context(), args[0], func(d leasetable.Lease) {
 					_ = a.show(c.OutOrStdout(), d, func(w io.Writer) error { // a reader that is gone ends the program by its own signal
 						_, err := fmt.Fprintln(w, strings.ReplaceAll(dutyLine(&d), "\t", "  "))
 						return err
@@ -200,7 +202,7 @@
 }
 
 // dutyCall makes a command of one call about a duty.
-func dutyCall(use, short string, kind table.OperationKind, call func(args []string) registry.LeaseRequest, flags func(*cobra.Command)) *cobra.Command {
+func dutyCall(use, short string, kind leasetable.OperationKind, call func(args []string) registry.LeaseRequest, flags func(*cobra.Command)) *cobra.Command {
 	c := asks(use, short, 1, func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
 		d, err := client.UpdateLease(ctx, kind, args[0], call(args))
 		if err != nil {
@@ -217,7 +219,7 @@
 
 func newDutyRelease() *cobra.Command {
 	var in registry.LeaseRequest
-	return dutyCall("release NAME", "Gives up a duty for its holder, or a place in its queue", table.Release,
+	return dutyCall("release NAME", "Gives up a duty for its holder, or a place in its queue", leasetable.Release,
 		func([]string) registry.LeaseRequest { return in }, func(c *cobra.Command) {
 			c.Flags().StringVar(&in.Candidate, "who", "", "the holder or candidate")
 			c.Flags().Uint64Var(&in.Token, "token", 0, "the holder's token; 0: a place in the queue")
@@ -226,7 +228,7 @@
 
 func newHandover() *cobra.Command {
 	var in registry.LeaseRequest
-	return dutyCall("handover NAME", "Asks the holder to step down for a candidate", table.Handover,
+	return dutyCall("handover NAME", "Asks the holder to step down for a candidate", leasetable.Handover,
 		func([]string) registry.LeaseRequest { return in }, func(c *cobra.Command) {
 			c.Flags().StringVar(&in.Successor, "to", "", "the candidate")
 		})
@@ -234,5 +236,5 @@
 
 func newTakeaway() *cobra.Command {
 	return dutyCall("takeaway NAME", "Takes a duty away from its holder: its token counts no more, and once its lease has ended the next has it",
-		table.Revoke, func([]string) registry.LeaseRequest { return registry.LeaseRequest{} }, func(*cobra.Command) {})
+		leasetable.Revoke, func([]string) registry.LeaseRequest { return registry.LeaseRequest{} }, func(*cobra.Command) {})
 }
--- a/cmd/milldeck/dutybench.go
+++ b/cmd/milldeck/dutybench.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"milldeck/internal/duty/bench"
+	"milldeck/internal/leaderelection/bench"
 )
 
 func newDutyBench() *cobra.Command {
--- a/cmd/milldeck/fleetbudgets.go
+++ b/cmd/milldeck/fleetbudgets.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"milldeck/internal/conf"
+	"milldeck/internal/config"
 	"milldeck/internal/disruption"
 	"milldeck/internal/registry"
 )
@@ -23,7 +23,7 @@
 // readBudgets reads a file of budgets and checks each, so that none is set where one cannot be.
 func readBudgets(path string) (map[string]*disruption.Budget, error) {
 	var f budgetsFile
-	file, err := conf.Load(path, &f)
+	file, err := config.Load(path, &f)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/milldeck/lab.go
+++ b/cmd/milldeck/lab.go
@@ -143,7 +143,7 @@
 		Short: "Plays an experiment on a virtual clock, without sockets",
 		Long: "sim plays an experiment on a virtual clock: the decision module itself, a model of the servers and clients, and\n" +
 			"no sockets. The same file and seed give the same bytes, whatever the number of workers. An experiment with a\n" +
-			"control plane is a night of that, without requests, unless --policy is given; docs/night.md has more.\n\n" + exitHelp,
+			"control plane is a night of that, without requests, unless --policy is given; docs/control-plane-simulation.md has more.\n\n" + exitHelp,
 		Example: "  milldeck lab sim experiments/fleet.toml --seed 3 --json out.json\n  milldeck lab sim experiments/fleet.toml --policy all",
 		Args:    exactly(1),
 		RunE: func(c *cobra.Command, args []string) error {
--- a/cmd/milldeck/labnight.go
+++ b/cmd/milldeck/labnight.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/cobra"
 
 	"milldeck/internal/lab"
-	"milldeck/internal/lab/night"
-	"milldeck/internal/lab/night/batch"
+	"milldeck/internal/lab/controlplane"
+	"milldeck/internal/lab/controlplane/batch"
 )
 
 // nightFlags are those of nights of the control plane on the virtual clock.
@@ -41,7 +41,7 @@
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
-	r, err := batch.Run(c.Context(), p.File.Name, first, last, n.releases, night.Options{Sidecars: n.sidecars, Servers: n.servers}, workers)
+	r, err := batch.Run(c.Context(), p.File.Name, first, last, n.releases, controlplane.Options{Sidecars: n.sidecars, Servers: n.servers}, workers)
 	if err != nil {
 		return err
 	}
--- a/cmd/milldeck/labrun.go
+++ b/cmd/milldeck/labrun.go
@@ -24,7 +24,7 @@
 }
 
 func (l *liveFlags) flags(c *cobra.Command) {
-	c.Flags().StringVar(&l.sidecar, "sidecar", "", "the sidecar's program (default: silverreel beside this program)")
+	c.Flags().StringVar(&l.sidecar, "sidecar", "", "the sidecar's program (default: sidecar beside this program)")
 	c.Flags().StringVar(&l.logs, "logs", "", "keep configurations and logs in this folder (default: a temporary one, kept after a failure)")
 }
 
@@ -39,7 +39,7 @@
 	}
 	path := l.sidecar
 	if path == "" {
-		path = filepath.Join(filepath.Dir(self), "silverreel")
+		path = filepath.Join(filepath.Dir(self), "sidecar")
 	}
 	if _, err := os.Stat(path); err != nil {
 		return nil, usageError{fmt.Errorf("the sidecar's program: %w", err)}
@@ -90,7 +90,7 @@
 	c := &cobra.Command{
 		Use:   "run FILE",
 		Short: "Plays an experiment with real sidecar processes and sockets",
-		Long: "run plays an experiment with real silverreel processes on loopback addresses, in real time. It takes as long as\n" +
+		Long: "run plays an experiment with real sidecar processes on loopback addresses, in real time. It takes as long as\n" +
 			"the experiment says and a few seconds more. An interrupt ends all children and still writes the result.\n\n" + exitHelp,
 		Example: "  milldeck lab run experiments/quickstart.toml --report out",
 		Args:    exactly(1),
--- a/cmd/milldeck/main.go
+++ b/cmd/milldeck/main.go
@@ -14,7 +14,7 @@
 
 	"github.com/spf13/cobra"
 
-	"milldeck/internal/conf"
+	"milldeck/internal/config"
 )
 
 // Exit codes, the same for all subcommands.
@@ -48,7 +48,7 @@
 	}
 	fmt.Fprintln(errOut, "milldeck:", err)
 	var usage usageError
-	var file *conf.Error
+	var file *config.Error
 	if errors.As(err, &usage) || errors.As(err, &file) {
 		return exitUsage
 	}
--- a/cmd/milldeck/registry.go
+++ b/cmd/milldeck/registry.go
@@ -19,8 +19,8 @@
 	"github.com/spf13/cobra"
 
 	"milldeck/internal/agent"
-	"milldeck/internal/conf"
-	"milldeck/internal/duty"
+	"milldeck/internal/config"
+	"milldeck/internal/leaderelection"
 	"milldeck/internal/registry"
 )
 
@@ -74,9 +74,9 @@
 }
 
 // backups are what the configuration says of them, with the defaults: hourly, a day's worth.
-func (f *serveFile) backups() duty.BackupOptions {
+func (f *serveFile) backups() leaderelection.BackupOptions {
 	every := time.Duration(f.Backup.EveryS * float64(time.Second))
-	return duty.BackupOptions{
+	return leaderelection.BackupOptions{
 		Dir: f.Backup.Dir, MinInterval: cmp.Or(every, time.Hour), RetainCount: cmp.Or(f.Backup.Keep, 24), Candidate: f.HTTP + "/" + registry.NewID(),
 	}
 }
@@ -88,7 +88,7 @@
 
 // load reads a replica's configuration.
 func (f *serveFile) load(path string) (registry.Options, error) {
-	at, err := conf.Load(path, f)
+	at, err := config.Load(path, f)
 	if err != nil {
 		return registry.Options{}, err
 	}
@@ -179,7 +179,7 @@
 }
 
 // backUp takes part in the duty of backups, by way of any replica, until ctx ends.
-func backUp(ctx context.Context, o registry.Options, b duty.BackupOptions) (ended <-chan struct{}, err error) {
+func backUp(ctx context.Context, o registry.Options, b leaderelection.BackupOptions) (ended <-chan struct{}, err error) {
 	replicas := []string{o.HTTPAddr}
 	for _, m := range o.Members {
 		if m.HTTPAddr != o.HTTPAddr {
@@ -195,7 +195,7 @@
 		defer close(done)
 		defer client.Close()
 		for ctx.Err() == nil {
-			if err := duty.RunBackups(ctx, client, b); err != nil && ctx.Err() == nil {
+			if err := leaderelection.RunBackups(ctx, client, b); err != nil && ctx.Err() == nil {
 				slog.Error("no part in the duty of backups", "error", err)
 				time.Sleep(time.Second) // the registry has had no leader for long
 			}
@@ -503,7 +503,7 @@
 		return nil, usageError{err}
 	}
 	if _, err := registry.ReadSnapshot(bytes.NewReader(data)); err != nil {
-		return nil, &conf.Error{File: path, Err: err}
+		return nil, &config.Error{File: path, Err: err}
 	}
 	return data, nil
 }
@@ -569,7 +569,7 @@
 				return usageError{errors.New("agent takes --config FILE")}
 			}
 			var f agentFile
-			at, err := conf.Load(path, &f)
+			at, err := config.Load(path, &f)
 			if err != nil {
 				return err
 			}
--- a/cmd/milldeck/releasestart.go
+++ b/cmd/milldeck/releasestart.go
@@ -16,12 +16,12 @@
 
 	"github.com/spf13/cobra"
 
-	"milldeck/internal/collect"
 	"milldeck/internal/disruption"
-	"milldeck/internal/duty"
+	"milldeck/internal/leaderelection"
+	"milldeck/internal/loadreport"
 	"milldeck/internal/registry"
 	"milldeck/internal/release"
-	"milldeck/internal/release/drive"
+	"milldeck/internal/release/controller"
 	"milldeck/internal/release/plan"
 	"milldeck/internal/supervisor"
 )
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	reports := collect.New(collect.Options{})
+	reports := loadreport.New(loadreport.Options{})
 	listener, err := net.Listen("tcp", f.listen)
 	if err != nil {
 		return err
@@ -103,9 +103,9 @@
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: reportsWait, WriteTimeout: 2 * reportsWait, IdleTimeout: time.Minute}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
-	d := &drive.Controller{Name: name, Store: client, Platform: platform, Reports: reports, MaxRequestDuration: f.longest, WarmUpTime: f.warm, Strata: f.strata, ConfigText: f.file, PrepareUnit: f.made()}
+	d := &controller.Controller{Name: name, Store: client, Platform: platform, Reports: reports, MaxRequestDuration: f.longest, WarmUpTime: f.warm, Strata: f.strata, ConfigText: f.file, PrepareUnit: f.made()}
 	slog.Info("controls", "release", name, "reports", listener.Addr().String())
-	err = duty.Run(ctx, client, release.Owner(name), duty.Options{OnEvent: func(e duty.Event) {
+	err = leaderelection.Run(ctx, client, release.Owner(name), leaderelection.Options{OnEvent: func(e leaderelection.Event) {
 		if e.Type != "renewed" {
 			slog.Info("duty", "what", e.Type, "duty", e.Lease, "token", e.Token)
 		}
--- a/cmd/milldeck/spread.go
+++ b/cmd/milldeck/spread.go
@@ -11,10 +11,10 @@
 
 	"github.com/spf13/cobra"
 
-	"milldeck/internal/collect"
-	"milldeck/internal/duty"
+	"milldeck/internal/hotkey"
+	"milldeck/internal/leaderelection"
+	"milldeck/internal/loadreport"
 	"milldeck/internal/registry"
-	"milldeck/internal/spread"
 )
 
 const (
@@ -27,7 +27,7 @@
 	c := &cobra.Command{
 		Use:   "spread",
 		Short: "The spreader of hot keys",
-		Long:  "spread decides which keys are spread over more servers than their own, and shows it. docs/spread.md tells how.\n\n" + exitHelp,
+		Long:  "spread decides which keys are spread over more servers than their own, and shows it. docs/hot-keys.md tells how.\n\n" + exitHelp,
 		Args:  exactly(0),
 		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
@@ -42,12 +42,12 @@
 	a := &asking{}
 	c := &cobra.Command{
 		Use:   "serve",
-		Short: "Seeks the duty " + spread.LeaseName + " and decides while it is held, until SIGTERM",
-		Long: "serve takes sidecars' reports, seeks the duty " + spread.LeaseName + " and decides while it is held. Run two or three; agents\n" +
+		Short: "Seeks the duty " + hotkey.LeaseName + " and decides while it is held, until SIGTERM",
+		Long: "serve takes sidecars' reports, seeks the duty " + hotkey.LeaseName + " and decides while it is held. Run two or three; agents\n" +
 			"pass reports on to all of them.\n\n" + exitHelp,
 		Args: exactly(0),
 		RunE: func(c *cobra.Command, _ []string) error {
-			config := spread.DefaultConfig(bear, work)
+			config := hotkey.DefaultConfig(bear, work)
 			if err := config.Validate(); err != nil {
 				return usageError{err}
 			}
@@ -59,8 +59,8 @@
 				return usageError{fmt.Errorf("--replicas: %w", err)}
 			}
 			defer client.Close()
-			reports := collect.New(collect.Options{})
-			return serveSpread(c.Context(), listen, client, &spread.Controller{Store: client, Reports: reports, Config: config, ServerWarmup: coldFor}, reports)
+			reports := loadreport.New(loadreport.Options{})
+			return serveSpread(c.Context(), listen, client, &hotkey.Controller{Store: client, Reports: reports, Config: config, ServerWarmup: coldFor}, reports)
 		},
 	}
 	c.Flags().StringVar(&listen, "listen", devSpread, "address for reports and questions")
@@ -71,12 +71,12 @@
 	return c
 }
 
-func serveSpread(ctx context.Context, listen string, client *registry.Client, dr *spread.Controller, reports http.Handler) error {
+func serveSpread(ctx context.Context, listen string, client *registry.Client, dr *hotkey.Controller, reports http.Handler) error {
 	mux := http.NewServeMux()
 	mux.Handle("/reports", reports)
 	mux.Handle("/spread", dr.Handler())
 	mux.Handle("/spread/", dr.Handler())
-	return serveDuty(ctx, listen, mux, client, spread.LeaseName, duty.DefaultTTL, dr.Run)
+	return serveDuty(ctx, listen, mux, client, hotkey.LeaseName, leaderelection.DefaultTTL, dr.Run)
 }
 
 func newSpreadShow() *cobra.Command {
@@ -109,7 +109,7 @@
 	return c
 }
 
-func askSpread(ctx context.Context, at string) (rows []spread.KeyStatus, err error) {
+func askSpread(ctx context.Context, at string) (rows []hotkey.KeyStatus, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+"/spread", nil)
 	if err != nil {
 		return nil, usageError{err}
--- a/cmd/milldeck/window.go
+++ b/cmd/milldeck/window.go
@@ -9,28 +9,28 @@
 
 	"github.com/spf13/cobra"
 
-	"milldeck/internal/conf"
-	"milldeck/internal/window"
-	"milldeck/internal/window/contract"
+	"milldeck/internal/config"
+	"milldeck/internal/maintenance"
+	"milldeck/internal/maintenance/contract"
 )
 
 func newWindow() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "window",
 		Short: "Maintenance windows by contract",
-		Long: "window frees servers for maintenance in the hours that their tenants approve. docs/window.md tells what is promised.\n\n" +
+		Long: "window frees servers for maintenance in the hours that their tenants approve. docs/maintenance-windows.md tells what is promised.\n\n" +
 			exitHelp,
 		Args: exactly(0),
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	c.AddCommand(newWindowPlan(), newWindowServe(), newWindowPropose(), newWindowList(), newWindowShow(),
-		newWindowHold(window.OpHalt, "Halts a window, a tenant's windows or all: nothing more goes out, a window by name comes back"),
-		newWindowHold(window.OpResume, "Has halted windows go on"),
-		newWindowTell("cancel", "Cancels a window; one that is out comes back", func(name, why string) window.Operation {
-			return window.Operation{Kind: window.OpCancel, Window: name, Reason: why}
+		newWindowHold(maintenance.OpHalt, "Halts a window, a tenant's windows or all: nothing more goes out, a window by name comes back"),
+		newWindowHold(maintenance.OpResume, "Has halted windows go on"),
+		newWindowTell("cancel", "Cancels a window; one that is out comes back", func(name, why string) maintenance.Operation {
+			return maintenance.Operation{Kind: maintenance.OpCancel, Window: name, Reason: why}
 		}),
-		newWindowTell("finish", "Says that the work of a free window is done", func(name, _ string) window.Operation {
-			return window.Operation{Kind: window.OpFinishWork, Window: name}
+		newWindowTell("finish", "Says that the work of a free window is done", func(name, _ string) maintenance.Operation {
+			return maintenance.Operation{Kind: maintenance.OpFinishWork, Window: name}
 		}))
 	return c
 }
@@ -67,7 +67,7 @@
 			if err != nil {
 				return err
 			}
-			table := window.New()
+			table := maintenance.New()
 			for i, path := range contracts {
 				one, err := contract.Load(path)
 				if err != nil {
@@ -76,9 +76,9 @@
 				if table.Contract(one.Tenant) != nil {
 					return usageError{fmt.Errorf("--contract %s: %s has another contract", path, one.Tenant)}
 				}
-				table.Apply(uint64(i+1), &window.Operation{Kind: window.OpSetContract, Contract: one}, window.Timestamp{})
+				table.Apply(uint64(i+1), &maintenance.Operation{Kind: maintenance.OpSetContract, Contract: one}, maintenance.Timestamp{})
 			}
-			plan, err := window.NewPlanner().Plan(table, window.Fleet(w.Fleet), window.Request{Name: w.Name, ServerUIDs: w.Servers,
+			plan, err := maintenance.NewPlanner().Plan(table, maintenance.Fleet(w.Fleet), maintenance.Request{Name: w.Name, ServerUIDs: w.Servers,
 				WorkMS: work.Milliseconds(), NotBeforeMS: after, ProposedAtMS: now}, now)
 			if err != nil {
 				return fmt.Errorf("%s: %w", w.Name, err)
@@ -106,7 +106,7 @@
 // loadWish reads a window; fleet: with all servers and their tenants.
 func loadWish(path string, fleet bool) (w *wish, after int64, work time.Duration, err error) {
 	w = &wish{}
-	f, err := conf.Load(path, w)
+	f, err := config.Load(path, w)
 	if err != nil {
 		return nil, 0, 0, err
 	}
@@ -130,7 +130,7 @@
 	return w, after, work, nil
 }
 
-func printPlan(out io.Writer, name string, plan *window.Plan, table *window.Table) error {
+func printPlan(out io.Writer, name string, plan *maintenance.Plan, table *maintenance.Table) error {
 	const form = "Mon 2006-01-02 15:04 MST"
 	lines := fmt.Sprintf("%s may begin at %s; %s with drain and return\n", name, time.UnixMilli(plan.StartMS).UTC().Format(form),
 		time.Duration(plan.RequiredMS)*time.Millisecond)
@@ -152,7 +152,7 @@
 	c := &cobra.Command{
 		Use:   "contract",
 		Short: "What tenants have agreed to about maintenance",
-		Long:  "contract checks and keeps tenants' contracts. docs/window.md tells how they are written.\n\n" + exitHelp,
+		Long:  "contract checks and keeps tenants' contracts. docs/maintenance-windows.md tells how they are written.\n\n" + exitHelp,
 		Args:  exactly(0),
 		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
--- a/cmd/milldeck/windowserve.go
+++ b/cmd/milldeck/windowserve.go
@@ -13,16 +13,16 @@
 
 	"github.com/spf13/cobra"
 
-	"milldeck/internal/collect"
-	"milldeck/internal/duty"
+	"milldeck/internal/leaderelection"
+	"milldeck/internal/loadreport"
+	"milldeck/internal/maintenance"
+	"milldeck/internal/maintenance/controller"
 	"milldeck/internal/registry"
-	"milldeck/internal/window"
-	"milldeck/internal/window/drive"
 )
 
 const (
 	devWindows = "127.0.0.1:8550"
-	mostOff    = window.MaxClockUncertaintyMS * time.Millisecond
+	mostOff    = maintenance.MaxClockUncertaintyMS * time.Millisecond
 )
 
 func newWindowServe() *cobra.Command {
@@ -32,8 +32,8 @@
 	c := &cobra.Command{
 		Use:     "serve",
 		Aliases: []string{"run"},
-		Short:   "Seeks the duty " + window.LeaseName + " and carries windows out while it is held, until SIGTERM",
-		Long: "serve takes sidecars' reports, seeks the duty " + window.LeaseName + " and carries out all windows while it is held. Run two or\n" +
+		Short:   "Seeks the duty " + maintenance.LeaseName + " and carries windows out while it is held, until SIGTERM",
+		Long: "serve takes sidecars' reports, seeks the duty " + maintenance.LeaseName + " and carries out all windows while it is held. Run two or\n" +
 			"three; agents pass reports on to all of them. Where one stops, the next goes on. It is ready once it logs \"serves\".\n\n" + exitHelp,
 		Example: "  milldeck window serve --replicas 127.0.0.1:8500,127.0.0.2:8500 --reports-listen 127.0.0.1:8550 --clock-off 100ms",
 		Args:    exactly(0),
@@ -52,19 +52,19 @@
 				return usageError{fmt.Errorf("--replicas: %w", err)}
 			}
 			defer client.Close()
-			reports := collect.New(collect.Options{})
-			d := &drive.Controller{Registry: client, Reports: reports, Uncertainty: off, CheckReady: drive.HTTPReadyCheck(ready),
+			reports := loadreport.New(loadreport.Options{})
+			d := &controller.Controller{Registry: client, Reports: reports, Uncertainty: off, CheckReady: controller.HTTPReadyCheck(ready),
 				Now: func() time.Time { return time.Now().Add(ahead) }}
 			mux := http.NewServeMux()
 			mux.Handle("/reports", reports)
-			return serveDuty(c.Context(), listen, mux, client, window.LeaseName, ttl, d.Run)
+			return serveDuty(c.Context(), listen, mux, client, maintenance.LeaseName, ttl, d.Run)
 		},
 	}
 	c.Flags().StringVar(&listen, "reports-listen", devWindows, "address for sidecars' reports, which agents pass on")
 	c.Flags().StringSliceVar(&a.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
 	c.Flags().DurationVar(&off, "clock-off", 250*time.Millisecond, "what this machine's clock may be off, as its time service says")
 	c.Flags().StringVar(&ready, "ready-path", "/health/ready", "path at which a server that is back answers 200")
-	c.Flags().DurationVar(&ttl, "ttl", duty.DefaultTTL, "how long after its last sign of life a controller is taken for dead")
+	c.Flags().DurationVar(&ttl, "ttl", leaderelection.DefaultTTL, "how long after its last sign of life a controller is taken for dead")
 	c.Flags().DurationVar(&ahead, "clock-ahead", 0, "have the clock be wrong by this much, to try out what happens")
 	c.Flags().StringVar(&listen, "listen", devWindows, "as --reports-listen, and as other controllers call it")
 	for _, name := range []string{"clock-ahead", "listen"} {
@@ -77,7 +77,7 @@
 
 // serveDuty serves HTTP, seeks a duty and works while it is held, again after each end, until ctx ends.
 func serveDuty(ctx context.Context, listen string, h http.Handler, client *registry.Client, name string, ttl time.Duration,
-	work func(context.Context, *duty.Lease) error) error {
+	work func(context.Context, *leaderelection.Lease) error) error {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
@@ -91,7 +91,7 @@
 	go func() {
 		defer close(over)
 		for {
-			err := duty.Run(ctx, client, name, duty.Options{TTL: ttl, OnEvent: func(e duty.Event) {
+			err := leaderelection.Run(ctx, client, name, leaderelection.Options{TTL: ttl, OnEvent: func(e leaderelection.Event) {
 				if e.Type != "renewed" {
 					slog.Info("duty", "what", e.Type, "duty", e.Lease, "token", e.Token)
 				}
--- a/cmd/milldeck/windowtell.go
+++ b/cmd/milldeck/windowtell.go
@@ -13,9 +13,9 @@
 
 	"github.com/spf13/cobra"
 
+	"milldeck/internal/maintenance"
+	"milldeck/internal/maintenance/contract"
 	"milldeck/internal/registry"
-	"milldeck/internal/window"
-	"milldeck/internal/window/contract"
 )
 
 // person names who types.
@@ -33,7 +33,7 @@
 			if err != nil {
 				return err
 			}
-			return tell(ctx, c, a, client, window.Operation{Kind: window.OpPropose, Window: w.Name, Operator: person(), ServerUIDs: w.Servers,
+			return tell(ctx, c, a, client, maintenance.Operation{Kind: maintenance.OpPropose, Window: w.Name, Operator: person(), ServerUIDs: w.Servers,
 				WorkMS: work.Milliseconds(), NotBeforeMS: after})
 		})
 	c.Example = "  milldeck window propose window.toml --replicas 127.0.0.1:8500\n\n  # window.toml\n  name = \"disks-3\"\n  servers = [\"s17\", \"s18\"]\n" +
@@ -42,11 +42,11 @@
 }
 
 // tell writes a person's operation.
-func tell(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, op window.Operation) error {
+func tell(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, op maintenance.Operation) error {
 	if err := op.Validate(); err != nil {
 		return usageError{err}
 	}
-	res, err := client.WriteWindow(ctx, registry.WriteOptions{}, window.Timestamp{}, op)
+	res, err := client.WriteWindow(ctx, registry.WriteOptions{}, maintenance.Timestamp{}, op)
 	if err != nil {
 		return err
 	}
@@ -61,11 +61,11 @@
 }
 
 // newWindowHold makes halt or resume: of a window, of a tenant's windows, or of all.
-func newWindowHold(kind window.OperationKind, short string) *cobra.Command {
+func newWindowHold(kind maintenance.OperationKind, short string) *cobra.Command {
 	var tenant, why string
 	c := asks(string(kind)+" [NAME]", short, 0,
 		func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
-			op := window.Operation{Kind: kind, Operator: person(), Reason: why}
+			op := maintenance.Operation{Kind: kind, Operator: person(), Reason: why}
 			switch {
 			case len(args) == 1:
 				op.Scope = "window/" + args[0]
@@ -87,7 +87,7 @@
 }
 
 // newWindowTell makes a command of one operation about one window.
-func newWindowTell(use, short string, op func(name, why string) window.Operation) *cobra.Command {
+func newWindowTell(use, short string, op func(name, why string) maintenance.Operation) *cobra.Command {
 	var why string
 	c := asks(use+" NAME", short, 1, func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
 		return tell(ctx, c, a, client, op(args[0], why))
@@ -136,7 +136,7 @@
 			if err != nil {
 				return err
 			}
-			one := window.Restore(v.Table).Window(args[0])
+			one := maintenance.Restore(v.Table).Window(args[0])
 			if one == nil {
 				return fmt.Errorf("there is no window %s", args[0])
 			}
@@ -166,8 +166,8 @@
 			if err != nil {
 				return err
 			}
-			now := window.NewPlanner().Approval(&window.ActiveContract{Contract: *one}, time.Now().UnixMilli(), 0)
-			return tell(ctx, c, a, client, window.Operation{Kind: window.OpSetContract, Contract: one, CurrentApproval: now})
+			now := maintenance.NewPlanner().Approval(&maintenance.ActiveContract{Contract: *one}, time.Now().UnixMilli(), 0)
+			return tell(ctx, c, a, client, maintenance.Operation{Kind: maintenance.OpSetContract, Contract: one, CurrentApproval: now})
 		})
 	c.Example = "  milldeck contract set portal.toml"
 	return c
@@ -176,7 +176,7 @@
 func newContractWithdraw() *cobra.Command {
 	c := asks("withdraw TENANT", "Ends a contract; windows under way come back", 1,
 		func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
-			return tell(ctx, c, a, client, window.Operation{Kind: window.OpWithdrawContract, Tenant: args[0]})
+			return tell(ctx, c, a, client, maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: args[0]})
 		})
 	c.Example = "  milldeck contract withdraw member-portal"
 	return c
@@ -211,7 +211,7 @@
 func newContractResume() *cobra.Command {
 	c := asks("resume TENANT", "Lets windows of a tenant go on that an overrun has halted", 1,
 		func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
-			return tell(ctx, c, a, client, window.Operation{Kind: window.OpResume, Scope: "tenant/" + args[0]})
+			return tell(ctx, c, a, client, maintenance.Operation{Kind: maintenance.OpResume, Scope: "tenant/" + args[0]})
 		})
 	c.Example = "  milldeck contract resume member-portal"
 	return c
--- a/cmd/silverreel/main.go
+++ b/cmd/sidecar/main.go
@@ -1,4 +1,4 @@
-// Command silverreel is a client-side load-balancing sidecar: it takes its application's requests and
+// Command sidecar is a client-side load-balancing sidecar: it takes its application's requests and
 // sends each to one of the servers that discovery names.
 package main
 
@@ -15,7 +15,7 @@
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "silverreel:", err)
+		fmt.Fprintln(os.Stderr, "sidecar:", err)
 		os.Exit(1)
 	}
 }
--- a/internal/agent/placement_test.go
+++ b/internal/agent/placement_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"milldeck/internal/duty/table"
+	"milldeck/internal/leaderelection/leasetable"
 	"milldeck/internal/placement"
 	"milldeck/internal/registry"
 )
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(client.Close)
-	lease, err := client.UpdateLease(t.Context(), table.Campaign, "window/w", registry.LeaseRequest{Candidate: "me", TTLMS: 3600_000})
+	lease, err := client.UpdateLease(t.Context(), leasetable.Campaign, "window/w", registry.LeaseRequest{Candidate: "me", TTLMS: 3600_000})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/conf/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package conf reads the TOML files of the operators' command. Reading is strict: an unknown key, a value of the
 // wrong type or one that cannot be is an error that names file, line and key.
-package conf
+package config
 
 import (
 	"bytes"
--- a/internal/conf/config_test.go
+++ b/internal/config/config_test.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"errors"
--- a/internal/spread/bench_test.go
+++ b/internal/hotkey/bench_test.go
@@ -1,4 +1,4 @@
-package spread
+package hotkey
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"milldeck/internal/placement"
 )
 
-// BenchmarkFigures plays each figure over many seeds: go test -run xxx -bench Figures -benchtime 1x ./internal/spread
+// BenchmarkFigures plays each figure over many seeds: go test -run xxx -bench Figures -benchtime 1x ./internal/hotkey
 func BenchmarkFigures(b *testing.B) {
 	const seeds = 200
 	for range b.N {
--- a/internal/spread/cluster_model_test.go
+++ b/internal/hotkey/cluster_model_test.go
@@ -1,4 +1,4 @@
-package spread
+package hotkey
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"strconv"
 	"testing"
 
+	"milldeck/internal/hotkey/topk"
 	"milldeck/internal/placement"
-	"milldeck/internal/spread/summary"
 )
 
 const (
@@ -64,7 +64,7 @@
 
 type sidecarModel struct {
 	name         string
-	sketch       *summary.Sketch
+	sketch       *topk.Sketch
 	nextReport   float64 // s: its next report
 	revision     uint64  // revision in force
 	published    map[uint64]publishedDirective
@@ -274,7 +274,7 @@
 			scenario, m.prematureShares, m.replicasStarted, m.budgetExceeded, m.plannedWarmupWork, m.warmupWork, m.now)
 	}
 }
-func newSketch(config Config) *summary.Sketch { return summary.New(64, config.HalfLife) }
+func newSketch(config Config) *topk.Sketch { return topk.New(64, config.HalfLife) }
 
 func (m *clusterModel) warmupBudget() float64 {
 	return m.config.WarmupBudget * serverCount * testServerCapacity
--- a/internal/spread/config.go
+++ b/internal/hotkey/config.go
@@ -5,7 +5,7 @@
 //
 // Decider is pure: no clock, no sockets, no randomness; times are inputs, in seconds of Unix time. Driver, in driver.go,
 // is what runs it beside the list service.
-package spread
+package hotkey
 
 import "fmt"
 
--- a/internal/spread/controller.go
+++ b/internal/hotkey/controller.go
@@ -1,4 +1,4 @@
-package spread
+package hotkey
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"milldeck/internal/collect"
-	"milldeck/internal/duty"
+	"milldeck/internal/leaderelection"
+	"milldeck/internal/loadreport"
 	"milldeck/internal/placement"
 	"milldeck/internal/registry"
 )
@@ -40,7 +40,7 @@
 // ReportSource is where sidecars' reports come from; collect.Collector is one.
 type ReportSource interface {
 	SetAccepting(open bool)
-	Snapshot() ([]collect.ReceivedReport, time.Duration)
+	Snapshot() ([]loadreport.ReceivedReport, time.Duration)
 }
 
 // Controller runs a Decider while the duty is held. Its Work is what duty.Run calls.
@@ -63,7 +63,7 @@
 
 // Run decides until ctx ends or the placement cannot be taken over. The table goes on from the placement and stays in
 // it: the next holder, or none, finds the entries until they end.
-func (c *Controller) Run(ctx context.Context, lease *duty.Lease) error {
+func (c *Controller) Run(ctx context.Context, lease *leaderelection.Lease) error {
 	c.Reports.SetAccepting(true)
 	defer c.Reports.SetAccepting(false)
 	current, err := c.fetchSnapshot(ctx, true)
@@ -169,7 +169,7 @@
 }
 
 // apply places effects under the lease's token, all or none.
-func (c *Controller) apply(ctx context.Context, lease *duty.Lease, atMS int64, changes []Change) error {
+func (c *Controller) apply(ctx context.Context, lease *leaderelection.Lease, atMS int64, changes []Change) error {
 	var directives []placement.Directive
 	var removals, ids []string
 	for _, change := range changes {
--- a/internal/spread/controller_test.go
+++ b/internal/hotkey/controller_test.go
@@ -1,4 +1,4 @@
-package spread
+package hotkey
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 
 	"pgregory.net/rapid"
 
-	"milldeck/internal/collect"
-	"milldeck/internal/duty"
+	"milldeck/internal/leaderelection"
+	"milldeck/internal/loadreport"
 	"milldeck/internal/placement"
 	"milldeck/internal/registry"
 )
@@ -104,7 +104,7 @@
 				State: registry.InstanceReady, Capacity: 1})
 		}
 		all, endAll := context.WithCancel(t.Context())
-		reports := collect.New(collect.Options{})
+		reports := loadreport.New(loadreport.Options{})
 		var background sync.WaitGroup
 		defer background.Wait()
 		defer endAll()
@@ -123,8 +123,8 @@
 		runController := func(controller *Controller, token uint64) (end func() error) {
 			ctx, stop := context.WithCancelCause(all)
 			ended := make(chan error, 1)
-			background.Go(func() { ended <- controller.Run(ctx, &duty.Lease{Name: LeaseName, Token: token}) })
-			return func() error { stop(duty.ErrLeaseLost); return <-ended }
+			background.Go(func() { ended <- controller.Run(ctx, &leaderelection.Lease{Name: LeaseName, Token: token}) })
+			return func() error { stop(leaderelection.ErrLeaseLost); return <-ended }
 		}
 		newController := func() *Controller {
 			return &Controller{Store: registryStub, Reports: reports, Config: DefaultConfig(1000, 50)}
@@ -140,7 +140,7 @@
 		registryStub.unavailable = false
 		registryStub.mu.Unlock()
 		waitFor(t, 5*time.Second, "copies that carry once writes pass", func() bool { c, _ := registryStub.replicas(); return len(c) > 3 })
-		if err := end(); !errors.Is(err, duty.ErrLeaseLost) {
+		if err := end(); !errors.Is(err, leaderelection.ErrLeaseLost) {
 			t.Errorf("ended by %v", err)
 		}
 
--- a/internal/spread/process_test.go
+++ b/internal/hotkey/process_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package hotkey_test
 
 import (
 	"bytes"
@@ -15,12 +15,12 @@
 	"time"
 
 	"milldeck/internal/agent"
+	"milldeck/internal/hotkey"
 	"milldeck/internal/lab/proc"
 	"milldeck/internal/lab/proc/proctest"
 	"milldeck/internal/placement"
 	"milldeck/internal/registry"
 	"milldeck/internal/registry/cluster"
-	"milldeck/internal/spread"
 )
 
 func TestMain(m *testing.M) { proctest.Main(m) }
@@ -128,7 +128,7 @@
 	}
 	for _, e := range directives.Directives {
 		for _, c := range e.Copies {
-			if e.ID == spread.DirectiveID(key) && c.LoadFraction > 0 {
+			if e.ID == hotkey.DirectiveID(key) && c.LoadFraction > 0 {
 				share += c.LoadFraction
 				servers = append(servers, c.ServerUID)
 			}
@@ -146,9 +146,9 @@
 			directives = placement.Update{} // nothing is known there yet
 		}
 		report := placement.LoadReport{Sidecar: fmt.Sprint(name, "-", c.incarnation.Load()), PlacementRevision: directives.Revision, PlacementEpoch: directives.Epoch, IntervalMS: 1000, TotalKeyLoad: 900,
-			HotKeys: []placement.KeyLoad{{KeyHash: spread.FormatKey(c.hotKey.Load()), Load: 300}}}
+			HotKeys: []placement.KeyLoad{{KeyHash: hotkey.FormatKey(c.hotKey.Load()), Load: 300}}}
 		if misreports {
-			report.TotalKeyLoad, report.HotKeys = 7000, []placement.KeyLoad{{KeyHash: spread.FormatKey(999), Load: 7000}}
+			report.TotalKeyLoad, report.HotKeys = 7000, []placement.KeyLoad{{KeyHash: hotkey.FormatKey(999), Load: 7000}}
 		}
 		if data, err := json.Marshal(report); err == nil && !(c.loseReports.Load() && (n+len(name))%2 == 0) {
 			if resp, err := http.Post("http://"+addr+"/registry/report", "application/json", bytes.NewReader(data)); err == nil {
@@ -172,9 +172,9 @@
 	cluster.loseReports.Store(true)
 	cluster.hotKey.Store(2)
 	cluster.waitUntil("copies of the second key warm", func() bool {
-		var statuses []spread.KeyStatus
-		return cluster.call(http.MethodGet, "http://"+cluster.controllerAddrs[0]+"/spread", &statuses) && slices.ContainsFunc(statuses, func(r spread.KeyStatus) bool {
-			return r.Key == spread.FormatKey(2) && r.Warming > 0
+		var statuses []hotkey.KeyStatus
+		return cluster.call(http.MethodGet, "http://"+cluster.controllerAddrs[0]+"/spread", &statuses) && slices.ContainsFunc(statuses, func(r hotkey.KeyStatus) bool {
+			return r.Key == hotkey.FormatKey(2) && r.Warming > 0
 		})
 	})
 	leader, err := cluster.registryCluster.AwaitLeader(cluster.ctx)
@@ -204,7 +204,7 @@
 	cluster.incarnation.Add(1)
 	for _, uid := range servers[:2] {
 		cluster.waitUntil(uid+" is emptied", func() bool {
-			var l spread.DrainStatus
+			var l hotkey.DrainStatus
 			return cluster.call(http.MethodPost, "http://"+cluster.controllerAddrs[0]+"/spread/leave?uid="+uid, &l) && l.Drained
 		})
 		if share, _ := cluster.replicatedShare(1); share < 0.4 {
--- a/internal/spread/replica.go
+++ b/internal/hotkey/replica.go
@@ -1,4 +1,4 @@
-package spread
+package hotkey
 
 import (
 	"fmt"
--- a/internal/spread/simulated_fleet_test.go
+++ b/internal/hotkey/simulated_fleet_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package hotkey_test
 
 import (
 	"fmt"
@@ -12,18 +12,18 @@
 	"testing"
 
 	"milldeck/balance"
+	"milldeck/internal/hotkey"
+	"milldeck/internal/hotkey/topk"
 	"milldeck/internal/lab"
 	"milldeck/internal/lab/sim"
 	"milldeck/internal/placement"
-	"milldeck/internal/spread"
-	"milldeck/internal/spread/summary"
 )
 
 const unixStart = 1e9 // s, of the virtual clock's start
 
 // simulatedController is a Decider over the sidecars of a simulated fleet, with a placement that each gets a little later.
 type simulatedController struct {
-	planner    *spread.Planner
+	planner    *hotkey.Planner
 	nextPlanMS float64 // ms: the next decision
 	revision   uint64
 	entries    map[string]placement.Directive
@@ -35,7 +35,7 @@
 	sim.Instance
 	controller     *simulatedController
 	name           string
-	sketch         *summary.Sketch
+	sketch         *topk.Sketch
 	nextReportMS   float64 // ms: its next report
 	placementDueMS float64 // ms: when it hears of the placement; +Inf: it has it
 	revision       uint64
@@ -104,7 +104,7 @@
 		top := c.sketch.Top(now/1000, placement.MaxHotKeys)
 		report := placement.LoadReport{Sidecar: c.name, PlacementRevision: c.revision, IntervalMS: 1000, TotalKeyLoad: top.Total}
 		for _, load := range top.Keys {
-			report.HotKeys = append(report.HotKeys, placement.KeyLoad{KeyHash: spread.FormatKey(load.Key), Load: load.Load, ErrorBound: load.Error})
+			report.HotKeys = append(report.HotKeys, placement.KeyLoad{KeyHash: hotkey.FormatKey(load.Key), Load: load.Load, ErrorBound: load.Error})
 		}
 		c.controller.planner.AddReport(unixStart+now/1000, &report)
 	}
@@ -130,7 +130,7 @@
 }
 
 // BenchmarkFleet plays the module in a simulated fleet of 200 servers without a spreader and with one, and tells the
-// worth served: go test -run xxx -bench Fleet -benchtime 1x ./internal/spread
+// worth served: go test -run xxx -bench Fleet -benchtime 1x ./internal/hotkey
 func BenchmarkFleet(b *testing.B) {
 	for _, day := range []struct {
 		name           string
@@ -168,14 +168,14 @@
 }
 
 func newSimulatedController(b *testing.B, p *lab.Plan) *simulatedController {
-	planner, err := spread.NewPlanner(spread.DefaultConfig(5000, 140))
+	planner, err := hotkey.NewPlanner(hotkey.DefaultConfig(5000, 140))
 	if err != nil {
 		b.Fatal(err)
 	}
-	var servers []spread.Server
+	var servers []hotkey.Server
 	for i := range p.Servers {
 		s := &p.Servers[i]
-		servers = append(servers, spread.Server{UID: s.UID, Zone: fmt.Sprint(s.Zone), Pod: s.Pod, Capacity: 1, Ready: true})
+		servers = append(servers, hotkey.Server{UID: s.UID, Zone: fmt.Sprint(s.Zone), Pod: s.Pod, Capacity: 1, Ready: true})
 	}
 	planner.SetServers(servers)
 	planner.SetExpectedSidecars(len(p.Sidecars))
@@ -185,7 +185,7 @@
 // newSidecar makes one sidecar's.
 func (c *simulatedController) newSidecar(number int, config balance.Config) (sim.Instance, error) {
 	module, err := balance.New(config)
-	sidecar := &simulatedSidecar{Instance: module, controller: c, name: fmt.Sprint("car", number), sketch: summary.New(64, 0.7), nextReportMS: float64(number%100) * 10, placementDueMS: math.Inf(1)}
+	sidecar := &simulatedSidecar{Instance: module, controller: c, name: fmt.Sprint("car", number), sketch: topk.New(64, 0.7), nextReportMS: float64(number%100) * 10, placementDueMS: math.Inf(1)}
 	c.sidecars = append(c.sidecars, sidecar)
 	return sidecar, err
 }
--- a/internal/spread/summary/fixtures_test.go
+++ b/internal/hotkey/topk/fixtures_test.go
@@ -1,4 +1,4 @@
-package summary
+package topk
 
 import (
 	"bytes"
--- a/internal/spread/summary/sketch.go
+++ b/internal/hotkey/topk/sketch.go
@@ -4,7 +4,7 @@
 // figure carries by how much it may be too high, so that the true value lies within [Load - Error, Load].
 //
 // The package is pure: no clock, no randomness. Times are inputs, in seconds.
-package summary
+package topk
 
 import (
 	"cmp"
--- a/internal/lab/night/batch/batch_test.go
+++ b/internal/lab/controlplane/batch/batch_test.go
@@ -6,13 +6,13 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"milldeck/internal/lab/night"
+	"milldeck/internal/lab/controlplane"
 )
 
 // The same seeds give the same result, whatever the number of workers.
 func TestSameWithAnyNumberOfWorkers(t *testing.T) {
 	play := func(workers int) *Result {
-		r, err := Run(context.Background(), "night", 3, 5, 1, night.Options{Sidecars: 40, Servers: 160}, workers)
+		r, err := Run(context.Background(), "night", 3, 5, 1, controlplane.Options{Sidecars: 40, Servers: 160}, workers)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/night/budgets.go
+++ b/internal/lab/controlplane/budgets.go
@@ -1,4 +1,4 @@
-package night
+package controlplane
 
 import (
 	"slices"
--- a/internal/lab/night/faults.go
+++ b/internal/lab/controlplane/faults.go
@@ -1,13 +1,13 @@
-package night
+package controlplane
 
 import (
 	"context"
 	"fmt"
 
+	"milldeck/internal/maintenance"
 	"milldeck/internal/release"
 	"milldeck/internal/supervisor"
 	"milldeck/internal/supervisor/core"
-	"milldeck/internal/window"
 )
 
 // startUnit has the platform start a unit that has ended as it was last, by an operator.
@@ -75,7 +75,7 @@
 			w.plane.restore()
 			for _, t := range tenants { // whoever restores sets again first what was withdrawn since the backup
 				if list := w.judge.hours[t.name]; list[len(list)-1].length == 0 && w.plane.windows.Contract(t.name) != nil {
-					w.operate(&window.Operation{Kind: window.OpWithdrawContract, Tenant: t.name})
+					w.operate(&maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: t.name})
 				}
 			}
 			for _, u := range w.units {
@@ -202,7 +202,7 @@
 	case 2:
 		t := tenants[r.IntN(len(tenants))].name
 		w.fault(at(), "the contract of "+t+" withdrawn", func() {
-			if w.operate(&window.Operation{Kind: window.OpWithdrawContract, Tenant: t}) == string(window.OutcomeApplied) {
+			if w.operate(&maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: t}) == string(maintenance.OutcomeApplied) {
 				w.judge.agree(t, w.judge.hours[t][0].opens, 0)
 				w.night.fits = false
 			}
--- a/internal/lab/night/log.go
+++ b/internal/lab/controlplane/log.go
@@ -1,4 +1,4 @@
-package night
+package controlplane
 
 import (
 	"encoding/json"
@@ -7,10 +7,10 @@
 	"slices"
 
 	"milldeck/internal/disruption"
-	"milldeck/internal/duty/table"
+	"milldeck/internal/leaderelection/leasetable"
+	"milldeck/internal/maintenance"
 	"milldeck/internal/placement"
 	"milldeck/internal/release"
-	"milldeck/internal/window"
 )
 
 // state is what the replicas agree on: the tables themselves, and of the list only who drains.
@@ -19,9 +19,9 @@
 	epoch    uint64
 	ledger   *disruption.Ledger
 	releases *release.Table
-	windows  *window.Table
+	windows  *maintenance.Table
 	places   *placement.Table
-	duties   *table.Table
+	duties   *leasetable.Table
 	drains   map[string]uint64 // servers that are Terminating, by unit: the revision that says so
 	done     map[string]answer // of writes, by id
 }
@@ -36,8 +36,8 @@
 )
 
 func newState() *state {
-	s := &state{ledger: disruption.NewLedger(), releases: release.NewTable(), windows: window.New(), places: placement.NewTable(),
-		duties: table.New(), drains: map[string]uint64{}, done: map[string]answer{}, epoch: 1}
+	s := &state{ledger: disruption.NewLedger(), releases: release.NewTable(), windows: maintenance.New(), places: placement.NewTable(),
+		duties: leasetable.New(), drains: map[string]uint64{}, done: map[string]answer{}, epoch: 1}
 	s.places.StartEpoch(0, 1)
 	s.join()
 	return s
@@ -57,7 +57,7 @@
 	Epoch    uint64
 	Ledger   disruption.Snapshot
 	Releases *release.Snapshot
-	Windows  *window.Snapshot
+	Windows  *maintenance.Snapshot
 	Places   *placement.Snapshot
 	Drains   map[string]uint64
 }
@@ -76,7 +76,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("a ledger that was saved: %v", err))
 	}
-	out := &state{rev: v.Rev, epoch: v.Epoch, ledger: ledger, releases: release.Restore(v.Releases), windows: window.Restore(v.Windows),
+	out := &state{rev: v.Rev, epoch: v.Epoch, ledger: ledger, releases: release.Restore(v.Releases), windows: maintenance.Restore(v.Windows),
 		places: placement.Restore(v.Places, v.Epoch), duties: s.duties, drains: v.Drains, done: maps.Clone(s.done)}
 	if out.drains == nil {
 		out.drains = map[string]uint64{}
@@ -196,7 +196,7 @@
 }
 
 // stamped is a controller's time with the leader's.
-func (p *plane) stamped(s window.Timestamp) window.Timestamp {
+func (p *plane) stamped(s maintenance.Timestamp) maintenance.Timestamp {
 	s.LeaderMS, s.LeaderUncertaintyMS = p.w.now+p.leader.off, p.leader.unc
 	if p.w.opt.Bugs.EarlyHours { // the hours were looked up by the controller; the log takes its word
 		s.LeaderMS, s.LeaderUncertaintyMS = s.ControllerMS, s.UncertaintyMS
@@ -205,7 +205,7 @@
 }
 
 // windowOp applies an operation of windows, with what sidecars are told in the same entry.
-func (p *plane) windowOp(op *window.Operation, s window.Timestamp) (string, string) {
+func (p *plane) windowOp(op *maintenance.Operation, s maintenance.Timestamp) (string, string) {
 	s = p.stamped(s)
 	if p.w.opt.Bugs.NoToken && op.Token != 0 {
 		c := *op
@@ -218,7 +218,7 @@
 		now := p.w.now + p.leader.off
 		if p.w.opt.Bugs.PastClose {
 			for i := range r.SetEntries {
-				r.SetEntries[i].ExpiresAtMS = now + window.ExclusionTTLMS
+				r.SetEntries[i].ExpiresAtMS = now + maintenance.ExclusionTTLMS
 			}
 		}
 		r.SetEntries = slices.DeleteFunc(r.SetEntries, func(e placement.Directive) bool { return e.ExpiresAtMS <= now })
@@ -226,7 +226,7 @@
 			p.places.Apply(p.rev, "window", &placement.Op{LeaderTimeMS: now, Set: r.SetEntries, Delete: r.DropEntryIDs})
 		}
 	}
-	if r.Outcome == window.OutcomeApplied {
+	if r.Outcome == maintenance.OutcomeApplied {
 		p.w.work(op)
 	}
 	return string(r.Outcome), r.Reason
--- a/internal/lab/night/night.go
+++ b/internal/lab/controlplane/night.go
@@ -5,7 +5,7 @@
 // A judge that sees the world alone says which rules were broken.
 //
 // It has no sockets, no goroutines and no clock of its own: the same options and seed give the same result.
-package night
+package controlplane
 
 import (
 	"fmt"
@@ -14,10 +14,10 @@
 	"time"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/maintenance"
 	"milldeck/internal/release"
 	"milldeck/internal/release/plan"
 	"milldeck/internal/supervisor/core"
-	"milldeck/internal/window"
 )
 
 // Options say how large the fleet is, and what is planted.
@@ -77,7 +77,7 @@
 	bad            string // version of the release of servers
 	quiet          int64  // from when on no fault is left
 	fits           bool
-	wish           *window.Operation
+	wish           *maintenance.Operation
 	asked          bool
 	faults         []string
 }
@@ -176,7 +176,7 @@
 		r.Windows[win.Name] = string(win.Stage)
 		if w.night.fits {
 			r.Fit++
-			if win.Stage == window.StageDone {
+			if win.Stage == maintenance.StageDone {
 				r.Held++
 			}
 		}
@@ -280,10 +280,10 @@
 
 // propose asks for the window until it is known to be asked for.
 func (w *world) propose(uids []string) {
-	op := &window.Operation{Kind: window.OpPropose, Window: windowW, Operator: "ops", ServerUIDs: uids, WorkMS: 60_000 + 1000*w.rng.Int64N(60)}
+	op := &maintenance.Operation{Kind: maintenance.OpPropose, Window: windowW, Operator: "ops", ServerUIDs: uids, WorkMS: 60_000 + 1000*w.rng.Int64N(60)}
 	var try func()
 	try = func() {
-		if w.operate(op) != string(window.OutcomeApplied) {
+		if w.operate(op) != string(maintenance.OutcomeApplied) {
 			w.after(10_000, try)
 			return
 		}
@@ -314,7 +314,7 @@
 		return false
 	}
 	for _, win := range windows {
-		later := win.Stage == window.StageApproved && win.PlannedStartMS > w.now+3600_000
+		later := win.Stage == maintenance.StageApproved && win.PlannedStartMS > w.now+3600_000
 		if !win.Finished() && !later {
 			return false
 		}
--- a/internal/lab/night/operator.go
+++ b/internal/lab/controlplane/operator.go
@@ -1,9 +1,9 @@
-package night
+package controlplane
 
 import (
 	"milldeck/internal/disruption"
+	"milldeck/internal/maintenance"
 	"milldeck/internal/release"
-	"milldeck/internal/window"
 )
 
 // operator does what people do who look every few seconds: resumes what is in doubt once the fleet is seen again, sends
@@ -41,11 +41,11 @@
 		}
 	}
 	for _, scope := range sorted(p.windows.Halts()) {
-		w.operate(&window.Operation{Kind: window.OpResume, Scope: scope})
+		w.operate(&maintenance.Operation{Kind: maintenance.OpResume, Scope: scope})
 	}
 	for _, win := range p.windows.Windows() {
-		if win.Stage == window.StageHalted {
-			w.operate(&window.Operation{Kind: window.OpResume, Scope: "window/" + win.Name})
+		if win.Stage == maintenance.StageHalted {
+			w.operate(&maintenance.Operation{Kind: maintenance.OpResume, Scope: "window/" + win.Name})
 		}
 	}
 	if w.night.asked && len(p.windows.Windows()) == 0 { // a restore has lost it
--- a/internal/lab/night/process.go
+++ b/internal/lab/controlplane/process.go
@@ -1,4 +1,4 @@
-package night
+package controlplane
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"milldeck/internal/duty/table"
+	"milldeck/internal/leaderelection/leasetable"
 )
 
 func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
@@ -102,7 +102,7 @@
 			continue
 		}
 		l.rev++
-		l.duties.Apply(l.rev, &table.Operation{Kind: table.Expire, Name: duty, Candidate: d.Holder, Token: d.Token})
+		l.duties.Apply(l.rev, &leasetable.Operation{Kind: leasetable.Expire, Name: duty, Candidate: d.Holder, Token: d.Token})
 		if l.w.opt.Bugs.LeaseFrees {
 			l.w.free(duty)
 		}
@@ -130,7 +130,7 @@
 	case !slices.Contains(d.Queue, p.id()):
 		p.token = 0
 		l.rev++
-		l.duties.Apply(l.rev, &table.Operation{Kind: table.Campaign, Name: p.duty, Candidate: p.id(), TTLMS: ttlMS})
+		l.duties.Apply(l.rev, &leasetable.Operation{Kind: leasetable.Campaign, Name: p.duty, Candidate: p.id(), TTLMS: ttlMS})
 		l.renewed[p.duty] = p.w.now
 	default:
 		p.token = 0
@@ -146,7 +146,7 @@
 	was := p.id()
 	p.w.after(restartMS+p.w.rng.Int64N(4000), func() {
 		l := p.w.plane
-		l.duties.Apply(l.rev, &table.Operation{Kind: table.Expire, Name: p.duty, Candidate: was}) // its place in the queue, if it has one
+		l.duties.Apply(l.rev, &leasetable.Operation{Kind: leasetable.Expire, Name: p.duty, Candidate: was}) // its place in the queue, if it has one
 		p.dead, p.n = false, p.n+1
 	})
 }
--- a/internal/lab/night/spreader.go
+++ b/internal/lab/controlplane/spreader.go
@@ -1,11 +1,11 @@
-package night
+package controlplane
 
 import (
 	"fmt"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/hotkey"
 	"milldeck/internal/placement"
-	"milldeck/internal/spread"
 )
 
 // What servers bear and how hot the hot key is: 300 servers' load, met by all sidecars.
@@ -20,17 +20,17 @@
 type spreader struct {
 	p     *process
 	token uint64
-	d     *spread.Planner
+	d     *hotkey.Planner
 }
 
 func (w *world) spreader(k int) *process {
-	return w.process(fmt.Sprintf("spread-%d", k), spread.LeaseName, func(p *process) controller { return &spreader{p: p} })
+	return w.process(fmt.Sprintf("spread-%d", k), hotkey.LeaseName, func(p *process) controller { return &spreader{p: p} })
 }
 
-func (w *world) spreadConfig() spread.Config { return spread.DefaultConfig(bearMS, workMS) }
+func (w *world) spreadConfig() hotkey.Config { return hotkey.DefaultConfig(bearMS, workMS) }
 
 func (c *spreader) take(token uint64) {
-	d, err := spread.NewPlanner(c.p.w.spreadConfig())
+	d, err := hotkey.NewPlanner(c.p.w.spreadConfig())
 	if err != nil {
 		panic(err) // the default can be
 	}
@@ -41,7 +41,7 @@
 	d.Restore(float64(w.now)/1000, w.plane.places.CompleteUpdate(w.now+w.plane.leader.off).Directives)
 }
 
-func (c *spreader) servers() []spread.Server {
+func (c *spreader) servers() []hotkey.Server {
 	w := c.p.w
 	off := map[string]bool{}
 	for _, win := range w.plane.windows.Windows() {
@@ -51,13 +51,13 @@
 			}
 		}
 	}
-	list := make([]spread.Server, 0, len(w.servers))
+	list := make([]hotkey.Server, 0, len(w.servers))
 	for _, u := range w.servers {
 		k, _ := w.plane.ledger.Unit(u.ID)
 		if k.Condition == disruption.ConditionLost {
 			continue
 		}
-		list = append(list, spread.Server{UID: u.name, Zone: u.Zone, Pod: u.PodGroup, Capacity: 1, BootMS: float64(u.bootMS), Excluded: off[u.name],
+		list = append(list, hotkey.Server{UID: u.name, Zone: u.Zone, Pod: u.PodGroup, Capacity: 1, BootMS: float64(u.bootMS), Excluded: off[u.name],
 			Ready: k.Condition == disruption.ConditionUp || k.Condition == disruption.ConditionWarmingUp, WarmingUp: k.Condition == disruption.ConditionWarmingUp})
 	}
 	return list
@@ -78,7 +78,7 @@
 		}
 		r := placement.LoadReport{Sidecar: u.name, PlacementRevision: u.car.rev, IntervalMS: 1000, TotalKeyLoad: 2 * all / float64(len(w.sidecars))}
 		if w.hot() {
-			r.HotKeys = []placement.KeyLoad{{KeyHash: spread.FormatKey(w.night.hotKey), Load: all / float64(len(w.sidecars))}}
+			r.HotKeys = []placement.KeyLoad{{KeyHash: hotkey.FormatKey(w.night.hotKey), Load: all / float64(len(w.sidecars))}}
 		}
 		c.d.AddReport(now, &r)
 	}
@@ -89,7 +89,7 @@
 	}
 }
 
-func (c *spreader) carry(e spread.Change) {
+func (c *spreader) carry(e hotkey.Change) {
 	w, d := c.p.w, c.d
 	op := &placement.Op{}
 	id := e.RemoveID
@@ -111,7 +111,7 @@
 				}
 			}
 		}
-		out, why := w.plane.places.Apply(w.plane.rev, spread.LeaseName, op)
+		out, why := w.plane.places.Apply(w.plane.rev, hotkey.LeaseName, op)
 		if out == placement.OutcomeApplied && e.Set != nil {
 			w.judge.copies(e.Set, had)
 		}
--- a/internal/lab/night/windows.go
+++ b/internal/lab/controlplane/windows.go
@@ -1,32 +1,32 @@
-package night
+package controlplane
 
 import (
 	"fmt"
 	"time"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/maintenance"
+	"milldeck/internal/maintenance/calendar"
+	"milldeck/internal/maintenance/contract"
 	"milldeck/internal/placement"
-	"milldeck/internal/window"
-	"milldeck/internal/window/contract"
-	"milldeck/internal/window/hours"
 )
 
 // windower is the controller of windows.
 type windower struct {
 	p     *process
 	clock clock
-	core  *window.Reconciler
+	core  *maintenance.Reconciler
 	token uint64
 }
 
 func (w *world) windower(k int, c clock) *process {
-	return w.process(fmt.Sprintf("window-%d", k), window.LeaseName, func(p *process) controller { return &windower{p: p, clock: c} })
+	return w.process(fmt.Sprintf("window-%d", k), maintenance.LeaseName, func(p *process) controller { return &windower{p: p, clock: c} })
 }
 
-func (c *windower) take(token uint64) { c.core, c.token = window.NewReconciler(token), token }
+func (c *windower) take(token uint64) { c.core, c.token = maintenance.NewReconciler(token), token }
 
-func (c *windower) now() window.ClockReading {
-	return window.ClockReading{MonotonicMS: c.p.w.now, WallMS: c.p.w.now + c.clock.off, UncertaintyMS: c.clock.unc}
+func (c *windower) now() maintenance.ClockReading {
+	return maintenance.ClockReading{MonotonicMS: c.p.w.now, WallMS: c.p.w.now + c.clock.off, UncertaintyMS: c.clock.unc}
 }
 
 func (c *windower) step() {
@@ -35,9 +35,9 @@
 		return
 	}
 	now := c.now()
-	v := window.ReadView(s.rev, s.windows, s.ledger)
+	v := maintenance.ReadView(s.rev, s.windows, s.ledger)
 	for _, win := range s.windows.Windows() {
-		if win.Stage != window.StageDraining {
+		if win.Stage != maintenance.StageDraining {
 			continue
 		}
 		for _, name := range v.LiveSidecars {
@@ -70,7 +70,7 @@
 }
 
 // carry writes one effect.
-func (c *windower) carry(e window.Effect, stamp window.Timestamp) {
+func (c *windower) carry(e maintenance.Effect, stamp maintenance.Timestamp) {
 	w := c.p.w
 	core := c.core
 	a, known := c.p.write(c.token, func() (string, string) {
@@ -80,12 +80,12 @@
 		return w.windowAct(e.LedgerAction)
 	})
 	if known {
-		core.ObserveResult(c.now(), e, window.Outcome(a.outcome), a.why, w.plane.rev)
+		core.ObserveResult(c.now(), e, maintenance.Outcome(a.outcome), a.why, w.plane.rev)
 	}
 }
 
 // windowAct is an act on the ledger; its outcome is told in the words of windows.
-func (w *world) windowAct(a *window.LedgerAction) (string, string) {
+func (w *world) windowAct(a *maintenance.LedgerAction) (string, string) {
 	op := a.Operation()
 	if a.Kind == disruption.OpObserve {
 		op.Permit = nil
@@ -95,33 +95,33 @@
 			}
 		}
 		if len(op.Observed) == 0 {
-			return string(window.OutcomeApplied), ""
+			return string(maintenance.OutcomeApplied), ""
 		}
 	}
 	switch out, why := w.plane.ledgerOp(op); {
 	case out == string(disruption.OutcomeApplied):
-		return string(window.OutcomeApplied), ""
+		return string(maintenance.OutcomeApplied), ""
 	case a.Kind == disruption.OpRequest:
-		return string(window.OutcomeInvalid), why
+		return string(maintenance.OutcomeInvalid), why
 	default:
-		return string(window.OutcomeBlocked), why
+		return string(maintenance.OutcomeBlocked), why
 	}
 }
 
 // work is what the people and servers do that a window is for.
-func (w *world) work(op *window.Operation) {
+func (w *world) work(op *maintenance.Operation) {
 	win := w.plane.windows.Window(op.Window)
-	if win == nil || op.Kind == window.OpExtendExclusion || op.Kind == window.OpSchedule {
+	if win == nil || op.Kind == maintenance.OpExtendExclusion || op.Kind == maintenance.OpSchedule {
 		return
 	}
 	switch {
-	case op.Kind == window.OpCompleteDrain:
+	case op.Kind == maintenance.OpCompleteDrain:
 		for _, uid := range win.ServerUIDs {
 			u := w.names[uid]
 			w.judge.taken(u, "worked on")
 			u.busy, u.active = true, true
 		}
-	case win.OutOfService() && (win.Stage == window.StageReturning || win.Stage == window.StageOverrun):
+	case win.OutOfService() && (win.Stage == maintenance.StageReturning || win.Stage == maintenance.StageOverrun):
 		ms := 3000 + w.rng.Int64N(12_000)
 		if w.opt.SlowReturn {
 			ms += 1800_000
@@ -142,11 +142,11 @@
 }
 
 // operate is an operator's write about windows.
-func (w *world) operate(op *window.Operation) string {
+func (w *world) operate(op *maintenance.Operation) string {
 	at := w.now + w.plane.leader.off
 	w.writes++
 	a, known := w.plane.write(fmt.Sprintf("operator/%d", w.writes), "", 0, func() (string, string) {
-		return w.plane.windowOp(op, window.Timestamp{ControllerMS: at, UncertaintyMS: 250})
+		return w.plane.windowOp(op, maintenance.Timestamp{ControllerMS: at, UncertaintyMS: 250})
 	})
 	if !known {
 		return "unknown"
@@ -157,12 +157,12 @@
 // agree sets a contract of the same hours each day, by the tenant's own clock, and tells the judge.
 func (w *world) agree(tenant, zone string, opens time.Time, length time.Duration) {
 	c := contract.Contract{Tenant: tenant, Notice: "0s", MinutesPerMonth: 10_000, MinAvailableShare: 0.5, MaxConcurrentWindows: 2, OverrunPolicy: contract.OverrunHaltsTenant,
-		Spec: hours.Spec{Zone: zone, ApprovedHours: []hours.Rule{{Recurrence: "FREQ=DAILY", Start: opens.Format("15:04"), Length: length.String(), FirstDay: "2020-01-01"}}}}
-	grant := window.NewPlanner().Approval(&window.ActiveContract{Contract: c}, w.now, 0)
+		Spec: calendar.Spec{Zone: zone, ApprovedHours: []calendar.Rule{{Recurrence: "FREQ=DAILY", Start: opens.Format("15:04"), Length: length.String(), FirstDay: "2020-01-01"}}}}
+	grant := maintenance.NewPlanner().Approval(&maintenance.ActiveContract{Contract: c}, w.now, 0)
 	w.judge.agree(tenant, opens, length)
-	if out := w.operate(&window.Operation{Kind: window.OpSetContract, Contract: &c, CurrentApproval: grant}); out != string(window.OutcomeApplied) {
+	if out := w.operate(&maintenance.Operation{Kind: maintenance.OpSetContract, Contract: &c, CurrentApproval: grant}); out != string(maintenance.OutcomeApplied) {
 		w.judge.breaks(ruleHours, fmt.Sprintf("the contract of %s is %s", tenant, out))
 	}
 	w.plane.rev++ // the command that sets a contract sets the budget that goes with it
-	w.plane.ledger.Apply(w.plane.rev, &disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/ops", Budget: window.ContractBudget(&c)})
+	w.plane.ledger.Apply(w.plane.rev, &disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/ops", Budget: maintenance.ContractBudget(&c)})
 }
--- a/internal/lab/night/world.go
+++ b/internal/lab/controlplane/world.go
@@ -1,4 +1,4 @@
-package night
+package controlplane
 
 import (
 	"context"
@@ -7,10 +7,10 @@
 	"slices"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/maintenance"
 	"milldeck/internal/supervisor"
 	"milldeck/internal/supervisor/core"
 	"milldeck/internal/supervisor/fake"
-	"milldeck/internal/window"
 )
 
 // Times of the world in ms.
@@ -82,7 +82,7 @@
 	timers   []timer
 	procs    []*process
 	judge    *referee
-	fleet    window.Fleet
+	fleet    maintenance.Fleet
 	topToken uint64
 	outs     map[string]int // by budget, a second ago: for a planted fault
 	powerOff map[string]int64
@@ -108,7 +108,7 @@
 )
 
 func newWorld(seed uint64, opt Options) *world {
-	w := &world{opt: opt, seed: seed, rng: rand.New(rand.NewPCG(seed, 18)), by: map[string]*unit{}, names: map[string]*unit{}, fleet: window.Fleet{},
+	w := &world{opt: opt, seed: seed, rng: rand.New(rand.NewPCG(seed, 18)), by: map[string]*unit{}, names: map[string]*unit{}, fleet: maintenance.Fleet{},
 		powerOff: map[string]int64{}, outs: map[string]int{}, stepMS: 2 * tickMS}
 	w.now = opt.Start
 	w.begin = w.now
--- a/internal/lab/file.go
+++ b/internal/lab/file.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"milldeck/internal/conf"
+	"milldeck/internal/config"
 )
 
 // Range is a number or a pair [least, most] from which the seed draws one, evenly.
@@ -208,7 +208,7 @@
 // Load reads an experiment. Errors name file, line and key.
 func Load(path string) (*File, error) {
 	f := defaults()
-	c, err := conf.Load(path, f)
+	c, err := config.Load(path, f)
 	if err != nil {
 		return nil, err
 	}
@@ -218,7 +218,7 @@
 // Parse is Load for bytes at hand.
 func Parse(path string, data []byte) (*File, error) {
 	f := defaults()
-	c, err := conf.Parse(path, data, f)
+	c, err := config.Parse(path, data, f)
 	if err != nil {
 		return nil, err
 	}
@@ -259,7 +259,7 @@
 )
 
 // check refuses what cannot be, with the line and the key, and fills in what depends on other figures.
-func (f *File) check(c *conf.File) error {
+func (f *File) check(c *config.File) error {
 	var errs []error
 	bad := func(key, format string, args ...any) { errs = append(errs, c.Errorf(key, format, args...)) }
 	inside := func(key string, v, least, most float64) {
@@ -329,7 +329,7 @@
 
 // CheckServer is the part of an experiment's check that is about servers, for one kind in a file of its own, under the
 // key "kind", with its classes.
-func (f *File) CheckServer(c *conf.File) error {
+func (f *File) CheckServer(c *config.File) error {
 	var first error
 	bad := func(key, format string, args ...any) {
 		if first == nil {
--- a/internal/lab/live/control_test.go
+++ b/internal/lab/live/control_test.go
@@ -88,7 +88,7 @@
 			}
 			dir := t.TempDir()
 			r, err := Run(t.Context(), f.Draw(0), Options{
-				Sidecar: proctest.Program(t, "silverreel"), Milldeck: proctest.Program(t, "milldeck"), Dir: dir,
+				Sidecar: proctest.Program(t, "sidecar"), Milldeck: proctest.Program(t, "milldeck"), Dir: dir,
 			})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -1,4 +1,4 @@
-// Package live plays a lab plan with real silverreel processes on loopback addresses of their own: real sockets
+// Package live plays a lab plan with real sidecar processes on loopback addresses of their own: real sockets
 // and real time. Servers, discovery and clients are stand-ins that speak PROTOCOL, in this process; the server
 // model is that of package lab.
 package live
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	r, err := Run(ctx, f.Draw(0), Options{Sidecar: proctest.Program(t, "silverreel"), Dir: dir})
+	r, err := Run(ctx, f.Draw(0), Options{Sidecar: proctest.Program(t, "sidecar"), Dir: dir})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,7 +154,7 @@
 		var pid, parent int
 		var name, state string
 		fmt.Sscan(string(data), &pid, &name, &state, &parent)
-		if parent == syscall.Getpid() && name == "(silverreel)" && state != "Z" {
+		if parent == syscall.Getpid() && name == "(sidecar)" && state != "Z" {
 			t.Errorf("process %d is left", pid)
 		}
 	}
--- a/internal/lab/live/program.go
+++ b/internal/lab/live/program.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"milldeck/internal/conf"
+	"milldeck/internal/config"
 	"milldeck/internal/lab"
 )
 
@@ -34,16 +34,16 @@
 // LoadServer reads a server's configuration and, where a path is given, what its version does wrong.
 func LoadServer(path, harm string) (*ServerFile, *lab.Harm, error) {
 	f, h := &ServerFile{Speed: 1}, &lab.Harm{}
-	c, err := conf.Load(path, f)
+	c, err := config.Load(path, f)
 	if err != nil {
 		return nil, nil, err
 	}
 	if err := f.check(c); err != nil {
 		return nil, nil, err
 	}
-	var hc *conf.File
+	var hc *config.File
 	if harm != "" {
-		if hc, err = conf.Load(harm, h); err != nil {
+		if hc, err = config.Load(harm, h); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -61,7 +61,7 @@
 }
 
 // check holds the figures to what a whole experiment may say.
-func (f *ServerFile) check(c *conf.File) error {
+func (f *ServerFile) check(c *config.File) error {
 	f.Kind.Count = lab.Range{Least: 1, Most: 1}
 	whole := lab.File{Servers: []lab.KindFile{f.Kind}, Classes: f.Class}
 	if err := whole.CheckServer(c); err != nil {
--- a/internal/lab/live/rogue.go
+++ b/internal/lab/live/rogue.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"milldeck/internal/duty"
 	"milldeck/internal/lab"
+	"milldeck/internal/leaderelection"
 	"milldeck/internal/placement"
 	"milldeck/internal/registry"
 	"milldeck/internal/supervisor"
@@ -73,7 +73,7 @@
 // copies takes the spreader's duty and places copies of keys on servers, whatever that costs.
 func (c *control) copies(ctx context.Context, servers []string) error {
 	client := c.f.registry.client
-	return duty.Run(ctx, client, "spread", duty.Options{}, func(ctx context.Context, l *duty.Lease) error {
+	return leaderelection.Run(ctx, client, "spread", leaderelection.Options{}, func(ctx context.Context, l *leaderelection.Lease) error {
 		now := time.Now()
 		var set []placement.Directive
 		for i := range min(rogueKeys, c.f.plan.File.Clients.Keys) {
--- a/internal/lab/sim/spread.go
+++ b/internal/lab/sim/spread.go
@@ -7,10 +7,10 @@
 	"strconv"
 
 	"milldeck/balance"
+	"milldeck/internal/hotkey"
+	"milldeck/internal/hotkey/topk"
 	"milldeck/internal/lab"
 	"milldeck/internal/placement"
-	"milldeck/internal/spread"
-	"milldeck/internal/spread/summary"
 )
 
 const (
@@ -25,12 +25,12 @@
 type spreader struct {
 	e     *engine
 	file  *lab.SpreaderFile
-	cfg   spread.Config
+	cfg   hotkey.Config
 	judge *lab.SpreadJudge
 	rng   *rand.Rand // of reports and placement: it moves no other chance
 	hot   map[uint64]bool
 
-	decider *spread.Planner // nil: nobody decides
+	decider *hotkey.Planner // nil: nobody decides
 	writing bool
 	rev     uint64
 	entries map[string]placement.Directive
@@ -43,7 +43,7 @@
 
 // car is what the sidecar's program keeps beside the module.
 type car struct {
-	heat *summary.Sketch
+	heat *topk.Sketch
 	rev  uint64
 	due  bool // the placement is on its way
 }
@@ -61,7 +61,7 @@
 	if work == 0 {
 		work = p.MeanWork()
 	}
-	s.cfg = spread.DefaultConfig(bear, work)
+	s.cfg = hotkey.DefaultConfig(bear, work)
 	if s.file.Budget > 0 {
 		s.cfg.WarmupBudget = s.file.Budget
 	}
@@ -118,7 +118,7 @@
 
 // takeOver begins a decider, which goes on from the placement.
 func (s *spreader) takeOver(now float64) {
-	d, err := spread.NewPlanner(s.cfg)
+	d, err := hotkey.NewPlanner(s.cfg)
 	if err != nil {
 		panic(err) // its settings were checked
 	}
@@ -138,7 +138,7 @@
 	for i := range s.e.plan.File.Servers {
 		coldFor = max(coldFor, 1000*s.e.plan.File.Servers[i].ColdS.Most)
 	}
-	var list []spread.Server
+	var list []hotkey.Server
 	for _, h := range s.e.hosts {
 		if h.plan.Born > now {
 			continue
@@ -146,7 +146,7 @@
 		if h.listed {
 			ready++
 		}
-		list = append(list, spread.Server{
+		list = append(list, hotkey.Server{
 			UID: h.plan.UID, Zone: strconv.Itoa(h.plan.Zone), Pod: h.plan.Pod, Capacity: 1, BootMS: unixZero*1000 + h.boot,
 			Ready: h.listed, WarmingUp: h.boot > 0 && now < h.boot+coldFor,
 		})
@@ -170,7 +170,7 @@
 
 // started: a sidecar begins a life; its agent has the placement at hand.
 func (s *spreader) started(n *node) {
-	s.cars[n.n] = car{heat: summary.New(heatKeys, s.cfg.HalfLife)}
+	s.cars[n.n] = car{heat: topk.New(heatKeys, s.cfg.HalfLife)}
 	if s.rev > 0 {
 		s.send(n)
 	}
@@ -195,12 +195,12 @@
 	top := c.heat.Top(now/1000, placement.MaxHotKeys)
 	r := &placement.LoadReport{Sidecar: n.plan.Name, PlacementRevision: c.rev, IntervalMS: s.file.ReportMS, TotalKeyLoad: top.Total}
 	for _, f := range top.Keys {
-		r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: spread.FormatKey(f.Key), Load: f.Load, ErrorBound: f.Error})
+		r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: hotkey.FormatKey(f.Key), Load: f.Load, ErrorBound: f.Error})
 	}
 	if s.lying[at] {
 		r.HotKeys = nil
 		for k := range lies {
-			r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: spread.FormatKey(uint64(k + 1)), Load: top.Total})
+			r.HotKeys = append(r.HotKeys, placement.KeyLoad{KeyHash: hotkey.FormatKey(uint64(k + 1)), Load: top.Total})
 		}
 		r.TotalKeyLoad = lies * top.Total
 	}
@@ -233,7 +233,7 @@
 	})
 }
 
-func (s *spreader) write(now float64, by *spread.Planner, effects []spread.Change) {
+func (s *spreader) write(now float64, by *hotkey.Planner, effects []hotkey.Change) {
 	s.rev++
 	for _, f := range effects {
 		id := f.RemoveID
--- a/internal/duty/bench/bench.go
+++ b/internal/leaderelection/bench/bench.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"milldeck/internal/duty/table"
 	"milldeck/internal/lab/proc"
+	"milldeck/internal/leaderelection/leasetable"
 	"milldeck/internal/registry"
 	"milldeck/internal/registry/cluster"
 )
@@ -181,7 +181,7 @@
 		name := fmt.Sprintf("queue-%d", candidates)
 		for i := range candidates + handovers {
 			call := registry.LeaseRequest{Candidate: fmt.Sprint("c", i), TTLMS: 600_000}
-			if _, err := b.client.UpdateLease(ctx, table.Campaign, name, call); err != nil {
+			if _, err := b.client.UpdateLease(ctx, leasetable.Campaign, name, call); err != nil {
 				return err
 			}
 		}
@@ -194,7 +194,7 @@
 			if err != nil {
 				return err
 			}
-			if _, err := b.client.UpdateLease(ctx, table.Release, name, registry.LeaseRequest{Candidate: lease.Holder, Token: lease.Token}); err != nil {
+			if _, err := b.client.UpdateLease(ctx, leasetable.Release, name, registry.LeaseRequest{Candidate: lease.Holder, Token: lease.Token}); err != nil {
 				return err
 			}
 		}
@@ -210,7 +210,7 @@
 	}
 	var renewals []registry.LeaseRenewal
 	for i := range b.opts.BatchedRenewals {
-		lease, err := b.client.UpdateLease(ctx, table.Campaign, fmt.Sprint("many-", i), registry.LeaseRequest{Candidate: "one", TTLMS: 600_000})
+		lease, err := b.client.UpdateLease(ctx, leasetable.Campaign, fmt.Sprint("many-", i), registry.LeaseRequest{Candidate: "one", TTLMS: 600_000})
 		if err != nil {
 			return err
 		}
--- a/internal/duty/bench/faults.go
+++ b/internal/leaderelection/bench/faults.go
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
-	"milldeck/internal/duty/clock"
-	"milldeck/internal/duty/table"
 	"milldeck/internal/lab/proc"
+	"milldeck/internal/leaderelection/clock"
+	"milldeck/internal/leaderelection/leasetable"
 )
 
 const (
@@ -93,14 +93,14 @@
 type contest struct {
 	*benchRun
 	leaseName  string
-	updates    chan table.Lease // the newest state that was not looked at
-	lease      table.Lease      // the newest that was
+	updates    chan leasetable.Lease // the newest state that was not looked at
+	lease      leasetable.Lease      // the newest that was
 	candidates map[string]*proc.Process
 	started    int
 }
 
 // enqueueLatest keeps the newest state.
-func (c *contest) enqueueLatest(lease table.Lease) {
+func (c *contest) enqueueLatest(lease leasetable.Lease) {
 	for {
 		select {
 		case c.updates <- lease:
@@ -135,7 +135,7 @@
 // runContest keeps two candidates of a duty at work and harms the holder again and again.
 func (b *benchRun) runContest(ctx context.Context, n int) error {
 	rng := rand.New(rand.NewPCG(b.opts.Seed, uint64(n)))
-	c := &contest{benchRun: b, leaseName: fmt.Sprint("duty-", n), updates: make(chan table.Lease, 1), candidates: map[string]*proc.Process{}}
+	c := &contest{benchRun: b, leaseName: fmt.Sprint("duty-", n), updates: make(chan leasetable.Lease, 1), candidates: map[string]*proc.Process{}}
 	watchCtx, stopWatch := context.WithCancel(ctx)
 	var background sync.WaitGroup
 	background.Go(func() { _ = b.client.WatchLease(watchCtx, c.leaseName, c.enqueueLatest) }) // ends with its context
--- a/internal/duty/election.go
+++ b/internal/leaderelection/election.go
@@ -5,7 +5,7 @@
 // that it holds a duty. What is not: that a process which was stopped between a look at its lease and what it did
 // next notices in time. What must not happen twice has to be guarded by the token, as writes to the list service can
 // be (registry.Guard, Lease.Save).
-package duty
+package leaderelection
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"milldeck/internal/duty/table"
+	"milldeck/internal/leaderelection/leasetable"
 	"milldeck/internal/registry"
 )
 
@@ -104,7 +104,7 @@
 
 // SaveCheckpoint writes where the work is, for whoever goes on. It fails once the duty is another's.
 func (l *Lease) SaveCheckpoint(ctx context.Context, checkpoint []byte) error {
-	_, err := l.client.UpdateLease(ctx, table.Checkpoint, l.Name, registry.LeaseRequest{Candidate: l.Holder, Token: l.Token, Data: checkpoint})
+	_, err := l.client.UpdateLease(ctx, leasetable.Checkpoint, l.Name, registry.LeaseRequest{Candidate: l.Holder, Token: l.Token, Data: checkpoint})
 	if err != nil {
 		return fmt.Errorf("checkpoint of %s: %w", l.Name, err)
 	}
@@ -124,7 +124,7 @@
 	if opts.Clock == nil {
 		opts.Clock = systemClock{}
 	}
-	c := &candidate{client: client, leaseName: name, opts: opts, updates: make(chan table.Lease, 1)}
+	c := &candidate{client: client, leaseName: name, opts: opts, updates: make(chan leasetable.Lease, 1)}
 	watchCtx, stopWatch := context.WithCancel(ctx)
 	defer stopWatch()
 	var background sync.WaitGroup
@@ -155,11 +155,11 @@
 	client    *registry.Client
 	leaseName string
 	opts      Options
-	updates   chan table.Lease // the newest state that was not looked at
+	updates   chan leasetable.Lease // the newest state that was not looked at
 }
 
 // enqueueLatest keeps the newest state of the duty.
-func (c *candidate) enqueueLatest(state table.Lease) {
+func (c *candidate) enqueueLatest(state leasetable.Lease) {
 	for {
 		select {
 		case c.updates <- state:
@@ -183,9 +183,9 @@
 func (c *candidate) now() time.Time { return c.opts.Clock.Now() }
 
 // campaign seeks the duty and keeps its place in the queue until it is the holder.
-func (c *candidate) campaign(ctx context.Context) (table.Lease, error) {
-	joinQueue := func() (table.Lease, error) {
-		return c.client.UpdateLease(ctx, table.Campaign, c.leaseName, registry.LeaseRequest{Candidate: c.opts.Candidate, TTLMS: c.opts.TTL.Milliseconds()})
+func (c *candidate) campaign(ctx context.Context) (leasetable.Lease, error) {
+	joinQueue := func() (leasetable.Lease, error) {
+		return c.client.UpdateLease(ctx, leasetable.Campaign, c.leaseName, registry.LeaseRequest{Candidate: c.opts.Candidate, TTLMS: c.opts.TTL.Milliseconds()})
 	}
 	state, err := joinQueue()
 	if err != nil {
@@ -234,7 +234,7 @@
 
 // acquire renews a duty that was given to this candidate. Only from then on does it know when its lease ends: it was
 // not told when it began.
-func (c *candidate) acquire(ctx context.Context, state table.Lease, ttl time.Duration) (*Lease, error) {
+func (c *candidate) acquire(ctx context.Context, state leasetable.Lease, ttl time.Duration) (*Lease, error) {
 	lease := &Lease{
 		Name: c.leaseName, Holder: c.opts.Candidate, Token: state.Token, Checkpoint: state.Checkpoint, client: c.client, clock: c.opts.Clock,
 	}
@@ -264,7 +264,7 @@
 	}
 	lease.mu.Lock()
 	defer lease.mu.Unlock()
-	if validUntil := sentAt.Add(ttl - table.SafetyMargin(ttl)); validUntil.After(lease.validUntil) && !lease.ended {
+	if validUntil := sentAt.Add(ttl - leasetable.SafetyMargin(ttl)); validUntil.After(lease.validUntil) && !lease.ended {
 		lease.validUntil = validUntil
 	}
 	return answeredAt, nil
@@ -338,7 +338,7 @@
 func (c *candidate) release(token uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	if _, err := c.client.UpdateLease(ctx, table.Release, c.leaseName, registry.LeaseRequest{Candidate: c.opts.Candidate, Token: token}); err == nil && token != 0 {
+	if _, err := c.client.UpdateLease(ctx, leasetable.Release, c.leaseName, registry.LeaseRequest{Candidate: c.opts.Candidate, Token: token}); err == nil && token != 0 {
 		c.emit(c.now(), "released", token, time.Time{}, 0)
 	}
 }
--- a/internal/duty/faults_test.go
+++ b/internal/leaderelection/faults_test.go
@@ -1,4 +1,4 @@
-package duty_test
+package leaderelection_test
 
 import (
 	"bytes"
@@ -15,11 +15,11 @@
 	"testing"
 	"time"
 
-	"milldeck/internal/duty"
-	"milldeck/internal/duty/bench"
-	"milldeck/internal/duty/table"
 	"milldeck/internal/lab/proc"
 	"milldeck/internal/lab/proc/proctest"
+	"milldeck/internal/leaderelection"
+	"milldeck/internal/leaderelection/bench"
+	"milldeck/internal/leaderelection/leasetable"
 	"milldeck/internal/registry"
 	"milldeck/internal/registry/cluster"
 )
@@ -133,12 +133,12 @@
 
 // startCandidate takes part in a duty until the test ends; each tenure's lease comes over the channel, and its work lasts until
 // it is told to stop.
-func (tc *testCluster) startCandidate(client *registry.Client, name, candidate string) (acquired <-chan *duty.Lease, stopCauses <-chan error, stop func()) {
+func (tc *testCluster) startCandidate(client *registry.Client, name, candidate string) (acquired <-chan *leaderelection.Lease, stopCauses <-chan error, stop func()) {
 	ctx, cancel := context.WithCancel(tc.ctx)
-	leases, causes := make(chan *duty.Lease, 16), make(chan error, 16)
+	leases, causes := make(chan *leaderelection.Lease, 16), make(chan error, 16)
 	var background sync.WaitGroup
 	background.Go(func() {
-		_ = duty.Run(ctx, client, name, duty.Options{Candidate: candidate, TTL: 800 * time.Millisecond}, func(ctx context.Context, lease *duty.Lease) error {
+		_ = leaderelection.Run(ctx, client, name, leaderelection.Options{Candidate: candidate, TTL: 800 * time.Millisecond}, func(ctx context.Context, lease *leaderelection.Lease) error {
 			leases <- lease
 			<-ctx.Done()
 			causes <- context.Cause(ctx)
@@ -258,7 +258,7 @@
 	for _, proxy := range proxies {
 		proxy.setPartitioned(true)
 	}
-	if err := receive(tc, "the stop", stopped); !errors.Is(err, duty.ErrLeaseLost) {
+	if err := receive(tc, "the stop", stopped); !errors.Is(err, leaderelection.ErrLeaseLost) {
 		t.Errorf("it was told %v", err)
 	}
 	stoppedAt := time.Now()
@@ -267,7 +267,7 @@
 		t.Errorf("tokens %d and %d, the first still valid: %v", lease.Token, next.Token, lease.Valid())
 	}
 	lateCall := registry.LeaseRequest{Candidate: lease.Holder, Token: lease.Token, Data: []byte("late")}
-	if _, err := tc.client.UpdateLease(tc.ctx, table.Checkpoint, "d", lateCall); err == nil {
+	if _, err := tc.client.UpdateLease(tc.ctx, leasetable.Checkpoint, "d", lateCall); err == nil {
 		t.Error("a late write counted")
 	}
 	write := registry.WriteOptions{Guard: lease.Guard()}
@@ -294,7 +294,7 @@
 	for _, replica := range tc.cluster.Replicas {
 		replica.Process.Kill()
 	}
-	if err := receive(tc, "the stop", stopped); !errors.Is(err, duty.ErrLeaseLost) || time.Until(lease.ValidUntil()) > 50*time.Millisecond {
+	if err := receive(tc, "the stop", stopped); !errors.Is(err, leaderelection.ErrLeaseLost) || time.Until(lease.ValidUntil()) > 50*time.Millisecond {
 		t.Errorf("it was told %v, %v before its lease ended", err, time.Until(lease.ValidUntil()))
 	}
 	for _, replica := range tc.cluster.Replicas {
@@ -316,7 +316,7 @@
 	for i := range tokens {
 		candidates.Go(func() {
 			candidate := fmt.Sprint("s", i)
-			state, err := tc.client.UpdateLease(tc.ctx, table.Campaign, "many", registry.LeaseRequest{Candidate: candidate, TTLMS: 60_000})
+			state, err := tc.client.UpdateLease(tc.ctx, leasetable.Campaign, "many", registry.LeaseRequest{Candidate: candidate, TTLMS: 60_000})
 			if err == nil && state.Holder == candidate {
 				tokens[i] = state.Token
 			}
@@ -336,14 +336,14 @@
 	acquired, stopped, _ := tc.startCandidate(tc.client, "d", "one")
 	lease := receive(tc, "the first tenure", acquired)
 	for _, candidate := range []string{"dead", "later"} { // neither ever renews
-		if _, err := tc.client.UpdateLease(tc.ctx, table.Campaign, "d", registry.LeaseRequest{Candidate: candidate, TTLMS: 800}); err != nil {
+		if _, err := tc.client.UpdateLease(tc.ctx, leasetable.Campaign, "d", registry.LeaseRequest{Candidate: candidate, TTLMS: 800}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := tc.client.UpdateLease(tc.ctx, table.Handover, "d", registry.LeaseRequest{Successor: "dead"}); err != nil {
+	if _, err := tc.client.UpdateLease(tc.ctx, leasetable.Handover, "d", registry.LeaseRequest{Successor: "dead"}); err != nil {
 		t.Fatal(err)
 	}
-	if err := receive(tc, "the stop", stopped); !errors.Is(err, duty.ErrStepDownRequested) {
+	if err := receive(tc, "the stop", stopped); !errors.Is(err, leaderelection.ErrStepDownRequested) {
 		t.Errorf("it was told %v", err)
 	}
 	if again := receive(tc, "the tenure after the dead", acquired); again.Token <= lease.Token {
@@ -358,11 +358,11 @@
 func TestLostResponseRetried(t *testing.T) {
 	tc := startCluster(t)
 	call := registry.LeaseRequest{Candidate: "one", TTLMS: 60_000}
-	first, err := tc.client.UpdateLease(tc.ctx, table.Campaign, "d", call)
+	first, err := tc.client.UpdateLease(tc.ctx, leasetable.Campaign, "d", call)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := tc.client.UpdateLease(tc.ctx, table.Campaign, "d", call)
+	again, err := tc.client.UpdateLease(tc.ctx, leasetable.Campaign, "d", call)
 	if err != nil || again.Holder != "one" || again.Token != first.Token || len(again.Queue) > 0 {
 		t.Errorf("%+v after %+v: %v", again, first, err)
 	}
@@ -380,9 +380,9 @@
 		}
 		return result.Revision
 	}
-	awaitBackup := func(rev uint64) table.Lease {
+	awaitBackup := func(rev uint64) leasetable.Lease {
 		for {
-			state, err := tc.client.Lease(tc.ctx, duty.BackupLease)
+			state, err := tc.client.Lease(tc.ctx, leaderelection.BackupLease)
 			if tc.ctx.Err() != nil {
 				t.Fatalf("no backup of revision %d: %+v %v", rev, state, err)
 			}
@@ -483,7 +483,7 @@
 func TestCrashBeforeCheckpoint(t *testing.T) {
 	tc := startCluster(t)
 	effects := 0
-	step := func(lease *duty.Lease) error {
+	step := func(lease *leaderelection.Lease) error {
 		var absent uint64
 		uid := "step-" + string(lease.Checkpoint)
 		target := registry.Instance{Target: registry.Target{UID: uid, Endpoint: "127.0.0.1:9"}}
@@ -496,7 +496,7 @@
 		return err
 	}
 	for _, crash := range []bool{true, false} {
-		err := duty.Run(tc.ctx, tc.client, "d", duty.Options{TTL: 800 * time.Millisecond, SingleTenure: true}, func(ctx context.Context, lease *duty.Lease) error {
+		err := leaderelection.Run(tc.ctx, tc.client, "d", leaderelection.Options{TTL: 800 * time.Millisecond, SingleTenure: true}, func(ctx context.Context, lease *leaderelection.Lease) error {
 			if err := step(lease); err != nil || crash {
 				return err
 			}
--- a/internal/duty/fixtures_test.go
+++ b/internal/leaderelection/fixtures_test.go
@@ -1,4 +1,4 @@
-package duty
+package leaderelection
 
 import (
 	"bytes"
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"milldeck/internal/duty/table"
 	"milldeck/internal/goldentest"
+	"milldeck/internal/leaderelection/leasetable"
 	"milldeck/internal/registry"
 )
 
@@ -29,7 +29,7 @@
 	for n, record := range []registry.Record{
 		{Op: registry.OpEpoch, Epoch: 8},
 		{Op: registry.OpRegister, ID: "write-1", Instances: []registry.Instance{{Target: target, Version: "v1", TTLMS: 5000}}},
-		{Op: registry.OpLease, ID: "write-2", Lease: &table.Operation{Kind: table.Campaign, Name: BackupLease, Candidate: "127.0.0.1:8500/ab", TTLMS: 5000}},
+		{Op: registry.OpLease, ID: "write-2", Lease: &leasetable.Operation{Kind: leasetable.Campaign, Name: BackupLease, Candidate: "127.0.0.1:8500/ab", TTLMS: 5000}},
 	} {
 		if result := state.Apply(uint64(n+1), &record); result.Outcome != registry.OutcomeDone {
 			t.Fatalf("record %d: %+v", n+1, result)
--- a/internal/duty/table/fixtures_test.go
+++ b/internal/leaderelection/leasetable/fixtures_test.go
@@ -1,4 +1,4 @@
-package table
+package leasetable
 
 import (
 	"bytes"
--- a/internal/duty/table/table.go
+++ b/internal/leaderelection/leasetable/table.go
@@ -1,7 +1,7 @@
 // Package table is the replicated core of duties: who holds what only one process may do at a time, under which
 // token, and who is next. It has no clock and no sockets: the same operations in the same order give the same table
 // on every replica. That a lease has ended is an operation like any other, which the leader decides.
-package table
+package leasetable
 
 import (
 	"fmt"
--- a/internal/duty/linearizability_test.go
+++ b/internal/leaderelection/linearizability_test.go
@@ -1,4 +1,4 @@
-package duty_test
+package leaderelection_test
 
 import (
 	"errors"
@@ -15,7 +15,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"milldeck/internal/duty/table"
+	"milldeck/internal/leaderelection/leasetable"
 	"milldeck/internal/registry"
 )
 
@@ -169,7 +169,7 @@
 	})
 }
 
-func (h *history) recordRead(calledAt time.Time, state table.Lease) {
+func (h *history) recordRead(calledAt time.Time, state leasetable.Lease) {
 	checkpoint, _ := strconv.Atoi(string(state.Checkpoint)) // 0 where there is none yet
 	out := leaseOutput{holder: state.Holder, token: state.Token, queue: strings.Join(state.Queue, ","), value: checkpoint}
 	h.record(calledAt, leaseInput{operation: "read"}, out)
@@ -193,14 +193,14 @@
 			operations = []string{"release", "renew", "renew", "checkpoint", "checkpoint", "write", "write", "seek", "value"}
 		}
 		in := leaseInput{operation: operations[rng.IntN(len(operations))], candidate: candidate, token: token, value: value*10 + int(clientName[1]-'0')}
-		state, err := table.Lease{}, error(nil)
+		state, err := leasetable.Lease{}, error(nil)
 		switch in.operation {
 		case "seek":
-			state, err = runClient.UpdateLease(tc.ctx, table.Campaign, leaseName, registry.LeaseRequest{Candidate: candidate, TTLMS: ttl.Milliseconds()})
+			state, err = runClient.UpdateLease(tc.ctx, leasetable.Campaign, leaseName, registry.LeaseRequest{Candidate: candidate, TTLMS: ttl.Milliseconds()})
 		case "release":
-			state, err = runClient.UpdateLease(tc.ctx, table.Release, leaseName, registry.LeaseRequest{Candidate: candidate, Token: token})
+			state, err = runClient.UpdateLease(tc.ctx, leasetable.Release, leaseName, registry.LeaseRequest{Candidate: candidate, Token: token})
 			if rejected(err) { // nobody has sought the duty yet
-				state, err = table.Lease{}, nil
+				state, err = leasetable.Lease{}, nil
 			}
 		case "renew":
 			var lost []string
@@ -209,7 +209,7 @@
 				h.record(calledAt, in, leaseOutput{accepted: len(lost) == 0})
 			}
 		case "checkpoint":
-			state, err = runClient.UpdateLease(tc.ctx, table.Checkpoint, leaseName, registry.LeaseRequest{Candidate: candidate, Token: token, Data: []byte(strconv.Itoa(in.value))})
+			state, err = runClient.UpdateLease(tc.ctx, leasetable.Checkpoint, leaseName, registry.LeaseRequest{Candidate: candidate, Token: token, Data: []byte(strconv.Itoa(in.value))})
 		case "write":
 			instance := registry.Instance{Target: registry.Target{UID: leaseName, Endpoint: "127.0.0.1:9", State: registry.InstanceReady, Capacity: float64(in.value) / 1000}}
 			_, err = runClient.Register(tc.ctx, registry.WriteOptions{Guard: &registry.Guard{Lease: leaseName, Token: token}}, instance)
--- a/internal/duty/renewal_batch.go
+++ b/internal/leaderelection/renewal_batch.go
@@ -1,4 +1,4 @@
-package duty
+package leaderelection
 
 import (
 	"context"
--- a/internal/collect/collector.go
+++ b/internal/loadreport/collector.go
@@ -1,6 +1,6 @@
 // Package collect takes the reports of a fleet's sidecars for those who decide by them, as holders of a duty do.
 // Reports are soft: the newest of each sidecar is kept, for as long as it is news, within bounds.
-package collect
+package loadreport
 
 import (
 	"cmp"
--- a/internal/collect/collector_test.go
+++ b/internal/loadreport/collector_test.go
@@ -1,4 +1,4 @@
-package collect
+package loadreport
 
 import (
 	"bytes"
--- a/internal/window/apply.go
+++ b/internal/maintenance/apply.go
@@ -1,12 +1,12 @@
-package window
+package maintenance
 
 import (
 	"fmt"
 	"slices"
 	"strings"
 
+	"milldeck/internal/maintenance/contract"
 	"milldeck/internal/placement"
-	"milldeck/internal/window/contract"
 )
 
 // Result is what became of an operation, and what sidecars are told in the same entry of the log.
--- a/internal/window/hours/calendar.go
+++ b/internal/maintenance/calendar/calendar.go
@@ -6,7 +6,7 @@
 // their length has passed since they began (at the first instant at which the wall shows their start or later). So
 // hours are never longer than agreed, never end later than the wall says, and a start that does not exist begins after
 // the gap without moving the end.
-package hours
+package calendar
 
 import (
 	"fmt"
--- a/internal/window/hours/calendar_test.go
+++ b/internal/maintenance/calendar/calendar_test.go
@@ -1,4 +1,4 @@
-package hours
+package calendar
 
 import (
 	"fmt"
--- a/internal/window/contract/contract.go
+++ b/internal/maintenance/contract/contract.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"time"
 
-	"milldeck/internal/conf"
-	"milldeck/internal/window/hours"
+	"milldeck/internal/config"
+	"milldeck/internal/maintenance/calendar"
 )
 
 // Bounds of a contract.
@@ -28,7 +28,7 @@
 // Contract is one tenant's.
 type Contract struct {
 	Tenant string `toml:"tenant" json:"tenant"`
-	hours.Spec
+	calendar.Spec
 	Notice               string  `toml:"notice" json:"notice"`                   // "24h", 0 to 90 days: from a proposal to its start
 	MinutesPerMonth      int     `toml:"minutes_a_month" json:"minutes_a_month"` // of windows, in a month of the zone; at least 1
 	MinAvailableShare    float64 `toml:"least_share" json:"least_share"`         // of its servers that stays, 0 to below 1
@@ -45,7 +45,7 @@
 // Load reads a file; its error is one line that names file, line and key.
 func Load(path string) (*Contract, error) {
 	c := &Contract{}
-	file, err := conf.Load(path, c)
+	file, err := config.Load(path, c)
 	if err != nil {
 		return nil, err
 	}
@@ -55,15 +55,15 @@
 // Parse is Load for bytes at hand.
 func Parse(path string, data []byte) (*Contract, error) {
 	c := &Contract{}
-	file, err := conf.Parse(path, data, c)
+	file, err := config.Parse(path, data, c)
 	if err != nil {
 		return nil, err
 	}
 	return c, wrapPosition(file, c.Validate())
 }
 
-func wrapPosition(file *conf.File, err error) error {
-	var field *hours.FieldError
+func wrapPosition(file *config.File, err error) error {
+	var field *calendar.FieldError
 	if errors.As(err, &field) {
 		return file.Errorf(field.Field, "%s", field.Reason)
 	}
@@ -74,7 +74,7 @@
 func (c *Contract) Validate() error {
 	notice, err := time.ParseDuration(c.Notice)
 	invalid := func(field, format string, args ...any) error {
-		return &hours.FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
+		return &calendar.FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 	}
 	switch {
 	case c.Tenant == "" || len(c.Tenant) > MaxTenantLength:
@@ -95,4 +95,4 @@
 }
 
 // Calendar are the approved hours, made ready.
-func (c *Contract) Calendar() (*hours.Calendar, error) { return hours.Compile(c.Spec) }
+func (c *Contract) Calendar() (*calendar.Calendar, error) { return calendar.Compile(c.Spec) }
--- a/internal/window/drive/controller.go
+++ b/internal/maintenance/controller/controller.go
@@ -1,6 +1,6 @@
 // Package drive carries windows out: it reads the list service and the sidecars' reports, has the pure core decide and
 // writes what it says, for as long as the duty of windows is held.
-package drive
+package controller
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"sync"
 	"time"
 
-	"milldeck/internal/collect"
 	"milldeck/internal/disruption"
-	"milldeck/internal/duty"
+	"milldeck/internal/leaderelection"
+	"milldeck/internal/loadreport"
+	"milldeck/internal/maintenance"
 	"milldeck/internal/registry"
-	"milldeck/internal/window"
 )
 
 const (
@@ -33,14 +33,14 @@
 // Registry is the list service; registry.Client is one.
 type Registry interface {
 	Windows(ctx context.Context, fresh bool) (*registry.WindowsView, error)
-	WriteWindow(ctx context.Context, w registry.WriteOptions, at window.Timestamp, op window.Operation) (registry.Result, error)
+	WriteWindow(ctx context.Context, w registry.WriteOptions, at maintenance.Timestamp, op maintenance.Operation) (registry.Result, error)
 	ApplyLedgerOp(ctx context.Context, w registry.WriteOptions, op disruption.Op) (registry.LedgerResult, error)
 }
 
 // ReportSource is where sidecars' reports come from; collect.Collector is one.
 type ReportSource interface {
 	SetAccepting(open bool)
-	Snapshot() ([]collect.ReceivedReport, time.Duration)
+	Snapshot() ([]loadreport.ReceivedReport, time.Duration)
 }
 
 // Controller carries windows out. Its Work is what duty.Run calls for the duty window.Duty.
@@ -55,16 +55,16 @@
 // leaderTerm is one holding of the duty. What it keeps is soft: the next holder begins from the log.
 type leaderTerm struct {
 	*Controller
-	reconciler *window.Reconciler
+	reconciler *maintenance.Reconciler
 	guard      *registry.Guard
 	startedAt  time.Time
 }
 
 // Run carries windows out until ctx ends.
-func (c *Controller) Run(ctx context.Context, lease *duty.Lease) error {
+func (c *Controller) Run(ctx context.Context, lease *leaderelection.Lease) error {
 	c.Reports.SetAccepting(true)
 	defer c.Reports.SetAccepting(false)
-	term := &leaderTerm{c, window.NewReconciler(lease.Token), lease.Guard(), time.Now()}
+	term := &leaderTerm{c, maintenance.NewReconciler(lease.Token), lease.Guard(), time.Now()}
 	backoff := time.Duration(0)
 	for {
 		wait, err := term.reconcile(ctx)
@@ -87,12 +87,12 @@
 }
 
 // readClock reads both clocks.
-func (t *leaderTerm) readClock() window.ClockReading {
+func (t *leaderTerm) readClock() maintenance.ClockReading {
 	wall := time.Now()
 	if t.Now != nil {
 		wall = t.Now()
 	}
-	return window.ClockReading{MonotonicMS: time.Since(t.startedAt).Milliseconds() + 1, WallMS: wall.UnixMilli(), UncertaintyMS: t.Uncertainty.Milliseconds()}
+	return maintenance.ClockReading{MonotonicMS: time.Since(t.startedAt).Milliseconds() + 1, WallMS: wall.UnixMilli(), UncertaintyMS: t.Uncertainty.Milliseconds()}
 }
 
 // reconcile reads, decides and writes, and says how long there is nothing to do.
@@ -121,7 +121,7 @@
 	for i, effect := range effects {
 		result := &results[i]
 		t.reconciler.ObserveResult(t.readClock(), effect, result.outcome, result.reason, result.revision)
-		if effect.Operation != nil && effect.Operation.Kind != window.OpExtendExclusion || result.outcome != window.OutcomeApplied {
+		if effect.Operation != nil && effect.Operation.Kind != maintenance.OpExtendExclusion || result.outcome != maintenance.OutcomeApplied {
 			slog.Info("window", "window", effect.Window, "step", effectName(effect), "outcome", result.outcome, "why", result.reason)
 		}
 	}
@@ -151,12 +151,12 @@
 
 // writeResult is what became of an effect, and the revision that has it.
 type writeResult struct {
-	outcome  window.Outcome
+	outcome  maintenance.Outcome
 	reason   string
 	revision uint64
 }
 
-func effectName(effect window.Effect) string {
+func effectName(effect maintenance.Effect) string {
 	if effect.Operation != nil {
 		return string(effect.Operation.Kind)
 	}
@@ -164,7 +164,7 @@
 }
 
 // write writes one effect. Without an answer it is not known whether it was taken: the core looks again.
-func (t *leaderTerm) write(ctx context.Context, view *window.View, effect window.Effect) writeResult {
+func (t *leaderTerm) write(ctx context.Context, view *maintenance.View, effect maintenance.Effect) writeResult {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var result registry.Result
@@ -184,33 +184,33 @@
 		result = ledgerResult.Result
 	}
 	if err == nil {
-		return writeResult{window.OutcomeApplied, result.Reason, result.Revision}
+		return writeResult{maintenance.OutcomeApplied, result.Reason, result.Revision}
 	}
 	var status *registry.StatusError
-	outcome := window.OutcomeBlocked
+	outcome := maintenance.OutcomeBlocked
 	switch {
 	case !errors.As(err, &status):
-	case effect.Operation != nil && strings.Contains(status.Error(), string(window.OutcomeClockFault)+": "):
-		outcome = window.OutcomeClockFault
+	case effect.Operation != nil && strings.Contains(status.Error(), string(maintenance.OutcomeClockFault)+": "):
+		outcome = maintenance.OutcomeClockFault
 	case effect.LedgerAction != nil && effect.LedgerAction.Kind == disruption.OpRequest && (status.StatusCode == http.StatusConflict || status.StatusCode == http.StatusNotFound):
-		outcome = window.OutcomeInvalid // it can never be granted
+		outcome = maintenance.OutcomeInvalid // it can never be granted
 	}
 	return writeResult{outcome, err.Error(), 0}
 }
 
 // observeServers looks at an act's servers and says what there is.
-func (t *leaderTerm) observeServers(ctx context.Context, view *window.View, action *window.LedgerAction) *disruption.Op {
+func (t *leaderTerm) observeServers(ctx context.Context, view *maintenance.View, action *maintenance.LedgerAction) *disruption.Op {
 	conditions := make([]disruption.Condition, len(action.ServerUIDs))
 	forEachConcurrently(len(action.ServerUIDs), func(i int) { conditions[i] = t.checkServer(ctx, view.OutOfService[action.ServerUIDs[i]]) })
 	next := 0
-	return action.ObservationOperation(view, func(window.ServerStatus) disruption.Condition {
+	return action.ObservationOperation(view, func(maintenance.ServerStatus) disruption.Condition {
 		next++
 		return conditions[next-1]
 	})
 }
 
 // checkServer tells whether a server serves.
-func (t *leaderTerm) checkServer(ctx context.Context, server window.ServerStatus) disruption.Condition {
+func (t *leaderTerm) checkServer(ctx context.Context, server maintenance.ServerStatus) disruption.Condition {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
 	if server.Endpoint != "" && t.CheckReady(ctx, server.Endpoint) {
--- a/internal/window/drive/controller_test.go
+++ b/internal/maintenance/controller/controller_test.go
@@ -1,4 +1,4 @@
-package drive_test
+package controller_test
 
 import (
 	"bytes"
@@ -18,12 +18,12 @@
 	"milldeck/internal/disruption"
 	"milldeck/internal/lab/proc"
 	"milldeck/internal/lab/proc/proctest"
+	"milldeck/internal/maintenance"
+	"milldeck/internal/maintenance/calendar"
+	"milldeck/internal/maintenance/contract"
 	"milldeck/internal/placement"
 	"milldeck/internal/registry"
 	"milldeck/internal/registry/cluster"
-	"milldeck/internal/window"
-	"milldeck/internal/window/contract"
-	"milldeck/internal/window/hours"
 )
 
 func TestMain(m *testing.M) { proctest.Main(m) }
@@ -137,30 +137,30 @@
 }
 
 // write makes an operator's operation.
-func (b *testbed) write(op window.Operation) {
+func (b *testbed) write(op maintenance.Operation) {
 	b.Helper()
-	if _, err := b.client.WriteWindow(b.ctx, registry.WriteOptions{}, window.Timestamp{}, op); err != nil {
+	if _, err := b.client.WriteWindow(b.ctx, registry.WriteOptions{}, maintenance.Timestamp{}, op); err != nil {
 		b.Fatalf("%s: %v", op.Kind, err)
 	}
 }
 
 // setContract brings one into force that approves all day, and the present hours as a grant says.
-func (b *testbed) setContract(approval *window.Approval) {
+func (b *testbed) setContract(approval *maintenance.Approval) {
 	b.Helper()
-	allDay := []hours.Rule{{Recurrence: "FREQ=DAILY", Start: "00:00", Length: "23h", FirstDay: "2020-01-01"},
+	allDay := []calendar.Rule{{Recurrence: "FREQ=DAILY", Start: "00:00", Length: "23h", FirstDay: "2020-01-01"},
 		{Recurrence: "FREQ=DAILY", Start: "12:00", Length: "23h", FirstDay: "2020-01-01"}}
-	b.write(window.Operation{Kind: window.OpSetContract, CurrentApproval: approval, Contract: &contract.Contract{Tenant: "portal", Notice: "0s", MinutesPerMonth: 6000,
-		MinAvailableShare: 0.5, MaxConcurrentWindows: 1, OverrunPolicy: contract.OverrunHaltsTenant, Spec: hours.Spec{Zone: "UTC", ApprovedHours: allDay}}})
+	b.write(maintenance.Operation{Kind: maintenance.OpSetContract, CurrentApproval: approval, Contract: &contract.Contract{Tenant: "portal", Notice: "0s", MinutesPerMonth: 6000,
+		MinAvailableShare: 0.5, MaxConcurrentWindows: 1, OverrunPolicy: contract.OverrunHaltsTenant, Spec: calendar.Spec{Zone: "UTC", ApprovedHours: allDay}}})
 }
 
 // propose asks for the server that answers.
 func (b *testbed) propose(name string, work time.Duration) {
 	b.Helper()
-	b.write(window.Operation{Kind: window.OpPropose, Window: name, Operator: "operator/eva", ServerUIDs: []string{"s0"}, WorkMS: work.Milliseconds()})
+	b.write(maintenance.Operation{Kind: maintenance.OpPropose, Window: name, Operator: "operator/eva", ServerUIDs: []string{"s0"}, WorkMS: work.Milliseconds()})
 }
 
 // awaitWindow looks until a window is as it should be.
-func (b *testbed) awaitWindow(condition, name string, holds func(w *window.Window, view *window.Snapshot) bool) (last *window.Window) {
+func (b *testbed) awaitWindow(condition, name string, holds func(w *maintenance.Window, view *maintenance.Snapshot) bool) (last *maintenance.Window) {
 	b.Helper()
 	b.eventually(name+": "+condition, func() bool {
 		ctx, cancel := context.WithTimeout(b.ctx, 3*time.Second)
@@ -169,16 +169,16 @@
 		if err != nil {
 			return false
 		}
-		last = window.Restore(view.Table).Window(name)
+		last = maintenance.Restore(view.Table).Window(name)
 		return last != nil && holds(last, view.Table)
 	})
 	return last
 }
 
 // awaitStage waits for a window to come to a stage.
-func (b *testbed) awaitStage(name string, want window.Stage) *window.Window {
+func (b *testbed) awaitStage(name string, want maintenance.Stage) *maintenance.Window {
 	b.Helper()
-	return b.awaitWindow(string(want), name, func(w *window.Window, _ *window.Snapshot) bool {
+	return b.awaitWindow(string(want), name, func(w *maintenance.Window, _ *maintenance.Snapshot) bool {
 		if w.Finished() && w.Stage != want {
 			b.Fatalf("%s is %s: %s", name, w.Stage, w.Reason)
 		}
@@ -266,35 +266,35 @@
 	b.startController(1)
 	b.openRequests.Store(1)
 	b.propose("disks", 4*time.Second)
-	b.awaitStage("disks", window.StageDraining)
+	b.awaitStage("disks", maintenance.StageDraining)
 	b.eventually("sidecars are told", b.excluded)
 	leader, err := b.cluster.AwaitLeader(b.ctx)
 	b.must(err)
 	leader.Process.Kill()
 	_, err = b.cluster.AwaitLeader(b.ctx)
 	b.must(err)
-	if w := b.awaitStage("disks", window.StageDraining); w.DrainedAtMS != 0 {
+	if w := b.awaitStage("disks", maintenance.StageDraining); w.DrainedAtMS != 0 {
 		t.Errorf("free with requests open: %+v", w)
 	}
 	b.openRequests.Store(0)
-	free := b.awaitStage("disks", window.StageDrained)
+	free := b.awaitStage("disks", maintenance.StageDrained)
 	if !b.excluded() {
 		t.Error("free, and no agent tells its sidecars to keep off")
 	}
 	first.Kill()
-	done := b.awaitStage("disks", window.StageDone)
+	done := b.awaitStage("disks", maintenance.StageDone)
 	if done.DrainedAtMS != free.DrainedAtMS || done.ReturnStartedAtMS < free.DrainedAtMS+done.WorkMS || done.ReturnedAtMS >= done.ClosesAtMS || done.Attempt != 1 {
 		t.Errorf("%+v", done)
 	}
 	b.awaitSettled()
 
 	b.propose("fans", time.Hour)
-	b.awaitStage("fans", window.StageDrained)
-	b.write(window.Operation{Kind: window.OpWithdrawContract, Tenant: "portal"})
+	b.awaitStage("fans", maintenance.StageDrained)
+	b.write(maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: "portal"})
 	at := time.Now()
 	b.eventually("no sidecar keeps off", func() bool { return !b.excluded() })
 	t.Logf("sidecars keep off no more %v after a contract is withdrawn", time.Since(at))
-	if w := b.awaitStage("fans", window.StageHalted); w.Reason != "a contract has changed" || w.ReturnedAtMS == 0 {
+	if w := b.awaitStage("fans", maintenance.StageHalted); w.Reason != "a contract has changed" || w.ReturnedAtMS == 0 {
 		t.Errorf("%+v", w)
 	}
 	b.awaitSettled()
@@ -309,15 +309,15 @@
 			b := newTestbed(t)
 			controller := b.startController(0)
 			b.propose("disks", time.Hour)
-			b.awaitStage("disks", window.StageDrained)
+			b.awaitStage("disks", maintenance.StageDrained)
 			b.serverReady.Store(false)
 			now := time.Now()
 			closesAtMS := now.Add(8 * time.Second).UnixMilli()
 			b.closeMS.Store(closesAtMS)
-			month := hours.Month{Name: "2026-01", Interval: hours.Interval{StartMS: now.Add(-time.Hour).UnixMilli(), EndMS: closesAtMS + 24*3600_000}}
-			b.setContract(&window.Approval{Tenant: "portal", OpensAtMS: month.StartMS, ClosesAtMS: closesAtMS, Months: []hours.Month{month}})
-			w := b.awaitStage("disks", window.StageReturning)
-			if w.ClosesAtMS != closesAtMS || w.ExcludedUntilMS > closesAtMS-window.CloseGuardMS {
+			month := calendar.Month{Name: "2026-01", Interval: calendar.Interval{StartMS: now.Add(-time.Hour).UnixMilli(), EndMS: closesAtMS + 24*3600_000}}
+			b.setContract(&maintenance.Approval{Tenant: "portal", OpensAtMS: month.StartMS, ClosesAtMS: closesAtMS, Months: []calendar.Month{month}})
+			w := b.awaitStage("disks", maintenance.StageReturning)
+			if w.ClosesAtMS != closesAtMS || w.ExcludedUntilMS > closesAtMS-maintenance.CloseGuardMS {
 				t.Errorf("told until %d, the close is %d", w.ExcludedUntilMS, w.ClosesAtMS)
 			}
 			controller.Kill()
@@ -342,11 +342,11 @@
 				b.must(err)
 			}
 			b.startController(1)
-			b.awaitWindow("the overrun is found", "disks", func(w *window.Window, snapshot *window.Snapshot) bool {
-				return w.Stage == window.StageOverrun && w.OutOfService() && snapshot.Halts["tenant/portal"] != ""
+			b.awaitWindow("the overrun is found", "disks", func(w *maintenance.Window, snapshot *maintenance.Snapshot) bool {
+				return w.Stage == maintenance.StageOverrun && w.OutOfService() && snapshot.Halts["tenant/portal"] != ""
 			})
 			b.serverReady.Store(true)
-			b.awaitWindow("it is back", "disks", func(w *window.Window, _ *window.Snapshot) bool { return w.Finished() })
+			b.awaitWindow("it is back", "disks", func(w *maintenance.Window, _ *maintenance.Snapshot) bool { return w.Finished() })
 			b.awaitSettled()
 			if b.lateExclusions.Load() > 0 {
 				t.Errorf("%d lines told sidecars to keep off after the close", b.lateExclusions.Load())
@@ -366,15 +366,15 @@
 			b.propose("disks", 100*time.Millisecond)
 			_, err := wrong.WaitLog(b.ctx, "outcome=doubt")
 			b.must(err)
-			b.awaitWindow("doubt", "disks", func(w *window.Window, snapshot *window.Snapshot) bool {
-				return w.Stage == window.StageProposed && snapshot.ClockFault != ""
+			b.awaitWindow("doubt", "disks", func(w *maintenance.Window, snapshot *maintenance.Snapshot) bool {
+				return w.Stage == maintenance.StageProposed && snapshot.ClockFault != ""
 			})
 			b.must(wrong.Stop(b.ctx))
 			if b.exclusionsSeen.Load() > 0 {
 				t.Error("a sidecar was told to keep off")
 			}
 			b.startController(1)
-			b.awaitStage("disks", window.StageDone)
+			b.awaitStage("disks", maintenance.StageDone)
 			b.awaitSettled()
 		})
 	}
--- a/internal/window/disruption.go
+++ b/internal/maintenance/disruption.go
@@ -1,10 +1,10 @@
-package window
+package maintenance
 
 import (
 	"strings"
 
 	"milldeck/internal/disruption"
-	"milldeck/internal/window/contract"
+	"milldeck/internal/maintenance/contract"
 )
 
 // LeaseName is held by the one controller of all windows; it owns their permits and what sidecars are told of them.
--- a/internal/window/fixtures_test.go
+++ b/internal/maintenance/fixtures_test.go
@@ -1,4 +1,4 @@
-package window
+package maintenance
 
 import (
 	"bytes"
@@ -12,9 +12,9 @@
 	"github.com/google/go-cmp/cmp"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/maintenance/calendar"
+	"milldeck/internal/maintenance/contract"
 	"milldeck/internal/placement"
-	"milldeck/internal/window/contract"
-	"milldeck/internal/window/hours"
 )
 
 // updateGolden rewrites the golden files. They hold what earlier versions have stored: a change in them is a change of
@@ -120,13 +120,13 @@
 
 func fixtureContracts() (portal, teller contract.Contract) {
 	portal = contract.Contract{Tenant: "portal", Notice: "1m", MinutesPerMonth: 600, MinAvailableShare: 0.5, MaxConcurrentWindows: 2, OverrunPolicy: contract.OverrunHaltsTenant,
-		Spec: hours.Spec{Zone: "America/Montevideo",
-			ApprovedHours: []hours.Rule{{Recurrence: "FREQ=DAILY", Start: "22:00", Length: "2h", FirstDay: "2026-01-05"}},
-			ClosedDays: []hours.ClosedDay{{Day: "2026-12-24", Reason: "rates announced"},
+		Spec: calendar.Spec{Zone: "America/Montevideo",
+			ApprovedHours: []calendar.Rule{{Recurrence: "FREQ=DAILY", Start: "22:00", Length: "2h", FirstDay: "2026-01-05"}},
+			ClosedDays: []calendar.ClosedDay{{Day: "2026-12-24", Reason: "rates announced"},
 				{Recurrence: "FREQ=MONTHLY;BYMONTHDAY=1", FirstDay: "2026-01-01"}}}}
 	teller = contract.Contract{Tenant: "teller", Notice: "0s", MinutesPerMonth: 300, MinAvailableShare: 0.25, MaxConcurrentWindows: 3, OverrunPolicy: contract.OverrunCountsOnly,
-		Spec: hours.Spec{Zone: "Europe/Madrid",
-			ApprovedHours: []hours.Rule{{Recurrence: "FREQ=WEEKLY;BYDAY=MO,TU,WE,TH,FR", Start: "02:00", Length: "4h", FirstDay: "2026-01-05"}}}}
+		Spec: calendar.Spec{Zone: "Europe/Madrid",
+			ApprovedHours: []calendar.Rule{{Recurrence: "FREQ=WEEKLY;BYDAY=MO,TU,WE,TH,FR", Start: "02:00", Length: "4h", FirstDay: "2026-01-05"}}}}
 	return portal, teller
 }
 
--- a/internal/window/planner.go
+++ b/internal/maintenance/planner.go
@@ -1,4 +1,4 @@
-package window
+package maintenance
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"milldeck/internal/window/hours"
+	"milldeck/internal/maintenance/calendar"
 )
 
 const (
@@ -66,14 +66,14 @@
 
 type compiledCalendar struct {
 	version  uint64
-	calendar *hours.Calendar
+	calendar *calendar.Calendar
 }
 
 // NewPlanner is a planner that has seen no contract yet.
 func NewPlanner() *Planner { return &Planner{calendars: map[string]compiledCalendar{}} }
 
 // calendar are a contract's, compiled once a version.
-func (p *Planner) calendar(active *ActiveContract) (*hours.Calendar, error) {
+func (p *Planner) calendar(active *ActiveContract) (*calendar.Calendar, error) {
 	if cached, ok := p.calendars[active.Tenant]; ok && cached.version == active.Version {
 		return cached.calendar, nil
 	}
@@ -132,8 +132,8 @@
 type participant struct {
 	contract    *ActiveContract
 	serverCount int
-	approved    []hours.Interval
-	calendar    *hours.Calendar
+	approved    []calendar.Interval
+	calendar    *calendar.Calendar
 }
 
 // Plan finds the earliest time for a wish from now on, or says who forbids it: then its error is a *Forbidden.
@@ -200,16 +200,16 @@
 }
 
 // availableIntervals are the times that all contracts approve and no other window of theirs, or of a server, has taken.
-func availableIntervals(table *Table, participants []participant, request Request, nowMS int64) []hours.Interval {
+func availableIntervals(table *Table, participants []participant, request Request, nowMS int64) []calendar.Interval {
 	if len(participants) == 0 {
 		return nil
 	}
 	approved := participants[0].approved
 	for i := range participants[1:] {
-		approved = hours.Intersect(approved, participants[i+1].approved)
+		approved = calendar.Intersect(approved, participants[i+1].approved)
 	}
 	reserved := reservations(table, request.Name, nowMS)
-	var unavailable []hours.Interval
+	var unavailable []calendar.Interval
 	for _, reservation := range reserved {
 		if shareServer(reservation.window.ServerUIDs, request.ServerUIDs) {
 			unavailable = append(unavailable, reservation.Interval)
@@ -218,14 +218,14 @@
 	for i := range participants {
 		unavailable = append(unavailable, saturatedIntervals(&participants[i], reserved, len(request.ServerUIDs))...)
 	}
-	slices.SortFunc(unavailable, func(a, b hours.Interval) int { return cmp.Compare(a.StartMS, b.StartMS) })
-	return hours.Subtract(approved, unavailable)
+	slices.SortFunc(unavailable, func(a, b calendar.Interval) int { return cmp.Compare(a.StartMS, b.StartMS) })
+	return calendar.Subtract(approved, unavailable)
 }
 
 // reservation is the time that another window has, or will have.
 type reservation struct {
 	window *Window
-	hours.Interval
+	calendar.Interval
 }
 
 func reservations(table *Table, excludedName string, nowMS int64) []reservation {
@@ -234,17 +234,17 @@
 		switch requiredMS := table.EstimatedTotalMS(window.WorkMS); {
 		case window.Name == excludedName:
 		case window.OutOfService():
-			reserved = append(reserved, reservation{window, hours.Interval{StartMS: window.DrainStartedAtMS, EndMS: max(window.DrainStartedAtMS+window.EstimatedTotalMS, nowMS+table.EstimatedReturnMS())}})
+			reserved = append(reserved, reservation{window, calendar.Interval{StartMS: window.DrainStartedAtMS, EndMS: max(window.DrainStartedAtMS+window.EstimatedTotalMS, nowMS+table.EstimatedReturnMS())}})
 		case window.Stage == StageApproved || window.Stage == StageAwaitingPermit:
 			startMS := max(window.PlannedStartMS, min(nowMS, window.ClosesAtMS-requiredMS))
-			reserved = append(reserved, reservation{window, hours.Interval{StartMS: startMS, EndMS: startMS + requiredMS}})
+			reserved = append(reserved, reservation{window, calendar.Interval{StartMS: startMS, EndMS: startMS + requiredMS}})
 		}
 	}
 	return reserved
 }
 
 // saturatedIntervals are the times at which one more window of so many servers would be one too many for a tenant.
-func saturatedIntervals(participant *participant, reserved []reservation, serverCount int) []hours.Interval {
+func saturatedIntervals(participant *participant, reserved []reservation, serverCount int) []calendar.Interval {
 	var ofTenant []reservation
 	var edges []int64
 	for _, reservation := range reserved {
@@ -254,7 +254,7 @@
 		}
 	}
 	slices.Sort(edges)
-	var saturated []hours.Interval
+	var saturated []calendar.Interval
 	for i := 1; i < len(edges); i++ {
 		windowCount, serversOut := 1, serverCount
 		for _, reservation := range ofTenant {
@@ -264,7 +264,7 @@
 			}
 		}
 		if windowCount > participant.contract.MaxConcurrentWindows || serversOut > maxServersOut(participant.serverCount, participant.contract.MinAvailableShare) {
-			saturated = append(saturated, hours.Interval{StartMS: edges[i-1], EndMS: edges[i]})
+			saturated = append(saturated, calendar.Interval{StartMS: edges[i-1], EndMS: edges[i]})
 		}
 	}
 	return saturated
--- a/internal/window/reconciler.go
+++ b/internal/maintenance/reconciler.go
@@ -1,4 +1,4 @@
-package window
+package maintenance
 
 import (
 	"cmp"
--- a/internal/window/scenario_test.go
+++ b/internal/maintenance/scenario_test.go
@@ -1,4 +1,4 @@
-package window
+package maintenance
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"time"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/maintenance/calendar"
 	"milldeck/internal/placement"
-	"milldeck/internal/window/hours"
 )
 
 const minuteMS = int64(60_000)
@@ -302,7 +302,7 @@
 			sim.controller.clock = simulatedClock{4500, 0}
 		}},
 		{"minutes counted in UTC months", "counted", 20, func(sim *simulation) {
-			utc, err := hours.Compile(hours.Spec{Zone: "UTC", ApprovedHours: []hours.Rule{{Recurrence: "FREQ=DAILY", Start: "00:00", Length: "1h", FirstDay: "2020-01-01"}}})
+			utc, err := calendar.Compile(calendar.Spec{Zone: "UTC", ApprovedHours: []calendar.Rule{{Recurrence: "FREQ=DAILY", Start: "00:00", Length: "1h", FirstDay: "2020-01-01"}}})
 			if err != nil {
 				panic(err)
 			}
--- a/internal/window/simulation_test.go
+++ b/internal/maintenance/simulation_test.go
@@ -1,4 +1,4 @@
-package window
+package maintenance
 
 import (
 	"container/heap"
@@ -7,9 +7,9 @@
 	"time"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/maintenance/calendar"
+	"milldeck/internal/maintenance/contract"
 	"milldeck/internal/placement"
-	"milldeck/internal/window/contract"
-	"milldeck/internal/window/hours"
 )
 
 // simulation plays controllers, a leader, sidecars and workers on a virtual clock. Times are true Unix ms but where a clock
@@ -411,7 +411,7 @@
 		panic(err)
 	}
 	return contract.Contract{Tenant: tenant, Notice: "0s", MinutesPerMonth: 10_000, MinAvailableShare: 0.5, MaxConcurrentWindows: 2, OverrunPolicy: contract.OverrunHaltsTenant,
-			Spec: hours.Spec{Zone: zone, ApprovedHours: []hours.Rule{{Recurrence: "FREQ=DAILY", Start: start, Length: length.String(), FirstDay: "2020-01-01"}}}},
+			Spec: calendar.Spec{Zone: zone, ApprovedHours: []calendar.Rule{{Recurrence: "FREQ=DAILY", Start: start, Length: length.String(), FirstDay: "2020-01-01"}}}},
 		agreedHours{location: location, startMinute: startTime.Hour()*60 + startTime.Minute(), lengthMinutes: int(length / time.Minute)}
 }
 
--- a/internal/window/table.go
+++ b/internal/maintenance/table.go
@@ -1,4 +1,4 @@
-package window
+package maintenance
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"slices"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/maintenance/calendar"
 	"milldeck/internal/placement"
-	"milldeck/internal/window/hours"
 )
 
 // Table is all contracts, windows and minutes. It is not safe for concurrent use.
@@ -203,8 +203,8 @@
 
 // splitByMonth parts [a, b) by a grant's months. What lies beyond them counts in the nearest: a window that is longer
 // overdue than the months that were written down loses none of its time.
-func splitByMonth(approval *Approval, startMS, endMS int64) []hours.Month {
-	var months []hours.Month
+func splitByMonth(approval *Approval, startMS, endMS int64) []calendar.Month {
+	var months []calendar.Month
 	for i, month := range approval.Months {
 		partStart, partEnd := max(startMS, month.StartMS), min(endMS, month.EndMS)
 		if i == 0 {
@@ -214,7 +214,7 @@
 			partEnd = endMS
 		}
 		if partStart < partEnd {
-			months = append(months, hours.Month{Name: month.Name, Interval: hours.Interval{StartMS: partStart, EndMS: partEnd}})
+			months = append(months, calendar.Month{Name: month.Name, Interval: calendar.Interval{StartMS: partStart, EndMS: partEnd}})
 		}
 	}
 	return months
--- a/internal/window/types.go
+++ b/internal/maintenance/types.go
@@ -6,14 +6,14 @@
 // clock: each step brings the controller's time and the leader's, each with its uncertainty, and is checked when it is
 // applied, on every replica alike, against the approved interval that stands in the table. What sidecars are told comes
 // out of the same entry of the log, ends by itself within ExclusionTTLMS, and never later than the close.
-package window
+package maintenance
 
 import (
 	"fmt"
 	"strconv"
 
-	"milldeck/internal/window/contract"
-	"milldeck/internal/window/hours"
+	"milldeck/internal/maintenance/calendar"
+	"milldeck/internal/maintenance/contract"
 )
 
 // Times and bounds of what the table keeps.
@@ -66,12 +66,12 @@
 // Approval is what one contract approves of a window, as it was computed from the contract of that version. Replicas check
 // against it and never expand rules themselves, so that it does not matter whether all have the same zones.
 type Approval struct {
-	Tenant          string        `json:"tenant"`
-	ContractVersion uint64        `json:"version"` // of the contract
-	OpensAtMS       int64         `json:"open_ms"`
-	ClosesAtMS      int64         `json:"close_ms"`
-	Months          []hours.Month `json:"months"`  // from the opening to a day past the close
-	ServerCount     int           `json:"servers"` // that the tenant has in all
+	Tenant          string           `json:"tenant"`
+	ContractVersion uint64           `json:"version"` // of the contract
+	OpensAtMS       int64            `json:"open_ms"`
+	ClosesAtMS      int64            `json:"close_ms"`
+	Months          []calendar.Month `json:"months"`  // from the opening to a day past the close
+	ServerCount     int              `json:"servers"` // that the tenant has in all
 }
 
 // Window is a request to free servers for work. Times are Unix ms as logged.
--- a/internal/registry/election_model_test.go
+++ b/internal/registry/election_model_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"milldeck/internal/duty/table"
+	"milldeck/internal/leaderelection/leasetable"
 )
 
 // electionMutant is what a mutant of the model leaves out, to show that the model would find it.
@@ -34,9 +34,9 @@
 
 	index         uint64
 	state         *StateMachine
-	leader        *leaseTracker     // of the leader that the majority follows
-	deposedLeader *leaseTracker     // of one that was deposed and does not know it; nil: none
-	pendingOps    []table.Operation // entries of the leader that are not applied yet
+	leader        *leaseTracker          // of the leader that the majority follows
+	deposedLeader *leaseTracker          // of one that was deposed and does not know it; nil: none
+	pendingOps    []leasetable.Operation // entries of the leader that are not applied yet
 	holders       []*modelHolder
 	newestToken   uint64 // token of the newest write that the resource took
 	violation     string
@@ -77,7 +77,7 @@
 	return time.Duration(rapid.IntRange(lower, upper).Draw(w.t, label)) * time.Millisecond
 }
 
-func (w *electionModel) apply(op table.Operation) {
+func (w *electionModel) apply(op leasetable.Operation) {
 	w.index++
 	w.state.Apply(w.index, &Record{Op: OpLease, Lease: &op})
 	w.leader.refresh(w.clock(), w.state, op.Name)
@@ -92,7 +92,7 @@
 	current, _ := w.state.Leases().Get("d") // its watch; a message later it would be as good
 	if current.Holder != holder.name {
 		w.message(func() {
-			w.apply(table.Operation{Kind: table.Campaign, Name: "d", Candidate: holder.name, TTLMS: modelTTL.Milliseconds()})
+			w.apply(leasetable.Operation{Kind: leasetable.Campaign, Name: "d", Candidate: holder.name, TTLMS: modelTTL.Milliseconds()})
 		})
 		if slices.Contains(current.Queue, holder.name) {
 			w.message(func() { w.leader.renew(w.clock(), w.state, "d", holder.name, 0) })
@@ -120,7 +120,7 @@
 			if token <= holder.releasedToken {
 				return
 			}
-			holder.token, holder.leaseEnd = token, max(holder.leaseEnd, start+modelTTL-table.SafetyMargin(modelTTL))
+			holder.token, holder.leaseEnd = token, max(holder.leaseEnd, start+modelTTL-leasetable.SafetyMargin(modelTTL))
 			w.renewals++
 		})
 	})
@@ -160,10 +160,12 @@
 		if w.now < holder.leaseEnd { // it stops first
 			holder.leaseEnd, holder.releasedToken = w.now, holder.token
 			token := holder.token
-			w.message(func() { w.apply(table.Operation{Kind: table.Release, Name: "d", Candidate: holder.name, Token: token}) })
+			w.message(func() {
+				w.apply(leasetable.Operation{Kind: leasetable.Release, Name: "d", Candidate: holder.name, Token: token})
+			})
 		}
 	case 3:
-		w.apply(table.Operation{Kind: table.Revoke, Name: "d"})
+		w.apply(leasetable.Operation{Kind: leasetable.Revoke, Name: "d"})
 	}
 }
 
@@ -172,7 +174,7 @@
 	for _, op := range w.leader.findExpired(w.clock()) {
 		w.pendingOps = append(w.pendingOps, op)
 		w.after(w.drawDuration("into the log", 0, 50), func() {
-			if index := slices.IndexFunc(w.pendingOps, func(pending table.Operation) bool {
+			if index := slices.IndexFunc(w.pendingOps, func(pending leasetable.Operation) bool {
 				return pending.Candidate == op.Candidate && pending.Token == op.Token
 			}); index >= 0 {
 				w.pendingOps = slices.Delete(w.pendingOps, index, index+1)
--- a/internal/registry/fixtures_test.go
+++ b/internal/registry/fixtures_test.go
@@ -20,13 +20,13 @@
 	"time"
 
 	"milldeck/internal/disruption"
-	"milldeck/internal/duty/table"
+	"milldeck/internal/leaderelection/leasetable"
+	"milldeck/internal/maintenance"
+	"milldeck/internal/maintenance/calendar"
+	"milldeck/internal/maintenance/contract"
 	"milldeck/internal/placement"
 	"milldeck/internal/registry"
 	"milldeck/internal/release"
-	"milldeck/internal/window"
-	"milldeck/internal/window/contract"
-	"milldeck/internal/window/hours"
 )
 
 // The golden files pin what other versions of the program read: the raft log, snapshots, HTTP bodies and requests.
@@ -89,14 +89,14 @@
 		log = append(log, logEntry{fmt.Sprintf("%02d-%s", index, name), index, record})
 		return index
 	}
-	lease := func(name string, op table.Operation) uint64 {
+	lease := func(name string, op leasetable.Operation) uint64 {
 		return add(name, registry.Record{Op: registry.OpLease, Lease: &op})
 	}
 	ledger := func(name string, guard *registry.Guard, op disruption.Op) uint64 {
 		return add(name, registry.Record{Op: registry.OpLedger, ID: "write-" + name, Guard: guard, Ledger: &op})
 	}
-	maintenance := func(name string, guard *registry.Guard, offsetMS int64, op window.Operation) uint64 {
-		stamp := &window.Timestamp{ControllerMS: monday + offsetMS, UncertaintyMS: 100, LeaderMS: monday + offsetMS + 20, LeaderUncertaintyMS: 250}
+	maintenanceOp := func(name string, guard *registry.Guard, offsetMS int64, op maintenance.Operation) uint64 {
+		stamp := &maintenance.Timestamp{ControllerMS: monday + offsetMS, UncertaintyMS: 100, LeaderMS: monday + offsetMS + 20, LeaderUncertaintyMS: 250}
 		return add(name, registry.Record{Op: registry.OpWindow, ID: "write-" + name, Guard: guard, Window: &op, Stamp: stamp})
 	}
 
@@ -122,18 +122,18 @@
 		Refs: []registry.InstanceRef{{UID: "s7"}}})
 
 	// Leader election.
-	first := lease("lease-seek", table.Operation{Kind: table.Campaign, Name: "release/r", Candidate: "one", TTLMS: 15_000})
-	lease("lease-queue", table.Operation{Kind: table.Campaign, Name: "release/r", Candidate: "two", TTLMS: 15_000})
-	lease("lease-queue-third", table.Operation{Kind: table.Campaign, Name: "release/r", Candidate: "three", TTLMS: 15_000})
-	lease("lease-checkpoint", table.Operation{Kind: table.Checkpoint, Name: "release/r", Candidate: "one", Token: first, Data: []byte("wave 2")})
-	lease("lease-handover", table.Operation{Kind: table.Handover, Name: "release/r", Successor: "three"})
-	third := lease("lease-release", table.Operation{Kind: table.Release, Name: "release/r", Candidate: "one", Token: first})
-	second := lease("lease-lapse", table.Operation{Kind: table.Expire, Name: "release/r", Candidate: "three", Token: third, ShortTenure: true})
-	spreadGuard := &registry.Guard{Lease: "spread", Token: lease("lease-seek-spread", table.Operation{Kind: table.Campaign, Name: "spread", Candidate: "one", TTLMS: 5000})}
-	windowGuard := &registry.Guard{Lease: window.LeaseName, Token: lease("lease-seek-window", table.Operation{Kind: table.Campaign, Name: window.LeaseName, Candidate: "one", TTLMS: 5000})}
+	first := lease("lease-seek", leasetable.Operation{Kind: leasetable.Campaign, Name: "release/r", Candidate: "one", TTLMS: 15_000})
+	lease("lease-queue", leasetable.Operation{Kind: leasetable.Campaign, Name: "release/r", Candidate: "two", TTLMS: 15_000})
+	lease("lease-queue-third", leasetable.Operation{Kind: leasetable.Campaign, Name: "release/r", Candidate: "three", TTLMS: 15_000})
+	lease("lease-checkpoint", leasetable.Operation{Kind: leasetable.Checkpoint, Name: "release/r", Candidate: "one", Token: first, Data: []byte("wave 2")})
+	lease("lease-handover", leasetable.Operation{Kind: leasetable.Handover, Name: "release/r", Successor: "three"})
+	third := lease("lease-release", leasetable.Operation{Kind: leasetable.Release, Name: "release/r", Candidate: "one", Token: first})
+	second := lease("lease-lapse", leasetable.Operation{Kind: leasetable.Expire, Name: "release/r", Candidate: "three", Token: third, ShortTenure: true})
+	spreadGuard := &registry.Guard{Lease: "spread", Token: lease("lease-seek-spread", leasetable.Operation{Kind: leasetable.Campaign, Name: "spread", Candidate: "one", TTLMS: 5000})}
+	windowGuard := &registry.Guard{Lease: maintenance.LeaseName, Token: lease("lease-seek-window", leasetable.Operation{Kind: leasetable.Campaign, Name: maintenance.LeaseName, Candidate: "one", TTLMS: 5000})}
 	releaseGuard := &registry.Guard{Lease: "release/r", Token: second}
-	lease("lease-seek-backup", table.Operation{Kind: table.Campaign, Name: "backup", Candidate: "one", TTLMS: 5000})
-	lease("lease-takeaway", table.Operation{Kind: table.Revoke, Name: "backup"})
+	lease("lease-seek-backup", leasetable.Operation{Kind: leasetable.Campaign, Name: "backup", Candidate: "one", TTLMS: 5000})
+	lease("lease-takeaway", leasetable.Operation{Kind: leasetable.Revoke, Name: "backup"})
 
 	// The placement.
 	add("placement-spread", registry.Record{Op: registry.OpPlacement, ID: "write-placement", Guard: spreadGuard, Placement: &placement.Op{
@@ -196,30 +196,30 @@
 	ledger("ledger-resume", nil, disruption.Op{Kind: disruption.OpResume, Owner: "operator/eva", Halt: &disruption.Halt{Scope: "release/r"}})
 
 	// Maintenance windows.
-	version := maintenance("window-contract", nil, 0, window.Operation{Kind: window.OpSetContract, Contract: &contract.Contract{
+	version := maintenanceOp("window-contract", nil, 0, maintenance.Operation{Kind: maintenance.OpSetContract, Contract: &contract.Contract{
 		Tenant: "portal", Notice: "0s", MinutesPerMonth: 10_000, MinAvailableShare: 0.5, MaxConcurrentWindows: 1, OverrunPolicy: contract.OverrunHaltsTenant,
-		Spec: hours.Spec{Zone: "UTC", ApprovedHours: []hours.Rule{{Recurrence: "FREQ=DAILY", Start: "00:00", Length: "8h", FirstDay: "2026-01-01"}}}}})
-	maintenance("window-propose", nil, 1000, window.Operation{Kind: window.OpPropose, Window: "w", Operator: "ops", ServerUIDs: []string{"s1"}, WorkMS: 60_000})
-	grant := window.Approval{Tenant: "portal", ContractVersion: version, OpensAtMS: monday, ClosesAtMS: monday + 8*hourMS, ServerCount: 4,
-		Months: []hours.Month{{Name: "2026-01", Interval: hours.Interval{StartMS: monday - 4*24*hourMS, EndMS: monday + 27*24*hourMS}}}}
-	maintenance("window-plan", windowGuard, 2000, window.Operation{Kind: window.OpSchedule, Window: "w", Approvals: []window.Approval{grant}, PlannedStartMS: monday + 2500})
-	maintenance("window-wait", windowGuard, 3000, window.Operation{Kind: window.OpAwaitPermit, Window: "w"})
-	ledger("window-ask", windowGuard, disruption.Op{Kind: disruption.OpRequest, Owner: window.LeaseName, Permit: &disruption.Permit{ID: "window/w/1", Owner: window.LeaseName,
+		Spec: calendar.Spec{Zone: "UTC", ApprovedHours: []calendar.Rule{{Recurrence: "FREQ=DAILY", Start: "00:00", Length: "8h", FirstDay: "2026-01-01"}}}}})
+	maintenanceOp("window-propose", nil, 1000, maintenance.Operation{Kind: maintenance.OpPropose, Window: "w", Operator: "ops", ServerUIDs: []string{"s1"}, WorkMS: 60_000})
+	grant := maintenance.Approval{Tenant: "portal", ContractVersion: version, OpensAtMS: monday, ClosesAtMS: monday + 8*hourMS, ServerCount: 4,
+		Months: []calendar.Month{{Name: "2026-01", Interval: calendar.Interval{StartMS: monday - 4*24*hourMS, EndMS: monday + 27*24*hourMS}}}}
+	maintenanceOp("window-plan", windowGuard, 2000, maintenance.Operation{Kind: maintenance.OpSchedule, Window: "w", Approvals: []maintenance.Approval{grant}, PlannedStartMS: monday + 2500})
+	maintenanceOp("window-wait", windowGuard, 3000, maintenance.Operation{Kind: maintenance.OpAwaitPermit, Window: "w"})
+	ledger("window-ask", windowGuard, disruption.Op{Kind: disruption.OpRequest, Owner: maintenance.LeaseName, Permit: &disruption.Permit{ID: "window/w/1", Owner: maintenance.LeaseName,
 		Units: []string{"server/s1"}, Priority: disruption.PriorityDrain, Disposition: disruption.DispositionReturn}})
-	maintenance("window-drain", windowGuard, 4000, window.Operation{Kind: window.OpBeginDrain, Window: "w"})
-	ledger("window-begin", windowGuard, disruption.Op{Kind: disruption.OpBegin, Owner: window.LeaseName, Permit: permit("window/w/1")})
-	maintenance("window-tell", windowGuard, 5000, window.Operation{Kind: window.OpExtendExclusion, Window: "w", ExcludeUntilMS: monday + 30_000})
-	maintenance("window-free", windowGuard, 6000, window.Operation{Kind: window.OpCompleteDrain, Window: "w"})
-	maintenance("window-finish", nil, 7000, window.Operation{Kind: window.OpFinishWork, Window: "w"})
-	maintenance("window-back", windowGuard, 60_000, window.Operation{Kind: window.OpCompleteReturn, Window: "w"})
-	maintenance("window-halt", nil, 61_000, window.Operation{Kind: window.OpHalt, Scope: "tenant/portal", Reason: "incident"})
-	maintenance("window-resume", nil, 62_000, window.Operation{Kind: window.OpResume, Scope: "tenant/portal"})
-	maintenance("window-propose-second", nil, 63_000, window.Operation{Kind: window.OpPropose, Window: "v", Operator: "ops", ServerUIDs: []string{"s2"}, WorkMS: 60_000, NotBeforeMS: monday + hourMS})
-	maintenance("window-refuse", windowGuard, 64_000, window.Operation{Kind: window.OpReject, Window: "v", Reason: "no hours"})
-	maintenance("window-propose-third", nil, 65_000, window.Operation{Kind: window.OpPropose, Window: "u", Operator: "ops", ServerUIDs: []string{"s2"}, WorkMS: 60_000})
-	maintenance("window-cancel", nil, 66_000, window.Operation{Kind: window.OpCancel, Window: "u", Reason: "not needed"})
-	maintenance("window-forget", nil, 67_000, window.Operation{Kind: window.OpResetEstimates})
-	maintenance("window-withdraw", nil, 68_000, window.Operation{Kind: window.OpWithdrawContract, Tenant: "portal"})
+	maintenanceOp("window-drain", windowGuard, 4000, maintenance.Operation{Kind: maintenance.OpBeginDrain, Window: "w"})
+	ledger("window-begin", windowGuard, disruption.Op{Kind: disruption.OpBegin, Owner: maintenance.LeaseName, Permit: permit("window/w/1")})
+	maintenanceOp("window-tell", windowGuard, 5000, maintenance.Operation{Kind: maintenance.OpExtendExclusion, Window: "w", ExcludeUntilMS: monday + 30_000})
+	maintenanceOp("window-free", windowGuard, 6000, maintenance.Operation{Kind: maintenance.OpCompleteDrain, Window: "w"})
+	maintenanceOp("window-finish", nil, 7000, maintenance.Operation{Kind: maintenance.OpFinishWork, Window: "w"})
+	maintenanceOp("window-back", windowGuard, 60_000, maintenance.Operation{Kind: maintenance.OpCompleteReturn, Window: "w"})
+	maintenanceOp("window-halt", nil, 61_000, maintenance.Operation{Kind: maintenance.OpHalt, Scope: "tenant/portal", Reason: "incident"})
+	maintenanceOp("window-resume", nil, 62_000, maintenance.Operation{Kind: maintenance.OpResume, Scope: "tenant/portal"})
+	maintenanceOp("window-propose-second", nil, 63_000, maintenance.Operation{Kind: maintenance.OpPropose, Window: "v", Operator: "ops", ServerUIDs: []string{"s2"}, WorkMS: 60_000, NotBeforeMS: monday + hourMS})
+	maintenanceOp("window-refuse", windowGuard, 64_000, maintenance.Operation{Kind: maintenance.OpReject, Window: "v", Reason: "no hours"})
+	maintenanceOp("window-propose-third", nil, 65_000, maintenance.Operation{Kind: maintenance.OpPropose, Window: "u", Operator: "ops", ServerUIDs: []string{"s2"}, WorkMS: 60_000})
+	maintenanceOp("window-cancel", nil, 66_000, maintenance.Operation{Kind: maintenance.OpCancel, Window: "u", Reason: "not needed"})
+	maintenanceOp("window-forget", nil, 67_000, maintenance.Operation{Kind: maintenance.OpResetEstimates})
+	maintenanceOp("window-withdraw", nil, 68_000, maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: "portal"})
 
 	add("epoch-restored", registry.Record{Op: registry.OpEpoch, Epoch: 7})
 	return log
@@ -285,7 +285,7 @@
 func TestStoredSnapshots(t *testing.T) {
 	snapshots := map[string]func(logEntry) bool{
 		"snapshot.bin": func(e logEntry) bool {
-			return e.record.Op != registry.OpWindow || e.record.Window.Kind != window.OpWithdrawContract
+			return e.record.Op != registry.OpWindow || e.record.Window.Kind != maintenance.OpWithdrawContract
 		},
 		"snapshot-no-ledger.bin": func(e logEntry) bool {
 			return e.record.Op != registry.OpLedger && e.record.Op != registry.OpSidecars && e.record.Op != registry.OpWindow
@@ -362,7 +362,7 @@
 		{"register", registry.Record{Op: registry.OpRegister, Instances: []registry.Instance{
 			fixtureInstance("s1", "z1", 1, 9001), fixtureInstance("s2", "z2", 1, 9002)}}},
 		{"state", registry.Record{Op: registry.OpSetState, State: registry.InstanceTerminating, Refs: []registry.InstanceRef{{UID: "s1"}}}},
-		{"lease", registry.Record{Op: registry.OpLease, Lease: &table.Operation{Kind: table.Campaign, Name: "spread", Candidate: "one", TTLMS: 5000}}},
+		{"lease", registry.Record{Op: registry.OpLease, Lease: &leasetable.Operation{Kind: leasetable.Campaign, Name: "spread", Candidate: "one", TTLMS: 5000}}},
 		{"placement", registry.Record{Op: registry.OpPlacement, Guard: guard, Placement: &placement.Op{LeaderTimeMS: nowMS, Set: []placement.Directive{
 			{ID: "spread/0123456789abcdef", Kind: placement.KindSpreadKey, KeyHash: "0123456789abcdef", ExpiresAtMS: nowMS + 60_000, Copies: []placement.KeyCopy{{ServerUID: "s1", LoadFraction: 0.25}}},
 			{ID: "spread/fedcba9876543210", Kind: placement.KindSpreadKey, KeyHash: "fedcba9876543210", ExpiresAtMS: nowMS + 90_000, Copies: []placement.KeyCopy{{ServerUID: "s2"}}},
@@ -576,13 +576,13 @@
 	status, err := client.ReplicaStatus(ctx, address)
 	call("status", status, err)
 
-	lease, err := client.UpdateLease(ctx, table.Campaign, "release/r", registry.LeaseRequest{ID: "w2", Candidate: "one", TTLMS: 15_000})
+	lease, err := client.UpdateLease(ctx, leasetable.Campaign, "release/r", registry.LeaseRequest{ID: "w2", Candidate: "one", TTLMS: 15_000})
 	call("seek", lease, err)
-	lease, err = client.UpdateLease(ctx, table.Handover, "release/r", registry.LeaseRequest{ID: "w3", Successor: "two"})
+	lease, err = client.UpdateLease(ctx, leasetable.Handover, "release/r", registry.LeaseRequest{ID: "w3", Successor: "two"})
 	call("handover", lease, err)
-	lease, err = client.UpdateLease(ctx, table.Revoke, "release/r", registry.LeaseRequest{ID: "w4"})
+	lease, err = client.UpdateLease(ctx, leasetable.Revoke, "release/r", registry.LeaseRequest{ID: "w4"})
 	call("takeaway", lease, err)
-	lease, err = client.UpdateLease(ctx, table.Checkpoint, "backup", registry.LeaseRequest{ID: "w5", Candidate: "one", Token: 16, Data: []byte("wave 2")})
+	lease, err = client.UpdateLease(ctx, leasetable.Checkpoint, "backup", registry.LeaseRequest{ID: "w5", Candidate: "one", Token: 16, Data: []byte("wave 2")})
 	call("checkpoint", lease, err)
 	lease, err = client.Lease(ctx, "release/r")
 	call("lease", lease, err)
@@ -616,7 +616,7 @@
 	call("release", found, err)
 	releases, err := client.Releases(ctx)
 	call("releases", releases, err)
-	result, err = client.WriteWindow(ctx, registry.WriteOptions{ID: "w11", Guard: guard}, window.Timestamp{ControllerMS: monday, UncertaintyMS: 100}, window.Operation{Kind: window.OpAwaitPermit, Window: "w"})
+	result, err = client.WriteWindow(ctx, registry.WriteOptions{ID: "w11", Guard: guard}, maintenance.Timestamp{ControllerMS: monday, UncertaintyMS: 100}, maintenance.Operation{Kind: maintenance.OpAwaitPermit, Window: "w"})
 	call("write window", result, err)
 	windows, err := client.Windows(ctx, true)
 	call("windows", windows, err)
--- a/internal/registry/holddown.go
+++ b/internal/registry/holddown.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"milldeck/internal/duty/table"
+	"milldeck/internal/leaderelection/leasetable"
 )
 
 const (
@@ -23,7 +23,7 @@
 // holdDown is the wait of a candidate that had a duty several times for a short while each. The count is the table's,
 // the time the leader's; a new leader begins all waits anew.
 type holdDown struct {
-	failover       table.Failover
+	failover       leasetable.Failover
 	expiresAt      time.Time
 	lastCampaignAt time.Time // when it last asked for the duty and had to wait
 }
@@ -37,7 +37,7 @@
 }
 
 // trackHoldDownsLocked begins the waits that are not known; the caller holds the lock.
-func (l *leaseTracker) trackHoldDownsLocked(now time.Time, current *table.Lease) {
+func (l *leaseTracker) trackHoldDownsLocked(now time.Time, current *leasetable.Lease) {
 	for candidate, entry := range l.holdDowns[current.Name] {
 		if current.FailoversOf(candidate).Token != entry.failover.Token {
 			delete(l.holdDowns[current.Name], candidate)
--- a/internal/registry/holddown_test.go
+++ b/internal/registry/holddown_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"milldeck/internal/duty/table"
+	"milldeck/internal/leaderelection/leasetable"
 )
 
 // holdDownMutant is what a mutant of the hold-down's model leaves out.
@@ -52,19 +52,19 @@
 
 func (w *holdDownModel) clock() time.Time { return time.Unix(1_000_000, 0).Add(w.now) }
 
-func (w *holdDownModel) apply(op table.Operation) {
+func (w *holdDownModel) apply(op leasetable.Operation) {
 	w.index++
 	w.state.Apply(w.index, &Record{Op: OpLease, Lease: &op})
 	w.leader.refresh(w.clock(), w.state, op.Name)
 }
 
-func (w *holdDownModel) current() table.Lease {
+func (w *holdDownModel) current() leasetable.Lease {
 	current, _ := w.state.Leases().Get("d")
 	return current
 }
 
 // endTenure ends a tenure, by a release or a lapse.
-func (w *holdDownModel) endTenure(op table.Operation) {
+func (w *holdDownModel) endTenure(op leasetable.Operation) {
 	if w.mutant == neverCountsShort {
 		op.ShortTenure = false
 	}
@@ -91,7 +91,7 @@
 		}
 	}
 	// After a change of the leader the waits begin anew, so that only their bounds are known.
-	heldDown := candidate.shortTenures > allowedShortTenures && candidate.tenureEndedAt >= w.leaderSince && w.now < candidate.tenureEndedAt+holdDownDuration(modelTTL, min(candidate.shortTenures, table.MaxFailoverCount))
+	heldDown := candidate.shortTenures > allowedShortTenures && candidate.tenureEndedAt >= w.leaderSince && w.now < candidate.tenureEndedAt+holdDownDuration(modelTTL, min(candidate.shortTenures, leasetable.MaxFailoverCount))
 	admitted := w.leader.admitCandidate(w.clock(), w.state, "d", candidate.name)
 	if w.mutant == holdsDownAlone && heldDown || w.mutant == holdsDownForever && candidate.shortTenures > allowedShortTenures {
 		admitted = false
@@ -106,7 +106,7 @@
 	}
 	if admitted {
 		candidate.refusedSince = 0
-		w.apply(table.Operation{Kind: table.Campaign, Name: "d", Candidate: candidate.name, TTLMS: modelTTL.Milliseconds()})
+		w.apply(leasetable.Operation{Kind: leasetable.Campaign, Name: "d", Candidate: candidate.name, TTLMS: modelTTL.Milliseconds()})
 	} else if candidate.refusedSince == 0 {
 		candidate.refusedSince = w.now
 	}
@@ -128,7 +128,7 @@
 				candidate.silentUntil = w.now + modelTTL*3/2
 				return
 			}
-			w.endTenure(table.Operation{Kind: table.Release, Name: "d", Candidate: candidate.name, Token: current.Token,
+			w.endTenure(leasetable.Operation{Kind: leasetable.Release, Name: "d", Candidate: candidate.name, Token: current.Token,
 				ShortTenure: w.leader.isShortTenure(w.clock(), "d", candidate.name, current.Token)})
 			return
 		}
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"milldeck/internal/duty/table"
+	"milldeck/internal/leaderelection/leasetable"
 )
 
 const (
@@ -124,7 +124,7 @@
 }
 
 // Lease gives a duty as it is, and what to wait on for a change of any.
-func (h *Hub) Lease(name string) (lease table.Lease, changed <-chan struct{}) {
+func (h *Hub) Lease(name string) (lease leasetable.Lease, changed <-chan struct{}) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	lease, _ = h.state.leases.Get(name)
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"milldeck/internal/duty/table"
+	"milldeck/internal/leaderelection/leasetable"
 )
 
 // Guard makes a write conditional on a duty: it is checked when the record is applied, not before.
@@ -89,7 +89,7 @@
 }
 
 // trackLocked begins the leases and waits that are not known, seen from their beginning or not; the caller holds the lock.
-func (l *leaseTracker) trackLocked(now time.Time, current *table.Lease, startObserved bool) {
+func (l *leaseTracker) trackLocked(now time.Time, current *leasetable.Lease, startObserved bool) {
 	l.trackHoldDownsLocked(now, current)
 	ttl := time.Duration(current.TTLMS) * time.Millisecond
 	entries := l.leases[current.Name]
@@ -136,7 +136,7 @@
 }
 
 // heldFor is how long a duty has been held under its token, as far as this leader knows.
-func (l *leaseTracker) heldFor(now time.Time, current *table.Lease) time.Duration {
+func (l *leaseTracker) heldFor(now time.Time, current *leasetable.Lease) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if entry := l.leases[current.Name][current.Holder]; entry != nil && current.Holder != "" {
@@ -146,19 +146,19 @@
 }
 
 // findExpired finds the leases that are over, and those that an earlier call found and that still stand.
-func (l *leaseTracker) findExpired(now time.Time) []table.Operation {
+func (l *leaseTracker) findExpired(now time.Time) []leasetable.Operation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var expired []table.Operation
+	var expired []leasetable.Operation
 	for name, entries := range l.leases {
 		for candidate, entry := range entries {
 			if now.Sub(entry.renewedAt) > entry.ttl+time.Duration(expiryGraceFraction*float64(entry.ttl)) {
 				entry.expiryPending = true
-				expired = append(expired, table.Operation{Kind: table.Expire, Name: name, Candidate: candidate, Token: entry.token, ShortTenure: entry.isShortTenure(now)})
+				expired = append(expired, leasetable.Operation{Kind: leasetable.Expire, Name: name, Candidate: candidate, Token: entry.token, ShortTenure: entry.isShortTenure(now)})
 			}
 		}
 	}
-	slices.SortFunc(expired, func(a, b table.Operation) int {
+	slices.SortFunc(expired, func(a, b leasetable.Operation) int {
 		return cmp.Or(strings.Compare(a.Name, b.Name), cmp.Compare(b.Token, a.Token), strings.Compare(a.Candidate, b.Candidate))
 	})
 	return expired
@@ -194,12 +194,12 @@
 	if !readJSON(w, httpRequest, &request) {
 		return
 	}
-	op := table.Operation{
-		Kind: table.OperationKind(httpRequest.PathValue("op")), Name: httpRequest.PathValue("name"), Candidate: request.Candidate, Token: request.Token, TTLMS: request.TTLMS,
+	op := leasetable.Operation{
+		Kind: leasetable.OperationKind(httpRequest.PathValue("op")), Name: httpRequest.PathValue("name"), Candidate: request.Candidate, Token: request.Token, TTLMS: request.TTLMS,
 		Successor: request.Successor, Data: request.Data,
 	}
 	err := op.Validate()
-	if err == nil && op.Kind == table.Expire {
+	if err == nil && op.Kind == leasetable.Expire {
 		err = fieldErrorf("op", "only the leader finds that a lease has ended")
 	}
 	if err == nil {
@@ -210,12 +210,12 @@
 		return
 	}
 	switch op.Kind {
-	case table.Campaign:
+	case leasetable.Campaign:
 		if !r.admitCandidate(op.Name, op.Candidate) {
 			r.writeLease(w, op.Name)
 			return
 		}
-	case table.Release:
+	case leasetable.Release:
 		op.ShortTenure = r.leaseTracker.isShortTenure(time.Now(), op.Name, op.Candidate, op.Token)
 	}
 	result, err := r.propose(&Record{Op: OpLease, ID: request.ID, Lease: &op})
@@ -233,7 +233,7 @@
 }
 
 func (r *Replica) writeLease(w http.ResponseWriter, name string) {
-	var current table.Lease
+	var current leasetable.Lease
 	var ok bool
 	r.hub.Read(func(state *StateMachine) { current, ok = state.leases.Get(name) })
 	if !ok {
@@ -264,7 +264,7 @@
 	if !readJSON(w, request, &renewal) {
 		return
 	}
-	if renewal.Candidate == "" || len(renewal.Leases) == 0 || len(renewal.Leases) > table.MaxLeases {
+	if renewal.Candidate == "" || len(renewal.Leases) == 0 || len(renewal.Leases) > leasetable.MaxLeases {
 		writeError(w, http.StatusBadRequest, fieldErrorf("duties", "%d entries of %q", len(renewal.Leases), renewal.Candidate))
 		return
 	}
@@ -293,7 +293,7 @@
 		if !r.ensureFresh(w, request) {
 			return
 		}
-		var list []*table.Lease
+		var list []*leasetable.Lease
 		r.hub.Read(func(state *StateMachine) { list = state.leases.Snapshot() })
 		r.setFreshnessHeaders(w)
 		writeJSON(w, http.StatusOK, list)
@@ -332,23 +332,23 @@
 }
 
 // UpdateLease makes one call about a duty and returns it as it then is.
-func (c *Client) UpdateLease(ctx context.Context, kind table.OperationKind, name string, request LeaseRequest) (table.Lease, error) {
+func (c *Client) UpdateLease(ctx context.Context, kind leasetable.OperationKind, name string, request LeaseRequest) (leasetable.Lease, error) {
 	if request.ID == "" {
 		request.ID = NewID()
 	}
-	var lease table.Lease
+	var lease leasetable.Lease
 	return lease, c.post(ctx, "/duties/"+url.PathEscape(name)+"/"+string(kind), request, &lease)
 }
 
 // Lease reads a duty, as the leader has it.
-func (c *Client) Lease(ctx context.Context, name string) (table.Lease, error) {
-	var lease table.Lease
+func (c *Client) Lease(ctx context.Context, name string) (leasetable.Lease, error) {
+	var lease leasetable.Lease
 	return lease, c.call(ctx, http.MethodGet, "/duties/"+url.PathEscape(name)+"?fresh=1", nil, &lease)
 }
 
 // Leases lists them, as the leader has them.
-func (c *Client) Leases(ctx context.Context) ([]table.Lease, error) {
-	var list []table.Lease
+func (c *Client) Leases(ctx context.Context) ([]leasetable.Lease, error) {
+	var list []leasetable.Lease
 	return list, c.call(ctx, http.MethodGet, "/duties?fresh=1", nil, &list)
 }
 
@@ -362,11 +362,11 @@
 
 // WatchLease calls do with a duty as it is and after each change, going from replica to replica until ctx ends. An
 // older state than one told before is left out.
-func (c *Client) WatchLease(ctx context.Context, name string, notify func(table.Lease)) error {
+func (c *Client) WatchLease(ctx context.Context, name string, notify func(leasetable.Lease)) error {
 	newestRevision, started := uint64(0), false
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		current := c.current.Load()
-		err := c.watchLeaseOn(ctx, c.replicas[int(current)%len(c.replicas)], name, func(lease table.Lease) {
+		err := c.watchLeaseOn(ctx, c.replicas[int(current)%len(c.replicas)], name, func(lease leasetable.Lease) {
 			backoff = initialBackoff
 			if lease.Rev > newestRevision || !started {
 				newestRevision, started = lease.Rev, true
@@ -386,13 +386,13 @@
 	}
 }
 
-func (c *Client) watchLeaseOn(ctx context.Context, replica, name string, notify func(table.Lease)) error {
+func (c *Client) watchLeaseOn(ctx context.Context, replica, name string, notify func(leasetable.Lease)) error {
 	watchURL := "http://" + replica + "/duties?watch=" + url.QueryEscape(name)
 	return c.streamLines(ctx, watchURL, func(http.Header) {}, func(data []byte) error {
 		if len(data) == 0 {
 			return nil
 		}
-		var lease table.Lease
+		var lease leasetable.Lease
 		if err := json.Unmarshal(data, &lease); err != nil {
 			return fmt.Errorf("watch of duty %s: %w", name, err)
 		}
--- a/internal/registry/ledger_test.go
+++ b/internal/registry/ledger_test.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"milldeck/internal/disruption"
-	"milldeck/internal/duty/table"
 	"milldeck/internal/lab/proc"
+	"milldeck/internal/leaderelection/leasetable"
 	"milldeck/internal/registry"
 )
 
@@ -272,7 +272,7 @@
 	if _, err := env.client.ApplyLedgerOp(env.ctx, registry.WriteOptions{}, op); !hasStatus(err, http.StatusConflict) {
 		t.Errorf("without a token: %v", err)
 	}
-	first, err := env.client.UpdateLease(env.ctx, table.Campaign, lease, registry.LeaseRequest{Candidate: "a", TTLMS: 60_000})
+	first, err := env.client.UpdateLease(env.ctx, leasetable.Campaign, lease, registry.LeaseRequest{Candidate: "a", TTLMS: 60_000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -280,7 +280,7 @@
 	if _, err := env.client.ApplyLedgerOp(env.ctx, registry.WriteOptions{Guard: guard}, op); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := env.client.UpdateLease(env.ctx, table.Revoke, lease, registry.LeaseRequest{}); err != nil {
+	if _, err := env.client.UpdateLease(env.ctx, leasetable.Revoke, lease, registry.LeaseRequest{}); err != nil {
 		t.Fatal(err)
 	}
 	begin := disruption.Op{Kind: disruption.OpBegin, Owner: lease, Permit: &disruption.Permit{ID: "p"}}
--- a/internal/registry/maintenance.go
+++ b/internal/registry/maintenance.go
@@ -8,18 +8,18 @@
 	"time"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/maintenance"
 	"milldeck/internal/placement"
-	"milldeck/internal/window"
 )
 
 // leaderClockUncertaintyMS is what a leader's clock is taken to be off: machines whose clocks are kept are within a tenth of it.
 const leaderClockUncertaintyMS = 250
 
 // Windows is the table of contracts and windows, for reading.
-func (s *StateMachine) Windows() *window.Table { return s.windows }
+func (s *StateMachine) Windows() *maintenance.Table { return s.windows }
 
 // setWindowTable has the table ask the ledger for permits.
-func (s *StateMachine) setWindowTable(windows *window.Table) {
+func (s *StateMachine) setWindowTable(windows *maintenance.Table) {
 	s.windows = windows
 	windows.LookupPermit = func(id string) (disruption.Stage, bool) {
 		if s.ledger == nil {
@@ -37,14 +37,14 @@
 	}
 	op := *record.Window
 	if op.Kind.RequiresToken() {
-		if record.Guard == nil || record.Guard.Lease != window.LeaseName {
-			return Result{OutcomeConflict, index, "a step of a window is written under the duty " + window.LeaseName}
+		if record.Guard == nil || record.Guard.Lease != maintenance.LeaseName {
+			return Result{OutcomeConflict, index, "a step of a window is written under the duty " + maintenance.LeaseName}
 		}
 		op.Token = record.Guard.Token
 	}
 	result := s.windows.Apply(index, &op, *record.Stamp)
-	if result.Outcome != window.OutcomeApplied {
-		outcomes := map[window.Outcome]Outcome{window.OutcomeNotFound: OutcomeNotFound, window.OutcomeLimitExceeded: OutcomeLimitExceeded}
+	if result.Outcome != maintenance.OutcomeApplied {
+		outcomes := map[maintenance.Outcome]Outcome{maintenance.OutcomeNotFound: OutcomeNotFound, maintenance.OutcomeLimitExceeded: OutcomeLimitExceeded}
 		outcome, ok := outcomes[result.Outcome]
 		if !ok {
 			outcome = OutcomeConflict
@@ -60,21 +60,21 @@
 	if len(set)+len(remove) == 0 {
 		return ""
 	}
-	outcome, reason := s.placement.Apply(index, window.LeaseName, &placement.Op{LeaderTimeMS: nowMS, Set: set, Delete: remove})
+	outcome, reason := s.placement.Apply(index, maintenance.LeaseName, &placement.Op{LeaderTimeMS: nowMS, Set: set, Delete: remove})
 	if outcome != placement.OutcomeApplied && len(set) > 0 && len(remove) > 0 {
-		s.placement.Apply(index, window.LeaseName, &placement.Op{LeaderTimeMS: nowMS, Delete: remove})
+		s.placement.Apply(index, maintenance.LeaseName, &placement.Op{LeaderTimeMS: nowMS, Delete: remove})
 	}
 	return reason
 }
 
 // applyContractBudget has the ledger bound what is out of a contract's servers, for whatever reason, from the same entry of the log on.
-func (s *StateMachine) applyContractBudget(index uint64, op *window.Operation) string {
+func (s *StateMachine) applyContractBudget(index uint64, op *maintenance.Operation) string {
 	budgetOp := &disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/contract"} // people alone set contracts
 	switch op.Kind {
-	case window.OpSetContract:
-		budgetOp.Budget = window.ContractBudget(op.Contract)
-	case window.OpWithdrawContract:
-		budgetOp.Budget, budgetOp.Delete = &disruption.Budget{Name: window.ContractBudgetName(op.Tenant)}, true
+	case maintenance.OpSetContract:
+		budgetOp.Budget = maintenance.ContractBudget(op.Contract)
+	case maintenance.OpWithdrawContract:
+		budgetOp.Budget, budgetOp.Delete = &disruption.Budget{Name: maintenance.ContractBudgetName(op.Tenant)}, true
 	default:
 		return ""
 	}
@@ -86,17 +86,17 @@
 
 // WindowsView is contracts and windows with what their controller needs of the rest of the state, all of one revision.
 type WindowsView struct {
-	Revision uint64                         `json:"rev"`
-	Table    *window.Snapshot               `json:"table"`
-	Permits  map[string]disruption.Stage    `json:"permits"`
-	Out      map[string]window.ServerStatus `json:"out"`
-	Fleet    window.Fleet                   `json:"fleet"`
-	Sidecars []string                       `json:"sidecars"`
+	Revision uint64                              `json:"rev"`
+	Table    *maintenance.Snapshot               `json:"table"`
+	Permits  map[string]disruption.Stage         `json:"permits"`
+	Out      map[string]maintenance.ServerStatus `json:"out"`
+	Fleet    maintenance.Fleet                   `json:"fleet"`
+	Sidecars []string                            `json:"sidecars"`
 }
 
 // View is what the controller's core reads.
-func (v *WindowsView) View() *window.View {
-	return &window.View{Revision: v.Revision, Table: window.Restore(v.Table), PermitStages: v.Permits, OutOfService: v.Out, Fleet: v.Fleet, LiveSidecars: v.Sidecars}
+func (v *WindowsView) View() *maintenance.View {
+	return &maintenance.View{Revision: v.Revision, Table: maintenance.Restore(v.Table), PermitStages: v.Permits, OutOfService: v.Out, Fleet: v.Fleet, LiveSidecars: v.Sidecars}
 }
 
 // serveWindows answers with all contracts and windows, and what goes with them.
@@ -106,7 +106,7 @@
 	}
 	var response WindowsView
 	r.hub.Read(func(state *StateMachine) {
-		view := window.ReadView(state.appliedIndex, state.windows, state.Ledger())
+		view := maintenance.ReadView(state.appliedIndex, state.windows, state.Ledger())
 		response = WindowsView{view.Revision, state.windows.Snapshot(), view.PermitStages, view.OutOfService, view.Fleet, view.LiveSidecars}
 	})
 	r.setFreshnessHeaders(w)
@@ -115,11 +115,11 @@
 
 // WindowRequest is the body of a write about contracts and windows.
 type WindowRequest struct {
-	ID            string           `json:"id"`
-	Guard         *Guard           `json:"guard,omitempty"`
-	WriterTimeMS  int64            `json:"at_ms,omitempty"`          // the writer's clock, Unix ms; 0: it is a person's, and not compared
-	UncertaintyMS int64            `json:"uncertainty_ms,omitempty"` // that it may be off
-	Op            window.Operation `json:"op"`
+	ID            string                `json:"id"`
+	Guard         *Guard                `json:"guard,omitempty"`
+	WriterTimeMS  int64                 `json:"at_ms,omitempty"`          // the writer's clock, Unix ms; 0: it is a person's, and not compared
+	UncertaintyMS int64                 `json:"uncertainty_ms,omitempty"` // that it may be off
+	Op            maintenance.Operation `json:"op"`
 }
 
 func (r *Replica) serveWindowOp(w http.ResponseWriter, request *http.Request) {
@@ -135,14 +135,14 @@
 		err = body.Op.Validate()
 	}
 	if err == nil && body.Op.Kind.RequiresToken() && (body.Guard == nil || body.WriterTimeMS == 0) {
-		err = fieldErrorf("guard", "a step is written under the duty %s, with the writer's time", window.LeaseName)
+		err = fieldErrorf("guard", "a step is written under the duty %s, with the writer's time", maintenance.LeaseName)
 	}
 	if err != nil {
 		writeError(w, http.StatusBadRequest, err)
 		return
 	}
 	nowMS := time.Now().UnixMilli()
-	stamp := &window.Timestamp{ControllerMS: body.WriterTimeMS, UncertaintyMS: body.UncertaintyMS, LeaderMS: nowMS, LeaderUncertaintyMS: leaderClockUncertaintyMS}
+	stamp := &maintenance.Timestamp{ControllerMS: body.WriterTimeMS, UncertaintyMS: body.UncertaintyMS, LeaderMS: nowMS, LeaderUncertaintyMS: leaderClockUncertaintyMS}
 	if body.WriterTimeMS == 0 {
 		stamp.ControllerMS, stamp.UncertaintyMS = nowMS, leaderClockUncertaintyMS
 	}
@@ -165,7 +165,7 @@
 
 // WriteWindow writes an operation about contracts and windows. The controller's needs the write's guard to be the duty of
 // windows, and its time; a person's has a stamp of nothing.
-func (c *Client) WriteWindow(ctx context.Context, options WriteOptions, at window.Timestamp, op window.Operation) (Result, error) {
+func (c *Client) WriteWindow(ctx context.Context, options WriteOptions, at maintenance.Timestamp, op maintenance.Operation) (Result, error) {
 	var result Result
 	return result, c.post(ctx, "/windows", WindowRequest{options.ensureID(), options.Guard, at.ControllerMS, at.UncertaintyMS, op}, &result)
 }
--- a/internal/registry/maintenance_test.go
+++ b/internal/registry/maintenance_test.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/maintenance"
+	"milldeck/internal/maintenance/calendar"
+	"milldeck/internal/maintenance/contract"
 	"milldeck/internal/registry"
-	"milldeck/internal/window"
-	"milldeck/internal/window/contract"
-	"milldeck/internal/window/hours"
 )
 
 // A window's steps count under its duty alone, at times that agree; what sidecars are told stands in the same record,
@@ -19,10 +19,10 @@
 func TestMaintenanceWindowSurvivesLeaderLoss(t *testing.T) {
 	env := startEnv(t, 3, false, "snapshot_every = 5")
 	env.registerFleet(4, 2)
-	stamp := func() window.Timestamp {
-		return window.Timestamp{ControllerMS: time.Now().UnixMilli(), UncertaintyMS: 250}
+	stamp := func() maintenance.Timestamp {
+		return maintenance.Timestamp{ControllerMS: time.Now().UnixMilli(), UncertaintyMS: 250}
 	}
-	writeOp := func(guard *registry.Guard, stamp window.Timestamp, op window.Operation) int {
+	writeOp := func(guard *registry.Guard, stamp maintenance.Timestamp, op maintenance.Operation) int {
 		t.Helper()
 		_, err := env.client.WriteWindow(env.ctx, registry.WriteOptions{Guard: guard}, stamp, op)
 		var status *registry.StatusError
@@ -34,13 +34,13 @@
 		}
 		return 0
 	}
-	mustWrite := func(guard *registry.Guard, op window.Operation) {
+	mustWrite := func(guard *registry.Guard, op maintenance.Operation) {
 		t.Helper()
 		if status := writeOp(guard, stamp(), op); status != 0 {
 			t.Fatalf("%s is refused: %d", op.Kind, status)
 		}
 	}
-	view := func() *window.View {
+	view := func() *maintenance.View {
 		t.Helper()
 		current, err := env.client.Windows(env.ctx, true)
 		if err != nil {
@@ -49,56 +49,56 @@
 		return current.View()
 	}
 	always := contract.Contract{Tenant: "portal", Notice: "0s", MinutesPerMonth: 10_000, MinAvailableShare: 0.5, MaxConcurrentWindows: 1, OverrunPolicy: contract.OverrunHaltsTenant,
-		Spec: hours.Spec{Zone: "UTC", ApprovedHours: []hours.Rule{{Recurrence: "FREQ=DAILY", Start: "00:00", Length: "48h", FirstDay: "2020-01-01"}}}}
-	mustWrite(nil, window.Operation{Kind: window.OpSetContract, Contract: &always})
+		Spec: calendar.Spec{Zone: "UTC", ApprovedHours: []calendar.Rule{{Recurrence: "FREQ=DAILY", Start: "00:00", Length: "48h", FirstDay: "2020-01-01"}}}}
+	mustWrite(nil, maintenance.Operation{Kind: maintenance.OpSetContract, Contract: &always})
 	bounded := func() bool {
 		t.Helper()
 		current, err := env.client.LedgerView(env.ctx, true, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return slices.ContainsFunc(current.Budgets, func(env disruption.Budget) bool { return env.Name == window.ContractBudgetName("portal") })
+		return slices.ContainsFunc(current.Budgets, func(env disruption.Budget) bool { return env.Name == maintenance.ContractBudgetName("portal") })
 	}
 	if !bounded() {
 		t.Error("no budget goes with the contract")
 	}
-	mustWrite(nil, window.Operation{Kind: window.OpPropose, Window: "w", Operator: "ops", ServerUIDs: []string{"s0"}, WorkMS: 60_000})
-	guard := env.acquireLease(window.LeaseName)
+	mustWrite(nil, maintenance.Operation{Kind: maintenance.OpPropose, Window: "w", Operator: "ops", ServerUIDs: []string{"s0"}, WorkMS: 60_000})
+	guard := env.acquireLease(maintenance.LeaseName)
 	current := view()
-	plan, err := window.NewPlanner().Plan(current.Table, current.Fleet, window.Request{Name: "w", ServerUIDs: []string{"s0"}, WorkMS: 60_000}, time.Now().UnixMilli()+1000)
+	plan, err := maintenance.NewPlanner().Plan(current.Table, current.Fleet, maintenance.Request{Name: "w", ServerUIDs: []string{"s0"}, WorkMS: 60_000}, time.Now().UnixMilli()+1000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	mustWrite(guard, window.Operation{Kind: window.OpSchedule, Window: "w", Approvals: plan.Approvals, PlannedStartMS: plan.StartMS})
+	mustWrite(guard, maintenance.Operation{Kind: maintenance.OpSchedule, Window: "w", Approvals: plan.Approvals, PlannedStartMS: plan.StartMS})
 	for end := time.Now().Add(3 * time.Second); ; time.Sleep(50 * time.Millisecond) { // no notice is over before the clocks are sure
-		if status := writeOp(guard, stamp(), window.Operation{Kind: window.OpAwaitPermit, Window: "w"}); status == 0 {
+		if status := writeOp(guard, stamp(), maintenance.Operation{Kind: maintenance.OpAwaitPermit, Window: "w"}); status == 0 {
 			break
 		} else if time.Now().After(end) {
 			t.Fatalf("wait is refused: %d", status)
 		}
 	}
-	if status := writeOp(guard, stamp(), window.Operation{Kind: window.OpBeginDrain, Window: "w"}); status != http.StatusConflict {
+	if status := writeOp(guard, stamp(), maintenance.Operation{Kind: maintenance.OpBeginDrain, Window: "w"}); status != http.StatusConflict {
 		t.Errorf("drained without a permit: %d", status)
 	}
 	act := func(kind disruption.OpKind) {
 		t.Helper()
-		action := window.LedgerAction{Kind: kind, PermitID: "window/w/1", ServerUIDs: []string{"s0"}}
+		action := maintenance.LedgerAction{Kind: kind, PermitID: "window/w/1", ServerUIDs: []string{"s0"}}
 		if _, err := env.client.ApplyLedgerOp(env.ctx, registry.WriteOptions{Guard: guard}, *action.Operation()); err != nil {
 			t.Fatalf("%s: %v", kind, err)
 		}
 	}
 	act(disruption.OpRequest)
-	mustWrite(guard, window.Operation{Kind: window.OpBeginDrain, Window: "w"})
+	mustWrite(guard, maintenance.Operation{Kind: maintenance.OpBeginDrain, Window: "w"})
 	act(disruption.OpBegin)
 	env.leader().Process.Kill()
-	tellOp := func() window.Operation {
-		return window.Operation{Kind: window.OpExtendExclusion, Window: "w", ExcludeUntilMS: time.Now().UnixMilli() + window.ExclusionTTLMS - 1000}
+	tellOp := func() maintenance.Operation {
+		return maintenance.Operation{Kind: maintenance.OpExtendExclusion, Window: "w", ExcludeUntilMS: time.Now().UnixMilli() + maintenance.ExclusionTTLMS - 1000}
 	}
 	skewed := stamp()
 	skewed.ControllerMS += 3600_000
 	for what, tc := range map[string]struct {
 		guard *registry.Guard
-		stamp window.Timestamp
+		stamp maintenance.Timestamp
 		want  int
 	}{
 		"no token":              {nil, stamp(), http.StatusBadRequest},
@@ -122,14 +122,14 @@
 	if entries := publishedEntries(); entries != 1 {
 		t.Fatalf("%d entries are told", entries)
 	}
-	mustWrite(nil, window.Operation{Kind: window.OpWithdrawContract, Tenant: "portal"})
+	mustWrite(nil, maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: "portal"})
 	if entries := publishedEntries(); entries != 0 {
 		t.Errorf("%d entries are told after the contract ended", entries)
 	}
 	if bounded() {
 		t.Error("its budget outlives the contract")
 	}
-	if found := view().Table.Window("w"); found == nil || found.Stage != window.StageDraining || view().PermitStages["window/w/1"] != disruption.StageActive {
+	if found := view().Table.Window("w"); found == nil || found.Stage != maintenance.StageDraining || view().PermitStages["window/w/1"] != disruption.StageActive {
 		t.Errorf("%+v", found)
 	}
 }
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -5,7 +5,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"milldeck/internal/duty/table"
+	"milldeck/internal/leaderelection/leasetable"
 )
 
 // metrics are a replica's own, on a register of its own, so that several run in one process.
@@ -71,7 +71,7 @@
 }
 
 func (c *leaseCollector) Collect(output chan<- prometheus.Metric) {
-	var leases []*table.Lease
+	var leases []*leasetable.Lease
 	c.replica.hub.Read(func(state *StateMachine) { leases = state.leases.Snapshot() })
 	now := time.Now()
 	for _, lease := range leases[:min(len(leases), maxLeaseMetrics)] {
--- a/internal/registry/outage_test.go
+++ b/internal/registry/outage_test.go
@@ -37,7 +37,7 @@
 	dir := t.TempDir()
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
 	defer cancel()
-	report, err := live.Run(ctx, experiment.Draw(0), live.Options{Sidecar: proctest.Program(t, "silverreel"), Milldeck: proctest.Program(t, "milldeck"), Dir: dir})
+	report, err := live.Run(ctx, experiment.Draw(0), live.Options{Sidecar: proctest.Program(t, "sidecar"), Milldeck: proctest.Program(t, "milldeck"), Dir: dir})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/placement_test.go
+++ b/internal/registry/placement_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"milldeck/internal/duty/table"
+	"milldeck/internal/leaderelection/leasetable"
 	"milldeck/internal/placement"
 	"milldeck/internal/registry"
 )
@@ -20,7 +20,7 @@
 // acquireLease gets a duty for as long as a test lasts.
 func (b *testEnv) acquireLease(name string) *registry.Guard {
 	b.Helper()
-	lease, err := b.client.UpdateLease(b.ctx, table.Campaign, name, registry.LeaseRequest{Candidate: "me", TTLMS: 3600_000})
+	lease, err := b.client.UpdateLease(b.ctx, leasetable.Campaign, name, registry.LeaseRequest{Candidate: "me", TTLMS: 3600_000})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -14,10 +14,10 @@
 	"github.com/cespare/xxhash/v2"
 
 	"milldeck/internal/disruption"
-	"milldeck/internal/duty/table"
+	"milldeck/internal/leaderelection/leasetable"
+	"milldeck/internal/maintenance"
 	"milldeck/internal/placement"
 	"milldeck/internal/release"
-	"milldeck/internal/window"
 )
 
 // Target is an instance in the form in which PROTOCOL's discovery lists it.
@@ -131,23 +131,23 @@
 
 // Record is one entry of the log. Fields of a later version that are not known here are skipped.
 type Record struct {
-	Op         Op               `json:"op"`
-	ID         string           `json:"id,omitempty"` // of the write: a repeat after a lost answer is not done twice
-	IfRevision *uint64          `json:"if_rev,omitempty"`
-	Instances  []Instance       `json:"instances,omitempty"`
-	Refs       []InstanceRef    `json:"refs,omitempty"`
-	State      string           `json:"state,omitempty"`
-	Suspected  bool             `json:"on,omitempty"`
-	Epoch      uint64           `json:"epoch,omitempty"`
-	Lease      *table.Operation `json:"duty,omitempty"`
-	Guard      *Guard           `json:"guard,omitempty"` // the write counts only under this duty's token
-
-	Placement *placement.Op      `json:"placement,omitempty"`
-	Release   *release.Operation `json:"release,omitempty"`
-	Window    *window.Operation  `json:"window,omitempty"`
-	Stamp     *window.Timestamp  `json:"stamp,omitempty"`
-	Ledger    *disruption.Op     `json:"ledger,omitempty"`
-	Sidecars  []Sidecar          `json:"sidecars,omitempty"`
+	Op         Op                    `json:"op"`
+	ID         string                `json:"id,omitempty"` // of the write: a repeat after a lost answer is not done twice
+	IfRevision *uint64               `json:"if_rev,omitempty"`
+	Instances  []Instance            `json:"instances,omitempty"`
+	Refs       []InstanceRef         `json:"refs,omitempty"`
+	State      string                `json:"state,omitempty"`
+	Suspected  bool                  `json:"on,omitempty"`
+	Epoch      uint64                `json:"epoch,omitempty"`
+	Lease      *leasetable.Operation `json:"duty,omitempty"`
+	Guard      *Guard                `json:"guard,omitempty"` // the write counts only under this duty's token
+
+	Placement *placement.Op          `json:"placement,omitempty"`
+	Release   *release.Operation     `json:"release,omitempty"`
+	Window    *maintenance.Operation `json:"window,omitempty"`
+	Stamp     *maintenance.Timestamp `json:"stamp,omitempty"`
+	Ledger    *disruption.Op         `json:"ledger,omitempty"`
+	Sidecars  []Sidecar              `json:"sidecars,omitempty"`
 }
 
 // recordVersion is the first byte of a record; a newer one is refused, an older one read.
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -12,10 +12,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"milldeck/internal/duty/table"
+	"milldeck/internal/leaderelection/leasetable"
+	"milldeck/internal/maintenance"
 	"milldeck/internal/placement"
 	"milldeck/internal/release"
-	"milldeck/internal/window"
 )
 
 // Bounds of what the state keeps.
@@ -60,18 +60,18 @@
 	compactedRevision uint64   // the revision of the newest change that history has lost
 	completedWrites   map[string]Result
 	writeOrder        []string // of writes, oldest first
-	leases            *table.Table
+	leases            *leasetable.Table
 	placement         *placement.Table
 	releases          *release.Table
-	windows           *window.Table
+	windows           *maintenance.Table
 	ledger            *ledger // nil until the first record about it
 }
 
 // NewStateMachine is the empty state.
 func NewStateMachine() *StateMachine {
-	state := &StateMachine{instances: map[string]*Instance{}, completedWrites: map[string]Result{}, leases: table.New(), placement: placement.NewTable(),
+	state := &StateMachine{instances: map[string]*Instance{}, completedWrites: map[string]Result{}, leases: leasetable.New(), placement: placement.NewTable(),
 		releases: release.NewTable()}
-	state.setWindowTable(window.New())
+	state.setWindowTable(maintenance.New())
 	return state
 }
 
@@ -183,14 +183,14 @@
 }
 
 // Leases is the table of duties, for reading.
-func (s *StateMachine) Leases() *table.Table { return s.leases }
+func (s *StateMachine) Leases() *leasetable.Table { return s.leases }
 
-func (s *StateMachine) applyLease(index uint64, op *table.Operation) Result {
+func (s *StateMachine) applyLease(index uint64, op *leasetable.Operation) Result {
 	if op == nil {
 		return Result{OutcomeConflict, s.leases.Rev(), "no operation"}
 	}
 	outcome, reason := s.leases.Apply(index, op)
-	outcomes := map[table.Outcome]Outcome{table.Applied: OutcomeDone, table.Stale: OutcomeConflict, table.NotFound: OutcomeNotFound, table.LimitExceeded: OutcomeLimitExceeded}
+	outcomes := map[leasetable.Outcome]Outcome{leasetable.Applied: OutcomeDone, leasetable.Stale: OutcomeConflict, leasetable.NotFound: OutcomeNotFound, leasetable.LimitExceeded: OutcomeLimitExceeded}
 	return Result{outcomes[outcome], s.leases.Rev(), reason}
 }
 
@@ -337,17 +337,17 @@
 const maxSnapshotBytes = 512 << 20
 
 type snapshot struct {
-	Revision        uint64              `json:"rev"`
-	AppliedIndex    uint64              `json:"applied"`
-	Epoch           uint64              `json:"epoch"`
-	Instances       []*Instance         `json:"instances"`
-	CompletedWrites map[string]Result   `json:"writes"`
-	WriteOrder      []string            `json:"order"`
-	Leases          []*table.Lease      `json:"duties,omitempty"`
-	Placement       *placement.Snapshot `json:"placement,omitempty"`
-	Releases        *release.Snapshot   `json:"releases,omitempty"`
-	Windows         *window.Snapshot    `json:"windows,omitempty"`
-	Ledger          *ledgerSnapshot     `json:"ledger,omitempty"`
+	Revision        uint64                `json:"rev"`
+	AppliedIndex    uint64                `json:"applied"`
+	Epoch           uint64                `json:"epoch"`
+	Instances       []*Instance           `json:"instances"`
+	CompletedWrites map[string]Result     `json:"writes"`
+	WriteOrder      []string              `json:"order"`
+	Leases          []*leasetable.Lease   `json:"duties,omitempty"`
+	Placement       *placement.Snapshot   `json:"placement,omitempty"`
+	Releases        *release.Snapshot     `json:"releases,omitempty"`
+	Windows         *maintenance.Snapshot `json:"windows,omitempty"`
+	Ledger          *ledgerSnapshot       `json:"ledger,omitempty"`
 }
 
 // WriteSnapshot writes the state. History is left out: watches that come back after a restore get the whole list.
@@ -407,10 +407,10 @@
 	if slices.Contains(contents.Leases, nil) {
 		return nil, fmt.Errorf("snapshot: an empty duty")
 	}
-	state.leases = table.FromSnapshot(contents.Leases)
+	state.leases = leasetable.FromSnapshot(contents.Leases)
 	state.placement = placement.Restore(contents.Placement, contents.Epoch)
 	state.releases = release.Restore(contents.Releases)
-	state.setWindowTable(window.Restore(contents.Windows))
+	state.setWindowTable(maintenance.Restore(contents.Windows))
 	if state.ledger, err = restoreLedger(contents.Ledger); err != nil {
 		return nil, err
 	}
--- a/internal/release/drive/controller.go
+++ b/internal/release/controller/controller.go
@@ -1,6 +1,6 @@
 // Package drive carries a release out: it looks at the list service, the platform and the sidecars' reports, has the pure
 // core decide, does what it says and writes its steps, for as long as the release's duty is held.
-package drive
+package controller
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"net/http"
 	"time"
 
-	"milldeck/internal/collect"
 	"milldeck/internal/disruption"
-	"milldeck/internal/duty"
+	"milldeck/internal/leaderelection"
+	"milldeck/internal/loadreport"
 	"milldeck/internal/placement"
 	"milldeck/internal/registry"
 	"milldeck/internal/release"
@@ -46,7 +46,7 @@
 // ReportSource is where sidecars' reports come from; collect.Collector is one.
 type ReportSource interface {
 	SetAccepting(open bool)
-	Snapshot() ([]collect.ReceivedReport, time.Duration)
+	Snapshot() ([]loadreport.ReceivedReport, time.Duration)
 }
 
 // Controller carries out the release Name. Its Work is what duty.Run calls for the duty release.Owner(Name).
@@ -89,7 +89,7 @@
 }
 
 // Run carries the release out until it is over and nothing was told it since, or ctx ends.
-func (c *Controller) Run(ctx context.Context, lease *duty.Lease) error {
+func (c *Controller) Run(ctx context.Context, lease *leaderelection.Lease) error {
 	c.Reports.SetAccepting(true)
 	defer c.Reports.SetAccepting(false)
 	term := &leaseTerm{Controller: c, guard: lease.Guard(), outcomes: map[string]supervisor.Outcome{}, deniedPermits: map[string]string{}, prepared: map[string]bool{},
--- a/internal/release/drive/controller_test.go
+++ b/internal/release/controller/controller_test.go
@@ -1,4 +1,4 @@
-package drive
+package controller
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"testing/synctest"
 	"time"
 
-	"milldeck/internal/collect"
 	"milldeck/internal/disruption"
-	"milldeck/internal/duty"
+	"milldeck/internal/leaderelection"
+	"milldeck/internal/loadreport"
 	"milldeck/internal/placement"
 	"milldeck/internal/registry"
 	"milldeck/internal/release"
@@ -111,10 +111,10 @@
 func (f *fakeCluster) SetAccepting(bool) {}
 
 // Snapshot is a report of both sidecars, who have the list as it is.
-func (f *fakeCluster) Snapshot() ([]collect.ReceivedReport, time.Duration) {
+func (f *fakeCluster) Snapshot() ([]loadreport.ReceivedReport, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var seen []collect.ReceivedReport
+	var seen []loadreport.ReceivedReport
 	for _, sidecar := range []string{"s1", "s2"} {
 		report := placement.LoadReport{Sidecar: sidecar, Zone: "a", EndpointRevision: f.revision}
 		for _, cohort := range []string{"", "r"} {
@@ -122,7 +122,7 @@
 				report.ClassCounts = append(report.ClassCounts, placement.ClassCount{Class: "c", Zone: zone, Cohort: cohort, Succeeded: 400, LatencyHistogram: []uint32{300, 60, 40}})
 			}
 		}
-		seen = append(seen, collect.ReceivedReport{LoadReport: report, ReceivedAt: time.Duration(time.Now().UnixMilli())})
+		seen = append(seen, loadreport.ReceivedReport{LoadReport: report, ReceivedAt: time.Duration(time.Now().UnixMilli())})
 	}
 	return seen, 0
 }
@@ -291,7 +291,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), limit)
 		controller := &Controller{Name: "r", Store: f, Platform: fakePlatform{f}, Reports: f, MaxRequestDuration: 2 * time.Second, Strata: 2}
 		done := make(chan error, 1)
-		go func() { done <- controller.Run(ctx, &duty.Lease{Name: release.Owner("r"), Token: token}) }()
+		go func() { done <- controller.Run(ctx, &leaderelection.Lease{Name: release.Owner("r"), Token: token}) }()
 		for ended := false; !ended; {
 			select {
 			case <-done:
--- a/internal/release/drive/process_test.go
+++ b/internal/release/controller/process_test.go
@@ -1,4 +1,4 @@
-package drive
+package controller
 
 import (
 	"context"
--- a/internal/release/plan/plan.go
+++ b/internal/release/plan/plan.go
@@ -10,7 +10,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"milldeck/internal/conf"
+	"milldeck/internal/config"
 	"milldeck/internal/disruption"
 )
 
@@ -83,7 +83,7 @@
 // Load reads and checks the plan at path.
 func Load(path string) (*Plan, error) {
 	p := &Plan{}
-	file, err := conf.Load(path, p)
+	file, err := config.Load(path, p)
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 // Parse is Load for bytes at hand; path only names them in errors.
 func Parse(path string, data []byte) (*Plan, error) {
 	p := &Plan{}
-	file, err := conf.Parse(path, data, p)
+	file, err := config.Parse(path, data, p)
 	if err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 }
 
 // validate tells the first value that cannot be.
-func (p *Plan) validate(file *conf.File) error {
+func (p *Plan) validate(file *config.File) error {
 	switch {
 	case len(p.Name) > maxNameSize || !namePattern.MatchString(p.Name):
 		return file.Errorf("name", "%q is not 1 to %d of a-z, 0-9, '.', '_', '-', beginning with a letter or digit", p.Name, maxNameSize)
@@ -158,7 +158,7 @@
 	return p.Guards.validate(file)
 }
 
-func (w *Wave) validate(file *conf.File, prefix string) error {
+func (w *Wave) validate(file *config.File, prefix string) error {
 	switch {
 	case w.Count != nil && w.Share != nil:
 		return file.Errorf(prefix+"share", "count and share: only one says what a wave takes")
@@ -174,7 +174,7 @@
 	return nil
 }
 
-func validateLimit(file *conf.File, key string, limit disruption.Limit) error {
+func validateLimit(file *config.File, key string, limit disruption.Limit) error {
 	if limit.Count != nil && *limit.Count < 1 {
 		return file.Errorf(key+".count", "%d would let nothing move", *limit.Count)
 	}
@@ -184,7 +184,7 @@
 	return nil
 }
 
-func (g *Guards) validate(file *conf.File) error {
+func (g *Guards) validate(file *config.File) error {
 	for _, guard := range []struct {
 		key   string
 		guard *float64
--- a/internal/sidecar/placement_report.go
+++ b/internal/sidecar/placement_report.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"milldeck/balance"
+	"milldeck/internal/hotkey/topk"
 	"milldeck/internal/placement"
-	"milldeck/internal/spread/summary"
 )
 
 const (
@@ -30,7 +30,7 @@
 // reportRecorder counts what the next report says. It is the loop's alone.
 type reportRecorder struct {
 	config      *Config
-	keyLoad     *summary.Sketch
+	keyLoad     *topk.Sketch
 	workByClass []meanWork // by class
 	counts      map[countKey]*placement.ClassCount
 	spanStartMS float64
@@ -46,7 +46,7 @@
 
 func newReportRecorder(config *Config, nowMS float64) *reportRecorder {
 	return &reportRecorder{
-		config: config, keyLoad: summary.New(trackedKeys, keyLoadHalfLife), workByClass: make([]meanWork, len(config.settings.Classes)),
+		config: config, keyLoad: topk.New(trackedKeys, keyLoadHalfLife), workByClass: make([]meanWork, len(config.settings.Classes)),
 		counts: map[countKey]*placement.ClassCount{}, spanStartMS: nowMS,
 	}
 }
--- a/internal/supervisor/standin/rig_test.go
+++ b/internal/supervisor/standin/rig_test.go
@@ -65,13 +65,13 @@
 const sidecarConfig = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":
 	{"classes":[{"name":"c","effect":"read_like","on_time_ms":50,"hard_limit_ms":100}]}}`
 
-// writeVersionsFile has silverreel as versions 1 and 2, and servers that are the test binary.
+// writeVersionsFile has sidecar as versions 1 and 2, and servers that are the test binary.
 func writeVersionsFile(t testing.TB) string {
 	t.Helper()
 	text := ""
 	for _, v := range []string{"1", "2"} {
 		text += fmt.Sprintf("[[version]]\nname = %q\nkind = \"sidecar\"\nargv = [%q]\nready = \"/health/ready\"\ngrace_ms = 5000\n"+
-			"env = { NODE_CONFIG = \"{config}\", NODE_LISTEN = \"{listen}\", NODE_NAME = \"{name}\" }\n", v, proctest.Program(t, "silverreel"))
+			"env = { NODE_CONFIG = \"{config}\", NODE_LISTEN = \"{listen}\", NODE_NAME = \"{name}\" }\n", v, proctest.Program(t, "sidecar"))
 	}
 	for _, mode := range []string{"good", "deaf", "loud", "crash"} {
 		text += fmt.Sprintf("[[version]]\nname = %q\nkind = \"server\"\nargv = [%q, \"{listen}\"]\nready = \"/health/ready\"\nrestarts = 2\n"+
--- a/internal/supervisor/standin/versions.go
+++ b/internal/supervisor/standin/versions.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"milldeck/internal/conf"
+	"milldeck/internal/config"
 	"milldeck/internal/supervisor"
 	"milldeck/internal/supervisor/core"
 )
@@ -42,7 +42,7 @@
 // LoadVersions reads a versions' file.
 func LoadVersions(path string) (*Versions, error) {
 	versions := &Versions{}
-	file, err := conf.Load(path, versions)
+	file, err := config.Load(path, versions)
 	if err != nil {
 		return nil, err
 	}
