--- a/internal/disruption/ledger_test.go
+++ b/internal/disruption/ledger_test.go
@@ -9,6 +9,8 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"milldeck/internal/validation"
 )
 
 func intPointer(value int) *int           { return &value }
@@ -556,7 +558,7 @@
 	return asJSON(snapshot)
 }
 
-var fieldError *FieldError
+var fieldError *validation.Error
 
 func TestOpValidate(t *testing.T) {
 	valid := Permit{ID: "p", Owner: "release/r", Units: []string{"server/a"}, Disposition: DispositionReturn}
--- a/internal/disruption/types.go
+++ b/internal/disruption/types.go
@@ -8,8 +8,6 @@
 // same operations in the same order give the same ledger on every replica, in a controller and in a simulation.
 package disruption
 
-import "fmt"
-
 // Kind says what a unit is.
 type Kind string
 
@@ -189,8 +187,3 @@
 	Observed   []Unit            `json:"seen,omitempty"`
 	Owner      string            `json:"owner,omitempty"` // the duty of who asks; "operator/NAME" for people
 }
-
-// FieldError is what is wrong with an operation: the field and why.
-type FieldError struct{ Field, Reason string }
-
-func (e *FieldError) Error() string { return fmt.Sprintf("%s: %s", e.Field, e.Reason) }
--- a/internal/disruption/validation.go
+++ b/internal/disruption/validation.go
@@ -5,6 +5,8 @@
 	"math"
 	"slices"
 	"strings"
+
+	"milldeck/internal/validation"
 )
 
 // Bounds of what the ledger keeps. Beyond them an operation is refused; nothing that counts as out is dropped to make
@@ -30,7 +32,7 @@
 func IsOperator(owner string) bool { return strings.HasPrefix(owner, operatorPrefix) }
 
 func invalid(field, format string, args ...any) error {
-	return &FieldError{field, fmt.Sprintf(format, args...)}
+	return validation.Errorf(field, format, args...)
 }
 
 func validateName(field, value string) error {
@@ -47,15 +49,6 @@
 	return nil
 }
 
-func firstError(errs ...error) error {
-	for _, err := range errs {
-		if err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
 // Validate tells which field of an operation cannot be, whatever the ledger holds. It is meant for before the log: what
 // it refuses is refused by Apply as well.
 func (op *Op) Validate() error {
@@ -64,7 +57,7 @@
 		if op.Budget == nil {
 			return invalid("budget", "it is missing")
 		}
-		return firstError(validateOperator(op), op.Budget.Validate())
+		return validation.First(validateOperator(op), op.Budget.Validate())
 	case OpRequest:
 		if op.Permit == nil {
 			return invalid("permit", "it is missing")
@@ -75,18 +68,18 @@
 			return invalid("permit", "it is missing")
 		}
 		if op.Kind == OpForceComplete {
-			return firstError(validateName("permit.id", op.Permit.ID), validateOperator(op))
+			return validation.First(validateName("permit.id", op.Permit.ID), validateOperator(op))
 		}
-		return firstError(validateName("permit.id", op.Permit.ID), validateName("owner", op.Owner), validateNames("units", op.Units, 0), op.validateSuccessors())
+		return validation.First(validateName("permit.id", op.Permit.ID), validateName("owner", op.Owner), validateNames("units", op.Units, 0), op.validateSuccessors())
 	case OpHalt, OpResume:
 		if op.Halt == nil {
 			return invalid("halt", "it is missing")
 		}
-		return firstError(validateName("owner", op.Owner), validateText("halt.scope", op.Halt.Scope), validateText("halt.why", op.Halt.Reason))
+		return validation.First(validateName("owner", op.Owner), validateText("halt.scope", op.Halt.Scope), validateText("halt.why", op.Halt.Reason))
 	case OpObserve:
 		return op.validateObserved()
 	case OpForget:
-		return firstError(validateOperator(op), validateNames("units", op.Units, 1))
+		return validation.First(validateOperator(op), validateNames("units", op.Units, 1))
 	default:
 		return invalid("kind", "%q is no operation", op.Kind)
 	}
@@ -136,7 +129,7 @@
 }
 
 func (p *Permit) validate(owner string) error {
-	err := firstError(validateName("permit.id", p.ID), validateName("permit.owner", p.Owner), validateText("permit.purpose", p.Purpose), validateNames("permit.units", p.Units, 1))
+	err := validation.First(validateName("permit.id", p.ID), validateName("permit.owner", p.Owner), validateText("permit.purpose", p.Purpose), validateNames("permit.units", p.Units, 1))
 	switch {
 	case err != nil:
 		return err
--- a/internal/placement/validation.go
+++ b/internal/placement/validation.go
@@ -1,10 +1,11 @@
 package placement
 
 import (
-	"fmt"
 	"strings"
 	"unicode"
 	"unicode/utf8"
+
+	"milldeck/internal/validation"
 )
 
 // Bounds of what a placement may hold. A line with all of it, or with the most that is told as a change, is under
@@ -26,13 +27,8 @@
 	MaxClockSkewMS = 5000
 )
 
-// FieldError is what is wrong with an operation, an entry or a report: the field and why.
-type FieldError struct{ Field, Reason string }
-
-func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
-
 func invalid(field, format string, args ...any) error {
-	return &FieldError{field, fmt.Sprintf(format, args...)}
+	return validation.Errorf(field, format, args...)
 }
 
 // kindByIDPrefix is the kind that entries have whose ID begins with the part.
