--- a/cmd/milldeck/benchmark.go
+++ b/cmd/milldeck/benchmark.go
@@ -24,10 +24,10 @@
 func (b benchmark) command() *cobra.Command {
 	var path string
 	var full bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "bench", Short: b.short, Long: b.long + "\n\n" + exitHelp, Args: exactly(0),
-		RunE: func(c *cobra.Command, _ []string) error {
-			self, err := os.Executable()
+		RunE: func(command *cobra.Command, _ []string) error {
+			program, err := os.Executable()
 			if err != nil {
 				return err
 			}
@@ -35,25 +35,25 @@
 			if err != nil {
 				return err
 			}
-			defer os.RemoveAll(dir)
-			r, err := b.run(c.Context(), full, self, dir, func(line string) { fmt.Fprintln(c.ErrOrStderr(), line) })
+			defer func() { _ = os.RemoveAll(dir) }() // a temporary directory that stays is no failure of the benchmark
+			result, err := b.run(command.Context(), full, program, dir, func(line string) { fmt.Fprintln(command.ErrOrStderr(), line) })
 			if err != nil {
 				return err
 			}
 			if path != "" {
-				if err := writeJSON(c.OutOrStdout(), path, r); err != nil {
+				if err := writeJSON(command.OutOrStdout(), path, result); err != nil {
 					return err
 				}
 			}
 			if path != "-" {
-				if err := r.table(c.OutOrStdout()); err != nil {
+				if err := result.table(command.OutOrStdout()); err != nil {
 					return err
 				}
 			}
-			return r.verdict()
+			return result.verdict()
 		},
 	}
-	c.Flags().StringVar(&path, "json", "", "write the result to this file as JSON (- for standard output)")
-	c.Flags().BoolVar(&full, "full", false, b.full)
-	return c
+	command.Flags().StringVar(&path, "json", "", "write the result to this file as JSON (- for standard output)")
+	command.Flags().BoolVar(&full, "full", false, b.full)
+	return command
 }
--- a/cmd/milldeck/lab.go
+++ b/cmd/milldeck/lab.go
@@ -18,48 +18,48 @@
 )
 
 func newLab() *cobra.Command {
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "lab",
 		Short: "Tries a fleet out on this machine: load, faults, a judge and reports",
 		Long: "lab plays experiments: a fleet of sidecars and servers under load, with scheduled faults, watched by a judge.\n" +
 			"An experiment is a TOML file, as those in experiments/; docs/lab.md tells its keys and the faults there are.\n\n" + exitHelp,
 		Args: exactly(0),
-		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
+		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
-	c.AddCommand(newLabSim(), newLabRun(), newLabCompare(), newLabSweep(), newLabDiff(), newLabFaults(), newLabServer())
-	return c
+	command.AddCommand(newLabSim(), newLabRun(), newLabCompare(), newLabSweep(), newLabDiff(), newLabFaults(), newLabServer())
+	return command
 }
 
-// outputs are the flags of where results go.
-type outputs struct {
-	json, report string
+// outputFlags say where results go.
+type outputFlags struct {
+	jsonPath, reportDir string
 }
 
-func (o *outputs) flags(c *cobra.Command) {
-	c.Flags().StringVar(&o.json, "json", "", "write the result to this file as JSON (- for standard output)")
-	c.Flags().StringVar(&o.report, "report", "", "write a report with plots to this folder")
+func (o *outputFlags) register(command *cobra.Command) {
+	command.Flags().StringVar(&o.jsonPath, "json", "", "write the result to this file as JSON (- for standard output)")
+	command.Flags().StringVar(&o.reportDir, "report", "", "write a report with plots to this folder")
 }
 
 // write puts a result where the flags say, and its table on standard output unless the JSON goes there.
-func (o *outputs) write(c *cobra.Command, r *lab.Result) error {
-	if o.json != "-" {
-		if err := report.Table(c.OutOrStdout(), r); err != nil {
+func (o *outputFlags) write(command *cobra.Command, result *lab.Result) error {
+	if o.jsonPath != "-" {
+		if err := report.Table(command.OutOrStdout(), result); err != nil {
 			return err
 		}
 	}
-	if o.json != "" {
-		if err := writeJSON(c.OutOrStdout(), o.json, r); err != nil {
+	if o.jsonPath != "" {
+		if err := writeJSON(command.OutOrStdout(), o.jsonPath, result); err != nil {
 			return err
 		}
 	}
-	if o.report != "" {
-		return report.Write(o.report, r)
+	if o.reportDir != "" {
+		return report.Write(o.reportDir, result)
 	}
 	return nil
 }
 
-func writeJSON(out io.Writer, path string, v any) error {
-	data, err := json.MarshalIndent(v, "", " ")
+func writeJSON(out io.Writer, path string, value any) error {
+	data, err := json.MarshalIndent(value, "", " ")
 	if err != nil {
 		return err
 	}
@@ -72,154 +72,187 @@
 }
 
 // verdict is the error of a run whose sidecars broke rules.
-func verdict(r *lab.Result) error {
-	if r.BrokenRules > 0 {
-		return fmt.Errorf("%s, seed %d: %d rule(s) broken (%s)", r.Name, r.Seed, r.BrokenRules, strings.Join(ruleNames(r), ", "))
+func verdict(result *lab.Result) error {
+	if result.BrokenRules > 0 {
+		return fmt.Errorf("%s, seed %d: %d rule(s) broken (%s)", result.Name, result.Seed, result.BrokenRules, strings.Join(ruleNames(result), ", "))
 	}
-	if r.Overloaded {
+	if result.Overloaded {
 		return fmt.Errorf("%s: this machine cannot play the load: it was %.0f ms late (99th percentile) and sent %d requests too late; the sidecars are not judged",
-			r.Name, r.Lateness, r.LabLate)
+			result.Name, result.Lateness, result.LabLate)
 	}
-	if r.Cut {
+	if result.Cut {
 		return errors.New("cut short")
 	}
 	return nil
 }
 
 // ruleNames are the rules that a run broke, of those that count.
-func ruleNames(r *lab.Result) []string {
+func ruleNames(result *lab.Result) []string {
 	rules := lab.Rules
-	if r.Overloaded {
+	if result.Overloaded {
 		rules = lab.ControlRules
 	}
 	var names []string
 	for _, rule := range rules {
-		if r.RuleCounts[rule] > 0 {
+		if result.RuleCounts[rule] > 0 {
 			names = append(names, string(rule))
 		}
 	}
 	return names
 }
 
-// draws are the flags of how an experiment is drawn.
-type draws struct {
+// planFlags are the flags of how an experiment is drawn.
+type planFlags struct {
 	seed    uint64
 	without []string
-	spreadFlags
+	hotKeyFlags
 }
 
-func (d *draws) flags(c *cobra.Command) {
-	c.Flags().Uint64Var(&d.seed, "seed", 0, "draw the experiment from this seed in place of the file's")
-	c.Flags().StringSliceVar(&d.without, "without", nil, "leave out faults of these kinds")
-	d.spreadFlags.flags(c)
+func (f *planFlags) register(command *cobra.Command) {
+	command.Flags().Uint64Var(&f.seed, "seed", 0, "draw the experiment from this seed in place of the file's")
+	command.Flags().StringSliceVar(&f.without, "without", nil, "leave out faults of these kinds")
+	f.hotKeyFlags.register(command)
 }
 
 // plan reads an experiment and draws its plan.
-func (d *draws) plan(path string) (*lab.Plan, error) {
-	f, err := lab.Load(path)
+func (f *planFlags) plan(path string) (*lab.Plan, error) {
+	experiment, err := lab.Load(path)
 	if err != nil {
 		return nil, err
 	}
-	for _, kind := range d.without {
+	for _, kind := range f.without {
 		if !slices.Contains(lab.FaultKinds(), kind) {
 			return nil, usageError{fmt.Errorf("--without %s: there are %s", kind, strings.Join(lab.FaultKinds(), ", "))}
 		}
-		f.Faults = slices.DeleteFunc(f.Faults, func(ft lab.FaultFile) bool { return ft.Kind == kind })
+		experiment.Faults = slices.DeleteFunc(experiment.Faults, func(fault lab.FaultFile) bool { return fault.Kind == kind })
 	}
-	if f, err = d.of(f); err != nil {
+	if experiment, err = f.apply(experiment); err != nil {
 		return nil, err
 	}
-	return f.Draw(d.seed), nil
+	return experiment.Draw(f.seed), nil
+}
+
+// simCommand is `milldeck lab sim`.
+type simCommand struct {
+	planning     planFlags
+	output       outputFlags
+	controlPlane controlPlaneFlags
+	policy       string
+	workers      int
 }
 
 func newLabSim() *cobra.Command {
-	var out outputs
-	var d draws
-	var policy string
-	var workers int
-	var nights nightFlags
-	c := &cobra.Command{
+	var simulation simCommand
+	command := &cobra.Command{
 		Use:   "sim FILE",
 		Short: "Plays an experiment on a virtual clock, without sockets",
 		Long: "sim plays an experiment on a virtual clock: the decision module itself, a model of the servers and clients, and\n" +
 			"no sockets. The same file and seed give the same bytes, whatever the number of workers. An experiment with a\n" +
-			"control plane is a night of that, without requests, unless --policy is given; docs/control-plane-simulation.md has more.\n\n" + exitHelp,
+			"control plane is a simulation of that, without requests, unless --policy is given;\n" +
+			"docs/control-plane-simulation.md has more.\n\n" + exitHelp,
 		Example: "  milldeck lab sim experiments/fleet.toml --seed 3 --json out.json\n  milldeck lab sim experiments/fleet.toml --policy all",
 		Args:    exactly(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			p, err := d.plan(args[0])
-			if err != nil {
-				return err
-			}
-			if p.File.Controlled() && !c.Flags().Changed("policy") {
-				return nights.play(c, p, &out, workers)
-			}
-			names := []string{policy}
-			if policy == "all" {
-				names = sim.Policies()
-			} else if !slices.Contains(sim.Policies(), policy) {
-				return usageError{fmt.Errorf("--policy %s: not all, %s", policy, strings.Join(sim.Policies(), ", "))}
-			}
-			var runs []*lab.Result
-			for _, name := range names {
-				r, stats, err := sim.Run(c.Context(), p, sim.Options{Policy: name, Workers: workers, Progress: simProgress(c, name)})
-				if err != nil {
-					return err
-				}
-				slog.Info("played", "policy", name, "events", stats.Events, "seconds", stats.Elapsed.Seconds(),
-					"events_a_second", int(float64(stats.Events)/stats.Elapsed.Seconds()))
-				runs = append(runs, r)
-			}
-			if len(runs) == 1 {
-				if err := out.write(c, runs[0]); err != nil {
-					return err
-				}
-				if policy != sim.Module {
-					return nil // what a baseline breaks is its finding
-				}
-				return verdict(runs[0])
-			}
-			if out.json != "" {
-				if err := writeJSON(c.OutOrStdout(), out.json, runs); err != nil {
-					return err
-				}
-			}
-			if out.report != "" {
-				if err := report.Write(out.report, runs[0]); err != nil {
-					return err
-				}
-			}
-			if out.json == "-" {
-				return nil
-			}
-			return report.Compare(c.OutOrStdout(), runs)
-		},
-	}
-	out.flags(c)
-	d.flags(c)
-	c.Flags().StringVar(&policy, "policy", sim.Module, "what decides: "+strings.Join(sim.Policies(), ", ")+", or all of them side by side")
-	nights.flags(c)
-	c.Flags().IntVar(&workers, "workers", 0, "sidecars that decide at a time (default: one for each core); the result is the same")
-	return c
-}
-
-func simProgress(c *cobra.Command, name string) func(float64) {
-	if !isTerminal(c.ErrOrStderr()) {
+		RunE:    simulation.run,
+	}
+	simulation.register(command)
+	return command
+}
+
+func (s *simCommand) register(command *cobra.Command) {
+	s.output.register(command)
+	s.planning.register(command)
+	command.Flags().StringVar(&s.policy, "policy", sim.Module, "what decides: "+strings.Join(sim.Policies(), ", ")+", or all of them side by side")
+	s.controlPlane.register(command)
+	command.Flags().IntVar(&s.workers, "workers", 0, "sidecars that decide at a time (default: one for each core); the result is the same")
+}
+
+// run plays the experiment that the arguments name: as a simulation of its control plane, or with one or all policies.
+func (s *simCommand) run(command *cobra.Command, args []string) error {
+	plan, err := s.planning.plan(args[0])
+	if err != nil {
+		return err
+	}
+	if plan.File.Controlled() && !command.Flags().Changed("policy") {
+		return s.controlPlane.play(command, plan, &s.output, s.workers)
+	}
+	policies := []string{s.policy}
+	if s.policy == "all" {
+		policies = sim.Policies()
+	} else if !slices.Contains(sim.Policies(), s.policy) {
+		return usageError{fmt.Errorf("--policy %s: not all, %s", s.policy, strings.Join(sim.Policies(), ", "))}
+	}
+	results, err := s.play(command, plan, policies)
+	if err != nil {
+		return err
+	}
+	if len(results) == 1 {
+		return s.finishOne(command, results[0])
+	}
+	return s.finishComparison(command, results)
+}
+
+// play plays the plan once with each policy.
+func (s *simCommand) play(command *cobra.Command, plan *lab.Plan, policies []string) ([]*lab.Result, error) {
+	var results []*lab.Result
+	for _, policy := range policies {
+		options := sim.Options{Policy: policy, Workers: s.workers, Progress: simProgress(command, policy)}
+		result, stats, err := sim.Run(command.Context(), plan, options)
+		if err != nil {
+			return nil, err
+		}
+		slog.Info("played", "policy", policy, "events", stats.Events, "seconds", stats.Elapsed.Seconds(),
+			"events_a_second", int(float64(stats.Events)/stats.Elapsed.Seconds()))
+		results = append(results, result)
+	}
+	return results, nil
+}
+
+// finishOne writes a single result. Rules that a baseline policy breaks are its finding, no error.
+func (s *simCommand) finishOne(command *cobra.Command, result *lab.Result) error {
+	if err := s.output.write(command, result); err != nil {
+		return err
+	}
+	if s.policy != sim.Module {
+		return nil
+	}
+	return verdict(result)
+}
+
+// finishComparison writes the results of several policies side by side.
+func (s *simCommand) finishComparison(command *cobra.Command, results []*lab.Result) error {
+	if s.output.jsonPath != "" {
+		if err := writeJSON(command.OutOrStdout(), s.output.jsonPath, results); err != nil {
+			return err
+		}
+	}
+	if s.output.reportDir != "" {
+		if err := report.Write(s.output.reportDir, results[0]); err != nil {
+			return err
+		}
+	}
+	if s.output.jsonPath == "-" {
+		return nil
+	}
+	return report.Compare(command.OutOrStdout(), results)
+}
+
+func simProgress(command *cobra.Command, name string) func(float64) {
+	if !isTerminal(command.ErrOrStderr()) {
 		return nil
 	}
 	return func(done float64) {
-		fmt.Fprintf(c.ErrOrStderr(), "\r%s %3.0f%%", name, 100*done)
+		fmt.Fprintf(command.ErrOrStderr(), "\r%s %3.0f%%", name, 100*done)
 		if done >= 1 {
-			fmt.Fprint(c.ErrOrStderr(), "\r\x1b[K")
+			fmt.Fprint(command.ErrOrStderr(), "\r\x1b[K")
 		}
 	}
 }
 
 func isTerminal(w io.Writer) bool {
-	f, is := w.(*os.File)
-	if !is {
+	file, ok := w.(*os.File)
+	if !ok {
 		return false
 	}
-	info, err := f.Stat()
+	info, err := file.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
--- /dev/null
+++ b/cmd/milldeck/lab_controlplane.go
@@ -0,0 +1,118 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"runtime"
+	"strconv"
+	"strings"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+
+	"milldeck/internal/lab"
+	"milldeck/internal/lab/controlplane"
+	"milldeck/internal/lab/controlplane/batch"
+)
+
+// controlPlaneFlags say which simulations of the control plane are played.
+type controlPlaneFlags struct {
+	seeds             string
+	sidecars, servers int
+	releases          int
+}
+
+func (f *controlPlaneFlags) register(command *cobra.Command) {
+	command.Flags().StringVar(&f.seeds, "seeds", "", "with a control plane: play the nights of these seeds, as 1-300 (default: the file's or --seed)")
+	command.Flags().IntVar(&f.sidecars, "sidecars", 1000, "with a control plane: sidecars of the fleet, 16 to 10,000")
+	command.Flags().IntVar(&f.servers, "servers", 2000, "with a control plane: servers of the fleet, 160 to 10,000")
+	command.Flags().IntVar(&f.releases, "releases", 0, "with a control plane: also play so many releases of harmful and of healthy versions")
+}
+
+// play plays the simulations and writes their figures; a broken rule is an error.
+func (f *controlPlaneFlags) play(command *cobra.Command, plan *lab.Plan, output *outputFlags, workers int) error {
+	firstSeed, lastSeed, err := f.seedRange(plan.Seed)
+	if err != nil {
+		return err
+	}
+	if f.sidecars < 16 || f.sidecars > 10_000 || f.servers < 160 || f.servers > 10_000 || f.releases < 0 || f.releases > 10_000 {
+		return usageError{fmt.Errorf("%d sidecars, %d servers, %d releases: beyond what can be played", f.sidecars, f.servers, f.releases)}
+	}
+	if workers <= 0 {
+		workers = runtime.GOMAXPROCS(0)
+	}
+	result, err := batch.Run(command.Context(), plan.File.Name, firstSeed, lastSeed, f.releases, controlplane.Options{Sidecars: f.sidecars, Servers: f.servers}, workers)
+	if err != nil {
+		return err
+	}
+	if output.jsonPath != "-" {
+		if err := writeControlPlaneTable(command.OutOrStdout(), result); err != nil {
+			return err
+		}
+	}
+	if output.jsonPath != "" {
+		if err := writeJSON(command.OutOrStdout(), output.jsonPath, result); err != nil {
+			return err
+		}
+	}
+	if figures := result.Figures; figures.BrokenRules+figures.ReleaseRules > 0 {
+		return fmt.Errorf("%s: %d rule(s) broken, in the nights of seeds %v", result.Name, figures.BrokenRules+figures.ReleaseRules, figures.BrokenNights)
+	}
+	return nil
+}
+
+// maxSimulations bounds one call.
+const maxSimulations = 100_000
+
+// seedRange gives the first and last seed of --seeds, or the plan's own.
+func (f *controlPlaneFlags) seedRange(seed uint64) (first, last uint64, err error) {
+	if f.seeds == "" {
+		return seed, seed, nil
+	}
+	from, to, isRange := strings.Cut(f.seeds, "-")
+	if !isRange {
+		to = from
+	}
+	first, err = strconv.ParseUint(from, 10, 63)
+	if err == nil {
+		last, err = strconv.ParseUint(to, 10, 63)
+	}
+	if err != nil || last < first || last-first >= maxSimulations {
+		return 0, 0, usageError{fmt.Errorf("--seeds %s: not A-B with A at most B and at most %d seeds", f.seeds, maxSimulations)}
+	}
+	return first, last, nil
+}
+
+// maxListedViolations of a simulation are shown.
+const maxListedViolations = 3
+
+func writeControlPlaneTable(w io.Writer, result *batch.Result) error {
+	figures := &result.Figures
+	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	row := func(name, format string, args ...any) {
+		fmt.Fprintf(table, "%s\t%s\n", name, fmt.Sprintf(format, args...))
+	}
+	row(result.Name, "%d nights of the control plane, %.0f s in all, %d writes", figures.Nights, figures.Seconds, figures.Writes)
+	row("rules broken", "%d", figures.BrokenRules+figures.ReleaseRules)
+	row("kept off", "%.0f s by all sidecars, %.3f s outside approved hours", figures.KeptS, figures.OutsideS)
+	row("windows", "%.4f of %d that could fit were held", figures.HeldShare, figures.Fit)
+	if figures.Harmful > 0 {
+		row("harmful versions", "%.4f of %d stopped under a tenth of the fleet", figures.Early, figures.Harmful)
+		row("healthy versions", "%.4f of %d halted", figures.FalseHalts, figures.Healthy)
+		row("way back", "%.2f of the time forward, median %.2f", figures.WayBack, figures.WayBackMid)
+	}
+	for _, simulation := range result.Nights {
+		for i, violation := range simulation.First {
+			if i == maxListedViolations {
+				break
+			}
+			row("broken", "seed %d at %.1f s: %s: %s", simulation.Seed, violation.AtS, violation.Rule, violation.What)
+		}
+		if simulation.Broken > 0 && len(result.Nights) == 1 {
+			for _, fault := range simulation.Faults {
+				row("fault", "%s", fault)
+			}
+		}
+	}
+	return table.Flush()
+}
--- /dev/null
+++ b/cmd/milldeck/lab_hotkey.go
@@ -0,0 +1,47 @@
+package main
+
+import (
+	"fmt"
+
+	"github.com/spf13/cobra"
+
+	"milldeck/internal/lab"
+)
+
+// hotKeyFlags play an experiment with another hot-key controller, or without its hot keys.
+type hotKeyFlags struct {
+	controller     string
+	withoutHotKeys bool
+}
+
+func (f *hotKeyFlags) register(command *cobra.Command) {
+	command.Flags().StringVar(&f.controller, "spread", "", "in sim, who spreads hot keys in place of what the file says: on, off or oracle")
+	command.Flags().BoolVar(&f.withoutHotKeys, "calm", false, "leave out phases of hot keys")
+}
+
+// apply gives the experiment as the flags change it.
+func (f *hotKeyFlags) apply(experiment *lab.File) (*lab.File, error) {
+	if f.withoutHotKeys {
+		experiment = experiment.Calm()
+	}
+	if f.controller == "" {
+		return experiment, nil
+	}
+	if experiment.Spread == nil {
+		return nil, usageError{fmt.Errorf("--spread: %s has no [spread]", experiment.Name)}
+	}
+	changed, hotKeys := *experiment, *experiment.Spread
+	changed.Spread = &hotKeys
+	switch f.controller {
+	case "on", "off", "oracle":
+		hotKeys.On, hotKeys.Oracle = f.controller == "on", f.controller == "oracle"
+	default:
+		return nil, usageError{fmt.Errorf("--spread %s: not on, off or oracle", f.controller)}
+	}
+	for i := range changed.Faults {
+		if !hotKeys.On && lab.OfSpreader(lab.FaultKind(changed.Faults[i].Kind)) {
+			return nil, usageError{fmt.Errorf("--spread %s: %s needs the spreader", f.controller, changed.Faults[i].Kind)}
+		}
+	}
+	return &changed, nil
+}
--- /dev/null
+++ b/cmd/milldeck/lab_run.go
@@ -0,0 +1,160 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"milldeck/internal/lab"
+	"milldeck/internal/lab/live"
+	"milldeck/internal/lab/report"
+	"milldeck/internal/lab/sim"
+)
+
+// liveFlags are the flags of commands that start real processes.
+type liveFlags struct {
+	sidecarPath, logDir string
+}
+
+func (f *liveFlags) register(command *cobra.Command) {
+	command.Flags().StringVar(&f.sidecarPath, "sidecar", "", "the sidecar's program (default: sidecar beside this program)")
+	command.Flags().StringVar(&f.logDir, "logs", "", "keep configurations and logs in this folder (default: a temporary one, kept after a failure)")
+}
+
+// play plays a plan with real processes.
+func (f *liveFlags) play(ctx context.Context, plan *lab.Plan, progress func(live.Progress)) (*lab.Result, error) {
+	if plan.File.Spread != nil {
+		return nil, usageError{errors.New("[spread] is played by lab sim alone")}
+	}
+	self, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	path := f.sidecarPath
+	if path == "" {
+		path = filepath.Join(filepath.Dir(self), "sidecar")
+	}
+	if _, err := os.Stat(path); err != nil {
+		return nil, usageError{fmt.Errorf("the sidecar's program: %w", err)}
+	}
+	dir := f.logDir
+	if dir == "" {
+		if dir, err = os.MkdirTemp("", "milldeck-lab-"); err != nil {
+			return nil, err
+		}
+	} else if err := os.MkdirAll(dir, 0o755); err != nil {
+		return nil, err
+	}
+	result, err := live.Run(ctx, plan, live.Options{Sidecar: path, Milldeck: self, Dir: dir, Progress: progress})
+	if err != nil {
+		return nil, fmt.Errorf("%w (logs in %s)", err, dir)
+	}
+	if f.logDir == "" && result.BrokenRules == 0 {
+		return result, os.RemoveAll(dir)
+	}
+	slog.Info("logs kept", "folder", dir)
+	return result, nil
+}
+
+// runProgress shows how a run goes: one line that changes on a terminal, plain lines when piped.
+func runProgress(w io.Writer) func(live.Progress) {
+	terminal := isTerminal(w)
+	return func(progress live.Progress) {
+		faults := "no fault"
+		if len(progress.Faults) > 0 {
+			faults = strings.Join(progress.Faults, ", ")
+		}
+		line := fmt.Sprintf("%5.1f s  %3.0f%%  %6d requests  %6.2f%% served in time  %s", progress.AtS, 100*progress.Done, progress.Requests, 100*progress.Served, faults)
+		if terminal {
+			fmt.Fprintf(w, "\r\x1b[K%s", line)
+			if progress.Done >= 1 {
+				fmt.Fprintln(w)
+			}
+			return
+		}
+		fmt.Fprintln(w, line)
+	}
+}
+
+func newLabRun() *cobra.Command {
+	var output outputFlags
+	var processes liveFlags
+	var planning planFlags
+	command := &cobra.Command{
+		Use:   "run FILE",
+		Short: "Plays an experiment with real sidecar processes and sockets",
+		Long: "run plays an experiment with real sidecar processes on loopback addresses, in real time. It takes as long as\n" +
+			"the experiment says and a few seconds more. An interrupt ends all children and still writes the result.\n\n" + exitHelp,
+		Example: "  milldeck lab run experiments/quickstart.toml --report out",
+		Args:    exactly(1),
+		RunE: func(command *cobra.Command, args []string) error {
+			plan, err := planning.plan(args[0])
+			if err != nil {
+				return err
+			}
+			result, err := processes.play(command.Context(), plan, runProgress(command.ErrOrStderr()))
+			if err != nil {
+				return err
+			}
+			if err := output.write(command, result); err != nil {
+				return err
+			}
+			return verdict(result)
+		},
+	}
+	output.register(command)
+	processes.register(command)
+	planning.register(command)
+	return command
+}
+
+func newLabCompare() *cobra.Command {
+	var processes liveFlags
+	var planning planFlags
+	var path string
+	command := &cobra.Command{
+		Use:   "compare FILE",
+		Short: "Plays an experiment both ways and tells how far apart they are",
+		Long:  "compare plays an experiment in sim and in run, from the same plan, and prints both with their difference.\n\n" + exitHelp,
+		Args:  exactly(1),
+		RunE: func(command *cobra.Command, args []string) error {
+			plan, err := planning.plan(args[0])
+			if err != nil {
+				return err
+			}
+			simulated, _, err := sim.Run(command.Context(), plan, sim.Options{})
+			if err != nil {
+				return err
+			}
+			measured, err := processes.play(command.Context(), plan, runProgress(command.ErrOrStderr()))
+			if err != nil {
+				return err
+			}
+			if path != "" {
+				if err := writeJSON(command.OutOrStdout(), path, []*lab.Result{simulated, measured}); err != nil || path == "-" {
+					return err
+				}
+			}
+			if err := report.Compare(command.OutOrStdout(), []*lab.Result{simulated, measured}); err != nil {
+				return err
+			}
+			differences, pairs, err := report.Diff([]*lab.Result{simulated}, []*lab.Result{measured})
+			if err != nil {
+				return err
+			}
+			fmt.Fprintln(command.OutOrStdout(), "\nA is sim, B is run:")
+			return report.WriteDiff(command.OutOrStdout(), differences, pairs)
+		},
+	}
+	processes.register(command)
+	planning.register(command)
+	command.Flags().StringVar(&path, "json", "", "write both results to this file as a JSON array (- for standard output)")
+	return command
+}
--- /dev/null
+++ b/cmd/milldeck/lab_sweep.go
@@ -0,0 +1,298 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"milldeck/internal/lab"
+	"milldeck/internal/lab/report"
+	"milldeck/internal/lab/sim"
+)
+
+// seedFlags are the flags of commands that play many seeds, in either mode.
+type seedFlags struct {
+	liveFlags
+	hotKeyFlags
+	seeds, mode, policy string
+}
+
+func (f *seedFlags) register(command *cobra.Command) {
+	f.liveFlags.register(command)
+	f.hotKeyFlags.register(command)
+	command.Flags().StringVar(&f.seeds, "seeds", "1-10", "seeds, as 1-20 or 3,5,8")
+	command.Flags().StringVar(&f.mode, "mode", "sim", "sim or run")
+	command.Flags().StringVar(&f.policy, "policy", sim.Module, "in sim, what decides")
+}
+
+// player plays one plan.
+type player func(context.Context, *lab.Plan) (*lab.Result, error)
+
+// parse gives the experiment, the seeds and what plays them.
+func (f *seedFlags) parse(path string) (*lab.File, []uint64, player, error) {
+	seeds, err := parseSeeds(f.seeds)
+	if err != nil {
+		return nil, nil, nil, usageError{err}
+	}
+	var play player
+	switch {
+	case !slices.Contains(sim.Policies(), f.policy):
+		return nil, nil, nil, usageError{fmt.Errorf("--policy %s: not %s", f.policy, strings.Join(sim.Policies(), ", "))}
+	case f.mode == "run":
+		play = func(ctx context.Context, plan *lab.Plan) (*lab.Result, error) { return f.play(ctx, plan, nil) }
+	case f.mode == "sim":
+		play = func(ctx context.Context, plan *lab.Plan) (*lab.Result, error) {
+			result, _, err := sim.Run(ctx, plan, sim.Options{Policy: f.policy})
+			return result, err
+		}
+	default:
+		return nil, nil, nil, usageError{fmt.Errorf("--mode %s: not sim or run", f.mode)}
+	}
+	experiment, err := lab.Load(path)
+	if err == nil {
+		experiment, err = f.apply(experiment)
+	}
+	return experiment, seeds, play, err
+}
+
+func newLabSweep() *cobra.Command {
+	var flags seedFlags
+	var path string
+	command := &cobra.Command{
+		Use:   "sweep FILE",
+		Short: "Plays an experiment on many seeds",
+		Long: "sweep plays an experiment on many seeds and shows the worst one. Results go to a file, one JSON object a line;\n" +
+			"a sweep that was cut off goes on where the file ends.\n\n" + exitHelp,
+		Example: "  milldeck lab sweep experiments/fleet.toml --seeds 1-20 --json sweep.jsonl",
+		Args:    exactly(1),
+		RunE: func(command *cobra.Command, args []string) error {
+			experiment, seeds, play, err := flags.parse(args[0])
+			if err != nil {
+				return err
+			}
+			sweep := seedSweep{experiment: experiment, path: path, output: command.OutOrStdout(), play: play}
+			return sweep.run(command.Context(), seeds)
+		},
+	}
+	flags.register(command)
+	command.Flags().StringVar(&path, "json", "", "file of results, one a line; seeds that it has are not played again")
+	return command
+}
+
+// maxSeeds bounds one sweep.
+const maxSeeds = 100_000
+
+func parseSeeds(text string) ([]uint64, error) {
+	var seeds []uint64
+	for part := range strings.SplitSeq(text, ",") {
+		from, to, ranged := strings.Cut(part, "-")
+		first, err := strconv.ParseUint(from, 10, 63)
+		last := first
+		if err == nil && ranged {
+			last, err = strconv.ParseUint(to, 10, 63)
+		}
+		if err != nil || first == 0 || last < first || last-first >= maxSeeds {
+			return nil, fmt.Errorf("--seeds %s: wanted as 1-20 or 3,5,8, from 1 on", text)
+		}
+		for seed := first; seed <= last; seed++ {
+			seeds = append(seeds, seed)
+		}
+	}
+	return seeds, nil
+}
+
+// seedSweep plays one experiment on many seeds.
+type seedSweep struct {
+	experiment *lab.File
+	path       string
+	output     io.Writer
+	play       player
+}
+
+func (s *seedSweep) run(ctx context.Context, seeds []uint64) error {
+	known := map[uint64]*lab.Result{}
+	var resultFile *os.File
+	if s.path != "" {
+		var err error
+		if resultFile, err = s.resume(known); err != nil {
+			return err
+		}
+		defer resultFile.Close()
+	}
+	var worst *lab.Result
+	broken, sum := 0, 0.0
+	for i, seed := range seeds {
+		result, reused := known[seed]
+		started := time.Now()
+		if !reused {
+			var err error
+			if result, err = s.play(ctx, s.experiment.Draw(seed)); err != nil {
+				return fmt.Errorf("seed %d: %w", seed, err)
+			}
+			if ctx.Err() != nil {
+				return fmt.Errorf("cut short after %d of %d seeds; the same command goes on from there", i, len(seeds))
+			}
+			if resultFile != nil {
+				if err := json.NewEncoder(resultFile).Encode(result); err != nil {
+					return err
+				}
+			}
+		}
+		note := fmt.Sprintf("%.1f s", time.Since(started).Seconds())
+		if reused {
+			note = "from the file"
+		}
+		fmt.Fprintf(s.output, "%4d/%d  seed %-6d  worth %.4f  p99 %8.1f ms  lost %4d  rules broken %d  (%s)\n",
+			i+1, len(seeds), seed, result.WorthShare, result.P99, result.Lost, result.BrokenRules, note)
+		if worst == nil || result.BrokenRules > worst.BrokenRules || result.BrokenRules == worst.BrokenRules && result.WorthShare < worst.WorthShare {
+			worst = result
+		}
+		broken += result.BrokenRules
+		sum += result.WorthShare
+	}
+	fmt.Fprintf(s.output, "worth served %.4f in the mean; worst seed %d: worth %.4f, %d rule(s) broken\n",
+		sum/float64(len(seeds)), worst.Seed, worst.WorthShare, worst.BrokenRules)
+	if broken > 0 {
+		return fmt.Errorf("%s: %d rule(s) broken", s.experiment.Name, broken)
+	}
+	return nil
+}
+
+// resume reads what an earlier sweep found and opens the file for more. A torn last line is taken off.
+func (s *seedSweep) resume(known map[uint64]*lab.Result) (*os.File, error) {
+	resultFile, err := os.OpenFile(s.path, os.O_RDWR|os.O_CREATE, 0o644)
+	if err != nil {
+		return nil, err
+	}
+	data, err := io.ReadAll(resultFile)
+	complete := int64(strings.LastIndexByte(string(data), '\n') + 1)
+	if err == nil {
+		err = resultFile.Truncate(complete)
+	}
+	if err == nil {
+		_, err = resultFile.Seek(complete, io.SeekStart)
+	}
+	if err == nil && complete > 0 {
+		var earlier []*lab.Result
+		if earlier, err = report.Read(s.path); err == nil {
+			for _, result := range earlier {
+				if result.Name != s.experiment.Name {
+					err = usageError{fmt.Errorf("%s holds results of %s, not of %s", s.path, result.Name, s.experiment.Name)}
+				}
+				known[result.Seed] = result
+			}
+		}
+	}
+	if err != nil {
+		resultFile.Close()
+		return nil, err
+	}
+	return resultFile, nil
+}
+
+func newLabDiff() *cobra.Command {
+	var asJSON bool
+	command := &cobra.Command{
+		Use:   "diff A.json B.json",
+		Short: "Compares two runs, or two sweeps seed by seed",
+		Long: "diff compares results that --json wrote. Runs with the same seed make a pair; over several pairs it gives the\n" +
+			"95% interval of the mean difference.\n\n" + exitHelp,
+		Args: exactly(2),
+		RunE: func(command *cobra.Command, args []string) error {
+			before, err := report.Read(args[0])
+			if err != nil {
+				return usageError{err}
+			}
+			after, err := report.Read(args[1])
+			if err != nil {
+				return usageError{err}
+			}
+			differences, pairs, err := report.Diff(before, after)
+			if err != nil {
+				return err
+			}
+			if asJSON {
+				return writeJSON(command.OutOrStdout(), "-", map[string]any{"pairs": pairs, "differences": differences})
+			}
+			return report.WriteDiff(command.OutOrStdout(), differences, pairs)
+		},
+	}
+	command.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
+	return command
+}
+
+func newLabFaults() *cobra.Command {
+	var flags seedFlags
+	command := &cobra.Command{
+		Use:   "faults FILE",
+		Short: "Plays each kind of fault of an experiment alone, and counts the rules broken",
+		Long: "faults plays an experiment once for each kind of fault that it has, with that kind alone, over some seeds, and\n" +
+			"prints kinds by rules broken.\n\n" + exitHelp,
+		Example: "  milldeck lab faults experiments/faults.toml --seeds 1-10",
+		Args:    exactly(1),
+		RunE: func(command *cobra.Command, args []string) error {
+			experiment, seeds, play, err := flags.parse(args[0])
+			if err != nil {
+				return err
+			}
+			return writeFaultTable(command.Context(), command.OutOrStdout(), experiment, seeds, play)
+		},
+	}
+	flags.register(command)
+	return command
+}
+
+// writeFaultTable plays each kind of fault alone and writes one row of Markdown for each.
+func writeFaultTable(ctx context.Context, w io.Writer, experiment *lab.File, seeds []uint64, play player) error {
+	byKind := map[string][]lab.FaultFile{}
+	for _, fault := range experiment.Faults {
+		byKind[fault.Kind] = append(byKind[fault.Kind], fault)
+	}
+	fmt.Fprint(w, "| fault | worth served | worst seed |")
+	for _, rule := range experiment.Judged() {
+		fmt.Fprintf(w, " %s |", rule)
+	}
+	fmt.Fprintf(w, "\n| --- | --- | --- |%s\n", strings.Repeat(" --- |", len(experiment.Judged())))
+	broken := 0
+	for _, kind := range lab.FaultKinds() {
+		if len(byKind[kind]) == 0 {
+			continue
+		}
+		alone := *experiment
+		alone.Faults = byKind[kind]
+		counts, sum, worst := map[lab.Rule]int{}, 0.0, 1.0
+		for _, seed := range seeds {
+			result, err := play(ctx, alone.Draw(seed))
+			if err != nil {
+				return fmt.Errorf("%s, seed %d: %w", kind, seed, err)
+			}
+			if ctx.Err() != nil {
+				return errors.New("cut short")
+			}
+			sum += result.WorthShare
+			worst = min(worst, result.WorthShare)
+			for rule, n := range result.RuleCounts {
+				counts[rule] += n
+				broken += n
+			}
+		}
+		fmt.Fprintf(w, "| `%s` | %.4f | %.4f |", kind, sum/float64(len(seeds)), worst)
+		for _, rule := range experiment.Judged() {
+			fmt.Fprintf(w, " %d |", counts[rule])
+		}
+		fmt.Fprintln(w)
+	}
+	if broken > 0 {
+		return fmt.Errorf("%s: %d rule(s) broken", experiment.Name, broken)
+	}
+	return nil
+}
--- a/cmd/milldeck/main.go
+++ b/cmd/milldeck/main.go
@@ -1,5 +1,5 @@
-// Command milldeck is the operators' one command: it tries fleets out in the lab, and runs the list service and
-// its agents.
+// Command milldeck is the operators' command: it plays fleets in the lab, and runs the registry, its agents and the
+// controllers of releases, maintenance windows and hot keys.
 package main
 
 import (
@@ -19,8 +19,8 @@
 
 // Exit codes, the same for all subcommands.
 const (
-	exitFailed = 1 // the work was begun and failed
-	exitUsage  = 2 // bad use, or a file that cannot be used: nothing was begun
+	exitFailed = 1 // the work was started and failed
+	exitUsage  = 2 // bad use, or a file that cannot be used: nothing was started
 )
 
 const exitHelp = `Exit codes: 0 done; 1 the work failed; 2 bad use or a bad file, nothing was begun.`
@@ -31,9 +31,14 @@
 func (e usageError) Unwrap() error { return e.error }
 
 func main() {
+	os.Exit(run())
+}
+
+// run executes the command line of the process until SIGINT or SIGTERM, and returns its exit code.
+func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	os.Exit(execute(ctx, os.Args[1:], os.Stdout, os.Stderr))
+	return execute(ctx, os.Args[1:], os.Stdout, os.Stderr)
 }
 
 // execute runs one command line and returns its exit code.
@@ -70,9 +75,9 @@
 			}
 			return nil
 		},
-		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
-		PersistentPreRunE: func(c *cobra.Command, _ []string) error {
-			return setLog(c.ErrOrStderr(), level, format)
+		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
+		PersistentPreRunE: func(command *cobra.Command, _ []string) error {
+			return configureLogging(command.ErrOrStderr(), level, format)
 		},
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
@@ -84,31 +89,31 @@
 	return root
 }
 
-// setLog makes the logger that all subcommands share.
-func setLog(w io.Writer, level, format string) error {
-	var l slog.Level
-	if err := l.UnmarshalText([]byte(level)); err != nil {
+// configureLogging makes the logger that all subcommands share.
+func configureLogging(w io.Writer, level, format string) error {
+	var logLevel slog.Level
+	if err := logLevel.UnmarshalText([]byte(level)); err != nil {
 		return usageError{fmt.Errorf("--log-level %s: not debug, info, warn or error", level)}
 	}
-	opts := &slog.HandlerOptions{Level: l}
-	var h slog.Handler
+	options := &slog.HandlerOptions{Level: logLevel}
+	var handler slog.Handler
 	switch format {
 	case "text":
-		h = slog.NewTextHandler(w, opts)
+		handler = slog.NewTextHandler(w, options)
 	case "json":
-		h = slog.NewJSONHandler(w, opts)
+		handler = slog.NewJSONHandler(w, options)
 	default:
 		return usageError{fmt.Errorf("--log-format %s: not text or json", format)}
 	}
-	slog.SetDefault(slog.New(h))
+	slog.SetDefault(slog.New(handler))
 	return nil
 }
 
 // exactly demands n arguments and says which in the usage line.
-func exactly(n int) cobra.PositionalArgs {
-	return func(c *cobra.Command, args []string) error {
-		if len(args) != n {
-			return usageError{fmt.Errorf("%s takes %d argument(s), not %d: %s", c.CommandPath(), n, len(args), c.UseLine())}
+func exactly(count int) cobra.PositionalArgs {
+	return func(command *cobra.Command, args []string) error {
+		if len(args) != count {
+			return usageError{fmt.Errorf("%s takes %d argument(s), not %d: %s", command.CommandPath(), count, len(args), command.UseLine())}
 		}
 		return nil
 	}
--- a/cmd/milldeck/registry.go
+++ b/cmd/milldeck/registry.go
@@ -41,7 +41,7 @@
 		Args: exactly(0),
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	c.AddCommand(newServe(), newList(), newGet(), newWatch(), newRegister(), newDeregister(), newStatus(), newSuspects(), newMembers(), newSnapshot(), newBench())
+	c.AddCommand(newServe(), newList(), newGet(), newWatch(), newRegister(), newDeregister(), newStatus(), newSuspects(), newMembers(), newSnapshot(), newRegistryBench())
 	return c
 }
 
--- a/cmd/milldeck/version.go
+++ b/cmd/milldeck/version.go
@@ -20,41 +20,41 @@
 }
 
 func readBuild() buildInfo {
-	b := buildInfo{Version: "unknown", Go: runtime.Version(), Platform: runtime.GOOS + "/" + runtime.GOARCH}
+	build := buildInfo{Version: "unknown", Go: runtime.Version(), Platform: runtime.GOOS + "/" + runtime.GOARCH}
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return b
+		return build
 	}
-	b.Version = info.Main.Version
-	for _, s := range info.Settings {
-		switch s.Key {
+	build.Version = info.Main.Version
+	for _, setting := range info.Settings {
+		switch setting.Key {
 		case "vcs.revision":
-			b.Commit = s.Value
+			build.Commit = setting.Value
 		case "vcs.time":
-			b.Time = s.Value
+			build.Time = setting.Value
 		case "vcs.modified":
-			b.Modified = s.Value == "true"
+			build.Modified = setting.Value == "true"
 		}
 	}
-	return b
+	return build
 }
 
 func newVersion() *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "version",
 		Short: "Prints what build this is",
 		Long:  "version prints what build this is, from the build information of the program.\n\n" + exitHelp,
 		Args:  exactly(0),
-		RunE: func(c *cobra.Command, _ []string) error {
-			b := readBuild()
+		RunE: func(command *cobra.Command, _ []string) error {
+			build := readBuild()
 			if asJSON {
-				return json.NewEncoder(c.OutOrStdout()).Encode(b)
+				return json.NewEncoder(command.OutOrStdout()).Encode(build)
 			}
-			_, err := fmt.Fprintf(c.OutOrStdout(), "milldeck %s %s %s\n", b.Version, b.Go, b.Platform)
+			_, err := fmt.Fprintf(command.OutOrStdout(), "milldeck %s %s %s\n", build.Version, build.Go, build.Platform)
 			return err
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
-	return c
+	command.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
+	return command
 }
