--- a/internal/lab/controlplane/process.go
+++ b/internal/lab/controlplane/process.go
@@ -102,7 +102,8 @@
 			continue
 		}
 		l.rev++
-		l.duties.Apply(l.rev, &leasetable.Operation{Kind: leasetable.Expire, Name: duty, Candidate: d.Holder, Token: d.Token})
+		// An expiry is never rejected.
+		_ = l.duties.Apply(l.rev, &leasetable.Operation{Kind: leasetable.Expire, Name: duty, Candidate: d.Holder, Token: d.Token})
 		if l.w.opt.Bugs.LeaseFrees {
 			l.w.free(duty)
 		}
@@ -130,7 +131,8 @@
 	case !slices.Contains(d.Queue, p.id()):
 		p.token = 0
 		l.rev++
-		l.duties.Apply(l.rev, &leasetable.Operation{Kind: leasetable.Campaign, Name: p.duty, Candidate: p.id(), TTLMS: ttlMS})
+		// Rejected only where a limit is reached; it campaigns again at its next step.
+		_ = l.duties.Apply(l.rev, &leasetable.Operation{Kind: leasetable.Campaign, Name: p.duty, Candidate: p.id(), TTLMS: ttlMS})
 		l.renewed[p.duty] = p.w.now
 	default:
 		p.token = 0
@@ -146,7 +148,8 @@
 	was := p.id()
 	p.w.after(restartMS+p.w.rng.Int64N(4000), func() {
 		l := p.w.plane
-		l.duties.Apply(l.rev, &leasetable.Operation{Kind: leasetable.Expire, Name: p.duty, Candidate: was}) // its place in the queue, if it has one
+		// Its place in the queue, if it has one; an expiry is never rejected.
+		_ = l.duties.Apply(l.rev, &leasetable.Operation{Kind: leasetable.Expire, Name: p.duty, Candidate: was})
 		p.dead, p.n = false, p.n+1
 	})
 }
--- a/internal/leaderelection/leasetable/fixtures_test.go
+++ b/internal/leaderelection/leasetable/fixtures_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -10,8 +11,8 @@
 	"milldeck/internal/goldentest"
 )
 
-// fixtureOps are operations of every kind, with every outcome but a full table. An operation's index in the log is ten
-// times its place here, from 1.
+// fixtureOps are operations of every kind, with every outcome but an exceeded limit. The n-th operation, from 1, has the
+// log index 10n.
 func fixtureOps() []Operation {
 	return []Operation{
 		{Kind: Checkpoint, Name: "alpha", Candidate: "a", Token: 1, Data: []byte("nowhere")},
@@ -23,7 +24,7 @@
 		{Kind: Checkpoint, Name: "alpha", Candidate: "b", Token: 30, Data: []byte("stale")},
 		{Kind: Handover, Name: "alpha", Successor: "d"},
 		{Kind: Handover, Name: "alpha", Successor: "c"},
-		{Kind: Release, Name: "alpha", Candidate: "a", Token: 30, ShortTenure: true}, // c holds under token 100, a did not fall
+		{Kind: Release, Name: "alpha", Candidate: "a", Token: 30, ShortTenure: true}, // c holds under token 100; a stepped down on request, so its short tenure does not count
 		{Kind: Revoke, Name: "alpha"},
 		{Kind: Checkpoint, Name: "alpha", Candidate: "c", Token: 100, Data: []byte("revoked")},
 		{Kind: Expire, Name: "alpha", Candidate: "c", Token: 100, ShortTenure: true}, // b holds under token 130
@@ -40,6 +41,19 @@
 	}
 }
 
+// outcome writes down what Apply returned.
+func outcome(t *testing.T, err error) string {
+	t.Helper()
+	if err == nil {
+		return `done ""`
+	}
+	var rejected *RejectedError
+	if !errors.As(err, &rejected) {
+		t.Fatal(err)
+	}
+	return fmt.Sprintf("%s %q", rejected.Rejection, rejected.Reason)
+}
+
 func encode(t *testing.T, v any) []byte {
 	t.Helper()
 	data, err := json.Marshal(v)
@@ -49,7 +63,7 @@
 	return data
 }
 
-// Operations as they stand in the log, what becomes of them, and the table that they lead to as it stands in a snapshot.
+// Operations as stored in the log, their outcomes, and the resulting table as stored in a snapshot.
 func TestTableFormat(t *testing.T) {
 	var written bytes.Buffer
 	for _, op := range fixtureOps() {
@@ -65,8 +79,7 @@
 			t.Fatal(err)
 		}
 		again.Write(append(encode(t, op), '\n'))
-		outcome, reason := leases.Apply(uint64(10*(n+1)), &op)
-		fmt.Fprintf(&outcomes, "%s: %s %q\n", op.Kind, outcome, reason)
+		fmt.Fprintf(&outcomes, "%s: %s\n", op.Kind, outcome(t, leases.Apply(uint64(10*(n+1)), &op)))
 	}
 	goldentest.Compare(t, "operations.jsonl", again.Bytes())
 	goldentest.Compare(t, "outcomes.txt", outcomes.Bytes())
@@ -83,7 +96,7 @@
 	}
 }
 
-// What is answered to an operation that cannot be.
+// The error texts that a client reads for an invalid operation.
 func TestOperationErrors(t *testing.T) {
 	long := strings.Repeat("x", MaxNameLength+1)
 	var errs bytes.Buffer
@@ -104,13 +117,12 @@
 	goldentest.Compare(t, "errors.txt", errs.Bytes())
 }
 
-// What is answered where a table or a queue is full.
+// The error texts that a client reads when a limit is reached.
 func TestFullTableReasons(t *testing.T) {
 	leases, index := New(), uint64(0)
 	campaign := func(name, who string) string {
 		index++
-		outcome, reason := leases.Apply(index, &Operation{Kind: Campaign, Name: name, Candidate: who, TTLMS: 5000})
-		return fmt.Sprintf("%s %q\n", outcome, reason)
+		return outcome(t, leases.Apply(index, &Operation{Kind: Campaign, Name: name, Candidate: who, TTLMS: 5000})) + "\n"
 	}
 	for n := range MaxLeases {
 		campaign(fmt.Sprint("lease-", n), "a")
--- /dev/null
+++ b/internal/leaderelection/leasetable/operation.go
@@ -0,0 +1,81 @@
+package leasetable
+
+import (
+	"fmt"
+	"slices"
+)
+
+// OperationKind is what an operation does.
+type OperationKind string
+
+// The operations. Their values are stored in the log and stand in HTTP paths.
+const (
+	Campaign   OperationKind = "seek"       // Candidate acquires the lease or joins its queue; TTLMS applies if it is free
+	Release    OperationKind = "release"    // the holder gives up its Token; with Token 0 Candidate leaves the queue
+	Expire     OperationKind = "lapse"      // the lease of Candidate under Token has expired; Token 0: its place in the queue
+	Handover   OperationKind = "handover"   // the holder is requested to step down in favour of Successor, who is in the queue
+	Revoke     OperationKind = "takeaway"   // the holder's token becomes invalid at once
+	Checkpoint OperationKind = "checkpoint" // the holder stores Data under its Token
+)
+
+var operationKinds = []OperationKind{Campaign, Release, Expire, Handover, Revoke, Checkpoint}
+
+// Operation is one entry of the log that concerns a lease.
+type Operation struct {
+	Kind        OperationKind `json:"kind"`
+	Name        string        `json:"name"` // of the lease
+	Candidate   string        `json:"who,omitempty"`
+	Token       uint64        `json:"token,omitempty"`
+	TTLMS       int64         `json:"ttl_ms,omitempty"`
+	Successor   string        `json:"to,omitempty"`
+	Data        []byte        `json:"data,omitempty"`
+	ShortTenure bool          `json:"short,omitempty"` // of Release and Expire: the tenure was short, by the raft leader's clock
+}
+
+// FieldError names the field of an operation that is invalid, by its JSON name, and says why.
+type FieldError struct{ Field, Reason string }
+
+func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
+
+// Validate returns a FieldError for the first invalid field. It is called before an operation is written to the log;
+// Apply does not repeat it.
+func (o *Operation) Validate() error {
+	needsCandidate := o.Kind != Handover && o.Kind != Revoke
+	switch {
+	case !slices.Contains(operationKinds, o.Kind):
+		return &FieldError{"kind", fmt.Sprintf("%q is no operation", o.Kind)}
+	case o.Name == "" || len(o.Name) > MaxNameLength:
+		return &FieldError{"name", fmt.Sprintf("%d characters, wanted 1 to %d", len(o.Name), MaxNameLength)}
+	case needsCandidate && o.Candidate == "" || len(o.Candidate) > MaxNameLength:
+		return &FieldError{"who", fmt.Sprintf("%d characters, wanted 1 to %d", len(o.Candidate), MaxNameLength)}
+	case o.Kind == Handover && o.Successor == "":
+		return &FieldError{"to", "a handover names its candidate"}
+	case o.Kind == Campaign && (o.TTLMS < MinTTLMS || o.TTLMS > MaxTTLMS):
+		return &FieldError{"ttl_ms", fmt.Sprintf("%d is not within %d to %d", o.TTLMS, MinTTLMS, MaxTTLMS)}
+	case len(o.Data) > MaxCheckpointBytes:
+		return &FieldError{"data", fmt.Sprintf("%d bytes, at most %d", len(o.Data), MaxCheckpointBytes)}
+	}
+	return nil
+}
+
+// Rejection classifies why an operation was rejected.
+type Rejection string
+
+// The classes of rejections.
+const (
+	StaleToken    Rejection = "stale" // the lease is free, held by another, held under another token, or revoked
+	NotFound      Rejection = "not_found"
+	LimitExceeded Rejection = "too_many"
+)
+
+// RejectedError is why Apply left the table as it was.
+type RejectedError struct {
+	Rejection Rejection
+	Reason    string // in words, as the client that made the call reads them
+}
+
+func (e *RejectedError) Error() string { return string(e.Rejection) + ": " + e.Reason }
+
+func reject(rejection Rejection, format string, args ...any) error {
+	return &RejectedError{rejection, fmt.Sprintf(format, args...)}
+}
--- a/internal/leaderelection/leasetable/table.go
+++ b/internal/leaderelection/leasetable/table.go
@@ -1,148 +1,27 @@
-// Package table is the replicated core of duties: who holds what only one process may do at a time, under which
-// token, and who is next. It has no clock and no sockets: the same operations in the same order give the same table
-// on every replica. That a lease has ended is an operation like any other, which the leader decides.
+// Package leasetable is the replicated table of leases: who holds each lease, under which fencing token, and who waits
+// for it. It owns the rules by which a lease changes hands.
+//
+// The table has no clock and opens no sockets: the same operations in the same order give the same table on every
+// replica. That a lease has expired is an operation like any other; the raft leader decides it (package registry), and
+// package leaderelection is the client.
 package leasetable
 
 import (
 	"fmt"
 	"maps"
 	"slices"
-	"time"
 )
 
-// Bounds of what the table keeps.
-const (
-	MaxLeases          = 10_000
-	MaxQueueLength     = 1000
-	MaxCheckpointBytes = 4096 // bytes: where work goes on, not the work itself
-	MaxFailoverRecords = 16   // candidates of a duty whose short tenures are counted, the latest
-	MaxFailoverCount   = 8    // that are counted of one: no wait grows further
-	MaxNameLength      = 128
-
-	MinTTLMS = 500         // shorter leases do not outlive an election
-	MaxTTLMS = 3600 * 1000 // longer than an hour is no lease
-)
-
-// A holder stops so long before its lease ends: what it began has to be over by then, and a scheduler that keeps it
-// waiting for a moment must not carry it past the end.
-const (
-	marginFraction = 0.1
-	minMargin      = 50 * time.Millisecond
-)
-
-// SafetyMargin is how long before the end of a lease its holder stops.
-func SafetyMargin(ttl time.Duration) time.Duration {
-	return max(time.Duration(marginFraction*float64(ttl)), minMargin)
-}
-
-// Lease is one duty. Token is the log's index at which the holder got it; it only rises.
-type Lease struct {
-	Name               string   `json:"name"`
-	Holder             string   `json:"holder,omitempty"`
-	Token              uint64   `json:"token"`
-	TTLMS              int64    `json:"ttl_ms"`
-	Queue              []string `json:"queue,omitempty"` // candidates in order
-	PreferredSuccessor string   `json:"next,omitempty"`  // a candidate that goes before the queue
-	StepDownRequested  bool     `json:"asked,omitempty"` // the holder is to step down
-	Revoked            bool     `json:"revoked,omitempty"`
-	Transitions        uint64   `json:"changes"` // of its holder
-	Rev                uint64   `json:"rev"`     // of its last change
-
-	Checkpoint      []byte `json:"checkpoint,omitempty"`
-	CheckpointToken uint64 `json:"checkpoint_token,omitempty"` // under which it was written
-
-	Failovers []Failover `json:"falls,omitempty"` // the latest last
-}
-
-// Failover counts the short tenures of a candidate since its last long one. The table does nothing by it: the leader has who
-// fell several times wait before its next seek goes into the log, so versions that do not know of falls agree on the rest.
-type Failover struct {
-	Candidate string `json:"who"`
-	Count     int    `json:"n"`
-	Token     uint64 `json:"token"` // of the last of them
-}
-
-// FailoversOf is how many short tenures a candidate has had since its last long one.
-func (l *Lease) FailoversOf(candidate string) Failover {
-	for _, failover := range l.Failovers {
-		if failover.Candidate == candidate {
-			return failover
-		}
-	}
-	return Failover{Candidate: candidate}
-}
-
-// OperationKind is what an operation does.
-type OperationKind string
-
-// The operations.
-const (
-	Campaign   OperationKind = "seek"       // Who gets the duty or a place in its queue; TTLMS
-	Release    OperationKind = "release"    // Who gives it up under Token, or its place in the queue
-	Expire     OperationKind = "lapse"      // the lease of Who under Token has ended; Token 0: its place in the queue
-	Handover   OperationKind = "handover"   // the holder is asked to step down for To, a candidate
-	Revoke     OperationKind = "takeaway"   // what the holder does under its token counts no more
-	Checkpoint OperationKind = "checkpoint" // Who writes Data under Token
-)
-
-// Operation is one operation.
-type Operation struct {
-	Kind        OperationKind `json:"kind"`
-	Name        string        `json:"name"`
-	Candidate   string        `json:"who,omitempty"`
-	Token       uint64        `json:"token,omitempty"`
-	TTLMS       int64         `json:"ttl_ms,omitempty"`
-	Successor   string        `json:"to,omitempty"`
-	Data        []byte        `json:"data,omitempty"`
-	ShortTenure bool          `json:"short,omitempty"` // of a release or lapse: the tenure was short, by the leader's clock
-}
-
-// FieldError is what is wrong with an operation: the field and why.
-type FieldError struct{ Field, Reason string }
-
-func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
-
-// Validate tells which field cannot be, before the operation goes into the log.
-func (o *Operation) Validate() error {
-	needsCandidate := o.Kind != Handover && o.Kind != Revoke
-	switch {
-	case !slices.Contains([]OperationKind{Campaign, Release, Expire, Handover, Revoke, Checkpoint}, o.Kind):
-		return &FieldError{"kind", fmt.Sprintf("%q is no operation", o.Kind)}
-	case o.Name == "" || len(o.Name) > MaxNameLength:
-		return &FieldError{"name", fmt.Sprintf("%d characters, wanted 1 to %d", len(o.Name), MaxNameLength)}
-	case needsCandidate && o.Candidate == "" || len(o.Candidate) > MaxNameLength:
-		return &FieldError{"who", fmt.Sprintf("%d characters, wanted 1 to %d", len(o.Candidate), MaxNameLength)}
-	case o.Kind == Handover && o.Successor == "":
-		return &FieldError{"to", "a handover names its candidate"}
-	case o.Kind == Campaign && (o.TTLMS < MinTTLMS || o.TTLMS > MaxTTLMS):
-		return &FieldError{"ttl_ms", fmt.Sprintf("%d is not within %d to %d", o.TTLMS, MinTTLMS, MaxTTLMS)}
-	case len(o.Data) > MaxCheckpointBytes:
-		return &FieldError{"data", fmt.Sprintf("%d bytes, at most %d", len(o.Data), MaxCheckpointBytes)}
-	}
-	return nil
-}
-
-// Outcome says what became of an operation.
-type Outcome string
-
-// The outcomes.
-const (
-	Applied       Outcome = "done"
-	Stale         Outcome = "stale" // another holds the duty, or the same under another token
-	NotFound      Outcome = "not_found"
-	LimitExceeded Outcome = "too_many"
-)
-
-// Table is all duties. It is not safe for concurrent use.
+// Table holds all leases. It is not safe for concurrent use.
 type Table struct {
 	leases map[string]*Lease
 	rev    uint64
 }
 
-// New is an empty table.
+// New returns an empty table.
 func New() *Table { return &Table{leases: map[string]*Lease{}} }
 
-// FromSnapshot puts duties back, as Save gave them.
+// FromSnapshot returns a table of the leases that Snapshot returned.
 func FromSnapshot(leases []*Lease) *Table {
 	t := New()
 	for _, lease := range leases {
@@ -152,7 +31,7 @@
 	return t
 }
 
-// Snapshot gives all duties by name. They are shared: nobody changes them.
+// Snapshot returns all leases by name. They are shared with the table and must not be changed.
 func (t *Table) Snapshot() []*Lease {
 	leases := make([]*Lease, 0, len(t.leases))
 	for _, name := range slices.Sorted(maps.Keys(t.leases)) {
@@ -161,10 +40,10 @@
 	return leases
 }
 
-// Rev is the index of the last change.
+// Rev is the log index of the last change.
 func (t *Table) Rev() uint64 { return t.rev }
 
-// Get is one duty; its slices are shared and never changed in place.
+// Get returns a lease. Its slices are shared with the table, which never changes them in place.
 func (t *Table) Get(name string) (Lease, bool) {
 	lease := t.leases[name]
 	if lease == nil {
@@ -173,105 +52,127 @@
 	return *lease, true
 }
 
-// TokenValid tells whether a token still counts: what a guarded write asks.
+// TokenValid reports whether a lease is held under a fencing token. Guarded writes are checked by it.
 func (t *Table) TokenValid(name string, token uint64) bool {
 	lease := t.leases[name]
 	return lease != nil && token != 0 && lease.Holder != "" && lease.Token == token && !lease.Revoked
 }
 
-// Apply takes in an operation of the log. Index is its place there, which only grows.
-func (t *Table) Apply(index uint64, op *Operation) (Outcome, string) {
+// Apply applies an operation of the log at its index, which only increases. It returns a RejectedError where the
+// operation changes nothing because it is not permitted; an operation that merely repeats an earlier one is permitted.
+func (t *Table) Apply(index uint64, op *Operation) error {
 	previous := t.leases[op.Name]
 	if previous == nil {
-		if op.Kind != Campaign {
-			if op.Kind == Release || op.Kind == Expire {
-				return Applied, "" // nothing is held
-			}
-			return NotFound, "there is no duty " + op.Name
-		}
-		if len(t.leases) >= MaxLeases {
-			return LimitExceeded, fmt.Sprintf("there are %d duties", len(t.leases))
+		switch {
+		case op.Kind == Release || op.Kind == Expire:
+			return nil // there is nothing to give up
+		case op.Kind != Campaign:
+			return reject(NotFound, "there is no duty %s", op.Name)
+		case len(t.leases) >= MaxLeases:
+			return reject(LimitExceeded, "there are %d duties", len(t.leases))
 		}
 		previous = &Lease{Name: op.Name, TTLMS: op.TTLMS}
 	}
-	updated := *previous // copied, so that who has read the old one keeps it as it was
+	updated := *previous // a copy: readers keep the state that they were given
 	updated.Queue, updated.Failovers = slices.Clone(previous.Queue), slices.Clone(previous.Failovers)
-	outcome, reason := updated.apply(index, op)
-	if outcome == Applied && !equalState(&updated, previous) {
+	if err := updated.apply(index, op); err != nil {
+		return err
+	}
+	if !equalState(&updated, previous) {
 		updated.Rev, t.rev = index, index
 		t.leases[op.Name] = &updated
 	}
-	return outcome, reason
-}
-
-func equalState(a, b *Lease) bool {
-	return a.Holder == b.Holder && a.Token == b.Token && a.TTLMS == b.TTLMS && a.PreferredSuccessor == b.PreferredSuccessor && a.StepDownRequested == b.StepDownRequested &&
-		a.Revoked == b.Revoked && a.CheckpointToken == b.CheckpointToken && slices.Equal(a.Queue, b.Queue) &&
-		slices.Equal(a.Failovers, b.Failovers) &&
-		slices.Equal(a.Checkpoint, b.Checkpoint)
+	return nil
 }
 
-func (l *Lease) apply(index uint64, op *Operation) (Outcome, string) {
-	isHolder := l.Holder != "" && l.Holder == op.Candidate && l.Token == op.Token
+func (l *Lease) apply(index uint64, op *Operation) error {
 	switch op.Kind {
 	case Campaign:
 		return l.campaign(index, op)
 	case Release, Expire:
-		if isHolder {
-			l.recordTenure(op)
-			l.assignNext(index)
-		} else if op.Token == 0 && op.Candidate != l.Holder {
-			l.removeFromQueue(op.Candidate)
-		}
-		return Applied, "" // a repeat, or what was lost already
+		l.giveUp(index, op)
+		return nil
 	case Handover:
-		if !slices.Contains(l.Queue, op.Successor) {
-			return NotFound, op.Successor + " is no candidate"
-		}
-		l.PreferredSuccessor, l.StepDownRequested = op.Successor, true
-		return Applied, ""
+		return l.handOver(op.Successor)
 	case Revoke:
-		if l.Holder == "" {
-			return NotFound, "nobody holds " + l.Name
-		}
-		l.Revoked, l.StepDownRequested = true, true
-		return Applied, ""
+		return l.revoke()
 	case Checkpoint:
-		if !isHolder || l.Revoked {
-			return Stale, l.describeHolder()
-		}
-		l.Checkpoint, l.CheckpointToken = op.Data, op.Token
-		return Applied, ""
+		return l.saveCheckpoint(op)
 	}
-	return Stale, fmt.Sprintf("unknown operation %q", op.Kind) // of a later version: all replicas of this one skip it
+	// Written by a later version: all replicas of this version skip it.
+	return reject(StaleToken, "unknown operation %q", op.Kind)
 }
 
-func (l *Lease) describeHolder() string {
-	switch {
-	case l.Holder == "":
-		return "nobody holds " + l.Name
-	case l.Revoked:
-		return l.Name + " was taken away"
-	}
-	return fmt.Sprintf("%s is held by %s under token %d", l.Name, l.Holder, l.Token)
+// heldBy reports whether the operation's candidate holds the lease under the operation's token.
+func (l *Lease) heldBy(op *Operation) bool {
+	return l.Holder != "" && l.Holder == op.Candidate && l.Token == op.Token
 }
 
-func (l *Lease) campaign(index uint64, op *Operation) (Outcome, string) {
+func (l *Lease) campaign(index uint64, op *Operation) error {
 	switch {
 	case l.Holder == op.Candidate || slices.Contains(l.Queue, op.Candidate):
-		return Applied, "" // a client that asks again does not wait for itself
+		return nil // a client that retries does not queue behind itself
 	case len(l.Queue) >= MaxQueueLength:
-		return LimitExceeded, fmt.Sprintf("%d candidates wait", len(l.Queue))
+		return reject(LimitExceeded, "%d candidates wait", len(l.Queue))
 	}
 	l.Queue = append(l.Queue, op.Candidate)
 	if l.Holder == "" {
 		l.TTLMS = op.TTLMS
 		l.assignNext(index)
 	}
-	return Applied, ""
+	return nil
+}
+
+// giveUp ends a tenure or a place in the queue. A token that is not the current one is a repeat, or of a tenure that has
+// ended already: it changes nothing.
+func (l *Lease) giveUp(index uint64, op *Operation) {
+	switch {
+	case l.heldBy(op):
+		l.recordTenure(op)
+		l.assignNext(index)
+	case op.Token == 0 && op.Candidate != l.Holder:
+		l.removeFromQueue(op.Candidate)
+	}
+}
+
+func (l *Lease) handOver(successor string) error {
+	if !slices.Contains(l.Queue, successor) {
+		return reject(NotFound, "%s is no candidate", successor)
+	}
+	l.PreferredSuccessor = successor
+	l.StepDownRequested = true
+	return nil
+}
+
+func (l *Lease) revoke() error {
+	if l.Holder == "" {
+		return reject(NotFound, "nobody holds %s", l.Name)
+	}
+	l.Revoked = true
+	l.StepDownRequested = true
+	return nil
+}
+
+func (l *Lease) saveCheckpoint(op *Operation) error {
+	if !l.heldBy(op) || l.Revoked {
+		return reject(StaleToken, "%s", l.describeHolder())
+	}
+	l.Checkpoint, l.CheckpointToken = op.Data, op.Token
+	return nil
+}
+
+func (l *Lease) describeHolder() string {
+	switch {
+	case l.Holder == "":
+		return "nobody holds " + l.Name
+	case l.Revoked:
+		return l.Name + " was taken away"
+	}
+	return fmt.Sprintf("%s is held by %s under token %d", l.Name, l.Holder, l.Token)
 }
 
-// assignNext gives the duty to the next in line, in the same entry of the log in which it became free.
+// assignNext gives the lease to the preferred successor if it still waits, else to the first in the queue, else to nobody.
+// It does so in the log entry that ended the tenure before, so that a handover takes a single entry.
 func (l *Lease) assignNext(index uint64) {
 	next := l.PreferredSuccessor
 	if !slices.Contains(l.Queue, next) {
@@ -281,11 +182,16 @@
 		}
 	}
 	l.removeFromQueue(next)
-	l.Holder, l.Token, l.PreferredSuccessor, l.StepDownRequested, l.Revoked = next, index, "", false, false
+	l.Holder = next
+	l.Token = index
+	l.PreferredSuccessor = ""
+	l.StepDownRequested = false
+	l.Revoked = false
 	l.Transitions++
 }
 
-// recordTenure takes into account how long the holder that goes has held. Who was asked to, or had it taken away, did not fall.
+// recordTenure counts the tenure that ends if it was short, and else clears the holder's count. A tenure that an operator
+// ended is not the holder's failure and does not count.
 func (l *Lease) recordTenure(op *Operation) {
 	if l.StepDownRequested || l.Revoked {
 		return
--- a/internal/leaderelection/leasetable/table_test.go
+++ b/internal/leaderelection/leasetable/table_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-// withoutFailovers is an operation as a version that knows nothing of falls reads it.
+// withoutFailovers returns an operation as a version that does not know of failovers reads it.
 func withoutFailovers(op Operation) Operation {
 	op.ShortTenure = false
 	return op
 }
 
-// A replica of the version before agrees with this one on all but falls, also after it has written and read its own form of
-// a snapshot: holder, queue, token and revision are what guards and watches go by.
+// A replica of the previous version agrees with this one on everything but failovers, also after it has written and read a
+// snapshot: guards and watches depend on holder, queue, token and revision.
 func TestAgreesWithPreviousVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		current, previous := New(), New()
@@ -24,7 +24,7 @@
 			lease, _ := current.Get("d")
 			op := Operation{
 				Kind: rapid.SampledFrom([]OperationKind{Campaign, Campaign, Release, Release, Expire, Handover, Revoke, Checkpoint}).Draw(t, "kind"),
-				Name: "d", Candidate: rapid.SampledFrom(names).Draw(t, "who"), TTLMS: 1000, Successor: rapid.SampledFrom(names).Draw(t, "to"),
+				Name: "d", Candidate: rapid.SampledFrom(names).Draw(t, "candidate"), TTLMS: 1000, Successor: rapid.SampledFrom(names).Draw(t, "successor"),
 				ShortTenure: rapid.Bool().Draw(t, "short"), Data: []byte{byte(index)},
 			}
 			if rapid.Bool().Draw(t, "as holder") {
@@ -39,13 +39,13 @@
 				t.Fatal(err)
 			}
 			previousOp := withoutFailovers(decoded)
-			got, _ := current.Apply(index, &decoded)
-			want, _ := previous.Apply(index, &previousOp)
+			got := fmt.Sprint(current.Apply(index, &decoded))
+			want := fmt.Sprint(previous.Apply(index, &previousOp))
 			a, _ := current.Get("d")
 			b, _ := previous.Get("d")
 			for _, failover := range a.Failovers {
 				if failover.Count < 1 || failover.Count > MaxFailoverCount || len(a.Failovers) > MaxFailoverRecords {
-					t.Fatalf("falls %+v", a.Failovers)
+					t.Fatalf("failovers %+v", a.Failovers)
 				}
 			}
 			a.Failovers = nil
@@ -59,13 +59,15 @@
 	})
 }
 
-// Falls are counted in a row, end with a long tenure, and not for who was asked to go.
+// Consecutive short tenures are counted, a long one clears the count, and one that an operator ended does not count.
 func TestFailoverCounts(t *testing.T) {
 	leases, index := New(), uint64(0)
 	apply := func(op Operation) Lease {
 		index++
 		op.Name = "d"
-		leases.Apply(index, &op)
+		if err := leases.Apply(index, &op); err != nil {
+			t.Fatal(err)
+		}
 		lease, _ := leases.Get("d")
 		return lease
 	}
@@ -77,18 +79,25 @@
 		lease = apply(Operation{Kind: Release, Candidate: "a", Token: lease.Token, ShortTenure: shortTenure})
 		return lease.FailoversOf("a").Count
 	}
-	for i, c := range []struct {
+	for _, step := range []struct {
+		name                 string
 		shortTenure, revoked bool
 		want                 int
-	}{{true, false, 1}, {true, true, 1}, {true, false, 2}, {false, false, 0}, {true, false, 1}} {
-		if got := tenure(c.shortTenure, c.revoked); got != c.want {
-			t.Errorf("after tenure %d: %d falls, want %d", i, got, c.want)
+	}{
+		{"first short", true, false, 1},
+		{"short, but revoked", true, true, 1},
+		{"second short", true, false, 2},
+		{"long", false, false, 0},
+		{"short after long", true, false, 1},
+	} {
+		if got := tenure(step.shortTenure, step.revoked); got != step.want {
+			t.Errorf("%s: %d failovers, want %d", step.name, got, step.want)
 		}
 	}
 	for range MaxFailoverCount {
 		tenure(true, false)
 	}
 	if got := tenure(true, false); got != MaxFailoverCount {
-		t.Errorf("%d falls, at most %d are counted", got, MaxFailoverCount)
+		t.Errorf("%d failovers, at most %d are counted", got, MaxFailoverCount)
 	}
 }
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -5,6 +5,7 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"maps"
@@ -189,9 +190,18 @@
 	if op == nil {
 		return Result{OutcomeConflict, s.leases.Rev(), "no operation"}
 	}
-	outcome, reason := s.leases.Apply(index, op)
-	outcomes := map[leasetable.Outcome]Outcome{leasetable.Applied: OutcomeDone, leasetable.Stale: OutcomeConflict, leasetable.NotFound: OutcomeNotFound, leasetable.LimitExceeded: OutcomeLimitExceeded}
-	return Result{outcomes[outcome], s.leases.Rev(), reason}
+	err := s.leases.Apply(index, op)
+	var rejected *leasetable.RejectedError
+	if errors.As(err, &rejected) {
+		return Result{leaseOutcomes[rejected.Rejection], s.leases.Rev(), rejected.Reason}
+	}
+	return Result{OutcomeDone, s.leases.Rev(), ""}
+}
+
+var leaseOutcomes = map[leasetable.Rejection]Outcome{
+	leasetable.StaleToken:    OutcomeConflict,
+	leasetable.NotFound:      OutcomeNotFound,
+	leasetable.LimitExceeded: OutcomeLimitExceeded,
 }
 
 // applyRegister takes in new instances and new lives of known ones; all of a batch or none.
