--- /dev/null
+++ b/internal/disruption/evaluation.go
@@ -0,0 +1,191 @@
+package disruption
+
+import (
+	"fmt"
+	"slices"
+)
+
+// verdict says whether a pending permit can be granted.
+type verdict int
+
+const (
+	admissible verdict = iota
+	deferred           // other permits or units have to return, complete or end first
+	infeasible         // not as the fleet and the budgets are
+)
+
+// decision is the verdict on a pending permit, or on one of its demands.
+type decision struct {
+	verdict verdict
+	reason  string // "" if admissible
+}
+
+func deferredFor(format string, args ...any) decision {
+	return decision{deferred, fmt.Sprintf(format, args...)}
+}
+
+func infeasibleFor(format string, args ...any) decision {
+	return decision{infeasible, fmt.Sprintf(format, args...)}
+}
+
+// evaluate decides whether a pending permit can be granted now. A permit that only waits for what its constraints allow
+// blocks later ones that need the same, so that small permits do not starve a large one. One that is halted, is
+// infeasible, or waits for a unit under another permit blocks nobody: it might do so for ever.
+func (l *Ledger) evaluate(permit *permitState) decision {
+	pending := permit.pending
+	pending.blocksLater, pending.neededSlots = false, nil
+	if pending.unknownUnit != "" {
+		return infeasibleFor("%s is not known", pending.unknownUnit)
+	}
+	result := l.evaluateDemands(permit)
+	if result.verdict == infeasible {
+		return result
+	}
+	if reason := l.haltReason(permit); reason != "" {
+		return decision{deferred, reason}
+	}
+	if pending.blockedReason != "" {
+		return decision{deferred, pending.blockedReason}
+	}
+	if reason := l.missingSubstitute(permit); reason != "" {
+		return decision{deferred, reason}
+	}
+	pending.blocksLater = true
+	if reason := blockedByEarlier(permit); reason != "" {
+		return decision{deferred, reason}
+	}
+	return result
+}
+
+// evaluateDemands decides by the constraints alone, and notes which zone slots the permit needs. Of several demands
+// that are deferred the first gives the reason.
+func (l *Ledger) evaluateDemands(permit *permitState) decision {
+	pending := permit.pending
+	var result decision
+	var majorityKinds []Kind // of zones more than half of which the permit takes
+	for i := range pending.demands {
+		d := &pending.demands[i]
+		if d.serving == 0 {
+			continue
+		}
+		current := evaluateDemand(permit, d)
+		if current.verdict == infeasible {
+			return current
+		}
+		if c := d.constraint; c.zoneKind != "" && 2*d.serving > c.total {
+			if slices.Contains(majorityKinds, c.zoneKind) {
+				return infeasibleFor("two zones would be out by more than half")
+			}
+			majorityKinds = append(majorityKinds, c.zoneKind)
+		}
+		if l.needsTakenSlot(pending, d) {
+			current = deferredFor("%s would be out by more than half, as another zone is", d.constraint.key)
+		}
+		if result.verdict == admissible {
+			result = current
+		}
+	}
+	return result
+}
+
+// evaluateDemand decides whether a demand is within its constraint.
+func evaluateDemand(permit *permitState, d *demand) decision {
+	c := d.constraint
+	if c.budget == nil {
+		return evaluateBuiltIn(permit, d)
+	}
+	if limit, bounded := c.budget.MaxUnavailable.unitLimit(c.total); bounded {
+		if d.serving > limit {
+			return infeasibleFor("%s allows %d out of %d, never %d", c.key, limit, c.total, d.serving)
+		}
+		if c.unavailable+d.newlyUnavailable > limit {
+			return deferredFor("%s: %d of %d are out, %d allowed", c.key, c.unavailable, c.total, limit)
+		}
+	}
+	if limit, bounded := c.budget.MaxWarmingUp.capacityLimit(c.milliCapacity, c.total); bounded {
+		if d.milliWarmingUp > limit {
+			return infeasibleFor("%s allows %.3f of the capacity cold, never %.3f", c.key, c.fractionOf(limit), c.fractionOf(d.milliWarmingUp))
+		}
+		if c.milliWarmingUp+d.milliWarmingUp > limit {
+			return deferredFor("%s: %.3f of the capacity is cold or will be, %.3f allowed", c.key, c.fractionOf(c.milliWarmingUp), c.fractionOf(limit))
+		}
+	}
+	return decision{}
+}
+
+// evaluateBuiltIn decides whether a demand leaves a pod group, or the servers of a zone, without any that serves. The
+// only unit of one may be taken out once a substitute elsewhere carries what only that unit had.
+func evaluateBuiltIn(permit *permitState, d *demand) decision {
+	c := d.constraint
+	switch {
+	case !c.neverEmpty:
+	case c.total == 1:
+		if !permit.WithoutSubstitute && permit.Substitutes[d.firstUnit] == "" {
+			return infeasibleFor("%s is the only one of %s, and nothing is named that stands in for it", d.firstUnit, c.key)
+		}
+	case d.total == c.total:
+		return infeasibleFor("%s would be wholly out", c.key)
+	case c.total-c.unavailable-d.newlyUnavailable <= 0:
+		return deferredFor("%s would be wholly out: %d of %d are", c.key, c.unavailable, c.total)
+	}
+	return decision{}
+}
+
+// needsTakenSlot reports whether a demand leaves its zone with most units unavailable while the slot for such a zone is
+// taken. It notes that the permit needs the slot.
+func (l *Ledger) needsTakenSlot(pending *pendingPermit, d *demand) bool {
+	zone := d.constraint
+	if zone.zoneKind == "" || 2*(zone.unavailable+d.newlyUnavailable) <= zone.total {
+		return false
+	}
+	slots := l.constraints[zoneSlotsKey(zone.zoneKind)]
+	if slices.Contains(pending.neededSlots, slots) {
+		return true // by another zone of the same permit
+	}
+	pending.neededSlots = append(pending.neededSlots, slots)
+	return slots.unavailable > 1 || slots.unavailable == 1 && !zone.majorityUnavailable()
+}
+
+// missingSubstitute is why a substitute cannot take over; "" if all can.
+func (l *Ledger) missingSubstitute(permit *permitState) string {
+	for _, id := range permit.Units {
+		substitute := permit.Substitutes[id]
+		if substitute == "" {
+			continue
+		}
+		if unit := l.units[substitute]; unit == nil || unit.unavailable() {
+			return fmt.Sprintf("%s, which is to stand in for %s, is not up", substitute, id)
+		}
+	}
+	return ""
+}
+
+// blockedByEarlier names an earlier permit that waits for what this one would use up; "" if there is none.
+func blockedByEarlier(permit *permitState) string {
+	for _, d := range permit.pending.demands {
+		if d.serving == 0 {
+			continue
+		}
+		if reason := blockedAt(permit, d.constraint); reason != "" {
+			return reason
+		}
+	}
+	for _, slots := range permit.pending.neededSlots {
+		if reason := blockedAt(permit, slots); reason != "" {
+			return reason
+		}
+	}
+	return ""
+}
+
+func blockedAt(permit *permitState, c *constraint) string {
+	for _, earlier := range c.waiters {
+		if earlier == permit {
+			break
+		}
+		if earlier.pending.blocksLater && earlier.pending.needs(c) {
+			return fmt.Sprintf("behind permit %s, which waits for %s", earlier.ID, c.key)
+		}
+	}
+	return ""
+}
--- a/internal/disruption/fixtures_test.go
+++ b/internal/disruption/fixtures_test.go
@@ -3,17 +3,14 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
 	"github.com/pelletier/go-toml/v2"
-)
 
-var updateFixtures = flag.Bool("update", false, "write the golden files under testdata anew")
+	"milldeck/internal/goldentest"
+)
 
 // scriptStep is a line of testdata/script.jsonl: an event of the fleet, or an operation as the log stores it.
 type scriptStep struct {
@@ -24,24 +21,6 @@
 	Op     json.RawMessage `json:"op,omitempty"`
 }
 
-// requireGolden compares with a golden file, or writes that with -update.
-func requireGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateFixtures {
-		if err := os.WriteFile(path, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs:\ngot:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
 // decodeStrictly decodes JSON that may have no field but those of the value.
 func decodeStrictly(t *testing.T, data []byte, value any) {
 	t.Helper()
@@ -64,10 +43,7 @@
 // readScript reads the script and shows that each of its lines is written again as it was.
 func readScript(t *testing.T) []scriptStep {
 	t.Helper()
-	data, err := os.ReadFile(filepath.Join("testdata", "script.jsonl"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	data := goldentest.Read(t, "script.jsonl")
 	var steps []scriptStep
 	var rewritten bytes.Buffer
 	for line := range bytes.Lines(data) {
@@ -87,11 +63,11 @@
 		rewritten.Write(encode(t, step))
 		rewritten.WriteByte('\n')
 	}
-	requireGolden(t, "script.jsonl", rewritten.Bytes())
+	goldentest.Compare(t, "script.jsonl", rewritten.Bytes())
 	return steps
 }
 
-// play does a step at a revision and says what came of it.
+// play applies a step at a revision and describes the result.
 func play(t *testing.T, ledger *Ledger, revision uint64, step scriptStep) string {
 	t.Helper()
 	var unit Unit
@@ -118,18 +94,18 @@
 	case "apply":
 		var op Op
 		decodeStrictly(t, step.Op, &op)
-		outcome, reason := ledger.Apply(revision, &op)
-		return fmt.Sprintf("%s %s: %s", op.Kind, outcome, reason)
+		result := ledger.Apply(revision, &op)
+		return fmt.Sprintf("%s %s: %s", op.Kind, result.Outcome, result.Reason)
 	default:
 		t.Fatalf("no event %q", step.Event)
 	}
 	return step.Event
 }
 
-// trace is what came of a step and how each permit that is not over then stands.
-func trace(ledger *Ledger, revision uint64, came string) string {
+// trace is the result of a step, and how each open permit stands then.
+func trace(ledger *Ledger, revision uint64, result string) string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "%d %s\n", revision, came)
+	fmt.Fprintf(&out, "%d %s\n", revision, result)
 	for _, permit := range ledger.OpenPermits() {
 		fmt.Fprintf(&out, "    %s %s: %s\n", permit.ID, permit.Stage, permit.WaitReason)
 	}
@@ -137,7 +113,7 @@
 }
 
 // The script's operations are read and written as they were stored. Played, they have the same outcomes, reasons,
-// snapshot and view; a ledger restored from the snapshot at any step goes on to the same snapshot.
+// snapshot and view; a ledger restored from the snapshot at any step arrives at the same last snapshot.
 func TestStoredLedgerIsCompatible(t *testing.T) {
 	steps := readScript(t)
 	ledger := NewLedger()
@@ -148,7 +124,7 @@
 		traces.WriteString(trace(ledger, revision, play(t, ledger, revision, step)))
 		snapshots = append(snapshots, encode(t, ledger.Snapshot()))
 	}
-	requireGolden(t, "trace.txt", []byte(traces.String()))
+	goldentest.Compare(t, "trace.txt", []byte(traces.String()))
 	var stored bytes.Buffer
 	for i, data := range snapshots {
 		if i%9 == 0 || i == len(snapshots)-1 {
@@ -156,9 +132,9 @@
 			stored.WriteByte('\n')
 		}
 	}
-	requireGolden(t, "snapshots.jsonl", stored.Bytes())
-	requireGolden(t, "view.json", append(encode(t, ledger.View(true)), '\n'))
-	requireGolden(t, "view-unavailable.json", append(encode(t, ledger.View(false)), '\n'))
+	goldentest.Compare(t, "snapshots.jsonl", stored.Bytes())
+	goldentest.Compare(t, "view.json", append(encode(t, ledger.View(true)), '\n'))
+	goldentest.Compare(t, "view-unavailable.json", append(encode(t, ledger.View(false)), '\n'))
 
 	for i, data := range snapshots {
 		var snapshot Snapshot
@@ -179,13 +155,10 @@
 	}
 }
 
-// A view that a client reads is written again as it was.
+// A view that clients read is written again as it was.
 func TestViewIsCompatible(t *testing.T) {
 	for _, name := range []string{"view.json", "view-unavailable.json"} {
-		data, err := os.ReadFile(filepath.Join("testdata", name))
-		if err != nil {
-			t.Fatal(err)
-		}
+		data := goldentest.Read(t, name)
 		var view View
 		decodeStrictly(t, data, &view)
 		if again := append(encode(t, view), '\n'); !bytes.Equal(again, data) {
@@ -196,10 +169,7 @@
 
 // Budgets are read from TOML by the keys that operators' files have.
 func TestBudgetKeysAreCompatible(t *testing.T) {
-	data, err := os.ReadFile(filepath.Join("testdata", "budgets.toml"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	data := goldentest.Read(t, "budgets.toml")
 	var file struct {
 		Budgets []Budget `toml:"budget"`
 	}
@@ -212,12 +182,12 @@
 		lines.Write(encode(t, budget))
 		lines.WriteByte('\n')
 	}
-	requireGolden(t, "budgets.jsonl", lines.Bytes())
+	goldentest.Compare(t, "budgets.jsonl", lines.Bytes())
 	rewritten, err := toml.Marshal(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireGolden(t, "budgets-written.toml", rewritten)
+	goldentest.Compare(t, "budgets-written.toml", rewritten)
 }
 
 // Constants that are stored or sent have the values that earlier versions have written.
@@ -234,7 +204,7 @@
 		{"ends", []string{string(DispositionReturn), string(DispositionReplace), string(DispositionRetire)}, "back replace retire"},
 		{"outcomes", []string{string(OutcomeApplied), string(OutcomeRejected), string(OutcomeNotFound), string(OutcomeLimitReached)}, "done refused not_found too_many"},
 		{"operations", []string{string(OpSetBudget), string(OpRequest), string(OpBegin), string(OpReturn), string(OpComplete), string(OpCancel),
-			string(OpHalt), string(OpResume), string(OpObserve), string(OpForget), string(OpForceComplete)},
+			string(OpHalt), string(OpResume), string(OpObserve), string(OpRemoveLost), string(OpForceComplete)},
 			"budget ask begin return settle cancel halt resume see forget release"},
 	} {
 		if got := strings.Join(test.got, " "); got != test.want {
@@ -243,7 +213,7 @@
 	}
 }
 
-// Checks tell the same fields and reasons, which clients are answered with.
+// Validation reports the same fields and reasons, which clients are answered with.
 func TestFieldErrorTexts(t *testing.T) {
 	long := strings.Repeat("x", MaxNameLength+1)
 	valid := Permit{ID: "p", Owner: "release/r", Units: []string{"server/a"}, Disposition: DispositionReturn}
@@ -260,7 +230,7 @@
 		{Kind: OpComplete, Owner: "release/r", Permit: &Permit{ID: "p"}, Units: []string{"a", ""}},
 		{Kind: OpForceComplete, Owner: "release/r", Permit: &Permit{ID: "p"}},
 		{Kind: OpHalt, Owner: "release/r"}, {Kind: OpHalt, Owner: "release/r", Halt: &Halt{Reason: strings.Repeat("x", MaxTextLength+1)}},
-		{Kind: OpObserve}, {Kind: OpObserve, Observed: []Unit{{Condition: ConditionLost}}}, {Kind: OpForget, Owner: "operator/o"},
+		{Kind: OpObserve}, {Kind: OpObserve, Observed: []Unit{{Condition: ConditionLost}}}, {Kind: OpRemoveLost, Owner: "operator/o"},
 		permit(func(p *Permit) { p.ID = long }), permit(func(p *Permit) { p.Owner = "release/x" }),
 		permit(func(p *Permit) { p.Purpose = strings.Repeat("x", MaxTextLength+1) }),
 		permit(func(p *Permit) { p.Units = []string{"a", "a"} }), permit(func(p *Permit) { p.Priority = 4 }), permit(func(p *Permit) { p.Disposition = "x" }),
@@ -270,8 +240,8 @@
 		budget(Budget{}), budget(Budget{Name: "b", MaxUnavailable: Limit{Count: intPointer(-1)}}), budget(Budget{Name: "b", MaxWarmingUp: Limit{Fraction: floatPointer(1.5)}}),
 		budget(Budget{Name: "b", Selector: Selector{Kind: "x"}}), budget(Budget{Name: "b", Selector: Selector{IDs: []string{long}}}),
 	} {
-		outcome, reason := NewLedger().Apply(1, &op)
-		fmt.Fprintf(&lines, "%s: %v; %s\n", outcome, op.Validate(), reason)
+		result := NewLedger().Apply(1, &op)
+		fmt.Fprintf(&lines, "%s: %v; %s\n", result.Outcome, op.Validate(), result.Reason)
 	}
-	requireGolden(t, "field-errors.txt", []byte(lines.String()))
+	goldentest.Compare(t, "field-errors.txt", []byte(lines.String()))
 }
--- a/internal/disruption/ledger_test.go
+++ b/internal/disruption/ledger_test.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"testing"
 
@@ -13,213 +12,7 @@
 	"milldeck/internal/validation"
 )
 
-func intPointer(value int) *int           { return &value }
-func floatPointer(value float64) *float64 { return &value }
-
-// harness is a ledger beside the model, and beside a copy that is saved and loaded now and then.
-type harness struct {
-	ledger, restored *Ledger // again is nil where it is no matter
-	model            *model
-	injectFault      func(ledger *Ledger, lost string) // a fault put in after each operation; nil: none
-}
-
-func newHarness() *harness {
-	return &harness{ledger: NewLedger(), restored: NewLedger(), model: newModel()}
-}
-
-// newFleetHarness is a world in which all units are up.
-func newFleetHarness() (*harness, error) {
-	h := newHarness()
-	for _, unit := range testUnits {
-		unit.Condition = ConditionUp
-		if err := h.observe(func(l *Ledger) { l.Register(h.model.revision, unit) }, unit.ID, "", nil); err != nil {
-			return h, err
-		}
-	}
-	return h, nil
-}
-
-// step does one thing to all three and says where they differ.
-func (h *harness) step(act func(l *Ledger) Outcome, expected func(model *model) Outcome, lostUnit string) error {
-	h.model.revision++
-	before := slices.Clone(h.ledger.OpenPermits())
-	outcome := act(h.ledger)
-	if h.restored != nil {
-		act(h.restored)
-	}
-	if h.injectFault != nil {
-		h.injectFault(h.ledger, lostUnit)
-		h.injectFault(h.restored, lostUnit)
-	}
-	if expected := expected(h.model); outcome != expected {
-		return fmt.Errorf("outcome %s, not %s", outcome, expected)
-	}
-	h.model.grantAdmissible()
-	if err := h.model.compare(h.ledger); err != nil {
-		return err
-	}
-	if h.restored != nil {
-		if original, restored := asJSON(h.ledger.Snapshot()), asJSON(h.restored.Snapshot()); original != restored {
-			return fmt.Errorf("loaded, it goes another way:\n%s\n%s", original, restored)
-		}
-	}
-	return h.checkNewGrants(before)
-}
-
-// checkNewGrants holds each new grant against all budgets: what is out for whatever reason is within them.
-func (h *harness) checkNewGrants(before []Permit) error {
-	previousStages := map[string]Stage{}
-	for _, permit := range before {
-		previousStages[permit.ID] = permit.Stage
-	}
-	for _, permit := range h.ledger.OpenPermits() {
-		if permit.Stage != StageGranted || previousStages[permit.ID] == StageGranted {
-			continue
-		}
-		for name, budget := range h.model.budgets {
-			selected := h.model.unitsWhere(func(unit *Unit) bool { return budget.Selector.Matches(unit) })
-			takesServing := slices.ContainsFunc(selected, func(unit Unit) bool { return unit.Condition == ConditionUp && slices.Contains(permit.Units, unit.ID) })
-			if limit, bounded := budget.MaxUnavailable.unitLimit(len(selected)); takesServing && bounded && h.model.countUnavailable(selected) > limit {
-				return fmt.Errorf("permit %s granted with %d out of %s, which allows %d", permit.ID, h.model.countUnavailable(selected), name, limit)
-			}
-		}
-	}
-	return nil
-}
-
-func (h *harness) apply(op *Op) error {
-	return h.step(func(l *Ledger) Outcome { outcome, _ := l.Apply(h.model.revision, op); return outcome }, func(model *model) Outcome { return model.apply(op) }, "")
-}
-
-// observe has the world know what became of a unit. Condition and warmth after a registration are the ledger's to tell;
-// the model takes them over, as TestNewServersWarmUp is about them.
-func (h *harness) observe(act func(l *Ledger), id, lostUnit string, updateModel func(model *model)) error {
-	return h.step(func(l *Ledger) Outcome { act(l); return OutcomeApplied }, func(model *model) Outcome {
-		if updateModel != nil {
-			updateModel(model)
-		} else if unit, known := h.ledger.Unit(id); known {
-			model.units[id] = unit
-		}
-		return OutcomeApplied
-	}, lostUnit)
-}
-
-func (h *harness) restoreCopy() error {
-	data, err := json.Marshal(h.ledger.Snapshot())
-	if err != nil {
-		return err
-	}
-	var snapshot Snapshot
-	if err := json.Unmarshal(data, &snapshot); err != nil {
-		return err
-	}
-	h.restored, err = Restore(snapshot)
-	return err
-}
-
-func (m *model) setCondition(id string, condition Condition) {
-	if unit, known := m.units[id]; known && unit.Condition != ConditionLost && unit.Condition != condition {
-		unit.Condition, unit.TransitionRevision, unit.ObservedRevision = condition, m.revision, m.revision
-		m.units[id] = unit
-	}
-}
-
-func (h *harness) markLost(id string) error {
-	return h.observe(func(l *Ledger) { l.MarkLost(h.model.revision, id) }, id, id, func(model *model) { model.setCondition(id, ConditionLost) })
-}
-
-func (h *harness) deregister(id string) error {
-	return h.observe(func(l *Ledger) { l.Deregister(h.model.revision, id) }, id, "", func(model *model) {
-		if model.permitOf(id) != nil {
-			model.setCondition(id, ConditionLost)
-		} else {
-			delete(model.units, id)
-		}
-	})
-}
-
-var testUnits = []Unit{
-	{ID: "server/a", Kind: KindServer, Zone: "1", PodGroup: 1}, {ID: "server/b", Kind: KindServer, Zone: "1", PodGroup: 1},
-	{ID: "server/c", Kind: KindServer, Zone: "1", PodGroup: 2}, {ID: "server/d", Kind: KindServer, Zone: "2", PodGroup: 2, Capacity: 2},
-	{ID: "server/e", Kind: KindServer, Zone: "2", PodGroup: 3}, {ID: "server/f", Kind: KindServer, Zone: "2", PodGroup: 4},
-	{ID: "sidecar/x", Kind: KindSidecar, Zone: "1"}, {ID: "sidecar/y", Kind: KindSidecar, Zone: "2"},
-}
-
-// randomStep does one drawn thing.
-func (h *harness) randomStep(draw func(unitID int) int) error {
-	unit := testUnits[draw(len(testUnits))]
-	owner := []string{"release/r", "window/w", "operator/o"}[draw(3)]
-	id := fmt.Sprint("p", draw(6))
-	if permit, known := h.ledger.Permit(id); known && draw(8) > 0 {
-		owner = permit.Owner
-	}
-	op := &Op{Owner: owner, Permit: &Permit{ID: id}}
-	switch draw(22) {
-	case 0, 1:
-		unit.Condition = []Condition{ConditionUp, ConditionUp, ConditionDraining}[draw(3)]
-		unit.BootMS = float64(draw(2))
-		return h.observe(func(l *Ledger) { l.Register(h.model.revision, unit) }, unit.ID, "", nil)
-	case 2:
-		return h.markLost(unit.ID)
-	case 3:
-		return h.deregister(unit.ID)
-	case 4:
-		return h.observe(func(l *Ledger) { l.MarkUnknown(h.model.revision, unit.ID) }, unit.ID, "", func(model *model) { model.setCondition(unit.ID, ConditionUnknown) })
-	case 5, 6, 7:
-		unit.Condition = []Condition{ConditionUp, ConditionUp, ConditionUp, ConditionWarmingUp, ConditionUnready}[draw(5)]
-		op.Kind, op.Observed = OpObserve, []Unit{unit}
-		return h.observe(func(l *Ledger) { l.Apply(h.model.revision, op) }, unit.ID, "", nil)
-	case 8, 9, 10, 11:
-		op.Kind = OpRequest
-		op.Permit = &Permit{ID: id, Owner: owner, Priority: Priority(draw(4)), Disposition: []Disposition{DispositionReturn, DispositionReplace, DispositionRetire}[draw(3)]}
-		for range 1 + draw(3) {
-			if unitID := testUnits[draw(len(testUnits))].ID; !slices.Contains(op.Permit.Units, unitID) {
-				op.Permit.Units = append(op.Permit.Units, unitID)
-			}
-		}
-		if substitute := testUnits[draw(len(testUnits))].ID; draw(3) == 0 && !slices.Contains(op.Permit.Units, substitute) {
-			op.Permit.Substitutes = map[string]string{op.Permit.Units[0]: substitute}
-		}
-		op.Permit.WithoutSubstitute = IsOperator(owner) && draw(2) == 0
-	case 12, 13:
-		op.Kind = OpBegin
-	case 14:
-		op.Kind = OpReturn
-	case 15, 16:
-		op.Kind = OpComplete
-		if permit, known := h.ledger.Permit(id); known {
-			op.Successors = map[string]string{permit.Units[0]: unit.ID}
-			if draw(2) == 0 {
-				op.Units = permit.Units[:1]
-			}
-		}
-	case 17:
-		op.Kind = OpCancel
-	case 18:
-		op.Kind = []OpKind{OpHalt, OpResume, OpResume}[draw(3)]
-		op.Halt = &Halt{Scope: []string{"", "budget/a", "release/r"}[draw(3)]}
-	case 19:
-		op.Kind, op.Owner, op.Delete = OpSetBudget, "operator/o", draw(3) == 0
-		op.Budget = &[]Budget{
-			{Name: "a", MaxUnavailable: Limit{Count: intPointer(2)}}, {Name: "b", Selector: Selector{Zone: "1"}, MaxUnavailable: Limit{Fraction: floatPointer(0.5)}},
-			{Name: "c", Selector: Selector{Kind: KindServer}, MaxWarmingUp: Limit{Fraction: floatPointer(0.4)}},
-			{Name: "b", Selector: Selector{PodGroup: intPointer(1)}, MaxUnavailable: Limit{Count: intPointer(1)}},
-		}[draw(4)]
-	case 20:
-		op.Kind, op.Owner = []OpKind{OpForget, OpForceComplete}[draw(2)], "operator/o"
-		op.Units = []string{unit.ID}
-	default:
-		if draw(2) == 0 {
-			return h.observe(func(l *Ledger) { l.Unfreeze(h.model.revision) }, "", "", func(model *model) { model.frozen = false })
-		}
-		if draw(4) == 0 {
-			return h.observe(func(l *Ledger) { l.Freeze(h.model.revision, "test") }, "", "", func(model *model) { model.frozen = true })
-		}
-		return h.restoreCopy()
-	}
-	return h.apply(op)
-}
-
+// Whatever is applied, the ledger, its restored copy and the reference model agree.
 func TestLedgerMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, err := newFleetHarness()
@@ -234,68 +27,55 @@
 	})
 }
 
-// runSeeds plays seeded days of a world with a fault put in; it gives the first difference.
-func runSeeds(seeds int, injectFault func(*Ledger, string)) error {
-	for seed := range seeds {
-		rng := rand.New(rand.NewPCG(uint64(seed), 1))
-		h, err := newFleetHarness()
-		if err != nil {
-			return err
-		}
-		h.injectFault = injectFault
-		for step := range 120 {
-			if err := h.randomStep(rng.IntN); err != nil {
-				return fmt.Errorf("seed %d, step %d: %w", seed, step, err)
-			}
-		}
-	}
-	return nil
-}
-
+// The comparison with the reference model detects faults that are injected into the ledger.
 func TestReferenceModelDetectsInjectedFaults(t *testing.T) {
-	force := func(t *Ledger, eligible func(permit *permitState) bool) {
-		for _, permit := range t.sortedOpenPermits() {
+	force := func(l *Ledger, eligible func(permit *permitState) bool) {
+		for _, permit := range l.sortedOpenPermits() {
 			if permit.pending != nil && permit.pending.unknownUnit == "" && permit.pending.blockedReason == "" && eligible(permit) {
-				t.grant(permit)
-				t.processQueue()
+				l.grant(permit)
+				l.processQueue()
 				return
 			}
 		}
 	}
-	faults := map[string]func(t *Ledger, lostUnit string){
-		"a grant that looks at the first budget alone": func(t *Ledger, _ string) {
-			force(t, func(permit *permitState) bool {
+	faults := map[string]func(l *Ledger, lostUnit string){
+		"a grant that checks the first budget alone": func(l *Ledger, _ string) {
+			force(l, func(permit *permitState) bool {
 				for _, d := range permit.pending.demands {
 					if d.constraint.budget != nil {
-						result, _ := t.evaluateDemand(&permitState{Permit: permit.Permit}, &d)
-						return result == admissible && t.haltReason(permit) == ""
+						result := evaluateDemand(&permitState{Permit: permit.Permit}, &d)
+						return result.verdict == admissible && l.haltReason(permit) == ""
 					}
 				}
 				return false
 			})
 		},
-		"a permit that ends with a lease": func(t *Ledger, lostUnit string) {
-			if unit := t.units[lostUnit]; unit != nil && unit.permit != nil {
-				t.endUnits(unit.permit, []string{lostUnit}, StageCompleted)
-				t.processQueue()
+		"a permit that ends with a lease": func(l *Ledger, lostUnit string) {
+			if unit := l.units[lostUnit]; unit != nil && unit.permit != nil {
+				l.endUnits(unit.permit, []string{lostUnit}, StageCompleted)
+				l.processQueue()
 			}
 		},
-		"a lost unit that is not counted": func(t *Ledger, lostUnit string) {
-			if unit := t.units[lostUnit]; unit != nil && unit.permit == nil {
-				t.removeUnit(unit)
-				t.processQueue()
+		"a lost unit that is not counted": func(l *Ledger, lostUnit string) {
+			if unit := l.units[lostUnit]; unit != nil && unit.permit == nil {
+				l.removeUnit(unit)
+				l.processQueue()
 			}
 		},
-		"no head of line": func(t *Ledger, _ string) {
-			force(t, func(permit *permitState) bool {
-				for _, waiter := range t.openPermits {
+		"a permit that blocks nobody": func(l *Ledger, _ string) {
+			force(l, func(permit *permitState) bool {
+				blocking := map[*permitState]bool{}
+				for _, waiter := range l.openPermits {
 					if waiter != permit && waiter.pending != nil {
-						defer func(waiter *permitState, blocksLater bool) { waiter.pending.blocksLater = blocksLater }(waiter, waiter.pending.blocksLater)
+						blocking[waiter] = waiter.pending.blocksLater
 						waiter.pending.blocksLater = false
 					}
 				}
-				result, _ := t.evaluate(permit)
-				return result == admissible
+				result := l.evaluate(permit)
+				for waiter, blocksLater := range blocking {
+					waiter.pending.blocksLater = blocksLater
+				}
+				return result.verdict == admissible
 			})
 		},
 	}
@@ -303,7 +83,7 @@
 		t.Run(name, func(t *testing.T) {
 			err := runSeeds(300, injectFault)
 			if err == nil {
-				t.Fatal("not found")
+				t.Fatal("the fault is not detected")
 			}
 			t.Log(err)
 		})
@@ -313,14 +93,14 @@
 	}
 }
 
-// A large request is granted in the end though small ones that would fit come all the time: they wait behind it.
+// A large permit is granted in the end though small ones that are admissible are requested all the time: it blocks them.
 func TestLargePermitIsNotStarved(t *testing.T) {
 	l, revision := NewLedger(), uint64(0)
 	apply := func(op Op) {
 		t.Helper()
 		revision++
-		if outcome, reason := l.Apply(revision, &op); outcome != OutcomeApplied {
-			t.Fatalf("%s: %s %s", op.Kind, outcome, reason)
+		if result := l.Apply(revision, &op); result.Outcome != OutcomeApplied {
+			t.Fatalf("%s: %s %s", op.Kind, result.Outcome, result.Reason)
 		}
 	}
 	for i := range 9 {
@@ -336,7 +116,7 @@
 	for i := 4; i < 9; i++ {
 		apply(request(fmt.Sprint("s", i), PriorityRollout, fmt.Sprint("sidecar/", i)))
 	}
-	apply(request("first", PriorityDeadline, "sidecar/8")) // a better rank need not wait
+	apply(request("first", PriorityDeadline, "sidecar/8")) // a better priority is not blocked
 	stage := func(id string) Stage { p, _ := l.Permit(id); return p.Stage }
 	if stage("first") != StageGranted || stage("s4") != StageRequested || stage("large") != StageRequested {
 		t.Fatalf("first %s, s4 %s, large %s: %+v", stage("first"), stage("s4"), stage("large"), l.OpenPermits())
@@ -353,7 +133,8 @@
 	}
 }
 
-// What is new is cold until it was found up, where there is a budget at all; what only was away for a while is not.
+// A server of a new incarnation is warming up until it is observed up, as long as there is any budget; one that was only
+// lost for a while is not.
 func TestNewServersWarmUp(t *testing.T) {
 	l := NewLedger()
 	unit := Unit{ID: "server/a", Kind: KindServer, BootMS: 5, Condition: ConditionUp, Endpoint: "127.0.0.1:1"}
@@ -373,12 +154,12 @@
 		l.Apply(revision, &Op{Kind: OpObserve, Observed: []Unit{observed}})
 	}
 	observe(4, Unit{ID: unit.ID, Condition: ConditionUp, TransitionRevision: 1})
-	requireCondition(unit.ID, ConditionWarmingUp) // found of an earlier life
+	requireCondition(unit.ID, ConditionWarmingUp) // observed of an earlier incarnation
 	observe(5, Unit{ID: unit.ID, Condition: ConditionUp, TransitionRevision: 3})
 	requireCondition(unit.ID, ConditionUp)
 	l.MarkLost(6, unit.ID)
 	observe(7, Unit{ID: unit.ID, Condition: ConditionUp})
-	requireCondition(unit.ID, ConditionLost) // the list knows better
+	requireCondition(unit.ID, ConditionLost) // the registry's list is not overridden
 	l.Register(8, unit)
 	requireCondition(unit.ID, ConditionUp)
 	l.MarkUnknown(9, unit.ID)
@@ -388,17 +169,17 @@
 	l.MarkLost(11, unit.ID)
 	l.Register(12, Unit{ID: "server/z", Kind: KindServer, Condition: ConditionUp, Endpoint: unit.Endpoint})
 	requireCondition("server/z", ConditionUp)
-	requireCondition(unit.ID, "") // its place is taken
+	requireCondition(unit.ID, "") // replaced
 }
 
-// Who registers at the endpoint of a unit that is lost under a permit ends it, once it is up; until then nothing does.
+// A server that registers at the endpoint of one that is lost under a permit completes that, once it is up.
 func TestSuccessorAtSameEndpointCompletesPermit(t *testing.T) {
 	l, op := NewLedger(), Op{Owner: "operator/o", Permit: &Permit{ID: "p", Owner: "operator/o", Units: []string{"server/a"}, Disposition: DispositionReturn}}
 	apply := func(revision uint64, kind OpKind, want Outcome) {
 		t.Helper()
 		op.Kind = kind
-		if got, reason := l.Apply(revision, &op); got != want {
-			t.Fatalf("%s: %s %s", kind, got, reason)
+		if got := l.Apply(revision, &op); got.Outcome != want {
+			t.Fatalf("%s: %s %s", kind, got.Outcome, got.Reason)
 		}
 	}
 	for i, id := range []string{"server/a", "server/b"} {
@@ -407,7 +188,7 @@
 	apply(3, OpRequest, OutcomeApplied)
 	apply(4, OpComplete, OutcomeRejected) // it has not begun
 	apply(5, OpBegin, OutcomeApplied)
-	apply(6, OpComplete, OutcomeRejected) // it never went out
+	apply(6, OpComplete, OutcomeRejected) // no transition since its begin
 	l.Deregister(7, "server/a")
 	apply(8, OpComplete, OutcomeRejected)
 	successor := Unit{ID: "server/a2", Kind: KindServer, Endpoint: "server/a", Condition: ConditionDraining}
@@ -421,15 +202,15 @@
 	}
 }
 
-// Apply costs no more with many units than with few: one permit from ask to settled, at 100 and 10,000 units.
+// Apply does not cost more with more units: a permit from its request to its end, with 100 and with 10,000 units.
 func BenchmarkApply(b *testing.B) {
 	for _, units := range []int{100, 10_000} {
 		b.Run(fmt.Sprint(units), func(b *testing.B) {
 			l, revision := NewLedger(), uint64(0)
 			apply := func(op Op) {
 				revision++
-				if outcome, reason := l.Apply(revision, &op); outcome != OutcomeApplied {
-					b.Fatalf("%s: %s %s", op.Kind, outcome, reason)
+				if result := l.Apply(revision, &op); result.Outcome != OutcomeApplied {
+					b.Fatalf("%s: %s %s", op.Kind, result.Outcome, result.Reason)
 				}
 			}
 			for i := range units {
@@ -439,7 +220,7 @@
 			for i := range 16 {
 				apply(Op{Kind: OpSetBudget, Owner: "operator/o", Budget: &Budget{Name: fmt.Sprint(i), MaxUnavailable: Limit{Count: intPointer(3)}}})
 			}
-			for i := range 20 { // some that wait
+			for i := range 20 { // pending ones
 				id := fmt.Sprint("server/", i)
 				apply(Op{Kind: OpRequest, Owner: "r", Permit: &Permit{ID: fmt.Sprint("w", i), Owner: "r", Units: []string{id}, Priority: PriorityRollout, Disposition: DispositionReturn}})
 			}
@@ -457,8 +238,8 @@
 	}
 }
 
-// All sequences of sixteen operations on three units, two budgets and two permits that share a unit, up to a depth;
-// what was met before, but for how high its revisions are, is not gone on with.
+// All sequences of sixteen operations on three units, two budgets and two permits that share a unit, up to a depth. A
+// state that differs from an earlier one in the values of its revisions alone is not pursued.
 func TestExhaustiveShortSequences(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a few seconds")
@@ -469,7 +250,7 @@
 	}
 	start := newHarness()
 	for _, name := range []string{"a", "b", "c"} {
-		if err := start.observe(func(t *Ledger) { t.Register(start.model.revision, unit(name)) }, "server/"+name, "", nil); err != nil {
+		if err := start.observe(func(l *Ledger) { l.Register(start.model.revision, unit(name)) }, "server/"+name, "", nil); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -492,43 +273,50 @@
 		unit := unit(name)
 		ops = append(ops, func(h *harness) error { return h.markLost(unit.ID) },
 			func(h *harness) error {
-				return h.observe(func(t *Ledger) { t.Register(h.model.revision, unit) }, unit.ID, "", nil)
+				return h.observe(func(l *Ledger) { l.Register(h.model.revision, unit) }, unit.ID, "", nil)
 			})
 	}
 	ops = append(ops, act(Op{Kind: OpHalt, Owner: "operator/o", Halt: &Halt{Reason: "test"}}), act(Op{Kind: OpResume, Owner: "operator/o", Halt: &Halt{}}))
-	seen, level, steps := map[string]bool{}, []*harness{start}, 0
+	visited, level, steps := map[string]bool{}, []*harness{start}, 0
 	for range depth {
 		var next []*harness
 		for _, h := range level {
 			for _, act := range ops {
-				saved := h.ledger.Snapshot()
-				data, err := json.Marshal(saved)
-				if err != nil {
-					t.Fatal(err)
-				}
-				branch, snapshot := &harness{model: h.model.clone()}, Snapshot{}
-				if err := json.Unmarshal(data, &snapshot); err != nil {
-					t.Fatal(err)
-				}
-				if branch.ledger, err = Restore(snapshot); err != nil {
-					t.Fatal(err)
-				}
+				branch := h.branch(t)
 				if err := act(branch); err != nil {
 					t.Fatal(err)
 				}
 				steps++
-				if key := normalize(branch.ledger.Snapshot()); !seen[key] {
-					seen[key] = true
+				if key := normalize(branch.ledger.Snapshot()); !visited[key] {
+					visited[key] = true
 					next = append(next, branch)
 				}
 			}
 		}
 		level = next
 	}
-	t.Logf("%d steps, %d states", steps, len(seen))
+	t.Logf("%d steps, %d states", steps, len(visited))
+}
+
+// branch is a harness in the same state, without a restored copy.
+func (h *harness) branch(t *testing.T) *harness {
+	t.Helper()
+	data, err := json.Marshal(h.ledger.Snapshot())
+	if err != nil {
+		t.Fatal(err)
+	}
+	var snapshot Snapshot
+	if err := json.Unmarshal(data, &snapshot); err != nil {
+		t.Fatal(err)
+	}
+	ledger, err := Restore(snapshot)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &harness{ledger: ledger, model: h.model.clone()}
 }
 
-// normalize is what was saved with its revisions replaced by their order.
+// normalize is a snapshot with its revisions replaced by their ranks.
 func normalize(snapshot Snapshot) string {
 	var revisions []*uint64
 	snapshot.Units, snapshot.Halts = slices.Clone(snapshot.Units), slices.Clone(snapshot.Halts)
@@ -558,8 +346,7 @@
 	return asJSON(snapshot)
 }
 
-var fieldError *validation.Error
-
+// Validate names the invalid field.
 func TestOpValidate(t *testing.T) {
 	valid := Permit{ID: "p", Owner: "release/r", Units: []string{"server/a"}, Disposition: DispositionReturn}
 	for field, op := range map[string]Op{
@@ -568,7 +355,7 @@
 		"permit.id":            {Kind: OpBegin, Owner: "release/r", Permit: &Permit{}},
 		"owner":                {Kind: OpRequest, Owner: "release/x", Permit: &valid},
 		"budget":               {Kind: OpSetBudget},
-		"units":                {Kind: OpForget, Owner: "operator/o"},
+		"units":                {Kind: OpRemoveLost, Owner: "operator/o"},
 		"halt":                 {Kind: OpHalt},
 		"seen":                 {Kind: OpObserve},
 		"permit.units":         {Kind: OpRequest, Owner: "release/r", Permit: &Permit{ID: "p", Owner: "release/r", Disposition: DispositionRetire, Units: []string{"a", "a"}}},
@@ -576,7 +363,8 @@
 		"permit.instead":       {Kind: OpRequest, Owner: "release/r", Permit: &Permit{ID: "p", Owner: "release/r", Disposition: DispositionRetire, Units: []string{"a"}, Substitutes: map[string]string{"a": "a"}}},
 		"budget.max_out.share": {Kind: OpSetBudget, Owner: "operator/o", Budget: &Budget{Name: "b", MaxUnavailable: Limit{Fraction: floatPointer(2)}}},
 	} {
-		if err := op.Validate(); !errors.As(err, &fieldError) || fieldError.Field != field {
+		var invalid *validation.Error
+		if err := op.Validate(); !errors.As(err, &invalid) || invalid.Field != field {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
--- /dev/null
+++ b/internal/disruption/model_operations_test.go
@@ -0,0 +1,209 @@
+package disruption
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+)
+
+// apply applies an operation and returns its outcome.
+func (m *model) apply(op *Op) Outcome {
+	if op.Validate() != nil {
+		return OutcomeRejected
+	}
+	var permit Permit
+	switch op.Kind {
+	case OpRequest, OpBegin, OpReturn, OpCancel, OpComplete, OpForceComplete:
+		permit = m.permits[op.Permit.ID]
+		if op.Kind != OpRequest && permit.ID == "" {
+			return OutcomeNotFound
+		}
+		if op.Kind != OpRequest && op.Kind != OpForceComplete && op.Owner != permit.Owner {
+			return OutcomeRejected
+		}
+	}
+	closed := permit.closed()
+	begun := permit.Stage == StageActive || permit.Stage == StageReturning
+	switch op.Kind {
+	case OpSetBudget:
+		_, exists := m.budgets[op.Budget.Name]
+		if op.Delete {
+			delete(m.budgets, op.Budget.Name)
+		} else {
+			m.budgets[op.Budget.Name] = *op.Budget
+		}
+		if op.Delete && !exists {
+			return OutcomeNotFound
+		}
+	case OpRequest:
+		if permit.ID != "" {
+			if !sameRequest(&permit, op.Permit) {
+				return OutcomeRejected
+			}
+			return OutcomeApplied
+		}
+		requested := *op.Permit
+		requested.Stage, requested.RequestRevision = StageRequested, m.revision
+		for _, id := range requested.Units {
+			if _, exists := m.units[id]; !exists {
+				return OutcomeNotFound
+			}
+		}
+		if _, feasible, _, _ := m.evaluate(requested); !feasible {
+			return OutcomeRejected
+		}
+		m.permits[requested.ID] = requested
+	case OpBegin:
+		if permit.Stage != StageGranted && permit.Stage != StageActive {
+			return OutcomeRejected
+		}
+		if permit.Stage == StageGranted {
+			permit.Stage, permit.BeginRevision = StageActive, m.revision
+		}
+	case OpReturn, OpCancel:
+		switch {
+		case closed && op.Kind == OpCancel:
+			return OutcomeApplied
+		case closed, !begun && op.Kind == OpReturn:
+			return OutcomeRejected
+		case !begun:
+			permit.Stage = StageCancelled
+		default:
+			if permit.Stage == StageActive {
+				permit.Stage, permit.ReturnRevision = StageReturning, m.revision
+			}
+			permit.Aborted = permit.Aborted || op.Kind == OpCancel
+		}
+	case OpComplete:
+		if closed && permit.Stage == StageCompleted {
+			return OutcomeApplied
+		}
+		if !begun || !m.completeUnits(&permit, op) {
+			return OutcomeRejected
+		}
+	case OpForceComplete:
+		switch {
+		case closed:
+			return OutcomeApplied
+		case permit.Stage == StageRequested:
+			permit.Stage = StageCancelled
+		default:
+			permit.Stage, permit.CompletedUnits = StageCompleted, permit.Units
+		}
+	case OpHalt:
+		if m.budgets["a"].Name == "" && op.Halt.Scope == "budget/a" {
+			return OutcomeNotFound
+		}
+		if !slices.ContainsFunc(m.halts, func(halt Halt) bool { return halt.Scope == op.Halt.Scope && halt.IssuedBy == op.Owner }) {
+			m.halts = append(m.halts, Halt{Scope: op.Halt.Scope, IssuedBy: op.Owner})
+		}
+	case OpResume:
+		m.halts = slices.DeleteFunc(m.halts, func(halt Halt) bool {
+			return halt.Scope == op.Halt.Scope && (IsOperator(op.Owner) || halt.IssuedBy == op.Owner)
+		})
+	case OpRemoveLost:
+		for _, id := range op.Units {
+			switch unit, exists := m.units[id]; {
+			case !exists:
+				return OutcomeNotFound
+			case unit.Condition != ConditionLost || m.permitOf(id) != nil:
+				return OutcomeRejected
+			}
+		}
+		for _, id := range op.Units {
+			delete(m.units, id)
+		}
+	}
+	if permit.ID != "" {
+		m.permits[permit.ID] = permit
+	}
+	return OutcomeApplied
+}
+
+// completeUnits completes units of a permit; it reports whether there is evidence for all of them.
+func (m *model) completeUnits(permit *Permit, op *Op) bool {
+	ids, predecessors := op.Units, map[string]string{}
+	if len(ids) == 0 {
+		ids = permit.Units
+	}
+	var completed, removed []string
+	for _, id := range ids {
+		if !slices.Contains(permit.Units, id) {
+			return false
+		}
+		if slices.Contains(permit.CompletedUnits, id) {
+			continue
+		}
+		unit, successor := m.units[id], m.units[op.Successors[id]]
+		returned := unit.Condition == ConditionUp && (permit.Disposition == DispositionReturn || permit.Aborted) &&
+			(unit.TransitionRevision > permit.BeginRevision || permit.Stage == StageReturning && unit.ObservedRevision > permit.ReturnRevision)
+		retired := permit.Disposition == DispositionRetire && unit.Condition == ConditionLost
+		replaced := permit.Disposition != DispositionRetire && unit.Condition == ConditionLost &&
+			successor.ID != "" && !m.unavailable(successor) && successor.Kind == unit.Kind &&
+			successor.Predecessor == "" && predecessors[successor.ID] == "" && !slices.Contains(permit.Units, successor.ID)
+		if !returned && !retired && !replaced {
+			return false
+		}
+		completed = append(completed, id)
+		if !returned {
+			removed = append(removed, id)
+			if replaced {
+				predecessors[successor.ID] = id
+			}
+		}
+	}
+	permit.CompletedUnits = append(slices.Clone(permit.CompletedUnits), completed...)
+	if len(permit.CompletedUnits) == len(permit.Units) {
+		permit.Stage = StageCompleted
+	}
+	for successor, id := range predecessors {
+		unit := m.units[successor]
+		unit.Predecessor = id
+		m.units[successor] = unit
+	}
+	for _, id := range removed {
+		delete(m.units, id)
+	}
+	return true
+}
+
+// compare reports where the ledger differs from the model.
+func (m *model) compare(l *Ledger) error {
+	if got, want := l.Units(), m.unitsWhere(func(*Unit) bool { return true }); !sameJSON(got, append([]Unit{}, want...)) {
+		return fmt.Errorf("units are %s, not %s", asJSON(got), asJSON(want))
+	}
+	for id, want := range m.permits {
+		got, found := l.Permit(id)
+		if !found || got.Stage != want.Stage || !slices.Equal(got.CompletedUnits, want.CompletedUnits) {
+			return fmt.Errorf("permit %s is %s, not %s", id, asJSON(got), asJSON(want))
+		}
+		for _, unitID := range want.Units { // no other permit has taken it out
+			if !want.holdsUnits() || slices.Contains(want.CompletedUnits, unitID) {
+				continue
+			}
+			if unit := l.units[unitID]; unit == nil || unit.permit == nil || unit.permit.ID != id {
+				return fmt.Errorf("%s is not under permit %s", unitID, id)
+			}
+		}
+	}
+	for _, status := range l.View(false).Constraints {
+		if c := l.constraints[status.Name]; c.budget != nil {
+			budget := m.budgets[c.budget.Name]
+			selected := m.unitsWhere(budget.Selector.Matches)
+			if status.Total != len(selected) || status.Unavailable != m.countUnavailable(selected) {
+				return fmt.Errorf("%s: %d of %d unavailable, not %d of %d", status.Name, status.Unavailable, status.Total, m.countUnavailable(selected), len(selected))
+			}
+		}
+	}
+	return nil
+}
+
+func asJSON(value any) string {
+	data, err := json.Marshal(value)
+	if err != nil {
+		return err.Error()
+	}
+	return string(data)
+}
+
+func sameJSON(a, b any) bool { return asJSON(a) == asJSON(b) }
--- a/internal/disruption/model_test.go
+++ b/internal/disruption/model_test.go
@@ -1,23 +1,22 @@
 package disruption
 
 import (
-	"encoding/json"
 	"fmt"
 	"maps"
 	"slices"
 	"sort"
 )
 
-// model is the ledger written down as simply as can be: all sums are counted anew for each question, and after each
-// operation all that wait are gone through from the first until nothing more is granted.
+// model is the reference model: the ledger's rules written down as simply as possible. Sums are counted again for each
+// question, and after each operation all pending permits are evaluated from the first until nothing more is granted.
 type model struct {
 	revision  uint64
 	units     map[string]Unit
-	permits   map[string]Permit // over ones too
+	permits   map[string]Permit // closed ones too
 	budgets   map[string]Budget
 	halts     []Halt
 	frozen    bool
-	candidate *Permit // that is tried: its units count as under it
+	candidate *Permit // a permit whose units count as taken out by it
 }
 
 func newModel() *model {
@@ -26,14 +25,17 @@
 
 func (m *model) clone() *model {
 	copied := *m
-	copied.units, copied.permits, copied.budgets, copied.halts = maps.Clone(m.units), maps.Clone(m.permits), maps.Clone(m.budgets), slices.Clone(m.halts)
+	copied.units, copied.permits = maps.Clone(m.units), maps.Clone(m.permits)
+	copied.budgets, copied.halts = maps.Clone(m.budgets), slices.Clone(m.halts)
 	return &copied
 }
 
+// holdsUnits reports whether the permit has taken its units out.
 func (p *Permit) holdsUnits() bool {
 	return p.Stage == StageGranted || p.Stage == StageActive || p.Stage == StageReturning
 }
 
+// permitOf is the permit that has taken a unit out; nil: none.
 func (m *model) permitOf(id string) *Permit {
 	if permit := m.candidate; permit != nil && slices.Contains(permit.Units, id) {
 		return permit
@@ -59,7 +61,14 @@
 	return unit.Condition == ConditionWarmingUp || permit != nil && (permit.Disposition != DispositionRetire || permit.Aborted)
 }
 
-// unitsWhere gives the units of a group: of a zone, a pod group or a budget.
+func (m *model) setCondition(id string, condition Condition) {
+	if unit, known := m.units[id]; known && unit.Condition != ConditionLost && unit.Condition != condition {
+		unit.Condition, unit.TransitionRevision, unit.ObservedRevision = condition, m.revision, m.revision
+		m.units[id] = unit
+	}
+}
+
+// unitsWhere returns the selected units by id.
 func (m *model) unitsWhere(selects func(unit *Unit) bool) []Unit {
 	var selected []Unit
 	for _, id := range slices.Sorted(maps.Keys(m.units)) {
@@ -84,107 +93,135 @@
 	return m.unitsWhere(func(other *Unit) bool { return other.Kind == unit.Kind && other.Zone == unit.Zone })
 }
 
-// withCandidate gives how it would be with the permit granted.
+// withCandidate is the model as it would be with a permit granted.
 func (m *model) withCandidate(permit Permit) *model {
 	copied := m.clone()
 	copied.candidate = &permit
 	return copied
 }
 
-// evaluate tells whether a permit can be granted but for those before it; which groups it needs; and whether it waits for
-// room alone, so that it holds back others.
+// evaluation is what the model knows of a pending permit.
+type evaluation struct {
+	fits     bool            // within all constraints as they stand
+	feasible bool            // within all constraints of the fleet as it is
+	needs    map[string]bool // constraints that the permit would use up some of
+}
+
+// evaluate reports whether a permit can be granted, but for earlier ones; whether it ever can; whether it waits for its
+// constraints alone, so that it blocks later ones; and which constraints it needs.
 func (m *model) evaluate(permit Permit) (admissibleNow, feasible, blocksLater bool, needs map[string]bool) {
-	feasible, needs = true, map[string]bool{}
+	result := &evaluation{fits: true, feasible: true, needs: map[string]bool{}}
 	var units []Unit
 	available := true
 	for _, id := range permit.Units {
 		unit, known := m.units[id]
 		if !known {
-			return false, false, false, needs
+			return false, false, false, result.needs
 		}
 		units = append(units, unit)
-		available = available && m.permitOf(id) == nil && !(m.serving(unit) && m.usedAsSubstitute(id))
+		protected := m.serving(unit) && m.usedAsSubstitute(id)
+		available = available && m.permitOf(id) == nil && !protected
 	}
-	granted, fits := m.withCandidate(permit), true
-	serving := func(selects func(*Unit) bool) (count int) {
-		for _, unit := range units {
-			if selects(&unit) && m.serving(unit) {
-				count++
-			}
+	granted := m.withCandidate(permit)
+	for name, budget := range m.budgets {
+		m.evaluateBudget(result, granted, units, name, &budget)
+	}
+	for _, unit := range units {
+		if m.serving(unit) {
+			m.evaluateBuiltIn(result, granted, permit, unit)
 		}
-		return count
 	}
-	for name, budget := range m.budgets {
-		selects := func(unit *Unit) bool { return budget.Selector.Matches(unit) }
-		count := serving(selects)
-		if count == 0 {
-			continue
+	result.feasible = result.feasible && !m.takesTwoMajorities(units)
+	substitutesUp := true
+	for _, substitute := range permit.Substitutes {
+		unit, known := m.units[substitute]
+		substitutesUp = substitutesUp && known && !m.unavailable(unit)
+	}
+	blocksLater = result.feasible && available && substitutesUp && !m.halted(permit)
+	return blocksLater && result.fits, result.feasible, blocksLater, result.needs
+}
+
+// countServing counts those of a permit's units that are selected and may still serve.
+func (m *model) countServing(units []Unit, selects func(*Unit) bool) int {
+	count := 0
+	for _, unit := range units {
+		if selects(&unit) && m.serving(unit) {
+			count++
 		}
-		needs["budget/"+name] = true
-		selected := m.unitsWhere(selects)
-		if limit, bounded := budget.MaxUnavailable.unitLimit(len(selected)); bounded {
-			feasible, fits = feasible && count <= limit, fits && granted.countUnavailable(selected) <= limit
+	}
+	return count
+}
+
+func (m *model) evaluateBudget(result *evaluation, granted *model, units []Unit, name string, budget *Budget) {
+	count := m.countServing(units, budget.Selector.Matches)
+	if count == 0 {
+		return
+	}
+	result.needs["budget/"+name] = true
+	selected := m.unitsWhere(budget.Selector.Matches)
+	if limit, bounded := budget.MaxUnavailable.unitLimit(len(selected)); bounded {
+		result.feasible = result.feasible && count <= limit
+		result.fits = result.fits && granted.countUnavailable(selected) <= limit
+	}
+	milliCapacity, warmingUpNow, warmingUpThen := int64(0), int64(0), int64(0)
+	for _, unit := range selected {
+		milliCapacity += unit.milliCapacity()
+		if m.countsAsWarmingUp(unit) {
+			warmingUpNow += unit.milliCapacity()
 		}
-		milliCapacity, warmingUpNow, warmingUpThen := int64(0), int64(0), int64(0)
-		for _, unit := range selected {
-			milliCapacity += unit.milliCapacity()
-			if m.countsAsWarmingUp(unit) {
-				warmingUpNow += unit.milliCapacity()
-			}
-			if granted.countsAsWarmingUp(unit) {
-				warmingUpThen += unit.milliCapacity()
-			}
+		if granted.countsAsWarmingUp(unit) {
+			warmingUpThen += unit.milliCapacity()
 		}
-		if limit, bounded := budget.MaxWarmingUp.capacityLimit(milliCapacity, len(selected)); bounded {
-			feasible, fits = feasible && warmingUpThen-warmingUpNow <= limit, fits && warmingUpThen <= limit
+	}
+	if limit, bounded := budget.MaxWarmingUp.capacityLimit(milliCapacity, len(selected)); bounded {
+		result.feasible = result.feasible && warmingUpThen-warmingUpNow <= limit
+		result.fits = result.fits && warmingUpThen <= limit
+	}
+}
+
+// evaluateBuiltIn evaluates the zone and the pod group of a unit that serves.
+func (m *model) evaluateBuiltIn(result *evaluation, granted *model, permit Permit, unit Unit) {
+	zone := m.unitsInZoneOf(&unit)
+	result.needs["zone "+string(unit.Kind)+" "+unit.Zone] = true
+	if unit.Kind == KindServer {
+		result.needs[fmt.Sprint("pod ", unit.PodGroup)] = true
+		podGroup := m.unitsWhere(func(other *Unit) bool { return other.Kind == KindServer && other.PodGroup == unit.PodGroup })
+		for _, members := range [][]Unit{zone, podGroup} {
+			taken := len(slices.DeleteFunc(slices.Clone(members), func(other Unit) bool { return !slices.Contains(permit.Units, other.ID) }))
+			switch {
+			case len(members) == 1:
+				result.feasible = result.feasible && (permit.WithoutSubstitute || permit.Substitutes[unit.ID] != "")
+			case taken == len(members):
+				result.feasible = false
+			default:
+				result.fits = result.fits && granted.countUnavailable(members) < len(members)
+			}
 		}
 	}
-	for _, unit := range units {
-		if !m.serving(unit) {
+	if 2*granted.countUnavailable(zone) <= len(zone) {
+		return
+	}
+	result.needs["zones "+string(unit.Kind)] = true
+	for _, other := range m.units {
+		if other.Kind != unit.Kind || other.Zone == unit.Zone {
 			continue
 		}
-		zone := m.unitsInZoneOf(&unit)
-		key := string(unit.Kind) + " " + unit.Zone
-		needs["zone "+key] = true
-		constraints := [][]Unit{zone}
-		if unit.Kind == KindServer {
-			needs[fmt.Sprint("pod ", unit.PodGroup)] = true
-			constraints = append(constraints, m.unitsWhere(func(other *Unit) bool { return other.Kind == KindServer && other.PodGroup == unit.PodGroup }))
-			for _, members := range constraints {
-				selects := len(slices.DeleteFunc(slices.Clone(members), func(other Unit) bool { return !slices.Contains(permit.Units, other.ID) }))
-				switch {
-				case len(members) == 1:
-					feasible = feasible && (permit.WithoutSubstitute || permit.Substitutes[unit.ID] != "")
-				case selects == len(members):
-					feasible = false
-				default:
-					fits = fits && granted.countUnavailable(members) < len(members)
-				}
-			}
-		}
-		if 2*granted.countUnavailable(zone) > len(zone) {
-			needs["zones "+string(unit.Kind)] = true
-			for _, other := range m.units {
-				if other.Kind == unit.Kind && other.Zone != unit.Zone && 2*granted.countUnavailable(m.unitsInZoneOf(&other)) > len(m.unitsInZoneOf(&other)) {
-					fits = false
-				}
-			}
+		if otherZone := m.unitsInZoneOf(&other); 2*granted.countUnavailable(otherZone) > len(otherZone) {
+			result.fits = false
 		}
 	}
-	kinds := map[Kind]map[string]bool{KindServer: {}, KindSidecar: {}}
+}
+
+// takesTwoMajorities reports whether a permit takes more than half of the units of two zones of a kind.
+func (m *model) takesTwoMajorities(units []Unit) bool {
+	zones := map[Kind]map[string]bool{KindServer: {}, KindSidecar: {}}
 	for _, unit := range units {
-		if count := serving(func(other *Unit) bool { return other.Kind == unit.Kind && other.Zone == unit.Zone }); 2*count > len(m.unitsInZoneOf(&unit)) {
-			kinds[unit.Kind][unit.Zone] = true
+		taken := m.countServing(units, func(other *Unit) bool { return other.Kind == unit.Kind && other.Zone == unit.Zone })
+		if 2*taken > len(m.unitsInZoneOf(&unit)) {
+			zones[unit.Kind][unit.Zone] = true
 		}
 	}
-	feasible = feasible && len(kinds[KindServer]) < 2 && len(kinds[KindSidecar]) < 2
-	substitutesUp := true
-	for _, substitute := range permit.Substitutes {
-		substituteUnit, known := m.units[substitute]
-		substitutesUp = substitutesUp && known && !m.unavailable(substituteUnit)
-	}
-	blocksLater = feasible && available && substitutesUp && !m.halted(permit)
-	return blocksLater && fits, feasible, blocksLater, needs
+	return len(zones[KindServer]) > 1 || len(zones[KindSidecar]) > 1
 }
 
 func (m *model) usedAsSubstitute(id string) bool {
@@ -238,7 +275,7 @@
 	return waiting
 }
 
-// grantAdmissible takes back what is halted and grants until nothing more fits.
+// grantAdmissible revokes the grants that are halted, and grants until nothing more is admissible.
 func (m *model) grantAdmissible() {
 	for id, permit := range m.permits {
 		if permit.Stage == StageGranted && m.halted(permit) {
@@ -268,199 +305,3 @@
 		return
 	}
 }
-
-// apply does an operation and says its outcome.
-func (m *model) apply(op *Op) Outcome {
-	if op.Validate() != nil {
-		return OutcomeRejected
-	}
-	var permit Permit
-	switch op.Kind {
-	case OpRequest, OpBegin, OpReturn, OpCancel, OpComplete, OpForceComplete:
-		permit = m.permits[op.Permit.ID]
-		if op.Kind != OpRequest && permit.ID == "" {
-			return OutcomeNotFound
-		}
-		if op.Kind != OpRequest && op.Kind != OpForceComplete && op.Owner != permit.Owner {
-			return OutcomeRejected
-		}
-	}
-	closed := permit.Stage == StageCompleted || permit.Stage == StageCancelled
-	begun := permit.Stage == StageActive || permit.Stage == StageReturning
-	switch op.Kind {
-	case OpSetBudget:
-		_, exists := m.budgets[op.Budget.Name]
-		if op.Delete {
-			delete(m.budgets, op.Budget.Name)
-		} else {
-			m.budgets[op.Budget.Name] = *op.Budget
-		}
-		if op.Delete && !exists {
-			return OutcomeNotFound
-		}
-	case OpRequest:
-		if permit.ID != "" {
-			if !sameRequest(&permit, op.Permit) {
-				return OutcomeRejected
-			}
-			return OutcomeApplied
-		}
-		requested := *op.Permit
-		requested.Stage, requested.RequestRevision = StageRequested, m.revision
-		for _, id := range requested.Units {
-			if _, exists := m.units[id]; !exists {
-				return OutcomeNotFound
-			}
-		}
-		if _, feasible, _, _ := m.evaluate(requested); !feasible {
-			return OutcomeRejected
-		}
-		m.permits[requested.ID] = requested
-	case OpBegin:
-		if permit.Stage != StageGranted && permit.Stage != StageActive {
-			return OutcomeRejected
-		}
-		if permit.Stage == StageGranted {
-			permit.Stage, permit.BeginRevision = StageActive, m.revision
-		}
-	case OpReturn, OpCancel:
-		switch {
-		case closed && op.Kind == OpCancel:
-			return OutcomeApplied
-		case closed, !begun && op.Kind == OpReturn:
-			return OutcomeRejected
-		case !begun:
-			permit.Stage = StageCancelled
-		default:
-			if permit.Stage == StageActive {
-				permit.Stage, permit.ReturnRevision = StageReturning, m.revision
-			}
-			permit.Aborted = permit.Aborted || op.Kind == OpCancel
-		}
-	case OpComplete:
-		if closed && permit.Stage == StageCompleted {
-			return OutcomeApplied
-		}
-		if !begun || !m.completeUnits(&permit, op) {
-			return OutcomeRejected
-		}
-	case OpForceComplete:
-		switch {
-		case closed:
-			return OutcomeApplied
-		case permit.Stage == StageRequested:
-			permit.Stage = StageCancelled
-		default:
-			permit.Stage, permit.CompletedUnits = StageCompleted, permit.Units
-		}
-	case OpHalt:
-		if m.budgets["a"].Name == "" && op.Halt.Scope == "budget/a" {
-			return OutcomeNotFound
-		}
-		if !slices.ContainsFunc(m.halts, func(halt Halt) bool { return halt.Scope == op.Halt.Scope && halt.IssuedBy == op.Owner }) {
-			m.halts = append(m.halts, Halt{Scope: op.Halt.Scope, IssuedBy: op.Owner})
-		}
-	case OpResume:
-		m.halts = slices.DeleteFunc(m.halts, func(halt Halt) bool {
-			return halt.Scope == op.Halt.Scope && (IsOperator(op.Owner) || halt.IssuedBy == op.Owner)
-		})
-	case OpForget:
-		for _, id := range op.Units {
-			switch unit, exists := m.units[id]; {
-			case !exists:
-				return OutcomeNotFound
-			case unit.Condition != ConditionLost || m.permitOf(id) != nil:
-				return OutcomeRejected
-			}
-		}
-		for _, id := range op.Units {
-			delete(m.units, id)
-		}
-	}
-	if permit.ID != "" {
-		m.permits[permit.ID] = permit
-	}
-	return OutcomeApplied
-}
-
-// completeUnits takes the evidence for units of a permit.
-func (m *model) completeUnits(permit *Permit, op *Op) bool {
-	ids, predecessors := op.Units, map[string]string{}
-	if len(ids) == 0 {
-		ids = permit.Units
-	}
-	var completed, removed []string
-	for _, id := range ids {
-		if !slices.Contains(permit.Units, id) {
-			return false
-		}
-		if slices.Contains(permit.CompletedUnits, id) {
-			continue
-		}
-		unit, successor := m.units[id], m.units[op.Successors[id]]
-		returned := unit.Condition == ConditionUp && (unit.TransitionRevision > permit.BeginRevision || permit.Stage == StageReturning && unit.ObservedRevision > permit.ReturnRevision) && (permit.Disposition == DispositionReturn || permit.Aborted)
-		retired := permit.Disposition == DispositionRetire && unit.Condition == ConditionLost
-		replaced := permit.Disposition != DispositionRetire && unit.Condition == ConditionLost && successor.ID != "" && !m.unavailable(successor) && successor.Predecessor == "" && predecessors[successor.ID] == "" &&
-			successor.Kind == unit.Kind && !slices.Contains(permit.Units, successor.ID)
-		if !returned && !retired && !replaced {
-			return false
-		}
-		completed = append(completed, id)
-		if !returned {
-			removed = append(removed, id)
-			if replaced {
-				predecessors[successor.ID] = id
-			}
-		}
-	}
-	permit.CompletedUnits = append(slices.Clone(permit.CompletedUnits), completed...)
-	if len(permit.CompletedUnits) == len(permit.Units) {
-		permit.Stage = StageCompleted
-	}
-	for successor, id := range predecessors {
-		unit := m.units[successor]
-		unit.Predecessor = id
-		m.units[successor] = unit
-	}
-	for _, id := range removed {
-		delete(m.units, id)
-	}
-	return true
-}
-
-// compare says where the ledger is not what the model says.
-func (m *model) compare(l *Ledger) error {
-	if got, want := l.Units(), m.unitsWhere(func(*Unit) bool { return true }); !sameJSON(got, append([]Unit{}, want...)) {
-		return fmt.Errorf("units are %s, not %s", asJSON(got), asJSON(want))
-	}
-	for id, want := range m.permits {
-		got, found := l.Permit(id)
-		if !found || got.Stage != want.Stage || !slices.Equal(got.CompletedUnits, want.CompletedUnits) {
-			return fmt.Errorf("permit %s is %s, not %s", id, asJSON(got), asJSON(want))
-		}
-		for _, unitID := range want.Units { // nobody else has it
-			if unit := l.units[unitID]; want.holdsUnits() && !slices.Contains(want.CompletedUnits, unitID) && (unit == nil || unit.permit == nil || unit.permit.ID != id) {
-				return fmt.Errorf("%s is not under permit %s", unitID, id)
-			}
-		}
-	}
-	for _, status := range l.View(false).Constraints {
-		if c := l.constraints[status.Name]; c.budget != nil {
-			selected := m.unitsWhere(func(unitID *Unit) bool { budget := m.budgets[c.budget.Name]; return budget.Selector.Matches(unitID) })
-			if status.Total != len(selected) || status.Unavailable != m.countUnavailable(selected) {
-				return fmt.Errorf("%s: %d of %d out, not %d of %d", status.Name, status.Unavailable, status.Total, m.countUnavailable(selected), len(selected))
-			}
-		}
-	}
-	return nil
-}
-
-func asJSON(value any) string {
-	data, err := json.Marshal(value)
-	if err != nil {
-		return err.Error()
-	}
-	return string(data)
-}
-
-func sameJSON(a, b any) bool { return asJSON(a) == asJSON(b) }
--- a/internal/disruption/view.go
+++ b/internal/disruption/view.go
@@ -6,21 +6,19 @@
 	"strings"
 )
 
-// Revision is the revision of the last change.
+// Revision is the log revision of the last change.
 func (l *Ledger) Revision() uint64 { return l.revision }
 
-// Permit gives a permit, as long as it is not over or is still kept.
+// Permit returns a copy of a permit, as long as it is open or still retained.
 func (l *Ledger) Permit(id string) (Permit, bool) {
-	if permit := l.openPermits[id]; permit != nil {
-		return *clonePermit(&permit.Permit), true
+	permit := l.findPermit(id)
+	if permit == nil {
+		return Permit{}, false
 	}
-	if permit := l.closedPermits[id]; permit != nil {
-		return *clonePermit(permit), true
-	}
-	return Permit{}, false
+	return *clonePermit(permit), true
 }
 
-// OpenPermits are those that are not over, in the order of grants.
+// OpenPermits returns copies of the open permits, in the order of grants.
 func (l *Ledger) OpenPermits() []Permit {
 	permits := make([]Permit, 0, len(l.openPermits))
 	for _, permit := range l.sortedOpenPermits() {
@@ -29,7 +27,7 @@
 	return permits
 }
 
-// Unit gives a unit.
+// Unit returns a unit.
 func (l *Ledger) Unit(id string) (Unit, bool) {
 	if unit := l.units[id]; unit != nil {
 		return unit.Unit, true
@@ -37,7 +35,7 @@
 	return Unit{}, false
 }
 
-// Units are all units, lost ones too, by id.
+// Units returns all units, lost ones too, by id.
 func (l *Ledger) Units() []Unit {
 	units := make([]Unit, 0, len(l.units))
 	for _, id := range slices.Sorted(maps.Keys(l.units)) {
@@ -46,7 +44,7 @@
 	return units
 }
 
-// UnitsIn are the units of a condition, by id.
+// UnitsIn returns the units of a condition, by id.
 func (l *Ledger) UnitsIn(condition Condition) []Unit {
 	var units []Unit
 	for _, unit := range l.units {
@@ -58,7 +56,7 @@
 	return units
 }
 
-// Budgets are those that were set, by name.
+// Budgets returns the budgets, by name.
 func (l *Ledger) Budgets() []Budget {
 	budgets := make([]Budget, 0, len(l.budgetConstraints))
 	for _, name := range slices.Sorted(maps.Keys(l.budgetConstraints)) {
@@ -67,37 +65,43 @@
 	return budgets
 }
 
-// Halts are those in force, by scope.
+// Halts returns the halts in force, by scope and issuer.
 func (l *Ledger) Halts() []Halt { return slices.Clone(l.halts) }
 
-// ConstraintStatus is how a budget or a built-in rule stands.
+// ConstraintStatus is how much of a budget, or of a built-in rule, is used up.
 type ConstraintStatus struct {
 	Name           string  `json:"name"` // "budget/NAME", or of a built-in rule "pod/N", "zone/KIND/ZONE"
-	Total          int     `json:"all"`
+	Total          int     `json:"all"`  // units
 	Unavailable    int     `json:"out"`
-	MaxUnavailable int     `json:"allowed"`      // out at most
-	WarmingUp      float64 `json:"cold"`         // capacity that is cold, or out under a permit and cold when it is back
+	MaxUnavailable int     `json:"allowed"`
+	WarmingUp      float64 `json:"cold"`         // capacity that is warming up, or will be when its units return
 	MaxWarmingUp   float64 `json:"cold_allowed"` // -1: no bound
 	Capacity       float64 `json:"capacity"`
 }
 
-// View is the ledger as it is shown.
+// View is the ledger as clients are shown it.
 type View struct {
 	Revision    uint64             `json:"rev"`
-	Uncertainty string             `json:"doubt,omitempty"` // why the fleet cannot be seen well enough to grant anything
+	Uncertainty string             `json:"doubt,omitempty"` // why the state of the fleet is too uncertain to grant anything
 	Counts      map[Condition]int  `json:"counts"`          // units by condition
 	Constraints []ConstraintStatus `json:"rooms"`
 	Budgets     []Budget           `json:"budgets"`
-	Permits     []Permit           `json:"permits"` // that are not over, in the order of grants
+	Permits     []Permit           `json:"permits"` // open ones, in the order of grants
 	Halts       []Halt             `json:"halts"`
-	Units       []Unit             `json:"units"` // those that count as out; all where all are asked for
+	Units       []Unit             `json:"units"` // the unavailable ones, or all where all were requested
 }
 
-// View shows the ledger: its units all, or those alone that count as out.
+// View shows the ledger, with all of its units or with the unavailable ones alone.
 func (l *Ledger) View(allUnits bool) View {
 	view := View{
-		Revision: l.revision, Uncertainty: l.uncertainty(), Counts: map[Condition]int{}, Budgets: l.Budgets(), Permits: l.OpenPermits(),
-		Halts: append([]Halt{}, l.halts...), Units: []Unit{}, Constraints: []ConstraintStatus{},
+		Revision:    l.revision,
+		Uncertainty: l.uncertainty(),
+		Counts:      map[Condition]int{},
+		Constraints: []ConstraintStatus{},
+		Budgets:     l.Budgets(),
+		Permits:     l.OpenPermits(),
+		Halts:       append([]Halt{}, l.halts...), // never nil: an empty JSON list
+		Units:       []Unit{},
 	}
 	for _, id := range slices.Sorted(maps.Keys(l.units)) {
 		unit := l.units[id]
@@ -106,7 +110,7 @@
 			view.Units = append(view.Units, unit.Unit)
 		}
 	}
-	for _, key := range slices.SortedFunc(maps.Keys(l.constraints), strings.Compare) {
+	for _, key := range slices.Sorted(maps.Keys(l.constraints)) {
 		if c := l.constraints[key]; c.budget != nil || c.neverEmpty {
 			view.Constraints = append(view.Constraints, c.status())
 		}
@@ -115,16 +119,24 @@
 }
 
 func (c *constraint) status() ConstraintStatus {
-	status := ConstraintStatus{Name: c.key, Total: c.total, Unavailable: c.unavailable, MaxUnavailable: max(c.total-1, 0), MaxWarmingUp: -1}
-	status.WarmingUp, status.Capacity = float64(c.milliWarmingUp)/1000, float64(c.milliCapacity)/1000
-	if c.budget != nil {
-		status.MaxUnavailable = c.total
-		if limit, bounded := c.budget.MaxUnavailable.unitLimit(c.total); bounded {
-			status.MaxUnavailable = limit
-		}
-		if limit, bounded := c.budget.MaxWarmingUp.capacityLimit(c.milliCapacity, c.total); bounded {
-			status.MaxWarmingUp = float64(limit) / 1000
-		}
+	status := ConstraintStatus{
+		Name:           c.key,
+		Total:          c.total,
+		Unavailable:    c.unavailable,
+		MaxUnavailable: max(c.total-1, 0),
+		WarmingUp:      float64(c.milliWarmingUp) / capacityScale,
+		MaxWarmingUp:   -1,
+		Capacity:       float64(c.milliCapacity) / capacityScale,
+	}
+	if c.budget == nil {
+		return status
+	}
+	status.MaxUnavailable = c.total
+	if limit, bounded := c.budget.MaxUnavailable.unitLimit(c.total); bounded {
+		status.MaxUnavailable = limit
+	}
+	if limit, bounded := c.budget.MaxWarmingUp.capacityLimit(c.milliCapacity, c.total); bounded {
+		status.MaxWarmingUp = float64(limit) / capacityScale
 	}
 	return status
 }
--- a/internal/lab/controlplane/log.go
+++ b/internal/lab/controlplane/log.go
@@ -151,8 +151,8 @@
 	if p.w.opt.Bugs.Torn && p.torn(op) {
 		return okay, ""
 	}
-	out, why := p.ledger.Apply(p.rev, op)
-	return string(out), why
+	result := p.ledger.Apply(p.rev, op)
+	return string(result.Outcome), result.Reason
 }
 
 // permit is the ledger's word on a permit.
--- a/internal/lab/controlplane/spreader.go
+++ b/internal/lab/controlplane/spreader.go
@@ -111,11 +111,11 @@
 				}
 			}
 		}
-		out, why := w.plane.places.Apply(w.plane.rev, hotkey.LeaseName, op)
-		if out == placement.OutcomeApplied && e.Set != nil {
+		result := w.plane.places.Apply(w.plane.rev, hotkey.LeaseName, op)
+		if result.Outcome == placement.OutcomeApplied && e.Set != nil {
 			w.judge.copies(e.Set, had)
 		}
-		return string(out), why
+		return string(result.Outcome), result.Reason
 	})
 	if known && a.outcome == string(placement.OutcomeApplied) {
 		d.Confirm(id, w.plane.rev)
--- a/internal/maintenance/permit_test.go
+++ b/internal/maintenance/permit_test.go
@@ -27,9 +27,9 @@
 	sim.proposeWindow("w", 10*minuteMS, "m0")
 	window := sim.awaitStage(t, "w", StageDrained)
 	sim.revision++
-	if out, reason := sim.ledger.Apply(sim.revision, &disruption.Op{Kind: disruption.OpForceComplete, Owner: "operator/ops",
-		Permit: &disruption.Permit{ID: window.PermitID()}}); out != disruption.OutcomeApplied {
-		t.Fatal(reason)
+	if result := sim.ledger.Apply(sim.revision, &disruption.Op{Kind: disruption.OpForceComplete, Owner: "operator/ops",
+		Permit: &disruption.Permit{ID: window.PermitID()}}); result.Outcome != disruption.OutcomeApplied {
+		t.Fatal(result.Reason)
 	}
 	sim.awaitStage(t, "w", StageHalted)
 	sim.checkInvariants(t)
--- a/internal/maintenance/scenario_test.go
+++ b/internal/maintenance/scenario_test.go
@@ -185,7 +185,7 @@
 	maxOut, peakOut := 2, 0
 	apply := func(op disruption.Op) disruption.Outcome {
 		sim.revision++
-		out, _ := sim.ledger.Apply(sim.revision, &op)
+		out := sim.ledger.Apply(sim.revision, &op).Outcome
 		sim.scheduleRun(sim.controller, 50)
 		return out
 	}
--- a/internal/maintenance/simulation_test.go
+++ b/internal/maintenance/simulation_test.go
@@ -287,12 +287,12 @@
 			return disruption.ConditionUnready
 		})
 	}
-	outcome, reason := sim.ledger.Apply(sim.revision, op)
-	sim.ledgerReason = reason
+	result := sim.ledger.Apply(sim.revision, op)
+	sim.ledgerReason = result.Reason
 	switch {
-	case outcome != disruption.OutcomeApplied && action.Kind == disruption.OpRequest:
+	case result.Outcome != disruption.OutcomeApplied && action.Kind == disruption.OpRequest:
 		return OutcomeInvalid
-	case outcome != disruption.OutcomeApplied:
+	case result.Outcome != disruption.OutcomeApplied:
 		return OutcomeBlocked
 	}
 	if current, _ := sim.ledger.Permit(action.PermitID); current.Stage != previous.Stage {
--- a/internal/placement/cache.go
+++ b/internal/placement/cache.go
@@ -7,114 +7,131 @@
 	"slices"
 )
 
-// Cache is the placement as one who follows it has it. It ends entries by itself, at whichever comes first: the wall
-// clock at ExpiresAtMS, or RemainingMS on the monotonic clock since the line came. What has ended stays ended, also when the
-// wall clock goes back or another replica tells the same entry again with more time; only a newer revision of the
-// entry begins it anew. It is not safe for concurrent use.
+// ErrDiscontinuous means that an incremental update does not continue what a cache holds: a complete one is needed.
+var ErrDiscontinuous = errors.New("the changes do not continue the placement that is known")
+
+// Cache is a consumer's copy of the placement, kept current by the updates of a watch. It expires directives by itself,
+// at whichever comes first: the wall clock at ExpiresAtMS, or RemainingMS on the monotonic clock since the update was
+// received. An expired directive stays expired, also when the wall clock is set back or another replica tells it again
+// with more time remaining; only a newer revision of the directive revives it. It is not safe for concurrent use.
 type Cache struct {
 	store
 	synced   bool
-	expiries map[string]expiry
+	expiries map[string]expiry // of all directives, by ID
 }
 
+// expiry is when a directive expires by the monotonic clock, and whether it has.
 type expiry struct {
-	monotonicMS int64 // by the monotonic clock
+	monotonicMS int64
 	expired     bool
 }
 
-// ErrDiscontinuous tells that changes do not continue what is known: the whole has to be asked for.
-var ErrDiscontinuous = errors.New("the changes do not continue the placement that is known")
-
-// NewCache knows nothing yet.
+// NewCache returns a cache that has not received any update.
 func NewCache() *Cache {
-	return &Cache{store: store{directives: map[string]Directive{}}, expiries: map[string]expiry{}}
+	return &Cache{store: newStore(), expiries: map[string]expiry{}}
 }
 
-// Synced tells whether any placement has been taken in.
+// Synced reports whether any update was applied.
 func (c *Cache) Synced() bool { return c.synced }
 
-// Apply takes in a line that was read at a time of the wall clock (Unix ms) and the monotonic clock (ms). News tells
-// whether there was anything in it; a line that is older than what is known is no news. Nothing of a line that
-// cannot be is taken.
+// Apply applies an update that was received at a time of the wall clock (Unix ms) and the monotonic clock (ms). It
+// reports whether the update was applied; one that is older than the cache is ignored. An update with an error has
+// changed nothing: ErrDiscontinuous calls for a complete update, any other error means that it is invalid.
 func (c *Cache) Apply(update *Update, wallMS, monotonicMS int64) (changed bool, err error) {
+	sameEpoch := c.synced && update.Epoch == c.epoch
 	switch {
-	case c.synced && update.Epoch == c.epoch && (update.Revision < c.revision || update.Revision == c.revision && !update.Complete):
+	case sameEpoch && (update.Revision < c.revision || update.Revision == c.revision && !update.Complete):
 		return false, nil
-	case !update.Complete && (!c.synced || update.Epoch != c.epoch):
+	case !update.Complete && !sameEpoch:
 		return false, ErrDiscontinuous
 	}
 	if err := c.validate(update); err != nil {
 		return false, err
 	}
-	c.expire(wallMS, monotonicMS) // what ended meanwhile is not begun anew by this line
-	if !c.synced || update.Epoch != c.epoch {
+	c.expire(wallMS, monotonicMS) // what has expired by now must not be revived by this update
+	if !sameEpoch {
 		c.startHistory(update.Revision, update.Epoch)
 	}
 	c.synced = true
-	removed := update.Removed
-	if update.Complete {
-		listed := map[string]bool{}
-		for i := range update.Directives {
-			listed[update.Directives[i].ID] = true
-		}
-		removed = nil
-		for _, id := range slices.Sorted(maps.Keys(c.directives)) {
-			if !listed[id] {
-				removed = append(removed, id)
-			}
-		}
+	for _, id := range c.removedBy(update) {
+		c.remove(update.Revision, id)
 	}
-	for _, id := range removed {
-		if _, exists := c.directives[id]; exists {
-			delete(c.directives, id)
-			delete(c.expiries, id)
-			c.recordChange(update.Revision, id)
-		}
-	}
-	for _, directive := range update.Directives {
-		next := expiry{monotonicMS: monotonicMS + min(max(directive.RemainingMS, 0), MaxLifetimeMS), expired: directive.RemainingMS <= 0}
-		previous, exists := c.directives[directive.ID]
-		if repeated := exists && previous.Revision == directive.Revision && previous.ExpiresAtMS == directive.ExpiresAtMS; repeated {
-			next.monotonicMS, next.expired = min(next.monotonicMS, c.expiries[directive.ID].monotonicMS), next.expired || c.expiries[directive.ID].expired
-		} else {
-			c.recordChange(update.Revision, directive.ID)
-		}
-		directive.RemainingMS = 0
-		c.directives[directive.ID], c.expiries[directive.ID] = directive, next
+	for _, d := range update.Directives {
+		c.set(update.Revision, d, monotonicMS)
 	}
 	c.revision = update.Revision
 	c.expire(wallMS, monotonicMS)
 	return true, nil
 }
 
-// validate tells what of a line cannot be kept.
+// removedBy are the IDs of the directives that an update removes; an incremental one may name unknown ones as well.
+func (c *Cache) removedBy(update *Update) []string {
+	if !update.Complete {
+		return update.Removed
+	}
+	listed := map[string]bool{}
+	for i := range update.Directives {
+		listed[update.Directives[i].ID] = true
+	}
+	var removed []string
+	for _, id := range slices.Sorted(maps.Keys(c.directives)) {
+		if !listed[id] {
+			removed = append(removed, id)
+		}
+	}
+	return removed
+}
+
+func (c *Cache) remove(revision uint64, id string) {
+	if _, exists := c.directives[id]; exists {
+		delete(c.directives, id)
+		delete(c.expiries, id)
+		c.recordChange(revision, id)
+	}
+}
+
+// set stores a directive. Where it is a repeat of the one that the cache has, that can only shorten its time.
+func (c *Cache) set(revision uint64, d Directive, monotonicMS int64) {
+	next := expiry{monotonicMS: monotonicMS + min(max(d.RemainingMS, 0), MaxLifetimeMS), expired: d.RemainingMS <= 0}
+	previous, exists := c.directives[d.ID]
+	if exists && previous.Revision == d.Revision && previous.ExpiresAtMS == d.ExpiresAtMS {
+		known := c.expiries[d.ID]
+		next.monotonicMS, next.expired = min(next.monotonicMS, known.monotonicMS), next.expired || known.expired
+	} else {
+		c.recordChange(revision, d.ID)
+	}
+	d.RemainingMS = 0
+	c.directives[d.ID], c.expiries[d.ID] = d, next
+}
+
+// validate reports what of an update the cache cannot hold.
 func (c *Cache) validate(update *Update) error {
-	totalBytes, added := 0, 0
+	totalBytes, count := 0, 0
 	for i := range update.Directives {
-		directive := &update.Directives[i]
-		if err := directive.validateBounds(); err != nil {
+		d := &update.Directives[i]
+		if err := d.validateBounds(); err != nil {
 			return err
 		}
-		totalBytes += directive.accountedBytes()
-		if _, exists := c.directives[directive.ID]; !exists {
-			added++
+		totalBytes += d.accountedBytes()
+		if _, exists := c.directives[d.ID]; !exists {
+			count++
 		}
 	}
 	if !update.Complete {
-		added += len(c.directives) // at most: some may go with this line
+		count += len(c.directives)
 		for _, id := range update.Removed {
 			if _, exists := c.directives[id]; exists {
-				added--
+				count--
 			}
 		}
 	}
-	if len(update.Directives) > MaxDirectives || added > MaxDirectives || totalBytes > MaxTotalBytes {
-		return fmt.Errorf("a placement of %d entries, %d bytes: at most %d, %d", max(len(update.Directives), added), totalBytes, MaxDirectives, MaxTotalBytes)
+	if len(update.Directives) > MaxDirectives || count > MaxDirectives || totalBytes > MaxTotalBytes {
+		return fmt.Errorf("a placement of %d entries, %d bytes: at most %d, %d", max(len(update.Directives), count), totalBytes, MaxDirectives, MaxTotalBytes)
 	}
 	return nil
 }
 
-// expire ends what has ended.
+// expire marks the directives that have expired by either clock.
 func (c *Cache) expire(wallMS, monotonicMS int64) {
 	for id, entry := range c.expiries {
 		if !entry.expired && (wallMS >= c.directives[id].ExpiresAtMS || monotonicMS >= entry.monotonicMS) {
@@ -124,24 +141,25 @@
 	}
 }
 
-// Active is what is in force at a time of both clocks, by ID, with what is left of each entry.
+// Active is the directives in force at a time of both clocks, by ID, with their remaining time.
 func (c *Cache) Active(wallMS, monotonicMS int64) Update {
 	return c.ChangesSince(0, 0, wallMS, monotonicMS)
 }
 
-// ChangesSince is what changed after a revision of an epoch, for who follows this reader, told at a time of both clocks; it
-// is the whole where that is not known any more.
+// ChangesSince is what changed after a revision of an epoch, for watchers of this cache, as it is told at a time of both
+// clocks; it is a complete update where the history does not go back so far.
 func (c *Cache) ChangesSince(after, epoch uint64, wallMS, monotonicMS int64) Update {
 	c.expire(wallMS, monotonicMS)
-	return c.changesSince(after, epoch, func(directive *Directive) int64 {
-		if expiry := c.expiries[directive.ID]; !expiry.expired {
-			return min(directive.ExpiresAtMS-wallMS, expiry.monotonicMS-monotonicMS)
+	return c.changesSince(after, epoch, func(d *Directive) int64 {
+		entry := c.expiries[d.ID]
+		if entry.expired {
+			return 0
 		}
-		return 0
+		return min(d.ExpiresAtMS-wallMS, entry.monotonicMS-monotonicMS)
 	})
 }
 
-// Snapshot is what a file keeps: all entries, those that have ended with nothing left.
+// Snapshot is what a file retains of the cache: all directives, the expired ones with no time remaining.
 func (c *Cache) Snapshot(wallMS, monotonicMS int64) Update {
 	update := c.Active(wallMS, monotonicMS)
 	for _, id := range slices.Sorted(maps.Keys(c.directives)) {
@@ -152,8 +170,8 @@
 	return update
 }
 
-// Restore takes up what Save gave at a time of the wall clock (Unix ms), as at a start. It counts only if the wall
-// clock has not gone back since, and no entry for longer than was left of it then minus the time passed since.
+// Restore applies, as at a start, what Snapshot returned at a time of the wall clock (Unix ms). It fails if the wall
+// clock was set back since, and gives no directive more time than remained then less the time elapsed since.
 func (c *Cache) Restore(saved Update, savedMS, wallMS, monotonicMS int64) error {
 	elapsedMS := wallMS - savedMS
 	if elapsedMS < 0 {
--- a/internal/placement/cache_test.go
+++ b/internal/placement/cache_test.go
@@ -9,41 +9,45 @@
 	"pgregory.net/rapid"
 )
 
-// drawFunc gives a number of a range: from rapid, or of a seeded source where a planted bug has to be found.
+// drawFunc draws a number from a range: with rapid, or from a seeded source where an injected fault has to be detected.
 type drawFunc func(name string, lo, hi int64) int64
 
-// clock is a machine's: its monotonic one is right, its wall clock may be set at any time.
+// clock is that of a machine: its monotonic clock is right, its wall clock may be set at any time.
 type clock struct{ startedAt, offset int64 }
 
 func (c *clock) wall(now int64) int64 { return now + c.offset }
 func (c *clock) mono(now int64) int64 { return now - c.startedAt }
 
-// runScenario plays a registry whose clock is right, an agent that follows it and a sidecar that follows the agent, both with
-// clocks that are set to anything at any time, lines that are lost, and restarts of the agent. It returns an error when
-// the sidecar has an entry past the end to which it was approved. Relay is how the agent tells on.
-func runScenario(draw drawFunc, relay func(agent *Cache, lastUpdate *Update, after, epoch uint64, wallMS, monoMS int64) Update) error {
+// relayFunc is how an agent answers a sidecar that watches it; lastUpdate is the last one that the agent received.
+type relayFunc func(agent *Cache, lastUpdate *Update, after, epoch uint64, wallMS, monotonicMS int64) Update
+
+// runScenario simulates a registry whose clock is right, an agent that watches it and a sidecar that watches the agent,
+// both with wall clocks that are set to anything at any time, with lost lines and restarts of the agent. It returns an
+// error when one of them has a directive in force past the time to which it was approved.
+func runScenario(draw drawFunc, relay relayFunc) error {
 	now := int64(1_000_000)
 	table := NewTable()
 	table.StartEpoch(1, 7)
-	approvedUntil := map[string]int64{} // approved
+	approvedUntil := map[string]int64{}
 	agent, sidecar := NewCache(), NewCache()
 	agentClock, sidecarClock := &clock{}, &clock{startedAt: 500}
 	lastUpdate := &Update{}
 	for index := uint64(2); index < 40; index++ {
 		now += draw("pass", 0, 400)
 		switch draw("what", 0, 8) {
-		case 0, 1: // approved or prolonged
+		case 0, 1: // a directive is approved or renewed
 			id := fmt.Sprint("window/a/", draw("id", 0, 2))
 			directive := exclusion(id, now+draw("length", 1, 1500), "s")
-			if outcome, reason := table.Apply(index, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{directive}}); outcome != OutcomeApplied {
-				return errors.New(reason)
+			if result := table.Apply(index, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{directive}}); result.Outcome != OutcomeApplied {
+				return errors.New(result.Reason)
 			}
-			approvedUntil[id] = max(approvedUntil[id], directive.ExpiresAtMS) // what was approved longer may last so long where the change is not heard
-		case 2: // swept, some time after the end
+			// A directive that was shortened lasts as approved before where the change is not received.
+			approvedUntil[id] = max(approvedUntil[id], directive.ExpiresAtMS)
+		case 2: // the leader removes expired ones, some time later
 			if expired := table.Expired(now-300, 5); expired != nil {
 				table.Apply(index, "", &Op{LeaderTimeMS: now, Expired: expired})
 			}
-		case 3, 4: // the agent hears of it, of changes or of the whole as on another replica
+		case 3, 4: // the agent receives changes, or a complete update as from another replica
 			after := agent.Revision()
 			if draw("whole", 0, 1) == 0 {
 				after = 0
@@ -53,7 +57,7 @@
 				return err
 			}
 			lastUpdate = &update
-		case 5: // the sidecar hears of it
+		case 5: // the sidecar receives changes
 			after := sidecar.Revision()
 			if draw("whole", 0, 1) == 0 {
 				after = 0
@@ -68,7 +72,7 @@
 			agentClock.offset = draw("agent's clock", -2000, 2000)
 		case 7:
 			sidecarClock.offset = draw("sidecar's clock", -2000, 2000)
-		case 8: // the agent starts again; its clock may have been set forward meanwhile
+		case 8: // the agent restarts; its wall clock may have been set forward meanwhile
 			if !agent.Synced() {
 				continue
 			}
@@ -77,18 +81,20 @@
 			agentClock.startedAt = now
 			agentClock.offset += draw("set forward", 0, 1) * draw("by", 0, 300)
 			agent = NewCache()
-			agent.Restore(saved, savedMS, agentClock.wall(now), agentClock.mono(now))
+			if err := agent.Restore(saved, savedMS, agentClock.wall(now), agentClock.mono(now)); err != nil {
+				return err
+			}
 		}
-		for reader, update := range map[string]Update{
+		for consumer, update := range map[string]Update{
 			"agent":   agent.Active(agentClock.wall(now), agentClock.mono(now)),
 			"sidecar": sidecar.Active(sidecarClock.wall(now), sidecarClock.mono(now)),
 		} {
 			for _, directive := range update.Directives {
 				if now >= approvedUntil[directive.ID] {
-					return fmt.Errorf("the %s has %s at %d, approved to %d", reader, directive.ID, now, approvedUntil[directive.ID])
+					return fmt.Errorf("the %s has %s at %d, approved to %d", consumer, directive.ID, now, approvedUntil[directive.ID])
 				}
 				if directive.RemainingMS <= 0 || directive.ExpiresAtMS > approvedUntil[directive.ID] {
-					return fmt.Errorf("the %s has %+v, approved to %d", reader, directive, approvedUntil[directive.ID])
+					return fmt.Errorf("the %s has %+v, approved to %d", consumer, directive, approvedUntil[directive.ID])
 				}
 			}
 		}
@@ -100,7 +106,7 @@
 	return agent.ChangesSince(after, epoch, wallMS, monoMS)
 }
 
-// However the wall clocks of agent and sidecar are set, nothing lasts longer than it was approved.
+// However the wall clocks of agent and sidecar are set, no directive lasts longer than it was approved.
 func TestDirectivesNeverOutliveApproval(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string, lo, hi int64) int64 { return rapid.Int64Range(lo, hi).Draw(t, name) }
@@ -110,8 +116,8 @@
 	})
 }
 
-// countFailures counts of many seeded stories those that end in an error.
-func countFailures(relay func(*Cache, *Update, uint64, uint64, int64, int64) Update) int {
+// countFailures counts the seeds of which the scenario fails.
+func countFailures(relay relayFunc) int {
 	failures := 0
 	for seed := range uint64(600) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -123,10 +129,10 @@
 	return failures
 }
 
-// An agent that tells RemainingMS on as it was told, or that hands on what has ended, is found.
+// An agent that sends RemainingMS on as it received it, or that goes by its wall clock alone, is detected.
 func TestScenarioDetectsInjectedFaults(t *testing.T) {
 	if failures := countFailures(relayCorrectly); failures != 0 {
-		t.Fatalf("of an agent without a bug %d stories fail", failures)
+		t.Fatalf("%d scenarios fail without a fault", failures)
 	}
 	forwardRemainingUnchanged := func(agent *Cache, lastUpdate *Update, after, epoch uint64, wallMS, monoMS int64) Update {
 		update := agent.ChangesSince(after, epoch, wallMS, monoMS)
@@ -140,17 +146,18 @@
 		return update
 	}
 	if failures := countFailures(forwardRemainingUnchanged); failures == 0 {
-		t.Error("LeftMS is not recomputed, and nobody notices")
+		t.Error("an agent that does not recompute RemainingMS is not detected")
 	}
 	useWallClockOnly := func(agent *Cache, _ *Update, after, epoch uint64, wallMS, _ int64) Update {
 		return agent.changesSince(after, epoch, func(directive *Directive) int64 { return directive.ExpiresAtMS - wallMS })
 	}
 	if failures := countFailures(useWallClockOnly); failures == 0 {
-		t.Error("the agent counts by its wall clock alone, and nobody notices")
+		t.Error("an agent that goes by its wall clock alone is not detected")
 	}
 }
 
-// A registry whose clock is behind leaves too much: then the reader's own wall clock ends the entry.
+// A registry whose clock is behind gives too much remaining time: then the consumer's own wall clock expires the
+// directive.
 func TestWallClockExpiresOverlongRemainder(t *testing.T) {
 	cache := NewCache()
 	directive := exclusion("window/a/t", 10_000, "s")
@@ -162,23 +169,24 @@
 	for _, step := range []struct {
 		wall, mono int64
 		want       int
-	}{{9_999, 400, 1}, {9_999, 400, 1}, {10_000, 500, 0}, {5_000, 600, 0}} { // set back, it stays ended
+	}{{9_999, 400, 1}, {9_999, 400, 1}, {10_000, 500, 0}, {5_000, 600, 0}} { // set back, it stays expired
 		if got := cache.Active(step.wall, step.mono); len(got.Directives) != step.want {
 			t.Errorf("at %d, %d: %+v", step.wall, step.mono, got)
 		}
 	}
 	if _, err := cache.Apply(update, 5_000, 700); err != nil || len(cache.Active(5_000, 700).Directives) != 0 {
-		t.Errorf("told again it is back: %+v, %v", cache.Active(5_000, 700), err)
+		t.Errorf("a repeat revives it: %+v, %v", cache.Active(5_000, 700), err)
 	}
 	directive.Revision, directive.ExpiresAtMS = 4, 20_000
 	if _, err := cache.Apply(&Update{Revision: 4, Epoch: 7, Directives: []Directive{directive}}, 10_100, 800); err != nil || len(cache.Active(10_100, 800).Directives) != 1 {
-		t.Errorf("prolonged it is not there: %v", err)
+		t.Errorf("renewed it is not in force: %v", err)
 	}
-	if got := cache.Active(10_101, 800+9_000); len(got.Directives) != 0 { // the wall clock stands
-		t.Errorf("the monotonic clock does not end it: %+v", got)
+	if got := cache.Active(10_101, 800+9_000); len(got.Directives) != 0 { // the wall clock stands still
+		t.Errorf("the monotonic clock does not expire it: %+v", got)
 	}
 }
 
+// A cache applies what continues it, and leaves out what is older or invalid.
 func TestCacheAppliesOnlyContinuousUpdates(t *testing.T) {
 	cache := NewCache()
 	updateOf := func(revision, epoch uint64, complete bool, id string) *Update {
@@ -197,22 +205,22 @@
 		err     bool
 		active  int
 	}{
-		{"changes before any whole", updateOf(3, 7, false, "window/a"), false, true, 0},
-		{"the whole", updateOf(3, 7, true, "window/a"), true, false, 1},
+		{"changes before any complete update", updateOf(3, 7, false, "window/a"), false, true, 0},
+		{"a complete update", updateOf(3, 7, true, "window/a"), true, false, 1},
 		{"an older one", updateOf(2, 7, true, "window/b"), false, false, 1},
 		{"a change", updateOf(4, 7, false, "window/b"), true, false, 2},
 		{"a kind of a later version", &Update{Revision: 5, Epoch: 7, Directives: []Directive{{ID: "x", Kind: "later", ExpiresAtMS: 9000, RemainingMS: 10, Revision: 5}}}, true, false, 3},
 		{"changes of another epoch", updateOf(9, 8, false, "window/c"), false, true, 3},
-		{"the whole of an older backup", updateOf(2, 8, true, "window/c"), true, false, 1},
+		{"a complete update of an older backup", updateOf(2, 8, true, "window/c"), true, false, 1},
 		{"too many", tooMany, false, true, 1},
-		{"gone", &Update{Revision: 6, Epoch: 8, Removed: []string{"window/c", "window/never"}}, true, false, 0},
+		{"removals", &Update{Revision: 6, Epoch: 8, Removed: []string{"window/c", "window/never"}}, true, false, 0},
 	} {
 		changed, err := cache.Apply(c.update, 1000, 0)
 		if changed != c.changed || (err != nil) != c.err || len(cache.Active(1000, 0).Directives) != c.active {
-			t.Errorf("%s: news %v, %v, then %+v", c.name, changed, err, cache.Active(1000, 0))
+			t.Errorf("%s: changed %v, error %v, then %+v", c.name, changed, err, cache.Active(1000, 0))
 		}
 	}
 	if err := NewCache().Restore(Update{}, 1000, 999, 0); err == nil {
-		t.Error("restored though the clock has gone back")
+		t.Error("restored though the clock was set back")
 	}
 }
--- a/internal/placement/fixtures_test.go
+++ b/internal/placement/fixtures_test.go
@@ -3,52 +3,22 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"math"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
-)
 
-var updateFixtures = flag.Bool("update", false, "write the golden files under testdata anew")
+	"milldeck/internal/goldentest"
+)
 
 // storedOperation is a line of testdata/operations.jsonl: an operation as the log stores it, and under whose lease.
 type storedOperation struct {
 	Index uint64          `json:"index"`
-	Epoch uint64          `json:"epoch,omitempty"` // begins here, in place of an operation
+	Epoch uint64          `json:"epoch,omitempty"` // starts here, in place of an operation
 	Lease string          `json:"lease,omitempty"`
 	Op    json.RawMessage `json:"op,omitempty"`
 }
 
-// requireGolden compares with a golden file, or writes that with -update.
-func requireGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateFixtures {
-		if err := os.WriteFile(path, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs:\ngot:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	data, err := os.ReadFile(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return data
-}
-
 // decodeStrictly decodes JSON that may have no field but those of the value.
 func decodeStrictly(t *testing.T, data []byte, value any) {
 	t.Helper()
@@ -73,7 +43,7 @@
 	t.Helper()
 	var stored []storedOperation
 	var rewritten bytes.Buffer
-	for line := range bytes.Lines(readGolden(t, "operations.jsonl")) {
+	for line := range bytes.Lines(goldentest.Read(t, "operations.jsonl")) {
 		var operation storedOperation
 		decodeStrictly(t, line, &operation)
 		if operation.Op != nil {
@@ -84,12 +54,12 @@
 		stored = append(stored, operation)
 		rewritten.Write(encodeLine(t, operation))
 	}
-	requireGolden(t, "operations.jsonl", rewritten.Bytes())
+	goldentest.Compare(t, "operations.jsonl", rewritten.Bytes())
 	return stored
 }
 
-// play applies a stored operation and says what came of it and by which clock the leader did it.
-func play(t *testing.T, table *Table, stored storedOperation) (came string, nowMS int64) {
+// play applies a stored operation, and returns a description of the result and the leader's time.
+func play(t *testing.T, table *Table, stored storedOperation) (description string, nowMS int64) {
 	t.Helper()
 	if stored.Epoch != 0 {
 		table.StartEpoch(stored.Index, stored.Epoch)
@@ -97,12 +67,12 @@
 	}
 	var op Op
 	decodeStrictly(t, stored.Op, &op)
-	outcome, reason := table.Apply(stored.Index, stored.Lease, &op)
-	return fmt.Sprintf("%d %s: %s", stored.Index, outcome, reason), op.LeaderTimeMS
+	result := table.Apply(stored.Index, stored.Lease, &op)
+	return fmt.Sprintf("%d %s: %s", stored.Index, result.Outcome, result.Reason), op.LeaderTimeMS
 }
 
-// Stored operations, snapshots and the lines that watchers are written are read and written as they were, and a table
-// restored from any snapshot goes on to the same one.
+// Stored operations, snapshots and watch lines are read and written as they were, and a table restored from any snapshot
+// arrives at the same last one.
 func TestStoredPlacementIsCompatible(t *testing.T) {
 	operations := readOperations(t)
 	table := NewTable()
@@ -112,9 +82,9 @@
 	var epochs []uint64
 	after, epoch, nowMS := uint64(0), uint64(0), int64(0)
 	for _, stored := range operations {
-		came, leaderMS := play(t, table, stored)
+		description, leaderMS := play(t, table, stored)
 		nowMS = max(nowMS, leaderMS)
-		fmt.Fprintln(&outcomes, came)
+		fmt.Fprintln(&outcomes, description)
 		snapshot := encodeLine(t, table.Snapshot())
 		saved, epochs = append(saved, snapshot), append(epochs, table.Epoch())
 		snapshots.Write(snapshot)
@@ -123,9 +93,9 @@
 		after, epoch = line.Revision, line.Epoch
 	}
 	lines.Write(encodeLine(t, table.CompleteUpdate(nowMS)))
-	requireGolden(t, "outcomes.txt", outcomes.Bytes())
-	requireGolden(t, "snapshots.jsonl", snapshots.Bytes())
-	requireGolden(t, "watch.jsonl", lines.Bytes())
+	goldentest.Compare(t, "outcomes.txt", outcomes.Bytes())
+	goldentest.Compare(t, "snapshots.jsonl", snapshots.Bytes())
+	goldentest.Compare(t, "watch.jsonl", lines.Bytes())
 
 	for i, data := range saved {
 		var snapshot Snapshot
@@ -143,27 +113,27 @@
 	}
 }
 
-// The lines of a watch are read as they were: what is in force afterwards, what is told on and what is saved, each with
-// its end, by a wall clock that is 3 ms off and a monotonic clock of another origin.
-func TestWatchLinesAreReadAlike(t *testing.T) {
-	reader := NewCache()
+// The lines of a watch are read as they were: what is in force afterwards, what is sent on and what is saved, each with
+// its remaining time, by a wall clock that is 3 ms off and a monotonic clock of another origin.
+func TestWatchLinesAreCompatible(t *testing.T) {
+	cache := NewCache()
 	var rewritten, states bytes.Buffer
 	wallMS, monotonicMS := int64(1_000_003), int64(5_000)
-	for line := range bytes.Lines(readGolden(t, "watch.jsonl")) {
-		var list Update
-		decodeStrictly(t, line, &list)
-		rewritten.Write(encodeLine(t, list))
-		before := reader.Revision()
-		fresh, err := reader.Apply(&list, wallMS, monotonicMS)
-		fmt.Fprintf(&states, "taken %v, error %v, %d entries at revision %d of epoch %d\n", fresh, err, reader.Len(), reader.Revision(), reader.Epoch())
-		states.Write(encodeLine(t, reader.Active(wallMS, monotonicMS)))
-		states.Write(encodeLine(t, reader.ChangesSince(before, reader.Epoch(), wallMS+50, monotonicMS+50)))
-		states.Write(encodeLine(t, reader.Snapshot(wallMS+100, monotonicMS+100)))
+	for line := range bytes.Lines(goldentest.Read(t, "watch.jsonl")) {
+		var update Update
+		decodeStrictly(t, line, &update)
+		rewritten.Write(encodeLine(t, update))
+		before := cache.Revision()
+		changed, err := cache.Apply(&update, wallMS, monotonicMS)
+		fmt.Fprintf(&states, "taken %v, error %v, %d entries at revision %d of epoch %d\n", changed, err, cache.Len(), cache.Revision(), cache.Epoch())
+		states.Write(encodeLine(t, cache.Active(wallMS, monotonicMS)))
+		states.Write(encodeLine(t, cache.ChangesSince(before, cache.Epoch(), wallMS+50, monotonicMS+50)))
+		states.Write(encodeLine(t, cache.Snapshot(wallMS+100, monotonicMS+100)))
 		wallMS, monotonicMS = wallMS+250, monotonicMS+260
 	}
-	requireGolden(t, "watch.jsonl", rewritten.Bytes())
+	goldentest.Compare(t, "watch.jsonl", rewritten.Bytes())
 
-	saved := reader.Snapshot(wallMS, monotonicMS)
+	saved := cache.Snapshot(wallMS, monotonicMS)
 	restored := NewCache()
 	if err := restored.Restore(saved, wallMS, wallMS+400, 70); err != nil {
 		t.Fatal(err)
@@ -175,13 +145,13 @@
 	fmt.Fprintln(&states, err)
 	_, err = NewCache().Apply(&Update{Revision: 3, Epoch: 7, Complete: true, Directives: make([]Directive, MaxDirectives+1)}, wallMS, monotonicMS)
 	fmt.Fprintln(&states, err)
-	requireGolden(t, "watch-read.txt", states.Bytes())
+	goldentest.Compare(t, "watch-read.txt", states.Bytes())
 }
 
 // A sidecar's report is read and written as it was.
 func TestReportIsCompatible(t *testing.T) {
 	var rewritten bytes.Buffer
-	for line := range bytes.Lines(readGolden(t, "reports.jsonl")) {
+	for line := range bytes.Lines(goldentest.Read(t, "reports.jsonl")) {
 		var report LoadReport
 		decodeStrictly(t, line, &report)
 		if err := report.Validate(); err != nil {
@@ -189,11 +159,11 @@
 		}
 		rewritten.Write(encodeLine(t, report))
 	}
-	requireGolden(t, "reports.jsonl", rewritten.Bytes())
-	requireGolden(t, "latency-bounds.json", encodeLine(t, LatencyBucketBounds))
+	goldentest.Compare(t, "reports.jsonl", rewritten.Bytes())
+	goldentest.Compare(t, "latency-bounds.json", encodeLine(t, LatencyBucketBounds))
 }
 
-// Checks tell the same fields and reasons, which clients are answered with.
+// Validation reports the same fields and reasons, which clients are answered with.
 func TestFieldErrorTexts(t *testing.T) {
 	long := strings.Repeat("x", MaxIDLength+1)
 	var lines strings.Builder
@@ -249,7 +219,7 @@
 		r.ClassCounts = []ClassCount{{LatencyHistogram: make([]uint32, len(LatencyBucketBounds)+2)}}
 	})
 	report(func(r *LoadReport) { r.ClassCounts = []ClassCount{{LatencyHistogram: []uint32{math.MaxUint32, 1}}} })
-	requireGolden(t, "field-errors.txt", []byte(lines.String()))
+	goldentest.Compare(t, "field-errors.txt", []byte(lines.String()))
 }
 
 // Constants that are stored or sent have the values that earlier versions have written.
--- a/internal/placement/report.go
+++ b/internal/placement/report.go
@@ -1,57 +1,136 @@
 package placement
 
-import "math"
+import (
+	"math"
 
-// Bounds of a report's parts, beside MaxHotKeys and MaxReportBytes.
+	"milldeck/internal/validation"
+)
+
+// Bounds of a load report.
 const (
+	MaxReportBytes = 32 << 10
+	MaxHotKeys     = 32
 	MaxClassCounts = 256 // classes × zones × cohorts
-	MaxExclusions  = 256 // keep-off entries that one sidecar follows
-	maxIntervalMS  = 3600 * 1000
-	maxRequests    = 1 << 30 // of requests in a span: beyond it is no count
-	maxKeyLoad     = 1e12    // requests a second × ms: beyond it is no load
+	MaxExclusions  = 256 // exclusions that one sidecar follows
+
+	maxIntervalMS = 3600 * 1000
+	maxRequests   = 1 << 30 // in an interval
+	maxKeyLoad    = 1e12    // requests a second × ms
 )
 
-// Validate tells what of a report cannot be. Fields of a later version are nobody's concern here.
+// LoadReport is what a sidecar reports once a second, at the address that it watches the placement from. Reports are
+// soft state: never in the log, bounded, and a lost one is made up for by the next.
+type LoadReport struct {
+	Sidecar           string  `json:"name"`
+	Zone              string  `json:"zone,omitempty"`
+	Version           string  `json:"version,omitempty"` // of the sidecar, a free label of its configuration
+	PlacementRevision uint64  `json:"rev"`               // of the placement in force
+	PlacementEpoch    uint64  `json:"epoch,omitempty"`
+	EndpointRevision  uint64  `json:"list"`    // of the endpoint list in force
+	IntervalMS        float64 `json:"span_ms"` // that the counts below are of
+	// ExcludedInFlight is, for each exclusion in force by its ID, the requests in flight on the excluded servers.
+	ExcludedInFlight    map[string]int `json:"open,omitempty"`
+	SuspendedDirectives []string       `json:"suspended,omitempty"` // not followed, as too few servers would remain
+	HotKeys             []KeyLoad      `json:"heat,omitempty"`      // the hottest keys, MaxHotKeys at most
+	TotalKeyLoad        float64        `json:"heat_all"`            // of all keys together
+	ClassCounts         []ClassCount   `json:"counts,omitempty"`
+}
+
+// KeyLoad is a key's load as one sidecar observed it: at most Load, and at least Load - ErrorBound.
+type KeyLoad struct {
+	KeyHash    string  `json:"key"`
+	Load       float64 `json:"load"`  // requests a second × work (ms) of a request
+	ErrorBound float64 `json:"error"` // by which Load may be too high
+}
+
+// ClassCount is what became of the requests of a class at the servers of a zone and cohort.
+type ClassCount struct {
+	Class            string   `json:"class"`
+	Zone             string   `json:"zone,omitempty"`   // of the servers
+	Cohort           string   `json:"cohort,omitempty"` // "": of none
+	Succeeded        int      `json:"served"`
+	Late             int      `json:"late"` // succeeded, but after the class's latency objective
+	Failed           int      `json:"failed"`
+	LatencyHistogram []uint32 `json:"latency,omitempty"` // counts by LatencyBucketBounds, the last for what is slower
+}
+
+// LatencyBucketBounds are the upper bounds of the latency histograms' buckets in ms, 0.5 ms to 23 s: each is the one
+// before times the square root of two.
+var LatencyBucketBounds = geometricBounds()
+
+func geometricBounds() []float64 {
+	const firstMS, ratio, buckets = 0.5, math.Sqrt2, 32
+	bounds := make([]float64, buckets)
+	bound := firstMS
+	for i := range bounds {
+		bounds[i] = bound
+		bound *= ratio
+	}
+	return bounds
+}
+
+// Validate reports, as a *validation.Error, what of a report is invalid. Fields of a later version are not its concern.
 func (r *LoadReport) Validate() error {
+	if err := validation.First(r.validateBounds(), r.validateDirectiveIDs()); err != nil {
+		return err
+	}
+	for i := range r.HotKeys {
+		if err := r.HotKeys[i].validate(); err != nil {
+			return err
+		}
+	}
+	for i := range r.ClassCounts {
+		if err := r.ClassCounts[i].validate(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (r *LoadReport) validateBounds() error {
 	switch {
 	case r.Sidecar == "" || len(r.Sidecar) > MaxNameLength:
-		return invalid("name", "%d bytes, wanted 1 to %d", len(r.Sidecar), MaxNameLength)
+		return validation.Errorf("name", "%d bytes, wanted 1 to %d", len(r.Sidecar), MaxNameLength)
 	case len(r.Zone) > MaxNameLength:
-		return invalid("zone", "over %d bytes", MaxNameLength)
+		return validation.Errorf("zone", "over %d bytes", MaxNameLength)
 	case len(r.Version) > MaxNameLength:
-		return invalid("version", "over %d bytes", MaxNameLength)
+		return validation.Errorf("version", "over %d bytes", MaxNameLength)
 	case !(r.IntervalMS >= 0 && r.IntervalMS <= maxIntervalMS):
-		return invalid("span_ms", "%v is not within 0 to %d", r.IntervalMS, maxIntervalMS)
+		return validation.Errorf("span_ms", "%v is not within 0 to %d", r.IntervalMS, maxIntervalMS)
 	case len(r.ExcludedInFlight) > MaxExclusions:
-		return invalid("open", "%d entries, at most %d", len(r.ExcludedInFlight), MaxExclusions)
+		return validation.Errorf("open", "%d entries, at most %d", len(r.ExcludedInFlight), MaxExclusions)
 	case len(r.SuspendedDirectives) > MaxExclusions:
-		return invalid("suspended", "%d entries, at most %d", len(r.SuspendedDirectives), MaxExclusions)
+		return validation.Errorf("suspended", "%d entries, at most %d", len(r.SuspendedDirectives), MaxExclusions)
 	case len(r.HotKeys) > MaxHotKeys:
-		return invalid("heat", "%d keys, at most %d", len(r.HotKeys), MaxHotKeys)
-	case !(r.TotalKeyLoad >= 0 && r.TotalKeyLoad <= maxKeyLoad):
-		return invalid("heat_all", "%v is no load", r.TotalKeyLoad)
+		return validation.Errorf("heat", "%d keys, at most %d", len(r.HotKeys), MaxHotKeys)
+	case !validLoad(r.TotalKeyLoad):
+		return validation.Errorf("heat_all", "%v is no load", r.TotalKeyLoad)
 	case len(r.ClassCounts) > MaxClassCounts:
-		return invalid("counts", "%d, at most %d", len(r.ClassCounts), MaxClassCounts)
+		return validation.Errorf("counts", "%d, at most %d", len(r.ClassCounts), MaxClassCounts)
 	}
-	for id, count := range r.ExcludedInFlight {
-		if id == "" || len(id) > MaxIDLength || count < 0 || count > maxRequests {
-			return invalid("open", "%d of an id of %d bytes", count, len(id))
+	return nil
+}
+
+func (r *LoadReport) validateDirectiveIDs() error {
+	for id, inFlight := range r.ExcludedInFlight {
+		if id == "" || len(id) > MaxIDLength || inFlight < 0 || inFlight > maxRequests {
+			return validation.Errorf("open", "%d of an id of %d bytes", inFlight, len(id))
 		}
 	}
 	for _, id := range r.SuspendedDirectives {
 		if id == "" || len(id) > MaxIDLength {
-			return invalid("suspended", "an id of %d bytes", len(id))
-		}
-	}
-	for i := range r.HotKeys {
-		if key := &r.HotKeys[i]; !validKeyHash(key.KeyHash) || !(key.Load >= 0 && key.Load <= maxKeyLoad) || !(key.ErrorBound >= 0 && key.ErrorBound <= maxKeyLoad) {
-			return invalid("heat", "key %.32q with load %v, error %v", key.KeyHash, key.Load, key.ErrorBound)
+			return validation.Errorf("suspended", "an id of %d bytes", len(id))
 		}
 	}
-	for i := range r.ClassCounts {
-		if err := r.ClassCounts[i].validate(); err != nil {
-			return err
-		}
+	return nil
+}
+
+// validLoad reports whether a load is within its bounds, which NaN is not.
+func validLoad(load float64) bool { return load >= 0 && load <= maxKeyLoad }
+
+func (k *KeyLoad) validate() error {
+	if !validKeyHash(k.KeyHash) || !validLoad(k.Load) || !validLoad(k.ErrorBound) {
+		return validation.Errorf("heat", "key %.32q with load %v, error %v", k.KeyHash, k.Load, k.ErrorBound)
 	}
 	return nil
 }
@@ -59,18 +138,18 @@
 func (c *ClassCount) validate() error {
 	switch {
 	case len(c.Class) > MaxNameLength || len(c.Zone) > MaxNameLength || len(c.Cohort) > MaxNameLength:
-		return invalid("counts", "a name of over %d bytes", MaxNameLength)
+		return validation.Errorf("counts", "a name of over %d bytes", MaxNameLength)
 	case min(c.Succeeded, c.Late, c.Failed) < 0 || max(c.Succeeded, c.Late, c.Failed) > maxRequests:
-		return invalid("counts", "%d served, %d late, %d failed", c.Succeeded, c.Late, c.Failed)
+		return validation.Errorf("counts", "%d served, %d late, %d failed", c.Succeeded, c.Late, c.Failed)
 	case len(c.LatencyHistogram) > len(LatencyBucketBounds)+1:
-		return invalid("counts", "%d counts of latencies, at most %d", len(c.LatencyHistogram), len(LatencyBucketBounds)+1)
+		return validation.Errorf("counts", "%d counts of latencies, at most %d", len(c.LatencyHistogram), len(LatencyBucketBounds)+1)
 	}
 	total := uint64(0)
 	for _, count := range c.LatencyHistogram {
 		total += uint64(count)
 	}
 	if total > math.MaxInt32 {
-		return invalid("counts", "%d latencies are no count", total)
+		return validation.Errorf("counts", "%d latencies are no count", total)
 	}
 	return nil
 }
--- a/internal/placement/store.go
+++ b/internal/placement/store.go
@@ -7,19 +7,21 @@
 )
 
 const (
-	// minHistory are kept at least, and up to twice as many, for watches that come back: beyond it they get the whole.
+	// minHistory changes are retained at least, and up to twice as many, for watches that resume: from further back
+	// they get a complete update.
 	minHistory = 4096
-	// maxIncremental entries are told as changes: the ids of more that are gone could take more than the whole.
+	// maxIncremental directives are told incrementally: the IDs of more removed ones could take more bytes than a
+	// complete update.
 	maxIncremental = 1000
 )
 
-// store is a placement at a revision and what changed before. The slices of its entries are shared with those who
-// have read them and never changed in place.
+// store is a set of directives at a revision, with the history of changes that led there. The slices of directives are
+// shared with readers and never changed in place.
 type store struct {
 	revision, epoch   uint64
 	directives        map[string]Directive
 	history           []change // by revision, the newest last
-	compactedRevision uint64   // the revision of the newest change that history has lost
+	compactedRevision uint64   // the newest change that history no longer holds
 }
 
 type change struct {
@@ -27,29 +29,34 @@
 	id       string
 }
 
-// Revision is the revision of the last change.
+func newStore() store { return store{directives: map[string]Directive{}} }
+
+// Revision is the log revision of the last change.
 func (s *store) Revision() uint64 { return s.revision }
 
-// Epoch names the history that the revisions belong to.
+// Epoch names the history that the revisions belong to: a restore from a backup starts another one.
 func (s *store) Epoch() uint64 { return s.epoch }
 
-// Len is the number of entries, those among them that have ended and were not dropped yet.
+// Len is the number of directives, including those that have expired and were not removed yet.
 func (s *store) Len() int { return len(s.directives) }
 
-// startHistory makes the view the first of a history: who followed another one, or this one before, gets the whole.
+// startHistory starts an empty history: watches of an earlier one get a complete update.
 func (s *store) startHistory(revision, epoch uint64) {
 	s.revision, s.epoch, s.compactedRevision, s.history = revision, epoch, revision, nil
 }
 
-// recordChange notes that an entry changed. Several changes of one revision share it.
+// recordChange notes that a directive changed. Several changes may share a revision.
 func (s *store) recordChange(revision uint64, id string) {
 	s.revision = revision
 	s.history = append(s.history, change{revision, id})
-	if len(s.history) < 2*minHistory {
-		return
+	if len(s.history) >= 2*minHistory {
+		s.compactHistory()
 	}
-	// Half goes at a time: moving all for each change would cost more than the change. A revision is kept whole or
-	// not at all.
+}
+
+// compactHistory discards the older half of the history. It does so for many changes at once, as it moves the others; a
+// revision is retained completely or not at all.
+func (s *store) compactHistory() {
 	discarded := len(s.history) - minHistory
 	s.compactedRevision = s.history[discarded-1].revision
 	for discarded < len(s.history) && s.history[discarded].revision == s.compactedRevision {
@@ -58,38 +65,42 @@
 	s.history = append(s.history[:0], s.history[discarded:]...)
 }
 
-// historyCovers tells whether the history holds all that changed after a revision of an epoch.
+// historyCovers reports whether the history holds all that changed after a revision of an epoch.
 func (s *store) historyCovers(after, epoch uint64) bool {
 	return after != 0 && epoch == s.epoch && after >= s.compactedRevision && after <= s.revision
 }
 
-// changesSince is what changed after a revision of an epoch, the newest state of each entry, by ID; it is the whole where
-// that is not known any more. Left says what is left of an entry, in ms; one without anything left is not told, so
-// that who does not look at RemainingMS does not begin it anew.
+// changedSince are the IDs of the directives that changed after a revision, sorted, each once.
+func (s *store) changedSince(after uint64) []string {
+	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].revision > after })
+	var ids []string
+	for _, c := range s.history[first:] {
+		ids = append(ids, c.id)
+	}
+	slices.Sort(ids)
+	return slices.Compact(ids)
+}
+
+// changesSince is what changed after a revision of an epoch: the newest state of each directive, by ID. It is a complete
+// update where the history does not cover that. Remaining gives a directive's remaining time in ms; one that has none
+// left is told as removed, so that a reader that ignores RemainingMS does not revive it.
 func (s *store) changesSince(after, epoch uint64, remaining func(*Directive) int64) Update {
-	update := Update{Revision: s.revision, Epoch: s.epoch, Complete: !s.historyCovers(after, epoch), Directives: []Directive{}}
+	update := Update{Revision: s.revision, Epoch: s.epoch, Directives: []Directive{}}
 	var ids []string
-	if update.Complete {
+	if s.historyCovers(after, epoch) {
+		ids = s.changedSince(after)
+	}
+	if update.Complete = !s.historyCovers(after, epoch) || len(ids) > maxIncremental; update.Complete {
 		ids = slices.Sorted(maps.Keys(s.directives))
-	} else {
-		from := sort.Search(len(s.history), func(i int) bool { return s.history[i].revision > after })
-		for _, c := range s.history[from:] {
-			ids = append(ids, c.id)
-		}
-		slices.Sort(ids)
-		ids = slices.Compact(ids)
-		if len(ids) > maxIncremental {
-			return s.changesSince(0, epoch, remaining)
-		}
 	}
 	for _, id := range ids {
-		directive, ok := s.directives[id]
-		if ok {
-			directive.RemainingMS = min(remaining(&directive), MaxLifetimeMS)
+		d, exists := s.directives[id]
+		if exists {
+			d.RemainingMS = min(remaining(&d), MaxLifetimeMS)
 		}
 		switch {
-		case ok && directive.RemainingMS > 0:
-			update.Directives = append(update.Directives, directive)
+		case exists && d.RemainingMS > 0:
+			update.Directives = append(update.Directives, d)
 		case !update.Complete:
 			update.Removed = append(update.Removed, id)
 		}
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -16,13 +16,13 @@
 	return Directive{ID: id, Kind: KindExclude, Tenant: "t", Servers: servers, MinAvailable: 0.5, ExpiresAtMS: expiresAtMS}
 }
 
-// What the table tells since any revision, put onto what it told at that revision, is what it tells now; and rules and
-// bounds hold whatever is asked of it.
+// The changes since any revision, applied to the state at that revision, give the present state; and the table's rules
+// and bounds hold whatever is applied.
 func TestChangesSinceReproducesState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, epoch := NewTable(), uint64(7)
 		table.StartEpoch(1, epoch)
-		type cursor struct{ rev, epoch uint64 }
+		type cursor struct{ revision, epoch uint64 }
 		history := map[cursor]map[string]Directive{{1, epoch}: {}}
 		for index := uint64(2); index < 30; index++ {
 			lease := rapid.SampledFrom([]string{"window/a", "window/b", "window", ""}).Draw(t, "duty")
@@ -46,11 +46,11 @@
 					op.Set = append(op.Set, exclusion(id, rapid.Int64Range(1000, 1020).Draw(t, "until"), "s1"))
 				}
 			}
-			outcome, reason := table.Apply(index, lease, op)
-			if outcome != OutcomeApplied && !reflect.DeepEqual(before, table.directives) {
-				t.Fatalf("refused (%s) and done in part: %v, before %v", reason, table.directives, before)
+			result := table.Apply(index, lease, op)
+			if result.Outcome != OutcomeApplied && !reflect.DeepEqual(before, table.directives) {
+				t.Fatalf("rejected (%s) and applied in part: %v, before %v", result.Reason, table.directives, before)
 			}
-			if outcome == OutcomeApplied {
+			if result.Outcome == OutcomeApplied {
 				for _, directive := range op.Set {
 					if lease == "" || !strings.HasPrefix(directive.ID, lease+"/") || directive.ExpiresAtMS <= op.LeaderTimeMS || table.directives[directive.ID].ExpiresAtMS != directive.ExpiresAtMS {
 						t.Fatalf("%+v under %q at %d: %+v", directive, lease, op.LeaderTimeMS, table.directives[directive.ID])
@@ -65,8 +65,8 @@
 				t.Fatalf("%d bytes counted, are %d", table.totalBytes, totalBytes)
 			}
 			history[cursor{table.revision, epoch}] = maps.Clone(table.directives)
-			for cursorAt, state := range history {
-				update := table.ChangesSince(cursorAt.rev, cursorAt.epoch, 0) // at this time none has ended
+			for position, state := range history {
+				update := table.ChangesSince(position.revision, position.epoch, 0) // at this time none has expired
 				replayed := map[string]Directive{}
 				if !update.Complete {
 					replayed = maps.Clone(state)
@@ -79,45 +79,45 @@
 					delete(replayed, id)
 				}
 				if !reflect.DeepEqual(replayed, table.directives) || update.Revision != table.revision || update.Epoch != epoch {
-					t.Fatalf("since %v: %+v, makes %v, want %v", cursorAt, update, replayed, table.directives)
+					t.Fatalf("since %v: %+v gives %v, want %v", position, update, replayed, table.directives)
 				}
 			}
 		}
 	})
 }
 
-// A watch that is behind what history keeps gets the whole; one within gets no more than what changed.
+// A watch that is further behind than the history gets a complete update; one within gets no more than what changed.
 func TestHistoryIsBounded(t *testing.T) {
 	table := NewTable()
 	table.StartEpoch(1, 7)
 	const changes = 5 * minHistory
 	for i := range uint64(changes) {
 		id := fmt.Sprint("window/a/", i%10)
-		if outcome, reason := table.Apply(2+i, "window/a", &Op{LeaderTimeMS: 1, Set: []Directive{exclusion(id, int64(10+i), "s")}}); outcome != OutcomeApplied {
-			t.Fatal(reason)
+		if result := table.Apply(2+i, "window/a", &Op{LeaderTimeMS: 1, Set: []Directive{exclusion(id, int64(10+i), "s")}}); result.Outcome != OutcomeApplied {
+			t.Fatal(result.Reason)
 		}
 		if len(table.history) >= 2*minHistory {
-			t.Fatalf("%d changes are kept", len(table.history))
+			t.Fatalf("%d changes are retained", len(table.history))
 		}
 	}
 	newest := table.Revision()
 	if update := table.ChangesSince(newest-minHistory+1, 7, 0); update.Complete || len(update.Directives) != 10 {
-		t.Errorf("%d changes back: all %v, %d entries", minHistory-1, update.Complete, len(update.Directives))
+		t.Errorf("%d changes back: complete %v, %d directives", minHistory-1, update.Complete, len(update.Directives))
 	}
 	for _, after := range []uint64{0, 1, newest - 2*minHistory, newest + 1} {
 		if update := table.ChangesSince(after, 7, 0); !update.Complete {
-			t.Errorf("after %d of %d it is not the whole", after, newest)
+			t.Errorf("after %d of %d the update is not complete", after, newest)
 		}
 	}
 	if update := table.ChangesSince(newest-3, 7, 0); update.Complete || len(update.Directives) != 3 {
 		t.Errorf("three changes back: %+v", update)
 	}
 	if update := table.ChangesSince(newest, 8, 0); !update.Complete {
-		t.Error("of another epoch, and not the whole")
+		t.Error("the update for another epoch is not complete")
 	}
 }
 
-// What an entry counts is never less than what its line takes, so that the bounds of a line hold.
+// A directive is never accounted with fewer bytes than it takes in a line, so that the bound of a line holds.
 func TestAccountedBytesCoverEncodedLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringOfN(rapid.RuneFrom([]rune{'a', '<', '"', '\\', 'ä', 0x7f, 0x2028, 1, 0xfffd}), 1, 20, -1)
@@ -137,6 +137,7 @@
 	})
 }
 
+// Apply rejects what its rules do not allow, and then changes nothing.
 func TestApplyRules(t *testing.T) {
 	const now = 1_000_000_000
 	validExclusion := func() Directive { return exclusion("window/a/t", now+1000, "s1", "s2") }
@@ -152,40 +153,40 @@
 	}
 	modified := func(directive Directive, change func(*Directive)) Directive { change(&directive); return directive }
 	for _, c := range []struct {
-		name, duty string
-		at         int64
-		directive  Directive
-		want       Outcome
+		name, lease  string
+		writerTimeMS int64
+		directive    Directive
+		want         Outcome
 	}{
-		{"as it should be", "window/a", now, validExclusion(), OutcomeApplied},
-		{"under the one duty", "window", 0, validExclusion(), OutcomeApplied},
+		{"valid", "window/a", now, validExclusion(), OutcomeApplied},
+		{"under the fleet-wide lease", "window", 0, validExclusion(), OutcomeApplied},
 		{"a key's copies", "spread", now, spread, OutcomeApplied},
 		{"a release's cohort", "release/r", now, cohort, OutcomeApplied},
 		{"another window's", "window/b", now, validExclusion(), OutcomeRejected},
 		{"a window's with a longer name", "window/", now, validExclusion(), OutcomeRejected},
 		{"another release's cohort", "release/other", now, cohort, OutcomeRejected},
-		{"no duty", "", now, validExclusion(), OutcomeRejected},
-		{"ended", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ExpiresAtMS = now }), OutcomeRejected},
-		{"ends as late as may be", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ExpiresAtMS = now + MaxLifetimeMS }), OutcomeApplied},
-		{"ends later", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ExpiresAtMS = now + MaxLifetimeMS + 1 }), OutcomeRejected},
+		{"no lease", "", now, validExclusion(), OutcomeRejected},
+		{"expired", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ExpiresAtMS = now }), OutcomeRejected},
+		{"expires as late as possible", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ExpiresAtMS = now + MaxLifetimeMS }), OutcomeApplied},
+		{"expires later", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ExpiresAtMS = now + MaxLifetimeMS + 1 }), OutcomeRejected},
 		{"clocks an hour apart", "window", now + 3_600_000, validExclusion(), OutcomeRejected},
 		{"clocks an hour apart, the other way", "window", now - 3_600_000, validExclusion(), OutcomeRejected},
 		{"clocks a little apart", "window", now + MaxClockSkewMS, validExclusion(), OutcomeApplied},
 		{"another kind", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Kind = KindCohort }), OutcomeRejected},
 		{"an empty part", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ID = "window//t" }), OutcomeRejected},
-		{"of no known kind", "what", now, modified(validExclusion(), func(directive *Directive) { directive.ID = "what/a" }), OutcomeRejected},
+		{"unknown kind", "what", now, modified(validExclusion(), func(directive *Directive) { directive.ID = "what/a" }), OutcomeRejected},
 		{"no servers", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Servers = nil }), OutcomeRejected},
 		{"a server twice", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Servers = []string{"s", "s"} }), OutcomeRejected},
 		{"too many servers", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Servers = serverUIDs }), OutcomeRejected},
 		{"too many copies", "spread", now, modified(spread, func(directive *Directive) { directive.Copies = copies }), OutcomeRejected},
 		{"no key", "spread", now, modified(spread, func(directive *Directive) { directive.KeyHash = "0123456789ABCDEF" }), OutcomeRejected},
-		{"a share above all", "spread", now, modified(spread, func(directive *Directive) { directive.Copies = []KeyCopy{{"s", 1.5}} }), OutcomeRejected},
+		{"a fraction above one", "spread", now, modified(spread, func(directive *Directive) { directive.Copies = []KeyCopy{{"s", 1.5}} }), OutcomeRejected},
 	} {
 		table := NewTable()
 		table.StartEpoch(1, 7)
-		outcome, reason := table.Apply(2, c.duty, &Op{LeaderTimeMS: now, WriterTimeMS: c.at, Set: []Directive{c.directive}})
-		if outcome != c.want || outcome == OutcomeApplied && table.Len() != 1 || outcome != OutcomeApplied && table.Len() != 0 {
-			t.Errorf("%s: %s %s, %d entries, want %s", c.name, outcome, reason, table.Len(), c.want)
+		result := table.Apply(2, c.lease, &Op{LeaderTimeMS: now, WriterTimeMS: c.writerTimeMS, Set: []Directive{c.directive}})
+		if result.Outcome != c.want || result.Outcome == OutcomeApplied && table.Len() != 1 || result.Outcome != OutcomeApplied && table.Len() != 0 {
+			t.Errorf("%s: %s %s, %d entries, want %s", c.name, result.Outcome, result.Reason, table.Len(), c.want)
 		}
 	}
 	t.Run("full", func(t *testing.T) {
@@ -196,21 +197,21 @@
 		}
 		oversized := validExclusion()
 		oversized.Servers = serverUIDs[:100]
-		if outcome, _ := table.Apply(2, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{oversized}}); outcome != OutcomeLimitReached || table.Len() != full {
-			t.Errorf("one too many: %s", outcome)
+		if result := table.Apply(2, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{oversized}}); result.Outcome != OutcomeLimitReached || table.Len() != full {
+			t.Errorf("above the limit: %s", result.Outcome)
 		}
 		data, err := json.Marshal(table.CompleteUpdate(now))
 		if err != nil || len(data) > MaxTotalBytes {
-			t.Errorf("the whole takes %d bytes: %v", len(data), err)
+			t.Errorf("the complete update takes %d bytes: %v", len(data), err)
 		}
 		if update := table.ChangesSince(1, 0, now); full <= maxIncremental || !update.Complete {
-			t.Errorf("%d changes are not told as the whole", full)
+			t.Errorf("the update with %d changes is not complete", full)
 		}
-		if outcome, reason := table.Apply(3, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{validExclusion()}, Delete: []string{"window/a/7"}}); outcome != OutcomeApplied {
-			t.Errorf("one for one: %s %s", outcome, reason)
+		if result := table.Apply(3, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{validExclusion()}, Delete: []string{"window/a/7"}}); result.Outcome != OutcomeApplied {
+			t.Errorf("replacing one: %s %s", result.Outcome, result.Reason)
 		}
 	})
-	t.Run("ended", func(t *testing.T) {
+	t.Run("expired", func(t *testing.T) {
 		table := NewTable()
 		table.Apply(2, "window", &Op{LeaderTimeMS: now, Set: []Directive{validExclusion(), exclusion("window/b/t", now+5, "s")}})
 		expired := table.Expired(now+1000, 10)
@@ -220,7 +221,7 @@
 		table.Apply(3, "window", &Op{LeaderTimeMS: now + 1, Set: []Directive{exclusion("window/a/t", now+5000, "s")}})
 		table.Apply(4, "", &Op{LeaderTimeMS: now + 1000, Expired: expired})
 		if remaining := slices.Collect(maps.Keys(table.directives)); len(remaining) != 1 || remaining[0] != "window/a/t" {
-			t.Errorf("left are %v, want the one that was prolonged", remaining)
+			t.Errorf("%v remain, want the one that was renewed", remaining)
 		}
 	})
 }
--- a/internal/registry/fixtures_test.go
+++ b/internal/registry/fixtures_test.go
@@ -172,7 +172,7 @@
 	add("sidecars-held", registry.Record{Op: registry.OpSidecars, Refs: []registry.InstanceRef{{UID: "c3", Revision: sidecars}}, State: "held"})
 	add("sidecars-again", registry.Record{Op: registry.OpSidecars, Sidecars: []registry.Sidecar{{Name: "c3", Ready: true, TTLMS: 10_000}}})
 	permit := func(id string) *disruption.Permit { return &disruption.Permit{ID: id} }
-	ledger("ledger-forget", nil, disruption.Op{Kind: disruption.OpForget, Owner: "operator/eva", Units: []string{"sidecar/c4"}})
+	ledger("ledger-forget", nil, disruption.Op{Kind: disruption.OpRemoveLost, Owner: "operator/eva", Units: []string{"sidecar/c4"}})
 	ledger("ledger-see", nil, disruption.Op{Kind: disruption.OpObserve, Observed: []disruption.Unit{
 		{ID: "server/s1", Condition: disruption.ConditionUp}, {ID: "server/s6", Condition: disruption.ConditionUnready}}})
 	ledger("ledger-ask", releaseGuard, disruption.Op{Kind: disruption.OpRequest, Owner: "release/r", Permit: &disruption.Permit{ID: "p1", Owner: "release/r",
--- a/internal/registry/ledger.go
+++ b/internal/registry/ledger.go
@@ -124,11 +124,11 @@
 	if op.Kind != disruption.OpObserve && !disruption.IsOperator(op.Owner) && (record.Guard == nil || record.Guard.Lease != op.Owner) {
 		return Result{OutcomeConflict, s.revision, fmt.Sprintf("no token of %q", op.Owner)}
 	}
-	outcome, reason := s.ensureLedger(index).table.Apply(index, op)
+	result := s.ensureLedger(index).table.Apply(index, op)
 	outcomes := map[disruption.Outcome]Outcome{
 		disruption.OutcomeApplied: OutcomeDone, disruption.OutcomeRejected: OutcomeConflict, disruption.OutcomeNotFound: OutcomeNotFound, disruption.OutcomeLimitReached: OutcomeLimitExceeded,
 	}
-	return Result{outcomes[outcome], index, reason}
+	return Result{outcomes[result.Outcome], index, result.Reason}
 }
 
 // Ledger is the ledger, for reading: of the list as it is where none was begun.
@@ -184,7 +184,7 @@
 			}
 		})
 	}
-	if body.Kind == disruption.OpHalt || body.Kind == disruption.OpResume || body.Kind == disruption.OpForceComplete || body.Kind == disruption.OpForget {
+	if body.Kind == disruption.OpHalt || body.Kind == disruption.OpResume || body.Kind == disruption.OpForceComplete || body.Kind == disruption.OpRemoveLost {
 		slog.Warn("ledger", "op", body.Kind, "owner", body.Owner, "rev", result.Revision, "why", result.Reason)
 	}
 	writeJSON(w, http.StatusOK, response)
--- a/internal/registry/ledger_test.go
+++ b/internal/registry/ledger_test.go
@@ -256,7 +256,7 @@
 	if permit, err := env.client.Permit(env.ctx, "new"); err != nil || permit.Stage != disruption.StageRequested || !strings.Contains(permit.WaitReason, "budget/all") {
 		t.Errorf("with one unit out already: %+v: %v", permit, err)
 	}
-	env.applyLedgerOp(disruption.Op{Kind: disruption.OpForget, Units: []string{"server/leased"}})
+	env.applyLedgerOp(disruption.Op{Kind: disruption.OpRemoveLost, Units: []string{"server/leased"}})
 	if permit, err := env.client.Permit(env.ctx, "new"); err != nil || permit.Stage != disruption.StageGranted {
 		t.Errorf("with none out: %+v: %v", permit, err)
 	}
--- a/internal/registry/maintenance.go
+++ b/internal/registry/maintenance.go
@@ -60,11 +60,11 @@
 	if len(set)+len(remove) == 0 {
 		return ""
 	}
-	outcome, reason := s.placement.Apply(index, maintenance.LeaseName, &placement.Op{LeaderTimeMS: nowMS, Set: set, Delete: remove})
-	if outcome != placement.OutcomeApplied && len(set) > 0 && len(remove) > 0 {
+	result := s.placement.Apply(index, maintenance.LeaseName, &placement.Op{LeaderTimeMS: nowMS, Set: set, Delete: remove})
+	if result.Outcome != placement.OutcomeApplied && len(set) > 0 && len(remove) > 0 {
 		s.placement.Apply(index, maintenance.LeaseName, &placement.Op{LeaderTimeMS: nowMS, Delete: remove})
 	}
-	return reason
+	return result.Reason
 }
 
 // applyContractBudget has the ledger bound what is out of a contract's servers, for whatever reason, from the same entry of the log on.
@@ -78,8 +78,8 @@
 	default:
 		return ""
 	}
-	if outcome, reason := s.ensureLedger(index).table.Apply(index, budgetOp); outcome != disruption.OutcomeApplied {
-		return "no budget of the ledger goes with it: " + reason
+	if result := s.ensureLedger(index).table.Apply(index, budgetOp); result.Outcome != disruption.OutcomeApplied {
+		return "no budget of the ledger goes with it: " + result.Reason
 	}
 	return ""
 }
--- a/internal/registry/placement.go
+++ b/internal/registry/placement.go
@@ -34,9 +34,9 @@
 	if record.Guard != nil {
 		owner = record.Guard.Lease
 	}
-	outcome, reason := s.placement.Apply(index, owner, record.Placement)
+	result := s.placement.Apply(index, owner, record.Placement)
 	outcomes := map[placement.Outcome]Outcome{placement.OutcomeApplied: OutcomeDone, placement.OutcomeRejected: OutcomeConflict, placement.OutcomeLimitReached: OutcomeLimitExceeded}
-	return Result{outcomes[outcome], s.placement.Revision(), reason}
+	return Result{outcomes[result.Outcome], s.placement.Revision(), result.Reason}
 }
 
 // readPlacement reads what changed, with what is left of each entry after lineLifetime.
--- a/internal/release/clustermodel_test.go
+++ b/internal/release/clustermodel_test.go
@@ -105,9 +105,9 @@
 	return m.platform.Do(context.Background(), r)
 }
 
-func (m *clusterModel) applyLedgerOp(applyLedgerOp *disruption.Op) (disruption.Outcome, string) {
+func (m *clusterModel) applyLedgerOp(op *disruption.Op) disruption.Result {
 	m.revision++
-	return m.ledger.Apply(m.revision, applyLedgerOp)
+	return m.ledger.Apply(m.revision, op)
 }
 
 // apply has the releases' table take an operation in.
@@ -304,8 +304,8 @@
 			op.Permit = &permit
 		}
 		if current {
-			if outcome, reason := model.applyLedgerOp(&op); op.Kind == disruption.OpRequest && outcome != disruption.OutcomeApplied && !answerLost {
-				c.deniedPermits[op.Permit.ID] = reason
+			if result := model.applyLedgerOp(&op); op.Kind == disruption.OpRequest && result.Outcome != disruption.OutcomeApplied && !answerLost {
+				c.deniedPermits[op.Permit.ID] = result.Reason
 			}
 		}
 	case CallPlatform:
--- a/internal/release/controller/controller_test.go
+++ b/internal/release/controller/controller_test.go
@@ -214,8 +214,8 @@
 	if err := f.checkGuard(w); err != nil {
 		return registry.LedgerResult{}, err
 	}
-	if out, why := f.ledger.Apply(f.revision, &op); out != disruption.OutcomeApplied {
-		return registry.LedgerResult{}, &registry.StatusError{StatusCode: http.StatusConflict, Message: why}
+	if result := f.ledger.Apply(f.revision, &op); result.Outcome != disruption.OutcomeApplied {
+		return registry.LedgerResult{}, &registry.StatusError{StatusCode: http.StatusConflict, Message: result.Reason}
 	}
 	return registry.LedgerResult{}, f.nextError()
 }
