--- a/internal/hotkey/controller.go
+++ b/internal/hotkey/controller.go
@@ -17,248 +17,232 @@
 	"milldeck/internal/registry"
 )
 
-// LeaseName is the duty under whose token spread keys are placed.
+// LeaseName is the name of the lease under whose fencing token the directives of replicated keys are written.
 const LeaseName = "spread"
 
 const (
-	planInterval     = 150 * time.Millisecond // a copy carries 0.2 s sooner than with 250 ms, at 3% of a core
-	refreshInterval  = time.Second            // between two looks at the list and the placement
-	writeTimeout     = 2 * time.Second        // for one write: an election takes about as long
+	planInterval     = 150 * time.Millisecond // replicas are active 0.2 s sooner than with 250 ms, at 3% of a core
+	writeTimeout     = 2 * time.Second        // of one write: about as long as an election takes
 	initialBackoff   = 250 * time.Millisecond
-	maxBackoff       = 4 * time.Second  // between writes that fail; entries hold for Config.Until
-	drainRequestTTL  = 30 * time.Second // for which a server is emptied without being asked for again
-	maxDrainRequests = 4096             // servers emptied at a time
+	maxBackoff       = 4 * time.Second  // between writes that fail; directives are valid for Config.DirectiveTTL
+	drainRequestTTL  = 30 * time.Second // for which a server drains without another request
+	maxDrainRequests = 4096             // servers that drain at a time
 )
 
-// Store is what the Driver needs of the list service; registry.Client is one.
+// ErrNotLeader says that this controller doesn't hold the lease at the moment.
+var ErrNotLeader = errors.New("the duty " + LeaseName + " is not held here")
+
+// Store is what a Controller needs of the registry; registry.Client implements it.
 type Store interface {
 	List(ctx context.Context, fresh bool) (registry.EndpointList, error)
 	PlacementView(ctx context.Context, fresh bool) (placement.Update, error)
 	SetPlacement(ctx context.Context, w registry.WriteOptions, atMS int64, set []placement.Directive, drop ...string) (registry.Result, error)
 }
 
-// ReportSource is where sidecars' reports come from; collect.Collector is one.
+// ReportSource provides the sidecars' load reports; loadreport.Collector implements it.
 type ReportSource interface {
 	SetAccepting(open bool)
 	Snapshot() ([]loadreport.ReceivedReport, time.Duration)
 }
 
-// Controller runs a Decider while the duty is held. Its Work is what duty.Run calls.
+// Controller runs a Planner while it holds the lease. Its exported fields are set before Run; its methods are safe for
+// concurrent use.
 type Controller struct {
-	Store        Store
-	Reports      ReportSource
-	Config       Config
-	ServerWarmup time.Duration // after its start a server counts as cold, and gets no copy
+	Store   Store
+	Reports ReportSource
+	Config  Config
+	// ServerWarmup is how long after its start a server counts as warming up, and gets no replica.
+	ServerWarmup time.Duration
 
-	mu            sync.Mutex // holds for decider and leaving: others ask beside Work
-	planner       *Planner   // nil while the duty is another's
-	drainRequests map[string]time.Time
+	mu            sync.Mutex           // guards what follows: other methods are called beside Run
+	planner       *Planner             // nil while the lease isn't held
+	drainRequests map[string]time.Time // by server uid, when its drain was requested last
 }
 
-// snapshot is what the list service told last.
-type snapshot struct {
-	servers   []Server
-	placement placement.Update
+// tenure is one span in which a Controller holds the lease.
+type tenure struct {
+	*Controller
+	lease   *leaderelection.Lease
+	logger  *slog.Logger
+	started time.Time
+	epoch   uint64 // of the placement
+
+	reportTimes map[string]time.Duration // by sidecar, when its last report was received
+
+	backoff time.Duration // after the last write; 0: it succeeded
+	retryAt time.Time     // no write is attempted before
 }
 
-// Run decides until ctx ends or the placement cannot be taken over. The table goes on from the placement and stays in
-// it: the next holder, or none, finds the entries until they end.
+// Run plans and writes directives until ctx ends, and returns why it did; any other error says that the placement
+// couldn't be restored. It goes on from the directives in force and leaves them there: the next leader, or no one, finds
+// them until they expire. leaderelection.Run calls it while the lease is held.
 func (c *Controller) Run(ctx context.Context, lease *leaderelection.Lease) error {
 	c.Reports.SetAccepting(true)
 	defer c.Reports.SetAccepting(false)
-	current, err := c.fetchSnapshot(ctx, true)
+	t := &tenure{
+		Controller:  c,
+		lease:       lease,
+		logger:      slog.With("component", "hotkey"),
+		reportTimes: map[string]time.Duration{},
+	}
+	first, err := c.fetchSnapshot(ctx, true)
 	if err != nil {
 		return err
 	}
-	// By the wall clock as it is now and the monotonic one since: a clock that is put does not move entries' ends.
-	started := time.Now()
-	clock := func() float64 { return float64(started.UnixMicro())/1e6 + time.Since(started).Seconds() }
-	epoch := current.placement.Epoch
-	if err := c.restorePlanner(clock(), current); err != nil {
+	t.started, t.epoch = time.Now(), first.placement.Epoch
+	if err := c.restorePlanner(t.now(), first); err != nil {
 		return err
 	}
 	defer c.clearPlanner()
+	ctx, cancel := context.WithCancelCause(ctx)
 	snapshots := make(chan *snapshot, 1)
 	var background sync.WaitGroup
 	defer background.Wait()
-	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	background.Go(func() { c.pollSnapshots(ctx, snapshots) })
+	background.Go(func() { c.pollSnapshots(ctx, t.logger, snapshots) })
+	return t.loop(ctx, snapshots)
+}
+
+// now is the Unix time in s: the wall clock's at the start of the tenure and the monotonic clock's since, so that a wall
+// clock that is set doesn't move the ends of directives.
+func (t *tenure) now() float64 {
+	return float64(t.started.UnixMicro())/1e6 + time.Since(t.started).Seconds()
+}
 
-	reportTimes := map[string]time.Duration{}
-	backoff, retryAt := time.Duration(0), time.Time{}
-	for ticker := time.NewTicker(planInterval); ; {
+// loop handles snapshots and plans until ctx ends.
+func (t *tenure) loop(ctx context.Context, snapshots <-chan *snapshot) error {
+	ticker := time.NewTicker(planInterval)
+	defer ticker.Stop()
+	for {
 		select {
 		case <-ctx.Done():
-			ticker.Stop()
 			return context.Cause(ctx)
 		case current := <-snapshots:
-			if current.placement.Epoch != epoch { // another history, in which revisions mean something else
-				epoch = current.placement.Epoch
-				if err := c.restorePlanner(clock(), current); err != nil {
-					return err
-				}
+			if err := t.handleSnapshot(current); err != nil {
+				return err
 			}
-			c.mu.Lock()
-			c.planner.SetServers(current.servers)
-			c.mu.Unlock()
-			continue
 		case <-ticker.C:
+			t.planAndWrite(ctx)
 		}
-		changes := c.plan(clock, reportTimes)
-		if len(changes) == 0 || time.Now().Before(retryAt) {
-			continue
-		}
-		if err := c.apply(ctx, lease, int64(clock()*1000), changes); err != nil {
-			backoff = min(max(2*backoff, initialBackoff), maxBackoff)
-			retryAt = time.Now().Add(backoff/2 + rand.N(backoff/2))
-			slog.Warn("spread keys not placed", "changes", len(changes), "again_in", backoff, "error", err)
-			continue
-		}
-		backoff = 0
 	}
 }
 
-func (c *Controller) restorePlanner(now float64, current *snapshot) error {
-	planner, err := NewPlanner(c.Config)
-	if err != nil {
-		return err
+// handleSnapshot gives the planner the servers. Where the placement has another epoch, its revisions mean something else,
+// and the planner is restored from it.
+func (t *tenure) handleSnapshot(current *snapshot) error {
+	if current.placement.Epoch != t.epoch {
+		t.epoch = current.placement.Epoch
+		if err := t.restorePlanner(t.now(), current); err != nil {
+			return err
+		}
 	}
-	planner.SetServers(current.servers)
-	planner.Restore(now, current.placement.Directives)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.planner, c.drainRequests = planner, map[string]time.Time{}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.planner.SetServers(current.servers)
 	return nil
 }
 
-func (c *Controller) clearPlanner() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.planner, c.drainRequests = nil, nil
+// planAndWrite plans, and writes what has changed unless the last write failed a moment ago.
+func (t *tenure) planAndWrite(ctx context.Context) {
+	changes := t.plan()
+	if len(changes) == 0 || time.Now().Before(t.retryAt) {
+		return
+	}
+	err := t.write(ctx, changes)
+	if err == nil {
+		t.backoff = 0
+		return
+	}
+	t.backoff = min(max(2*t.backoff, initialBackoff), maxBackoff)
+	t.retryAt = time.Now().Add(t.backoff/2 + rand.N(t.backoff/2))
+	t.logger.Warn("placement write failed", "changes", len(changes), "backoff", t.backoff, "error", err)
 }
 
-// plan hands new reports on and decides. What seen holds is the time of each sidecar's last report.
-func (c *Controller) plan(clock func() float64, reportTimes map[string]time.Duration) []Change {
-	reports, collectedAt := c.Reports.Snapshot()
-	now := clock()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for uid, requestedAt := range c.drainRequests {
-		if time.Since(requestedAt) > drainRequestTTL {
-			delete(c.drainRequests, uid)
-			c.planner.CancelDrain(uid)
-		}
-	}
+// plan gives the planner the new reports and returns what it plans.
+func (t *tenure) plan() []Change {
+	reports, collectedAt := t.Reports.Snapshot()
+	now := t.now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expireDrainRequests()
 	present := make(map[string]bool, len(reports))
 	for i := range reports {
 		r := &reports[i]
 		present[r.Sidecar] = true
-		if last, ok := reportTimes[r.Sidecar]; ok && last == r.ReceivedAt {
+		if last, ok := t.reportTimes[r.Sidecar]; ok && last == r.ReceivedAt {
 			continue
 		}
-		reportTimes[r.Sidecar] = r.ReceivedAt
-		c.planner.AddReport(now-math.Max((collectedAt-r.ReceivedAt).Seconds(), 0), &r.LoadReport)
+		t.reportTimes[r.Sidecar] = r.ReceivedAt
+		age := math.Max((collectedAt - r.ReceivedAt).Seconds(), 0)
+		t.planner.AddReport(now-age, &r.LoadReport) // an invalid one counts as lost
 	}
-	for name := range reportTimes {
-		if !present[name] {
-			delete(reportTimes, name)
+	for sidecar := range t.reportTimes {
+		if !present[sidecar] {
+			delete(t.reportTimes, sidecar)
 		}
 	}
-	return c.planner.Plan(now)
+	return t.planner.Plan(now)
 }
 
-// apply places effects under the lease's token, all or none.
-func (c *Controller) apply(ctx context.Context, lease *leaderelection.Lease, atMS int64, changes []Change) error {
+// write writes changes under the lease's token, all or none, and confirms them.
+func (t *tenure) write(ctx context.Context, changes []Change) error {
 	var directives []placement.Directive
-	var removals, ids []string
+	var removals []string
 	for _, change := range changes {
 		if change.Set != nil {
 			directives = append(directives, *change.Set)
-			ids = append(ids, change.Set.ID)
 		} else {
 			removals = append(removals, change.RemoveID)
-			ids = append(ids, change.RemoveID)
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	result, err := c.Store.SetPlacement(ctx, registry.WriteOptions{Guard: lease.Guard()}, atMS, directives, removals...)
+	options := registry.WriteOptions{Guard: t.lease.Guard()}
+	result, err := t.Store.SetPlacement(ctx, options, int64(t.now()*1000), directives, removals...)
 	if err != nil {
 		return err
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, id := range ids {
-		c.planner.Confirm(id, result.Revision)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, change := range changes {
+		t.planner.Confirm(change.DirectiveID(), result.Revision)
 	}
 	return nil
 }
 
-// pollSnapshots looks at list and placement until ctx ends. A look that fails leaves what was known: absence of news is none.
-func (c *Controller) pollSnapshots(ctx context.Context, snapshots chan<- *snapshot) {
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-time.After(refreshInterval/2 + rand.N(refreshInterval)):
-		}
-		current, err := c.fetchSnapshot(ctx, false)
-		if err != nil {
-			slog.Debug("list or placement not read", "error", err)
-			continue
-		}
-		select {
-		case snapshots <- current:
-		case <-ctx.Done():
-			return
-		}
+// restorePlanner replaces the planner by one that goes on from a snapshot.
+func (c *Controller) restorePlanner(now float64, current *snapshot) error {
+	planner, err := NewPlanner(c.Config)
+	if err != nil {
+		return err
 	}
+	planner.SetServers(current.servers)
+	planner.Restore(now, current.placement.Directives)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.planner, c.drainRequests = planner, map[string]time.Time{}
+	return nil
 }
 
-func (c *Controller) fetchSnapshot(ctx context.Context, fresh bool) (*snapshot, error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*writeTimeout)
-	defer cancel()
-	list, err := c.Store.List(ctx, fresh)
-	if err != nil {
-		return nil, fmt.Errorf("spread: the list: %w", err)
-	}
-	if len(list.Targets) == 0 {
-		return nil, errors.New("spread: the list is empty, which tells nothing")
-	}
-	directives, err := c.Store.PlacementView(ctx, fresh)
-	if err != nil {
-		return nil, fmt.Errorf("spread: the placement: %w", err)
-	}
-	return &snapshot{servers: c.serversFrom(&list, &directives), placement: directives}, nil
+func (c *Controller) clearPlanner() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.planner, c.drainRequests = nil, nil
 }
 
-// serversFrom makes servers of the list and of what the placement keeps off.
-func (c *Controller) serversFrom(list *registry.EndpointList, directives *placement.Update) []Server {
-	excluded := map[string]bool{}
-	for i := range directives.Directives {
-		if directive := &directives.Directives[i]; directive.Kind == placement.KindExclude {
-			for _, uid := range directive.Servers {
-				excluded[uid] = true
-			}
+// expireDrainRequests ends drains that weren't requested again. The caller holds mu.
+func (c *Controller) expireDrainRequests() {
+	for uid, requestedAt := range c.drainRequests {
+		if time.Since(requestedAt) > drainRequestTTL {
+			delete(c.drainRequests, uid)
+			c.planner.CancelDrain(uid)
 		}
 	}
-	warmBeforeMS := float64(time.Now().Add(-c.ServerWarmup).UnixMilli())
-	servers := make([]Server, 0, len(list.Targets))
-	for i := range list.Targets {
-		target := &list.Targets[i]
-		servers = append(servers, Server{UID: target.UID, Zone: target.Zone, Pod: target.PodGroup, Capacity: target.Capacity, BootMS: target.BootMS,
-			Ready: target.State == registry.InstanceReady, Excluded: excluded[target.UID], WarmingUp: target.BootMS > warmBeforeMS})
-	}
-	return servers
 }
 
-// ErrNotLeader tells that the duty is another's, or nobody's, at this moment.
-var ErrNotLeader = errors.New("the duty " + LeaseName + " is not held here")
-
-// Drain has a server emptied of what it carries of spread keys, and tells whether that is done: what was there
-// is warm elsewhere. Who drains it asks again, at least every 10 s, until it may be sent away and until it is gone; asked
-// for no more, it counts as one that stays.
+// Drain requests the drain of a server, and reports whether what it served of replicated keys is warm on other servers.
+// The caller repeats the request, at least every 10 s, until the server is stopped; without that the drain ends and the
+// server counts as one that stays. The error is ErrNotLeader where the lease isn't held.
 func (c *Controller) Drain(uid string) (drained bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -266,7 +250,7 @@
 		return false, ErrNotLeader
 	}
 	if _, ok := c.drainRequests[uid]; !ok && len(c.drainRequests) >= maxDrainRequests {
-		return false, fmt.Errorf("spread: over %d servers leave already", maxDrainRequests)
+		return false, fmt.Errorf("spread: more than %d servers drain already", maxDrainRequests)
 	}
 	if strings.TrimSpace(uid) == "" {
 		return false, errors.New("spread: which server is to leave?")
@@ -276,7 +260,7 @@
 	return c.planner.Drained(uid), nil
 }
 
-// Status returns the table as it is decided now.
+// Status returns the replicated keys, ordered by key, or ErrNotLeader.
 func (c *Controller) Status() ([]KeyStatus, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/hotkey/drain.go
+++ b/internal/hotkey/drain.go
@@ -1,25 +1,21 @@
 package hotkey
 
-import (
-	"math"
-
-	"milldeck/internal/placement"
-)
-
-// almostOne of a sum is all of it but for rounding errors.
+// almostOne is the fraction of a sum that counts as all of it, as sums have rounding errors.
 const almostOne = 1 - 1e-9
 
-// StartDrain says that a server is to be drained, or otherwise emptied: no copy is begun on it, and what it carries of spread
-// keys is made warm elsewhere first. May tells when that is done. Asking again changes nothing.
+// StartDrain says that a server is to be drained: no replica is started on it, and what it serves of replicated keys is
+// first warmed up on other servers. Drained tells when that is done. Calling it again changes nothing.
 func (p *Planner) StartDrain(uid string) {
 	if _, ok := p.fleet.index[uid]; !ok || p.fleet.draining[uid] {
 		return
 	}
 	for _, k := range p.keys {
-		if r := k.replicaOn(uid); r != nil && r.state == Warming {
+		r := k.replicaOn(uid)
+		if r != nil && r.state == Warming {
 			k.remove(uid)
+			r = nil
 		}
-		if r := k.replicaOn(uid); r != nil && r.state == Active || p.isHomeServer(k, uid) {
+		if r != nil && r.state == Active || p.isHomeServer(k, uid) {
 			activeCapacity, _ := k.replicaCapacity(&p.fleet, &p.config)
 			k.capacityAtDrain = max(k.capacityAtDrain, k.homeCapacity(&p.fleet)+activeCapacity)
 		}
@@ -27,11 +23,11 @@
 	p.fleet.draining[uid] = true
 }
 
-// CancelDrain takes Leave back: the server may carry again.
+// CancelDrain ends a server's drain: it may host replicas again.
 func (p *Planner) CancelDrain(uid string) { delete(p.fleet.draining, uid) }
 
-// Drained tells whether a server that is to leave carries no copy any more, and for each spread key of its own as much is
-// warm elsewhere. A server that the list does not name may go.
+// Drained reports whether a draining server hosts no replica any more, and whether for each replicated key that it is a
+// home server of other servers have replaced its capacity. A server that isn't listed is drained.
 func (p *Planner) Drained(uid string) bool {
 	if _, ok := p.fleet.index[uid]; !ok {
 		return true
@@ -53,32 +49,34 @@
 	return home
 }
 
-// isReplaced: what carries the key without the servers that leave is as much as it was with them.
+// isReplaced reports whether the key's capacity without the draining servers is what it was with them.
 func (p *Planner) isReplaced(k *replicatedKey) bool {
 	activeCapacity, _ := k.replicaCapacity(&p.fleet, &p.config)
 	return k.homeCapacity(&p.fleet)+activeCapacity >= k.capacityAtDrain*almostOne
 }
 
-// drainReplicas cools copies on servers that leave, one after the other, as others carry in their place.
+// drainReplicas retires replicas on draining servers, one after the other, as others become active in their place.
 func (p *Planner) drainReplicas(k *replicatedKey, now float64) {
 	if k.capacityAtDrain == 0 {
 		return
 	}
 	activeCapacity, _ := k.replicaCapacity(&p.fleet, &p.config)
 	available := k.homeCapacity(&p.fleet) + activeCapacity
-	var draining []*replica // those that still carry on servers that leave
-	affected := false
+	var draining []*replica // still active
+	affected := false       // by a drain
 	for _, r := range k.replicas {
-		if p.fleet.draining[r.serverUID] {
-			affected = true
-			if r.state == Active {
-				draining = append(draining, r)
-				available += p.currentCapacity(r, now)
-			}
+		if !p.fleet.draining[r.serverUID] {
+			continue
+		}
+		affected = true
+		if r.state == Active {
+			draining = append(draining, r)
+			available += p.currentCapacity(r, now)
 		}
 	}
 	for _, r := range draining {
-		if available -= p.currentCapacity(r, now); available < k.capacityAtDrain*almostOne {
+		available -= p.currentCapacity(r, now)
+		if available < k.capacityAtDrain*almostOne {
 			break
 		}
 		r.state, r.retiredAt = Retiring, now
@@ -91,29 +89,7 @@
 	}
 }
 
-// currentCapacity is what a copy bears by what it can carry already.
+// currentCapacity is the capacity that a replica has by the share that it can take already.
 func (p *Planner) currentCapacity(r *replica, now float64) float64 {
 	return p.fleet.serverCapacity(p.fleet.index[r.serverUID]) * r.rampFactor(&p.config, now)
 }
-
-// KeyStatus is a spread key as operators see it. Loads are in ms of work a second.
-type KeyStatus struct {
-	Key        string               `json:"key"`
-	LowerBound float64              `json:"low"`  // the fleet's figure at least
-	UpperBound float64              `json:"high"` // and at most; the highest number where no report is at hand
-	Warming    int                  `json:"warming"`
-	Active     int                  `json:"carrying"`
-	Retiring   int                  `json:"cooling"`
-	Placement  *placement.Directive `json:"placement,omitempty"` // as told last
-}
-
-// Status returns the table, ordered by key.
-func (p *Planner) Status() []KeyStatus {
-	var statuses []KeyStatus
-	for _, k := range p.sortedKeys() {
-		published := k.published
-		statuses = append(statuses, KeyStatus{Key: FormatKey(k.key), LowerBound: k.lower, UpperBound: min(p.loads.upperBound(k.key, true), math.MaxFloat64),
-			Warming: k.countIn(Warming), Active: k.countIn(Active), Retiring: k.countIn(Retiring), Placement: &published})
-	}
-	return statuses
-}
--- a/internal/hotkey/fleet_view.go
+++ b/internal/hotkey/fleet_view.go
@@ -9,42 +9,54 @@
 	"milldeck/balance"
 )
 
-// Server is a server as the Decider has to know it.
+// Server is a server as the Planner has to know it.
 type Server struct {
-	UID              string
-	Zone             string
-	Pod              int
-	Capacity         float64 // relative; what is not above 0 counts as 1
-	ObservedCapacity float64 // ms of work a second that it was found to do; 0: Config.Bear times Capacity
-	BootMS           float64 // Unix ms of its last start: what was warm before is not
-	Ready            bool    // it is in the list and takes requests; else its copies are gone
-	Excluded         bool    // by any tenant: it carries no spread key
-	WarmingUp        bool    // it is still warming up, or what it may be sent is limited as it is cold
-	Overloaded       bool    // it answers late or has too much: it gets no new copy
+	UID  string
+	Zone string
+	Pod  int // pod group: servers of one pod group are likely to fail together
+
+	Capacity         float64 // relative; counts as 1 where it isn't above 0
+	ObservedCapacity float64 // ms of work a second; 0: Config.ServerCapacity times Capacity
+	BootMS           float64 // Unix time of its last start in ms: its cache is empty since
+
+	Ready      bool // listed and takes requests; if not, its replicas end
+	Excluded   bool // from some tenant's traffic, so that it hosts no replica
+	WarmingUp  bool // in slow start; gets no new replica
+	Overloaded bool // responds late or has too much load; gets no new replica
 }
 
-// fleetView is the list of servers and the order that each key has of them.
+// fleetView is the list of servers, and each key's order of preference among them.
 type fleetView struct {
 	servers       []Server // sorted by UID
 	serverIDs     []balance.ServerID
-	capacities    []float64
+	capacities    []float64 // relative
 	index         map[string]int
-	unitCapacity  float64 // of a server of capacity 1
-	totalCapacity float64 // what the ready servers bear together
-	zoneCount     int     // that have ready servers
+	unitCapacity  float64 // ms of work a second of a server whose relative capacity is 1
+	totalCapacity float64 // of the ready servers, ms of work a second
+	zoneCount     int     // zones that have ready servers, at least 1
 	readyCount    int
 	draining      map[string]bool
-	orderCache    map[uint64][]int32 // places in servers, the first in the key's order first
+	orderCache    map[uint64][]int32 // by key: indices of servers in its order of preference
 }
 
-// maxCachedPositions bounds the servers in all kept orders: 4 MB.
-const maxCachedPositions = 1 << 20
+const (
+	// maxCachedPositions bounds the servers in all cached orders: 4 MB.
+	maxCachedPositions = 1 << 20
+	// A key has minHomeServers home servers, or one of serversPerHomeServer ready ones where these are more.
+	minHomeServers       = 2
+	serversPerHomeServer = 15
+)
 
 func newFleetView(unitCapacity float64) fleetView {
-	return fleetView{unitCapacity: unitCapacity, index: map[string]int{}, draining: map[string]bool{}, orderCache: map[uint64][]int32{}}
+	return fleetView{
+		unitCapacity: unitCapacity,
+		index:        map[string]int{},
+		draining:     map[string]bool{},
+		orderCache:   map[uint64][]int32{},
+	}
 }
 
-// setServers takes a whole list. Orders stay where it names the same servers with the same capacities.
+// setServers replaces the list. Cached orders stay where it has the same servers with the same relative capacities.
 func (f *fleetView) setServers(list []Server) {
 	servers := slices.Clone(list)
 	slices.SortFunc(servers, func(a, b Server) int { return cmp.Compare(a.UID, b.UID) })
@@ -57,26 +69,38 @@
 	unchanged := slices.EqualFunc(servers, f.servers, func(a, b Server) bool {
 		return a.UID == b.UID && a.Capacity == b.Capacity
 	})
-	f.servers, f.totalCapacity, f.readyCount = servers, 0, 0
+	f.servers = servers
+	f.countReady()
+	if !unchanged {
+		f.rebuildIndex()
+	}
+}
+
+// countReady computes what depends on which servers are ready.
+func (f *fleetView) countReady() {
+	f.totalCapacity, f.readyCount = 0, 0
 	zones := map[string]bool{}
-	for i := range servers {
-		if servers[i].Ready {
+	for i := range f.servers {
+		if f.servers[i].Ready {
 			f.totalCapacity += f.serverCapacity(i)
 			f.readyCount++
-			zones[servers[i].Zone] = true
+			zones[f.servers[i].Zone] = true
 		}
 	}
 	f.zoneCount = max(len(zones), 1)
-	if unchanged {
-		return
-	}
+}
+
+// rebuildIndex computes what depends on which servers are listed, and ends the drains of those that aren't.
+func (f *fleetView) rebuildIndex() {
 	clear(f.orderCache)
 	clear(f.index)
-	f.serverIDs, f.capacities = make([]balance.ServerID, len(servers)), make([]float64, len(servers))
-	for i := range servers {
-		hash := fnv.New64a() // as sidecars make their ServerID of a uid
-		hash.Write([]byte(servers[i].UID))
-		f.serverIDs[i], f.capacities[i], f.index[servers[i].UID] = balance.ServerID(hash.Sum64()), servers[i].Capacity, i
+	f.serverIDs, f.capacities = make([]balance.ServerID, len(f.servers)), make([]float64, len(f.servers))
+	for i := range f.servers {
+		hash := fnv.New64a()                        // as sidecars derive a ServerID from a uid
+		_, _ = hash.Write([]byte(f.servers[i].UID)) // never fails
+		f.serverIDs[i] = balance.ServerID(hash.Sum64())
+		f.capacities[i] = f.servers[i].Capacity
+		f.index[f.servers[i].UID] = i
 	}
 	for uid := range f.draining {
 		if _, ok := f.index[uid]; !ok {
@@ -85,15 +109,16 @@
 	}
 }
 
-// serverCapacity is the load that a server does.
+// serverCapacity is a server's capacity in ms of work a second.
 func (f *fleetView) serverCapacity(i int) float64 {
-	if server := &f.servers[i]; server.ObservedCapacity > 0 && !math.IsInf(server.ObservedCapacity, 1) {
+	server := &f.servers[i]
+	if server.ObservedCapacity > 0 && !math.IsInf(server.ObservedCapacity, 1) {
 		return server.ObservedCapacity
 	}
-	return f.unitCapacity * f.servers[i].Capacity
+	return f.unitCapacity * server.Capacity
 }
 
-// preferenceOrder returns a key's order of all servers.
+// preferenceOrder returns a key's order of all servers by rendezvous hashing, as indices; the first is preferred.
 func (f *fleetView) preferenceOrder(key uint64) []int32 {
 	if order, ok := f.orderCache[key]; ok {
 		return order
@@ -113,11 +138,29 @@
 	return order
 }
 
-// homeServerCount returns how many servers a key has by itself, as balance/affinity.go counts them: two, or one of fifteen.
-func (f *fleetView) homeServerCount() int { return min(max(2, f.readyCount/15), f.readyCount) }
+// homeServerCount is how many servers a key has without replicas, as package balance counts them.
+func (f *fleetView) homeServerCount() int {
+	return min(max(minHomeServers, f.readyCount/serversPerHomeServer), f.readyCount)
+}
+
+// forEachHomeServer calls visit with the index of each of the key's home servers: the first ready ones of its order.
+func (f *fleetView) forEachHomeServer(key uint64, visit func(i int)) {
+	remaining := f.homeServerCount()
+	for _, i := range f.preferenceOrder(key) {
+		if remaining == 0 {
+			return
+		}
+		if f.servers[i].Ready {
+			remaining--
+			visit(int(i))
+		}
+	}
+}
 
-// canHostReplica tells whether a server may carry a copy that it has; free, whether it may get one.
+// canHostReplica reports whether a server may serve a replica that it has.
 func (f *fleetView) canHostReplica(i int) bool { return f.servers[i].Ready && !f.servers[i].Excluded }
+
+// canAddReplica reports whether a server may get a new replica.
 func (f *fleetView) canAddReplica(i int) bool {
 	server := &f.servers[i]
 	return f.canHostReplica(i) && !server.WarmingUp && !server.Overloaded && !f.draining[server.UID]
--- a/internal/hotkey/http.go
+++ b/internal/hotkey/http.go
@@ -6,16 +6,22 @@
 	"net/http"
 )
 
-// Handler serves what operators and drain controllers ask. All answer 503 while the duty is another's.
+// DrainStatus answers a drain request.
+type DrainStatus struct {
+	Drained bool `json:"ready"` // what the server served of replicated keys is warm on other servers
+}
+
+// Handler serves operators and drain controllers. Every request is answered with 503 and Retry-After while the lease is
+// held by another controller.
 //
-//	GET  /spread                 the table, [Row...]
-//	POST /spread/leave?uid=UID   Drain: {"ready":BOOL}
+//	GET  /spread                 []KeyStatus
+//	POST /spread/leave?uid=UID   Drain, answered with DrainStatus
 func (c *Controller) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /spread", func(w http.ResponseWriter, _ *http.Request) {
 		statuses, err := c.Status()
 		if statuses == nil {
-			statuses = []KeyStatus{}
+			statuses = []KeyStatus{} // [] in JSON, not null
 		}
 		writeResponse(w, statuses, err)
 	})
@@ -26,12 +32,8 @@
 	return mux
 }
 
-// DrainStatus is the answer about a server that is to leave.
-type DrainStatus struct {
-	Drained bool `json:"ready"` // what it carried is warm elsewhere
-}
-
-func writeResponse(w http.ResponseWriter, v any, err error) {
+// writeResponse writes a value as JSON, or the status and text of an error.
+func writeResponse(w http.ResponseWriter, value any, err error) {
 	switch {
 	case errors.Is(err, ErrNotLeader):
 		w.Header().Set("Retry-After", "1")
@@ -40,6 +42,6 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(v) // who asked may be gone
+		_ = json.NewEncoder(w).Encode(value) // the client may have gone
 	}
 }
--- a/internal/hotkey/scale_up.go
+++ b/internal/hotkey/scale_up.go
@@ -8,70 +8,96 @@
 	"milldeck/internal/placement"
 )
 
-// scaleUp starts copies while the budgets last. Each goes to the key where it takes most work off servers that have too
-// much, for the same cost; what stands in for a server that leaves goes first.
+// maxLoadReplicas is how many replicas of a key are started for its load. The rest, up to placement.MaxCopiesPerKey, is
+// left for replacing servers that drain.
+const maxLoadReplicas = 56
+
+// scaleUpCandidate is a key that requires more capacity than it has.
+type scaleUpCandidate struct {
+	key      *replicatedKey
+	capacity float64 // of all its servers, ms of work a second
+}
+
+// scaleUp starts replicas while the budgets last. Each goes to the key where it takes most work off overloaded servers,
+// for the same cost; replacements of servers that drain go first.
 func (p *Planner) scaleUp(now float64) {
-	type candidate struct {
-		k                  *replicatedKey
-		homeCapacity, have float64 // ms/s that all its servers bear
-	}
-	var candidates []*candidate
+	candidates := p.scaleUpCandidates(now)
 	replicaCount := float64(p.replicaCount())
+	for len(candidates) > 0 && p.mayStartReplica() && replicaCount < p.replicaLimit() {
+		best := slices.MaxFunc(candidates, func(a, b *scaleUpCandidate) int {
+			return cmp.Compare(p.scaleUpBenefit(a), p.scaleUpBenefit(b))
+		})
+		if p.scaleUpBenefit(best) <= 0 {
+			return
+		}
+		i, ok := p.chooseServer(best.key)
+		if !ok {
+			candidates = slices.DeleteFunc(candidates, func(c *scaleUpCandidate) bool { return c == best })
+			continue
+		}
+		best.key.replicas = append(best.key.replicas, &replica{serverUID: p.fleet.servers[i].UID, startedAt: now})
+		best.key.scaleDownAfter = math.Max(best.key.scaleDownAfter, now+p.config.ScaleDownStabilization)
+		best.capacity += p.fleet.serverCapacity(i)
+		p.warmupTokens -= p.config.WarmupWork
+		p.replicaTokens--
+		replicaCount++
+	}
+}
+
+// mayStartReplica reports whether both budgets allow for one more replica.
+func (p *Planner) mayStartReplica() bool {
+	return p.warmupTokens >= p.config.WarmupWork && p.replicaTokens >= 1
+}
+
+// scaleUpCandidates returns the keys that require more capacity. Their retiring replicas become active again first: they
+// are still warm, and cost nothing.
+func (p *Planner) scaleUpCandidates(now float64) []*scaleUpCandidate {
+	var candidates []*scaleUpCandidate
 	for _, k := range p.sortedKeys() {
-		homeCapacity := k.homeCapacity(&p.fleet)
 		_, replicaCapacity := k.replicaCapacity(&p.fleet, &p.config)
-		w := &candidate{k, homeCapacity, homeCapacity + replicaCapacity}
-		if w.have >= k.requiredCapacity {
+		candidate := &scaleUpCandidate{key: k, capacity: k.homeCapacity(&p.fleet) + replicaCapacity}
+		if candidate.capacity >= k.requiredCapacity {
 			continue
 		}
-		for _, r := range k.replicas { // what still is warm comes back for nothing
-			if r.state == Retiring && !p.fleet.draining[r.serverUID] && w.have < k.requiredCapacity {
+		for _, r := range k.replicas {
+			if r.state == Retiring && !p.fleet.draining[r.serverUID] && candidate.capacity < k.requiredCapacity {
 				r.state = Active
-				w.have += p.fleet.serverCapacity(p.fleet.index[r.serverUID])
+				candidate.capacity += p.fleet.serverCapacity(p.fleet.index[r.serverUID])
 				k.scaleDownAfter = math.Max(k.scaleDownAfter, now+p.config.ScaleDownStabilization)
 			}
 		}
-		candidates = append(candidates, w)
+		candidates = append(candidates, candidate)
 	}
-	// gain is what a further copy takes off the key's servers, of what is too much for them.
-	benefit := func(w *candidate) float64 {
-		if len(w.k.replicas) >= placement.MaxCopiesPerKey || w.have >= w.k.requiredCapacity || w.k.countIn(Warming) >= max(p.config.MaxWarming, w.k.countIn(Active)) {
-			return 0
-		}
-		if w.k.capacityAtDrain > w.have {
-			if w.k.countIn(Warming) >= max(p.config.MaxWarming/3, 1) { // what leaves still carries, and is not to lose its part at once
-				return 0
-			}
-			return math.Inf(1)
-		}
-		if len(w.k.replicas) >= maxLoadReplicas {
+	return candidates
+}
+
+// scaleUpBenefit is the work that one more replica takes off the key's servers, of what is too much for them, in ms a
+// second. It is infinite for the replacement of a server that drains, and 0 where no replica is to be started.
+func (p *Planner) scaleUpBenefit(c *scaleUpCandidate) float64 {
+	k, warming := c.key, c.key.countIn(Warming)
+	switch {
+	case len(k.replicas) >= placement.MaxCopiesPerKey,
+		c.capacity >= k.requiredCapacity,
+		warming >= max(p.config.MaxWarming, k.countIn(Active)):
+		return 0
+	case k.capacityAtDrain > c.capacity:
+		// The server that drains still serves its part, and is not to lose it at once.
+		if warming >= max(p.config.MaxWarming/3, 1) {
 			return 0
 		}
-		return math.Min(w.k.lower-w.k.maxHeadroom*w.have, w.k.lower*p.config.ServerCapacity/(w.have+p.config.ServerCapacity))
-	}
-	for len(candidates) > 0 && p.warmupTokens >= p.config.WarmupWork && p.replicaTokens >= 1 && replicaCount < p.replicaLimit() {
-		w := slices.MaxFunc(candidates, func(a, b *candidate) int { return cmp.Compare(benefit(a), benefit(b)) })
-		if benefit(w) <= 0 {
-			return
-		}
-		i := p.chooseServer(w.k)
-		if i < 0 {
-			candidates = slices.DeleteFunc(candidates, func(x *candidate) bool { return x == w })
-			continue
-		}
-		w.k.replicas = append(w.k.replicas, &replica{serverUID: p.fleet.servers[i].UID, startedAt: now})
-		w.k.scaleDownAfter = math.Max(w.k.scaleDownAfter, now+p.config.ScaleDownStabilization)
-		w.have += p.fleet.serverCapacity(i)
-		p.warmupTokens -= p.config.WarmupWork
-		p.replicaTokens--
-		replicaCount++
+		return math.Inf(1)
+	case len(k.replicas) >= maxLoadReplicas:
+		return 0
 	}
+	excess := k.lower - k.maxHeadroom*c.capacity
+	replicaLoad := k.lower * p.config.ServerCapacity / (c.capacity + p.config.ServerCapacity)
+	return math.Min(excess, replicaLoad)
 }
 
-// chooseServer returns the first server in the key's order that may get a copy, or -1. Zones and pod groups that have less of
-// the key go first: a server of a zone that has more than its part, or of a pod group that has one already, waits until
-// there is no other.
-func (p *Planner) chooseServer(k *replicatedKey) int {
+// chooseServer returns the first server in the key's preference order that may get a replica; ok is false where there is
+// none. Zones and pod groups that have fewer replicas of the key go first: a server of a zone that has its part already,
+// or of a pod group that has one, is chosen only where there is no other.
+func (p *Planner) chooseServer(k *replicatedKey) (index int, ok bool) {
 	zoneReplicas, podReplicas := map[string]int{}, map[int]int{}
 	used := map[int]bool{}
 	markUsed := func(i int) {
@@ -94,11 +120,11 @@
 		}
 		server := &p.fleet.servers[i]
 		if zoneReplicas[server.Zone] < zoneLimit && podReplicas[server.Pod] == 0 {
-			return i
+			return i, true
 		}
 		if fallback < 0 || zoneReplicas[server.Zone] < zoneReplicas[p.fleet.servers[fallback].Zone] {
 			fallback = i
 		}
 	}
-	return fallback
+	return fallback, fallback >= 0
 }
--- /dev/null
+++ b/internal/hotkey/snapshot.go
@@ -0,0 +1,97 @@
+package hotkey
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"time"
+
+	"milldeck/internal/placement"
+	"milldeck/internal/registry"
+)
+
+const (
+	refreshInterval = time.Second      // between two snapshots, on average
+	snapshotTimeout = 2 * writeTimeout // of the two reads of one
+)
+
+// errNoEndpoints says that the registry lists no servers at all. That says nothing about them.
+var errNoEndpoints = errors.New("the endpoint list is empty")
+
+// snapshot is what the registry had when it was read last.
+type snapshot struct {
+	servers   []Server
+	placement placement.Update
+}
+
+// pollSnapshots sends a snapshot every refreshInterval until ctx ends. Where one fails, the planner goes on with what it
+// knows.
+func (c *Controller) pollSnapshots(ctx context.Context, logger *slog.Logger, snapshots chan<- *snapshot) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(refreshInterval/2 + rand.N(refreshInterval)):
+		}
+		current, err := c.fetchSnapshot(ctx, false)
+		if err != nil {
+			logger.Debug("registry read failed", "error", err)
+			continue
+		}
+		select {
+		case snapshots <- current:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// fetchSnapshot reads endpoints and placement; fresh ones come from the registry's leader.
+func (c *Controller) fetchSnapshot(ctx context.Context, fresh bool) (*snapshot, error) {
+	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
+	defer cancel()
+	list, err := c.Store.List(ctx, fresh)
+	if err != nil {
+		return nil, fmt.Errorf("hotkey: read endpoints: %w", err)
+	}
+	if len(list.Targets) == 0 {
+		return nil, fmt.Errorf("hotkey: %w", errNoEndpoints)
+	}
+	update, err := c.Store.PlacementView(ctx, fresh)
+	if err != nil {
+		return nil, fmt.Errorf("hotkey: read placement: %w", err)
+	}
+	return &snapshot{servers: c.serversFrom(&list, &update), placement: update}, nil
+}
+
+// serversFrom returns the listed endpoints as servers, with what the placement excludes.
+func (c *Controller) serversFrom(list *registry.EndpointList, update *placement.Update) []Server {
+	excluded := map[string]bool{}
+	for i := range update.Directives {
+		directive := &update.Directives[i]
+		if directive.Kind != placement.KindExclude {
+			continue
+		}
+		for _, uid := range directive.Servers {
+			excluded[uid] = true
+		}
+	}
+	warmBeforeMS := float64(time.Now().Add(-c.ServerWarmup).UnixMilli())
+	servers := make([]Server, 0, len(list.Targets))
+	for i := range list.Targets {
+		target := &list.Targets[i]
+		servers = append(servers, Server{
+			UID:       target.UID,
+			Zone:      target.Zone,
+			Pod:       target.PodGroup,
+			Capacity:  target.Capacity,
+			BootMS:    target.BootMS,
+			Ready:     target.State == registry.InstanceReady,
+			Excluded:  excluded[target.UID],
+			WarmingUp: target.BootMS > warmBeforeMS,
+		})
+	}
+	return servers
+}
