--- /dev/null
+++ b/internal/sidecar/actions.go
@@ -0,0 +1,138 @@
+package sidecar
+
+import (
+	"context"
+	"math"
+	"time"
+
+	"milldeck/balance"
+)
+
+// execute carries out actions of the balancer, in order.
+func (l *eventLoop) execute(nowMS float64, actions []balance.Action) {
+	for i := range actions {
+		action := &actions[i]
+		switch action.Kind {
+		case balance.Send:
+			l.startAttempt(nowMS, action)
+		case balance.Reject, balance.Fail:
+			l.rejectOrFail(nowMS, action)
+		case balance.Cancel:
+			l.cancelAttempt(action)
+		case balance.SetTimer:
+			l.timers.set(nowMS+math.Max(action.At, 0), action.Token)
+		case balance.HealthCheck:
+			l.startHealthCheck(nowMS, action.Server)
+		case balance.CloseIdleConnections:
+			if upstream := l.readyUpstreams[action.Server]; upstream != nil {
+				l.pool.closeIdle(upstream)
+			}
+		case balance.SendGossip:
+			l.peers.send(action.Peer, action.Data)
+		case balance.Log:
+			loopLog.Info("balancer message", "text", action.Text)
+		case balance.WatchEndpoints:
+			l.discovery.watch(l.ctx)
+		case balance.FetchEndpoints:
+			l.discovery.fetchList(l.ctx)
+		default:
+			loopLog.Error("unsupported balancer action", "action", action.Kind)
+		}
+	}
+}
+
+// startAttempt sends a call to a server, on a goroutine of its own.
+func (l *eventLoop) startAttempt(nowMS float64, action *balance.Action) {
+	call := l.calls.byID[action.Request]
+	if call == nil {
+		return
+	}
+	started := &attempt{
+		call:                 call,
+		number:               len(call.attempts),
+		upstream:             l.upstreamFor(action.Server),
+		decidedAtMS:          nowMS,
+		deadline:             l.attemptDeadline(call, action),
+		idempotencyWindowEnd: l.idempotencyWindowEnd(call),
+	}
+	started.ctx, started.cancel = context.WithCancel(l.ctx)
+	call.attempts = append(call.attempts, started)
+	call.inFlight++
+	l.workers.Go(func() { l.post(attemptCompleted{started, l.pool.sendAttempt(started)}) })
+}
+
+// attemptDeadline is the call's deadline, or the time at which the balancer wants the attempt dropped if that is earlier.
+func (l *eventLoop) attemptDeadline(call *call, action *balance.Action) time.Time {
+	if action.At > 0 {
+		if dropAt := l.clock.timeAt(action.At); dropAt.Before(call.deadline) {
+			return dropAt
+		}
+	}
+	return call.deadline
+}
+
+// idempotencyWindowEnd is when servers may forget the idempotency key of a call; the window starts with the earliest
+// attempt that may have been executed. Zero means no bound. The balancer leaves time to connect, but a write may block,
+// or move to a second connection.
+func (l *eventLoop) idempotencyWindowEnd(call *call) (end time.Time) {
+	class := &l.config.settings.Classes[call.request.Class]
+	if class.Idempotency != balance.IdempotentWithKey {
+		return end
+	}
+	deadlineMS := l.clock.unixMS(call.deadline)
+	for _, attempt := range call.attempts {
+		if attempt.neverExecuted {
+			continue
+		}
+		endMS := attempt.decidedAtMS + class.IdempotencyWindow
+		if !(endMS < deadlineMS) { // no bound; it may not even fit into a time.Duration
+			continue
+		}
+		if windowEnd := l.clock.timeAt(endMS); end.IsZero() || windowEnd.Before(end) {
+			end = windowEnd
+		}
+	}
+	return end
+}
+
+// upstreamFor returns a ready upstream. The balancer only names servers of the list that it was sent, so any other is
+// rare; a retired stand-in for it makes the attempt end as obsolete.
+func (l *eventLoop) upstreamFor(serverID balance.ServerID) *upstreamHost {
+	if upstream := l.readyUpstreams[serverID]; upstream != nil {
+		return upstream
+	}
+	unknown := &upstreamHost{id: serverID}
+	unknown.retired.Store(true)
+	return unknown
+}
+
+// startHealthCheck checks a server, on a goroutine of its own.
+func (l *eventLoop) startHealthCheck(nowMS float64, serverID balance.ServerID) {
+	upstream := l.upstreamFor(serverID)
+	l.workers.Go(func() { l.post(healthCheckDone{upstream, nowMS, l.pool.checkHealth(l.ctx, upstream)}) })
+}
+
+func (l *eventLoop) cancelAttempt(action *balance.Action) {
+	if call := l.calls.byID[action.Request]; call != nil && action.Attempt < len(call.attempts) {
+		call.attempts[action.Attempt].cancel()
+	}
+}
+
+// rejectOrFail answers a call without a server's response: rejected, which tells the client that a retry is harmless, or
+// failed.
+func (l *eventLoop) rejectOrFail(nowMS float64, action *balance.Action) {
+	call := l.calls.byID[action.Request]
+	if call == nil || !call.markAnswered() {
+		return
+	}
+	l.cancelUnsentAttempts(call)
+	switch {
+	case action.Kind == balance.Reject:
+		call.response <- response{status: statusRejected, retryAfterMS: action.At}
+	case nowMS >= l.clock.unixMS(call.deadline):
+		call.response <- response{status: statusTimedOut}
+	default:
+		call.response <- response{status: statusFailed}
+	}
+	l.calls.releaseIfDone(call)
+}
--- a/internal/sidecar/active_placement.go
+++ b/internal/sidecar/active_placement.go
@@ -3,8 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"log/slog"
-	"maps"
 	"math"
 	"slices"
 	"strconv"
@@ -13,38 +11,51 @@
 	"milldeck/internal/placement"
 )
 
-// clockJumpToleranceMS is by how much an entry has to end earlier than the module was told for it to be told again: the wall clock
-// was put forward. Less is the rounding of two clocks.
+// clockJumpToleranceMS is how much earlier than the balancer was told a directive may end before the balancer is told
+// again. Less comes from rounding on two clocks; more means that the wall clock was set forward.
 const clockJumpToleranceMS = 50
 
-// awaitRevision is the placement as the loop has it, whose alone it is. Nil where none is configured.
+// placementState is what the event loop knows of the placement.
+type placementState struct {
+	active  *activePlacement // nil: none is configured
+	timing  placementTiming  // of the next client
+	version string           // the sidecar's version label, for reports
+}
+
+// activePlacement is the placement in force and the client that follows it. The event loop owns it; its goroutines only
+// use the client.
 type activePlacement struct {
 	*placementClient
-	cancel   context.CancelFunc
+	cancel   context.CancelFunc // of the client's goroutines
 	recorder *reportRecorder
 
 	revision, epoch uint64
-	directives      []activeDirective
-	numberByID      map[string]int // of entries, as the module names them
-	lastNumber      int
+	directives      []activeDirective // ordered by ID
 	cohortByServer  map[balance.ServerID]string
+
+	numberByID map[string]int // of exclusions, by which the balancer names them
+	lastNumber int
 }
 
+// activeDirective is a directive in force and what it means for this sidecar.
 type activeDirective struct {
 	placement.Directive
-	endsAtMS float64 // by the loop's clock
-	tenant   int     // of a keep-off
+	endsAtMS float64 // by the event loop's clock
+	// For an exclusion that concerns this sidecar: the tenant, or balance.AllTenants, and the servers that its requests
+	// avoid. Otherwise excluded is nil.
+	tenant   int
 	excluded map[balance.ServerID]bool
 }
 
-// followPlacement follows the placement at an address in place of the one before, whose entries stay until the new one has told
-// or they end; at none, all end now.
+// followPlacement follows the placement at another address. The directives in force stay until the new address has sent
+// its own, or until they end. Without an address all end now.
 func (l *eventLoop) followPlacement(nowMS float64, address string) {
-	previous := l.placement
+	previous := l.placement.active
 	if previous != nil && previous.address == address {
 		return
 	}
-	if l.placement = nil; previous != nil {
+	l.placement.active = nil
+	if previous != nil {
 		previous.cancel()
 	}
 	if address == "" {
@@ -58,23 +69,23 @@
 	if previous != nil {
 		*next, generation = *previous, previous.generation+1
 	}
-	next.placementClient = newPlacementClient(address, generation, l.post, l.placementTiming)
+	next.placementClient = newPlacementClient(address, generation, l.post, l.placement.timing)
 	ctx, cancel := context.WithCancel(l.ctx)
 	next.cancel = cancel
-	l.placement = next
+	l.placement.active = next
 	l.workers.Go(func() { next.runWatch(ctx) })
-	l.workers.Go(func() { next.placementClient.runReporter(ctx) })
+	l.workers.Go(func() { next.runReporter(ctx) })
 }
 
-// applyPlacementUpdate brings the module up to date with what is in force, and fills a report where one is due.
+// applyPlacementUpdate tells the balancer about changed directives, and builds a report where one is due.
 func (l *eventLoop) applyPlacementUpdate(nowMS float64, update placementUpdate) {
-	active := l.placement
+	active := l.placement.active
 	if active == nil || update.generation != active.generation {
 		return
 	}
 	active.revision, active.epoch = update.placement.Revision, update.placement.Epoch
 	takenAtMS := l.clock.unixMS(update.takenAt)
-	if !active.holds(takenAtMS, update.placement.Directives) {
+	if !active.unchanged(takenAtMS, update.placement.Directives) {
 		l.replaceDirectives(nowMS, takenAtMS, update.placement.Directives)
 	}
 	if update.reportDue != nil {
@@ -82,76 +93,82 @@
 	}
 }
 
-// holds tells whether entries are those that the module has been told, with the same ends.
-func (f *activePlacement) holds(takenAtMS float64, directives []placement.Directive) bool {
-	return slices.EqualFunc(f.directives, directives, func(active activeDirective, directive placement.Directive) bool {
-		return active.repeatedBy(&directive) && takenAtMS+float64(directive.RemainingMS) > active.endsAtMS-clockJumpToleranceMS
+// unchanged reports whether directives are those that the balancer knows, with the same ends.
+func (p *activePlacement) unchanged(takenAtMS float64, directives []placement.Directive) bool {
+	return slices.EqualFunc(p.directives, directives, func(active activeDirective, directive placement.Directive) bool {
+		return active.sameVersion(&directive) && takenAtMS+float64(directive.RemainingMS) > active.endsAtMS-clockJumpToleranceMS
 	})
 }
 
-func (e *activeDirective) repeatedBy(directive *placement.Directive) bool {
-	return e.ID == directive.ID && e.Revision == directive.Revision && e.ExpiresAtMS == directive.ExpiresAtMS
+// sameVersion reports whether a directive is this one, unchanged.
+func (d *activeDirective) sameVersion(directive *placement.Directive) bool {
+	return d.ID == directive.ID && d.Revision == directive.Revision && d.ExpiresAtMS == directive.ExpiresAtMS
 }
 
-// replaceDirectives takes over entries and tells the module. What was told before keeps its end, if that is earlier.
+// replaceDirectives puts directives in force and tells the balancer. One that was in force before keeps its end if that
+// is earlier.
 func (l *eventLoop) replaceDirectives(nowMS, takenAtMS float64, directives []placement.Directive) {
-	active := l.placement
-	previous, numbers := active.directives, active.numberByID
-	active.directives, active.numberByID, active.cohortByServer = nil, map[string]int{}, map[balance.ServerID]string{}
+	active := l.placement.active
+	previous, previousNumbers := active.directives, active.numberByID
+	active.directives = nil
+	active.numberByID = map[string]int{}
+	active.cohortByServer = map[balance.ServerID]string{}
 	var update balance.Placement
 	for i := range directives {
 		directive := activeDirective{Directive: directives[i], endsAtMS: takenAtMS + float64(directives[i].RemainingMS)}
-		position, found := slices.BinarySearchFunc(previous, directive.ID, func(candidate activeDirective, id string) int { return cmp.Compare(candidate.ID, id) })
-		if found && previous[position].repeatedBy(&directive.Directive) {
-			directive.endsAtMS = math.Min(directive.endsAtMS, previous[position].endsAtMS)
-		}
+		keepEarlierEnd(&directive, previous)
 		switch directive.Kind {
 		case placement.KindExclude:
 			if l.resolveExclusion(&directive) {
-				number, known := numbers[directive.ID]
-				if !known {
-					active.lastNumber++
-					number = active.lastNumber
-				}
-				active.numberByID[directive.ID] = number
-				position := balance.Exclusion{ID: number, Tenant: directive.tenant, MinAvailable: directive.MinAvailable, ExpiresAt: directive.endsAtMS}
-				for _, uid := range directive.Servers {
-					position.Servers = append(position.Servers, l.config.serverID(uid))
-				}
-				update.Exclusions = append(update.Exclusions, position)
+				number := active.assignNumber(directive.ID, previousNumbers)
+				update.Exclusions = append(update.Exclusions, l.exclusion(&directive, number))
 			}
 		case placement.KindSpreadKey:
-			key, err := strconv.ParseUint(directive.KeyHash, 16, 64)
-			if err != nil {
-				slog.Warn("placement: a spread of no key", "id", directive.ID, "error", err)
-				break
-			}
-			hotKey := balance.HotKey{Key: key, ExpiresAt: directive.endsAtMS}
-			for _, replica := range directive.Copies {
-				hotKey.Replicas = append(hotKey.Replicas, balance.Replica{Server: l.config.serverID(replica.ServerUID), LoadFraction: replica.LoadFraction})
+			if hotKey, err := l.hotKey(&directive); err != nil {
+				placementLog.Warn("hot key directive ignored: invalid key", "id", directive.ID, "error", err)
+			} else {
+				update.HotKeys = append(update.HotKeys, hotKey)
 			}
-			update.HotKeys = append(update.HotKeys, hotKey)
 		case placement.KindCohort:
-			for _, uid := range directive.Servers {
-				if id := l.config.serverID(uid); active.cohortByServer[id] == "" { // of two the first by ID
-					active.cohortByServer[id] = directive.Cohort
-				}
-			}
+			l.recordCohort(&directive)
 		}
 		active.directives = append(active.directives, directive)
 	}
 	l.dispatch(nowMS, update)
 }
 
-// excludeDirective takes in whom a keep-off is for and what it keeps off; false: it is for none of this sidecar's requests.
-// Where the settings name no tenants, the tenant of all is the application that this sidecar belongs to.
+// keepEarlierEnd moves the end of a directive to that which it had before, if that is earlier.
+func keepEarlierEnd(directive *activeDirective, previous []activeDirective) {
+	position, found := slices.BinarySearchFunc(previous, directive.ID, func(candidate activeDirective, id string) int {
+		return cmp.Compare(candidate.ID, id)
+	})
+	if found && previous[position].sameVersion(&directive.Directive) {
+		directive.endsAtMS = math.Min(directive.endsAtMS, previous[position].endsAtMS)
+	}
+}
+
+// assignNumber gives an exclusion the number that it had before, or else a new one.
+func (p *activePlacement) assignNumber(id string, previous map[string]int) int {
+	number, known := previous[id]
+	if !known {
+		p.lastNumber++
+		number = p.lastNumber
+	}
+	p.numberByID[id] = number
+	return number
+}
+
+// resolveExclusion fills in the tenant and the servers of an exclusion. It returns false if the exclusion concerns none
+// of this sidecar's requests. Where the settings name no tenants, the only tenant is the calling application.
 func (l *eventLoop) resolveExclusion(directive *activeDirective) bool {
-	var ok bool
-	if directive.tenant, ok = l.config.tenantNumbers[directive.Tenant]; !ok {
-		if directive.tenant = balance.AllTenants; len(l.config.tenantNumbers) > 0 || directive.Tenant != l.config.Application || directive.Tenant == "" {
+	tenant, ok := l.config.tenantNumbers[directive.Tenant]
+	if !ok {
+		tenant = balance.AllTenants
+		if len(l.config.tenantNumbers) > 0 || directive.Tenant != l.config.Application || directive.Tenant == "" {
 			return false
 		}
 	}
+	directive.tenant = tenant
 	directive.excluded = make(map[balance.ServerID]bool, len(directive.Servers))
 	for _, uid := range directive.Servers {
 		directive.excluded[l.config.serverID(uid)] = true
@@ -159,67 +176,56 @@
 	return true
 }
 
-// serverID is the number of a server; it follows from its uid alone, so what is placed needs no list.
-func (cfg *Config) serverID(uid string) balance.ServerID { return cfg.toServer(&endpoint{UID: uid}).ID }
-
-// recordRequest and ended count for the next report, where there are any.
-func (f *activePlacement) recordRequest(nowMS float64, request *balance.Request) {
-	if f != nil {
-		f.recorder.recordRequest(nowMS, request)
+// exclusion is an exclusion as the balancer gets it.
+func (l *eventLoop) exclusion(directive *activeDirective, number int) balance.Exclusion {
+	exclusion := balance.Exclusion{
+		ID:           number,
+		Tenant:       directive.tenant,
+		MinAvailable: directive.MinAvailable,
+		ExpiresAt:    directive.endsAtMS,
 	}
-}
-
-func (f *activePlacement) recordOutcome(nowMS float64, attempt *attempt, result balance.Result) {
-	if f != nil {
-		f.recorder.recordOutcome(nowMS, attempt, result, f.cohortByServer[attempt.upstream.id])
+	for _, uid := range directive.Servers {
+		exclusion.Servers = append(exclusion.Servers, l.config.serverID(uid))
 	}
+	return exclusion
 }
 
-// buildReport says what is in force here and what became of the requests since the last report.
-func (l *eventLoop) buildReport(nowMS float64) *placement.LoadReport {
-	active := l.placement
-	report := &placement.LoadReport{
-		Sidecar: l.config.Name, Version: l.version, PlacementRevision: active.revision, PlacementEpoch: active.epoch, EndpointRevision: uint64(max(l.discovery.revision.Load(), 0)),
-		ExcludedInFlight: map[string]int{},
+// hotKey is a hot key as the balancer gets it.
+func (l *eventLoop) hotKey(directive *activeDirective) (balance.HotKey, error) {
+	key, err := strconv.ParseUint(directive.KeyHash, 16, 64)
+	if err != nil {
+		return balance.HotKey{}, err
 	}
-	for name, i := range l.config.zoneNumbers {
-		if i == l.config.settings.Zone {
-			report.Zone = name
-		}
+	hotKey := balance.HotKey{Key: key, ExpiresAt: directive.endsAtMS}
+	for _, replica := range directive.Copies {
+		hotKey.Replicas = append(hotKey.Replicas, balance.Replica{
+			Server:       l.config.serverID(replica.ServerUID),
+			LoadFraction: replica.LoadFraction,
+		})
 	}
-	for _, directive := range active.directives {
-		switch {
-		case directive.excluded != nil:
-			report.ExcludedInFlight[directive.ID] = l.countInFlightAt(&directive)
-		case directive.Kind == placement.KindExclude: // of no tenant here: in force all the same, which who waits for it has to know
-			report.ExcludedInFlight[directive.ID] = 0
+	return hotKey, nil
+}
+
+// recordCohort notes whose servers belong to a cohort. A server of several cohorts belongs to the first by ID.
+func (l *eventLoop) recordCohort(directive *activeDirective) {
+	cohorts := l.placement.active.cohortByServer
+	for _, uid := range directive.Servers {
+		if id := l.config.serverID(uid); cohorts[id] == "" {
+			cohorts[id] = directive.Cohort
 		}
 	}
-	if len(report.ExcludedInFlight) > placement.MaxExclusions { // too many to be told: none told means none open
-		maps.DeleteFunc(report.ExcludedInFlight, func(_ string, number int) bool { return number == 0 })
-	}
-	suspended := l.balancer.SuspendedExclusions()
-	for _, directive := range active.directives {
-		if number, ok := active.numberByID[directive.ID]; ok && slices.Contains(suspended, number) && len(report.SuspendedDirectives) < placement.MaxExclusions {
-			report.SuspendedDirectives = append(report.SuspendedDirectives, directive.ID)
-		}
+}
+
+// recordRequest counts a request for the next report. Without a placement there are no reports.
+func (p *activePlacement) recordRequest(nowMS float64, request *balance.Request) {
+	if p != nil {
+		p.recorder.recordRequest(nowMS, request)
 	}
-	active.recorder.flushInto(report, nowMS)
-	return report
 }
 
-// countInFlightAt counts the attempts that are out at the servers that an entry keeps off, of its tenant.
-func (l *eventLoop) countInFlightAt(directive *activeDirective) int {
-	count := 0
-	for _, call := range l.calls {
-		if directive.tenant != balance.AllTenants && directive.tenant != call.request.Tenant {
-			continue
-		}
-		for _, attempt := range call.attempts {
-			if !attempt.completed && directive.excluded[attempt.upstream.id] {
-				count++
-			}
-		}
+// recordOutcome counts the outcome of an attempt for the next report.
+func (p *activePlacement) recordOutcome(nowMS float64, attempt *attempt, result balance.Result) {
+	if p != nil {
+		p.recorder.recordOutcome(nowMS, attempt, result, p.cohortByServer[attempt.upstream.id])
 	}
-	return count
 }
--- a/internal/sidecar/attempt_outcome_test.go
+++ b/internal/sidecar/attempt_outcome_test.go
@@ -234,8 +234,8 @@
 // assertReleased checks that nothing is left of a request.
 func (loop *steppedLoop) assertReleased(call *call) {
 	loop.t.Helper()
-	if len(call.response) != 0 || len(loop.calls) != 0 || !call.answered.Load() {
-		loop.t.Errorf("%d further answers, %d requests open, answered %v", len(call.response), len(loop.calls), call.answered.Load())
+	if len(call.response) != 0 || len(loop.calls.byID) != 0 || !call.answered.Load() {
+		loop.t.Errorf("%d further answers, %d requests open, answered %v", len(call.response), len(loop.calls.byID), call.answered.Load())
 	}
 }
 
@@ -265,7 +265,7 @@
 			loop.handleEvent(loop.clock.unixMS(call.deadline)+1, event)
 		},
 		"overdue first": func(loop *steppedLoop, call *call, event attemptCompleted) {
-			front := &frontend{post: func(posted any) { loop.handleEvent(loop.nowMS(), posted) }}
+			front := &frontend{post: func(posted loopEvent) { loop.handleEvent(loop.nowMS(), posted) }}
 			if resp, claimed := front.concludeCall(call); !claimed || resp.status != statusTimedOut {
 				loop.t.Errorf("%+v, owed %v", resp, claimed)
 			}
@@ -273,7 +273,7 @@
 		},
 		"answer before overdue": func(loop *steppedLoop, call *call, event attemptCompleted) {
 			loop.handleEvent(loop.nowMS(), event)
-			front := &frontend{post: func(any) { loop.t.Error("the loop hears of a second end") }}
+			front := &frontend{post: func(loopEvent) { loop.t.Error("the loop hears of a second end") }}
 			resp, claimed := front.concludeCall(call)
 			if claimed || resp.status != 200 {
 				loop.t.Errorf("%+v, owed %v", resp, claimed)
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -10,51 +10,50 @@
 	"time"
 )
 
-// connPhase is what a client's connection is doing.
+// connPhase is what a client connection is doing, ordered by which is evicted first.
 type connPhase uint8
 
-// In the order in which connections make room for others: the first on which nothing more is owed.
 const (
-	phaseClosing connPhase = iota // its last answer is written, and it closes
-	phaseNew                      // has asked for nothing yet
+	phaseClosing connPhase = iota // its last response is written
+	phaseNew                      // has not carried a request yet
 	phaseIdle                     // between requests
-	phaseActive                   // a head is read whole; never closed to make room
+	phaseActive                   // has a request; never evicted
 )
 
-// partialRequestGrace is how long the first bytes of a request may wait for its others, on a machine that is busy. Meanwhile
-// their connection makes no room, and neither do others that the application uses.
+// partialRequestGrace is how long the rest of a request may take after its first bytes, on a busy machine. Until then its
+// connection is not evicted, and neither are idle ones that have carried requests.
 const partialRequestGrace = 50 * time.Millisecond
 
-// maxPipelined is what is kept of bytes that come behind an open request: a further one without a body.
+// maxPipelined is how many bytes are read ahead behind an active request: one more request without a body.
 const maxPipelined = maxRequestHeader
 
-// lingerTimeout is how long a connection stays after its last answer while its client has not closed it: closed over
-// bytes that are unread it would be reset, and the answer may go with that. A process that ends has as long.
+// lingerTimeout is how long a connection stays open after its last response for the client to close it. If it were closed
+// over unread bytes, it would be reset, and the client could lose the response.
 const lingerTimeout = shutdownMargin / 2
 
-// errPipelineTooLong ends a client that sends on and on behind an open request.
-var errPipelineTooLong = errors.New("too much is sent behind a request that is open")
+// errPipelineTooLong ends the connection of a client that sends more than maxPipelined behind an active request.
+var errPipelineTooLong = errors.New("too many bytes behind an active request")
 
-// clientConn is a connection of the application, or of who else comes. Reading from it and closing it exclude each
-// other under the table's lock: what is read has its answer, and what is closed to make room has nothing read.
+// clientConn is a connection of a client. Reading from it and evicting it exclude each other under the lock of the
+// listener: a request that is read gets its response, and from a connection that is evicted nothing is read.
 type clientConn struct {
 	*net.TCPConn
 	rawConn  syscall.RawConn
 	listener *clientListener
 
-	// All below is guarded by the table's lock.
+	// The lock of the listener guards the fields below.
 	phase      connPhase
-	phaseSince time.Time // in this phase, or since its next request began
-	// parked: the server has used up all it has read and waits for more. What it reads in one piece and not parked
-	// yet may be a request.
+	phaseSince time.Time // when the phase began, or the first byte of the next request arrived
+	// readerWaiting: the server has processed all it has read and waits for more. While it is false, what was read last
+	// may be a request.
 	readerWaiting  bool
-	requestStarted bool   // some of its next request is read
-	pipelined      []byte // read behind the open request
-	readErr        error  // nothing more comes: the client has ended its side
-	readClosed     bool   // this side has ended it: nothing is read any more
+	requestStarted bool   // a part of the next request is read
+	pipelined      []byte // read behind the active request
+	readErr        error  // set when the client has closed its side: nothing more arrives
+	readClosed     bool   // set when this side closes: nothing more is read
 }
 
-// Read is for net/http alone, which reads at one place at a time.
+// Read implements net.Conn for net/http, which reads on one goroutine at a time.
 func (c *clientConn) Read(p []byte) (int, error) {
 	var n int
 	var err error
@@ -65,8 +64,9 @@
 	}
 	waitErr := c.rawConn.Read(readReady)
 	if errors.Is(waitErr, os.ErrDeadlineExceeded) && c.betweenRequests() {
-		// A request may have come in the last moment, before this goroutine had its turn.
-		c.rawConn.Control(func(fd uintptr) {
+		// A request may have arrived at the last moment, before this goroutine was scheduled. If Control fails, the
+		// deadline error stands.
+		_ = c.rawConn.Control(func(fd uintptr) {
 			if readReady(fd) {
 				waitErr = nil
 			}
@@ -75,13 +75,13 @@
 	if waitErr != nil {
 		err = waitErr
 	}
-	if err != nil && err != io.EOF {
-		err = &net.OpError{Op: "read", Net: "tcp", Err: err} // as net/http knows it
+	if err != nil && err != io.EOF { //nolint:errorlint // io.Reader asks for a bare io.EOF
+		err = &net.OpError{Op: "read", Net: "tcp", Err: err} // the type that net/http expects
 	}
 	return n, err
 }
 
-// readAvailable reads what is there; wait: nothing is.
+// readAvailable reads without blocking; wouldBlock reports that nothing is there.
 func (c *clientConn) readAvailable(fd int, p []byte) (n int, wouldBlock bool, err error) {
 	listener := c.listener
 	listener.mu.Lock()
@@ -92,7 +92,8 @@
 	if c.readErr != nil {
 		return 0, false, c.readErr
 	}
-	// net/http reads one byte where it only watches for the client's end, and stops at the first that it gets.
+	// While a request is active net/http reads a single byte, to notice that the client disconnects, and stops reading
+	// when it gets one.
 	if c.phase == phaseActive && len(p) == 1 {
 		return c.readPipelined(fd)
 	}
@@ -111,15 +112,16 @@
 	return n, false, err
 }
 
-// readPipelined reads behind an open request up to the client's end, of which nobody would hear else; the caller holds the
-// lock.
+// readPipelined reads ahead behind an active request until the client disconnects, which would go unnoticed otherwise.
+// The caller holds the lock.
 func (c *clientConn) readPipelined(fd int) (n int, wouldBlock bool, err error) {
 	for {
 		n, err := readNonblocking(fd, c.listener.readBuffer[:])
 		if err == syscall.EAGAIN {
 			return 0, true, nil
 		}
-		if c.readErr = err; err == nil && len(c.pipelined)+n > maxPipelined {
+		c.readErr = err
+		if err == nil && len(c.pipelined)+n > maxPipelined {
 			c.readErr, c.pipelined = errPipelineTooLong, nil
 		}
 		if c.readErr != nil {
@@ -129,7 +131,8 @@
 	}
 }
 
-// readNonblocking reads without waiting; at the end of what a client sends the error is io.EOF.
+// readNonblocking reads once. The error is io.EOF when the client has closed its side, syscall.EAGAIN when nothing is
+// there.
 func readNonblocking(fd int, p []byte) (int, error) {
 	for {
 		n, err := syscall.Read(fd, p)
@@ -145,11 +148,13 @@
 	}
 }
 
-// Close ends the connection. Sending ends first, so that a client has its last answer whatever it has sent meanwhile;
-// that is not read any more. net/http calls it where the connection's reader ends.
+// Close implements net.Conn. It closes the sending side first and lingers, so that the client gets its last response
+// whatever it has sent meanwhile, which is discarded. net/http calls it on the goroutine that reads.
 func (c *clientConn) Close() error {
-	if lingerDeadline, lingers := c.listener.beginClose(c); lingers && c.TCPConn.CloseWrite() == nil && c.SetReadDeadline(lingerDeadline) == nil {
-		c.rawConn.Read(func(uintptr) bool { // up to the client's end, or until then
+	lingerDeadline, lingers := c.listener.beginClose(c)
+	if lingers && c.TCPConn.CloseWrite() == nil && c.SetReadDeadline(lingerDeadline) == nil {
+		// Returns when the client closes its side, or at the deadline; either way the connection is closed next.
+		_ = c.rawConn.Read(func(uintptr) bool {
 			err := peekRead(c.rawConn)
 			return err != nil && err != syscall.EAGAIN
 		})
@@ -157,26 +162,31 @@
 	return c.TCPConn.Close()
 }
 
-// CloseWrite is called by net/http behind a last answer, half a second before it closes.
+// CloseWrite is called by net/http after the last response, half a second before Close.
 func (c *clientConn) CloseWrite() error {
 	c.listener.setPhase(c, phaseClosing)
 	return c.TCPConn.CloseWrite()
 }
 
-// betweenRequests tells that no request is open.
+// closeRead marks the connection as closing; nothing more is read from it. The caller holds the lock.
+func (c *clientConn) closeRead(now time.Time) {
+	c.readClosed, c.phase, c.phaseSince = true, phaseClosing, now
+}
+
+// betweenRequests reports whether no request is active.
 func (c *clientConn) betweenRequests() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	return c.phase != phaseActive
 }
 
-// evictable tells that nothing is read of a request, or half of one that has had its time; the caller holds the lock.
-// Whether the socket has something is another question.
+// evictable reports whether nothing of a request is read, or a part of one whose grace is over. The caller holds the
+// lock, and checks in addition whether the socket holds unread bytes.
 func (c *clientConn) evictable(now time.Time) bool {
 	return c.phase != phaseActive && c.readerWaiting && (!c.requestStarted || now.Sub(c.phaseSince) >= partialRequestGrace)
 }
 
-// disconnectErr tells whether the client has ended its side, and with what.
+// disconnectErr returns the error with which the client has closed its side, nil if it is connected.
 func (c *clientConn) disconnectErr() error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -189,16 +199,16 @@
 	return nil
 }
 
-// openAndEmpty tells that a connection is open with nothing to read.
+// openAndEmpty reports whether a connection is open and holds no unread bytes.
 func openAndEmpty(conn net.Conn) bool {
 	rawConn, err := conn.(*net.TCPConn).SyscallConn()
 	return err == nil && peekRead(rawConn) == syscall.EAGAIN
 }
 
-// peekRead tells what the next read would, nil for bytes, and takes nothing.
+// peekRead returns the error that the next read would return, nil if there are bytes. It consumes nothing.
 func peekRead(rawConn syscall.RawConn) error {
 	var err error
-	// Control, not Read: that would wait for the reader that every client's connection has.
+	// Control, as Read would wait for the goroutine that reads the connection.
 	controlErr := rawConn.Control(func(fd uintptr) {
 		var buffer [1]byte
 		var n int
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -82,7 +82,7 @@
 }
 
 // newTestFrontend is a frontend over a loop that the test plays.
-func newTestFrontend(t *testing.T, maxConns, maxPersistent int, post func(any)) *frontend {
+func newTestFrontend(t *testing.T, maxConns, maxPersistent int, post func(loopEvent)) *frontend {
 	t.Helper()
 	config, err := newConfigDocument("127.0.0.1:1").load(t)
 	if err != nil {
@@ -142,7 +142,7 @@
 // A request that net/http has read in the very moment in which connections are closed is answered: the drain comes
 // between the read and the handler.
 func TestRequestReadDuringCloseIsAnswered(t *testing.T) {
-	front := newTestFrontend(t, 10, 10, func(event any) {
+	front := newTestFrontend(t, 10, 10, func(event loopEvent) {
 		if arrived, ok := event.(requestArrived); ok && arrived.call.markAnswered() {
 			arrived.call.response <- response{status: 200}
 		}
@@ -327,7 +327,7 @@
 // A client that leaves between its last answer and a request that net/http has in hand already is not asked for.
 func TestBufferedRequestOfDisconnectedClient(t *testing.T) {
 	arrived := make(chan struct{}, 10)
-	front := newTestFrontend(t, 10, 10, func(event any) {
+	front := newTestFrontend(t, 10, 10, func(event loopEvent) {
 		if arrival, ok := event.(requestArrived); ok && arrival.call.markAnswered() {
 			arrived <- struct{}{}
 			arrival.call.response <- response{status: 200}
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -10,40 +10,45 @@
 	"time"
 )
 
-// capacityPollInterval is how soon room is sought again where something was about to be read.
+// capacityPollInterval is how soon Accept looks again for a connection to evict, and drain for one to close.
 const capacityPollInterval = 5 * time.Millisecond
 
-// clientListener is the listener and the table of the connections it took. Where a plain listener with a limit
-// stops accepting, so that those who connect and say nothing shut all others out, this one closes the
-// connection on which nothing has happened for longest.
+// clientListener accepts client connections and holds the table of those that are open. A plain listener with a limit
+// stops accepting when it is full, so that silent clients shut all others out; this one evicts the connection that is
+// idle for longest.
 type clientListener struct {
 	*net.TCPListener
 	maxConns      int
-	maxPersistent int           // of those on which requests came; beyond it the longest idle end
-	capacityFreed chan struct{} // a connection ended, or may now make room
+	maxPersistent int           // of connections that have carried a request; beyond it the longest idle one is evicted
+	capacityFreed chan struct{} // signals that a connection has ended, or may now be evicted
 	closed        chan struct{}
 	closeOnce     sync.Once
 
 	lingerTimeout time.Duration
 
 	mu            sync.Mutex
-	drainDeadline time.Time // no connection lingers any longer; zero: no drain yet
+	drainDeadline time.Time // no connection lingers longer; zero: no drain yet
 	conns         map[*clientConn]struct{}
-	readBuffer    [4 << 10]byte // for one read
+	readBuffer    [4 << 10]byte // for one read under the lock
 }
 
 func newClientListener(listener net.Listener, maxConns, maxPersistent int) *clientListener {
 	return &clientListener{
-		TCPListener: listener.(*net.TCPListener), maxConns: maxConns, maxPersistent: maxPersistent,
-		capacityFreed: make(chan struct{}, 1), closed: make(chan struct{}), conns: map[*clientConn]struct{}{}, lingerTimeout: lingerTimeout,
+		TCPListener:   listener.(*net.TCPListener),
+		maxConns:      maxConns,
+		maxPersistent: maxPersistent,
+		capacityFreed: make(chan struct{}, 1),
+		closed:        make(chan struct{}),
+		lingerTimeout: lingerTimeout,
+		conns:         map[*clientConn]struct{}{},
 	}
 }
 
-// Accept takes the next connection and makes room for it.
-func (t *clientListener) Accept() (net.Conn, error) {
-	tcpConn, err := t.AcceptTCP()
+// Accept implements net.Listener. It waits until the table has capacity for the connection, evicting another if it can.
+func (l *clientListener) Accept() (net.Conn, error) {
+	tcpConn, err := l.AcceptTCP()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return nil, net.ErrClosed // stopAccepting: net/http would try again
+		return nil, net.ErrClosed // of stopAccepting; net/http would retry after a timeout
 	}
 	if err != nil {
 		return nil, err
@@ -52,12 +57,12 @@
 	if err != nil {
 		return nil, err
 	}
-	conn := &clientConn{TCPConn: tcpConn, rawConn: rawConn, listener: t, phase: phaseNew}
-	for !t.register(conn) {
+	conn := &clientConn{TCPConn: tcpConn, rawConn: rawConn, listener: l, phase: phaseNew}
+	for !l.register(conn) {
 		select {
-		case <-t.capacityFreed:
+		case <-l.capacityFreed:
 		case <-time.After(capacityPollInterval):
-		case <-t.closed:
+		case <-l.closed:
 			tcpConn.Close()
 			return nil, net.ErrClosed
 		}
@@ -65,70 +70,77 @@
 	return conn, nil
 }
 
-// Close ends accepting, also where it waits for room.
-func (t *clientListener) Close() error {
+// Close implements net.Listener. It also ends an Accept that waits for capacity.
+func (l *clientListener) Close() error {
 	var err error
-	t.closeOnce.Do(func() {
-		close(t.closed)
-		err = t.TCPListener.Close()
+	l.closeOnce.Do(func() {
+		close(l.closed)
+		err = l.TCPListener.Close()
 	})
 	return err
 }
 
-func (t *clientListener) register(conn *clientConn) bool {
-	t.mu.Lock()
+// register enters a connection into the table and reports whether there was capacity.
+func (l *clientListener) register(conn *clientConn) bool {
+	l.mu.Lock()
 	var evicted *clientConn
-	admitted := len(t.conns) < t.maxConns
+	admitted := len(l.conns) < l.maxConns
 	if !admitted {
-		evicted = t.evictOne()
+		evicted = l.evictOne()
 		admitted = evicted != nil
 	}
 	if admitted {
 		conn.phaseSince = time.Now()
-		t.conns[conn] = struct{}{}
+		l.conns[conn] = struct{}{}
 	}
-	t.mu.Unlock()
+	l.mu.Unlock()
 	if evicted != nil {
 		evicted.TCPConn.Close()
 	}
 	return admitted
 }
 
-// evictOne takes out one connection, if there is any on which no request waits. The caller holds the lock, and
-// closes it without: that waits for a reader, which may wait for the lock.
-func (t *clientListener) evictOne() *clientConn {
+// evictOne removes a connection without a request from the table, nil if there is none. The caller holds the lock and
+// closes the connection after it has released the lock: closing waits for a reader, which may wait for the lock.
+func (l *clientListener) evictOne() *clientConn {
 	now := time.Now()
 	for {
-		var candidate *clientConn
-		requestExpected := false
-		for conn := range t.conns {
-			if conn.phase != phaseClosing && !conn.evictable(now) {
-				requestExpected = requestExpected || conn.phase == phaseNew // its first request may have come, or a part of it
-				continue
-			}
-			if candidate == nil || conn.phase < candidate.phase || conn.phase == candidate.phase && conn.phaseSince.Before(candidate.phaseSince) {
-				candidate = conn
-			}
-		}
-		if candidate == nil || requestExpected && candidate.phase == phaseIdle {
+		candidate, firstRequestExpected := l.evictionCandidate(now)
+		if candidate == nil || firstRequestExpected && candidate.phase == phaseIdle {
 			return nil
 		}
 		if candidate.phase == phaseClosing || openAndEmpty(candidate.TCPConn) {
-			t.remove(candidate)
+			l.remove(candidate)
 			return candidate
 		}
-		candidate.readerWaiting = false // what has come is about to be read
+		candidate.readerWaiting = false // bytes have arrived, and its reader is about to get them
+	}
+}
+
+// evictionCandidate returns the evictable connection of the earliest phase that is in it for longest. It also reports
+// whether a new connection may have its first request, or a part of it, unread. The caller holds the lock.
+func (l *clientListener) evictionCandidate(now time.Time) (candidate *clientConn, firstRequestExpected bool) {
+	for conn := range l.conns {
+		if conn.phase != phaseClosing && !conn.evictable(now) {
+			firstRequestExpected = firstRequestExpected || conn.phase == phaseNew
+			continue
+		}
+		if candidate == nil || conn.phase < candidate.phase || conn.phase == candidate.phase && conn.phaseSince.Before(candidate.phaseSince) {
+			candidate = conn
+		}
 	}
+	return candidate, firstRequestExpected
 }
 
-// evictExcessPersistent takes out the longest idle connection beyond those to keep; the caller holds the lock, and closes it
-// without. The application may hold no more than a third of the descriptors for its requests. Filled with
-// connections that were used once and kept, none is left for the next request, long before this end has too many.
-func (t *clientListener) evictExcessPersistent() *clientConn {
+// evictExcessPersistent removes the longest idle connection if more than maxPersistent have carried a request, nil if
+// not. The caller holds the lock and closes the connection after it has released the lock. The application may use a
+// third of the descriptors for its requests: if it fills them with connections that it used once, it has none left for
+// its next request long before this side reaches its own limit.
+func (l *clientListener) evictExcessPersistent() *clientConn {
 	persistent := 0
 	var longestIdle *clientConn
 	now := time.Now()
-	for conn := range t.conns {
+	for conn := range l.conns {
 		if conn.phase >= phaseIdle {
 			persistent++
 		}
@@ -136,74 +148,76 @@
 			longestIdle = conn
 		}
 	}
-	if persistent <= t.maxPersistent || longestIdle == nil || !openAndEmpty(longestIdle.TCPConn) {
+	if persistent <= l.maxPersistent || longestIdle == nil || !openAndEmpty(longestIdle.TCPConn) {
 		return nil
 	}
-	t.remove(longestIdle)
+	l.remove(longestIdle)
 	return longestIdle
 }
 
-// remove takes a connection out, of which nothing is read any more; the caller holds the lock.
-func (t *clientListener) remove(conn *clientConn) {
-	delete(t.conns, conn)
+// remove takes a connection out of the table; nothing more is read from it. The caller holds the lock.
+func (l *clientListener) remove(conn *clientConn) {
+	delete(l.conns, conn)
 	conn.readClosed = true
 }
 
-// beginClose marks a connection that ends and tells how long it may linger for its client's sake.
-func (t *clientListener) beginClose(conn *clientConn) (until time.Time, lingers bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// beginClose marks a connection as closing. It returns whether the connection lingers, so that its client gets the last
+// response, and until when.
+func (l *clientListener) beginClose(conn *clientConn) (until time.Time, lingers bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
-	until = now.Add(t.lingerTimeout)
-	if !t.drainDeadline.IsZero() && t.drainDeadline.Before(until) {
-		until = t.drainDeadline
+	until = now.Add(l.lingerTimeout)
+	if !l.drainDeadline.IsZero() && l.drainDeadline.Before(until) {
+		until = l.drainDeadline
 	}
-	conn.readClosed, conn.phase, conn.phaseSince = true, phaseClosing, now
-	t.signalCapacity()
-	return until, (conn.readErr == nil || conn.readErr == errPipelineTooLong) && now.Before(until)
+	conn.closeRead(now)
+	l.signalCapacity()
+	clientMayRead := conn.readErr == nil || errors.Is(conn.readErr, errPipelineTooLong)
+	return until, clientMayRead && now.Before(until)
 }
 
-// shutdownIdle ends all connections on which nothing is owed, at a drain. Their readers close them. On a new one a
-// request may be on its way.
-func (t *clientListener) shutdownIdle() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// shutdownIdle ends all connections without a request, during a drain. Their readers close them. A new connection is
+// left alone for a moment, as its first request may be on its way.
+func (l *clientListener) shutdownIdle() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
-	for conn := range t.conns {
-		requestExpected := conn.phase == phaseNew && now.Sub(conn.phaseSince) < partialRequestGrace
-		if conn.phase == phaseClosing || requestExpected || !conn.evictable(now) || !openAndEmpty(conn.TCPConn) {
+	for conn := range l.conns {
+		firstRequestExpected := conn.phase == phaseNew && now.Sub(conn.phaseSince) < partialRequestGrace
+		if conn.phase == phaseClosing || firstRequestExpected || !conn.evictable(now) || !openAndEmpty(conn.TCPConn) {
 			continue
 		}
-		conn.readClosed, conn.phase, conn.phaseSince = true, phaseClosing, now
-		conn.TCPConn.CloseWrite()
-		conn.SetReadDeadline(now) // wakes its reader
+		conn.closeRead(now)
+		_ = conn.TCPConn.CloseWrite() // fails only if the connection is broken, which its reader sees
+		_ = conn.SetReadDeadline(now) // wakes its reader
 	}
 }
 
-// drain ends connections as soon as nothing is owed on them. It tells whether all have ended by then.
-func (t *clientListener) drain(deadline time.Time) bool {
-	t.mu.Lock()
-	t.drainDeadline = deadline
-	t.mu.Unlock()
-	for ; t.openCount() > 0; time.Sleep(capacityPollInterval) {
+// drain ends each connection as soon as it has no request, and reports whether all have ended by the deadline.
+func (l *clientListener) drain(deadline time.Time) bool {
+	l.mu.Lock()
+	l.drainDeadline = deadline
+	l.mu.Unlock()
+	for ; l.openCount() > 0; time.Sleep(capacityPollInterval) {
 		if time.Now().After(deadline) {
 			return false
 		}
-		t.shutdownIdle()
+		l.shutdownIdle()
 	}
 	return true
 }
 
-// stopAccepting takes what waits to be accepted and ends accepting.
-func (t *clientListener) stopAccepting() error {
-	return t.SetDeadline(time.Now().Add(capacityPollInterval))
+// stopAccepting lets Accept take the connections that are queued and then end.
+func (l *clientListener) stopAccepting() error {
+	return l.SetDeadline(time.Now().Add(capacityPollInterval))
 }
 
-// anyPersistent tells whether there is a connection on which requests came and more may come.
-func (t *clientListener) anyPersistent() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for conn := range t.conns {
+// anyPersistent reports whether a connection that has carried a request may carry another.
+func (l *clientListener) anyPersistent() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for conn := range l.conns {
 		if conn.phase >= phaseIdle {
 			return true
 		}
@@ -211,57 +225,59 @@
 	return false
 }
 
-// setPhase marks the phase of a connection.
-func (t *clientListener) setPhase(conn *clientConn, newPhase connPhase) {
-	t.mu.Lock()
-	conn.phase, conn.phaseSince = newPhase, time.Now()
+// setPhase changes the phase of a connection.
+func (l *clientListener) setPhase(conn *clientConn, phase connPhase) {
+	l.mu.Lock()
+	conn.phase, conn.phaseSince = phase, time.Now()
 	conn.readerWaiting, conn.requestStarted = false, len(conn.pipelined) > 0
-	if newPhase != phaseActive {
-		t.signalCapacity()
+	if phase != phaseActive {
+		l.signalCapacity()
 	}
-	evicted := t.evictExcessPersistent()
-	t.mu.Unlock()
+	evicted := l.evictExcessPersistent()
+	l.mu.Unlock()
 	if evicted != nil {
 		evicted.TCPConn.Close()
 	}
 }
 
-func (t *clientListener) signalCapacity() {
+func (l *clientListener) signalCapacity() {
 	select {
-	case t.capacityFreed <- struct{}{}:
+	case l.capacityFreed <- struct{}{}:
 	default:
 	}
 }
 
-// onConnState follows what the HTTP server tells of a connection. It is active from before its handler is called.
-func (t *clientListener) onConnState(netConn net.Conn, onConnState http.ConnState) {
+// onConnState is the ConnState hook of the HTTP server. A connection becomes active before its handler is called.
+func (l *clientListener) onConnState(netConn net.Conn, state http.ConnState) {
 	conn := netConn.(*clientConn)
-	switch onConnState {
+	switch state {
 	case http.StateActive:
-		t.setPhase(conn, phaseActive)
+		l.setPhase(conn, phaseActive)
 	case http.StateIdle:
-		t.setPhase(conn, phaseIdle)
+		l.setPhase(conn, phaseIdle)
 	case http.StateClosed, http.StateHijacked:
-		t.mu.Lock()
-		delete(t.conns, conn)
-		t.signalCapacity()
-		t.mu.Unlock()
+		l.mu.Lock()
+		delete(l.conns, conn)
+		l.signalCapacity()
+		l.mu.Unlock()
+	case http.StateNew: // Accept has entered it
 	}
 }
 
-func (t *clientListener) openCount() int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return len(t.conns)
+func (l *clientListener) openCount() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.conns)
 }
 
 type clientConnKey struct{}
 
-// withClientConn lets a handler know its connection.
+// withClientConn is the ConnContext hook of the HTTP server: it stores the connection for the handler.
 func withClientConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, clientConnKey{}, conn)
 }
 
+// clientConnOf returns the connection of a request, nil outside of the server.
 func clientConnOf(r *http.Request) *clientConn {
 	conn, _ := r.Context().Value(clientConnKey{}).(*clientConn)
 	return conn
--- /dev/null
+++ b/internal/sidecar/clock.go
@@ -0,0 +1,26 @@
+package sidecar
+
+import "time"
+
+// clock is the only clock of a sidecar. It reads Unix milliseconds once, when it is created, and advances
+// monotonically from there, so that the boot_ms of a server converts to the same value each time it is listed.
+type clock struct {
+	start       time.Time
+	startUnixMS float64
+}
+
+func newClock() clock {
+	now := time.Now()
+	return clock{start: now, startUnixMS: float64(now.UnixMicro()) / 1e3}
+}
+
+// unixMS converts a time to Unix milliseconds.
+func (c clock) unixMS(t time.Time) float64 { return c.startUnixMS + float64(t.Sub(c.start))/1e6 }
+
+// timeAt converts Unix milliseconds to a time.
+func (c clock) timeAt(unixMS float64) time.Time {
+	return c.start.Add(durationFromMS(unixMS - c.startUnixMS))
+}
+
+// durationFromMS converts milliseconds to a duration.
+func durationFromMS(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -1,62 +1,59 @@
-// Package sidecar runs the decision module of package balance on real sockets: applications in front,
-// servers behind, discovery beside. All decisions are the module's.
 package sidecar
 
 import (
 	"encoding/json"
 	"errors"
 	"fmt"
-	"log/slog"
 	"net"
+	"net/netip"
 	"os"
 	"strconv"
 	"time"
 
 	"milldeck/balance"
+	"milldeck/internal/placement"
 	"milldeck/internal/wire"
 )
 
-// Config is what a sidecar is told at its start.
+const (
+	defaultSockets = 1024 // where the configuration sets no limit
+	// minSockets leaves enough beside the reserve for clients to use a third of them.
+	minSockets = 5 * reservedDescriptors
+)
+
+// Config is the checked configuration of a sidecar. LoadConfig makes it; it must not be changed afterwards.
 type Config struct {
 	Name             string
 	ListenAddress    string // where the application connects
 	DiscoveryAddress string
-	PlacementAddress string // where the placement is told and reports are taken; "": nowhere
-	// Application is the calling application, which is the tenant of all requests where the settings name none.
+	PlacementAddress string // of the agent that serves the placement and accepts load reports; "": none
+	// Application is the calling application. It is the tenant of all requests where the settings name no tenants.
 	Application string
-	Version     string // a label for reports
-	Cores       float64
-	MemoryMB    int // 0: no limit
-	Sockets     int // descriptors in all
-
-	settings         balance.Config
-	classNumbers     map[string]int
-	tenantNumbers    map[string]int // empty: the site has none
-	zoneNumbers      map[string]int
-	kindNumbers      map[string]int
-	loadReportFields []string // of a load report's figures, in the order of balance.Config.Fields
-	connIdleTimeout  time.Duration
-	maxOpenRequests  int
-	knownEndpoints   endpointList
-	peers            *peerConfig // nil: no messages between sidecars
-}
-
-// defaultSockets holds where the configuration sets no limit.
-const defaultSockets = 1024
+	Version     string  // a label for load reports
+	Cores       float64 // processor cores; 0: no limit
+	MemoryMB    int     // 0: no limit
+	Sockets     int     // file descriptors of the process
 
-// minSockets is the least of which clients get a third beside the reserve.
-const minSockets = 5 * reservedDescriptors
+	settings balance.Config
+	// Numbers by which the balancer knows what the settings name.
+	classNumbers  map[string]int
+	tenantNumbers map[string]int // empty: the settings name no tenants
+	zoneNumbers   map[string]int
+	kindNumbers   map[string]int
 
-type namedEntry struct {
-	Name string `json:"name"`
+	loadReportFields []string // of servers' load reports, in the order of balance.Config's load report fields
+	connIdleTimeout  time.Duration
+	maxOpenRequests  int // 0: no limit
+	knownEndpoints   endpointList
+	peers            *peerConfig // nil: no gossip
 }
 
-// configFile is the configuration's JSON form.
+// configFile is the configuration file's JSON form.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	Seed      string `json:"seed"`
+	Seed      string `json:"seed"` // hexadecimal
 	placementConfigFile
 	Limits struct {
 		Cores    float64 `json:"cores"`
@@ -68,7 +65,15 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// settingsNames is what the sidecar itself reads of the settings: names of what the module counts, and its limits.
+// placementConfigFile is the part of the configuration file about the placement.
+type placementConfigFile struct {
+	Placement   string `json:"placement"`
+	Application string `json:"application"`
+	Version     string `json:"version"`
+}
+
+// settingsNames is the part of the settings that the sidecar reads itself: the names of what the balancer numbers, and
+// limits on connections and requests.
 type settingsNames struct {
 	Classes []namedEntry `json:"classes"`
 	Tenants []namedEntry `json:"tenants"`
@@ -83,8 +88,12 @@
 	} `json:"limits"`
 }
 
-// LoadConfig reads the configuration file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN and
-// NODE_DISCOVERY, where set, win over the file.
+type namedEntry struct {
+	Name string `json:"name"`
+}
+
+// LoadConfig reads the configuration file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN and NODE_DISCOVERY override the
+// file where they are set. Errors name the file and the key.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -112,8 +121,8 @@
 	return config, nil
 }
 
-// ReloadConfig reads the file again while the sidecar runs. The environment is as old as the process, so for
-// discovery the file's address holds.
+// ReloadConfig is LoadConfig while the sidecar runs. NODE_DISCOVERY is ignored, as the environment is as old as the
+// process.
 func ReloadConfig(getenv func(string) string) (*Config, error) {
 	return LoadConfig(func(name string) string {
 		if name == "NODE_DISCOVERY" {
@@ -123,49 +132,46 @@
 	})
 }
 
+// resolve checks the file and converts it to a Config.
 func (f *configFile) resolve() (*Config, error) {
-	for name, address := range map[string]string{"listen": f.Listen, "discovery": f.Discovery} {
-		if _, _, err := net.SplitHostPort(address); err != nil {
-			return nil, fmt.Errorf("%s: %w", name, err)
-		}
-	}
-	if err := f.placementConfigFile.validate(); err != nil {
+	if err := f.checkAddresses(); err != nil {
 		return nil, err
 	}
-	seed, err := strconv.ParseUint(f.Seed, 16, 64)
-	if err != nil {
-		return nil, fmt.Errorf("seed: %w", err)
-	}
-	if len(f.Settings) == 0 {
-		return nil, errors.New("no settings")
-	}
-	settings, err := wire.ParseSettings(seed, f.Settings)
+	settings, names, err := f.parseSettings()
 	if err != nil {
 		return nil, err
 	}
-	var names settingsNames
-	if err := json.Unmarshal(f.Settings, &names); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
 	config := &Config{
-		Name: f.Name, ListenAddress: f.Listen, DiscoveryAddress: f.Discovery,
-		PlacementAddress: f.Placement, Application: f.Application, Version: f.Version,
-		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets,
-		settings: settings, zoneNumbers: numberByName(names.Zones), kindNumbers: numberByName(names.Kinds), loadReportFields: names.Report.Fields,
-		connIdleTimeout: durationFromMS(names.Limits.ConnIdle), maxOpenRequests: names.Limits.MaxOpen, knownEndpoints: f.Known,
+		Name:             f.Name,
+		ListenAddress:    f.Listen,
+		DiscoveryAddress: f.Discovery,
+		PlacementAddress: f.Placement,
+		Application:      f.Application,
+		Version:          f.Version,
+		Cores:            f.Limits.Cores,
+		MemoryMB:         f.Limits.MemoryMB,
+		Sockets:          f.Limits.Sockets,
+		settings:         settings,
+		zoneNumbers:      numberByName(names.Zones),
+		kindNumbers:      numberByName(names.Kinds),
+		loadReportFields: names.Report.Fields,
+		connIdleTimeout:  durationFromMS(names.Limits.ConnIdle),
+		maxOpenRequests:  names.Limits.MaxOpen,
+		knownEndpoints:   f.Known,
 	}
 	if config.Sockets == 0 {
 		config.Sockets = defaultSockets
 	}
 	if config.Sockets < minSockets || config.MemoryMB < 0 || config.Cores < 0 {
-		return nil, fmt.Errorf("limits cannot be: %+v (at least %d sockets)", f.Limits, minSockets)
+		return nil, fmt.Errorf("invalid limits: %+v (at least %d sockets)", f.Limits, minSockets)
 	}
 	if err := config.knownEndpoints.sanitize(); err != nil {
-		slog.Warn("the known list is not used", "error", err)
+		configLog.Warn("known endpoint list ignored", "error", err)
 		config.knownEndpoints = endpointList{}
 	}
-	if config.settings.AllowGossip {
-		if config.peers, err = f.peerConfigFile.resolve(f.Listen, settings.SidecarIndex, settings.SidecarCount); err != nil {
+	if settings.AllowGossip {
+		config.peers, err = f.peerConfigFile.resolve(f.Listen, settings.SidecarIndex, settings.SidecarCount)
+		if err != nil {
 			return nil, err
 		}
 	}
@@ -179,6 +185,54 @@
 	return config, nil
 }
 
+func (f *configFile) checkAddresses() error {
+	for name, address := range map[string]string{"listen": f.Listen, "discovery": f.Discovery} {
+		if _, _, err := net.SplitHostPort(address); err != nil {
+			return fmt.Errorf("%s: %w", name, err)
+		}
+	}
+	return f.placementConfigFile.validate()
+}
+
+// validate checks the address, and the length of the names that load reports carry.
+func (f *placementConfigFile) validate() error {
+	for key, name := range map[string]string{"application": f.Application, "version": f.Version} {
+		if len(name) > placement.MaxNameLength {
+			return fmt.Errorf("%s: %d bytes, at most %d", key, len(name), placement.MaxNameLength)
+		}
+	}
+	if f.Placement == "" {
+		return nil
+	}
+	addrPort, err := netip.ParseAddrPort(f.Placement)
+	if err == nil && addrPort.Port() == 0 {
+		err = errors.New("no port")
+	}
+	if err != nil {
+		return fmt.Errorf("placement: %w", err)
+	}
+	return nil
+}
+
+// parseSettings parses the settings for the balancer, and the part of them that the sidecar uses itself.
+func (f *configFile) parseSettings() (settings balance.Config, names settingsNames, err error) {
+	seed, err := strconv.ParseUint(f.Seed, 16, 64)
+	if err != nil {
+		return settings, names, fmt.Errorf("seed: %w", err)
+	}
+	if len(f.Settings) == 0 {
+		return settings, names, errors.New("no settings")
+	}
+	settings, err = wire.ParseSettings(seed, f.Settings)
+	if err != nil {
+		return settings, names, err
+	}
+	if err := json.Unmarshal(f.Settings, &names); err != nil {
+		return settings, names, fmt.Errorf("settings: %w", err)
+	}
+	return settings, names, nil
+}
+
 func numberByName(names []string) map[string]int {
 	numbers := make(map[string]int, len(names))
 	for i, name := range names {
@@ -187,16 +241,14 @@
 	return numbers
 }
 
-// numberByUniqueName also refuses names by which a request could not tell one class or tenant from another.
+// numberByUniqueName is numberByName for entries that requests name. Missing and doubled names are an error.
 func numberByUniqueName(section string, entries []namedEntry) (map[string]int, error) {
 	numbers := make(map[string]int, len(entries))
 	for i, entry := range entries {
 		if _, duplicate := numbers[entry.Name]; duplicate || entry.Name == "" {
-			return nil, fmt.Errorf("settings: %s: entry %d has no name of its own: %q", section, i, entry.Name)
+			return nil, fmt.Errorf("settings: %s: entry %d has no unique name: %q", section, i, entry.Name)
 		}
 		numbers[entry.Name] = i
 	}
 	return numbers, nil
 }
-
-func durationFromMS(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/sidecar/conn_pool.go
+++ b/internal/sidecar/conn_pool.go
@@ -17,42 +17,56 @@
 )
 
 const (
-	idleTimeoutFraction = 0.85 // of the time after which a server closes an idle connection
-	// reuseDelay is how long a connection rests before it is used again, so that what a server sends behind its
-	// answer is there to be seen first. Written to sooner, the next request would get it as its own.
+	// idleTimeoutFraction: connections are closed after this fraction of the time after which servers close them.
+	idleTimeoutFraction = 0.85
+	// reuseDelay is how long a connection is idle before it is reused. By then any bytes that a server sends after its
+	// response have arrived and are noticed; otherwise the next request would take them as its response.
 	reuseDelay = 3 * time.Millisecond
 )
 
-var errNoSocketAvailable = errors.New("no socket is free")
+// Some servers close idle connections much sooner than the settings say, and reset a request that arrives just then. The
+// request may have been executed, so it is better not to write it: each server's idle time limit falls with such a reset
+// and rises slowly with successful reuses near it.
+const (
+	staleResetWindow = 10 * time.Millisecond // after the last byte written; a later reset has other causes
+	minIdleTime      = 20 * time.Millisecond
+	idleTimeDecrease = 0.7 // of the idle time that was too long
+	idleTimeIncrease = 1.02
+)
+
+var errNoSocketAvailable = errors.New("no socket is available")
 
-// upstreamHost is one life of a server's process, as discovery told of it. A restart or another address makes
-// a new one, so that no connection or decision outlives the process that it was made for.
+// upstreamHost is one incarnation of a server's process, as discovery lists it. A restart or another address makes a new
+// one, so that no connection or decision outlives the process that it was made for.
 type upstreamHost struct {
-	id      balance.ServerID
-	address string
-	bootMS  float64 // as discovery tells it
-	zone    string
-
-	learnedIdleTimeout time.Duration   // a connection that rested longer is not used again; 0: as the settings say
-	startedAtMS        float64         // as the module was told
-	retired            atomic.Bool     // draining, gone or restarted: nothing new goes there
-	idleConns          []*upstreamConn // oldest first; under the lock of upstreams
+	id          balance.ServerID
+	address     string
+	bootMS      float64 // as discovery lists it
+	zone        string
+	startedAtMS float64 // as the balancer knows it
+
+	retired atomic.Bool // draining, removed or restarted: nothing new is sent there
+
+	// The lock of the pool guards the fields below.
+	idleConns          []*upstreamConn // longest idle first
+	learnedIdleTimeout time.Duration   // 0: as the settings say
 }
 
-// upstreamConn is a kept connection; it carries one request at a time.
+// upstreamConn is a connection to a server. It carries one request at a time.
 type upstreamConn struct {
 	net.Conn
-	reader    *bufio.Reader
-	limit     *io.LimitedReader // under in: bounds an answer, headers included
-	upstream  *upstreamHost
-	idleSince time.Time // idle since
+	reader   *bufio.Reader
+	limit    *io.LimitedReader // under reader: bounds a response, headers included
+	upstream *upstreamHost
 
-	idleTime time.Duration // before it was last used
+	idleSince time.Time
+	idleTime  time.Duration // before its present use
 }
 
-// byteBudget bounds the bytes of all bodies held at a time, in and out.
+// byteBudget bounds a number of bytes, here of all bodies in memory.
 type byteBudget struct{ remaining atomic.Int64 }
 
+// reserve takes bytes from the budget; it reports false if there are too few.
 func (b *byteBudget) reserve(size int) bool {
 	if b.remaining.Add(-int64(size)) >= 0 {
 		return true
@@ -61,16 +75,17 @@
 	return false
 }
 
+// release returns bytes to the budget.
 func (b *byteBudget) release(size int) { b.remaining.Add(int64(size)) }
 
-// connPool holds the kept connections to all servers and bounds how many there are.
+// connPool holds the idle connections to all servers and bounds how many connections are open.
 type connPool struct {
 	dialer           net.Dialer
 	maxIdleTime      time.Duration
+	reuseDelay       time.Duration
 	loadReportFields []string
 	healthCheckPath  string
 	bodyMemory       *byteBudget
-	reuseDelay       time.Duration
 
 	mu        sync.Mutex
 	withIdle  map[*upstreamHost]struct{} // those with idle connections
@@ -82,9 +97,12 @@
 	pool := &connPool{
 		dialer:           net.Dialer{Timeout: durationFromMS(config.settings.ConnectTimeout), KeepAlive: -1},
 		maxIdleTime:      time.Duration(float64(config.connIdleTimeout) * idleTimeoutFraction),
-		loadReportFields: config.loadReportFields, healthCheckPath: "/health/live",
-		bodyMemory: bodyMemory, reuseDelay: reuseDelay,
-		withIdle: map[*upstreamHost]struct{}{}, maxConns: maxConns,
+		reuseDelay:       reuseDelay,
+		loadReportFields: config.loadReportFields,
+		healthCheckPath:  "/health/live",
+		bodyMemory:       bodyMemory,
+		withIdle:         map[*upstreamHost]struct{}{},
+		maxConns:         maxConns,
 	}
 	if config.settings.LoadReports != balance.LoadReportNone {
 		pool.healthCheckPath = "/stats"
@@ -92,9 +110,9 @@
 	return pool
 }
 
-// acquire takes the newest kept connection that is still good, or dials. Dialing is bounded by the settings
-// and by the time that the request has left.
-func (p *connPool) acquire(ctx context.Context, upstream *upstreamHost, deadline time.Time) (*upstreamConn, bool, error) {
+// acquire returns the usable connection that is idle for the shortest time, or dials. The connect timeout of the settings
+// and the deadline bound dialing. reused tells whether the connection has carried a request.
+func (p *connPool) acquire(ctx context.Context, upstream *upstreamHost, deadline time.Time) (conn *upstreamConn, reused bool, err error) {
 	if upstream.retired.Load() || !time.Now().Before(deadline) {
 		return nil, false, errObsolete
 	}
@@ -103,15 +121,26 @@
 		if conn == nil {
 			break
 		}
-		// A server may have closed it while it was idle, or sent more than belonged to its last answer: a
-		// request written to it would end as a reset, or get what was made for another.
-		if conn.idleTime = time.Since(conn.idleSince); conn.idleTime < p.idleTimeLimit(upstream) && conn.reader.Buffered() == 0 && openAndEmpty(conn.Conn) {
+		conn.idleTime = time.Since(conn.idleSince)
+		if p.usable(conn) {
 			return conn, true, nil
 		}
 		p.discard(conn)
 	}
+	conn, err = p.dial(ctx, upstream, deadline)
+	return conn, false, err
+}
+
+// usable reports whether an idle connection can carry a request. The server may have closed it: the request would be
+// reset. Or the server may have sent more than its last response: the request would get that as its own.
+func (p *connPool) usable(conn *upstreamConn) bool {
+	return conn.idleTime < p.idleTimeLimit(conn.upstream) && conn.reader.Buffered() == 0 && openAndEmpty(conn.Conn)
+}
+
+// dial opens a connection, within the bound on open connections.
+func (p *connPool) dial(ctx context.Context, upstream *upstreamHost, deadline time.Time) (*upstreamConn, error) {
 	if !p.reserveConn() {
-		return nil, false, errNoSocketAvailable
+		return nil, errNoSocketAvailable
 	}
 	dialer := p.dialer
 	dialer.Deadline = deadline
@@ -119,42 +148,37 @@
 	if err != nil {
 		p.releaseConn()
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			err = errNoSocketAvailable // no descriptor is free: that says nothing of the server
+			err = errNoSocketAvailable // this machine's fault, not the server's
 		}
-		return nil, false, err
+		return nil, err
 	}
 	limit := &io.LimitedReader{R: netConn}
-	return &upstreamConn{Conn: netConn, reader: bufio.NewReader(limit), limit: limit, upstream: upstream}, false, nil
+	return &upstreamConn{Conn: netConn, reader: bufio.NewReader(limit), limit: limit, upstream: upstream}, nil
 }
 
-// Some servers end idle connections much sooner than the settings say, and a request that comes to one then
-// is reset at once. It may have run, so it is better not written: each server's limit falls with such a reset
-// and rises slowly with uses that went well near it.
-const (
-	staleResetWindow = 10 * time.Millisecond // from the last byte written; later ones have other causes
-	minIdleTime      = 20 * time.Millisecond
-	idleTimeDecrease = 0.7 // of the rest that was too long
-	idleTimeIncrease = 1.02
-)
-
+// idleTimeLimit is how long a connection to a server may be idle and still be reused.
 func (p *connPool) idleTimeLimit(upstream *upstreamHost) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return cmp.Or(upstream.learnedIdleTimeout, p.maxIdleTime)
 }
 
-func (p *connPool) learnIdleTimeLimit(upstream *upstreamHost, idleTime time.Duration, result balance.Result, resetAfter time.Duration) {
+// learnIdleTimeLimit adjusts the idle time limit of a server after the reuse of a connection: idleTime is how long that
+// was idle, elapsed the time from its last byte written to the result.
+func (p *connPool) learnIdleTimeLimit(upstream *upstreamHost, idleTime time.Duration, result balance.Result, elapsed time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	limit := cmp.Or(upstream.learnedIdleTimeout, p.maxIdleTime)
 	switch {
-	case result == balance.Reset && resetAfter < staleResetWindow && idleTime >= minIdleTime:
+	case result == balance.Reset && elapsed < staleResetWindow && idleTime >= minIdleTime:
 		upstream.learnedIdleTimeout = max(min(limit, time.Duration(idleTimeDecrease*float64(idleTime))), minIdleTime)
 	case result == balance.OK && upstream.learnedIdleTimeout > 0 && idleTime > limit/2:
 		upstream.learnedIdleTimeout = min(time.Duration(idleTimeIncrease*float64(limit)), p.maxIdleTime)
 	}
 }
 
+// popIdle removes the connection from the pool that is idle for the shortest time, but for at least reuseDelay; nil if
+// there is none.
 func (p *connPool) popIdle(upstream *upstreamHost) *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,7 +196,7 @@
 	return nil
 }
 
-// reserveConn counts one more connection in; at the bound the longest idle one makes room.
+// reserveConn counts a connection as open. At the bound it closes the longest idle one; it reports false if there is none.
 func (p *connPool) reserveConn() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -183,13 +207,14 @@
 	return true
 }
 
+// releaseConn counts a connection as closed.
 func (p *connPool) releaseConn() {
 	p.mu.Lock()
 	p.openConns--
 	p.mu.Unlock()
 }
 
-// evictOldestIdle closes the longest idle connection; the caller holds the lock.
+// evictOldestIdle closes the longest idle connection; it reports false if there is none. The caller holds the lock.
 func (p *connPool) evictOldestIdle() bool {
 	var oldest *upstreamHost
 	for upstream := range p.withIdle {
@@ -204,7 +229,7 @@
 	return true
 }
 
-// closeOldestIdle closes the n longest idle connections of a server; the caller holds the lock.
+// closeOldestIdle closes the longest idle connections to a server. The caller holds the lock.
 func (p *connPool) closeOldestIdle(upstream *upstreamHost, count int) {
 	for _, conn := range upstream.idleConns[:count] {
 		conn.Close()
@@ -216,12 +241,13 @@
 	}
 }
 
+// returnIdle puts a connection back into the pool.
 func (p *connPool) returnIdle(conn *upstreamConn) {
-	conn.SetDeadline(time.Time{})
+	_ = conn.SetDeadline(time.Time{}) // fails only if the connection is closed, which its next use notices
 	conn.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if conn.upstream.retired.Load() { // under the lock: retire has closed the idle ones
+	if conn.upstream.retired.Load() { // checked under the lock, as retire closes the idle connections under it
 		conn.Close()
 		p.openConns--
 		return
@@ -230,24 +256,26 @@
 	p.withIdle[conn.upstream] = struct{}{}
 }
 
+// discard closes a connection that is not in the pool.
 func (p *connPool) discard(conn *upstreamConn) {
 	conn.Close()
 	p.releaseConn()
 }
 
-// retire marks a server's process as over and drops its idle connections; busy ones go when they end.
+// retire ends the use of a server's process: its idle connections are closed now, the others after their exchanges.
 func (p *connPool) retire(upstream *upstreamHost) {
 	upstream.retired.Store(true)
 	p.closeIdle(upstream)
 }
 
+// closeIdle closes the idle connections to a server.
 func (p *connPool) closeIdle(upstream *upstreamHost) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeOldestIdle(upstream, len(upstream.idleConns))
 }
 
-// reap closes connections before their servers would.
+// reap closes connections that have been idle for too long, before their servers do.
 func (p *connPool) reap(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -260,6 +288,7 @@
 	}
 }
 
+// closeAll closes all idle connections.
 func (p *connPool) closeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/sidecar/discovery_failure_test.go
+++ b/internal/sidecar/discovery_failure_test.go
@@ -200,12 +200,12 @@
 				scripted := &scriptedDiscovery{scripts: test.scripts}
 				updates := make(chan endpointUpdate, 1)
 				var work sync.WaitGroup
-				client := newDiscoveryClient("127.0.0.1:1", func(event any) { updates <- event.(endpointUpdate) }, func(front func()) { work.Go(front) })
+				client := newDiscoveryClient("127.0.0.1:1", func(event loopEvent) { updates <- event.(endpointUpdate) }, func(task func()) { work.Go(task) })
 				client.client.Transport.(*http.Transport).DialContext = scripted.dial
 				client.watch(t.Context())
 				select {
 				case update := <-updates:
-					if update.kind != balance.UpdateFailed || update.unqueued == test.queued || scripted.calls != test.calls {
+					if update.kind != balance.UpdateFailed || update.discoveryUnreachable == test.queued || scripted.calls != test.calls {
 						t.Errorf("%+v after %d calls", update, scripted.calls)
 					}
 				case <-time.After(5 * time.Minute):
--- a/internal/sidecar/discovery_silence_test.go
+++ b/internal/sidecar/discovery_silence_test.go
@@ -106,12 +106,12 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		received := make(chan struct{})
 		var work sync.WaitGroup
-		client := newDiscoveryClient("127.0.0.1:1", func(event any) {
+		client := newDiscoveryClient("127.0.0.1:1", func(event loopEvent) {
 			if update := event.(endpointUpdate); update.kind != balance.UpdateFailed && update.endpoints.Revision == 9 && receivedAt.IsZero() {
 				receivedAt = time.Now()
 				close(received)
 			}
-		}, func(front func()) { work.Go(front) })
+		}, func(task func()) { work.Go(task) })
 		client.client.Transport.(*http.Transport).DialContext = scripted.dial
 		follow(client, ctx)
 		select {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -17,7 +17,7 @@
 func newRecordingClient(t *testing.T, address string) (*discoveryClient, chan endpointUpdate) {
 	updates := make(chan endpointUpdate, 16)
 	var work sync.WaitGroup
-	client := newDiscoveryClient(address, func(event any) { updates <- event.(endpointUpdate) }, func(front func()) { work.Go(front) })
+	client := newDiscoveryClient(address, func(event loopEvent) { updates <- event.(endpointUpdate) }, func(task func()) { work.Go(task) })
 	t.Cleanup(func() {
 		client.cancel()
 		work.Wait()
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -21,7 +21,7 @@
 // room for one, and each answer ends its connection.
 func TestDrainClosesIdleAndServesQueued(t *testing.T) {
 	calls := make(chan *call, 10)
-	front := newTestFrontend(t, 1, 1, func(event any) {
+	front := newTestFrontend(t, 1, 1, func(event loopEvent) {
 		if arrived, ok := event.(requestArrived); ok {
 			calls <- arrived.call
 		}
@@ -112,7 +112,7 @@
 // A request that was read when the drain came to its end is answered, though net/http holds its connection to be idle
 // still; one that rests is closed.
 func TestRequestReadDuringDrainIsAnswered(t *testing.T) {
-	front := newTestFrontend(t, 10, 10, func(event any) {
+	front := newTestFrontend(t, 10, 10, func(event loopEvent) {
 		if arrived, ok := event.(requestArrived); ok && arrived.call.markAnswered() {
 			arrived.call.response <- response{status: 200}
 		}
@@ -175,8 +175,8 @@
 		"end of the process": func(front *frontend, _ net.Conn) { close(front.drainExpired) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			posted := make(chan any, 10)
-			front := newTestFrontend(t, 10, 10, func(event any) { posted <- event })
+			posted := make(chan loopEvent, 10)
+			front := newTestFrontend(t, 10, 10, func(event loopEvent) { posted <- event })
 			httpServer := front.httpServer()
 			go httpServer.Serve(front.listener)
 			defer httpServer.Close()
@@ -207,7 +207,7 @@
 func TestDrainUnderContinuousRequests(t *testing.T) {
 	var answered sync.Map // ids that were sent on, and whether their clients have an answer
 	var sent atomic.Int64
-	front := newTestFrontend(t, 20, 20, func(event any) {
+	front := newTestFrontend(t, 20, 20, func(event loopEvent) {
 		if arrived, ok := event.(requestArrived); ok && arrived.call.markAnswered() {
 			answered.Store(arrived.call.outbound.header.Get("X-Request-ID"), false)
 			sent.Add(1)
--- /dev/null
+++ b/internal/sidecar/endpoint_updates.go
@@ -0,0 +1,85 @@
+package sidecar
+
+import (
+	"math"
+
+	"milldeck/balance"
+)
+
+// switchDiscovery follows discovery at another address from now on. It calls there at once, as PROTOCOL counts what that
+// service has to tell as known soon after. The upstreams stay as they are until its first list arrives.
+func (l *eventLoop) switchDiscovery(address string) {
+	l.discovery.switchAddress(address)
+	if l.config.settings.Subscribe {
+		l.discovery.watch(l.ctx)
+	} else {
+		l.discovery.subscribe(l.ctx)
+	}
+}
+
+// applyEndpointUpdate updates the ready upstreams before the balancer sees the list, so that an attempt under way finds at
+// its first byte what the balancer knows.
+func (l *eventLoop) applyEndpointUpdate(nowMS float64, update endpointUpdate) {
+	if update.kind == balance.UpdateFailed {
+		l.dispatch(nowMS, balance.EndpointUpdate{Kind: update.kind, DiscoveryUnreachable: update.discoveryUnreachable})
+		return
+	}
+	endpoints := update.endpoints.Endpoints
+	l.discovery.revision.Store(update.endpoints.Revision)
+	servers := make([]balance.Server, 0, len(endpoints))
+	listed := make(map[balance.ServerID]bool, len(endpoints))
+	for i := range endpoints {
+		server := l.applyEndpoint(nowMS, &endpoints[i])
+		servers = append(servers, server)
+		listed[server.ID] = true
+	}
+	if update.kind != balance.UpdateDelta {
+		l.retireUnlisted(listed)
+	}
+	l.dispatch(nowMS, balance.EndpointUpdate{Kind: update.kind, Servers: servers})
+}
+
+// applyEndpoint replaces the upstream of an endpoint if its state, address or process has changed, and returns the
+// endpoint as the balancer gets it.
+func (l *eventLoop) applyEndpoint(nowMS float64, listed *endpoint) balance.Server {
+	server := l.config.toServer(listed)
+	known := l.readyUpstreams[server.ID]
+	sameProcess := known != nil && known.bootMS == listed.BootMS
+	if sameProcess {
+		server.StartedAt = known.startedAtMS
+	} else {
+		server.StartedAt = math.Min(server.StartedAt, nowMS) // the server's clock may be ahead of this one
+	}
+	if sameProcess && server.State == balance.Ready && known.address == listed.Address {
+		return server
+	}
+	l.retireUpstream(known)
+	if server.State == balance.Ready {
+		l.readyUpstreams[server.ID] = &upstreamHost{
+			id:          server.ID,
+			address:     listed.Address,
+			bootMS:      listed.BootMS,
+			zone:        listed.Zone,
+			startedAtMS: server.StartedAt,
+		}
+	}
+	return server
+}
+
+// retireUnlisted retires the upstreams that a full list does not name.
+func (l *eventLoop) retireUnlisted(listed map[balance.ServerID]bool) {
+	for id, upstream := range l.readyUpstreams {
+		if !listed[id] {
+			l.retireUpstream(upstream)
+		}
+	}
+}
+
+// retireUpstream ends the use of a server's process: nothing new is sent to it, and its connections are closed. Nil is
+// no upstream.
+func (l *eventLoop) retireUpstream(upstream *upstreamHost) {
+	if upstream != nil {
+		delete(l.readyUpstreams, upstream.id)
+		l.pool.retire(upstream)
+	}
+}
--- a/internal/sidecar/fixtures_test.go
+++ b/internal/sidecar/fixtures_test.go
@@ -170,7 +170,7 @@
 	address, requests := newRecorder(t, endedStream+string(stream), endedStream+string(stream), endedStream+string(stream))
 	posted := make(chan endpointUpdate, 64)
 	var work sync.WaitGroup
-	client := newDiscoveryClient(address, func(event any) { posted <- event.(endpointUpdate) }, func(front func()) { work.Go(front) })
+	client := newDiscoveryClient(address, func(event loopEvent) { posted <- event.(endpointUpdate) }, func(task func()) { work.Go(task) })
 	t.Cleanup(func() { client.cancel() })
 	var got transcript
 	for _, call := range []struct {
@@ -194,7 +194,7 @@
 func describeUpdate(t *testing.T, update endpointUpdate) string {
 	t.Helper()
 	if update.kind == balance.UpdateFailed {
-		return fmt.Sprintf("failed, unqueued %v", update.unqueued)
+		return fmt.Sprintf("failed, unqueued %v", update.discoveryUnreachable)
 	}
 	data, err := json.Marshal(update.endpoints)
 	if err != nil {
@@ -211,7 +211,7 @@
 		endedStream+`{"rev":4,"epoch":6,"entries":[]}`+"\n",
 		endedStream+`{"rev":4,"all":true,"epoch":6,"entries":[]}`+"\n",
 		"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n")
-	client := newPlacementClient(address, 0, func(any) {}, placementTiming{testTimeout, testTimeout, testTimeout, nowUnixMS})
+	client := newPlacementClient(address, 0, func(loopEvent) {}, placementTiming{testTimeout, testTimeout, testTimeout, nowUnixMS})
 	var got transcript
 	for _, name := range []string{"a first watch", "a watch that goes on", "a watch for the whole"} {
 		if _, err := client.watchOnce(t.Context()); err == nil {
@@ -255,7 +255,7 @@
 
 // fixtureReport is the report of a loop with each kind of entry in force and requests that ended in each way.
 func fixtureReport(loop *eventLoop, client *placementClient, startMS float64) *placement.LoadReport {
-	loop.placement = &activePlacement{placementClient: client, recorder: newReportRecorder(loop.config, startMS), numberByID: map[string]int{}}
+	loop.placement.active = &activePlacement{placementClient: client, recorder: newReportRecorder(loop.config, startMS), numberByID: map[string]int{}}
 	list := placement.Update{Revision: 12, Epoch: 5, Directives: reportDirectives()}
 	for i := range list.Directives {
 		list.Directives[i].ExpiresAtMS, list.Directives[i].RemainingMS = 1_700_000_600_000, 600_000
@@ -278,8 +278,8 @@
 	} {
 		nowMS := startMS + 100*float64(i)
 		request := balance.Request{Class: loop.config.classNumbers[completed.class], Key: uint64(i % 3)}
-		loop.placement.recordRequest(nowMS, &request)
-		loop.placement.recordOutcome(nowMS+completed.elapsed, &attempt{
+		loop.placement.active.recordRequest(nowMS, &request)
+		loop.placement.active.recordOutcome(nowMS+completed.elapsed, &attempt{
 			call: &call{request: request}, upstream: &upstreamHost{id: loop.config.serverID(completed.server), zone: "z"}, decidedAtMS: nowMS,
 		}, completed.result)
 	}
@@ -294,7 +294,7 @@
 	actions := map[string]balance.Action{
 		"hold-off=1": {Kind: balance.Reject, At: 1250}, "hold-off=0": {Kind: balance.Reject}, "fail": {Kind: balance.Fail},
 	}
-	front := newTestFrontend(t, 10, 10, func(event any) {
+	front := newTestFrontend(t, 10, 10, func(event loopEvent) {
 		arrived, ok := event.(requestArrived)
 		if !ok {
 			return
@@ -303,15 +303,12 @@
 			arrived.call.markAnswered()
 			arrived.call.response <- response{status: 200, contentType: "text/plain", body: []byte("done")}
 		} else if action, ok := actions[query]; ok {
-			loop.lastRequestID++
-			arrived.call.request.ID, action.Request = loop.lastRequestID, loop.lastRequestID
-			loop.calls[loop.lastRequestID] = arrived.call
+			loop.calls.add(arrived.call)
+			action.Request = arrived.call.request.ID
 			loop.execute(loop.clock.unixMS(time.Now()), []balance.Action{action})
 		} else if query == "late" {
-			loop.lastRequestID++
-			arrived.call.request.ID = loop.lastRequestID
-			loop.calls[loop.lastRequestID] = arrived.call
-			loop.execute(loop.clock.unixMS(arrived.call.deadline), []balance.Action{{Kind: balance.Fail, Request: loop.lastRequestID}})
+			loop.calls.add(arrived.call)
+			loop.execute(loop.clock.unixMS(arrived.call.deadline), []balance.Action{{Kind: balance.Fail, Request: arrived.call.request.ID}})
 		}
 	})
 	loop = newEventLoop(front.config, nil, nil)
--- a/internal/sidecar/frontend.go
+++ b/internal/sidecar/frontend.go
@@ -2,21 +2,17 @@
 
 import (
 	"errors"
-	"fmt"
-	"hash/fnv"
 	"io"
 	"log/slog"
 	"net/http"
 	"strconv"
-	"strings"
+	"sync"
 	"sync/atomic"
 	"time"
-
-	"milldeck/balance"
 )
 
-// Final answers other than 200. 429 and 503 tell the client that trying again is harmless, so nothing else
-// here may answer with them.
+// Statuses of the responses that the sidecar makes itself. 429 and 503 tell the client that a retry is harmless, so only
+// rejections use them.
 const (
 	statusRejected = http.StatusServiceUnavailable
 	statusFailed   = http.StatusBadGateway
@@ -24,53 +20,50 @@
 )
 
 const (
-	apiPath   = "/api"
-	readyPath = "/health/ready"
-
-	// overdueGrace is how long past deadline and answer slack the module is waited for; sockets allow 50 ms.
+	// overdueGrace is how long after deadline and answer slack the frontend waits for the balancer; PROTOCOL allows sockets
+	// 50 ms.
 	overdueGrace = 25 * time.Millisecond
-	maxTimeout   = time.Hour // the longest X-Timeout-Ms
 	writeTimeout = 5 * time.Second
 
-	// The application is beside the sidecar: what it sends is there at once. Whoever takes longer for a head,
-	// or for a body, holds a place; both together stay under the 3 s in which bad clients are owed an end.
+	// headerTimeout and bodyTimeout together stay below the 3 s within which a bad client must be disconnected.
 	headerTimeout = 1500 * time.Millisecond
-	bodyTimeout   = 1200 * time.Millisecond
-	// idleTimeout is for clients that keep connections without use: clients hold few, and each costs memory.
+	// idleTimeout is short, as clients need few connections and each costs memory.
 	idleTimeout = 2500 * time.Millisecond
-
-	maxRequestHeader = 8 << 10
-	maxRequestID     = 128
 )
 
-// frontend is the application's side.
+// frontend serves the application: it reads requests, posts them to the event loop and writes their responses.
 type frontend struct {
-	config             *Config
-	post               func(any)
-	drainDeadline      atomic.Pointer[time.Time] // when the last answer is due, from SIGTERM on
-	closeAfterResponse atomic.Bool               // connections end with their next answer
-	drainExpired       chan struct{}             // closed when the last answer is due
-	listener           *clientListener
-	requestIDs         *recentRequestIDs
-	bodyMemory         *byteBudget
-	inFlight           atomic.Int64
-	maxInFlight        int64 // requests at a time
-
+	config     *Config
+	post       func(loopEvent)
+	listener   *clientListener
+	requestIDs *recentRequestIDs
+	bodyMemory *byteBudget
+
+	inFlight     atomic.Int64
+	maxInFlight  int64
 	writeTimeout time.Duration
+
+	drainDeadline      atomic.Pointer[time.Time] // when the last response is due; nil: not draining
+	drainExpired       chan struct{}             // closed at the drain deadline
+	closeAfterResponse atomic.Bool               // connections end with their next response
 }
 
 func (f *frontend) httpServer() *http.Server {
 	return &http.Server{
-		Handler: f, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxRequestHeader,
+		Handler:                      f,
+		ReadHeaderTimeout:            headerTimeout,
+		IdleTimeout:                  idleTimeout,
+		MaxHeaderBytes:               maxRequestHeader,
 		DisableGeneralOptionsHandler: true,
-		ConnContext:                  withClientConn, ConnState: f.listener.onConnState,
-		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
+		ConnContext:                  withClientConn,
+		ConnState:                    f.listener.onConnState,
+		ErrorLog:                     slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 }
 
-// closeConnections ends all connections with their answers, and accepting once none is left: a request that crosses an end comes
-// again on a new one. served tells that accepting has ended. net/http's own Shutdown closes what it takes to be idle
-// also where a request is read.
+// closeConnections ends all connections after their responses, and stops accepting once none is left: a client whose
+// request crosses the end of its connection sends it again on a new one. serveErr signals that the server has stopped
+// accepting. Shutdown of net/http is not used, as it also closes connections on which a request is being read.
 func (f *frontend) closeConnections(server *http.Server, serveErr <-chan error, deadline time.Time) error {
 	f.closeAfterResponse.Store(true)
 	if f.listener.drain(deadline) {
@@ -83,13 +76,13 @@
 		}
 		f.listener.drain(deadline)
 	}
-	return server.Close() // what is left cannot take its answer
+	return server.Close() // clients that do not read their response
 }
 
-// ServeHTTP answers the ready check and passes requests to the loop.
+// ServeHTTP serves the ready check and the requests of the application.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if f.closeAfterResponse.Load() {
-		w.Header().Set("Connection", "close") // this request is answered first
+		w.Header().Set("Connection", "close")
 	}
 	f.extendWriteDeadline(w)
 	if r.URL.Path == readyPath && r.Method == http.MethodGet && checkFraming(r) == nil {
@@ -101,8 +94,8 @@
 		f.rejectMalformed(w, r, err)
 		return
 	}
-	// Both bound what is open: bytes, goroutines and connections to servers. Nothing has been sent, so a
-	// refusal is true. What is not read of the request ends its connection.
+	// Both limits bound memory, goroutines and connections to servers. Nothing is sent yet, so a rejection is safe. A
+	// request that is not read completely ends its connection.
 	size := int(r.ContentLength)
 	if !f.bodyMemory.reserve(size) {
 		w.Header().Set("Connection", "close")
@@ -119,29 +112,21 @@
 		writeResponse(w, response{status: statusRejected})
 		return
 	}
-	idHash, claimed := f.requestIDs.claim(r.Header.Get("X-Request-ID"))
-	if !claimed {
-		f.rejectMalformed(w, r, malformedError{http.StatusConflict, "X-Request-ID is in use"})
+	idHash, ok := f.requestIDs.claim(r.Header.Get("X-Request-ID"))
+	if !ok {
+		f.rejectMalformed(w, r, &malformedError{http.StatusConflict, "X-Request-ID is in use"})
 		return
 	}
 	defer f.requestIDs.release(idHash)
 	f.serveCall(w, r, call)
 }
 
-// malformedError is what is wrong with a request that cannot be used. It never is 429 or 503: those invite the
-// client to send the same again.
-type malformedError struct {
-	status  int
-	message string
-}
-
-func (m malformedError) Error() string { return m.message }
-
-// rejectMalformed turns a request away and ends its connection: what follows on it may be no request at all, but a
-// part of this one.
+// rejectMalformed responds to a malformed request and ends its connection: what follows on it may be a part of the
+// request.
 func (f *frontend) rejectMalformed(w http.ResponseWriter, r *http.Request, err error) {
 	status := http.StatusBadRequest
-	if malformed, ok := err.(malformedError); ok {
+	var malformed *malformedError
+	if errors.As(err, &malformed) {
 		status = malformed.status
 	}
 	w.Header().Set("Connection", "close")
@@ -151,44 +136,24 @@
 	}
 }
 
+// serveReady responds to the ready check: 503 while draining.
 func (f *frontend) serveReady(w http.ResponseWriter) {
 	if f.drainDeadline.Load() != nil {
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
 	}
-	io.WriteString(w, "ready\n")
+	_, _ = io.WriteString(w, "ready\n") // fails only if the client has gone
 }
 
-// serveCall waits for the one answer.
+// serveCall hands a call to the event loop and writes its response.
 func (f *frontend) serveCall(w http.ResponseWriter, r *http.Request, call *call) {
-	conn := clientConnOf(r)
-	if disconnectErr := conn.disconnectErr(); disconnectErr != nil {
-		writeResponse(w, disconnectedResponse(w, disconnectErr)) // net/http had it in hand while its client left
+	// The client may have disconnected while net/http had this request buffered.
+	if err := clientConnOf(r).disconnectErr(); err != nil {
+		writeResponse(w, disconnectedResponse(w, err))
 		return
 	}
-	overdueTimer := time.NewTimer(time.Until(call.deadline) + durationFromMS(f.config.settings.AnswerGracePeriod) + overdueGrace)
-	defer overdueTimer.Stop()
-	f.post(requestArrived{call})
-	var resp response
-	select {
-	case resp = <-call.response:
-	case <-r.Context().Done():
-		var claimed bool
-		if resp, claimed = f.concludeCall(call); claimed {
-			resp = disconnectedResponse(w, conn.disconnectErr())
-		}
-	case <-f.drainExpired: // the request came before SIGTERM and has more time left than the process
-		resp, _ = f.concludeCall(call)
-	case <-overdueTimer.C:
-		// The module owes an answer and gave none: a bug, but the client is not left without one.
-		var claimed bool
-		if resp, claimed = f.concludeCall(call); claimed {
-			slog.Error("no answer from the module in time", "request", r.Header.Get("X-Request-ID"))
-		}
-	}
-	// An attempt that passed its last check before the answer was decided may still be writing.
-	call.writeMu.Lock()
-	call.writeMu.Unlock() //nolint:staticcheck // only waits
+	resp := f.awaitResponse(w, r, call)
+	waitForWriter(&call.writeMu)
 	f.extendWriteDeadline(w)
 	if f.closeAfterResponse.Load() {
 		w.Header().Set("Connection", "close")
@@ -197,18 +162,55 @@
 	f.bodyMemory.release(resp.reservedBytes)
 }
 
-// disconnectedResponse is the answer to a client that has ended its side: none, as a return would write an empty 200 that no server
-// made. Who sends on and on gets one.
+// awaitResponse waits for the response of the event loop, or ends the call itself: when the client disconnects, when the
+// process is about to end, or when the response is overdue.
+func (f *frontend) awaitResponse(w http.ResponseWriter, r *http.Request, call *call) response {
+	overdueAfter := time.Until(call.deadline) + durationFromMS(f.config.settings.AnswerGracePeriod) + overdueGrace
+	overdue := time.NewTimer(overdueAfter)
+	defer overdue.Stop()
+	f.post(requestArrived{call})
+	select {
+	case resp := <-call.response:
+		return resp
+	case <-r.Context().Done():
+		resp, ended := f.concludeCall(call)
+		if ended {
+			return disconnectedResponse(w, clientConnOf(r).disconnectErr())
+		}
+		return resp
+	case <-f.drainExpired:
+		resp, _ := f.concludeCall(call)
+		return resp
+	case <-overdue.C:
+		// The balancer owes each request an answer by now, so this is a bug.
+		resp, ended := f.concludeCall(call)
+		if ended {
+			frontendLog.Error("balancer did not answer in time", "request", r.Header.Get("X-Request-ID"))
+		}
+		return resp
+	}
+}
+
+// waitForWriter waits until no attempt of a call is being written. One that passed its final check before the call was
+// answered may still be.
+func waitForWriter(writeMu *sync.Mutex) {
+	writeMu.Lock()
+	defer writeMu.Unlock()
+}
+
+// disconnectedResponse is the response to a client that has disconnected: it aborts the handler, as returning would send
+// an empty 200 that no server made. A client that sent too much behind its request gets status 400.
 func disconnectedResponse(w http.ResponseWriter, disconnectErr error) response {
-	if disconnectErr != errPipelineTooLong {
+	if !errors.Is(disconnectErr, errPipelineTooLong) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Connection", "close")
 	return response{status: http.StatusBadRequest}
 }
 
-// concludeCall ends a call that the loop has not answered and reports so, or takes the answer that it has just given.
-func (f *frontend) concludeCall(call *call) (response, bool) {
+// concludeCall ends a call without a response of the event loop; ended reports that it did. If the event loop has answered
+// at the same time, its response is returned instead.
+func (f *frontend) concludeCall(call *call) (resp response, ended bool) {
 	if !call.markAnswered() {
 		return <-call.response, false
 	}
@@ -216,17 +218,17 @@
 	return response{status: statusTimedOut}, true
 }
 
-// extendWriteDeadline bounds the time for an answer from now on: a client that does not read would hold its place
-// among those taken for ever.
+// extendWriteDeadline bounds the time for writing a response from now on, so that a client that does not read cannot
+// occupy a place forever.
 func (f *frontend) extendWriteDeadline(w http.ResponseWriter) {
 	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(f.writeTimeout)); err != nil {
-		slog.Error("no bound on writing", "error", err)
+		frontendLog.Error("cannot set the write deadline", "error", err)
 	}
 }
 
 func writeResponse(w http.ResponseWriter, resp response) {
 	header := w.Header()
-	header["Content-Type"] = nil
+	header["Content-Type"] = nil // net/http would guess one
 	if resp.contentType != "" {
 		header.Set("Content-Type", resp.contentType)
 	}
@@ -235,147 +237,5 @@
 	}
 	header.Set("Content-Length", strconv.Itoa(len(resp.body)))
 	w.WriteHeader(resp.status)
-	w.Write(resp.body)
-}
-
-// parseRequest reads the head of a request and how long its client waits; one that is malformed reaches neither the
-// module nor a server. The body comes after it, so that none is waited for in vain.
-func (f *frontend) parseRequest(w http.ResponseWriter, r *http.Request) (*call, time.Duration, error) {
-	if r.URL.Path != apiPath {
-		return nil, 0, malformedError{http.StatusNotFound, "not found"}
-	}
-	if r.Method != http.MethodGet && r.Method != http.MethodPost {
-		w.Header().Set("Allow", "GET, POST")
-		return nil, 0, malformedError{http.StatusMethodNotAllowed, "method not allowed"}
-	}
-	if err := checkFraming(r); err != nil {
-		return nil, 0, err
-	}
-	return f.newCall(r)
-}
-
-// checkFraming refuses what two readers may take for requests of different length. net/http drops Content-Length
-// where Transfer-Encoding stands beside it, and Transfer-Encoding in HTTP/1.0, so neither is taken at all:
-// the application's bodies come with their length.
-func checkFraming(r *http.Request) error {
-	switch {
-	case !r.ProtoAtLeast(1, 1):
-		return malformedError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is spoken here"}
-	case len(r.TransferEncoding) > 0:
-		return malformedError{http.StatusLengthRequired, "a body needs Content-Length, not Transfer-Encoding"}
-	case r.ContentLength > maxBody:
-		return malformedError{http.StatusRequestEntityTooLarge, "body too large"}
-	case r.Method == http.MethodGet && r.ContentLength != 0:
-		return errors.New("GET with a body")
-	}
-	return nil
-}
-
-// readBody reads a body of a length that framed allowed, as it comes: what is said and not sent takes no
-// memory. The client's time counts from its last byte.
-func (f *frontend) readBody(w http.ResponseWriter, r *http.Request, call *call, timeout time.Duration) error {
-	var body []byte
-	if r.ContentLength > 0 {
-		controller := http.NewResponseController(w)
-		err := controller.SetReadDeadline(time.Now().Add(bodyTimeout))
-		if err == nil {
-			body, err = io.ReadAll(r.Body)
-		}
-		if err == nil {
-			err = controller.SetReadDeadline(time.Time{})
-		}
-		if err != nil {
-			return fmt.Errorf("body: %w", err)
-		}
-	}
-	call.deadline = time.Now().Add(timeout)
-	if drainDeadline := f.drainDeadline.Load(); drainDeadline != nil && drainDeadline.Before(call.deadline) {
-		call.deadline = *drainDeadline // the process may be killed then
-	}
-	call.outbound = &outboundRequest{method: r.Method, url: r.URL, host: r.Host, header: endToEndHeaders(r.Header), body: body}
-	return nil
-}
-
-// singleValueHeaders are the headers that mean something here; two of one could be read in two ways.
-var singleValueHeaders = []string{
-	"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Timeout-Ms", "Idempotency-Key", "X-Retried", "X-Cost",
-}
-
-// newCall is what the module gets of a request.
-func (f *frontend) newCall(r *http.Request) (*call, time.Duration, error) {
-	for _, name := range singleValueHeaders {
-		if len(r.Header[name]) > 1 {
-			return nil, 0, errors.New(name + " stands twice")
-		}
-	}
-	if id := r.Header.Get("X-Request-ID"); id == "" || len(id) > maxRequestID {
-		return nil, 0, errors.New("no X-Request-ID of a usable length")
-	}
-	request := balance.Request{ClientRetry: r.Header.Get("X-Retried") == "1"}
-	var ok bool
-	if request.Class, ok = f.config.classNumbers[r.Header.Get("X-Priority-Class")]; !ok {
-		return nil, 0, errors.New("unknown X-Priority-Class")
-	}
-	if len(f.config.tenantNumbers) > 0 {
-		if request.Tenant, ok = f.config.tenantNumbers[r.Header.Get("X-Tenant-Id")]; !ok {
-			return nil, 0, errors.New("unknown X-Tenant-Id")
-		}
-	}
-	class := &f.config.settings.Classes[request.Class]
-	if err := checkMethod(class.Idempotency, r); err != nil {
-		return nil, 0, err
-	}
-	timeout := durationFromMS(class.Deadline)
-	if value := r.Header.Get("X-Timeout-Ms"); value != "" {
-		ms, err := strconv.ParseUint(value, 10, 32)
-		if timeout = time.Duration(ms) * time.Millisecond; err != nil || ms == 0 || timeout > maxTimeout {
-			return nil, 0, errors.New("X-Timeout-Ms is not a number of milliseconds that can be")
-		}
-	}
-	if value := r.Header.Get("X-Cost"); value != "" {
-		micros, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(micros >= 0 && micros < 1e12) {
-			return nil, 0, errors.New("X-Cost is not a number of microseconds")
-		}
-		request.ExpectedWork = micros / 1e3
-	}
-	if cookie, err := r.Cookie("k"); err == nil {
-		hash := fnv.New64a()
-		io.WriteString(hash, cookie.Value)
-		request.Key = hash.Sum64()
-	}
-	return &call{request: request, response: make(chan response, 1)}, timeout, nil
-}
-
-// checkMethod: the method follows from the class. A keyed request without its key would run twice.
-func checkMethod(effect balance.Idempotency, r *http.Request) error {
-	keyPresent := r.Header.Get("Idempotency-Key") != ""
-	switch {
-	case effect == balance.Idempotent && r.Method != http.MethodGet:
-		return errors.New("the class is sent with GET")
-	case effect != balance.Idempotent && r.Method != http.MethodPost:
-		return errors.New("the class is sent with POST")
-	case effect == balance.IdempotentWithKey && !keyPresent:
-		return errors.New("no Idempotency-Key")
-	case effect == balance.NonIdempotent && keyPresent:
-		return errors.New("the class takes no Idempotency-Key")
-	}
-	return nil
-}
-
-// endToEndHeaders leaves out what concerns the client's connection only.
-func endToEndHeaders(header http.Header) http.Header {
-	forwarded := header.Clone()
-	for _, line := range header["Connection"] {
-		for name := range strings.SplitSeq(line, ",") {
-			forwarded.Del(strings.TrimSpace(name))
-		}
-	}
-	for _, name := range []string{
-		"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
-		"Expect", "Content-Length",
-	} {
-		forwarded.Del(name)
-	}
-	return forwarded
+	_, _ = w.Write(resp.body) // fails only if the client has gone or does not read
 }
--- a/internal/sidecar/frontend_test.go
+++ b/internal/sidecar/frontend_test.go
@@ -421,13 +421,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	posted := make(chan any, 4)
+	posted := make(chan loopEvent, 4)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	front := &frontend{
-		config: config, post: func(event any) { posted <- event }, listener: newClientListener(listener, 10, 10), requestIDs: newRecentRequestIDs(),
+		config: config, post: func(event loopEvent) { posted <- event }, listener: newClientListener(listener, 10, 10), requestIDs: newRecentRequestIDs(),
 		bodyMemory: &byteBudget{}, maxInFlight: 10, writeTimeout: testTimeout,
 	}
 	httpServer := front.httpServer()
@@ -666,7 +666,7 @@
 		t.Error(err)
 	}
 	sidecar.done <- nil
-	if remaining := len(sidecar.loop.calls); remaining != 0 {
+	if remaining := len(sidecar.loop.calls.byID); remaining != 0 {
 		t.Errorf("%d requests are still in the table", remaining)
 	}
 	if sidecar.loop.pool.openConns != 0 {
--- /dev/null
+++ b/internal/sidecar/logging.go
@@ -0,0 +1,14 @@
+package sidecar
+
+import "log/slog"
+
+// One logger for each component. The lines of the life cycle (ready, reloaded, draining, drained) go to the default
+// logger without a component, as other programs read them.
+var (
+	configLog    = slog.With("component", "config")
+	loopLog      = slog.With("component", "event-loop")
+	frontendLog  = slog.With("component", "frontend")
+	discoveryLog = slog.With("component", "discovery")
+	placementLog = slog.With("component", "placement")
+	gossipLog    = slog.With("component", "gossip")
+)
--- a/internal/sidecar/peer_transport.go
+++ b/internal/sidecar/peer_transport.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"log/slog"
 	"net"
 	"net/netip"
 
@@ -12,18 +11,18 @@
 )
 
 const (
-	// maxDatagramBytes is the platform's limit; a longer one is not the tier's (PROTOCOL).
-	maxDatagramBytes = 256
-	// peerQueueSize bounds what waits for the loop and for the socket. What comes beyond it is dropped: a hint that
-	// waited is worth nothing, and a flood must not hold up requests.
+	maxDatagramBytes = 256 // PROTOCOL; a longer one cannot come from a sidecar of this tier
+	// peerQueueSize bounds what waits for the event loop and for the socket. More is dropped: gossip that waited is
+	// worthless, and a flood must not delay requests.
 	peerQueueSize = 64
 )
 
-// peerTransport carries datagrams between this sidecar and the others of its tier. It decides nothing: the module says
-// what is told to whom. Nil where the settings allow none.
+// peerTransport carries gossip datagrams between this sidecar and the others of its tier. What is sent to whom is the
+// balancer's decision. It is nil where the settings allow no gossip; its methods accept that where the event loop calls
+// them.
 type peerTransport struct {
 	conn            *net.UDPConn
-	addresses       []netip.AddrPort // by the sidecars' numbers
+	addresses       []netip.AddrPort // by sidecar number
 	numberByAddress map[netip.AddrPort]int
 	broadcast       netip.AddrPort // reaches all; invalid: there is none
 
@@ -36,22 +35,22 @@
 	data []byte
 }
 
-// peerConfigFile is what the configuration says of the others.
+// peerConfigFile is the part of the configuration file about peers.
 type peerConfigFile struct {
 	Listen    string   `json:"peer_listen"`
 	Peers     []string `json:"peers"`
 	Broadcast string   `json:"peers_all"`
 }
 
-// peerConfig is the same, checked.
+// peerConfig holds the checked addresses of a peerConfigFile.
 type peerConfig struct {
 	listen    netip.AddrPort
 	addresses []netip.AddrPort
 	broadcast netip.AddrPort
 }
 
-// resolve checks the addresses. The socket for the others may be bound to no other host than the front's: nobody
-// beside the tier is to reach it.
+// resolve checks the addresses; nil means that there are no peers. The socket must be on the host of the frontend, so that
+// nobody outside of the tier reaches it.
 func (f *peerConfigFile) resolve(frontendAddress string, number, total int) (*peerConfig, error) {
 	if f.Listen == "" && len(f.Peers) == 0 {
 		return nil, nil
@@ -61,6 +60,7 @@
 	if config.listen, err = netip.ParseAddrPort(f.Listen); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
+	// An address without a host fails the comparison.
 	if host, _, _ := net.SplitHostPort(frontendAddress); host != config.listen.Addr().String() {
 		return nil, fmt.Errorf("peer_listen: %s is not on the host of listen, %s", f.Listen, frontendAddress)
 	}
@@ -82,19 +82,23 @@
 	return config, nil
 }
 
-// listenPeers binds the socket. Where that fails the sidecar works without: hints only help.
+// listenPeers binds the socket for gossip. If that fails the sidecar works without: gossip only improves decisions.
 func listenPeers(config *peerConfig) *peerTransport {
 	if config == nil {
 		return nil
 	}
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(config.listen))
 	if err != nil {
-		slog.Warn("no messages between sidecars", "error", err)
+		gossipLog.Warn("gossip disabled: cannot listen", "error", err)
 		return nil
 	}
 	transport := &peerTransport{
-		conn: conn, addresses: config.addresses, broadcast: config.broadcast, numberByAddress: make(map[netip.AddrPort]int, len(config.addresses)),
-		inbound: make(chan balance.GossipMessage, peerQueueSize), outbound: make(chan datagram, peerQueueSize),
+		conn:            conn,
+		addresses:       config.addresses,
+		numberByAddress: make(map[netip.AddrPort]int, len(config.addresses)),
+		broadcast:       config.broadcast,
+		inbound:         make(chan balance.GossipMessage, peerQueueSize),
+		outbound:        make(chan datagram, peerQueueSize),
 	}
 	for i, address := range config.addresses {
 		transport.numberByAddress[address] = i
@@ -102,7 +106,7 @@
 	return transport
 }
 
-// receive is what comes in; it blocks for ever where there is no socket.
+// receive returns the channel of inbound messages; nil, which blocks forever, without gossip.
 func (p *peerTransport) receive() <-chan balance.GossipMessage {
 	if p == nil {
 		return nil
@@ -110,7 +114,7 @@
 	return p.inbound
 }
 
-// send hands a datagram to the writer; the loop never waits for a socket. Peer -1 is all.
+// send queues a datagram for a peer, -1 for all, and never blocks. It drops what cannot be sent.
 func (p *peerTransport) send(peer int, data []byte) {
 	if p == nil || len(data) > maxDatagramBytes || peer >= len(p.addresses) {
 		return
@@ -128,7 +132,7 @@
 	}
 }
 
-// runWriter sends until ctx ends, and then has read end as well.
+// runWriter sends queued datagrams until ctx ends. It then closes the socket, which ends runReader.
 func (p *peerTransport) runWriter(ctx context.Context) {
 	defer p.conn.Close()
 	for {
@@ -136,26 +140,27 @@
 		case <-ctx.Done():
 			return
 		case datagram := <-p.outbound:
-			// What cannot be sent is lost, as a datagram may be under way.
+			// A datagram that cannot be sent is lost, as it may be on its way.
 			_, _ = p.conn.WriteToUDPAddrPort(datagram.data, datagram.to)
 		}
 	}
 }
 
-// runReader takes datagrams of the tier until the socket is closed. Foreign and overlong ones are dropped here.
+// runReader queues datagrams of the tier until the socket is closed. It drops those of other senders, those that are too
+// long, and those beyond the queue.
 func (p *peerTransport) runReader() {
 	buffer := make([]byte, maxDatagramBytes+1)
 	for {
-		received, from, err := p.conn.ReadFromUDPAddrPort(buffer)
+		n, from, err := p.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		number, known := p.numberByAddress[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if err != nil || !known || received > maxDatagramBytes {
+		if err != nil || !known || n > maxDatagramBytes {
 			continue
 		}
 		select {
-		case p.inbound <- balance.GossipMessage{From: number, Data: append([]byte(nil), buffer[:received]...)}:
+		case p.inbound <- balance.GossipMessage{From: number, Data: append([]byte(nil), buffer[:n]...)}:
 		default:
 		}
 	}
--- a/internal/sidecar/placement_client.go
+++ b/internal/sidecar/placement_client.go
@@ -6,12 +6,8 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
-	"log/slog"
-	"math/rand/v2"
 	"net"
 	"net/http"
-	"net/netip"
 	"sync"
 	"time"
 
@@ -19,94 +15,75 @@
 )
 
 const (
-	// An empty line comes every 2 s. Entries end by themselves, so a watch that hangs costs news only.
+	// An empty line arrives every 2 s. Directives end by themselves, so a silent watch only delays changes.
 	placementSilenceTimeout     = 5 * time.Second
-	placementInitialBackoff     = 200 * time.Millisecond // before the first new try
-	placementMaxBackoff         = 2 * time.Second        // between two tries
-	placementUnsupportedBackoff = 15 * time.Second       // ... at an agent that knows of no placement: an old one
-	maxPlacementBytes           = 2 << 20                // bytes of a line: a process may have no more than 32 MB
+	placementInitialBackoff     = 200 * time.Millisecond
+	placementMaxBackoff         = 2 * time.Second
+	placementUnsupportedBackoff = 15 * time.Second // at an older agent, which serves no placement
+	placementDialTimeout        = time.Second
 )
 
 var (
-	errPlacementUnsupported = errors.New("the agent knows of no placement")
-	errPlacementTooLarge    = fmt.Errorf("a placement of over %d bytes", maxPlacementBytes)
-	errPlacementSilent      = errors.New("no sign of life in time")
+	errPlacementUnsupported  = errors.New("agent serves no placement")
+	errPlacementSilent       = errors.New("placement watch is silent")
+	errPlacementNoDirectives = errors.New("complete placement without directives")
 )
 
-// placementClient follows the placement at one address and reports there. It decides nothing: what is in force goes to the
-// loop, whole each time. There is none where the configuration names no address.
+// placementClient follows the placement at one address and posts load reports there. It makes no decisions: the event
+// loop gets all directives in force each time something changes.
 type placementClient struct {
 	address    string
 	baseURL    string
-	generation int // counts the addresses: what an earlier one told is out of date
+	generation int // counts the addresses; updates of an earlier one are ignored
 	client     *http.Client
-	post       func(any)
-	startedAt  time.Time // of the monotonic clock
+	post       func(loopEvent)
+	startedAt  time.Time // origin of the monotonic clock
 	placementTiming
 
 	mu           sync.Mutex
-	reader       *placement.Cache
-	resyncNeeded bool // the next watch asks for the whole
+	cache        *placement.Cache
+	resyncNeeded bool // the next watch asks for the complete placement
 }
 
-// placementTiming is what a test sets otherwise.
+// placementTiming holds the intervals and the clock of a placementClient, which tests replace.
 type placementTiming struct {
-	silenceTimeout time.Duration // after which a watch has ended
-	reportInterval time.Duration // between two reports
-	maxBackoff     time.Duration // between two tries
-	wallClockMS    func() int64  // Unix ms
+	silenceTimeout time.Duration // without a sign of life a watch has ended
+	reportInterval time.Duration
+	maxBackoff     time.Duration // between two watches
+	wallClockMS    func() int64  // Unix milliseconds
 }
 
-func nowUnixMS() int64 { return time.Now().UnixMilli() }
-
-// placementUpdate is what the loop is handed: all that is in force at a time, by an address; with a reporter's channel where a
-// report is due.
-type placementUpdate struct {
-	generation int
-	takenAt    time.Time
-	placement  placement.Update
-	reportDue  chan<- *placement.LoadReport
+func defaultPlacementTiming() placementTiming {
+	return placementTiming{
+		silenceTimeout: placementSilenceTimeout,
+		reportInterval: reportInterval,
+		maxBackoff:     placementMaxBackoff,
+		wallClockMS:    nowUnixMS,
+	}
 }
 
-func newPlacementClient(address string, generation int, post func(any), timing placementTiming) *placementClient {
+func nowUnixMS() int64 { return time.Now().UnixMilli() }
+
+func newPlacementClient(address string, generation int, post func(loopEvent), timing placementTiming) *placementClient {
 	return &placementClient{
-		address: address, baseURL: "http://" + address + "/registry/", generation: generation, post: post, reader: placement.NewCache(),
-		startedAt: time.Now(), placementTiming: timing,
+		address:         address,
+		baseURL:         "http://" + address + "/registry/",
+		generation:      generation,
+		post:            post,
+		cache:           placement.NewCache(),
+		startedAt:       time.Now(),
+		placementTiming: timing,
 		client: &http.Client{Transport: &http.Transport{
-			DisableCompression: true, MaxResponseHeaderBytes: maxResponseHeader, MaxIdleConnsPerHost: 1, IdleConnTimeout: 3 * reportInterval,
-			DialContext: (&net.Dialer{Timeout: time.Second, KeepAlive: -1}).DialContext,
+			DisableCompression:     true,
+			MaxResponseHeaderBytes: maxResponseHeader,
+			MaxIdleConnsPerHost:    1,
+			IdleConnTimeout:        3 * reportInterval,
+			DialContext:            (&net.Dialer{Timeout: placementDialTimeout, KeepAlive: -1}).DialContext,
 		}},
 	}
 }
 
-// placementConfigFile is what the configuration says of the placement.
-type placementConfigFile struct {
-	Placement   string `json:"placement"`
-	Application string `json:"application"`
-	Version     string `json:"version"`
-}
-
-// validate refuses what is no address and port, and names that no report may hold.
-func (f *placementConfigFile) validate() error {
-	for key, name := range map[string]string{"application": f.Application, "version": f.Version} {
-		if len(name) > placement.MaxNameLength {
-			return fmt.Errorf("%s: %d bytes, at most %d", key, len(name), placement.MaxNameLength)
-		}
-	}
-	if f.Placement == "" {
-		return nil
-	}
-	addrPort, err := netip.ParseAddrPort(f.Placement)
-	if err == nil && addrPort.Port() == 0 {
-		err = errors.New("no port")
-	}
-	if err != nil {
-		return fmt.Errorf("placement: %w", err)
-	}
-	return nil
-}
-
-// runWatch keeps a watch until ctx ends. A bad line ends one, and what was told before holds until it ends.
+// runWatch keeps a watch open until ctx ends. Directives that are in force stay so while there is no watch.
 func (p *placementClient) runWatch(ctx context.Context) {
 	defer p.client.CloseIdleConnections()
 	backoff, lastMessage := placementInitialBackoff, ""
@@ -118,35 +95,27 @@
 		if received {
 			backoff, lastMessage = placementInitialBackoff, ""
 		}
-		if message := err.Error(); message != lastMessage { // an agent that stays away is told of once
-			slog.Warn("placement: watch ended", "error", err)
+		if message := err.Error(); message != lastMessage { // one line for an agent that stays unreachable
+			placementLog.Warn("placement watch failed", "error", err)
 			lastMessage = message
 		}
 		pause := backoff
 		if errors.Is(err, errPlacementUnsupported) {
 			pause = placementUnsupportedBackoff
 		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(pause/2 + rand.N(pause)/2):
-		}
+		sleepJittered(ctx, pause)
 		backoff = min(2*backoff, p.maxBackoff)
 	}
 }
 
-// watchOnce follows changes after what is known, and tells whether it heard anything.
+// watchOnce follows the changes after the cached placement until the watch ends, always with an error. It also reports
+// whether anything was received.
 func (p *placementClient) watchOnce(ctx context.Context) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	silenceTimer := time.AfterFunc(p.silenceTimeout, func() { cancel(errPlacementSilent) })
 	defer silenceTimer.Stop()
-	p.mu.Lock()
-	url := p.baseURL + "placement?watch=1"
-	if p.reader.Synced() && !p.resyncNeeded {
-		url += fmt.Sprintf("&after=%d&epoch=%d", p.reader.Revision(), p.reader.Epoch())
-	}
-	p.mu.Unlock()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.watchURL(), nil)
 	if err != nil {
 		return false, err
 	}
@@ -160,7 +129,7 @@
 	case http.StatusNotFound:
 		return false, errPlacementUnsupported
 	default:
-		return false, fmt.Errorf("the agent answers %s", resp.Status)
+		return false, &unexpectedStatusError{resp.Status}
 	}
 	reader := bufio.NewReader(resp.Body)
 	onHeartbeat := func() {
@@ -168,9 +137,9 @@
 		silenceTimer.Reset(p.silenceTimeout)
 	}
 	for {
-		value, err := readObject(reader, onHeartbeat)
+		object, err := readObject(reader, onHeartbeat)
 		if err == nil {
-			err = p.applyLine(value)
+			err = p.applyUpdate(object)
 		}
 		if cause := context.Cause(ctx); cause != nil {
 			return received, cause
@@ -182,19 +151,29 @@
 	}
 }
 
-// applyLine takes a line in. What does not continue what is known has the next watch ask for the whole; what is known
-// holds until that has come.
-func (p *placementClient) applyLine(value []byte) error {
-	var list placement.Update
-	if err := json.Unmarshal(value, &list); err != nil {
+func (p *placementClient) watchURL() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	url := p.baseURL + "placement?watch=1"
+	if p.cache.Synced() && !p.resyncNeeded {
+		url += fmt.Sprintf("&after=%d&epoch=%d", p.cache.Revision(), p.cache.Epoch())
+	}
+	return url
+}
+
+// applyUpdate applies one object of the watch. If it does not continue the cached placement, the next watch asks for the
+// complete one; the cached one stays in force until then.
+func (p *placementClient) applyUpdate(object []byte) error {
+	var update placement.Update
+	if err := json.Unmarshal(object, &update); err != nil {
 		return err
 	}
-	if list.Complete && list.Directives == nil {
-		return errors.New("a whole placement without entries")
+	if update.Complete && update.Directives == nil {
+		return errPlacementNoDirectives
 	}
 	p.mu.Lock()
 	wallMS, monotonicMS := p.readClocks()
-	changed, err := p.reader.Apply(&list, wallMS, monotonicMS)
+	changed, err := p.cache.Apply(&update, wallMS, monotonicMS)
 	p.resyncNeeded = errors.Is(err, placement.ErrDiscontinuous)
 	p.mu.Unlock()
 	if changed {
@@ -203,64 +182,28 @@
 	return err
 }
 
-// readClocks is what entries end by: the wall clock and the monotonic one, in ms.
+// readClocks returns the clocks by which directives end, in milliseconds.
 func (p *placementClient) readClocks() (wallMS, monotonicMS int64) {
 	return p.wallClockMS(), time.Since(p.startedAt).Milliseconds()
 }
 
-// snapshot is what is in force.
+// snapshot is all that is in force now.
 func (p *placementClient) snapshot(reportDue chan<- *placement.LoadReport) placementUpdate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	takenAt := time.Now()
 	wallMS, monotonicMS := p.readClocks()
-	return placementUpdate{p.generation, takenAt, p.reader.Active(wallMS, monotonicMS), reportDue}
+	return placementUpdate{
+		generation: p.generation,
+		takenAt:    takenAt,
+		placement:  p.cache.Active(wallMS, monotonicMS),
+		reportDue:  reportDue,
+	}
 }
 
-// placementKnown tells whether any placement has come.
-func (p *placementClient) placementKnown() bool {
+// synced reports whether any placement has arrived.
+func (p *placementClient) synced() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.reader.Synced()
-}
-
-// readObject reads a JSON object of any form, over one line or several. A blank line between objects is a sign of
-// life; within one nothing is, so that what trickles ends the watch.
-func readObject(reader *bufio.Reader, onHeartbeat func()) ([]byte, error) {
-	var value []byte
-	depth, inString, escaped := 0, false, false
-	for {
-		char, err := reader.ReadByte()
-		switch {
-		case err == io.EOF && value != nil:
-			return nil, io.ErrUnexpectedEOF
-		case err != nil:
-			return nil, err
-		case value == nil && char == '\n':
-			onHeartbeat()
-			continue
-		case value == nil && (char == ' ' || char == '\t' || char == '\r'):
-			continue
-		case value == nil && char != '{':
-			return nil, fmt.Errorf("%q begins no placement", char)
-		case len(value) == maxPlacementBytes:
-			return nil, errPlacementTooLarge
-		}
-		value = append(value, char)
-		switch {
-		case escaped:
-			escaped = false
-		case inString && char == '\\':
-			escaped = true
-		case char == '"':
-			inString = !inString
-		case inString:
-		case char == '{' || char == '[':
-			depth++
-		case char == '}' || char == ']':
-			if depth--; depth == 0 {
-				return value, nil
-			}
-		}
-	}
+	return p.cache.Synced()
 }
--- a/internal/sidecar/placement_report.go
+++ b/internal/sidecar/placement_report.go
@@ -2,127 +2,100 @@
 
 import (
 	"bytes"
-	"cmp"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
-	"log/slog"
-	"math"
+	"maps"
 	"math/rand/v2"
 	"net/http"
 	"slices"
-	"sort"
 	"time"
 
 	"milldeck/balance"
-	"milldeck/internal/hotkey/topk"
 	"milldeck/internal/placement"
 )
 
-const (
-	reportInterval  = time.Second
-	trackedKeys     = 64  // counted at a time: half of them are reported, the colder half is what the next hot key comes from
-	keyLoadHalfLife = 0.7 // s in which a load is half forgotten: an onset has to show within a second
-	meanWorkSamples = 50  // answers over which the mean work of a class is taken
-)
-
-// reportRecorder counts what the next report says. It is the loop's alone.
-type reportRecorder struct {
-	config      *Config
-	keyLoad     *topk.Sketch
-	workByClass []meanWork // by class
-	counts      map[countKey]*placement.ClassCount
-	spanStartMS float64
-}
+// reportInterval is the time between two load reports.
+const reportInterval = time.Second
 
-// meanWork is what answers of a class took of late, ms; what took longer than the class's aim waited.
-type meanWork struct{ samples, meanMS float64 }
-
-type countKey struct {
-	class        int
-	zone, cohort string
+// buildReport describes the placement in force and the requests since the last report.
+func (l *eventLoop) buildReport(nowMS float64) *placement.LoadReport {
+	active := l.placement.active
+	report := &placement.LoadReport{
+		Sidecar:           l.config.Name,
+		Zone:              l.config.zoneName(),
+		Version:           l.placement.version,
+		PlacementRevision: active.revision,
+		PlacementEpoch:    active.epoch,
+		EndpointRevision:  uint64(max(l.discovery.revision.Load(), 0)),
+		ExcludedInFlight:  l.excludedInFlight(),
+	}
+	suspended := l.balancer.SuspendedExclusions()
+	for i := range active.directives {
+		id := active.directives[i].ID
+		number, ok := active.numberByID[id]
+		if ok && slices.Contains(suspended, number) && len(report.SuspendedDirectives) < placement.MaxExclusions {
+			report.SuspendedDirectives = append(report.SuspendedDirectives, id)
+		}
+	}
+	active.recorder.flushInto(report, nowMS)
+	return report
 }
 
-func newReportRecorder(config *Config, nowMS float64) *reportRecorder {
-	return &reportRecorder{
-		config: config, keyLoad: topk.New(trackedKeys, keyLoadHalfLife), workByClass: make([]meanWork, len(config.settings.Classes)),
-		counts: map[countKey]*placement.ClassCount{}, spanStartMS: nowMS,
+// zoneName is the name of the sidecar's zone, "" if the settings name none.
+func (cfg *Config) zoneName() string {
+	for name, number := range cfg.zoneNumbers {
+		if number == cfg.settings.Zone {
+			return name
+		}
 	}
+	return ""
 }
 
-// recordRequest counts a request into its key's heat, also one that is refused later: so much is asked for. Its work is what
-// the client expects, or else what its class's answers take.
-func (g *reportRecorder) recordRequest(nowMS float64, request *balance.Request) {
-	if request.Key == 0 {
-		return
+// excludedInFlight counts, for each exclusion in force, the attempts in flight on the servers that it excludes. Also an
+// exclusion of another tenant is in force here and counts 0, as its owner waits for that. Where there are too many to
+// report, those without attempts are left out, which means the same.
+func (l *eventLoop) excludedInFlight() map[string]int {
+	counts := map[string]int{}
+	directives := l.placement.active.directives
+	for i := range directives {
+		directive := &directives[i]
+		switch {
+		case directive.excluded != nil:
+			counts[directive.ID] = l.countInFlightAt(directive)
+		case directive.Kind == placement.KindExclude:
+			counts[directive.ID] = 0
+		}
 	}
-	workMS := request.ExpectedWork
-	if !(workMS > 0) {
-		workMS = g.workByClass[request.Class].meanMS
+	if len(counts) > placement.MaxExclusions {
+		maps.DeleteFunc(counts, func(_ string, count int) bool { return count == 0 })
 	}
-	g.keyLoad.Add(nowMS/1e3, request.Key, workMS)
+	return counts
 }
 
-// recordOutcome counts what became of an attempt at a server. What was cancelled or never left says nothing of the server.
-func (g *reportRecorder) recordOutcome(nowMS float64, attempt *attempt, result balance.Result, cohort string) {
-	if result == balance.Cancelled || result == balance.Obsolete {
-		return
-	}
-	class := attempt.call.request.Class
-	key := countKey{class, attempt.upstream.zone, cohort}
-	count := g.counts[key]
-	if count == nil {
-		if len(g.counts) >= placement.MaxClassCounts {
-			return
+// countInFlightAt counts the attempts of an exclusion's tenant that are in flight on the servers that it excludes.
+func (l *eventLoop) countInFlightAt(directive *activeDirective) int {
+	count := 0
+	for _, call := range l.calls.byID {
+		if directive.tenant != balance.AllTenants && directive.tenant != call.request.Tenant {
+			continue
 		}
-		count = &placement.ClassCount{Zone: key.zone, Cohort: key.cohort, LatencyHistogram: make([]uint32, len(placement.LatencyBucketBounds)+1)}
-		g.counts[key] = count
-	}
-	if result != balance.OK {
-		count.Failed++
-		return
-	}
-	latencyMS, objectiveMS := nowMS-attempt.decidedAtMS, g.config.settings.Classes[class].LatencyObjective
-	count.Succeeded++
-	if latencyMS > objectiveMS {
-		count.Late++
-	}
-	count.LatencyHistogram[sort.SearchFloat64s(placement.LatencyBucketBounds, latencyMS)]++
-	work := &g.workByClass[class]
-	work.samples = math.Min(work.samples+1, meanWorkSamples)
-	work.meanMS += (math.Min(latencyMS, objectiveMS) - work.meanMS) / work.samples
-}
-
-// flushInto writes what was counted since the last time into a report and begins anew.
-func (g *reportRecorder) flushInto(report *placement.LoadReport, nowMS float64) {
-	report.IntervalMS, g.spanStartMS = math.Max(nowMS-g.spanStartMS, 0), nowMS
-	top := g.keyLoad.Top(nowMS/1e3, placement.MaxHotKeys)
-	report.TotalKeyLoad = top.Total
-	for _, figure := range top.Keys {
-		report.HotKeys = append(report.HotKeys, placement.KeyLoad{KeyHash: fmt.Sprintf("%016x", figure.Key), Load: figure.Load, ErrorBound: figure.Error})
-	}
-	for key, count := range g.counts {
-		for name, i := range g.config.classNumbers {
-			if i == key.class {
-				count.Class = name
+		for _, attempt := range call.attempts {
+			if !attempt.completed && directive.excluded[attempt.upstream.id] {
+				count++
 			}
 		}
-		for len(count.LatencyHistogram) > 0 && count.LatencyHistogram[len(count.LatencyHistogram)-1] == 0 {
-			count.LatencyHistogram = count.LatencyHistogram[:len(count.LatencyHistogram)-1]
-		}
-		report.ClassCounts = append(report.ClassCounts, *count)
 	}
-	slices.SortFunc(report.ClassCounts, func(a, b placement.ClassCount) int {
-		return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Cohort, b.Cohort))
-	})
-	clear(g.counts)
+	return count
 }
 
-// runReporter reports once a second until ctx ends, as soon as a placement is known: an agent that knows of none takes no
-// reports. One that is not taken is dropped and its counts with it: told again, they might count twice.
+// runReporter posts a report each interval until ctx ends, once a placement has arrived: an older agent, which serves
+// none, accepts no reports. A report that is not accepted is dropped with its counts, as a second post might count them
+// twice.
 func (p *placementClient) runReporter(ctx context.Context) {
-	pause := rand.N(p.reportInterval) // sidecars that started together report apart
+	pause := rand.N(p.reportInterval) // so that sidecars that start together do not report together
 	for {
 		select {
 		case <-ctx.Done():
@@ -130,38 +103,34 @@
 		case <-time.After(pause):
 		}
 		startedAt := time.Now()
-		if p.placementKnown() {
-			reportDue := make(chan *placement.LoadReport, 1)
-			p.post(p.snapshot(reportDue))
-			select {
-			case <-ctx.Done():
-				return
-			case report := <-reportDue:
-				if err := p.postReport(ctx, report); err != nil {
-					slog.Debug("report not taken", "error", err)
-				}
-			}
+		if p.synced() && !p.reportOnce(ctx) {
+			return
 		}
 		pause = max(p.reportInterval-time.Since(startedAt), p.reportInterval/10)
 	}
 }
 
-// postReport posts a report within the time to the next. One that is too large goes without counts, then without heat; what
-// is open is told whole or not at all, as none told means none open.
-func (p *placementClient) postReport(ctx context.Context, report *placement.LoadReport) error {
-	data, err := json.Marshal(report)
-	for _, shrink := range []func(){func() { report.ClassCounts = nil }, func() { report.HotKeys, report.TotalKeyLoad = nil, 0 }} {
-		if err == nil && len(data) > placement.MaxReportBytes {
-			shrink()
-			data, err = json.Marshal(report)
+// reportOnce asks the event loop for a report and posts it. It returns false if ctx ends before the report is built.
+func (p *placementClient) reportOnce(ctx context.Context) bool {
+	reportDue := make(chan *placement.LoadReport, 1)
+	p.post(p.snapshot(reportDue))
+	select {
+	case <-ctx.Done():
+		return false
+	case report := <-reportDue:
+		if err := p.postReport(ctx, report); err != nil {
+			placementLog.Debug("load report not accepted", "error", err)
 		}
+		return true
 	}
+}
+
+// postReport posts a report within the time to the next one.
+func (p *placementClient) postReport(ctx context.Context, report *placement.LoadReport) error {
+	data, err := encodeReport(report)
 	if err != nil {
 		return err
 	}
-	if len(data) > placement.MaxReportBytes {
-		return fmt.Errorf("%d bytes, at most %d", len(data), placement.MaxReportBytes)
-	}
 	ctx, cancel := context.WithTimeout(ctx, p.reportInterval)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, p.baseURL+"report", bytes.NewReader(data))
@@ -174,11 +143,34 @@
 		return err
 	}
 	defer resp.Body.Close()
-	if _, err := io.CopyN(io.Discard, resp.Body, maxResponseHeader); err != nil && err != io.EOF { // so that its connection is kept
+	// The body is read so that the connection can be reused.
+	if _, err := io.CopyN(io.Discard, resp.Body, maxResponseHeader); err != nil && !errors.Is(err, io.EOF) {
 		return err
 	}
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return fmt.Errorf("the agent answers %s", resp.Status)
+		return &unexpectedStatusError{resp.Status}
 	}
 	return nil
 }
+
+// encodeReport encodes a report as JSON. One that is too large goes without its counts, and then without its hot keys.
+// Exclusions are never left out one by one, as a missing one means that nothing is in flight.
+func encodeReport(report *placement.LoadReport) ([]byte, error) {
+	data, err := json.Marshal(report)
+	for _, shrink := range []func(){
+		func() { report.ClassCounts = nil },
+		func() { report.HotKeys, report.TotalKeyLoad = nil, 0 },
+	} {
+		if err == nil && len(data) > placement.MaxReportBytes {
+			shrink()
+			data, err = json.Marshal(report)
+		}
+	}
+	if err != nil {
+		return nil, err
+	}
+	if len(data) > placement.MaxReportBytes {
+		return nil, fmt.Errorf("load report of %d bytes, at most %d", len(data), placement.MaxReportBytes)
+	}
+	return data, nil
+}
--- a/internal/sidecar/placement_test.go
+++ b/internal/sidecar/placement_test.go
@@ -103,7 +103,7 @@
 	if change != nil {
 		change(c)
 	}
-	rig.testSidecar = startSidecar(t, c, append(tweaks, func(instance *Sidecar) { instance.loop.placementTiming.reportInterval = 10 * time.Millisecond })...)
+	rig.testSidecar = startSidecar(t, c, append(tweaks, func(instance *Sidecar) { instance.loop.placement.timing.reportInterval = 10 * time.Millisecond })...)
 	return rig
 }
 
@@ -170,7 +170,7 @@
 	}
 	var ahead atomic.Int64
 	rig := startPlacementRig(t, nil, func(instance *Sidecar) {
-		instance.loop.placementTiming.wallClockMS = func() int64 { return time.Now().UnixMilli() + ahead.Load() }
+		instance.loop.placement.timing.wallClockMS = func() int64 { return time.Now().UnixMilli() + ahead.Load() }
 	})
 	receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, excludeDirective(time.Hour, "a"))
 	rig.awaitRevision(1)
@@ -189,7 +189,7 @@
 // A line that cannot be used ends its watch and leaves what was told before; the next asks after that.
 func TestInvalidPlacementKeepsLastValid(t *testing.T) {
 	rig := startPlacementRig(t, nil, func(instance *Sidecar) {
-		instance.loop.placementTiming.silenceTimeout, instance.loop.placementTiming.maxBackoff = 300*time.Millisecond, 50*time.Millisecond
+		instance.loop.placement.timing.silenceTimeout, instance.loop.placement.timing.maxBackoff = 300*time.Millisecond, 50*time.Millisecond
 	})
 	call := receiveWithin(t, "the watch", rig.agent.calls)
 	indented, _ := json.MarshalIndent(placement.Update{Revision: 1, Complete: true, Epoch: 5, Directives: []placement.Directive{excludeDirective(time.Hour, "a")}}, "", "  ")
@@ -234,7 +234,7 @@
 	active := activePlacement{directives: []activeDirective{{Directive: directive, endsAtMS: 6000}}}
 	for remaining, want := range map[int64]bool{1000: true, 980: true, 5000: true, 900: false} {
 		directive.RemainingMS = remaining
-		if active.holds(5000, []placement.Directive{directive}) != want {
+		if active.unchanged(5000, []placement.Directive{directive}) != want {
 			t.Errorf("%d ms left: same %v, want %v", remaining, !want, want)
 		}
 	}
--- a/internal/sidecar/request_ids.go
+++ b/internal/sidecar/request_ids.go
@@ -6,60 +6,64 @@
 	"time"
 )
 
-// requestIDRetention is how long an id is known after its request is answered, at the least. Who sends it again has
-// seen it elsewhere, and may do so a moment too late to find it open.
+// requestIDRetention is the least time for which an ID is remembered after its response. Whoever copies an ID may send it
+// a moment after the original is answered.
 const requestIDRetention = 3 * time.Second
 
-// recentRequestIDs knows the ids that are open or were lately: an id names one request. It holds hashes, as ids
-// come without end and may be long.
+// recentRequestIDs remembers the request IDs in flight and those answered recently, as an ID names one request only. It
+// stores hashes: IDs may be long, and there is no end to them.
 type recentRequestIDs struct {
 	seed maphash.Seed
 
 	mu                sync.Mutex
 	inFlight          map[uint64]struct{}
-	current, previous map[uint64]struct{} // answered in this span and the one before
-	rotatedAt         time.Time
+	current, previous map[uint64]struct{} // answered in this retention period and in the one before
+	rotatedAt         time.Time           // when the current period began
 }
 
 func newRecentRequestIDs() *recentRequestIDs {
 	return &recentRequestIDs{
-		seed: maphash.MakeSeed(), rotatedAt: time.Now(),
-		inFlight: map[uint64]struct{}{}, current: map[uint64]struct{}{}, previous: map[uint64]struct{}{},
+		seed:      maphash.MakeSeed(),
+		rotatedAt: time.Now(),
+		inFlight:  map[uint64]struct{}{},
+		current:   map[uint64]struct{}{},
+		previous:  map[uint64]struct{}{},
 	}
 }
 
-// claim opens an id, unless it is known already.
-func (k *recentRequestIDs) claim(id string) (uint64, bool) {
-	hash := maphash.String(k.seed, id)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.rotate()
-	for _, known := range []map[uint64]struct{}{k.inFlight, k.current, k.previous} {
+// claim marks an ID as in flight and returns its hash; ok is false if the ID is known already.
+func (ids *recentRequestIDs) claim(id string) (hash uint64, ok bool) {
+	hash = maphash.String(ids.seed, id)
+	ids.mu.Lock()
+	defer ids.mu.Unlock()
+	ids.rotate()
+	for _, known := range []map[uint64]struct{}{ids.inFlight, ids.current, ids.previous} {
 		if _, found := known[hash]; found {
 			return hash, false
 		}
 	}
-	k.inFlight[hash] = struct{}{}
+	ids.inFlight[hash] = struct{}{}
 	return hash, true
 }
 
-// release ends a claim.
-func (k *recentRequestIDs) release(hash uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.rotate()
-	delete(k.inFlight, hash)
-	k.current[hash] = struct{}{}
+// release marks a claimed ID as answered.
+func (ids *recentRequestIDs) release(hash uint64) {
+	ids.mu.Lock()
+	defer ids.mu.Unlock()
+	ids.rotate()
+	delete(ids.inFlight, hash)
+	ids.current[hash] = struct{}{}
 }
 
-// rotate forgets the older span; the caller holds the lock.
-func (k *recentRequestIDs) rotate() {
-	age := time.Since(k.rotatedAt)
+// rotate forgets the previous period when the current one is over. The caller holds the lock.
+func (ids *recentRequestIDs) rotate() {
+	age := time.Since(ids.rotatedAt)
 	if age < requestIDRetention {
 		return
 	}
-	if k.previous = k.current; age > 2*requestIDRetention {
-		k.previous = nil
+	ids.previous = ids.current
+	if age > 2*requestIDRetention {
+		ids.previous = nil
 	}
-	k.current, k.rotatedAt = map[uint64]struct{}{}, time.Now()
+	ids.current, ids.rotatedAt = map[uint64]struct{}{}, time.Now()
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -16,42 +16,46 @@
 )
 
 const (
-	// reservedDescriptors are for the listener, two watches, the log, the file of a reload and the runtime, with
-	// room for connections that are just being closed.
+	// reservedDescriptors are for the listener, two watches, the log, the file of a reload and the runtime, with some to
+	// spare for connections that are being closed.
 	reservedDescriptors    = 24
-	clientSocketFraction   = 0.5  // of the rest, for clients; servers have what is left
-	persistentConnFraction = 0.25 // of all; the application holds a third for its requests, and some of it is left free
-
-	memoryLimitFraction = 0.7   // of the limit; the rest is for what the runtime does not count
-	gcPercent           = 300   // garbage is small beside the limit, and there is one core
-	bodyMemoryFraction  = 0.125 // of the limit, for bodies in and out
-	defaultMemoryMB     = 256   // MB assumed where there is no limit
-
-	// After SIGTERM new connections come for up to 0.4 s, and the application goes on with those it has for
-	// as long as they are open. SIGKILL comes no sooner than the longest deadline, of which no more than
-	// maxDrainDeadline counts, and killGracePeriod later.
+	clientSocketFraction   = 0.5  // of the other descriptors; connections to servers use the rest
+	persistentConnFraction = 0.25 // of all; the application uses a third for its requests, and some of that stays free
+
+	memoryLimitFraction = 0.7   // of the limit; the runtime does not count the rest
+	gcPercent           = 300   // there is little garbage compared with the limit, and one core
+	bodyMemoryFraction  = 0.125 // of the limit, for bodies of requests and responses
+	defaultMemoryMB     = 256   // assumed where there is no limit
+	bytesPerMB          = 1 << 20
+
+	// After SIGTERM new connections arrive for up to 0.4 s, and the application uses those it has while they are open.
+	// SIGKILL comes no sooner than the longest deadline, of which at most maxDrainDeadline counts, and killGracePeriod
+	// later.
 	drainAcceptWindow   = 500 * time.Millisecond
 	maxDrainDeadline    = 3 * time.Second
 	killGracePeriod     = 700 * time.Millisecond
-	shutdownMargin      = 200 * time.Millisecond // before it all is answered
-	finalResponseWindow = 150 * time.Millisecond // before that no connection is kept any more
+	shutdownMargin      = 200 * time.Millisecond // between the last response and SIGKILL
+	finalResponseWindow = 150 * time.Millisecond // before the last response; connections end with each response in it
 
 	drainPollInterval = 20 * time.Millisecond
 	reapInterval      = time.Second
 )
 
-// Sidecar is one running sidecar.
+// Sidecar is one sidecar. New makes it, Run serves, Reload changes its configuration meanwhile.
 type Sidecar struct {
 	config   *Config
 	loop     *eventLoop
 	frontend *frontend
 
-	discoveryAddress          string // the address in force; Reload's alone, as is placement
-	reloadable                configReloaded
+	// Reload alone uses these: what is in force.
+	discoveryAddress string
+	reloadable       configReloaded
+
+	// How long after SIGTERM new connections are accepted at least, and requests are served at most.
 	acceptWindow, serveWindow time.Duration
 }
 
-// New prepares a sidecar and binds its address.
+// New makes a sidecar and binds its listen address. Errors name the setting or the address.
 func New(config *Config) (*Sidecar, error) {
 	balancer, err := balance.New(config.settings)
 	if err != nil {
@@ -65,25 +69,35 @@
 	clientSockets := int(float64(availableSockets) * clientSocketFraction)
 	upstreamSockets := availableSockets - clientSockets
 	bodyMemory := &byteBudget{}
-	bodyMemory.release(int(bodyMemoryFraction * float64(cmp.Or(config.MemoryMB, defaultMemoryMB)<<20)))
-	loop := newEventLoop(config, balancer, newConnPool(config, upstreamSockets, bodyMemory))
-	loop.discovery = newDiscoveryClient(config.DiscoveryAddress, loop.post, func(task func()) { loop.workers.Go(task) })
-	loop.peers = listenPeers(config.peers)
+	bodyMemory.release(int(bodyMemoryFraction * float64(cmp.Or(config.MemoryMB, defaultMemoryMB)*bytesPerMB)))
 	maxInFlight := upstreamSockets
 	if config.maxOpenRequests > 0 {
 		maxInFlight = min(maxInFlight, config.maxOpenRequests)
 	}
+	loop := newEventLoop(config, balancer, newConnPool(config, upstreamSockets, bodyMemory))
+	loop.discovery = newDiscoveryClient(config.DiscoveryAddress, loop.post, func(task func()) { loop.workers.Go(task) })
+	loop.peers = listenPeers(config.peers)
 	return &Sidecar{
-		config: config, discoveryAddress: config.DiscoveryAddress, reloadable: configReloaded{config.PlacementAddress, config.Version}, loop: loop,
-		acceptWindow: drainAcceptWindow, serveWindow: drainPeriod(config) - finalResponseWindow,
+		config:           config,
+		loop:             loop,
+		discoveryAddress: config.DiscoveryAddress,
+		reloadable:       configReloaded{config.PlacementAddress, config.Version},
+		acceptWindow:     drainAcceptWindow,
+		serveWindow:      drainPeriod(config) - finalResponseWindow,
 		frontend: &frontend{
-			config: config, post: loop.post, listener: newClientListener(listener, clientSockets, int(persistentConnFraction*float64(config.Sockets))), requestIDs: newRecentRequestIDs(),
-			bodyMemory: bodyMemory, maxInFlight: int64(maxInFlight), writeTimeout: writeTimeout, drainExpired: make(chan struct{}),
+			config:       config,
+			post:         loop.post,
+			listener:     newClientListener(listener, clientSockets, int(persistentConnFraction*float64(config.Sockets))),
+			requestIDs:   newRecentRequestIDs(),
+			bodyMemory:   bodyMemory,
+			maxInFlight:  int64(maxInFlight),
+			writeTimeout: writeTimeout,
+			drainExpired: make(chan struct{}),
 		},
 	}, nil
 }
 
-// drainPeriod is how long after SIGTERM all that was taken has to be answered.
+// drainPeriod is how long after SIGTERM the last response is due.
 func drainPeriod(config *Config) time.Duration {
 	longestDeadline := time.Duration(0)
 	for i := range config.settings.Classes {
@@ -92,11 +106,11 @@
 	return min(longestDeadline, maxDrainDeadline) + killGracePeriod - shutdownMargin
 }
 
-// ApplyRuntimeLimits tells the runtime what the configuration allows this process.
+// ApplyRuntimeLimits sets the Go runtime's limits on memory and threads for the whole process.
 func ApplyRuntimeLimits(config *Config) {
 	debug.SetGCPercent(gcPercent)
 	if config.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(config.MemoryMB) * memoryLimitFraction * (1 << 20)))
+		debug.SetMemoryLimit(int64(float64(config.MemoryMB) * memoryLimitFraction * bytesPerMB))
 	}
 	if config.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(config.Cores)))
@@ -106,16 +120,16 @@
 // Addr is the address where clients connect.
 func (s *Sidecar) Addr() string { return s.frontend.listener.Addr().String() }
 
-// Reload takes over what may change while the sidecar runs: where discovery and the placement are, and its label
-// for reports. All else is for the next start. It is called by one goroutine, that of the signals.
+// Reload applies what may change while the sidecar runs: the addresses of discovery and of the placement, and the version
+// label. Everything else takes effect at the next start. Calls must not overlap.
 func (s *Sidecar) Reload(config *Config) {
 	if reloaded := (configReloaded{config.PlacementAddress, config.Version}); reloaded != s.reloadable {
 		s.reloadable = reloaded
-		slog.Info("reads the placement anew", "placement", reloaded.placementAddress, "version", reloaded.version)
+		slog.Info("placement configuration changed", "placement", reloaded.placementAddress, "version", reloaded.version)
 		s.loop.post(reloaded)
 	}
 	if config.DiscoveryAddress == s.discoveryAddress {
-		slog.Info("reloaded, discovery as before")
+		slog.Info("reloaded, discovery unchanged")
 		return
 	}
 	slog.Info("reloaded", "discovery", config.DiscoveryAddress)
@@ -123,36 +137,11 @@
 	s.loop.post(discoveryAddressChanged{config.DiscoveryAddress})
 }
 
-// Run serves until ctx ends, goes on while clients still come, answers all it took and returns.
+// Run serves until ctx ends, then drains: it serves while clients still come, responds to all requests and returns. An
+// error means that serving failed.
 func (s *Sidecar) Run(ctx context.Context) error {
-	loopCtx, stopLoop := context.WithCancel(context.Background())
-	loopDone := make(chan struct{})
-	go func() {
-		defer close(loopDone)
-		s.loop.run(loopCtx)
-	}()
-	if transport := s.loop.peers; transport != nil {
-		s.loop.workers.Go(func() { transport.runWriter(loopCtx) })
-		s.loop.workers.Go(transport.runReader)
-	}
-	reaper := time.NewTicker(reapInterval)
-	defer reaper.Stop()
-	s.loop.workers.Go(func() {
-		for {
-			select {
-			case <-loopCtx.Done():
-				return
-			case now := <-reaper.C:
-				s.loop.pool.reap(now)
-			}
-		}
-	})
-	defer func() {
-		stopLoop()
-		<-loopDone
-		s.loop.pool.closeAll()
-	}()
-
+	stop := s.startLoop()
+	defer stop()
 	server := s.frontend.httpServer()
 	serveErr := make(chan error, 1)
 	go func() { serveErr <- server.Serve(s.frontend.listener) }()
@@ -165,9 +154,42 @@
 	return s.drain(server, serveErr)
 }
 
-// drain goes on serving while the application uses its connections, up to shortly before the process may be
-// killed, then ends them with their answers. Connections that wait for nothing hold it up no longer than new
-// ones may come.
+// startLoop starts the event loop and its helpers. The returned function stops them and waits for their end.
+func (s *Sidecar) startLoop() (stop func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		s.loop.run(ctx)
+	}()
+	if transport := s.loop.peers; transport != nil {
+		s.loop.workers.Go(func() { transport.runWriter(ctx) })
+		s.loop.workers.Go(transport.runReader)
+	}
+	s.loop.workers.Go(func() { s.reapIdle(ctx) })
+	return func() {
+		cancel()
+		<-done
+		s.loop.pool.closeAll()
+	}
+}
+
+// reapIdle closes connections to servers that are idle for too long, until ctx ends.
+func (s *Sidecar) reapIdle(ctx context.Context) {
+	ticker := time.NewTicker(reapInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case now := <-ticker.C:
+			s.loop.pool.reap(now)
+		}
+	}
+}
+
+// drain serves while the application uses its connections, until shortly before the process may be killed, and then ends
+// them with their responses. Connections without a request delay the end no longer than new ones may arrive.
 func (s *Sidecar) drain(server *http.Server, serveErr <-chan error) error {
 	slog.Info("draining")
 	deadline := time.Now().Add(s.serveWindow + finalResponseWindow)
--- /dev/null
+++ b/internal/sidecar/timers.go
@@ -0,0 +1,50 @@
+package sidecar
+
+import "container/heap"
+
+// timer is a timer that the balancer has set.
+type timer struct {
+	dueMS float64
+	token uint64
+}
+
+// timerHeap implements heap.Interface; the timer that is due first is at index 0.
+type timerHeap []timer
+
+func (t timerHeap) Len() int           { return len(t) }
+func (t timerHeap) Less(i, j int) bool { return t[i].dueMS < t[j].dueMS }
+func (t timerHeap) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t *timerHeap) Push(value any)    { *t = append(*t, value.(timer)) }
+func (t *timerHeap) Pop() any {
+	last := (*t)[len(*t)-1]
+	*t = (*t)[:len(*t)-1]
+	return last
+}
+
+// timerQueue holds the timers of the balancer.
+type timerQueue struct {
+	heap      timerHeap
+	lastRunMS float64 // when timers last woke the event loop
+}
+
+func (q *timerQueue) set(dueMS float64, token uint64) {
+	heap.Push(&q.heap, timer{dueMS: dueMS, token: token})
+}
+
+// popDue removes the timers that are due and returns them in order.
+func (q *timerQueue) popDue(nowMS float64) []timer {
+	var due []timer
+	for len(q.heap) > 0 && q.heap[0].dueMS <= nowMS {
+		due = append(due, heap.Pop(&q.heap).(timer))
+	}
+	return due
+}
+
+// nextWakeupMS is when the event loop has to wake up for the first timer: no sooner than an interval after it last did.
+// ok is false if no timer is set.
+func (q *timerQueue) nextWakeupMS(intervalMS float64) (wakeupMS float64, ok bool) {
+	if len(q.heap) == 0 {
+		return 0, false
+	}
+	return max(q.heap[0].dueMS, q.lastRunMS+intervalMS), true
+}
--- a/internal/sidecar/upstream_exchange.go
+++ b/internal/sidecar/upstream_exchange.go
@@ -16,9 +16,14 @@
 
 const healthCheckTimeout = 250 * time.Millisecond
 
+// expiredDeadline makes all I/O on a connection fail at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// outboundRequest is a request as servers get it.
+// errObsolete: between the decision for an attempt and its first byte the call was answered, a deadline passed, or the
+// server was retired.
+var errObsolete = errors.New("request is obsolete")
+
+// outboundRequest is a client's request as servers get it.
 type outboundRequest struct {
 	method string
 	url    *url.URL
@@ -27,27 +32,33 @@
 	body   []byte
 }
 
-// exchangeResult is how an attempt or probe ended.
+// exchangeResult is how an attempt or a health check ended.
 type exchangeResult struct {
 	outcome    balance.Result
-	response   response
+	response   response // if the outcome is balance.OK
 	loadReport []float32
 }
 
-// sendAttempt makes one attempt and tells how it ended.
+// sendAttempt sends an attempt and waits for its end.
 func (p *connPool) sendAttempt(attempt *attempt) exchangeResult {
-	call := attempt.call
+	outbound := attempt.call.outbound
 	req := &http.Request{
-		Method: call.outbound.method, URL: call.outbound.url, Host: call.outbound.host, Header: call.outbound.header.Clone(),
-		ContentLength: int64(len(call.outbound.body)),
+		Method:        outbound.method,
+		URL:           outbound.url,
+		Host:          outbound.host,
+		Header:        outbound.header.Clone(),
+		ContentLength: int64(len(outbound.body)),
 	}
 	return p.exchange(attempt.ctx, attempt.upstream, attempt.deadline, req, attempt)
 }
 
-// checkHealth asks a server how it is.
+// checkHealth sends a health check. Its load report comes in a header or in the body.
 func (p *connPool) checkHealth(ctx context.Context, upstream *upstreamHost) exchangeResult {
 	req := &http.Request{
-		Method: http.MethodGet, URL: &url.URL{Path: p.healthCheckPath}, Host: upstream.address, Header: http.Header{},
+		Method: http.MethodGet,
+		URL:    &url.URL{Path: p.healthCheckPath},
+		Host:   upstream.address,
+		Header: http.Header{},
 	}
 	result := p.exchange(ctx, upstream, time.Now().Add(healthCheckTimeout), req, nil)
 	if len(result.loadReport) == 0 {
@@ -57,9 +68,9 @@
 	return result
 }
 
-// exchange writes a request once and reads its answer; a is nil for a probe. net/http's Transport would
-// send again by itself on a broken kept connection, which is one more attempt; here a request moves to
-// another connection only while its last byte has not been written.
+// exchange writes a request once and reads its response; attempt is nil for a health check. The request moves to another
+// connection only while its last byte is not written: net/http's Transport is not used, as it would send the request again
+// by itself when a reused connection breaks, which is one more attempt.
 func (p *connPool) exchange(ctx context.Context, upstream *upstreamHost, deadline time.Time, req *http.Request, attempt *attempt) exchangeResult {
 	writeDeadline := deadline
 	if attempt != nil {
@@ -70,27 +81,23 @@
 		if err != nil {
 			return exchangeResult{outcome: unsentResult(ctx, writeDeadline, err)}
 		}
-		stopAfterFunc := context.AfterFunc(ctx, func() { conn.SetDeadline(expiredDeadline) })
-		conn.SetReadDeadline(deadline)
-		conn.SetWriteDeadline(writeDeadline)
-		if ctx.Err() != nil {
-			conn.SetDeadline(expiredDeadline) // the lines above may have undone the cancel
-		}
+		stopCancel := cancelWithContext(ctx, conn, deadline, writeDeadline)
 		complete, err := writeRequest(conn, deadline, req, attempt)
 		if err != nil && !complete {
-			stopAfterFunc()
+			stopCancel()
 			p.discard(conn)
-			if reused && ctx.Err() == nil && errors.As(err, new(*net.OpError)) && time.Now().Before(writeDeadline) {
-				continue // the server closed it while idle; nothing of the request has run
+			closedWhileIdle := reused && errors.As(err, new(*net.OpError))
+			if closedWhileIdle && ctx.Err() == nil && time.Now().Before(writeDeadline) {
+				continue
 			}
 			return exchangeResult{outcome: unsentResult(ctx, writeDeadline, err)}
 		}
 		idleTime, writtenAt := conn.idleTime, time.Now()
-		result, reusable := p.readResponse(ctx, conn, deadline)
+		result, reusable := p.readResponse(ctx, conn)
 		if reused {
 			p.learnIdleTimeLimit(upstream, idleTime, result.outcome, time.Since(writtenAt))
 		}
-		if stopAfterFunc() && reusable {
+		if stopCancel() && reusable {
 			p.returnIdle(conn)
 		} else {
 			p.discard(conn)
@@ -99,12 +106,22 @@
 	}
 }
 
-// errObsolete: between decision and first byte the request was concluded, its time or that for a repeat ran out, or
-// its server was retired. It is checked last of all, as dialing takes time in which the list changes.
-var errObsolete = errors.New("not to be sent any more")
+// cancelWithContext sets the deadlines of a connection, and lets them expire when ctx ends. The returned function undoes
+// the latter; it reports false if ctx has ended. Setting a deadline fails only on a closed connection, which the next
+// read or write reports.
+func cancelWithContext(ctx context.Context, conn *upstreamConn, readDeadline, writeDeadline time.Time) (stop func() bool) {
+	stop = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(expiredDeadline) })
+	_ = conn.SetReadDeadline(readDeadline)
+	_ = conn.SetWriteDeadline(writeDeadline)
+	if ctx.Err() != nil {
+		_ = conn.SetDeadline(expiredDeadline) // the two lines above may have undone it
+	}
+	return stop
+}
 
-// writeRequest reports whether the last byte was written: only then may the request run.
-func writeRequest(conn *upstreamConn, deadline time.Time, req *http.Request, attempt *attempt) (bool, error) {
+// writeRequest writes a request, and reports whether it is completely written: only then may a server execute it. The
+// final check whether it is still to be sent is made here, as the endpoint list may change while a connection is dialed.
+func writeRequest(conn *upstreamConn, deadline time.Time, req *http.Request, attempt *attempt) (complete bool, err error) {
 	if attempt != nil {
 		attempt.call.writeMu.Lock()
 		defer attempt.call.writeMu.Unlock()
@@ -116,32 +133,41 @@
 	if conn.upstream.retired.Load() || remaining <= 0 {
 		return false, errObsolete
 	}
-	req.Header.Set("X-Timeout-Ms", strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
-	req.Body = http.NoBody
-	if attempt != nil && len(attempt.call.outbound.body) > 0 {
-		// Anew for each connection: the write before has used it up, and the request could not move on.
-		req.Body = io.NopCloser(bytes.NewReader(attempt.call.outbound.body))
-	}
-	if _, ok := req.Header["User-Agent"]; !ok {
-		req.Header["User-Agent"] = nil // none of our own
-	}
-	var buffer bytes.Buffer
-	if err := req.Write(&buffer); err != nil {
+	buffer, err := encodeRequest(req, attempt, remaining)
+	if err != nil {
 		return false, errObsolete
 	}
 	written, err := conn.Write(buffer.Bytes())
-	complete := written == buffer.Len()
+	complete = written == buffer.Len()
 	if complete && attempt != nil {
 		attempt.fullyWritten.Store(true)
 	}
 	return complete, err
 }
 
-// unsentResult is the result where the last byte was never written.
+// encodeRequest encodes a request with the time that remains for it.
+func encodeRequest(req *http.Request, attempt *attempt, remaining time.Duration) (*bytes.Buffer, error) {
+	req.Header.Set("X-Timeout-Ms", strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
+	req.Body = http.NoBody
+	if attempt != nil && len(attempt.call.outbound.body) > 0 {
+		// A new reader for each connection, as encoding consumes it.
+		req.Body = io.NopCloser(bytes.NewReader(attempt.call.outbound.body))
+	}
+	if _, ok := req.Header["User-Agent"]; !ok {
+		req.Header["User-Agent"] = nil // net/http would add its own
+	}
+	buffer := &bytes.Buffer{}
+	return buffer, req.Write(buffer)
+}
+
+// unsentResult is the result of an exchange whose request was not completely written.
 func unsentResult(ctx context.Context, writeDeadline time.Time, err error) balance.Result {
 	switch {
-	case ctx.Err() != nil, err == errObsolete, err == errNoSocketAvailable, !time.Now().Before(writeDeadline):
-		return balance.Obsolete // no fault of the server
+	case ctx.Err() != nil,
+		errors.Is(err, errObsolete),
+		errors.Is(err, errNoSocketAvailable),
+		!time.Now().Before(writeDeadline):
+		return balance.Obsolete // not the server's fault
 	default:
 		return balance.ConnectFailed
 	}
--- a/internal/sidecar/upstream_response.go
+++ b/internal/sidecar/upstream_response.go
@@ -12,21 +12,25 @@
 	"slices"
 	"strconv"
 	"strings"
-	"time"
 
 	"milldeck/balance"
 )
 
 const (
-	maxBody           = 64 << 10
-	maxResponseHeader = 32 << 10
+	maxBody             = 64 << 10 // of requests and responses
+	maxResponseHeader   = 32 << 10
+	maxInterimResponses = 5 // 1xx responses before the final one
 )
 
-var errBodyMemoryExhausted = errors.New("no memory is free")
+var (
+	errMalformedResponse   = errors.New("malformed response")
+	errBodyMemoryExhausted = errors.New("body memory is exhausted")
+)
 
-// readResponse reads the answer to a request that was written whole: what breaks from here on may have run.
-func (p *connPool) readResponse(ctx context.Context, conn *upstreamConn, deadline time.Time) (exchangeResult, bool) {
-	conn.limit.N = maxResponseHeader + 2*maxBody // a server that sends without end must not fill the memory
+// readResponse reads the response to a request that is completely written: if it fails, the server may have executed the
+// request. It also reports whether the connection can be reused.
+func (p *connPool) readResponse(ctx context.Context, conn *upstreamConn) (result exchangeResult, reusable bool) {
+	conn.limit.N = maxResponseHeader + 2*maxBody // an endless response must not fill the memory
 	status, header, err := readHeader(conn.reader)
 	var body []byte
 	reservedBytes := 0
@@ -34,43 +38,60 @@
 		body, reservedBytes, err = p.readBody(conn.reader, status, header)
 	}
 	if err != nil {
-		var timeout net.Error
-		switch {
-		case ctx.Err() != nil:
-			return exchangeResult{outcome: balance.Cancelled}, false
-		case errors.As(err, &timeout) && timeout.Timeout():
-			return exchangeResult{outcome: balance.TimedOut}, false
-		default:
-			return exchangeResult{outcome: balance.Reset}, false
-		}
+		return exchangeResult{outcome: brokenResult(ctx, err)}, false
 	}
-	result := exchangeResult{}
 	if load := header["X-Server-Load"]; len(load) == 1 {
 		result.loadReport = parseLoadReport(load[0], p.loadReportFields)
 	}
-	switch notProcessed := header.Get("X-Not-Processed") == "1"; {
-	case status == http.StatusOK:
-		result.response = response{status: http.StatusOK, contentType: header.Get("Content-Type"), body: body, reservedBytes: reservedBytes}
-	case notProcessed && (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout):
-		result.outcome = balance.Overloaded
-	default: // also 503 without the mark: it may have run
-		result.outcome = balance.Failed
-	}
-	if result.outcome != balance.OK {
+	result.outcome = outcomeOf(status, header)
+	if result.outcome == balance.OK {
+		result.response = response{
+			status:        http.StatusOK,
+			contentType:   header.Get("Content-Type"),
+			body:          body,
+			reservedBytes: reservedBytes,
+		}
+	} else {
 		p.bodyMemory.release(reservedBytes)
 	}
-	closes := slices.ContainsFunc(header["Connection"], func(value string) bool { return strings.Contains(strings.ToLower(value), "close") })
-	return result, !closes && conn.reader.Buffered() == 0
+	return result, !closesConnection(header) && conn.reader.Buffered() == 0
 }
 
-// errMalformedResponse: what came is no answer that can be told apart from anything else.
-var errMalformedResponse = errors.New("spoilt answer")
+// brokenResult is the result of an exchange whose response is incomplete.
+func brokenResult(ctx context.Context, err error) balance.Result {
+	var netErr net.Error
+	switch {
+	case ctx.Err() != nil:
+		return balance.Cancelled
+	case errors.As(err, &netErr) && netErr.Timeout():
+		return balance.TimedOut
+	default:
+		return balance.Reset
+	}
+}
 
-// maxInterimResponses bounds the 1xx answers ahead of the one that counts.
-const maxInterimResponses = 5
+// outcomeOf is the outcome of a complete response. A 503 or 504 proves that the server did not execute the request only
+// with X-Not-Processed.
+func outcomeOf(status int, header http.Header) balance.Result {
+	notProcessed := header.Get("X-Not-Processed") == "1"
+	switch {
+	case status == http.StatusOK:
+		return balance.OK
+	case notProcessed && (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout):
+		return balance.Overloaded
+	default:
+		return balance.Failed
+	}
+}
+
+func closesConnection(header http.Header) bool {
+	return slices.ContainsFunc(header["Connection"], func(value string) bool {
+		return strings.Contains(strings.ToLower(value), "close")
+	})
+}
 
-// readHeader reads the head of an answer, past those that only announce it. net/http's own reader would drop
-// a length that stands beside chunks.
+// readHeader reads the status and headers of a response and skips interim responses. net/http's reader is not used, as it
+// would ignore a Content-Length beside Transfer-Encoding.
 func readHeader(reader *bufio.Reader) (int, http.Header, error) {
 	lines := textproto.NewReader(reader)
 	for range maxInterimResponses {
@@ -78,93 +99,96 @@
 		if err != nil {
 			return 0, nil, err
 		}
-		version, rest, _ := strings.Cut(line, " ")
-		code, _, _ := strings.Cut(rest, " ")
-		status, err := strconv.ParseUint(code, 10, 16)
-		if version != "HTTP/1.1" || err != nil || len(code) != 3 || status < 100 {
-			return 0, nil, errMalformedResponse
+		status, err := parseStatusLine(line)
+		if err != nil {
+			return 0, nil, err
 		}
 		header, err := lines.ReadMIMEHeader()
 		switch {
-		case err == io.EOF:
+		case errors.Is(err, io.EOF):
 			return 0, nil, io.ErrUnexpectedEOF
 		case err != nil:
 			return 0, nil, err
-		case status == http.StatusSwitchingProtocols: // asked for by nobody
+		case status == http.StatusSwitchingProtocols: // the sidecar never asks for it
 			return 0, nil, errMalformedResponse
-		case status >= 200:
-			return int(status), http.Header(header), nil
+		case status >= http.StatusOK:
+			return status, http.Header(header), nil
 		}
 	}
 	return 0, nil, errMalformedResponse
 }
 
-// readBody reads all of a body, or fails: what is cut short, or has no one length, is never passed on. It
-// also returns what it holds of the memory for bodies.
+func parseStatusLine(line string) (status int, err error) {
+	version, rest, _ := strings.Cut(line, " ")
+	code, _, _ := strings.Cut(rest, " ")
+	number, err := strconv.ParseUint(code, 10, 16)
+	if version != "HTTP/1.1" || err != nil || len(code) != 3 || number < http.StatusContinue {
+		return 0, errMalformedResponse
+	}
+	return int(number), nil
+}
+
+// readBody reads a complete body. One that is cut short, or whose length is not given in exactly one way, is an error, so
+// that it is never passed on. It also returns how much of the body memory it has reserved, 0 on error.
 func (p *connPool) readBody(reader *bufio.Reader, status int, header http.Header) (body []byte, reservedBytes int, err error) {
-	transferEncodings, contentLengths := header["Transfer-Encoding"], header["Content-Length"]
-	maxBytes := maxBody
-	var source io.Reader
-	switch {
-	case status == http.StatusNoContent || status == http.StatusNotModified:
-		return nil, 0, errMalformedResponse // neither is asked for, and what follows has no length
-	case len(transferEncodings) == 1 && len(contentLengths) == 0 && strings.EqualFold(transferEncodings[0], "chunked"):
-		source = io.LimitReader(httputil.NewChunkedReader(reader), maxBody+1)
-	case len(transferEncodings) == 0 && len(contentLengths) == 1:
-		length, err := strconv.ParseUint(contentLengths[0], 10, 63)
-		if err != nil || length > maxBody {
-			return nil, 0, errMalformedResponse
-		}
-		maxBytes = int(length)
-		source = io.LimitReader(reader, int64(length))
-	default: // also none at all: it could be cut short unseen
-		return nil, 0, errMalformedResponse
+	length, chunked, err := bodyLength(status, header)
+	if err != nil {
+		return nil, 0, err
 	}
-	if !p.bodyMemory.reserve(maxBytes) {
+	if !p.bodyMemory.reserve(length) {
 		return nil, 0, errBodyMemoryExhausted
 	}
-	body, err = io.ReadAll(source) // grows with what comes, not with what is said
-	switch {
-	case err != nil:
-	case len(transferEncodings) > 0 && len(body) > maxBody:
-		err = errMalformedResponse
-	case len(transferEncodings) > 0:
-		_, err = textproto.NewReader(reader).ReadMIMEHeader() // the trailer
-	case len(body) < maxBytes:
-		err = io.ErrUnexpectedEOF
+	if chunked {
+		body, err = readChunked(reader)
+	} else {
+		body, err = readExactly(reader, length)
 	}
 	if err != nil {
-		p.bodyMemory.release(maxBytes)
+		p.bodyMemory.release(length)
 		return nil, 0, err
 	}
-	p.bodyMemory.release(maxBytes - len(body))
+	p.bodyMemory.release(length - len(body))
 	return body, len(body), nil
 }
 
-// maxReportValue is more than any figure of a report can be.
-const maxReportValue = 1e9
-
-// parseLoadReport reads "name=value,name=value" in the order of names; a report that lacks one, has one twice or
-// one that cannot be is none. The module keeps means over reports, in which a NaN would stay for ever.
-func parseLoadReport(text string, names []string) []float32 {
-	if text == "" || len(names) == 0 {
-		return nil
-	}
-	report, present := make([]float32, len(names)), make([]bool, len(names))
-	for pair := range strings.SplitSeq(strings.TrimSpace(text), ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		i := slices.Index(names, name)
-		if i < 0 {
-			continue
-		}
-		number, err := strconv.ParseFloat(value, 32)
-		if err != nil || !(number >= 0 && number <= maxReportValue) || present[i] {
-			return nil
+// bodyLength is the length of a body, or the most that a chunked one may have. A body without a length is an error, as it
+// could be cut short unnoticed.
+func bodyLength(status int, header http.Header) (length int, chunked bool, err error) {
+	transferEncodings, contentLengths := header["Transfer-Encoding"], header["Content-Length"]
+	switch {
+	case status == http.StatusNoContent || status == http.StatusNotModified: // the sidecar never asks for these
+		return 0, false, errMalformedResponse
+	case len(transferEncodings) == 1 && len(contentLengths) == 0 && strings.EqualFold(transferEncodings[0], "chunked"):
+		return maxBody, true, nil
+	case len(transferEncodings) == 0 && len(contentLengths) == 1:
+		length, err := strconv.ParseUint(contentLengths[0], 10, 63)
+		if err != nil || length > maxBody {
+			return 0, false, errMalformedResponse
 		}
-		report[i], present[i] = float32(number), true
+		return int(length), false, nil
+	default:
+		return 0, false, errMalformedResponse
+	}
+}
+
+// readChunked reads a chunked body and its trailer.
+func readChunked(reader *bufio.Reader) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(reader), maxBody+1))
+	if err != nil {
+		return nil, err
+	}
+	if len(body) > maxBody {
+		return nil, errMalformedResponse
 	}
-	if slices.Contains(present, false) {
-		return nil
+	_, err = textproto.NewReader(reader).ReadMIMEHeader()
+	return body, err
+}
+
+// readExactly reads a body of a known length. Its memory grows with what arrives, not with what is announced.
+func readExactly(reader *bufio.Reader, length int) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(reader, int64(length)))
+	if err == nil && len(body) < length {
+		err = io.ErrUnexpectedEOF
 	}
-	return report
+	return body, err
 }
