--- a/internal/hotkey/bench_test.go
+++ b/internal/hotkey/bench_test.go
@@ -10,7 +10,7 @@
 	"milldeck/internal/placement"
 )
 
-// BenchmarkFigures plays each figure over many seeds: go test -run xxx -bench Figures -benchtime 1x ./internal/hotkey
+// BenchmarkFigures measures the figures of docs/hot-keys.md over many seeds: go test -run xxx -bench Figures -benchtime 1x ./internal/hotkey
 func BenchmarkFigures(b *testing.B) {
 	const seeds = 200
 	for range b.N {
@@ -49,8 +49,8 @@
 	}
 }
 
-// BenchmarkPlan is one decision over 300 sidecars' reports of 32 keys each, with 8 keys spread over 2,000 servers; a
-// tenth of the reports is new each time.
+// BenchmarkPlan is one plan with reports of 32 keys from each of 300 sidecars, and 8 keys replicated over 2,000 servers;
+// a tenth of the reports is new each time.
 func BenchmarkPlan(b *testing.B) {
 	planner := newPlanner(DefaultConfig(testServerCapacity, testRequestWork))
 	var servers []Server
--- a/internal/hotkey/fixtures_test.go
+++ b/internal/hotkey/fixtures_test.go
@@ -69,8 +69,8 @@
 	return servers
 }
 
-// playFixture has a decider see a key that is hot for 9 s of 20 s, one server drained at 5 s. It returns all changes of
-// the placement and the decider as it is after stop steps of 250 ms.
+// playFixture plays a key that is hot for 9 s of 20 s, with one server drained at 5 s. It returns all changes of the
+// placement, and the planner as it is after stop steps of 250 ms.
 func playFixture(t *testing.T, stop int) ([]fixtureChange, *Planner) {
 	t.Helper()
 	planner, err := NewPlanner(DefaultConfig(1000, 50))
@@ -92,7 +92,7 @@
 				r := &placement.LoadReport{Sidecar: fmt.Sprint("sidecar-", i), PlacementRevision: revision, IntervalMS: 1000, TotalKeyLoad: load + 200,
 					HotKeys: []placement.KeyLoad{{KeyHash: FormatKey(fixtureKey), Load: load, ErrorBound: 2}, {KeyHash: FormatKey(7), Load: 20 + float64(i), ErrorBound: 1}}}
 				if !planner.AddReport(now, r) {
-					t.Fatalf("step %d: a report was not taken", step)
+					t.Fatalf("step %d: a report was rejected", step)
 				}
 			}
 		}
@@ -115,16 +115,16 @@
 	return changes, planner
 }
 
-// The entries that a decider writes into the placement keep their bytes.
+// The directives that a planner writes into the placement keep their bytes.
 func TestFixturePlacementChanges(t *testing.T) {
 	changes, planner := playFixture(t, 80)
 	golden(t, "placement-changes.jsonl", jsonLines(t, changes))
 	if len(planner.keys) != 0 || changes[len(changes)-1].RemoveID != DirectiveID(fixtureKey) {
-		t.Errorf("%d keys are left, want the key narrowed to nothing", len(planner.keys))
+		t.Errorf("%d keys are replicated, want none", len(planner.keys))
 	}
 }
 
-// The table on HTTP keeps its bytes, also that of a successor that reads the entries of the golden file.
+// The status over HTTP keeps its bytes, also that of a planner that was restored from the golden file's directives.
 func TestFixtureTableOverHTTP(t *testing.T) {
 	_, planner := playFixture(t, 18)
 	golden(t, "table.json", call(t, &Controller{planner: planner}, http.MethodGet, "/spread", http.StatusOK))
@@ -141,7 +141,7 @@
 		}
 		again, err := json.Marshal(change)
 		if err != nil || !bytes.Equal(again, bytes.TrimSpace(line)) {
-			t.Errorf("%s, %v, was read from %s", again, err, line)
+			t.Errorf("read %s, %v, from %s", again, err, line)
 		}
 		if change.AtMS <= fixtureStart*1000+4250 && change.Set != nil {
 			last = change
@@ -165,7 +165,7 @@
 	golden(t, "placement-resumed.jsonl", jsonLines(t, changes))
 }
 
-// The other answers on HTTP keep their bytes.
+// The other answers over HTTP keep their bytes.
 func TestFixtureHTTPAnswers(t *testing.T) {
 	_, planner := playFixture(t, 18)
 	controller := &Controller{Config: DefaultConfig(1000, 50)}
@@ -182,7 +182,7 @@
 	call(t, controller, http.MethodPost, "/spread", http.StatusMethodNotAllowed)
 }
 
-// call asks a driver's handler and returns the body of its answer.
+// call requests something of a controller's handler, and returns the body of the answer.
 func call(t *testing.T, controller *Controller, method, target string, status int) []byte {
 	t.Helper()
 	w := httptest.NewRecorder()
--- a/internal/hotkey/process_test.go
+++ b/internal/hotkey/process_test.go
@@ -25,17 +25,17 @@
 
 func TestMain(m *testing.M) { proctest.Main(m) }
 
-// processCluster is three replicas and two deciders as processes, two agents, and thirty sidecars that report to these over sockets.
-// The first decider holds the duty.
+// processCluster is three registry replicas and two controllers as processes, two agents, and thirty sidecars that report
+// to these over sockets. The first controller holds the lease.
 type processCluster struct {
 	*testing.T
 	ctx             context.Context
 	registryCluster *cluster.Cluster
 	client          *registry.Client
 	controllers     []*proc.Process
-	controllerAddrs []string // their addresses
+	controllerAddrs []string
 	hotKey          atomic.Uint64
-	loseReports     atomic.Bool  // each second report of a sidecar is lost
+	loseReports     atomic.Bool  // every second report of a sidecar is lost
 	incarnation     atomic.Int64 // of the sidecars: they restart when it changes
 }
 
@@ -49,7 +49,7 @@
 	t.Cleanup(block.Release)
 	program, dir := proctest.Program(t, "milldeck"), t.TempDir()
 	c.registryCluster, err = cluster.Start(ctx, 3, cluster.Options{Program: program, DataDir: dir, Addresses: block})
-	t.Cleanup(func() { c.registryCluster.Close() })
+	t.Cleanup(func() { _ = c.registryCluster.Close() }) // replicas that the test killed end with an error
 	c.noError(err)
 	c.client, err = c.registryCluster.Client()
 	c.noError(err)
@@ -63,7 +63,7 @@
 	c.noError(err)
 	for n := range 2 {
 		addr := block.Addr(210, n, 8520)
-		p, err := proc.Start(proc.Spec{Name: fmt.Sprint("decider ", n), Path: program, Log: filepath.Join(dir, fmt.Sprint("decider", n)),
+		p, err := proc.Start(proc.Spec{Name: fmt.Sprint("controller ", n), Path: program, Log: filepath.Join(dir, fmt.Sprint("controller", n)),
 			Args: []string{"spread", "serve", "--listen", addr, "--replicas", strings.Join(c.registryCluster.HTTPAddrs(), ","), "--cold-for", "0s"}})
 		c.noError(err)
 		t.Cleanup(p.Kill)
@@ -76,7 +76,7 @@
 	for n := range 2 {
 		a, err := agent.Start(agent.Options{Listen: block.Addr(201, n, 8500), Replicas: c.registryCluster.HTTPAddrs(), ReportAddresses: c.controllerAddrs})
 		c.noError(err)
-		t.Cleanup(func() { a.Close() })
+		t.Cleanup(func() { c.noError(a.Close()) })
 		for i := range 15 {
 			background.Go(func() { c.runSidecar(a.Addr(), fmt.Sprint("car-", n, "-", i), n+i == 0) })
 		}
@@ -108,7 +108,7 @@
 	}
 }
 
-// call calls a decider; false where it does not answer 200.
+// call requests something and decodes the answer; false where that isn't 200.
 func (c *processCluster) call(method, url string, v any) bool {
 	req, err := http.NewRequestWithContext(c.ctx, method, url, nil)
 	c.noError(err)
@@ -120,7 +120,7 @@
 	return resp.StatusCode == http.StatusOK && json.NewDecoder(resp.Body).Decode(v) == nil
 }
 
-// replicatedShare is the part of a key that copies carry by the placement, and by which servers.
+// replicatedShare is the fraction of a key's load that replicas take by the placement, and their servers.
 func (c *processCluster) replicatedShare(key uint64) (share float64, servers []string) {
 	directives, err := c.client.PlacementView(c.ctx, false)
 	if err != nil {
@@ -137,20 +137,20 @@
 	return share, servers
 }
 
-// runSidecar reports once a second what it sees of the hot key, and the revision that its agent has. One that tells
-// nonsense makes up a key of its own.
+// runSidecar reports the load of the hot key once a second, and the revision that its agent has. One that misreports
+// reports a key of its own.
 func (c *processCluster) runSidecar(addr, name string, misreports bool) {
 	for n := 0; c.ctx.Err() == nil; n++ {
 		var directives placement.Update
 		if !c.call(http.MethodGet, "http://"+addr+"/registry/placement", &directives) {
-			directives = placement.Update{} // nothing is known there yet
+			directives = placement.Update{} // the agent has none yet
 		}
 		report := placement.LoadReport{Sidecar: fmt.Sprint(name, "-", c.incarnation.Load()), PlacementRevision: directives.Revision, PlacementEpoch: directives.Epoch, IntervalMS: 1000, TotalKeyLoad: 900,
 			HotKeys: []placement.KeyLoad{{KeyHash: hotkey.FormatKey(c.hotKey.Load()), Load: 300}}}
 		if misreports {
 			report.TotalKeyLoad, report.HotKeys = 7000, []placement.KeyLoad{{KeyHash: hotkey.FormatKey(999), Load: 7000}}
 		}
-		if data, err := json.Marshal(report); err == nil && !(c.loseReports.Load() && (n+len(name))%2 == 0) {
+		if data, err := json.Marshal(report); err == nil && (!c.loseReports.Load() || (n+len(name))%2 != 0) {
 			if resp, err := http.Post("http://"+addr+"/registry/report", "application/json", bytes.NewReader(data)); err == nil {
 				resp.Body.Close()
 			}
@@ -162,16 +162,16 @@
 	}
 }
 
-// Case 9: a key takes a third of all load, then another does; the decider is killed while copies of that warm, and the
-// leader of the list service with it; half of the reports are lost; a sidecar reports nonsense.
+// A key takes a third of all load, then another does; the controller is killed while replicas of that warm up, and the
+// registry's leader with it; half of the reports are lost; a sidecar misreports. This is case 9 of the lab.
 func TestHotKeysSurviveControllerAndLeaderLoss(t *testing.T) {
 	cluster := newProcessCluster(t)
 	cluster.hotKey.Store(1)
-	cluster.waitUntil("copies of the first key carry", func() bool { share, _ := cluster.replicatedShare(1); return share > 0.5 })
+	cluster.waitUntil("active replicas of the first key", func() bool { share, _ := cluster.replicatedShare(1); return share > 0.5 })
 	before, _ := cluster.replicatedShare(1)
 	cluster.loseReports.Store(true)
 	cluster.hotKey.Store(2)
-	cluster.waitUntil("copies of the second key warm", func() bool {
+	cluster.waitUntil("replicas of the second key that warm up", func() bool {
 		var statuses []hotkey.KeyStatus
 		return cluster.call(http.MethodGet, "http://"+cluster.controllerAddrs[0]+"/spread", &statuses) && slices.ContainsFunc(statuses, func(r hotkey.KeyStatus) bool {
 			return r.Key == hotkey.FormatKey(2) && r.Warming > 0
@@ -182,40 +182,40 @@
 	cluster.controllers[0].Kill()
 	leader.Process.Kill()
 	if share, _ := cluster.replicatedShare(1); share < 0.5*before {
-		cluster.Errorf("with the decider dead %v is carried of the first key, %v before", share, before)
+		cluster.Errorf("without the controller replicas take %v of the first key, %v before", share, before)
 	}
 	cluster.waitLog(1, "what=acquired")
-	cluster.waitUntil("copies of the second key carry", func() bool { share, _ := cluster.replicatedShare(2); return share > 0.4 })
+	cluster.waitUntil("active replicas of the second key", func() bool { share, _ := cluster.replicatedShare(2); return share > 0.4 })
 	if _, servers := cluster.replicatedShare(999); len(servers) > 0 {
-		cluster.Errorf("one sidecar alone has a key carried by %v", servers)
+		cluster.Errorf("a key that a single sidecar reports has replicas on %v", servers)
 	}
 }
 
-// Case 10: servers with warm copies are drained, then lost with others, while all sidecars restart.
+// Servers with active replicas are drained, then lost with others, while all sidecars restart. This is case 10 of the lab.
 func TestActiveReplicasDrainedThenServersLost(t *testing.T) {
 	cluster := newProcessCluster(t)
 	cluster.hotKey.Store(1)
 	var servers []string
-	cluster.waitUntil("copies carry", func() bool {
+	cluster.waitUntil("active replicas", func() bool {
 		var share float64
 		share, servers = cluster.replicatedShare(1)
 		return share > 0.5 && len(servers) >= 4
 	})
 	cluster.incarnation.Add(1)
 	for _, uid := range servers[:2] {
-		cluster.waitUntil(uid+" is emptied", func() bool {
+		cluster.waitUntil(uid+" is drained", func() bool {
 			var l hotkey.DrainStatus
 			return cluster.call(http.MethodPost, "http://"+cluster.controllerAddrs[0]+"/spread/leave?uid="+uid, &l) && l.Drained
 		})
 		if share, _ := cluster.replicatedShare(1); share < 0.4 {
-			cluster.Errorf("%s is emptied and %v is carried", uid, share)
+			cluster.Errorf("%s is drained, and replicas take %v", uid, share)
 		}
 	}
 	for _, uid := range servers[:4] {
 		_, err := cluster.client.Deregister(cluster.ctx, registry.WriteOptions{}, uid)
 		cluster.noError(err)
 	}
-	cluster.waitUntil("others carry for those lost", func() bool {
+	cluster.waitUntil("active replicas in place of those lost", func() bool {
 		share, now := cluster.replicatedShare(1)
 		return share > 0.5 && !slices.ContainsFunc(servers[:4], func(uid string) bool { return slices.Contains(now, uid) })
 	})
--- a/internal/hotkey/simulated_fleet_test.go
+++ b/internal/hotkey/simulated_fleet_test.go
@@ -19,25 +19,26 @@
 	"milldeck/internal/placement"
 )
 
-const unixStart = 1e9 // s, of the virtual clock's start
+const unixStart = 1e9 // Unix time in s at which the virtual clock starts
 
-// simulatedController is a Decider over the sidecars of a simulated fleet, with a placement that each gets a little later.
+// simulatedController is a Planner over the sidecars of a simulated fleet, and the placement that each gets a little later.
 type simulatedController struct {
 	planner    *hotkey.Planner
-	nextPlanMS float64 // ms: the next decision
+	nextPlanMS float64
 	revision   uint64
 	entries    map[string]placement.Directive
 	sidecars   []*simulatedSidecar
 }
 
-// simulatedSidecar is a sidecar's instance of the module, which sums up heat, reports and gets the placement between its events.
+// simulatedSidecar is a sidecar's instance of the decision module. It measures key loads, reports them and gets the
+// placement between its events.
 type simulatedSidecar struct {
 	sim.Instance
 	controller     *simulatedController
 	name           string
 	sketch         *topk.Sketch
-	nextReportMS   float64 // ms: its next report
-	placementDueMS float64 // ms: when it hears of the placement; +Inf: it has it
+	nextReportMS   float64
+	placementDueMS float64 // when it gets the placement; +Inf: it has it
 	revision       uint64
 	actions        []balance.Action
 }
@@ -113,7 +114,8 @@
 	return c.actions, err
 }
 
-// fleetExperiment is experiments/fleet.toml without its faults, for 12 s from a cold start, with other figures.
+// fleetExperiment is experiments/fleet.toml without its faults, for 12 s from a start with empty caches, with other
+// sidecars, rate and skew.
 func fleetExperiment(b *testing.B, sidecars, rate int, skew float64) *lab.File {
 	data, err := os.ReadFile("../../experiments/fleet.toml")
 	if err != nil {
@@ -129,8 +131,8 @@
 	return f
 }
 
-// BenchmarkFleet plays the module in a simulated fleet of 200 servers without a spreader and with one, and tells the
-// worth served: go test -run xxx -bench Fleet -benchtime 1x ./internal/hotkey
+// BenchmarkFleet plays the module in a simulated fleet of 200 servers without replicated keys and with them, and reports
+// the weighted share of requests served: go test -run xxx -bench Fleet -benchtime 1x ./internal/hotkey
 func BenchmarkFleet(b *testing.B) {
 	for _, day := range []struct {
 		name           string
@@ -182,7 +184,7 @@
 	return &simulatedController{planner: planner, entries: map[string]placement.Directive{}}
 }
 
-// newSidecar makes one sidecar's.
+// newSidecar wraps the module instance of one sidecar.
 func (c *simulatedController) newSidecar(number int, config balance.Config) (sim.Instance, error) {
 	module, err := balance.New(config)
 	sidecar := &simulatedSidecar{Instance: module, controller: c, name: fmt.Sprint("car", number), sketch: topk.New(64, 0.7), nextReportMS: float64(number%100) * 10, placementDueMS: math.Inf(1)}
