--- a/cmd/milldeck/releasetell.go
+++ b/cmd/milldeck/releasetell.go
@@ -83,9 +83,9 @@
 }
 
 // newReleaseTell makes a command that tells a release something. It counts once the release's controller has read it.
-func newReleaseTell(what, short string) *cobra.Command {
+func newReleaseTell(what release.Action, short string) *cobra.Command {
 	var by, why string
-	c := asks(what+" NAME", short, 1, func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
+	c := asks(string(what)+" NAME", short, 1, func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
 		res, err := client.WriteRelease(ctx, registry.WriteOptions{}, args[0], release.Operation{Command: &release.Command{Action: what, Operator: "operator/" + by, Reason: why}})
 		if err != nil {
 			return err
--- a/internal/lab/controlplane/faults.go
+++ b/internal/lab/controlplane/faults.go
@@ -185,11 +185,11 @@
 // people do what crosses what is under way.
 func (w *world) people(at func() int64) {
 	r := w.rng
-	tell := func(name, what string) func() {
+	tell := func(name string, action release.Action) func() {
 		return func() {
 			if w.plane.leads() {
 				w.plane.rev++
-				_ = w.plane.releases.Apply(w.plane.rev, &release.Operation{Name: name, Command: &release.Command{Action: what, Operator: "operator/eva"}})
+				_ = w.plane.releases.Apply(w.plane.rev, &release.Operation{Name: name, Command: &release.Command{Action: action, Operator: "operator/eva"}})
 			}
 		}
 	}
--- a/internal/release/analysis.go
+++ b/internal/release/analysis.go
@@ -5,8 +5,8 @@
 	"milldeck/internal/release/plan"
 )
 
-// What is tolerated where a plan does not say. Shares of requests; restarts of a unit in a second; memory relative. They
-// are set so that a wave of a few units at some ten requests a second each passes within a minute or two.
+// Tolerances where a plan sets none: shares of requests, restarts of a unit in a second, memory relative to the previous
+// version. With them a wave of a few units passes within a minute or two at some ten requests a second each.
 const (
 	defaultServedTolerance  = 0.02
 	defaultLateTolerance    = 0.02
@@ -17,28 +17,39 @@
 	defaultFalseAlarmRate   = 0.01
 )
 
-// judgeSettings are a judge's settings for one watch of a plan, of so many classes × zones: the plan's false alarms are
-// shared among its watches, which are two of each wave, and one more each time that it is widened.
+// analysesPerWave is how many analyses a wave has, besides one more for each unit that extends it: one while its units are
+// updated, one while it bakes.
+const analysesPerWave = 2
+
+// judgeSettings are the settings of one of a release's analyses, over so many strata (classes × zones). The plan's
+// false-alarm rate is shared evenly among all of the release's analyses.
 func judgeSettings(releasePlan *plan.Plan, strata int) judge.Settings {
-	valueOrDefault := func(value *float64, fallback float64) float64 {
-		if value == nil {
-			return fallback
-		}
-		return *value
-	}
-	guards, analyses := &releasePlan.Guards, 0
+	analyses := 0
 	for _, wave := range releasePlan.Waves {
-		analyses += 2 + wave.MaxExtraUnits
+		analyses += analysesPerWave + wave.MaxExtraUnits
 	}
+	guards := &releasePlan.Guards
 	return judge.Settings{
-		ServedTolerance: valueOrDefault(guards.ServedTolerance, defaultServedTolerance), LateTolerance: valueOrDefault(guards.LateTolerance, defaultLateTolerance), FailedTolerance: valueOrDefault(guards.FailedTolerance, defaultFailedTolerance),
-		LatencyTolerance: valueOrDefault(guards.LatencyTolerance, defaultLatencyTolerance), RestartTolerance: valueOrDefault(guards.RestartTolerance, defaultRestartTolerance), MemoryTolerance: valueOrDefault(guards.MemoryTolerance, defaultMemoryTolerance),
-		FalseAlarmRate: valueOrDefault(guards.FalseAlarmRate, defaultFalseAlarmRate) / float64(analyses), Strata: strata,
+		ServedTolerance:  valueOr(guards.ServedTolerance, defaultServedTolerance),
+		LateTolerance:    valueOr(guards.LateTolerance, defaultLateTolerance),
+		FailedTolerance:  valueOr(guards.FailedTolerance, defaultFailedTolerance),
+		LatencyTolerance: valueOr(guards.LatencyTolerance, defaultLatencyTolerance),
+		RestartTolerance: valueOr(guards.RestartTolerance, defaultRestartTolerance),
+		MemoryTolerance:  valueOr(guards.MemoryTolerance, defaultMemoryTolerance),
+		FalseAlarmRate:   valueOr(guards.FalseAlarmRate, defaultFalseAlarmRate) / float64(analyses),
+		Strata:           strata,
 	}
 }
 
-// WaveAnalysis is a controller's watch of a release. While a wave goes out it looks for harm alone; once the wave is at rest a
-// watch begins anew, so that a pass rests on what all of its units have done. It is soft: a successor begins anew too.
+func valueOr(value *float64, fallback float64) float64 {
+	if value == nil {
+		return fallback
+	}
+	return *value
+}
+
+// WaveAnalysis is a controller's analysis of the wave that a release is in. It starts over with each wave, and again when
+// the wave's bake begins, so that a pass rests on the traffic of all its units. It is not stored: a successor starts over.
 type WaveAnalysis struct {
 	strata      int
 	judge       *judge.Judge
@@ -47,21 +58,24 @@
 	last        judge.Verdict
 }
 
-// NewWaveAnalysis makes a watch of so many classes × zones.
+// NewWaveAnalysis makes an analysis over so many strata (classes × zones).
 func NewWaveAnalysis(strata int) *WaveAnalysis { return &WaveAnalysis{strata: strata} }
 
-// Add takes an interval in and says how the wave stands.
+// Add takes an interval and returns the verdict on the wave so far.
 func (a *WaveAnalysis) Add(state *State, interval judge.Interval) judge.Verdict {
-	if a.judge == nil || a.wave != state.Status.Wave || a.bakeStartMS != state.Status.BakeStartMS {
-		a.judge, a.wave, a.bakeStartMS = judge.New(judgeSettings(state.Plan, a.strata)), state.Status.Wave, state.Status.BakeStartMS
+	if !a.covers(state) {
+		a.judge = judge.New(judgeSettings(state.Plan, a.strata))
+		a.wave = state.Status.Wave
+		a.bakeStartMS = state.Status.BakeStartMS
 	}
 	a.last = a.judge.Add(interval)
 	return a.last
 }
 
-// Verdict is the last one, of the wave and bake that the release stands in; none where it has gone on since.
+// Verdict is the latest verdict, without an outcome if the release has entered another wave or bake since. A wave passes
+// only in its bake.
 func (a *WaveAnalysis) Verdict(state *State) judge.Verdict {
-	if a.judge == nil || a.wave != state.Status.Wave || a.bakeStartMS != state.Status.BakeStartMS {
+	if !a.covers(state) {
 		return judge.Verdict{}
 	}
 	if a.bakeStartMS == 0 && a.last.Outcome == judge.Pass {
@@ -69,3 +83,8 @@
 	}
 	return a.last
 }
+
+// covers reports whether the analysis is of the wave and bake that the release is in.
+func (a *WaveAnalysis) covers(state *State) bool {
+	return a.judge != nil && a.wave == state.Status.Wave && a.bakeStartMS == state.Status.BakeStartMS
+}
--- a/internal/release/command.go
+++ b/internal/release/command.go
@@ -8,56 +8,95 @@
 	"milldeck/internal/release/plan"
 )
 
-// handleCommands takes in what operators have said since, in their order.
+// guardOperator is who halts a release where no operator does. It is stored in Status.HaltedBy.
+const guardOperator = "guard"
+
+// reasonByHand is stored where an operator gave no reason.
+const reasonByHand = "by hand"
+
+// handleCommands handles the operators' commands that are new, in their order. One that does not fit the phase is ignored.
 func (r *reconciler) handleCommands() {
 	for ; r.status.HandledCommands < len(r.view.Commands); r.status.HandledCommands++ {
-		command := r.view.Commands[r.status.HandledCommands]
-		switch phase := r.status.Phase; {
-		case command.Action == CommandHalt && phase == PhaseRollout:
-			r.halt(command.Operator, cmp.Or(command.Reason, "by hand"), plan.OnHaltHold)
-		case command.Action == CommandResume && phase == PhaseHalted:
-			r.status.Phase, r.status.HaltedBy, r.status.HaltReason, r.status.BakeStartMS = PhaseRollout, "", "", 0
-		case command.Action == CommandRollback && (phase == PhaseRollout || phase == PhaseHalted || phase == PhaseCompleted) && !r.status.Finalized:
-			r.halt(command.Operator, cmp.Or(command.Reason, "by hand"), plan.OnHaltRollback)
+		r.handleCommand(r.view.Commands[r.status.HandledCommands])
+	}
+}
+
+func (r *reconciler) handleCommand(command Command) {
+	reason := cmp.Or(command.Reason, reasonByHand)
+	switch command.Action {
+	case CommandHalt:
+		if r.status.Phase == PhaseRollout {
+			r.halt(command.Operator, reason, plan.OnHaltHold)
+		}
+	case CommandResume:
+		if r.status.Phase == PhaseHalted {
+			r.status.Phase = PhaseRollout
+			r.status.HaltedBy = ""
+			r.status.HaltReason = ""
+			r.status.BakeStartMS = 0
+		}
+	case CommandRollback:
+		if r.canRollBack() {
+			r.halt(command.Operator, reason, plan.OnHaltRollback)
 		}
 	}
 }
 
-// checkGuards halts by what is seen: a verdict of harm, a unit that does not come up, the deadline.
+func (r *reconciler) canRollBack() bool {
+	if r.status.Finalized {
+		return false
+	}
+	phase := r.status.Phase
+	return phase == PhaseRollout || phase == PhaseHalted || phase == PhaseCompleted
+}
+
+// checkGuards halts a rollout whose new version regresses, or whose deadline is over.
 func (r *reconciler) checkGuards() {
 	if r.status.Phase != PhaseRollout {
 		return
 	}
+	policy := r.release.Plan.OnHalt
 	if r.view.Verdict.Outcome == judge.Regression && !r.release.DrainOnly {
-		r.halt("guard", r.view.Verdict.Reason, r.release.Plan.OnHalt)
+		r.halt(guardOperator, r.view.Verdict.Reason, policy)
 		return
 	}
-	if float64(r.view.NowMS-r.release.StartedAtMS) > 1000*r.release.Plan.DeadlineSeconds {
-		r.halt("guard", fmt.Sprintf("the deadline of %v s is over", r.release.Plan.DeadlineSeconds), r.release.Plan.OnHalt)
+	deadline := r.release.Plan.DeadlineSeconds
+	if float64(r.view.NowMS-r.release.StartedAtMS) > 1000*deadline {
+		r.halt(guardOperator, fmt.Sprintf("the deadline of %v s is over", deadline), policy)
 	}
 }
 
-// halt stops the way forward at once. What has not been stopped yet comes back; what was stopped starts as it was; what
-// has been started already is left to come up, but where everything goes back.
-func (r *reconciler) halt(haltedBy, reason, onHalt string) {
-	r.status.HaltedBy, r.status.HaltReason, r.status.BakeStartMS, r.status.StalledSinceMS = haltedBy, reason, 0, 0
+// halt ends the rollout at once. Under plan.OnHaltRollback every unit returns to its previous image. Otherwise a unit that
+// has not been stopped yet returns, and one that is being started or reloaded finishes.
+func (r *reconciler) halt(haltedBy, reason string, policy plan.HaltPolicy) {
+	r.status.HaltedBy = haltedBy
+	r.status.HaltReason = reason
+	r.status.BakeStartMS = 0
+	r.status.StalledSinceMS = 0
 	r.status.Phase = PhaseHalted
-	if onHalt == plan.OnHaltRollback && !r.release.DrainOnly {
+	if policy == plan.OnHaltRollback && !r.release.DrainOnly {
 		r.status.Phase = PhaseRollback
 	}
 	for i := range r.release.Units {
 		unit := r.unit(i)
-		switch {
-		case r.status.Phase == PhaseRollback:
-			r.setUnit(i, r.rollbackUnit(unit))
-		case unit.Stage == StageStarting || unit.Stage == StageReloading || unit.Stage == StageWarmingUp || r.release.DrainOnly && unit.Stage == StageStopping:
-		case unit.inProgress():
+		if r.status.Phase == PhaseRollback || unit.inProgress() && !r.finishesUnderHalt(unit.Stage) {
 			r.setUnit(i, r.rollbackUnit(unit))
 		}
 	}
 }
 
-// rollbackUnit sends a unit back, from wherever it is.
+// finishesUnderHalt reports whether a unit at this stage goes on while the release is halted: it has been changed already.
+func (r *reconciler) finishesUnderHalt(stage Stage) bool {
+	switch stage {
+	case StageStarting, StageReloading, StageWarmingUp:
+		return true
+	case StageStopping:
+		return r.release.DrainOnly
+	}
+	return false
+}
+
+// rollbackUnit turns a unit towards its previous image, at whatever stage it is.
 func (r *reconciler) rollbackUnit(unit Unit) Unit {
 	if unit.Rollback {
 		return unit
@@ -66,14 +105,16 @@
 	case StagePending:
 		return unit
 	case StageRequestingPermit, StagePreparing, StageBeginningDisruption, StageDraining, StageCancelling:
-		// Its permit is given back. What it runs was not touched.
-		unit.Stage = StageCancelling
+		unit.Stage = StageCancelling // it has not been changed: its permit is cancelled
 		return unit
 	case StageConverged, StageFailed:
-		unit.Stage = StagePending // by a permit of its own
-	default: // the permit that it is under is for this too
-		unit.Stage = r.release.replacementStage()
+		unit.Stage = StagePending // it returns under a permit of its own
+	default:
+		unit.Stage = r.release.replacementStage() // it is out, and returns under the permit that it has
 	}
-	unit.Rollback, unit.FailedStarts, unit.Request, unit.StageSinceMS = true, 0, nil, r.view.NowMS
+	unit.Rollback = true
+	unit.FailedStarts = 0
+	unit.Request = nil
+	unit.StageSinceMS = r.view.NowMS
 	return unit
 }
--- a/internal/release/faults_test.go
+++ b/internal/release/faults_test.go
@@ -245,7 +245,7 @@
 			crashed[n] = true
 		}
 		if i < 400 && rng.IntN(80) == 0 {
-			model.apply(&Operation{Name: "r", Command: &Command{Action: []string{CommandHalt, CommandResume}[rng.IntN(2)], Operator: "operator/eva"}})
+			model.apply(&Operation{Name: "r", Command: &Command{Action: []Action{CommandHalt, CommandResume}[rng.IntN(2)], Operator: "operator/eva"}})
 		}
 		if i > 400 && state.Status.Phase == PhaseHalted && i%50 == 0 {
 			model.apply(&Operation{Name: "r", Command: &Command{Action: CommandRollback, Operator: "operator/eva"}})
--- a/internal/release/interval.go
+++ b/internal/release/interval.go
@@ -10,14 +10,12 @@
 	"milldeck/internal/supervisor"
 )
 
-// CohortID is the placement's entry that has sidecars count the new version's servers apart.
-func (s *State) CohortID() string { return "cohort/" + s.Name }
-
-// UpdatedUnits are the names of the units that are on the new version, or on their way up on it, in order.
+// UpdatedUnits are the names of the units that run the target image or are warming up on it, sorted.
 func (s *State) UpdatedUnits() []string {
 	var names []string
 	for i := range s.Units {
-		if unit := &s.Units[i]; !unit.Rollback && (unit.Stage == StageConverged || unit.Stage == StageWarmingUp) {
+		unit := &s.Units[i]
+		if !unit.Rollback && (unit.Stage == StageConverged || unit.Stage == StageWarmingUp) {
 			names = append(names, unit.Name)
 		}
 	}
@@ -25,50 +23,73 @@
 	return names
 }
 
-// Interval makes an interval for the judge of reports that came in one second, one of each sidecar at most, and of units
-// as the platform lists them. Expected is how many sidecars live. For servers the reports' cohorts say what met the new
-// version, for sidecars who reports. Restarts are those since the list before.
-func (s *State) Interval(reports []placement.LoadReport, expected int, previousList, currentList *supervisor.List) judge.Interval {
+// Interval makes the judge's observation of one interval, from the load reports that arrived in it (one of each sidecar at
+// most), the number of live sidecars, which are expected to report, and the platform's lists before and after it. Either
+// list may be nil.
+func (s *State) Interval(
+	reports []placement.LoadReport, expected int, previousList, currentList *supervisor.List,
+) judge.Interval {
 	updated := map[string]bool{}
 	for _, name := range s.UpdatedUnits() {
 		updated[name] = true
 	}
-	servers := s.unitKind() == disruption.KindServer
-	samples := map[[2]string]*judge.ClassSample{}
+	return judge.Interval{
+		ExpectedReports: expected,
+		ReceivedReports: len(reports),
+		Classes:         s.classSamples(reports, updated),
+		Zones:           s.zoneSamples(updated, previousList, currentList),
+	}
+}
+
+// stratum is a class of requests in a zone.
+type stratum struct{ zone, class string }
+
+// classSamples sums the reports' counts by zone and class, updated units against the others, sorted.
+func (s *State) classSamples(reports []placement.LoadReport, updated map[string]bool) []judge.ClassSample {
+	samples := map[stratum]*judge.ClassSample{}
 	for i := range reports {
-		report := &reports[i]
-		for j := range report.ClassCounts {
-			count := &report.ClassCounts[j]
-			zone, canary := count.Zone, updated[report.Sidecar]
-			switch {
-			case !servers:
-				zone = report.Zone // a sidecar is compared with those beside it
-			case count.Cohort != "" && count.Cohort != s.Name:
-				continue // what another release moves is neither
-			default:
-				canary = count.Cohort == s.Name
+		for j := range reports[i].ClassCounts {
+			count := &reports[i].ClassCounts[j]
+			zone, canary, ok := s.attribute(&reports[i], count, updated)
+			if !ok {
+				continue
 			}
-			key := [2]string{zone, count.Class}
-			pair := samples[key]
-			if pair == nil {
-				pair = &judge.ClassSample{Class: count.Class, Zone: zone}
-				samples[key] = pair
+			key := stratum{zone, count.Class}
+			sample := samples[key]
+			if sample == nil {
+				sample = &judge.ClassSample{Class: count.Class, Zone: zone}
+				samples[key] = sample
 			}
-			side := &pair.Baseline
+			side := &sample.Baseline
 			if canary {
-				side = &pair.Canary
+				side = &sample.Canary
 			}
 			addCounts(side, count)
 		}
 	}
-	interval := judge.Interval{ExpectedReports: expected, ReceivedReports: len(reports), Zones: s.zoneSamples(updated, previousList, currentList)}
-	for _, pair := range samples {
-		interval.Classes = append(interval.Classes, *pair)
+	var sorted []judge.ClassSample
+	for _, sample := range samples {
+		sorted = append(sorted, *sample)
 	}
-	slices.SortFunc(interval.Classes, func(a, b judge.ClassSample) int {
+	slices.SortFunc(sorted, func(a, b judge.ClassSample) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Class, b.Class))
 	})
-	return interval
+	return sorted
+}
+
+// attribute says in which zone a count is compared, and whether it is of an updated unit. In a release of servers the
+// count's cohort says so, and counts of another release's cohort are not ok. In a release of sidecars the reporter does,
+// and is compared with the sidecars of its own zone.
+func (s *State) attribute(
+	report *placement.LoadReport, count *placement.ClassCount, updated map[string]bool,
+) (zone string, canary, ok bool) {
+	if s.unitKind() != disruption.KindServer {
+		return report.Zone, updated[report.Sidecar], true
+	}
+	if count.Cohort != "" && count.Cohort != s.Name {
+		return "", false, false
+	}
+	return count.Zone, count.Cohort == s.Name, true
 }
 
 func addCounts(total *judge.Counts, count *placement.ClassCount) {
@@ -83,38 +104,46 @@
 	}
 }
 
-// zoneSamples counts units and their restarts by zone, the new and the old of the release's kind. Memory is not known here.
+// zoneSamples counts the live units of the release's kind and their restarts by zone, updated units against the others,
+// sorted. Memory is not known here.
 func (s *State) zoneSamples(updated map[string]bool, previousList, currentList *supervisor.List) []judge.ZoneSample {
 	if currentList == nil {
 		return nil
 	}
-	zones := map[string]*judge.ZoneSample{}
+	samples := map[string]*judge.ZoneSample{}
 	for i := range currentList.Units {
 		unit := &currentList.Units[i]
 		if unit.Kind != s.platformKind() || unit.State != supervisor.Running && unit.State != supervisor.Starting {
 			continue
 		}
-		sample := zones[unit.Zone]
+		sample := samples[unit.Zone]
 		if sample == nil {
 			sample = &judge.ZoneSample{Zone: unit.Zone}
-			zones[unit.Zone] = sample
+			samples[unit.Zone] = sample
 		}
 		side := &sample.Baseline
 		if updated[unit.Name] {
 			side = &sample.Canary
 		}
 		side.Units++
-		if previousList == nil || previousList.Epoch != currentList.Epoch {
-			continue
-		}
-		if previous := previousList.Find(unit.Name); previous != nil && previous.Incarnation == unit.Incarnation {
-			side.Restarts += unit.Restarts - previous.Restarts
-		}
+		side.Restarts += restartsSince(previousList, currentList, unit)
+	}
+	var sorted []judge.ZoneSample
+	for _, sample := range samples {
+		sorted = append(sorted, *sample)
+	}
+	slices.SortFunc(sorted, func(a, b judge.ZoneSample) int { return cmp.Compare(a.Zone, b.Zone) })
+	return sorted
+}
+
+// restartsSince is how often the platform restarted a unit between two lists, 0 where that is not known.
+func restartsSince(previousList, currentList *supervisor.List, unit *supervisor.Unit) int {
+	if previousList == nil || previousList.Epoch != currentList.Epoch {
+		return 0
 	}
-	var samples []judge.ZoneSample
-	for _, sample := range zones {
-		samples = append(samples, *sample)
+	previous := previousList.Find(unit.Name)
+	if previous == nil || previous.Incarnation != unit.Incarnation {
+		return 0
 	}
-	slices.SortFunc(samples, func(a, b judge.ZoneSample) int { return cmp.Compare(a.Zone, b.Zone) })
-	return samples
+	return unit.Restarts - previous.Restarts
 }
--- /dev/null
+++ b/internal/release/judge/stratum.go
@@ -0,0 +1,112 @@
+package judge
+
+import (
+	"fmt"
+	"math"
+)
+
+// stratum is the evidence of one class of requests in a zone. The first comparison of each pair is over all intervals, the
+// second over those of high load.
+type stratum struct {
+	threshold        float64 // of the logarithm of the evidence of a regression
+	notInTime        [2]comparison
+	late             [2]comparison
+	failed           [2]comparison
+	slow             [2]comparison
+	meanRequests     float64      // of an interval, of both versions
+	baselineLatency  [2][]float64 // decaying histograms
+	baselineRequests int
+}
+
+// Indexes of a stratum's pairs.
+const (
+	allIntervals = iota
+	highLoadIntervals
+)
+
+func newStratum(settings *Settings, threshold float64) *stratum {
+	s := &stratum{threshold: threshold}
+	for i := range s.failed {
+		s.notInTime[i].tolerance = settings.ServedTolerance
+		s.late[i].tolerance = settings.LateTolerance
+		s.failed[i].tolerance = settings.FailedTolerance
+		s.slow[i].tolerance = settings.LatencyTolerance
+	}
+	return s
+}
+
+func (s *stratum) add(sample *ClassSample) {
+	canary, baseline := &sample.Canary, &sample.Baseline
+	s.baselineRequests += baseline.total()
+	highLoad := s.addTraffic(float64(canary.total() + baseline.total()))
+	s.compare(allIntervals, canary, baseline)
+	if highLoad {
+		s.compare(highLoadIntervals, canary, baseline)
+	}
+}
+
+// addTraffic takes an interval's requests into their mean, and reports whether they were of high load by the mean before.
+func (s *stratum) addTraffic(requests float64) (highLoad bool) {
+	highLoad = s.meanRequests > 0 && requests > highLoadFactor*s.meanRequests
+	if s.meanRequests == 0 {
+		s.meanRequests = requests
+	}
+	s.meanRequests = decay*s.meanRequests + (1-decay)*requests
+	return highLoad
+}
+
+func (s *stratum) compare(i int, canary, baseline *Counts) {
+	canaryTotal, baselineTotal := canary.total(), baseline.total()
+	s.notInTime[i].add(canary.notInTime(), canaryTotal, baseline.notInTime(), baselineTotal)
+	s.late[i].add(canary.Late, canaryTotal, baseline.Late, baselineTotal)
+	s.failed[i].add(canary.Failed, canaryTotal, baseline.Failed, baselineTotal)
+	// The boundary is that of earlier intervals, so that it does not depend on what is compared by it.
+	if boundary := tailBoundary(s.baselineLatency[i]); boundary >= 0 {
+		canarySlow, canaryAnswers := countBeyond(canary.LatencyHistogram, boundary)
+		baselineSlow, baselineAnswers := countBeyond(baseline.LatencyHistogram, boundary)
+		s.slow[i].add(canarySlow, canaryAnswers, baselineSlow, baselineAnswers)
+	}
+	s.baselineLatency[i] = decayAndAdd(s.baselineLatency[i], baseline.LatencyHistogram)
+}
+
+// regression describes the first regression that there is enough evidence of, empty where there is none.
+func (s *stratum) regression(key stratumKey) string {
+	for i, condition := range []string{allIntervals: "", highLoadIntervals: " under load"} {
+		for _, candidate := range []struct {
+			name       string
+			comparison *comparison
+		}{
+			{"failed", &s.failed[i]},
+			{"late", &s.late[i]},
+			{"not in time", &s.notInTime[i]},
+			{"slower than three quarters of the old", &s.slow[i]},
+		} {
+			compared := candidate.comparison
+			if compared.regression.logEvidence() >= s.threshold {
+				return fmt.Sprintf("%s%s, class %q in zone %q: %d of %d, more than the old and the tolerated %v",
+					candidate.name, condition, key.class, key.zone, compared.canaryHits, compared.canaryTrials, compared.tolerance)
+			}
+		}
+	}
+	return ""
+}
+
+// missing names the first comparison that has too little traffic to pass, empty where all pass.
+func (s *stratum) missing(key stratumKey) string {
+	passThreshold := -math.Log(falsePassRate)
+	for _, candidate := range []struct {
+		name       string
+		comparison *comparison
+	}{
+		{"in time", &s.notInTime[allIntervals]},
+		{"late", &s.late[allIntervals]},
+		{"failed", &s.failed[allIntervals]},
+		{"latency", &s.slow[allIntervals]},
+	} {
+		if candidate.comparison.nonInferiority.logEvidence() < passThreshold {
+			return fmt.Sprintf("too little traffic for %s, class %q in zone %q: %d requests at the new so far",
+				candidate.name, key.class, key.zone, candidate.comparison.canaryTrials)
+		}
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/release/judge/zone.go
@@ -0,0 +1,64 @@
+package judge
+
+import "fmt"
+
+// zone is the evidence of the units of one zone.
+type zone struct {
+	threshold       float64 // of the logarithm of the evidence of too many restarts
+	restarts        comparison
+	memoryTolerance float64
+	intervalsAbove  int // in a row, in which the memory was above its tolerance
+	memorySamples   int // intervals in which the memory was known
+	memoryRatio     float64
+	canaryUnits     int // in the latest interval
+}
+
+func newZone(settings *Settings, threshold float64) *zone {
+	return &zone{
+		threshold:       threshold,
+		restarts:        comparison{tolerance: settings.RestartTolerance},
+		memoryTolerance: settings.MemoryTolerance,
+	}
+}
+
+func (z *zone) add(sample *ZoneSample) {
+	canary, baseline := &sample.Canary, &sample.Baseline
+	z.canaryUnits = canary.Units
+	z.restarts.add(min(canary.Restarts, canary.Units), canary.Units, min(baseline.Restarts, baseline.Units), baseline.Units)
+	if canary.MeanMemory <= 0 || baseline.MeanMemory <= 0 {
+		return
+	}
+	z.memorySamples++
+	z.memoryRatio = canary.MeanMemory / baseline.MeanMemory
+	if z.memoryRatio > 1+z.memoryTolerance {
+		z.intervalsAbove++
+	} else {
+		z.intervalsAbove = 0
+	}
+}
+
+// regression describes the regression that there is enough evidence of, empty where there is none.
+func (z *zone) regression(name string) string {
+	if z.restarts.regression.logEvidence() >= z.threshold {
+		return fmt.Sprintf("restarts in zone %q: %d in %d unit-intervals, more than the old and the tolerated %v",
+			name, z.restarts.canaryHits, z.restarts.canaryTrials, z.restarts.tolerance)
+	}
+	if z.intervalsAbove >= memoryRegressionIntervals {
+		return fmt.Sprintf("memory in zone %q: %.2f times the old, tolerated %.2f", name, z.memoryRatio, 1+z.memoryTolerance)
+	}
+	return ""
+}
+
+// suspicion says why the zone's restarts or memory withhold a pass, empty where they do not.
+func (z *zone) suspicion(name string) string {
+	if z.canaryUnits == 0 {
+		return ""
+	}
+	if z.restarts.regression.logEvidence() > restartSuspicion {
+		return fmt.Sprintf("%d restarts in zone %q, in %d unit-intervals", z.restarts.canaryHits, name, z.restarts.canaryTrials)
+	}
+	if z.intervalsAbove > 0 || z.memorySamples > 0 && z.memorySamples < memoryRegressionIntervals {
+		return fmt.Sprintf("memory in zone %q: %.2f times the old", name, z.memoryRatio)
+	}
+	return ""
+}
--- a/internal/release/lifecycle_test.go
+++ b/internal/release/lifecycle_test.go
@@ -21,7 +21,7 @@
 `
 )
 
-func sendCommand(t *testing.T, model *clusterModel, action string) {
+func sendCommand(t *testing.T, model *clusterModel, action Action) {
 	t.Helper()
 	if err := model.apply(&Operation{Name: "r", Command: &Command{Action: action, Operator: "operator/eva"}}); err != nil {
 		t.Fatal(err)
--- a/internal/release/new.go
+++ b/internal/release/new.go
@@ -1,6 +1,7 @@
 package release
 
 import (
+	"errors"
 	"fmt"
 
 	"milldeck/internal/disruption"
@@ -8,13 +9,16 @@
 	"milldeck/internal/supervisor"
 )
 
-// New draws a release of a plan from the fleet and the platform as they are. What the dry run refuses is refused; so is a
-// unit that the platform does not list, as nobody could stop it, and one that is on the new version already is left out.
-func New(releasePlan *plan.Plan, nowMS int64, units []disruption.Unit, budgets []disruption.Budget, platform *supervisor.List) (*State, error) {
+// New makes the initial state of a release from its plan and from the fleet and the platform as they are. Units that run
+// the target image already are left out. It is an error if the plan is infeasible, if the platform does not list a unit,
+// which nobody could stop then, or if nothing is left to do.
+func New(
+	releasePlan *plan.Plan, nowMS int64, units []disruption.Unit, budgets []disruption.Budget, platform *supervisor.List,
+) (*State, error) {
 	if preview := plan.NewPreview(releasePlan, units, budgets); len(preview.Infeasible) > 0 {
 		return nil, fmt.Errorf("release %s: %s", releasePlan.Name, preview.Infeasible[0])
 	}
-	state := &State{Name: releasePlan.Name, Plan: releasePlan, PlanHash: releasePlan.Hash(), StartedAtMS: nowMS, Status: Status{Phase: PhaseRollout}}
+	state := newState(releasePlan, nowMS)
 	selected := plan.SelectUnits(releasePlan, units)
 	byID := make(map[string]disruption.Unit, len(selected))
 	for _, unit := range selected {
@@ -26,13 +30,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("release %s: %w", releasePlan.Name, err)
 			}
-			unit.Target = unit.Previous
-			if preview := releasePlan.Change.ServerVersion + releasePlan.Change.SidecarVersion; preview != "" {
-				unit.Target.Version = preview
-			}
-			if releasePlan.Change.SidecarConfig != "" {
-				unit.Target.ConfigName = releasePlan.Change.SidecarConfig
-			}
+			unit.Target = targetImage(releasePlan, unit.Previous)
 			if unit.Target != unit.Previous {
 				state.Units = append(state.Units, unit)
 			}
@@ -44,41 +42,72 @@
 	return state, nil
 }
 
-// DrainPlan is the plan of a plain drain: the units that a selector names, bounded by the budgets alone.
+// DrainPlan is the plan of a drain: the units of a selector, servers unless it names a kind, in one wave that only the
+// fleet's budgets bound.
 func DrainPlan(name string, selector disruption.Selector, deadlineSeconds float64) *plan.Plan {
 	if selector.Kind == "" {
 		selector.Kind = disruption.KindServer
 	}
 	maxUnavailable := maxUnits
 	return &plan.Plan{
-		Name: name, Selector: selector, OnHalt: plan.OnHaltHold, DeadlineSeconds: deadlineSeconds, Waves: []plan.Wave{{}},
-		Limits: plan.Limits{MaxUnavailable: disruption.Limit{Count: &maxUnavailable}},
+		Name:            name,
+		Selector:        selector,
+		OnHalt:          plan.OnHaltHold,
+		DeadlineSeconds: deadlineSeconds,
+		Waves:           []plan.Wave{{}},
+		Limits:          plan.Limits{MaxUnavailable: disruption.Limit{Count: &maxUnavailable}},
 	}
 }
 
-// NewDrain draws a plain drain: its units are emptied and stopped within the budgets, and stay out for good.
-func NewDrain(releasePlan *plan.Plan, nowMS int64, units []disruption.Unit, platform *supervisor.List) (*State, error) {
-	name, selector := releasePlan.Name, releasePlan.Selector
-	state := &State{Name: name, Plan: releasePlan, PlanHash: releasePlan.Hash(), DrainOnly: true, StartedAtMS: nowMS, Status: Status{Phase: PhaseRollout}}
-	for _, ledgerUnit := range units {
-		if !selector.Matches(&ledgerUnit) {
+// NewDrain makes the initial state of a drain, whose units are drained, stopped, and stay out for good. It is an error if
+// the platform does not list a unit, or if nothing is selected.
+func NewDrain(
+	drainPlan *plan.Plan, nowMS int64, units []disruption.Unit, platform *supervisor.List,
+) (*State, error) {
+	state := newState(drainPlan, nowMS)
+	state.DrainOnly = true
+	for i := range units {
+		if !drainPlan.Selector.Matches(&units[i]) {
 			continue
 		}
-		unit, err := newUnit(platform, ledgerUnit, 0)
+		unit, err := newUnit(platform, units[i], 0)
 		if err != nil {
-			return nil, fmt.Errorf("drain %s: %w", name, err)
+			return nil, fmt.Errorf("drain %s: %w", drainPlan.Name, err)
 		}
 		state.Units = append(state.Units, unit)
 	}
 	if len(state.Units) == 0 {
-		return nil, fmt.Errorf("drain %s: nothing is selected", name)
+		return nil, fmt.Errorf("drain %s: nothing is selected", drainPlan.Name)
 	}
 	return state, nil
 }
 
+func newState(releasePlan *plan.Plan, nowMS int64) *State {
+	return &State{
+		Name:        releasePlan.Name,
+		Plan:        releasePlan,
+		PlanHash:    releasePlan.Hash(),
+		StartedAtMS: nowMS,
+		Status:      Status{Phase: PhaseRollout},
+	}
+}
+
+// targetImage is what a unit runs after the plan's change.
+func targetImage(releasePlan *plan.Plan, previous Image) Image {
+	target := previous
+	if version := releasePlan.Change.Version(); version != "" {
+		target.Version = version
+	}
+	if config := releasePlan.Change.SidecarConfig; config != "" {
+		target.ConfigName = config
+	}
+	return target
+}
+
+// newUnit is a pending unit of a wave, with the image that the platform lists as its previous one.
 func newUnit(platform *supervisor.List, ledgerUnit disruption.Unit, wave int) (Unit, error) {
 	if platform == nil || !platform.Complete {
-		return Unit{}, fmt.Errorf("the platform does not know all that it runs")
+		return Unit{}, errors.New("the platform does not know all that it runs")
 	}
 	name := ledgerUnit.ID[len(ledgerUnit.Kind)+1:]
 	listed := platform.Find(name)
@@ -89,6 +118,14 @@
 	if capacity == 0 {
 		capacity = 1
 	}
-	return Unit{ID: ledgerUnit.ID, Name: name, Wave: wave, Previous: Image{listed.Version, listed.ConfigName}, Listen: listed.Listen, Zone: listed.Zone,
-		Capacity: capacity, Stage: StagePending}, nil
+	return Unit{
+		ID:       ledgerUnit.ID,
+		Name:     name,
+		Wave:     wave,
+		Previous: Image{Version: listed.Version, ConfigName: listed.ConfigName},
+		Listen:   listed.Listen,
+		Zone:     listed.Zone,
+		Capacity: capacity,
+		Stage:    StagePending,
+	}, nil
 }
--- /dev/null
+++ b/internal/release/permit.go
@@ -0,0 +1,141 @@
+package release
+
+import (
+	"milldeck/internal/disruption"
+	"milldeck/internal/supervisor"
+)
+
+// reconcilePermit follows a permit from its request to the beginning of the disruption.
+func (r *reconciler) reconcilePermit(unit *Unit, permit disruption.Permit, known bool) {
+	granted := known && permit.Stage != disruption.StageRequested
+	switch {
+	case known && ended(permit): // by an operator
+		r.enterStage(unit, StagePending)
+	case unit.Stage == StageRequestingPermit:
+		r.awaitGrant(unit, permit, known, granted)
+	case !granted: // a halt of the ledger has revoked the grant
+		r.enterStage(unit, StageRequestingPermit)
+	case unit.Stage == StagePreparing:
+		r.prepare(unit)
+	default:
+		r.beginDisruption(unit, permit)
+	}
+	if unit.Stage != StageRequestingPermit {
+		unit.Reason = ""
+	}
+}
+
+// awaitGrant requests a permit that the ledger does not have, and waits until it is granted.
+func (r *reconciler) awaitGrant(unit *Unit, permit disruption.Permit, known, granted bool) {
+	switch {
+	case !known:
+		r.requestPermit(unit)
+		r.checkDenied(unit)
+	case !granted:
+		unit.Reason = permit.WaitReason
+	case r.release.unitKind() == disruption.KindServer:
+		r.enterStage(unit, StagePreparing)
+	default: // nothing is served by one sidecar alone
+		r.enterStage(unit, StageBeginningDisruption)
+	}
+}
+
+// requestPermit requests a unit's permit. The ledger recognizes a repetition by the permit's ID.
+func (r *reconciler) requestPermit(unit *Unit) {
+	permit := &disruption.Permit{
+		ID:          r.release.PermitID(unit),
+		Owner:       Owner(r.release.Name),
+		Units:       []string{unit.ID},
+		Priority:    disruption.PriorityRollout,
+		Disposition: disruption.DispositionReturn,
+		Purpose:     purposeReleasePrefix + unit.desiredImage().String(),
+	}
+	switch {
+	case unit.RollbackPermit:
+		permit.Priority = disruption.PriorityRollback
+	case r.release.DrainOnly:
+		permit.Priority = disruption.PriorityDrain
+		permit.Disposition = disruption.DispositionRetire
+		permit.Purpose = purposeDrain
+	}
+	r.emit(ApplyLedgerOp{disruption.Op{Kind: disruption.OpRequest, Owner: permit.Owner, Permit: permit}})
+}
+
+// checkDenied fails a unit whose permit the ledger keeps denying.
+func (r *reconciler) checkDenied(unit *Unit) {
+	reason := r.view.DeniedPermits[r.release.PermitID(unit)]
+	if reason == "" || !r.inStageFor(unit, requestEffectTimeoutMS) {
+		return
+	}
+	r.failures = append(r.failures, unit.ID+": "+reasonNoPermit+reason)
+	if unit.Rollback {
+		unit.Stage = StageFailed
+		return
+	}
+	r.enterStage(unit, StagePending)
+}
+
+// prepare waits until what only this unit serves is available elsewhere.
+func (r *reconciler) prepare(unit *Unit) {
+	if r.view.Prepared(unit.ID) || r.exitedOrLost(unit) {
+		r.enterStage(unit, StageBeginningDisruption)
+		return
+	}
+	r.emit(PrepareUnit{unit.ID})
+}
+
+// beginDisruption tells the ledger that the unit goes out, and goes on once the ledger has it.
+func (r *reconciler) beginDisruption(unit *Unit, permit disruption.Permit) {
+	switch {
+	case permit.Stage == disruption.StageGranted:
+		r.emitPermitOp(disruption.OpBegin, unit)
+	case r.release.unitKind() == disruption.KindServer:
+		r.enterStage(unit, StageDraining)
+	default:
+		r.enterStage(unit, r.release.replacementStage())
+	}
+}
+
+// reconcileCancel cancels a permit before its unit was changed, and returns a draining server to the endpoint list.
+func (r *reconciler) reconcileCancel(unit *Unit, permit disruption.Permit, known bool) {
+	if !known || ended(permit) {
+		unit.Reason = ""
+		r.enterStage(unit, StagePending)
+		return
+	}
+	if r.release.unitKind() == disruption.KindServer {
+		// Whether it is draining cannot be seen: it may have been marked a moment ago.
+		r.emit(MarkReady{unit.ID})
+	}
+	if !permit.Aborted {
+		r.emitPermitOp(disruption.OpCancel, unit)
+		return
+	}
+	ledgerUnit, registered := r.view.Unit(unit.ID)
+	if !registered || ledgerUnit.Condition != disruption.ConditionUp {
+		return
+	}
+	if r.release.unitKind() == disruption.KindSidecar {
+		r.reportSidecarUp(unit, ledgerUnit)
+	}
+	r.emitPermitOp(disruption.OpComplete, unit)
+}
+
+// reportSidecarUp reports to the ledger that a sidecar runs on unchanged under a cancelled permit. The registry reports
+// changes only, and here there is none, so no other evidence would ever come.
+func (r *reconciler) reportSidecarUp(unit *Unit, ledgerUnit disruption.Unit) {
+	listed := r.listedUnit(unit)
+	if listed == nil || listed.State != supervisor.Running {
+		return
+	}
+	observed := disruption.Unit{
+		ID:                 unit.ID,
+		Condition:          disruption.ConditionUp,
+		TransitionRevision: ledgerUnit.TransitionRevision,
+	}
+	r.emit(ApplyLedgerOp{disruption.Op{
+		Kind:     disruption.OpObserve,
+		Owner:    Owner(r.release.Name),
+		Observed: []disruption.Unit{observed},
+	}})
+}
--- a/internal/release/plan/preview.go
+++ b/internal/release/plan/preview.go
@@ -2,295 +2,238 @@
 
 import (
 	"fmt"
-	"math"
 	"slices"
 	"strings"
 
-	"github.com/cespare/xxhash/v2"
-
 	"milldeck/internal/disruption"
 )
 
-// Preview is a dry run: what would move, and what the fleet keeps meanwhile.
+// Preview is a dry run of a plan: what it would change, which capacity remains meanwhile, and what makes it infeasible.
 type Preview struct {
-	Name              string              `json:"name"`
-	Hash              string              `json:"hash"`
-	Waves             []PreviewWave       `json:"waves"`
-	MaxUnavailable    int                 `json:"max_out"` // units of the release out at once, by its limits and the budgets
-	RemainingCapacity map[string]Capacity `json:"stays"`   // capacity while that many are out, by zone; "" for the fleet
-	WarmUpCapacity    float64             `json:"cold"`    // capacity that is warmed anew, in all
-	Infeasible        []string            `json:"refused,omitempty"`
+	Name           string        `json:"name"`
+	Hash           string        `json:"hash"`
+	Waves          []PreviewWave `json:"waves"`
+	MaxUnavailable int           `json:"max_out"` // units of the release out at once, by its limits and the budgets
+	// RemainingCapacity is the capacity while that many units are out, by zone, and of the fleet under "".
+	RemainingCapacity map[string]Capacity `json:"stays"`
+	WarmUpCapacity    float64             `json:"cold"` // capacity that warms up in the course of the release
+	// Infeasible says, one line each, what budgets, pod groups or zones can never allow. Empty: the plan is feasible.
+	Infeasible []string `json:"refused,omitempty"`
 }
 
 // PreviewWave is one wave of a dry run.
 type PreviewWave struct {
-	Units          []string `json:"units"` // in the order in which they go
+	Units          []string `json:"units"` // IDs, in the order in which they are changed
 	BakeSeconds    float64  `json:"bake_s"`
-	WarmUpCapacity float64  `json:"cold"`  // capacity that the wave warms anew
-	UpdatedShare   float64  `json:"share"` // of the release's units that are moved once it is over
+	WarmUpCapacity float64  `json:"cold"`
+	UpdatedShare   float64  `json:"share"` // of the release's units, once the wave is over
 }
 
-// Capacity is capacity that stays, of all that there is.
+// Capacity is relative capacity that remains in service, of a total.
 type Capacity struct {
 	Remaining float64 `json:"stays"`
 	Total     float64 `json:"all"`
 }
 
-// NewPreview draws the waves of a plan for a fleet and tells what budgets can never allow: what they merely hold back for now
-// is no refusal. Units and budgets may come in any order.
+// preview is a dry run under way, with what it is made of.
+type preview struct {
+	*Preview
+	plan     *Plan
+	units    []disruption.Unit // of the fleet
+	selected []disruption.Unit // of the release, in order
+}
+
+// NewPreview makes a dry run of a plan for a fleet and its budgets, which may be in any order. What budgets merely delay is
+// not infeasible.
 func NewPreview(p *Plan, units []disruption.Unit, budgets []disruption.Budget) *Preview {
-	preview := &Preview{Name: p.Name, Hash: p.Hash(), RemainingCapacity: map[string]Capacity{}}
-	selected := SelectUnits(p, units)
-	if len(selected) == 0 {
-		preview.addInfeasible("the plan selects no %s of %d units", p.Kind(), len(units))
-		return preview
-	}
-	waves := AssignWaves(p, selected)
-	byID := make(map[string]disruption.Unit, len(selected))
-	for _, u := range selected {
-		byID[u.ID] = u
+	result := &Preview{Name: p.Name, Hash: p.Hash(), RemainingCapacity: map[string]Capacity{}}
+	v := &preview{Preview: result, plan: p, units: units, selected: SelectUnits(p, units)}
+	if len(v.selected) == 0 {
+		v.addInfeasible("the plan selects no %s of %d units", p.Kind(), len(units))
+		return result
+	}
+	v.previewWaves()
+	v.MaxUnavailable = p.MaxUnavailable(len(v.selected))
+	if !p.RestartsUnits() {
+		v.MaxUnavailable = min(v.MaxUnavailable, len(v.selected))
+	}
+	v.checkBudgets(budgets)
+	v.checkGroups()
+	v.computeTotals()
+	v.subtractUnavailable()
+	return result
+}
+
+func (v *preview) addInfeasible(format string, args ...any) {
+	v.Infeasible = append(v.Infeasible, fmt.Sprintf(format, args...))
+}
+
+// previewWaves divides the units into waves. Each unit has to be in one, and each wave has to have one.
+func (v *preview) previewWaves() {
+	byID := make(map[string]*disruption.Unit, len(v.selected))
+	for i := range v.selected {
+		byID[v.selected[i].ID] = &v.selected[i]
 	}
 	assigned := 0
-	for i, ids := range waves {
-		wave := PreviewWave{Units: ids, BakeSeconds: p.Waves[i].BakeSeconds}
+	for i, ids := range AssignWaves(v.plan, v.selected) {
 		assigned += len(ids)
-		wave.UpdatedShare = float64(assigned) / float64(len(selected))
-		if p.Kind() == disruption.KindServer {
+		wave := PreviewWave{
+			Units:        ids,
+			BakeSeconds:  v.plan.Waves[i].BakeSeconds,
+			UpdatedShare: float64(assigned) / float64(len(v.selected)),
+		}
+		if v.plan.Kind() == disruption.KindServer {
 			for _, id := range ids {
 				wave.WarmUpCapacity += effectiveCapacity(byID[id])
 			}
 		}
-		preview.WarmUpCapacity += wave.WarmUpCapacity
-		preview.Waves = append(preview.Waves, wave)
+		v.WarmUpCapacity += wave.WarmUpCapacity
+		v.Waves = append(v.Waves, wave)
 		if len(ids) == 0 {
-			preview.addInfeasible("wave[%d] has no units: earlier waves take all of its zone, or the zone has none", i)
+			v.addInfeasible("wave[%d] has no units: earlier waves take all of its zone, or the zone has none", i)
 		}
 	}
-	if unassigned := len(selected) - assigned; unassigned > 0 {
-		preview.addInfeasible("%d of %d units are in no wave: let the last wave take all that is left (neither count nor share)", unassigned, len(selected))
+	if unassigned := len(v.selected) - assigned; unassigned > 0 {
+		v.addInfeasible("%d of %d units are in no wave: let the last wave take all that is left (neither count nor share)",
+			unassigned, len(v.selected))
 	}
-	preview.MaxUnavailable = p.MaxUnavailable(len(selected))
-	if !p.restartsUnits() {
-		preview.MaxUnavailable = min(preview.MaxUnavailable, len(selected))
-	}
-	preview.checkBudgets(p, selected, units, budgets)
-	preview.checkGroups(p, selected, units)
-	preview.computeRemainingCapacity(selected, units)
-	return preview
 }
 
-func (v *Preview) addInfeasible(format string, args ...any) {
-	v.Infeasible = append(v.Infeasible, fmt.Sprintf(format, args...))
-}
-
-// checkBudgets tells which budget has no room for a single unit even when nothing else is out.
-func (v *Preview) checkBudgets(plan *Plan, selected, units []disruption.Unit, checkBudgets []disruption.Budget) {
-	checkBudgets = slices.Clone(checkBudgets)
-	slices.SortFunc(checkBudgets, func(a, budget disruption.Budget) int { return strings.Compare(a.Name, budget.Name) })
-	ownLimits := disruption.Budget{Name: "limits of " + plan.Name, MaxWarmingUp: plan.Limits.MaxWarmingUp}
-	for _, unit := range selected {
-		ownLimits.Selector.IDs = append(ownLimits.Selector.IDs, unit.ID)
+// checkBudgets finds the budgets that do not allow a single unit of the release, even when nothing else is out. The limits
+// of the plan itself are checked as one more budget.
+func (v *preview) checkBudgets(budgets []disruption.Budget) {
+	sorted := slices.Clone(budgets)
+	slices.SortFunc(sorted, func(a, b disruption.Budget) int { return strings.Compare(a.Name, b.Name) })
+	own := disruption.Budget{Name: "limits of " + v.plan.Name, MaxWarmingUp: v.plan.Limits.MaxWarmingUp}
+	for i := range v.selected {
+		own.Selector.IDs = append(own.Selector.IDs, v.selected[i].ID)
 	}
-	for _, budget := range append(checkBudgets, ownLimits) {
-		unitCount, totalCapacity := 0, 0.0
-		for _, unit := range units {
-			if budget.Selector.Matches(&unit) {
-				unitCount++
-				totalCapacity += effectiveCapacity(unit)
-			}
-		}
-		var affected []disruption.Unit
-		for _, unit := range selected {
-			if budget.Selector.Matches(&unit) {
-				affected = append(affected, unit)
-			}
-		}
-		if len(affected) == 0 {
-			continue
-		}
-		if maxUnavailable, limited := unitsAllowed(budget.MaxUnavailable, float64(unitCount)); limited {
-			if maxUnavailable < 1 {
-				v.addInfeasible("budget %q: max_out allows %d of its %d units out, and %s is one of them (%d of the release)",
-					budget.Name, int(maxUnavailable), unitCount, affected[0].ID, len(affected))
-			}
-			if len(affected) == len(selected) {
-				v.MaxUnavailable = min(v.MaxUnavailable, int(maxUnavailable))
-			}
-		}
-		if plan.Kind() != disruption.KindServer || unitCount == 0 {
-			continue
-		}
-		// A count of cold is in units of mean capacity, a share is of the capacity.
-		meanCapacity := totalCapacity / float64(unitCount)
-		if maxWarmingUp, limited := warmingUpAllowed(budget.MaxWarmingUp, float64(unitCount), meanCapacity); limited {
-			for _, unit := range affected {
-				if effectiveCapacity(unit) > maxWarmingUp+1e-9 {
-					v.addInfeasible("budget %q: max_cold allows a capacity of %.3g cold, and %s alone is %.3g", budget.Name, maxWarmingUp, unit.ID, effectiveCapacity(unit))
-					break
-				}
-			}
-		}
+	for _, budget := range append(sorted, own) {
+		v.checkBudget(&budget)
 	}
 }
 
-// checkGroups tells which pod group or zone would be wholly out with one of its servers: that is never granted.
-func (v *Preview) checkGroups(p *Plan, selected, units []disruption.Unit) {
-	if p.Kind() != disruption.KindServer {
+func (v *preview) checkBudget(budget *disruption.Budget) {
+	var affected []*disruption.Unit
+	for i := range v.selected {
+		if budget.Selector.Matches(&v.selected[i]) {
+			affected = append(affected, &v.selected[i])
+		}
+	}
+	if len(affected) == 0 {
 		return
 	}
-	sizes := map[string]int{}
-	pod := func(u disruption.Unit) string { return fmt.Sprintf("pod group %d", u.PodGroup) }
-	zone := func(u disruption.Unit) string { return fmt.Sprintf("zone %q", u.Zone) }
-	for _, u := range units {
-		if u.Kind == disruption.KindServer {
-			sizes[pod(u)]++
-			sizes[zone(u)]++
+	unitCount, totalCapacity := 0, 0.0
+	for i := range v.units {
+		if budget.Selector.Matches(&v.units[i]) {
+			unitCount++
+			totalCapacity += effectiveCapacity(&v.units[i])
 		}
 	}
-	for _, u := range selected {
-		for _, group := range []string{pod(u), zone(u)} {
-			if sizes[group] == 1 {
-				v.addInfeasible("%s is %s alone: neither a pod group nor a zone is ever wholly out", group, u.ID)
-			}
-		}
+	v.checkUnavailable(budget, affected, unitCount)
+	if v.plan.Kind() == disruption.KindServer && unitCount > 0 {
+		v.checkWarmingUp(budget, affected, unitCount, totalCapacity/float64(unitCount))
 	}
 }
 
-// computeRemainingCapacity works out the capacity that stays in each zone while the largest MaxUnavailable units of the release there are out.
-func (v *Preview) computeRemainingCapacity(selected, units []disruption.Unit) {
-	kind := selected[0].Kind
-	for _, unit := range units {
-		if unit.Kind != kind {
-			continue
-		}
-		for _, zone := range []string{unit.Zone, ""} {
-			remaining := v.RemainingCapacity[zone]
-			remaining.Total += effectiveCapacity(unit)
-			if unit.Condition == disruption.ConditionUp {
-				remaining.Remaining += effectiveCapacity(unit)
-			}
-			v.RemainingCapacity[zone] = remaining
-		}
+// checkUnavailable checks a budget's bound on unavailable units.
+func (v *preview) checkUnavailable(budget *disruption.Budget, affected []*disruption.Unit, unitCount int) {
+	allowed, limited := unitsAllowed(budget.MaxUnavailable, unitCount)
+	if !limited {
+		return
 	}
-	byZone := map[string][]float64{}
-	for _, unit := range selected {
-		if unit.Condition == disruption.ConditionUp {
-			byZone[unit.Zone] = append(byZone[unit.Zone], effectiveCapacity(unit))
-			if unit.Zone != "" {
-				byZone[""] = append(byZone[""], effectiveCapacity(unit))
-			}
-		}
+	if allowed < 1 {
+		v.addInfeasible("budget %q: max_out allows %d of its %d units out, and %s is one of them (%d of the release)",
+			budget.Name, allowed, unitCount, affected[0].ID, len(affected))
 	}
-	for zone, capacities := range byZone {
-		slices.Sort(capacities)
-		remaining := v.RemainingCapacity[zone]
-		for i := range min(max(v.MaxUnavailable, 0), len(capacities)) {
-			remaining.Remaining -= capacities[len(capacities)-1-i]
-		}
-		v.RemainingCapacity[zone] = remaining
+	if len(affected) == len(v.selected) {
+		v.MaxUnavailable = min(v.MaxUnavailable, allowed)
 	}
 }
 
-// restartsUnits tells whether units are out while they move: a configuration alone is read again by one that serves on.
-func (p *Plan) restartsUnits() bool {
-	return p.Change.ServerVersion != "" || p.Change.SidecarVersion != ""
-}
-
-// MaxUnavailable is how many of n units the release itself lets out at once, at least one.
-func (p *Plan) MaxUnavailable(unitCount int) int {
-	maxUnavailable, limited := unitsAllowed(p.Limits.MaxUnavailable, float64(unitCount))
+// checkWarmingUp checks a budget's bound on warming capacity.
+func (v *preview) checkWarmingUp(budget *disruption.Budget, affected []*disruption.Unit, unitCount int, mean float64) {
+	allowed, limited := warmingUpAllowed(budget.MaxWarmingUp, unitCount, mean)
 	if !limited {
-		return 1
+		return
 	}
-	return max(int(maxUnavailable), 1)
-}
-
-// SelectUnits are those that a plan moves, in the order of their going: by a hash of their name, so that a wave's units are no
-// neighbours of one rack or pod.
-func SelectUnits(p *Plan, units []disruption.Unit) []disruption.Unit {
-	selector := p.Selector
-	selector.Kind = p.Kind()
-	var selected []disruption.Unit
-	for _, u := range units {
-		if selector.Matches(&u) {
-			selected = append(selected, u)
+	for _, unit := range affected {
+		if capacity := effectiveCapacity(unit); capacity > allowed+tolerance {
+			v.addInfeasible("budget %q: max_cold allows a capacity of %.3g cold, and %s alone is %.3g",
+				budget.Name, allowed, unit.ID, capacity)
+			return
 		}
 	}
-	position := func(u disruption.Unit) uint64 { return xxhash.Sum64String(p.Name + "\x00" + u.ID) }
-	slices.SortFunc(selected, func(a, b disruption.Unit) int {
-		if x, y := position(a), position(b); x != y {
-			if x < y {
-				return -1
-			}
-			return 1
-		}
-		return strings.Compare(a.ID, b.ID)
-	})
-	return selected
 }
 
-// AssignWaves divides units, in the order of Units, among the plan's waves. Within a wave zone follows zone, as two zones are
-// never out together for planned reasons.
-func AssignWaves(p *Plan, units []disruption.Unit) [][]string {
-	byZone, zones := map[string][]string{}, []string{}
-	for _, u := range units {
-		if byZone[u.Zone] == nil {
-			zones = append(zones, u.Zone)
-		}
-		byZone[u.Zone] = append(byZone[u.Zone], u.ID)
+// checkGroups finds the pod groups and zones that have only one server, which the release would take out: the ledger never
+// lets one be out as a whole.
+func (v *preview) checkGroups() {
+	if v.plan.Kind() != disruption.KindServer {
+		return
 	}
-	slices.Sort(zones)
-	zoneSizes := map[string]int{}
-	for _, zone := range zones {
-		zoneSizes[zone] = len(byZone[zone])
+	sizes := map[string]int{}
+	for i := range v.units {
+		if v.units[i].Kind != disruption.KindServer {
+			continue
+		}
+		for _, group := range groupsOf(&v.units[i]) {
+			sizes[group]++
+		}
 	}
-	assigned := make([][]string, len(p.Waves))
-	for i, wave := range p.Waves {
-		for _, zone := range zones {
-			if wave.Zone != "" && wave.Zone != zone {
-				continue
-			}
-			count := len(byZone[zone])
-			switch {
-			case wave.Count != nil:
-				count = min(count, *wave.Count)
-			case wave.Share != nil:
-				count = min(count, int(math.Ceil(*wave.Share*float64(zoneSizes[zone])-1e-9)))
+	for i := range v.selected {
+		for _, group := range groupsOf(&v.selected[i]) {
+			if sizes[group] == 1 {
+				v.addInfeasible("%s is %s alone: neither a pod group nor a zone is ever wholly out", group, v.selected[i].ID)
 			}
-			assigned[i] = append(assigned[i], byZone[zone][:count]...)
-			byZone[zone] = byZone[zone][count:]
 		}
 	}
-	return assigned
 }
 
-// unitsAllowed is how many of n a limit lets out, and whether it bounds at all.
-func unitsAllowed(limit disruption.Limit, unitCount float64) (float64, bool) {
-	allowed := math.Inf(1)
-	if limit.Count != nil {
-		allowed = float64(*limit.Count)
-	}
-	if limit.Fraction != nil {
-		allowed = min(allowed, math.Floor(*limit.Fraction*unitCount+1e-9))
-	}
-	return allowed, !math.IsInf(allowed, 1)
+// groupsOf names the groups of a server that must not be out as a whole.
+func groupsOf(unit *disruption.Unit) []string {
+	return []string{fmt.Sprintf("pod group %d", unit.PodGroup), fmt.Sprintf("zone %q", unit.Zone)}
 }
 
-// warmingUpAllowed is how much capacity of n units of mean capacity a limit lets be cold, and whether it bounds at all.
-func warmingUpAllowed(limit disruption.Limit, unitCount, meanCapacity float64) (float64, bool) {
-	allowed := math.Inf(1)
-	if limit.Count != nil {
-		allowed = float64(*limit.Count) * meanCapacity
-	}
-	if limit.Fraction != nil {
-		allowed = min(allowed, *limit.Fraction*unitCount*meanCapacity)
+// computeTotals sums the capacity of the release's kind of units by zone, and that of the units that are up.
+func (v *preview) computeTotals() {
+	kind := v.selected[0].Kind
+	for i := range v.units {
+		unit := &v.units[i]
+		if unit.Kind != kind {
+			continue
+		}
+		for _, zone := range []string{unit.Zone, ""} {
+			capacity := v.RemainingCapacity[zone]
+			capacity.Total += effectiveCapacity(unit)
+			if unit.Condition == disruption.ConditionUp {
+				capacity.Remaining += effectiveCapacity(unit)
+			}
+			v.RemainingCapacity[zone] = capacity
+		}
 	}
-	return allowed, !math.IsInf(allowed, 1)
 }
 
-func effectiveCapacity(unit disruption.Unit) float64 {
-	if unit.Capacity == 0 {
-		return 1
+// subtractUnavailable takes the worst case off the remaining capacity: that in each zone, and in the fleet, the largest
+// MaxUnavailable units of the release are out.
+func (v *preview) subtractUnavailable() {
+	capacities := map[string][]float64{} // by zone, of the release's units that are up
+	for i := range v.selected {
+		unit := &v.selected[i]
+		if unit.Condition != disruption.ConditionUp {
+			continue
+		}
+		capacities[unit.Zone] = append(capacities[unit.Zone], effectiveCapacity(unit))
+		if unit.Zone != "" {
+			capacities[""] = append(capacities[""], effectiveCapacity(unit))
+		}
+	}
+	for zone, ascending := range capacities {
+		slices.Sort(ascending)
+		capacity := v.RemainingCapacity[zone]
+		for i := range min(max(v.MaxUnavailable, 0), len(ascending)) {
+			capacity.Remaining -= ascending[len(ascending)-1-i]
+		}
+		v.RemainingCapacity[zone] = capacity
 	}
-	return unit.Capacity
 }
--- /dev/null
+++ b/internal/release/plan/waves.go
@@ -0,0 +1,120 @@
+package plan
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+
+	"milldeck/internal/disruption"
+)
+
+// tolerance absorbs rounding in products of shares and counts, and in sums of capacities.
+const tolerance = 1e-9
+
+// SelectUnits are the units that a plan changes, in the order in which it changes them: by a hash of their IDs, so that
+// neighbours in a rack or pod group are spread over the waves.
+func SelectUnits(p *Plan, units []disruption.Unit) []disruption.Unit {
+	selector := p.Selector
+	selector.Kind = p.Kind()
+	var selected []disruption.Unit
+	for i := range units {
+		if selector.Matches(&units[i]) {
+			selected = append(selected, units[i])
+		}
+	}
+	position := func(id string) uint64 { return xxhash.Sum64String(p.Name + "\x00" + id) }
+	slices.SortFunc(selected, func(a, b disruption.Unit) int {
+		return cmp.Or(cmp.Compare(position(a.ID), position(b.ID)), strings.Compare(a.ID, b.ID))
+	})
+	return selected
+}
+
+// AssignWaves divides selected units, in their order, among the plan's waves, and returns the units' IDs by wave. Within a
+// wave one zone follows the other, as units of two zones are never out together for planned reasons.
+func AssignWaves(p *Plan, selected []disruption.Unit) [][]string {
+	remaining, zones := map[string][]string{}, []string{}
+	for i := range selected {
+		unit := &selected[i]
+		if remaining[unit.Zone] == nil {
+			zones = append(zones, unit.Zone)
+		}
+		remaining[unit.Zone] = append(remaining[unit.Zone], unit.ID)
+	}
+	slices.Sort(zones)
+	sizes := map[string]int{}
+	for _, zone := range zones {
+		sizes[zone] = len(remaining[zone])
+	}
+	assigned := make([][]string, len(p.Waves))
+	for i := range p.Waves {
+		wave := &p.Waves[i]
+		for _, zone := range zones {
+			if wave.Zone != "" && wave.Zone != zone {
+				continue
+			}
+			count := min(wave.unitsOf(sizes[zone]), len(remaining[zone]))
+			assigned[i] = append(assigned[i], remaining[zone][:count]...)
+			remaining[zone] = remaining[zone][count:]
+		}
+	}
+	return assigned
+}
+
+// unitsOf is how many units the wave takes of a zone of that size, as far as earlier waves have left them.
+func (w *Wave) unitsOf(zoneSize int) int {
+	switch {
+	case w.Count != nil:
+		return *w.Count
+	case w.Share != nil:
+		return int(math.Ceil(*w.Share*float64(zoneSize) - tolerance))
+	}
+	return zoneSize
+}
+
+// MaxUnavailable is how many of its units the release itself lets be out at once, at least one.
+func (p *Plan) MaxUnavailable(unitCount int) int {
+	maxUnavailable, limited := unitsAllowed(p.Limits.MaxUnavailable, unitCount)
+	if !limited {
+		return 1
+	}
+	return max(maxUnavailable, 1)
+}
+
+// unitsAllowed is how many of a number of units a limit allows, and whether it limits them at all.
+func unitsAllowed(limit disruption.Limit, unitCount int) (allowed int, limited bool) {
+	bound := math.Inf(1)
+	if limit.Count != nil {
+		bound = float64(*limit.Count)
+	}
+	if limit.Fraction != nil {
+		bound = min(bound, math.Floor(*limit.Fraction*float64(unitCount)+tolerance))
+	}
+	if math.IsInf(bound, 1) {
+		return 0, false
+	}
+	return int(bound), true
+}
+
+// warmingUpAllowed is how much of the capacity of a number of units a limit allows to be warming up, and whether it limits
+// it at all. A count stands for units of mean capacity.
+func warmingUpAllowed(limit disruption.Limit, unitCount int, meanCapacity float64) (allowed float64, limited bool) {
+	bound := math.Inf(1)
+	if limit.Count != nil {
+		bound = float64(*limit.Count) * meanCapacity
+	}
+	if limit.Fraction != nil {
+		bound = min(bound, *limit.Fraction*float64(unitCount)*meanCapacity)
+	}
+	return bound, !math.IsInf(bound, 1)
+}
+
+// effectiveCapacity is a unit's relative capacity, 1 where it has none.
+func effectiveCapacity(unit *disruption.Unit) float64 {
+	if unit.Capacity == 0 {
+		return 1
+	}
+	return unit.Capacity
+}
--- /dev/null
+++ b/internal/release/process.go
@@ -0,0 +1,240 @@
+package release
+
+import (
+	"cmp"
+
+	"milldeck/internal/disruption"
+	"milldeck/internal/supervisor"
+)
+
+// listedUnit is a unit as the platform lists it, nil where the platform did not answer or does not list it.
+func (r *reconciler) listedUnit(unit *Unit) *supervisor.Unit {
+	if r.view.Platform == nil {
+		return nil
+	}
+	return r.view.Platform.Find(unit.Name)
+}
+
+// exitedOrLost reports whether a unit has ended by itself, so that no request can be open on it.
+func (r *reconciler) exitedOrLost(unit *Unit) bool {
+	ledgerUnit, known := r.view.Unit(unit.ID)
+	if known && ledgerUnit.Condition == disruption.ConditionLost {
+		return true
+	}
+	listed := r.listedUnit(unit)
+	return listed != nil && listed.State == supervisor.Exited
+}
+
+// confirmedStopped reports whether there is evidence that a unit has no process. That it is not listed is evidence only
+// where the list is complete: a platform that has lost its state lists nothing, while everything runs on.
+func confirmedStopped(platform *supervisor.List, name string) bool {
+	listed := platform.Find(name)
+	if listed == nil {
+		return platform.Complete
+	}
+	return listed.State == supervisor.Exited
+}
+
+// reconcileDrain keeps a server Terminating until it is proved to have no open request.
+func (r *reconciler) reconcileDrain(unit *Unit) {
+	if r.view.Drained(unit.ID) || r.exitedOrLost(unit) {
+		r.enterStage(unit, StageStopping)
+		return
+	}
+	r.emit(MarkTerminating{unit.ID})
+}
+
+// reconcileStop has the platform stop a unit until it is confirmed to be stopped.
+func (r *reconciler) reconcileStop(unit *Unit) {
+	platform := r.view.Platform
+	if platform == nil {
+		return
+	}
+	if confirmedStopped(platform, unit.Name) {
+		next := StageStarting
+		if r.release.retires(unit) {
+			next = StageWarmingUp
+		}
+		r.enterStage(unit, next)
+		return
+	}
+	listed := platform.Find(unit.Name)
+	if listed == nil {
+		return // it may run: the platform has lost its state and has not found all units again
+	}
+	if r.ensureRequested(unit, platform, supervisor.Stop, listed.Incarnation) {
+		return
+	}
+	timeoutMS := int64(requestEffectTimeoutMS)
+	if listed.State == supervisor.Stopping {
+		timeoutMS = stopTimeoutMS
+	}
+	if platform.AtMS-listed.SinceMS > timeoutMS {
+		r.repeatWithoutEffect(unit, timeoutMS)
+	}
+}
+
+// reconcileStart has the platform start a unit with its desired image until the unit was ready once.
+func (r *reconciler) reconcileStart(unit *Unit) {
+	platform := r.view.Platform
+	if platform == nil {
+		return
+	}
+	listed := platform.Find(unit.Name)
+	switch {
+	case listed == nil && !platform.Complete: // it may run already
+	case listed == nil:
+		r.requestStart(unit, platform, 0)
+	case listed.State != supervisor.Exited:
+		r.followStart(unit, platform, listed)
+	case exitedSinceRequest(unit, platform, listed):
+		if platform.AtMS-listed.SinceMS > exitConfirmationMS && listed.Version == unit.desiredImage().Version {
+			r.recordFailedStart(unit, cmp.Or(listed.Exit, reasonEnded))
+		}
+	default:
+		r.requestStart(unit, platform, listed.Incarnation)
+	}
+}
+
+// requestStart requests a start, and again where the accepted request shows no effect.
+func (r *reconciler) requestStart(unit *Unit, platform *supervisor.List, incarnation uint64) {
+	if r.ensureRequested(unit, platform, supervisor.Start, incarnation) {
+		return
+	}
+	r.repeatWithoutEffect(unit, requestEffectTimeoutMS)
+}
+
+// followStart handles a unit that the platform lists as alive while it is to be started.
+func (r *reconciler) followStart(unit *Unit, platform *supervisor.List, listed *supervisor.Unit) {
+	if !runsImage(listed, unit.desiredImage()) {
+		r.enterStage(unit, StageStopping) // something else was started in its place
+		return
+	}
+	switch listed.State {
+	case supervisor.Running:
+		r.enterStage(unit, StageWarmingUp)
+	case supervisor.Starting:
+		if r.inStageFor(unit, startTimeoutMS) && platform.AtMS-listed.SinceMS > startTimeoutMS {
+			r.recordFailedStart(unit, reasonNotReady)
+		}
+	case supervisor.Stopping:
+		r.enterStage(unit, StageStopping)
+	}
+}
+
+// exitedSinceRequest reports whether an exited unit was started by its present request and ended by itself, rather than
+// having exited before the request.
+func exitedSinceRequest(unit *Unit, platform *supervisor.List, listed *supervisor.Unit) bool {
+	request := unit.Request
+	return request != nil && request.Epoch == platform.Epoch && request.Incarnation != listed.Incarnation
+}
+
+// reconcileReload has the platform reload a unit's configuration until the unit itself reports that it runs by it.
+func (r *reconciler) reconcileReload(unit *Unit) {
+	desired := unit.desiredImage()
+	if reason := r.view.ConfigRejection(unit.ID, desired.ConfigName); reason != "" && r.requestAccepted(unit) {
+		r.failUnit(unit, reasonConfigRejected+reason)
+		return
+	}
+	platform := r.view.Platform
+	if platform == nil {
+		return
+	}
+	listed := platform.Find(unit.Name)
+	if r.confirmedReloaded(unit, listed) {
+		r.enterStage(unit, StageWarmingUp)
+		return
+	}
+	if listed == nil || listed.State != supervisor.Running {
+		if r.inStageFor(unit, startTimeoutMS) {
+			r.recordFailedStart(unit, reasonNotRunning)
+		}
+		return
+	}
+	if r.ensureRequested(unit, platform, supervisor.Reload, listed.Incarnation) {
+		return
+	}
+	if r.acceptedFor(unit, requestEffectTimeoutMS) {
+		r.recordFailedStart(unit, reasonNotReloaded)
+	}
+}
+
+// confirmedReloaded reports whether a unit runs by its desired configuration and would start with it again. It takes both
+// the unit's own report and the platform's list: a unit serves on with the old configuration until it has read the new
+// one, and one that rejected the new one would read it at its next start.
+func (r *reconciler) confirmedReloaded(unit *Unit, listed *supervisor.Unit) bool {
+	running, known := r.view.Running(unit.ID)
+	if !known || listed == nil {
+		return false
+	}
+	desired := unit.desiredImage()
+	return running == desired && listed.ConfigName == desired.ConfigName
+}
+
+// ensureRequested decides a request, which is written before it is sent, or sends the written one until it is answered. It
+// reports whether the unit has to wait for that; otherwise the request was accepted, and the list shows its effect.
+func (r *reconciler) ensureRequested(unit *Unit, platform *supervisor.List, op supervisor.Op, incarnation uint64) bool {
+	if unit.Request == nil || unit.Request.Op != op || unit.Request.Epoch != platform.Epoch {
+		r.decideRequest(unit, platform, op, incarnation)
+		return true
+	}
+	outcome, answered := r.view.Outcomes[r.release.RequestID(unit)]
+	if !answered {
+		r.emit(CallPlatform{r.release.platformRequest(unit)})
+		return true
+	}
+	switch outcome.Rejected {
+	case "":
+		return false
+	case supervisor.UnknownVersion:
+		r.failUnit(unit, cmp.Or(outcome.Detail, reasonUnknownVersion))
+		return true
+	}
+	// A rejection has changed nothing, and a repetition would be rejected too. The list shows what to request instead.
+	if r.requestOlderThan(unit, requestEffectTimeoutMS) {
+		unit.Request = nil
+	}
+	return true
+}
+
+// decideRequest decides the unit's next request, unless it has had too many.
+func (r *reconciler) decideRequest(unit *Unit, platform *supervisor.List, op supervisor.Op, incarnation uint64) {
+	if unit.RequestCount >= maxRequestsPerUnit {
+		r.recordFailedStart(unit, reasonNoEffect)
+		return
+	}
+	unit.RequestCount++
+	unit.Request = &PlatformRequest{
+		Sequence:    unit.RequestCount,
+		Op:          op,
+		Epoch:       platform.Epoch,
+		Incarnation: incarnation,
+		DecidedAtMS: r.view.NowMS,
+	}
+}
+
+// requestAccepted reports whether the platform has accepted a unit's present request.
+func (r *reconciler) requestAccepted(unit *Unit) bool {
+	if unit.Request == nil {
+		return false
+	}
+	outcome, answered := r.view.Outcomes[r.release.RequestID(unit)]
+	return answered && outcome.Rejected == ""
+}
+
+// requestOlderThan reports whether a unit's present request was decided longer ago than a timeout.
+func (r *reconciler) requestOlderThan(unit *Unit, timeoutMS int64) bool {
+	return r.view.NowMS-unit.Request.DecidedAtMS > timeoutMS
+}
+
+// acceptedFor reports whether the platform accepted a unit's present request, and it was decided longer ago than a timeout.
+func (r *reconciler) acceptedFor(unit *Unit, timeoutMS int64) bool {
+	return r.requestAccepted(unit) && r.requestOlderThan(unit, timeoutMS)
+}
+
+// repeatWithoutEffect drops an accepted request that has shown no effect within a timeout, so that it is decided again.
+func (r *reconciler) repeatWithoutEffect(unit *Unit, timeoutMS int64) {
+	if r.acceptedFor(unit, timeoutMS) {
+		unit.Request = nil
+	}
+}
--- a/internal/release/state.go
+++ b/internal/release/state.go
@@ -1,77 +1,73 @@
-// Package release moves units of a fleet to another version, or drains them, within the budgets of the ledger. Its core
-// is pure: the state of a release as it stands in the log, and what is seen of the fleet, go in with a time; effects and
-// the next state come out. What a step does to the world follows from what is written already, so every step is written
-// before it is done, and again once evidence says that it is. Effects may be done twice or never: requests to the
-// platform carry ids that follow from what is written, and the ledger's operations are the same when repeated. So a
-// successor under the next token goes on exactly where the last one stopped, at whatever point that was.
 package release
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
 	"fmt"
+	"strings"
 
 	"milldeck/internal/disruption"
 	"milldeck/internal/release/plan"
 	"milldeck/internal/supervisor"
 )
 
-// Phase is where a release stands.
+// Phase is the progress of a release as a whole. Its values are stored.
 type Phase string
 
-// The phases. In the last three nothing is done any more.
+// The phases. The last three are final: the controller has nothing left to do.
 const (
 	PhaseRollout    Phase = "forward"
-	PhaseHalted     Phase = "held"     // halted: nothing new goes out; what is out comes to rest
-	PhaseRollback   Phase = "back"     // every unit that was touched goes back
-	PhaseCompleted  Phase = "done"     // all units are on the new version
-	PhaseRolledBack Phase = "backed"   // all units are on the version that they had
-	PhaseStranded   Phase = "stranded" // the way back is over, and Head.Stranded lists who is not on the old version
+	PhaseHalted     Phase = "held"     // no unit is taken out; those that are out finish or return
+	PhaseRollback   Phase = "back"     // every unit that was changed returns to its previous image
+	PhaseCompleted  Phase = "done"     // every unit runs the target image
+	PhaseRolledBack Phase = "backed"   // every unit runs its previous image
+	PhaseStranded   Phase = "stranded" // the rollback is over, and Status.Stranded lists the units it could not return
 )
 
-// Finished tells whether a release in this phase does nothing any more.
+// Finished reports whether the controller has nothing left to do in this phase.
 func (p Phase) Finished() bool {
 	return p == PhaseCompleted || p == PhaseRolledBack || p == PhaseStranded
 }
 
-// Image is what a unit runs.
+// Image is what a unit runs: the version of its program and the name of its configuration.
 type Image struct {
 	Version    string `json:"version"`
 	ConfigName string `json:"config,omitempty"`
 }
 
-// Stage is where a unit stands within its permit.
+// String is the version and the configuration's name, as permits and reasons quote them.
+func (i Image) String() string { return strings.TrimSpace(i.Version + " " + i.ConfigName) }
+
+// Stage is the progress of one unit. Its values are stored.
 type Stage string
 
-// The stages, in order. A unit whose Back is set goes through them towards Was.
+// The stages, in order. A unit passes through them towards its target image or, in a rollback, its previous one.
 const (
-	StagePending             Stage = "todo"   // untouched in this direction
-	StageRequestingPermit    Stage = "ask"    // its permit is asked for
-	StagePreparing           Stage = "make"   // granted: what stands only there is made ready elsewhere
-	StageBeginningDisruption Stage = "begin"  // the ledger is told that it goes out
-	StageDraining            Stage = "drain"  // Terminating in the list, until it is proved to be empty
-	StageStopping            Stage = "stop"   // the platform is asked to end it
-	StageStarting            Stage = "start"  // the platform is asked to start it as the image that it goes to
-	StageReloading           Stage = "reload" // a sidecar is given another configuration while it serves on
-	StageWarmingUp           Stage = "rise"   // it runs: until it is registered, ready, warm, and its permit settled
-	StageCancelling          Stage = "cancel" // its permit is given back before anything was done under it, or by a drain that is undone
-	StageConverged           Stage = "rest"   // it is as its direction wants it
-	StageFailed              Stage = "lost"   // it could not be brought back; its permit is for an operator to settle
+	StagePending             Stage = "todo"   // not started in this direction
+	StageRequestingPermit    Stage = "ask"    // waiting for the ledger to grant its permit
+	StagePreparing           Stage = "make"   // granted; what only this unit serves is being made available elsewhere
+	StageBeginningDisruption Stage = "begin"  // the ledger is told that the disruption begins
+	StageDraining            Stage = "drain"  // Terminating in the endpoint list, until it is proved to have no open request
+	StageStopping            Stage = "stop"   // the platform is asked to stop it
+	StageStarting            Stage = "start"  // the platform is asked to start it with the desired image
+	StageReloading           Stage = "reload" // a sidecar is given another configuration while it keeps serving
+	StageWarmingUp           Stage = "rise"   // it runs; waiting until it is registered, ready and warm, and its permit complete
+	StageCancelling          Stage = "cancel" // its permit is cancelled before the unit was changed; a drain is undone
+	StageConverged           Stage = "rest"   // it runs the desired image
+	StageFailed              Stage = "lost"   // it could not be returned; an operator has to complete its permit
 )
 
-// PlatformRequest is one request to the platform, complete before it is first made.
+// PlatformRequest is a request to the platform. It is written before it is first sent, so that a successor sends the same.
 type PlatformRequest struct {
-	Sequence    int           `json:"n"` // of this unit in this release
+	Sequence    int           `json:"n"` // counts this unit's requests in this release, from 1
 	Op          supervisor.Op `json:"op"`
-	Epoch       uint64        `json:"memory"`
+	Epoch       uint64        `json:"memory"` // the platform's, as listed when the request was decided
 	Incarnation uint64        `json:"incarnation"`
-	DecidedAtMS int64         `json:"at_ms"` // when it was decided
+	DecidedAtMS int64         `json:"at_ms"` // by the controller's clock
 }
 
-// Unit is one unit of a release, as it is written.
+// Unit is the stored state of one unit of a release.
 type Unit struct {
-	ID       string  `json:"id"` // in the ledger
-	Name     string  `json:"name"`
+	ID       string  `json:"id"`   // in the ledger
+	Name     string  `json:"name"` // in the endpoint list and at the platform
 	Wave     int     `json:"wave"`
 	Previous Image   `json:"was"`
 	Target   Image   `json:"to"`
@@ -79,20 +75,21 @@
 	Zone     string  `json:"zone,omitempty"`
 	Capacity float64 `json:"capacity"`
 
-	Rollback      bool  `json:"back,omitempty"`
+	Rollback      bool  `json:"back,omitempty"` // its desired image is Previous, not Target
 	Stage         Stage `json:"stage"`
-	FromLaterWave bool  `json:"widened,omitempty"` // it was of a later wave
-	PermitAttempt int   `json:"try,omitempty"`     // of permits
-	// RollbackPermit says that its permit was asked for by the way back: one that is turned while it is out keeps its permit.
+	FromLaterWave bool  `json:"widened,omitempty"` // it was moved into its wave because the wave met too little traffic
+	PermitAttempt int   `json:"try,omitempty"`     // counts its permits, from 1
+	// RollbackPermit says that the permit was requested by a rollback. A unit that is rolled back while it is out keeps
+	// the permit of the rollout.
 	RollbackPermit bool             `json:"asked_back,omitempty"`
-	FailedStarts   int              `json:"fails,omitempty"` // starts that came to nothing, in this direction
-	RequestCount   int              `json:"calls,omitempty"`
-	Request        *PlatformRequest `json:"call,omitempty"` // the last, while its stage lasts
+	FailedStarts   int              `json:"fails,omitempty"` // in this direction
+	RequestCount   int              `json:"calls,omitempty"` // to the platform
+	Request        *PlatformRequest `json:"call,omitempty"`  // the latest of this stage
 	StageSinceMS   int64            `json:"since_ms,omitempty"`
-	Reason         string           `json:"why,omitempty"`
+	Reason         string           `json:"why,omitempty"` // why it waits or failed
 }
 
-// desiredImage is the image that the unit goes to.
+// desiredImage is the image that the unit is to run in its present direction.
 func (u *Unit) desiredImage() Image {
 	if u.Rollback {
 		return u.Previous
@@ -100,59 +97,62 @@
 	return u.Target
 }
 
-// inProgress tells whether the unit is between its asking and its rest.
+// inProgress reports whether the unit has left StagePending and has neither converged nor failed.
 func (u *Unit) inProgress() bool {
 	return u.Stage != StagePending && u.Stage != StageConverged && u.Stage != StageFailed
 }
 
-// Status is the release without its units and plan, as it is written.
+// Status is the stored progress of a release as a whole.
 type Status struct {
 	Phase             Phase    `json:"phase"`
 	Wave              int      `json:"wave"`
-	BakeStartMS       int64    `json:"bake_ms,omitempty"` // when the wave's last unit came to rest; 0: not yet
-	Token             uint64   `json:"token"`             // under which it was written: another one's watch begins anew
-	HandledCommands   int      `json:"commands"`          // of operators that were taken in
-	HaltedBy          string   `json:"by,omitempty"`      // who halted it or sent it back
-	HaltReason        string   `json:"why,omitempty"`
-	Finalized         bool     `json:"final,omitempty"`    // nobody goes back any more: records may be of the new form
-	StalledSinceMS    int64    `json:"stuck_ms,omitempty"` // since when a way back that has lost a unit gets no permit; 0: it does
-	RollbackAbandoned bool     `json:"gave_up,omitempty"`  // nothing further is taken out for the way back
-	Stranded          []string `json:"stranded,omitempty"` // units that are not on the old version, with what is known
+	BakeStartMS       int64    `json:"bake_ms,omitempty"`  // when the last unit of the wave converged; 0: not all have
+	Token             uint64   `json:"token"`              // fencing token of the last writer
+	HandledCommands   int      `json:"commands"`           // how many of the operators' commands have been handled
+	HaltedBy          string   `json:"by,omitempty"`       // who halted the release or rolled it back
+	HaltReason        string   `json:"why,omitempty"`      // why
+	Finalized         bool     `json:"final,omitempty"`    // it can no longer be rolled back
+	StalledSinceMS    int64    `json:"stuck_ms,omitempty"` // since when a rollback with a failed unit gets no permit; 0: it does
+	RollbackAbandoned bool     `json:"gave_up,omitempty"`  // no further unit is taken out for the rollback
+	Stranded          []string `json:"stranded,omitempty"` // units that did not return to their previous image, one line each
 }
 
 // State is a release as it stands in the log.
 type State struct {
 	Name          string     `json:"name"`
-	StartRevision uint64     `json:"run"` // revision of its start: two releases of one name are two
+	StartRevision uint64     `json:"run"` // of the log; tells two releases of one name apart
 	Plan          *plan.Plan `json:"plan,omitempty"`
 	PlanHash      string     `json:"hash"`
-	DrainOnly     bool       `json:"drain,omitempty"` // no new version: the units are emptied and stopped
+	DrainOnly     bool       `json:"drain,omitempty"` // units are drained and stopped, not updated
 	StartedAtMS   int64      `json:"start_ms"`
 	Status        Status     `json:"head"`
-	Units         []Unit     `json:"units"` // in the order in which they go
-	Sequence      uint64     `json:"seq"`   // deltas so far
+	Units         []Unit     `json:"units"` // in the order in which they are updated
+	Sequence      uint64     `json:"seq"`   // counts the changes that were applied
 }
 
-// Delta is one step as it is written. It counts only on the state that it was made from.
+// Delta is one change of a release's state. It applies only to the state that it was computed from.
 type Delta struct {
-	Sequence uint64  `json:"seq"` // of the state before
+	Sequence uint64  `json:"seq"` // of the state that it was computed from
 	Status   *Status `json:"head,omitempty"`
-	Units    []Unit  `json:"units,omitempty"`
+	Units    []Unit  `json:"units,omitempty"` // those that changed, complete
 }
 
-// Apply takes a step in. One that was made from another state is refused and changes nothing.
+// Apply applies a change. It changes nothing and returns an error if the change was computed from another state or names
+// an unknown unit.
 func (s *State) Apply(delta Delta) error {
 	if delta.Sequence != s.Sequence {
-		return fmt.Errorf("release %s: a step from %d, it stands at %d", s.Name, delta.Sequence, s.Sequence)
+		return fmt.Errorf("release %s: delta for sequence %d does not apply at %d", s.Name, delta.Sequence, s.Sequence)
 	}
 	indexes := make([]int, len(delta.Units))
-	for i, u := range delta.Units {
-		if indexes[i] = s.unitIndex(u.ID); indexes[i] < 0 {
-			return fmt.Errorf("release %s: %s is none of its units", s.Name, u.ID)
+	for i := range delta.Units {
+		index, ok := s.unitIndex(delta.Units[i].ID)
+		if !ok {
+			return fmt.Errorf("release %s: delta names unknown unit %s", s.Name, delta.Units[i].ID)
 		}
+		indexes[i] = index
 	}
-	for i, u := range delta.Units {
-		s.Units[indexes[i]] = u
+	for i, unit := range delta.Units {
+		s.Units[indexes[i]] = unit
 	}
 	if delta.Status != nil {
 		s.Status = *delta.Status
@@ -161,47 +161,24 @@
 	return nil
 }
 
-func (s *State) unitIndex(id string) int {
+func (s *State) unitIndex(id string) (int, bool) {
 	for i := range s.Units {
 		if s.Units[i].ID == id {
-			return i
+			return i, true
 		}
 	}
-	return -1
-}
-
-// Owner is the duty under whose token a release is written, and the owner of its permits.
-func Owner(name string) string { return "release/" + name }
-
-// PermitID is the permit of a unit's try.
-func (s *State) PermitID(unit *Unit) string {
-	direction := "to"
-	if unit.RollbackPermit {
-		direction = "back"
-	}
-	return fmt.Sprintf("%s@%d/%s/%d/%s", Owner(s.Name), s.StartRevision, direction, unit.PermitAttempt, unit.ID)
+	return 0, false
 }
 
-// RequestID names a call: it follows from what is written, so that whoever makes the call makes the same one.
-func (s *State) RequestID(unit *Unit) string {
-	sum := sha256.Sum256(fmt.Appendf(nil, "%s\x00%d\x00%s\x00%d", s.Name, s.StartRevision, unit.ID, unit.Request.Sequence))
-	return "rel-" + hex.EncodeToString(sum[:12])
-}
-
-// platformRequest is the call in the platform's form. The configuration's text is for whoever makes the call: it follows from
-// the unit and the configuration's name.
-func (s *State) platformRequest(unit *Unit) supervisor.Request {
-	request := supervisor.Request{ID: s.RequestID(unit), Op: unit.Request.Op, Epoch: unit.Request.Epoch, Unit: unit.Name, Incarnation: unit.Request.Incarnation}
-	switch unit.Request.Op {
-	case supervisor.Start:
-		request.Kind, request.Version, request.ConfigName = s.platformKind(), unit.desiredImage().Version, unit.desiredImage().ConfigName
-		request.Listen, request.Zone = unit.Listen, unit.Zone
-	case supervisor.Reload:
-		request.ConfigName = unit.desiredImage().ConfigName
+// unitKind is the kind of the release's units, by the plan's selector or else by what the plan changes.
+func (s *State) unitKind() disruption.Kind {
+	if s.Plan.Selector.Kind != "" {
+		return s.Plan.Selector.Kind
 	}
-	return request
+	return s.Plan.Kind()
 }
 
+// platformKind is unitKind in the platform's terms.
 func (s *State) platformKind() supervisor.Kind {
 	if s.unitKind() == disruption.KindSidecar {
 		return supervisor.Sidecar
@@ -209,14 +186,7 @@
 	return supervisor.Server
 }
 
-func (s *State) unitKind() disruption.Kind {
-	if s.Plan.Selector.Kind != "" {
-		return s.Plan.Selector.Kind
-	}
-	return s.Plan.Kind()
-}
-
-// replacementStage is what is done first to a unit that its permit has taken out, and that is empty.
+// replacementStage is the first stage that changes a unit once it is out and drained.
 func (s *State) replacementStage() Stage {
 	if s.reloadsInPlace() {
 		return StageReloading
@@ -224,7 +194,12 @@
 	return StageStopping
 }
 
-// reloadsInPlace tells whether the units serve on while they move.
+// reloadsInPlace reports whether units keep serving while they are updated: only their configuration changes.
 func (s *State) reloadsInPlace() bool {
-	return !s.DrainOnly && s.Plan.Change.ServerVersion == "" && s.Plan.Change.SidecarVersion == ""
+	return !s.DrainOnly && !s.Plan.RestartsUnits()
+}
+
+// retires reports whether the unit leaves the fleet for good: it is drained, and not being returned.
+func (s *State) retires(unit *Unit) bool {
+	return s.DrainOnly && !unit.Rollback
 }
--- a/internal/release/table.go
+++ b/internal/release/table.go
@@ -7,59 +7,67 @@
 	"slices"
 )
 
-// Bounds of what is kept.
+// Bounds of the table.
 const (
-	maxReleases = 64     // that are not over, or are kept for their end to be read
-	maxUnits    = 10_000 // of one release
-	maxCommands = 1000   // of operators, in one release
+	maxReleases  = 64     // kept at a time, finished ones included
+	maxUnits     = 10_000 // of one release
+	maxCommands  = 1000   // of operators, to one release
+	maxNameBytes = 64     // of a release's name
 )
 
-// Command is what an operator tells a release.
+var errNoOperation = errors.New("no operation")
+
+// Action is what an operator wants of a release. Its values are stored.
+type Action string
+
+// The actions.
+const (
+	CommandHalt     Action = "halt"
+	CommandResume   Action = "resume"
+	CommandRollback Action = "back"
+	CommandFinalize Action = "finalize"
+)
+
+// Command is an operator's command to a release.
 type Command struct {
-	Action   string `json:"what"` // halt, resume, back, finalize
+	Action   Action `json:"what"`
 	Operator string `json:"by"`
 	Reason   string `json:"why,omitempty"`
 }
 
-// The commands.
-const (
-	CommandHalt     = "halt"
-	CommandResume   = "resume"
-	CommandRollback = "back"
-	CommandFinalize = "finalize"
-)
-
-// Table is the releases as they stand in the replicated state: pure, the same on every replica. That a step is its
-// owner's, by duty and token, has been checked before it is applied. Two releases that touch the same units exclude each
-// other twice: the second one's start is refused when it is applied, as long as the first is not over, and the ledger
-// grants no unit to two permits.
+// Table is all releases as they stand in the replicated state. It is deterministic: the same operations in the same order
+// give the same table on every replica. Whoever applies an operation has checked its fencing token.
+//
+// Two releases never have the same unit: a release claims its units from its start until it has rolled back, or is
+// finalized, and the start of another that needs one of them is rejected.
 type Table struct {
 	releases map[string]*State
 	commands map[string][]Command
-	claims   map[string]string // unit to release
+	claims   map[string]string // unit ID to release name
 }
 
-// NewTable is the empty table.
+// NewTable makes an empty table.
 func NewTable() *Table {
 	return &Table{releases: map[string]*State{}, commands: map[string][]Command{}, claims: map[string]string{}}
 }
 
-// Operation is one operation on the table: Start, or a Step or Tell of Name.
+// Operation is one operation on the table. One of Start, Delta and Command is set; the latter two are about Name.
 type Operation struct {
 	Name    string   `json:"name"`
 	Start   *State   `json:"start,omitempty"`
-	Delta   *Delta   `json:"step,omitempty"` // under the token of the duty Owner(Name)
+	Delta   *Delta   `json:"step,omitempty"` // under the token of the lease Owner(Name)
 	Command *Command `json:"tell,omitempty"`
 }
 
-// RequiresToken tells whether an operation counts only under the owner's duty and token.
+// RequiresToken reports whether the operation is valid only under the token of the release's lease.
 func (op *Operation) RequiresToken() bool { return op.Delta != nil }
 
-// Apply takes one operation in; rev is its place in the log. An error says why it changed nothing.
+// Apply applies one operation. Revision is its place in the log. An error says why the operation was rejected; it has
+// changed nothing then.
 func (t *Table) Apply(revision uint64, op *Operation) error {
 	switch {
 	case op == nil:
-		return errors.New("no operation")
+		return errNoOperation
 	case op.Start != nil:
 		return t.start(revision, op.Start)
 	case op.Delta != nil:
@@ -67,55 +75,72 @@
 	case op.Command != nil:
 		return t.addCommand(op.Name, *op.Command)
 	}
-	return errors.New("no operation")
+	return errNoOperation
 }
 
-// start takes a release in and claims its units; its run is the revision. The same start again changes nothing; a release
-// that is over and needs its units no more makes room for another of its name.
+// start adds a release and claims its units. The same start again changes nothing. A finished release that holds no claims
+// is replaced by a new one of its name.
 func (t *Table) start(revision uint64, state *State) error {
 	if state.Plan == nil || !validName(state.Name) || state.PlanHash != state.Plan.Hash() {
 		return errors.New("a release has a name of 1 to 64 characters, a plan, and that plan's hash")
 	}
-	if existing := t.releases[state.Name]; existing != nil {
-		switch {
-		case existing.PlanHash == state.PlanHash && !existing.Status.Phase.Finished():
-			return nil
-		case !existing.Status.Phase.Finished():
-			return fmt.Errorf("release %s is under way with another plan (%s, not %s): send it back or let it end first", state.Name, existing.PlanHash, state.PlanHash)
-		case !existing.holdsNoClaims():
-			return fmt.Errorf("release %s is %s and may go back still: finalize it first", state.Name, existing.Status.Phase)
-		}
-	} else if len(t.releases) >= maxReleases && !t.evictOldest() {
-		return fmt.Errorf("%d releases are under way", maxReleases)
+	existing := t.releases[state.Name]
+	if existing != nil && existing.PlanHash == state.PlanHash && !existing.Status.Phase.Finished() {
+		return nil
+	}
+	if err := t.checkPlace(state, existing); err != nil {
+		return err
 	}
 	if len(state.Units) == 0 || len(state.Units) > maxUnits {
 		return fmt.Errorf("release %s has %d units, 1 to %d can be", state.Name, len(state.Units), maxUnits)
 	}
 	for i := range state.Units {
-		if claimant, claimed := t.claims[state.Units[i].ID]; claimed && claimant != state.Name {
-			return fmt.Errorf("release %s: %s is claimed by release %s", state.Name, state.Units[i].ID, claimant)
+		id := state.Units[i].ID
+		if claimant, claimed := t.claims[id]; claimed && claimant != state.Name {
+			return fmt.Errorf("release %s: %s is claimed by release %s", state.Name, id, claimant)
 		}
 	}
-	for i := range state.Units {
-		t.claims[state.Units[i].ID] = state.Name
-	}
 	started := *state
-	started.Units, started.StartRevision, started.Sequence, started.Status = slices.Clone(state.Units), revision, 0, Status{Phase: PhaseRollout}
+	started.Units = slices.Clone(state.Units)
+	started.StartRevision = revision
+	started.Sequence = 0
+	started.Status = Status{Phase: PhaseRollout}
 	t.releases[state.Name] = &started
+	t.claimUnits(&started)
 	delete(t.commands, state.Name)
 	return nil
 }
 
-// holdsNoClaims tells whether a release needs its units no more: it is back, or over and final.
+// checkPlace reports why there is no place for a release: one of its name is under way, or the table is full. A full table
+// evicts its oldest release without claims.
+func (t *Table) checkPlace(state, existing *State) error {
+	if existing == nil {
+		if len(t.releases) >= maxReleases && !t.evictOldest() {
+			return fmt.Errorf("%d releases are under way", maxReleases)
+		}
+		return nil
+	}
+	if !existing.Status.Phase.Finished() {
+		return fmt.Errorf("release %s is under way with another plan (%s, not %s): roll it back or let it finish first",
+			state.Name, existing.PlanHash, state.PlanHash)
+	}
+	if !existing.holdsNoClaims() {
+		return fmt.Errorf("release %s is %s and may still be rolled back: finalize it first",
+			state.Name, existing.Status.Phase)
+	}
+	return nil
+}
+
+// holdsNoClaims reports whether a release no longer needs its units: it has rolled back, or is finished and final.
 func (s *State) holdsNoClaims() bool {
 	return s.Status.Phase == PhaseRolledBack || s.Status.Phase.Finished() && s.Status.Finalized
 }
 
-// applyDelta takes a step in. A release that may still go back keeps its claims.
+// applyDelta applies a controller's change.
 func (t *Table) applyDelta(name string, delta Delta) error {
 	state := t.releases[name]
 	if state == nil {
-		return fmt.Errorf("there is no release %s", name)
+		return unknownRelease(name)
 	}
 	if err := state.Apply(delta); err != nil {
 		return err
@@ -124,27 +149,22 @@
 	return nil
 }
 
-// addCommand takes an operator's command in. It counts once the release's controller has taken it up; what is made final is so
-// at once, as nobody works on it any more.
+// addCommand records an operator's command for the release's controller. Finalizing takes effect here and at once, as no
+// controller works on a finished release.
 func (t *Table) addCommand(name string, command Command) error {
 	state := t.releases[name]
-	switch {
-	case state == nil:
-		return fmt.Errorf("there is no release %s", name)
-	case command.Action != CommandHalt && command.Action != CommandResume && command.Action != CommandRollback && command.Action != CommandFinalize:
-		return fmt.Errorf("%q is none of halt, resume, back, finalize", command.Action)
-	case len(t.commands[name]) >= maxCommands:
-		return fmt.Errorf("release %s has been told %d things", name, maxCommands)
-	case command.Action == CommandFinalize && !state.Status.Phase.Finished():
-		return fmt.Errorf("release %s is %s: only what is over can be finalized", name, state.Status.Phase)
-	case command.Action == CommandRollback && state.DrainOnly:
-		return fmt.Errorf("a drain has no version to go back to: halt it, and start its servers")
-	case command.Action == CommandRollback && state.Status.Finalized:
-		return fmt.Errorf("release %s is final", name)
+	if state == nil {
+		return unknownRelease(name)
+	}
+	if err := state.checkCommand(command.Action); err != nil {
+		return err
+	}
+	if len(t.commands[name]) >= maxCommands {
+		return fmt.Errorf("release %s has had %d commands", name, maxCommands)
 	}
 	if command.Action == CommandFinalize {
 		state.Status.Finalized = true
-		state.Sequence++ // a step that was decided before counts no more
+		state.Sequence++ // a delta that was computed before no longer applies
 		t.dropClaims(state)
 		return nil
 	}
@@ -152,20 +172,53 @@
 	return nil
 }
 
-// dropClaims gives the units of a release that needs them no more to others.
+// checkCommand reports why an action is not possible as the release stands.
+func (s *State) checkCommand(action Action) error {
+	switch action {
+	case CommandHalt, CommandResume:
+	case CommandRollback:
+		if s.DrainOnly {
+			return errors.New("a drain has no version to go back to: halt it, and start its servers")
+		}
+		if s.Status.Finalized {
+			return fmt.Errorf("release %s is final", s.Name)
+		}
+	case CommandFinalize:
+		if !s.Status.Phase.Finished() {
+			return fmt.Errorf("release %s is %s: only a finished release can be finalized", s.Name, s.Status.Phase)
+		}
+	default:
+		return fmt.Errorf("%q is none of halt, resume, back, finalize", action)
+	}
+	return nil
+}
+
+func unknownRelease(name string) error { return fmt.Errorf("there is no release %s", name) }
+
+// claimUnits claims a release's units, unless it no longer needs them.
+func (t *Table) claimUnits(state *State) {
+	if state.holdsNoClaims() {
+		return
+	}
+	for i := range state.Units {
+		t.claims[state.Units[i].ID] = state.Name
+	}
+}
+
+// dropClaims frees the units of a release that no longer needs them.
 func (t *Table) dropClaims(state *State) {
 	if state.holdsNoClaims() {
 		maps.DeleteFunc(t.claims, func(_, claimant string) bool { return claimant == state.Name })
 	}
 }
 
-// Get is a release as it stands, which the caller does not change, and what it was told.
+// Get is a release, nil where there is none, and the commands to it, oldest first. The caller must not change either.
 func (t *Table) Get(name string) (*State, []Command) { return t.releases[name], t.commands[name] }
 
-// Names are those of all releases, sorted.
+// Names are the names of all releases, sorted.
 func (t *Table) Names() []string { return slices.Sorted(maps.Keys(t.releases)) }
 
-// evictOldest drops the oldest release that claims nothing.
+// evictOldest removes the oldest release that holds no claims, and reports whether there was one.
 func (t *Table) evictOldest() bool {
 	var oldest *State
 	for _, name := range t.Names() {
@@ -182,13 +235,13 @@
 	return true
 }
 
-// Snapshot is the table as it is kept in a snapshot.
+// Snapshot is the table as it is stored.
 type Snapshot struct {
 	Releases []*State             `json:"releases"` // by name
 	Commands map[string][]Command `json:"commands,omitempty"`
 }
 
-// Snapshot gives the whole table, in a fixed order. What it holds is shared with the table until that is next changed.
+// Snapshot returns the whole table, sorted. It shares memory with the table, so it is valid until the next operation.
 func (t *Table) Snapshot() *Snapshot {
 	snapshot := &Snapshot{Releases: []*State{}, Commands: t.commands}
 	for _, name := range t.Names() {
@@ -197,7 +250,7 @@
 	return snapshot
 }
 
-// Restore makes a table of what was saved; nil is the empty one. Claims follow from the releases.
+// Restore makes a table of a snapshot, an empty one of nil. The claims follow from the releases.
 func Restore(snapshot *Snapshot) *Table {
 	table := NewTable()
 	if snapshot == nil {
@@ -208,13 +261,9 @@
 		if commands := snapshot.Commands[state.Name]; len(commands) > 0 {
 			table.commands[state.Name] = commands
 		}
-		for i := range state.Units {
-			if !state.holdsNoClaims() {
-				table.claims[state.Units[i].ID] = state.Name
-			}
-		}
+		table.claimUnits(state)
 	}
 	return table
 }
 
-func validName(s string) bool { return s != "" && len(s) <= 64 }
+func validName(name string) bool { return name != "" && len(name) <= maxNameBytes }
--- /dev/null
+++ b/internal/release/warmup.go
@@ -0,0 +1,92 @@
+package release
+
+import (
+	"cmp"
+	"fmt"
+
+	"milldeck/internal/disruption"
+	"milldeck/internal/supervisor"
+)
+
+// reconcileWarmUp waits for the evidence that completes a unit's permit. That the platform runs the unit is not enough: it
+// has to be registered, ready and warm.
+func (r *reconciler) reconcileWarmUp(unit *Unit, permit disruption.Permit, known bool) {
+	switch {
+	case known && ended(permit):
+		unit.FailedStarts = 0
+		unit.Reason = ""
+		r.enterStage(unit, StageConverged)
+	case r.release.retires(unit):
+		r.awaitRetirement(unit, known)
+	default:
+		r.awaitReturn(unit, permit, known)
+	}
+}
+
+// awaitRetirement waits until a drained unit has left the fleet for good.
+func (r *reconciler) awaitRetirement(unit *Unit, known bool) {
+	listed := r.listedUnit(unit)
+	if listed != nil && listed.State != supervisor.Exited {
+		r.enterStage(unit, StageStopping) // it had ended by itself, and the platform has restarted it
+		return
+	}
+	ledgerUnit, registered := r.view.Unit(unit.ID)
+	switch {
+	case !registered && !known: // its permit is complete and forgotten
+		r.enterStage(unit, StageConverged)
+	case registered && r.permitCompletes(ledgerUnit.Condition):
+		r.completePermit(unit, known)
+	}
+}
+
+// awaitReturn waits until an updated unit is up, and restarts or fails it where it does not come up.
+func (r *reconciler) awaitReturn(unit *Unit, permit disruption.Permit, known bool) {
+	if known && permit.Stage == disruption.StageActive {
+		r.emitPermitOp(disruption.OpReturn, unit)
+	}
+	ledgerUnit, registered := r.view.Unit(unit.ID)
+	if registered && r.permitCompletes(ledgerUnit.Condition) {
+		r.completePermit(unit, known)
+		return
+	}
+	if r.endedWhileWarmingUp(unit) || !r.inStageFor(unit, warmUpTimeoutMS) {
+		return
+	}
+	condition := conditionUnregistered
+	if registered {
+		condition = ledgerUnit.Condition
+	}
+	r.recordFailedStart(unit, fmt.Sprintf("it runs, but is %s after %d s", condition, warmUpTimeoutMS/1000))
+}
+
+// permitCompletes reports whether a unit in this condition completes its permit.
+func (r *reconciler) permitCompletes(condition disruption.Condition) bool {
+	return condition == disruption.ConditionUp || r.release.DrainOnly && condition == disruption.ConditionLost
+}
+
+// completePermit completes a unit's permit. One that the ledger does not have was completed and forgotten.
+func (r *reconciler) completePermit(unit *Unit, known bool) {
+	if known {
+		r.emitPermitOp(disruption.OpComplete, unit)
+		return
+	}
+	r.enterStage(unit, StageConverged)
+}
+
+// endedWhileWarmingUp handles a unit that has ended or disappeared while it warmed up, and reports whether it has.
+func (r *reconciler) endedWhileWarmingUp(unit *Unit) bool {
+	platform := r.view.Platform
+	if platform == nil {
+		return false
+	}
+	listed := platform.Find(unit.Name)
+	switch {
+	case listed == nil && platform.Complete:
+		r.enterStage(unit, StageStarting)
+		return true
+	case listed != nil && listed.State == supervisor.Exited && platform.AtMS-listed.SinceMS > exitConfirmationMS:
+		r.recordFailedStart(unit, cmp.Or(listed.Exit, reasonEnded))
+		return true
+	}
+	return false
+}
