--- a/balance/admission.go
+++ b/balance/admission.go
@@ -2,141 +2,110 @@
 
 import "math"
 
-// This file decides what is shed, and of whom.
+// This file decides how much load is shed, and of which classes and tenants.
 
 const (
-	queueingAllowance           = 0.25 // part of the aim beyond the quickest answers that queues may take: else load is shed
-	queueingAllowanceLowTraffic = 0.08 // ... where each server is met seldom: what fills up shows late, and in most at once
-	initialLatencyRatio         = 0.33 // held to be the quickest until answers tell
-	minLatencyDecay             = 6e4  // ms in which the quickest is forgotten: servers change, and what they do
-	averagingSamples            = 50   // answers or reports over which a mean is taken
-	immediateShedGain           = 1.5  // part of the load to shed at once, per aim that answers take too long
-	minShedStep                 = 0.04 // ... and lastingly, more for each request
-	shedStepTime                = 400  // ms after which it is all, per aim
-	shedDecayTime               = 2500 // ms in which lasting shedding ends by itself: idle servers turn cold, and look crowded
-	maxShedStep                 = 0.34 // ... but no more for one request
-	shedDeadband                = 0.1  // of the lasting part is not shed: small sidecars gather it by chance
-	maxShedFraction             = 0.95 // never all: answers are needed to see that the load is gone
-	answerRateSpan              = 8    // span of the rate of answers, in longest aims
-	assumedAnswers              = 3    // assumed beside the recent answers, and over which the load is averaged
-	maxFairnessBoost            = 2    // a tenant counts as at most this far under its share
-	similarValueFactor          = 1.25 // values within this factor are shed alike, so that no tenant pays for a tiny excess
+	// Fractions of the objective, beyond the least latency, that queueing may take before load is shed. With
+	// little traffic a sidecar sees a queue late, and in most servers at once.
+	queueingAllowance           = 0.25
+	queueingAllowanceLowTraffic = 0.08
+	initialLatencyRatio         = 0.33 // least latency that is assumed until there are answers
+	minLatencyDecay             = 6e4  // ms in which the least latency is forgotten: servers change
+	averagingSamples            = 50   // answers or load reports over which a mean is taken
+	immediateShedGain           = 1.5  // fraction to shed at once, per objective of excess latency
+	minShedStep                 = 0.04 // step of the sustained fraction per request and objective of excess
+	maxShedStep                 = 0.34 // the same of a request long after the one before
+	shedStepTime                = 400  // ms without a request for a step of 1
+	shedDecayTime               = 2500 // ms in which sustained shedding decays: idle servers look slow
+	shedDeadband                = 0.1  // sustained fraction not shed: small sidecars reach it by chance
+	maxShedFraction             = 0.95 // answers are needed to see that the overload is over
+	answerRateSpan              = 8    // span of the answer rate, in longest objectives
+	assumedAnswers              = 3    // added to the answer rate; the load is averaged over as many
+	maxFairnessBoost            = 2    // bound of how far a tenant counts as under its quota
+	similarValueFactor          = 1.25 // values within this factor are shed alike
 )
 
-// admit sheds load that the fleet cannot answer within the aims. What is in flight over the rate of answers
-// tells how long answers take (Little's law), sooner than they do. What is shed lastingly moves with each
-// request, of small sidecars by time: they took seconds to shed when servers were lost.
+// admit sheds load that the fleet cannot answer within the latency objectives. What is in flight over the
+// answer rate is the latency to expect (Little's law), before answers show it. The sustained fraction moves
+// with each request, at sidecars with little traffic by time: they would react to a loss of servers too late.
 func (b *Balancer) admit(r *request) bool {
+	state := &b.admission
 	answerRate := b.answerRate(assumedAnswers)
 	b.trackLoad(0, answerRate)
-	if b.firstRequestAt == 0 {
-		b.firstRequestAt = b.now
+	if state.firstRequestAt == 0 {
+		state.firstRequestAt = b.now
 	}
-	if b.now < b.firstRequestAt+b.longestObjective {
-		// The answers to the first requests are still to come, so their rate tells nothing yet: after each
-		// restart half of the first second was shed.
-		b.lastAdmissionAt = b.now
+	if b.now < state.firstRequestAt+b.longestObjective {
+		// The first requests have had no time to be answered, so the answer rate means nothing yet.
+		state.updatedAt = b.now
 		return true
 	}
-	expectedLatency := b.meanLoad/answerRate + b.minLatencyRatio*(1-b.answerRate(0)/answerRate) // as a part of the aim; those assumed are quick
+	excess := b.excessLatency(answerRate)
+	step := math.Max(minShedStep, clamp((b.now-state.updatedAt)/shedStepTime, 0, maxShedStep))
+	state.sustainedShed *= math.Exp((state.updatedAt - b.now) / shedDecayTime)
+	state.updatedAt = b.now
+	state.sustainedShed = clamp(state.sustainedShed+step*excess, 0, maxShedFraction+shedDeadband)
+	sustained := state.sustainedShed - shedDeadband
+	fraction := clamp(sustained+immediateShedGain*excess, 0, math.Min(maxShedFraction, 2*sustained))
+	return fraction == 0 || b.random() >= b.shedProbability(r, fraction)
+}
+
+// excessLatency is by how much the expected latency exceeds what is allowed, as a fraction of the objective.
+// Below 0 it is taken with the larger allowance, so that shedding ends as fast where the smaller one applies.
+func (b *Balancer) excessLatency(answerRate float64) float64 {
+	least, assumed := b.admission.minLatencyRatio, 1-b.answerRate(0)/answerRate
+	expected := b.admission.load.mean/answerRate + least*assumed // assumed answers take the least
 	allowance := queueingAllowance
 	if b.lowTraffic() {
 		allowance = queueingAllowanceLowTraffic
 	}
-	threshold := b.minLatencyRatio + allowance*(1-b.minLatencyRatio) // the work itself and a part of the rest
-	excess := math.Min(expectedLatency, 2) - threshold
-	if excess < 0 { // what is shed ends as fast where queues may take less: most of it was shed for nothing
-		excess = expectedLatency - b.minLatencyRatio - queueingAllowance*(1-b.minLatencyRatio)
+	threshold := least + allowance*(1-least)
+	excess := math.Min(expected, 2) - threshold
+	if excess < 0 {
+		excess = expected - least - queueingAllowance*(1-least)
 	}
-	step := math.Max(minShedStep, clamp((b.now-b.lastAdmissionAt)/shedStepTime, 0, maxShedStep))
-	b.sustainedShed *= math.Exp((b.lastAdmissionAt - b.now) / shedDecayTime)
-	b.lastAdmissionAt = b.now
-	b.sustainedShed = clamp(b.sustainedShed+step*excess, 0, maxShedFraction+shedDeadband)
-	sustained := b.sustainedShed - shedDeadband
-	shedFraction := clamp(sustained+immediateShedGain*excess, 0, math.Min(maxShedFraction, 2*sustained))
-	return shedFraction == 0 || b.random() >= b.shedProbability(r, shedFraction)
-}
-
-// trackLoad follows what is in flight, each attempt as one over its aim and for no longer than that: what
-// hangs is no overload. The mean is over the time of a few answers: a small sidecar's few crowd by chance.
-func (b *Balancer) trackLoad(delta, answerRate float64) {
-	b.meanLoad += (b.load - b.meanLoad) * -math.Expm1((b.loadUpdatedAt-b.now)*answerRate/assumedAnswers)
-	b.load, b.loadUpdatedAt = b.load+delta, b.now
+	return excess
 }
 
-// answerRate is the rate of answers, some assumed; or that surely seen over the last aim: traffic may grow fast.
-func (b *Balancer) answerRate(assumed float64) float64 {
-	longTermRate := b.answerMeter.rate(b.now, b.firstAnswerAt, answerRateSpan*b.longestObjective, assumed)
-	recentAnswers := b.recentAnswerMeter.rate(b.now, b.now-1e9, b.longestObjective, 0) * b.longestObjective
-	return math.Max(longTermRate, (recentAnswers-2*math.Sqrt(recentAnswers))/b.longestObjective)
-}
+// shedding reports whether any load is shed.
+func (b *Balancer) shedding() bool { return b.admission.sustainedShed > shedDeadband }
 
-// shedProbability spreads the load to shed over classes and tenants, those first whose answers add least to the
-// goal for their work; the worst-served weigh on their own. Of a tenant counts what is in its share.
-func (b *Balancer) shedProbability(r *request, shedFraction float64) float64 {
-	totals, objective := b.sumDemand(), b.config.Objective
-	valuePerWork := func(class *classStats, tenant *requestCounts) float64 {
-		v := (objective.Whole + objective.WorstWindow) * class.priorityWeight / totals.priorityWeight
-		if class == totals.worstClass {
-			v += objective.WorstClass / class.received
-		}
-		if tenant.quota > 0 {
-			overQuota := b.config.OverQuotaWeight
-			v *= overQuota + (1-overQuota)*math.Min(tenant.quota*totals.received/tenant.received, maxFairnessBoost)
-		}
-		if tenant == totals.worstTenant {
-			v += objective.WorstTenant * class.priorityWeight / totals.priorityWeight * totals.received / tenant.received
-		}
-		return v / math.Max(class.meanLatency, 1e-3)
-	}
-	totalWork, lessValuableWork, similarWork, ownValue := 0.0, 0.0, 1e-3, valuePerWork(r.stats, r.tenant)
-	for c := range b.classStats {
-		for t := range b.tenantStats {
-			work := b.classStats[c].received * b.classStats[c].meanLatency * b.tenantStats[t].received
+// shedProbability distributes the fraction of the load to shed over classes and tenants: those are shed first
+// whose answers add least to the objective for their work.
+func (b *Balancer) shedProbability(r *request, fraction float64) float64 {
+	totals := b.sumDemand()
+	totalWork, lessValuable, similar, own := 0.0, 0.0, 1e-3, b.valuePerWork(&totals, r.stats, r.tenant)
+	for i := range b.admission.classes {
+		class := &b.admission.classes[i]
+		for k := range b.admission.tenants {
+			tenant := &b.admission.tenants[k]
+			work := class.received * class.meanLatency * tenant.received
 			totalWork += work
-			if v := valuePerWork(&b.classStats[c], &b.tenantStats[t]); v*similarValueFactor < ownValue {
-				lessValuableWork += work
-			} else if v < ownValue*similarValueFactor {
-				similarWork += work
+			if value := b.valuePerWork(&totals, class, tenant); value*similarValueFactor < own {
+				lessValuable += work
+			} else if value < own*similarValueFactor {
+				similar += work
 			}
 		}
 	}
-	return (shedFraction*totalWork - lessValuableWork) / similarWork
+	return (fraction*totalWork - lessValuable) / similar
 }
 
-func (b *Balancer) sumDemand() demandTotals {
-	totals := demandTotals{priorityWeight: 1e-9, worstClass: &b.classStats[0], worstTenant: &b.tenantStats[0]}
-	for c := range b.classStats {
-		totals.received += b.classStats[c].received
-		totals.priorityWeight += b.classStats[c].received * b.classStats[c].priorityWeight
-		if b.classStats[c].servedLessThan(&totals.worstClass.requestCounts) {
-			totals.worstClass = &b.classStats[c]
-		}
+// valuePerWork is what an answer to a class and tenant adds to the objective, for its work. Those that are
+// served worst have a weight of their own. Of a tenant counts what is within its quota.
+func (b *Balancer) valuePerWork(totals *demandTotals, class *classStats, tenant *requestCounts) float64 {
+	objective := &b.config.Objective
+	value := (objective.Overall + objective.WorstWindow) * class.priorityWeight / totals.priorityWeight
+	if class == totals.worstClass {
+		value += objective.WorstClass / class.received
 	}
-	for t := range b.tenantStats {
-		if b.tenantStats[t].servedLessThan(totals.worstTenant) {
-			totals.worstTenant = &b.tenantStats[t]
-		}
+	if tenant.quota > 0 {
+		boost := math.Min(tenant.quota*totals.received/tenant.received, maxFairnessBoost)
+		value *= b.config.OverQuotaWeight + (1-b.config.OverQuotaWeight)*boost
 	}
-	return totals
-}
-
-// trackLatency follows how long the answers of a class take, as a part of their aim, and the least it has been of
-// late. Of these the quickest is the mean over the answers of late: where one class is shed, what is left may
-// take a larger part of its aim, and that is no overload.
-func (b *Balancer) trackLatency(class *classStats, latencyRatio float64) {
-	class.recentSamples = math.Min(class.recentSamples+1, averagingSamples)
-	class.recentLatencyRatio += (math.Min(latencyRatio, 2) - class.recentLatencyRatio) / class.recentSamples
-	if class.recentSamples == averagingSamples {
-		class.minLatencyRatio += math.Max(initialLatencyRatio-class.minLatencyRatio, 0) * -math.Expm1((class.minLatencyUpdatedAt-b.now)/minLatencyDecay)
-		class.minLatencyRatio = math.Min(class.minLatencyRatio, class.recentLatencyRatio)
+	if tenant == totals.worstTenant {
+		fraction := objective.WorstTenant * class.priorityWeight / totals.priorityWeight
+		value += fraction * totals.received / tenant.received
 	}
-	class.minLatencyUpdatedAt = b.now
-	b.minLatencyRatio += (class.minLatencyRatio - b.minLatencyRatio) / averagingSamples
-}
-
-func (c *classStats) recordLatency(latency float64) {
-	c.samples = math.Min(c.samples+1, 300)
-	c.meanLatency += (latency - c.meanLatency) / c.samples
-	c.meanDeviation += (math.Abs(latency-c.meanLatency) - c.meanDeviation) / c.samples
+	return value / math.Max(class.meanLatency, 1e-3)
 }
--- a/balance/affinity.go
+++ b/balance/affinity.go
@@ -1,75 +1,84 @@
 package balance
 
 import (
-	"cmp"
 	"math"
 	"slices"
 )
 
+// This file decides which servers a key's requests go to.
+
 const (
-	minServersPerKey  = 2    // servers of a rare key: enough choice to even out the load, few enough to stay warm
-	fleetPerKeyServer = 15   // ... and one of so many in a large fleet, where keys are asked for more often
-	maxKeyFraction    = 0.5  // a frequent key has so many that it is at most this part of what each gets
-	keyLoadHeadroom   = 1.25 // as headroom, for the servers of a key: a wait costs less than cold work
+	minServersPerKey  = 2    // enough choice to even out the load, few enough to stay warm
+	fleetPerKeyServer = 15   // in a large fleet a key has one of so many servers
+	maxKeyFraction    = 0.5  // a frequent key is at most this part of what each of its servers receives
+	keyLoadHeadroom   = 1.25 // loadHeadroom for a key's servers: a wait costs less than a cold cache
 )
 
-// keySubset returns the servers over which the requests of a key rotate, of those of this pick. The key's servers
-// are the first by rendezvous hashing on the key, the same at all sidecars: few, so that what they served is
-// warm when the key comes again, though each sidecar alone meets it seldom. Of a large fleet a sidecar that
-// meets each server seldom keeps to the first of them in its own order: so it needs few connections and soon
-// knows the servers that it uses, and the orders of all sidecars even out the load. Where none is free, more
-// come in (bounded load).
+// keySubset returns the servers to choose from for a key: the first in the key's order by rendezvous hashing,
+// the same at all sidecars. They are few, so that a key is still warm when it comes again, though each
+// sidecar meets it seldom. In a large fleet a sidecar with little traffic keeps to the first of them in its
+// own order: it needs few connections and soon knows the servers that it uses, and the orders of all sidecars
+// even out the load. While none of them has capacity the subset grows (bounded load).
 func (b *Balancer) keySubset(key uint64) []*server {
 	count := b.candidateCount()
 	size := min(max(minServersPerKey, count/fleetPerKeyServer, b.frequencySubsetSize(key, count)), count)
-	b.candidates = b.candidates[:0]
-	order, next := b.keyOrderFor(key, size), 0
-	next = b.collectKeyCandidates(order, next, size)
+	b.selection.candidates = b.selection.candidates[:0]
+	order := b.keyOrderFor(key, size)
+	next := b.collectKeyCandidates(order, 0, size)
 	if b.narrowsToOwnOrder() {
-		// Weighted rendezvous again: errors and cold take keys off a server. Its size counts above.
-		lowest := 0
-		for i, s := range b.candidates {
-			if s.keyPosition = s.rank * s.RelativeCapacity / s.weight; s.keyPosition < b.candidates[lowest].keyPosition {
-				lowest = i
-			}
-		}
-		if s := b.candidates[lowest]; b.hasCapacity(s) {
-			b.candidates[0] = s
-			return b.candidates[:1]
+		if b.narrowCandidates() {
+			return b.selection.candidates[:1]
 		}
-		slices.SortFunc(b.candidates, compareKeyPosition)
 		size = 1
 	}
 	for i := 0; ; i++ {
-		if i == len(b.candidates) {
-			if next = b.collectKeyCandidates(order, next, 2*i); i == len(b.candidates) {
-				return b.candidates // none is free
+		if i == len(b.selection.candidates) {
+			if next = b.collectKeyCandidates(order, next, 2*i); i == len(b.selection.candidates) {
+				return b.selection.candidates // none has capacity
 			}
 		}
-		if b.hasCapacity(b.candidates[i]) {
-			return b.candidates[:max(size, i+1)]
+		if b.hasCapacity(b.selection.candidates[i]) {
+			return b.selection.candidates[:max(size, i+1)]
 		}
 	}
 }
 
-// frequencySubsetSize is over how many of count servers a sidecar has a key by what it meets itself.
+// narrowCandidates orders the candidates by this sidecar's own order, weighted once more so that errors and
+// slow start take keys off a server. It returns true, with the first in front and the others unordered, if
+// the first has capacity.
+func (b *Balancer) narrowCandidates() bool {
+	candidates, first := b.selection.candidates, 0
+	for i, s := range candidates {
+		s.keyPosition = s.rank * s.RelativeCapacity / s.weight
+		if s.keyPosition < candidates[first].keyPosition {
+			first = i
+		}
+	}
+	if b.hasCapacity(candidates[first]) {
+		candidates[0] = candidates[first]
+		return true
+	}
+	slices.SortFunc(candidates, compareKeyPosition)
+	return false
+}
+
+// frequencySubsetSize is over how many of count servers a key is distributed for its frequency at this
+// sidecar.
 func (b *Balancer) frequencySubsetSize(key uint64, count int) int {
-	return int(math.Ceil(b.keyFrequency.fraction(key) * float64(count) / maxKeyFraction))
+	return int(math.Ceil(b.keys.fraction(key) * float64(count) / maxKeyFraction))
 }
 
-// candidateCount is how many servers a first pick by key chooses from.
+// candidateCount is how many servers a first attempt by key chooses from.
 func (b *Balancer) candidateCount() int {
-	if b.allEjected {
-		return len(b.candidates)
+	if b.selection.allEjected {
+		return len(b.selection.candidates)
 	}
-	return b.rotation.size - b.excluded.inRotation
+	return b.rotation.size - b.selection.excluded.inRotation
 }
 
-// narrowsToOwnOrder: of the servers of a key only the first few in this sidecar's own order are used.
+// narrowsToOwnOrder reports whether only the first of a key's servers in this sidecar's own order are used.
 func (b *Balancer) narrowsToOwnOrder() bool {
 	return b.candidateCount()/fleetPerKeyServer > minServersPerKey && b.lowTraffic()
 }
 
 func (b *Balancer) hasCapacity(s *server) bool { return b.mayReceive(s) && !b.exceedsLoadBound(s) }
-
-func compareKeyPosition(s, t *server) int { return cmp.Compare(s.keyPosition, t.keyPosition) }
--- a/balance/affinity_test.go
+++ b/balance/affinity_test.go
@@ -97,7 +97,7 @@
 		for key := range uint64(900) {
 			g.now += 100
 			g.lastID++
-			g.balancer.serversByID[bad].consecutiveErrors, g.balancer.serversByID[bad].lastErrorAt = errs, g.now
+			g.balancer.serversByID[bad].errors.consecutive, g.balancer.serversByID[bad].errors.lastAt = errs, g.now
 			s, ok := sentServer(g.handle(Request{ID: g.lastID, Class: idempotentClass, Key: key + 1, Timeout: 1500}))
 			if !ok {
 				t.Fatal("nothing was sent")
--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -2,92 +2,106 @@
 
 import "math"
 
-// This file decides how much each server is given: its weight, and what a cold one bears.
+// This file decides how much load each server receives: its weight, and what it may receive in slow start.
 
 const (
-	errorHalfLife        = 5000 // ms; errors lose half their weight in this time: troubles last seconds, not minutes
-	errorPenalty         = 0.2  // m lost for each consecutive error
-	minHealth            = 0.25 // m never falls below this, so that a recovered server is found again
-	capacityLearningRate = 0.01 // step of a server's size for each answer; its kind and zone move with half of it
-	maxLogCapacity       = 2.5  // bound of each learned logarithm of size
-	utilizationGain      = 2    // ... for being less busy than the others, beside that for being quicker
-	recentPoolMargin     = 1.15 // the budget of a cold server is at most so much more than the weights of late give
-	initialLearningBoost = 24   // times faster that sizes are learned at first: restarted sidecars know none
+	baseWeight           = 100
+	minWeight            = 1e-6
+	errorHalfLife        = 5000 // ms in which errors lose half their effect: faults last seconds, not minutes
+	errorPenalty         = 0.2  // health lost for each consecutive error
+	minHealth            = 0.25 // so that a server that recovers is noticed
+	capacityLearningRate = 0.01 // step of a log capacity for each answer; kind and zone move by half of it
+	driftSamples         = 200  // answers over which the mean step is taken
+	initialLearningBoost = 24   // factor of the first steps: a sidecar that restarted knows no capacity
+	maxLogCapacity       = 2.5  // bound of each learned logarithm
+	utilizationGain      = 2    // effect of a utilization below the mean, beside that of latency
+	recentPoolMargin     = 1.15 // how far the budget of slow start may exceed what the recent weights give
 )
 
-// weight is size × m, lowered while the server warms up.
+// weight is capacity × health, lowered in slow start.
 func (b *Balancer) weight(s *server) float64 {
-	capacity := 100 * s.RelativeCapacity * math.Exp(s.logCapacity+b.capacityByKind[s.Kind]+b.capacityByZone[s.Zone])
-	return math.Max(capacity*b.health(s)*b.slowStartFactor(s), 1e-6)
+	logCapacity := s.logCapacity + b.capacity.byKind[s.Kind] + b.capacity.byZone[s.Zone]
+	capacity := baseWeight * s.RelativeCapacity * math.Exp(logCapacity)
+	return math.Max(capacity*b.health(s)*b.slowStartFactor(s), minWeight)
 }
 
-// groupFactor is what the weights of all servers of a group have in common.
+// groupFactor is what the weights of the servers of one kind and zone have in common.
 func (b *Balancer) groupFactor(kind, zone int) float64 {
-	factor := math.Exp(b.capacityByKind[kind] + b.capacityByZone[zone])
+	factor := math.Exp(b.capacity.byKind[kind] + b.capacity.byZone[zone])
 	if zone == b.config.Zone {
 		factor *= b.ownZoneFactor()
 	}
 	return factor
 }
 
-func (b *Balancer) health(s *server) float64 { // the multiplier m
-	effectiveErrors := float64(s.consecutiveErrors) * math.Exp(-math.Ln2*(b.now-s.lastErrorAt)/errorHalfLife)
-	return clamp(1-errorPenalty*effectiveErrors, minHealth, 1)
+// health is the multiplier that falls with consecutive errors and recovers as they decay, from minHealth to
+// 1.
+func (b *Balancer) health(s *server) float64 {
+	errors := float64(s.errors.consecutive) * math.Exp(-math.Ln2*(b.now-s.errors.lastAt)/errorHalfLife)
+	return clamp(1-errorPenalty*errors, minHealth, 1)
 }
 
 func (b *Balancer) inSlowStart(s *server) bool {
-	return b.now < s.slowStartSince+b.config.SlowStartDuration
+	return b.now < s.slowStart.since+b.config.SlowStartDuration
 }
 
-// slowStartFactor is the least fraction of its capacity that a cold server has.
+// slowStartFactor is the least fraction of its capacity that a server has by now.
 func (b *Balancer) slowStartFactor(s *server) float64 {
 	if !b.inSlowStart(s) {
 		return 1
 	}
-	return b.config.SlowStartMinCapacity + (1-b.config.SlowStartMinCapacity)*math.Max(0, b.now-s.slowStartSince)/b.config.SlowStartDuration
+	least := b.config.SlowStartMinCapacity
+	return least + (1-least)*math.Max(0, b.now-s.slowStart.since)/b.config.SlowStartDuration
 }
 
-// hasSlowStartBudget is a hard limit of sends to a cold server, re-routes included: half of the allowed multiple of
-// what warm servers of its size answer of this sidecar's requests, lowered by its warmth, so that all of them
-// together stay under it. Answers count, not requests, which clients repeat, and few are assumed: with
-// thirty, it broke the rule. Where many turn cold the weights of now fall sooner than the answers; those
-// of late bound them. A token held for long is lost: what all gathered in a quiet time came in one burst.
+// hasSlowStartBudget limits the attempts at a server in slow start, retries included: to half of the allowed
+// multiple of the answers that a server of its size gives to this sidecar, lowered by its slow start factor,
+// so that all sidecars together stay below the allowed multiple. Answers count, not requests, which clients
+// repeat, and few are assumed. Where many servers are in slow start the weights fall sooner than the answers,
+// so the recent ones bound them. Tokens are not saved up for long: what all sidecars had saved in a quiet
+// time would come in one burst.
 func (b *Balancer) hasSlowStartBudget(s *server) bool {
-	poolWeight := max(b.poolWeight, math.Min(b.recentPoolWeight.mean, b.fullCapacityPoolWeight())/recentPoolMargin, s.weight)
+	recentPool := math.Min(b.pool.recent.mean, b.fullCapacityPoolWeight()) / recentPoolMargin
+	poolWeight := max(b.pool.current, recentPool, s.weight)
 	refillRate := b.answerRate(1) * s.weight / poolWeight * math.Max(1, b.config.OverloadMultiple/2)
-	saved := refillRate * b.config.OverloadDuration / 2
-	scarce, maxTokens := b.config.KeyAffinity && saved < 0.5, math.Max(1, saved/2) // few: a fleet holds too much together
+	budget := refillRate * b.config.OverloadDuration / 2
+	scarce := b.config.KeyAffinity && budget < 0.5 // a token at each sidecar would be too many
+	maxTokens := math.Max(1, budget/2)
 	if scarce {
-		maxTokens = 1 + saved
+		maxTokens = 1 + budget
 	}
-	s.slowStartTokens = math.Min(s.slowStartTokens+refillRate*(b.now-s.slowStartTokensAt), maxTokens)
-	if s.slowStartTokensAt = b.now; scarce && s.slowStartTokens == maxTokens {
-		s.slowStartTokens--
+	state := &s.slowStart
+	state.tokens = math.Min(state.tokens+refillRate*(b.now-state.tokensAt), maxTokens)
+	state.tokensAt = b.now
+	if scarce && state.tokens == maxTokens {
+		state.tokens--
 	}
-	return s.slowStartTokens >= 1
+	return state.tokens >= 1
 }
 
-// beginSlowStart begins a server's warm-up with a random budget, so that the first sends of all do not meet.
+// beginSlowStart begins with a random budget, so that the first attempts of all sidecars do not coincide.
 func (b *Balancer) beginSlowStart(s *server, since float64) {
-	s.slowStartSince, s.slowStartTokens, s.slowStartTokensAt = since, b.random(), b.now
+	s.slowStart = slowStartState{since: since, tokens: b.random(), tokensAt: b.now}
 }
 
-// learnCapacity moves sizes until answers take equally long everywhere. What all servers share is load, not size.
-// Where servers tell how busy they are, that counts as well: while load is shed answers stay quick, and slow
-// servers stood idle beside fast ones that were full.
+// learnCapacity moves capacities until answers take equally long everywhere. What all servers have in common
+// is load, not capacity. A reported utilization counts as well: while load is shed answers are quick, and
+// slow servers would be idle beside fast ones that are full.
 func (b *Balancer) learnCapacity(s *server, relativeLatency float64) {
 	if b.inSlowStart(s) {
 		return
 	}
+	model := &b.capacity
 	step := math.Max(-2, 1-relativeLatency)
-	if s.utilization > 0 {
-		step += utilizationGain * (b.meanUtilization - s.utilization)
+	if s.report.utilization > 0 {
+		step += utilizationGain * (b.reports.meanUtilization - s.report.utilization)
 	}
-	b.capacityDrift += (step - b.capacityDrift) / 200
-	b.capacitySamples++
-	step = capacityLearningRate * (1 + initialLearningBoost/(1+b.capacitySamples/averagingSamples)) * (step - b.capacityDrift)
+	model.drift += (step - model.drift) / driftSamples
+	model.samples++
+	boost := 1 + initialLearningBoost/(1+model.samples/averagingSamples)
+	step = capacityLearningRate * boost * (step - model.drift)
 	s.logCapacity = clamp(s.logCapacity+step, -maxLogCapacity, maxLogCapacity)
 	b.scheduleRefresh(s)
-	b.capacityByKind[s.Kind] = clamp(b.capacityByKind[s.Kind]+step/2, -maxLogCapacity, maxLogCapacity)
-	b.capacityByZone[s.Zone] = clamp(b.capacityByZone[s.Zone]+step/2, -maxLogCapacity, maxLogCapacity)
+	model.byKind[s.Kind] = clamp(model.byKind[s.Kind]+step/2, -maxLogCapacity, maxLogCapacity)
+	model.byZone[s.Zone] = clamp(model.byZone[s.Zone]+step/2, -maxLogCapacity, maxLogCapacity)
 }
--- a/balance/config.go
+++ b/balance/config.go
@@ -1,80 +1,127 @@
 package balance
 
-import (
-	"errors"
-	"fmt"
-	"math"
+// Idempotency says whether a request may be executed more than once.
+type Idempotency uint8
+
+// The kinds of idempotency that a class of requests can have.
+const (
+	Idempotent        Idempotency = iota // may be executed any number of times
+	IdempotentWithKey                    // servers of one scope discard a repeat within a window
+	NonIdempotent                        // must never be executed twice
+)
+
+// DeduplicationScope says which servers recognise a repeat of a request with an idempotency key.
+type DeduplicationScope uint8
+
+// The scopes in which an idempotency key is known.
+const (
+	ScopeAll  DeduplicationScope = iota // all servers
+	ScopeZone                           // the servers of a zone
+	ScopeCell                           // the servers of a cell
+)
+
+// Class describes one class of requests.
+type Class struct {
+	Idempotency        Idempotency
+	DeduplicationScope DeduplicationScope
+	// IdempotencyWindow is how long a scope remembers a key, from the first attempt that may have been executed.
+	IdempotencyWindow float64
+	// LatencyObjective is the latency within which an answer earns the full PriorityWeight.
+	LatencyObjective float64
+	// LatencyObjectivePerWork extends the objective by this multiple of the request's own work.
+	LatencyObjectivePerWork float64
+	// Deadline is the longest that a client waits, over all its attempts.
+	Deadline float64
+	// PriorityWeight is what a request that is served in time is worth, relative to other classes.
+	PriorityWeight float64
+	// LateWeight is the fraction of PriorityWeight that an answer after the objective still earns.
+	LateWeight float64
+	// Streaming classes answer with a stream: once it has started the client owns the attempt.
+	Streaming bool
+}
+
+// Tenant is one customer of the service.
+type Tenant struct {
+	QuotaRate float64 // requests a second within its quota, over all sidecars
+	Quota     float64 // its fraction of the service, 0 to 1; 0: it has none
+}
+
+// LoadReportMode says how the load reports of servers reach a sidecar.
+type LoadReportMode uint8
+
+// The modes of load reports.
+const (
+	LoadReportNone        LoadReportMode = iota // servers send none
+	LoadReportPiggyback                         // with each answer
+	LoadReportHealthCheck                       // with the answer to a health check only
 )
 
-// This file makes a balancer from its settings.
-
-// New returns a balancer with the given settings; Start begins its life. It keeps the slices of cfg, which must
-// not change afterwards. Settings that cannot be are an error that names the field.
-func New(cfg Config) (*Balancer, error) {
-	if err := cfg.validate(); err != nil {
-		return nil, err
-	}
-	b := &Balancer{
-		config: cfg, randomState: cfg.Seed, serversByID: map[ServerID]*server{}, requests: map[RequestID]*request{},
-		classStats: make([]classStats, len(cfg.Classes)), tenantStats: make([]requestCounts, len(cfg.Tenants)+1),
-		capacityByKind: map[int]float64{}, capacityByZone: map[int]float64{}, keyFrequency: keyFrequencies{counts: map[uint64]float64{}},
-		zoneHealth: map[int]*zoneHealth{}, longestObjective: 1, minLatencyRatio: initialLatencyRatio, busyFraction: 1, lastOverloadedAt: math.Inf(-1), retryTokens: retryBudgetMax, keyOrders: newKeyOrderCache(),
-		gossip: gossipState{senders: map[int]*gossipSender{}, serversByTag: map[uint32]*server{}},
-	}
-	b.selectServer = b.pick
-	for i := range cfg.Classes {
-		b.longestObjective = math.Max(b.longestObjective, cfg.Classes[i].LatencyObjective)
-		b.classStats[i] = classStats{requestCounts: requestCounts{received: 1, servedInTime: 1}, priorityWeight: cfg.Classes[i].PriorityWeight, minLatencyRatio: initialLatencyRatio}
-	}
-	for i := range b.tenantStats {
-		b.tenantStats[i] = requestCounts{received: 1, servedInTime: 1}
-		if i < len(cfg.Tenants) {
-			b.tenantStats[i].quota = cfg.Tenants[i].Quota
-		}
-	}
-	if cfg.Objective == (Objective{}) {
-		b.config.Objective.Whole = 1
-	}
-	return b, nil
+// LoadReportField is one figure of a load report.
+type LoadReportField uint8
+
+// The figures that a load report can hold; FieldUnknown is skipped.
+const (
+	FieldUnknown     LoadReportField = iota
+	FieldInFlight                    // requests being handled
+	FieldQueueLength                 // requests waiting
+	FieldUtilization                 // fraction of CPU in use
+	FieldLatency                     // recent service time
+	FieldRequestRate                 // requests served a second
+	FieldErrorRate                   // errors a second
+)
+
+// Config holds the settings that one sidecar starts with. New checks them.
+type Config struct {
+	Seed         uint64 // of the sidecar's pseudo-random numbers
+	SidecarIndex int    // this sidecar's, from 0
+	SidecarCount int    // of the fleet, this one included
+	Zone         int    // this sidecar's
+
+	Classes         []Class
+	Tenants         []Tenant
+	OverQuotaWeight float64 // value of a request beyond its tenant's quota, as a fraction of one within it
+	EventInterval   float64 // least time between two batches of events
+
+	KeyAffinity      bool // a server that lately served a key serves it again with less work
+	Subscribe        bool // the endpoint list must be subscribed to
+	LoadReports      LoadReportMode
+	LoadReportFields []LoadReportField // what a load report holds, in order
+
+	MaxAttempts           int     // of a request
+	AllowParallelAttempts bool    // two attempts of a request may be in flight together
+	AllowCancel           bool    // attempts may be cancelled
+	AllowHealthChecks     bool    // servers may be sent health checks
+	AllowGossip           bool    // sidecars may send each other messages
+	SendRetryAfter        bool    // rejected clients are told when to retry
+	MaxRetryAfter         float64 // the longest Retry-After that a client obeys
+	ConnectTimeout        float64 // of an attempt
+
+	DrainGracePeriod     float64 // attempts at a draining or removed server must stop within this
+	SlowStartMinCapacity float64 // fraction of its capacity that a server has at least when it starts
+	SlowStartDuration    float64 // time after which a server has its full capacity
+	OverloadMultiple     float64 // a server in slow start that receives more than this multiple of its capacity ...
+	OverloadDuration     float64 // ... for this long fails
+	PollInterval         float64 // without a subscription the endpoint list must be polled this often; 0: no limit
+	AnswerGracePeriod    float64 // an answer this long after the client's deadline still counts
+
+	Objective Objective
+	Costs     Costs
+}
+
+// Objective weighs the parts of the result by which a deployment is judged. Load shedding follows it.
+type Objective struct {
+	Overall     float64 // of all requests
+	WorstWindow float64 // of the worst span of time
+	WorstClass  float64 // of the class served worst
+	WorstTenant float64 // of the tenant served worst
 }
 
-// validate tells which field of the settings cannot be, if any.
-func (c *Config) validate() error {
-	type figure struct {
-		name string
-		v    float64
-	}
-	figures := []figure{
-		{"Quantum", c.EventInterval}, {"MaxAttempts", float64(c.MaxAttempts)}, {"MaxRetryAfter", c.MaxRetryAfter},
-		{"ConnectTimeout", c.ConnectTimeout}, {"DrainGrace", c.DrainGracePeriod}, {"ColdFrom", c.SlowStartMinCapacity},
-		{"ColdTime", c.SlowStartDuration}, {"FallMultiple", c.OverloadMultiple}, {"FallTime", c.OverloadDuration},
-		{"AskWithin", c.PollInterval}, {"AnswerSlack", c.AnswerGracePeriod}, {"OverShareWorth", c.OverQuotaWeight},
-		{"Goal.Whole", c.Objective.Whole}, {"Goal.WorstWindow", c.Objective.WorstWindow},
-		{"Goal.WorstClass", c.Objective.WorstClass}, {"Goal.WorstTenant", c.Objective.WorstTenant},
-		{"Prices.CrossZone", c.Costs.CrossZone}, {"Prices.Waste", c.Costs.Waste},
-		{"Prices.Handshake", c.Costs.Handshake}, {"Prices.Probe", c.Costs.Probe},
-		{"Prices.Peer", c.Costs.Peer}, {"Prices.LateFail", c.Costs.LateFail},
-	}
-	if len(c.Classes) == 0 {
-		return errors.New("no Classes")
-	}
-	for i := range c.Classes {
-		class, name := &c.Classes[i], fmt.Sprintf("Classes[%d].", i)
-		if class.Idempotency > NonIdempotent || class.DeduplicationScope > ScopeCell || !(class.Deadline > 0) {
-			return fmt.Errorf("%sEffect, Group or Deadline cannot be: %+v", name, *class)
-		}
-		figures = append(figures, figure{name + "Aim", class.LatencyObjective}, figure{name + "Deadline", class.Deadline},
-			figure{name + "Worth", class.PriorityWeight}, figure{name + "LateWorth", class.LateWeight},
-			figure{name + "AimStretch", class.LatencyObjectivePerWork}, figure{name + "Window", math.Min(class.IdempotencyWindow, math.MaxFloat64)})
-	}
-	for i := range c.Tenants {
-		name := fmt.Sprintf("Tenants[%d].", i)
-		figures = append(figures, figure{name + "Allowance", c.Tenants[i].QuotaRate}, figure{name + "Share", c.Tenants[i].Quota})
-	}
-	for _, checked := range figures {
-		if !(checked.v >= 0) || math.IsInf(checked.v, 0) {
-			return fmt.Errorf("%s is %v", checked.name, checked.v)
-		}
-	}
-	return nil
+// Costs are subtracted from the result.
+type Costs struct {
+	CrossZone   float64 // of attempts in other zones, as a fraction of first attempts
+	WastedWork  float64 // of servers' work that served no answer, as a fraction of the work offered
+	Handshake   float64 // of a new connection, per first attempt
+	HealthCheck float64 // of a health check, per first attempt
+	Gossip      float64 // of 256 bytes of gossip delivered, per first attempt
+	LateFailure float64 // of priority weight that is still unserved after its objective
 }
--- a/balance/faults_test.go
+++ b/balance/faults_test.go
@@ -60,7 +60,7 @@
 // A sidecar with little traffic cannot know from its own requests what others fill.
 func TestHealthCheckedQueueIsAvoided(t *testing.T) {
 	g := newHarness(t, healthCheckConfig(), testServers(3)...)
-	g.balancer.servers[0].runningWeight = 1000 // its turn
+	g.balancer.servers[0].round.runningWeight = 1000 // its turn
 	id, acts := g.request(idempotentClass)
 	if hasAction(acts, Send) {
 		t.Fatal("sent before the probes were answered")
@@ -75,7 +75,7 @@
 func TestRequestWaitsBrieflyForHealthChecks(t *testing.T) {
 	g := newHarness(t, healthCheckConfig(), testServers(3)...)
 	id, _ := g.request(idempotentClass)
-	g.now = g.balancer.requests[id].timerAt
+	g.now = g.balancer.requests.open[id].timerAt
 	if acts := g.handle(TimerFired{Token: uint64(id)}); !hasAction(acts, Send) || g.now > 1000+0.1*300 {
 		t.Fatalf("at %v: %+v", g.now, acts)
 	}
@@ -94,7 +94,7 @@
 		id, acts := g.request(idempotentClass)
 		s, ok := sentServer(acts)
 		if !ok {
-			t.Fatalf("request %d was refused: shed %v", id, g.balancer.sustainedShed)
+			t.Fatalf("request %d was refused: shed %v", id, g.balancer.admission.sustainedShed)
 		}
 		if s == 1 {
 			hung++
@@ -112,7 +112,7 @@
 func (g *harness) dueTimers() []TimerFired {
 	var list []TimerFired
 	for id := RequestID(1); id <= g.lastID; id++ {
-		if r := g.balancer.requests[id]; r != nil && r.timerAt <= g.now && !r.finished {
+		if r := g.balancer.requests.open[id]; r != nil && r.timerAt <= g.now && !r.finished {
 			list = append(list, TimerFired{Token: uint64(id)})
 		}
 	}
@@ -155,26 +155,26 @@
 			continue
 		}
 		end := g.now + times[i%3]
-		for r := g.balancer.requests[id]; !r.finished && r.timerAt < end; {
+		for r := g.balancer.requests.open[id]; !r.finished && r.timerAt < end; {
 			g.now = r.timerAt
 			g.handle(TimerFired{Token: uint64(id)})
 		}
 		g.now = end
-		if i > 30 && g.balancer.requests[id].attempts[0].overdue {
-			t.Fatalf("attempt %d of %v ms is held to be overdue after %v", i, times[i%3], g.balancer.overdueAfter(g.balancer.requests[id]))
+		if i > 30 && g.balancer.requests.open[id].attempts[0].overdue {
+			t.Fatalf("attempt %d of %v ms is held to be overdue after %v", i, times[i%3], g.balancer.overdueAfter(g.balancer.requests.open[id]))
 		}
 		g.finishAttempt(id, 0, OK, times[i%3])
 	}
-	g.balancer.sustainedShed = 0
+	g.balancer.admission.sustainedShed = 0
 	id, _ := g.request(nonIdempotentClass)
-	r := g.balancer.requests[id]
+	r := g.balancer.requests.open[id]
 	for !r.attempts[0].overdue {
 		if g.now = r.timerAt; g.now >= r.deadline {
 			t.Fatal("nothing looks at the attempt before its deadline")
 		}
 		g.handle(TimerFired{Token: uint64(id)})
 	}
-	if r.attempts[0].server.consecutiveErrors == 0 {
+	if r.attempts[0].server.errors.consecutive == 0 {
 		t.Fatal("an attempt far beyond all others is no error")
 	}
 }
@@ -184,14 +184,14 @@
 	g := newHarness(t, baseConfig(), testServers(2)...)
 	id, _ := g.request(idempotentClass)
 	g.request(idempotentClass)
-	if want := 2.0 / 300; g.balancer.load != want {
-		t.Fatalf("load %v of two requests, want %v", g.balancer.load, want)
+	if want := 2.0 / 300; g.balancer.admission.load.current != want {
+		t.Fatalf("load %v of two requests, want %v", g.balancer.admission.load.current, want)
 	}
 	g.now += 300
 	g.handle(TimerFired{Token: uint64(id)})
 	g.finishAttempt(id, 0, OK, 300)
-	if want := 1.0 / 300; math.Abs(g.balancer.load-want) > 1e-12 {
-		t.Fatalf("load %v when one has taken its aim and ended, want %v", g.balancer.load, want)
+	if want := 1.0 / 300; math.Abs(g.balancer.admission.load.current-want) > 1e-12 {
+		t.Fatalf("load %v when one has taken its aim and ended, want %v", g.balancer.admission.load.current, want)
 	}
 }
 
@@ -199,13 +199,13 @@
 func TestSmallSidecarShedsWithinSeconds(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(4)...)
 	for range 6 {
-		g.setLoad(g.balancer.sustainedShed, 0.8)
+		g.setLoad(g.balancer.admission.sustainedShed, 0.8)
 		g.now += 500
-		g.balancer.loadUpdatedAt = g.now
+		g.balancer.admission.load.updatedAt = g.now
 		g.request(idempotentClass)
 	}
-	if g.balancer.sustainedShed < 0.5 {
-		t.Fatalf("%.2f is shed after three seconds of overload", g.balancer.sustainedShed)
+	if g.balancer.admission.sustainedShed < 0.5 {
+		t.Fatalf("%.2f is shed after three seconds of overload", g.balancer.admission.sustainedShed)
 	}
 }
 
@@ -232,14 +232,14 @@
 // setLoad sets the lasting part to shed and fills the fleet so that answers take the given part of the
 // aim longer than they may.
 func (g *harness) setLoad(lasting, over float64) {
-	full := g.balancer.minLatencyRatio + queueingAllowance*(1-g.balancer.minLatencyRatio)
-	if g.balancer.sustainedShed = lasting; lasting > 0 {
-		g.balancer.sustainedShed += shedDeadband
+	full := g.balancer.admission.minLatencyRatio + queueingAllowance*(1-g.balancer.admission.minLatencyRatio)
+	if g.balancer.admission.sustainedShed = lasting; lasting > 0 {
+		g.balancer.admission.sustainedShed += shedDeadband
 	}
 	rate := g.balancer.answerRate(assumedAnswers)
-	assumed := g.balancer.minLatencyRatio * (1 - g.balancer.answerRate(0)/rate)
-	g.balancer.load, g.balancer.loadUpdatedAt = (full+over-assumed)*rate, g.now
-	g.balancer.meanLoad = g.balancer.load
+	assumed := g.balancer.admission.minLatencyRatio * (1 - g.balancer.answerRate(0)/rate)
+	g.balancer.admission.load.current, g.balancer.admission.load.updatedAt = (full+over-assumed)*rate, g.now
+	g.balancer.admission.load.mean = g.balancer.admission.load.current
 }
 
 // measureShedding brings 4000 requests, drawn from turns of (class, tenant), of which 0.4 of the work is to be shed,
@@ -247,7 +247,7 @@
 func measureShedding(t *testing.T, cfg Config, turns ...[2]int) (byClass, byTenant [5]float64) {
 	t.Helper()
 	g := newHarness(t, cfg, testServers(4)...)
-	g.balancer.firstRequestAt = 1 // its start is long over
+	g.balancer.admission.firstRequestAt = 1 // its start is long over
 	var asked [2][5]float64
 	draw := rand.New(rand.NewPCG(1, 2))
 	for i := range 4000 {
@@ -319,11 +319,11 @@
 func TestWorstClassObjectiveKeepsItServed(t *testing.T) {
 	cfg := baseConfig()
 	turns := [][2]int{{idempotentClass, 0}, {nonIdempotentClass, 0}}
-	cfg.Objective = Objective{Whole: 1}
+	cfg.Objective = Objective{Overall: 1}
 	if refused, _ := measureShedding(t, cfg, turns...); refused[idempotentClass] < 0.7 || refused[nonIdempotentClass] > 0.1 {
 		t.Fatalf("without the weight %.2f and %.2f are refused", refused[idempotentClass], refused[nonIdempotentClass])
 	}
-	cfg.Objective = Objective{Whole: 0.3, WorstClass: 0.7}
+	cfg.Objective = Objective{Overall: 0.3, WorstClass: 0.7}
 	if refused, _ := measureShedding(t, cfg, turns...); refused[idempotentClass] > 0.5 || refused[nonIdempotentClass] < 0.3 {
 		t.Fatalf("with the weight %.2f and %.2f are refused", refused[idempotentClass], refused[nonIdempotentClass])
 	}
@@ -334,11 +334,11 @@
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Quota: 0.8}, {Quota: 0.2}}
 	turns := [][2]int{{0, 0}, {0, 1}}
-	cfg.Objective = Objective{Whole: 1}
+	cfg.Objective = Objective{Overall: 1}
 	if _, refused := measureShedding(t, cfg, turns...); refused[0] > 0.1 || refused[1] < 0.7 {
 		t.Fatalf("without the weight %.2f and %.2f are refused", refused[0], refused[1])
 	}
-	cfg.Objective = Objective{Whole: 0.3, WorstTenant: 0.7}
+	cfg.Objective = Objective{Overall: 0.3, WorstTenant: 0.7}
 	if _, refused := measureShedding(t, cfg, turns...); math.Abs(refused[0]-refused[1]) > 0.15 {
 		t.Fatalf("with the weight %.2f and %.2f are refused", refused[0], refused[1])
 	}
@@ -349,14 +349,14 @@
 	g := newHarness(t, baseConfig(), testServers(2)...)
 	s := g.balancer.servers[0]
 	g.handle(HealthCheckResult{Server: s.ID, Result: TimedOut})
-	if !s.healthCheckFailed || !g.balancer.isEjected(s) {
+	if !s.errors.healthCheckFailed || !g.balancer.isEjected(s) {
 		t.Fatal("a probe without answer does not rest the server")
 	}
 	entry := s.Server
 	entry.StartedAt = g.now
 	g.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{entry}})
-	if s.healthCheckFailed || s.ejections != 0 || g.balancer.isEjected(s) {
-		t.Fatalf("after the restart: dark %v, rests %d", s.healthCheckFailed, s.ejections)
+	if s.errors.healthCheckFailed || s.ejection.count != 0 || g.balancer.isEjected(s) {
+		t.Fatalf("after the restart: dark %v, rests %d", s.errors.healthCheckFailed, s.ejection.count)
 	}
 }
 
@@ -376,8 +376,8 @@
 	if hits[3]+hits[4] < 3*(hits[1]+hits[2])/2 {
 		t.Fatalf("hits %v", hits)
 	}
-	if g.balancer.capacityByKind[1] <= g.balancer.capacityByKind[0] {
-		t.Fatalf("kinds %v", g.balancer.capacityByKind)
+	if g.balancer.capacity.byKind[1] <= g.balancer.capacity.byKind[0] {
+		t.Fatalf("kinds %v", g.balancer.capacity.byKind)
 	}
 }
 
@@ -403,11 +403,11 @@
 		}
 		g.finishAttempt(id, 0, OK, 10)
 	}
-	g.now = s.ejectedUntil
+	g.now = s.ejection.until
 	for range 12 {
 		id, acts := g.request(idempotentClass)
 		to, _ := sentServer(acts)
-		if g.finishAttempt(id, 0, OK, 10); to == s.ID && s.ejectedUntil == 0 && s.consecutiveErrors == 0 {
+		if g.finishAttempt(id, 0, OK, 10); to == s.ID && s.ejection.until == 0 && s.errors.consecutive == 0 {
 			return
 		}
 	}
@@ -482,7 +482,7 @@
 			continue
 		}
 		open = append(open, id)
-		for len(open) > 0 && g.balancer.requests[open[0]].arrivedAt <= g.now-80 { // each answer takes about 80 ms
+		for len(open) > 0 && g.balancer.requests.open[open[0]].arrivedAt <= g.now-80 { // each answer takes about 80 ms
 			g.finishAttempt(open[0], 0, OK, 80)
 			open = open[1:]
 		}
@@ -521,9 +521,9 @@
 	for class, cuts := range map[int]bool{nonIdempotentClass: true, idempotentClass: false, cellScopeClass: false} {
 		for _, lasting := range []float64{0, 0.2} {
 			g := newHarness(t, baseConfig(), testServers(4)...)
-			g.balancer.sustainedShed = lasting
+			g.balancer.admission.sustainedShed = lasting
 			if lasting > 0 {
-				g.balancer.sustainedShed += shedDeadband
+				g.balancer.admission.sustainedShed += shedDeadband
 			}
 			id, acts := g.request(class)
 			s, ok := sentServer(acts)
@@ -542,7 +542,7 @@
 			}
 			if want > 0 {
 				g.now += 200
-				if g.finishAttempt(id, 0, TimedOut, 200); g.balancer.serversByID[s].consecutiveErrors != 0 {
+				if g.finishAttempt(id, 0, TimedOut, 200); g.balancer.serversByID[s].errors.consecutive != 0 {
 					t.Error("an attempt that was cut is held against its server")
 				}
 			}
@@ -566,7 +566,7 @@
 		}
 		id, acts := g.request(idempotentClass)
 		if hasAction(acts, Reject) {
-			t.Fatalf("request %d was refused, %v ms after the first", id, g.now-g.balancer.firstRequestAt)
+			t.Fatalf("request %d was refused, %v ms after the first", id, g.now-g.balancer.admission.firstRequestAt)
 		}
 		open = append(open, sent{id, g.now})
 	}
@@ -583,12 +583,12 @@
 		}
 	}
 	answers(15, 9000)
-	if g.balancer.minLatencyRatio > 0.06 {
-		t.Fatalf("the quickest is %v", g.balancer.minLatencyRatio)
+	if g.balancer.admission.minLatencyRatio > 0.06 {
+		t.Fatalf("the quickest is %v", g.balancer.admission.minLatencyRatio)
 	}
 	answers(75, 3*minLatencyDecay)
-	if g.balancer.minLatencyRatio < 0.24 {
-		t.Errorf("the quickest is still %v", g.balancer.minLatencyRatio)
+	if g.balancer.admission.minLatencyRatio < 0.24 {
+		t.Errorf("the quickest is still %v", g.balancer.admission.minLatencyRatio)
 	}
 }
 
@@ -609,9 +609,9 @@
 		}
 	}
 	answers(800, idempotentClass, idempotentClass, idempotentClass, allScopeClass)
-	mixed := g.balancer.minLatencyRatio
+	mixed := g.balancer.admission.minLatencyRatio
 	answers(400, allScopeClass)
-	if alone := g.balancer.minLatencyRatio; math.Abs(mixed-0.15) > 0.03 || math.Abs(alone-0.3) > 0.03 {
+	if alone := g.balancer.admission.minLatencyRatio; math.Abs(mixed-0.15) > 0.03 || math.Abs(alone-0.3) > 0.03 {
 		t.Errorf("mixed %v, want 0.15; alone %v, want 0.3", mixed, alone)
 	}
 }
@@ -631,7 +631,7 @@
 		}
 		if s == 1 && sends%2 == 0 {
 			g.finishAttempt(id, 0, []Result{ConnectFailed, Reset}[sends/2%2], 30)
-			if b := g.balancer; b.serversByID[1].consecutiveErrors == 1 && b.isEjected(b.serversByID[1]) {
+			if b := g.balancer; b.serversByID[1].errors.consecutive == 1 && b.isEjected(b.serversByID[1]) {
 				t.Fatal("one error rests the server")
 			}
 			g.finishAttempt(id, 1, OK, 30)
@@ -675,7 +675,7 @@
 		var all []float64
 		g := newHarness(t, cfg) // no server: all is refused
 		for range 50 {
-			g.balancer.sustainedShed = steady
+			g.balancer.admission.sustainedShed = steady
 			id, _ := g.request(idempotentClass)
 			g.now += cfg.Classes[idempotentClass].LatencyObjective
 			for _, a := range g.handle(TimerFired{Token: uint64(id)}) {
@@ -723,7 +723,7 @@
 			}
 			acts = g.finishAttempt(id, n, Overloaded, 1)
 		}
-		if g.balancer.requests[id] != nil {
+		if g.balancer.requests.open[id] != nil {
 			t.Fatal("a request waits though all servers are full and its budget is spent")
 		}
 	}
--- a/balance/fixtures_test.go
+++ b/balance/fixtures_test.go
@@ -278,19 +278,19 @@
 // recordFigures hashes what the balancer decides by.
 func (p *play) recordFigures() {
 	b := p.b
-	figures := []float64{b.poolWeight, b.sustainedShed, b.minLatencyRatio, b.load, b.meanLoad, b.retryTokens, b.busyFraction, b.meanUtilization, b.capacityDrift, b.candidateLoad, b.candidateWeight, b.gossip.budgetBytes}
+	figures := []float64{b.pool.current, b.admission.sustainedShed, b.admission.minLatencyRatio, b.admission.load.current, b.admission.load.mean, b.retries.tokens, b.reports.busyFraction, b.reports.meanUtilization, b.capacity.drift, b.selection.load, b.selection.weight, b.gossip.budgetBytes}
 	for _, s := range b.servers {
-		figures = append(figures, s.runningWeight, s.weight, s.logCapacity, s.ejectedUntil, s.gossipEjectedUntil, s.slowStartTokens, s.rank, float64(s.inFlight))
+		figures = append(figures, s.round.runningWeight, s.weight, s.logCapacity, s.ejection.until, s.gossip.ejectedUntil, s.slowStart.tokens, s.rank, float64(s.inFlight))
 	}
-	for i := range b.classStats {
-		c := &b.classStats[i]
+	for i := range b.admission.classes {
+		c := &b.admission.classes[i]
 		figures = append(figures, c.received, c.servedInTime, c.meanLatency, c.meanDeviation, c.recentLatencyRatio, c.minLatencyRatio)
 	}
 	for kind := range 2 {
-		figures = append(figures, b.capacityByKind[kind])
+		figures = append(figures, b.capacity.byKind[kind])
 	}
 	for zone := range 3 {
-		figures = append(figures, b.capacityByZone[zone])
+		figures = append(figures, b.capacity.byZone[zone])
 	}
 	bytes := p.scratch[:0]
 	for _, f := range figures {
@@ -473,7 +473,7 @@
 // digests are of an amd64 machine with fused multiply-add: math.Exp uses it there, and may round otherwise elsewhere.
 func TestDecisionsAreDeterministic(t *testing.T) {
 	warm := func(c *Config) { c.KeyAffinity, c.AllowParallelAttempts = true, false }
-	messages := func(c *Config) { c.AllowGossip, c.SidecarCount, c.SidecarIndex, c.Costs.Peer = true, 50, 7, 0.06 }
+	messages := func(c *Config) { c.AllowGossip, c.SidecarCount, c.SidecarIndex, c.Costs.Gossip = true, 50, 7, 0.06 }
 	piggyback := func(c *Config) {
 		c.LoadReports, c.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldInFlight, FieldUtilization, FieldQueueLength, FieldLatency, FieldUnknown, FieldRequestRate, FieldErrorRate}
 	}
@@ -498,7 +498,7 @@
 		{"tenants", 30, false, func(c *Config) {
 			c.Tenants = []Tenant{{QuotaRate: 50, Quota: 0.6}, {QuotaRate: 20, Quota: 0.3}, {Quota: 0.1}}
 			c.OverQuotaWeight = 0.3
-			c.Objective = Objective{Whole: 0.4, WorstWindow: 0.2, WorstClass: 0.2, WorstTenant: 0.2}
+			c.Objective = Objective{Overall: 0.4, WorstWindow: 0.2, WorstClass: 0.2, WorstTenant: 0.2}
 		}},
 		{"unsafe classes", 30, false, func(c *Config) {
 			c.Classes = []Class{
--- a/balance/fleet_simulation_test.go
+++ b/balance/fleet_simulation_test.go
@@ -78,7 +78,7 @@
 		w.onAction(from, a)
 		switch a.Kind {
 		case Send:
-			r := w.balancers[from].requests[a.Request]
+			r := w.balancers[from].requests.open[a.Request]
 			res, took := w.serve(a.Server)
 			if left := r.deadline - w.now; took > left {
 				res, took = TimedOut, left
@@ -106,7 +106,7 @@
 		e := heap.Pop(&w.pending).(fleetEvent)
 		w.now = e.at
 		if o, is := e.ev.(Outcome); is {
-			r := w.balancers[e.to].requests[o.Request]
+			r := w.balancers[e.to].requests.open[o.Request]
 			if r == nil || !r.attempts[o.Attempt].inFlight {
 				continue
 			}
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -9,7 +9,7 @@
 func gossipConfig() Config {
 	cfg := baseConfig()
 	cfg.KeyAffinity, cfg.AllowGossip, cfg.SidecarCount, cfg.SidecarIndex = true, true, 50, 7
-	cfg.Costs.Peer = 0.06
+	cfg.Costs.Gossip = 0.06
 	return cfg
 }
 
@@ -52,7 +52,7 @@
 	most := int(maxGossipEjectedFraction * float64(len(g.balancer.servers)))
 	last := []byte{}
 	for _, s := range g.balancer.servers {
-		s.consecutiveErrors = 1 // met with trouble once: else no hint is heard
+		s.errors.consecutive = 1 // met with trouble once: else no hint is heard
 	}
 	for range 20000 {
 		g.now += 1
@@ -87,7 +87,7 @@
 			t.Fatalf("%d servers rest by what others say, at most %d may", n, most)
 		}
 	}
-	if len(g.balancer.gossip.senders) > g.balancer.config.SidecarCount || len(g.balancer.requests) > 0 {
+	if len(g.balancer.gossip.senders) > g.balancer.config.SidecarCount || len(g.balancer.requests.open) > 0 {
 		t.Fatalf("%d senders are remembered of %d", len(g.balancer.gossip.senders), g.balancer.config.SidecarCount)
 	}
 	g.now += life + 1
@@ -124,7 +124,7 @@
 	lie := func() bool {
 		id, acts := g.request(idempotentClass)
 		to, _ := sentServer(acts)
-		g.balancer.serversByID[to].consecutiveErrors = 1
+		g.balancer.serversByID[to].errors.consecutive = 1
 		g.gossip(5, finding{findingFault, serverTag(to), g.now})
 		believed := g.balancer.isEjected(g.balancer.serversByID[to])
 		g.now += 10
@@ -140,7 +140,7 @@
 	if believed < 1 || believed > 4 {
 		t.Errorf("of 20 lies %d were believed", believed)
 	}
-	g.balancer.serversByID[9].consecutiveErrors = 1
+	g.balancer.serversByID[9].errors.consecutive = 1
 	if g.gossip(6, finding{findingFault, serverTag(9), g.now}); !g.balancer.isEjected(g.balancer.serversByID[9]) {
 		t.Error("another sender is not believed")
 	}
@@ -193,7 +193,7 @@
 	starts.balancer.startedAt = knows.now
 	for _, id := range []ServerID{4, 9} {
 		knows.balancer.now = knows.now
-		knows.balancer.serversByID[id].consecutiveErrors = errorsBeforeEjection
+		knows.balancer.serversByID[id].errors.consecutive = errorsBeforeEjection
 		knows.balancer.recordError(knows.balancer.serversByID[id], false)
 	}
 	question := starts.handle(TimerFired{Token: gossipTimer})
--- a/balance/handle.go
+++ b/balance/handle.go
@@ -1,13 +1,24 @@
 package balance
 
 import (
+	"errors"
 	"fmt"
 	"math"
 )
 
-// This file takes events in and hands actions out. What they mean is decided in the policy files.
+// Errors of Handle: the event is invalid, and the balancer has not changed.
+var (
+	ErrUnknownClass       = errors.New("unknown class")
+	ErrAttemptNotInFlight = errors.New("attempt is not in flight")
+)
+
+// Tokens of timers. A request's timer has its ID, which is below 2^52.
+const (
+	discoveryTimer = 1 << 60
+	gossipTimer    = 1<<60 + 1
+)
 
-// Start begins the balancer's life. The actions are valid until the next call.
+// Start begins the balancer's work. The actions are valid until the next call.
 func (b *Balancer) Start(now float64) []Action {
 	b.now, b.startedAt, b.actions = now, now, b.actions[:0]
 	if b.config.Subscribe {
@@ -16,8 +27,8 @@
 	return b.actions
 }
 
-// Handle takes one event and returns what to do. The actions are valid until the next call.
-// An error means that the event cannot be; the balancer is unchanged. Requests and outcomes may come by pointer.
+// Handle takes one event and returns what the caller is to do. The actions are valid until the next call. now never
+// decreases from call to call. The error is ErrUnknownClass or ErrAttemptNotInFlight, wrapped.
 func (b *Balancer) Handle(now float64, ev Event) ([]Action, error) {
 	b.now, b.actions = now, b.actions[:0]
 	var err error
@@ -37,7 +48,7 @@
 	case HealthCheckResult:
 		b.onHealthCheckResult(ev)
 	case ClientDisconnected:
-		if r := b.requests[ev.Request]; r != nil {
+		if r := b.requests.open[ev.Request]; r != nil {
 			b.finish(r)
 		}
 	case StreamStarted:
@@ -47,24 +58,23 @@
 	case GossipMessage:
 		b.onGossip(&ev)
 	}
-	b.recycleRequests()
+	b.requests.recycleFinished()
 	return b.actions, err
 }
 
 func (b *Balancer) onRequest(ev *Request) error {
 	if ev.Class < 0 || ev.Class >= len(b.config.Classes) {
-		return fmt.Errorf("request %d: unknown class %d", ev.ID, ev.Class)
+		return fmt.Errorf("request %d of class %d: %w", ev.ID, ev.Class, ErrUnknownClass)
 	}
-	r := b.newRequest()
-	r.Request, r.class, r.stats = *ev, &b.config.Classes[ev.Class], &b.classStats[ev.Class]
+	r := b.requests.add(ev)
+	r.class, r.stats = &b.config.Classes[ev.Class], &b.admission.classes[ev.Class]
 	r.tenant = b.tenantCounts(ev.Tenant)
 	r.arrivedAt, r.deadline, r.timerAt = b.now, b.now+ev.Timeout, math.Inf(1)
-	b.requests[ev.ID] = r
 	admitted := b.admit(r)
-	b.requestMeter.add(b.now, 2*rotationPeriod)
+	b.traffic.add(b.now, trafficSpan)
 	b.earnGossipBudget()
-	b.keyFrequency.record(ev.Key)
-	r.stats.received++ // only now: else its own class would look a little worse served
+	b.keys.record(ev.Key)
+	r.stats.received++ // after admit: its own class would look a little worse served otherwise
 	r.tenant.received++
 	if !admitted {
 		b.rejectOrFail(r)
@@ -76,9 +86,9 @@
 }
 
 func (b *Balancer) onOutcome(ev *Outcome) error {
-	r := b.requests[ev.Request]
+	r := b.requests.open[ev.Request]
 	if r == nil || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].inFlight {
-		return fmt.Errorf("outcome of request %d, attempt %d, which is not out", ev.Request, ev.Attempt)
+		return fmt.Errorf("outcome of request %d, attempt %d: %w", ev.Request, ev.Attempt, ErrAttemptNotInFlight)
 	}
 	a := &r.attempts[ev.Attempt]
 	a.inFlight, a.neverExecuted = false, ev.Result.NeverExecuted()
@@ -98,167 +108,39 @@
 	if s == nil {
 		return
 	}
-	s.healthChecking = false
+	s.healthCheckPending = false
 	b.scheduleRefresh(s)
 	switch ev.Result {
-	case Obsolete, Cancelled: // it was not sent, or nobody waited for it: no news of the server
+	case Obsolete, Cancelled: // it was not sent, or nobody waited for it: nothing is known of the server
 	case OK:
-		if b.recordLoadReport(s, ev.LoadReport); s.healthCheckFailed {
-			s.healthCheckFailed, s.ejections, s.ejectedUntil = false, 0, 0
+		b.recordLoadReport(s, ev.LoadReport)
+		if s.errors.healthCheckFailed {
+			s.errors.healthCheckFailed, s.ejection = false, ejectionState{}
 		}
-	default: // out of reach, though the process may run
+	default: // the server is unreachable, though its process may run
 		b.eject(s)
-		s.healthCheckFailed = true
+		s.errors.healthCheckFailed = true
 	}
 	b.resumeAwaiting()
 }
 
 func (b *Balancer) onTimer(ev TimerFired) {
-	if ev.Token == discoveryTimer {
+	switch ev.Token {
+	case discoveryTimer:
 		b.emit(Action{Kind: WatchEndpoints})
-	} else if ev.Token == gossipTimer {
+	case gossipTimer:
 		b.sendFindings()
-	} else if r := b.requests[RequestID(ev.Token)]; r != nil {
-		r.timerAt = math.Inf(1) // not compared with the clock: a timer may come a rounding error early
-		b.advance(r)
+	default:
+		if r := b.requests.open[RequestID(ev.Token)]; r != nil {
+			r.timerAt = math.Inf(1) // without comparing it with the clock: a timer may fire a rounding error early
+			b.advance(r)
+		}
 	}
 }
 
 func (b *Balancer) onStreamStarted(ev StreamStarted) {
-	if r := b.requests[ev.Request]; r != nil && !r.finished && !r.streaming {
-		r.streaming = true // the client owns it now: no deadline, no repeat
+	if r := b.requests.open[ev.Request]; r != nil && !r.finished && !r.streaming {
+		r.streaming = true // the client owns the attempt from now on: no deadline, no retry
 		b.cancelAttemptsExcept(r, ev.Attempt)
 	}
 }
-
-// recordLoadReport takes in a load report and returns the wait that it tells of: what waits, times the service time.
-func (b *Balancer) recordLoadReport(s *server, report []float32) float64 {
-	queue, serviceTime := 0.0, 0.0
-	for i, field := range b.config.LoadReportFields {
-		if i >= len(report) {
-			continue
-		}
-		switch value := float64(report[i]); field {
-		case FieldInFlight:
-			s.reportedInFlight, s.reportedAt, s.sentSinceReport = value, b.now, 0
-			if b.config.KeyAffinity && !s.reportFresh {
-				s.reportFresh = true
-				b.rotation.reporters = append(b.rotation.reporters, s)
-			}
-			b.busyFraction += (math.Min(s.reportedInFlight, 1) - b.busyFraction) / averagingSamples
-		case FieldUtilization:
-			value = math.Min(value, 1.5)
-			if b.meanUtilization += (value - b.meanUtilization) / averagingSamples; s.utilization == 0 {
-				s.utilization = b.meanUtilization
-			}
-			s.utilization += (value - s.utilization) / assumedAnswers
-		case FieldQueueLength:
-			queue = value
-		case FieldLatency:
-			serviceTime = value
-		}
-	}
-	return queue * serviceTime
-}
-
-// removeUnlisted: what a full list does not name is gone.
-func (b *Balancer) removeUnlisted(entries []Server) {
-	listed := make(map[ServerID]bool, len(entries))
-	for i := range entries {
-		listed[entries[i].ID] = true
-	}
-	for _, s := range b.servers {
-		if !listed[s.ID] {
-			s.State = Removed
-			b.scheduleRefresh(s)
-		}
-	}
-}
-
-// dropRemoved forgets servers that are gone and keeps the others in order.
-func (b *Balancer) dropRemoved() {
-	remaining := b.servers[:0]
-	for _, s := range b.servers {
-		if s.State != Removed {
-			remaining = append(remaining, s)
-		} else {
-			delete(b.serversByID, s.ID)
-			delete(b.gossip.serversByTag, serverTag(s.ID))
-			b.keyOrders.recordChange(s)
-		}
-	}
-	clear(b.servers[len(remaining):])
-	b.servers = remaining
-}
-
-// healthCheck asks a server, unless an answer is still to come.
-func (b *Balancer) healthCheck(s *server) {
-	if !s.healthChecking {
-		s.healthChecking = true
-		b.emit(Action{Kind: HealthCheck, Server: s.ID})
-	}
-}
-
-func (b *Balancer) awaitsHealthChecks(r *request) bool {
-	for _, s := range r.healthChecked {
-		if s.healthChecking && b.now < r.healthCheckWaitUntil { // never for long
-			return true
-		}
-	}
-	r.healthCheckWaitUntil = 0
-	return false
-}
-
-// resumeAwaiting takes up the requests that wait for probes and keeps those that still do.
-func (b *Balancer) resumeAwaiting() {
-	awaiting := b.awaitingHealthChecks
-	b.awaitingHealthChecks = awaiting[:0]
-	for _, r := range awaiting {
-		b.advance(r)
-		if !r.finished && r.healthCheckWaitUntil > b.now {
-			b.awaitingHealthChecks = append(b.awaitingHealthChecks, r)
-		}
-	}
-}
-
-func (b *Balancer) releaseLoad(r *request, a *attempt) {
-	if !a.loadReleased {
-		a.loadReleased = true
-		b.trackLoad(-1/r.class.LatencyObjective, b.answerRate(assumedAnswers))
-	}
-}
-
-// sendAttempt makes an attempt and counts it; one that is cut ends with the request's aim.
-func (b *Balancer) sendAttempt(r *request, s *server, endsAtObjective bool) {
-	s.slowStartTokens--
-	b.addInFlight(s, 1)
-	s.sentSinceReport++
-	b.trackLoad(1/r.class.LatencyObjective, b.answerRate(assumedAnswers))
-	r.inFlight++
-	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, inFlight: true, endsAtObjective: endsAtObjective})
-	action := Action{Kind: Send, Request: r.ID, Server: s.ID}
-	if endsAtObjective {
-		action.At = r.arrivedAt + r.class.LatencyObjective
-	}
-	b.emit(action)
-}
-
-// recycleRequests takes back the requests that the event closed. Those that waited for probes may still be listed there.
-func (b *Balancer) recycleRequests() {
-	for _, r := range b.finished {
-		if len(b.freeRequests) < maxFreeRequests && r.healthChecked == nil {
-			*r = request{attempts: r.attempts[:0]}
-			b.freeRequests = append(b.freeRequests, r)
-		}
-	}
-	b.finished = b.finished[:0]
-}
-
-func (b *Balancer) newRequest() *request {
-	if n := len(b.freeRequests); n > 0 {
-		r := b.freeRequests[n-1]
-		b.freeRequests = b.freeRequests[:n-1]
-		return r
-	}
-	return &request{}
-}
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -43,7 +43,7 @@
 	g.actions = append(g.actions, g.balancer.Start(g.now)...)
 	g.handle(EndpointUpdate{Kind: UpdateCached, Servers: servers})
 	for _, s := range g.balancer.servers {
-		s.runningWeight, s.rank = 0, float64(s.ID) // the random start and order would hide the sequence
+		s.round.runningWeight, s.rank = 0, float64(s.ID) // the random start and order would hide the sequence
 	}
 	g.balancer.sortServers()
 	return g
@@ -93,8 +93,8 @@
 // finishAttempt ends an attempt with a result.
 func (g *harness) finishAttempt(id RequestID, attempt int, res Result, took float64) []Action {
 	g.t.Helper()
-	s := g.balancer.requests[id].attempts[attempt].server
-	done := res == OK || g.balancer.requests[id].finished
+	s := g.balancer.requests.open[id].attempts[attempt].server
+	done := res == OK || g.balancer.requests.open[id].finished
 	return g.handle(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: res, Elapsed: took, RequestDone: done})
 }
 
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -6,52 +6,43 @@
 	"slices"
 )
 
-// This file ejects outliers: servers that fail, hang or are out of reach get a rest, and so does a zone that
-// is lost. What waits for them is moved elsewhere while it can still be in time.
+// This file decides which servers are ejected: those that fail, hang or are unreachable, and all of a zone
+// that is lost. Attempts in flight there are retried elsewhere while they can still be in time.
 
 const (
-	errorsBeforeEjection          = 2 // consecutive errors before a server is rested
-	unreachableBeforeZoneEjection = 3 // servers of a zone out of reach, with no answer from it in between, before it is rested
-	maxEjectionDoublings          = 3 // doublings of a rest at the most
-	// A crowded server recovers only when it is mostly idle, and each sidecar tries it again after its rest.
-	lateEjectionPerSidecar = 100  // ms of a late server's rest for each sidecar: all together try it ten times a second
-	maxLateEjectedFraction = 0.15 // of the servers rest for lateness at the most: if more are late, load is too high
+	errorsBeforeEjection          = 2    // consecutive errors of a server
+	unreachableBeforeZoneEjection = 3    // servers of a zone, without an answer from the zone in between
+	maxEjectionDoublings          = 3    // of the ejection time
+	lateEjectionPerSidecar        = 100  // ms; all sidecars together try a late server ten times a second
+	maxLateEjectedFraction        = 0.15 // of the servers; if more are late the load is too high
 )
 
-// zoneAnswered ends what is held against a zone, and the rests that came of it.
-func (b *Balancer) zoneAnswered(zone *zoneHealth) {
-	if zone.lost {
-		for _, s := range zone.unreachable {
-			s.ejectedUntil = b.now
-			b.scheduleRefresh(s)
-		}
-		b.scheduleZoneRefresh(zone)
-	}
-	*zone = zoneHealth{lastAnswerAt: b.now}
-}
-
-// recordError counts an error; a server is rested when it is down or after several in a row. Where it is met seldom
-// one late answer has to do: a second would come after seconds in which all the others sent there as well.
+// recordError counts an error. A server is ejected after several in a row; with little traffic one late
+// answer has to do, as a second would come after seconds in which all other sidecars sent requests there as
+// well.
 func (b *Balancer) recordError(s *server, unreachable bool) {
-	s.consecutiveErrors++
-	s.lastErrorAt = b.now
+	s.errors.consecutive++
+	s.errors.lastAt = b.now
 	b.scheduleRefresh(s)
-	if unreachable && !b.isEjected(s) { // what fails together is one sign
-		s.connectFailures++
+	if unreachable && !b.isEjected(s) { // attempts that fail together count once
+		s.errors.unreachable++
 	}
 	switch late := !unreachable && b.lowTraffic(); {
 	case late && b.mayEjectLate():
 		b.eject(s)
 		b.publishFault(s)
+		// An overloaded server recovers only when it is mostly idle, and each sidecar tries it again.
 		extension := math.Max(lateEjectionPerSidecar*float64(b.config.SidecarCount)-b.longestObjective, 0)
-		s.ejectedUntil += extension * float64(int(1)<<min(s.ejections-1, maxEjectionDoublings)) * (0.75 + b.random()/2)
-	case !late && s.consecutiveErrors >= errorsBeforeEjection:
+		doublings := min(s.ejection.count-1, maxEjectionDoublings)
+		s.ejection.until += extension * float64(int(1)<<doublings) * (0.75 + b.random()/2)
+	case !late && s.errors.consecutive >= errorsBeforeEjection:
 		b.eject(s)
 		b.publishFault(s)
 	}
 }
 
-// lowTraffic tells whether this sidecar meets the servers of its rotation less than once in rotationPeriod.
+// lowTraffic reports whether this sidecar visits the servers of its rotation less than once in
+// rotationPeriod.
 func (b *Balancer) lowTraffic() bool {
 	return b.requestRate()*rotationPeriod < float64(min(b.rotationSize(), len(b.servers)))
 }
@@ -59,17 +50,17 @@
 func (b *Balancer) mayEjectLate() bool {
 	ejected := 0.0
 	for _, s := range b.servers {
-		if b.now < s.ejectedUntil && s.connectFailures == 0 {
+		if b.now < s.ejection.until && s.errors.unreachable == 0 {
 			ejected++
 		}
 	}
 	return ejected < maxLateEjectedFraction*float64(len(b.servers))
 }
 
-// eject keeps a server out for a time that doubles until it answers.
+// eject keeps a server out of picks for a time that doubles until it answers.
 func (b *Balancer) eject(s *server) {
-	s.ejectedUntil = b.now + b.ejectionTime(s.ejections)
-	s.ejections++
+	s.ejection.until = b.now + b.ejectionTime(s.ejection.count)
+	s.ejection.count++
 	b.scheduleRefresh(s)
 }
 
@@ -77,88 +68,88 @@
 	return b.longestObjective * float64(int(1)<<min(ejections, maxEjectionDoublings))
 }
 
-// isEjected: it left several attempts without an answer or is out of reach, or its zone is; the next rest is
-// longer. A server that started since its zone was lost is there again.
-func (b *Balancer) isEjected(s *server) bool {
-	return b.ejectionEnd(s) > b.now
-}
+func (b *Balancer) isEjected(s *server) bool { return b.ejectionEnd(s) > b.now }
 
-// ejectionEnd is when a rest ends, long past for a server that has none.
+// ejectionEnd is when the ejection of a server ends, by itself, by gossip or with its zone; it is past for
+// one that is not ejected. A server that started after its zone was lost is not ejected with it.
 func (b *Balancer) ejectionEnd(s *server) float64 {
-	until := math.Max(s.ejectedUntil, s.gossipEjectedUntil)
-	if z := s.zoneHealth; z.lost && s.slowStartSince < z.unreachableSince {
-		return math.Max(until, z.ejectedUntil)
+	until := math.Max(s.ejection.until, s.gossip.ejectedUntil)
+	if b.lostWithZone(s) {
+		return math.Max(until, s.zoneHealth.ejectedUntil)
 	}
 	return until
 }
 
-// recordUnreachable takes in a connect that failed. Several in a zone that answers nothing, while another does, mean
-// that the zone is lost.
+func (b *Balancer) lostWithZone(s *server) bool {
+	return s.zoneHealth.lost && s.slowStart.since < s.zoneHealth.unreachableSince
+}
+
+// recordUnreachable records a failed connect. If several servers of a zone are unreachable and no other
+// answers, while another zone does, the zone is lost.
 func (b *Balancer) recordUnreachable(s *server) {
 	b.cancelStranded(s)
-	z := s.zoneHealth
-	if len(z.unreachable) == 0 {
-		z.unreachableSince = b.now
+	zone := s.zoneHealth
+	if len(zone.unreachable) == 0 {
+		zone.unreachableSince = b.now
 	}
-	if len(z.unreachable) < len(b.servers) && !slices.Contains(z.unreachable, s) {
-		z.unreachable = append(z.unreachable, s)
+	if len(zone.unreachable) < len(b.servers) && !slices.Contains(zone.unreachable, s) {
+		zone.unreachable = append(zone.unreachable, s)
 	}
-	// What was sent before the zone was rested still fails, and is no new sign.
-	if len(z.unreachable) < unreachableBeforeZoneEjection || z.lost && s != z.trialServer || !b.otherZoneAnswered(s.Zone, z.unreachableSince) {
+	// Attempts that were sent before the zone was ejected still fail, and mean nothing new.
+	sentBefore := zone.lost && s != zone.trialServer
+	few := len(zone.unreachable) < unreachableBeforeZoneEjection
+	if few || sentBefore || !b.otherZoneAnswered(s.Zone, zone.unreachableSince) {
 		return
 	}
-	if !z.lost {
-		b.shedLostZone(s.Zone)
-	}
-	z.lost, z.trialServer, z.ejectedUntil = true, nil, b.now+b.ejectionTime(z.ejections)
-	z.ejections++
-	b.scheduleZoneRefresh(z)
-	for _, t := range b.servers {
-		if t.Zone == s.Zone && b.isEjected(t) {
-			b.cancelStranded(t)
-		}
-	}
+	b.ejectZone(s.Zone, zone)
 }
 
-// shedLostZone sheds at once the part of the load that a lost zone has served. What is left of the fleet gets its
-// keys cold and would be choked before answers show it; where it has room the shedding soon leaks away.
-func (b *Balancer) shedLostZone(zone int) {
-	lostWeight, totalWeight := 0.0, 0.0
+func (b *Balancer) ejectZone(id int, zone *zoneHealth) {
+	if !zone.lost {
+		b.shedLostZone(id)
+	}
+	zone.lost, zone.trialServer, zone.ejectedUntil = true, nil, b.now+b.ejectionTime(zone.ejections)
+	zone.ejections++
+	b.scheduleZoneRefresh(zone)
 	for _, s := range b.servers {
-		weight := b.weight(s)
-		if totalWeight += weight; s.Zone == zone {
-			lostWeight += weight
+		if s.Zone == id && b.isEjected(s) {
+			b.cancelStranded(s)
 		}
 	}
-	b.sustainedShed = math.Max(b.sustainedShed, shedDeadband+lostWeight/totalWeight)
 }
 
-func (b *Balancer) otherZoneAnswered(zone int, since float64) bool {
-	for other, z := range b.zoneHealth {
-		if other != zone && z.lastAnswerAt > since {
-			return true
+// shedLostZone sheds at once the part of the load that a lost zone served. The other servers receive its keys
+// without a warm cache and would be overloaded before answers show it. The shedding soon decays if they are
+// not.
+func (b *Balancer) shedLostZone(id int) {
+	lost, total := 0.0, 0.0
+	for _, s := range b.servers {
+		weight := b.weight(s)
+		if total += weight; s.Zone == id {
+			lost += weight
 		}
 	}
-	return false
+	b.admission.sustainedShed = math.Max(b.admission.sustainedShed, shedDeadband+lost/total)
 }
 
-// beginZoneTrial: of a zone that is held to be lost one server is tried at a time.
+// beginZoneTrial has one server of a lost zone tried at a time.
 func (b *Balancer) beginZoneTrial(s *server) {
-	if z := s.zoneHealth; z.lost && s.slowStartSince < z.unreachableSince {
-		z.trialServer, z.ejectedUntil = s, b.now+b.longestObjective
-		b.scheduleZoneRefresh(z)
+	if b.lostWithZone(s) {
+		s.zoneHealth.trialServer, s.zoneHealth.ejectedUntil = s, b.now+b.longestObjective
+		b.scheduleZoneRefresh(s.zoneHealth)
 	}
 }
 
-// cancelStranded gives up what waits for a server that is out of reach, so that it can be in time elsewhere: a server
-// that is cut off keeps its connections open and says nothing until the client's deadline.
+// cancelStranded cancels what is in flight at an unreachable server, so that it can be answered in time
+// elsewhere: a server that is cut off keeps its connections open and is silent until the client's deadline.
 func (b *Balancer) cancelStranded(s *server) {
 	if !b.config.AllowCancel || s.inFlight == 0 {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
-		r := b.requests[id]
-		if r.class.Idempotency == NonIdempotent || r.streaming || r.finished || len(r.attempts) > maxRetries {
+	for _, id := range slices.Sorted(maps.Keys(b.requests.open)) {
+		r := b.requests.open[id]
+		retryable := r.class.Idempotency != NonIdempotent && len(r.attempts) <= maxRetries
+		if !retryable || r.streaming || r.finished {
 			continue
 		}
 		for i := range r.attempts {
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -65,7 +65,7 @@
 		for range 400 {
 			g.now += 20
 			id, acts := g.request(idempotentClass)
-			for n := 0; len(g.balancer.requests) > 0 && n < 4; n++ {
+			for n := 0; len(g.balancer.requests.open) > 0 && n < 4; n++ {
 				s, sent := sentServer(acts)
 				if !sent {
 					break
@@ -202,7 +202,7 @@
 	for range 400 {
 		g.now += 20
 		id, acts := g.request(idempotentClass)
-		for n := 0; len(g.balancer.requests) > 0 && n < 4; n++ {
+		for n := 0; len(g.balancer.requests.open) > 0 && n < 4; n++ {
 			s, sent := sentServer(acts)
 			if !sent {
 				break
@@ -214,7 +214,7 @@
 			}
 		}
 		if g.balancer.healthOfZone(0).lost {
-			shed = g.balancer.sustainedShed - shedDeadband
+			shed = g.balancer.admission.sustainedShed - shedDeadband
 			break
 		}
 	}
@@ -235,9 +235,9 @@
 		g.now += took
 		g.finishAttempt(id, 0, OK, took)
 	}
-	g.balancer.sustainedShed = maxShedFraction + shedDeadband
+	g.balancer.admission.sustainedShed = maxShedFraction + shedDeadband
 	start := g.now
-	for g.balancer.sustainedShed > shedDeadband && g.now < start+60000 {
+	for g.balancer.admission.sustainedShed > shedDeadband && g.now < start+60000 {
 		id, acts := g.request(idempotentClass)
 		g.now += took
 		if _, sent := sentServer(acts); sent {
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -2,84 +2,101 @@
 
 import "math"
 
-// This file decides which server a request goes to.
+// This file decides which server a request is sent to.
 
 const (
-	loadHeadroom    = 0.4  // a server above this multiple of its share of the requests in flight is passed over
-	maxRoundsBehind = 4    // turns that a server is behind at the most, after more of them than its share
-	rotationPeriod  = 1000 // ms in which each server of the rotation should get a request: else it is not known
-	minRotationSize = 4    // servers in the rotation of the least sidecar
-	zonePreference  = 200  // weight added to a server of the own zone, times the price of crossing zones
+	loadHeadroom    = 0.4                // a server above this multiple of its share of load is passed over
+	maxRoundsBehind = 4                  // rounds that a server owes at most, after more than its share
+	rotationPeriod  = 1000               // ms in which each server of the rotation should receive a request
+	trafficSpan     = 2 * rotationPeriod // over which the request rate is taken
+	minRotationSize = 4                  // servers in the rotation of a sidecar with hardly any traffic
+	zonePreference  = 200                // added to the weight factor of the own zone, times Costs.CrossZone
 )
 
-// pick is the ordinary path: smooth weighted round robin over the servers of the request's key, or over all
-// where keys do not matter. A repeat goes to the healthiest untried server.
+// pick selects the server of an attempt by smooth weighted round robin, over the servers of the request's key
+// or over all. A retry goes to the healthiest server that was not tried. It returns nil if there is none.
 func (b *Balancer) pick(r *request, retry bool) *server {
-	totalWeight, byKey := 0.0, !retry && b.config.KeyAffinity && r.Key != 0
-	if b.config.KeyAffinity {
-		totalWeight = b.refreshRotation()
-	}
-	if len(b.excluded.servers) > 0 {
-		totalWeight = b.subtractExcluded(totalWeight)
-	}
-	if b.allEjected = false; byKey && b.rotation.size > b.excluded.inRotation {
-		b.sumRotation(totalWeight)
-	} else if totalWeight = b.collectCandidates(r, false); totalWeight == 0 { // all rest: the cause is hardly theirs
-		if len(b.excluded.servers) > 0 {
-			return nil
-		}
-		b.allEjected = true
-		totalWeight = b.collectCandidates(r, true)
+	byKey := !retry && b.config.KeyAffinity && r.Key != 0
+	totalWeight, ok := b.prepareSelection(r, byKey)
+	if !ok {
+		return nil
 	}
 	if !retry {
-		b.poolWeight = totalWeight + b.excluded.weight
-		b.recentPoolWeight.add(b.now, answerRateSpan*b.longestObjective, b.poolWeight)
-		b.round++
-		for _, s := range b.excluded.servers { // they get none
-			s.creditedRound++
-		}
+		b.beginRound(totalWeight)
 	}
 	b.creditRounds(byKey, retry)
-	choices := b.candidates
+	choices := b.selection.candidates
 	if byKey {
-		b.headroom = keyLoadHeadroom
+		b.selection.headroom = keyLoadHeadroom
 		if choices = b.hotKeyReplica(r.Key); choices == nil {
 			choices = b.keySubset(r.Key)
 		}
 	}
-	var best *server
+	best := b.best(choices, retry)
+	if best != nil {
+		if byKey {
+			b.creditServer(best)
+		}
+		b.beginZoneTrial(best)
+		remaining := best.round.runningWeight - totalWeight
+		best.round.runningWeight = math.Max(remaining, -maxRoundsBehind*totalWeight)
+	}
+	return best
+}
+
+// prepareSelection sets up the current pick and returns the sum of the weights to choose from. If all servers
+// are ejected the cause is hardly theirs, and all are candidates; false if the placement excludes others.
+func (b *Balancer) prepareSelection(r *request, byKey bool) (totalWeight float64, ok bool) {
+	selection := &b.selection
+	if b.config.KeyAffinity {
+		totalWeight = b.refreshRotation()
+	}
+	if len(selection.excluded.servers) > 0 {
+		totalWeight = b.subtractExcluded(totalWeight)
+	}
+	selection.allEjected = false
+	if byKey && b.rotation.size > selection.excluded.inRotation {
+		b.sumRotation(totalWeight)
+		return totalWeight, true
+	}
+	if totalWeight = b.collectCandidates(r, false); totalWeight != 0 {
+		return totalWeight, true
+	}
+	if len(selection.excluded.servers) > 0 {
+		return 0, false
+	}
+	selection.allEjected = true
+	return b.collectCandidates(r, true), true
+}
+
+// best selects among servers: first those within the load bound, then by preferred.
+func (b *Balancer) best(choices []*server, retry bool) (best *server) {
 	bestOverBound := false
 	for _, s := range choices {
 		if !b.mayReceive(s) {
 			continue
 		}
 		overBound := b.exceedsLoadBound(s)
-		if best == nil || bestOverBound && !overBound || overBound == bestOverBound && b.preferred(s, best, retry, overBound) {
+		if best == nil || bestOverBound && !overBound ||
+			overBound == bestOverBound && b.preferred(s, best, retry, overBound) {
 			best, bestOverBound = s, overBound
 		}
 	}
-	if best != nil {
-		if byKey {
-			b.creditServer(best)
-		}
-		b.beginZoneTrial(best)
-		best.runningWeight = math.Max(best.runningWeight-totalWeight, -maxRoundsBehind*totalWeight)
-	}
 	return best
 }
 
 func (b *Balancer) mayReceive(s *server) bool { return !b.inSlowStart(s) || b.hasSlowStartBudget(s) }
 
-// exceedsLoadBound is bounded load: a server that holds more than its share is slow, hung or filled by others, whatever
-// its errors say. It is passed over and keeps its running value for later.
+// exceedsLoadBound is bounded load: a server that holds more than its share is slow, hung or loaded by other
+// sidecars, whatever its errors say. It is passed over and retains its running weight for later.
 func (b *Balancer) exceedsLoadBound(s *server) bool {
-	limit := b.headroom * b.candidateLoad * s.weight / b.candidateWeight
-	return !s.loadKnown || b.serverLoad(s)+1 > math.Ceil(limit-1e-9) // 1e-9: no more for a rounding error
+	limit := b.selection.headroom * b.selection.load * s.weight / b.selection.weight
+	return !s.loadKnown || b.serverLoad(s)+1 > math.Ceil(limit-1e-9) // a rounding error allows no more
 }
 
-// rotationSize is how many servers the rotation goes over, the first in the sidecar's own order: as many as it
-// visits often. With all in, a thousand sidecars filled all connection tables and knew no server. Where keys
-// stay warm all are in: sidecars with rotations of their own would warm a key at many servers.
+// rotationSize is over how many servers the sidecar rotates, the first in its own order: as many as it can
+// visit often. A thousand sidecars that used all would fill all connection tables and know no server. With
+// key affinity all are used: rotations of their own would have the sidecars warm a key at many servers.
 func (b *Balancer) rotationSize() int {
 	if b.config.KeyAffinity {
 		return len(b.servers)
@@ -87,16 +104,12 @@
 	return max(minRotationSize, int(rotationPeriod*b.requestRate()))
 }
 
-func (b *Balancer) requestRate() float64 {
-	return b.requestMeter.rate(b.now, b.startedAt-rotationPeriod, 2*rotationPeriod, 0)
-}
-
-// collectCandidates lists the servers of this pick, their weights and what they hold, and returns the sum of the weights.
+// collectCandidates lists the candidates of this pick with their weights, and returns the sum of the weights.
 func (b *Balancer) collectCandidates(r *request, includeEjected bool) float64 {
 	totalWeight, anyReport, remaining := 0.0, false, b.rotationSize()
-	// Exception: answers from elsewhere cost a price. The order, or weight where all are in, favours the own.
+	// The own zone is preferred by the order, or by weight where all servers are used.
 	zoneFactor := 1 + (b.ownZoneFactor()-1)*math.Min(1, float64(remaining)/float64(len(b.servers)))
-	b.candidates = b.candidates[:0]
+	b.selection.candidates = b.selection.candidates[:0]
 	for _, s := range b.servers {
 		if remaining == 0 || !b.permitted(r, s) || !includeEjected && b.isEjected(s) {
 			continue
@@ -110,33 +123,29 @@
 		totalWeight += s.weight
 		s.loadKnown = b.hasFreshReport(s)
 		anyReport = anyReport || s.loadKnown
-		b.candidates = append(b.candidates, s)
-	}
-	b.candidateLoad, b.candidateWeight, b.headroom = 1, 0, loadHeadroom
-	for _, s := range b.candidates {
-		s.loadKnown = s.loadKnown || !anyReport // without any report, the own requests in flight are all there is
-		if s.loadKnown {
-			b.candidateLoad += b.serverLoad(s)
-			b.candidateWeight += s.weight
-		}
+		b.selection.candidates = append(b.selection.candidates, s)
 	}
+	b.sumCandidates(anyReport)
 	return totalWeight
 }
 
-// ownZoneFactor favours the own zone, by what it costs to cross zones.
+// ownZoneFactor is the preference of the own zone, by the cost of crossing zones.
 func (b *Balancer) ownZoneFactor() float64 { return 1 + zonePreference*b.config.Costs.CrossZone }
 
-// preferred: where all hold more than their share, who holds least for its weight goes first.
+// preferred reports whether s comes before best: by running weight, for a retry by health. Where all exceed
+// the load bound the one with the least load for its weight comes first.
 func (b *Balancer) preferred(s, best *server, retry, overBound bool) bool {
 	if overBound && !retry {
 		return (b.serverLoad(s)+1)*best.weight < (b.serverLoad(best)+1)*s.weight
 	}
 	health, bestHealth := b.health(s), b.health(best)
-	ahead := s.runningWeight > best.runningWeight+1e-9*b.poolWeight // no rounding error decides
+	rounding := 1e-9 * b.pool.current
+	ahead := s.round.runningWeight > best.round.runningWeight+rounding
 	return retry && health > bestHealth || (!retry || health == bestHealth) && ahead
 }
 
-// permitted: the rules let the request go there now; one that may have run, only where its key is known.
+// permitted reports whether the rules let the request go to a server now. A request that may have been
+// executed goes only where its idempotency key is known.
 func (b *Balancer) permitted(r *request, s *server) bool {
 	if s.State != Ready || s.excluded {
 		return false
@@ -149,23 +158,28 @@
 		if a.neverExecuted || r.class.Idempotency != IdempotentWithKey {
 			continue
 		}
-		if b.idempotencyWindowOver(r, a) || r.class.DeduplicationScope == ScopeCell && a.server.Cell != s.Cell ||
-			r.class.DeduplicationScope == ScopeZone && a.server.Zone != s.Zone {
+		otherCell := r.class.DeduplicationScope == ScopeCell && a.server.Cell != s.Cell
+		otherZone := r.class.DeduplicationScope == ScopeZone && a.server.Zone != s.Zone
+		if b.idempotencyWindowOver(r, a) || otherCell || otherZone {
 			return false
 		}
 	}
 	return true
 }
 
-// idempotencyWindowOver: a repeat might come to a server that no longer knows the key; it may have to connect first.
+// idempotencyWindowOver reports whether a retry could reach a server that no longer knows the key; it may
+// have to connect first.
 func (b *Balancer) idempotencyWindowOver(r *request, a *attempt) bool {
 	return b.now+b.config.ConnectTimeout >= a.sentAt+r.class.IdempotencyWindow
 }
 
-// ownOrderRank is weighted rendezvous hashing: a server that comes or goes moves no other, nor does a restart.
+// ownOrderRank is a server's position in this sidecar's own order, by weighted rendezvous hashing: a server
+// that comes or goes moves no other, nor does a restart of the sidecar. With key affinity the weights prefer
+// the own zone.
 func (b *Balancer) ownOrderRank(s *server) float64 {
-	rank := -math.Log(float64(splitmix64(splitmix64(uint64(b.config.SidecarIndex)+1)^uint64(s.ID))>>11+1) / (1 << 53))
-	if b.inOwnZone(s) && !b.config.KeyAffinity { // there the weights of the pick favour the own zone
+	hash := splitmix64(splitmix64(uint64(b.config.SidecarIndex)+1) ^ uint64(s.ID))
+	rank := -math.Log(float64(hash>>11+1) / (1 << 53))
+	if b.inOwnZone(s) && !b.config.KeyAffinity {
 		rank /= b.ownZoneFactor()
 	}
 	return rank
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -2,29 +2,31 @@
 
 import "math"
 
-// This file decides what the fleet's placement changes: which servers a tenant's requests keep off, while
-// enough is left, and how much of a spread key its copies carry. Nothing of it runs before there is one.
+// This file decides what a placement changes: which servers a tenant's requests avoid, as long as enough
+// remain, and how much of a hot key's load its replicas carry. Without a placement none of it applies.
 
 const (
-	// A copy that is told no share gets a trickle, this part of its key's load: by it a new one gets warm,
-	// and one that cools is still warm when it is wanted again.
+	// A replica without a load fraction receives a trickle of its key's load: a new one warms up by it, and
+	// one that is drained stays warm in case it is needed again.
 	trickleFraction = 0.05
-	maxTrickleTotal = 0.5 // ... for all of these together: what a hot key's own servers cannot do may as well warm
-	// The golden section of a key's turn: steps of it meet each part of the turn as often as it is long,
-	// however few they are. Weighted round robin's first picks do not go by weight, and here few come.
-	goldenSection = 0.6180339887498949
+	maxTrickleTotal = 0.5 // of all trickles together
+	// Steps of the golden section meet each part of an interval as often as its length says, however few they
+	// are. The first picks of a weighted round robin do not follow the weights, and here there are few.
+	goldenSection    = 0.6180339887498949
+	fractionRounding = 1e-9 // no fraction is missed by a rounding error
 )
 
-// selectUnderPlacement is choose under a placement: a request keeps off what its tenant is told to, by smooth weighted round
-// robin over the rest. Where all the rest rests or is cold and sent enough, serving goes first: the pick is
-// done again over all. A repeat goes to a server kept off rather than leave its group, which is all that
-// allowed lets it have: that is the rule, and no suspension.
+// selectUnderPlacement selects a server under the placement: an attempt avoids the servers that its tenant is
+// excluded from. Where all others are ejected or have no slow start budget, serving comes first: all servers
+// are tried, and the exclusions are suspended. A retry within its deduplication scope may have no other
+// server; that suspends nothing.
 func (b *Balancer) selectUnderPlacement(r *request, retry bool) *server {
 	active := b.placement
 	if active == nil {
 		return b.selectServer(r, retry)
 	}
-	if active.expire(b); len(active.exclusions) == 0 {
+	active.expire(b.now)
+	if len(active.exclusions) == 0 {
 		return b.selectServer(r, retry)
 	}
 	set := b.exclusionSetFor(r.Tenant)
@@ -38,15 +40,16 @@
 	if s != nil {
 		return s
 	}
-	scopeBound := retry && r.class.Idempotency == IdempotentWithKey && r.class.DeduplicationScope != ScopeAll
-	if s = b.selectServer(r, retry); s != nil && !scopeBound {
+	scoped := retry && r.class.Idempotency == IdempotentWithKey && r.class.DeduplicationScope != ScopeAll
+	if s = b.selectServer(r, retry); s != nil && !scoped {
 		active.recordSuspended(set.applied)
 	}
 	return s
 }
 
-// exclusionSetFor finds what a tenant keeps off now. Entries are followed in the order given, each where it leaves
-// its share of the tenant's ready servers, by rating, and the shares of those followed before.
+// exclusionSetFor returns what a tenant is excluded from now. Exclusions are applied in the order given, each
+// where it leaves its own fraction of the tenant's ready servers, by capacity, and those of the exclusions
+// before it.
 func (b *Balancer) exclusionSetFor(tenant int) *exclusionSet {
 	active := b.placement
 	if tenant < 0 || tenant >= len(b.config.Tenants) {
@@ -55,83 +58,72 @@
 	if set := active.exclusionSets[tenant]; set != nil {
 		return set
 	}
-	set, totalCapacity, minAvailable := &exclusionSet{}, 0.0, 0.0
-	for _, s := range b.servers {
-		if s.State == Ready {
-			totalCapacity += s.RelativeCapacity
-		}
-	}
-	remaining := totalCapacity
+	set, total := &exclusionSet{}, b.readyCapacity()
+	remaining, minAvailable := total, 0.0
 	for i := range active.exclusions {
-		k := &active.exclusions[i]
-		if k.Tenant != tenant && k.Tenant != AllTenants {
+		exclusion := &active.exclusions[i]
+		if exclusion.Tenant != tenant && exclusion.Tenant != AllTenants {
 			continue
 		}
-		start, remainingAfter := len(set.servers), remaining
-		for _, id := range k.Servers {
-			if s := b.serversByID[id]; s != nil && s.State == Ready && !s.excluded {
-				s.excluded = true
-				set.servers = append(set.servers, s)
-				remainingAfter -= s.RelativeCapacity
-			}
-		}
-		// 1e-9: no share is missed by a rounding error. What is no number is never enough.
-		if required := math.Max(minAvailable, k.MinAvailable); remainingAfter >= (required-1e-9)*totalCapacity {
-			remaining, minAvailable = remainingAfter, required
-			set.applied = append(set.applied, k.ID)
+		start := len(set.servers)
+		left := b.markExcluded(set, exclusion, remaining)
+		required := math.Max(minAvailable, exclusion.MinAvailable) // NaN: never enough
+		if left >= (required-fractionRounding)*total {
+			remaining, minAvailable = left, required
+			set.applied = append(set.applied, exclusion.ID)
 			continue
 		}
-		for _, s := range set.servers[start:] {
-			s.excluded = false
-		}
+		clearExcluded(set.servers[start:])
 		set.servers = set.servers[:start]
-		set.suspended = append(set.suspended, k.ID)
-	}
-	for _, s := range set.servers {
-		s.excluded = false
+		set.suspended = append(set.suspended, exclusion.ID)
 	}
+	clearExcluded(set.servers)
 	active.exclusionSets[tenant] = set
 	return set
 }
 
-// hotKeyReplica returns the copy of a spread key that carries this request, nil where its own servers do. While a
-// copy drains, rests, is kept off, holds more than its share of what is in flight or is cold and sent enough,
-// its turns are theirs, whatever it is told to carry.
+// hotKeyReplica returns the replica of a hot key that receives this attempt, nil if the key's own servers do.
+// The turns of a replica that drains, is ejected, excluded, above its load bound or without slow start budget
+// are theirs, whatever its load fraction.
 func (b *Balancer) hotKeyReplica(key uint64) []*server {
 	s := b.nextReplica(key)
 	if s == nil || !s.inRotation || s.excluded {
 		return nil
 	}
-	if b.prepareCandidate(s); !b.hasCapacity(s) {
+	b.prepareCandidate(s)
+	if !b.hasCapacity(s) {
 		return nil
 	}
-	b.candidates = append(b.candidates[:0], s)
-	return b.candidates
+	b.selection.candidates = append(b.selection.candidates[:0], s)
+	return b.selection.candidates
 }
 
-// normalizeLoadFractions turns the shares that a placement tells into those that copies get: 1 in all at the most, trickles
-// included.
+// normalizeLoadFractions turns the fractions of a placement into those that apply: at most 1 in all, with
+// trickles.
 func normalizeLoadFractions(replicas []Replica) {
-	total, withoutFraction := 0.0, 0.0
+	total, trickles := 0.0, 0.0
 	for i := range replicas {
-		c := &replicas[i]
-		if c.LoadFraction = math.Min(c.LoadFraction, 1); !(c.LoadFraction > 0) {
-			c.LoadFraction = 0
-			withoutFraction++
+		fraction := math.Min(replicas[i].LoadFraction, 1)
+		if !(fraction > 0) {
+			fraction = 0
+			trickles++
 		}
-		total += c.LoadFraction
+		replicas[i].LoadFraction = fraction
+		total += fraction
 	}
-	trickle := math.Min(trickleFraction, maxTrickleTotal/math.Max(withoutFraction, 1))
-	scale := math.Min(1, (1-withoutFraction*trickle)/math.Max(total, 1e-9))
+	trickle := math.Min(trickleFraction, maxTrickleTotal/math.Max(trickles, 1))
+	scale := math.Min(1, (1-trickles*trickle)/math.Max(total, 1e-9))
 	for i := range replicas {
-		if replicas[i].LoadFraction *= scale; replicas[i].LoadFraction == 0 {
+		replicas[i].LoadFraction *= scale
+		if replicas[i].LoadFraction == 0 {
 			replicas[i].LoadFraction = trickle
 		}
 	}
 }
 
-// nextReplica takes the key on to its next turn and returns the copy that has it by the shares. A sidecar that
-// has the key on more servers than these by what it meets itself goes by that: copies would narrow it.
+// nextReplica advances a hot key by one turn and returns the replica whose turn it is by the load fractions.
+// Where this sidecar's own traffic distributes the key over more servers than the replicas add, it returns
+// nil: they would narrow it.
 func (b *Balancer) nextReplica(key uint64) *server {
 	if b.placement == nil || len(b.placement.hotKeys) == 0 {
 		return nil
@@ -141,14 +133,15 @@
 		return nil
 	}
 	count := b.candidateCount()
-	if b.frequencySubsetSize(key, count) > max(minServersPerKey, count/fleetPerKeyServer)+len(state.replicas) {
+	subsetSize := max(minServersPerKey, count/fleetPerKeyServer)
+	if b.frequencySubsetSize(key, count) > subsetSize+len(state.replicas) {
 		return nil
 	}
 	state.phase = math.Mod(state.phase+goldenSection, 1)
 	cumulative := 0.0
-	for _, c := range state.replicas {
-		if cumulative += c.LoadFraction; state.phase < cumulative {
-			return b.serversByID[c.Server]
+	for _, replica := range state.replicas {
+		if cumulative += replica.LoadFraction; state.phase < cumulative {
+			return b.serversByID[replica.Server]
 		}
 	}
 	return nil
--- a/balance/placement_test.go
+++ b/balance/placement_test.go
@@ -115,8 +115,8 @@
 			if s.ID == 1 {
 				continue
 			}
-			if s.ejectedUntil = g.now + 1e6; trouble == "cold" {
-				s.ejectedUntil, s.slowStartSince, s.slowStartTokens, s.slowStartTokensAt = 0, g.now, 0, g.now
+			if s.ejection.until = g.now + 1e6; trouble == "cold" {
+				s.ejection.until, s.slowStart.since, s.slowStart.tokens, s.slowStart.tokensAt = 0, g.now, 0, g.now
 			}
 		}
 		if _, acts := g.request(idempotentClass); !hasAction(acts, Send) || acts[len(acts)-2].Server != 1 {
@@ -136,7 +136,7 @@
 	}{{idempotentClass, 4}, {allScopeClass, 4}, {cellScopeClass, 2}} {
 		g := newHarness(t, baseConfig(), testServers(4)...) // cells {1 2} {3 4}
 		g.handle(Placement{Exclusions: []Exclusion{testExclusion(1, 0, 2, 3)}})
-		g.balancer.serversByID[1].runningWeight = 1e3
+		g.balancer.serversByID[1].round.runningWeight = 1e3
 		id, acts := g.request(c.class)
 		if to, _ := sentServer(acts); to != 1 {
 			t.Fatalf("class %d: the first went to %d", c.class, to)
@@ -217,9 +217,9 @@
 			entry.State = Draining
 			g.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{entry}})
 		},
-		"resting": func(g *harness, s *server) { s.ejectedUntil = 1e9; g.balancer.scheduleRefresh(s) },
+		"resting": func(g *harness, s *server) { s.ejection.until = 1e9; g.balancer.scheduleRefresh(s) },
 		"cold": func(g *harness, s *server) {
-			s.slowStartSince, s.slowStartTokens, s.slowStartTokensAt = g.now, -1e9, g.now
+			s.slowStart.since, s.slowStart.tokens, s.slowStart.tokensAt = g.now, -1e9, g.now
 			g.balancer.scheduleRefresh(s)
 		},
 		"kept off": func(g *harness, s *server) {
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -208,7 +208,7 @@
 
 // checkSlowStartBudgetKept: whatever a send is for, one to a cold server spends its budget and never goes without.
 func (b *Balancer) checkSlowStartBudgetKept(t *testing.T, a Action) {
-	if s := b.serversByID[a.Server]; a.Kind == Send && b.inSlowStart(s) && s.slowStartTokens < 0 {
+	if s := b.serversByID[a.Server]; a.Kind == Send && b.inSlowStart(s) && s.slowStart.tokens < 0 {
 		t.Fatalf("at %v request %d was sent to cold server %d, whose budget is spent", b.now, a.Request, a.Server)
 	}
 }
--- a/balance/races_test.go
+++ b/balance/races_test.go
@@ -11,10 +11,10 @@
 func TestNoRetryAfterPossibleExecution(t *testing.T) {
 	for name, meanwhile := range map[string]func(g *harness, id RequestID){
 		"quiet":    func(*harness, RequestID) {},
-		"draining": func(g *harness, id RequestID) { g.drain(g.balancer.requests[id].attempts[0].server.ID) },
-		"shedding": func(g *harness, _ RequestID) { g.balancer.sustainedShed = maxShedFraction + shedDeadband },
+		"draining": func(g *harness, id RequestID) { g.drain(g.balancer.requests.open[id].attempts[0].server.ID) },
+		"shedding": func(g *harness, _ RequestID) { g.balancer.admission.sustainedShed = maxShedFraction + shedDeadband },
 		"past aim": func(g *harness, _ RequestID) { g.now += 350 },
-		"deadline": func(g *harness, id RequestID) { g.now = g.balancer.requests[id].deadline },
+		"deadline": func(g *harness, id RequestID) { g.now = g.balancer.requests.open[id].deadline },
 	} {
 		for _, class := range []int{nonIdempotentClass, cellScopeClass} {
 			for res := OK; res <= Obsolete; res++ {
@@ -48,7 +48,7 @@
 // runTimers brings a request's timers until it is answered or sent.
 func (g *harness) runTimers(id RequestID) {
 	for range 200 {
-		r := g.balancer.requests[id]
+		r := g.balancer.requests.open[id]
 		if r == nil || r.finished || r.inFlight > 0 {
 			return
 		}
@@ -116,14 +116,14 @@
 			g := newHarness(t, cfg, testServers(c.servers)...)
 			id, _ := g.request(idempotentClass)
 			c.before(g, id)
-			out := g.balancer.requests[id] != nil && g.balancer.requests[id].inFlight > 0
+			out := g.balancer.requests.open[id] != nil && g.balancer.requests.open[id].inFlight > 0
 			if acts := g.handle(ClientDisconnected{Request: id}); hasAction(acts, Cancel) != out {
 				t.Fatalf("attempt out: %v, got %+v", out, acts)
 			}
 			from := len(g.actions)
 			c.after(g, id)
-			if acts := g.actions[from:]; hasAction(acts, Send) || hasAction(acts, Reject) || hasAction(acts, Fail) || len(g.balancer.requests) != 0 {
-				t.Fatalf("%d requests left, %+v", len(g.balancer.requests), acts)
+			if acts := g.actions[from:]; hasAction(acts, Send) || hasAction(acts, Reject) || hasAction(acts, Fail) || len(g.balancer.requests.open) != 0 {
+				t.Fatalf("%d requests left, %+v", len(g.balancer.requests.open), acts)
 			}
 		})
 	}
@@ -136,15 +136,15 @@
 		for res := OK; res <= Obsolete; res++ {
 			g := newHarness(t, baseConfig(), testServers(4)...)
 			id, _ := g.request(class)
-			s := g.balancer.requests[id].attempts[0].server
-			g.now = g.balancer.requests[id].deadline
+			s := g.balancer.requests.open[id].attempts[0].server
+			g.now = g.balancer.requests.open[id].deadline
 			acts := g.handle(TimerFired{Token: uint64(id)})
 			if hasAction(acts, Fail) == hasAction(acts, Reject) || !hasAction(acts, Cancel) {
 				t.Fatalf("class %d at its deadline: %+v", class, acts)
 			}
 			acts = g.handle(Outcome{Request: id, Server: s.ID, Result: res, Elapsed: 1, RequestDone: res == OK})
-			if len(acts) != 0 || len(g.balancer.requests) != 0 || s.inFlight != 0 {
-				t.Errorf("class %d, result %d: %d requests left, %d in flight, %+v", class, res, len(g.balancer.requests), s.inFlight, acts)
+			if len(acts) != 0 || len(g.balancer.requests.open) != 0 || s.inFlight != 0 {
+				t.Errorf("class %d, result %d: %d requests left, %d in flight, %+v", class, res, len(g.balancer.requests.open), s.inFlight, acts)
 			}
 			if _, err := g.balancer.Handle(g.now, Outcome{Request: id, Server: s.ID, Result: res, RequestDone: true}); err == nil {
 				t.Errorf("class %d: an attempt ended twice", class)
@@ -165,7 +165,7 @@
 			t.Fatalf("%+v", acts)
 		}
 		g.runTimers(id)
-		if !hasAction(g.actions, Reject) || len(g.balancer.requests) != 0 {
+		if !hasAction(g.actions, Reject) || len(g.balancer.requests.open) != 0 {
 			t.Fatalf("not refused: %+v", g.actions)
 		}
 	})
@@ -178,7 +178,7 @@
 		g.drain(1)
 		g.handle(HealthCheckResult{Server: 1, Elapsed: 1, LoadReport: []float32{0}})
 		g.runTimers(id)
-		if hasAction(g.actions, Send) || !hasAction(g.actions, Reject) || len(g.balancer.requests) != 0 {
+		if hasAction(g.actions, Send) || !hasAction(g.actions, Reject) || len(g.balancer.requests.open) != 0 {
 			t.Fatalf("not refused: %+v", g.actions)
 		}
 	})
@@ -213,7 +213,7 @@
 			if to, sent := sentServer(acts); sent != (res != OK) || sent && to != 2 || hasAction(acts, Reject) || hasAction(acts, Fail) {
 				t.Errorf("class %d, result %d: sent again is %v, %+v", class, res, sent, acts)
 			}
-			if left := g.balancer.requests[up] != nil; left != (res != OK) {
+			if left := g.balancer.requests.open[up] != nil; left != (res != OK) {
 				t.Errorf("class %d, result %d: remembered is %v", class, res, left)
 			}
 		}
@@ -226,12 +226,12 @@
 		g := newHarness(t, healthCheckConfig(), testServers(2)...)
 		g.request(idempotentClass)
 		s := g.balancer.serversByID[1]
-		if !s.healthChecking {
+		if !s.healthCheckPending {
 			t.Fatal("no probe is out")
 		}
 		g.handle(HealthCheckResult{Server: 1, Result: result})
-		if blamed := s.healthCheckFailed || g.balancer.isEjected(s); blamed != (result == ConnectFailed) || s.healthChecking {
-			t.Errorf("result %d: dark %v, resting %v, out %v", result, s.healthCheckFailed, g.balancer.isEjected(s), s.healthChecking)
+		if blamed := s.errors.healthCheckFailed || g.balancer.isEjected(s); blamed != (result == ConnectFailed) || s.healthCheckPending {
+			t.Errorf("result %d: dark %v, resting %v, out %v", result, s.errors.healthCheckFailed, g.balancer.isEjected(s), s.healthCheckPending)
 		}
 	}
 }
--- a/balance/reference_pick_test.go
+++ b/balance/reference_pick_test.go
@@ -15,49 +15,49 @@
 	for _, s := range b.servers {
 		in := s.State == Ready && !b.referenceEjected(s)
 		if in && !s.inRotation {
-			s.creditedRound = b.round
+			s.round.creditedUpTo = b.selection.round
 		}
 		s.inRotation = in
 	}
 	total := b.referenceCandidates(r, false)
 	allRest := total == 0
-	if allRest && len(b.excluded.servers) > 0 {
+	if allRest && len(b.selection.excluded.servers) > 0 {
 		return nil
 	}
 	if allRest {
 		total = b.referenceCandidates(r, true)
 	}
-	b.candidateLoad, b.candidateWeight, b.headroom = 1, 0, loadHeadroom
-	for _, s := range b.candidates {
+	b.selection.load, b.selection.weight, b.selection.headroom = 1, 0, loadHeadroom
+	for _, s := range b.selection.candidates {
 		if s.loadKnown {
-			b.candidateLoad += b.serverLoad(s)
-			b.candidateWeight += s.weight
+			b.selection.load += b.serverLoad(s)
+			b.selection.weight += s.weight
 		}
 	}
-	from, keyed := b.candidates, !repeat && r.Key != 0
+	from, keyed := b.selection.candidates, !repeat && r.Key != 0
 	if !repeat {
-		b.poolWeight = total
-		b.round++
-		for _, s := range b.excluded.servers {
-			s.creditedRound++
+		b.pool.current = total
+		b.selection.round++
+		for _, s := range b.selection.excluded.servers {
+			s.round.creditedUpTo++
 			if s.inRotation {
-				b.poolWeight += b.referenceWeight(s)
+				b.pool.current += b.referenceWeight(s)
 			}
 		}
-		b.recentPoolWeight.add(b.now, answerRateSpan*b.longestObjective, b.poolWeight)
+		b.pool.recent.add(b.now, answerRateSpan*b.longestObjective, b.pool.current)
 	}
-	for _, s := range b.candidates {
+	for _, s := range b.selection.candidates {
 		if allRest && !repeat {
-			s.creditedRound = b.round - 1
+			s.round.creditedUpTo = b.selection.round - 1
 		}
-		if (!allRest || !repeat) && !(keyed && !allRest && len(b.candidates)/fleetPerKeyServer > minServersPerKey && b.lowTraffic()) {
-			s.runningWeight = math.Min(s.runningWeight+s.weight*(b.round-s.creditedRound), b.poolWeight)
-			s.creditedRound = b.round
+		if (!allRest || !repeat) && !(keyed && !allRest && len(b.selection.candidates)/fleetPerKeyServer > minServersPerKey && b.lowTraffic()) {
+			s.round.runningWeight = math.Min(s.round.runningWeight+s.weight*(b.selection.round-s.round.creditedUpTo), b.pool.current)
+			s.round.creditedUpTo = b.selection.round
 		}
 	}
 	if keyed {
-		b.headroom = keyLoadHeadroom
-		if s := b.nextReplica(r.Key); s != nil && s.inRotation && slices.Contains(b.candidates, s) && b.hasCapacity(s) {
+		b.selection.headroom = keyLoadHeadroom
+		if s := b.nextReplica(r.Key); s != nil && s.inRotation && slices.Contains(b.selection.candidates, s) && b.hasCapacity(s) {
 			from = []*server{s}
 		} else {
 			from = b.referenceSubset(r.Key)
@@ -76,23 +76,23 @@
 	}
 	if best != nil {
 		if keyed {
-			best.runningWeight = math.Min(best.runningWeight+best.weight*(b.round-best.creditedRound), b.poolWeight)
-			best.creditedRound = b.round
+			best.round.runningWeight = math.Min(best.round.runningWeight+best.weight*(b.selection.round-best.round.creditedUpTo), b.pool.current)
+			best.round.creditedUpTo = b.selection.round
 		}
 		b.beginZoneTrial(best)
-		best.runningWeight = math.Max(best.runningWeight-total, -maxRoundsBehind*total)
+		best.round.runningWeight = math.Max(best.round.runningWeight-total, -maxRoundsBehind*total)
 	}
 	return best
 }
 
 func (b *Balancer) referenceEjected(s *server) bool {
 	z := b.healthOfZone(s.Zone)
-	return b.now < s.ejectedUntil || b.now < s.gossipEjectedUntil || z.lost && b.now < z.ejectedUntil && s.slowStartSince < z.unreachableSince
+	return b.now < s.ejection.until || b.now < s.gossip.ejectedUntil || z.lost && b.now < z.ejectedUntil && s.slowStart.since < z.unreachableSince
 }
 
 func (b *Balancer) referenceCandidates(r *request, all bool) float64 {
 	total, fresh := 0.0, false
-	b.candidates = b.candidates[:0]
+	b.selection.candidates = b.selection.candidates[:0]
 	for _, s := range b.servers {
 		if !b.permitted(r, s) || !all && b.referenceEjected(s) {
 			continue
@@ -101,9 +101,9 @@
 		total += s.weight
 		s.loadKnown = b.hasFreshReport(s)
 		fresh = fresh || s.loadKnown
-		b.candidates = append(b.candidates, s)
+		b.selection.candidates = append(b.selection.candidates, s)
 	}
-	for _, s := range b.candidates {
+	for _, s := range b.selection.candidates {
 		s.loadKnown = s.loadKnown || !fresh
 	}
 	return total
@@ -117,14 +117,14 @@
 }
 
 func (b *Balancer) referenceSubset(key uint64) []*server {
-	all := b.candidates
+	all := b.selection.candidates
 	for _, s := range all {
 		u := float64(splitmix64(splitmix64(key)^uint64(s.ID))>>11+1) / (1 << 53)
 		s.keyPosition = -math.Log(u) / s.RelativeCapacity
 	}
 	slices.SortFunc(all, compareKeyPosition)
 	most := len(all) / fleetPerKeyServer
-	n := max(minServersPerKey, most, int(math.Ceil(b.keyFrequency.fraction(key)*float64(len(all))/maxKeyFraction)))
+	n := max(minServersPerKey, most, int(math.Ceil(b.keys.fraction(key)*float64(len(all))/maxKeyFraction)))
 	n = min(n, len(all))
 	if most > minServersPerKey && b.lowTraffic() {
 		for _, s := range all[:n] {
@@ -169,7 +169,7 @@
 		cfg.LoadReports, cfg.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldInFlight, FieldUtilization, FieldQueueLength, FieldLatency}
 	}
 	if seed%4 == 3 {
-		cfg.AllowGossip, cfg.Costs.Peer = true, 0.06
+		cfg.AllowGossip, cfg.Costs.Gossip = true, 0.06
 	}
 	if seed%7 == 3 {
 		cfg.SlowStartMinCapacity, cfg.SlowStartDuration = 0, 300
@@ -324,7 +324,7 @@
 		total, sum := w.balancers[0].refreshRotation(), 0.0
 		for _, s := range w.balancers[0].servers {
 			if s.inRotation {
-				sum += w.balancers[0].weight(s) * s.weightGroup.factor / math.Exp(w.balancers[0].capacityByKind[s.Kind]+w.balancers[0].capacityByZone[s.Zone])
+				sum += w.balancers[0].weight(s) * s.weightGroup.factor / math.Exp(w.balancers[0].capacity.byKind[s.Kind]+w.balancers[0].capacity.byZone[s.Zone])
 			}
 		}
 		if sum = math.Max(sum, 1e-6); math.Abs(total-sum) > 1e-9*sum+1e-5 {
--- a/balance/retry_rules_test.go
+++ b/balance/retry_rules_test.go
@@ -61,7 +61,7 @@
 	g := newHarness(t, baseConfig(), testServers(4)...)
 	for _, class := range []int{nonIdempotentClass, cellScopeClass, zoneScopeClass} {
 		id, _ := g.request(class)
-		g.now = g.balancer.requests[id].deadline
+		g.now = g.balancer.requests.open[id].deadline
 		acts := g.handle(TimerFired{Token: uint64(id)})
 		if hasAction(acts, Reject) || !hasAction(acts, Fail) {
 			t.Errorf("class %d at its deadline with an attempt out: %+v", class, acts)
@@ -93,8 +93,8 @@
 			g.now += 10
 			refused = refused || hasAction(g.handle(TimerFired{Token: uint64(id)}), Reject)
 		}
-		if !refused || len(g.balancer.requests) != 0 {
-			t.Fatalf("%s: refused %v, %d requests left", name, refused, len(g.balancer.requests))
+		if !refused || len(g.balancer.requests.open) != 0 {
+			t.Fatalf("%s: refused %v, %d requests left", name, refused, len(g.balancer.requests.open))
 		}
 	}
 }
@@ -134,7 +134,7 @@
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(4)...)
 	id, _ := g.request(nonIdempotentClass)
-	g.now = g.balancer.requests[id].timerAt - 1e-4
+	g.now = g.balancer.requests.open[id].timerAt - 1e-4
 	if acts := g.handle(TimerFired{Token: uint64(id)}); !hasAction(acts, SetTimer) {
 		t.Fatalf("no timer after an early alarm: %+v", acts)
 	}
@@ -216,7 +216,7 @@
 		t.Fatalf("a running stream got %+v", acts)
 	}
 	g.handle(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, RequestDone: true})
-	if len(g.balancer.requests) != 0 {
+	if len(g.balancer.requests.open) != 0 {
 		t.Fatal("an ended stream is remembered")
 	}
 }
@@ -291,16 +291,16 @@
 	g.now += 2000
 	g.request(idempotentClass) // sets the weights
 	s := g.balancer.servers[0]
-	s.slowStartTokens, s.slowStartTokensAt = 0, g.now-2000
-	if g.balancer.hasSlowStartBudget(s); s.slowStartTokens > 0.2 { // with ten assumed: 1
-		t.Fatalf("%.2f sends in two seconds", s.slowStartTokens)
+	s.slowStart.tokens, s.slowStart.tokensAt = 0, g.now-2000
+	if g.balancer.hasSlowStartBudget(s); s.slowStart.tokens > 0.2 { // with ten assumed: 1
+		t.Fatalf("%.2f sends in two seconds", s.slowStart.tokens)
 	}
 	for range 400 { // of two hundred answers a second it may have its part
-		g.balancer.answerMeter.add(g.now, answerRateSpan*g.balancer.longestObjective)
+		g.balancer.admission.answers.add(g.now, answerRateSpan*g.balancer.longestObjective)
 	}
-	s.slowStartTokens, s.slowStartTokensAt = 0, g.now-2000
-	if g.balancer.hasSlowStartBudget(s); s.slowStartTokens < 0.5 {
-		t.Fatalf("%.2f sends in two seconds for a busy sidecar", s.slowStartTokens)
+	s.slowStart.tokens, s.slowStart.tokensAt = 0, g.now-2000
+	if g.balancer.hasSlowStartBudget(s); s.slowStart.tokens < 0.5 {
+		t.Fatalf("%.2f sends in two seconds for a busy sidecar", s.slowStart.tokens)
 	}
 }
 
@@ -352,7 +352,7 @@
 	to, _ := sentServer(acts)
 	s := g.balancer.serversByID[to]
 	g.handle(Outcome{Request: id, Server: to, Elapsed: 5, RequestDone: true, LoadReport: []float32{50, 40}})
-	if rest := s.ejectedUntil - g.now; rest < 10 || rest > 60 {
+	if rest := s.ejection.until - g.now; rest < 10 || rest > 60 {
 		t.Fatalf("rests for %.0f ms, a turn over three servers takes 30", rest)
 	}
 }
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -16,7 +16,7 @@
 			g.t.Fatal("nothing was sent")
 		}
 		ids = append(ids, s)
-		g.balancer.requests[id].stats.samples = 0 // no learning from these answers
+		g.balancer.requests.open[id].stats.samples = 0 // no learning from these answers
 		g.finishAttempt(id, 0, OK, 10)
 	}
 	return ids
@@ -40,7 +40,7 @@
 	if m := g.balancer.health(s); m != 1 {
 		t.Fatalf("m without errors is %v", m)
 	}
-	s.consecutiveErrors, s.lastErrorAt = 2, g.now
+	s.errors.consecutive, s.errors.lastAt = 2, g.now
 	if m := g.balancer.health(s); math.Abs(m-(1-2*errorPenalty)) > 1e-9 {
 		t.Fatalf("m after two errors is %v", m)
 	}
@@ -48,16 +48,16 @@
 	if m := g.balancer.health(s); math.Abs(m-(1-errorPenalty)) > 1e-9 {
 		t.Fatalf("m after a half-life is %v", m)
 	}
-	s.consecutiveErrors = 1000
+	s.errors.consecutive = 1000
 	if m := g.balancer.health(s); m != minHealth {
 		t.Fatalf("m after very many errors is %v, want the floor", m)
 	}
 	if m := g.balancer.health(g.balancer.servers[1]); m != 1 {
 		t.Fatalf("another server's errors moved m to %v", m)
 	}
-	s.consecutiveErrors = 2
+	s.errors.consecutive = 2
 	id, _ := g.request(idempotentClass)
-	g.balancer.requests[id].attempts[0].server = s
+	g.balancer.requests.open[id].attempts[0].server = s
 	s.inFlight, g.balancer.servers[1].inFlight = 1, 0
 	g.finishAttempt(id, 0, OK, 10)
 	if m := g.balancer.health(s); m != 1 {
@@ -69,7 +69,7 @@
 	g := newHarness(t, baseConfig(), testServers(4)...)
 	hits := 0
 	for range 40 { // a success resets the errors, so they are set again each time
-		g.balancer.servers[2].consecutiveErrors, g.balancer.servers[2].lastErrorAt = 1000, g.now
+		g.balancer.servers[2].errors.consecutive, g.balancer.servers[2].errors.lastAt = 1000, g.now
 		if sendSequence(g, 1)[0] == 3 {
 			hits++
 		}
@@ -82,15 +82,15 @@
 func TestRetryGoesToHealthiestUntriedServer(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(4)...)
 	for _, s := range g.balancer.servers {
-		s.consecutiveErrors, s.lastErrorAt = 2, g.now
+		s.errors.consecutive, s.errors.lastAt = 2, g.now
 	}
-	g.balancer.servers[2].consecutiveErrors = 1
-	g.balancer.servers[1].runningWeight = 1000 // its turn, though it is not the healthiest
+	g.balancer.servers[2].errors.consecutive = 1
+	g.balancer.servers[1].round.runningWeight = 1000 // its turn, though it is not the healthiest
 	id, acts := g.request(idempotentClass)
 	if s, _ := sentServer(acts); s != 2 {
 		t.Fatalf("first sent to %d, want 2", s)
 	}
-	g.balancer.servers[3].runningWeight = 1000 // next in turn, which must not count for a re-route
+	g.balancer.servers[3].round.runningWeight = 1000 // next in turn, which must not count for a re-route
 	if s, ok := sentServer(g.finishAttempt(id, 0, Overloaded, 1)); !ok || s != 3 {
 		t.Fatalf("re-routed to %d, want 3", s)
 	}
@@ -109,16 +109,16 @@
 	} {
 		g := newHarness(t, baseConfig(), testServers(4)...)
 		for i, s := range g.balancer.servers {
-			s.inFlight, s.runningWeight = c.holds[i], float64(10*(4-i))
+			s.inFlight, s.round.runningWeight = c.holds[i], float64(10*(4-i))
 		}
-		g.balancer.servers[1].consecutiveErrors, g.balancer.servers[1].lastErrorAt = 1, g.now-5000
+		g.balancer.servers[1].errors.consecutive, g.balancer.servers[1].errors.lastAt = 1, g.now-5000
 		r := &request{Request: Request{}, class: &g.balancer.config.Classes[idempotentClass]}
 		if c.want == 2 {
 			if s := g.balancer.pick(r, true); s.ID == 2 {
 				t.Errorf("%v: the re-route went to the server of lowest m", c.holds)
 			}
 			for i, s := range g.balancer.servers {
-				s.runningWeight = float64(10 * (4 - i))
+				s.round.runningWeight = float64(10 * (4 - i))
 			}
 		}
 		if s := g.balancer.pick(r, false); s.ID != c.want {
--- /dev/null
+++ b/balance/round.go
@@ -0,0 +1,36 @@
+package balance
+
+import "math"
+
+// creditRounds adds the weights of the rounds so far to the running weights that the current pick compares. A sidecar that
+// keeps to few servers of each key does not compare them by running weight: there they are brought up to date for a retry
+// only.
+func (b *Balancer) creditRounds(byKey, retry bool) {
+	switch {
+	case b.selection.allEjected || !b.config.KeyAffinity: // servers that are not candidates get no credit
+		for _, s := range b.selection.candidates {
+			if !retry {
+				s.round.creditedUpTo = b.selection.round - 1
+				b.creditServer(s)
+			}
+		}
+	case !byKey:
+		for _, s := range b.selection.candidates {
+			b.creditServer(s)
+		}
+	case !b.narrowsToOwnOrder():
+		for _, s := range b.servers {
+			if s.inRotation && !s.excluded {
+				s.weight = b.currentWeight(s)
+				b.creditServer(s)
+			}
+		}
+	}
+}
+
+// creditServer adds a server's current weight for each round since it was last credited, or returned.
+func (b *Balancer) creditServer(s *server) {
+	rounds := b.selection.round - s.round.creditedUpTo
+	s.round.runningWeight = math.Min(s.round.runningWeight+s.weight*rounds, b.pool.current)
+	s.round.creditedUpTo = b.selection.round
+}
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -1,10 +1,10 @@
 package balance
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"math/rand"
-	"strings"
 	"testing"
 )
 
@@ -24,7 +24,7 @@
 			c.AllowHealthChecks, c.LoadReports, c.LoadReportFields = true, LoadReportHealthCheck, []LoadReportField{FieldInFlight}
 		},
 		"probes, dear": func(c *Config, _ *int) {
-			c.AllowHealthChecks, c.LoadReports, c.Costs.Probe = true, LoadReportHealthCheck, 10
+			c.AllowHealthChecks, c.LoadReports, c.Costs.HealthCheck = true, LoadReportHealthCheck, 10
 		},
 		"probes, no field": func(c *Config, _ *int) {
 			c.AllowHealthChecks, c.LoadReports, c.LoadReportFields = true, LoadReportHealthCheck, []LoadReportField{FieldUnknown}
@@ -103,9 +103,9 @@
 		}
 	}
 	b := g.balancer
-	if len(b.requests) > 1 || len(b.servers) != 5 || len(b.serversByID) != 5 || len(b.awaitingHealthChecks) > 1 || cap(b.actions) > 100 {
+	if len(b.requests.open) > 1 || len(b.servers) != 5 || len(b.serversByID) != 5 || len(b.requests.awaitingHealthChecks) > 1 || cap(b.actions) > 100 {
 		t.Fatalf("%d requests, %d servers, %d by ID, %d waiting, room for %d actions",
-			len(b.requests), len(b.servers), len(b.serversByID), len(b.awaitingHealthChecks), cap(b.actions))
+			len(b.requests.open), len(b.servers), len(b.serversByID), len(b.requests.awaitingHealthChecks), cap(b.actions))
 	}
 }
 
@@ -137,26 +137,28 @@
 	}
 }
 
-// A caller's settings that cannot be are an error, never a balancer that misbehaves later.
+// Invalid settings are a ConfigError that names the field, never a balancer that misbehaves later.
 func TestInvalidConfig(t *testing.T) {
-	for name, spoil := range map[string]func(*Config){
-		"Classes":              func(c *Config) { c.Classes = nil },
-		"Effect":               func(c *Config) { c.Classes[1].Idempotency = 9 },
-		"Group":                func(c *Config) { c.Classes[1].DeduplicationScope = 9 },
-		"Classes[0].Worth":     func(c *Config) { c.Classes[0].PriorityWeight = math.NaN() },
-		"Classes[2].Window":    func(c *Config) { c.Classes[2].IdempotencyWindow = -1 },
-		"Deadline":             func(c *Config) { c.Classes[0].Deadline = 0 },
-		"Classes[0].Aim":       func(c *Config) { c.Classes[0].LatencyObjective = math.Inf(1) },
-		"ColdTime":             func(c *Config) { c.SlowStartDuration = -1 },
-		"MaxAttempts":          func(c *Config) { c.MaxAttempts = -1 },
-		"FallTime":             func(c *Config) { c.OverloadDuration = math.Inf(1) },
-		"Prices.CrossZone":     func(c *Config) { c.Costs.CrossZone = -0.1 },
-		"Tenants[0].Allowance": func(c *Config) { c.Tenants = []Tenant{{QuotaRate: -1}} },
+	for field, spoil := range map[string]func(*Config){
+		"Classes":                       func(c *Config) { c.Classes = nil },
+		"Classes[1].Idempotency":        func(c *Config) { c.Classes[1].Idempotency = 9 },
+		"Classes[1].DeduplicationScope": func(c *Config) { c.Classes[1].DeduplicationScope = 9 },
+		"Classes[0].PriorityWeight":     func(c *Config) { c.Classes[0].PriorityWeight = math.NaN() },
+		"Classes[2].IdempotencyWindow":  func(c *Config) { c.Classes[2].IdempotencyWindow = -1 },
+		"Classes[0].Deadline":           func(c *Config) { c.Classes[0].Deadline = 0 },
+		"Classes[0].LatencyObjective":   func(c *Config) { c.Classes[0].LatencyObjective = math.Inf(1) },
+		"SlowStartDuration":             func(c *Config) { c.SlowStartDuration = -1 },
+		"MaxAttempts":                   func(c *Config) { c.MaxAttempts = -1 },
+		"OverloadDuration":              func(c *Config) { c.OverloadDuration = math.Inf(1) },
+		"Costs.CrossZone":               func(c *Config) { c.Costs.CrossZone = -0.1 },
+		"Tenants[0].QuotaRate":          func(c *Config) { c.Tenants = []Tenant{{QuotaRate: -1}} },
 	} {
 		cfg := baseConfig()
 		spoil(&cfg)
-		if b, err := New(cfg); b != nil || err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: balancer %v, error %v", name, b != nil, err)
+		b, err := New(cfg)
+		var invalid *ConfigError
+		if b != nil || !errors.As(err, &invalid) || invalid.Field != field {
+			t.Errorf("%s: balancer %v, error %v", field, b != nil, err)
 		}
 	}
 }
--- /dev/null
+++ b/balance/stats.go
@@ -0,0 +1,94 @@
+package balance
+
+import "math"
+
+// maxLatencySamples bounds the samples over which a class's mean latency is taken: older ones fade.
+const maxLatencySamples = 300
+
+// requestCounts counts the requests of a class or tenant, and those answered within their objective. Both start at 1, so
+// that neither is ever 0.
+type requestCounts struct{ received, servedInTime, quota float64 }
+
+// servedLessThan compares the fractions that were served in time.
+func (c *requestCounts) servedLessThan(other *requestCounts) bool {
+	return c.servedInTime*other.received < other.servedInTime*c.received
+}
+
+// classStats follows the requests and latencies of a class.
+type classStats struct {
+	requestCounts
+	samples        float64
+	meanLatency    float64
+	meanDeviation  float64
+	priorityWeight float64
+
+	// Latencies as a fraction of the objective; see trackLatency.
+	recentLatencyRatio  float64
+	recentSamples       float64
+	minLatencyRatio     float64
+	minLatencyUpdatedAt float64
+}
+
+func (c *classStats) recordLatency(latency float64) {
+	c.samples = math.Min(c.samples+1, maxLatencySamples)
+	c.meanLatency += (latency - c.meanLatency) / c.samples
+	c.meanDeviation += (math.Abs(latency-c.meanLatency) - c.meanDeviation) / c.samples
+}
+
+// tenantCounts returns the counts of a tenant; the last are for requests without one.
+func (b *Balancer) tenantCounts(index int) *requestCounts {
+	if index < 0 || index >= len(b.config.Tenants) {
+		index = len(b.config.Tenants)
+	}
+	return &b.admission.tenants[index]
+}
+
+// demandTotals is what all requests of this sidecar ask for, and the class and tenant that are served worst.
+type demandTotals struct {
+	received       float64
+	priorityWeight float64
+	worstClass     *classStats
+	worstTenant    *requestCounts
+}
+
+func (b *Balancer) sumDemand() demandTotals {
+	classes, tenants := b.admission.classes, b.admission.tenants
+	totals := demandTotals{priorityWeight: 1e-9, worstClass: &classes[0], worstTenant: &tenants[0]}
+	for i := range classes {
+		totals.received += classes[i].received
+		totals.priorityWeight += classes[i].received * classes[i].priorityWeight
+		if classes[i].servedLessThan(&totals.worstClass.requestCounts) {
+			totals.worstClass = &classes[i]
+		}
+	}
+	for i := range tenants {
+		if tenants[i].servedLessThan(totals.worstTenant) {
+			totals.worstTenant = &tenants[i]
+		}
+	}
+	return totals
+}
+
+// rateMeter counts events and forgets them exponentially.
+type rateMeter struct{ count, updatedAt float64 }
+
+func (m *rateMeter) add(now, span float64) {
+	m.count, m.updatedAt = m.count*math.Exp((m.updatedAt-now)/span)+1, now
+}
+
+// rate is the number of events per millisecond since a time, with some assumed ones added.
+func (m *rateMeter) rate(now, since, span, assumed float64) float64 {
+	return (m.count*math.Exp((m.updatedAt-now)/span)/math.Max(-math.Expm1((since-now)/span), 0.05) + assumed) / span
+}
+
+// ewma is an exponentially weighted moving average over time.
+type ewma struct{ mean, updatedAt float64 }
+
+func (e *ewma) add(now, span, value float64) {
+	e.mean += (value - e.mean) * -math.Expm1((e.updatedAt-now)/span)
+	e.updatedAt = now
+}
+
+func (b *Balancer) requestRate() float64 {
+	return b.traffic.rate(b.now, b.startedAt-rotationPeriod, trafficSpan, 0)
+}
--- /dev/null
+++ b/balance/validate.go
@@ -0,0 +1,95 @@
+package balance
+
+import (
+	"fmt"
+	"math"
+)
+
+// ConfigError says which field of a Config is invalid, and why.
+type ConfigError struct {
+	Field  string // with the index of a class or tenant, as in "Classes[1].Deadline"
+	Reason string
+}
+
+func (e *ConfigError) Error() string { return e.Field + " " + e.Reason }
+
+// figure is a number of the settings that must be finite and not negative.
+type figure struct {
+	field string
+	value float64
+}
+
+// validate returns a ConfigError for the first field that is invalid.
+func (c *Config) validate() error {
+	if len(c.Classes) == 0 {
+		return &ConfigError{"Classes", "is empty"}
+	}
+	figures := c.figures()
+	for i := range c.Classes {
+		prefix := fmt.Sprintf("Classes[%d].", i)
+		if err := c.Classes[i].validate(prefix); err != nil {
+			return err
+		}
+		figures = append(figures, c.Classes[i].figures(prefix)...)
+	}
+	for i, tenant := range c.Tenants {
+		prefix := fmt.Sprintf("Tenants[%d].", i)
+		figures = append(figures, figure{prefix + "QuotaRate", tenant.QuotaRate}, figure{prefix + "Quota", tenant.Quota})
+	}
+	for _, f := range figures {
+		if !(f.value >= 0) || math.IsInf(f.value, 0) {
+			return &ConfigError{f.field, fmt.Sprintf("is %v", f.value)}
+		}
+	}
+	return nil
+}
+
+func (c *Config) figures() []figure {
+	return []figure{
+		{"EventInterval", c.EventInterval},
+		{"MaxAttempts", float64(c.MaxAttempts)},
+		{"MaxRetryAfter", c.MaxRetryAfter},
+		{"ConnectTimeout", c.ConnectTimeout},
+		{"DrainGracePeriod", c.DrainGracePeriod},
+		{"SlowStartMinCapacity", c.SlowStartMinCapacity},
+		{"SlowStartDuration", c.SlowStartDuration},
+		{"OverloadMultiple", c.OverloadMultiple},
+		{"OverloadDuration", c.OverloadDuration},
+		{"PollInterval", c.PollInterval},
+		{"AnswerGracePeriod", c.AnswerGracePeriod},
+		{"OverQuotaWeight", c.OverQuotaWeight},
+		{"Objective.Overall", c.Objective.Overall},
+		{"Objective.WorstWindow", c.Objective.WorstWindow},
+		{"Objective.WorstClass", c.Objective.WorstClass},
+		{"Objective.WorstTenant", c.Objective.WorstTenant},
+		{"Costs.CrossZone", c.Costs.CrossZone},
+		{"Costs.WastedWork", c.Costs.WastedWork},
+		{"Costs.Handshake", c.Costs.Handshake},
+		{"Costs.HealthCheck", c.Costs.HealthCheck},
+		{"Costs.Gossip", c.Costs.Gossip},
+		{"Costs.LateFailure", c.Costs.LateFailure},
+	}
+}
+
+func (c *Class) validate(prefix string) error {
+	switch {
+	case c.Idempotency > NonIdempotent:
+		return &ConfigError{prefix + "Idempotency", fmt.Sprintf("is unknown: %d", c.Idempotency)}
+	case c.DeduplicationScope > ScopeCell:
+		return &ConfigError{prefix + "DeduplicationScope", fmt.Sprintf("is unknown: %d", c.DeduplicationScope)}
+	case !(c.Deadline > 0):
+		return &ConfigError{prefix + "Deadline", fmt.Sprintf("is %v, want more than 0", c.Deadline)}
+	}
+	return nil
+}
+
+func (c *Class) figures(prefix string) []figure {
+	return []figure{
+		{prefix + "LatencyObjective", c.LatencyObjective},
+		{prefix + "Deadline", c.Deadline},
+		{prefix + "PriorityWeight", c.PriorityWeight},
+		{prefix + "LateWeight", c.LateWeight},
+		{prefix + "LatencyObjectivePerWork", c.LatencyObjectivePerWork},
+		{prefix + "IdempotencyWindow", math.Min(c.IdempotencyWindow, math.MaxFloat64)}, // it may be infinite
+	}
+}
--- a/internal/wire/fixtures_test.go
+++ b/internal/wire/fixtures_test.go
@@ -295,8 +295,8 @@
 			MaxAttempts: 3, AllowParallelAttempts: true, AllowCancel: true, AllowHealthChecks: true, AllowGossip: true, SendRetryAfter: true, MaxRetryAfter: 1000,
 			ConnectTimeout: 150, DrainGracePeriod: 2000, SlowStartMinCapacity: 0.2, SlowStartDuration: 20000, OverloadMultiple: 2.5, OverloadDuration: 1000,
 			PollInterval: 10000, AnswerGracePeriod: 16,
-			Objective: balance.Objective{Whole: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1},
-			Costs:     balance.Costs{CrossZone: 0.01, Waste: 0.02, Handshake: 0.03, Probe: 0.04, Peer: 0.05, LateFail: 0.06},
+			Objective: balance.Objective{Overall: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1},
+			Costs:     balance.Costs{CrossZone: 0.01, WastedWork: 0.02, Handshake: 0.03, HealthCheck: 0.04, Gossip: 0.05, LateFailure: 0.06},
 		}},
 		"settings-least.json": {`{"classes": [{"effect": "read_like", "hard_limit_ms": 400}]}` + "\n", balance.Config{
 			Seed: 9, SidecarCount: 1, OverQuotaWeight: 1, MaxAttempts: 1, SlowStartMinCapacity: 1,
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -108,8 +108,14 @@
 		OverloadMultiple: s.Rules.FallMultiple, OverloadDuration: s.Rules.FallTime,
 		PollInterval: s.Rules.AskWithin, AnswerGracePeriod: s.Rules.AnswerSlack,
 		KeyAffinity: s.Family.WarmKeys,
-		Objective:   balance.Objective(s.Goal),
-		Costs:       balance.Costs(s.Prices),
+		Objective: balance.Objective{
+			Overall: s.Goal.Whole, WorstWindow: s.Goal.WorstWindow,
+			WorstClass: s.Goal.WorstClass, WorstTenant: s.Goal.WorstTenant,
+		},
+		Costs: balance.Costs{
+			CrossZone: s.Prices.CrossZone, WastedWork: s.Prices.Waste, Handshake: s.Prices.Handshake,
+			HealthCheck: s.Prices.Probe, Gossip: s.Prices.Peer, LateFailure: s.Prices.LateFail,
+		},
 	}
 	switch s.Discovery {
 	case "", "automatic":
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -152,10 +152,10 @@
 		cfg.AllowCancel || cfg.MaxAttempts != 4 || cfg.SlowStartMinCapacity != 0.2 || cfg.Tenants[0].Quota != 0.4 {
 		t.Errorf("%+v", cfg)
 	}
-	if want := (balance.Objective{Whole: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); cfg.Objective != want {
+	if want := (balance.Objective{Overall: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); cfg.Objective != want {
 		t.Errorf("goal %+v", cfg.Objective)
 	}
-	want := balance.Costs{CrossZone: 1, Waste: 2, Handshake: 3, Probe: 4, Peer: 5, LateFail: 6}
+	want := balance.Costs{CrossZone: 1, WastedWork: 2, Handshake: 3, HealthCheck: 4, Gossip: 5, LateFailure: 6}
 	if cfg.Costs != want {
 		t.Errorf("prices %+v", cfg.Costs)
 	}
