--- a/cmd/milldeck/fleetbudgets.go
+++ b/cmd/milldeck/fleetbudgets.go
@@ -20,82 +20,91 @@
 	Budgets []disruption.Budget `toml:"budget"`
 }
 
-// readBudgets reads a file of budgets and checks each, so that none is set where one cannot be.
+// readBudgets reads a file of budgets by name. It validates all of them, so that none is set where one is invalid.
 func readBudgets(path string) (map[string]*disruption.Budget, error) {
-	var f budgetsFile
-	file, err := config.Load(path, &f)
+	var content budgetsFile
+	file, err := config.Load(path, &content)
 	if err != nil {
 		return nil, err
 	}
 	byName := map[string]*disruption.Budget{}
-	for i := range f.Budgets {
-		b := &f.Budgets[i]
-		err := b.Validate()
-		if err == nil && byName[b.Name] != nil {
-			err = fmt.Errorf("name: there are two budgets %q", b.Name)
+	for i := range content.Budgets {
+		budget := &content.Budgets[i]
+		err := budget.Validate()
+		if err == nil && byName[budget.Name] != nil {
+			err = fmt.Errorf("name: there are two budgets %q", budget.Name)
 		}
 		if err != nil {
 			return nil, file.Errorf(fmt.Sprintf("budget[%d]", i), "%v", err)
 		}
-		byName[b.Name] = b
+		byName[budget.Name] = budget
 	}
 	return byName, nil
 }
 
 func newFleetBudgets() *cobra.Command {
 	a := &asking{}
-	var by string
+	var operator string
 	c := &cobra.Command{
 		Use:   "budgets [FILE]",
-		Short: "Prints what may be out at a time, or sets it from a file",
+		Short: "Prints how much may be unavailable at a time, or sets it from a file",
 		Long: "budgets prints the budgets that are set. With a file it makes them those of the file: it sets each that is new or\n" +
-			"differs and drops those that the file lacks, drops last, so that the fleet is never bound less than by either.\n" +
-			"What holds without any budget: docs/ledger.md, \"Built in\".\n\n" + exitHelp,
+			"differs and deletes those that the file lacks, these last, so that the fleet is never bound less than by either.\n" +
+			"What holds without any budget: docs/ledger.md, \"Budgets\".\n\n" + exitHelp,
 		Example: "  milldeck fleet budgets\n  milldeck fleet budgets budgets.toml --by ana",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			var want map[string]*disruption.Budget
-			if len(args) > 0 {
-				var err error
-				if want, err = readBudgets(args[0]); err != nil {
-					return usageError{err}
-				}
-			}
-			return a.with(c, func(ctx context.Context, client *registry.Client) error {
-				v, err := client.LedgerView(ctx, true, false)
-				if err == nil && len(args) > 0 {
-					if err = setBudgets(ctx, client, "operator/"+by, v.Budgets, want); err == nil {
-						v, err = client.LedgerView(ctx, true, false)
-					}
-				}
-				if err != nil {
-					return err
-				}
-				return a.show(c.OutOrStdout(), v.Budgets, func(w io.Writer) error { return writeBudgets(w, v.Budgets) })
-			})
+			return runBudgets(c, a, disruption.OperatorOwner(operator), args)
 		},
 	}
 	a.flags(c)
-	c.Flags().StringVar(&by, "by", "unnamed", "name of the operator, kept in the log")
+	operatorFlag(c, &operator)
 	return c
 }
 
-// setBudgets makes the budgets that there are those that are wanted, one entry of the log each. A repeat goes on where
-// one that failed has ended.
-func setBudgets(ctx context.Context, client *registry.Client, owner string, have []disruption.Budget, want map[string]*disruption.Budget) error {
-	for _, name := range slices.Sorted(maps.Keys(want)) {
-		op := disruption.Op{Kind: disruption.OpSetBudget, Owner: owner, Budget: want[name]}
+// runBudgets sets the budgets of a file where one is given, and prints those that are then set.
+func runBudgets(c *cobra.Command, a *asking, owner string, files []string) error {
+	var desired map[string]*disruption.Budget
+	if len(files) > 0 {
+		var err error
+		if desired, err = readBudgets(files[0]); err != nil {
+			return usageError{err}
+		}
+	}
+	return a.with(c, func(ctx context.Context, client *registry.Client) error {
+		view, err := client.LedgerView(ctx, true, false)
+		if err != nil {
+			return err
+		}
+		if len(files) > 0 {
+			if err := setBudgets(ctx, client, owner, view.Budgets, desired); err != nil {
+				return err
+			}
+			if view, err = client.LedgerView(ctx, true, false); err != nil {
+				return err
+			}
+		}
+		return a.show(c.OutOrStdout(), view.Budgets, func(w io.Writer) error { return writeBudgets(w, view.Budgets) })
+	})
+}
+
+// setBudgets makes the budgets that exist the desired ones, with an entry of the log for each. After a failure a
+// repeat goes on where this has stopped.
+func setBudgets(ctx context.Context, client *registry.Client, owner string, existing []disruption.Budget, desired map[string]*disruption.Budget) error {
+	for _, name := range slices.Sorted(maps.Keys(desired)) {
+		op := disruption.Op{Kind: disruption.OpSetBudget, Owner: owner, Budget: desired[name]}
 		if _, err := client.ApplyLedgerOp(ctx, registry.WriteOptions{}, op); err != nil {
 			return fmt.Errorf("budget %s: %w", name, err)
 		}
 	}
-	for i := range have {
-		if want[have[i].Name] != nil {
+	for i := range existing {
+		budget := &existing[i]
+		if desired[budget.Name] != nil {
 			continue
 		}
-		op := disruption.Op{Kind: disruption.OpSetBudget, Owner: owner, Budget: &have[i], Delete: true}
+		op := disruption.Op{Kind: disruption.OpSetBudget, Owner: owner, Budget: budget, Delete: true}
 		if _, err := client.ApplyLedgerOp(ctx, registry.WriteOptions{}, op); err != nil {
-			return fmt.Errorf("budget %s: %w", have[i].Name, err)
+			return fmt.Errorf("budget %s: %w", budget.Name, err)
 		}
 	}
 	return nil
@@ -103,40 +112,45 @@
 
 func writeBudgets(out io.Writer, budgets []disruption.Budget) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	limit := func(l disruption.Limit) string {
-		switch {
-		case l.Count != nil && l.Fraction != nil:
-			return fmt.Sprintf("%d and %.4g%%", *l.Count, 100**l.Fraction)
-		case l.Count != nil:
-			return fmt.Sprint(*l.Count)
-		case l.Fraction != nil:
-			return fmt.Sprintf("%.4g%%", 100**l.Fraction)
-		}
-		return "any"
-	}
 	for i := range budgets {
-		b := &budgets[i]
-		fmt.Fprintf(w, "%s\t%s out\t%s cold\tof %s\n", b.Name, limit(b.MaxUnavailable), limit(b.MaxWarmingUp), of(&b.Selector))
+		budget := &budgets[i]
+		fmt.Fprintf(w, "%s\t%s out\t%s cold\tof %s\n", budget.Name,
+			describeLimit(budget.MaxUnavailable), describeLimit(budget.MaxWarmingUp), describeSelector(&budget.Selector))
 	}
 	return w.Flush()
 }
 
-// of says in words which units a selector selects.
-func of(s *disruption.Selector) string {
+func describeLimit(limit disruption.Limit) string {
+	const percent = 100
+	switch {
+	case limit.Count != nil && limit.Fraction != nil:
+		return fmt.Sprintf("%d and %.4g%%", *limit.Count, percent**limit.Fraction)
+	case limit.Count != nil:
+		return fmt.Sprint(*limit.Count)
+	case limit.Fraction != nil:
+		return fmt.Sprintf("%.4g%%", percent**limit.Fraction)
+	}
+	return "any"
+}
+
+// describeSelector says in words which units a selector selects.
+func describeSelector(selector *disruption.Selector) string {
 	text := "all units"
-	if s.Kind != "" {
-		text = string(s.Kind) + "s"
+	if selector.Kind != "" {
+		text = string(selector.Kind) + "s"
 	}
-	for _, f := range [][2]string{{"zone", s.Zone}, {"model", s.Model}, {"tenant", s.Tenant}, {"version", s.Version}} {
-		if f[1] != "" {
-			text += ", " + f[0] + " " + f[1]
+	for _, field := range []struct{ name, value string }{
+		{"zone", selector.Zone}, {"model", selector.Model}, {"tenant", selector.Tenant}, {"version", selector.Version},
+	} {
+		if field.value != "" {
+			text += ", " + field.name + " " + field.value
 		}
 	}
-	if s.PodGroup != nil {
-		text += fmt.Sprintf(", pod group %d", *s.PodGroup)
+	if selector.PodGroup != nil {
+		text += fmt.Sprintf(", pod group %d", *selector.PodGroup)
 	}
-	if len(s.IDs) > 0 {
-		text += fmt.Sprintf(", %d named", len(s.IDs))
+	if len(selector.IDs) > 0 {
+		text += fmt.Sprintf(", %d named", len(selector.IDs))
 	}
 	return text
 }
--- a/internal/disruption/validation.go
+++ b/internal/disruption/validation.go
@@ -29,6 +29,9 @@
 // of permits and forget units.
 func IsOperator(owner string) bool { return strings.HasPrefix(owner, operatorPrefix) }
 
+// OperatorOwner is the owner of the operations of a person.
+func OperatorOwner(name string) string { return operatorPrefix + name }
+
 // Validate reports, as a *validation.Error, which field of an operation is invalid whatever the ledger holds. It is
 // meant for before the log: what it rejects Apply rejects as well.
 func (op *Op) Validate() error {
