--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -100,7 +100,7 @@
 				return
 			}
 			waitFor(t, "the shrunken list needs confirmation", func() bool { return counted("milldeck_agent_held_total") })
-			waitFor(t, "the agent has the second replica's list", func() bool { agent.mu.Lock(); defer agent.mu.Unlock(); return agent.list.rev == 6 })
+			waitFor(t, "the agent has the second replica's list", func() bool { agent.mu.Lock(); defer agent.mu.Unlock(); return agent.list.revision == 6 })
 			if served := servedList(t, agent); len(served.Targets) != 6 {
 				t.Errorf("unconfirmed, it serves %+v", served)
 			}
--- a/internal/agent/fixtures_test.go
+++ b/internal/agent/fixtures_test.go
@@ -114,8 +114,8 @@
 	goldentest.Compare(t, "placement.bin", data)
 
 	read := newPlacementCache(goldentest.Path("placement.bin"), fixtureClock, slog.Default())
-	if rev, epoch := read.position(); rev != 9 || epoch != 8 || read.reader.Len() != 4 {
-		t.Errorf("read revision %d of epoch %d with %d entries", rev, epoch, read.reader.Len())
+	if rev, epoch := read.position(); rev != 9 || epoch != 8 || read.cache.Len() != 4 {
+		t.Errorf("read revision %d of epoch %d with %d entries", rev, epoch, read.cache.Len())
 	}
 	again, err := read.encode()
 	if err != nil {
@@ -128,15 +128,15 @@
 	golden := goldentest.Read(t, "placement.bin")
 	goldentest.Compare(t, "placement-flipped.bin", bytes.Replace(golden, []byte("gold"), []byte("gone"), 1))
 	cache := newPlacementCache(goldentest.Path("placement-flipped.bin"), fixtureClock, slog.Default())
-	if err := cache.load(); !errors.Is(err, errChecksumMismatch) || cache.reader.Synced() {
-		t.Errorf("error %v, placement known: %v", err, cache.reader.Synced())
+	if err := cache.load(); !errors.Is(err, errChecksumMismatch) || cache.cache.Synced() {
+		t.Errorf("error %v, placement known: %v", err, cache.cache.Synced())
 	}
 }
 
 // The registration of the agent's sidecar, as it is sent to the registry.
 func TestSidecarCallFormat(t *testing.T) {
 	registration := sidecarRegistration{opts: SidecarOptions{Name: "n0", Address: "127.0.0.1:8600", Zone: "zone-a", Tenant: "gold", Version: "1", LeaseTTL: 9 * time.Second}}
-	registration.observe(fixtureWallMS, true, &reportedState{version: "2", listRev: 41, placementRev: 9})
+	registration.observe(fixtureWallMS, true, &reportedState{version: "2", listRevision: 41, placementRevision: 9})
 	call := registry.SidecarRequest{ID: "call-1", TTLMS: registration.opts.LeaseTTL.Milliseconds(), Sidecars: []registry.Sidecar{registration.observed}}
 	data, err := json.Marshal(call)
 	if err != nil {
@@ -196,7 +196,7 @@
 	if err := response.Body.Close(); err != nil || response.StatusCode != http.StatusNoContent {
 		t.Fatalf("status %d, error %v", response.StatusCode, err)
 	}
-	if got, want := forwarder.latest("n0", time.Now()), (reportedState{version: "2", listRev: 41, placementRev: 9}); got == nil || *got != want {
+	if got, want := forwarder.latest("n0", time.Now()), (reportedState{version: "2", listRevision: 41, placementRevision: 9}); got == nil || *got != want {
 		t.Errorf("the agent read %+v, want %+v", got, want)
 	}
 	body, _, _ := forwarder.batch(0, time.Now())
--- a/internal/agent/instance_list.go
+++ b/internal/agent/instance_list.go
@@ -28,9 +28,9 @@
 type instanceList struct {
 	maxLossFraction float64 // of the ready instances that may be removed without confirmation
 
-	rev, epoch uint64 // of the registry
-	servedRev  uint64 // as the sidecar's watches know it
-	targets    map[string]registry.Target
+	revision, epoch uint64 // of the registry
+	servedRevision  uint64 // as the sidecar's watches know it
+	targets         map[string]registry.Target
 }
 
 // listChanges is what the sidecar's watches are to be sent.
@@ -40,13 +40,13 @@
 }
 
 // known reports whether there is any list.
-func (l *instanceList) known() bool { return l.rev != 0 }
+func (l *instanceList) known() bool { return l.revision != 0 }
 
 // merge applies a list or change and returns what it changes. Confirmed means that a second replica agrees with it.
 func (l *instanceList) merge(received *registry.EndpointList, confirmed bool) (mergeResult, listChanges) {
 	sameEpoch := received.Epoch == l.epoch
 	switch {
-	case l.known() && sameEpoch && (received.Revision < l.rev || received.Revision == l.rev && !received.Full):
+	case l.known() && sameEpoch && (received.Revision < l.revision || received.Revision == l.revision && !received.Full):
 		return listOutdated, listChanges{}
 	case !received.Full && (!l.known() || !sameEpoch):
 		return listDiscontinuous, listChanges{}
@@ -56,8 +56,8 @@
 		return listUnconfirmed, listChanges{}
 	}
 	changes := diffTargets(l.targets, next)
-	l.rev, l.epoch, l.targets = received.Revision, received.Epoch, next
-	l.servedRev = max(l.servedRev+1, received.Revision)
+	l.revision, l.epoch, l.targets = received.Revision, received.Epoch, next
+	l.servedRevision = max(l.servedRevision+1, received.Revision)
 	return listApplied, changes
 }
 
@@ -114,15 +114,15 @@
 
 // listFile is the body of the saved list.
 type listFile struct {
-	Rev       uint64            `json:"rev"`
-	Epoch     uint64            `json:"epoch"`
-	ServedRev uint64            `json:"served"`
-	Targets   []registry.Target `json:"targets"`
+	Revision       uint64            `json:"rev"`
+	Epoch          uint64            `json:"epoch"`
+	ServedRevision uint64            `json:"served"`
+	Targets        []registry.Target `json:"targets"`
 }
 
 // encode returns the bytes of the list file.
 func (l *instanceList) encode() ([]byte, error) {
-	file := listFile{Rev: l.rev, Epoch: l.epoch, ServedRev: l.servedRev, Targets: []registry.Target{}}
+	file := listFile{Revision: l.revision, Epoch: l.epoch, ServedRevision: l.servedRevision, Targets: []registry.Target{}}
 	for _, target := range l.targets {
 		file.Targets = append(file.Targets, target)
 	}
@@ -144,7 +144,7 @@
 	if err := json.Unmarshal(body, &file); err != nil {
 		return err
 	}
-	l.rev, l.epoch, l.servedRev = file.Rev, file.Epoch, file.ServedRev
+	l.revision, l.epoch, l.servedRevision = file.Revision, file.Epoch, file.ServedRevision
 	l.targets = map[string]registry.Target{}
 	for _, target := range file.Targets {
 		l.targets[target.UID] = target
--- a/internal/agent/instance_list_test.go
+++ b/internal/agent/instance_list_test.go
@@ -44,13 +44,13 @@
 		{"another epoch, as after a restore", newList(3, 10, true, uids...), false, listUnconfirmed, 8},
 		{"another epoch, confirmed", newList(3, 10, true, uids[:6]...), true, listApplied, 6},
 	} {
-		previousRev := list.servedRev
+		previousRev := list.servedRevision
 		result, changes := list.merge(step.received, step.confirmed)
 		if result != step.want || len(list.targets) != step.instances {
 			t.Errorf("%s: result %d, %d instances, want %d, %d", step.name, result, len(list.targets), step.want, step.instances)
 		}
-		if result == listApplied && list.servedRev <= previousRev || result != listApplied && (list.servedRev != previousRev || len(changes.upserted)+len(changes.removed) > 0) {
-			t.Errorf("%s: served revision %d after %d, update %+v", step.name, list.servedRev, previousRev, changes)
+		if result == listApplied && list.servedRevision <= previousRev || result != listApplied && (list.servedRevision != previousRev || len(changes.upserted)+len(changes.removed) > 0) {
+			t.Errorf("%s: served revision %d after %d, update %+v", step.name, list.servedRevision, previousRev, changes)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	var decoded instanceList
-	if err := decoded.decode(data); err != nil || fmt.Sprint(decoded.targets) != fmt.Sprint(list.targets) || decoded.servedRev != list.servedRev {
+	if err := decoded.decode(data); err != nil || fmt.Sprint(decoded.targets) != fmt.Sprint(list.targets) || decoded.servedRevision != list.servedRevision {
 		t.Errorf("%+v, want %+v: %v", decoded, list, err)
 	}
 	for k := range data {
--- a/internal/agent/list_sync.go
+++ b/internal/agent/list_sync.go
@@ -37,7 +37,7 @@
 	for _, target := range a.list.targets {
 		changes.upserted = append(changes.upserted, registry.Instance{Target: target})
 	}
-	a.logger.Info("serving the saved list until a replica answers", "revision", a.list.rev, "instances", len(a.list.targets))
+	a.logger.Info("serving the saved list until a replica answers", "revision", a.list.revision, "instances", len(a.list.targets))
 	return a.publish(changes)
 }
 
@@ -59,9 +59,9 @@
 func (a *Agent) followListFrom(ctx context.Context, firstReplica int) {
 	a.newReplicaFollower().run(ctx, firstReplica, func(replicaIndex int, replica string, markAlive func()) error {
 		a.mu.Lock()
-		rev, epoch := a.list.rev, a.list.epoch
+		revision, epoch := a.list.revision, a.list.epoch
 		a.mu.Unlock()
-		return a.client.WatchEndpoints(ctx, replica, rev, epoch, func(list *registry.EndpointList, age time.Duration) error {
+		return a.client.WatchEndpoints(ctx, replica, revision, epoch, func(list *registry.EndpointList, age time.Duration) error {
 			if list != nil {
 				if err := a.handleList(ctx, list, replicaIndex); err != nil {
 					return err
@@ -134,7 +134,7 @@
 	}
 	if previousEpoch != 0 && previousEpoch != a.list.epoch {
 		a.metrics.epochChanges.Inc()
-		a.logger.Warn("registry epoch changed, as after a restore", "epoch", a.list.epoch, "revision", a.list.rev)
+		a.logger.Warn("registry epoch changed, as after a restore", "epoch", a.list.epoch, "revision", a.list.revision)
 	}
 	a.listState.dirty = true
 	return result, a.publish(changes)
@@ -143,7 +143,7 @@
 // publish sends changes to the sidecar's watches. The caller holds the lock, or nothing else runs yet.
 func (a *Agent) publish(changes listChanges) error {
 	record := &registry.Record{Op: registry.OpMirror, Instances: changes.upserted, Refs: changes.removed}
-	if _, err := a.hub.Apply(a.list.servedRev, record); err != nil {
+	if _, err := a.hub.Apply(a.list.servedRevision, record); err != nil {
 		return err
 	}
 	a.listKnown.Store(true)
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -31,11 +31,11 @@
 	gauge("milldeck_agent_revision", "Revision that sidecars are told.", func() float64 {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		return float64(a.list.servedRev)
+		return float64(a.list.servedRevision)
 	})
 	gauge("milldeck_agent_placement_revision", "Revision of the placement; 0: none is known.", func() float64 {
-		rev, _ := a.placement.position()
-		return float64(rev)
+		revision, _ := a.placement.position()
+		return float64(revision)
 	})
 	gauge("milldeck_agent_placement_in_force", "Entries of the placement that have not ended.", func() float64 {
 		return float64(a.placement.activeDirectives())
--- a/internal/agent/placement_cache.go
+++ b/internal/agent/placement_cache.go
@@ -25,9 +25,9 @@
 	clock func() (wallMS, monoMS int64)
 	feed  *registry.PlacementFeed // serves watches
 
-	mu     sync.Mutex
-	reader *placement.Cache
-	state  savedState
+	mu    sync.Mutex
+	cache *placement.Cache
+	state savedState
 
 	registryHeardMS atomic.Int64  // when the registry last sent anything, ms of the monotonic clock + 1; 0: never
 	requested       chan struct{} // closed when a sidecar requests the placement
@@ -40,7 +40,7 @@
 // newPlacementCache returns a cache with the saved placement, if there is one that has not expired. The clock reads Unix ms
 // and a monotonic clock in ms.
 func newPlacementCache(path string, clock func() (wallMS, monoMS int64), logger *slog.Logger) *placementCache {
-	c := &placementCache{clock: clock, reader: placement.NewCache(), requested: make(chan struct{}), settled: make(chan struct{})}
+	c := &placementCache{clock: clock, cache: placement.NewCache(), requested: make(chan struct{}), settled: make(chan struct{})}
 	c.state = savedState{path: path, mu: &c.mu, encode: c.encode}
 	c.feed = registry.NewPlacementFeed(c.changesSince)
 	if path == "" {
@@ -49,9 +49,9 @@
 	if err := c.load(); err != nil {
 		logger.Warn("saved placement ignored", "file", path, "error", err)
 	}
-	if c.reader.Synced() {
+	if c.cache.Synced() {
 		c.settle()
-		logger.Info("serving the saved placement until a replica answers", "revision", c.reader.Revision(), "directives", c.reader.Len())
+		logger.Info("serving the saved placement until a replica answers", "revision", c.cache.Revision(), "directives", c.cache.Len())
 	}
 	return c
 }
@@ -61,7 +61,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	wallMS, monoMS := c.clock()
-	return c.reader.ChangesSince(after, epoch, wallMS+writeAllowanceMS, monoMS+writeAllowanceMS)
+	return c.cache.ChangesSince(after, epoch, wallMS+writeAllowanceMS, monoMS+writeAllowanceMS)
 }
 
 // placementFile is the body of the saved placement.
@@ -73,7 +73,7 @@
 // encode returns the bytes of the placement file. The caller holds the lock.
 func (c *placementCache) encode() ([]byte, error) {
 	wallMS, monoMS := c.clock()
-	body, err := json.Marshal(placementFile{wallMS, c.reader.Snapshot(wallMS, monoMS)})
+	body, err := json.Marshal(placementFile{wallMS, c.cache.Snapshot(wallMS, monoMS)})
 	if err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 		return err
 	}
 	wallMS, monoMS := c.clock()
-	return c.reader.Restore(file.Placement, file.SavedAtMS, wallMS, monoMS)
+	return c.cache.Restore(file.Placement, file.SavedAtMS, wallMS, monoMS)
 }
 
 // merge applies an update that a replica sent.
@@ -102,7 +102,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	wallMS, monoMS := c.clock()
-	changed, err := c.reader.Apply(update, wallMS, monoMS)
+	changed, err := c.cache.Apply(update, wallMS, monoMS)
 	if err != nil {
 		return fmt.Errorf("placement: %w", err)
 	}
@@ -115,24 +115,24 @@
 }
 
 // position is the revision and epoch that are known, from which a watch continues.
-func (c *placementCache) position() (rev, epoch uint64) {
+func (c *placementCache) position() (revision, epoch uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.reader.Revision(), c.reader.Epoch()
+	return c.cache.Revision(), c.cache.Epoch()
 }
 
 // known reports whether there is a placement.
 func (c *placementCache) known() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.reader.Synced()
+	return c.cache.Synced()
 }
 
 // activeDirectives is how many directives have not expired.
 func (c *placementCache) activeDirectives() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.reader.Active(c.clock()).Directives)
+	return len(c.cache.Active(c.clock()).Directives)
 }
 
 // request records that a sidecar requests the placement.
--- a/internal/agent/placement_sync.go
+++ b/internal/agent/placement_sync.go
@@ -18,11 +18,11 @@
 	follower := a.newReplicaFollower()
 	follower.onUnsupported = a.placement.markUnsupported
 	follower.run(ctx, rand.IntN(len(a.opts.Replicas)), func(_ int, replica string, markAlive func()) error {
-		rev, epoch := a.placement.position()
-		return a.client.WatchPlacement(ctx, replica, rev, epoch, func(update *placement.Update, age time.Duration) error {
+		revision, epoch := a.placement.position()
+		return a.client.WatchPlacement(ctx, replica, revision, epoch, func(update *placement.Update, age time.Duration) error {
 			if update != nil {
 				stale := age > maxListAge && len(a.opts.Replicas) > 1
-				if stale && rev != 0 && update.Epoch != epoch {
+				if stale && revision != 0 && update.Epoch != epoch {
 					return errReplicaStale // it may have missed that the epoch it serves has ended
 				}
 				if err := a.placement.merge(update); err != nil {
--- a/internal/agent/placement_test.go
+++ b/internal/agent/placement_test.go
@@ -198,7 +198,7 @@
 		cache.mu.Lock()
 		defer cache.mu.Unlock()
 		out := ""
-		for _, entry := range cache.reader.Active(cache.clock()).Directives {
+		for _, entry := range cache.cache.Active(cache.clock()).Directives {
 			out += entry.ID
 		}
 		return out
--- a/internal/agent/report_forwarder.go
+++ b/internal/agent/report_forwarder.go
@@ -57,8 +57,8 @@
 // reportedState is what the agent itself reads of a report: the sidecar's version, and the revisions of the list and the
 // placement that it has in force.
 type reportedState struct {
-	version               string
-	listRev, placementRev uint64
+	version                         string
+	listRevision, placementRevision uint64
 }
 
 // newReportForwarder checks the addresses and returns a forwarder; forward is to be run for each of them.
--- a/internal/agent/sidecar_registration.go
+++ b/internal/agent/sidecar_registration.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"math/rand/v2"
 	"net"
@@ -12,6 +11,7 @@
 	"time"
 
 	"milldeck/internal/registry"
+	"milldeck/internal/validation"
 )
 
 const (
@@ -39,16 +39,16 @@
 	LeaseTTL time.Duration // of the registration; 0: 10 s
 }
 
-// Validate returns an error that begins with the name of the first invalid field, as the configuration file has it.
+// Validate returns an error for the first invalid field, which it names as the configuration file does.
 func (o *SidecarOptions) Validate() error {
 	if o.Name == "" {
-		return errors.New("name: it is empty")
+		return validation.Errorf("name", "it is empty")
 	}
 	if err := registry.CheckLoopback("address", o.Address); err != nil {
 		return err
 	}
 	if ttl := cmp.Or(o.LeaseTTL, defaultLeaseTTL); ttl < minLeaseTTL || ttl > maxLeaseTTL {
-		return fmt.Errorf("lease_ms: %v is not within %v to %v", ttl, minLeaseTTL, maxLeaseTTL)
+		return validation.Errorf("lease_ms", "%v is not within %v to %v", ttl, minLeaseTTL, maxLeaseTTL)
 	}
 	return nil
 }
@@ -74,8 +74,8 @@
 	s.observed.Version = cmp.Or(s.observed.Version, s.opts.Version)
 	if report != nil {
 		s.observed.Version = cmp.Or(report.version, s.opts.Version)
-		s.observed.ListRevision = report.listRev
-		s.observed.PlacementRevision = report.placementRev
+		s.observed.ListRevision = report.listRevision
+		s.observed.PlacementRevision = report.placementRevision
 	}
 }
 
--- a/internal/agent/sidecar_registration_test.go
+++ b/internal/agent/sidecar_registration_test.go
@@ -35,7 +35,7 @@
 	step("not ready yet", 0, false, nil, true, registry.Sidecar{Version: "1"})
 	step("still not ready", time.Second, false, nil, false, registry.Sidecar{Version: "1"})
 	step("ready", time.Second, true, nil, true, registry.Sidecar{Version: "1", Ready: true, BootMS: boot(1002)})
-	step("first report", time.Second, true, &reportedState{version: "2", listRev: 7, placementRev: 8}, true, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRevision: 7, PlacementRevision: 8})
+	step("first report", time.Second, true, &reportedState{version: "2", listRevision: 7, placementRevision: 8}, true, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRevision: 7, PlacementRevision: 8})
 	step("revisions alone can wait", time.Second, true, &reportedState{"2", 9, 8}, false, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRevision: 9, PlacementRevision: 8})
 	step("no recent report", time.Second, true, nil, false, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRevision: 9, PlacementRevision: 8})
 	step("renewed", time.Second, true, nil, true, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1002), ListRevision: 9, PlacementRevision: 8})
--- a/internal/leaderelection/backup.go
+++ b/internal/leaderelection/backup.go
@@ -56,7 +56,7 @@
 
 // run is the Work of the holder.
 func (b *backup) run(ctx context.Context, lease *Lease) error {
-	savedRev, _ := strconv.ParseUint(string(lease.Checkpoint), 10, 64) // 0 if there is no checkpoint yet
+	savedRevision, _ := strconv.ParseUint(string(lease.Checkpoint), 10, 64) // 0 if there is no checkpoint yet
 	for pause := time.Duration(0); ; {
 		select {
 		case <-ctx.Done():
@@ -64,33 +64,33 @@
 		case <-time.After(pause):
 		}
 		pause = b.opts.MinInterval
-		rev, err := b.saveIfChanged(ctx, lease, savedRev)
+		revision, err := b.saveIfChanged(ctx, lease, savedRevision)
 		if err != nil && ctx.Err() == nil {
 			b.logger.Warn("backup failed, will be retried", "dir", b.opts.Dir, "error", err)
 			pause = backupRetryInterval
 		}
-		savedRev = max(savedRev, rev)
+		savedRevision = max(savedRevision, revision)
 	}
 }
 
 // saveIfChanged writes a backup if the list has changed since a revision. It returns the revision that is backed up.
-func (b *backup) saveIfChanged(ctx context.Context, lease *Lease, sinceRev uint64) (uint64, error) {
+func (b *backup) saveIfChanged(ctx context.Context, lease *Lease, sinceRevision uint64) (uint64, error) {
 	list, err := b.client.List(ctx, true)
-	if err != nil || list.Revision == sinceRev {
-		return sinceRev, err
+	if err != nil || list.Revision == sinceRevision {
+		return sinceRevision, err
 	}
 	data, err := b.client.SaveSnapshot(ctx) // verifies the checksum
 	if err != nil {
-		return sinceRev, err
+		return sinceRevision, err
 	}
 	path := filepath.Join(b.opts.Dir, fmt.Sprintf("%s%020d%s", backupFilePrefix, list.Revision, backupFileSuffix))
 	if err := renameio.WriteFile(path, data, 0o600); err != nil {
-		return sinceRev, err
+		return sinceRevision, err
 	}
 	// The file comes first: a holder whose token is no longer valid may leave a file, which does no harm, but the
 	// checkpoint names only backups that exist.
 	if err := lease.SaveCheckpoint(ctx, []byte(strconv.FormatUint(list.Revision, 10))); err != nil {
-		return sinceRev, err
+		return sinceRevision, err
 	}
 	b.logger.Info("backup written", "path", path, "revision", list.Revision, "token", lease.Token)
 	return list.Revision, b.pruneOldest()
--- a/internal/leaderelection/election.go
+++ b/internal/leaderelection/election.go
@@ -159,7 +159,7 @@
 	case <-ctx.Done():
 		return state, ctx.Err()
 	case update := <-c.updates.C():
-		if update.Rev < state.Rev {
+		if update.Revision < state.Revision {
 			return state, nil // from a replica that lags behind and does not know of this candidate yet
 		}
 		if update.Holder == "" { // a candidate without a place in the queue need not wait for one any more
--- a/internal/leaderelection/leasetable/fixtures_test.go
+++ b/internal/leaderelection/leasetable/fixtures_test.go
@@ -91,8 +91,8 @@
 	}
 	read := FromSnapshot(saved)
 	goldentest.Compare(t, "table.json", encode(t, read.Snapshot()))
-	if read.Rev() != leases.Rev() {
-		t.Errorf("read revision %d, want %d", read.Rev(), leases.Rev())
+	if read.Revision() != leases.Revision() {
+		t.Errorf("read revision %d, want %d", read.Revision(), leases.Revision())
 	}
 }
 
--- a/internal/leaderelection/leasetable/lease.go
+++ b/internal/leaderelection/leasetable/lease.go
@@ -45,7 +45,7 @@
 	// Revoked makes the token invalid while its holder is still waited for.
 	Revoked     bool   `json:"revoked,omitempty"`
 	Transitions uint64 `json:"changes"` // changes of the holder
-	Rev         uint64 `json:"rev"`     // log index of the last change
+	Revision    uint64 `json:"rev"`     // log index of the last change
 
 	Checkpoint      []byte `json:"checkpoint,omitempty"`
 	CheckpointToken uint64 `json:"checkpoint_token,omitempty"` // the token under which it was written
--- a/internal/leaderelection/leasetable/operation.go
+++ b/internal/leaderelection/leasetable/operation.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"slices"
+
+	"milldeck/internal/validation"
 )
 
 // OperationKind is what an operation does.
@@ -32,28 +34,23 @@
 	ShortTenure bool          `json:"short,omitempty"` // of Release and Expire: the tenure was short, by the raft leader's clock
 }
 
-// FieldError names the field of an operation that is invalid, by its JSON name, and says why.
-type FieldError struct{ Field, Reason string }
-
-func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
-
-// Validate returns a FieldError for the first invalid field. It is called before an operation is written to the log;
+// Validate returns a *validation.Error for the first invalid field. It is called before an operation is written to the log;
 // Apply does not repeat it.
 func (o *Operation) Validate() error {
 	needsCandidate := o.Kind != Handover && o.Kind != Revoke
 	switch {
 	case !slices.Contains(operationKinds, o.Kind):
-		return &FieldError{"kind", fmt.Sprintf("%q is no operation", o.Kind)}
+		return validation.Errorf("kind", "%q is no operation", o.Kind)
 	case o.Name == "" || len(o.Name) > MaxNameLength:
-		return &FieldError{"name", fmt.Sprintf("%d characters, wanted 1 to %d", len(o.Name), MaxNameLength)}
+		return validation.Errorf("name", "%d characters, wanted 1 to %d", len(o.Name), MaxNameLength)
 	case needsCandidate && o.Candidate == "" || len(o.Candidate) > MaxNameLength:
-		return &FieldError{"who", fmt.Sprintf("%d characters, wanted 1 to %d", len(o.Candidate), MaxNameLength)}
+		return validation.Errorf("who", "%d characters, wanted 1 to %d", len(o.Candidate), MaxNameLength)
 	case o.Kind == Handover && o.Successor == "":
-		return &FieldError{"to", "a handover names its candidate"}
+		return validation.Errorf("to", "a handover names its candidate")
 	case o.Kind == Campaign && (o.TTLMS < MinTTLMS || o.TTLMS > MaxTTLMS):
-		return &FieldError{"ttl_ms", fmt.Sprintf("%d is not within %d to %d", o.TTLMS, MinTTLMS, MaxTTLMS)}
+		return validation.Errorf("ttl_ms", "%d is not within %d to %d", o.TTLMS, MinTTLMS, MaxTTLMS)
 	case len(o.Data) > MaxCheckpointBytes:
-		return &FieldError{"data", fmt.Sprintf("%d bytes, at most %d", len(o.Data), MaxCheckpointBytes)}
+		return validation.Errorf("data", "%d bytes, at most %d", len(o.Data), MaxCheckpointBytes)
 	}
 	return nil
 }
--- a/internal/leaderelection/leasetable/table.go
+++ b/internal/leaderelection/leasetable/table.go
@@ -14,8 +14,8 @@
 
 // Table holds all leases. It is not safe for concurrent use.
 type Table struct {
-	leases map[string]*Lease
-	rev    uint64
+	leases   map[string]*Lease
+	revision uint64
 }
 
 // New returns an empty table.
@@ -26,7 +26,7 @@
 	t := New()
 	for _, lease := range leases {
 		t.leases[lease.Name] = lease
-		t.rev = max(t.rev, lease.Rev)
+		t.revision = max(t.revision, lease.Revision)
 	}
 	return t
 }
@@ -40,8 +40,8 @@
 	return leases
 }
 
-// Rev is the log index of the last change.
-func (t *Table) Rev() uint64 { return t.rev }
+// Revision is the log index of the last change.
+func (t *Table) Revision() uint64 { return t.revision }
 
 // Get returns a lease. Its slices are shared with the table, which never changes them in place.
 func (t *Table) Get(name string) (Lease, bool) {
@@ -79,7 +79,7 @@
 		return err
 	}
 	if !equalState(&updated, previous) {
-		updated.Rev, t.rev = index, index
+		updated.Revision, t.revision = index, index
 		t.leases[op.Name] = &updated
 	}
 	return nil
--- a/internal/leaderelection/tenure.go
+++ b/internal/leaderelection/tenure.go
@@ -107,7 +107,7 @@
 // handleUpdate handles a watch event of the lease.
 func (t *tenure) handleUpdate(state *leasetable.Lease) {
 	switch {
-	case state.Rev < t.lease.Token: // from before this tenure
+	case state.Revision < t.lease.Token: // from before this tenure
 	case state.Holder != t.lease.Holder || state.Token != t.lease.Token || state.Revoked:
 		t.lose(time.Time{})
 	case state.StepDownRequested && t.workCtx.Err() == nil:
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -61,13 +61,13 @@
 func (h *Hub) Apply(index uint64, record *Record) (Result, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	previousRevision, epoch, leasesRevision := h.state.Revision(), h.state.Epoch(), h.state.leases.Rev()
+	previousRevision, epoch, leasesRevision := h.state.Revision(), h.state.Epoch(), h.state.leases.Revision()
 	placementRevision := h.state.placement.Revision()
 	result := h.state.Apply(index, record)
 	if h.state.placement.Revision() != placementRevision {
 		h.placementFeed.Notify()
 	}
-	if h.state.leases.Rev() != leasesRevision {
+	if h.state.leases.Revision() != leasesRevision {
 		h.broadcast(&h.leasesChanged)
 	}
 	if h.state.Epoch() != epoch {
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -309,8 +309,8 @@
 	defer heartbeat.Stop()
 	for sentRevision, first := uint64(0), true; ; first = false {
 		current, changed := r.hub.Lease(name)
-		if current.Rev > sentRevision || first {
-			sentRevision = current.Rev
+		if current.Revision > sentRevision || first {
+			sentRevision = current.Revision
 			current.Name = name
 			data, err := json.Marshal(current)
 			if err != nil || writeLines(w, controller, [][]byte{append(data, '\n')}) != nil {
@@ -368,8 +368,8 @@
 		current := c.current.Load()
 		err := c.watchLeaseOn(ctx, c.replicas[int(current)%len(c.replicas)], name, func(lease leasetable.Lease) {
 			backoff = initialBackoff
-			if lease.Rev > newestRevision || !started {
-				newestRevision, started = lease.Rev, true
+			if lease.Revision > newestRevision || !started {
+				newestRevision, started = lease.Revision, true
 				notify(lease)
 			}
 		})
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -124,7 +124,7 @@
 
 func (s *StateMachine) applyOperation(index uint64, record *Record) Result {
 	if guard := record.Guard; guard != nil && !s.leases.TokenValid(guard.Lease, guard.Token) {
-		return Result{OutcomeConflict, s.leases.Rev(), fmt.Sprintf("token %d of duty %s counts no more", guard.Token, guard.Lease)}
+		return Result{OutcomeConflict, s.leases.Revision(), fmt.Sprintf("token %d of duty %s counts no more", guard.Token, guard.Lease)}
 	}
 	switch record.Op {
 	case OpLease:
@@ -188,14 +188,14 @@
 
 func (s *StateMachine) applyLease(index uint64, op *leasetable.Operation) Result {
 	if op == nil {
-		return Result{OutcomeConflict, s.leases.Rev(), "no operation"}
+		return Result{OutcomeConflict, s.leases.Revision(), "no operation"}
 	}
 	err := s.leases.Apply(index, op)
 	var rejected *leasetable.RejectedError
 	if errors.As(err, &rejected) {
-		return Result{leaseOutcomes[rejected.Rejection], s.leases.Rev(), rejected.Reason}
+		return Result{leaseOutcomes[rejected.Rejection], s.leases.Revision(), rejected.Reason}
 	}
-	return Result{OutcomeDone, s.leases.Rev(), ""}
+	return Result{OutcomeDone, s.leases.Revision(), ""}
 }
 
 var leaseOutcomes = map[leasetable.Rejection]Outcome{
