--- a/internal/lab/controlplane/log.go
+++ b/internal/lab/controlplane/log.go
@@ -213,23 +213,24 @@
 		p.w.topToken = c.Token
 		op = &c
 	}
-	r := p.windows.Apply(p.rev, op, s)
-	if len(r.SetEntries) > 0 || len(r.DropEntryIDs) > 0 {
+	r, err := p.windows.Apply(p.rev, op, s)
+	if len(r.SetDirectives) > 0 || len(r.DeleteDirectiveIDs) > 0 {
 		now := p.w.now + p.leader.off
 		if p.w.opt.Bugs.PastClose {
-			for i := range r.SetEntries {
-				r.SetEntries[i].ExpiresAtMS = now + maintenance.ExclusionTTLMS
+			for i := range r.SetDirectives {
+				r.SetDirectives[i].ExpiresAtMS = now + maintenance.ExclusionTTLMS
 			}
 		}
-		r.SetEntries = slices.DeleteFunc(r.SetEntries, func(e placement.Directive) bool { return e.ExpiresAtMS <= now })
-		if len(r.SetEntries)+len(r.DropEntryIDs) > 0 {
-			p.places.Apply(p.rev, "window", &placement.Op{LeaderTimeMS: now, Set: r.SetEntries, Delete: r.DropEntryIDs})
+		r.SetDirectives = slices.DeleteFunc(r.SetDirectives, func(e placement.Directive) bool { return e.ExpiresAtMS <= now })
+		if len(r.SetDirectives)+len(r.DeleteDirectiveIDs) > 0 {
+			p.places.Apply(p.rev, "window", &placement.Op{LeaderTimeMS: now, Set: r.SetDirectives, Delete: r.DeleteDirectiveIDs})
 		}
 	}
-	if r.Outcome == maintenance.OutcomeApplied {
-		p.w.work(op)
+	if err != nil {
+		return string(maintenance.OutcomeOf(err)), err.Error()
 	}
-	return string(r.Outcome), r.Reason
+	p.w.work(op)
+	return string(maintenance.OutcomeApplied), ""
 }
 
 // restore puts the backup back: an epoch of its own, and doubt until an operator has looked.
--- a/internal/lab/controlplane/windows.go
+++ b/internal/lab/controlplane/windows.go
@@ -74,13 +74,16 @@
 	w := c.p.w
 	core := c.core
 	a, known := c.p.write(c.token, func() (string, string) {
-		if e.Operation != nil {
-			return w.plane.windowOp(e.Operation, stamp)
+		switch action := e.Action.(type) {
+		case *maintenance.Operation:
+			return w.plane.windowOp(action, stamp)
+		case *maintenance.LedgerAction:
+			return w.windowAct(action)
 		}
-		return w.windowAct(e.LedgerAction)
+		panic(fmt.Sprintf("unknown action %T", e.Action))
 	})
 	if known {
-		core.ObserveResult(c.now(), e, maintenance.Outcome(a.outcome), a.why, w.plane.rev)
+		core.ObserveResult(c.now(), e, maintenance.EffectResult{Outcome: maintenance.Outcome(a.outcome), Reason: a.why, Revision: w.plane.rev})
 	}
 }
 
--- a/internal/maintenance/exclusion_test.go
+++ b/internal/maintenance/exclusion_test.go
@@ -26,13 +26,13 @@
 			next, approval := cloneTable(table), fixture.approval(0)
 			approval.ClosesAtMS = test.closesAtMS
 			terms := next.Contract("portal").Contract
-			result := next.Apply(100, &Operation{Kind: OpSetContract, Contract: &terms, CurrentApproval: approval}, test.timestamp)
+			changes, err := next.Apply(100, &Operation{Kind: OpSetContract, Contract: &terms, CurrentApproval: approval}, test.timestamp)
 			excludedUntilMS := int64(0)
-			for _, entry := range result.SetEntries {
+			for _, entry := range changes.SetDirectives {
 				excludedUntilMS = entry.ExpiresAtMS
 			}
-			if result.Outcome != OutcomeApplied || excludedUntilMS != test.excludedUntil || (len(result.DropEntryIDs) == 1) != (test.excludedUntil == 0) || next.Window("w").ExcludedUntilMS != test.excludedUntil {
-				t.Errorf("%s: %+v, told until %d, want %d", name, result, next.Window("w").ExcludedUntilMS, test.excludedUntil)
+			if err != nil || excludedUntilMS != test.excludedUntil || (len(changes.DeleteDirectiveIDs) == 1) != (test.excludedUntil == 0) || next.Window("w").ExcludedUntilMS != test.excludedUntil {
+				t.Errorf("%s: %+v, %v, excluded until %d, want %d", name, changes, err, next.Window("w").ExcludedUntilMS, test.excludedUntil)
 			}
 		}
 	})
--- a/internal/maintenance/fixtures_test.go
+++ b/internal/maintenance/fixtures_test.go
@@ -31,10 +31,10 @@
 // storedResult is what applying an operation gave: the entries go into the placement from the same record. The reason is
 // left out: it is text for operators.
 type storedResult struct {
-	Revision     uint64                `json:"revision"`
-	Outcome      Outcome               `json:"outcome"`
-	SetEntries   []placement.Directive `json:"set,omitempty"`
-	DropEntryIDs []string              `json:"drop,omitempty"`
+	Revision           uint64                `json:"revision"`
+	Outcome            Outcome               `json:"outcome"`
+	SetDirectives      []placement.Directive `json:"set,omitempty"`
+	DeleteDirectiveIDs []string              `json:"drop,omitempty"`
 }
 
 // fixtureScript applies a fixed history of windows to a table and records what a replica would store.
@@ -67,9 +67,9 @@
 	}
 	revision := uint64(len(s.operations) + 1)
 	s.operations = append(s.operations, storedOperation{revision, timestamp, op})
-	result := s.table.Apply(revision, &op, timestamp)
-	s.results = append(s.results, storedResult{revision, result.Outcome, result.SetEntries, result.DropEntryIDs})
-	return result.Outcome
+	changes, err := s.table.Apply(revision, &op, timestamp)
+	s.results = append(s.results, storedResult{revision, OutcomeOf(err), changes.SetDirectives, changes.DeleteDirectiveIDs})
+	return OutcomeOf(err)
 }
 
 // must applies an operation that has to be accepted.
@@ -256,8 +256,8 @@
 	var results []storedResult
 	for i := range operations {
 		stored := &operations[i]
-		result := table.Apply(stored.Revision, &stored.Operation, stored.Timestamp)
-		results = append(results, storedResult{stored.Revision, result.Outcome, result.SetEntries, result.DropEntryIDs})
+		changes, err := table.Apply(stored.Revision, &stored.Operation, stored.Timestamp)
+		results = append(results, storedResult{stored.Revision, OutcomeOf(err), changes.SetDirectives, changes.DeleteDirectiveIDs})
 	}
 	compareGolden(t, "results.json", results)
 	compareGolden(t, "snapshot_withdrawn.json", table.Snapshot())
@@ -270,14 +270,12 @@
 	window := &Window{Name: "disks", ServerUIDs: []string{"m0", "m1"}, Attempt: 2}
 	operations := []*disruption.Op{{Kind: disruption.OpSetBudget, Budget: ContractBudget(&portal)}}
 	for _, kind := range []disruption.OpKind{disruption.OpRequest, disruption.OpBegin, disruption.OpReturn, disruption.OpComplete, disruption.OpCancel} {
-		operations = append(operations, ledgerEffect(kind, window, disruption.PriorityDrain).LedgerAction.Operation())
+		action := ledgerAction(kind, window)
+		action.Rank = disruption.PriorityDrain
+		operations = append(operations, action.Operation())
 	}
-	operations = append(operations, ledgerEffect(disruption.OpObserve, window, 0).LedgerAction.ObservationOperation(view, func(server ServerStatus) disruption.Condition {
-		if server.Ready {
-			return disruption.ConditionUp
-		}
-		return disruption.ConditionUnready
-	}))
+	conditions := []disruption.Condition{disruption.ConditionUnready, disruption.ConditionUp}
+	operations = append(operations, ledgerAction(disruption.OpObserve, window).ObservationOperation(view, conditions))
 	checkGolden(t, "ledger_operations.json", operations, func(data []byte) (any, error) {
 		var stored []*disruption.Op
 		err := decodeStrictly(data, &stored)
--- /dev/null
+++ b/internal/maintenance/operation.go
@@ -0,0 +1,174 @@
+package maintenance
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+
+	"milldeck/internal/maintenance/contract"
+)
+
+// OperationKind selects what an operation does. The strings are stored in the log.
+type OperationKind string
+
+// The operations of operators. Beside each, the fields of Operation that it uses.
+const (
+	OpSetContract      OperationKind = "contract" // Contract, CurrentApproval
+	OpWithdrawContract OperationKind = "withdraw" // Tenant
+	OpPropose          OperationKind = "propose"  // Window, Operator, ServerUIDs, WorkMS, NotBeforeMS
+	OpCancel           OperationKind = "cancel"   // Window, Reason
+	OpFinishWork       OperationKind = "finish"   // Window: its work is done before its time
+	OpHalt             OperationKind = "halt"     // Scope, Reason
+	OpResume           OperationKind = "resume"   // Scope
+	OpResetEstimates   OperationKind = "forget"   // evicts the samples of drain and return times
+)
+
+// The operations of the controller. They need its fencing token, and the window's name in Window.
+const (
+	OpSchedule        OperationKind = "plan"    // it may begin at PlannedStartMS under Approvals
+	OpReject          OperationKind = "refuse"  // it cannot be carried out, Reason
+	OpAwaitPermit     OperationKind = "wait"    // a permit is about to be requested
+	OpBeginDrain      OperationKind = "drain"   // the permit is granted
+	OpExtendExclusion OperationKind = "tell"    // sidecars exclude the servers until ExcludeUntilMS
+	OpCompleteDrain   OperationKind = "free"    // load reports show that no request is in flight
+	OpBeginReturn     OperationKind = "return"  // StageAfterReturn, Reason
+	OpMarkOverrun     OperationKind = "overrun" // the close has passed
+	OpCompleteReturn  OperationKind = "back"    // health checks show that all servers are back
+)
+
+// Prefixes of Operation.Scope.
+const (
+	scopeTenant = "tenant/"
+	scopeWindow = "window/"
+)
+
+// Operation is one change of a Table, as the replicated log stores it.
+type Operation struct {
+	Kind   OperationKind `json:"kind"`
+	Window string        `json:"name,omitempty"`
+	Token  uint64        `json:"token,omitempty"` // fencing token of the lease LeaseName; the controller's operations need it
+
+	Tenant          string             `json:"tenant,omitempty"`
+	Contract        *contract.Contract `json:"contract,omitempty"`
+	CurrentApproval *Approval          `json:"grant,omitempty"` // what Contract approves at present, if it does
+
+	Operator    string   `json:"by,omitempty"`
+	ServerUIDs  []string `json:"servers,omitempty"`
+	WorkMS      int64    `json:"work_ms,omitempty"`
+	NotBeforeMS int64    `json:"after_ms,omitempty"` // Unix ms
+
+	Approvals        []Approval `json:"grants,omitempty"`
+	PlannedStartMS   int64      `json:"from_ms,omitempty"`  // Unix ms
+	ExcludeUntilMS   int64      `json:"until_ms,omitempty"` // Unix ms
+	StageAfterReturn Stage      `json:"end,omitempty"`
+	Scope            string     `json:"scope,omitempty"` // "" all windows, "tenant/NAME" or "window/NAME"
+	Reason           string     `json:"why,omitempty"`
+}
+
+// RequiresToken tells whether the operation is the controller's and needs its fencing token.
+func (kind OperationKind) RequiresToken() bool {
+	switch kind {
+	case OpSchedule, OpReject, OpAwaitPermit, OpBeginDrain, OpExtendExclusion, OpCompleteDrain, OpBeginReturn, OpMarkOverrun,
+		OpCompleteReturn:
+		return true
+	}
+	return false
+}
+
+// advances tells whether the operation is a step towards taking servers out: it is rejected while clocks are not trusted.
+func (kind OperationKind) advances() bool {
+	switch kind {
+	case OpPropose, OpSchedule, OpAwaitPermit, OpBeginDrain, OpExtendExclusion, OpCompleteDrain:
+		return true
+	}
+	return false
+}
+
+// namesWindow tells whether the operation is about the one window that its field Window names.
+func (kind OperationKind) namesWindow() bool {
+	switch kind {
+	case OpSetContract, OpWithdrawContract, OpHalt, OpResume, OpResetEstimates:
+		return false
+	}
+	return true
+}
+
+// Validate checks an operation before it is written to the log. The error names the JSON field that is wrong.
+func (op *Operation) Validate() error {
+	switch {
+	case op.Kind.namesWindow() && !validWindowName(op.Window):
+		return invalid("name", "%q is not 1 to %d characters without a slash", op.Window, maxNameLength)
+	case op.Kind == OpSetContract && op.Contract == nil:
+		return invalid("contract", "none")
+	case op.Kind == OpSetContract:
+		return op.Contract.Validate()
+	case op.Kind == OpWithdrawContract && op.Tenant == "":
+		return invalid("tenant", "none")
+	case op.Kind == OpPropose && (len(op.ServerUIDs) == 0 || len(op.ServerUIDs) > MaxServersPerWindow):
+		return invalid("servers", "%d, wanted 1 to %d", len(op.ServerUIDs), MaxServersPerWindow)
+	case op.Kind == OpPropose && (op.WorkMS <= 0 || op.WorkMS > maxWorkMS):
+		return invalid("work_ms", "%d is not within 1 to %d", op.WorkMS, maxWorkMS)
+	case (op.Kind == OpHalt || op.Kind == OpResume) && !validScope(op.Scope):
+		return invalid("scope", "%q is not empty, tenant/NAME or window/NAME", op.Scope)
+	case len(op.Scope) > maxNameLength+len(scopeTenant):
+		return invalid("scope", "over %d characters", maxNameLength+len(scopeTenant))
+	case len(op.Reason) > maxReasonLength:
+		return invalid("why", "%d bytes, at most %d", len(op.Reason), maxReasonLength)
+	case op.Kind.RequiresToken() && op.Token == 0:
+		return invalid("token", "none")
+	}
+	return nil
+}
+
+func invalid(field, format string, args ...any) error {
+	return fmt.Errorf("%s: %s", field, fmt.Sprintf(format, args...))
+}
+
+func validWindowName(name string) bool {
+	return name != "" && len(name) <= maxNameLength && !strings.Contains(name, "/")
+}
+
+func validScope(scope string) bool {
+	return scope == "" || strings.HasPrefix(scope, scopeTenant) || strings.HasPrefix(scope, scopeWindow)
+}
+
+// Outcome classifies what became of an operation. The strings are part of the registry's answers.
+type Outcome string
+
+// The outcomes. All but OutcomeApplied are those of a RejectedError.
+const (
+	OutcomeApplied       Outcome = "done"
+	OutcomeStale         Outcome = "stale"     // the token is superseded, or the window has moved on
+	OutcomeClockFault    Outcome = "doubt"     // the clocks of controller and leader cannot be trusted
+	OutcomeOutsideHours  Outcome = "closed"    // outside the approved hours, or not enough time before the close
+	OutcomeBlocked       Outcome = "held"      // by a halt, a bound of a contract or another window; it may succeed later
+	OutcomeNotFound      Outcome = "not_found" // no such window or contract
+	OutcomeLimitExceeded Outcome = "too_many"
+	OutcomeInvalid       Outcome = "bad" // it can never succeed
+)
+
+// RejectedError says why an operation was not applied.
+type RejectedError struct {
+	Outcome Outcome
+	Reason  string // for operators
+}
+
+// Error returns outcome and reason.
+func (e *RejectedError) Error() string { return string(e.Outcome) + ": " + e.Reason }
+
+func rejected(outcome Outcome, format string, args ...any) error {
+	return &RejectedError{Outcome: outcome, Reason: fmt.Sprintf(format, args...)}
+}
+
+// OutcomeOf returns the outcome that an error of Table.Apply stands for: OutcomeApplied for nil, OutcomeInvalid for an
+// error that is no RejectedError.
+func OutcomeOf(err error) Outcome {
+	if err == nil {
+		return OutcomeApplied
+	}
+	var rejection *RejectedError
+	if errors.As(err, &rejection) {
+		return rejection.Outcome
+	}
+	return OutcomeInvalid
+}
--- a/internal/maintenance/reconcile_stages.go
+++ b/internal/maintenance/reconcile_stages.go
@@ -6,24 +6,50 @@
 	"milldeck/internal/disruption"
 )
 
-func operationEffect(op Operation) Effect { return Effect{Operation: &op} }
+// Reasons that the Reconciler gives for a return. They are stored with the window.
+const (
+	reasonContractChanged = "a contract has changed"
+	reasonDrainTimeout    = "it did not drain in time"
+	reasonPermitRevoked   = "its permit was taken away"
+	reasonCloseReached    = "the close came before the work was over"
+)
+
+// reconcilePass is one call of Reconcile: the view and the clocks as they were read for it.
+type reconcilePass struct {
+	reconciler *Reconciler
+	view       *View
+	table      *Table
+	clock      ClockReading
+	now        timeBounds
 
-// ledgerEffect is an act on the window's permit.
-func ledgerEffect(kind disruption.OpKind, window *Window, rank disruption.Priority) Effect {
-	return Effect{LedgerAction: &LedgerAction{Kind: kind, PermitID: window.PermitID(), ServerUIDs: window.ServerUIDs, Rank: rank, Purpose: "window " + window.Name}}
+	scheduled bool // a window was scheduled in this pass: the next one has to see its time taken
 }
 
-// activePermit is the stage of the window's permit; "" where there is none any more, or none yet.
-func (p *reconcilePass) activePermit(window *Window) disruption.Stage {
-	stage := p.view.PermitStages[window.PermitID()]
-	if stage == disruption.StageCompleted || stage == disruption.StageCancelled {
-		return ""
+// nextRunMS is the monotonic time at which a window is looked at again at the latest.
+func (p *reconcilePass) nextRunMS(window *Window) int64 {
+	return p.clock.MonotonicMS + p.pollIntervalMS(window)
+}
+
+func (p *reconcilePass) pollIntervalMS(window *Window) int64 {
+	switch {
+	case window.Finished() || window.Stage == StageHalted:
+		return idlePollMS
+	case window.Stage == StageOverrun || window.Stage == StageAwaitingPermit:
+		return ExclusionRefreshMS // a granted permit changes the state, and the caller reconciles at once
+	case window.Stage == StageApproved && p.now.earliest < window.PlannedStartMS:
+		return min(idlePollMS, window.PlannedStartMS-p.now.earliest)
+	case window.Stage == StageDrained:
+		workEndsMS := window.DrainedAtMS + window.WorkMS
+		returnStartsMS := window.ClosesAtMS - CloseGuardMS - p.table.EstimatedReturnMS()
+		refreshMS := window.ExcludedUntilMS - ExclusionTTLMS + ExclusionRefreshMS
+		dueInMS := min(workEndsMS, returnStartsMS, refreshMS) - p.now.latest
+		return max(activePollMS, min(dueInMS, ExclusionRefreshMS))
 	}
-	return stage
+	return activePollMS
 }
 
-// nextEffect is the window's next step; an empty effect: it waits.
-func (p *reconcilePass) nextEffect(window *Window) Effect {
+// nextAction returns the next write for a window; nil: it waits.
+func (p *reconcilePass) nextAction(window *Window) Action {
 	switch {
 	case window.Stage == StageDraining:
 		return p.reconcileDraining(window)
@@ -33,131 +59,171 @@
 		return p.reconcileReturning(window)
 	case window.Stage == StageAwaitingPermit:
 		return p.reconcileAwaitingPermit(window)
-	case p.activePermit(window) != "": // of an attempt that took nothing out: it goes before there is another
-		return ledgerEffect(disruption.OpCancel, window, 0)
+	case p.activePermit(window) != "": // left from an attempt that took no server out: cancel it before the next
+		return ledgerAction(disruption.OpCancel, window)
 	case window.Stage == StageProposed:
 		return p.schedule(window)
 	case window.Stage == StageApproved:
 		return p.reconcileApproved(window)
 	}
-	return Effect{}
+	return nil
+}
+
+func ledgerAction(kind disruption.OpKind, window *Window) *LedgerAction {
+	return &LedgerAction{
+		Kind:       kind,
+		PermitID:   window.PermitID(),
+		ServerUIDs: window.ServerUIDs,
+		Purpose:    "window " + window.Name,
+	}
 }
 
-func (p *reconcilePass) schedule(window *Window) Effect {
-	if p.planned {
-		return Effect{}
+// activePermit is the stage of the window's permit; "" where it has ended, or was not requested yet.
+func (p *reconcilePass) activePermit(window *Window) disruption.Stage {
+	stage := p.view.PermitStages[window.PermitID()]
+	if stage == disruption.StageCompleted || stage == disruption.StageCancelled {
+		return ""
 	}
-	p.planned = true
-	plan, err := p.reconciler.planner.Plan(p.table, p.view.Fleet, Request{window.Name, window.ServerUIDs, window.WorkMS, window.NotBeforeMS, window.ProposedAtMS}, p.now.latest)
+	return stage
+}
+
+// schedule plans a window, or rejects it. It does so for one window a pass.
+func (p *reconcilePass) schedule(window *Window) Action {
+	if p.scheduled {
+		return nil
+	}
+	p.scheduled = true
+	request := Request{
+		Name:         window.Name,
+		ServerUIDs:   window.ServerUIDs,
+		WorkMS:       window.WorkMS,
+		NotBeforeMS:  window.NotBeforeMS,
+		ProposedAtMS: window.ProposedAtMS,
+	}
+	plan, err := p.reconciler.planner.Plan(p.table, p.view.Fleet, request, p.now.latest)
 	if err != nil {
-		reason := err.Error()
-		return operationEffect(Operation{Kind: OpReject, Reason: reason[:min(len(reason), maxReasonLength)]})
+		return reject(err.Error())
 	}
-	return operationEffect(Operation{Kind: OpSchedule, Approvals: plan.Approvals, PlannedStartMS: plan.StartMS})
+	return &Operation{Kind: OpSchedule, Approvals: plan.Approvals, PlannedStartMS: plan.StartMS}
 }
 
-// approvalsCurrent tells whether all whose servers these are have approved, by the contracts in force.
+func reject(reason string) *Operation {
+	return &Operation{Kind: OpReject, Reason: reason[:min(len(reason), maxReasonLength)]}
+}
+
+// approvalsCurrent tells whether all tenants concerned approve the window by the contracts in force.
 func (p *reconcilePass) approvalsCurrent(window *Window) bool {
 	for i := range window.Approvals {
-		if active := p.table.Contract(window.Approvals[i].Tenant); active == nil || active.Version != window.Approvals[i].ContractVersion {
+		if p.table.contractOf(&window.Approvals[i]) == nil {
 			return false
 		}
 	}
 	for tenant := range p.view.Fleet.ServerCounts(p.table, window.ServerUIDs) {
-		if !involvesTenant(window, tenant) {
+		if !window.involves(tenant) {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *reconcilePass) reconcileApproved(window *Window) Effect {
+func (p *reconcilePass) reconcileApproved(window *Window) Action {
 	if !p.approvalsCurrent(window) {
 		return p.schedule(window)
 	}
 	if p.now.earliest < window.PlannedStartMS {
-		return Effect{}
+		return nil
 	}
-	switch outcome, _ := p.table.checkDrain(window, p.now); outcome {
+	switch OutcomeOf(p.table.checkDrain(window, p.now)) {
 	case OutcomeApplied:
-		return operationEffect(Operation{Kind: OpAwaitPermit})
+		return &Operation{Kind: OpAwaitPermit}
 	case OutcomeBlocked:
-		return Effect{}
+		return nil
 	}
 	return p.schedule(window)
 }
 
-func (p *reconcilePass) reconcileAwaitingPermit(window *Window) Effect {
-	outcome, _ := p.table.checkDrain(window, p.now)
-	stage, known := p.view.PermitStages[window.PermitID()]
-	rejection, rejected := p.reconciler.permitRejections[window.Name]
+func (p *reconcilePass) reconcileAwaitingPermit(window *Window) Action {
+	stage, requested := p.view.PermitStages[window.PermitID()]
+	rejection, permitRejected := p.reconciler.permitRejections[window.Name]
 	delete(p.reconciler.permitRejections, window.Name)
 	switch {
-	case rejected && !known: // where it is known after all, an earlier try got there
-		return operationEffect(Operation{Kind: OpReject, Reason: rejection[:min(len(rejection), maxReasonLength)]})
-	case outcome != OutcomeApplied || !p.approvalsCurrent(window):
+	case permitRejected && !requested: // where it was requested after all, an earlier attempt has succeeded
+		return reject(rejection)
+	case p.table.checkDrain(window, p.now) != nil || !p.approvalsCurrent(window):
 		return p.schedule(window)
-	case !known:
-		rank := disruption.PriorityDrain
-		if window.ClosesAtMS-p.now.latest-p.table.EstimatedTotalMS(window.WorkMS) < urgentSlackMS {
-			rank = disruption.PriorityDeadline
-		}
-		return ledgerEffect(disruption.OpRequest, window, rank)
+	case !requested:
+		return p.requestPermit(window)
 	case stage == disruption.StageGranted:
-		return operationEffect(Operation{Kind: OpBeginDrain})
+		return &Operation{Kind: OpBeginDrain}
 	case stage == disruption.StageCompleted || stage == disruption.StageCancelled:
 		return p.schedule(window)
 	}
-	return Effect{}
+	return nil
 }
 
-// exclusionLapsed tells whether tenants could not be told to keep off in time, for doubt about it.
+func (p *reconcilePass) requestPermit(window *Window) Action {
+	action := ledgerAction(disruption.OpRequest, window)
+	action.Rank = disruption.PriorityDrain
+	slackMS := window.ClosesAtMS - p.now.latest - p.table.EstimatedTotalMS(window.WorkMS)
+	if slackMS < urgentSlackMS {
+		action.Rank = disruption.PriorityDeadline
+	}
+	return action
+}
+
+// exclusionLapsed tells whether the exclusion could not be extended in time because of a clock fault.
 func (p *reconcilePass) exclusionLapsed(window *Window) bool {
-	return p.table.ClockFault() != "" && p.now.latest >= max(window.ExcludedUntilMS, window.DrainStartedAtMS+ExclusionTTLMS)
+	expiryMS := max(window.ExcludedUntilMS, window.DrainStartedAtMS+ExclusionTTLMS)
+	return p.table.ClockFault() != "" && p.now.latest >= expiryMS
+}
+
+func returnTo(next Stage, reason string) *Operation {
+	return &Operation{Kind: OpBeginReturn, StageAfterReturn: next, Reason: reason}
 }
 
-func (p *reconcilePass) reconcileDraining(window *Window) Effect {
+func (p *reconcilePass) reconcileDraining(window *Window) Action {
 	permit := p.activePermit(window)
-	beginReturn := func(reason string) Effect {
-		return operationEffect(Operation{Kind: OpBeginReturn, StageAfterReturn: StageProposed, Reason: reason})
-	}
+	haltReason, halted := p.table.haltReason(window)
 	switch {
 	case !p.approvalsCurrent(window):
-		return beginReturn("a contract has changed")
-	case p.table.haltReason(window) != "":
-		return beginReturn(p.table.haltReason(window))
+		return returnTo(StageProposed, reasonContractChanged)
+	case halted:
+		return returnTo(StageProposed, haltReason)
 	case p.exclusionLapsed(window):
-		return beginReturn(p.table.ClockFault())
+		return returnTo(StageProposed, p.table.ClockFault())
 	case p.now.latest+window.WorkMS+p.table.EstimatedReturnMS()+CloseGuardMS > window.ClosesAtMS:
-		return beginReturn("it did not drain in time")
+		return returnTo(StageProposed, reasonDrainTimeout)
 	case permit == "":
-		return operationEffect(Operation{Kind: OpBeginReturn, StageAfterReturn: StageHalted, Reason: "its permit was taken away"})
+		return returnTo(StageHalted, reasonPermitRevoked)
 	case permit == disruption.StageGranted:
-		return ledgerEffect(disruption.OpBegin, window, 0)
-	case permit != disruption.StageActive: // a halt has taken the grant back
-		return Effect{}
+		return ledgerAction(disruption.OpBegin, window)
+	case permit != disruption.StageActive: // a halt of the ledger has revoked the grant
+		return nil
 	case p.serversIdle(window):
-		return operationEffect(Operation{Kind: OpCompleteDrain})
+		return &Operation{Kind: OpCompleteDrain}
 	}
 	return p.extendExclusion(window)
 }
 
-// serversIdle tells whether each sidecar that lives follows all of the window's entries and has nothing open on its servers.
+// serversIdle tells whether all tenants' exclusions are in force and every live sidecar has confirmed that it follows
+// them and has no request in flight on the window's servers.
 func (p *reconcilePass) serversIdle(window *Window) bool {
 	if window.ExcludedUntilMS <= p.now.latest {
 		return false
 	}
-	entries := p.table.ExclusionEntries(window)
-	if len(entries) != len(window.Approvals) {
+	directives := p.table.ExclusionDirectives(window)
+	if len(directives) != len(window.Approvals) {
 		return false
 	}
 	for _, name := range p.view.LiveSidecars {
 		report, known := p.reconciler.reports[name]
-		if !known || p.clock.MonotonicMS-report.receivedAtMS > maxReportAgeMS || report.PlacementRevision < window.ExclusionRevision {
+		fresh := known && p.clock.MonotonicMS-report.receivedAtMS <= maxReportAgeMS
+		if !fresh || report.PlacementRevision < window.ExclusionRevision {
 			return false
 		}
-		for _, entry := range entries {
-			if inFlight, followed := report.ExcludedInFlight[entry.ID]; !followed || inFlight != 0 || slices.Contains(report.SuspendedDirectives, entry.ID) {
+		for _, directive := range directives {
+			inFlight, followed := report.ExcludedInFlight[directive.ID]
+			if !followed || inFlight != 0 || slices.Contains(report.SuspendedDirectives, directive.ID) {
 				return false
 			}
 		}
@@ -165,65 +231,63 @@
 	return true
 }
 
-func (p *reconcilePass) reconcileDrained(window *Window) Effect {
-	workFinished := p.now.earliest >= window.DrainedAtMS+window.WorkMS
-	beginReturn := func(reason string) Effect {
-		if workFinished {
-			return operationEffect(Operation{Kind: OpBeginReturn, StageAfterReturn: StageDone})
-		}
-		return operationEffect(Operation{Kind: OpBeginReturn, StageAfterReturn: StageHalted, Reason: reason})
-	}
+func (p *reconcilePass) reconcileDrained(window *Window) Action {
 	switch {
-	case workFinished:
-		return beginReturn("")
+	case p.now.earliest >= window.DrainedAtMS+window.WorkMS:
+		return returnTo(StageDone, "")
 	case !p.approvalsCurrent(window):
-		return beginReturn("a contract has changed")
+		return returnTo(StageHalted, reasonContractChanged)
 	case p.exclusionLapsed(window):
-		return beginReturn(p.table.ClockFault())
+		return returnTo(StageHalted, p.table.ClockFault())
 	case p.now.latest+p.table.EstimatedReturnMS()+CloseGuardMS >= window.ClosesAtMS:
-		return beginReturn("the close came before the work was over")
+		return returnTo(StageHalted, reasonCloseReached)
 	case p.activePermit(window) == "":
-		return beginReturn("its permit was taken away")
+		return returnTo(StageHalted, reasonPermitRevoked)
 	}
 	return p.extendExclusion(window)
 }
 
-func (p *reconcilePass) reconcileReturning(window *Window) Effect {
+func (p *reconcilePass) reconcileReturning(window *Window) Action {
 	allReady := true
 	for _, uid := range window.ServerUIDs {
 		allReady = allReady && p.view.OutOfService[uid].Ready
 	}
 	switch permit := p.activePermit(window); {
-	case permit == disruption.StageRequested || permit == disruption.StageGranted: // it never began
-		return ledgerEffect(disruption.OpCancel, window, 0)
+	case permit == disruption.StageRequested || permit == disruption.StageGranted: // the disruption never began
+		return ledgerAction(disruption.OpCancel, window)
 	case permit == disruption.StageActive:
-		return ledgerEffect(disruption.OpReturn, window, 0)
+		return ledgerAction(disruption.OpReturn, window)
 	case allReady && permit == "":
-		return operationEffect(Operation{Kind: OpCompleteReturn})
+		return &Operation{Kind: OpCompleteReturn}
 	case allReady:
-		return ledgerEffect(disruption.OpComplete, window, 0)
+		return ledgerAction(disruption.OpComplete, window)
 	case window.Stage == StageReturning && p.now.latest >= window.ClosesAtMS && p.table.ClockFault() == "":
-		return operationEffect(Operation{Kind: OpMarkOverrun})
+		return &Operation{Kind: OpMarkOverrun}
 	}
-	if effect := p.extendExclusion(window); window.Stage == StageReturning && effect.Operation != nil {
-		return effect
+	if window.Stage == StageReturning {
+		if extension := p.extendExclusion(window); extension != nil {
+			return extension
+		}
 	}
-	return ledgerEffect(disruption.OpObserve, window, 0)
+	return ledgerAction(disruption.OpObserve, window)
 }
 
-// extendExclusion prolongs what tenants are told, in time and never past the close.
-func (p *reconcilePass) extendExclusion(window *Window) Effect {
+// extendExclusion extends the exclusion of a window's servers where it is due, never past the close; nil: it is not due.
+func (p *reconcilePass) extendExclusion(window *Window) Action {
 	untilMS := p.clock.WallMS + ExclusionTTLMS
 	validApprovals := 0
 	for i := range window.Approvals {
 		approval := &window.Approvals[i]
-		if active := p.table.Contract(approval.Tenant); active != nil && active.Version == approval.ContractVersion {
+		if p.table.contractOf(approval) != nil {
 			untilMS = min(untilMS, approval.ClosesAtMS-CloseGuardMS-max(p.now.uncertainty, leaderUncertaintyMS))
 			validApprovals++
 		}
 	}
-	if validApprovals == 0 || untilMS <= p.now.latest+activePollMS || untilMS <= window.ExcludedUntilMS || window.ExcludedUntilMS-p.now.latest > ExclusionTTLMS-ExclusionRefreshMS {
-		return Effect{}
+	remainingMS := window.ExcludedUntilMS - p.now.latest
+	due := remainingMS <= ExclusionTTLMS-ExclusionRefreshMS
+	extends := untilMS > window.ExcludedUntilMS && untilMS > p.now.latest+activePollMS
+	if validApprovals == 0 || !due || !extends {
+		return nil
 	}
-	return operationEffect(Operation{Kind: OpExtendExclusion, ExcludeUntilMS: untilMS})
+	return &Operation{Kind: OpExtendExclusion, ExcludeUntilMS: untilMS}
 }
--- a/internal/maintenance/reconciler.go
+++ b/internal/maintenance/reconciler.go
@@ -8,73 +8,59 @@
 	"milldeck/internal/placement"
 )
 
-// Times of the controller, by its own monotonic clock unless they are compared with logged ones.
+// Times of the Reconciler in ms. Those of retries and reports are measured by its monotonic clock.
 const (
-	retryMS             = 2000        // a write without an answer, or one that was refused, is tried again after this long
-	clockFaultRetryMS   = 5000        // the same after doubt about time: clocks are not mended sooner, and each try is in the log
-	maxReportAgeMS      = 3000        // reports come once a second: three were lost
-	activePollMS        = 1000        // while servers are out or asked for
-	idlePollMS          = 600_000     // the program asks again sooner where something has changed
-	urgentSlackMS       = 10 * 60_000 // with less time than this to spare, the close presses
-	leaderUncertaintyMS = 500         // what the leader's clock is taken to be off: beyond it the last prolongation is refused
-	maxReports          = 20_000      // reports kept, one for each sidecar
+	retryMS             = 2000          // after a write that was rejected or got no answer
+	clockFaultRetryMS   = 5000          // after a rejection for a clock fault: clocks recover slowly, and each attempt is logged
+	maxReportAgeMS      = 3000          // load reports come once a second: three were lost
+	activePollMS        = 1000          // while servers are out of service or about to be
+	idlePollMS          = 10 * minuteMS // the caller reconciles earlier when the state has changed
+	urgentSlackMS       = 10 * minuteMS // with less time to spare, permits are requested with PriorityDeadline
+	leaderUncertaintyMS = 500           // assumed of the leader's clock: beyond it the last extension is rejected
+	maxReports          = 20_000        // retained load reports, one for each sidecar
 )
 
-// ClockReading is the controller's time: its monotonic clock, and its wall clock with what that may be off (ms).
+// ClockReading is a reading of the controller's clocks in ms: the monotonic clock, and the wall clock (Unix) with its
+// uncertainty.
 type ClockReading struct {
 	MonotonicMS   int64
 	WallMS        int64
 	UncertaintyMS int64
 }
 
-// Timestamp is the controller's part of a step's time.
-func (n ClockReading) Timestamp() Timestamp {
-	return Timestamp{ControllerMS: n.WallMS, UncertaintyMS: n.UncertaintyMS}
+// Timestamp returns the controller's part of an operation's timestamp.
+func (r ClockReading) Timestamp() Timestamp {
+	return Timestamp{ControllerMS: r.WallMS, UncertaintyMS: r.UncertaintyMS}
 }
 
-// View is what the controller last read of the replicated state, all of one revision.
-type View struct {
-	Revision     uint64
-	Table        *Table
-	PermitStages map[string]disruption.Stage // of the ledger, by id
-	OutOfService map[string]ServerStatus     // by uid, those of windows that are out
-	Fleet        Fleet
-	LiveSidecars []string // that live: all of them have to say that they keep off
-}
+// Action is what an Effect writes: an *Operation of the Table or a *LedgerAction on the disruption ledger.
+type Action interface{ isAction() }
 
-// ServerStatus is what the ledger knows of a server that a window has out.
-type ServerStatus struct {
-	Ready    bool   `json:"up"` // there is evidence that it is up, and where the way back has begun, back
-	Revision uint64 `json:"rev"`
-	Endpoint string `json:"endpoint"`
-}
+func (*Operation) isAction()    {}
+func (*LedgerAction) isAction() {}
 
-// LedgerAction is what the controller asks of the ledger. All acts may be repeated: the ledger takes each once. To see is to look
-// at the servers and write what was found: what has not been looked at since the way back began is no evidence.
-type LedgerAction struct {
-	Kind       disruption.OpKind // ask, begin, return, see, settle or cancel
-	PermitID   string
-	ServerUIDs []string
-	Rank       disruption.Priority
-	Purpose    string
+// Effect is one write of the Reconciler for a window, under the fencing token of the controller's lease.
+type Effect struct {
+	Window string
+	Action Action
 }
 
-// Effect is one thing to write, under the controller's token: an operation of the table or an act on the ledger.
-type Effect struct {
-	Window       string
-	Operation    *Operation
-	LedgerAction *LedgerAction
+// EffectResult is what became of an effect.
+type EffectResult struct {
+	Outcome  Outcome
+	Reason   string
+	Revision uint64 // of the log record; 0 where none was written
 }
 
-// Reconciler is the controller of all windows. What has to outlive it stands in the table: one that takes over begins with an
-// empty core and goes on exactly where the table stands. It is not safe for concurrent use.
+// Reconciler decides what to write next for all windows. Its own state is a cache: whatever has to survive is in the
+// Table, and a new Reconciler continues from there. It is not safe for concurrent use.
 type Reconciler struct {
 	token            uint64
 	planner          *Planner
-	retryAtMS        map[string]int64  // by window: not before this monotonic time again
-	minRevision      map[string]uint64 // by window: a view has to be at least of this revision
-	reports          map[string]receivedReport
-	permitRejections map[string]string // by window: why its permit can never be granted
+	retryAtMS        map[string]int64          // by window: no further write before this monotonic time
+	minRevision      map[string]uint64         // by window: a view has to be at least of this revision
+	reports          map[string]receivedReport // by sidecar
+	permitRejections map[string]string         // by window: why its permit can never be granted
 }
 
 type receivedReport struct {
@@ -82,73 +68,91 @@
 	receivedAtMS int64 // monotonic
 }
 
-// NewReconciler is the controller that holds the duty under a token.
+// NewReconciler returns the Reconciler of a controller that holds its lease under a fencing token.
 func NewReconciler(token uint64) *Reconciler {
-	return &Reconciler{token: token, planner: NewPlanner(), retryAtMS: map[string]int64{}, minRevision: map[string]uint64{}, reports: map[string]receivedReport{},
-		permitRejections: map[string]string{}}
+	return &Reconciler{
+		token:            token,
+		planner:          NewPlanner(),
+		retryAtMS:        map[string]int64{},
+		minRevision:      map[string]uint64{},
+		reports:          map[string]receivedReport{},
+		permitRejections: map[string]string{},
+	}
 }
 
-// ObserveReport takes in a sidecar's report.
+// ObserveReport records a sidecar's load report. Beyond maxReports a new sidecar's report is dropped, and its windows wait
+// as if it were silent.
 func (r *Reconciler) ObserveReport(now ClockReading, report placement.LoadReport) {
 	if _, known := r.reports[report.Sidecar]; !known && len(r.reports) >= maxReports {
-		for name, previous := range r.reports {
-			if now.MonotonicMS-previous.receivedAtMS > maxReportAgeMS {
-				delete(r.reports, name)
-			}
-		}
+		r.evictOldReports(now)
 		if len(r.reports) >= maxReports {
-			return // the window stays as if this sidecar were silent: it is not taken for empty
+			return
 		}
 	}
 	r.reports[report.Sidecar] = receivedReport{report, now.MonotonicMS}
 }
 
-// ObserveResult takes in what became of an effect, and the revision of the log that has it.
-func (r *Reconciler) ObserveResult(now ClockReading, effect Effect, outcome Outcome, reason string, revision uint64) {
-	r.minRevision[effect.Window] = max(r.minRevision[effect.Window], revision)
-	if effect.LedgerAction != nil && effect.LedgerAction.Kind == disruption.OpRequest && outcome == OutcomeInvalid {
-		r.permitRejections[effect.Window] = reason
+func (r *Reconciler) evictOldReports(now ClockReading) {
+	for name, report := range r.reports {
+		if now.MonotonicMS-report.receivedAtMS > maxReportAgeMS {
+			delete(r.reports, name)
+		}
+	}
+}
+
+// ObserveResult records what became of an effect.
+func (r *Reconciler) ObserveResult(now ClockReading, effect Effect, result EffectResult) {
+	r.minRevision[effect.Window] = max(r.minRevision[effect.Window], result.Revision)
+	action, onLedger := effect.Action.(*LedgerAction)
+	if onLedger && action.Kind == disruption.OpRequest && result.Outcome == OutcomeInvalid {
+		r.permitRejections[effect.Window] = result.Reason
 	}
 	switch {
-	case effect.LedgerAction != nil && effect.LedgerAction.Kind == disruption.OpObserve:
-		r.retryAtMS[effect.Window] = now.MonotonicMS + retryMS // servers take their time
-	case outcome == OutcomeApplied:
+	case onLedger && action.Kind == disruption.OpObserve:
+		r.retryAtMS[effect.Window] = now.MonotonicMS + retryMS // give the servers time to start
+	case result.Outcome == OutcomeApplied:
 		delete(r.retryAtMS, effect.Window)
-	case outcome == OutcomeClockFault:
+	case result.Outcome == OutcomeClockFault:
 		r.retryAtMS[effect.Window] = now.MonotonicMS + clockFaultRetryMS
 	default:
 		r.retryAtMS[effect.Window] = now.MonotonicMS + retryMS
 	}
 }
 
-// Reconcile says what to write next, at most one thing for each window, and when to ask again at the latest (monotonic ms).
+// Reconcile returns what to write next, at most one effect for each window, and the monotonic time in ms at which to
+// call it again at the latest.
 func (r *Reconciler) Reconcile(now ClockReading, view *View) (effects []Effect, nextRunMS int64) {
 	windows := view.Table.Windows()
 	slices.SortStableFunc(windows, func(a, b *Window) int { return cmp.Compare(a.ClosesAtMS, b.ClosesAtMS) })
+	pass := &reconcilePass{
+		reconciler: r,
+		view:       view,
+		table:      view.Table,
+		clock:      now,
+		now:        view.Table.boundTime(Timestamp{now.WallMS, now.UncertaintyMS, now.WallMS, now.UncertaintyMS}),
+	}
 	nextRunMS = now.MonotonicMS + idlePollMS
-	pass := &reconcilePass{reconciler: r, view: view, table: view.Table, clock: now, now: view.Table.boundTime(Timestamp{now.WallMS, now.UncertaintyMS, now.WallMS, now.UncertaintyMS})}
 	for _, window := range windows {
 		nextRunMS = min(nextRunMS, pass.nextRunMS(window))
 		if view.Revision < r.minRevision[window.Name] || now.MonotonicMS < r.retryAtMS[window.Name] {
 			continue
 		}
-		effect := pass.nextEffect(window)
-		if effect.Operation == nil && effect.LedgerAction == nil {
+		action := pass.nextAction(window)
+		if action == nil {
 			continue
 		}
-		if effect.Operation != nil {
-			effect.Operation.Window = window.Name
-			effect.Operation.Token = r.token
+		if op, ok := action.(*Operation); ok {
+			op.Window = window.Name
+			op.Token = r.token
 		}
-		effect.Window = window.Name
 		r.retryAtMS[window.Name] = now.MonotonicMS + retryMS
-		effects = append(effects, effect)
+		effects = append(effects, Effect{Window: window.Name, Action: action})
 	}
 	r.evictUnknown(view.Table)
 	return effects, nextRunMS
 }
 
-// evictUnknown drops what is kept of windows that are no more.
+// evictUnknown drops the state of windows that no longer exist.
 func (r *Reconciler) evictUnknown(table *Table) {
 	for name := range r.minRevision {
 		if table.Window(name) == nil {
@@ -158,29 +162,3 @@
 		}
 	}
 }
-
-// reconcilePass is one step's reading of everything.
-type reconcilePass struct {
-	reconciler *Reconciler
-	view       *View
-	table      *Table
-	clock      ClockReading
-	now        timeBounds
-
-	planned bool // one a step: the next is planned around it
-}
-
-func (p *reconcilePass) nextRunMS(window *Window) int64 {
-	switch {
-	case window.Finished() || window.Stage == StageHalted:
-		return p.clock.MonotonicMS + idlePollMS
-	case window.Stage == StageOverrun || window.Stage == StageAwaitingPermit: // a grant is news, and has the program look at once
-		return p.clock.MonotonicMS + ExclusionRefreshMS
-	case window.Stage == StageApproved && p.now.earliest < window.PlannedStartMS:
-		return p.clock.MonotonicMS + min(idlePollMS, window.PlannedStartMS-p.now.earliest)
-	case window.Stage == StageDrained:
-		dueInMS := min(window.DrainedAtMS+window.WorkMS, window.ClosesAtMS-CloseGuardMS-p.table.EstimatedReturnMS(), window.ExcludedUntilMS-ExclusionTTLMS+ExclusionRefreshMS) - p.now.latest
-		return p.clock.MonotonicMS + max(activePollMS, min(dueInMS, ExclusionRefreshMS))
-	}
-	return p.clock.MonotonicMS + activePollMS
-}
--- a/internal/maintenance/scenario_test.go
+++ b/internal/maintenance/scenario_test.go
@@ -12,8 +12,6 @@
 	"milldeck/internal/placement"
 )
 
-const minuteMS = int64(60_000)
-
 // newScenario is one evening: a tenant, three servers of its own and one that it shares, hours from 22:00 to 23:00 in its zone.
 func newScenario(t *testing.T, zone, start string) *simulation {
 	t.Helper()
@@ -295,7 +293,7 @@
 	}{
 		{"token test left out", "under token", 8, func(sim *simulation) { sim.ignoreTokens = true }},
 		{"until past the close", "outside the hours", 38, func(sim *simulation) {
-			sim.corruptEntry = func(entry *placement.Directive) { entry.ExpiresAtMS = sim.nowMS + ExclusionTTLMS }
+			sim.corruptDirective = func(entry *placement.Directive) { entry.ExpiresAtMS = sim.nowMS + ExclusionTTLMS }
 		}},
 		{"uncertainty ignored", "outside the hours", 0, func(sim *simulation) {
 			sim.leaderClock = simulatedClock{4500, 0}
@@ -341,7 +339,7 @@
 			sim.proposeWindow("w", 5*minuteMS, "m0")
 			sim.awaitStage(t, "w", StageDrained)
 			sim.beforeWrite = func(entry *Effect) { // a contract is withdrawn between the check and the log
-				if entry.Operation == nil || entry.Operation.Kind != OpExtendExclusion || sim.table.Contract("portal") == nil {
+				if op, ok := entry.Action.(*Operation); !ok || op.Kind != OpExtendExclusion || sim.table.Contract("portal") == nil {
 					return
 				}
 				withdrawn := sim.table.contracts["portal"]
--- /dev/null
+++ b/internal/maintenance/search.go
@@ -0,0 +1,210 @@
+package maintenance
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+
+	"milldeck/internal/maintenance/calendar"
+)
+
+// search is one search for the start of a window, around the windows that are planned or out of service.
+type search struct {
+	table        *Table
+	request      Request
+	participants []participant // sorted by tenant
+	nowMS        int64         // Unix ms
+}
+
+// participant is a tenant whose contract has to approve the window.
+type participant struct {
+	contract    *ActiveContract
+	serverCount int // all servers of the tenant
+	calendar    *calendar.Calendar
+	approved    []calendar.Interval // within the planning horizon
+}
+
+// checkServerCount checks that the contract ever lets so many servers go out of service at once.
+func (p *participant) checkServerCount(requested int) error {
+	if requested <= maxServersOut(p.serverCount, p.contract.MinAvailableShare) {
+		return nil
+	}
+	tenant := p.contract.Tenant
+	return &InfeasibleError{
+		BlockingTenant: tenant,
+		Reason: fmt.Sprintf("contract of %s: %d of its %d servers are more than its least share of %v lets go",
+			tenant, requested, p.serverCount, p.contract.MinAvailableShare),
+	}
+}
+
+// earliestStart returns the first start (Unix ms) from which requiredMS are approved by all participants and not taken
+// by other windows; 0: there is none.
+func (s *search) earliestStart(requiredMS int64) int64 {
+	for _, interval := range s.availableIntervals() {
+		startMS := interval.StartMS
+		for startMS+requiredMS <= interval.EndMS {
+			nextStartMS := s.nextStartWithinMinutes(startMS, requiredMS)
+			if nextStartMS == 0 {
+				return startMS
+			}
+			startMS = nextStartMS
+		}
+	}
+	return 0
+}
+
+// availableIntervals returns the times that all contracts approve and in which neither a server of the request nor the
+// limits of a contract are taken by other windows.
+func (s *search) availableIntervals() []calendar.Interval {
+	if len(s.participants) == 0 {
+		return nil
+	}
+	approved := s.participants[0].approved
+	for _, participant := range s.participants[1:] {
+		approved = calendar.Intersect(approved, participant.approved)
+	}
+	reserved := s.reservations()
+	var unavailable []calendar.Interval
+	for _, reservation := range reserved {
+		if shareServer(reservation.window.ServerUIDs, s.request.ServerUIDs) {
+			unavailable = append(unavailable, reservation.Interval)
+		}
+	}
+	for i := range s.participants {
+		unavailable = append(unavailable, s.participants[i].saturatedIntervals(reserved, len(s.request.ServerUIDs))...)
+	}
+	slices.SortFunc(unavailable, func(a, b calendar.Interval) int { return cmp.Compare(a.StartMS, b.StartMS) })
+	return calendar.Subtract(approved, unavailable)
+}
+
+// reservation is the time that another window is expected to take.
+type reservation struct {
+	window *Window
+	calendar.Interval
+}
+
+func (s *search) reservations() []reservation {
+	var reserved []reservation
+	for _, window := range s.table.Windows() {
+		if window.Name == s.request.Name {
+			continue
+		}
+		switch requiredMS := s.table.EstimatedTotalMS(window.WorkMS); {
+		case window.OutOfService():
+			endMS := max(window.DrainStartedAtMS+window.EstimatedTotalMS, s.nowMS+s.table.EstimatedReturnMS())
+			reserved = append(reserved, reservation{window, calendar.Interval{StartMS: window.DrainStartedAtMS, EndMS: endMS}})
+		case window.Stage == StageApproved || window.Stage == StageAwaitingPermit:
+			startMS := max(window.PlannedStartMS, min(s.nowMS, window.ClosesAtMS-requiredMS))
+			reserved = append(reserved, reservation{window, calendar.Interval{StartMS: startMS, EndMS: startMS + requiredMS}})
+		}
+	}
+	return reserved
+}
+
+// saturatedIntervals returns the times in which one more window of serverCount servers would exceed the concurrent
+// windows or the servers out of service that the contract permits.
+func (p *participant) saturatedIntervals(reserved []reservation, serverCount int) []calendar.Interval {
+	var ofTenant []reservation
+	var edges []int64
+	for _, reservation := range reserved {
+		if reservation.window.involves(p.contract.Tenant) {
+			ofTenant = append(ofTenant, reservation)
+			edges = append(edges, reservation.StartMS, reservation.EndMS)
+		}
+	}
+	slices.Sort(edges)
+	var saturated []calendar.Interval
+	for i := 1; i < len(edges); i++ {
+		windowCount, serversOut := 1, serverCount
+		for _, reservation := range ofTenant {
+			if reservation.StartMS <= edges[i-1] && edges[i-1] < reservation.EndMS {
+				windowCount++
+				serversOut += len(reservation.window.ServerUIDs)
+			}
+		}
+		if windowCount > p.contract.MaxConcurrentWindows || serversOut > maxServersOut(p.serverCount, p.contract.MinAvailableShare) {
+			saturated = append(saturated, calendar.Interval{StartMS: edges[i-1], EndMS: edges[i]})
+		}
+	}
+	return saturated
+}
+
+// nextStartWithinMinutes returns 0 where all tenants have the minutes for a window at startMS, and otherwise the next
+// start to try.
+func (s *search) nextStartWithinMinutes(startMS, requiredMS int64) int64 {
+	for i := range s.participants {
+		participant := &s.participants[i]
+		limitMS := int64(participant.contract.MinutesPerMonth) * minuteMS
+		for _, month := range participant.calendar.Months(startMS, startMS+requiredMS) {
+			window := min(month.EndMS, startMS+requiredMS) - max(month.StartMS, startMS)
+			if s.plannedMS(participant.contract.Tenant, month)+window > limitMS {
+				return max(month.EndMS, startMS+1)
+			}
+		}
+	}
+	return 0
+}
+
+// plannedMS is what a tenant has used of a month, with what its other windows that are out of service or planned will
+// use of it.
+func (s *search) plannedMS(tenant string, month calendar.Month) int64 {
+	planned := s.table.committedMS(tenant, month.Name, s.nowMS)
+	for _, other := range s.table.Windows() {
+		pending := other.Stage == StageApproved || other.Stage == StageAwaitingPermit
+		if !pending || other.Name == s.request.Name || !other.involves(tenant) {
+			continue
+		}
+		endMS := other.PlannedStartMS + s.table.EstimatedTotalMS(other.WorkMS)
+		planned += max(0, min(month.EndMS, endMS)-max(month.StartMS, other.PlannedStartMS))
+	}
+	return planned
+}
+
+// explainInfeasible finds the contract that alone prevents a window, and the longest work that would fit.
+func (s *search) explainInfeasible(requiredMS int64) *InfeasibleError {
+	infeasible := &InfeasibleError{Reason: "the contracts approve no such time together"}
+	if len(s.participants) == 1 {
+		infeasible.blame(s.participants[0].contract.Tenant)
+	} else {
+		s.findBlockingTenant(infeasible, requiredMS)
+	}
+	overheadMS := requiredMS - s.request.WorkMS
+	if minutes := s.longestFeasibleWork(overheadMS); minutes > 0 {
+		infeasible.FeasibleWorkMS = minutes * minuteMS
+		infeasible.FeasibleWorkStartMS = s.earliestStart(overheadMS + minutes*minuteMS)
+	}
+	return infeasible
+}
+
+func (e *InfeasibleError) blame(tenant string) {
+	e.BlockingTenant = tenant
+	e.Reason = "contract of " + tenant + " forbids it"
+}
+
+// findBlockingTenant notes the tenant without whose contract the window could start first.
+func (s *search) findBlockingTenant(infeasible *InfeasibleError, requiredMS int64) {
+	for i := range s.participants {
+		others := *s
+		others.participants = slices.Delete(slices.Clone(s.participants), i, i+1)
+		startMS := others.earliestStart(requiredMS)
+		if startMS != 0 && (infeasible.StartWithoutTenantMS == 0 || startMS < infeasible.StartWithoutTenantMS) {
+			infeasible.blame(s.participants[i].contract.Tenant)
+			infeasible.StartWithoutTenantMS = startMS
+		}
+	}
+}
+
+// longestFeasibleWork returns the longest work, in whole minutes, for which there is a start; 0: none. It bisects
+// between 0 and the requested work, which does not fit.
+func (s *search) longestFeasibleWork(overheadMS int64) int64 {
+	feasible, infeasible := int64(0), s.request.WorkMS/minuteMS
+	for feasible+1 < infeasible {
+		middle := (feasible + infeasible) / 2
+		if s.earliestStart(overheadMS+middle*minuteMS) != 0 {
+			feasible = middle
+		} else {
+			infeasible = middle
+		}
+	}
+	return feasible
+}
--- a/internal/maintenance/simulation_test.go
+++ b/internal/maintenance/simulation_test.go
@@ -3,7 +3,9 @@
 import (
 	"container/heap"
 	"fmt"
+	"maps"
 	"math/rand/v2"
+	"slices"
 	"time"
 
 	"milldeck/internal/disruption"
@@ -38,7 +40,7 @@
 	slowReturns      bool                       // servers do
 	unusedGrantMS    int64                      // that the ledger takes for a grant, at most
 	corruptOperation func(*Operation)           // a planted bug: an operation is changed
-	corruptEntry     func(*placement.Directive) // a planted bug: what sidecars are told is changed
+	corruptDirective func(*placement.Directive) // a planted bug: what sidecars are told is changed
 	ignoreTokens     bool                       // a planted bug: tokens are not looked at
 	beforeWrite      func(e *Effect)            // sees each write that reaches the log
 	writes           int
@@ -67,7 +69,7 @@
 
 // activeExclusion is an entry that a sidecar follows.
 type activeExclusion struct {
-	entry       placement.Directive
+	directive   placement.Directive
 	startMS     int64
 	endMS       int64 // by itself
 	drainedAtMS int64 // when its last request is answered
@@ -99,7 +101,7 @@
 		permit, found := sim.ledger.Permit(id)
 		return permit.Stage, found
 	}
-	for _, uid := range sortedKeys(fleet) {
+	for _, uid := range slices.Sorted(maps.Keys(fleet)) {
 		sim.registerServer(uid, true)
 	}
 	for i := range sidecars {
@@ -210,7 +212,7 @@
 	revision, reason := sim.revision, sim.ledgerReason
 	sim.schedule(2+sim.random.Int64N(60), func() {
 		if !controller.dead {
-			controller.reconciler.ObserveResult(ClockReading{sim.nowMS, sim.nowMS + controller.clock.offsetMS, controller.clock.uncertaintyMS}, effect, outcome, reason, revision)
+			controller.reconciler.ObserveResult(ClockReading{sim.nowMS, sim.nowMS + controller.clock.offsetMS, controller.clock.uncertaintyMS}, effect, EffectResult{outcome, reason, revision})
 			sim.scheduleRun(controller, 1)
 		}
 	})
@@ -222,34 +224,34 @@
 		return OutcomeStale // the guard of the state that holds the table
 	}
 	sim.revision++
-	if effect.LedgerAction != nil {
-		return sim.applyLedgerAction(effect.LedgerAction)
+	if action, ok := effect.Action.(*LedgerAction); ok {
+		return sim.applyLedgerAction(action)
 	}
 	timestamp.LeaderMS, timestamp.LeaderUncertaintyMS = sim.nowMS+sim.leaderClock.offsetMS, sim.leaderClock.uncertaintyMS
-	op := *effect.Operation
+	op := *effect.Action.(*Operation)
 	if sim.corruptOperation != nil {
 		sim.corruptOperation(&op)
 	}
 	if sim.ignoreTokens && op.Token != 0 {
 		op.Token = max(op.Token, sim.table.token)
 	}
-	result := sim.table.Apply(sim.revision, &op, timestamp)
-	if result.Outcome != OutcomeApplied {
-		return result.Outcome
+	changes, err := sim.table.Apply(sim.revision, &op, timestamp)
+	if err != nil {
+		return OutcomeOf(err)
 	}
 	sim.oracle.recordOperation(sim, &op, token)
 	if window := sim.table.Window(op.Window); window != nil && op.Kind != OpExtendExclusion && op.Kind != OpSchedule {
 		sim.history = append(sim.history, fmt.Sprintf("%s %s/%d", op.Kind, op.Window, window.Attempt))
 	}
-	for _, entry := range result.SetEntries {
-		entry.Revision = sim.revision
-		if sim.corruptEntry != nil {
-			sim.corruptEntry(&entry)
+	for _, directive := range changes.SetDirectives {
+		directive.Revision = sim.revision
+		if sim.corruptDirective != nil {
+			sim.corruptDirective(&directive)
 		}
-		sim.publishEntry(entry)
+		sim.publishDirective(directive)
 	}
-	for _, id := range result.DropEntryIDs {
-		sim.dropEntry(id)
+	for _, id := range changes.DeleteDirectiveIDs {
+		sim.deleteDirective(id)
 	}
 	sim.simulateWork(&op)
 	sim.scheduleRun(sim.controller, 50) // a watch tells it
@@ -259,7 +261,7 @@
 // applyOperator is an operator's write.
 func (sim *simulation) applyOperator(op Operation) Outcome {
 	operatorMS := sim.nowMS + sim.leaderClock.offsetMS
-	return sim.applyEffect(Effect{Operation: &op}, Timestamp{ControllerMS: operatorMS, UncertaintyMS: 250}, 0)
+	return sim.applyEffect(Effect{Action: &op}, Timestamp{ControllerMS: operatorMS, UncertaintyMS: 250}, 0)
 }
 
 // registerServer has the list say whether a server serves; each time that it does is another life.
@@ -280,12 +282,16 @@
 	previous, _ := sim.ledger.Permit(action.PermitID)
 	op := action.Operation()
 	if action.Kind == disruption.OpObserve {
-		op = action.ObservationOperation(ReadView(sim.revision, sim.table, sim.ledger), func(server ServerStatus) disruption.Condition {
-			if sim.serverUp[server.Endpoint] {
-				return disruption.ConditionUp
+		view := ReadView(sim.revision, sim.table, sim.ledger)
+		var conditions []disruption.Condition
+		for _, uid := range action.ServerUIDs {
+			condition := disruption.ConditionUnready
+			if sim.serverUp[view.OutOfService[uid].Endpoint] {
+				condition = disruption.ConditionUp
 			}
-			return disruption.ConditionUnready
-		})
+			conditions = append(conditions, condition)
+		}
+		op = action.ObservationOperation(view, conditions)
 	}
 	outcome, reason := sim.ledger.Apply(sim.revision, op)
 	sim.ledgerReason = reason
@@ -301,37 +307,37 @@
 	return OutcomeApplied
 }
 
-// publishEntry carries an entry to the sidecars that hear. What is left is said by the replica's clock, as the line is written.
-func (sim *simulation) publishEntry(entry placement.Directive) {
-	if agreed := sim.oracle.agreed[entry.Tenant]; agreed[len(agreed)-1].withdrawn {
-		sim.oracle.violations = append(sim.oracle.violations, entry.Tenant+" is told to keep off after its contract ended")
+// publishDirective carries an entry to the sidecars that hear. What is left is said by the replica's clock, as the line is written.
+func (sim *simulation) publishDirective(directive placement.Directive) {
+	if agreed := sim.oracle.agreed[directive.Tenant]; agreed[len(agreed)-1].withdrawn {
+		sim.oracle.violations = append(sim.oracle.violations, directive.Tenant+" is told to keep off after its contract ended")
 	}
 	for _, sidecar := range sim.sidecars {
-		remainingMS := entry.ExpiresAtMS - (sim.nowMS + sim.leaderClock.offsetMS)
+		remainingMS := directive.ExpiresAtMS - (sim.nowMS + sim.leaderClock.offsetMS)
 		sim.schedule(5+sim.random.Int64N(300), func() {
 			if sidecar.partitioned || sim.registryDown && sim.random.IntN(2) == 0 {
 				return
 			}
-			sidecar.revision = max(sidecar.revision, entry.Revision)
-			endMS := min(entry.ExpiresAtMS-sidecar.clock.offsetMS, sim.nowMS+min(remainingMS, ExclusionTTLMS))
+			sidecar.revision = max(sidecar.revision, directive.Revision)
+			endMS := min(directive.ExpiresAtMS-sidecar.clock.offsetMS, sim.nowMS+min(remainingMS, ExclusionTTLMS))
 			if endMS <= sim.nowMS {
 				return
 			}
-			exclusion := sidecar.active[entry.ID]
+			exclusion := sidecar.active[directive.ID]
 			if exclusion != nil && exclusion.endMS <= sim.nowMS {
 				sim.endExclusion(sidecar, exclusion)
 				exclusion = nil
 			}
 			if exclusion == nil {
 				exclusion = &activeExclusion{startMS: sim.nowMS, drainedAtMS: sim.nowMS + 3000 + sim.random.Int64N(40_000)}
-				sidecar.active[entry.ID] = exclusion
+				sidecar.active[directive.ID] = exclusion
 			}
-			exclusion.entry, exclusion.endMS = entry, endMS
+			exclusion.directive, exclusion.endMS = directive, endMS
 		})
 	}
 }
 
-func (sim *simulation) dropEntry(id string) {
+func (sim *simulation) deleteDirective(id string) {
 	for _, sidecar := range sim.sidecars {
 		sim.schedule(5+sim.random.Int64N(300), func() {
 			if exclusion := sidecar.active[id]; exclusion != nil && !sidecar.partitioned && !sim.registryDown {
@@ -343,8 +349,8 @@
 }
 
 func (sim *simulation) endExclusion(sidecar *simulatedSidecar, exclusion *activeExclusion) {
-	delete(sidecar.active, exclusion.entry.ID)
-	sim.oracle.recordExclusion(sim, exclusion.entry.Tenant, exclusion.startMS, exclusion.endMS)
+	delete(sidecar.active, exclusion.directive.ID)
+	sim.oracle.recordExclusion(sim, exclusion.directive.Tenant, exclusion.startMS, exclusion.endMS)
 }
 
 func (sim *simulation) deliverReports(controller *simulatedController, now ClockReading) {
@@ -353,7 +359,7 @@
 			continue
 		}
 		report := placement.LoadReport{Sidecar: sidecar.name, PlacementRevision: sidecar.revision, ExcludedInFlight: map[string]int{}}
-		for _, id := range sortedKeys(sidecar.active) {
+		for _, id := range slices.Sorted(maps.Keys(sidecar.active)) {
 			exclusion := sidecar.active[id]
 			if exclusion.endMS <= sim.nowMS {
 				sim.endExclusion(sidecar, exclusion)
@@ -446,7 +452,7 @@
 func (sim *simulation) violations() []string {
 	sim.runUntil(sim.nowMS + 2*ExclusionTTLMS)
 	for _, sidecar := range sim.sidecars {
-		for _, id := range sortedKeys(sidecar.active) {
+		for _, id := range slices.Sorted(maps.Keys(sidecar.active)) {
 			sim.endExclusion(sidecar, sidecar.active[id])
 		}
 	}
@@ -455,7 +461,7 @@
 		oracle.violations = append(oracle.violations, fmt.Sprintf("%d ms outside the hours: %s", oracle.outsideMS, oracle.firstViolation))
 	}
 	if !oracle.clocksFaulty {
-		for _, key := range sortedKeys(oracle.usedMS) {
+		for _, key := range slices.Sorted(maps.Keys(oracle.usedMS)) {
 			var tenant, month string
 			fmt.Sscan(key, &tenant, &month)
 			if got, want := sim.table.UsedMS(tenant, month), oracle.usedMS[key]; got < want-2000 || got > want+20_000 {
--- a/internal/maintenance/table.go
+++ b/internal/maintenance/table.go
@@ -6,37 +6,48 @@
 	"slices"
 
 	"milldeck/internal/disruption"
-	"milldeck/internal/maintenance/calendar"
 	"milldeck/internal/placement"
 )
 
-// Table is all contracts, windows and minutes. It is not safe for concurrent use.
+// Table is the replicated state of maintenance: contracts, windows, halts and used time. All changes go through Apply.
+// It is not safe for concurrent use. The windows and contracts that it returns are shared and must not be changed.
 type Table struct {
-	contracts       map[string]*ActiveContract
-	windows         map[string]*Window
-	halts           map[string]string           // why, by scope
-	usedMS          map[string]map[string]int64 // ms out, by tenant and month
-	drainSamplesMS  []int64                     // ms, the newest last: what drains took
-	returnSamplesMS []int64
-	logTimeMS       int64  // the latest logged time: it never runs back
-	token           uint64 // the highest that wrote: lower ones count no more
-	clockFault      string // why the last step's times were not trusted; "" where they were
+	contracts       map[string]*ActiveContract  // by tenant
+	windows         map[string]*Window          // by name
+	halts           map[string]string           // reason, by scope
+	usedMS          map[string]map[string]int64 // out of service, by tenant and month
+	drainSamplesMS  []int64                     // how long drains took, the newest last
+	returnSamplesMS []int64                     // how long returns took, the newest last
+	logTimeMS       int64                       // the latest time in the log, Unix ms: it never runs backwards
+	token           uint64                      // the highest fencing token that has written: lower ones are superseded
+	clockFault      string                      // why the clocks of the last operation were not trusted; "": they were
 	modRevision     uint64
 
-	setEntries   []placement.Directive // by the operation that is being applied
-	dropEntryIDs []string
+	changes Changes // of the operation that is being applied
 
-	// Permit looks up the ledger's permit as it stands when a drain is applied; nil: not asked.
+	// LookupPermit returns the stage of a disruption permit as it is when an operation is applied. Where it is nil,
+	// permits are not checked.
 	LookupPermit func(id string) (disruption.Stage, bool)
 }
 
-// New is an empty table.
+// Changes are the exclusion directives that an applied operation sets and deletes. They go into the placement with the
+// same log record.
+type Changes struct {
+	SetDirectives      []placement.Directive
+	DeleteDirectiveIDs []string
+}
+
+// New returns an empty table.
 func New() *Table {
-	return &Table{contracts: map[string]*ActiveContract{}, windows: map[string]*Window{}, halts: map[string]string{},
-		usedMS: map[string]map[string]int64{}}
+	return &Table{
+		contracts: map[string]*ActiveContract{},
+		windows:   map[string]*Window{},
+		halts:     map[string]string{},
+		usedMS:    map[string]map[string]int64{},
+	}
 }
 
-// Snapshot is a table as it is kept in a snapshot.
+// Snapshot is the stored form of a table. Lists are in the order of names.
 type Snapshot struct {
 	Contracts       []*ActiveContract           `json:"contracts,omitempty"`
 	Windows         []*Window                   `json:"windows,omitempty"`
@@ -50,18 +61,27 @@
 	ModRevision     uint64                      `json:"rev"`
 }
 
-// Snapshot gives the whole table, in order. Its windows and contracts are shared: nobody changes them.
+// Snapshot returns the table's content. Later operations on the table do not change it.
 func (t *Table) Snapshot() *Snapshot {
-	snapshot := &Snapshot{Halts: maps.Clone(t.halts), DrainSamplesMS: slices.Clone(t.drainSamplesMS), ReturnSamplesMS: slices.Clone(t.returnSamplesMS),
-		LogTimeMS: t.logTimeMS, Token: t.token, ClockFault: t.clockFault, ModRevision: t.modRevision, UsedMS: map[string]map[string]int64{},
-		Contracts: t.Contracts(), Windows: t.Windows()}
+	snapshot := &Snapshot{
+		Contracts:       t.Contracts(),
+		Windows:         t.Windows(),
+		Halts:           maps.Clone(t.halts),
+		UsedMS:          map[string]map[string]int64{},
+		DrainSamplesMS:  slices.Clone(t.drainSamplesMS),
+		ReturnSamplesMS: slices.Clone(t.returnSamplesMS),
+		LogTimeMS:       t.logTimeMS,
+		Token:           t.token,
+		ClockFault:      t.clockFault,
+		ModRevision:     t.modRevision,
+	}
 	for tenant, months := range t.usedMS {
 		snapshot.UsedMS[tenant] = maps.Clone(months)
 	}
 	return snapshot
 }
 
-// Restore puts a table back, as Save gave it; nil is an empty one.
+// Restore returns a table with the content of a snapshot; nil gives an empty one.
 func Restore(snapshot *Snapshot) *Table {
 	table := New()
 	if snapshot == nil {
@@ -77,21 +97,25 @@
 	for tenant, months := range snapshot.UsedMS {
 		table.usedMS[tenant] = maps.Clone(months)
 	}
-	table.drainSamplesMS, table.returnSamplesMS = slices.Clone(snapshot.DrainSamplesMS), slices.Clone(snapshot.ReturnSamplesMS)
-	table.logTimeMS, table.token, table.clockFault, table.modRevision = snapshot.LogTimeMS, snapshot.Token, snapshot.ClockFault, snapshot.ModRevision
+	table.drainSamplesMS = slices.Clone(snapshot.DrainSamplesMS)
+	table.returnSamplesMS = slices.Clone(snapshot.ReturnSamplesMS)
+	table.logTimeMS = snapshot.LogTimeMS
+	table.token = snapshot.Token
+	table.clockFault = snapshot.ClockFault
+	table.modRevision = snapshot.ModRevision
 	return table
 }
 
-// ModRevision is the revision of the last change.
+// ModRevision is the log revision of the last change.
 func (t *Table) ModRevision() uint64 { return t.modRevision }
 
-// LogTimeMS is the latest logged time.
+// LogTimeMS is the latest time in the log, Unix ms.
 func (t *Table) LogTimeMS() int64 { return t.logTimeMS }
 
-// ClockFault says why the last step's times were not trusted, or "".
+// ClockFault says why the clocks of the last operation were not trusted, or "".
 func (t *Table) ClockFault() string { return t.clockFault }
 
-// Windows gives all windows by name. They are shared: nobody changes them.
+// Windows returns all windows, sorted by name.
 func (t *Table) Windows() []*Window {
 	windows := make([]*Window, 0, len(t.windows))
 	for _, name := range slices.Sorted(maps.Keys(t.windows)) {
@@ -100,68 +124,41 @@
 	return windows
 }
 
-// Window is one window, or nil. It is shared: nobody changes it.
+// Window returns a window by name, or nil.
 func (t *Table) Window(name string) *Window { return t.windows[name] }
 
-// Contracts gives the contracts in force by tenant. They are shared: nobody changes them.
+// Contracts returns the contracts in force, sorted by tenant.
 func (t *Table) Contracts() []*ActiveContract {
 	contracts := make([]*ActiveContract, 0, len(t.contracts))
-	for _, name := range slices.Sorted(maps.Keys(t.contracts)) {
-		contracts = append(contracts, t.contracts[name])
+	for _, tenant := range slices.Sorted(maps.Keys(t.contracts)) {
+		contracts = append(contracts, t.contracts[tenant])
 	}
 	return contracts
 }
 
-// Contract is one tenant's contract in force, or nil.
+// Contract returns the contract of a tenant that is in force, or nil.
 func (t *Table) Contract(tenant string) *ActiveContract { return t.contracts[tenant] }
 
-// Halts gives why, by scope.
-func (t *Table) Halts() map[string]string { return maps.Clone(t.halts) }
-
-// UsedMS is what a tenant's windows were out in a month, as far as they are back.
-func (t *Table) UsedMS(tenant, month string) int64 { return t.usedMS[tenant][month] }
-
-// ExclusionEntries are what sidecars are told of a window, by tenant; none where they are told nothing.
-func (t *Table) ExclusionEntries(window *Window) []placement.Directive {
-	if window.ExcludedUntilMS == 0 {
+// contractOf returns the contract that an approval was computed from, or nil where it is no longer in force.
+func (t *Table) contractOf(approval *Approval) *ActiveContract {
+	active := t.contracts[approval.Tenant]
+	if active == nil || active.Version != approval.ContractVersion {
 		return nil
 	}
-	var entries []placement.Directive
-	for _, approval := range window.Approvals {
-		active := t.contracts[approval.Tenant]
-		if active == nil || active.Version != approval.ContractVersion || window.ExcludedUntilMS > approval.ClosesAtMS-CloseGuardMS {
-			continue
-		}
-		entries = append(entries, placement.Directive{ID: exclusionEntryID(window.Name, approval.Tenant), Kind: placement.KindExclude, Tenant: approval.Tenant,
-			Servers: window.ServerUIDs, MinAvailable: active.MinAvailableShare, ExpiresAtMS: window.ExcludedUntilMS})
-	}
-	return entries
+	return active
 }
 
-func exclusionEntryID(window, tenant string) string { return "window/" + window + "/" + tenant }
+// Halts returns the reasons of all halts, by scope.
+func (t *Table) Halts() map[string]string { return maps.Clone(t.halts) }
 
-// publishExclusions works out which entries an operation has changed.
-func (t *Table) publishExclusions(previous, window *Window) {
-	publishedBefore, publishedNow := map[string]bool{}, map[string]bool{}
-	if previous != nil {
-		for _, approval := range previous.Approvals {
-			publishedBefore[exclusionEntryID(previous.Name, approval.Tenant)] = previous.ExcludedUntilMS != 0
-		}
-	}
-	for _, entry := range t.ExclusionEntries(window) {
-		publishedNow[entry.ID] = true
-		if previous == nil || previous.ExcludedUntilMS != window.ExcludedUntilMS {
-			t.setEntries = append(t.setEntries, entry)
-		}
-	}
-	for _, id := range slices.Sorted(maps.Keys(publishedBefore)) {
-		if publishedBefore[id] && !publishedNow[id] {
-			t.dropEntryIDs = append(t.dropEntryIDs, id)
-		}
-	}
+// store replaces a window by its new version and records the change of its exclusion directives.
+func (t *Table) store(revision uint64, previous, window *Window) {
+	window.ModRevision = revision
+	t.publishExclusions(previous, window)
+	t.windows[window.Name] = window
 }
 
-// evictFinished drops the windows that ended longest ago, beyond what is kept.
+// evictFinished drops the windows that finished longest ago, beyond MaxFinishedWindows.
 func (t *Table) evictFinished() {
 	if len(t.windows) <= MaxFinishedWindows {
 		return
@@ -182,40 +179,3 @@
 		delete(t.windows, window.Name)
 	}
 }
-
-// recordUsage adds the time from a to b (Unix ms) to what the window's tenants have used, by their own months.
-func (t *Table) recordUsage(window *Window, startMS, endMS int64) {
-	for i := range window.Approvals {
-		approval := &window.Approvals[i]
-		for _, month := range splitByMonth(approval, startMS, endMS) {
-			byMonth := t.usedMS[approval.Tenant]
-			if byMonth == nil {
-				byMonth = map[string]int64{}
-				t.usedMS[approval.Tenant] = byMonth
-			}
-			byMonth[month.Name] += month.EndMS - month.StartMS
-			if len(byMonth) > MaxMonthsPerTenant {
-				delete(byMonth, slices.Min(slices.Collect(maps.Keys(byMonth))))
-			}
-		}
-	}
-}
-
-// splitByMonth parts [a, b) by a grant's months. What lies beyond them counts in the nearest: a window that is longer
-// overdue than the months that were written down loses none of its time.
-func splitByMonth(approval *Approval, startMS, endMS int64) []calendar.Month {
-	var months []calendar.Month
-	for i, month := range approval.Months {
-		partStart, partEnd := max(startMS, month.StartMS), min(endMS, month.EndMS)
-		if i == 0 {
-			partStart = startMS
-		}
-		if i == len(approval.Months)-1 {
-			partEnd = endMS
-		}
-		if partStart < partEnd {
-			months = append(months, calendar.Month{Name: month.Name, Interval: calendar.Interval{StartMS: partStart, EndMS: partEnd}})
-		}
-	}
-	return months
-}
--- a/internal/maintenance/table_test.go
+++ b/internal/maintenance/table_test.go
@@ -73,13 +73,13 @@
 }
 
 // checkTransition compares what was before an operation with what is after it; nil: all that was promised holds.
-func checkTransition(table *Table, before *Snapshot, op *Operation, timestamp Timestamp, result Result) error {
+func checkTransition(table *Table, before *Snapshot, op *Operation, timestamp Timestamp, rejection error) error {
 	after := table.Snapshot()
 	forward := op.Kind.advances() || op.Kind == OpMarkOverrun
-	if result.Outcome != OutcomeApplied {
+	if rejection != nil {
 		after.ClockFault, after.ModRevision = before.ClockFault, before.ModRevision
 		if !reflect.DeepEqual(before, after) {
-			return fmt.Errorf("%s was not applied (%s) but changed %s", op.Kind, result.Outcome, cmp.Diff(before, after))
+			return fmt.Errorf("%s was not applied (%s) but changed %s", op.Kind, rejection, cmp.Diff(before, after))
 		}
 		return nil
 	}
@@ -100,10 +100,10 @@
 		}
 	}
 	for _, window := range table.Windows() {
-		for _, entry := range table.ExclusionEntries(window) {
-			active := table.Contract(entry.Tenant)
-			if active == nil || !window.OutOfService() || window.Stage == StageOverrun && entry.ExpiresAtMS > window.ClosesAtMS || entry.ExpiresAtMS > window.ClosesAtMS-CloseGuardMS {
-				return fmt.Errorf("%s is told %v", window.Name, entry)
+		for _, directive := range table.ExclusionDirectives(window) {
+			active := table.Contract(directive.Tenant)
+			if active == nil || !window.OutOfService() || window.Stage == StageOverrun && directive.ExpiresAtMS > window.ClosesAtMS || directive.ExpiresAtMS > window.ClosesAtMS-CloseGuardMS {
+				return fmt.Errorf("%s is told %v", window.Name, directive)
 			}
 		}
 		for _, other := range table.Windows() {
@@ -148,8 +148,8 @@
 			op.ServerUIDs, op.WorkMS = []string{"m0", "w"}, minuteMS
 		}
 		revision++
-		if result := table.Apply(revision, &op, Timestamp{f.openMS + offsetMS, 250, f.openMS + offsetMS, 250}); result.Outcome != OutcomeApplied {
-			panic(fmt.Sprint(op.Kind, result))
+		if _, err := table.Apply(revision, &op, Timestamp{f.openMS + offsetMS, 250, f.openMS + offsetMS, 250}); err != nil {
+			panic(fmt.Sprint(op.Kind, err))
 		}
 		visit(table)
 	}
@@ -178,12 +178,12 @@
 		}
 		for _, timestamp := range stamps {
 			for _, op := range fixture.operations(from, timestamp) {
-				result := next.Apply(before.ModRevision+100, &op, timestamp)
+				_, rejection := next.Apply(before.ModRevision+100, &op, timestamp)
 				operations++
-				if err := checkTransition(next, before, &op, timestamp, result); err != nil {
+				if err := checkTransition(next, before, &op, timestamp, rejection); err != nil {
 					t.Fatalf("%v, at %+v", err, timestamp)
 				}
-				if result.Outcome != OutcomeApplied {
+				if rejection != nil {
 					next.clockFault, next.modRevision = before.ClockFault, before.ModRevision // all else is as it was
 					continue
 				}
@@ -194,7 +194,7 @@
 			}
 		}
 	}
-	fixture.walkStages(first, func(timestamp *Table) { explore(t, cloneTable(timestamp), 2) })
+	fixture.walkStages(first, func(table *Table) { explore(t, cloneTable(table), 2) })
 	t.Logf("%d operations", operations)
 }
 
@@ -210,12 +210,12 @@
 			if op.Token != 0 {
 				op.Token = uint64(rapid.IntRange(4, 6).Draw(rt, "token"))
 			}
-			result := table.Apply(revision, &op, timestamp)
-			if err := checkTransition(table, before, &op, timestamp, result); err != nil {
+			changes, rejection := table.Apply(revision, &op, timestamp)
+			if err := checkTransition(table, before, &op, timestamp, rejection); err != nil {
 				rt.Fatalf("%v, %+v at %+v", err, op, timestamp)
 			}
-			for _, entry := range result.SetEntries {
-				if slices.Contains(result.DropEntryIDs, entry.ID) {
+			for _, entry := range changes.SetDirectives {
+				if slices.Contains(changes.DeleteDirectiveIDs, entry.ID) {
 					rt.Fatalf("%s is set and dropped", entry.ID)
 				}
 			}
--- a/internal/registry/maintenance.go
+++ b/internal/registry/maintenance.go
@@ -42,16 +42,16 @@
 		}
 		op.Token = record.Guard.Token
 	}
-	result := s.windows.Apply(index, &op, *record.Stamp)
-	if result.Outcome != maintenance.OutcomeApplied {
+	changes, err := s.windows.Apply(index, &op, *record.Stamp)
+	if err != nil {
 		outcomes := map[maintenance.Outcome]Outcome{maintenance.OutcomeNotFound: OutcomeNotFound, maintenance.OutcomeLimitExceeded: OutcomeLimitExceeded}
-		outcome, ok := outcomes[result.Outcome]
+		outcome, ok := outcomes[maintenance.OutcomeOf(err)]
 		if !ok {
 			outcome = OutcomeConflict
 		}
-		return Result{outcome, index, string(result.Outcome) + ": " + result.Reason}
+		return Result{outcome, index, err.Error()}
 	}
-	return Result{OutcomeDone, index, cmp.Or(s.applyContractBudget(index, &op), s.publishWindow(index, record.Stamp.LeaderMS, result.SetEntries, result.DropEntryIDs))}
+	return Result{OutcomeDone, index, cmp.Or(s.applyContractBudget(index, &op), s.publishWindow(index, record.Stamp.LeaderMS, changes.SetDirectives, changes.DeleteDirectiveIDs))}
 }
 
 // publishWindow puts what sidecars are told into the placement. Where that is full they keep off nothing new, and the window
