--- a/internal/maintenance/operation.go
+++ b/internal/maintenance/operation.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"milldeck/internal/maintenance/contract"
+	"milldeck/internal/validation"
 )
 
 // OperationKind selects what an operation does. The strings are stored in the log.
@@ -93,35 +94,50 @@
 	return true
 }
 
-// Validate checks an operation before it is written to the log. The error names the JSON field that is wrong.
+// Validate checks an operation before it is written to the log. The error is a *validation.Error that names the JSON
+// field.
 func (op *Operation) Validate() error {
-	switch {
-	case op.Kind.namesWindow() && !validWindowName(op.Window):
-		return invalid("name", "%q is not 1 to %d characters without a slash", op.Window, maxNameLength)
-	case op.Kind == OpSetContract && op.Contract == nil:
-		return invalid("contract", "none")
-	case op.Kind == OpSetContract:
+	if op.Kind.namesWindow() && !validWindowName(op.Window) {
+		return validation.Errorf("name", "%q is not 1 to %d characters without a slash", op.Window, maxNameLength)
+	}
+	switch op.Kind {
+	case OpSetContract:
+		if op.Contract == nil {
+			return validation.Errorf("contract", "none")
+		}
 		return op.Contract.Validate()
-	case op.Kind == OpWithdrawContract && op.Tenant == "":
-		return invalid("tenant", "none")
-	case op.Kind == OpPropose && (len(op.ServerUIDs) == 0 || len(op.ServerUIDs) > MaxServersPerWindow):
-		return invalid("servers", "%d, wanted 1 to %d", len(op.ServerUIDs), MaxServersPerWindow)
-	case op.Kind == OpPropose && (op.WorkMS <= 0 || op.WorkMS > maxWorkMS):
-		return invalid("work_ms", "%d is not within 1 to %d", op.WorkMS, maxWorkMS)
-	case (op.Kind == OpHalt || op.Kind == OpResume) && !validScope(op.Scope):
-		return invalid("scope", "%q is not empty, tenant/NAME or window/NAME", op.Scope)
+	case OpWithdrawContract:
+		if op.Tenant == "" {
+			return validation.Errorf("tenant", "none")
+		}
+	case OpPropose:
+		if err := op.validateProposal(); err != nil {
+			return err
+		}
+	case OpHalt, OpResume:
+		if !validScope(op.Scope) {
+			return validation.Errorf("scope", "%q is not empty, tenant/NAME or window/NAME", op.Scope)
+		}
+	}
+	switch {
 	case len(op.Scope) > maxNameLength+len(scopeTenant):
-		return invalid("scope", "over %d characters", maxNameLength+len(scopeTenant))
+		return validation.Errorf("scope", "over %d characters", maxNameLength+len(scopeTenant))
 	case len(op.Reason) > maxReasonLength:
-		return invalid("why", "%d bytes, at most %d", len(op.Reason), maxReasonLength)
+		return validation.Errorf("why", "%d bytes, at most %d", len(op.Reason), maxReasonLength)
 	case op.Kind.RequiresToken() && op.Token == 0:
-		return invalid("token", "none")
+		return validation.Errorf("token", "none")
 	}
 	return nil
 }
 
-func invalid(field, format string, args ...any) error {
-	return fmt.Errorf("%s: %s", field, fmt.Sprintf(format, args...))
+func (op *Operation) validateProposal() error {
+	if len(op.ServerUIDs) == 0 || len(op.ServerUIDs) > MaxServersPerWindow {
+		return validation.Errorf("servers", "%d, wanted 1 to %d", len(op.ServerUIDs), MaxServersPerWindow)
+	}
+	if op.WorkMS <= 0 || op.WorkMS > maxWorkMS {
+		return validation.Errorf("work_ms", "%d is not within 1 to %d", op.WorkMS, maxWorkMS)
+	}
+	return nil
 }
 
 func validWindowName(name string) bool {
