--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -1,15 +1,14 @@
 package registry
 
 import (
-	"bufio"
 	"bytes"
-	"cmp"
 	"context"
 	"crypto/rand"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	mrand "math/rand/v2"
 	"net"
 	"net/http"
@@ -21,16 +20,17 @@
 )
 
 const (
-	attemptTimeout   = 4 * time.Second // for one call; the registry answers or gives up within 3 s
+	attemptTimeout   = 4 * time.Second // of one attempt; a replica answers or gives up within 3 s
 	initialBackoff   = 50 * time.Millisecond
-	maxBackoff       = 250 * time.Millisecond // an election takes about a second: most of it would be missed otherwise
-	maxAttempts      = 100                    // of one call; ctx usually ends it sooner
+	maxBackoff       = 250 * time.Millisecond // an election takes about a second: with longer backoffs a call would outlast it
+	maxAttempts      = 100                    // of one call; its context usually ends sooner
 	maxResponseBytes = 64 << 20
-	// HeartbeatTimeout is two empty lines that did not come: the connection is cut off, or its replica is.
-	HeartbeatTimeout = 4500 * time.Millisecond
+
+	maxIdleConnsPerReplica = 16
+	idleConnTimeout        = 30 * time.Second
 )
 
-// StatusError is an answer that is no success and that no other replica would better.
+// StatusError is an answer with an HTTP status other than 200, which another replica would give as well.
 type StatusError struct {
 	StatusCode int
 	Message    string
@@ -38,57 +38,70 @@
 
 func (e *StatusError) Error() string { return fmt.Sprintf("%d: %s", e.StatusCode, e.Message) }
 
-// Client talks to a cluster: to one replica, and to another when that fails. It is safe for concurrent use.
+// Client calls a cluster: one replica, and the next when that fails. It is safe for concurrent use.
 type Client struct {
 	replicas   []string
 	httpClient *http.Client
-	current    atomic.Int64
+	current    atomic.Int64 // counts replicas that have failed: its remainder is the index of the one in use
+	logger     *slog.Logger
 }
 
-// NewClient makes a client of the replicas at these HTTP addresses.
+// NewClient makes a client of the replicas at these HTTP addresses (IP address and port, loopback).
 func NewClient(replicas []string) (*Client, error) {
 	if len(replicas) == 0 {
 		return nil, errors.New("no replicas")
 	}
 	for _, address := range replicas {
-		if err := checkLoopback("replica", address); err != nil {
+		if err := CheckLoopback("replica", address); err != nil {
 			return nil, err
 		}
 	}
-	client := &Client{replicas: replicas, httpClient: &http.Client{Transport: &http.Transport{
-		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second,
-		DisableCompression: true,
-	}}}
+	client := &Client{
+		replicas: replicas,
+		httpClient: &http.Client{Transport: &http.Transport{
+			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+			MaxIdleConnsPerHost: maxIdleConnsPerReplica, IdleConnTimeout: idleConnTimeout, DisableCompression: true,
+		}},
+		logger: componentLogger(),
+	}
 	client.current.Store(int64(mrand.IntN(len(replicas))))
 	return client, nil
 }
 
-// Close ends the client's idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
-// Replicas are the addresses it knows.
+// Replicas are the addresses that the client was made with.
 func (c *Client) Replicas() []string { return c.replicas }
 
-// NewID names a write, so that its repeat is not done twice.
+// NewID draws an idempotency key for a write.
 func NewID() string { return rand.Text() }
 
-// call makes one call until an answer comes that counts, moving on from replica to replica. Each call may be
-// repeated: writes carry an id.
+// replica is the address in use, and the value of current that goes with it.
+func (c *Client) replica() (address string, current int64) {
+	current = c.current.Load()
+	return c.replicas[int(current)%len(c.replicas)], current
+}
+
+// nextReplica moves on from the replica that current stands for, unless another call has done so.
+func (c *Client) nextReplica(current int64) { c.current.CompareAndSwap(current, current+1) }
+
+// call retries a call, at one replica after the other, until one answers other than 503 Service Unavailable. Every call
+// may be repeated: writes carry an idempotency key.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, response any) error {
 	backoff := initialBackoff
 	var lastErr error
 	for range maxAttempts {
-		current := c.current.Load()
-		err := c.attempt(ctx, method, "http://"+c.replicas[int(current)%len(c.replicas)]+path, body, response)
-		var statusErr *StatusError
-		switch {
-		case err == nil, errors.As(err, &statusErr) && statusErr.StatusCode != http.StatusServiceUnavailable:
+		address, current := c.replica()
+		err := c.attempt(ctx, method, "http://"+address+path, body, response)
+		if err == nil || isFinal(err) {
 			return err
-		case ctx.Err() != nil:
+		}
+		if ctx.Err() != nil {
 			return errors.Join(lastErr, ctx.Err())
 		}
 		lastErr = err
-		c.current.CompareAndSwap(current, current+1)
+		c.nextReplica(current)
 		select {
 		case <-ctx.Done():
 			return errors.Join(lastErr, ctx.Err())
@@ -99,6 +112,14 @@
 	return fmt.Errorf("no replica answers: %w", lastErr)
 }
 
+// isFinal reports whether an error is an answer that another replica would give as well.
+func isFinal(err error) bool {
+	var statusErr *StatusError
+	return errors.As(err, &statusErr) && statusErr.StatusCode != http.StatusServiceUnavailable
+}
+
+// attempt makes one attempt of a call. Response is what the JSON of the answer is decoded into, a *[]byte for the answer
+// as it is, or nil.
 func (c *Client) attempt(ctx context.Context, method, requestURL string, body []byte, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -116,38 +137,69 @@
 		return err
 	}
 	if httpResponse.StatusCode != http.StatusOK {
-		var failure struct {
-			Error string `json:"error"`
-			Why   string `json:"why"`
-		}
-		if json.Unmarshal(data, &failure) != nil || failure.Error+failure.Why == "" {
-			failure.Error = strings.TrimSpace(string(data))
-		}
-		return &StatusError{httpResponse.StatusCode, failure.Error + failure.Why}
+		return newStatusError(httpResponse.StatusCode, data)
 	}
-	if raw, ok := response.(*[]byte); ok {
-		*raw = data
+	switch response := response.(type) {
+	case nil:
 		return nil
-	}
-	if response == nil {
+	case *[]byte:
+		*response = data
 		return nil
+	default:
+		return json.Unmarshal(data, response)
+	}
+}
+
+// newStatusError makes an error of an answer: an error, or the result of a write that was not applied.
+func newStatusError(statusCode int, data []byte) *StatusError {
+	var failure struct {
+		Error  string `json:"error"`
+		Reason string `json:"why"`
 	}
-	return json.Unmarshal(data, response)
+	if json.Unmarshal(data, &failure) != nil || failure.Error+failure.Reason == "" {
+		failure.Error = strings.TrimSpace(string(data))
+	}
+	return &StatusError{statusCode, failure.Error + failure.Reason}
 }
 
-func (c *Client) post(ctx context.Context, path string, request, response any) error {
-	data, err := json.Marshal(request)
+// get makes a GET call and decodes its answer.
+func get[T any](ctx context.Context, client *Client, path string) (T, error) {
+	var response T
+	err := client.call(ctx, http.MethodGet, path, nil, &response)
+	return response, err
+}
+
+// post makes a POST call with a JSON body and decodes its answer.
+func post[T any](ctx context.Context, client *Client, path string, request any) (T, error) {
+	var response T
+	body, err := json.Marshal(request)
 	if err != nil {
-		return err
+		return response, err
+	}
+	err = client.call(ctx, http.MethodPost, path, body, &response)
+	return response, err
+}
+
+// remove makes a DELETE call and decodes its answer.
+func remove[T any](ctx context.Context, client *Client, path string) (T, error) {
+	var response T
+	err := client.call(ctx, http.MethodDelete, path, nil, &response)
+	return response, err
+}
+
+// withFresh adds the query that asks for a linearizable read.
+func withFresh(path string, fresh bool) string {
+	if fresh {
+		return path + "?fresh=1"
 	}
-	return c.call(ctx, http.MethodPost, path, data, response)
+	return path
 }
 
-// WriteOptions is what all writes carry.
+// WriteOptions are the options of a write.
 type WriteOptions struct {
-	ID         string  // "" takes a new one
-	IfRevision *uint64 // the revision that the entry must have; 0: it must not be there. nil: any
-	Guard      *Guard  // the duty under whose token the write counts, for Register and SetState; nil: none
+	ID         string  // idempotency key; "": one is drawn
+	IfRevision *uint64 // revision that the entry must have; 0: it must not exist; nil: any
+	Guard      *Guard  // lease whose token must be valid; nil: none
 }
 
 func (w *WriteOptions) ensureID() string {
@@ -158,35 +210,22 @@
 }
 
 // Register registers instances, all or none.
-func (c *Client) Register(ctx context.Context, options WriteOptions, targets ...Instance) (Result, error) {
-	var result Result
-	body := map[string]any{"id": options.ensureID(), "targets": targets}
-	if options.IfRevision != nil {
-		body["if_rev"] = *options.IfRevision
-	}
-	if options.Guard != nil {
-		body["guard"] = options.Guard
-	}
-	return result, c.post(ctx, "/registry/instances", body, &result)
+func (c *Client) Register(ctx context.Context, options WriteOptions, instances ...Instance) (Result, error) {
+	return post[Result](ctx, c, "/registry/instances", registerRequest{
+		Guard: options.Guard, ID: options.ensureID(), IfRevision: options.IfRevision, Targets: instances,
+	})
 }
 
-// RenewInstances extends the leases of instances; those unknown have to be registered again.
+// RenewInstances sends the heartbeat of instances: it renews their leases. The unknown ones have to be registered again.
 func (c *Client) RenewInstances(ctx context.Context, uids []string) (InstanceRenewal, error) {
-	var renewal InstanceRenewal
-	return renewal, c.post(ctx, "/registry/renew", map[string]any{"uids": uids}, &renewal)
+	return post[InstanceRenewal](ctx, c, "/registry/renew", renewRequest{uids})
 }
 
-// SetState sets an instance's state.
+// SetState sets the state of an instance, InstanceReady or InstanceTerminating.
 func (c *Client) SetState(ctx context.Context, options WriteOptions, uid, state string) (Result, error) {
-	var result Result
-	body := map[string]any{"id": options.ensureID(), "uid": uid, "state": state}
-	if options.IfRevision != nil {
-		body["if_rev"] = *options.IfRevision
-	}
-	if options.Guard != nil {
-		body["guard"] = options.Guard
-	}
-	return result, c.post(ctx, "/registry/state", body, &result)
+	return post[Result](ctx, c, "/registry/state", setStateRequest{
+		Guard: options.Guard, ID: options.ensureID(), IfRevision: options.IfRevision, State: state, UID: uid,
+	})
 }
 
 // Deregister removes an instance.
@@ -195,114 +234,20 @@
 	if options.IfRevision != nil {
 		query.Set("if_rev", strconv.FormatUint(*options.IfRevision, 10))
 	}
-	var result Result
-	return result, c.call(ctx, http.MethodDelete, "/registry/instances/"+url.PathEscape(uid)+"?"+query.Encode(), nil, &result)
+	return remove[Result](ctx, c, "/registry/instances/"+url.PathEscape(uid)+"?"+query.Encode())
 }
 
-// Get reads one instance; fresh asks the leader for what no later write has changed.
+// Get reads one instance. Fresh makes it a linearizable read, at the leader.
 func (c *Client) Get(ctx context.Context, uid string, fresh bool) (Instance, error) {
-	path := "/registry/instances/" + url.PathEscape(uid)
-	if fresh {
-		path += "?fresh=1"
-	}
-	var instance Instance
-	return instance, c.call(ctx, http.MethodGet, path, nil, &instance)
+	return get[Instance](ctx, c, withFresh("/registry/instances/"+url.PathEscape(uid), fresh))
 }
 
-// List reads the whole list.
+// List reads the endpoint list. Fresh makes it a linearizable read, at the leader.
 func (c *Client) List(ctx context.Context, fresh bool) (EndpointList, error) {
-	path := "/registry/instances"
-	if fresh {
-		path += "?fresh=1"
-	}
-	var list EndpointList
-	return list, c.call(ctx, http.MethodGet, path, nil, &list)
+	return get[EndpointList](ctx, c, withFresh("/registry/instances", fresh))
 }
 
-// ResolveSuspects decides on what was held back: expire removes them, else they count as alive.
+// ResolveSuspects expires the instances whose expiry is held back, or clears them: they count as alive.
 func (c *Client) ResolveSuspects(ctx context.Context, expire bool) (Result, error) {
-	var result Result
-	return result, c.post(ctx, "/registry/suspects", map[string]bool{"expire": expire}, &result)
-}
-
-// Members lists the replicas.
-func (c *Client) Members(ctx context.Context) ([]Member, error) {
-	var members []Member
-	return members, c.call(ctx, http.MethodGet, "/registry/members", nil, &members)
-}
-
-// AddMember takes a replica into the cluster; it has to run, with an empty folder.
-func (c *Client) AddMember(ctx context.Context, member Member) ([]Member, error) {
-	var members []Member
-	return members, c.post(ctx, "/registry/members", member, &members)
-}
-
-// RemoveMember takes a replica out of the cluster.
-func (c *Client) RemoveMember(ctx context.Context, httpAddr string) ([]Member, error) {
-	var members []Member
-	return members, c.call(ctx, "DELETE", "/registry/members?"+url.Values{"http": {httpAddr}}.Encode(), nil, &members)
-}
-
-// SaveSnapshot reads the leader's state as a snapshot, and checks it.
-func (c *Client) SaveSnapshot(ctx context.Context) ([]byte, error) {
-	var data []byte
-	if err := c.call(ctx, http.MethodGet, "/registry/snapshot?fresh=1", nil, &data); err != nil {
-		return nil, err
-	}
-	_, err := ReadSnapshot(bytes.NewReader(data))
-	return data, err
-}
-
-// RestoreSnapshot puts a snapshot in place of the cluster's state, under a new epoch.
-func (c *Client) RestoreSnapshot(ctx context.Context, data []byte) (Result, error) {
-	var result Result
-	return result, c.call(ctx, http.MethodPost, "/registry/snapshot", data, &result)
-}
-
-// ReplicaStatus asks one replica how it is.
-func (c *Client) ReplicaStatus(ctx context.Context, replica string) (Status, error) {
-	var status Status
-	return status, c.attempt(ctx, http.MethodGet, "http://"+replica+"/registry/status", nil, &status)
-}
-
-// errHeartbeatTimeout is why a watch ends that says nothing.
-var errHeartbeatTimeout = errors.New("no line in time")
-
-// maxWatchLineBytes bounds one line of a watch.
-const maxWatchLineBytes = 32 << 20
-
-// WatchEndpoints follows one replica's list after a revision of an epoch, until ctx or the watch ends, which is
-// always an error. Each line is handed on; nil is an empty one. Age is how old the replica's list was at first.
-func (c *Client) WatchEndpoints(ctx context.Context, replica string, revision, epoch uint64, handle func(list *EndpointList, age time.Duration) error) error {
-	return watchStream(ctx, c, replica, "instances", revision, epoch, handle)
-}
-
-// streamLines reads a watch line by line until ctx, the watch or the replica's voice ends, which is always an error.
-func (c *Client) streamLines(ctx context.Context, watchURL string, onHeader func(http.Header), handle func([]byte) error) error {
-	ctx, cancel := context.WithCancelCause(ctx)
-	defer cancel(nil)
-	silenceTimer := time.AfterFunc(HeartbeatTimeout, func() { cancel(errHeartbeatTimeout) })
-	defer silenceTimer.Stop()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, watchURL, nil)
-	if err != nil {
-		return err
-	}
-	response, err := c.httpClient.Do(request)
-	if err != nil {
-		return cmp.Or(context.Cause(ctx), err)
-	}
-	defer response.Body.Close()
-	if response.StatusCode != http.StatusOK {
-		return &StatusError{response.StatusCode, response.Status}
-	}
-	onHeader(response.Header)
-	scanner := bufio.NewScanner(response.Body)
-	scanner.Buffer(make([]byte, 0, 4096), maxWatchLineBytes)
-	for scanner.Scan() {
-		silenceTimer.Reset(HeartbeatTimeout)
-		if err := handle(bytes.TrimSpace(scanner.Bytes())); err != nil {
-			return err
-		}
-	}
-	return cmp.Or(context.Cause(ctx), scanner.Err(), io.ErrUnexpectedEOF)
+	return post[Result](ctx, c, "/registry/suspects", suspectsRequest{expire})
 }
--- /dev/null
+++ b/internal/registry/client_controllers.go
@@ -0,0 +1,68 @@
+package registry
+
+import (
+	"context"
+	"fmt"
+	"net/url"
+
+	"milldeck/internal/maintenance"
+	"milldeck/internal/placement"
+	"milldeck/internal/release"
+)
+
+// SetPlacement sets directives and removes those with the ids given, all or none, under a guard that has to be the lease
+// of their owner. WriterTimeMS is the writer's clock (Unix ms), by which it chose the end of the directives: the write is
+// rejected if that differs from the leader's by more than 5 s. The result's revision is that of the placement.
+func (c *Client) SetPlacement(ctx context.Context, options WriteOptions, writerTimeMS int64, set []placement.Directive, remove ...string) (Result, error) {
+	return post[Result](ctx, c, "/registry/placement", PlacementRequest{options.ensureID(), options.Guard, writerTimeMS, set, remove})
+}
+
+// RemovePlacement removes directives; one that does not exist counts as removed.
+func (c *Client) RemovePlacement(ctx context.Context, options WriteOptions, ids ...string) (Result, error) {
+	return c.SetPlacement(ctx, options, 0, nil, ids...)
+}
+
+// PlacementView reads the complete placement. Fresh makes it a linearizable read, at the leader.
+func (c *Client) PlacementView(ctx context.Context, fresh bool) (placement.Update, error) {
+	return get[placement.Update](ctx, c, withFresh("/registry/placement", fresh))
+}
+
+// WriteRelease applies an operation to a release. A step of its controller needs the guard of the release's lease.
+func (c *Client) WriteRelease(ctx context.Context, options WriteOptions, name string, op release.Operation) (Result, error) {
+	if op.Start == nil {
+		op.Name = name
+	}
+	return post[Result](ctx, c, "/releases/"+url.PathEscape(name), ReleaseRequest{options.ensureID(), options.Guard, op})
+}
+
+// Release reads a release. Brief omits its units and plan; fresh makes it a linearizable read.
+func (c *Client) Release(ctx context.Context, name string, brief, fresh bool) (ReleaseView, error) {
+	query := url.Values{}
+	if brief {
+		query.Set("brief", "1")
+	}
+	if fresh {
+		query.Set("fresh", "1")
+	}
+	return get[ReleaseView](ctx, c, "/releases/"+url.PathEscape(name)+"?"+query.Encode())
+}
+
+// Releases reads all releases, without their units and plans.
+func (c *Client) Releases(ctx context.Context) ([]ReleaseView, error) {
+	return get[[]ReleaseView](ctx, c, "/releases")
+}
+
+// Windows reads contracts and maintenance windows, and what their controller needs. Fresh makes it a linearizable read.
+func (c *Client) Windows(ctx context.Context, fresh bool) (*WindowsView, error) {
+	view, err := get[WindowsView](ctx, c, withFresh("/windows", fresh))
+	if err != nil {
+		return nil, fmt.Errorf("windows: %w", err)
+	}
+	return &view, nil
+}
+
+// WriteWindow applies an operation to contracts and maintenance windows. A step of the controller needs the guard of its
+// lease and its time; an operation of an operator has the zero Timestamp.
+func (c *Client) WriteWindow(ctx context.Context, options WriteOptions, at maintenance.Timestamp, op maintenance.Operation) (Result, error) {
+	return post[Result](ctx, c, "/windows", WindowRequest{options.ensureID(), options.Guard, at.ControllerMS, at.UncertaintyMS, op})
+}
--- a/internal/registry/client_ledger.go
+++ b/internal/registry/client_ledger.go
@@ -2,23 +2,21 @@
 
 import (
 	"context"
-	"net/http"
 	"net/url"
 
 	"milldeck/internal/disruption"
 )
 
-// ApplyLedgerOp makes one operation of the ledger. A permit that it is about is in the result as it is after it: one that was
-// asked for may have to wait, and is looked at again with Permit. A StatusError of 409 says why it is refused, one of
-// 404 that there is no such permit. The write's guard has to be of the operation's owner, unless that is an operator.
+// ApplyLedgerOp applies an operation to the disruption ledger. The result has the permit that it concerns, as it is
+// afterwards: a requested one may have to wait, and Permit polls it. A StatusError of 409 says why the operation was
+// rejected, one of 404 that the permit does not exist. The guard has to be the lease of the operation's owner, unless
+// that is an operator.
 func (c *Client) ApplyLedgerOp(ctx context.Context, options WriteOptions, op disruption.Op) (LedgerResult, error) {
-	var result LedgerResult
 	request := LedgerRequest{ID: options.ensureID(), Guard: options.Guard, Op: op}
-	return result, c.post(ctx, "/ledger/"+url.PathEscape(string(op.Kind)), request, &result)
+	return post[LedgerResult](ctx, c, "/ledger/"+url.PathEscape(string(op.Kind)), request)
 }
 
-// LedgerView reads the ledger, with all units or those alone that count as out; fresh asks the leader for what no
-// later write has changed.
+// LedgerView reads the ledger, with all units or only those that count as out. Fresh makes it a linearizable read.
 func (c *Client) LedgerView(ctx context.Context, fresh, units bool) (disruption.View, error) {
 	query := url.Values{}
 	if fresh {
@@ -27,27 +25,23 @@
 	if units {
 		query.Set("units", "1")
 	}
-	var view disruption.View
-	return view, c.call(ctx, http.MethodGet, "/ledger?"+query.Encode(), nil, &view)
+	return get[disruption.View](ctx, c, "/ledger?"+query.Encode())
 }
 
-// Permit reads a permit, as the leader has it.
+// Permit reads a permit; the read is linearizable.
 func (c *Client) Permit(ctx context.Context, id string) (disruption.Permit, error) {
-	var permit disruption.Permit
-	return permit, c.call(ctx, http.MethodGet, "/ledger/permits/"+url.PathEscape(id)+"?fresh=1", nil, &permit)
+	return get[disruption.Permit](ctx, c, withFresh("/ledger/permits/"+url.PathEscape(id), true))
 }
 
-// RegisterSidecars registers sidecars and renews their leases, in one call.
+// RegisterSidecars registers sidecars and renews the leases of known ones.
 func (c *Client) RegisterSidecars(ctx context.Context, request SidecarRequest) (Result, error) {
 	if request.ID == "" {
 		request.ID = NewID()
 	}
-	var result Result
-	return result, c.post(ctx, "/registry/sidecars", request, &result)
+	return post[Result](ctx, c, "/registry/sidecars", request)
 }
 
 // Sidecars lists the sidecars, as the leader knows them.
 func (c *Client) Sidecars(ctx context.Context) ([]Sidecar, error) {
-	var sidecars []Sidecar
-	return sidecars, c.call(ctx, http.MethodGet, "/registry/sidecars", nil, &sidecars)
+	return get[[]Sidecar](ctx, c, "/registry/sidecars")
 }
--- a/internal/registry/fixtures_test.go
+++ b/internal/registry/fixtures_test.go
@@ -5,12 +5,10 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"os"
 	"path/filepath"
 	"regexp"
 	"strings"
@@ -20,6 +18,7 @@
 	"time"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/goldentest"
 	"milldeck/internal/leaderelection/leasetable"
 	"milldeck/internal/maintenance"
 	"milldeck/internal/maintenance/calendar"
@@ -29,33 +28,6 @@
 	"milldeck/internal/release"
 )
 
-// The golden files pin what other versions of the program read: the raft log, snapshots, HTTP bodies and requests.
-// They were written by the version that introduced these tests; -update writes them anew, which is right only for a
-// format that no released version has written.
-var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
-
-// golden compares data with a file under testdata.
-func golden(t *testing.T, name string, data []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, data, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(data, want) {
-		t.Errorf("%s has changed:\n%s\nwas\n%s", path, data, want)
-	}
-}
-
 // logEntry is one record at its index in the log.
 type logEntry struct {
 	name   string
@@ -92,8 +64,8 @@
 	lease := func(name string, op leasetable.Operation) uint64 {
 		return add(name, registry.Record{Op: registry.OpLease, Lease: &op})
 	}
-	ledger := func(name string, guard *registry.Guard, op disruption.Op) uint64 {
-		return add(name, registry.Record{Op: registry.OpLedger, ID: "write-" + name, Guard: guard, Ledger: &op})
+	ledger := func(name string, guard *registry.Guard, op disruption.Op) {
+		add(name, registry.Record{Op: registry.OpLedger, ID: "write-" + name, Guard: guard, Ledger: &op})
 	}
 	maintenanceOp := func(name string, guard *registry.Guard, offsetMS int64, op maintenance.Operation) uint64 {
 		stamp := &maintenance.Timestamp{ControllerMS: monday + offsetMS, UncertaintyMS: 100, LeaderMS: monday + offsetMS + 20, LeaderUncertaintyMS: 250}
@@ -250,11 +222,8 @@
 		if err != nil {
 			t.Fatalf("%s: %v", entry.name, err)
 		}
-		golden(t, filepath.Join("records", entry.name+".record"), stored)
-		stored, err = os.ReadFile(filepath.Join("testdata", "records", entry.name+".record"))
-		if err != nil {
-			t.Fatal(err)
-		}
+		goldentest.Compare(t, filepath.Join("records", entry.name+".record"), stored)
+		stored = goldentest.Read(t, filepath.Join("records", entry.name+".record"))
 		decoded, err := registry.DecodeRecord(stored)
 		if err != nil {
 			t.Fatalf("%s: %v", entry.name, err)
@@ -277,7 +246,7 @@
 			t.Errorf("no record of operation %q", op)
 		}
 	}
-	golden(t, "states.txt", states.Bytes())
+	goldentest.Compare(t, "states.txt", states.Bytes())
 }
 
 // TestStoredSnapshots reads stored snapshots and writes the same bytes again: the state of all records before a restore,
@@ -303,11 +272,8 @@
 			if err := state.WriteSnapshot(&written); err != nil {
 				t.Fatal(err)
 			}
-			golden(t, name, written.Bytes())
-			stored, err := os.ReadFile(filepath.Join("testdata", name))
-			if err != nil {
-				t.Fatal(err)
-			}
+			goldentest.Compare(t, name, written.Bytes())
+			stored := goldentest.Read(t, name)
 			restored, err := registry.ReadSnapshot(bytes.NewReader(stored))
 			if err != nil {
 				t.Fatal(err)
@@ -444,9 +410,9 @@
 			if err := write(recorder); err != nil {
 				t.Fatal(err)
 			}
-			golden(t, name, []byte(recorder.take()))
+			goldentest.Compare(t, name, []byte(recorder.take()))
 		}
-		golden(t, "watch.txt", []byte(out.String()))
+		goldentest.Compare(t, "watch.txt", []byte(out.String()))
 	})
 }
 
@@ -636,7 +602,7 @@
 	if !errors.Is(err, stop) {
 		t.Errorf("watch of the placement: %v", err)
 	}
-	golden(t, "client.txt", calls.Bytes())
+	goldentest.Compare(t, "client.txt", calls.Bytes())
 }
 
 // TestKeepAliveRequests pins the requests that register instances and renew their leases: an instance that the registry
@@ -653,5 +619,5 @@
 	if err := keepAlive.RenewOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "keepalive.txt", e.requests.Bytes())
+	goldentest.Compare(t, "keepalive.txt", e.requests.Bytes())
 }
--- /dev/null
+++ b/internal/registry/fsm.go
@@ -0,0 +1,65 @@
+package registry
+
+import (
+	"errors"
+	"fmt"
+	"io"
+
+	"github.com/hashicorp/raft"
+)
+
+// fsm is the replica as raft drives it.
+type fsm Replica
+
+// Apply applies a log entry, and returns a Result or an error. Replicas that skip an entry which they cannot read would
+// diverge, so the replica fails.
+func (f *fsm) Apply(entry *raft.Log) any {
+	replica := (*Replica)(f)
+	record, err := DecodeRecord(entry.Data)
+	if err == nil {
+		var result Result
+		if result, err = replica.hub.Apply(entry.Index, record); err == nil {
+			return result
+		}
+	}
+	replica.fail(fmt.Errorf("log entry %d: %w", entry.Index, err))
+	return err
+}
+
+// Snapshot returns a snapshot of the state at this moment.
+func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
+	buffer := &snapshotBuffer{}
+	var err error
+	(*Replica)(f).hub.Read(func(state *StateMachine) { err = state.WriteSnapshot(buffer) })
+	return buffer, err
+}
+
+// Restore replaces the state by a snapshot.
+func (f *fsm) Restore(from io.ReadCloser) error {
+	defer from.Close()
+	state, err := ReadSnapshot(from)
+	if err != nil {
+		return err
+	}
+	(*Replica)(f).hub.Replace(state)
+	return nil
+}
+
+// snapshotBuffer holds the bytes of a snapshot until raft has persisted them.
+type snapshotBuffer struct{ data []byte }
+
+func (b *snapshotBuffer) Write(data []byte) (int, error) {
+	b.data = append(b.data, data...)
+	return len(data), nil
+}
+
+// Persist writes the snapshot to raft's store.
+func (b *snapshotBuffer) Persist(sink raft.SnapshotSink) error {
+	if _, err := sink.Write(b.data); err != nil {
+		return errors.Join(err, sink.Cancel())
+	}
+	return sink.Close()
+}
+
+// Release does nothing: the buffer is collected.
+func (b *snapshotBuffer) Release() {}
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -15,23 +15,40 @@
 )
 
 const (
-	maxBodyBytes      = 4 << 20 // the largest batch that may be registered is under it
+	maxBodyBytes      = 4 << 20 // the largest batch that may be registered is below it
+	maxHeaderBytes    = 16 << 10
 	readHeaderTimeout = 3 * time.Second
 	readBodyTimeout   = 5 * time.Second
 	idleTimeout       = 60 * time.Second
 	maxWatchers       = 20_000
-	// retryAfterSeconds is what a client is told to wait while there is no leader: an election takes about so long.
+	// retryAfterSeconds is the Retry-After of answers without a leader: an election takes about so long.
 	retryAfterSeconds = "0.3"
 
-	// staleAfter is the age from which on a replica's silence is no news.
+	// staleAfter is the age of the state above which a replica sends no heartbeats: it would not know of a change.
 	staleAfter = 3 * time.Second
+)
 
-	// AgeHeader and FreshHeader tell readers how old a replica's list may be (ms), and whether a leader that
-	// has just proved its leadership says so.
-	AgeHeader   = "X-Registry-Age-Ms"
+const (
+	// AgeHeader is how old the replica's state may be, in ms.
+	AgeHeader = "X-Registry-Age-Ms"
+	// FreshHeader is true if the replica leads and has verified that within maxFreshAge.
 	FreshHeader = "X-Registry-Fresh"
 )
 
+// statusCode is the HTTP status that a write with the outcome is answered with.
+func (o Outcome) statusCode() int {
+	switch o {
+	case OutcomeDone:
+		return http.StatusOK
+	case OutcomeNotFound:
+		return http.StatusNotFound
+	case OutcomeLimitExceeded:
+		return http.StatusInsufficientStorage
+	default:
+		return http.StatusConflict
+	}
+}
+
 func (r *Replica) newHTTPServer() *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", r.serveList)
@@ -66,48 +83,63 @@
 	mux.HandleFunc("GET /health/ready", r.serveReady)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(r.metrics.registry, promhttp.HandlerOpts{}))
 	return &http.Server{
-		Handler: mux, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: 16 << 10,
+		Handler: mux, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 }
 
-// writeJSON writes one JSON object on a line.
+// writeJSON answers with a value as one line of JSON.
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(value); err != nil {
-		slog.Debug("answer not written", "error", err)
+		componentLogger().Debug("response not written", "error", err)
 	}
 }
 
-// writeError answers with one line of text that says what is wrong.
+// errorResponse is the body of an answer that is an error.
+type errorResponse struct {
+	Error string `json:"error"`
+}
+
+// writeError answers with an error as one line of JSON.
 func writeError(w http.ResponseWriter, status int, err error) {
-	writeJSON(w, status, map[string]string{"error": err.Error()})
+	writeJSON(w, status, errorResponse{err.Error()})
+}
+
+// writeRetryable answers with an error that the client may retry after retryAfterSeconds.
+func writeRetryable(w http.ResponseWriter, err error) {
+	w.Header().Set("Retry-After", retryAfterSeconds)
+	writeError(w, http.StatusServiceUnavailable, err)
+}
+
+// writeNoLeader answers while there is no leader.
+func (r *Replica) writeNoLeader(w http.ResponseWriter) {
+	writeRetryable(w, errors.New("there is no leader"))
 }
 
-// leaderOnly sends writers on to the leader.
+// leaderOnly serves a request at the leader, and redirects it there from other replicas.
 func (r *Replica) leaderOnly(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		if r.isLeader.Load() && r.raft.State() == raft.Leader {
 			handler(w, request)
 			return
 		}
-		leader := r.leaderAddr()
-		if leader == "" || leader == r.options.HTTPAddr {
-			r.writeNoLeader(w)
-			return
-		}
-		w.Header().Set("Location", "http://"+leader+request.URL.RequestURI())
-		w.WriteHeader(http.StatusTemporaryRedirect)
+		r.redirectToLeader(w, request)
 	}
 }
 
-func (r *Replica) writeNoLeader(w http.ResponseWriter) {
-	w.Header().Set("Retry-After", retryAfterSeconds)
-	writeError(w, http.StatusServiceUnavailable, errors.New("there is no leader"))
+func (r *Replica) redirectToLeader(w http.ResponseWriter, request *http.Request) {
+	leader := r.leaderAddr()
+	if leader == "" || leader == r.options.HTTPAddr {
+		r.writeNoLeader(w)
+		return
+	}
+	w.Header().Set("Location", "http://"+leader+request.URL.RequestURI())
+	w.WriteHeader(http.StatusTemporaryRedirect)
 }
 
-// queryUint reads a query's figure; absent it is 0.
+// queryUint reads a number of the query; it is 0 where the query does not have it.
 func queryUint(request *http.Request, name string) (uint64, error) {
 	text := request.URL.Query().Get(name)
 	if text == "" {
@@ -115,18 +147,14 @@
 	}
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, fieldErrorf(name, "%q is no number", text)
+		return 0, fieldErrorf(name, "%q is not a number", text)
 	}
 	return number, nil
 }
 
-// readJSON reads a request's JSON; what is wrong with it is answered in one line that names the field.
+// readJSON decodes the body of a request. If it cannot, it answers with an error that names the field, and returns false.
 func readJSON(w http.ResponseWriter, request *http.Request, target any) bool {
-	controller := http.NewResponseController(w)
-	if controller.SetReadDeadline(time.Now().Add(readBodyTimeout)) != nil {
-		return false
-	}
-	data, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxBodyBytes))
+	data, err := readBody(w, request)
 	if err != nil {
 		status := http.StatusBadRequest
 		if errors.As(err, new(*http.MaxBytesError)) {
@@ -135,13 +163,10 @@
 		writeError(w, status, err)
 		return false
 	}
-	if controller.SetReadDeadline(time.Time{}) != nil {
-		return false
-	}
 	err = json.Unmarshal(data, target)
 	var typeErr *json.UnmarshalTypeError
 	if errors.As(err, &typeErr) {
-		err = fieldErrorf(typeErr.Field, "%s is no %s", typeErr.Value, typeErr.Type)
+		err = fieldErrorf(typeErr.Field, "%s is not a %s", typeErr.Value, typeErr.Type)
 	}
 	if err != nil {
 		writeError(w, http.StatusBadRequest, err)
@@ -149,3 +174,16 @@
 	}
 	return true
 }
+
+// readBody reads the body of a request, which has to arrive within readBodyTimeout.
+func readBody(w http.ResponseWriter, request *http.Request) ([]byte, error) {
+	controller := http.NewResponseController(w)
+	if err := controller.SetReadDeadline(time.Now().Add(readBodyTimeout)); err != nil {
+		return nil, err
+	}
+	data, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxBodyBytes))
+	if err != nil {
+		return nil, err
+	}
+	return data, controller.SetReadDeadline(time.Time{})
+}
--- a/internal/registry/http_admin.go
+++ b/internal/registry/http_admin.go
@@ -1,29 +1,27 @@
 package registry
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
-	"io"
-	"log/slog"
 	"net/http"
+	"slices"
 
 	"github.com/hashicorp/raft"
 )
 
-// Status is what a replica says of itself.
+// Status is the status of a replica.
 type Status struct {
 	HTTPAddr     string `json:"http"`
-	Role         string `json:"role"` // as raft names it: Leader, Follower, Candidate
-	Leader       string `json:"leader"`
+	Role         string `json:"role"`   // as raft names it: Leader, Follower, Candidate
+	Leader       string `json:"leader"` // HTTP address; "": none is known
 	Revision     uint64 `json:"rev"`
 	Epoch        uint64 `json:"epoch"`
 	Instances    int    `json:"instances"`
-	Suspects     int    `json:"suspects"`
+	Suspects     int    `json:"suspects"` // instances whose expiry is held back
 	Watchers     int64  `json:"watchers"`
-	AgeMS        int64  `json:"age_ms"`
+	AgeMS        int64  `json:"age_ms"` // how old the state may be
 	AppliedIndex uint64 `json:"applied"`
-	Fresh        bool   `json:"fresh"`
+	Fresh        bool   `json:"fresh"` // it leads and has verified that within a second
 }
 
 func (r *Replica) status() Status {
@@ -47,22 +45,27 @@
 	writeJSON(w, http.StatusOK, r.status())
 }
 
-// serveReady: a replica is ready while it knows a leader, so that its reads are of today.
+// readiness is the answer of a ready replica.
+type readiness struct {
+	Ready bool `json:"ready"`
+}
+
+// serveReady answers whether the replica knows a leader, so that its reads are recent.
 func (r *Replica) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if status := r.status(); status.Leader == "" || status.Epoch == 0 {
 		writeError(w, http.StatusServiceUnavailable, errors.New("no leader yet"))
 		return
 	}
-	writeJSON(w, http.StatusOK, map[string]bool{"ready": true})
+	writeJSON(w, http.StatusOK, readiness{true})
 }
 
 func (r *Replica) serveMembers(w http.ResponseWriter, _ *http.Request) {
-	list, err := r.members()
+	members, err := r.members()
 	if err != nil {
 		writeError(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, list)
+	writeJSON(w, http.StatusOK, members)
 }
 
 func (r *Replica) serveAddMember(w http.ResponseWriter, request *http.Request) {
@@ -70,37 +73,37 @@
 	if !readJSON(w, request, &member) {
 		return
 	}
-	err := checkLoopback("http", member.HTTPAddr)
+	err := CheckLoopback("http", member.HTTPAddr)
 	if err == nil {
-		err = checkLoopback("raft", member.RaftAddr)
+		err = CheckLoopback("raft", member.RaftAddr)
 	}
 	if err != nil {
 		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	r.writeReconfigured(w, r.raft.AddVoter(raft.ServerID(member.HTTPAddr), raft.ServerAddress(member.RaftAddr), 0, applyTimeout).Error())
+	added := r.raft.AddVoter(raft.ServerID(member.HTTPAddr), raft.ServerAddress(member.RaftAddr), 0, applyTimeout)
+	r.writeReconfigured(w, added.Error())
 }
 
 func (r *Replica) serveRemoveMember(w http.ResponseWriter, request *http.Request) {
 	name := request.URL.Query().Get("http")
-	list, err := r.members()
+	members, err := r.members()
 	if err != nil {
 		writeError(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	for _, member := range list {
-		if member.HTTPAddr == name {
-			r.writeReconfigured(w, r.raft.RemoveServer(raft.ServerID(name), 0, applyTimeout).Error())
-			return
-		}
+	if !slices.ContainsFunc(members, func(member Member) bool { return member.HTTPAddr == name }) {
+		writeError(w, http.StatusNotFound, fmt.Errorf("no member %q", name))
+		return
 	}
-	writeError(w, http.StatusNotFound, fmt.Errorf("no member %q", name))
+	removed := r.raft.RemoveServer(raft.ServerID(name), 0, applyTimeout)
+	r.writeReconfigured(w, removed.Error())
 }
 
+// writeReconfigured answers a change of the members: with the members, or with the error.
 func (r *Replica) writeReconfigured(w http.ResponseWriter, err error) {
 	if err != nil {
-		w.Header().Set("Retry-After", retryAfterSeconds)
-		writeError(w, http.StatusServiceUnavailable, err)
+		writeRetryable(w, err)
 		return
 	}
 	r.serveMembers(w, nil)
@@ -119,16 +122,13 @@
 	}
 	r.setFreshnessHeaders(w)
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Write(buffer.data) // a client that is gone is told by nobody
+	if _, err := w.Write(buffer.data); err != nil {
+		r.logger.Debug("snapshot not written", "error", err)
+	}
 }
 
 func (r *Replica) serveRestoreSnapshot(w http.ResponseWriter, request *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxSnapshotBytes))
-	if err != nil {
-		writeError(w, http.StatusBadRequest, err)
-		return
-	}
-	state, err := ReadSnapshot(bytes.NewReader(data))
+	state, err := ReadSnapshot(http.MaxBytesReader(w, request.Body, maxSnapshotBytes))
 	if err != nil {
 		writeError(w, http.StatusBadRequest, err)
 		return
@@ -138,6 +138,6 @@
 		writeError(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	slog.Warn("restored from a backup, under a new epoch", "rev", result.Revision)
+	r.logger.Warn("state restored from a backup under a new epoch", "revision", result.Revision)
 	writeJSON(w, http.StatusOK, result)
 }
--- /dev/null
+++ b/internal/registry/http_maintenance.go
@@ -0,0 +1,98 @@
+package registry
+
+import (
+	"net/http"
+	"time"
+
+	"milldeck/internal/disruption"
+	"milldeck/internal/maintenance"
+)
+
+// leaderClockUncertaintyMS is the assumed error of the leader's wall clock. Synchronised clocks are within a tenth of it.
+const leaderClockUncertaintyMS = 250
+
+// WindowsView is contracts and maintenance windows, with what their controller needs of the rest of the state at the
+// same revision.
+type WindowsView struct {
+	Revision uint64                              `json:"rev"`
+	Table    *maintenance.Snapshot               `json:"table"`
+	Permits  map[string]disruption.Stage         `json:"permits"`
+	Out      map[string]maintenance.ServerStatus `json:"out"`
+	Fleet    maintenance.Fleet                   `json:"fleet"`
+	Sidecars []string                            `json:"sidecars"`
+}
+
+// View is the form that the controller reads.
+func (v *WindowsView) View() *maintenance.View {
+	return &maintenance.View{
+		Revision: v.Revision, Table: maintenance.Restore(v.Table),
+		PermitStages: v.Permits, OutOfService: v.Out, Fleet: v.Fleet, LiveSidecars: v.Sidecars,
+	}
+}
+
+func (r *Replica) serveWindows(w http.ResponseWriter, request *http.Request) {
+	if !r.ensureFresh(w, request) {
+		return
+	}
+	var response WindowsView
+	r.hub.Read(func(state *StateMachine) {
+		view := maintenance.ReadView(state.appliedIndex, state.windows, state.Ledger())
+		response = WindowsView{
+			Revision: view.Revision, Table: state.windows.Snapshot(),
+			Permits: view.PermitStages, Out: view.OutOfService, Fleet: view.Fleet, Sidecars: view.LiveSidecars,
+		}
+	})
+	r.setFreshnessHeaders(w)
+	writeJSON(w, http.StatusOK, response)
+}
+
+// WindowRequest is the body of an operation on contracts and maintenance windows.
+type WindowRequest struct {
+	ID            string                `json:"id"` // idempotency key
+	Guard         *Guard                `json:"guard,omitempty"`
+	WriterTimeMS  int64                 `json:"at_ms,omitempty"`          // the writer's clock, Unix ms; 0: an operator's, and not compared
+	UncertaintyMS int64                 `json:"uncertainty_ms,omitempty"` // of the writer's clock
+	Op            maintenance.Operation `json:"op"`
+}
+
+// validate returns an error that names the first invalid field, and sets the operation's token from the guard.
+func (q *WindowRequest) validate() error {
+	if err := checkWriteID(q.ID); err != nil {
+		return err
+	}
+	if q.Guard != nil {
+		q.Op.Token = q.Guard.Token
+	}
+	if err := q.Op.Validate(); err != nil {
+		return err
+	}
+	if q.Op.Kind.RequiresToken() && (q.Guard == nil || q.WriterTimeMS == 0) {
+		return fieldErrorf("guard", "a step needs the token of lease %s and the writer's time", maintenance.LeaseName)
+	}
+	return nil
+}
+
+// timestamp is the time of a request that arrives at a time of the leader's clock, Unix ms.
+func (q *WindowRequest) timestamp(nowMS int64) *maintenance.Timestamp {
+	timestamp := &maintenance.Timestamp{
+		ControllerMS: q.WriterTimeMS, UncertaintyMS: q.UncertaintyMS,
+		LeaderMS: nowMS, LeaderUncertaintyMS: leaderClockUncertaintyMS,
+	}
+	if q.WriterTimeMS == 0 {
+		timestamp.ControllerMS, timestamp.UncertaintyMS = nowMS, leaderClockUncertaintyMS
+	}
+	return timestamp
+}
+
+func (r *Replica) serveWindowOp(w http.ResponseWriter, request *http.Request) {
+	var body WindowRequest
+	if !readJSON(w, request, &body) {
+		return
+	}
+	if err := body.validate(); err != nil {
+		writeError(w, http.StatusBadRequest, err)
+		return
+	}
+	timestamp := body.timestamp(time.Now().UnixMilli())
+	r.proposeAndRespond(w, &Record{Op: OpWindow, ID: body.ID, Guard: body.Guard, Window: &body.Op, Stamp: timestamp}, nil)
+}
--- a/internal/registry/http_read.go
+++ b/internal/registry/http_read.go
@@ -4,26 +4,26 @@
 	"context"
 	"errors"
 	"fmt"
-	"log/slog"
 	"net/http"
 	"strconv"
 	"time"
 )
 
-// setFreshnessHeaders puts the age of the list into an answer's head.
+// setFreshnessHeaders sets AgeHeader and FreshHeader.
 func (r *Replica) setFreshnessHeaders(w http.ResponseWriter) {
 	age := r.listAge()
 	w.Header().Set(AgeHeader, strconv.FormatInt(age.Milliseconds(), 10))
 	w.Header().Set(FreshHeader, strconv.FormatBool(r.isLeader.Load() && age < maxFreshAge))
 }
 
-// ensureFresh settles a read that asks for the newest state, or answers why it cannot have it.
+// ensureFresh waits, for a request for a linearizable read, until this leader may answer it. It returns false if it has
+// answered the request itself: with an error, or with a redirect to the leader.
 func (r *Replica) ensureFresh(w http.ResponseWriter, request *http.Request) bool {
 	if request.URL.Query().Get("fresh") == "" {
 		return true
 	}
 	if !r.isLeader.Load() {
-		r.leaderOnly(nil)(w, request)
+		r.redirectToLeader(w, request)
 		return false
 	}
 	ctx, cancel := context.WithTimeout(request.Context(), applyTimeout)
@@ -36,10 +36,10 @@
 	return true
 }
 
+// serveList answers with the endpoint list, or streams its changes.
 func (r *Replica) serveList(w http.ResponseWriter, request *http.Request) {
-	query := request.URL.Query()
-	if query.Get("watch") != "" {
-		r.serveWatch(w, request)
+	if request.URL.Query().Get("watch") != "" {
+		r.serveWatchOf(w, request, r.hub.Watch)
 		return
 	}
 	if !r.ensureFresh(w, request) {
@@ -47,7 +47,7 @@
 	}
 	r.setFreshnessHeaders(w)
 	if err := r.hub.WriteFullList(w); err != nil {
-		slog.Debug("list not written", "error", err)
+		r.logger.Debug("endpoint list not written", "error", err)
 	}
 }
 
@@ -57,17 +57,11 @@
 		return true
 	}
 	r.watchers.Add(-1)
-	w.Header().Set("Retry-After", retryAfterSeconds)
-	writeError(w, http.StatusServiceUnavailable, errors.New("too many watchers"))
+	writeRetryable(w, errors.New("too many watchers"))
 	return false
 }
 
-// serveWatch follows the list for one watcher, which is a cursor: see hub.
-func (r *Replica) serveWatch(w http.ResponseWriter, request *http.Request) {
-	r.serveWatchOf(w, request, r.hub.Watch)
-}
-
-// serveWatchOf admits a watcher of something after the revision and the epoch of its query.
+// serveWatchOf streams the changes after the revision and epoch of the query.
 func (r *Replica) serveWatchOf(w http.ResponseWriter, request *http.Request, stream watchFunc) {
 	after, err := queryUint(request, "after")
 	if err != nil {
@@ -84,23 +78,25 @@
 	}
 	defer r.watchers.Add(-1)
 	r.setFreshnessHeaders(w)
-	// A replica that hears of no leader says nothing rather than that nothing has changed: its watchers move on.
-	err = stream(r.ctx, w, request, after, epoch, func() bool { return r.listAge() < staleAfter })
-	if err != nil {
-		slog.Debug("watch ended", "error", err)
+	// A replica without a leader sends no heartbeats, as it would not know of a change: its watchers move on.
+	alive := func() bool { return r.listAge() < staleAfter }
+	if err := stream(r.ctx, w, request, after, epoch, alive); err != nil {
+		r.logger.Debug("watch failed", "error", err)
 	}
 }
 
+// serveGet answers with one instance.
 func (r *Replica) serveGet(w http.ResponseWriter, request *http.Request) {
 	if !r.ensureFresh(w, request) {
 		return
 	}
+	uid := request.PathValue("uid")
 	var instance Instance
 	var ok bool
-	r.hub.Read(func(state *StateMachine) { instance, ok = state.Get(request.PathValue("uid")) })
+	r.hub.Read(func(state *StateMachine) { instance, ok = state.Get(uid) })
 	r.setFreshnessHeaders(w)
 	if !ok {
-		writeError(w, http.StatusNotFound, fmt.Errorf("%s is not registered", request.PathValue("uid")))
+		writeError(w, http.StatusNotFound, fmt.Errorf("%s is not registered", uid))
 		return
 	}
 	writeJSON(w, http.StatusOK, instance)
--- /dev/null
+++ b/internal/registry/http_release.go
@@ -0,0 +1,98 @@
+package registry
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+
+	"milldeck/internal/release"
+)
+
+// ReleaseView is a release as the log has it, with the commands of operators, oldest first.
+type ReleaseView struct {
+	*release.State
+	Commands []release.Command `json:"told,omitempty"`
+}
+
+// viewRelease copies a release, so that the copy may be used after the state has changed; State is nil where there is no
+// such release. Brief omits its units and plan.
+func viewRelease(state *StateMachine, name string, brief bool) ReleaseView {
+	stored, commands := state.releases.Get(name)
+	if stored == nil {
+		return ReleaseView{}
+	}
+	copied := *stored
+	copied.Units = append([]release.Unit(nil), stored.Units...)
+	if brief {
+		copied.Units, copied.Plan = nil, nil
+	}
+	return ReleaseView{&copied, slices.Clone(commands)}
+}
+
+// serveReleases answers with all releases, without their units and plans.
+func (r *Replica) serveReleases(w http.ResponseWriter, request *http.Request) {
+	if !r.ensureFresh(w, request) {
+		return
+	}
+	views := []ReleaseView{}
+	r.hub.Read(func(state *StateMachine) {
+		for _, name := range state.releases.Names() {
+			views = append(views, viewRelease(state, name, true))
+		}
+	})
+	r.setFreshnessHeaders(w)
+	writeJSON(w, http.StatusOK, views)
+}
+
+// serveRelease answers with one release.
+func (r *Replica) serveRelease(w http.ResponseWriter, request *http.Request) {
+	if !r.ensureFresh(w, request) {
+		return
+	}
+	name, brief := request.PathValue("name"), request.URL.Query().Get("brief") != ""
+	var view ReleaseView
+	r.hub.Read(func(state *StateMachine) { view = viewRelease(state, name, brief) })
+	if view.State == nil {
+		writeError(w, http.StatusNotFound, fmt.Errorf("release %s does not exist", name))
+		return
+	}
+	r.setFreshnessHeaders(w)
+	writeJSON(w, http.StatusOK, view)
+}
+
+// ReleaseRequest is the body of an operation on a release.
+type ReleaseRequest struct {
+	ID    string            `json:"id"` // idempotency key
+	Guard *Guard            `json:"guard,omitempty"`
+	Op    release.Operation `json:"op"`
+}
+
+// validate returns a *FieldError for the first invalid field. Name is that of the path.
+func (q *ReleaseRequest) validate(name string) error {
+	if err := checkWriteID(q.ID); err != nil {
+		return err
+	}
+	named := q.Op.Name
+	if q.Op.Start != nil {
+		named = q.Op.Start.Name
+	}
+	switch {
+	case named != name:
+		return fieldErrorf("op.name", "it differs from %q in the path", name)
+	case q.Op.RequiresToken() && q.Guard == nil:
+		return fieldErrorf("guard", "a step needs the token of the release's lease")
+	}
+	return nil
+}
+
+func (r *Replica) serveReleaseOp(w http.ResponseWriter, request *http.Request) {
+	var body ReleaseRequest
+	if !readJSON(w, request, &body) {
+		return
+	}
+	if err := body.validate(request.PathValue("name")); err != nil {
+		writeError(w, http.StatusBadRequest, err)
+		return
+	}
+	r.proposeAndRespond(w, &Record{Op: OpRelease, ID: body.ID, Guard: body.Guard, Release: &body.Op}, nil)
+}
--- a/internal/registry/http_write.go
+++ b/internal/registry/http_write.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// proposeAndRespond answers a write.
+// proposeAndRespond proposes a record and answers with its result. UIDs are the instances that the record concerns.
 func (r *Replica) proposeAndRespond(w http.ResponseWriter, record *Record, uids []string) {
 	result, err := r.propose(record)
 	switch {
@@ -15,16 +15,14 @@
 		r.writeNoLeader(w)
 		return
 	case err != nil:
-		w.Header().Set("Retry-After", retryAfterSeconds)
-		writeError(w, http.StatusServiceUnavailable, err)
+		writeRetryable(w, err)
 		return
 	}
 	r.hub.Read(func(state *StateMachine) { r.registrations.refresh(time.Now(), state, uids) })
-	statusCode := map[Outcome]int{OutcomeDone: http.StatusOK, OutcomeConflict: http.StatusConflict, OutcomeNotFound: http.StatusNotFound, OutcomeLimitExceeded: http.StatusInsufficientStorage}[result.Outcome]
-	writeJSON(w, statusCode, result)
+	writeJSON(w, result.Outcome.statusCode(), result)
 }
 
-// checkWriteID checks the id of a write.
+// checkWriteID checks the idempotency key of a write.
 func checkWriteID(id string) error {
 	if len(id) > maxNameLength {
 		return fieldErrorf("id", "over %d characters", maxNameLength)
@@ -32,25 +30,25 @@
 	return nil
 }
 
-// registerRequest is the body of a register call.
+// registerRequest is the body of a call that registers instances.
 type registerRequest struct {
-	ID         string     `json:"id"`
-	IfRevision *uint64    `json:"if_rev"`
-	Guard      *Guard     `json:"guard"`
+	Guard      *Guard     `json:"guard,omitempty"`
+	ID         string     `json:"id"` // idempotency key
+	IfRevision *uint64    `json:"if_rev,omitempty"`
 	Targets    []Instance `json:"targets"`
 }
 
-// toRecord checks a registration and makes the record of it, and the uids that it is about.
-func (in *registerRequest) toRecord() (*Record, []string, error) {
-	if err := checkWriteID(in.ID); err != nil {
+// toRecord validates a request, with defaults for what it omits, and returns its record and the uids that it concerns.
+func (q *registerRequest) toRecord() (*Record, []string, error) {
+	if err := checkWriteID(q.ID); err != nil {
 		return nil, nil, err
 	}
-	if len(in.Targets) == 0 || len(in.Targets) > maxBatchSize {
-		return nil, nil, fieldErrorf("targets", "%d entries, wanted 1 to %d", len(in.Targets), maxBatchSize)
+	if len(q.Targets) == 0 || len(q.Targets) > maxBatchSize {
+		return nil, nil, fieldErrorf("targets", "%d entries, wanted 1 to %d", len(q.Targets), maxBatchSize)
 	}
-	var uids []string
-	for k := range in.Targets {
-		instance := &in.Targets[k]
+	uids := make([]string, 0, len(q.Targets))
+	for k := range q.Targets {
+		instance := &q.Targets[k]
 		if instance.State == "" {
 			instance.State = InstanceReady
 		}
@@ -63,7 +61,7 @@
 		}
 		uids = append(uids, instance.UID)
 	}
-	return &Record{Op: OpRegister, ID: in.ID, IfRevision: in.IfRevision, Guard: in.Guard, Instances: in.Targets}, uids, nil
+	return &Record{Op: OpRegister, ID: q.ID, IfRevision: q.IfRevision, Guard: q.Guard, Instances: q.Targets}, uids, nil
 }
 
 func (r *Replica) serveRegister(w http.ResponseWriter, request *http.Request) {
@@ -92,41 +90,59 @@
 	r.proposeAndRespond(w, &Record{Op: OpDeregister, ID: id, Refs: []InstanceRef{{uid, revision}}}, []string{uid})
 }
 
-func (r *Replica) serveState(w http.ResponseWriter, request *http.Request) {
-	var body struct {
-		ID         string `json:"id"`
-		UID        string `json:"uid"`
-		State      string `json:"state"`
-		IfRevision uint64 `json:"if_rev"`
-		Guard      *Guard `json:"guard"`
+// setStateRequest is the body of a call that sets the state of an instance.
+type setStateRequest struct {
+	Guard      *Guard  `json:"guard,omitempty"`
+	ID         string  `json:"id"`               // idempotency key
+	IfRevision *uint64 `json:"if_rev,omitempty"` // absent or 0: any
+	State      string  `json:"state"`
+	UID        string  `json:"uid"`
+}
+
+// toRecord validates a request and returns its record.
+func (q *setStateRequest) toRecord() (*Record, error) {
+	if err := checkWriteID(q.ID); err != nil {
+		return nil, err
 	}
-	if !readJSON(w, request, &body) {
-		return
+	if q.UID == "" {
+		return nil, fieldErrorf("uid", "it is empty")
+	}
+	if q.State != InstanceReady && q.State != InstanceTerminating {
+		return nil, invalidState(q.State)
 	}
-	err := checkWriteID(body.ID)
-	if err == nil && body.UID == "" {
-		err = fieldErrorf("uid", "it is empty")
+	ref := InstanceRef{UID: q.UID}
+	if q.IfRevision != nil {
+		ref.Revision = *q.IfRevision
 	}
-	if err == nil && body.State != InstanceReady && body.State != InstanceTerminating {
-		err = fieldErrorf("state", "%q is not %s or %s", body.State, InstanceReady, InstanceTerminating)
+	return &Record{Op: OpSetState, ID: q.ID, State: q.State, Guard: q.Guard, Refs: []InstanceRef{ref}}, nil
+}
+
+func (r *Replica) serveState(w http.ResponseWriter, request *http.Request) {
+	var body setStateRequest
+	if !readJSON(w, request, &body) {
+		return
 	}
+	record, err := body.toRecord()
 	if err != nil {
 		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	r.proposeAndRespond(w, &Record{Op: OpSetState, ID: body.ID, State: body.State, Guard: body.Guard, Refs: []InstanceRef{{body.UID, body.IfRevision}}}, []string{body.UID})
+	r.proposeAndRespond(w, record, []string{body.UID})
+}
+
+// renewRequest is the body of the heartbeat of instances.
+type renewRequest struct {
+	UIDs []string `json:"uids"`
 }
 
-// InstanceRenewal answers a batch of renewals.
+// InstanceRenewal is the answer to a heartbeat.
 type InstanceRenewal struct {
 	Renewed int      `json:"renewed"`
-	Unknown []string `json:"unknown"` // they have to register again
+	Unknown []string `json:"unknown"` // not registered: they have to register again
 }
 
 func (r *Replica) serveRenew(w http.ResponseWriter, request *http.Request) {
-	var body struct {
-		UIDs []string `json:"uids"`
-	}
+	var body renewRequest
 	if !readJSON(w, request, &body) {
 		return
 	}
@@ -134,7 +150,7 @@
 		writeError(w, http.StatusBadRequest, fieldErrorf("uids", "%d entries, wanted 1 to %d", len(body.UIDs), maxBatchSize))
 		return
 	}
-	// A leader that was frozen must not promise a time that its successor does not know of.
+	// A leader that was paused must not grant leases that its successor does not know.
 	if r.listAge() > maxFreshAge {
 		r.writeNoLeader(w)
 		return
@@ -150,6 +166,7 @@
 	writeJSON(w, http.StatusOK, InstanceRenewal{len(body.UIDs) - len(unknown), append([]string{}, unknown...)})
 }
 
+// clearSuspicion clears the suspicion of instances that have proved alive.
 func (r *Replica) clearSuspicion(uids []string) error {
 	refs := make([]InstanceRef, 0, len(uids))
 	for _, uid := range uids {
@@ -160,11 +177,13 @@
 	return err
 }
 
-// serveSuspects is the operator's decision on what was held back: they are alive, or they go.
+// suspectsRequest is the body of an operator's decision on suspects: they are expired, or cleared.
+type suspectsRequest struct {
+	Expire bool `json:"expire"`
+}
+
 func (r *Replica) serveSuspects(w http.ResponseWriter, request *http.Request) {
-	var body struct {
-		Expire bool `json:"expire"`
-	}
+	var body suspectsRequest
 	if !readJSON(w, request, &body) {
 		return
 	}
@@ -179,7 +198,7 @@
 		})
 	})
 	if len(refs) == 0 {
-		writeJSON(w, http.StatusOK, Result{Outcome: OutcomeDone, Reason: "nothing is held back"})
+		writeJSON(w, http.StatusOK, Result{Outcome: OutcomeDone, Reason: "no expiry is held back"})
 		return
 	}
 	op := OpSuspect
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -2,128 +2,119 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"net/http"
 	"sync"
 	"time"
 
 	"milldeck/internal/leaderelection/leasetable"
+	"milldeck/internal/placement"
 )
 
 const (
-	// maxEncodedChanges are the encoded changes that watchers share; who is further behind gets one folded from the state.
+	// maxEncodedChanges are the encoded changes that watchers share. A watcher that is further behind gets one that is
+	// made from the state.
 	maxEncodedChanges = 1024
-	// maxChangesWritten is how many lines a watcher that is behind is written one by one.
+	// maxChangesWritten is how many changes a watcher that is behind gets one by one.
 	maxChangesWritten = 64
-	// broadcastDelay bounds how often watchers are woken: changes that come closer together go out in one write, which
-	// costs thousands of watchers a wake-up less for each.
-	broadcastDelay    = 20 * time.Millisecond
-	heartbeatInterval = 2 * time.Second // PROTOCOL: while nothing changes
-	watchWriteTimeout = 10 * time.Second
 )
 
-// Hub holds the state and lets watchers follow it. A watcher has no queue of its own: it is a cursor, so a slow
-// one takes no memory and holds nobody up; when it comes back it gets the newest state of each instance.
+// Hub holds the state and streams its changes to watchers. A watcher has no queue of its own but is a cursor, so a slow
+// one takes no memory and delays nobody: it gets the newest state of each instance when it reads again.
 type Hub struct {
 	mu            sync.RWMutex
 	state         *StateMachine
-	encoded       []encodedChange
-	listChanged   broadcaster // of the list
-	leasesChanged broadcaster // of duties: thousands who follow the list are not woken for them
+	encoded       []encodedChange // by revision, the newest last
+	listChanged   broadcaster
+	leasesChanged broadcaster // apart, as the thousands who watch the list are not woken for leases
 	placementFeed *PlacementFeed
 
 	fullListMu sync.Mutex
-	fullList   encodedChange // the whole list as last encoded: thousands who come at once get the same bytes
+	fullList   encodedList // last encoded: thousands who connect at once share the bytes
 }
 
-// encodedChange is one revision's change, encoded once for all.
+// encodedChange is the watch event of one revision, encoded once for all watchers.
 type encodedChange struct {
-	revision uint64
-	previous uint64 // the revision before; of a whole list its epoch
-	data     []byte
+	previous uint64 // revision that it follows
+	line     []byte
 }
 
-// broadcaster wakes those who wait for its channel. The lock of what it is part of guards it.
-type broadcaster struct {
-	changed chan struct{}
-	pending bool
+// encodedList is the full list of a revision.
+type encodedList struct {
+	revision, epoch uint64
+	line            []byte // nil: none was encoded yet
 }
 
 // NewHub makes a hub with the empty state.
 func NewHub() *Hub {
-	hub := &Hub{state: NewStateMachine(), listChanged: broadcaster{changed: make(chan struct{})}, leasesChanged: broadcaster{changed: make(chan struct{})}}
+	hub := &Hub{state: NewStateMachine(), listChanged: newBroadcaster(), leasesChanged: newBroadcaster()}
 	hub.placementFeed = NewPlacementFeed(hub.readPlacement)
 	return hub
 }
 
-// Apply takes a record in and hands its changes to the watchers.
+// Apply applies a record to the state, and streams what it changes to the watchers.
 func (h *Hub) Apply(index uint64, record *Record) (Result, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	previousRevision, epoch, leasesRevision := h.state.Revision(), h.state.Epoch(), h.state.leases.Rev()
-	placementRevision := h.state.placement.Revision()
+	revision, epoch := h.state.Revision(), h.state.Epoch()
+	leasesRevision, placementRevision := h.state.leases.Rev(), h.state.placement.Revision()
 	result := h.state.Apply(index, record)
 	if h.state.placement.Revision() != placementRevision {
 		h.placementFeed.Notify()
 	}
 	if h.state.leases.Rev() != leasesRevision {
-		h.broadcast(&h.leasesChanged)
+		h.leasesChanged.schedule(&h.mu, nil)
 	}
 	if h.state.Epoch() != epoch {
 		h.encoded = nil
-		h.broadcast(&h.listChanged)
+		h.listChanged.schedule(&h.mu, nil)
 		return result, nil
 	}
-	if h.state.Revision() == previousRevision {
+	if h.state.Revision() == revision {
 		return result, nil
 	}
-	changes := h.state.ChangesSince(previousRevision, 0)
-	if previousRevision == 0 {
+	if err := h.encodeChangeLocked(revision); err != nil {
+		return result, err
+	}
+	h.listChanged.schedule(&h.mu, nil)
+	return result, nil
+}
+
+// encodeChangeLocked encodes the watch event that follows a revision. The caller holds the lock.
+func (h *Hub) encodeChangeLocked(previous uint64) error {
+	changes := h.state.ChangesSince(previous, 0)
+	if previous == 0 {
 		changes = h.state.FullList()
 	}
-	data, err := json.Marshal(changes)
+	line, err := jsonLine(changes)
 	if err != nil {
-		return result, err
+		return err
 	}
-	h.encoded = append(h.encoded, encodedChange{h.state.Revision(), previousRevision, append(data, '\n')})
+	h.encoded = append(h.encoded, encodedChange{previous, line})
 	if excess := len(h.encoded) - maxEncodedChanges; excess > 0 {
 		h.encoded = append(h.encoded[:0], h.encoded[excess:]...)
 	}
-	h.broadcast(&h.listChanged)
-	return result, nil
+	return nil
 }
 
-// Replace puts another state in place, as from a snapshot.
+// Replace replaces the state, as by a snapshot.
 func (h *Hub) Replace(state *StateMachine) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.state, h.encoded = state, nil
-	h.broadcast(&h.listChanged)
-	h.broadcast(&h.leasesChanged)
+	h.listChanged.schedule(&h.mu, nil)
+	h.leasesChanged.schedule(&h.mu, nil)
 	h.placementFeed.Notify()
 }
 
-// broadcast wakes watchers soon; the caller holds the lock.
-func (h *Hub) broadcast(target *broadcaster) { target.broadcast(&h.mu, func() {}) }
-
-// broadcast wakes those who wait soon, and calls first before, both under the bell's lock, which the caller holds.
-func (b *broadcaster) broadcast(lock sync.Locker, before func()) {
-	if b.pending {
-		return
-	}
-	b.pending = true
-	time.AfterFunc(broadcastDelay, func() {
-		lock.Lock()
-		defer lock.Unlock()
-		before()
-		b.pending = false
-		close(b.changed)
-		b.changed = make(chan struct{})
-	})
+// Read calls view with the state, which view must neither change nor retain.
+func (h *Hub) Read(view func(*StateMachine)) {
+	h.mu.RLock()
+	defer h.mu.RUnlock()
+	view(h.state)
 }
 
-// Lease gives a duty as it is, and what to wait on for a change of any.
+// Lease returns a lease as it is, and a channel that is closed when any lease has changed.
 func (h *Hub) Lease(name string) (lease leasetable.Lease, changed <-chan struct{}) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -131,139 +122,97 @@
 	return lease, h.leasesChanged.changed
 }
 
-// cursor is how far a watcher has come.
-type cursor struct {
-	revision, epoch uint64
-	started         bool // something has been written to it
+// readPlacement returns what has changed in the placement, with the remaining times as of the end of a line's lifetime.
+func (h *Hub) readPlacement(after, epoch uint64) placement.Update {
+	h.mu.RLock()
+	defer h.mu.RUnlock()
+	return h.state.placement.ChangesSince(after, epoch, time.Now().Add(lineLifetime).UnixMilli())
 }
 
-// next gives the bytes that a watcher is to be written, its new cursor, and what to wait on when there are none.
-// The slices are shared: nobody writes to them.
-func (h *Hub) next(at cursor) (lines [][]byte, now cursor, changed <-chan struct{}, err error) {
+// next returns what a watcher of the endpoint list is to be written.
+func (h *Hub) next(position cursor) (watchBatch, error) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	now = cursor{h.state.Revision(), h.state.Epoch(), true}
-	if at == now {
-		return nil, now, h.listChanged.changed, nil
-	}
-	if at.revision == now.revision && at.epoch == now.epoch { // it knows all: an empty change says so at once
-		return [][]byte{fmt.Appendf(nil, "{\"rev\":%d,\"all\":false,\"targets\":[],\"epoch\":%d}\n", now.revision, now.epoch)}, now, h.listChanged.changed, nil
+	batch := watchBatch{next: cursor{h.state.Revision(), h.state.Epoch(), true}, changed: h.listChanged.changed}
+	if position == batch.next {
+		return batch, nil
 	}
-	if at.epoch == now.epoch && at.revision != 0 {
-		for k := len(h.encoded) - 1; k >= 0 && len(h.encoded)-k <= maxChangesWritten; k-- {
-			if h.encoded[k].previous == at.revision {
-				for _, encoded := range h.encoded[k:] {
-					lines = append(lines, encoded.data)
-				}
-				return lines, now, h.listChanged.changed, nil
-			}
-		}
-	}
-	if !h.state.HasHistorySince(at.revision, at.epoch) {
-		data, err := h.encodeFullList()
-		return [][]byte{data}, now, h.listChanged.changed, err
-	}
-	data, err := json.Marshal(h.state.ChangesSince(at.revision, at.epoch))
+	lines, err := h.linesAfterLocked(position)
 	if err != nil {
-		return nil, at, h.listChanged.changed, err
+		return watchBatch{}, err
 	}
-	return [][]byte{append(data, '\n')}, now, h.listChanged.changed, nil
+	batch.lines = lines
+	return batch, nil
 }
 
-// encodeFullList gives the whole list's bytes, encoded once for each revision. The caller holds the lock for reading.
-func (h *Hub) encodeFullList() ([]byte, error) {
-	h.fullListMu.Lock()
-	defer h.fullListMu.Unlock()
-	rev, epoch := h.state.Revision(), h.state.Epoch()
-	if h.fullList.data != nil && h.fullList.revision == rev && h.fullList.previous == epoch {
-		return h.fullList.data, nil
+// linesAfterLocked returns the lines after a position that is behind, or has not started. The caller holds the lock for
+// reading.
+func (h *Hub) linesAfterLocked(position cursor) ([][]byte, error) {
+	revision, epoch := h.state.Revision(), h.state.Epoch()
+	if position.revision == revision && position.epoch == epoch { // a new watcher that is up to date learns so at once
+		return [][]byte{fmt.Appendf(nil, "{\"rev\":%d,\"all\":false,\"targets\":[],\"epoch\":%d}\n", revision, epoch)}, nil
 	}
-	data, err := json.Marshal(h.state.FullList())
-	if err != nil {
-		return nil, err
+	if position.epoch == epoch && position.revision != 0 {
+		if lines := h.encodedAfterLocked(position.revision); lines != nil {
+			return lines, nil
+		}
 	}
-	h.fullList = encodedChange{revision: rev, previous: epoch, data: append(data, '\n')}
-	return h.fullList.data, nil
-}
-
-// Watch writes the changes after a revision of an epoch to a watcher as PROTOCOL words them, until the watcher, ctx
-// or the connection ends. While nothing changes it writes an empty line every 2 s, as long as alive says that
-// silence is news.
-func (h *Hub) Watch(ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, alive func() bool) error {
-	return streamChanges(ctx, w, request, cursor{revision: after, epoch: epoch}, alive, h)
-}
-
-// watchFunc is Watch of a hub or a feed.
-type watchFunc func(ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, alive func() bool) error
-
-// changeSource is what watchers follow. One that has not begun is always written something.
-type changeSource interface {
-	next(at cursor) (out [][]byte, now cursor, woken <-chan struct{}, err error)
+	if !h.state.HasHistorySince(position.revision, position.epoch) {
+		line, err := h.encodeFullListLocked()
+		return [][]byte{line}, err
+	}
+	line, err := jsonLine(h.state.ChangesSince(position.revision, position.epoch))
+	return [][]byte{line}, err
 }
 
-func streamChanges(ctx context.Context, w http.ResponseWriter, request *http.Request, position cursor, alive func() bool, source changeSource) error {
-	w.Header().Set("Content-Type", "application/json")
-	controller := http.NewResponseController(w)
-	heartbeat := time.NewTimer(heartbeatInterval)
-	defer heartbeat.Stop()
-	for {
-		lines, now, changed, err := source.next(position)
-		if err != nil {
-			return err
-		}
-		position = now
-		if len(lines) > 0 {
-			if err := writeLines(w, controller, lines); err != nil {
-				return err
-			}
-			heartbeat.Reset(heartbeatInterval)
+// encodedAfterLocked returns the encoded changes after a revision, or nil where they are too many or not encoded any
+// more. The caller holds the lock for reading.
+func (h *Hub) encodedAfterLocked(revision uint64) (lines [][]byte) {
+	for k := len(h.encoded) - 1; k >= 0 && len(h.encoded)-k <= maxChangesWritten; k-- {
+		if h.encoded[k].previous != revision {
+			continue
 		}
-		select {
-		case <-request.Context().Done():
-			return nil
-		case <-ctx.Done():
-			return nil
-		case <-changed:
-		case <-heartbeat.C:
-			if alive() {
-				if err := writeLines(w, controller, [][]byte{{'\n'}}); err != nil {
-					return err
-				}
-			}
-			heartbeat.Reset(heartbeatInterval)
+		for _, change := range h.encoded[k:] {
+			lines = append(lines, change.line)
 		}
+		return lines
 	}
+	return nil
 }
 
-// writeLines writes lines to a watcher; one that does not read them in time is let go.
-func writeLines(w http.ResponseWriter, controller *http.ResponseController, lines [][]byte) error {
-	if err := controller.SetWriteDeadline(time.Now().Add(watchWriteTimeout)); err != nil {
-		return err
+// encodeFullListLocked returns the full list as a line, which is encoded once for each revision. The caller holds the
+// lock for reading.
+func (h *Hub) encodeFullListLocked() ([]byte, error) {
+	h.fullListMu.Lock()
+	defer h.fullListMu.Unlock()
+	revision, epoch := h.state.Revision(), h.state.Epoch()
+	if h.fullList.line != nil && h.fullList.revision == revision && h.fullList.epoch == epoch {
+		return h.fullList.line, nil
 	}
-	for _, line := range lines {
-		if _, err := w.Write(line); err != nil {
-			return err
-		}
+	line, err := jsonLine(h.state.FullList())
+	if err != nil {
+		return nil, err
 	}
-	return controller.Flush()
+	h.fullList = encodedList{revision, epoch, line}
+	return line, nil
 }
 
-// Read calls do with the state, which it must not change or keep.
-func (h *Hub) Read(view func(*StateMachine)) {
-	h.mu.RLock()
-	defer h.mu.RUnlock()
-	view(h.state)
+// Watch streams the changes after a revision of an epoch to a watcher, in PROTOCOL's form, until ctx or the watcher
+// ends. While nothing changes it writes a heartbeat (an empty line) every 2 s, as long as alive returns true: as long as
+// the hub would know of a change.
+func (h *Hub) Watch(ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, alive func() bool) error {
+	return streamChanges(ctx, w, request, cursor{revision: after, epoch: epoch}, alive, h)
 }
 
-// WriteFullList answers with the whole list.
+// WriteFullList answers with the full endpoint list.
 func (h *Hub) WriteFullList(w http.ResponseWriter) error {
-	var data []byte
-	var err error
-	h.Read(func(*StateMachine) { data, err = h.encodeFullList() })
+	h.mu.RLock()
+	line, err := h.encodeFullListLocked()
+	h.mu.RUnlock()
 	if err != nil {
 		return err
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, err = w.Write(data)
+	_, err = w.Write(line)
 	return err
 }
--- /dev/null
+++ b/internal/registry/instance.go
@@ -0,0 +1,101 @@
+package registry
+
+import (
+	"fmt"
+	"net/netip"
+)
+
+// Target is an instance in the form in which PROTOCOL's discovery lists it.
+type Target struct {
+	UID      string  `json:"uid"`
+	Endpoint string  `json:"endpoint"` // IP address and port
+	Zone     string  `json:"az"`
+	Model    string  `json:"model"` // type of machine
+	PodGroup int     `json:"pod_group"`
+	State    string  `json:"state"`
+	Capacity float64 `json:"capacity_hint"` // relative to other instances, above 0
+	BootMS   float64 `json:"boot_ms"`       // last start, Unix ms; 0: unknown, long ago
+}
+
+// The states of an instance, as PROTOCOL names them. InstanceRemoved appears only in watch events.
+const (
+	InstanceReady       = "Ready"
+	InstanceTerminating = "Terminating"
+	InstanceRemoved     = "Gone"
+)
+
+// EndpointList is PROTOCOL's endpoint list (Full) or a watch event with the targets that changed. Epoch is an
+// extension: it names the history that Revision belongs to. Readers that do not know the field skip it.
+type EndpointList struct {
+	Revision uint64   `json:"rev"`
+	Full     bool     `json:"all"`
+	Targets  []Target `json:"targets"`
+	Epoch    uint64   `json:"epoch,omitempty"`
+}
+
+// Instance is a target as it is registered.
+type Instance struct {
+	Target
+	Version  string `json:"version,omitempty"` // of its program; not part of the endpoint list
+	TTLMS    int64  `json:"ttl_ms"`            // lease duration; 0: the registration never expires
+	Revision uint64 `json:"rev"`               // of its last change
+	Suspect  bool   `json:"suspect,omitempty"` // its lease has expired, but the expiry is held back
+}
+
+// Bounds of what a writer may register.
+const (
+	maxNameLength   = 128
+	maxCapacityHint = 1000
+	maxBootMS       = 1e15        // far in the future: not a time in Unix ms
+	minTTLMS        = 100         // no heartbeat interval could keep up with a shorter lease
+	maxTTLMS        = 3600 * 1000 // a longer lease detects nothing
+	maxInstances    = 100_000
+	maxBatchSize    = 10_000 // instances in one write
+)
+
+// FieldError names the field of a request that is invalid, and the reason.
+type FieldError struct{ Field, Reason string }
+
+func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
+
+func fieldErrorf(field, format string, args ...any) error {
+	return &FieldError{field, fmt.Sprintf(format, args...)}
+}
+
+// validate returns a *FieldError for the first invalid field.
+func (i *Instance) validate() error {
+	switch {
+	case i.UID == "" || len(i.UID) > maxNameLength:
+		return fieldErrorf("uid", "%d characters, wanted 1 to %d", len(i.UID), maxNameLength)
+	case i.State != InstanceReady && i.State != InstanceTerminating:
+		return invalidState(i.State)
+	case !(i.Capacity > 0 && i.Capacity <= maxCapacityHint): // also false for NaN
+		return fieldErrorf("capacity_hint", "%v is not above 0 and at most %d", i.Capacity, maxCapacityHint)
+	case !validBootMS(i.BootMS):
+		return fieldErrorf("boot_ms", "%v is not a time in Unix ms", i.BootMS)
+	case i.TTLMS != 0 && !validTTLMS(i.TTLMS):
+		return fieldErrorf("ttl_ms", "%d is not 0 or within %d to %d", i.TTLMS, minTTLMS, maxTTLMS)
+	}
+	for _, label := range []struct{ field, value string }{{"az", i.Zone}, {"model", i.Model}, {"version", i.Version}} {
+		if len(label.value) > maxNameLength {
+			return fieldErrorf(label.field, "over %d characters", maxNameLength)
+		}
+	}
+	return validateEndpoint(i.Endpoint)
+}
+
+func validBootMS(ms float64) bool { return ms >= 0 && ms < maxBootMS }
+
+func validTTLMS(ms int64) bool { return ms >= minTTLMS && ms <= maxTTLMS }
+
+func invalidState(state string) error {
+	return fieldErrorf("state", "%q is not %s or %s", state, InstanceReady, InstanceTerminating)
+}
+
+func validateEndpoint(endpoint string) error {
+	address, err := netip.ParseAddrPort(endpoint)
+	if err != nil || address.Port() == 0 || address.Addr().IsUnspecified() || address.Addr().IsMulticast() {
+		return fieldErrorf("endpoint", "%q is not an IP address and port", endpoint)
+	}
+	return nil
+}
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -3,11 +3,15 @@
 import (
 	"crypto/rand"
 	"encoding/binary"
-	"log/slog"
 	"time"
 )
 
-// monitorLeadership does what only the leader does, for as long as this replica is it.
+const (
+	verifyInterval = 200 * time.Millisecond // between two verifications of the leadership
+	sweepInterval  = 100 * time.Millisecond // between two searches for expired leases
+)
+
+// monitorLeadership runs what only the leader does whenever this replica is the leader, until the replica ends.
 func (r *Replica) monitorLeadership() {
 	leaderChanges := r.raft.LeaderCh()
 	for {
@@ -21,7 +25,7 @@
 			}
 		}
 		if err := r.establishLeadership(); err != nil {
-			slog.Warn("leadership not taken up", "error", err)
+			r.logger.Warn("leadership not established", "error", err)
 			continue
 		}
 		r.leaderLoop(leaderChanges)
@@ -29,38 +33,46 @@
 	}
 }
 
-// establishLeadership applies all that earlier leaders left, and gives every lease its full time again.
+// establishLeadership waits until the records of earlier leaders are applied, and grants every lease its full time again.
 func (r *Replica) establishLeadership() error {
 	if err := r.raft.Barrier(applyTimeout).Error(); err != nil {
 		return err
 	}
 	r.verifiedAt.Store(int64(time.Since(r.startedAt)))
-	r.hub.Read(func(state *StateMachine) {
-		r.registrations.reset(time.Now(), state)
-		r.leaseTracker.reset(time.Now(), state)
-		r.sidecarRegistrations.reset(time.Now(), state)
-	})
+	r.resetTrackers()
 	r.warmUps = newWarmUpTracker(r.options.WarmUpDuration)
 	r.isLeader.Store(true)
 	r.metrics.leadershipGained.Inc()
-	slog.Info("leads", "http", r.options.HTTPAddr)
+	r.logger.Info("leadership established", "http", r.options.HTTPAddr)
 	epoch := uint64(0)
 	r.hub.Read(func(state *StateMachine) { epoch = state.Epoch() })
-	if epoch == 0 {
-		_, err := r.propose(&Record{Op: OpEpoch, Epoch: newEpoch()})
-		return err
+	if epoch != 0 {
+		return nil
 	}
-	return nil
+	_, err := r.propose(&Record{Op: OpEpoch, Epoch: newEpoch()})
+	return err
+}
+
+// resetTrackers grants every lease its full time again.
+func (r *Replica) resetTrackers() {
+	r.hub.Read(func(state *StateMachine) {
+		r.registrations.reset(time.Now(), state)
+		r.leaseTracker.reset(time.Now(), state)
+		r.sidecarRegistrations.reset(time.Now(), state)
+	})
 }
 
-// newEpoch names a history. It is drawn, so that two clusters hardly share one.
+// newEpoch draws the identifier of a history, so that two clusters hardly share one. It is below 2^53, so that JSON
+// readers with floating-point numbers keep it exact, and not 0.
 func newEpoch() uint64 {
 	var random [8]byte
-	rand.Read(random[:]) // never fails
+	if _, err := rand.Read(random[:]); err != nil {
+		panic(err) // documented never to happen
+	}
 	return binary.BigEndian.Uint64(random[:])>>11 | 1
 }
 
-// leaderLoop proves the leadership and ends leases until the leadership is lost.
+// leaderLoop verifies the leadership and expires leases until the leadership is lost.
 func (r *Replica) leaderLoop(leaderChanges <-chan bool) {
 	verify, sweep := time.NewTicker(verifyInterval), time.NewTicker(sweepInterval)
 	defer verify.Stop()
@@ -74,7 +86,7 @@
 				return
 			}
 		case <-verify.C:
-			verifyStarted := time.Since(r.startedAt) // proved is what held when it was asked
+			verifyStarted := time.Since(r.startedAt) // the verification proves the leadership of this time
 			if r.raft.VerifyLeader().Error() != nil {
 				return
 			}
@@ -82,35 +94,38 @@
 		case <-sweep.C:
 			r.expireInstances()
 			r.expireLeases()
-			r.dropExpiredPlacement()
+			r.removeExpiredPlacement()
 			r.expireSidecars()
 			r.markWarmServers()
 		}
 	}
 }
 
+// expireInstances expires the registrations whose leases have ended, or holds the expiry back where too many are missing
+// at once.
 func (r *Replica) expireInstances() {
 	now := time.Now()
 	expire, holdBack := r.registrations.sweep(now)
 	switch {
 	case len(holdBack) > 0:
 		if _, err := r.propose(&Record{Op: OpSuspect, Refs: holdBack, Suspected: true}); err != nil {
-			return
+			return // the next sweep finds them again, of this leader or the next
 		}
 		r.metrics.heldBack.Add(float64(len(holdBack)))
-		slog.Warn("mass expiry held back: these instances stay until they renew or an operator decides", "instances", len(holdBack))
+		r.logger.Warn("mass expiry held back until the instances renew or an operator decides", "instances", len(holdBack))
 		r.refreshRegistrations(holdBack)
 	case len(expire) > 0:
 		if _, err := r.propose(&Record{Op: OpExpire, Refs: expire}); err != nil {
-			return
+			return // the next sweep finds them again, of this leader or the next
 		}
 		r.metrics.expired.Add(float64(len(expire)))
-		slog.Info("leases ended", "instances", len(expire), "first", expire[0].UID)
+		r.logger.Info("registrations expired", "instances", len(expire), "first", expire[0].UID)
 		r.registrations.recordExpired(now, len(expire))
 		r.refreshRegistrations(expire)
 	}
 }
 
+// refreshRegistrations updates the tracker after a write about instances.
 func (r *Replica) refreshRegistrations(refs []InstanceRef) {
 	uids := make([]string, 0, len(refs))
 	for _, ref := range refs {
--- a/internal/registry/lease_keepalive.go
+++ b/internal/registry/lease_keepalive.go
@@ -11,31 +11,30 @@
 )
 
 const (
-	renewalsPerLease = 3 // so that two may be lost
-	// maxRenewalBatch are sent in one call.
-	maxRenewalBatch = 1000
-	// deregisterTimeout bounds the deregistration at the end.
-	deregisterTimeout = 2 * time.Second
+	renewalsPerLease  = 3               // so that two of them may be lost
+	maxRenewalBatch   = 1000            // instances registered or renewed in one call
+	deregisterTimeout = 2 * time.Second // of the deregistration at the end
 )
 
-// LeaseKeepAlive keeps instances registered: it registers them, renews their leases in batches, registers again what the
-// registry does not know any more, and deregisters them at its end.
+// LeaseKeepAlive keeps instances registered: it registers them, renews their leases in batches, registers again those
+// that the registry does not know, and deregisters them at its end.
 type LeaseKeepAlive struct {
 	client *Client
+	logger *slog.Logger
 
 	mu        sync.Mutex
-	instances map[string]Instance
-	pending   []Instance // to be registered
+	instances map[string]Instance // by uid
+	pending   []Instance          // to be registered
 }
 
-// NewLeaseKeepAlive makes a keeper of these instances.
+// NewLeaseKeepAlive returns a keep-alive of these instances. Nothing is sent before Run or RenewOnce.
 func NewLeaseKeepAlive(client *Client, instances ...Instance) *LeaseKeepAlive {
-	keepAlive := &LeaseKeepAlive{client: client, instances: map[string]Instance{}}
+	keepAlive := &LeaseKeepAlive{client: client, logger: componentLogger(), instances: map[string]Instance{}}
 	keepAlive.Add(instances...)
 	return keepAlive
 }
 
-// Add has it keep more instances, or known ones as they are now.
+// Add adds instances, or updates those that it has.
 func (k *LeaseKeepAlive) Add(instances ...Instance) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -45,7 +44,7 @@
 	}
 }
 
-// Remove has it keep an instance no longer; its lease runs out unless it is deregistered.
+// Remove stops renewing the lease of an instance. It does not deregister the instance.
 func (k *LeaseKeepAlive) Remove(uid string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -53,7 +52,7 @@
 	k.pending = slices.DeleteFunc(k.pending, func(instance Instance) bool { return instance.UID == uid })
 }
 
-// renewInterval is the time between two renewals.
+// renewInterval is the time between two renewals, of the shortest lease.
 func (k *LeaseKeepAlive) renewInterval() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -63,31 +62,37 @@
 			shortestTTL = min(shortestTTL, instance.TTLMS)
 		}
 	}
-	return time.Duration(shortestTTL) * time.Millisecond / renewalsPerLease
+	return milliseconds(shortestTTL) / renewalsPerLease
 }
 
-// Run keeps them until ctx ends.
+// Run keeps the instances registered until ctx ends, and deregisters them then.
 func (k *LeaseKeepAlive) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := k.RenewOnce(ctx); err != nil && ctx.Err() == nil {
-			slog.Warn("leases not renewed", "error", err)
+			k.logger.Warn("lease renewal failed", "error", err)
 		}
-		wait := k.renewInterval()
+		interval := k.renewInterval()
+		jitter := rand.N(interval / 4) // so that many clients do not renew in step
 		select {
 		case <-ctx.Done():
-		case <-time.After(wait - rand.N(wait/4)): // many keepers do not renew in step
+		case <-time.After(interval - jitter):
 		}
 	}
-	deregisterCtx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
+	return k.deregisterAll()
+}
+
+func (k *LeaseKeepAlive) deregisterAll() error {
+	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
-	var failed error
+	var errs error
 	for _, uid := range k.uids() {
-		_, err := k.client.Deregister(deregisterCtx, WriteOptions{}, uid)
-		failed = errors.Join(failed, err)
+		_, err := k.client.Deregister(ctx, WriteOptions{}, uid)
+		errs = errors.Join(errs, err)
 	}
-	return failed
+	return errs
 }
 
+// uids returns the uids of all instances, sorted.
 func (k *LeaseKeepAlive) uids() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -99,37 +104,47 @@
 	return uids
 }
 
-// RenewOnce registers what is to be registered and renews the rest.
+// RenewOnce registers the pending instances and renews the leases of all.
 func (k *LeaseKeepAlive) RenewOnce(ctx context.Context) error {
+	if err := k.registerPending(ctx); err != nil {
+		return err
+	}
+	for batch := range slices.Chunk(k.uids(), maxRenewalBatch) {
+		renewal, err := k.client.RenewInstances(ctx, batch)
+		if err != nil {
+			return err
+		}
+		k.addPending(renewal.Unknown)
+	}
+	return nil
+}
+
+// registerPending registers the pending instances; after an error the rest of them stays pending.
+func (k *LeaseKeepAlive) registerPending(ctx context.Context) error {
 	k.mu.Lock()
 	pending := k.pending
 	k.pending = nil
 	k.mu.Unlock()
 	for len(pending) > 0 {
-		batch := min(len(pending), maxRenewalBatch)
-		if _, err := k.client.Register(ctx, WriteOptions{}, pending[:batch]...); err != nil {
+		size := min(len(pending), maxRenewalBatch)
+		if _, err := k.client.Register(ctx, WriteOptions{}, pending[:size]...); err != nil {
 			k.mu.Lock()
-			k.pending = append(pending, k.pending...)
-			k.mu.Unlock()
+			defer k.mu.Unlock()
+			k.pending = slices.Concat(pending, k.pending)
 			return err
 		}
-		pending = pending[batch:]
+		pending = pending[size:]
 	}
-	uids := k.uids()
-	for len(uids) > 0 {
-		batch := min(len(uids), maxRenewalBatch)
-		renewal, err := k.client.RenewInstances(ctx, uids[:batch])
-		if err != nil {
-			return err
-		}
-		k.mu.Lock()
-		for _, uid := range renewal.Unknown {
-			if instance, ok := k.instances[uid]; ok {
-				k.pending = append(k.pending, instance)
-			}
+	return nil
+}
+
+// addPending has instances registered again, but those that were removed meanwhile.
+func (k *LeaseKeepAlive) addPending(uids []string) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	for _, uid := range uids {
+		if instance, ok := k.instances[uid]; ok {
+			k.pending = append(k.pending, instance)
 		}
-		k.mu.Unlock()
-		uids = uids[batch:]
 	}
-	return nil
 }
--- /dev/null
+++ b/internal/registry/placement_feed.go
@@ -0,0 +1,118 @@
+package registry
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"sync"
+	"time"
+
+	"milldeck/internal/placement"
+)
+
+// lineLifetime is how long an encoded line of the placement is shared by watchers. The line states the remaining time of
+// each directive as of the end of its lifetime, so it never states more than remains.
+const lineLifetime = 50 * time.Millisecond
+
+// PlacementFeed streams a placement to watchers, as a Hub does the endpoint list: a watcher is a cursor. As a line
+// states the remaining time of directives, it cannot be encoded once for ever: it is encoded when watchers are woken,
+// and shared by those that are woken together.
+type PlacementFeed struct {
+	read func(after, epoch uint64) placement.Update
+
+	notifyMu      sync.Mutex // not held during read: a caller of Notify may hold a lock that read needs
+	changed       broadcaster
+	notifications uint64
+
+	mu     sync.Mutex
+	cached map[cursor]placementLine // of the last lineLifetime
+}
+
+// placementLine is the line that follows a position of a watcher.
+type placementLine struct {
+	encodedAt    time.Time
+	notification uint64 // number of the last notification before it was encoded
+	data         []byte // nil: nothing has changed
+	next         cursor
+}
+
+// NewPlacementFeed makes a feed of a source. Read returns what has changed after a revision of an epoch, with the
+// remaining time of each directive as of 50 ms from now.
+func NewPlacementFeed(read func(after, epoch uint64) placement.Update) *PlacementFeed {
+	return &PlacementFeed{read: read, changed: newBroadcaster(), cached: map[cursor]placementLine{}}
+}
+
+// Notify announces that the placement has changed.
+func (f *PlacementFeed) Notify() {
+	f.notifyMu.Lock()
+	defer f.notifyMu.Unlock()
+	// A watcher that this wakes must not get a line that was encoded before.
+	f.changed.schedule(&f.notifyMu, func() { f.notifications++ })
+}
+
+// next returns what a watcher at a position is to be written. One caller at a time encodes, the others share its line.
+func (f *PlacementFeed) next(position cursor) (watchBatch, error) {
+	f.notifyMu.Lock()
+	changed, notification := f.changed.changed, f.notifications
+	f.notifyMu.Unlock()
+
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	line, ok := f.cached[position]
+	if !ok || line.notification < notification || line.outdated() {
+		f.dropOutdatedLocked()
+		encoded, err := f.encode(position)
+		if err != nil {
+			return watchBatch{}, fmt.Errorf("placement: %w", err)
+		}
+		encoded.notification = notification
+		f.cached[position], line = encoded, encoded
+	}
+	batch := watchBatch{next: line.next, changed: changed}
+	if line.data != nil {
+		batch.lines = [][]byte{line.data}
+	}
+	return batch, nil
+}
+
+func (l *placementLine) outdated() bool { return time.Since(l.encodedAt) >= lineLifetime }
+
+// dropOutdatedLocked drops the lines that are not shared any more. The caller holds the lock.
+func (f *PlacementFeed) dropOutdatedLocked() {
+	for position, line := range f.cached {
+		if line.outdated() {
+			delete(f.cached, position)
+		}
+	}
+}
+
+// encode encodes the line that follows a position.
+func (f *PlacementFeed) encode(position cursor) (placementLine, error) {
+	line := placementLine{encodedAt: time.Now()}
+	update := f.read(position.revision, position.epoch)
+	line.next = cursor{update.Revision, update.Epoch, true}
+	if line.next == position {
+		return line, nil
+	}
+	var err error
+	line.data, err = jsonLine(&update)
+	return line, err
+}
+
+// Watch streams the changes after a revision of an epoch to a watcher, as Hub.Watch does those of the endpoint list.
+func (f *PlacementFeed) Watch(ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, alive func() bool) error {
+	return streamChanges(ctx, w, request, cursor{revision: after, epoch: epoch}, alive, f)
+}
+
+// WriteFullList answers with the complete placement. It is not shared, as a linearizable read has to see every write
+// before it.
+func (f *PlacementFeed) WriteFullList(w http.ResponseWriter) error {
+	data, err := json.Marshal(f.read(0, 0))
+	if err != nil {
+		return fmt.Errorf("placement: %w", err)
+	}
+	w.Header().Set("Content-Type", "application/json")
+	_, err = w.Write(append(data, '\n'))
+	return err
+}
--- a/internal/registry/raft.go
+++ b/internal/registry/raft.go
@@ -1,14 +1,11 @@
 package registry
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
-	"net"
 	"os"
 	"path/filepath"
-	"sync"
 	"time"
 
 	"github.com/hashicorp/go-hclog"
@@ -16,70 +13,113 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
+const (
+	// Replicas are close to each other. After raftHeartbeatTimeout without a heartbeat a leader counts as failed, and
+	// another is elected well within two seconds. A paused leader steps down (raftLeaderLeaseTimeout) before that.
+	raftHeartbeatTimeout   = 400 * time.Millisecond
+	raftElectionTimeout    = 400 * time.Millisecond
+	raftLeaderLeaseTimeout = 250 * time.Millisecond
+	raftCommitTimeout      = 10 * time.Millisecond
+
+	snapshotCheckInterval = 2 * time.Second
+	retainedSnapshots     = 2
+	dataDirMode           = 0o700
+	logFileName           = "raft.db"
+)
+
+// raftStores are where raft stores its log, its votes and its snapshots.
+type raftStores struct {
+	logs      raft.LogStore
+	stable    raft.StableStore
+	snapshots raft.SnapshotStore
+	closer    io.Closer
+}
+
+// openRaft opens the stores and the transport, and starts raft.
 func (r *Replica) openRaft() error {
+	config := r.raftConfig()
+	stores, err := openRaftStores(r.options.DataDir, config.Logger)
+	if err != nil {
+		return err
+	}
+	r.logStore = stores.closer
+	layer, err := newStreamLayer(r.options.RaftAddr, r.options.AdvertiseRaftAddr)
+	if err != nil {
+		r.logStore.Close()
+		return fmt.Errorf("raft: %w", err)
+	}
+	r.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+		Stream: layer, MaxPool: maxRaftConnections, Timeout: applyTimeout, Logger: config.Logger,
+	})
+	if err := r.startRaft(config, stores); err != nil {
+		r.transport.Close()
+		r.logStore.Close()
+		return fmt.Errorf("raft: %w", err)
+	}
+	return nil
+}
+
+func (r *Replica) raftConfig() *raft.Config {
 	config := raft.DefaultConfig()
 	config.LocalID = raft.ServerID(r.options.HTTPAddr)
-	config.HeartbeatTimeout, config.ElectionTimeout, config.LeaderLeaseTimeout = raftHeartbeatTimeout, raftElectionTimeout, raftLeaderLeaseTimeout
+	config.HeartbeatTimeout = raftHeartbeatTimeout
+	config.ElectionTimeout = raftElectionTimeout
+	config.LeaderLeaseTimeout = raftLeaderLeaseTimeout
 	config.CommitTimeout = raftCommitTimeout
 	config.SnapshotThreshold = r.options.SnapshotThreshold
 	config.TrailingLogs = r.options.SnapshotThreshold / 2
-	config.SnapshotInterval = 2 * time.Second
+	config.SnapshotInterval = snapshotCheckInterval
 	config.Logger = hclog.FromStandardLogger(slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 		&hclog.LoggerOptions{Name: "raft", Level: hclog.Info})
+	return config
+}
 
-	var logs raft.LogStore
-	var stable raft.StableStore
-	var snapshots raft.SnapshotStore
-	if r.options.DataDir == "" {
-		memory := raft.NewInmemStore()
-		logs, stable, snapshots, r.logStore = memory, memory, raft.NewInmemSnapshotStore(), io.NopCloser(nil)
-	} else {
-		if err := os.MkdirAll(r.options.DataDir, 0o700); err != nil {
-			return fmt.Errorf("dir: %w", err)
-		}
-		store, err := openLogStore(filepath.Join(r.options.DataDir, logFileName))
-		if err != nil {
-			return err
-		}
-		r.logStore = store
-		fileSnapshots, err := raft.NewFileSnapshotStoreWithLogger(r.options.DataDir, retainedSnapshots, config.Logger)
-		if err == nil {
-			err = verifyDataDir(store, fileSnapshots)
-		}
-		if err != nil {
-			store.Close()
-			return fmt.Errorf("%s: %w", r.options.DataDir, err)
-		}
-		logs, stable, snapshots = store, store, fileSnapshots
-	}
-	layer, err := newStreamLayer(r.options.RaftAddr, r.options.AdvertiseRaftAddr)
+// startRaft starts raft. A replica without a log becomes a member of a new cluster, if its options name the members.
+func (r *Replica) startRaft(config *raft.Config, stores *raftStores) error {
+	exists, err := raft.HasExistingState(stores.logs, stores.stable, stores.snapshots)
 	if err != nil {
-		r.logStore.Close()
-		return fmt.Errorf("raft: %w", err)
+		return err
 	}
-	r.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: layer, MaxPool: maxRaftConnections, Timeout: applyTimeout, Logger: config.Logger,
-	})
-	exists, err := raft.HasExistingState(logs, stable, snapshots)
-	if err == nil && !exists && len(r.options.Members) > 0 {
+	if !exists && len(r.options.Members) > 0 {
 		var servers []raft.Server
 		for _, member := range r.options.Members {
 			servers = append(servers, raft.Server{ID: raft.ServerID(member.HTTPAddr), Address: raft.ServerAddress(member.RaftAddr)})
 		}
-		err = raft.BootstrapCluster(config, logs, stable, snapshots, r.transport, raft.Configuration{Servers: servers})
+		configuration := raft.Configuration{Servers: servers}
+		err := raft.BootstrapCluster(config, stores.logs, stores.stable, stores.snapshots, r.transport, configuration)
+		if err != nil {
+			return err
+		}
+	}
+	r.raft, err = raft.NewRaft(config, (*fsm)(r), stores.logs, stores.stable, stores.snapshots, r.transport)
+	return err
+}
+
+// openRaftStores opens the stores in a directory, or in memory where that is "". It verifies all that they hold.
+func openRaftStores(dir string, logger hclog.Logger) (*raftStores, error) {
+	if dir == "" {
+		memory := raft.NewInmemStore()
+		return &raftStores{memory, memory, raft.NewInmemSnapshotStore(), io.NopCloser(nil)}, nil
 	}
+	if err := os.MkdirAll(dir, dataDirMode); err != nil {
+		return nil, fmt.Errorf("dir: %w", err)
+	}
+	store, err := openLogStore(filepath.Join(dir, logFileName))
+	if err != nil {
+		return nil, err
+	}
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, logger)
 	if err == nil {
-		r.raft, err = raft.NewRaft(config, (*fsm)(r), logs, stable, snapshots, r.transport)
+		err = verifyDataDir(store, snapshots)
 	}
 	if err != nil {
-		r.transport.Close()
-		r.logStore.Close()
-		return fmt.Errorf("raft: %w", err)
+		store.Close()
+		return nil, fmt.Errorf("%s: %w", dir, err)
 	}
-	return nil
+	return &raftStores{store, store, snapshots, store}, nil
 }
 
-// openLogStore opens the log's file. The library panics on some torn files; that is an error like any other here.
+// openLogStore opens the file of the log. The library panics on some corrupt files, which becomes an error here.
 func openLogStore(path string) (store *raftboltdb.BoltStore, err error) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
@@ -93,18 +133,26 @@
 	return store, nil
 }
 
-// verifyDataDir reads all that the replica would build on, so that what is torn is found before it votes.
+// verifyDataDir reads all snapshots and log entries, so that corrupt data is found before the replica votes.
 func verifyDataDir(store *raftboltdb.BoltStore, snapshots raft.SnapshotStore) (err error) {
-	defer func() {
+	defer func() { // as in openLogStore
 		if panicked := recover(); panicked != nil {
 			err = fmt.Errorf("log: %v", panicked)
 		}
 	}()
+	if err := verifySnapshots(snapshots); err != nil {
+		return err
+	}
+	return verifyLog(store)
+}
+
+// verifySnapshots reads every snapshot: raft falls back on the older one when it cannot read the newest.
+func verifySnapshots(snapshots raft.SnapshotStore) error {
 	available, err := snapshots.List()
 	if err != nil {
 		return fmt.Errorf("snapshots: %w", err)
 	}
-	for _, metadata := range available { // the older one is what is left when the newest cannot be read
+	for _, metadata := range available {
 		_, reader, err := snapshots.Open(metadata.ID)
 		if err == nil {
 			_, err = ReadSnapshot(reader)
@@ -114,6 +162,11 @@
 			return fmt.Errorf("snapshot %s: %w", metadata.ID, err)
 		}
 	}
+	return nil
+}
+
+// verifyLog decodes every record of the log.
+func verifyLog(store *raftboltdb.BoltStore) error {
 	first, err := store.FirstIndex()
 	if err != nil {
 		return fmt.Errorf("log: %w", err)
@@ -123,143 +176,24 @@
 		return fmt.Errorf("log: %w", err)
 	}
 	for index := first; index != 0 && index <= last; index++ {
-		var entry raft.Log
-		if err := store.GetLog(index, &entry); err != nil {
+		if err := verifyLogEntry(store, index); err != nil {
 			return fmt.Errorf("log entry %d: %w", index, err)
 		}
-		if entry.Index != index {
-			return fmt.Errorf("log entry %d: %w", index, errChecksumMismatch)
-		}
-		if entry.Type == raft.LogCommand {
-			if _, err := DecodeRecord(entry.Data); err != nil {
-				return fmt.Errorf("log entry %d: %w", index, err)
-			}
-		}
 	}
 	return nil
 }
 
-// streamLayer is the connections between replicas. It dials from the replica's own address, so that the other side, and
-// whatever stands between, sees who it is.
-type streamLayer struct {
-	net.Listener
-	localIP   net.IP
-	advertise net.Addr
-}
-
-func newStreamLayer(address, advertise string) (*streamLayer, error) {
-	listener, err := net.Listen("tcp", address)
-	if err != nil {
-		return nil, err
-	}
-	advertised, err := net.ResolveTCPAddr("tcp", advertise)
-	if err != nil {
-		listener.Close()
-		return nil, err
-	}
-	return &streamLayer{listener, listener.Addr().(*net.TCPAddr).IP, advertised}, nil
-}
-
-func (l *streamLayer) Addr() net.Addr { return l.advertise }
-
-func (l *streamLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: min(timeout, dialTimeout), LocalAddr: &net.TCPAddr{IP: l.localIP}}
-	conn, err := dialer.Dial("tcp", string(to))
-	if err != nil {
-		return nil, err
+func verifyLogEntry(store *raftboltdb.BoltStore, index uint64) error {
+	var entry raft.Log
+	if err := store.GetLog(index, &entry); err != nil {
+		return err
 	}
-	return &responseAgeConn{Conn: conn, maxAge: maxResponseAge}, nil
-}
-
-const (
-	// maxResponseAge is how old an answer of another replica may be. Who answered a heartbeat elects nobody else for the
-	// time of the heartbeat; an answer that is read later, as after this process was frozen or a link cut, proves no
-	// leadership of now. Raft would take it as the proof of a read that was asked for meanwhile, and a deposed leader
-	// would answer what is out of date as fresh.
-	maxResponseAge = raftHeartbeatTimeout - 50*time.Millisecond
-	// maxHeartbeatBytes is the most bytes of a question that is answered at once: heartbeats are far under it, batches of the
-	// log and snapshots, which take the other side's disk its time, are not.
-	maxHeartbeatBytes = 1 << 10
-)
-
-var errStaleResponse = errors.New("the answer is too old to count")
-
-// responseAgeConn is a connection to another replica on which answers count while they are young alone.
-type responseAgeConn struct {
-	net.Conn
-	maxAge time.Duration
-
-	mu        sync.Mutex
-	sentAt    time.Time // when the last bytes were written
-	sentBytes int       // how many, since the last answer
-}
-
-func (p *responseAgeConn) Write(b []byte) (int, error) {
-	p.mu.Lock()
-	p.sentAt = time.Now()
-	p.sentBytes += len(b)
-	p.mu.Unlock()
-	return p.Conn.Write(b)
-}
-
-func (p *responseAgeConn) Read(b []byte) (int, error) {
-	n, err := p.Conn.Read(b)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if n > 0 && p.sentBytes <= maxHeartbeatBytes && time.Since(p.sentAt) > p.maxAge {
-		return 0, errStaleResponse
+	if entry.Index != index {
+		return errChecksumMismatch
 	}
-	p.sentBytes = 0
-	return n, err
-}
-
-// fsm is the replica as raft drives it.
-type fsm Replica
-
-func (f *fsm) Apply(entry *raft.Log) any {
-	replica := (*Replica)(f)
-	record, err := DecodeRecord(entry.Data)
-	if err == nil {
-		var result Result
-		if result, err = replica.hub.Apply(entry.Index, record); err == nil {
-			return result
-		}
+	if entry.Type != raft.LogCommand {
+		return nil
 	}
-	// Every replica would have to skip it alike, and this one cannot know that they do.
-	replica.fail(fmt.Errorf("log entry %d: %w", entry.Index, err))
+	_, err := DecodeRecord(entry.Data)
 	return err
 }
-
-func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
-	var buffer snapshotBuffer
-	var err error
-	(*Replica)(f).hub.Read(func(state *StateMachine) { err = state.WriteSnapshot(&buffer) })
-	return &buffer, err
-}
-
-func (f *fsm) Restore(reader io.ReadCloser) error {
-	defer reader.Close()
-	state, err := ReadSnapshot(reader)
-	if err != nil {
-		return err
-	}
-	(*Replica)(f).hub.Replace(state)
-	return nil
-}
-
-// snapshotBuffer keeps a snapshot's bytes, taken at one moment, until raft has written them.
-type snapshotBuffer struct{ data []byte }
-
-func (w *snapshotBuffer) Write(p []byte) (int, error) {
-	w.data = append(w.data, p...)
-	return len(p), nil
-}
-
-func (w *snapshotBuffer) Persist(sink raft.SnapshotSink) error {
-	if _, err := sink.Write(w.data); err != nil {
-		return errors.Join(err, sink.Cancel())
-	}
-	return sink.Close()
-}
-
-func (w *snapshotBuffer) Release() {}
--- a/internal/registry/registration_tracker.go
+++ b/internal/registry/registration_tracker.go
@@ -7,29 +7,30 @@
 	"time"
 )
 
-// ExpiryPolicy says when missing renewals are believed.
+// ExpiryPolicy limits mass expiry. Many instances that miss their heartbeats at once more likely mean that the registry
+// cannot hear them than that all of them failed.
 type ExpiryPolicy struct {
-	// Share of all leases that may end within Within; beyond it they are held back: many things that seem to die
-	// at once are more likely one thing that cannot see.
-	MaxShare float64
-	Window   time.Duration
+	MaxShare float64       // largest share of the registrations that may expire within Window; above, expiry is held back
+	Window   time.Duration // sliding window that expiries are counted in
 }
 
 const (
-	// minMassExpiry: below so many at once no share is too large; small fleets would otherwise lose nobody, ever.
+	// minMassExpiry is the fewest missing instances that count as a mass expiry, whatever the share: in a small fleet a
+	// single instance is a large share.
 	minMassExpiry = 3
-	// lateFraction is the part of a lease without renewal from which an instance counts as missing. Renewals come
-	// three times in a lease, so two have been missed.
+	// lateFraction is the part of a lease without renewal after which an instance counts as missing. Renewals come three
+	// times in a lease, so two of them have been missed.
 	lateFraction = 0.7
 )
 
-// registrationTracker are the leader's alone: renewals are kept here and not in the log. Time is the monotonic clock's.
+// registrationTracker tracks the leases of registrations, in the leader's memory: renewals are not replicated. Times are
+// readings of the monotonic clock.
 type registrationTracker struct {
 	policy ExpiryPolicy
 
 	mu             sync.Mutex
-	registrations  map[string]*trackedRegistration
-	recentExpiries []time.Time // of late, for the share
+	registrations  map[string]*trackedRegistration // by uid; without those that never expire
+	recentExpiries []time.Time                     // within the policy's window
 }
 
 type trackedRegistration struct {
@@ -39,7 +40,7 @@
 	suspect   bool
 }
 
-// registrationSource is who has leases: instances of the list, or sidecars shown as such.
+// registrationSource is a set of registrations with leases: the instances, or the sidecars presented as instances.
 type registrationSource interface {
 	Get(uid string) (Instance, bool)
 	ForEach(visit func(*Instance))
@@ -49,91 +50,106 @@
 	return &registrationTracker{policy: policy, registrations: map[string]*trackedRegistration{}}
 }
 
-// reset gives every instance its full time again, as a new leader does.
-func (l *registrationTracker) reset(now time.Time, source registrationSource) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.registrations, l.recentExpiries = map[string]*trackedRegistration{}, nil
-	source.ForEach(func(instance *Instance) { l.trackLocked(now, instance) })
+// reset grants every registration its full lease again, as a new leader does: it does not know when its predecessor
+// heard from them.
+func (t *registrationTracker) reset(now time.Time, source registrationSource) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.registrations, t.recentExpiries = map[string]*trackedRegistration{}, nil
+	source.ForEach(func(instance *Instance) { t.trackLocked(now, instance) })
 }
 
-func (l *registrationTracker) trackLocked(now time.Time, instance *Instance) {
+// trackLocked starts a new lease. The caller holds the lock.
+func (t *registrationTracker) trackLocked(now time.Time, instance *Instance) {
 	if instance.TTLMS == 0 {
-		delete(l.registrations, instance.UID)
+		delete(t.registrations, instance.UID)
 		return
 	}
-	l.registrations[instance.UID] = &trackedRegistration{ttl: time.Duration(instance.TTLMS) * time.Millisecond, revision: instance.Revision, renewedAt: now, suspect: instance.Suspect}
+	t.registrations[instance.UID] = &trackedRegistration{
+		ttl: milliseconds(instance.TTLMS), revision: instance.Revision, renewedAt: now, suspect: instance.Suspect,
+	}
 }
 
-// refresh takes over what a write has done to instances.
-func (l *registrationTracker) refresh(now time.Time, source registrationSource, uids []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// refresh updates the tracker after a write about the registrations named.
+func (t *registrationTracker) refresh(now time.Time, source registrationSource, uids []string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for _, uid := range uids {
 		instance, ok := source.Get(uid)
-		existing := l.registrations[uid]
+		tracked := t.registrations[uid]
 		switch {
 		case !ok:
-			delete(l.registrations, uid)
-		case existing == nil || existing.revision != instance.Revision || time.Duration(instance.TTLMS)*time.Millisecond != existing.ttl:
-			l.trackLocked(now, &instance)
+			delete(t.registrations, uid)
+		case tracked == nil || tracked.revision != instance.Revision || tracked.ttl != milliseconds(instance.TTLMS):
+			t.trackLocked(now, &instance)
 		default:
-			existing.suspect = instance.Suspect
+			tracked.suspect = instance.Suspect
 		}
 	}
 }
 
-// renew extends leases. It returns those that are not known, which have to register again, and those that were
-// held back and have now proved alive.
-func (l *registrationTracker) renew(now time.Time, source registrationSource, uids []string) (unknown, alive []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// renew renews leases. It returns the uids that are not registered, and the suspects that have now proved alive.
+func (t *registrationTracker) renew(now time.Time, source registrationSource, uids []string) (unknown, alive []string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for _, uid := range uids {
-		if entry := l.registrations[uid]; entry != nil {
-			entry.renewedAt = now
-			if entry.suspect {
-				alive = append(alive, uid)
+		tracked := t.registrations[uid]
+		if tracked == nil {
+			if _, ok := source.Get(uid); !ok {
+				unknown = append(unknown, uid)
 			}
-		} else if _, ok := source.Get(uid); !ok {
-			unknown = append(unknown, uid)
+			continue
+		}
+		tracked.renewedAt = now
+		if tracked.suspect {
+			alive = append(alive, uid)
 		}
 	}
 	return unknown, alive
 }
 
-// sweep finds the leases that have ended: those to expire, or, when too many are missing at once, those to hold
-// back. Each is returned until a write has taken it over.
-func (l *registrationTracker) sweep(now time.Time) (expire, holdBack []InstanceRef) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// sweep returns the registrations whose leases have expired, ordered by uid: in expire, or, where too many are missing
+// at once, in holdBack. Each is returned by every sweep until refresh was called after a write about it.
+func (t *registrationTracker) sweep(now time.Time) (expire, holdBack []InstanceRef) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	late := 0
-	for uid, entry := range l.registrations {
-		idle := now.Sub(entry.renewedAt)
-		if idle > time.Duration(lateFraction*float64(entry.ttl)) {
+	for uid, tracked := range t.registrations {
+		idle := now.Sub(tracked.renewedAt)
+		if idle > time.Duration(lateFraction*float64(tracked.ttl)) {
 			late++
 		}
-		if idle > entry.ttl && !entry.suspect {
-			expire = append(expire, InstanceRef{uid, entry.revision})
+		if idle > tracked.ttl && !tracked.suspect {
+			expire = append(expire, InstanceRef{uid, tracked.revision})
 		}
 	}
-	l.recentExpiries = slices.DeleteFunc(l.recentExpiries, func(expiredAt time.Time) bool { return now.Sub(expiredAt) > l.policy.Window })
+	t.recentExpiries = slices.DeleteFunc(t.recentExpiries, func(expiredAt time.Time) bool {
+		return now.Sub(expiredAt) > t.policy.Window
+	})
 	if len(expire) == 0 {
 		return nil, nil
 	}
 	slices.SortFunc(expire, func(a, b InstanceRef) int { return strings.Compare(a.UID, b.UID) })
-	total := len(l.registrations) + len(l.recentExpiries)
-	missing := late + len(l.recentExpiries)
-	if missing >= minMassExpiry && float64(missing) > l.policy.MaxShare*float64(total) {
+	if t.isMassExpiryLocked(late) {
 		return nil, expire
 	}
 	return expire, nil
 }
 
-// recordExpired counts those that a sweep has ended.
-func (l *registrationTracker) recordExpired(now time.Time, count int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// isMassExpiryLocked reports whether too many registrations are missing, of which late have not expired yet or only now.
+func (t *registrationTracker) isMassExpiryLocked(late int) bool {
+	total := len(t.registrations) + len(t.recentExpiries)
+	missing := late + len(t.recentExpiries)
+	return missing >= minMassExpiry && float64(missing) > t.policy.MaxShare*float64(total)
+}
+
+// recordExpired counts expiries towards the policy's limit.
+func (t *registrationTracker) recordExpired(now time.Time, count int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for range count {
-		l.recentExpiries = append(l.recentExpiries, now)
+		t.recentExpiries = append(t.recentExpiries, now)
 	}
 }
+
+func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -18,106 +19,92 @@
 )
 
 const (
-	// Replicas are close to each other: a leader that is silent for so long is gone, and a new one is there well
-	// within two seconds. A frozen leader stops believing in itself sooner than others elect a new one.
-	raftHeartbeatTimeout   = 400 * time.Millisecond
-	raftElectionTimeout    = 400 * time.Millisecond
-	raftLeaderLeaseTimeout = 250 * time.Millisecond
-	raftCommitTimeout      = 10 * time.Millisecond
+	applyTimeout    = 3 * time.Second // of a record, from its proposal until it is applied
+	shutdownTimeout = 5 * time.Second // of raft
 
-	applyTimeout       = 3 * time.Second
-	dialTimeout        = 500 * time.Millisecond
-	verifyInterval     = 200 * time.Millisecond
-	sweepInterval      = 100 * time.Millisecond
-	maxRaftConnections = 3 // connections to each replica
-	retainedSnapshots  = 2
-	shutdownTimeout    = 5 * time.Second
-
-	// maxFreshAge is how old a leader's last proof of leadership may be for its list to count as fresh.
+	// maxFreshAge is how long ago a leader may have verified its leadership for its state to count as fresh.
 	maxFreshAge = time.Second
 
-	logFileName = "raft.db"
+	// appliedPollInterval is how often a linearizable read checks whether the state has caught up.
+	appliedPollInterval = time.Millisecond
 )
 
-// Options say how a replica runs.
+// Defaults of the options.
+const (
+	defaultSnapshotThreshold = 8192
+	defaultMaxExpiryShare    = 0.15
+	defaultExpiryWindow      = 10 * time.Second
+)
+
+// Options are the options of a replica. All addresses are loopback.
 type Options struct {
-	HTTPAddr string // where clients come, and the replica's name among the others; loopback only
-	RaftAddr string // where the other replicas come
-	// Advertise is the raft address that others are told, where it differs from Raft.
-	AdvertiseRaftAddr string
-	DataDir           string   // of its log and snapshots; "" keeps all in memory, for a single replica to try out
-	Members           []Member // of a new cluster, this one among them; a replica that finds a log of its own ignores them
-	Expiry            ExpiryPolicy
-	// SnapshotThreshold is how many log entries make a snapshot due.
-	SnapshotThreshold uint64
-	// WarmUpDuration is how long after it is ready a server counts as warm in the ledger; 0: somebody else finds that.
+	HTTPAddr          string       // for clients; also the replica's name in the cluster
+	RaftAddr          string       // for the other replicas
+	AdvertiseRaftAddr string       // address that the other replicas use, where it differs from RaftAddr
+	DataDir           string       // of the log and the snapshots; "": they are held in memory, for a single replica to try out
+	Members           []Member     // of a new cluster, this replica included; ignored by a replica that has a log
+	Expiry            ExpiryPolicy // zero fields: the defaults
+	SnapshotThreshold uint64       // log entries between two snapshots; 0: the default
+	// WarmUpDuration is how long after it is ready a server counts as warmed up in the disruption ledger. 0: it does once
+	// an observer says so.
 	WarmUpDuration time.Duration
 }
 
-// Member is one replica of the cluster.
+// setDefaults sets the options that are zero.
+func (o *Options) setDefaults() {
+	o.AdvertiseRaftAddr = cmp.Or(o.AdvertiseRaftAddr, o.RaftAddr)
+	o.SnapshotThreshold = cmp.Or(o.SnapshotThreshold, defaultSnapshotThreshold)
+	o.Expiry.MaxShare = cmp.Or(o.Expiry.MaxShare, defaultMaxExpiryShare)
+	o.Expiry.Window = cmp.Or(o.Expiry.Window, defaultExpiryWindow)
+}
+
+// Member is a replica of the cluster.
 type Member struct {
 	HTTPAddr string `json:"http"`
 	RaftAddr string `json:"raft"`
 }
 
-// Defaults of the options.
-const (
-	defaultSnapshotThreshold = 8192
-	defaultMaxExpiryShare    = 0.15
-	defaultExpiryWindow      = 10 * time.Second
-)
-
-// Replica is one member of the cluster.
+// Replica is one member of a cluster. It serves the state over HTTP and proposes writes to raft.
 type Replica struct {
-	options       Options
-	hub           *Hub
-	registrations *registrationTracker
-	leaseTracker  *leaseTracker
-	warmUps       *warmUpTracker // of the loop of the leader alone
-	raft          *raft.Raft
-	logStore      io.Closer
-	transport     *raft.NetworkTransport
-	httpServer    *http.Server
-	listener      net.Listener
-	metrics       *metrics
+	options Options
+	logger  *slog.Logger
+	metrics *metrics
+
+	hub       *Hub
+	raft      *raft.Raft
+	logStore  io.Closer
+	transport *raft.NetworkTransport
 
-	isLeader         atomic.Bool  // it leads and has applied all that came before
-	verifiedAt       atomic.Int64 // when its leadership was last proved, ns since began
-	startedAt        time.Time
-	fatal            chan error
-	watchers         atomic.Int64
-	placementSweptAt time.Time // when ended entries of the placement were last looked for
-	ctx              context.Context
-	cancel           context.CancelFunc
-	goroutines       sync.WaitGroup
+	listener   net.Listener
+	httpServer *http.Server
+	watchers   atomic.Int64
 
+	// Of the leader.
+	isLeader             atomic.Bool  // the leadership is established: earlier records are applied
+	verifiedAt           atomic.Int64 // when the leadership was last verified, ns since startedAt
+	registrations        *registrationTracker
 	sidecarRegistrations *sidecarTracker
+	leaseTracker         *leaseTracker
+	warmUps              *warmUpTracker // of the leader loop alone
+	placementSweptAt     time.Time      // of the leader loop alone
+
+	startedAt  time.Time
+	fatal      chan error
+	ctx        context.Context // ends with the replica
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
-// Open starts a replica from its folder, or anew.
+// Open starts a replica, from its data directory or as a member of a new cluster.
 func Open(options Options) (*Replica, error) {
 	for name, address := range map[string]string{"http": options.HTTPAddr, "raft": options.RaftAddr} {
-		if err := checkLoopback(name, address); err != nil {
+		if err := CheckLoopback(name, address); err != nil {
 			return nil, err
 		}
 	}
-	if options.AdvertiseRaftAddr == "" {
-		options.AdvertiseRaftAddr = options.RaftAddr
-	}
-	if options.SnapshotThreshold == 0 {
-		options.SnapshotThreshold = defaultSnapshotThreshold
-	}
-	if options.Expiry.MaxShare == 0 {
-		options.Expiry.MaxShare = defaultMaxExpiryShare
-	}
-	if options.Expiry.Window == 0 {
-		options.Expiry.Window = defaultExpiryWindow
-	}
-	replica := &Replica{options: options, hub: NewHub(), registrations: newRegistrationTracker(options.Expiry), leaseTracker: newLeaseTracker(), startedAt: time.Now(), fatal: make(chan error, 1)}
-	replica.sidecarRegistrations = newSidecarTracker(options.Expiry)
-	replica.metrics = newMetrics(replica)
-	replica.ctx, replica.cancel = context.WithCancel(context.Background())
-	// The clients' address is bound first: a replica that nobody can ask must not vote.
+	options.setDefaults()
+	replica := newReplica(options)
+	// The HTTP address is bound first: a replica that clients cannot reach must not vote.
 	listener, err := net.Listen("tcp", options.HTTPAddr)
 	if err != nil {
 		return nil, fmt.Errorf("http: %w", err)
@@ -137,11 +124,29 @@
 	return replica, nil
 }
 
-// checkLoopback refuses an address that others could reach.
-func checkLoopback(name, address string) error {
+// newReplica makes a replica that neither listens nor has a log yet.
+func newReplica(options Options) *Replica {
+	replica := &Replica{
+		options:              options,
+		logger:               componentLogger(),
+		hub:                  NewHub(),
+		registrations:        newRegistrationTracker(options.Expiry),
+		sidecarRegistrations: newSidecarTracker(options.Expiry),
+		leaseTracker:         newLeaseTracker(),
+		startedAt:            time.Now(),
+		fatal:                make(chan error, 1),
+	}
+	replica.metrics = newMetrics(replica)
+	replica.ctx, replica.cancel = context.WithCancel(context.Background())
+	return replica
+}
+
+// CheckLoopback rejects an address (IP address and port) that other machines could reach. Name is what the error calls
+// it.
+func CheckLoopback(name, address string) error {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return fmt.Errorf("%s: %q is no address and port", name, address)
+		return fmt.Errorf("%s: %q is not an IP address and port", name, address)
 	}
 	if !parsed.Addr().IsLoopback() {
 		return fmt.Errorf("%s: %s is not a loopback address", name, address)
@@ -149,10 +154,7 @@
 	return nil
 }
 
-// CheckLoopback is loopback for others that listen.
-func CheckLoopback(name, address string) error { return checkLoopback(name, address) }
-
-// fail ends the replica because of something that it cannot go on with.
+// fail reports an error that the replica cannot continue after. Only the first one counts.
 func (r *Replica) fail(err error) {
 	select {
 	case r.fatal <- err:
@@ -160,18 +162,18 @@
 	}
 }
 
-// Fatal gives the error on which the replica must end.
+// Fatal returns the error after which the replica has to be closed.
 func (r *Replica) Fatal() <-chan error { return r.fatal }
 
-// Addr is where clients come.
+// Addr is the HTTP address that the replica listens on.
 func (r *Replica) Addr() string { return r.listener.Addr().String() }
 
-// Close ends the replica in good order: a leader hands over first.
+// Close ends the replica. A leader transfers its leadership first.
 func (r *Replica) Close() error {
 	r.cancel()
 	if r.raft.State() == raft.Leader {
 		if err := r.raft.LeadershipTransfer().Error(); err != nil {
-			slog.Debug("leadership not handed over", "error", err) // alone, or nobody is up to date
+			r.logger.Debug("leadership not transferred", "error", err) // the only replica, or no other is up to date
 		}
 	}
 	r.httpServer.Close()
@@ -181,17 +183,17 @@
 	select {
 	case err = <-stopped:
 	case <-time.After(shutdownTimeout):
-		err = errors.New("raft did not end in time")
+		err = errors.New("raft did not shut down in time")
 	}
 	r.goroutines.Wait()
 	return errors.Join(err, r.transport.Close(), r.logStore.Close())
 }
 
-// ErrNotLeader is given where only the leader can help.
-var ErrNotLeader = errors.New("this replica does not lead")
+// ErrNotLeader is returned for what only the leader can do.
+var ErrNotLeader = errors.New("this replica is not the leader")
 
-// propose puts a record into the log and waits until it is applied here. After an error it may or may not be done;
-// a repeat with the same ID finds out.
+// propose appends a record to the log and waits until this replica has applied it. After an error the record may or may
+// not be applied; a retry with the same ID finds out.
 func (r *Replica) propose(record *Record) (Result, error) {
 	data, err := record.Encode()
 	if err != nil {
@@ -199,7 +201,7 @@
 	}
 	future := r.raft.Apply(data, applyTimeout)
 	if err := future.Error(); err != nil {
-		if errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrLeadershipLost) || errors.Is(err, raft.ErrLeadershipTransferInProgress) {
+		if lostLeadership(err) {
 			return Result{}, fmt.Errorf("%w: %w", ErrNotLeader, err)
 		}
 		return Result{}, err
@@ -211,11 +213,16 @@
 	case error:
 		return Result{}, result
 	default:
-		return Result{}, fmt.Errorf("write: no result but %T", result)
+		return Result{}, fmt.Errorf("write: unexpected result of type %T", result)
 	}
 }
 
-// listAge is how old this replica's list may be: the time since it was last known to be the newest.
+func lostLeadership(err error) bool {
+	return errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrLeadershipLost) ||
+		errors.Is(err, raft.ErrLeadershipTransferInProgress)
+}
+
+// listAge is how old this replica's state may be: the time since it was last known to be the newest.
 func (r *Replica) listAge() time.Duration {
 	if r.raft.State() == raft.Leader {
 		if !r.isLeader.Load() {
@@ -236,7 +243,8 @@
 	return string(id)
 }
 
-// awaitReadIndex makes sure that a read on this leader sees every write that was acknowledged before it.
+// awaitReadIndex waits until this leader may answer a linearizable read: it verifies the leadership, and waits until
+// every record is applied that was committed before.
 func (r *Replica) awaitReadIndex(ctx context.Context) error {
 	if !r.isLeader.Load() {
 		return ErrNotLeader
@@ -249,7 +257,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(time.Millisecond):
+		case <-time.After(appliedPollInterval):
 		}
 	}
 	return nil
@@ -268,21 +276,19 @@
 	return members, nil
 }
 
-// restore puts a saved state in place of the cluster's, under a new epoch.
+// restore replaces the state of the cluster by a saved one, under a new epoch.
 func (r *Replica) restore(state *StateMachine) (Result, error) {
 	var buffer snapshotBuffer
 	if err := state.WriteSnapshot(&buffer); err != nil {
 		return Result{}, err
 	}
-	metadata := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Index: state.appliedIndex, Term: 1, Size: int64(len(buffer.data))}
+	metadata := &raft.SnapshotMeta{
+		Version: raft.SnapshotVersionMax, Index: state.appliedIndex, Term: 1, Size: int64(len(buffer.data)),
+	}
 	if err := r.raft.Restore(metadata, bytes.NewReader(buffer.data), applyTimeout); err != nil {
 		return Result{}, err
 	}
 	result, err := r.propose(&Record{Op: OpEpoch, Epoch: newEpoch()})
-	r.hub.Read(func(state *StateMachine) {
-		r.registrations.reset(time.Now(), state)
-		r.leaseTracker.reset(time.Now(), state)
-		r.sidecarRegistrations.reset(time.Now(), state)
-	})
+	r.resetTrackers()
 	return result, err
 }
--- /dev/null
+++ b/internal/registry/sidecar_tracker.go
@@ -0,0 +1,105 @@
+package registry
+
+import (
+	"sync"
+	"time"
+)
+
+// sidecarSource presents the registered sidecars as instances.
+type sidecarSource struct{ state *StateMachine }
+
+func (s sidecarSource) Get(name string) (Instance, bool) {
+	if s.state.ledger == nil || s.state.ledger.sidecars[name] == nil {
+		return Instance{}, false
+	}
+	return s.state.ledger.sidecars[name].asInstance(), true
+}
+
+func (s sidecarSource) ForEach(visit func(*Instance)) {
+	if s.state.ledger == nil {
+		return
+	}
+	for _, sidecar := range s.state.ledger.sidecars {
+		instance := sidecar.asInstance()
+		visit(&instance)
+	}
+}
+
+func (s *Sidecar) asInstance() Instance {
+	return Instance{Target: Target{UID: s.Name}, TTLMS: s.TTLMS, Revision: s.Revision, Suspect: s.Suspect}
+}
+
+// sidecarTracker tracks the leases of sidecars and the revisions that they have in force, in the leader's memory.
+type sidecarTracker struct {
+	*registrationTracker
+
+	revisionsMu sync.Mutex
+	revisions   map[string]sidecarRevisions // by name
+}
+
+// sidecarRevisions are the revisions that a sidecar last reported to have in force.
+type sidecarRevisions struct{ list, placement uint64 }
+
+func newSidecarTracker(policy ExpiryPolicy) *sidecarTracker {
+	return &sidecarTracker{registrationTracker: newRegistrationTracker(policy), revisions: map[string]sidecarRevisions{}}
+}
+
+func (t *sidecarTracker) reset(now time.Time, state *StateMachine) {
+	t.registrationTracker.reset(now, sidecarSource{state})
+	t.revisionsMu.Lock()
+	defer t.revisionsMu.Unlock()
+	t.revisions = map[string]sidecarRevisions{}
+}
+
+// recordRevisions stores the revisions that sidecars report, and drops those of removed sidecars.
+func (t *sidecarTracker) recordRevisions(sidecars []Sidecar, removed []string) {
+	t.revisionsMu.Lock()
+	defer t.revisionsMu.Unlock()
+	for k := range sidecars {
+		t.revisions[sidecars[k].Name] = sidecarRevisions{sidecars[k].ListRevision, sidecars[k].PlacementRevision}
+	}
+	for _, name := range removed {
+		delete(t.revisions, name)
+	}
+}
+
+// fillRevisions sets the reported revisions of sidecars.
+func (t *sidecarTracker) fillRevisions(sidecars []Sidecar) {
+	t.revisionsMu.Lock()
+	defer t.revisionsMu.Unlock()
+	for k := range sidecars {
+		reported := t.revisions[sidecars[k].Name]
+		sidecars[k].ListRevision, sidecars[k].PlacementRevision = reported.list, reported.placement
+	}
+}
+
+func (r *Replica) refreshSidecars(names []string) {
+	r.hub.Read(func(state *StateMachine) { r.sidecarRegistrations.refresh(time.Now(), sidecarSource{state}, names) })
+}
+
+// expireSidecars expires the leases of sidecars that have ended, or holds the expiry back where too many are missing at
+// once. Only the leader loop calls it.
+func (r *Replica) expireSidecars() {
+	now := time.Now()
+	expire, holdBack := r.sidecarRegistrations.sweep(now)
+	refs, outcome := expire, sidecarExpired
+	if len(holdBack) > 0 {
+		refs, outcome = holdBack, sidecarHeldBack
+	}
+	if len(refs) == 0 {
+		return
+	}
+	if _, err := r.propose(&Record{Op: OpSidecars, Refs: refs, State: outcome}); err != nil {
+		return // the next sweep finds them again, of this leader or the next
+	}
+	r.logger.Warn("sidecar leases expired", "sidecars", len(refs), "first", refs[0].UID, "held_back", outcome == sidecarHeldBack)
+	var names []string
+	for _, ref := range refs {
+		names = append(names, ref.UID)
+	}
+	if outcome == sidecarExpired {
+		r.sidecarRegistrations.recordExpired(now, len(refs))
+		r.sidecarRegistrations.recordRevisions(nil, names)
+	}
+	r.refreshSidecars(names)
+}
--- /dev/null
+++ b/internal/registry/state_instances.go
@@ -0,0 +1,132 @@
+package registry
+
+import "fmt"
+
+// applyRegister registers new instances and new incarnations of known ones: all of a batch or none.
+func (s *StateMachine) applyRegister(index uint64, record *Record) Result {
+	added := 0
+	for k := range record.Instances {
+		instance := &record.Instances[k]
+		existing := s.instances[instance.UID]
+		if existing == nil {
+			added++
+		}
+		if rejection, ok := checkRegister(instance, existing, record.IfRevision); !ok {
+			return rejection
+		}
+	}
+	if len(s.instances)+added > maxInstances {
+		return Result{OutcomeLimitExceeded, s.revision, fmt.Sprintf("the list holds %d instances", len(s.instances))}
+	}
+	for k := range record.Instances {
+		s.registerInstance(index, record.Instances[k])
+	}
+	return doneResult(index)
+}
+
+// checkRegister checks a registration against the existing entry, which is nil where there is none. Where it must not
+// take effect, ok is false and rejection says why.
+func checkRegister(instance, existing *Instance, ifRevision *uint64) (rejection Result, ok bool) {
+	switch {
+	case existing == nil && ifRevision != nil && *ifRevision != 0:
+		return notRegisteredResult(instance.UID), false
+	case existing == nil:
+		return Result{}, true
+	case ifRevision != nil && *ifRevision != existing.Revision:
+		return conflictResult(existing.Revision, "%s has revision %d", instance.UID, existing.Revision), false
+	case existing.Endpoint != instance.Endpoint && instance.BootMS <= existing.BootMS:
+		// Two processes with one uid: the later incarnation wins, and an earlier one that returns does not take it back.
+		return conflictResult(existing.Revision, "%s is registered by %s, which started no earlier", instance.UID, existing.Endpoint), false
+	case instance.BootMS < existing.BootMS:
+		return conflictResult(existing.Revision, "%s has restarted since", instance.UID), false
+	}
+	return Result{}, true
+}
+
+// registerInstance adds or updates an entry. A registration that changes nothing of the endpoint list keeps its revision.
+func (s *StateMachine) registerInstance(index uint64, instance Instance) {
+	instance.Suspect = false
+	if existing := s.instances[instance.UID]; existing != nil && existing.Target == instance.Target {
+		existing.Version, existing.TTLMS, existing.Suspect = instance.Version, instance.TTLMS, false
+		return
+	}
+	s.setInstance(index, instance)
+}
+
+// applyInstanceChange sets the state of instances or removes them: all of them or none.
+func (s *StateMachine) applyInstanceChange(index uint64, record *Record) Result {
+	for _, ref := range record.Refs {
+		instance := s.instances[ref.UID]
+		switch {
+		case instance == nil && record.Op == OpDeregister && ref.Revision == 0:
+			// Removed already: nothing to do, and the request is fulfilled.
+		case instance == nil:
+			return notRegisteredResult(ref.UID)
+		case ref.Revision != 0 && ref.Revision != instance.Revision:
+			return conflictResult(instance.Revision, "%s has revision %d", ref.UID, instance.Revision)
+		}
+	}
+	for _, ref := range record.Refs {
+		instance := s.instances[ref.UID]
+		switch {
+		case instance == nil:
+		case record.Op == OpDeregister:
+			s.removeInstance(index, instance)
+		case instance.State != record.State:
+			updated := *instance
+			updated.State = record.State
+			s.setInstance(index, updated)
+		}
+	}
+	return doneResult(index)
+}
+
+// applyExpire removes instances whose leases have expired. One that has changed since, or whose expiry is held back,
+// stays.
+func (s *StateMachine) applyExpire(index uint64, record *Record) Result {
+	for _, ref := range record.Refs {
+		if instance := s.instances[ref.UID]; instance != nil && instance.Revision == ref.Revision && !instance.Suspect {
+			s.removeInstance(index, instance)
+		}
+	}
+	return doneResult(index)
+}
+
+// applySuspect marks instances whose expiry is held back, or clears the mark. The endpoint list does not show it.
+func (s *StateMachine) applySuspect(index uint64, record *Record) Result {
+	for _, ref := range record.Refs {
+		if instance := s.instances[ref.UID]; instance != nil {
+			instance.Suspect = record.Suspected
+		}
+	}
+	return doneResult(index)
+}
+
+// applyMirror sets and removes entries as an agent has them from the registry that it mirrors.
+func (s *StateMachine) applyMirror(index uint64, record *Record) Result {
+	for k := range record.Instances {
+		instance := record.Instances[k]
+		if existing := s.instances[instance.UID]; existing == nil || existing.Target != instance.Target {
+			s.setInstance(index, instance)
+		}
+	}
+	for _, ref := range record.Refs {
+		if instance := s.instances[ref.UID]; instance != nil {
+			s.removeInstance(index, instance)
+		}
+	}
+	return doneResult(index)
+}
+
+func (s *StateMachine) setInstance(index uint64, instance Instance) {
+	instance.Revision = index
+	s.instances[instance.UID] = &instance
+	s.recordChange(index, instance.Target)
+}
+
+func (s *StateMachine) removeInstance(index uint64, instance *Instance) {
+	delete(s.instances, instance.UID)
+	target := instance.Target
+	target.State = InstanceRemoved
+	s.recordChange(index, target)
+}
--- a/internal/registry/state_machine_test.go
+++ b/internal/registry/state_machine_test.go
@@ -224,27 +224,27 @@
 		}
 	}
 	register(1)
-	_, cursor, _, err := hub.next(cursor{})
+	first, err := hub.next(cursor{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range uint64(3) {
 		register(n + 2)
 	}
-	lines, _, _, err := hub.next(cursor)
-	if err != nil || len(lines) != 3 {
-		t.Errorf("a little behind: %d lines, want each change: %v", len(lines), err)
+	batch, err := hub.next(first.next)
+	if err != nil || len(batch.lines) != 3 {
+		t.Errorf("a little behind: %d lines, want each change: %v", len(batch.lines), err)
 	}
 	for n := range uint64(5000) {
 		register(n + 5)
 	}
-	lines, now, _, err := hub.next(cursor)
+	batch, err = hub.next(first.next)
 	var list EndpointList
-	if err != nil || len(lines) != 1 || json.Unmarshal(lines[0], &list) != nil || len(list.Targets) != 1 || list.Targets[0].BootMS != 5004 || now.revision != 5004 {
-		t.Errorf("far behind: %d lines, %+v, %v", len(lines), list, err)
+	if err != nil || len(batch.lines) != 1 || json.Unmarshal(batch.lines[0], &list) != nil || len(list.Targets) != 1 || list.Targets[0].BootMS != 5004 || batch.next.revision != 5004 {
+		t.Errorf("far behind: %d lines, %+v, %v", len(batch.lines), list, err)
 	}
 	if len(hub.encoded) > maxEncodedChanges {
-		t.Errorf("%d lines are kept", len(hub.encoded))
+		t.Errorf("%d encoded changes are retained", len(hub.encoded))
 	}
 }
 
--- /dev/null
+++ b/internal/registry/state_maintenance.go
@@ -0,0 +1,93 @@
+package registry
+
+import (
+	"cmp"
+
+	"milldeck/internal/disruption"
+	"milldeck/internal/maintenance"
+	"milldeck/internal/placement"
+)
+
+// contractBudgetOwner owns the budgets that go with contracts: only operators set contracts.
+const contractBudgetOwner = "operator/contract"
+
+// Windows is the table of contracts and maintenance windows, for reading.
+func (s *StateMachine) Windows() *maintenance.Table { return s.windows }
+
+// setWindowTable sets the table, and has it look up permits in the ledger.
+func (s *StateMachine) setWindowTable(windows *maintenance.Table) {
+	s.windows = windows
+	windows.LookupPermit = func(id string) (disruption.Stage, bool) {
+		if s.ledger == nil {
+			return "", false
+		}
+		permit, ok := s.ledger.table.Permit(id)
+		return permit.Stage, ok
+	}
+}
+
+// applyWindow applies an operation to contracts and windows, and what follows from it for the ledger's budgets and for
+// the placement, in one record.
+func (s *StateMachine) applyWindow(index uint64, record *Record) Result {
+	if record.Window == nil || record.Stamp == nil {
+		return conflictResult(index, "no operation, or no time")
+	}
+	op := *record.Window
+	if op.Kind.RequiresToken() {
+		if record.Guard == nil || record.Guard.Lease != maintenance.LeaseName {
+			return conflictResult(index, "a step of a window needs the token of lease %s", maintenance.LeaseName)
+		}
+		op.Token = record.Guard.Token
+	}
+	applied := s.windows.Apply(index, &op, *record.Stamp)
+	if applied.Outcome != maintenance.OutcomeApplied {
+		// The controller reads the outcome of the table from the front of the reason.
+		return Result{windowOutcome(applied.Outcome), index, string(applied.Outcome) + ": " + applied.Reason}
+	}
+	budgetFailure := s.applyContractBudget(index, &op)
+	placementFailure := s.publishWindow(index, record.Stamp.LeaderMS, applied.SetEntries, applied.DropEntryIDs)
+	return Result{OutcomeDone, index, cmp.Or(budgetFailure, placementFailure)}
+}
+
+func windowOutcome(outcome maintenance.Outcome) Outcome {
+	switch outcome {
+	case maintenance.OutcomeNotFound:
+		return OutcomeNotFound
+	case maintenance.OutcomeLimitExceeded:
+		return OutcomeLimitExceeded
+	default:
+		return OutcomeConflict
+	}
+}
+
+// publishWindow sets and removes the directives of a window, and returns why it could not. Where the placement is full
+// nothing new is set: then the window never drains and returns. Directives to be removed are removed all the same.
+func (s *StateMachine) publishWindow(index uint64, nowMS int64, set []placement.Directive, remove []string) (failure string) {
+	if len(set)+len(remove) == 0 {
+		return ""
+	}
+	op := &placement.Op{LeaderTimeMS: nowMS, Set: set, Delete: remove}
+	outcome, reason := s.placement.Apply(index, maintenance.LeaseName, op)
+	if outcome != placement.OutcomeApplied && len(set) > 0 && len(remove) > 0 {
+		s.placement.Apply(index, maintenance.LeaseName, &placement.Op{LeaderTimeMS: nowMS, Delete: remove})
+	}
+	return reason
+}
+
+// applyContractBudget has the ledger bound the servers of a contract that are out for whatever reason, from the record
+// that sets the contract to the one that withdraws it. It returns why it could not.
+func (s *StateMachine) applyContractBudget(index uint64, op *maintenance.Operation) (failure string) {
+	budgetOp := &disruption.Op{Kind: disruption.OpSetBudget, Owner: contractBudgetOwner}
+	switch op.Kind {
+	case maintenance.OpSetContract:
+		budgetOp.Budget = maintenance.ContractBudget(op.Contract)
+	case maintenance.OpWithdrawContract:
+		budgetOp.Budget, budgetOp.Delete = &disruption.Budget{Name: maintenance.ContractBudgetName(op.Tenant)}, true
+	default:
+		return ""
+	}
+	if outcome, reason := s.ensureLedger(index).table.Apply(index, budgetOp); outcome != disruption.OutcomeApplied {
+		return "no budget of the ledger goes with it: " + reason // stored with the write: the text must not change
+	}
+	return ""
+}
--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -1,75 +1,79 @@
 package registry
 
 import (
-	"log/slog"
 	"time"
 
 	"milldeck/internal/disruption"
 )
 
 const (
-	// warmUpCheckInterval is between two looks at which servers are cold: warming takes many seconds, and a look walks all units.
+	// warmUpCheckInterval is the time between two searches for servers that have warmed up. Warming up takes many seconds,
+	// and a search walks all units.
 	warmUpCheckInterval = time.Second
-	// maxWarmPerRecord are found warm in one entry of the log.
+	// maxWarmPerRecord bounds the servers that one record marks as warm.
 	maxWarmPerRecord = 1000
 )
 
-// warmUpTracker is the leader's: since when it has seen each cold server in its present life. Nobody else finds a server warm
-// that failed alone and came back, and a cold one counts as out. It goes by time alone, so it is an option: 0 leaves it
-// to somebody who looks. A new leader begins anew, which takes longer and never shorter.
+// warmUpTracker tracks in the leader's memory since when each server has been warming up in its present incarnation. A
+// server that failed on its own and returned is not observed by any controller, and would count as out for ever. The
+// tracker goes by time alone, so it is an option: with duration 0 an observer has to mark servers as warm. A new leader
+// starts again, so a server may be marked later than after the duration, never earlier.
 type warmUpTracker struct {
 	duration  time.Duration
-	observed  map[string]coldIncarnation // by unit
+	observed  map[string]warmingIncarnation // by unit
 	nextCheck time.Time
 }
 
-type coldIncarnation struct {
-	revision  uint64 // of the unit: a later life has another
+// warmingIncarnation is a server that warms up.
+type warmingIncarnation struct {
+	revision  uint64 // of the unit's last transition: another incarnation has another
 	firstSeen time.Time
 }
 
 func newWarmUpTracker(duration time.Duration) *warmUpTracker {
-	return &warmUpTracker{duration: duration, observed: map[string]coldIncarnation{}}
+	return &warmUpTracker{duration: duration, observed: map[string]warmingIncarnation{}}
 }
 
-// update takes in which units are cold now and gives those that have been for long enough.
-func (w *warmUpTracker) update(now time.Time, cold []disruption.Unit) []disruption.Unit {
-	observed := make(map[string]coldIncarnation, len(cold))
+// update records the units that are warming up now, and returns those that have been for the duration, as up.
+func (t *warmUpTracker) update(now time.Time, warming []disruption.Unit) []disruption.Unit {
+	observed := make(map[string]warmingIncarnation, len(warming))
 	var warm []disruption.Unit
-	for _, unit := range cold {
-		incarnation, ok := w.observed[unit.ID]
+	for _, unit := range warming {
+		incarnation, ok := t.observed[unit.ID]
 		if !ok || incarnation.revision != unit.TransitionRevision {
-			incarnation = coldIncarnation{unit.TransitionRevision, now}
+			incarnation = warmingIncarnation{unit.TransitionRevision, now}
 		}
 		observed[unit.ID] = incarnation
-		if now.Sub(incarnation.firstSeen) >= w.duration && len(warm) < maxWarmPerRecord {
-			warm = append(warm, disruption.Unit{ID: unit.ID, Condition: disruption.ConditionUp, TransitionRevision: unit.TransitionRevision})
+		if now.Sub(incarnation.firstSeen) >= t.duration && len(warm) < maxWarmPerRecord {
+			warm = append(warm, disruption.Unit{
+				ID: unit.ID, Condition: disruption.ConditionUp, TransitionRevision: unit.TransitionRevision,
+			})
 		}
 	}
-	w.observed = observed
+	t.observed = observed
 	return warm
 }
 
-// markWarmServers finds servers warm that have been up for long enough. The leader's loop alone calls it.
+// markWarmServers marks servers as up that have warmed up for long enough. Only the leader loop calls it.
 func (r *Replica) markWarmServers() {
 	now := time.Now()
 	if r.warmUps.duration == 0 || now.Before(r.warmUps.nextCheck) {
 		return
 	}
 	r.warmUps.nextCheck = now.Add(warmUpCheckInterval)
-	var cold []disruption.Unit
+	var warming []disruption.Unit
 	r.hub.Read(func(state *StateMachine) {
 		if state.ledger != nil {
-			cold = state.ledger.table.UnitsIn(disruption.ConditionWarmingUp)
+			warming = state.ledger.table.UnitsIn(disruption.ConditionWarmingUp)
 		}
 	})
-	warm := r.warmUps.update(now, cold)
+	warm := r.warmUps.update(now, warming)
 	if len(warm) == 0 {
 		return
 	}
 	op := disruption.Op{Kind: disruption.OpObserve, Observed: warm}
 	if _, err := r.propose(&Record{Op: OpLedger, Ledger: &op}); err != nil {
-		return // found again at the next look
+		return // the next check finds them again
 	}
-	slog.Info("servers count as warm", "servers", len(warm), "first", warm[0].ID)
+	r.logger.Info("servers warmed up", "servers", len(warm), "first", warm[0].ID)
 }
--- /dev/null
+++ b/internal/registry/watch.go
@@ -0,0 +1,82 @@
+package registry
+
+import (
+	"context"
+	"net/http"
+	"time"
+)
+
+const (
+	heartbeatInterval = 2 * time.Second // of a watch without changes, by PROTOCOL
+	watchWriteTimeout = 10 * time.Second
+)
+
+// cursor is the position of a watcher.
+type cursor struct {
+	revision, epoch uint64
+	started         bool // something has been written to the watcher
+}
+
+// watchBatch is what a watcher is to be written.
+type watchBatch struct {
+	lines   [][]byte        // shared with other watchers: they must not be changed; none: nothing has changed
+	next    cursor          // position after the lines
+	changed <-chan struct{} // closed at the next change
+}
+
+// changeSource is what watchers follow. Next returns lines for every cursor that has not started.
+type changeSource interface {
+	next(position cursor) (watchBatch, error)
+}
+
+// watchFunc is the method Watch of a Hub or a PlacementFeed.
+type watchFunc func(ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, alive func() bool) error
+
+// streamChanges writes the changes of a source to a watcher until ctx or the watcher ends, which is no error. While
+// nothing changes it writes a heartbeat, an empty line, as long as alive returns true.
+func streamChanges(ctx context.Context, w http.ResponseWriter, request *http.Request, position cursor, alive func() bool, source changeSource) error {
+	w.Header().Set("Content-Type", "application/json")
+	controller := http.NewResponseController(w)
+	heartbeat := time.NewTimer(heartbeatInterval)
+	defer heartbeat.Stop()
+	for {
+		batch, err := source.next(position)
+		if err != nil {
+			return err
+		}
+		position = batch.next
+		if len(batch.lines) > 0 {
+			if err := writeLines(w, controller, batch.lines); err != nil {
+				return err
+			}
+			heartbeat.Reset(heartbeatInterval)
+		}
+		select {
+		case <-request.Context().Done():
+			return nil
+		case <-ctx.Done():
+			return nil
+		case <-batch.changed:
+		case <-heartbeat.C:
+			if alive() {
+				if err := writeLines(w, controller, [][]byte{{'\n'}}); err != nil {
+					return err
+				}
+			}
+			heartbeat.Reset(heartbeatInterval)
+		}
+	}
+}
+
+// writeLines writes lines to a watcher. It fails if the watcher does not read them in time.
+func writeLines(w http.ResponseWriter, controller *http.ResponseController, lines [][]byte) error {
+	if err := controller.SetWriteDeadline(time.Now().Add(watchWriteTimeout)); err != nil {
+		return err
+	}
+	for _, line := range lines {
+		if _, err := w.Write(line); err != nil {
+			return err
+		}
+	}
+	return controller.Flush()
+}
