--- /dev/null
+++ b/internal/release/controller/evidence.go
@@ -0,0 +1,119 @@
+package controller
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"time"
+
+	"milldeck/internal/disruption"
+	"milldeck/internal/loadreport"
+	"milldeck/internal/placement"
+	"milldeck/internal/registry"
+	"milldeck/internal/release"
+	"milldeck/internal/supervisor"
+)
+
+// recordReports takes in the sidecars' reports: which endpoint lists they have at each step, and once per interval what
+// the judge compares.
+func (t *leaseTerm) recordReports(seen *observation, nowMS int64) {
+	reports, _ := t.Reports.Snapshot()
+	revisions := sidecarRevisions(seen.sidecars, reports)
+	liveSidecars := slices.Sorted(maps.Keys(revisions))
+	t.drains.Update(nowMS, terminatingServers(&seen.list), seen.list.Revision, liveSidecars, revisions)
+	if time.Since(t.judgedAt) < judgeInterval {
+		return
+	}
+	t.judgedAt = time.Now()
+	fresh := t.freshReports(reports)
+	t.analysis.Add(t.state, t.state.Interval(fresh, len(liveSidecars), t.previousList, seen.platform))
+	if seen.platform != nil {
+		t.previousList = seen.platform
+	}
+}
+
+// sidecarRevisions is the revision of the endpoint list that each live sidecar has, by the registry or its own report,
+// whichever is newer.
+func sidecarRevisions(sidecars []registry.Sidecar, reports []loadreport.ReceivedReport) map[string]uint64 {
+	revisions := make(map[string]uint64, len(sidecars))
+	for i := range sidecars {
+		revisions[sidecars[i].Name] = sidecars[i].ListRevision
+	}
+	for i := range reports {
+		if revision, live := revisions[reports[i].Sidecar]; live {
+			revisions[reports[i].Sidecar] = max(revision, reports[i].EndpointRevision)
+		}
+	}
+	return revisions
+}
+
+// terminatingServers are the IDs in the ledger of the servers that are Terminating in the endpoint list.
+func terminatingServers(list *registry.EndpointList) []string {
+	var ids []string
+	for i := range list.Targets {
+		if list.Targets[i].State == registry.InstanceTerminating {
+			ids = append(ids, disruption.UnitID(disruption.KindServer, list.Targets[i].UID))
+		}
+	}
+	return ids
+}
+
+// freshReports are the reports that have arrived since the previous interval.
+func (t *leaseTerm) freshReports(reports []loadreport.ReceivedReport) []placement.LoadReport {
+	var fresh []placement.LoadReport
+	for i := range reports {
+		receivedAt, known := t.reportTimes[reports[i].Sidecar]
+		if !known || receivedAt != reports[i].ReceivedAt {
+			fresh = append(fresh, reports[i].LoadReport)
+		}
+	}
+	clear(t.reportTimes)
+	for i := range reports {
+		t.reportTimes[reports[i].Sidecar] = reports[i].ReceivedAt
+	}
+	return fresh
+}
+
+// reportWarmServers reports to the ledger the restarted servers that have been ready for long enough to be warm. The
+// ledger ignores a report on a unit that has changed since it was read.
+func (t *leaseTerm) reportWarmServers(ctx context.Context, units map[string]disruption.Unit, platform *supervisor.List) {
+	if t.WarmUpTime == 0 || platform == nil {
+		return
+	}
+	var warm []disruption.Unit
+	for i := range t.state.Units {
+		unit := &t.state.Units[i]
+		ledgerUnit := units[unit.ID]
+		if unit.Stage == release.StageWarmingUp && warmsUp(&ledgerUnit) && t.readyForWarmUpTime(platform, unit.Name) {
+			warm = append(warm, disruption.Unit{
+				ID:                 unit.ID,
+				Condition:          disruption.ConditionUp,
+				TransitionRevision: ledgerUnit.TransitionRevision,
+			})
+		}
+	}
+	if len(warm) == 0 {
+		return
+	}
+	op := disruption.Op{Kind: disruption.OpObserve, Owner: release.Owner(t.Name), Observed: warm}
+	if _, err := t.Store.ApplyLedgerOp(ctx, t.writeOptions(), op); err != nil {
+		t.logger.Debug("warm servers not reported", "units", len(warm), "error", err)
+	}
+}
+
+// warmsUp reports whether the ledger has a unit as a server that is not warm yet.
+func warmsUp(unit *disruption.Unit) bool {
+	if unit.Kind != disruption.KindServer {
+		return false
+	}
+	return unit.Condition == disruption.ConditionWarmingUp || unit.Condition == disruption.ConditionUnready
+}
+
+// readyForWarmUpTime reports whether the platform has listed a unit as running for the warm-up time.
+func (t *leaseTerm) readyForWarmUpTime(platform *supervisor.List, name string) bool {
+	listed := platform.Find(name)
+	if listed == nil || listed.State != supervisor.Running {
+		return false
+	}
+	return platform.AtMS-listed.SinceMS >= t.WarmUpTime.Milliseconds()
+}
