--- a/cmd/simadapter/fixtures_test.go
+++ b/cmd/simadapter/fixtures_test.go
@@ -22,8 +22,8 @@
 	"family_info": {"warm_keys": true}, "penalties": {"peer": 0.06}}`
 
 // sessionFrames builds a session with two instances: requests whose attempts end in many ways, timers, a message, a
-// changed table, an instance that is killed and begins again. What an attempt ends with is told by its request, and
-// attempts are answered as the replies send them, one frame later.
+// changed server table, an instance that is killed and started again. The result of an attempt follows from its request, and
+// the outcomes of what a reply sends come in the next frame.
 func sessionFrames(t *testing.T) []byte {
 	var input []byte
 	results := []uint16{0, 0, 0, 0, 0, 0, 8, 13, 14, 10}
@@ -39,7 +39,7 @@
 		}
 		due = due[:0]
 		for _, a := range lastReply(out.Bytes()) {
-			if binary.BigEndian.Uint16(a) != 1000 {
+			if binary.BigEndian.Uint16(a) != actionSend {
 				continue
 			}
 			instance, id := binary.BigEndian.Uint16(a[2:]), binary.BigEndian.Uint64(a[4:])
@@ -50,7 +50,7 @@
 			if result == 0 {
 				done = 1
 			}
-			due = append(due, record(uint16(1090), instance, id, uint8(attempt), a[20:26], result, 10.5+float64(id%7), done, uint8(0)))
+			due = append(due, record(recordOutcome, instance, id, uint8(attempt), a[20:26], result, 10.5+float64(id%7), done, uint8(0)))
 		}
 	}
 	send(1000, startInstance(1, 7, sessionSettings), startInstance(2, 8, sessionSettings), serverTable(20), cachedUpdate(1), cachedUpdate(2))
@@ -58,20 +58,20 @@
 		clock := 1000 + 12*float64(id)
 		records := append([][]byte(nil), due...)
 		instance := uint16(1 + id%2)
-		records = append(records, record(uint16(1010), instance, id, uint16(0), 0.0, uint16(0), id*7919%40, 1000.0, uint16(id%3)))
+		records = append(records, record(recordRequest, instance, id, uint16(0), 0.0, uint16(0), id*7919%40, 1000.0, uint16(id%3)))
 		switch {
 		case id%20 == 0:
-			records = append(records, record(uint16(1020), instance, uint64(1<<60)), record(uint16(1020), instance, uint64(1<<60+1)))
+			records = append(records, record(recordTimerFired, instance, uint64(1<<60)), record(recordTimerFired, instance, uint64(1<<60+1)))
 		case id%33 == 0:
-			records = append(records, record(uint16(1040), instance, uint8(2), uint32(0), uint16(0)))
+			records = append(records, record(recordEndpointUpdate, instance, uint8(2), uint32(0), uint16(0)))
 		case id%35 == 0:
-			records = append(records, record(uint16(1050), instance, uint16(3), uint16(4), []byte{1, 2, 3, 4}))
+			records = append(records, record(recordGossip, instance, uint16(3), uint16(4), []byte{1, 2, 3, 4}))
 		case id == 90:
-			records = append(records, serverTable(25), record(uint16(1040), uint16(1), uint8(0), uint32(2), uint16(0)))
+			records = append(records, serverTable(25), record(recordEndpointUpdate, uint16(1), uint8(0), uint32(2), uint16(0)))
 		}
 		send(clock, records...)
 	}
-	send(3000, record(uint16(1060), uint16(1)), startInstance(1, 9, sessionSettings), cachedUpdate(1), request(1, 1000))
+	send(3000, record(recordInstanceKilled, uint16(1)), startInstance(1, 9, sessionSettings), cachedUpdate(1), request(1, 1000))
 	return input
 }
 
@@ -109,7 +109,7 @@
 	return actions
 }
 
-// A session that was recorded from an earlier build gets the same replies, byte for byte.
+// A recorded session gets the recorded replies, byte for byte.
 func TestSessionFixture(t *testing.T) {
 	input, output := filepath.Join("testdata", "session.in"), filepath.Join("testdata", "session.out")
 	if *update {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,9 +1,11 @@
-// Command adapter hosts instances of the decision module for the simulator: frames
-// come in on standard input, one reply to each goes out on standard output.
+// Command simadapter hosts instances of the decision module for the simulator: frames come in on standard input, one
+// reply to each goes out on standard output. It ends with its input. A frame that is malformed, or an event of an
+// instance that was never started, ends it with status 1.
 package main
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -13,9 +15,11 @@
 	"milldeck/internal/wire"
 )
 
+const inputBuffer = 1 << 16
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "adapter:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
@@ -23,11 +27,11 @@
 // run answers frames until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	host := instanceHost{instances: map[uint16]*balance.Balancer{}}
-	reader := wire.NewReader(bufio.NewReaderSize(in, 1<<16))
+	reader := wire.NewReader(bufio.NewReaderSize(in, inputBuffer))
 	for {
 		host.reply.Reset()
 		err := reader.Read(host.handle)
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
@@ -39,50 +43,60 @@
 	}
 }
 
-// instanceHost keeps the instances of this process; they share nothing.
+// instanceHost holds the instances of this process, which share nothing, and the reply to the current frame.
 type instanceHost struct {
-	instances map[uint16]*balance.Balancer
+	instances map[uint16]*balance.Balancer // nil: it could not start, and its events are ignored
 	reply     wire.Reply
 }
 
-func (h *instanceHost) handle(clock float64, rec wire.Record) (err error) {
+// handle adds the actions of a record to the reply. A panic of an instance is reported to the simulator as its fault.
+func (h *instanceHost) handle(clock float64, record wire.Record) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply.Fault(rec.Instance, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
+			h.reply.Fault(record.Instance, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
 		}
 	}()
-	switch ev := rec.Event.(type) {
-	case wire.InstanceStarted:
-		cfg, err := wire.ParseSettings(ev.Seed, ev.Settings)
-		if err != nil {
-			h.instances[rec.Instance] = nil // its further events are ignored
-			h.reply.Fault(rec.Instance, err.Error())
-			return nil
-		}
-		b, err := balance.New(cfg)
-		if err != nil {
-			h.instances[rec.Instance] = nil
-			h.reply.Fault(rec.Instance, "settings: "+err.Error())
-			return nil
-		}
-		h.instances[rec.Instance] = b
-		h.reply.Add(rec.Instance, b.Start(clock))
-	case wire.InstanceKilled:
-		delete(h.instances, rec.Instance)
-	case balance.Event:
-		b, started := h.instances[rec.Instance]
-		if b == nil && started {
-			return nil
-		}
-		if b == nil {
-			return fmt.Errorf("event for instance %d, which has not begun", rec.Instance)
-		}
-		actions, err := b.Handle(clock, ev)
-		if err != nil {
-			h.reply.Fault(rec.Instance, err.Error())
-			return nil
-		}
-		h.reply.Add(rec.Instance, actions)
+	switch {
+	case record.Started != nil:
+		h.start(clock, record.Instance, record.Started)
+	case record.Killed:
+		delete(h.instances, record.Instance)
+	default:
+		return h.handleEvent(clock, record.Instance, record.Event)
+	}
+	return nil
+}
+
+func (h *instanceHost) start(clock float64, instance uint16, started *wire.InstanceStarted) {
+	config, err := wire.ParseSettings(started.Seed, started.Settings)
+	if err != nil {
+		h.instances[instance] = nil
+		h.reply.Fault(instance, err.Error())
+		return
+	}
+	b, err := balance.New(config)
+	if err != nil {
+		h.instances[instance] = nil
+		h.reply.Fault(instance, "settings: "+err.Error())
+		return
+	}
+	h.instances[instance] = b
+	h.reply.Add(instance, b.Start(clock))
+}
+
+func (h *instanceHost) handleEvent(clock float64, instance uint16, event balance.Event) error {
+	b, started := h.instances[instance]
+	if !started {
+		return fmt.Errorf("event for instance %d, which was never started", instance)
+	}
+	if b == nil {
+		return nil
+	}
+	actions, err := b.Handle(clock, event)
+	if err != nil {
+		h.reply.Fault(instance, err.Error())
+		return nil
 	}
+	h.reply.Add(instance, actions)
 	return nil
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -8,26 +8,38 @@
 	"testing"
 )
 
-// frameScript builds frames for the adapter.
+// Codes of records and actions; see package wire.
+const (
+	recordServerTable     = uint16(1000)
+	recordRequest         = uint16(1010)
+	recordTimerFired      = uint16(1020)
+	recordEndpointUpdate  = uint16(1040)
+	recordGossip          = uint16(1050)
+	recordInstanceKilled  = uint16(1060)
+	recordInstanceStarted = uint16(1070)
+	recordOutcome         = uint16(1090)
+
+	actionSend     = 1000
+	actionSetTimer = 1040
+	actionFault    = 1090
+)
+
+// frameScript builds the input of the process.
 type frameScript struct{ bytes.Buffer }
 
 func (s *frameScript) frame(clock float64, records ...[]byte) {
-	size := 16
-	for _, r := range records {
-		size += len(r)
-	}
-	binary.Write(s, binary.BigEndian, []uint32{uint32(len(records)), uint32(size)})
-	binary.Write(s, binary.BigEndian, clock)
-	for _, r := range records {
-		s.Write(r)
-	}
+	body := bytes.Join(records, nil)
+	s.Write(record([]uint32{uint32(len(records)), uint32(16 + len(body))}, clock))
+	s.Write(body)
 }
 
 // record packs its fields big-endian.
 func record(fields ...any) []byte {
 	var b bytes.Buffer
 	for _, f := range fields {
-		binary.Write(&b, binary.BigEndian, f)
+		if err := binary.Write(&b, binary.BigEndian, f); err != nil {
+			panic(err) // a field of a type without a fixed size
+		}
 	}
 	return b.Bytes()
 }
@@ -36,11 +48,11 @@
 	"limits": {"max_attempts": 3}}`
 
 func startInstance(instance uint16, seed uint64, profile string) []byte {
-	return record(uint16(1070), instance, seed, uint32(len(profile)), []byte(profile))
+	return record(recordInstanceStarted, instance, seed, uint32(len(profile)), []byte(profile))
 }
 
 func serverTable(n int) []byte {
-	b := record(uint16(1000), uint16(0), uint32(n))
+	b := record(recordServerTable, uint16(0), uint32(n))
 	for i := range n {
 		b = append(b, record(0.0, uint8(0), uint32(i+1), uint16(80), float32(1), uint16(i), uint8(0), uint8(0))...)
 	}
@@ -48,11 +60,11 @@
 }
 
 func cachedUpdate(instance uint16) []byte {
-	return record(uint16(1040), instance, uint8(1), uint32(1), uint16(0))
+	return record(recordEndpointUpdate, instance, uint8(1), uint32(1), uint16(0))
 }
 
 func request(instance uint16, id uint64) []byte {
-	return record(uint16(1010), instance, id, uint16(0), 0.0, uint16(0), uint64(0), 1500.0, uint16(0))
+	return record(recordRequest, instance, id, uint16(0), 0.0, uint16(0), uint64(0), 1500.0, uint16(0))
 }
 
 func mustRun(t *testing.T, s *frameScript) []byte {
@@ -64,7 +76,7 @@
 	return out.Bytes()
 }
 
-// countSends counts the records of code 1000 in replies whose records are sends and timers only.
+// countSends counts the sends by instance in replies that hold sends and timers only.
 func countSends(t *testing.T, replies []byte) map[uint16]int {
 	t.Helper()
 	n := map[uint16]int{}
@@ -72,10 +84,10 @@
 		size := binary.BigEndian.Uint32(replies)
 		for p := replies[4:size]; len(p) > 0; {
 			switch binary.BigEndian.Uint16(p) {
-			case 1000:
+			case actionSend:
 				n[binary.BigEndian.Uint16(p[2:])]++
 				p = p[26:]
-			case 1040:
+			case actionSetTimer:
 				p = p[20:]
 			default:
 				t.Fatalf("unexpected action %d", binary.BigEndian.Uint16(p))
@@ -120,7 +132,7 @@
 		size := binary.BigEndian.Uint32(replies)
 		for p := replies[4:size]; len(p) > 0; {
 			n := 20
-			if binary.BigEndian.Uint16(p) == 1000 {
+			if binary.BigEndian.Uint16(p) == actionSend {
 				n = 26
 			}
 			if binary.BigEndian.Uint16(p[2:]) == instance {
@@ -136,10 +148,10 @@
 func TestRestartWithinAFrame(t *testing.T) {
 	s := &frameScript{}
 	s.frame(1000, startInstance(1, 7, settings), serverTable(3), cachedUpdate(1), request(1, 5),
-		record(uint16(1060), uint16(1)), startInstance(1, 8, settings), cachedUpdate(1), request(1, 6))
-	s.frame(1001, record(uint16(1020), uint16(1), uint64(5))) // a timer of the life before: ignored
+		record(recordInstanceKilled, uint16(1)), startInstance(1, 8, settings), cachedUpdate(1), request(1, 6))
+	s.frame(1001, record(recordTimerFired, uint16(1), uint64(5))) // a timer of the killed instance: ignored
 	if n := countSends(t, mustRun(t, s)); n[1] != 2 {
-		t.Fatalf("%d sends, want one in each life", n[1])
+		t.Fatalf("%d sends, want one before and one after the restart", n[1])
 	}
 }
 
@@ -147,20 +159,30 @@
 	s := &frameScript{}
 	s.frame(1000, startInstance(1, 7, `{"classes": []}`), serverTable(1), cachedUpdate(1))
 	out := mustRun(t, s)
-	if len(out) < 8 || binary.BigEndian.Uint16(out[4:]) != 1090 || !strings.Contains(string(out), "no classes") {
+	if len(out) < 8 || binary.BigEndian.Uint16(out[4:]) != actionFault || !strings.Contains(string(out), "no classes") {
 		t.Fatalf("reply %q", out)
 	}
 }
 
 func TestInvalidInputEndsTheProcess(t *testing.T) {
-	notBegun := &frameScript{}
-	notBegun.frame(1000, request(4, 1))
-	short := &frameScript{}
-	short.frame(math.Inf(1))
-	for name, s := range map[string]*frameScript{"instance not begun": notBegun, "clock": short} {
-		var out bytes.Buffer
-		if err := run(&s.Buffer, &out); err == nil || out.Len() > 0 {
-			t.Errorf("%s: error %v, %d bytes of reply", name, err, out.Len())
-		}
+	notStarted := &frameScript{}
+	notStarted.frame(1000, request(4, 1))
+	infiniteClock := &frameScript{}
+	infiniteClock.frame(math.Inf(1))
+	whole := &frameScript{}
+	whole.frame(1000, serverTable(1))
+	for name, input := range map[string][]byte{
+		"instance not started":   notStarted.Bytes(),
+		"infinite clock":         infiniteClock.Bytes(),
+		"truncated header":       whole.Bytes()[:7],
+		"frame without its body": whole.Bytes()[:16],
+		"truncated frame":        whole.Bytes()[:20],
+	} {
+		t.Run(name, func(t *testing.T) {
+			var out bytes.Buffer
+			if err := run(bytes.NewReader(input), &out); err == nil || out.Len() > 0 {
+				t.Errorf("error %v, %d bytes of reply", err, out.Len())
+			}
+		})
 	}
 }
--- a/internal/wire/fixtures_test.go
+++ b/internal/wire/fixtures_test.go
@@ -79,13 +79,13 @@
 	}
 	var want []Record
 	f := &frames{}
-	add := func(clock float64, instance uint16, record []byte, event any) {
+	add := func(clock float64, instance uint16, record []byte, event balance.Event) {
 		f.frame(clock, record)
-		want = append(want, Record{instance, event})
+		want = append(want, Record{Instance: instance, Event: event})
 	}
 	settings := `{"classes": []}`
-	add(1000, 3, packed(uint16(1070), uint16(3), uint64(0x8c1f30d27a5be964), uint32(len(settings)), settings),
-		InstanceStarted{Seed: 0x8c1f30d27a5be964, Settings: []byte(settings)})
+	f.frame(1000, packed(uint16(1070), uint16(3), uint64(0x8c1f30d27a5be964), uint32(len(settings)), settings))
+	want = append(want, Record{Instance: 3, Started: &InstanceStarted{Seed: 0x8c1f30d27a5be964, Settings: []byte(settings)}})
 	f.frame(1000, packed(uint16(1000), uint16(2), uint32(3),
 		0.0, uint8(0), firstServer, float32(1), uint16(300), uint8(2), uint8(3),
 		6100.0, uint8(2), secondServer, float32(1.5), uint16(0), uint8(1), uint8(0),
@@ -119,7 +119,8 @@
 			balance.HealthCheckResult{Server: firstServer, Result: r.result, Elapsed: 2.5, LoadReport: []float32{0}})
 	}
 	add(1010, 3, packed(uint16(1100), uint16(3), uint64(77)), balance.ClientDisconnected{Request: 77})
-	add(1011, 3, packed(uint16(1060), uint16(3)), InstanceKilled{})
+	f.frame(1011, packed(uint16(1060), uint16(3)))
+	want = append(want, Record{Instance: 3, Killed: true})
 	return f.out, want
 }
 
@@ -175,31 +176,31 @@
 }
 
 func (r *actionReader) next() (uint16, balance.Action) {
-	code, instance := r.u16(), r.u16()
+	code, instance := r.uint16(), r.uint16()
 	var a balance.Action
 	switch code {
 	case 1000:
-		a = balance.Action{Kind: balance.Send, Request: balance.RequestID(r.u64()), At: r.f64(), Server: r.serverID()}
+		a = balance.Action{Kind: balance.Send, Request: balance.RequestID(r.uint64()), At: r.float64(), Server: r.serverID()}
 	case 1010:
-		a = balance.Action{Kind: balance.Reject, Request: balance.RequestID(r.u64()), At: r.f64()}
+		a = balance.Action{Kind: balance.Reject, Request: balance.RequestID(r.uint64()), At: r.float64()}
 	case 1020:
-		a = balance.Action{Kind: balance.Fail, Request: balance.RequestID(r.u64())}
+		a = balance.Action{Kind: balance.Fail, Request: balance.RequestID(r.uint64())}
 	case 1030:
-		a = balance.Action{Kind: balance.Cancel, Request: balance.RequestID(r.u64()), Attempt: int(r.u8())}
+		a = balance.Action{Kind: balance.Cancel, Request: balance.RequestID(r.uint64()), Attempt: int(r.uint8())}
 	case 1040:
-		a = balance.Action{Kind: balance.SetTimer, Token: r.u64(), At: r.f64()}
+		a = balance.Action{Kind: balance.SetTimer, Token: r.uint64(), At: r.float64()}
 	case 1050:
 		a = balance.Action{Kind: balance.HealthCheck, Server: r.serverID()}
 	case 1060:
 		a = balance.Action{Kind: balance.CloseIdleConnections, Server: r.serverID()}
 	case 1070:
-		a = balance.Action{Kind: balance.SendGossip, Peer: int(int32(r.u32()))}
-		a.Data = bytes.Clone(r.bytes(uint32(r.u16())))
+		a = balance.Action{Kind: balance.SendGossip, Peer: int(int32(r.uint32()))}
+		a.Data = bytes.Clone(r.bytes(uint32(r.uint16())))
 	case 1080:
-		a = balance.Action{Kind: balance.Log, Text: string(r.bytes(uint32(r.u16())))}
+		a = balance.Action{Kind: balance.Log, Text: string(r.bytes(uint32(r.uint16())))}
 	case 1100:
 		a = balance.Action{Kind: balance.WatchEndpoints}
-		if n := r.u8(); n != 1 {
+		if n := r.uint8(); n != 1 {
 			r.t.Errorf("a subscription of %d", n)
 		}
 	case 1110:
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -1,5 +1,3 @@
-// Package wire translates the simulator's binary frames and settings to the types
-// of package balance and back. It takes no decisions.
 package wire
 
 import (
@@ -13,21 +11,6 @@
 	"milldeck/balance"
 )
 
-// Event codes.
-const (
-	eventServerTable        = 1000
-	eventRequest            = 1010
-	eventTimerFired         = 1020
-	eventStreamStarted      = 1030
-	eventEndpointUpdate     = 1040
-	eventGossip             = 1050
-	eventInstanceKilled     = 1060
-	eventInstanceStarted    = 1070
-	eventHealthCheckResult  = 1080
-	eventOutcome            = 1090
-	eventClientDisconnected = 1100
-)
-
 const (
 	headerSize     = 16
 	tableEntrySize = 23
@@ -35,27 +18,40 @@
 	maxTables      = 16
 )
 
-var resultsByCode = map[uint16]balance.Result{
-	0: balance.OK, 13: balance.Failed, 8: balance.Overloaded, 4: balance.TimedOut,
-	14: balance.ConnectFailed, 10: balance.Reset, 1: balance.Cancelled, 9: balance.Obsolete,
-}
+// Kinds of endpoint updates.
+const (
+	updateFull   = 0
+	updateCached = 1
+	updateFailed = 2
+	updateDelta  = 3
+)
 
-// InstanceStarted starts an instance; Settings is the raw profile for ParseSettings.
-type InstanceStarted struct {
-	Seed     uint64
-	Settings []byte
-}
+// Conditions of servers in a table.
+const (
+	conditionReady    = 0
+	conditionGone     = 1
+	conditionDraining = 2
+)
 
-// InstanceKilled says that an instance was killed.
-type InstanceKilled struct{}
+// Bits of a request's flags.
+const (
+	flagExpectedWork = 1
+	flagClientRetry  = 2
+	flagWrite        = 4
+)
 
-// Record is one event for one instance: a Begin, a Down or a balance.Event.
-type Record struct {
-	Instance uint16
-	Event    any
+var resultsByCode = map[uint16]balance.Result{
+	0:  balance.OK,
+	1:  balance.Cancelled,
+	4:  balance.TimedOut,
+	8:  balance.Overloaded,
+	9:  balance.Obsolete,
+	10: balance.Reset,
+	13: balance.Failed,
+	14: balance.ConnectFailed,
 }
 
-// Reader reads frames. Server tables live across frames.
+// Reader reads frames. Server tables persist across frames.
 type Reader struct {
 	input        io.Reader
 	buffer       bytes.Buffer
@@ -67,144 +63,167 @@
 // NewReader returns a reader of the frames of in, which should be buffered.
 func NewReader(in io.Reader) *Reader { return &Reader{input: in} }
 
-// Read hands the events of the next frame to handle, in order, with the frame's clock.
-// It returns io.EOF at an end of input between frames. Slices in events are valid
-// during the call only.
-func (r *Reader) Read(handle func(clock float64, rec Record) error) error {
-	var head [headerSize]byte
-	if _, err := io.ReadFull(r.input, head[:]); err != nil {
-		if err == io.EOF {
-			return io.EOF
+// Read hands the records of the next frame to handle, in order, with the frame's clock. It returns io.EOF at an end of
+// input between frames, and the first error of handle. Slices in events are valid during the call of handle only.
+func (r *Reader) Read(handle func(clock float64, record Record) error) error {
+	count, clock, err := r.readFrame()
+	if err != nil {
+		return err
+	}
+	d := frameDecoder{data: r.buffer.Bytes()}
+	for i := range count {
+		start := d.pos
+		if err := r.handleRecord(&d, clock, handle); err != nil {
+			return fmt.Errorf("record %d at byte %d: %w", i, start+headerSize, err)
 		}
-		return fmt.Errorf("frame header cut short: %w", err)
 	}
-	count := binary.BigEndian.Uint32(head[0:])
-	size := binary.BigEndian.Uint32(head[4:])
-	clock := math.Float64frombits(binary.BigEndian.Uint64(head[8:]))
+	if d.pos != len(d.data) {
+		return fmt.Errorf("%d bytes after the last of %d records", len(d.data)-d.pos, count)
+	}
+	return nil
+}
+
+// readFrame reads the next frame into the buffer and returns the number of its records and its clock.
+func (r *Reader) readFrame() (count uint32, clock float64, err error) {
+	var header [headerSize]byte
+	if _, err := io.ReadFull(r.input, header[:]); errors.Is(err, io.EOF) {
+		return 0, 0, io.EOF
+	} else if err != nil {
+		return 0, 0, fmt.Errorf("frame header truncated: %w", err)
+	}
+	count = binary.BigEndian.Uint32(header[0:])
+	size := binary.BigEndian.Uint32(header[4:])
+	clock = math.Float64frombits(binary.BigEndian.Uint64(header[8:]))
 	if size < headerSize || size > maxFrameSize {
-		return fmt.Errorf("frame length %d: want %d to %d", size, headerSize, maxFrameSize)
+		return 0, 0, fmt.Errorf("frame length %d: want %d to %d", size, headerSize, maxFrameSize)
 	}
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
-		return fmt.Errorf("frame clock is %v", clock)
+		return 0, 0, fmt.Errorf("frame clock is %v", clock)
 	}
 	r.buffer.Reset()
 	// The buffer grows with what arrives, not with what the header claims.
 	if n, err := io.CopyN(&r.buffer, r.input, int64(size-headerSize)); err != nil {
-		return fmt.Errorf("frame of %d bytes cut short after %d: %w", size, n+headerSize, err)
-	}
-	f := frameDecoder{data: r.buffer.Bytes()}
-	for i := uint32(0); i < count; i++ {
-		at := f.pos
-		rec, err := r.readRecord(&f)
-		if err != nil {
-			return fmt.Errorf("record %d at byte %d: %w", i, at+headerSize, err)
-		}
-		if rec.Event == nil {
-			continue
-		}
-		if err := handle(clock, rec); err != nil {
-			return fmt.Errorf("record %d at byte %d: %w", i, at+headerSize, err)
+		if errors.Is(err, io.EOF) {
+			err = io.ErrUnexpectedEOF // io.EOF is for an end of input between frames
 		}
+		return 0, 0, fmt.Errorf("frame of %d bytes truncated after %d: %w", size, n+headerSize, err)
 	}
-	if f.pos != len(f.data) {
-		return fmt.Errorf("%d bytes after the last of %d records", len(f.data)-f.pos, count)
+	return count, clock, nil
+}
+
+func (r *Reader) handleRecord(d *frameDecoder, clock float64, handle func(clock float64, record Record) error) error {
+	record, err := r.readRecord(d)
+	if err != nil || record.empty() {
+		return err
 	}
-	return nil
+	return handle(clock, record)
 }
 
-func (r *Reader) readRecord(f *frameDecoder) (Record, error) {
-	code, first := f.u16(), f.u16()
-	if f.truncated {
+func (r *Reader) readRecord(d *frameDecoder) (Record, error) {
+	code, first := d.uint16(), d.uint16()
+	if d.truncated {
 		return Record{}, errTruncated
 	}
-	rec := Record{Instance: first}
+	record := Record{Instance: first}
 	var err error
 	switch code {
 	case eventServerTable:
-		err = r.readServerTable(f, first)
+		err = r.readServerTable(d, first)
 	case eventInstanceStarted:
-		seed := f.u64()
-		rec.Event = InstanceStarted{Seed: seed, Settings: f.bytes(f.u32())}
+		seed := d.uint64()
+		record.Started = &InstanceStarted{Seed: seed, Settings: d.bytes(d.uint32())}
 	case eventInstanceKilled:
-		rec.Event = InstanceKilled{}
+		record.Killed = true
+	default:
+		record.Event, err = r.readEvent(d, code)
+	}
+	if err == nil && d.truncated {
+		err = errTruncated
+	}
+	if err != nil {
+		return record, fmt.Errorf("event code %d: %w", code, err)
+	}
+	return record, nil
+}
+
+func (r *Reader) readEvent(d *frameDecoder, code uint16) (balance.Event, error) {
+	switch code {
 	case eventEndpointUpdate:
-		rec.Event, err = r.readEndpointUpdate(f)
+		return r.readEndpointUpdate(d)
 	case eventRequest:
-		rec.Event = readRequest(f)
+		return readRequest(d), nil
 	case eventTimerFired:
-		rec.Event = balance.TimerFired{Token: f.u64()}
+		return balance.TimerFired{Token: d.uint64()}, nil
 	case eventStreamStarted:
-		ev := balance.StreamStarted{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Server: f.serverID()}
-		ev.Elapsed = f.f64()
-		rec.Event = ev
+		request, attempt := balance.RequestID(d.uint64()), int(d.uint8())
+		return balance.StreamStarted{Request: request, Attempt: attempt, Server: d.serverID(), Elapsed: d.float64()}, nil
 	case eventOutcome:
-		rec.Event, err = r.readOutcome(f)
+		return r.readOutcome(d)
 	case eventClientDisconnected:
-		rec.Event = balance.ClientDisconnected{Request: balance.RequestID(f.u64())}
+		return balance.ClientDisconnected{Request: balance.RequestID(d.uint64())}, nil
 	case eventHealthCheckResult:
-		rec.Event, err = r.readHealthCheckResult(f)
+		return r.readHealthCheckResult(d)
 	case eventGossip:
-		from := int(f.u16())
-		rec.Event = balance.GossipMessage{From: from, Data: f.bytes(uint32(f.u16()))}
-	default:
-		return rec, fmt.Errorf("unknown event code %d", code)
+		from := int(d.uint16())
+		return balance.GossipMessage{From: from, Data: d.bytes(uint32(d.uint16()))}, nil
 	}
-	if err == nil && f.truncated {
-		err = errTruncated
-	}
-	if err != nil {
-		return rec, fmt.Errorf("event code %d: %w", code, err)
-	}
-	return rec, nil
+	return nil, errUnknownEvent
 }
 
-func (r *Reader) readServerTable(f *frameDecoder, table uint16) error {
+// readServerTable replaces a server table, to which later endpoint updates refer.
+func (r *Reader) readServerTable(d *frameDecoder, table uint16) error {
 	if table >= maxTables {
 		return fmt.Errorf("server table %d: want 0 to %d", table, maxTables-1)
 	}
-	count := f.u32()
-	if uint64(count)*tableEntrySize > uint64(len(f.data)-f.pos) {
+	count := d.uint32()
+	if uint64(count)*tableEntrySize > uint64(len(d.data)-d.pos) {
 		return fmt.Errorf("%d entries: %w", count, errTruncated)
 	}
-	list := make([]balance.Server, count)
-	for i := range list {
-		s := &list[i]
-		s.StartedAt = f.f64()
-		switch state := f.u8(); state {
-		case 0:
-			s.State = balance.Ready
-		case 2:
-			s.State = balance.Draining
-		case 1:
-			s.State = balance.Removed
-		default:
-			return fmt.Errorf("entry %d: unknown condition %d", i, state)
+	servers := make([]balance.Server, count)
+	for i := range servers {
+		if err := readTableEntry(d, &servers[i]); err != nil {
+			return fmt.Errorf("entry %d: %w", i, err)
 		}
-		s.ID = f.serverID()
-		s.RelativeCapacity = float64(f.f32())
-		s.Cell, s.Zone, s.Kind = int(f.u16()), int(f.u8()), int(f.u8())
 	}
-	r.tables[table], r.tableKnown[table] = list, true
+	r.tables[table], r.tableKnown[table] = servers, true
+	return nil
+}
+
+func readTableEntry(d *frameDecoder, server *balance.Server) error {
+	server.StartedAt = d.float64()
+	switch condition := d.uint8(); condition {
+	case conditionReady:
+		server.State = balance.Ready
+	case conditionDraining:
+		server.State = balance.Draining
+	case conditionGone:
+		server.State = balance.Removed
+	default:
+		return fmt.Errorf("unknown condition %d", condition)
+	}
+	server.ID = d.serverID()
+	server.RelativeCapacity = float64(d.float32())
+	server.Cell, server.Zone, server.Kind = int(d.uint16()), int(d.uint8()), int(d.uint8())
 	return nil
 }
 
-func (r *Reader) readEndpointUpdate(f *frameDecoder) (any, error) {
-	kind, _, table := f.u8(), f.u32(), f.u16()
-	if f.truncated {
+func (r *Reader) readEndpointUpdate(d *frameDecoder) (balance.Event, error) {
+	kind, _, table := d.uint8(), d.uint32(), d.uint16() // the version of the list is not used
+	if d.truncated {
 		return nil, errTruncated
 	}
 	update := balance.EndpointUpdate{}
 	switch kind {
-	case 0:
+	case updateFull:
 		update.Kind = balance.UpdateFull
-	case 1:
+	case updateCached:
 		update.Kind = balance.UpdateCached
-	case 3:
+	case updateDelta:
 		update.Kind = balance.UpdateDelta
-	case 2:
+	case updateFailed:
 		return balance.EndpointUpdate{Kind: balance.UpdateFailed}, nil
 	default:
-		return nil, fmt.Errorf("unknown list kind %d", kind)
+		return nil, fmt.Errorf("unknown kind of endpoint update %d", kind)
 	}
 	if table >= maxTables || !r.tableKnown[table] {
 		return nil, fmt.Errorf("server table %d was never sent", table)
@@ -213,118 +232,51 @@
 	return update, nil
 }
 
-func readRequest(f *frameDecoder) balance.Request {
-	request := balance.Request{ID: balance.RequestID(f.u64()), Tenant: int(f.u16())}
-	expectedWork, flags := f.f64(), f.u16()
-	if flags&1 != 0 {
+func readRequest(d *frameDecoder) balance.Request {
+	request := balance.Request{ID: balance.RequestID(d.uint64()), Tenant: int(d.uint16())}
+	expectedWork, flags := d.float64(), d.uint16()
+	if flags&flagExpectedWork != 0 {
 		request.ExpectedWork = expectedWork
 	}
-	request.ClientRetry, request.Write = flags&2 != 0, flags&4 != 0
-	request.Key, request.Timeout = f.u64(), f.f64()
-	request.Class = int(f.u16())
+	request.ClientRetry, request.Write = flags&flagClientRetry != 0, flags&flagWrite != 0
+	request.Key, request.Timeout = d.uint64(), d.float64()
+	request.Class = int(d.uint16())
 	return request
 }
 
-func (r *Reader) readOutcome(f *frameDecoder) (any, error) {
-	outcome := balance.Outcome{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Server: f.serverID()}
-	code := f.u16()
-	outcome.Elapsed, outcome.RequestDone = f.f64(), f.u8() != 0
-	outcome.LoadReport = r.readLoadReport(f)
+func (r *Reader) readOutcome(d *frameDecoder) (balance.Event, error) {
+	outcome := balance.Outcome{Request: balance.RequestID(d.uint64()), Attempt: int(d.uint8()), Server: d.serverID()}
+	code := d.uint16()
+	outcome.Elapsed, outcome.RequestDone = d.float64(), d.uint8() != 0
+	outcome.LoadReport = r.readLoadReport(d)
 	var err error
-	outcome.Result, err = resultOf(code, f)
+	outcome.Result, err = resultOf(code, d)
 	return outcome, err
 }
 
-func (r *Reader) readHealthCheckResult(f *frameDecoder) (any, error) {
-	ev := balance.HealthCheckResult{Elapsed: f.f64()}
-	code := f.u16()
-	ev.Server, ev.LoadReport = f.serverID(), r.readLoadReport(f)
+func (r *Reader) readHealthCheckResult(d *frameDecoder) (balance.Event, error) {
+	result := balance.HealthCheckResult{Elapsed: d.float64()}
+	code := d.uint16()
+	result.Server, result.LoadReport = d.serverID(), r.readLoadReport(d)
 	var err error
-	ev.Result, err = resultOf(code, f)
-	return ev, err
+	result.Result, err = resultOf(code, d)
+	return result, err
 }
 
-func resultOf(code uint16, f *frameDecoder) (balance.Result, error) {
+// resultOf translates the code of a result. Where the record was truncated the code means nothing.
+func resultOf(code uint16, d *frameDecoder) (balance.Result, error) {
 	result, ok := resultsByCode[code]
-	if !ok && !f.truncated {
+	if !ok && !d.truncated {
 		return 0, fmt.Errorf("unknown result %d", code)
 	}
 	return result, nil
 }
 
-func (r *Reader) readLoadReport(f *frameDecoder) []float32 {
+// readLoadReport returns a slice that is valid until the next call.
+func (r *Reader) readLoadReport(d *frameDecoder) []float32 {
 	r.reportBuffer = r.reportBuffer[:0]
-	for n := f.u8(); n > 0; n-- {
-		r.reportBuffer = append(r.reportBuffer, f.f32())
+	for n := d.uint8(); n > 0; n-- {
+		r.reportBuffer = append(r.reportBuffer, d.float32())
 	}
 	return r.reportBuffer
 }
-
-var errTruncated = errors.New("record runs past the end of the frame")
-
-// frameDecoder takes values off a frame. A read past the end sets bad and gives zero.
-type frameDecoder struct {
-	data      []byte
-	pos       int
-	truncated bool
-}
-
-func (f *frameDecoder) bytes(n uint32) []byte {
-	if uint64(n) > uint64(len(f.data)-f.pos) {
-		f.truncated, f.pos = true, len(f.data)
-		return nil
-	}
-	f.pos += int(n)
-	return f.data[f.pos-int(n) : f.pos : f.pos]
-}
-
-func (f *frameDecoder) u8() uint8 {
-	if b := f.bytes(1); b != nil {
-		return b[0]
-	}
-	return 0
-}
-
-func (f *frameDecoder) u16() uint16 {
-	if b := f.bytes(2); b != nil {
-		return binary.BigEndian.Uint16(b)
-	}
-	return 0
-}
-
-func (f *frameDecoder) u32() uint32 {
-	if b := f.bytes(4); b != nil {
-		return binary.BigEndian.Uint32(b)
-	}
-	return 0
-}
-
-func (f *frameDecoder) u64() uint64 {
-	if b := f.bytes(8); b != nil {
-		return binary.BigEndian.Uint64(b)
-	}
-	return 0
-}
-
-// f64 reads a number; what is no finite number counts as absent.
-func (f *frameDecoder) f64() float64 {
-	v := math.Float64frombits(f.u64())
-	if math.IsNaN(v) || math.IsInf(v, 0) {
-		return 0
-	}
-	return v
-}
-
-func (f *frameDecoder) f32() float32 {
-	v := math.Float32frombits(f.u32())
-	if v != v || math.IsInf(float64(v), 0) {
-		return 0
-	}
-	return v
-}
-
-// serverID packs four bytes of address and a port into an ID.
-func (f *frameDecoder) serverID() balance.ServerID {
-	host := f.u32()
-	return balance.ServerID(uint64(host)<<16 | uint64(f.u16()))
-}
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -8,30 +8,16 @@
 	"milldeck/balance"
 )
 
-// Action codes.
 const (
-	actionSend                 = 1000
-	actionReject               = 1010
-	actionFail                 = 1020
-	actionCancel               = 1030
-	actionSetTimer             = 1040
-	actionHealthCheck          = 1050
-	actionCloseIdleConnections = 1060
-	actionSendGossip           = 1070
-	actionLog                  = 1080
-	actionFault                = 1090
-	actionWatchEndpoints       = 1100
-	actionFetchEndpoints       = 1110
-	allPeers                   = 0xffffffff
-	maxText                    = 0xffff
-	replyHeaderSize            = 4
+	allPeers = 0xffffffff
+	maxText  = 0xffff // bytes; longer texts are cut
 )
 
-// Reply gathers the actions that answer one frame.
+// Reply collects the actions that answer one frame. Reset has to be called before its first use.
 type Reply struct{ buffer []byte }
 
 // Reset empties the reply.
-func (r *Reply) Reset() { r.buffer = append(r.buffer[:0], 0, 0, 0, 0) }
+func (r *Reply) Reset() { r.buffer = append(r.buffer[:0], 0, 0, 0, 0) } // the length is set by WriteTo
 
 // WriteTo writes the reply as one frame.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
@@ -47,7 +33,7 @@
 	}
 }
 
-// Fault reports that an instance's decision code broke.
+// Fault reports that an instance cannot start, rejected an event or panicked.
 func (r *Reply) Fault(instance uint16, text string) {
 	r.appendHeader(actionFault, instance)
 	r.appendText([]byte(text))
@@ -83,18 +69,14 @@
 		r.appendServerID(a.Server)
 	case balance.SendGossip:
 		r.appendHeader(actionSendGossip, instance)
-		peer := uint32(allPeers)
-		if a.Peer >= 0 {
-			peer = uint32(a.Peer)
-		}
-		r.buffer = binary.BigEndian.AppendUint32(r.buffer, peer)
+		r.appendPeer(a.Peer)
 		r.appendText(a.Data)
 	case balance.Log:
 		r.appendHeader(actionLog, instance)
 		r.appendText([]byte(a.Text))
 	case balance.WatchEndpoints:
 		r.appendHeader(actionWatchEndpoints, instance)
-		r.buffer = append(r.buffer, 1)
+		r.buffer = append(r.buffer, 1) // subscribe
 	case balance.FetchEndpoints:
 		r.appendHeader(actionFetchEndpoints, instance)
 	}
@@ -105,7 +87,8 @@
 	r.buffer = binary.BigEndian.AppendUint16(r.buffer, instance)
 }
 
-func (r *Reply) appendUint64(v uint64)   { r.buffer = binary.BigEndian.AppendUint64(r.buffer, v) }
+func (r *Reply) appendUint64(v uint64) { r.buffer = binary.BigEndian.AppendUint64(r.buffer, v) }
+
 func (r *Reply) appendFloat64(v float64) { r.appendUint64(math.Float64bits(v)) }
 
 func (r *Reply) appendServerID(id balance.ServerID) {
@@ -113,10 +96,19 @@
 	r.buffer = binary.BigEndian.AppendUint16(r.buffer, uint16(id))
 }
 
-func (r *Reply) appendText(b []byte) {
-	if len(b) > maxText {
-		b = b[:maxText]
+// appendPeer appends a sidecar's index; below 0: all of them.
+func (r *Reply) appendPeer(peer int) {
+	if peer < 0 {
+		r.buffer = binary.BigEndian.AppendUint32(r.buffer, allPeers)
+		return
+	}
+	r.buffer = binary.BigEndian.AppendUint32(r.buffer, uint32(peer))
+}
+
+func (r *Reply) appendText(text []byte) {
+	if len(text) > maxText {
+		text = text[:maxText]
 	}
-	r.buffer = binary.BigEndian.AppendUint16(r.buffer, uint16(len(b)))
-	r.buffer = append(r.buffer, b...)
+	r.buffer = binary.BigEndian.AppendUint16(r.buffer, uint16(len(text)))
+	r.buffer = append(r.buffer, text...)
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -2,193 +2,275 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
 
 	"milldeck/balance"
 )
 
-// settings mirrors the profile; keys that are not here are skipped.
+// settings mirrors the JSON object of the settings. Keys that are not here are ignored.
 type settings struct {
-	Classes []struct {
-		Effect     string   `json:"effect"`
-		Group      string   `json:"group"`
-		Window     *float64 `json:"window_ms"`
-		Aim        float64  `json:"on_time_ms"`
-		AimStretch float64  `json:"aim_stretch"`
-		Deadline   float64  `json:"hard_limit_ms"`
-		Worth      *float64 `json:"worth"`
-		LateWorth  float64  `json:"late_worth"`
-		Stream     bool     `json:"stream"`
-	} `json:"classes"`
-	Tenants []struct {
-		Allowance float64 `json:"allowance_per_s"`
-		Share     float64 `json:"share"`
-	} `json:"tenants"`
-	Discovery string   `json:"discovery"`
-	Me        int      `json:"my_number"`
-	Peers     int      `json:"peers_total"`
-	Zone      int      `json:"zone"`
-	OverShare *float64 `json:"over_share_worth"`
-	Quantum   float64  `json:"quantum_ms"`
-	Report    struct {
-		Via    string   `json:"via"`
-		Fields []string `json:"fields"`
-	} `json:"report"`
-	Limits struct {
-		Cancel         bool    `json:"cancel"`
-		ConnectTimeout float64 `json:"connect_timeout_ms"`
-		MaxAttempts    *int    `json:"max_attempts"`
-		MaxRetryAfter  float64 `json:"max_retry_after_ms"`
-		MayTell        bool    `json:"may_tell"`
-		Parallel       bool    `json:"parallel_tries"`
-		Probes         bool    `json:"probes"`
-		RetryAfter     bool    `json:"retry_after"`
-	} `json:"limits"`
-	Rules struct {
-		AnswerSlack  float64  `json:"answer_slack_ms"`
-		AskWithin    float64  `json:"ask_within_ms"`
-		ColdFrom     *float64 `json:"cold_from"`
-		ColdTime     float64  `json:"cold_ms"`
-		DrainGrace   float64  `json:"drain_grace_ms"`
-		FallTime     float64  `json:"fall_ms"`
-		FallMultiple float64  `json:"fall_multiple"`
-	} `json:"rules"`
-	Family struct {
-		WarmKeys bool `json:"warm_keys"`
-	} `json:"family_info"`
-	Goal struct { // in the order of balance.Goal, to which it converts; so is Prices
-		Whole       float64 `json:"whole"`
-		WorstWindow float64 `json:"worst_window"`
-		WorstClass  float64 `json:"worst_class"`
-		WorstTenant float64 `json:"worst_tenant"`
-	} `json:"result_mix"`
-	Prices struct {
-		CrossZone float64 `json:"cross_zone"`
-		Waste     float64 `json:"waste"`
-		Handshake float64 `json:"handshake"`
-		Probe     float64 `json:"probe"`
-		Peer      float64 `json:"peer"`
-		LateFail  float64 `json:"late_fail"`
-	} `json:"penalties"`
+	Classes         []classSettings   `json:"classes"`
+	Tenants         []tenantSettings  `json:"tenants"`
+	Discovery       string            `json:"discovery"`
+	SidecarIndex    int               `json:"my_number"`
+	SidecarCount    int               `json:"peers_total"`
+	Zone            int               `json:"zone"`
+	OverQuotaWeight *float64          `json:"over_share_worth"`
+	EventInterval   float64           `json:"quantum_ms"`
+	Report          reportSettings    `json:"report"`
+	Limits          limitSettings     `json:"limits"`
+	Rules           ruleSettings      `json:"rules"`
+	Service         serviceSettings   `json:"family_info"`
+	Objective       objectiveSettings `json:"result_mix"`
+	Costs           costSettings      `json:"penalties"`
+}
+
+type classSettings struct {
+	Idempotency             string   `json:"effect"`
+	DeduplicationScope      string   `json:"group"`
+	IdempotencyWindow       *float64 `json:"window_ms"`
+	LatencyObjective        float64  `json:"on_time_ms"`
+	LatencyObjectivePerWork float64  `json:"aim_stretch"`
+	Deadline                float64  `json:"hard_limit_ms"`
+	PriorityWeight          *float64 `json:"worth"`
+	LateWeight              float64  `json:"late_worth"`
+	Streaming               bool     `json:"stream"`
+}
+
+type tenantSettings struct {
+	QuotaRate float64 `json:"allowance_per_s"`
+	Quota     float64 `json:"share"`
+}
+
+type reportSettings struct {
+	Mode   string   `json:"via"`
+	Fields []string `json:"fields"`
+}
+
+type limitSettings struct {
+	Cancel           bool    `json:"cancel"`
+	ConnectTimeout   float64 `json:"connect_timeout_ms"`
+	MaxAttempts      *int    `json:"max_attempts"`
+	MaxRetryAfter    float64 `json:"max_retry_after_ms"`
+	Gossip           bool    `json:"may_tell"`
+	ParallelAttempts bool    `json:"parallel_tries"`
+	HealthChecks     bool    `json:"probes"`
+	RetryAfter       bool    `json:"retry_after"`
+}
+
+type ruleSettings struct {
+	AnswerGracePeriod    float64  `json:"answer_slack_ms"`
+	PollInterval         float64  `json:"ask_within_ms"`
+	SlowStartMinCapacity *float64 `json:"cold_from"`
+	SlowStartDuration    float64  `json:"cold_ms"`
+	DrainGracePeriod     float64  `json:"drain_grace_ms"`
+	OverloadDuration     float64  `json:"fall_ms"`
+	OverloadMultiple     float64  `json:"fall_multiple"`
+}
+
+type serviceSettings struct {
+	KeyAffinity bool `json:"warm_keys"`
+}
+
+type objectiveSettings struct {
+	Overall     float64 `json:"whole"`
+	WorstWindow float64 `json:"worst_window"`
+	WorstClass  float64 `json:"worst_class"`
+	WorstTenant float64 `json:"worst_tenant"`
+}
+
+type costSettings struct {
+	CrossZone   float64 `json:"cross_zone"`
+	WastedWork  float64 `json:"waste"`
+	Handshake   float64 `json:"handshake"`
+	HealthCheck float64 `json:"probe"`
+	Gossip      float64 `json:"peer"`
+	LateFailure float64 `json:"late_fail"`
 }
 
 var idempotencyByName = map[string]balance.Idempotency{
-	"read_like": balance.Idempotent, "idempotency_key": balance.IdempotentWithKey, "non_idempotent": balance.NonIdempotent,
+	"read_like":       balance.Idempotent,
+	"idempotency_key": balance.IdempotentWithKey,
+	"non_idempotent":  balance.NonIdempotent,
 }
 
 var scopeByName = map[string]balance.DeduplicationScope{
-	"": balance.ScopeAll, "all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell,
+	"":     balance.ScopeAll,
+	"all":  balance.ScopeAll,
+	"zone": balance.ScopeZone,
+	"cell": balance.ScopeCell,
 }
 
 var loadReportModeByName = map[string]balance.LoadReportMode{
-	"": balance.LoadReportNone, "silent": balance.LoadReportNone,
-	"piggyback": balance.LoadReportPiggyback, "pull": balance.LoadReportHealthCheck,
+	"":          balance.LoadReportNone,
+	"silent":    balance.LoadReportNone,
+	"piggyback": balance.LoadReportPiggyback,
+	"pull":      balance.LoadReportHealthCheck,
 }
 
+// A name that is not here is balance.FieldUnknown, which is skipped.
 var loadReportFieldByName = map[string]balance.LoadReportField{
-	"rif": balance.FieldInFlight, "q": balance.FieldQueueLength, "busy": balance.FieldUtilization,
-	"lat_ms": balance.FieldLatency, "rate": balance.FieldRequestRate, "fail_rate": balance.FieldErrorRate,
+	"rif":       balance.FieldInFlight,
+	"q":         balance.FieldQueueLength,
+	"busy":      balance.FieldUtilization,
+	"lat_ms":    balance.FieldLatency,
+	"rate":      balance.FieldRequestRate,
+	"fail_rate": balance.FieldErrorRate,
 }
 
-// ParseSettings turns the profile of a Begin into a Config.
-func ParseSettings(seed uint64, profile []byte) (balance.Config, error) {
+// ParseSettings turns the settings of an InstanceStarted into a Config. Its errors name the key. What it accepts may still
+// be rejected by balance.New.
+func ParseSettings(seed uint64, text []byte) (balance.Config, error) {
 	var s settings
-	if err := json.Unmarshal(profile, &s); err != nil {
+	if err := json.Unmarshal(text, &s); err != nil {
 		return balance.Config{}, fmt.Errorf("settings: %w", err)
 	}
-	cfg := balance.Config{
-		Seed: seed, SidecarIndex: s.Me, SidecarCount: max(s.Peers, 1), Zone: s.Zone,
-		OverQuotaWeight: valueOr(s.OverShare, 1), EventInterval: s.Quantum,
-		AllowParallelAttempts: s.Limits.Parallel, AllowCancel: s.Limits.Cancel, AllowHealthChecks: s.Limits.Probes,
-		AllowGossip: s.Limits.MayTell, SendRetryAfter: s.Limits.RetryAfter,
-		MaxRetryAfter: s.Limits.MaxRetryAfter, ConnectTimeout: s.Limits.ConnectTimeout,
-		MaxAttempts:      valueOr(s.Limits.MaxAttempts, 1),
-		DrainGracePeriod: s.Rules.DrainGrace, SlowStartMinCapacity: valueOr(s.Rules.ColdFrom, 1), SlowStartDuration: s.Rules.ColdTime,
-		OverloadMultiple: s.Rules.FallMultiple, OverloadDuration: s.Rules.FallTime,
-		PollInterval: s.Rules.AskWithin, AnswerGracePeriod: s.Rules.AnswerSlack,
-		KeyAffinity: s.Family.WarmKeys,
-		Objective: balance.Objective{
-			Overall: s.Goal.Whole, WorstWindow: s.Goal.WorstWindow,
-			WorstClass: s.Goal.WorstClass, WorstTenant: s.Goal.WorstTenant,
-		},
-		Costs: balance.Costs{
-			CrossZone: s.Prices.CrossZone, WastedWork: s.Prices.Waste, Handshake: s.Prices.Handshake,
-			HealthCheck: s.Prices.Probe, Gossip: s.Prices.Peer, LateFailure: s.Prices.LateFail,
-		},
+	config, err := s.config(seed)
+	if err != nil {
+		return balance.Config{}, fmt.Errorf("settings: %w", err)
 	}
+	return config, nil
+}
+
+func (s *settings) config(seed uint64) (balance.Config, error) {
+	config := s.scalars(seed)
 	switch s.Discovery {
 	case "", "automatic":
 	case "subscribe":
-		cfg.Subscribe = true
+		config.Subscribe = true
 	default:
-		return cfg, fmt.Errorf("settings: unknown discovery %q", s.Discovery)
+		return config, fmt.Errorf("unknown discovery %q", s.Discovery)
 	}
-	for _, f := range []struct {
-		key string
-		v   float64
-	}{
-		{"quantum_ms", s.Quantum}, {"over_share_worth", cfg.OverQuotaWeight},
-		{"limits.connect_timeout_ms", s.Limits.ConnectTimeout}, {"limits.max_attempts", float64(cfg.MaxAttempts)},
-		{"limits.max_retry_after_ms", s.Limits.MaxRetryAfter}, {"rules.answer_slack_ms", s.Rules.AnswerSlack},
-		{"rules.ask_within_ms", s.Rules.AskWithin}, {"rules.cold_from", cfg.SlowStartMinCapacity},
-		{"rules.cold_ms", s.Rules.ColdTime}, {"rules.drain_grace_ms", s.Rules.DrainGrace},
-		{"rules.fall_ms", s.Rules.FallTime}, {"rules.fall_multiple", s.Rules.FallMultiple},
-		{"result_mix.whole", s.Goal.Whole}, {"result_mix.worst_window", s.Goal.WorstWindow},
-		{"result_mix.worst_class", s.Goal.WorstClass}, {"result_mix.worst_tenant", s.Goal.WorstTenant},
-		{"penalties.cross_zone", s.Prices.CrossZone}, {"penalties.probe", s.Prices.Probe},
-	} {
-		if f.v < 0 {
-			return cfg, fmt.Errorf("settings: %s is %v", f.key, f.v)
-		}
+	if err := s.checkNotNegative(&config); err != nil {
+		return config, err
 	}
 	var ok bool
-	if cfg.LoadReports, ok = loadReportModeByName[s.Report.Via]; !ok {
-		return cfg, fmt.Errorf("settings: unknown report.via %q", s.Report.Via)
+	if config.LoadReports, ok = loadReportModeByName[s.Report.Mode]; !ok {
+		return config, fmt.Errorf("unknown report.via %q", s.Report.Mode)
 	}
 	for _, name := range s.Report.Fields {
-		cfg.LoadReportFields = append(cfg.LoadReportFields, loadReportFieldByName[name])
+		config.LoadReportFields = append(config.LoadReportFields, loadReportFieldByName[name])
 	}
 	for _, t := range s.Tenants {
-		cfg.Tenants = append(cfg.Tenants, balance.Tenant{QuotaRate: t.Allowance, Quota: t.Share})
+		config.Tenants = append(config.Tenants, balance.Tenant{QuotaRate: t.QuotaRate, Quota: t.Quota})
 	}
-	return cfg, s.addClasses(&cfg)
-}
-
-func (s *settings) addClasses(cfg *balance.Config) error {
 	if len(s.Classes) == 0 {
-		return fmt.Errorf("settings: no classes")
+		return config, errors.New("no classes")
 	}
-	for i, c := range s.Classes {
-		effect, ok := idempotencyByName[c.Effect]
-		if !ok {
-			return fmt.Errorf("settings: class %d: unknown effect %q", i, c.Effect)
-		}
-		group, ok := scopeByName[c.Group]
-		if !ok {
-			return fmt.Errorf("settings: class %d: unknown group %q", i, c.Group)
-		}
-		if !(c.Deadline > 0) || c.Aim < 0 {
-			return fmt.Errorf("settings: class %d: aim %v ms, deadline %v ms", i, c.Aim, c.Deadline)
+	for i := range s.Classes {
+		class, err := s.Classes[i].class()
+		if err != nil {
+			return config, fmt.Errorf("class %d: %w", i, err)
 		}
-		if c.Worth != nil && *c.Worth < 0 || c.LateWorth < 0 || c.Window != nil && *c.Window < 0 {
-			return fmt.Errorf("settings: class %d: worth, late_worth or window_ms is negative", i)
-		}
-		aim := c.Aim
-		if aim == 0 {
-			aim = c.Deadline
+		config.Classes = append(config.Classes, class)
+	}
+	return config, nil
+}
+
+// scalars returns the settings that need no translation, with their defaults.
+func (s *settings) scalars(seed uint64) balance.Config {
+	return balance.Config{
+		Seed:            seed,
+		SidecarIndex:    s.SidecarIndex,
+		SidecarCount:    max(s.SidecarCount, 1),
+		Zone:            s.Zone,
+		OverQuotaWeight: valueOr(s.OverQuotaWeight, 1),
+		EventInterval:   s.EventInterval,
+		KeyAffinity:     s.Service.KeyAffinity,
+
+		MaxAttempts:           valueOr(s.Limits.MaxAttempts, 1),
+		AllowParallelAttempts: s.Limits.ParallelAttempts,
+		AllowCancel:           s.Limits.Cancel,
+		AllowHealthChecks:     s.Limits.HealthChecks,
+		AllowGossip:           s.Limits.Gossip,
+		SendRetryAfter:        s.Limits.RetryAfter,
+		MaxRetryAfter:         s.Limits.MaxRetryAfter,
+		ConnectTimeout:        s.Limits.ConnectTimeout,
+
+		DrainGracePeriod:     s.Rules.DrainGracePeriod,
+		SlowStartMinCapacity: valueOr(s.Rules.SlowStartMinCapacity, 1),
+		SlowStartDuration:    s.Rules.SlowStartDuration,
+		OverloadMultiple:     s.Rules.OverloadMultiple,
+		OverloadDuration:     s.Rules.OverloadDuration,
+		PollInterval:         s.Rules.PollInterval,
+		AnswerGracePeriod:    s.Rules.AnswerGracePeriod,
+
+		Objective: balance.Objective(s.Objective),
+		Costs:     balance.Costs(s.Costs),
+	}
+}
+
+// checkNotNegative names the key of a setting that is negative, as the operator knows it; balance.New names the field.
+func (s *settings) checkNotNegative(config *balance.Config) error {
+	for _, figure := range []struct {
+		key   string
+		value float64
+	}{
+		{"quantum_ms", s.EventInterval},
+		{"over_share_worth", config.OverQuotaWeight},
+		{"limits.connect_timeout_ms", s.Limits.ConnectTimeout},
+		{"limits.max_attempts", float64(config.MaxAttempts)},
+		{"limits.max_retry_after_ms", s.Limits.MaxRetryAfter},
+		{"rules.answer_slack_ms", s.Rules.AnswerGracePeriod},
+		{"rules.ask_within_ms", s.Rules.PollInterval},
+		{"rules.cold_from", config.SlowStartMinCapacity},
+		{"rules.cold_ms", s.Rules.SlowStartDuration},
+		{"rules.drain_grace_ms", s.Rules.DrainGracePeriod},
+		{"rules.fall_ms", s.Rules.OverloadDuration},
+		{"rules.fall_multiple", s.Rules.OverloadMultiple},
+		{"result_mix.whole", s.Objective.Overall},
+		{"result_mix.worst_window", s.Objective.WorstWindow},
+		{"result_mix.worst_class", s.Objective.WorstClass},
+		{"result_mix.worst_tenant", s.Objective.WorstTenant},
+		{"penalties.cross_zone", s.Costs.CrossZone},
+		{"penalties.probe", s.Costs.HealthCheck},
+	} {
+		if figure.value < 0 {
+			return fmt.Errorf("%s is %v", figure.key, figure.value)
 		}
-		cfg.Classes = append(cfg.Classes, balance.Class{
-			Idempotency: effect, DeduplicationScope: group, IdempotencyWindow: valueOr(c.Window, math.Inf(1)), LatencyObjective: aim, LatencyObjectivePerWork: c.AimStretch,
-			Deadline: c.Deadline, PriorityWeight: valueOr(c.Worth, 1), LateWeight: c.LateWorth, Streaming: c.Stream,
-		})
 	}
 	return nil
 }
 
-func valueOr[T any](value *T, fallback T) T {
+func (c *classSettings) class() (balance.Class, error) {
+	idempotency, ok := idempotencyByName[c.Idempotency]
+	if !ok {
+		return balance.Class{}, fmt.Errorf("unknown effect %q", c.Idempotency)
+	}
+	scope, ok := scopeByName[c.DeduplicationScope]
+	if !ok {
+		return balance.Class{}, fmt.Errorf("unknown group %q", c.DeduplicationScope)
+	}
+	if !(c.Deadline > 0) || c.LatencyObjective < 0 {
+		return balance.Class{}, fmt.Errorf("on_time_ms is %v, hard_limit_ms %v", c.LatencyObjective, c.Deadline)
+	}
+	window, weight := valueOr(c.IdempotencyWindow, math.Inf(1)), valueOr(c.PriorityWeight, 1)
+	if weight < 0 || c.LateWeight < 0 || window < 0 {
+		return balance.Class{}, errors.New("worth, late_worth or window_ms is negative")
+	}
+	objective := c.LatencyObjective
+	if objective == 0 {
+		objective = c.Deadline
+	}
+	return balance.Class{
+		Idempotency:             idempotency,
+		DeduplicationScope:      scope,
+		IdempotencyWindow:       window,
+		LatencyObjective:        objective,
+		LatencyObjectivePerWork: c.LatencyObjectivePerWork,
+		Deadline:                c.Deadline,
+		PriorityWeight:          weight,
+		LateWeight:              c.LateWeight,
+		Streaming:               c.Streaming,
+	}, nil
+}
+
+// valueOr returns the value of a key that may be absent.
+func valueOr[T any](value *T, absent T) T {
 	if value == nil {
-		return fallback
+		return absent
 	}
 	return *value
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"io"
 	"strings"
 	"testing"
@@ -20,19 +21,18 @@
 	return b
 }
 
-func readAll(r *Reader) ([]Record, float64, error) {
-	var recs []Record
-	var at float64
+// readAll reads the frames up to the end of the input and returns their records with the clock of the last one.
+func readAll(r *Reader) (records []Record, clock float64, err error) {
 	for {
-		err := r.Read(func(clock float64, rec Record) error {
-			recs, at = append(recs, rec), clock
+		err := r.Read(func(at float64, record Record) error {
+			records, clock = append(records, record), at
 			return nil
 		})
-		if err == io.EOF {
-			return recs, at, nil
+		if errors.Is(err, io.EOF) {
+			return records, clock, nil
 		}
 		if err != nil {
-			return recs, at, err
+			return records, clock, err
 		}
 	}
 }
@@ -54,36 +54,37 @@
 
 func TestDecodesProtocolExamples(t *testing.T) {
 	in := unhex(t, emptyFrame+eventsFrame+listFrame+endedFrame)
-	recs, clock, err := readAll(NewReader(bytes.NewReader(in)))
+	records, clock, err := readAll(NewReader(bytes.NewReader(in)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if clock != 8412.25 || len(recs) != 5 {
-		t.Fatalf("clock %v, %d records", clock, len(recs))
+	if clock != 8412.25 || len(records) != 5 {
+		t.Fatalf("clock %v, %d records", clock, len(records))
 	}
-	ask, ok := recs[0].Event.(balance.Request)
+	request, ok := records[0].Event.(balance.Request)
 	want := balance.Request{ID: 0x2978f5d3a91c4, ExpectedWork: 12, Key: 0x91f03b7c55d20a64, Timeout: 240}
-	if !ok || ask != want || recs[0].Instance != 3 {
-		t.Errorf("ask: %+v", recs[0])
+	if !ok || request != want || records[0].Instance != 3 {
+		t.Errorf("request: %+v", records[0])
 	}
-	if ev := recs[1].Event; ev != any(balance.TimerFired{Token: 77}) {
-		t.Errorf("alarm: %+v", ev)
+	if ev := records[1].Event; ev != balance.Event(balance.TimerFired{Token: 77}) {
+		t.Errorf("timer: %+v", ev)
 	}
-	if ev := recs[2].Event; ev != any(balance.ClientDisconnected{Request: 0xb677a0e6f2b19}) || recs[2].Instance != 5 {
-		t.Errorf("hangup: %+v", recs[2])
+	disconnected := balance.Event(balance.ClientDisconnected{Request: 0xb677a0e6f2b19})
+	if ev := records[2].Event; ev != disconnected || records[2].Instance != 5 {
+		t.Errorf("disconnected client: %+v", records[2])
 	}
-	list := recs[3].Event.(balance.EndpointUpdate)
-	if list.Kind != balance.UpdateCached || len(list.Servers) != 2 {
-		t.Fatalf("list: %+v", list)
+	update := records[3].Event.(balance.EndpointUpdate)
+	if update.Kind != balance.UpdateCached || len(update.Servers) != 2 {
+		t.Fatalf("endpoint update: %+v", update)
 	}
 	second := balance.Server{ID: 0x0a9011f22354, StartedAt: 6100, RelativeCapacity: 1.5, Zone: 1}
-	if list.Servers[0].ID != 0x0a124a07232b || list.Servers[1] != second {
-		t.Errorf("entries: %+v", list.Servers)
+	if update.Servers[0].ID != 0x0a124a07232b || update.Servers[1] != second {
+		t.Errorf("entries: %+v", update.Servers)
 	}
-	ended := recs[4].Event.(balance.Outcome)
-	if ended.Request != 0x2978f5d3a91c4 || ended.Server != 0x0a124a07232b || ended.Elapsed != 18.5 ||
-		!ended.RequestDone || ended.Result != balance.OK {
-		t.Errorf("ended: %+v", ended)
+	outcome := records[4].Event.(balance.Outcome)
+	if outcome.Request != 0x2978f5d3a91c4 || outcome.Server != 0x0a124a07232b || outcome.Elapsed != 18.5 ||
+		!outcome.RequestDone || outcome.Result != balance.OK {
+		t.Errorf("outcome: %+v", outcome)
 	}
 }
 
@@ -112,82 +113,102 @@
 
 func TestMalformedFramesAreErrors(t *testing.T) {
 	for name, frame := range map[string]string{
-		"header cut short":     "00000000 0000",
+		"truncated header":     "00000000 0000",
 		"length under header":  "00000000 0000000f 40c06e2000000000",
 		"length past the end":  "00000001 00000050 40c06e2000000000 03fc",
 		"huge length":          "00000001 ffffffff 40c06e2000000000",
 		"clock not a number":   "00000000 00000010 7ff8000000000000",
 		"unknown code":         "00000001 00000014 40c06e2000000000 ffff 0003",
-		"record cut short":     "00000001 00000016 40c06e2000000000 03fc 0003 0000",
+		"truncated record":     "00000001 00000016 40c06e2000000000 03fc 0003 0000",
 		"bytes left over":      "00000000 00000012 40c06e2000000000 0000",
 		"count past the end":   "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff",
 		"settings past end":    "00000001 00000020 40c06e2000000000 042e 0000 0000000000000001 7fffffff",
 		"table never sent":     "00000001 0000001b 40c06e2000000000 0410 0003 00 00000001 0003",
 		"table out of range":   "00000001 00000018 40c06e2000000000 03e8 0010 00000000",
-		"unknown list kind":    "00000001 0000001b 40c06e2000000000 0410 0003 07 00000001 0000",
+		"unknown update kind":  "00000001 0000001b 40c06e2000000000 0410 0003 07 00000001 0000",
 		"unknown result":       strings.Replace(endedFrame, "232b 0000", "232b 0055", 1),
 		"more records claimed": strings.Replace(endedFrame, "00000001", "00000002", 1),
 	} {
-		recs, _, err := readAll(NewReader(bytes.NewReader(unhex(t, frame))))
-		if err == nil {
-			t.Errorf("%s: no error, records %+v", name, recs)
-		}
+		t.Run(name, func(t *testing.T) {
+			if records, _, err := readAll(NewReader(bytes.NewReader(unhex(t, frame)))); err == nil {
+				t.Errorf("no error, records %+v", records)
+			}
+		})
 	}
 }
 
 func TestSettings(t *testing.T) {
-	cfg, err := ParseSettings(9, []byte(`{"classes": [
+	config, err := ParseSettings(9, []byte(`{"classes": [
 		{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500, "worth": 2, "late_worth": 0.3},
 		{"effect": "idempotency_key", "group": "cell", "hard_limit_ms": 600, "window_ms": 700}],
 		"a_new_key": {"x": [1]}, "discovery": "subscribe", "my_number": 2, "peers_total": 5,
 		"limits": {"parallel_tries": true, "probes": true, "max_attempts": 4},
 		"report": {"via": "pull", "fields": ["q", "new", "rif"]},
-		"rules": {"cold_from": 0.2, "cold_ms": 9000}, "result_mix": {"whole": 0.4, "worst_window": 0.3, "worst_class": 0.2, "worst_tenant": 0.1},
+		"rules": {"cold_from": 0.2, "cold_ms": 9000},
+		"result_mix": {"whole": 0.4, "worst_window": 0.3, "worst_class": 0.2, "worst_tenant": 0.1},
 		"penalties": {"cross_zone": 1, "waste": 2, "handshake": 3, "probe": 4, "peer": 5, "late_fail": 6, "moves": 7},
 		"tenants": [{"share": 0.4, "allowance_per_s": 10}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Seed != 9 || !cfg.Subscribe || cfg.SidecarIndex != 2 || cfg.SidecarCount != 5 || !cfg.AllowParallelAttempts || !cfg.AllowHealthChecks ||
-		cfg.AllowCancel || cfg.MaxAttempts != 4 || cfg.SlowStartMinCapacity != 0.2 || cfg.Tenants[0].Quota != 0.4 {
-		t.Errorf("%+v", cfg)
+	if config.Seed != 9 || !config.Subscribe || config.SidecarIndex != 2 || config.SidecarCount != 5 ||
+		!config.AllowParallelAttempts || !config.AllowHealthChecks || config.AllowCancel || config.MaxAttempts != 4 ||
+		config.SlowStartMinCapacity != 0.2 || config.Tenants[0].Quota != 0.4 {
+		t.Errorf("%+v", config)
 	}
-	if want := (balance.Objective{Overall: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); cfg.Objective != want {
-		t.Errorf("goal %+v", cfg.Objective)
+	if want := (balance.Objective{Overall: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); config.Objective != want {
+		t.Errorf("objective %+v", config.Objective)
 	}
 	want := balance.Costs{CrossZone: 1, WastedWork: 2, Handshake: 3, HealthCheck: 4, Gossip: 5, LateFailure: 6}
-	if cfg.Costs != want {
-		t.Errorf("prices %+v", cfg.Costs)
+	if config.Costs != want {
+		t.Errorf("costs %+v", config.Costs)
 	}
-	second := cfg.Classes[1]
-	if second.Idempotency != balance.IdempotentWithKey || second.DeduplicationScope != balance.ScopeCell || second.LatencyObjective != 600 || second.PriorityWeight != 1 {
+	second := config.Classes[1]
+	if second.Idempotency != balance.IdempotentWithKey || second.DeduplicationScope != balance.ScopeCell ||
+		second.LatencyObjective != 600 || second.PriorityWeight != 1 {
 		t.Errorf("a class with keys left out: %+v", second)
 	}
-	if cfg.LoadReports != balance.LoadReportHealthCheck || len(cfg.LoadReportFields) != 3 || cfg.LoadReportFields[1] != balance.FieldUnknown {
-		t.Errorf("reports %v %v", cfg.LoadReports, cfg.LoadReportFields)
+	if config.LoadReports != balance.LoadReportHealthCheck || len(config.LoadReportFields) != 3 ||
+		config.LoadReportFields[1] != balance.FieldUnknown {
+		t.Errorf("load reports %v %v", config.LoadReports, config.LoadReportFields)
 	}
+}
+
+func TestSettingsErrorsNameTheKey(t *testing.T) {
 	class := `{"classes": [{"effect": "read_like", "hard_limit_ms": 1}], `
 	for key, rest := range map[string]string{
 		"rules.cold_ms":       `"rules": {"cold_ms": -1}}`,
 		"limits.max_attempts": `"limits": {"max_attempts": -2}}`,
 		"penalties.probe":     `"penalties": {"probe": -0.1}}`,
-		"rules.fall_ms":       `"rules": {"fall_ms": 1e999}}`, // JSON holds no infinity: too large a number
+		"rules.fall_ms":       `"rules": {"fall_ms": 1e999}}`, // JSON has no infinity: the number is too large
 	} {
-		if _, err := ParseSettings(1, []byte(class+rest)); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: error %v", key, err)
-		}
+		t.Run(key, func(t *testing.T) {
+			if _, err := ParseSettings(1, []byte(class+rest)); err == nil || !strings.Contains(err.Error(), key) {
+				t.Errorf("error %v", err)
+			}
+		})
 	}
-	for _, bad := range []string{
-		`{"classes": [{"effect": "read_like", "hard_limit_ms": 1, "worth": -1}]}`,
-		`{"classes": [{"effect": "read_like", "hard_limit_ms": 1, "group": "moon"}]}`,
-		``, `[]`, `{}`, `{"classes": []}`, `{"classes": [{"effect": "odd", "hard_limit_ms": 1}]}`,
-		`{"classes": [{"effect": "read_like"}]}`, `{"classes": [{"effect": "read_like", "hard_limit_ms": -1}]}`,
-		`{"classes": [{"effect": "read_like", "hard_limit_ms": 1}], "discovery": "guess"}`,
-		`{"classes": [{"effect": "read_like", "hard_limit_ms": 1}], "report": {"via": "pigeon"}}`,
+}
+
+func TestInvalidSettings(t *testing.T) {
+	for name, text := range map[string]string{
+		"empty":              ``,
+		"not an object":      `[]`,
+		"no keys":            `{}`,
+		"no classes":         `{"classes": []}`,
+		"negative worth":     `{"classes": [{"effect": "read_like", "hard_limit_ms": 1, "worth": -1}]}`,
+		"unknown group":      `{"classes": [{"effect": "read_like", "hard_limit_ms": 1, "group": "moon"}]}`,
+		"unknown effect":     `{"classes": [{"effect": "odd", "hard_limit_ms": 1}]}`,
+		"no hard limit":      `{"classes": [{"effect": "read_like"}]}`,
+		"negative limit":     `{"classes": [{"effect": "read_like", "hard_limit_ms": -1}]}`,
+		"unknown discovery":  `{"classes": [{"effect": "read_like", "hard_limit_ms": 1}], "discovery": "guess"}`,
+		"unknown report.via": `{"classes": [{"effect": "read_like", "hard_limit_ms": 1}], "report": {"via": "pigeon"}}`,
 	} {
-		if _, err := ParseSettings(1, []byte(bad)); err == nil {
-			t.Errorf("no error for %s", bad)
-		}
+		t.Run(name, func(t *testing.T) {
+			if _, err := ParseSettings(1, []byte(text)); err == nil {
+				t.Errorf("no error for %s", text)
+			}
+		})
 	}
 }
 
@@ -198,9 +219,9 @@
 	}
 	f.Add(unhex(f, "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		recs, _, err := readAll(NewReader(bytes.NewReader(in)))
+		records, _, err := readAll(NewReader(bytes.NewReader(in)))
 		if err == nil && len(in) > 0 && len(in) < headerSize {
-			t.Fatalf("%d bytes read as %d records", len(in), len(recs))
+			t.Fatalf("%d bytes read as %d records", len(in), len(records))
 		}
 	})
 }
