--- a/internal/disruption/fixtures_test.go
+++ b/internal/disruption/fixtures_test.go
@@ -21,16 +21,6 @@
 	Op     json.RawMessage `json:"op,omitempty"`
 }
 
-// decodeStrictly decodes JSON that may have no field but those of the value.
-func decodeStrictly(t *testing.T, data []byte, value any) {
-	t.Helper()
-	decoder := json.NewDecoder(bytes.NewReader(data))
-	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(value); err != nil {
-		t.Fatalf("%s: %v", data, err)
-	}
-}
-
 func encode(t *testing.T, value any) []byte {
 	t.Helper()
 	data, err := json.Marshal(value)
@@ -48,15 +38,15 @@
 	var rewritten bytes.Buffer
 	for line := range bytes.Lines(data) {
 		var step scriptStep
-		decodeStrictly(t, line, &step)
+		goldentest.DecodeStrictly(t, line, &step)
 		if step.Unit != nil {
 			var unit Unit
-			decodeStrictly(t, step.Unit, &unit)
+			goldentest.DecodeStrictly(t, step.Unit, &unit)
 			step.Unit = encode(t, unit)
 		}
 		if step.Op != nil {
 			var op Op
-			decodeStrictly(t, step.Op, &op)
+			goldentest.DecodeStrictly(t, step.Op, &op)
 			step.Op = encode(t, op)
 		}
 		steps = append(steps, step)
@@ -72,7 +62,7 @@
 	t.Helper()
 	var unit Unit
 	if step.Unit != nil {
-		decodeStrictly(t, step.Unit, &unit)
+		goldentest.DecodeStrictly(t, step.Unit, &unit)
 	}
 	switch step.Event {
 	case "register":
@@ -93,7 +83,7 @@
 		ledger.HaltForUncertainty(revision, step.Reason)
 	case "apply":
 		var op Op
-		decodeStrictly(t, step.Op, &op)
+		goldentest.DecodeStrictly(t, step.Op, &op)
 		result := ledger.Apply(revision, &op)
 		return fmt.Sprintf("%s %s: %s", op.Kind, result.Outcome, result.Reason)
 	default:
@@ -138,7 +128,7 @@
 
 	for i, data := range snapshots {
 		var snapshot Snapshot
-		decodeStrictly(t, data, &snapshot)
+		goldentest.DecodeStrictly(t, data, &snapshot)
 		restored, err := Restore(snapshot)
 		if err != nil {
 			t.Fatalf("snapshot %d: %v", i+1, err)
@@ -160,7 +150,7 @@
 	for _, name := range []string{"view.json", "view-unavailable.json"} {
 		data := goldentest.Read(t, name)
 		var view View
-		decodeStrictly(t, data, &view)
+		goldentest.DecodeStrictly(t, data, &view)
 		if again := append(encode(t, view), '\n'); !bytes.Equal(again, data) {
 			t.Errorf("%s is written as\n%s\nnot\n%s", name, again, data)
 		}
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -7,6 +7,7 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"errors"
 	"flag"
 	"io/fs"
@@ -42,3 +43,14 @@
 		t.Errorf("%s: got\n%q\nwant\n%q", Path(name), got, want)
 	}
 }
+
+// DecodeStrictly decodes a JSON value, and fails the test where it has a field that the Go value does not have: a
+// stored field whose tag was lost.
+func DecodeStrictly(t testing.TB, data []byte, value any) {
+	t.Helper()
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(value); err != nil {
+		t.Fatalf("%s: %v", data, err)
+	}
+}
--- a/internal/placement/fixtures_test.go
+++ b/internal/placement/fixtures_test.go
@@ -19,16 +19,6 @@
 	Op    json.RawMessage `json:"op,omitempty"`
 }
 
-// decodeStrictly decodes JSON that may have no field but those of the value.
-func decodeStrictly(t *testing.T, data []byte, value any) {
-	t.Helper()
-	decoder := json.NewDecoder(bytes.NewReader(data))
-	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(value); err != nil {
-		t.Fatalf("%s: %v", data, err)
-	}
-}
-
 func encodeLine(t *testing.T, value any) []byte {
 	t.Helper()
 	data, err := json.Marshal(value)
@@ -45,10 +35,10 @@
 	var rewritten bytes.Buffer
 	for line := range bytes.Lines(goldentest.Read(t, "operations.jsonl")) {
 		var operation storedOperation
-		decodeStrictly(t, line, &operation)
+		goldentest.DecodeStrictly(t, line, &operation)
 		if operation.Op != nil {
 			var op Op
-			decodeStrictly(t, operation.Op, &op)
+			goldentest.DecodeStrictly(t, operation.Op, &op)
 			operation.Op = bytes.TrimSpace(encodeLine(t, op))
 		}
 		stored = append(stored, operation)
@@ -66,7 +56,7 @@
 		return fmt.Sprintf("%d epoch %d", stored.Index, stored.Epoch), 0
 	}
 	var op Op
-	decodeStrictly(t, stored.Op, &op)
+	goldentest.DecodeStrictly(t, stored.Op, &op)
 	result := table.Apply(stored.Index, stored.Lease, &op)
 	return fmt.Sprintf("%d %s: %s", stored.Index, result.Outcome, result.Reason), op.LeaderTimeMS
 }
@@ -99,7 +89,7 @@
 
 	for i, data := range saved {
 		var snapshot Snapshot
-		decodeStrictly(t, data, &snapshot)
+		goldentest.DecodeStrictly(t, data, &snapshot)
 		restored := Restore(&snapshot, epochs[i])
 		if again := encodeLine(t, restored.Snapshot()); !bytes.Equal(again, data) {
 			t.Fatalf("snapshot %d is written as\n%s\nnot\n%s", i+1, again, data)
@@ -121,7 +111,7 @@
 	wallMS, monotonicMS := int64(1_000_003), int64(5_000)
 	for line := range bytes.Lines(goldentest.Read(t, "watch.jsonl")) {
 		var update Update
-		decodeStrictly(t, line, &update)
+		goldentest.DecodeStrictly(t, line, &update)
 		rewritten.Write(encodeLine(t, update))
 		before := cache.Revision()
 		changed, err := cache.Apply(&update, wallMS, monotonicMS)
@@ -153,7 +143,7 @@
 	var rewritten bytes.Buffer
 	for line := range bytes.Lines(goldentest.Read(t, "reports.jsonl")) {
 		var report LoadReport
-		decodeStrictly(t, line, &report)
+		goldentest.DecodeStrictly(t, line, &report)
 		if err := report.Validate(); err != nil {
 			t.Errorf("%s: %v", line, err)
 		}
