--- a/internal/maintenance/exclusion_test.go
+++ b/internal/maintenance/exclusion_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A contract set anew with an earlier close shortens what is told in the same entry, or ends it where it is over or in doubt.
+// TestEarlierCloseShortensExclusion has a contract set again with an earlier close: the same record shortens the exclusion,
+// or ends it where the close has passed or the clocks are not trusted.
 func TestEarlierCloseShortensExclusion(t *testing.T) {
 	fixture, table := newTableFixture()
 	fixture.walkStages(table, func(table *Table) {
@@ -18,10 +19,10 @@
 			closesAtMS, excludedUntil int64
 			timestamp                 Timestamp
 		}{
-			"earlier than the told end": {now + 10_000, now + 10_000 - CloseGuardMS - 250, Timestamp{now, 250, now, 250}},
-			"later than that":           {now + 60_000, window.ExcludedUntilMS, Timestamp{now, 250, now, 250}},
-			"over":                      {now + 1000, 0, Timestamp{now, 250, now, 250}},
-			"in doubt":                  {now + 10_000, 0, Timestamp{now, 250, now - 60_000, 250}},
+			"before the expiry": {now + 10_000, now + 10_000 - CloseGuardMS - 250, Timestamp{now, 250, now, 250}},
+			"after the expiry":  {now + 60_000, window.ExcludedUntilMS, Timestamp{now, 250, now, 250}},
+			"passed":            {now + 1000, 0, Timestamp{now, 250, now, 250}},
+			"clock fault":       {now + 10_000, 0, Timestamp{now, 250, now - 60_000, 250}},
 		} {
 			next, approval := cloneTable(table), fixture.approval(0)
 			approval.ClosesAtMS = test.closesAtMS
@@ -38,7 +39,7 @@
 	})
 }
 
-// A name that is no server's is said to be that, whatever the contracts would say.
+// TestPlannerNamesUnknownServer has a server that does not exist reported before any contract.
 func TestPlannerNamesUnknownServer(t *testing.T) {
 	fixture, table := newTableFixture()
 	_, err := NewPlanner().Plan(table, Fleet{"m0": nil, "m1": nil}, Request{Name: "w", ServerUIDs: []string{"m0", "mo"}, WorkMS: minuteMS, ProposedAtMS: fixture.openMS}, fixture.openMS)
--- a/internal/maintenance/oracle_test.go
+++ b/internal/maintenance/oracle_test.go
@@ -1,33 +1,42 @@
 package maintenance
 
 import (
+	"cmp"
 	"fmt"
 	"time"
 )
 
-// oracle sees what sidecars did and what was applied, and asks the wall clocks itself.
+// oracle checks what sidecars do and what is applied against the agreed hours, which it computes from the local clocks
+// alone, without package calendar.
 type oracle struct {
-	agreed           map[string][]agreedHours // by tenant, in order of time
-	outsideMS        int64                    // ms kept off outside approved hours
+	agreed           map[string][]agreedHours // by tenant, the oldest first
+	outsideMS        int64                    // excluded outside the approved hours
 	excludedMS       int64
 	firstViolation   string
-	drainStartedAtMS map[string]int64 // when windows went out
-	usedMS           map[string]int64 // ms by tenant and month
+	drainStartedAtMS map[string]int64 // by window
+	usedMS           map[tenantMonth]int64
 	highestToken     uint64
 	violations       []string
-	clocksFaulty     bool // clocks were wrong: minutes are not compared
+	clocksFaulty     bool // minutes are not compared
 }
 
-// agreedHours are a contract's hours as the judge knows them, from an instant on.
+// tenantMonth is a month of a tenant's time zone, "2026-03".
+type tenantMonth struct{ tenant, month string }
+
+func (m tenantMonth) compare(other tenantMonth) int {
+	return cmp.Or(cmp.Compare(m.tenant, other.tenant), cmp.Compare(m.month, other.month))
+}
+
+// agreedHours are the daily hours of a contract from an instant on.
 type agreedHours struct {
 	effectiveFromMS            int64
 	location                   *time.Location
-	startMinute, lengthMinutes int // minutes
+	startMinute, lengthMinutes int // of the day
 	withdrawn                  bool
 }
 
 func newOracle() *oracle {
-	return &oracle{agreed: map[string][]agreedHours{}, drainStartedAtMS: map[string]int64{}, usedMS: map[string]int64{}}
+	return &oracle{agreed: map[string][]agreedHours{}, drainStartedAtMS: map[string]int64{}, usedMS: map[tenantMonth]int64{}}
 }
 
 func wallClockMS(instantMS int64, location *time.Location) int64 {
@@ -36,20 +45,20 @@
 	return instantMS + int64(offsetSeconds)*1000
 }
 
-// approves reads the wall, and the time passed since the wall first showed the start.
+// approves tells whether the local time is within the hours, and no more than their length has passed since the local
+// clock first showed their start.
 func (hours *agreedHours) approves(instantMS int64) bool {
 	if hours.withdrawn {
 		return false
 	}
-	const dayMS = 24 * 3600_000
 	wall := wallClockMS(instantMS, hours.location)
-	length := int64(hours.lengthMinutes) * 60_000
-	for start := wall - wall%dayMS - dayMS + int64(hours.startMinute)*60_000; start <= wall; start += dayMS {
+	length := int64(hours.lengthMinutes) * minuteMS
+	for start := wall - wall%dayMS - dayMS + int64(hours.startMinute)*minuteMS; start <= wall; start += dayMS {
 		if wall >= start+length {
 			continue
 		}
-		first := instantMS - length - 3*3600_000
-		for step := int64(3600_000); step >= 1000; step /= 60 { // to the second
+		first := instantMS - length - 3*hourMS
+		for step := int64(hourMS); step >= 1000; step /= 60 { // to the second
 			for wallClockMS(first+step, hours.location) < start {
 				first += step
 			}
@@ -61,7 +70,8 @@
 	return false
 }
 
-func (o *oracle) recordExclusion(sim *simulation, tenant string, from, until int64) {
+// recordExclusion checks that a tenant's exclusion from a server was within its hours, minute by minute.
+func (o *oracle) recordExclusion(tenant string, from, until int64) {
 	o.excludedMS += until - from
 	agreed := o.agreed[tenant]
 	approvedAt := func(t int64) bool {
@@ -69,23 +79,24 @@
 			if agreed[i].effectiveFromMS <= t && agreed[i].approves(t) {
 				return true
 			}
-			// What was told under the terms before may last for a step.
+			// An exclusion from the contract before may last until it expires.
 			if agreed[i].effectiveFromMS+ExclusionTTLMS <= t {
 				return false
 			}
 		}
 		return false
 	}
-	for t := from; t < until; t += min(60_000, until-t) {
-		if !approvedAt(t) || !approvedAt(min(t+59_999, until-1)) {
-			o.outsideMS += min(60_000, until-t)
+	for t := from; t < until; t += min(minuteMS, until-t) {
+		if !approvedAt(t) || !approvedAt(min(t+minuteMS-1, until-1)) {
+			o.outsideMS += min(minuteMS, until-t)
 			if o.firstViolation == "" {
-				o.firstViolation = fmt.Sprintf("%s kept off from %s to %s", tenant, formatUTC(from), formatUTC(until))
+				o.firstViolation = fmt.Sprintf("%s excluded from %s to %s", tenant, formatUTC(from), formatUTC(until))
 			}
 		}
 	}
 }
 
+// recordOperation checks the fencing token of an applied operation, and records when windows are out of service.
 func (o *oracle) recordOperation(sim *simulation, op *Operation, token uint64) {
 	if token != 0 {
 		if token < o.highestToken {
@@ -104,10 +115,13 @@
 		}
 	case OpCompleteReturn:
 		for tenant := range sim.fleet.ServerCounts(sim.table, window.ServerUIDs) {
-			if agreed := o.agreed[tenant]; len(agreed) > 0 {
-				for t := o.drainStartedAtMS[op.Window]; t < sim.nowMS; t += min(1000, sim.nowMS-t) {
-					o.usedMS[tenant+" "+time.UnixMilli(t).In(agreed[0].location).Format("2006-01")] += min(1000, sim.nowMS-t)
-				}
+			agreed := o.agreed[tenant]
+			if len(agreed) == 0 {
+				continue
+			}
+			for t := o.drainStartedAtMS[op.Window]; t < sim.nowMS; t += min(1000, sim.nowMS-t) {
+				month := time.UnixMilli(t).In(agreed[0].location).Format("2006-01")
+				o.usedMS[tenantMonth{tenant, month}] += min(1000, sim.nowMS-t)
 			}
 		}
 	}
--- a/internal/maintenance/permit_test.go
+++ b/internal/maintenance/permit_test.go
@@ -8,7 +8,8 @@
 	"milldeck/internal/disruption"
 )
 
-// The ledger's built-in rules can forbid what the contracts approve: no pod group is wholly out.
+// TestInfeasiblePermitRejectsWindow requests what the contracts approve and a built-in rule of the ledger forbids: a
+// pod group completely out of service.
 func TestInfeasiblePermitRejectsWindow(t *testing.T) {
 	sim := newScenario(t, "America/Montevideo", "2026-06-10 21:58")
 	terms, agreed := dailyContract("teller", "America/Montevideo", "22:00", time.Hour)
@@ -22,6 +23,7 @@
 	sim.checkInvariants(t)
 }
 
+// TestRevokedPermitReturnsWindow has an operator force the completion of an active permit.
 func TestRevokedPermitReturnsWindow(t *testing.T) {
 	sim := newScenario(t, "America/Montevideo", "2026-06-10 21:58")
 	sim.proposeWindow("w", 10*minuteMS, "m0")
--- a/internal/maintenance/scenario_test.go
+++ b/internal/maintenance/scenario_test.go
@@ -12,7 +12,8 @@
 	"milldeck/internal/placement"
 )
 
-// newScenario is one evening: a tenant, three servers of its own and one that it shares, hours from 22:00 to 23:00 in its zone.
+// newScenario simulates one evening: a tenant with three servers of its own and one that it shares, and approved hours of
+// one hour that open two minutes after the start.
 func newScenario(t *testing.T, zone, start string) *simulation {
 	t.Helper()
 	location, err := time.LoadLocation(zone)
@@ -32,7 +33,7 @@
 	sim.applyOperator(Operation{Kind: OpPropose, Window: name, Operator: "ops", ServerUIDs: servers, WorkMS: workMS})
 }
 
-// awaitStage runs until a window is at a stage, two hours at most.
+// awaitStage runs until a window is at a stage, for two hours at most.
 func (sim *simulation) awaitStage(t *testing.T, name string, stage Stage) *Window {
 	t.Helper()
 	for deadlineMS := sim.nowMS + 120*minuteMS; sim.nowMS < deadlineMS; sim.runUntil(sim.nowMS + 200) {
@@ -51,6 +52,7 @@
 	}
 }
 
+// TestWindowUnderFaults takes a window through single faults.
 func TestWindowUnderFaults(t *testing.T) {
 	const montevideo = "America/Montevideo"
 	begin := func(t *testing.T) *simulation {
@@ -61,7 +63,7 @@
 	t.Run("a calm evening", func(t *testing.T) {
 		sim := begin(t)
 		window := sim.awaitStage(t, "w", StageDone)
-		sim.runUntil(sim.nowMS + 1000) // sidecars hear of it
+		sim.runUntil(sim.nowMS + 1000) // the sidecars are notified
 		if window.ReturnedAtMS > window.ClosesAtMS || sim.table.UsedMS("portal", "2026-06") < 5*minuteMS || sim.oracle.excludedMS == 0 {
 			t.Errorf("%+v", window)
 		}
@@ -113,7 +115,7 @@
 		const hour = 60 * minuteMS
 		sim.controller.clock.offsetMS, sim.leaderClock.offsetMS, sim.sidecars[0].clock.offsetMS = hour, -hour, -2*hour
 		sim.oracle.clocksFaulty = true
-		window := sim.awaitStage(t, "w", StageOverrun) // of one clock: it is held against the window
+		window := sim.awaitStage(t, "w", StageOverrun) // by the later clock: a clock fault counts against the window
 		if window.StageAfterReturn != StageHalted || sim.table.ClockFault() == "" {
 			t.Errorf("%+v, doubt %q", window, sim.table.ClockFault())
 		}
@@ -176,8 +178,8 @@
 	})
 }
 
-// TestConcurrentDisruptionsRespectBudget has two releases, a window and an operator's drain ask for the same zone, of which two servers may be
-// out; then servers fail on their own in the middle.
+// TestConcurrentDisruptionsRespectBudget has two releases, a window and an operator's drain request permits in one zone, of
+// which two servers may be unavailable, while servers fail by themselves.
 func TestConcurrentDisruptionsRespectBudget(t *testing.T) {
 	sim := newScenario(t, "America/Montevideo", "2026-06-10 21:58")
 	maxOut, peakOut := 2, 0
@@ -215,7 +217,7 @@
 	disrupt("release/a", "m1", disruption.PriorityRollout)
 	disrupt("release/b", "m2", disruption.PriorityRollout)
 	disrupt("operator/ops", "m4", disruption.PriorityDrain)
-	sim.schedule(60_000, func() { // beside those that are out
+	sim.schedule(60_000, func() { // a failure beside the disruptions
 		sim.revision++
 		sim.ledger.MarkLost(sim.revision, serverUnitID("m3"))
 	})
@@ -233,7 +235,7 @@
 				newlyGranted = newlyGranted || !granted[permit.ID]
 				granted[permit.ID] = true
 				if unit, _ := sim.ledger.Unit(permit.Units[0]); unit.Condition == disruption.ConditionUp {
-					out++ // it is as good as out
+					out++ // it may go out of service at any time
 				}
 			}
 		}
@@ -247,6 +249,8 @@
 	sim.checkInvariants(t)
 }
 
+// TestControllerLossAtEachWrite has a controller killed or paused at each of its writes; the next one continues without a
+// repeated step.
 func TestControllerLossAtEachWrite(t *testing.T) {
 	play := func(t *testing.T, faultAtWrite int, after, frozen bool) (*simulation, int) {
 		sim := newScenario(t, "America/Montevideo", "2026-06-10 21:58")
@@ -285,10 +289,11 @@
 	}
 }
 
+// TestOracleFindsPlantedBugs shows that the oracle of the simulation detects violations.
 func TestOracleFindsPlantedBugs(t *testing.T) {
 	bugs := []struct {
 		name, found string
-		from        uint64 // week, to spare those in which it does not show
+		from        uint64 // first week to simulate: it shows only in some
 		plant       func(*simulation)
 	}{
 		{"token test left out", "under token", 8, func(sim *simulation) { sim.ignoreTokens = true }},
@@ -328,7 +333,7 @@
 		for seed := range uint64(4) {
 			sim, _, _ := simulateWeek(seed, func(sim *simulation) {
 				sim.leaderClock, sim.controller.clock = simulatedClock{4500, 4700}, simulatedClock{4500, 4700}
-				sim.oracle.clocksFaulty = true // by so much, the minutes are counted too high
+				sim.oracle.clocksFaulty = true // with such an uncertainty the counted minutes are too high
 			})
 			sim.checkInvariants(t)
 		}
--- a/internal/maintenance/simulated_weeks_test.go
+++ b/internal/maintenance/simulated_weeks_test.go
@@ -10,12 +10,16 @@
 
 var weeks = flag.Int("weeks", 40, "simulated weeks with faults")
 
-// criticalDays are days around which clocks are put forward or back somewhere, or a month ends.
+// criticalDays are days around which a local clock changes, or a month ends.
 var criticalDays = []string{"2026-03-27", "2026-10-22", "2026-04-02", "2026-10-01", "2026-03-06", "2026-10-30", "2026-06-26", "2026-02-25"}
 
-// simulateWeek plays one week: windows on shared servers, and faults drawn from the seed.
+// simulateWeek simulates one week: windows on shared servers, and faults drawn from the seed. It counts the windows that
+// could be carried out, and those that were.
 func simulateWeek(seed uint64, inject func(*simulation)) (sim *simulation, feasible, completed int) {
-	start, _ := time.Parse(time.DateOnly, criticalDays[seed%uint64(len(criticalDays))])
+	start, err := time.Parse(time.DateOnly, criticalDays[seed%uint64(len(criticalDays))])
+	if err != nil {
+		panic(err)
+	}
 	fleet := Fleet{}
 	for i := range 8 {
 		fleet[fmt.Sprint("m", i)] = [][]string{{"portal"}, {"teller"}, {"portal", "teller"}, {"island"}}[i%4]
@@ -24,30 +28,38 @@
 	if inject != nil {
 		inject(sim)
 	}
-	for _, agreed := range []struct{ tenant, zone, start string }{{"portal", "America/Montevideo", "22:00"}, {"teller", "Europe/Madrid", "01:00"},
-		{"island", "Australia/Lord_Howe", "01:15"}} {
+	for _, agreed := range []struct{ tenant, zone, start string }{
+		{"portal", "America/Montevideo", "22:00"},
+		{"teller", "Europe/Madrid", "01:00"},
+		{"island", "Australia/Lord_Howe", "01:15"},
+	} {
 		sim.setContract(dailyContract(agreed.tenant, agreed.zone, agreed.start, 6*time.Hour))
 	}
-	const hour = 3600_000
-	end := sim.nowMS + 7*24*hour
+	end := sim.nowMS + 7*dayMS
 	names := []string{}
 	for i := range 4 {
-		afterMS := sim.random.Int64N(3 * 24 * hour)
-		op := Operation{Kind: OpPropose, Window: fmt.Sprint("w", i), Operator: "ops", ServerUIDs: []string{fmt.Sprint("m", sim.random.IntN(8))}, WorkMS: 60_000 * (2 + sim.random.Int64N(6))}
+		afterMS := sim.random.Int64N(3 * dayMS)
+		op := Operation{
+			Kind:       OpPropose,
+			Window:     fmt.Sprint("w", i),
+			Operator:   "ops",
+			ServerUIDs: []string{fmt.Sprint("m", sim.random.IntN(8))},
+			WorkMS:     minuteMS * (2 + sim.random.Int64N(6)),
+		}
 		names = append(names, op.Window)
 		sim.schedule(afterMS, func() {
-			for sim.applyOperator(op) == OutcomeClockFault { // people try again
-				sim.schedule(hour, func() { sim.applyOperator(op) })
+			for sim.applyOperator(op) == OutcomeClockFault { // operators try again
+				sim.schedule(hourMS, func() { sim.applyOperator(op) })
 				return
 			}
 		})
 	}
 	for range 3 {
-		sim.injectFault(sim.random.Int64N(6*24*hour), hour)
+		sim.injectFault(sim.random.Int64N(6 * dayMS))
 	}
 	for sim.nowMS < end {
-		sim.runUntil(sim.nowMS + 6*hour)
-		for scope := range sim.table.Halts() { // operators look four times a day
+		sim.runUntil(sim.nowMS + 6*hourMS)
+		for scope := range sim.table.Halts() { // operators resume what is halted four times a day
 			sim.applyOperator(Operation{Kind: OpResume, Scope: scope})
 		}
 		for _, window := range sim.table.Windows() {
@@ -58,8 +70,8 @@
 	}
 	for _, name := range names {
 		switch window := sim.table.Window(name); {
-		case window == nil || sim.slowWindows[name]: // never proposed; or its servers did not come back for hours
-		case window.Stage == StageRejected && strings.Contains(window.Reason, "no contract"): // it had been withdrawn
+		case window == nil || sim.slowWindows[name]: // never proposed, or its servers did not return for hours
+		case window.Stage == StageRejected && strings.Contains(window.Reason, "no contract"): // the contract had been withdrawn
 		default:
 			feasible++
 			if window.Stage == StageDone {
@@ -70,9 +82,9 @@
 	return sim, feasible, completed
 }
 
-// injectFault is one of those that the design names, some time after a moment; half of them while a window is out.
-func (sim *simulation) injectFault(afterMS, hourMS int64) {
-	durationMS := 60_000 * (1 + sim.random.Int64N(90))
+// injectFault injects a random fault after a time; half of them during the next window that goes out of service.
+func (sim *simulation) injectFault(afterMS int64) {
+	durationMS := minuteMS * (1 + sim.random.Int64N(90))
 	kind := sim.random.IntN(8)
 	trigger := func(do func()) {
 		sim.schedule(afterMS, do)
@@ -95,7 +107,9 @@
 			sim.schedule(durationMS, func() { sidecar.partitioned = false })
 		case 4: // clocks of controller, leader and one sidecar an hour apart
 			sim.oracle.clocksFaulty = true
-			sim.controller.clock.offsetMS, sim.leaderClock.offsetMS, sim.sidecars[0].clock.offsetMS = hourMS, -hourMS, -2*hourMS
+			sim.controller.clock.offsetMS = hourMS
+			sim.leaderClock.offsetMS = -hourMS
+			sim.sidecars[0].clock.offsetMS = -2 * hourMS
 			sim.schedule(durationMS, func() {
 				sim.leaderClock, sim.sidecars[0].clock = sim.accurateClock(), sim.accurateClock()
 				sim.controller.clock = sim.accurateClock()
@@ -115,13 +129,16 @@
 	})
 }
 
+// TestSimulatedWeeksWithFaults checks that no tenant is excluded outside its hours, and that faults cost few windows.
 func TestSimulatedWeeksWithFaults(t *testing.T) {
 	var feasible, completed int
 	var excludedMS int64
 	finalStages := map[Stage]int{}
 	for seed := range uint64(*weeks) {
 		sim, weekFeasible, weekCompleted := simulateWeek(seed, nil)
-		feasible, completed, excludedMS = feasible+weekFeasible, completed+weekCompleted, excludedMS+sim.oracle.excludedMS
+		feasible += weekFeasible
+		completed += weekCompleted
+		excludedMS += sim.oracle.excludedMS
 		for _, window := range sim.table.Windows() {
 			finalStages[window.Stage]++
 		}
@@ -129,9 +146,9 @@
 			t.Errorf("week %d: %s", seed, strings.Join(violations, "; "))
 		}
 	}
-	t.Logf("%d weeks: %d of %d windows that could fit were held (%.3f); tenants kept off for %d s, none outside their hours; ends %v",
+	t.Logf("%d weeks: %d of %d feasible windows were completed (%.3f); tenants excluded for %d s, none outside their hours; final stages %v",
 		*weeks, completed, feasible, float64(completed)/float64(feasible), excludedMS/1000, finalStages)
 	if float64(completed) < 0.98*float64(feasible) || excludedMS == 0 {
-		t.Errorf("%d of %d windows were held", completed, feasible)
+		t.Errorf("%d of %d windows were completed", completed, feasible)
 	}
 }
--- a/internal/maintenance/table_test.go
+++ b/internal/maintenance/table_test.go
@@ -14,7 +14,7 @@
 	"milldeck/internal/disruption"
 )
 
-// tableFixture is a table of one tenant, hours from open to shut, and the means to try operations out on it.
+// tableFixture is a table with one tenant, approved hours from openMS to closeMS, and operations to apply to it.
 type tableFixture struct {
 	openMS, closeMS int64
 	approval        func(version uint64) *Approval
@@ -33,18 +33,18 @@
 	}
 	table := New()
 	table.LookupPermit = immediatePermits(table)
-	table.Apply(1, &Operation{Kind: OpSetContract, Contract: &terms}, Timestamp{})
+	mustApply(table, 1, Operation{Kind: OpSetContract, Contract: &terms}, Timestamp{})
 	return fixture, table
 }
 
-// timestamps are times about the hours, and two that cannot be trusted.
+// timestamps are times around the hours, and two that cannot be trusted.
 func (f *tableFixture) timestamps() []Timestamp {
 	agreeing := func(atMS int64) Timestamp { return Timestamp{atMS, 250, atMS + 20, 250} }
 	return []Timestamp{agreeing(f.openMS - 5*minuteMS), agreeing(f.openMS - 100), agreeing(f.openMS + 1000), agreeing(f.openMS + 10*minuteMS), agreeing(f.closeMS - 12*minuteMS),
 		agreeing(f.closeMS - 1000), agreeing(f.closeMS + 5000), {f.openMS + minuteMS, 250, f.openMS + 61*minuteMS, 250}, {f.openMS + minuteMS, 9000, f.openMS + minuteMS, 250}}
 }
 
-// operations are operations of all kinds on two windows that share a server.
+// operations returns operations of all kinds on two windows that share a server.
 func (f *tableFixture) operations(table *Table, timestamp Timestamp) []Operation {
 	var version uint64
 	if active := table.Contract("portal"); active != nil {
@@ -72,20 +72,21 @@
 	return operations
 }
 
-// checkTransition compares what was before an operation with what is after it; nil: all that was promised holds.
+// checkTransition checks the invariants of the table between the states before and after an operation; rejection is its
+// error.
 func checkTransition(table *Table, before *Snapshot, op *Operation, timestamp Timestamp, rejection error) error {
 	after := table.Snapshot()
 	forward := op.Kind.advances() || op.Kind == OpMarkOverrun
 	if rejection != nil {
 		after.ClockFault, after.ModRevision = before.ClockFault, before.ModRevision
 		if !reflect.DeepEqual(before, after) {
-			return fmt.Errorf("%s was not applied (%s) but changed %s", op.Kind, rejection, cmp.Diff(before, after))
+			return fmt.Errorf("%s was rejected (%w) but changed %s", op.Kind, rejection, cmp.Diff(before, after))
 		}
 		return nil
 	}
 	switch earliest, latest := timestamp.bounds(); {
 	case forward && timestamp.clockFault() != "":
-		return fmt.Errorf("%s was applied in doubt", op.Kind)
+		return fmt.Errorf("%s was applied in spite of a clock fault", op.Kind)
 	case forward && latest < before.LogTimeMS:
 		return fmt.Errorf("%s was applied at %d, before the logged %d", op.Kind, latest, before.LogTimeMS)
 	case after.LogTimeMS < before.LogTimeMS:
@@ -103,12 +104,12 @@
 		for _, directive := range table.ExclusionDirectives(window) {
 			active := table.Contract(directive.Tenant)
 			if active == nil || !window.OutOfService() || window.Stage == StageOverrun && directive.ExpiresAtMS > window.ClosesAtMS || directive.ExpiresAtMS > window.ClosesAtMS-CloseGuardMS {
-				return fmt.Errorf("%s is told %v", window.Name, directive)
+				return fmt.Errorf("%s has the directive %v", window.Name, directive)
 			}
 		}
 		for _, other := range table.Windows() {
 			if other.Name < window.Name && other.OutOfService() && window.OutOfService() {
-				return fmt.Errorf("%s and %s are out at once", other.Name, window.Name)
+				return fmt.Errorf("%s and %s are out of service at once", other.Name, window.Name)
 			}
 		}
 	}
@@ -120,7 +121,14 @@
 	return nil
 }
 
-// immediatePermits is a ledger that grants at once, and whose permits begin as soon as the table says so.
+// mustApply applies an operation of a test's setup, which has to be accepted.
+func mustApply(table *Table, revision uint64, op Operation, timestamp Timestamp) {
+	if _, err := table.Apply(revision, &op, timestamp); err != nil {
+		panic(fmt.Sprintf("%s: %v", op.Kind, err))
+	}
+}
+
+// immediatePermits is a ledger that grants permits at once, and whose permits are active as soon as the drain starts.
 func immediatePermits(table *Table) func(string) (disruption.Stage, bool) {
 	return func(id string) (disruption.Stage, bool) {
 		for _, window := range table.windows {
@@ -132,14 +140,14 @@
 	}
 }
 
-// cloneTable is a table of the same content, through what a snapshot keeps.
+// cloneTable returns a table restored from a snapshot of another.
 func cloneTable(table *Table) *Table {
 	next := Restore(table.Snapshot())
 	next.LookupPermit = immediatePermits(next)
 	return next
 }
 
-// walkStages takes a window from its proposal to its end.
+// walkStages takes a window from its proposal to its end, and visits the table at each stage.
 func (f *tableFixture) walkStages(table *Table, visit func(*Table)) {
 	revision := uint64(10)
 	apply := func(offsetMS int64, op Operation) {
@@ -148,9 +156,7 @@
 			op.ServerUIDs, op.WorkMS = []string{"m0", "w"}, minuteMS
 		}
 		revision++
-		if _, err := table.Apply(revision, &op, Timestamp{f.openMS + offsetMS, 250, f.openMS + offsetMS, 250}); err != nil {
-			panic(fmt.Sprint(op.Kind, err))
-		}
+		mustApply(table, revision, op, Timestamp{f.openMS + offsetMS, 250, f.openMS + offsetMS, 250})
 		visit(table)
 	}
 	visit(table)
@@ -164,10 +170,11 @@
 	apply(5000+minuteMS, Operation{Kind: OpCompleteReturn})
 }
 
+// TestAllOperationsFromEachStage applies all pairs of operations at each stage of a window.
 func TestAllOperationsFromEachStage(t *testing.T) {
 	fixture, first := newTableFixture()
 	all := fixture.timestamps()
-	selected := []Timestamp{all[2], all[4], all[7]} // open, about to close, in doubt
+	selected := []Timestamp{all[2], all[4], all[7]} // open, about to close, with a clock fault
 	operations := 0
 	var explore func(t *testing.T, from *Table, depth int)
 	explore = func(t *testing.T, from *Table, depth int) {
@@ -184,7 +191,7 @@
 					t.Fatalf("%v, at %+v", err, timestamp)
 				}
 				if rejection != nil {
-					next.clockFault, next.modRevision = before.ClockFault, before.ModRevision // all else is as it was
+					next.clockFault, next.modRevision = before.ClockFault, before.ModRevision // all else is unchanged
 					continue
 				}
 				if depth > 1 {
@@ -198,6 +205,7 @@
 	t.Logf("%d operations", operations)
 }
 
+// TestRandomHistories applies random operations, and has the result survive a snapshot.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fixture, table := newTableFixture()
@@ -216,7 +224,7 @@
 			}
 			for _, entry := range changes.SetDirectives {
 				if slices.Contains(changes.DeleteDirectiveIDs, entry.ID) {
-					rt.Fatalf("%s is set and dropped", entry.ID)
+					rt.Fatalf("%s is set and deleted", entry.ID)
 				}
 			}
 		}
@@ -239,11 +247,12 @@
 	for i := range 3 * MaxFinishedWindows {
 		name := fmt.Sprint("w", i)
 		timestamp := Timestamp{fixture.openMS + int64(i), 250, fixture.openMS + int64(i), 250}
-		table.Apply(uint64(10+2*i), &Operation{Kind: OpPropose, Window: name, ServerUIDs: []string{"m0"}, WorkMS: minuteMS}, timestamp)
-		table.Apply(uint64(11+2*i), &Operation{Kind: OpCancel, Window: name}, timestamp)
+		proposal := Operation{Kind: OpPropose, Window: name, ServerUIDs: []string{"m0"}, WorkMS: minuteMS}
+		mustApply(table, uint64(10+2*i), proposal, timestamp)
+		mustApply(table, uint64(11+2*i), Operation{Kind: OpCancel, Window: name}, timestamp)
 	}
 	if count := len(table.Windows()); count != MaxFinishedWindows {
-		t.Errorf("%d windows are kept", count)
+		t.Errorf("%d windows are retained", count)
 	}
 }
 
@@ -256,7 +265,7 @@
 		length        time.Duration
 	}{{"portal", "22:00", 2 * time.Hour}, {"teller", "23:20", 2 * time.Hour}} {
 		terms, _ := dailyContract(test.tenant, "America/Montevideo", test.start, test.length)
-		table.Apply(uint64(i+1), &Operation{Kind: OpSetContract, Contract: &terms}, Timestamp{})
+		mustApply(table, uint64(i+1), Operation{Kind: OpSetContract, Contract: &terms}, Timestamp{})
 	}
 	planner := NewPlanner()
 	for _, test := range []struct {
