--- a/internal/maintenance/calendar/calendar_test.go
+++ b/internal/maintenance/calendar/calendar_test.go
@@ -18,7 +18,7 @@
 	return calendar
 }
 
-// formatUTC writes intervals as UTC, which names every instant once.
+// formatUTC formats intervals in UTC, where each instant has one name.
 func formatUTC(intervals []Interval) []string {
 	var lines []string
 	for _, i := range intervals {
@@ -38,42 +38,44 @@
 		days       int
 		want       []string // UTC
 	}{
-		{"over midnight, no shift", "America/Montevideo", daily("22:00", "6h"), nil, "2026-06-10", 1,
+		{"over midnight, no clock change", "America/Montevideo", daily("22:00", "6h"), nil, "2026-06-10", 1,
 			[]string{"06-10 01:00 to 06-10 07:00"}},
-		{"put forward within the hours: the end stays by the wall", "Europe/Madrid", daily("01:00", "3h"), nil, "2026-03-29", 1,
+		{"clock put forward within the hours: the local end stays", "Europe/Madrid", daily("01:00", "3h"), nil, "2026-03-29", 1,
 			[]string{"03-29 00:00 to 03-29 02:00", "03-29 23:00 to 03-30 00:00"}},
-		{"put back within the hours: no longer than agreed", "Europe/Madrid", daily("01:00", "3h"), nil, "2026-10-24", 2,
+		{"clock put back within the hours: no longer than agreed", "Europe/Madrid", daily("01:00", "3h"), nil, "2026-10-24", 2,
 			[]string{"10-24 00:00 to 10-24 02:00", "10-24 23:00 to 10-25 02:00"}},
-		{"hours within the hour that exists twice: the first", "Europe/Madrid", daily("02:00", "1h"), nil, "2026-10-25", 1,
+		{"hours within the hour that occurs twice: the first", "Europe/Madrid", daily("02:00", "1h"), nil, "2026-10-25", 1,
 			[]string{"10-25 00:00 to 10-25 01:00"}},
-		{"a start within the hour that exists twice", "Europe/Madrid", daily("02:30", "2h"), nil, "2026-10-25", 1,
+		{"a start within the hour that occurs twice", "Europe/Madrid", daily("02:30", "2h"), nil, "2026-10-25", 1,
 			[]string{"10-25 00:30 to 10-25 01:00", "10-25 01:30 to 10-25 02:30"}},
-		{"hours wholly within the hour that does not exist", "Europe/Madrid", daily("02:15", "30m"), nil, "2026-03-29", 1, nil},
-		{"a start that does not exist", "America/New_York", daily("02:30", "1h"), nil, "2026-03-08", 1,
+		{"hours within the hour that is skipped", "Europe/Madrid", daily("02:15", "30m"), nil, "2026-03-29", 1, nil},
+		{"a start that is skipped", "America/New_York", daily("02:30", "1h"), nil, "2026-03-08", 1,
 			[]string{"03-08 07:00 to 03-08 07:30"}},
-		{"half an hour put back: the wall shows 01:30 again, within the hours", "Australia/Lord_Howe", daily("01:15", "1h"), nil, "2026-04-04", 1,
+		{"clock put back by half an hour: 01:30 occurs twice within the hours", "Australia/Lord_Howe", daily("01:15", "1h"), nil, "2026-04-04", 1,
 			[]string{"04-04 14:15 to 04-04 15:15"}},
-		{"half an hour put forward", "Australia/Lord_Howe", daily("01:00", "2h"), nil, "2026-10-03", 1,
+		{"clock put forward by half an hour", "Australia/Lord_Howe", daily("01:00", "2h"), nil, "2026-10-03", 1,
 			[]string{"10-03 14:30 to 10-03 16:00"}},
-		{"a closed day cuts the night before at midnight", "America/Montevideo", daily("22:00", "6h"),
+		{"a closed day cuts the hours of the evening before at midnight", "America/Montevideo", daily("22:00", "6h"),
 			[]ClosedDay{{Day: "2026-12-25"}}, "2026-12-25", 2, []string{"12-25 01:00 to 12-25 03:00", "12-26 03:00 to 12-26 07:00"}},
 		{"a closed day of 25 hours", "Europe/Madrid", []Rule{{"FREQ=DAILY", "00:00", "24h", "2020-01-01"}},
 			[]ClosedDay{{Recurrence: "FREQ=MONTHLY;BYDAY=-1SU", FirstDay: "2020-01-01"}}, "2026-10-24", 3,
 			[]string{"10-24 00:00 to 10-24 22:00", "10-25 23:00 to 10-27 00:00"}},
 		{"the last day of a month", "America/Montevideo", []Rule{{"FREQ=MONTHLY;BYMONTHDAY=-1", "23:00", "2h", "2020-01-01"}}, nil,
 			"2026-02-25", 10, []string{"03-01 02:00 to 03-01 04:00"}},
-		{"hours that meet are one", "America/Montevideo", append(daily("22:00", "2h"), daily("00:00", "1h")...), nil, "2026-06-10", 1,
+		{"adjacent hours are merged", "America/Montevideo", append(daily("22:00", "2h"), daily("00:00", "1h")...), nil, "2026-06-10", 1,
 			[]string{"06-10 01:00 to 06-10 04:00"}},
 	} {
-		from, err := time.Parse(time.DateOnly, test.from)
-		if err != nil {
-			t.Fatal(err)
-		}
-		calendar := mustCompile(t, Spec{test.zone, test.open, test.closed})
-		got := formatUTC(calendar.Between(from.UnixMilli(), from.AddDate(0, 0, test.days).UnixMilli()))
-		if diff := cmp.Diff(test.want, got); diff != "" {
-			t.Errorf("%s:\n%s", test.name, diff)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			from, err := time.Parse(time.DateOnly, test.from)
+			if err != nil {
+				t.Fatal(err)
+			}
+			calendar := mustCompile(t, Spec{test.zone, test.open, test.closed})
+			got := formatUTC(calendar.Between(from.UnixMilli(), from.AddDate(0, 0, test.days).UnixMilli()))
+			if diff := cmp.Diff(test.want, got); diff != "" {
+				t.Error(diff)
+			}
+		})
 	}
 }
 
@@ -117,12 +119,12 @@
 	}
 }
 
-// wallClockModel asks minute by minute what the package's page says, from the clock on the wall alone.
+// wallClockModel is the rule of the package comment for one instant, computed from the local clock alone.
 type wallClockModel struct {
 	location    *time.Location
 	start       time.Duration // from midnight
 	length      time.Duration
-	matchesRule func(time.Time) bool // whether the rule names a day
+	matchesRule func(time.Time) bool // whether the recurrence has the day
 	closed      func(time.Time) bool
 }
 
@@ -142,7 +144,7 @@
 		if !m.matchesRule(midnight) || wallTime.Before(start) || !wallTime.Before(start.Add(m.length)) {
 			continue
 		}
-		first := t.Add(-m.length - 3*time.Hour) // before the wall showed the start
+		first := t.Add(-m.length - 3*time.Hour) // before the local clock showed the start
 		for wallClock(first.In(m.location)).Before(start) {
 			first = first.Add(time.Minute)
 		}
@@ -154,10 +156,14 @@
 }
 
 func TestCalendarMatchesWallClockModel(t *testing.T) {
-	// About when clocks are put forward or back, in each zone.
-	clockChanges := map[string][]string{"America/Montevideo": {"2026-03-29"}, "Europe/Madrid": {"2026-03-29", "2026-10-25"},
-		"Australia/Lord_Howe": {"2026-04-04", "2026-10-03"}, "America/New_York": {"2026-03-08", "2026-11-01"},
-		"America/Santiago": {"2026-04-05", "2026-09-06"}} // at midnight
+	// Days around which the local clock of each zone changes.
+	clockChanges := map[string][]string{
+		"America/Montevideo":  {"2026-03-29"}, // it has none
+		"Europe/Madrid":       {"2026-03-29", "2026-10-25"},
+		"Australia/Lord_Howe": {"2026-04-04", "2026-10-03"},
+		"America/New_York":    {"2026-03-08", "2026-11-01"},
+		"America/Santiago":    {"2026-04-05", "2026-09-06"}, // at midnight
+	}
 	zones := []string{"America/Montevideo", "Europe/Madrid", "Australia/Lord_Howe", "America/New_York", "America/Santiago"}
 	rules := map[string]func(time.Time) bool{
 		"FREQ=DAILY":                   func(time.Time) bool { return true },
@@ -170,21 +176,37 @@
 		rule := rapid.SampledFrom(ruleNames).Draw(t, "rule")
 		start := rapid.OneOf(rapid.IntRange(0, 24*60-1), rapid.IntRange(0, 240)).Draw(t, "start")
 		length := rapid.OneOf(rapid.IntRange(1, 24*60), rapid.IntRange(1, 200)).Draw(t, "length")
-		around, _ := time.Parse(time.DateOnly, rapid.SampledFrom(clockChanges[zone]).Draw(t, "about"))
+		around, err := time.Parse(time.DateOnly, rapid.SampledFrom(clockChanges[zone]).Draw(t, "about"))
+		if err != nil {
+			t.Fatal(err)
+		}
 		closedDay := around.AddDate(0, 0, rapid.IntRange(-3, 3).Draw(t, "closed"))
-		calendar := mustCompile(t, Spec{zone, []Rule{{rule, fmt.Sprintf("%02d:%02d", start/60, start%60), fmt.Sprintf("%dm", length), "2020-01-01"}},
-			[]ClosedDay{{Day: closedDay.Format(time.DateOnly)}}})
-		model := &wallClockModel{calendar.location, time.Duration(start) * time.Minute, time.Duration(length) * time.Minute, rules[rule],
-			func(w time.Time) bool { return w.Truncate(24 * time.Hour).Equal(closedDay) }}
+		calendar := mustCompile(t, Spec{
+			Zone: zone,
+			ApprovedHours: []Rule{{
+				Recurrence: rule,
+				Start:      fmt.Sprintf("%02d:%02d", start/60, start%60),
+				Length:     fmt.Sprintf("%dm", length),
+				FirstDay:   "2020-01-01",
+			}},
+			ClosedDays: []ClosedDay{{Day: closedDay.Format(time.DateOnly)}},
+		})
+		model := &wallClockModel{
+			location:    calendar.location,
+			start:       time.Duration(start) * time.Minute,
+			length:      time.Duration(length) * time.Minute,
+			matchesRule: rules[rule],
+			closed:      func(wallTime time.Time) bool { return wallTime.Truncate(24 * time.Hour).Equal(closedDay) },
+		}
 		from, until := around.Add(-20*time.Hour), around.Add(44*time.Hour)
 		approved := calendar.Between(from.UnixMilli(), until.UnixMilli())
-		for instant := from; instant.Before(until); instant = instant.Add(7 * time.Minute) { // 7 and 60 share no factor: all minutes are met
+		for instant := from; instant.Before(until); instant = instant.Add(7 * time.Minute) { // coprime to 60: all minutes of an hour occur
 			got := false
 			for _, i := range approved {
 				got = got || i.StartMS <= instant.UnixMilli() && instant.UnixMilli() < i.EndMS
 			}
 			if want := model.approved(instant); got != want {
-				t.Fatalf("%s: approved %v, the wall says %v; %v", instant, got, want, formatUTC(approved))
+				t.Fatalf("%s: approved %v, want %v; %v", instant, got, want, formatUTC(approved))
 			}
 		}
 	})
--- a/internal/maintenance/controller/controller_test.go
+++ b/internal/maintenance/controller/controller_test.go
@@ -28,8 +28,8 @@
 
 func TestMain(m *testing.M) { proctest.Main(m) }
 
-// testbed is three replicas and controllers as processes, two agents with two sidecars each that report to these over sockets,
-// and servers of which one answers as long as it lives.
+// testbed runs three registry replicas and controllers as processes, and two agents with two sidecars each, which report over
+// sockets. One of the registered servers exists and answers health checks.
 type testbed struct {
 	*testing.T
 	ctx            context.Context
@@ -37,14 +37,14 @@
 	dir            string
 	cluster        *cluster.Cluster
 	client         *registry.Client
-	reportAddrs    []string // controllers' addresses
+	reportAddrs    []string // of the controllers
 	controllers    []*proc.Process
-	serverReady    atomic.Bool  // the server answers that it is ready
-	openRequests   atomic.Int64 // requests that each sidecar has open at servers that it keeps off
+	serverReady    atomic.Bool  // answer of the server's health check
+	openRequests   atomic.Int64 // requests in flight that each sidecar reports at excluded servers
 	agents         []string
-	closeMS        atomic.Int64 // no sidecar may be told to keep off from then on; 0: not yet known
-	lateExclusions atomic.Int64 // sidecars that were
-	exclusionsSeen atomic.Int64 // lines in which one was told to keep off
+	closeMS        atomic.Int64 // no exclusion may be delivered from then on, Unix ms; 0: not known yet
+	lateExclusions atomic.Int64 // directives that were
+	exclusionsSeen atomic.Int64 // directives delivered to sidecars
 }
 
 func newTestbed(t *testing.T) *testbed {
@@ -57,7 +57,11 @@
 	b.must(err)
 	t.Cleanup(block.Release)
 	b.cluster, err = cluster.Start(ctx, 3, cluster.Options{Program: b.program, DataDir: b.dir, Addresses: block})
-	t.Cleanup(func() { b.cluster.Close() })
+	t.Cleanup(func() {
+		if err := b.cluster.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	b.must(err)
 	b.client, err = b.cluster.Client()
 	b.must(err)
@@ -70,8 +74,15 @@
 	t.Cleanup(server.Close)
 	var instances []registry.Instance
 	for i := range 16 {
-		instances = append(instances, registry.Instance{Target: registry.Target{UID: fmt.Sprint("s", i), Endpoint: fmt.Sprintf("127.0.0.1:%d", 1000+i),
-			Zone: fmt.Sprint("z", i%2), PodGroup: i / 4, State: registry.InstanceReady, Capacity: 1, BootMS: 1}})
+		instances = append(instances, registry.Instance{Target: registry.Target{
+			UID:      fmt.Sprint("s", i),
+			Endpoint: fmt.Sprintf("127.0.0.1:%d", 1000+i),
+			Zone:     fmt.Sprint("z", i%2),
+			PodGroup: i / 4,
+			State:    registry.InstanceReady,
+			Capacity: 1,
+			BootMS:   1,
+		}})
 	}
 	instances[0].Endpoint = strings.TrimPrefix(server.URL, "http://")
 	_, err = b.client.Register(ctx, registry.WriteOptions{}, instances...)
@@ -84,14 +95,18 @@
 	t.Cleanup(cancel)
 	call := registry.SidecarRequest{TTLMS: 600_000}
 	for n := range 2 {
-		started, err := agent.Start(agent.Options{Listen: block.Addr(201, n, 8500), Replicas: b.cluster.HTTPAddrs(), ReportAddresses: b.reportAddrs})
+		nodeAgent, err := agent.Start(agent.Options{Listen: block.Addr(201, n, 8500), Replicas: b.cluster.HTTPAddrs(), ReportAddresses: b.reportAddrs})
 		b.must(err)
-		t.Cleanup(func() { started.Close() })
-		b.agents = append(b.agents, started.Addr())
+		t.Cleanup(func() {
+			if err := nodeAgent.Close(); err != nil {
+				t.Error(err)
+			}
+		})
+		b.agents = append(b.agents, nodeAgent.Addr())
 		for i := range 2 {
-			name := fmt.Sprint("car-", n, "-", i)
+			name := fmt.Sprint("sidecar-", n, "-", i)
 			call.Sidecars = append(call.Sidecars, registry.Sidecar{Name: name, Ready: true, TTLMS: call.TTLMS})
-			sidecars.Go(func() { b.runSidecar(started.Addr(), name) })
+			sidecars.Go(func() { b.runSidecar(nodeAgent.Addr(), name) })
 		}
 	}
 	_, err = b.client.RegisterSidecars(ctx, call)
@@ -107,7 +122,7 @@
 	}
 }
 
-// startController starts a controller and waits until it says that it is ready.
+// startController starts a controller and waits until it logs that it is ready.
 func (b *testbed) startController(n int, more ...string) *proc.Process {
 	b.Helper()
 	args := append([]string{"window", "serve", "--reports-listen", b.reportAddrs[n], "--replicas", strings.Join(b.cluster.HTTPAddrs(), ","), "--ttl", "2s",
@@ -136,7 +151,7 @@
 	}
 }
 
-// write makes an operator's operation.
+// write writes an operator's operation.
 func (b *testbed) write(op maintenance.Operation) {
 	b.Helper()
 	if _, err := b.client.WriteWindow(b.ctx, registry.WriteOptions{}, maintenance.Timestamp{}, op); err != nil {
@@ -144,7 +159,7 @@
 	}
 }
 
-// setContract brings one into force that approves all day, and the present hours as a grant says.
+// setContract brings a contract into force that approves every instant, with a current approval.
 func (b *testbed) setContract(approval *maintenance.Approval) {
 	b.Helper()
 	allDay := []calendar.Rule{{Recurrence: "FREQ=DAILY", Start: "00:00", Length: "23h", FirstDay: "2020-01-01"},
@@ -153,13 +168,13 @@
 		MinAvailableShare: 0.5, MaxConcurrentWindows: 1, OverrunPolicy: contract.OverrunHaltsTenant, Spec: calendar.Spec{Zone: "UTC", ApprovedHours: allDay}}})
 }
 
-// propose asks for the server that answers.
+// propose proposes a window for the server that exists.
 func (b *testbed) propose(name string, work time.Duration) {
 	b.Helper()
 	b.write(maintenance.Operation{Kind: maintenance.OpPropose, Window: name, Operator: "operator/eva", ServerUIDs: []string{"s0"}, WorkMS: work.Milliseconds()})
 }
 
-// awaitWindow looks until a window is as it should be.
+// awaitWindow waits until a condition holds for a window.
 func (b *testbed) awaitWindow(condition, name string, holds func(w *maintenance.Window, view *maintenance.Snapshot) bool) (last *maintenance.Window) {
 	b.Helper()
 	b.eventually(name+": "+condition, func() bool {
@@ -175,7 +190,7 @@
 	return last
 }
 
-// awaitStage waits for a window to come to a stage.
+// awaitStage waits until a window is at a stage.
 func (b *testbed) awaitStage(name string, want maintenance.Stage) *maintenance.Window {
 	b.Helper()
 	return b.awaitWindow(string(want), name, func(w *maintenance.Window, _ *maintenance.Snapshot) bool {
@@ -186,7 +201,7 @@
 	})
 }
 
-// placement is what an agent tells its sidecar.
+// placement reads what an agent delivers to its sidecars.
 func (b *testbed) placement(agent string) (list placement.Update) {
 	ctx, cancel := context.WithTimeout(b.ctx, time.Second)
 	defer cancel()
@@ -205,7 +220,7 @@
 	return list
 }
 
-// excluded tells whether an agent has its sidecars keep off.
+// excluded tells whether an agent delivers an exclusion.
 func (b *testbed) excluded() bool {
 	for _, address := range b.agents {
 		if len(b.placement(address).Directives) > 0 {
@@ -215,7 +230,7 @@
 	return false
 }
 
-// runSidecar follows what its agent tells, reports it, and minds what it is told after the close.
+// runSidecar follows the directives of its agent, reports them, and counts those after the close.
 func (b *testbed) runSidecar(addr, name string) {
 	for b.ctx.Err() == nil {
 		list := b.placement(addr)
@@ -239,10 +254,10 @@
 	}
 }
 
-// awaitSettled waits until nothing is out, by the ledger, and nothing is told to sidecars.
+// awaitSettled waits until no permit is open and no exclusion is delivered.
 func (b *testbed) awaitSettled() {
 	b.Helper()
-	b.eventually("all is back", func() bool {
+	b.eventually("all permits are completed", func() bool {
 		view, err := b.client.LedgerView(b.ctx, true, true)
 		if err != nil {
 			return false
@@ -256,8 +271,8 @@
 	})
 }
 
-// Case 8: the list service's leader is killed in a drain, and the controller while the window is free. Its successor leaves the
-// work its time and brings the window back before the close. Then a contract is withdrawn in the middle of another.
+// TestControllerKilledWhileDrained kills the registry's leader during a drain and the controller during the work. The next
+// controller lets the work finish and returns the servers before the close. Then a contract is withdrawn during another window.
 func TestControllerKilledWhileDrained(t *testing.T) {
 	b := newTestbed(t)
 	first := b.startController(0)
@@ -267,19 +282,19 @@
 	b.openRequests.Store(1)
 	b.propose("disks", 4*time.Second)
 	b.awaitStage("disks", maintenance.StageDraining)
-	b.eventually("sidecars are told", b.excluded)
+	b.eventually("sidecars exclude the server", b.excluded)
 	leader, err := b.cluster.AwaitLeader(b.ctx)
 	b.must(err)
 	leader.Process.Kill()
 	_, err = b.cluster.AwaitLeader(b.ctx)
 	b.must(err)
 	if w := b.awaitStage("disks", maintenance.StageDraining); w.DrainedAtMS != 0 {
-		t.Errorf("free with requests open: %+v", w)
+		t.Errorf("drained with requests in flight: %+v", w)
 	}
 	b.openRequests.Store(0)
 	free := b.awaitStage("disks", maintenance.StageDrained)
 	if !b.excluded() {
-		t.Error("free, and no agent tells its sidecars to keep off")
+		t.Error("drained, and no agent delivers an exclusion")
 	}
 	first.Kill()
 	done := b.awaitStage("disks", maintenance.StageDone)
@@ -292,16 +307,16 @@
 	b.awaitStage("fans", maintenance.StageDrained)
 	b.write(maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: "portal"})
 	at := time.Now()
-	b.eventually("no sidecar keeps off", func() bool { return !b.excluded() })
-	t.Logf("sidecars keep off no more %v after a contract is withdrawn", time.Since(at))
+	b.eventually("no exclusion is delivered", func() bool { return !b.excluded() })
+	t.Logf("no exclusion %v after a contract is withdrawn", time.Since(at))
 	if w := b.awaitStage("fans", maintenance.StageHalted); w.Reason != "a contract has changed" || w.ReturnedAtMS == 0 {
 		t.Errorf("%+v", w)
 	}
 	b.awaitSettled()
 }
 
-// Case 8: a server does not come back and the close comes while the controller is dead, or all of the list service. What
-// sidecars are told ends by itself; who comes after it finds the overrun and halts the tenant's other windows.
+// TestCloseWhileControllerIsDown has the close pass while a server is not ready and the controller, or all of the registry, is
+// down. The exclusions expire by themselves; the next controller finds the overrun and the tenant is halted.
 func TestCloseWhileControllerIsDown(t *testing.T) {
 	t.Parallel()
 	for name, registryDown := range map[string]bool{"controller": false, "registry": true} {
@@ -318,7 +333,7 @@
 			b.setContract(&maintenance.Approval{Tenant: "portal", OpensAtMS: month.StartMS, ClosesAtMS: closesAtMS, Months: []calendar.Month{month}})
 			w := b.awaitStage("disks", maintenance.StageReturning)
 			if w.ClosesAtMS != closesAtMS || w.ExcludedUntilMS > closesAtMS-maintenance.CloseGuardMS {
-				t.Errorf("told until %d, the close is %d", w.ExcludedUntilMS, w.ClosesAtMS)
+				t.Errorf("excluded until %d, the close is %d", w.ExcludedUntilMS, w.ClosesAtMS)
 			}
 			controller.Kill()
 			if registryDown {
@@ -329,10 +344,10 @@
 			exclusionsBefore := b.exclusionsSeen.Load()
 			b.eventually("the close has come", func() bool { return time.Now().UnixMilli() > closesAtMS+500 })
 			if b.exclusionsSeen.Load() == exclusionsBefore {
-				t.Error("nobody kept off any more before the close")
+				t.Error("no exclusion was delivered before the close")
 			}
 			if b.excluded() || b.lateExclusions.Load() > 0 {
-				t.Errorf("%d lines told sidecars to keep off after the close", b.lateExclusions.Load())
+				t.Errorf("%d exclusions were delivered after the close", b.lateExclusions.Load())
 			}
 			if registryDown {
 				for _, replica := range b.cluster.Replicas {
@@ -346,17 +361,17 @@
 				return w.Stage == maintenance.StageOverrun && w.OutOfService() && snapshot.Halts["tenant/portal"] != ""
 			})
 			b.serverReady.Store(true)
-			b.awaitWindow("it is back", "disks", func(w *maintenance.Window, _ *maintenance.Snapshot) bool { return w.Finished() })
+			b.awaitWindow("it has returned", "disks", func(w *maintenance.Window, _ *maintenance.Snapshot) bool { return w.Finished() })
 			b.awaitSettled()
 			if b.lateExclusions.Load() > 0 {
-				t.Errorf("%d lines told sidecars to keep off after the close", b.lateExclusions.Load())
+				t.Errorf("%d exclusions were delivered after the close", b.lateExclusions.Load())
 			}
 		})
 	}
 }
 
-// Case 8: the controller's clock is an hour off. Its steps are refused when they are applied and nothing is taken out, until
-// one with a right clock goes on.
+// TestControllerClockAnHourOff runs a controller whose clock is an hour off. Its operations are rejected and no server is taken
+// out of service, until a controller with a correct clock continues.
 func TestControllerClockAnHourOff(t *testing.T) {
 	t.Parallel()
 	for _, ahead := range []string{"1h", "-1h"} {
@@ -366,12 +381,12 @@
 			b.propose("disks", 100*time.Millisecond)
 			_, err := wrong.WaitLog(b.ctx, "outcome=doubt")
 			b.must(err)
-			b.awaitWindow("doubt", "disks", func(w *maintenance.Window, snapshot *maintenance.Snapshot) bool {
+			b.awaitWindow("clock fault", "disks", func(w *maintenance.Window, snapshot *maintenance.Snapshot) bool {
 				return w.Stage == maintenance.StageProposed && snapshot.ClockFault != ""
 			})
 			b.must(wrong.Stop(b.ctx))
 			if b.exclusionsSeen.Load() > 0 {
-				t.Error("a sidecar was told to keep off")
+				t.Error("an exclusion was delivered")
 			}
 			b.startController(1)
 			b.awaitStage("disks", maintenance.StageDone)
--- a/internal/maintenance/exclusion_test.go
+++ b/internal/maintenance/exclusion_test.go
@@ -24,17 +24,21 @@
 			"passed":            {now + 1000, 0, Timestamp{now, 250, now, 250}},
 			"clock fault":       {now + 10_000, 0, Timestamp{now, 250, now - 60_000, 250}},
 		} {
-			next, approval := cloneTable(table), fixture.approval(0)
-			approval.ClosesAtMS = test.closesAtMS
-			terms := next.Contract("portal").Contract
-			changes, err := next.Apply(100, &Operation{Kind: OpSetContract, Contract: &terms, CurrentApproval: approval}, test.timestamp)
-			excludedUntilMS := int64(0)
-			for _, entry := range changes.SetDirectives {
-				excludedUntilMS = entry.ExpiresAtMS
-			}
-			if err != nil || excludedUntilMS != test.excludedUntil || (len(changes.DeleteDirectiveIDs) == 1) != (test.excludedUntil == 0) || next.Window("w").ExcludedUntilMS != test.excludedUntil {
-				t.Errorf("%s: %+v, %v, excluded until %d, want %d", name, changes, err, next.Window("w").ExcludedUntilMS, test.excludedUntil)
-			}
+			t.Run(name, func(t *testing.T) {
+				next, approval := cloneTable(table), fixture.approval(0)
+				approval.ClosesAtMS = test.closesAtMS
+				terms := next.Contract("portal").Contract
+				changes, err := next.Apply(100, &Operation{Kind: OpSetContract, Contract: &terms, CurrentApproval: approval}, test.timestamp)
+				excludedUntilMS := int64(0)
+				for _, entry := range changes.SetDirectives {
+					excludedUntilMS = entry.ExpiresAtMS
+				}
+				deleted := len(changes.DeleteDirectiveIDs) == 1
+				stored := next.Window("w").ExcludedUntilMS
+				if err != nil || excludedUntilMS != test.excludedUntil || deleted != (test.excludedUntil == 0) || stored != test.excludedUntil {
+					t.Errorf("%+v, %v, excluded until %d, want %d", changes, err, stored, test.excludedUntil)
+				}
+			})
 		}
 	})
 }
--- a/internal/maintenance/table_test.go
+++ b/internal/maintenance/table_test.go
@@ -269,24 +269,27 @@
 	}
 	planner := NewPlanner()
 	for _, test := range []struct {
+		name    string
 		request Request
 		want    string
 	}{
-		{Request{ServerUIDs: []string{"m2"}, WorkMS: 60 * minuteMS}, "2026-06-11T01:00:00Z"},
-		{Request{ServerUIDs: []string{"m0"}, WorkMS: 20 * minuteMS}, "2026-06-11T02:20:00Z"},
-		{Request{ServerUIDs: []string{"m0"}, WorkMS: 60 * minuteMS},
+		{"one tenant", Request{ServerUIDs: []string{"m2"}, WorkMS: 60 * minuteMS}, "2026-06-11T01:00:00Z"},
+		{"hours in common", Request{ServerUIDs: []string{"m0"}, WorkMS: 20 * minuteMS}, "2026-06-11T02:20:00Z"},
+		{"too long in common", Request{ServerUIDs: []string{"m0"}, WorkMS: 60 * minuteMS},
 			"contract of teller forbids it; without it from 2026-06-11T01:00:00Z on; work of 24m0s fits at 2026-06-11T02:20:00Z"},
-		{Request{ServerUIDs: []string{"m0", "m1"}, WorkMS: minuteMS},
+		{"too many servers", Request{ServerUIDs: []string{"m0", "m1"}, WorkMS: minuteMS},
 			"contract of portal: 2 of its 3 servers are more than its least share of 0.5 lets go"},
 	} {
-		got := ""
-		if plan, err := planner.Plan(table, fleet, test.request, now); err != nil {
-			got = err.Error()
-		} else {
-			got = formatUTC(plan.StartMS)
-		}
-		if got != test.want {
-			t.Errorf("%v: %s, want %s", test.request, got, test.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			got := ""
+			if plan, err := planner.Plan(table, fleet, test.request, now); err != nil {
+				got = err.Error()
+			} else {
+				got = formatUTC(plan.StartMS)
+			}
+			if got != test.want {
+				t.Errorf("%v: %s, want %s", test.request, got, test.want)
+			}
+		})
 	}
 }
