--- a/internal/registry/maintenance.go
+++ b/internal/registry/maintenance.go
@@ -42,16 +42,16 @@
 		}
 		op.Token = record.Guard.Token
 	}
-	result := s.windows.Apply(index, &op, *record.Stamp)
-	if result.Outcome != maintenance.OutcomeApplied {
+	changes, err := s.windows.Apply(index, &op, *record.Stamp)
+	if err != nil {
 		outcomes := map[maintenance.Outcome]Outcome{maintenance.OutcomeNotFound: OutcomeNotFound, maintenance.OutcomeLimitExceeded: OutcomeLimitExceeded}
-		outcome, ok := outcomes[result.Outcome]
+		outcome, ok := outcomes[maintenance.OutcomeOf(err)]
 		if !ok {
 			outcome = OutcomeConflict
 		}
-		return Result{outcome, index, string(result.Outcome) + ": " + result.Reason}
+		return Result{outcome, index, err.Error()}
 	}
-	return Result{OutcomeDone, index, cmp.Or(s.applyContractBudget(index, &op), s.publishWindow(index, record.Stamp.LeaderMS, result.SetEntries, result.DropEntryIDs))}
+	return Result{OutcomeDone, index, cmp.Or(s.applyContractBudget(index, &op), s.publishWindow(index, record.Stamp.LeaderMS, changes.SetDirectives, changes.DeleteDirectiveIDs))}
 }
 
 // publishWindow puts what sidecars are told into the placement. Where that is full they keep off nothing new, and the window
@@ -60,11 +60,11 @@
 	if len(set)+len(remove) == 0 {
 		return ""
 	}
-	outcome, reason := s.placement.Apply(index, maintenance.LeaseName, &placement.Op{LeaderTimeMS: nowMS, Set: set, Delete: remove})
-	if outcome != placement.OutcomeApplied && len(set) > 0 && len(remove) > 0 {
+	result := s.placement.Apply(index, maintenance.LeaseName, &placement.Op{LeaderTimeMS: nowMS, Set: set, Delete: remove})
+	if result.Outcome != placement.OutcomeApplied && len(set) > 0 && len(remove) > 0 {
 		s.placement.Apply(index, maintenance.LeaseName, &placement.Op{LeaderTimeMS: nowMS, Delete: remove})
 	}
-	return reason
+	return result.Reason
 }
 
 // applyContractBudget has the ledger bound what is out of a contract's servers, for whatever reason, from the same entry of the log on.
@@ -78,8 +78,8 @@
 	default:
 		return ""
 	}
-	if outcome, reason := s.ensureLedger(index).table.Apply(index, budgetOp); outcome != disruption.OutcomeApplied {
-		return "no budget of the ledger goes with it: " + reason
+	if result := s.ensureLedger(index).table.Apply(index, budgetOp); result.Outcome != disruption.OutcomeApplied {
+		return "no budget of the ledger goes with it: " + result.Reason
 	}
 	return ""
 }
