--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -11,14 +11,14 @@
 // the lowest priority first.
 func TestOverloadShedsLowestPriorityFirst(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(4)...)
-	refused := map[int]int{}
+	rejected := map[int]int{}
 	var open []RequestID
 	for i := range 2000 {
 		g.now += 2
 		class := []int{idempotentClass, nonIdempotentClass}[i%2]
 		id, actions := g.request(class)
 		if hasAction(actions, Reject) {
-			refused[class]++
+			rejected[class]++
 			continue
 		}
 		open = append(open, id)
@@ -27,8 +27,8 @@
 			open = open[1:]
 		}
 	}
-	if refused[idempotentClass] < 100 || refused[nonIdempotentClass] >= refused[idempotentClass] {
-		t.Fatalf("rejected %d of low and %d of high priority", refused[idempotentClass], refused[nonIdempotentClass])
+	if rejected[idempotentClass] < 100 || rejected[nonIdempotentClass] >= rejected[idempotentClass] {
+		t.Fatalf("rejected %d of low and %d of high priority", rejected[idempotentClass], rejected[nonIdempotentClass])
 	}
 }
 
@@ -138,15 +138,15 @@
 			g.now += 5
 			g.finishAttempt(id, 0, OK, 50)
 		}
-		refused := 0.0
+		rejected := 0.0
 		for range 200 {
 			g.setLoad(c.lasting, c.over)
 			if _, actions := g.request(idempotentClass); hasAction(actions, Reject) {
-				refused++
+				rejected++
 			}
 		}
-		if refused /= 200; refused < c.least || refused > c.most {
-			t.Errorf("%+v: %.2f were rejected", c, refused)
+		if rejected /= 200; rejected < c.least || rejected > c.most {
+			t.Errorf("%+v: %.2f were rejected", c, rejected)
 		}
 	}
 }
@@ -156,13 +156,13 @@
 func TestTenantsOverQuotaAreShedFirst(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Quota: 0.5}, {Quota: 0.5}}
-	_, refused := measureShedding(t, cfg, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 1})
-	if refused[0] < 0.4 || refused[1] > 0.1 {
-		t.Fatalf("rejected %.2f of the tenant with much traffic, %.2f of the other", refused[0], refused[1])
+	_, rejected := measureShedding(t, cfg, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 1})
+	if rejected[0] < 0.4 || rejected[1] > 0.1 {
+		t.Fatalf("rejected %.2f of the tenant with much traffic, %.2f of the other", rejected[0], rejected[1])
 	}
-	_, refused = measureShedding(t, cfg, [2]int{0, 0}, [2]int{0, 1})
-	if math.Abs(refused[0]-refused[1]) > 0.15 {
-		t.Fatalf("of equal tenants %.2f and %.2f are rejected", refused[0], refused[1])
+	_, rejected = measureShedding(t, cfg, [2]int{0, 0}, [2]int{0, 1})
+	if math.Abs(rejected[0]-rejected[1]) > 0.15 {
+		t.Fatalf("of equal tenants %.2f and %.2f are rejected", rejected[0], rejected[1])
 	}
 }
 
@@ -172,12 +172,12 @@
 	cfg := baseConfig()
 	turns := [][2]int{{idempotentClass, 0}, {nonIdempotentClass, 0}}
 	cfg.Objective = Objective{Overall: 1}
-	if refused, _ := measureShedding(t, cfg, turns...); refused[idempotentClass] < 0.7 || refused[nonIdempotentClass] > 0.1 {
-		t.Fatalf("without the weight %.2f and %.2f are rejected", refused[idempotentClass], refused[nonIdempotentClass])
+	if rejected, _ := measureShedding(t, cfg, turns...); rejected[idempotentClass] < 0.7 || rejected[nonIdempotentClass] > 0.1 {
+		t.Fatalf("without the weight %.2f and %.2f are rejected", rejected[idempotentClass], rejected[nonIdempotentClass])
 	}
 	cfg.Objective = Objective{Overall: 0.3, WorstClass: 0.7}
-	if refused, _ := measureShedding(t, cfg, turns...); refused[idempotentClass] > 0.5 || refused[nonIdempotentClass] < 0.3 {
-		t.Fatalf("with the weight %.2f and %.2f are rejected", refused[idempotentClass], refused[nonIdempotentClass])
+	if rejected, _ := measureShedding(t, cfg, turns...); rejected[idempotentClass] > 0.5 || rejected[nonIdempotentClass] < 0.3 {
+		t.Fatalf("with the weight %.2f and %.2f are rejected", rejected[idempotentClass], rejected[nonIdempotentClass])
 	}
 }
 
@@ -187,12 +187,12 @@
 	cfg.Tenants = []Tenant{{Quota: 0.8}, {Quota: 0.2}}
 	turns := [][2]int{{0, 0}, {0, 1}}
 	cfg.Objective = Objective{Overall: 1}
-	if _, refused := measureShedding(t, cfg, turns...); refused[0] > 0.1 || refused[1] < 0.7 {
-		t.Fatalf("without the weight %.2f and %.2f are rejected", refused[0], refused[1])
+	if _, rejected := measureShedding(t, cfg, turns...); rejected[0] > 0.1 || rejected[1] < 0.7 {
+		t.Fatalf("without the weight %.2f and %.2f are rejected", rejected[0], rejected[1])
 	}
 	cfg.Objective = Objective{Overall: 0.3, WorstTenant: 0.7}
-	if _, refused := measureShedding(t, cfg, turns...); math.Abs(refused[0]-refused[1]) > 0.15 {
-		t.Fatalf("with the weight %.2f and %.2f are rejected", refused[0], refused[1])
+	if _, rejected := measureShedding(t, cfg, turns...); math.Abs(rejected[0]-rejected[1]) > 0.15 {
+		t.Fatalf("with the weight %.2f and %.2f are rejected", rejected[0], rejected[1])
 	}
 }
 
@@ -201,12 +201,12 @@
 func TestFastGrowthIsNotOverload(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(12)...)
 	var open []RequestID
-	refused := 0
+	rejected := 0
 	for gap := 20.0; gap > 2; gap *= 0.998 { // tenfold in about nine seconds
 		g.now += gap
 		id, actions := g.request(idempotentClass)
 		if hasAction(actions, Reject) {
-			refused++
+			rejected++
 			continue
 		}
 		open = append(open, id)
@@ -215,8 +215,8 @@
 			open = open[1:]
 		}
 	}
-	if refused > 0 {
-		t.Fatalf("%d requests were rejected", refused)
+	if rejected > 0 {
+		t.Fatalf("%d requests were rejected", rejected)
 	}
 }
 
--- a/balance/affinity_test.go
+++ b/balance/affinity_test.go
@@ -118,7 +118,7 @@
 	cfg := baseConfig()
 	cfg.KeyAffinity = true
 	g := newHarness(t, cfg, testServers(8)...)
-	ask := func() ServerID {
+	send := func() ServerID {
 		g.lastID++
 		s, ok := sentServer(g.handle(Request{ID: g.lastID, Class: idempotentClass, Key: 5, Timeout: 1500}))
 		if !ok {
@@ -128,7 +128,7 @@
 	}
 	first := map[ServerID]bool{}
 	for range minServersPerKey + 1 { // it is rare yet
-		s := ask()
+		s := send()
 		g.finishAttempt(g.lastID, 0, OK, 10)
 		first[s] = true
 	}
@@ -137,7 +137,7 @@
 	}
 	all := map[ServerID]bool{}
 	for range 16 { // none is answered: the first ones fill up
-		all[ask()] = true
+		all[send()] = true
 	}
 	if len(all) <= minServersPerKey {
 		t.Fatalf("with its servers full a key still went to %v alone", all)
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -20,7 +20,7 @@
 	handle := func(now float64, ev balance.Event) {
 		actions, err := b.Handle(now, ev)
 		if err != nil {
-			fmt.Println("cannot be:", err)
+			fmt.Println("invalid event:", err)
 		}
 		for _, a := range actions {
 			switch a.Kind {
@@ -29,7 +29,7 @@
 			case balance.SetTimer:
 				fmt.Printf("%v ms: timer %d in %v ms\n", now, a.Token, a.At)
 			case balance.Reject:
-				fmt.Printf("%v ms: refuse request %d\n", now, a.Request)
+				fmt.Printf("%v ms: reject request %d\n", now, a.Request)
 			}
 		}
 	}
--- a/balance/load_report_test.go
+++ b/balance/load_report_test.go
@@ -6,14 +6,14 @@
 func TestReportedQueueEjectsAServer(t *testing.T) {
 	cfg := baseConfig()
 	cfg.LoadReports, cfg.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldErrorRate, FieldLatency, FieldQueueLength}
-	for queue, rests := range map[float32]bool{2: false, 8: true} {
+	for queue, ejects := range map[float32]bool{2: false, 8: true} {
 		g := newHarness(t, cfg, testServers(3)...)
 		id, actions := g.request(idempotentClass)
 		s, _ := sentServer(actions)
 		g.now += 200
 		g.handle(Outcome{Request: id, Server: s, Elapsed: 200, RequestDone: true, LoadReport: []float32{0, 50, queue}})
-		if got := g.balancer.isEjected(g.balancer.serversByID[s]); got != rests {
-			t.Errorf("%v waiting for 50 ms each, aim 300 ms: ejected %v", queue, got)
+		if got := g.balancer.isEjected(g.balancer.serversByID[s]); got != ejects {
+			t.Errorf("%v waiting for 50 ms each, objective 300 ms: ejected %v", queue, got)
 		}
 	}
 }
@@ -34,7 +34,7 @@
 	to, _ := sentServer(actions)
 	s := g.balancer.serversByID[to]
 	g.handle(Outcome{Request: id, Server: to, Elapsed: 5, RequestDone: true, LoadReport: []float32{50, 40}})
-	if rest := s.ejection.until - g.now; rest < 10 || rest > 60 {
-		t.Fatalf("ejected for %.0f ms, a round over three servers takes 30", rest)
+	if ejection := s.ejection.until - g.now; ejection < 10 || ejection > 60 {
+		t.Fatalf("ejected for %.0f ms, a round over three servers takes 30", ejection)
 	}
 }
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -66,10 +66,10 @@
 			continue
 		}
 		start := len(set.servers)
-		left := b.markExcluded(set, exclusion, remaining)
+		remainder := b.markExcluded(set, exclusion, remaining)
 		required := math.Max(minAvailable, exclusion.MinAvailable) // NaN: never enough
-		if left >= (required-fractionRounding)*total {
-			remaining, minAvailable = left, required
+		if remainder >= (required-fractionRounding)*total {
+			remaining, minAvailable = remainder, required
 			set.applied = append(set.applied, exclusion.ID)
 			continue
 		}
--- a/balance/placement_test.go
+++ b/balance/placement_test.go
@@ -279,12 +279,12 @@
 		cfg.Tenants = []Tenant{{Quota: 0.7}, {Quota: 0.3}}
 		w := newRuleChecker(t, random, cfg)
 		w.randomUpdate(UpdateCached)
-		var told []Exclusion
+		var exclusions []Exclusion
 		for id := RequestID(1); id <= 600; id++ {
 			w.now += random.ExpFloat64() * 8
 			w.fireTimers()
 			if random.Intn(15) == 0 {
-				told = w.randomPlacement()
+				exclusions = w.randomPlacement()
 			}
 			w.balancer.SuspendedExclusions()
 			w.randomEvent(id)
@@ -293,7 +293,7 @@
 				continue
 			}
 			suspended := w.balancer.SuspendedExclusions()
-			for _, k := range told { // all requests are of tenant 0
+			for _, k := range exclusions { // all requests are of tenant 0
 				if k.Tenant <= 0 && k.ExpiresAt > w.now && slices.Contains(k.Servers, o.attempts[0].server.ID) && !slices.Contains(suspended, k.ID) {
 					t.Fatalf("seed %d: request %d went to %d, from which %+v excludes it", seed, id, o.attempts[0].server.ID, k)
 				}
--- a/balance/races_test.go
+++ b/balance/races_test.go
@@ -13,7 +13,7 @@
 		"quiet":    func(*harness, RequestID) {},
 		"draining": func(g *harness, id RequestID) { g.drain(g.balancer.requests.open[id].attempts[0].server.ID) },
 		"shedding": func(g *harness, _ RequestID) { g.balancer.admission.sustainedShed = maxShedFraction + shedDeadband },
-		"past aim": func(g *harness, _ RequestID) { g.now += 350 },
+		"past objective": func(g *harness, _ RequestID) { g.now += 350 },
 		"deadline": func(g *harness, id RequestID) { g.now = g.balancer.requests.open[id].deadline },
 	} {
 		for _, class := range []int{nonIdempotentClass, cellScopeClass} {
--- a/balance/validate.go
+++ b/balance/validate.go
@@ -5,13 +5,14 @@
 	"math"
 )
 
-// ConfigError says which field of a Config is invalid, and why.
+// ConfigError says which field of a Config is invalid, and why. It has the form of internal/validation.Error, which the
+// users of this package outside of the module could not match.
 type ConfigError struct {
 	Field  string // with the index of a class or tenant, as in "Classes[1].Deadline"
 	Reason string
 }
 
-func (e *ConfigError) Error() string { return e.Field + " " + e.Reason }
+func (e *ConfigError) Error() string { return e.Field + ": " + e.Reason }
 
 // figure is a number of the settings that must be finite and not negative.
 type figure struct {
@@ -22,7 +23,7 @@
 // validate returns a ConfigError for the first field that is invalid.
 func (c *Config) validate() error {
 	if len(c.Classes) == 0 {
-		return &ConfigError{"Classes", "is empty"}
+		return &ConfigError{"Classes", "there are none"}
 	}
 	figures := c.figures()
 	for i := range c.Classes {
@@ -38,7 +39,7 @@
 	}
 	for _, f := range figures {
 		if !(f.value >= 0) || math.IsInf(f.value, 0) {
-			return &ConfigError{f.field, fmt.Sprintf("is %v", f.value)}
+			return &ConfigError{f.field, fmt.Sprintf("%v is not a finite number of at least 0", f.value)}
 		}
 	}
 	return nil
@@ -74,11 +75,11 @@
 func (c *Class) validate(prefix string) error {
 	switch {
 	case c.Idempotency > NonIdempotent:
-		return &ConfigError{prefix + "Idempotency", fmt.Sprintf("is unknown: %d", c.Idempotency)}
+		return &ConfigError{prefix + "Idempotency", fmt.Sprintf("unknown value %d", c.Idempotency)}
 	case c.DeduplicationScope > ScopeCell:
-		return &ConfigError{prefix + "DeduplicationScope", fmt.Sprintf("is unknown: %d", c.DeduplicationScope)}
+		return &ConfigError{prefix + "DeduplicationScope", fmt.Sprintf("unknown value %d", c.DeduplicationScope)}
 	case !(c.Deadline > 0):
-		return &ConfigError{prefix + "Deadline", fmt.Sprintf("is %v, want more than 0", c.Deadline)}
+		return &ConfigError{prefix + "Deadline", fmt.Sprintf("%v is not above 0", c.Deadline)}
 	}
 	return nil
 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -29,7 +29,7 @@
 // Conditions of servers in a table.
 const (
 	conditionReady    = 0
-	conditionGone     = 1
+	conditionRemoved     = 1
 	conditionDraining = 2
 )
 
@@ -196,7 +196,7 @@
 		server.State = balance.Ready
 	case conditionDraining:
 		server.State = balance.Draining
-	case conditionGone:
+	case conditionRemoved:
 		server.State = balance.Removed
 	default:
 		return fmt.Errorf("unknown condition %d", condition)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -2,11 +2,11 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"math"
 
 	"milldeck/balance"
+	"milldeck/internal/validation"
 )
 
 // settings mirrors the JSON object of the settings. Keys that are not here are ignored.
@@ -120,8 +120,8 @@
 	"fail_rate": balance.FieldErrorRate,
 }
 
-// ParseSettings turns the settings of an InstanceStarted into a Config. Its errors name the key. What it accepts may still
-// be rejected by balance.New.
+// ParseSettings turns the settings of an InstanceStarted into a Config. Its error wraps a *validation.Error that names the
+// key, or one of encoding/json. What it accepts may still be rejected by balance.New.
 func ParseSettings(seed uint64, text []byte) (balance.Config, error) {
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -141,14 +141,14 @@
 	case "subscribe":
 		config.Subscribe = true
 	default:
-		return config, fmt.Errorf("unknown discovery %q", s.Discovery)
+		return config, validation.Errorf("discovery", "unknown %q", s.Discovery)
 	}
 	if err := s.checkNotNegative(&config); err != nil {
 		return config, err
 	}
 	var ok bool
 	if config.LoadReports, ok = loadReportModeByName[s.Report.Mode]; !ok {
-		return config, fmt.Errorf("unknown report.via %q", s.Report.Mode)
+		return config, validation.Errorf("report.via", "unknown %q", s.Report.Mode)
 	}
 	for _, name := range s.Report.Fields {
 		config.LoadReportFields = append(config.LoadReportFields, loadReportFieldByName[name])
@@ -157,12 +157,12 @@
 		config.Tenants = append(config.Tenants, balance.Tenant{QuotaRate: t.QuotaRate, Quota: t.Quota})
 	}
 	if len(s.Classes) == 0 {
-		return config, errors.New("no classes")
+		return config, validation.Errorf("classes", "no classes")
 	}
 	for i := range s.Classes {
-		class, err := s.Classes[i].class()
+		class, err := s.Classes[i].class(fmt.Sprintf("classes[%d].", i))
 		if err != nil {
-			return config, fmt.Errorf("class %d: %w", i, err)
+			return config, err
 		}
 		config.Classes = append(config.Classes, class)
 	}
@@ -227,28 +227,41 @@
 		{"penalties.cross_zone", s.Costs.CrossZone},
 		{"penalties.probe", s.Costs.HealthCheck},
 	} {
-		if figure.value < 0 {
-			return fmt.Errorf("%s is %v", figure.key, figure.value)
+		if err := notNegative(figure.key, figure.value); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-func (c *classSettings) class() (balance.Class, error) {
+func notNegative(key string, value float64) error {
+	if value < 0 {
+		return validation.Errorf(key, "%v is negative", value)
+	}
+	return nil
+}
+
+// class returns a class of requests. prefix is for its keys in errors.
+func (c *classSettings) class(prefix string) (balance.Class, error) {
 	idempotency, ok := idempotencyByName[c.Idempotency]
 	if !ok {
-		return balance.Class{}, fmt.Errorf("unknown effect %q", c.Idempotency)
+		return balance.Class{}, validation.Errorf(prefix+"effect", "unknown %q", c.Idempotency)
 	}
 	scope, ok := scopeByName[c.DeduplicationScope]
 	if !ok {
-		return balance.Class{}, fmt.Errorf("unknown group %q", c.DeduplicationScope)
+		return balance.Class{}, validation.Errorf(prefix+"group", "unknown %q", c.DeduplicationScope)
 	}
-	if !(c.Deadline > 0) || c.LatencyObjective < 0 {
-		return balance.Class{}, fmt.Errorf("on_time_ms is %v, hard_limit_ms %v", c.LatencyObjective, c.Deadline)
+	if !(c.Deadline > 0) {
+		return balance.Class{}, validation.Errorf(prefix+"hard_limit_ms", "%v is not above 0", c.Deadline)
 	}
 	window, weight := valueOr(c.IdempotencyWindow, math.Inf(1)), valueOr(c.PriorityWeight, 1)
-	if weight < 0 || c.LateWeight < 0 || window < 0 {
-		return balance.Class{}, errors.New("worth, late_worth or window_ms is negative")
+	if err := validation.First(
+		notNegative(prefix+"on_time_ms", c.LatencyObjective),
+		notNegative(prefix+"worth", weight),
+		notNegative(prefix+"late_worth", c.LateWeight),
+		notNegative(prefix+"window_ms", window),
+	); err != nil {
+		return balance.Class{}, err
 	}
 	objective := c.LatencyObjective
 	if objective == 0 {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -183,7 +183,8 @@
 		"rules.fall_ms":       `"rules": {"fall_ms": 1e999}}`, // JSON has no infinity: the number is too large
 	} {
 		t.Run(key, func(t *testing.T) {
-			if _, err := ParseSettings(1, []byte(class+rest)); err == nil || !strings.Contains(err.Error(), key) {
+			_, err := ParseSettings(1, []byte(class+rest))
+			if err == nil || !strings.Contains(err.Error(), key) {
 				t.Errorf("error %v", err)
 			}
 		})
