--- a/balance/admission.go
+++ b/balance/admission.go
@@ -19,6 +19,7 @@
 	shedDecayTime               = 2500 // ms in which sustained shedding decays: idle servers look slow
 	shedDeadband                = 0.1  // sustained fraction not shed: small sidecars reach it by chance
 	maxShedFraction             = 0.95 // answers are needed to see that the overload is over
+	maxLatencyRatio             = 2    // latencies count as at most this multiple of the objective
 	answerRateSpan              = 8    // span of the answer rate, in longest objectives
 	assumedAnswers              = 3    // added to the answer rate; the load is averaged over as many
 	maxFairnessBoost            = 2    // bound of how far a tenant counts as under its quota
@@ -60,7 +61,7 @@
 		allowance = queueingAllowanceLowTraffic
 	}
 	threshold := least + allowance*(1-least)
-	excess := math.Min(expected, 2) - threshold
+	excess := math.Min(expected, maxLatencyRatio) - threshold
 	if excess < 0 {
 		excess = expected - least - queueingAllowance*(1-least)
 	}
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -33,7 +33,8 @@
 //	discovery.go  endpoint updates and polls
 //	placement.go  exclusions and replicas of hot keys
 //
-// The others define the interface (config.go, event.go, action.go), route events (handle.go) and hold state: balancer.go,
-// server.go, request.go and stats.go what is remembered, rotation.go, round.go, weight_trend.go, key_order.go and
-// server_list.go the indices that keep the cost of a pick independent of the number of servers.
+// The others define the interface (config.go, event.go, action.go), route events (handle.go) and hold state. balancer.go,
+// server.go and request.go have what is remembered, estimates.go, stats.go and load_report.go what is measured.
+// rotation.go, weight_trend.go, round.go, pool.go, selection.go, key_order.go, key_frequency.go and server_list.go are the
+// indices that keep the cost of a pick independent of the number of servers.
 package balance
--- a/balance/estimates.go
+++ b/balance/estimates.go
@@ -2,13 +2,34 @@
 
 import "math"
 
+// admissionState is what load shedding goes by; see admit.
+type admissionState struct {
+	classes []classStats
+	tenants []requestCounts // the last is for requests without a tenant
+
+	firstRequestAt  float64
+	updatedAt       float64 // the last request
+	sustainedShed   float64 // fraction of the load that is shed lastingly, shedDeadband included
+	minLatencyRatio float64 // least latency of recent answers, as a fraction of the objective
+
+	firstAnswerAt float64 // traffic may begin long after the start
+	answers       rateMeter
+	recentAnswers rateMeter // over about one objective
+	load          inFlightLoad
+}
+
+// inFlightLoad is what is in flight, each attempt as 1 / its latency objective; see trackLoad.
+type inFlightLoad struct{ current, mean, updatedAt float64 }
+
 // answerRate is the rate of answers per millisecond over a long span, with some assumed ones added, or what the last
 // objective surely shows, if that is more: traffic may grow fast.
 func (b *Balancer) answerRate(assumed float64) float64 {
 	state := &b.admission
 	long := state.answers.rate(b.now, state.firstAnswerAt, answerRateSpan*b.longestObjective, assumed)
-	recent := state.recentAnswers.rate(b.now, b.now-1e9, b.longestObjective, 0) * b.longestObjective
-	return math.Max(long, (recent-2*math.Sqrt(recent))/b.longestObjective)
+	const longAgo = 1e9 // no correction for a short time of counting
+	recent := state.recentAnswers.rate(b.now, b.now-longAgo, b.longestObjective, 0) * b.longestObjective
+	certain := recent - 2*math.Sqrt(recent) // two standard deviations below
+	return math.Max(long, certain/b.longestObjective)
 }
 
 // trackLoad follows what is in flight. An attempt counts as 1 / its objective, and for no longer than that: a hung server
@@ -24,7 +45,7 @@
 // their objective, which is not overload.
 func (b *Balancer) trackLatency(class *classStats, ratio float64) {
 	class.recentSamples = math.Min(class.recentSamples+1, averagingSamples)
-	class.recentLatencyRatio += (math.Min(ratio, 2) - class.recentLatencyRatio) / class.recentSamples
+	class.recentLatencyRatio += (math.Min(ratio, maxLatencyRatio) - class.recentLatencyRatio) / class.recentSamples
 	if class.recentSamples == averagingSamples {
 		forgotten := -math.Expm1((class.minLatencyUpdatedAt - b.now) / minLatencyDecay)
 		class.minLatencyRatio += math.Max(initialLatencyRatio-class.minLatencyRatio, 0) * forgotten
@@ -51,3 +72,25 @@
 	}
 	r.stats.recordLatency(latency)
 }
+
+func newAdmissionState(config *Config) admissionState {
+	state := admissionState{
+		classes:         make([]classStats, len(config.Classes)),
+		tenants:         make([]requestCounts, len(config.Tenants)+1),
+		minLatencyRatio: initialLatencyRatio,
+	}
+	for i := range config.Classes {
+		state.classes[i] = classStats{
+			requestCounts:   requestCounts{received: 1, servedInTime: 1},
+			priorityWeight:  config.Classes[i].PriorityWeight,
+			minLatencyRatio: initialLatencyRatio,
+		}
+	}
+	for i := range state.tenants {
+		state.tenants[i] = requestCounts{received: 1, servedInTime: 1}
+		if i < len(config.Tenants) {
+			state.tenants[i].quota = config.Tenants[i].Quota
+		}
+	}
+	return state
+}
--- a/balance/load_report.go
+++ b/balance/load_report.go
@@ -5,6 +5,12 @@
 // maxUtilization bounds what a server may report of itself.
 const maxUtilization = 1.5
 
+// reportStats summarises the load reports of all servers.
+type reportStats struct {
+	busyFraction    float64 // recent fraction of reports of a server with anything in flight
+	meanUtilization float64 // recent mean
+}
+
 // recordLoadReport records a server's load report and returns the wait that it implies: the queue length times the service
 // time.
 func (b *Balancer) recordLoadReport(s *server, report []float32) float64 {
--- a/balance/races_test.go
+++ b/balance/races_test.go
@@ -10,11 +10,11 @@
 // happens. If the attempt was surely not executed it is retried while there is time and a server, and rejected otherwise.
 func TestNoRetryAfterPossibleExecution(t *testing.T) {
 	for name, meanwhile := range map[string]func(g *harness, id RequestID){
-		"quiet":    func(*harness, RequestID) {},
-		"draining": func(g *harness, id RequestID) { g.drain(g.balancer.requests.open[id].attempts[0].server.ID) },
-		"shedding": func(g *harness, _ RequestID) { g.balancer.admission.sustainedShed = maxShedFraction + shedDeadband },
+		"quiet":          func(*harness, RequestID) {},
+		"draining":       func(g *harness, id RequestID) { g.drain(g.balancer.requests.open[id].attempts[0].server.ID) },
+		"shedding":       func(g *harness, _ RequestID) { g.balancer.admission.sustainedShed = maxShedFraction + shedDeadband },
 		"past objective": func(g *harness, _ RequestID) { g.now += 350 },
-		"deadline": func(g *harness, id RequestID) { g.now = g.balancer.requests.open[id].deadline },
+		"deadline":       func(g *harness, id RequestID) { g.now = g.balancer.requests.open[id].deadline },
 	} {
 		for _, class := range []int{nonIdempotentClass, cellScopeClass} {
 			for res := OK; res <= Obsolete; res++ {
--- a/balance/request.go
+++ b/balance/request.go
@@ -40,6 +40,12 @@
 	free                 []*request // for reuse
 }
 
+// retryBudget is a token bucket that first attempts fill; see retryAllowed.
+type retryBudget struct {
+	tokens           float64
+	lastOverloadedAt float64 // when a server last rejected an attempt
+}
+
 func (t *requestTable) add(ev *Request) *request {
 	var r *request
 	if n := len(t.free); n > 0 {
--- a/balance/round.go
+++ b/balance/round.go
@@ -34,3 +34,13 @@
 	s.round.runningWeight = math.Min(s.round.runningWeight+s.weight*rounds, b.pool.current)
 	s.round.creditedUpTo = b.selection.round
 }
+
+// beginRound begins a round of the weighted round robin: a first attempt. Excluded servers get no credit for it.
+func (b *Balancer) beginRound(totalWeight float64) {
+	b.pool.current = totalWeight + b.selection.excluded.weight
+	b.pool.recent.add(b.now, answerRateSpan*b.longestObjective, b.pool.current)
+	b.selection.round++
+	for _, s := range b.selection.excluded.servers {
+		s.round.creditedUpTo++
+	}
+}
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -1,13 +1,17 @@
 package balance
 
-// beginRound begins a round of the weighted round robin: a first attempt. Excluded servers get no credit for it.
-func (b *Balancer) beginRound(totalWeight float64) {
-	b.pool.current = totalWeight + b.selection.excluded.weight
-	b.pool.recent.add(b.now, answerRateSpan*b.longestObjective, b.pool.current)
-	b.selection.round++
-	for _, s := range b.selection.excluded.servers {
-		s.round.creditedUpTo++
-	}
+// selectionState is what the pick of a server works with.
+type selectionState struct {
+	round        float64         // first attempts so far: the rounds of the weighted round robin
+	candidates   []*server       // servers looked at in the current pick
+	allEjected   bool            // in the current pick: all servers are ejected, so all are candidates
+	excluded     excludedServers // from the current pick, by the placement
+	loadReported bool            // in the current pick: the load is known from fresh load reports
+
+	// Bounded load: a server may hold headroom × load × its weight / weight.
+	load     float64 // in flight at the servers whose load is known, with the attempt to be sent
+	weight   float64 // sum of these servers' weights
+	headroom float64
 }
 
 // sumCandidates sets the load bound of this pick. Without any report the attempts of this sidecar are all that is known.
--- a/balance/stats.go
+++ b/balance/stats.go
@@ -76,9 +76,13 @@
 	m.count, m.updatedAt = m.count*math.Exp((m.updatedAt-now)/span)+1, now
 }
 
+// minSpanFraction bounds the correction for a count that has not run for its whole span.
+const minSpanFraction = 0.05
+
 // rate is the number of events per millisecond since a time, with some assumed ones added.
 func (m *rateMeter) rate(now, since, span, assumed float64) float64 {
-	return (m.count*math.Exp((m.updatedAt-now)/span)/math.Max(-math.Expm1((since-now)/span), 0.05) + assumed) / span
+	counted := math.Max(-math.Expm1((since-now)/span), minSpanFraction)
+	return (m.count*math.Exp((m.updatedAt-now)/span)/counted + assumed) / span
 }
 
 // ewma is an exponentially weighted moving average over time.
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -29,7 +29,7 @@
 // Conditions of servers in a table.
 const (
 	conditionReady    = 0
-	conditionRemoved     = 1
+	conditionRemoved  = 1
 	conditionDraining = 2
 )
 
