--- a/internal/release/clustermodel_test.go
+++ b/internal/release/clustermodel_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"slices"
 	"strings"
 	"testing"
 
@@ -15,61 +14,89 @@
 	"milldeck/internal/supervisor/fake"
 )
 
-const tickMS = 500 // ms
+// Times of the model, in ms.
+const (
+	tickMS         = 500
+	readyAfterMS   = 800  // from a process's start until it is ready
+	stopMS         = 700  // from SIGTERM until it ends
+	leaseMS        = 1000 // from its end until its registration expires
+	serverWarmUpMS = 3000 // from a restarted server's registration until it is warm
+	drainMS        = 1000 // from Terminating until it is proved to have no open request
+	settleTicks    = 60   // after a release, for units that failed alone at its very end to come up again
+	operatorName   = "operator/eva"
+)
 
-// unitModel is what is true of a unit, whatever anybody knows of it.
+// unitModel is the truth about one unit, whatever anybody has observed of it.
 type unitModel struct {
-	unit            disruption.Unit
-	version         string // of the process that was started last
-	config          string // that it runs by
-	bootMS          int64
-	readyMS         int64 // when that process is ready; -1: never
-	terminating     bool  // in the list
-	drainingSinceMS int64 // since when
-	leaseEndMS      int64 // when its lease ends; 0: it lives
-	coldUntilMS     int64 // until when
+	unit            disruption.Unit // as it registers
+	version         string          // of the process that was started last
+	config          string          // that this process runs by
+	bootMS          int64           // when it was started
+	readyMS         int64           // when it is ready; -1: never
+	terminating     bool            // in the endpoint list
+	drainingSinceMS int64
+	leaseEndMS      int64 // when its registration expires; 0: it is renewed
+	coldUntilMS     int64 // when it is warm
 	rejectedConfig  string
 }
 
-// clusterModel is a fleet: the ledger, the platform and the releases' table are the real ones, the rest is numbers.
+// name is the unit's name at the platform.
+func (u *unitModel) name() string { return u.unit.ID[strings.Index(u.unit.ID, "/")+1:] }
+
+// clusterModel is a cluster in virtual time. The ledger, the platform's core and the table of releases are the real ones;
+// processes, registrations and readiness are modelled.
 type clusterModel struct {
 	t                  testing.TB
 	nowMS              int64
-	revision           uint64
-	token              uint64
+	revision           uint64 // of the log
+	token              uint64 // the only valid fencing token
 	ledger             *disruption.Ledger
 	platform           *fake.Platform
 	table              *Table
-	units              map[string]*unitModel
+	units              map[string]*unitModel // by ID
 	ids                []string
-	launches           map[string]int  // by unit and version
-	reloads            map[string]int  // by unit and configuration
-	broken             map[string]bool // versions that fail at start
-	neverReady         map[string]bool // versions that are never ready
-	rejectedConfigs    map[string]bool // configurations that sidecars refuse
+	launches           map[string]int  // by unit ID and version
+	reloads            map[string]int  // by unit ID and configuration
+	broken             map[string]bool // versions that fail at their start
+	neverReady         map[string]bool // versions that never become ready in the endpoint list
+	rejectedConfigs    map[string]bool // configurations that sidecars reject
 	verdict            func(*State) judge.Verdict
-	maxOut             int  // units truly out at once, most of all moments
-	hidesEndedPermits  bool // views show no permits that are over
+	maxOut             int  // the most units that were out at once
+	hidesEndedPermits  bool // views of the ledger lack permits that have ended
+	reportsChangesOnly bool // units register in the ledger only when they change, as in the registry
 	bugs               plantedBugs
-	reportsChangesOnly bool // units are told of to the ledger where something has changed alone, as the list service does
 
-	applied func(revision uint64, applyLedgerOp *Operation) // called with each operation that the releases' table has taken in; nil: nobody is
+	// applied, where set, is called with each operation that the table of releases has applied.
+	applied func(revision uint64, op *Operation)
 }
 
-// plantedBugs are planted.
+// plantedBugs are faults of the code under test that the tests have to detect.
 type plantedBugs struct {
-	writesAfterEffects      bool // a step is written after it is done, not before
-	requestIDsPerController bool // request ids follow from who asks, not from what is written
-	rollbackRankForward     bool // ways back ask behind forward steps
-	trustsIncompleteList    bool // what a platform that has forgotten does not list counts as ended
+	writesAfterEffects      bool // a state is written after its effects were executed
+	requestIDsPerController bool // request IDs depend on the controller, not on the written state
+	rollbackRankForward     bool // rollbacks request permits at the priority of rollouts
+	trustsIncompleteList    bool // a unit that an incomplete list lacks counts as stopped
 }
 
-const stopMS = 700 // ms from SIGTERM to a process's end
-
+// newClusterModel makes a cluster of units that all run version 1 with configuration c1 and are up, of which the ledger
+// lets maxOut be out.
 func newClusterModel(t testing.TB, kind disruption.Kind, zones, unitsPerZone, maxOut int) *clusterModel {
-	model := &clusterModel{t: t, nowMS: 1_000_000, ledger: disruption.NewLedger(), table: NewTable(), units: map[string]*unitModel{}, token: 100, revision: 1000,
-		launches: map[string]int{}, reloads: map[string]int{}, broken: map[string]bool{}, neverReady: map[string]bool{}, rejectedConfigs: map[string]bool{},
-		verdict: func(*State) judge.Verdict { return judge.Verdict{Outcome: judge.Pass} }}
+	t.Helper()
+	model := &clusterModel{
+		t:               t,
+		nowMS:           1_000_000,
+		revision:        1000,
+		token:           100,
+		ledger:          disruption.NewLedger(),
+		table:           NewTable(),
+		units:           map[string]*unitModel{},
+		launches:        map[string]int{},
+		reloads:         map[string]int{},
+		broken:          map[string]bool{},
+		neverReady:      map[string]bool{},
+		rejectedConfigs: map[string]bool{},
+		verdict:         func(*State) judge.Verdict { return judge.Verdict{Outcome: judge.Pass} },
+	}
 	versions := map[core.Version]fake.Version{}
 	for _, version := range []string{"1", "2", "3"} {
 		versions[core.Version{Kind: supervisor.Kind(kind), Name: version}] = fake.Version{
@@ -77,16 +104,11 @@
 		}
 	}
 	model.platform = fake.New(fake.Options{Versions: versions}, model.nowMS)
-	model.applyLedgerOp(&disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/ci", Budget: &disruption.Budget{Name: "all", MaxUnavailable: disruption.Limit{Count: &maxOut}}})
+	budget := &disruption.Budget{Name: "all", MaxUnavailable: disruption.Limit{Count: &maxOut}}
+	model.applyLedgerOp(&disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/ci", Budget: budget})
 	for zone := range zones {
 		for i := range unitsPerZone {
-			name := fmt.Sprintf("%c%d", 'a'+zone, i)
-			unit := &unitModel{unit: disruption.Unit{ID: disruption.UnitID(kind, name), Kind: kind, Zone: string(rune('a' + zone)), PodGroup: i % 3, Capacity: 1}}
-			model.units[unit.unit.ID] = unit
-			model.ids = append(model.ids, unit.unit.ID)
-			list, _ := model.platform.List(context.Background())
-			model.callPlatform(supervisor.Request{ID: "first-" + name, Op: supervisor.Start, Epoch: list.Epoch, Unit: name, Kind: supervisor.Kind(kind),
-				Version: "1", ConfigName: "c1", ConfigText: "c1", Listen: "127.0.0.1:7000", Zone: unit.unit.Zone})
+			model.addUnit(kind, string(rune('a'+zone)), i)
 		}
 	}
 	for range 16 {
@@ -97,20 +119,64 @@
 			t.Fatalf("%s is %q at the start", id, unit.Condition)
 		}
 	}
-	model.maxOut, model.launches = 0, map[string]int{}
+	model.maxOut = 0
+	model.launches = map[string]int{}
 	return model
 }
 
-func (m *clusterModel) callPlatform(r supervisor.Request) ([]supervisor.Outcome, error) {
-	return m.platform.Do(context.Background(), r)
+func (m *clusterModel) addUnit(kind disruption.Kind, zone string, i int) {
+	m.t.Helper()
+	name := fmt.Sprintf("%s%d", zone, i)
+	unit := &unitModel{unit: disruption.Unit{
+		ID: disruption.UnitID(kind, name), Kind: kind, Zone: zone, PodGroup: i % 3, Capacity: 1,
+	}}
+	m.units[unit.unit.ID] = unit
+	m.ids = append(m.ids, unit.unit.ID)
+	_, err := m.callPlatform(supervisor.Request{
+		ID: "first-" + name, Op: supervisor.Start, Epoch: m.list().Epoch, Unit: name, Kind: supervisor.Kind(kind),
+		Version: "1", ConfigName: "c1", ConfigText: "c1", Listen: "127.0.0.1:7000", Zone: zone,
+	})
+	if err != nil {
+		m.t.Fatal(err)
+	}
+}
+
+func (m *clusterModel) callPlatform(request supervisor.Request) ([]supervisor.Outcome, error) {
+	return m.platform.Do(context.Background(), request)
 }
 
+// list is the platform's list, which has to answer.
+func (m *clusterModel) list() *supervisor.List {
+	m.t.Helper()
+	list, err := m.platform.List(context.Background())
+	if err != nil {
+		m.t.Fatal(err)
+	}
+	return list
+}
+
+func (m *clusterModel) setFault(fault core.Fault) {
+	m.t.Helper()
+	if err := m.platform.SetFault(fault); err != nil {
+		m.t.Fatal(err)
+	}
+}
+
+// crashUnit ends a unit's process, as if it had failed by itself.
+func (m *clusterModel) crashUnit(name string) { m.platform.Crash(name, "signal: killed") }
+
 func (m *clusterModel) applyLedgerOp(op *disruption.Op) disruption.Result {
 	m.revision++
 	return m.ledger.Apply(m.revision, op)
 }
 
-// apply has the releases' table take an operation in.
+// observeUnit reports a unit's condition to the ledger, as health checks do.
+func (m *clusterModel) observeUnit(id string, condition disruption.Condition) {
+	observed := []disruption.Unit{{ID: id, Condition: condition}}
+	m.applyLedgerOp(&disruption.Op{Kind: disruption.OpObserve, Owner: "prober", Observed: observed})
+}
+
+// apply applies an operation to the table of releases.
 func (m *clusterModel) apply(op *Operation) error {
 	m.revision++
 	err := m.table.Apply(m.revision, op)
@@ -120,6 +186,11 @@
 	return err
 }
 
+// command gives an operator's command to the release r.
+func (m *clusterModel) command(action Action) error {
+	return m.apply(&Operation{Name: "r", Command: &Command{Action: action, Operator: operatorName}})
+}
+
 func (m *clusterModel) unitID(name string) string {
 	for _, id := range m.ids {
 		if strings.HasSuffix(id, "/"+name) {
@@ -129,79 +200,55 @@
 	return ""
 }
 
-// startProcess is told of each launch by the platform.
+// startProcess is called by the platform with each unit that it starts.
 func (m *clusterModel) startProcess(listed supervisor.Unit) fake.Behavior {
 	unit := m.units[m.unitID(listed.Name)]
 	m.launches[unit.unit.ID+" "+listed.Version]++
-	unit.version, unit.config, unit.bootMS, unit.readyMS = listed.Version, listed.ConfigName, m.nowMS, m.nowMS+800
-	life := fake.Behavior{ReadyAfterMS: 800, StopAfterMS: stopMS, OnReload: func(config, _ string) {
+	unit.version = listed.Version
+	unit.config = listed.ConfigName
+	unit.bootMS = m.nowMS
+	unit.readyMS = m.nowMS + readyAfterMS
+	behavior := fake.Behavior{ReadyAfterMS: readyAfterMS, StopAfterMS: stopMS, OnReload: func(config, _ string) {
 		m.reloads[unit.unit.ID+" "+config]++
 		if m.rejectedConfigs[config] {
 			unit.rejectedConfig = config
-		} else {
-			unit.config, unit.rejectedConfig = config, ""
+			return
 		}
+		unit.config = config
+		unit.rejectedConfig = ""
 	}}
 	if m.broken[listed.Version] {
-		unit.readyMS, life.ReadyAfterMS, life.ExitAfterMS, life.ExitText = -1, -1, 100, "exit status 1"
+		unit.readyMS = -1
+		behavior.ReadyAfterMS = -1
+		behavior.ExitAfterMS = 100
+		behavior.ExitText = "exit status 1"
 	}
 	if m.neverReady[listed.Version] {
-		unit.readyMS = -1 // the platform's own check is met, the list's is not
+		unit.readyMS = -1 // the platform's own ready check passes, the registry's does not
 	}
-	return life
+	return behavior
 }
 
-func (u *unitModel) name() string { return u.unit.ID[strings.Index(u.unit.ID, "/")+1:] }
+func (m *clusterModel) alive(unit *unitModel) bool { return m.platform.LiveProcesses(unit.name()) > 0 }
 
-// serves is the truth about a unit.
-func (m *clusterModel) serves(u *unitModel) bool {
-	return m.platform.LiveProcesses(u.name()) > 0 && u.readyMS >= 0 && u.readyMS <= m.nowMS && !u.terminating && u.coldUntilMS <= m.nowMS
+// serves reports whether a unit truly serves, at its full capacity.
+func (m *clusterModel) serves(unit *unitModel) bool {
+	ready := unit.readyMS >= 0 && unit.readyMS <= m.nowMS
+	return m.alive(unit) && ready && !unit.terminating && unit.coldUntilMS <= m.nowMS
 }
 
-// advance has a tick pass: processes go on, leases end, what registers is seen.
+// advance lets a tick pass: processes go on, units register, leases expire, health checks report.
 func (m *clusterModel) advance() {
 	m.nowMS += tickMS
 	m.platform.Advance(m.nowMS)
 	out := 0
 	for _, id := range m.ids {
 		unit := m.units[id]
-		alive := m.platform.LiveProcesses(unit.name()) > 0
-		known, registered := m.ledger.Unit(id)
 		m.revision++
-		switch {
-		case !alive:
-			if unit.leaseEndMS == 0 {
-				unit.leaseEndMS = m.nowMS + 1000
-			}
-			if registered && m.nowMS >= unit.leaseEndMS {
-				m.ledger.MarkLost(m.revision, id)
-			}
-		default:
-			unit.leaseEndMS = 0
-			reported := unit.unit
-			reported.Version, reported.Condition, reported.BootMS = unit.version, disruption.ConditionUp, float64(unit.bootMS)
-			if unit.readyMS < 0 || unit.readyMS > m.nowMS {
-				reported.Condition = disruption.ConditionUnready
-			}
-			if registered && known.BootMS != reported.BootMS {
-				unit.terminating = false // it registers anew
-				if reported.Kind == disruption.KindServer {
-					unit.coldUntilMS = m.nowMS + 3000
-				}
-			}
-			if unit.terminating {
-				reported.Condition = disruption.ConditionDraining
-			}
-			if !m.reportsChangesOnly || !registered || known.BootMS != reported.BootMS || known.Version != reported.Version ||
-				(known.Condition == disruption.ConditionDraining || known.Condition == disruption.ConditionLost) != unit.terminating {
-				m.ledger.Register(m.revision, reported)
-			}
-			if known, _ = m.ledger.Unit(id); reported.Condition == disruption.ConditionUp && known.Condition != disruption.ConditionUp && unit.coldUntilMS <= m.nowMS {
-				m.applyLedgerOp(&disruption.Op{Kind: disruption.OpObserve, Owner: "prober", Observed: []disruption.Unit{{ID: id, Condition: disruption.ConditionUp}}})
-			}
-			if known, _ = m.ledger.Unit(id); reported.Condition == disruption.ConditionUnready && known.Condition == disruption.ConditionUp {
-				m.applyLedgerOp(&disruption.Op{Kind: disruption.OpObserve, Owner: "prober", Observed: []disruption.Unit{{ID: id, Condition: disruption.ConditionUnready}}})
-			}
+		if m.alive(unit) {
+			m.register(unit)
+		} else {
+			m.expire(unit)
 		}
 		if !m.serves(unit) {
 			out++
@@ -210,217 +257,130 @@
 	m.maxOut = max(m.maxOut, out)
 }
 
-// startRelease takes a plan in.
-func (m *clusterModel) startRelease(text string) *State {
-	releasePlan, err := plan.Parse("plan.toml", []byte(text))
-	if err != nil {
-		m.t.Fatal(err)
-	}
-	list, err := m.platform.List(context.Background())
-	if err != nil {
-		m.t.Fatal(err)
-	}
-	state, err := New(releasePlan, m.nowMS, m.ledger.Units(), m.ledger.Budgets(), list)
-	if err == nil {
-		err = m.apply(&Operation{Start: state})
+// expire ends the registration of a unit without a process once its lease is over.
+func (m *clusterModel) expire(unit *unitModel) {
+	if unit.leaseEndMS == 0 {
+		unit.leaseEndMS = m.nowMS + leaseMS
 	}
-	if err != nil {
-		m.t.Fatal(err)
+	if _, registered := m.ledger.Unit(unit.unit.ID); registered && m.nowMS >= unit.leaseEndMS {
+		m.ledger.MarkLost(m.revision, unit.unit.ID)
 	}
-	state, _ = m.table.Get(state.Name)
-	return state
 }
 
-// fakeController is one process that holds the duty, or believes so.
-type fakeController struct {
-	model         *clusterModel
-	name          string
-	token         uint64
-	state         *State
-	outcomes      map[string]supervisor.Outcome
-	deniedPermits map[string]string
-
-	pendingDeltas []Delta // by a planted bug
+// register registers a unit that has a process, and reports what health checks find.
+func (m *clusterModel) register(unit *unitModel) {
+	id := unit.unit.ID
+	known, registered := m.ledger.Unit(id)
+	unit.leaseEndMS = 0
+	reported := unit.unit
+	reported.Version = unit.version
+	reported.BootMS = float64(unit.bootMS)
+	reported.Condition = disruption.ConditionUp
+	if unit.readyMS < 0 || unit.readyMS > m.nowMS {
+		reported.Condition = disruption.ConditionUnready
+	}
+	if registered && known.BootMS != reported.BootMS {
+		unit.terminating = false // a restarted unit registers as ready
+		if reported.Kind == disruption.KindServer {
+			unit.coldUntilMS = m.nowMS + serverWarmUpMS
+		}
+	}
+	if unit.terminating {
+		reported.Condition = disruption.ConditionDraining
+	}
+	if !m.reportsChangesOnly || !registered || registrationChanged(&known, &reported, unit.terminating) {
+		m.ledger.Register(m.revision, reported)
+	}
+	known, _ = m.ledger.Unit(id)
+	if reported.Condition == disruption.ConditionUp && known.Condition != disruption.ConditionUp && unit.coldUntilMS <= m.nowMS {
+		m.observeUnit(id, disruption.ConditionUp)
+	}
+	known, _ = m.ledger.Unit(id)
+	if reported.Condition == disruption.ConditionUnready && known.Condition == disruption.ConditionUp {
+		m.observeUnit(id, disruption.ConditionUnready)
+	}
 }
 
-func (m *clusterModel) newController(name string) *fakeController {
-	m.token++
-	state, _ := m.table.Get(name)
-	own := *state
-	own.Units = slices.Clone(state.Units)
-	return &fakeController{model: m, name: name, token: m.token, state: &own, outcomes: map[string]supervisor.Outcome{}, deniedPermits: map[string]string{}}
+func registrationChanged(known, reported *disruption.Unit, terminating bool) bool {
+	if known.BootMS != reported.BootMS || known.Version != reported.Version {
+		return true
+	}
+	knownTerminating := known.Condition == disruption.ConditionDraining || known.Condition == disruption.ConditionLost
+	return knownTerminating != terminating
 }
 
-func (c *fakeController) view() *View {
-	model := c.model
-	list, err := model.platform.List(context.Background())
+// startRelease starts a release of a plan's text.
+func (m *clusterModel) startRelease(text string) *State {
+	m.t.Helper()
+	releasePlan, err := plan.Parse("plan.toml", []byte(text))
 	if err != nil {
-		list = nil
-	}
-	if model.bugs.trustsIncompleteList && list != nil {
-		list.Complete = true
+		m.t.Fatal(err)
 	}
-	_, commands := model.table.Get(c.name)
-	return &View{
-		NowMS: model.nowMS, Token: c.token, Platform: list, Outcomes: c.outcomes, DeniedPermits: c.deniedPermits, Commands: commands, Verdict: model.verdict(c.state),
-		Permit: model.visiblePermit, Unit: model.ledger.Unit,
-		Prepared: func(string) bool { return true },
-		Drained: func(id string) bool {
-			u := model.units[id]
-			return u.terminating && model.nowMS-u.drainingSinceMS >= 1000
-		},
-		Running: func(id string) (Image, bool) {
-			u := model.units[id]
-			return Image{u.version, u.config}, model.serves(u)
-		},
-		ConfigRejection: func(id, config string) string {
-			if model.units[id].rejectedConfig == config {
-				return "no such class"
-			}
-			return ""
-		},
+	state, err := New(releasePlan, m.nowMS, m.ledger.Units(), m.ledger.Budgets(), m.list())
+	if err != nil {
+		m.t.Fatal(err)
 	}
+	return m.startState(state)
 }
 
-// visiblePermit is a permit as a view of the ledger shows it: those that are over are not in every view.
-func (m *clusterModel) visiblePermit(id string) (disruption.Permit, bool) {
-	permit, known := m.ledger.Permit(id)
-	if m.hidesEndedPermits && known && (permit.Stage == disruption.StageCompleted || permit.Stage == disruption.StageCancelled) {
-		return disruption.Permit{}, false
+// startDrain starts a drain of units, by their IDs.
+func (m *clusterModel) startDrain(name string, ids ...string) *State {
+	m.t.Helper()
+	drainPlan := DrainPlan(name, disruption.Selector{IDs: ids}, 3600)
+	state, err := NewDrain(drainPlan, m.nowMS, m.ledger.Units(), m.list())
+	if err != nil {
+		m.t.Fatal(err)
 	}
-	return permit, known
+	return m.startState(state)
 }
 
-// execute does one effect. An answer that is lost is not known to the controller.
-func (c *fakeController) execute(e Effect, answerLost bool) {
-	model := c.model
-	current := c.token == model.token // what the log guards by the token
-	switch e := e.(type) {
-	case ApplyLedgerOp:
-		op := e.Op
-		if model.bugs.rollbackRankForward && op.Kind == disruption.OpRequest {
-			permit := *op.Permit
-			permit.Priority = disruption.PriorityRollout
-			op.Permit = &permit
-		}
-		if current {
-			if result := model.applyLedgerOp(&op); op.Kind == disruption.OpRequest && result.Outcome != disruption.OutcomeApplied && !answerLost {
-				c.deniedPermits[op.Permit.ID] = result.Reason
-			}
-		}
-	case CallPlatform:
-		request := e.Request
-		id := request.ID
-		if model.bugs.requestIDsPerController {
-			request.ID = fmt.Sprintf("%s-%d", request.ID, c.token)
-		}
-		if request.Op == supervisor.Reload {
-			request.ConfigText = request.ConfigName
-		}
-		outcome, err := model.callPlatform(request)
-		if err == nil && !answerLost {
-			c.outcomes[id] = outcome[0]
-		}
-	case MarkTerminating:
-		if u := model.units[e.Unit]; current && !u.terminating && model.platform.LiveProcesses(u.name()) > 0 {
-			u.terminating, u.drainingSinceMS = true, model.nowMS
-		}
-	case MarkReady:
-		if current {
-			model.units[e.Unit].terminating = false
-		}
-	case PrepareUnit:
-	case WriteDelta:
-		if model.bugs.writesAfterEffects {
-			c.state.Apply(e.Delta)
-			c.pendingDeltas = append(c.pendingDeltas, e.Delta)
-			return
-		}
-		if current && model.apply(&Operation{Name: c.name, Delta: &e.Delta}) == nil && !answerLost {
-			state, _ := model.table.Get(c.name)
-			c.state.Apply(e.Delta)
-			if c.state.Sequence != state.Sequence {
-				model.t.Fatal("the controller's state is not the log's")
-			}
-		}
+func (m *clusterModel) startState(state *State) *State {
+	m.t.Helper()
+	if err := m.apply(&Operation{Start: state}); err != nil {
+		m.t.Fatal(err)
 	}
+	started, _ := m.table.Get(state.Name)
+	return started
 }
 
-// writePending writes what a planted bug has put off, in the tick after it.
-func (c *fakeController) writePending() {
-	for _, delta := range c.pendingDeltas {
-		if c.token == c.model.token {
-			c.model.apply(&Operation{Name: c.name, Delta: &delta})
+// unitsOut are the units under an active permit.
+func (m *clusterModel) unitsOut() (ids []string) {
+	for _, permit := range m.ledger.OpenPermits() {
+		if permit.Stage == disruption.StageActive || permit.Stage == disruption.StageReturning {
+			ids = append(ids, permit.Units...)
 		}
 	}
-	c.pendingDeltas = nil
+	return ids
 }
 
-// crash says where controllers die: each effect is passed a number, from 0, over the whole run.
-type crash struct {
-	effectIndex  int // -1: never
-	mode         string
-	effectsDone  int
-	happened     bool
-	resumeFrozen func() // does what a frozen controller had still to do
-	ticksToThaw  int    // in so many ticks
+// launchesOf counts the starts of a version, of all units.
+func (m *clusterModel) launchesOf(version string) int {
+	count := 0
+	for launch := range m.launches {
+		if strings.HasSuffix(launch, " "+version) {
+			count++
+		}
+	}
+	return count
 }
 
-// run plays a release to its end, with hooks before each tick. It gives the number of effects that were done.
-func (m *clusterModel) run(name string, planned *crash, ticks int, beforeTick func(tick int, state *State)) (*State, int) {
-	current := m.newController(name)
-	for i := range ticks {
-		state, _ := m.table.Get(name)
-		if beforeTick != nil {
-			beforeTick(i, state)
-		}
-		if state, commands := m.table.Get(name); state.Status.Phase.Finished() && state.Status.HandledCommands == len(commands) && (planned.ticksToThaw == 0) {
-			return state, planned.effectsDone
-		}
-		effects := current.state.Reconcile(current.view())
-		if i%3 == 0 {
-			current.writePending()
-		}
-		for j, e := range effects {
-			index := planned.effectsDone
-			planned.effectsDone++
-			if index == planned.effectIndex && !planned.happened {
-				planned.happened = true
-				switch planned.mode {
-				case "before":
-				case "after":
-					current.execute(e, true)
-				case "frozen":
-					frozen, rest := current, effects[j:]
-					planned.ticksToThaw = 12
-					planned.resumeFrozen = func() {
-						for _, e := range rest {
-							frozen.execute(e, false)
-						}
-					}
-				}
-				current = m.newController(name)
-				break
-			}
-			current.execute(e, false)
-		}
-		if planned.ticksToThaw > 0 {
-			if planned.ticksToThaw--; planned.ticksToThaw == 0 {
-				planned.resumeFrozen()
-			}
+// unitsAt counts a release's units at a stage.
+func unitsAt(state *State, stage Stage) int {
+	count := 0
+	for i := range state.Units {
+		if state.Units[i].Stage == stage {
+			count++
 		}
-		m.advance()
 	}
-	state, _ := m.table.Get(name)
-	return state, planned.effectsDone
+	return count
 }
 
-// checkAllRun tells whether every unit truly runs an image and serves.
-func (m *clusterModel) checkAllRun(state *State, version, config string) error {
+// checkAllRun returns an error unless every unit of a release truly runs an image, in one process, and serves.
+func (m *clusterModel) checkAllRun(state *State, image Image) error {
 	for i := range state.Units {
 		unit := m.units[state.Units[i].ID]
-		if !m.serves(unit) || unit.version != version || unit.config != config {
-			return fmt.Errorf("%s runs %s %s, up %v, want %s %s", unit.unit.ID, unit.version, unit.config, m.serves(unit), version, config)
+		if !m.serves(unit) || unit.version != image.Version || unit.config != image.ConfigName {
+			return fmt.Errorf("%s runs %s %s, serves %v, want %s", unit.unit.ID, unit.version, unit.config, m.serves(unit), image)
 		}
 		if processes := m.platform.LiveProcesses(state.Units[i].Name); processes != 1 {
 			return fmt.Errorf("%s has %d processes", unit.unit.ID, processes)
@@ -428,12 +388,3 @@
 	}
 	return nil
 }
-
-// list is the platform's list, which has to be had.
-func (m *clusterModel) list() *supervisor.List {
-	list, err := m.platform.List(context.Background())
-	if err != nil {
-		m.t.Fatal(err)
-	}
-	return list
-}
--- /dev/null
+++ b/internal/release/fakecontroller_test.go
@@ -0,0 +1,270 @@
+package release
+
+import (
+	"context"
+	"fmt"
+	"slices"
+
+	"milldeck/internal/disruption"
+	"milldeck/internal/supervisor"
+)
+
+// fakeController is a process that holds the release's lease, or believes that it does.
+type fakeController struct {
+	model         *clusterModel
+	name          string
+	token         uint64
+	state         *State
+	outcomes      map[string]supervisor.Outcome
+	deniedPermits map[string]string
+
+	pendingDeltas []Delta // not written yet, by a planted bug
+}
+
+// newController makes a controller under the next token, which reads the release from the log.
+func (m *clusterModel) newController(name string) *fakeController {
+	m.token++
+	state, _ := m.table.Get(name)
+	own := *state
+	own.Units = slices.Clone(state.Units)
+	return &fakeController{
+		model:         m,
+		name:          name,
+		token:         m.token,
+		state:         &own,
+		outcomes:      map[string]supervisor.Outcome{},
+		deniedPermits: map[string]string{},
+	}
+}
+
+// view is what the controller observes of the model.
+func (c *fakeController) view() *View {
+	model := c.model
+	list, err := model.platform.List(context.Background())
+	if err != nil {
+		list = nil
+	}
+	if model.bugs.trustsIncompleteList && list != nil {
+		list.Complete = true
+	}
+	_, commands := model.table.Get(c.name)
+	return &View{
+		NowMS:         model.nowMS,
+		Token:         c.token,
+		Commands:      commands,
+		Verdict:       model.verdict(c.state),
+		Platform:      list,
+		Outcomes:      c.outcomes,
+		DeniedPermits: c.deniedPermits,
+		Permit:        model.visiblePermit,
+		Unit:          model.ledger.Unit,
+		Prepared:      func(string) bool { return true },
+		Drained: func(id string) bool {
+			unit := model.units[id]
+			return unit.terminating && model.nowMS-unit.drainingSinceMS >= drainMS
+		},
+		Running: func(id string) (Image, bool) {
+			unit := model.units[id]
+			return Image{unit.version, unit.config}, model.serves(unit)
+		},
+		ConfigRejection: func(id, config string) string {
+			if model.units[id].rejectedConfig == config {
+				return "no such class"
+			}
+			return ""
+		},
+	}
+}
+
+// visiblePermit is a permit as a view of the ledger has it: not every view has those that have ended.
+func (m *clusterModel) visiblePermit(id string) (disruption.Permit, bool) {
+	permit, known := m.ledger.Permit(id)
+	if m.hidesEndedPermits && known && ended(permit) {
+		return disruption.Permit{}, false
+	}
+	return permit, known
+}
+
+// execute executes one effect. With answerLost the controller does not learn its outcome. Writes to the log and the
+// ledger need the valid token; the platform knows no tokens.
+func (c *fakeController) execute(effect Effect, answerLost bool) {
+	model := c.model
+	valid := c.token == model.token
+	switch effect := effect.(type) {
+	case ApplyLedgerOp:
+		if valid {
+			c.executeLedgerOp(effect.Op, answerLost)
+		}
+	case CallPlatform:
+		c.executeRequest(effect.Request, answerLost)
+	case MarkTerminating:
+		if unit := model.units[effect.Unit]; valid && !unit.terminating && model.alive(unit) {
+			unit.terminating = true
+			unit.drainingSinceMS = model.nowMS
+		}
+	case MarkReady:
+		if valid {
+			model.units[effect.Unit].terminating = false
+		}
+	case PrepareUnit:
+	case WriteDelta:
+		c.executeWrite(effect.Delta, valid, answerLost)
+	}
+}
+
+func (c *fakeController) executeLedgerOp(op disruption.Op, answerLost bool) {
+	if c.model.bugs.rollbackRankForward && op.Kind == disruption.OpRequest {
+		permit := *op.Permit
+		permit.Priority = disruption.PriorityRollout
+		op.Permit = &permit
+	}
+	result := c.model.applyLedgerOp(&op)
+	if op.Kind == disruption.OpRequest && result.Outcome != disruption.OutcomeApplied && !answerLost {
+		c.deniedPermits[op.Permit.ID] = result.Reason
+	}
+}
+
+func (c *fakeController) executeRequest(request supervisor.Request, answerLost bool) {
+	id := request.ID
+	if c.model.bugs.requestIDsPerController {
+		request.ID = fmt.Sprintf("%s-%d", request.ID, c.token)
+	}
+	if request.Op == supervisor.Reload {
+		request.ConfigText = request.ConfigName
+	}
+	outcomes, err := c.model.callPlatform(request)
+	if err == nil && !answerLost {
+		c.outcomes[id] = outcomes[0]
+	}
+}
+
+func (c *fakeController) executeWrite(delta Delta, valid, answerLost bool) {
+	if c.model.bugs.writesAfterEffects {
+		c.applyToOwn(delta)
+		c.pendingDeltas = append(c.pendingDeltas, delta)
+		return
+	}
+	if !valid || c.model.apply(&Operation{Name: c.name, Delta: &delta}) != nil || answerLost {
+		return
+	}
+	c.applyToOwn(delta)
+	if written, _ := c.model.table.Get(c.name); c.state.Sequence != written.Sequence {
+		c.model.t.Fatal("the controller's state is not that of the log")
+	}
+}
+
+// applyToOwn applies a delta to the controller's own state, which it was computed from.
+func (c *fakeController) applyToOwn(delta Delta) {
+	if err := c.state.Apply(delta); err != nil {
+		c.model.t.Fatal(err)
+	}
+}
+
+// writePending writes what a planted bug has delayed. The log may reject it by now.
+func (c *fakeController) writePending() {
+	for _, delta := range c.pendingDeltas {
+		if c.token == c.model.token {
+			_ = c.model.apply(&Operation{Name: c.name, Delta: &delta}) // a rejection is a part of the bug
+		}
+	}
+	c.pendingDeltas = nil
+}
+
+// crashMode is what a crash does to the effect at which it happens.
+type crashMode string
+
+const (
+	crashBefore crashMode = "before" // the controller dies before it
+	crashAfter  crashMode = "after"  // it dies after it, before it learns the outcome
+	crashFrozen crashMode = "frozen" // it is frozen, and executes this effect and the rest when another has taken over
+)
+
+var crashModes = []crashMode{crashBefore, crashAfter, crashFrozen}
+
+// frozenTicks is for how many ticks a frozen controller is frozen.
+const frozenTicks = 12
+
+// crash is a planned crash of the controller, at an effect by its number in the whole run.
+type crash struct {
+	effectIndex  int // from 0; below 0: never
+	mode         crashMode
+	effectsDone  int // counts the effects of the run
+	happened     bool
+	resumeFrozen func()
+	ticksToThaw  int // 0: no controller is frozen
+}
+
+// noCrash plans no crash.
+func noCrash() *crash { return &crash{effectIndex: -1} }
+
+// hits reports whether the crash happens at the next effect, and counts that.
+func (p *crash) hits() bool {
+	index := p.effectsDone
+	p.effectsDone++
+	if index != p.effectIndex || p.happened {
+		return false
+	}
+	p.happened = true
+	return true
+}
+
+// at executes what the crash leaves of a controller's effects, of which rest begins with the one at which it happens.
+func (p *crash) at(controller *fakeController, rest []Effect) {
+	switch p.mode {
+	case crashBefore:
+	case crashAfter:
+		controller.execute(rest[0], true)
+	case crashFrozen:
+		p.ticksToThaw = frozenTicks
+		p.resumeFrozen = func() {
+			for _, effect := range rest {
+				controller.execute(effect, false)
+			}
+		}
+	}
+}
+
+// tick lets a tick pass for a frozen controller.
+func (p *crash) tick() {
+	if p.ticksToThaw == 0 {
+		return
+	}
+	p.ticksToThaw--
+	if p.ticksToThaw == 0 {
+		p.resumeFrozen()
+	}
+}
+
+// run plays the release r until it is finished and its commands are handled, for a number of ticks at most, with a hook
+// before each tick. It returns the release and the number of effects.
+func (m *clusterModel) run(planned *crash, ticks int, beforeTick func(tick int, state *State)) (*State, int) {
+	const name = "r"
+	current := m.newController(name)
+	for tick := range ticks {
+		state, _ := m.table.Get(name)
+		if beforeTick != nil {
+			beforeTick(tick, state)
+		}
+		state, commands := m.table.Get(name)
+		handled := state.Status.HandledCommands == len(commands)
+		if state.Status.Phase.Finished() && handled && planned.ticksToThaw == 0 {
+			return state, planned.effectsDone
+		}
+		effects := current.state.Reconcile(current.view())
+		if tick%3 == 0 {
+			current.writePending()
+		}
+		for i, effect := range effects {
+			if planned.hits() {
+				planned.at(current, effects[i:])
+				current = m.newController(name)
+				break
+			}
+			current.execute(effect, false)
+		}
+		planned.tick()
+		m.advance()
+	}
+	state, _ := m.table.Get(name)
+	return state, planned.effectsDone
+}
--- a/internal/release/faults_test.go
+++ b/internal/release/faults_test.go
@@ -14,42 +14,45 @@
 	"milldeck/internal/supervisor/core"
 )
 
-// seedsFlag is how many seeds of random faults are played. The figures are of 300.
+// seedsFlag is how many seeds of random faults are played. docs/release.md has figures of 300.
 var seedsFlag = flag.Uint64("seeds", 6, "seeds of random faults")
 
-// runToEnd plays a release to its end and tells whether all its units are where its phase says.
+// runToEnd plays the release r to its end, and returns an error unless all its units are as its phase says.
 func (m *clusterModel) runToEnd(planned *crash, ticks int, beforeTick func(int, *State)) (*State, error) {
-	state, _ := m.run("r", planned, ticks, beforeTick)
-	for range 60 { // who has failed alone at the very end comes up again by itself
+	state, _ := m.run(planned, ticks, beforeTick)
+	for range settleTicks {
 		m.advance()
 	}
 	switch state.Status.Phase {
 	case PhaseCompleted:
-		return state, m.checkAllRun(state, state.Units[0].Target.Version, state.Units[0].Target.ConfigName)
+		return state, m.checkAllRun(state, state.Units[0].Target)
 	case PhaseRolledBack:
-		return state, m.checkAllRun(state, state.Units[0].Previous.Version, state.Units[0].Previous.ConfigName)
+		return state, m.checkAllRun(state, state.Units[0].Previous)
 	case PhaseStranded:
 		return state, m.checkStranded(state)
 	}
 	return state, fmt.Errorf("it is still %s: %s", state.Status.Phase, state.Status.HaltReason)
 }
 
-// checkStranded tells whether the list of a way back that has left units stranded is that of those that are not on the old version.
+// checkStranded returns an error unless the stranded units are exactly those that do not run their previous image.
 func (m *clusterModel) checkStranded(state *State) error {
 	for i := range state.Units {
-		unit := m.units[state.Units[i].ID]
+		unit, previous := m.units[state.Units[i].ID], state.Units[i].Previous
+		id := unit.unit.ID
 		listed := slices.ContainsFunc(state.Status.Stranded, func(line string) bool {
-			return strings.HasPrefix(line, unit.unit.ID+":") || strings.HasPrefix(line, unit.unit.ID+" ")
+			return strings.HasPrefix(line, id+":") || strings.HasPrefix(line, id+" ")
 		})
-		if onPrevious := m.serves(unit) && unit.version == state.Units[i].Previous.Version && unit.config == state.Units[i].Previous.ConfigName; onPrevious == listed {
-			return fmt.Errorf("%s runs %s, up %v, and is listed as stranded: %v", unit.unit.ID, unit.version, m.serves(unit), listed)
+		returned := m.serves(unit) && unit.version == previous.Version && unit.config == previous.ConfigName
+		if returned == listed {
+			return fmt.Errorf("%s runs %s, serves %v, and is listed as stranded: %v", id, unit.version, m.serves(unit), listed)
 		}
 	}
 	return nil
 }
 
-// rollbackUnderFleetHalt plays a release that a guard sends back while an operator has halted the whole fleet.
+// rollbackUnderFleetHalt plays a release that a guard rolls back while an operator has halted the whole fleet.
 func rollbackUnderFleetHalt(t testing.TB, planted plantedBugs) error {
+	t.Helper()
 	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
 	model.bugs = planted
 	model.startRelease(serverPlan)
@@ -59,28 +62,28 @@
 		}
 		return judge.Verdict{Outcome: judge.Pass}
 	}
-	state, err := model.runToEnd(&crash{effectIndex: -1}, 1000, func(_ int, state *State) {
+	state, err := model.runToEnd(noCrash(), 1000, func(_ int, state *State) {
 		if state.Status.Phase == PhaseRollback {
-			model.applyLedgerOp(&disruption.Op{Kind: disruption.OpHalt, Owner: "operator/eva", Halt: &disruption.Halt{Reason: "a bad night"}})
+			halt := &disruption.Halt{Reason: "a bad night"}
+			model.applyLedgerOp(&disruption.Op{Kind: disruption.OpHalt, Owner: operatorName, Halt: halt})
 		}
 	})
 	if err == nil && state.Status.Phase != PhaseRolledBack {
-		err = fmt.Errorf("it is %s", state.Status.Phase)
+		err = fmt.Errorf("it ended %s", state.Status.Phase)
 	}
 	return err
 }
 
-// losePlatformState plays a release while the platform forgets at a tick, and finds all again 8 s later.
+// losePlatformState plays a release in which the platform loses its state at a tick, and finds all units again 8 s later.
 func losePlatformState(t testing.TB, planted plantedBugs, lossTick int) error {
+	t.Helper()
 	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
 	model.bugs = planted
 	model.startRelease(serverPlan)
 	maxProcesses := 0
-	_, err := model.runToEnd(&crash{effectIndex: -1}, 1000, func(i int, _ *State) {
-		if i == lossTick {
-			if err := model.platform.SetFault(core.Fault{Kind: core.FaultLoseState, DurationMS: 8000}); err != nil {
-				t.Fatal(err)
-			}
+	_, err := model.runToEnd(noCrash(), 1000, func(tick int, _ *State) {
+		if tick == lossTick {
+			model.setFault(core.Fault{Kind: core.FaultLoseState, DurationMS: 8000})
 		}
 		for _, id := range model.ids {
 			maxProcesses = max(maxProcesses, model.platform.LiveProcesses(model.units[id].name()))
@@ -101,107 +104,151 @@
 func TestPlatformStateLossIsNotEvidence(t *testing.T) {
 	for lossTick := range 60 {
 		if err := losePlatformState(t, plantedBugs{}, lossTick); err != nil {
-			t.Errorf("forgets at tick %d: %v", lossTick, err)
+			t.Errorf("state lost at tick %d: %v", lossTick, err)
 		}
 	}
 }
 
-// Each planted bug is found by the tests that are there for it.
-func TestPlantedBugsAreDetected(t *testing.T) {
-	crashAtEveryEffect := func(tested scenario, planted plantedBugs) (err error) {
-		if _, runErr := tested.play(t, &crash{effectIndex: -1}, planted); runErr != nil {
-			t.Errorf("%+v shows without a kill: %v", planted, runErr)
-		}
-		for index := 0; index < 120 && err == nil; index++ {
-			for _, mode := range []string{"before", "after", "frozen"} {
-				if _, runErr := tested.play(t, &crash{effectIndex: index, mode: mode}, planted); runErr != nil {
-					err = runErr
-				}
+// findByCrashes crashes the controller at each effect of a scenario until a planted bug shows, which it must not without
+// a crash.
+func findByCrashes(t *testing.T, tested *scenario, planted plantedBugs) error {
+	t.Helper()
+	if _, err := tested.play(t, noCrash(), planted); err != nil {
+		t.Errorf("%+v shows without a crash: %v", planted, err)
+	}
+	var found error
+	for index := 0; index < 120 && found == nil; index++ {
+		for _, mode := range crashModes {
+			if _, err := tested.play(t, &crash{effectIndex: index, mode: mode}, planted); err != nil {
+				found = err
 			}
 		}
-		return err
 	}
+	return found
+}
+
+// scenarioNamed is a scenario by its name.
+func scenarioNamed(t *testing.T, name string) *scenario {
+	t.Helper()
+	for i := range scenarios {
+		if scenarios[i].name == name {
+			return &scenarios[i]
+		}
+	}
+	t.Fatalf("there is no scenario %q", name)
+	return nil
+}
+
+// Each planted bug is detected by the tests that are meant for it.
+func TestPlantedBugsAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		find func() error
+		find func(t *testing.T) error
 	}{
-		{"steps written after what they do", func() error { return crashAtEveryEffect(scenarios[0], plantedBugs{writesAfterEffects: true}) }},
-		{"request ids that do not follow from what is written", func() error {
-			for _, tested := range scenarios {
-				if tested.name == "configuration" {
-					return crashAtEveryEffect(tested, plantedBugs{requestIDsPerController: true})
-				}
-			}
-			return nil
+		{"state written after its effects", func(t *testing.T) error {
+			return findByCrashes(t, &scenarios[0], plantedBugs{writesAfterEffects: true})
+		}},
+		{"request IDs that depend on the controller", func(t *testing.T) error {
+			return findByCrashes(t, scenarioNamed(t, "configuration"), plantedBugs{requestIDsPerController: true})
+		}},
+		{"rollbacks at the priority of rollouts", func(t *testing.T) error {
+			return rollbackUnderFleetHalt(t, plantedBugs{rollbackRankForward: true})
 		}},
-		{"ways back that ask behind forward steps", func() error { return rollbackUnderFleetHalt(t, plantedBugs{rollbackRankForward: true}) }},
-		{"absence at a platform that has forgotten taken for an end", func() (err error) {
-			for index := 0; index < 60 && err == nil; index++ {
-				err = losePlatformState(t, plantedBugs{trustsIncompleteList: true}, index)
+		{"absence from an incomplete list taken for an end", func(t *testing.T) error {
+			var found error
+			for lossTick := 0; lossTick < 60 && found == nil; lossTick++ {
+				found = losePlatformState(t, plantedBugs{trustsIncompleteList: true}, lossTick)
 			}
-			return err
+			return found
 		}},
 	} {
-		err := c.find()
-		if err == nil {
-			t.Errorf("%s: not found", c.name)
-		} else {
-			t.Logf("%s: found: %v", c.name, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			err := c.find(t)
+			if err == nil {
+				t.Fatal("not detected")
+			}
+			t.Logf("detected: %v", err)
+		})
 	}
 }
 
-// Hard case 4: the platform hangs, does half, loses answers, starts one twice, stops the wrong one, forgets all, each at
-// every moment of a release and of a way back.
+// Each fault of the platform, at every moment of a rollout and of a rollback: it hangs, fails, does half of a call, loses
+// answers, acts on the wrong unit, loses its state.
 func TestPlatformFaults(t *testing.T) {
 	faults := []core.Fault{
-		{Kind: core.FaultHang, DurationMS: 20_000}, {Kind: core.FaultError, Count: 3}, {Kind: core.FaultPartial, On: core.OnDo}, {Kind: core.FaultDropResponse, Count: 2},
-		{Kind: core.FaultWrongUnit, On: core.OnDo}, {Kind: core.FaultLoseState, DurationMS: 5000},
+		{Kind: core.FaultHang, DurationMS: 20_000},
+		{Kind: core.FaultError, Count: 3},
+		{Kind: core.FaultPartial, On: core.OnDo},
+		{Kind: core.FaultDropResponse, Count: 2},
+		{Kind: core.FaultWrongUnit, On: core.OnDo},
+		{Kind: core.FaultLoseState, DurationMS: 5000},
 	}
 	for _, fault := range faults {
 		for _, rollbackTick := range []int{0, 62} {
 			for faultTick := 0; faultTick < 100; faultTick += 7 {
-				model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
-				model.startRelease(serverPlan)
-				_, err := model.runToEnd(&crash{effectIndex: -1}, 3000, func(i int, s *State) {
-					if i == faultTick {
-						if err := model.platform.SetFault(fault); err != nil {
-							t.Fatal(err)
-						}
-					}
-					if i == rollbackTick && rollbackTick > 0 {
-						model.apply(&Operation{Name: "r", Command: &Command{Action: CommandRollback, Operator: "operator/eva"}})
-					}
-				})
-				if err != nil {
-					t.Errorf("%s at tick %d, back at %d: %v", fault.Kind, faultTick, rollbackTick, err)
-				}
-				for launch, n := range model.launches {
-					if maxLaunches := 2; n > maxLaunches { // a start that was done by half, or a unit that was stopped wrongly, is started again
-						t.Errorf("%s at tick %d, back at %d: %s was started %d times", fault.Kind, faultTick, rollbackTick, launch, n)
-					}
-				}
+				playPlatformFault(t, fault, faultTick, rollbackTick)
 			}
 		}
 	}
 }
 
-// The same core with 200 units and faults at random: units that fail alone, a platform that fails, controllers that are
-// killed and frozen, halts and resumes by hand, harm. It ends on all new or all old, never over its budget.
+// playPlatformFault plays a release with one fault. RollbackTick is 0 where it is not rolled back.
+func playPlatformFault(t *testing.T, fault core.Fault, faultTick, rollbackTick int) {
+	t.Helper()
+	const maxLaunches = 2 // a start that was done by half, or a unit that was stopped wrongly, is started again
+	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
+	model.startRelease(serverPlan)
+	_, err := model.runToEnd(noCrash(), 3000, func(tick int, _ *State) {
+		if tick == faultTick {
+			model.setFault(fault)
+		}
+		if tick == rollbackTick && rollbackTick > 0 {
+			sendCommand(t, model, CommandRollback)
+		}
+	})
+	if err != nil {
+		t.Errorf("%s at tick %d, rolled back at %d: %v", fault.Kind, faultTick, rollbackTick, err)
+	}
+	for launch, count := range model.launches {
+		if count > maxLaunches {
+			t.Errorf("%s at tick %d, rolled back at %d: %s was started %d times", fault.Kind, faultTick, rollbackTick, launch, count)
+		}
+	}
+}
+
+// 200 units with random faults: units that fail alone, platform faults, controllers that crash and freeze, halts and
+// resumes by operators, regressions. A release ends with every unit on one image, or exactly listed, never over budget.
 func TestRandomFaults(t *testing.T) {
 	seeds := *seedsFlag
 	outcomes := map[Phase]int{}
 	for seed := range seeds {
-		if err := runRandomFaults(t, seed, outcomes); err != nil {
+		phase, err := playRandomFaults(t, seed)
+		if err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
+		outcomes[phase]++
 	}
 	t.Logf("%d seeds ended %v", seeds, outcomes)
 }
 
-func runRandomFaults(t testing.TB, seed uint64, outcomes map[Phase]int) error {
-	rng := rand.New(rand.NewPCG(seed, 7))
+// randomFaults is a release with random faults.
+type randomFaults struct {
+	rng         *rand.Rand
+	model       *clusterModel
+	planned     *crash
+	maxOut      int
+	crashed     map[int]bool // indexes of the units that have failed alone
+	currentTick int
+	budgetErr   error // the first time that too many units were out
+}
+
+// faultTicks is how long faults are injected. After that a halted release is rolled back.
+const faultTicks = 400
+
+func playRandomFaults(t testing.TB, seed uint64) (Phase, error) {
+	t.Helper()
 	const maxOut = 12
+	rng := rand.New(rand.NewPCG(seed, 7))
 	model := newClusterModel(t, disruption.KindServer, 4, 50, maxOut)
 	planText := strings.Replace(serverPlan, "count = 1", "share = 0.05", 1)
 	planText = strings.Replace(planText, "count = 2", "count = 10", 1)
@@ -213,56 +260,69 @@
 	if rng.IntN(2) == 0 {
 		regressionTick = rng.IntN(300)
 	}
-	currentTick := 0
+	planned := &crash{effectIndex: rng.IntN(200), mode: crashModes[rng.IntN(3)]}
+	played := &randomFaults{rng: rng, model: model, planned: planned, maxOut: maxOut, crashed: map[int]bool{}}
 	model.verdict = func(*State) judge.Verdict {
-		if regressionTick >= 0 && currentTick >= regressionTick {
+		if regressionTick >= 0 && played.currentTick >= regressionTick {
 			return judge.Verdict{Outcome: judge.Regression, Reason: "planted"}
 		}
 		return judge.Verdict{Outcome: judge.Pass}
 	}
-	planned := &crash{effectIndex: rng.IntN(200), mode: []string{"before", "after", "frozen"}[rng.IntN(3)]}
-	var budgetErr error
-	crashed := map[int]bool{}
-	state, err := model.runToEnd(planned, 4000, func(i int, state *State) {
-		currentTick = i
-		if planned.happened && planned.ticksToThaw == 0 && rng.IntN(20) == 0 {
-			planned.happened, planned.effectIndex, planned.mode = false, planned.effectsDone+rng.IntN(60), []string{"before", "after", "frozen"}[rng.IntN(3)]
-		}
-		if i%50 == 49 { // a replica that was restored from a snapshot goes on alike
-			model.restoreSnapshot()
-		}
-		if i < 400 && rng.IntN(40) == 0 {
-			model.platform.SetFault([]core.Fault{
-				{Kind: core.FaultHang, DurationMS: 5000}, {Kind: core.FaultError, Count: 2}, {Kind: core.FaultPartial, On: core.OnDo}, {Kind: core.FaultDropResponse, Count: 2},
-				{Kind: core.FaultLoseState, DurationMS: 3000}, {Kind: core.FaultDelay, DelayMS: 3000},
-			}[rng.IntN(6)])
-		}
-		if i < 400 && rng.IntN(60) == 0 {
-			n := rng.IntN(len(model.ids))
-			if !crashed[n] { // it fails alone; the platform starts it again, once
-				model.platform.Crash(model.units[model.ids[n]].name(), "signal: killed")
-			}
-			crashed[n] = true
-		}
-		if i < 400 && rng.IntN(80) == 0 {
-			model.apply(&Operation{Name: "r", Command: &Command{Action: []Action{CommandHalt, CommandResume}[rng.IntN(2)], Operator: "operator/eva"}})
-		}
-		if i > 400 && state.Status.Phase == PhaseHalted && i%50 == 0 {
-			model.apply(&Operation{Name: "r", Command: &Command{Action: CommandRollback, Operator: "operator/eva"}})
-		}
-		if n := model.plannedOut(state, crashed); n > maxOut && budgetErr == nil {
-			budgetErr = fmt.Errorf("budget: %d units are out for planned reasons at tick %d, %d may be", n, i, maxOut)
-		}
-	})
-	outcomes[state.Status.Phase]++
+	state, err := model.runToEnd(planned, 4000, played.beforeTick)
 	if err == nil {
-		err = budgetErr
+		err = played.budgetErr
+	}
+	return state.Status.Phase, err
+}
+
+func (f *randomFaults) beforeTick(tick int, state *State) {
+	f.currentTick = tick
+	if f.planned.happened && f.planned.ticksToThaw == 0 && f.rng.IntN(20) == 0 {
+		f.planned.happened = false
+		f.planned.effectIndex = f.planned.effectsDone + f.rng.IntN(60)
+		f.planned.mode = crashModes[f.rng.IntN(3)]
+	}
+	if tick%50 == 49 { // a replica that was restored from a snapshot behaves the same
+		f.model.restoreSnapshot()
+	}
+	if tick < faultTicks {
+		f.inject()
+	}
+	if tick > faultTicks && state.Status.Phase == PhaseHalted && tick%50 == 0 {
+		sendCommand(f.model.t, f.model, CommandRollback)
+	}
+	if out := f.model.plannedOut(state, f.crashed); out > f.maxOut && f.budgetErr == nil {
+		f.budgetErr = fmt.Errorf("budget: %d units are out for planned reasons at tick %d, allowed are %d", out, tick, f.maxOut)
+	}
+}
+
+// inject injects faults of the platform, of units and by operators, each with its own probability.
+func (f *randomFaults) inject() {
+	if f.rng.IntN(40) == 0 {
+		f.model.setFault([]core.Fault{
+			{Kind: core.FaultHang, DurationMS: 5000},
+			{Kind: core.FaultError, Count: 2},
+			{Kind: core.FaultPartial, On: core.OnDo},
+			{Kind: core.FaultDropResponse, Count: 2},
+			{Kind: core.FaultLoseState, DurationMS: 3000},
+			{Kind: core.FaultDelay, DelayMS: 3000},
+		}[f.rng.IntN(6)])
+	}
+	if f.rng.IntN(60) == 0 {
+		i := f.rng.IntN(len(f.model.ids))
+		if !f.crashed[i] { // the platform restarts it, once
+			f.model.crashUnit(f.model.units[f.model.ids[i]].name())
+		}
+		f.crashed[i] = true
+	}
+	if f.rng.IntN(80) == 0 {
+		sendCommand(f.model.t, f.model, []Action{CommandHalt, CommandResume}[f.rng.IntN(2)])
 	}
-	return err
 }
 
-// restoreSnapshot takes the table through a snapshot.
+// restoreSnapshot replaces the table by one that is restored from its snapshot.
 func (m *clusterModel) restoreSnapshot() {
+	m.t.Helper()
 	data, err := json.Marshal(m.table.Snapshot())
 	if err != nil {
 		m.t.Fatal(err)
@@ -272,21 +332,24 @@
 		m.t.Fatal(err)
 	}
 	claims := len(m.table.claims)
-	if m.table = Restore(&snapshot); len(m.table.claims) != claims {
+	m.table = Restore(&snapshot)
+	if len(m.table.claims) != claims {
 		m.t.Fatalf("%d claims after a restore, %d before", len(m.table.claims), claims)
 	}
 }
 
-// plannedOut counts the units that are truly out and under a permit, but for those that have failed alone: a permit for one
-// that is out anyway takes no room.
+// plannedOut counts the units that are truly out under an active permit, without those that have failed alone: a permit
+// for one that is out anyway takes no budget.
 func (m *clusterModel) plannedOut(state *State, crashed map[int]bool) int {
 	out := 0
 	for i := range state.Units {
-		if !state.Units[i].inProgress() || crashed[slices.Index(m.ids, state.Units[i].ID)] {
+		unit := &state.Units[i]
+		if !unit.inProgress() || crashed[slices.Index(m.ids, unit.ID)] {
 			continue
 		}
-		permit, known := m.ledger.Permit(state.PermitID(&state.Units[i]))
-		if known && (permit.Stage == disruption.StageActive || permit.Stage == disruption.StageReturning) && !m.serves(m.units[state.Units[i].ID]) {
+		permit, known := m.ledger.Permit(state.PermitID(unit))
+		active := permit.Stage == disruption.StageActive || permit.Stage == disruption.StageReturning
+		if known && active && !m.serves(m.units[unit.ID]) {
 			out++
 		}
 	}
--- a/internal/release/fixtures_test.go
+++ b/internal/release/fixtures_test.go
@@ -21,36 +21,38 @@
 type fixtureScenario struct {
 	name      string
 	kind      disruption.Kind
-	plan      string                                                  // empty: a drain
-	script    func(t *testing.T, w *clusterModel, tick int, s *State) // called before each tick
-	wantPhase Phase                                                   // at the end
+	plan      string // empty: a drain
+	wantPhase Phase  // at the end
+
+	// script, where set, is called before each tick.
+	script func(t *testing.T, model *clusterModel, tick int, state *State)
 }
 
 var fixtureScenarios = []fixtureScenario{
 	{name: "halt-resume-rollback", kind: disruption.KindServer, plan: serverPlan, wantPhase: PhaseRolledBack,
-		script: func(t *testing.T, w *clusterModel, tick int, _ *State) {
+		script: func(t *testing.T, model *clusterModel, tick int, _ *State) {
 			switch tick {
 			case 8, 12:
-				sendCommand(t, w, CommandHalt)
+				sendCommand(t, model, CommandHalt)
 			case 10, 62:
-				sendCommand(t, w, CommandResume)
+				sendCommand(t, model, CommandResume)
 			case 90:
-				sendCommand(t, w, CommandRollback)
+				sendCommand(t, model, CommandRollback)
 			}
 		}},
 	{name: "sidecars-finalized", kind: disruption.KindSidecar, plan: sidecarPlan, wantPhase: PhaseCompleted},
 	{name: "configuration-refused", kind: disruption.KindSidecar, plan: configPlan, wantPhase: PhaseRolledBack,
-		script: func(t *testing.T, w *clusterModel, tick int, s *State) {
-			w.rejectedConfigs["c2"] = true
-			if s.Status.Phase == PhaseHalted && tick >= 60 {
-				sendCommand(t, w, CommandRollback)
+		script: func(t *testing.T, model *clusterModel, tick int, state *State) {
+			model.rejectedConfigs["c2"] = true
+			if state.Status.Phase == PhaseHalted && tick >= 60 {
+				sendCommand(t, model, CommandRollback)
 			}
 		}},
 	{name: "rollback-stranded", kind: disruption.KindServer, plan: serverPlan, wantPhase: PhaseStranded,
-		script: func(t *testing.T, w *clusterModel, _ int, s *State) {
-			if s.Status.Phase == PhaseRollout && s.Units[3].Stage == StageConverged {
-				w.broken["1"] = true
-				sendCommand(t, w, CommandRollback)
+		script: func(t *testing.T, model *clusterModel, _ int, state *State) {
+			if state.Status.Phase == PhaseRollout && state.Units[3].Stage == StageConverged {
+				model.broken["1"] = true
+				sendCommand(t, model, CommandRollback)
 			}
 		}},
 	{name: "drain", kind: disruption.KindServer, wantPhase: PhaseCompleted},
@@ -58,8 +60,8 @@
 
 // loggedOperation is one line of a golden log.
 type loggedOperation struct {
-	Rev uint64          `json:"rev"`
-	Op  json.RawMessage `json:"op"`
+	Revision uint64          `json:"rev"`
+	Op       json.RawMessage `json:"op"`
 }
 
 // playFixture runs a scenario and returns the log that it wrote, and a snapshot after each change of phase or wave.
@@ -67,18 +69,11 @@
 	t.Helper()
 	model := newClusterModel(t, scenario.kind, 2, 3, 2)
 	var logLines, snapshotLines bytes.Buffer
-	model.applied = func(rev uint64, op *Operation) {
-		logLines.Write(jsonLine(t, loggedOperation{Rev: rev, Op: jsonLine(t, op)}))
+	model.applied = func(revision uint64, op *Operation) {
+		logLines.Write(jsonLine(t, loggedOperation{Revision: revision, Op: jsonLine(t, op)}))
 	}
 	if scenario.plan == "" {
-		selector := disruption.Selector{IDs: []string{"server/a0", "server/b1"}}
-		state, err := NewDrain(DrainPlan("r", selector, 3600), model.nowMS, model.ledger.Units(), model.list())
-		if err == nil {
-			err = model.apply(&Operation{Start: state})
-		}
-		if err != nil {
-			t.Fatal(err)
-		}
+		model.startDrain("r", "server/a0", "server/b1")
 	} else {
 		model.startRelease(scenario.plan)
 	}
@@ -89,7 +84,7 @@
 			snapshotLines.Write(jsonLine(t, model.table.Snapshot()))
 		}
 	}
-	state, _ := model.run("r", &crash{effectIndex: -1}, 1000, func(tick int, state *State) {
+	state, _ := model.run(noCrash(), 1000, func(tick int, state *State) {
 		if scenario.script != nil {
 			scenario.script(t, model, tick, state)
 		}
@@ -180,8 +175,8 @@
 				if again := bytes.TrimSpace(jsonLine(t, &op)); !bytes.Equal(again, logged.Op) {
 					t.Fatalf("read and written again:\n got %s\nwant %s", again, logged.Op)
 				}
-				if err := table.Apply(logged.Rev, &op); err != nil {
-					t.Fatalf("revision %d: %v", logged.Rev, err)
+				if err := table.Apply(logged.Revision, &op); err != nil {
+					t.Fatalf("revision %d: %v", logged.Revision, err)
 				}
 				s, _ := table.Get("r")
 				phases[s.Status.Phase] = true
@@ -246,7 +241,7 @@
 			readStrictly(t, line, &logged)
 			var op Operation
 			readStrictly(t, logged.Op, &op)
-			if err := table.Apply(logged.Rev, &op); err != nil {
+			if err := table.Apply(logged.Revision, &op); err != nil {
 				t.Fatal(err)
 			}
 			if op.Delta == nil {
--- a/internal/release/plan/plan.go
+++ b/internal/release/plan/plan.go
@@ -92,7 +92,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return p, p.validate(file)
+	if err := p.validate(file); err != nil {
+		return nil, err
+	}
+	return p, nil
 }
 
 // Parse is Load for the bytes of a file. Path only names the file in errors.
@@ -102,7 +105,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return p, p.validate(file)
+	if err := p.validate(file); err != nil {
+		return nil, err
+	}
+	return p, nil
 }
 
 // Kind is the kind of units that the release changes.
