--- a/internal/release/clustermodel_test.go
+++ b/internal/release/clustermodel_test.go
@@ -324,14 +324,14 @@
 }
 
 // startDrain starts a drain of units, by their IDs.
-func (m *clusterModel) startDrain(name string, ids ...string) *State {
+func (m *clusterModel) startDrain(name string, ids ...string) {
 	m.t.Helper()
 	drainPlan := DrainPlan(name, disruption.Selector{IDs: ids}, 3600)
 	state, err := NewDrain(drainPlan, m.nowMS, m.ledger.Units(), m.list())
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	return m.startState(state)
+	m.startState(state)
 }
 
 func (m *clusterModel) startState(state *State) *State {
--- a/internal/release/command.go
+++ b/internal/release/command.go
@@ -36,13 +36,13 @@
 			r.status.BakeStartMS = 0
 		}
 	case CommandRollback:
-		if r.canRollBack() {
+		if r.rollbackAllowed() {
 			r.halt(command.Operator, reason, plan.OnHaltRollback)
 		}
 	}
 }
 
-func (r *reconciler) canRollBack() bool {
+func (r *reconciler) rollbackAllowed() bool {
 	if r.status.Finalized {
 		return false
 	}
--- a/internal/release/controller/evidence.go
+++ b/internal/release/controller/evidence.go
@@ -16,19 +16,19 @@
 
 // recordReports takes in the sidecars' reports: which endpoint lists they have at each step, and once per interval what
 // the judge compares.
-func (t *leaseTerm) recordReports(seen *observation, nowMS int64) {
+func (t *leaseTerm) recordReports(observed *observation, nowMS int64) {
 	reports, _ := t.Reports.Snapshot()
-	revisions := sidecarRevisions(seen.sidecars, reports)
+	revisions := sidecarRevisions(observed.sidecars, reports)
 	liveSidecars := slices.Sorted(maps.Keys(revisions))
-	t.drains.Update(nowMS, terminatingServers(&seen.list), seen.list.Revision, liveSidecars, revisions)
+	t.drains.Update(nowMS, terminatingServers(&observed.list), observed.list.Revision, liveSidecars, revisions)
 	if time.Since(t.judgedAt) < judgeInterval {
 		return
 	}
 	t.judgedAt = time.Now()
 	fresh := t.freshReports(reports)
-	t.analysis.Add(t.state, t.state.Interval(fresh, len(liveSidecars), t.previousList, seen.platform))
-	if seen.platform != nil {
-		t.previousList = seen.platform
+	t.analysis.Add(t.state, t.state.Interval(fresh, len(liveSidecars), t.previousList, observed.platform))
+	if observed.platform != nil {
+		t.previousList = observed.platform
 	}
 }
 
--- a/internal/release/controller/observe.go
+++ b/internal/release/controller/observe.go
@@ -56,27 +56,27 @@
 func (t *leaseTerm) observe(ctx context.Context) (*release.View, error) {
 	ctx, cancel := withCallTimeout(ctx)
 	defer cancel()
-	seen, err := t.read(ctx)
+	observed, err := t.read(ctx)
 	if err != nil {
 		return nil, err
 	}
-	units := make(map[string]disruption.Unit, len(seen.ledger.Units))
-	for _, unit := range seen.ledger.Units {
+	units := make(map[string]disruption.Unit, len(observed.ledger.Units))
+	for _, unit := range observed.ledger.Units {
 		units[unit.ID] = unit
 	}
-	permits := make(map[string]disruption.Permit, len(seen.ledger.Permits))
-	for _, permit := range seen.ledger.Permits {
+	permits := make(map[string]disruption.Permit, len(observed.ledger.Permits))
+	for _, permit := range observed.ledger.Permits {
 		permits[permit.ID] = permit
 	}
 	nowMS := t.elapsedMS()
-	t.recordReports(seen, nowMS)
-	t.reportWarmServers(ctx, units, seen.platform)
+	t.recordReports(observed, nowMS)
+	t.reportWarmServers(ctx, units, observed.platform)
 	return &release.View{
 		NowMS:         time.Now().UnixMilli(),
 		Token:         t.guard.Token,
 		Commands:      t.commands,
 		Verdict:       t.analysis.Verdict(t.state),
-		Platform:      seen.platform,
+		Platform:      observed.platform,
 		Outcomes:      t.outcomes,
 		DeniedPermits: t.deniedPermits,
 		Permit:        func(id string) (disruption.Permit, bool) { permit, ok := permits[id]; return permit, ok },
--- a/internal/release/judge/judge.go
+++ b/internal/release/judge/judge.go
@@ -92,8 +92,8 @@
 	Zones                            []ZoneSample
 }
 
-// hasData reports whether at least half of the expected reports arrived.
-func (i *Interval) hasData() bool {
+// sufficientReports reports whether at least half of the expected reports arrived.
+func (i *Interval) sufficientReports() bool {
 	return i.ExpectedReports > 0 && 2*i.ReceivedReports >= i.ExpectedReports
 }
 
@@ -124,7 +124,7 @@
 	zones                map[string]*zone
 	thresholdsIssued     int
 	intervalsWithoutData int // in a row
-	tooManyStrata        bool
+	strataLimitReached        bool
 	regression           string // the first that was found; empty: none
 }
 
@@ -136,7 +136,7 @@
 
 // Add takes an interval and returns the verdict after it.
 func (j *Judge) Add(interval Interval) Verdict {
-	if !interval.hasData() {
+	if !interval.sufficientReports() {
 		j.intervalsWithoutData++
 		return j.verdict()
 	}
@@ -155,7 +155,7 @@
 	evidence := j.strata[key]
 	if evidence == nil {
 		if len(j.strata) == maxStrata {
-			j.tooManyStrata = true
+			j.strataLimitReached = true
 			return
 		}
 		evidence = newStratum(&j.settings, j.nextThreshold())
--- a/internal/release/judge/pass.go
+++ b/internal/release/judge/pass.go
@@ -28,7 +28,7 @@
 	if j.intervalsWithoutData > 0 {
 		return "the last reports are missing"
 	}
-	if j.tooManyStrata {
+	if j.strataLimitReached {
 		return fmt.Sprintf("more than %d classes × zones", maxStrata)
 	}
 	if reason := j.missingInStrata(); reason != "" {
@@ -47,7 +47,7 @@
 	counted := 0
 	for _, key := range j.sortedStrata() {
 		evidence := j.strata[key]
-		if !j.hasCanaries(key.zone) || evidence.baselineRequests == 0 {
+		if !j.canariesIn(key.zone) || evidence.baselineRequests == 0 {
 			continue
 		}
 		if float64(evidence.baselineRequests) < minClassShare*float64(baselineByZone[key.zone]) {
@@ -70,7 +70,7 @@
 	})
 }
 
-func (j *Judge) hasCanaries(name string) bool {
+func (j *Judge) canariesIn(name string) bool {
 	units := j.zones[name]
 	return units != nil && units.canaryUnits > 0
 }
--- a/internal/release/plan/plan_test.go
+++ b/internal/release/plan/plan_test.go
@@ -42,6 +42,15 @@
 failed = 0.01
 `
 
+func mustParse(t *testing.T, text string) *Plan {
+	t.Helper()
+	p, err := Parse("p.toml", []byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return p
+}
+
 func TestErrorsNameFileLineAndKey(t *testing.T) {
 	if _, err := Parse("p.toml", []byte(validPlan)); err != nil {
 		t.Fatal(err)
@@ -63,20 +72,22 @@
 		{"limit", "share = 0.1 }", "count = 0 }", "p.toml:25: limits.max_out.count: "},
 		{"guard", "failed = 0.01", "failed = -0.01", "p.toml:28: guards.failed: "},
 	} {
-		if !strings.Contains(validPlan, c.from) {
-			t.Fatalf("%s: %q is not in the plan", c.name, c.from)
-		}
-		_, err := Parse("p.toml", []byte(strings.Replace(validPlan, c.from, c.to, 1)))
-		if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want one line that begins %q", c.name, err, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if !strings.Contains(validPlan, c.from) {
+				t.Fatalf("%q is not in the plan", c.from)
+			}
+			_, err := Parse("p.toml", []byte(strings.Replace(validPlan, c.from, c.to, 1)))
+			if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want one line that begins %q", err, c.want)
+			}
+		})
 	}
 }
 
 func TestEditedPlanHasDifferentHash(t *testing.T) {
-	original, _ := Parse("p.toml", []byte(validPlan))
-	commented, _ := Parse("q.toml", []byte("# words\n"+validPlan))
-	edited, _ := Parse("p.toml", []byte(strings.Replace(validPlan, "count = 1", "count = 2", 1)))
+	original := mustParse(t, validPlan)
+	commented := mustParse(t, "# words\n"+validPlan)
+	edited := mustParse(t, strings.Replace(validPlan, "count = 1", "count = 2", 1))
 	if original.Hash() != commented.Hash() || original.Hash() == edited.Hash() {
 		t.Errorf("hashes %s, %s with a comment, %s with another count", original.Hash(), commented.Hash(), edited.Hash())
 	}
@@ -93,24 +104,21 @@
 }
 
 func TestPreview(t *testing.T) {
-	p, err := Parse("p.toml", []byte(validPlan))
-	if err != nil {
-		t.Fatal(err)
-	}
+	p := mustParse(t, validPlan)
 	share := 0.1
 	preview := NewPreview(p, testUnits(2, 20), []disruption.Budget{{Name: "all", MaxUnavailable: disruption.Limit{Fraction: &share}}})
 	if len(preview.Infeasible) > 0 || preview.MaxUnavailable != 4 || preview.WarmUpCapacity != 40 {
-		t.Errorf("refused %q, %d out at most, %v cold; want none, 4, 40", preview.Infeasible, preview.MaxUnavailable, preview.WarmUpCapacity)
+		t.Errorf("infeasible %q, at most %d unavailable, %v warming up; want none, 4, 40", preview.Infeasible, preview.MaxUnavailable, preview.WarmUpCapacity)
 	}
 	var sizes []int
-	for _, w := range preview.Waves {
-		sizes = append(sizes, len(w.Units))
+	for i := range preview.Waves {
+		sizes = append(sizes, len(preview.Waves[i].Units))
 	}
 	if !reflect.DeepEqual(sizes, []int{1, 10, 29}) {
 		t.Errorf("waves of %v, want 1, 10, 29", sizes)
 	}
 	if remaining := preview.RemainingCapacity[""]; remaining != (Capacity{36, 40}) {
-		t.Errorf("%+v stays, want 36 of 40", remaining)
+		t.Errorf("%+v remains, want 36 of 40", remaining)
 	}
 }
 
@@ -124,7 +132,7 @@
 	}{
 		{"share rounds down to none", "", "", disruption.Budget{Name: "zone-a", Selector: disruption.Selector{Zone: "a"},
 			MaxUnavailable: disruption.Limit{Fraction: &small}}, nil, `budget "zone-a": max_out allows 0 of its 20 units`},
-		{"a unit too large to be cold", "", "", disruption.Budget{Name: "warm", MaxWarmingUp: disruption.Limit{Count: &one}},
+		{"a unit too large to warm up", "", "", disruption.Budget{Name: "warm", MaxWarmingUp: disruption.Limit{Count: &one}},
 			append(testUnits(2, 20), disruption.Unit{ID: "server/big", Kind: disruption.KindServer, Model: "loan", Zone: "a", Capacity: 9}),
 			`budget "warm": max_cold allows a capacity of 1.2 cold, and server/big alone is 9`},
 		{"a pod group of one", "", "", disruption.Budget{}, testUnits(1, 21), "pod group 5 is server/a020 alone"},
@@ -132,36 +140,33 @@
 		{"none selected", `"loan"`, `"none"`, disruption.Budget{}, nil, "selects no server"},
 		{"an empty wave", `zone = "a"`, `zone = "q"`, disruption.Budget{}, nil, "wave[0] has no units"},
 	} {
-		p, err := Parse("p.toml", []byte(strings.Replace(validPlan, c.from, c.to, 1)))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if c.units == nil {
-			c.units = testUnits(2, 20)
-		}
-		preview := NewPreview(p, c.units, []disruption.Budget{c.budget})
-		if !slices.ContainsFunc(preview.Infeasible, func(s string) bool { return strings.Contains(s, c.want) }) {
-			t.Errorf("%s: refused %q, want one with %q", c.name, preview.Infeasible, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			p := mustParse(t, strings.Replace(validPlan, c.from, c.to, 1))
+			if c.units == nil {
+				c.units = testUnits(2, 20)
+			}
+			preview := NewPreview(p, c.units, []disruption.Budget{c.budget})
+			contains := func(line string) bool { return strings.Contains(line, c.want) }
+			if !slices.ContainsFunc(preview.Infeasible, contains) {
+				t.Errorf("infeasible %q, want one with %q", preview.Infeasible, c.want)
+			}
+		})
 	}
 }
 
-// Whatever the fleet and the order in which it is told: each unit is in one wave at most, and the waves are the same.
+// Whatever the fleet, and in whatever order: each unit is in exactly one wave, and the waves are the same.
 func TestWavesPartitionUnits(t *testing.T) {
-	p, err := Parse("p.toml", []byte(validPlan))
-	if err != nil {
-		t.Fatal(err)
-	}
+	p := mustParse(t, validPlan)
 	rapid.Check(t, func(t *rapid.T) {
-		units := testUnits(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 30).Draw(t, "each"))
+		units := testUnits(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 30).Draw(t, "unitsPerZone"))
 		waves := AssignWaves(p, SelectUnits(p, units))
 		again := AssignWaves(p, SelectUnits(p, rapid.Permutation(units).Draw(t, "order")))
 		if !reflect.DeepEqual(waves, again) {
 			t.Fatal("another order of the units gives other waves")
 		}
 		seen := map[string]bool{}
-		for _, w := range waves {
-			for _, id := range w {
+		for _, ids := range waves {
+			for _, id := range ids {
 				if seen[id] {
 					t.Fatalf("%s is in two waves", id)
 				}
