--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,5 +1,8 @@
-// Command sidecar is a client-side load-balancing sidecar: it takes its application's requests and
-// sends each to one of the servers that discovery names.
+// Command sidecar is a client-side load-balancing sidecar: it accepts the requests of one application and forwards each to
+// one of the servers that discovery lists.
+//
+// NODE_CONFIG names its configuration file. SIGHUP reloads it, SIGTERM and SIGINT drain. The exit status is 1 if the
+// sidecar cannot start or serve.
 package main
 
 import (
@@ -21,8 +24,8 @@
 }
 
 func run() error {
-	// Before all else and up to the end of the process, as one of these may come at any time: SIGHUP never ends it, and
-	// a second SIGTERM does not kill what is ending well.
+	// Signals are caught from the beginning to the end of the process: SIGHUP never ends it, and a second SIGTERM does not
+	// interrupt a drain.
 	reloadSignals, stopSignals := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 	signal.Notify(stopSignals, syscall.SIGTERM, syscall.SIGINT)
@@ -45,7 +48,7 @@
 	return instance.Run(ctx)
 }
 
-// reload takes a new configuration over at each SIGHUP. A bad one changes nothing.
+// reload reads the configuration again at each SIGHUP, until ctx ends. An invalid one changes nothing.
 func reload(ctx context.Context, reloadSignals <-chan os.Signal, instance *sidecar.Sidecar) {
 	for {
 		select {
@@ -55,7 +58,7 @@
 		}
 		config, err := sidecar.ReloadConfig(os.Getenv)
 		if err != nil {
-			slog.Error("not reloaded, the configuration before holds", "error", err)
+			slog.Error("not reloaded, the previous configuration stays in force", "error", err)
 			continue
 		}
 		instance.Reload(config)
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -100,7 +100,7 @@
 	if len(c.pipelined) > 0 {
 		n = copy(p, c.pipelined)
 		c.pipelined = c.pipelined[n:]
-	} else if n, err = readNonblocking(fd, p); err == syscall.EAGAIN {
+	} else if n, err = readNonblocking(fd, p); errors.Is(err, syscall.EAGAIN) {
 		c.readerWaiting = true
 		listener.signalCapacity()
 		return 0, true, nil
@@ -117,7 +117,7 @@
 func (c *clientConn) readPipelined(fd int) (n int, wouldBlock bool, err error) {
 	for {
 		n, err := readNonblocking(fd, c.listener.readBuffer[:])
-		if err == syscall.EAGAIN {
+		if errors.Is(err, syscall.EAGAIN) {
 			return 0, true, nil
 		}
 		c.readErr = err
@@ -156,7 +156,7 @@
 		// Returns when the client closes its side, or at the deadline; either way the connection is closed next.
 		_ = c.rawConn.Read(func(uintptr) bool {
 			err := peekRead(c.rawConn)
-			return err != nil && err != syscall.EAGAIN
+			return err != nil && !errors.Is(err, syscall.EAGAIN)
 		})
 	}
 	return c.TCPConn.Close()
@@ -193,7 +193,7 @@
 	if c.readErr != nil {
 		return c.readErr
 	}
-	if err := peekRead(c.rawConn); err != syscall.EAGAIN {
+	if err := peekRead(c.rawConn); !errors.Is(err, syscall.EAGAIN) {
 		return err
 	}
 	return nil
@@ -202,7 +202,7 @@
 // openAndEmpty reports whether a connection is open and holds no unread bytes.
 func openAndEmpty(conn net.Conn) bool {
 	rawConn, err := conn.(*net.TCPConn).SyscallConn()
-	return err == nil && peekRead(rawConn) == syscall.EAGAIN
+	return err == nil && errors.Is(peekRead(rawConn), syscall.EAGAIN)
 }
 
 // peekRead returns the error that the next read would return, nil if there are bytes. It consumes nothing.
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -63,7 +63,7 @@
 		case <-l.capacityFreed:
 		case <-time.After(capacityPollInterval):
 		case <-l.closed:
-			tcpConn.Close()
+			_ = tcpConn.Close() // the process is about to end
 			return nil, net.ErrClosed
 		}
 	}
@@ -95,7 +95,7 @@
 	}
 	l.mu.Unlock()
 	if evicted != nil {
-		evicted.TCPConn.Close()
+		_ = evicted.TCPConn.Close() // closed for good, whatever it returns
 	}
 	return admitted
 }
@@ -236,7 +236,7 @@
 	evicted := l.evictExcessPersistent()
 	l.mu.Unlock()
 	if evicted != nil {
-		evicted.TCPConn.Close()
+		_ = evicted.TCPConn.Close() // closed for good, whatever it returns
 	}
 }
 
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -170,7 +170,7 @@
 		config.knownEndpoints = endpointList{}
 	}
 	if settings.AllowGossip {
-		config.peers, err = f.peerConfigFile.resolve(f.Listen, settings.SidecarIndex, settings.SidecarCount)
+		config.peers, err = f.resolvePeers(f.Listen, settings.SidecarIndex, settings.SidecarCount)
 		if err != nil {
 			return nil, err
 		}
@@ -191,11 +191,11 @@
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	return f.placementConfigFile.validate()
+	return f.validatePlacement()
 }
 
-// validate checks the address, and the length of the names that load reports carry.
-func (f *placementConfigFile) validate() error {
+// validatePlacement checks the address, and the length of the names that load reports carry.
+func (f *placementConfigFile) validatePlacement() error {
 	for key, name := range map[string]string{"application": f.Application, "version": f.Version} {
 		if len(name) > placement.MaxNameLength {
 			return fmt.Errorf("%s: %d bytes, at most %d", key, len(name), placement.MaxNameLength)
--- a/internal/sidecar/frontend.go
+++ b/internal/sidecar/frontend.go
@@ -71,7 +71,7 @@
 			return err
 		}
 		select {
-		case <-serveErr:
+		case <-serveErr: //nolint:errcheck // it is net.ErrClosed of stopAccepting
 		case <-time.After(time.Until(deadline)):
 		}
 		f.listener.drain(deadline)
@@ -195,7 +195,7 @@
 // answered may still be.
 func waitForWriter(writeMu *sync.Mutex) {
 	writeMu.Lock()
-	defer writeMu.Unlock()
+	writeMu.Unlock() //nolint:staticcheck,gocritic // the section is empty, as this only waits
 }
 
 // disconnectedResponse is the response to a client that has disconnected: it aborts the handler, as returning would send
--- a/internal/sidecar/peer_transport.go
+++ b/internal/sidecar/peer_transport.go
@@ -49,9 +49,9 @@
 	broadcast netip.AddrPort
 }
 
-// resolve checks the addresses; nil means that there are no peers. The socket must be on the host of the frontend, so that
+// resolvePeers checks the addresses; nil means that there are no peers. The socket must be on the host of the frontend, so that
 // nobody outside of the tier reaches it.
-func (f *peerConfigFile) resolve(frontendAddress string, number, total int) (*peerConfig, error) {
+func (f *peerConfigFile) resolvePeers(frontendAddress string, number, total int) (*peerConfig, error) {
 	if f.Listen == "" && len(f.Peers) == 0 {
 		return nil, nil
 	}
@@ -134,7 +134,7 @@
 
 // runWriter sends queued datagrams until ctx ends. It then closes the socket, which ends runReader.
 func (p *peerTransport) runWriter(ctx context.Context) {
-	defer p.conn.Close()
+	defer func() { _ = p.conn.Close() }() // nothing is buffered that could be lost
 	for {
 		select {
 		case <-ctx.Done():
