--- a/cmd/sidecar/dependencies_test.go
+++ b/cmd/sidecar/dependencies_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The sidecar's start, memory and processor time are scored, and it has the least to do with operators.
+// The sidecar's start-up time, memory and processor time are measured, so it links no library of the control plane.
 func TestNoControlPlaneLibraryIsLinked(t *testing.T) {
 	out, err := exec.CommandContext(t.Context(), "go", "list", "-deps", ".").Output()
 	if err != nil {
--- a/cmd/sidecar/discovery_test.go
+++ b/cmd/sidecar/discovery_test.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	testTimeout = 20 * time.Second // bounds every wait; none is expected to last
-	// notificationDeadline is after what time of silence a drain counts as told, and sends there must have ended: PROTOCOL's 6 s and
-	// the grace of the settings below.
+	testTimeout = 20 * time.Second // bounds every wait; none is expected to last that long
+	// notificationDeadline is when, after a silence began, a drain counts as known and requests to the server must have
+	// ended: PROTOCOL's 6 s and the grace period of the settings below.
 	notificationDeadline = 6*time.Second + 750*time.Millisecond
 
 	listHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
 )
 
-// fakeRegistry is a list service whose calls the test plays one by one.
+// fakeRegistry is a discovery service whose calls the test answers one by one.
 type fakeRegistry struct {
 	net.Listener
-	calls chan net.Conn // each after its request was read
+	calls chan net.Conn // each with its request read
 }
 
 func newFakeRegistry(t *testing.T) *fakeRegistry {
@@ -61,19 +61,19 @@
 	case conn := <-registry.calls:
 		return conn
 	case <-time.After(testTimeout):
-		t.Fatal("discovery is not asked")
+		t.Fatal("discovery is not called")
 		return nil
 	}
 }
 
-// sidecarRig is a sidecar as a program with two servers, of which the first is to drain.
+// sidecarRig is a sidecar process with two servers, of which one is to drain.
 type sidecarRig struct {
 	t               *testing.T
 	registry        *fakeRegistry
 	address         string
-	reloadDiscovery func(discovery string) // a new configuration and SIGHUP
-	drainingIndex   int                    // its place in the answers that ask returns
-	terminate       func()                 // the program, in good order
+	reloadDiscovery func(discovery string) // writes the configuration with another discovery address and sends SIGHUP
+	drainingIndex   int                    // of the server that is to drain
+	terminate       func()                 // ends the program with SIGTERM and checks its status
 	servers         []*httptest.Server
 	client          *http.Client
 	pid             int
@@ -84,8 +84,8 @@
 	return startRigWith(t, "automatic", 1, 0)
 }
 
-// startRigWith says how lists are told, of how many sidecars there is talk, and what descriptors the system and the
-// configuration allow; 0: as usual.
+// startRigWith starts a rig. mode says how lists are delivered, peers how many sidecars the settings count, and
+// sockets how many descriptors the system and the configuration allow; 0: as usual.
 func startRigWith(t *testing.T, mode string, peers, sockets int) *sidecarRig {
 	t.Helper()
 	rig := &sidecarRig{t: t, registry: newFakeRegistry(t), client: http.DefaultClient}
@@ -124,7 +124,7 @@
 	return rig
 }
 
-// listJSON is what discovery tells; indent spreads it over several lines.
+// listJSON is a list of the two servers; indent spreads it over several lines.
 func (rig *sidecarRig) listJSON(revision int, complete bool, state string, indent string) string {
 	var targets []map[string]any
 	for i, server := range rig.servers {
@@ -145,7 +145,7 @@
 	return string(data) + "\n"
 }
 
-// request sends a request and tells which server answered it, "" for none.
+// request sends a request and returns the number of the server that answered it, "" for none.
 func (rig *sidecarRig) request() string {
 	rig.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+rig.address+"/api", nil)
@@ -167,7 +167,7 @@
 	return string(body)
 }
 
-// awaitAnswers asks until so many answers in a row fit, and fails at a time when they should have.
+// awaitAnswers sends requests until enough answers in a row match, and fails after a deadline.
 func (rig *sidecarRig) awaitAnswers(description string, deadline time.Time, matches func(answer string) bool) {
 	rig.t.Helper()
 	for inARow := 0; inARow < 10; {
@@ -180,16 +180,16 @@
 	}
 }
 
-// Lists may come indented: the first object of a watch, and a change.
+// Lists may be indented, as the first object of a watch and as a change.
 func TestIndentedLists(t *testing.T) {
 	rig := startRig(t)
 	defer rig.terminate()
 	watch := rig.registry.nextCall(t)
-	io.WriteString(watch, listHead+rig.listJSON(1, true, "Ready", "  "))
+	tryWrite(watch, listHead+rig.listJSON(1, true, "Ready", "  "))
 	rig.awaitAnswers("the list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
-	io.WriteString(watch, "\n"+rig.listJSON(2, false, "Terminating", "\t")+"\n")
+	tryWrite(watch, "\n"+rig.listJSON(2, false, "Terminating", "\t")+"\n")
 	rig.awaitAnswers("the change", time.Now().Add(testTimeout), func(answer string) bool { return answer == "1" })
-	io.WriteString(watch, rig.listJSON(3, true, "Ready", " "))
+	tryWrite(watch, rig.listJSON(3, true, "Ready", " "))
 	rig.awaitAnswers("the whole list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
 	answeredBy := map[string]bool{}
 	for range 20 {
@@ -199,12 +199,12 @@
 		t.Errorf("answered by %v", answeredBy)
 	}
 	if calls := len(rig.registry.calls); calls > 0 {
-		t.Errorf("%d more calls: a list was refused", calls)
+		t.Errorf("%d more calls: a list was rejected", calls)
 	}
 }
 
-// Wherever discovery falls silent while a server begins to drain, and though the next call is silent as well, no
-// request goes there once it counts as told.
+// Wherever discovery falls silent while a server begins to drain, and although the next call is silent as well, no
+// request is sent there once PROTOCOL counts the drain as known.
 func TestDrainAnnouncedAfterSilence(t *testing.T) {
 	for name, partialLine := range map[string]string{
 		"between lines":             "",
@@ -217,29 +217,29 @@
 				rig := startRig(t)
 				defer rig.terminate()
 				watch := rig.registry.nextCall(t)
-				io.WriteString(watch, listHead+rig.listJSON(1, true, "Ready", ""))
+				tryWrite(watch, listHead+rig.listJSON(1, true, "Ready", ""))
 				rig.awaitAnswers("the list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
-				io.WriteString(watch, "\n")
+				tryWrite(watch, "\n")
 				silentFrom := time.Now()
-				io.WriteString(watch, partialLine)
-				io.WriteString(rig.registry.nextCall(t), secondResponse)
-				io.WriteString(rig.registry.nextCall(t), listHead+rig.listJSON(2, false, "Terminating", ""))
+				tryWrite(watch, partialLine)
+				tryWrite(rig.registry.nextCall(t), secondResponse)
+				tryWrite(rig.registry.nextCall(t), listHead+rig.listJSON(2, false, "Terminating", ""))
 				rig.awaitAnswers("the drain", silentFrom.Add(notificationDeadline), func(answer string) bool { return answer == "1" })
 			})
 		}
 	}
 }
 
-// After SIGHUP the new service may be silent at first, and the old one tells nothing more.
+// After SIGHUP the new service may be silent at first, and the old one sends nothing more.
 func TestDrainAnnouncedAfterSilentAddressChange(t *testing.T) {
 	rig := startRig(t)
 	defer rig.terminate()
-	io.WriteString(rig.registry.nextCall(t), listHead+rig.listJSON(1, true, "Ready", ""))
+	tryWrite(rig.registry.nextCall(t), listHead+rig.listJSON(1, true, "Ready", ""))
 	rig.awaitAnswers("the list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
 	next := newFakeRegistry(t)
 	rig.reloadDiscovery(next.Addr().String())
 	movedAt := time.Now()
 	next.nextCall(t)
-	io.WriteString(next.nextCall(t), listHead+rig.listJSON(1, true, "Terminating", strings.Repeat(" ", 2)))
+	tryWrite(next.nextCall(t), listHead+rig.listJSON(1, true, "Terminating", strings.Repeat(" ", 2)))
 	rig.awaitAnswers("the drain", movedAt.Add(4*time.Second+750*time.Millisecond), func(answer string) bool { return answer == "1" })
 }
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"net/http"
 	"os"
 	"os/exec"
@@ -14,19 +15,22 @@
 	"time"
 )
 
-// The test binary stands in for the program where the first is set; the second names signals that come last of all.
+// The test binary runs as the program where the first variable is set. The second makes it send itself signals at its end.
 const (
-	runAsProgram = "SILVERREEL_TEST_AS_PROGRAM"
-	lastSignals  = "SILVERREEL_TEST_LAST_SIGNALS"
+	runAsProgram = "SIDECAR_TEST_AS_PROGRAM"
+	lastSignals  = "SIDECAR_TEST_LAST_SIGNALS"
 )
 
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsProgram) != "" {
 		main()
 		if os.Getenv(lastSignals) != "" {
-			runtime.LockOSThread() // to this very thread they come at once, not on the way out
+			runtime.LockOSThread() // signals to this thread arrive at once
 			for _, sig := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
-				syscall.RawSyscall(syscall.SYS_TGKILL, uintptr(os.Getpid()), uintptr(syscall.Gettid()), uintptr(sig))
+				_, _, errno := syscall.RawSyscall(syscall.SYS_TGKILL, uintptr(os.Getpid()), uintptr(syscall.Gettid()), uintptr(sig))
+				if errno != 0 {
+					panic(errno)
+				}
 			}
 		}
 		return
@@ -42,7 +46,7 @@
 	}
 	command := exec.CommandContext(t.Context(), os.Args[0])
 	command.Env = append(os.Environ(), runAsProgram+"=1",
-		"GORACE=atexit_sleep_ms=0", // the race detector's second at the exit is not the program's
+		"GORACE=atexit_sleep_ms=0", // without the race detector's pause of 1 s at the exit
 		"NODE_CONFIG="+path)
 	log := &bytes.Buffer{}
 	command.Stderr = log
@@ -52,12 +56,12 @@
 func TestInvalidConfigurationFailsStart(t *testing.T) {
 	command, log := newProgram(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{}}`)
 	err := command.Run()
-	exit, ok := err.(*exec.ExitError)
-	if !ok || exit.ExitCode() != 1 {
+	var exit *exec.ExitError
+	if !errors.As(err, &exit) || exit.ExitCode() != 1 {
 		t.Errorf("ended with %v, want status 1", err)
 	}
 	if text := log.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, "no classes") {
-		t.Errorf("said %q, want one line about the classes", text)
+		t.Errorf("logged %q, want one line that names the classes", text)
 	}
 }
 
@@ -65,10 +69,10 @@
 	for _, address := range []string{"agent", "127.0.0.1", "127.0.0.1:0", "agent:80", "127.0.0.1:99999"} {
 		command, log := newProgram(t, strings.Replace(config, "{", `{"placement":"`+address+`",`, 1))
 		err := command.Run()
-		exit, ok := err.(*exec.ExitError)
+		var exit *exec.ExitError
 		file := strings.TrimPrefix(command.Env[len(command.Env)-1], "NODE_CONFIG=")
 		text := log.String()
-		if !ok || exit.ExitCode() != 1 || strings.Count(text, "\n") != 1 || !strings.Contains(text, file+": placement: ") {
+		if !errors.As(err, &exit) || exit.ExitCode() != 1 || strings.Count(text, "\n") != 1 || !strings.Contains(text, file+": placement: ") {
 			t.Errorf("%s: %v, %q, want status 1 and one line that names the file and the key", address, err, text)
 		}
 	}
@@ -81,11 +85,11 @@
 	return awaitListening(t, command)
 }
 
-// awaitListening is started for a program that the test prepared.
+// awaitListening is startProgram for a program that the test has prepared.
 func awaitListening(t *testing.T, command *exec.Cmd) (_ *exec.Cmd, lines *bufio.Scanner, address string) {
 	t.Helper()
 	lines = startWithLog(t, command)
-	watchdog := time.AfterFunc(testTimeout, func() { command.Process.Kill() })
+	watchdog := time.AfterFunc(testTimeout, func() { _ = command.Process.Kill() })
 	defer watchdog.Stop()
 	_, address = awaitLogLine(t, lines, "listen=")
 	return command, lines, address
@@ -105,7 +109,7 @@
 	return bufio.NewScanner(log)
 }
 
-// awaitLogLine reads on to a line that holds text, and returns it and what follows the text.
+// awaitLogLine reads the log up to a line with a marker, and returns that line and what follows the marker in it.
 func awaitLogLine(t *testing.T, lines *bufio.Scanner, marker string) (line, after string) {
 	t.Helper()
 	for lines.Scan() {
@@ -150,8 +154,8 @@
 	terminate(t, command, lines)
 }
 
-// SIGHUP takes the file's discovery over, also where the environment named another at the start; a bad file
-// is told in one line and changes nothing.
+// SIGHUP applies the file's discovery address, even if the environment named another at the start. An invalid file is
+// reported in one line and changes nothing.
 func TestReloadOnSIGHUP(t *testing.T) {
 	t.Setenv("NODE_DISCOVERY", "127.0.0.1:2")
 	command, lines, _ := startProgram(t, config)
@@ -174,7 +178,7 @@
 			t.Fatal(err)
 		}
 		if line, _ := awaitLogLine(t, lines, "reloaded"); !strings.Contains(line, reload.want) {
-			t.Errorf("said %q, want %q", line, reload.want)
+			t.Errorf("logged %q, want %q", line, reload.want)
 		}
 	}
 	terminate(t, command, lines)
--- a/cmd/sidecar/outage_test.go
+++ b/cmd/sidecar/outage_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -15,7 +14,7 @@
 	"time"
 )
 
-// resetConn ends a connection as the end of its process does.
+// resetConn resets a connection, as the end of its process does.
 func resetConn(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.(*net.TCPConn).SetLinger(0); err != nil {
@@ -24,7 +23,7 @@
 	conn.Close()
 }
 
-// answerAll has a service answer every call from now on, also one that has waited, with the same text.
+// answerAll answers every call from now on with the same text, also those that wait already.
 func (registry *fakeRegistry) answerAll(t *testing.T, text string) {
 	done := make(chan struct{})
 	var work sync.WaitGroup
@@ -32,7 +31,7 @@
 		for {
 			select {
 			case conn := <-registry.calls:
-				io.WriteString(conn, text)
+				tryWrite(conn, text)
 			case <-done:
 				return
 			}
@@ -41,8 +40,8 @@
 	t.Cleanup(func() { close(done); work.Wait() })
 }
 
-// fillWithClients fills the sidecar with more clients than it has room for: every other one sends a request, gets its answer and
-// rests, the others send nothing.
+// fillWithClients connects more clients than the sidecar has capacity for: every other one sends a request, gets its
+// response and stays idle, the others send nothing.
 func (rig *sidecarRig) fillWithClients() {
 	rig.t.Helper()
 	for i := range 300 {
@@ -51,7 +50,7 @@
 			rig.t.Fatal(err)
 		}
 		rig.t.Cleanup(func() { conn.Close() })
-		conn.SetDeadline(time.Now().Add(testTimeout))
+		setTestDeadline(rig.t, conn)
 		if i%2 == 0 {
 			continue
 		}
@@ -61,7 +60,7 @@
 		if err != nil || resp.StatusCode != http.StatusOK {
 			rig.t.Fatalf("client %d: %v, %v", i, resp, err)
 		}
-		io.Copy(io.Discard, resp.Body)
+		discard(resp.Body)
 	}
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", rig.pid))
 	if err != nil {
@@ -70,9 +69,9 @@
 	rig.t.Logf("%d descriptors are open", len(open))
 }
 
-// Discovery resets the watch, resets calls for a while, and is back with a drain: sends there end within the grace of
-// when it counts as told, also in a large fleet, and also where idle clients fill all descriptors that the system
-// allows. Then SIGHUP is followed, and SIGTERM ends the program in time.
+// Discovery resets the watch, resets calls for a while, and is back with a drain: requests to that server end within
+// the grace period after PROTOCOL counts the drain as known, also in a large fleet, and also while idle clients use
+// all descriptors. Then SIGHUP is followed, and SIGTERM ends the program in time.
 func TestDiscoveryOutage(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
 		for _, crowded := range []bool{false, true} {
@@ -83,12 +82,12 @@
 					sockets = 128
 				}
 				rig := startRigWith(t, mode, 80, sockets)
-				rig.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}} // each request is a new client's
+				rig.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}} // each request is from a new client
 				if crowded {
 					fillWithClients = rig.fillWithClients
 				}
 				watch := rig.registry.nextCall(t)
-				io.WriteString(watch, listHead+rig.listJSON(1, true, "Ready", ""))
+				tryWrite(watch, listHead+rig.listJSON(1, true, "Ready", ""))
 				rig.awaitAnswers("the list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
 				resetConn(t, watch)
 				fillWithClients()
@@ -109,7 +108,7 @@
 				fillWithClients()
 				terminatedAt := time.Now()
 				rig.terminate()
-				if elapsed := time.Since(terminatedAt); elapsed >= 3700*time.Millisecond { // SIGKILL may come then
+				if elapsed := time.Since(terminatedAt); elapsed >= 3700*time.Millisecond { // when SIGKILL may come
 					t.Errorf("it ends %v after SIGTERM", elapsed)
 				}
 			})
@@ -117,7 +116,7 @@
 	}
 }
 
-// Ready does not wait for discovery.
+// Readiness does not wait for discovery.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	silent := newFakeRegistry(t)
 	for _, address := range []string{"127.0.0.1:1", silent.Addr().String()} {
@@ -138,7 +137,7 @@
 	}
 }
 
-// A signal that comes while the configuration is read, which is a pipe here, is obeyed once the sidecar is ready.
+// A signal that arrives while the configuration is read, here from a pipe, is obeyed once the sidecar is ready.
 func TestSignalsDuringStart(t *testing.T) {
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP} {
 		command, _ := newProgram(t, config)
@@ -150,18 +149,18 @@
 			t.Fatal(err)
 		}
 		written := make(chan error, 1)
-		writeConfig := func(text string, before func() error) { // once the program reads
+		writeConfig := func(text string, before func() error) { // blocks until the program reads
 			file, err := os.OpenFile(path, os.O_WRONLY, 0)
 			if err == nil {
 				err = before()
-				io.WriteString(file, text)
+				tryWrite(file, text)
 				file.Close()
 			}
 			written <- err
 		}
 		lines := startWithLog(t, command)
-		watchdog := time.AfterFunc(testTimeout, func() { command.Process.Kill() })
-		defer watchdog.Stop()
+		watchdog := time.AfterFunc(testTimeout, func() { _ = command.Process.Kill() })
+		t.Cleanup(func() { watchdog.Stop() })
 		go writeConfig(config, func() error { return command.Process.Signal(sig) })
 		awaitLogLine(t, lines, "listen=")
 		if err := <-written; err != nil {
@@ -170,7 +169,7 @@
 		if sig == syscall.SIGHUP {
 			go writeConfig(strings.Replace(config, "127.0.0.1:1", "127.0.0.1:3", 1), func() error { return nil })
 			if line, _ := awaitLogLine(t, lines, "reloaded"); !strings.Contains(line, "discovery=127.0.0.1:3") {
-				t.Errorf("said %q", line)
+				t.Errorf("logged %q", line)
 			}
 			if err := <-written; err != nil {
 				t.Fatal(err)
@@ -185,8 +184,8 @@
 	}
 }
 
-// A further signal during the drain, or in the last moment of the process, costs nothing: the request under way has its
-// answer, and the program ends in good order.
+// A further signal during the drain, or at the last moment of the process, has no effect: the request in flight is
+// answered, and the program ends with status 0.
 func TestSignalsDuringDrain(t *testing.T) {
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP} {
 		t.Run(sig.String(), func(t *testing.T) {
--- a/internal/sidecar/attempt_outcome_test.go
+++ b/internal/sidecar/attempt_outcome_test.go
@@ -17,22 +17,22 @@
 	"milldeck/balance"
 )
 
-// resetConn ends a connection as the end of a process does.
+// resetConn makes the close of a connection a reset, as the end of a process does.
 func resetConn(conn net.Conn) bool {
-	conn.(*net.TCPConn).SetLinger(0)
+	_ = conn.(*net.TCPConn).SetLinger(0) // fails only if the connection is closed already
 	return false
 }
 
-// respondAndStall writes text and leaves the connection open, until the sidecar ends it.
+// respondAndStall writes text and leaves the connection open until the sidecar closes it.
 func respondAndStall(text string) serveFunc {
 	return func(conn net.Conn, _ *http.Request, _ string) bool {
-		io.WriteString(conn, text)
-		io.Copy(io.Discard, conn)
+		tryWrite(conn, text)
+		discard(conn)
 		return false
 	}
 }
 
-// respondForever writes a beginning and then the same again and again, many at a time, until the sidecar ends the connection.
+// respondForever writes text and then repeats another, many times at once, until the sidecar closes the connection.
 func respondForever(text, repeated string) serveFunc {
 	return func(conn net.Conn, _ *http.Request, _ string) bool {
 		_, err := io.WriteString(conn, text)
@@ -44,31 +44,31 @@
 	}
 }
 
-// respondAndReset writes text and resets the connection once the sidecar's machine has it.
+// respondAndReset writes text and resets the connection once the sidecar's machine has the text.
 func respondAndReset(text string) serveFunc {
 	return func(conn net.Conn, _ *http.Request, _ string) bool {
-		io.WriteString(conn, text)
+		tryWrite(conn, text)
 		return resetConn(conn)
 	}
 }
 
-const halfLine = "HTTP/1.1 200 O"
+const partialStatusLine = "HTTP/1.1 200 O"
 
-// Each way in which an attempt may end, for each effect: a further one goes out only where the rules let it, and not
-// before the connection of the one before is closed. Whatever comes is no answer unless it is whole.
+// For each way in which an attempt may end and each kind of idempotency: there is a retry only where the rules allow
+// it, and not before the connection of the previous attempt is closed. An incomplete response is never passed on.
 func TestRetryAfterFailedAttempt(t *testing.T) {
 	type outcomeCase struct {
 		timeout  time.Duration
 		serve    serveFunc
-		statuses [3]int // of a safe, a keyed and an unsafe request
+		statuses [3]int // of an idempotent request, one with an idempotency key and one that is not idempotent
 		attempts [3]int64
-		reusable bool // the connection may be kept, as the answer is whole
+		reusable bool // the connection may stay open, as the response is complete
 	}
-	// May have run: the unsafe one gets no further attempt.
+	// The server may have executed it: a non-idempotent request is not retried.
 	maybeExecuted := func(serve serveFunc) outcomeCase {
 		return outcomeCase{time.Second, serve, [3]int{200, 200, statusFailed}, [3]int64{2, 2, 1}, false}
 	}
-	// No outcome comes before the deadline, and there is only one attempt out at a time.
+	// There is no outcome before the deadline, and only one attempt is in flight at a time.
 	silent := func(serve serveFunc) outcomeCase {
 		return outcomeCase{200 * time.Millisecond, serve, [3]int{statusRejected, statusTimedOut, statusTimedOut}, [3]int64{1, 1, 1}, false}
 	}
@@ -80,37 +80,37 @@
 	}
 	notProcessed := "X-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, test := range map[string]outcomeCase{
-		"reset at once":               maybeExecuted(respondAndReset("")),
-		"close at once":               maybeExecuted(respondWith("", false)),
-		"half a line, close":          maybeExecuted(respondWith(halfLine, false)),
-		"half a line, reset":          maybeExecuted(respondAndReset(halfLine)),
-		"half a line, silence":        silent(respondAndStall(halfLine)),
-		"whole status line, close":    maybeExecuted(respondWith("HTTP/1.1 200 OK", false)),
-		"half a length, close":        maybeExecuted(respondWith("HTTP/1.1 200 OK\r\nContent-Length: 1", false)),
-		"half an end of head, close":  maybeExecuted(respondWith("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r", false)),
-		"half a mark, close":          maybeExecuted(respondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\nX-Not-Processed: 1", false)),
-		"half a chunk, reset":         maybeExecuted(respondAndReset("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndo")),
-		"last chunk alone, close":     maybeExecuted(respondWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0", false)),
-		"no length, close":            maybeExecuted(respondWith("HTTP/1.1 200 OK\r\n\r\ndone", false)),
-		"no length, reset":            maybeExecuted(respondAndReset("HTTP/1.1 200 OK\r\n\r\ndone")),
-		"no length, left open":        maybeExecuted(respondAndStall("HTTP/1.1 200 OK\r\n\r\ndone")),
-		"not HTTP, left open":         maybeExecuted(respondAndStall("hello\r\n\r\n")),
-		"endless head":                maybeExecuted(respondForever("HTTP/1.1 200 OK\r\n", "X-More: of the same\r\n")),
-		"endless line":                maybeExecuted(respondForever("HTTP/1.1 200 OK\r\nX-More: ", "of the same")),
-		"endless chunks":              maybeExecuted(respondForever("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n")),
-		"endless chunk":               maybeExecuted(respondForever("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\n", "x")),
-		"endless trailer":             maybeExecuted(respondForever("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X-More: x\r\n")),
-		"endless hints":               maybeExecuted(respondForever("", "HTTP/1.1 103 Soon\r\n\r\n")),
-		"hints, then silence":         silent(respondAndStall("HTTP/1.1 103 Soon\r\n\r\n")),
-		"body, then silence":          silent(respondAndStall("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndone")),
-		"error":                       failed(respondWith("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true)),
-		"429 with mark":               failed(respondWith("HTTP/1.1 429 No\r\n"+notProcessed, true)),
-		"502 with mark":               failed(respondWith("HTTP/1.1 502 No\r\n"+notProcessed, true)),
-		"503 with mark, cut short":    maybeExecuted(respondWith("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 9\r\n\r\n", false)),
-		"503 without mark":            failed(respondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", true)),
-		"503 with mark":               neverExecuted(respondWith("HTTP/1.1 503 No\r\n"+notProcessed, true)),
-		"504 with mark, then a close": neverExecuted(respondWith("HTTP/1.1 504 No\r\n"+notProcessed, false)),
-		"whole, then a reset":         {time.Second, respondAndReset("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"), [3]int{200, 200, 200}, [3]int64{1, 1, 1}, true},
+		"reset at once":                   maybeExecuted(respondAndReset("")),
+		"close at once":                   maybeExecuted(respondWith("", false)),
+		"partial line, close":             maybeExecuted(respondWith(partialStatusLine, false)),
+		"partial line, reset":             maybeExecuted(respondAndReset(partialStatusLine)),
+		"partial line, silence":           silent(respondAndStall(partialStatusLine)),
+		"complete status line, close":     maybeExecuted(respondWith("HTTP/1.1 200 OK", false)),
+		"partial length, close":           maybeExecuted(respondWith("HTTP/1.1 200 OK\r\nContent-Length: 1", false)),
+		"partial end of header, close":    maybeExecuted(respondWith("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r", false)),
+		"partial mark, close":             maybeExecuted(respondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\nX-Not-Processed: 1", false)),
+		"partial chunk, reset":            maybeExecuted(respondAndReset("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndo")),
+		"last chunk alone, close":         maybeExecuted(respondWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0", false)),
+		"no length, close":                maybeExecuted(respondWith("HTTP/1.1 200 OK\r\n\r\ndone", false)),
+		"no length, reset":                maybeExecuted(respondAndReset("HTTP/1.1 200 OK\r\n\r\ndone")),
+		"no length, left open":            maybeExecuted(respondAndStall("HTTP/1.1 200 OK\r\n\r\ndone")),
+		"not HTTP, left open":             maybeExecuted(respondAndStall("hello\r\n\r\n")),
+		"endless header":                  maybeExecuted(respondForever("HTTP/1.1 200 OK\r\n", "X-More: of the same\r\n")),
+		"endless line":                    maybeExecuted(respondForever("HTTP/1.1 200 OK\r\nX-More: ", "of the same")),
+		"endless chunks":                  maybeExecuted(respondForever("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n")),
+		"endless chunk":                   maybeExecuted(respondForever("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\n", "x")),
+		"endless trailer":                 maybeExecuted(respondForever("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X-More: x\r\n")),
+		"endless interim responses":       maybeExecuted(respondForever("", "HTTP/1.1 103 Soon\r\n\r\n")),
+		"interim responses, then silence": silent(respondAndStall("HTTP/1.1 103 Soon\r\n\r\n")),
+		"body, then silence":              silent(respondAndStall("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndone")),
+		"error":                           failed(respondWith("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true)),
+		"429 with mark":                   failed(respondWith("HTTP/1.1 429 No\r\n"+notProcessed, true)),
+		"502 with mark":                   failed(respondWith("HTTP/1.1 502 No\r\n"+notProcessed, true)),
+		"503 with mark, cut short":        maybeExecuted(respondWith("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 9\r\n\r\n", false)),
+		"503 without mark":                failed(respondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", true)),
+		"503 with mark":                   neverExecuted(respondWith("HTTP/1.1 503 No\r\n"+notProcessed, true)),
+		"504 with mark, then a close":     neverExecuted(respondWith("HTTP/1.1 504 No\r\n"+notProcessed, false)),
+		"complete, then a reset":          {time.Second, respondAndReset("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"), [3]int{200, 200, 200}, [3]int64{1, 1, 1}, true},
 	} {
 		for i, class := range []string{"lookup", "reserve", "charge"} {
 			t.Run(name+"/"+class, func(t *testing.T) {
@@ -136,13 +136,14 @@
 				if attempted := attempts.Load(); attempted != test.attempts[i] {
 					t.Errorf("%d attempts, want %d", attempted, test.attempts[i])
 				}
-				waitUntil(t, "all memory to be given back", func() bool { return sidecar.loop.pool.bodyMemory.remaining.Load() == memory })
+				waitUntil(t, "all body memory to be released", func() bool { return sidecar.loop.pool.bodyMemory.remaining.Load() == memory })
 			})
 		}
 	}
 }
 
-// steppedLoop is a loop whose events the test takes one by one, in the order it chooses. Its attempts are real.
+// steppedLoop is an event loop whose events the test handles one by one, in an order that it chooses. Its attempts
+// are real.
 type steppedLoop struct {
 	*eventLoop
 	t      *testing.T
@@ -178,7 +179,7 @@
 			t.Errorf("%d connections are still counted", loop.pool.openConns)
 		}
 		if remaining := memory.remaining.Load(); remaining != loop.memory {
-			t.Errorf("%d bytes of the memory for bodies are not given back", loop.memory-remaining)
+			t.Errorf("%d bytes of the body memory are not released", loop.memory-remaining)
 		}
 	})
 	loop.execute(loop.nowMS(), balancer.Start(loop.nowMS()))
@@ -188,7 +189,7 @@
 
 func (loop *steppedLoop) nowMS() float64 { return loop.clock.unixMS(time.Now()) }
 
-// submit makes a request arrive; its first attempt is under way afterwards.
+// submit handles the arrival of a request, which starts its first attempt.
 func (loop *steppedLoop) submit(class string) *call {
 	call := loop.newCall(class)
 	loop.handleEvent(loop.nowMS(), requestArrived{call})
@@ -203,13 +204,13 @@
 	return created
 }
 
-// nextCompleted waits for an attempt to end; the loop has not heard of it yet.
+// nextCompleted waits for an attempt to end; the event is not handled yet.
 func (loop *steppedLoop) nextCompleted() attemptCompleted {
 	loop.t.Helper()
 	return receiveWithin(loop.t, "the end of an attempt", loop.events).(attemptCompleted)
 }
 
-// disconnect is what the frontend does when the client is gone.
+// disconnect does what the frontend does when the client disconnects.
 func (loop *steppedLoop) disconnect(call *call) {
 	loop.t.Helper()
 	if !call.markAnswered() {
@@ -218,7 +219,7 @@
 	loop.handleEvent(loop.nowMS(), clientDisconnected{call})
 }
 
-// takeResponse takes the one answer as the frontend does.
+// takeResponse takes the response as the frontend does.
 func (loop *steppedLoop) takeResponse(call *call) response {
 	loop.t.Helper()
 	select {
@@ -231,7 +232,7 @@
 	}
 }
 
-// assertReleased checks that nothing is left of a request.
+// assertReleased checks that no state of a call is left.
 func (loop *steppedLoop) assertReleased(call *call) {
 	loop.t.Helper()
 	if len(call.response) != 0 || len(loop.calls.byID) != 0 || !call.answered.Load() {
@@ -239,12 +240,12 @@
 	}
 }
 
-// An answer is whole in the moment in which its request ends otherwise. Whichever the loop takes first, there is one
-// answer, one outcome and no memory left.
+// A response is complete at the moment when its call ends otherwise. Whichever event is handled first, there is one
+// response, one outcome, and no body memory stays reserved.
 func TestResponseRacingTermination(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	for name, play := range map[string]func(loop *steppedLoop, call *call, event attemptCompleted){
-		"hang-up first": func(loop *steppedLoop, call *call, event attemptCompleted) {
+		"disconnect first": func(loop *steppedLoop, call *call, event attemptCompleted) {
 			loop.disconnect(call)
 			loop.handleEvent(loop.nowMS(), event)
 		},
@@ -257,7 +258,7 @@
 				loop.t.Errorf("%+v", resp)
 			}
 		},
-		"time-out first": func(loop *steppedLoop, call *call, event attemptCompleted) {
+		"timeout first": func(loop *steppedLoop, call *call, event attemptCompleted) {
 			loop.runDueTimers(loop.clock.unixMS(call.deadline) + 1)
 			if resp := loop.takeResponse(call); resp.status != statusTimedOut {
 				loop.t.Errorf("%+v", resp)
@@ -273,7 +274,7 @@
 		},
 		"answer before overdue": func(loop *steppedLoop, call *call, event attemptCompleted) {
 			loop.handleEvent(loop.nowMS(), event)
-			front := &frontend{post: func(loopEvent) { loop.t.Error("the loop hears of a second end") }}
+			front := &frontend{post: func(loopEvent) { loop.t.Error("the event loop is told of a second end") }}
 			resp, claimed := front.concludeCall(call)
 			if claimed || resp.status != 200 {
 				loop.t.Errorf("%+v, owed %v", resp, claimed)
@@ -294,7 +295,7 @@
 	}
 }
 
-// hookedConn plays what comes on a connection and calls cut in the moment in which something has come.
+// hookedConn calls a function after each read.
 type hookedConn struct {
 	net.Conn
 	onRead func()
@@ -306,8 +307,8 @@
 	return n, err
 }
 
-// The cut comes while the answer is read: what has come whole by then is the answer, what has not is none, and the
-// connection is closed in any case.
+// An attempt ends while its response is read: what is complete by then is the response, anything else is none, and
+// the connection is closed in any case.
 func TestCancelWhileReading(t *testing.T) {
 	complete := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 	for name, test := range map[string]struct {
@@ -315,10 +316,12 @@
 		interrupt func(attempt *attempt, conn *upstreamConn)
 		want      balance.Result
 	}{
-		"whole, cancelled": {complete, func(attempt *attempt, _ *upstreamConn) { attempt.cancel() }, balance.OK},
-		"part, cancelled":  {complete[:len(complete)-1], func(attempt *attempt, _ *upstreamConn) { attempt.cancel() }, balance.Cancelled},
-		"part, timed out": {complete[:len(complete)-1], func(_ *attempt, conn *upstreamConn) {
-			conn.SetDeadline(expiredDeadline)
+		"complete, cancelled": {complete, func(attempt *attempt, _ *upstreamConn) { attempt.cancel() }, balance.OK},
+		"partial, cancelled":  {complete[:len(complete)-1], func(attempt *attempt, _ *upstreamConn) { attempt.cancel() }, balance.Cancelled},
+		"partial, timed out": {complete[:len(complete)-1], func(_ *attempt, conn *upstreamConn) {
+			if err := conn.SetDeadline(expiredDeadline); err != nil {
+				t.Error(err)
+			}
 		}, balance.TimedOut},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -342,7 +345,8 @@
 	}
 }
 
-// A second answer behind the first, before or after its connection was put to rest, is never the next request's.
+// A second response on a connection, before or after the connection returned to the pool, is never taken for that of
+// the next request.
 func TestSecondResponseIsNotReused(t *testing.T) {
 	const responseFormat = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d"
 	for _, atOnce := range []bool{true, false} {
@@ -368,7 +372,7 @@
 				upstream, conn := c.attempts[0].upstream, <-conns
 				if atOnce {
 					if len(upstream.idleConns) != 0 {
-						t.Error("the connection is kept")
+						t.Error("the connection is pooled")
 					}
 					continue
 				}
@@ -382,7 +386,8 @@
 	}
 }
 
-// A second answer that comes only when the next request is out: that one is on another connection, as the first rests.
+// A second response may arrive only when the next request is written: that request is on another connection, due to
+// the reuse delay.
 func TestSecondResponseDuringNextRequest(t *testing.T) {
 	const responseFormat = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d"
 	var first net.Conn
@@ -410,14 +415,15 @@
 	}
 }
 
-// A reset long after the request has begun, past its aim: it may have run, so what it may still be depends on its effect.
+// A reset long after the request was written, past its latency objective: the server may have executed the request,
+// so its idempotency decides.
 func TestResetAfterLatencyObjective(t *testing.T) {
 	for class, test := range map[string]struct {
 		status  int
 		retried bool
 	}{
-		"lookup":  {statusRejected, false}, // past its aim it is worth no further attempt
-		"reserve": {200, true},             // within its window, in the cell
+		"lookup":  {statusRejected, false}, // past its latency objective it is not worth a retry
+		"reserve": {200, true},             // within its idempotency window, in the cell
 		"charge":  {statusFailed, false},
 	} {
 		t.Run(class, func(t *testing.T) {
@@ -428,7 +434,7 @@
 					return serveOK(c, r, body)
 				}
 				started <- c
-				io.Copy(io.Discard, c)
+				discard(c)
 				return false
 			}
 			serverA, serverB := newBackend(t, "a", serve), newBackend(t, "b", serve)
@@ -455,8 +461,8 @@
 	}
 }
 
-// A server that goes before it has read all of a request surely never ran it: also an unsafe one goes elsewhere, and
-// comes whole there, once.
+// A server that resets before it has read a complete request did not execute it: even a non-idempotent request is
+// retried elsewhere, completely and once.
 func TestResetDuringWrite(t *testing.T) {
 	listener, conns := newUnreadListener(t)
 	healthyServer := newBackend(t, "b", func(c net.Conn, r *http.Request, body string) bool {
@@ -469,7 +475,7 @@
 	c.outbound.body = make([]byte, maxBody)
 	loop.handleEvent(loop.nowMS(), requestArrived{c})
 	conn := receiveWithin(t, "the connection", conns)
-	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil { // some of it has come
+	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil { // a part of it has arrived
 		t.Fatal(err)
 	}
 	resetConn(conn)
--- a/internal/sidecar/attempt_start_test.go
+++ b/internal/sidecar/attempt_start_test.go
@@ -13,7 +13,7 @@
 	"milldeck/balance"
 )
 
-// blockedDial is a dialer's hook that holds a connection back before it comes up.
+// blockedDial is a dialer hook that blocks a connection before it is established.
 type blockedDial struct{ started, release chan struct{} }
 
 func blockDials(pool *connPool) blockedDial {
@@ -26,7 +26,7 @@
 	return blocked
 }
 
-// What discovery may tell of a server between the decision for it and the first byte.
+// endpointRemovals is what discovery may report of a server between the decision for an attempt and its first byte.
 func endpointRemovals(server *backend) map[string]endpointUpdate {
 	updateWith := func(kind balance.UpdateKind, change func(*endpoint)) endpointUpdate {
 		changed := server.endpoint
@@ -34,21 +34,22 @@
 		return endpointUpdate{kind: kind, endpoints: endpointList{Revision: 2, Endpoints: []endpoint{changed}}}
 	}
 	return map[string]endpointUpdate{
-		"drains":   updateWith(balance.UpdateDelta, func(changed *endpoint) { changed.State = "Terminating" }),
-		"is gone":  updateWith(balance.UpdateDelta, func(changed *endpoint) { changed.State = "Gone" }),
-		"restarts": updateWith(balance.UpdateDelta, func(changed *endpoint) { changed.BootMS = 1e12 }),
-		"moves":    updateWith(balance.UpdateDelta, func(changed *endpoint) { changed.Address = "127.0.0.1:1" }),
-		"unlisted": updateWith(balance.UpdateFull, func(changed *endpoint) { changed.UID = "z" }),
+		"drains":              updateWith(balance.UpdateDelta, func(changed *endpoint) { changed.State = "Terminating" }),
+		"is removed":          updateWith(balance.UpdateDelta, func(changed *endpoint) { changed.State = "Gone" }),
+		"restarts":            updateWith(balance.UpdateDelta, func(changed *endpoint) { changed.BootMS = 1e12 }),
+		"changes its address": updateWith(balance.UpdateDelta, func(changed *endpoint) { changed.Address = "127.0.0.1:1" }),
+		"unlisted":            updateWith(balance.UpdateFull, func(changed *endpoint) { changed.UID = "z" }),
 	}
 }
 
-// A server that drains, goes or restarts between decision and first byte gets nothing, neither on a kept connection nor
-// on one that was being dialled. The attempt never ran, and the request goes elsewhere, also an unsafe one.
+// A server that drains, is removed or restarts between the decision for an attempt and its first byte gets nothing,
+// neither on a reused connection nor on one that is being dialed. The attempt was never executed, and even a
+// non-idempotent request is retried elsewhere.
 func TestEndpointRemovedBeforeFirstByte(t *testing.T) {
 	for _, reused := range []bool{true, false} {
 		server := newBackend(t, "a", serveOK)
 		for name, removal := range endpointRemovals(server) {
-			t.Run(fmt.Sprintf("%s, connection kept %v", name, reused), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, reused connection %v", name, reused), func(t *testing.T) {
 				other := newBackend(t, "b", serveOK)
 				var dials blockedDial
 				loop := newSteppedLoop(t, newConfigDocument("127.0.0.1:1", server.endpoint), func(pool *connPool) {
@@ -56,19 +57,19 @@
 						dials = blockDials(pool)
 					}
 				})
-				if reused { // leaves a connection
+				if reused { // leaves an idle connection
 					call := loop.submit("charge")
 					loop.handleEvent(loop.nowMS(), loop.nextCompleted())
 					loop.takeResponse(call)
 				}
 				before := server.requests.Load()
 				call := loop.newCall("charge")
-				call.writeMu.Lock() // held back at the last check
+				call.writeMu.Lock() // blocks the final check
 				loop.handleEvent(loop.nowMS(), requestArrived{call})
 				if !reused {
 					receiveWithin(t, "the dial", dials.started)
 				} else {
-					waitUntil(t, "the kept connection to be taken", func() bool {
+					waitUntil(t, "the idle connection to be acquired", func() bool {
 						loop.pool.mu.Lock()
 						defer loop.pool.mu.Unlock()
 						return len(loop.pool.withIdle) == 0
@@ -82,9 +83,9 @@
 				call.writeMu.Unlock()
 				event := loop.nextCompleted()
 				if event.exchange.outcome != balance.Obsolete {
-					t.Fatalf("result %v, want it moot", event.exchange.outcome)
+					t.Fatalf("result %v, want obsolete", event.exchange.outcome)
 				}
-				if name == "unlisted" { // the full list named only one more, which answers nowhere
+				if name == "unlisted" { // the full list named only a server that answers nowhere
 					loop.applyEndpointUpdate(loop.nowMS(), endpointUpdate{kind: balance.UpdateFull, endpoints: endpointList{Revision: 3, Endpoints: []endpoint{other.endpoint}}})
 				}
 				loop.handleEvent(loop.nowMS(), event)
@@ -93,7 +94,7 @@
 					t.Errorf("%+v, %d requests at the other server", resp, other.requests.Load())
 				}
 				if requests := server.requests.Load() - before; requests != 0 {
-					t.Errorf("%d requests came to the server that went", requests)
+					t.Errorf("%d requests reached the removed server", requests)
 				}
 				loop.assertReleased(call)
 			})
@@ -101,13 +102,14 @@
 	}
 }
 
-// A request that is given up while its connection comes up, or at the last check, is not written, and its connection goes.
+// A call that ends while its connection is dialed, or at the final check, is not written, and its connection is
+// closed.
 func TestCallEndedBeforeFirstByte(t *testing.T) {
 	endings := map[string]func(loop *steppedLoop, call *call){
-		"hang-up": func(loop *steppedLoop, call *call) { loop.disconnect(call) },
-		"time-out": func(loop *steppedLoop, call *call) {
+		"disconnect": func(loop *steppedLoop, call *call) { loop.disconnect(call) },
+		"timeout": func(loop *steppedLoop, call *call) {
 			loop.runDueTimers(loop.clock.unixMS(call.deadline) + 1)
-			if resp := loop.takeResponse(call); resp.status != statusTimedOut { // at once, though the attempt is not over
+			if resp := loop.takeResponse(call); resp.status != statusTimedOut { // at once, although the attempt has not ended
 				loop.t.Errorf("%+v", resp)
 			}
 		},
@@ -147,7 +149,8 @@
 	}
 }
 
-// newFullListener listens, but its queue of connections is full: new ones come up once the fillers are accepted.
+// newFullListener listens with a full accept queue: further connections are established once the fillers are
+// accepted.
 func newFullListener(t *testing.T) (listener net.Listener, fillers int) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -155,10 +158,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
+	setTestDeadline(t, listener.(*net.TCPListener))
 	rawConn, err := listener.(*net.TCPListener).SyscallConn()
 	if err == nil {
-		rawConn.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) })
+		controlErr := rawConn.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) })
+		if controlErr != nil {
+			t.Fatal(controlErr)
+		}
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -172,7 +178,8 @@
 	}
 }
 
-// A connection that comes up after the time for it, or after its request, carries nothing and is not left behind.
+// A connection that is established after the connect timeout, or after its call has ended, carries nothing and is
+// closed.
 func TestLateConnectionCarriesNothing(t *testing.T) {
 	for name, test := range map[string]struct {
 		setting string
@@ -203,12 +210,12 @@
 				return conn
 			}
 			for range fillers {
-				accept() // there is room again: what comes next is the next request
+				accept() // the queue is free again: the next connection is that of the next request
 			}
 			answered := sidecar.doAsync(sidecar.newRequest("charge", 2*time.Second))
 			conn := accept()
 			if !readsCompleteRequest(t, conn) {
-				t.Error("the first connection to come up carries no whole request")
+				t.Error("the first connection to come up carries no complete request")
 			}
 			serveOK(conn, nil, "")
 			if got := receiveWithin(t, "the answer", answered); got.status != 200 {
@@ -218,11 +225,11 @@
 	}
 }
 
-// Nothing is known of servers when this machine has no socket left: they are not blamed, the request is turned away
-// unsent, and the server serves again once there is room.
+// When this machine has no socket left, servers are not blamed: the request is rejected unsent, and the server is
+// used again when sockets are available.
 func TestSocketExhaustionIsNotBlamedOnServer(t *testing.T) {
 	for name, exhaust := range map[string]func(pool *connPool, full bool){
-		"own bound": func(pool *connPool, full bool) {
+		"own limit": func(pool *connPool, full bool) {
 			pool.mu.Lock()
 			defer pool.mu.Unlock()
 			if pool.maxConns = 10; full {
@@ -247,7 +254,7 @@
 			second := loop.submit("charge")
 			event := loop.nextCompleted()
 			if event.attempt.call != second || event.exchange.outcome != balance.Obsolete {
-				t.Errorf("%+v, want the second moot", event.exchange)
+				t.Errorf("%+v, want the second obsolete", event.exchange)
 			}
 			loop.handleEvent(loop.nowMS(), event)
 			serve()
@@ -262,7 +269,7 @@
 			if resp := loop.takeResponse(third); resp.status != 200 {
 				t.Errorf("%+v", resp)
 			}
-			loop.runDueTimers(loop.nowMS() + loop.config.settings.Classes[second.request.Class].LatencyObjective) // no other server has come up for it
+			loop.runDueTimers(loop.nowMS() + loop.config.settings.Classes[second.request.Class].LatencyObjective) // no other server is available for it
 			if resp := loop.takeResponse(second); resp.status != statusRejected {
 				t.Errorf("%+v", resp)
 			}
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -14,7 +15,7 @@
 	"time"
 )
 
-// wireText is a request as it goes over the wire.
+// wireText is a request as it is written to a connection.
 func (sidecar *testSidecar) wireText(req *http.Request) string {
 	sidecar.t.Helper()
 	var buffer bytes.Buffer
@@ -24,7 +25,7 @@
 	return buffer.String()
 }
 
-// writeTo writes to a client's connection.
+// writeTo writes text to a connection.
 func writeTo(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -32,7 +33,7 @@
 	}
 }
 
-// readStatus reads one answer; 0: the connection ended without one.
+// readStatus reads one response and returns its status; 0: the connection ended without a response.
 func readStatus(t *testing.T, reader *bufio.Reader) int {
 	t.Helper()
 	resp, err := http.ReadResponse(reader, nil)
@@ -40,16 +41,16 @@
 		return 0
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		t.Errorf("the answer is not whole: %v", err)
+		t.Errorf("the response is incomplete: %v", err)
 	}
 	return resp.StatusCode
 }
 
-// blockingBackend is a server that tells of each request and answers it when the test says so.
+// blockingBackend is a server that reports each request and responds when the test releases it.
 type blockingBackend struct {
 	*backend
-	arrivals chan string   // the query of a request
-	release  chan struct{} // one for each answer
+	arrivals chan string   // the query of each request
+	release  chan struct{} // one for each response
 }
 
 func newBlockingBackend(t *testing.T, uid string, serve serveFunc) *blockingBackend {
@@ -68,20 +69,20 @@
 	return server
 }
 
-// A client that has gone, also one that only ended its sending, gets no answer that no server made.
+// A client that has disconnected, or has only closed its sending side, gets no response that no server made.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	server := newBlockingBackend(t, "a", serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
 	conn := sidecar.dial()
 	writeTo(t, conn, sidecar.wireText(sidecar.newRequest("lookup", 2*time.Second)))
 	receiveWithin(t, "the request", server.arrivals)
-	conn.(*net.TCPConn).CloseWrite()
+	closeWrite(t, conn)
 	if got, err := io.ReadAll(conn); len(got) > 0 || err != nil {
 		t.Errorf("got %q, %v", got, err)
 	}
 }
 
-// newTestFrontend is a frontend over a loop that the test plays.
+// newTestFrontend makes a frontend whose events the test handles.
 func newTestFrontend(t *testing.T, maxConns, maxPersistent int, post func(loopEvent)) *frontend {
 	t.Helper()
 	config, err := newConfigDocument("127.0.0.1:1").load(t)
@@ -101,16 +102,16 @@
 	return frontend
 }
 
-// dialAndAccept connects a client and takes its connection.
-func (listener *clientListener) dialAndAccept(t *testing.T) (client net.Conn, conn *clientConn) {
+// dialAndAccept connects a client and accepts its connection.
+func (l *clientListener) dialAndAccept(t *testing.T) (client net.Conn, conn *clientConn) {
 	t.Helper()
-	client, err := net.Dial("tcp", listener.Addr().String())
+	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { client.Close() })
-	client.SetDeadline(time.Now().Add(testTimeout))
-	accepted, err := listener.Accept()
+	setTestDeadline(t, client)
+	accepted, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,20 +119,20 @@
 	return client, accepted.(*clientConn)
 }
 
-// locked runs what needs the table's lock.
-func (t *clientListener) locked(front func()) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	front()
+// locked calls a function under the lock of the listener.
+func (l *clientListener) locked(critical func()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	critical()
 }
 
-// awaitIdle waits until the one connection is between requests and its reader waits for more.
-func (listener *clientListener) awaitIdle(t *testing.T) {
+// awaitIdle waits until the only connection is between requests and its reader waits for more.
+func (l *clientListener) awaitIdle(t *testing.T) {
 	t.Helper()
-	waitUntil(t, "a rest", func() bool {
+	waitUntil(t, "an idle connection", func() bool {
 		isIdle := false
-		listener.locked(func() {
-			for conn := range listener.conns {
+		l.locked(func() {
+			for conn := range l.conns {
 				isIdle = conn.phase == phaseIdle && conn.readerWaiting
 			}
 		})
@@ -139,7 +140,7 @@
 	})
 }
 
-// A request that net/http has read in the very moment in which connections are closed is answered: the drain comes
+// A request that net/http has read at the moment when idle connections are shut down is answered: the shutdown comes
 // between the read and the handler.
 func TestRequestReadDuringCloseIsAnswered(t *testing.T) {
 	front := newTestFrontend(t, 10, 10, func(event loopEvent) {
@@ -155,12 +156,11 @@
 		}
 		onConnState(netConn, state)
 	}
-	go httpServer.Serve(front.listener)
-	defer httpServer.Close()
+	serveUntilCleanup(t, httpServer, front.listener)
 	sidecar := &testSidecar{t: t, Sidecar: &Sidecar{frontend: front}}
 	conn := sidecar.dial()
 	reader := bufio.NewReader(conn)
-	for i := range 2 { // on a new connection, and on one that has rested
+	for i := range 2 { // on a new connection, and on an idle one
 		writeTo(t, conn, sidecar.wireText(sidecar.newRequest("charge", time.Second)))
 		if got := readStatus(t, reader); got != 200 {
 			t.Fatalf("request %d: %d", i, got)
@@ -168,27 +168,27 @@
 	}
 }
 
-// What is read of a connection keeps it open, whole or a half that may still become whole; a half that rests and a
-// connection that waits make room. Of one that has made room nothing is read.
+// A connection from which a request was read, or a part of one within its grace, is not evicted. One whose part is
+// overdue, or that is idle, is. Nothing is read from an evicted connection.
 func TestReadAndEvictionAreMutuallyExclusive(t *testing.T) {
-	const half = "GET /api HTT"
+	const partial = "GET /api HTT"
 	for name, test := range map[string]struct {
 		phase   connPhase
-		read    string // before its reader asks again
-		wait    bool   // its reader does ask again
+		read    string // before the reader waits again
+		wait    bool   // the reader waits for more
 		age     time.Duration
 		evicted bool
 	}{
-		"not looked at yet":          {phaseNew, "", false, 0, false},
-		"read whole":                 {phaseNew, half, false, time.Hour, false},
-		"read whole, kept":           {phaseIdle, half, false, time.Hour, false},
-		"half a request":             {phaseNew, half, true, 0, false},
-		"half a request, kept":       {phaseIdle, half, true, 0, false},
-		"half a request that rests":  {phaseNew, half, true, partialRequestGrace, true},
-		"silent":                     {phaseNew, "", true, 0, true},
-		"kept":                       {phaseIdle, "", true, 0, true},
-		"its request is open":        {phaseActive, "", true, time.Hour, false},
-		"its last answer is written": {phaseClosing, "", false, 0, true},
+		"not read yet":                  {phaseNew, "", false, 0, false},
+		"complete request read":         {phaseNew, partial, false, time.Hour, false},
+		"complete request read, reused": {phaseIdle, partial, false, time.Hour, false},
+		"partial request":               {phaseNew, partial, true, 0, false},
+		"partial request, reused":       {phaseIdle, partial, true, 0, false},
+		"overdue partial request":       {phaseNew, partial, true, partialRequestGrace, true},
+		"silent":                        {phaseNew, "", true, 0, true},
+		"idle":                          {phaseIdle, "", true, 0, true},
+		"request active":                {phaseActive, "", true, time.Hour, false},
+		"last response written":         {phaseClosing, "", false, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			listener := newTestFrontend(t, 10, 0, nil).listener
@@ -213,7 +213,7 @@
 			}
 			var evicted *clientConn
 			listener.locked(func() {
-				conn.phaseSince = time.Now().Add(time.Hour) // however long the test takes, no half has had its time
+				conn.phaseSince = time.Now().Add(time.Hour) // however long the test takes, the grace of a partial request is not over
 				if test.age > 0 {
 					conn.phaseSince = time.Now().Add(-test.age)
 				}
@@ -223,15 +223,15 @@
 				}
 			})
 			if (evicted == conn) != test.evicted {
-				t.Errorf("makes room: %v", evicted == conn)
+				t.Errorf("evicted: %v", evicted == conn)
 			}
 			if !test.evicted {
 				listener.shutdownIdle()
 				if _, err := conn.Write([]byte("x")); err != nil {
-					t.Error("closed at a drain:", err)
+					t.Error("closed during a drain:", err)
 				}
 			}
-			writeTo(t, client, "x") // before it is closed
+			writeTo(t, client, "x") // before the connection is closed
 			if !test.wait {
 				go func() {
 					_, err := conn.Read(make([]byte, 100))
@@ -245,7 +245,7 @@
 	}
 }
 
-// Of a connection that is shut nothing is read, though its reader has its turn only once a request is there.
+// Nothing is read from a connection that was shut down, although its reader runs only when a request is there.
 func TestNoReadAfterShutdownOfIdle(t *testing.T) {
 	listener := newTestFrontend(t, 10, 10, nil).listener
 	client, conn := listener.dialAndAccept(t)
@@ -258,37 +258,41 @@
 	}
 }
 
-// A request that comes in the last moment of a rest is read, though the time is over when its reader looks.
+// A request that arrives just before the idle timeout is read, although the timeout is over when the reader runs.
 func TestRequestAtIdleTimeoutIsRead(t *testing.T) {
 	listener := newTestFrontend(t, 10, 10, nil).listener
 	client, conn := listener.dialAndAccept(t)
 	writeTo(t, client, "GET")
 	waitUntil(t, "the bytes", func() bool { return !openAndEmpty(conn.TCPConn) })
-	conn.SetReadDeadline(time.Unix(1, 0))
+	if err := conn.SetReadDeadline(time.Unix(1, 0)); err != nil {
+		t.Fatal(err)
+	}
 	got := make([]byte, 10)
 	if n, err := conn.Read(got); n != 3 || err != nil {
 		t.Errorf("%d bytes, %v", n, err)
 	}
-	if n, err := conn.Read(got); n != 0 || err == nil || !err.(net.Error).Timeout() {
+	var netErr net.Error
+	if n, err := conn.Read(got); n != 0 || !errors.As(err, &netErr) || !netErr.Timeout() {
 		t.Errorf("with nothing there: %d bytes, %v", n, err)
 	}
 }
 
-// A client that has gone is noticed also behind what it sent on: its request is over at once, not at its time. Who
-// sends more behind a request than a client may is told so.
+// The disconnect of a client is also noticed behind bytes that it has pipelined: its request ends at once, not at its
+// deadline. A client that pipelines too much gets status 400.
 func TestPipeliningClientDisconnects(t *testing.T) {
 	server := newBlockingBackend(t, "a", serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
 	for name, pipelined := range map[string]string{
 		"nothing": "", "a byte": "G", "a request": sidecar.wireText(sidecar.newRequest("lookup", time.Minute)),
-		"half a buffer": strings.Repeat("x", 4000), "a buffer": strings.Repeat("x", 5000), "much": strings.Repeat("x", 1<<20),
+		"half of the limit": strings.Repeat("x", 4000), "more than the limit": strings.Repeat("x", 5000), "much more": strings.Repeat("x", 1<<20),
 	} {
 		t.Run(name, func(t *testing.T) {
 			before := server.requests.Load()
 			conn := sidecar.dial()
 			writeTo(t, conn, sidecar.wireText(sidecar.newRequest("lookup", time.Minute)))
 			receiveWithin(t, "the request", server.arrivals)
-			if io.WriteString(conn, pipelined); len(pipelined) > maxPipelined { // it may be cut off while it sends
+			tryWrite(conn, pipelined) // it may be disconnected while it sends
+			if len(pipelined) > maxPipelined {
 				if got := readStatus(t, bufio.NewReader(conn)); got != 400 {
 					t.Errorf("answered %d", got)
 				}
@@ -297,15 +301,15 @@
 			waitUntil(t, "the request to be over", func() bool {
 				return sidecar.frontend.inFlight.Load() == 0 && sidecar.frontend.listener.openCount() == 0
 			})
-			server.release <- struct{}{} // to nobody
+			server.release <- struct{}{} // the client has gone
 			if forwarded := server.requests.Load() - before; forwarded != 1 {
-				t.Errorf("%d requests were sent on", forwarded)
+				t.Errorf("%d requests were forwarded", forwarded)
 			}
 		})
 	}
 }
 
-// What a client sent behind its request is its next one, if it stays, also where one follows another so.
+// Pipelined requests are served one after the other.
 func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
 	server := newBlockingBackend(t, "a", serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -324,7 +328,7 @@
 	}
 }
 
-// A client that leaves between its last answer and a request that net/http has in hand already is not asked for.
+// A request that net/http has buffered is not forwarded if its client disconnects after the previous response.
 func TestBufferedRequestOfDisconnectedClient(t *testing.T) {
 	arrived := make(chan struct{}, 10)
 	front := newTestFrontend(t, 10, 10, func(event loopEvent) {
@@ -343,29 +347,29 @@
 		switch state {
 		case http.StateActive:
 			if activations++; activations == 2 {
-				client.(*net.TCPConn).CloseWrite()
-				waitUntil(t, "its end", func() bool { return peekRead(netConn.(*clientConn).rawConn) == io.EOF })
+				closeWrite(t, client)
+				waitUntil(t, "its end", func() bool { return errors.Is(peekRead(netConn.(*clientConn).rawConn), io.EOF) })
 			}
 		case http.StateClosed:
 			close(closed)
 		}
 	}
-	go httpServer.Serve(front.listener)
-	defer httpServer.Close()
+	serveUntilCleanup(t, httpServer, front.listener)
 	sidecar := &testSidecar{t: t, Sidecar: &Sidecar{frontend: front}}
 	client = sidecar.dial()
 	writeTo(t, client, sidecar.wireText(sidecar.newRequest("lookup", time.Second))+sidecar.wireText(sidecar.newRequest("lookup", time.Second)))
 	receiveWithin(t, "the end", closed)
 	if activations != 2 || len(arrived) != 1 {
-		t.Errorf("%d requests were read, %d sent on", activations, len(arrived))
+		t.Errorf("%d requests were read, %d forwarded", activations, len(arrived))
 	}
 }
 
-// A client that leaves before its first attempt, or between two, is sent nothing on for, whatever comes then.
+// For a client that disconnects before its first attempt, or between two, no further attempt is made, whatever
+// happens afterwards.
 func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	for name, beforeFirstAttempt := range map[string]bool{"waiting for its first attempt": true, "between two attempts": false} {
 		t.Run(name, func(t *testing.T) {
-			var attempts atomic.Int64 // for the client that leaves, the only one with GET
+			var attempts atomic.Int64 // for the client that disconnects, the only one with GET
 			arrivals, release := make(chan struct{}, 10), make(chan struct{})
 			serve := func(conn net.Conn, r *http.Request, body string) bool {
 				if r.Method != http.MethodGet {
@@ -400,23 +404,23 @@
 			}
 			waitUntil(t, "a request on the new list", serveOne)
 			close(release)
-			for range 20 { // time in which the outcome would lead to another attempt
+			for range 20 { // in this time the outcome would lead to another attempt
 				serveOne()
 			}
 			if attempted := attempts.Load(); attempted != want {
-				t.Errorf("%d attempts for the client that left, want %d", attempted, want)
+				t.Errorf("%d attempts for the disconnected client, want %d", attempted, want)
 			}
 		})
 	}
 }
 
-// A last answer that its client has not read yet comes whole though the client sent more, which is never read.
+// A last response arrives completely even if its client reads late and has sent more, which is never read.
 func TestFinalResponseSurvivesUnreadBytes(t *testing.T) {
 	body := strings.Repeat("x", maxBody)
 	server := newBackend(t, "a", respondWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint), func(sidecar *Sidecar) { sidecar.frontend.listener.lingerTimeout = testTimeout })
 	conn := sidecar.dial()
-	if err := conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil { // so that answers wait on the sidecar's side
+	if err := conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil { // so that responses stay buffered at the sidecar
 		t.Fatal(err)
 	}
 	malformedRequest := sidecar.newRequest("charge", time.Second)
@@ -438,7 +442,7 @@
 		})
 		return phase == phaseClosing
 	})
-	conn.(*net.TCPConn).SetReadBuffer(1 << 20)
+	setReadBuffer(t, conn, 1<<20)
 	reader := bufio.NewReader(conn)
 	for i, want := range []int{200, 200, 400, 0} {
 		if got := readStatus(t, reader); got != want {
@@ -452,7 +456,8 @@
 	sidecar.done <- nil
 }
 
-// A connection whose head is too large makes room once its answer is written, while net/http lets it rest.
+// A connection with an oversized header is evictable once its response is written, although net/http keeps it open
+// for a while.
 func TestOversizedHeaderConnectionIsEvictable(t *testing.T) {
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address()), func(sidecar *Sidecar) { sidecar.frontend.listener.lingerTimeout = 0 })
 	conn := sidecar.dial()
@@ -464,7 +469,7 @@
 		evicted := false
 		sidecar.frontend.listener.locked(func() {
 			if len(sidecar.frontend.listener.conns) == 0 {
-				t.Fatal("it is closed, and made no room before")
+				t.Fatal("it was closed without being evictable before")
 			}
 			evicted = sidecar.frontend.listener.evictOne() != nil
 		})
@@ -472,13 +477,19 @@
 	})
 }
 
-// Small writes go out at once, also where the peer acknowledges late.
+// Small writes are sent at once, also where the peer acknowledges late.
 func TestNagleIsDisabled(t *testing.T) {
 	_, conn := newTestFrontend(t, 10, 10, nil).listener.dialAndAccept(t)
 	noDelay := 0
-	conn.rawConn.Control(func(fd uintptr) {
-		noDelay, _ = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
+	controlErr := conn.rawConn.Control(func(fd uintptr) {
+		var err error
+		if noDelay, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil {
+			t.Error(err)
+		}
 	})
+	if controlErr != nil {
+		t.Fatal(controlErr)
+	}
 	if noDelay != 1 {
 		t.Error("TCP_NODELAY is off")
 	}
--- a/internal/sidecar/conn_pool_test.go
+++ b/internal/sidecar/conn_pool_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -16,8 +17,8 @@
 	"milldeck/balance"
 )
 
-// A kept connection that breaks under a request ends the attempt: an unsafe request is not sent again, and
-// its answer is a failure, as it may have run.
+// A reused connection that breaks after the request ends the attempt: a non-idempotent request is not retried and
+// fails, as the server may have executed it.
 func TestBrokenReusedConnectionIsNotResent(t *testing.T) {
 	served := 0
 	server := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
@@ -32,7 +33,7 @@
 		t.Errorf("second: %+v, want a failure", got)
 	}
 	if n, conns := server.requests.Load(), server.conns.Load(); n != 2 || conns != 1 {
-		t.Errorf("%d requests on %d connections reached the server, want 2 on one kept connection", n, conns)
+		t.Errorf("%d requests on %d connections reached the server, want 2 on one reused connection", n, conns)
 	}
 }
 
@@ -62,41 +63,41 @@
 	}
 }
 
-// What is no proof that nothing ran, and what is.
+// Which responses prove that a server did not execute a request, and which do not.
 func TestOutcomesOfNonIdempotentRequest(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer string
 		want   int
 	}{
-		"error":               {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", statusFailed},
-		"503 without mark":    {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", statusFailed},
-		"504 without mark":    {"HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n", statusFailed},
-		"429":                 {"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n", statusFailed},
-		"500 with mark":       {"HTTP/1.1 500 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", statusFailed},
-		"503 with mark":       {"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", statusRejected},
-		"504 with mark":       {"HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", statusRejected},
-		"body cut short":      {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ndone", statusFailed},
-		"chunks cut short":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n", statusFailed},
-		"no framing":          {"HTTP/1.1 200 OK\r\n\r\ndone", statusFailed},
-		"headers without end": {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-More: of the same\r\n", 20000) + "Content-Length: 4\r\n\r\ndone", statusFailed},
-		"not HTTP":            {"hello\r\n\r\n", statusFailed},
-		"whole":               {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone", 200},
-		"whole after a hint":  {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone", 200},
-		"whole, chunked":      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n", 200},
-		"both framings":       {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n", statusFailed},
-		"two lengths":         {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\ndone", statusFailed},
-		"negative length":     {"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\ndone", statusFailed},
-		"length with a sign":  {"HTTP/1.1 200 OK\r\nContent-Length: +4\r\n\r\ndone", statusFailed},
-		"3 GB":                {"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n" + strings.Repeat("x", 1<<20), statusFailed},
-		"another encoding":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n", statusFailed},
-		"no trailer's end":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n", statusFailed},
-		"other protocol":      {"HTTP/1.1 101 Go\r\nUpgrade: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone", statusFailed},
-		"hints without end":   {strings.Repeat("HTTP/1.1 103 Soon\r\n\r\n", 1000), statusFailed},
-		"status is no number": {"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ndone", statusFailed},
-		"no content":          {"HTTP/1.1 204 OK\r\nContent-Length: 4\r\n\r\ndone", statusFailed},
-		"unreadable report":   {"HTTP/1.1 200 OK\r\nX-Server-Load: busy=NaN,,=\r\nContent-Length: 4\r\n\r\ndone", 200},
-		"head cut short":      {"HTTP/1.1 200 OK\r\nConte", statusFailed},
-		"body above the most": {"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), statusFailed},
+		"error":                              {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", statusFailed},
+		"503 without mark":                   {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", statusFailed},
+		"504 without mark":                   {"HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n", statusFailed},
+		"429":                                {"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n", statusFailed},
+		"500 with mark":                      {"HTTP/1.1 500 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", statusFailed},
+		"503 with mark":                      {"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", statusRejected},
+		"504 with mark":                      {"HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", statusRejected},
+		"body cut short":                     {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ndone", statusFailed},
+		"chunks cut short":                   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n", statusFailed},
+		"no framing":                         {"HTTP/1.1 200 OK\r\n\r\ndone", statusFailed},
+		"endless headers":                    {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-More: of the same\r\n", 20000) + "Content-Length: 4\r\n\r\ndone", statusFailed},
+		"not HTTP":                           {"hello\r\n\r\n", statusFailed},
+		"complete":                           {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone", 200},
+		"complete after an interim response": {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone", 200},
+		"complete, chunked":                  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n", 200},
+		"both framings":                      {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n", statusFailed},
+		"two lengths":                        {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\ndone", statusFailed},
+		"negative length":                    {"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\ndone", statusFailed},
+		"length with a sign":                 {"HTTP/1.1 200 OK\r\nContent-Length: +4\r\n\r\ndone", statusFailed},
+		"3 GB":                               {"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n" + strings.Repeat("x", 1<<20), statusFailed},
+		"another encoding":                   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n", statusFailed},
+		"no trailer's end":                   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n", statusFailed},
+		"other protocol":                     {"HTTP/1.1 101 Go\r\nUpgrade: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone", statusFailed},
+		"endless interim responses":          {strings.Repeat("HTTP/1.1 103 Soon\r\n\r\n", 1000), statusFailed},
+		"status is no number":                {"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ndone", statusFailed},
+		"no content":                         {"HTTP/1.1 204 OK\r\nContent-Length: 4\r\n\r\ndone", statusFailed},
+		"unreadable report":                  {"HTTP/1.1 200 OK\r\nX-Server-Load: busy=NaN,,=\r\nContent-Length: 4\r\n\r\ndone", 200},
+		"header cut short":                   {"HTTP/1.1 200 OK\r\nConte", statusFailed},
+		"body above the limit":               {"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), statusFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newBackend(t, "a", respondWith(test.answer, false))
@@ -112,8 +113,8 @@
 	}
 }
 
-// Bytes behind a good answer never become the next request's answer, though they come a moment later: by the time that
-// a connection has rested they are there to be seen.
+// Bytes after a response never become the response of the next request, even if they arrive a moment later: they are
+// noticed after the reuse delay.
 func TestBytesAfterResponseAreNotReused(t *testing.T) {
 	trailing := make(chan error, 1)
 	server := newBackend(t, "a", func(c net.Conn, r *http.Request, _ string) bool {
@@ -122,7 +123,7 @@
 		if _, err := io.WriteString(c, text); err != nil {
 			return false
 		}
-		time.Sleep(500 * time.Microsecond) // so that the answer is read alone
+		time.Sleep(500 * time.Microsecond) // so that the response is read alone
 		_, err := io.WriteString(c, text)
 		trailing <- err
 		return err == nil
@@ -131,7 +132,7 @@
 	for range 60 {
 		req := sidecar.newRequest("charge", time.Second)
 		if got := sidecar.do(req); got.status != 200 || got.body != req.Header.Get("X-Request-ID") {
-			t.Errorf("%+v, asked as %s", got, req.Header.Get("X-Request-ID"))
+			t.Errorf("%+v, request ID %s", got, req.Header.Get("X-Request-ID"))
 		}
 		if err := receiveWithin(t, "the bytes behind", trailing); err != nil {
 			t.Log("written to a closed connection:", err)
@@ -142,11 +143,11 @@
 	}
 }
 
-// A connection rests before it is used again, and of those that did the newest goes first.
+// A connection is reused only after the reuse delay, and of several the one that is idle for the shortest time.
 func TestReuseDelay(t *testing.T) {
 	pool := newConnPool(&Config{}, 8, &byteBudget{})
 	upstream, now := &upstreamHost{}, time.Now()
-	for _, ago := range []time.Duration{time.Hour, 2 * reuseDelay, reuseDelay - time.Hour} { // the last will not have rested
+	for _, ago := range []time.Duration{time.Hour, 2 * reuseDelay, reuseDelay - time.Hour} { // the last is not reusable yet
 		upstream.idleConns = append(upstream.idleConns, &upstreamConn{upstream: upstream, idleSince: now.Add(-ago)})
 	}
 	if conn := pool.popIdle(upstream); conn == nil || !conn.idleSince.Equal(now.Add(-2*reuseDelay)) {
@@ -160,7 +161,7 @@
 	}
 }
 
-// A report counts only where each figure is there once and can be.
+// A load report counts only if each value occurs once and is valid.
 func TestInvalidLoadReportsAreIgnored(t *testing.T) {
 	names := []string{"busy", "rate"}
 	for _, text := range []string{
@@ -176,7 +177,7 @@
 	}
 }
 
-// Bodies that are held are bounded over all requests; what has ended holds nothing.
+// The memory for the bodies of all requests is bounded, and requests that have ended reserve none.
 func TestBodyMemoryIsBounded(t *testing.T) {
 	release := make(chan struct{})
 	large, half := strings.Repeat("x", 40<<10), strings.Repeat("y", 20<<10)
@@ -198,9 +199,9 @@
 		t.Errorf("a third: %+v", got)
 	}
 	close(release)
-	served := 0 // there is room for one answer at least
+	served := 0 // there is memory for one response at least
 	for _, r := range []<-chan clientResult{first, second} {
-		if got := receiveWithin(t, "an answer", r); got.status == 200 && got.body == half {
+		if got := receiveWithin(t, "a response", r); got.status == 200 && got.body == half {
 			served++
 		} else if got.status != statusFailed {
 			t.Errorf("%d", got.status)
@@ -212,7 +213,8 @@
 	}
 }
 
-// A request turned away unseen, or that could not connect, goes to another server, even an unsafe one.
+// A request that a server turned away, or that could not connect, is retried at another server, even if it is not
+// idempotent.
 func TestUnexecutedAttemptIsRetriedElsewhere(t *testing.T) {
 	full := newBackend(t, "a", respondWith("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true))
 	refusing := newBackend(t, "c", serveOK)
@@ -229,7 +231,7 @@
 	}
 }
 
-// The request goes on as it came, with the sidecar's own time left.
+// A request is forwarded as it came, with the time that remains for it.
 func TestForwardedRequest(t *testing.T) {
 	type received struct {
 		req  *http.Request
@@ -260,11 +262,12 @@
 	}
 }
 
-// A silent server: the client has one answer at its deadline, no refusal, and the connection is given up.
+// With a silent server the client gets one response at its deadline, which is no rejection, and the connection is
+// closed.
 func TestSilentServer(t *testing.T) {
 	closed := make(chan struct{})
 	server := newBackend(t, "a", func(c net.Conn, _ *http.Request, _ string) bool {
-		io.Copy(io.Discard, c)
+		discard(c)
 		close(closed)
 		return false
 	})
@@ -276,14 +279,18 @@
 	receiveWithin(t, "the connection to close", closed)
 }
 
-// newUnansweringListener listens, but its queue of connections is full: new ones never come up.
+// newUnansweringListener listens with a full accept queue: further connections are never established.
 func newUnansweringListener(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { syscall.Close(fd) })
+	t.Cleanup(func() {
+		if err := syscall.Close(fd); err != nil {
+			t.Error(err)
+		}
+	})
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
@@ -304,7 +311,7 @@
 	}
 }
 
-// Dialing is bounded by the settings, and by the time that the request has left.
+// The connect timeout of the settings and the deadline of the request bound dialing.
 func TestConnectTimeout(t *testing.T) {
 	address := newUnansweringListener(t)
 	t.Run("settings", func(t *testing.T) {
@@ -327,12 +334,12 @@
 	})
 }
 
-// A client that goes away ends its attempt.
+// A client that disconnects ends its attempt.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	got, closed := make(chan struct{}), make(chan struct{})
 	server := newBackend(t, "a", func(c net.Conn, _ *http.Request, _ string) bool {
 		close(got)
-		io.Copy(io.Discard, c)
+		discard(c)
 		close(closed)
 		return false
 	})
@@ -352,11 +359,11 @@
 		t.Errorf("the attempt went on for %v", elapsed)
 	}
 	if receiveWithin(t, "the client", done) == nil {
-		t.Error("a client that hung up got an answer")
+		t.Error("a client that disconnected got a response")
 	}
 }
 
-// newExchange sets up an attempt on a live connection, one step before its first byte.
+// newExchange prepares an attempt on an open connection, just before its first byte.
 func newExchange(t *testing.T, server *backend) (*connPool, *attempt, *upstreamConn, *http.Request) {
 	t.Helper()
 	config, err := newConfigDocument("127.0.0.1:1").load(t)
@@ -381,21 +388,21 @@
 	return pool, started, conn, req
 }
 
-// Between decision and first byte the list may change or the request may be answered: nothing is sent then,
-// and the server is not blamed.
+// The list may change or the call may be answered between the decision for an attempt and its first byte: nothing is
+// sent then, and the server is not blamed.
 func TestFinalCheckBeforeFirstByte(t *testing.T) {
 	for name, change := range map[string]func(*connPool, *attempt){
-		"server retired":   func(pool *connPool, attempt *attempt) { pool.retire(attempt.upstream) },
-		"request answered": func(_ *connPool, attempt *attempt) { attempt.call.markAnswered() },
-		"time is over":     func(_ *connPool, attempt *attempt) { attempt.deadline = time.Now() },
-		"key forgotten":    func(_ *connPool, attempt *attempt) { attempt.idempotencyWindowEnd = time.Now() },
+		"server retired":          func(pool *connPool, attempt *attempt) { pool.retire(attempt.upstream) },
+		"request answered":        func(_ *connPool, attempt *attempt) { attempt.call.markAnswered() },
+		"time is over":            func(_ *connPool, attempt *attempt) { attempt.deadline = time.Now() },
+		"idempotency window over": func(_ *connPool, attempt *attempt) { attempt.idempotencyWindowEnd = time.Now() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newBackend(t, "a", serveOK)
 			pool, attempt, conn, req := newExchange(t, server)
 			change(pool, attempt)
 			complete, err := writeRequest(conn, attempt.deadline, req, attempt)
-			if complete || err != errObsolete || unsentResult(attempt.ctx, attempt.deadline, err) != balance.Obsolete {
+			if complete || !errors.Is(err, errObsolete) || unsentResult(attempt.ctx, attempt.deadline, err) != balance.Obsolete {
 				t.Errorf("written %v, error %v", complete, err)
 			}
 			conn.Close()
@@ -406,11 +413,11 @@
 	}
 }
 
-// A write that ends short proves that nothing ran.
+// An incomplete write proves that the server did not execute the request.
 func TestShortWriteIsNeverExecuted(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	_, attempt, conn, req := newExchange(t, server)
-	conn.Conn.(*net.TCPConn).CloseWrite()
+	closeWrite(t, conn.Conn)
 	complete, err := writeRequest(conn, attempt.deadline, req, attempt)
 	if got := unsentResult(attempt.ctx, attempt.deadline, err); complete || got != balance.ConnectFailed {
 		t.Errorf("written %v, %v, result %v", complete, err, got)
@@ -420,15 +427,15 @@
 	}
 }
 
-// A kept connection that breaks under the write moves the request to a new one: nothing of it has run, and
-// the server is not blamed.
+// A reused connection that breaks during the write moves the request to a new one: the server did not execute it and
+// is not blamed.
 func TestWriteFailureOnReusedConnectionIsRetried(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	pool, attempt, conn, _ := newExchange(t, server)
 	attempt.call.outbound = &outboundRequest{
 		method: "POST", url: &url.URL{Path: "/api"}, host: "b", header: http.Header{}, body: []byte("plate 12-34"),
 	}
-	conn.Conn.(*net.TCPConn).CloseWrite() // it still looks open for reading
+	closeWrite(t, conn.Conn) // it still seems open for reading
 	pool.returnIdle(conn)
 	if result := pool.sendAttempt(attempt); result.outcome != balance.OK {
 		t.Errorf("result %v", result.outcome)
@@ -438,13 +445,13 @@
 	}
 }
 
-// Connections are bounded over all servers; an idle one of another server makes room.
+// The number of connections to all servers is bounded; an idle one of another server is closed for a new one.
 func TestConnectionsAreBounded(t *testing.T) {
 	server, secondServer := newBackend(t, "a", serveOK), newBackend(t, "b", serveOK)
 	pool, attempt, conn, _ := newExchange(t, server)
 	pool.maxConns = 1
 	secondHost := &upstreamHost{id: 2, address: secondServer.endpoint.Address}
-	if _, _, err := pool.acquire(attempt.ctx, secondHost, attempt.deadline); err != errNoSocketAvailable || unsentResult(attempt.ctx, attempt.deadline, err) != balance.Obsolete {
+	if _, _, err := pool.acquire(attempt.ctx, secondHost, attempt.deadline); !errors.Is(err, errNoSocketAvailable) || unsentResult(attempt.ctx, attempt.deadline, err) != balance.Obsolete {
 		t.Fatalf("a second connection: %v", err)
 	}
 	pool.returnIdle(conn)
@@ -458,7 +465,7 @@
 	}
 }
 
-// Idle connections are closed before the server does it.
+// Idle connections are closed before the server closes them.
 func TestIdleConnectionsAreReaped(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	pool, _, conn, _ := newExchange(t, server)
@@ -487,17 +494,17 @@
 		t.Errorf("%+v", r)
 	}
 	if path := <-paths; path != "/stats" {
-		t.Errorf("asked %s", path)
+		t.Errorf("requested %s", path)
 	}
 }
 
-// A server that ends idle connections sooner than the settings say resets the next request on one. After the
-// first the limit is below that rest; uses that go well let it rise again.
+// A server that closes idle connections sooner than the settings say resets the next request on one. After the first
+// reset the idle time limit is below that time; successful reuses let it rise again.
 func TestServerIdleTimeoutIsLearned(t *testing.T) {
 	var resetIdle atomic.Bool
 	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, body string) bool {
 		if resetIdle.Load() {
-			conn.(*net.TCPConn).SetLinger(0)
+			resetConn(conn)
 			return false
 		}
 		return serveOK(conn, r, body)
@@ -516,19 +523,19 @@
 		r := pool.sendAttempt(attempt)
 		return r.outcome, server.conns.Load() == before
 	}
-	sendAfterIdle(0) // leaves a kept connection
+	sendAfterIdle(0) // leaves an idle connection
 	resetIdle.Store(true)
 	if r, reused := sendAfterIdle(time.Second); r != balance.Reset || !reused {
-		t.Fatalf("result %v, on the kept connection: %v", r, reused)
+		t.Fatalf("result %v, on the reused connection: %v", r, reused)
 	}
 	resetIdle.Store(false)
 	sendAfterIdle(0)
 	if r, reused := sendAfterIdle(time.Second); r != balance.OK || reused {
-		t.Errorf("as long again: result %v, on the kept connection: %v", r, reused)
+		t.Errorf("idle as long again: result %v, on the reused connection: %v", r, reused)
 	}
 	limit := pool.idleTimeLimit(attempt.upstream)
 	if r, reused := sendAfterIdle(500 * time.Millisecond); r != balance.OK || !reused {
-		t.Errorf("shorter: result %v, on the kept connection: %v", r, reused)
+		t.Errorf("idle for a shorter time: result %v, on the reused connection: %v", r, reused)
 	}
 	if newLimit := pool.idleTimeLimit(attempt.upstream); newLimit <= limit || newLimit > 750*time.Millisecond {
 		t.Errorf("the limit went from %v to %v", limit, newLimit)
--- a/internal/sidecar/discovery_failure_test.go
+++ b/internal/sidecar/discovery_failure_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -18,13 +19,13 @@
 	"milldeck/balance"
 )
 
-// callScript is how discovery meets one call: its connection comes up or does not, and then play has it.
+// callScript is how discovery treats one call: the connection is established or not, and then play handles it.
 type callScript struct {
 	name   string
 	dial   func(ctx context.Context) error
 	play   func(far net.Conn)
-	resets bool // its end is a reset
-	silent bool // it takes its time, and discovery may be back meanwhile; else discovery is back right after it
+	resets bool // it ends with a reset
+	silent bool // discovery may be back while the call lasts; otherwise it is back right after the call
 }
 
 func closeImmediately(remote net.Conn) { remote.Close() }
@@ -33,12 +34,12 @@
 	{name: "refused", dial: func(context.Context) error { return syscall.ECONNREFUSED }},
 	{name: "reset", play: closeImmediately, resets: true},
 	{name: "503", play: func(remote net.Conn) {
-		io.WriteString(remote, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+		tryWrite(remote, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	}},
 	{name: "closed at once", play: closeImmediately},
 	{name: "silent", play: func(net.Conn) {}, silent: true},
 	{name: "not coming up", silent: true, dial: func(ctx context.Context) error {
-		select { // as the dialer does, which this stands in for
+		select { // as the dialer does, which this replaces
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(dialTimeout):
@@ -47,20 +48,20 @@
 	}},
 }
 
-// resetConnReader reads a reset where its peer closed.
+// resetConnReader reads a reset where its peer has closed.
 type resetConnReader struct{ net.Conn }
 
 func (r resetConnReader) Read(buffer []byte) (int, error) {
 	n, err := r.Conn.Read(buffer)
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		err = syscall.ECONNRESET
 	}
 	return n, err
 }
 
-// runAgainstScript runs a sidecar's loop under a fake clock against a discovery that meets call after call as the row says and
-// the one after it with list 9. Before, it may have had a watch that was closed, or be moved from one that stood.
-// follows returns when each call of the row came and when list 9 was in hand.
+// runAgainstScript runs an event loop on a fake clock against a discovery that treats each call as the script says,
+// and answers the one after it with revision 9. Before that, the loop may have had a watch that was closed, or have
+// moved from another address. It returns when each call of the script was made and when revision 9 was received.
 func runAgainstScript(t *testing.T, mode, before string, seed int, script []callScript) (calls []time.Time, receivedAt time.Time) {
 	document := newConfigDocument("127.0.0.1:1").replaceSetting(`"subscribe"`, fmt.Sprintf(`%q, "peers_total": 80`, mode))
 	document["seed"] = fmt.Sprintf("%x", seed)
@@ -75,11 +76,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		established := make(chan net.Conn, 1)
 		if before != "start" {
-			script = append([]callScript{{play: func(remote net.Conn) { io.WriteString(remote, streamHeader+firstList); established <- remote }}}, script...)
+			script = append([]callScript{{play: func(remote net.Conn) { tryWrite(remote, streamHeader+firstList); established <- remote }}}, script...)
 		}
 		listSent := make(chan struct{})
 		script := append(script, callScript{play: func(remote net.Conn) {
-			io.WriteString(remote, streamHeader+strings.Replace(firstList, "1", "9", 1))
+			tryWrite(remote, streamHeader+strings.Replace(firstList, "1", "9", 1))
 			close(listSent)
 		}})
 		loop := newEventLoop(config, balancer, newConnPool(config, 100, &byteBudget{}))
@@ -96,7 +97,7 @@
 				defer remote.Close()
 				if _, err := http.ReadRequest(bufio.NewReader(remote)); err == nil {
 					step.play(remote)
-					io.Copy(io.Discard, remote) // silent, until the sidecar gives the call up
+					discard(remote) // silent until the sidecar gives the call up
 				}
 			})
 			if step.resets {
@@ -132,13 +133,13 @@
 	return calls, receivedAt
 }
 
-// However the last one or two calls fail, and after however many, what discovery has is in hand before it counts as
-// told: 6 s after it can be reached. That is the instant of a call that failed at once, as discovery may be back right
-// after it, and the beginning of one that was silent.
+// However the last one or two calls fail, and after however many failures, the list is received before PROTOCOL
+// counts it as known: 6 s after discovery can be reached. That is the moment of a call that failed at once, as
+// discovery may be back right after it, and the start of one that was silent.
 func TestFailedCallsEndBeforeNotificationDeadline(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
 		for _, before := range []string{"start", "closed", "moved"} {
-			for _, outage := range []int{0, 6} { // calls refused before
+			for _, outage := range []int{0, 6} { // refused calls before
 				worst := map[string]time.Duration{}
 				for lastIndex, last := range failureScripts {
 					for otherIndex, other := range append([]callScript{{name: ""}}, failureScripts...) {
@@ -169,14 +170,15 @@
 	}
 }
 
-// Only an answer that refuses a call after a while tells the module of a queue at discovery. The third silent call in a
-// row waits longer, as in a queue one given up goes to the end; after a sign of life the count begins anew.
+// Only a call that is rejected after a while is reported as queued at discovery. The third silent call in a row has a
+// longer timeout, as a call that is given up goes to the end of the queue; after a sign of life counting starts
+// again.
 func TestQueuedCallsAreReported(t *testing.T) {
 	rejectCall, queueTime := failureScripts[2].play, 4*time.Second
 	after := func(wait time.Duration, play func(net.Conn)) func(net.Conn) {
 		return func(remote net.Conn) { time.Sleep(wait); play(remote) }
 	}
-	sendHeartbeat := func(remote net.Conn) { io.WriteString(remote, streamHeader+"\n") }
+	sendHeartbeat := func(remote net.Conn) { tryWrite(remote, streamHeader+"\n") }
 	stall := func(net.Conn) {}
 	closeAfterHeartbeat := func(remote net.Conn) {
 		sendHeartbeat(remote)
@@ -187,13 +189,13 @@
 		queued  bool
 		calls   int
 	}{
-		"refused at once":         {[]func(net.Conn){rejectCall}, false, 1},
-		"refused after a wait":    {[]func(net.Conn){after(minQueuedTime, rejectCall)}, true, 1},
-		"closed after a wait":     {[]func(net.Conn){after(minQueuedTime, closeImmediately)}, false, 1},
-		"stood, then closed":      {[]func(net.Conn){closeAfterHeartbeat}, false, 1},
-		"the first of a queue":    {[]func(net.Conn){after(queueTime, rejectCall), rejectCall}, false, 2},
-		"the third of a queue":    {[]func(net.Conn){stall, stall, after(queueTime, rejectCall)}, true, 3},
-		"a silence after a watch": {[]func(net.Conn){stall, stall, sendHeartbeat, after(queueTime, rejectCall), rejectCall}, false, 5},
+		"rejected at once":          {[]func(net.Conn){rejectCall}, false, 1},
+		"rejected after a while":    {[]func(net.Conn){after(minQueuedTime, rejectCall)}, true, 1},
+		"closed after a while":      {[]func(net.Conn){after(minQueuedTime, closeImmediately)}, false, 1},
+		"heartbeat, then closed":    {[]func(net.Conn){closeAfterHeartbeat}, false, 1},
+		"the first queued call":     {[]func(net.Conn){after(queueTime, rejectCall), rejectCall}, false, 2},
+		"the third queued call":     {[]func(net.Conn){stall, stall, after(queueTime, rejectCall)}, true, 3},
+		"silence after a heartbeat": {[]func(net.Conn){stall, stall, sendHeartbeat, after(queueTime, rejectCall), rejectCall}, false, 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -219,8 +221,8 @@
 	}
 }
 
-// A list that comes before the sidecar takes its first connection holds at once, whether the known one's rev is older or
-// newer, and a drain in it is obeyed by the first request.
+// A list that arrives before the first connection is accepted is in force at once, whether the configured list's
+// revision is older or newer, and the first request avoids a server that drains.
 func TestListBeforeFirstRequest(t *testing.T) {
 	for _, known := range []int64{1, 5, 900} {
 		for _, complete := range []bool{true, false} {
@@ -230,14 +232,14 @@
 			document["known"] = endpointList{Revision: known, Complete: true, Endpoints: []endpoint{serverA.endpoint}}
 			var serve func()
 			sidecar := startSidecar(t, document, func(sidecar *Sidecar) {
-				sidecar.frontend.listener.mu.Lock() // no connection is taken before that
+				sidecar.frontend.listener.mu.Lock() // no connection is accepted until it is unlocked
 				serve = sync.OnceFunc(sidecar.frontend.listener.mu.Unlock)
 			})
-			defer serve()
+			t.Cleanup(serve)
 			answers := sidecar.doAsync(sidecar.newRequest("charge", 2*time.Second))
 			watch := receiveWithin(t, "the watch", registry.calls)
 			if want := fmt.Sprintf("watch=1&after=%d", known); watch.query != want {
-				t.Errorf("asked %q, want %q", watch.query, want)
+				t.Errorf("requested %q, want %q", watch.query, want)
 			}
 			update := listWithState(6, serverA, serverB, "Terminating")
 			update.Complete = complete
@@ -245,32 +247,32 @@
 			waitUntil(t, "the list", func() bool { return sidecar.loop.discovery.revision.Load() == 6 })
 			serve()
 			if got := <-answers; got.status != 200 || serverA.requests.Load() != 0 || serverB.requests.Load() != 1 {
-				t.Errorf("known %d, whole %v: %+v, %d sent to the one that drains", known, complete, got, serverA.requests.Load())
+				t.Errorf("known %d, complete %v: %+v, %d sent to the draining server", known, complete, got, serverA.requests.Load())
 			}
 		}
 	}
 }
 
-// A list and the first request come in one batch, in either order: with no server known the request has its answer, and
-// after the news of a drain nothing begins there.
+// A list and the first request are handled in one batch, in either order: the request is answered even if no server
+// was known, and after the list nothing is sent to a server that drains.
 func TestListInSameBatchAsFirstRequest(t *testing.T) {
 	for _, first := range []string{"list", "request"} {
 		for _, known := range []bool{false, true} {
 			serverA, serverB := newBackend(t, "a", serveOK), newBackend(t, "b", serveOK)
 			blocked, release := make(chan struct{}), make(chan struct{})
 			resume := sync.OnceFunc(func() { close(release) })
-			defer resume()
 			document := newConfigDocument(newFakeRegistry(t).address())
 			if known {
 				document["known"] = endpointList{Revision: 1, Complete: true, Endpoints: []endpoint{serverA.endpoint}}
 			}
 			sidecar := startSidecar(t, document, func(sidecar *Sidecar) {
-				sidecar.loop.discovery.spawn = func(func()) { // the loop stands still as it opens its watch
+				sidecar.loop.discovery.spawn = func(func()) { // the event loop blocks when it opens its watch
 					close(blocked)
 					<-release
 				}
 			})
-			receiveWithin(t, "the loop to stand", blocked)
+			t.Cleanup(resume)
+			receiveWithin(t, "the event loop to block", blocked)
 			var answers <-chan clientResult
 			for _, event := range []string{first, "the other"} {
 				waiting := len(sidecar.loop.events)
@@ -283,14 +285,15 @@
 			}
 			resume()
 			if got := <-answers; got.status != 200 || first == "list" && serverA.requests.Load() > 0 {
-				t.Errorf("%s first, known %v: %+v, %d sent to the one that drains", first, known, got, serverA.requests.Load())
+				t.Errorf("%s first, known %v: %+v, %d sent to the draining server", first, known, got, serverA.requests.Load())
 			}
 		}
 	}
 }
 
-// SIGHUP leads to another service and back, with and without a call there, and then names the same one again: the first
-// is asked from the beginning, what the other one told late counts for nothing, and a watch that stands is left alone.
+// Reloads change to another address and back, with and without a call there, and then name the same address again:
+// the first service is watched from the beginning, late updates of the other are ignored, and an open watch stays
+// open.
 func TestAddressChangedThereAndBack(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		for _, called := range []bool{true, false} {
@@ -310,9 +313,9 @@
 			}
 			receiveWithin(t, "the first watch to end", watch.disconnected)
 			if watch = receiveWithin(t, "the watch again", first.calls); watch.query != "watch=1" {
-				t.Errorf("asked %q", watch.query)
+				t.Errorf("requested %q", watch.query)
 			}
-			sidecar.loop.post(endpointUpdate{generation: 1, endpoints: listWithState(9, serverA, serverB, "Gone")}) // queued from elsewhere
+			sidecar.loop.post(endpointUpdate{generation: 1, endpoints: listWithState(9, serverA, serverB, "Gone")}) // a queued update of the other service
 			watch.sendList(t, endpointList{Revision: 3, Endpoints: []endpoint{serverA.endpoint}})
 			waitUntil(t, "the list from the first", func() bool { return sidecar.loop.discovery.revision.Load() == 3 })
 			sidecar.reloadDiscovery(first.address())
--- a/internal/sidecar/discovery_silence_test.go
+++ b/internal/sidecar/discovery_silence_test.go
@@ -17,7 +17,7 @@
 	"milldeck/balance"
 )
 
-// notificationDeadline is after what time a silent watch counts as told of what it misses, whether it is or not.
+// notificationDeadline is when PROTOCOL counts as known what a silent watch misses.
 const notificationDeadline = 6 * time.Second
 
 const (
@@ -25,7 +25,8 @@
 	firstList    = `{"rev":1,"all":true,"targets":[]}` + "\n"
 )
 
-// scriptedDiscovery is a discovery under a fake clock: each call is played by the next script, the last one again and again.
+// scriptedDiscovery is a discovery on a fake clock: each call is handled by the next script, and the last one handles
+// all further calls.
 type scriptedDiscovery struct {
 	scripts []func(c net.Conn)
 	calls   int
@@ -42,35 +43,35 @@
 			return
 		}
 		play(remote)
-		io.Copy(io.Discard, remote) // silent, until the sidecar gives the call up
+		discard(remote) // silent until the sidecar gives the call up
 	})
 	return local, nil
 }
 
-// Where silence may begin; each script says in quiet when it did.
+// silenceScripts are the points where a watch may fall silent; each calls silenceBegins then.
 var silenceScripts = map[string]func(conn net.Conn, silenceBegins func()){
 	"before the first byte": func(conn net.Conn, silenceBegins func()) { silenceBegins() },
-	"in the head":           func(conn net.Conn, silenceBegins func()) { silenceBegins(); io.WriteString(conn, streamHeader[:20]) },
-	"after the head":        func(conn net.Conn, silenceBegins func()) { silenceBegins(); io.WriteString(conn, streamHeader) },
+	"in the header":         func(conn net.Conn, silenceBegins func()) { silenceBegins(); tryWrite(conn, streamHeader[:20]) },
+	"after the header":      func(conn net.Conn, silenceBegins func()) { silenceBegins(); tryWrite(conn, streamHeader) },
 	"after the first list": func(conn net.Conn, silenceBegins func()) {
-		io.WriteString(conn, streamHeader+firstList)
+		tryWrite(conn, streamHeader+firstList)
 		silenceBegins()
 	},
 	"after an empty line": func(conn net.Conn, silenceBegins func()) {
-		io.WriteString(conn, streamHeader+firstList)
+		tryWrite(conn, streamHeader+firstList)
 		for range 3 {
 			time.Sleep(2 * time.Second)
-			io.WriteString(conn, "\n")
+			tryWrite(conn, "\n")
 		}
 		silenceBegins()
 	},
 	"in the middle of a line": func(conn net.Conn, silenceBegins func()) {
-		io.WriteString(conn, streamHeader+firstList)
+		tryWrite(conn, streamHeader+firstList)
 		silenceBegins()
-		io.WriteString(conn, `{"rev":2,"all":fal`)
+		tryWrite(conn, `{"rev":2,"all":fal`)
 	},
 	"by trickling bytes": func(conn net.Conn, silenceBegins func()) {
-		io.WriteString(conn, streamHeader+firstList)
+		tryWrite(conn, streamHeader+firstList)
 		silenceBegins()
 		for _, char := range []byte(`{"rev":2,"all":false,"targets":[{"uid":"a"}]`) {
 			if _, err := conn.Write([]byte{char}); err != nil {
@@ -80,7 +81,7 @@
 		}
 	},
 	"by empty lines inside a list": func(conn net.Conn, silenceBegins func()) {
-		io.WriteString(conn, streamHeader+firstList)
+		tryWrite(conn, streamHeader+firstList)
 		silenceBegins()
 		for _, err := io.WriteString(conn, "{\n"); err == nil; _, err = io.WriteString(conn, "\n  \n") {
 			time.Sleep(time.Second)
@@ -88,8 +89,8 @@
 	},
 }
 
-// measureSilence plays a way of silence, calls that are silent from the start up to so many in a row, and then a discovery that answers at once, and returns the time from
-// the beginning of the first silence to the next list in hand.
+// measureSilence runs a script, further calls that are silent from their start, and then a discovery that answers at
+// once. It returns the time from the start of the first silence to the next list.
 func measureSilence(t *testing.T, script func(net.Conn, func()), silentCalls int, follow func(*discoveryClient, context.Context)) time.Duration {
 	var silentFrom, receivedAt time.Time
 	synctest.Test(t, func(t *testing.T) {
@@ -101,7 +102,7 @@
 			scripted.scripts = append(scripted.scripts, func(net.Conn) {})
 		}
 		scripted.scripts = append(scripted.scripts, func(conn net.Conn) {
-			io.WriteString(conn, streamHeader+strings.Replace(firstList, "1", "9", 1))
+			tryWrite(conn, streamHeader+strings.Replace(firstList, "1", "9", 1))
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		received := make(chan struct{})
@@ -126,7 +127,8 @@
 	return receivedAt.Sub(silentFrom)
 }
 
-// Wherever a watch falls silent, and though the next calls do as well, the list is in hand before it counts as told.
+// Wherever a watch falls silent, and although the next calls are silent as well, the list is received before PROTOCOL
+// counts it as known.
 func TestSilenceEndsBeforeNotificationDeadline(t *testing.T) {
 	worst := map[string]time.Duration{}
 	for name, script := range silenceScripts {
@@ -138,21 +140,22 @@
 			key := fmt.Sprintf("pushed, %d in a row", silentCalls)
 			worst[key] = max(worst[key], elapsed)
 		}
-		for silentCalls := 1; silentCalls <= 2; silentCalls++ { // where lists are asked for a call may wait in turn, and has longer
+		for silentCalls := 1; silentCalls <= 2; silentCalls++ { // where lists are polled a call may wait in a queue, and has a longer timeout
 			elapsed := measureSilence(t, script, silentCalls, (*discoveryClient).watch)
 			if elapsed >= notificationDeadline {
-				t.Errorf("asked for, silent %s, %d times in a row: %v", name, silentCalls, elapsed)
+				t.Errorf("polled, silent %s, %d times in a row: %v", name, silentCalls, elapsed)
 			}
-			key := fmt.Sprintf("asked for, %d in a row", silentCalls)
+			key := fmt.Sprintf("polled, %d in a row", silentCalls)
 			worst[key] = max(worst[key], elapsed)
 		}
 	}
 	t.Log("worst:", worst)
 }
 
-// After a move the new service may be silent as well: what it has to tell counts 4 s after the move.
+// After an address change the new service may be silent as well; what it has to tell counts as known 4 s after the
+// change.
 func TestAddressChangeToSilentService(t *testing.T) {
-	for _, name := range []string{"before the first byte", "in the head", "after the head"} { // else it has told
+	for _, name := range []string{"before the first byte", "in the header", "after the header"} { // later ones have sent a list already
 		elapsed := measureSilence(t, silenceScripts[name], 2, func(client *discoveryClient, ctx context.Context) {
 			client.switchAddress("127.0.0.1:2")
 			client.subscribe(ctx)
@@ -163,7 +166,8 @@
 	}
 }
 
-// Lists may come indented: a whole one, the first of a watch and a change. Empty lines between them stay signs of life.
+// Lists may be indented, in a list call, as the first of a watch and as a change. Empty lines between them are
+// heartbeats.
 func TestIndentedLists(t *testing.T) {
 	indented := func(revision int64, all bool) string {
 		data, err := json.MarshalIndent(endpointList{Revision: revision, Complete: all, Endpoints: []endpoint{readyEndpoint("a", "127.0.0.1:7")}}, "", "\t")
@@ -190,7 +194,7 @@
 			t.Errorf("%+v", update)
 		}
 	}
-	call.sendLine(t, indented(12, false)+indented(13, false)) // two at once, on one line
+	call.sendLine(t, indented(12, false)+indented(13, false)) // two on one line
 	for revision := int64(12); revision < 14; revision++ {
 		if update := receiveWithin(t, "the change", updates); update.endpoints.Revision != revision {
 			t.Errorf("%+v", update)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -13,7 +14,7 @@
 	"milldeck/balance"
 )
 
-// newRecordingClient is a discovery whose reports the test takes in place of the loop.
+// newRecordingClient makes a discovery client whose updates the test receives.
 func newRecordingClient(t *testing.T, address string) (*discoveryClient, chan endpointUpdate) {
 	updates := make(chan endpointUpdate, 16)
 	var work sync.WaitGroup
@@ -32,7 +33,7 @@
 	client.watch(t.Context())
 	call := receiveWithin(t, "the call", registry.calls)
 	if call.query != "watch=1&after=41" {
-		t.Errorf("asked %q", call.query)
+		t.Errorf("requested %q", call.query)
 	}
 	call.sendList(t, endpointList{Revision: 43, Endpoints: []endpoint{readyEndpoint("a", "127.0.0.1:1")}})
 	if update := receiveWithin(t, "the change", updates); update.kind != balance.UpdateDelta || update.endpoints.Revision != 43 || update.endpoints.Endpoints[0].UID != "a" {
@@ -83,11 +84,12 @@
 		t.Errorf("%+v", update)
 	}
 	if call.query != "" || len(updates) > 0 {
-		t.Errorf("asked %q, heard %d more", call.query, len(updates))
+		t.Errorf("requested %q, %d more updates", call.query, len(updates))
 	}
 }
 
-// A watch without a line for well over the heartbeat has ended, though its connection stays open. It is opened anew.
+// A watch without a line for longer than the heartbeat interval has ended, although its connection is open. It is
+// reopened.
 func TestSilentWatchIsReopened(t *testing.T) {
 	registry := newFakeRegistry(t)
 	client, updates := newRecordingClient(t, registry.address())
@@ -108,7 +110,7 @@
 	}
 }
 
-// A call that discovery takes and never answers fails as well.
+// A call that discovery accepts and never answers fails as well.
 func TestUnansweredCallFails(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -123,8 +125,8 @@
 	}
 }
 
-// A watch is asked for once: while it lasts, asking again changes nothing. After a move the old service is
-// heard no more, its end is no failure, and the new one is not asked by the old one's rev.
+// Asking for a watch while one is open changes nothing. After an address change the old service is ignored, the end
+// of its watch is no failure, and the new service is not asked by the old revision.
 func TestWatchAfterAddressChange(t *testing.T) {
 	previous, registry := newFakeRegistry(t), newFakeRegistry(t)
 	client, updates := newRecordingClient(t, previous.address())
@@ -137,7 +139,7 @@
 	receiveWithin(t, "the old watch to end", first.disconnected)
 	second := receiveWithin(t, "the second call", registry.calls)
 	if second.query != "watch=1" {
-		t.Errorf("asked %q", second.query)
+		t.Errorf("requested %q", second.query)
 	}
 	client.watch(t.Context())
 	second.sendList(t, endpointList{Revision: 2})
@@ -149,7 +151,7 @@
 	}
 }
 
-// reloadDiscovery reloads with discovery at another address.
+// reloadDiscovery reloads the configuration with another discovery address.
 func (sidecar *testSidecar) reloadDiscovery(address string) {
 	config, err := newConfigDocument(address).load(sidecar.t)
 	if err != nil {
@@ -158,9 +160,9 @@
 	sidecar.Reload(config)
 }
 
-// Reloads move the sidecar from service to service, one of them down, in both ways of following the list.
-// Servers that stay keep their connections, requests go on, and what was queued from the old service undoes
-// nothing that the new one told.
+// Reloads change the discovery address several times, once to a service that is down, with lists that are pushed and
+// polled. Servers that stay listed keep their connections, requests are served, and queued updates of the old service
+// do not override those of the new one.
 func TestReloadsSwitchDiscovery(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
@@ -168,16 +170,16 @@
 			registry := newFakeRegistry(t)
 			sidecar := startSidecar(t, newConfigDocument(registry.address(), serverA.endpoint).replaceSetting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`))
 			watch := receiveWithin(t, "the watch", registry.calls)
-			for revision := int64(101); revision < 104; revision++ { // revs that another service would not know
+			for revision := int64(101); revision < 104; revision++ { // revisions that the next service does not know
 				next := newFakeRegistry(t)
-				sidecar.loop.post(endpointUpdate{generation: int(revision-101) * 2, endpoints: listWithState(900, serverA, serverB, "Ready")}) // known, and still in force
-				sidecar.reloadDiscovery("127.0.0.1:1")                                                                                         // nobody listens: calls fail
+				sidecar.loop.post(endpointUpdate{generation: int(revision-101) * 2, endpoints: listWithState(900, serverA, serverB, "Ready")}) // of the present generation: in force
+				sidecar.reloadDiscovery("127.0.0.1:1")                                                                                         // nobody listens there: calls fail
 				sidecar.reloadDiscovery(next.address())
-				sidecar.loop.post(endpointUpdate{generation: int(revision-101) * 2, endpoints: listWithState(901, serverA, serverB, "Gone")}) // out of date by now
+				sidecar.loop.post(endpointUpdate{generation: int(revision-101) * 2, endpoints: listWithState(901, serverA, serverB, "Gone")}) // of a previous generation: ignored
 				receiveWithin(t, "the old watch to end", watch.disconnected)
 				watch = receiveWithin(t, "the new watch", next.calls)
 				if watch.query != "watch=1" {
-					t.Errorf("asked %q", watch.query)
+					t.Errorf("requested %q", watch.query)
 				}
 				both := listWithState(revision-100, serverA, serverB, "Ready")
 				both.Complete = true
@@ -190,18 +192,19 @@
 					}
 				}
 				if serverA.requests.Load() == before {
-					t.Error("a is not used: old news undid the new")
+					t.Error("server A is not used: an old update overrode the new one")
 				}
 			}
 			if conns := serverA.conns.Load(); conns != 1 {
 				t.Errorf("%d connections to a server that was there all the time", conns)
 			}
-			sidecar.reloadDiscovery(newFakeRegistry(t).address()) // ends with a watch just opened
+			sidecar.reloadDiscovery(newFakeRegistry(t).address()) // the test ends with a watch that was just opened
 		})
 	}
 }
 
-// While discovery is down after a reload the servers known are used, and it is asked until it is up.
+// While the new service is unavailable after a reload, the known servers are used, and it is called until it is
+// available.
 func TestReloadWhileDiscoveryIsUnavailable(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	registry := newFakeRegistry(t)
@@ -212,10 +215,10 @@
 		t.Fatal(err)
 	}
 	defer unavailable.Close()
-	unavailable.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
+	setTestDeadline(t, unavailable.(*net.TCPListener))
 	sidecar.reloadDiscovery(unavailable.Addr().String())
 	receiveWithin(t, "the old watch to end", watch.disconnected)
-	for i := range 2 { // each call fails, and another follows
+	for i := range 2 { // each call fails and is followed by another
 		call, err := unavailable.Accept()
 		if err != nil {
 			t.Fatalf("call %d: %v", i, err)
@@ -227,7 +230,7 @@
 	}
 }
 
-// The list from the configuration serves until discovery answers; the first call asks for what came after.
+// The list of the configuration is used until discovery answers. The first call asks for the changes after it.
 func TestConfiguredListServesImmediately(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	registry := newFakeRegistry(t)
@@ -236,18 +239,18 @@
 		t.Errorf("%+v", got)
 	}
 	if call := receiveWithin(t, "the watch", registry.calls); !strings.HasPrefix(call.query, "watch=1") {
-		t.Errorf("asked %q", call.query)
+		t.Errorf("requested %q", call.query)
 	}
 }
 
-// listWithState is a list of a and b with a in the given state.
+// listWithState is a list of two servers, the first in a given state.
 func listWithState(revision int64, serverA, serverB *backend, state string) endpointList {
 	first := serverA.endpoint
 	first.State = state
 	return endpointList{Revision: revision, Endpoints: []endpoint{first, serverB.endpoint}}
 }
 
-// A server that drains or is gone gets nothing new, and one that appears is used.
+// A server that drains or is removed gets nothing new, and one that is added is used.
 func TestListChangesMoveTraffic(t *testing.T) {
 	serverA, serverB := newBackend(t, "a", serveOK), newBackend(t, "b", serveOK)
 	registry := newFakeRegistry(t)
@@ -257,7 +260,7 @@
 	for _, state := range []string{"Terminating", "Ready", "Gone"} {
 		revision++
 		watch.sendList(t, listWithState(revision, serverA, serverB, state))
-		watch.sendLine(t, "") // taken only after the line before was written
+		watch.sendLine(t, "") // accepted only after the line before was written
 		waitUntil(t, "the list to be taken", func() bool { return sidecar.loop.discovery.revision.Load() == revision })
 		before := serverA.requests.Load()
 		for i := range 8 {
@@ -274,32 +277,32 @@
 	}
 }
 
-// Connections to a process that is over are dropped when discovery tells of it, not when they age.
+// Connections to a process that has ended are closed when discovery reports it, not when they are idle for too long.
 func TestConnectionsOfReplacedProcessAreClosed(t *testing.T) {
 	for name, listAfter := range map[string]func(endpoint) endpointList{
-		"restarted": func(sidecar endpoint) endpointList {
-			sidecar.BootMS = float64(time.Now().UnixMilli())
-			return endpointList{Revision: 2, Endpoints: []endpoint{sidecar}}
+		"restarted": func(listed endpoint) endpointList {
+			listed.BootMS = float64(time.Now().UnixMilli())
+			return endpointList{Revision: 2, Endpoints: []endpoint{listed}}
 		},
-		"draining": func(sidecar endpoint) endpointList {
-			sidecar.State = "Terminating"
-			return endpointList{Revision: 2, Endpoints: []endpoint{sidecar}}
+		"draining": func(listed endpoint) endpointList {
+			listed.State = "Terminating"
+			return endpointList{Revision: 2, Endpoints: []endpoint{listed}}
 		},
-		"gone": func(sidecar endpoint) endpointList {
-			sidecar.State = "Gone"
-			return endpointList{Revision: 2, Endpoints: []endpoint{sidecar}}
+		"removed": func(listed endpoint) endpointList {
+			listed.State = "Gone"
+			return endpointList{Revision: 2, Endpoints: []endpoint{listed}}
 		},
-		"moved": func(sidecar endpoint) endpointList {
-			sidecar.Address = "127.0.0.1:1"
-			return endpointList{Revision: 2, Endpoints: []endpoint{sidecar}}
+		"address changed": func(listed endpoint) endpointList {
+			listed.Address = "127.0.0.1:1"
+			return endpointList{Revision: 2, Endpoints: []endpoint{listed}}
 		},
-		"not in the whole list": func(endpoint) endpointList { return endpointList{Revision: 2, Complete: true, Endpoints: []endpoint{}} },
+		"not in the full list": func(endpoint) endpointList { return endpointList{Revision: 2, Complete: true, Endpoints: []endpoint{}} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			closed := make(chan struct{}, 1)
 			server := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 				if serveOK(c, r, body) {
-					if _, err := c.Read(make([]byte, 1)); err == io.EOF {
+					if _, err := c.Read(make([]byte, 1)); errors.Is(err, io.EOF) {
 						closed <- struct{}{}
 					}
 				}
@@ -321,8 +324,8 @@
 	}
 }
 
-// Entries that cannot be used are left out, figures that cannot be are taken as unknown, and what would take
-// all servers away by mistake is no list.
+// Unusable entries are dropped, invalid numbers count as unknown, and a list that would remove all servers by mistake
+// is an error.
 func TestInvalidListsAreSanitized(t *testing.T) {
 	valid := readyEndpoint("a", "127.0.0.1:7")
 	with := func(change func(*endpoint)) endpoint {
@@ -331,7 +334,7 @@
 		return changed
 	}
 	list := endpointList{Complete: true, Endpoints: []endpoint{
-		with(func(t *endpoint) { t.Address = "127.0.0.1:8" }), // doubled: the later one holds
+		with(func(t *endpoint) { t.Address = "127.0.0.1:8" }), // doubled: the later one counts
 		with(func(t *endpoint) { t.UID = "" }),
 		with(func(t *endpoint) { t.UID, t.Address = "b", "127.0.0.1:0" }),
 		with(func(t *endpoint) { t.UID, t.Address = "c", "host.local:80" }),
@@ -364,7 +367,7 @@
 	}
 }
 
-// A line that is no list, or has no end, ends the watch; the servers known stay in use.
+// A line that is no list, or never ends, ends the watch; the known servers stay in use.
 func TestUnreadableListEndsWatch(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	registry := newFakeRegistry(t)
@@ -380,7 +383,8 @@
 	}
 }
 
-// A server whose clock is ahead is cold from when it is first told, not from a time to come, and only once.
+// A server whose clock is ahead is in slow start from when it is first listed, not from a time in the future, and
+// only once.
 func TestFutureStartTimeIsCapped(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	registry := newFakeRegistry(t)
@@ -392,7 +396,7 @@
 		watch.sendList(t, endpointList{Revision: revision, Complete: true, Endpoints: []endpoint{ahead}})
 		waitUntil(t, "the list", func() bool { return sidecar.loop.discovery.revision.Load() == revision })
 	}
-	sidecar.do(sidecar.newRequest("lookup", time.Second)) // the loop has taken both lists
+	sidecar.do(sidecar.newRequest("lookup", time.Second)) // the event loop has handled both lists
 	sidecar.terminate()
 	if err := receiveWithin(t, "the end", sidecar.done); err != nil {
 		t.Error(err)
@@ -408,7 +412,7 @@
 	}
 }
 
-// Where lists are pushed the module asks for nothing: the sidecar keeps the watch by itself.
+// Where lists are pushed the balancer asks for nothing: the sidecar keeps a watch open by itself.
 func TestPushedListsAreWatched(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	registry := newFakeRegistry(t)
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -16,9 +17,9 @@
 	"time"
 )
 
-// A request that crosses the end of a resting connection, or half of one, is not read, and resets nothing: the client
-// sees an end and is served on a new connection. What waits to be accepted is served too, one by one where there is
-// room for one, and each answer ends its connection.
+// A request that crosses the shutdown of its idle connection, or a part of one, is not read and causes no reset: the
+// client sees the end of the connection and is served on a new one. Connections that wait to be accepted are served
+// too, one by one if there is capacity for one, and each response ends its connection.
 func TestDrainClosesIdleAndServesQueued(t *testing.T) {
 	calls := make(chan *call, 10)
 	front := newTestFrontend(t, 1, 1, func(event loopEvent) {
@@ -46,12 +47,12 @@
 	respondNext(reader)
 	front.listener.awaitIdle(t)
 	front.listener.shutdownIdle()
-	writeTo(t, conn, requestText) // after the shutdown, before the close
+	writeTo(t, conn, requestText) // after the shutdown, before the client closes
 	if _, err := reader.ReadByte(); err != io.EOF {
 		t.Errorf("the end: %v", err)
 	}
 	if len(calls) > 0 {
-		t.Error("what came after the end was sent on")
+		t.Error("a request after the shutdown was forwarded")
 	}
 	conn.Close()
 
@@ -79,7 +80,7 @@
 	}
 }
 
-// delayedConn gives what it has read to its reader when the test says so.
+// delayedConn delays what it has read until the test releases it.
 type delayedConn struct {
 	*clientConn
 	read    chan struct{}
@@ -95,7 +96,7 @@
 	return n, err
 }
 
-// delayedListener makes all connections late ones.
+// delayedListener makes each connection a delayedConn.
 type delayedListener struct {
 	*clientListener
 	read, release chan struct{}
@@ -109,8 +110,8 @@
 	return &delayedConn{c.(*clientConn), loop.read, loop.release}, nil
 }
 
-// A request that was read when the drain came to its end is answered, though net/http holds its connection to be idle
-// still; one that rests is closed.
+// A request that was read when the drain ends is answered, although net/http still counts its connection as idle. An
+// idle connection is closed.
 func TestRequestReadDuringDrainIsAnswered(t *testing.T) {
 	front := newTestFrontend(t, 10, 10, func(event loopEvent) {
 		if arrived, ok := event.(requestArrived); ok && arrived.call.markAnswered() {
@@ -143,11 +144,11 @@
 	receiveWithin(t, "the next request", delayed.read)
 	go func() { drainErr <- front.closeConnections(httpServer, serveErr, time.Now().Add(testTimeout)) }()
 	if got := readStatus(t, readers[1]); got != 0 {
-		t.Errorf("the resting one: %d", got)
+		t.Errorf("the idle connection: %d", got)
 	}
 	delayed.release <- struct{}{}
 	if got := readStatus(t, readers[0]); got != 200 {
-		t.Errorf("the one that was read: %d", got)
+		t.Errorf("the request that was read: %d", got)
 	}
 	conns[0].Close()
 	conns[1].Close()
@@ -156,39 +157,39 @@
 	}
 }
 
-// allStacks is what all goroutines are at.
+// allStacks is the stacks of all goroutines.
 func allStacks() string {
 	buffer := make([]byte, 1<<20)
 	return string(buffer[:runtime.Stack(buffer, true)])
 }
 
-// stackEntry is how a function stands in allStacks, whatever it is called.
+// stackEntry is a function's entry in allStacks.
 func stackEntry(function any) string {
 	return runtime.FuncForPC(reflect.ValueOf(function).Pointer()).Name() + "("
 }
 
-// A time-out, a client's end and the end of the process that cross the loop's answer leave one answer, the loop's.
+// A timeout, a disconnect or the end of the process at the same time as the response of the event loop leaves one
+// response, that of the loop.
 func TestTerminationRacingResponse(t *testing.T) {
 	for name, terminate := range map[string]func(front *frontend, conn net.Conn){
-		"time-out":           func(*frontend, net.Conn) {},
-		"client's end":       func(_ *frontend, conn net.Conn) { conn.(*net.TCPConn).CloseWrite() },
+		"timeout":            func(*frontend, net.Conn) {},
+		"disconnect":         func(_ *frontend, conn net.Conn) { closeWrite(t, conn) },
 		"end of the process": func(front *frontend, _ net.Conn) { close(front.drainExpired) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			posted := make(chan loopEvent, 10)
 			front := newTestFrontend(t, 10, 10, func(event loopEvent) { posted <- event })
 			httpServer := front.httpServer()
-			go httpServer.Serve(front.listener)
-			defer httpServer.Close()
+			serveUntilCleanup(t, httpServer, front.listener)
 			sidecar := &testSidecar{t: t, Sidecar: &Sidecar{frontend: front}}
 			conn := sidecar.dial()
 			timeout := testTimeout
-			if name == "time-out" {
+			if name == "timeout" {
 				timeout = time.Millisecond
 			}
 			writeTo(t, conn, sidecar.wireText(sidecar.newRequest("lookup", timeout)))
 			call := receiveWithin(t, "the request", posted).(requestArrived).call
-			call.markAnswered() // the loop has decided
+			call.markAnswered() // the event loop has answered it
 			terminate(front, conn)
 			waitUntil(t, "the handler to see the end", func() bool { return strings.Contains(allStacks(), stackEntry((*frontend).concludeCall)) })
 			call.response <- response{status: 200}
@@ -196,16 +197,16 @@
 				t.Errorf("answered %d", got)
 			}
 			if len(posted) > 0 {
-				t.Error("the loop is told of an end")
+				t.Error("the event loop is told of an end")
 			}
 		})
 	}
 }
 
-// Clients that send on every connection as long as it is open, and such that rest until they are closed: whatever was
-// sent on is answered, and no connection is open once the sidecar has ended.
+// Some clients send requests for as long as their connection is open, others are idle until it is closed. Each
+// request that was forwarded is answered, and no connection is open after the drain.
 func TestDrainUnderContinuousRequests(t *testing.T) {
-	var answered sync.Map // ids that were sent on, and whether their clients have an answer
+	var answered sync.Map // IDs that were forwarded, and whether their clients have a response
 	var sent atomic.Int64
 	front := newTestFrontend(t, 20, 20, func(event loopEvent) {
 		if arrived, ok := event.(requestArrived); ok && arrived.call.markAnswered() {
@@ -231,15 +232,15 @@
 				}
 				got := readStatus(t, reader)
 				if got == 0 {
-					return // it crossed the end
+					return // it crossed the end of the connection
 				}
 				if got != 200 {
 					t.Errorf("answered %d", got)
 				}
 				answered.Store(req.Header.Get("X-Request-ID"), true)
-				if i%3 == 0 { // rests from its first answer on
+				if i%3 == 0 { // idle after its first response
 					if _, err := reader.ReadByte(); err != io.EOF {
-						t.Errorf("the end of a rest: %v", err)
+						t.Errorf("the end of an idle connection: %v", err)
 					}
 					return
 				}
@@ -256,20 +257,20 @@
 	clients.Wait()
 	answered.Range(func(id, ok any) bool {
 		if !ok.(bool) {
-			t.Errorf("%v was sent on and not answered", id)
+			t.Errorf("%v was forwarded and not answered", id)
 		}
 		return true
 	})
 }
 
-// A client that does not take its answer holds a drain up no longer than the process may live.
+// A client that does not read its response delays a drain no longer than the process may live.
 func TestDrainWithClientThatDoesNotRead(t *testing.T) {
 	body := strings.Repeat("x", maxBody)
 	server := newBackend(t, "a", respondWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
 	sidecar.frontend.writeTimeout = time.Hour
 	conn := sidecar.dial()
-	conn.(*net.TCPConn).SetReadBuffer(4 << 10)
+	setReadBuffer(t, conn, 4<<10)
 	stuck := func() bool {
 		for stack := range strings.SplitSeq(allStacks(), "\n\n") {
 			if strings.Contains(stack, stackEntry(writeResponse)) && strings.Contains(stack, "waitWrite") {
@@ -293,14 +294,14 @@
 	sidecar.done <- nil
 }
 
-// Bad clients in numbers, of every kind that leaves, keep nobody out and leave nothing behind.
+// Many bad clients, which disconnect in every way, shut nobody out and leave no state behind.
 func TestFloodOfDisconnectingClients(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
 	document["limits"] = map[string]any{"sockets": minSockets, "memory_mb": 64}
 	sidecar := startSidecar(t, document)
 	memory := sidecar.frontend.bodyMemory.remaining.Load()
-	requestText := sidecar.wireText(sidecar.newRequest("lookup", time.Minute)) // one id: all but the first are turned away, or go on to no server
+	requestText := sidecar.wireText(sidecar.newRequest("lookup", time.Minute)) // one ID: all but the first are rejected
 	payloads := []string{
 		"", "GET /api HT", requestText[:len(requestText)-2], "POST /api HTTP/1.1\r\nHost: b\r\nContent-Length: 60000\r\n\r\nhalf",
 		requestText, requestText + requestText, requestText + strings.Repeat("x", 5000), requestText + strings.Repeat("x", 1<<18), strings.Repeat("x", 1<<18),
@@ -315,17 +316,17 @@
 					t.Error(err)
 					return
 				}
-				conn.SetDeadline(time.Now().Add(testTimeout))
+				setTestDeadline(t, conn)
 				if (i+j)%2 == 0 {
-					conn.(*net.TCPConn).SetLinger(0) // leaves with a reset
+					resetConn(conn) // disconnects with a reset
 				}
-				io.WriteString(conn, payloads[j%len(payloads)])
+				tryWrite(conn, payloads[j%len(payloads)])
 				conn.Close()
 			}
 		})
 	}
 	for range 20 {
-		if got := sidecar.do(sidecar.newRequest("lookup", testTimeout)); got.status != 200 { // GET: sent again where it crosses an end
+		if got := sidecar.do(sidecar.newRequest("lookup", testTimeout)); got.status != 200 { // the client library repeats a GET that crosses the end of a connection
 			t.Errorf("beside the flood: %+v", got)
 		}
 	}
@@ -336,8 +337,8 @@
 	})
 }
 
-// Where idle clients hold all their descriptors a new configuration is followed, servers are reached, and one that
-// rests gives way to one that asks; at the end all are closed.
+// While idle clients use all descriptors for clients, a reload is followed, servers are reached, and an idle client
+// gives way to one with a request. After the drain all connections are closed.
 func TestIdleClientsHoldingAllDescriptors(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	secondServer := newBackend(t, "b", serveOK)
@@ -363,10 +364,10 @@
 		t.Fatalf("%d connections are open, want %d", open, maxConns)
 	}
 	requestOn(sidecar.dial())
-	if elapsed := time.Since(startedAt); elapsed >= idleTimeout { // when the first of them ends by itself
-		t.Errorf("one that asks is served after %v", elapsed)
+	if elapsed := time.Since(startedAt); elapsed >= idleTimeout { // when the first of them times out
+		t.Errorf("a client with a request is served after %v", elapsed)
 	}
-	receiveWithin(t, "the watch", registry.calls).failWith <- http.StatusInternalServerError // an outage; it is asked again
+	receiveWithin(t, "the watch", registry.calls).failWith <- http.StatusInternalServerError // an outage; the sidecar calls again
 	receiveWithin(t, "the watch that comes back", registry.calls)
 	document["discovery"] = secondRegistry.address()
 	config, err := document.load(t)
@@ -388,8 +389,8 @@
 	}
 	sidecar.done <- nil
 	for _, conn := range idleConns {
-		if _, err := conn.Read(make([]byte, 1)); err != io.EOF {
-			t.Fatalf("a resting connection: %v", err)
+		if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+			t.Fatalf("an idle connection: %v", err)
 		}
 	}
 }
--- a/internal/sidecar/fixtures_test.go
+++ b/internal/sidecar/fixtures_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// transcript collects messages under their names, one quoted line for each line of a message.
+// transcript collects named messages, one quoted line for each line of a message.
 type transcript struct{ bytes.Buffer }
 
 func (record *transcript) add(name, message string) {
@@ -55,17 +55,17 @@
 	}
 }
 
-// volatileHeaders are those whose values follow the clock.
+// volatileHeaders have values that follow the clock.
 var volatileHeaders = regexp.MustCompile(`(?m)^(Date|X-Timeout-Ms): .*\r$`)
 
-// withoutVolatile replaces in a message what differs from run to run: an address and values that follow the clock.
+// withoutVolatile replaces what differs from run to run: an address, and values that follow the clock.
 func withoutVolatile(message, address string) string {
 	message = strings.ReplaceAll(message, address, "ADDRESS")
 	return volatileHeaders.ReplaceAllString(message, "$1: VOLATILE\r")
 }
 
-// newRecorder listens and records each request as it came. The requests are answered with the responses in turn, and
-// each connection ends after one.
+// newRecorder listens and records each request as it came. It answers them with the responses in turn and closes each
+// connection after one.
 func newRecorder(t *testing.T, responses ...string) (address string, requests <-chan string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,8 +80,8 @@
 			if err != nil {
 				return
 			}
-			recorded <- recordRequest(conn)
-			io.WriteString(conn, response)
+			recorded <- recordRequest(t, conn)
+			tryWrite(conn, response)
 			conn.Close()
 		}
 	})
@@ -93,9 +93,10 @@
 }
 
 // recordRequest reads one request and returns its bytes.
-func recordRequest(conn net.Conn) string {
+func recordRequest(t *testing.T, conn net.Conn) string {
+	t.Helper()
 	var raw bytes.Buffer
-	conn.SetDeadline(time.Now().Add(testTimeout))
+	setTestDeadline(t, conn)
 	req, err := http.ReadRequest(bufio.NewReader(io.TeeReader(conn, &raw)))
 	if err != nil {
 		return err.Error()
@@ -108,7 +109,7 @@
 
 const endedStream = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 
-// The configuration is read from its file's JSON as ever.
+// The configuration file is read with the same values.
 func TestConfigurationFixture(t *testing.T) {
 	environment := map[string]string{"NODE_CONFIG": filepath.Join("testdata", "config.json")}
 	config, err := LoadConfig(func(name string) string { return environment[name] })
@@ -134,7 +135,7 @@
 	checkGolden(t, "config.golden.json", append(got, '\n'))
 }
 
-// settingsAsRead names the module's settings by their keys in the configuration.
+// settingsAsRead names the balancer's settings by their keys in the configuration.
 func settingsAsRead(config *balance.Config) map[string]any {
 	var classes, tenants []map[string]any
 	for i := range config.Classes {
@@ -151,7 +152,7 @@
 	return map[string]any{
 		"seed": config.Seed, "my_number": config.SidecarIndex, "peers_total": config.SidecarCount, "zone": config.Zone,
 		"classes": classes, "tenants": tenants, "over_share_worth": config.OverQuotaWeight, "quantum_ms": config.EventInterval,
-		"warm_keys": config.KeyAffinity, "subscribe": config.Subscribe, "report_via": config.LoadReports, "report_fields": fmt.Sprint(config.LoadReportFields),
+		"warm_keys": config.KeyAffinity, "subscribe": config.Subscribe, "report_via": config.LoadReports, "report_fields": fmt.Sprintf("%v", config.LoadReportFields),
 		"max_attempts": config.MaxAttempts, "parallel_tries": config.AllowParallelAttempts, "cancel": config.AllowCancel, "probes": config.AllowHealthChecks,
 		"may_tell": config.AllowGossip, "retry_after": config.SendRetryAfter, "max_retry_after_ms": config.MaxRetryAfter,
 		"connect_timeout_ms": config.ConnectTimeout, "drain_grace_ms": config.DrainGracePeriod, "cold_from": config.SlowStartMinCapacity,
@@ -161,7 +162,7 @@
 	}
 }
 
-// Discovery is asked in the same words, and its lists are read with the same values and written with the same keys.
+// Requests to discovery are the same bytes, and lists are read with the same values and written with the same keys.
 func TestDiscoveryFixture(t *testing.T) {
 	stream, err := os.ReadFile(filepath.Join("testdata", "watch.txt"))
 	if err != nil {
@@ -203,7 +204,7 @@
 	return fmt.Sprintf("kind %d %s", update.kind, data)
 }
 
-// The placement is asked for in the same words, and a report is posted in the same bytes.
+// Requests for the placement and posted load reports are the same bytes.
 func TestPlacementFixture(t *testing.T) {
 	loop, start := newFixtureLoop(t)
 	address, requests := newRecorder(t,
@@ -226,7 +227,7 @@
 	checkGolden(t, "placement.golden.txt", got.Bytes())
 }
 
-// newFixtureLoop is a loop under a clock that stands in the past, so that none of its attempts is sent. It knows the
+// newFixtureLoop makes an event loop with a clock in the past, so that none of its attempts is sent. It knows the
 // servers a and b.
 func newFixtureLoop(t *testing.T) (loop *eventLoop, startMS float64) {
 	t.Helper()
@@ -253,7 +254,8 @@
 	return loop, loop.clock.startUnixMS
 }
 
-// fixtureReport is the report of a loop with each kind of entry in force and requests that ended in each way.
+// fixtureReport is the report of an event loop with each kind of directive in force and requests that ended in each
+// way.
 func fixtureReport(loop *eventLoop, client *placementClient, startMS float64) *placement.LoadReport {
 	loop.placement.active = &activePlacement{placementClient: client, recorder: newReportRecorder(loop.config, startMS), numberByID: map[string]int{}}
 	list := placement.Update{Revision: 12, Epoch: 5, Directives: reportDirectives()}
@@ -288,7 +290,7 @@
 	return <-reportDue
 }
 
-// The sidecar's own answers to its client are the same bytes, but for the date.
+// The sidecar's own responses are the same bytes, except for the date.
 func TestLocalResponsesFixture(t *testing.T) {
 	var loop *eventLoop
 	actions := map[string]balance.Action{
@@ -313,8 +315,7 @@
 	})
 	loop = newEventLoop(front.config, nil, nil)
 	httpServer := front.httpServer()
-	go httpServer.Serve(front.listener)
-	defer httpServer.Close()
+	serveUntilCleanup(t, httpServer, front.listener)
 
 	const lookup = "X-Priority-Class: lookup\r\n"
 	const charge = "X-Priority-Class: charge\r\n"
@@ -329,7 +330,7 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(testTimeout))
+		setTestDeadline(t, conn)
 		text := line + " HTTP/1.1\r\nHost: b\r\nX-Tenant-Id: kita\r\n" + headers
 		if !strings.Contains(headers, "X-Request-ID") {
 			text += fmt.Sprintf("X-Request-ID: %d\r\n", lastID)
@@ -381,7 +382,7 @@
 	checkGolden(t, "answers.golden.txt", got.Bytes())
 }
 
-// What servers get, attempts and health checks, is the same bytes, but for the time left.
+// The requests that servers get, attempts and health checks, are the same bytes, except for the remaining time.
 func TestUpstreamRequestsFixture(t *testing.T) {
 	const response = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 15\r\n\r\nbusy=0.5,rate=7"
 	config, err := newConfigDocument("127.0.0.1:1").load(t)
--- a/internal/sidecar/frontend_test.go
+++ b/internal/sidecar/frontend_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// What is malformed is told apart from a refusal and reaches no server.
+// A malformed request gets a status that is no rejection, its connection ends, and no server gets it.
 func TestMalformedRequests(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -37,21 +37,21 @@
 		change func(*http.Request)
 		want   int
 	}{
-		"no id":              {"charge", func(r *http.Request) { r.Header.Del("X-Request-ID") }, 400},
-		"no class":           {"charge", func(r *http.Request) { r.Header.Del("X-Priority-Class") }, 400},
-		"unknown class":      {"charge", func(r *http.Request) { r.Header.Set("X-Priority-Class", "nope") }, 400},
-		"no tenant":          {"charge", func(r *http.Request) { r.Header.Del("X-Tenant-Id") }, 400},
-		"unknown tenant":     {"charge", func(r *http.Request) { r.Header.Set("X-Tenant-Id", "nope") }, 400},
-		"time is no number":  {"charge", func(r *http.Request) { r.Header.Set("X-Timeout-Ms", "soon") }, 400},
-		"no time":            {"charge", func(r *http.Request) { r.Header.Set("X-Timeout-Ms", "0") }, 400},
-		"time below nothing": {"charge", func(r *http.Request) { r.Header.Set("X-Timeout-Ms", "-5") }, 400},
-		"endless time":       {"charge", func(r *http.Request) { r.Header.Set("X-Timeout-Ms", "4294967295") }, 400},
-		"cost is no number":  {"charge", func(r *http.Request) { r.Header.Set("X-Cost", "NaN") }, 400},
-		"keyed, no key":      {"reserve", func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400},
-		"unsafe with a key":  {"charge", func(r *http.Request) { r.Header.Set("Idempotency-Key", "1") }, 400},
-		"unsafe by GET":      {"charge", func(r *http.Request) { r.Method, r.Body, r.ContentLength = "GET", nil, 0 }, 400},
-		"safe by POST":       {"lookup", func(r *http.Request) { r.Method = "POST" }, 400},
-		"safe with a body": {"lookup", func(r *http.Request) {
+		"no id":                     {"charge", func(r *http.Request) { r.Header.Del("X-Request-ID") }, 400},
+		"no class":                  {"charge", func(r *http.Request) { r.Header.Del("X-Priority-Class") }, 400},
+		"unknown class":             {"charge", func(r *http.Request) { r.Header.Set("X-Priority-Class", "nope") }, 400},
+		"no tenant":                 {"charge", func(r *http.Request) { r.Header.Del("X-Tenant-Id") }, 400},
+		"unknown tenant":            {"charge", func(r *http.Request) { r.Header.Set("X-Tenant-Id", "nope") }, 400},
+		"timeout is no number":      {"charge", func(r *http.Request) { r.Header.Set("X-Timeout-Ms", "soon") }, 400},
+		"timeout 0":                 {"charge", func(r *http.Request) { r.Header.Set("X-Timeout-Ms", "0") }, 400},
+		"negative timeout":          {"charge", func(r *http.Request) { r.Header.Set("X-Timeout-Ms", "-5") }, 400},
+		"endless timeout":           {"charge", func(r *http.Request) { r.Header.Set("X-Timeout-Ms", "4294967295") }, 400},
+		"cost is no number":         {"charge", func(r *http.Request) { r.Header.Set("X-Cost", "NaN") }, 400},
+		"no idempotency key":        {"reserve", func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400},
+		"non-idempotent with a key": {"charge", func(r *http.Request) { r.Header.Set("Idempotency-Key", "1") }, 400},
+		"non-idempotent by GET":     {"charge", func(r *http.Request) { r.Method, r.Body, r.ContentLength = "GET", nil, 0 }, 400},
+		"idempotent by POST":        {"lookup", func(r *http.Request) { r.Method = "POST" }, 400},
+		"idempotent with a body": {"lookup", func(r *http.Request) {
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader("x")), 1
 		}, 400},
 		"other method":        {"charge", func(r *http.Request) { r.Method = "PUT" }, 405},
@@ -84,11 +84,11 @@
 		t.Errorf("the largest body: %+v", got)
 	}
 	if got := sidecar.do(sidecar.newRequest("reserve", time.Second)); got.status != 200 {
-		t.Errorf("a keyed request: %+v", got)
+		t.Errorf("a request with an idempotency key: %+v", got)
 	}
 }
 
-// dial opens a connection for what no client library sends.
+// dial opens a connection for requests that no client library sends.
 func (sidecar *testSidecar) dial() net.Conn {
 	sidecar.t.Helper()
 	conn, err := net.Dial("tcp", sidecar.Addr())
@@ -96,12 +96,12 @@
 		sidecar.t.Fatal(err)
 	}
 	sidecar.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(testTimeout))
+	setTestDeadline(sidecar.t, conn)
 	return conn
 }
 
-// A request whose length can be read in two ways may hide another in its body. Neither is sent on: it gets
-// one answer, never one that invites to send it again, and its connection ends.
+// A request whose length can be read in two ways may hide another in its body. Neither is forwarded: there is one
+// response, which never invites a retry, and the connection ends.
 func TestRequestSmugglingIsRejected(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -130,13 +130,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn := sidecar.dial()
-			io.WriteString(conn, text)
+			tryWrite(conn, text)
 			reader := bufio.NewReader(conn)
 			resp, err := http.ReadResponse(reader, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			io.Copy(io.Discard, resp.Body)
+			discard(resp.Body)
 			if resp.StatusCode < 400 || resp.StatusCode == 429 || resp.StatusCode == 503 {
 				t.Errorf("answered %s", resp.Status)
 			}
@@ -150,7 +150,7 @@
 	}
 }
 
-// An id that is open, or was a moment ago, names that request: another with it is turned away.
+// A request with the ID of another that is in flight, or was answered recently, is rejected as a conflict.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, body string) bool {
@@ -179,7 +179,7 @@
 	}
 }
 
-// Ids are forgotten some time after their answers, so that they do not fill the memory.
+// Request IDs are forgotten some time after their responses, so that they do not fill the memory.
 func TestRequestIDsExpire(t *testing.T) {
 	ids := newRecentRequestIDs()
 	claim := func(id string, want bool) uint64 {
@@ -201,11 +201,11 @@
 	claim("open", false)
 	ids.release(open)
 	if retained := len(ids.inFlight) + len(ids.current) + len(ids.previous); retained != 2 {
-		t.Errorf("%d ids are kept", retained)
+		t.Errorf("%d IDs are retained", retained)
 	}
 }
 
-// Those who connect in numbers and say nothing, or half of something, keep nobody out, and are closed.
+// Many clients that send nothing, or a part of a request, shut no other client out, and are disconnected.
 func TestSilentClientsAreEvicted(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
@@ -229,7 +229,7 @@
 	var silent []net.Conn
 	for i := range 3 * minSockets {
 		conn := sidecar.dial()
-		io.WriteString(conn, "POST /api HTTP/1.1\r\nHost:"[:i%20])
+		tryWrite(conn, "POST /api HTTP/1.1\r\nHost:"[:i%20])
 		silent = append(silent, conn)
 		if i%50 == 0 {
 			if status := requestOnPersistent(); status != 200 {
@@ -248,13 +248,13 @@
 			t.Fatal("a silent connection stays open")
 		}
 	}
-	if elapsed := time.Since(startedAt); elapsed > 6*time.Second { // headerTimeout on a busy machine; idle ones have much longer
+	if elapsed := time.Since(startedAt); elapsed > 6*time.Second { // headerTimeout on a busy machine; the idle timeout is much longer
 		t.Errorf("the last of the silent ones was closed after %v", elapsed)
 	}
 }
 
-// Clients that ask once and keep their connection use up what the application may hold; the longest idle end
-// long before their time, those in use stay.
+// Clients that use a connection once and keep it open would use up the sockets of the application. The longest idle
+// connections are closed long before their timeout; those in use stay open.
 func TestConnectionsUsedOnceAreEvicted(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
@@ -283,7 +283,7 @@
 	if open := sidecar.frontend.listener.openCount(); open >= third {
 		t.Errorf("%d connections are open", open)
 	}
-	for _, conn := range usedOnce[:2*third] { // an end, not a time-out
+	for _, conn := range usedOnce[:2*third] { // an end of the connection, not a timeout
 		if _, err := conn.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatal("a connection used once stays open")
 		}
@@ -291,7 +291,8 @@
 	requestOn(busy)
 }
 
-// Half a request is ended in time, and so is a connection that was used once and then never again.
+// A client that sends a part of a request is disconnected in time, and so is one that sends a request and nothing
+// more.
 func TestSlowClientsAreDisconnected(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -301,13 +302,13 @@
 	}
 	requestText := wire.String()
 	for name, text := range map[string]string{
-		"nothing": "", "half a head": requestText[:60], "half a body": requestText[:len(requestText)-3], "asked once": requestText,
+		"nothing": "", "partial header": requestText[:60], "partial body": requestText[:len(requestText)-3], "one request": requestText,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			conn := sidecar.dial()
 			startedAt := time.Now()
-			io.WriteString(conn, text)
+			tryWrite(conn, text)
 			got, err := io.ReadAll(conn)
 			elapsed := time.Since(startedAt)
 			if err != nil || elapsed > 3*time.Second {
@@ -320,7 +321,7 @@
 	}
 }
 
-// Without X-Timeout-Ms a client is taken to wait for its class's limit.
+// Without X-Timeout-Ms the timeout is the class's deadline.
 func TestDefaultTimeoutIsClassDeadline(t *testing.T) {
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address()).replaceSetting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 100`).
 		replaceSetting(`"on_time_ms": 750`, `"on_time_ms": 100`))
@@ -331,8 +332,7 @@
 	}
 }
 
-// More requests at a time than there are connections to servers are refused at once, not dropped, and
-// those taken are served.
+// Requests beyond the limit in flight are rejected at once; those within it are served.
 func TestOverloadIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	server := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
@@ -361,7 +361,7 @@
 	}
 }
 
-// Where many client connections are open they are not kept, so that idle ones never shut others out.
+// Where there are many client connections the idle ones are closed, so that they never shut others out.
 func TestManyClientConnectionsAreNotRetained(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
@@ -372,8 +372,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(testTimeout))
+		t.Cleanup(func() { conn.Close() })
+		setTestDeadline(t, conn)
 		req := sidecar.newRequest("charge", time.Second)
 		if err := req.Write(conn); err != nil {
 			t.Fatal(err)
@@ -389,7 +389,7 @@
 	}
 }
 
-// A client that does not read its answers loses its connection; it holds no place for ever.
+// A client that does not read its responses is disconnected.
 func TestClientThatDoesNotReadIsDisconnected(t *testing.T) {
 	body := strings.Repeat("x", maxBody)
 	server := newBackend(t, "a", respondWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
@@ -400,9 +400,9 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.(*net.TCPConn).SetReadBuffer(4096)
-	conn.SetDeadline(time.Now().Add(testTimeout))
-	for i := range int64(1000) { // more answers than the buffers between hold, each asked for once the last is made
+	setReadBuffer(t, conn, 4096)
+	setTestDeadline(t, conn)
+	for i := range int64(1000) { // more responses than the socket buffers hold, each requested after the previous one is made
 		if err := sidecar.newRequest("lookup", time.Second).Write(conn); err != nil {
 			break
 		}
@@ -415,7 +415,7 @@
 	})
 }
 
-// A module that never answers is a bug, but the client gets one failed answer in time.
+// A balancer that never answers is a bug, but the client gets a failure in time.
 func TestBalancerThatNeverAnswers(t *testing.T) {
 	config, err := newConfigDocument("127.0.0.1:1").load(t)
 	if err != nil {
@@ -431,8 +431,7 @@
 		bodyMemory: &byteBudget{}, maxInFlight: 10, writeTimeout: testTimeout,
 	}
 	httpServer := front.httpServer()
-	go httpServer.Serve(front.listener)
-	defer httpServer.Close()
+	serveUntilCleanup(t, httpServer, front.listener)
 	req, err := http.NewRequest("GET", "http://"+listener.Addr().String()+apiPath, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -451,12 +450,12 @@
 	}
 	arrived := (<-posted).(requestArrived).call
 	if disconnected, ok := (<-posted).(clientDisconnected); !ok || disconnected.call != arrived || arrived.markAnswered() {
-		t.Error("the loop is not told that the request is over")
+		t.Error("the event loop is not told that the request has ended")
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// Advice to stay away goes to the client in seconds.
+// Retry-After is in seconds.
 func TestRetryAfterIsInSeconds(t *testing.T) {
 	recorder := httptest.NewRecorder()
 	writeResponse(recorder, response{status: statusRejected, retryAfterMS: 1250})
@@ -465,8 +464,8 @@
 	}
 }
 
-// After SIGTERM the application is served, on connections kept and new, as long as the process may live: it
-// goes on using what is open. Then connections end with their answers. The address can be bound again.
+// After SIGTERM requests are served on open and new connections until the drain deadline, as the application goes on
+// using what is open. Then connections end with their responses, and the address can be bound again.
 func TestDrainServesUntilDeadline(t *testing.T) {
 	release, arrived := make(chan struct{}), make(chan struct{}, 1)
 	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, body string) bool {
@@ -479,7 +478,7 @@
 	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
 	sidecar := startSidecar(t, document)
 	sidecar.serveWindow = time.Second
-	sidecar.do(sidecar.newRequest("charge", time.Second)) // leaves a kept connection
+	sidecar.do(sidecar.newRequest("charge", time.Second)) // leaves an idle connection
 	slow := sidecar.newRequest("lookup", 2500*time.Millisecond)
 	slow.URL.RawQuery = "slow"
 	pending := sidecar.doAsync(slow)
@@ -489,7 +488,7 @@
 	waitUntil(t, "the drain", func() bool { return sidecar.frontend.drainDeadline.Load() != nil })
 	for range 3 {
 		if r := sidecar.do(sidecar.newRequest("charge", time.Second)); r.status != 200 || r.connClosed {
-			t.Errorf("on a kept connection while draining: %+v", r)
+			t.Errorf("on an open connection while draining: %+v", r)
 		}
 	}
 	newClient := &http.Client{Transport: &http.Transport{DisableKeepAlives: false}}
@@ -519,7 +518,7 @@
 	}
 }
 
-// Clients that go on for a while after SIGTERM, as they may, lose nothing.
+// Clients that go on sending for a while after SIGTERM lose no request.
 func TestDrainUnderLoad(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -554,18 +553,18 @@
 			t.Error("a client was served nothing")
 		}
 	}
-	sidecar.client.CloseIdleConnections() // no connection is in use: it need not wait for more
+	sidecar.client.CloseIdleConnections() // without connections the drain need not wait
 	if err := receiveWithin(t, "the end", sidecar.done); err != nil {
 		t.Error(err)
 	}
 	sidecar.done <- nil
 }
 
-// Connections on which nothing came, or half a head, do not hold a drain up; a request under way is answered
-// within the time that is left before the process may be killed.
+// Connections without a request, or with a part of one, do not delay a drain. A request in flight is answered before
+// the process may be killed.
 func TestDrainWithIncompleteRequests(t *testing.T) {
 	server := newBackend(t, "a", func(net.Conn, *http.Request, string) bool { select {} })
-	server.Close() // nobody accepts: the request waits at the module
+	server.Close() // nobody accepts: the request waits at the balancer
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
 	sidecar.serveWindow = time.Second
 	for _, text := range []string{"", "GET /api HTT"} {
@@ -573,8 +572,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer conn.Close()
-		io.WriteString(conn, text)
+		t.Cleanup(func() { conn.Close() })
+		tryWrite(conn, text)
 	}
 	pending := sidecar.doAsync(sidecar.newRequest("lookup", 800*time.Millisecond))
 	waitUntil(t, "the connections", func() bool {
@@ -593,7 +592,8 @@
 	sidecar.done <- nil
 }
 
-// SIGKILL comes 3.7 s after SIGTERM, however long a class's deadline is, and what was taken is answered by then.
+// SIGKILL comes 3.7 s after SIGTERM at the latest, however long a class's deadline is, and the last response is due
+// before.
 func TestDrainEndsBeforeKill(t *testing.T) {
 	for _, test := range []struct {
 		deadline string
@@ -608,19 +608,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		instance.frontend.listener.Close()
+		if err := instance.frontend.listener.Close(); err != nil {
+			t.Error(err)
+		}
 		if end := instance.serveWindow + finalResponseWindow; end > test.kill-shutdownMargin || end < test.kill-500*time.Millisecond {
 			t.Errorf("deadline %s ms: the last answer is due %v after SIGTERM, the kill %v", test.deadline, end, test.kill)
 		}
 	}
 }
 
-// A request that came before SIGTERM and may last longer than the process is answered before the end.
+// A request that came before SIGTERM and has more time left than the process is answered before the end.
 func TestDrainAnswersLongRequests(t *testing.T) {
 	arrived := make(chan struct{}, 1)
 	server := newBackend(t, "a", func(conn net.Conn, _ *http.Request, _ string) bool {
 		arrived <- struct{}{}
-		io.Copy(io.Discard, conn)
+		discard(conn)
 		return false
 	})
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -637,7 +639,7 @@
 	sidecar.done <- nil
 }
 
-// Requests beside each other, some of which hang up, leave nothing behind.
+// Concurrent requests, some of whose clients disconnect, leave no state behind.
 func TestNoStateLeaksAfterRequests(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	secondServer := newBackend(t, "b", respondWith("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false))
@@ -647,7 +649,7 @@
 		req := sidecar.newRequest([]string{"lookup", "reserve", "charge"}[i%3], time.Second)
 		if i%5 == 0 {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Duration(i)*100*time.Microsecond)
-			defer cancel()
+			t.Cleanup(cancel)
 			if resp, err := sidecar.client.Do(req.WithContext(ctx)); err == nil {
 				resp.Body.Close()
 			}
@@ -674,7 +676,7 @@
 	}
 }
 
-// A second sidecar on a taken address says so.
+// New fails with an error that names the address if that is in use.
 func TestAddressInUse(t *testing.T) {
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address()))
 	document := newConfigDocument("127.0.0.1:1")
@@ -718,7 +720,7 @@
 	}
 }
 
-// The environment wins over the file.
+// The environment overrides the file.
 func TestEnvironmentOverridesFile(t *testing.T) {
 	path := newConfigDocument("127.0.0.1:1").writeFile(t)
 	env := map[string]string{"NODE_CONFIG": path, "NODE_NAME": "n7", "NODE_LISTEN": "127.0.0.1:2", "NODE_DISCOVERY": "127.0.0.1:3"}
--- a/internal/sidecar/idempotency_window_test.go
+++ b/internal/sidecar/idempotency_window_test.go
@@ -14,7 +14,7 @@
 	"milldeck/balance"
 )
 
-// smallSocketBuffers is for sockets that take little of a request while the other side does not read.
+// smallSocketBuffers makes sockets buffer little of a request that the other side does not read.
 func smallSocketBuffers(option int) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, rawConn syscall.RawConn) error {
 		var set error
@@ -25,7 +25,8 @@
 	}
 }
 
-// newUnreadListener listens and hands over each connection as it was accepted; little of what is written to it leaves the sender.
+// newUnreadListener accepts connections and hands them over unread; little of what is written to one leaves the
+// sender.
 func newUnreadListener(t *testing.T) (net.Listener, <-chan net.Conn) {
 	t.Helper()
 	listener, err := (&net.ListenConfig{Control: smallSocketBuffers(syscall.SO_RCVBUF)}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -47,10 +48,10 @@
 	return listener, conns
 }
 
-// readsCompleteRequest reports whether a request comes whole on a connection before it ends.
+// readsCompleteRequest reports whether a complete request arrives before the connection ends.
 func readsCompleteRequest(t *testing.T, conn net.Conn) bool {
 	t.Helper()
-	conn.SetDeadline(time.Now().Add(testTimeout))
+	setTestDeadline(t, conn)
 	r, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		return false
@@ -59,8 +60,8 @@
 	return err == nil && int64(len(body)) == r.ContentLength
 }
 
-// A repeat whose window runs out while a server does not read it: its last byte must not come when the key may be
-// forgotten. The attempt never ran, and the request is answered without waiting for its deadline.
+// The idempotency window of a retry ends while the server does not read it: the last byte must not arrive when the
+// key may be forgotten. The attempt was never executed, and the request is answered before its deadline.
 func TestRetryEndsWithIdempotencyWindow(t *testing.T) {
 	const window = 600 * time.Millisecond
 	first, firstConns := newUnreadListener(t)
@@ -80,26 +81,27 @@
 		t.Fatal("no attempt")
 	}
 	if !readsCompleteRequest(t, firstConn) {
-		t.Fatal("the first attempt is not whole")
+		t.Fatal("the first attempt is incomplete")
 	}
-	ended := time.Now() // the window began before
-	firstConn.(*net.TCPConn).SetLinger(0)
+	ended := time.Now() // the window began earlier
+	resetConn(firstConn)
 	firstConn.Close()
-	retry := receiveWithin(t, "the repeat", other)
+	retry := receiveWithin(t, "the retry", other)
 	select {
 	case got := <-answered:
 		if got.status != statusFailed {
 			t.Errorf("answer %d, want %d: the first attempt may have run", got.status, statusFailed)
 		}
-	case <-time.After(time.Until(ended.Add(window + 2*time.Second))): // long past the window: now it is read
+	case <-time.After(time.Until(ended.Add(window + 2*time.Second))): // long after the window: now it is read
 		t.Error("not answered at the end of the window")
 	}
 	if readsCompleteRequest(t, retry) {
-		t.Error("the repeat came whole after the end of the window")
+		t.Error("the retry was complete after the end of the window")
 	}
 }
 
-// What bounds a repeat: the first attempt that may have run, and only where a key is remembered for a while.
+// The idempotency window starts with the first attempt that may have been executed, and exists only for classes with
+// idempotency keys.
 func TestIdempotencyWindowStartsAtFirstPossibleExecution(t *testing.T) {
 	config, err := newConfigDocument("127.0.0.1:1").load(t)
 	if err != nil {
@@ -118,12 +120,12 @@
 		attempts []*attempt
 		want     time.Time
 	}{
-		"no attempt":        {"reserve", nil, time.Time{}},
-		"never ran":         {"reserve", attempts(true, true), time.Time{}},
-		"second may have":   {"reserve", attempts(true, false, false), at(2100)},
-		"first may have":    {"reserve", attempts(false, true), at(2000)},
-		"safe":              {"lookup", attempts(false), time.Time{}},
-		"unsafe, never ran": {"charge", attempts(true), time.Time{}},
+		"no attempt":                     {"reserve", nil, time.Time{}},
+		"never executed":                 {"reserve", attempts(true, true), time.Time{}},
+		"second may be executed":         {"reserve", attempts(true, false, false), at(2100)},
+		"first may be executed":          {"reserve", attempts(false, true), at(2000)},
+		"idempotent":                     {"lookup", attempts(false), time.Time{}},
+		"not idempotent, never executed": {"charge", attempts(true), time.Time{}},
 	} {
 		c := &call{deadline: at(5000), attempts: test.attempts}
 		c.request.Class = config.classNumbers[test.class]
--- a/internal/sidecar/placement_test.go
+++ b/internal/sidecar/placement_test.go
@@ -16,7 +16,7 @@
 	"milldeck/internal/placement"
 )
 
-// fakeAgent tells a placement as the test says and takes reports.
+// fakeAgent serves a placement as the test says and accepts load reports.
 type fakeAgent struct {
 	*fakeRegistry
 	reports chan placement.LoadReport
@@ -40,13 +40,13 @@
 	return agent
 }
 
-// nextReport is a report that the sidecar began after this call, and what was counted until then.
+// nextReport is a report that began after this call. The reports until then, and this one, are appended to reports.
 func (agent *fakeAgent) nextReport(t *testing.T, reports *[]placement.LoadReport) placement.LoadReport {
 	t.Helper()
 	for len(agent.reports) > 0 {
 		*reports = append(*reports, <-agent.reports)
 	}
-	*reports = append(*reports, receiveWithin(t, "a report", agent.reports)) // may have begun before
+	*reports = append(*reports, receiveWithin(t, "a report", agent.reports)) // may have begun before the call
 	last := receiveWithin(t, "another report", agent.reports)
 	*reports = append(*reports, last)
 	return last
@@ -64,7 +64,7 @@
 	call.sendLine(t, string(data))
 }
 
-// excludeDirective keeps kita off servers for as long as it says by either clock.
+// excludeDirective excludes servers from requests of the tenant kita for some time by both clocks.
 func excludeDirective(remaining time.Duration, uids ...string) placement.Directive {
 	return placement.Directive{
 		ID: "window/w/kita", Kind: placement.KindExclude, Tenant: "kita", Servers: uids,
@@ -76,11 +76,11 @@
 	*testSidecar
 	agent            *fakeAgent
 	serverA, serverB *backend
-	holding          chan bool // a got a request with the query hold, which b fails
-	release          chan bool // ... and answers it then
+	holding          chan bool // server A got a request with the query hold, which server B fails
+	release          chan bool // ... and responds to it then
 }
 
-// startPlacementRig is a sidecar with two servers, a and b, that follows an agent's placement.
+// startPlacementRig runs a sidecar with two servers that follows an agent's placement.
 func startPlacementRig(t *testing.T, change func(configDocument), tweaks ...func(*Sidecar)) *placementRig {
 	t.Helper()
 	rig := &placementRig{agent: newFakeAgent(t), holding: make(chan bool, 1), release: make(chan bool)}
@@ -107,7 +107,7 @@
 	return rig
 }
 
-// countLookups tells how many of n requests reach server a.
+// countLookups sends requests and returns how many of them reached server A.
 func (rig *placementRig) countLookups(count int) int {
 	rig.t.Helper()
 	before := rig.serverA.requests.Load()
@@ -119,7 +119,7 @@
 	return int(rig.serverA.requests.Load() - before)
 }
 
-// awaitRevision waits until a revision is in force.
+// awaitRevision waits for a report with a revision in force.
 func (rig *placementRig) awaitRevision(revision uint64) placement.LoadReport {
 	rig.t.Helper()
 	for {
@@ -133,7 +133,7 @@
 	rig := startPlacementRig(t, nil)
 	call := receiveWithin(t, "the watch", rig.agent.calls)
 	if call.query != "watch=1" {
-		t.Errorf("asked %q", call.query)
+		t.Errorf("requested %q", call.query)
 	}
 	notifiedAt := time.Now()
 	call.sendPlacement(t, 3, excludeDirective(700*time.Millisecond, "a", "no such server"))
@@ -142,17 +142,17 @@
 		t.Errorf("reported %+v", report)
 	}
 	if reached := rig.countLookups(10); reached > 0 && time.Since(notifiedAt) < 700*time.Millisecond {
-		t.Errorf("%d requests reached the server that is kept off", reached)
+		t.Errorf("%d requests reached the excluded server", reached)
 	}
 	rig.agent.CloseClientConnections()
 	rig.agent.Listener.Close()
-	waitUntil(t, "the entry's end", func() bool { return rig.countLookups(2) > 0 })
+	waitUntil(t, "the end of the directive", func() bool { return rig.countLookups(2) > 0 })
 	if time.Since(notifiedAt) < 690*time.Millisecond {
 		t.Errorf("it ended after %v", time.Since(notifiedAt))
 	}
 }
 
-// Whatever clock is wrong ends an entry early, never late; also one that is set while the entry is in force.
+// A wrong clock ends a directive early, never late; also one that is set while the directive is in force.
 func TestEitherClockExpiresDirective(t *testing.T) {
 	for name, change := range map[string]func(*placement.Directive){
 		"little left":                func(directive *placement.Directive) { directive.RemainingMS = 200 },
@@ -165,7 +165,7 @@
 			change(&directive)
 			receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, directive)
 			rig.awaitRevision(1)
-			waitUntil(t, "the entry's end", func() bool { return rig.countLookups(2) > 0 })
+			waitUntil(t, "the end of the directive", func() bool { return rig.countLookups(2) > 0 })
 		})
 	}
 	var ahead atomic.Int64
@@ -175,18 +175,19 @@
 	receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, excludeDirective(time.Hour, "a"))
 	rig.awaitRevision(1)
 	if reached := rig.countLookups(10); reached > 0 {
-		t.Errorf("%d requests reached the server that is kept off", reached)
+		t.Errorf("%d requests reached the excluded server", reached)
 	}
 	ahead.Store(2 * time.Hour.Milliseconds())
-	waitUntil(t, "the entry's end", func() bool { return rig.countLookups(2) > 0 })
+	waitUntil(t, "the end of the directive", func() bool { return rig.countLookups(2) > 0 })
 	ahead.Store(0)
 	rig.agent.nextReport(t, &[]placement.LoadReport{})
 	if rig.countLookups(20) == 0 {
-		t.Error("the entry began again when the clock was put back")
+		t.Error("the directive is in force again after the clock was set back")
 	}
 }
 
-// A line that cannot be used ends its watch and leaves what was told before; the next asks after that.
+// An invalid line ends its watch, and the placement before stays in force; the next watch asks for the changes after
+// it.
 func TestInvalidPlacementKeepsLastValid(t *testing.T) {
 	rig := startPlacementRig(t, nil, func(instance *Sidecar) {
 		instance.loop.placement.timing.silenceTimeout, instance.loop.placement.timing.maxBackoff = 300*time.Millisecond, 50*time.Millisecond
@@ -209,26 +210,26 @@
 		bad(call)
 		call = receiveWithin(t, name+": the next watch", rig.agent.calls)
 		if call.query != "watch=1&after=1&epoch=5" {
-			t.Errorf("%s: asked %q", name, call.query)
+			t.Errorf("%s: requested %q", name, call.query)
 		}
 		if reached := rig.countLookups(4); reached > 0 {
-			t.Errorf("%s: %d requests reached the server that is kept off", name, reached)
+			t.Errorf("%s: %d requests reached the excluded server", name, reached)
 		}
 	}
-	// Another history that does not begin with its whole: that is asked for, and then in force.
+	// A change of another epoch makes the client ask for the complete placement, which is then in force.
 	call.sendLine(t, `{"rev":2,"epoch":6,"entries":[]}`)
 	call = receiveWithin(t, "the next watch", rig.agent.calls)
 	if call.query != "watch=1" {
-		t.Errorf("asked %q", call.query)
+		t.Errorf("requested %q", call.query)
 	}
 	call.sendLine(t, `{"rev":2,"epoch":6,"all":true,"entries":[]}`)
 	rig.awaitRevision(2)
 	if rig.countLookups(10) == 0 {
-		t.Error("the entry is still in force")
+		t.Error("the directive is still in force")
 	}
 }
 
-// An entry that is told again with the same end is no news; one that ends earlier than was told is.
+// A directive that is repeated with the same end is no change; one that ends earlier is.
 func TestEarlierExpiryIsApplied(t *testing.T) {
 	directive := excludeDirective(time.Second, "a")
 	active := activePlacement{directives: []activeDirective{{Directive: directive, endsAtMS: 6000}}}
@@ -267,7 +268,7 @@
 }
 
 func TestReportCountsRequestOutcomes(t *testing.T) {
-	rig := startPlacementRig(t, func(c configDocument) { c["application"] = "other" }) // it is no tenant where the settings name some
+	rig := startPlacementRig(t, func(c configDocument) { c["application"] = "other" }) // no tenant, as the settings name tenants
 	receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, reportDirectives()...)
 	rig.awaitRevision(1)
 	lookupAsync := func(query, key string) <-chan clientResult {
@@ -283,7 +284,7 @@
 		<-lookupAsync("", "hot")
 		<-lookupAsync("", "")
 	}
-	pending := lookupAsync("hold", "") // fails at b, which takes the first attempt, and is out at a
+	pending := lookupAsync("hold", "") // fails at server B, which gets the first attempt, and is in flight at server A
 	receiveWithin(t, "the held request", rig.holding)
 	var reports []placement.LoadReport
 	last := rig.agent.nextReport(t, &reports)
@@ -324,7 +325,8 @@
 	}
 }
 
-// reportDirectives keep kita off a, then off both, which leaves too little; another tenant is not of this sidecar.
+// reportDirectives exclude server a for kita, then both servers, which leaves too few, then one for a tenant that
+// this sidecar does not serve, and put b into a cohort.
 func reportDirectives() []placement.Directive {
 	first, both, other, cohort := excludeDirective(time.Hour, "a"), excludeDirective(time.Hour, "a", "b"), excludeDirective(time.Hour, "b"), excludeDirective(time.Hour, "b")
 	first.ID, both.MinAvailable = "window/v/kita", 0.5
@@ -333,7 +335,7 @@
 	return []placement.Directive{first, both, other, cohort}
 }
 
-// Where the settings name no tenants, all requests are the calling application's.
+// Where the settings name no tenants, all requests belong to the calling application.
 func TestApplicationIsDefaultTenant(t *testing.T) {
 	for application, want := range map[string]bool{"kita": true, "portal": false, "": false} {
 		rig := startPlacementRig(t, func(c configDocument) {
@@ -346,12 +348,12 @@
 			t.Errorf("%q: open %d, in force %v", application, open, ok)
 		}
 		if excluded := rig.countLookups(10) == 0; excluded != want {
-			t.Errorf("%q: kept off %v, want %v", application, excluded, want)
+			t.Errorf("%q: excluded %v, want %v", application, excluded, want)
 		}
 	}
 }
 
-// A spread key goes to its copy as told.
+// Requests for a hot key go to its replica.
 func TestSpreadReachesBalancer(t *testing.T) {
 	rig := startPlacementRig(t, func(c configDocument) {
 		c.replaceSetting(`"quantum_ms": 2,`, `"quantum_ms": 2, "family_info": {"warm_keys": true},`)
@@ -371,8 +373,8 @@
 	}
 }
 
-// A reload follows the placement to another address. What the old one told holds until the new one has told; without
-// an address it ends at once, and nothing is left running.
+// A reload follows the placement at another address. The directives of the old one stay in force until the new one
+// sends its own; without an address they end at once, and no goroutine is left.
 func TestReloadSwitchesPlacement(t *testing.T) {
 	rig := startPlacementRig(t, nil)
 	previous := receiveWithin(t, "the watch", rig.agent.calls)
@@ -385,7 +387,7 @@
 	receiveWithin(t, "the old watch to end", previous.disconnected)
 	call := receiveWithin(t, "the new watch", secondAgent.calls)
 	if call.query != "watch=1" || rig.countLookups(10) > 0 {
-		t.Errorf("asked %q; the entry has to hold", call.query)
+		t.Errorf("requested %q; the directive must stay in force", call.query)
 	}
 	call.sendPlacement(t, 1)
 	if report := receiveWithin(t, "a report", secondAgent.reports); report.PlacementRevision != 1 || report.Version != "v8" {
@@ -393,22 +395,22 @@
 	}
 	rig.loop.post(placementUpdate{generation: 0, takenAt: time.Now(), placement: placement.Update{Directives: []placement.Directive{excludeDirective(time.Hour, "a")}}})
 	if rig.countLookups(10) == 0 {
-		t.Error("the entry holds on")
+		t.Error("the directive stays in force")
 	}
 	call.sendPlacement(t, 2, excludeDirective(time.Hour, "a"))
 	rig.agent = secondAgent
 	rig.awaitRevision(2)
 	if rig.countLookups(10) > 0 {
-		t.Error("the new entry does not hold")
+		t.Error("the new directive is not in force")
 	}
 	config.PlacementAddress = ""
 	rig.Reload(&config)
 	receiveWithin(t, "the new watch to end", call.disconnected)
-	waitUntil(t, "the end of the entry", func() bool { return rig.countLookups(2) > 0 })
+	waitUntil(t, "the end of the directive", func() bool { return rig.countLookups(2) > 0 })
 	waitUntil(t, "nothing left running", func() bool { return countPlacementGoroutines() == 0 })
 }
 
-// countPlacementGoroutines counts the goroutines that follow a placement or report.
+// countPlacementGoroutines counts the goroutines of placement clients.
 func countPlacementGoroutines() int {
 	buffer := make([]byte, 1<<20)
 	return strings.Count(string(buffer[:runtime.Stack(buffer, true)]), "sidecar.(*"+reflect.TypeFor[placementClient]().Name()+")")
@@ -421,6 +423,6 @@
 	}
 	receiveWithin(t, "the watch", startPlacementRig(t, nil).agent.calls)
 	if countPlacementGoroutines() == 0 {
-		t.Error("followers are not found where there are some")
+		t.Error("goroutines of placement clients are not found")
 	}
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// testTimeout bounds every wait of the tests; none is expected to last.
+// testTimeout bounds every wait of the tests; none is expected to last that long.
 const testTimeout = 10 * time.Second
 
 const testSettings = `{
@@ -41,7 +41,7 @@
 	os.Exit(m.Run())
 }
 
-// configDocument is a configuration file under change.
+// configDocument is the content of a configuration file that a test changes.
 type configDocument map[string]any
 
 func newConfigDocument(discovery string, known ...endpoint) configDocument {
@@ -86,7 +86,7 @@
 	})
 }
 
-// testSidecar is a sidecar under test.
+// testSidecar is a running sidecar and its client.
 type testSidecar struct {
 	*Sidecar
 	t         *testing.T
@@ -95,7 +95,8 @@
 	done      chan error
 }
 
-// startSidecar runs a sidecar; tweaks change it before. Connections are used again at once, unless a test says else.
+// startSidecar runs a sidecar until the test ends; tweaks change it before. Unless a test says otherwise, connections
+// to servers are reused without delay.
 func startSidecar(t *testing.T, document configDocument, tweaks ...func(*Sidecar)) *testSidecar {
 	t.Helper()
 	goroutinesBefore := runtime.NumGoroutine()
@@ -127,26 +128,26 @@
 	return sidecar
 }
 
-// waitForGoroutines waits until only those of before are left, beside the test's own servers' few.
+// waitForGoroutines waits until no goroutines are left but those from before and a few of the test's own servers.
 func waitForGoroutines(t *testing.T, before int) {
 	t.Helper()
 	waitUntil(t, "goroutines to end", func() bool { return runtime.NumGoroutine() <= before+3 })
 }
 
-// waitUntil polls what has no event of its own.
+// waitUntil polls a condition that has no event of its own.
 func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			buffer := make([]byte, 1<<16)
-			t.Fatalf("waited in vain for %s\n%s", what, buffer[:runtime.Stack(buffer, true)])
+			t.Fatalf("timed out waiting for %s\n%s", what, buffer[:runtime.Stack(buffer, true)])
 		}
 	}
 }
 
 var lastRequestID atomic.Int64
 
-// newRequest makes a well-formed request of a class.
+// newRequest makes a valid request of a class.
 func (sidecar *testSidecar) newRequest(class string, timeout time.Duration) *http.Request {
 	sidecar.t.Helper()
 	method, body := http.MethodPost, io.Reader(strings.NewReader("plate 12-34"))
@@ -172,7 +173,7 @@
 	header     http.Header
 	body       string
 	elapsed    time.Duration
-	connClosed bool // its connection ends with it
+	connClosed bool // the response ends its connection
 }
 
 func (sidecar *testSidecar) do(req *http.Request) clientResult {
@@ -191,7 +192,7 @@
 	return clientResult{resp.StatusCode, resp.Header, string(body), time.Since(startedAt), resp.Close}
 }
 
-// doAsync makes a request beside the test.
+// doAsync sends a request on a goroutine of its own.
 func (sidecar *testSidecar) doAsync(req *http.Request) <-chan clientResult {
 	done := make(chan clientResult, 1)
 	go func() { done <- sidecar.do(req) }()
@@ -204,12 +205,12 @@
 	case value := <-channel:
 		return value
 	case <-time.After(testTimeout):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// backend is a server that counts what reaches it and lets each test say what it does on a connection.
+// backend is a server that counts its requests and connections. Each test defines how it responds.
 type backend struct {
 	net.Listener
 	endpoint endpoint
@@ -220,7 +221,7 @@
 	open map[net.Conn]bool
 }
 
-// serveFunc handles one request that was read whole; false ends the connection.
+// serveFunc handles one request that was read completely; false closes the connection.
 type serveFunc func(c net.Conn, req *http.Request, body string) bool
 
 func newBackend(t *testing.T, uid string, serve serveFunc) *backend {
@@ -271,7 +272,7 @@
 	}
 }
 
-// closeConns closes all connections, as the end of a process does.
+// closeConns closes all connections, as the end of the process would.
 func (server *backend) closeConns() {
 	server.mu.Lock()
 	defer server.mu.Unlock()
@@ -290,7 +291,7 @@
 	return err == nil
 }
 
-// respondWith answers with fixed text and keeps the connection or ends it.
+// respondWith responds with fixed text and then keeps the connection open or closes it.
 func respondWith(text string, keepOpen bool) serveFunc {
 	return func(conn net.Conn, _ *http.Request, _ string) bool {
 		_, err := io.WriteString(conn, text)
@@ -298,7 +299,7 @@
 	}
 }
 
-// fakeRegistry is discovery: each call takes what the test gives it next.
+// fakeRegistry is a discovery service. The test decides how each call is answered.
 type fakeRegistry struct {
 	*httptest.Server
 	calls chan registryCall
@@ -306,8 +307,8 @@
 
 type registryCall struct {
 	query        string
-	lines        chan string // closed: the answer ends
-	failWith     chan int    // a status instead of lines
+	lines        chan string // closed: the response ends
+	failWith     chan int    // a status in place of lines
 	disconnected <-chan struct{}
 }
 
@@ -329,7 +330,7 @@
 				if !open {
 					return
 				}
-				io.WriteString(w, line+"\n")
+				tryWrite(w, line+"\n")
 				w.(http.Flusher).Flush()
 			}
 		}
@@ -354,6 +355,6 @@
 	select {
 	case c.lines <- text:
 	case <-time.After(testTimeout):
-		t.Fatal("discovery's line is not taken")
+		t.Fatal("the line is not read")
 	}
 }
