--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -298,7 +298,7 @@
 			g.now += cfg.Classes[idempotentClass].LatencyObjective
 			for _, a := range g.handle(TimerFired{Token: uint64(id)}) {
 				if a.Kind == Reject {
-					all = append(all, a.At)
+					all = append(all, a.RetryAfter)
 				}
 			}
 		}
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -134,6 +134,6 @@
 	}
 	if next < r.timerAt {
 		r.timerAt = next
-		b.emit(Action{Kind: SetTimer, Token: uint64(r.ID), At: math.Max(0, next-b.now)})
+		b.emit(Action{Kind: SetTimer, Token: uint64(r.ID), Delay: math.Max(0, next-b.now)})
 	}
 }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -68,7 +68,7 @@
 func (b *Balancer) rejectOrFail(r *request) {
 	action := Action{Kind: Fail, Request: r.ID}
 	if b.safeToReject(r) {
-		action.Kind, action.At = Reject, b.retryAfter(r)
+		action.Kind, action.RetryAfter = Reject, b.retryAfter(r)
 	}
 	b.emit(action)
 	b.finish(r)
--- a/balance/determinism_test.go
+++ b/balance/determinism_test.go
@@ -149,7 +149,7 @@
 			p.others++
 			p.after(0.5, Outcome{Request: a.Request, Attempt: a.Attempt, Server: a.Server, Result: Cancelled, Elapsed: 1})
 		case SetTimer:
-			p.after(a.At, TimerFired{Token: a.Token})
+			p.after(a.Delay, TimerFired{Token: a.Token})
 		case HealthCheck:
 			p.others++
 			result := []Result{OK, OK, OK, OK, OK, TimedOut, Obsolete, Cancelled}[p.draw(8)]
@@ -169,7 +169,7 @@
 	b := p.scratch[:0]
 	for _, v := range []uint64{
 		math.Float64bits(p.now), uint64(a.Kind), uint64(a.Request), uint64(a.Attempt), uint64(a.Server),
-		math.Float64bits(a.At), a.Token, uint64(a.Peer), uint64(len(a.Data)), uint64(len(a.Text)),
+		math.Float64bits(a.Deadline + a.RetryAfter + a.Delay), a.Token, uint64(a.Peer), uint64(len(a.Data)), uint64(len(a.Text)),
 	} {
 		b = binary.BigEndian.AppendUint64(b, v)
 	}
@@ -226,8 +226,8 @@
 	}
 	out.LoadReport = p.report()
 	left := r.deadline - p.now
-	if a.At > 0 {
-		left = math.Min(left, a.At-p.now)
+	if a.Deadline > 0 {
+		left = math.Min(left, a.Deadline-p.now)
 	}
 	if out.Elapsed > left {
 		out.Result, out.Elapsed = TimedOut, math.Max(left, 0)
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -75,5 +75,5 @@
 		pause = math.Min(pause, maxPause)
 	}
 	delay := pause * (minFraction + (1-minFraction)*b.random())
-	b.emit(Action{Kind: SetTimer, Token: discoveryTimer, At: delay})
+	b.emit(Action{Kind: SetTimer, Token: discoveryTimer, Delay: delay})
 }
--- a/balance/discovery_test.go
+++ b/balance/discovery_test.go
@@ -46,7 +46,7 @@
 	cfg := baseConfig()
 	cfg.Subscribe = true
 	g := newHarness(t, cfg, testServers(3)...)
-	if len(g.actions) != 1 || g.actions[0].Token != discoveryTimer || g.actions[0].At > pollPause*float64(cfg.SidecarCount) {
+	if len(g.actions) != 1 || g.actions[0].Token != discoveryTimer || g.actions[0].Delay > pollPause*float64(cfg.SidecarCount) {
 		t.Fatalf("at the start: %+v", g.actions)
 	}
 	if !hasAction(g.handle(TimerFired{Token: discoveryTimer}), WatchEndpoints) {
@@ -55,11 +55,11 @@
 	var pauses []float64
 	for range 6 {
 		actions := g.handle(EndpointUpdate{Kind: UpdateFailed})
-		if len(actions) != 1 || actions[0].Token != discoveryTimer || actions[0].At > cfg.PollInterval {
+		if len(actions) != 1 || actions[0].Token != discoveryTimer || actions[0].Delay > cfg.PollInterval {
 			t.Fatalf("after a failed poll: %+v", actions)
 		}
-		pauses = append(pauses, actions[0].At)
-		g.now += actions[0].At
+		pauses = append(pauses, actions[0].Delay)
+		g.now += actions[0].Delay
 		if !hasAction(g.handle(TimerFired{Token: discoveryTimer}), WatchEndpoints) {
 			t.Fatal("not polled again")
 		}
@@ -80,12 +80,12 @@
 				cfg := baseConfig()
 				cfg.Subscribe, cfg.SidecarCount, cfg.Seed = true, peers, splitmix64(seed+1)
 				g := newHarness(t, cfg, testServers(3)...)
-				if g.actions[0].At > promptPollPause {
-					t.Errorf("%d peers: the first poll after %v ms", peers, g.actions[0].At)
+				if g.actions[0].Delay > promptPollPause {
+					t.Errorf("%d peers: the first poll after %v ms", peers, g.actions[0].Delay)
 				}
 				for range 8 {
 					g.handle(TimerFired{Token: discoveryTimer})
-					pause := g.handle(EndpointUpdate{Kind: UpdateFailed, DiscoveryUnreachable: unqueued})[0].At
+					pause := g.handle(EndpointUpdate{Kind: UpdateFailed, DiscoveryUnreachable: unqueued})[0].Delay
 					if worst = max(worst, pause); pause < promptPollPause/3 {
 						lows++
 					}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -27,7 +27,7 @@
 			case balance.Send:
 				fmt.Printf("%v ms: send request %d to server %d\n", now, a.Request, a.Server)
 			case balance.SetTimer:
-				fmt.Printf("%v ms: timer %d in %v ms\n", now, a.Token, a.At)
+				fmt.Printf("%v ms: timer %d in %v ms\n", now, a.Token, a.Delay)
 			case balance.Reject:
 				fmt.Printf("%v ms: reject request %d\n", now, a.Request)
 			}
--- a/balance/fleet_simulation_test.go
+++ b/balance/fleet_simulation_test.go
@@ -92,7 +92,7 @@
 				Request: a.Request, Attempt: len(r.attempts) - 1, Server: a.Server, Result: res, Elapsed: took, RequestDone: res == OK,
 			})
 		case SetTimer:
-			w.schedule(w.now+a.At, from, TimerFired{Token: a.Token})
+			w.schedule(w.now+a.Delay, from, TimerFired{Token: a.Token})
 		}
 	}
 }
--- a/balance/gossip_state.go
+++ b/balance/gossip_state.go
@@ -51,7 +51,7 @@
 	state.pending = append(state.pending, finding{kind, subject, b.now})
 	if !state.timerSet {
 		state.timerSet = true
-		b.emit(Action{Kind: SetTimer, Token: gossipTimer, At: gossipBatchDelay * b.random()})
+		b.emit(Action{Kind: SetTimer, Token: gossipTimer, Delay: gossipBatchDelay * b.random()})
 	}
 	return true
 }
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -161,7 +161,7 @@
 	for _, a := range actions {
 		switch a.Kind {
 		case SetTimer:
-			w.timers = append(w.timers, pendingTimer{w.now + a.At, a.Token})
+			w.timers = append(w.timers, pendingTimer{w.now + a.Delay, a.Token})
 		case HealthCheck:
 			if !w.config.AllowHealthChecks {
 				w.t.Fatal("health check where none are allowed")
--- a/balance/reference_pick_test.go
+++ b/balance/reference_pick_test.go
@@ -232,7 +232,7 @@
 			w.inFlight = append(w.inFlight, a)
 		case SetTimer:
 			if a.Token != discoveryTimer {
-				w.timers = append(w.timers, pendingTimer{w.now + a.At, a.Token})
+				w.timers = append(w.timers, pendingTimer{w.now + a.Delay, a.Token})
 			}
 		}
 	}
--- a/balance/request.go
+++ b/balance/request.go
@@ -81,7 +81,7 @@
 	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, inFlight: true, endsAtObjective: endsAtObjective})
 	action := Action{Kind: Send, Request: r.ID, Server: s.ID}
 	if endsAtObjective {
-		action.At = r.arrivedAt + r.class.LatencyObjective
+		action.Deadline = r.arrivedAt + r.class.LatencyObjective
 	}
 	b.emit(action)
 }
--- a/balance/retry_rules_test.go
+++ b/balance/retry_rules_test.go
@@ -206,8 +206,8 @@
 				want = g.now + g.balancer.config.Classes[class].LatencyObjective
 			}
 			for _, a := range actions {
-				if a.Kind == Send && a.At != want {
-					t.Errorf("class %d, %v shed: ends at %v, want %v", class, lasting, a.At, want)
+				if a.Kind == Send && a.Deadline != want {
+					t.Errorf("class %d, %v shed: ends at %v, want %v", class, lasting, a.Deadline, want)
 				}
 			}
 			if want > 0 {
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -166,7 +166,7 @@
 		}
 		if t := n.tries[uint64(a.Request)]; t != nil && !t.over {
 			t.over = true
-			t.answer(e.now, what, a.At, -1)
+			t.answer(e.now, what, a.RetryAfter, -1)
 			t.close()
 		}
 	case balance.Cancel:
@@ -175,7 +175,7 @@
 		}
 	case balance.SetTimer:
 		token, life := a.Token, n.life
-		e.at(e.now+math.Max(a.At, 0), func(float64) {
+		e.at(e.now+math.Max(a.Delay, 0), func(float64) {
 			if n.life == life {
 				n.deliver(balance.TimerFired{Token: token})
 			}
@@ -201,8 +201,8 @@
 	att := &attempt{
 		id: e.lastAtt, try: t, no: len(t.atts), n: n, life: n.life, h: h, hostLife: h.life, sent: e.now, cut: t.deadline, live: true,
 	}
-	if a.At > 0 {
-		att.cut = math.Min(att.cut, a.At)
+	if a.Deadline > 0 {
+		att.cut = math.Min(att.cut, a.Deadline)
 	}
 	t.atts = append(t.atts, att)
 	t.live++
--- a/internal/lab/sim/policy.go
+++ b/internal/lab/sim/policy.go
@@ -151,7 +151,7 @@
 
 func (b *baseline) list(ev balance.EndpointUpdate) {
 	if ev.Kind == balance.UpdateFailed {
-		b.emit(balance.Action{Kind: balance.SetTimer, Token: 1, At: 1000 + 1000*b.rng.Float64()})
+		b.emit(balance.Action{Kind: balance.SetTimer, Token: 1, Delay: 1000 + 1000*b.rng.Float64()})
 		return
 	}
 	if ev.Kind != balance.UpdateDelta {
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -20,7 +20,7 @@
 		case balance.Cancel:
 			l.cancelAttempt(action)
 		case balance.SetTimer:
-			l.timers.set(nowMS+math.Max(action.At, 0), action.Token)
+			l.timers.set(nowMS+math.Max(action.Delay, 0), action.Token)
 		case balance.HealthCheck:
 			l.startHealthCheck(nowMS, action.Server)
 		case balance.CloseIdleConnections:
@@ -63,8 +63,8 @@
 
 // attemptDeadline is the call's deadline, or the time at which the balancer wants the attempt dropped if that is earlier.
 func (l *eventLoop) attemptDeadline(call *call, action *balance.Action) time.Time {
-	if action.At > 0 {
-		if dropAt := l.clock.timeAt(action.At); dropAt.Before(call.deadline) {
+	if action.Deadline > 0 {
+		if dropAt := l.clock.timeAt(action.Deadline); dropAt.Before(call.deadline) {
 			return dropAt
 		}
 	}
@@ -128,7 +128,7 @@
 	l.cancelUnsentAttempts(call)
 	switch {
 	case action.Kind == balance.Reject:
-		call.response <- response{status: statusRejected, retryAfterMS: action.At}
+		call.response <- response{status: statusRejected, retryAfterMS: action.RetryAfter}
 	case nowMS >= l.clock.unixMS(call.deadline):
 		call.response <- response{status: statusTimedOut}
 	default:
--- a/internal/sidecar/fixtures_test.go
+++ b/internal/sidecar/fixtures_test.go
@@ -292,7 +292,7 @@
 func TestLocalResponsesFixture(t *testing.T) {
 	var loop *eventLoop
 	actions := map[string]balance.Action{
-		"hold-off=1": {Kind: balance.Reject, At: 1250}, "hold-off=0": {Kind: balance.Reject}, "fail": {Kind: balance.Fail},
+		"hold-off=1": {Kind: balance.Reject, RetryAfter: 1250}, "hold-off=0": {Kind: balance.Reject}, "fail": {Kind: balance.Fail},
 	}
 	front := newTestFrontend(t, 10, 10, func(event loopEvent) {
 		arrived, ok := event.(requestArrived)
--- a/internal/wire/fixtures_test.go
+++ b/internal/wire/fixtures_test.go
@@ -153,12 +153,12 @@
 // actionFixtures has every kind of action.
 func actionFixtures() []balance.Action {
 	return []balance.Action{
-		{Kind: balance.Send, Request: 0x2978f5d3a91c4, Server: firstServer, At: 8492},
+		{Kind: balance.Send, Request: 0x2978f5d3a91c4, Server: firstServer, Deadline: 8492},
 		{Kind: balance.Send, Request: 1, Server: secondServer},
-		{Kind: balance.Reject, Request: 2, At: 31.25},
+		{Kind: balance.Reject, Request: 2, RetryAfter: 31.25},
 		{Kind: balance.Fail, Request: 3},
 		{Kind: balance.Cancel, Request: 4, Attempt: 2},
-		{Kind: balance.SetTimer, Token: 1<<60 + 1, At: 500},
+		{Kind: balance.SetTimer, Token: 1<<60 + 1, Delay: 500},
 		{Kind: balance.HealthCheck, Server: firstServer},
 		{Kind: balance.CloseIdleConnections, Server: secondServer},
 		{Kind: balance.SendGossip, Peer: -1, Data: []byte("to all")},
@@ -180,15 +180,15 @@
 	var a balance.Action
 	switch code {
 	case 1000:
-		a = balance.Action{Kind: balance.Send, Request: balance.RequestID(r.uint64()), At: r.float64(), Server: r.serverID()}
+		a = balance.Action{Kind: balance.Send, Request: balance.RequestID(r.uint64()), Deadline: r.float64(), Server: r.serverID()}
 	case 1010:
-		a = balance.Action{Kind: balance.Reject, Request: balance.RequestID(r.uint64()), At: r.float64()}
+		a = balance.Action{Kind: balance.Reject, Request: balance.RequestID(r.uint64()), RetryAfter: r.float64()}
 	case 1020:
 		a = balance.Action{Kind: balance.Fail, Request: balance.RequestID(r.uint64())}
 	case 1030:
 		a = balance.Action{Kind: balance.Cancel, Request: balance.RequestID(r.uint64()), Attempt: int(r.uint8())}
 	case 1040:
-		a = balance.Action{Kind: balance.SetTimer, Token: r.uint64(), At: r.float64()}
+		a = balance.Action{Kind: balance.SetTimer, Token: r.uint64(), Delay: r.float64()}
 	case 1050:
 		a = balance.Action{Kind: balance.HealthCheck, Server: r.serverID()}
 	case 1060:
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -44,12 +44,12 @@
 	case balance.Send:
 		r.appendHeader(actionSend, instance)
 		r.appendUint64(uint64(a.Request))
-		r.appendFloat64(a.At)
+		r.appendFloat64(a.Deadline)
 		r.appendServerID(a.Server)
 	case balance.Reject:
 		r.appendHeader(actionReject, instance)
 		r.appendUint64(uint64(a.Request))
-		r.appendFloat64(a.At)
+		r.appendFloat64(a.RetryAfter)
 	case balance.Fail:
 		r.appendHeader(actionFail, instance)
 		r.appendUint64(uint64(a.Request))
@@ -60,7 +60,7 @@
 	case balance.SetTimer:
 		r.appendHeader(actionSetTimer, instance)
 		r.appendUint64(a.Token)
-		r.appendFloat64(a.At)
+		r.appendFloat64(a.Delay)
 	case balance.HealthCheck:
 		r.appendHeader(actionHealthCheck, instance)
 		r.appendServerID(a.Server)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -92,8 +92,8 @@
 	var r Reply
 	r.Reset()
 	r.Add(3, []balance.Action{
-		{Kind: balance.Send, Request: 0x2978f5d3a91c4, At: 8492, Server: 0x0a124a07232b},
-		{Kind: balance.SetTimer, Token: 77, At: 500},
+		{Kind: balance.Send, Request: 0x2978f5d3a91c4, Deadline: 8492, Server: 0x0a124a07232b},
+		{Kind: balance.SetTimer, Token: 77, Delay: 500},
 	})
 	r.Add(5, []balance.Action{{Kind: balance.Log, Text: "two servers known"}})
 	r.Add(3, []balance.Action{{Kind: balance.SendGossip, Peer: -1, Data: []byte("hi 7")}})
