--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -8,13 +8,14 @@
 	"strings"
 	"testing"
 
+	"milldeck/internal/lab/proc/proctest"
 	"milldeck/internal/registry"
 )
 
 // An agent serves the list of its replica, goes on without it, and serves the saved list after its own restart while no
 // replica is reachable; a corrupt saved list is not used.
 func TestAgentServesWithoutRegistry(t *testing.T) {
-	block := takeBlock(t)
+	block := proctest.Block(t)
 	replica := startReplica(t, block)
 	client, err := registry.NewClient([]string{replica.Addr()})
 	if err != nil {
@@ -62,7 +63,7 @@
 func TestShrunkenListNeedsConfirmation(t *testing.T) {
 	for name, agrees := range map[string]bool{"agrees": true, "disagrees": false} {
 		t.Run(name, func(t *testing.T) {
-			block := takeBlock(t)
+			block := proctest.Block(t)
 			full := newList(5, 9, true, "a", "b", "c", "d", "e", "f")
 			shrunk := newList(7, 9, true, "a")
 			second := newList(6, 9, true, "a", "b", "c", "d", "e", "f")
--- a/internal/agent/placement_test.go
+++ b/internal/agent/placement_test.go
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"milldeck/internal/lab/proc/proctest"
 	"milldeck/internal/leaderelection/leasetable"
 	"milldeck/internal/placement"
 	"milldeck/internal/registry"
@@ -125,7 +126,7 @@
 // While the registry is unreachable, agent and sidecar let directives expire by themselves. An agent that is restarted
 // serves the saved placement, for no longer than it had left.
 func TestPlacementEntriesExpireWithoutRegistry(t *testing.T) {
-	block := takeBlock(t)
+	block := proctest.Block(t)
 	replica := startReplica(t, block)
 	owner := newLeaseOwner(t, replica)
 	path := filepath.Join(t.TempDir(), "placement")
@@ -235,7 +236,7 @@
 // An older registry does not support placements: the agent says so, serves the list as before and retries rarely. It
 // requests the placement only after its sidecar has.
 func TestRegistryWithoutPlacementSupport(t *testing.T) {
-	block := takeBlock(t)
+	block := proctest.Block(t)
 	addr := block.Addr(200, 0, 8500)
 	var requests atomic.Int64
 	mux := http.NewServeMux()
@@ -262,7 +263,7 @@
 
 // Connections to the replicas are cut while watches are open: the agent goes on at the other, and changes reach the sidecar.
 func TestPlacementSurvivesCutConnections(t *testing.T) {
-	block := takeBlock(t)
+	block := proctest.Block(t)
 	replica := startReplica(t, block)
 	owner := newLeaseOwner(t, replica)
 	first, other := newCountingProxy(t, block.Addr(202, 0, 8500), replica.Addr()), newCountingProxy(t, block.Addr(202, 1, 8500), replica.Addr())
--- a/internal/agent/replica_follower_test.go
+++ b/internal/agent/replica_follower_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"milldeck/internal/lab/proc/proctest"
 	"milldeck/internal/registry"
 )
 
@@ -14,7 +15,7 @@
 func TestNoThunderingHerdAfterReplicaLoss(t *testing.T) {
 	const agents = 2000
 	peakReconnects := func(fleetSize int) int {
-		block := takeBlock(t)
+		block := proctest.Block(t)
 		replica := startReplica(t, block)
 		client, err := registry.NewClient([]string{replica.Addr()})
 		if err != nil {
--- a/internal/agent/report_forwarder_test.go
+++ b/internal/agent/report_forwarder_test.go
@@ -9,12 +9,13 @@
 	"sync/atomic"
 	"testing"
 
+	"milldeck/internal/lab/proc/proctest"
 	"milldeck/internal/placement"
 )
 
 // Each address that accepts reports gets the newest of each sidecar; malformed reports are rejected.
 func TestReportsAreForwarded(t *testing.T) {
-	block := takeBlock(t)
+	block := proctest.Block(t)
 	type collector struct {
 		addr   string
 		reject atomic.Bool
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -26,17 +26,6 @@
 	return replica
 }
 
-// takeBlock reserves addresses for the test.
-func takeBlock(t *testing.T) *proc.Block {
-	t.Helper()
-	block, err := proc.TakeBlock()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(block.Release)
-	return block
-}
-
 // waitFor waits until a condition holds.
 func waitFor(t *testing.T, description string, done func() bool) {
 	t.Helper()
--- a/internal/agent/sidecar_registration_test.go
+++ b/internal/agent/sidecar_registration_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/lab/proc/proctest"
 	"milldeck/internal/placement"
 	"milldeck/internal/registry"
 )
@@ -46,7 +47,7 @@
 // A sidecar is a unit of the disruption ledger: up while its agent finds it ready, unready else, and up again with a new
 // start time. The end of the agent itself changes nothing.
 func TestAgentRegistersItsSidecar(t *testing.T) {
-	block := takeBlock(t)
+	block := proctest.Block(t)
 	replica := startReplica(t, block)
 	client, err := registry.NewClient([]string{replica.Addr()})
 	if err != nil {
--- a/internal/leaderelection/cluster_test.go
+++ b/internal/leaderelection/cluster_test.go
@@ -10,11 +10,10 @@
 	"testing"
 	"time"
 
-	"milldeck/internal/lab/proc"
-	"milldeck/internal/lab/proc/proctest"
 	"milldeck/internal/leaderelection"
 	"milldeck/internal/registry"
 	"milldeck/internal/registry/cluster"
+	"milldeck/internal/registry/cluster/clustertest"
 )
 
 const (
@@ -29,33 +28,17 @@
 type testCluster struct {
 	*testing.T
 	ctx     context.Context
-	cluster *cluster.Cluster
+	cluster *clustertest.Cluster
 	client  *registry.Client
 }
 
 // startCluster starts the replicas with further sections of their configuration.
 func startCluster(t *testing.T, sections ...string) *testCluster {
 	t.Helper()
-	block, err := proc.TakeBlock()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(block.Release)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
-	tc := &testCluster{T: t, ctx: ctx}
-	tc.cluster, err = cluster.Start(ctx, 3, cluster.Options{
-		Program: proctest.Program(t, "milldeck"), DataDir: t.TempDir(), Addresses: block, ExtraConfig: strings.Join(sections, "\n"),
-	})
-	t.Cleanup(func() { _ = tc.cluster.Close() }) // how the replicas end is not under test
-	if err == nil {
-		tc.client, err = tc.cluster.Client()
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(tc.client.Close)
-	return tc
+	replicas := clustertest.Start(ctx, t, 3, cluster.Options{ExtraConfig: strings.Join(sections, "\n")})
+	return &testCluster{T: t, ctx: ctx, cluster: replicas, client: replicas.Client}
 }
 
 // startCandidate campaigns for leaseName until the test ends. It delivers the lease of each tenure, and the
--- a/internal/leaderelection/linearizability_test.go
+++ b/internal/leaderelection/linearizability_test.go
@@ -261,7 +261,7 @@
 		histories[n] = h
 		for i := range clientsPerLease {
 			background.Go(func() {
-				client, err := tc.cluster.Client()
+				client, err := registry.NewClient(tc.cluster.HTTPAddrs())
 				if err != nil {
 					t.Error(err)
 					return
--- /dev/null
+++ b/internal/registry/cluster/clustertest/clustertest.go
@@ -0,0 +1,49 @@
+// Package clustertest starts registry replicas as processes for tests of other packages. The replicas, their addresses and
+// the client end with the test; TestMain of the package under test has to call proctest.Main.
+package clustertest
+
+import (
+	"context"
+	"testing"
+
+	"milldeck/internal/lab/proc/proctest"
+	"milldeck/internal/registry"
+	"milldeck/internal/registry/cluster"
+)
+
+// Cluster is a running cluster.
+type Cluster struct {
+	*cluster.Cluster
+	Client *registry.Client
+}
+
+// Start starts replicas and waits for their leader. Where the options name no program, folder or addresses, it builds the
+// program and takes a temporary folder and a block of addresses. If the test fails, it logs what the replicas have logged.
+func Start(ctx context.Context, t testing.TB, replicas int, options cluster.Options) *Cluster {
+	t.Helper()
+	if options.Program == "" {
+		options.Program = proctest.Program(t, "milldeck")
+	}
+	if options.DataDir == "" {
+		options.DataDir = t.TempDir()
+	}
+	if options.Addresses == nil {
+		options.Addresses = proctest.Block(t)
+	}
+	running, err := cluster.Start(ctx, replicas, options)
+	t.Cleanup(func() {
+		if t.Failed() {
+			t.Log(running.Logs())
+		}
+		_ = running.Close() // replicas that the test has killed end with an error
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	client, err := running.Client()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(client.Close)
+	return &Cluster{running, client}
+}
