--- /dev/null
+++ b/cmd/milldeck/contract.go
@@ -0,0 +1,149 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"text/tabwriter"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"milldeck/internal/maintenance"
+	"milldeck/internal/maintenance/contract"
+	"milldeck/internal/registry"
+)
+
+func newContract() *cobra.Command {
+	c := &cobra.Command{
+		Use:   "contract",
+		Short: "What tenants have agreed to about maintenance",
+		Long:  "contract checks, sets and withdraws tenants' contracts. docs/maintenance-windows.md describes their files.\n\n" + exitHelp,
+		Args:  exactly(0),
+		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
+	}
+	c.AddCommand(newContractCheck(), newContractSet(), newContractWithdraw(), newContractList(), newContractResume())
+	return c
+}
+
+func newContractCheck() *cobra.Command {
+	var at string
+	var days int
+	c := &cobra.Command{
+		Use:     "check FILE",
+		Short:   "Checks a contract and prints its next approved hours",
+		Long:    "check reads a contract and prints the hours that it approves, in the tenant's zone and in UTC.\n\n" + exitHelp,
+		Example: "  milldeck contract check portal.toml --days 14",
+		Args:    exactly(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			const maxDays = 400 // the hours of a year, and more than a closed season
+			now, err := parseTimeMS(at)
+			if err != nil {
+				return usageError{fmt.Errorf("--at: %w", err)}
+			}
+			if days < 1 || days > maxDays {
+				return usageError{fmt.Errorf("--days: %d is not within 1 to %d", days, maxDays)}
+			}
+			terms, err := contract.Load(args[0])
+			if err != nil {
+				return err
+			}
+			return printApprovedHours(c.OutOrStdout(), terms, now, days)
+		},
+	}
+	c.Flags().StringVar(&at, "at", "", "from this time on, RFC 3339 (default now)")
+	c.Flags().IntVar(&days, "days", 7, "how many days ahead")
+	return c
+}
+
+// printApprovedHours prints the approved hours of the next days, in the tenant's time zone and in UTC.
+func printApprovedHours(out io.Writer, terms *contract.Contract, now int64, days int) error {
+	approved, err := terms.Calendar()
+	if err != nil {
+		return err
+	}
+	location, err := time.LoadLocation(terms.Zone)
+	if err != nil {
+		return fmt.Errorf("zone: %w", err)
+	}
+	intervals := approved.Between(now, now+int64(days)*24*time.Hour.Milliseconds())
+	if len(intervals) == 0 {
+		return errors.New("nothing is approved in this time")
+	}
+	for _, interval := range intervals {
+		from, until := time.UnixMilli(interval.StartMS), time.UnixMilli(interval.EndMS)
+		local := from.In(location).Format("Mon 2006-01-02 15:04 MST") + " to " + until.In(location).Format("Mon 15:04 MST")
+		utc := from.UTC().Format("01-02 15:04") + " to " + until.UTC().Format("15:04")
+		if _, err := fmt.Fprintf(out, "%s  (%s UTC)\n", local, utc); err != nil {
+			return fmt.Errorf("standard output: %w", err)
+		}
+	}
+	return nil
+}
+
+func newContractSet() *cobra.Command {
+	c := asks("set FILE", "Brings a contract into force, and the disruption budget that belongs to it", 1,
+		func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
+			terms, err := contract.Load(args[0])
+			if err != nil {
+				return err
+			}
+			approval := maintenance.NewPlanner().Approval(&maintenance.ActiveContract{Contract: *terms}, time.Now().UnixMilli(), 0)
+			return writeWindowOperation(ctx, c, a, client, maintenance.Operation{Kind: maintenance.OpSetContract, Contract: terms, CurrentApproval: approval})
+		})
+	c.Example = "  milldeck contract set portal.toml"
+	return c
+}
+
+func newContractWithdraw() *cobra.Command {
+	c := asks("withdraw TENANT", "Ends a contract; windows that are out of service return", 1,
+		func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
+			return writeWindowOperation(ctx, c, a, client, maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: args[0]})
+		})
+	c.Example = "  milldeck contract withdraw member-portal"
+	return c
+}
+
+func newContractList() *cobra.Command {
+	c := asks("list", "Prints the contracts in force, with the minutes used this month", 0,
+		func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, _ []string) error {
+			view, err := client.Windows(ctx, true)
+			if err != nil {
+				return err
+			}
+			return a.show(c.OutOrStdout(), view.Table.Contracts, func(out io.Writer) error {
+				table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+				for _, active := range view.Table.Contracts {
+					fmt.Fprintf(table, "%s\tversion %d\t%s\t%d of %d minutes\n", active.Tenant, active.Version, active.Zone,
+						minutesUsed(view.Table, active), active.MinutesPerMonth)
+				}
+				return table.Flush()
+			})
+		})
+	c.Example = "  milldeck contract list\n  milldeck contract list --json"
+	return c
+}
+
+// minutesUsed is what a tenant's windows have used of the present month of its time zone.
+func minutesUsed(snapshot *maintenance.Snapshot, active *maintenance.ActiveContract) int64 {
+	approved, err := active.Calendar()
+	if err != nil {
+		return 0 // a contract of a later version: its months are not known here
+	}
+	now := time.Now().UnixMilli()
+	usedMS := int64(0)
+	for _, month := range approved.Months(now, now+1) {
+		usedMS = snapshot.UsedMS[active.Tenant][month.Name]
+	}
+	return usedMS / time.Minute.Milliseconds()
+}
+
+func newContractResume() *cobra.Command {
+	c := asks("resume TENANT", "Resumes a tenant that an overrun has halted", 1,
+		func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
+			return writeWindowOperation(ctx, c, a, client, maintenance.Operation{Kind: maintenance.OpResume, Scope: "tenant/" + args[0]})
+		})
+	c.Example = "  milldeck contract resume member-portal"
+	return c
+}
--- /dev/null
+++ b/cmd/milldeck/serve_lease.go
@@ -0,0 +1,75 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"time"
+
+	"milldeck/internal/leaderelection"
+	"milldeck/internal/registry"
+)
+
+// Bounds of the pause after a campaign that failed, at random between the two.
+const (
+	minCampaignPause = 500 * time.Millisecond
+	maxCampaignPause = 1500 * time.Millisecond
+)
+
+// serveUnderLease serves HTTP, and campaigns for a lease and works while it is held, again after each loss, until ctx ends
+// or the server fails.
+func serveUnderLease(ctx context.Context, listen string, handler http.Handler, client *registry.Client, lease string, ttl time.Duration,
+	work func(context.Context, *leaderelection.Lease) error) error {
+	listener, err := net.Listen("tcp", listen)
+	if err != nil {
+		return err
+	}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: spreadWait, WriteTimeout: 2 * spreadWait, IdleTimeout: time.Minute}
+	failed := make(chan error, 1)
+	go func() { failed <- server.Serve(listener) }()
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	electionEnded := make(chan struct{})
+	go func() {
+		defer close(electionEnded)
+		campaignRepeatedly(ctx, client, lease, ttl, work)
+	}()
+	slog.Info("serves", "listen", listener.Addr().String())
+	select {
+	case err = <-failed:
+		cancel(err)
+	case <-ctx.Done():
+	}
+	<-electionEnded
+	shutdownCtx, cancelShutdown := context.WithTimeout(context.WithoutCancel(ctx), spreadWait)
+	defer cancelShutdown()
+	return errors.Join(err, server.Shutdown(shutdownCtx))
+}
+
+// campaignRepeatedly campaigns for a lease until ctx ends, and works while it is held.
+func campaignRepeatedly(ctx context.Context, client *registry.Client, lease string, ttl time.Duration,
+	work func(context.Context, *leaderelection.Lease) error) {
+	options := leaderelection.Options{TTL: ttl, OnEvent: logElectionEvent}
+	for {
+		err := leaderelection.Run(ctx, client, lease, options, work)
+		if ctx.Err() != nil {
+			return
+		}
+		slog.Warn("campaign ended", "component", "leaderelection", "lease", lease, "error", err)
+		select {
+		case <-ctx.Done():
+		case <-time.After(minCampaignPause + rand.N(maxCampaignPause-minCampaignPause)):
+		}
+	}
+}
+
+// logElectionEvent logs the events of a lease, except renewals. Tests and operators read "what=acquired".
+func logElectionEvent(event leaderelection.Event) {
+	if event.Type == leaderelection.Renewed {
+		return
+	}
+	slog.Info("lease event", "what", event.Type, "lease", event.Lease, "token", event.Token)
+}
--- a/cmd/milldeck/spread.go
+++ b/cmd/milldeck/spread.go
@@ -76,7 +76,7 @@
 	mux.Handle("/reports", reports)
 	mux.Handle("/spread", dr.Handler())
 	mux.Handle("/spread/", dr.Handler())
-	return serveDuty(ctx, listen, mux, client, hotkey.LeaseName, leaderelection.DefaultTTL, dr.Run)
+	return serveUnderLease(ctx, listen, mux, client, hotkey.LeaseName, leaderelection.DefaultTTL, dr.Run)
 }
 
 func newSpreadShow() *cobra.Command {
--- a/cmd/milldeck/window.go
+++ b/cmd/milldeck/window.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"slices"
@@ -18,72 +17,49 @@
 	c := &cobra.Command{
 		Use:   "window",
 		Short: "Maintenance windows by contract",
-		Long: "window frees servers for maintenance in the hours that their tenants approve. docs/maintenance-windows.md tells what is promised.\n\n" +
+		Long: "window takes servers out of service for maintenance in the hours that their tenants approve.\n" +
+			"docs/maintenance-windows.md says what is guaranteed.\n\n" +
 			exitHelp,
 		Args: exactly(0),
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	c.AddCommand(newWindowPlan(), newWindowServe(), newWindowPropose(), newWindowList(), newWindowShow(),
-		newWindowHold(maintenance.OpHalt, "Halts a window, a tenant's windows or all: nothing more goes out, a window by name comes back"),
-		newWindowHold(maintenance.OpResume, "Has halted windows go on"),
-		newWindowTell("cancel", "Cancels a window; one that is out comes back", func(name, why string) maintenance.Operation {
-			return maintenance.Operation{Kind: maintenance.OpCancel, Window: name, Reason: why}
-		}),
-		newWindowTell("finish", "Says that the work of a free window is done", func(name, _ string) maintenance.Operation {
-			return maintenance.Operation{Kind: maintenance.OpFinishWork, Window: name}
-		}))
+		newWindowHalt(maintenance.OpHalt, "Halts a window, a tenant's windows or all: no more drains start, a window by name returns"),
+		newWindowHalt(maintenance.OpResume, "Resumes halted windows"),
+		newWindowOperation(maintenance.OpCancel, "Cancels a window; one that is out of service returns"),
+		newWindowOperation(maintenance.OpFinishWork, "Reports that the work of a free window is done"))
 	return c
 }
 
-// wish is a window as an operator writes it.
-type wish struct {
+// windowFile is a window as an operator writes it.
+type windowFile struct {
 	Name    string              `toml:"name"`
-	Servers []string            `toml:"servers"` // by uid
+	Servers []string            `toml:"servers"` // by UID
 	Work    string              `toml:"work"`    // "30m"
 	After   string              `toml:"after"`   // not before, RFC 3339; "": from now on
-	Fleet   map[string][]string `toml:"fleet"`   // all servers by uid, each with its tenants; none: all tenants
+	Fleet   map[string][]string `toml:"fleet"`   // all servers by UID, each with its tenants; none: all tenants
 }
 
-// leastWork and mostWork bound the work of one window: longer work takes several.
-const leastWork, mostWork = time.Minute, 24 * time.Hour
+// minWork and maxWork bound the work of one window: longer work takes several windows.
+const minWork, maxWork = time.Minute, 24 * time.Hour
 
 func newWindowPlan() *cobra.Command {
 	var contracts []string
 	var at string
 	c := &cobra.Command{
 		Use:   "plan FILE --contract FILE...",
-		Short: "Finds the earliest time that all contracts approve",
+		Short: "Finds the earliest start that all contracts approve",
 		Long: "plan reads a window and the contracts of its servers' tenants and prints the earliest time at which it may begin, or\n" +
-			"says whose contract forbids it and what comes nearest. Nothing is changed, and no list service is asked: what other\n" +
-			"windows have taken and what months have used is not counted.\n\n" + exitHelp,
+			"says whose contract forbids it and what comes nearest. It changes nothing and sends no request to the registry: the\n" +
+			"time that other windows take and the minutes used in a month are not counted.\n\n" + exitHelp,
 		Example: "  milldeck window plan window.toml --contract portal.toml --contract teller.toml --at 2026-06-10T12:00:00Z",
 		Args:    exactly(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			now, err := instant(at)
+			nowMS, err := parseTimeMS(at)
 			if err != nil {
 				return usageError{fmt.Errorf("--at: %w", err)}
 			}
-			w, after, work, err := loadWish(args[0], true)
-			if err != nil {
-				return err
-			}
-			table := maintenance.New()
-			for i, path := range contracts {
-				one, err := contract.Load(path)
-				if err != nil {
-					return err
-				}
-				if table.Contract(one.Tenant) != nil {
-					return usageError{fmt.Errorf("--contract %s: %s has another contract", path, one.Tenant)}
-				}
-				table.Apply(uint64(i+1), &maintenance.Operation{Kind: maintenance.OpSetContract, Contract: one}, maintenance.Timestamp{})
-			}
-			plan, err := maintenance.NewPlanner().Plan(table, maintenance.Fleet(w.Fleet), maintenance.Request{Name: w.Name, ServerUIDs: w.Servers,
-				WorkMS: work.Milliseconds(), NotBeforeMS: after, ProposedAtMS: now}, now)
-			if err != nil {
-				return fmt.Errorf("%s: %w", w.Name, err)
-			}
-			return printPlan(c.OutOrStdout(), w.Name, plan, table)
+			return planWindow(c.OutOrStdout(), args[0], contracts, nowMS)
 		},
 	}
 	c.Flags().StringArrayVar(&contracts, "contract", nil, "a tenant's contract; may be repeated")
@@ -91,124 +67,102 @@
 	return c
 }
 
-// instant reads a time, in Unix ms; "" is now.
-func instant(s string) (int64, error) {
-	if s == "" {
+// planWindow plans the window of a file under the contracts of other files, and prints the plan.
+func planWindow(out io.Writer, path string, contractPaths []string, nowMS int64) error {
+	request, fleet, err := loadWindowFile(path, true)
+	if err != nil {
+		return err
+	}
+	request.ProposedAtMS = nowMS
+	table, err := loadContracts(contractPaths)
+	if err != nil {
+		return err
+	}
+	plan, err := maintenance.NewPlanner().Plan(table, fleet, request, nowMS)
+	if err != nil {
+		return fmt.Errorf("%s: %w", request.Name, err)
+	}
+	return printPlan(out, request.Name, plan, table)
+}
+
+// loadContracts returns a table with the contracts of files, at most one for each tenant.
+func loadContracts(paths []string) (*maintenance.Table, error) {
+	table := maintenance.New()
+	for i, path := range paths {
+		terms, err := contract.Load(path)
+		if err != nil {
+			return nil, err
+		}
+		if table.Contract(terms.Tenant) != nil {
+			return nil, usageError{fmt.Errorf("--contract %s: %s has another contract", path, terms.Tenant)}
+		}
+		op := &maintenance.Operation{Kind: maintenance.OpSetContract, Contract: terms}
+		if _, err := table.Apply(uint64(i+1), op, maintenance.Timestamp{}); err != nil {
+			return nil, fmt.Errorf("--contract %s: %w", path, err)
+		}
+	}
+	return table, nil
+}
+
+// parseTimeMS parses a time of RFC 3339 to Unix ms; "" is now.
+func parseTimeMS(text string) (int64, error) {
+	if text == "" {
 		return time.Now().UnixMilli(), nil
 	}
-	t, err := time.Parse(time.RFC3339, s)
+	parsed, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return 0, fmt.Errorf("%q is no time like 2026-06-10T12:00:00Z", s)
+		return 0, fmt.Errorf("%q is no time like 2026-06-10T12:00:00Z", text)
 	}
-	return t.UnixMilli(), nil
+	return parsed.UnixMilli(), nil
 }
 
-// loadWish reads a window; fleet: with all servers and their tenants.
-func loadWish(path string, fleet bool) (w *wish, after int64, work time.Duration, err error) {
-	w = &wish{}
-	f, err := config.Load(path, w)
+// loadWindowFile reads the request for a window and the fleet, which has to contain its servers where it is required.
+func loadWindowFile(path string, requireFleet bool) (maintenance.Request, maintenance.Fleet, error) {
+	none := maintenance.Request{}
+	window := &windowFile{}
+	file, err := config.Load(path, window)
 	if err != nil {
-		return nil, 0, 0, err
+		return none, nil, err
 	}
-	if work, err = time.ParseDuration(w.Work); err != nil || work < leastWork || work > mostWork {
-		return nil, 0, 0, f.Errorf("work", "%q is no time like 30m, from %s to %s", w.Work, leastWork, mostWork)
+	work, err := time.ParseDuration(window.Work)
+	if err != nil || work < minWork || work > maxWork {
+		return none, nil, file.Errorf("work", "%q is no time like 30m, from %s to %s", window.Work, minWork, maxWork)
 	}
-	if w.After != "" {
-		if after, err = instant(w.After); err != nil {
-			return nil, 0, 0, f.Errorf("after", "%v", err)
+	request := maintenance.Request{Name: window.Name, ServerUIDs: window.Servers, WorkMS: work.Milliseconds()}
+	if window.After != "" {
+		if request.NotBeforeMS, err = parseTimeMS(window.After); err != nil {
+			return none, nil, file.Errorf("after", "%v", err)
 		}
 	}
-	if len(w.Servers) == 0 {
-		return nil, 0, 0, f.Errorf("servers", "none")
+	if len(window.Servers) == 0 {
+		return none, nil, file.Errorf("servers", "none")
 	}
-	slices.Sort(w.Servers)
-	for _, uid := range w.Servers {
-		if _, is := w.Fleet[uid]; fleet && !is {
-			return nil, 0, 0, f.Errorf("servers", "%s is not in fleet", uid)
+	slices.Sort(request.ServerUIDs)
+	for _, uid := range request.ServerUIDs {
+		if _, known := window.Fleet[uid]; requireFleet && !known {
+			return none, nil, file.Errorf("servers", "%s is not in fleet", uid)
 		}
 	}
-	return w, after, work, nil
+	return request, window.Fleet, nil
 }
 
+// printPlan prints the start in UTC, and what each contract approves in its own time zone.
 func printPlan(out io.Writer, name string, plan *maintenance.Plan, table *maintenance.Table) error {
-	const form = "Mon 2006-01-02 15:04 MST"
-	lines := fmt.Sprintf("%s may begin at %s; %s with drain and return\n", name, time.UnixMilli(plan.StartMS).UTC().Format(form),
-		time.Duration(plan.RequiredMS)*time.Millisecond)
-	for _, g := range plan.Approvals {
-		loc, err := time.LoadLocation(table.Contract(g.Tenant).Zone)
+	const layout = "Mon 2006-01-02 15:04 MST"
+	start := time.UnixMilli(plan.StartMS).UTC().Format(layout)
+	required := time.Duration(plan.RequiredMS) * time.Millisecond
+	lines := fmt.Sprintf("%s may begin at %s; %s with drain and return\n", name, start, required)
+	for _, approval := range plan.Approvals {
+		location, err := time.LoadLocation(table.Contract(approval.Tenant).Zone)
 		if err != nil {
-			return fmt.Errorf("contract of %s: %w", g.Tenant, err)
+			return fmt.Errorf("contract of %s: %w", approval.Tenant, err)
 		}
-		lines += fmt.Sprintf("  %s approves from %s to %s\n", g.Tenant, time.UnixMilli(g.OpensAtMS).In(loc).Format(form),
-			time.UnixMilli(g.ClosesAtMS).In(loc).Format(form))
+		opens := time.UnixMilli(approval.OpensAtMS).In(location).Format(layout)
+		closes := time.UnixMilli(approval.ClosesAtMS).In(location).Format(layout)
+		lines += fmt.Sprintf("  %s approves from %s to %s\n", approval.Tenant, opens, closes)
 	}
 	if _, err := io.WriteString(out, lines); err != nil {
 		return fmt.Errorf("standard output: %w", err)
 	}
 	return nil
 }
-
-func newContract() *cobra.Command {
-	c := &cobra.Command{
-		Use:   "contract",
-		Short: "What tenants have agreed to about maintenance",
-		Long:  "contract checks and keeps tenants' contracts. docs/maintenance-windows.md tells how they are written.\n\n" + exitHelp,
-		Args:  exactly(0),
-		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
-	}
-	c.AddCommand(newContractCheck(), newContractSet(), newContractWithdraw(), newContractList(), newContractResume())
-	return c
-}
-
-func newContractCheck() *cobra.Command {
-	var at string
-	var days int
-	c := &cobra.Command{
-		Use:     "check FILE",
-		Short:   "Checks a contract and prints its next approved hours",
-		Long:    "check reads a contract and prints the hours that it approves, in the tenant's zone and in UTC.\n\n" + exitHelp,
-		Example: "  milldeck contract check portal.toml --days 14",
-		Args:    exactly(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			const mostDays = 400 // the hours of a year, and more than a closed season
-			now, err := instant(at)
-			if err != nil {
-				return usageError{fmt.Errorf("--at: %w", err)}
-			}
-			if days < 1 || days > mostDays {
-				return usageError{fmt.Errorf("--days: %d is not within 1 to %d", days, mostDays)}
-			}
-			one, err := contract.Load(args[0])
-			if err != nil {
-				return err
-			}
-			return printHours(c.OutOrStdout(), one, now, days)
-		},
-	}
-	c.Flags().StringVar(&at, "at", "", "from this time on, RFC 3339 (default now)")
-	c.Flags().IntVar(&days, "days", 7, "how many days ahead")
-	return c
-}
-
-func printHours(out io.Writer, one *contract.Contract, now int64, days int) error {
-	approved, err := one.Calendar()
-	if err != nil {
-		return err
-	}
-	loc, err := time.LoadLocation(one.Zone)
-	if err != nil {
-		return fmt.Errorf("zone: %w", err)
-	}
-	list := approved.Between(now, now+int64(days)*24*time.Hour.Milliseconds())
-	if len(list) == 0 {
-		return errors.New("nothing is approved in this time")
-	}
-	for _, i := range list {
-		from, until := time.UnixMilli(i.StartMS), time.UnixMilli(i.EndMS)
-		if _, err := fmt.Fprintf(out, "%s to %s  (%s to %s UTC)\n", from.In(loc).Format("Mon 2006-01-02 15:04 MST"), until.In(loc).Format("Mon 15:04 MST"),
-			from.UTC().Format("01-02 15:04"), until.UTC().Format("15:04")); err != nil {
-			return fmt.Errorf("standard output: %w", err)
-		}
-	}
-	return nil
-}
--- /dev/null
+++ b/cmd/milldeck/window_serve.go
@@ -0,0 +1,77 @@
+package main
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"milldeck/internal/leaderelection"
+	"milldeck/internal/loadreport"
+	"milldeck/internal/maintenance"
+	"milldeck/internal/maintenance/controller"
+	"milldeck/internal/registry"
+)
+
+const (
+	defaultWindowReportsAddr = "127.0.0.1:8550"
+	maxClockUncertainty      = maintenance.MaxClockUncertaintyMS * time.Millisecond
+)
+
+func newWindowServe() *cobra.Command {
+	var listen, readyPath string
+	var uncertainty, clockError, ttl time.Duration
+	a := &asking{}
+	c := &cobra.Command{
+		Use:     "serve",
+		Aliases: []string{"run"},
+		Short:   "Campaigns for the lease " + maintenance.LeaseName + " and carries out windows while it is held, until SIGTERM",
+		Long: "serve collects load reports, campaigns for the lease " + maintenance.LeaseName + " and carries out all windows while it is\n" +
+			"held. Run two or three; agents forward reports to all of them. When one stops, the next continues. It is ready\n" +
+			"once it logs \"serves\".\n\n" + exitHelp,
+		Example: "  milldeck window serve --replicas 127.0.0.1:8500,127.0.0.2:8500 --reports-listen 127.0.0.1:8550 --clock-off 100ms",
+		Args:    exactly(0),
+		RunE: func(c *cobra.Command, _ []string) error {
+			if uncertainty <= 0 || uncertainty > maxClockUncertainty {
+				return usageError{fmt.Errorf("--clock-off: %v is not within 1ms to %v", uncertainty, maxClockUncertainty)}
+			}
+			if !strings.HasPrefix(readyPath, "/") {
+				return usageError{fmt.Errorf("--ready-path: %q does not begin with /", readyPath)}
+			}
+			if err := registry.CheckLoopback("reports-listen", listen); err != nil {
+				return usageError{err}
+			}
+			client, err := registry.NewClient(a.replicas)
+			if err != nil {
+				return usageError{fmt.Errorf("--replicas: %w", err)}
+			}
+			defer client.Close()
+			reports := loadreport.New(loadreport.Options{})
+			windows := &controller.Controller{
+				Registry:    client,
+				Reports:     reports,
+				Uncertainty: uncertainty,
+				CheckReady:  controller.HTTPReadyCheck(readyPath),
+				Now:         func() time.Time { return time.Now().Add(clockError) },
+			}
+			mux := http.NewServeMux()
+			mux.Handle("/reports", reports)
+			return serveUnderLease(c.Context(), listen, mux, client, maintenance.LeaseName, ttl, windows.Run)
+		},
+	}
+	c.Flags().StringVar(&listen, "reports-listen", defaultWindowReportsAddr, "address for load reports, which agents forward")
+	c.Flags().StringSliceVar(&a.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
+	c.Flags().DurationVar(&uncertainty, "clock-off", 250*time.Millisecond, "uncertainty of this machine's clock, as its time service says")
+	c.Flags().StringVar(&readyPath, "ready-path", "/health/ready", "path at which a server that is ready answers 200")
+	c.Flags().DurationVar(&ttl, "ttl", leaderelection.DefaultTTL, "how long after its last heartbeat the lease of a controller expires")
+	c.Flags().DurationVar(&clockError, "clock-ahead", 0, "error added to the clock, to test clock faults")
+	c.Flags().StringVar(&listen, "listen", defaultWindowReportsAddr, "alias of --reports-listen, as other controllers name it")
+	for _, name := range []string{"clock-ahead", "listen"} {
+		if err := c.Flags().MarkHidden(name); err != nil {
+			panic(err) // the flag is defined above
+		}
+	}
+	return c
+}
--- a/cmd/milldeck/window_test.go
+++ b/cmd/milldeck/window_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const portal = `tenant = "portal"
+const portalContract = `tenant = "portal"
 zone = "Europe/Madrid"
 notice = "1h"
 minutes_a_month = 600
@@ -31,37 +31,37 @@
 		}
 		return path
 	}
-	one := write("portal.toml", portal)
-	two := write("teller.toml", strings.NewReplacer(`"portal"`, `"teller"`, "22:00", "02:00").Replace(portal))
-	wish := write("w.toml", "name = \"w\"\nservers = [\"a\"]\nwork = \"30m\"\n[fleet]\na = [\"portal\", \"teller\"]\nb = []\n")
-	long := write("long.toml", "name = \"w\"\nservers = [\"a\"]\nwork = \"3h\"\n[fleet]\na = [\"portal\", \"teller\"]\nb = []\n")
-	for _, c := range []struct {
+	portalFile := write("portal.toml", portalContract)
+	tellerFile := write("teller.toml", strings.NewReplacer(`"portal"`, `"teller"`, "22:00", "02:00").Replace(portalContract))
+	windowFile := write("w.toml", "name = \"w\"\nservers = [\"a\"]\nwork = \"30m\"\n[fleet]\na = [\"portal\", \"teller\"]\nb = []\n")
+	longWindowFile := write("long.toml", "name = \"w\"\nservers = [\"a\"]\nwork = \"3h\"\n[fleet]\na = [\"portal\", \"teller\"]\nb = []\n")
+	for _, test := range []struct {
 		args []string
 		code int
 		want []string
 	}{
-		{[]string{"contract", "check", one, "--at", "2026-10-24T00:00:00Z", "--days", "2"}, 0,
+		{[]string{"contract", "check", portalFile, "--at", "2026-10-24T00:00:00Z", "--days", "2"}, 0,
 			[]string{"Sat 2026-10-24 22:00 CEST to Sun 03:00 CET", "(10-24 20:00 to 02:00 UTC)"}},
-		{[]string{"window", "plan", wish, "--contract", one, "--contract", two, "--at", "2026-06-10T12:00:00Z"}, 0,
+		{[]string{"window", "plan", windowFile, "--contract", portalFile, "--contract", tellerFile, "--at", "2026-06-10T12:00:00Z"}, 0,
 			[]string{"w may begin at Thu 2026-06-11 00:00 UTC", "portal approves from Wed 2026-06-10 22:00 CEST", "teller approves from"}},
-		{[]string{"window", "plan", long, "--contract", one, "--contract", two, "--at", "2026-06-10T12:00:00Z"}, exitFailed,
+		{[]string{"window", "plan", longWindowFile, "--contract", portalFile, "--contract", tellerFile, "--at", "2026-06-10T12:00:00Z"}, exitFailed,
 			[]string{"contract of teller forbids it; without it from 2026-06-10T20:00:00Z on; work of"}},
-		{[]string{"window", "plan", wish, "--contract", one}, exitFailed, []string{"there is no contract of teller"}},
-		{[]string{"window", "plan", one}, exitUsage, []string{"portal.toml:1: tenant: unknown key"}},
-		{[]string{"window", "plan", wish, "--at", "noon"}, exitUsage, []string{"--at"}},
+		{[]string{"window", "plan", windowFile, "--contract", portalFile}, exitFailed, []string{"there is no contract of teller"}},
+		{[]string{"window", "plan", portalFile}, exitUsage, []string{"portal.toml:1: tenant: unknown key"}},
+		{[]string{"window", "plan", windowFile, "--at", "noon"}, exitUsage, []string{"--at"}},
 		{[]string{"window", "serve", "--reports-listen", "10.0.0.1:80"}, exitUsage, []string{"reports-listen"}},
 		{[]string{"window", "run", "--listen", "10.0.0.1:80"}, exitUsage, []string{"reports-listen"}},
 		{[]string{"window", "serve", "--clock-off", "6s"}, exitUsage, []string{"--clock-off: 6s is not within"}},
 		{[]string{"window", "halt", "a", "--tenant", "portal"}, exitUsage, []string{"one name at most, or --tenant"}},
-		{[]string{"window", "propose", one}, exitUsage, []string{"portal.toml:1: tenant: unknown key"}},
-		{[]string{"contract", "set", wish}, exitUsage, []string{"w.toml:1: name: unknown key"}},
+		{[]string{"window", "propose", portalFile}, exitUsage, []string{"portal.toml:1: tenant: unknown key"}},
+		{[]string{"contract", "set", windowFile}, exitUsage, []string{"w.toml:1: name: unknown key"}},
 		{[]string{"window", "show", "w", "--replicas", "127.0.0.1:1", "--wait", "100ms"}, exitFailed, []string{"connection refused"}},
-		{[]string{"contract", "check", wish}, exitUsage, []string{"w.toml:1: name: unknown key"}},
+		{[]string{"contract", "check", windowFile}, exitUsage, []string{"w.toml:1: name: unknown key"}},
 	} {
-		code, out, errOut := command(t, c.args...)
-		for _, want := range c.want {
-			if code != c.code || !strings.Contains(out+errOut, want) {
-				t.Errorf("%v: exit %d, %q, want %d and %q", c.args, code, out+errOut, c.code, want)
+		code, out, errOut := command(t, test.args...)
+		for _, want := range test.want {
+			if code != test.code || !strings.Contains(out+errOut, want) {
+				t.Errorf("%v: exit %d, %q, want %d and %q", test.args, code, out+errOut, test.code, want)
 			}
 		}
 	}
