--- a/internal/lab/controlplane/log.go
+++ b/internal/lab/controlplane/log.go
@@ -53,13 +53,13 @@
 
 // saved is a state as a backup or a replica that is left behind has it. Duties are no part of it: tokens never run back.
 type saved struct {
-	Rev      uint64
-	Epoch    uint64
-	Ledger   disruption.Snapshot
-	Releases *release.Snapshot
-	Windows  *maintenance.Snapshot
-	Places   *placement.Snapshot
-	Drains   map[string]uint64
+	Rev      uint64                `json:"Rev"`
+	Epoch    uint64                `json:"Epoch"`
+	Ledger   disruption.Snapshot   `json:"Ledger"`
+	Releases *release.Snapshot     `json:"Releases"`
+	Windows  *maintenance.Snapshot `json:"Windows"`
+	Places   *placement.Snapshot   `json:"Places"`
+	Drains   map[string]uint64     `json:"Drains"`
 }
 
 // copied is a state of its own, equal to this one.
--- a/internal/lab/controlplane/night.go
+++ b/internal/lab/controlplane/night.go
@@ -47,19 +47,19 @@
 
 // Result is how a night went.
 type Result struct {
-	Seed     uint64         `json:"seed"`
-	Seconds  float64        `json:"seconds"` // of the world
-	Broken   int            `json:"broken_rules"`
-	Counts   map[string]int `json:"rule_counts"`
-	First    []Broken       `json:"first,omitempty"`
-	Faults   []string       `json:"faults"`
-	Releases map[string]string
-	Windows  map[string]string
-	Fit      int     `json:"windows_that_fit"`
-	Held     int     `json:"windows_done"`
-	KeptS    float64 `json:"kept_off_s"`
-	OutsideS float64 `json:"kept_off_outside_s"`
-	Writes   int     `json:"writes"`
+	Seed     uint64            `json:"seed"`
+	Seconds  float64           `json:"seconds"` // of the world
+	Broken   int               `json:"broken_rules"`
+	Counts   map[string]int    `json:"rule_counts"`
+	First    []Broken          `json:"first,omitempty"`
+	Faults   []string          `json:"faults"`
+	Releases map[string]string `json:"Releases"`
+	Windows  map[string]string `json:"Windows"`
+	Fit      int               `json:"windows_that_fit"`
+	Held     int               `json:"windows_done"`
+	KeptS    float64           `json:"kept_off_s"`
+	OutsideS float64           `json:"kept_off_outside_s"`
+	Writes   int               `json:"writes"`
 }
 
 var zones = []string{"a", "b", "c", "d"}
