--- a/cmd/milldeck/lab_controlplane.go
+++ b/cmd/milldeck/lab_controlplane.go
@@ -55,8 +55,8 @@
 			return err
 		}
 	}
-	if figures := result.Figures; figures.BrokenRules+figures.ReleaseRules > 0 {
-		return fmt.Errorf("%s: %d rule(s) broken, in the nights of seeds %v", result.Name, figures.BrokenRules+figures.ReleaseRules, figures.BrokenNights)
+	if figures := result.Summary; figures.Violations+figures.RolloutViolations > 0 {
+		return fmt.Errorf("%s: %d rule(s) broken, in the nights of seeds %v", result.Name, figures.Violations+figures.RolloutViolations, figures.FailedSeeds)
 	}
 	return nil
 }
@@ -87,28 +87,28 @@
 const maxListedViolations = 3
 
 func writeControlPlaneTable(w io.Writer, result *batch.Result) error {
-	figures := &result.Figures
+	figures := &result.Summary
 	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	row := func(name, format string, args ...any) {
 		fmt.Fprintf(table, "%s\t%s\n", name, fmt.Sprintf(format, args...))
 	}
-	row(result.Name, "%d nights of the control plane, %.0f s in all, %d writes", figures.Nights, figures.Seconds, figures.Writes)
-	row("rules broken", "%d", figures.BrokenRules+figures.ReleaseRules)
-	row("kept off", "%.0f s by all sidecars, %.3f s outside approved hours", figures.KeptS, figures.OutsideS)
-	row("windows", "%.4f of %d that could fit were held", figures.HeldShare, figures.Fit)
-	if figures.Harmful > 0 {
-		row("harmful versions", "%.4f of %d stopped under a tenth of the fleet", figures.Early, figures.Harmful)
-		row("healthy versions", "%.4f of %d halted", figures.FalseHalts, figures.Healthy)
-		row("way back", "%.2f of the time forward, median %.2f", figures.WayBack, figures.WayBackMid)
+	row(result.Name, "%d nights of the control plane, %.0f s in all, %d writes", figures.Simulations, figures.SimulatedSeconds, figures.Writes)
+	row("rules broken", "%d", figures.Violations+figures.RolloutViolations)
+	row("kept off", "%.0f s by all sidecars, %.3f s outside approved hours", figures.ExcludedSeconds, figures.ExcludedOutsideHoursSeconds)
+	row("windows", "%.4f of %d that could fit were held", figures.CompletedWindowShare, figures.FeasibleWindows)
+	if figures.RegressedRollouts > 0 {
+		row("harmful versions", "%.4f of %d stopped under a tenth of the fleet", figures.StoppedEarlyShare, figures.RegressedRollouts)
+		row("healthy versions", "%.4f of %d halted", figures.FalseHaltShare, figures.HealthyRollouts)
+		row("way back", "%.2f of the time forward, median %.2f", figures.MaxRollbackRatio, figures.MedianRollbackRatio)
 	}
-	for _, simulation := range result.Nights {
-		for i, violation := range simulation.First {
+	for _, simulation := range result.Simulations {
+		for i, violation := range simulation.FirstViolations {
 			if i == maxListedViolations {
 				break
 			}
-			row("broken", "seed %d at %.1f s: %s: %s", simulation.Seed, violation.AtS, violation.Rule, violation.What)
+			row("broken", "seed %d at %.1f s: %s: %s", simulation.Seed, violation.AtS, violation.Rule, violation.Detail)
 		}
-		if simulation.Broken > 0 && len(result.Nights) == 1 {
+		if simulation.Violations > 0 && len(result.Simulations) == 1 {
 			for _, fault := range simulation.Faults {
 				row("fault", "%s", fault)
 			}
--- a/internal/lab/controlplane/batch/batch.go
+++ b/internal/lab/controlplane/batch/batch.go
@@ -11,37 +11,39 @@
 
 // Result is what many nights gave.
 type Result struct {
-	Name    string                 `json:"name"`
-	Figures controlplane.Figures   `json:"figures"`
-	Nights  []*controlplane.Result `json:"nights"`
-	Harmful []controlplane.Rollout `json:"harmful,omitempty"`
-	Healthy []controlplane.Rollout `json:"healthy,omitempty"`
+	Name              string                       `json:"name"`
+	Summary           controlplane.Summary         `json:"figures"`
+	Simulations       []*controlplane.Result       `json:"nights"`
+	RegressedRollouts []controlplane.RolloutResult `json:"harmful,omitempty"`
+	HealthyRollouts   []controlplane.RolloutResult `json:"healthy,omitempty"`
 }
 
 // Run plays the nights of the seeds from first to last, and releases of harmful and of healthy versions on seeds from 0.
-func Run(ctx context.Context, name string, first, last uint64, releases int, opt controlplane.Options, workers int) (*Result, error) {
-	r := &Result{Name: name, Nights: make([]*controlplane.Result, last-first+1),
-		Harmful: make([]controlplane.Rollout, releases), Healthy: make([]controlplane.Rollout, releases)}
-	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(max(workers, 1))
-	do := func(f func()) {
-		g.Go(func() error {
+func Run(ctx context.Context, name string, firstSeed, lastSeed uint64, rollouts int, options controlplane.Options, workers int) (*Result, error) {
+	result := &Result{Name: name, Simulations: make([]*controlplane.Result, lastSeed-firstSeed+1),
+		RegressedRollouts: make([]controlplane.RolloutResult, rollouts), HealthyRollouts: make([]controlplane.RolloutResult, rollouts)}
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(max(workers, 1))
+	start := func(play func()) {
+		group.Go(func() error {
 			if ctx.Err() == nil {
-				f()
+				play()
 			}
 			return ctx.Err()
 		})
 	}
-	for i := range r.Nights {
-		do(func() { r.Nights[i] = controlplane.Run(first+uint64(i), opt) })
+	for index := range result.Simulations {
+		start(func() { result.Simulations[index] = controlplane.Run(firstSeed+uint64(index), options) })
 	}
-	for i := range releases {
-		do(func() { r.Harmful[i] = controlplane.Release(uint64(i), &controlplane.Harms[i%len(controlplane.Harms)]) })
-		do(func() { r.Healthy[i] = controlplane.Release(uint64(i), nil) })
+	for index := range rollouts {
+		start(func() {
+			result.RegressedRollouts[index] = controlplane.RunRollout(uint64(index), &controlplane.Regressions[index%len(controlplane.Regressions)])
+		})
+		start(func() { result.HealthyRollouts[index] = controlplane.RunRollout(uint64(index), nil) })
 	}
-	if err := g.Wait(); err != nil {
+	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	r.Figures = controlplane.Sum(r.Nights, r.Harmful, r.Healthy)
-	return r, nil
+	result.Summary = controlplane.Summarize(result.Simulations, result.RegressedRollouts, result.HealthyRollouts)
+	return result, nil
 }
--- a/internal/lab/controlplane/batch/batch_test.go
+++ b/internal/lab/controlplane/batch/batch_test.go
@@ -10,13 +10,13 @@
 )
 
 // The same seeds give the same result, whatever the number of workers.
-func TestSameWithAnyNumberOfWorkers(t *testing.T) {
+func TestSameResultForAnyWorkerCount(t *testing.T) {
 	play := func(workers int) *Result {
-		r, err := Run(context.Background(), "night", 3, 5, 1, controlplane.Options{Sidecars: 40, Servers: 160}, workers)
+		result, err := Run(context.Background(), "night", 3, 5, 1, controlplane.Options{Sidecars: 40, Servers: 160}, workers)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return r
+		return result
 	}
 	if diff := cmp.Diff(play(1), play(6)); diff != "" {
 		t.Error(diff)
--- a/internal/lab/controlplane/budgets.go
+++ b/internal/lab/controlplane/budgets.go
@@ -15,35 +15,35 @@
 	})
 }
 
-// roomy tells, for the planted fault of a grant that is not atomic, whether there was room a second ago.
-func (w *world) roomy(m *disruption.Permit) bool {
-	for _, b := range w.opt.budgets() {
-		n := 0
-		for _, id := range m.Units {
-			if b.Selector.Matches(&w.by[id].Unit) {
-				n++
+// hadCapacity tells, for the planted fault of a grant that is not atomic, whether there was room a second ago.
+func (c *cluster) hadCapacity(permit *disruption.Permit) bool {
+	for _, budget := range c.options.budgets() {
+		count := 0
+		for _, id := range permit.Units {
+			if budget.Selector.Matches(&c.unitsByID[id].Unit) {
+				count++
 			}
 		}
-		if n > 0 && w.outs[b.Name]+n > *b.MaxUnavailable.Count {
+		if count > 0 && c.unavailableBefore[budget.Name]+count > *budget.MaxUnavailable.Count {
 			return false
 		}
 	}
 	return true
 }
 
-// count takes in what is out, for roomy.
-func (w *world) count() {
-	w.plane.look()
-	for _, b := range w.opt.budgets() {
-		n := 0
-		for _, u := range w.units {
-			if b.Selector.Matches(&u.Unit) {
-				k, _ := w.plane.ledger.Unit(u.ID)
-				if _, under := w.plane.at[u.ID]; under || k.Condition != disruption.ConditionUp {
-					n++
+// recordUnavailable takes in what is out, for roomy.
+func (c *cluster) recordUnavailable() {
+	c.registry.indexPermits()
+	for _, budget := range c.options.budgets() {
+		count := 0
+		for _, member := range c.units {
+			if budget.Selector.Matches(&member.Unit) {
+				ledgerUnit, _ := c.registry.ledger.Unit(member.ID)
+				if _, permitted := c.registry.permitByUnit[member.ID]; permitted || ledgerUnit.Condition != disruption.ConditionUp {
+					count++
 				}
 			}
 		}
-		w.outs[b.Name] = n
+		c.unavailableBefore[budget.Name] = count
 	}
 }
--- a/internal/lab/controlplane/operator.go
+++ b/internal/lab/controlplane/operator.go
@@ -6,72 +6,72 @@
 	"milldeck/internal/release"
 )
 
-// operator does what people do who look every few seconds: resumes what is in doubt once the fleet is seen again, sends
+// runOperator does what people do who look every few seconds: resumes what is in doubt once the fleet is seen again, sends
 // back what harms, starts what has ended and nobody works on, and gives up permits of units that a release has lost.
-func (w *world) operator() {
-	p := w.plane
-	if !p.leads() {
+func (c *cluster) runOperator() {
+	registry := c.registry
+	if !registry.hasLeader() {
 		return
 	}
-	for _, h := range p.ledger.Halts() {
-		if w.now-w.judge.restore > 30_000 {
-			p.rev++
-			p.ledger.Apply(p.rev, &disruption.Op{Kind: disruption.OpResume, Owner: "operator/ops", Halt: &disruption.Halt{Scope: h.Scope, IssuedBy: h.IssuedBy}})
+	for _, status := range registry.ledger.Halts() {
+		if c.nowMS-c.checker.restoredMS > 30_000 {
+			registry.revision++
+			registry.ledger.Apply(registry.revision, &disruption.Op{Kind: disruption.OpResume, Owner: "operator/ops", Halt: &disruption.Halt{Scope: status.Scope, IssuedBy: status.IssuedBy}})
 		}
 	}
 	claimed := map[string]bool{}
-	for _, name := range p.releases.Names() {
-		s, cmds := p.releases.Get(name)
-		h := s.Status
-		if h.Phase == release.PhaseHalted && h.HandledCommands == len(cmds) {
-			what := release.CommandResume
-			if len(cmds) > 20 && !s.DrainOnly { // it does not get on: people give up
-				what = release.CommandRollback
+	for _, name := range registry.releases.Names() {
+		state, commands := registry.releases.Get(name)
+		status := state.Status
+		if status.Phase == release.PhaseHalted && status.HandledCommands == len(commands) {
+			action := release.CommandResume
+			if len(commands) > 20 && !state.DrainOnly { // it does not get on: people give up
+				action = release.CommandRollback
 			}
-			p.rev++
-			p.releases.Apply(p.rev, &release.Operation{Name: name, Command: &release.Command{Action: what, Operator: "operator/ops"}})
+			registry.revision++
+			registry.releases.Apply(registry.revision, &release.Operation{Name: name, Command: &release.Command{Action: action, Operator: "operator/ops"}})
 		}
-		for i := range s.Units {
-			u := &s.Units[i]
-			claimed[u.ID] = !h.Phase.Finished() && u.Stage != release.StagePending && u.Stage != release.StageConverged
-			if h.Phase.Finished() && u.Stage == release.StageFailed {
-				p.rev++
-				p.ledger.Apply(p.rev, &disruption.Op{Kind: disruption.OpForceComplete, Owner: "operator/ops", Permit: &disruption.Permit{ID: s.PermitID(u)}})
+		for i := range state.Units {
+			member := &state.Units[i]
+			claimed[member.ID] = !status.Phase.Finished() && member.Stage != release.StagePending && member.Stage != release.StageConverged
+			if status.Phase.Finished() && member.Stage == release.StageFailed {
+				registry.revision++
+				registry.ledger.Apply(registry.revision, &disruption.Op{Kind: disruption.OpForceComplete, Owner: "operator/ops", Permit: &disruption.Permit{ID: state.PermitID(member)}})
 			}
 		}
 	}
-	for _, scope := range sorted(p.windows.Halts()) {
-		w.operate(&maintenance.Operation{Kind: maintenance.OpResume, Scope: scope})
+	for _, scope := range sortedKeys(registry.windows.Halts()) {
+		c.applyAsOperator(&maintenance.Operation{Kind: maintenance.OpResume, Scope: scope})
 	}
-	for _, win := range p.windows.Windows() {
-		if win.Stage == maintenance.StageHalted {
-			w.operate(&maintenance.Operation{Kind: maintenance.OpResume, Scope: "window/" + win.Name})
+	for _, window := range registry.windows.Windows() {
+		if window.Stage == maintenance.StageHalted {
+			c.applyAsOperator(&maintenance.Operation{Kind: maintenance.OpResume, Scope: "window/" + window.Name})
 		}
 	}
-	if w.night.asked && len(p.windows.Windows()) == 0 { // a restore has lost it
-		w.operate(w.night.wish)
+	if c.scenario.proposed && len(registry.windows.Windows()) == 0 { // a restore has lost it
+		c.applyAsOperator(c.scenario.proposal)
 	}
-	w.mend(claimed)
+	c.repairUnits(claimed)
 }
 
-// mend starts what has ended by itself, and puts back into the list what drains for nobody.
-func (w *world) mend(claimed map[string]bool) {
-	l := w.list()
-	if l == nil || !l.Complete {
+// repairUnits starts what has ended by itself, and puts back into the list what drains for nobody.
+func (c *cluster) repairUnits(claimedUnits map[string]bool) {
+	list := c.platformList()
+	if list == nil || !list.Complete {
 		return
 	}
-	for _, u := range w.units {
-		if claimed[u.ID] || u.gone || u.judged.in || w.now-u.judged.since < 20_000 {
+	for _, member := range c.units {
+		if claimedUnits[member.ID] || member.decommissioned || member.observed.inService || c.nowMS-member.observed.outSinceMS < 20_000 {
 			continue
 		}
-		at := l.Find(u.name)
-		if !u.alive {
-			w.startUnit(u, at, l.Epoch)
+		reported := list.Find(member.name)
+		if !member.alive {
+			c.restartUnit(member, reported, list.Epoch)
 		}
-		if _, under := w.plane.at[u.ID]; !under && u.alive && w.plane.drains[u.ID] != 0 {
-			delete(w.plane.drains, u.ID)
-			w.plane.rev++
-			u.active = true
+		if _, permitted := c.registry.permitByUnit[member.ID]; !permitted && member.alive && c.registry.drainRevisions[member.ID] != 0 {
+			delete(c.registry.drainRevisions, member.ID)
+			c.registry.revision++
+			member.changing = true
 		}
 	}
 }
--- a/internal/lab/controlplane/process.go
+++ b/internal/lab/controlplane/process.go
@@ -9,192 +9,192 @@
 	"milldeck/internal/leaderelection/leasetable"
 )
 
-func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// ttlMS is the lease of a duty, and stopMS before its end a holder stops by itself.
+// leaderLeaseMS is the lease of a duty, and shutdownMS before its end a holder stops by itself.
 const (
-	ttlMS      = 3000
-	marginMS   = 500
-	restartMS  = 6000 // from a controller's death to its next life
-	mostInHand = 512
+	leaderLeaseMS     = 3000
+	leaseMarginMS     = 500
+	processRestartMS  = 6000 // from a controller's death to its next life
+	maxPendingEffects = 512
 )
 
 // controller is what a process does while it holds its duty. Take has it begin anew under a token.
 type controller interface {
-	take(token uint64)
-	step()
+	becomeLeader(token uint64)
+	reconcile()
 }
 
-// process is one process of the program that is a candidate for a duty. Its controller writes and calls through it, so
+// newProcess is one process of the program that is a candidate for a duty. Its controller writes and calls through it, so
 // that it can be killed, frozen or cut off at any of these.
 type process struct {
-	w      *world
-	name   string
-	duty   string
-	n      int // life
-	c      controller
-	token  uint64
-	until  int64 // its own belief of the end of its lease
-	dead   bool
-	frozen int64 // until
-	cut    int64 // until: it meets a replica that is left behind
-	behind *state
-	doom   *doom
-	hand   []func() // what it had still to do when it was frozen
-	writes int
+	cluster            *cluster
+	name               string
+	leaseName          string
+	incarnation        int // life
+	controller         controller
+	token              uint64
+	leaseUntilMS       int64 // its own belief of the end of its lease
+	down               bool
+	pausedUntilMS      int64 // until
+	partitionedUntilMS int64 // until: it meets a replica that is left behind
+	staleState         *registryState
+	plannedFault       *processFault
+	pendingEffects     []func() // what it had still to do when it was frozen
+	writeCount         int
 }
 
-// doom is what becomes of a process at its next steps.
-type doom struct {
-	after  int // effects from now
-	freeze int64
-	late   bool // killed after the effect, before its answer
+// processFault is what becomes of a process at its next steps.
+type processFault struct {
+	effectsUntil int // effects from now
+	pauseMS      int64
+	afterEffect  bool // killed after the effect, before its answer
 }
 
-func (w *world) process(name, duty string, c func(p *process) controller) *process {
-	p := &process{w: w, name: name, duty: duty}
-	p.c = c(p)
-	w.procs = append(w.procs, p)
+func (c *cluster) newProcess(name, leaseName string, newController func(p *process) controller) *process {
+	p := &process{cluster: c, name: name, leaseName: leaseName}
+	p.controller = newController(p)
+	c.processes = append(c.processes, p)
 	return p
 }
 
-// holds tells whether the process believes that it holds its duty.
-func (p *process) holds() bool { return p.token != 0 && p.w.now < p.until }
+// holdsLease tells whether the process believes that it holds its duty.
+func (p *process) holdsLease() bool { return p.token != 0 && p.cluster.nowMS < p.leaseUntilMS }
 
-// reads is the state that it reads; nil: nobody answers.
-func (p *process) reads() *state {
+// readState is the state that it reads; nil: nobody answers.
+func (p *process) readState() *registryState {
 	switch {
-	case p.cut > p.w.now:
-		return p.behind
-	case !p.w.plane.leads():
+	case p.partitionedUntilMS > p.cluster.nowMS:
+		return p.staleState
+	case !p.cluster.registry.hasLeader():
 		return nil
 	}
-	return p.w.plane.state
+	return p.cluster.registry.registryState
 }
 
 func (p *process) step() {
-	w := p.w
-	if p.dead || p.frozen > w.now {
+	cluster := p.cluster
+	if p.down || p.pausedUntilMS > cluster.nowMS {
 		return
 	}
-	for len(p.hand) > 0 && !p.dead { // it goes on where it was frozen, before it looks at any clock
-		do := p.hand[0]
-		p.hand = p.hand[1:]
-		do()
+	for len(p.pendingEffects) > 0 && !p.down { // it goes on where it was frozen, before it looks at any clock
+		effect := p.pendingEffects[0]
+		p.pendingEffects = p.pendingEffects[1:]
+		effect()
 	}
-	if p.cut <= w.now {
-		p.behind = nil
+	if p.partitionedUntilMS <= cluster.nowMS {
+		p.staleState = nil
 	}
-	p.seek()
-	if p.holds() && p.reads() != nil {
-		p.c.step()
+	p.campaign()
+	if p.holdsLease() && p.readState() != nil {
+		p.controller.reconcile()
 	}
 }
 
-// leases is the leader's part: a holder that has not shown for the length of its lease loses the duty.
-func (l *plane) leases() {
-	if !l.leads() {
+// expireLeases is the leader's part: a holder that has not shown for the length of its lease loses the duty.
+func (r *registry) expireLeases() {
+	if !r.hasLeader() {
 		return
 	}
-	for _, duty := range sorted(l.renewed) {
-		d, is := l.duties.Get(duty)
-		if !is || d.Holder == "" || l.w.now-l.renewed[duty] < ttlMS {
+	for _, name := range sortedKeys(r.renewedMS) {
+		lease, ok := r.leases.Get(name)
+		if !ok || lease.Holder == "" || r.cluster.nowMS-r.renewedMS[name] < leaderLeaseMS {
 			continue
 		}
-		l.rev++
+		r.revision++
 		// An expiry is never rejected.
-		_ = l.duties.Apply(l.rev, &leasetable.Operation{Kind: leasetable.Expire, Name: duty, Candidate: d.Holder, Token: d.Token})
-		if l.w.opt.Bugs.LeaseFrees {
-			l.w.free(duty)
+		_ = r.leases.Apply(r.revision, &leasetable.Operation{Kind: leasetable.Expire, Name: name, Candidate: lease.Holder, Token: lease.Token})
+		if r.cluster.options.Defects.CompletePermitsOnLeaseExpiry {
+			r.cluster.completePermitsOf(name)
 		}
-		l.renewed[duty] = l.w.now
+		r.renewedMS[name] = r.cluster.nowMS
 	}
 }
 
-func (p *process) id() string { return fmt.Sprintf("%s.%d", p.name, p.n) }
+func (p *process) candidateID() string { return fmt.Sprintf("%s.%d", p.name, p.incarnation) }
 
-// seek asks for the duty, and renews it.
-func (p *process) seek() {
-	l := p.w.plane
-	if p.cut > p.w.now || !l.leads() {
+// campaign asks for the duty, and renews it.
+func (p *process) campaign() {
+	registry := p.cluster.registry
+	if p.partitionedUntilMS > p.cluster.nowMS || !registry.hasLeader() {
 		return
 	}
-	d, _ := l.duties.Get(p.duty)
+	lease, _ := registry.leases.Get(p.leaseName)
 	switch {
-	case d.Holder == p.id():
-		l.renewed[p.duty] = p.w.now
-		p.until = p.w.now + ttlMS - marginMS
-		if p.token != d.Token {
-			p.token = d.Token
-			p.c.take(p.token)
+	case lease.Holder == p.candidateID():
+		registry.renewedMS[p.leaseName] = p.cluster.nowMS
+		p.leaseUntilMS = p.cluster.nowMS + leaderLeaseMS - leaseMarginMS
+		if p.token != lease.Token {
+			p.token = lease.Token
+			p.controller.becomeLeader(p.token)
 		}
-	case !slices.Contains(d.Queue, p.id()):
+	case !slices.Contains(lease.Queue, p.candidateID()):
 		p.token = 0
-		l.rev++
+		registry.revision++
 		// Rejected only where a limit is reached; it campaigns again at its next step.
-		_ = l.duties.Apply(l.rev, &leasetable.Operation{Kind: leasetable.Campaign, Name: p.duty, Candidate: p.id(), TTLMS: ttlMS})
-		l.renewed[p.duty] = p.w.now
+		_ = registry.leases.Apply(registry.revision, &leasetable.Operation{Kind: leasetable.Campaign, Name: p.leaseName, Candidate: p.candidateID(), TTLMS: leaderLeaseMS})
+		registry.renewedMS[p.leaseName] = p.cluster.nowMS
 	default:
 		p.token = 0
 	}
 }
 
-// kill ends the process; it is started again later, as another candidate.
-func (p *process) kill() {
-	if p.dead {
+// crash ends the process; it is started again later, as another candidate.
+func (p *process) crash() {
+	if p.down {
 		return
 	}
-	p.dead, p.hand, p.token = true, nil, 0
-	was := p.id()
-	p.w.after(restartMS+p.w.rng.Int64N(4000), func() {
-		l := p.w.plane
+	p.down, p.pendingEffects, p.token = true, nil, 0
+	candidateID := p.candidateID()
+	p.cluster.schedule(processRestartMS+p.cluster.random.Int64N(4000), func() {
+		registry := p.cluster.registry
 		// Its place in the queue, if it has one; an expiry is never rejected.
-		_ = l.duties.Apply(l.rev, &leasetable.Operation{Kind: leasetable.Expire, Name: p.duty, Candidate: was})
-		p.dead, p.n = false, p.n+1
+		_ = registry.leases.Apply(registry.revision, &leasetable.Operation{Kind: leasetable.Expire, Name: p.leaseName, Candidate: candidateID})
+		p.down, p.incarnation = false, p.incarnation+1
 	})
 }
 
-// act does one effect, unless the process meets its doom there. It tells whether the process goes on.
-func (p *process) act(do func()) bool {
-	if p.dead {
+// execute does one effect, unless the process meets its doom there. It tells whether the process goes on.
+func (p *process) execute(effect func()) bool {
+	if p.down {
 		return false
 	}
-	if p.frozen > p.w.now {
-		if len(p.hand) < mostInHand {
-			p.hand = append(p.hand, do)
+	if p.pausedUntilMS > p.cluster.nowMS {
+		if len(p.pendingEffects) < maxPendingEffects {
+			p.pendingEffects = append(p.pendingEffects, effect)
 		}
 		return true
 	}
-	if d := p.doom; d != nil {
-		if d.after--; d.after < 0 {
-			p.doom = nil
+	if fault := p.plannedFault; fault != nil {
+		if fault.effectsUntil--; fault.effectsUntil < 0 {
+			p.plannedFault = nil
 			switch {
-			case d.freeze > 0:
-				p.frozen = p.w.now + d.freeze
-				p.hand = append(p.hand, do)
+			case fault.pauseMS > 0:
+				p.pausedUntilMS = p.cluster.nowMS + fault.pauseMS
+				p.pendingEffects = append(p.pendingEffects, effect)
 				return true
-			case d.late:
-				do()
+			case fault.afterEffect:
+				effect()
 			}
-			p.kill()
+			p.crash()
 			return false
 		}
 	}
-	do()
-	return !p.dead
+	effect()
+	return !p.down
 }
 
 // write has a record written under the duty's token. It is tried again by its id once, as a client does; an answer may be
 // missing all the same.
-func (p *process) write(token uint64, do func() (string, string)) (a answer, known bool) {
-	if p.cut > p.w.now {
-		return answer{}, false // nobody there can write
+func (p *process) write(token uint64, apply func() (string, string)) (result writeResult, known bool) {
+	if p.partitionedUntilMS > p.cluster.nowMS {
+		return writeResult{}, false // nobody there can write
 	}
-	p.writes++
-	p.w.writes++
-	id := fmt.Sprintf("%s/%d", p.id(), p.writes)
-	if a, known = p.w.plane.write(id, p.duty, token, do); known {
-		return a, true
+	p.writeCount++
+	p.cluster.writeCount++
+	id := fmt.Sprintf("%s/%d", p.candidateID(), p.writeCount)
+	if result, known = p.cluster.registry.write(id, p.leaseName, token, apply); known {
+		return result, true
 	}
-	return p.w.plane.write(id, p.duty, token, do)
+	return p.cluster.registry.write(id, p.leaseName, token, apply)
 }
--- a/internal/lab/controlplane/sidecars.go
+++ b/internal/lab/controlplane/sidecars.go
@@ -4,79 +4,79 @@
 	"milldeck/internal/placement"
 )
 
-// walk has sidecars take in what their agents have, and end what is over.
-func (w *world) walk() {
-	if rev := max(w.plane.places.Revision(), w.plane.rev); rev != w.moved {
-		w.moved, w.walkTo = rev, w.now+3000
+// syncSidecars has sidecars take in what their agents have, and end what is over.
+func (c *cluster) syncSidecars() {
+	if revision := max(c.registry.placements.Revision(), c.registry.revision); revision != c.syncedRevision {
+		c.syncedRevision, c.syncUntilMS = revision, c.nowMS+3000
 	}
-	if w.now > w.walkTo && w.now%5000 != 0 {
+	if c.nowMS > c.syncUntilMS && c.nowMS%5000 != 0 {
 		return
 	}
-	leader := w.now + w.plane.leader.off
-	whole := w.plane.places.CompleteUpdate(leader)
-	for _, u := range w.sidecars {
-		c := u.car
-		for _, id := range sorted(c.forced) {
-			if f := c.forced[id]; f.end <= w.now {
-				w.lapse(u, id, f.end)
+	leaderMS := c.nowMS + c.registry.leaderClock.offsetMS
+	update := c.registry.placements.CompleteUpdate(leaderMS)
+	for _, member := range c.sidecars {
+		sidecar := member.sidecar
+		for _, directiveID := range sortedKeys(sidecar.exclusions) {
+			if active := sidecar.exclusions[directiveID]; active.expiresMS <= c.nowMS {
+				c.endExclusion(member, directiveID, active.expiresMS)
 			}
 		}
-		if !u.alive || u.ready > w.now || c.mute > w.now || w.now%1000 < c.lag%1000-tickMS {
+		if !member.alive || member.readyAtMS > c.nowMS || sidecar.agentDownUntilMS > c.nowMS || c.nowMS%1000 < sidecar.pollDelayMS%1000-tickMS {
 			continue
 		}
-		c.list = w.plane.rev
-		if c.rev == whole.Revision && c.epoch == whole.Epoch {
+		sidecar.endpointRevision = c.registry.revision
+		if sidecar.placementRevision == update.Revision && sidecar.placementEpoch == update.Epoch {
 			continue
 		}
-		had := c.rev
-		if c.epoch != whole.Epoch {
-			had = 0
+		previousRevision := sidecar.placementRevision
+		if sidecar.placementEpoch != update.Epoch {
+			previousRevision = 0
 		}
-		c.rev, c.epoch = whole.Revision, whole.Epoch
-		told := map[string]bool{}
-		for i := range whole.Directives {
-			if e := &whole.Directives[i]; e.Kind == placement.KindExclude {
-				told[e.ID] = true
-				if e.Revision > had || c.forced[e.ID] == nil {
-					w.force(u, e, e.ExpiresAtMS-leader)
+		sidecar.placementRevision, sidecar.placementEpoch = update.Revision, update.Epoch
+		directives := map[string]bool{}
+		for index := range update.Directives {
+			if directive := &update.Directives[index]; directive.Kind == placement.KindExclude {
+				directives[directive.ID] = true
+				if directive.Revision > previousRevision || sidecar.exclusions[directive.ID] == nil {
+					c.applyExclusion(member, directive, directive.ExpiresAtMS-leaderMS)
 				}
 			}
 		}
-		for _, id := range sorted(c.forced) {
-			if !told[id] {
-				w.lapse(u, id, w.now)
+		for _, directiveID := range sortedKeys(sidecar.exclusions) {
+			if !directives[directiveID] {
+				c.endExclusion(member, directiveID, c.nowMS)
 			}
 		}
 	}
 }
 
-// force has a sidecar follow an entry: until its own clock says that it is over, or what was left of it has passed.
-func (w *world) force(u *unit, e *placement.Directive, left int64) {
-	c := u.car
-	end := min(e.ExpiresAtMS-c.off, w.now+left)
-	f := c.forced[e.ID]
-	if f != nil && f.end <= w.now {
-		w.lapse(u, e.ID, f.end)
-		f = nil
+// applyExclusion has a sidecar follow an entry: until its own clock says that it is over, or what was left of it has passed.
+func (c *cluster) applyExclusion(target *unit, directive *placement.Directive, remainingMS int64) {
+	sidecar := target.sidecar
+	expiresMS := min(directive.ExpiresAtMS-sidecar.offsetMS, c.nowMS+remainingMS)
+	active := sidecar.exclusions[directive.ID]
+	if active != nil && active.expiresMS <= c.nowMS {
+		c.endExclusion(target, directive.ID, active.expiresMS)
+		active = nil
 	}
-	if end <= w.now {
+	if expiresMS <= c.nowMS {
 		return
 	}
-	if f == nil {
-		f = &forced{tenant: e.Tenant, since: w.now, drain: w.now + 1000 + w.rng.Int64N(8000)}
-		c.forced[e.ID] = f
+	if active == nil {
+		active = &exclusion{tenant: directive.Tenant, startedMS: c.nowMS, drainedMS: c.nowMS + 1000 + c.random.Int64N(8000)}
+		sidecar.exclusions[directive.ID] = active
 	}
-	f.end = end
+	active.expiresMS = expiresMS
 }
 
-func (w *world) lapse(u *unit, id string, at int64) {
-	f := u.car.forced[id]
-	delete(u.car.forced, id)
-	w.judge.kept(u, f.tenant, f.since, min(f.end, at))
+func (c *cluster) endExclusion(target *unit, directiveID string, endMS int64) {
+	ended := target.sidecar.exclusions[directiveID]
+	delete(target.sidecar.exclusions, directiveID)
+	c.checker.observeExclusion(target, ended.tenant, ended.startedMS, min(ended.expiresMS, endMS))
 }
 
-func (w *world) lapseAll(u *unit) {
-	for _, id := range sorted(u.car.forced) {
-		w.lapse(u, id, w.now)
+func (c *cluster) endAllExclusions(target *unit) {
+	for _, id := range sortedKeys(target.sidecar.exclusions) {
+		c.endExclusion(target, id, c.nowMS)
 	}
 }
