--- a/balance/determinism_test.go
+++ b/balance/determinism_test.go
@@ -47,6 +47,10 @@
 	ended    []bool
 }
 
+func (e *playEvent) before(other *playEvent) bool {
+	return e.at < other.at || e.at == other.at && e.order < other.order
+}
+
 func newPlay(t *testing.T, cfg Config, servers int) *play {
 	p := &play{
 		t: t, b: mustNew(t, cfg), cfg: cfg, seed: cfg.Seed * 77, now: 1000, sum: sha256.New(),
@@ -84,7 +88,7 @@
 		next := -1
 		for i := range p.pending {
 			e := &p.pending[i]
-			if e.at <= until && (next < 0 || e.at < p.pending[next].at || e.at == p.pending[next].at && e.order < p.pending[next].order) {
+			if e.at <= until && (next < 0 || e.before(&p.pending[next])) {
 				next = i
 			}
 		}
@@ -182,13 +186,19 @@
 // recordFigures hashes the figures by which the balancer decides.
 func (p *play) recordFigures() {
 	b := p.b
-	figures := []float64{b.pool.current, b.admission.sustainedShed, b.admission.minLatencyRatio, b.admission.load.current, b.admission.load.mean, b.retries.tokens, b.reports.busyFraction, b.reports.meanUtilization, b.capacity.drift, b.selection.load, b.selection.weight, b.gossip.budgetBytes}
+	figures := []float64{
+		b.pool.current, b.admission.sustainedShed, b.admission.minLatencyRatio, b.admission.load.current, b.admission.load.mean,
+		b.retries.tokens, b.reports.busyFraction, b.reports.meanUtilization, b.capacity.drift, b.selection.load,
+		b.selection.weight, b.gossip.budgetBytes,
+	}
 	for _, s := range b.servers {
-		figures = append(figures, s.round.runningWeight, s.weight, s.logCapacity, s.ejection.until, s.gossip.ejectedUntil, s.slowStart.tokens, s.rank, float64(s.inFlight))
+		figures = append(figures, s.round.runningWeight, s.weight, s.logCapacity, s.ejection.until,
+			s.gossip.ejectedUntil, s.slowStart.tokens, s.rank, float64(s.inFlight))
 	}
 	for i := range b.admission.classes {
 		c := &b.admission.classes[i]
-		figures = append(figures, c.received, c.servedInTime, c.meanLatency, c.meanDeviation, c.recentLatencyRatio, c.minLatencyRatio)
+		figures = append(figures, c.received, c.servedInTime, c.meanLatency, c.meanDeviation, c.recentLatencyRatio,
+			c.minLatencyRatio)
 	}
 	for kind := range 2 {
 		figures = append(figures, b.capacity.byKind[kind])
@@ -379,7 +389,8 @@
 	warm := func(c *Config) { c.KeyAffinity, c.AllowParallelAttempts = true, false }
 	messages := func(c *Config) { c.AllowGossip, c.SidecarCount, c.SidecarIndex, c.Costs.Gossip = true, 50, 7, 0.06 }
 	piggyback := func(c *Config) {
-		c.LoadReports, c.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldInFlight, FieldUtilization, FieldQueueLength, FieldLatency, FieldUnknown, FieldRequestRate, FieldErrorRate}
+		c.LoadReports, c.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldInFlight, FieldUtilization,
+			FieldQueueLength, FieldLatency, FieldUnknown, FieldRequestRate, FieldErrorRate}
 	}
 	var text strings.Builder
 	for _, c := range []struct {
@@ -406,11 +417,16 @@
 		}},
 		{"unsafe classes", 30, false, func(c *Config) {
 			c.Classes = []Class{
-				{Idempotency: NonIdempotent, LatencyObjective: 150, Deadline: 600, PriorityWeight: 5}, {Idempotency: NonIdempotent, LatencyObjective: 300, Deadline: 900, PriorityWeight: 1, LateWeight: 0.4},
-				{Idempotency: IdempotentWithKey, DeduplicationScope: ScopeZone, IdempotencyWindow: 300, LatencyObjective: 200, Deadline: 900, PriorityWeight: 2},
+				{Idempotency: NonIdempotent, LatencyObjective: 150, Deadline: 600, PriorityWeight: 5},
+				{Idempotency: NonIdempotent, LatencyObjective: 300, Deadline: 900, PriorityWeight: 1, LateWeight: 0.4},
+				{Idempotency: IdempotentWithKey, DeduplicationScope: ScopeZone, IdempotencyWindow: 300,
+					LatencyObjective: 200, Deadline: 900, PriorityWeight: 2},
 			}
 		}},
-		{"streams", 30, false, func(c *Config) { c.Classes[idempotentClass].Streaming, c.Classes[allScopeClass].Streaming = true, true }},
+		{"streams", 30, false, func(c *Config) {
+			c.Classes[idempotentClass].Streaming = true
+			c.Classes[allScopeClass].Streaming = true
+		}},
 		{"one attempt, no cancel", 30, false, func(c *Config) {
 			c.MaxAttempts, c.AllowCancel, c.AllowParallelAttempts, c.SendRetryAfter = 1, false, false, false
 		}},
@@ -425,9 +441,11 @@
 		p := newPlay(t, cfg, c.servers)
 		p.whole(3000, c.placed)
 		if p.sends < 1000 || p.finals == 0 || p.others == 0 {
-			t.Errorf("%s: %d sends, %d final answers, %d other actions: too little happens", c.name, p.sends, p.finals, p.others)
+			t.Errorf("%s: %d sends, %d final answers, %d other actions: too little happens", c.name, p.sends, p.finals,
+				p.others)
 		}
-		fmt.Fprintf(&text, "%s: %d sends, %d final answers, %d other actions, %x\n", c.name, p.sends, p.finals, p.others, p.sum.Sum(nil))
+		fmt.Fprintf(&text, "%s: %d sends, %d final answers, %d other actions, %x\n", c.name, p.sends, p.finals,
+			p.others, p.sum.Sum(nil))
 	}
 	checkGolden(t, "decisions.golden", text.String())
 }
--- a/balance/fixtures_test.go
+++ b/balance/fixtures_test.go
@@ -66,7 +66,8 @@
 		{"question of a sidecar that starts", 1000, []finding{{findingQuery, 0, 1000}}},
 		{"a bad server", now, []finding{{findingFault, serverTag(0x0a124a07232b), now - 40}}},
 		{"a server that is back", now, []finding{{findingRecovery, serverTag(7), now}}},
-		{"one of each kind", now, []finding{{findingQuery, 0, now}, {findingFault, 0xffffffff, now - 5100}, {findingRecovery, 1, now - 20}}},
+		{"one of each kind", now, []finding{{findingQuery, 0, now}, {findingFault, 0xffffffff, now - 5100},
+			{findingRecovery, 1, now - 20}}},
 		{"a clock beyond 32 bits", 1<<33 + 12345, []finding{{findingFault, 99, 1<<33 + 12345 - 100}}},
 		full,
 	}
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -63,7 +63,8 @@
 			if random.Intn(3) == 0 {
 				whom = uint32(random.Intn(4))
 			}
-			lies = append(lies, finding{findingKind(1 + random.Intn(int(findingKindEnd)-1)), whom, g.now - random.Float64()*1000})
+			lies = append(lies, finding{findingKind(1 + random.Intn(int(findingKindEnd)-1)), whom,
+				g.now - random.Float64()*1000})
 		}
 		data := encodeGossip(g.now+float64(random.Intn(100)), lies)
 		switch random.Intn(6) {
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -15,17 +15,24 @@
 	lastID   RequestID
 }
 
+// baseConfig has one class for each way of deduplication; the constants below are their indices.
 func baseConfig() Config {
+	withKey := func(scope DeduplicationScope) Class {
+		return Class{
+			Idempotency: IdempotentWithKey, DeduplicationScope: scope, IdempotencyWindow: 1200,
+			LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3,
+		}
+	}
 	return Config{
-		Seed: 1, SidecarCount: 3, MaxAttempts: 4, AllowParallelAttempts: true, AllowCancel: true, SendRetryAfter: true, MaxRetryAfter: 1000,
-		EventInterval: 4, AnswerGracePeriod: 16, SlowStartMinCapacity: 0.2, SlowStartDuration: 20000, OverloadMultiple: 2.5, OverloadDuration: 1000,
-		PollInterval: 10000, DrainGracePeriod: 2000,
+		Seed: 1, SidecarCount: 3, EventInterval: 4, PollInterval: 10000, DrainGracePeriod: 2000, AnswerGracePeriod: 16,
+		MaxAttempts: 4, AllowParallelAttempts: true, AllowCancel: true, SendRetryAfter: true, MaxRetryAfter: 1000,
+		SlowStartMinCapacity: 0.2, SlowStartDuration: 20000, OverloadMultiple: 2.5, OverloadDuration: 1000,
 		Classes: []Class{
-			{Idempotency: Idempotent, LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1},
-			{Idempotency: NonIdempotent, LatencyObjective: 300, Deadline: 600, PriorityWeight: 5},
-			{Idempotency: IdempotentWithKey, DeduplicationScope: ScopeCell, IdempotencyWindow: 1200, LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3},
-			{Idempotency: IdempotentWithKey, DeduplicationScope: ScopeAll, IdempotencyWindow: 1200, LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3},
-			{Idempotency: IdempotentWithKey, DeduplicationScope: ScopeZone, IdempotencyWindow: 1200, LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3},
+			idempotentClass:    {Idempotency: Idempotent, LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1},
+			nonIdempotentClass: {Idempotency: NonIdempotent, LatencyObjective: 300, Deadline: 600, PriorityWeight: 5},
+			cellScopeClass:     withKey(ScopeCell),
+			allScopeClass:      withKey(ScopeAll),
+			zoneScopeClass:     withKey(ScopeZone),
 		},
 	}
 }
--- a/balance/load_report_test.go
+++ b/balance/load_report_test.go
@@ -5,7 +5,8 @@
 // Overloaded servers stay slow until they have been idle for a while: a reported wait beyond the objective ejects a server.
 func TestReportedQueueEjectsAServer(t *testing.T) {
 	cfg := baseConfig()
-	cfg.LoadReports, cfg.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldErrorRate, FieldLatency, FieldQueueLength}
+	cfg.LoadReports, cfg.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldErrorRate, FieldLatency,
+		FieldQueueLength}
 	for queue, ejects := range map[float32]bool{2: false, 8: true} {
 		g := newHarness(t, cfg, testServers(3)...)
 		id, actions := g.request(idempotentClass)
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -305,7 +305,8 @@
 		}
 		g.now = end
 		if i > 30 && g.balancer.requests.open[id].attempts[0].overdue {
-			t.Fatalf("attempt %d of %v ms is taken to be overdue after %v", i, times[i%3], g.balancer.overdueAfter(g.balancer.requests.open[id]))
+			t.Fatalf("attempt %d of %v ms is taken to be overdue after %v", i, times[i%3],
+				g.balancer.overdueAfter(g.balancer.requests.open[id]))
 		}
 		g.finishAttempt(id, 0, OK, times[i%3])
 	}
--- a/balance/pick_bench_test.go
+++ b/balance/pick_bench_test.go
@@ -70,7 +70,8 @@
 	}
 	for _, a := range actions {
 		if a.Kind == Send {
-			g.out = Outcome{Request: g.req.ID, Server: a.Server, Result: OK, Elapsed: 20 + float64(g.random>>32%10), RequestDone: true}
+			g.out = Outcome{Request: g.req.ID, Server: a.Server, Result: OK, Elapsed: 20 + float64(g.random>>32%10),
+				RequestDone: true}
 			if _, err := g.b.Handle(g.now+g.out.Elapsed, &g.out); err != nil {
 				panic(err)
 			}
--- a/balance/placement_test.go
+++ b/balance/placement_test.go
@@ -88,7 +88,8 @@
 // Exclusions are applied in their order, each where enough servers remain; those that are not are reported once a call.
 func TestExclusionsLeaveEnoughServers(t *testing.T) {
 	g := newHarness(t, baseConfig(), testServers(4)...)
-	g.handle(Placement{Exclusions: []Exclusion{testExclusion(3, 0.5, 1), testExclusion(5, 0.7, 2), testExclusion(4, 0, 2, 77), testExclusion(6, math.NaN(), 3), testExclusion(8, 0.2, 3)}})
+	g.handle(Placement{Exclusions: []Exclusion{testExclusion(3, 0.5, 1), testExclusion(5, 0.7, 2),
+		testExclusion(4, 0, 2, 77), testExclusion(6, math.NaN(), 3), testExclusion(8, 0.2, 3)}})
 	got := g.serveCounting(40, 0)
 	if got[1] > 0 || got[2] > 0 || got[3] < 15 {
 		t.Errorf("sent %v, want 1 and 2 excluded: 3 and 4 leave less than a half", got)
@@ -101,7 +102,8 @@
 	}
 	// With one more server enough remain for the last one as well.
 	g.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{{ID: 9, RelativeCapacity: 2}}})
-	if got := g.serveCounting(60, 0); got[3] > 0 || got[9] < 30 || !slices.Equal(g.balancer.SuspendedExclusions(), []int{5, 6}) {
+	if got := g.serveCounting(60, 0); got[3] > 0 || got[9] < 30 ||
+		!slices.Equal(g.balancer.SuspendedExclusions(), []int{5, 6}) {
 		t.Errorf("sent %v, want 3 excluded as well", got)
 	}
 }
@@ -188,7 +190,8 @@
 
 func TestHotKeyFollowsLoadFractions(t *testing.T) {
 	far := serversOutsideSubset(t)
-	g := newHotKeyHarness(t, Replica{far[0], 0.5}, Replica{far[1], 0.25}, Replica{far[2], 0}, Replica{999, 0.1}, Replica{far[3], math.NaN()})
+	g := newHotKeyHarness(t, Replica{far[0], 0.5}, Replica{far[1], 0.25}, Replica{far[2], 0}, Replica{999, 0.1},
+		Replica{far[3], math.NaN()})
 	got := g.serveAmongOtherKeys(1000, hotTestKey)
 	for i, want := range []int{500, 250, 50} {
 		if n := got[far[i]]; math.Abs(float64(n-want)) > 15 {
@@ -226,7 +229,8 @@
 			g.balancer.scheduleRefresh(s)
 		},
 		"excluded": func(g *harness, s *server) {
-			g.handle(Placement{Exclusions: []Exclusion{testExclusion(1, 0, s.ID)}, HotKeys: []HotKey{{Key: hotTestKey, Replicas: []Replica{{s.ID, 0.5}}, ExpiresAt: 1e9}}})
+			g.handle(Placement{Exclusions: []Exclusion{testExclusion(1, 0, s.ID)},
+				HotKeys: []HotKey{{Key: hotTestKey, Replicas: []Replica{{s.ID, 0.5}}, ExpiresAt: 1e9}}})
 		},
 		"over its load bound": func(g *harness, s *server) { g.balancer.addInFlight(s, 50) },
 	} {
@@ -294,7 +298,8 @@
 			}
 			suspended := w.balancer.SuspendedExclusions()
 			for _, k := range exclusions { // all requests are of tenant 0
-				if k.Tenant <= 0 && k.ExpiresAt > w.now && slices.Contains(k.Servers, o.attempts[0].server.ID) && !slices.Contains(suspended, k.ID) {
+				if k.Tenant <= 0 && k.ExpiresAt > w.now && slices.Contains(k.Servers, o.attempts[0].server.ID) &&
+					!slices.Contains(suspended, k.ID) {
 					t.Fatalf("seed %d: request %d went to %d, from which %+v excludes it", seed, id, o.attempts[0].server.ID, k)
 				}
 			}
@@ -320,7 +325,8 @@
 	}
 	var p Placement
 	for id := range w.random.Intn(4) {
-		p.Exclusions = append(p.Exclusions, Exclusion{ID: id, Tenant: w.random.Intn(4) - 1, Servers: servers(), MinAvailable: number(), ExpiresAt: until()})
+		p.Exclusions = append(p.Exclusions, Exclusion{ID: id, Tenant: w.random.Intn(4) - 1, Servers: servers(),
+			MinAvailable: number(), ExpiresAt: until()})
 	}
 	for range w.random.Intn(4) {
 		s := HotKey{Key: uint64(w.random.Intn(4)), ExpiresAt: until()}
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -130,7 +130,8 @@
 		id := ServerID(i + 1)
 		s := w.servers[id]
 		if s == nil || w.random.Intn(4) == 0 {
-			s = &Server{ID: id, State: ServerState(w.random.Intn(3) % 2), RelativeCapacity: 1, Cell: i % 3, Zone: i % 2, Kind: i % 2}
+			s = &Server{ID: id, State: ServerState(w.random.Intn(3) % 2), RelativeCapacity: 1, Cell: i % 3,
+				Zone: i % 2, Kind: i % 2}
 			if w.random.Intn(3) == 0 {
 				s.StartedAt = w.now
 			}
@@ -198,8 +199,9 @@
 		if p.neverExecuted || c.Idempotency == Idempotent {
 			continue
 		}
-		apart := c.DeduplicationScope == ScopeCell && p.server.Cell != to.Cell || c.DeduplicationScope == ScopeZone && p.server.Zone != to.Zone
-		if c.Idempotency == NonIdempotent || apart || w.now >= p.sentAt+c.IdempotencyWindow {
+		otherCell := c.DeduplicationScope == ScopeCell && p.server.Cell != to.Cell
+		otherZone := c.DeduplicationScope == ScopeZone && p.server.Zone != to.Zone
+		if c.Idempotency == NonIdempotent || otherCell || otherZone || w.now >= p.sentAt+c.IdempotencyWindow {
 			w.t.Fatalf("request %d may have been executed and was sent again", a.Request)
 		}
 	}
--- a/balance/races_test.go
+++ b/balance/races_test.go
@@ -28,15 +28,16 @@
 					g.finishAttempt(id, 0, res, 100)
 					g.runTimers(id)
 					actions := g.actions[before:]
-					resent, neverRan := hasAction(actions, Send), slices.Contains([]Result{Overloaded, ConnectFailed, Obsolete}, res)
+					resent := hasAction(actions, Send)
+					neverExecuted := slices.Contains([]Result{Overloaded, ConnectFailed, Obsolete}, res)
 					switch final := hasAction(actions, Fail) || hasAction(actions, Reject); {
 					case res == OK && (final || resent):
 						t.Fatalf("after the answer: %+v", actions)
-					case res != OK && !neverRan && (resent || !hasAction(actions, Fail) || hasAction(actions, Reject)):
+					case res != OK && !neverExecuted && (resent || !hasAction(actions, Fail) || hasAction(actions, Reject)):
 						t.Fatalf("it may have been executed: %+v", actions)
-					case neverRan && (hasAction(actions, Fail) || final == resent):
+					case neverExecuted && (hasAction(actions, Fail) || final == resent):
 						t.Fatalf("it was not executed, sent again is %v: %+v", resent, actions)
-					case neverRan && resent != (name == "quiet" || name == "draining" || name == "shedding"):
+					case neverExecuted && resent != (name == "quiet" || name == "draining" || name == "shedding"):
 						t.Fatalf("sent again is %v", resent)
 					}
 				})
@@ -92,7 +93,9 @@
 			g.handle(HealthCheckResult{Server: 1, Elapsed: 1, LoadReport: []float32{0}})
 			wake(g, id)
 		}},
-		"waits between two attempts": {1, false, func(g *harness, id RequestID) { g.finishAttempt(id, 0, Overloaded, 1) }, back},
+		"waits between two attempts": {1, false, func(g *harness, id RequestID) {
+			g.finishAttempt(id, 0, Overloaded, 1)
+		}, back},
 		"its server drained": {1, false, func(g *harness, id RequestID) {
 			g.drain(1)
 			g.finishAttempt(id, 0, ConnectFailed, 1)
@@ -122,7 +125,8 @@
 			}
 			from := len(g.actions)
 			c.after(g, id)
-			if actions := g.actions[from:]; hasAction(actions, Send) || hasAction(actions, Reject) || hasAction(actions, Fail) || len(g.balancer.requests.open) != 0 {
+			if actions := g.actions[from:]; hasAction(actions, Send) || hasAction(actions, Reject) ||
+				hasAction(actions, Fail) || len(g.balancer.requests.open) != 0 {
 				t.Fatalf("%d requests left, %+v", len(g.balancer.requests.open), actions)
 			}
 		})
@@ -144,9 +148,11 @@
 			}
 			actions = g.handle(Outcome{Request: id, Server: s.ID, Result: res, Elapsed: 1, RequestDone: res == OK})
 			if len(actions) != 0 || len(g.balancer.requests.open) != 0 || s.inFlight != 0 {
-				t.Errorf("class %d, result %d: %d requests left, %d in flight, %+v", class, res, len(g.balancer.requests.open), s.inFlight, actions)
+				t.Errorf("class %d, result %d: %d requests left, %d in flight, %+v", class, res,
+					len(g.balancer.requests.open), s.inFlight, actions)
 			}
-			if _, err := g.balancer.Handle(g.now, Outcome{Request: id, Server: s.ID, Result: res, RequestDone: true}); err == nil {
+			if _, err := g.balancer.Handle(g.now, Outcome{Request: id, Server: s.ID, Result: res,
+				RequestDone: true}); err == nil {
 				t.Errorf("class %d: an attempt ended twice", class)
 			}
 		}
@@ -206,11 +212,13 @@
 				ids[to] = append(ids[to], id)
 			}
 			down, up := ids[1][0], ids[1][1]
-			if actions := g.finishAttempt(down, 0, ConnectFailed, 100); !slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == Cancel && a.Request == up }) {
+			cancelled := func(a Action) bool { return a.Kind == Cancel && a.Request == up }
+			if actions := g.finishAttempt(down, 0, ConnectFailed, 100); !slices.ContainsFunc(actions, cancelled) {
 				t.Fatalf("class %d: not cancelled: %+v", class, actions)
 			}
 			actions := g.finishAttempt(up, 0, res, 100)
-			if to, sent := sentServer(actions); sent != (res != OK) || sent && to != 2 || hasAction(actions, Reject) || hasAction(actions, Fail) {
+			if to, sent := sentServer(actions); sent != (res != OK) || sent && to != 2 || hasAction(actions, Reject) ||
+				hasAction(actions, Fail) {
 				t.Errorf("class %d, result %d: sent again is %v, %+v", class, res, sent, actions)
 			}
 			if left := g.balancer.requests.open[up] != nil; left != (res != OK) {
@@ -230,8 +238,10 @@
 			t.Fatal("no health check is pending")
 		}
 		g.handle(HealthCheckResult{Server: 1, Result: result})
-		if blamed := s.errors.healthCheckFailed || g.balancer.isEjected(s); blamed != (result == ConnectFailed) || s.healthCheckPending {
-			t.Errorf("result %d: failed %v, ejected %v, pending %v", result, s.errors.healthCheckFailed, g.balancer.isEjected(s), s.healthCheckPending)
+		if blamed := s.errors.healthCheckFailed || g.balancer.isEjected(s); blamed != (result == ConnectFailed) ||
+			s.healthCheckPending {
+			t.Errorf("result %d: failed %v, ejected %v, pending %v", result, s.errors.healthCheckFailed,
+				g.balancer.isEjected(s), s.healthCheckPending)
 		}
 	}
 }
--- a/balance/reference_pick_test.go
+++ b/balance/reference_pick_test.go
@@ -59,7 +59,8 @@
 	}
 	if byKey {
 		b.selection.headroom = keyLoadHeadroom
-		if s := b.nextReplica(r.Key); s != nil && s.inRotation && slices.Contains(b.selection.candidates, s) && b.hasCapacity(s) {
+		if s := b.nextReplica(r.Key); s != nil && s.inRotation && slices.Contains(b.selection.candidates, s) &&
+			b.hasCapacity(s) {
 			choices = []*server{s}
 		} else {
 			choices = b.referenceSubset(r.Key)
@@ -94,7 +95,8 @@
 
 func (b *Balancer) referenceEjected(s *server) bool {
 	z := b.healthOfZone(s.Zone)
-	return b.now < s.ejection.until || b.now < s.gossip.ejectedUntil || z.lost && b.now < z.ejectedUntil && s.slowStart.since < z.unreachableSince
+	return b.now < s.ejection.until || b.now < s.gossip.ejectedUntil || z.lost && b.now < z.ejectedUntil &&
+		s.slowStart.since < z.unreachableSince
 }
 
 func (b *Balancer) referenceCandidates(r *request, all bool) float64 {
@@ -173,7 +175,8 @@
 	cfg.KeyAffinity, cfg.AllowParallelAttempts = true, false
 	cfg.Costs.CrossZone = 0.01 * float64(seed%2)
 	if seed%3 == 1 {
-		cfg.LoadReports, cfg.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldInFlight, FieldUtilization, FieldQueueLength, FieldLatency}
+		cfg.LoadReports, cfg.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldInFlight, FieldUtilization,
+			FieldQueueLength, FieldLatency}
 	}
 	if seed%4 == 3 {
 		cfg.AllowGossip, cfg.Costs.Gossip = true, 0.06
@@ -181,7 +184,8 @@
 	if seed%7 == 3 {
 		cfg.SlowStartMinCapacity, cfg.SlowStartDuration = 0, 300
 	}
-	w := &differentialPair{t: t, random: random, config: cfg, now: 5000, servers: map[ServerID]Server{}, attempts: map[RequestID]int{}, lostZone: -1}
+	w := &differentialPair{t: t, random: random, config: cfg, now: 5000, servers: map[ServerID]Server{},
+		attempts: map[RequestID]int{}, lostZone: -1}
 	for i := range w.balancers {
 		w.balancers[i] = mustNew(t, cfg)
 		w.balancers[i].Start(w.now)
@@ -219,7 +223,8 @@
 	actions, err := w.balancers[0].Handle(w.now, ev)
 	actions = slices.Clone(actions)
 	plain, plainErr := w.balancers[1].Handle(w.now, ev)
-	if !slices.EqualFunc(actions, plain, func(a, p Action) bool { return reflect.DeepEqual(a, p) }) || err != nil || plainErr != nil {
+	if !slices.EqualFunc(actions, plain, func(a, p Action) bool { return reflect.DeepEqual(a, p) }) || err != nil ||
+		plainErr != nil {
 		w.t.Fatalf("at %v, %T %+v: %v %+v, the reference %v %+v", w.now, ev, ev, err, actions, plainErr, plain)
 	}
 	for _, a := range actions {
@@ -260,7 +265,8 @@
 	case n < 184: // time in which ejections, load reports and slow starts end
 		w.now += 3000 * w.random.Float64()
 	case n < 186:
-		hints := []finding{{findingFault, serverTag(ServerID(1 + w.random.Intn(60))), w.now}, {findingRecovery, serverTag(1), w.now}}
+		hints := []finding{{findingFault, serverTag(ServerID(1 + w.random.Intn(60))), w.now},
+			{findingRecovery, serverTag(1), w.now}}
 		w.handle(GossipMessage{From: w.random.Intn(30), Data: encodeGossip(w.now, hints)})
 	case n < 192: // one server changes, is added or removed
 		id := ServerID(1 + w.random.Intn(len(w.servers)+2))
@@ -287,7 +293,8 @@
 		result = ConnectFailed
 	}
 	out := Outcome{Request: a.Request, Attempt: a.Attempt, Server: a.Server, Result: result, RequestDone: result == OK}
-	if out.Elapsed = 5 + w.random.Float64()*40*float64(1+a.Server%3); result == OK && w.config.LoadReports == LoadReportPiggyback {
+	if out.Elapsed = 5 + w.random.Float64()*40*float64(1+a.Server%3); result == OK &&
+		w.config.LoadReports == LoadReportPiggyback {
 		out.LoadReport = []float32{float32(w.random.Intn(9)), w.random.Float32(), float32(w.random.Intn(3)), 20}
 	}
 	w.handle(out)
--- a/balance/retry_rules_test.go
+++ b/balance/retry_rules_test.go
@@ -146,7 +146,8 @@
 	s, _ := sentServer(actions)
 	g.handle(StreamStarted{Request: id, Server: s, Elapsed: 20})
 	g.now += 5000
-	if actions := g.handle(TimerFired{Token: uint64(id)}); hasAction(actions, Fail) || hasAction(actions, Reject) || hasAction(actions, Send) {
+	if actions := g.handle(TimerFired{Token: uint64(id)}); hasAction(actions, Fail) || hasAction(actions, Reject) ||
+		hasAction(actions, Send) {
 		t.Fatalf("a running stream got %+v", actions)
 	}
 	g.handle(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, RequestDone: true})
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -103,7 +103,8 @@
 		}
 	}
 	b := g.balancer
-	if len(b.requests.open) > 1 || len(b.servers) != 5 || len(b.serversByID) != 5 || len(b.requests.awaitingHealthChecks) > 1 || cap(b.actions) > 100 {
+	if len(b.requests.open) > 1 || len(b.servers) != 5 || len(b.serversByID) != 5 ||
+		len(b.requests.awaitingHealthChecks) > 1 || cap(b.actions) > 100 {
 		t.Fatalf("%d requests, %d servers, %d by ID, %d waiting, room for %d actions",
 			len(b.requests.open), len(b.servers), len(b.serversByID), len(b.requests.awaitingHealthChecks), cap(b.actions))
 	}
@@ -129,7 +130,8 @@
 				if actions[0].Kind != Send {
 					continue
 				}
-				if _, err := bal.Handle(now+4, Outcome{Request: id, Server: actions[0].Server, Elapsed: 4, RequestDone: true}); err != nil {
+				if _, err := bal.Handle(now+4, Outcome{Request: id, Server: actions[0].Server, Elapsed: 4,
+					RequestDone: true}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/cmd/simadapter/fixtures_test.go
+++ b/cmd/simadapter/fixtures_test.go
@@ -50,18 +50,22 @@
 			if result == 0 {
 				done = 1
 			}
-			due = append(due, record(recordOutcome, instance, id, uint8(attempt), a[20:26], result, 10.5+float64(id%7), done, uint8(0)))
+			due = append(due, record(recordOutcome, instance, id, uint8(attempt), a[20:26], result, 10.5+float64(id%7),
+				done, uint8(0)))
 		}
 	}
-	send(1000, startInstance(1, 7, sessionSettings), startInstance(2, 8, sessionSettings), serverTable(20), cachedUpdate(1), cachedUpdate(2))
+	send(1000, startInstance(1, 7, sessionSettings), startInstance(2, 8, sessionSettings), serverTable(20),
+		cachedUpdate(1), cachedUpdate(2))
 	for id := uint64(1); id <= 150; id++ {
 		clock := 1000 + 12*float64(id)
 		records := append([][]byte(nil), due...)
 		instance := uint16(1 + id%2)
-		records = append(records, record(recordRequest, instance, id, uint16(0), 0.0, uint16(0), id*7919%40, 1000.0, uint16(id%3)))
+		records = append(records, record(recordRequest, instance, id, uint16(0), 0.0, uint16(0), id*7919%40, 1000.0,
+			uint16(id%3)))
 		switch {
 		case id%20 == 0:
-			records = append(records, record(recordTimerFired, instance, uint64(1<<60)), record(recordTimerFired, instance, uint64(1<<60+1)))
+			records = append(records, record(recordTimerFired, instance, uint64(1<<60)),
+				record(recordTimerFired, instance, uint64(1<<60+1)))
 		case id%33 == 0:
 			records = append(records, record(recordEndpointUpdate, instance, uint8(2), uint32(0), uint16(0)))
 		case id%35 == 0:
--- a/internal/wire/fixtures_test.go
+++ b/internal/wire/fixtures_test.go
@@ -90,12 +90,18 @@
 		0.0, uint8(0), firstServer, float32(1), uint16(300), uint8(2), uint8(3),
 		6100.0, uint8(2), secondServer, float32(1.5), uint16(0), uint8(1), uint8(0),
 		math.Inf(1), uint8(1), thirdServer, float32(0.25), uint16(0), uint8(0), uint8(0)))
-	add(1001, 3, packed(uint16(1040), uint16(3), uint8(0), uint32(41), uint16(2)), balance.EndpointUpdate{Kind: balance.UpdateFull, Servers: listed})
-	add(1001, 4, packed(uint16(1040), uint16(4), uint8(1), uint32(41), uint16(2)), balance.EndpointUpdate{Kind: balance.UpdateCached, Servers: listed})
-	add(1002, 4, packed(uint16(1040), uint16(4), uint8(3), uint32(42), uint16(2)), balance.EndpointUpdate{Kind: balance.UpdateDelta, Servers: listed})
-	add(1003, 4, packed(uint16(1040), uint16(4), uint8(2), uint32(0), uint16(9)), balance.EndpointUpdate{Kind: balance.UpdateFailed})
-	add(1004, 3, packed(uint16(1010), uint16(3), uint64(77), uint16(2), 12.5, uint16(7), uint64(0x91f03b7c55d20a64), 240.0, uint16(1)),
-		balance.Request{ID: 77, Class: 1, Tenant: 2, ExpectedWork: 12.5, Key: 0x91f03b7c55d20a64, Timeout: 240, ClientRetry: true, Write: true})
+	add(1001, 3, packed(uint16(1040), uint16(3), uint8(0), uint32(41), uint16(2)),
+		balance.EndpointUpdate{Kind: balance.UpdateFull, Servers: listed})
+	add(1001, 4, packed(uint16(1040), uint16(4), uint8(1), uint32(41), uint16(2)),
+		balance.EndpointUpdate{Kind: balance.UpdateCached, Servers: listed})
+	add(1002, 4, packed(uint16(1040), uint16(4), uint8(3), uint32(42), uint16(2)),
+		balance.EndpointUpdate{Kind: balance.UpdateDelta, Servers: listed})
+	add(1003, 4, packed(uint16(1040), uint16(4), uint8(2), uint32(0), uint16(9)),
+		balance.EndpointUpdate{Kind: balance.UpdateFailed})
+	add(1004, 3, packed(uint16(1010), uint16(3), uint64(77), uint16(2), 12.5, uint16(7), uint64(0x91f03b7c55d20a64),
+		240.0, uint16(1)),
+		balance.Request{ID: 77, Class: 1, Tenant: 2, ExpectedWork: 12.5, Key: 0x91f03b7c55d20a64, Timeout: 240,
+			ClientRetry: true, Write: true})
 	add(1004, 3, packed(uint16(1010), uint16(3), uint64(78), uint16(0xffff), 12.5, uint16(0), uint64(0), math.NaN(), uint16(0)),
 		balance.Request{ID: 78, Tenant: 0xffff})
 	add(1005, 3, packed(uint16(1020), uint16(3), uint64(1<<60)), balance.TimerFired{Token: 1 << 60})
@@ -110,7 +116,8 @@
 		{0, balance.OK}, {1, balance.Cancelled}, {4, balance.TimedOut}, {8, balance.Overloaded}, {9, balance.Obsolete},
 		{10, balance.Reset}, {13, balance.Failed}, {14, balance.ConnectFailed},
 	} {
-		add(1008, 3, packed(uint16(1090), uint16(3), uint64(100+i), uint8(i), secondServer, r.code, 7.25, uint8(i%2), uint8(2), float32(3), float32(0.5)),
+		add(1008, 3, packed(uint16(1090), uint16(3), uint64(100+i), uint8(i), secondServer, r.code, 7.25, uint8(i%2),
+			uint8(2), float32(3), float32(0.5)),
 			balance.Outcome{
 				Request: balance.RequestID(100 + i), Attempt: i, Server: secondServer, Result: r.result, Elapsed: 7.25,
 				RequestDone: i%2 == 1, LoadReport: []float32{3, 0.5},
@@ -180,7 +187,8 @@
 	var a balance.Action
 	switch code {
 	case 1000:
-		a = balance.Action{Kind: balance.Send, Request: balance.RequestID(r.uint64()), Deadline: r.float64(), Server: r.serverID()}
+		a = balance.Action{Kind: balance.Send, Request: balance.RequestID(r.uint64()), Deadline: r.float64(),
+			Server: r.serverID()}
 	case 1010:
 		a = balance.Action{Kind: balance.Reject, Request: balance.RequestID(r.uint64()), RetryAfter: r.float64()}
 	case 1020:
@@ -282,10 +290,13 @@
 		"settings.json": {allSettings, balance.Config{
 			Seed: 9, SidecarIndex: 7, SidecarCount: 50, Zone: 2,
 			Classes: []balance.Class{
-				{Idempotency: balance.Idempotent, IdempotencyWindow: math.Inf(1), LatencyObjective: 100, LatencyObjectivePerWork: 1.5, Deadline: 400, PriorityWeight: 2, LateWeight: 0.25, Streaming: true},
+				{Idempotency: balance.Idempotent, IdempotencyWindow: math.Inf(1), LatencyObjective: 100,
+					LatencyObjectivePerWork: 1.5, Deadline: 400, PriorityWeight: 2, LateWeight: 0.25, Streaming: true},
 				{Idempotency: balance.NonIdempotent, IdempotencyWindow: math.Inf(1), LatencyObjective: 300, Deadline: 600},
-				{Idempotency: balance.IdempotentWithKey, DeduplicationScope: balance.ScopeZone, IdempotencyWindow: 1200, LatencyObjective: 250, Deadline: 2000, PriorityWeight: 1},
-				{Idempotency: balance.IdempotentWithKey, DeduplicationScope: balance.ScopeCell, IdempotencyWindow: math.Inf(1), LatencyObjective: 800, Deadline: 800, PriorityWeight: 1},
+				{Idempotency: balance.IdempotentWithKey, DeduplicationScope: balance.ScopeZone,
+					IdempotencyWindow: 1200, LatencyObjective: 250, Deadline: 2000, PriorityWeight: 1},
+				{Idempotency: balance.IdempotentWithKey, DeduplicationScope: balance.ScopeCell,
+					IdempotencyWindow: math.Inf(1), LatencyObjective: 800, Deadline: 800, PriorityWeight: 1},
 			},
 			Tenants:         []balance.Tenant{{QuotaRate: 12.5, Quota: 0.6}, {Quota: 0.4}},
 			OverQuotaWeight: 0.3, EventInterval: 4, KeyAffinity: true, Subscribe: true, LoadReports: balance.LoadReportPiggyback,
@@ -297,11 +308,13 @@
 			ConnectTimeout: 150, DrainGracePeriod: 2000, SlowStartMinCapacity: 0.2, SlowStartDuration: 20000, OverloadMultiple: 2.5, OverloadDuration: 1000,
 			PollInterval: 10000, AnswerGracePeriod: 16,
 			Objective: balance.Objective{Overall: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1},
-			Costs:     balance.Costs{CrossZone: 0.01, WastedWork: 0.02, Handshake: 0.03, HealthCheck: 0.04, Gossip: 0.05, LateFailure: 0.06},
+			Costs: balance.Costs{CrossZone: 0.01, WastedWork: 0.02, Handshake: 0.03, HealthCheck: 0.04,
+				Gossip: 0.05, LateFailure: 0.06},
 		}},
 		"settings-least.json": {`{"classes": [{"effect": "read_like", "hard_limit_ms": 400}]}` + "\n", balance.Config{
 			Seed: 9, SidecarCount: 1, OverQuotaWeight: 1, MaxAttempts: 1, SlowStartMinCapacity: 1,
-			Classes: []balance.Class{{Idempotency: balance.Idempotent, IdempotencyWindow: math.Inf(1), LatencyObjective: 400, Deadline: 400, PriorityWeight: 1}},
+			Classes: []balance.Class{{Idempotency: balance.Idempotent, IdempotencyWindow: math.Inf(1),
+				LatencyObjective: 400, Deadline: 400, PriorityWeight: 1}},
 		}},
 	} {
 		cfg, err := ParseSettings(9, golden(t, name, []byte(c.text)))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -156,7 +156,8 @@
 		config.SlowStartMinCapacity != 0.2 || config.Tenants[0].Quota != 0.4 {
 		t.Errorf("%+v", config)
 	}
-	if want := (balance.Objective{Overall: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); config.Objective != want {
+	if want := (balance.Objective{Overall: 0.4, WorstWindow: 0.3, WorstClass: 0.2,
+		WorstTenant: 0.1}); config.Objective != want {
 		t.Errorf("objective %+v", config.Objective)
 	}
 	want := balance.Costs{CrossZone: 1, WastedWork: 2, Handshake: 3, HealthCheck: 4, Gossip: 5, LateFailure: 6}
