--- a/internal/hotkey/config.go
+++ b/internal/hotkey/config.go
@@ -1,6 +1,10 @@
 package hotkey
 
-import "fmt"
+import (
+	"fmt"
+
+	"milldeck/internal/validation"
+)
 
 // Config says what servers can do and how far the Planner goes. Loads and capacities are in ms of work a second.
 type Config struct {
@@ -91,7 +95,7 @@
 	}
 }
 
-// Validate returns an error that names a setting which is out of its range. The names are those of flags and experiment
+// Validate returns a *validation.Error, wrapped, for a setting that is out of its range. The names are those of flags and experiment
 // files where these have the setting.
 func (c *Config) Validate() error {
 	for _, setting := range []struct {
@@ -121,7 +125,8 @@
 		{"directive_ttl", c.DirectiveTTL, 1, 600},
 	} {
 		if !(setting.value >= setting.lower && setting.value <= setting.upper) {
-			return fmt.Errorf("hotkey: %s = %v is not within %v to %v", setting.name, setting.value, setting.lower, setting.upper)
+			err := validation.Errorf(setting.name, "%v is not within %v to %v", setting.value, setting.lower, setting.upper)
+			return fmt.Errorf("hotkey: %w", err)
 		}
 	}
 	return nil
--- a/internal/hotkey/controller.go
+++ b/internal/hotkey/controller.go
@@ -29,7 +29,7 @@
 	maxDrainRequests = 4096             // servers that drain at a time
 )
 
-// ErrNotLeader says that this controller doesn't hold the lease at the moment.
+// ErrNotLeader says that this controller doesn't hold the lease at the moment. The text is part of the HTTP interface.
 var ErrNotLeader = errors.New("the duty " + LeaseName + " is not held here")
 
 // Store is what a Controller needs of the registry; registry.Client implements it.
--- a/internal/supervisor/client.go
+++ b/internal/supervisor/client.go
@@ -17,30 +17,35 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// The HTTP form: POST UnitsPath with a Call, answered with an Answer, under status 200 or, where it holds a refusal,
-// 409; GET UnitsPath, answered with a List.
 const (
+	// UnitsPath is the path of the platform's HTTP form. POST takes a Batch and is answered with a BatchResponse under
+	// status 200, or 409 where it has a rejection; GET is answered with a List.
 	UnitsPath = "/supervisor/units"
-	// MaxBatchBytes bounds a call's body in bytes: a few whole configurations, or many without.
+	// MaxBatchBytes is the size of a batch's body: a few complete configurations, or many requests without.
 	MaxBatchBytes = 8 << 20
 )
 
 const (
-	attemptTimeout   = 2 * time.Second // for one attempt: a platform answers at once, it does not wait for processes
+	attemptTimeout   = 2 * time.Second // a platform answers at once, it doesn't wait for processes
 	initialBackoff   = 50 * time.Millisecond
 	maxBackoff       = time.Second
-	maxAttempts      = 8 // of one call; with the longest waits 20 s, after which its caller has to look anew
+	maxAttempts      = 8 // of one call; with the longest backoffs 20 s, after which its caller has to decide again
 	dialTimeout      = time.Second
-	maxResponseBytes = 32 << 20 // bytes; a list of 65,536 units has about 20 MB
-	maxErrorBytes    = 200      // bytes of an answer that stand in an error
+	idleTimeout      = 30 * time.Second // of a connection
+	maxIdleConns     = 16
+	maxResponseBytes = 32 << 20 // a list of 65,536 units has about 20 MB
+	maxErrorBytes    = 200      // of a response that are quoted in an error
 )
 
+// errNotExecuted says that the platform has not executed any request of a call.
+var errNotExecuted = errors.New("not executed")
+
 // Batch is the body of a call.
 type Batch struct {
 	Requests []Request `json:"requests"`
 }
 
-// BatchResponse is the body of an answer: outcomes, or why there are none.
+// BatchResponse is the body of a response: outcomes, or why there are none.
 type BatchResponse struct {
 	Outcomes []Outcome `json:"outcomes,omitempty"`
 	Error    string    `json:"error,omitempty"`
@@ -55,27 +60,31 @@
 
 var _ Supervisor = (*Client)(nil)
 
-// NewClient makes a client of the platform at an address on loopback.
+// NewClient returns a client of the platform at an address and port on loopback.
 func NewClient(addr string) (*Client, error) {
 	if at, err := netip.ParseAddrPort(addr); err != nil || !at.Addr().IsLoopback() {
-		return nil, fmt.Errorf("supervisor: %q is no address and port on loopback", addr)
+		return nil, fmt.Errorf("supervisor: %q is not an address and port on loopback", addr)
+	}
+	transport := &http.Transport{
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+		MaxIdleConnsPerHost: maxIdleConns,
+		IdleConnTimeout:     idleTimeout,
+		DisableCompression:  true,
 	}
 	return &Client{
-		baseURL: "http://" + addr, attemptTimeout: attemptTimeout,
+		baseURL:        "http://" + addr,
+		attemptTimeout: attemptTimeout,
 		httpClient: &http.Client{
-			Transport: &http.Transport{
-				DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second,
-				DisableCompression: true,
-			},
+			Transport:     transport,
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}, nil
 }
 
-// Close ends the client's idle connections.
+// Close closes the client's idle connections.
 func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
-// Do asks until it has an answer, as each request is done once however often it is asked for.
+// Do retries until it has a response, as each request is done once however often it is sent.
 func (c *Client) Do(ctx context.Context, requests ...Request) ([]Outcome, error) {
 	if err := ValidateBatch(requests); err != nil {
 		return nil, fmt.Errorf("supervisor: %w", err)
@@ -85,12 +94,12 @@
 		return nil, fmt.Errorf("supervisor: %w", err)
 	}
 	if len(body) > MaxBatchBytes {
-		return nil, fmt.Errorf("supervisor: a call of %d bytes, at most %d can be", len(body), MaxBatchBytes)
+		return nil, fmt.Errorf("supervisor: a batch of %d bytes, at most %d can be", len(body), MaxBatchBytes)
 	}
 	if err := ctx.Err(); err != nil {
-		return nil, fmt.Errorf("supervisor: nothing was asked: %w", err)
+		return nil, fmt.Errorf("supervisor: %w: %w", errNotExecuted, err)
 	}
-	mayHaveExecuted := false // an attempt may have come to the platform
+	mayHaveExecuted := false
 	outcomes, err := retry(ctx, func() ([]Outcome, error) {
 		data, err := c.attempt(ctx, http.MethodPost, body, &mayHaveExecuted)
 		if err != nil {
@@ -100,18 +109,21 @@
 		if err := decodeJSON(data, &response); err != nil {
 			return nil, err
 		}
-		return response.Outcomes, response.validate(requests)
+		if err := response.validate(requests); err != nil {
+			return nil, err
+		}
+		return response.Outcomes, nil
 	})
-	if err != nil && mayHaveExecuted {
+	switch {
+	case err == nil:
+		return outcomes, nil
+	case mayHaveExecuted:
 		return nil, fmt.Errorf("supervisor: %w: %w", ErrOutcomeUnknown, err)
 	}
-	if err != nil {
-		return nil, fmt.Errorf("supervisor: nothing was asked: %w", err)
-	}
-	return outcomes, nil
+	return nil, fmt.Errorf("supervisor: %w: %w", errNotExecuted, err)
 }
 
-// List asks until it has an answer.
+// List retries until it has a valid list.
 func (c *Client) List(ctx context.Context) (*List, error) {
 	var mayHaveExecuted bool // of no interest: a list changes nothing
 	list, err := retry(ctx, func() (*List, error) {
@@ -123,7 +135,10 @@
 		if err := decodeJSON(data, list); err != nil {
 			return nil, err
 		}
-		return list, list.validate()
+		if err := list.validate(); err != nil {
+			return nil, err
+		}
+		return list, nil
 	})
 	if err != nil {
 		return nil, fmt.Errorf("supervisor: list: %w", err)
@@ -131,37 +146,8 @@
 	return list, nil
 }
 
-// retry tries until it succeeds, the failure is a lasting one, or tries or ctx end. The error is the last failure.
-func retry[T any](ctx context.Context, attempt func() (T, error)) (T, error) {
-	policy := backoff.NewExponentialBackOff() // jittered by half to both sides
-	policy.InitialInterval, policy.MaxInterval = initialBackoff, maxBackoff
-	var lastErr error
-	v, err := backoff.Retry(ctx, func() (T, error) {
-		v, err := attempt()
-		if err != nil && (lastErr == nil || ctx.Err() == nil) {
-			lastErr = err // what an attempt says that ctx has cut off tells less than the one before
-		}
-		return v, err
-	}, backoff.WithBackOff(policy), backoff.WithMaxTries(maxAttempts), backoff.WithMaxElapsedTime(0))
-	if err == nil {
-		return v, nil
-	}
-	var permanent *backoff.PermanentError
-	if errors.As(lastErr, &permanent) {
-		lastErr = permanent.Unwrap()
-	}
-	if ctx.Err() != nil && !errors.Is(lastErr, ctx.Err()) {
-		if lastErr == nil {
-			lastErr = ctx.Err()
-		} else {
-			lastErr = fmt.Errorf("%w, after %w", ctx.Err(), lastErr)
-		}
-	}
-	var zero T
-	return zero, lastErr
-}
-
-// attempt makes one attempt. It notes where the platform may have read a request that it may have carried out.
+// attempt makes one attempt and returns the response's body. It sets mayHaveExecuted where the platform may have read the
+// request and carried it out.
 func (c *Client) attempt(ctx context.Context, method string, body []byte, mayHaveExecuted *bool) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.attemptTimeout)
 	defer cancel()
@@ -182,8 +168,8 @@
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	status := resp.StatusCode
-	if status >= 400 && status < 500 && status != http.StatusConflict && status != http.StatusRequestTimeout {
-		// Not taken, and no repeat would fare better. What attempts before it did is another matter.
+	if isPermanent(status) {
+		// Not carried out, and no retry would succeed. Attempts before may have been.
 		return nil, backoff.Permanent(fmt.Errorf("%d: %s", status, errorText(data)))
 	}
 	*mayHaveExecuted = true
@@ -191,14 +177,19 @@
 	case err != nil:
 		return nil, err
 	case len(data) > maxResponseBytes:
-		return nil, fmt.Errorf("an answer of more than %d bytes", maxResponseBytes)
+		return nil, fmt.Errorf("a response of more than %d bytes", maxResponseBytes)
 	case status != http.StatusOK && status != http.StatusConflict:
 		return nil, fmt.Errorf("%d: %s", status, errorText(data))
 	}
 	return data, nil
 }
 
-// errorText is what a failed answer says, on one line.
+// isPermanent reports whether a status says that the request itself is at fault.
+func isPermanent(status int) bool {
+	return status >= 400 && status < 500 && status != http.StatusConflict && status != http.StatusRequestTimeout
+}
+
+// errorText is what a failed response says, on one line.
 func errorText(data []byte) string {
 	var response BatchResponse
 	if json.Unmarshal(data, &response) == nil && response.Error != "" {
@@ -207,52 +198,10 @@
 	return strings.Join(strings.Fields(fmt.Sprintf("%.*s", maxErrorBytes, data)), " ")
 }
 
-// decodeJSON reads one JSON value and no more. Keys that are not known are left alone, as a newer platform may have them.
+// decodeJSON decodes one JSON value and no more. Unknown keys are ignored, as a newer platform may have them.
 func decodeJSON(data []byte, v any) error {
 	if err := json.Unmarshal(data, v); err != nil {
-		return fmt.Errorf("answer: %w", err)
-	}
-	return nil
-}
-
-// validate holds an answer against what was asked.
-func (a *BatchResponse) validate(requests []Request) error {
-	if len(a.Outcomes) != len(requests) {
-		return fmt.Errorf("answer: %d outcomes of %d requests", len(a.Outcomes), len(requests))
-	}
-	for i := range a.Outcomes {
-		outcome, request := &a.Outcomes[i], &requests[i]
-		if outcome.ID != request.ID || outcome.Unit != request.Unit || outcome.Epoch == 0 {
-			return fmt.Errorf("answer: outcome %d is not of request %s", i, request.ID)
-		}
-		if outcome.Rejected == "" && (outcome.Epoch != request.Epoch || outcome.Incarnation == 0) {
-			return fmt.Errorf("answer: outcome %d has memory %d and incarnation %d", i, outcome.Epoch, outcome.Incarnation)
-		}
-	}
-	return nil
-}
-
-// validate refuses a list that cannot be.
-func (l *List) validate() error {
-	if l.Epoch == 0 || l.Units == nil {
-		return errors.New("list: has no memory or no units")
-	}
-	for i := range l.Units {
-		u := &l.Units[i]
-		if err := validateName(u.Name); err != nil {
-			return fmt.Errorf("list: unit %d: %w", i, err)
-		}
-		if i > 0 && l.Units[i-1].Name >= u.Name {
-			return fmt.Errorf("list: %s is not in order, or twice", u.Name)
-		}
-		switch u.State {
-		case Starting, Running, Stopping, Exited:
-		default:
-			return fmt.Errorf("list: %s has a state that is not known: %.40q", u.Name, u.State)
-		}
-		if err := u.Kind.validate(); err != nil || u.Incarnation == 0 {
-			return fmt.Errorf("list: %s has kind %.40q and incarnation %d", u.Name, u.Kind, u.Incarnation)
-		}
+		return fmt.Errorf("response: %w", err)
 	}
 	return nil
 }
--- a/internal/supervisor/client_test.go
+++ b/internal/supervisor/client_test.go
@@ -16,18 +16,21 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func stopRequest(id string) Request {
-	return Request{ID: id, Op: Stop, Epoch: 7, Unit: "u", Incarnation: 3}
+func stopRequest() Request {
+	return Request{ID: "a", Op: Stop, Epoch: 7, Unit: "u", Incarnation: 3}
 }
 
-// newScriptedClient gives a client of a platform that answers each call with the next of some texts, the last for good.
+// newScriptedClient returns a client of a platform that answers each call with the next of some texts, the last one from
+// then on, and the number of calls.
 func newScriptedClient(t *testing.T, status int, responses ...string) (*Client, *atomic.Int64) {
 	t.Helper()
 	var calls atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		n := min(int(calls.Add(1)), len(responses))
 		w.WriteHeader(status)
-		w.Write([]byte(responses[n-1]))
+		if _, err := w.Write([]byte(responses[n-1])); err != nil {
+			t.Error(err)
+		}
 	}))
 	t.Cleanup(srv.Close)
 	c, err := NewClient(srv.Listener.Addr().String())
@@ -45,7 +48,7 @@
 		strings.Replace(done, "7", "8", 1), strings.Replace(done, "7", "0", 1), strings.Replace(done, "3", "0", 1), strings.Replace(done, "3", `"3"`, 1),
 	} {
 		c, calls := newScriptedClient(t, 200, bad, done)
-		out, err := c.Do(t.Context(), stopRequest("a"))
+		out, err := c.Do(t.Context(), stopRequest())
 		if err != nil || len(out) != 1 || out[0].Incarnation != 3 || calls.Load() != 2 {
 			t.Errorf("%q: %+v, %v after %d calls, want the second answer", bad, out, err, calls.Load())
 		}
@@ -78,7 +81,7 @@
 	for _, c := range []struct {
 		name    string
 		client  *Client
-		wait    time.Duration // 0: it has ended before
+		timeout time.Duration // 0: the context has ended before the call
 		unknown bool
 		want    string
 	}{
@@ -87,8 +90,8 @@
 		{"400", refusing, 10 * time.Second, false, "400: no"},
 		{"ended before", failing, 0, false, "deadline exceeded"},
 	} {
-		ctx, cancel := context.WithTimeout(t.Context(), c.wait)
-		_, err := c.client.Do(ctx, stopRequest("a"))
+		ctx, cancel := context.WithTimeout(t.Context(), c.timeout)
+		_, err := c.client.Do(ctx, stopRequest())
 		cancel()
 		if err == nil || errors.Is(err, ErrOutcomeUnknown) != c.unknown || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want unknown %v and one line with %q", c.name, err, c.unknown, c.want)
@@ -109,9 +112,9 @@
 		"long id": func(r *Request) { r.ID = strings.Repeat("a/", 100) + "a" }, "a path": func(r *Request) { r.Unit = "../u" }, "an option": func(r *Request) { r.Version = "-v" },
 		"not on loopback": func(r *Request) { r.Listen = "10.0.0.1:80" }, "no port": func(r *Request) { r.Listen = "127.0.0.1:0" },
 		"no memory": func(r *Request) { r.Epoch = 0 }, "kind": func(r *Request) { r.Kind = "x" }, "op": func(r *Request) { r.Op = "x" },
-		"grace": func(r *Request) { r.GraceMS = 1 }, "stop of none": func(r *Request) { *r = stopRequest("a"); r.Incarnation = 0 },
-		"stop with a version": func(r *Request) { *r = stopRequest("a"); r.Version = "1" }, "long grace": func(r *Request) { *r = stopRequest("a"); r.GraceMS = 1e9 },
-		"reload of nothing": func(r *Request) { *r = stopRequest("a"); r.Op = Reload; r.ConfigName = "c" },
+		"grace": func(r *Request) { r.GraceMS = 1 }, "stop of none": func(r *Request) { *r = stopRequest(); r.Incarnation = 0 },
+		"stop with a version": func(r *Request) { *r = stopRequest(); r.Version = "1" }, "long grace": func(r *Request) { *r = stopRequest(); r.GraceMS = 1e9 },
+		"reload of nothing": func(r *Request) { *r = stopRequest(); r.Op = Reload; r.ConfigName = "c" },
 		"large file":        func(r *Request) { r.ConfigText = strings.Repeat("x", MaxConfigBytes+1) },
 	} {
 		r := start
--- a/internal/supervisor/core/core_test.go
+++ b/internal/supervisor/core/core_test.go
@@ -159,7 +159,7 @@
 	a := c.Do(1000, []request{stop(c, "h", "a", 1)})
 	expect(t, "hangs", fmt.Sprint(a.HeldTicket != 0)+drainEffects(c), "true")
 	c.Tick(1500)
-	expect(t, "goes on", drainEffects(c), "term 1;core.Answered;")
+	expect(t, "goes on", drainEffects(c), "term 1;core.HeldResponse;")
 
 	c = fresh()
 	before := c.list(0)
@@ -189,7 +189,7 @@
 	if out := executeOne(t, c, 5, start(c, "e", "c", "1", 0)); out.Rejected != "" {
 		t.Errorf("%+v, want the place of the one that has exited", out)
 	}
-	expect(t, "the one that has exited", drainEffects(c), "core.Dropped;launch 3 c 1;")
+	expect(t, "the one that has exited", drainEffects(c), "core.UnitRemoved;launch 3 c 1;")
 	if len(c.records) != 4 || len(c.recordOrder) != 4 || c.records["a"] == nil || c.records["b"] != nil {
 		t.Errorf("%d ids, a %v, b %v, want a kept as it starts", len(c.records), c.records["a"], c.records["b"])
 	}
--- a/internal/supervisor/core/faults.go
+++ b/internal/supervisor/core/faults.go
@@ -1,77 +1,93 @@
 package core
 
 import (
-	"errors"
 	"fmt"
+	"slices"
+
+	"milldeck/internal/validation"
 )
 
 // FaultKind is how the platform fails.
 type FaultKind string
 
-// Ways to fail. All but Forget act on calls as they come.
+// The kinds of faults. All but FaultLoseState act on calls.
 const (
-	FaultError FaultKind = "fail" // nothing is done, answered 500
-	FaultHang  FaultKind = "hang" // neither done nor answered until the fault ends, then both
-	FaultDelay FaultKind = "late" // done at once, answered DelayMS later
-	// FaultPartial does the first half of several requests, rounded up, and answers 500. Of a single one it does the first
-	// part and answers as if it were done: a start is listed but starts no process, a stop sends no SIGKILL, a restart
-	// does not start again, a reload sends no SIGHUP.
-	FaultPartial      FaultKind = "half"
-	FaultDropResponse FaultKind = "lose" // done, and the connection cut instead of an answer
-	// FaultDuplicate starts the first that the call starts twice; the platform knows of one only.
+	// FaultError does nothing and responds with status 500.
+	FaultError FaultKind = "fail"
+	// FaultHang neither executes nor responds until the fault ends, then both.
+	FaultHang FaultKind = "hang"
+	// FaultDelay executes at once, and responds DelayMS later.
+	FaultDelay FaultKind = "late"
+	// FaultPartial executes the first half of several requests, rounded up, and responds with status 500. Of a single one
+	// it does the first part and responds as if it were done: a start is listed but starts no process, a stop sends no
+	// SIGKILL, a restart doesn't start again, a reload sends no SIGHUP.
+	FaultPartial FaultKind = "half"
+	// FaultDropResponse executes, and closes the connection without a response.
+	FaultDropResponse FaultKind = "lose"
+	// FaultDuplicate starts two processes for the first unit that the call starts; the platform knows one of them.
 	FaultDuplicate FaultKind = "twice"
-	// FaultWrongUnit stops another unit, the next by name of the same kind that runs, than the first one that the call stops.
+	// FaultWrongUnit stops another unit in place of the first that the call stops: the next by name of the same kind that
+	// runs.
 	FaultWrongUnit FaultKind = "wrong"
-	// FaultLoseState loses all ids and units at once, though processes run on. DurationMS later they are found again; 0: never.
+	// FaultLoseState loses all remembered requests and units at once, though processes run on. They are found again
+	// DurationMS later; 0: never.
 	FaultLoseState FaultKind = "forget"
 )
 
+// consume reports whether a fault is of a kind, and then clears it: it acts once.
+func (k *FaultKind) consume(kind FaultKind) bool {
+	if *k != kind {
+		return false
+	}
+	*k = ""
+	return true
+}
+
 // Calls that a fault can be bound to.
 const (
 	OnDo   = "do"
 	OnList = "list"
 )
 
-// Fault is one that is asked for.
+// Fault is an injected fault, as it is requested over HTTP.
 type Fault struct {
 	Kind       FaultKind `json:"kind"`
-	On         string    `json:"on,omitempty"`       // OnDo, OnList; empty: both
-	Unit       string    `json:"unit,omitempty"`     // only calls that name this unit
-	Count      int       `json:"count,omitempty"`    // calls that it acts on; 0: without bound where DurationMS is set, else 1
+	On         string    `json:"on,omitempty"`       // OnDo or OnList; empty: both
+	Unit       string    `json:"unit,omitempty"`     // acts only on calls that name this unit
+	Count      int       `json:"count,omitempty"`    // calls that it acts on; 0: all where DurationMS is set, else one
 	DurationMS int64     `json:"for_ms,omitempty"`   // how long it acts; 0: until Count is used up or it is cleared
-	DelayMS    int64     `json:"delay_ms,omitempty"` // late: of the answer
+	DelayMS    int64     `json:"delay_ms,omitempty"` // of the response, for FaultDelay
 }
 
-// Bounds of faults.
 const (
 	maxFaultDurationMS = 3_600_000 // an hour: longer than any run
-	maxFaults          = 64        // waiting at a time
+	maxFaults          = 64        // set at a time
 )
 
-// Validate tells what is wrong with it.
+// Validate returns what is invalid about a fault. The text is part of the HTTP interface.
 func (f *Fault) Validate() error {
 	switch f.Kind {
 	case FaultError, FaultHang, FaultDelay, FaultDropResponse:
 	case FaultPartial, FaultDuplicate, FaultWrongUnit:
 		if f.On == OnList {
-			return fmt.Errorf("on: %s does not act on list", f.Kind)
+			return validation.Errorf("on", "%s does not act on list", f.Kind)
 		}
 	case FaultLoseState:
 		if f.On+f.Unit != "" || f.Count != 0 {
-			return errors.New("forget: takes no on, unit or count")
+			return validation.Errorf("forget", "takes no on, unit or count")
 		}
 	default:
-		return fmt.Errorf("kind: %q is none of fail, hang, late, half, lose, twice, wrong, forget", f.Kind)
+		return validation.Errorf("kind", "%q is none of fail, hang, late, half, lose, twice, wrong, forget", f.Kind)
 	}
 	switch {
 	case f.On != "" && f.On != OnDo && f.On != OnList:
-		return fmt.Errorf("on: %q is neither do nor list", f.On)
+		return validation.Errorf("on", "%q is neither do nor list", f.On)
 	case f.Unit != "" && f.On != OnDo:
-		return errors.New(`unit: only with on = "do"`)
+		return validation.Errorf("unit", `only with on = "do"`)
 	case f.Count < 0 || f.DurationMS < 0 || f.DurationMS > maxFaultDurationMS || f.DelayMS < 0 || f.DelayMS > maxFaultDurationMS:
-		return fmt.Errorf("count, for_ms or delay_ms: negative, or above %d ms", maxFaultDurationMS)
+		return validation.Errorf("count, for_ms or delay_ms", "negative, or above %d ms", maxFaultDurationMS)
 	case (f.Kind == FaultDelay) != (f.DelayMS > 0):
-		return errors.New("delay_ms: late needs it, no other fault takes it")
+		return validation.Errorf("delay_ms", "late needs it, no other fault takes it")
 	}
 	return nil
 }
@@ -79,18 +95,31 @@
 // activeFault is a fault that waits for calls.
 type activeFault struct {
 	Fault
-	untilMS int64 // 0: no end
+	untilMS int64 // 0: it has no end
+}
+
+// actsOn reports whether the fault acts on a call.
+func (f *activeFault) actsOn(now int64, operation string, requests []request) bool {
+	switch {
+	case f.On != "" && f.On != operation,
+		f.untilMS != 0 && now >= f.untilMS,
+		f.Unit != "" && !namesUnit(requests, f.Unit):
+		return false
+	case operation == OnList:
+		return f.Kind != FaultPartial && f.Kind != FaultDuplicate && f.Kind != FaultWrongUnit
+	}
+	return true
 }
 
 // heldCall is a call that hangs.
 type heldCall struct {
 	ticket   uint64
 	fault    *activeFault
-	requests []request // nil: list
+	requests []request // nil: of a list
 	isList   bool
 }
 
-// SetFault has the platform fail from now on.
+// SetFault injects a fault from now on, or returns why it can't.
 func (c *Core) SetFault(now int64, fault Fault) error {
 	if err := fault.Validate(); err != nil {
 		return err
@@ -120,29 +149,27 @@
 	c.releaseCalls(now, nil)
 }
 
-// expireFault ends one fault whose time is over.
+// expireFault ends one fault.
 func (c *Core) expireFault(now int64, expired *activeFault) {
-	for i, f := range c.faults {
-		if f == expired {
-			c.faults = append(c.faults[:i:i], c.faults[i+1:]...)
-			break
-		}
+	if i := slices.Index(c.faults, expired); i >= 0 {
+		c.removeFault(i)
 	}
 	c.releaseCalls(now, expired)
 }
 
-// takeFault gives the fault that acts on a call, the earliest set that fits, nil where there is none.
+func (c *Core) removeFault(i int) {
+	c.faults = append(c.faults[:i:i], c.faults[i+1:]...) // a copy: takeFault ranges over the slice
+}
+
+// takeFault returns the fault that acts on a call, the earliest set, nil where there is none. It counts the call.
 func (c *Core) takeFault(now int64, operation string, requests []request) *activeFault {
 	for i, f := range c.faults {
-		if f.On != "" && f.On != operation || f.untilMS != 0 && now >= f.untilMS || operation == OnList && (f.Kind == FaultPartial || f.Kind == FaultDuplicate || f.Kind == FaultWrongUnit) {
-			continue
-		}
-		if f.Unit != "" && !namesUnit(requests, f.Unit) {
+		if !f.actsOn(now, operation, requests) {
 			continue
 		}
 		if f.Count > 0 {
 			if f.Count--; f.Count == 0 {
-				c.faults = append(c.faults[:i:i], c.faults[i+1:]...)
+				c.removeFault(i)
 			}
 		}
 		return f
@@ -151,15 +178,10 @@
 }
 
 func namesUnit(requests []request, unit string) bool {
-	for i := range requests {
-		if requests[i].Unit == unit {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(requests, func(r request) bool { return r.Unit == unit })
 }
 
-// holdCall keeps a call back until its fault ends.
+// holdCall holds a call until its fault ends.
 func (c *Core) holdCall(fault *activeFault, call heldCall) Response {
 	if len(c.heldCalls) >= c.options.MaxHeldCalls {
 		return Response{Failure: "too many calls hang"}
@@ -170,7 +192,7 @@
 	return Response{HeldTicket: call.ticket}
 }
 
-// releaseCalls carries out calls that hung by a fault, nil: by any, in the order in which they came.
+// releaseCalls executes the calls that hung by a fault, nil: by any, in the order in which they came.
 func (c *Core) releaseCalls(now int64, fault *activeFault) {
 	calls := c.heldCalls
 	c.heldCalls = nil
@@ -179,9 +201,9 @@
 		case fault != nil && call.fault != fault:
 			c.heldCalls = append(c.heldCalls, call)
 		case call.isList:
-			c.emit(Answered{call.ticket, Response{List: c.list(now)}})
+			c.emit(HeldResponse{call.ticket, Response{List: c.list(now)}})
 		default:
-			c.emit(Answered{call.ticket, c.executeAll(now, call.requests, "")})
+			c.emit(HeldResponse{call.ticket, c.executeAll(now, call.requests, "")})
 		}
 	}
 }
--- /dev/null
+++ b/internal/supervisor/core/timers.go
@@ -0,0 +1,54 @@
+package core
+
+import "container/heap"
+
+// timer runs a function at a time.
+type timer struct {
+	dueMS    int64
+	sequence uint64 // timers of one time run in the order in which they were set
+	run      func(now int64)
+}
+
+// schedule sets a timer.
+func (c *Core) schedule(dueMS int64, run func(now int64)) {
+	c.lastTimer++
+	heap.Push(&c.timers, timer{dueMS, c.lastTimer, run})
+}
+
+// NextTimer returns when Tick is due; false where no timer is set.
+func (c *Core) NextTimer() (dueMS int64, ok bool) {
+	if len(c.timers) == 0 {
+		return 0, false
+	}
+	return c.timers[0].dueMS, true
+}
+
+// Tick runs the timers that are due.
+func (c *Core) Tick(now int64) {
+	for len(c.timers) > 0 && c.timers[0].dueMS <= now {
+		heap.Pop(&c.timers).(timer).run(now)
+	}
+}
+
+// timerHeap is a heap.Interface of timers, the next one first.
+type timerHeap []timer
+
+func (t timerHeap) Len() int { return len(t) }
+
+func (t timerHeap) Less(i, j int) bool {
+	return t[i].dueMS < t[j].dueMS || t[i].dueMS == t[j].dueMS && t[i].sequence < t[j].sequence
+}
+
+func (t timerHeap) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+
+// Push appends a timer; only package heap calls it.
+func (t *timerHeap) Push(x any) { *t = append(*t, x.(timer)) }
+
+// Pop removes the last timer; only package heap calls it.
+func (t *timerHeap) Pop() any {
+	old := *t
+	last := old[len(old)-1]
+	old[len(old)-1] = timer{} // its function can be collected
+	*t = old[:len(old)-1]
+	return last
+}
--- a/internal/supervisor/core/units.go
+++ b/internal/supervisor/core/units.go
@@ -2,93 +2,66 @@
 
 import (
 	"cmp"
-	"fmt"
 	"maps"
 	"slices"
 
 	"milldeck/internal/supervisor"
 )
 
-// apply does what a request asks for, or says why not.
-func (c *Core) apply(now int64, r *request, fault *FaultKind) (supervisor.RejectionReason, string) {
-	u := c.units[r.Unit]
-	current := uint64(0)
-	if u != nil {
-		current = u.Incarnation
-	}
-	if r.Incarnation != current {
-		return supervisor.IncarnationMismatch, fmt.Sprintf("it is incarnation %d, not %d", current, r.Incarnation)
-	}
-	if r.Op == supervisor.Start || r.Op == supervisor.Restart {
-		if _, ok := c.options.Versions[Version{r.Kind, r.Version}]; !ok {
-			return supervisor.UnknownVersion, fmt.Sprintf("there is no %s of version %s", r.Kind, r.Version)
-		}
-	}
-	switch r.Op {
-	case supervisor.Start:
-		if u != nil && u.State != supervisor.Exited {
-			return supervisor.InvalidState, fmt.Sprintf("it is %s", u.State)
-		}
-		if u == nil && len(c.units) >= c.options.MaxUnits && !c.evictExitedUnit() {
-			return supervisor.LimitReached, fmt.Sprintf("%d units are listed, none has exited", len(c.units))
-		}
-		if len(c.processes) >= 2*c.options.MaxUnits { // more than are listed, after a memory was lost
-			return supervisor.LimitReached, fmt.Sprintf("%d processes run", len(c.processes))
-		}
-		c.launch(now, c.newIncarnation(r), r.ConfigText, fault)
-	case supervisor.Stop:
-		u.pending = nil
-		c.stopUnit(now, u, r.GraceMS, fault)
-	case supervisor.Restart:
-		next := c.newIncarnation(r)
-		if u.State == supervisor.Exited {
-			c.launch(now, next, r.ConfigText, fault)
-			return "", ""
-		}
-		u.pending = &pendingLaunch{unit: next, configText: r.ConfigText}
-		switch *fault {
-		case FaultPartial:
-			u.pending, *fault = nil, ""
-		case FaultDuplicate:
-			u.pending.fault, *fault = FaultDuplicate, ""
-		}
-		c.stopUnit(now, u, r.GraceMS, fault)
-	case supervisor.Reload:
-		if u.State != supervisor.Running {
-			return supervisor.InvalidState, fmt.Sprintf("it is %s", u.State)
-		}
-		u.ConfigName = r.ConfigName
-		c.emit(Rewrite{u.Name, r.ConfigName, r.ConfigText})
-		if *fault == FaultPartial {
-			*fault = ""
-		} else {
-			c.emit(Signal{u.process, Hangup})
-		}
-	}
-	return "", ""
+const (
+	defaultGraceMS          = 10_000 // from SIGTERM to SIGKILL
+	initialRestartBackoffMS = 200    // from a process's own end to its next start; doubled with each restart
+	maxRestartBackoffMS     = 10_000
+	maxBackoffDoublings     = 5 // doubled once more, the initial backoff exceeds the maximum
+)
+
+// unit is one that is listed, or the owner of a process that the platform has forgotten or never knew it started.
+type unit struct {
+	supervisor.Unit
+	process     uint64 // 0: none lives
+	policy      ProcessPolicy
+	killAtMS    int64          // when SIGKILL is due; 0: it isn't
+	restartAtMS int64          // when the platform restarts it by itself; 0: it doesn't
+	pending     *pendingLaunch // of a restart, due when the process has ended
+}
+
+// pendingLaunch is the second half of a restart.
+type pendingLaunch struct {
+	unit       supervisor.Unit
+	configText string
+	fault      FaultKind // FaultDuplicate or none
+}
+
+// changing reports whether a unit is starting or stopping.
+func (u *unit) changing() bool {
+	return u.State == supervisor.Starting || u.State == supervisor.Stopping
 }
 
-// newIncarnation is the unit that a request asks for, with an incarnation of its own.
+// newIncarnation returns the unit that a request describes, as a new incarnation.
 func (c *Core) newIncarnation(r *request) supervisor.Unit {
 	c.lastIncarnation++
 	return supervisor.Unit{
-		Name: r.Unit, Kind: r.Kind, Version: r.Version, ConfigName: r.ConfigName, Zone: r.Zone, Listen: r.Listen, Incarnation: c.lastIncarnation,
+		Name:        r.Unit,
+		Kind:        r.Kind,
+		Version:     r.Version,
+		ConfigName:  r.ConfigName,
+		Zone:        r.Zone,
+		Listen:      r.Listen,
+		Incarnation: c.lastIncarnation,
 	}
 }
 
-// launch has a unit come up, in place of the one of its name.
+// launch starts a unit in place of the listed one of its name.
 func (c *Core) launch(now int64, planned supervisor.Unit, configText string, fault *FaultKind) {
 	policy := c.options.Versions[Version{planned.Kind, planned.Version}]
 	u := &unit{Unit: planned, policy: policy}
 	u.State, u.SinceMS = supervisor.Starting, now
 	c.units[u.Name] = u
-	if *fault == FaultPartial {
-		*fault = ""
+	if fault.consume(FaultPartial) {
 		return
 	}
 	c.startProcess(u, configText)
-	if *fault == FaultDuplicate {
-		*fault = ""
+	if fault.consume(FaultDuplicate) {
 		c.startProcess(&unit{Unit: u.Unit, policy: policy}, "")
 	}
 }
@@ -101,10 +74,9 @@
 	c.emit(Launch{u.process, u.Unit, configText})
 }
 
-// stopUnit asks a unit to end; a second time only to end sooner.
+// stopUnit stops a unit. Repeated, it can only shorten the grace period.
 func (c *Core) stopUnit(now int64, u *unit, graceMS int64, fault *FaultKind) {
-	if *fault == FaultWrongUnit {
-		*fault = ""
+	if fault.consume(FaultWrongUnit) {
 		if u = c.nextRunning(u); u == nil {
 			return
 		}
@@ -114,29 +86,33 @@
 	case u.State == supervisor.Exited:
 		u.restartAtMS = 0
 		return
-	case u.process == 0: // a start that was done by half
+	case u.process == 0: // a partial start
 		c.unitExited(now, u, "never started")
 		return
 	case u.State != supervisor.Stopping:
 		u.State, u.SinceMS = supervisor.Stopping, now
 		c.emit(Signal{u.process, Terminate})
-		if *fault == FaultPartial {
-			*fault = ""
+		if fault.consume(FaultPartial) {
 			return
 		}
 	}
 	if dueMS := now + graceMS; u.killAtMS == 0 || dueMS < u.killAtMS {
-		u.killAtMS = dueMS
-		process := u.process
-		c.schedule(dueMS, func(int64) {
-			if u.process == process && u.killAtMS == dueMS {
-				c.emit(Signal{process, Kill})
-			}
-		})
+		c.scheduleKill(u, dueMS)
 	}
 }
 
-// nextRunning is the next unit by name, round the list, of the same kind that runs.
+// scheduleKill has a unit's process killed at a time, unless it has ended or the time has changed by then.
+func (c *Core) scheduleKill(u *unit, dueMS int64) {
+	u.killAtMS = dueMS
+	process := u.process
+	c.schedule(dueMS, func(int64) {
+		if u.process == process && u.killAtMS == dueMS {
+			c.emit(Signal{process, Kill})
+		}
+	})
+}
+
+// nextRunning returns the next unit by name, cyclically, that runs and is of the same kind; nil where there is none.
 func (c *Core) nextRunning(after *unit) *unit {
 	names := slices.Sorted(maps.Keys(c.units))
 	position, _ := slices.BinarySearch(names, after.Name)
@@ -149,14 +125,14 @@
 	return nil
 }
 
-// ProcessReady tells that a process has answered its ready check.
+// ProcessReady says that a process has passed its readiness check.
 func (c *Core) ProcessReady(now int64, process uint64) {
 	if u := c.processes[process]; u != nil && u.State == supervisor.Starting {
 		u.State, u.SinceMS = supervisor.Running, now
 	}
 }
 
-// ProcessExited tells that a process has ended or could not be started, and how: one line.
+// ProcessExited says that a process has ended, or could not be started, and how, on one line.
 func (c *Core) ProcessExited(now int64, process uint64, exit string) {
 	u := c.processes[process]
 	if u == nil {
@@ -169,26 +145,34 @@
 	}
 	requested := u.State == supervisor.Stopping
 	c.unitExited(now, u, exit)
-	if requested || u.Restarts >= u.policy.MaxRestarts {
-		return
+	if !requested && u.Restarts < u.policy.MaxRestarts {
+		c.scheduleRestart(u, now+restartBackoffMS(u.Restarts))
 	}
-	backoffMS := int64(maxRestartBackoffMS)
-	if u.Restarts < 6 { // 200 ms doubled six times is above the most
-		backoffMS = initialRestartBackoffMS << u.Restarts
+}
+
+// restartBackoffMS is the backoff before the platform restarts a unit once more.
+func restartBackoffMS(restarts int) int64 {
+	if restarts > maxBackoffDoublings {
+		return maxRestartBackoffMS
 	}
-	dueMS := now + backoffMS
+	return initialRestartBackoffMS << restarts
+}
+
+// scheduleRestart has the platform restart a unit at a time, unless it was stopped, replaced or started by then.
+func (c *Core) scheduleRestart(u *unit, dueMS int64) {
 	u.restartAtMS = dueMS
 	c.schedule(dueMS, func(now int64) {
-		if c.units[u.Name] == u && u.restartAtMS == dueMS {
-			u.restartAtMS = 0
-			u.Restarts++
-			u.State, u.SinceMS = supervisor.Starting, now
-			c.startProcess(u, "")
+		if c.units[u.Name] != u || u.restartAtMS != dueMS {
+			return
 		}
+		u.restartAtMS = 0
+		u.Restarts++
+		u.State, u.SinceMS = supervisor.Starting, now
+		c.startProcess(u, "")
 	})
 }
 
-// unitExited notes that a unit has no process, and has the one come up that waits for that.
+// unitExited notes that a unit has no process, and launches the one that waits for that.
 func (c *Core) unitExited(now int64, u *unit, exit string) {
 	u.State, u.SinceMS, u.Exit = supervisor.Exited, now, exit
 	if pending := u.pending; pending != nil {
@@ -196,11 +180,14 @@
 	}
 }
 
-// evictExitedUnit takes the unit off the list that has exited first and that nothing starts again.
+// evictExitedUnit removes the unit from the list that exited first and isn't restarted; false where there is none.
 func (c *Core) evictExitedUnit() bool {
 	var oldest *unit
 	for _, u := range c.units {
-		if u.State == supervisor.Exited && u.restartAtMS == 0 && (oldest == nil || cmp.Or(cmp.Compare(u.SinceMS, oldest.SinceMS), cmp.Compare(u.Name, oldest.Name)) < 0) {
+		if u.State != supervisor.Exited || u.restartAtMS != 0 {
+			continue
+		}
+		if oldest == nil || cmp.Or(cmp.Compare(u.SinceMS, oldest.SinceMS), cmp.Compare(u.Name, oldest.Name)) < 0 {
 			oldest = u
 		}
 	}
@@ -208,11 +195,12 @@
 		return false
 	}
 	delete(c.units, oldest.Name)
-	c.emit(Dropped{oldest.Name})
+	c.emit(UnitRemoved{oldest.Name})
 	return true
 }
 
-// loseState loses ids, units and all that was to be done to them; processes run on.
+// loseState begins a new epoch without units and remembered requests. Processes run on; what was to be done to them is
+// forgotten. They are found again after a time in ms; 0: never.
 func (c *Core) loseState(now, rediscoverAfterMS int64) {
 	c.epoch = max(c.epoch+1, uint64(now))
 	c.complete = false
@@ -223,17 +211,18 @@
 	for _, u := range c.processes {
 		u.killAtMS, u.restartAtMS, u.pending = 0, 0, nil
 	}
-	if rediscoverAfterMS > 0 {
-		epoch := c.epoch
-		c.schedule(now+rediscoverAfterMS, func(now int64) {
-			if c.epoch == epoch {
-				c.rediscover(now)
-			}
-		})
+	if rediscoverAfterMS == 0 {
+		return
 	}
+	epoch := c.epoch
+	c.schedule(now+rediscoverAfterMS, func(now int64) {
+		if c.epoch == epoch {
+			c.rediscover(now)
+		}
+	})
 }
 
-// rediscover lists again what runs and is not known, but for processes of a unit that has another by now.
+// rediscover lists the units of processes that aren't listed, unless a unit of that name is.
 func (c *Core) rediscover(now int64) {
 	c.complete = true
 	for _, process := range slices.Sorted(maps.Keys(c.processes)) {
--- a/internal/supervisor/fake/fake.go
+++ b/internal/supervisor/fake/fake.go
@@ -52,7 +52,7 @@
 	events     eventHeap
 	processes  map[uint64]*process
 	liveCounts map[string]int
-	configs    map[string]core.Rewrite // the last of each unit
+	configs    map[string]core.RewriteConfig // the last of each unit
 	lastEvent  uint64
 }
 
@@ -73,7 +73,7 @@
 		options.MaxUnits = defaultMaxUnits
 	}
 	return &Platform{
-		options: options, nowMS: nowMS, processes: map[uint64]*process{}, liveCounts: map[string]int{}, configs: map[string]core.Rewrite{},
+		options: options, nowMS: nowMS, processes: map[uint64]*process{}, liveCounts: map[string]int{}, configs: map[string]core.RewriteConfig{},
 		core: core.New(core.Options{Versions: policies, MaxUnits: options.MaxUnits, MaxRequestIDs: options.MaxRequestIDs}, nowMS),
 	}
 }
@@ -202,7 +202,7 @@
 			process.behavior = behave(e.Unit)
 		}
 		if e.ConfigText != "" {
-			p.configs[e.Unit.Name] = core.Rewrite{Unit: e.Unit.Name, ConfigName: e.Unit.ConfigName, ConfigText: e.ConfigText}
+			p.configs[e.Unit.Name] = core.RewriteConfig{Unit: e.Unit.Name, ConfigName: e.Unit.ConfigName, ConfigText: e.ConfigText}
 		}
 		p.processes[e.Process] = process
 		p.liveCounts[e.Unit.Name]++
@@ -226,11 +226,11 @@
 		case process.behavior.StopAfterMS >= 0:
 			p.schedule(process.behavior.StopAfterMS, e.Process, func() { p.endProcess(e.Process, "exit status 0") })
 		}
-	case core.Rewrite:
+	case core.RewriteConfig:
 		p.configs[e.Unit] = e
-	case core.Dropped:
+	case core.UnitRemoved:
 		delete(p.configs, e.Unit)
-	case core.Answered: // who asked has long been told that the outcome is unknown
+	case core.HeldResponse: // who asked has long been told that the outcome is unknown
 	}
 }
 
--- a/internal/supervisor/standin/platform.go
+++ b/internal/supervisor/standin/platform.go
@@ -142,18 +142,18 @@
 				slog.Error("signal not sent", "unit", process.Name, "signal", signal, "error", err)
 			}
 		}
-	case core.Rewrite:
+	case core.RewriteConfig:
 		if err := p.writeConfig(e.Unit, e.ConfigText); err != nil {
 			slog.Error("configuration not written", "unit", e.Unit, "error", err)
 		}
-	case core.Dropped:
+	case core.UnitRemoved:
 		delete(p.loggedUnits, e.Unit)
 		for _, path := range []string{p.logPath(e.Unit), p.configPath(e.Unit)} {
 			if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				slog.Warn("file of a unit that is gone stays", "error", err)
 			}
 		}
-	case core.Answered:
+	case core.HeldResponse:
 		if waiter := p.heldCalls[e.Ticket]; waiter != nil {
 			waiter <- e.Response // it has room for the one answer
 			delete(p.heldCalls, e.Ticket)
