--- a/internal/supervisor/core/core_test.go
+++ b/internal/supervisor/core/core_test.go
@@ -22,7 +22,7 @@
 	return request{ID: id, Op: supervisor.Stop, Epoch: c.epoch, Unit: unit, Incarnation: incarnation}
 }
 
-// executeOne does one request and gives its outcome.
+// executeOne executes one request and returns its outcome.
 func executeOne(t interface{ Fatalf(string, ...any) }, c *Core, now int64, r request) supervisor.Outcome {
 	if err := supervisor.ValidateBatch([]request{r}); err != nil {
 		t.Fatalf("%v", err)
@@ -41,7 +41,7 @@
 	return supervisor.Unit{}
 }
 
-// drainEffects as text, in order.
+// drainEffects returns the effects as text, in order.
 func drainEffects(c *Core) string {
 	s := ""
 	for _, e := range c.Effects() {
@@ -68,7 +68,7 @@
 	c := New(Options{Versions: versions}, 1000)
 	first := executeOne(t, c, 1000, start(c, "a", "u", "1", 0))
 	expect(t, "start", drainEffects(c), "launch 1 u 1;")
-	expect(t, "a second start", string(executeOne(t, c, 1000, start(c, "b", "u", "1", first.Incarnation)).Rejected), "busy")
+	expect(t, "start of a starting unit", string(executeOne(t, c, 1000, start(c, "b", "u", "1", first.Incarnation)).Rejected), "busy")
 	c.ProcessReady(1100, 1)
 	expect(t, "ready", string(state(c, "u").State), "running")
 	next := executeOne(t, c, 1200, request{
@@ -100,7 +100,7 @@
 		c.Tick(due - 1)
 		expect(t, "before the restart", string(state(c, "u").State)+drainEffects(c), "exited")
 		c.Tick(due)
-		expect(t, "by itself", drainEffects(c), fmt.Sprintf("launch %d u crash;", 4+i))
+		expect(t, "the restart by the platform", drainEffects(c), fmt.Sprintf("launch %d u crash;", 4+i))
 	}
 	c.ProcessExited(4000, 5, "exit status 1")
 	c.Tick(1e6)
@@ -166,16 +166,17 @@
 	late := stop(c, "l", "a", 1)
 	set(c, Fault{Kind: FaultLoseState, DurationMS: 500})
 	if l := c.list(0); l.Epoch <= before.Epoch || l.Complete || len(l.Units) != 0 {
-		t.Errorf("%+v, want another memory and no units", l)
+		t.Errorf("%+v, want another epoch and no units", l)
 	}
-	expect(t, "asked of the memory before", string(executeOne(t, c, 1000, late).Rejected), "forgotten")
+	expect(t, "a request of the epoch before", string(executeOne(t, c, 1000, late).Rejected), "forgotten")
 	c.Tick(1500)
 	if l := c.list(0); !l.Complete || len(l.Units) != 2 || l.Units[0].State != supervisor.Running {
-		t.Errorf("%+v, want both found again", l)
+		t.Errorf("%+v, want both units found again", l)
 	}
 }
 
-// Ids and units are bounded; what goes is the oldest that has settled, and a unit that lives never goes.
+// Records and units are bounded. The oldest is evicted whose unit is neither starting nor stopping; a unit that lives never
+// is.
 func TestRecordsAndUnitsAreBounded(t *testing.T) {
 	c := New(Options{Versions: versions, MaxUnits: 2, MaxRequestIDs: 4}, 1)
 	a := start(c, "a", "a", "1", 0)
@@ -187,11 +188,11 @@
 	c.ProcessExited(4, 2, "exit status 0")
 	drainEffects(c)
 	if out := executeOne(t, c, 5, start(c, "e", "c", "1", 0)); out.Rejected != "" {
-		t.Errorf("%+v, want the place of the one that has exited", out)
+		t.Errorf("%+v, want the exited unit evicted", out)
 	}
 	expect(t, "the one that has exited", drainEffects(c), "core.UnitRemoved;launch 3 c 1;")
 	if len(c.records) != 4 || len(c.recordOrder) != 4 || c.records["a"] == nil || c.records["b"] != nil {
-		t.Errorf("%d ids, a %v, b %v, want a kept as it starts", len(c.records), c.records["a"], c.records["b"])
+		t.Errorf("%d records, a %v, b %v, want a retained as it starts", len(c.records), c.records["a"], c.records["b"])
 	}
 	if out := executeOne(t, c, 5, a); out.Rejected != "" || drainEffects(c) != "" {
 		t.Errorf("a repeat did something: %+v", out)
--- a/internal/supervisor/core/fixtures_test.go
+++ b/internal/supervisor/core/fixtures_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// Faults as they go over HTTP keep their bytes, both ways.
+// The JSON of faults keeps its bytes, both ways.
 func TestFixtureFaults(t *testing.T) {
 	var out bytes.Buffer
 	for _, f := range fixtureFaults() {
@@ -54,13 +54,13 @@
 	for line := range bytes.Lines(golden(t, "faults.jsonl", out.Bytes())) {
 		var f Fault
 		if err := json.Unmarshal(line, &f); err != nil || f != fixtureFaults()[n] {
-			t.Errorf("%+v, %v, was read from %s", f, err, line)
+			t.Errorf("read %+v, %v, from %s", f, err, line)
 		}
 		n++
 	}
 }
 
-// The outcomes and the list of a scripted run keep their bytes, with refusals of every reason.
+// The outcomes and the list of a scripted run keep their bytes, with rejections.
 func TestFixtureOutcomes(t *testing.T) {
 	c := New(Options{Versions: versions, MaxUnits: 2, MaxRequestIDs: 64}, 1000)
 	var out bytes.Buffer
--- a/internal/supervisor/core/model_test.go
+++ b/internal/supervisor/core/model_test.go
@@ -11,22 +11,22 @@
 	"milldeck/internal/supervisor"
 )
 
-// plantedBug is planted into how the core is asked.
+// plantedBug is a bug in how the model calls the core.
 type plantedBug int
 
 const (
 	noBug          plantedBug = iota
-	evictsFailed              // an id is not remembered when the answer failed
-	anyIncarnation            // a request takes whatever incarnation there is
-	anyEpoch                  // a request takes whatever memory there is
+	evictsFailed              // a request whose response failed isn't remembered
+	anyIncarnation            // a request names whatever incarnation there is
+	anyEpoch                  // a request names whatever epoch there is
 )
 
-// platformModel runs the core with processes that are ready at once and end when they are told to.
+// platformModel runs the core with processes that are ready at once and stop at once.
 type platformModel struct {
 	*Core
 	now     int64
 	bug     plantedBug
-	started map[string]int // processes by request
+	started map[string]int // processes by the request that started them
 	alive   map[uint64]string
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// call calls once; nil: the outcome is not known.
+// call makes one call; nil: the outcome is unknown.
 func (m *platformModel) call(r request) *supervisor.Outcome {
 	if u := m.units[r.Unit]; u != nil && m.bug == anyIncarnation {
 		r.Incarnation = u.Incarnation
@@ -70,16 +70,16 @@
 		delete(m.records, r.ID)
 	}
 	if a.Disconnect || a.Failure != "" || a.HeldTicket != 0 {
-		m.now += 10 // as long as the caller waits
+		m.now += 10 // the caller's timeout
 		m.settle()
 		return nil
 	}
 	return &a.Outcomes[0]
 }
 
-// reconcile has a unit stand at a version, "" for stopped, as a careful caller does: it looks at the list, asks, and
-// asks some times with the same id; where it still does not know, it looks again. A request's id is its
-// configuration's name too, so that its processes can be counted.
+// reconcile brings a unit to a version, "" for stopped, as a careful caller does: it reads the list, calls, and repeats the
+// call with the same id; where the outcome is still unknown, it reads the list again. A request's id is also its
+// configuration's name, so that its processes can be counted.
 func (m *platformModel) reconcile(draw chooser, id, unit, version string) (all []request, err error) {
 	for try := range 30 {
 		l := m.list(m.now)
@@ -106,7 +106,7 @@
 		for range 1 + draw("tries", 3) {
 			out := m.call(r)
 			if out != nil && out.Rejected == supervisor.IncarnationMismatch && m.started[r.ID] > 0 {
-				return nil, fmt.Errorf("%s was done, and its repeat is refused: %s", r.ID, out.Detail)
+				return nil, fmt.Errorf("%s was executed, and its repeat is rejected: %s", r.ID, out.Detail)
 			}
 			if out != nil {
 				break
@@ -116,11 +116,11 @@
 	return nil, fmt.Errorf("%s does not come to %q: %+v", unit, version, m.list(m.now))
 }
 
-// chooser gives a choice among n, from 0.
+// chooser returns a choice among n, from 0.
 type chooser func(what string, n int) int
 
-// playScenario has units come to drawn versions, once without faults and once with them and with repeats of earlier
-// requests, some long after. Both have to end alike, and no request has to have started two processes.
+// playScenario brings units to drawn versions, once without faults, and once with them and with repeats of earlier
+// requests, some much later. Both have to end with the same versions, and no request may have started two processes.
 func playScenario(draw chooser, b plantedBug) error {
 	clean, rough := newPlatformModel(noBug), newPlatformModel(b)
 	never := func(string, int) int { return 0 }
@@ -160,7 +160,7 @@
 	alive := map[string]int{}
 	for _, unit := range rough.alive {
 		if alive[unit]++; alive[unit] > 1 {
-			return fmt.Errorf("%s lives twice", unit)
+			return fmt.Errorf("%s has two processes", unit)
 		}
 	}
 	if got, want := rough.finalVersions(), clean.finalVersions(); !maps.Equal(got, want) {
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// finalVersions are the versions of units that live.
+// finalVersions returns the versions of the units that live in the end.
 func (m *platformModel) finalVersions() map[string]string {
 	m.now += 1000
 	m.settle()
@@ -190,11 +190,11 @@
 	})
 }
 
-// All plays of two steps for one unit, once with up to two tries of each call and once with up to one late repeat
-// after each step.
+// All scenarios of two steps for one unit: with up to two attempts of each call, and with up to one late repeat after each
+// step.
 func TestAllTwoStepScenarios(t *testing.T) {
 	for _, c := range []struct{ tries, repeats int }{{2, 1}, {1, 2}} {
-		var picks, ways []int // of this play: the choice taken, and among how many
+		var picks, ways []int // of this scenario: each choice, and among how many
 		plays := 0
 		for more := true; more; plays++ {
 			at := 0
@@ -219,7 +219,7 @@
 			if err != nil {
 				t.Fatalf("%v: %v", picks, err)
 			}
-			// The next play differs in the last choice that has another way left.
+			// The next scenario differs in the last choice that has an alternative left.
 			picks, ways = picks[:at], ways[:at]
 			for more = false; len(picks) > 0 && !more; {
 				last := len(picks) - 1
@@ -234,7 +234,7 @@
 	}
 }
 
-// The model finds what is planted, and nothing where nothing is.
+// The model detects planted bugs, and nothing where there is none.
 func TestModelFindsPlantedBugs(t *testing.T) {
 	for b, name := range []string{noBug: "none", evictsFailed: "id forgotten on failure", anyIncarnation: "any incarnation", anyEpoch: "any memory"} {
 		var found error
--- a/internal/supervisor/fake/fake.go
+++ b/internal/supervisor/fake/fake.go
@@ -1,5 +1,5 @@
-// Package fake is a platform in virtual time for tests and simulations: the core of the stand-in platform, with
-// processes that are numbers. Time is given from outside; nothing runs by itself.
+// Package fake is a platform in virtual time for tests and simulations: the core of the stand-in platform, with processes
+// that are numbers. The time is given from outside; nothing runs by itself. Times are in ms.
 package fake
 
 import (
@@ -15,55 +15,65 @@
 	"milldeck/internal/supervisor/core"
 )
 
-// Behavior is how one process goes.
+// Behavior is how one process behaves.
 type Behavior struct {
-	ReadyAfterMS int64  // from its start to its first good ready check; below 0: never
+	ReadyAfterMS int64  // from its start until it is ready; below 0: never
 	ExitAfterMS  int64  // from its start to its end by itself; 0: never
-	ExitText     string // how it ends by itself, as "exit status 1"
+	ExitText     string // how it ends by itself: "exit status 1"
 	StopAfterMS  int64  // from SIGTERM to its end; below 0: only SIGKILL ends it
-	// Reloaded, where set, is called with each configuration that SIGHUP has it read. It must not call the platform.
-	OnReload func(config, file string)
+
+	// OnReload, where set, is called with each configuration that SIGHUP makes it read. It must not call the platform.
+	OnReload func(configName, configText string)
 }
 
-// Version is what the platform knows of a version and how its processes go.
+// Version is how the platform treats the processes of a version, and how these behave.
 type Version struct {
 	core.ProcessPolicy
-	Behave func(u supervisor.Unit) Behavior // nil: ready and ended at once; must not call the platform
+	// Behave returns the behavior of a unit's next process; nil: it is ready at once and stops at once. It must not call
+	// the platform.
+	Behave func(u supervisor.Unit) Behavior
 }
 
-// Options say what there is.
+// Options says what a platform has.
 type Options struct {
 	Versions      map[core.Version]Version
-	MaxUnits      int // listed; 0: 65,536
+	MaxUnits      int // listed at a time; 0: 65,536
 	MaxRequestIDs int // remembered; 0: the core's default
-	// TimeoutMS is how long a caller waits for an answer that comes late; 0: as long as it takes. The answer itself
-	// comes without a wait, as there is nothing to wait on.
+	// TimeoutMS is how long a caller waits for a response; 0: as long as it takes. A response that comes in time is
+	// returned at once, as nothing can wait in virtual time.
 	TimeoutMS int64
 }
 
-const defaultMaxUnits = 1 << 16 // the fake's cost a unit is some hundred bytes
+const defaultMaxUnits = 1 << 16 // a unit takes some hundred bytes
+
+var (
+	errDisconnected = errors.New("the connection was closed")
+	errTimeout      = errors.New("no response in time")
+)
 
 // Platform is the fake. It is safe for concurrent use.
 type Platform struct {
-	mu         sync.Mutex
-	options    Options
+	options Options
+
+	mu         sync.Mutex // guards what follows
 	core       *core.Core
-	nowMS      int64 // ms
+	nowMS      int64
 	events     eventHeap
 	processes  map[uint64]*process
-	liveCounts map[string]int
+	liveCounts map[string]int                // processes by unit
 	configs    map[string]core.RewriteConfig // the last of each unit
 	lastEvent  uint64
 }
 
 var _ supervisor.Supervisor = (*Platform)(nil)
 
+// process is a living process.
 type process struct {
 	unit     supervisor.Unit
 	behavior Behavior
 }
 
-// New makes a platform at a time in ms, above 0.
+// New returns a platform at a time, above 0.
 func New(options Options, nowMS int64) *Platform {
 	policies := make(map[core.Version]core.ProcessPolicy, len(options.Versions))
 	for id, version := range options.Versions {
@@ -72,13 +82,18 @@
 	if options.MaxUnits == 0 {
 		options.MaxUnits = defaultMaxUnits
 	}
+	coreOptions := core.Options{Versions: policies, MaxUnits: options.MaxUnits, MaxRequestIDs: options.MaxRequestIDs}
 	return &Platform{
-		options: options, nowMS: nowMS, processes: map[uint64]*process{}, liveCounts: map[string]int{}, configs: map[string]core.RewriteConfig{},
-		core: core.New(core.Options{Versions: policies, MaxUnits: options.MaxUnits, MaxRequestIDs: options.MaxRequestIDs}, nowMS),
+		options:    options,
+		core:       core.New(coreOptions, nowMS),
+		nowMS:      nowMS,
+		processes:  map[uint64]*process{},
+		liveCounts: map[string]int{},
+		configs:    map[string]core.RewriteConfig{},
 	}
 }
 
-// Do is a single attempt: an answer that does not come is an unknown outcome at once.
+// Do makes a single attempt: without a response the outcome is unknown at once.
 func (p *Platform) Do(ctx context.Context, requests ...supervisor.Request) ([]supervisor.Outcome, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -96,7 +111,7 @@
 	return response.Outcomes, nil
 }
 
-// List is a single attempt.
+// List makes a single attempt.
 func (p *Platform) List(ctx context.Context) (*supervisor.List, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -110,20 +125,20 @@
 	return response.List, nil
 }
 
-// deliveryError says why an answer does not arrive.
+// deliveryError returns why a response doesn't arrive, nil where it does.
 func (p *Platform) deliveryError(response *core.Response) error {
 	switch {
 	case response.Failure != "":
 		return fmt.Errorf("500: %s", response.Failure)
 	case response.Disconnect:
-		return errors.New("the connection was cut")
+		return errDisconnected
 	case response.HeldTicket != 0 || p.options.TimeoutMS > 0 && response.DelayMS > p.options.TimeoutMS:
-		return errors.New("no answer in time")
+		return errTimeout
 	}
 	return nil
 }
 
-// SetFault has the platform fail from now on.
+// SetFault injects a fault from now on.
 func (p *Platform) SetFault(fault core.Fault) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,7 +147,7 @@
 	return err
 }
 
-// ClearFaults ends all faults; calls that hang are carried out.
+// ClearFaults ends all faults; calls that hang are executed.
 func (p *Platform) ClearFaults() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,32 +155,34 @@
 	p.drainEffects()
 }
 
-// Advance has all happen that is due up to a time in ms, in order. Time never runs back.
+// Advance lets everything happen that is due up to a time, in order. Time never runs backwards.
 func (p *Platform) Advance(untilMS int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for {
-		at, of := untilMS+1, -1
-		if len(p.events) > 0 && p.events[0].atMS < at {
-			at, of = p.events[0].atMS, 0
-		}
-		if due, ok := p.core.NextTimer(); ok && due < at {
-			at, of = due, 1
-		}
-		if of < 0 {
-			break
-		}
-		p.nowMS = max(p.nowMS, at)
-		if of == 0 {
-			heap.Pop(&p.events).(event).run()
-		} else {
-			p.core.Tick(p.nowMS)
-		}
-		p.drainEffects()
+	for p.step(untilMS) {
 	}
 	p.nowMS = max(p.nowMS, untilMS)
 }
 
+// step lets the next thing happen, a process's event or a timer of the core; false where none is due up to a time. Of one
+// time, events go first.
+func (p *Platform) step(untilMS int64) bool {
+	timerMS, timerSet := p.core.NextTimer()
+	eventSet := len(p.events) > 0
+	switch {
+	case eventSet && p.events[0].atMS <= untilMS && (!timerSet || p.events[0].atMS <= timerMS):
+		p.nowMS = max(p.nowMS, p.events[0].atMS)
+		heap.Pop(&p.events).(event).run()
+	case timerSet && timerMS <= untilMS:
+		p.nowMS = max(p.nowMS, timerMS)
+		p.core.Tick(p.nowMS)
+	default:
+		return false
+	}
+	p.drainEffects()
+	return true
+}
+
 // LiveProcesses is how many processes of a unit live, whatever the platform knows of them.
 func (p *Platform) LiveProcesses(unit string) int {
 	p.mu.Lock()
@@ -173,7 +190,7 @@
 	return p.liveCounts[unit]
 }
 
-// Crash ends all processes of a unit by themselves.
+// Crash ends all processes of a unit by themselves, with a text that says how.
 func (p *Platform) Crash(unit, exit string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -185,7 +202,7 @@
 	p.drainEffects()
 }
 
-// drainEffects does what the core asks for.
+// drainEffects executes the core's effects until there are none.
 func (p *Platform) drainEffects() {
 	for effects := p.core.Effects(); len(effects) > 0; effects = p.core.Effects() {
 		for _, e := range effects {
@@ -197,44 +214,60 @@
 func (p *Platform) execute(e core.Effect) {
 	switch e := e.(type) {
 	case core.Launch:
-		process := &process{unit: e.Unit}
-		if behave := p.options.Versions[core.Version{Kind: e.Unit.Kind, Name: e.Unit.Version}].Behave; behave != nil {
-			process.behavior = behave(e.Unit)
-		}
-		if e.ConfigText != "" {
-			p.configs[e.Unit.Name] = core.RewriteConfig{Unit: e.Unit.Name, ConfigName: e.Unit.ConfigName, ConfigText: e.ConfigText}
-		}
-		p.processes[e.Process] = process
-		p.liveCounts[e.Unit.Name]++
-		if process.behavior.ReadyAfterMS >= 0 {
-			p.schedule(process.behavior.ReadyAfterMS, e.Process, func() { p.core.ProcessReady(p.nowMS, e.Process) })
-		}
-		if process.behavior.ExitAfterMS > 0 {
-			p.schedule(process.behavior.ExitAfterMS, e.Process, func() { p.endProcess(e.Process, process.behavior.ExitText) })
-		}
+		p.launch(e)
 	case core.Signal:
-		process := p.processes[e.Process]
-		switch {
-		case process == nil:
-		case e.Kind == core.Kill:
-			p.schedule(0, e.Process, func() { p.endProcess(e.Process, "signal: killed") })
-		case e.Kind == core.Hangup:
-			if process.behavior.OnReload != nil {
-				config := p.configs[process.unit.Name]
-				process.behavior.OnReload(config.ConfigName, config.ConfigText)
-			}
-		case process.behavior.StopAfterMS >= 0:
-			p.schedule(process.behavior.StopAfterMS, e.Process, func() { p.endProcess(e.Process, "exit status 0") })
-		}
+		p.signal(e)
 	case core.RewriteConfig:
 		p.configs[e.Unit] = e
 	case core.UnitRemoved:
 		delete(p.configs, e.Unit)
-	case core.HeldResponse: // who asked has long been told that the outcome is unknown
+	case core.HeldResponse: // its caller has already got an unknown outcome
 	}
 }
 
-// schedule has something happen to a process, unless it has ended by then.
+// launch starts a process.
+func (p *Platform) launch(e core.Launch) {
+	started := &process{unit: e.Unit}
+	version := p.options.Versions[core.Version{Kind: e.Unit.Kind, Name: e.Unit.Version}]
+	if version.Behave != nil {
+		started.behavior = version.Behave(e.Unit)
+	}
+	if e.ConfigText != "" {
+		p.configs[e.Unit.Name] = core.RewriteConfig{Unit: e.Unit.Name, ConfigName: e.Unit.ConfigName, ConfigText: e.ConfigText}
+	}
+	p.processes[e.Process] = started
+	p.liveCounts[e.Unit.Name]++
+	behavior := &started.behavior
+	if behavior.ReadyAfterMS >= 0 {
+		p.schedule(behavior.ReadyAfterMS, e.Process, func() { p.core.ProcessReady(p.nowMS, e.Process) })
+	}
+	if behavior.ExitAfterMS > 0 {
+		p.schedule(behavior.ExitAfterMS, e.Process, func() { p.endProcess(e.Process, behavior.ExitText) })
+	}
+}
+
+// signal lets a process react to a signal, unless it has ended.
+func (p *Platform) signal(e core.Signal) {
+	signaled := p.processes[e.Process]
+	if signaled == nil {
+		return
+	}
+	switch e.Kind {
+	case core.Kill:
+		p.schedule(0, e.Process, func() { p.endProcess(e.Process, "signal: killed") })
+	case core.Hangup:
+		if signaled.behavior.OnReload != nil {
+			config := p.configs[signaled.unit.Name]
+			signaled.behavior.OnReload(config.ConfigName, config.ConfigText)
+		}
+	case core.Terminate:
+		if signaled.behavior.StopAfterMS >= 0 {
+			p.schedule(signaled.behavior.StopAfterMS, e.Process, func() { p.endProcess(e.Process, "exit status 0") })
+		}
+	}
+}
+
+// schedule lets something happen to a process after a time, unless it has ended by then.
 func (p *Platform) schedule(delayMS int64, number uint64, run func()) {
 	p.lastEvent++
 	heap.Push(&p.events, event{p.nowMS + delayMS, p.lastEvent, func() {
@@ -244,34 +277,12 @@
 	}})
 }
 
+// endProcess ends a process and reports that to the core.
 func (p *Platform) endProcess(number uint64, exit string) {
-	name := p.processes[number].unit.Name
+	unit := p.processes[number].unit.Name
 	delete(p.processes, number)
-	if p.liveCounts[name]--; p.liveCounts[name] == 0 {
-		delete(p.liveCounts, name)
+	if p.liveCounts[unit]--; p.liveCounts[unit] == 0 {
+		delete(p.liveCounts, unit)
 	}
 	p.core.ProcessExited(p.nowMS, number, exit)
 }
-
-// event is something that happens to a process.
-type event struct {
-	atMS     int64
-	sequence uint64 // those of one time go in the order in which they were set
-	run      func()
-}
-
-type eventHeap []event
-
-func (e eventHeap) Len() int { return len(e) }
-func (e eventHeap) Less(i, j int) bool {
-	return e[i].atMS < e[j].atMS || e[i].atMS == e[j].atMS && e[i].sequence < e[j].sequence
-}
-func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *eventHeap) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *eventHeap) Pop() any {
-	old := *e
-	removed := old[len(old)-1]
-	old[len(old)-1] = event{}
-	*e = old[:len(old)-1]
-	return removed
-}
--- a/internal/supervisor/fake/fake_test.go
+++ b/internal/supervisor/fake/fake_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// Thousands of units, alike each time.
+// Two runs of thousands of units give the same list.
 func TestManyUnitsAreDeterministic(t *testing.T) {
 	const units = 3000
 	run := func() *supervisor.List {
@@ -125,7 +125,7 @@
 	}
 	a, b := run(), run()
 	if len(a.Units) != units || !reflect.DeepEqual(a, b) {
-		t.Errorf("%d units, alike %v", len(a.Units), reflect.DeepEqual(a, b))
+		t.Errorf("%d units, equal %v", len(a.Units), reflect.DeepEqual(a, b))
 	}
 	if u := a.Find("u0"); u.State != supervisor.Exited || u.Exit != "signal: killed" {
 		t.Errorf("%+v", u)
--- a/internal/supervisor/fixtures_test.go
+++ b/internal/supervisor/fixtures_test.go
@@ -74,7 +74,7 @@
 	return outcomes
 }
 
-// What goes over HTTP keeps its bytes, both ways.
+// The JSON of calls and responses keeps its bytes, both ways.
 func TestFixtureJSON(t *testing.T) {
 	if err := ValidateBatch(fixtureRequests()); err != nil {
 		t.Error(err)
@@ -96,7 +96,7 @@
 	goldenJSON(t, "list-forgotten.json", List{Epoch: 8, AtMS: 1, Units: []Unit{}})
 }
 
-// A request's digest and the texts of outcomes keep their bytes: platforms remember the one, callers log the other.
+// Digests of requests and the texts of rejections keep their bytes: platforms remember the former, callers log the latter.
 func TestFixtureDigestsAndErrors(t *testing.T) {
 	var out bytes.Buffer
 	for _, r := range fixtureRequests() {
@@ -118,7 +118,7 @@
 	return a
 }
 
-// A client sends the call of the golden file, and reads the golden answers.
+// A client sends the golden call and reads the golden responses.
 func TestFixtureClient(t *testing.T) {
 	goldenJSON(t, "answer-to-call.json", fixtureAnswer())
 	read := func(name string) []byte {
--- a/internal/supervisor/standin/bench_test.go
+++ b/internal/supervisor/standin/bench_test.go
@@ -9,7 +9,7 @@
 	"milldeck/internal/supervisor"
 )
 
-// One sidecar at a time, from the call to ready, and from the call to its end.
+// BenchmarkSidecar measures one sidecar at a time, from the call until it is ready, and from the call to its end.
 func BenchmarkSidecar(b *testing.B) {
 	r := newTestPlatform(b)
 	var up, down []time.Duration
@@ -35,7 +35,7 @@
 	}
 }
 
-// Calls that change nothing: a repeat of a start, and the list of 200 units that have exited.
+// BenchmarkCalls measures calls that change nothing: a repeat of a start, and the list of 200 units that have exited.
 func BenchmarkCalls(b *testing.B) {
 	r := newTestPlatform(b)
 	var requests []supervisor.Request
--- a/internal/supervisor/standin/fixtures_test.go
+++ b/internal/supervisor/standin/fixtures_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// The keys of a versions' file stay.
+// The keys of a versions' file keep their names.
 func TestFixtureVersions(t *testing.T) {
 	v, err := LoadVersions(filepath.Join("testdata", "versions.toml"))
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-// The answers over HTTP keep their bytes, but for what depends on the clock: the memory and times.
+// The answers over HTTP keep their bytes, but for what depends on the clock: the epoch and times.
 func TestFixtureHTTPAnswers(t *testing.T) {
 	versions, err := LoadVersions(filepath.Join("testdata", "versions.toml"))
 	if err != nil {
@@ -112,7 +112,7 @@
 	}
 	const units, faults = "/supervisor/units", "/faults"
 	request("GET", units, "")
-	// The version's program is not there: it has exited before the answer comes.
+	// The version's program doesn't exist: the unit has exited before the response comes.
 	request("POST", units, `{"requests":[{"id":"a","op":"start","memory":MEMORY,"unit":"u1","incarnation":0,"kind":"server","version":"2","listen":"127.0.0.1:9"}]}`)
 	request("GET", units, "")
 	request("POST", units, `{"requests":[{"id":"b","op":"stop","memory":MEMORY,"unit":"u1","incarnation":9},
--- a/internal/supervisor/standin/server.go
+++ b/internal/supervisor/standin/server.go
@@ -1,7 +1,6 @@
 package standin
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
@@ -17,7 +16,7 @@
 	"milldeck/internal/supervisor/core"
 )
 
-// FaultsPath takes a fault with POST; DELETE ends all.
+// FaultsPath takes a core.Fault with POST; DELETE ends all faults.
 const FaultsPath = "/faults"
 
 const (
@@ -25,29 +24,29 @@
 	bodyTimeout        = 5 * time.Second
 	idleTimeout        = 60 * time.Second
 	shutdownTimeout    = time.Second
-	maxConcurrentCalls = 256 // at a time; with bodies of 8 MB each the most memory is bounded, if not small
+	maxHeaderBytes     = 16 << 10
+	maxConcurrentCalls = 256 // with bodies of 8 MB each, memory is bounded, if not small
 	maxFaultBytes      = 4 << 10
 )
 
-// Serve runs a platform at a listener until ctx ends, and then ends all that it has started. Its files, logs and
-// configurations, stand in dir.
+var errTooManyCalls = errors.New("too many calls are under way")
+
+// Serve runs a platform on a loopback listener until ctx ends, and then stops all processes that it has started. Their
+// logs and configuration files are in dir.
 func Serve(ctx context.Context, listener net.Listener, versions *Versions, dir string) error {
 	if at, err := netip.ParseAddrPort(listener.Addr().String()); err != nil || !at.Addr().IsLoopback() {
 		return fmt.Errorf("supervisor: %s is not on loopback", listener.Addr())
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	server := &server{platform: newPlatform(ctx, versions, dir), slots: make(chan struct{}, maxConcurrentCalls)}
-	defer server.close()
+	s := &server{platform: newPlatform(ctx, versions, dir), slots: make(chan struct{}, maxConcurrentCalls)}
+	defer s.close()
 	defer cancel()
-	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+supervisor.UnitsPath, server.handleDo)
-	mux.HandleFunc("GET "+supervisor.UnitsPath, server.handleList)
-	mux.HandleFunc("POST "+FaultsPath, server.handleSetFault)
-	mux.HandleFunc("DELETE "+FaultsPath, server.handleClearFaults)
-	mux.HandleFunc("GET /health/ready", func(http.ResponseWriter, *http.Request) {})
 	httpServer := &http.Server{
-		Handler: mux, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: 16 << 10,
-		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
+		Handler:           s.handler(),
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 	slog.Info("serves", "listen", listener.Addr().String(), "versions", len(versions.Versions))
 	failed := make(chan error, 1)
@@ -60,35 +59,45 @@
 	shutdownCtx, cancelShutdown := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancelShutdown()
 	if httpServer.Shutdown(shutdownCtx) != nil {
-		httpServer.Close()
+		_ = httpServer.Close() // calls that are still open are cut off
+	}
+	if err := <-failed; !errors.Is(err, http.ErrServerClosed) {
+		return fmt.Errorf("supervisor: %w", err)
 	}
-	<-failed
 	return nil
 }
 
+// server is a platform's HTTP form.
 type server struct {
 	*platform
-	slots chan struct{}
+	slots chan struct{} // a token for each call under way
 }
 
-// acquireSlot takes a place among the calls under way, or answers that there is none.
-func (s *server) acquireSlot(w http.ResponseWriter) bool {
-	select {
-	case s.slots <- struct{}{}:
-		return true
-	default:
-		writeError(w, http.StatusServiceUnavailable, errors.New("too many calls are under way"))
-		return false
-	}
+func (s *server) handler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST "+supervisor.UnitsPath, s.limited(s.handleDo))
+	mux.HandleFunc("GET "+supervisor.UnitsPath, s.limited(s.handleList))
+	mux.HandleFunc("POST "+FaultsPath, s.handleSetFault)
+	mux.HandleFunc("DELETE "+FaultsPath, s.handleClearFaults)
+	mux.HandleFunc("GET /health/ready", func(http.ResponseWriter, *http.Request) {})
+	return mux
 }
 
-func (s *server) releaseSlot() { <-s.slots }
+// limited bounds the calls under way of a handler; one too many is answered with status 503.
+func (s *server) limited(handle http.HandlerFunc) http.HandlerFunc {
+	return func(w http.ResponseWriter, req *http.Request) {
+		select {
+		case s.slots <- struct{}{}:
+		default:
+			writeError(w, http.StatusServiceUnavailable, errTooManyCalls)
+			return
+		}
+		defer func() { <-s.slots }()
+		handle(w, req)
+	}
+}
 
 func (s *server) handleDo(w http.ResponseWriter, req *http.Request) {
-	if !s.acquireSlot(w) {
-		return
-	}
-	defer s.releaseSlot()
 	var batch supervisor.Batch
 	if status, err := readJSON(w, req, supervisor.MaxBatchBytes, &batch); err != nil {
 		writeError(w, status, err)
@@ -102,16 +111,59 @@
 }
 
 func (s *server) handleList(w http.ResponseWriter, req *http.Request) {
-	if !s.acquireSlot(w) {
+	s.respond(w, req, s.core.List)
+}
+
+func (s *server) handleSetFault(w http.ResponseWriter, req *http.Request) {
+	var fault core.Fault
+	if status, err := readJSON(w, req, maxFaultBytes, &fault); err != nil {
+		writeError(w, status, err)
 		return
 	}
-	defer s.releaseSlot()
-	s.respond(w, req, s.core.List)
+	var err error
+	s.update(func(now int64) { err = s.core.SetFault(now, fault) })
+	if err != nil {
+		writeError(w, http.StatusBadRequest, err)
+		return
+	}
+	slog.Info("fault injected", "kind", fault.Kind, "on", fault.On, "unit", fault.Unit, "count", fault.Count, "duration_ms", fault.DurationMS)
+	writeJSON(w, http.StatusOK, struct{}{})
+}
+
+func (s *server) handleClearFaults(w http.ResponseWriter, _ *http.Request) {
+	s.update(func(now int64) { s.core.ClearFaults(now) })
+	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// respond makes a call of the core and answers as it says: at once, late, when it is told to go on, or not at all.
+// respond calls the core and responds as it says: at once, late, when the call is released, or by closing the connection.
 func (s *server) respond(w http.ResponseWriter, req *http.Request, call func(now int64) core.Response) {
-	var response core.Response
+	response, ok := s.call(req.Context(), call)
+	if !ok || response.Disconnect {
+		panic(http.ErrAbortHandler) // closes the connection
+	}
+	switch {
+	case response.Failure != "":
+		writeError(w, http.StatusInternalServerError, errors.New(response.Failure))
+	case response.List != nil:
+		writeJSON(w, http.StatusOK, response.List)
+	default:
+		writeJSON(w, outcomesStatus(response.Outcomes), supervisor.BatchResponse{Outcomes: response.Outcomes})
+	}
+}
+
+// outcomesStatus is the status of a response: 409 where a request was rejected.
+func outcomesStatus(outcomes []supervisor.Outcome) int {
+	for i := range outcomes {
+		if outcomes[i].Rejected != "" {
+			return http.StatusConflict
+		}
+	}
+	return http.StatusOK
+}
+
+// call calls the core, and waits for a held or late response; ok is false where the client has gone or the platform ends
+// before it comes.
+func (s *server) call(ctx context.Context, call func(now int64) core.Response) (response core.Response, ok bool) {
 	var held chan core.Response
 	s.update(func(now int64) {
 		if response = call(now); response.HeldTicket != 0 {
@@ -122,71 +174,35 @@
 	if held != nil {
 		select {
 		case response = <-held:
-		case <-req.Context().Done():
-			s.update(func(int64) { delete(s.heldCalls, response.HeldTicket) }) // it is carried out all the same
-			panic(http.ErrAbortHandler)
+		case <-ctx.Done():
+			s.update(func(int64) { delete(s.heldCalls, response.HeldTicket) }) // the call is executed all the same
+			return response, false
 		case <-s.ctx.Done():
-			panic(http.ErrAbortHandler)
+			return response, false
 		}
 	}
 	if response.DelayMS > 0 {
 		select {
 		case <-time.After(time.Duration(response.DelayMS) * time.Millisecond):
-		case <-req.Context().Done():
-			panic(http.ErrAbortHandler)
+		case <-ctx.Done():
+			return response, false
 		case <-s.ctx.Done():
-			panic(http.ErrAbortHandler)
-		}
-	}
-	switch {
-	case response.Disconnect:
-		panic(http.ErrAbortHandler) // closes the connection
-	case response.Failure != "":
-		writeError(w, http.StatusInternalServerError, errors.New(response.Failure))
-	case response.List != nil:
-		writeJSON(w, http.StatusOK, response.List)
-	default:
-		status := http.StatusOK
-		for i := range response.Outcomes {
-			if response.Outcomes[i].Rejected != "" {
-				status = http.StatusConflict
-			}
+			return response, false
 		}
-		writeJSON(w, status, supervisor.BatchResponse{Outcomes: response.Outcomes})
 	}
+	return response, true
 }
 
-func (s *server) handleSetFault(w http.ResponseWriter, req *http.Request) {
-	var fault core.Fault
-	if status, err := readJSON(w, req, maxFaultBytes, &fault); err != nil {
-		writeError(w, status, err)
-		return
-	}
-	var err error
-	s.update(func(now int64) { err = s.core.SetFault(now, fault) })
-	if err != nil {
-		writeError(w, http.StatusBadRequest, err)
-		return
-	}
-	slog.Info("fault", "kind", fault.Kind, "on", fault.On, "unit", fault.Unit, "count", fault.Count, "for_ms", fault.DurationMS)
-	writeJSON(w, http.StatusOK, struct{}{})
-}
-
-func (s *server) handleClearFaults(w http.ResponseWriter, _ *http.Request) {
-	s.update(func(now int64) { s.core.ClearFaults(now) })
-	writeJSON(w, http.StatusOK, struct{}{})
-}
-
-// readJSON reads a body of one JSON value. A key that is not known is refused, as the order would be carried out without
-// what it says.
-func readJSON(w http.ResponseWriter, req *http.Request, maxBytes int64, v any) (int, error) {
+// readJSON reads a body of one JSON value, or returns the status of the error. Unknown keys are rejected, as a request
+// would be executed without what they say.
+func readJSON(w http.ResponseWriter, req *http.Request, maxBytes int64, v any) (status int, err error) {
 	conn := http.NewResponseController(w)
 	if err := conn.SetReadDeadline(time.Now().Add(bodyTimeout)); err != nil {
 		return http.StatusInternalServerError, err
 	}
 	decoder := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxBytes))
 	decoder.DisallowUnknownFields()
-	err := decoder.Decode(v)
+	err = decoder.Decode(v)
 	if err == nil {
 		if _, trailing := decoder.Token(); !errors.Is(trailing, io.EOF) {
 			err = errors.New("more than one value")
@@ -195,7 +211,7 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case err == nil:
-		// An answer may take longer than the body: without a deadline the connection's end alone ends the call.
+		// The response may take longer than the body. Without a deadline only the connection's end ends the call.
 		return http.StatusInternalServerError, conn.SetReadDeadline(time.Time{})
 	case errors.As(err, &tooLarge):
 		return http.StatusRequestEntityTooLarge, fmt.Errorf("body: more than %d bytes", maxBytes)
@@ -211,38 +227,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		slog.Debug("answer not written", "error", err)
+		slog.Debug("response write failed", "error", err)
 	}
 }
-
-// SetFault has the platform at an address fail.
-func SetFault(ctx context.Context, addr string, fault core.Fault) error {
-	body, err := json.Marshal(fault)
-	if err != nil {
-		return err
-	}
-	return callFaults(ctx, http.MethodPost, addr, body)
-}
-
-// ClearFaults ends all faults of the platform at an address.
-func ClearFaults(ctx context.Context, addr string) error {
-	return callFaults(ctx, http.MethodDelete, addr, nil)
-}
-
-func callFaults(ctx context.Context, method, addr string, body []byte) error {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+FaultsPath, bytes.NewReader(body))
-	if err != nil {
-		return fmt.Errorf("supervisor: faults: %w", err)
-	}
-	req.Close = true // seldom asked for
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		return fmt.Errorf("supervisor: faults: %w", err)
-	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxFaultBytes)) // what came tells enough
-		return fmt.Errorf("supervisor: faults: %s: %s", resp.Status, bytes.TrimSpace(text))
-	}
-	return nil
-}
--- a/internal/supervisor/standin/standin_test.go
+++ b/internal/supervisor/standin/standin_test.go
@@ -28,7 +28,7 @@
 	}
 	was := r.waitState(1, supervisor.Running).Incarnation
 	if now := r.mustDo(r.request(supervisor.Restart, 1, "2"))[0].Incarnation; now == was {
-		t.Errorf("incarnation %d after the restart too", now)
+		t.Errorf("incarnation %d also after the restart", now)
 	}
 	if u := r.waitState(1, supervisor.Running); u.Version != "2" || u.Restarts != 0 {
 		t.Errorf("%+v, want version 2", u)
@@ -41,12 +41,12 @@
 	r.mustDo(r.request(supervisor.Start, 1, "1"))
 	r.waitState(1, supervisor.Running)
 	if again := r.mustDo(stop); again[0] != first[0] || r.waitState(1, supervisor.Running).State != supervisor.Running {
-		t.Errorf("a late repeat had %+v, before %+v", again, first)
+		t.Errorf("a late repeat got %+v, the first %+v", again, first)
 	}
 	other := stop
 	other.GraceMS = 1
 	if out, err := r.client.Do(r.ctx, other); err != nil || out[0].Rejected != supervisor.RequestIDReused {
-		t.Errorf("%+v, %v, want the id refused", out, err)
+		t.Errorf("%+v, %v, want the id rejected", out, err)
 	}
 	if err := r.process.Stop(r.ctx); err != nil {
 		t.Errorf("%v\n%s", err, r.process.Log())
@@ -55,7 +55,7 @@
 		t.Error("a sidecar outlived the platform")
 	}
 	if _, err := r.client.Do(r.ctx, stop); err == nil || errors.Is(err, supervisor.ErrOutcomeUnknown) || strings.Contains(err.Error(), "\n") {
-		t.Errorf("%v, want one line that says that nothing was asked", err)
+		t.Errorf("%v, want one line and a known outcome", err)
 	}
 }
 
@@ -79,7 +79,7 @@
 	if u := r.waitState(2, supervisor.Exited); u.Exit != "exit status 3 cannot go on" || r.startCount(2) != 3 {
 		t.Errorf("%+v after %d starts", u, r.startCount(2))
 	}
-	r.eventually("its log emptied", func() bool { return len(r.readFile("u4.log")) <= maxLogBytes })
+	r.eventually("its log truncated", func() bool { return len(r.readFile("u4.log")) <= maxLogBytes })
 	r.process.Kill()
 	r.eventually("the end of what a killed platform ran", func() bool { return !r.isListening(4) })
 }
@@ -95,14 +95,14 @@
 	for i, f := range []core.Fault{
 		{Kind: core.FaultError, On: core.OnDo, Count: 2}, {Kind: core.FaultDropResponse, On: core.OnDo, Count: 2}, {Kind: core.FaultDelay, On: core.OnDo, DelayMS: 100},
 	} {
-		t.Run(string(f.Kind)+" and asked again", func(t *testing.T) {
+		t.Run(string(f.Kind)+" and a retry", func(t *testing.T) {
 			n := 10 + i
 			q := r.request(supervisor.Start, n, "1")
 			r.setFault(f)
 			out := r.mustDo(q)
 			u := r.waitState(n, supervisor.Running)
 			if r.startCount(n) != 1 || u.Incarnation != out[0].Incarnation {
-				t.Errorf("started %d times, %+v, told %+v", r.startCount(n), u, out)
+				t.Errorf("started %d times, %+v, outcome %+v", r.startCount(n), u, out)
 			}
 		})
 	}
@@ -113,7 +113,7 @@
 			t.Errorf("%v, want the outcome unknown", err)
 		}
 		if _, err := r.client.List(short(t)); err == nil {
-			t.Error("a list came")
+			t.Error("a list was returned")
 		}
 		if err := ClearFaults(r.ctx, r.addr); err != nil {
 			t.Fatal(err)
@@ -129,14 +129,14 @@
 			t.Errorf("%v, want the outcome unknown", err)
 		}
 		r.waitState(1, supervisor.Running)
-		restart := r.request(supervisor.Restart, 1, "2") // the caller has looked and decides anew
+		restart := r.request(supervisor.Restart, 1, "2") // the caller has read the list and decides again
 		now := r.mustDo(restart)[0].Incarnation
 		r.waitState(1, supervisor.Running)
 		if err := ClearFaults(r.ctx, r.addr); err != nil {
 			t.Fatal(err)
 		}
 		if out, err := r.client.Do(r.ctx, q); err != nil || out[0].Rejected != supervisor.IncarnationMismatch {
-			t.Errorf("%+v, %v, want the late stop refused", out, err)
+			t.Errorf("%+v, %v, want the late stop rejected", out, err)
 		}
 		if u := r.waitState(1, supervisor.Running); u.Incarnation != now || u.Version != "2" {
 			t.Errorf("%+v, want incarnation %d left alone", u, now)
@@ -164,7 +164,7 @@
 		q := r.request(supervisor.Start, 40, "1")
 		r.setFault(core.Fault{Kind: core.FaultDuplicate, On: core.OnDo})
 		r.mustDo(q)
-		// One gets the address and the other ends, the platform's own or the one that it does not know.
+		// One gets the address and the other ends: the listed one, or the one that the platform doesn't know.
 		r.eventually("one serves", func() bool { return r.isListening(40) })
 		if r.startCount(40) != 2 {
 			t.Errorf("started %d times", r.startCount(40))
@@ -174,7 +174,7 @@
 		q := r.request(supervisor.Stop, 1, "")
 		r.setFault(core.Fault{Kind: core.FaultWrongUnit, On: core.OnDo})
 		r.mustDo(q)
-		r.waitState(10, supervisor.Exited) // by name the next after u1
+		r.waitState(10, supervisor.Exited) // the next by name after u1
 		if u := r.waitState(1, supervisor.Running); !r.isListening(1) {
 			t.Errorf("%+v was stopped", u)
 		}
@@ -186,16 +186,16 @@
 			t.Errorf("%+v, want no unit listed and u2 serving", l)
 		}
 		if out, err := r.client.Do(r.ctx, q); err != nil || out[0].Rejected != supervisor.EpochMismatch {
-			t.Errorf("%+v, %v, want the stop refused", out, err)
+			t.Errorf("%+v, %v, want the stop rejected", out, err)
 		}
 		r.waitState(2, supervisor.Running)
 		if l := r.mustList(); !l.Complete {
-			t.Errorf("%+v, want all found", l)
+			t.Errorf("%+v, want all units found", l)
 		}
 		r.mustDo(r.request(supervisor.Stop, 2, ""))
 		r.waitState(2, supervisor.Exited)
 	})
-	// A platform that ends takes along what it forgot and what it did not know.
+	// A platform that ends also stops what it has forgotten and what it didn't know.
 	if err := r.process.Stop(r.ctx); err != nil {
 		t.Errorf("%v\n%s", err, r.process.Log())
 	}
@@ -206,7 +206,7 @@
 	}
 }
 
-// Within the program: nothing is left running.
+// Serve in this process leaves no goroutines.
 func TestServeLeaksNothing(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	v, err := LoadVersions(writeVersionsFile(t))
--- a/internal/supervisor/standin/rig_test.go
+++ b/internal/supervisor/standin/test_platform_test.go
@@ -19,8 +19,8 @@
 	"milldeck/internal/supervisor/core"
 )
 
-// The test binary stands in for a model server where this is set: "good" serves, "deaf" leaves SIGTERM alone as well, "loud"
-// logs 4 MB before, "crash" ends at once.
+// serverModeEnv makes the test binary a model server: "good" serves, "deaf" also ignores SIGTERM, "loud" logs 4 MB before,
+// "crash" ends at once.
 const serverModeEnv = "STANDIN_TEST_AS_SERVER"
 
 func TestMain(m *testing.M) {
@@ -48,7 +48,7 @@
 	fmt.Fprintln(os.Stderr, http.ListenAndServe(os.Args[1], nil))
 }
 
-const waitTimeout = 10 * time.Second // of what takes milliseconds on a machine that is not busy
+const waitTimeout = 10 * time.Second // of what takes milliseconds on an idle machine
 
 // testPlatform is a stand-in as a process, and a client of it.
 type testPlatform struct {
@@ -65,7 +65,7 @@
 const sidecarConfig = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":
 	{"classes":[{"name":"c","effect":"read_like","on_time_ms":50,"hard_limit_ms":100}]}}`
 
-// writeVersionsFile has sidecar as versions 1 and 2, and servers that are the test binary.
+// writeVersionsFile writes a versions' file with the sidecar as versions 1 and 2, and the test binary as servers.
 func writeVersionsFile(t testing.TB) string {
 	t.Helper()
 	text := ""
@@ -130,7 +130,7 @@
 	return l
 }
 
-// request names the memory and incarnation that stand now.
+// request returns a request with the present epoch and incarnation.
 func (r *testPlatform) request(op supervisor.Op, n int, version string) supervisor.Request {
 	r.t.Helper()
 	r.lastRequest++
@@ -200,7 +200,7 @@
 	}
 }
 
-// startCount is how often processes of a unit were started.
+// startCount is how many processes of a unit were started.
 func (r *testPlatform) startCount(n int) int {
 	return strings.Count(r.readFile("standin-log"), fmt.Sprintf("msg=started unit=u%d ", n))
 }
@@ -214,7 +214,7 @@
 	return string(data)
 }
 
-// isListening tells whether something listens at a unit's address.
+// isListening reports whether something listens at a unit's address.
 func (r *testPlatform) isListening(n int) bool {
 	c, err := net.Dial("tcp4", r.listenAddr(n))
 	if err == nil {
--- a/internal/supervisor/standin/versions.go
+++ b/internal/supervisor/standin/versions.go
@@ -1,5 +1,6 @@
-// Package standin is the lab's platform: it starts, stops and lists real processes by version, and fails when it is
-// told to. What it decides stands in package core; here are the versions' file, the processes and the HTTP form.
+// Package standin is the lab's platform: it starts, stops and lists real processes by version, and fails when a fault is
+// injected. Package core decides; here are the versions' file, the processes and the HTTP form. It owns the processes and
+// their log and configuration files; none of them outlives it.
 package standin
 
 import (
@@ -13,21 +14,21 @@
 	"milldeck/internal/supervisor/core"
 )
 
-// Versions are the programs that a platform can run.
+// Versions is a versions' file: the programs that a platform can run.
 type Versions struct {
 	MaxUnits int       `toml:"most_units"` // listed at a time; 0: the core's default
 	Versions []Version `toml:"version"`
 }
 
-// Version is one of them. In Argv and the values of Env, {name}, {listen}, {zone}, {version} and {config}, the path
-// of the unit's configuration file, stand for the unit's own.
+// Version is a program. In Argv and the values of Env, {name}, {listen}, {zone}, {version} and {config}, the path of the
+// configuration file, are replaced by the unit's.
 type Version struct {
 	Name        string            `toml:"name"`
 	Kind        supervisor.Kind   `toml:"kind"`
 	Argv        []string          `toml:"argv"`
-	Env         map[string]string `toml:"env"`      // beside the platform's
-	ReadyPath   string            `toml:"ready"`    // path of the ready check at the unit's address; empty: ready once started
-	GraceMS     int64             `toml:"grace_ms"` // 0: the core's default
+	Env         map[string]string `toml:"env"`      // in addition to the platform's
+	ReadyPath   string            `toml:"ready"`    // of the readiness check at the unit's address; empty: ready once started
+	GraceMS     int64             `toml:"grace_ms"` // from SIGTERM to SIGKILL; 0: the core's default
 	MaxRestarts int               `toml:"restarts"` // by the platform itself, of one incarnation
 }
 
@@ -37,9 +38,12 @@
 	maxRestarts = 1000
 )
 
+const configPlaceholder = "{config}"
+
+// placeholders are the names that may stand between braces.
 var placeholders = []string{"name", "listen", "zone", "version", "config"}
 
-// LoadVersions reads a versions' file.
+// LoadVersions reads a versions' file. Errors name the line and the key.
 func LoadVersions(path string) (*Versions, error) {
 	versions := &Versions{}
 	file, err := config.Load(path, versions)
@@ -52,45 +56,54 @@
 	if versions.MaxUnits < 0 {
 		return nil, file.Errorf("most_units", "%d is negative", versions.MaxUnits)
 	}
-	seen := map[core.Version]bool{}
+	known := map[core.Version]bool{}
 	for i := range versions.Versions {
 		version := &versions.Versions[i]
-		field := func(key string) string { return fmt.Sprintf("version[%d].%s", i, key) }
-		id := core.Version{Kind: version.Kind, Name: version.Name}
-		if err := supervisor.ValidateVersion(version.Kind, version.Name); err != nil {
-			return nil, file.Errorf(field("name"), "%w", err)
-		}
-		if seen[id] {
-			return nil, file.Errorf(field("name"), "%s %s stands twice", version.Kind, version.Name)
-		}
-		seen[id] = true
-		if len(version.Argv) == 0 || len(version.Argv) > maxArgs || version.Argv[0] == "" {
-			return nil, file.Errorf(field("argv"), "%d parts, a program and at most %d in all can be", len(version.Argv), maxArgs)
-		}
-		for _, a := range version.Argv {
-			if bad := unknownPlaceholder(a); bad != "" {
-				return nil, file.Errorf(field("argv"), "%s stands for nothing", bad)
-			}
-		}
-		for _, k := range slices.Sorted(maps.Keys(version.Env)) {
-			if bad := unknownPlaceholder(version.Env[k]); bad != "" {
-				return nil, file.Errorf(field("env")+"."+k, "%s stands for nothing", bad)
-			}
-		}
-		if version.ReadyPath != "" && version.ReadyPath[0] != '/' {
-			return nil, file.Errorf(field("ready"), "%q is no path", version.ReadyPath)
+		if err := version.validate(file, fmt.Sprintf("version[%d]", i), known); err != nil {
+			return nil, err
 		}
-		if version.GraceMS < 0 || version.GraceMS > supervisor.MaxGraceMS {
-			return nil, file.Errorf(field("grace_ms"), "%d is not within 0 to %d", version.GraceMS, supervisor.MaxGraceMS)
+		known[version.id()] = true
+	}
+	return versions, nil
+}
+
+// id is the version as the core knows it.
+func (v *Version) id() core.Version { return core.Version{Kind: v.Kind, Name: v.Name} }
+
+// validate returns what is invalid about a version, by the key of the file. known are the versions before it.
+func (v *Version) validate(file *config.File, key string, known map[core.Version]bool) error {
+	if err := supervisor.ValidateVersion(v.Kind, v.Name); err != nil {
+		return file.Errorf(key+".name", "%w", err)
+	}
+	if known[v.id()] {
+		return file.Errorf(key+".name", "%s %s stands twice", v.Kind, v.Name)
+	}
+	if len(v.Argv) == 0 || len(v.Argv) > maxArgs || v.Argv[0] == "" {
+		return file.Errorf(key+".argv", "%d parts, a program and at most %d in all can be", len(v.Argv), maxArgs)
+	}
+	for _, arg := range v.Argv {
+		if unknown := unknownPlaceholder(arg); unknown != "" {
+			return file.Errorf(key+".argv", "%s stands for nothing", unknown)
 		}
-		if version.MaxRestarts < 0 || version.MaxRestarts > maxRestarts {
-			return nil, file.Errorf(field("restarts"), "%d is not within 0 to %d", version.MaxRestarts, maxRestarts)
+	}
+	for _, name := range slices.Sorted(maps.Keys(v.Env)) {
+		if unknown := unknownPlaceholder(v.Env[name]); unknown != "" {
+			return file.Errorf(key+".env."+name, "%s stands for nothing", unknown)
 		}
 	}
-	return versions, nil
+	if v.ReadyPath != "" && v.ReadyPath[0] != '/' {
+		return file.Errorf(key+".ready", "%q is not a path", v.ReadyPath)
+	}
+	if v.GraceMS < 0 || v.GraceMS > supervisor.MaxGraceMS {
+		return file.Errorf(key+".grace_ms", "%d is not within 0 to %d", v.GraceMS, supervisor.MaxGraceMS)
+	}
+	if v.MaxRestarts < 0 || v.MaxRestarts > maxRestarts {
+		return file.Errorf(key+".restarts", "%d is not within 0 to %d", v.MaxRestarts, maxRestarts)
+	}
+	return nil
 }
 
-// unknownPlaceholder is the first placeholder of a text that stands for nothing.
+// unknownPlaceholder returns the first placeholder of a text that has no meaning, "" where all have.
 func unknownPlaceholder(text string) string {
 	for {
 		_, rest, found := strings.Cut(text, "{")
@@ -105,35 +118,37 @@
 	}
 }
 
-// coreOptions are the core's.
+// coreOptions are the core's options for these versions.
 func (v *Versions) coreOptions() core.Options {
 	policies := make(map[core.Version]core.ProcessPolicy, len(v.Versions))
-	for _, version := range v.Versions {
-		policies[core.Version{Kind: version.Kind, Name: version.Name}] = core.ProcessPolicy{GraceMS: version.GraceMS, MaxRestarts: version.MaxRestarts}
+	for i := range v.Versions {
+		version := &v.Versions[i]
+		policies[version.id()] = core.ProcessPolicy{GraceMS: version.GraceMS, MaxRestarts: version.MaxRestarts}
 	}
 	return core.Options{Versions: policies, MaxUnits: v.MaxUnits}
 }
 
-// find is a version that the core knows.
-func (v *Versions) find(k supervisor.Kind, name string) *Version {
+// find returns a version, nil where there is none.
+func (v *Versions) find(kind supervisor.Kind, name string) *Version {
 	for i := range v.Versions {
-		if v.Versions[i].Kind == k && v.Versions[i].Name == name {
+		if v.Versions[i].Kind == kind && v.Versions[i].Name == name {
 			return &v.Versions[i]
 		}
 	}
 	return nil
 }
 
-// command is a unit's command line and environment, and whether they name a configuration file.
-func (version *Version) command(u *supervisor.Unit, configPath string) (argv, env []string, usesConfig bool) {
-	replacer := strings.NewReplacer("{name}", u.Name, "{listen}", u.Listen, "{zone}", u.Zone, "{version}", u.Version, "{config}", configPath)
-	for _, a := range version.Argv {
-		argv = append(argv, replacer.Replace(a))
-		usesConfig = usesConfig || strings.Contains(a, "{config}")
-	}
-	for _, k := range slices.Sorted(maps.Keys(version.Env)) {
-		env = append(env, k+"="+replacer.Replace(version.Env[k]))
-		usesConfig = usesConfig || strings.Contains(version.Env[k], "{config}")
+// command returns a unit's command line and environment, and whether these name its configuration file.
+func (v *Version) command(u *supervisor.Unit, configPath string) (argv, env []string, usesConfig bool) {
+	replacer := strings.NewReplacer("{name}", u.Name, "{listen}", u.Listen, "{zone}", u.Zone, "{version}", u.Version,
+		configPlaceholder, configPath)
+	for _, arg := range v.Argv {
+		argv = append(argv, replacer.Replace(arg))
+		usesConfig = usesConfig || strings.Contains(arg, configPlaceholder)
+	}
+	for _, name := range slices.Sorted(maps.Keys(v.Env)) {
+		env = append(env, name+"="+replacer.Replace(v.Env[name]))
+		usesConfig = usesConfig || strings.Contains(v.Env[name], configPlaceholder)
 	}
 	return argv, env, usesConfig
 }
