--- a/internal/supervisor/core/core.go
+++ b/internal/supervisor/core/core.go
@@ -16,9 +16,9 @@
 
 // Bounds where Options name none.
 const (
-	defaultMaxUnits      = 4096    // twice the servers of the largest fleet that is tried out
-	defaultMaxRequestIDs = 1 << 16 // a day of a fleet's releases
-	defaultMaxHeldCalls  = 64      // with their requests
+	defaultMaxUnits         = 4096    // twice the servers of the largest fleet that is tried out
+	defaultMaxRequestIDs    = 1 << 16 // a day of a fleet's releases
+	defaultMaxDeferredCalls = 64      // with their requests
 )
 
 // Version names a program.
@@ -35,20 +35,20 @@
 
 // Options says what a platform has. Bounds that are 0 have their defaults.
 type Options struct {
-	Versions      map[Version]ProcessPolicy
-	MaxUnits      int // listed at a time
-	MaxRequestIDs int // remembered
-	MaxHeldCalls  int // that hang at a time
+	Versions         map[Version]ProcessPolicy
+	MaxUnits         int // listed at a time
+	MaxRequestIDs    int // remembered
+	MaxDeferredCalls int // that hang at a time
 }
 
 // Response is the response to a call.
 type Response struct {
-	Outcomes   []supervisor.Outcome // of Do
-	List       *supervisor.List     // of List
-	Failure    string               // sent with status 500 in place of the others: the outcome is unknown
-	Disconnect bool                 // the connection is closed in place of a response
-	DelayMS    int64                // before the response is sent
-	HeldTicket uint64               // not 0: a HeldResponse with this ticket follows
+	Outcomes       []supervisor.Outcome // of Do
+	List           *supervisor.List     // of List
+	Failure        string               // sent with status 500 in place of the others: the outcome is unknown
+	Disconnect     bool                 // the connection is closed in place of a response
+	DelayMS        int64                // before the response is sent
+	DeferredTicket uint64               // not 0: a DeferredResponse with this ticket follows
 }
 
 // Core is the platform. It is not safe for concurrent use.
@@ -62,10 +62,10 @@
 	records     map[string]*requestRecord // by request id
 	recordOrder []*requestRecord          // oldest first
 
-	faults    []*activeFault
-	heldCalls []heldCall
-	timers    timerHeap
-	effects   []Effect
+	faults        []*activeFault
+	deferredCalls []deferredCall
+	timers        timerHeap
+	effects       []Effect
 
 	lastProcess, lastIncarnation, lastTicket, lastTimer uint64
 }
@@ -81,7 +81,7 @@
 func New(options Options, now int64) *Core {
 	options.MaxUnits = cmp.Or(options.MaxUnits, defaultMaxUnits)
 	options.MaxRequestIDs = cmp.Or(options.MaxRequestIDs, defaultMaxRequestIDs)
-	options.MaxHeldCalls = cmp.Or(options.MaxHeldCalls, defaultMaxHeldCalls)
+	options.MaxDeferredCalls = cmp.Or(options.MaxDeferredCalls, defaultMaxDeferredCalls)
 	return &Core{
 		options:   options,
 		epoch:     uint64(max(now, 1)),
@@ -94,7 +94,7 @@
 
 // Do handles a call with requests that are valid.
 func (c *Core) Do(now int64, requests []request) Response {
-	fault := c.takeFault(now, OnDo, requests)
+	fault := c.nextFault(now, OnDo, requests)
 	if fault == nil {
 		return c.executeAll(now, requests, "")
 	}
@@ -102,7 +102,7 @@
 	case FaultError:
 		return Response{Failure: "the platform failed"}
 	case FaultHang:
-		return c.holdCall(fault, heldCall{requests: slices.Clone(requests)})
+		return c.deferCall(fault, deferredCall{requests: slices.Clone(requests)})
 	}
 	response := c.executeAll(now, requests, fault.Kind)
 	response.Disconnect = fault.Kind == FaultDropResponse
@@ -112,7 +112,7 @@
 
 // List handles a call for the list.
 func (c *Core) List(now int64) Response {
-	fault := c.takeFault(now, OnList, nil)
+	fault := c.nextFault(now, OnList, nil)
 	if fault == nil {
 		return Response{List: c.list(now)}
 	}
@@ -120,7 +120,7 @@
 	case FaultError:
 		return Response{Failure: "the platform failed"}
 	case FaultHang:
-		return c.holdCall(fault, heldCall{isList: true})
+		return c.deferCall(fault, deferredCall{isList: true})
 	}
 	return Response{List: c.list(now), Disconnect: fault.Kind == FaultDropResponse, DelayMS: fault.DelayMS}
 }
--- a/internal/supervisor/core/core_test.go
+++ b/internal/supervisor/core/core_test.go
@@ -157,9 +157,9 @@
 	c = fresh()
 	set(c, Fault{Kind: FaultHang, DurationMS: 500})
 	a := c.Do(1000, []request{stop(c, "h", "a", 1)})
-	expect(t, "hangs", fmt.Sprint(a.HeldTicket != 0)+drainEffects(c), "true")
+	expect(t, "hangs", fmt.Sprint(a.DeferredTicket != 0)+drainEffects(c), "true")
 	c.Tick(1500)
-	expect(t, "goes on", drainEffects(c), "term 1;core.HeldResponse;")
+	expect(t, "goes on", drainEffects(c), "term 1;core.DeferredResponse;")
 
 	c = fresh()
 	before := c.list(0)
--- a/internal/supervisor/core/effects.go
+++ b/internal/supervisor/core/effects.go
@@ -2,7 +2,7 @@
 
 import "milldeck/internal/supervisor"
 
-// Effect is something that is to be done: Launch, Signal, RewriteConfig, UnitRemoved or HeldResponse.
+// Effect is something that is to be done: Launch, Signal, RewriteConfig, UnitRemoved or DeferredResponse.
 type Effect interface{ isEffect() }
 
 // Launch starts a process.
@@ -34,14 +34,14 @@
 // UnitRemoved says that a unit that has exited is no longer listed: its files can be removed.
 type UnitRemoved struct{ Unit string }
 
-// HeldResponse is the response to a call that hung.
-type HeldResponse struct {
+// DeferredResponse is the response to a call that hung.
+type DeferredResponse struct {
 	Ticket uint64
 	Response
 }
 
-func (Launch) isEffect()        {}
-func (Signal) isEffect()        {}
-func (RewriteConfig) isEffect() {}
-func (UnitRemoved) isEffect()   {}
-func (HeldResponse) isEffect()  {}
+func (Launch) isEffect()           {}
+func (Signal) isEffect()           {}
+func (RewriteConfig) isEffect()    {}
+func (UnitRemoved) isEffect()      {}
+func (DeferredResponse) isEffect() {}
--- a/internal/supervisor/core/faults.go
+++ b/internal/supervisor/core/faults.go
@@ -111,8 +111,8 @@
 	return true
 }
 
-// heldCall is a call that hangs.
-type heldCall struct {
+// deferredCall is a call that hangs.
+type deferredCall struct {
 	ticket   uint64
 	fault    *activeFault
 	requests []request // nil: of a list
@@ -158,11 +158,11 @@
 }
 
 func (c *Core) removeFault(i int) {
-	c.faults = append(c.faults[:i:i], c.faults[i+1:]...) // a copy: takeFault ranges over the slice
+	c.faults = append(c.faults[:i:i], c.faults[i+1:]...) // a copy: nextFault ranges over the slice
 }
 
-// takeFault returns the fault that acts on a call, the earliest set, nil where there is none. It counts the call.
-func (c *Core) takeFault(now int64, operation string, requests []request) *activeFault {
+// nextFault returns the fault that acts on a call, the earliest set, nil where there is none. It counts the call.
+func (c *Core) nextFault(now int64, operation string, requests []request) *activeFault {
 	for i, f := range c.faults {
 		if !f.actsOn(now, operation, requests) {
 			continue
@@ -181,29 +181,29 @@
 	return slices.ContainsFunc(requests, func(r request) bool { return r.Unit == unit })
 }
 
-// holdCall holds a call until its fault ends.
-func (c *Core) holdCall(fault *activeFault, call heldCall) Response {
-	if len(c.heldCalls) >= c.options.MaxHeldCalls {
+// deferCall holds a call until its fault ends.
+func (c *Core) deferCall(fault *activeFault, call deferredCall) Response {
+	if len(c.deferredCalls) >= c.options.MaxDeferredCalls {
 		return Response{Failure: "too many calls hang"}
 	}
 	c.lastTicket++
 	call.ticket, call.fault = c.lastTicket, fault
-	c.heldCalls = append(c.heldCalls, call)
-	return Response{HeldTicket: call.ticket}
+	c.deferredCalls = append(c.deferredCalls, call)
+	return Response{DeferredTicket: call.ticket}
 }
 
 // releaseCalls executes the calls that hung by a fault, nil: by any, in the order in which they came.
 func (c *Core) releaseCalls(now int64, fault *activeFault) {
-	calls := c.heldCalls
-	c.heldCalls = nil
+	calls := c.deferredCalls
+	c.deferredCalls = nil
 	for _, call := range calls {
 		switch {
 		case fault != nil && call.fault != fault:
-			c.heldCalls = append(c.heldCalls, call)
+			c.deferredCalls = append(c.deferredCalls, call)
 		case call.isList:
-			c.emit(HeldResponse{call.ticket, Response{List: c.list(now)}})
+			c.emit(DeferredResponse{call.ticket, Response{List: c.list(now)}})
 		default:
-			c.emit(HeldResponse{call.ticket, c.executeAll(now, call.requests, "")})
+			c.emit(DeferredResponse{call.ticket, c.executeAll(now, call.requests, "")})
 		}
 	}
 }
--- a/internal/supervisor/core/model_test.go
+++ b/internal/supervisor/core/model_test.go
@@ -69,7 +69,7 @@
 	if m.bug == evictsFailed && (a.Disconnect || a.Failure != "") {
 		delete(m.records, r.ID)
 	}
-	if a.Disconnect || a.Failure != "" || a.HeldTicket != 0 {
+	if a.Disconnect || a.Failure != "" || a.DeferredTicket != 0 {
 		m.now += 10 // the caller's timeout
 		m.settle()
 		return nil
--- a/internal/supervisor/fake/fake.go
+++ b/internal/supervisor/fake/fake.go
@@ -132,7 +132,7 @@
 		return fmt.Errorf("500: %s", response.Failure)
 	case response.Disconnect:
 		return errDisconnected
-	case response.HeldTicket != 0 || p.options.TimeoutMS > 0 && response.DelayMS > p.options.TimeoutMS:
+	case response.DeferredTicket != 0 || p.options.TimeoutMS > 0 && response.DelayMS > p.options.TimeoutMS:
 		return errTimeout
 	}
 	return nil
@@ -221,7 +221,7 @@
 		p.configs[e.Unit] = e
 	case core.UnitRemoved:
 		delete(p.configs, e.Unit)
-	case core.HeldResponse: // its caller has already got an unknown outcome
+	case core.DeferredResponse: // its caller has already got an unknown outcome
 	}
 }
 
--- a/internal/supervisor/standin/platform.go
+++ b/internal/supervisor/standin/platform.go
@@ -19,12 +19,12 @@
 	startTime    time.Time
 	healthClient *http.Client
 
-	mu          sync.Mutex // guards what follows
-	core        *core.Core
-	processes   map[uint64]*proc.Process      // by the core's number
-	loggedUnits map[string]bool               // units that have a log file, or may have
-	heldCalls   map[uint64]chan core.Response // by ticket
-	closed      bool                          // no process is started any more
+	mu            sync.Mutex // guards what follows
+	core          *core.Core
+	processes     map[uint64]*proc.Process      // by the core's number
+	loggedUnits   map[string]bool               // units that have a log file, or may have
+	deferredCalls map[uint64]chan core.Response // by ticket
+	closed        bool                          // no process is started any more
 
 	wake       chan struct{} // the core's next timer may have changed
 	ctx        context.Context
@@ -34,15 +34,15 @@
 // newPlatform returns a platform whose goroutines end with ctx; close waits for them.
 func newPlatform(ctx context.Context, versions *Versions, dir string) *platform {
 	p := &platform{
-		versions:     versions,
-		dir:          dir,
-		startTime:    time.Now(),
-		healthClient: &http.Client{Timeout: healthCheckTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
-		processes:    map[uint64]*proc.Process{},
-		loggedUnits:  map[string]bool{},
-		heldCalls:    map[uint64]chan core.Response{},
-		wake:         make(chan struct{}, 1),
-		ctx:          ctx,
+		versions:      versions,
+		dir:           dir,
+		startTime:     time.Now(),
+		healthClient:  &http.Client{Timeout: healthCheckTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		processes:     map[uint64]*proc.Process{},
+		loggedUnits:   map[string]bool{},
+		deferredCalls: map[uint64]chan core.Response{},
+		wake:          make(chan struct{}, 1),
+		ctx:           ctx,
 	}
 	p.core = core.New(versions.coreOptions(), p.now())
 	p.background.Go(p.runTimers)
@@ -118,10 +118,10 @@
 	case core.UnitRemoved:
 		delete(p.loggedUnits, e.Unit)
 		p.removeFiles(e.Unit)
-	case core.HeldResponse:
-		if held := p.heldCalls[e.Ticket]; held != nil {
-			held <- e.Response // doesn't block: its buffer has room for the one response
-			delete(p.heldCalls, e.Ticket)
+	case core.DeferredResponse:
+		if waiter := p.deferredCalls[e.Ticket]; waiter != nil {
+			waiter <- e.Response // doesn't block: its buffer has room for the one response
+			delete(p.deferredCalls, e.Ticket)
 		}
 	}
 }
--- a/internal/supervisor/standin/server.go
+++ b/internal/supervisor/standin/server.go
@@ -29,7 +29,7 @@
 	maxFaultBytes      = 4 << 10
 )
 
-var errTooManyCalls = errors.New("too many calls are under way")
+var errCallLimit = errors.New("too many calls are under way")
 
 // Serve runs a platform on a loopback listener until ctx ends, and then stops all processes that it has started. Their
 // logs and configuration files are in dir.
@@ -89,7 +89,7 @@
 		select {
 		case s.slots <- struct{}{}:
 		default:
-			writeError(w, http.StatusServiceUnavailable, errTooManyCalls)
+			writeError(w, http.StatusServiceUnavailable, errCallLimit)
 			return
 		}
 		defer func() { <-s.slots }()
@@ -161,21 +161,21 @@
 	return http.StatusOK
 }
 
-// call calls the core, and waits for a held or late response; ok is false where the client has gone or the platform ends
+// call calls the core, and waits for a deferred or late response; ok is false where the client has gone or the platform ends
 // before it comes.
 func (s *server) call(ctx context.Context, call func(now int64) core.Response) (response core.Response, ok bool) {
-	var held chan core.Response
+	var deferred chan core.Response
 	s.update(func(now int64) {
-		if response = call(now); response.HeldTicket != 0 {
-			held = make(chan core.Response, 1)
-			s.heldCalls[response.HeldTicket] = held
+		if response = call(now); response.DeferredTicket != 0 {
+			deferred = make(chan core.Response, 1)
+			s.deferredCalls[response.DeferredTicket] = deferred
 		}
 	})
-	if held != nil {
+	if deferred != nil {
 		select {
-		case response = <-held:
+		case response = <-deferred:
 		case <-ctx.Done():
-			s.update(func(int64) { delete(s.heldCalls, response.HeldTicket) }) // the call is executed all the same
+			s.update(func(int64) { delete(s.deferredCalls, response.DeferredTicket) }) // the call is executed all the same
 			return response, false
 		case <-s.ctx.Done():
 			return response, false
