--- a/cmd/milldeck/spread.go
+++ b/cmd/milldeck/spread.go
@@ -18,99 +18,115 @@
 )
 
 const (
-	devSpread  = "127.0.0.1:8520"
-	spreadWait = 10 * time.Second // for the head of a request, and for what is under way at the end
-	mostAnswer = 8 << 20          // bytes of the table
+	devSpread = "127.0.0.1:8520"
+	// spreadWait bounds the reading of a request's header, and the graceful shutdown, of commands that hold a lease.
+	spreadWait = 10 * time.Second
+
+	maxStatusBytes     = 8 << 20 // of a controller's status
+	maxStatusErrorText = 1 << 10 // bytes of an error response that are quoted
 )
 
+// newSpread returns the commands for hot keys.
 func newSpread() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "spread",
-		Short: "The spreader of hot keys",
-		Long:  "spread decides which keys are spread over more servers than their own, and shows it. docs/hot-keys.md tells how.\n\n" + exitHelp,
-		Args:  exactly(0),
-		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
+		Short: "The controller of hot keys",
+		Long: "spread replicates hot keys over additional servers, and shows which it replicates. docs/hot-keys.md describes it.\n\n" +
+			exitHelp,
+		Args: exactly(0),
+		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	c.AddCommand(newSpreadServe(), newSpreadShow())
 	return c
 }
 
+// spreadServeOptions are the flags of spread serve.
+type spreadServeOptions struct {
+	listen         string
+	replicas       []string
+	serverCapacity float64
+	requestWork    float64
+	serverWarmup   time.Duration
+}
+
 func newSpreadServe() *cobra.Command {
-	var listen string
-	var bear, work float64
-	var coldFor time.Duration
-	a := &asking{}
+	o := &spreadServeOptions{}
 	c := &cobra.Command{
 		Use:   "serve",
-		Short: "Seeks the duty " + hotkey.LeaseName + " and decides while it is held, until SIGTERM",
-		Long: "serve takes sidecars' reports, seeks the duty " + hotkey.LeaseName + " and decides while it is held. Run two or three; agents\n" +
-			"pass reports on to all of them.\n\n" + exitHelp,
+		Short: "Campaigns for the lease " + hotkey.LeaseName + " and replicates hot keys while it is held, until SIGTERM",
+		Long: "serve receives the sidecars' load reports, campaigns for the lease " + hotkey.LeaseName + ", and replicates hot keys\n" +
+			"while it is held. Run two or three; agents forward reports to all of them.\n\n" + exitHelp,
 		Args: exactly(0),
-		RunE: func(c *cobra.Command, _ []string) error {
-			config := hotkey.DefaultConfig(bear, work)
-			if err := config.Validate(); err != nil {
-				return usageError{err}
-			}
-			if err := registry.CheckLoopback("listen", listen); err != nil {
-				return usageError{err}
-			}
-			client, err := registry.NewClient(a.replicas)
-			if err != nil {
-				return usageError{fmt.Errorf("--replicas: %w", err)}
-			}
-			defer client.Close()
-			reports := loadreport.New(loadreport.Options{})
-			return serveSpread(c.Context(), listen, client, &hotkey.Controller{Store: client, Reports: reports, Config: config, ServerWarmup: coldFor}, reports)
-		},
+		RunE: func(c *cobra.Command, _ []string) error { return o.serve(c.Context()) },
 	}
-	c.Flags().StringVar(&listen, "listen", devSpread, "address for reports and questions")
-	c.Flags().StringSliceVar(&a.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
-	c.Flags().Float64Var(&bear, "bear", 1000, "work that a server of capacity 1 does, ms a second: 1000 for each core")
-	c.Flags().Float64Var(&work, "work", 50, "work of a usual request, ms")
-	c.Flags().DurationVar(&coldFor, "cold-for", time.Minute, "how long after its start a server gets no copies")
+	c.Flags().StringVar(&o.listen, "listen", devSpread, "address for load reports and status requests")
+	c.Flags().StringSliceVar(&o.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
+	c.Flags().Float64Var(&o.serverCapacity, "bear", 1000, "capacity of a server of relative capacity 1, ms of work a second: 1000 for each core")
+	c.Flags().Float64Var(&o.requestWork, "work", 50, "work of a usual request, ms")
+	c.Flags().DurationVar(&o.serverWarmup, "cold-for", time.Minute, "how long after its start a server gets no replicas")
 	return c
 }
 
-func serveSpread(ctx context.Context, listen string, client *registry.Client, dr *hotkey.Controller, reports http.Handler) error {
+// serve runs a controller until ctx ends.
+func (o *spreadServeOptions) serve(ctx context.Context) error {
+	config := hotkey.DefaultConfig(o.serverCapacity, o.requestWork)
+	if err := config.Validate(); err != nil {
+		return usageError{err}
+	}
+	if err := registry.CheckLoopback("listen", o.listen); err != nil {
+		return usageError{err}
+	}
+	client, err := registry.NewClient(o.replicas)
+	if err != nil {
+		return usageError{fmt.Errorf("--replicas: %w", err)}
+	}
+	defer client.Close()
+	reports := loadreport.New(loadreport.Options{})
+	controller := &hotkey.Controller{Store: client, Reports: reports, Config: config, ServerWarmup: o.serverWarmup}
 	mux := http.NewServeMux()
 	mux.Handle("/reports", reports)
-	mux.Handle("/spread", dr.Handler())
-	mux.Handle("/spread/", dr.Handler())
-	return serveDuty(ctx, listen, mux, client, hotkey.LeaseName, leaderelection.DefaultTTL, dr.Run)
+	mux.Handle("/spread", controller.Handler())
+	mux.Handle("/spread/", controller.Handler())
+	return serveDuty(ctx, o.listen, mux, client, hotkey.LeaseName, leaderelection.DefaultTTL, controller.Run)
 }
 
 func newSpreadShow() *cobra.Command {
-	var at string
+	var addr string
 	a := &asking{}
 	c := &cobra.Command{
 		Use:   "show",
-		Short: "Prints the keys that are spread, as their decider sees them",
-		Long:  "show prints the keys that are spread, as their decider sees them: it asks the one that holds the duty.\n\n" + exitHelp,
+		Short: "Prints the keys that are replicated",
+		Long:  "show prints the keys that are replicated: it asks the controller that holds the lease.\n\n" + exitHelp,
 		Args:  exactly(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, cancel := context.WithTimeout(c.Context(), a.wait)
 			defer cancel()
-			rows, err := askSpread(ctx, at)
+			statuses, err := fetchKeyStatuses(ctx, addr)
 			if err != nil {
 				return err
 			}
-			return a.show(c.OutOrStdout(), rows, func(w io.Writer) error {
-				t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-				for _, r := range rows {
-					fmt.Fprintf(t, "%s\t%.0f to %.0f ms/s\t%d warming\t%d carrying\t%d cooling\n", r.Key, r.LowerBound, r.UpperBound, r.Warming, r.Active, r.Retiring)
-				}
-				return t.Flush()
-			})
+			return a.show(c.OutOrStdout(), statuses, func(w io.Writer) error { return printKeyStatuses(w, statuses) })
 		},
 	}
-	c.Flags().StringVar(&at, "at", devSpread, "address of the decider")
-	c.Flags().DurationVar(&a.wait, "wait", defaultWait, "how long to try")
+	c.Flags().StringVar(&addr, "at", devSpread, "address of the controller")
+	c.Flags().DurationVar(&a.wait, "wait", defaultWait, "timeout of the request")
 	c.Flags().BoolVar(&a.json, "json", false, "print JSON")
 	return c
 }
 
-func askSpread(ctx context.Context, at string) (rows []hotkey.KeyStatus, err error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+"/spread", nil)
+// printKeyStatuses prints a line for each key.
+func printKeyStatuses(w io.Writer, statuses []hotkey.KeyStatus) error {
+	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	for _, s := range statuses {
+		fmt.Fprintf(t, "%s\t%.0f to %.0f ms/s\t%d warming\t%d carrying\t%d cooling\n",
+			s.Key, s.LowerBound, s.UpperBound, s.Warming, s.Active, s.Retiring)
+	}
+	return t.Flush()
+}
+
+// fetchKeyStatuses requests the replicated keys of the controller at an address.
+func fetchKeyStatuses(ctx context.Context, addr string) (statuses []hotkey.KeyStatus, err error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/spread", nil)
 	if err != nil {
 		return nil, usageError{err}
 	}
@@ -119,10 +135,13 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	body := io.LimitReader(resp.Body, mostAnswer)
+	body := io.LimitReader(resp.Body, maxStatusBytes)
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(body, 1<<10)) // what came says enough
-		return nil, fmt.Errorf("%s: %s: %s", at, resp.Status, text)
+		text, _ := io.ReadAll(io.LimitReader(body, maxStatusErrorText)) // a part of it says enough
+		return nil, fmt.Errorf("%s: %s: %s", addr, resp.Status, text)
+	}
+	if err := json.NewDecoder(body).Decode(&statuses); err != nil {
+		return nil, fmt.Errorf("%s: %w", addr, err)
 	}
-	return rows, json.NewDecoder(body).Decode(&rows)
+	return statuses, nil
 }
--- a/cmd/milldeck/supervisor.go
+++ b/cmd/milldeck/supervisor.go
@@ -1,8 +1,10 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"net"
 	"os"
 
@@ -11,47 +13,75 @@
 	"milldeck/internal/supervisor/standin"
 )
 
-// newSupervisor is hidden: a platform of one's own is met through docs/supervisor.md, the stand-in serves the lab.
+// newSupervisor returns the commands of the lab's platform. They are hidden: a site's own platform is met as
+// docs/supervisor.md says.
 func newSupervisor() *cobra.Command {
 	c := &cobra.Command{
-		Use: "supervisor", Hidden: true, Short: "The platform that starts and stops processes", Args: exactly(0),
-		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
+		Use:    "supervisor",
+		Hidden: true,
+		Short:  "The platform that starts and stops processes",
+		Args:   exactly(0),
+		RunE:   func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	c.AddCommand(newStandIn())
 	return c
 }
 
+// standInOptions are the flags of supervisor stand-in.
+type standInOptions struct {
+	listen, versions, dir string
+}
+
 func newStandIn() *cobra.Command {
-	var listen, versions, dir string
+	o := &standInOptions{}
 	c := &cobra.Command{
-		Use: "stand-in", Short: "Runs the lab's platform until SIGTERM, and ends what it has started", Args: exactly(0),
-		Long: "stand-in starts, stops and lists processes as a platform does, and fails when it is told to. docs/supervisor.md\n" +
-			"tells its HTTP form and its faults.\n\n" + exitHelp,
-		RunE: func(c *cobra.Command, _ []string) error {
-			if versions == "" {
-				return usageError{errors.New("supervisor stand-in needs --versions FILE")}
-			}
-			v, err := standin.LoadVersions(versions)
-			if err != nil {
-				return err
-			}
-			if dir == "" {
-				if dir, err = os.MkdirTemp("", "milldeck-supervisor-"); err != nil {
-					return err
-				}
-				defer os.RemoveAll(dir)
-			} else if err := os.MkdirAll(dir, 0o755); err != nil {
-				return err
-			}
-			ln, err := net.Listen("tcp4", listen)
-			if err != nil {
-				return usageError{fmt.Errorf("--listen: %w", err)}
-			}
-			return standin.Serve(c.Context(), ln, v, dir)
-		},
-	}
-	c.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address on loopback")
-	c.Flags().StringVar(&versions, "versions", "", "TOML file of the versions that it can run")
-	c.Flags().StringVar(&dir, "dir", "", "where logs and configurations stand (default: a directory of its own, removed at the end)")
+		Use:   "stand-in",
+		Short: "Runs the lab's platform until SIGTERM, and stops what it has started",
+		Long: "stand-in starts, stops and lists processes as a platform does, and fails when a fault is injected. docs/supervisor.md\n" +
+			"describes its HTTP form and its faults.\n\n" + exitHelp,
+		Args: exactly(0),
+		RunE: func(c *cobra.Command, _ []string) error { return o.serve(c.Context()) },
+	}
+	c.Flags().StringVar(&o.listen, "listen", "127.0.0.1:0", "address on loopback")
+	c.Flags().StringVar(&o.versions, "versions", "", "TOML file of the versions that it can run")
+	c.Flags().StringVar(&o.dir, "dir", "", "folder of logs and configurations (default: one of its own, removed at the end)")
 	return c
 }
+
+// serve runs a platform until ctx ends.
+func (o *standInOptions) serve(ctx context.Context) error {
+	if o.versions == "" {
+		return usageError{errors.New("supervisor stand-in needs --versions FILE")}
+	}
+	versions, err := standin.LoadVersions(o.versions)
+	if err != nil {
+		return err
+	}
+	dir, removeDir, err := o.makeDir()
+	if err != nil {
+		return err
+	}
+	defer removeDir()
+	listener, err := net.Listen("tcp4", o.listen)
+	if err != nil {
+		return usageError{fmt.Errorf("--listen: %w", err)}
+	}
+	return standin.Serve(ctx, listener, versions, dir)
+}
+
+// makeDir makes the folder of logs and configurations. removeDir removes it where it is a temporary one.
+func (o *standInOptions) makeDir() (dir string, removeDir func(), err error) {
+	if o.dir != "" {
+		return o.dir, func() {}, os.MkdirAll(o.dir, 0o755)
+	}
+	dir, err = os.MkdirTemp("", "milldeck-supervisor-")
+	if err != nil {
+		return "", nil, err
+	}
+	removeDir = func() {
+		if err := os.RemoveAll(dir); err != nil {
+			slog.Warn("temporary folder removal failed", "dir", dir, "error", err)
+		}
+	}
+	return dir, removeDir, nil
+}
