--- a/cmd/milldeck/spread.go
+++ b/cmd/milldeck/spread.go
@@ -18,10 +18,7 @@
 )
 
 const (
-	devSpread = "127.0.0.1:8520"
-	// spreadWait bounds the reading of a request's header, and the graceful shutdown, of commands that hold a lease.
-	spreadWait = 10 * time.Second
-
+	devSpread          = "127.0.0.1:8520"
 	maxStatusBytes     = 8 << 20 // of a controller's status
 	maxStatusErrorText = 1 << 10 // bytes of an error response that are quoted
 )
@@ -87,7 +84,7 @@
 	mux.Handle("/reports", reports)
 	mux.Handle("/spread", controller.Handler())
 	mux.Handle("/spread/", controller.Handler())
-	return serveDuty(ctx, o.listen, mux, client, hotkey.LeaseName, leaderelection.DefaultTTL, controller.Run)
+	return serveUnderLease(ctx, o.listen, mux, client, hotkey.LeaseName, leaderelection.DefaultTTL, controller.Run)
 }
 
 func newSpreadShow() *cobra.Command {
