--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -1,14 +1,14 @@
 package balance
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"math/rand"
-	"strings"
 	"testing"
 )
 
-// Settings that the first deployments do not use. Each run checks rules 1 to 3 as it goes.
+// Settings that are rare in deployments. Each run checks rules 1 to 3 of PROTOCOL as it goes.
 func TestOtherSettings(t *testing.T) {
 	for name, change := range map[string]func(*Config, *int){
 		"one server":  func(_ *Config, n *int) { *n = 1 },
@@ -24,7 +24,7 @@
 			c.AllowHealthChecks, c.LoadReports, c.LoadReportFields = true, LoadReportHealthCheck, []LoadReportField{FieldInFlight}
 		},
 		"probes, dear": func(c *Config, _ *int) {
-			c.AllowHealthChecks, c.LoadReports, c.Costs.Probe = true, LoadReportHealthCheck, 10
+			c.AllowHealthChecks, c.LoadReports, c.Costs.HealthCheck = true, LoadReportHealthCheck, 10
 		},
 		"probes, no field": func(c *Config, _ *int) {
 			c.AllowHealthChecks, c.LoadReports, c.LoadReportFields = true, LoadReportHealthCheck, []LoadReportField{FieldUnknown}
@@ -72,7 +72,7 @@
 	}
 }
 
-// answerAttempts answers what is out for a request, if anything is.
+// answerAttempts answers the attempts of a request that are in flight.
 func (w *ruleChecker) answerAttempts(id RequestID) {
 	o := w.openRequests[id]
 	for i := range o.attempts {
@@ -83,18 +83,18 @@
 	}
 }
 
-// What has ended is forgotten: requests, servers that are gone, probes that are waited for.
+// What has ended is released: requests, servers that were removed, waits for health checks.
 func TestMemoryStaysFlat(t *testing.T) {
 	g := newHarness(t, healthCheckConfig(), testServers(5)...)
 	for i := range 20000 {
 		g.actions = g.actions[:0]
 		g.now += 5
-		id, acts := g.request(idempotentClass)
-		acts = append(acts, g.answerHealthChecks(acts, 0, nil)...)
-		if _, ok := sentServer(acts); ok {
+		id, actions := g.request(idempotentClass)
+		actions = append(actions, g.answerHealthChecks(actions, 0, nil)...)
+		if _, ok := sentServer(actions); ok {
 			g.finishAttempt(id, 0, OK, 5)
 		}
-		if i%20 == 0 { // a rolling deploy: new names all the time
+		if i%20 == 0 { // a rolling deployment: new IDs all the time
 			list := testServers(5)
 			for k := range list {
 				list[k].ID = ServerID(i + k + 1)
@@ -103,9 +103,9 @@
 		}
 	}
 	b := g.balancer
-	if len(b.requests) > 1 || len(b.servers) != 5 || len(b.serversByID) != 5 || len(b.awaitingHealthChecks) > 1 || cap(b.actions) > 100 {
+	if len(b.requests.open) > 1 || len(b.servers) != 5 || len(b.serversByID) != 5 || len(b.requests.awaitingHealthChecks) > 1 || cap(b.actions) > 100 {
 		t.Fatalf("%d requests, %d servers, %d by ID, %d waiting, room for %d actions",
-			len(b.requests), len(b.servers), len(b.serversByID), len(b.awaitingHealthChecks), cap(b.actions))
+			len(b.requests.open), len(b.servers), len(b.serversByID), len(b.requests.awaitingHealthChecks), cap(b.actions))
 	}
 }
 
@@ -122,14 +122,14 @@
 			for i := range b.N {
 				now += 5
 				id := RequestID(i + 1)
-				acts, err := bal.Handle(now, Request{ID: id, Timeout: 1500})
-				if err != nil || len(acts) == 0 {
-					b.Fatal(err, acts)
+				actions, err := bal.Handle(now, Request{ID: id, Timeout: 1500})
+				if err != nil || len(actions) == 0 {
+					b.Fatal(err, actions)
 				}
-				if acts[0].Kind != Send {
+				if actions[0].Kind != Send {
 					continue
 				}
-				if _, err := bal.Handle(now+4, Outcome{Request: id, Server: acts[0].Server, Elapsed: 4, RequestDone: true}); err != nil {
+				if _, err := bal.Handle(now+4, Outcome{Request: id, Server: actions[0].Server, Elapsed: 4, RequestDone: true}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -137,26 +137,28 @@
 	}
 }
 
-// A caller's settings that cannot be are an error, never a balancer that misbehaves later.
+// Invalid settings are a ConfigError that names the field, never a balancer that misbehaves later.
 func TestInvalidConfig(t *testing.T) {
-	for name, spoil := range map[string]func(*Config){
-		"Classes":              func(c *Config) { c.Classes = nil },
-		"Effect":               func(c *Config) { c.Classes[1].Idempotency = 9 },
-		"Group":                func(c *Config) { c.Classes[1].DeduplicationScope = 9 },
-		"Classes[0].Worth":     func(c *Config) { c.Classes[0].PriorityWeight = math.NaN() },
-		"Classes[2].Window":    func(c *Config) { c.Classes[2].IdempotencyWindow = -1 },
-		"Deadline":             func(c *Config) { c.Classes[0].Deadline = 0 },
-		"Classes[0].Aim":       func(c *Config) { c.Classes[0].LatencyObjective = math.Inf(1) },
-		"ColdTime":             func(c *Config) { c.SlowStartDuration = -1 },
-		"MaxAttempts":          func(c *Config) { c.MaxAttempts = -1 },
-		"FallTime":             func(c *Config) { c.OverloadDuration = math.Inf(1) },
-		"Prices.CrossZone":     func(c *Config) { c.Costs.CrossZone = -0.1 },
-		"Tenants[0].Allowance": func(c *Config) { c.Tenants = []Tenant{{QuotaRate: -1}} },
+	for field, spoil := range map[string]func(*Config){
+		"Classes":                       func(c *Config) { c.Classes = nil },
+		"Classes[1].Idempotency":        func(c *Config) { c.Classes[1].Idempotency = 9 },
+		"Classes[1].DeduplicationScope": func(c *Config) { c.Classes[1].DeduplicationScope = 9 },
+		"Classes[0].PriorityWeight":     func(c *Config) { c.Classes[0].PriorityWeight = math.NaN() },
+		"Classes[2].IdempotencyWindow":  func(c *Config) { c.Classes[2].IdempotencyWindow = -1 },
+		"Classes[0].Deadline":           func(c *Config) { c.Classes[0].Deadline = 0 },
+		"Classes[0].LatencyObjective":   func(c *Config) { c.Classes[0].LatencyObjective = math.Inf(1) },
+		"SlowStartDuration":             func(c *Config) { c.SlowStartDuration = -1 },
+		"MaxAttempts":                   func(c *Config) { c.MaxAttempts = -1 },
+		"OverloadDuration":              func(c *Config) { c.OverloadDuration = math.Inf(1) },
+		"Costs.CrossZone":               func(c *Config) { c.Costs.CrossZone = -0.1 },
+		"Tenants[0].QuotaRate":          func(c *Config) { c.Tenants = []Tenant{{QuotaRate: -1}} },
 	} {
 		cfg := baseConfig()
 		spoil(&cfg)
-		if b, err := New(cfg); b != nil || err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: balancer %v, error %v", name, b != nil, err)
+		b, err := New(cfg)
+		var invalid *ConfigError
+		if b != nil || !errors.As(err, &invalid) || invalid.Field != field {
+			t.Errorf("%s: balancer %v, error %v", field, b != nil, err)
 		}
 	}
 }
--- a/internal/maintenance/permit_test.go
+++ b/internal/maintenance/permit_test.go
@@ -8,7 +8,8 @@
 	"milldeck/internal/disruption"
 )
 
-// The ledger's built-in rules can forbid what the contracts approve: no pod group is wholly out.
+// TestInfeasiblePermitRejectsWindow requests what the contracts approve and a built-in rule of the ledger forbids: a
+// pod group completely out of service.
 func TestInfeasiblePermitRejectsWindow(t *testing.T) {
 	sim := newScenario(t, "America/Montevideo", "2026-06-10 21:58")
 	terms, agreed := dailyContract("teller", "America/Montevideo", "22:00", time.Hour)
@@ -22,14 +23,15 @@
 	sim.checkInvariants(t)
 }
 
+// TestRevokedPermitReturnsWindow has an operator force the completion of an active permit.
 func TestRevokedPermitReturnsWindow(t *testing.T) {
 	sim := newScenario(t, "America/Montevideo", "2026-06-10 21:58")
 	sim.proposeWindow("w", 10*minuteMS, "m0")
 	window := sim.awaitStage(t, "w", StageDrained)
 	sim.revision++
-	if out, reason := sim.ledger.Apply(sim.revision, &disruption.Op{Kind: disruption.OpForceComplete, Owner: "operator/ops",
-		Permit: &disruption.Permit{ID: window.PermitID()}}); out != disruption.OutcomeApplied {
-		t.Fatal(reason)
+	if result := sim.ledger.Apply(sim.revision, &disruption.Op{Kind: disruption.OpForceComplete, Owner: "operator/ops",
+		Permit: &disruption.Permit{ID: window.PermitID()}}); result.Outcome != disruption.OutcomeApplied {
+		t.Fatal(result.Reason)
 	}
 	sim.awaitStage(t, "w", StageHalted)
 	sim.checkInvariants(t)
--- a/internal/registry/client_leases.go
+++ b/internal/registry/client_leases.go
@@ -43,8 +43,8 @@
 		address, current := c.replica()
 		err := c.watchLeaseAt(ctx, address, name, func(lease leasetable.Lease) {
 			backoff = initialBackoff
-			if lease.Rev > newestRevision || !started {
-				newestRevision, started = lease.Rev, true
+			if lease.Revision > newestRevision || !started {
+				newestRevision, started = lease.Revision, true
 				notify(lease)
 			}
 		})
--- a/internal/registry/http_leases.go
+++ b/internal/registry/http_leases.go
@@ -160,8 +160,8 @@
 	defer heartbeat.Stop()
 	for sentRevision, first := uint64(0), true; ; first = false {
 		lease, changed := r.hub.Lease(name)
-		if lease.Rev > sentRevision || first {
-			sentRevision = lease.Rev
+		if lease.Revision > sentRevision || first {
+			sentRevision = lease.Revision
 			lease.Name = name // of one that does not exist, too
 			line, err := jsonLine(lease)
 			if err != nil || writeLines(w, controller, [][]byte{line}) != nil {
--- a/internal/registry/http_ledger.go
+++ b/internal/registry/http_ledger.go
@@ -44,7 +44,7 @@
 		return
 	}
 	switch body.Kind {
-	case disruption.OpHalt, disruption.OpResume, disruption.OpForceComplete, disruption.OpForget:
+	case disruption.OpHalt, disruption.OpResume, disruption.OpForceComplete, disruption.OpRemoveLost:
 		r.logger.Warn("disruption ledger overridden", "operation", body.Kind, "owner", body.Owner, "revision", result.Revision, "reason", result.Reason)
 	}
 	response := LedgerResult{Result: result}
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -57,12 +57,12 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	revision, epoch := h.state.Revision(), h.state.Epoch()
-	leasesRevision, placementRevision := h.state.leases.Rev(), h.state.placement.Revision()
+	leasesRevision, placementRevision := h.state.leases.Revision(), h.state.placement.Revision()
 	result := h.state.Apply(index, record)
 	if h.state.placement.Revision() != placementRevision {
 		h.placementFeed.Notify()
 	}
-	if h.state.leases.Rev() != leasesRevision {
+	if h.state.leases.Revision() != leasesRevision {
 		h.leasesChanged.schedule(&h.mu, nil)
 	}
 	if h.state.Epoch() != epoch {
--- a/internal/registry/state_lease.go
+++ b/internal/registry/state_lease.go
@@ -1,22 +1,28 @@
 package registry
 
-import "milldeck/internal/leaderelection/leasetable"
+import (
+	"errors"
+
+	"milldeck/internal/leaderelection/leasetable"
+)
 
 // Leases is the table of the leases of leader election, for reading.
 func (s *StateMachine) Leases() *leasetable.Table { return s.leases }
 
 func (s *StateMachine) applyLease(index uint64, op *leasetable.Operation) Result {
 	if op == nil {
-		return conflictResult(s.leases.Rev(), "no operation")
+		return conflictResult(s.leases.Revision(), "no operation")
+	}
+	err := s.leases.Apply(index, op)
+	var rejected *leasetable.RejectedError
+	if errors.As(err, &rejected) {
+		return Result{leaseOutcome(rejected.Rejection), s.leases.Revision(), rejected.Reason}
 	}
-	outcome, reason := s.leases.Apply(index, op)
-	return Result{leaseOutcome(outcome), s.leases.Rev(), reason}
+	return Result{OutcomeDone, s.leases.Revision(), ""}
 }
 
-func leaseOutcome(outcome leasetable.Outcome) Outcome {
-	switch outcome {
-	case leasetable.Applied:
-		return OutcomeDone
+func leaseOutcome(rejection leasetable.Rejection) Outcome {
+	switch rejection {
 	case leasetable.NotFound:
 		return OutcomeNotFound
 	case leasetable.LimitExceeded:
--- a/internal/registry/state_ledger.go
+++ b/internal/registry/state_ledger.go
@@ -150,8 +150,8 @@
 	if op.Kind != disruption.OpObserve && !disruption.IsOperator(op.Owner) && !owned {
 		return conflictResult(s.revision, "no token of lease %q", op.Owner)
 	}
-	outcome, reason := s.ensureLedger(index).table.Apply(index, op)
-	return Result{ledgerOutcome(outcome), index, reason}
+	result := s.ensureLedger(index).table.Apply(index, op)
+	return Result{ledgerOutcome(result.Outcome), index, result.Reason}
 }
 
 func ledgerOutcome(outcome disruption.Outcome) Outcome {
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -128,7 +128,7 @@
 
 func (s *StateMachine) applyOperation(index uint64, record *Record) Result {
 	if guard := record.Guard; guard != nil && !s.leases.TokenValid(guard.Lease, guard.Token) {
-		return conflictResult(s.leases.Rev(), "token %d of lease %s is not valid", guard.Token, guard.Lease)
+		return conflictResult(s.leases.Revision(), "token %d of lease %s is not valid", guard.Token, guard.Lease)
 	}
 	switch record.Op {
 	case OpRegister:
--- a/internal/registry/state_maintenance.go
+++ b/internal/registry/state_maintenance.go
@@ -39,13 +39,13 @@
 		}
 		op.Token = record.Guard.Token
 	}
-	applied := s.windows.Apply(index, &op, *record.Stamp)
-	if applied.Outcome != maintenance.OutcomeApplied {
-		// The controller reads the outcome of the table from the front of the reason.
-		return Result{windowOutcome(applied.Outcome), index, string(applied.Outcome) + ": " + applied.Reason}
+	changes, err := s.windows.Apply(index, &op, *record.Stamp)
+	if err != nil {
+		// The controller reads the outcome of the table from the front of the text.
+		return Result{windowOutcome(maintenance.OutcomeOf(err)), index, err.Error()}
 	}
 	budgetFailure := s.applyContractBudget(index, &op)
-	placementFailure := s.publishWindow(index, record.Stamp.LeaderMS, applied.SetEntries, applied.DropEntryIDs)
+	placementFailure := s.publishWindow(index, record.Stamp.LeaderMS, changes.SetDirectives, changes.DeleteDirectiveIDs)
 	return Result{OutcomeDone, index, cmp.Or(budgetFailure, placementFailure)}
 }
 
@@ -67,11 +67,11 @@
 		return ""
 	}
 	op := &placement.Op{LeaderTimeMS: nowMS, Set: set, Delete: remove}
-	outcome, reason := s.placement.Apply(index, maintenance.LeaseName, op)
-	if outcome != placement.OutcomeApplied && len(set) > 0 && len(remove) > 0 {
+	result := s.placement.Apply(index, maintenance.LeaseName, op)
+	if result.Outcome != placement.OutcomeApplied && len(set) > 0 && len(remove) > 0 {
 		s.placement.Apply(index, maintenance.LeaseName, &placement.Op{LeaderTimeMS: nowMS, Delete: remove})
 	}
-	return reason
+	return result.Reason
 }
 
 // applyContractBudget has the ledger bound the servers of a contract that are out for whatever reason, from the record
@@ -86,8 +86,8 @@
 	default:
 		return ""
 	}
-	if outcome, reason := s.ensureLedger(index).table.Apply(index, budgetOp); outcome != disruption.OutcomeApplied {
-		return "no budget of the ledger goes with it: " + reason // stored with the write: the text must not change
+	if result := s.ensureLedger(index).table.Apply(index, budgetOp); result.Outcome != disruption.OutcomeApplied {
+		return "no budget of the ledger goes with it: " + result.Reason // stored with the write: the text must not change
 	}
 	return ""
 }
--- a/internal/registry/state_placement.go
+++ b/internal/registry/state_placement.go
@@ -13,8 +13,8 @@
 	if record.Guard != nil {
 		owner = record.Guard.Lease
 	}
-	outcome, reason := s.placement.Apply(index, owner, record.Placement)
-	return Result{placementOutcome(outcome), s.placement.Revision(), reason}
+	result := s.placement.Apply(index, owner, record.Placement)
+	return Result{placementOutcome(result.Outcome), s.placement.Revision(), result.Reason}
 }
 
 func placementOutcome(outcome placement.Outcome) Outcome {
