--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -12,6 +12,8 @@
 
 	"github.com/hashicorp/raft"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
+
+	"milldeck/internal/validation"
 )
 
 const (
@@ -147,7 +149,7 @@
 	}
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, fieldErrorf(name, "%q is not a number", text)
+		return 0, validation.Errorf(name, "%q is not a number", text)
 	}
 	return number, nil
 }
@@ -166,7 +168,7 @@
 	err = json.Unmarshal(data, target)
 	var typeErr *json.UnmarshalTypeError
 	if errors.As(err, &typeErr) {
-		err = fieldErrorf(typeErr.Field, "%s is not a %s", typeErr.Value, typeErr.Type)
+		err = validation.Errorf(typeErr.Field, "a JSON %s is of the wrong type", typeErr.Value)
 	}
 	if err != nil {
 		writeError(w, http.StatusBadRequest, err)
--- a/internal/registry/http_leases.go
+++ b/internal/registry/http_leases.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"milldeck/internal/leaderelection/leasetable"
+	"milldeck/internal/validation"
 )
 
 // LeaseRequest is the body of an operation on a lease; the kind of the operation and the lease's name are in the path.
@@ -20,7 +21,7 @@
 	Data      []byte `json:"data"` // checkpoint
 }
 
-// operation makes the operation of a request, or returns a *FieldError.
+// operation makes the operation of a request, or returns a *validation.Error.
 func (l *LeaseRequest) operation(kind leasetable.OperationKind, name string) (*leasetable.Operation, error) {
 	op := &leasetable.Operation{
 		Kind: kind, Name: name, Candidate: l.Candidate, Token: l.Token, TTLMS: l.TTLMS, Successor: l.Successor, Data: l.Data,
@@ -29,7 +30,7 @@
 		return nil, err
 	}
 	if op.Kind == leasetable.Expire {
-		return nil, fieldErrorf("op", "only the leader expires leases")
+		return nil, validation.Errorf("op", "only the leader expires leases")
 	}
 	if err := checkWriteID(l.ID); err != nil {
 		return nil, err
@@ -111,7 +112,7 @@
 		return
 	}
 	if body.Candidate == "" || len(body.Leases) == 0 || len(body.Leases) > leasetable.MaxLeases {
-		writeError(w, http.StatusBadRequest, fieldErrorf("duties", "%d entries of %q", len(body.Leases), body.Candidate))
+		writeError(w, http.StatusBadRequest, validation.Errorf("duties", "%d entries of %q", len(body.Leases), body.Candidate))
 		return
 	}
 	// The leadership is verified after the call has arrived: a leader that was replaced meanwhile must grant nothing.
--- a/internal/registry/http_maintenance.go
+++ b/internal/registry/http_maintenance.go
@@ -6,6 +6,7 @@
 
 	"milldeck/internal/disruption"
 	"milldeck/internal/maintenance"
+	"milldeck/internal/validation"
 )
 
 // leaderClockUncertaintyMS is the assumed error of the leader's wall clock. Synchronised clocks are within a tenth of it.
@@ -67,7 +68,7 @@
 		return err
 	}
 	if q.Op.Kind.RequiresToken() && (q.Guard == nil || q.WriterTimeMS == 0) {
-		return fieldErrorf("guard", "a step needs the token of lease %s and the writer's time", maintenance.LeaseName)
+		return validation.Errorf("guard", "a step needs the token of lease %s and the writer's time", maintenance.LeaseName)
 	}
 	return nil
 }
--- a/internal/registry/http_placement.go
+++ b/internal/registry/http_placement.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"milldeck/internal/placement"
+	"milldeck/internal/validation"
 )
 
 const (
@@ -46,7 +47,7 @@
 		return nil, err
 	}
 	if q.Guard == nil {
-		return nil, fieldErrorf("guard", "a write of the placement needs the token of its owner's lease")
+		return nil, validation.Errorf("guard", "a write of the placement needs the token of its owner's lease")
 	}
 	op := &placement.Op{LeaderTimeMS: leaderTimeMS, WriterTimeMS: q.WriterTimeMS, Set: q.Set, Delete: q.Remove}
 	if err := op.Validate(); err != nil {
--- a/internal/registry/http_release.go
+++ b/internal/registry/http_release.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"milldeck/internal/release"
+	"milldeck/internal/validation"
 )
 
 // ReleaseView is a release as the log has it, with the commands of operators, oldest first.
@@ -67,7 +68,7 @@
 	Op    release.Operation `json:"op"`
 }
 
-// validate returns a *FieldError for the first invalid field. Name is that of the path.
+// validate returns a *validation.Error for the first invalid field. Name is that of the path.
 func (q *ReleaseRequest) validate(name string) error {
 	if err := checkWriteID(q.ID); err != nil {
 		return err
@@ -78,9 +79,9 @@
 	}
 	switch {
 	case named != name:
-		return fieldErrorf("op.name", "it differs from %q in the path", name)
+		return validation.Errorf("op.name", "it differs from %q in the path", name)
 	case q.Op.RequiresToken() && q.Guard == nil:
-		return fieldErrorf("guard", "a step needs the token of the release's lease")
+		return validation.Errorf("guard", "a step needs the token of the release's lease")
 	}
 	return nil
 }
--- a/internal/registry/http_sidecars.go
+++ b/internal/registry/http_sidecars.go
@@ -7,6 +7,8 @@
 	"slices"
 	"strings"
 	"time"
+
+	"milldeck/internal/validation"
 )
 
 // SidecarRequest is the body of a call that registers sidecars, renews the leases of known ones, and deregisters others.
@@ -17,13 +19,13 @@
 	Deregistered []string  `json:"gone,omitempty"` // names
 }
 
-// validate returns a *FieldError for the first invalid field, and sets the TTL of each sidecar.
+// validate returns a *validation.Error for the first invalid field, and sets the TTL of each sidecar.
 func (s *SidecarRequest) validate() error {
 	if err := checkWriteID(s.ID); err != nil {
 		return err
 	}
 	if entries := len(s.Sidecars) + len(s.Deregistered); entries == 0 || entries > maxBatchSize {
-		return fieldErrorf("sidecars", "%d entries, wanted 1 to %d", entries, maxBatchSize)
+		return validation.Errorf("sidecars", "%d entries, wanted 1 to %d", entries, maxBatchSize)
 	}
 	for k := range s.Sidecars {
 		s.Sidecars[k].TTLMS = s.TTLMS
--- a/internal/registry/http_write.go
+++ b/internal/registry/http_write.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"net/http"
 	"time"
+
+	"milldeck/internal/validation"
 )
 
 // proposeAndRespond proposes a record and answers with its result. UIDs are the instances that the record concerns.
@@ -25,7 +27,7 @@
 // checkWriteID checks the idempotency key of a write.
 func checkWriteID(id string) error {
 	if len(id) > maxNameLength {
-		return fieldErrorf("id", "over %d characters", maxNameLength)
+		return validation.Errorf("id", "over %d characters", maxNameLength)
 	}
 	return nil
 }
@@ -44,7 +46,7 @@
 		return nil, nil, err
 	}
 	if len(q.Targets) == 0 || len(q.Targets) > maxBatchSize {
-		return nil, nil, fieldErrorf("targets", "%d entries, wanted 1 to %d", len(q.Targets), maxBatchSize)
+		return nil, nil, validation.Errorf("targets", "%d entries, wanted 1 to %d", len(q.Targets), maxBatchSize)
 	}
 	uids := make([]string, 0, len(q.Targets))
 	for k := range q.Targets {
@@ -105,7 +107,7 @@
 		return nil, err
 	}
 	if q.UID == "" {
-		return nil, fieldErrorf("uid", "it is empty")
+		return nil, validation.Errorf("uid", "it is empty")
 	}
 	if q.State != InstanceReady && q.State != InstanceTerminating {
 		return nil, invalidState(q.State)
@@ -147,7 +149,7 @@
 		return
 	}
 	if len(body.UIDs) == 0 || len(body.UIDs) > maxBatchSize {
-		writeError(w, http.StatusBadRequest, fieldErrorf("uids", "%d entries, wanted 1 to %d", len(body.UIDs), maxBatchSize))
+		writeError(w, http.StatusBadRequest, validation.Errorf("uids", "%d entries, wanted 1 to %d", len(body.UIDs), maxBatchSize))
 		return
 	}
 	// A leader that was paused must not grant leases that its successor does not know.
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -1,8 +1,9 @@
 package registry
 
 import (
-	"fmt"
 	"net/netip"
+
+	"milldeck/internal/validation"
 )
 
 // Target is an instance in the form in which PROTOCOL's discovery lists it.
@@ -53,32 +54,23 @@
 	maxBatchSize    = 10_000 // instances in one write
 )
 
-// FieldError names the field of a request that is invalid, and the reason.
-type FieldError struct{ Field, Reason string }
-
-func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
-
-func fieldErrorf(field, format string, args ...any) error {
-	return &FieldError{field, fmt.Sprintf(format, args...)}
-}
-
-// validate returns a *FieldError for the first invalid field.
+// validate returns a *validation.Error for the first invalid field.
 func (i *Instance) validate() error {
 	switch {
 	case i.UID == "" || len(i.UID) > maxNameLength:
-		return fieldErrorf("uid", "%d characters, wanted 1 to %d", len(i.UID), maxNameLength)
+		return validation.Errorf("uid", "%d characters, wanted 1 to %d", len(i.UID), maxNameLength)
 	case i.State != InstanceReady && i.State != InstanceTerminating:
 		return invalidState(i.State)
 	case !(i.Capacity > 0 && i.Capacity <= maxCapacityHint): // also false for NaN
-		return fieldErrorf("capacity_hint", "%v is not above 0 and at most %d", i.Capacity, maxCapacityHint)
+		return validation.Errorf("capacity_hint", "%v is not above 0 and at most %d", i.Capacity, maxCapacityHint)
 	case !validBootMS(i.BootMS):
-		return fieldErrorf("boot_ms", "%v is not a time in Unix ms", i.BootMS)
+		return validation.Errorf("boot_ms", "%v is not a time in Unix ms", i.BootMS)
 	case i.TTLMS != 0 && !validTTLMS(i.TTLMS):
-		return fieldErrorf("ttl_ms", "%d is not 0 or within %d to %d", i.TTLMS, minTTLMS, maxTTLMS)
+		return validation.Errorf("ttl_ms", "%d is not 0 or within %d to %d", i.TTLMS, minTTLMS, maxTTLMS)
 	}
 	for _, label := range []struct{ field, value string }{{"az", i.Zone}, {"model", i.Model}, {"version", i.Version}} {
 		if len(label.value) > maxNameLength {
-			return fieldErrorf(label.field, "over %d characters", maxNameLength)
+			return validation.Errorf(label.field, "over %d characters", maxNameLength)
 		}
 	}
 	return validateEndpoint(i.Endpoint)
@@ -89,13 +81,13 @@
 func validTTLMS(ms int64) bool { return ms >= minTTLMS && ms <= maxTTLMS }
 
 func invalidState(state string) error {
-	return fieldErrorf("state", "%q is not %s or %s", state, InstanceReady, InstanceTerminating)
+	return validation.Errorf("state", "%q is not %s or %s", state, InstanceReady, InstanceTerminating)
 }
 
 func validateEndpoint(endpoint string) error {
 	address, err := netip.ParseAddrPort(endpoint)
 	if err != nil || address.Port() == 0 || address.Addr().IsUnspecified() || address.Addr().IsMulticast() {
-		return fieldErrorf("endpoint", "%q is not an IP address and port", endpoint)
+		return validation.Errorf("endpoint", "%q is not an IP address and port", endpoint)
 	}
 	return nil
 }
--- a/internal/registry/state_sidecars.go
+++ b/internal/registry/state_sidecars.go
@@ -4,6 +4,7 @@
 	"fmt"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/validation"
 )
 
 // maxSidecars bounds the sidecars that may be registered.
@@ -35,17 +36,17 @@
 	sidecarHeldBack     = "held"
 )
 
-// validate returns a *FieldError for the first invalid field.
+// validate returns a *validation.Error for the first invalid field.
 func (s *Sidecar) validate() error {
 	switch {
 	case s.Name == "" || len(s.Name) > maxNameLength:
-		return fieldErrorf("name", "%d characters, wanted 1 to %d", len(s.Name), maxNameLength)
+		return validation.Errorf("name", "%d characters, wanted 1 to %d", len(s.Name), maxNameLength)
 	case len(s.Version) > maxNameLength || len(s.Zone) > maxNameLength || len(s.Tenant) > maxNameLength:
-		return fieldErrorf("version, zone, tenant", "over %d characters", maxNameLength)
+		return validation.Errorf("version, zone, tenant", "over %d characters", maxNameLength)
 	case !validTTLMS(s.TTLMS):
-		return fieldErrorf("ttl_ms", "%d is not within %d to %d", s.TTLMS, minTTLMS, maxTTLMS)
+		return validation.Errorf("ttl_ms", "%d is not within %d to %d", s.TTLMS, minTTLMS, maxTTLMS)
 	case !validBootMS(s.BootMS):
-		return fieldErrorf("boot_ms", "%v is not a time in Unix ms", s.BootMS)
+		return validation.Errorf("boot_ms", "%v is not a time in Unix ms", s.BootMS)
 	}
 	return nil
 }
