--- /dev/null
+++ b/cmd/milldeck/agent.go
@@ -0,0 +1,116 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"milldeck/internal/agent"
+	"milldeck/internal/config"
+	"milldeck/internal/registry"
+)
+
+// agentFile is the configuration of an agent.
+type agentFile struct {
+	Listen   string   `toml:"listen"`
+	Replicas []string `toml:"replicas"`
+	Saved    string   `toml:"saved"` // file of the last good endpoint list
+	Fleet    int      `toml:"fleet"` // approximate number of agents
+	Share    float64  `toml:"share"` // of the ready servers that one list may remove unconfirmed
+
+	SavedPlacement string   `toml:"saved_placement"`
+	Reports        []string `toml:"reports"` // addresses that load reports are forwarded to
+
+	Sidecar *sidecarFile `toml:"sidecar"` // absent: no sidecar is registered
+}
+
+// sidecarFile is the sidecar that an agent registers.
+type sidecarFile struct {
+	Name    string `toml:"name"`
+	Address string `toml:"address"`
+	Zone    string `toml:"zone"`
+	Tenant  string `toml:"tenant"`
+	Version string `toml:"version"`
+	LeaseMS int64  `toml:"lease_ms"`
+}
+
+// options are the options of the sidecar, nil for none.
+func (f *sidecarFile) options() *agent.SidecarOptions {
+	if f == nil {
+		return nil
+	}
+	return &agent.SidecarOptions{
+		Name: f.Name, Address: f.Address, Zone: f.Zone, Tenant: f.Tenant, Version: f.Version,
+		LeaseTTL: time.Duration(f.LeaseMS) * time.Millisecond,
+	}
+}
+
+// load reads the configuration of an agent and returns its options.
+func (f *agentFile) load(path string) (agent.Options, error) {
+	file, err := config.Load(path, f)
+	if err != nil {
+		return agent.Options{}, err
+	}
+	if err := registry.CheckLoopback("listen", f.Listen); err != nil {
+		return agent.Options{}, file.Errorf("listen", "%v", err)
+	}
+	if _, err := registry.NewClient(f.Replicas); err != nil {
+		return agent.Options{}, file.Errorf("replicas", "%v", err)
+	}
+	if f.Fleet < 0 || f.Share < 0 || f.Share > 1 {
+		return agent.Options{}, file.Errorf("share", "fleet %d is negative, or share %v is not within 0 to 1", f.Fleet, f.Share)
+	}
+	sidecar := f.Sidecar.options()
+	if sidecar != nil {
+		if err := sidecar.Validate(); err != nil {
+			return agent.Options{}, file.Errorf("sidecar", "%v", err)
+		}
+	}
+	return agent.Options{
+		Listen: f.Listen, Replicas: f.Replicas, ListFile: f.Saved, FleetSize: f.Fleet, MaxLossFraction: f.Share,
+		PlacementFile: f.SavedPlacement, ReportAddresses: f.Reports, Sidecar: sidecar,
+	}, nil
+}
+
+func newAgent() *cobra.Command {
+	var path string
+	var reports []string
+	command := &cobra.Command{
+		Use:   "agent",
+		Short: "Runs the node agent beside a sidecar until SIGTERM",
+		Long: "agent follows the registry and speaks PROTOCOL's discovery to the sidecar on this machine. It outlives the\n" +
+			"registry: it serves the last good list, also at its start.\n\n" + exitHelp,
+		Args: exactly(0),
+		RunE: func(command *cobra.Command, _ []string) error {
+			if path == "" {
+				return usageError{errors.New("agent takes --config FILE")}
+			}
+			var file agentFile
+			options, err := file.load(path)
+			if err != nil {
+				return err
+			}
+			options.ReportAddresses = slices.Concat(options.ReportAddresses, reports)
+			return serveAgent(command.Context(), options)
+		},
+	}
+	command.Flags().StringVar(&path, "config", "", "the agent's configuration (TOML)")
+	command.Flags().StringSliceVar(&reports, "reports", nil, "addresses that load reports are forwarded to, beside those of the configuration")
+	return command
+}
+
+// serveAgent runs an agent until ctx ends.
+func serveAgent(ctx context.Context, options agent.Options) error {
+	started, err := agent.Start(options)
+	if err != nil {
+		return err
+	}
+	slog.Info("serves", "listen", started.Addr(), "replicas", strings.Join(options.Replicas, ","))
+	<-ctx.Done()
+	return started.Close()
+}
--- /dev/null
+++ b/cmd/milldeck/registry_register.go
@@ -0,0 +1,47 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+
+	"github.com/spf13/cobra"
+
+	"milldeck/internal/registry"
+)
+
+func newRegistryRegister() *cobra.Command {
+	var instance registry.Instance
+	var hold bool
+	a := &asking{}
+	command := &cobra.Command{
+		Use: "register UID ENDPOINT", Short: "Registers an instance", Args: exactly(2),
+		Long: "register registers an instance. With --hold it renews the lease until an interrupt and deregisters then.\n\n" + exitHelp,
+		RunE: func(command *cobra.Command, args []string) error {
+			instance.UID, instance.Endpoint, instance.State = args[0], args[1], registry.InstanceReady
+			return a.with(command, func(ctx context.Context, client *registry.Client) error {
+				if hold {
+					return registry.NewLeaseKeepAlive(client, instance).Run(command.Context())
+				}
+				result, err := client.Register(ctx, registry.WriteOptions{}, instance)
+				if err != nil {
+					return err
+				}
+				return a.show(command.OutOrStdout(), result, func(out io.Writer) error {
+					_, err := fmt.Fprintf(out, "registered at revision %d\n", result.Revision)
+					return err
+				})
+			})
+		},
+	}
+	a.flags(command)
+	flags := command.Flags()
+	flags.StringVar(&instance.Zone, "zone", "", "zone")
+	flags.StringVar(&instance.Model, "model", "", "type of machine")
+	flags.IntVar(&instance.PodGroup, "pod", 0, "pod group")
+	flags.Float64Var(&instance.Capacity, "capacity", 1, "capacity hint")
+	flags.Float64Var(&instance.BootMS, "boot-ms", 0, "last start, Unix ms")
+	flags.Int64Var(&instance.TTLMS, "ttl-ms", 0, "lease duration; 0: the registration never expires")
+	flags.BoolVar(&hold, "hold", false, "stay, renew the lease, and deregister at the end")
+	return command
+}
--- /dev/null
+++ b/cmd/milldeck/registry_serve.go
@@ -0,0 +1,233 @@
+package main
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"slices"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"milldeck/internal/config"
+	"milldeck/internal/leaderelection"
+	"milldeck/internal/registry"
+)
+
+// Defaults of a replica's configuration.
+const (
+	defaultWarmUp      = time.Minute
+	defaultBackupEvery = time.Hour
+	defaultBackupKeep  = 24 // a day of hourly backups
+
+	// backupRetryDelay follows a failure of taking part in the election for backups: the registry has had no leader for
+	// long.
+	backupRetryDelay = time.Second
+)
+
+// replicaFile is the configuration of a replica.
+type replicaFile struct {
+	HTTP      string       `toml:"http"`
+	Raft      string       `toml:"raft"`
+	Advertise string       `toml:"advertise"` // raft address that the other replicas use, where it differs from raft
+	Dir       string       `toml:"dir"`
+	Snapshot  uint64       `toml:"snapshot_every"` // log entries
+	WarmAfter *float64     `toml:"warm_after_s"`   // absent: a minute; 0: an observer marks servers as warm
+	Members   []memberFile `toml:"member"`
+	Expiry    expiryFile   `toml:"expiry"`
+	Backup    backupFile   `toml:"backup"`
+}
+
+type memberFile struct {
+	HTTP string `toml:"http"`
+	Raft string `toml:"raft"`
+}
+
+// expiryFile limits mass expiry.
+type expiryFile struct {
+	Share   float64 `toml:"share"` // of the registrations
+	WithinS float64 `toml:"within_s"`
+}
+
+// backupFile is the configuration of the cluster's backups.
+type backupFile struct {
+	Dir    string  `toml:"dir"` // shared by all replicas; "": no backups
+	EveryS float64 `toml:"every_s"`
+	Keep   int     `toml:"keep"` // number of backups
+}
+
+// load reads the configuration of a replica and returns its options.
+func (f *replicaFile) load(path string) (registry.Options, error) {
+	file, err := config.Load(path, f)
+	if err != nil {
+		return registry.Options{}, err
+	}
+	if err := f.validate(file); err != nil {
+		return registry.Options{}, err
+	}
+	return f.options(), nil
+}
+
+// validate returns an error that names the first invalid key and its line.
+func (f *replicaFile) validate(file *config.File) error {
+	if err := validateAddresses(file, "", f.HTTP, f.Raft); err != nil {
+		return err
+	}
+	switch {
+	case f.Dir == "":
+		return file.Errorf("dir", "a replica needs a directory")
+	case f.Expiry.Share < 0 || f.Expiry.Share > 1:
+		return file.Errorf("expiry.share", "%v is not within 0 to 1", f.Expiry.Share)
+	case f.Backup.EveryS < 0:
+		return file.Errorf("backup.every_s", "%v is negative", f.Backup.EveryS)
+	case f.Backup.Keep < 0:
+		return file.Errorf("backup.keep", "%d is negative", f.Backup.Keep)
+	case f.WarmAfter != nil && *f.WarmAfter < 0:
+		return file.Errorf("warm_after_s", "%v is negative", *f.WarmAfter)
+	case f.Expiry.WithinS < 0:
+		return file.Errorf("expiry.within_s", "%v is negative", f.Expiry.WithinS)
+	}
+	return f.validateMembers(file)
+}
+
+func (f *replicaFile) validateMembers(file *config.File) error {
+	if len(f.Members) == 0 {
+		return nil
+	}
+	if !slices.Contains([]int{1, 3, 5}, len(f.Members)) {
+		return file.Errorf("member", "%d members, wanted 1, 3 or 5", len(f.Members))
+	}
+	self := false
+	for i, member := range f.Members {
+		if err := validateAddresses(file, fmt.Sprintf("member[%d].", i), member.HTTP, member.Raft); err != nil {
+			return err
+		}
+		self = self || member.HTTP == f.HTTP
+	}
+	if !self {
+		return file.Errorf("member", "this replica, %s, is not a member", f.HTTP)
+	}
+	return nil
+}
+
+// validateAddresses checks the addresses of a replica, whose keys have a prefix.
+func validateAddresses(file *config.File, prefix, httpAddr, raftAddr string) error {
+	for _, address := range []struct{ key, value string }{{"http", httpAddr}, {"raft", raftAddr}} {
+		if err := registry.CheckLoopback(address.key, address.value); err != nil {
+			return file.Errorf(prefix+address.key, "%v", err)
+		}
+	}
+	return nil
+}
+
+// options are the options of a valid configuration.
+func (f *replicaFile) options() registry.Options {
+	options := registry.Options{
+		HTTPAddr: f.HTTP, RaftAddr: f.Raft, AdvertiseRaftAddr: f.Advertise, DataDir: f.Dir, SnapshotThreshold: f.Snapshot,
+		Expiry:         registry.ExpiryPolicy{MaxShare: f.Expiry.Share, Window: seconds(f.Expiry.WithinS)},
+		WarmUpDuration: defaultWarmUp,
+	}
+	if f.WarmAfter != nil {
+		options.WarmUpDuration = seconds(*f.WarmAfter)
+	}
+	for _, member := range f.Members {
+		options.Members = append(options.Members, registry.Member{HTTPAddr: member.HTTP, RaftAddr: member.Raft})
+	}
+	return options
+}
+
+// backupOptions are the options of the cluster's backups.
+func (f *replicaFile) backupOptions() leaderelection.BackupOptions {
+	return leaderelection.BackupOptions{
+		Dir:         f.Backup.Dir,
+		MinInterval: cmp.Or(seconds(f.Backup.EveryS), defaultBackupEvery),
+		RetainCount: cmp.Or(f.Backup.Keep, defaultBackupKeep),
+		Candidate:   f.HTTP + "/" + registry.NewID(),
+	}
+}
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+func newRegistryServe() *cobra.Command {
+	var path string
+	var dev bool
+	command := &cobra.Command{
+		Use:   "serve",
+		Short: "Runs a replica until SIGTERM",
+		Long: "serve runs a replica. --dev runs a single one that holds its log in memory, at " + devHTTP + ". A replica without\n" +
+			"members in its configuration waits until `registry members add` adds it.\n\n" + exitHelp,
+		Args: exactly(0),
+		RunE: func(command *cobra.Command, _ []string) error {
+			if dev == (path != "") {
+				return usageError{errors.New("registry serve takes --config FILE or --dev")}
+			}
+			if dev {
+				members := []registry.Member{{HTTPAddr: devHTTP, RaftAddr: devRaft}}
+				return serveReplica(command.Context(), registry.Options{HTTPAddr: devHTTP, RaftAddr: devRaft, Members: members}, nil)
+			}
+			var file replicaFile
+			options, err := file.load(path)
+			if err != nil {
+				return err
+			}
+			if file.Backup.Dir == "" {
+				return serveReplica(command.Context(), options, nil)
+			}
+			backups := file.backupOptions()
+			return serveReplica(command.Context(), options, &backups)
+		},
+	}
+	command.Flags().StringVar(&path, "config", "", "the replica's configuration (TOML)")
+	command.Flags().BoolVar(&dev, "dev", false, "run a single replica in memory")
+	return command
+}
+
+// serveReplica runs a replica until ctx ends or the replica fails. Backups may be nil.
+func serveReplica(ctx context.Context, options registry.Options, backups *leaderelection.BackupOptions) error {
+	replica, err := registry.Open(options)
+	if err != nil {
+		return err
+	}
+	slog.Info("serves", "http", replica.Addr(), "raft", options.RaftAddr)
+	if backups != nil {
+		ended, err := startBackups(ctx, options, *backups)
+		if err != nil {
+			return errors.Join(err, replica.Close())
+		}
+		defer func() { <-ended }()
+	}
+	select {
+	case <-ctx.Done():
+		return replica.Close()
+	case err := <-replica.Fatal():
+		return errors.Join(err, replica.Close())
+	}
+}
+
+// startBackups has this process campaign for the lease of backups, at any replica, until ctx ends. Ended is closed then.
+func startBackups(ctx context.Context, options registry.Options, backups leaderelection.BackupOptions) (ended <-chan struct{}, err error) {
+	replicas := []string{options.HTTPAddr}
+	for _, member := range options.Members {
+		if member.HTTPAddr != options.HTTPAddr {
+			replicas = append(replicas, member.HTTPAddr)
+		}
+	}
+	client, err := registry.NewClient(replicas)
+	if err != nil {
+		return nil, err
+	}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		defer client.Close()
+		for ctx.Err() == nil {
+			if err := leaderelection.RunBackups(ctx, client, backups); err != nil && ctx.Err() == nil {
+				slog.Error("backups interrupted", "component", "backup", "error", err)
+				time.Sleep(backupRetryDelay)
+			}
+		}
+	}()
+	return done, nil
+}
--- /dev/null
+++ b/cmd/milldeck/registry_suspects.go
@@ -0,0 +1,29 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+
+	"github.com/spf13/cobra"
+
+	"milldeck/internal/registry"
+)
+
+func newRegistrySuspects() *cobra.Command {
+	return asks("suspects keep|expire", "Decides on instances whose expiry is held back", 1,
+		func(ctx context.Context, command *cobra.Command, a *asking, client *registry.Client, args []string) error {
+			decision := args[0]
+			if decision != "keep" && decision != "expire" {
+				return usageError{fmt.Errorf("registry suspects takes keep or expire, not %q", decision)}
+			}
+			result, err := client.ResolveSuspects(ctx, decision == "expire")
+			if err != nil {
+				return err
+			}
+			return a.show(command.OutOrStdout(), result, func(out io.Writer) error {
+				_, err := fmt.Fprintln(out, result.Outcome, result.Reason)
+				return err
+			})
+		})
+}
