--- a/internal/leaderelection/leasetable/table.go
+++ b/internal/leaderelection/leasetable/table.go
@@ -14,8 +14,8 @@
 
 // Table holds all leases. It is not safe for concurrent use.
 type Table struct {
-	leases map[string]*Lease
-	rev    uint64
+	leases   map[string]*Lease
+	revision uint64
 }
 
 // New returns an empty table.
@@ -26,7 +26,7 @@
 	t := New()
 	for _, lease := range leases {
 		t.leases[lease.Name] = lease
-		t.rev = max(t.rev, lease.Rev)
+		t.revision = max(t.revision, lease.Revision)
 	}
 	return t
 }
@@ -40,8 +40,8 @@
 	return leases
 }
 
-// Rev is the log index of the last change.
-func (t *Table) Rev() uint64 { return t.rev }
+// Revision is the log index of the last change.
+func (t *Table) Revision() uint64 { return t.revision }
 
 // Get returns a lease. Its slices are shared with the table, which never changes them in place.
 func (t *Table) Get(name string) (Lease, bool) {
@@ -79,7 +79,7 @@
 		return err
 	}
 	if !equalState(&updated, previous) {
-		updated.Rev, t.rev = index, index
+		updated.Revision, t.revision = index, index
 		t.leases[op.Name] = &updated
 	}
 	return nil
@@ -103,8 +103,8 @@
 	return reject(StaleToken, "unknown operation %q", op.Kind)
 }
 
-// heldBy reports whether the operation's candidate holds the lease under the operation's token.
-func (l *Lease) heldBy(op *Operation) bool {
+// isHeldBy reports whether the operation's candidate holds the lease under the operation's token.
+func (l *Lease) isHeldBy(op *Operation) bool {
 	return l.Holder != "" && l.Holder == op.Candidate && l.Token == op.Token
 }
 
@@ -127,7 +127,7 @@
 // ended already: it changes nothing.
 func (l *Lease) giveUp(index uint64, op *Operation) {
 	switch {
-	case l.heldBy(op):
+	case l.isHeldBy(op):
 		l.recordTenure(op)
 		l.assignNext(index)
 	case op.Token == 0 && op.Candidate != l.Holder:
@@ -154,7 +154,7 @@
 }
 
 func (l *Lease) saveCheckpoint(op *Operation) error {
-	if !l.heldBy(op) || l.Revoked {
+	if !l.isHeldBy(op) || l.Revoked {
 		return reject(StaleToken, "%s", l.describeHolder())
 	}
 	l.Checkpoint, l.CheckpointToken = op.Data, op.Token
