--- a/internal/release/fixtures_test.go
+++ b/internal/release/fixtures_test.go
@@ -3,20 +3,13 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
-	"strings"
 	"testing"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/goldentest"
 )
 
-// updateFixtures rewrites the golden files from what the code under test writes. They were made by the first version of
-// the stored format: a difference means that logs and snapshots on disk can no longer be read as they were meant.
-var updateFixtures = flag.Bool("update", false, "write the golden files in testdata")
-
 // fixtureScenario is a scripted release. Its log and its snapshots are compared with golden files byte by byte.
 type fixtureScenario struct {
 	name      string
@@ -111,49 +104,14 @@
 	return append(line, '\n')
 }
 
-// checkGolden compares data with a file of testdata byte by byte, or writes the file under -update.
-func checkGolden(t *testing.T, name string, data []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateFixtures {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, data, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want := readGolden(t, name)
-	if bytes.Equal(data, want) {
-		return
-	}
-	got, wanted := strings.Split(string(data), "\n"), strings.Split(string(want), "\n")
-	for i := range min(len(got), len(wanted)) {
-		if got[i] != wanted[i] {
-			t.Fatalf("%s:%d:\n got %s\nwant %s", path, i+1, got[i], wanted[i])
-		}
-	}
-	t.Fatalf("%s: got %d lines, want %d", path, len(got), len(wanted))
-}
-
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	data, err := os.ReadFile(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return data
-}
-
 // The scripted releases write the stored bytes: the same decisions, in the same order, in the same format.
 func TestScriptedReleasesWriteTheStoredBytes(t *testing.T) {
 	for i := range fixtureScenarios {
 		scenario := &fixtureScenarios[i]
 		t.Run(scenario.name, func(t *testing.T) {
 			log, snapshots := playFixture(t, scenario)
-			checkGolden(t, scenario.name+".log.jsonl", log)
-			checkGolden(t, scenario.name+".snapshots.jsonl", snapshots)
+			goldentest.Compare(t, scenario.name+".log.jsonl", log)
+			goldentest.Compare(t, scenario.name+".snapshots.jsonl", snapshots)
 		})
 	}
 }
@@ -167,11 +125,11 @@
 		t.Run(scenario.name, func(t *testing.T) {
 			table := NewTable()
 			written := map[string]bool{}
-			for line := range bytes.Lines(readGolden(t, scenario.name+".log.jsonl")) {
+			for line := range bytes.Lines(goldentest.Read(t, scenario.name+".log.jsonl")) {
 				var logged loggedOperation
-				readStrictly(t, line, &logged)
+				goldentest.DecodeStrictly(t, line, &logged)
 				var op Operation
-				readStrictly(t, logged.Op, &op)
+				goldentest.DecodeStrictly(t, logged.Op, &op)
 				if again := bytes.TrimSpace(jsonLine(t, &op)); !bytes.Equal(again, logged.Op) {
 					t.Fatalf("read and written again:\n got %s\nwant %s", again, logged.Op)
 				}
@@ -185,7 +143,7 @@
 				}
 				written[string(jsonLine(t, table.Snapshot()))] = true
 			}
-			for line := range bytes.Lines(readGolden(t, scenario.name+".snapshots.jsonl")) {
+			for line := range bytes.Lines(goldentest.Read(t, scenario.name+".snapshots.jsonl")) {
 				if !written[string(line)] {
 					t.Errorf("no prefix of the log gives the stored snapshot %s", line)
 				}
@@ -210,9 +168,9 @@
 	for i := range fixtureScenarios {
 		scenario := &fixtureScenarios[i]
 		t.Run(scenario.name, func(t *testing.T) {
-			for line := range bytes.Lines(readGolden(t, scenario.name+".snapshots.jsonl")) {
+			for line := range bytes.Lines(goldentest.Read(t, scenario.name+".snapshots.jsonl")) {
 				var saved Snapshot
-				readStrictly(t, line, &saved)
+				goldentest.DecodeStrictly(t, line, &saved)
 				table := Restore(&saved)
 				if again := jsonLine(t, table.Snapshot()); !bytes.Equal(again, line) {
 					t.Fatalf("restored and saved again:\n got %s\nwant %s", again, line)
@@ -236,11 +194,11 @@
 	var names bytes.Buffer
 	for i := range fixtureScenarios {
 		table := NewTable()
-		for line := range bytes.Lines(readGolden(t, fixtureScenarios[i].name+".log.jsonl")) {
+		for line := range bytes.Lines(goldentest.Read(t, fixtureScenarios[i].name+".log.jsonl")) {
 			var logged loggedOperation
-			readStrictly(t, line, &logged)
+			goldentest.DecodeStrictly(t, line, &logged)
 			var op Operation
-			readStrictly(t, logged.Op, &op)
+			goldentest.DecodeStrictly(t, logged.Op, &op)
 			if err := table.Apply(logged.Revision, &op); err != nil {
 				t.Fatal(err)
 			}
@@ -258,15 +216,5 @@
 		}
 	}
 	fmt.Fprintln(&names, Owner("r"), (&State{Name: "r"}).CohortID())
-	checkGolden(t, "names.txt", names.Bytes())
-}
-
-// readStrictly decodes JSON and fails on a field that the type does not have.
-func readStrictly(t *testing.T, data []byte, into any) {
-	t.Helper()
-	decoder := json.NewDecoder(bytes.NewReader(data))
-	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
-		t.Fatalf("%s: %v", data, err)
-	}
+	goldentest.Compare(t, "names.txt", names.Bytes())
 }
--- a/internal/release/judge/fixtures_test.go
+++ b/internal/release/judge/fixtures_test.go
@@ -2,15 +2,11 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"testing"
-)
 
-// updateFixtures rewrites the golden files from what the code under test says.
-var updateFixtures = flag.Bool("update", false, "write the golden files in testdata")
+	"milldeck/internal/goldentest"
+)
 
 // fixtureInterval is one interval of made-up counts: zone a carries a common and a rare class, zone b a common one.
 // Nothing in it is random, so that the verdicts follow from the comparisons alone.
@@ -74,18 +70,5 @@
 			}
 		}
 	}
-	path := filepath.Join("testdata", "verdicts.txt")
-	if *updateFixtures {
-		if err := os.WriteFile(path, lines.Bytes(), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(lines.Bytes(), want) {
-		t.Errorf("%s:\n got %s\nwant %s", path, lines.Bytes(), want)
-	}
+	goldentest.Compare(t, "verdicts.txt", lines.Bytes())
 }
--- a/internal/release/judge/judge.go
+++ b/internal/release/judge/judge.go
@@ -124,7 +124,7 @@
 	zones                map[string]*zone
 	thresholdsIssued     int
 	intervalsWithoutData int // in a row
-	strataLimitReached        bool
+	strataLimitReached   bool
 	regression           string // the first that was found; empty: none
 }
 
--- a/internal/release/plan/fixtures_test.go
+++ b/internal/release/plan/fixtures_test.go
@@ -3,45 +3,16 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"testing"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/goldentest"
 )
 
-// updateFixtures rewrites the golden files from what the code under test writes. A difference means that a stored plan, its
-// hash or a client of the dry run's JSON no longer agrees with this version.
-var updateFixtures = flag.Bool("update", false, "write the golden files in testdata")
-
 // fixturePlans are the plan files in testdata, without their extension.
 var fixturePlans = []string{"complete", "minimal", "sidecar"}
 
-func checkGolden(t *testing.T, name string, data []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateFixtures {
-		if err := os.WriteFile(path, data, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if want := readGolden(t, name); !bytes.Equal(data, want) {
-		t.Errorf("%s:\n got %s\nwant %s", path, data, want)
-	}
-}
-
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	data, err := os.ReadFile(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return data
-}
-
 func encode(t *testing.T, value any) []byte {
 	t.Helper()
 	data, err := json.MarshalIndent(value, "", "  ")
@@ -55,12 +26,12 @@
 func TestPlansAreStoredAsBefore(t *testing.T) {
 	for _, name := range fixturePlans {
 		t.Run(name, func(t *testing.T) {
-			p, err := Load(filepath.Join("testdata", name+".toml"))
+			p, err := Load(goldentest.Path(name + ".toml"))
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkGolden(t, name+".json", encode(t, p))
-			checkGolden(t, name+".hash", fmt.Appendln(nil, p.Hash()))
+			goldentest.Compare(t, name+".json", encode(t, p))
+			goldentest.Compare(t, name+".hash", fmt.Appendln(nil, p.Hash()))
 		})
 	}
 }
@@ -69,18 +40,14 @@
 func TestStoredPlansAreRead(t *testing.T) {
 	for _, name := range fixturePlans {
 		t.Run(name, func(t *testing.T) {
-			stored := readGolden(t, name+".json")
-			decoder := json.NewDecoder(bytes.NewReader(stored))
-			decoder.DisallowUnknownFields()
+			stored := goldentest.Read(t, name+".json")
 			var p Plan
-			if err := decoder.Decode(&p); err != nil {
-				t.Fatal(err)
-			}
+			goldentest.DecodeStrictly(t, stored, &p)
 			if again := encode(t, &p); !bytes.Equal(again, stored) {
 				t.Errorf("read and written again:\n got %s\nwant %s", again, stored)
 			}
-			if hash := fmt.Appendln(nil, p.Hash()); !bytes.Equal(hash, readGolden(t, name+".hash")) {
-				t.Errorf("hash %s, want %s", hash, readGolden(t, name+".hash"))
+			if hash := fmt.Appendln(nil, p.Hash()); !bytes.Equal(hash, goldentest.Read(t, name+".hash")) {
+				t.Errorf("hash %s, want %s", hash, goldentest.Read(t, name+".hash"))
 			}
 		})
 	}
@@ -103,11 +70,11 @@
 		{"none", "sidecar", testUnits(1, 3), nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p, err := Load(filepath.Join("testdata", c.plan+".toml"))
+			p, err := Load(goldentest.Path(c.plan + ".toml"))
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkGolden(t, "preview-"+c.name+".json", encode(t, NewPreview(p, c.units, c.budgets)))
+			goldentest.Compare(t, "preview-"+c.name+".json", encode(t, NewPreview(p, c.units, c.budgets)))
 		})
 	}
 }
