--- a/cmd/milldeck/fleet.go
+++ b/cmd/milldeck/fleet.go
@@ -101,7 +101,7 @@
 }
 
 func newFleetDrain() *cobra.Command {
-	f := &controlling{}
+	f := &controllerFlags{}
 	var selector disruption.Selector
 	var deadline time.Duration
 	c := &cobra.Command{
@@ -121,7 +121,7 @@
 				return usageError{fmt.Errorf("--deadline: %v is not above 0", deadline)}
 			}
 			plan := release.DrainPlan(args[0], selector, deadline.Seconds())
-			return f.run(c.Context(), c.OutOrStdout(), plan, func(view *fleetView) (*release.State, error) {
+			return f.runRelease(c.Context(), c.OutOrStdout(), plan, func(view *releaseInputs) (*release.State, error) {
 				return release.NewDrain(plan, time.Now().UnixMilli(), view.ledger.Units, view.platform)
 			})
 		},
@@ -130,6 +130,6 @@
 	c.Flags().StringVar(&selector.Zone, "zone", "", "all of a zone")
 	c.Flags().StringVar(&selector.Model, "model", "", "all of a model")
 	c.Flags().DurationVar(&deadline, "deadline", time.Hour, "past it the drain halts")
-	f.flags(c)
+	f.register(c)
 	return c
 }
--- /dev/null
+++ b/cmd/milldeck/release_check.go
@@ -0,0 +1,144 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"maps"
+	"os"
+	"slices"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+
+	"milldeck/internal/disruption"
+	"milldeck/internal/registry"
+	"milldeck/internal/release/plan"
+)
+
+const (
+	// maxViewBytes bounds a view of a fleet that is read from a file: 100,000 units have about 30 MB.
+	maxViewBytes = 64 << 20
+	// maxNamesPrinted is how many units of a wave a dry run prints by name.
+	maxNamesPrinted = 8
+)
+
+// checkFlags are the flags of `release check`.
+type checkFlags struct {
+	viewPath string
+	dryRun   bool
+}
+
+func newReleaseCheck() *cobra.Command {
+	flags := &checkFlags{}
+	a := &asking{}
+	c := &cobra.Command{
+		Use:   "check PLAN",
+		Short: "Checks a plan, and makes a dry run against a view of the fleet",
+		Long: "check validates a plan, and names what is wrong with it by file, line and key. With --dry-run it reads the fleet\n" +
+			"from the registry, with --view from a file (the ledger as the registry shows it, with all its units): it assigns\n" +
+			"the waves, says which capacity remains and which warms up, and rejects what budgets can never allow.\n\n" + exitHelp,
+		Example: "  milldeck release check plan.toml --dry-run\n  milldeck release check plan.toml --view ledger.json --json",
+		Args:    exactly(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			p, err := plan.Load(args[0])
+			if err != nil {
+				return err
+			}
+			if flags.viewPath == "" && !flags.dryRun {
+				_, err = fmt.Fprintf(c.OutOrStdout(), "%s: release %s, plan %s, %d waves\n", args[0], p.Name, p.Hash(), len(p.Waves))
+				return err
+			}
+			view, err := flags.readView(c, a)
+			if err != nil {
+				return err
+			}
+			preview := plan.NewPreview(p, view.Units, view.Budgets)
+			text := func(w io.Writer) error { return printPreview(w, preview) }
+			if err := a.show(c.OutOrStdout(), preview, text); err != nil {
+				return err
+			}
+			if count := len(preview.Infeasible); count > 0 {
+				return fmt.Errorf("release %s is infeasible as planned: %d reasons", p.Name, count)
+			}
+			return nil
+		},
+	}
+	c.Flags().BoolVar(&flags.dryRun, "dry-run", false, "make a dry run against the fleet as it is")
+	c.Flags().StringVar(&flags.viewPath, "view", "", "file with the ledger's view (JSON), for a dry run without the registry")
+	a.flags(c)
+	return c
+}
+
+// readView reads the ledger's view from a file, or else from the registry.
+func (f *checkFlags) readView(c *cobra.Command, a *asking) (*disruption.View, error) {
+	if f.viewPath != "" {
+		view, err := readViewFile(f.viewPath)
+		if err != nil {
+			return nil, usageError{fmt.Errorf("--view: %w", err)}
+		}
+		return view, nil
+	}
+	view := &disruption.View{}
+	err := a.with(c, func(ctx context.Context, client *registry.Client) (err error) {
+		*view, err = client.LedgerView(ctx, true, true)
+		return err
+	})
+	return view, err
+}
+
+func readViewFile(path string) (*disruption.View, error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer file.Close()
+	data, err := io.ReadAll(io.LimitReader(file, maxViewBytes+1))
+	if err != nil {
+		return nil, err
+	}
+	if len(data) > maxViewBytes {
+		return nil, fmt.Errorf("%s: over %d bytes", path, maxViewBytes)
+	}
+	view := &disruption.View{}
+	if err := json.Unmarshal(data, view); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	if len(view.Units) == 0 {
+		return nil, errors.New(path + ": it has no units")
+	}
+	return view, nil
+}
+
+// printPreview prints a dry run for people.
+func printPreview(out io.Writer, preview *plan.Preview) error {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(w, "release %s, plan %s: at most %d out at once\n", preview.Name, preview.Hash, preview.MaxUnavailable)
+	fmt.Fprintln(w, "wave\tunits\tupdated after it\tbake\twarming up\tnames")
+	for i := range preview.Waves {
+		printPreviewWave(w, i, &preview.Waves[i])
+	}
+	for _, zone := range slices.Sorted(maps.Keys(preview.RemainingCapacity)) {
+		capacity, name := preview.RemainingCapacity[zone], "zone "+zone
+		if zone == "" {
+			name = "the fleet"
+		}
+		fmt.Fprintf(w, "%s keeps %.4g of a capacity of %.4g\n", name, capacity.Remaining, capacity.Total)
+	}
+	for _, reason := range preview.Infeasible {
+		fmt.Fprintln(w, "refused:", reason)
+	}
+	return w.Flush()
+}
+
+func printPreviewWave(w io.Writer, i int, wave *plan.PreviewWave) {
+	names, more := wave.Units, ""
+	if len(names) > maxNamesPrinted {
+		more = fmt.Sprintf(" and %d more", len(names)-maxNamesPrinted)
+		names = names[:maxNamesPrinted]
+	}
+	fmt.Fprintf(w, "%d\t%d\t%.0f%%\t%v s\t%.4g\t%v%s\n",
+		i, len(wave.Units), 100*wave.UpdatedShare, wave.BakeSeconds, wave.WarmUpCapacity, names, more)
+}
--- /dev/null
+++ b/cmd/milldeck/release_status.go
@@ -0,0 +1,115 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+
+	"milldeck/internal/registry"
+	"milldeck/internal/release"
+)
+
+func newReleaseStatus() *cobra.Command {
+	c := asks("status [NAME]", "Prints the releases, or one with its units", 0,
+		func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
+			if len(args) == 0 {
+				return showReleases(ctx, c, a, client)
+			}
+			stored, err := client.Release(ctx, args[0], false, false)
+			if err != nil {
+				return err
+			}
+			return a.show(c.OutOrStdout(), stored, func(w io.Writer) error { return printRelease(w, stored.State) })
+		})
+	c.Args = func(c *cobra.Command, args []string) error {
+		if len(args) > 1 {
+			return usageError{fmt.Errorf("%s takes one name at most", c.CommandPath())}
+		}
+		return nil
+	}
+	return c
+}
+
+func showReleases(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client) error {
+	all, err := client.Releases(ctx)
+	if err != nil {
+		return err
+	}
+	return a.show(c.OutOrStdout(), all, func(out io.Writer) error {
+		w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+		for _, stored := range all {
+			fmt.Fprintln(w, releaseLine(stored.State))
+		}
+		return w.Flush()
+	})
+}
+
+// releaseLine describes a release in one line, of columns for a tabwriter.
+func releaseLine(state *release.State) string {
+	status := &state.Status
+	line := fmt.Sprintf("%s\t%s\twave %d\tplan %s", state.Name, status.Phase, status.Wave, state.PlanHash)
+	if status.Finalized {
+		line += "\tfinal"
+	}
+	if status.HaltReason != "" {
+		line += fmt.Sprintf("\tby %s: %s", status.HaltedBy, status.HaltReason)
+	}
+	return line
+}
+
+// printRelease prints a release: the units in progress one by one, and a count of the others.
+func printRelease(out io.Writer, state *release.State) error {
+	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(w, releaseLine(state))
+	updated, rolledBack, pending := 0, 0, 0
+	for i := range state.Units {
+		switch unit := &state.Units[i]; {
+		case unit.Stage == release.StageConverged && unit.Rollback:
+			rolledBack++
+		case unit.Stage == release.StageConverged:
+			updated++
+		case unit.Stage == release.StagePending:
+			pending++
+		default:
+			printUnit(w, unit)
+		}
+	}
+	fmt.Fprintf(w, "%d units: %d updated, %d rolled back, %d pending\n", len(state.Units), updated, rolledBack, pending)
+	for _, line := range state.Status.Stranded {
+		fmt.Fprintln(w, "stranded:", line)
+	}
+	return w.Flush()
+}
+
+func printUnit(w io.Writer, unit *release.Unit) {
+	image := unit.Target
+	if unit.Rollback {
+		image = unit.Previous
+	}
+	fmt.Fprintf(w, "%s\t%s\tto %s %s\tattempt %d\t%s\n",
+		unit.ID, unit.Stage, image.Version, image.ConfigName, unit.PermitAttempt, unit.Reason)
+}
+
+// newReleaseCommand makes a subcommand that gives a release a command. It takes effect when the release's controller reads
+// it.
+func newReleaseCommand(action release.Action, short string) *cobra.Command {
+	var operator, reason string
+	c := asks(string(action)+" NAME", short, 1,
+		func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
+			command := &release.Command{Action: action, Operator: "operator/" + operator, Reason: reason}
+			result, err := client.WriteRelease(ctx, registry.WriteOptions{}, args[0], release.Operation{Command: command})
+			if err != nil {
+				return err
+			}
+			return a.show(c.OutOrStdout(), result, func(w io.Writer) error {
+				_, err := fmt.Fprintf(w, "%s: %s recorded at revision %d\n", args[0], action, result.Revision)
+				return err
+			})
+		})
+	operatorFlag(c, &operator)
+	c.Flags().StringVar(&reason, "why", "", "reason, stored in the log")
+	return c
+}
