--- a/internal/loadreport/collector_test.go
+++ b/internal/loadreport/collector_test.go
@@ -140,26 +140,27 @@
 	malformed := report("d", 1)
 	malformed.HotKeys = []placement.KeyLoad{{KeyHash: "no key"}}
 	for _, step := range []struct {
+		name string
 		at   time.Duration
 		data []byte
 		code int
 		want string
 	}{
-		{0, encodeBatch(t, report("b", 1), report("a", 1)), http.StatusNoContent, "a1 b1"},
-		{2 * time.Second, encodeBatch(t, report("a", 2), malformed, report("c", 1)), http.StatusBadRequest, "a2 b1 c1"},
-		{3 * time.Second, encodeBatch(t, report("d", 1)), http.StatusServiceUnavailable, "a2 b1 c1"},
-		{5 * time.Second, encodeBatch(t, report("a", 3)), http.StatusNoContent, "a3 b1 c1"},
-		{6 * time.Second, encodeBatch(t, report("d", 2)), http.StatusNoContent, "a3 c1 d2"}, // b has expired
-		{6 * time.Second, []byte("what"), http.StatusBadRequest, "a3 c1 d2"},
-		{6 * time.Second, bytes.Repeat([]byte(" "), MaxBodyBytes+1), http.StatusBadRequest, "a3 c1 d2"},
-		{20 * time.Second, encodeBatch(t), http.StatusNoContent, ""},
+		{"first reports", 0, encodeBatch(t, report("b", 1), report("a", 1)), http.StatusNoContent, "a1 b1"},
+		{"one of three malformed", 2 * time.Second, encodeBatch(t, report("a", 2), malformed, report("c", 1)), http.StatusBadRequest, "a2 b1 c1"},
+		{"a sidecar too many", 3 * time.Second, encodeBatch(t, report("d", 1)), http.StatusServiceUnavailable, "a2 b1 c1"},
+		{"a known sidecar", 5 * time.Second, encodeBatch(t, report("a", 3)), http.StatusNoContent, "a3 b1 c1"},
+		{"room after b has expired", 6 * time.Second, encodeBatch(t, report("d", 2)), http.StatusNoContent, "a3 c1 d2"},
+		{"not JSON", 6 * time.Second, []byte("what"), http.StatusBadRequest, "a3 c1 d2"},
+		{"a body too large", 6 * time.Second, bytes.Repeat([]byte(" "), MaxBodyBytes+1), http.StatusBadRequest, "a3 c1 d2"},
+		{"all expired", 20 * time.Second, encodeBatch(t), http.StatusNoContent, ""},
 	} {
 		now = step.at
 		if code := postBatch(t, collector, step.data); code != step.code {
-			t.Errorf("at %v: %d, want %d", step.at, code, step.code)
+			t.Errorf("%s: status %d, want %d", step.name, code, step.code)
 		}
 		if got := retained(); got != step.want {
-			t.Errorf("at %v it retains %q, want %q", step.at, got, step.want)
+			t.Errorf("%s: it retains %q, want %q", step.name, got, step.want)
 		}
 	}
 	if got, want := collector.Counts(), (Counts{Accepted: 6, Rejected: 3, OverCapacity: 1, Expired: 4}); got != want {
