--- a/internal/lab/controlplane/checker_end.go
+++ b/internal/lab/controlplane/checker_end.go
@@ -5,73 +5,109 @@
 	"strings"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/maintenance"
 	"milldeck/internal/release"
 )
 
-// checkEnd judges how the night ends.
+// maxListedBlockedUnits of an unfinished release are described.
+const maxListedBlockedUnits = 3
+
+// checkEnd checks ruleStranded at the end of a simulation, and ruleHours on the exclusions that are still followed.
 func (c *checker) checkEnd() {
-	cluster := c.cluster
-	wantedVersions, listed := map[string]string{}, map[string]bool{}
-	for _, name := range cluster.registry.releases.Names() {
-		state, _ := cluster.registry.releases.Get(name)
-		if !state.Status.Phase.Finished() {
-			c.report(ruleStranded, fmt.Sprintf("release %s is %s at the end: %s %s", name, state.Status.Phase, state.Status.HaltReason, cluster.describeBlockedUnits(state)))
+	wantedVersions, listed := c.checkReleases()
+	for _, member := range c.cluster.units {
+		c.observe(member)
+		if !listed[member.ID] {
+			c.checkUnit(member, wantedVersions[member.ID])
+		}
+	}
+	for _, window := range c.cluster.registry.windows.Windows() {
+		if window.OutOfService() {
+			c.reportUnfinishedWindow(window)
+		}
+	}
+	for _, member := range c.cluster.sidecars {
+		c.cluster.endAllExclusions(member)
+	}
+}
+
+// checkReleases checks that every release has finished. It returns the version that each of their units should have, and
+// the units that a release itself lists as stranded.
+func (c *checker) checkReleases() (wantedVersions map[string]string, listed map[string]bool) {
+	wantedVersions, listed = map[string]string{}, map[string]bool{}
+	for _, name := range c.cluster.registry.releases.Names() {
+		state, _ := c.cluster.registry.releases.Get(name)
+		status := &state.Status
+		if !status.Phase.Finished() {
+			c.report(ruleStranded, fmt.Sprintf("release %s is in phase %s at the end: %s %s",
+				name, status.Phase, status.HaltReason, c.cluster.describeBlockedUnits(state)))
 		}
-		for i := range state.Units {
-			member := &state.Units[i]
+		for index := range state.Units {
+			member := &state.Units[index]
 			wantedVersions[member.ID] = member.Previous.Version
-			if state.Status.Phase == release.PhaseCompleted {
+			if status.Phase == release.PhaseCompleted {
 				wantedVersions[member.ID] = member.Target.Version
 			}
-			for _, line := range state.Status.Stranded {
-				listed[member.ID] = listed[member.ID] || strings.HasPrefix(line, member.ID+" ") || strings.HasPrefix(line, member.ID+":")
-			}
+			listed[member.ID] = listed[member.ID] || listsUnit(status.Stranded, member.ID)
 		}
 	}
-	for _, member := range cluster.units {
-		c.observe(member)
-		wanted := wantedVersions[member.ID]
-		if wanted == "" {
-			wanted = "1"
-		}
-		switch {
-		case listed[member.ID]:
-		case member.decommissioned && member.observed.inService:
-			c.report(ruleStranded, member.ID+" serves, and should be gone")
-		case member.decommissioned:
-		case !member.observed.inService:
-			c.report(ruleStranded, fmt.Sprintf("%s is out since %.0f s: alive %v, Terminating %v, busy %v", member.ID,
-				float64(member.observed.outSinceMS-cluster.startMS)/1000, member.alive, cluster.registry.drainRevisions[member.ID] != 0, member.underMaintenance))
-		case member.version != wanted:
-			c.report(ruleStranded, fmt.Sprintf("%s is on version %s, should be on %s", member.ID, member.version, wanted))
+	return wantedVersions, listed
+}
+
+// listsUnit tells whether a line is about a unit: its id, then a space or a colon.
+func listsUnit(lines []string, unitID string) bool {
+	for _, line := range lines {
+		if strings.HasPrefix(line, unitID+" ") || strings.HasPrefix(line, unitID+":") {
+			return true
 		}
 	}
-	for _, window := range cluster.registry.windows.Windows() {
-		if window.OutOfService() {
-			permit, _ := cluster.registry.permit(window.PermitID())
-			c.report(ruleStranded, fmt.Sprintf("window %s is %s at the end: %s, permit %s", window.Name, window.Stage, window.Reason, permit.Stage))
-			for _, uid := range window.ServerUIDs {
-				ledgerUnit, _ := cluster.registry.ledger.Unit(disruption.UnitID(disruption.KindServer, uid))
-				c.report(ruleStranded, fmt.Sprintf("%s serves %v, ledger %+v, permit out %d back %d", uid, cluster.unitsByName[uid].observed.inService, ledgerUnit, permit.BeginRevision, permit.ReturnRevision))
-			}
-		}
+	return false
+}
+
+// checkUnit checks that a unit is in service on the wanted version; empty: on the initial one.
+func (c *checker) checkUnit(target *unit, wantedVersion string) {
+	if wantedVersion == "" {
+		wantedVersion = initialVersion
+	}
+	switch inService := target.observed.inService; {
+	case target.decommissioned && inService:
+		c.report(ruleStranded, target.ID+" is in service, and should be drained")
+	case target.decommissioned:
+	case !inService:
+		outSinceS := float64(target.observed.outSinceMS-c.cluster.startMS) / 1000
+		terminating := c.cluster.registry.drainRevisions[target.ID] != 0
+		c.report(ruleStranded, fmt.Sprintf("%s is out of service since %.0f s: alive %v, Terminating %v, under maintenance %v",
+			target.ID, outSinceS, target.alive, terminating, target.underMaintenance))
+	case target.version != wantedVersion:
+		c.report(ruleStranded, fmt.Sprintf("%s is on version %s, should be on %s", target.ID, target.version, wantedVersion))
 	}
-	for _, member := range cluster.sidecars {
-		cluster.endAllExclusions(member)
+}
+
+// reportUnfinishedWindow reports a window whose servers are still out of service.
+func (c *checker) reportUnfinishedWindow(window *maintenance.Window) {
+	registry := c.cluster.registry
+	permit, _ := registry.permit(window.PermitID())
+	c.report(ruleStranded, fmt.Sprintf("window %s is in stage %s at the end: %s, permit %s", window.Name, window.Stage, window.Reason, permit.Stage))
+	for _, uid := range window.ServerUIDs {
+		known, _ := registry.ledger.Unit(disruption.UnitID(disruption.KindServer, uid))
+		inService := c.cluster.unitsByName[uid].observed.inService
+		c.report(ruleStranded, fmt.Sprintf("%s in service %v, ledger %+v, permit begun at revision %d, returning at %d",
+			uid, inService, known, permit.BeginRevision, permit.ReturnRevision))
 	}
 }
 
-// describeBlockedUnits tells what a release waits for.
+// describeBlockedUnits describes the units that a release waits for, and the halts of the ledger.
 func (c *cluster) describeBlockedUnits(state *release.State) string {
 	var blocked []string
 	for index := range state.Units {
-		if member := &state.Units[index]; member.Stage != release.StageConverged && member.Stage != release.StagePending && len(blocked) < 3 {
-			ledgerUnit, _ := c.registry.ledger.Unit(member.ID)
-			permit, _ := c.registry.permit(state.PermitID(member))
-			blocked = append(blocked, fmt.Sprintf("%s %s back %v %s (ledger: %s, permit %s of revision %d, out at %d, undone %v)", member.ID, member.Stage, member.Rollback, member.Reason,
-				ledgerUnit.Condition, permit.Stage, permit.GrantRevision, permit.BeginRevision, permit.Aborted))
+		member := &state.Units[index]
+		if member.Stage == release.StageConverged || member.Stage == release.StagePending || len(blocked) == maxListedBlockedUnits {
+			continue
 		}
+		known, _ := c.registry.ledger.Unit(member.ID)
+		permit, _ := c.registry.permit(state.PermitID(member))
+		blocked = append(blocked, fmt.Sprintf("%s %s, rollback %v, %s (ledger: %s, permit %s granted at revision %d, begun at %d, aborted %v)",
+			member.ID, member.Stage, member.Rollback, member.Reason, known.Condition, permit.Stage, permit.GrantRevision, permit.BeginRevision, permit.Aborted))
 	}
-	halts := c.registry.ledger.Halts()
-	return strings.Join(blocked, "; ") + fmt.Sprint(halts)
+	return fmt.Sprintf("%s %v", strings.Join(blocked, "; "), c.registry.ledger.Halts())
 }
--- /dev/null
+++ b/internal/lab/controlplane/checker_hotkey.go
@@ -0,0 +1,36 @@
+package controlplane
+
+import (
+	"fmt"
+
+	"milldeck/internal/placement"
+)
+
+// warmupPeriodSeconds is the period over which ruleSpread sums warm-up work.
+const warmupPeriodSeconds = 10
+
+// observeCopies checks ruleSpread on a directive that is set: the copies that did not exist before have to be warmed up.
+func (c *checker) observeCopies(directive *placement.Directive, existing map[string]bool) {
+	added := 0
+	for _, replica := range directive.Copies {
+		if !existing[replica.ServerUID] {
+			added++
+		}
+	}
+	config := c.cluster.hotKeyConfig()
+	second := c.cluster.nowMS / 1000
+	c.warmupWork[second] += float64(added) * config.WarmupWork
+	sum := 0.0
+	for past := second - warmupPeriodSeconds + 1; past <= second; past++ {
+		sum += c.warmupWork[past]
+	}
+	servers := float64(len(c.cluster.servers))
+	budget := max(config.WarmupBudget*serverCapacityMS*servers, config.MinWarmupBudget)
+	allowed := budget * (warmupPeriodSeconds + 1) // the planner may save up a second of its budget
+	if sum > allowed {
+		c.report(ruleSpread, fmt.Sprintf("%.0f ms of warm-up work within %d s, %.0f allowed", sum, warmupPeriodSeconds, allowed))
+	}
+	if copies := float64(len(directive.Copies)); copies > config.ReplicasPerServer*servers {
+		c.report(ruleSpread, fmt.Sprintf("%.0f copies", copies))
+	}
+}
--- a/internal/lab/controlplane/cluster.go
+++ b/internal/lab/controlplane/cluster.go
@@ -13,138 +13,96 @@
 	"milldeck/internal/supervisor/fake"
 )
 
-// Times of the world in ms.
+// Times of the model, in ms.
 const (
-	tickMS          = 500  // between two looks at everything
-	endpointLeaseMS = 4000 // of servers and sidecars in the list
-	massLossHoldMS  = 60_000
-	startupMS       = 800  // from a process's start to its first answer
-	warmupMS        = 3000 // of a server, from there
-	shutdownMS      = 700  // from SIGTERM to the end
-	maxRequestMS    = 3000 // of a request, for the proof that a server is empty
-	massLossDivisor = 6    // one of so many missing at once is a loss of sight
+	tickMS       = 500  // step of the virtual clock
+	startupMS    = 800  // from the start of a process to its readiness
+	warmupMS     = 3000 // of a server, from its readiness
+	shutdownMS   = 700  // from SIGTERM to the exit
+	maxRequestMS = 3000 // longest request, which a drained server may still answer
 )
 
-// unit is what is true of a unit, whatever anybody knows of it.
-type unit struct {
-	disruption.Unit
-	name               string
-	version            string // of the process that was started last
-	bootMS             int64
-	readyAtMS          int64 // when that process answers; far: never
-	warmAtMS           int64
-	unreachableUntilMS int64 // until when nobody reaches it
-	underMaintenance   bool  // a window's work is done on it
-	alive              bool
-	missingSinceMS     int64 // since when it does not show; 0: it does
-	changing           bool  // something about it is under way
-	decommissioned     bool  // it is to be out at the end
-	sidecar            *sidecarState
-	observed           observation
-}
+const (
+	startupTicks       = 16 // in which the fleet is started before the simulation begins
+	podGroupSize       = 10 // servers
+	processGraceMS     = 10_000
+	processMaxRestarts = 3
+	clockErrorMS       = 200 // largest error of an accurate clock
+	clockUncertaintyMS = 250
+)
 
-// sidecarState is what a sidecar knows and has been told.
-type sidecarState struct {
-	wallClock
-	agentDownUntilMS  int64 // until when its agent reaches nobody
-	pollDelayMS       int64
-	placementRevision uint64 // of the placement
-	placementEpoch    uint64
-	endpointRevision  uint64
-	exclusions        map[string]*exclusion
-}
+// operatorName is the owner of what operators write into the ledger.
+const operatorName = "operator/ops"
 
-// exclusion is an entry that a sidecar follows.
-type exclusion struct {
-	tenant               string
-	startedMS, expiresMS int64
-	drainedMS            int64 // when its last request there is answered
-}
+// cluster is the simulated cluster: the units, the platform that runs them, the registry and the controllers.
+type cluster struct {
+	options Options
+	seed    uint64
+	random  *rand.Rand // every draw of the simulation but those of traffic
+	nowMS   int64      // true Unix ms
+	startMS int64
+	timers  []timer
 
-type timer struct {
-	dueMS int64
-	run   func()
-}
+	units         []*unit // servers first
+	servers       []*unit
+	sidecars      []*unit
+	unitsByID     map[string]*unit // by the ledger's unit id
+	unitsByName   map[string]*unit
+	serverTenants maintenance.Fleet
 
-// cluster is a night.
-type cluster struct {
-	options           Options
-	random            *rand.Rand
-	nowMS             int64 // true Unix ms
-	startMS           int64
 	registry          *registry
-	platform          *fake.Platform
-	units             []*unit // servers first
-	servers           []*unit
-	sidecars          []*unit
-	unitsByID         map[string]*unit // by ledger's id
-	unitsByName       map[string]*unit
-	timers            []timer
 	processes         []*process
-	checker           *checker
-	serverTenants     maintenance.Fleet
-	highestToken      uint64
-	unavailableBefore map[string]int // by budget, a second ago: for a planted fault
-	powerOffUntilMS   map[string]int64
-	reconcilePeriodMS int64 // between two steps of a release's controller
-	cachedList        *supervisor.List
-	cachedListMS      int64
-	traffic           *traffic
+	reconcilePeriodMS int64 // of the release controllers
 	scenario          *scenario
-	seed              uint64
-	requestCount      int
-	syncedRevision    uint64 // revision of the placement or the list that sidecars were last walked for
-	syncUntilMS       int64
-	writeCount        int
-}
+	traffic           *traffic // nil: requests are not modelled
+	checker           *checker
 
-const never = int64(1) << 60
+	platform        *fake.Platform
+	cachedList      *supervisor.List
+	cachedListMS    int64
+	powerOffUntilMS map[string]int64 // by zone
+	requestCount    int              // of the operator to the platform
 
-// never marks versions that do not come up.
-const (
-	goodVersion     = "2"
-	crashingVersion = "3" // fails at start
-	unreadyVersion  = "4" // is never ready
-)
+	syncedRevision uint64 // newest revision of the placement or the registry that was distributed to sidecars
+	syncUntilMS    int64
+	writeCount     int
+
+	highestToken      uint64         // of Defects.IgnoreFencingTokens
+	unavailableBefore map[string]int // of Defects.StaleReads: unavailable units a second ago, by budget
+}
+
+// timer runs a function at a time.
+type timer struct {
+	dueMS int64
+	run   func()
+}
 
+// newCluster starts a fleet on the initial version and waits until it is in service.
 func newCluster(seed uint64, options Options) *cluster {
-	cluster := &cluster{options: options, seed: seed, random: rand.New(rand.NewPCG(seed, 18)), unitsByID: map[string]*unit{}, unitsByName: map[string]*unit{}, serverTenants: maintenance.Fleet{},
-		powerOffUntilMS: map[string]int64{}, unavailableBefore: map[string]int{}, reconcilePeriodMS: 2 * tickMS}
-	cluster.nowMS = options.StartMS
-	cluster.startMS = cluster.nowMS
+	cluster := &cluster{
+		options:           options,
+		seed:              seed,
+		random:            rand.New(rand.NewPCG(seed, 18)),
+		nowMS:             options.StartMS,
+		startMS:           options.StartMS,
+		unitsByID:         map[string]*unit{},
+		unitsByName:       map[string]*unit{},
+		serverTenants:     maintenance.Fleet{},
+		powerOffUntilMS:   map[string]int64{},
+		unavailableBefore: map[string]int{},
+		reconcilePeriodMS: 2 * tickMS,
+	}
 	cluster.checker = newChecker(cluster)
 	cluster.registry = newRegistry(cluster)
 	cluster.registry.leaderClock = cluster.accurateClock()
-	versions := map[core.Version]fake.Version{}
-	for _, kind := range []supervisor.Kind{supervisor.Server, supervisor.Sidecar} {
-		for _, name := range []string{"1", goodVersion, crashingVersion, unreadyVersion} {
-			versions[core.Version{Kind: kind, Name: name}] = fake.Version{ProcessPolicy: core.ProcessPolicy{GraceMS: 10_000, MaxRestarts: 3}, Behave: cluster.processBehavior}
-		}
-	}
-	cluster.platform = fake.New(fake.Options{Versions: versions}, cluster.nowMS)
+	cluster.platform = cluster.newPlatform()
 	for _, budget := range options.budgets() {
-		cluster.registry.revision++
-		cluster.registry.ledger.Apply(cluster.registry.revision, &disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/ops", Budget: &budget})
+		cluster.registry.commitLedgerOp(&disruption.Op{Kind: disruption.OpSetBudget, Owner: operatorName, Budget: &budget})
 	}
-	for index := range options.Servers {
-		member := &unit{name: fmt.Sprintf("s%04d", index)}
-		zoneIndex := index * len(zones) / options.Servers
-		member.Unit = disruption.Unit{Kind: disruption.KindServer, Zone: zones[zoneIndex], Model: "m" + fmt.Sprint(index%4), PodGroup: index / 10, Capacity: 1}
-		member.Tenants = [][]string{{"portal"}, {"teller"}, {"portal", "teller"}, {"island"}}[index/10%4]
-		cluster.serverTenants[member.name] = member.Tenants
-		cluster.addUnit(member)
-	}
-	for index := range options.Sidecars {
-		member := &unit{name: fmt.Sprintf("c%04d", index), sidecar: &sidecarState{wallClock: cluster.accurateClock(), pollDelayMS: cluster.random.Int64N(900), exclusions: map[string]*exclusion{}}}
-		member.Unit = disruption.Unit{Kind: disruption.KindSidecar, Zone: zones[index*len(zones)/options.Sidecars], Capacity: 1}
-		cluster.addUnit(member)
-	}
-	list := cluster.platformList()
-	for _, member := range cluster.units {
-		cluster.platform.Do(context.Background(), supervisor.Request{ID: "first-" + member.name, Op: supervisor.Start, Epoch: list.Epoch, Unit: member.name,
-			Kind: supervisor.Kind(member.Kind), Version: "1", ConfigName: "c1", ConfigText: "c1", Listen: "127.0.0.1:7000", Zone: member.Zone})
-	}
-	for range 16 {
+	cluster.addServers()
+	cluster.addSidecars()
+	cluster.startFleet()
+	for range startupTicks {
 		cluster.tick()
 	}
 	cluster.checker.start()
@@ -152,37 +110,108 @@
 	return cluster
 }
 
-func (c *cluster) addUnit(member *unit) {
-	member.ID = disruption.UnitID(member.Kind, member.name)
-	c.units = append(c.units, member)
-	if member.Kind == disruption.KindServer {
-		c.servers = append(c.servers, member)
-	} else {
-		c.sidecars = append(c.sidecars, member)
+// newPlatform is a platform that knows all versions of servers and sidecars.
+func (c *cluster) newPlatform() *fake.Platform {
+	policy := core.ProcessPolicy{GraceMS: processGraceMS, MaxRestarts: processMaxRestarts}
+	versions := map[core.Version]fake.Version{}
+	for _, kind := range []supervisor.Kind{supervisor.Server, supervisor.Sidecar} {
+		for _, name := range []string{initialVersion, goodVersion, crashingVersion, unreadyVersion} {
+			versions[core.Version{Kind: kind, Name: name}] = fake.Version{ProcessPolicy: policy, Behave: c.processBehavior}
+		}
+	}
+	return fake.New(fake.Options{Versions: versions}, c.nowMS)
+}
+
+// addServers adds the servers, spread evenly over the zones. Models alternate; a pod group is of one set of tenants.
+func (c *cluster) addServers() {
+	tenantSets := [][]string{{"portal"}, {"teller"}, {"portal", "teller"}, {"island"}}
+	for index := range c.options.Servers {
+		podGroup := index / podGroupSize
+		server := &unit{name: fmt.Sprintf("s%04d", index)}
+		server.Unit = disruption.Unit{
+			Kind:     disruption.KindServer,
+			Zone:     zones[index*len(zones)/c.options.Servers],
+			Model:    fmt.Sprintf("m%d", index%modelCount),
+			PodGroup: podGroup,
+			Capacity: 1,
+			Tenants:  tenantSets[podGroup%len(tenantSets)],
+		}
+		c.serverTenants[server.name] = server.Tenants
+		c.servers = append(c.servers, server)
+		c.addUnit(server)
 	}
-	c.unitsByID[member.ID], c.unitsByName[member.name] = member, member
 }
 
-func (c *cluster) accurateClock() wallClock { return wallClock{c.random.Int64N(400) - 200, 250} }
+// addSidecars adds the sidecars, spread evenly over the zones.
+func (c *cluster) addSidecars() {
+	for index := range c.options.Sidecars {
+		sidecar := &unit{name: fmt.Sprintf("c%04d", index)}
+		sidecar.sidecar = &sidecarState{wallClock: c.accurateClock(), pollDelayMS: c.random.Int64N(900), exclusions: map[string]*exclusion{}}
+		sidecar.Unit = disruption.Unit{Kind: disruption.KindSidecar, Zone: zones[index*len(zones)/c.options.Sidecars], Capacity: 1}
+		c.sidecars = append(c.sidecars, sidecar)
+		c.addUnit(sidecar)
+	}
+}
+
+func (c *cluster) addUnit(added *unit) {
+	added.ID = disruption.UnitID(added.Kind, added.name)
+	c.units = append(c.units, added)
+	c.unitsByID[added.ID], c.unitsByName[added.name] = added, added
+}
 
-// schedule has something happen in some ms.
+// startFleet has the platform start every unit on the initial version.
+func (c *cluster) startFleet() {
+	list := c.platformList()
+	for _, member := range c.units {
+		member.version = initialVersion
+		if _, err := c.platform.Do(context.Background(), startRequest("first-"+member.name, member, list.Epoch, 0)); err != nil {
+			panic(err) // no fault has been injected yet
+		}
+	}
+}
+
+// startRequest asks the platform to start a unit on its present version, in place of an incarnation; 0: of none.
+func startRequest(id string, target *unit, epoch, incarnation uint64) supervisor.Request {
+	const configuration = "c1"
+	return supervisor.Request{
+		ID:          id,
+		Op:          supervisor.Start,
+		Epoch:       epoch,
+		Unit:        target.name,
+		Incarnation: incarnation,
+		Kind:        supervisor.Kind(target.Kind),
+		Version:     target.version,
+		ConfigName:  configuration,
+		ConfigText:  configuration,
+		Listen:      "127.0.0.1:7000",
+		Zone:        target.Zone,
+	}
+}
+
+// accurateClock draws a wall clock whose error is within its reported uncertainty.
+func (c *cluster) accurateClock() wallClock {
+	return wallClock{offsetMS: c.random.Int64N(2*clockErrorMS) - clockErrorMS, uncertaintyMS: clockUncertaintyMS}
+}
+
+// schedule runs a function after a delay, at the next tick at the earliest.
 func (c *cluster) schedule(delayMS int64, run func()) {
 	c.timers = append(c.timers, timer{c.nowMS + max(delayMS, 1), run})
 }
 
-// platformList is the platform's list, asked for once in a tick; nil where it does not answer.
+// platformList is the platform's list of units, requested at most once a tick; nil where it does not answer.
 func (c *cluster) platformList() *supervisor.List {
-	if c.cachedListMS != c.nowMS {
-		list, err := c.platform.List(context.Background())
-		if err != nil {
-			list = nil
-		}
-		c.cachedList, c.cachedListMS = list, c.nowMS
+	if c.cachedListMS == c.nowMS {
+		return c.cachedList
 	}
-	return c.cachedList
+	list, err := c.platform.List(context.Background())
+	if err != nil {
+		list = nil
+	}
+	c.cachedList, c.cachedListMS = list, c.nowMS
+	return list
 }
 
-// processBehavior is told of each launch by the platform.
+// processBehavior decides how a process behaves that the platform starts.
 func (c *cluster) processBehavior(started supervisor.Unit) fake.Behavior {
 	target := c.unitsByName[started.Name]
 	c.checker.observeLaunch(target, started.Version, started.Incarnation)
@@ -195,49 +224,37 @@
 	}
 	switch started.Version {
 	case crashingVersion:
-		target.readyAtMS, behavior.ReadyAfterMS, behavior.ExitAfterMS, behavior.ExitText = never, -1, 100, "exit status 1"
+		target.readyAtMS = never
+		behavior.ReadyAfterMS, behavior.ExitAfterMS, behavior.ExitText = -1, 100, "exit status 1"
 	case unreadyVersion:
-		target.readyAtMS = never // the platform's own check is met, the list's is not
+		target.readyAtMS = never // passes the platform's check, never the registry's
 	}
 	target.warmAtMS = target.readyAtMS
 	if target.Kind == disruption.KindServer && target.readyAtMS != never {
 		target.warmAtMS += warmupMS
 	}
-	if target.sidecar != nil { // it begins anew, and knows nothing
+	if sidecar := target.sidecar; sidecar != nil { // a new process knows nothing
 		c.endAllExclusions(target)
-		target.sidecar.placementRevision, target.sidecar.placementEpoch, target.sidecar.endpointRevision = 0, 0, 0
+		sidecar.placementRevision, sidecar.placementEpoch, sidecar.endpointRevision = 0, 0, 0
 	}
 	return behavior
 }
 
-// inService is the truth about a unit.
+// inService tells whether a unit serves requests, from its true state.
 func (c *cluster) inService(target *unit) bool {
-	return target.alive && target.readyAtMS <= c.nowMS && target.warmAtMS <= c.nowMS && target.unreachableUntilMS <= c.nowMS && !target.underMaintenance && c.registry.drainRevisions[target.ID] == 0
+	return target.ready(c.nowMS) &&
+		target.warmAtMS <= c.nowMS &&
+		target.unreachableUntilMS <= c.nowMS &&
+		!target.underMaintenance &&
+		c.registry.drainRevisions[target.ID] == 0
 }
 
-// tick has everything happen that is due within the next tickMS.
+// tick advances the simulation by tickMS.
 func (c *cluster) tick() {
 	c.nowMS += tickMS
 	c.platform.Advance(c.nowMS)
-	for index := 0; index < len(c.timers); index++ { // one may set others
-		if due := c.timers[index]; due.run != nil && due.dueMS <= c.nowMS {
-			c.timers[index].run = nil
-			due.run()
-		}
-	}
-	c.timers = slices.DeleteFunc(c.timers, func(due timer) bool { return due.run == nil })
-	missing := map[disruption.Kind]int{}
-	for _, member := range c.units {
-		if alive := c.platform.LiveProcesses(member.name) > 0; alive != member.alive {
-			member.alive, member.changing = alive, true
-			if !alive && member.sidecar != nil {
-				c.endAllExclusions(member)
-			}
-		}
-		if member.missingSinceMS != 0 {
-			missing[member.Kind]++
-		}
-	}
+	c.runDueTimers()
+	missing := c.observeProcesses()
 	for _, member := range c.units {
 		if member.changing {
 			c.updateRegistration(member, missing[member.Kind])
@@ -247,68 +264,40 @@
 		}
 	}
 	c.registry.expireLeases()
-	for index := range c.processes {
-		c.processes[index].step()
+	for _, process := range c.processes {
+		process.tick()
 	}
 	c.syncSidecars()
 	c.registry.indexPermits()
 	c.checker.checkGrants()
 }
 
-// updateRegistration has a unit seen by the list service, or not.
-func (c *cluster) updateRegistration(target *unit, missingCount int) {
-	registry := c.registry
-	if !registry.hasLeader() {
-		return
-	}
-	visible := target.alive && target.unreachableUntilMS <= c.nowMS && (target.sidecar == nil || target.sidecar.agentDownUntilMS <= c.nowMS)
-	if !visible {
-		if target.missingSinceMS == 0 {
-			target.missingSinceMS = c.nowMS
+// runDueTimers runs the timers that are due, also those that a due timer adds.
+func (c *cluster) runDueTimers() {
+	for index := 0; index < len(c.timers); index++ {
+		due := c.timers[index]
+		if due.run != nil && due.dueMS <= c.nowMS {
+			c.timers[index].run = nil
+			due.run()
 		}
-		known, ok := registry.ledger.Unit(target.ID)
-		missingSinceMS := max(target.missingSinceMS, registry.leaderSinceMS)
-		switch serverCount := len(c.servers); {
-		case !ok || known.Condition == disruption.ConditionLost || c.nowMS-missingSinceMS < endpointLeaseMS:
-		case target.sidecar == nil && missingCount*massLossDivisor > serverCount && c.nowMS-missingSinceMS < massLossHoldMS:
-			if known.Condition != disruption.ConditionUnknown {
-				registry.revision++
-				registry.ledger.MarkUnknown(registry.revision, target.ID)
-			}
-		default:
-			registry.revision++
-			registry.ledger.MarkLost(registry.revision, target.ID)
-			if target.decommissioned {
-				delete(registry.drainRevisions, target.ID)
+	}
+	c.timers = slices.DeleteFunc(c.timers, func(t timer) bool { return t.run == nil })
+}
+
+// observeProcesses updates which units have a process, and counts by kind those that send no heartbeats.
+func (c *cluster) observeProcesses() map[disruption.Kind]int {
+	missing := map[disruption.Kind]int{}
+	for _, member := range c.units {
+		alive := c.platform.LiveProcesses(member.name) > 0
+		if alive != member.alive {
+			member.alive, member.changing = alive, true
+			if !alive && member.sidecar != nil {
+				c.endAllExclusions(member)
 			}
 		}
-		return
-	}
-	target.missingSinceMS = 0
-	known, ok := registry.ledger.Unit(target.ID)
-	registration := target.Unit
-	registration.Version, registration.Condition, registration.BootMS = target.version, disruption.ConditionUp, float64(target.bootMS)
-	if ok && known.BootMS != registration.BootMS && registry.drainRevisions[target.ID] != 0 {
-		delete(registry.drainRevisions, target.ID) // it registers anew
-		registry.revision++
-	}
-	switch {
-	case target.readyAtMS > c.nowMS || target.underMaintenance:
-		registration.Condition = disruption.ConditionUnready
-	case registry.drainRevisions[target.ID] != 0:
-		registration.Condition = disruption.ConditionDraining
-	}
-	registry.revision++
-	registry.ledger.Register(registry.revision, registration)
-	known, _ = registry.ledger.Unit(target.ID)
-	condition := registration.Condition
-	if condition == disruption.ConditionUp && target.warmAtMS > c.nowMS {
-		condition = disruption.ConditionWarmingUp
-	}
-	if condition != disruption.ConditionDraining && known.Condition != condition {
-		registry.revision++
-		registry.ledger.Apply(registry.revision, &disruption.Op{Kind: disruption.OpObserve, Owner: "prober", Observed: []disruption.Unit{{ID: target.ID, Condition: condition}}})
-		known, _ = registry.ledger.Unit(target.ID)
+		if member.missingSinceMS != 0 {
+			missing[member.Kind]++
+		}
 	}
-	target.changing = target.readyAtMS > c.nowMS && target.readyAtMS != never || target.warmAtMS > c.nowMS && target.warmAtMS != never || known.Condition != condition
+	return missing
 }
--- /dev/null
+++ b/internal/lab/controlplane/defects.go
@@ -0,0 +1,102 @@
+package controlplane
+
+import (
+	"milldeck/internal/disruption"
+	"milldeck/internal/maintenance"
+)
+
+// applyStaleGrant implements Defects.StaleReads: a permit is granted on the availability of a second ago. Such permits
+// are retained beside the ledger. It reports whether the operation was about one, and is done.
+func (r *registry) applyStaleGrant(op *disruption.Op) bool {
+	if op.Permit == nil {
+		return false
+	}
+	forged := r.forgedPermits[op.Permit.ID]
+	if forged == nil {
+		if op.Kind != disruption.OpRequest || !r.cluster.hadCapacity(op.Permit) {
+			return false
+		}
+		grant := *op.Permit
+		grant.Stage, grant.GrantRevision = disruption.StageGranted, r.revision
+		r.forgedPermits[grant.ID] = &grant
+		return true
+	}
+	switch {
+	case op.Kind == disruption.OpBegin && forged.Stage == disruption.StageGranted:
+		forged.Stage, forged.BeginRevision = disruption.StageActive, r.revision
+	case op.Kind == disruption.OpReturn && forged.Stage == disruption.StageActive:
+		forged.Stage, forged.ReturnRevision = disruption.StageReturning, r.revision
+	case op.Kind == disruption.OpCancel:
+		forged.Stage = disruption.StageCancelled
+	case op.Kind == disruption.OpComplete && r.allUp(forged.Units):
+		forged.Stage = disruption.StageCompleted
+	}
+	return true
+}
+
+// allUp tells whether the ledger knows every unit as up.
+func (r *registry) allUp(unitIDs []string) bool {
+	for _, unitID := range unitIDs {
+		if known, _ := r.ledger.Unit(unitID); known.Condition != disruption.ConditionUp {
+			return false
+		}
+	}
+	return true
+}
+
+// hadCapacity tells whether a permit was within every budget a second ago.
+func (c *cluster) hadCapacity(permit *disruption.Permit) bool {
+	for _, budget := range c.options.budgets() {
+		requested := 0
+		for _, unitID := range permit.Units {
+			if budget.Selector.Matches(&c.unitsByID[unitID].Unit) {
+				requested++
+			}
+		}
+		if requested > 0 && c.unavailableBefore[budget.Name]+requested > *budget.MaxUnavailable.Count {
+			return false
+		}
+	}
+	return true
+}
+
+// recordUnavailable records how many units of each budget are unavailable, for hadCapacity.
+func (c *cluster) recordUnavailable() {
+	c.registry.indexPermits()
+	for _, budget := range c.options.budgets() {
+		unavailable := 0
+		for _, member := range c.units {
+			if !budget.Selector.Matches(&member.Unit) {
+				continue
+			}
+			known, _ := c.registry.ledger.Unit(member.ID)
+			_, permitted := c.registry.permitByUnit[member.ID]
+			if permitted || known.Condition != disruption.ConditionUp {
+				unavailable++
+			}
+		}
+		c.unavailableBefore[budget.Name] = unavailable
+	}
+}
+
+// completePermitsOf implements Defects.CompletePermitsOnLeaseExpiry.
+func (r *registry) completePermitsOf(owner string) {
+	for _, permit := range r.ledger.OpenPermits() {
+		if permit.Owner != owner || permitFinished(permit.Stage) || permit.Stage == disruption.StageRequested {
+			continue
+		}
+		r.commitLedgerOp(&disruption.Op{Kind: disruption.OpForceComplete, Owner: operatorName, Permit: &disruption.Permit{ID: permit.ID}})
+	}
+}
+
+// withHighestToken implements Defects.IgnoreFencingTokens for the maintenance table, which has its own check: a stale
+// token is replaced by the highest that was seen.
+func (r *registry) withHighestToken(op *maintenance.Operation) *maintenance.Operation {
+	if op.Token == 0 {
+		return op
+	}
+	replaced := *op
+	replaced.Token = max(op.Token, r.cluster.highestToken)
+	r.cluster.highestToken = replaced.Token
+	return &replaced
+}
--- a/internal/lab/controlplane/faults.go
+++ b/internal/lab/controlplane/faults.go
@@ -1,117 +1,74 @@
 package controlplane
 
 import (
-	"context"
 	"fmt"
 
 	"milldeck/internal/maintenance"
 	"milldeck/internal/release"
-	"milldeck/internal/supervisor"
 	"milldeck/internal/supervisor/core"
 )
 
-// restartUnit has the platform start a unit that has ended as it was last, by an operator.
-func (c *cluster) restartUnit(target *unit, reported *supervisor.Unit, epoch uint64) {
-	incarnation := uint64(0)
-	if reported != nil {
-		if incarnation = reported.Incarnation; reported.State != supervisor.Exited {
-			if reported.State == supervisor.Starting && !target.alive { // listed, and no process: half was done
-				c.requestCount++
-				c.platform.Do(context.Background(), supervisor.Request{ID: fmt.Sprintf("ops-%d", c.requestCount), Op: supervisor.Stop, Epoch: epoch, Unit: target.name, Incarnation: incarnation})
-			}
-			return
-		}
-	}
-	c.requestCount++
-	c.platform.Do(context.Background(), supervisor.Request{ID: fmt.Sprintf("ops-%d", c.requestCount), Op: supervisor.Start, Epoch: epoch, Unit: target.name,
-		Incarnation: incarnation, Kind: supervisor.Kind(target.Kind), Version: target.version, ConfigName: "c1", ConfigText: "c1", Listen: "127.0.0.1:7000", Zone: target.Zone})
-}
+const (
+	// faultPeriodMS is the time from the start within which faults begin.
+	faultPeriodMS = 300_000
+	// clockFaultMS is how long the clock of a leader or controller is wrong.
+	clockFaultMS = 120_000
+	// crashText is the exit text of a process that crashes.
+	crashText = "signal: killed"
+)
 
-// The night's faults come within faultPeriodMS of its begin.
-const faultPeriodMS = 300_000
+// platformFaultKinds are the faults of the platform that are drawn, beside hanging.
+var platformFaultKinds = []core.FaultKind{
+	core.FaultPartial,
+	core.FaultDropResponse,
+	core.FaultDuplicate,
+	core.FaultWrongUnit,
+	core.FaultLoseState,
+	core.FaultError,
+}
 
-// scheduleFaults draws the night's faults.
+// scheduleFaults draws the faults of the simulation. The order of draws is part of what a seed means.
 func (c *cluster) scheduleFaults() {
-	random := c.random
-	drawTime := func() int64 { return 5000 + random.Int64N(faultPeriodMS) }
-	c.scheduleZoneLoss(10_000 + random.Int64N(120_000))
-	c.scheduleFault(drawTime(), "leader killed between entry and answer", func() { c.registry.dropNextResponse = true })
-	for range random.IntN(3) {
-		c.scheduleFault(drawTime(), "leader killed", func() { c.registry.crashLeader(1000 + random.Int64N(6000)) })
-	}
-	if random.IntN(4) == 0 {
-		c.scheduleFault(drawTime(), "all replicas killed and started", func() { c.registry.crashLeader(20_000 + random.Int64N(30_000)) })
-	}
-	for range 2 + random.IntN(5) {
-		process, effects, afterEffect := c.processes[random.IntN(len(c.processes))], random.IntN(30), random.IntN(2) == 0
-		c.scheduleFault(drawTime(), fmt.Sprintf("a holder of %s killed at its effect %d", process.leaseName, effects), func() {
-			c.leaderOf(process).plannedFault = &processFault{effectsUntil: effects, afterEffect: afterEffect}
-		})
-	}
-	for range 1 + random.IntN(3) {
-		process, effects, durationMS := c.processes[random.IntN(len(c.processes))], random.IntN(30), 4000+random.Int64N(56_000)
-		c.scheduleFault(drawTime(), fmt.Sprintf("a holder of %s frozen for %d ms", process.leaseName, durationMS), func() { c.leaderOf(process).plannedFault = &processFault{effectsUntil: effects, pauseMS: durationMS} })
-	}
-	if random.IntN(2) == 0 {
-		process, durationMS := c.processes[random.IntN(len(c.processes))], 5000+random.Int64N(60_000)
-		c.scheduleFault(drawTime(), fmt.Sprintf("a holder of %s and a tenth of the sidecars at a minority for %d ms", process.leaseName, durationMS), func() {
-			leader := c.leaderOf(process)
-			leader.staleState, leader.partitionedUntilMS = c.registry.clone(), c.nowMS+durationMS
-			c.partitionAgents(len(c.sidecars)/10, durationMS)
-		})
-	}
-	count, durationMS := 1+random.IntN(max(len(c.sidecars)/50, 1)), 5000+random.Int64N(100_000)
-	c.scheduleFault(drawTime(), fmt.Sprintf("%d sidecars cut off from their agents for %d ms", count, durationMS), func() { c.partitionAgents(count, durationMS) })
-	c.schedulePlatformFaults(drawTime)
-	for range 3 + random.IntN(10) {
-		server := c.servers[random.IntN(len(c.servers))]
-		c.scheduleFault(drawTime(), server.ID+" ends by itself", func() { c.platform.Crash(server.name, "signal: killed") })
-	}
-	c.scheduleClockFaults(drawTime)
-	c.scheduleOperatorCommands(drawTime)
-	if random.IntN(5) == 0 {
-		t := drawTime()
-		c.scheduleFault(t, "backup", func() { c.registry.backup = c.registry.clone() })
-		c.scheduleFault(t+5000+random.Int64N(60_000), "restore from it", func() {
-			c.checker.restoredMS = c.nowMS
-			c.registry.restoreBackup()
-			for _, t := range tenants { // whoever restores sets again first what was withdrawn since the backup
-				if list := c.checker.hours[t.name]; list[len(list)-1].length == 0 && c.registry.windows.Contract(t.name) != nil {
-					c.applyAsOperator(&maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: t.name})
-				}
-			}
-			for _, server := range c.units {
-				server.changing = true
-			}
-		})
-	}
+	c.scheduleZoneLoss(10_000 + c.random.Int64N(120_000))
+	c.scheduleLeaderCrashes()
+	c.scheduleProcessFaults()
+	c.scheduleMinorityPartition()
+	c.scheduleAgentPartition()
+	c.schedulePlatformFaults()
+	c.scheduleServerCrashes()
+	c.scheduleClockFaults()
+	c.scheduleOperatorCommands()
+	c.scheduleRestore()
 }
 
-// leaderOf is who holds a process's duty, or itself.
-func (c *cluster) leaderOf(process *process) *process {
-	for _, candidate := range c.processes {
-		if candidate.leaseName == process.leaseName && candidate.holdsLease() && !candidate.down {
-			return candidate
-		}
-	}
-	return process
+// drawFaultTime draws when a fault begins, in ms from now.
+func (c *cluster) drawFaultTime() int64 { return 5000 + c.random.Int64N(faultPeriodMS) }
+
+// drawProcess draws a process.
+func (c *cluster) drawProcess() *process { return c.processes[c.random.IntN(len(c.processes))] }
+
+// scheduleFault schedules a fault and describes it in the result.
+func (c *cluster) scheduleFault(delayMS int64, description string, inject func()) {
+	c.scenario.faults = append(c.scenario.faults, fmt.Sprintf("%4.0f s %s", float64(delayMS)/1000, description))
+	c.schedule(delayMS, inject)
+	c.extendFaults(delayMS)
 }
 
-func (c *cluster) partitionAgents(count int, durationMS int64) {
-	for range count {
-		target := c.sidecars[c.random.IntN(len(c.sidecars))]
-		target.sidecar.agentDownUntilMS, target.changing = c.nowMS+durationMS, true
-	}
+// extendFaults notes that a fault lasts for a time from now.
+func (c *cluster) extendFaults(durationMS int64) {
+	c.scenario.faultsEndMS = max(c.scenario.faultsEndMS, c.nowMS+durationMS)
 }
 
-// scheduleZoneLoss has a zone lose its power, or be cut off.
-func (c *cluster) scheduleZoneLoss(startMS int64) {
-	zone, powerLoss, durationMS := zones[c.random.IntN(len(zones))], c.random.IntN(2) == 0, 10_000+c.random.Int64N(80_000)
+// scheduleZoneLoss has a zone lose its power, or its network.
+func (c *cluster) scheduleZoneLoss(delayMS int64) {
+	zone := zones[c.random.IntN(len(zones))]
+	powerLoss := c.random.IntN(2) == 0
+	durationMS := 10_000 + c.random.Int64N(80_000)
 	manner := "cut off"
 	if powerLoss {
 		manner = "without power"
 	}
-	c.scheduleFault(startMS, fmt.Sprintf("zone %s %s for %d ms", zone, manner, durationMS), func() {
+	c.scheduleFault(delayMS, fmt.Sprintf("zone %s %s for %d ms", zone, manner, durationMS), func() {
 		if powerLoss {
 			c.powerOffUntilMS[zone] = c.nowMS + durationMS
 		}
@@ -121,24 +78,93 @@
 			}
 			member.changing = true
 			if powerLoss {
-				c.platform.Crash(member.name, "signal: killed")
+				c.platform.Crash(member.name, crashText)
 			} else {
 				member.unreachableUntilMS = c.nowMS + durationMS
 			}
 		}
 	})
-	c.scenario.faultsEndMS = max(c.scenario.faultsEndMS, c.nowMS+startMS+durationMS)
+	c.extendFaults(delayMS + durationMS)
+}
+
+// scheduleLeaderCrashes crashes the leader of the registry, at times all of its replicas.
+func (c *cluster) scheduleLeaderCrashes() {
+	c.scheduleFault(c.drawFaultTime(), "leader killed between entry and answer", func() { c.registry.dropNextResponse = true })
+	for range c.random.IntN(3) {
+		c.scheduleFault(c.drawFaultTime(), "leader killed", func() { c.registry.crashLeader(1000 + c.random.Int64N(6000)) })
+	}
+	if c.random.IntN(4) == 0 {
+		c.scheduleFault(c.drawFaultTime(), "all replicas killed and started", func() { c.registry.crashLeader(20_000 + c.random.Int64N(30_000)) })
+	}
+}
+
+// scheduleProcessFaults crashes and pauses lease holders at one of their effects.
+func (c *cluster) scheduleProcessFaults() {
+	for range 2 + c.random.IntN(5) {
+		target, skipEffects, afterEffect := c.drawProcess(), c.random.IntN(30), c.random.IntN(2) == 0
+		description := fmt.Sprintf("a holder of %s killed at its effect %d", target.leaseName, skipEffects)
+		c.scheduleFault(c.drawFaultTime(), description, func() {
+			c.leaderOf(target).scheduledFault = &processFault{skipEffects: skipEffects, afterEffect: afterEffect}
+		})
+	}
+	for range 1 + c.random.IntN(3) {
+		target, skipEffects, durationMS := c.drawProcess(), c.random.IntN(30), 4000+c.random.Int64N(56_000)
+		description := fmt.Sprintf("a holder of %s frozen for %d ms", target.leaseName, durationMS)
+		c.scheduleFault(c.drawFaultTime(), description, func() {
+			c.leaderOf(target).scheduledFault = &processFault{skipEffects: skipEffects, pauseMS: durationMS}
+		})
+	}
+}
+
+// leaderOf is the process that holds the lease of a process, or that process where none does.
+func (c *cluster) leaderOf(target *process) *process {
+	for _, candidate := range c.processes {
+		if candidate.leaseName == target.leaseName && candidate.holdsLease() && !candidate.down {
+			return candidate
+		}
+	}
+	return target
 }
 
-func (c *cluster) schedulePlatformFaults(drawTime func() int64) {
-	random := c.random
-	hang := core.Fault{Kind: core.FaultHang, DurationMS: 2000 + random.Int64N(30_000)}
-	c.scheduleFault(drawTime(), fmt.Sprintf("the platform hangs for %d ms", hang.DurationMS), c.platformFault(hang))
-	for range 1 + random.IntN(4) {
-		fault := core.Fault{Kind: []core.FaultKind{core.FaultPartial, core.FaultDropResponse, core.FaultDuplicate, core.FaultWrongUnit, core.FaultLoseState, core.FaultError}[random.IntN(6)], Count: 1 + random.IntN(3)}
+// scheduleMinorityPartition at times partitions a lease holder, with a replica that falls behind, and a tenth of the
+// sidecars.
+func (c *cluster) scheduleMinorityPartition() {
+	if c.random.IntN(2) != 0 {
+		return
+	}
+	target, durationMS := c.drawProcess(), 5000+c.random.Int64N(60_000)
+	description := fmt.Sprintf("a holder of %s and a tenth of the sidecars at a minority for %d ms", target.leaseName, durationMS)
+	c.scheduleFault(c.drawFaultTime(), description, func() {
+		leader := c.leaderOf(target)
+		leader.staleState, leader.partitionedUntilMS = c.registry.clone(), c.nowMS+durationMS
+		c.partitionAgents(len(c.sidecars)/10, durationMS)
+	})
+}
+
+// scheduleAgentPartition partitions some sidecars from their agents.
+func (c *cluster) scheduleAgentPartition() {
+	count, durationMS := 1+c.random.IntN(max(len(c.sidecars)/50, 1)), 5000+c.random.Int64N(100_000)
+	description := fmt.Sprintf("%d sidecars cut off from their agents for %d ms", count, durationMS)
+	c.scheduleFault(c.drawFaultTime(), description, func() { c.partitionAgents(count, durationMS) })
+}
+
+// partitionAgents partitions so many sidecars from their agents.
+func (c *cluster) partitionAgents(count int, durationMS int64) {
+	for range count {
+		target := c.sidecars[c.random.IntN(len(c.sidecars))]
+		target.sidecar.agentDownUntilMS, target.changing = c.nowMS+durationMS, true
+	}
+}
+
+// schedulePlatformFaults lets the platform hang, and fail in some other ways.
+func (c *cluster) schedulePlatformFaults() {
+	hang := core.Fault{Kind: core.FaultHang, DurationMS: 2000 + c.random.Int64N(30_000)}
+	c.schedulePlatformFault(fmt.Sprintf("the platform hangs for %d ms", hang.DurationMS), hang)
+	for range 1 + c.random.IntN(4) {
+		fault := core.Fault{Kind: platformFaultKinds[c.random.IntN(len(platformFaultKinds))], Count: 1 + c.random.IntN(3)}
 		switch fault.Kind {
 		case core.FaultLoseState:
-			fault.Count, fault.DurationMS = 0, 1000+random.Int64N(20_000)
+			fault.Count, fault.DurationMS = 0, 1000+c.random.Int64N(20_000)
 			c.checker.platformMisbehaved = true
 		case core.FaultDuplicate:
 			fault.On, fault.Count = core.OnDo, 1
@@ -146,68 +172,114 @@
 		case core.FaultPartial, core.FaultWrongUnit:
 			fault.On = core.OnDo
 		}
-		c.scheduleFault(drawTime(), "the platform: "+string(fault.Kind), c.platformFault(fault))
+		c.schedulePlatformFault("the platform: "+string(fault.Kind), fault)
+	}
+}
+
+func (c *cluster) schedulePlatformFault(description string, fault core.Fault) {
+	c.scheduleFault(c.drawFaultTime(), description, func() {
+		_ = c.platform.SetFault(fault) // rejected where the platform has as many faults as it accepts: one fewer is injected
+	})
+}
+
+// scheduleServerCrashes crashes single servers.
+func (c *cluster) scheduleServerCrashes() {
+	for range 3 + c.random.IntN(10) {
+		server := c.servers[c.random.IntN(len(c.servers))]
+		c.scheduleFault(c.drawFaultTime(), server.ID+" ends by itself", func() { c.platform.Crash(server.name, crashText) })
 	}
 }
 
-// scheduleClockFaults has some be wrong, by up to an hour; they are mended after a while.
-func (c *cluster) scheduleClockFaults(drawTime func() int64) {
-	random := c.random
-	const hour = 3600_000
-	drawOffset := func() int64 { return random.Int64N(2*hour) - hour }
+// scheduleClockFaults makes some clocks wrong by up to an hour, for a while: those of some sidecars, and at times that of
+// the registry's leader or of a maintenance controller.
+func (c *cluster) scheduleClockFaults() {
+	drawOffset := func() int64 { return c.random.Int64N(2*hourMS) - hourMS }
 	for range max(len(c.sidecars)/100, 1) {
-		sidecar := c.sidecars[random.IntN(len(c.sidecars))].sidecar // one that is wrong keeps off for no time, and no window is empty of it
-		earlier, offset := sidecar.offsetMS, drawOffset()
-		sidecar.offsetMS = offset
-		c.schedule(faultPeriodMS, func() { sidecar.offsetMS = earlier })
+		sidecar := c.sidecars[c.random.IntN(len(c.sidecars))].sidecar
+		accurateMS := sidecar.offsetMS
+		sidecar.offsetMS = drawOffset()
+		c.schedule(faultPeriodMS, func() { sidecar.offsetMS = accurateMS })
 	}
-	switch offset := drawOffset(); random.IntN(4) {
+	offsetMS := drawOffset()
+	switch c.random.IntN(4) {
 	case 0:
-		c.scheduleFault(drawTime(), fmt.Sprintf("the leader's clock off by %d ms", offset), func() {
-			earlier := c.registry.leaderClock
-			c.registry.leaderClock.offsetMS = offset
-			c.schedule(120_000, func() { c.registry.leaderClock = earlier })
-		})
-		c.scenario.faultsEndMS += 120_000
+		c.scheduleClockFault("the leader's clock", &c.registry.leaderClock, offsetMS)
+		c.scenario.faultsEndMS += clockFaultMS
 	case 1:
-		for _, process := range c.processes {
-			if sidecar, ok := process.controller.(*maintenanceController); ok {
-				c.scheduleFault(drawTime(), fmt.Sprintf("the clock of %s off by %d ms", process.name, offset), func() {
-					earlier := sidecar.clock
-					sidecar.clock.offsetMS = offset
-					c.schedule(120_000, func() { sidecar.clock = earlier })
-				})
-				break
-			}
-		}
-		c.scenario.faultsEndMS += 120_000
+		c.scheduleControllerClockFault(offsetMS)
+		c.scenario.faultsEndMS += clockFaultMS
 	}
 }
 
-// scheduleOperatorCommands do what crosses what is under way.
-func (c *cluster) scheduleOperatorCommands(drawTime func() int64) {
-	random := c.random
-	issue := func(name string, action release.Action) func() {
-		return func() {
-			if c.registry.hasLeader() {
-				c.registry.revision++
-				_ = c.registry.releases.Apply(c.registry.revision, &release.Operation{Name: name, Command: &release.Command{Action: action, Operator: "operator/eva"}})
-			}
+// scheduleControllerClockFault makes the clock of the first maintenance controller wrong.
+func (c *cluster) scheduleControllerClockFault(offsetMS int64) {
+	for _, process := range c.processes {
+		if maintainer, ok := process.controller.(*maintenanceController); ok {
+			c.scheduleClockFault("the clock of "+process.name, &maintainer.clock, offsetMS)
+			return
 		}
 	}
-	name := []string{serverReleaseName, sidecarReleaseName}[random.IntN(2)]
-	switch random.IntN(5) {
+}
+
+// scheduleClockFault makes a clock wrong for clockFaultMS.
+func (c *cluster) scheduleClockFault(name string, clock *wallClock, offsetMS int64) {
+	c.scheduleFault(c.drawFaultTime(), fmt.Sprintf("%s off by %d ms", name, offsetMS), func() {
+		accurate := *clock
+		clock.offsetMS = offsetMS
+		c.schedule(clockFaultMS, func() { *clock = accurate })
+	})
+}
+
+// scheduleOperatorCommands at times has an operator interfere: halt a release, roll it back or withdraw a contract.
+func (c *cluster) scheduleOperatorCommands() {
+	name := []string{serverReleaseName, sidecarReleaseName}[c.random.IntN(2)]
+	switch c.random.IntN(5) {
 	case 0:
-		c.scheduleFault(drawTime(), "release "+name+" halted", issue(name, release.CommandHalt))
+		c.scheduleReleaseCommand(name, "halted", release.CommandHalt)
 	case 1:
-		c.scheduleFault(drawTime(), "release "+name+" sent back", issue(name, release.CommandRollback))
+		c.scheduleReleaseCommand(name, "sent back", release.CommandRollback)
 	case 2:
-		tenant := tenants[random.IntN(len(tenants))].name
-		c.scheduleFault(drawTime(), "the contract of "+tenant+" withdrawn", func() {
-			if c.applyAsOperator(&maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: tenant}) == string(maintenance.OutcomeApplied) {
-				c.checker.setHours(tenant, c.checker.hours[tenant][0].opens, 0)
-				c.scenario.windowFits = false
-			}
-		})
+		c.scheduleWithdrawal(tenants[c.random.IntN(len(tenants))].name)
 	}
 }
+
+func (c *cluster) scheduleReleaseCommand(name, outcome string, action release.Action) {
+	c.scheduleFault(c.drawFaultTime(), "release "+name+" "+outcome, func() {
+		if !c.registry.hasLeader() {
+			return
+		}
+		// Rejected where the release has finished.
+		_ = c.registry.commitReleaseOp(&release.Operation{Name: name, Command: &release.Command{Action: action, Operator: "operator/eva"}})
+	})
+}
+
+func (c *cluster) scheduleWithdrawal(tenant string) {
+	c.scheduleFault(c.drawFaultTime(), "the contract of "+tenant+" withdrawn", func() {
+		if c.withdrawContract(tenant) == string(maintenance.OutcomeApplied) {
+			c.checker.setHours(tenant, c.checker.hours[tenant][0].opens, 0)
+			c.scenario.windowFits = false
+		}
+	})
+}
+
+// scheduleRestore at times restores the registry from a backup. After that the operator withdraws again first what was
+// withdrawn since the backup.
+func (c *cluster) scheduleRestore() {
+	if c.random.IntN(5) != 0 {
+		return
+	}
+	backupMS := c.drawFaultTime()
+	c.scheduleFault(backupMS, "backup", func() { c.registry.backup = c.registry.clone() })
+	c.scheduleFault(backupMS+5000+c.random.Int64N(60_000), "restore from it", func() {
+		c.checker.restoredMS = c.nowMS
+		c.registry.restoreBackup()
+		for _, tenant := range tenants {
+			if c.checker.hoursWithdrawn(tenant.name) && c.registry.windows.Contract(tenant.name) != nil {
+				c.withdrawContract(tenant.name)
+			}
+		}
+		for _, member := range c.units {
+			member.changing = true
+		}
+	})
+}
--- a/internal/lab/controlplane/hotkey_controller.go
+++ b/internal/lab/controlplane/hotkey_controller.go
@@ -8,23 +8,26 @@
 	"milldeck/internal/placement"
 )
 
-// What servers bear and how hot the hot key is: 300 servers' load, met by all sidecars.
+// Load model of the hot key.
 const (
-	serverCapacityMS    = 1000 // of work a second, each server
-	requestWorkMS       = 50   // a request
-	hotKeyShare         = 0.15 // of what all servers bear
-	warmupPeriodSeconds = 10   // s over which cold work is judged
+	serverCapacityMS = 1000 // work of a server in a second
+	requestWorkMS    = 50   // work of a request
+	hotKeyShare      = 0.15 // of the capacity of all servers
+	hotKeyPeriodMS   = 1000 // between two steps of a hot-key controller
 )
 
-// newHotKeyController is the decider of hot keys.
+// hotKeyController runs the planner of hot-key replicas.
 type hotKeyController struct {
 	process *process
 	token   uint64
 	planner *hotkey.Planner
 }
 
-func (c *cluster) newHotKeyController(replica int) *process {
-	return c.newProcess(fmt.Sprintf("spread-%d", replica), hotkey.LeaseName, func(p *process) controller { return &hotKeyController{process: p} })
+// addHotKeyController adds a candidate for the lease of the hot-key planner.
+func (c *cluster) addHotKeyController(replica int) {
+	c.addProcess(fmt.Sprintf("spread-%d", replica), hotkey.LeaseName, func(p *process) controller {
+		return &hotKeyController{process: p}
+	})
 }
 
 func (c *cluster) hotKeyConfig() hotkey.Config {
@@ -32,128 +35,140 @@
 }
 
 func (c *hotKeyController) becomeLeader(token uint64) {
-	planner, err := hotkey.NewPlanner(c.process.cluster.hotKeyConfig())
+	cluster := c.process.cluster
+	planner, err := hotkey.NewPlanner(cluster.hotKeyConfig())
 	if err != nil {
-		panic(err) // the default can be
+		panic(err) // the default configuration is valid
 	}
-	c.token, c.planner = token, planner
-	planner.SetExpectedSidecars(len(c.process.cluster.sidecars))
+	planner.SetExpectedSidecars(len(cluster.sidecars))
 	planner.SetServers(c.servers())
-	cluster := c.process.cluster
-	planner.Restore(float64(cluster.nowMS)/1000, cluster.registry.placements.CompleteUpdate(cluster.nowMS+cluster.registry.leaderClock.offsetMS).Directives)
+	placed := cluster.registry.placements.CompleteUpdate(cluster.registry.leaderTimeMS())
+	planner.Restore(c.nowSeconds(), placed.Directives)
+	c.token, c.planner = token, planner
 }
 
+func (c *hotKeyController) nowSeconds() float64 { return float64(c.process.cluster.nowMS) / 1000 }
+
+// servers are the registered servers as the planner sees them.
 func (c *hotKeyController) servers() []hotkey.Server {
 	cluster := c.process.cluster
-	excluded := map[string]bool{}
-	for _, window := range cluster.registry.windows.Windows() {
-		if window.ExcludedUntilMS != 0 {
-			for _, uid := range window.ServerUIDs {
-				excluded[uid] = true
-			}
-		}
-	}
+	excluded := cluster.excludedServers()
 	servers := make([]hotkey.Server, 0, len(cluster.servers))
 	for _, member := range cluster.servers {
-		ledgerUnit, _ := cluster.registry.ledger.Unit(member.ID)
-		if ledgerUnit.Condition == disruption.ConditionLost {
+		known, _ := cluster.registry.ledger.Unit(member.ID)
+		if known.Condition == disruption.ConditionLost {
 			continue
 		}
-		servers = append(servers, hotkey.Server{UID: member.name, Zone: member.Zone, Pod: member.PodGroup, Capacity: 1, BootMS: float64(member.bootMS), Excluded: excluded[member.name],
-			Ready: ledgerUnit.Condition == disruption.ConditionUp || ledgerUnit.Condition == disruption.ConditionWarmingUp, WarmingUp: ledgerUnit.Condition == disruption.ConditionWarmingUp})
+		warmingUp := known.Condition == disruption.ConditionWarmingUp
+		servers = append(servers, hotkey.Server{
+			UID:       member.name,
+			Zone:      member.Zone,
+			Pod:       member.PodGroup,
+			Capacity:  1,
+			BootMS:    float64(member.bootMS),
+			Excluded:  excluded[member.name],
+			Ready:     warmingUp || known.Condition == disruption.ConditionUp,
+			WarmingUp: warmingUp,
+		})
 	}
 	return servers
 }
 
-// reconcile decides once a second while there is a hot key or an entry is left of it.
+// excludedServers are the servers that tenants are excluded from by a maintenance window.
+func (c *cluster) excludedServers() map[string]bool {
+	excluded := map[string]bool{}
+	for _, window := range c.registry.windows.Windows() {
+		if window.ExcludedUntilMS == 0 {
+			continue
+		}
+		for _, uid := range window.ServerUIDs {
+			excluded[uid] = true
+		}
+	}
+	return excluded
+}
+
+// reconcile plans once a second while there may be replicas of the hot key.
 func (c *hotKeyController) reconcile() {
 	cluster := c.process.cluster
-	nowSeconds := float64(cluster.nowMS) / 1000
-	if cluster.nowMS%1000 != 0 || c.process.partitionedUntilMS > cluster.nowMS || !cluster.hotKeyPlaced() {
+	if cluster.nowMS%hotKeyPeriodMS != 0 || c.process.partitioned() || !cluster.hotKeyPlaced() {
 		return
 	}
 	c.planner.SetServers(c.servers())
+	c.addReports()
+	for _, change := range c.planner.Plan(c.nowSeconds()) {
+		if !c.process.execute(func() { c.applyChange(change) }) {
+			return
+		}
+	}
+}
+
+// addReports adds the load reports of the reachable sidecars: while the key is hot, it makes up half of their load.
+func (c *hotKeyController) addReports() {
+	cluster := c.process.cluster
 	hotKeyLoad := hotKeyShare * serverCapacityMS * float64(len(cluster.servers))
 	for _, member := range cluster.sidecars {
-		if !member.alive || member.sidecar.agentDownUntilMS > cluster.nowMS {
+		if !member.alive || !member.agentReachable(cluster.nowMS) {
 			continue
 		}
-		report := placement.LoadReport{Sidecar: member.name, PlacementRevision: member.sidecar.placementRevision, IntervalMS: 1000, TotalKeyLoad: 2 * hotKeyLoad / float64(len(cluster.sidecars))}
-		if cluster.hotKeyActive() {
-			report.HotKeys = []placement.KeyLoad{{KeyHash: hotkey.FormatKey(cluster.scenario.hotKeyHash), Load: hotKeyLoad / float64(len(cluster.sidecars))}}
+		report := placement.LoadReport{
+			Sidecar:           member.name,
+			PlacementRevision: member.sidecar.placementRevision,
+			IntervalMS:        hotKeyPeriodMS,
+			TotalKeyLoad:      2 * hotKeyLoad / float64(len(cluster.sidecars)),
 		}
-		c.planner.AddReport(nowSeconds, &report)
-	}
-	for _, change := range c.planner.Plan(nowSeconds) {
-		if !c.process.execute(func() { c.applyChange(change) }) {
-			return
+		if cluster.hotKeyActive() {
+			key := hotkey.FormatKey(cluster.scenario.hotKeyHash)
+			report.HotKeys = []placement.KeyLoad{{KeyHash: key, Load: hotKeyLoad / float64(len(cluster.sidecars))}}
 		}
+		c.planner.AddReport(c.nowSeconds(), &report)
 	}
 }
 
+// applyChange writes a change of the plan, and confirms it to the planner that wanted it.
 func (c *hotKeyController) applyChange(change hotkey.Change) {
-	cluster, planner := c.process.cluster, c.planner
-	op := &placement.Op{}
+	registry, planner := c.process.cluster.registry, c.planner
 	directiveID := change.RemoveID
 	if change.Set != nil {
 		directiveID = change.Set.ID
-		op.Set = []placement.Directive{*change.Set}
-	} else {
-		op.Delete = []string{change.RemoveID}
 	}
-	result, known := c.process.write(c.token, func() (string, string) {
-		op.LeaderTimeMS = cluster.nowMS + cluster.registry.leaderClock.offsetMS
-		existing := map[string]bool{}
-		if change.Set != nil {
-			for _, directive := range cluster.registry.placements.CompleteUpdate(op.LeaderTimeMS).Directives {
-				if directive.ID == directiveID {
-					for _, copy := range directive.Copies {
-						existing[copy.ServerUID] = true
-					}
-				}
-			}
-		}
-		result := cluster.registry.placements.Apply(cluster.registry.revision, hotkey.LeaseName, op)
-		if result.Outcome == placement.OutcomeApplied && change.Set != nil {
-			cluster.checker.observeCopies(change.Set, existing)
-		}
-		return string(result.Outcome), result.Reason
-	})
+	result, known := c.process.write(c.token, func() writeResult { return registry.applyHotKeyChange(change) })
 	if known && result.outcome == string(placement.OutcomeApplied) {
-		planner.Confirm(directiveID, cluster.registry.revision)
+		planner.Confirm(directiveID, registry.revision)
 	}
 }
 
-// hotKeyActive tells whether the key is hot now; heated, whether its spread may still stand.
-func (c *cluster) hotKeyActive() bool {
-	return c.scenario != nil && c.nowMS >= c.scenario.hotKeyFromMS && c.nowMS < c.scenario.hotKeyUntilMS
+// applyHotKeyChange applies a change of the hot-key placement within a write.
+func (r *registry) applyHotKeyChange(change hotkey.Change) writeResult {
+	op := &placement.Op{LeaderTimeMS: r.leaderTimeMS()}
+	if change.Set == nil {
+		op.Delete = []string{change.RemoveID}
+		return r.applyPlacementOp(op)
+	}
+	op.Set = []placement.Directive{*change.Set}
+	existing := r.copiesOf(change.Set.ID)
+	result := r.applyPlacementOp(op)
+	if result.outcome == string(placement.OutcomeApplied) {
+		r.cluster.checker.observeCopies(change.Set, existing)
+	}
+	return result
 }
 
-func (c *cluster) hotKeyPlaced() bool {
-	return c.scenario != nil && c.nowMS >= c.scenario.hotKeyFromMS-3000 && c.nowMS < c.scenario.hotKeyUntilMS+60_000
+func (r *registry) applyPlacementOp(op *placement.Op) writeResult {
+	result := r.placements.Apply(r.revision, hotkey.LeaseName, op)
+	return writeResult{string(result.Outcome), result.Reason}
 }
 
-// observeCopies: an entry is told, and its copies that were not there before are to be warmed.
-func (c *checker) observeCopies(directive *placement.Directive, existing map[string]bool) {
-	config := c.cluster.hotKeyConfig()
-	added := 0
-	for _, copy := range directive.Copies {
-		if !existing[copy.ServerUID] {
-			added++
+// copiesOf is the set of servers that have a copy by a directive.
+func (r *registry) copiesOf(directiveID string) map[string]bool {
+	existing := map[string]bool{}
+	for _, directive := range r.placements.CompleteUpdate(r.leaderTimeMS()).Directives {
+		if directive.ID != directiveID {
+			continue
+		}
+		for _, replica := range directive.Copies {
+			existing[replica.ServerUID] = true
 		}
 	}
-	second := c.cluster.nowMS / 1000
-	c.warmupWork[second] += float64(added) * config.WarmupWork
-	sum := 0.0
-	for past := second - warmupPeriodSeconds + 1; past <= second; past++ {
-		sum += c.warmupWork[past]
-	}
-	// A second of the budget may be saved up, and so may a second of the least.
-	rate := max(config.WarmupBudget*serverCapacityMS*float64(len(c.cluster.servers)), config.MinWarmupBudget)
-	if sum > rate*(warmupPeriodSeconds+1) {
-		c.report(ruleSpread, fmt.Sprintf("%.0f ms of cold work within %d s, %.0f allowed", sum, warmupPeriodSeconds, rate*(warmupPeriodSeconds+1)))
-	}
-	if copies := float64(len(directive.Copies)); copies > config.ReplicasPerServer*float64(len(c.cluster.servers)) {
-		c.report(ruleSpread, fmt.Sprintf("%.0f copies", copies))
-	}
+	return existing
 }
--- a/internal/lab/controlplane/maintenance_controller.go
+++ b/internal/lab/controlplane/maintenance_controller.go
@@ -2,16 +2,18 @@
 
 import (
 	"fmt"
-	"time"
 
 	"milldeck/internal/disruption"
 	"milldeck/internal/maintenance"
-	"milldeck/internal/maintenance/calendar"
-	"milldeck/internal/maintenance/contract"
-	"milldeck/internal/placement"
 )
 
-// newMaintenanceController is the controller of windows.
+// maintenancePeriodMS is the time between two steps of a maintenance controller.
+const maintenancePeriodMS = 1000
+
+// slowReturnMS is how much later servers return with Options.SlowReturn.
+const slowReturnMS = 1800_000
+
+// maintenanceController runs the reconciler of maintenance windows.
 type maintenanceController struct {
 	process    *process
 	clock      wallClock
@@ -19,8 +21,11 @@
 	token      uint64
 }
 
-func (c *cluster) newMaintenanceController(replica int, clock wallClock) *process {
-	return c.newProcess(fmt.Sprintf("window-%d", replica), maintenance.LeaseName, func(p *process) controller { return &maintenanceController{process: p, clock: clock} })
+// addMaintenanceController adds a candidate for the lease of maintenance windows.
+func (c *cluster) addMaintenanceController(replica int, clock wallClock) {
+	c.addProcess(fmt.Sprintf("window-%d", replica), maintenance.LeaseName, func(p *process) controller {
+		return &maintenanceController{process: p, clock: clock}
+	})
 }
 
 func (c *maintenanceController) becomeLeader(token uint64) {
@@ -28,28 +33,20 @@
 }
 
 func (c *maintenanceController) clockReading() maintenance.ClockReading {
-	return maintenance.ClockReading{MonotonicMS: c.process.cluster.nowMS, WallMS: c.process.cluster.nowMS + c.clock.offsetMS, UncertaintyMS: c.clock.uncertaintyMS}
+	nowMS := c.process.cluster.nowMS
+	return maintenance.ClockReading{MonotonicMS: nowMS, WallMS: nowMS + c.clock.offsetMS, UncertaintyMS: c.clock.uncertaintyMS}
 }
 
 func (c *maintenanceController) reconcile() {
-	cluster, state := c.process.cluster, c.process.readState()
-	if cluster.nowMS%1000 != 0 {
+	if c.process.cluster.nowMS%maintenancePeriodMS != 0 {
 		return
 	}
-	now := c.clockReading()
+	state, now := c.process.readState(), c.clockReading()
 	view := maintenance.ReadView(state.revision, state.windows, state.ledger)
-	for _, window := range state.windows.Windows() {
-		if window.Stage != maintenance.StageDraining {
-			continue
-		}
-		for _, name := range view.LiveSidecars {
-			if member := cluster.unitsByName[name]; member.alive && member.readyAtMS <= cluster.nowMS && member.sidecar.agentDownUntilMS <= cluster.nowMS {
-				c.reconciler.ObserveReport(now, cluster.loadReport(member))
-			}
-		}
-		break
+	if windowDraining(state.windows) {
+		c.observeReports(now, view.LiveSidecars)
 	}
-	effects, _ := c.reconciler.Reconcile(now, view)
+	effects, _ := c.reconciler.Reconcile(now, view) // its wish for the next call is ignored: it is called every period
 	for _, effect := range effects {
 		if !c.process.execute(func() { c.applyEffect(effect, now.Timestamp()) }) {
 			return
@@ -57,117 +54,122 @@
 	}
 }
 
-// loadReport is what a sidecar says of what it keeps off.
-func (c *cluster) loadReport(source *unit) placement.LoadReport {
-	report := placement.LoadReport{Sidecar: source.name, PlacementRevision: source.sidecar.placementRevision, ExcludedInFlight: map[string]int{}}
-	for id, active := range source.sidecar.exclusions {
-		if active.expiresMS > c.nowMS {
-			report.ExcludedInFlight[id] = 0
-			if active.drainedMS > c.nowMS {
-				report.ExcludedInFlight[id] = 1
-			}
+// windowDraining tells whether a window waits for its servers to be drained.
+func windowDraining(windows *maintenance.Table) bool {
+	for _, window := range windows.Windows() {
+		if window.Stage == maintenance.StageDraining {
+			return true
 		}
 	}
-	return report
+	return false
 }
 
-// applyEffect writes one effect.
-func (c *maintenanceController) applyEffect(effect maintenance.Effect, stamp maintenance.Timestamp) {
+// observeReports passes the load reports of the reachable sidecars to the reconciler.
+func (c *maintenanceController) observeReports(now maintenance.ClockReading, sidecars []string) {
 	cluster := c.process.cluster
-	reconciler := c.reconciler
-	result, known := c.process.write(c.token, func() (string, string) {
+	for _, name := range sidecars {
+		member := cluster.unitsByName[name]
+		if member.ready(cluster.nowMS) && member.agentReachable(cluster.nowMS) {
+			c.reconciler.ObserveReport(now, cluster.loadReport(member))
+		}
+	}
+}
+
+// applyEffect writes an effect, and passes the result to the reconciler that wanted it.
+func (c *maintenanceController) applyEffect(effect maintenance.Effect, stamp maintenance.Timestamp) {
+	cluster, reconciler := c.process.cluster, c.reconciler
+	result, known := c.process.write(c.token, func() writeResult {
 		switch action := effect.Action.(type) {
 		case *maintenance.Operation:
 			return cluster.registry.applyMaintenanceOp(action, stamp)
 		case *maintenance.LedgerAction:
 			return cluster.applyLedgerAction(action)
+		default:
+			panic(fmt.Sprintf("unknown action %T", action))
 		}
-		panic(fmt.Sprintf("unknown action %T", effect.Action))
 	})
-	if known {
-		reconciler.ObserveResult(c.clockReading(), effect, maintenance.EffectResult{Outcome: maintenance.Outcome(result.outcome), Reason: result.reason, Revision: cluster.registry.revision})
+	if !known {
+		return
 	}
+	reconciler.ObserveResult(c.clockReading(), effect, maintenance.EffectResult{
+		Outcome:  maintenance.Outcome(result.outcome),
+		Reason:   result.reason,
+		Revision: cluster.registry.revision,
+	})
 }
 
-// applyLedgerAction is an act on the ledger; its outcome is told in the words of windows.
-func (c *cluster) applyLedgerAction(action *maintenance.LedgerAction) (string, string) {
+// applyLedgerAction applies a ledger action of a window within a write. Its outcome is one of maintenance.Outcome.
+func (c *cluster) applyLedgerAction(action *maintenance.LedgerAction) writeResult {
+	applied := writeResult{outcome: string(maintenance.OutcomeApplied)}
 	op := action.Operation()
 	if action.Kind == disruption.OpObserve {
 		op.Permit = nil
-		for _, uid := range action.ServerUIDs {
-			if member := c.unitsByName[uid]; c.inService(member) {
-				op.Observed = append(op.Observed, disruption.Unit{ID: member.ID, Condition: disruption.ConditionUp})
-			}
-		}
+		op.Observed = c.observedUp(action.ServerUIDs)
 		if len(op.Observed) == 0 {
-			return string(maintenance.OutcomeApplied), ""
+			return applied
 		}
 	}
-	switch outcome, reason := c.registry.applyLedgerOp(op); {
-	case outcome == string(disruption.OutcomeApplied):
-		return string(maintenance.OutcomeApplied), ""
+	result := c.registry.applyLedgerOp(op)
+	switch {
+	case result.outcome == string(disruption.OutcomeApplied):
+		return applied
 	case action.Kind == disruption.OpRequest:
-		return string(maintenance.OutcomeInvalid), reason
+		return writeResult{string(maintenance.OutcomeInvalid), result.reason}
 	default:
-		return string(maintenance.OutcomeBlocked), reason
+		return writeResult{string(maintenance.OutcomeBlocked), result.reason}
 	}
 }
 
-// simulateWork is what the people and servers do that a window is for.
+// observedUp is an observation of the servers that are in service.
+func (c *cluster) observedUp(serverUIDs []string) []disruption.Unit {
+	var observed []disruption.Unit
+	for _, uid := range serverUIDs {
+		if server := c.unitsByName[uid]; c.inService(server) {
+			observed = append(observed, disruption.Unit{ID: server.ID, Condition: disruption.ConditionUp})
+		}
+	}
+	return observed
+}
+
+// simulateWork models the work that a window is for, after an operation on the window was applied: it begins when the
+// servers are drained, and ends some time after they may return.
 func (c *cluster) simulateWork(op *maintenance.Operation) {
 	window := c.registry.windows.Window(op.Window)
 	if window == nil || op.Kind == maintenance.OpExtendExclusion || op.Kind == maintenance.OpSchedule {
 		return
 	}
+	returning := window.Stage == maintenance.StageReturning || window.Stage == maintenance.StageOverrun
 	switch {
 	case op.Kind == maintenance.OpCompleteDrain:
-		for _, uid := range window.ServerUIDs {
-			member := c.unitsByName[uid]
-			c.checker.requirePermit(member, "worked on")
-			member.underMaintenance, member.changing = true, true
-		}
-	case window.OutOfService() && (window.Stage == maintenance.StageReturning || window.Stage == maintenance.StageOverrun):
-		durationMS := 3000 + c.random.Int64N(12_000)
-		if c.options.SlowReturn {
-			durationMS += 1800_000
-		}
-		for _, uid := range window.ServerUIDs {
-			member := c.unitsByName[uid]
-			if !member.underMaintenance {
-				continue
-			}
-			c.schedule(durationMS, func() {
-				member.underMaintenance, member.changing = false, true
-				if member.alive {
-					member.warmAtMS = max(member.warmAtMS, c.nowMS+warmupMS)
-				}
-			})
-		}
+		c.beginWork(window)
+	case window.OutOfService() && returning:
+		c.scheduleEndOfWork(window)
 	}
 }
 
-// applyAsOperator is an operator's write about windows.
-func (c *cluster) applyAsOperator(op *maintenance.Operation) string {
-	leaderMS := c.nowMS + c.registry.leaderClock.offsetMS
-	c.writeCount++
-	result, known := c.registry.write(fmt.Sprintf("operator/%d", c.writeCount), "", 0, func() (string, string) {
-		return c.registry.applyMaintenanceOp(op, maintenance.Timestamp{ControllerMS: leaderMS, UncertaintyMS: 250})
-	})
-	if !known {
-		return "unknown"
+func (c *cluster) beginWork(window *maintenance.Window) {
+	for _, uid := range window.ServerUIDs {
+		server := c.unitsByName[uid]
+		c.checker.requirePermit(server, "worked on")
+		server.underMaintenance, server.changing = true, true
 	}
-	return result.outcome
 }
 
-// setContract sets a contract of the same hours each day, by the tenant's own clock, and tells the judge.
-func (c *cluster) setContract(tenant, zone string, opens time.Time, length time.Duration) {
-	tenantContract := contract.Contract{Tenant: tenant, Notice: "0s", MinutesPerMonth: 10_000, MinAvailableShare: 0.5, MaxConcurrentWindows: 2, OverrunPolicy: contract.OverrunHaltsTenant,
-		Spec: calendar.Spec{Zone: zone, ApprovedHours: []calendar.Rule{{Recurrence: "FREQ=DAILY", Start: opens.Format("15:04"), Length: length.String(), FirstDay: "2020-01-01"}}}}
-	approval := maintenance.NewPlanner().Approval(&maintenance.ActiveContract{Contract: tenantContract}, c.nowMS, 0)
-	c.checker.setHours(tenant, opens, length)
-	if outcome := c.applyAsOperator(&maintenance.Operation{Kind: maintenance.OpSetContract, Contract: &tenantContract, CurrentApproval: approval}); outcome != string(maintenance.OutcomeApplied) {
-		c.checker.report(ruleHours, fmt.Sprintf("the contract of %s is %s", tenant, outcome))
+func (c *cluster) scheduleEndOfWork(window *maintenance.Window) {
+	delayMS := 3000 + c.random.Int64N(12_000)
+	if c.options.SlowReturn {
+		delayMS += slowReturnMS
+	}
+	for _, uid := range window.ServerUIDs {
+		server := c.unitsByName[uid]
+		if !server.underMaintenance {
+			continue
+		}
+		c.schedule(delayMS, func() {
+			server.underMaintenance, server.changing = false, true
+			if server.alive {
+				server.warmAtMS = max(server.warmAtMS, c.nowMS+warmupMS)
+			}
+		})
 	}
-	c.registry.revision++ // the command that sets a contract sets the budget that goes with it
-	c.registry.ledger.Apply(c.registry.revision, &disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/ops", Budget: maintenance.ContractBudget(&tenantContract)})
 }
--- a/internal/lab/controlplane/operator.go
+++ b/internal/lab/controlplane/operator.go
@@ -1,77 +1,178 @@
 package controlplane
 
 import (
+	"context"
+	"fmt"
+	"time"
+
 	"milldeck/internal/disruption"
 	"milldeck/internal/maintenance"
+	"milldeck/internal/maintenance/calendar"
+	"milldeck/internal/maintenance/contract"
 	"milldeck/internal/release"
+	"milldeck/internal/supervisor"
+)
+
+const (
+	resumeDelayMS  = 30_000 // from a restore to the resumption of the ledger
+	repairDelayMS  = 20_000 // a unit has to be out of service this long before the operator repairs it
+	maxResumptions = 20     // commands of a release before the operator rolls it back
+	outcomeUnknown = "unknown"
 )
 
-// runOperator does what people do who look every few seconds: resumes what is in doubt once the fleet is seen again, sends
-// back what harms, starts what has ended and nobody works on, and gives up permits of units that a release has lost.
+// runOperator plays a round of the operator: resume what was halted, roll back a release that does not progress, give up
+// the permits of units that a release has lost, propose a window again that a restore has lost, and repair units.
 func (c *cluster) runOperator() {
-	registry := c.registry
-	if !registry.hasLeader() {
+	if !c.registry.hasLeader() {
 		return
 	}
-	for _, status := range registry.ledger.Halts() {
-		if c.nowMS-c.checker.restoredMS > 30_000 {
-			registry.revision++
-			registry.ledger.Apply(registry.revision, &disruption.Op{Kind: disruption.OpResume, Owner: "operator/ops", Halt: &disruption.Halt{Scope: status.Scope, IssuedBy: status.IssuedBy}})
-		}
-	}
+	c.resumeLedger()
 	claimed := map[string]bool{}
-	for _, name := range registry.releases.Names() {
-		state, commands := registry.releases.Get(name)
-		status := state.Status
-		if status.Phase == release.PhaseHalted && status.HandledCommands == len(commands) {
-			action := release.CommandResume
-			if len(commands) > 20 && !state.DrainOnly { // it does not get on: people give up
-				action = release.CommandRollback
-			}
-			registry.revision++
-			registry.releases.Apply(registry.revision, &release.Operation{Name: name, Command: &release.Command{Action: action, Operator: "operator/ops"}})
+	for _, name := range c.registry.releases.Names() {
+		state, commands := c.registry.releases.Get(name)
+		c.resumeRelease(name, state, len(commands))
+		c.completeFailedPermits(state, claimed)
+	}
+	c.resumeWindows()
+	if c.scenario.proposed && len(c.registry.windows.Windows()) == 0 {
+		c.applyAsOperator(c.scenario.proposal)
+	}
+	c.repairUnits(claimed)
+}
+
+// resumeLedger resumes the ledger, once the fleet has registered again after a restore.
+func (c *cluster) resumeLedger() {
+	for _, halt := range c.registry.ledger.Halts() {
+		if c.nowMS-c.checker.restoredMS > resumeDelayMS {
+			resumed := &disruption.Halt{Scope: halt.Scope, IssuedBy: halt.IssuedBy}
+			c.registry.commitLedgerOp(&disruption.Op{Kind: disruption.OpResume, Owner: operatorName, Halt: resumed})
 		}
-		for i := range state.Units {
-			member := &state.Units[i]
-			claimed[member.ID] = !status.Phase.Finished() && member.Stage != release.StagePending && member.Stage != release.StageConverged
-			if status.Phase.Finished() && member.Stage == release.StageFailed {
-				registry.revision++
-				registry.ledger.Apply(registry.revision, &disruption.Op{Kind: disruption.OpForceComplete, Owner: "operator/ops", Permit: &disruption.Permit{ID: state.PermitID(member)}})
-			}
+	}
+}
+
+// resumeRelease resumes a halted release that has handled all commands, or rolls it back after too many.
+func (c *cluster) resumeRelease(name string, state *release.State, commandCount int) {
+	if state.Status.Phase != release.PhaseHalted || state.Status.HandledCommands != commandCount {
+		return
+	}
+	action := release.CommandResume
+	if commandCount > maxResumptions && !state.DrainOnly {
+		action = release.CommandRollback
+	}
+	// Rejected where the release does not accept the command now; the next round decides again.
+	_ = c.registry.commitReleaseOp(&release.Operation{Name: name, Command: &release.Command{Action: action, Operator: operatorName}})
+}
+
+// completeFailedPermits completes the permits of units that a finished release has lost. It adds to claimed which units
+// the release is working on.
+func (c *cluster) completeFailedPermits(state *release.State, claimed map[string]bool) {
+	finished := state.Status.Phase.Finished()
+	for index := range state.Units {
+		member := &state.Units[index]
+		claimed[member.ID] = !finished && member.Stage != release.StagePending && member.Stage != release.StageConverged
+		if finished && member.Stage == release.StageFailed {
+			permit := &disruption.Permit{ID: state.PermitID(member)}
+			c.registry.commitLedgerOp(&disruption.Op{Kind: disruption.OpForceComplete, Owner: operatorName, Permit: permit})
 		}
 	}
-	for _, scope := range sortedKeys(registry.windows.Halts()) {
+}
+
+// resumeWindows resumes the halted scopes and windows.
+func (c *cluster) resumeWindows() {
+	for _, scope := range sortedKeys(c.registry.windows.Halts()) {
 		c.applyAsOperator(&maintenance.Operation{Kind: maintenance.OpResume, Scope: scope})
 	}
-	for _, window := range registry.windows.Windows() {
+	for _, window := range c.registry.windows.Windows() {
 		if window.Stage == maintenance.StageHalted {
 			c.applyAsOperator(&maintenance.Operation{Kind: maintenance.OpResume, Scope: "window/" + window.Name})
 		}
 	}
-	if c.scenario.proposed && len(registry.windows.Windows()) == 0 { // a restore has lost it
-		c.applyAsOperator(c.scenario.proposal)
-	}
-	c.repairUnits(claimed)
 }
 
-// repairUnits starts what has ended by itself, and puts back into the list what drains for nobody.
-func (c *cluster) repairUnits(claimedUnits map[string]bool) {
+// repairUnits restarts units that have crashed, and ends the drain of units that have no permit for it. Units that a
+// release works on are left to it.
+func (c *cluster) repairUnits(claimed map[string]bool) {
 	list := c.platformList()
 	if list == nil || !list.Complete {
 		return
 	}
 	for _, member := range c.units {
-		if claimedUnits[member.ID] || member.decommissioned || member.observed.inService || c.nowMS-member.observed.outSinceMS < 20_000 {
+		recent := c.nowMS-member.observed.outSinceMS < repairDelayMS
+		if claimed[member.ID] || member.decommissioned || member.observed.inService || recent {
 			continue
 		}
-		reported := list.Find(member.name)
 		if !member.alive {
-			c.restartUnit(member, reported, list.Epoch)
+			c.restartUnit(member, list.Find(member.name), list.Epoch)
 		}
-		if _, permitted := c.registry.permitByUnit[member.ID]; !permitted && member.alive && c.registry.drainRevisions[member.ID] != 0 {
+		_, permitted := c.registry.permitByUnit[member.ID]
+		if !permitted && member.alive && c.registry.drainRevisions[member.ID] != 0 {
 			delete(c.registry.drainRevisions, member.ID)
 			c.registry.revision++
 			member.changing = true
 		}
 	}
 }
+
+// restartUnit restarts a unit without a process on its version. reported is the platform's entry of it; nil: it has none.
+// A unit that the platform reports as starting was started only in part, and is stopped first.
+func (c *cluster) restartUnit(target *unit, reported *supervisor.Unit, epoch uint64) {
+	switch {
+	case reported == nil:
+		c.callPlatform(startRequest(c.nextRequestID(), target, epoch, 0))
+	case reported.State == supervisor.Exited:
+		c.callPlatform(startRequest(c.nextRequestID(), target, epoch, reported.Incarnation))
+	case reported.State == supervisor.Starting:
+		c.callPlatform(supervisor.Request{ID: c.nextRequestID(), Op: supervisor.Stop, Epoch: epoch, Unit: target.name, Incarnation: reported.Incarnation})
+	}
+}
+
+// nextRequestID is the id of the operator's next request to the platform.
+func (c *cluster) nextRequestID() string {
+	c.requestCount++
+	return fmt.Sprintf("ops-%d", c.requestCount)
+}
+
+// callPlatform sends a request of the operator to the platform.
+func (c *cluster) callPlatform(request supervisor.Request) {
+	_, _ = c.platform.Do(context.Background(), request) // the operator's next round sees what came of it, and requests again
+}
+
+// applyAsOperator writes a maintenance operation without a fencing token. It returns the outcome, or outcomeUnknown.
+func (c *cluster) applyAsOperator(op *maintenance.Operation) string {
+	stamp := maintenance.Timestamp{ControllerMS: c.registry.leaderTimeMS(), UncertaintyMS: clockUncertaintyMS}
+	c.writeCount++
+	id := fmt.Sprintf("operator/%d", c.writeCount)
+	result, known := c.registry.write(id, "", 0, func() writeResult { return c.registry.applyMaintenanceOp(op, stamp) })
+	if !known {
+		return outcomeUnknown
+	}
+	return result.outcome
+}
+
+// withdrawContract withdraws a tenant's contract, and returns the outcome.
+func (c *cluster) withdrawContract(tenant string) string {
+	return c.applyAsOperator(&maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: tenant})
+}
+
+// setContract sets a contract with the same approved hours every day by the tenant's local time, and the disruption
+// budget that goes with it. The checker learns the hours, not the contract.
+func (c *cluster) setContract(tenant, timeZone string, opens time.Time, length time.Duration) {
+	daily := calendar.Rule{Recurrence: "FREQ=DAILY", Start: opens.Format("15:04"), Length: length.String(), FirstDay: "2020-01-01"}
+	tenantContract := contract.Contract{
+		Tenant:               tenant,
+		Notice:               "0s",
+		MinutesPerMonth:      10_000,
+		MinAvailableShare:    0.5,
+		MaxConcurrentWindows: 2,
+		OverrunPolicy:        contract.OverrunHaltsTenant,
+		Spec:                 calendar.Spec{Zone: timeZone, ApprovedHours: []calendar.Rule{daily}},
+	}
+	approval := maintenance.NewPlanner().Approval(&maintenance.ActiveContract{Contract: tenantContract}, c.nowMS, 0)
+	c.checker.setHours(tenant, opens, length)
+	outcome := c.applyAsOperator(&maintenance.Operation{Kind: maintenance.OpSetContract, Contract: &tenantContract, CurrentApproval: approval})
+	if outcome != string(maintenance.OutcomeApplied) {
+		c.checker.report(ruleHours, fmt.Sprintf("contract of %s: %s", tenant, outcome))
+	}
+	budget := maintenance.ContractBudget(&tenantContract)
+	c.registry.commitLedgerOp(&disruption.Op{Kind: disruption.OpSetBudget, Owner: operatorName, Budget: budget})
+}
--- a/internal/lab/controlplane/process.go
+++ b/internal/lab/controlplane/process.go
@@ -9,80 +9,89 @@
 	"milldeck/internal/leaderelection/leasetable"
 )
 
-func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
-
-// leaderLeaseMS is the lease of a duty, and shutdownMS before its end a holder stops by itself.
 const (
-	leaderLeaseMS     = 3000
-	leaseMarginMS     = 500
-	processRestartMS  = 6000 // from a controller's death to its next life
-	maxPendingEffects = 512
+	leaderLeaseMS     = 3000 // duration of a leader's lease
+	leaseMarginMS     = 500  // a leader stops by itself this long before its lease expires
+	processRestartMS  = 6000 // from the crash of a process to its restart, at least
+	maxPendingEffects = 512  // of a paused process
 )
 
-// controller is what a process does while it holds its duty. Take has it begin anew under a token.
+// controller is what a process runs while it is the leader.
 type controller interface {
+	// becomeLeader starts a term with a fencing token: what was known from earlier terms is forgotten.
 	becomeLeader(token uint64)
+	// reconcile takes one step towards the wanted state.
 	reconcile()
 }
 
-// newProcess is one process of the program that is a candidate for a duty. Its controller writes and calls through it, so
-// that it can be killed, frozen or cut off at any of these.
+// process is a process of the control plane that campaigns for a lease. Its controller writes and calls through it, so
+// that it can crash, pause or be partitioned before and after every effect.
 type process struct {
-	cluster            *cluster
-	name               string
-	leaseName          string
-	incarnation        int // life
-	controller         controller
-	token              uint64
-	leaseUntilMS       int64 // its own belief of the end of its lease
+	cluster      *cluster
+	name         string
+	leaseName    string
+	incarnation  int
+	controller   controller
+	token        uint64 // 0: not the leader
+	leaseUntilMS int64  // as the process believes
+	writeCount   int
+
 	down               bool
-	pausedUntilMS      int64 // until
-	partitionedUntilMS int64 // until: it meets a replica that is left behind
-	staleState         *registryState
-	plannedFault       *processFault
-	pendingEffects     []func() // what it had still to do when it was frozen
-	writeCount         int
+	pausedUntilMS      int64
+	partitionedUntilMS int64
+	staleState         *registryState // of the replica that a partitioned process reads
+	scheduledFault     *processFault
+	pendingEffects     []func() // begun before a pause
 }
 
-// processFault is what becomes of a process at its next steps.
+// processFault is a crash or a pause at a later effect of a process.
 type processFault struct {
-	effectsUntil int // effects from now
-	pauseMS      int64
-	afterEffect  bool // killed after the effect, before its answer
+	skipEffects int   // effects before it
+	pauseMS     int64 // 0: a crash
+	afterEffect bool  // the crash comes after the effect instead of before it
 }
 
-func (c *cluster) newProcess(name, leaseName string, newController func(p *process) controller) *process {
-	p := &process{cluster: c, name: name, leaseName: leaseName}
-	p.controller = newController(p)
-	c.processes = append(c.processes, p)
-	return p
+// sortedKeys returns the keys of a map in ascending order.
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
+
+// addProcess adds a process that runs the controller.
+func (c *cluster) addProcess(name, leaseName string, newController func(*process) controller) {
+	added := &process{cluster: c, name: name, leaseName: leaseName}
+	added.controller = newController(added)
+	c.processes = append(c.processes, added)
 }
 
-// holdsLease tells whether the process believes that it holds its duty.
+// candidateID identifies the present incarnation in the election.
+func (p *process) candidateID() string { return fmt.Sprintf("%s.%d", p.name, p.incarnation) }
+
+// holdsLease tells whether the process believes that it is the leader.
 func (p *process) holdsLease() bool { return p.token != 0 && p.cluster.nowMS < p.leaseUntilMS }
 
-// readState is the state that it reads; nil: nobody answers.
+// paused tells whether the process is paused.
+func (p *process) paused() bool { return p.pausedUntilMS > p.cluster.nowMS }
+
+// partitioned tells whether the process reaches only a minority of the registry.
+func (p *process) partitioned() bool { return p.partitionedUntilMS > p.cluster.nowMS }
+
+// readState is the state that the process reads: a stale one while it is partitioned, nil where nobody answers.
 func (p *process) readState() *registryState {
 	switch {
-	case p.partitionedUntilMS > p.cluster.nowMS:
+	case p.partitioned():
 		return p.staleState
 	case !p.cluster.registry.hasLeader():
 		return nil
+	default:
+		return p.cluster.registry.registryState
 	}
-	return p.cluster.registry.registryState
 }
 
-func (p *process) step() {
-	cluster := p.cluster
-	if p.down || p.pausedUntilMS > cluster.nowMS {
+// tick runs the process for one tick.
+func (p *process) tick() {
+	if p.down || p.paused() {
 		return
 	}
-	for len(p.pendingEffects) > 0 && !p.down { // it goes on where it was frozen, before it looks at any clock
-		effect := p.pendingEffects[0]
-		p.pendingEffects = p.pendingEffects[1:]
-		effect()
-	}
-	if p.partitionedUntilMS <= cluster.nowMS {
+	p.resume()
+	if !p.partitioned() {
 		p.staleState = nil
 	}
 	p.campaign()
@@ -91,32 +100,19 @@
 	}
 }
 
-// expireLeases is the leader's part: a holder that has not shown for the length of its lease loses the duty.
-func (r *registry) expireLeases() {
-	if !r.hasLeader() {
-		return
-	}
-	for _, name := range sortedKeys(r.renewedMS) {
-		lease, ok := r.leases.Get(name)
-		if !ok || lease.Holder == "" || r.cluster.nowMS-r.renewedMS[name] < leaderLeaseMS {
-			continue
-		}
-		r.revision++
-		// An expiry is never rejected.
-		_ = r.leases.Apply(r.revision, &leasetable.Operation{Kind: leasetable.Expire, Name: name, Candidate: lease.Holder, Token: lease.Token})
-		if r.cluster.options.Defects.CompletePermitsOnLeaseExpiry {
-			r.cluster.completePermitsOf(name)
-		}
-		r.renewedMS[name] = r.cluster.nowMS
+// resume executes the effects that a pause interrupted, before the process reads its clock again.
+func (p *process) resume() {
+	for len(p.pendingEffects) > 0 && !p.down {
+		effect := p.pendingEffects[0]
+		p.pendingEffects = p.pendingEffects[1:]
+		effect()
 	}
 }
 
-func (p *process) candidateID() string { return fmt.Sprintf("%s.%d", p.name, p.incarnation) }
-
-// campaign asks for the duty, and renews it.
+// campaign renews the lease, or queues for it.
 func (p *process) campaign() {
 	registry := p.cluster.registry
-	if p.partitionedUntilMS > p.cluster.nowMS || !registry.hasLeader() {
+	if p.partitioned() || !registry.hasLeader() {
 		return
 	}
 	lease, _ := registry.leases.Get(p.leaseName)
@@ -131,7 +127,7 @@
 	case !slices.Contains(lease.Queue, p.candidateID()):
 		p.token = 0
 		registry.revision++
-		// Rejected only where a limit is reached; it campaigns again at its next step.
+		// Rejected only where a limit is reached; it campaigns again at its next tick.
 		_ = registry.leases.Apply(registry.revision, &leasetable.Operation{Kind: leasetable.Campaign, Name: p.leaseName, Candidate: p.candidateID(), TTLMS: leaderLeaseMS})
 		registry.renewedMS[p.leaseName] = p.cluster.nowMS
 	default:
@@ -139,7 +135,7 @@
 	}
 }
 
-// crash ends the process; it is started again later, as another candidate.
+// crash ends the process. It restarts later as another candidate.
 func (p *process) crash() {
 	if p.down {
 		return
@@ -154,41 +150,58 @@
 	})
 }
 
-// execute does one effect, unless the process meets its doom there. It tells whether the process goes on.
+// execute executes an effect, unless a fault is scheduled there. It reports whether the process goes on; a paused one
+// does, and executes the effect when it resumes.
 func (p *process) execute(effect func()) bool {
 	if p.down {
 		return false
 	}
-	if p.pausedUntilMS > p.cluster.nowMS {
+	if p.paused() {
 		if len(p.pendingEffects) < maxPendingEffects {
 			p.pendingEffects = append(p.pendingEffects, effect)
 		}
 		return true
 	}
-	if fault := p.plannedFault; fault != nil {
-		if fault.effectsUntil--; fault.effectsUntil < 0 {
-			p.plannedFault = nil
-			switch {
-			case fault.pauseMS > 0:
-				p.pausedUntilMS = p.cluster.nowMS + fault.pauseMS
-				p.pendingEffects = append(p.pendingEffects, effect)
-				return true
-			case fault.afterEffect:
-				effect()
-			}
-			p.crash()
-			return false
-		}
+	if fault := p.takeDueFault(); fault != nil {
+		return p.fail(fault, effect)
 	}
 	effect()
 	return !p.down
 }
 
-// write has a record written under the duty's token. It is tried again by its id once, as a client does; an answer may be
-// missing all the same.
-func (p *process) write(token uint64, apply func() (string, string)) (result writeResult, known bool) {
-	if p.partitionedUntilMS > p.cluster.nowMS {
-		return writeResult{}, false // nobody there can write
+// takeDueFault counts an effect. It returns the scheduled fault if it is due now.
+func (p *process) takeDueFault() *processFault {
+	fault := p.scheduledFault
+	if fault == nil {
+		return nil
+	}
+	fault.skipEffects--
+	if fault.skipEffects >= 0 {
+		return nil
+	}
+	p.scheduledFault = nil
+	return fault
+}
+
+// fail pauses or crashes the process at an effect. It reports whether the process goes on.
+func (p *process) fail(fault *processFault, effect func()) bool {
+	if fault.pauseMS > 0 {
+		p.pausedUntilMS = p.cluster.nowMS + fault.pauseMS
+		p.pendingEffects = append(p.pendingEffects, effect)
+		return true
+	}
+	if fault.afterEffect {
+		effect()
+	}
+	p.crash()
+	return false
+}
+
+// write writes to the registry under a fencing token. As a client does, it retries once with the same id; still no answer
+// may come, and known is false.
+func (p *process) write(token uint64, apply func() writeResult) (result writeResult, known bool) {
+	if p.partitioned() {
+		return writeResult{}, false // a minority cannot write
 	}
 	p.writeCount++
 	p.cluster.writeCount++
--- a/internal/lab/controlplane/release_controller.go
+++ b/internal/lab/controlplane/release_controller.go
@@ -11,39 +11,56 @@
 	"milldeck/internal/supervisor"
 )
 
-// newReleaseController is the controller of a release or a drain.
+// Limits of a release controller.
+const (
+	// maxStepsPerTick bounds the steps of one tick. A controller takes the next step right after a write, which takes about
+	// 50 ms in a process.
+	maxStepsPerTick      = 4
+	analysisPeriodMS     = 1000 // between two samples
+	delayedWritePeriodMS = 3000 // of Defects.DelayReleaseWrites
+)
+
+// releaseController runs the reconciler of a release or a drain.
 type releaseController struct {
 	process       *process
 	name          string
 	token         uint64
-	state         *release.State
+	leaderSinceMS int64
+	state         *release.State // nil: to be read
 	outcomes      map[string]supervisor.Outcome
-	deniedPermits map[string]string
+	deniedPermits map[string]string // reasons, by permit
 	drainTracker  *release.DrainTracker
 	analysis      *release.WaveAnalysis
-	leaderSinceMS int64
-	sampledMS     int64
-	delayedDeltas []release.Delta // by a planted fault: not written yet
+	sampledMS     int64           // last sample of the analysis
+	delayedDeltas []release.Delta // of Defects.DelayReleaseWrites
 }
 
-func (c *cluster) newReleaseController(name string, replica int) *process {
-	return c.newProcess(fmt.Sprintf("%s-%d", name, replica), release.Owner(name), func(p *process) controller { return &releaseController{process: p, name: name} })
+// addReleaseController adds a candidate for the lease of a release or drain.
+func (c *cluster) addReleaseController(name string, replica int) {
+	c.addProcess(fmt.Sprintf("%s-%d", name, replica), release.Owner(name), func(p *process) controller {
+		return &releaseController{process: p, name: name}
+	})
 }
 
 func (c *releaseController) becomeLeader(token uint64) {
 	c.token, c.state = token, nil
+	c.leaderSinceMS = c.process.cluster.nowMS
 	c.outcomes, c.deniedPermits, c.delayedDeltas = map[string]supervisor.Outcome{}, map[string]string{}, nil
-	c.drainTracker, c.analysis, c.leaderSinceMS = release.NewDrainTracker(maxRequestMS), release.NewWaveAnalysis(8), c.process.cluster.nowMS
+	c.drainTracker = release.NewDrainTracker(maxRequestMS)
+	c.analysis = release.NewWaveAnalysis(8)
 }
 
-// loadState reads the release anew where it is not known, or was written by another.
+// monotonicMS is the controller's monotonic time. It is above 0, which release.DrainTracker takes for unset.
+func (c *releaseController) monotonicMS() int64 { return c.process.cluster.nowMS - c.leaderSinceMS + 1 }
+
+// loadState reads the release where it is not known, or was written by another. It reports whether there is one.
 func (c *releaseController) loadState(state *registryState) bool {
 	stored, _ := state.releases.Get(c.name)
 	if stored == nil {
 		c.state = nil
 		return false
 	}
-	if c.state == nil || len(c.delayedDeltas) == 0 && (c.state.Sequence != stored.Sequence || c.state.StartRevision != stored.StartRevision) {
+	if c.state == nil || c.outdated(stored) {
 		clone := *stored
 		clone.Units = slices.Clone(stored.Units)
 		c.state = &clone
@@ -51,22 +68,25 @@
 	return true
 }
 
-// maxStepsPerTick is how many steps a controller takes in a tick while each writes something: it goes on 50 ms after a write,
-// and a write takes about as long.
-const maxStepsPerTick = 4
+// outdated tells whether another controller has written the release. Deltas that are delayed make it differ, too.
+func (c *releaseController) outdated(stored *release.State) bool {
+	changed := c.state.Sequence != stored.Sequence || c.state.StartRevision != stored.StartRevision
+	return changed && len(c.delayedDeltas) == 0
+}
 
 func (c *releaseController) reconcile() {
-	if c.process.cluster.nowMS%c.process.cluster.reconcilePeriodMS != 0 {
+	cluster := c.process.cluster
+	if cluster.nowMS%cluster.reconcilePeriodMS != 0 {
 		return
 	}
 	for range maxStepsPerTick {
-		if c.process.down || c.process.pausedUntilMS > c.process.cluster.nowMS || !c.reconcileOnce() {
+		if c.process.down || c.process.paused() || !c.reconcileOnce() {
 			return
 		}
 	}
 }
 
-// reconcileOnce takes one step, and tells whether it was written.
+// reconcileOnce takes one step of the release, and reports whether another may follow at once: a delta was written.
 func (c *releaseController) reconcileOnce() bool {
 	cluster, state := c.process.cluster, c.process.readState()
 	if state == nil || !c.loadState(state) {
@@ -76,20 +96,7 @@
 	if c.state.Status.Phase.Finished() && c.state.Status.HandledCommands == len(commands) {
 		return false
 	}
-	platformList := cluster.platformList()
-	c.updateDrainTracker(state, platformList)
-	nowMS := cluster.nowMS
-	view := &release.View{
-		NowMS: nowMS, Token: c.token, Platform: platformList, Outcomes: c.outcomes, DeniedPermits: c.deniedPermits, Commands: commands,
-		Unit:            state.ledger.Unit,
-		Permit:          func(id string) (disruption.Permit, bool) { return c.permit(state, id) },
-		Prepared:        func(string) bool { return true },
-		Drained:         func(id string) bool { return c.drainTracker.Drained(cluster.nowMS-c.leaderSinceMS+1, id) },
-		Running:         func(string) (release.Image, bool) { return release.Image{}, false },
-		ConfigRejection: func(string, string) string { return "" },
-		Verdict:         c.verdict(platformList),
-	}
-	effects := c.state.Reconcile(view)
+	effects := c.state.Reconcile(c.view(state, commands))
 	if !c.callPlatform(effects) {
 		return false
 	}
@@ -103,76 +110,90 @@
 		}
 		_, wrote = effect.(release.WriteDelta)
 	}
-	if cluster.nowMS%3000 == 0 {
+	if cluster.nowMS%delayedWritePeriodMS == 0 {
 		c.writeDelayedDeltas()
 	}
 	return wrote
 }
 
+// view is what the reconciler sees in one step.
+func (c *releaseController) view(state *registryState, commands []release.Command) *release.View {
+	platformList := c.process.cluster.platformList()
+	c.updateDrainTracker(state)
+	return &release.View{
+		NowMS:           c.process.cluster.nowMS,
+		Token:           c.token,
+		Platform:        platformList,
+		Outcomes:        c.outcomes,
+		DeniedPermits:   c.deniedPermits,
+		Commands:        commands,
+		Unit:            state.ledger.Unit,
+		Permit:          func(id string) (disruption.Permit, bool) { return c.permit(state, id) },
+		Prepared:        func(string) bool { return true },
+		Drained:         func(id string) bool { return c.drainTracker.Drained(c.monotonicMS(), id) },
+		Running:         func(string) (release.Image, bool) { return release.Image{}, false },
+		ConfigRejection: func(string, string) string { return "" },
+		Verdict:         c.verdict(),
+	}
+}
+
+// permit looks up a permit in the state that was read, with those of Defects.StaleReads where that is the newest one.
 func (c *releaseController) permit(state *registryState, id string) (disruption.Permit, bool) {
-	if state == c.process.cluster.registry.registryState {
-		return c.process.cluster.registry.permit(id)
+	registry := c.process.cluster.registry
+	if state == registry.registryState {
+		return registry.permit(id)
 	}
 	return state.ledger.Permit(id)
 }
 
-// updateDrainTracker takes in which lists sidecars have.
-func (c *releaseController) updateDrainTracker(state *registryState, _ *supervisor.List) {
+// updateDrainTracker records which servers are draining and which endpoint list each sidecar has.
+func (c *releaseController) updateDrainTracker(state *registryState) {
 	if !c.state.DrainOnly && c.state.Plan.Kind() != disruption.KindServer {
 		return
 	}
-	var sidecars []string
-	endpointRevisions := make(map[string]uint64, len(c.process.cluster.sidecars))
-	var drains []string
+	draining := sortedKeys(state.drainRevisions)
 	drainRevision := uint64(0)
-	for _, id := range sortedKeys(state.drainRevisions) {
-		drains = append(drains, id)
-		drainRevision = max(drainRevision, state.drainRevisions[id])
+	for _, revision := range state.drainRevisions {
+		drainRevision = max(drainRevision, revision)
 	}
+	var sidecars []string
+	endpointRevisions := make(map[string]uint64, len(c.process.cluster.sidecars))
 	for _, member := range c.process.cluster.sidecars {
-		if ledgerUnit, ok := state.ledger.Unit(member.ID); ok && ledgerUnit.Condition != disruption.ConditionLost {
+		known, ok := state.ledger.Unit(member.ID)
+		if ok && known.Condition != disruption.ConditionLost {
 			sidecars = append(sidecars, member.name)
 			endpointRevisions[member.name] = member.sidecar.endpointRevision
 		}
 	}
-	c.drainTracker.Update(c.process.cluster.nowMS-c.leaderSinceMS+1, drains, drainRevision, sidecars, endpointRevisions)
+	c.drainTracker.Update(c.monotonicMS(), draining, drainRevision, sidecars, endpointRevisions)
 }
 
-// verdict is the watch's, of what requests met in the second before.
-func (c *releaseController) verdict(platformList *supervisor.List) judge.Verdict {
+// verdict is the verdict of the wave analysis on the new version, from samples of a second. It passes where requests are
+// not modelled.
+func (c *releaseController) verdict() judge.Verdict {
 	cluster := c.process.cluster
 	if cluster.traffic == nil || c.state.Plan.Change.ServerVersion == "" || c.state.DrainOnly {
 		return judge.Verdict{Outcome: judge.Pass}
 	}
-	if cluster.nowMS-c.sampledMS >= 1000 {
+	if cluster.nowMS-c.sampledMS >= analysisPeriodMS {
 		c.sampledMS = cluster.nowMS
 		c.analysis.Add(c.state, cluster.traffic.interval(c.state))
 	}
 	return c.analysis.Verdict(c.state)
 }
 
-// callPlatform asks the platform, all requests at once.
+// callPlatform sends the requests among the effects to the platform in one call. It reports whether the process goes on.
 func (c *releaseController) callPlatform(effects []release.Effect) bool {
-	cluster := c.process.cluster
-	var requests []supervisor.Request
-	for _, effect := range effects {
-		if platformCall, ok := effect.(release.CallPlatform); ok && len(requests) < supervisor.MaxRequests {
-			request := platformCall.Request
-			if request.Op == supervisor.Start && request.ConfigName != "" {
-				request.ConfigText = request.ConfigName
-			}
-			requests = append(requests, request)
-		}
-	}
+	requests := platformRequests(effects)
 	if len(requests) == 0 {
 		return true
 	}
-	outcomes := c.outcomes
+	cluster, outcomes := c.process.cluster, c.outcomes
 	return c.process.execute(func() {
 		cluster.checker.observeRequests(requests)
 		responses, err := cluster.platform.Do(context.Background(), requests...)
 		if err != nil {
-			return
+			return // no outcome is known; the reconciler requests again
 		}
 		for _, outcome := range responses {
 			outcomes[outcome.ID] = outcome
@@ -180,83 +201,91 @@
 	})
 }
 
-// applyEffect does one effect but a call.
+// platformRequests returns the requests among the effects, at most as many as one call may have.
+func platformRequests(effects []release.Effect) []supervisor.Request {
+	var requests []supervisor.Request
+	for _, effect := range effects {
+		call, ok := effect.(release.CallPlatform)
+		if !ok || len(requests) == supervisor.MaxRequests {
+			continue
+		}
+		request := call.Request
+		if request.Op == supervisor.Start && request.ConfigName != "" {
+			request.ConfigText = request.ConfigName
+		}
+		requests = append(requests, request)
+	}
+	return requests
+}
+
+// applyEffect executes an effect other than a call of the platform.
 func (c *releaseController) applyEffect(effect release.Effect) {
-	cluster, token := c.process.cluster, c.token
+	cluster := c.process.cluster
 	switch effect := effect.(type) {
 	case release.ApplyLedgerOp:
-		op := effect.Op
-		result, known := c.process.write(token, func() (string, string) { return cluster.registry.applyLedgerOp(&op) })
-		if known && op.Kind == disruption.OpRequest {
-			delete(c.deniedPermits, op.Permit.ID)
-			if result.outcome != string(disruption.OutcomeApplied) && result.outcome != outcomeStaleToken {
-				c.deniedPermits[op.Permit.ID] = result.reason
-			}
-		}
+		c.writeLedgerOp(&effect.Op)
 	case release.MarkTerminating:
-		c.process.write(token, func() (string, string) { return cluster.markTerminating(effect.Unit), "" })
+		c.process.write(c.token, func() writeResult { return cluster.markTerminating(effect.Unit) })
 	case release.MarkReady:
-		c.process.write(token, func() (string, string) {
-			delete(cluster.registry.drainRevisions, effect.Unit)
-			cluster.unitsByID[effect.Unit].changing = true
-			return outcomeDone, ""
-		})
+		c.process.write(c.token, func() writeResult { return cluster.markReady(effect.Unit) })
 	case release.WriteDelta:
-		if cluster.options.Defects.DelayReleaseWrites {
-			if c.state.Apply(effect.Delta) == nil {
-				c.delayedDeltas = append(c.delayedDeltas, effect.Delta)
-			}
-			return
+		switch {
+		case !cluster.options.Defects.DelayReleaseWrites:
+			c.writeDelta(effect.Delta)
+		case c.state.Apply(effect.Delta) == nil:
+			c.delayedDeltas = append(c.delayedDeltas, effect.Delta)
 		}
-		c.writeDelta(effect.Delta)
 	}
 }
 
-// writeDelta writes a step. Where it is not known whether it got there, the log is read again.
+// writeLedgerOp writes a ledger operation, and remembers why a permit was denied.
+func (c *releaseController) writeLedgerOp(op *disruption.Op) {
+	registry := c.process.cluster.registry
+	result, known := c.process.write(c.token, func() writeResult { return registry.applyLedgerOp(op) })
+	if !known || op.Kind != disruption.OpRequest {
+		return
+	}
+	delete(c.deniedPermits, op.Permit.ID)
+	if result.outcome != string(disruption.OutcomeApplied) && result.outcome != outcomeStaleToken {
+		c.deniedPermits[op.Permit.ID] = result.reason
+	}
+}
+
+// writeDelta writes a delta of the release. Where it may not have been applied, the release is read again.
 func (c *releaseController) writeDelta(delta release.Delta) {
-	cluster := c.process.cluster
-	result, known := c.process.write(c.token, func() (string, string) {
-		if err := cluster.registry.releases.Apply(cluster.registry.revision, &release.Operation{Name: c.name, Delta: &delta}); err != nil {
-			return "refused", err.Error()
-		}
-		return outcomeDone, ""
-	})
+	result, known := c.writeReleaseOp(&release.Operation{Name: c.name, Delta: &delta})
 	if !known || result.outcome != outcomeDone || c.state == nil || c.state.Apply(delta) != nil {
 		c.state = nil
 	}
 }
 
-// writeDelayedDeltas writes what a planted fault has put off.
+func (c *releaseController) writeReleaseOp(op *release.Operation) (result writeResult, known bool) {
+	registry := c.process.cluster.registry
+	return c.process.write(c.token, func() writeResult { return registry.applyReleaseOp(op) })
+}
+
+// writeDelayedDeltas writes the deltas that Defects.DelayReleaseWrites has delayed.
 func (c *releaseController) writeDelayedDeltas() {
-	cluster := c.process.cluster
 	for _, delta := range c.delayedDeltas {
-		c.process.write(c.token, func() (string, string) {
-			if err := cluster.registry.releases.Apply(cluster.registry.revision, &release.Operation{Name: c.name, Delta: &delta}); err != nil {
-				return "refused", err.Error()
-			}
-			return outcomeDone, ""
-		})
+		c.writeReleaseOp(&release.Operation{Name: c.name, Delta: &delta})
 	}
 	c.delayedDeltas = nil
 }
 
-// markTerminating sets a server to Terminating in the list.
-func (c *cluster) markTerminating(unitID string) string {
+// markTerminating sets a ready server to Terminating in the endpoint list.
+func (c *cluster) markTerminating(unitID string) writeResult {
 	target := c.unitsByID[unitID]
-	if c.registry.drainRevisions[unitID] == 0 && target.alive && target.readyAtMS <= c.nowMS {
+	if c.registry.drainRevisions[unitID] == 0 && target.ready(c.nowMS) {
 		c.checker.requirePermit(target, "set to Terminating")
 		c.registry.drainRevisions[unitID] = c.registry.revision
 		target.changing = true
 	}
-	return outcomeDone
+	return writeResult{outcome: outcomeDone}
 }
 
-// completePermitsOf is the planted fault of permits that end with their owner's lease.
-func (c *cluster) completePermitsOf(owner string) {
-	for _, permit := range c.registry.ledger.OpenPermits() {
-		if permit.Owner == owner && !permitFinished(permit.Stage) && permit.Stage != disruption.StageRequested {
-			c.registry.revision++
-			c.registry.ledger.Apply(c.registry.revision, &disruption.Op{Kind: disruption.OpForceComplete, Owner: "operator/ops", Permit: &disruption.Permit{ID: permit.ID}})
-		}
-	}
+// markReady ends the Terminating state of a server.
+func (c *cluster) markReady(unitID string) writeResult {
+	delete(c.registry.drainRevisions, unitID)
+	c.unitsByID[unitID].changing = true
+	return writeResult{outcome: outcomeDone}
 }
--- a/internal/lab/controlplane/sidecars.go
+++ b/internal/lab/controlplane/sidecars.go
@@ -1,56 +1,63 @@
 package controlplane
 
-import (
-	"milldeck/internal/placement"
+import "milldeck/internal/placement"
+
+const (
+	syncMS       = 3000 // in which all sidecars poll a new revision
+	syncPeriodMS = 5000 // between polls while nothing changes
 )
 
-// syncSidecars has sidecars take in what their agents have, and end what is over.
+// syncSidecars lets sidecars poll the registry, and ends the exclusions that have expired.
 func (c *cluster) syncSidecars() {
 	if revision := max(c.registry.placements.Revision(), c.registry.revision); revision != c.syncedRevision {
-		c.syncedRevision, c.syncUntilMS = revision, c.nowMS+3000
+		c.syncedRevision, c.syncUntilMS = revision, c.nowMS+syncMS
 	}
-	if c.nowMS > c.syncUntilMS && c.nowMS%5000 != 0 {
+	if c.nowMS > c.syncUntilMS && c.nowMS%syncPeriodMS != 0 {
 		return
 	}
-	leaderMS := c.nowMS + c.registry.leaderClock.offsetMS
+	leaderMS := c.registry.leaderTimeMS()
 	update := c.registry.placements.CompleteUpdate(leaderMS)
 	for _, member := range c.sidecars {
-		sidecar := member.sidecar
-		for _, directiveID := range sortedKeys(sidecar.exclusions) {
-			if active := sidecar.exclusions[directiveID]; active.expiresMS <= c.nowMS {
-				c.endExclusion(member, directiveID, active.expiresMS)
-			}
-		}
-		if !member.alive || member.readyAtMS > c.nowMS || sidecar.agentDownUntilMS > c.nowMS || c.nowMS%1000 < sidecar.pollDelayMS%1000-tickMS {
-			continue
+		c.endExpiredExclusions(member)
+		polls := c.nowMS%1000 >= member.sidecar.pollDelayMS%1000-tickMS
+		if member.ready(c.nowMS) && member.agentReachable(c.nowMS) && polls {
+			c.syncSidecar(member, &update, leaderMS)
 		}
-		sidecar.endpointRevision = c.registry.revision
-		if sidecar.placementRevision == update.Revision && sidecar.placementEpoch == update.Epoch {
+	}
+}
+
+// syncSidecar applies the newest placement to a sidecar: exclusions begin, are extended or end.
+func (c *cluster) syncSidecar(target *unit, update *placement.Update, leaderMS int64) {
+	sidecar := target.sidecar
+	sidecar.endpointRevision = c.registry.revision
+	if sidecar.placementRevision == update.Revision && sidecar.placementEpoch == update.Epoch {
+		return
+	}
+	previousRevision := sidecar.placementRevision
+	if sidecar.placementEpoch != update.Epoch {
+		previousRevision = 0
+	}
+	sidecar.placementRevision, sidecar.placementEpoch = update.Revision, update.Epoch
+	current := map[string]bool{}
+	for index := range update.Directives {
+		directive := &update.Directives[index]
+		if directive.Kind != placement.KindExclude {
 			continue
 		}
-		previousRevision := sidecar.placementRevision
-		if sidecar.placementEpoch != update.Epoch {
-			previousRevision = 0
-		}
-		sidecar.placementRevision, sidecar.placementEpoch = update.Revision, update.Epoch
-		directives := map[string]bool{}
-		for index := range update.Directives {
-			if directive := &update.Directives[index]; directive.Kind == placement.KindExclude {
-				directives[directive.ID] = true
-				if directive.Revision > previousRevision || sidecar.exclusions[directive.ID] == nil {
-					c.applyExclusion(member, directive, directive.ExpiresAtMS-leaderMS)
-				}
-			}
+		current[directive.ID] = true
+		if directive.Revision > previousRevision || sidecar.exclusions[directive.ID] == nil {
+			c.applyExclusion(target, directive, directive.ExpiresAtMS-leaderMS)
 		}
-		for _, directiveID := range sortedKeys(sidecar.exclusions) {
-			if !directives[directiveID] {
-				c.endExclusion(member, directiveID, c.nowMS)
-			}
+	}
+	for _, directiveID := range sortedKeys(sidecar.exclusions) {
+		if !current[directiveID] {
+			c.endExclusion(target, directiveID, c.nowMS)
 		}
 	}
 }
 
-// applyExclusion has a sidecar follow an entry: until its own clock says that it is over, or what was left of it has passed.
+// applyExclusion has a sidecar follow a directive until its own clock reaches the expiry, or what remained of the
+// directive by the leader's clock has passed.
 func (c *cluster) applyExclusion(target *unit, directive *placement.Directive, remainingMS int64) {
 	sidecar := target.sidecar
 	expiresMS := min(directive.ExpiresAtMS-sidecar.offsetMS, c.nowMS+remainingMS)
@@ -69,14 +76,38 @@
 	active.expiresMS = expiresMS
 }
 
+// endExclusion ends an exclusion at a time, or at its expiry if that came before.
 func (c *cluster) endExclusion(target *unit, directiveID string, endMS int64) {
 	ended := target.sidecar.exclusions[directiveID]
 	delete(target.sidecar.exclusions, directiveID)
 	c.checker.observeExclusion(target, ended.tenant, ended.startedMS, min(ended.expiresMS, endMS))
 }
 
+func (c *cluster) endExpiredExclusions(target *unit) {
+	for _, directiveID := range sortedKeys(target.sidecar.exclusions) {
+		if active := target.sidecar.exclusions[directiveID]; active.expiresMS <= c.nowMS {
+			c.endExclusion(target, directiveID, active.expiresMS)
+		}
+	}
+}
+
 func (c *cluster) endAllExclusions(target *unit) {
-	for _, id := range sortedKeys(target.sidecar.exclusions) {
-		c.endExclusion(target, id, c.nowMS)
+	for _, directiveID := range sortedKeys(target.sidecar.exclusions) {
+		c.endExclusion(target, directiveID, c.nowMS)
+	}
+}
+
+// loadReport is a sidecar's load report: the requests in flight to the servers that it excludes.
+func (c *cluster) loadReport(source *unit) placement.LoadReport {
+	report := placement.LoadReport{Sidecar: source.name, PlacementRevision: source.sidecar.placementRevision, ExcludedInFlight: map[string]int{}}
+	for directiveID, active := range source.sidecar.exclusions {
+		if active.expiresMS <= c.nowMS {
+			continue
+		}
+		report.ExcludedInFlight[directiveID] = 0
+		if active.drainedMS > c.nowMS {
+			report.ExcludedInFlight[directiveID] = 1
+		}
 	}
+	return report
 }
--- a/internal/lab/controlplane/traffic.go
+++ b/internal/lab/controlplane/traffic.go
@@ -8,7 +8,8 @@
 	"milldeck/internal/release/judge"
 )
 
-// traffic makes the counts that requests would have left, of a release of servers under way.
+// traffic models the load reports of sidecars during a release of servers: counts of requests by class, zone and
+// version, without the requests. Its random numbers are its own.
 type traffic struct {
 	cluster    *cluster
 	random     *rand.Rand
@@ -18,13 +19,13 @@
 // Regression is how a version is worse than the one before.
 type Regression struct {
 	Name          string
-	FailureRates  [2]float64 // added share of failures, of the common class and of the rarer one
-	SlowUnderLoad bool       // 0.18 of the answers lie beyond a bound, 0.36 on it, while the load is high
-	MemoryGrowth  float64    // share of memory a second
-	RestartRate   float64    // share of its units that restart in a second
+	FailureRates  [2]float64 // added share of failed requests, by class
+	SlowUnderLoad bool       // added share of slow answers while the load is high
+	MemoryGrowth  float64    // of a server, as a share of its memory a second
+	RestartRate   float64    // share of the servers that restart in a second
 }
 
-// Regressions are those that the figures are told of.
+// Regressions are those that rollouts are played with.
 var Regressions = []Regression{
 	{Name: "5% fail", FailureRates: [2]float64{0.05, 0.05}},
 	{Name: "one class fails", FailureRates: [2]float64{0, 0.1}},
@@ -33,78 +34,142 @@
 	{Name: "restarts", RestartRate: 0.05},
 }
 
-var requestRates = []float64{40, 10} // requests a second of the classes, each server
+// requestClasses are the classes of requests, with the requests a second of each server.
+var requestClasses = [2]struct {
+	name string
+	rate float64
+}{{"lookup", 40}, {"simulate", 10}}
 
-// interval is one second, as sidecars would have reported it.
-func (t *traffic) interval(state *release.State) judge.Interval {
-	interval := judge.Interval{ExpectedReports: len(t.cluster.sidecars), ReceivedReports: len(t.cluster.sidecars)}
-	nowSeconds := t.cluster.nowMS / 1000
-	load, failureRate0, slowRate0 := 1.0, 0.003, 0.18
-	if nowSeconds%50 >= 30 {
-		load, slowRate0 = 1.6, 0.25
+// Groups of servers that the analysis compares.
+const (
+	baseline = iota // on the initial version
+	canary          // on the new version
+)
+
+const (
+	memoryPerServer = 100.0
+	memoryDeviation = 0.02
+	slowRegression  = 0.18 // added share of slow answers
+	lateRate        = 0.01
+	mediumRate      = 0.25 // of the answers that are not slow
+)
+
+// conditions are what all servers experience in a second, whatever their version.
+type conditions struct {
+	load        float64 // factor on the request rate
+	failureRate float64
+	slowRate    float64
+}
+
+// conditionsAt are the conditions of a second: the load is high for 20 s of every 50, and 20 s of every 170 see many
+// failures.
+func conditionsAt(second int64) conditions {
+	now := conditions{load: 1, failureRate: 0.003, slowRate: 0.18}
+	if second%50 >= 30 {
+		now.load, now.slowRate = 1.6, 0.25
 	}
-	if nowSeconds%170 >= 150 { // an ordinary trouble, felt by all
-		failureRate0 = 0.1
+	if second%170 >= 150 {
+		now.failureRate = 0.1
+	}
+	return now
+}
+
+// zoneServers are the servers of a zone that are in service.
+type zoneServers struct {
+	stats       [2]judge.UnitStats // by group
+	canarySince float64            // seconds since the start of the canaries, summed
+}
+
+// interval is the load report of the last second, summed over all sidecars.
+func (t *traffic) interval(state *release.State) judge.Interval {
+	reports := len(t.cluster.sidecars)
+	interval := judge.Interval{ExpectedReports: reports, ReceivedReports: reports}
+	now := conditionsAt(t.cluster.nowMS / 1000)
+	servers := t.serversByZone(state)
+	for _, zone := range zones {
+		stats := t.zoneStats(servers[zone])
+		interval.Zones = append(interval.Zones, judge.ZoneSample{Zone: zone, Canary: stats[canary], Baseline: stats[baseline]})
+		for class := range requestClasses {
+			canaryCounts := t.counts(class, canary, stats[canary].Units, now)
+			baselineCounts := t.counts(class, baseline, stats[baseline].Units, now)
+			interval.Classes = append(interval.Classes, judge.ClassSample{Class: requestClasses[class].name, Zone: zone, Canary: canaryCounts, Baseline: baselineCounts})
+		}
 	}
-	samplesByZone := map[string]*[2]judge.UnitStats{}
-	ages := map[string]float64{}
+	return interval
+}
+
+// serversByZone counts the servers of a release that are in service.
+func (t *traffic) serversByZone(state *release.State) map[string]*zoneServers {
+	byZone := map[string]*zoneServers{}
 	for _, zone := range zones {
-		samplesByZone[zone] = &[2]judge.UnitStats{}
+		byZone[zone] = &zoneServers{}
 	}
 	for index := range state.Units {
 		member := t.cluster.unitsByID[state.Units[index].ID]
 		if !member.observed.inService {
 			continue
 		}
-		group := 0
-		if member.version != "1" {
-			group = 1
-			ages[member.Zone] += float64(t.cluster.nowMS-member.bootMS) / 1000
+		servers, group := byZone[member.Zone], baseline
+		if member.version != initialVersion {
+			group = canary
+			servers.canarySince += float64(t.cluster.nowMS-member.bootMS) / 1000
 		}
-		samplesByZone[member.Zone][group].Units++
+		servers.stats[group].Units++
 	}
-	for _, zone := range zones {
-		samples := samplesByZone[zone]
-		for group := range samples {
-			samples[group].MeanMemory = 100 * (1 + 0.02*t.random.NormFloat64())
-		}
-		samples[1].MeanMemory += 100 * t.regression.MemoryGrowth * ages[zone] / math.Max(float64(samples[1].Units), 1)
-		samples[1].Restarts = t.binomial(samples[1].Units, t.regression.RestartRate)
-		interval.Zones = append(interval.Zones, judge.ZoneSample{Zone: zone, Canary: samples[1], Baseline: samples[0]})
-		for classIndex, class := range []string{"lookup", "simulate"} {
-			counts := func(group int) judge.Counts {
-				failureRate, slowRate := failureRate0, slowRate0
-				if group == 1 {
-					failureRate += t.regression.FailureRates[classIndex]
-					if t.regression.SlowUnderLoad && load > 1 {
-						slowRate += 0.18
-					}
-				}
-				requests := t.binomial(int(2*float64(samples[group].Units)*load*requestRates[classIndex]), 0.5)
-				failed := t.binomial(requests, failureRate)
-				served := requests - failed
-				slowest := t.binomial(served, slowRate)
-				near := t.binomial(served-slowest, 0.25)
-				return judge.Counts{Served: served, Late: t.binomial(served, 0.01), Failed: failed,
-					LatencyHistogram: []uint32{uint32(served - slowest - near), uint32(near), uint32(slowest)}}
-			}
-			interval.Classes = append(interval.Classes, judge.ClassSample{Class: class, Zone: zone, Canary: counts(1), Baseline: counts(0)})
+	return byZone
+}
+
+// zoneStats adds memory and restarts to the counts of a zone's servers.
+func (t *traffic) zoneStats(servers *zoneServers) [2]judge.UnitStats {
+	stats := servers.stats
+	for group := range stats {
+		stats[group].MeanMemory = memoryPerServer * (1 + memoryDeviation*t.random.NormFloat64())
+	}
+	growth := memoryPerServer * t.regression.MemoryGrowth * servers.canarySince
+	stats[canary].MeanMemory += growth / math.Max(float64(stats[canary].Units), 1)
+	stats[canary].Restarts = t.binomial(stats[canary].Units, t.regression.RestartRate)
+	return stats
+}
+
+// counts draws the answers to the requests of a class by so many servers of a group. The histogram has three buckets:
+// fast, medium and slow.
+func (t *traffic) counts(class, group, servers int, now conditions) judge.Counts {
+	failureRate, slowRate := now.failureRate, now.slowRate
+	if group == canary {
+		failureRate += t.regression.FailureRates[class]
+		if t.regression.SlowUnderLoad && now.load > 1 {
+			slowRate += slowRegression
 		}
 	}
-	return interval
+	mean := float64(servers) * now.load * requestClasses[class].rate
+	requests := t.binomial(int(2*mean), 0.5)
+	failed := t.binomial(requests, failureRate)
+	served := requests - failed
+	slow := t.binomial(served, slowRate)
+	medium := t.binomial(served-slow, mediumRate)
+	late := t.binomial(served, lateRate)
+	return judge.Counts{
+		Served:           served,
+		Late:             late,
+		Failed:           failed,
+		LatencyHistogram: []uint32{uint32(served - slow - medium), uint32(medium), uint32(slow)},
+	}
 }
 
-// binomial is a binomial number: exact where few are expected, else by the normal law.
+// binomial draws the successes of so many trials: trial by trial where few are expected, else by the normal
+// approximation.
 func (t *traffic) binomial(trials int, probability float64) int {
 	mean := float64(trials) * probability
 	if trials < 60 || mean < 15 {
-		count := 0
+		successes := 0
 		for range trials {
 			if t.random.Float64() < probability {
-				count++
+				successes++
 			}
 		}
-		return count
+		return successes
 	}
-	return min(max(int(math.Round(mean+math.Sqrt(mean*(1-probability))*t.random.NormFloat64())), 0), trials)
+	deviation := math.Sqrt(mean * (1 - probability))
+	successes := int(math.Round(mean + deviation*t.random.NormFloat64()))
+	return min(max(successes, 0), trials)
 }
