--- a/internal/lab/controlplane/batch/batch.go
+++ b/internal/lab/controlplane/batch/batch.go
@@ -1,4 +1,5 @@
-// Package batch plays many nights at a time. Each is played by itself: the result is the same with any number of workers.
+// Package batch plays many simulations of the control plane in parallel and summarizes them. Each is played by itself:
+// the result is the same with any number of workers.
 package batch
 
 import (
@@ -9,19 +10,25 @@
 	"milldeck/internal/lab/controlplane"
 )
 
-// Result is what many nights gave.
+// Result holds the simulations and rollouts of a batch, in the order of their seeds, and their summary.
 type Result struct {
-	Name              string                       `json:"name"`
+	Name              string                       `json:"name"` // of the experiment
 	Summary           controlplane.Summary         `json:"figures"`
 	Simulations       []*controlplane.Result       `json:"nights"`
 	RegressedRollouts []controlplane.RolloutResult `json:"harmful,omitempty"`
 	HealthyRollouts   []controlplane.RolloutResult `json:"healthy,omitempty"`
 }
 
-// Run plays the nights of the seeds from first to last, and releases of harmful and of healthy versions on seeds from 0.
+// Run plays the simulations of the seeds from firstSeed to lastSeed, and so many rollouts each of a version with a
+// regression and of a healthy one, with seeds from 0. At most so many workers play at a time. The error is that of ctx:
+// a simulation that has begun is played to its end, no other begins.
 func Run(ctx context.Context, name string, firstSeed, lastSeed uint64, rollouts int, options controlplane.Options, workers int) (*Result, error) {
-	result := &Result{Name: name, Simulations: make([]*controlplane.Result, lastSeed-firstSeed+1),
-		RegressedRollouts: make([]controlplane.RolloutResult, rollouts), HealthyRollouts: make([]controlplane.RolloutResult, rollouts)}
+	result := &Result{
+		Name:              name,
+		Simulations:       make([]*controlplane.Result, lastSeed-firstSeed+1),
+		RegressedRollouts: make([]controlplane.RolloutResult, rollouts),
+		HealthyRollouts:   make([]controlplane.RolloutResult, rollouts),
+	}
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(workers, 1))
 	start := func(play func()) {
@@ -36,10 +43,10 @@
 		start(func() { result.Simulations[index] = controlplane.Run(firstSeed+uint64(index), options) })
 	}
 	for index := range rollouts {
-		start(func() {
-			result.RegressedRollouts[index] = controlplane.RunRollout(uint64(index), &controlplane.Regressions[index%len(controlplane.Regressions)])
-		})
-		start(func() { result.HealthyRollouts[index] = controlplane.RunRollout(uint64(index), nil) })
+		seed := uint64(index)
+		regression := &controlplane.Regressions[index%len(controlplane.Regressions)]
+		start(func() { result.RegressedRollouts[index] = controlplane.RunRollout(seed, regression) })
+		start(func() { result.HealthyRollouts[index] = controlplane.RunRollout(seed, nil) })
 	}
 	if err := group.Wait(); err != nil {
 		return nil, err
--- a/internal/lab/controlplane/simulation_test.go
+++ b/internal/lab/controlplane/simulation_test.go
@@ -7,9 +7,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var seedsFlag = flag.Uint64("seeds", 4, "seeded nights")
+var seedsFlag = flag.Uint64("seeds", 4, "number of seeds that are simulated")
 
-// smallFleet is a fleet that plays a night in a fraction of a second.
+// smallFleet is a fleet whose simulation takes a fraction of a second.
 var smallFleet = Options{Sidecars: 40, Servers: 160}
 
 func TestSimulationsViolateNoRule(t *testing.T) {
@@ -19,21 +19,32 @@
 			t.Errorf("seed %d at %.1f s: %s: %s", seed, violation.AtS, violation.Rule, violation.Detail)
 		}
 		if result.CompletedWindows < result.FeasibleWindows {
-			t.Errorf("seed %d: a window that could fit was not held: %v", seed, result.Windows)
+			t.Errorf("seed %d: a feasible window was not completed: %v", seed, result.Windows)
 		}
 		if result.Violations > 0 {
-			t.Logf("seed %d: %q", seed, result.Faults)
+			t.Logf("seed %d: faults %q", seed, result.Faults)
 		}
 	}
 }
 
-// Nights that once broke rules: a sidecar's permit that nothing settled (13, 32), a drained server that the platform
-// started again (409), a lost duty (112), a restore across a withdrawal (186), a unit given up as it came up (348).
 func TestSeedsThatOnceViolatedRules(t *testing.T) {
-	for _, seed := range []uint64{13, 32, 112, 186, 348, 409} {
-		if result := Run(seed, smallFleet); result.Violations > 0 {
-			t.Errorf("seed %d: %+v", seed, result.FirstViolations[0])
-		}
+	tests := []struct {
+		name string
+		seed uint64
+	}{
+		{"permit of a sidecar never completed", 13},
+		{"permit of a sidecar never completed, second seed", 32},
+		{"lost lease", 112},
+		{"restore across the withdrawal of a contract", 186},
+		{"unit given up as it became ready", 348},
+		{"drained server restarted by the platform", 409},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			if result := Run(test.seed, smallFleet); result.Violations > 0 {
+				t.Errorf("seed %d: %+v", test.seed, result.FirstViolations[0])
+			}
+		})
 	}
 }
 
@@ -43,20 +54,24 @@
 	}
 }
 
-// A harmful version is stopped early and goes back, a healthy one ends.
+// A version with a regression is stopped early and rolled back, a healthy one is completed.
 func TestRolloutsWithAndWithoutRegression(t *testing.T) {
 	for i := range Regressions {
-		result := RunRollout(uint64(i), &Regressions[i])
-		if result.Phase != "backed" || result.UpgradedShare >= 0.1 || result.Violations > 0 {
-			t.Errorf("%s: %+v", result.Regression, result)
-		}
-	}
-	if result := RunRollout(1, nil); result.Phase != "done" || result.Violations > 0 {
-		t.Errorf("a healthy version: %+v", result)
+		t.Run(Regressions[i].Name, func(t *testing.T) {
+			result := RunRollout(uint64(i), &Regressions[i])
+			if result.Phase != "backed" || result.UpgradedShare >= 0.1 || result.Violations > 0 {
+				t.Errorf("%+v, want phase backed, less than a tenth upgraded and no violation", result)
+			}
+		})
 	}
+	t.Run("healthy", func(t *testing.T) {
+		if result := RunRollout(1, nil); result.Phase != "done" || result.Violations > 0 {
+			t.Errorf("%+v, want phase done and no violation", result)
+		}
+	})
 }
 
-// What a minority or a backup has is equal to the state, and its own.
+// The state of a backup or a partitioned replica equals the state it was cloned from, and is independent of it.
 func TestClonedStateIsIndependent(t *testing.T) {
 	cluster := newCluster(5, Options{Sidecars: 16, Servers: 160, StartMS: 1_780_000_000_000})
 	clone := cluster.registry.clone()
@@ -67,6 +82,6 @@
 	cluster.registry.revision++
 	cluster.registry.ledger.Freeze(cluster.registry.revision, "test")
 	if clone.ledger.Revision() != before {
-		t.Error("a copy changes with what it is of")
+		t.Error("the clone changes with its source")
 	}
 }
