--- a/internal/lab/controlplane/budgets.go
+++ b/internal/lab/controlplane/budgets.go
@@ -4,9 +4,17 @@
 
 // budgets are the disruption budgets of the fleet: a twentieth of the servers and a sixteenth of the sidecars.
 func (o *Options) budgets() []disruption.Budget {
-	maxServers, maxSidecars := max(o.Servers/20, 4), max(o.Sidecars/16, 2)
 	return []disruption.Budget{
-		{Name: "servers", Selector: disruption.Selector{Kind: disruption.KindServer}, MaxUnavailable: disruption.Limit{Count: &maxServers}},
-		{Name: "sidecars", Selector: disruption.Selector{Kind: disruption.KindSidecar}, MaxUnavailable: disruption.Limit{Count: &maxSidecars}},
+		kindBudget("servers", disruption.KindServer, max(o.Servers/20, 4)),
+		kindBudget("sidecars", disruption.KindSidecar, max(o.Sidecars/16, 2)),
+	}
+}
+
+// kindBudget is a budget of all units of a kind.
+func kindBudget(name string, kind disruption.Kind, maxUnavailable int) disruption.Budget {
+	return disruption.Budget{
+		Name:           name,
+		Selector:       disruption.Selector{Kind: kind},
+		MaxUnavailable: disruption.Limit{Count: &maxUnavailable},
 	}
 }
--- a/internal/lab/controlplane/checker.go
+++ b/internal/lab/controlplane/checker.go
@@ -34,7 +34,7 @@
 	outSinceMS       int64 // when it left service last
 	inServiceSinceMS int64 // when it entered service last
 	granted          bool  // a permit to take it out of service is in effect
-	leftService      bool  // since that permit
+	outSinceGrant    bool  // since that permit
 	stopRequested    bool  // the platform was asked to stop its process
 	servedBeforeStop bool  // and that process had been in service for a while
 	version          string
@@ -116,7 +116,7 @@
 	inService := c.cluster.inService(target)
 	switch {
 	case inService && !observed.inService:
-		if observed.granted && observed.leftService {
+		if observed.granted && observed.outSinceGrant {
 			c.endGrant(target)
 		}
 		observed.inServiceSinceMS = c.cluster.nowMS
@@ -124,7 +124,7 @@
 		observed.outSinceMS = c.cluster.nowMS
 	}
 	if !inService && observed.granted {
-		observed.leftService = true
+		observed.outSinceGrant = true
 	}
 	observed.inService = inService
 
--- a/internal/lab/controlplane/checker_budget.go
+++ b/internal/lab/controlplane/checker_budget.go
@@ -61,7 +61,7 @@
 			if observed.inService && target.missingSinceMS == 0 {
 				takenOut[target] = permit.ID
 			}
-			observed.granted, observed.leftService = true, !observed.inService
+			observed.granted, observed.outSinceGrant = true, !observed.inService
 			c.grantedUnits[unitID] = target
 		}
 	}
@@ -102,7 +102,7 @@
 		return true
 	case target.decommissioned && !target.alive:
 		return false // drained for good
-	case observed.inService || !c.cluster.registry.hasLeader():
+	case observed.inService || !c.cluster.registry.available():
 		return false
 	default:
 		knownSinceMS := max(observed.outSinceMS, c.cluster.registry.leaderSinceMS)
--- a/internal/lab/controlplane/checker_end.go
+++ b/internal/lab/controlplane/checker_end.go
@@ -14,11 +14,11 @@
 
 // checkEnd checks ruleStranded at the end of a simulation, and ruleHours on the exclusions that are still followed.
 func (c *checker) checkEnd() {
-	wantedVersions, listed := c.checkReleases()
+	targetVersions, listed := c.checkReleases()
 	for _, member := range c.cluster.units {
 		c.observe(member)
 		if !listed[member.ID] {
-			c.checkUnit(member, wantedVersions[member.ID])
+			c.checkUnit(member, targetVersions[member.ID])
 		}
 	}
 	for _, window := range c.cluster.registry.windows.Windows() {
@@ -33,8 +33,8 @@
 
 // checkReleases checks that every release has finished. It returns the version that each of their units should have, and
 // the units that a release itself lists as stranded.
-func (c *checker) checkReleases() (wantedVersions map[string]string, listed map[string]bool) {
-	wantedVersions, listed = map[string]string{}, map[string]bool{}
+func (c *checker) checkReleases() (targetVersions map[string]string, listed map[string]bool) {
+	targetVersions, listed = map[string]string{}, map[string]bool{}
 	for _, name := range c.cluster.registry.releases.Names() {
 		state, _ := c.cluster.registry.releases.Get(name)
 		status := &state.Status
@@ -44,14 +44,14 @@
 		}
 		for index := range state.Units {
 			member := &state.Units[index]
-			wantedVersions[member.ID] = member.Previous.Version
+			targetVersions[member.ID] = member.Previous.Version
 			if status.Phase == release.PhaseCompleted {
-				wantedVersions[member.ID] = member.Target.Version
+				targetVersions[member.ID] = member.Target.Version
 			}
 			listed[member.ID] = listed[member.ID] || listsUnit(status.Stranded, member.ID)
 		}
 	}
-	return wantedVersions, listed
+	return targetVersions, listed
 }
 
 // listsUnit tells whether a line is about a unit: its id, then a space or a colon.
@@ -64,10 +64,10 @@
 	return false
 }
 
-// checkUnit checks that a unit is in service on the wanted version; empty: on the initial one.
-func (c *checker) checkUnit(target *unit, wantedVersion string) {
-	if wantedVersion == "" {
-		wantedVersion = initialVersion
+// checkUnit checks that a unit is in service on the target version; empty: on the initial one.
+func (c *checker) checkUnit(target *unit, targetVersion string) {
+	if targetVersion == "" {
+		targetVersion = initialVersion
 	}
 	switch inService := target.observed.inService; {
 	case target.decommissioned && inService:
@@ -78,8 +78,8 @@
 		terminating := c.cluster.registry.drainRevisions[target.ID] != 0
 		c.report(ruleStranded, fmt.Sprintf("%s is out of service since %.0f s: alive %v, Terminating %v, under maintenance %v",
 			target.ID, outSinceS, target.alive, terminating, target.underMaintenance))
-	case target.version != wantedVersion:
-		c.report(ruleStranded, fmt.Sprintf("%s is on version %s, should be on %s", target.ID, target.version, wantedVersion))
+	case target.version != targetVersion:
+		c.report(ruleStranded, fmt.Sprintf("%s is on version %s, should be on %s", target.ID, target.version, targetVersion))
 	}
 }
 
@@ -87,7 +87,8 @@
 func (c *checker) reportUnfinishedWindow(window *maintenance.Window) {
 	registry := c.cluster.registry
 	permit, _ := registry.permit(window.PermitID())
-	c.report(ruleStranded, fmt.Sprintf("window %s is in stage %s at the end: %s, permit %s", window.Name, window.Stage, window.Reason, permit.Stage))
+	c.report(ruleStranded, fmt.Sprintf("window %s is in stage %s at the end: %s, permit %s",
+		window.Name, window.Stage, window.Reason, permit.Stage))
 	for _, uid := range window.ServerUIDs {
 		known, _ := registry.ledger.Unit(disruption.UnitID(disruption.KindServer, uid))
 		inService := c.cluster.unitsByName[uid].observed.inService
@@ -106,8 +107,10 @@
 		}
 		known, _ := c.registry.ledger.Unit(member.ID)
 		permit, _ := c.registry.permit(state.PermitID(member))
-		blocked = append(blocked, fmt.Sprintf("%s %s, rollback %v, %s (ledger: %s, permit %s granted at revision %d, begun at %d, aborted %v)",
-			member.ID, member.Stage, member.Rollback, member.Reason, known.Condition, permit.Stage, permit.GrantRevision, permit.BeginRevision, permit.Aborted))
+		unitText := fmt.Sprintf("%s %s, rollback %v, %s", member.ID, member.Stage, member.Rollback, member.Reason)
+		permitText := fmt.Sprintf("permit %s granted at revision %d, begun at %d, aborted %v",
+			permit.Stage, permit.GrantRevision, permit.BeginRevision, permit.Aborted)
+		blocked = append(blocked, fmt.Sprintf("%s (ledger: %s, %s)", unitText, known.Condition, permitText))
 	}
 	return fmt.Sprintf("%s %v", strings.Join(blocked, "; "), c.registry.ledger.Halts())
 }
--- a/internal/lab/controlplane/cluster.go
+++ b/internal/lab/controlplane/cluster.go
@@ -145,11 +145,19 @@
 // addSidecars adds the sidecars, spread evenly over the zones.
 func (c *cluster) addSidecars() {
 	for index := range c.options.Sidecars {
-		sidecar := &unit{name: fmt.Sprintf("c%04d", index)}
-		sidecar.sidecar = &sidecarState{wallClock: c.accurateClock(), pollDelayMS: c.random.Int64N(900), exclusions: map[string]*exclusion{}}
-		sidecar.Unit = disruption.Unit{Kind: disruption.KindSidecar, Zone: zones[index*len(zones)/c.options.Sidecars], Capacity: 1}
-		c.sidecars = append(c.sidecars, sidecar)
-		c.addUnit(sidecar)
+		added := &unit{name: fmt.Sprintf("c%04d", index)}
+		added.sidecar = &sidecarState{
+			wallClock:   c.accurateClock(),
+			pollDelayMS: c.random.Int64N(900),
+			exclusions:  map[string]*exclusion{},
+		}
+		added.Unit = disruption.Unit{
+			Kind:     disruption.KindSidecar,
+			Zone:     zones[index*len(zones)/c.options.Sidecars],
+			Capacity: 1,
+		}
+		c.sidecars = append(c.sidecars, added)
+		c.addUnit(added)
 	}
 }
 
--- a/internal/lab/controlplane/defects.go
+++ b/internal/lab/controlplane/defects.go
@@ -85,7 +85,8 @@
 		if permit.Owner != owner || permitFinished(permit.Stage) || permit.Stage == disruption.StageRequested {
 			continue
 		}
-		r.commitLedgerOp(&disruption.Op{Kind: disruption.OpForceComplete, Owner: operatorName, Permit: &disruption.Permit{ID: permit.ID}})
+		completed := &disruption.Permit{ID: permit.ID}
+		r.commitLedgerOp(&disruption.Op{Kind: disruption.OpForceComplete, Owner: operatorName, Permit: completed})
 	}
 }
 
--- a/internal/lab/controlplane/defects_test.go
+++ b/internal/lab/controlplane/defects_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// requireViolation plays a few seeds until the checker finds a violation of one of the rules. Without the planted defect
+// requireViolation plays a few seeds until the checker finds a violation of one of the rules. Without the injected defect
 // the same seed must violate none.
 func requireViolation(t *testing.T, options Options, firstSeed uint64, rules ...string) {
 	t.Helper()
@@ -20,7 +20,7 @@
 		t.Logf("seed %d: %+v", seed, result.FirstViolations[0])
 		options.Defects = Defects{}
 		if sound := Run(seed, options); sound.Violations > 0 {
-			t.Errorf("seed %d without the planted defect: violations %+v, want none", seed, sound.FirstViolations)
+			t.Errorf("seed %d without the injected defect: violations %+v, want none", seed, sound.FirstViolations)
 		}
 		return
 	}
--- a/internal/lab/controlplane/faults.go
+++ b/internal/lab/controlplane/faults.go
@@ -94,7 +94,9 @@
 		c.scheduleFault(c.drawFaultTime(), "leader killed", func() { c.registry.crashLeader(1000 + c.random.Int64N(6000)) })
 	}
 	if c.random.IntN(4) == 0 {
-		c.scheduleFault(c.drawFaultTime(), "all replicas killed and started", func() { c.registry.crashLeader(20_000 + c.random.Int64N(30_000)) })
+		c.scheduleFault(c.drawFaultTime(), "all replicas killed and started", func() {
+			c.registry.crashLeader(20_000 + c.random.Int64N(30_000))
+		})
 	}
 }
 
@@ -158,8 +160,8 @@
 
 // schedulePlatformFaults lets the platform hang, and fail in some other ways.
 func (c *cluster) schedulePlatformFaults() {
-	hang := core.Fault{Kind: core.FaultHang, DurationMS: 2000 + c.random.Int64N(30_000)}
-	c.schedulePlatformFault(fmt.Sprintf("the platform hangs for %d ms", hang.DurationMS), hang)
+	unresponsive := core.Fault{Kind: core.FaultHang, DurationMS: 2000 + c.random.Int64N(30_000)}
+	c.schedulePlatformFault(fmt.Sprintf("the platform hangs for %d ms", unresponsive.DurationMS), unresponsive)
 	for range 1 + c.random.IntN(4) {
 		fault := core.Fault{Kind: platformFaultKinds[c.random.IntN(len(platformFaultKinds))], Count: 1 + c.random.IntN(3)}
 		switch fault.Kind {
@@ -245,11 +247,12 @@
 
 func (c *cluster) scheduleReleaseCommand(name, outcome string, action release.Action) {
 	c.scheduleFault(c.drawFaultTime(), "release "+name+" "+outcome, func() {
-		if !c.registry.hasLeader() {
+		if !c.registry.available() {
 			return
 		}
-		// Rejected where the release has finished.
-		_ = c.registry.commitReleaseOp(&release.Operation{Name: name, Command: &release.Command{Action: action, Operator: "operator/eva"}})
+		command := &release.Command{Action: action, Operator: "operator/eva"}
+		// Rejected where the release does not accept the command: then there is one fault fewer.
+		_ = c.registry.commitReleaseOp(&release.Operation{Name: name, Command: command})
 	})
 }
 
--- a/internal/lab/controlplane/hotkey_controller.go
+++ b/internal/lab/controlplane/hotkey_controller.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// applyChange writes a change of the plan, and confirms it to the planner that wanted it.
+// applyChange writes a change of the plan, and confirms it to the planner that planned it.
 func (c *hotKeyController) applyChange(change hotkey.Change) {
 	registry, planner := c.process.cluster.registry, c.planner
 	directiveID := change.RemoveID
--- a/internal/lab/controlplane/operator.go
+++ b/internal/lab/controlplane/operator.go
@@ -23,7 +23,7 @@
 // runOperator plays a round of the operator: resume what was halted, roll back a release that does not progress, give up
 // the permits of units that a release has lost, propose a window again that a restore has lost, and repair units.
 func (c *cluster) runOperator() {
-	if !c.registry.hasLeader() {
+	if !c.registry.available() {
 		return
 	}
 	c.resumeLedger()
@@ -122,7 +122,13 @@
 	case reported.State == supervisor.Exited:
 		c.callPlatform(startRequest(c.nextRequestID(), target, epoch, reported.Incarnation))
 	case reported.State == supervisor.Starting:
-		c.callPlatform(supervisor.Request{ID: c.nextRequestID(), Op: supervisor.Stop, Epoch: epoch, Unit: target.name, Incarnation: reported.Incarnation})
+		c.callPlatform(supervisor.Request{
+			ID:          c.nextRequestID(),
+			Op:          supervisor.Stop,
+			Epoch:       epoch,
+			Unit:        target.name,
+			Incarnation: reported.Incarnation,
+		})
 	}
 }
 
@@ -169,7 +175,11 @@
 	}
 	approval := maintenance.NewPlanner().Approval(&maintenance.ActiveContract{Contract: tenantContract}, c.nowMS, 0)
 	c.checker.setHours(tenant, opens, length)
-	outcome := c.applyAsOperator(&maintenance.Operation{Kind: maintenance.OpSetContract, Contract: &tenantContract, CurrentApproval: approval})
+	outcome := c.applyAsOperator(&maintenance.Operation{
+		Kind:            maintenance.OpSetContract,
+		Contract:        &tenantContract,
+		CurrentApproval: approval,
+	})
 	if outcome != string(maintenance.OutcomeApplied) {
 		c.checker.report(ruleHours, fmt.Sprintf("contract of %s: %s", tenant, outcome))
 	}
--- a/internal/lab/controlplane/options.go
+++ b/internal/lab/controlplane/options.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Options are the size of the fleet, the planted defects and the settings of single tests.
+// Options are the size of the fleet, the injected defects and the settings of single tests.
 type Options struct {
 	Sidecars, Servers int // 8 or more of each; experiments/fleet-night.toml has 1,000 and 2,000
 	Defects           Defects
@@ -18,7 +18,7 @@
 	HoursCloseIn            time.Duration // from the start to their close
 }
 
-// Defects are bugs planted into the simulated control plane. The checker has to find each of them.
+// Defects are bugs injected into the simulated control plane. The checker has to find each of them.
 type Defects struct {
 	StaleReads                   bool // permits are granted on the availability of a second ago
 	CompletePermitsOnLeaseExpiry bool // a permit is completed when the lease of its owner expires
--- a/internal/lab/controlplane/process.go
+++ b/internal/lab/controlplane/process.go
@@ -20,7 +20,7 @@
 type controller interface {
 	// becomeLeader starts a term with a fencing token: what was known from earlier terms is forgotten.
 	becomeLeader(token uint64)
-	// reconcile takes one step towards the wanted state.
+	// reconcile takes one step towards the desired state.
 	reconcile()
 }
 
@@ -78,7 +78,7 @@
 	switch {
 	case p.partitioned():
 		return p.staleState
-	case !p.cluster.registry.hasLeader():
+	case !p.cluster.registry.available():
 		return nil
 	default:
 		return p.cluster.registry.registryState
@@ -112,7 +112,7 @@
 // campaign renews the lease, or queues for it.
 func (p *process) campaign() {
 	registry := p.cluster.registry
-	if p.partitioned() || !registry.hasLeader() {
+	if p.partitioned() || !registry.available() {
 		return
 	}
 	lease, _ := registry.leases.Get(p.leaseName)
@@ -128,7 +128,12 @@
 		p.token = 0
 		registry.revision++
 		// Rejected only where a limit is reached; it campaigns again at its next tick.
-		_ = registry.leases.Apply(registry.revision, &leasetable.Operation{Kind: leasetable.Campaign, Name: p.leaseName, Candidate: p.candidateID(), TTLMS: leaderLeaseMS})
+		_ = registry.leases.Apply(registry.revision, &leasetable.Operation{
+			Kind:      leasetable.Campaign,
+			Name:      p.leaseName,
+			Candidate: p.candidateID(),
+			TTLMS:     leaderLeaseMS,
+		})
 		registry.renewedMS[p.leaseName] = p.cluster.nowMS
 	default:
 		p.token = 0
@@ -143,9 +148,7 @@
 	p.down, p.pendingEffects, p.token = true, nil, 0
 	candidateID := p.candidateID()
 	p.cluster.schedule(processRestartMS+p.cluster.random.Int64N(4000), func() {
-		registry := p.cluster.registry
-		// Its place in the queue, if it has one; an expiry is never rejected.
-		_ = registry.leases.Apply(registry.revision, &leasetable.Operation{Kind: leasetable.Expire, Name: p.leaseName, Candidate: candidateID})
+		p.cluster.registry.expireCandidate(p.leaseName, candidateID, 0) // its place in the queue, if it has one
 		p.down, p.incarnation = false, p.incarnation+1
 	})
 }
@@ -162,15 +165,15 @@
 		}
 		return true
 	}
-	if fault := p.takeDueFault(); fault != nil {
+	if fault := p.popDueFault(); fault != nil {
 		return p.fail(fault, effect)
 	}
 	effect()
 	return !p.down
 }
 
-// takeDueFault counts an effect. It returns the scheduled fault if it is due now.
-func (p *process) takeDueFault() *processFault {
+// popDueFault counts an effect. It returns the scheduled fault if it is due now.
+func (p *process) popDueFault() *processFault {
 	fault := p.scheduledFault
 	if fault == nil {
 		return nil
--- a/internal/lab/controlplane/registration.go
+++ b/internal/lab/controlplane/registration.go
@@ -10,7 +10,7 @@
 
 // updateRegistration updates what the registry knows of a unit. missingCount units of its kind send no heartbeats.
 func (c *cluster) updateRegistration(target *unit, missingCount int) {
-	if !c.registry.hasLeader() {
+	if !c.registry.available() {
 		return
 	}
 	if target.alive && target.unreachableUntilMS <= c.nowMS && target.agentReachable(c.nowMS) {
--- a/internal/lab/controlplane/registry.go
+++ b/internal/lab/controlplane/registry.go
@@ -26,7 +26,7 @@
 	// Index of the permits that are granted and not finished, as of indexedRevision.
 	indexedRevision uint64
 	permitByUnit    map[string]disruption.Permit
-	seenGrants      map[string]uint64   // by permit: the revision of its grant
+	knownGrants     map[string]uint64   // by permit: the revision of its grant
 	newGrants       []disruption.Permit // granted since the checker took them last
 
 	forgedPermits map[string]*disruption.Permit // of Defects.StaleReads
@@ -38,13 +38,13 @@
 		cluster:       cluster,
 		renewedMS:     map[string]int64{},
 		permitByUnit:  map[string]disruption.Permit{},
-		seenGrants:    map[string]uint64{},
+		knownGrants:   map[string]uint64{},
 		forgedPermits: map[string]*disruption.Permit{},
 	}
 }
 
-// hasLeader tells whether the registry reads and writes.
-func (r *registry) hasLeader() bool { return r.cluster.nowMS >= r.leaderlessUntilMS }
+// available tells whether the registry reads and writes.
+func (r *registry) available() bool { return r.cluster.nowMS >= r.leaderlessUntilMS }
 
 // leaderTimeMS is the wall clock of the leader, in Unix ms.
 func (r *registry) leaderTimeMS() int64 { return r.cluster.nowMS + r.leaderClock.offsetMS }
@@ -61,7 +61,7 @@
 // write applies a write at most once for an id, under the fencing token of a lease; without a lease name under none.
 // known is false where no answer came: the write may have been applied or not.
 func (r *registry) write(id, leaseName string, token uint64, apply func() writeResult) (result writeResult, known bool) {
-	if !r.hasLeader() {
+	if !r.available() {
 		return writeResult{}, false
 	}
 	if earlier, ok := r.writeResults[id]; ok {
@@ -159,7 +159,7 @@
 
 // expireLeases expires the leases that were not renewed for their duration.
 func (r *registry) expireLeases() {
-	if !r.hasLeader() {
+	if !r.available() {
 		return
 	}
 	for _, name := range sortedKeys(r.renewedMS) {
@@ -168,8 +168,7 @@
 			continue
 		}
 		r.revision++
-		// An expiry is never rejected.
-		_ = r.leases.Apply(r.revision, &leasetable.Operation{Kind: leasetable.Expire, Name: name, Candidate: lease.Holder, Token: lease.Token})
+		r.expireCandidate(name, lease.Holder, lease.Token)
 		if r.cluster.options.Defects.CompletePermitsOnLeaseExpiry {
 			r.completePermitsOf(name)
 		}
@@ -177,6 +176,17 @@
 	}
 }
 
+// expireCandidate removes a candidate from a lease: the holder under its token, or one in the queue.
+func (r *registry) expireCandidate(leaseName, candidateID string, token uint64) {
+	// An expiry is never rejected.
+	_ = r.leases.Apply(r.revision, &leasetable.Operation{
+		Kind:      leasetable.Expire,
+		Name:      leaseName,
+		Candidate: candidateID,
+		Token:     token,
+	})
+}
+
 // restoreBackup restores the backup in an epoch of its own. Leases and the results of writes are retained; the ledger is
 // halted until an operator resumes it.
 func (r *registry) restoreBackup() {
@@ -188,7 +198,7 @@
 	r.placements.StartEpoch(r.revision, r.epoch)
 	r.ledger.HaltForUncertainty(r.revision, "the list was restored from a backup")
 
-	r.seenGrants, r.permitByUnit, r.indexedRevision = map[string]uint64{}, map[string]disruption.Permit{}, 0
+	r.knownGrants, r.permitByUnit, r.indexedRevision = map[string]uint64{}, map[string]disruption.Permit{}, 0
 	r.indexPermits()
 	r.newGrants = nil // grants of the backup are not new
 }
@@ -230,8 +240,8 @@
 			r.permitByUnit[unitID] = permit
 		}
 	}
-	if r.seenGrants[permit.ID] != permit.GrantRevision {
-		r.seenGrants[permit.ID] = permit.GrantRevision
+	if r.knownGrants[permit.ID] != permit.GrantRevision {
+		r.knownGrants[permit.ID] = permit.GrantRevision
 		r.newGrants = append(r.newGrants, permit)
 	}
 }
--- a/internal/lab/controlplane/release_controller.go
+++ b/internal/lab/controlplane/release_controller.go
@@ -47,7 +47,7 @@
 	c.leaderSinceMS = c.process.cluster.nowMS
 	c.outcomes, c.deniedPermits, c.delayedDeltas = map[string]supervisor.Outcome{}, map[string]string{}, nil
 	c.drainTracker = release.NewDrainTracker(maxRequestMS)
-	c.analysis = release.NewWaveAnalysis(8)
+	c.analysis = release.NewWaveAnalysis(len(requestClasses) * len(zones))
 }
 
 // monotonicMS is the controller's monotonic time. It is above 0, which release.DrainTracker takes for unset.
--- a/internal/lab/controlplane/result.go
+++ b/internal/lab/controlplane/result.go
@@ -71,9 +71,9 @@
 	ExcludedSeconds             float64 `json:"kept_off_s"`
 	FeasibleWindows             int     `json:"windows_that_fit"`
 	CompletedWindowShare        float64 `json:"windows_held"`          // of the feasible ones
-	StoppedEarlyShare           float64 `json:"harmful_stopped_early"` // of the regressed rollouts: rolled back with less than a tenth of the fleet upgraded
+	StoppedEarlyShare           float64 `json:"harmful_stopped_early"` // of the regressed rollouts: rolled back below earlyStopShare
 	FalseHaltShare              float64 `json:"false_halts"`           // of the healthy rollouts: not completed
-	MaxRollbackRatio            float64 `json:"way_back"`              // duration of the rollback against that of the rollout before it
+	MaxRollbackRatio            float64 `json:"way_back"`              // see RolloutResult.RollbackRatio
 	MedianRollbackRatio         float64 `json:"way_back_median"`
 	RolloutViolations           int     `json:"releases_broken_rules"`
 	RegressedRollouts           int     `json:"harmful_releases"`
--- a/internal/lab/controlplane/sidecars.go
+++ b/internal/lab/controlplane/sidecars.go
@@ -99,7 +99,11 @@
 
 // loadReport is a sidecar's load report: the requests in flight to the servers that it excludes.
 func (c *cluster) loadReport(source *unit) placement.LoadReport {
-	report := placement.LoadReport{Sidecar: source.name, PlacementRevision: source.sidecar.placementRevision, ExcludedInFlight: map[string]int{}}
+	report := placement.LoadReport{
+		Sidecar:           source.name,
+		PlacementRevision: source.sidecar.placementRevision,
+		ExcludedInFlight:  map[string]int{},
+	}
 	for directiveID, active := range source.sidecar.exclusions {
 		if active.expiresMS <= c.nowMS {
 			continue
--- a/internal/lab/controlplane/simulation.go
+++ b/internal/lab/controlplane/simulation.go
@@ -72,7 +72,7 @@
 
 // settled tells whether every operation has ended, every unit is in service and no fault is left.
 func (c *cluster) settled() bool {
-	if c.nowMS < c.scenario.faultsEndMS+settleMS || !c.registry.hasLeader() || c.hotKeyPlaced() {
+	if c.nowMS < c.scenario.faultsEndMS+settleMS || !c.registry.available() || c.hotKeyPlaced() {
 		return false
 	}
 	return c.releasesSettled() && c.windowsSettled() && c.unitsSettled()
--- a/internal/lab/controlplane/traffic.go
+++ b/internal/lab/controlplane/traffic.go
@@ -92,7 +92,12 @@
 		for class := range requestClasses {
 			canaryCounts := t.counts(class, canary, stats[canary].Units, now)
 			baselineCounts := t.counts(class, baseline, stats[baseline].Units, now)
-			interval.Classes = append(interval.Classes, judge.ClassSample{Class: requestClasses[class].name, Zone: zone, Canary: canaryCounts, Baseline: baselineCounts})
+			interval.Classes = append(interval.Classes, judge.ClassSample{
+				Class:    requestClasses[class].name,
+				Zone:     zone,
+				Canary:   canaryCounts,
+				Baseline: baselineCounts,
+			})
 		}
 	}
 	return interval
