--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -10,20 +10,20 @@
 // In overload every queue fills and all answers are late. What cannot be answered in time is rejected before it is sent,
 // the lowest priority first.
 func TestOverloadShedsLowestPriorityFirst(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(4)...)
+	h := newHarness(t, baseConfig(), testServers(4)...)
 	rejected := map[int]int{}
 	var open []RequestID
 	for i := range 2000 {
-		g.now += 2
+		h.now += 2
 		class := []int{idempotentClass, nonIdempotentClass}[i%2]
-		id, actions := g.request(class)
+		id, actions := h.request(class)
 		if hasAction(actions, Reject) {
 			rejected[class]++
 			continue
 		}
 		open = append(open, id)
 		if len(open) > 150 { // answers take 300 ms and more
-			g.finishAttempt(open[0], 0, OK, 300)
+			h.finishAttempt(open[0], 0, OK, 300)
 			open = open[1:]
 		}
 	}
@@ -34,88 +34,88 @@
 
 // A hung attempt is a fault of its server and must not shed load for seconds: it counts for one objective.
 func TestHungAttemptIsLoadForOneObjective(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(2)...)
-	id, _ := g.request(idempotentClass)
-	g.request(idempotentClass)
-	if want := 2.0 / 300; g.balancer.admission.load.current != want {
-		t.Fatalf("load %v of two requests, want %v", g.balancer.admission.load.current, want)
+	h := newHarness(t, baseConfig(), testServers(2)...)
+	id, _ := h.request(idempotentClass)
+	h.request(idempotentClass)
+	if want := 2.0 / 300; h.balancer.admission.load.current != want {
+		t.Fatalf("load %v of two requests, want %v", h.balancer.admission.load.current, want)
 	}
-	g.now += 300
-	g.handle(TimerFired{Token: uint64(id)})
-	g.finishAttempt(id, 0, OK, 300)
-	if want := 1.0 / 300; math.Abs(g.balancer.admission.load.current-want) > 1e-12 {
-		t.Fatalf("load %v when one has used up its objective and ended, want %v", g.balancer.admission.load.current, want)
+	h.now += 300
+	h.handle(TimerFired{Token: uint64(id)})
+	h.finishAttempt(id, 0, OK, 300)
+	if want := 1.0 / 300; math.Abs(h.balancer.admission.load.current-want) > 1e-12 {
+		t.Fatalf("load %v when one has used up its objective and ended, want %v", h.balancer.admission.load.current, want)
 	}
 }
 
 // A sidecar with two requests a second must not take eight seconds to shed after a crash.
 func TestSmallSidecarShedsWithinSeconds(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(4)...)
+	h := newHarness(t, baseConfig(), testServers(4)...)
 	for range 6 {
-		g.setLoad(g.balancer.admission.sustainedShed, 0.8)
-		g.now += 500
-		g.balancer.admission.load.updatedAt = g.now
-		g.request(idempotentClass)
+		h.setLoad(h.balancer.admission.sustainedShed, 0.8)
+		h.now += 500
+		h.balancer.admission.load.updatedAt = h.now
+		h.request(idempotentClass)
 	}
-	if g.balancer.admission.sustainedShed < 0.5 {
-		t.Fatalf("%.2f is shed after three seconds of overload", g.balancer.admission.sustainedShed)
+	if h.balancer.admission.sustainedShed < 0.5 {
+		t.Fatalf("%.2f is shed after three seconds of overload", h.balancer.admission.sustainedShed)
 	}
 }
 
 // A few requests that coincide by chance are not overload.
 func TestFewConcurrentRequestsAreNotShed(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(4)...)
+	h := newHarness(t, baseConfig(), testServers(4)...)
 	for range 40 {
-		g.now += 2000
+		h.now += 2000
 		var open []RequestID
 		for range 4 {
-			id, actions := g.request(idempotentClass)
+			id, actions := h.request(idempotentClass)
 			if hasAction(actions, Reject) {
 				t.Fatalf("request %d was rejected", id)
 			}
 			open = append(open, id)
 		}
-		g.now += 60
+		h.now += 60
 		for _, id := range open {
-			g.finishAttempt(id, 0, OK, 60)
+			h.finishAttempt(id, 0, OK, 60)
 		}
 	}
 }
 
 // setLoad sets the sustained fraction to shed and the load at which answers take a fraction of the objective longer than is
 // allowed.
-func (g *harness) setLoad(lasting, over float64) {
-	full := g.balancer.admission.minLatencyRatio + queueingAllowance*(1-g.balancer.admission.minLatencyRatio)
-	if g.balancer.admission.sustainedShed = lasting; lasting > 0 {
-		g.balancer.admission.sustainedShed += shedDeadband
+func (h *harness) setLoad(lasting, over float64) {
+	full := h.balancer.admission.minLatencyRatio + queueingAllowance*(1-h.balancer.admission.minLatencyRatio)
+	if h.balancer.admission.sustainedShed = lasting; lasting > 0 {
+		h.balancer.admission.sustainedShed += shedDeadband
 	}
-	rate := g.balancer.answerRate(assumedAnswers)
-	assumed := g.balancer.admission.minLatencyRatio * (1 - g.balancer.answerRate(0)/rate)
-	g.balancer.admission.load.current, g.balancer.admission.load.updatedAt = (full+over-assumed)*rate, g.now
-	g.balancer.admission.load.mean = g.balancer.admission.load.current
+	rate := h.balancer.answerRate(assumedAnswers)
+	assumed := h.balancer.admission.minLatencyRatio * (1 - h.balancer.answerRate(0)/rate)
+	h.balancer.admission.load.current, h.balancer.admission.load.updatedAt = (full+over-assumed)*rate, h.now
+	h.balancer.admission.load.mean = h.balancer.admission.load.current
 }
 
 // measureShedding delivers 4000 requests, drawn from pairs of a class and a tenant, of which 0.4 of the work is to be shed,
 // and returns the fraction rejected of each class and of each tenant.
 func measureShedding(t *testing.T, cfg Config, turns ...[2]int) (byClass, byTenant [5]float64) {
 	t.Helper()
-	g := newHarness(t, cfg, testServers(4)...)
-	g.balancer.admission.firstRequestAt = 1 // it started long ago
+	h := newHarness(t, cfg, testServers(4)...)
+	h.balancer.admission.firstRequestAt = 1 // it started long ago
 	var asked [2][5]float64
 	draw := rand.New(rand.NewPCG(1, 2))
 	for i := range 4000 {
 		turn := turns[draw.IntN(len(turns))]
-		g.now++
-		g.setLoad(0.4, 0)
+		h.now++
+		h.setLoad(0.4, 0)
 		asked[0][turn[0]]++
 		asked[1][turn[1]]++
 		id := RequestID(i + 1)
-		actions := g.handle(Request{ID: id, Class: turn[0], Tenant: turn[1], Timeout: cfg.Classes[turn[0]].Deadline})
+		actions := h.handle(Request{ID: id, Class: turn[0], Tenant: turn[1], Timeout: cfg.Classes[turn[0]].Deadline})
 		if hasAction(actions, Reject) {
 			byClass[turn[0]]++
 			byTenant[turn[1]]++
 		} else {
-			g.finishAttempt(id, 0, OK, 50)
+			h.finishAttempt(id, 0, OK, 50)
 		}
 	}
 	for i := range 5 {
@@ -132,16 +132,16 @@
 		lasting, over float64 // over: fraction of the objective beyond what answers may take
 		least, most   float64 // fraction rejected
 	}{{0, 0.5, 0, 0.05}, {0.4, 0, 0.3, 0.5}, {0.4, 0.5, 0.7, 0.9}, {0.4, -0.3, 0, 0}} {
-		g := newHarness(t, baseConfig(), testServers(4)...)
+		h := newHarness(t, baseConfig(), testServers(4)...)
 		for range 100 {
-			id, _ := g.request(idempotentClass)
-			g.now += 5
-			g.finishAttempt(id, 0, OK, 50)
+			id, _ := h.request(idempotentClass)
+			h.now += 5
+			h.finishAttempt(id, 0, OK, 50)
 		}
 		rejected := 0.0
 		for range 200 {
-			g.setLoad(c.lasting, c.over)
-			if _, actions := g.request(idempotentClass); hasAction(actions, Reject) {
+			h.setLoad(c.lasting, c.over)
+			if _, actions := h.request(idempotentClass); hasAction(actions, Reject) {
 				rejected++
 			}
 		}
@@ -199,19 +199,19 @@
 // Traffic that grows tenfold within seconds while answers stay fast is not overload: the attempts in flight must not be
 // compared with the answer rate of some time before.
 func TestFastGrowthIsNotOverload(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(12)...)
+	h := newHarness(t, baseConfig(), testServers(12)...)
 	var open []RequestID
 	rejected := 0
 	for gap := 20.0; gap > 2; gap *= 0.998 { // tenfold in about nine seconds
-		g.now += gap
-		id, actions := g.request(idempotentClass)
+		h.now += gap
+		id, actions := h.request(idempotentClass)
 		if hasAction(actions, Reject) {
 			rejected++
 			continue
 		}
 		open = append(open, id)
-		for len(open) > 0 && g.balancer.requests.open[open[0]].arrivedAt <= g.now-80 { // each answer takes about 80 ms
-			g.finishAttempt(open[0], 0, OK, 80)
+		for len(open) > 0 && h.balancer.requests.open[open[0]].arrivedAt <= h.now-80 { // each answer takes about 80 ms
+			h.finishAttempt(open[0], 0, OK, 80)
 			open = open[1:]
 		}
 	}
@@ -222,50 +222,50 @@
 
 // After a restart there is traffic at once and no answers yet: nothing of it must be shed.
 func TestStartIsNotOverload(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(12)...)
+	h := newHarness(t, baseConfig(), testServers(12)...)
 	type sent struct {
 		id RequestID
 		at float64
 	}
 	var open []sent
 	for range 900 {
-		g.now += 3
-		for len(open) > 0 && open[0].at <= g.now-130 {
-			g.finishAttempt(open[0].id, 0, OK, 130)
+		h.now += 3
+		for len(open) > 0 && open[0].at <= h.now-130 {
+			h.finishAttempt(open[0].id, 0, OK, 130)
 			open = open[1:]
 		}
-		id, actions := g.request(idempotentClass)
+		id, actions := h.request(idempotentClass)
 		if hasAction(actions, Reject) {
-			t.Fatalf("request %d was rejected, %v ms after the first", id, g.now-g.balancer.admission.firstRequestAt)
+			t.Fatalf("request %d was rejected, %v ms after the first", id, h.now-h.balancer.admission.firstRequestAt)
 		}
-		open = append(open, sent{id, g.now})
+		open = append(open, sent{id, h.now})
 	}
 }
 
 // Servers change, and with them the least latency: what it once was must not shed load for ever.
 func TestMinLatencyDecays(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(4)...)
+	h := newHarness(t, baseConfig(), testServers(4)...)
 	answers := func(took, span float64) {
-		for end := g.now + span; g.now < end; {
-			id, _ := g.request(idempotentClass)
-			g.now += took
-			g.finishAttempt(id, 0, OK, took)
+		for end := h.now + span; h.now < end; {
+			id, _ := h.request(idempotentClass)
+			h.now += took
+			h.finishAttempt(id, 0, OK, took)
 		}
 	}
 	answers(15, 9000)
-	if g.balancer.admission.minLatencyRatio > 0.06 {
-		t.Fatalf("the least latency is %v", g.balancer.admission.minLatencyRatio)
+	if h.balancer.admission.minLatencyRatio > 0.06 {
+		t.Fatalf("the least latency is %v", h.balancer.admission.minLatencyRatio)
 	}
 	answers(75, 3*minLatencyDecay)
-	if g.balancer.admission.minLatencyRatio < 0.24 {
-		t.Errorf("the least latency is still %v", g.balancer.admission.minLatencyRatio)
+	if h.balancer.admission.minLatencyRatio < 0.24 {
+		t.Errorf("the least latency is still %v", h.balancer.admission.minLatencyRatio)
 	}
 }
 
 // Where one class is shed the answers of the others may take a larger fraction of their objective, which must not be taken
 // for more overload.
 func TestMinLatencyFollowsTheMixOfClasses(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(4)...)
+	h := newHarness(t, baseConfig(), testServers(4)...)
 	answers := func(n int, classes ...int) {
 		for i := range n {
 			class := classes[i%len(classes)]
@@ -273,15 +273,15 @@
 			if class == allScopeClass {
 				took = 120 // three tenths
 			}
-			id, _ := g.request(class)
-			g.now += took
-			g.finishAttempt(id, 0, OK, took)
+			id, _ := h.request(class)
+			h.now += took
+			h.finishAttempt(id, 0, OK, took)
 		}
 	}
 	answers(800, idempotentClass, idempotentClass, idempotentClass, allScopeClass)
-	mixed := g.balancer.admission.minLatencyRatio
+	mixed := h.balancer.admission.minLatencyRatio
 	answers(400, allScopeClass)
-	if alone := g.balancer.admission.minLatencyRatio; math.Abs(mixed-0.15) > 0.03 || math.Abs(alone-0.3) > 0.03 {
+	if alone := h.balancer.admission.minLatencyRatio; math.Abs(mixed-0.15) > 0.03 || math.Abs(alone-0.3) > 0.03 {
 		t.Errorf("mixed %v, want 0.15; alone %v, want 0.3", mixed, alone)
 	}
 }
@@ -291,12 +291,12 @@
 func TestRejectionsCarryRetryAfter(t *testing.T) {
 	advice := func(cfg Config, steady float64) []float64 {
 		var all []float64
-		g := newHarness(t, cfg) // no server: everything is rejected
+		h := newHarness(t, cfg) // no server: everything is rejected
 		for range 50 {
-			g.balancer.admission.sustainedShed = steady
-			id, _ := g.request(idempotentClass)
-			g.now += cfg.Classes[idempotentClass].LatencyObjective
-			for _, a := range g.handle(TimerFired{Token: uint64(id)}) {
+			h.balancer.admission.sustainedShed = steady
+			id, _ := h.request(idempotentClass)
+			h.now += cfg.Classes[idempotentClass].LatencyObjective
+			for _, a := range h.handle(TimerFired{Token: uint64(id)}) {
 				if a.Kind == Reject {
 					all = append(all, a.RetryAfter)
 				}
--- a/balance/affinity_test.go
+++ b/balance/affinity_test.go
@@ -28,11 +28,11 @@
 	const requests = 20000
 	cfg := baseConfig()
 	cfg.KeyAffinity = warm
-	w := newSimulatedFleet(t, cfg, balancers, testServers(fleetSize))
+	fleet := newSimulatedFleet(t, cfg, balancers, testServers(fleetSize))
 	met, got := map[uint64]map[ServerID]int{}, map[ServerID]int{}
 	pairs := map[[2]uint64]bool{}
 	key := uint64(0)
-	w.onAction = func(from int, a Action) {
+	fleet.onAction = func(from int, a Action) {
 		if a.Kind == Send {
 			if met[key] == nil {
 				met[key] = map[ServerID]int{}
@@ -44,9 +44,9 @@
 	}
 	draw, rng := zipfKeys(800), &Balancer{randomState: 7}
 	for i := range requests {
-		w.run(w.now + 1)
+		fleet.run(fleet.now + 1)
 		key = draw(rng.random())
-		w.request(i%balancers, key)
+		fleet.request(i%balancers, key)
 	}
 	for _, of := range met {
 		all := 0
@@ -91,21 +91,21 @@
 func TestErrorsMoveKeysToOtherServers(t *testing.T) {
 	cfg := baseConfig()
 	cfg.KeyAffinity = true
-	g := newHarness(t, cfg, testServers(90)...)
+	h := newHarness(t, cfg, testServers(90)...)
 	const bad = ServerID(10) // the tenth in this sidecar's order
 	keys := func(errs int) (got int) {
 		for key := range uint64(900) {
-			g.now += 100
-			g.lastID++
-			g.balancer.serversByID[bad].errors.consecutive, g.balancer.serversByID[bad].errors.lastAt = errs, g.now
-			s, ok := sentServer(g.handle(Request{ID: g.lastID, Class: idempotentClass, Key: key + 1, Timeout: 1500}))
+			h.now += 100
+			h.lastID++
+			h.balancer.serversByID[bad].errors.consecutive, h.balancer.serversByID[bad].errors.lastAt = errs, h.now
+			s, ok := sentServer(h.handle(Request{ID: h.lastID, Class: idempotentClass, Key: key + 1, Timeout: 1500}))
 			if !ok {
 				t.Fatal("nothing was sent")
 			}
 			if s == bad {
 				got++
 			}
-			g.finishAttempt(g.lastID, 0, OK, 10)
+			h.finishAttempt(h.lastID, 0, OK, 10)
 		}
 		return got
 	}
@@ -117,10 +117,10 @@
 func TestKeySubsetGrowsWhenItsServersAreFull(t *testing.T) {
 	cfg := baseConfig()
 	cfg.KeyAffinity = true
-	g := newHarness(t, cfg, testServers(8)...)
+	h := newHarness(t, cfg, testServers(8)...)
 	send := func() ServerID {
-		g.lastID++
-		s, ok := sentServer(g.handle(Request{ID: g.lastID, Class: idempotentClass, Key: 5, Timeout: 1500}))
+		h.lastID++
+		s, ok := sentServer(h.handle(Request{ID: h.lastID, Class: idempotentClass, Key: 5, Timeout: 1500}))
 		if !ok {
 			t.Fatal("nothing was sent")
 		}
@@ -129,7 +129,7 @@
 	first := map[ServerID]bool{}
 	for range minServersPerKey + 1 { // it is rare yet
 		s := send()
-		g.finishAttempt(g.lastID, 0, OK, 10)
+		h.finishAttempt(h.lastID, 0, OK, 10)
 		first[s] = true
 	}
 	if len(first) != minServersPerKey {
--- a/balance/capacity_test.go
+++ b/balance/capacity_test.go
@@ -6,20 +6,20 @@
 func TestCapacityIsLearned(t *testing.T) {
 	servers := testServers(4)
 	servers[2].Kind, servers[3].Kind = 1, 1
-	g := newHarness(t, baseConfig(), servers...)
+	h := newHarness(t, baseConfig(), servers...)
 	hits := map[ServerID]int{}
 	for range 1500 {
-		id, actions := g.request(idempotentClass)
+		id, actions := h.request(idempotentClass)
 		s, _ := sentServer(actions)
 		hits[s]++
-		g.now += 5
-		g.finishAttempt(id, 0, OK, map[bool]float64{true: 20, false: 40}[s > 2])
+		h.now += 5
+		h.finishAttempt(id, 0, OK, map[bool]float64{true: 20, false: 40}[s > 2])
 	}
 	if hits[3]+hits[4] < 3*(hits[1]+hits[2])/2 {
 		t.Fatalf("hits %v", hits)
 	}
-	if g.balancer.capacity.byKind[1] <= g.balancer.capacity.byKind[0] {
-		t.Fatalf("kinds %v", g.balancer.capacity.byKind)
+	if h.balancer.capacity.byKind[1] <= h.balancer.capacity.byKind[0] {
+		t.Fatalf("kinds %v", h.balancer.capacity.byKind)
 	}
 }
 
@@ -28,9 +28,9 @@
 	for price, least := range map[float64]int{0: 10, 0.05: 25} {
 		cfg := baseConfig()
 		cfg.Costs.CrossZone, cfg.Zone = price, 1
-		g := newHarness(t, cfg, testServers(8)...)
+		h := newHarness(t, cfg, testServers(8)...)
 		own := 0
-		for _, s := range sendSequence(g, 40) {
+		for _, s := range sendSequence(h, 40) {
 			if s > 4 {
 				own++
 			}
@@ -43,21 +43,21 @@
 
 // A restarted sidecar with few requests must not use slow servers as much as fast ones for a minute.
 func TestCapacityIsLearnedFastAtFirst(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(2)...)
-	fast, slow := g.balancer.servers[0], g.balancer.servers[1]
+	h := newHarness(t, baseConfig(), testServers(2)...)
+	fast, slow := h.balancer.servers[0], h.balancer.servers[1]
 	for range 20 {
-		g.balancer.learnCapacity(fast, 0.5)
-		g.balancer.learnCapacity(slow, 1.5)
+		h.balancer.learnCapacity(fast, 0.5)
+		h.balancer.learnCapacity(slow, 1.5)
 	}
 	early := fast.logCapacity - slow.logCapacity
 	for range 2000 { // much later, of two equal servers, one becomes fast
-		g.balancer.learnCapacity(fast, 1)
-		g.balancer.learnCapacity(slow, 1)
+		h.balancer.learnCapacity(fast, 1)
+		h.balancer.learnCapacity(slow, 1)
 	}
 	before := fast.logCapacity - slow.logCapacity
 	for range 20 {
-		g.balancer.learnCapacity(fast, 0.5)
-		g.balancer.learnCapacity(slow, 1.5)
+		h.balancer.learnCapacity(fast, 0.5)
+		h.balancer.learnCapacity(slow, 1.5)
 	}
 	if late := fast.logCapacity - slow.logCapacity - before; early < 3*late || late <= 0 {
 		t.Fatalf("learned %.3f at first and %.3f later", early, late)
@@ -67,28 +67,28 @@
 // Where connections break, healthy servers must not be learned to have little capacity, be ejected after one failed connect,
 // or be in slow start after the next answer.
 func TestBrokenConnectionsDoNotLowerCapacity(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(4)...)
+	h := newHarness(t, baseConfig(), testServers(4)...)
 	sends := 0
 	for range 400 {
-		g.now += 20
-		id, actions := g.request(idempotentClass)
+		h.now += 20
+		id, actions := h.request(idempotentClass)
 		s, _ := sentServer(actions)
-		g.now += 30
+		h.now += 30
 		if s == 1 {
 			sends++
 		}
 		if s == 1 && sends%2 == 0 {
-			g.finishAttempt(id, 0, []Result{ConnectFailed, Reset}[sends/2%2], 30)
-			if b := g.balancer; b.serversByID[1].errors.consecutive == 1 && b.isEjected(b.serversByID[1]) {
+			h.finishAttempt(id, 0, []Result{ConnectFailed, Reset}[sends/2%2], 30)
+			if b := h.balancer; b.serversByID[1].errors.consecutive == 1 && b.isEjected(b.serversByID[1]) {
 				t.Fatal("one error ejects the server")
 			}
-			g.finishAttempt(id, 1, OK, 30)
+			h.finishAttempt(id, 1, OK, 30)
 			continue
 		}
-		g.finishAttempt(id, 0, OK, 30)
+		h.finishAttempt(id, 0, OK, 30)
 	}
-	if s := g.balancer.serversByID[1]; g.balancer.inSlowStart(s) || s.logCapacity < -0.2 {
-		t.Errorf("slow start %v, log capacity %v", g.balancer.inSlowStart(s), s.logCapacity)
+	if s := h.balancer.serversByID[1]; h.balancer.inSlowStart(s) || s.logCapacity < -0.2 {
+		t.Errorf("slow start %v, log capacity %v", h.balancer.inSlowStart(s), s.logCapacity)
 	}
 }
 
@@ -96,17 +96,17 @@
 func TestIdleServersGainCapacity(t *testing.T) {
 	cfg := baseConfig()
 	cfg.LoadReports, cfg.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldUtilization}
-	g := newHarness(t, cfg, testServers(2)...)
+	h := newHarness(t, cfg, testServers(2)...)
 	sent := map[ServerID]int{}
 	for i := range 4000 {
-		g.now += 5
-		id, actions := g.request(idempotentClass)
+		h.now += 5
+		id, actions := h.request(idempotentClass)
 		s, _ := sentServer(actions)
 		took, util := 40.0, float32(1)
 		if s == 1 {
 			took, util = 56, 0.3
 		}
-		g.handle(Outcome{Request: id, Server: s, Result: OK, Elapsed: took, RequestDone: true, LoadReport: []float32{util}})
+		h.handle(Outcome{Request: id, Server: s, Result: OK, Elapsed: took, RequestDone: true, LoadReport: []float32{util}})
 		if i >= 3000 {
 			sent[s]++
 		}
--- a/balance/discovery_test.go
+++ b/balance/discovery_test.go
@@ -9,27 +9,27 @@
 	cfg := baseConfig()
 	cfg.Subscribe = true
 	subscribed, calls, last, free := 0, 0, 0.0, 0.0
-	w := &simulatedFleet{t: t, now: 1000, onOutcome: func(int, Outcome) {}}
-	w.onAction = func(from int, a Action) {
+	fleet := &simulatedFleet{t: t, now: 1000, onOutcome: func(int, Outcome) {}}
+	fleet.onAction = func(from int, a Action) {
 		if a.Kind != WatchEndpoints {
 			return
 		}
 		calls++
-		free = max(free, w.now) + work
-		if free > w.now+patience {
-			w.schedule(w.now+patience, from, EndpointUpdate{Kind: UpdateFailed})
+		free = max(free, fleet.now) + work
+		if free > fleet.now+patience {
+			fleet.schedule(fleet.now+patience, from, EndpointUpdate{Kind: UpdateFailed})
 			return
 		}
-		w.schedule(free, from, EndpointUpdate{Kind: UpdateFull, Servers: testServers(4)})
+		fleet.schedule(free, from, EndpointUpdate{Kind: UpdateFull, Servers: testServers(4)})
 		subscribed++
 		last = free
 	}
 	for i := range balancers {
 		cfg.Seed, cfg.SidecarIndex, cfg.SidecarCount = splitmix64(uint64(i)+1), i, balancers
-		w.balancers = append(w.balancers, mustNew(t, cfg))
-		w.execute(i, w.balancers[i].Start(w.now))
+		fleet.balancers = append(fleet.balancers, mustNew(t, cfg))
+		fleet.execute(i, fleet.balancers[i].Start(fleet.now))
 	}
-	w.run(w.now + until)
+	fleet.run(fleet.now + until)
 	if subscribed != balancers {
 		t.Errorf("%d of %d are subscribed after %v ms", subscribed, balancers, until)
 	}
@@ -45,27 +45,27 @@
 func TestDiscoveryPollsBackOff(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Subscribe = true
-	g := newHarness(t, cfg, testServers(3)...)
-	if len(g.actions) != 1 || g.actions[0].Token != discoveryTimer || g.actions[0].Delay > pollPause*float64(cfg.SidecarCount) {
-		t.Fatalf("at the start: %+v", g.actions)
+	h := newHarness(t, cfg, testServers(3)...)
+	if len(h.actions) != 1 || h.actions[0].Token != discoveryTimer || h.actions[0].Delay > pollPause*float64(cfg.SidecarCount) {
+		t.Fatalf("at the start: %+v", h.actions)
 	}
-	if !hasAction(g.handle(TimerFired{Token: discoveryTimer}), WatchEndpoints) {
+	if !hasAction(h.handle(TimerFired{Token: discoveryTimer}), WatchEndpoints) {
 		t.Fatal("not subscribed soon")
 	}
 	var pauses []float64
 	for range 6 {
-		actions := g.handle(EndpointUpdate{Kind: UpdateFailed})
+		actions := h.handle(EndpointUpdate{Kind: UpdateFailed})
 		if len(actions) != 1 || actions[0].Token != discoveryTimer || actions[0].Delay > cfg.PollInterval {
 			t.Fatalf("after a failed poll: %+v", actions)
 		}
 		pauses = append(pauses, actions[0].Delay)
-		g.now += actions[0].Delay
-		if !hasAction(g.handle(TimerFired{Token: discoveryTimer}), WatchEndpoints) {
+		h.now += actions[0].Delay
+		if !hasAction(h.handle(TimerFired{Token: discoveryTimer}), WatchEndpoints) {
 			t.Fatal("not polled again")
 		}
 	}
-	if pauses[5] < 2*pauses[0] || len(g.balancer.servers) != 3 {
-		t.Fatalf("pauses %v, %d servers", pauses, len(g.balancer.servers))
+	if pauses[5] < 2*pauses[0] || len(h.balancer.servers) != 3 {
+		t.Fatalf("pauses %v, %d servers", pauses, len(h.balancer.servers))
 	}
 }
 
@@ -79,13 +79,13 @@
 			for seed := range uint64(50) {
 				cfg := baseConfig()
 				cfg.Subscribe, cfg.SidecarCount, cfg.Seed = true, peers, splitmix64(seed+1)
-				g := newHarness(t, cfg, testServers(3)...)
-				if g.actions[0].Delay > promptPollPause {
-					t.Errorf("%d peers: the first poll after %v ms", peers, g.actions[0].Delay)
+				h := newHarness(t, cfg, testServers(3)...)
+				if h.actions[0].Delay > promptPollPause {
+					t.Errorf("%d peers: the first poll after %v ms", peers, h.actions[0].Delay)
 				}
 				for range 8 {
-					g.handle(TimerFired{Token: discoveryTimer})
-					pause := g.handle(EndpointUpdate{Kind: UpdateFailed, DiscoveryUnreachable: unqueued})[0].Delay
+					h.handle(TimerFired{Token: discoveryTimer})
+					pause := h.handle(EndpointUpdate{Kind: UpdateFailed, DiscoveryUnreachable: unqueued})[0].Delay
 					if worst = max(worst, pause); pause < promptPollPause/3 {
 						lows++
 					}
--- a/balance/fleet_simulation_test.go
+++ b/balance/fleet_simulation_test.go
@@ -50,77 +50,77 @@
 
 // newSimulatedFleet starts n balancers with the same servers.
 func newSimulatedFleet(t *testing.T, cfg Config, n int, servers []Server) *simulatedFleet {
-	w := &simulatedFleet{
+	fleet := &simulatedFleet{
 		t: t, now: 1000,
 		serve:    func(ServerID) (Result, float64) { return OK, 20 },
 		onAction: func(int, Action) {}, onOutcome: func(int, Outcome) {},
 	}
 	for i := range n {
 		cfg.Seed, cfg.SidecarIndex, cfg.SidecarCount = splitmix64(uint64(i)+1), i, n
-		w.balancers = append(w.balancers, mustNew(t, cfg))
-		w.execute(i, w.balancers[i].Start(w.now))
-		w.deliver(i, EndpointUpdate{Kind: UpdateCached, Servers: servers})
+		fleet.balancers = append(fleet.balancers, mustNew(t, cfg))
+		fleet.execute(i, fleet.balancers[i].Start(fleet.now))
+		fleet.deliver(i, EndpointUpdate{Kind: UpdateCached, Servers: servers})
 	}
-	return w
+	return fleet
 }
 
-func (w *simulatedFleet) schedule(at float64, to int, ev Event) {
-	w.sequence++
-	heap.Push(&w.pending, fleetEvent{at, w.sequence, to, ev})
+func (fleet *simulatedFleet) schedule(at float64, to int, ev Event) {
+	fleet.sequence++
+	heap.Push(&fleet.pending, fleetEvent{at, fleet.sequence, to, ev})
 }
 
-func (w *simulatedFleet) deliver(to int, ev Event) {
-	w.t.Helper()
-	actions, err := w.balancers[to].Handle(w.now, ev)
+func (fleet *simulatedFleet) deliver(to int, ev Event) {
+	fleet.t.Helper()
+	actions, err := fleet.balancers[to].Handle(fleet.now, ev)
 	if err != nil {
-		w.t.Fatalf("%#v: %v", ev, err)
+		fleet.t.Fatalf("%#v: %v", ev, err)
 	}
-	w.execute(to, actions)
+	fleet.execute(to, actions)
 }
 
-func (w *simulatedFleet) execute(from int, actions []Action) {
+func (fleet *simulatedFleet) execute(from int, actions []Action) {
 	for _, a := range actions {
-		w.onAction(from, a)
+		fleet.onAction(from, a)
 		switch a.Kind {
 		case Send:
-			r := w.balancers[from].requests.open[a.Request]
-			res, took := w.serve(a.Server)
-			if left := r.deadline - w.now; took > left {
-				res, took = TimedOut, left
+			r := fleet.balancers[from].requests.open[a.Request]
+			result, took := fleet.serve(a.Server)
+			if left := r.deadline - fleet.now; took > left {
+				result, took = TimedOut, left
 			}
-			w.schedule(w.now+took, from, Outcome{
-				Request: a.Request, Attempt: len(r.attempts) - 1, Server: a.Server, Result: res, Elapsed: took, RequestDone: res == OK,
+			fleet.schedule(fleet.now+took, from, Outcome{
+				Request: a.Request, Attempt: len(r.attempts) - 1, Server: a.Server, Result: result, Elapsed: took, RequestDone: result == OK,
 			})
 		case SetTimer:
-			w.schedule(w.now+a.Delay, from, TimerFired{Token: a.Token})
+			fleet.schedule(fleet.now+a.Delay, from, TimerFired{Token: a.Token})
 		}
 	}
 }
 
 // request delivers an idempotent request to one balancer.
-func (w *simulatedFleet) request(to int, key uint64) {
-	w.t.Helper()
-	w.lastID++
-	class := &w.balancers[to].config.Classes[idempotentClass]
-	w.deliver(to, Request{ID: w.lastID, Class: idempotentClass, Key: key, Timeout: class.Deadline})
+func (fleet *simulatedFleet) request(to int, key uint64) {
+	fleet.t.Helper()
+	fleet.lastID++
+	class := &fleet.balancers[to].config.Classes[idempotentClass]
+	fleet.deliver(to, Request{ID: fleet.lastID, Class: idempotentClass, Key: key, Timeout: class.Deadline})
 }
 
 // run delivers all that is due until a time.
-func (w *simulatedFleet) run(until float64) {
-	w.t.Helper()
-	for len(w.pending) > 0 && w.pending[0].at <= until {
-		e := heap.Pop(&w.pending).(fleetEvent)
-		w.now = e.at
+func (fleet *simulatedFleet) run(until float64) {
+	fleet.t.Helper()
+	for len(fleet.pending) > 0 && fleet.pending[0].at <= until {
+		e := heap.Pop(&fleet.pending).(fleetEvent)
+		fleet.now = e.at
 		if o, ok := e.ev.(Outcome); ok {
-			r := w.balancers[e.to].requests.open[o.Request]
+			r := fleet.balancers[e.to].requests.open[o.Request]
 			if r == nil || !r.attempts[o.Attempt].inFlight {
 				continue
 			}
 			o.RequestDone = o.RequestDone || r.finished
-			w.onOutcome(e.to, o)
+			fleet.onOutcome(e.to, o)
 			e.ev = o
 		}
-		w.deliver(e.to, e.ev)
+		fleet.deliver(e.to, e.ev)
 	}
-	w.now = until
+	fleet.now = until
 }
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -19,26 +19,26 @@
 	for i := range servers {
 		servers[i].Zone = i % 3
 	}
-	g := newHarness(t, gossipConfig(), servers...)
+	h := newHarness(t, gossipConfig(), servers...)
 	for range 40 {
-		g.now += 10
-		id, _ := g.request(idempotentClass)
-		g.finishAttempt(id, 0, OK, 10)
+		h.now += 10
+		id, _ := h.request(idempotentClass)
+		h.finishAttempt(id, 0, OK, 10)
 	}
-	return g
+	return h
 }
 
 // gossip delivers a message as another sidecar would send it.
-func (g *harness) gossip(from int, findings ...finding) {
-	g.t.Helper()
-	g.now++
-	g.handle(GossipMessage{From: from, Data: encodeGossip(g.now, findings)})
+func (h *harness) gossip(from int, findings ...finding) {
+	h.t.Helper()
+	h.now++
+	h.handle(GossipMessage{From: from, Data: encodeGossip(h.now, findings)})
 }
 
-func (g *harness) ejected() (n int, ofZone map[int]int) {
-	g.balancer.now, ofZone = g.now, map[int]int{}
-	for _, s := range g.balancer.servers {
-		if g.balancer.isEjected(s) {
+func (h *harness) ejected() (n int, ofZone map[int]int) {
+	h.balancer.now, ofZone = h.now, map[int]int{}
+	for _, s := range h.balancer.servers {
+		if h.balancer.isEjected(s) {
 			n++
 			ofZone[s.Zone]++
 		}
@@ -48,15 +48,15 @@
 
 // Whatever others say, true or not: few servers are ejected, for a short time, no zone is emptied and memory is bounded.
 func TestHostileGossipHasBoundedEffect(t *testing.T) {
-	g, random := newGossipHarness(t), rand.New(rand.NewSource(1))
-	life := g.balancer.gossipLifetime()
-	most := int(maxGossipEjectedFraction * float64(len(g.balancer.servers)))
+	h, random := newGossipHarness(t), rand.New(rand.NewSource(1))
+	life := h.balancer.gossipLifetime()
+	most := int(maxGossipEjectedFraction * float64(len(h.balancer.servers)))
 	last := []byte{}
-	for _, s := range g.balancer.servers {
+	for _, s := range h.balancer.servers {
 		s.errors.consecutive = 1 // without an own error no finding is believed
 	}
 	for range 20000 {
-		g.now += 1
+		h.now += 1
 		var lies []finding
 		for range 1 + random.Intn(maxFindings) {
 			whom := serverTag(ServerID(1 + random.Intn(60)))
@@ -64,9 +64,9 @@
 				whom = uint32(random.Intn(4))
 			}
 			lies = append(lies, finding{findingKind(1 + random.Intn(int(findingKindEnd)-1)), whom,
-				g.now - random.Float64()*1000})
+				h.now - random.Float64()*1000})
 		}
-		data := encodeGossip(g.now+float64(random.Intn(100)), lies)
+		data := encodeGossip(h.now+float64(random.Intn(100)), lies)
 		switch random.Intn(6) {
 		case 0:
 			data[random.Intn(len(data))] ^= 1 << random.Intn(8) // damaged
@@ -77,9 +77,9 @@
 		case 3:
 			data = last // repeated
 		}
-		g.handle(GossipMessage{From: random.Intn(60) - 5, Data: data}) // some from outside of the fleet, or from itself
+		h.handle(GossipMessage{From: random.Intn(60) - 5, Data: data}) // some from outside of the fleet, or from itself
 		last = data
-		n, ofZone := g.ejected()
+		n, ofZone := h.ejected()
 		for zone, k := range ofZone {
 			if 2*k > 20 {
 				t.Fatalf("%d of the 20 servers of zone %d are ejected by gossip", k, zone)
@@ -89,48 +89,48 @@
 			t.Fatalf("%d servers are ejected by gossip, at most %d may", n, most)
 		}
 	}
-	if len(g.balancer.gossip.senders) > g.balancer.config.SidecarCount || len(g.balancer.requests.open) > 0 {
-		t.Fatalf("%d senders are retained of %d", len(g.balancer.gossip.senders), g.balancer.config.SidecarCount)
+	if len(h.balancer.gossip.senders) > h.balancer.config.SidecarCount || len(h.balancer.requests.open) > 0 {
+		t.Fatalf("%d senders are retained of %d", len(h.balancer.gossip.senders), h.balancer.config.SidecarCount)
 	}
-	g.now += life + 1
-	if n, _ := g.ejected(); n > 0 {
+	h.now += life + 1
+	if n, _ := h.ejected(); n > 0 {
 		t.Fatalf("%d servers are still ejected %v ms after the last message", n, life)
 	}
 }
 
 // A repeated message, one overtaken by a later one and one of stale findings have no effect.
 func TestStaleGossipIsIgnored(t *testing.T) {
-	g := newGossipHarness(t)
-	late := func(id ServerID) finding { return finding{findingFault, serverTag(id), g.now} }
-	first := GossipMessage{From: 1, Data: encodeGossip(g.now, []finding{late(1)})}
-	g.handle(first)
-	g.gossip(1, finding{findingRecovery, serverTag(1), g.now})
-	g.handle(first)
-	if n, _ := g.ejected(); n != 0 {
+	h := newGossipHarness(t)
+	late := func(id ServerID) finding { return finding{findingFault, serverTag(id), h.now} }
+	first := GossipMessage{From: 1, Data: encodeGossip(h.now, []finding{late(1)})}
+	h.handle(first)
+	h.gossip(1, finding{findingRecovery, serverTag(1), h.now})
+	h.handle(first)
+	if n, _ := h.ejected(); n != 0 {
 		t.Fatal("a repeated message was applied again")
 	}
-	g.gossip(1, finding{findingFault, serverTag(2), g.now - g.balancer.gossipLifetime() - findingAgeUnit})
-	if n, _ := g.ejected(); n != 0 {
+	h.gossip(1, finding{findingFault, serverTag(2), h.now - h.balancer.gossipLifetime() - findingAgeUnit})
+	if n, _ := h.ejected(); n != 0 {
 		t.Fatal("a stale finding was applied")
 	}
-	g.balancer.serversByID[3].timelyAnswerAt = g.now
-	g.gossip(1, finding{findingFault, serverTag(3), g.now - findingAgeUnit})
-	if n, _ := g.ejected(); n != 0 {
+	h.balancer.serversByID[3].timelyAnswerAt = h.now
+	h.gossip(1, finding{findingFault, serverTag(3), h.now - findingAgeUnit})
+	if n, _ := h.ejected(); n != 0 {
 		t.Fatal("a finding older than an own answer was applied")
 	}
 }
 
 // A sender that reports faults of servers that answer in time is soon ignored, and is believed again after a while.
 func TestContradictedGossipSenderIsIgnored(t *testing.T) {
-	g := newGossipHarness(t)
+	h := newGossipHarness(t)
 	lie := func() bool {
-		id, actions := g.request(idempotentClass)
+		id, actions := h.request(idempotentClass)
 		to, _ := sentServer(actions)
-		g.balancer.serversByID[to].errors.consecutive = 1
-		g.gossip(5, finding{findingFault, serverTag(to), g.now})
-		believed := g.balancer.isEjected(g.balancer.serversByID[to])
-		g.now += 10
-		g.finishAttempt(id, 0, OK, 10)
+		h.balancer.serversByID[to].errors.consecutive = 1
+		h.gossip(5, finding{findingFault, serverTag(to), h.now})
+		believed := h.balancer.isEjected(h.balancer.serversByID[to])
+		h.now += 10
+		h.finishAttempt(id, 0, OK, 10)
 		return believed
 	}
 	believed := 0
@@ -142,11 +142,11 @@
 	if believed < 1 || believed > 4 {
 		t.Errorf("of 20 false findings %d were believed", believed)
 	}
-	g.balancer.serversByID[9].errors.consecutive = 1
-	if g.gossip(6, finding{findingFault, serverTag(9), g.now}); !g.balancer.isEjected(g.balancer.serversByID[9]) {
+	h.balancer.serversByID[9].errors.consecutive = 1
+	if h.gossip(6, finding{findingFault, serverTag(9), h.now}); !h.balancer.isEjected(h.balancer.serversByID[9]) {
 		t.Error("another sender is not believed")
 	}
-	g.now += 10 * g.balancer.gossipLifetime()
+	h.now += 10 * h.balancer.gossipLifetime()
 	if !lie() {
 		t.Error("a sender is never believed again")
 	}
@@ -158,7 +158,7 @@
 	for _, peers := range []int{2, 50, 1000} {
 		cfg := gossipConfig()
 		cfg.SidecarCount, cfg.SidecarIndex = peers, 1
-		g := newHarness(t, cfg, testServers(60)...)
+		h := newHarness(t, cfg, testServers(60)...)
 		count := func(actions []Action) (posts, bytes int) {
 			for _, a := range actions {
 				if a.Kind == SendGossip {
@@ -170,16 +170,16 @@
 			}
 			return posts, bytes
 		}
-		if posts, _ := count(g.handle(TimerFired{Token: gossipTimer})); posts != min(bootstrapFanout, peers-1) {
+		if posts, _ := count(h.handle(TimerFired{Token: gossipTimer})); posts != min(bootstrapFanout, peers-1) {
 			t.Fatalf("queries %d of %d", posts, peers)
 		}
 		all := 0
 		for range 3000 {
-			g.now += 20
-			id, _ := g.request(idempotentClass)
-			g.finishAttempt(id, 0, ConnectFailed, 5)
-			g.handle(ClientDisconnected{Request: id})
-			_, n := count(g.handle(TimerFired{Token: gossipTimer}))
+			h.now += 20
+			id, _ := h.request(idempotentClass)
+			h.finishAttempt(id, 0, ConnectFailed, 5)
+			h.handle(ClientDisconnected{Request: id})
+			_, n := count(h.handle(TimerFired{Token: gossipTimer}))
 			all += n
 		}
 		if most := 3000*gossipBudget*256/0.06 + gossipBurstBytes; all == 0 || float64(all) > most {
--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -9,42 +9,42 @@
 }
 
 // answerHealthChecks answers the health checks among actions: unreachable servers give no answer, the others hold n requests.
-func (g *harness) answerHealthChecks(actions []Action, n float32, dark map[ServerID]bool) []Action {
+func (h *harness) answerHealthChecks(actions []Action, n float32, dark map[ServerID]bool) []Action {
 	var after []Action
 	for _, a := range actions {
 		if a.Kind != HealthCheck {
 			continue
 		}
-		res := HealthCheckResult{Server: a.Server, LoadReport: []float32{n}}
+		result := HealthCheckResult{Server: a.Server, LoadReport: []float32{n}}
 		if dark[a.Server] {
-			res = HealthCheckResult{Server: a.Server, Result: TimedOut}
+			result = HealthCheckResult{Server: a.Server, Result: TimedOut}
 		}
-		after = append(after, g.handle(res)...)
+		after = append(after, h.handle(result)...)
 	}
 	return after
 }
 
 // Unreachable servers that are next in turn must not be sent a health check for every request.
 func TestUnreachableServersAreEjectedAndReturn(t *testing.T) {
-	g := newHarness(t, healthCheckConfig(), testServers(3)...)
+	h := newHarness(t, healthCheckConfig(), testServers(3)...)
 	dark := map[ServerID]bool{1: true, 2: true}
 	for i := range 4 {
-		id, actions := g.request(idempotentClass)
+		id, actions := h.request(idempotentClass)
 		if asked := len(actions) - 1; i > 0 && asked > 1 {
 			t.Fatalf("request %d: %d servers checked though two are unreachable", id, asked)
 		}
-		if s, ok := sentServer(g.answerHealthChecks(actions, 0, dark)); !ok || s != 3 {
+		if s, ok := sentServer(h.answerHealthChecks(actions, 0, dark)); !ok || s != 3 {
 			t.Fatalf("request %d went to %d", id, s)
 		}
-		g.finishAttempt(id, 0, OK, 10)
+		h.finishAttempt(id, 0, OK, 10)
 	}
-	g.now += 10000 // their ejection is over and they answer again
+	h.now += 10000 // their ejection is over and they answer again
 	used := map[ServerID]bool{}
 	for range 6 {
-		id, actions := g.request(idempotentClass)
-		s, _ := sentServer(g.answerHealthChecks(actions, 0, nil))
+		id, actions := h.request(idempotentClass)
+		s, _ := sentServer(h.answerHealthChecks(actions, 0, nil))
 		used[s] = true
-		g.finishAttempt(id, 0, OK, 10)
+		h.finishAttempt(id, 0, OK, 10)
 	}
 	if !used[1] || !used[2] {
 		t.Fatalf("used %v after they recovered", used)
@@ -53,44 +53,44 @@
 
 // A sidecar with little traffic cannot know from its own requests which servers others fill.
 func TestHealthCheckedQueueIsAvoided(t *testing.T) {
-	g := newHarness(t, healthCheckConfig(), testServers(3)...)
-	g.balancer.servers[0].round.runningWeight = 1000 // its turn
-	id, actions := g.request(idempotentClass)
+	h := newHarness(t, healthCheckConfig(), testServers(3)...)
+	h.balancer.servers[0].round.runningWeight = 1000 // its turn
+	id, actions := h.request(idempotentClass)
 	if hasAction(actions, Send) {
 		t.Fatal("sent before the health checks were answered")
 	}
-	g.handle(HealthCheckResult{Server: 1, LoadReport: []float32{5}})
-	g.handle(HealthCheckResult{Server: 2, LoadReport: []float32{0}})
-	if s, ok := sentServer(g.handle(HealthCheckResult{Server: 3, LoadReport: []float32{4}})); !ok || s != 2 {
+	h.handle(HealthCheckResult{Server: 1, LoadReport: []float32{5}})
+	h.handle(HealthCheckResult{Server: 2, LoadReport: []float32{0}})
+	if s, ok := sentServer(h.handle(HealthCheckResult{Server: 3, LoadReport: []float32{4}})); !ok || s != 2 {
 		t.Fatalf("request %d went to %d, want the empty server", id, s)
 	}
 }
 
 func TestRequestWaitsBrieflyForHealthChecks(t *testing.T) {
-	g := newHarness(t, healthCheckConfig(), testServers(3)...)
-	id, _ := g.request(idempotentClass)
-	g.now = g.balancer.requests.open[id].timerAt
-	if actions := g.handle(TimerFired{Token: uint64(id)}); !hasAction(actions, Send) || g.now > 1000+0.1*300 {
-		t.Fatalf("at %v: %+v", g.now, actions)
+	h := newHarness(t, healthCheckConfig(), testServers(3)...)
+	id, _ := h.request(idempotentClass)
+	h.now = h.balancer.requests.open[id].timerAt
+	if actions := h.handle(TimerFired{Token: uint64(id)}); !hasAction(actions, Send) || h.now > 1000+0.1*300 {
+		t.Fatalf("at %v: %+v", h.now, actions)
 	}
 }
 
 // Health checks have a cost: a few find an idle server in quiet hours, in busy ones all servers are checked.
 func TestHealthChecksFollowBusyFraction(t *testing.T) {
-	g := newHarness(t, healthCheckConfig(), testServers(12)...)
+	h := newHarness(t, healthCheckConfig(), testServers(12)...)
 	asked := func(holds float32) int {
 		n := 0
 		for range 60 {
-			g.now += 10
-			id, actions := g.request(idempotentClass)
+			h.now += 10
+			id, actions := h.request(idempotentClass)
 			n = 0
 			for _, a := range actions {
 				if a.Kind == HealthCheck {
 					n++
 				}
 			}
-			g.answerHealthChecks(actions, holds, nil)
-			g.finishAttempt(id, 0, OK, 10)
+			h.answerHealthChecks(actions, holds, nil)
+			h.finishAttempt(id, 0, OK, 10)
 		}
 		return n
 	}
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -46,14 +46,14 @@
 )
 
 func newHarness(t *testing.T, cfg Config, servers ...Server) *harness {
-	g := &harness{t: t, balancer: mustNew(t, cfg), now: 1000}
-	g.actions = append(g.actions, g.balancer.Start(g.now)...)
-	g.handle(EndpointUpdate{Kind: UpdateCached, Servers: servers})
-	for _, s := range g.balancer.servers {
+	h := &harness{t: t, balancer: mustNew(t, cfg), now: 1000}
+	h.actions = append(h.actions, h.balancer.Start(h.now)...)
+	h.handle(EndpointUpdate{Kind: UpdateCached, Servers: servers})
+	for _, s := range h.balancer.servers {
 		s.round.runningWeight, s.rank = 0, float64(s.ID) // the random start and order would obscure the sequence
 	}
-	g.balancer.sortServers()
-	return g
+	h.balancer.sortServers()
+	return h
 }
 
 // sortServers restores the order by rank after a test has set ranks.
@@ -79,30 +79,30 @@
 	return list
 }
 
-func (g *harness) handle(ev Event) []Action {
-	g.t.Helper()
-	actions, err := g.balancer.Handle(g.now, ev)
+func (h *harness) handle(ev Event) []Action {
+	h.t.Helper()
+	actions, err := h.balancer.Handle(h.now, ev)
 	if err != nil {
-		g.t.Fatalf("%#v: %v", ev, err)
+		h.t.Fatalf("%#v: %v", ev, err)
 	}
 	actions = append([]Action(nil), actions...)
-	g.actions = append(g.actions, actions...)
+	h.actions = append(h.actions, actions...)
 	return actions
 }
 
 // request delivers a request and returns its ID with the actions.
-func (g *harness) request(class int) (RequestID, []Action) {
-	g.t.Helper()
-	g.lastID++
-	return g.lastID, g.handle(Request{ID: g.lastID, Class: class, Timeout: g.balancer.config.Classes[class].Deadline})
+func (h *harness) request(class int) (RequestID, []Action) {
+	h.t.Helper()
+	h.lastID++
+	return h.lastID, h.handle(Request{ID: h.lastID, Class: class, Timeout: h.balancer.config.Classes[class].Deadline})
 }
 
 // finishAttempt ends an attempt with a result.
-func (g *harness) finishAttempt(id RequestID, attempt int, res Result, took float64) []Action {
-	g.t.Helper()
-	s := g.balancer.requests.open[id].attempts[attempt].server
-	done := res == OK || g.balancer.requests.open[id].finished
-	return g.handle(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: res, Elapsed: took, RequestDone: done})
+func (h *harness) finishAttempt(id RequestID, attempt int, result Result, took float64) []Action {
+	h.t.Helper()
+	s := h.balancer.requests.open[id].attempts[attempt].server
+	done := result == OK || h.balancer.requests.open[id].finished
+	return h.handle(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: result, Elapsed: took, RequestDone: done})
 }
 
 func sentServer(actions []Action) (ServerID, bool) {
--- a/balance/load_report_test.go
+++ b/balance/load_report_test.go
@@ -8,12 +8,12 @@
 	cfg.LoadReports, cfg.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldErrorRate, FieldLatency,
 		FieldQueueLength}
 	for queue, ejects := range map[float32]bool{2: false, 8: true} {
-		g := newHarness(t, cfg, testServers(3)...)
-		id, actions := g.request(idempotentClass)
+		h := newHarness(t, cfg, testServers(3)...)
+		id, actions := h.request(idempotentClass)
 		s, _ := sentServer(actions)
-		g.now += 200
-		g.handle(Outcome{Request: id, Server: s, Elapsed: 200, RequestDone: true, LoadReport: []float32{0, 50, queue}})
-		if got := g.balancer.isEjected(g.balancer.serversByID[s]); got != ejects {
+		h.now += 200
+		h.handle(Outcome{Request: id, Server: s, Elapsed: 200, RequestDone: true, LoadReport: []float32{0, 50, queue}})
+		if got := h.balancer.isEjected(h.balancer.serversByID[s]); got != ejects {
 			t.Errorf("%v waiting for 50 ms each, objective 300 ms: ejected %v", queue, got)
 		}
 	}
@@ -24,18 +24,18 @@
 func TestReportedQueueEjectsForOneRotation(t *testing.T) {
 	cfg := baseConfig()
 	cfg.LoadReports, cfg.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldLatency, FieldQueueLength}
-	g := newHarness(t, cfg, testServers(3)...)
+	h := newHarness(t, cfg, testServers(3)...)
 	for range 400 { // a hundred requests a second
-		g.now += 10
-		id, actions := g.request(idempotentClass)
+		h.now += 10
+		id, actions := h.request(idempotentClass)
 		to, _ := sentServer(actions)
-		g.handle(Outcome{Request: id, Server: to, Elapsed: 5, RequestDone: true, LoadReport: []float32{50, 0}})
+		h.handle(Outcome{Request: id, Server: to, Elapsed: 5, RequestDone: true, LoadReport: []float32{50, 0}})
 	}
-	id, actions := g.request(idempotentClass)
+	id, actions := h.request(idempotentClass)
 	to, _ := sentServer(actions)
-	s := g.balancer.serversByID[to]
-	g.handle(Outcome{Request: id, Server: to, Elapsed: 5, RequestDone: true, LoadReport: []float32{50, 40}})
-	if ejection := s.ejection.until - g.now; ejection < 10 || ejection > 60 {
+	s := h.balancer.serversByID[to]
+	h.handle(Outcome{Request: id, Server: to, Elapsed: 5, RequestDone: true, LoadReport: []float32{50, 40}})
+	if ejection := s.ejection.until - h.now; ejection < 10 || ejection > 60 {
 		t.Fatalf("ejected for %.0f ms, a round over three servers takes 30", ejection)
 	}
 }
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -15,30 +15,30 @@
 			servers[i].Zone = i % 2
 		}
 	}
-	w := newSimulatedFleet(t, cfg, balancers, servers)
+	fleet := newSimulatedFleet(t, cfg, balancers, servers)
 	silent := false
-	w.serve = func(s ServerID) (Result, float64) {
+	fleet.serve = func(s ServerID) (Result, float64) {
 		if int(s-1)%2 == lost && silent {
 			return ConnectFailed, cfg.ConnectTimeout
 		}
 		return OK, 20
 	}
-	w.onOutcome = func(_ int, o Outcome) {
+	fleet.onOutcome = func(_ int, o Outcome) {
 		if o.Result == ConnectFailed {
 			connects++
 		}
 	}
-	w.onAction = func(_ int, a Action) {
+	fleet.onAction = func(_ int, a Action) {
 		if a.Kind == Reject || a.Kind == Fail {
 			unserved++
 		}
 	}
 	for i := range 16000 {
-		if w.now > 5000 {
+		if fleet.now > 5000 {
 			silent = true
 		}
-		w.run(w.now + 1)
-		w.request(i%balancers, uint64(i)*7919%400)
+		fleet.run(fleet.now + 1)
+		fleet.request(i%balancers, uint64(i)*7919%400)
 	}
 	return connects, unserved
 }
@@ -60,25 +60,25 @@
 	for i := range servers {
 		servers[i].Zone = i / 12
 	}
-	g := newHarness(t, baseConfig(), servers...)
+	h := newHarness(t, baseConfig(), servers...)
 	dead := true
 	play := func() (in, out int) {
 		for range 400 {
-			g.now += 20
-			id, actions := g.request(idempotentClass)
-			for n := 0; len(g.balancer.requests.open) > 0 && n < 4; n++ {
+			h.now += 20
+			id, actions := h.request(idempotentClass)
+			for n := 0; len(h.balancer.requests.open) > 0 && n < 4; n++ {
 				s, sent := sentServer(actions)
 				if !sent {
 					break
 				}
 				if s <= 12 && dead {
 					out++
-					actions = g.finishAttempt(id, n, ConnectFailed, 1)
+					actions = h.finishAttempt(id, n, ConnectFailed, 1)
 				} else {
 					if s <= 12 {
 						in++
 					}
-					actions = g.finishAttempt(id, n, OK, 5)
+					actions = h.finishAttempt(id, n, OK, 5)
 				}
 			}
 		}
@@ -88,7 +88,7 @@
 	if out > 24 {
 		t.Errorf("%d sends to a lost zone in 8 s", out)
 	}
-	if out == 0 || !g.balancer.healthOfZone(0).lost {
+	if out == 0 || !h.balancer.healthOfZone(0).lost {
 		t.Fatal("the zone is not taken to be lost")
 	}
 	dead = false
@@ -99,13 +99,13 @@
 
 // A server that is cut off keeps its connections open: attempts that were sent before would wait in vain.
 func TestAttemptsAtUnreachableServerAreRetriedElsewhere(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(4)...)
+	h := newHarness(t, baseConfig(), testServers(4)...)
 	waiting := map[RequestID]ServerID{}
 	for range 8 {
-		id, actions := g.request(idempotentClass)
+		id, actions := h.request(idempotentClass)
 		waiting[id], _ = sentServer(actions)
 	}
-	unsafe, actions := g.request(nonIdempotentClass)
+	unsafe, actions := h.request(nonIdempotentClass)
 	s, _ := sentServer(actions)
 	first := RequestID(0)
 	for id := RequestID(1); id < unsafe; id++ {
@@ -115,7 +115,7 @@
 		}
 	}
 	cancelled := map[RequestID]bool{}
-	for _, a := range g.finishAttempt(first, 0, ConnectFailed, 250) {
+	for _, a := range h.finishAttempt(first, 0, ConnectFailed, 250) {
 		if a.Kind == Cancel {
 			cancelled[a.Request] = true
 		}
@@ -129,7 +129,7 @@
 		t.Errorf("cancelled %v; %d must never run twice", cancelled, unsafe)
 	}
 	for id := range cancelled {
-		if to, sent := sentServer(g.finishAttempt(id, 0, Cancelled, 250)); !sent || to == s {
+		if to, sent := sentServer(h.finishAttempt(id, 0, Cancelled, 250)); !sent || to == s {
 			t.Errorf("request %d is not retried elsewhere: %v to server %d", id, sent, to)
 		}
 	}
@@ -141,25 +141,25 @@
 	const balancers, servers, warmUp, settle, span = 60, 50, 4000.0, 1000.0, 5000.0
 	cfg := baseConfig()
 	cfg.KeyAffinity = true // all servers are in the rotation
-	w := newSimulatedFleet(t, cfg, balancers, testServers(servers))
-	w.serve = func(s ServerID) (Result, float64) {
-		if int(s) <= late && w.now > warmUp {
+	fleet := newSimulatedFleet(t, cfg, balancers, testServers(servers))
+	fleet.serve = func(s ServerID) (Result, float64) {
+		if int(s) <= late && fleet.now > warmUp {
 			return OK, 2 * cfg.Classes[idempotentClass].LatencyObjective
 		}
 		return OK, 20
 	}
-	w.onAction = func(_ int, a Action) {
+	fleet.onAction = func(_ int, a Action) {
 		switch {
-		case a.Kind != Send || w.now < warmUp+settle:
+		case a.Kind != Send || fleet.now < warmUp+settle:
 		case int(a.Server) <= late:
 			toLate += 1e3 / (span - settle) / float64(late)
 		default:
 			toOthers += 1e3 / (span - settle) / float64(servers-late)
 		}
 	}
-	for i := 0; w.now < warmUp+span; i++ {
-		w.run(w.now + 1)
-		w.request(i%balancers, uint64(i)*7919%400+1)
+	for i := 0; fleet.now < warmUp+span; i++ {
+		fleet.run(fleet.now + 1)
+		fleet.request(i%balancers, uint64(i)*7919%400+1)
 	}
 	return toLate, toOthers
 }
@@ -177,13 +177,13 @@
 
 // Where most servers are late the load is too high, and ejecting them would put it all on the others.
 func TestLateEjectionIsBounded(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(40)...)
-	for _, s := range g.balancer.servers {
-		g.balancer.recordError(s, false)
+	h := newHarness(t, baseConfig(), testServers(40)...)
+	for _, s := range h.balancer.servers {
+		h.balancer.recordError(s, false)
 	}
 	resting := 0
-	for _, s := range g.balancer.servers {
-		if g.balancer.isEjected(s) {
+	for _, s := range h.balancer.servers {
+		if h.balancer.isEjected(s) {
 			resting++
 		}
 	}
@@ -198,24 +198,24 @@
 	for i := range servers {
 		servers[i].Zone = i / 12
 	}
-	g := newHarness(t, baseConfig(), servers...)
+	h := newHarness(t, baseConfig(), servers...)
 	shed := 0.0
 	for range 400 {
-		g.now += 20
-		id, actions := g.request(idempotentClass)
-		for n := 0; len(g.balancer.requests.open) > 0 && n < 4; n++ {
+		h.now += 20
+		id, actions := h.request(idempotentClass)
+		for n := 0; len(h.balancer.requests.open) > 0 && n < 4; n++ {
 			s, sent := sentServer(actions)
 			if !sent {
 				break
 			}
 			if s <= 12 {
-				actions = g.finishAttempt(id, n, ConnectFailed, 1)
+				actions = h.finishAttempt(id, n, ConnectFailed, 1)
 			} else {
-				actions = g.finishAttempt(id, n, OK, 5)
+				actions = h.finishAttempt(id, n, OK, 5)
 			}
 		}
-		if g.balancer.healthOfZone(0).lost {
-			shed = g.balancer.admission.sustainedShed - shedDeadband
+		if h.balancer.healthOfZone(0).lost {
+			shed = h.balancer.admission.sustainedShed - shedDeadband
 			break
 		}
 	}
@@ -229,23 +229,23 @@
 func TestSheddingEndsWhenLatencyRecovers(t *testing.T) {
 	cfg := baseConfig()
 	cfg.KeyAffinity = true
-	g := newHarness(t, cfg, testServers(60)...)
+	h := newHarness(t, cfg, testServers(60)...)
 	took := 0.32 * cfg.Classes[idempotentClass].LatencyObjective // a little less than what counts as too long
-	for start := g.now; g.now < start+1000; {
-		id, _ := g.request(idempotentClass)
-		g.now += took
-		g.finishAttempt(id, 0, OK, took)
-	}
-	g.balancer.admission.sustainedShed = maxShedFraction + shedDeadband
-	start := g.now
-	for g.balancer.admission.sustainedShed > shedDeadband && g.now < start+60000 {
-		id, actions := g.request(idempotentClass)
-		g.now += took
+	for start := h.now; h.now < start+1000; {
+		id, _ := h.request(idempotentClass)
+		h.now += took
+		h.finishAttempt(id, 0, OK, took)
+	}
+	h.balancer.admission.sustainedShed = maxShedFraction + shedDeadband
+	start := h.now
+	for h.balancer.admission.sustainedShed > shedDeadband && h.now < start+60000 {
+		id, actions := h.request(idempotentClass)
+		h.now += took
 		if _, sent := sentServer(actions); sent {
-			g.finishAttempt(id, 0, OK, took)
+			h.finishAttempt(id, 0, OK, took)
 		}
 	}
-	if ended := g.now - start; ended > 6000 {
+	if ended := h.now - start; ended > 6000 {
 		t.Errorf("shedding went on for %.0f ms", ended)
 	}
 }
@@ -253,24 +253,24 @@
 // A hung server is passed over at once for its load and ejected after several errors. What is stuck there must not look
 // like overload of the fleet.
 func TestHungServerIsNotOverload(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(6)...)
+	h := newHarness(t, baseConfig(), testServers(6)...)
 	hung := 0
 	for range 900 {
-		g.now += 5
-		for _, a := range g.dueTimers() {
-			g.handle(a)
+		h.now += 5
+		for _, a := range h.dueTimers() {
+			h.handle(a)
 		}
-		id, actions := g.request(idempotentClass)
+		id, actions := h.request(idempotentClass)
 		s, ok := sentServer(actions)
 		if !ok {
-			t.Fatalf("request %d was rejected: shed %v", id, g.balancer.admission.sustainedShed)
+			t.Fatalf("request %d was rejected: shed %v", id, h.balancer.admission.sustainedShed)
 		}
 		if s == 1 {
 			hung++
 			continue
 		}
-		g.now++
-		g.finishAttempt(id, 0, OK, 10)
+		h.now++
+		h.finishAttempt(id, 0, OK, 10)
 	}
 	if hung > 40 {
 		t.Fatalf("the hung server got %d of 900", hung)
@@ -278,10 +278,10 @@
 }
 
 // dueTimers returns the timers of open requests that are due.
-func (g *harness) dueTimers() []TimerFired {
+func (h *harness) dueTimers() []TimerFired {
 	var list []TimerFired
-	for id := RequestID(1); id <= g.lastID; id++ {
-		if r := g.balancer.requests.open[id]; r != nil && r.timerAt <= g.now && !r.finished {
+	for id := RequestID(1); id <= h.lastID; id++ {
+		if r := h.balancer.requests.open[id]; r != nil && r.timerAt <= h.now && !r.finished {
 			list = append(list, TimerFired{Token: uint64(id)})
 		}
 	}
@@ -291,33 +291,33 @@
 // In a congested fleet all answers are late, by no server's fault: once the class is known to take long, an attempt of
 // 430 ms with an objective of 300 is no error.
 func TestLateAnswerInCongestedFleetIsNoError(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(4)...)
+	h := newHarness(t, baseConfig(), testServers(4)...)
 	times := []float64{370, 430, 400}
 	for i := range 60 {
-		id, actions := g.request(nonIdempotentClass)
+		id, actions := h.request(nonIdempotentClass)
 		if !hasAction(actions, Send) {
 			continue
 		}
-		end := g.now + times[i%3]
-		for r := g.balancer.requests.open[id]; !r.finished && r.timerAt < end; {
-			g.now = r.timerAt
-			g.handle(TimerFired{Token: uint64(id)})
+		end := h.now + times[i%3]
+		for r := h.balancer.requests.open[id]; !r.finished && r.timerAt < end; {
+			h.now = r.timerAt
+			h.handle(TimerFired{Token: uint64(id)})
 		}
-		g.now = end
-		if i > 30 && g.balancer.requests.open[id].attempts[0].overdue {
+		h.now = end
+		if i > 30 && h.balancer.requests.open[id].attempts[0].overdue {
 			t.Fatalf("attempt %d of %v ms is taken to be overdue after %v", i, times[i%3],
-				g.balancer.overdueAfter(g.balancer.requests.open[id]))
+				h.balancer.overdueAfter(h.balancer.requests.open[id]))
 		}
-		g.finishAttempt(id, 0, OK, times[i%3])
+		h.finishAttempt(id, 0, OK, times[i%3])
 	}
-	g.balancer.admission.sustainedShed = 0
-	id, _ := g.request(nonIdempotentClass)
-	r := g.balancer.requests.open[id]
+	h.balancer.admission.sustainedShed = 0
+	id, _ := h.request(nonIdempotentClass)
+	r := h.balancer.requests.open[id]
 	for !r.attempts[0].overdue {
-		if g.now = r.timerAt; g.now >= r.deadline {
+		if h.now = r.timerAt; h.now >= r.deadline {
 			t.Fatal("nothing looks at the attempt before its deadline")
 		}
-		g.handle(TimerFired{Token: uint64(id)})
+		h.handle(TimerFired{Token: uint64(id)})
 	}
 	if r.attempts[0].server.errors.consecutive == 0 {
 		t.Fatal("an attempt far beyond all others is no error")
@@ -326,47 +326,47 @@
 
 // A restart clears the ejections of a server and its failed health check.
 func TestRestartClearsFaults(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(2)...)
-	s := g.balancer.servers[0]
-	g.handle(HealthCheckResult{Server: s.ID, Result: TimedOut})
-	if !s.errors.healthCheckFailed || !g.balancer.isEjected(s) {
+	h := newHarness(t, baseConfig(), testServers(2)...)
+	s := h.balancer.servers[0]
+	h.handle(HealthCheckResult{Server: s.ID, Result: TimedOut})
+	if !s.errors.healthCheckFailed || !h.balancer.isEjected(s) {
 		t.Fatal("a failed health check does not eject the server")
 	}
 	entry := s.Server
-	entry.StartedAt = g.now
-	g.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{entry}})
-	if s.errors.healthCheckFailed || s.ejection.count != 0 || g.balancer.isEjected(s) {
+	entry.StartedAt = h.now
+	h.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{entry}})
+	if s.errors.healthCheckFailed || s.ejection.count != 0 || h.balancer.isEjected(s) {
 		t.Fatalf("after the restart: health check failed %v, ejections %d", s.errors.healthCheckFailed, s.ejection.count)
 	}
 }
 
 // A server that leaves several attempts unanswered is ejected, and used again after an answer.
 func TestConsecutiveErrorsEjectAServer(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(3)...)
-	sendSequence(g, 20) // servers that are visited often
-	s := g.balancer.servers[0]
+	h := newHarness(t, baseConfig(), testServers(3)...)
+	sendSequence(h, 20) // servers that are visited often
+	s := h.balancer.servers[0]
 	for range errorsBeforeEjection - 1 {
-		g.balancer.recordError(s, false)
+		h.balancer.recordError(s, false)
 	}
-	if g.balancer.isEjected(s) {
+	if h.balancer.isEjected(s) {
 		t.Fatal("ejected before the last error")
 	}
-	g.balancer.recordError(s, false)
-	if !g.balancer.isEjected(s) {
+	h.balancer.recordError(s, false)
+	if !h.balancer.isEjected(s) {
 		t.Fatal("not ejected after the last error")
 	}
 	for range 12 {
-		id, actions := g.request(idempotentClass)
+		id, actions := h.request(idempotentClass)
 		if to, _ := sentServer(actions); to == s.ID {
 			t.Fatal("an ejected server got a request")
 		}
-		g.finishAttempt(id, 0, OK, 10)
+		h.finishAttempt(id, 0, OK, 10)
 	}
-	g.now = s.ejection.until
+	h.now = s.ejection.until
 	for range 12 {
-		id, actions := g.request(idempotentClass)
+		id, actions := h.request(idempotentClass)
 		to, _ := sentServer(actions)
-		if g.finishAttempt(id, 0, OK, 10); to == s.ID && s.ejection.until == 0 && s.errors.consecutive == 0 {
+		if h.finishAttempt(id, 0, OK, 10); to == s.ID && s.ejection.until == 0 && s.errors.consecutive == 0 {
 			return
 		}
 	}
@@ -375,11 +375,11 @@
 
 // If all servers are ejected the cause is hardly theirs.
 func TestAllEjectedServersAreUsed(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(3)...)
-	for _, s := range g.balancer.servers {
-		g.balancer.recordError(s, true)
+	h := newHarness(t, baseConfig(), testServers(3)...)
+	for _, s := range h.balancer.servers {
+		h.balancer.recordError(s, true)
 	}
-	if _, actions := g.request(idempotentClass); !hasAction(actions, Send) {
+	if _, actions := h.request(idempotentClass); !hasAction(actions, Send) {
 		t.Fatalf("nothing was sent: %+v", actions)
 	}
 }
--- a/balance/pick_bench_test.go
+++ b/balance/pick_bench_test.go
@@ -12,14 +12,14 @@
 	for _, n := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			before := heapInUse()
-			g := newPickBenchmark(n)
+			bench := newPickBenchmark(n)
 			for range 7000 { // each key several times
-				g.run()
+				bench.run()
 			}
 			kept := heapInUse() - before
 			b.ReportAllocs()
 			for b.Loop() {
-				g.run()
+				bench.run()
 			}
 			b.ReportMetric(float64(kept)/1024, "KiB-kept")
 		})
@@ -44,39 +44,39 @@
 func newPickBenchmark(servers int) *pickBenchmark {
 	cfg := baseConfig()
 	cfg.SidecarCount, cfg.KeyAffinity = 300, true
-	bal, err := New(cfg)
+	balancer, err := New(cfg)
 	if err != nil {
 		panic(err)
 	}
-	g := &pickBenchmark{b: bal, now: 1e6}
+	bench := &pickBenchmark{b: balancer, now: 1e6}
 	list := testServers(servers)
 	for i := range list {
 		list[i].Cell, list[i].Zone, list[i].Kind = i/8, i%3, i%2
 	}
-	bal.Start(g.now)
-	if _, err := bal.Handle(g.now, EndpointUpdate{Kind: UpdateFull, Servers: list}); err != nil {
+	balancer.Start(bench.now)
+	if _, err := balancer.Handle(bench.now, EndpointUpdate{Kind: UpdateFull, Servers: list}); err != nil {
 		panic(err)
 	}
-	return g
+	return bench
 }
 
 // run handles a request and its answer, and checks nothing: other tests do.
-func (g *pickBenchmark) run() {
-	g.random = splitmix64(g.random + 0x9e3779b97f4a7c15)
-	g.req = Request{ID: g.req.ID + 1, Key: 1 + g.random%700, Timeout: 1000}
-	actions, err := g.b.Handle(g.now, &g.req)
+func (bench *pickBenchmark) run() {
+	bench.random = splitmix64(bench.random + 0x9e3779b97f4a7c15)
+	bench.req = Request{ID: bench.req.ID + 1, Key: 1 + bench.random%700, Timeout: 1000}
+	actions, err := bench.b.Handle(bench.now, &bench.req)
 	if err != nil {
 		panic(err)
 	}
 	for _, a := range actions {
 		if a.Kind == Send {
-			g.out = Outcome{Request: g.req.ID, Server: a.Server, Result: OK, Elapsed: 20 + float64(g.random>>32%10),
+			bench.out = Outcome{Request: bench.req.ID, Server: a.Server, Result: OK, Elapsed: 20 + float64(bench.random>>32%10),
 				RequestDone: true}
-			if _, err := g.b.Handle(g.now+g.out.Elapsed, &g.out); err != nil {
+			if _, err := bench.b.Handle(bench.now+bench.out.Elapsed, &bench.out); err != nil {
 				panic(err)
 			}
 			break // the second call has overwritten the actions
 		}
 	}
-	g.now += 30
+	bench.now += 30
 }
--- a/balance/placement_test.go
+++ b/balance/placement_test.go
@@ -13,18 +13,18 @@
 }
 
 // serveCounting serves n requests one by one and counts them by server.
-func (g *harness) serveCounting(n int, key uint64) map[ServerID]int {
-	g.t.Helper()
+func (h *harness) serveCounting(n int, key uint64) map[ServerID]int {
+	h.t.Helper()
 	got := map[ServerID]int{}
 	for range n {
-		g.now += 10
-		g.lastID++
-		to, sent := sentServer(g.handle(Request{ID: g.lastID, Class: idempotentClass, Key: key, Timeout: 1000}))
+		h.now += 10
+		h.lastID++
+		to, sent := sentServer(h.handle(Request{ID: h.lastID, Class: idempotentClass, Key: key, Timeout: 1000}))
 		if !sent {
-			g.t.Fatal("nothing was sent")
+			h.t.Fatal("nothing was sent")
 		}
 		got[to]++
-		g.finishAttempt(g.lastID, 0, OK, 5)
+		h.finishAttempt(h.lastID, 0, OK, 5)
 	}
 	return got
 }
@@ -33,17 +33,17 @@
 	for _, warm := range []bool{false, true} {
 		cfg := baseConfig()
 		cfg.KeyAffinity = warm
-		g := newHarness(t, cfg, testServers(4)...)
-		g.handle(Placement{Exclusions: []Exclusion{testExclusion(7, 0.5, 1, 2)}})
-		got := g.serveCounting(100, 0)
+		h := newHarness(t, cfg, testServers(4)...)
+		h.handle(Placement{Exclusions: []Exclusion{testExclusion(7, 0.5, 1, 2)}})
+		got := h.serveCounting(100, 0)
 		if got[1]+got[2] > 0 || got[3] < 45 || got[4] < 45 {
 			t.Errorf("warm %v: sent %v, want the load evenly on 3 and 4", warm, got)
 		}
-		if ids := g.balancer.SuspendedExclusions(); ids != nil {
+		if ids := h.balancer.SuspendedExclusions(); ids != nil {
 			t.Errorf("warm %v: suspended %v", warm, ids)
 		}
-		g.handle(Placement{})
-		got = g.serveCounting(100, 0)
+		h.handle(Placement{})
+		got = h.serveCounting(100, 0)
 		if least := min(got[1], got[2], got[3], got[4]); least < 15 || len(got) != 4 {
 			t.Errorf("warm %v: afterwards sent %v, want it on all", warm, got)
 		}
@@ -53,17 +53,17 @@
 func TestExclusionAppliesToItsTenant(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Quota: 0.5}, {Quota: 0.5}}
-	g := newHarness(t, cfg, testServers(4)...)
-	g.handle(Placement{Exclusions: []Exclusion{{ID: 1, Tenant: 1, Servers: []ServerID{1, 2, 3}, ExpiresAt: 1e9}}})
+	h := newHarness(t, cfg, testServers(4)...)
+	h.handle(Placement{Exclusions: []Exclusion{{ID: 1, Tenant: 1, Servers: []ServerID{1, 2, 3}, ExpiresAt: 1e9}}})
 	var got [2]map[ServerID]int
 	for tenant := range got {
 		got[tenant] = map[ServerID]int{}
 		for range 40 {
-			g.now += 10
-			g.lastID++
-			to, _ := sentServer(g.handle(Request{ID: g.lastID, Tenant: tenant, Timeout: 1000}))
+			h.now += 10
+			h.lastID++
+			to, _ := sentServer(h.handle(Request{ID: h.lastID, Tenant: tenant, Timeout: 1000}))
 			got[tenant][to]++
-			g.finishAttempt(g.lastID, 0, OK, 5)
+			h.finishAttempt(h.lastID, 0, OK, 5)
 		}
 	}
 	if len(got[0]) != 4 || got[1][4] != 40 {
@@ -72,38 +72,38 @@
 }
 
 func TestExclusionExpires(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(2)...)
+	h := newHarness(t, baseConfig(), testServers(2)...)
 	k := testExclusion(1, 0, 1)
-	k.ExpiresAt = g.now + 1000
-	g.handle(Placement{Exclusions: []Exclusion{k}})
-	if got := g.serveCounting(50, 0); got[1] > 0 {
+	k.ExpiresAt = h.now + 1000
+	h.handle(Placement{Exclusions: []Exclusion{k}})
+	if got := h.serveCounting(50, 0); got[1] > 0 {
 		t.Errorf("sent %v before its expiry", got)
 	}
-	g.now = k.ExpiresAt
-	if got := g.serveCounting(50, 0); got[1] < 20 {
+	h.now = k.ExpiresAt
+	if got := h.serveCounting(50, 0); got[1] < 20 {
 		t.Errorf("sent %v after its expiry", got)
 	}
 }
 
 // Exclusions are applied in their order, each where enough servers remain; those that are not are reported once a call.
 func TestExclusionsLeaveEnoughServers(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(4)...)
-	g.handle(Placement{Exclusions: []Exclusion{testExclusion(3, 0.5, 1), testExclusion(5, 0.7, 2),
+	h := newHarness(t, baseConfig(), testServers(4)...)
+	h.handle(Placement{Exclusions: []Exclusion{testExclusion(3, 0.5, 1), testExclusion(5, 0.7, 2),
 		testExclusion(4, 0, 2, 77), testExclusion(6, math.NaN(), 3), testExclusion(8, 0.2, 3)}})
-	got := g.serveCounting(40, 0)
+	got := h.serveCounting(40, 0)
 	if got[1] > 0 || got[2] > 0 || got[3] < 15 {
 		t.Errorf("sent %v, want 1 and 2 excluded: 3 and 4 leave less than a half", got)
 	}
-	if ids := g.balancer.SuspendedExclusions(); !slices.Equal(ids, []int{5, 6, 8}) {
+	if ids := h.balancer.SuspendedExclusions(); !slices.Equal(ids, []int{5, 6, 8}) {
 		t.Errorf("suspended %v, want 5, 6 and 8", ids)
 	}
-	if ids := g.balancer.SuspendedExclusions(); ids != nil {
+	if ids := h.balancer.SuspendedExclusions(); ids != nil {
 		t.Errorf("reported again: %v", ids)
 	}
 	// With one more server enough remain for the last one as well.
-	g.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{{ID: 9, RelativeCapacity: 2}}})
-	if got := g.serveCounting(60, 0); got[3] > 0 || got[9] < 30 ||
-		!slices.Equal(g.balancer.SuspendedExclusions(), []int{5, 6}) {
+	h.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{{ID: 9, RelativeCapacity: 2}}})
+	if got := h.serveCounting(60, 0); got[3] > 0 || got[9] < 30 ||
+		!slices.Equal(h.balancer.SuspendedExclusions(), []int{5, 6}) {
 		t.Errorf("sent %v, want 3 excluded as well", got)
 	}
 }
@@ -111,20 +111,20 @@
 // An excluded server serves while all others are ejected or without slow start budget, and the sidecar reports it.
 func TestExcludedServerIsUsedWhenOthersCannotServe(t *testing.T) {
 	for fault, apply := range map[string]func(*harness, *server){
-		"ejected":              func(g *harness, s *server) { s.ejection.until = g.now + 1e6 },
-		"no slow start budget": func(g *harness, s *server) { s.slowStart = slowStartState{since: g.now, tokensAt: g.now} },
+		"ejected":              func(h *harness, s *server) { s.ejection.until = h.now + 1e6 },
+		"no slow start budget": func(h *harness, s *server) { s.slowStart = slowStartState{since: h.now, tokensAt: h.now} },
 	} {
-		g := newHarness(t, baseConfig(), testServers(3)...)
-		g.handle(Placement{Exclusions: []Exclusion{testExclusion(1, 0, 1)}})
-		for _, s := range g.balancer.servers {
+		h := newHarness(t, baseConfig(), testServers(3)...)
+		h.handle(Placement{Exclusions: []Exclusion{testExclusion(1, 0, 1)}})
+		for _, s := range h.balancer.servers {
 			if s.ID != 1 {
-				apply(g, s)
+				apply(h, s)
 			}
 		}
-		if _, actions := g.request(idempotentClass); !hasAction(actions, Send) || actions[len(actions)-2].Server != 1 {
+		if _, actions := h.request(idempotentClass); !hasAction(actions, Send) || actions[len(actions)-2].Server != 1 {
 			t.Errorf("%s: %+v, want it on 1", fault, actions)
 		}
-		if ids := g.balancer.SuspendedExclusions(); !slices.Equal(ids, []int{1}) {
+		if ids := h.balancer.SuspendedExclusions(); !slices.Equal(ids, []int{1}) {
 			t.Errorf("%s: suspended %v", fault, ids)
 		}
 	}
@@ -136,18 +136,18 @@
 		class int
 		want  ServerID
 	}{{idempotentClass, 4}, {allScopeClass, 4}, {cellScopeClass, 2}} {
-		g := newHarness(t, baseConfig(), testServers(4)...) // cells {1 2} {3 4}
-		g.handle(Placement{Exclusions: []Exclusion{testExclusion(1, 0, 2, 3)}})
-		g.balancer.serversByID[1].round.runningWeight = 1e3
-		id, actions := g.request(c.class)
+		h := newHarness(t, baseConfig(), testServers(4)...) // cells {1 2} {3 4}
+		h.handle(Placement{Exclusions: []Exclusion{testExclusion(1, 0, 2, 3)}})
+		h.balancer.serversByID[1].round.runningWeight = 1e3
+		id, actions := h.request(c.class)
 		if to, _ := sentServer(actions); to != 1 {
 			t.Fatalf("class %d: the first went to %d", c.class, to)
 		}
-		g.now += 5
-		if to, _ := sentServer(g.finishAttempt(id, 0, Failed, 5)); to != c.want {
+		h.now += 5
+		if to, _ := sentServer(h.finishAttempt(id, 0, Failed, 5)); to != c.want {
 			t.Errorf("class %d: the retry went to %d, want %d", c.class, to, c.want)
 		}
-		if ids := g.balancer.SuspendedExclusions(); ids != nil {
+		if ids := h.balancer.SuspendedExclusions(); ids != nil {
 			t.Errorf("class %d: suspended %v", c.class, ids)
 		}
 	}
@@ -159,29 +159,29 @@
 func newHotKeyHarness(t *testing.T, replicas ...Replica) *harness {
 	cfg := baseConfig()
 	cfg.KeyAffinity = true
-	g := newHarness(t, cfg, testServers(40)...)
-	g.handle(Placement{HotKeys: []HotKey{{Key: hotTestKey, Replicas: replicas, ExpiresAt: 1e9}}})
-	return g
+	h := newHarness(t, cfg, testServers(40)...)
+	h.handle(Placement{HotKeys: []HotKey{{Key: hotTestKey, Replicas: replicas, ExpiresAt: 1e9}}})
+	return h
 }
 
 // serversOutsideSubset returns servers late in the order of hotTestKey: the key by itself is never sent there.
 func serversOutsideSubset(t *testing.T) (ids []ServerID) {
-	g := newHotKeyHarness(t)
-	for _, s := range g.balancer.keyOrderFor(hotTestKey, 40).servers[25:] {
+	h := newHotKeyHarness(t)
+	for _, s := range h.balancer.keyOrderFor(hotTestKey, 40).servers[25:] {
 		ids = append(ids, s.ID)
 	}
 	return ids
 }
 
 // serveAmongOtherKeys serves n requests for a key, each after thirty for other keys, and counts them by server.
-func (g *harness) serveAmongOtherKeys(n int, key uint64) map[ServerID]int {
-	g.t.Helper()
+func (h *harness) serveAmongOtherKeys(n int, key uint64) map[ServerID]int {
+	h.t.Helper()
 	got := map[ServerID]int{}
 	for range n {
 		for range 30 {
-			g.serveCounting(1, 100+uint64(g.lastID))
+			h.serveCounting(1, 100+uint64(h.lastID))
 		}
-		for to := range g.serveCounting(1, key) {
+		for to := range h.serveCounting(1, key) {
 			got[to]++
 		}
 	}
@@ -190,9 +190,9 @@
 
 func TestHotKeyFollowsLoadFractions(t *testing.T) {
 	far := serversOutsideSubset(t)
-	g := newHotKeyHarness(t, Replica{far[0], 0.5}, Replica{far[1], 0.25}, Replica{far[2], 0}, Replica{999, 0.1},
+	h := newHotKeyHarness(t, Replica{far[0], 0.5}, Replica{far[1], 0.25}, Replica{far[2], 0}, Replica{999, 0.1},
 		Replica{far[3], math.NaN()})
-	got := g.serveAmongOtherKeys(1000, hotTestKey)
+	got := h.serveAmongOtherKeys(1000, hotTestKey)
 	for i, want := range []int{500, 250, 50} {
 		if n := got[far[i]]; math.Abs(float64(n-want)) > 15 {
 			t.Errorf("replica %d got %d of 1000, want %d", i, n, want)
@@ -201,15 +201,15 @@
 	if n := got[far[3]]; n > 65 {
 		t.Errorf("a replica without a load fraction got %d", n)
 	}
-	if other := g.serveAmongOtherKeys(100, 10); other[far[0]]+other[far[1]] > 20 {
+	if other := h.serveAmongOtherKeys(100, 10); other[far[0]]+other[far[1]] > 20 {
 		t.Errorf("another key went to its replicas: %v", other)
 	}
 }
 
 func TestLoadFractionsSumToOneAtMost(t *testing.T) {
 	far := serversOutsideSubset(t)
-	g := newHotKeyHarness(t, Replica{far[0], 1e300}, Replica{far[1], 1}, Replica{far[2], -4})
-	got := g.serveAmongOtherKeys(400, hotTestKey)
+	h := newHotKeyHarness(t, Replica{far[0], 1e300}, Replica{far[1], 1}, Replica{far[2], -4})
+	got := h.serveAmongOtherKeys(400, hotTestKey)
 	if got[far[0]] < 180 || got[far[1]] < 180 {
 		t.Errorf("sent %v, want half on each of the two", got)
 	}
@@ -218,25 +218,25 @@
 func TestUnavailableReplicaReceivesNothing(t *testing.T) {
 	far := serversOutsideSubset(t)
 	for name, impair := range map[string]func(*harness, *server){
-		"draining": func(g *harness, s *server) {
+		"draining": func(h *harness, s *server) {
 			entry := s.Server
 			entry.State = Draining
-			g.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{entry}})
+			h.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{entry}})
 		},
-		"ejected": func(g *harness, s *server) { s.ejection.until = 1e9; g.balancer.scheduleRefresh(s) },
-		"no slow start budget": func(g *harness, s *server) {
-			s.slowStart.since, s.slowStart.tokens, s.slowStart.tokensAt = g.now, -1e9, g.now
-			g.balancer.scheduleRefresh(s)
+		"ejected": func(h *harness, s *server) { s.ejection.until = 1e9; h.balancer.scheduleRefresh(s) },
+		"no slow start budget": func(h *harness, s *server) {
+			s.slowStart.since, s.slowStart.tokens, s.slowStart.tokensAt = h.now, -1e9, h.now
+			h.balancer.scheduleRefresh(s)
 		},
-		"excluded": func(g *harness, s *server) {
-			g.handle(Placement{Exclusions: []Exclusion{testExclusion(1, 0, s.ID)},
+		"excluded": func(h *harness, s *server) {
+			h.handle(Placement{Exclusions: []Exclusion{testExclusion(1, 0, s.ID)},
 				HotKeys: []HotKey{{Key: hotTestKey, Replicas: []Replica{{s.ID, 0.5}}, ExpiresAt: 1e9}}})
 		},
-		"over its load bound": func(g *harness, s *server) { g.balancer.addInFlight(s, 50) },
+		"over its load bound": func(h *harness, s *server) { h.balancer.addInFlight(s, 50) },
 	} {
-		g := newHotKeyHarness(t, Replica{far[0], 0.5})
-		impair(g, g.balancer.serversByID[far[0]])
-		if got := g.serveAmongOtherKeys(25, hotTestKey); got[far[0]] > 0 { // too few to end the slow start
+		h := newHotKeyHarness(t, Replica{far[0], 0.5})
+		impair(h, h.balancer.serversByID[far[0]])
+		if got := h.serveAmongOtherKeys(25, hotTestKey); got[far[0]] > 0 { // too few to end the slow start
 			t.Errorf("%s: the replica got %d of 25", name, got[far[0]])
 		}
 	}
@@ -244,15 +244,15 @@
 
 func TestHotKeyExpiresAndKeepsItsPhase(t *testing.T) {
 	far := serversOutsideSubset(t)
-	g := newHotKeyHarness(t, Replica{far[0], 0.5})
-	g.serveAmongOtherKeys(3, hotTestKey)
-	at := g.balancer.placement.hotKeys[hotTestKey].phase
-	g.handle(Placement{HotKeys: []HotKey{{Key: hotTestKey, Replicas: []Replica{{far[0], 0.5}}, ExpiresAt: g.now + 500}}})
-	if g.balancer.placement.hotKeys[hotTestKey].phase != at {
+	h := newHotKeyHarness(t, Replica{far[0], 0.5})
+	h.serveAmongOtherKeys(3, hotTestKey)
+	at := h.balancer.placement.hotKeys[hotTestKey].phase
+	h.handle(Placement{HotKeys: []HotKey{{Key: hotTestKey, Replicas: []Replica{{far[0], 0.5}}, ExpiresAt: h.now + 500}}})
+	if h.balancer.placement.hotKeys[hotTestKey].phase != at {
 		t.Error("a repeated placement resets the key's phase")
 	}
-	g.now += 500
-	if got := g.serveAmongOtherKeys(50, hotTestKey); got[far[0]] > 0 {
+	h.now += 500
+	if got := h.serveAmongOtherKeys(50, hotTestKey); got[far[0]] > 0 {
 		t.Errorf("sent %v after its expiry", got)
 	}
 }
@@ -260,15 +260,15 @@
 // The index changes no pick under placements either.
 func TestIndexedPickMatchesReferenceUnderPlacement(t *testing.T) {
 	for seed := range int64(9) {
-		w := newDifferentialPair(t, seed)
+		pair := newDifferentialPair(t, seed)
 		for i := range 800 {
 			if i%25 == 0 {
-				w.randomPlacement()
+				pair.randomPlacement()
 			}
-			w.step()
+			pair.step()
 		}
-		if w.sends < 100 {
-			t.Fatalf("seed %d: only %d sends", seed, w.sends)
+		if pair.sends < 100 {
+			t.Fatalf("seed %d: only %d sends", seed, pair.sends)
 		}
 	}
 }
@@ -281,71 +281,73 @@
 		cfg.Seed = uint64(seed)
 		cfg.AllowParallelAttempts, cfg.AllowCancel, cfg.KeyAffinity = seed%2 == 0, seed%3 != 0, seed%3 == 1
 		cfg.Tenants = []Tenant{{Quota: 0.7}, {Quota: 0.3}}
-		w := newRuleChecker(t, random, cfg)
-		w.randomUpdate(UpdateCached)
+		checker := newRuleChecker(t, random, cfg)
+		checker.randomUpdate(UpdateCached)
 		var exclusions []Exclusion
 		for id := RequestID(1); id <= 600; id++ {
-			w.now += random.ExpFloat64() * 8
-			w.fireTimers()
+			checker.now += random.ExpFloat64() * 8
+			checker.fireTimers()
 			if random.Intn(15) == 0 {
-				exclusions = w.randomPlacement()
+				exclusions = checker.randomPlacement()
 			}
-			w.balancer.SuspendedExclusions()
-			w.randomEvent(id)
-			o := w.openRequests[id]
-			if o == nil || len(o.attempts) != 1 || o.attempts[0].sentAt != w.now {
+			checker.balancer.SuspendedExclusions()
+			checker.randomEvent(id)
+			o := checker.openRequests[id]
+			if o == nil || len(o.attempts) != 1 || o.attempts[0].sentAt != checker.now {
 				continue
 			}
-			suspended := w.balancer.SuspendedExclusions()
+			suspended := checker.balancer.SuspendedExclusions()
 			for _, k := range exclusions { // all requests are of tenant 0
-				if k.Tenant <= 0 && k.ExpiresAt > w.now && slices.Contains(k.Servers, o.attempts[0].server.ID) &&
+				if k.Tenant <= 0 && k.ExpiresAt > checker.now && slices.Contains(k.Servers, o.attempts[0].server.ID) &&
 					!slices.Contains(suspended, k.ID) {
 					t.Fatalf("seed %d: request %d went to %d, from which %+v excludes it", seed, id, o.attempts[0].server.ID, k)
 				}
 			}
 		}
-		for w.now += 10; len(w.timers) > 0 && w.anyOpen(); w.now += 10 {
-			w.fireTimers()
+		for checker.now += 10; len(checker.timers) > 0 && checker.anyOpen(); checker.now += 10 {
+			checker.fireTimers()
 		}
-		if w.anyOpen() {
+		if checker.anyOpen() {
 			t.Fatalf("seed %d: a request was never answered", seed)
 		}
 	}
 }
 
-func (w *ruleChecker) randomPlacement() []Exclusion {
+func (checker *ruleChecker) randomPlacement() []Exclusion {
 	odd := []float64{0, 0.3, 0.7, 1, -1, 5, math.NaN(), math.Inf(1)}
-	number := func() float64 { return odd[w.random.Intn(len(odd))] }
-	until := func() float64 { return w.now + []float64{500, 2000, -1, math.NaN(), math.Inf(1)}[w.random.Intn(5)] }
+	number := func() float64 { return odd[checker.random.Intn(len(odd))] }
+	until := func() float64 {
+		return checker.now + []float64{500, 2000, -1, math.NaN(), math.Inf(1)}[checker.random.Intn(5)]
+	}
 	servers := func() (ids []ServerID) {
-		for range w.random.Intn(10) {
-			ids = append(ids, ServerID(w.random.Intn(14)))
+		for range checker.random.Intn(10) {
+			ids = append(ids, ServerID(checker.random.Intn(14)))
 		}
 		return ids
 	}
 	var p Placement
-	for id := range w.random.Intn(4) {
-		p.Exclusions = append(p.Exclusions, Exclusion{ID: id, Tenant: w.random.Intn(4) - 1, Servers: servers(),
+	for id := range checker.random.Intn(4) {
+		p.Exclusions = append(p.Exclusions, Exclusion{ID: id, Tenant: checker.random.Intn(4) - 1, Servers: servers(),
 			MinAvailable: number(), ExpiresAt: until()})
 	}
-	for range w.random.Intn(4) {
-		s := HotKey{Key: uint64(w.random.Intn(4)), ExpiresAt: until()}
+	for range checker.random.Intn(4) {
+		s := HotKey{Key: uint64(checker.random.Intn(4)), ExpiresAt: until()}
 		for _, id := range servers() {
 			s.Replicas = append(s.Replicas, Replica{id, number()})
 		}
 		p.HotKeys = append(p.HotKeys, s)
 	}
-	w.handle(p)
+	checker.handle(p)
 	return p.Exclusions
 }
 
 // A sidecar whose own traffic distributes a key over more servers than there are replicas is not narrowed by them.
 func TestReplicasDoNotNarrowAKey(t *testing.T) {
 	far := serversOutsideSubset(t)
-	g := newHotKeyHarness(t, Replica{far[0], 0.9})
+	h := newHotKeyHarness(t, Replica{far[0], 0.9})
 	got := map[ServerID]int{}
 	for range 400 {
-		for to := range g.serveCounting(1, hotTestKey) {
+		for to := range h.serveCounting(1, hotTestKey) {
 			got[to]++
 		}
 	}
--- a/balance/races_test.go
+++ b/balance/races_test.go
@@ -9,31 +9,31 @@
 // A request that must not be executed twice is neither retried nor rejected, whatever ends its attempt and whatever else
 // happens. If the attempt was surely not executed it is retried while there is time and a server, and rejected otherwise.
 func TestNoRetryAfterPossibleExecution(t *testing.T) {
-	for name, meanwhile := range map[string]func(g *harness, id RequestID){
+	for name, meanwhile := range map[string]func(h *harness, id RequestID){
 		"quiet":          func(*harness, RequestID) {},
-		"draining":       func(g *harness, id RequestID) { g.drain(g.balancer.requests.open[id].attempts[0].server.ID) },
-		"shedding":       func(g *harness, _ RequestID) { g.balancer.admission.sustainedShed = maxShedFraction + shedDeadband },
-		"past objective": func(g *harness, _ RequestID) { g.now += 350 },
-		"deadline":       func(g *harness, id RequestID) { g.now = g.balancer.requests.open[id].deadline },
+		"draining":       func(h *harness, id RequestID) { h.drain(h.balancer.requests.open[id].attempts[0].server.ID) },
+		"shedding":       func(h *harness, _ RequestID) { h.balancer.admission.sustainedShed = maxShedFraction + shedDeadband },
+		"past objective": func(h *harness, _ RequestID) { h.now += 350 },
+		"deadline":       func(h *harness, id RequestID) { h.now = h.balancer.requests.open[id].deadline },
 	} {
 		for _, class := range []int{nonIdempotentClass, cellScopeClass} {
-			for res := OK; res <= Obsolete; res++ {
-				t.Run(fmt.Sprintf("%s/class%d/result%d", name, class, res), func(t *testing.T) {
+			for result := OK; result <= Obsolete; result++ {
+				t.Run(fmt.Sprintf("%s/class%d/result%d", name, class, result), func(t *testing.T) {
 					cfg := baseConfig()
 					cfg.Classes[cellScopeClass].LatencyObjective, cfg.Classes[cellScopeClass].IdempotencyWindow = 300, 0 // its key is forgotten at once
-					g := newHarness(t, cfg, testServers(8)...)
-					id, _ := g.request(class)
-					meanwhile(g, id)
-					before := len(g.actions)
-					g.finishAttempt(id, 0, res, 100)
-					g.runTimers(id)
-					actions := g.actions[before:]
+					h := newHarness(t, cfg, testServers(8)...)
+					id, _ := h.request(class)
+					meanwhile(h, id)
+					before := len(h.actions)
+					h.finishAttempt(id, 0, result, 100)
+					h.runTimers(id)
+					actions := h.actions[before:]
 					resent := hasAction(actions, Send)
-					neverExecuted := slices.Contains([]Result{Overloaded, ConnectFailed, Obsolete}, res)
+					neverExecuted := slices.Contains([]Result{Overloaded, ConnectFailed, Obsolete}, result)
 					switch final := hasAction(actions, Fail) || hasAction(actions, Reject); {
-					case res == OK && (final || resent):
+					case result == OK && (final || resent):
 						t.Fatalf("after the answer: %+v", actions)
-					case res != OK && !neverExecuted && (resent || !hasAction(actions, Fail) || hasAction(actions, Reject)):
+					case result != OK && !neverExecuted && (resent || !hasAction(actions, Fail) || hasAction(actions, Reject)):
 						t.Fatalf("it may have been executed: %+v", actions)
 					case neverExecuted && (hasAction(actions, Fail) || final == resent):
 						t.Fatalf("it was not executed, sent again is %v: %+v", resent, actions)
@@ -47,87 +47,87 @@
 }
 
 // runTimers fires a request's timers until it is answered or sent.
-func (g *harness) runTimers(id RequestID) {
+func (h *harness) runTimers(id RequestID) {
 	for range 200 {
-		r := g.balancer.requests.open[id]
+		r := h.balancer.requests.open[id]
 		if r == nil || r.finished || r.inFlight > 0 {
 			return
 		}
-		g.now = r.timerAt
-		g.handle(TimerFired{Token: uint64(id)})
+		h.now = r.timerAt
+		h.handle(TimerFired{Token: uint64(id)})
 	}
-	g.t.Fatal("no end")
+	h.t.Fatal("no end")
 }
 
-func (g *harness) drain(ids ...ServerID) {
+func (h *harness) drain(ids ...ServerID) {
 	var entries []Server
 	for _, id := range ids {
-		e := g.balancer.serversByID[id].Server
+		e := h.balancer.serversByID[id].Server
 		e.State = Draining
 		entries = append(entries, e)
 	}
-	g.handle(EndpointUpdate{Kind: UpdateDelta, Servers: entries})
+	h.handle(EndpointUpdate{Kind: UpdateDelta, Servers: entries})
 }
 
 // Nothing is sent for a client that has disconnected: not if its request waits for its first attempt, not between two, not
 // while one is in flight, and not if the outcome comes first.
 func TestNothingIsSentAfterClientDisconnects(t *testing.T) {
-	wake := func(g *harness, id RequestID) {
+	wake := func(h *harness, id RequestID) {
 		for range 20 {
-			g.now += 40
-			g.handle(TimerFired{Token: uint64(id)})
+			h.now += 40
+			h.handle(TimerFired{Token: uint64(id)})
 		}
 	}
-	back := func(g *harness, id RequestID) {
-		g.handle(EndpointUpdate{Kind: UpdateFull, Servers: testServers(4)})
-		wake(g, id)
+	back := func(h *harness, id RequestID) {
+		h.handle(EndpointUpdate{Kind: UpdateFull, Servers: testServers(4)})
+		wake(h, id)
 	}
 	for name, c := range map[string]struct {
 		servers int
 		probes  bool
-		before  func(g *harness, id RequestID) // the client disconnects
-		after   func(g *harness, id RequestID)
+		before  func(h *harness, id RequestID) // the client disconnects
+		after   func(h *harness, id RequestID)
 	}{
 		"waits for its first attempt": {0, false, func(*harness, RequestID) {}, back},
-		"waits for a probe": {1, true, func(*harness, RequestID) {}, func(g *harness, id RequestID) {
-			g.handle(HealthCheckResult{Server: 1, Elapsed: 1, LoadReport: []float32{0}})
-			wake(g, id)
+		"waits for a probe": {1, true, func(*harness, RequestID) {}, func(h *harness, id RequestID) {
+			h.handle(HealthCheckResult{Server: 1, Elapsed: 1, LoadReport: []float32{0}})
+			wake(h, id)
 		}},
-		"waits between two attempts": {1, false, func(g *harness, id RequestID) {
-			g.finishAttempt(id, 0, Overloaded, 1)
+		"waits between two attempts": {1, false, func(h *harness, id RequestID) {
+			h.finishAttempt(id, 0, Overloaded, 1)
 		}, back},
-		"its server drained": {1, false, func(g *harness, id RequestID) {
-			g.drain(1)
-			g.finishAttempt(id, 0, ConnectFailed, 1)
+		"its server drained": {1, false, func(h *harness, id RequestID) {
+			h.drain(1)
+			h.finishAttempt(id, 0, ConnectFailed, 1)
 		}, back},
-		"an attempt is out": {4, false, func(*harness, RequestID) {}, func(g *harness, id RequestID) {
-			g.finishAttempt(id, 0, Failed, 50)
-			wake(g, id)
+		"an attempt is out": {4, false, func(*harness, RequestID) {}, func(h *harness, id RequestID) {
+			h.finishAttempt(id, 0, Failed, 50)
+			wake(h, id)
 		}},
-		"an attempt is out, given up": {4, false, func(*harness, RequestID) {}, func(g *harness, id RequestID) {
-			wake(g, id)
-			g.finishAttempt(id, 0, Cancelled, 800)
-			wake(g, id)
+		"an attempt is out, given up": {4, false, func(*harness, RequestID) {}, func(h *harness, id RequestID) {
+			wake(h, id)
+			h.finishAttempt(id, 0, Cancelled, 800)
+			wake(h, id)
 		}},
-		"it was answered": {4, false, func(g *harness, id RequestID) { g.finishAttempt(id, 0, OK, 50) }, wake},
+		"it was answered": {4, false, func(h *harness, id RequestID) { h.finishAttempt(id, 0, OK, 50) }, wake},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := baseConfig()
 			if c.probes {
 				cfg = healthCheckConfig()
 			}
-			g := newHarness(t, cfg, testServers(c.servers)...)
-			id, _ := g.request(idempotentClass)
-			c.before(g, id)
-			out := g.balancer.requests.open[id] != nil && g.balancer.requests.open[id].inFlight > 0
-			if actions := g.handle(ClientDisconnected{Request: id}); hasAction(actions, Cancel) != out {
+			h := newHarness(t, cfg, testServers(c.servers)...)
+			id, _ := h.request(idempotentClass)
+			c.before(h, id)
+			out := h.balancer.requests.open[id] != nil && h.balancer.requests.open[id].inFlight > 0
+			if actions := h.handle(ClientDisconnected{Request: id}); hasAction(actions, Cancel) != out {
 				t.Fatalf("attempt in flight: %v, got %+v", out, actions)
 			}
-			from := len(g.actions)
-			c.after(g, id)
-			if actions := g.actions[from:]; hasAction(actions, Send) || hasAction(actions, Reject) ||
-				hasAction(actions, Fail) || len(g.balancer.requests.open) != 0 {
-				t.Fatalf("%d requests left, %+v", len(g.balancer.requests.open), actions)
+			from := len(h.actions)
+			c.after(h, id)
+			if actions := h.actions[from:]; hasAction(actions, Send) || hasAction(actions, Reject) ||
+				hasAction(actions, Fail) || len(h.balancer.requests.open) != 0 {
+				t.Fatalf("%d requests left, %+v", len(h.balancer.requests.open), actions)
 			}
 		})
 	}
@@ -137,21 +137,21 @@
 // the outcome is still recorded: nothing of the request remains.
 func TestOutcomeThatCrossesTheFinalAnswer(t *testing.T) {
 	for _, class := range []int{idempotentClass, nonIdempotentClass, cellScopeClass} {
-		for res := OK; res <= Obsolete; res++ {
-			g := newHarness(t, baseConfig(), testServers(4)...)
-			id, _ := g.request(class)
-			s := g.balancer.requests.open[id].attempts[0].server
-			g.now = g.balancer.requests.open[id].deadline
-			actions := g.handle(TimerFired{Token: uint64(id)})
+		for result := OK; result <= Obsolete; result++ {
+			h := newHarness(t, baseConfig(), testServers(4)...)
+			id, _ := h.request(class)
+			s := h.balancer.requests.open[id].attempts[0].server
+			h.now = h.balancer.requests.open[id].deadline
+			actions := h.handle(TimerFired{Token: uint64(id)})
 			if hasAction(actions, Fail) == hasAction(actions, Reject) || !hasAction(actions, Cancel) {
 				t.Fatalf("class %d at its deadline: %+v", class, actions)
 			}
-			actions = g.handle(Outcome{Request: id, Server: s.ID, Result: res, Elapsed: 1, RequestDone: res == OK})
-			if len(actions) != 0 || len(g.balancer.requests.open) != 0 || s.inFlight != 0 {
-				t.Errorf("class %d, result %d: %d requests left, %d in flight, %+v", class, res,
-					len(g.balancer.requests.open), s.inFlight, actions)
+			actions = h.handle(Outcome{Request: id, Server: s.ID, Result: result, Elapsed: 1, RequestDone: result == OK})
+			if len(actions) != 0 || len(h.balancer.requests.open) != 0 || s.inFlight != 0 {
+				t.Errorf("class %d, result %d: %d requests left, %d in flight, %+v", class, result,
+					len(h.balancer.requests.open), s.inFlight, actions)
 			}
-			if _, err := g.balancer.Handle(g.now, Outcome{Request: id, Server: s.ID, Result: res,
+			if _, err := h.balancer.Handle(h.now, Outcome{Request: id, Server: s.ID, Result: result,
 				RequestDone: true}); err == nil {
 				t.Errorf("class %d: an attempt ended twice", class)
 			}
@@ -163,39 +163,39 @@
 // waits for its health check. If no other server is left the request is rejected in time.
 func TestDrainBeforeSend(t *testing.T) {
 	t.Run("repeat", func(t *testing.T) {
-		g := newHarness(t, baseConfig(), testServers(2)...)
-		id, actions := g.request(nonIdempotentClass)
+		h := newHarness(t, baseConfig(), testServers(2)...)
+		id, actions := h.request(nonIdempotentClass)
 		first, _ := sentServer(actions)
-		g.drain(3 - first)
-		if actions = g.finishAttempt(id, 0, Overloaded, 1); hasAction(actions, Send) {
+		h.drain(3 - first)
+		if actions = h.finishAttempt(id, 0, Overloaded, 1); hasAction(actions, Send) {
 			t.Fatalf("%+v", actions)
 		}
-		g.runTimers(id)
-		if !hasAction(g.actions, Reject) || len(g.balancer.requests.open) != 0 {
-			t.Fatalf("not rejected: %+v", g.actions)
+		h.runTimers(id)
+		if !hasAction(h.actions, Reject) || len(h.balancer.requests.open) != 0 {
+			t.Fatalf("not rejected: %+v", h.actions)
 		}
 	})
 	t.Run("probe", func(t *testing.T) {
-		g := newHarness(t, healthCheckConfig(), testServers(1)...)
-		id, actions := g.request(idempotentClass)
+		h := newHarness(t, healthCheckConfig(), testServers(1)...)
+		id, actions := h.request(idempotentClass)
 		if !hasAction(actions, HealthCheck) || hasAction(actions, Send) {
 			t.Fatalf("it does not wait for its health check: %+v", actions)
 		}
-		g.drain(1)
-		g.handle(HealthCheckResult{Server: 1, Elapsed: 1, LoadReport: []float32{0}})
-		g.runTimers(id)
-		if hasAction(g.actions, Send) || !hasAction(g.actions, Reject) || len(g.balancer.requests.open) != 0 {
-			t.Fatalf("not rejected: %+v", g.actions)
+		h.drain(1)
+		h.handle(HealthCheckResult{Server: 1, Elapsed: 1, LoadReport: []float32{0}})
+		h.runTimers(id)
+		if hasAction(h.actions, Send) || !hasAction(h.actions, Reject) || len(h.balancer.requests.open) != 0 {
+			t.Fatalf("not rejected: %+v", h.actions)
 		}
 	})
 	t.Run("back in time", func(t *testing.T) { // a waiting request is sent once there is a server
-		g := newHarness(t, baseConfig(), testServers(1)...)
-		g.drain(1)
-		id, _ := g.request(idempotentClass)
-		g.now += 100
-		g.handle(EndpointUpdate{Kind: UpdateFull, Servers: testServers(1)})
-		if g.runTimers(id); !slices.ContainsFunc(g.actions, func(a Action) bool { return a.Kind == Send && a.Request == id }) {
-			t.Fatalf("not sent: %+v", g.actions)
+		h := newHarness(t, baseConfig(), testServers(1)...)
+		h.drain(1)
+		id, _ := h.request(idempotentClass)
+		h.now += 100
+		h.handle(EndpointUpdate{Kind: UpdateFull, Servers: testServers(1)})
+		if h.runTimers(id); !slices.ContainsFunc(h.actions, func(a Action) bool { return a.Kind == Send && a.Request == id }) {
+			t.Fatalf("not sent: %+v", h.actions)
 		}
 	})
 }
@@ -203,26 +203,26 @@
 // An attempt is cancelled as its server is unreachable, and its answer is on the way: whichever wins, there is one answer.
 func TestAnswerThatCrossesACancel(t *testing.T) {
 	for _, class := range []int{idempotentClass, cellScopeClass, allScopeClass} {
-		for _, res := range []Result{OK, Failed, Reset, TimedOut, Cancelled} {
-			g := newHarness(t, baseConfig(), testServers(2)...)
+		for _, result := range []Result{OK, Failed, Reset, TimedOut, Cancelled} {
+			h := newHarness(t, baseConfig(), testServers(2)...)
 			ids := map[ServerID][]RequestID{}
 			for range 4 {
-				id, actions := g.request(class)
+				id, actions := h.request(class)
 				to, _ := sentServer(actions)
 				ids[to] = append(ids[to], id)
 			}
 			down, up := ids[1][0], ids[1][1]
 			cancelled := func(a Action) bool { return a.Kind == Cancel && a.Request == up }
-			if actions := g.finishAttempt(down, 0, ConnectFailed, 100); !slices.ContainsFunc(actions, cancelled) {
+			if actions := h.finishAttempt(down, 0, ConnectFailed, 100); !slices.ContainsFunc(actions, cancelled) {
 				t.Fatalf("class %d: not cancelled: %+v", class, actions)
 			}
-			actions := g.finishAttempt(up, 0, res, 100)
-			if to, sent := sentServer(actions); sent != (res != OK) || sent && to != 2 || hasAction(actions, Reject) ||
+			actions := h.finishAttempt(up, 0, result, 100)
+			if to, sent := sentServer(actions); sent != (result != OK) || sent && to != 2 || hasAction(actions, Reject) ||
 				hasAction(actions, Fail) {
-				t.Errorf("class %d, result %d: sent again is %v, %+v", class, res, sent, actions)
+				t.Errorf("class %d, result %d: sent again is %v, %+v", class, result, sent, actions)
 			}
-			if left := g.balancer.requests.open[up] != nil; left != (res != OK) {
-				t.Errorf("class %d, result %d: retained is %v", class, res, left)
+			if left := h.balancer.requests.open[up] != nil; left != (result != OK) {
+				t.Errorf("class %d, result %d: retained is %v", class, result, left)
 			}
 		}
 	}
@@ -231,17 +231,17 @@
 // A health check that was never sent, as no descriptor was free for example, says nothing of the server.
 func TestHealthCheckThatWasNeverSent(t *testing.T) {
 	for _, result := range []Result{Obsolete, Cancelled, ConnectFailed} {
-		g := newHarness(t, healthCheckConfig(), testServers(2)...)
-		g.request(idempotentClass)
-		s := g.balancer.serversByID[1]
+		h := newHarness(t, healthCheckConfig(), testServers(2)...)
+		h.request(idempotentClass)
+		s := h.balancer.serversByID[1]
 		if !s.healthCheckPending {
 			t.Fatal("no health check is pending")
 		}
-		g.handle(HealthCheckResult{Server: 1, Result: result})
-		if blamed := s.errors.healthCheckFailed || g.balancer.isEjected(s); blamed != (result == ConnectFailed) ||
+		h.handle(HealthCheckResult{Server: 1, Result: result})
+		if blamed := s.errors.healthCheckFailed || h.balancer.isEjected(s); blamed != (result == ConnectFailed) ||
 			s.healthCheckPending {
 			t.Errorf("result %d: failed %v, ejected %v, pending %v", result, s.errors.healthCheckFailed,
-				g.balancer.isEjected(s), s.healthCheckPending)
+				h.balancer.isEjected(s), s.healthCheckPending)
 		}
 	}
 }
--- a/balance/reference_pick_test.go
+++ b/balance/reference_pick_test.go
@@ -184,161 +184,161 @@
 	if seed%7 == 3 {
 		cfg.SlowStartMinCapacity, cfg.SlowStartDuration = 0, 300
 	}
-	w := &differentialPair{t: t, random: random, config: cfg, now: 5000, servers: map[ServerID]Server{},
+	pair := &differentialPair{t: t, random: random, config: cfg, now: 5000, servers: map[ServerID]Server{},
 		attempts: map[RequestID]int{}, lostZone: -1}
-	for i := range w.balancers {
-		w.balancers[i] = mustNew(t, cfg)
-		w.balancers[i].Start(w.now)
+	for i := range pair.balancers {
+		pair.balancers[i] = mustNew(t, cfg)
+		pair.balancers[i].Start(pair.now)
 	}
-	w.balancers[1].selectServer = w.balancers[1].referencePick
+	pair.balancers[1].selectServer = pair.balancers[1].referencePick
 	for id := range ServerID([]int{6, 60, 160}[seed%3]) {
-		w.servers[id+1] = w.server(id + 1)
+		pair.servers[id+1] = pair.server(id + 1)
 	}
-	w.updateEndpoints(UpdateFull)
-	return w
+	pair.updateEndpoints(UpdateFull)
+	return pair
 }
 
-func (w *differentialPair) server(id ServerID) Server {
-	s := Server{ID: id, RelativeCapacity: 0.5 + w.random.Float64(), Cell: int(id) / 4, Zone: int(id) % 3, Kind: int(id) % 2}
-	if w.random.Intn(8) == 0 {
-		s.StartedAt = w.now
+func (pair *differentialPair) server(id ServerID) Server {
+	s := Server{ID: id, RelativeCapacity: 0.5 + pair.random.Float64(), Cell: int(id) / 4, Zone: int(id) % 3, Kind: int(id) % 2}
+	if pair.random.Intn(8) == 0 {
+		s.StartedAt = pair.now
 	}
 	return s
 }
 
 // updateEndpoints delivers all servers, or a random part of them for an UpdateDelta.
-func (w *differentialPair) updateEndpoints(kind UpdateKind) {
+func (pair *differentialPair) updateEndpoints(kind UpdateKind) {
 	var entries []Server
 	for id := ServerID(1); int(id) <= 200; id++ {
-		if s, ok := w.servers[id]; ok && (kind != UpdateDelta || w.random.Intn(10) == 0) {
+		if s, ok := pair.servers[id]; ok && (kind != UpdateDelta || pair.random.Intn(10) == 0) {
 			entries = append(entries, s)
 		}
 	}
-	w.handle(EndpointUpdate{Kind: kind, Servers: entries})
+	pair.handle(EndpointUpdate{Kind: kind, Servers: entries})
 }
 
 // handle has both handle an event and compares their actions.
-func (w *differentialPair) handle(ev Event) {
-	w.t.Helper()
-	actions, err := w.balancers[0].Handle(w.now, ev)
+func (pair *differentialPair) handle(ev Event) {
+	pair.t.Helper()
+	actions, err := pair.balancers[0].Handle(pair.now, ev)
 	actions = slices.Clone(actions)
-	plain, plainErr := w.balancers[1].Handle(w.now, ev)
+	plain, plainErr := pair.balancers[1].Handle(pair.now, ev)
 	if !slices.EqualFunc(actions, plain, func(a, p Action) bool { return reflect.DeepEqual(a, p) }) || err != nil ||
 		plainErr != nil {
-		w.t.Fatalf("at %v, %T %+v: %v %+v, the reference %v %+v", w.now, ev, ev, err, actions, plainErr, plain)
+		pair.t.Fatalf("at %v, %T %+v: %v %+v, the reference %v %+v", pair.now, ev, ev, err, actions, plainErr, plain)
 	}
 	for _, a := range actions {
 		switch a.Kind {
 		case Send:
-			w.balancers[0].checkSlowStartBudgetKept(w.t, a)
-			w.sends++
-			a.Attempt = w.attempts[a.Request]
-			w.attempts[a.Request]++
-			w.inFlight = append(w.inFlight, a)
+			pair.balancers[0].checkSlowStartBudgetKept(pair.t, a)
+			pair.sends++
+			a.Attempt = pair.attempts[a.Request]
+			pair.attempts[a.Request]++
+			pair.inFlight = append(pair.inFlight, a)
 		case SetTimer:
 			if a.Token != discoveryTimer {
-				w.timers = append(w.timers, pendingTimer{w.now + a.Delay, a.Token})
+				pair.timers = append(pair.timers, pendingTimer{pair.now + a.Delay, a.Token})
 			}
 		}
 	}
 }
 
-func (w *differentialPair) step() {
-	w.now += w.random.ExpFloat64() * 6
-	for i := 0; i < len(w.timers); i++ {
-		if p := w.timers[i]; p.at <= w.now {
-			w.timers = slices.Delete(w.timers, i, i+1)
-			w.handle(TimerFired{Token: p.token})
+func (pair *differentialPair) step() {
+	pair.now += pair.random.ExpFloat64() * 6
+	for i := 0; i < len(pair.timers); i++ {
+		if p := pair.timers[i]; p.at <= pair.now {
+			pair.timers = slices.Delete(pair.timers, i, i+1)
+			pair.handle(TimerFired{Token: p.token})
 			i = -1
 		}
 	}
-	switch n := w.random.Intn(200); {
+	switch n := pair.random.Intn(200); {
 	case n < 80:
-		w.lastID++
-		class := w.random.Intn(len(w.config.Classes))
-		key := uint64(w.random.Intn(40) * w.random.Intn(10)) // some frequent, some rare, some requests without
-		w.handle(Request{ID: w.lastID, Class: class, Key: key, Timeout: w.config.Classes[class].Deadline})
-	case n < 180 && len(w.inFlight) > 0:
-		w.endAttempt(w.random.Intn(len(w.inFlight)))
+		pair.lastID++
+		class := pair.random.Intn(len(pair.config.Classes))
+		key := uint64(pair.random.Intn(40) * pair.random.Intn(10)) // some frequent, some rare, some requests without
+		pair.handle(Request{ID: pair.lastID, Class: class, Key: key, Timeout: pair.config.Classes[class].Deadline})
+	case n < 180 && len(pair.inFlight) > 0:
+		pair.endAttempt(pair.random.Intn(len(pair.inFlight)))
 	case n < 182:
-		w.lostZone = w.random.Intn(5) - 1
+		pair.lostZone = pair.random.Intn(5) - 1
 	case n < 184: // time in which ejections, load reports and slow starts end
-		w.now += 3000 * w.random.Float64()
+		pair.now += 3000 * pair.random.Float64()
 	case n < 186:
-		hints := []finding{{findingFault, serverTag(ServerID(1 + w.random.Intn(60))), w.now},
-			{findingRecovery, serverTag(1), w.now}}
-		w.handle(GossipMessage{From: w.random.Intn(30), Data: encodeGossip(w.now, hints)})
+		hints := []finding{{findingFault, serverTag(ServerID(1 + pair.random.Intn(60))), pair.now},
+			{findingRecovery, serverTag(1), pair.now}}
+		pair.handle(GossipMessage{From: pair.random.Intn(30), Data: encodeGossip(pair.now, hints)})
 	case n < 192: // one server changes, is added or removed
-		id := ServerID(1 + w.random.Intn(len(w.servers)+2))
-		s, known := w.servers[id]
+		id := ServerID(1 + pair.random.Intn(len(pair.servers)+2))
+		s, known := pair.servers[id]
 		switch {
 		case !known:
-			w.servers[id] = w.server(id)
-		case w.random.Intn(3) == 0 && len(w.servers) > 3:
-			delete(w.servers, id)
+			pair.servers[id] = pair.server(id)
+		case pair.random.Intn(3) == 0 && len(pair.servers) > 3:
+			delete(pair.servers, id)
 		default:
-			s.StartedAt, s.State, s.RelativeCapacity = w.now, ServerState(w.random.Intn(6)/5), 0.5+w.random.Float64()
-			w.servers[id] = s
+			s.StartedAt, s.State, s.RelativeCapacity = pair.now, ServerState(pair.random.Intn(6)/5), 0.5+pair.random.Float64()
+			pair.servers[id] = s
 		}
-		w.updateEndpoints([]UpdateKind{UpdateFull, UpdateDelta, UpdateDelta}[w.random.Intn(3)])
+		pair.updateEndpoints([]UpdateKind{UpdateFull, UpdateDelta, UpdateDelta}[pair.random.Intn(3)])
 	}
 }
 
 // endAttempt ends an attempt with a random result, or as unreachable if its zone is lost.
-func (w *differentialPair) endAttempt(i int) {
-	a := w.inFlight[i]
-	w.inFlight = slices.Delete(w.inFlight, i, i+1)
-	result := []Result{OK, OK, OK, OK, OK, OK, OK, Failed, Overloaded, TimedOut}[w.random.Intn(10)]
-	if int(a.Server)%3 == w.lostZone {
+func (pair *differentialPair) endAttempt(i int) {
+	a := pair.inFlight[i]
+	pair.inFlight = slices.Delete(pair.inFlight, i, i+1)
+	result := []Result{OK, OK, OK, OK, OK, OK, OK, Failed, Overloaded, TimedOut}[pair.random.Intn(10)]
+	if int(a.Server)%3 == pair.lostZone {
 		result = ConnectFailed
 	}
 	out := Outcome{Request: a.Request, Attempt: a.Attempt, Server: a.Server, Result: result, RequestDone: result == OK}
-	if out.Elapsed = 5 + w.random.Float64()*40*float64(1+a.Server%3); result == OK &&
-		w.config.LoadReports == LoadReportPiggyback {
-		out.LoadReport = []float32{float32(w.random.Intn(9)), w.random.Float32(), float32(w.random.Intn(3)), 20}
+	if out.Elapsed = 5 + pair.random.Float64()*40*float64(1+a.Server%3); result == OK &&
+		pair.config.LoadReports == LoadReportPiggyback {
+		out.LoadReport = []float32{float32(pair.random.Intn(9)), pair.random.Float32(), float32(pair.random.Intn(3)), 20}
 	}
-	w.handle(out)
+	pair.handle(out)
 }
 
 // randomPlacement delivers a random placement, in part expired, of servers that are not listed or invalid.
-func (w *differentialPair) randomPlacement() {
+func (pair *differentialPair) randomPlacement() {
 	servers := func() (ids []ServerID) {
-		for range w.random.Intn(1 + len(w.servers)/2) {
-			ids = append(ids, ServerID(1+w.random.Intn(len(w.servers)+5)))
+		for range pair.random.Intn(1 + len(pair.servers)/2) {
+			ids = append(ids, ServerID(1+pair.random.Intn(len(pair.servers)+5)))
 		}
 		return ids
 	}
 	var p Placement
-	for id := range w.random.Intn(4) {
+	for id := range pair.random.Intn(4) {
 		p.Exclusions = append(p.Exclusions, Exclusion{
-			ID: id, Tenant: w.random.Intn(2) - 1, Servers: servers(), MinAvailable: w.random.Float64() * 0.8, ExpiresAt: w.now + 2000*w.random.Float64() - 100,
+			ID: id, Tenant: pair.random.Intn(2) - 1, Servers: servers(), MinAvailable: pair.random.Float64() * 0.8, ExpiresAt: pair.now + 2000*pair.random.Float64() - 100,
 		})
 	}
-	for key := range uint64(w.random.Intn(5)) {
-		s := HotKey{Key: key * 3, ExpiresAt: w.now + 2000*w.random.Float64() - 100}
+	for key := range uint64(pair.random.Intn(5)) {
+		s := HotKey{Key: key * 3, ExpiresAt: pair.now + 2000*pair.random.Float64() - 100}
 		for _, id := range servers() {
-			s.Replicas = append(s.Replicas, Replica{id, 0.4*w.random.Float64() - 0.1})
+			s.Replicas = append(s.Replicas, Replica{id, 0.4*pair.random.Float64() - 0.1})
 		}
 		p.HotKeys = append(p.HotKeys, s)
 	}
-	w.handle(p)
+	pair.handle(p)
 }
 
 // The indices make a pick cheaper and change none: on random events, with lost zones, restarts and list updates, every
 // action is that of the reference.
 func TestIndexedPickMatchesReference(t *testing.T) {
 	for seed := range int64(21) {
-		w := newDifferentialPair(t, seed)
+		pair := newDifferentialPair(t, seed)
 		for range 2000 {
-			w.step()
+			pair.step()
 		}
-		if w.sends < 150 {
-			t.Fatalf("seed %d: only %d sends", seed, w.sends)
+		if pair.sends < 150 {
+			t.Fatalf("seed %d: only %d sends", seed, pair.sends)
 		}
-		total, sum := w.balancers[0].refreshRotation(), 0.0
-		for _, s := range w.balancers[0].servers {
+		total, sum := pair.balancers[0].refreshRotation(), 0.0
+		for _, s := range pair.balancers[0].servers {
 			if s.inRotation {
-				sum += w.balancers[0].weight(s) * s.weightGroup.factor / math.Exp(w.balancers[0].capacity.byKind[s.Kind]+w.balancers[0].capacity.byZone[s.Zone])
+				sum += pair.balancers[0].weight(s) * s.weightGroup.factor / math.Exp(pair.balancers[0].capacity.byKind[s.Kind]+pair.balancers[0].capacity.byZone[s.Zone])
 			}
 		}
 		if sum = math.Max(sum, 1e-6); math.Abs(total-sum) > 1e-9*sum+1e-5 {
--- a/balance/retry_rules_test.go
+++ b/balance/retry_rules_test.go
@@ -9,34 +9,34 @@
 // the idempotency window and after it: a retry, a rejection or a failure.
 func TestWhatMayFollowAnAttempt(t *testing.T) {
 	for _, class := range []int{idempotentClass, nonIdempotentClass, cellScopeClass, allScopeClass, zoneScopeClass} {
-		for _, res := range []Result{Failed, Overloaded, TimedOut, ConnectFailed, Reset, Cancelled} {
+		for _, result := range []Result{Failed, Overloaded, TimedOut, ConnectFailed, Reset, Cancelled} {
 			for _, late := range []bool{false, true} {
-				t.Run(fmt.Sprintf("class%d/result%d/late=%v", class, res, late), func(t *testing.T) {
-					checkFollowUp(t, class, res, late)
+				t.Run(fmt.Sprintf("class%d/result%d/late=%v", class, result, late), func(t *testing.T) {
+					checkFollowUp(t, class, result, late)
 				})
 			}
 		}
 	}
 }
 
-func checkFollowUp(t *testing.T, class int, res Result, late bool) {
+func checkFollowUp(t *testing.T, class int, result Result, late bool) {
 	cfg := baseConfig()
 	for i := range cfg.Classes {
 		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // a retry is of use until the end
 		cfg.Classes[i].IdempotencyWindow = 200
 	}
-	g := newHarness(t, cfg, testServers(8)...)
-	id, actions := g.request(class)
+	h := newHarness(t, cfg, testServers(8)...)
+	id, actions := h.request(class)
 	first, ok := sentServer(actions)
 	if !ok {
 		t.Fatal("the request was not sent")
 	}
-	if g.now += 100; late {
-		g.now += 200
+	if h.now += 100; late {
+		h.now += 200
 	}
-	actions = g.finishAttempt(id, 0, res, 100)
+	actions = h.finishAttempt(id, 0, result, 100)
 	c := cfg.Classes[class]
-	mayResend := c.Idempotency == Idempotent || res.NeverExecuted() || c.Idempotency == IdempotentWithKey && !late
+	mayResend := c.Idempotency == Idempotent || result.NeverExecuted() || c.Idempotency == IdempotentWithKey && !late
 	second, sent := sentServer(actions)
 	if sent != mayResend {
 		t.Fatalf("sent again: %v, want %v (%+v)", sent, mayResend, actions)
@@ -48,19 +48,19 @@
 		}
 		return
 	}
-	a, b := g.balancer.serversByID[first], g.balancer.serversByID[second]
-	dirty := !res.NeverExecuted()
+	a, b := h.balancer.serversByID[first], h.balancer.serversByID[second]
+	dirty := !result.NeverExecuted()
 	if a == b || dirty && class == cellScopeClass && a.Cell != b.Cell || dirty && class == zoneScopeClass && a.Zone != b.Zone {
 		t.Fatalf("sent to %+v after %+v", b.Server, a.Server)
 	}
 }
 
 func TestNothingIsRejectedThatMayHaveRun(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(4)...)
+	h := newHarness(t, baseConfig(), testServers(4)...)
 	for _, class := range []int{nonIdempotentClass, cellScopeClass, zoneScopeClass} {
-		id, _ := g.request(class)
-		g.now = g.balancer.requests.open[id].deadline
-		actions := g.handle(TimerFired{Token: uint64(id)})
+		id, _ := h.request(class)
+		h.now = h.balancer.requests.open[id].deadline
+		actions := h.handle(TimerFired{Token: uint64(id)})
 		if hasAction(actions, Reject) || !hasAction(actions, Fail) {
 			t.Errorf("class %d at its deadline with an attempt in flight: %+v", class, actions)
 		}
@@ -68,8 +68,8 @@
 }
 
 func TestExpiredRequestIsAnsweredAtOnce(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(4)...)
-	actions := g.handle(Request{ID: 1, Class: nonIdempotentClass, Timeout: 0})
+	h := newHarness(t, baseConfig(), testServers(4)...)
+	actions := h.handle(Request{ID: 1, Class: nonIdempotentClass, Timeout: 0})
 	if !hasAction(actions, Reject) || hasAction(actions, Send) {
 		t.Fatalf("a request without time left: %+v", actions)
 	}
@@ -81,37 +81,37 @@
 		drained[i].State = Draining
 	}
 	for name, servers := range map[string][]Server{"empty": nil, "draining": drained} {
-		g := newHarness(t, baseConfig(), servers...)
-		id, actions := g.request(nonIdempotentClass)
+		h := newHarness(t, baseConfig(), servers...)
+		id, actions := h.request(nonIdempotentClass)
 		if hasAction(actions, Send) || !hasAction(actions, SetTimer) {
 			t.Fatalf("%s: %+v", name, actions)
 		}
 		refused := false
-		for g.now < 1000+baseConfig().Classes[nonIdempotentClass].Deadline {
-			g.now += 10
-			refused = refused || hasAction(g.handle(TimerFired{Token: uint64(id)}), Reject)
+		for h.now < 1000+baseConfig().Classes[nonIdempotentClass].Deadline {
+			h.now += 10
+			refused = refused || hasAction(h.handle(TimerFired{Token: uint64(id)}), Reject)
 		}
-		if !refused || len(g.balancer.requests.open) != 0 {
-			t.Fatalf("%s: rejected %v, %d requests left", name, refused, len(g.balancer.requests.open))
+		if !refused || len(h.balancer.requests.open) != 0 {
+			t.Fatalf("%s: rejected %v, %d requests left", name, refused, len(h.balancer.requests.open))
 		}
 	}
 }
 
 func TestDrainingServerReceivesNothingNew(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(2)...)
+	h := newHarness(t, baseConfig(), testServers(2)...)
 	gone := testServers(1)[0]
 	gone.State = Draining
-	g.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{gone}})
+	h.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{gone}})
 	for range 20 {
-		id, actions := g.request(idempotentClass)
+		id, actions := h.request(idempotentClass)
 		if s, _ := sentServer(actions); s != 2 {
 			t.Fatalf("sent to %d", s)
 		}
-		g.finishAttempt(id, 0, OK, 10)
+		h.finishAttempt(id, 0, OK, 10)
 	}
 	gone.State = Ready
-	g.handle(EndpointUpdate{Kind: UpdateFull, Servers: []Server{gone}}) // the other server is not listed: it was removed
-	id, actions := g.request(idempotentClass)
+	h.handle(EndpointUpdate{Kind: UpdateFull, Servers: []Server{gone}}) // the other server is not listed: it was removed
+	id, actions := h.request(idempotentClass)
 	if s, _ := sentServer(actions); s != 1 {
 		t.Fatalf("sent to %d of request %d", s, id)
 	}
@@ -120,19 +120,19 @@
 func TestAttemptLimit(t *testing.T) {
 	cfg := baseConfig()
 	cfg.MaxAttempts = 1
-	g := newHarness(t, cfg, testServers(4)...)
-	id, _ := g.request(idempotentClass)
-	if actions := g.finishAttempt(id, 0, Overloaded, 1); hasAction(actions, Send) || !hasAction(actions, Reject) {
+	h := newHarness(t, cfg, testServers(4)...)
+	id, _ := h.request(idempotentClass)
+	if actions := h.finishAttempt(id, 0, Overloaded, 1); hasAction(actions, Send) || !hasAction(actions, Reject) {
 		t.Fatalf("after the only attempt allowed: %+v", actions)
 	}
 }
 
 // A timer that fires a rounding error early is set again, else the request would get no answer at its deadline.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(4)...)
-	id, _ := g.request(nonIdempotentClass)
-	g.now = g.balancer.requests.open[id].timerAt - 1e-4
-	if actions := g.handle(TimerFired{Token: uint64(id)}); !hasAction(actions, SetTimer) {
+	h := newHarness(t, baseConfig(), testServers(4)...)
+	id, _ := h.request(nonIdempotentClass)
+	h.now = h.balancer.requests.open[id].timerAt - 1e-4
+	if actions := h.handle(TimerFired{Token: uint64(id)}); !hasAction(actions, SetTimer) {
 		t.Fatalf("no timer after an early alarm: %+v", actions)
 	}
 }
@@ -141,17 +141,17 @@
 func TestStartedStreamIsNotInterrupted(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[idempotentClass].Streaming = true
-	g := newHarness(t, cfg, testServers(3)...)
-	id, actions := g.request(idempotentClass)
+	h := newHarness(t, cfg, testServers(3)...)
+	id, actions := h.request(idempotentClass)
 	s, _ := sentServer(actions)
-	g.handle(StreamStarted{Request: id, Server: s, Elapsed: 20})
-	g.now += 5000
-	if actions := g.handle(TimerFired{Token: uint64(id)}); hasAction(actions, Fail) || hasAction(actions, Reject) ||
+	h.handle(StreamStarted{Request: id, Server: s, Elapsed: 20})
+	h.now += 5000
+	if actions := h.handle(TimerFired{Token: uint64(id)}); hasAction(actions, Fail) || hasAction(actions, Reject) ||
 		hasAction(actions, Send) {
 		t.Fatalf("a running stream got %+v", actions)
 	}
-	g.handle(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, RequestDone: true})
-	if len(g.balancer.requests.open) != 0 {
+	h.handle(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, RequestDone: true})
+	if len(h.balancer.requests.open) != 0 {
 		t.Fatal("an ended stream is retained")
 	}
 }
@@ -159,14 +159,14 @@
 // Failed connects after a crash are not retries: the request has attempts and time left. What may have been executed is
 // retried once at most.
 func TestUnexecutedAttemptsDoNotCountAsRetries(t *testing.T) {
-	for res, sends := range map[Result]int{ConnectFailed: 4, Overloaded: 4, Failed: 2} {
-		g := newHarness(t, baseConfig(), testServers(8)...)
-		id, _ := g.request(idempotentClass)
+	for result, sends := range map[Result]int{ConnectFailed: 4, Overloaded: 4, Failed: 2} {
+		h := newHarness(t, baseConfig(), testServers(8)...)
+		id, _ := h.request(idempotentClass)
 		n := 1
-		for ; hasAction(g.finishAttempt(id, n-1, res, 1), Send); n++ {
+		for ; hasAction(h.finishAttempt(id, n-1, result, 1), Send); n++ {
 		}
 		if n != sends {
-			t.Errorf("result %v: %d attempts, want %d of at most %d", res, n, sends, baseConfig().MaxAttempts)
+			t.Errorf("result %v: %d attempts, want %d of at most %d", result, n, sends, baseConfig().MaxAttempts)
 		}
 	}
 }
@@ -176,10 +176,10 @@
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 100
 	for wait, want := range map[float64]bool{1000: true, 1150: false} { // of a window of 1200
-		g := newHarness(t, cfg, testServers(4)...)
-		id, _ := g.request(cellScopeClass)
-		g.now += wait
-		actions := g.finishAttempt(id, 0, Reset, wait)
+		h := newHarness(t, cfg, testServers(4)...)
+		id, _ := h.request(cellScopeClass)
+		h.now += wait
+		actions := h.finishAttempt(id, 0, Reset, wait)
 		if _, sent := sentServer(actions); sent != want {
 			t.Errorf("after %v ms: sent again is %v", wait, sent)
 		}
@@ -191,20 +191,20 @@
 func TestNonIdempotentAttemptsEndAtObjectiveWhileShedding(t *testing.T) {
 	for class, cuts := range map[int]bool{nonIdempotentClass: true, idempotentClass: false, cellScopeClass: false} {
 		for _, lasting := range []float64{0, 0.2} {
-			g := newHarness(t, baseConfig(), testServers(4)...)
-			g.balancer.admission.sustainedShed = lasting
+			h := newHarness(t, baseConfig(), testServers(4)...)
+			h.balancer.admission.sustainedShed = lasting
 			if lasting > 0 {
-				g.balancer.admission.sustainedShed += shedDeadband
+				h.balancer.admission.sustainedShed += shedDeadband
 			}
-			id, actions := g.request(class)
+			id, actions := h.request(class)
 			s, ok := sentServer(actions)
 			for n := 0; !ok && n < 50; n++ {
-				id, actions = g.request(class)
+				id, actions = h.request(class)
 				s, ok = sentServer(actions)
 			}
 			want := 0.0
 			if cuts && lasting > 0 {
-				want = g.now + g.balancer.config.Classes[class].LatencyObjective
+				want = h.now + h.balancer.config.Classes[class].LatencyObjective
 			}
 			for _, a := range actions {
 				if a.Kind == Send && a.Deadline != want {
@@ -212,8 +212,8 @@
 				}
 			}
 			if want > 0 {
-				g.now += 200
-				if g.finishAttempt(id, 0, TimedOut, 200); g.balancer.serversByID[s].errors.consecutive != 0 {
+				h.now += 200
+				if h.finishAttempt(id, 0, TimedOut, 200); h.balancer.serversByID[s].errors.consecutive != 0 {
 					t.Error("an attempt that ended at its objective is held against its server")
 				}
 			}
@@ -224,11 +224,11 @@
 // Where all servers are full, retries stay a fraction of first attempts, and everything else is rejected at once. Without a
 // budget each request would be sent as often as is allowed.
 func TestRetriesAreBoundedByTheBudget(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(10)...)
+	h := newHarness(t, baseConfig(), testServers(10)...)
 	first, repeats := 0, 0
 	for range 2000 {
-		g.now += 5
-		id, actions := g.request(idempotentClass)
+		h.now += 5
+		id, actions := h.request(idempotentClass)
 		for n := 0; len(actions) > 0; n++ {
 			if _, sent := sentServer(actions); !sent {
 				break
@@ -238,9 +238,9 @@
 			} else {
 				repeats++
 			}
-			actions = g.finishAttempt(id, n, Overloaded, 1)
+			actions = h.finishAttempt(id, n, Overloaded, 1)
 		}
-		if g.balancer.requests.open[id] != nil {
+		if h.balancer.requests.open[id] != nil {
 			t.Fatal("a request waits though all servers are full and its budget is spent")
 		}
 	}
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -7,17 +7,17 @@
 )
 
 // sendSequence sends n idempotent requests, each answered before the next.
-func sendSequence(g *harness, n int) []ServerID {
+func sendSequence(h *harness, n int) []ServerID {
 	var ids []ServerID
 	for range n {
-		id, actions := g.request(idempotentClass)
+		id, actions := h.request(idempotentClass)
 		s, ok := sentServer(actions)
 		if !ok {
-			g.t.Fatal("nothing was sent")
+			h.t.Fatal("nothing was sent")
 		}
 		ids = append(ids, s)
-		g.balancer.requests.open[id].stats.samples = 0 // no capacity is learned from these answers
-		g.finishAttempt(id, 0, OK, 10)
+		h.balancer.requests.open[id].stats.samples = 0 // no capacity is learned from these answers
+		h.finishAttempt(id, 0, OK, 10)
 	}
 	return ids
 }
@@ -35,42 +35,42 @@
 }
 
 func TestHealthMultiplierFallsRecoversAndHasAFloor(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(2)...)
-	s := g.balancer.servers[0]
-	if m := g.balancer.health(s); m != 1 {
+	h := newHarness(t, baseConfig(), testServers(2)...)
+	s := h.balancer.servers[0]
+	if m := h.balancer.health(s); m != 1 {
 		t.Fatalf("health without errors is %v", m)
 	}
-	s.errors.consecutive, s.errors.lastAt = 2, g.now
-	if m := g.balancer.health(s); math.Abs(m-(1-2*errorPenalty)) > 1e-9 {
+	s.errors.consecutive, s.errors.lastAt = 2, h.now
+	if m := h.balancer.health(s); math.Abs(m-(1-2*errorPenalty)) > 1e-9 {
 		t.Fatalf("health after two errors is %v", m)
 	}
-	g.balancer.now += errorHalfLife
-	if m := g.balancer.health(s); math.Abs(m-(1-errorPenalty)) > 1e-9 {
+	h.balancer.now += errorHalfLife
+	if m := h.balancer.health(s); math.Abs(m-(1-errorPenalty)) > 1e-9 {
 		t.Fatalf("health after a half-life is %v", m)
 	}
 	s.errors.consecutive = 1000
-	if m := g.balancer.health(s); m != minHealth {
+	if m := h.balancer.health(s); m != minHealth {
 		t.Fatalf("health after very many errors is %v, want the least", m)
 	}
-	if m := g.balancer.health(g.balancer.servers[1]); m != 1 {
+	if m := h.balancer.health(h.balancer.servers[1]); m != 1 {
 		t.Fatalf("another server's errors changed health to %v", m)
 	}
 	s.errors.consecutive = 2
-	id, _ := g.request(idempotentClass)
-	g.balancer.requests.open[id].attempts[0].server = s
-	s.inFlight, g.balancer.servers[1].inFlight = 1, 0
-	g.finishAttempt(id, 0, OK, 10)
-	if m := g.balancer.health(s); m != 1 {
+	id, _ := h.request(idempotentClass)
+	h.balancer.requests.open[id].attempts[0].server = s
+	s.inFlight, h.balancer.servers[1].inFlight = 1, 0
+	h.finishAttempt(id, 0, OK, 10)
+	if m := h.balancer.health(s); m != 1 {
 		t.Fatalf("health after a success is %v", m)
 	}
 }
 
 func TestServerAtMinHealthStillReceives(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(4)...)
+	h := newHarness(t, baseConfig(), testServers(4)...)
 	hits := 0
 	for range 40 { // a success clears the errors
-		g.balancer.servers[2].errors.consecutive, g.balancer.servers[2].errors.lastAt = 1000, g.now
-		if sendSequence(g, 1)[0] == 3 {
+		h.balancer.servers[2].errors.consecutive, h.balancer.servers[2].errors.lastAt = 1000, h.now
+		if sendSequence(h, 1)[0] == 3 {
 			hits++
 		}
 	}
@@ -80,18 +80,18 @@
 }
 
 func TestRetryGoesToHealthiestUntriedServer(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(4)...)
-	for _, s := range g.balancer.servers {
-		s.errors.consecutive, s.errors.lastAt = 2, g.now
+	h := newHarness(t, baseConfig(), testServers(4)...)
+	for _, s := range h.balancer.servers {
+		s.errors.consecutive, s.errors.lastAt = 2, h.now
 	}
-	g.balancer.servers[2].errors.consecutive = 1
-	g.balancer.servers[1].round.runningWeight = 1000 // it is next, though it is not the healthiest
-	id, actions := g.request(idempotentClass)
+	h.balancer.servers[2].errors.consecutive = 1
+	h.balancer.servers[1].round.runningWeight = 1000 // it is next, though it is not the healthiest
+	id, actions := h.request(idempotentClass)
 	if s, _ := sentServer(actions); s != 2 {
 		t.Fatalf("first sent to %d, want 2", s)
 	}
-	g.balancer.servers[3].round.runningWeight = 1000 // it is next, which must not count for a retry
-	if s, ok := sentServer(g.finishAttempt(id, 0, Overloaded, 1)); !ok || s != 3 {
+	h.balancer.servers[3].round.runningWeight = 1000 // it is next, which must not count for a retry
+	if s, ok := sentServer(h.finishAttempt(id, 0, Overloaded, 1)); !ok || s != 3 {
 		t.Fatalf("retried at %d, want 3", s)
 	}
 }
@@ -106,21 +106,21 @@
 		{[4]int{4, 3, 4, 4}, 2}, // all exceed the bound
 		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are within the bound, and 3 is next
 	} {
-		g := newHarness(t, baseConfig(), testServers(4)...)
-		for i, s := range g.balancer.servers {
+		h := newHarness(t, baseConfig(), testServers(4)...)
+		for i, s := range h.balancer.servers {
 			s.inFlight, s.round.runningWeight = c.holds[i], float64(10*(4-i))
 		}
-		g.balancer.servers[1].errors.consecutive, g.balancer.servers[1].errors.lastAt = 1, g.now-5000
-		r := &request{Request: Request{}, class: &g.balancer.config.Classes[idempotentClass]}
+		h.balancer.servers[1].errors.consecutive, h.balancer.servers[1].errors.lastAt = 1, h.now-5000
+		r := &request{Request: Request{}, class: &h.balancer.config.Classes[idempotentClass]}
 		if c.want == 2 {
-			if s := g.balancer.pick(r, true); s.ID == 2 {
+			if s := h.balancer.pick(r, true); s.ID == 2 {
 				t.Errorf("%v: the retry went to the least healthy server", c.holds)
 			}
-			for i, s := range g.balancer.servers {
+			for i, s := range h.balancer.servers {
 				s.round.runningWeight = float64(10 * (4 - i))
 			}
 		}
-		if s := g.balancer.pick(r, false); s.ID != c.want {
+		if s := h.balancer.pick(r, false); s.ID != c.want {
 			t.Errorf("%v: sent to %d, not %d", c.holds, s.ID, c.want)
 		}
 	}
@@ -133,18 +133,18 @@
 	used := func(number, seed int) map[ServerID]int {
 		cfg := baseConfig()
 		cfg.SidecarIndex, cfg.SidecarCount, cfg.Seed = number, sidecars, uint64(seed)
-		g := newHarness(t, cfg, testServers(servers)...)
-		for _, s := range g.balancer.servers {
-			s.rank = g.balancer.ownOrderRank(s)
+		h := newHarness(t, cfg, testServers(servers)...)
+		for _, s := range h.balancer.servers {
+			s.rank = h.balancer.ownOrderRank(s)
 		}
-		g.balancer.sortServers()
+		h.balancer.sortServers()
 		hits := map[ServerID]int{}
 		for range 60 {
-			g.now += 1000
-			id, actions := g.request(idempotentClass)
+			h.now += 1000
+			id, actions := h.request(idempotentClass)
 			s, _ := sentServer(actions)
 			hits[s]++
-			g.finishAttempt(id, 0, OK, 10)
+			h.finishAttempt(id, 0, OK, 10)
 		}
 		return hits
 	}
@@ -169,23 +169,23 @@
 
 // A sidecar uses as many servers as it can visit often, and others when some of its own fail.
 func TestRotationGrowsWithTrafficAndWithFailures(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(60)...)
+	h := newHarness(t, baseConfig(), testServers(60)...)
 	count := func(gap float64, n int) int {
 		hits := map[ServerID]bool{}
 		for range n {
-			g.now += gap
-			id, actions := g.request(idempotentClass)
+			h.now += gap
+			id, actions := h.request(idempotentClass)
 			s, _ := sentServer(actions)
 			hits[s] = true
-			g.finishAttempt(id, 0, OK, 10)
+			h.finishAttempt(id, 0, OK, 10)
 		}
 		return len(hits)
 	}
 	if n := count(1000, 30); n != minRotationSize {
 		t.Fatalf("%d servers for one request a second", n)
 	}
-	for _, s := range g.balancer.servers[:2] {
-		g.balancer.recordError(s, true)
+	for _, s := range h.balancer.servers[:2] {
+		h.balancer.recordError(s, true)
 	}
 	if n := count(50, 6); n < minRotationSize {
 		t.Fatalf("%d servers when two of the first are ejected", n)
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -39,70 +39,70 @@
 		t.Run(name, func(t *testing.T) {
 			cfg, n := baseConfig(), 6
 			change(&cfg, &n)
-			w := newRuleChecker(t, rand.New(rand.NewSource(7)), cfg)
+			checker := newRuleChecker(t, rand.New(rand.NewSource(7)), cfg)
 			list := testServers(n)
 			for i := range list {
-				w.servers[list[i].ID], w.mayReceive[list[i].ID] = &list[i], true
+				checker.servers[list[i].ID], checker.mayReceive[list[i].ID] = &list[i], true
 			}
-			w.handle(EndpointUpdate{Kind: UpdateFull, Servers: list})
+			checker.handle(EndpointUpdate{Kind: UpdateFull, Servers: list})
 			sent := 0
 			for id := RequestID(1); id <= 400; id++ {
-				w.now += 9
-				w.fireTimers()
+				checker.now += 9
+				checker.fireTimers()
 				class := int(id) % len(cfg.Classes)
-				w.openRequests[id] = &trackedRequest{class: class, deadline: w.now + 300}
-				w.handle(Request{ID: id, Class: class, Tenant: int(id) % 5, Timeout: 300})
-				for len(w.pendingHealthChecks) > 0 {
-					s := w.pendingHealthChecks[0]
-					w.pendingHealthChecks = w.pendingHealthChecks[1:]
-					w.handle(HealthCheckResult{Server: s, LoadReport: []float32{1}})
+				checker.openRequests[id] = &trackedRequest{class: class, deadline: checker.now + 300}
+				checker.handle(Request{ID: id, Class: class, Tenant: int(id) % 5, Timeout: 300})
+				for len(checker.pendingHealthChecks) > 0 {
+					s := checker.pendingHealthChecks[0]
+					checker.pendingHealthChecks = checker.pendingHealthChecks[1:]
+					checker.handle(HealthCheckResult{Server: s, LoadReport: []float32{1}})
 				}
-				sent += len(w.openRequests[id].attempts)
+				sent += len(checker.openRequests[id].attempts)
 				if id > 2 {
-					w.answerAttempts(id - 2)
+					checker.answerAttempts(id - 2)
 				}
 			}
-			for w.now += 1000; w.anyOpen() && len(w.timers) > 0; w.now += 1000 {
-				w.fireTimers()
+			for checker.now += 1000; checker.anyOpen() && len(checker.timers) > 0; checker.now += 1000 {
+				checker.fireTimers()
 			}
-			if w.anyOpen() || sent < 300 {
-				t.Fatalf("unanswered requests: %v; %d of 400 sent", w.anyOpen(), sent)
+			if checker.anyOpen() || sent < 300 {
+				t.Fatalf("unanswered requests: %v; %d of 400 sent", checker.anyOpen(), sent)
 			}
 		})
 	}
 }
 
 // answerAttempts answers the attempts of a request that are in flight.
-func (w *ruleChecker) answerAttempts(id RequestID) {
-	o := w.openRequests[id]
+func (checker *ruleChecker) answerAttempts(id RequestID) {
+	o := checker.openRequests[id]
 	for i := range o.attempts {
 		if a := &o.attempts[i]; a.inFlight {
 			a.inFlight, o.answered = false, true
-			w.handle(Outcome{Request: id, Attempt: i, Server: a.server.ID, Elapsed: w.now - a.sentAt, RequestDone: true})
+			checker.handle(Outcome{Request: id, Attempt: i, Server: a.server.ID, Elapsed: checker.now - a.sentAt, RequestDone: true})
 		}
 	}
 }
 
 // What has ended is released: requests, servers that were removed, waits for health checks.
 func TestMemoryStaysFlat(t *testing.T) {
-	g := newHarness(t, healthCheckConfig(), testServers(5)...)
+	h := newHarness(t, healthCheckConfig(), testServers(5)...)
 	for i := range 20000 {
-		g.actions = g.actions[:0]
-		g.now += 5
-		id, actions := g.request(idempotentClass)
-		actions = append(actions, g.answerHealthChecks(actions, 0, nil)...)
+		h.actions = h.actions[:0]
+		h.now += 5
+		id, actions := h.request(idempotentClass)
+		actions = append(actions, h.answerHealthChecks(actions, 0, nil)...)
 		if _, ok := sentServer(actions); ok {
-			g.finishAttempt(id, 0, OK, 5)
+			h.finishAttempt(id, 0, OK, 5)
 		}
 		if i%20 == 0 { // a rolling deployment: new IDs all the time
 			list := testServers(5)
 			for k := range list {
 				list[k].ID = ServerID(i + k + 1)
 			}
-			g.handle(EndpointUpdate{Kind: UpdateFull, Servers: list})
+			h.handle(EndpointUpdate{Kind: UpdateFull, Servers: list})
 		}
 	}
-	b := g.balancer
+	b := h.balancer
 	if len(b.requests.open) > 1 || len(b.servers) != 5 || len(b.serversByID) != 5 ||
 		len(b.requests.awaitingHealthChecks) > 1 || cap(b.actions) > 100 {
 		t.Fatalf("%d requests, %d servers, %d by ID, %d waiting, room for %d actions",
@@ -113,9 +113,9 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{12, 100, 300} {
 		b.Run(fmt.Sprintf("%d-servers", n), func(b *testing.B) {
-			bal := mustNew(b, baseConfig())
-			bal.Start(0)
-			if _, err := bal.Handle(0, EndpointUpdate{Kind: UpdateFull, Servers: testServers(n)}); err != nil {
+			balancer := mustNew(b, baseConfig())
+			balancer.Start(0)
+			if _, err := balancer.Handle(0, EndpointUpdate{Kind: UpdateFull, Servers: testServers(n)}); err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
@@ -123,14 +123,14 @@
 			for i := range b.N {
 				now += 5
 				id := RequestID(i + 1)
-				actions, err := bal.Handle(now, Request{ID: id, Timeout: 1500})
+				actions, err := balancer.Handle(now, Request{ID: id, Timeout: 1500})
 				if err != nil || len(actions) == 0 {
 					b.Fatal(err, actions)
 				}
 				if actions[0].Kind != Send {
 					continue
 				}
-				if _, err := bal.Handle(now+4, Outcome{Request: id, Server: actions[0].Server, Elapsed: 4,
+				if _, err := balancer.Handle(now+4, Outcome{Request: id, Server: actions[0].Server, Elapsed: 4,
 					RequestDone: true}); err != nil {
 					b.Fatal(err)
 				}
--- a/balance/slow_start_budget_test.go
+++ b/balance/slow_start_budget_test.go
@@ -14,13 +14,13 @@
 	for n := range sidecars {
 		cfg.Seed, cfg.SidecarIndex = uint64(n+1), n
 		servers := testServers(5)
-		g := newHarness(t, cfg, servers...)
+		h := newHarness(t, cfg, servers...)
 		for i := range perSecond * seconds {
 			if i == perSecond*3 { // one server restarts half-way
-				servers[0].StartedAt = g.now
-				g.handle(EndpointUpdate{Kind: UpdateDelta, Servers: servers[:1]})
+				servers[0].StartedAt = h.now
+				h.handle(EndpointUpdate{Kind: UpdateDelta, Servers: servers[:1]})
 			}
-			id, actions := g.request(idempotentClass)
+			id, actions := h.request(idempotentClass)
 			s, ok := sentServer(actions)
 			if !ok {
 				t.Fatal("nothing sent")
@@ -28,8 +28,8 @@
 			if s == 1 && i >= perSecond*3 && i < perSecond*4 {
 				toCold++
 			}
-			g.finishAttempt(id, 0, OK, 10)
-			g.now += 1000 / perSecond
+			h.finishAttempt(id, 0, OK, 10)
+			h.now += 1000 / perSecond
 		}
 	}
 	// A server receives a fifth of the traffic; in slow start it can serve SlowStartMinCapacity of that and a little
@@ -42,29 +42,29 @@
 
 // A server that was unreachable and then answers has restarted, whatever the endpoint list says.
 func TestServerThatReturnsIsInSlowStart(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(2)...)
+	h := newHarness(t, baseConfig(), testServers(2)...)
 	const s = ServerID(1)
 	for range 20 { // it is unreachable for some time
-		g.now += 5000
-		id, actions := g.request(idempotentClass)
+		h.now += 5000
+		id, actions := h.request(idempotentClass)
 		to, _ := sentServer(actions)
 		if to == s {
-			g.finishAttempt(id, 0, ConnectFailed, 150)
-			g.finishAttempt(id, 1, OK, 10)
+			h.finishAttempt(id, 0, ConnectFailed, 150)
+			h.finishAttempt(id, 1, OK, 10)
 			continue
 		}
-		g.finishAttempt(id, 0, OK, 10)
+		h.finishAttempt(id, 0, OK, 10)
 	}
-	g.now += 60000
+	h.now += 60000
 	for range 8 {
-		id, actions := g.request(idempotentClass)
+		id, actions := h.request(idempotentClass)
 		if again, _ := sentServer(actions); again == s {
-			g.finishAttempt(id, 0, OK, 10)
+			h.finishAttempt(id, 0, OK, 10)
 			break
 		}
-		g.finishAttempt(id, 0, OK, 10)
+		h.finishAttempt(id, 0, OK, 10)
 	}
-	if !g.balancer.inSlowStart(g.balancer.serversByID[s]) {
+	if !h.balancer.inSlowStart(h.balancer.serversByID[s]) {
 		t.Fatal("the server is not in slow start")
 	}
 }
@@ -72,22 +72,22 @@
 // The answers that are assumed for small sidecars must not count in the slow start budget: together the sidecars would
 // overload the server. A sidecar without answers may hardly send anything to it.
 func TestAssumedAnswersGiveNoSlowStartBudget(t *testing.T) {
-	g := newHarness(t, baseConfig(), testServers(4)...)
-	entry := g.balancer.servers[0].Server
-	entry.StartedAt = g.now
-	g.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{entry}})
-	g.now += 2000
-	g.request(idempotentClass) // sets the weights
-	s := g.balancer.servers[0]
-	s.slowStart.tokens, s.slowStart.tokensAt = 0, g.now-2000
-	if g.balancer.hasSlowStartBudget(s); s.slowStart.tokens > 0.2 { // with ten assumed answers it would be 1
+	h := newHarness(t, baseConfig(), testServers(4)...)
+	entry := h.balancer.servers[0].Server
+	entry.StartedAt = h.now
+	h.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{entry}})
+	h.now += 2000
+	h.request(idempotentClass) // sets the weights
+	s := h.balancer.servers[0]
+	s.slowStart.tokens, s.slowStart.tokensAt = 0, h.now-2000
+	if h.balancer.hasSlowStartBudget(s); s.slowStart.tokens > 0.2 { // with ten assumed answers it would be 1
 		t.Fatalf("%.2f sends in two seconds", s.slowStart.tokens)
 	}
 	for range 400 { // a sidecar with two hundred answers a second may send its part
-		g.balancer.admission.answers.add(g.now, answerRateSpan*g.balancer.longestObjective)
+		h.balancer.admission.answers.add(h.now, answerRateSpan*h.balancer.longestObjective)
 	}
-	s.slowStart.tokens, s.slowStart.tokensAt = 0, g.now-2000
-	if g.balancer.hasSlowStartBudget(s); s.slowStart.tokens < 0.5 {
+	s.slowStart.tokens, s.slowStart.tokensAt = 0, h.now-2000
+	if h.balancer.hasSlowStartBudget(s); s.slowStart.tokens < 0.5 {
 		t.Fatalf("%.2f sends in two seconds for a busy sidecar", s.slowStart.tokens)
 	}
 }
@@ -115,13 +115,13 @@
 		restarted := testServers(1)[0]
 		restarted.StartedAt = warm
 		for now := 1000.0; now < end; now += gap {
-			g := rigs[random.Intn(len(rigs))]
-			g.now = now
-			g.actions = g.actions[:0]
-			if s := g.balancer.serversByID[1]; now >= warm && s.StartedAt != warm {
-				g.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{restarted}})
+			h := rigs[random.Intn(len(rigs))]
+			h.now = now
+			h.actions = h.actions[:0]
+			if s := h.balancer.serversByID[1]; now >= warm && s.StartedAt != warm {
+				h.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{restarted}})
 			}
-			id, actions := g.request(idempotentClass)
+			id, actions := h.request(idempotentClass)
 			to, ok := sentServer(actions)
 			if !ok {
 				continue
@@ -131,7 +131,7 @@
 			} else if to == 1 {
 				before += 1000 / (warm - 1000)
 			}
-			g.finishAttempt(id, 0, OK, 5)
+			h.finishAttempt(id, 0, OK, 5)
 		}
 		for i, from := range cold {
 			n := 0
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -146,10 +146,10 @@
 }
 
 // failThird has all attempts at every third server fail.
-func (f *slowStartFleet) failThird(res Result) {
+func (f *slowStartFleet) failThird(result Result) {
 	f.serve = func(s ServerID) (Result, float64) {
 		if s%3 == 2 {
-			return res, 5
+			return result, 5
 		}
 		return f.processAttempt(s)
 	}
