--- a/internal/release/fixtures_test.go
+++ b/internal/release/fixtures_test.go
@@ -3,54 +3,49 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
-	"strings"
 	"testing"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/goldentest"
 )
 
-// updateFixtures rewrites the golden files from what the code under test writes. They were made by the first version of
-// the stored format: a difference means that logs and snapshots on disk can no longer be read as they were meant.
-var updateFixtures = flag.Bool("update", false, "write the golden files in testdata")
-
 // fixtureScenario is a scripted release. Its log and its snapshots are compared with golden files byte by byte.
 type fixtureScenario struct {
 	name      string
 	kind      disruption.Kind
-	plan      string                                                  // empty: a drain
-	script    func(t *testing.T, w *clusterModel, tick int, s *State) // called before each tick
-	wantPhase Phase                                                   // at the end
+	plan      string // empty: a drain
+	wantPhase Phase  // at the end
+
+	// script, where set, is called before each tick.
+	script func(t *testing.T, model *clusterModel, tick int, state *State)
 }
 
 var fixtureScenarios = []fixtureScenario{
 	{name: "halt-resume-rollback", kind: disruption.KindServer, plan: serverPlan, wantPhase: PhaseRolledBack,
-		script: func(t *testing.T, w *clusterModel, tick int, _ *State) {
+		script: func(t *testing.T, model *clusterModel, tick int, _ *State) {
 			switch tick {
 			case 8, 12:
-				sendCommand(t, w, CommandHalt)
+				sendCommand(t, model, CommandHalt)
 			case 10, 62:
-				sendCommand(t, w, CommandResume)
+				sendCommand(t, model, CommandResume)
 			case 90:
-				sendCommand(t, w, CommandRollback)
+				sendCommand(t, model, CommandRollback)
 			}
 		}},
 	{name: "sidecars-finalized", kind: disruption.KindSidecar, plan: sidecarPlan, wantPhase: PhaseCompleted},
 	{name: "configuration-refused", kind: disruption.KindSidecar, plan: configPlan, wantPhase: PhaseRolledBack,
-		script: func(t *testing.T, w *clusterModel, tick int, s *State) {
-			w.rejectedConfigs["c2"] = true
-			if s.Status.Phase == PhaseHalted && tick >= 60 {
-				sendCommand(t, w, CommandRollback)
+		script: func(t *testing.T, model *clusterModel, tick int, state *State) {
+			model.rejectedConfigs["c2"] = true
+			if state.Status.Phase == PhaseHalted && tick >= 60 {
+				sendCommand(t, model, CommandRollback)
 			}
 		}},
 	{name: "rollback-stranded", kind: disruption.KindServer, plan: serverPlan, wantPhase: PhaseStranded,
-		script: func(t *testing.T, w *clusterModel, _ int, s *State) {
-			if s.Status.Phase == PhaseRollout && s.Units[3].Stage == StageConverged {
-				w.broken["1"] = true
-				sendCommand(t, w, CommandRollback)
+		script: func(t *testing.T, model *clusterModel, _ int, state *State) {
+			if state.Status.Phase == PhaseRollout && state.Units[3].Stage == StageConverged {
+				model.broken["1"] = true
+				sendCommand(t, model, CommandRollback)
 			}
 		}},
 	{name: "drain", kind: disruption.KindServer, wantPhase: PhaseCompleted},
@@ -58,8 +53,8 @@
 
 // loggedOperation is one line of a golden log.
 type loggedOperation struct {
-	Rev uint64          `json:"rev"`
-	Op  json.RawMessage `json:"op"`
+	Revision uint64          `json:"rev"`
+	Op       json.RawMessage `json:"op"`
 }
 
 // playFixture runs a scenario and returns the log that it wrote, and a snapshot after each change of phase or wave.
@@ -67,18 +62,11 @@
 	t.Helper()
 	model := newClusterModel(t, scenario.kind, 2, 3, 2)
 	var logLines, snapshotLines bytes.Buffer
-	model.applied = func(rev uint64, op *Operation) {
-		logLines.Write(jsonLine(t, loggedOperation{Rev: rev, Op: jsonLine(t, op)}))
+	model.applied = func(revision uint64, op *Operation) {
+		logLines.Write(jsonLine(t, loggedOperation{Revision: revision, Op: jsonLine(t, op)}))
 	}
 	if scenario.plan == "" {
-		selector := disruption.Selector{IDs: []string{"server/a0", "server/b1"}}
-		state, err := NewDrain(DrainPlan("r", selector, 3600), model.nowMS, model.ledger.Units(), model.list())
-		if err == nil {
-			err = model.apply(&Operation{Start: state})
-		}
-		if err != nil {
-			t.Fatal(err)
-		}
+		model.startDrain("r", "server/a0", "server/b1")
 	} else {
 		model.startRelease(scenario.plan)
 	}
@@ -89,7 +77,7 @@
 			snapshotLines.Write(jsonLine(t, model.table.Snapshot()))
 		}
 	}
-	state, _ := model.run("r", &crash{effectIndex: -1}, 1000, func(tick int, state *State) {
+	state, _ := model.run(noCrash(), 1000, func(tick int, state *State) {
 		if scenario.script != nil {
 			scenario.script(t, model, tick, state)
 		}
@@ -116,49 +104,14 @@
 	return append(line, '\n')
 }
 
-// checkGolden compares data with a file of testdata byte by byte, or writes the file under -update.
-func checkGolden(t *testing.T, name string, data []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateFixtures {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, data, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want := readGolden(t, name)
-	if bytes.Equal(data, want) {
-		return
-	}
-	got, wanted := strings.Split(string(data), "\n"), strings.Split(string(want), "\n")
-	for i := range min(len(got), len(wanted)) {
-		if got[i] != wanted[i] {
-			t.Fatalf("%s:%d:\n got %s\nwant %s", path, i+1, got[i], wanted[i])
-		}
-	}
-	t.Fatalf("%s: got %d lines, want %d", path, len(got), len(wanted))
-}
-
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	data, err := os.ReadFile(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return data
-}
-
 // The scripted releases write the stored bytes: the same decisions, in the same order, in the same format.
 func TestScriptedReleasesWriteTheStoredBytes(t *testing.T) {
 	for i := range fixtureScenarios {
 		scenario := &fixtureScenarios[i]
 		t.Run(scenario.name, func(t *testing.T) {
 			log, snapshots := playFixture(t, scenario)
-			checkGolden(t, scenario.name+".log.jsonl", log)
-			checkGolden(t, scenario.name+".snapshots.jsonl", snapshots)
+			goldentest.Compare(t, scenario.name+".log.jsonl", log)
+			goldentest.Compare(t, scenario.name+".snapshots.jsonl", snapshots)
 		})
 	}
 }
@@ -172,16 +125,16 @@
 		t.Run(scenario.name, func(t *testing.T) {
 			table := NewTable()
 			written := map[string]bool{}
-			for line := range bytes.Lines(readGolden(t, scenario.name+".log.jsonl")) {
+			for line := range bytes.Lines(goldentest.Read(t, scenario.name+".log.jsonl")) {
 				var logged loggedOperation
-				readStrictly(t, line, &logged)
+				goldentest.DecodeStrictly(t, line, &logged)
 				var op Operation
-				readStrictly(t, logged.Op, &op)
+				goldentest.DecodeStrictly(t, logged.Op, &op)
 				if again := bytes.TrimSpace(jsonLine(t, &op)); !bytes.Equal(again, logged.Op) {
 					t.Fatalf("read and written again:\n got %s\nwant %s", again, logged.Op)
 				}
-				if err := table.Apply(logged.Rev, &op); err != nil {
-					t.Fatalf("revision %d: %v", logged.Rev, err)
+				if err := table.Apply(logged.Revision, &op); err != nil {
+					t.Fatalf("revision %d: %v", logged.Revision, err)
 				}
 				s, _ := table.Get("r")
 				phases[s.Status.Phase] = true
@@ -190,7 +143,7 @@
 				}
 				written[string(jsonLine(t, table.Snapshot()))] = true
 			}
-			for line := range bytes.Lines(readGolden(t, scenario.name+".snapshots.jsonl")) {
+			for line := range bytes.Lines(goldentest.Read(t, scenario.name+".snapshots.jsonl")) {
 				if !written[string(line)] {
 					t.Errorf("no prefix of the log gives the stored snapshot %s", line)
 				}
@@ -215,9 +168,9 @@
 	for i := range fixtureScenarios {
 		scenario := &fixtureScenarios[i]
 		t.Run(scenario.name, func(t *testing.T) {
-			for line := range bytes.Lines(readGolden(t, scenario.name+".snapshots.jsonl")) {
+			for line := range bytes.Lines(goldentest.Read(t, scenario.name+".snapshots.jsonl")) {
 				var saved Snapshot
-				readStrictly(t, line, &saved)
+				goldentest.DecodeStrictly(t, line, &saved)
 				table := Restore(&saved)
 				if again := jsonLine(t, table.Snapshot()); !bytes.Equal(again, line) {
 					t.Fatalf("restored and saved again:\n got %s\nwant %s", again, line)
@@ -241,12 +194,12 @@
 	var names bytes.Buffer
 	for i := range fixtureScenarios {
 		table := NewTable()
-		for line := range bytes.Lines(readGolden(t, fixtureScenarios[i].name+".log.jsonl")) {
+		for line := range bytes.Lines(goldentest.Read(t, fixtureScenarios[i].name+".log.jsonl")) {
 			var logged loggedOperation
-			readStrictly(t, line, &logged)
+			goldentest.DecodeStrictly(t, line, &logged)
 			var op Operation
-			readStrictly(t, logged.Op, &op)
-			if err := table.Apply(logged.Rev, &op); err != nil {
+			goldentest.DecodeStrictly(t, logged.Op, &op)
+			if err := table.Apply(logged.Revision, &op); err != nil {
 				t.Fatal(err)
 			}
 			if op.Delta == nil {
@@ -263,15 +216,5 @@
 		}
 	}
 	fmt.Fprintln(&names, Owner("r"), (&State{Name: "r"}).CohortID())
-	checkGolden(t, "names.txt", names.Bytes())
-}
-
-// readStrictly decodes JSON and fails on a field that the type does not have.
-func readStrictly(t *testing.T, data []byte, into any) {
-	t.Helper()
-	decoder := json.NewDecoder(bytes.NewReader(data))
-	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
-		t.Fatalf("%s: %v", data, err)
-	}
+	goldentest.Compare(t, "names.txt", names.Bytes())
 }
