--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -9,14 +9,14 @@
 }
 
 // answerHealthChecks answers the health checks among actions: unreachable servers give no answer, the others hold n requests.
-func (h *harness) answerHealthChecks(actions []Action, n float32, dark map[ServerID]bool) []Action {
+func (h *harness) answerHealthChecks(actions []Action, n float32, unreachable map[ServerID]bool) []Action {
 	var after []Action
 	for _, a := range actions {
 		if a.Kind != HealthCheck {
 			continue
 		}
 		result := HealthCheckResult{Server: a.Server, LoadReport: []float32{n}}
-		if dark[a.Server] {
+		if unreachable[a.Server] {
 			result = HealthCheckResult{Server: a.Server, Result: TimedOut}
 		}
 		after = append(after, h.handle(result)...)
@@ -27,13 +27,13 @@
 // Unreachable servers that are next in turn must not be sent a health check for every request.
 func TestUnreachableServersAreEjectedAndReturn(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), testServers(3)...)
-	dark := map[ServerID]bool{1: true, 2: true}
+	unreachable := map[ServerID]bool{1: true, 2: true}
 	for i := range 4 {
 		id, actions := h.request(idempotentClass)
 		if asked := len(actions) - 1; i > 0 && asked > 1 {
 			t.Fatalf("request %d: %d servers checked though two are unreachable", id, asked)
 		}
-		if s, ok := sentServer(h.answerHealthChecks(actions, 0, dark)); !ok || s != 3 {
+		if s, ok := sentServer(h.answerHealthChecks(actions, 0, unreachable)); !ok || s != 3 {
 			t.Fatalf("request %d went to %d", id, s)
 		}
 		h.finishAttempt(id, 0, OK, 10)
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -55,45 +55,55 @@
 	}
 }
 
-func TestLostZoneRecovers(t *testing.T) {
+// newTwoZoneHarness returns a sidecar with 24 servers, of which the first 12 are zone 0 and the others zone 1.
+func newTwoZoneHarness(t *testing.T) *harness {
 	servers := testServers(24)
 	for i := range servers {
 		servers[i].Zone = i / 12
 	}
-	h := newHarness(t, baseConfig(), servers...)
-	dead := true
-	play := func() (in, out int) {
+	return newHarness(t, baseConfig(), servers...)
+}
+
+// requestWithRetries sends an idempotent request and ends its attempts, as unreachable in zone 0 if that is lost, until
+// it is answered. It returns how many attempts were at zone 0.
+func (h *harness) requestWithRetries(zoneLost bool) (inZone int) {
+	h.t.Helper()
+	h.now += 20
+	id, actions := h.request(idempotentClass)
+	for n := 0; len(h.balancer.requests.open) > 0 && n < 4; n++ {
+		s, sent := sentServer(actions)
+		if !sent {
+			break
+		}
+		if s <= 12 {
+			inZone++
+		}
+		if s <= 12 && zoneLost {
+			actions = h.finishAttempt(id, n, ConnectFailed, 1)
+		} else {
+			actions = h.finishAttempt(id, n, OK, 5)
+		}
+	}
+	return inZone
+}
+
+func TestLostZoneRecovers(t *testing.T) {
+	h := newTwoZoneHarness(t)
+	attempts := func(zoneLost bool) (inZone int) {
 		for range 400 {
-			h.now += 20
-			id, actions := h.request(idempotentClass)
-			for n := 0; len(h.balancer.requests.open) > 0 && n < 4; n++ {
-				s, sent := sentServer(actions)
-				if !sent {
-					break
-				}
-				if s <= 12 && dead {
-					out++
-					actions = h.finishAttempt(id, n, ConnectFailed, 1)
-				} else {
-					if s <= 12 {
-						in++
-					}
-					actions = h.finishAttempt(id, n, OK, 5)
-				}
-			}
+			inZone += h.requestWithRetries(zoneLost)
 		}
-		return in, out
+		return inZone
 	}
-	_, out := play()
-	if out > 24 {
-		t.Errorf("%d sends to a lost zone in 8 s", out)
+	lost := attempts(true)
+	if lost > 24 {
+		t.Errorf("%d sends to a lost zone in 8 s", lost)
 	}
-	if out == 0 || !h.balancer.healthOfZone(0).lost {
+	if lost == 0 || !h.balancer.healthOfZone(0).lost {
 		t.Fatal("the zone is not taken to be lost")
 	}
-	dead = false
-	if in, _ := play(); in < 100 {
-		t.Errorf("%d of 400 requests go to a zone that has recovered", in)
+	if recovered := attempts(false); recovered < 100 {
+		t.Errorf("%d of 400 requests go to a zone that has recovered", recovered)
 	}
 }
 
@@ -181,39 +191,23 @@
 	for _, s := range h.balancer.servers {
 		h.balancer.recordError(s, false)
 	}
-	resting := 0
+	ejected := 0
 	for _, s := range h.balancer.servers {
 		if h.balancer.isEjected(s) {
-			resting++
+			ejected++
 		}
 	}
-	if most := int(maxLateEjectedFraction*40 + 1); resting == 0 || resting > most {
-		t.Errorf("%d of 40 servers are ejected, want 1 to %d", resting, most)
+	if most := int(maxLateEjectedFraction*40 + 1); ejected == 0 || ejected > most {
+		t.Errorf("%d of 40 servers are ejected, want 1 to %d", ejected, most)
 	}
 }
 
 // The other zones receive the keys of a lost zone without a warm cache: they would be overloaded before answers show it.
 func TestLoadOfLostZoneIsShedAtOnce(t *testing.T) {
-	servers := testServers(24)
-	for i := range servers {
-		servers[i].Zone = i / 12
-	}
-	h := newHarness(t, baseConfig(), servers...)
+	h := newTwoZoneHarness(t)
 	shed := 0.0
 	for range 400 {
-		h.now += 20
-		id, actions := h.request(idempotentClass)
-		for n := 0; len(h.balancer.requests.open) > 0 && n < 4; n++ {
-			s, sent := sentServer(actions)
-			if !sent {
-				break
-			}
-			if s <= 12 {
-				actions = h.finishAttempt(id, n, ConnectFailed, 1)
-			} else {
-				actions = h.finishAttempt(id, n, OK, 5)
-			}
-		}
+		h.requestWithRetries(true)
 		if h.balancer.healthOfZone(0).lost {
 			shed = h.balancer.admission.sustainedShed - shedDeadband
 			break
