--- a/internal/hotkey/fixtures_test.go
+++ b/internal/hotkey/fixtures_test.go
@@ -3,37 +3,15 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"testing"
 
+	"milldeck/internal/goldentest"
 	"milldeck/internal/placement"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
-
-// golden compares bytes with a golden file, which -update writes.
-func golden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateGolden {
-		if err := os.WriteFile(path, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
 // jsonLines marshals values, one a line.
 func jsonLines[T any](t *testing.T, values []T) []byte {
 	t.Helper()
@@ -118,7 +96,7 @@
 // The directives that a planner writes into the placement keep their bytes.
 func TestFixturePlacementChanges(t *testing.T) {
 	changes, planner := playFixture(t, 80)
-	golden(t, "placement-changes.jsonl", jsonLines(t, changes))
+	goldentest.Compare(t, "placement-changes.jsonl", jsonLines(t, changes))
 	if len(planner.keys) != 0 || changes[len(changes)-1].RemoveID != DirectiveID(fixtureKey) {
 		t.Errorf("%d keys are replicated, want none", len(planner.keys))
 	}
@@ -127,18 +105,12 @@
 // The status over HTTP keeps its bytes, also that of a planner that was restored from the golden file's directives.
 func TestFixtureTableOverHTTP(t *testing.T) {
 	_, planner := playFixture(t, 18)
-	golden(t, "table.json", call(t, &Controller{planner: planner}, http.MethodGet, "/spread", http.StatusOK))
+	goldentest.Compare(t, "table.json", call(t, &Controller{planner: planner}, http.MethodGet, "/spread", http.StatusOK))
 
-	data, err := os.ReadFile(filepath.Join("testdata", "placement-changes.jsonl"))
-	if err != nil {
-		t.Fatal(err)
-	}
 	var last fixtureChange
-	for line := range bytes.Lines(data) {
+	for line := range bytes.Lines(goldentest.Read(t, "placement-changes.jsonl")) {
 		var change fixtureChange
-		if err := json.Unmarshal(line, &change); err != nil {
-			t.Fatal(err)
-		}
+		goldentest.DecodeStrictly(t, line, &change)
 		again, err := json.Marshal(change)
 		if err != nil || !bytes.Equal(again, bytes.TrimSpace(line)) {
 			t.Errorf("read %s, %v, from %s", again, err, line)
@@ -151,7 +123,7 @@
 	successor := newPlanner(DefaultConfig(1000, 50))
 	successor.SetServers(fixtureFleet())
 	successor.Restore(fixtureStart+5, []placement.Directive{*last.Set})
-	golden(t, "table-resumed.json", call(t, &Controller{planner: successor}, http.MethodGet, "/spread", http.StatusOK))
+	goldentest.Compare(t, "table-resumed.json", call(t, &Controller{planner: successor}, http.MethodGet, "/spread", http.StatusOK))
 	var changes []fixtureChange
 	for step := range 32 {
 		now := fixtureStart + 5 + float64(step)/4
@@ -162,7 +134,7 @@
 			}
 		}
 	}
-	golden(t, "placement-resumed.jsonl", jsonLines(t, changes))
+	goldentest.Compare(t, "placement-resumed.jsonl", jsonLines(t, changes))
 }
 
 // The other answers over HTTP keep their bytes.
@@ -172,13 +144,13 @@
 	if err := controller.restorePlanner(fixtureStart, &snapshot{servers: fixtureFleet()}); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "table-empty.json", call(t, controller, http.MethodGet, "/spread", http.StatusOK))
-	golden(t, "leave-ready.json", call(t, controller, http.MethodPost, "/spread/leave?uid=server-1", http.StatusOK))
-	golden(t, "leave-unnamed.txt", call(t, controller, http.MethodPost, "/spread/leave", http.StatusBadRequest))
+	goldentest.Compare(t, "table-empty.json", call(t, controller, http.MethodGet, "/spread", http.StatusOK))
+	goldentest.Compare(t, "leave-ready.json", call(t, controller, http.MethodPost, "/spread/leave?uid=server-1", http.StatusOK))
+	goldentest.Compare(t, "leave-unnamed.txt", call(t, controller, http.MethodPost, "/spread/leave", http.StatusBadRequest))
 	controller.planner = planner
-	golden(t, "leave-waits.json", call(t, controller, http.MethodPost, "/spread/leave?uid="+planner.Status()[0].Placement.Copies[0].ServerUID, http.StatusOK))
-	golden(t, "not-held.txt", call(t, &Controller{}, http.MethodGet, "/spread", http.StatusServiceUnavailable))
-	golden(t, "not-held.txt", call(t, &Controller{}, http.MethodPost, "/spread/leave?uid=server-1", http.StatusServiceUnavailable))
+	goldentest.Compare(t, "leave-waits.json", call(t, controller, http.MethodPost, "/spread/leave?uid="+planner.Status()[0].Placement.Copies[0].ServerUID, http.StatusOK))
+	goldentest.Compare(t, "not-held.txt", call(t, &Controller{}, http.MethodGet, "/spread", http.StatusServiceUnavailable))
+	goldentest.Compare(t, "not-held.txt", call(t, &Controller{}, http.MethodPost, "/spread/leave?uid=server-1", http.StatusServiceUnavailable))
 	call(t, controller, http.MethodPost, "/spread", http.StatusMethodNotAllowed)
 }
 
--- a/internal/hotkey/topk/fixtures_test.go
+++ b/internal/hotkey/topk/fixtures_test.go
@@ -2,16 +2,13 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"testing"
-)
 
-var updateGolden = flag.Bool("update", false, "write the golden file anew")
+	"milldeck/internal/goldentest"
+)
 
-// describe writes a part with all digits of its numbers.
+// describe writes a snapshot with all digits of its numbers.
 func describe(out *bytes.Buffer, name string, p Snapshot) {
 	fmt.Fprintf(out, "%s all %x floor %x\n", name, p.Total, p.UnlistedBound)
 	for _, f := range p.Keys {
@@ -19,7 +16,7 @@
 	}
 }
 
-// What is counted of the same requests, and merged of the same parts, keeps every bit: sidecars' reports hold it.
+// What a sketch counts of the same requests, and the merge of its snapshots, keeps every bit: sidecars report it.
 func TestFixtureFigures(t *testing.T) {
 	var out bytes.Buffer
 	var parts []Snapshot
@@ -45,17 +42,5 @@
 	}
 	describe(&out, "merged", Merge(12, parts...))
 	describe(&out, "merged in turn", Merge(12, Merge(12, parts[0], parts[2]), parts[4]))
-	path := filepath.Join("testdata", "figures.txt")
-	if *updateGolden {
-		if err := os.WriteFile(path, out.Bytes(), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(out.Bytes(), want) {
-		t.Errorf("%s\nwant:\n%s", out.Bytes(), want)
-	}
+	goldentest.Compare(t, "figures.txt", out.Bytes())
 }
--- a/internal/supervisor/core/fixtures_test.go
+++ b/internal/supervisor/core/fixtures_test.go
@@ -3,35 +3,13 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
-	"path/filepath"
+	"slices"
 	"testing"
 
+	"milldeck/internal/goldentest"
 	"milldeck/internal/supervisor"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
-
-// golden compares bytes with a golden file, which -update writes, and returns the file's.
-func golden(t *testing.T, name string, got []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateGolden {
-		if err := os.WriteFile(path, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs:\n%s\nwant:\n%s", name, got, want)
-	}
-	return want
-}
-
 func fixtureFaults() []Fault {
 	return []Fault{
 		{Kind: FaultError, On: OnList, Count: 2}, {Kind: FaultHang, DurationMS: 500}, {Kind: FaultDelay, DelayMS: 100}, {Kind: FaultPartial, On: OnDo, Unit: "u1"},
@@ -50,13 +28,15 @@
 			t.Fatal(err)
 		}
 	}
-	n := 0
-	for line := range bytes.Lines(golden(t, "faults.jsonl", out.Bytes())) {
-		var f Fault
-		if err := json.Unmarshal(line, &f); err != nil || f != fixtureFaults()[n] {
-			t.Errorf("read %+v, %v, from %s", f, err, line)
-		}
-		n++
+	goldentest.Compare(t, "faults.jsonl", out.Bytes())
+	var read []Fault
+	for line := range bytes.Lines(goldentest.Read(t, "faults.jsonl")) {
+		var fault Fault
+		goldentest.DecodeStrictly(t, line, &fault)
+		read = append(read, fault)
+	}
+	if !slices.Equal(read, fixtureFaults()) {
+		t.Errorf("read %+v, want %+v", read, fixtureFaults())
 	}
 }
 
@@ -101,5 +81,5 @@
 	}
 	note(executeOne(t, c, 1700, first))
 	note(c.list(1700))
-	golden(t, "outcomes.jsonl", out.Bytes())
+	goldentest.Compare(t, "outcomes.jsonl", out.Bytes())
 }
--- a/internal/supervisor/fixtures_test.go
+++ b/internal/supervisor/fixtures_test.go
@@ -3,37 +3,15 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
-)
-
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
 
-// golden compares bytes with a golden file, which -update writes, and returns the file's.
-func golden(t *testing.T, name string, got []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateGolden {
-		if err := os.WriteFile(path, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs:\n%s\nwant:\n%s", name, got, want)
-	}
-	return want
-}
+	"milldeck/internal/goldentest"
+)
 
 // goldenJSON compares a value's JSON with a golden file, and the file's value with it.
 func goldenJSON[T any](t *testing.T, name string, value T) {
@@ -42,11 +20,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := golden(t, name, append(got, '\n'))
+	goldentest.Compare(t, name, append(got, '\n'))
 	var read T
-	if err := json.Unmarshal(want, &read); err != nil {
-		t.Fatal(err)
-	}
+	goldentest.DecodeStrictly(t, goldentest.Read(t, name), &read)
 	if !reflect.DeepEqual(read, value) {
 		t.Errorf("%s was read as %+v, want %+v", name, read, value)
 	}
@@ -105,7 +81,7 @@
 	for _, o := range fixtureOutcomes() {
 		fmt.Fprintf(&out, "%v\n", o.Err())
 	}
-	golden(t, "digests.txt", out.Bytes())
+	goldentest.Compare(t, "digests.txt", out.Bytes())
 }
 
 // fixtureAnswer answers the requests of fixtureRequests.
@@ -121,13 +97,7 @@
 // A client sends the golden call and reads the golden responses.
 func TestFixtureClient(t *testing.T) {
 	goldenJSON(t, "answer-to-call.json", fixtureAnswer())
-	read := func(name string) []byte {
-		data, err := os.ReadFile(filepath.Join("testdata", name))
-		if err != nil {
-			t.Error(err)
-		}
-		return data
-	}
+	listJSON, answerJSON := goldentest.Read(t, "list.json"), goldentest.Read(t, "answer-to-call.json")
 	var sent []string
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, err := io.ReadAll(req.Body)
@@ -135,12 +105,12 @@
 			t.Error(err)
 		}
 		sent = append(sent, fmt.Sprintf("%s %s %s %s", req.Method, req.URL.Path, req.Header.Get("Content-Type"), body))
-		name := "list.json"
+		answer := listJSON
 		if req.Method == http.MethodPost {
-			name = "answer-to-call.json"
+			answer = answerJSON
 			w.WriteHeader(http.StatusConflict)
 		}
-		if _, err := w.Write(read(name)); err != nil {
+		if _, err := w.Write(answer); err != nil {
 			t.Error(err)
 		}
 	}))
@@ -160,7 +130,7 @@
 	}
 	want := []string{
 		"GET /supervisor/units  ",
-		"POST /supervisor/units application/json " + string(bytes.TrimSpace(read("call.json"))),
+		"POST /supervisor/units application/json " + string(bytes.TrimSpace(goldentest.Read(t, "call.json"))),
 	}
 	if !reflect.DeepEqual(sent, want) {
 		t.Errorf("the client sent %q, want %q", sent, want)
--- a/internal/supervisor/standin/fixtures_test.go
+++ b/internal/supervisor/standin/fixtures_test.go
@@ -4,44 +4,22 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"os"
-	"path/filepath"
 	"reflect"
 	"regexp"
 	"strings"
 	"testing"
 
+	"milldeck/internal/goldentest"
 	"milldeck/internal/supervisor"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
-
-// golden compares bytes with a golden file, which -update writes.
-func golden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateGolden {
-		if err := os.WriteFile(path, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
 // The keys of a versions' file keep their names.
 func TestFixtureVersions(t *testing.T) {
-	v, err := LoadVersions(filepath.Join("testdata", "versions.toml"))
+	v, err := LoadVersions(goldentest.Path("versions.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +42,7 @@
 
 // The answers over HTTP keep their bytes, but for what depends on the clock: the epoch and times.
 func TestFixtureHTTPAnswers(t *testing.T) {
-	versions, err := LoadVersions(filepath.Join("testdata", "versions.toml"))
+	versions, err := LoadVersions(goldentest.Path("versions.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,5 +111,5 @@
 	request("DELETE", faults, "")
 	request("GET", "/health/ready", "")
 	http.DefaultClient.CloseIdleConnections()
-	golden(t, "answers.txt", out.Bytes())
+	goldentest.Compare(t, "answers.txt", out.Bytes())
 }
