--- a/internal/supervisor/client_test.go
+++ b/internal/supervisor/client_test.go
@@ -41,64 +41,91 @@
 	return c, &calls
 }
 
-func TestInvalidResponsesAreRetried(t *testing.T) {
+func TestInvalidOutcomesAreRetried(t *testing.T) {
 	const done = `{"outcomes":[{"id":"a","unit":"u","memory":7,"incarnation":3}]}`
-	for _, bad := range []string{
-		"", "null", "{}", done[:30], done + "{}", `{"outcomes":[]}`, strings.Replace(done, `"a"`, `"b"`, 1), strings.Replace(done, `"u"`, `"v"`, 1),
-		strings.Replace(done, "7", "8", 1), strings.Replace(done, "7", "0", 1), strings.Replace(done, "3", "0", 1), strings.Replace(done, "3", `"3"`, 1),
+	for _, test := range []struct{ name, response string }{
+		{"empty", ""},
+		{"null", "null"},
+		{"no outcomes", "{}"},
+		{"cut off", done[:30]},
+		{"two values", done + "{}"},
+		{"too few outcomes", `{"outcomes":[]}`},
+		{"another id", strings.Replace(done, `"a"`, `"b"`, 1)},
+		{"another unit", strings.Replace(done, `"u"`, `"v"`, 1)},
+		{"another epoch", strings.Replace(done, "7", "8", 1)},
+		{"no epoch", strings.Replace(done, "7", "0", 1)},
+		{"no incarnation", strings.Replace(done, "3", "0", 1)},
+		{"incarnation of another type", strings.Replace(done, "3", `"3"`, 1)},
 	} {
-		c, calls := newScriptedClient(t, 200, bad, done)
-		out, err := c.Do(t.Context(), stopRequest())
-		if err != nil || len(out) != 1 || out[0].Incarnation != 3 || calls.Load() != 2 {
-			t.Errorf("%q: %+v, %v after %d calls, want the second answer", bad, out, err, calls.Load())
-		}
+		t.Run(test.name, func(t *testing.T) {
+			client, calls := newScriptedClient(t, http.StatusOK, test.response, done)
+			outcomes, err := client.Do(t.Context(), stopRequest())
+			if err != nil || len(outcomes) != 1 || outcomes[0].Incarnation != 3 || calls.Load() != 2 {
+				t.Errorf("%+v, %v after %d calls, want the second response", outcomes, err, calls.Load())
+			}
+		})
 	}
-	const list = `{"memory":7,"complete":true,"at_ms":1,"units":[{"name":"a","kind":"server","version":"1","listen":"","state":"running","incarnation":1}]}`
-	for _, bad := range []string{
-		"[]", `{"memory":7}`, strings.Replace(list, "7", "0", 1), strings.Replace(list, "running", "well", 1), strings.Replace(list, `"a"`, `"../a"`, 1),
-		strings.Replace(list, `"server"`, `"s"`, 1), strings.Replace(list, `[{`, `[{"name":"a","kind":"server","state":"exited","incarnation":1},{`, 1),
+}
+
+func TestInvalidListsAreRetried(t *testing.T) {
+	const valid = `{"memory":7,"complete":true,"at_ms":1,"units":[{"name":"a","kind":"server","version":"1","listen":"","state":"running","incarnation":1}]}`
+	for _, test := range []struct{ name, response string }{
+		{"another type", "[]"},
+		{"no units", `{"memory":7}`},
+		{"no epoch", strings.Replace(valid, "7", "0", 1)},
+		{"unknown state", strings.Replace(valid, "running", "well", 1)},
+		{"invalid name", strings.Replace(valid, `"a"`, `"../a"`, 1)},
+		{"unknown kind", strings.Replace(valid, `"server"`, `"s"`, 1)},
+		{"a unit twice", strings.Replace(valid, `[{`, `[{"name":"a","kind":"server","state":"exited","incarnation":1},{`, 1)},
 	} {
-		c, calls := newScriptedClient(t, 200, bad, list)
-		l, err := c.List(t.Context())
-		if err != nil || l.Find("a") == nil || l.Find("b") != nil || calls.Load() != 2 {
-			t.Errorf("%q: %+v, %v after %d calls, want the second answer", bad, l, err, calls.Load())
-		}
+		t.Run(test.name, func(t *testing.T) {
+			client, calls := newScriptedClient(t, http.StatusOK, test.response, valid)
+			list, err := client.List(t.Context())
+			if err != nil || list.Find("a") == nil || list.Find("b") != nil || calls.Load() != 2 {
+				t.Errorf("%+v, %v after %d calls, want the second response", list, err, calls.Load())
+			}
+		})
 	}
 }
 
 func TestFailuresAndUnknownOutcomes(t *testing.T) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln.Close()
-	nobody, err := NewClient(ln.Addr().String())
+	listener.Close()
+	unreachable, err := NewClient(listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	failing, _ := newScriptedClient(t, 500, `{"error":"the platform\nfailed"}`)
-	refusing, refused := newScriptedClient(t, 400, `{"error":"no"}`)
-	for _, c := range []struct {
+	failing, _ := newScriptedClient(t, http.StatusInternalServerError, `{"error":"the platform\nfailed"}`)
+	rejecting, rejected := newScriptedClient(t, http.StatusBadRequest, `{"error":"no"}`)
+	for _, test := range []struct {
 		name    string
 		client  *Client
 		timeout time.Duration // 0: the context has ended before the call
 		unknown bool
 		want    string
 	}{
-		{"nobody there", nobody, 200 * time.Millisecond, false, "refused"},
+		{"unreachable", unreachable, 200 * time.Millisecond, false, "refused"},
 		{"500", failing, 200 * time.Millisecond, true, "500: the platform failed"},
-		{"400", refusing, 10 * time.Second, false, "400: no"},
+		{"400", rejecting, 10 * time.Second, false, "400: no"},
 		{"ended before", failing, 0, false, "deadline exceeded"},
 	} {
-		ctx, cancel := context.WithTimeout(t.Context(), c.timeout)
-		_, err := c.client.Do(ctx, stopRequest())
-		cancel()
-		if err == nil || errors.Is(err, ErrOutcomeUnknown) != c.unknown || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want unknown %v and one line with %q", c.name, err, c.unknown, c.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			ctx, cancel := context.WithTimeout(t.Context(), test.timeout)
+			defer cancel()
+			_, err := test.client.Do(ctx, stopRequest())
+			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want one line with %q", err, test.want)
+			}
+			if errors.Is(err, ErrOutcomeUnknown) != test.unknown {
+				t.Errorf("%v, want an unknown outcome: %v", err, test.unknown)
+			}
+		})
 	}
-	if refused.Load() != 1 {
-		t.Errorf("%d calls, want one: no repeat would fare better", refused.Load())
+	if rejected.Load() != 1 {
+		t.Errorf("%d calls, want one: no retry would succeed", rejected.Load())
 	}
 }
 
@@ -107,23 +134,38 @@
 	if err := start.Validate(); err != nil {
 		t.Error(err)
 	}
-	for name, change := range map[string]func(*Request){
-		"no id": func(r *Request) { r.ID = "" }, "id with an empty part": func(r *Request) { r.ID = "a//b" },
-		"long id": func(r *Request) { r.ID = strings.Repeat("a/", 100) + "a" }, "a path": func(r *Request) { r.Unit = "../u" }, "an option": func(r *Request) { r.Version = "-v" },
-		"not on loopback": func(r *Request) { r.Listen = "10.0.0.1:80" }, "no port": func(r *Request) { r.Listen = "127.0.0.1:0" },
-		"no memory": func(r *Request) { r.Epoch = 0 }, "kind": func(r *Request) { r.Kind = "x" }, "op": func(r *Request) { r.Op = "x" },
-		"grace": func(r *Request) { r.GraceMS = 1 }, "stop of none": func(r *Request) { *r = stopRequest(); r.Incarnation = 0 },
-		"stop with a version": func(r *Request) { *r = stopRequest(); r.Version = "1" }, "long grace": func(r *Request) { *r = stopRequest(); r.GraceMS = 1e9 },
-		"reload of nothing": func(r *Request) { *r = stopRequest(); r.Op = Reload; r.ConfigName = "c" },
-		"large file":        func(r *Request) { r.ConfigText = strings.Repeat("x", MaxConfigBytes+1) },
+	for _, test := range []struct {
+		name    string
+		request Request
+		change  func(*Request)
+		field   string // that the error names first
+	}{
+		{"no id", start, func(r *Request) { r.ID = "" }, "id"},
+		{"id with an empty part", start, func(r *Request) { r.ID = "a//b" }, "id"},
+		{"long id", start, func(r *Request) { r.ID = strings.Repeat("a/", 100) + "a" }, "id"},
+		{"unit like a path", start, func(r *Request) { r.Unit = "../u" }, "unit"},
+		{"version like an option", start, func(r *Request) { r.Version = "-v" }, "version"},
+		{"not on loopback", start, func(r *Request) { r.Listen = "10.0.0.1:80" }, "listen"},
+		{"no port", start, func(r *Request) { r.Listen = "127.0.0.1:0" }, "listen"},
+		{"no epoch", start, func(r *Request) { r.Epoch = 0 }, "memory"},
+		{"unknown kind", start, func(r *Request) { r.Kind = "x" }, "kind"},
+		{"unknown operation", start, func(r *Request) { r.Op = "x" }, "op"},
+		{"start with a grace period", start, func(r *Request) { r.GraceMS = 1 }, "grace_ms"},
+		{"large configuration", start, func(r *Request) { r.ConfigText = strings.Repeat("x", MaxConfigBytes+1) }, "file"},
+		{"stop without incarnation", stopRequest(), func(r *Request) { r.Incarnation = 0 }, "incarnation"},
+		{"stop with a version", stopRequest(), func(r *Request) { r.Version = "1" }, "op"},
+		{"long grace period", stopRequest(), func(r *Request) { r.GraceMS = 1e9 }, "grace_ms"},
+		{"reload without a configuration", stopRequest(), func(r *Request) { r.Op, r.ConfigName = Reload, "c" }, "file"},
 	} {
-		r := start
-		change(&r)
-		if err := r.Validate(); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			test.change(&test.request)
+			err := test.request.Validate()
+			if err == nil || !strings.HasPrefix(err.Error(), test.field+": ") || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want one line about %s", err, test.field)
+			}
+		})
 	}
 	if err := ValidateBatch([]Request{start, start}); err == nil {
-		t.Error("an id stands twice in a call")
+		t.Error("an id is valid twice in a call")
 	}
 }
--- a/internal/supervisor/standin/standin_test.go
+++ b/internal/supervisor/standin/standin_test.go
@@ -255,23 +255,26 @@
 }
 
 func TestInvalidVersionsAreRejectedByLine(t *testing.T) {
-	const good = "[[version]]\nname = \"1\"\nkind = \"sidecar\"\nargv = [\"x\"]\n"
-	for _, c := range []struct{ text, want string }{
-		{"", "0 versions"},
-		{good + "speed = 1\n", ":5: version.speed: unknown key"},
-		{strings.Replace(good, "sidecar", "car", 1), ":2: version[0].name: kind"},
-		{good + good, ":6: version[1].name: sidecar 1 stands twice"},
-		{strings.Replace(good, `["x"]`, `[]`, 1), ":4: version[0].argv: 0 parts"},
-		{strings.Replace(good, `"x"`, `"x", "{host}"`, 1), ":4: version[0].argv: {host} stands for nothing"},
-		{good + "ready = \"ready\"\n", ":5: version[0].ready"},
-		{good + "grace_ms = -1\n", ":5: version[0].grace_ms"},
+	const valid = "[[version]]\nname = \"1\"\nkind = \"sidecar\"\nargv = [\"x\"]\n"
+	for _, test := range []struct{ name, text, want string }{
+		{"empty", "", "0 versions"},
+		{"unknown key", valid + "speed = 1\n", ":5: version.speed: unknown key"},
+		{"unknown kind", strings.Replace(valid, "sidecar", "car", 1), ":2: version[0].name: kind"},
+		{"twice", valid + valid, ":6: version[1].name: sidecar 1 stands twice"},
+		{"no program", strings.Replace(valid, `["x"]`, `[]`, 1), ":4: version[0].argv: 0 parts"},
+		{"unknown placeholder", strings.Replace(valid, `"x"`, `"x", "{host}"`, 1), ":4: version[0].argv: {host} stands for nothing"},
+		{"relative ready path", valid + "ready = \"ready\"\n", ":5: version[0].ready"},
+		{"negative grace period", valid + "grace_ms = -1\n", ":5: version[0].grace_ms"},
 	} {
-		path := filepath.Join(t.TempDir(), "v.toml")
-		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := LoadVersions(path); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v, want %q", err, c.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "versions.toml")
+			if err := os.WriteFile(path, []byte(test.text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			_, err := LoadVersions(path)
+			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want one line with %q", err, test.want)
+			}
+		})
 	}
 }
