--- a/internal/maintenance/calendar/calendar.go
+++ b/internal/maintenance/calendar/calendar.go
@@ -48,7 +48,7 @@
 	return Intersect(Subtract(merge(open), merge(closed)), []Interval{{startMS, endMS}})
 }
 
-// Approves tells whether an instant, Unix ms, is approved.
+// Approves reports whether an instant, Unix ms, is approved.
 func (c *Calendar) Approves(instantMS int64) bool { return len(c.Between(instantMS, instantMS+1)) > 0 }
 
 // Months returns the months that [startMS, endMS), Unix ms, touches.
--- a/internal/maintenance/calendar/series.go
+++ b/internal/maintenance/calendar/series.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, validation.Errorf(ruleField, "%v", err)
 	}
-	if err := checkWholeDays(ruleField, options); err != nil {
+	if err := checkDayRecurrence(ruleField, options); err != nil {
 		return nil, err
 	}
 	options.Dtstart = first
@@ -61,8 +61,8 @@
 	return series, nil
 }
 
-// checkWholeDays checks that a recurrence names days, without a time of day or a start of its own.
-func checkWholeDays(field string, options *rrule.ROption) error {
+// checkDayRecurrence checks that a recurrence names days, without a time of day or a start of its own.
+func checkDayRecurrence(field string, options *rrule.ROption) error {
 	switch {
 	case options.Freq > rrule.DAILY:
 		return validation.Errorf(field, "a recurrence of days: FREQ is DAILY, WEEKLY, MONTHLY or YEARLY")
--- a/internal/maintenance/contract/fixtures_test.go
+++ b/internal/maintenance/contract/fixtures_test.go
@@ -3,39 +3,22 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
-	"path/filepath"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
-)
 
-// updateGolden rewrites the golden file. It holds a contract as earlier versions have stored it.
-var updateGolden = flag.Bool("update", false, "write the golden files under testdata")
+	"milldeck/internal/goldentest"
+)
 
 // TestStoredContractFormat has a contract's file give the JSON that earlier versions have stored, byte for byte, and that
 // JSON give the same contract again.
 func TestStoredContractFormat(t *testing.T) {
-	source := filepath.Join("testdata", "contract.toml")
-	fromFile, err := Load(source)
+	fromFile, err := Load(goldentest.Path("contract.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	encoded := encodeContract(t, fromFile)
-	golden := filepath.Join("testdata", "contract.json")
-	if *updateGolden {
-		if err := os.WriteFile(golden, encoded, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	stored, err := os.ReadFile(golden)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if diff := cmp.Diff(string(stored), string(encoded)); diff != "" {
-		t.Errorf("written otherwise than stored:\n%s", diff)
-	}
+	goldentest.Compare(t, "contract.json", encodeContract(t, fromFile))
+	stored := goldentest.Read(t, "contract.json")
 	var fromJSON Contract
 	decoder := json.NewDecoder(bytes.NewReader(stored))
 	decoder.DisallowUnknownFields()
--- a/internal/maintenance/contracts.go
+++ b/internal/maintenance/contracts.go
@@ -7,7 +7,7 @@
 )
 
 // setContract brings a contract into force. It acts at once on windows that are out of service: where the operation
-// carries a current approval they go on under it, otherwise the tenant's exclusions are deleted.
+// carries a current approval they continue under it, otherwise the tenant's exclusions are deleted.
 func (t *Table) setContract(revision uint64, op *Operation, now timeBounds) error {
 	next := op.Contract
 	if next == nil || next.Tenant == "" || (op.CurrentApproval != nil && op.CurrentApproval.Tenant != next.Tenant) {
@@ -95,7 +95,7 @@
 }
 
 // shortenExclusion has the window's exclusion expire before an earlier close, at once where that has passed or the time
-// is not known. It tells whether the expiry has changed.
+// is not known. It reports whether the expiry has changed.
 func (w *Window) shortenExclusion(now timeBounds) bool {
 	latestExpiry := w.ClosesAtMS - CloseGuardMS - now.uncertainty
 	if w.ExcludedUntilMS <= latestExpiry {
--- a/internal/maintenance/controller/controller_test.go
+++ b/internal/maintenance/controller/controller_test.go
@@ -220,7 +220,7 @@
 	return list
 }
 
-// excluded tells whether an agent delivers an exclusion.
+// excluded reports whether an agent delivers an exclusion.
 func (b *testbed) excluded() bool {
 	for _, address := range b.agents {
 		if len(b.placement(address).Directives) > 0 {
--- a/internal/maintenance/exclusions.go
+++ b/internal/maintenance/exclusions.go
@@ -68,7 +68,7 @@
 	if op.ExcludeUntilMS > latestExpiry || op.ExcludeUntilMS <= now.latest {
 		return rejected(OutcomeOutsideHours, "the expiry of the exclusion is not within %d ms", ExclusionTTLMS)
 	}
-	if window.Stage == StageDraining && !t.permitHasStage(window, disruption.StageActive) {
+	if window.Stage == StageDraining && !t.permitMatches(window, disruption.StageActive) {
 		return rejected(OutcomeBlocked, "permit %s is not active", window.PermitID())
 	}
 	if err := t.checkExclusionHours(window, op.ExcludeUntilMS, now); err != nil {
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// permitHasStage tells whether the window's disruption permit is at a stage; true where permits are not checked.
-func (t *Table) permitHasStage(window *Window, want disruption.Stage) bool {
+// permitMatches reports whether the window's disruption permit is at a stage; true where permits are not checked.
+func (t *Table) permitMatches(window *Window, want disruption.Stage) bool {
 	if t.LookupPermit == nil {
 		return true
 	}
--- a/internal/maintenance/fixtures_test.go
+++ b/internal/maintenance/fixtures_test.go
@@ -3,24 +3,18 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
-	"path/filepath"
 	"testing"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/goldentest"
 	"milldeck/internal/maintenance/calendar"
 	"milldeck/internal/maintenance/contract"
 	"milldeck/internal/placement"
 )
 
-// updateGolden rewrites the golden files. They hold what earlier versions have stored: a change in them is a change of
-// the stored format, which replicas of the version before have to be able to read.
-var updateGolden = flag.Bool("update", false, "write the golden files under testdata")
-
 // storedOperation is an operation as a record of the replicated log holds it, with its revision and time.
 type storedOperation struct {
 	Revision  uint64    `json:"revision"`
@@ -28,8 +22,8 @@
 	Operation Operation `json:"op"`
 }
 
-// storedResult is what applying an operation gave: the entries go into the placement from the same record. The reason is
-// left out: it is text for operators.
+// storedResult is the result of an applied operation: its directives go into the placement with the same record. The reason
+// is left out: it is text for operators.
 type storedResult struct {
 	Revision           uint64                `json:"revision"`
 	Outcome            Outcome               `json:"outcome"`
@@ -105,7 +99,7 @@
 	return approvals
 }
 
-// beginDrain takes a proposed window to its drain, with its tenants told to keep off.
+// beginDrain takes a proposed window to its drain, with its servers excluded.
 func (s *fixtureScript) beginDrain(name string, startMS int64) {
 	s.t.Helper()
 	s.must(startMS-fixtureMinute, Operation{Kind: OpSchedule, Window: name, Approvals: s.approvals(s.opensMS + startMS), PlannedStartMS: s.opensMS + startMS})
@@ -130,7 +124,7 @@
 	return portal, teller
 }
 
-// runFixtureScript plays the history and compares the snapshots on its way.
+// runFixtureScript applies the history and compares the snapshots at its stages.
 func runFixtureScript(t *testing.T) *fixtureScript {
 	t.Helper()
 	s := &fixtureScript{t: t, table: New(), opensMS: time.Date(2026, 6, 11, 1, 0, 0, 0, time.UTC).UnixMilli()}
@@ -162,7 +156,7 @@
 	s.cancellations()
 	s.overrun()
 
-	changed := teller // a copy: the operation above keeps its contract
+	changed := teller // a copy: the operation above refers to the other
 	changed.MinAvailableShare = 0.5
 	s.must(3*fixtureHour, Operation{Kind: OpSetContract, Contract: &changed})
 	s.must(3*fixtureHour+fixtureMinute, Operation{Kind: OpWithdrawContract, Tenant: "teller"})
@@ -171,7 +165,7 @@
 	return s
 }
 
-// rejections are a window that cannot be, and steps that are not applied.
+// rejections are a window that is rejected, and operations that are not applied.
 func (s *fixtureScript) rejections() {
 	s.t.Helper()
 	s.must(7*fixtureMinute, Operation{Kind: OpPropose, Window: "fans", Operator: "operator/eva", ServerUIDs: []string{"m2"}, WorkMS: fixtureMinute})
@@ -244,12 +238,8 @@
 
 // TestStoredOperationsReplay has a table rebuilt from stored operations alone, as a replica does that starts from its log.
 func TestStoredOperationsReplay(t *testing.T) {
-	data, err := os.ReadFile(filepath.Join("testdata", "operations.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
 	var operations []storedOperation
-	if err := decodeStrictly(data, &operations); err != nil {
+	if err := decodeStrictly(goldentest.Read(t, "operations.json"), &operations); err != nil {
 		t.Fatal(err)
 	}
 	table := New()
@@ -259,8 +249,8 @@
 		changes, err := table.Apply(stored.Revision, &stored.Operation, stored.Timestamp)
 		results = append(results, storedResult{stored.Revision, OutcomeOf(err), changes.SetDirectives, changes.DeleteDirectiveIDs})
 	}
-	compareGolden(t, "results.json", results)
-	compareGolden(t, "snapshot_withdrawn.json", table.Snapshot())
+	goldentest.Compare(t, "results.json", encodeGolden(t, results))
+	goldentest.Compare(t, "snapshot_withdrawn.json", encodeGolden(t, table.Snapshot()))
 }
 
 // TestLedgerOperationsFormat covers what the controller writes into the disruption ledger.
@@ -291,7 +281,8 @@
 // checkGolden compares a value with a golden file, and has the file's bytes read and written again without a change.
 func checkGolden(t *testing.T, name string, value any, reread func([]byte) (any, error)) {
 	t.Helper()
-	data := compareGolden(t, name, value)
+	goldentest.Compare(t, name, encodeGolden(t, value))
+	data := goldentest.Read(t, name)
 	again, err := reread(data)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
@@ -301,26 +292,6 @@
 	}
 }
 
-// compareGolden compares a value with a golden file and gives the file's bytes.
-func compareGolden(t *testing.T, name string, value any) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	encoded := encodeGolden(t, value)
-	if *updateGolden {
-		if err := os.WriteFile(path, encoded, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	data, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if diff := cmp.Diff(string(data), string(encoded)); diff != "" {
-		t.Errorf("%s:\n%s", name, diff)
-	}
-	return data
-}
-
 func encodeGolden(t *testing.T, value any) []byte {
 	t.Helper()
 	data, err := json.MarshalIndent(value, "", "  ")
--- a/internal/maintenance/halts.go
+++ b/internal/maintenance/halts.go
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// haltReason tells whether a halt of all windows or of a tenant concerned holds a window, and why.
+// haltReason reports whether a halt of all windows or of a tenant concerned holds a window, and why.
 func (t *Table) haltReason(window *Window) (reason string, halted bool) {
 	if cause, ok := t.halts[""]; ok {
 		return "all windows are halted: " + cause, true
--- a/internal/maintenance/operation.go
+++ b/internal/maintenance/operation.go
@@ -66,7 +66,7 @@
 	Reason           string     `json:"why,omitempty"`
 }
 
-// RequiresToken tells whether the operation is the controller's and needs its fencing token.
+// RequiresToken reports whether the operation is the controller's and needs its fencing token.
 func (kind OperationKind) RequiresToken() bool {
 	switch kind {
 	case OpSchedule, OpReject, OpAwaitPermit, OpBeginDrain, OpExtendExclusion, OpCompleteDrain, OpBeginReturn, OpMarkOverrun,
@@ -76,7 +76,7 @@
 	return false
 }
 
-// advances tells whether the operation is a step towards taking servers out: it is rejected while clocks are not trusted.
+// advances reports whether the operation is a step towards taking servers out: it is rejected while clocks are not trusted.
 func (kind OperationKind) advances() bool {
 	switch kind {
 	case OpPropose, OpSchedule, OpAwaitPermit, OpBeginDrain, OpExtendExclusion, OpCompleteDrain:
@@ -85,7 +85,7 @@
 	return false
 }
 
-// namesWindow tells whether the operation is about the one window that its field Window names.
+// namesWindow reports whether the operation is about the one window that its field Window names.
 func (kind OperationKind) namesWindow() bool {
 	switch kind {
 	case OpSetContract, OpWithdrawContract, OpHalt, OpResume, OpResetEstimates:
--- a/internal/maintenance/oracle_test.go
+++ b/internal/maintenance/oracle_test.go
@@ -45,7 +45,7 @@
 	return instantMS + int64(offsetSeconds)*1000
 }
 
-// approves tells whether the local time is within the hours, and no more than their length has passed since the local
+// approves reports whether the local time is within the hours, and no more than their length has passed since the local
 // clock first showed their start.
 func (hours *agreedHours) approves(instantMS int64) bool {
 	if hours.withdrawn {
--- a/internal/maintenance/reconcile_stages.go
+++ b/internal/maintenance/reconcile_stages.go
@@ -111,7 +111,7 @@
 	return &Operation{Kind: OpReject, Reason: reason[:min(len(reason), maxReasonLength)]}
 }
 
-// approvalsCurrent tells whether all tenants concerned approve the window by the contracts in force.
+// approvalsCurrent reports whether all tenants concerned approve the window by the contracts in force.
 func (p *reconcilePass) approvalsCurrent(window *Window) bool {
 	for i := range window.Approvals {
 		if p.table.contractOf(&window.Approvals[i]) == nil {
@@ -171,7 +171,7 @@
 	return action
 }
 
-// exclusionLapsed tells whether the exclusion could not be extended in time because of a clock fault.
+// exclusionLapsed reports whether the exclusion could not be extended in time because of a clock fault.
 func (p *reconcilePass) exclusionLapsed(window *Window) bool {
 	expiryMS := max(window.ExcludedUntilMS, window.DrainStartedAtMS+ExclusionTTLMS)
 	return p.table.ClockFault() != "" && p.now.latest >= expiryMS
@@ -205,7 +205,7 @@
 	return p.extendExclusion(window)
 }
 
-// serversIdle tells whether all tenants' exclusions are in force and every live sidecar has confirmed that it follows
+// serversIdle reports whether all tenants' exclusions are in force and every live sidecar has confirmed that it follows
 // them and has no request in flight on the window's servers.
 func (p *reconcilePass) serversIdle(window *Window) bool {
 	if window.ExcludedUntilMS <= p.now.latest {
--- a/internal/maintenance/reconciler.go
+++ b/internal/maintenance/reconciler.go
@@ -34,10 +34,10 @@
 }
 
 // Action is what an Effect writes: an *Operation of the Table or a *LedgerAction on the disruption ledger.
-type Action interface{ isAction() }
+type Action interface{ maintenanceAction() }
 
-func (*Operation) isAction()    {}
-func (*LedgerAction) isAction() {}
+func (*Operation) maintenanceAction()    {}
+func (*LedgerAction) maintenanceAction() {}
 
 // Effect is one write of the Reconciler for a window, under the fencing token of the controller's lease.
 type Effect struct {
--- a/internal/maintenance/scenario_test.go
+++ b/internal/maintenance/scenario_test.go
@@ -77,7 +77,7 @@
 		for _, sidecar := range sim.sidecars {
 			for _, exclusion := range sidecar.active {
 				if exclusion.endMS > sim.nowMS {
-					t.Errorf("%s still keeps off", sidecar.name)
+					t.Errorf("%s still excludes servers", sidecar.name)
 				}
 			}
 		}
@@ -117,12 +117,12 @@
 		sim.oracle.clocksFaulty = true
 		window := sim.awaitStage(t, "w", StageOverrun) // by the later clock: a clock fault counts against the window
 		if window.StageAfterReturn != StageHalted || sim.table.ClockFault() == "" {
-			t.Errorf("%+v, doubt %q", window, sim.table.ClockFault())
+			t.Errorf("%+v, clock fault %q", window, sim.table.ClockFault())
 		}
 		sim.proposeWindow("next", minuteMS, "m1")
 		sim.runUntil(sim.nowMS + 90*minuteMS)
 		if sim.table.Window("next") != nil {
-			t.Error("a step forward was taken in doubt")
+			t.Error("a window was proposed in spite of a clock fault")
 		}
 		sim.checkInvariants(t)
 	})
@@ -137,7 +137,7 @@
 		}
 		for _, sidecar := range sim.sidecars {
 			if len(sidecar.active) > 0 {
-				t.Errorf("%s still keeps off", sidecar.name)
+				t.Errorf("%s still excludes servers", sidecar.name)
 			}
 		}
 		sim.awaitStage(t, "w", StageHalted)
--- a/internal/maintenance/timestamp.go
+++ b/internal/maintenance/timestamp.go
@@ -43,7 +43,7 @@
 	clockFault       string
 }
 
-// trusted tells whether the bounds hold.
+// trusted reports whether the bounds hold.
 func (b timeBounds) trusted() bool { return b.clockFault == "" }
 
 // boundTime checks a timestamp against the log time, which never runs backwards.
--- a/internal/maintenance/transitions.go
+++ b/internal/maintenance/transitions.go
@@ -46,7 +46,7 @@
 	return rejected(OutcomeInvalid, "unknown operation %q", op.Kind)
 }
 
-// permittedAt tells whether the operation is defined for the stage of a window. Unknown operations are left to the
+// permittedAt reports whether the operation is defined for the stage of a window. Unknown operations are left to the
 // caller.
 func (kind OperationKind) permittedAt(window *Window) bool {
 	stage := window.Stage
@@ -139,7 +139,7 @@
 	if err := t.checkDrain(window, now); err != nil {
 		return err
 	}
-	if !t.permitHasStage(window, disruption.StageGranted) {
+	if !t.permitMatches(window, disruption.StageGranted) {
 		return rejected(OutcomeBlocked, "permit %s is not granted", window.PermitID())
 	}
 	window.Stage = StageDraining
--- a/internal/maintenance/view.go
+++ b/internal/maintenance/view.go
@@ -22,7 +22,8 @@
 
 // ServerStatus is what the disruption ledger knows of a server that a window has out of service.
 type ServerStatus struct {
-	// Ready tells that a health check or registration shows the server up, and since the return began, once it has.
+	// Ready is true where a health check or a registration shows that the server is up, and once the return has begun, one
+	// since then.
 	Ready    bool   `json:"up"`
 	Revision uint64 `json:"rev"` // of the last change of its condition
 	Endpoint string `json:"endpoint"`
@@ -66,7 +67,7 @@
 	return view
 }
 
-// observedUp tells whether a unit is up by the ledger's own rule: an observation from before the return began does not
+// observedUp reports whether a unit is up by the ledger's own rule: an observation from before the return began does not
 // show that the unit is back.
 func observedUp(unit *disruption.Unit, permit *disruption.Permit) bool {
 	if unit.Condition != disruption.ConditionUp {
--- a/internal/maintenance/window.go
+++ b/internal/maintenance/window.go
@@ -26,7 +26,7 @@
 	StageCancelled      Stage = "cancelled"
 )
 
-// beforeDrain tells whether the window has not taken any server out yet.
+// beforeDrain reports whether the window has not taken any server out yet.
 func (s Stage) beforeDrain() bool {
 	return s == StageProposed || s == StageApproved || s == StageAwaitingPermit
 }
@@ -71,10 +71,10 @@
 	ModRevision       uint64 `json:"rev"`                // log revision of the last change
 }
 
-// OutOfService tells whether the window has servers out or on their way back.
+// OutOfService reports whether the window has servers out or on their way back.
 func (w *Window) OutOfService() bool { return w.DrainStartedAtMS != 0 && w.ReturnedAtMS == 0 }
 
-// Finished tells whether the window is in a final stage and its servers are back.
+// Finished reports whether the window is in a final stage and its servers are back.
 func (w *Window) Finished() bool {
 	switch w.Stage {
 	case StageDone, StageRejected, StageCancelled, StageOverrun:
@@ -91,7 +91,7 @@
 	return "window/" + w.Name + "/" + strconv.Itoa(w.Attempt)
 }
 
-// involves tells whether an approval of the tenant belongs to the window.
+// involves reports whether an approval of the tenant belongs to the window.
 func (w *Window) involves(tenant string) bool {
 	for i := range w.Approvals {
 		if w.Approvals[i].Tenant == tenant {
@@ -118,7 +118,7 @@
 	return earliest
 }
 
-// shareServer tells whether two sorted lists have a server in common.
+// shareServer reports whether two sorted lists have a server in common.
 func shareServer(a, b []string) bool {
 	for len(a) > 0 && len(b) > 0 {
 		switch {
