--- a/balance/request.go
+++ b/balance/request.go
@@ -40,6 +40,12 @@
 	free                 []*request // for reuse
 }
 
+// retryBudget is a token bucket that first attempts fill; see retryAllowed.
+type retryBudget struct {
+	tokens           float64
+	lastOverloadedAt float64 // when a server last rejected an attempt
+}
+
 func (t *requestTable) add(ev *Request) *request {
 	var r *request
 	if n := len(t.free); n > 0 {
@@ -75,7 +81,7 @@
 	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, inFlight: true, endsAtObjective: endsAtObjective})
 	action := Action{Kind: Send, Request: r.ID, Server: s.ID}
 	if endsAtObjective {
-		action.At = r.arrivedAt + r.class.LatencyObjective
+		action.Deadline = r.arrivedAt + r.class.LatencyObjective
 	}
 	b.emit(action)
 }
