--- a/internal/registry/bench/watches.go
+++ b/internal/registry/bench/watches.go
@@ -227,11 +227,11 @@
 
 // lineRevision reads the revision of a watch event. Other lines (HTTP headers, sizes of chunks, heartbeats) have none.
 func lineRevision(lineStart []byte) (revision uint64, ok bool) {
-	_, rest, ok := bytes.Cut(lineStart, []byte(`{"rev":`))
+	_, tail, ok := bytes.Cut(lineStart, []byte(`{"rev":`))
 	if !ok {
 		return 0, false
 	}
-	digits, _, _ := bytes.Cut(rest, []byte(","))
+	digits, _, _ := bytes.Cut(tail, []byte(","))
 	revision, err := strconv.ParseUint(string(digits), 10, 64)
 	return revision, err == nil
 }
--- a/internal/registry/cluster/network.go
+++ b/internal/registry/cluster/network.go
@@ -108,7 +108,7 @@
 	if !n.trackConnections(incoming, outgoing) {
 		return
 	}
-	defer n.forgetConnections(incoming, outgoing)
+	defer n.untrackConnections(incoming, outgoing)
 	done := make(chan struct{}, 2)
 	n.goroutines.Go(func() { n.forward(outgoing, incoming, link{from, to}, done) })
 	n.goroutines.Go(func() { n.forward(incoming, outgoing, link{to, from}, done) })
@@ -148,7 +148,7 @@
 	return !n.closed
 }
 
-func (n *Network) forgetConnections(connections ...net.Conn) {
+func (n *Network) untrackConnections(connections ...net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, conn := range connections {
--- a/internal/registry/env_test.go
+++ b/internal/registry/env_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"milldeck/internal/lab/proc"
 	"milldeck/internal/lab/proc/proctest"
 	"milldeck/internal/registry"
 	"milldeck/internal/registry/cluster"
+	"milldeck/internal/registry/cluster/clustertest"
 )
 
 func TestMain(m *testing.M) { proctest.Main(m) }
@@ -30,36 +30,17 @@
 func startEnv(t *testing.T, replicas int, partitionable bool, extraConfig string) *testEnv {
 	t.Helper()
 	t.Parallel()
-	block, err := proc.TakeBlock()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(block.Release)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	env := &testEnv{T: t, ctx: ctx}
-	options := cluster.Options{Program: proctest.Program(t, "milldeck"), DataDir: t.TempDir(), Addresses: block, ExtraConfig: extraConfig}
+	options := cluster.Options{Addresses: proctest.Block(t), ExtraConfig: extraConfig}
 	if partitionable {
-		env.network = cluster.NewNetwork(block)
+		env.network = cluster.NewNetwork(options.Addresses)
 		t.Cleanup(env.network.Close)
 		options.Advertise = env.network.Advertise
 	}
-	env.cluster, err = cluster.Start(ctx, replicas, options)
-	t.Cleanup(func() {
-		if t.Failed() {
-			t.Log(env.cluster.Logs())
-		}
-		if err := env.cluster.Close(); err != nil {
-			t.Error(err)
-		}
-	})
-	if err != nil {
-		t.Fatal(err)
-	}
-	if env.client, err = env.cluster.Client(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(env.client.Close)
+	started := clustertest.Start(ctx, t, replicas, options)
+	env.cluster, env.client = started.Cluster, started.Client
 	return env
 }
 
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -105,15 +105,15 @@
 // at once.
 func (r *Replica) expireInstances() {
 	now := time.Now()
-	expire, holdBack := r.registrations.sweep(now)
+	expire, suspects := r.registrations.sweep(now)
 	switch {
-	case len(holdBack) > 0:
-		if _, err := r.propose(&Record{Op: OpSuspect, Refs: holdBack, Suspected: true}); err != nil {
+	case len(suspects) > 0:
+		if _, err := r.propose(&Record{Op: OpSuspect, Refs: suspects, Suspected: true}); err != nil {
 			return // the next sweep finds them again, of this leader or the next
 		}
-		r.metrics.heldBack.Add(float64(len(holdBack)))
-		r.logger.Warn("mass expiry held back until the instances renew or an operator decides", "instances", len(holdBack))
-		r.refreshRegistrations(holdBack)
+		r.metrics.suspected.Add(float64(len(suspects)))
+		r.logger.Warn("mass expiry of instances held back", "instances", len(suspects), "first", suspects[0].UID)
+		r.refreshRegistrations(suspects)
 	case len(expire) > 0:
 		if _, err := r.propose(&Record{Op: OpExpire, Refs: expire}); err != nil {
 			return // the next sweep finds them again, of this leader or the next
@@ -127,9 +127,5 @@
 
 // refreshRegistrations updates the tracker after a write about instances.
 func (r *Replica) refreshRegistrations(refs []InstanceRef) {
-	uids := make([]string, 0, len(refs))
-	for _, ref := range refs {
-		uids = append(uids, ref.UID)
-	}
-	r.hub.Read(func(state *StateMachine) { r.registrations.refresh(time.Now(), state, uids) })
+	r.hub.Read(func(state *StateMachine) { r.registrations.refresh(time.Now(), state, refNames(refs)) })
 }
--- a/internal/registry/ledger_bench_test.go
+++ b/internal/registry/ledger_bench_test.go
@@ -10,18 +10,14 @@
 	"time"
 
 	"milldeck/internal/disruption"
-	"milldeck/internal/lab/proc"
+	"milldeck/internal/lab/proc/proctest"
 	"milldeck/internal/registry"
 )
 
 // BenchmarkLedgerGrants asks for permits of three replicas over loopback, with their logs on disk. Grants a second and
 // the 99th percentile of the time from asking to having, in ms.
 func BenchmarkLedgerGrants(b *testing.B) {
-	block, err := proc.TakeBlock()
-	if err != nil {
-		b.Fatal(err)
-	}
-	defer block.Release()
+	block := proctest.Block(b)
 	var members []registry.Member
 	for ordinal := range 3 {
 		members = append(members, registry.Member{HTTPAddr: block.Addr(200, ordinal, 8500), RaftAddr: block.Addr(200, ordinal, 8501)})
--- a/internal/registry/ledger_list_test.go
+++ b/internal/registry/ledger_list_test.go
@@ -36,7 +36,7 @@
 			case OpSuspect:
 				record.Suspected = rapid.Bool().Draw(t, "on")
 			case OpSidecars:
-				record.State = rapid.SampledFrom([]string{sidecarDeregistered, sidecarExpired, sidecarHeldBack}).Draw(t, "what")
+				record.State = rapid.SampledFrom([]string{sidecarDeregistered, sidecarExpired, sidecarSuspected}).Draw(t, "what")
 				if rapid.Bool().Draw(t, "register") {
 					record.Refs, record.Sidecars = nil, []Sidecar{{Name: uid, Ready: true}}
 				}
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -23,7 +23,7 @@
 type metrics struct {
 	registry         *prometheus.Registry
 	writes           *prometheus.CounterVec
-	heldBack         prometheus.Counter
+	suspected        prometheus.Counter
 	expired          prometheus.Counter
 	leadershipGained prometheus.Counter
 	leaseGaps        prometheus.Histogram
@@ -35,7 +35,7 @@
 		writes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "milldeck_registry_writes_total", Help: "Writes applied on this leader, by operation and outcome.",
 		}, []string{"op", "outcome"}),
-		heldBack: prometheus.NewCounter(prometheus.CounterOpts{
+		suspected: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "milldeck_registry_held_total", Help: "Instances whose expiry was held back as part of a mass expiry.",
 		}),
 		expired: prometheus.NewCounter(prometheus.CounterOpts{
@@ -51,7 +51,7 @@
 		}),
 	}
 	replica.leaseTracker.observeGap = func(gap time.Duration) { m.leaseGaps.Observe(gap.Seconds()) }
-	m.registry.MustRegister(m.writes, m.heldBack, m.expired, m.leadershipGained, m.leaseGaps, &leaseCollector{replica})
+	m.registry.MustRegister(m.writes, m.suspected, m.expired, m.leadershipGained, m.leaseGaps, &leaseCollector{replica})
 	m.registerStatusGauges(replica)
 	return m
 }
--- a/internal/registry/registration_tracker.go
+++ b/internal/registry/registration_tracker.go
@@ -109,8 +109,8 @@
 }
 
 // sweep returns the registrations whose leases have expired, ordered by uid: in expire, or, where too many are missing
-// at once, in holdBack. Each is returned by every sweep until refresh was called after a write about it.
-func (t *registrationTracker) sweep(now time.Time) (expire, holdBack []InstanceRef) {
+// at once, in suspects. Each is returned by every sweep until refresh was called after a write about it.
+func (t *registrationTracker) sweep(now time.Time) (expire, suspects []InstanceRef) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	late := 0
--- a/internal/registry/sidecar_tracker.go
+++ b/internal/registry/sidecar_tracker.go
@@ -81,25 +81,31 @@
 // once. Only the leader loop calls it.
 func (r *Replica) expireSidecars() {
 	now := time.Now()
-	expire, holdBack := r.sidecarRegistrations.sweep(now)
-	refs, outcome := expire, sidecarExpired
-	if len(holdBack) > 0 {
-		refs, outcome = holdBack, sidecarHeldBack
-	}
-	if len(refs) == 0 {
-		return
-	}
-	if _, err := r.propose(&Record{Op: OpSidecars, Refs: refs, State: outcome}); err != nil {
-		return // the next sweep finds them again, of this leader or the next
+	expire, suspects := r.sidecarRegistrations.sweep(now)
+	switch {
+	case len(suspects) > 0:
+		if _, err := r.propose(&Record{Op: OpSidecars, Refs: suspects, State: sidecarSuspected}); err != nil {
+			return // the next sweep finds them again, of this leader or the next
+		}
+		r.logger.Warn("mass expiry of sidecars held back", "sidecars", len(suspects), "first", suspects[0].UID)
+		r.refreshSidecars(refNames(suspects))
+	case len(expire) > 0:
+		if _, err := r.propose(&Record{Op: OpSidecars, Refs: expire, State: sidecarExpired}); err != nil {
+			return // the next sweep finds them again, of this leader or the next
+		}
+		r.logger.Warn("sidecar registrations expired", "sidecars", len(expire), "first", expire[0].UID)
+		names := refNames(expire)
+		r.sidecarRegistrations.recordExpired(now, len(expire))
+		r.sidecarRegistrations.recordRevisions(nil, names)
+		r.refreshSidecars(names)
 	}
-	r.logger.Warn("sidecar leases expired", "sidecars", len(refs), "first", refs[0].UID, "held_back", outcome == sidecarHeldBack)
-	var names []string
+}
+
+// refNames are the uids, or the names of sidecars, that references name.
+func refNames(refs []InstanceRef) []string {
+	names := make([]string, 0, len(refs))
 	for _, ref := range refs {
 		names = append(names, ref.UID)
 	}
-	if outcome == sidecarExpired {
-		r.sidecarRegistrations.recordExpired(now, len(refs))
-		r.sidecarRegistrations.recordRevisions(nil, names)
-	}
-	r.refreshSidecars(names)
+	return names
 }
--- a/internal/registry/state_sidecars.go
+++ b/internal/registry/state_sidecars.go
@@ -33,7 +33,7 @@
 const (
 	sidecarDeregistered = "left"
 	sidecarExpired      = "lost"
-	sidecarHeldBack     = "held"
+	sidecarSuspected    = "held"
 )
 
 // validate returns a *validation.Error for the first invalid field.
@@ -112,7 +112,7 @@
 	case sidecarExpired:
 		delete(l.sidecars, ref.UID)
 		l.table.MarkLost(index, id)
-	case sidecarHeldBack:
+	case sidecarSuspected:
 		updated := *existing
 		updated.Suspect = true
 		l.sidecars[ref.UID] = &updated
--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -26,8 +26,8 @@
 
 // warmingIncarnation is a server that warms up.
 type warmingIncarnation struct {
-	revision  uint64 // of the unit's last transition: another incarnation has another
-	firstSeen time.Time
+	revision      uint64 // of the unit's last transition: another incarnation has another
+	firstObserved time.Time
 }
 
 func newWarmUpTracker(duration time.Duration) *warmUpTracker {
@@ -44,7 +44,7 @@
 			incarnation = warmingIncarnation{unit.TransitionRevision, now}
 		}
 		observed[unit.ID] = incarnation
-		if now.Sub(incarnation.firstSeen) >= t.duration && len(warm) < maxWarmPerRecord {
+		if now.Sub(incarnation.firstObserved) >= t.duration && len(warm) < maxWarmPerRecord {
 			warm = append(warm, disruption.Unit{
 				ID: unit.ID, Condition: disruption.ConditionUp, TransitionRevision: unit.TransitionRevision,
 			})
