--- a/cmd/milldeck/agent.go
+++ b/cmd/milldeck/agent.go
@@ -100,7 +100,8 @@
 		},
 	}
 	command.Flags().StringVar(&path, "config", "", "the agent's configuration (TOML)")
-	command.Flags().StringSliceVar(&reports, "reports", nil, "addresses that load reports are forwarded to, beside those of the configuration")
+	command.Flags().StringSliceVar(&reports, "reports", nil,
+		"addresses that load reports are forwarded to, beside those of the configuration")
 	return command
 }
 
--- a/cmd/milldeck/registry_list.go
+++ b/cmd/milldeck/registry_list.go
@@ -29,7 +29,8 @@
 	fmt.Fprintf(out, "revision %d, epoch %d, %d instances\n", list.Revision, list.Epoch, len(list.Targets))
 	table := newTable(out)
 	for _, target := range list.Targets {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%g\n", target.UID, target.Endpoint, target.Zone, target.Model, target.State, target.Capacity)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%g\n",
+			target.UID, target.Endpoint, target.Zone, target.Model, target.State, target.Capacity)
 	}
 	return table.Flush()
 }
--- a/cmd/milldeck/registry_members.go
+++ b/cmd/milldeck/registry_members.go
@@ -32,8 +32,11 @@
 	return command
 }
 
-// newMembersCommand makes a command that prints the members that a call answers with.
-func newMembersCommand(use, short string, args int, call func(context.Context, *registry.Client, []string) ([]registry.Member, error)) *cobra.Command {
+// membersCall is a call that answers with the members of the cluster.
+type membersCall func(ctx context.Context, client *registry.Client, args []string) ([]registry.Member, error)
+
+// newMembersCommand makes a command that prints the answer of a call.
+func newMembersCommand(use, short string, args int, call membersCall) *cobra.Command {
 	return asks(use, short, args,
 		func(ctx context.Context, command *cobra.Command, a *asking, client *registry.Client, args []string) error {
 			members, err := call(ctx, client, args)
--- a/cmd/milldeck/registry_serve.go
+++ b/cmd/milldeck/registry_serve.go
@@ -207,7 +207,9 @@
 }
 
 // startBackups has this process campaign for the lease of backups, at any replica, until ctx ends. Ended is closed then.
-func startBackups(ctx context.Context, options registry.Options, backups leaderelection.BackupOptions) (ended <-chan struct{}, err error) {
+func startBackups(
+	ctx context.Context, options registry.Options, backups leaderelection.BackupOptions,
+) (ended <-chan struct{}, err error) {
 	replicas := []string{options.HTTPAddr}
 	for _, member := range options.Members {
 		if member.HTTPAddr != options.HTTPAddr {
--- a/internal/registry/bench/bench.go
+++ b/internal/registry/bench/bench.go
@@ -121,7 +121,9 @@
 }
 
 // withCluster starts a cluster, calls measure with it, and kills it.
-func (b *benchmark) withCluster(ctx context.Context, replicas int, name, extraConfig string, measure func(*cluster.Cluster) error) error {
+func (b *benchmark) withCluster(
+	ctx context.Context, replicas int, name, extraConfig string, measure func(*cluster.Cluster) error,
+) error {
 	dir := filepath.Join(b.options.Dir, name)
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return err
--- a/internal/registry/client_controllers.go
+++ b/internal/registry/client_controllers.go
@@ -13,8 +13,12 @@
 // SetPlacement sets directives and removes those with the ids given, all or none, under a guard that has to be the lease
 // of their owner. WriterTimeMS is the writer's clock (Unix ms), by which it chose the end of the directives: the write is
 // rejected if that differs from the leader's by more than 5 s. The result's revision is that of the placement.
-func (c *Client) SetPlacement(ctx context.Context, options WriteOptions, writerTimeMS int64, set []placement.Directive, remove ...string) (Result, error) {
-	return post[Result](ctx, c, "/registry/placement", PlacementRequest{options.ensureID(), options.Guard, writerTimeMS, set, remove})
+func (c *Client) SetPlacement(
+	ctx context.Context, options WriteOptions, writerTimeMS int64, set []placement.Directive, remove ...string,
+) (Result, error) {
+	return post[Result](ctx, c, "/registry/placement", PlacementRequest{
+		ID: options.ensureID(), Guard: options.Guard, WriterTimeMS: writerTimeMS, Set: set, Remove: remove,
+	})
 }
 
 // RemovePlacement removes directives; one that does not exist counts as removed.
@@ -63,6 +67,10 @@
 
 // WriteWindow applies an operation to contracts and maintenance windows. A step of the controller needs the guard of its
 // lease and its time; an operation of an operator has the zero Timestamp.
-func (c *Client) WriteWindow(ctx context.Context, options WriteOptions, at maintenance.Timestamp, op maintenance.Operation) (Result, error) {
-	return post[Result](ctx, c, "/windows", WindowRequest{options.ensureID(), options.Guard, at.ControllerMS, at.UncertaintyMS, op})
+func (c *Client) WriteWindow(
+	ctx context.Context, options WriteOptions, at maintenance.Timestamp, op maintenance.Operation,
+) (Result, error) {
+	return post[Result](ctx, c, "/windows", WindowRequest{
+		ID: options.ensureID(), Guard: options.Guard, WriterTimeMS: at.ControllerMS, UncertaintyMS: at.UncertaintyMS, Op: op,
+	})
 }
--- a/internal/registry/client_leases.go
+++ b/internal/registry/client_leases.go
@@ -12,7 +12,9 @@
 )
 
 // UpdateLease applies an operation to a lease of leader election and returns the lease as it is afterwards.
-func (c *Client) UpdateLease(ctx context.Context, kind leasetable.OperationKind, name string, request LeaseRequest) (leasetable.Lease, error) {
+func (c *Client) UpdateLease(
+	ctx context.Context, kind leasetable.OperationKind, name string, request LeaseRequest,
+) (leasetable.Lease, error) {
 	if request.ID == "" {
 		request.ID = NewID()
 	}
--- a/internal/registry/client_watch.go
+++ b/internal/registry/client_watch.go
@@ -31,18 +31,25 @@
 // WatchEndpoints watches the endpoint list of one replica from after a revision of an epoch, until ctx or the watch
 // ends, which is always an error. It calls handle with each event, and with nil for each heartbeat. Age is how old the
 // replica's list may have been when the watch began.
-func (c *Client) WatchEndpoints(ctx context.Context, replica string, revision, epoch uint64, handle func(list *EndpointList, age time.Duration) error) error {
+func (c *Client) WatchEndpoints(
+	ctx context.Context, replica string, revision, epoch uint64, handle func(list *EndpointList, age time.Duration) error,
+) error {
 	return watchStream(ctx, c, replica, "instances", revision, epoch, handle)
 }
 
 // WatchPlacement watches the placement of one replica, as WatchEndpoints does the endpoint list. A replica of a version
 // without a placement answers with a StatusError of 404.
-func (c *Client) WatchPlacement(ctx context.Context, replica string, revision, epoch uint64, handle func(list *placement.Update, age time.Duration) error) error {
+func (c *Client) WatchPlacement(
+	ctx context.Context, replica string, revision, epoch uint64, handle func(list *placement.Update, age time.Duration) error,
+) error {
 	return watchStream(ctx, c, replica, "placement", revision, epoch, handle)
 }
 
 // watchStream watches a resource of one replica, and decodes its lines.
-func watchStream[T any](ctx context.Context, client *Client, replica, resource string, revision, epoch uint64, handle func(update *T, age time.Duration) error) error {
+func watchStream[T any](
+	ctx context.Context, client *Client, replica, resource string, revision, epoch uint64,
+	handle func(update *T, age time.Duration) error,
+) error {
 	watchURL := fmt.Sprintf("http://%s/registry/%s?watch=1&after=%d&epoch=%d", replica, resource, revision, epoch)
 	var age time.Duration
 	onHeader := func(header http.Header) { age = replicaAge(header) }
--- a/internal/registry/http_ledger.go
+++ b/internal/registry/http_ledger.go
@@ -45,7 +45,8 @@
 	}
 	switch body.Kind {
 	case disruption.OpHalt, disruption.OpResume, disruption.OpForceComplete, disruption.OpRemoveLost:
-		r.logger.Warn("disruption ledger intervention", "operation", body.Kind, "owner", body.Owner, "revision", result.Revision, "reason", result.Reason)
+		r.logger.Warn("disruption ledger intervention",
+			"operation", body.Kind, "owner", body.Owner, "revision", result.Revision, "reason", result.Reason)
 	}
 	response := LedgerResult{Result: result}
 	if body.Permit != nil {
--- a/internal/registry/http_maintenance.go
+++ b/internal/registry/http_maintenance.go
@@ -51,7 +51,7 @@
 type WindowRequest struct {
 	ID            string                `json:"id"` // idempotency key
 	Guard         *Guard                `json:"guard,omitempty"`
-	WriterTimeMS  int64                 `json:"at_ms,omitempty"`          // the writer's clock, Unix ms; 0: an operator's, and not compared
+	WriterTimeMS  int64                 `json:"at_ms,omitempty"`          // the writer's clock, Unix ms; 0: not compared
 	UncertaintyMS int64                 `json:"uncertainty_ms,omitempty"` // of the writer's clock
 	Op            maintenance.Operation `json:"op"`
 }
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -200,7 +200,9 @@
 // Watch streams the changes after a revision of an epoch to a watcher, in PROTOCOL's form, until ctx or the watcher
 // ends. While nothing changes it writes a heartbeat (an empty line) every 2 s, as long as alive returns true: as long as
 // the hub would know of a change.
-func (h *Hub) Watch(ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, alive func() bool) error {
+func (h *Hub) Watch(
+	ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, alive func() bool,
+) error {
 	return streamChanges(ctx, w, request, cursor{revision: after, epoch: epoch}, alive, h)
 }
 
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -46,7 +46,7 @@
 		}),
 		leaseGaps: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "milldeck_duty_gap_seconds",
-			Help:    "Time that a lease had no holder, as seen by this leader: from its release or last renewal to the next holder's first renewal.",
+			Help:    "Time without a lease holder, as seen by this leader: from a release or last renewal to the next holder's first.",
 			Buckets: prometheus.ExponentialBuckets(firstGapBucket, gapBucketFactor, gapBuckets),
 		}),
 	}
@@ -77,12 +77,17 @@
 }
 
 var (
-	leaseHeldDesc       = prometheus.NewDesc("milldeck_duty_held", "1 while the lease has a holder whose token is valid.", []string{"duty"}, nil)
-	leaseChangesDesc    = prometheus.NewDesc("milldeck_duty_changes_total", "Changes of the lease's holder.", []string{"duty"}, nil)
-	leaseCandidatesDesc = prometheus.NewDesc("milldeck_duty_candidates", "Candidates that wait for the lease.", []string{"duty"}, nil)
-	leaseAgeDesc        = prometheus.NewDesc("milldeck_duty_age_seconds", "How long the lease has been held, on the leader.", []string{"duty"}, nil)
+	leaseHeldDesc       = newLeaseDesc("milldeck_duty_held", "1 while the lease has a holder whose token is valid.")
+	leaseChangesDesc    = newLeaseDesc("milldeck_duty_changes_total", "Changes of the lease's holder.")
+	leaseCandidatesDesc = newLeaseDesc("milldeck_duty_candidates", "Candidates that wait for the lease.")
+	leaseAgeDesc        = newLeaseDesc("milldeck_duty_age_seconds", "How long the lease has been held, on the leader.")
 )
 
+// newLeaseDesc describes a metric with the label of a lease's name.
+func newLeaseDesc(name, help string) *prometheus.Desc {
+	return prometheus.NewDesc(name, help, []string{"duty"}, nil)
+}
+
 // leaseCollector collects the metrics of each lease.
 type leaseCollector struct{ replica *Replica }
 
--- a/internal/registry/placement_feed.go
+++ b/internal/registry/placement_feed.go
@@ -101,7 +101,9 @@
 }
 
 // Watch streams the changes after a revision of an epoch to a watcher, as Hub.Watch does those of the endpoint list.
-func (f *PlacementFeed) Watch(ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, alive func() bool) error {
+func (f *PlacementFeed) Watch(
+	ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, alive func() bool,
+) error {
 	return streamChanges(ctx, w, request, cursor{revision: after, epoch: epoch}, alive, f)
 }
 
--- a/internal/registry/state_instances.go
+++ b/internal/registry/state_instances.go
@@ -36,7 +36,8 @@
 		return conflictResult(existing.Revision, "%s has revision %d", instance.UID, existing.Revision), false
 	case existing.Endpoint != instance.Endpoint && instance.BootMS <= existing.BootMS:
 		// Two processes with one uid: the later incarnation wins, and an earlier one that returns does not take it back.
-		return conflictResult(existing.Revision, "%s is registered by %s, which started no earlier", instance.UID, existing.Endpoint), false
+		const reason = "%s is registered by %s, which started no earlier"
+		return conflictResult(existing.Revision, reason, instance.UID, existing.Endpoint), false
 	case instance.BootMS < existing.BootMS:
 		return conflictResult(existing.Revision, "%s has restarted since", instance.UID), false
 	}
--- a/internal/registry/state_machine_test.go
+++ b/internal/registry/state_machine_test.go
@@ -363,9 +363,9 @@
 		t.Fatal(err)
 	}
 	for offset := range buffer.Bytes() {
-		torn := bytes.Clone(buffer.Bytes())
-		torn[offset] ^= 0x20
-		if _, err := ReadSnapshot(bytes.NewReader(torn)); err == nil {
+		corrupt := bytes.Clone(buffer.Bytes())
+		corrupt[offset] ^= 0x20
+		if _, err := ReadSnapshot(bytes.NewReader(corrupt)); err == nil {
 			t.Errorf("byte %d is flipped, and the snapshot is read", offset)
 		}
 	}
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -34,7 +34,9 @@
 
 // streamChanges writes the changes of a source to a watcher until ctx or the watcher ends, which is no error. While
 // nothing changes it writes a heartbeat, an empty line, as long as alive returns true.
-func streamChanges(ctx context.Context, w http.ResponseWriter, request *http.Request, position cursor, alive func() bool, source changeSource) error {
+func streamChanges(
+	ctx context.Context, w http.ResponseWriter, request *http.Request, position cursor, alive func() bool, source changeSource,
+) error {
 	w.Header().Set("Content-Type", "application/json")
 	controller := http.NewResponseController(w)
 	heartbeat := time.NewTimer(heartbeatInterval)
