--- a/internal/sidecar/active_placement.go
+++ b/internal/sidecar/active_placement.go
@@ -116,7 +116,7 @@
 	var update balance.Placement
 	for i := range directives {
 		directive := activeDirective{Directive: directives[i], endsAtMS: takenAtMS + float64(directives[i].RemainingMS)}
-		keepEarlierEnd(&directive, previous)
+		retainEarlierEnd(&directive, previous)
 		switch directive.Kind {
 		case placement.KindExclude:
 			if l.resolveExclusion(&directive) {
@@ -137,8 +137,8 @@
 	l.dispatch(nowMS, update)
 }
 
-// keepEarlierEnd moves the end of a directive to that which it had before, if that is earlier.
-func keepEarlierEnd(directive *activeDirective, previous []activeDirective) {
+// retainEarlierEnd moves the end of a directive to that which it had before, if that is earlier.
+func retainEarlierEnd(directive *activeDirective, previous []activeDirective) {
 	position, found := slices.BinarySearchFunc(previous, directive.ID, func(candidate activeDirective, id string) int {
 		return cmp.Compare(candidate.ID, id)
 	})
--- a/internal/sidecar/attempt_outcome_test.go
+++ b/internal/sidecar/attempt_outcome_test.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"net"
@@ -142,104 +141,6 @@
 	}
 }
 
-// steppedLoop is an event loop whose events the test handles one by one, in an order that it chooses. Its attempts
-// are real.
-type steppedLoop struct {
-	*eventLoop
-	t      *testing.T
-	memory int64
-}
-
-func newSteppedLoop(t *testing.T, document configDocument, tweaks ...func(*connPool)) *steppedLoop {
-	t.Helper()
-	config, err := document.load(t)
-	if err != nil {
-		t.Fatal(err)
-	}
-	balancer, err := balance.New(config.settings)
-	if err != nil {
-		t.Fatal(err)
-	}
-	memory := &byteBudget{}
-	memory.release(4 * maxBody)
-	loop := &steppedLoop{newEventLoop(config, balancer, newConnPool(config, 10, memory)), t, 4 * maxBody}
-	loop.pool.reuseDelay = 0
-	for _, tweak := range tweaks {
-		tweak(loop.pool)
-	}
-	var cancel context.CancelFunc
-	loop.ctx, cancel = context.WithCancel(context.Background())
-	loop.discovery = newDiscoveryClient(config.DiscoveryAddress, loop.post, func(func()) {})
-	t.Cleanup(func() {
-		cancel()
-		close(loop.stopped)
-		loop.workers.Wait()
-		loop.pool.closeAll()
-		if loop.pool.openConns != 0 {
-			t.Errorf("%d connections are still counted", loop.pool.openConns)
-		}
-		if remaining := memory.remaining.Load(); remaining != loop.memory {
-			t.Errorf("%d bytes of the body memory are not released", loop.memory-remaining)
-		}
-	})
-	loop.execute(loop.nowMS(), balancer.Start(loop.nowMS()))
-	loop.applyEndpointUpdate(loop.nowMS(), endpointUpdate{kind: balance.UpdateCached, endpoints: config.knownEndpoints})
-	return loop
-}
-
-func (loop *steppedLoop) nowMS() float64 { return loop.clock.unixMS(time.Now()) }
-
-// submit handles the arrival of a request, which starts its first attempt.
-func (loop *steppedLoop) submit(class string) *call {
-	call := loop.newCall(class)
-	loop.handleEvent(loop.nowMS(), requestArrived{call})
-	return call
-}
-
-func (loop *steppedLoop) newCall(class string) *call {
-	created := &call{response: make(chan response, 1), deadline: time.Now().Add(testTimeout), outbound: &outboundRequest{
-		method: "POST", url: &url.URL{Path: "/api"}, host: "b", header: http.Header{}, body: []byte("plate 12-34"),
-	}}
-	created.request.Class = loop.config.classNumbers[class]
-	return created
-}
-
-// nextCompleted waits for an attempt to end; the event is not handled yet.
-func (loop *steppedLoop) nextCompleted() attemptCompleted {
-	loop.t.Helper()
-	return receiveWithin(loop.t, "the end of an attempt", loop.events).(attemptCompleted)
-}
-
-// disconnect does what the frontend does when the client disconnects.
-func (loop *steppedLoop) disconnect(call *call) {
-	loop.t.Helper()
-	if !call.markAnswered() {
-		loop.t.Fatal("already answered")
-	}
-	loop.handleEvent(loop.nowMS(), clientDisconnected{call})
-}
-
-// takeResponse takes the response as the frontend does.
-func (loop *steppedLoop) takeResponse(call *call) response {
-	loop.t.Helper()
-	select {
-	case resp := <-call.response:
-		loop.pool.bodyMemory.release(resp.reservedBytes)
-		return resp
-	default:
-		loop.t.Fatal("not answered")
-		panic("unreachable")
-	}
-}
-
-// assertReleased checks that no state of a call is left.
-func (loop *steppedLoop) assertReleased(call *call) {
-	loop.t.Helper()
-	if len(call.response) != 0 || len(loop.calls.byID) != 0 || !call.answered.Load() {
-		loop.t.Errorf("%d further answers, %d requests open, answered %v", len(call.response), len(loop.calls.byID), call.answered.Load())
-	}
-}
-
 // A response is complete at the moment when its call ends otherwise. Whichever event is handled first, there is one
 // response, one outcome, and no body memory stays reserved.
 func TestResponseRacingTermination(t *testing.T) {
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"bytes"
 	"errors"
 	"fmt"
 	"io"
@@ -15,60 +14,6 @@
 	"time"
 )
 
-// wireText is a request as it is written to a connection.
-func (sidecar *testSidecar) wireText(req *http.Request) string {
-	sidecar.t.Helper()
-	var buffer bytes.Buffer
-	if err := req.Write(&buffer); err != nil {
-		sidecar.t.Fatal(err)
-	}
-	return buffer.String()
-}
-
-// writeTo writes text to a connection.
-func writeTo(t *testing.T, conn net.Conn, text string) {
-	t.Helper()
-	if _, err := io.WriteString(conn, text); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// readStatus reads one response and returns its status; 0: the connection ended without a response.
-func readStatus(t *testing.T, reader *bufio.Reader) int {
-	t.Helper()
-	resp, err := http.ReadResponse(reader, nil)
-	if err != nil {
-		return 0
-	}
-	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		t.Errorf("the response is incomplete: %v", err)
-	}
-	return resp.StatusCode
-}
-
-// blockingBackend is a server that reports each request and responds when the test releases it.
-type blockingBackend struct {
-	*backend
-	arrivals chan string   // the query of each request
-	release  chan struct{} // one for each response
-}
-
-func newBlockingBackend(t *testing.T, uid string, serve serveFunc) *blockingBackend {
-	server := &blockingBackend{arrivals: make(chan string, 100), release: make(chan struct{}, 100)}
-	done := make(chan struct{})
-	server.backend = newBackend(t, uid, func(conn net.Conn, r *http.Request, body string) bool {
-		server.arrivals <- r.URL.RawQuery
-		select {
-		case <-server.release:
-			return serve(conn, r, body)
-		case <-done:
-			return false
-		}
-	})
-	t.Cleanup(func() { close(done) })
-	return server
-}
-
 // A client that has disconnected, or has only closed its sending side, gets no response that no server made.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	server := newBlockingBackend(t, "a", serveOK)
@@ -82,64 +27,6 @@
 	}
 }
 
-// newTestFrontend makes a frontend whose events the test handles.
-func newTestFrontend(t *testing.T, maxConns, maxPersistent int, post func(loopEvent)) *frontend {
-	t.Helper()
-	config, err := newConfigDocument("127.0.0.1:1").load(t)
-	if err != nil {
-		t.Fatal(err)
-	}
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	frontend := &frontend{
-		config: config, post: post, listener: newClientListener(listener, maxConns, maxPersistent), requestIDs: newRecentRequestIDs(), bodyMemory: &byteBudget{},
-		maxInFlight: 10, writeTimeout: testTimeout, drainExpired: make(chan struct{}),
-	}
-	frontend.bodyMemory.release(1 << 20)
-	t.Cleanup(func() { listener.Close() })
-	return frontend
-}
-
-// dialAndAccept connects a client and accepts its connection.
-func (l *clientListener) dialAndAccept(t *testing.T) (client net.Conn, conn *clientConn) {
-	t.Helper()
-	client, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { client.Close() })
-	setTestDeadline(t, client)
-	accepted, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { accepted.Close() })
-	return client, accepted.(*clientConn)
-}
-
-// locked calls a function under the lock of the listener.
-func (l *clientListener) locked(critical func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	critical()
-}
-
-// awaitIdle waits until the only connection is between requests and its reader waits for more.
-func (l *clientListener) awaitIdle(t *testing.T) {
-	t.Helper()
-	waitUntil(t, "an idle connection", func() bool {
-		isIdle := false
-		l.locked(func() {
-			for conn := range l.conns {
-				isIdle = conn.phase == phaseIdle && conn.readerWaiting
-			}
-		})
-		return isIdle
-	})
-}
-
 // A request that net/http has read at the moment when idle connections are shut down is answered: the shutdown comes
 // between the read and the handler.
 func TestRequestReadDuringCloseIsAnswered(t *testing.T) {
@@ -168,83 +55,6 @@
 	}
 }
 
-// A connection from which a request was read, or a part of one within its grace, is not evicted. One whose part is
-// overdue, or that is idle, is. Nothing is read from an evicted connection.
-func TestReadAndEvictionAreMutuallyExclusive(t *testing.T) {
-	const partial = "GET /api HTT"
-	for name, test := range map[string]struct {
-		phase   connPhase
-		read    string // before the reader waits again
-		wait    bool   // the reader waits for more
-		age     time.Duration
-		evicted bool
-	}{
-		"not read yet":                  {phaseNew, "", false, 0, false},
-		"complete request read":         {phaseNew, partial, false, time.Hour, false},
-		"complete request read, reused": {phaseIdle, partial, false, time.Hour, false},
-		"partial request":               {phaseNew, partial, true, 0, false},
-		"partial request, reused":       {phaseIdle, partial, true, 0, false},
-		"overdue partial request":       {phaseNew, partial, true, partialRequestGrace, true},
-		"silent":                        {phaseNew, "", true, 0, true},
-		"idle":                          {phaseIdle, "", true, 0, true},
-		"request active":                {phaseActive, "", true, time.Hour, false},
-		"last response written":         {phaseClosing, "", false, 0, true},
-	} {
-		t.Run(name, func(t *testing.T) {
-			listener := newTestFrontend(t, 10, 0, nil).listener
-			client, conn := listener.dialAndAccept(t)
-			listener.locked(func() { conn.phase = test.phase })
-			if test.read != "" {
-				writeTo(t, client, test.read)
-				if n, err := conn.Read(make([]byte, 100)); n != len(test.read) || err != nil {
-					t.Fatal(n, err)
-				}
-			}
-			read := make(chan error, 1)
-			if test.wait {
-				go func() {
-					_, err := conn.Read(make([]byte, 100))
-					read <- err
-				}()
-				waiting := false
-				for !waiting {
-					listener.locked(func() { waiting = conn.readerWaiting })
-				}
-			}
-			var evicted *clientConn
-			listener.locked(func() {
-				conn.phaseSince = time.Now().Add(time.Hour) // however long the test takes, the grace of a partial request is not over
-				if test.age > 0 {
-					conn.phaseSince = time.Now().Add(-test.age)
-				}
-				evicted = listener.evictOne()
-				if evicted == nil && listener.evictExcessPersistent() != nil {
-					t.Error("trimmed")
-				}
-			})
-			if (evicted == conn) != test.evicted {
-				t.Errorf("evicted: %v", evicted == conn)
-			}
-			if !test.evicted {
-				listener.shutdownIdle()
-				if _, err := conn.Write([]byte("x")); err != nil {
-					t.Error("closed during a drain:", err)
-				}
-			}
-			writeTo(t, client, "x") // before the connection is closed
-			if !test.wait {
-				go func() {
-					_, err := conn.Read(make([]byte, 100))
-					read <- err
-				}()
-			}
-			if err := receiveWithin(t, "the read", read); (err == nil) == test.evicted {
-				t.Errorf("read: %v", err)
-			}
-		})
-	}
-}
-
 // Nothing is read from a connection that was shut down, although its reader runs only when a request is there.
 func TestNoReadAfterShutdownOfIdle(t *testing.T) {
 	listener := newTestFrontend(t, 10, 10, nil).listener
@@ -456,27 +266,6 @@
 	sidecar.done <- nil
 }
 
-// A connection with an oversized header is evictable once its response is written, although net/http keeps it open
-// for a while.
-func TestOversizedHeaderConnectionIsEvictable(t *testing.T) {
-	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address()), func(sidecar *Sidecar) { sidecar.frontend.listener.lingerTimeout = 0 })
-	conn := sidecar.dial()
-	writeTo(t, conn, "GET /api HTTP/1.1\r\nHost: b\r\nX: "+strings.Repeat("x", 2*maxRequestHeader))
-	if got := readStatus(t, bufio.NewReader(conn)); got != 431 {
-		t.Errorf("answered %d", got)
-	}
-	waitUntil(t, "room", func() bool {
-		evicted := false
-		sidecar.frontend.listener.locked(func() {
-			if len(sidecar.frontend.listener.conns) == 0 {
-				t.Fatal("it was closed without being evictable before")
-			}
-			evicted = sidecar.frontend.listener.evictOne() != nil
-		})
-		return evicted
-	})
-}
-
 // Small writes are sent at once, also where the peer acknowledges late.
 func TestNagleIsDisabled(t *testing.T) {
 	_, conn := newTestFrontend(t, 10, 10, nil).listener.dialAndAccept(t)
--- /dev/null
+++ b/internal/sidecar/client_listener_test.go
@@ -0,0 +1,225 @@
+package sidecar
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Many clients that send nothing, or a part of a request, shut no other client out, and are disconnected.
+func TestSilentClientsAreEvicted(t *testing.T) {
+	server := newBackend(t, "a", serveOK)
+	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
+	document["limits"] = map[string]any{"sockets": minSockets}
+	sidecar := startSidecar(t, document)
+	persistent := sidecar.dial()
+	requestOnPersistent := func() int {
+		req := sidecar.newRequest("charge", 2*time.Second)
+		if err := req.Write(persistent); err != nil {
+			t.Fatal(err)
+		}
+		resp, err := http.ReadResponse(bufio.NewReader(persistent), req)
+		if err != nil {
+			t.Fatal("on the good client's connection:", err)
+		}
+		resp.Body.Close()
+		return resp.StatusCode
+	}
+	requestOnPersistent()
+	startedAt := time.Now()
+	var silent []net.Conn
+	for i := range 3 * minSockets {
+		conn := sidecar.dial()
+		tryWrite(conn, "POST /api HTTP/1.1\r\nHost:"[:i%20])
+		silent = append(silent, conn)
+		if i%50 == 0 {
+			if status := requestOnPersistent(); status != 200 {
+				t.Errorf("beside %d silent ones: %d", i, status)
+			}
+		}
+	}
+	if got := sidecar.do(sidecar.newRequest("charge", 2*time.Second)); got.status != 200 {
+		t.Errorf("on a new connection: %+v", got)
+	}
+	if open := sidecar.frontend.listener.openCount(); open > minSockets/2 {
+		t.Errorf("%d connections are open", open)
+	}
+	for _, conn := range silent {
+		if _, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Fatal("a silent connection stays open")
+		}
+	}
+	if elapsed := time.Since(startedAt); elapsed > 6*time.Second { // headerTimeout on a busy machine; the idle timeout is much longer
+		t.Errorf("the last of the silent ones was closed after %v", elapsed)
+	}
+}
+
+// Clients that use a connection once and keep it open would use up the sockets of the application. The longest idle
+// connections are closed long before their timeout; those in use stay open.
+func TestConnectionsUsedOnceAreEvicted(t *testing.T) {
+	server := newBackend(t, "a", serveOK)
+	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
+	const sockets, third = 240, 80
+	document["limits"] = map[string]any{"sockets": sockets}
+	sidecar := startSidecar(t, document)
+	busy := sidecar.dial()
+	requestOn := func(conn net.Conn) {
+		t.Helper()
+		req := sidecar.newRequest("charge", 2*time.Second)
+		if err := req.Write(conn); err != nil {
+			t.Fatal(err)
+		}
+		resp, err := http.ReadResponse(bufio.NewReader(conn), req)
+		if err != nil {
+			t.Fatal(err)
+		}
+		resp.Body.Close()
+	}
+	var usedOnce []net.Conn
+	for range 3 * third {
+		requestOn(busy)
+		usedOnce = append(usedOnce, sidecar.dial())
+		requestOn(usedOnce[len(usedOnce)-1])
+	}
+	if open := sidecar.frontend.listener.openCount(); open >= third {
+		t.Errorf("%d connections are open", open)
+	}
+	for _, conn := range usedOnce[:2*third] { // an end of the connection, not a timeout
+		if _, err := conn.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Fatal("a connection used once stays open")
+		}
+	}
+	requestOn(busy)
+}
+
+// Where there are many client connections the idle ones are closed, so that they never shut others out.
+func TestManyClientConnectionsAreNotRetained(t *testing.T) {
+	server := newBackend(t, "a", serveOK)
+	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
+	document["limits"] = map[string]any{"sockets": minSockets}
+	sidecar := startSidecar(t, document)
+	for i := range 2 * minSockets {
+		conn, err := net.Dial("tcp", sidecar.Addr())
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { conn.Close() })
+		setTestDeadline(t, conn)
+		req := sidecar.newRequest("charge", time.Second)
+		if err := req.Write(conn); err != nil {
+			t.Fatal(err)
+		}
+		resp, err := http.ReadResponse(bufio.NewReader(conn), req)
+		if err != nil {
+			t.Fatalf("connection %d: %v", i, err)
+		}
+		resp.Body.Close()
+		if resp.StatusCode != 200 {
+			t.Fatalf("connection %d: %s", i, resp.Status)
+		}
+	}
+}
+
+// A connection from which a request was read, or a part of one within its grace, is not evicted. One whose part is
+// overdue, or that is idle, is. Nothing is read from an evicted connection.
+func TestReadAndEvictionAreMutuallyExclusive(t *testing.T) {
+	const partial = "GET /api HTT"
+	for name, test := range map[string]struct {
+		phase   connPhase
+		read    string // before the reader waits again
+		wait    bool   // the reader waits for more
+		age     time.Duration
+		evicted bool
+	}{
+		"not read yet":                  {phaseNew, "", false, 0, false},
+		"complete request read":         {phaseNew, partial, false, time.Hour, false},
+		"complete request read, reused": {phaseIdle, partial, false, time.Hour, false},
+		"partial request":               {phaseNew, partial, true, 0, false},
+		"partial request, reused":       {phaseIdle, partial, true, 0, false},
+		"overdue partial request":       {phaseNew, partial, true, partialRequestGrace, true},
+		"silent":                        {phaseNew, "", true, 0, true},
+		"idle":                          {phaseIdle, "", true, 0, true},
+		"request active":                {phaseActive, "", true, time.Hour, false},
+		"last response written":         {phaseClosing, "", false, 0, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			listener := newTestFrontend(t, 10, 0, nil).listener
+			client, conn := listener.dialAndAccept(t)
+			listener.locked(func() { conn.phase = test.phase })
+			if test.read != "" {
+				writeTo(t, client, test.read)
+				if n, err := conn.Read(make([]byte, 100)); n != len(test.read) || err != nil {
+					t.Fatal(n, err)
+				}
+			}
+			read := make(chan error, 1)
+			if test.wait {
+				go func() {
+					_, err := conn.Read(make([]byte, 100))
+					read <- err
+				}()
+				waiting := false
+				for !waiting {
+					listener.locked(func() { waiting = conn.readerWaiting })
+				}
+			}
+			var evicted *clientConn
+			listener.locked(func() {
+				conn.phaseSince = time.Now().Add(time.Hour) // however long the test takes, the grace of a partial request is not over
+				if test.age > 0 {
+					conn.phaseSince = time.Now().Add(-test.age)
+				}
+				evicted = listener.evictOne()
+				if evicted == nil && listener.evictExcessPersistent() != nil {
+					t.Error("trimmed")
+				}
+			})
+			if (evicted == conn) != test.evicted {
+				t.Errorf("evicted: %v", evicted == conn)
+			}
+			if !test.evicted {
+				listener.shutdownIdle()
+				if _, err := conn.Write([]byte("x")); err != nil {
+					t.Error("closed during a drain:", err)
+				}
+			}
+			writeTo(t, client, "x") // before the connection is closed
+			if !test.wait {
+				go func() {
+					_, err := conn.Read(make([]byte, 100))
+					read <- err
+				}()
+			}
+			if err := receiveWithin(t, "the read", read); (err == nil) == test.evicted {
+				t.Errorf("read: %v", err)
+			}
+		})
+	}
+}
+
+// A connection with an oversized header is evictable once its response is written, although net/http keeps it open
+// for a while.
+func TestOversizedHeaderConnectionIsEvictable(t *testing.T) {
+	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address()), func(sidecar *Sidecar) { sidecar.frontend.listener.lingerTimeout = 0 })
+	conn := sidecar.dial()
+	writeTo(t, conn, "GET /api HTTP/1.1\r\nHost: b\r\nX: "+strings.Repeat("x", 2*maxRequestHeader))
+	if got := readStatus(t, bufio.NewReader(conn)); got != 431 {
+		t.Errorf("answered %d", got)
+	}
+	waitUntil(t, "room", func() bool {
+		evicted := false
+		sidecar.frontend.listener.locked(func() {
+			if len(sidecar.frontend.listener.conns) == 0 {
+				t.Fatal("it was closed without being evictable before")
+			}
+			evicted = sidecar.frontend.listener.evictOne() != nil
+		})
+		return evicted
+	})
+}
--- a/internal/sidecar/endpoint_list.go
+++ b/internal/sidecar/endpoint_list.go
@@ -15,8 +15,8 @@
 
 // States of an endpoint, as discovery writes them. A state that is not known here counts as Terminating.
 const (
-	stateReady = "Ready"
-	stateGone  = "Gone"
+	stateReady   = "Ready"
+	stateRemoved = "Gone"
 )
 
 var (
@@ -76,7 +76,7 @@
 	l.Endpoints = slices.DeleteFunc(l.Endpoints, func(entry endpoint) bool {
 		occurrences[entry.UID]--
 		superseded := occurrences[entry.UID] > 0
-		return entry.UID == "" || superseded || entry.State != stateGone && !usableAddress(entry.Address)
+		return entry.UID == "" || superseded || entry.State != stateRemoved && !usableAddress(entry.Address)
 	})
 }
 
@@ -102,7 +102,7 @@
 	switch listed.State {
 	case stateReady:
 		server.State = balance.Ready
-	case stateGone:
+	case stateRemoved:
 		server.State = balance.Removed
 	default:
 		server.State = balance.Draining
--- a/internal/sidecar/loop_events.go
+++ b/internal/sidecar/loop_events.go
@@ -8,7 +8,7 @@
 )
 
 // loopEvent is anything that other goroutines post to the event loop: one of the types below.
-type loopEvent interface{ isLoopEvent() }
+type loopEvent interface{ loopEventMarker() }
 
 // requestArrived: the frontend has read a request.
 type requestArrived struct{ call *call }
@@ -54,11 +54,11 @@
 // configReloaded holds what a reload may change beside the discovery address.
 type configReloaded struct{ placementAddress, version string }
 
-func (requestArrived) isLoopEvent()          {}
-func (clientDisconnected) isLoopEvent()      {}
-func (attemptCompleted) isLoopEvent()        {}
-func (healthCheckDone) isLoopEvent()         {}
-func (endpointUpdate) isLoopEvent()          {}
-func (discoveryAddressChanged) isLoopEvent() {}
-func (placementUpdate) isLoopEvent()         {}
-func (configReloaded) isLoopEvent()          {}
+func (requestArrived) loopEventMarker()          {}
+func (clientDisconnected) loopEventMarker()      {}
+func (attemptCompleted) loopEventMarker()        {}
+func (healthCheckDone) loopEventMarker()         {}
+func (endpointUpdate) loopEventMarker()          {}
+func (discoveryAddressChanged) loopEventMarker() {}
+func (placementUpdate) loopEventMarker()         {}
+func (configReloaded) loopEventMarker()          {}
--- a/internal/sidecar/placement_test.go
+++ b/internal/sidecar/placement_test.go
@@ -1,13 +1,9 @@
 package sidecar
 
 import (
-	"bufio"
 	"encoding/json"
 	"maps"
-	"net"
 	"net/http"
-	"reflect"
-	"runtime"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -16,119 +12,6 @@
 	"milldeck/internal/placement"
 )
 
-// fakeAgent serves a placement as the test says and accepts load reports.
-type fakeAgent struct {
-	*fakeRegistry
-	reports chan placement.LoadReport
-}
-
-func newFakeAgent(t *testing.T) *fakeAgent {
-	agent := &fakeAgent{newFakeRegistry(t), make(chan placement.LoadReport, 1000)}
-	watch := agent.Config.Handler
-	agent.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		if req.URL.Path != "/registry/report" {
-			watch.ServeHTTP(w, req)
-			return
-		}
-		var report placement.LoadReport
-		if err := json.NewDecoder(req.Body).Decode(&report); err != nil || report.Validate() != nil || req.Method != http.MethodPost {
-			t.Errorf("%s: %v, %v of %+v", req.Method, err, report.Validate(), report)
-		}
-		agent.reports <- report
-		w.WriteHeader(http.StatusNoContent)
-	})
-	return agent
-}
-
-// nextReport is a report that began after this call. The reports until then, and this one, are appended to reports.
-func (agent *fakeAgent) nextReport(t *testing.T, reports *[]placement.LoadReport) placement.LoadReport {
-	t.Helper()
-	for len(agent.reports) > 0 {
-		*reports = append(*reports, <-agent.reports)
-	}
-	*reports = append(*reports, receiveWithin(t, "a report", agent.reports)) // may have begun before the call
-	last := receiveWithin(t, "another report", agent.reports)
-	*reports = append(*reports, last)
-	return last
-}
-
-func (call registryCall) sendPlacement(t *testing.T, revision uint64, entries ...placement.Directive) {
-	t.Helper()
-	for i := range entries {
-		entries[i].Revision = revision
-	}
-	data, err := json.Marshal(placement.Update{Revision: revision, Complete: true, Epoch: 5, Directives: append([]placement.Directive{}, entries...)})
-	if err != nil {
-		t.Fatal(err)
-	}
-	call.sendLine(t, string(data))
-}
-
-// excludeDirective excludes servers from requests of the tenant kita for some time by both clocks.
-func excludeDirective(remaining time.Duration, uids ...string) placement.Directive {
-	return placement.Directive{
-		ID: "window/w/kita", Kind: placement.KindExclude, Tenant: "kita", Servers: uids,
-		ExpiresAtMS: time.Now().Add(remaining).UnixMilli(), RemainingMS: remaining.Milliseconds(),
-	}
-}
-
-type placementRig struct {
-	*testSidecar
-	agent            *fakeAgent
-	serverA, serverB *backend
-	holding          chan bool // server A got a request with the query hold, which server B fails
-	release          chan bool // ... and responds to it then
-}
-
-// startPlacementRig runs a sidecar with two servers that follows an agent's placement.
-func startPlacementRig(t *testing.T, change func(configDocument), tweaks ...func(*Sidecar)) *placementRig {
-	t.Helper()
-	rig := &placementRig{agent: newFakeAgent(t), holding: make(chan bool, 1), release: make(chan bool)}
-	serveHeld := func(c net.Conn, req *http.Request, body string) bool {
-		if req.URL.RawQuery == "hold" {
-			rig.holding <- true
-			<-rig.release
-		}
-		return serveOK(c, req, body)
-	}
-	rig.serverA = newBackend(t, "a", serveHeld)
-	rig.serverB = newBackend(t, "b", func(c net.Conn, req *http.Request, body string) bool {
-		if req.URL.RawQuery == "hold" {
-			return respondWith("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true)(c, req, body)
-		}
-		return serveOK(c, req, body)
-	})
-	c := newConfigDocument("127.0.0.1:1", rig.serverA.endpoint, rig.serverB.endpoint)
-	c["placement"], c["version"] = rig.agent.address(), "v7"
-	if change != nil {
-		change(c)
-	}
-	rig.testSidecar = startSidecar(t, c, append(tweaks, func(instance *Sidecar) { instance.loop.placement.timing.reportInterval = 10 * time.Millisecond })...)
-	return rig
-}
-
-// countLookups sends requests and returns how many of them reached server A.
-func (rig *placementRig) countLookups(count int) int {
-	rig.t.Helper()
-	before := rig.serverA.requests.Load()
-	for range count {
-		if response := rig.do(rig.newRequest("lookup", time.Second)); response.status != 200 {
-			rig.t.Fatalf("answered %d", response.status)
-		}
-	}
-	return int(rig.serverA.requests.Load() - before)
-}
-
-// awaitRevision waits for a report with a revision in force.
-func (rig *placementRig) awaitRevision(revision uint64) placement.LoadReport {
-	rig.t.Helper()
-	for {
-		if report := receiveWithin(rig.t, "a report", rig.agent.reports); report.PlacementRevision == revision {
-			return report
-		}
-	}
-}
-
 func TestExclusionIsObeyedAndExpiresWithoutAgent(t *testing.T) {
 	rig := startPlacementRig(t, nil)
 	call := receiveWithin(t, "the watch", rig.agent.calls)
@@ -241,32 +124,6 @@
 	}
 }
 
-func TestReadObject(t *testing.T) {
-	for text, want := range map[string]string{
-		`{"a":"}\"{"}{"b":[{}]}` + "\n":          `{"a":"}\"{"} {"b":[{}]} EOF`,
-		"\n \t\r\n{\n \"a\": 1\n}\n\n":           "{\n \"a\": 1\n} EOF",
-		`{"a":"`:                                 "unexpected EOF",
-		`{"a":"\`:                                "unexpected EOF",
-		`null`:                                   `'n' begins no placement`,
-		"":                                       "EOF",
-		strings.Repeat("{", maxPlacementBytes+1): errPlacementTooLarge.Error(),
-	} {
-		reader := bufio.NewReader(strings.NewReader(text))
-		var got []string
-		for {
-			value, err := readObject(reader, func() {})
-			if err != nil {
-				got = append(got, err.Error())
-				break
-			}
-			got = append(got, string(value))
-		}
-		if strings.Join(got, " ") != want {
-			t.Errorf("%.20q: %q, want %q", text, got, want)
-		}
-	}
-}
-
 func TestReportCountsRequestOutcomes(t *testing.T) {
 	rig := startPlacementRig(t, func(c configDocument) { c["application"] = "other" }) // no tenant, as the settings name tenants
 	receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, reportDirectives()...)
@@ -410,12 +267,6 @@
 	waitUntil(t, "nothing left running", func() bool { return countPlacementGoroutines() == 0 })
 }
 
-// countPlacementGoroutines counts the goroutines of placement clients.
-func countPlacementGoroutines() int {
-	buffer := make([]byte, 1<<20)
-	return strings.Count(string(buffer[:runtime.Stack(buffer, true)]), "sidecar.(*"+reflect.TypeFor[placementClient]().Name()+")")
-}
-
 func TestNoPlacementGoroutinesWhenDisabled(t *testing.T) {
 	rig := startPlacementRig(t, func(c configDocument) { delete(c, "placement") })
 	if reached := rig.countLookups(10); reached == 0 || countPlacementGoroutines() > 0 || len(rig.agent.calls)+len(rig.agent.reports) > 0 {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -1,20 +1,16 @@
 package sidecar
 
 import (
-	"bufio"
 	"context"
 	"encoding/json"
 	"fmt"
 	"io"
 	"log/slog"
-	"net"
 	"net/http"
-	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"runtime"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -209,152 +205,3 @@
 		panic("unreachable")
 	}
 }
-
-// backend is a server that counts its requests and connections. Each test defines how it responds.
-type backend struct {
-	net.Listener
-	endpoint endpoint
-	requests atomic.Int64
-	conns    atomic.Int64
-
-	mu   sync.Mutex
-	open map[net.Conn]bool
-}
-
-// serveFunc handles one request that was read completely; false closes the connection.
-type serveFunc func(c net.Conn, req *http.Request, body string) bool
-
-func newBackend(t *testing.T, uid string, serve serveFunc) *backend {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	server := &backend{Listener: listener, open: map[net.Conn]bool{}, endpoint: readyEndpoint(uid, listener.Addr().String())}
-	var handlers sync.WaitGroup
-	handlers.Go(func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			server.conns.Add(1)
-			server.mu.Lock()
-			server.open[conn] = true
-			server.mu.Unlock()
-			handlers.Go(func() { server.handle(conn, serve) })
-		}
-	})
-	t.Cleanup(func() {
-		listener.Close()
-		server.closeConns()
-		handlers.Wait()
-	})
-	return server
-}
-
-func (server *backend) handle(conn net.Conn, serve serveFunc) {
-	defer conn.Close()
-	reader := bufio.NewReader(conn)
-	for {
-		req, err := http.ReadRequest(reader)
-		if err != nil {
-			return
-		}
-		body, err := io.ReadAll(req.Body)
-		if err != nil {
-			return
-		}
-		server.requests.Add(1)
-		if !serve(conn, req, string(body)) {
-			return
-		}
-	}
-}
-
-// closeConns closes all connections, as the end of the process would.
-func (server *backend) closeConns() {
-	server.mu.Lock()
-	defer server.mu.Unlock()
-	for conn := range server.open {
-		conn.Close()
-	}
-	clear(server.open)
-}
-
-func readyEndpoint(uid, address string) endpoint {
-	return endpoint{UID: uid, Address: address, Zone: "z", Model: "k", PodGroup: 1, State: "Ready", CapacityHint: 1}
-}
-
-func serveOK(conn net.Conn, _ *http.Request, _ string) bool {
-	_, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Server-Load: busy=0.5,rate=7\r\n\r\ndone")
-	return err == nil
-}
-
-// respondWith responds with fixed text and then keeps the connection open or closes it.
-func respondWith(text string, keepOpen bool) serveFunc {
-	return func(conn net.Conn, _ *http.Request, _ string) bool {
-		_, err := io.WriteString(conn, text)
-		return err == nil && keepOpen
-	}
-}
-
-// fakeRegistry is a discovery service. The test decides how each call is answered.
-type fakeRegistry struct {
-	*httptest.Server
-	calls chan registryCall
-}
-
-type registryCall struct {
-	query        string
-	lines        chan string // closed: the response ends
-	failWith     chan int    // a status in place of lines
-	disconnected <-chan struct{}
-}
-
-func newFakeRegistry(t *testing.T) *fakeRegistry {
-	registry := &fakeRegistry{calls: make(chan registryCall, 16)}
-	registry.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		call := registryCall{
-			query: req.URL.RawQuery, lines: make(chan string), failWith: make(chan int), disconnected: req.Context().Done(),
-		}
-		registry.calls <- call
-		for {
-			select {
-			case <-call.disconnected:
-				return
-			case status := <-call.failWith:
-				w.WriteHeader(status)
-				return
-			case line, open := <-call.lines:
-				if !open {
-					return
-				}
-				tryWrite(w, line+"\n")
-				w.(http.Flusher).Flush()
-			}
-		}
-	}))
-	t.Cleanup(registry.Close)
-	return registry
-}
-
-func (r *fakeRegistry) address() string { return r.Listener.Addr().String() }
-
-func (c registryCall) sendList(t *testing.T, list endpointList) {
-	t.Helper()
-	data, err := json.Marshal(list)
-	if err != nil {
-		t.Fatal(err)
-	}
-	c.sendLine(t, string(data))
-}
-
-func (c registryCall) sendLine(t *testing.T, text string) {
-	t.Helper()
-	select {
-	case c.lines <- text:
-	case <-time.After(testTimeout):
-		t.Fatal("the line is not read")
-	}
-}
--- /dev/null
+++ b/internal/sidecar/upstream_exchange_test.go
@@ -0,0 +1,247 @@
+package sidecar
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"net/url"
+	"syscall"
+	"testing"
+	"time"
+
+	"milldeck/balance"
+)
+
+// A request is forwarded as it came, with the time that remains for it.
+func TestForwardedRequest(t *testing.T) {
+	type received struct {
+		req  *http.Request
+		body string
+	}
+	requests := make(chan received, 1)
+	server := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
+		requests <- received{r, body}
+		return serveOK(c, r, body)
+	})
+	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
+	req := sidecar.newRequest("reserve", 800*time.Millisecond)
+	req.URL.RawQuery = "b=2&a=%2F"
+	req.Header.Set("X-Other", "kept")
+	req.Header.Set("Connection", "X-Hop")
+	req.Header.Set("X-Hop", "mine")
+	req.Host = "backend.local"
+	sidecar.do(req)
+	got := receiveWithin(t, "the request", requests)
+	header := got.req.Header
+	if got.req.Method != "POST" || got.req.RequestURI != "/api?b=2&a=%2F" || got.body != "plate 12-34" ||
+		got.req.Host != "backend.local" || header.Get("X-Request-ID") != req.Header.Get("X-Request-ID") ||
+		header.Get("Idempotency-Key") != "5c0f6e1a2b3d4c59" || header.Get("X-Other") != "kept" || header.Get("X-Hop") != "" {
+		t.Errorf("the server got %s %s %q %v", got.req.Method, got.req.RequestURI, got.body, header)
+	}
+	if timeoutText := header.Get("X-Timeout-Ms"); len(timeoutText) != 3 || timeoutText > "800" || timeoutText < "500" {
+		t.Errorf("X-Timeout-Ms is %s, want a little under 800", timeoutText)
+	}
+}
+
+// With a silent server the client gets one response at its deadline, which is no rejection, and the connection is
+// closed.
+func TestSilentServer(t *testing.T) {
+	closed := make(chan struct{})
+	server := newBackend(t, "a", func(c net.Conn, _ *http.Request, _ string) bool {
+		discard(c)
+		close(closed)
+		return false
+	})
+	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
+	got := sidecar.do(sidecar.newRequest("charge", 200*time.Millisecond))
+	if got.status != statusTimedOut || got.elapsed < 200*time.Millisecond || got.elapsed > time.Second {
+		t.Errorf("%d after %v, want %d at the deadline", got.status, got.elapsed, statusTimedOut)
+	}
+	receiveWithin(t, "the connection to close", closed)
+}
+
+// newUnansweringListener listens with a full accept queue: further connections are never established.
+func newUnansweringListener(t *testing.T) string {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := syscall.Close(fd); err != nil {
+			t.Error(err)
+		}
+	})
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	if err := syscall.Listen(fd, 0); err != nil {
+		t.Fatal(err)
+	}
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: name.(*syscall.SockaddrInet4).Port}).String()
+	for {
+		conn, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
+		if err != nil {
+			return address
+		}
+		t.Cleanup(func() { conn.Close() })
+	}
+}
+
+// The connect timeout of the settings and the deadline of the request bound dialing.
+func TestConnectTimeout(t *testing.T) {
+	address := newUnansweringListener(t)
+	t.Run("settings", func(t *testing.T) {
+		healthyServer := newBackend(t, "b", serveOK)
+		sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), readyEndpoint("a", address), healthyServer.endpoint))
+		for i := range 3 {
+			if got := sidecar.do(sidecar.newRequest("charge", time.Second)); got.status != 200 || got.elapsed > 600*time.Millisecond {
+				t.Errorf("request %d: %+v", i, got)
+			}
+		}
+	})
+	t.Run("time left", func(t *testing.T) {
+		document := newConfigDocument(newFakeRegistry(t).address(), readyEndpoint("a", address)).
+			replaceSetting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 60000`)
+		sidecar := startSidecar(t, document)
+		got := sidecar.do(sidecar.newRequest("charge", 100*time.Millisecond))
+		if got.status != statusRejected && got.status != statusTimedOut || got.elapsed > time.Second {
+			t.Errorf("%+v, want an answer at the deadline", got)
+		}
+	})
+}
+
+// A client that disconnects ends its attempt.
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
+	got, closed := make(chan struct{}), make(chan struct{})
+	server := newBackend(t, "a", func(c net.Conn, _ *http.Request, _ string) bool {
+		close(got)
+		discard(c)
+		close(closed)
+		return false
+	})
+	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
+	ctx, disconnect := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	req := sidecar.newRequest("lookup", 2500*time.Millisecond).WithContext(ctx)
+	go func() {
+		_, err := sidecar.client.Do(req)
+		done <- err
+	}()
+	receiveWithin(t, "the request", got)
+	disconnect()
+	disconnectedAt := time.Now()
+	receiveWithin(t, "the connection to close", closed)
+	if elapsed := time.Since(disconnectedAt); elapsed > time.Second {
+		t.Errorf("the attempt went on for %v", elapsed)
+	}
+	if receiveWithin(t, "the client", done) == nil {
+		t.Error("a client that disconnected got a response")
+	}
+}
+
+// newExchange prepares an attempt on an open connection, just before its first byte.
+func newExchange(t *testing.T, server *backend) (*connPool, *attempt, *upstreamConn, *http.Request) {
+	t.Helper()
+	config, err := newConfigDocument("127.0.0.1:1").load(t)
+	if err != nil {
+		t.Fatal(err)
+	}
+	memory := &byteBudget{}
+	memory.release(maxBody)
+	pool := newConnPool(config, 10, memory)
+	pool.reuseDelay = 0
+	t.Cleanup(pool.closeAll)
+	host := &upstreamHost{id: 1, address: server.endpoint.Address}
+	started := &attempt{call: &call{outbound: &outboundRequest{}}, upstream: host, deadline: time.Now().Add(testTimeout)}
+	started.ctx, started.cancel = context.WithCancel(t.Context())
+	t.Cleanup(started.cancel)
+	conn, _, err := pool.acquire(started.ctx, host, started.deadline)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	req := &http.Request{Method: "GET", URL: &url.URL{Path: "/api"}, Host: "b", Header: http.Header{}}
+	return pool, started, conn, req
+}
+
+// The list may change or the call may be answered between the decision for an attempt and its first byte: nothing is
+// sent then, and the server is not blamed.
+func TestFinalCheckBeforeFirstByte(t *testing.T) {
+	for name, change := range map[string]func(*connPool, *attempt){
+		"server retired":          func(pool *connPool, attempt *attempt) { pool.retire(attempt.upstream) },
+		"request answered":        func(_ *connPool, attempt *attempt) { attempt.call.markAnswered() },
+		"time is over":            func(_ *connPool, attempt *attempt) { attempt.deadline = time.Now() },
+		"idempotency window over": func(_ *connPool, attempt *attempt) { attempt.idempotencyWindowEnd = time.Now() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := newBackend(t, "a", serveOK)
+			pool, attempt, conn, req := newExchange(t, server)
+			change(pool, attempt)
+			complete, err := writeRequest(conn, attempt.deadline, req, attempt)
+			if complete || !errors.Is(err, errObsolete) || unsentResult(attempt.ctx, attempt.deadline, err) != balance.Obsolete {
+				t.Errorf("written %v, error %v", complete, err)
+			}
+			conn.Close()
+			if server.requests.Load() != 0 {
+				t.Error("the server got a request")
+			}
+		})
+	}
+}
+
+// An incomplete write proves that the server did not execute the request.
+func TestShortWriteIsNeverExecuted(t *testing.T) {
+	server := newBackend(t, "a", serveOK)
+	_, attempt, conn, req := newExchange(t, server)
+	closeWrite(t, conn.Conn)
+	complete, err := writeRequest(conn, attempt.deadline, req, attempt)
+	if got := unsentResult(attempt.ctx, attempt.deadline, err); complete || got != balance.ConnectFailed {
+		t.Errorf("written %v, %v, result %v", complete, err, got)
+	}
+	if attempt.fullyWritten.Load() {
+		t.Error("counted as sent")
+	}
+}
+
+// A reused connection that breaks during the write moves the request to a new one: the server did not execute it and
+// is not blamed.
+func TestWriteFailureOnReusedConnectionIsRetried(t *testing.T) {
+	server := newBackend(t, "a", serveOK)
+	pool, attempt, conn, _ := newExchange(t, server)
+	attempt.call.outbound = &outboundRequest{
+		method: "POST", url: &url.URL{Path: "/api"}, host: "b", header: http.Header{}, body: []byte("plate 12-34"),
+	}
+	closeWrite(t, conn.Conn) // it still seems open for reading
+	pool.returnIdle(conn)
+	if result := pool.sendAttempt(attempt); result.outcome != balance.OK {
+		t.Errorf("result %v", result.outcome)
+	}
+	if requests := server.requests.Load(); requests != 1 {
+		t.Errorf("%d sends, want 1", requests)
+	}
+}
+
+func TestHealthCheck(t *testing.T) {
+	paths := make(chan string, 1)
+	server := newBackend(t, "a", func(c net.Conn, r *http.Request, _ string) bool {
+		paths <- r.URL.Path
+		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nbusy=0.5,rate=7")
+		return err == nil
+	})
+	pool, attempt, conn, _ := newExchange(t, server)
+	pool.returnIdle(conn)
+	r := pool.checkHealth(attempt.ctx, attempt.upstream)
+	if r.outcome != balance.OK || len(r.loadReport) != 2 || r.loadReport[0] != 0.5 || r.loadReport[1] != 7 {
+		t.Errorf("%+v", r)
+	}
+	if path := <-paths; path != "/stats" {
+		t.Errorf("requested %s", path)
+	}
+}
--- a/internal/sidecar/upstream_response.go
+++ b/internal/sidecar/upstream_response.go
@@ -119,8 +119,8 @@
 }
 
 func parseStatusLine(line string) (status int, err error) {
-	version, rest, _ := strings.Cut(line, " ")
-	code, _, _ := strings.Cut(rest, " ")
+	version, afterVersion, _ := strings.Cut(line, " ")
+	code, _, _ := strings.Cut(afterVersion, " ")
 	number, err := strconv.ParseUint(code, 10, 16)
 	if version != "HTTP/1.1" || err != nil || len(code) != 3 || number < http.StatusContinue {
 		return 0, errMalformedResponse
