--- a/internal/sidecar/attempt_outcome_test.go
+++ b/internal/sidecar/attempt_outcome_test.go
@@ -254,23 +254,23 @@
 		t.Run(fmt.Sprintf("at once %v", atOnce), func(t *testing.T) {
 			conns := make(chan net.Conn, 2)
 			requests := 0
-			server := newBackend(t, "a", func(c net.Conn, _ *http.Request, _ string) bool {
+			server := newBackend(t, "a", func(conn net.Conn, _ *http.Request, _ string) bool {
 				text := fmt.Sprintf(responseFormat, requests)
 				if requests++; atOnce {
 					text += text
 				}
-				_, err := io.WriteString(c, text)
-				conns <- c
+				_, err := io.WriteString(conn, text)
+				conns <- conn
 				return err == nil
 			})
 			loop := newSteppedLoop(t, newConfigDocument("127.0.0.1:1", server.endpoint))
 			for i := range 2 {
-				c := loop.submit("charge")
+				call := loop.submit("charge")
 				loop.handleEvent(loop.nowMS(), loop.nextCompleted())
-				if a := loop.takeResponse(c); a.status != 200 || string(a.body) != strconv.Itoa(i) {
-					t.Fatalf("request %d got %+v", i, a)
+				if resp := loop.takeResponse(call); resp.status != 200 || string(resp.body) != strconv.Itoa(i) {
+					t.Fatalf("request %d got %+v", i, resp)
 				}
-				upstream, conn := c.attempts[0].upstream, <-conns
+				upstream, conn := call.attempts[0].upstream, <-conns
 				if atOnce {
 					if len(upstream.idleConns) != 0 {
 						t.Error("the connection is pooled")
@@ -293,21 +293,21 @@
 	const responseFormat = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d"
 	var first net.Conn
 	requests := 0
-	server := newBackend(t, "a", func(c net.Conn, _ *http.Request, _ string) bool {
+	server := newBackend(t, "a", func(conn net.Conn, _ *http.Request, _ string) bool {
 		if first == nil {
-			first = c
+			first = conn
 		} else {
 			fmt.Fprintf(first, responseFormat, 0)
 		}
 		requests++
-		_, err := fmt.Fprintf(c, responseFormat, requests-1)
+		_, err := fmt.Fprintf(conn, responseFormat, requests-1)
 		return err == nil
 	})
 	loop := newSteppedLoop(t, newConfigDocument("127.0.0.1:1", server.endpoint), func(pool *connPool) { pool.reuseDelay = time.Hour })
 	for i := range 2 {
-		c := loop.submit("charge")
+		call := loop.submit("charge")
 		loop.handleEvent(loop.nowMS(), loop.nextCompleted())
-		if resp := loop.takeResponse(c); resp.status != 200 || string(resp.body) != strconv.Itoa(i) {
+		if resp := loop.takeResponse(call); resp.status != 200 || string(resp.body) != strconv.Itoa(i) {
 			t.Errorf("request %d got %+v", i, resp)
 		}
 	}
@@ -330,19 +330,19 @@
 		t.Run(class, func(t *testing.T) {
 			started := make(chan net.Conn, 1)
 			var attempts atomic.Int64
-			serve := func(c net.Conn, r *http.Request, body string) bool {
+			serve := func(conn net.Conn, r *http.Request, body string) bool {
 				if attempts.Add(1) > 1 {
-					return serveOK(c, r, body)
+					return serveOK(conn, r, body)
 				}
-				started <- c
-				discard(c)
+				started <- conn
+				discard(conn)
 				return false
 			}
 			serverA, serverB := newBackend(t, "a", serve), newBackend(t, "b", serve)
 			loop := newSteppedLoop(t, newConfigDocument("127.0.0.1:1", serverA.endpoint, serverB.endpoint))
-			c := loop.submit(class)
+			call := loop.submit(class)
 			conn := receiveWithin(t, "the request", started)
-			lateMS := loop.nowMS() + loop.config.settings.Classes[c.request.Class].LatencyObjective + 1
+			lateMS := loop.nowMS() + loop.config.settings.Classes[call.request.Class].LatencyObjective + 1
 			loop.runDueTimers(lateMS)
 			resetConn(conn)
 			conn.Close()
@@ -354,10 +354,10 @@
 			if test.retried {
 				loop.handleEvent(lateMS, loop.nextCompleted())
 			}
-			if got := loop.takeResponse(c); got.status != test.status {
+			if got := loop.takeResponse(call); got.status != test.status {
 				t.Errorf("%+v, want %d", got, test.status)
 			}
-			loop.assertReleased(c)
+			loop.assertReleased(call)
 		})
 	}
 }
@@ -366,15 +366,15 @@
 // retried elsewhere, completely and once.
 func TestResetDuringWrite(t *testing.T) {
 	listener, conns := newUnreadListener(t)
-	healthyServer := newBackend(t, "b", func(c net.Conn, r *http.Request, body string) bool {
-		return len(body) == maxBody && serveOK(c, r, body)
+	healthyServer := newBackend(t, "b", func(conn net.Conn, r *http.Request, body string) bool {
+		return len(body) == maxBody && serveOK(conn, r, body)
 	})
 	loop := newSteppedLoop(t, newConfigDocument("127.0.0.1:1", readyEndpoint("a", listener.Addr().String())), func(pool *connPool) {
 		pool.dialer.Control = smallSocketBuffers(syscall.SO_SNDBUF)
 	})
-	c := loop.newCall("charge")
-	c.outbound.body = make([]byte, maxBody)
-	loop.handleEvent(loop.nowMS(), requestArrived{c})
+	call := loop.newCall("charge")
+	call.outbound.body = make([]byte, maxBody)
+	loop.handleEvent(loop.nowMS(), requestArrived{call})
 	conn := receiveWithin(t, "the connection", conns)
 	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil { // a part of it has arrived
 		t.Fatal(err)
@@ -388,8 +388,8 @@
 	loop.applyEndpointUpdate(loop.nowMS(), endpointUpdate{kind: balance.UpdateDelta, endpoints: endpointList{Revision: 2, Endpoints: []endpoint{healthyServer.endpoint}}})
 	loop.handleEvent(loop.nowMS(), event)
 	loop.handleEvent(loop.nowMS(), loop.nextCompleted())
-	if resp := loop.takeResponse(c); resp.status != 200 || healthyServer.requests.Load() != 1 {
+	if resp := loop.takeResponse(call); resp.status != 200 || healthyServer.requests.Load() != 1 {
 		t.Errorf("%+v, %d requests", resp, healthyServer.requests.Load())
 	}
-	loop.assertReleased(c)
+	loop.assertReleased(call)
 }
--- a/internal/sidecar/backend_test.go
+++ b/internal/sidecar/backend_test.go
@@ -22,7 +22,7 @@
 }
 
 // serveFunc handles one request that was read completely; false closes the connection.
-type serveFunc func(c net.Conn, req *http.Request, body string) bool
+type serveFunc func(conn net.Conn, req *http.Request, body string) bool
 
 func newBackend(t *testing.T, uid string, serve serveFunc) *backend {
 	t.Helper()
--- a/internal/sidecar/conn_pool_test.go
+++ b/internal/sidecar/conn_pool_test.go
@@ -19,9 +19,9 @@
 // fails, as the server may have executed it.
 func TestBrokenReusedConnectionIsNotResent(t *testing.T) {
 	served := 0
-	server := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
+	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, body string) bool {
 		served++
-		return served == 1 && serveOK(c, r, body)
+		return served == 1 && serveOK(conn, r, body)
 	})
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
 	if got := sidecar.do(sidecar.newRequest("charge", time.Second)); got.status != 200 || got.body != "done" {
@@ -65,14 +65,14 @@
 // noticed after the reuse delay.
 func TestBytesAfterResponseAreNotReused(t *testing.T) {
 	trailing := make(chan error, 1)
-	server := newBackend(t, "a", func(c net.Conn, r *http.Request, _ string) bool {
+	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, _ string) bool {
 		id := r.Header.Get("X-Request-ID")
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
-		if _, err := io.WriteString(c, text); err != nil {
+		if _, err := io.WriteString(conn, text); err != nil {
 			return false
 		}
 		time.Sleep(500 * time.Microsecond) // so that the response is read alone
-		_, err := io.WriteString(c, text)
+		_, err := io.WriteString(conn, text)
 		trailing <- err
 		return err == nil
 	})
@@ -113,9 +113,9 @@
 func TestBodyMemoryIsBounded(t *testing.T) {
 	release := make(chan struct{})
 	large, half := strings.Repeat("x", 40<<10), strings.Repeat("y", 20<<10)
-	server := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
+	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, body string) bool {
 		<-release
-		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(half), half)
+		_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(half), half)
 		return err == nil
 	})
 	const limit = 100 << 10
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -102,12 +102,12 @@
 	read, release chan struct{}
 }
 
-func (loop delayedListener) Accept() (net.Conn, error) {
-	c, err := loop.clientListener.Accept()
+func (l delayedListener) Accept() (net.Conn, error) {
+	conn, err := l.clientListener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &delayedConn{c.(*clientConn), loop.read, loop.release}, nil
+	return &delayedConn{conn.(*clientConn), l.read, l.release}, nil
 }
 
 // A request that was read when the drain ends is answered, although net/http still counts its connection as idle. An
--- a/internal/sidecar/endpoint_updates_test.go
+++ b/internal/sidecar/endpoint_updates_test.go
@@ -66,9 +66,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			closed := make(chan struct{}, 1)
-			server := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
-				if serveOK(c, r, body) {
-					if _, err := c.Read(make([]byte, 1)); errors.Is(err, io.EOF) {
+			server := newBackend(t, "a", func(conn net.Conn, r *http.Request, body string) bool {
+				if serveOK(conn, r, body) {
+					if _, err := conn.Read(make([]byte, 1)); errors.Is(err, io.EOF) {
 						closed <- struct{}{}
 					}
 				}
--- a/internal/sidecar/frontend_test.go
+++ b/internal/sidecar/frontend_test.go
@@ -69,14 +69,14 @@
 // Requests beyond the limit in flight are rejected at once; those within it are served.
 func TestOverloadIsRejected(t *testing.T) {
 	release := make(chan struct{})
-	server := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
+	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, body string) bool {
 		<-release
-		return serveOK(c, r, body)
+		return serveOK(conn, r, body)
 	})
-	c := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
-	c["limits"] = map[string]any{"sockets": minSockets, "memory_mb": 64}
-	c.replaceSetting(`"open_cap": 20000`, `"open_cap": 5`)
-	sidecar := startSidecar(t, c)
+	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
+	document["limits"] = map[string]any{"sockets": minSockets, "memory_mb": 64}
+	document.replaceSetting(`"open_cap": 20000`, `"open_cap": 5`)
+	sidecar := startSidecar(t, document)
 	var pending []<-chan clientResult
 	for range 5 {
 		pending = append(pending, sidecar.doAsync(sidecar.newRequest("reserve", time.Second)))
--- a/internal/sidecar/idempotency_window_test.go
+++ b/internal/sidecar/idempotency_window_test.go
@@ -110,8 +110,8 @@
 	loop := newEventLoop(config, nil, nil)
 	at := func(ms float64) time.Time { return loop.clock.timeAt(loop.clock.startUnixMS + ms) }
 	attempts := func(neverExecuted ...bool) (list []*attempt) { // 100 ms apart
-		for i, c := range neverExecuted {
-			list = append(list, &attempt{decidedAtMS: loop.clock.startUnixMS + 100*float64(i), neverExecuted: c})
+		for i, unexecuted := range neverExecuted {
+			list = append(list, &attempt{decidedAtMS: loop.clock.startUnixMS + 100*float64(i), neverExecuted: unexecuted})
 		}
 		return list
 	}
@@ -127,9 +127,9 @@
 		"idempotent":                     {"lookup", attempts(false), time.Time{}},
 		"not idempotent, never executed": {"charge", attempts(true), time.Time{}},
 	} {
-		c := &call{deadline: at(5000), attempts: test.attempts}
-		c.request.Class = config.classNumbers[test.class]
-		if got := loop.idempotencyWindowEnd(c); !got.Equal(test.want) {
+		started := &call{deadline: at(5000), attempts: test.attempts}
+		started.request.Class = config.classNumbers[test.class]
+		if got := loop.idempotencyWindowEnd(started); !got.Equal(test.want) {
 			t.Errorf("%s: %v, want %v", name, got, test.want)
 		}
 	}
--- a/internal/sidecar/placement_rig_test.go
+++ b/internal/sidecar/placement_rig_test.go
@@ -81,26 +81,26 @@
 func startPlacementRig(t *testing.T, change func(configDocument), tweaks ...func(*Sidecar)) *placementRig {
 	t.Helper()
 	rig := &placementRig{agent: newFakeAgent(t), holding: make(chan bool, 1), release: make(chan bool)}
-	serveHeld := func(c net.Conn, req *http.Request, body string) bool {
+	serveHeld := func(document net.Conn, req *http.Request, body string) bool {
 		if req.URL.RawQuery == "hold" {
 			rig.holding <- true
 			<-rig.release
 		}
-		return serveOK(c, req, body)
+		return serveOK(document, req, body)
 	}
 	rig.serverA = newBackend(t, "a", serveHeld)
-	rig.serverB = newBackend(t, "b", func(c net.Conn, req *http.Request, body string) bool {
+	rig.serverB = newBackend(t, "b", func(document net.Conn, req *http.Request, body string) bool {
 		if req.URL.RawQuery == "hold" {
-			return respondWith("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true)(c, req, body)
+			return respondWith("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true)(document, req, body)
 		}
-		return serveOK(c, req, body)
+		return serveOK(document, req, body)
 	})
-	c := newConfigDocument("127.0.0.1:1", rig.serverA.endpoint, rig.serverB.endpoint)
-	c["placement"], c["version"] = rig.agent.address(), "v7"
+	document := newConfigDocument("127.0.0.1:1", rig.serverA.endpoint, rig.serverB.endpoint)
+	document["placement"], document["version"] = rig.agent.address(), "v7"
 	if change != nil {
-		change(c)
+		change(document)
 	}
-	rig.testSidecar = startSidecar(t, c, append(tweaks, func(instance *Sidecar) { instance.loop.placement.timing.reportInterval = 10 * time.Millisecond })...)
+	rig.testSidecar = startSidecar(t, document, append(tweaks, func(instance *Sidecar) { instance.loop.placement.timing.reportInterval = 10 * time.Millisecond })...)
 	return rig
 }
 
--- a/internal/sidecar/placement_test.go
+++ b/internal/sidecar/placement_test.go
@@ -80,15 +80,18 @@
 	call.sendLine(t, "\n"+string(indented))
 	rig.awaitRevision(1)
 	endless := strings.Repeat(`"window/w/kita",`, maxPlacementBytes/16)
-	for name, bad := range map[string]func(c registryCall){
-		"torn":         func(c registryCall) { c.sendLine(t, `{"rev":2,"all":true,`); close(c.lines) },
-		"endless":      func(c registryCall) { c.sendLine(t, `{"rev":2,"gone":[`+endless); <-c.disconnected },
-		"no placement": func(c registryCall) { c.sendLine(t, `["rev"]`); <-c.disconnected },
-		"no entries":   func(c registryCall) { c.sendLine(t, `{"rev":2,"all":true,"epoch":5}`); <-c.disconnected },
-		"silent":       func(c registryCall) { c.sendLine(t, ""); <-c.disconnected },
-		"trickling":    func(c registryCall) { c.sendLine(t, `{"rev":`); <-c.disconnected },
-		"refused":      func(c registryCall) { c.failWith <- http.StatusServiceUnavailable },
-		"too large":    func(c registryCall) { c.sendLine(t, `{"rev":2,"epoch":5,"entries":[{"id":""}]}`); <-c.disconnected },
+	for name, bad := range map[string]func(call registryCall){
+		"torn":         func(call registryCall) { call.sendLine(t, `{"rev":2,"all":true,`); close(call.lines) },
+		"endless":      func(call registryCall) { call.sendLine(t, `{"rev":2,"gone":[`+endless); <-call.disconnected },
+		"no placement": func(call registryCall) { call.sendLine(t, `["rev"]`); <-call.disconnected },
+		"no entries":   func(call registryCall) { call.sendLine(t, `{"rev":2,"all":true,"epoch":5}`); <-call.disconnected },
+		"silent":       func(call registryCall) { call.sendLine(t, ""); <-call.disconnected },
+		"trickling":    func(call registryCall) { call.sendLine(t, `{"rev":`); <-call.disconnected },
+		"refused":      func(call registryCall) { call.failWith <- http.StatusServiceUnavailable },
+		"too large": func(call registryCall) {
+			call.sendLine(t, `{"rev":2,"epoch":5,"entries":[{"id":""}]}`)
+			<-call.disconnected
+		},
 	} {
 		bad(call)
 		call = receiveWithin(t, name+": the next watch", rig.agent.calls)
@@ -125,7 +128,7 @@
 }
 
 func TestReportCountsRequestOutcomes(t *testing.T) {
-	rig := startPlacementRig(t, func(c configDocument) { c["application"] = "other" }) // no tenant, as the settings name tenants
+	rig := startPlacementRig(t, func(document configDocument) { document["application"] = "other" }) // no tenant, as the settings name tenants
 	receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, reportDirectives()...)
 	rig.awaitRevision(1)
 	lookupAsync := func(query, key string) <-chan clientResult {
@@ -163,15 +166,15 @@
 		for _, id := range report.SuspendedDirectives {
 			suspended[id] = true
 		}
-		for _, c := range report.ClassCounts {
-			name, sum := c.Class+" "+c.Zone+" "+c.Cohort, 0
-			for _, latencyCount := range c.LatencyHistogram {
+		for _, count := range report.ClassCounts {
+			name, sum := count.Class+" "+count.Zone+" "+count.Cohort, 0
+			for _, latencyCount := range count.LatencyHistogram {
 				sum += int(latencyCount)
 			}
-			if sum != c.Succeeded {
-				t.Errorf("%d latencies of %d served", sum, c.Succeeded)
+			if sum != count.Succeeded {
+				t.Errorf("%d latencies of %d served", sum, count.Succeeded)
 			}
-			got[name] = [3]int{got[name][0] + c.Succeeded, got[name][1] + c.Late, got[name][2] + c.Failed}
+			got[name] = [3]int{got[name][0] + count.Succeeded, got[name][1] + count.Late, got[name][2] + count.Failed}
 		}
 	}
 	if want := map[string][3]int{"lookup z new": {20, 0, 1}, "lookup z ": {1, 0, 0}}; !maps.Equal(got, want) {
@@ -195,9 +198,9 @@
 // Where the settings name no tenants, all requests belong to the calling application.
 func TestApplicationIsDefaultTenant(t *testing.T) {
 	for application, want := range map[string]bool{"kita": true, "portal": false, "": false} {
-		rig := startPlacementRig(t, func(c configDocument) {
-			c.replaceSetting(`"tenants": [{"name": "kita", "share": 1, "allowance_per_s": 100}],`, "")
-			c["application"] = application
+		rig := startPlacementRig(t, func(document configDocument) {
+			document.replaceSetting(`"tenants": [{"name": "kita", "share": 1, "allowance_per_s": 100}],`, "")
+			document["application"] = application
 		})
 		receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, excludeDirective(time.Hour, "a"))
 		report := rig.awaitRevision(1)
@@ -212,8 +215,8 @@
 
 // Requests for a hot key go to its replica.
 func TestSpreadReachesBalancer(t *testing.T) {
-	rig := startPlacementRig(t, func(c configDocument) {
-		c.replaceSetting(`"quantum_ms": 2,`, `"quantum_ms": 2, "family_info": {"warm_keys": true},`)
+	rig := startPlacementRig(t, func(document configDocument) {
+		document.replaceSetting(`"quantum_ms": 2,`, `"quantum_ms": 2, "family_info": {"warm_keys": true},`)
 	})
 	spread := excludeDirective(time.Hour)
 	spread.ID, spread.Kind, spread.KeyHash, spread.Copies = "spread/335f24192ff5d0d4", placement.KindSpreadKey, "335f24192ff5d0d4", []placement.KeyCopy{{ServerUID: "a", LoadFraction: 1}}
@@ -268,7 +271,7 @@
 }
 
 func TestNoPlacementGoroutinesWhenDisabled(t *testing.T) {
-	rig := startPlacementRig(t, func(c configDocument) { delete(c, "placement") })
+	rig := startPlacementRig(t, func(document configDocument) { delete(document, "placement") })
 	if reached := rig.countLookups(10); reached == 0 || countPlacementGoroutines() > 0 || len(rig.agent.calls)+len(rig.agent.reports) > 0 {
 		t.Errorf("%d requests on a, %d goroutines, %d calls", reached, countPlacementGoroutines(), len(rig.agent.calls))
 	}
--- a/internal/sidecar/registry_test.go
+++ b/internal/sidecar/registry_test.go
@@ -48,21 +48,21 @@
 	return registry
 }
 
-func (r *fakeRegistry) address() string { return r.Listener.Addr().String() }
+func (registry *fakeRegistry) address() string { return registry.Listener.Addr().String() }
 
-func (c registryCall) sendList(t *testing.T, list endpointList) {
+func (call registryCall) sendList(t *testing.T, list endpointList) {
 	t.Helper()
 	data, err := json.Marshal(list)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.sendLine(t, string(data))
+	call.sendLine(t, string(data))
 }
 
-func (c registryCall) sendLine(t *testing.T, text string) {
+func (call registryCall) sendLine(t *testing.T, text string) {
 	t.Helper()
 	select {
-	case c.lines <- text:
+	case call.lines <- text:
 	case <-time.After(testTimeout):
 		t.Fatal("the line is not read")
 	}
--- a/internal/sidecar/upstream_exchange_test.go
+++ b/internal/sidecar/upstream_exchange_test.go
@@ -21,9 +21,9 @@
 		body string
 	}
 	requests := make(chan received, 1)
-	server := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
+	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, body string) bool {
 		requests <- received{r, body}
-		return serveOK(c, r, body)
+		return serveOK(conn, r, body)
 	})
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
 	req := sidecar.newRequest("reserve", 800*time.Millisecond)
@@ -49,8 +49,8 @@
 // closed.
 func TestSilentServer(t *testing.T) {
 	closed := make(chan struct{})
-	server := newBackend(t, "a", func(c net.Conn, _ *http.Request, _ string) bool {
-		discard(c)
+	server := newBackend(t, "a", func(conn net.Conn, _ *http.Request, _ string) bool {
+		discard(conn)
 		close(closed)
 		return false
 	})
@@ -120,9 +120,9 @@
 // A client that disconnects ends its attempt.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	got, closed := make(chan struct{}), make(chan struct{})
-	server := newBackend(t, "a", func(c net.Conn, _ *http.Request, _ string) bool {
+	server := newBackend(t, "a", func(conn net.Conn, _ *http.Request, _ string) bool {
 		close(got)
-		discard(c)
+		discard(conn)
 		close(closed)
 		return false
 	})
@@ -230,9 +230,9 @@
 
 func TestHealthCheck(t *testing.T) {
 	paths := make(chan string, 1)
-	server := newBackend(t, "a", func(c net.Conn, r *http.Request, _ string) bool {
+	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, _ string) bool {
 		paths <- r.URL.Path
-		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nbusy=0.5,rate=7")
+		_, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nbusy=0.5,rate=7")
 		return err == nil
 	})
 	pool, attempt, conn, _ := newExchange(t, server)
