--- a/internal/sidecar/discovery_client.go
+++ b/internal/sidecar/discovery_client.go
@@ -119,7 +119,7 @@
 		err := call.watchUntilFailure()
 		close(watchDone)
 		if ctx.Err() == nil {
-			discoveryLog.Warn("endpoint watch failed", "error", err)
+			discoveryLog.Warn("endpoint watch failed", "error", err, "revision", call.revision.Load())
 			call.reportFailure(err)
 		}
 	})
@@ -150,7 +150,7 @@
 				backoff = initialBackoff
 			}
 			if ctx.Err() == nil {
-				discoveryLog.Warn("endpoint watch at the agent failed", "error", err)
+				discoveryLog.Warn("endpoint watch at the agent failed", "error", err, "revision", call.revision.Load())
 			}
 			sleepJittered(ctx, backoff)
 			backoff = min(2*backoff, maxBackoff)
@@ -187,7 +187,7 @@
 func (c *discoveryCall) watchUntilFailure() error {
 	err := c.openWatch(c.callTimeout)
 	for silentCalls := 0; errors.Is(err, errWatchSilent) && c.ctx.Err() == nil; {
-		discoveryLog.Warn("endpoint watch reopened", "error", err)
+		discoveryLog.Warn("endpoint watch reopened", "error", err, "revision", c.revision.Load())
 		sleepJittered(c.ctx, initialBackoff)
 		if silentCalls++; c.received {
 			silentCalls = 0
