--- a/internal/sidecar/timers.go
+++ b/internal/sidecar/timers.go
@@ -24,6 +24,7 @@
 // timerQueue holds the timers of the balancer.
 type timerQueue struct {
 	heap      timerHeap
+	due       []timer // of the latest popDue, reused
 	lastRunMS float64 // when timers last woke the event loop
 }
 
@@ -31,13 +32,13 @@
 	heap.Push(&q.heap, timer{dueMS: dueMS, token: token})
 }
 
-// popDue removes the timers that are due and returns them in order.
+// popDue removes the timers that are due and returns them in order. The slice is valid until the next call.
 func (q *timerQueue) popDue(nowMS float64) []timer {
-	var due []timer
+	q.due = q.due[:0]
 	for len(q.heap) > 0 && q.heap[0].dueMS <= nowMS {
-		due = append(due, heap.Pop(&q.heap).(timer))
+		q.due = append(q.due, heap.Pop(&q.heap).(timer))
 	}
-	return due
+	return q.due
 }
 
 // nextWakeupMS is when the event loop has to wake up for the first timer: no sooner than an interval after it last did.
