--- a/internal/sidecar/placement_test.go
+++ b/internal/sidecar/placement_test.go
@@ -1,13 +1,9 @@
 package sidecar
 
 import (
-	"bufio"
 	"encoding/json"
 	"maps"
-	"net"
 	"net/http"
-	"reflect"
-	"runtime"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -16,119 +12,6 @@
 	"milldeck/internal/placement"
 )
 
-// fakeAgent serves a placement as the test says and accepts load reports.
-type fakeAgent struct {
-	*fakeRegistry
-	reports chan placement.LoadReport
-}
-
-func newFakeAgent(t *testing.T) *fakeAgent {
-	agent := &fakeAgent{newFakeRegistry(t), make(chan placement.LoadReport, 1000)}
-	watch := agent.Config.Handler
-	agent.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		if req.URL.Path != "/registry/report" {
-			watch.ServeHTTP(w, req)
-			return
-		}
-		var report placement.LoadReport
-		if err := json.NewDecoder(req.Body).Decode(&report); err != nil || report.Validate() != nil || req.Method != http.MethodPost {
-			t.Errorf("%s: %v, %v of %+v", req.Method, err, report.Validate(), report)
-		}
-		agent.reports <- report
-		w.WriteHeader(http.StatusNoContent)
-	})
-	return agent
-}
-
-// nextReport is a report that began after this call. The reports until then, and this one, are appended to reports.
-func (agent *fakeAgent) nextReport(t *testing.T, reports *[]placement.LoadReport) placement.LoadReport {
-	t.Helper()
-	for len(agent.reports) > 0 {
-		*reports = append(*reports, <-agent.reports)
-	}
-	*reports = append(*reports, receiveWithin(t, "a report", agent.reports)) // may have begun before the call
-	last := receiveWithin(t, "another report", agent.reports)
-	*reports = append(*reports, last)
-	return last
-}
-
-func (call registryCall) sendPlacement(t *testing.T, revision uint64, entries ...placement.Directive) {
-	t.Helper()
-	for i := range entries {
-		entries[i].Revision = revision
-	}
-	data, err := json.Marshal(placement.Update{Revision: revision, Complete: true, Epoch: 5, Directives: append([]placement.Directive{}, entries...)})
-	if err != nil {
-		t.Fatal(err)
-	}
-	call.sendLine(t, string(data))
-}
-
-// excludeDirective excludes servers from requests of the tenant kita for some time by both clocks.
-func excludeDirective(remaining time.Duration, uids ...string) placement.Directive {
-	return placement.Directive{
-		ID: "window/w/kita", Kind: placement.KindExclude, Tenant: "kita", Servers: uids,
-		ExpiresAtMS: time.Now().Add(remaining).UnixMilli(), RemainingMS: remaining.Milliseconds(),
-	}
-}
-
-type placementRig struct {
-	*testSidecar
-	agent            *fakeAgent
-	serverA, serverB *backend
-	holding          chan bool // server A got a request with the query hold, which server B fails
-	release          chan bool // ... and responds to it then
-}
-
-// startPlacementRig runs a sidecar with two servers that follows an agent's placement.
-func startPlacementRig(t *testing.T, change func(configDocument), tweaks ...func(*Sidecar)) *placementRig {
-	t.Helper()
-	rig := &placementRig{agent: newFakeAgent(t), holding: make(chan bool, 1), release: make(chan bool)}
-	serveHeld := func(c net.Conn, req *http.Request, body string) bool {
-		if req.URL.RawQuery == "hold" {
-			rig.holding <- true
-			<-rig.release
-		}
-		return serveOK(c, req, body)
-	}
-	rig.serverA = newBackend(t, "a", serveHeld)
-	rig.serverB = newBackend(t, "b", func(c net.Conn, req *http.Request, body string) bool {
-		if req.URL.RawQuery == "hold" {
-			return respondWith("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true)(c, req, body)
-		}
-		return serveOK(c, req, body)
-	})
-	c := newConfigDocument("127.0.0.1:1", rig.serverA.endpoint, rig.serverB.endpoint)
-	c["placement"], c["version"] = rig.agent.address(), "v7"
-	if change != nil {
-		change(c)
-	}
-	rig.testSidecar = startSidecar(t, c, append(tweaks, func(instance *Sidecar) { instance.loop.placement.timing.reportInterval = 10 * time.Millisecond })...)
-	return rig
-}
-
-// countLookups sends requests and returns how many of them reached server A.
-func (rig *placementRig) countLookups(count int) int {
-	rig.t.Helper()
-	before := rig.serverA.requests.Load()
-	for range count {
-		if response := rig.do(rig.newRequest("lookup", time.Second)); response.status != 200 {
-			rig.t.Fatalf("answered %d", response.status)
-		}
-	}
-	return int(rig.serverA.requests.Load() - before)
-}
-
-// awaitRevision waits for a report with a revision in force.
-func (rig *placementRig) awaitRevision(revision uint64) placement.LoadReport {
-	rig.t.Helper()
-	for {
-		if report := receiveWithin(rig.t, "a report", rig.agent.reports); report.PlacementRevision == revision {
-			return report
-		}
-	}
-}
-
 func TestExclusionIsObeyedAndExpiresWithoutAgent(t *testing.T) {
 	rig := startPlacementRig(t, nil)
 	call := receiveWithin(t, "the watch", rig.agent.calls)
@@ -197,15 +80,18 @@
 	call.sendLine(t, "\n"+string(indented))
 	rig.awaitRevision(1)
 	endless := strings.Repeat(`"window/w/kita",`, maxPlacementBytes/16)
-	for name, bad := range map[string]func(c registryCall){
-		"torn":         func(c registryCall) { c.sendLine(t, `{"rev":2,"all":true,`); close(c.lines) },
-		"endless":      func(c registryCall) { c.sendLine(t, `{"rev":2,"gone":[`+endless); <-c.disconnected },
-		"no placement": func(c registryCall) { c.sendLine(t, `["rev"]`); <-c.disconnected },
-		"no entries":   func(c registryCall) { c.sendLine(t, `{"rev":2,"all":true,"epoch":5}`); <-c.disconnected },
-		"silent":       func(c registryCall) { c.sendLine(t, ""); <-c.disconnected },
-		"trickling":    func(c registryCall) { c.sendLine(t, `{"rev":`); <-c.disconnected },
-		"refused":      func(c registryCall) { c.failWith <- http.StatusServiceUnavailable },
-		"too large":    func(c registryCall) { c.sendLine(t, `{"rev":2,"epoch":5,"entries":[{"id":""}]}`); <-c.disconnected },
+	for name, bad := range map[string]func(call registryCall){
+		"torn":         func(call registryCall) { call.sendLine(t, `{"rev":2,"all":true,`); close(call.lines) },
+		"endless":      func(call registryCall) { call.sendLine(t, `{"rev":2,"gone":[`+endless); <-call.disconnected },
+		"no placement": func(call registryCall) { call.sendLine(t, `["rev"]`); <-call.disconnected },
+		"no entries":   func(call registryCall) { call.sendLine(t, `{"rev":2,"all":true,"epoch":5}`); <-call.disconnected },
+		"silent":       func(call registryCall) { call.sendLine(t, ""); <-call.disconnected },
+		"trickling":    func(call registryCall) { call.sendLine(t, `{"rev":`); <-call.disconnected },
+		"refused":      func(call registryCall) { call.failWith <- http.StatusServiceUnavailable },
+		"too large": func(call registryCall) {
+			call.sendLine(t, `{"rev":2,"epoch":5,"entries":[{"id":""}]}`)
+			<-call.disconnected
+		},
 	} {
 		bad(call)
 		call = receiveWithin(t, name+": the next watch", rig.agent.calls)
@@ -241,34 +127,8 @@
 	}
 }
 
-func TestReadObject(t *testing.T) {
-	for text, want := range map[string]string{
-		`{"a":"}\"{"}{"b":[{}]}` + "\n":          `{"a":"}\"{"} {"b":[{}]} EOF`,
-		"\n \t\r\n{\n \"a\": 1\n}\n\n":           "{\n \"a\": 1\n} EOF",
-		`{"a":"`:                                 "unexpected EOF",
-		`{"a":"\`:                                "unexpected EOF",
-		`null`:                                   `'n' begins no placement`,
-		"":                                       "EOF",
-		strings.Repeat("{", maxPlacementBytes+1): errPlacementTooLarge.Error(),
-	} {
-		reader := bufio.NewReader(strings.NewReader(text))
-		var got []string
-		for {
-			value, err := readObject(reader, func() {})
-			if err != nil {
-				got = append(got, err.Error())
-				break
-			}
-			got = append(got, string(value))
-		}
-		if strings.Join(got, " ") != want {
-			t.Errorf("%.20q: %q, want %q", text, got, want)
-		}
-	}
-}
-
 func TestReportCountsRequestOutcomes(t *testing.T) {
-	rig := startPlacementRig(t, func(c configDocument) { c["application"] = "other" }) // no tenant, as the settings name tenants
+	rig := startPlacementRig(t, func(document configDocument) { document["application"] = "other" }) // no tenant, as the settings name tenants
 	receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, reportDirectives()...)
 	rig.awaitRevision(1)
 	lookupAsync := func(query, key string) <-chan clientResult {
@@ -306,15 +166,15 @@
 		for _, id := range report.SuspendedDirectives {
 			suspended[id] = true
 		}
-		for _, c := range report.ClassCounts {
-			name, sum := c.Class+" "+c.Zone+" "+c.Cohort, 0
-			for _, latencyCount := range c.LatencyHistogram {
+		for _, count := range report.ClassCounts {
+			name, sum := count.Class+" "+count.Zone+" "+count.Cohort, 0
+			for _, latencyCount := range count.LatencyHistogram {
 				sum += int(latencyCount)
 			}
-			if sum != c.Succeeded {
-				t.Errorf("%d latencies of %d served", sum, c.Succeeded)
+			if sum != count.Succeeded {
+				t.Errorf("%d latencies of %d served", sum, count.Succeeded)
 			}
-			got[name] = [3]int{got[name][0] + c.Succeeded, got[name][1] + c.Late, got[name][2] + c.Failed}
+			got[name] = [3]int{got[name][0] + count.Succeeded, got[name][1] + count.Late, got[name][2] + count.Failed}
 		}
 	}
 	if want := map[string][3]int{"lookup z new": {20, 0, 1}, "lookup z ": {1, 0, 0}}; !maps.Equal(got, want) {
@@ -338,9 +198,9 @@
 // Where the settings name no tenants, all requests belong to the calling application.
 func TestApplicationIsDefaultTenant(t *testing.T) {
 	for application, want := range map[string]bool{"kita": true, "portal": false, "": false} {
-		rig := startPlacementRig(t, func(c configDocument) {
-			c.replaceSetting(`"tenants": [{"name": "kita", "share": 1, "allowance_per_s": 100}],`, "")
-			c["application"] = application
+		rig := startPlacementRig(t, func(document configDocument) {
+			document.replaceSetting(`"tenants": [{"name": "kita", "share": 1, "allowance_per_s": 100}],`, "")
+			document["application"] = application
 		})
 		receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, excludeDirective(time.Hour, "a"))
 		report := rig.awaitRevision(1)
@@ -355,8 +215,8 @@
 
 // Requests for a hot key go to its replica.
 func TestSpreadReachesBalancer(t *testing.T) {
-	rig := startPlacementRig(t, func(c configDocument) {
-		c.replaceSetting(`"quantum_ms": 2,`, `"quantum_ms": 2, "family_info": {"warm_keys": true},`)
+	rig := startPlacementRig(t, func(document configDocument) {
+		document.replaceSetting(`"quantum_ms": 2,`, `"quantum_ms": 2, "family_info": {"warm_keys": true},`)
 	})
 	spread := excludeDirective(time.Hour)
 	spread.ID, spread.Kind, spread.KeyHash, spread.Copies = "spread/335f24192ff5d0d4", placement.KindSpreadKey, "335f24192ff5d0d4", []placement.KeyCopy{{ServerUID: "a", LoadFraction: 1}}
@@ -410,14 +270,8 @@
 	waitUntil(t, "nothing left running", func() bool { return countPlacementGoroutines() == 0 })
 }
 
-// countPlacementGoroutines counts the goroutines of placement clients.
-func countPlacementGoroutines() int {
-	buffer := make([]byte, 1<<20)
-	return strings.Count(string(buffer[:runtime.Stack(buffer, true)]), "sidecar.(*"+reflect.TypeFor[placementClient]().Name()+")")
-}
-
 func TestNoPlacementGoroutinesWhenDisabled(t *testing.T) {
-	rig := startPlacementRig(t, func(c configDocument) { delete(c, "placement") })
+	rig := startPlacementRig(t, func(document configDocument) { delete(document, "placement") })
 	if reached := rig.countLookups(10); reached == 0 || countPlacementGoroutines() > 0 || len(rig.agent.calls)+len(rig.agent.reports) > 0 {
 		t.Errorf("%d requests on a, %d goroutines, %d calls", reached, countPlacementGoroutines(), len(rig.agent.calls))
 	}
