--- a/cmd/milldeck/lab.go
+++ b/cmd/milldeck/lab.go
@@ -43,7 +43,7 @@
 // write puts a result where the flags say, and its table on standard output unless the JSON goes there.
 func (o *outputFlags) write(command *cobra.Command, result *lab.Result) error {
 	if o.jsonPath != "-" {
-		if err := report.Table(command.OutOrStdout(), result); err != nil {
+		if err := report.WriteTable(command.OutOrStdout(), result); err != nil {
 			return err
 		}
 	}
@@ -53,7 +53,7 @@
 		}
 	}
 	if o.reportDir != "" {
-		return report.Write(o.reportDir, result)
+		return report.WriteReport(o.reportDir, result)
 	}
 	return nil
 }
@@ -73,14 +73,14 @@
 
 // verdict is the error of a run whose sidecars broke rules.
 func verdict(result *lab.Result) error {
-	if result.BrokenRules > 0 {
-		return fmt.Errorf("%s, seed %d: %d rule(s) broken (%s)", result.Name, result.Seed, result.BrokenRules, strings.Join(ruleNames(result), ", "))
+	if result.ViolationCount > 0 {
+		return fmt.Errorf("%s, seed %d: %d rule(s) broken (%s)", result.Name, result.Seed, result.ViolationCount, strings.Join(ruleNames(result), ", "))
 	}
 	if result.Overloaded {
 		return fmt.Errorf("%s: this machine cannot play the load: it was %.0f ms late (99th percentile) and sent %d requests too late; the sidecars are not judged",
-			result.Name, result.Lateness, result.LabLate)
+			result.Name, result.Lateness, result.SentTooLate)
 	}
-	if result.Cut {
+	if result.CutShort {
 		return errors.New("cut short")
 	}
 	return nil
@@ -90,11 +90,11 @@
 func ruleNames(result *lab.Result) []string {
 	rules := lab.Rules
 	if result.Overloaded {
-		rules = lab.ControlRules
+		rules = lab.ControlPlaneRules
 	}
 	var names []string
 	for _, rule := range rules {
-		if result.RuleCounts[rule] > 0 {
+		if result.ViolationsByRule[rule] > 0 {
 			names = append(names, string(rule))
 		}
 	}
@@ -124,12 +124,12 @@
 		if !slices.Contains(lab.FaultKinds(), kind) {
 			return nil, usageError{fmt.Errorf("--without %s: there are %s", kind, strings.Join(lab.FaultKinds(), ", "))}
 		}
-		experiment.Faults = slices.DeleteFunc(experiment.Faults, func(fault lab.FaultFile) bool { return fault.Kind == kind })
+		experiment.Faults = slices.DeleteFunc(experiment.Faults, func(fault lab.FaultSpec) bool { return fault.Kind == kind })
 	}
 	if experiment, err = f.apply(experiment); err != nil {
 		return nil, err
 	}
-	return experiment.Draw(f.seed), nil
+	return experiment.NewPlan(f.seed), nil
 }
 
 // simCommand is `milldeck lab sim`.
@@ -172,7 +172,7 @@
 	if err != nil {
 		return err
 	}
-	if plan.File.Controlled() && !command.Flags().Changed("policy") {
+	if plan.Experiment.HasControlPlane() && !command.Flags().Changed("policy") {
 		return s.controlPlane.play(command, plan, &s.output, s.workers)
 	}
 	policies := []string{s.policy}
@@ -226,14 +226,14 @@
 		}
 	}
 	if s.output.reportDir != "" {
-		if err := report.Write(s.output.reportDir, results[0]); err != nil {
+		if err := report.WriteReport(s.output.reportDir, results[0]); err != nil {
 			return err
 		}
 	}
 	if s.output.jsonPath == "-" {
 		return nil
 	}
-	return report.Compare(command.OutOrStdout(), results)
+	return report.WriteComparison(command.OutOrStdout(), results)
 }
 
 func simProgress(command *cobra.Command, name string) func(float64) {
--- a/cmd/milldeck/lab_controlplane.go
+++ b/cmd/milldeck/lab_controlplane.go
@@ -41,7 +41,7 @@
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
-	result, err := batch.Run(command.Context(), plan.File.Name, firstSeed, lastSeed, f.releases, controlplane.Options{Sidecars: f.sidecars, Servers: f.servers}, workers)
+	result, err := batch.Run(command.Context(), plan.Experiment.Name, firstSeed, lastSeed, f.releases, controlplane.Options{Sidecars: f.sidecars, Servers: f.servers}, workers)
 	if err != nil {
 		return err
 	}
--- a/cmd/milldeck/lab_hotkey.go
+++ b/cmd/milldeck/lab_hotkey.go
@@ -20,26 +20,26 @@
 }
 
 // apply gives the experiment as the flags change it.
-func (f *hotKeyFlags) apply(experiment *lab.File) (*lab.File, error) {
+func (f *hotKeyFlags) apply(experiment *lab.Experiment) (*lab.Experiment, error) {
 	if f.withoutHotKeys {
-		experiment = experiment.Calm()
+		experiment = experiment.WithoutHotKeys()
 	}
 	if f.controller == "" {
 		return experiment, nil
 	}
-	if experiment.Spread == nil {
+	if experiment.HotKeys == nil {
 		return nil, usageError{fmt.Errorf("--spread: %s has no [spread]", experiment.Name)}
 	}
-	changed, hotKeys := *experiment, *experiment.Spread
-	changed.Spread = &hotKeys
+	changed, hotKeys := *experiment, *experiment.HotKeys
+	changed.HotKeys = &hotKeys
 	switch f.controller {
 	case "on", "off", "oracle":
-		hotKeys.On, hotKeys.Oracle = f.controller == "on", f.controller == "oracle"
+		hotKeys.Enabled, hotKeys.Oracle = f.controller == "on", f.controller == "oracle"
 	default:
 		return nil, usageError{fmt.Errorf("--spread %s: not on, off or oracle", f.controller)}
 	}
 	for i := range changed.Faults {
-		if !hotKeys.On && lab.OfSpreader(lab.FaultKind(changed.Faults[i].Kind)) {
+		if !hotKeys.Enabled && lab.IsHotKeyFault(lab.FaultKind(changed.Faults[i].Kind)) {
 			return nil, usageError{fmt.Errorf("--spread %s: %s needs the spreader", f.controller, changed.Faults[i].Kind)}
 		}
 	}
--- a/cmd/milldeck/lab_run.go
+++ b/cmd/milldeck/lab_run.go
@@ -30,7 +30,7 @@
 
 // play plays a plan with real processes.
 func (f *liveFlags) play(ctx context.Context, plan *lab.Plan, progress func(live.Progress)) (*lab.Result, error) {
-	if plan.File.Spread != nil {
+	if plan.Experiment.HotKeys != nil {
 		return nil, usageError{errors.New("[spread] is played by lab sim alone")}
 	}
 	self, err := os.Executable()
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w (logs in %s)", err, dir)
 	}
-	if f.logDir == "" && result.BrokenRules == 0 {
+	if f.logDir == "" && result.ViolationCount == 0 {
 		return result, os.RemoveAll(dir)
 	}
 	slog.Info("logs kept", "folder", dir)
@@ -142,10 +142,10 @@
 					return err
 				}
 			}
-			if err := report.Compare(command.OutOrStdout(), []*lab.Result{simulated, measured}); err != nil {
+			if err := report.WriteComparison(command.OutOrStdout(), []*lab.Result{simulated, measured}); err != nil {
 				return err
 			}
-			differences, pairs, err := report.Diff([]*lab.Result{simulated}, []*lab.Result{measured})
+			differences, pairs, err := report.Compare([]*lab.Result{simulated}, []*lab.Result{measured})
 			if err != nil {
 				return err
 			}
--- a/cmd/milldeck/lab_sweep.go
+++ b/cmd/milldeck/lab_sweep.go
@@ -38,7 +38,7 @@
 type player func(context.Context, *lab.Plan) (*lab.Result, error)
 
 // parse gives the experiment, the seeds and what plays them.
-func (f *seedFlags) parse(path string) (*lab.File, []uint64, player, error) {
+func (f *seedFlags) parse(path string) (*lab.Experiment, []uint64, player, error) {
 	seeds, err := parseSeeds(f.seeds)
 	if err != nil {
 		return nil, nil, nil, usageError{err}
@@ -112,7 +112,7 @@
 
 // seedSweep plays one experiment on many seeds.
 type seedSweep struct {
-	experiment *lab.File
+	experiment *lab.Experiment
 	path       string
 	output     io.Writer
 	play       player
@@ -135,7 +135,7 @@
 		started := time.Now()
 		if !reused {
 			var err error
-			if result, err = s.play(ctx, s.experiment.Draw(seed)); err != nil {
+			if result, err = s.play(ctx, s.experiment.NewPlan(seed)); err != nil {
 				return fmt.Errorf("seed %d: %w", seed, err)
 			}
 			if ctx.Err() != nil {
@@ -152,15 +152,15 @@
 			note = "from the file"
 		}
 		fmt.Fprintf(s.output, "%4d/%d  seed %-6d  worth %.4f  p99 %8.1f ms  lost %4d  rules broken %d  (%s)\n",
-			i+1, len(seeds), seed, result.WorthShare, result.P99, result.Lost, result.BrokenRules, note)
-		if worst == nil || result.BrokenRules > worst.BrokenRules || result.BrokenRules == worst.BrokenRules && result.WorthShare < worst.WorthShare {
+			i+1, len(seeds), seed, result.WeightedServedShare, result.P99, result.Unanswered, result.ViolationCount, note)
+		if worst == nil || result.ViolationCount > worst.ViolationCount || result.ViolationCount == worst.ViolationCount && result.WeightedServedShare < worst.WeightedServedShare {
 			worst = result
 		}
-		broken += result.BrokenRules
-		sum += result.WorthShare
+		broken += result.ViolationCount
+		sum += result.WeightedServedShare
 	}
 	fmt.Fprintf(s.output, "worth served %.4f in the mean; worst seed %d: worth %.4f, %d rule(s) broken\n",
-		sum/float64(len(seeds)), worst.Seed, worst.WorthShare, worst.BrokenRules)
+		sum/float64(len(seeds)), worst.Seed, worst.WeightedServedShare, worst.ViolationCount)
 	if broken > 0 {
 		return fmt.Errorf("%s: %d rule(s) broken", s.experiment.Name, broken)
 	}
@@ -183,7 +183,7 @@
 	}
 	if err == nil && complete > 0 {
 		var earlier []*lab.Result
-		if earlier, err = report.Read(s.path); err == nil {
+		if earlier, err = report.ReadResults(s.path); err == nil {
 			for _, result := range earlier {
 				if result.Name != s.experiment.Name {
 					err = usageError{fmt.Errorf("%s holds results of %s, not of %s", s.path, result.Name, s.experiment.Name)}
@@ -208,15 +208,15 @@
 			"95% interval of the mean difference.\n\n" + exitHelp,
 		Args: exactly(2),
 		RunE: func(command *cobra.Command, args []string) error {
-			before, err := report.Read(args[0])
+			before, err := report.ReadResults(args[0])
 			if err != nil {
 				return usageError{err}
 			}
-			after, err := report.Read(args[1])
+			after, err := report.ReadResults(args[1])
 			if err != nil {
 				return usageError{err}
 			}
-			differences, pairs, err := report.Diff(before, after)
+			differences, pairs, err := report.Compare(before, after)
 			if err != nil {
 				return err
 			}
@@ -252,16 +252,16 @@
 }
 
 // writeFaultTable plays each kind of fault alone and writes one row of Markdown for each.
-func writeFaultTable(ctx context.Context, w io.Writer, experiment *lab.File, seeds []uint64, play player) error {
-	byKind := map[string][]lab.FaultFile{}
+func writeFaultTable(ctx context.Context, w io.Writer, experiment *lab.Experiment, seeds []uint64, play player) error {
+	byKind := map[string][]lab.FaultSpec{}
 	for _, fault := range experiment.Faults {
 		byKind[fault.Kind] = append(byKind[fault.Kind], fault)
 	}
 	fmt.Fprint(w, "| fault | worth served | worst seed |")
-	for _, rule := range experiment.Judged() {
+	for _, rule := range experiment.ApplicableRules() {
 		fmt.Fprintf(w, " %s |", rule)
 	}
-	fmt.Fprintf(w, "\n| --- | --- | --- |%s\n", strings.Repeat(" --- |", len(experiment.Judged())))
+	fmt.Fprintf(w, "\n| --- | --- | --- |%s\n", strings.Repeat(" --- |", len(experiment.ApplicableRules())))
 	broken := 0
 	for _, kind := range lab.FaultKinds() {
 		if len(byKind[kind]) == 0 {
@@ -271,22 +271,22 @@
 		alone.Faults = byKind[kind]
 		counts, sum, worst := map[lab.Rule]int{}, 0.0, 1.0
 		for _, seed := range seeds {
-			result, err := play(ctx, alone.Draw(seed))
+			result, err := play(ctx, alone.NewPlan(seed))
 			if err != nil {
 				return fmt.Errorf("%s, seed %d: %w", kind, seed, err)
 			}
 			if ctx.Err() != nil {
 				return errors.New("cut short")
 			}
-			sum += result.WorthShare
-			worst = min(worst, result.WorthShare)
-			for rule, n := range result.RuleCounts {
+			sum += result.WeightedServedShare
+			worst = min(worst, result.WeightedServedShare)
+			for rule, n := range result.ViolationsByRule {
 				counts[rule] += n
 				broken += n
 			}
 		}
 		fmt.Fprintf(w, "| `%s` | %.4f | %.4f |", kind, sum/float64(len(seeds)), worst)
-		for _, rule := range experiment.Judged() {
+		for _, rule := range experiment.ApplicableRules() {
 			fmt.Fprintf(w, " %d |", counts[rule])
 		}
 		fmt.Fprintln(w)
--- a/internal/hotkey/simulated_fleet_test.go
+++ b/internal/hotkey/simulated_fleet_test.go
@@ -116,7 +116,7 @@
 
 // fleetExperiment is experiments/fleet.toml without its faults, for 12 s from a start with empty caches, with other
 // sidecars, rate and skew.
-func fleetExperiment(b *testing.B, sidecars, rate int, skew float64) *lab.File {
+func fleetExperiment(b *testing.B, sidecars, rate int, skew float64) *lab.Experiment {
 	data, err := os.ReadFile("../../experiments/fleet.toml")
 	if err != nil {
 		b.Fatal(err)
@@ -147,9 +147,9 @@
 			var without, with float64
 			for range b.N {
 				for seed := range uint64(seeds) {
-					p := fleetExperiment(b, day.sidecars, day.rate, day.skew).Draw(seed + 1)
+					p := fleetExperiment(b, day.sidecars, day.rate, day.skew).NewPlan(seed + 1)
 					without += playFleet(b, p, sim.Options{Workers: 2}) / seeds
-					with += playFleet(b, p, sim.Options{Workers: 1, New: newSimulatedController(b, p).newSidecar}) / seeds
+					with += playFleet(b, p, sim.Options{Workers: 1, NewInstance: newSimulatedController(b, p).newSidecar}) / seeds
 				}
 			}
 			b.ReportMetric(without/float64(b.N), "worth-without")
@@ -163,10 +163,10 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	if r.BrokenRules > 0 {
-		b.Errorf("%v", r.Broken)
+	if r.ViolationCount > 0 {
+		b.Errorf("%v", r.Violations)
 	}
-	return r.WorthShare
+	return r.WeightedServedShare
 }
 
 func newSimulatedController(b *testing.B, p *lab.Plan) *simulatedController {
@@ -177,7 +177,7 @@
 	var servers []hotkey.Server
 	for i := range p.Servers {
 		s := &p.Servers[i]
-		servers = append(servers, hotkey.Server{UID: s.UID, Zone: fmt.Sprint(s.Zone), Pod: s.Pod, Capacity: 1, Ready: true})
+		servers = append(servers, hotkey.Server{UID: s.UID, Zone: fmt.Sprint(s.Zone), Pod: s.Cell, Capacity: 1, Ready: true})
 	}
 	planner.SetServers(servers)
 	planner.SetExpectedSidecars(len(p.Sidecars))
--- a/internal/lab/faults_control.go
+++ b/internal/lab/faults_control.go
@@ -7,47 +7,47 @@
 	"strings"
 )
 
-// Replicas is how many replicas the list service of a run has.
-const Replicas = 3
+// RegistryReplicas is how many replicas the list service of a run has.
+const RegistryReplicas = 3
 
-// PlatformFaults are what the platform that starts and stops processes can do wrong; see docs/supervisor.md.
-var PlatformFaults = []string{"fail", "hang", "late", "half", "lose", "twice", "wrong", "forget"}
+// SupervisorMisbehaviours are what the platform that starts and stops processes can do wrong; see docs/supervisor.md.
+var SupervisorMisbehaviours = []string{"fail", "hang", "late", "half", "lose", "twice", "wrong", "forget"}
 
-// maxCalls bounds how many calls a fault of the platform can be about.
-const maxCalls = 1000
+// maxCallCount bounds how many calls a fault of the platform can be about.
+const maxCallCount = 1000
 
-// checkPlane checks a fault of the platform's doing, or a replica that is cut off.
-func (f *FaultFile) checkPlane(file *File, at string, bad badFunc) {
-	if FaultKind(f.Kind) == Cut {
-		t, err := parsePlane(f.Target, file)
+// validateControlPlaneFault checks a fault of the platform's doing, or a replica that is cut off.
+func (f *FaultSpec) validateControlPlaneFault(file *Experiment, key string, bad reportFunc) {
+	if FaultKind(f.Kind) == FaultPartition {
+		target, err := parseControlPlaneTarget(f.Target, file)
 		switch {
 		case err != nil:
-			bad(at+".target", "%v", err)
-		case t.who != replicas:
-			bad(at+".target", "of targets only replicas can be cut off, not %q", f.Target)
+			bad(key+".target", "%v", err)
+		case target.parties != partyReplicas:
+			bad(key+".target", "of targets only replicas can be cut off, not %q", f.Target)
 		}
 		return
 	}
-	if !slices.Contains(PlatformFaults, f.What) {
-		bad(at+".what", "%q is none of %s", f.What, strings.Join(PlatformFaults, ", "))
+	if !slices.Contains(SupervisorMisbehaviours, f.Misbehaviour) {
+		bad(key+".what", "%q is none of %s", f.Misbehaviour, strings.Join(SupervisorMisbehaviours, ", "))
 	}
-	if f.On != "" && f.On != "do" && f.On != "list" {
-		bad(at+".on", "%q is not do or list", f.On)
+	if f.Operation != "" && f.Operation != "do" && f.Operation != "list" {
+		bad(key+".on", "%q is not do or list", f.Operation)
 	}
-	if f.Count < 0 || f.Count > maxCalls {
-		bad(at+".count", "%d is not within 0 to %d", f.Count, maxCalls)
+	if f.CallCount < 0 || f.CallCount > maxCallCount {
+		bad(key+".count", "%d is not within 0 to %d", f.CallCount, maxCallCount)
 	}
 	if f.Target != "" && f.Target != "supervisor" {
-		bad(at+".target", "%s befalls the supervisor, not %q", f.Kind, f.Target)
+		bad(key+".target", "%s befalls the supervisor, not %q", f.Kind, f.Target)
 	}
 }
 
-// parsePlane reads "replica:N", "replicas", "leader", "agent:N", "agents", "controller:NAME", "controllers" and
+// parseControlPlaneTarget reads "replica:N", "replicas", "leader", "agent:N", "agents", "controller:NAME", "controllers" and
 // "supervisor". They are there with the control plane alone.
-func parsePlane(text string, file *File) (target, error) {
+func parseControlPlaneTarget(text string, file *Experiment) (target, error) {
 	t := target{zone: -1, first: -1, last: -1}
 	unknown := fmt.Errorf("unknown target %q", text)
-	if !file.Controlled() {
+	if !file.HasControlPlane() {
 		return t, unknown
 	}
 	name, arg, named := strings.Cut(text, ":")
@@ -64,32 +64,32 @@
 	}
 	switch {
 	case name == "replica" && named, text == "replicas":
-		t.who = replicas
-		return t, number(Replicas)
+		t.parties = partyReplicas
+		return t, number(RegistryReplicas)
 	case text == "leader":
-		t.who, t.leader = replicas, true
+		t.parties, t.leader = partyReplicas, true
 	case name == "agent" && named, text == "agents":
-		t.who = agents
-		return t, number(int(file.Sidecars.Count.Least))
+		t.parties = partyAgents
+		return t, number(int(file.Sidecars.Count.Min))
 	case text == "controllers":
-		t.who = controllers
-	case name == "controller" && slices.ContainsFunc(file.Control.Controllers, func(c ControllerFile) bool { return c.Name == arg }):
-		t.who, t.controller = controllers, arg
+		t.parties = partyControllers
+	case name == "controller" && slices.ContainsFunc(file.ControlPlane.Controllers, func(c ControllerSpec) bool { return c.Name == arg }):
+		t.parties, t.controller = partyControllers, arg
 	case text == "supervisor":
-		t.who = platform
+		t.parties = partySupervisor
 	default:
 		return t, unknown
 	}
 	return t, nil
 }
 
-// plane gives a fault its targets in the control plane.
-func (p *Plan) plane(f *FaultFile, out *Fault) {
-	t, err := parsePlane(f.Target, p.File)
+// resolveControlPlaneTarget gives a fault its targets in the control plane.
+func (p *Plan) resolveControlPlaneTarget(spec *FaultSpec, fault *Fault) {
+	t, err := parseControlPlaneTarget(spec.Target, p.Experiment)
 	if err != nil {
 		return // it befalls servers or sidecars
 	}
-	numbers := func(n int) []int {
+	matchingNumbers := func(n int) []int {
 		var all []int
 		for i := range n {
 			if t.first < 0 || i == t.first {
@@ -98,25 +98,25 @@
 		}
 		return all
 	}
-	switch t.who {
-	case replicas:
-		if out.Leader = t.leader; !t.leader {
-			out.Replicas = numbers(Replicas)
+	switch t.parties {
+	case partyReplicas:
+		if fault.Leader = t.leader; !t.leader {
+			fault.Replicas = matchingNumbers(RegistryReplicas)
 		}
-	case agents:
-		out.Agents = numbers(len(p.Sidecars))
-	case controllers:
-		for _, c := range p.File.Control.Controllers {
+	case partyAgents:
+		fault.Agents = matchingNumbers(len(p.Sidecars))
+	case partyControllers:
+		for _, c := range p.Experiment.ControlPlane.Controllers {
 			if t.controller == "" || c.Name == t.controller {
-				out.Controllers = append(out.Controllers, c.Name)
+				fault.Controllers = append(fault.Controllers, c.Name)
 			}
 		}
-	case platform:
-		out.Supervisor = true
+	case partySupervisor:
+		fault.Supervisor = true
 	}
 }
 
-// CutsReplicas tells whether a fault cuts a replica off.
-func (p *Plan) CutsReplicas() bool {
-	return slices.ContainsFunc(p.Faults, func(f Fault) bool { return f.Kind == Cut && (f.Leader || len(f.Replicas) > 0) })
+// PartitionsReplicas tells whether a fault cuts a replica off.
+func (p *Plan) PartitionsReplicas() bool {
+	return slices.ContainsFunc(p.Faults, func(f Fault) bool { return f.Kind == FaultPartition && (f.Leader || len(f.Replicas) > 0) })
 }
--- a/internal/lab/live/alone.go
+++ b/internal/lab/live/alone.go
@@ -40,15 +40,15 @@
 		return t, false
 	}
 	if us, err := strconv.ParseFloat(h.Get("X-Cost"), 64); err == nil {
-		t.j.Work = us / 1000
+		t.j.WorkMS = us / 1000
 	} else {
-		t.j.Work = a.p.file.Class[t.j.Class].WorkMS.Least
+		t.j.WorkMS = a.p.file.Class[t.j.Class].WorkMS.Min
 	}
 	if c, err := x.req.Cookie("k"); err == nil {
 		t.j.Key, _ = strconv.ParseUint(c.Value, 16, 64) // 0, no key, where it is none
 	}
 	if key := strings.TrimLeft(h.Get("Idempotency-Key"), "0"); key != "" {
-		t.j.Effect, _ = strconv.ParseUint(key[:min(16, len(key))], 16, 64) // as above
+		t.j.EffectID, _ = strconv.ParseUint(key[:min(16, len(key))], 16, 64) // as above
 	}
 	return t, true
 }
@@ -59,8 +59,8 @@
 
 func (*alone) ends() {}
 
-func (*alone) ran(time.Time, lab.Ended) {}
+func (*alone) ran(time.Time, lab.JobCompletion) {}
 
-func (*alone) fell(time.Time, *lab.Fall) {}
+func (*alone) fell(time.Time, *lab.SlowStartOverload) {}
 
 func (*alone) close() {}
--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -91,13 +91,13 @@
 	arrivals := f.plan.Arrivals()
 	for {
 		a, more := arrivals.Next()
-		if !more || !sleep(ctx, millis(a.At-f.now())) {
+		if !more || !sleep(ctx, millis(a.StartMS-f.now())) {
 			return
 		}
-		late := f.now() - a.At
-		f.measure.Lateness(max(late, 0))
+		late := f.now() - a.StartMS
+		f.measure.RecordLateness(max(late, 0))
 		if late > lateLimit.Seconds()*1000 {
-			f.measure.LabLate()
+			f.measure.RequestSentLate()
 			continue
 		}
 		f.open.Add(1)
@@ -111,37 +111,37 @@
 // request makes the tries of one request.
 func (f *fleet) request(a *lab.Arrival) {
 	ctx := f.ctx
-	if a.Leaves > 0 {
+	if a.DisconnectAfterMS > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, f.at(a.At+a.Leaves))
+		ctx, cancel = context.WithDeadline(ctx, f.at(a.StartMS+a.DisconnectAfterMS))
 		defer cancel()
 	}
-	how, tries := lab.NoAnswer, 0
+	how, tries := lab.OutcomeNoResponse, 0
 	for {
 		var retryAfter float64
 		how, retryAfter = f.try(ctx, a, tries)
 		tries++
-		if ctx.Err() != nil && how != lab.Got {
-			f.measure.Done(a, tries, how, f.ctx.Err() == nil, f.now())
+		if ctx.Err() != nil && how != lab.OutcomeServed {
+			f.measure.RequestDone(a, tries, how, f.ctx.Err() == nil, f.now())
 			return
 		}
-		at, again := f.plan.Retry(a, tries-1, how, f.now(), retryAfter)
+		at, again := f.plan.NextRetry(a, tries-1, how, f.now(), retryAfter)
 		if !again || !sleep(ctx, millis(at-f.now())) {
-			f.measure.Done(a, tries, how, again && f.ctx.Err() == nil, f.now())
+			f.measure.RequestDone(a, tries, how, again && f.ctx.Err() == nil, f.now())
 			return
 		}
 	}
 }
 
 // try sends the request once and waits for its answer.
-func (f *fleet) try(ctx context.Context, a *lab.Arrival, number int) (lab.Answer, float64) {
-	client, sidecar := lab.End{Kind: lab.ClientEnd, N: a.Sidecar}, lab.End{Kind: lab.SidecarEnd, N: a.Sidecar}
-	timeout := f.plan.Timeout(a, f.now())
+func (f *fleet) try(ctx context.Context, a *lab.Arrival, number int) (lab.Outcome, float64) {
+	client, sidecar := lab.Endpoint{Kind: lab.ClientEndpoint, Index: a.Sidecar}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: a.Sidecar}
+	timeout := f.plan.AttemptTimeout(a, f.now())
 	ctx, cancel := context.WithTimeout(ctx, millis(timeout)+answerWait)
 	defer cancel()
 	if !f.net.pass(ctx, client, sidecar, 0, rand.Float64()) {
 		sleep(ctx, millis(timeout)) // it never got there
-		return lab.NoAnswer, 0
+		return lab.OutcomeNoResponse, 0
 	}
 	n := f.nodes[a.Sidecar]
 	id := f.nextID()
@@ -151,13 +151,13 @@
 			d := net.Dialer{Timeout: dialWait}
 			c, err := d.DialContext(ctx, "tcp4", n.addr)
 			if err != nil {
-				return lab.Unreachable, 0
+				return lab.OutcomeUnreachable, 0
 			}
 			conn = &appConn{Conn: c, in: bufio.NewReader(c)}
 		}
 		how, retryAfter, silent := f.exchange(ctx, conn, a, id, number, timeout)
 		// PROTOCOL: if the close of a kept connection crosses a request, the client sends it once more.
-		if kept && silent && how == lab.Unreachable {
+		if kept && silent && how == lab.OutcomeUnreachable {
 			conn = nil
 			continue
 		}
@@ -166,7 +166,7 @@
 }
 
 // exchange writes a request and reads its answer. Silent tells that not a byte came before the connection ended.
-func (f *fleet) exchange(ctx context.Context, c *appConn, a *lab.Arrival, id uint64, number int, timeout float64) (how lab.Answer, retryAfter float64, silent bool) {
+func (f *fleet) exchange(ctx context.Context, c *appConn, a *lab.Arrival, id uint64, number int, timeout float64) (how lab.Outcome, retryAfter float64, silent bool) {
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	began := time.Now()
@@ -174,12 +174,12 @@
 	f.asked.Store(id, known)
 	// Servers may meet the request for as long as the judge remembers it.
 	time.AfterFunc(millis(timeout)+rememberAsked, func() { f.asked.Delete(id) })
-	f.judge.Asked(f.now(), id, a.Sidecar, a.Class, timeout) // before the first byte: servers may be quick
+	f.judge.RequestSent(f.now(), id, a.Sidecar, a.Class, timeout) // before the first byte: servers may be quick
 	kept := !c.since.IsZero()
 	if _, err := io.WriteString(c, f.head(a, id, number, timeout)); err != nil {
 		c.Close()
-		f.judge.Left(f.now(), id) // not taken
-		return lab.Unreachable, 0, true
+		f.judge.ClientDisconnected(f.now(), id) // not taken
+		return lab.OutcomeUnreachable, 0, true
 	}
 	resp, err := http.ReadResponse(c.in, nil)
 	var body []byte
@@ -187,7 +187,7 @@
 		body, err = io.ReadAll(resp.Body)
 	}
 	now := f.now()
-	client, sidecar := lab.End{Kind: lab.ClientEnd, N: a.Sidecar}, lab.End{Kind: lab.SidecarEnd, N: a.Sidecar}
+	client, sidecar := lab.Endpoint{Kind: lab.ClientEndpoint, Index: a.Sidecar}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: a.Sidecar}
 	if err == nil && !f.net.pass(ctx, sidecar, client, 0, rand.Float64()) {
 		err = context.DeadlineExceeded
 	}
@@ -205,39 +205,39 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 		owner, server := made(string(body))
-		f.judge.Answered(now, id, lab.Got, owner, server)
-		return lab.Got, 0, false
+		f.judge.ResponseReceived(now, id, lab.OutcomeServed, owner, server)
+		return lab.OutcomeServed, 0, false
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		f.judge.Answered(now, id, lab.Refusal, 0, -1)
+		f.judge.ResponseReceived(now, id, lab.OutcomeRejected, 0, -1)
 		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // none, or not a number: no wait
-		return lab.Refusal, 1000 * s, false
+		return lab.OutcomeRejected, 1000 * s, false
 	default:
-		f.judge.Answered(now, id, lab.Failure, 0, -1)
-		return lab.Failure, 0, false
+		f.judge.ResponseReceived(now, id, lab.OutcomeFailed, 0, -1)
+		return lab.OutcomeFailed, 0, false
 	}
 }
 
 // broken says how a connection without a whole answer counts; until is when the client stops listening.
-func (f *fleet) broken(ctx context.Context, err error, id uint64, kept bool, until float64) (lab.Answer, float64, bool) {
+func (f *fleet) broken(ctx context.Context, err error, id uint64, kept bool, until float64) (lab.Outcome, float64, bool) {
 	now := f.now()
 	switch {
 	case f.ctx.Err() != nil:
-		f.judge.Left(now, id) // the run is over
-		return lab.NoAnswer, 0, false
+		f.judge.ClientDisconnected(now, id) // the run is over
+		return lab.OutcomeNoResponse, 0, false
 	case ctx.Err() != nil && now < until-1:
-		f.judge.Left(now, id)
-		return lab.NoAnswer, 0, false
+		f.judge.ClientDisconnected(now, id)
+		return lab.OutcomeNoResponse, 0, false
 	case ctx.Err() != nil:
-		f.judge.Unanswered(now, id, lab.NoAnswer)
-		return lab.NoAnswer, 0, false
+		f.judge.RequestUnanswered(now, id, lab.OutcomeNoResponse)
+		return lab.OutcomeNoResponse, 0, false
 	case errors.Is(err, io.ErrUnexpectedEOF), strings.Contains(err.Error(), "malformed"):
-		f.judge.Spoilt(now, id)
-		return lab.Failure, 0, false
-	case kept && f.judge.Crossed(now, id):
-		return lab.Unreachable, 0, true
+		f.judge.CorruptResponseReceived(now, id)
+		return lab.OutcomeFailed, 0, false
+	case kept && f.judge.ConnectionClosed(now, id):
+		return lab.OutcomeUnreachable, 0, true
 	default:
-		f.judge.Unanswered(now, id, lab.Unreachable)
-		return lab.Unreachable, 0, false
+		f.judge.RequestUnanswered(now, id, lab.OutcomeUnreachable)
+		return lab.OutcomeUnreachable, 0, false
 	}
 }
 
@@ -259,19 +259,19 @@
 	var b strings.Builder
 	class := &f.plan.Classes[a.Class]
 	method := "POST"
-	if class.Effect == balance.Idempotent {
+	if class.Idempotency == balance.Idempotent {
 		method = "GET"
 	}
 	fmt.Fprintf(&b, "%s /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: %.0f\r\nX-Cost: %.0f\r\n",
-		method, id, class.Name, timeout, 1000*a.Hint)
+		method, id, class.Name, timeout, 1000*a.ExpectedWorkMS)
 	if a.Key != 0 {
 		fmt.Fprintf(&b, "Cookie: k=%016x\r\n", a.Key)
 	}
 	if number > 0 {
 		b.WriteString("X-Retried: 1\r\n")
 	}
-	if class.Effect == balance.IdempotentWithKey {
-		fmt.Fprintf(&b, "Idempotency-Key: %032x\r\n", a.Effect)
+	if class.Idempotency == balance.IdempotentWithKey {
+		fmt.Fprintf(&b, "Idempotency-Key: %032x\r\n", a.EffectID)
 	}
 	if method == "POST" {
 		fmt.Fprintf(&b, "Content-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(postBody), postBody)
--- a/internal/lab/live/control.go
+++ b/internal/lab/live/control.go
@@ -39,8 +39,8 @@
 // watches them for the judge.
 type control struct {
 	f     *fleet
-	file  *lab.ControlFile
-	judge *lab.ControlJudge
+	file  *lab.ControlPlaneSpec
+	judge *lab.ControlPlaneChecker
 	ctx   context.Context
 	quit  context.CancelFunc
 	over  atomic.Bool // the run is judged; what ends now does so because it is over
@@ -63,9 +63,9 @@
 
 func newControl(f *fleet) *control {
 	c := &control{
-		f: f, file: f.plan.File.Control, numbers: map[string]int{}, beside: map[string]int{}, lives: map[int]*seen{},
+		f: f, file: f.plan.Experiment.ControlPlane, numbers: map[string]int{}, beside: map[string]int{}, lives: map[int]*seen{},
 	}
-	c.judge = lab.NewControlJudge(f.plan, f.judge)
+	c.judge = lab.NewControlPlaneChecker(f.plan, f.judge)
 	c.ctx, c.quit = context.WithCancel(f.ctx)
 	for i := range f.plan.Servers {
 		c.numbers[f.plan.Servers[i].UID] = i
@@ -150,8 +150,8 @@
 		_, err := c.f.registry.client.ApplyLedgerOp(ctx, registry.WriteOptions{}, disruption.Op{
 			Kind: disruption.OpSetBudget, Owner: "operator/lab", Budget: &disruption.Budget{
 				Name:           b.Name,
-				Selector:       disruption.Selector{Kind: disruption.Kind(b.Kind), Zone: b.Zone, Model: b.Of},
-				MaxUnavailable: disruption.Limit{Count: b.Told},
+				Selector:       disruption.Selector{Kind: disruption.Kind(b.Kind), Zone: b.Zone, Model: b.ServerKind},
+				MaxUnavailable: disruption.Limit{Count: b.LedgerMaxOut},
 			},
 		})
 		if err != nil {
@@ -166,14 +166,14 @@
 func (c *control) agentMore(n int, name string) string {
 	var reports []string
 	for _, k := range c.controllers {
-		if k.file.Reports {
+		if k.file.ReceivesReports {
 			reports = append(reports, fmt.Sprintf("%q", k.addr))
 		}
 	}
 	p := &c.f.plan.Sidecars[n]
 	return fmt.Sprintf("saved_placement = %q\nreports = [%s]\n[sidecar]\nname = %q\naddress = %q\nzone = %q\ntenant = %q\nversion = %q\nlease_ms = %d\n",
 		filepath.Join(c.f.opts.Dir, name+".placement"), strings.Join(reports, ", "), p.Name, c.f.addrs.sidecar(n),
-		c.f.plan.File.Zones[p.Zone], c.f.plan.Tenant(n), c.file.SidecarVersion, sidecarLease.Milliseconds())
+		c.f.plan.Experiment.Zones[p.Zone], c.f.plan.Tenant(n), c.file.SidecarVersion, sidecarLease.Milliseconds())
 }
 
 // trouble keeps the first thing that the lab itself could not do: such a run says nothing.
@@ -232,7 +232,7 @@
 	}
 	if c.platform != nil {
 		if err := c.platform.Stop(ctx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
-			c.f.judge.Crashed(c.f.now(), -1, "the supervisor: "+err.Error())
+			c.f.judge.SidecarCrashed(c.f.now(), -1, "the supervisor: "+err.Error())
 		}
 	}
 	c.crashes()
@@ -248,7 +248,7 @@
 		for _, sign := range []string{"panic: ", "fatal error: ", "DATA RACE"} {
 			if _, rest, found := strings.Cut(string(data), sign); found {
 				line, _, _ := strings.Cut(rest, "\n")
-				c.f.judge.Crashed(c.f.now(), n, sign+line)
+				c.f.judge.SidecarCrashed(c.f.now(), n, sign+line)
 				break
 			}
 		}
--- a/internal/lab/live/control_test.go
+++ b/internal/lab/live/control_test.go
@@ -76,9 +76,9 @@
 			fault("kill", "agent:0", "0.6", "0.5", "") + fault("freeze", "supervisor", "0.2", "0.2", "") +
 			fault("kill", "sidecar:1", "0.9", "0.4", "") + fault("cut", "replica:0", "1.4", "0.5", "") +
 			fault("platform", "", "1.2", "", "what = \"lose\"\ncount = 1"), nil},
-		{"three stopped at once", step("stop", "server:0-2", "0.5"), []lab.Rule{lab.RuleBudget, lab.RuleStranded}},
-		{"a step done twice", step("restart", "server:1", "0.5"), []lab.Rule{lab.RuleOnce}},
-		{"a sidecar left out", step("stop", "sidecar:0", "0.5"), []lab.Rule{lab.RuleStranded}},
+		{"three stopped at once", step("stop", "server:0-2", "0.5"), []lab.Rule{lab.RuleDisruptionBudget, lab.RuleFinalState}},
+		{"a step done twice", step("restart", "server:1", "0.5"), []lab.Rule{lab.RuleDuplicateAction}},
+		{"a sidecar left out", step("stop", "sidecar:0", "0.5"), []lab.Rule{lab.RuleFinalState}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -87,23 +87,23 @@
 				t.Fatal(err)
 			}
 			dir := t.TempDir()
-			r, err := Run(t.Context(), f.Draw(0), Options{
+			r, err := Run(t.Context(), f.NewPlan(0), Options{
 				Sidecar: proctest.Program(t, "sidecar"), Milldeck: proctest.Program(t, "milldeck"), Dir: dir,
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, rule := range lab.ControlRules {
-				if slices.Contains(c.want, rule) != (r.RuleCounts[rule] > 0) {
-					t.Errorf("rule %s broken %d times", rule, r.RuleCounts[rule])
+			for _, rule := range lab.ControlPlaneRules {
+				if slices.Contains(c.want, rule) != (r.ViolationsByRule[rule] > 0) {
+					t.Errorf("rule %s broken %d times", rule, r.ViolationsByRule[rule])
 				}
 			}
 			if r.Requests < 100 || r.ServedShare < 0.6 {
 				t.Errorf("%d requests, %.3f served", r.Requests, r.ServedShare)
 			}
 			if t.Failed() {
-				for _, b := range r.Broken {
-					t.Log(b.Rule, b.What)
+				for _, b := range r.Violations {
+					t.Log(b.Rule, b.Detail)
 				}
 				t.Log(LogTail(dir))
 			}
--- a/internal/lab/live/controllers.go
+++ b/internal/lab/live/controllers.go
@@ -27,7 +27,7 @@
 // controller is a process of the program that acts on the fleet.
 type controller struct {
 	c    *control
-	file *lab.ControllerFile
+	file *lab.ControllerSpec
 	addr string
 
 	mu   sync.Mutex
@@ -80,7 +80,7 @@
 	k.mu.Lock()
 	k.proc = p
 	k.mu.Unlock()
-	_, err = p.WaitLog(ctx, k.file.Ready)
+	_, err = p.WaitLog(ctx, k.file.ReadyLine)
 	return err
 }
 
@@ -125,9 +125,9 @@
 			if !sleep(ctx, millis(1000*s.AtS-c.f.now())) {
 				return
 			}
-			slog.Debug("step", "args", s.Args, "do", s.Do)
+			slog.Debug("step", "args", s.Args, "do", s.Action)
 			what := fmt.Sprintf("step %d", i)
-			if s.Do != "" {
+			if s.Action != "" {
 				c.trouble(what, c.act(ctx, i, s))
 				return
 			}
@@ -137,7 +137,7 @@
 }
 
 // command runs a command of the program, which has to end with the step's status.
-func (c *control) command(ctx context.Context, n int, s *lab.StepFile) error {
+func (c *control) command(ctx context.Context, n int, s *lab.StepSpec) error {
 	path := filepath.Join(c.f.opts.Dir, fmt.Sprintf("step%d.toml", n))
 	if err := os.WriteFile(path, []byte(c.fill(s.File, "step", "", "", path)), 0o600); err != nil {
 		return err
@@ -157,8 +157,8 @@
 	if errors.As(err, &exit) && ctx.Err() == nil {
 		status, err = exit.ExitCode(), nil
 	}
-	if err == nil && status != s.Status {
-		err = fmt.Errorf("milldeck %s ended with status %d, not %d: %s", strings.Join(args, " "), status, s.Status, tail(out))
+	if err == nil && status != s.ExitStatus {
+		err = fmt.Errorf("milldeck %s ended with status %d, not %d: %s", strings.Join(args, " "), status, s.ExitStatus, tail(out))
 	}
 	return err
 }
--- a/internal/lab/live/discovery.go
+++ b/internal/lab/live/discovery.go
@@ -123,7 +123,7 @@
 
 // deaf tells whether discovery cannot reach the agent.
 func (a *agent) deaf() bool {
-	cut, _, _, _ := a.f.net.way(lab.End{Kind: lab.DiscoveryEnd}, lab.End{Kind: lab.SidecarEnd, N: a.n})
+	cut, _, _, _ := a.f.net.way(lab.Endpoint{Kind: lab.DiscoveryEndpoint}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: a.n})
 	return cut || a.f.discoveryDown.Load()
 }
 
@@ -273,7 +273,7 @@
 func (a *agent) tell(told map[int]bool) {
 	now := a.f.now()
 	for s, isReady := range told {
-		a.f.judge.Told(now, a.n, s, isReady)
+		a.f.judge.EndpointNotified(now, a.n, s, isReady)
 	}
 }
 
@@ -284,8 +284,8 @@
 		boot = f.unix(s.boot)
 	}
 	return target{
-		UID: s.plan.UID, Endpoint: f.addrs.server(s.plan.Slot, sidecar), Zone: f.plan.File.Zones[s.plan.Zone],
-		Model: s.plan.Kind.Kind, Pod: s.plan.Pod, State: state, Capacity: 1, Boot: boot,
+		UID: s.plan.UID, Endpoint: f.addrs.server(s.plan.AddressSlot, sidecar), Zone: f.plan.Experiment.Zones[s.plan.Zone],
+		Model: s.plan.Spec.Kind, Pod: s.plan.Cell, State: state, Capacity: 1, Boot: boot,
 	}
 }
 
@@ -302,7 +302,7 @@
 	for i, a := range f.agents {
 		c := change{f.rev, s.n, f.entry(s, i, state)}
 		select {
-		case a.queue <- sending{f.now() + f.plan.Sidecars[i].Notice + f.discoveryLate, c}:
+		case a.queue <- sending{f.now() + f.plan.Sidecars[i].NotificationDelayMS + f.discoveryLate, c}:
 		case <-f.ctx.Done():
 		}
 	}
--- a/internal/lab/live/faults.go
+++ b/internal/lab/live/faults.go
@@ -23,29 +23,29 @@
 	for i := range f.plan.Faults {
 		ft := &f.plan.Faults[i]
 		all.Go(func() {
-			if !sleep(ctx, millis(ft.At-f.now())) {
+			if !sleep(ctx, millis(ft.StartMS-f.now())) {
 				return
 			}
 			slog.Debug("fault begins", "fault", ft.Label)
 			f.begin(ctx, ft)
-			if ft.End == 0 {
+			if ft.EndMS == 0 {
 				return
 			}
-			sleep(ctx, millis(ft.End-f.now()))
+			sleep(ctx, millis(ft.EndMS-f.now()))
 			f.end(ctx, ft) // also when the run is cut short: what is stopped must go on to be ended
 		})
 	}
 	for _, s := range f.servers {
-		if s.plan.Born > 0 {
+		if s.plan.StartMS > 0 {
 			all.Go(func() {
-				if sleep(ctx, millis(s.plan.Born-f.now())) {
+				if sleep(ctx, millis(s.plan.StartMS-f.now())) {
 					f.boot(s)
 				}
 			})
 		}
-		if s.plan.Ends > 0 {
+		if s.plan.ReplacedMS > 0 {
 			all.Go(func() {
-				if sleep(ctx, millis(s.plan.Ends-f.now())) {
+				if sleep(ctx, millis(s.plan.ReplacedMS-f.now())) {
 					f.retire(ctx, s, false)
 				}
 			})
@@ -71,23 +71,23 @@
 			continue
 		}
 		switch ft.Kind {
-		case lab.Kill:
+		case lab.FaultKill:
 			s.die()
 			f.unlist(s)
-		case lab.ZoneLost:
+		case lab.FaultZoneOutage:
 			f.net.change(func() { f.net.dark[i] = true })
 			failed(ft.Label, s.hush(true))
 			f.unlist(s)
-		case lab.Restart:
+		case lab.FaultRestart:
 			go f.retire(ctx, s, true)
-		case lab.Freeze:
+		case lab.FaultFreeze:
 			f.net.change(func() { f.net.dark[i] = true })
-		case lab.Refused:
+		case lab.FaultConnectionRefused:
 			for _, p := range s.ports {
 				p.close()
 			}
 			s.lose()
-		case lab.DiscoveryBad:
+		case lab.FaultDiscoveryFalseRemoval:
 			if f.state(s) == ready {
 				f.publish(s, gone)
 			}
@@ -98,32 +98,32 @@
 	for _, i := range ft.Sidecars {
 		n := f.nodes[i]
 		switch ft.Kind {
-		case lab.Kill:
+		case lab.FaultKill:
 			n.kill()
-		case lab.Restart:
+		case lab.FaultRestart:
 			f.restarts.Go(func() { f.restart(n) })
-		case lab.Freeze:
-			f.judge.Excuse(i, f.now()-slackMS, ft.End+excuseAfter)
+		case lab.FaultFreeze:
+			f.judge.ExcuseSidecar(i, f.now()-slackMS, ft.EndMS+excuseAfter)
 			n.signal(syscall.SIGSTOP)
-		case lab.Reload:
+		case lab.FaultReload:
 			f.reload(n)
-		case lab.Descriptors:
+		case lab.FaultDescriptorExhaustion:
 			go f.fill(ctx, n, ft)
 		}
 	}
 	switch ft.Kind {
-	case lab.Cut, lab.Delay, lab.Loss:
+	case lab.FaultPartition, lab.FaultDelay, lab.FaultPacketLoss:
 		f.net.change(func() { f.net.faults = append(f.net.faults, ft) })
-		if ft.Kind == lab.Cut {
+		if ft.Kind == lab.FaultPartition {
 			f.cut(ft, true)
 		}
-	case lab.RegistryDown:
+	case lab.FaultRegistryDown:
 		f.registry.kill()
-	case lab.DiscoveryDown:
+	case lab.FaultDiscoveryDown:
 		f.discoveryDown.Store(true)
-	case lab.DiscoveryLate:
+	case lab.FaultDiscoveryDelay:
 		f.listMu.Lock()
-		f.discoveryLate += ft.MS
+		f.discoveryLate += ft.DelayMS
 		f.listMu.Unlock()
 	}
 }
@@ -139,22 +139,22 @@
 			continue
 		}
 		switch ft.Kind {
-		case lab.Kill:
+		case lab.FaultKill:
 			if !s.isUp() {
 				f.boot(s)
 			}
-		case lab.ZoneLost:
+		case lab.FaultZoneOutage:
 			s.lose()
 			f.net.change(func() { delete(f.net.dark, i) })
 			failed(ft.Label, s.hush(false))
-			if s.plan.Ends == 0 || f.now() < s.plan.Ends {
+			if s.plan.ReplacedMS == 0 || f.now() < s.plan.ReplacedMS {
 				f.boot(s)
 			}
-		case lab.Freeze:
+		case lab.FaultFreeze:
 			f.net.change(func() { delete(f.net.dark, i) })
-		case lab.Refused:
+		case lab.FaultConnectionRefused:
 			failed(ft.Label, s.listen())
-		case lab.DiscoveryBad:
+		case lab.FaultDiscoveryFalseRemoval:
 			if f.state(s) == gone && s.isUp() {
 				f.publish(s, ready)
 			}
@@ -165,27 +165,27 @@
 	for _, i := range ft.Sidecars {
 		n := f.nodes[i]
 		switch {
-		case ft.Kind == lab.Freeze:
+		case ft.Kind == lab.FaultFreeze:
 			n.signal(syscall.SIGCONT)
-		case ft.Kind == lab.Kill && ctx.Err() == nil:
+		case ft.Kind == lab.FaultKill && ctx.Err() == nil:
 			f.restarts.Go(func() { f.again(n) })
 		}
 	}
 	switch ft.Kind {
-	case lab.Cut, lab.Delay, lab.Loss:
+	case lab.FaultPartition, lab.FaultDelay, lab.FaultPacketLoss:
 		f.net.change(func() {
 			f.net.faults = slices.DeleteFunc(f.net.faults, func(g *lab.Fault) bool { return g == ft })
 		})
-		if ft.Kind == lab.Cut {
+		if ft.Kind == lab.FaultPartition {
 			f.cut(ft, false)
 		}
-	case lab.RegistryDown:
+	case lab.FaultRegistryDown:
 		failed(ft.Label, f.registry.startAgain())
-	case lab.DiscoveryDown:
+	case lab.FaultDiscoveryDown:
 		f.discoveryDown.Store(false)
-	case lab.DiscoveryLate:
+	case lab.FaultDiscoveryDelay:
 		f.listMu.Lock()
-		f.discoveryLate -= ft.MS
+		f.discoveryLate -= ft.DelayMS
 		f.listMu.Unlock()
 	}
 	if f.registry == nil {
@@ -199,14 +199,14 @@
 // off from their own clients.
 func (f *fleet) cut(ft *lab.Fault, on bool) {
 	for i, n := range f.nodes {
-		sidecar, client := lab.End{Kind: lab.SidecarEnd, N: i}, lab.End{Kind: lab.ClientEnd, N: i}
-		if on && (ft.Hits(client, sidecar) || ft.Hits(sidecar, client)) {
-			f.judge.Excuse(n.n, f.now()-slackMS, ft.End+excuseAfter)
+		sidecar, client := lab.Endpoint{Kind: lab.SidecarEndpoint, Index: i}, lab.Endpoint{Kind: lab.ClientEndpoint, Index: i}
+		if on && (ft.Affects(client, sidecar) || ft.Affects(sidecar, client)) {
+			f.judge.ExcuseSidecar(n.n, f.now()-slackMS, ft.EndMS+excuseAfter)
 		}
 		for _, s := range f.servers {
-			server := lab.End{Kind: lab.ServerEnd, N: s.n}
+			server := lab.Endpoint{Kind: lab.ServerEndpoint, Index: s.n}
 			// Of a connection that comes up, both ways are needed.
-			if ft.Hits(sidecar, server) || ft.Hits(server, sidecar) {
+			if ft.Affects(sidecar, server) || ft.Affects(server, sidecar) {
 				failed(ft.Label, s.ports[i].hush(on))
 			}
 		}
@@ -216,7 +216,7 @@
 // boot starts a server anew, cold, and lists it.
 func (f *fleet) boot(s *server) {
 	s.mu.Lock()
-	fallen := s.model.Fallen()
+	fallen := s.model.Overloaded()
 	s.mu.Unlock()
 	if fallen {
 		return // it stays down
@@ -242,8 +242,8 @@
 	s.mu.Lock()
 	life := s.life
 	s.mu.Unlock()
-	silent := f.plan.File.Discovery.SilentMS
-	time.AfterFunc(millis((silent.Least+silent.Most)/2), func() {
+	silent := f.plan.Experiment.Discovery.FailureDetectionMS
+	time.AfterFunc(millis((silent.Min+silent.Max)/2), func() {
 		s.mu.Lock()
 		same := s.life == life
 		s.mu.Unlock()
@@ -259,7 +259,7 @@
 		return
 	}
 	f.publish(s, terminating)
-	if !sleep(ctx, millis(f.plan.GoneAfter())) || f.state(s) != terminating {
+	if !sleep(ctx, millis(f.plan.DrainDurationMS())) || f.state(s) != terminating {
 		return
 	}
 	s.die()
@@ -274,5 +274,5 @@
 func (s *server) suffer(ft *lab.Fault, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.model.Suffer(ft, on)
+	s.model.SetFault(ft, on)
 }
--- a/internal/lab/live/front.go
+++ b/internal/lab/live/front.go
@@ -34,8 +34,8 @@
 	call(id uint64, sidecar int, x exchange) (call, bool)
 	count(add func(*lab.Counts))
 	lateness(ms float64)
-	ran(end lab.Ended)
-	fell(now float64, fall *lab.Fall)
+	ran(end lab.JobCompletion)
+	fell(now float64, fall *lab.SlowStartOverload)
 }
 
 // link is the way between a sidecar and a server. False: what went on it is lost, or ctx has ended.
@@ -67,13 +67,13 @@
 	up    bool
 	life  int
 	conns map[net.Conn]struct{}
-	asks  map[int64]chan lab.Ended
+	asks  map[int64]chan lab.JobCompletion
 }
 
 func newFront(h host, n int, plan *lab.ServerPlan, model *lab.Server, probes bool) front {
 	return front{
 		host: h, n: n, plan: plan, model: model, probes: probes,
-		conns: map[net.Conn]struct{}{}, asks: map[int64]chan lab.Ended{},
+		conns: map[net.Conn]struct{}{}, asks: map[int64]chan lab.JobCompletion{},
 	}
 }
 
@@ -83,7 +83,7 @@
 	s.life++
 	held := s.conns
 	s.conns = map[net.Conn]struct{}{}
-	s.asks = map[int64]chan lab.Ended{}
+	s.asks = map[int64]chan lab.JobCompletion{}
 	s.mu.Unlock()
 	for c := range held {
 		reset(c)
@@ -107,7 +107,7 @@
 		return
 	}
 	s.conns[c] = struct{}{}
-	crowded := len(s.conns) > s.plan.Kind.Connections
+	crowded := len(s.conns) > s.plan.Spec.MaxConnections
 	s.mu.Unlock()
 	ctx, closed := context.WithCancel(s.host.running())
 	defer func() {
@@ -124,7 +124,7 @@
 		defer closed()
 		s.read(ctx, c, requests)
 	}()
-	idle := millis(s.plan.Kind.IdleCloseMS)
+	idle := millis(s.plan.Spec.IdleCloseMS)
 	fresh := true
 	for {
 		c.SetReadDeadline(time.Now().Add(idle))
@@ -181,11 +181,11 @@
 		if x.req.URL.Path != "/health/live" || !s.probes {
 			return comes(ctx, l.returns) && write(http.StatusNotFound, "", "")
 		}
-		s.host.count(func(t *lab.Counts) { t.Probes++ })
+		s.host.count(func(t *lab.Counts) { t.HealthChecks++ })
 		if !comes(ctx, func(ctx context.Context) bool { return l.arrives(ctx, fresh) }) {
 			return false
 		}
-		s.offer(lab.Job{Work: probeWork})
+		s.offer(lab.Job{WorkMS: probeWork})
 		return comes(ctx, l.returns) && write(http.StatusOK, "", "")
 	}
 	k, mine := s.host.call(id, sidecar, x)
@@ -212,13 +212,13 @@
 	}
 	if fresh {
 		s.host.count(func(t *lab.Counts) { t.Handshakes++ })
-		if s.plan.Kind.HandshakeMS > 0 {
-			s.offer(lab.Job{Work: s.plan.Kind.HandshakeMS})
+		if s.plan.Spec.HandshakeMS > 0 {
+			s.offer(lab.Job{WorkMS: s.plan.Spec.HandshakeMS})
 		}
 	}
 	job := k.job()
 	if wait, err := strconv.ParseFloat(x.req.Header.Get("X-Timeout-Ms"), 64); err == nil {
-		job.Expires = s.host.now() - float64(time.Since(x.last))/1e6 + wait
+		job.ExpiresAt = s.host.now() - float64(time.Since(x.last))/1e6 + wait
 	}
 	if s.harm != nil {
 		s.harm(&job)
@@ -227,7 +227,7 @@
 	if !taken {
 		return say(http.StatusServiceUnavailable, notRun, "") && done("full")
 	}
-	var end lab.Ended
+	var end lab.JobCompletion
 	select {
 	case <-ctx.Done():
 		s.drop(job.Attempt)
@@ -235,15 +235,15 @@
 	case end = <-result:
 	}
 	s.mu.Lock()
-	silent, resets, spoils := s.model.Silent, s.model.Resets, s.model.Spoils
+	silent, resets, spoils := s.model.Unresponsive, s.model.ResetShare, s.model.CorruptShare
 	s.mu.Unlock()
 	switch {
 	case silent:
 		<-ctx.Done()
 		return false
-	case end.How == lab.Expired:
+	case end.Result == lab.JobExpired:
 		return say(http.StatusGatewayTimeout, notRun, "") && done("expired")
-	case end.How == lab.Errored:
+	case end.Result == lab.JobFailed:
 		return say(http.StatusInternalServerError, "", "") && done("error")
 	case rand.Float64() < resets:
 		over("reset")
--- a/internal/lab/live/link.go
+++ b/internal/lab/live/link.go
@@ -34,23 +34,23 @@
 
 // way is the state of a link in one direction now: whether nothing passes, what it takes longer, the part that
 // is lost, and when to look again.
-func (w *network) way(from, to lab.End) (cut bool, more time.Duration, loss float64, changed <-chan struct{}) {
+func (w *network) way(from, to lab.Endpoint) (cut bool, more time.Duration, loss float64, changed <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, end := range []lab.End{from, to} {
-		cut = cut || end.Kind == lab.ServerEnd && w.dark[end.N]
+	for _, end := range []lab.Endpoint{from, to} {
+		cut = cut || end.Kind == lab.ServerEndpoint && w.dark[end.Index]
 	}
 	for _, f := range w.faults {
-		if !f.Hits(from, to) {
+		if !f.Affects(from, to) {
 			continue
 		}
 		switch f.Kind {
-		case lab.Cut:
+		case lab.FaultPartition:
 			cut = true
-		case lab.Loss:
-			loss = max(loss, f.Part)
-		case lab.Delay:
-			more += millis(f.MS)
+		case lab.FaultPacketLoss:
+			loss = max(loss, f.Probability)
+		case lab.FaultDelay:
+			more += millis(f.DelayMS)
 		}
 	}
 	return cut, more, loss, w.changed
@@ -58,7 +58,7 @@
 
 // pass waits until something that takes delay has gone from one end to the other; while the link is cut it
 // waits for the link. False: it was lost on the way, by a chance u from 0 to 1, or ctx has ended.
-func (w *network) pass(ctx context.Context, from, to lab.End, delay time.Duration, u float64) bool {
+func (w *network) pass(ctx context.Context, from, to lab.Endpoint, delay time.Duration, u float64) bool {
 	cut, more, loss, changed := w.way(from, to)
 	if u < loss {
 		return false
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -66,9 +66,9 @@
 type fleet struct {
 	plan    *lab.Plan
 	opts    Options
-	judge   *lab.Judge
-	measure *lab.Measure
-	stores  *lab.Stores
+	judge   *lab.Checker
+	measure *lab.Recorder
+	stores  *lab.MemoryEffectStore
 	addrs   addresses
 	net     *network
 
@@ -107,15 +107,15 @@
 		return nil, err
 	}
 	f := &fleet{
-		plan: p, opts: opts, judge: lab.NewJudge(p, slackMS), measure: lab.NewMeasure(p), stores: lab.NewStores(),
+		plan: p, opts: opts, judge: lab.NewChecker(p, slackMS), measure: lab.NewRecorder(p), stores: lab.NewMemoryEffectStore(),
 		addrs: addresses{block}, net: newNetwork(), listed: map[int]string{}, rev: 1,
 	}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	f.made = time.Now()
-	if p.File.Discovery.Source == "registry" {
+	if p.Experiment.Discovery.Source == "registry" {
 		f.registry = &listService{f: f}
 	}
-	if p.File.Controlled() {
+	if p.Experiment.HasControlPlane() {
 		f.control = newControl(f)
 	}
 	for i := range p.Servers {
@@ -125,7 +125,7 @@
 		f.agents = append(f.agents, newAgent(f, i))
 		f.nodes = append(f.nodes, f.newNode(i))
 	}
-	if p.File.Limits.MayTell {
+	if p.Experiment.Limits.AllowGossip {
 		f.peers = newRelay(f)
 	}
 	return f, nil
@@ -171,7 +171,7 @@
 // start brings up servers, discovery and sidecars; the run's time begins once all are ready.
 func (f *fleet) start(ctx context.Context) error {
 	for _, s := range f.servers {
-		if s.plan.Born > 0 || f.control != nil {
+		if s.plan.StartMS > 0 || f.control != nil {
 			continue // a platform starts it
 		}
 		if err := s.start(0, false); err != nil {
@@ -241,9 +241,9 @@
 	f.clients.Wait()
 	f.judge.Finish(f.now())
 	r := f.measure.Result("run", "module", f.judge)
-	r.Cut = ctx.Err() != nil
+	r.CutShort = ctx.Err() != nil
 	if f.control != nil {
-		r.Figures = f.control.judge.Figures()
+		r.Metrics = f.control.judge.Metrics()
 	}
 	return r
 }
@@ -268,7 +268,7 @@
 			return
 		}
 		if late := time.Since(due); late > lateBeat {
-			f.judge.Pardon(f.ms(due), f.now()+slackMS)
+			f.judge.ExcuseAll(f.ms(due), f.now()+slackMS)
 		}
 	}
 }
@@ -280,10 +280,10 @@
 	}
 	for sleep(ctx, time.Second) {
 		now := f.now()
-		requests, served := f.measure.SoFar()
-		p := Progress{Done: min(1, now/f.plan.Duration), AtS: now / 1000, Requests: requests, Served: served}
+		requests, served := f.measure.Progress()
+		p := Progress{Done: min(1, now/f.plan.DurationMS), AtS: now / 1000, Requests: requests, Served: served}
 		for i := range f.plan.Faults {
-			if ft := &f.plan.Faults[i]; now >= ft.At && now < ft.End {
+			if ft := &f.plan.Faults[i]; now >= ft.StartMS && now < ft.EndMS {
 				p.Faults = append(p.Faults, ft.Label)
 			}
 		}
@@ -304,7 +304,7 @@
 		all.Go(func() {
 			n.app.close()
 			if err := n.stop(ctx); err != nil {
-				f.judge.Crashed(f.now(), n.n, err.Error())
+				f.judge.SidecarCrashed(f.now(), n.n, err.Error())
 			}
 		})
 	}
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -67,13 +67,13 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	r, err := Run(ctx, f.Draw(0), Options{Sidecar: proctest.Program(t, "sidecar"), Dir: dir})
+	r, err := Run(ctx, f.NewPlan(0), Options{Sidecar: proctest.Program(t, "sidecar"), Dir: dir})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.BrokenRules > 0 {
-		for _, b := range r.Broken {
-			t.Errorf("rule %s: %s\n  %s", b.Rule, b.What, strings.Join(b.Story, "\n  "))
+	if r.ViolationCount > 0 {
+		for _, b := range r.Violations {
+			t.Errorf("rule %s: %s\n  %s", b.Rule, b.Detail, strings.Join(b.History, "\n  "))
 		}
 		t.Log(LogTail(dir))
 	}
@@ -113,7 +113,7 @@
 			t.Parallel()
 			r, dir := run(t, t.Context(), "2.6", faults)
 			if r.Requests < 200 || r.ServedShare < 0.6 {
-				t.Errorf("%d requests, %.3f served; attempts %v\n%s", r.Requests, r.ServedShare, r.ByResult, LogTail(dir))
+				t.Errorf("%d requests, %.3f served; attempts %v\n%s", r.Requests, r.ServedShare, r.AttemptsByResult, LogTail(dir))
 			}
 		})
 	}
@@ -128,7 +128,7 @@
 	if err := os.WriteFile(script, []byte("#!/bin/sh\necho no luck today >&2\nexit 3\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	_, err = Run(t.Context(), f.Draw(0), Options{Sidecar: script, Dir: t.TempDir()})
+	_, err = Run(t.Context(), f.NewPlan(0), Options{Sidecar: script, Dir: t.TempDir()})
 	if err == nil || !strings.Contains(err.Error(), "sidecar n0") || !strings.Contains(err.Error(), "no luck today") {
 		t.Errorf("%v names neither the sidecar nor its log", err)
 	}
@@ -139,8 +139,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(1500*time.Millisecond, cancel) // in mid-run, whenever that is
 	r, _ := run(t, ctx, "60", fault("freeze", "sidecar:0", "0.2", "50", ""))
-	if !r.Cut || r.Requests == 0 {
-		t.Errorf("cut short: %v, %d requests", r.Cut, r.Requests)
+	if !r.CutShort || r.Requests == 0 {
+		t.Errorf("cut short: %v, %d requests", r.CutShort, r.Requests)
 	}
 	children, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
@@ -170,8 +170,8 @@
 			fault("slow", "server:0-19", "0.4", "1", "by = 40") + fault("slow", "server:0-19", "1.8", "1", "by = 40")
 		large := strings.Replace(fleetFile, "count = 6\n", "count = 60\nwarm_gain = 0.3\nwarm_ms = 5000\nwarm_keys = 50\n", 1)
 		r, _ := runFile(t, t.Context(), large, "2.8", faults+cut)
-		if most := perRequest*float64(r.Requests) + 3*atOnce; float64(r.MessageB) > most {
-			t.Errorf("%d bytes told with %d requests, at most %.0f", r.MessageB, r.Requests, most)
+		if most := perRequest*float64(r.Requests) + 3*atOnce; float64(r.GossipBytes) > most {
+			t.Errorf("%d bytes told with %d requests, at most %.0f", r.GossipBytes, r.Requests, most)
 		}
 		return r
 	}
@@ -180,19 +180,19 @@
 	}
 	t.Run("whole", func(t *testing.T) {
 		t.Parallel()
-		if r := told(t, ""); r.Messages <= questions {
-			t.Errorf("nothing was told, %d messages", r.Messages)
+		if r := told(t, ""); r.GossipMessages <= questions {
+			t.Errorf("nothing was told, %d messages", r.GossipMessages)
 		}
 	})
 	t.Run("cut", func(t *testing.T) {
 		t.Parallel()
-		if r := told(t, cut("0", "9")); r.Messages > questions {
-			t.Errorf("%d messages crossed cut links", r.Messages)
+		if r := told(t, cut("0", "9")); r.GossipMessages > questions {
+			t.Errorf("%d messages crossed cut links", r.GossipMessages)
 		}
 	})
 	t.Run("healed", func(t *testing.T) {
 		t.Parallel()
-		if r := told(t, cut("0", "1.6")); r.Messages <= questions {
+		if r := told(t, cut("0", "1.6")); r.GossipMessages <= questions {
 			t.Error("nothing was told once the links were whole")
 		}
 	})
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -50,7 +50,7 @@
 	}
 	n.proc, n.told = p, new(atomic.Bool)
 	n.life++
-	f.judge.Forget(n.n)
+	f.judge.SidecarRestarted(n.n)
 	go n.mind(p, n.told)
 	return nil
 }
@@ -64,7 +64,7 @@
 	<-p.Done()
 	if !told.Load() && n.f.zero.Load() != 0 {
 		slog.Error("a sidecar ended by itself", "sidecar", n.f.plan.Sidecars[n.n].Name, "error", p.Exit(), "log", p.Log())
-		n.f.judge.Crashed(n.f.now(), n.n, fmt.Sprint(p.Exit()))
+		n.f.judge.SidecarCrashed(n.f.now(), n.n, fmt.Sprint(p.Exit()))
 	}
 }
 
@@ -87,11 +87,11 @@
 	known := a.all()
 	discovery := a.addr()
 	a.mu.Unlock()
-	s := f.plan.File.Sidecars
+	s := f.plan.Experiment.Sidecars
 	type m = map[string]any
 	config := m{
 		"name": f.plan.Sidecars[n.n].Name, "listen": n.addr, "discovery": discovery,
-		"seed":   fmt.Sprintf("%016x", f.plan.LifeSeed(n.n, n.life)),
+		"seed":   fmt.Sprintf("%016x", f.plan.IncarnationSeed(n.n, n.life)),
 		"limits": m{"cores": s.Cores, "memory_mb": s.MemoryMB, "sockets": s.Sockets},
 		"known":  known, "settings": json.RawMessage(f.plan.Settings(n.n)),
 	}
@@ -103,7 +103,7 @@
 		config["peer_listen"], config["peers"] = f.addrs.peerListen(n.n), all
 	}
 	if f.control != nil {
-		config["placement"], config["version"] = discovery, f.plan.File.Control.SidecarVersion
+		config["placement"], config["version"] = discovery, f.plan.Experiment.ControlPlane.SidecarVersion
 		if tenant := f.plan.Tenant(n.n); tenant != "" {
 			config["application"] = tenant
 		}
@@ -169,7 +169,7 @@
 	}
 	n.told.Store(true)
 	now := n.f.now()
-	n.f.judge.Excuse(n.n, now-slackMS, now+slackMS)
+	n.f.judge.ExcuseSidecar(n.n, now-slackMS, now+slackMS)
 	n.proc.Kill()
 }
 
--- a/internal/lab/live/node_faults.go
+++ b/internal/lab/live/node_faults.go
@@ -17,7 +17,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), killAfter)
 	defer cancel()
 	if err := n.stop(ctx); err != nil {
-		f.judge.Crashed(f.now(), n.n, err.Error())
+		f.judge.SidecarCrashed(f.now(), n.n, err.Error())
 	}
 	f.again(n)
 }
@@ -71,15 +71,15 @@
 			c.Close()
 		}
 	}()
-	for f.now() < ft.End && ctx.Err() == nil {
+	for f.now() < ft.EndMS && ctx.Err() == nil {
 		c, err := net.DialTimeout("tcp4", n.addr, dialWait)
-		if err != nil || len(held) >= f.plan.File.Sidecars.Sockets {
+		if err != nil || len(held) >= f.plan.Experiment.Sidecars.Sockets {
 			sleep(ctx, readyPoll)
 		}
 		if err != nil {
 			continue
 		}
-		if held = append(held, c); len(held) > f.plan.File.Sidecars.Sockets {
+		if held = append(held, c); len(held) > f.plan.Experiment.Sidecars.Sockets {
 			held[0].Close()
 			held = held[1:]
 		}
--- a/internal/lab/live/observe.go
+++ b/internal/lab/live/observe.go
@@ -122,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	l.c.judge.Ready(l.c.now(), s.plan.UID, lifeName(l.pid), true)
+	l.c.judge.ReadinessChanged(l.c.now(), s.plan.UID, lifeName(l.pid), true)
 	l.c.came(s, l.version, l.first)
 	return nil
 }
@@ -136,7 +136,7 @@
 	l.mu.Lock()
 	l.told = true
 	l.mu.Unlock()
-	l.c.judge.Told(l.c.now(), s.plan.UID, lifeName(l.pid))
+	l.c.judge.TerminationRequested(l.c.now(), s.plan.UID, lifeName(l.pid))
 	return nil
 }
 
@@ -154,8 +154,8 @@
 		out.Job = k.job()
 		out.Job.Tenant = l.c.f.plan.Tenant(k.sidecar)
 		s.mu.Lock()
-		out.Job.Work *= s.model.Slow
-		out.Job.Fails = rand.Float64() < s.model.Errors
+		out.Job.WorkMS *= s.model.Slowdown
+		out.Job.FailImmediately = rand.Float64() < s.model.ErrorShare
 		s.mu.Unlock()
 	}
 	return nil
@@ -211,7 +211,7 @@
 	if err != nil || e.Class < 0 || e.Class >= len(l.c.f.plan.Classes) {
 		return err
 	}
-	*seen = l.c.f.stores.Seen(l.c.f.now(), s.plan, &l.c.f.plan.Classes[e.Class], e.Class, e.Effect)
+	*seen = l.c.f.stores.CheckAndRecord(l.c.f.now(), s.plan, &l.c.f.plan.Classes[e.Class], e.Class, e.Effect)
 	return nil
 }
 
@@ -222,8 +222,8 @@
 		return err
 	}
 	at := l.c.f.ms(time.Unix(0, r.At))
-	l.c.f.judge.Ran(at, r.Request, s.n, r.Effect)
-	l.c.judge.Worked(at, s.plan.UID, keyHash(r.Key), r.Work, !r.Met)
+	l.c.f.judge.RequestExecuted(at, r.Request, s.n, r.Effect)
+	l.c.judge.WorkDone(at, s.plan.UID, keyHash(r.Key), r.Work, !r.Met)
 	return nil
 }
 
@@ -231,15 +231,15 @@
 func (l *serverLife) Fell(f Fell, _ *int) error {
 	s, err := l.who()
 	if err == nil {
-		l.c.f.judge.Fell(l.c.f.ms(time.Unix(0, f.At)), s.n, &f.Fall)
+		l.c.f.judge.ServerOverloaded(l.c.f.ms(time.Unix(0, f.At)), s.n, &f.Fall)
 	}
 	return err
 }
 
 // Count counts what the server has met.
 func (l *serverLife) Count(n lab.Counts, _ *int) error {
-	l.c.f.measure.Count(func(t *lab.Counts) {
-		t.Probes += n.Probes
+	l.c.f.measure.AddCounts(func(t *lab.Counts) {
+		t.HealthChecks += n.HealthChecks
 		t.Handshakes += n.Handshakes
 	})
 	return nil
--- a/internal/lab/live/peers.go
+++ b/internal/lab/live/peers.go
@@ -65,18 +65,18 @@
 			return
 		}
 		from, known := x.bySource[source]
-		cut, more, loss, _ := x.f.net.way(lab.End{Kind: lab.SidecarEnd, N: from}, lab.End{Kind: lab.SidecarEnd, N: to})
+		cut, more, loss, _ := x.f.net.way(lab.Endpoint{Kind: lab.SidecarEndpoint, Index: from}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: to})
 		if !known || cut || rand.Float64() < loss || x.underWay.Load() >= maxUnderWay {
 			continue
 		}
 		data := append([]byte(nil), buf[:n]...)
 		x.underWay.Add(1)
-		delay := millis(lab.PeerLeastMS + (lab.PeerMostMS-lab.PeerLeastMS)*rand.Float64())
+		delay := millis(lab.MinPeerDelayMS + (lab.MaxPeerDelayMS-lab.MinPeerDelayMS)*rand.Float64())
 		time.AfterFunc(delay+more, func() {
 			x.underWay.Add(-1)
 			// An error is a sidecar that is down: what is sent to it is lost.
 			if _, err := x.conns[from].WriteToUDPAddrPort(data, x.listens[to]); err == nil {
-				x.f.measure.Count(func(c *lab.Counts) { c.Messages++; c.MessageB += len(data) })
+				x.f.measure.AddCounts(func(c *lab.Counts) { c.GossipMessages++; c.GossipBytes += len(data) })
 			}
 		})
 	}
--- a/internal/lab/live/plane_faults.go
+++ b/internal/lab/live/plane_faults.go
@@ -31,18 +31,18 @@
 		c.leader(ctx, ft)
 	}
 	for _, n := range ft.Replicas {
-		if links := c.f.registry.links; ft.Kind == lab.Cut && links != nil {
-			links.Partition(n, lab.Replicas, true)
+		if links := c.f.registry.links; ft.Kind == lab.FaultPartition && links != nil {
+			links.Partition(n, lab.RegistryReplicas, true)
 		}
 	}
 	switch ft.Kind {
-	case lab.Kill:
+	case lab.FaultKill:
 		for _, p := range c.befallen(ft) {
 			p.Kill()
 		}
-	case lab.Freeze:
+	case lab.FaultFreeze:
 		signalAll(syscall.SIGSTOP, c.befallen(ft)...)
-	case lab.Platform:
+	case lab.FaultSupervisor:
 		c.trouble(ft.Label, c.misbehave(ctx, ft))
 	}
 }
@@ -50,33 +50,33 @@
 // end ends it: what was killed is started again, what was stopped goes on.
 func (c *control) end(ctx context.Context, ft *lab.Fault) {
 	for _, n := range ft.Replicas {
-		if links := c.f.registry.links; ft.Kind == lab.Cut && links != nil {
-			links.Partition(n, lab.Replicas, false)
+		if links := c.f.registry.links; ft.Kind == lab.FaultPartition && links != nil {
+			links.Partition(n, lab.RegistryReplicas, false)
 		}
 	}
 	switch {
-	case ft.Kind == lab.Freeze:
+	case ft.Kind == lab.FaultFreeze:
 		signalAll(syscall.SIGCONT, c.befallen(ft)...)
-	case ft.Kind == lab.Kill && ctx.Err() == nil:
+	case ft.Kind == lab.FaultKill && ctx.Err() == nil:
 		c.trouble(ft.Label, c.again(ctx, ft))
 	}
 }
 
 // excuse tells the judge of units that the lab itself takes out.
 func (c *control) excuse(ft *lab.Fault) {
-	until := ft.End + c.file.SightMS
-	if ft.End == 0 {
+	until := ft.EndMS + c.file.DetectionMS
+	if ft.EndMS == 0 {
 		until = forever
 	}
 	switch ft.Kind {
-	case lab.Platform:
-		c.judge.Platform(ft.What, ft.At, max(ft.At, ft.End)+platformSlack)
-	case lab.Kill, lab.Freeze, lab.Restart, lab.ZoneLost:
+	case lab.FaultSupervisor:
+		c.judge.SupervisorFault(ft.Misbehaviour, ft.StartMS, max(ft.StartMS, ft.EndMS)+platformSlack)
+	case lab.FaultKill, lab.FaultFreeze, lab.FaultRestart, lab.FaultZoneOutage:
 		for _, i := range ft.Servers {
-			c.judge.Fault(c.f.plan.Servers[i].UID, ft.At, until)
+			c.judge.FaultInjected(c.f.plan.Servers[i].UID, ft.StartMS, until)
 		}
 		for _, i := range ft.Sidecars {
-			c.judge.Fault(c.f.plan.Sidecars[i].Name, ft.At, until)
+			c.judge.FaultInjected(c.f.plan.Sidecars[i].Name, ft.StartMS, until)
 		}
 	}
 }
@@ -84,9 +84,9 @@
 // befall begins a fault at a server that the platform has started.
 func (c *control) befall(ctx context.Context, s *server, ft *lab.Fault) {
 	switch ft.Kind {
-	case lab.Kill, lab.ZoneLost:
+	case lab.FaultKill, lab.FaultZoneOutage:
 		c.signal(s.plan.UID, syscall.SIGKILL)
-	case lab.Restart:
+	case lab.FaultRestart:
 		c.trouble(ft.Label, c.restart(ctx, s.plan.UID))
 	default:
 		s.suffer(ft, true) // its process is told with each request
@@ -96,7 +96,7 @@
 // spare ends it.
 func (c *control) spare(ctx context.Context, s *server, ft *lab.Fault) {
 	switch ft.Kind {
-	case lab.Kill, lab.ZoneLost:
+	case lab.FaultKill, lab.FaultZoneOutage:
 		if ctx.Err() == nil {
 			c.trouble(ft.Label, c.revive(ctx, s.plan.UID))
 		}
@@ -205,7 +205,7 @@
 // misbehave has the platform do wrong.
 func (c *control) misbehave(ctx context.Context, ft *lab.Fault) error {
 	body, err := json.Marshal(map[string]any{
-		"kind": ft.What, "on": ft.On, "count": ft.Count, "for_ms": int64(max(0, ft.End-ft.At)), "delay_ms": int64(ft.MS),
+		"kind": ft.Misbehaviour, "on": ft.Operation, "count": ft.CallCount, "for_ms": int64(max(0, ft.EndMS-ft.StartMS)), "delay_ms": int64(ft.DelayMS),
 	})
 	if err != nil {
 		return err
--- a/internal/lab/live/platform.go
+++ b/internal/lab/live/platform.go
@@ -50,14 +50,14 @@
 	var b strings.Builder
 	for i := range c.file.Versions {
 		v := &c.file.Versions[i]
-		fmt.Fprintf(&b, "[[version]]\nname = %q\nkind = %q\nready = %q\nrestarts = %d\ngrace_ms = %d\n", v.Name, v.Kind, readyPath, v.Restarts, v.GraceMS)
+		fmt.Fprintf(&b, "[[version]]\nname = %q\nkind = %q\nready = %q\nrestarts = %d\ngrace_ms = %d\n", v.Name, v.Kind, readyPath, v.MaxRestarts, v.GraceMS)
 		env := fmt.Sprintf("%s = \"{name}\", %s = \"{version}\"", unitEnv, versionEnv)
 		if v.Kind == "sidecar" {
 			fmt.Fprintf(&b, "argv = [%q]\nenv = { NODE_CONFIG = \"{config}\", %s }\n", c.f.opts.Sidecar, env)
 			continue
 		}
 		path := filepath.Join(c.f.opts.Dir, "harm-"+v.Name+".toml")
-		if err := os.WriteFile(path, []byte(v.Harm.Text()), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(v.Regression.TOML()), 0o600); err != nil {
 			return "", fmt.Errorf("version %s: %w", v.Name, err)
 		}
 		fmt.Fprintf(&b, "argv = [%q, \"lab\", \"server\", \"--listen\", \"{listen}\", \"--name\", \"{name}\", \"--version\", \"{version}\", \"--config\", \"{config}\", \"--harm\", %q]\nenv = { %s }\n",
@@ -98,7 +98,7 @@
 	for _, s := range c.f.servers {
 		all = append(all, supervisor.Request{
 			ID: "lab/start/" + s.plan.UID, Op: supervisor.Start, Unit: s.plan.UID, Kind: supervisor.Server,
-			Version: c.file.ServerVersion, Listen: c.f.addrs.server(s.plan.Slot, 0), Zone: c.f.plan.File.Zones[s.plan.Zone],
+			Version: c.file.ServerVersion, Listen: c.f.addrs.server(s.plan.AddressSlot, 0), Zone: c.f.plan.Experiment.Zones[s.plan.Zone],
 			ConfigName: "base", ConfigText: c.serverFile(s),
 		})
 	}
@@ -130,7 +130,7 @@
 		p := &c.f.plan.Sidecars[n.n]
 		all = append(all, supervisor.Request{
 			ID: "lab/start/" + p.Name, Op: supervisor.Start, Unit: p.Name, Kind: supervisor.Sidecar,
-			Version: c.file.SidecarVersion, Listen: n.addr, Zone: c.f.plan.File.Zones[p.Zone], ConfigName: "base", ConfigText: string(text),
+			Version: c.file.SidecarVersion, Listen: n.addr, Zone: c.f.plan.Experiment.Zones[p.Zone], ConfigName: "base", ConfigText: string(text),
 		})
 	}
 	if err := c.launch(ctx, all); err != nil {
--- a/internal/lab/live/program.go
+++ b/internal/lab/live/program.go
@@ -26,14 +26,14 @@
 	Warm   bool            `toml:"warm"`    // its first life in the lab's run begins warm
 	Seed   uint64          `toml:"seed"`
 	Probes bool            `toml:"probes"` // it answers probes of sidecars
-	Rules  lab.RulesFile   `toml:"rules"`
-	Kind   lab.KindFile    `toml:"kind"`
-	Class  []lab.ClassFile `toml:"class"`
+	Rules  lab.RulesSpec   `toml:"rules"`
+	Kind   lab.ServerSpec  `toml:"kind"`
+	Class  []lab.ClassSpec `toml:"class"`
 }
 
 // LoadServer reads a server's configuration and, where a path is given, what its version does wrong.
-func LoadServer(path, harm string) (*ServerFile, *lab.Harm, error) {
-	f, h := &ServerFile{Speed: 1}, &lab.Harm{}
+func LoadServer(path, harm string) (*ServerFile, *lab.Regression, error) {
+	f, h := &ServerFile{Speed: 1}, &lab.Regression{}
 	c, err := config.Load(path, f)
 	if err != nil {
 		return nil, nil, err
@@ -52,7 +52,7 @@
 	for _, k := range f.Class {
 		names = append(names, k.Name)
 	}
-	h.Check("", names, func(key, format string, args ...any) {
+	h.Validate("", names, func(key, format string, args ...any) {
 		if first == nil && hc != nil {
 			first = hc.Errorf(key, format, args...)
 		}
@@ -62,9 +62,9 @@
 
 // check holds the figures to what a whole experiment may say.
 func (f *ServerFile) check(c *config.File) error {
-	f.Kind.Count = lab.Range{Least: 1, Most: 1}
-	whole := lab.File{Servers: []lab.KindFile{f.Kind}, Classes: f.Class}
-	if err := whole.CheckServer(c); err != nil {
+	f.Kind.Count = lab.Range{Min: 1, Max: 1}
+	whole := lab.Experiment{Servers: []lab.ServerSpec{f.Kind}, Classes: f.Class}
+	if err := whole.ValidateServer(c); err != nil {
 		return err
 	}
 	f.Kind = whole.Servers[0]
@@ -83,11 +83,11 @@
 
 // plan is the lab's plan with this server alone, as number 0.
 func (f *ServerFile) plan() *lab.Plan {
-	whole := &lab.File{Rules: f.Rules, Servers: []lab.KindFile{f.Kind}, Classes: f.Class}
+	whole := &lab.Experiment{Rules: f.Rules, Servers: []lab.ServerSpec{f.Kind}, Classes: f.Class}
 	return &lab.Plan{
-		File: whole, Seed: f.Seed,
-		Servers: []lab.ServerPlan{{Kind: &whole.Servers[0], Zone: f.Zone, Pod: f.Pod, Speed: f.Speed, ColdMS: f.ColdMS}},
-		Classes: lab.ClassPlans(whole.Classes),
+		Experiment: whole, Seed: f.Seed,
+		Servers: []lab.ServerPlan{{Spec: &whole.Servers[0], Zone: f.Zone, Cell: f.Pod, Speed: f.Speed, SlowStartMS: f.ColdMS}},
+		Classes: lab.NewClassPlans(whole.Classes),
 	}
 }
 
@@ -106,7 +106,7 @@
 var errHarm = errors.New("this version fails at its start")
 
 // ServeServer runs a model server until ctx ends, which drains it, or it dies. It logs "serves" once it listens.
-func ServeServer(ctx context.Context, ln net.Listener, u Unit, f *ServerFile, h *lab.Harm) error {
+func ServeServer(ctx context.Context, ln net.Listener, u Unit, f *ServerFile, h *lab.Regression) error {
 	defer ln.Close()
 	if h.FailsAtStart {
 		return errHarm
@@ -117,7 +117,7 @@
 	}
 	defer p.end()
 	go p.accept(ln)
-	if h.LeakMBS > 0 {
+	if h.LeakMBPerSecond > 0 {
 		go p.leak()
 	}
 	slog.Info("serves", "listen", ln.Addr().String(), "unit", u.Name, "version", u.Version)
@@ -133,11 +133,11 @@
 type program struct {
 	unit   Unit
 	file   *ServerFile
-	harm   *lab.Harm
+	harm   *lab.Regression
 	front  front
 	began  time.Time
 	judge  observer
-	stores lab.Effects
+	stores lab.EffectStore
 	ending atomic.Bool
 	died   chan error
 	open   atomic.Int64 // attempts that are not over
@@ -154,18 +154,18 @@
 	count(add func(*lab.Counts))
 	ready()
 	ends()
-	ran(at time.Time, end lab.Ended)
-	fell(at time.Time, fall *lab.Fall)
+	ran(at time.Time, end lab.JobCompletion)
+	fell(at time.Time, fall *lab.SlowStartOverload)
 	close()
 }
 
-func newProgram(ctx context.Context, u Unit, f *ServerFile, h *lab.Harm) (*program, error) {
+func newProgram(ctx context.Context, u Unit, f *ServerFile, h *lab.Regression) (*program, error) {
 	p := &program{unit: u, file: f, harm: h, began: time.Now(), died: make(chan error, 1), cores: float64(f.Kind.Cores)}
 	p.ctx, p.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	plan := f.plan()
 	cold := !f.Warm
 	if f.Lab == "" {
-		p.judge, p.stores = &alone{p: p}, lab.NewStores()
+		p.judge, p.stores = &alone{p: p}, lab.NewMemoryEffectStore()
 	} else {
 		r, first, err := dialLab(p)
 		if err != nil {
@@ -208,7 +208,7 @@
 		return p.health(), "", true
 	case seenPath:
 		p.front.mu.Lock()
-		cold := p.front.model.IsCold(p.now())
+		cold := p.front.model.IsWarmingUp(p.now())
 		p.front.mu.Unlock()
 		return http.StatusOK, fmt.Sprintf("{\"open\":%d,\"taken\":%d,\"cold\":%v}\n", p.open.Load(), p.taken.Load(), cold), true
 	}
@@ -235,17 +235,17 @@
 	p.front.mu.Lock()
 	load := float64(p.front.model.Load()) / p.cores
 	p.front.mu.Unlock()
-	fails, slower := p.harm.Befalls(p.file.Class[j.Class].Name, j.Tenant, load, rand.Float64())
-	j.Fails = j.Fails || fails
-	j.Work *= slower
+	fails, slower := p.harm.Apply(p.file.Class[j.Class].Name, j.Tenant, load, rand.Float64())
+	j.FailImmediately = j.FailImmediately || fails
+	j.WorkMS *= slower
 }
 
 // leak loses memory as the version does until the platform would kill it.
 func (p *program) leak() {
 	var lost [][]byte
-	most := int(p.harm.LeakMostMB * 1e6)
+	most := int(p.harm.LeakLimitMB * 1e6)
 	for total := 0; sleep(p.ctx, leakEvery); {
-		part := make([]byte, int(p.harm.LeakMBS*1e6*leakEvery.Seconds()))
+		part := make([]byte, int(p.harm.LeakMBPerSecond*1e6*leakEvery.Seconds()))
 		for i := 0; i < len(part); i += pageBytes {
 			part[i] = 1 // a page that was never written takes no memory
 		}
@@ -297,9 +297,9 @@
 
 func (p *program) at(ms float64) time.Time { return p.began.Add(millis(ms)) }
 
-func (p *program) ran(end lab.Ended) { p.judge.ran(p.at(end.At), end) }
+func (p *program) ran(end lab.JobCompletion) { p.judge.ran(p.at(end.At), end) }
 
-func (p *program) fell(now float64, fall *lab.Fall) {
+func (p *program) fell(now float64, fall *lab.SlowStartOverload) {
 	p.judge.fell(p.at(now), fall)
 	p.die(errors.New("pushed over while it was cold"))
 }
--- a/internal/lab/live/program_test.go
+++ b/internal/lab/live/program_test.go
@@ -188,7 +188,7 @@
 
 // The harm of a version is decided by the request alone.
 func TestHarm(t *testing.T) {
-	h := lab.Harm{ErrorShare: 0.5, SlowerBy: 1.3, SlowerAbove: 1, Class: "read", Tenant: "branch"}
+	h := lab.Regression{ErrorShare: 0.5, Slowdown: 1.3, SlowdownAboveLoad: 1, Class: "read", Tenant: "branch"}
 	for _, c := range []struct {
 		class, tenant string
 		load, fate    float64
@@ -198,7 +198,7 @@
 		{"read", "branch", 0, 0.4, true, 1}, {"read", "branch", 2, 0.6, false, 1.3},
 		{"book", "branch", 2, 0.4, false, 1}, {"read", "portal", 2, 0.4, false, 1},
 	} {
-		if fails, slower := h.Befalls(c.class, c.tenant, c.load, c.fate); fails != c.fails || slower != c.slower {
+		if fails, slower := h.Apply(c.class, c.tenant, c.load, c.fate); fails != c.fails || slower != c.slower {
 			t.Errorf("%+v: %v, %v", c, fails, slower)
 		}
 	}
--- a/internal/lab/live/registry.go
+++ b/internal/lab/live/registry.go
@@ -45,7 +45,7 @@
 		return err
 	}
 	for _, s := range f.servers {
-		if s.plan.Born == 0 {
+		if s.plan.StartMS == 0 {
 			l.keeper.Add(l.instance(s))
 		}
 	}
@@ -60,12 +60,12 @@
 func (l *listService) startReplicas(ctx context.Context) error {
 	f := l.f
 	opts := cluster.Options{Program: f.opts.Milldeck, DataDir: f.opts.Dir, Addresses: f.addrs.Block}
-	if f.plan.CutsReplicas() {
+	if f.plan.PartitionsReplicas() {
 		l.links = cluster.NewNetwork(f.addrs.Block)
 		opts.Advertise = l.links.Advertise
 	}
 	var err error
-	if l.cluster, err = cluster.Start(ctx, lab.Replicas, opts); err != nil {
+	if l.cluster, err = cluster.Start(ctx, lab.RegistryReplicas, opts); err != nil {
 		return err
 	}
 	if l.client, err = l.cluster.Client(); err != nil {
@@ -86,7 +86,7 @@
 
 // keep renews the leases until the run ends; what is registered then goes with the replicas.
 func (l *listService) keep() {
-	wait := time.Duration(l.f.plan.File.Discovery.LeaseMS) * time.Millisecond / 3
+	wait := time.Duration(l.f.plan.Experiment.Discovery.LeaseMS) * time.Millisecond / 3
 	for sleep(l.ctx, wait) {
 		ctx, cancel := context.WithTimeout(l.ctx, wait)
 		if err := l.keeper.RenewOnce(ctx); err != nil && l.ctx.Err() == nil {
@@ -100,7 +100,7 @@
 	t := l.f.entry(s, 0, ready)
 	return registry.Instance{
 		Target: registry.Target{UID: t.UID, Endpoint: t.Endpoint, Zone: t.Zone, Model: t.Model, PodGroup: t.Pod, State: t.State, Capacity: t.Capacity, BootMS: t.Boot},
-		TTLMS:  l.f.plan.File.Discovery.LeaseMS, Version: s.version,
+		TTLMS:  l.f.plan.Experiment.Discovery.LeaseMS, Version: s.version,
 	}
 }
 
--- a/internal/lab/live/remote.go
+++ b/internal/lab/live/remote.go
@@ -61,7 +61,7 @@
 	// Fell tells that the server was pushed over.
 	Fell struct {
 		At   int64 // Unix ns
-		Fall lab.Fall
+		Fall lab.SlowStartOverload
 	}
 )
 
@@ -155,16 +155,16 @@
 
 func (r *remote) ends() { r.ask("Ends", 0, new(int)) }
 
-func (r *remote) ran(at time.Time, e lab.Ended) {
-	r.say("Ran", Ran{e.Request, at.UnixNano(), e.Effect, e.Took, e.Key, e.Met})
+func (r *remote) ran(at time.Time, e lab.JobCompletion) {
+	r.say("Ran", Ran{e.Request, at.UnixNano(), e.EffectApplied, e.ActualWorkMS, e.Key, e.CacheHit})
 }
 
-func (r *remote) fell(at time.Time, fall *lab.Fall) {
+func (r *remote) fell(at time.Time, fall *lab.SlowStartOverload) {
 	r.ask("Fell", Fell{at.UnixNano(), *fall}, new(int))
 }
 
-// Seen asks for the effects of the server's group, which the lab keeps for all of them.
-func (r *remote) Seen(_ float64, _ *lab.ServerPlan, _ *lab.ClassPlan, number int, effect uint64) bool {
+// CheckAndRecord asks for the effects of the server's group, which the lab keeps for all of them.
+func (r *remote) CheckAndRecord(_ float64, _ *lab.ServerPlan, _ *lab.ClassPlan, number int, effect uint64) bool {
 	var seen bool
 	return r.ask("Seen", Effect{number, effect}, &seen) && seen
 }
--- a/internal/lab/live/rogue.go
+++ b/internal/lab/live/rogue.go
@@ -19,8 +19,8 @@
 )
 
 // act does something to units behind the controllers' back.
-func (c *control) act(ctx context.Context, n int, s *lab.StepFile) error {
-	of, beside := c.f.plan.Units(s.Target)
+func (c *control) act(ctx context.Context, n int, s *lab.StepSpec) error {
+	of, beside := c.f.plan.MatchUnits(s.Target)
 	var servers, units []string
 	for _, i := range of {
 		servers = append(servers, c.f.plan.Servers[i].UID)
@@ -29,7 +29,7 @@
 	for _, i := range beside {
 		units = append(units, c.f.plan.Sidecars[i].Name)
 	}
-	switch s.Do {
+	switch s.Action {
 	case "drain":
 		for _, uid := range servers {
 			if _, err := c.f.registry.client.SetState(ctx, registry.WriteOptions{}, uid, registry.InstanceTerminating); err != nil {
@@ -40,7 +40,7 @@
 	case "copies":
 		return c.copies(ctx, servers)
 	}
-	return c.ask(ctx, n, supervisor.Op(s.Do), units)
+	return c.ask(ctx, n, supervisor.Op(s.Action), units)
 }
 
 // ask asks the platform.
@@ -76,8 +76,8 @@
 	return leaderelection.Run(ctx, client, "spread", leaderelection.Options{}, func(ctx context.Context, l *leaderelection.Lease) error {
 		now := time.Now()
 		var set []placement.Directive
-		for i := range min(rogueKeys, c.f.plan.File.Clients.Keys) {
-			key := fmt.Sprintf("%016x", keyHash(c.f.plan.Key(i)))
+		for i := range min(rogueKeys, c.f.plan.Experiment.Clients.Keys) {
+			key := fmt.Sprintf("%016x", keyHash(c.f.plan.ClientKey(i)))
 			e := placement.Directive{ID: "spread/" + key, Kind: placement.KindSpreadKey, KeyHash: key, ExpiresAtMS: now.Add(rogueFor).UnixMilli()}
 			for _, uid := range servers {
 				e.Copies = append(e.Copies, placement.KeyCopy{ServerUID: uid, LoadFraction: 1 / float64(len(servers)+1)})
--- a/internal/lab/live/server.go
+++ b/internal/lab/live/server.go
@@ -23,10 +23,10 @@
 
 func (f *fleet) newServer(n int) *server {
 	s := &server{f: f}
-	s.front = newFront(s, n, &f.plan.Servers[n], lab.NewServer(f.plan, n, f.stores), f.plan.File.Limits.Probes)
+	s.front = newFront(s, n, &f.plan.Servers[n], lab.NewServer(f.plan, n, f.stores), f.plan.Experiment.Limits.AllowHealthChecks)
 	for i := range f.plan.Sidecars {
 		s.ports = append(s.ports, &port{
-			addr: f.addrs.server(s.plan.Slot, i), accept: func(c net.Conn) { s.serve(c, i) },
+			addr: f.addrs.server(s.plan.AddressSlot, i), accept: func(c net.Conn) { s.serve(c, i) },
 		})
 		if f.registry != nil {
 			break // the list service has one address for all; whose a request is, its id tells
@@ -86,14 +86,16 @@
 
 func (s *server) now() float64 { return s.f.now() }
 
-func (s *server) lateness(ms float64) { s.f.measure.Lateness(ms) }
+func (s *server) lateness(ms float64) { s.f.measure.RecordLateness(ms) }
 
-func (s *server) count(add func(*lab.Counts)) { s.f.measure.Count(add) }
+func (s *server) count(add func(*lab.Counts)) { s.f.measure.AddCounts(add) }
 
-func (s *server) ran(end lab.Ended) { s.f.judge.Ran(end.At, end.Request, s.n, end.Effect) }
+func (s *server) ran(end lab.JobCompletion) {
+	s.f.judge.RequestExecuted(end.At, end.Request, s.n, end.EffectApplied)
+}
 
-func (s *server) fell(now float64, fall *lab.Fall) {
-	s.f.judge.Fell(now, s.n, fall)
+func (s *server) fell(now float64, fall *lab.SlowStartOverload) {
+	s.f.judge.ServerOverloaded(now, s.n, fall)
 	s.die()
 	s.f.unlist(s)
 }
@@ -112,12 +114,12 @@
 
 // way is the delay from the sidecar's zone, one way.
 func (l *fleetLink) way() time.Duration {
-	d := l.f.plan.Servers[l.server].Delay[l.f.plan.Sidecars[l.sidecar].Zone]
-	return millis(d * (1 + l.f.plan.File.Network.Jitter*(2*rand.Float64()-1)))
+	d := l.f.plan.Servers[l.server].DelayByZone[l.f.plan.Sidecars[l.sidecar].Zone]
+	return millis(d * (1 + l.f.plan.Experiment.Network.Jitter*(2*rand.Float64()-1)))
 }
 
-func (l *fleetLink) ends() (here, there lab.End) {
-	return lab.End{Kind: lab.ServerEnd, N: l.server}, lab.End{Kind: lab.SidecarEnd, N: l.sidecar}
+func (l *fleetLink) ends() (here, there lab.Endpoint) {
+	return lab.Endpoint{Kind: lab.ServerEndpoint, Index: l.server}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: l.sidecar}
 }
 
 func (l *fleetLink) arrives(ctx context.Context, fresh bool) bool {
@@ -150,23 +152,23 @@
 		c.asked = known.(*asked)
 		c.sidecar = c.asked.Sidecar
 	}
-	f.judge.Sent(f.ms(last), f.ms(first), id, c.attempt, c.sidecar, server)
+	f.judge.AttemptReceived(f.ms(last), f.ms(first), id, c.attempt, c.sidecar, server)
 	return c, mine
 }
 
 func (c *fleetCall) job() lab.Job {
 	a := c.asked
 	return lab.Job{
-		Attempt: c.attempt, Request: c.id, Class: a.Class, Key: a.Key, Effect: a.Effect, Work: a.Work,
-		Informed: c.f.informed(c.sidecar, c.server),
+		Attempt: c.attempt, Request: c.id, Class: a.Class, Key: a.Key, EffectID: a.EffectID, WorkMS: a.WorkMS,
+		SenderInformed: c.f.informed(c.sidecar, c.server),
 	}
 }
 
 func (c *fleetCall) over(how string) { c.overAt(c.f.now(), how) }
 
 func (c *fleetCall) overAt(now float64, how string) {
-	c.f.judge.Over(now, c.id, c.attempt, how)
-	c.f.measure.Attempt(now, c.sidecar, c.server, c.f.isRepeat(c.id), how)
+	c.f.judge.AttemptEnded(now, c.id, c.attempt, how)
+	c.f.measure.AttemptDone(now, c.sidecar, c.server, c.f.isRepeat(c.id), how)
 }
 
-func (c *fleetCall) made() { c.f.judge.Made(c.f.now(), c.id, c.server) }
+func (c *fleetCall) made() { c.f.judge.ResponseProduced(c.f.now(), c.id, c.server) }
--- a/internal/lab/live/units.go
+++ b/internal/lab/live/units.go
@@ -13,23 +13,23 @@
 
 // serverFile is the configuration of a server's process.
 func (c *control) serverFile(s *server) string {
-	f := c.f.plan.File
-	k, p := s.plan.Kind, s.plan
+	f := c.f.plan.Experiment
+	k, p := s.plan.Spec, s.plan
 	var b strings.Builder
 	fmt.Fprintf(&b, "lab = %q\nnumber = %d\nzone = %d\npod = %d\nspeed = %v\ncold_ms = %v\nwarm = true\nseed = %d\nprobes = %v\n",
-		c.observerAddr(), s.n, p.Zone, p.Pod, float(p.Speed), float(p.ColdMS), c.f.plan.Seed>>1, f.Limits.Probes)
-	fmt.Fprintf(&b, "[rules]\nfall_multiple = %v\nfall_ms = %v\n", float(f.Rules.FallMultiple), float(f.Rules.FallMS))
-	fmt.Fprintf(&b, "[kind]\nkind = %q\ncores = %d\nqueue = %d\npod_size = %d\ncold_from = %v\n", k.Kind, k.Cores, k.Queue, k.PodSize, float(k.ColdFrom))
+		c.observerAddr(), s.n, p.Zone, p.Cell, float(p.Speed), float(p.SlowStartMS), c.f.plan.Seed>>1, f.Limits.AllowHealthChecks)
+	fmt.Fprintf(&b, "[rules]\nfall_multiple = %v\nfall_ms = %v\n", float(f.Rules.OverloadMultiple), float(f.Rules.OverloadWindowMS))
+	fmt.Fprintf(&b, "[kind]\nkind = %q\ncores = %d\nqueue = %d\npod_size = %d\ncold_from = %v\n", k.Kind, k.Cores, k.QueueLength, k.CellSize, float(k.SlowStartFrom))
 	fmt.Fprintf(&b, "choke_at = %v\nchoke_for_ms = %v\nchoke_slower = %v\nchoke_idle_ms = %v\nchoke_most_ms = %v\n",
-		float(k.ChokeAt), float(k.ChokeForMS), float(k.ChokeSlower), float(k.ChokeIdleMS), float(k.ChokeMostMS))
+		float(k.CongestionQueuePerCore), float(k.CongestionAfterMS), float(k.CongestionSlowdown), float(k.CongestionIdleMS), float(k.CongestionMaxMS))
 	fmt.Fprintf(&b, "warm_gain = %v\nwarm_ms = %v\nwarm_keys = %d\nconnections = %d\nidle_close_ms = %v\nhandshake_ms = %v\nerror_rate = %v\n",
-		float(k.WarmGain), float(k.WarmMS), k.WarmKeys, k.Connections, float(k.IdleCloseMS), float(k.HandshakeMS), float(k.ErrorRate))
+		float(k.CacheGain), float(k.CacheTTLMS), k.CacheKeys, k.MaxConnections, float(k.IdleCloseMS), float(k.HandshakeMS), float(k.ErrorRate))
 	for i := range f.Classes {
 		k := &f.Classes[i]
 		fmt.Fprintf(&b, "[[class]]\nname = %q\nshare = %v\nwork_ms = [%v, %v]\naim_ms = %v\ndeadline_ms = %v\nworth = %v\neffect = %q\n",
-			k.Name, float(k.Share), float(k.WorkMS.Least), float(k.WorkMS.Most), float(k.AimMS), float(k.DeadlineMS), float(k.Worth), k.Effect)
-		if k.Group != "" {
-			fmt.Fprintf(&b, "group = %q\nwindow_ms = %v\n", k.Group, float(k.WindowMS))
+			k.Name, float(k.Share), float(k.WorkMS.Min), float(k.WorkMS.Max), float(k.LatencyObjectiveMS), float(k.DeadlineMS), float(k.PriorityWeight), k.Idempotency)
+		if k.DeduplicationScope != "" {
+			fmt.Fprintf(&b, "group = %q\nwindow_ms = %v\n", k.DeduplicationScope, float(k.IdempotencyWindowMS))
 		}
 	}
 	return b.String()
@@ -123,5 +123,5 @@
 func (c *control) isWarm(s *server) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.up && c.now() >= s.boot+s.plan.ColdMS
+	return s.up && c.now() >= s.boot+s.plan.SlowStartMS
 }
--- a/internal/lab/live/watch.go
+++ b/internal/lab/live/watch.go
@@ -35,9 +35,9 @@
 	if known || c.over.Load() {
 		return
 	}
-	c.judge.Began(c.now(), unit, lifeName(pid), version)
+	c.judge.ProcessStarted(c.now(), unit, lifeName(pid), version)
 	if n, is := c.beside[unit]; is {
-		c.f.judge.Forget(n)
+		c.f.judge.SidecarRestarted(n)
 	}
 }
 
@@ -48,7 +48,7 @@
 	delete(c.lives, pid)
 	c.mu.Unlock()
 	if s != nil && !c.over.Load() {
-		c.judge.Ended(c.now(), s.unit, lifeName(pid))
+		c.judge.ProcessExited(c.now(), s.unit, lifeName(pid))
 	}
 }
 
@@ -187,9 +187,9 @@
 				switch got := status(n.addr); {
 				case got == http.StatusOK && was != pid:
 					was = pid
-					c.judge.Ready(c.now(), unit, lifeName(pid), true)
+					c.judge.ReadinessChanged(c.now(), unit, lifeName(pid), true)
 				case got == http.StatusServiceUnavailable && was == pid:
-					c.judge.Told(c.now(), unit, lifeName(pid))
+					c.judge.TerminationRequested(c.now(), unit, lifeName(pid))
 				}
 			}
 		})
@@ -233,6 +233,6 @@
 			continue
 		}
 		states[unit] = state
-		c.judge.Listed(now, unit, state)
+		c.judge.EndpointStateChanged(now, unit, state)
 	}
 }
--- a/internal/lab/live/watch_placement.go
+++ b/internal/lab/live/watch_placement.go
@@ -34,13 +34,13 @@
 
 // placed tells the judge which servers a sidecar is told to keep off, and where keys have copies.
 func (c *control) placed(sidecar int, r *placement.Cache, wall time.Time, mono int64) {
-	var kept []lab.Kept
-	var copies []lab.Copied
+	var kept []lab.Exclusion
+	var copies []lab.KeyCopy
 	for _, e := range r.Active(wall.UnixMilli(), mono).Directives {
 		switch e.Kind {
 		case placement.KindExclude:
 			for _, s := range e.Servers {
-				kept = append(kept, lab.Kept{Tenant: e.Tenant, Server: s, Until: c.now() + float64(e.RemainingMS)})
+				kept = append(kept, lab.Exclusion{Tenant: e.Tenant, Server: s, Until: c.now() + float64(e.RemainingMS)})
 			}
 		case placement.KindSpreadKey:
 			key, err := strconv.ParseUint(e.KeyHash, 16, 64)
@@ -48,12 +48,12 @@
 				continue // the reader takes none such
 			}
 			for _, s := range e.Copies {
-				copies = append(copies, lab.Copied{Key: key, Server: s.ServerUID})
+				copies = append(copies, lab.KeyCopy{Key: key, Server: s.ServerUID})
 			}
 		}
 	}
-	c.judge.Placed(c.now(), sidecar, kept)
-	c.judge.Copies(sidecar, copies)
+	c.judge.ExclusionsPublished(c.now(), sidecar, kept)
+	c.judge.CopiesPublished(sidecar, copies)
 }
 
 // keyHash is a key of the lab's as sidecars hash it and the placement names it.
--- a/internal/lab/live/work.go
+++ b/internal/lab/live/work.go
@@ -7,11 +7,11 @@
 )
 
 // offer brings the model a job; what becomes of it comes on the channel.
-func (s *front) offer(j lab.Job) (<-chan lab.Ended, bool) {
+func (s *front) offer(j lab.Job) (<-chan lab.JobCompletion, bool) {
 	s.mu.Lock()
 	now := s.host.now()
 	s.advance(now)
-	result := make(chan lab.Ended, 1)
+	result := make(chan lab.JobCompletion, 1)
 	if j.Attempt != 0 {
 		s.asks[j.Attempt] = result
 	}
@@ -33,14 +33,14 @@
 	now := s.host.now()
 	delete(s.asks, attempt)
 	s.advance(now)
-	s.model.Drop(now, attempt)
+	s.model.Cancel(now, attempt)
 	s.arm(now)
 }
 
 // advance lets the model's time pass; the caller holds the lock.
 func (s *front) advance(now float64) {
-	s.model.Advance(now, func(end lab.Ended) {
-		if end.How != lab.Expired {
+	s.model.Advance(now, func(end lab.JobCompletion) {
+		if end.Result != lab.JobExpired {
 			s.host.ran(end)
 		}
 		if ch := s.asks[end.Attempt]; ch != nil {
--- a/internal/lab/report/diff.go
+++ b/internal/lab/report/diff.go
@@ -17,12 +17,12 @@
 	"milldeck/internal/lab"
 )
 
-// maxLine bounds one result in a file, in bytes.
-const maxLine = 64 << 20
+// maxLineBytes bounds one result in a file, in bytes.
+const maxLineBytes = 64 << 20
 
-// Read reads the results in a file: one JSON object, or one on each line as a sweep writes them. A torn last
+// ReadResults reads the results in a file: one JSON object, or one on each line as a sweep writes them. A torn last
 // line, of a sweep that was cut off, is left out.
-func Read(path string) ([]*lab.Result, error) {
+func ReadResults(path string) ([]*lab.Result, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -33,7 +33,7 @@
 	}
 	var out []*lab.Result
 	lines := bufio.NewScanner(bytes.NewReader(data))
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	var torn error
 	for n := 1; lines.Scan(); n++ {
 		if torn != nil {
@@ -55,39 +55,39 @@
 	return out, nil
 }
 
-// Difference is what changed from A to B in one figure, in the mean over pairs of the same seed, with the 95%
+// MetricDifference is what changed from A to B in one figure, in the mean over pairs of the same seed, with the 95%
 // interval of the mean (Student's t); with one pair there is no interval.
-type Difference struct {
-	Figure string  `json:"figure"`
-	A      float64 `json:"a"`
-	B      float64 `json:"b"`
-	Mean   float64 `json:"difference"`
-	Half   float64 `json:"interval,omitempty"`
-	Clear  bool    `json:"clear"` // the interval leaves out zero
+type MetricDifference struct {
+	Metric         string  `json:"figure"`
+	A              float64 `json:"a"`
+	B              float64 `json:"b"`
+	MeanDifference float64 `json:"difference"`
+	HalfInterval   float64 `json:"interval,omitempty"`
+	Significant    bool    `json:"clear"` // the interval leaves out zero
 }
 
 // ErrNoPairs is given where two sets of runs share no seed.
 var ErrNoPairs = errors.New("no two runs with the same seed")
 
-var figures = []struct {
+var comparedMetrics = []struct {
 	name string
 	of   func(*lab.Result) float64
 }{
-	{"worth_share", func(r *lab.Result) float64 { return r.WorthShare }},
+	{"worth_share", func(r *lab.Result) float64 { return r.WeightedServedShare }},
 	{"served_share", func(r *lab.Result) float64 { return r.ServedShare }},
 	{"p50_ms", func(r *lab.Result) float64 { return r.P50 }},
 	{"p90_ms", func(r *lab.Result) float64 { return r.P90 }},
 	{"p99_ms", func(r *lab.Result) float64 { return r.P99 }},
-	{"lost", func(r *lab.Result) float64 { return float64(r.Lost) }},
-	{"refused", func(r *lab.Result) float64 { return float64(r.Refused) }},
-	{"broken_rules", func(r *lab.Result) float64 { return float64(r.BrokenRules) }},
+	{"lost", func(r *lab.Result) float64 { return float64(r.Unanswered) }},
+	{"refused", func(r *lab.Result) float64 { return float64(r.Rejected) }},
+	{"broken_rules", func(r *lab.Result) float64 { return float64(r.ViolationCount) }},
 	{"attempts", func(r *lab.Result) float64 { return float64(r.Attempts) }},
 	{"handshakes", func(r *lab.Result) float64 { return float64(r.Handshakes) }},
-	{"cross_zone_share", func(r *lab.Result) float64 { return r.CrossShare }},
+	{"cross_zone_share", func(r *lab.Result) float64 { return r.CrossZoneShare }},
 }
 
-// Diff compares runs pair by pair.
-func Diff(a, b []*lab.Result) ([]Difference, int, error) {
+// Compare compares runs pair by pair.
+func Compare(a, b []*lab.Result) ([]MetricDifference, int, error) {
 	bySeed := map[uint64]*lab.Result{}
 	for _, r := range a {
 		bySeed[r.Seed] = r
@@ -101,9 +101,9 @@
 	if len(pairs) == 0 {
 		return nil, 0, ErrNoPairs
 	}
-	var out []Difference
-	for _, f := range figures {
-		d := Difference{Figure: f.name}
+	var out []MetricDifference
+	for _, f := range comparedMetrics {
+		d := MetricDifference{Metric: f.name}
 		var diffs []float64
 		for _, p := range pairs {
 			d.A += f.of(p[0]) / float64(len(pairs))
@@ -111,11 +111,11 @@
 			diffs = append(diffs, f.of(p[1])-f.of(p[0]))
 		}
 		mean, dev := stat.MeanStdDev(diffs, nil)
-		d.Mean = mean
+		d.MeanDifference = mean
 		if n := float64(len(pairs)); n > 1 {
 			t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975)
-			d.Half = t * dev / math.Sqrt(n)
-			d.Clear = math.Abs(mean) > d.Half
+			d.HalfInterval = t * dev / math.Sqrt(n)
+			d.Significant = math.Abs(mean) > d.HalfInterval
 		}
 		out = append(out, d)
 	}
@@ -123,7 +123,7 @@
 }
 
 // WriteDiff writes differences as a table.
-func WriteDiff(w io.Writer, diffs []Difference, pairs int) error {
+func WriteDiff(w io.Writer, diffs []MetricDifference, pairs int) error {
 	fmt.Fprintf(w, "%d pair(s) of runs with the same seed; differences are B - A", pairs)
 	if pairs > 1 {
 		fmt.Fprint(w, ", with the 95% interval of their mean")
@@ -134,12 +134,12 @@
 	for _, d := range diffs {
 		interval, word := "-", ""
 		if pairs > 1 {
-			interval = fmt.Sprintf("±%.4g", d.Half)
-			if d.Clear {
+			interval = fmt.Sprintf("±%.4g", d.HalfInterval)
+			if d.Significant {
 				word = "clear"
 			}
 		}
-		fmt.Fprintf(t, "%s\t%.5g\t%.5g\t%+.4g\t%s\t%s\t\n", d.Figure, d.A, d.B, d.Mean, interval, word)
+		fmt.Fprintf(t, "%s\t%.5g\t%.5g\t%+.4g\t%s\t%s\t\n", d.Metric, d.A, d.B, d.MeanDifference, interval, word)
 	}
 	return t.Flush()
 }
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -7,87 +7,87 @@
 
 // client is one request with all its tries.
 type client struct {
-	e *engine
+	engine *engine
 	lab.Arrival
-	tries int
-	done  bool
-	now   *try // the one it waits for
+	attempts int
+	done     bool
+	current  *request // the one it waits for
 }
 
-// begin makes the next try.
-func (c *client) begin(now float64) {
+// sendAttempt makes the next try.
+func (c *client) sendAttempt(now float64) {
 	if c.done {
 		return
 	}
-	e, n := c.e, c.e.nodes[c.Sidecar]
-	c.tries++
-	timeout := e.plan.Timeout(&c.Arrival, now)
+	engine, sidecar := c.engine, c.engine.sidecars[c.Sidecar]
+	c.attempts++
+	timeout := engine.plan.AttemptTimeout(&c.Arrival, now)
 	switch {
-	case e.isCut(lab.End{Kind: lab.ClientEnd, N: n.n}, lab.End{Kind: lab.SidecarEnd, N: n.n}):
-		e.at(now+timeout, func(now float64) { c.ended(now, lab.NoAnswer, 0) })
+	case engine.isPartitioned(lab.Endpoint{Kind: lab.ClientEndpoint, Index: sidecar.index}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: sidecar.index}):
+		engine.schedule(now+timeout, func(now float64) { c.attemptDone(now, lab.OutcomeNoResponse, 0) })
 		return
-	case !n.up || n.closed:
-		e.at(now+2*clientDelay, func(now float64) { c.ended(now, lab.Unreachable, 0) })
+	case !sidecar.up || sidecar.draining:
+		engine.schedule(now+2*clientDelayMS, func(now float64) { c.attemptDone(now, lab.OutcomeUnreachable, 0) })
 		return
 	}
-	e.lastID++
-	t := &try{id: e.lastID, c: c, n: n, deadline: now + timeout}
-	c.now = t
-	n.tries[t.id] = t
-	e.judge.Asked(now, t.id, n.n, c.Class, timeout)
-	e.at(now+clientDelay, func(float64) {
-		if t.over || n.tries[t.id] != t {
+	engine.lastRequest++
+	request := &request{id: engine.lastRequest, client: c, sidecar: sidecar, deadline: now + timeout}
+	c.current = request
+	sidecar.requests[request.id] = request
+	engine.checker.RequestSent(now, request.id, sidecar.index, c.Class, timeout)
+	engine.schedule(now+clientDelayMS, func(float64) {
+		if request.answered || sidecar.requests[request.id] != request {
 			return
 		}
-		r := balance.Request{
-			ID: balance.RequestID(t.id), Class: c.Class, Tenant: -1, ExpectedWork: c.Hint, Key: c.Key, Timeout: timeout,
-			ClientRetry: c.tries > 1, Write: e.plan.Classes[c.Class].Effect != balance.Idempotent,
+		event := balance.Request{
+			ID: balance.RequestID(request.id), Class: c.Class, Tenant: -1, ExpectedWork: c.ExpectedWorkMS, Key: c.Key, Timeout: timeout,
+			ClientRetry: c.attempts > 1, Write: engine.plan.Classes[c.Class].Idempotency != balance.Idempotent,
 		}
-		if e.spread != nil {
-			e.spread.asked(e.now, n, &r)
+		if engine.hotKeys != nil {
+			engine.hotKeys.requestReceived(engine.now, sidecar, &event)
 		}
-		n.deliver(r)
+		sidecar.deliver(event)
 	})
-	e.at(t.deadline+e.plan.File.Rules.AnswerSlackMS+slackTicks*e.tick+2*clientDelay, func(now float64) {
-		if t.gone {
+	engine.schedule(request.deadline+engine.plan.Experiment.Rules.AnswerSlackMS+slackTicks*engine.tickMS+2*clientDelayMS, func(now float64) {
+		if request.clientGone {
 			return
 		}
-		e.judge.Unanswered(now, t.id, lab.NoAnswer)
-		t.hangUp()
-		c.ended(now, lab.NoAnswer, 0)
+		engine.checker.RequestUnanswered(now, request.id, lab.OutcomeNoResponse)
+		request.disconnect()
+		c.attemptDone(now, lab.OutcomeNoResponse, 0)
 	})
 }
 
-// ended: a try is over; the client tries again or has what it got.
-func (c *client) ended(now float64, how lab.Answer, retryAfter float64) {
+// attemptDone: a try is over; the client tries again or has what it got.
+func (c *client) attemptDone(now float64, outcome lab.Outcome, retryAfter float64) {
 	if c.done {
 		return
 	}
-	c.now = nil
-	if at, again := c.e.plan.Retry(&c.Arrival, c.tries-1, how, now, retryAfter); again {
-		c.e.at(at, c.begin)
+	c.current = nil
+	if at, retry := c.engine.plan.NextRetry(&c.Arrival, c.attempts-1, outcome, now, retryAfter); retry {
+		c.engine.schedule(at, c.sendAttempt)
 		return
 	}
-	c.finish(now, how, false)
+	c.finish(now, outcome, false)
 }
 
-// leave: the client goes away before it has an answer.
-func (c *client) leave(now float64) {
+// disconnect: the client goes away before it has an answer.
+func (c *client) disconnect(now float64) {
 	if c.done {
 		return
 	}
-	if c.now != nil {
-		c.e.judge.Left(now, c.now.id)
-		c.now.hangUp()
+	if c.current != nil {
+		c.engine.checker.ClientDisconnected(now, c.current.id)
+		c.current.disconnect()
 	}
-	c.finish(now, lab.NoAnswer, true)
+	c.finish(now, lab.OutcomeNoResponse, true)
 }
 
-func (c *client) finish(now float64, how lab.Answer, left bool) {
+func (c *client) finish(now float64, outcome lab.Outcome, disconnected bool) {
 	c.done = true
-	c.e.open--
-	if s := c.e.spread; s != nil {
-		s.judge.Done(&c.Arrival, how, left, now)
+	c.engine.openRequests--
+	if s := c.engine.hotKeys; s != nil {
+		s.checker.RequestDone(&c.Arrival, outcome, disconnected, now)
 	}
-	c.e.measure.Done(&c.Arrival, c.tries, how, left, now)
+	c.engine.recorder.RequestDone(&c.Arrival, c.attempts, outcome, disconnected, now)
 }
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/engine_test.go
@@ -12,8 +12,8 @@
 	"milldeck/internal/lab"
 )
 
-// small is a fleet that takes a fraction of a second to play; %s holds its faults.
-const small = `name = "small"
+// smallExperiment is a fleet that takes a fraction of a second to play; %s holds its faults.
+const smallExperiment = `name = "small"
 duration_s = 12
 zones = ["a", "b"]
 [sidecars]
@@ -57,16 +57,16 @@
 rate = 300
 %s`
 
-func plan(t *testing.T, faults string, seed uint64) *lab.Plan {
+func newSmallPlan(t *testing.T, faults string, seed uint64) *lab.Plan {
 	t.Helper()
-	f, err := lab.Parse("small.toml", fmt.Appendf(nil, small, faults))
+	f, err := lab.Parse("small.toml", fmt.Appendf(nil, smallExperiment, faults))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f.Draw(seed)
+	return f.NewPlan(seed)
 }
 
-func play(t *testing.T, p *lab.Plan, o Options) *lab.Result {
+func mustRun(t *testing.T, p *lab.Plan, o Options) *lab.Result {
 	t.Helper()
 	r, _, err := Run(t.Context(), p, o)
 	if err != nil {
@@ -82,22 +82,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f.Draw(seed)
+	return f.NewPlan(seed)
 }
 
-func TestTheModuleKeepsTheRulesUnderEveryFault(t *testing.T) {
+func TestModuleKeepsRulesUnderEveryFault(t *testing.T) {
 	for seed := range uint64(10) {
-		r := play(t, everyFault(t, seed+1), Options{})
-		if r.BrokenRules > 0 || r.Requests < 3000 || r.ServedShare < 0.5 {
-			t.Errorf("seed %d: %d requests, %.3f served, rules broken: %+v", seed+1, r.Requests, r.ServedShare, r.Broken)
+		r := mustRun(t, everyFault(t, seed+1), Options{})
+		if r.ViolationCount > 0 || r.Requests < 3000 || r.ServedShare < 0.5 {
+			t.Errorf("seed %d: %d requests, %.3f served, rules broken: %+v", seed+1, r.Requests, r.ServedShare, r.Violations)
 		}
 	}
 }
 
-func TestTheSameBytesWithAnyNumberOfWorkers(t *testing.T) {
+func TestResultIndependentOfWorkers(t *testing.T) {
 	var first []byte
 	for _, workers := range []int{1, 6, 6, 3} {
-		data, err := json.Marshal(play(t, everyFault(t, 5), Options{Workers: workers}))
+		data, err := json.Marshal(mustRun(t, everyFault(t, 5), Options{Workers: workers}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -110,10 +110,10 @@
 	}
 }
 
-// planted is an instance that breaks one rule on purpose.
-type planted struct {
+// defectiveInstance is an instance that breaks one rule on purpose.
+type defectiveInstance struct {
 	Instance
-	change func(p *planted, now float64, ev balance.Event, acts []balance.Action) []balance.Action
+	change func(p *defectiveInstance, now float64, ev balance.Event, acts []balance.Action) []balance.Action
 
 	sent    map[balance.RequestID]balance.ServerID
 	held    []balance.Action
@@ -121,8 +121,8 @@
 	bad     balance.ServerID
 }
 
-func (p *planted) Handle(now float64, ev balance.Event) ([]balance.Action, error) {
-	if l, is := ev.(balance.EndpointUpdate); is {
+func (p *defectiveInstance) Handle(now float64, ev balance.Event) ([]balance.Action, error) {
+	if l, ok := ev.(balance.EndpointUpdate); ok {
 		for _, s := range l.Servers {
 			if l.Kind != balance.UpdateDelta {
 				p.servers = append(p.servers, s.ID)
@@ -140,7 +140,7 @@
 }
 
 // sendTo has all first attempts go to one server.
-func sendTo(p *planted, acts []balance.Action) []balance.Action {
+func sendTo(p *defectiveInstance, acts []balance.Action) []balance.Action {
 	for i := range acts {
 		if acts[i].Kind == balance.Send && p.bad != 0 {
 			acts[i].Server = p.bad
@@ -151,9 +151,9 @@
 
 // The judge is proved able to fail: for every rule that an instance can break, one that does is caught, with
 // the story of a request.
-func TestTheJudgeCatchesPlantedFaults(t *testing.T) {
-	drop := func(kinds ...balance.ActionKind) func(*planted, float64, balance.Event, []balance.Action) []balance.Action {
-		return func(_ *planted, _ float64, _ balance.Event, acts []balance.Action) []balance.Action {
+func TestCheckerDetectsDefects(t *testing.T) {
+	drop := func(kinds ...balance.ActionKind) func(*defectiveInstance, float64, balance.Event, []balance.Action) []balance.Action {
+		return func(_ *defectiveInstance, _ float64, _ balance.Event, acts []balance.Action) []balance.Action {
 			var out []balance.Action
 			for _, a := range acts {
 				keep := true
@@ -170,13 +170,13 @@
 	for _, c := range []struct {
 		rule   lab.Rule
 		faults string
-		change func(*planted, float64, balance.Event, []balance.Action) []balance.Action
+		change func(*defectiveInstance, float64, balance.Event, []balance.Action) []balance.Action
 	}{
-		{lab.RuleAnswer, "[[fault]]\nkind = \"errors\"\ntarget = \"servers\"\npart = 1\nat_s = 2\nfor_s = 1\n", drop(balance.Reject, balance.Fail)},
-		{lab.RuleTwice, "[[fault]]\nkind = \"reset\"\ntarget = \"servers\"\npart = 0.2\nat_s = 2\nfor_s = 5\n",
-			func(p *planted, _ float64, ev balance.Event, acts []balance.Action) []balance.Action {
+		{lab.RuleSingleResponse, "[[fault]]\nkind = \"errors\"\ntarget = \"servers\"\npart = 1\nat_s = 2\nfor_s = 1\n", drop(balance.Reject, balance.Fail)},
+		{lab.RuleDuplicateEffect, "[[fault]]\nkind = \"reset\"\ntarget = \"servers\"\npart = 0.2\nat_s = 2\nfor_s = 5\n",
+			func(p *defectiveInstance, _ float64, ev balance.Event, acts []balance.Action) []balance.Action {
 				// A request that may have run is sent again, whatever its class, to any server.
-				if o, is := ev.(balance.Outcome); is && o.Result == balance.Reset && o.Attempt == 0 {
+				if o, ok := ev.(balance.Outcome); ok && o.Result == balance.Reset && o.Attempt == 0 {
 					to := p.servers[0]
 					if to == o.Server {
 						to = p.servers[1]
@@ -185,7 +185,7 @@
 				}
 				return acts
 			}},
-		{lab.RuleParallel, "", func(p *planted, _ float64, ev balance.Event, acts []balance.Action) []balance.Action {
+		{lab.RuleParallelAttempts, "", func(p *defectiveInstance, _ float64, ev balance.Event, acts []balance.Action) []balance.Action {
 			out := append([]balance.Action(nil), acts...)
 			for _, a := range acts {
 				if a.Kind == balance.Send {
@@ -194,25 +194,25 @@
 			}
 			return out
 		}},
-		{lab.RuleDrain, "[[fault]]\nkind = \"restart\"\ntarget = \"server:0\"\nat_s = 1\n",
-			func(p *planted, _ float64, _ balance.Event, acts []balance.Action) []balance.Action {
+		{lab.RuleDraining, "[[fault]]\nkind = \"restart\"\ntarget = \"server:0\"\nat_s = 1\n",
+			func(p *defectiveInstance, _ float64, _ balance.Event, acts []balance.Action) []balance.Action {
 				return sendTo(p, acts)
 			}},
-		{lab.RuleCold, "[[fault]]\nkind = \"kill\"\ntarget = \"server:0\"\nat_s = 1\nfor_s = 1\n",
-			func(p *planted, _ float64, _ balance.Event, acts []balance.Action) []balance.Action {
+		{lab.RuleSlowStart, "[[fault]]\nkind = \"kill\"\ntarget = \"server:0\"\nat_s = 1\nfor_s = 1\n",
+			func(p *defectiveInstance, _ float64, _ balance.Event, acts []balance.Action) []balance.Action {
 				return sendTo(p, acts)
 			}},
 	} {
-		r := play(t, plan(t, c.faults, 3), Options{New: func(n int, cfg balance.Config) (Instance, error) {
+		r := mustRun(t, newSmallPlan(t, c.faults, 3), Options{NewInstance: func(n int, cfg balance.Config) (Instance, error) {
 			b, err := balance.New(cfg)
-			return &planted{Instance: b, change: c.change}, err
+			return &defectiveInstance{Instance: b, change: c.change}, err
 		}})
-		if r.RuleCounts[c.rule] == 0 {
-			t.Errorf("rule %s: the planted fault was not seen; broken: %v", c.rule, r.RuleCounts)
+		if r.ViolationsByRule[c.rule] == 0 {
+			t.Errorf("rule %s: the planted fault was not seen; broken: %v", c.rule, r.ViolationsByRule)
 			continue
 		}
-		for _, b := range r.Broken {
-			if b.Rule == c.rule && b.Request != 0 && len(b.Story) == 0 {
+		for _, b := range r.Violations {
+			if b.Rule == c.rule && b.Request != 0 && len(b.History) == 0 {
 				t.Errorf("rule %s: no story of request %d", c.rule, b.Request)
 			}
 		}
@@ -220,7 +220,7 @@
 }
 
 // All experiments of the repository are played, though only their first seconds.
-func TestExperimentsPlay(t *testing.T) {
+func TestExperimentsRun(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal("no experiments", err)
@@ -231,21 +231,21 @@
 			t.Error(err)
 			continue
 		}
-		p := f.Draw(0)
-		p.Duration = 2000
-		r := play(t, p, Options{})
-		if r.Requests == 0 || r.BrokenRules > 0 {
-			t.Errorf("%s: %d requests, broken %+v", path, r.Requests, r.Broken)
+		p := f.NewPlan(0)
+		p.DurationMS = 2000
+		r := mustRun(t, p, Options{})
+		if r.Requests == 0 || r.ViolationCount > 0 {
+			t.Errorf("%s: %d requests, broken %+v", path, r.Requests, r.Violations)
 		}
 	}
 }
 
-func TestBaselinesKeepTheRulesOnRepeats(t *testing.T) {
+func TestBaselinesKeepRetryRules(t *testing.T) {
 	for _, policy := range Policies()[1:] {
-		r := play(t, everyFault(t, 2), Options{Policy: policy})
-		for _, rule := range []lab.Rule{lab.RuleTwice, lab.RuleParallel, lab.RuleDrain, lab.RuleAnswer} {
-			if r.RuleCounts[rule] > 0 {
-				t.Errorf("%s breaks rule %s: %+v", policy, rule, r.Broken[0])
+		r := mustRun(t, everyFault(t, 2), Options{Policy: policy})
+		for _, rule := range []lab.Rule{lab.RuleDuplicateEffect, lab.RuleParallelAttempts, lab.RuleDraining, lab.RuleSingleResponse} {
+			if r.ViolationsByRule[rule] > 0 {
+				t.Errorf("%s breaks rule %s: %+v", policy, rule, r.Violations[0])
 			}
 		}
 	}
@@ -263,11 +263,11 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			f.Sidecars.Count = lab.Range{Least: float64(sidecars), Most: float64(sidecars)}
+			f.Sidecars.Count = lab.Range{Min: float64(sidecars), Max: float64(sidecars)}
 			events := 0
 			for b.Loop() {
-				p := f.Draw(0)
-				p.Duration = 5000
+				p := f.NewPlan(0)
+				p.DurationMS = 5000
 				_, stats, err := Run(b.Context(), p, Options{})
 				if err != nil {
 					b.Fatal(err)
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -9,151 +9,151 @@
 
 // scheduleRolls has servers come and go as the plan's rolls say.
 func (e *engine) scheduleRolls() {
-	for _, h := range e.hosts {
-		if h.plan.Born > 0 {
-			e.at(h.plan.Born, func(now float64) { h.boots(now) })
+	for _, server := range e.servers {
+		if server.plan.StartMS > 0 {
+			e.schedule(server.plan.StartMS, func(now float64) { server.boot(now) })
 		}
-		if h.plan.Ends > 0 {
-			e.at(h.plan.Ends, func(now float64) { h.retire(now, false) })
+		if server.plan.ReplacedMS > 0 {
+			e.schedule(server.plan.ReplacedMS, func(now float64) { server.drain(now, false) })
 		}
 	}
 }
 
 // scheduleFault has a fault begin and end. A roll is in the servers' own times; that descriptors are used up
 // is nothing to instances, which have no sockets.
-func (e *engine) scheduleFault(f *lab.Fault) {
-	e.at(f.At, func(now float64) { e.begin(now, f) })
-	if f.End > 0 {
-		e.at(f.End, func(now float64) { e.end(now, f) })
+func (e *engine) scheduleFault(fault *lab.Fault) {
+	e.schedule(fault.StartMS, func(now float64) { e.beginFault(now, fault) })
+	if fault.EndMS > 0 {
+		e.schedule(fault.EndMS, func(now float64) { e.endFault(now, fault) })
 	}
 }
 
-func (e *engine) begin(now float64, f *lab.Fault) {
-	for _, i := range f.Servers {
-		h := e.hosts[i]
-		switch f.Kind {
-		case lab.Kill:
-			h.die(now)
-			h.unlist(now)
-		case lab.ZoneLost:
-			h.vanished = true
-			h.unlist(now)
-		case lab.Restart:
-			h.retire(now, true)
-		case lab.Freeze:
-			h.frozen = true
-		case lab.Refused:
-			h.refuses = true
-			h.lose(now, balance.Reset)
-		case lab.DiscoveryBad:
-			if h.listed {
-				e.change(now, h, balance.Removed)
+func (e *engine) beginFault(now float64, fault *lab.Fault) {
+	for _, i := range fault.Servers {
+		server := e.servers[i]
+		switch fault.Kind {
+		case lab.FaultKill:
+			server.crash(now)
+			server.scheduleRemoval(now)
+		case lab.FaultZoneOutage:
+			server.vanished = true
+			server.scheduleRemoval(now)
+		case lab.FaultRestart:
+			server.drain(now, true)
+		case lab.FaultFreeze:
+			server.frozen = true
+		case lab.FaultConnectionRefused:
+			server.refusing = true
+			server.resetConnections(now, balance.Reset)
+		case lab.FaultDiscoveryFalseRemoval:
+			if server.listed {
+				e.publishEndpoint(now, server, balance.Removed)
 			}
 		default:
-			h.model.Suffer(f, true)
+			server.model.SetFault(fault, true)
 		}
 	}
-	for _, i := range f.Sidecars {
-		n := e.nodes[i]
-		switch f.Kind {
-		case lab.Kill:
-			n.kill(now)
-		case lab.Restart:
-			n.restart(now)
-		case lab.Freeze:
-			n.freeze(f.End)
-		case lab.Reload:
-			n.ask(n.subscribed) // it follows discovery to another address and gets the list anew
+	for _, i := range fault.Sidecars {
+		sidecar := e.sidecars[i]
+		switch fault.Kind {
+		case lab.FaultKill:
+			sidecar.kill(now)
+		case lab.FaultRestart:
+			sidecar.restart(now)
+		case lab.FaultFreeze:
+			sidecar.freeze(fault.EndMS)
+		case lab.FaultReload:
+			sidecar.fetchEndpoints(sidecar.subscribed) // it follows discovery to another address and gets the list anew
 		}
 	}
-	switch f.Kind {
-	case lab.Cut, lab.Delay, lab.Loss:
-		e.links = append(e.links, f)
-		if f.Kind == lab.Cut {
-			e.excuse(f)
+	switch fault.Kind {
+	case lab.FaultPartition, lab.FaultDelay, lab.FaultPacketLoss:
+		e.linkFaults = append(e.linkFaults, fault)
+		if fault.Kind == lab.FaultPartition {
+			e.excusePartitioned(fault)
 		}
-	case lab.DiscoveryDown, lab.RegistryDown: // agents keep the last list
-		e.down = true
-		for _, n := range e.nodes {
-			if n.subscribed {
-				n.subscribed = false
-				n.deliver(balance.EndpointUpdate{Kind: balance.UpdateFailed})
+	case lab.FaultDiscoveryDown, lab.FaultRegistryDown: // agents keep the last list
+		e.discoveryDown = true
+		for _, sidecar := range e.sidecars {
+			if sidecar.subscribed {
+				sidecar.subscribed = false
+				sidecar.deliver(balance.EndpointUpdate{Kind: balance.UpdateFailed})
 			}
 		}
-	case lab.DiscoveryLate:
-		e.late += f.MS
-	case lab.DeciderDown, lab.ReportsLost, lab.ReportsLie:
-		e.spread.fault(now, f, true)
+	case lab.FaultDiscoveryDelay:
+		e.discoveryDelayMS += fault.DelayMS
+	case lab.FaultHotKeyControllerDown, lab.FaultLoadReportLoss, lab.FaultFalseLoadReports:
+		e.hotKeys.setFault(now, fault, true)
 	}
 }
 
-// excuse: what a client that is cut off from its sidecar gets is not the sidecar's doing.
-func (e *engine) excuse(f *lab.Fault) {
-	for _, n := range e.nodes {
-		client, sidecar := lab.End{Kind: lab.ClientEnd, N: n.n}, lab.End{Kind: lab.SidecarEnd, N: n.n}
-		if f.Hits(client, sidecar) || f.Hits(sidecar, client) {
-			e.judge.Excuse(n.n, f.At, f.End+excuseAfter)
+// excusePartitioned: what a client that is cut off from its sidecar gets is not the sidecar's doing.
+func (e *engine) excusePartitioned(fault *lab.Fault) {
+	for _, sidecar := range e.sidecars {
+		clientEnd, sidecarEnd := lab.Endpoint{Kind: lab.ClientEndpoint, Index: sidecar.index}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: sidecar.index}
+		if fault.Affects(clientEnd, sidecarEnd) || fault.Affects(sidecarEnd, clientEnd) {
+			e.checker.ExcuseSidecar(sidecar.index, fault.StartMS, fault.EndMS+excuseAfterMS)
 		}
 	}
 }
 
-func (e *engine) end(now float64, f *lab.Fault) {
-	for _, i := range f.Servers {
-		h := e.hosts[i]
-		switch f.Kind {
-		case lab.Kill:
-			if !h.up {
-				h.boots(now)
+func (e *engine) endFault(now float64, fault *lab.Fault) {
+	for _, i := range fault.Servers {
+		server := e.servers[i]
+		switch fault.Kind {
+		case lab.FaultKill:
+			if !server.up {
+				server.boot(now)
 			}
-		case lab.ZoneLost:
-			if h.vanished {
-				h.vanished = false
-				h.lose(now, balance.Reset)
-				if h.plan.Ends == 0 || now < h.plan.Ends {
-					h.boots(now)
+		case lab.FaultZoneOutage:
+			if server.vanished {
+				server.vanished = false
+				server.resetConnections(now, balance.Reset)
+				if server.plan.ReplacedMS == 0 || now < server.plan.ReplacedMS {
+					server.boot(now)
 				}
 			}
-		case lab.Freeze:
-			h.frozen = false
-			came := h.waiting
-			h.waiting = nil
-			for _, att := range came {
-				h.arrive(now, att)
+		case lab.FaultFreeze:
+			server.frozen = false
+			received := server.waiting
+			server.waiting = nil
+			for _, attempt := range received {
+				server.receive(now, attempt)
 			}
-			h.advance(now)
-			h.look()
-		case lab.Refused:
-			h.refuses = false
-		case lab.DiscoveryBad:
-			if h.listed {
-				e.change(now, h, balance.Ready)
+			server.advance(now)
+			server.scheduleAdvance()
+		case lab.FaultConnectionRefused:
+			server.refusing = false
+		case lab.FaultDiscoveryFalseRemoval:
+			if server.listed {
+				e.publishEndpoint(now, server, balance.Ready)
 			}
 		default:
-			h.model.Suffer(f, false)
+			server.model.SetFault(fault, false)
 		}
 	}
-	for _, i := range f.Sidecars {
-		n := e.nodes[i]
+	for _, i := range fault.Sidecars {
+		sidecar := e.sidecars[i]
 		switch {
-		case f.Kind == lab.Kill && !n.up:
-			n.start(now)
-		case f.Kind == lab.Freeze:
-			n.unfreeze(now)
+		case fault.Kind == lab.FaultKill && !sidecar.up:
+			sidecar.start(now)
+		case fault.Kind == lab.FaultFreeze:
+			sidecar.unfreeze(now)
 		}
 	}
-	switch f.Kind {
-	case lab.Cut, lab.Delay, lab.Loss:
-		e.links = slices.DeleteFunc(e.links, func(g *lab.Fault) bool { return g == f })
-	case lab.DiscoveryDown, lab.RegistryDown:
-		e.down = false
-	case lab.DiscoveryLate:
-		e.late -= f.MS
-	case lab.DeciderDown, lab.ReportsLost, lab.ReportsLie:
-		e.spread.fault(now, f, false)
+	switch fault.Kind {
+	case lab.FaultPartition, lab.FaultDelay, lab.FaultPacketLoss:
+		e.linkFaults = slices.DeleteFunc(e.linkFaults, func(other *lab.Fault) bool { return other == fault })
+	case lab.FaultDiscoveryDown, lab.FaultRegistryDown:
+		e.discoveryDown = false
+	case lab.FaultDiscoveryDelay:
+		e.discoveryDelayMS -= fault.DelayMS
+	case lab.FaultHotKeyControllerDown, lab.FaultLoadReportLoss, lab.FaultFalseLoadReports:
+		e.hotKeys.setFault(now, fault, false)
 	}
-	for _, n := range e.nodes {
-		if e.plan.File.Discovery.Mode != "subscribe" || n.subscribed {
-			n.catchUp(now)
+	for _, sidecar := range e.sidecars {
+		if e.plan.Experiment.Discovery.Mode != "subscribe" || sidecar.subscribed {
+			sidecar.applyUpdates(now)
 		}
 	}
 }
--- a/internal/registry/outage_test.go
+++ b/internal/registry/outage_test.go
@@ -25,25 +25,25 @@
 	for index := range experiment.Faults {
 		fault := &experiment.Faults[index]
 		switch lab.FaultKind(fault.Kind) {
-		case lab.RegistryDown:
-			fault.AtS, fault.ForS = 2.5, 4
-		case lab.Kill:
-			fault.AtS, fault.ForS = 3+fault.AtS/40, 1
-		case lab.Roll:
-			fault.AtS, fault.ForS = 0.5, 1
+		case lab.FaultRegistryDown:
+			fault.AtS, fault.DurationS = 2.5, 4
+		case lab.FaultKill:
+			fault.AtS, fault.DurationS = 3+fault.AtS/40, 1
+		case lab.FaultRollingReplacement:
+			fault.AtS, fault.DurationS = 0.5, 1
 		}
 	}
 	dir := t.TempDir()
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
 	defer cancel()
-	report, err := live.Run(ctx, experiment.Draw(0), live.Options{Sidecar: proctest.Program(t, "sidecar"), Milldeck: proctest.Program(t, "milldeck"), Dir: dir})
+	report, err := live.Run(ctx, experiment.NewPlan(0), live.Options{Sidecar: proctest.Program(t, "sidecar"), Milldeck: proctest.Program(t, "milldeck"), Dir: dir})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if report.BrokenRules > 0 || report.Cut || report.ServedShare < 0.97 {
-		for _, broken := range report.Broken {
-			t.Errorf("rule %s: %s\n  %s", broken.Rule, broken.What, strings.Join(broken.Story, "\n  "))
+	if report.ViolationCount > 0 || report.CutShort || report.ServedShare < 0.97 {
+		for _, broken := range report.Violations {
+			t.Errorf("rule %s: %s\n  %s", broken.Rule, broken.Detail, strings.Join(broken.History, "\n  "))
 		}
-		t.Errorf("%d requests, %.4f served in time, %d rules broken\n%s", report.Requests, report.ServedShare, report.BrokenRules, live.LogTail(dir))
+		t.Errorf("%d requests, %.4f served in time, %d rules broken\n%s", report.Requests, report.ServedShare, report.ViolationCount, live.LogTail(dir))
 	}
 }
