--- a/balance/retry_rules_test.go
+++ b/balance/retry_rules_test.go
@@ -146,7 +146,8 @@
 	s, _ := sentServer(actions)
 	g.handle(StreamStarted{Request: id, Server: s, Elapsed: 20})
 	g.now += 5000
-	if actions := g.handle(TimerFired{Token: uint64(id)}); hasAction(actions, Fail) || hasAction(actions, Reject) || hasAction(actions, Send) {
+	if actions := g.handle(TimerFired{Token: uint64(id)}); hasAction(actions, Fail) || hasAction(actions, Reject) ||
+		hasAction(actions, Send) {
 		t.Fatalf("a running stream got %+v", actions)
 	}
 	g.handle(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, RequestDone: true})
@@ -206,8 +207,8 @@
 				want = g.now + g.balancer.config.Classes[class].LatencyObjective
 			}
 			for _, a := range actions {
-				if a.Kind == Send && a.At != want {
-					t.Errorf("class %d, %v shed: ends at %v, want %v", class, lasting, a.At, want)
+				if a.Kind == Send && a.Deadline != want {
+					t.Errorf("class %d, %v shed: ends at %v, want %v", class, lasting, a.Deadline, want)
 				}
 			}
 			if want > 0 {
