--- a/cmd/milldeck/release_start.go
+++ b/cmd/milldeck/release_start.go
@@ -99,7 +99,9 @@
 }
 
 // control campaigns for the release's lease and carries the release out under it. Meanwhile it accepts load reports.
-func (f *controllerFlags) control(ctx context.Context, client *registry.Client, platform supervisor.Supervisor, name string) error {
+func (f *controllerFlags) control(
+	ctx context.Context, client *registry.Client, platform supervisor.Supervisor, name string,
+) error {
 	reports := loadreport.New(loadreport.Options{})
 	listener, err := net.Listen("tcp", f.listen)
 	if err != nil {
@@ -117,7 +119,7 @@
 		ConfigText:         f.configText,
 		PrepareUnit:        f.prepareUnit(),
 	}
-	logger := slog.With("component", "release", "release", name)
+	logger := releaseLogger(name)
 	logger.Info("release controller started", "reports", listener.Addr().String())
 	options := leaderelection.Options{OnEvent: func(event leaderelection.Event) {
 		if event.Type != "renewed" {
@@ -131,6 +133,10 @@
 	return err
 }
 
+func releaseLogger(name string) *slog.Logger {
+	return slog.With("component", "release", "release", name)
+}
+
 // serveReports serves the load reports' HTTP until the function that it returns is called, which waits for open requests.
 func serveReports(listener net.Listener, reports http.Handler) (stop func(context.Context) error) {
 	mux := http.NewServeMux()
@@ -212,7 +218,8 @@
 		return false, fmt.Errorf("release %s is under way with another plan (%s, not %s): roll it back or let it finish first",
 			p.Name, stored.PlanHash, p.Hash())
 	}
-	slog.Info("release continues", "component", "release", "release", p.Name, "phase", stored.Status.Phase, "plan", stored.PlanHash)
+	logger := releaseLogger(p.Name)
+	logger.Info("release continues", "phase", stored.Status.Phase, "plan", stored.PlanHash)
 	return true, nil
 }
 
--- a/cmd/milldeck/release_test.go
+++ b/cmd/milldeck/release_test.go
@@ -18,10 +18,22 @@
 		}
 		return path
 	}
-	const text = "name = \"r\"\non_halt = \"back\"\ndeadline_s = 600\n[what]\nserver = \"2\"\n[[wave]]\ncount = 1\nbake_s = 30\n[[wave]]\nbake_s = 30\n"
+	const text = `name = "r"
+on_halt = "back"
+deadline_s = 600
+[what]
+server = "2"
+[[wave]]
+count = 1
+bake_s = 30
+[[wave]]
+bake_s = 30
+`
 	good := file("good.toml", text)
 	bad := file("bad.toml", strings.Replace(text, "count = 1", "cuont = 1", 1))
-	units := `"units":[{"id":"server/a1","kind":"server","zone":"a","capacity":1,"condition":"up"},{"id":"server/a2","kind":"server","zone":"a","capacity":1,"condition":"up"}]`
+	const units = `"units":[
+		{"id":"server/a1","kind":"server","zone":"a","capacity":1,"condition":"up"},
+		{"id":"server/a2","kind":"server","zone":"a","capacity":1,"condition":"up"}]`
 	open := file("open.json", `{`+units+`}`)
 	shut := file("shut.json", `{"budgets":[{"name":"shut","select":{},"max_out":{"count":0},"max_cold":{}}],`+units+`}`)
 	for _, c := range []struct {
--- a/internal/release/canary_test.go
+++ b/internal/release/canary_test.go
@@ -105,7 +105,9 @@
 	serving := m.servingUnits()
 	for _, zone := range []string{"a", "b", "c", "d"} {
 		stats := m.unitStats(serving[zone])
-		interval.Zones = append(interval.Zones, judge.ZoneSample{Zone: zone, Canary: stats[canarySide], Baseline: stats[baselineSide]})
+		interval.Zones = append(interval.Zones, judge.ZoneSample{
+			Zone: zone, Canary: stats[canarySide], Baseline: stats[baselineSide],
+		})
 		for class, name := range modelClasses {
 			interval.Classes = append(interval.Classes, judge.ClassSample{
 				Class: name, Zone: zone,
--- a/internal/release/clustermodel_test.go
+++ b/internal/release/clustermodel_test.go
@@ -292,7 +292,8 @@
 		m.ledger.Register(m.revision, reported)
 	}
 	known, _ = m.ledger.Unit(id)
-	if reported.Condition == disruption.ConditionUp && known.Condition != disruption.ConditionUp && unit.coldUntilMS <= m.nowMS {
+	ready, knownUp := reported.Condition == disruption.ConditionUp, known.Condition == disruption.ConditionUp
+	if ready && !knownUp && unit.coldUntilMS <= m.nowMS {
 		m.observeUnit(id, disruption.ConditionUp)
 	}
 	known, _ = m.ledger.Unit(id)
--- a/internal/release/controller/fakecluster_test.go
+++ b/internal/release/controller/fakecluster_test.go
@@ -67,7 +67,9 @@
 	epoch := cluster.mustList().Epoch
 	for i, name := range serverNames {
 		zone := name[:1]
-		cluster.servers[name] = &registry.Target{UID: name, Zone: zone, State: registry.InstanceReady, Capacity: 1, PodGroup: i % 3}
+		cluster.servers[name] = &registry.Target{
+			UID: name, Zone: zone, State: registry.InstanceReady, Capacity: 1, PodGroup: i % 3,
+		}
 		_, err := cluster.platform.Do(context.Background(), supervisor.Request{
 			ID: "first-" + name, Op: supervisor.Start, Epoch: epoch, Unit: name, Kind: supervisor.Server,
 			Version: "1", Listen: "127.0.0.1:7000", Zone: zone,
@@ -218,7 +220,9 @@
 	return registry.ReleaseView{State: &own, Commands: commands}, f.nextError()
 }
 
-func (f *fakeCluster) WriteRelease(_ context.Context, write registry.WriteOptions, name string, op release.Operation) (registry.Result, error) {
+func (f *fakeCluster) WriteRelease(
+	_ context.Context, write registry.WriteOptions, name string, op release.Operation,
+) (registry.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.checkGuard(write); err != nil {
@@ -251,7 +255,9 @@
 	return registry.Result{}, f.nextError()
 }
 
-func (f *fakeCluster) SetPlacement(_ context.Context, write registry.WriteOptions, _ int64, set []placement.Directive, _ ...string) (registry.Result, error) {
+func (f *fakeCluster) SetPlacement(
+	_ context.Context, write registry.WriteOptions, _ int64, set []placement.Directive, _ ...string,
+) (registry.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.checkGuard(write); err != nil {
@@ -273,7 +279,9 @@
 	return f.ledger.View(true), nil
 }
 
-func (f *fakeCluster) ApplyLedgerOp(_ context.Context, write registry.WriteOptions, op disruption.Op) (registry.LedgerResult, error) {
+func (f *fakeCluster) ApplyLedgerOp(
+	_ context.Context, write registry.WriteOptions, op disruption.Op,
+) (registry.LedgerResult, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.checkGuard(write); err != nil {
--- a/internal/release/evidence_test.go
+++ b/internal/release/evidence_test.go
@@ -47,7 +47,10 @@
 	state := &State{Name: "r", Plan: &plan.Plan{Change: plan.Change{ServerVersion: "2"}}, Units: []Unit{
 		{ID: "server/n", Name: "n", Stage: StageConverged}, {ID: "server/o", Name: "o", Stage: StagePending}}}
 	count := func(cohort string, served int, slow uint32) placement.ClassCount {
-		return placement.ClassCount{Class: "c", Zone: "z", Cohort: cohort, Succeeded: served, Failed: 1, LatencyHistogram: []uint32{uint32(served) - slow, slow}}
+		return placement.ClassCount{
+			Class: "c", Zone: "z", Cohort: cohort, Succeeded: served, Failed: 1,
+			LatencyHistogram: []uint32{uint32(served) - slow, slow},
+		}
 	}
 	list := func(restarts int) *supervisor.List {
 		return &supervisor.List{Epoch: 1, Units: []supervisor.Unit{
@@ -60,9 +63,16 @@
 		{Sidecar: "b", Zone: "y", ClassCounts: []placement.ClassCount{count("r", 4, 0), count("other", 30, 0)}},
 	}, 3, list(1), list(3))
 	want := judge.Interval{ExpectedReports: 3, ReceivedReports: 2,
-		Classes: []judge.ClassSample{{Class: "c", Zone: "z", Canary: judge.Counts{Served: 9, Failed: 2, LatencyHistogram: []uint32{8, 1}},
-			Baseline: judge.Counts{Served: 20, Failed: 1, LatencyHistogram: []uint32{18, 2}}}},
-		Zones: []judge.ZoneSample{{Zone: "z", Canary: judge.UnitStats{Units: 1, Restarts: 2}, Baseline: judge.UnitStats{Units: 1}}},
+		Classes: []judge.ClassSample{{
+			Class: "c", Zone: "z",
+			Canary:   judge.Counts{Served: 9, Failed: 2, LatencyHistogram: []uint32{8, 1}},
+			Baseline: judge.Counts{Served: 20, Failed: 1, LatencyHistogram: []uint32{18, 2}},
+		}},
+		Zones: []judge.ZoneSample{{
+			Zone:     "z",
+			Canary:   judge.UnitStats{Units: 1, Restarts: 2},
+			Baseline: judge.UnitStats{Units: 1},
+		}},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v\nwant %+v", got, want)
--- a/internal/release/fixtures_test.go
+++ b/internal/release/fixtures_test.go
@@ -150,7 +150,10 @@
 			}
 		})
 	}
-	for _, stage := range []Stage{StagePending, StageRequestingPermit, StagePreparing, StageBeginningDisruption, StageDraining, StageStopping, StageStarting, StageReloading, StageWarmingUp, StageCancelling, StageConverged, StageFailed} {
+	for _, stage := range []Stage{
+		StagePending, StageRequestingPermit, StagePreparing, StageBeginningDisruption, StageDraining, StageStopping,
+		StageStarting, StageReloading, StageWarmingUp, StageCancelling, StageConverged, StageFailed,
+	} {
 		if !stages[stage] {
 			t.Errorf("no stored log has a unit at stage %q", stage)
 		}
--- a/internal/release/judge/evidence.go
+++ b/internal/release/judge/evidence.go
@@ -9,8 +9,8 @@
 // eProcess is evidence against the hypothesis that the mean of what is added is at most 0, whatever was added before. It
 // may be read after every interval. For every λ, exp(λ·sum − λ²/2·variance) with variance = Σ(x² + 2E[x²])/3 is a
 // nonnegative supermartingale that starts at 1 (Delyon 2009, for any square-integrable martingale), so a mixture over λ > 0
-// ever exceeds 1/α with a probability of at most α (Ville). What an interval adds is bounded by its own square, at most 1.5
-// to the logarithm of the evidence, so that no single second shows a regression.
+// ever exceeds 1/α with a probability of at most α (Ville). What an interval adds is bounded by its own square: at most 1.5 to
+// the logarithm of the evidence, so that no single second shows a regression.
 type eProcess struct{ sum, variance float64 }
 
 // add takes an interval's x and its variance under the hypothesis.
--- a/internal/release/judge/fixtures_test.go
+++ b/internal/release/judge/fixtures_test.go
@@ -29,12 +29,19 @@
 		share       int
 	}{{"lookup", "a", 1}, {"lookup", "b", 1}, {"simulate", "a", 4}} {
 		classRequests := requests / stratum.share
-		interval.Classes = append(interval.Classes, ClassSample{Class: stratum.class, Zone: stratum.zone,
-			Canary: counts(classRequests, failing*classRequests/100, late*classRequests/100, slow*classRequests/100), Baseline: counts(10*classRequests, second%3, second%5, classRequests)})
+		percent := func(share int) int { return share * classRequests / 100 }
+		interval.Classes = append(interval.Classes, ClassSample{
+			Class: stratum.class, Zone: stratum.zone,
+			Canary:   counts(classRequests, percent(failing), percent(late), percent(slow)),
+			Baseline: counts(10*classRequests, second%3, second%5, classRequests),
+		})
 	}
 	for _, zone := range []string{"a", "b"} {
-		interval.Zones = append(interval.Zones, ZoneSample{Zone: zone, Canary: UnitStats{Units: 2, Restarts: restarts, MeanMemory: 100 * memory},
-			Baseline: UnitStats{Units: 20, Restarts: second % 2, MeanMemory: 100}})
+		interval.Zones = append(interval.Zones, ZoneSample{
+			Zone:     zone,
+			Canary:   UnitStats{Units: 2, Restarts: restarts, MeanMemory: 100 * memory},
+			Baseline: UnitStats{Units: 20, Restarts: second % 2, MeanMemory: 100},
+		})
 	}
 	return interval
 }
@@ -54,11 +61,11 @@
 		{"restarts", func(second int) Interval { return fixtureInterval(second, 0, 0, 5, second%2, 1) }},
 		{"leaks", func(second int) Interval { return fixtureInterval(second, 0, 0, 5, 0, 1+0.01*float64(second)) }},
 		{"silent", func(second int) Interval {
-			in := fixtureInterval(second, 0, 0, 5, 0, 1)
+			interval := fixtureInterval(second, 0, 0, 5, 0, 1)
 			if second > 10 {
-				in.ReceivedReports = 0
+				interval.ReceivedReports = 0
 			}
-			return in
+			return interval
 		}},
 	} {
 		watched := New(testSettings)
--- a/internal/release/judge/judge_test.go
+++ b/internal/release/judge/judge_test.go
@@ -43,7 +43,8 @@
 	alarms := 0
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		model := &trafficModel{rng: rng, canaryUnits: 2, baselineUnits: 20, rate: 25, fault: ordinaryFault(rng), staleBaseline: true}
+		model := &trafficModel{rng: rng, canaryUnits: 2, baselineUnits: 20, rate: 25, staleBaseline: true}
+		model.fault = ordinaryFault(rng)
 		if verdict, _, _ := model.run(40, false); verdict.Outcome == Regression {
 			alarms++
 		}
@@ -64,7 +65,8 @@
 			latest = max(latest, second)
 		}
 	}
-	t.Logf("%d of %d pass within %d s, after %d requests in the mean at 8 canaries", passed, runs, latest, requests/max(passed, 1))
+	t.Logf("%d of %d pass within %d s, after %d requests in the mean at 8 canaries",
+		passed, runs, latest, requests/max(passed, 1))
 	if passed < runs*95/100 {
 		t.Errorf("%d of %d healthy versions passed within %d s", passed, runs, seconds)
 	}
@@ -117,7 +119,8 @@
 					requests += met
 				}
 			}
-			t.Logf("%d of %d found within %d s, after %d requests in the mean at 4 canaries", found, runs, latest, requests/max(found, 1))
+			t.Logf("%d of %d found within %d s, after %d requests in the mean at 4 canaries",
+				found, runs, latest, requests/max(found, 1))
 			if found < runs*95/100 {
 				t.Errorf("%d of %d found within %d s", found, runs, c.seconds)
 			}
@@ -141,12 +144,12 @@
 
 func TestSparseTrafficAndMissingReports(t *testing.T) {
 	model := &trafficModel{rng: rand.New(rand.NewPCG(1, 4)), canaryUnits: 1, baselineUnits: 20, rate: 0.02}
-	if verdict, _, _ := model.run(100, true); verdict.Outcome != Inconclusive || !strings.Contains(verdict.Reason, "too little traffic") {
+	verdict, _, _ := model.run(100, true)
+	if verdict.Outcome != Inconclusive || !strings.Contains(verdict.Reason, "too little traffic") {
 		t.Errorf("sparse traffic: %+v, want inconclusive", verdict)
 	}
 	watched := New(testSettings)
 	model = &trafficModel{rng: rand.New(rand.NewPCG(1, 4)), canaryUnits: 2, baselineUnits: 20, rate: 50}
-	verdict := Verdict{}
 	for second := range 100 {
 		verdict = watched.Add(model.interval(second))
 	}
--- a/internal/release/judge/trafficmodel_test.go
+++ b/internal/release/judge/trafficmodel_test.go
@@ -31,12 +31,15 @@
 	canaryUnits   int // in a zone
 	baselineUnits int
 	rate          float64
-	fault         func(second, zoneIndex int) effect                           // that both versions meet; nil: none
-	regression    func(second int, class string, load float64) (effect effect) // of the canary; nil: none
-	memoryGrowth  float64                                                      // of the canary, in a second
-	restartRate   float64                                                      // share of the canary's units that restart in a second
-	noise         float64                                                      // spread of each version's own failures from second to second
-	staleBaseline bool                                                         // planted bug: the baseline is as it was without the fault
+	memoryGrowth  float64 // of the canary, in a second
+	restartRate   float64 // share of the canary's units that restart in a second
+	noise         float64 // spread of each version's own failures from second to second
+	staleBaseline bool    // planted bug: the baseline is as it was without the fault
+
+	// fault, where set, is what both versions meet.
+	fault func(second, zoneIndex int) effect
+	// regression, where set, is what the canary adds to that.
+	regression func(second int, class string, load float64) effect
 }
 
 func (m *trafficModel) binomial(trials int, probability float64) int {
--- a/internal/release/lifecycle_test.go
+++ b/internal/release/lifecycle_test.go
@@ -84,7 +84,8 @@
 	}
 	first := model.list().Find(state.Units[0].Name)
 	if reloaded != 1 || first.ConfigName != "c1" || model.maxOut > 0 {
-		t.Errorf("%d were reloaded, the first has %s, %d were out at once; want 1, c1, 0", reloaded, first.ConfigName, model.maxOut)
+		t.Errorf("%d were reloaded, the first has %s, %d were out at once; want 1, c1, 0",
+			reloaded, first.ConfigName, model.maxOut)
 	}
 	sendCommand(t, model, CommandRollback)
 	checkEnd(t, model, 300, PhaseRolledBack, "")
@@ -227,7 +228,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := model.apply(&Operation{Start: edited}); err == nil || !strings.Contains(err.Error(), "under way with another plan") {
+	err = model.apply(&Operation{Start: edited})
+	if err == nil || !strings.Contains(err.Error(), "under way with another plan") {
 		t.Errorf("an edited plan starts while the other is under way: %v", err)
 	}
 }
--- a/internal/release/plan/fixtures_test.go
+++ b/internal/release/plan/fixtures_test.go
@@ -57,14 +57,18 @@
 // budgets can never allow it.
 func TestDryRunsArePrintedAsBefore(t *testing.T) {
 	count, none, share := 1, 0, 0.25
+	large := disruption.Unit{
+		ID: "server/large", Kind: disruption.KindServer, Model: "loan", Zone: "c", PodGroup: 9, Capacity: 7,
+		Condition: disruption.ConditionWarmingUp,
+	}
 	for _, c := range []struct {
 		name, plan string
 		units      []disruption.Unit
 		budgets    []disruption.Budget
 	}{
-		{"fits", "complete", testUnits(2, 20), []disruption.Budget{{Name: "all", MaxUnavailable: disruption.Limit{Fraction: &share}}}},
-		{"refused", "complete", append(testUnits(2, 4), disruption.Unit{ID: "server/large", Kind: disruption.KindServer, Model: "loan",
-			Zone: "c", PodGroup: 9, Capacity: 7, Condition: disruption.ConditionWarmingUp}), []disruption.Budget{
+		{"fits", "complete", testUnits(2, 20), []disruption.Budget{
+			{Name: "all", MaxUnavailable: disruption.Limit{Fraction: &share}}}},
+		{"refused", "complete", append(testUnits(2, 4), large), []disruption.Budget{
 			{Name: "warm", MaxWarmingUp: disruption.Limit{Count: &count}},
 			{Name: "shut", Selector: disruption.Selector{Zone: "a"}, MaxUnavailable: disruption.Limit{Count: &none}}}},
 		{"none", "sidecar", testUnits(1, 3), nil},
--- a/internal/release/plan/plan.go
+++ b/internal/release/plan/plan.go
@@ -78,7 +78,7 @@
 	ServedTolerance  *float64 `toml:"served" json:"served,omitempty"`     // share answered in time, lower by
 	LateTolerance    *float64 `toml:"late" json:"late,omitempty"`         // share answered late, higher by
 	FailedTolerance  *float64 `toml:"failed" json:"failed,omitempty"`     // share failed, higher by
-	LatencyTolerance *float64 `toml:"latency" json:"latency,omitempty"`   // share slower than the old one's third quartile, higher by
+	LatencyTolerance *float64 `toml:"latency" json:"latency,omitempty"`   // share slower than the old third quartile, higher by
 	RestartTolerance *float64 `toml:"restarts" json:"restarts,omitempty"` // restarts of a unit in a second, more by
 	MemoryTolerance  *float64 `toml:"memory" json:"memory,omitempty"`     // mean memory of a unit, higher by, relative
 	// FalseAlarmRate is the probability that any comparison halts a healthy release, over its whole course.
--- a/internal/release/plan/plan_test.go
+++ b/internal/release/plan/plan_test.go
@@ -106,9 +106,11 @@
 func TestPreview(t *testing.T) {
 	p := mustParse(t, validPlan)
 	share := 0.1
-	preview := NewPreview(p, testUnits(2, 20), []disruption.Budget{{Name: "all", MaxUnavailable: disruption.Limit{Fraction: &share}}})
+	budget := disruption.Budget{Name: "all", MaxUnavailable: disruption.Limit{Fraction: &share}}
+	preview := NewPreview(p, testUnits(2, 20), []disruption.Budget{budget})
 	if len(preview.Infeasible) > 0 || preview.MaxUnavailable != 4 || preview.WarmUpCapacity != 40 {
-		t.Errorf("infeasible %q, at most %d unavailable, %v warming up; want none, 4, 40", preview.Infeasible, preview.MaxUnavailable, preview.WarmUpCapacity)
+		t.Errorf("infeasible %q, at most %d unavailable, %v warming up; want none, 4, 40",
+			preview.Infeasible, preview.MaxUnavailable, preview.WarmUpCapacity)
 	}
 	var sizes []int
 	for i := range preview.Waves {
@@ -124,6 +126,7 @@
 
 func TestInfeasibleBudgetsAreReported(t *testing.T) {
 	one, small := 1, 0.04
+	big := disruption.Unit{ID: "server/big", Kind: disruption.KindServer, Model: "loan", Zone: "a", Capacity: 9}
 	for _, c := range []struct {
 		name, from, to string
 		budget         disruption.Budget
@@ -133,7 +136,7 @@
 		{"share rounds down to none", "", "", disruption.Budget{Name: "zone-a", Selector: disruption.Selector{Zone: "a"},
 			MaxUnavailable: disruption.Limit{Fraction: &small}}, nil, `budget "zone-a": max_out allows 0 of its 20 units`},
 		{"a unit too large to warm up", "", "", disruption.Budget{Name: "warm", MaxWarmingUp: disruption.Limit{Count: &one}},
-			append(testUnits(2, 20), disruption.Unit{ID: "server/big", Kind: disruption.KindServer, Model: "loan", Zone: "a", Capacity: 9}),
+			append(testUnits(2, 20), big),
 			`budget "warm": max_cold allows a capacity of 1.2 cold, and server/big alone is 9`},
 		{"a pod group of one", "", "", disruption.Budget{}, testUnits(1, 21), "pod group 5 is server/a020 alone"},
 		{"units in no wave", "[[wave]]\nbake_s = 60", "", disruption.Budget{}, nil, "29 of 40 units are in no wave"},
--- a/internal/release/state.go
+++ b/internal/release/state.go
@@ -49,7 +49,7 @@
 	StageStopping            Stage = "stop"   // the platform is asked to stop it
 	StageStarting            Stage = "start"  // the platform is asked to start it with the desired image
 	StageReloading           Stage = "reload" // a sidecar is given another configuration while it keeps serving
-	StageWarmingUp           Stage = "rise"   // it runs; waiting until it is registered, ready and warm, and its permit complete
+	StageWarmingUp           Stage = "rise"   // it runs, but is not registered, ready and warm yet
 	StageCancelling          Stage = "cancel" // its permit is cancelled before the unit was changed; a drain is undone
 	StageConverged           Stage = "rest"   // it runs the desired image
 	StageFailed              Stage = "lost"   // it could not be returned; an operator has to complete its permit
@@ -112,7 +112,7 @@
 	HaltedBy          string   `json:"by,omitempty"`       // who halted the release or rolled it back
 	HaltReason        string   `json:"why,omitempty"`      // why
 	Finalized         bool     `json:"final,omitempty"`    // it can no longer be rolled back
-	StalledSinceMS    int64    `json:"stuck_ms,omitempty"` // since when a rollback with a failed unit gets no permit; 0: it does
+	StalledSinceMS    int64    `json:"stuck_ms,omitempty"` // since when a rollback gets no permit after a failure
 	RollbackAbandoned bool     `json:"gave_up,omitempty"`  // no further unit is taken out for the rollback
 	Stranded          []string `json:"stranded,omitempty"` // units that did not return to their previous image, one line each
 }
