--- a/cmd/sidecar/discovery_test.go
+++ b/cmd/sidecar/discovery_test.go
@@ -190,7 +190,7 @@
 	tryWrite(watch, "\n"+rig.listJSON(2, false, "Terminating", "\t")+"\n")
 	rig.awaitAnswers("the change", time.Now().Add(testTimeout), func(answer string) bool { return answer == "1" })
 	tryWrite(watch, rig.listJSON(3, true, "Ready", " "))
-	rig.awaitAnswers("the whole list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
+	rig.awaitAnswers("the full list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
 	answeredBy := map[string]bool{}
 	for range 20 {
 		answeredBy[rig.request()] = true
--- a/internal/sidecar/active_placement.go
+++ b/internal/sidecar/active_placement.go
@@ -11,8 +11,8 @@
 	"milldeck/internal/placement"
 )
 
-// clockJumpToleranceMS is how much earlier than the balancer was told a directive may end before the balancer is told
-// again. Less comes from rounding on two clocks; more means that the wall clock was set forward.
+// clockJumpToleranceMS: the balancer is notified again of a directive that ends earlier than before by more than this. A
+// smaller difference comes from rounding on two clocks; a larger one means that the wall clock was set forward.
 const clockJumpToleranceMS = 50
 
 // placementState is what the event loop knows of the placement.
@@ -77,7 +77,7 @@
 	l.workers.Go(func() { next.runReporter(ctx) })
 }
 
-// applyPlacementUpdate tells the balancer about changed directives, and builds a report where one is due.
+// applyPlacementUpdate notifies the balancer of changed directives, and builds a report where one is due.
 func (l *eventLoop) applyPlacementUpdate(nowMS float64, update placementUpdate) {
 	active := l.placement.active
 	if active == nil || update.generation != active.generation {
@@ -105,7 +105,7 @@
 	return d.ID == directive.ID && d.Revision == directive.Revision && d.ExpiresAtMS == directive.ExpiresAtMS
 }
 
-// replaceDirectives puts directives in force and tells the balancer. One that was in force before keeps its end if that
+// replaceDirectives puts directives in force and notifies the balancer. One that was in force before keeps its end if that
 // is earlier.
 func (l *eventLoop) replaceDirectives(nowMS, takenAtMS float64, directives []placement.Directive) {
 	active := l.placement.active
--- a/internal/sidecar/attempt_outcome_test.go
+++ b/internal/sidecar/attempt_outcome_test.go
@@ -169,16 +169,16 @@
 		"overdue first": func(loop *steppedLoop, call *call, event attemptCompleted) {
 			front := &frontend{post: func(posted loopEvent) { loop.handleEvent(loop.nowMS(), posted) }}
 			if resp, claimed := front.concludeCall(call); !claimed || resp.status != statusTimedOut {
-				loop.t.Errorf("%+v, owed %v", resp, claimed)
+				loop.t.Errorf("%+v, ended %v", resp, claimed)
 			}
 			loop.handleEvent(loop.nowMS(), event)
 		},
 		"answer before overdue": func(loop *steppedLoop, call *call, event attemptCompleted) {
 			loop.handleEvent(loop.nowMS(), event)
-			front := &frontend{post: func(loopEvent) { loop.t.Error("the event loop is told of a second end") }}
+			front := &frontend{post: func(loopEvent) { loop.t.Error("the event loop is notified of a second end") }}
 			resp, claimed := front.concludeCall(call)
 			if claimed || resp.status != 200 {
-				loop.t.Errorf("%+v, owed %v", resp, claimed)
+				loop.t.Errorf("%+v, ended %v", resp, claimed)
 			}
 			loop.pool.bodyMemory.release(resp.reservedBytes)
 		},
@@ -385,7 +385,7 @@
 	if event.exchange.outcome != balance.ConnectFailed || event.attempt.fullyWritten.Load() {
 		t.Errorf("%+v, sent %v", event.exchange, event.attempt.fullyWritten.Load())
 	}
-	loop.applyEndpointUpdate(loop.nowMS(), endpointUpdate{kind: balance.UpdateDelta, endpoints: endpointList{Revision: 2, Endpoints: []endpoint{healthyServer.endpoint}}})
+	loop.applyEndpointUpdate(loop.nowMS(), deltaUpdate(2, healthyServer.endpoint))
 	loop.handleEvent(loop.nowMS(), event)
 	loop.handleEvent(loop.nowMS(), loop.nextCompleted())
 	if resp := loop.takeResponse(call); resp.status != 200 || healthyServer.requests.Load() != 1 {
--- a/internal/sidecar/attempt_start_test.go
+++ b/internal/sidecar/attempt_start_test.go
@@ -75,7 +75,7 @@
 						return len(loop.pool.withIdle) == 0
 					})
 				}
-				loop.applyEndpointUpdate(loop.nowMS(), endpointUpdate{kind: balance.UpdateDelta, endpoints: endpointList{Revision: 2, Endpoints: []endpoint{other.endpoint}}})
+				loop.applyEndpointUpdate(loop.nowMS(), deltaUpdate(2, other.endpoint))
 				loop.applyEndpointUpdate(loop.nowMS(), removal)
 				if !reused {
 					close(dials.release)
@@ -86,7 +86,7 @@
 					t.Fatalf("result %v, want obsolete", event.exchange.outcome)
 				}
 				if name == "unlisted" { // the full list named only a server that answers nowhere
-					loop.applyEndpointUpdate(loop.nowMS(), endpointUpdate{kind: balance.UpdateFull, endpoints: endpointList{Revision: 3, Endpoints: []endpoint{other.endpoint}}})
+					loop.applyEndpointUpdate(loop.nowMS(), fullUpdate(3, other.endpoint))
 				}
 				loop.handleEvent(loop.nowMS(), event)
 				loop.handleEvent(loop.nowMS(), loop.nextCompleted())
--- a/internal/sidecar/discovery_client.go
+++ b/internal/sidecar/discovery_client.go
@@ -16,7 +16,7 @@
 	"milldeck/balance"
 )
 
-// PROTOCOL counts whatever discovery has to tell as known to the sidecar 6 s after it can be reached. The timeouts keep
+// PROTOCOL counts whatever discovery has to announce as known to the sidecar 6 s after it can be reached. The timeouts keep
 // below that with two silent calls in a row.
 const (
 	// watchSilenceTimeout: an empty line arrives every 2 s. A watch without one for a quarter longer has ended, whatever
@@ -167,10 +167,12 @@
 	}
 }
 
-// discoveryCall is one call to discovery, or a series of them, at the address that was valid when it began.
+// discoveryCall is one call to discovery, or a series of them, on a goroutine of its own.
 type discoveryCall struct {
 	*discoveryClient
-	ctx        context.Context
+	ctx context.Context
+
+	// Copies from when the call began. They hide the client's fields, which the event loop may change meanwhile.
 	baseURL    string
 	generation int
 
--- a/internal/sidecar/discovery_silence_test.go
+++ b/internal/sidecar/discovery_silence_test.go
@@ -152,7 +152,7 @@
 	t.Log("worst:", worst)
 }
 
-// After an address change the new service may be silent as well; what it has to tell counts as known 4 s after the
+// After an address change the new service may be silent as well; what it has to announce counts as known 4 s after the
 // change.
 func TestAddressChangeToSilentService(t *testing.T) {
 	for _, name := range []string{"before the first byte", "in the header", "after the header"} { // later ones have sent a list already
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -197,7 +197,7 @@
 				t.Errorf("answered %d", got)
 			}
 			if len(posted) > 0 {
-				t.Error("the event loop is told of an end")
+				t.Error("the event loop is notified of an end")
 			}
 		})
 	}
--- a/internal/sidecar/endpoint_updates.go
+++ b/internal/sidecar/endpoint_updates.go
@@ -7,7 +7,7 @@
 )
 
 // switchDiscovery follows discovery at another address from now on. It calls there at once, as PROTOCOL counts what that
-// service has to tell as known soon after. The upstreams stay as they are until its first list arrives.
+// service has to announce as known soon after. The upstreams stay as they are until its first list arrives.
 func (l *eventLoop) switchDiscovery(address string) {
 	l.discovery.switchAddress(address)
 	if l.config.settings.Subscribe {
--- a/internal/sidecar/event_loop.go
+++ b/internal/sidecar/event_loop.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// start tells the balancer what the configuration knows and begins to follow discovery and the placement.
+// start notifies the balancer of the configured endpoints and begins to follow discovery and the placement.
 func (l *eventLoop) start() {
 	nowMS := l.clock.unixMS(time.Now())
 	l.execute(nowMS, l.balancer.Start(nowMS))
--- a/internal/sidecar/fixtures_test.go
+++ b/internal/sidecar/fixtures_test.go
@@ -4,48 +4,26 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"net/url"
-	"os"
-	"path/filepath"
 	"strings"
 	"sync"
 	"testing"
 	"time"
 
 	"milldeck/balance"
+	"milldeck/internal/goldentest"
 	"milldeck/internal/placement"
 )
 
-// The tests of this file compare what the sidecar reads and writes with the golden files in testdata, byte by byte.
-// Run them with -update-golden after a change of a format that is wanted.
-var updateGolden = flag.Bool("update-golden", false, "write the golden files in testdata")
-
-// checkGolden compares got with a golden file, or writes that file.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateGolden {
-		if err := os.WriteFile(path, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s has changed:\n%s\nwant\n%s", path, got, want)
-	}
-}
+// The tests of this file compare what the sidecar reads and writes with golden files, byte by byte.
 
 // The configuration file is read with the same values.
 func TestConfigurationFixture(t *testing.T) {
-	environment := map[string]string{"NODE_CONFIG": filepath.Join("testdata", "config.json")}
+	environment := map[string]string{"NODE_CONFIG": goldentest.Path("config.json")}
 	config, err := LoadConfig(func(name string) string { return environment[name] })
 	if err != nil {
 		t.Fatal(err)
@@ -66,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "config.golden.json", append(got, '\n'))
+	goldentest.Compare(t, "config.golden.json", append(got, '\n'))
 }
 
 // settingsAsRead names the balancer's settings by their keys in the configuration.
@@ -98,10 +76,7 @@
 
 // Requests to discovery are the same bytes, and lists are read with the same values and written with the same keys.
 func TestDiscoveryFixture(t *testing.T) {
-	stream, err := os.ReadFile(filepath.Join("testdata", "watch.txt"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	stream := goldentest.Read(t, "watch.txt")
 	address, requests := newRecorder(t, endedStream+string(stream), endedStream+string(stream), endedStream+string(stream))
 	posted := make(chan endpointUpdate, 64)
 	var work sync.WaitGroup
@@ -120,10 +95,10 @@
 		got.add(call.name, withoutVolatile(receiveWithin(t, call.name, requests), address))
 		work.Wait()
 		for len(posted) > 0 {
-			got.add("is told", describeUpdate(t, <-posted))
+			got.add("update", describeUpdate(t, <-posted))
 		}
 	}
-	checkGolden(t, "discovery.golden.txt", got.Bytes())
+	goldentest.Compare(t, "discovery.golden.txt", got.Bytes())
 }
 
 func describeUpdate(t *testing.T, update endpointUpdate) string {
@@ -148,7 +123,7 @@
 		"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n")
 	client := newPlacementClient(address, 0, func(loopEvent) {}, placementTiming{testTimeout, testTimeout, testTimeout, nowUnixMS})
 	var got transcript
-	for _, name := range []string{"a first watch", "a watch that goes on", "a watch for the whole"} {
+	for _, name := range []string{"a first watch", "a resumed watch", "a watch for the complete placement"} {
 		if _, err := client.watchOnce(t.Context()); err == nil {
 			t.Error("a watch ends without an error")
 		}
@@ -158,7 +133,7 @@
 		t.Error(err)
 	}
 	got.add("a report", withoutVolatile(receiveWithin(t, "the report", requests), address))
-	checkGolden(t, "placement.golden.txt", got.Bytes())
+	goldentest.Compare(t, "placement.golden.txt", got.Bytes())
 }
 
 // newFixtureLoop makes an event loop with a clock in the past, so that none of its attempts is sent. It knows the
@@ -283,19 +258,19 @@
 	exchange("ready", "GET /health/ready", "", "")
 	exchange("served", "GET /api?serve", lookup, "")
 	exchange("rejected with Retry-After", "GET /api?hold-off=1", lookup, "")
-	exchange("rejected without", "GET /api?hold-off=0", lookup, "")
+	exchange("rejected without Retry-After", "GET /api?hold-off=0", lookup, "")
 	exchange("failed", "POST /api?fail", charge, "body")
 	exchange("timed out", "GET /api?late", lookup, "")
 	exchange("no request ID", "GET /api", "X-Request-ID: \r\n"+lookup, "")
 	exchange("two request IDs", "GET /api", "X-Request-ID: 1\r\nX-Request-ID: 2\r\n"+lookup, "")
 	exchange("request ID in use", "GET /api?serve", "X-Request-ID: 2\r\n"+lookup, "")
 	exchange("unknown class", "GET /api", "X-Priority-Class: none\r\n", "")
-	exchange("timeout that cannot be", "GET /api", "X-Timeout-Ms: soon\r\n"+lookup, "")
-	exchange("cost that cannot be", "GET /api", "X-Cost: NaN\r\n"+lookup, "")
+	exchange("invalid timeout", "GET /api", "X-Timeout-Ms: soon\r\n"+lookup, "")
+	exchange("invalid cost", "GET /api", "X-Cost: NaN\r\n"+lookup, "")
 	exchange("GET class by POST", "POST /api", lookup, "")
 	exchange("POST class by GET", "GET /api", charge, "")
 	exchange("no idempotency key", "POST /api", reserve, "")
-	exchange("unsafe class with a key", "POST /api", charge+"Idempotency-Key: 1\r\n", "")
+	exchange("non-idempotent class with a key", "POST /api", charge+"Idempotency-Key: 1\r\n", "")
 	exchange("GET with a body", "GET /api", lookup, "body")
 	exchange("chunked", "POST /api", charge+"Transfer-Encoding: chunked\r\n", "")
 	exchange("body too large", "POST /api", charge, strings.Repeat("x", maxBody+1))
@@ -304,16 +279,16 @@
 	front.maxInFlight = 0
 	exchange("too many requests", "GET /api", lookup, "")
 	front.bodyMemory.remaining.Store(0)
-	exchange("no memory for a body", "POST /api", charge, "body")
+	exchange("body memory exhausted", "POST /api", charge, "body")
 	front.maxInFlight = 10
 	drainEnd := time.Now().Add(testTimeout)
 	front.drainDeadline.Store(&drainEnd)
 	exchange("not ready while draining", "GET /health/ready", "", "")
 	front.closeAfterResponse.Store(true)
-	exchange("served on a connection that ends", "GET /api?serve", lookup, "")
+	exchange("served while connections close", "GET /api?serve", lookup, "")
 	close(front.drainExpired)
-	exchange("ended with the process", "GET /api?never", lookup, "")
-	checkGolden(t, "answers.golden.txt", got.Bytes())
+	exchange("drain deadline", "GET /api?never", lookup, "")
+	goldentest.Compare(t, "answers.golden.txt", got.Bytes())
 }
 
 // The requests that servers get, attempts and health checks, are the same bytes, except for the remaining time.
@@ -334,7 +309,7 @@
 			t.Errorf("%s: %+v", name, exchange)
 		}
 		got.add(name, withoutVolatile(receiveWithin(t, name, requests), address))
-		got.add("its report", fmt.Sprint(exchange.loadReport))
+		got.add("load report", fmt.Sprint(exchange.loadReport))
 	}
 	record("a health check with a load report", newConnPool(config, 10, memory).checkHealth(t.Context(), host))
 	config.settings.LoadReports = balance.LoadReportNone
@@ -351,5 +326,5 @@
 		upstreamAttempt := &attempt{call: &call{outbound: request}, upstream: host, deadline: time.Now().Add(testTimeout), ctx: t.Context()}
 		record("an attempt by "+request.method, pool.sendAttempt(upstreamAttempt))
 	}
-	checkGolden(t, "upstream.golden.txt", got.Bytes())
+	goldentest.Compare(t, "upstream.golden.txt", got.Bytes())
 }
--- a/internal/sidecar/frontend_test.go
+++ b/internal/sidecar/frontend_test.go
@@ -156,7 +156,7 @@
 	}
 	arrived := (<-posted).(requestArrived).call
 	if disconnected, ok := (<-posted).(clientDisconnected); !ok || disconnected.call != arrived || arrived.markAnswered() {
-		t.Error("the event loop is not told that the request has ended")
+		t.Error("the event loop is not notified that the request has ended")
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
--- a/internal/sidecar/stepped_loop_test.go
+++ b/internal/sidecar/stepped_loop_test.go
@@ -107,3 +107,13 @@
 		loop.t.Errorf("%d further answers, %d requests open, answered %v", len(call.response), len(loop.calls.byID), call.answered.Load())
 	}
 }
+
+// deltaUpdate is a change of the endpoint list.
+func deltaUpdate(revision int64, changed ...endpoint) endpointUpdate {
+	return endpointUpdate{kind: balance.UpdateDelta, endpoints: endpointList{Revision: revision, Endpoints: changed}}
+}
+
+// fullUpdate is a complete endpoint list.
+func fullUpdate(revision int64, listed ...endpoint) endpointUpdate {
+	return endpointUpdate{kind: balance.UpdateFull, endpoints: endpointList{Revision: revision, Endpoints: listed}}
+}
