--- a/internal/supervisor/standin/fixtures_test.go
+++ b/internal/supervisor/standin/fixtures_test.go
@@ -4,44 +4,22 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"os"
-	"path/filepath"
 	"reflect"
 	"regexp"
 	"strings"
 	"testing"
 
+	"milldeck/internal/goldentest"
 	"milldeck/internal/supervisor"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
-
-// golden compares bytes with a golden file, which -update writes.
-func golden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateGolden {
-		if err := os.WriteFile(path, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
-// The keys of a versions' file stay.
+// The keys of a versions' file keep their names.
 func TestFixtureVersions(t *testing.T) {
-	v, err := LoadVersions(filepath.Join("testdata", "versions.toml"))
+	v, err := LoadVersions(goldentest.Path("versions.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,9 +40,9 @@
 	}
 }
 
-// The answers over HTTP keep their bytes, but for what depends on the clock: the memory and times.
+// The answers over HTTP keep their bytes, but for what depends on the clock: the epoch and times.
 func TestFixtureHTTPAnswers(t *testing.T) {
-	versions, err := LoadVersions(filepath.Join("testdata", "versions.toml"))
+	versions, err := LoadVersions(goldentest.Path("versions.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +90,7 @@
 	}
 	const units, faults = "/supervisor/units", "/faults"
 	request("GET", units, "")
-	// The version's program is not there: it has exited before the answer comes.
+	// The version's program doesn't exist: the unit has exited before the response comes.
 	request("POST", units, `{"requests":[{"id":"a","op":"start","memory":MEMORY,"unit":"u1","incarnation":0,"kind":"server","version":"2","listen":"127.0.0.1:9"}]}`)
 	request("GET", units, "")
 	request("POST", units, `{"requests":[{"id":"b","op":"stop","memory":MEMORY,"unit":"u1","incarnation":9},
@@ -133,5 +111,5 @@
 	request("DELETE", faults, "")
 	request("GET", "/health/ready", "")
 	http.DefaultClient.CloseIdleConnections()
-	golden(t, "answers.txt", out.Bytes())
+	goldentest.Compare(t, "answers.txt", out.Bytes())
 }
