--- a/cmd/milldeck/contract.go
+++ b/cmd/milldeck/contract.go
@@ -90,7 +90,8 @@
 				return err
 			}
 			approval := maintenance.NewPlanner().Approval(&maintenance.ActiveContract{Contract: *terms}, time.Now().UnixMilli(), 0)
-			return writeWindowOperation(ctx, c, a, client, maintenance.Operation{Kind: maintenance.OpSetContract, Contract: terms, CurrentApproval: approval})
+			op := maintenance.Operation{Kind: maintenance.OpSetContract, Contract: terms, CurrentApproval: approval}
+			return writeWindowOperation(ctx, c, a, client, op)
 		})
 	c.Example = "  milldeck contract set portal.toml"
 	return c
--- a/cmd/milldeck/window_operate.go
+++ b/cmd/milldeck/window_operate.go
@@ -41,8 +41,13 @@
 				NotBeforeMS: request.NotBeforeMS,
 			})
 		})
-	c.Example = "  milldeck window propose window.toml --replicas 127.0.0.1:8500\n\n  # window.toml\n  name = \"disks-3\"\n  servers = [\"s17\", \"s18\"]\n" +
-		"  work = \"30m\"\n  after = \"2026-06-10T12:00:00Z\""
+	c.Example = `  milldeck window propose window.toml --replicas 127.0.0.1:8500
+
+  # window.toml
+  name = "disks-3"
+  servers = ["s17", "s18"]
+  work = "30m"
+  after = "2026-06-10T12:00:00Z"`
 	return c
 }
 
@@ -85,7 +90,9 @@
 		}
 		return nil
 	}
-	c.Example = fmt.Sprintf("  milldeck window %[1]s disks-3\n  milldeck window %[1]s --tenant member-portal --why \"rates announced\"\n  milldeck window %[1]s", kind)
+	c.Example = fmt.Sprintf(`  milldeck window %[1]s disks-3
+  milldeck window %[1]s --tenant member-portal --why "rates announced"
+  milldeck window %[1]s`, kind)
 	c.Flags().StringVar(&tenant, "tenant", "", "only the windows of this tenant")
 	c.Flags().StringVar(&reason, "why", "", "a reason, for the record")
 	return c
@@ -117,7 +124,8 @@
 			return a.show(c.OutOrStdout(), view.Table, func(out io.Writer) error {
 				table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 				for _, window := range view.Table.Windows {
-					fmt.Fprintf(table, "%s\t%s\t%d servers\t%s\t%s\n", window.Name, window.Stage, len(window.ServerUIDs), formatTimeMS(window.PlannedStartMS), window.Reason)
+					fmt.Fprintf(table, "%s\t%s\t%d servers\t%s\t%s\n", window.Name, window.Stage, len(window.ServerUIDs),
+						formatTimeMS(window.PlannedStartMS), window.Reason)
 				}
 				for _, scope := range slices.Sorted(maps.Keys(view.Table.Halts)) {
 					fmt.Fprintf(table, "halted: %s\t%s\n", cmp.Or(scope, "all windows"), view.Table.Halts[scope])
--- a/internal/maintenance/exclusions.go
+++ b/internal/maintenance/exclusions.go
@@ -33,7 +33,7 @@
 	return directives
 }
 
-func exclusionDirectiveID(window, tenant string) string { return "window/" + window + "/" + tenant }
+func exclusionDirectiveID(window, tenant string) string { return idPrefix + window + "/" + tenant }
 
 // publishExclusions records which directives differ between two versions of a window; previous is nil for a new one.
 func (t *Table) publishExclusions(previous, window *Window) {
--- a/internal/maintenance/ledger_action.go
+++ b/internal/maintenance/ledger_action.go
@@ -11,7 +11,7 @@
 	Kind       disruption.OpKind
 	PermitID   string
 	ServerUIDs []string
-	Rank       disruption.Priority
+	Priority   disruption.Priority
 	Purpose    string
 }
 
@@ -21,7 +21,7 @@
 	if a.Kind == disruption.OpRequest {
 		permit.Owner = LeaseName
 		permit.Purpose = a.Purpose
-		permit.Priority = a.Rank
+		permit.Priority = a.Priority
 		permit.Disposition = disruption.DispositionReturn
 		for _, uid := range a.ServerUIDs {
 			permit.Units = append(permit.Units, serverUnitID(uid))
--- a/internal/maintenance/reconcile_stages.go
+++ b/internal/maintenance/reconcile_stages.go
@@ -163,10 +163,10 @@
 
 func (p *reconcilePass) requestPermit(window *Window) Action {
 	action := ledgerAction(disruption.OpRequest, window)
-	action.Rank = disruption.PriorityDrain
+	action.Priority = disruption.PriorityDrain
 	slackMS := window.ClosesAtMS - p.now.latest - p.table.EstimatedTotalMS(window.WorkMS)
 	if slackMS < urgentSlackMS {
-		action.Rank = disruption.PriorityDeadline
+		action.Priority = disruption.PriorityDeadline
 	}
 	return action
 }
--- a/internal/maintenance/window.go
+++ b/internal/maintenance/window.go
@@ -7,6 +7,9 @@
 	"milldeck/internal/maintenance/contract"
 )
 
+// idPrefix is how the IDs of windows' permits and directives begin. Both are stored.
+const idPrefix = "window/"
+
 // Stage is the position of a window in its life cycle. The strings are stored in snapshots and the log.
 type Stage string
 
@@ -88,7 +91,7 @@
 	if w.Attempt == 0 {
 		return ""
 	}
-	return "window/" + w.Name + "/" + strconv.Itoa(w.Attempt)
+	return idPrefix + w.Name + "/" + strconv.Itoa(w.Attempt)
 }
 
 // involves reports whether an approval of the tenant belongs to the window.
