--- a/cmd/milldeck/serve_lease.go
+++ b/cmd/milldeck/serve_lease.go
@@ -19,6 +19,9 @@
 	maxCampaignPause = 1500 * time.Millisecond
 )
 
+// leaseServerTimeout bounds the reading of a request's header, half of the writing of a response, and the graceful shutdown.
+const leaseServerTimeout = 10 * time.Second
+
 // serveUnderLease serves HTTP, and campaigns for a lease and works while it is held, again after each loss, until ctx ends
 // or the server fails.
 func serveUnderLease(ctx context.Context, listen string, handler http.Handler, client *registry.Client, lease string, ttl time.Duration,
@@ -27,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: spreadWait, WriteTimeout: 2 * spreadWait, IdleTimeout: time.Minute}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: leaseServerTimeout, WriteTimeout: 2 * leaseServerTimeout, IdleTimeout: time.Minute}
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(listener) }()
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -44,7 +47,7 @@
 	case <-ctx.Done():
 	}
 	<-electionEnded
-	shutdownCtx, cancelShutdown := context.WithTimeout(context.WithoutCancel(ctx), spreadWait)
+	shutdownCtx, cancelShutdown := context.WithTimeout(context.WithoutCancel(ctx), leaseServerTimeout)
 	defer cancelShutdown()
 	return errors.Join(err, server.Shutdown(shutdownCtx))
 }
--- a/internal/registry/http_maintenance.go
+++ b/internal/registry/http_maintenance.go
@@ -6,6 +6,7 @@
 
 	"milldeck/internal/disruption"
 	"milldeck/internal/maintenance"
+	"milldeck/internal/validation"
 )
 
 // leaderClockUncertaintyMS is the assumed error of the leader's wall clock. Synchronised clocks are within a tenth of it.
@@ -50,7 +51,7 @@
 type WindowRequest struct {
 	ID            string                `json:"id"` // idempotency key
 	Guard         *Guard                `json:"guard,omitempty"`
-	WriterTimeMS  int64                 `json:"at_ms,omitempty"`          // the writer's clock, Unix ms; 0: an operator's, and not compared
+	WriterTimeMS  int64                 `json:"at_ms,omitempty"`          // the writer's clock, Unix ms; 0: not compared
 	UncertaintyMS int64                 `json:"uncertainty_ms,omitempty"` // of the writer's clock
 	Op            maintenance.Operation `json:"op"`
 }
@@ -67,7 +68,7 @@
 		return err
 	}
 	if q.Op.Kind.RequiresToken() && (q.Guard == nil || q.WriterTimeMS == 0) {
-		return fieldErrorf("guard", "a step needs the token of lease %s and the writer's time", maintenance.LeaseName)
+		return validation.Errorf("guard", "a step needs the token of lease %s and the writer's time", maintenance.LeaseName)
 	}
 	return nil
 }
