--- a/internal/maintenance/fixtures_test.go
+++ b/internal/maintenance/fixtures_test.go
@@ -3,24 +3,18 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
-	"path/filepath"
 	"testing"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/goldentest"
 	"milldeck/internal/maintenance/calendar"
 	"milldeck/internal/maintenance/contract"
 	"milldeck/internal/placement"
 )
 
-// updateGolden rewrites the golden files. They hold what earlier versions have stored: a change in them is a change of
-// the stored format, which replicas of the version before have to be able to read.
-var updateGolden = flag.Bool("update", false, "write the golden files under testdata")
-
 // storedOperation is an operation as a record of the replicated log holds it, with its revision and time.
 type storedOperation struct {
 	Revision  uint64    `json:"revision"`
@@ -28,8 +22,8 @@
 	Operation Operation `json:"op"`
 }
 
-// storedResult is what applying an operation gave: the entries go into the placement from the same record. The reason is
-// left out: it is text for operators.
+// storedResult is the result of an applied operation: its directives go into the placement with the same record. The reason
+// is left out: it is text for operators.
 type storedResult struct {
 	Revision           uint64                `json:"revision"`
 	Outcome            Outcome               `json:"outcome"`
@@ -105,38 +99,63 @@
 	return approvals
 }
 
-// beginDrain takes a proposed window to its drain, with its tenants told to keep off.
+// beginDrain takes a proposed window to its drain, with its servers excluded.
 func (s *fixtureScript) beginDrain(name string, startMS int64) {
 	s.t.Helper()
-	s.must(startMS-fixtureMinute, Operation{Kind: OpSchedule, Window: name, Approvals: s.approvals(s.opensMS + startMS), PlannedStartMS: s.opensMS + startMS})
+	plannedMS := s.opensMS + startMS
+	s.must(startMS-fixtureMinute, Operation{Kind: OpSchedule, Window: name, Approvals: s.approvals(plannedMS), PlannedStartMS: plannedMS})
 	s.must(startMS+fixtureSecond, Operation{Kind: OpAwaitPermit, Window: name})
 	s.must(startMS+2*fixtureSecond, Operation{Kind: OpBeginDrain, Window: name})
 	s.must(startMS+3*fixtureSecond, s.extendExclusion(name, startMS+3*fixtureSecond))
 }
 
+// proposal is the operation that proposes a window of one server.
+func proposal(name, operator, server string, workMS int64) Operation {
+	return Operation{Kind: OpPropose, Window: name, Operator: operator, ServerUIDs: []string{server}, WorkMS: workMS}
+}
+
 func (s *fixtureScript) extendExclusion(name string, offsetMS int64) Operation {
 	return Operation{Kind: OpExtendExclusion, Window: name, ExcludeUntilMS: s.opensMS + offsetMS + ExclusionTTLMS}
 }
 
 func fixtureContracts() (portal, teller contract.Contract) {
-	portal = contract.Contract{Tenant: "portal", Notice: "1m", MinutesPerMonth: 600, MinAvailableShare: 0.5, MaxConcurrentWindows: 2, OverrunPolicy: contract.OverrunHaltsTenant,
-		Spec: calendar.Spec{Zone: "America/Montevideo",
+	portal = contract.Contract{
+		Tenant: "portal",
+		Spec: calendar.Spec{
+			Zone:          "America/Montevideo",
 			ApprovedHours: []calendar.Rule{{Recurrence: "FREQ=DAILY", Start: "22:00", Length: "2h", FirstDay: "2026-01-05"}},
-			ClosedDays: []calendar.ClosedDay{{Day: "2026-12-24", Reason: "rates announced"},
-				{Recurrence: "FREQ=MONTHLY;BYMONTHDAY=1", FirstDay: "2026-01-01"}}}}
-	teller = contract.Contract{Tenant: "teller", Notice: "0s", MinutesPerMonth: 300, MinAvailableShare: 0.25, MaxConcurrentWindows: 3, OverrunPolicy: contract.OverrunCountsOnly,
-		Spec: calendar.Spec{Zone: "Europe/Madrid",
-			ApprovedHours: []calendar.Rule{{Recurrence: "FREQ=WEEKLY;BYDAY=MO,TU,WE,TH,FR", Start: "02:00", Length: "4h", FirstDay: "2026-01-05"}}}}
+			ClosedDays: []calendar.ClosedDay{
+				{Day: "2026-12-24", Reason: "rates announced"},
+				{Recurrence: "FREQ=MONTHLY;BYMONTHDAY=1", FirstDay: "2026-01-01"},
+			},
+		},
+		Notice:               "1m",
+		MinutesPerMonth:      600,
+		MinAvailableShare:    0.5,
+		MaxConcurrentWindows: 2,
+		OverrunPolicy:        contract.OverrunHaltsTenant,
+	}
+	workdays := calendar.Rule{Recurrence: "FREQ=WEEKLY;BYDAY=MO,TU,WE,TH,FR", Start: "02:00", Length: "4h", FirstDay: "2026-01-05"}
+	teller = contract.Contract{
+		Tenant:               "teller",
+		Spec:                 calendar.Spec{Zone: "Europe/Madrid", ApprovedHours: []calendar.Rule{workdays}},
+		Notice:               "0s",
+		MinutesPerMonth:      300,
+		MinAvailableShare:    0.25,
+		MaxConcurrentWindows: 3,
+		OverrunPolicy:        contract.OverrunCountsOnly,
+	}
 	return portal, teller
 }
 
-// runFixtureScript plays the history and compares the snapshots on its way.
+// runFixtureScript applies the history and compares the snapshots at its stages.
 func runFixtureScript(t *testing.T) *fixtureScript {
 	t.Helper()
 	s := &fixtureScript{t: t, table: New(), opensMS: time.Date(2026, 6, 11, 1, 0, 0, 0, time.UTC).UnixMilli()}
 	portal, teller := fixtureContracts()
 	s.must(-fixtureHour, Operation{Kind: OpSetContract, Contract: &portal, Operator: "operator/eva"})
-	s.must(-fixtureHour, Operation{Kind: OpSetContract, Contract: &teller, CurrentApproval: NewPlanner().Approval(&ActiveContract{Contract: teller}, s.opensMS, 0)})
+	approval := NewPlanner().Approval(&ActiveContract{Contract: teller}, s.opensMS, 0)
+	s.must(-fixtureHour, Operation{Kind: OpSetContract, Contract: &teller, CurrentApproval: approval})
 
 	s.must(-50*fixtureMinute, Operation{Kind: OpPropose, Window: "disks", Operator: "operator/eva", ServerUIDs: []string{"m1", "m0", "m1"},
 		WorkMS: 5 * fixtureMinute, NotBeforeMS: s.opensMS - 10*fixtureMinute})
@@ -162,7 +181,7 @@
 	s.cancellations()
 	s.overrun()
 
-	changed := teller // a copy: the operation above keeps its contract
+	changed := teller // a copy: the operation above refers to the other
 	changed.MinAvailableShare = 0.5
 	s.must(3*fixtureHour, Operation{Kind: OpSetContract, Contract: &changed})
 	s.must(3*fixtureHour+fixtureMinute, Operation{Kind: OpWithdrawContract, Tenant: "teller"})
@@ -171,10 +190,10 @@
 	return s
 }
 
-// rejections are a window that cannot be, and steps that are not applied.
+// rejections are a window that is rejected, and operations that are not applied.
 func (s *fixtureScript) rejections() {
 	s.t.Helper()
-	s.must(7*fixtureMinute, Operation{Kind: OpPropose, Window: "fans", Operator: "operator/eva", ServerUIDs: []string{"m2"}, WorkMS: fixtureMinute})
+	s.must(7*fixtureMinute, proposal("fans", "operator/eva", "m2", fixtureMinute))
 	s.must(7*fixtureMinute, Operation{Kind: OpReject, Window: "fans", Reason: "contract of portal forbids it"})
 	s.snapshot("refused")
 	s.apply(7*fixtureMinute, Operation{Kind: OpBeginDrain, Window: "fans"})
@@ -191,7 +210,7 @@
 // halts hold windows back by name, by tenant and altogether.
 func (s *fixtureScript) halts() {
 	s.t.Helper()
-	s.must(8*fixtureMinute, Operation{Kind: OpPropose, Window: "power", Operator: "operator/kim", ServerUIDs: []string{"m3"}, WorkMS: 2 * fixtureMinute})
+	s.must(8*fixtureMinute, proposal("power", "operator/kim", "m3", 2*fixtureMinute))
 	s.must(8*fixtureMinute, Operation{Kind: OpHalt, Scope: "window/power", Reason: "spare part is missing"})
 	s.must(8*fixtureMinute, Operation{Kind: OpHalt, Scope: "tenant/teller", Reason: "rates announced"})
 	s.must(8*fixtureMinute, Operation{Kind: OpHalt, Reason: "incident 12"})
@@ -204,7 +223,7 @@
 // cancellations end a window before its drain, and one that is out.
 func (s *fixtureScript) cancellations() {
 	s.t.Helper()
-	s.must(10*fixtureMinute, Operation{Kind: OpPropose, Window: "cables", Operator: "operator/kim", ServerUIDs: []string{"m2"}, WorkMS: fixtureMinute})
+	s.must(10*fixtureMinute, proposal("cables", "operator/kim", "m2", fixtureMinute))
 	s.must(10*fixtureMinute, Operation{Kind: OpCancel, Window: "cables", Reason: "no longer needed"})
 	s.beginDrain("power", 15*fixtureMinute)
 	s.must(16*fixtureMinute, Operation{Kind: OpCancel, Window: "power", Reason: "spare part is broken"})
@@ -215,7 +234,7 @@
 // overrun is a window whose servers are not back at the close.
 func (s *fixtureScript) overrun() {
 	s.t.Helper()
-	s.must(18*fixtureMinute, Operation{Kind: OpPropose, Window: "racks", Operator: "operator/eva", ServerUIDs: []string{"m2"}, WorkMS: fixtureMinute})
+	s.must(18*fixtureMinute, proposal("racks", "operator/eva", "m2", fixtureMinute))
 	s.beginDrain("racks", 20*fixtureMinute)
 	s.must(21*fixtureMinute, s.extendExclusion("racks", 21*fixtureMinute))
 	s.must(21*fixtureMinute+fixtureSecond, Operation{Kind: OpCompleteDrain, Window: "racks"})
@@ -244,12 +263,8 @@
 
 // TestStoredOperationsReplay has a table rebuilt from stored operations alone, as a replica does that starts from its log.
 func TestStoredOperationsReplay(t *testing.T) {
-	data, err := os.ReadFile(filepath.Join("testdata", "operations.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
 	var operations []storedOperation
-	if err := decodeStrictly(data, &operations); err != nil {
+	if err := decodeStrictly(goldentest.Read(t, "operations.json"), &operations); err != nil {
 		t.Fatal(err)
 	}
 	table := New()
@@ -259,19 +274,23 @@
 		changes, err := table.Apply(stored.Revision, &stored.Operation, stored.Timestamp)
 		results = append(results, storedResult{stored.Revision, OutcomeOf(err), changes.SetDirectives, changes.DeleteDirectiveIDs})
 	}
-	compareGolden(t, "results.json", results)
-	compareGolden(t, "snapshot_withdrawn.json", table.Snapshot())
+	goldentest.Compare(t, "results.json", encodeGolden(t, results))
+	goldentest.Compare(t, "snapshot_withdrawn.json", encodeGolden(t, table.Snapshot()))
 }
 
 // TestLedgerOperationsFormat covers what the controller writes into the disruption ledger.
 func TestLedgerOperationsFormat(t *testing.T) {
 	portal, _ := fixtureContracts()
-	view := &View{OutOfService: map[string]ServerStatus{"m0": {Revision: 3, Endpoint: "127.0.0.1:7001"}, "m1": {Ready: true, Revision: 4, Endpoint: "127.0.0.1:7002"}}}
+	view := &View{OutOfService: map[string]ServerStatus{
+		"m0": {Revision: 3, Endpoint: "127.0.0.1:7001"},
+		"m1": {Ready: true, Revision: 4, Endpoint: "127.0.0.1:7002"},
+	}}
 	window := &Window{Name: "disks", ServerUIDs: []string{"m0", "m1"}, Attempt: 2}
 	operations := []*disruption.Op{{Kind: disruption.OpSetBudget, Budget: ContractBudget(&portal)}}
-	for _, kind := range []disruption.OpKind{disruption.OpRequest, disruption.OpBegin, disruption.OpReturn, disruption.OpComplete, disruption.OpCancel} {
+	kinds := []disruption.OpKind{disruption.OpRequest, disruption.OpBegin, disruption.OpReturn, disruption.OpComplete, disruption.OpCancel}
+	for _, kind := range kinds {
 		action := ledgerAction(kind, window)
-		action.Rank = disruption.PriorityDrain
+		action.Priority = disruption.PriorityDrain
 		operations = append(operations, action.Operation())
 	}
 	conditions := []disruption.Condition{disruption.ConditionUnready, disruption.ConditionUp}
@@ -291,7 +310,8 @@
 // checkGolden compares a value with a golden file, and has the file's bytes read and written again without a change.
 func checkGolden(t *testing.T, name string, value any, reread func([]byte) (any, error)) {
 	t.Helper()
-	data := compareGolden(t, name, value)
+	goldentest.Compare(t, name, encodeGolden(t, value))
+	data := goldentest.Read(t, name)
 	again, err := reread(data)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
@@ -301,26 +321,6 @@
 	}
 }
 
-// compareGolden compares a value with a golden file and gives the file's bytes.
-func compareGolden(t *testing.T, name string, value any) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	encoded := encodeGolden(t, value)
-	if *updateGolden {
-		if err := os.WriteFile(path, encoded, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	data, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if diff := cmp.Diff(string(data), string(encoded)); diff != "" {
-		t.Errorf("%s:\n%s", name, diff)
-	}
-	return data
-}
-
 func encodeGolden(t *testing.T, value any) []byte {
 	t.Helper()
 	data, err := json.MarshalIndent(value, "", "  ")
--- a/internal/maintenance/window.go
+++ b/internal/maintenance/window.go
@@ -7,6 +7,9 @@
 	"milldeck/internal/maintenance/contract"
 )
 
+// idPrefix is how the IDs of windows' permits and directives begin. Both are stored.
+const idPrefix = "window/"
+
 // Stage is the position of a window in its life cycle. The strings are stored in snapshots and the log.
 type Stage string
 
@@ -26,7 +29,7 @@
 	StageCancelled      Stage = "cancelled"
 )
 
-// beforeDrain tells whether the window has not taken any server out yet.
+// beforeDrain reports whether the window has not taken any server out yet.
 func (s Stage) beforeDrain() bool {
 	return s == StageProposed || s == StageApproved || s == StageAwaitingPermit
 }
@@ -71,10 +74,10 @@
 	ModRevision       uint64 `json:"rev"`                // log revision of the last change
 }
 
-// OutOfService tells whether the window has servers out or on their way back.
+// OutOfService reports whether the window has servers out or on their way back.
 func (w *Window) OutOfService() bool { return w.DrainStartedAtMS != 0 && w.ReturnedAtMS == 0 }
 
-// Finished tells whether the window is in a final stage and its servers are back.
+// Finished reports whether the window is in a final stage and its servers are back.
 func (w *Window) Finished() bool {
 	switch w.Stage {
 	case StageDone, StageRejected, StageCancelled, StageOverrun:
@@ -88,10 +91,10 @@
 	if w.Attempt == 0 {
 		return ""
 	}
-	return "window/" + w.Name + "/" + strconv.Itoa(w.Attempt)
+	return idPrefix + w.Name + "/" + strconv.Itoa(w.Attempt)
 }
 
-// involves tells whether an approval of the tenant belongs to the window.
+// involves reports whether an approval of the tenant belongs to the window.
 func (w *Window) involves(tenant string) bool {
 	for i := range w.Approvals {
 		if w.Approvals[i].Tenant == tenant {
@@ -118,7 +121,7 @@
 	return earliest
 }
 
-// shareServer tells whether two sorted lists have a server in common.
+// shareServer reports whether two sorted lists have a server in common.
 func shareServer(a, b []string) bool {
 	for len(a) > 0 && len(b) > 0 {
 		switch {
--- a/internal/sidecar/discovery_client.go
+++ b/internal/sidecar/discovery_client.go
@@ -16,7 +16,7 @@
 	"milldeck/balance"
 )
 
-// PROTOCOL counts whatever discovery has to tell as known to the sidecar 6 s after it can be reached. The timeouts keep
+// PROTOCOL counts whatever discovery has to announce as known to the sidecar 6 s after it can be reached. The timeouts keep
 // below that with two silent calls in a row.
 const (
 	// watchSilenceTimeout: an empty line arrives every 2 s. A watch without one for a quarter longer has ended, whatever
@@ -119,7 +119,7 @@
 		err := call.watchUntilFailure()
 		close(watchDone)
 		if ctx.Err() == nil {
-			discoveryLog.Warn("endpoint watch failed", "error", err)
+			discoveryLog.Warn("endpoint watch failed", "error", err, "revision", call.revision.Load())
 			call.reportFailure(err)
 		}
 	})
@@ -150,7 +150,7 @@
 				backoff = initialBackoff
 			}
 			if ctx.Err() == nil {
-				discoveryLog.Warn("endpoint watch at the agent failed", "error", err)
+				discoveryLog.Warn("endpoint watch at the agent failed", "error", err, "revision", call.revision.Load())
 			}
 			sleepJittered(ctx, backoff)
 			backoff = min(2*backoff, maxBackoff)
@@ -167,10 +167,12 @@
 	}
 }
 
-// discoveryCall is one call to discovery, or a series of them, at the address that was valid when it began.
+// discoveryCall is one call to discovery, or a series of them, on a goroutine of its own.
 type discoveryCall struct {
 	*discoveryClient
-	ctx        context.Context
+	ctx context.Context
+
+	// Copies from when the call began. They hide the client's fields, which the event loop may change meanwhile.
 	baseURL    string
 	generation int
 
@@ -187,7 +189,7 @@
 func (c *discoveryCall) watchUntilFailure() error {
 	err := c.openWatch(c.callTimeout)
 	for silentCalls := 0; errors.Is(err, errWatchSilent) && c.ctx.Err() == nil; {
-		discoveryLog.Warn("endpoint watch reopened", "error", err)
+		discoveryLog.Warn("endpoint watch reopened", "error", err, "revision", c.revision.Load())
 		sleepJittered(c.ctx, initialBackoff)
 		if silentCalls++; c.received {
 			silentCalls = 0
