--- a/balance/affinity.go
+++ b/balance/affinity.go
@@ -44,8 +44,7 @@
 }
 
 // narrowCandidates orders the candidates by this sidecar's own order, weighted once more so that errors and
-// slow start take keys off a server. It returns true, with the first in front and the others unordered, if
-// the first has capacity.
+// slow start take keys off a server. If the first has capacity it returns true, with only that one in place.
 func (b *Balancer) narrowCandidates() bool {
 	candidates, first := b.selection.candidates, 0
 	for i, s := range candidates {
--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -34,8 +34,7 @@
 	return factor
 }
 
-// health is the multiplier that falls with consecutive errors and recovers as they decay, from minHealth to
-// 1.
+// health is a multiplier from minHealth to 1 that falls with consecutive errors and recovers as they decay.
 func (b *Balancer) health(s *server) float64 {
 	errors := float64(s.errors.consecutive) * math.Exp(-math.Ln2*(b.now-s.errors.lastAt)/errorHalfLife)
 	return clamp(1-errorPenalty*errors, minHealth, 1)
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -5,15 +5,13 @@
 // This file decides what an endpoint update means, and when discovery is polled.
 
 const (
-	// pollPause is the pause before a poll, in ms for each sidecar of the fleet; it doubles with each
-	// failure.
-	pollPause        = 50
-	maxPollDoublings = 4
-	// promptPollPause is the longest pause, in ms, where discovery has time for all sidecars. A sidecar
-	// counts as informed 6 s after discovery can be reached (PROTOCOL), which leaves time for a poll that
-	// gets no answer and one that does. Where polls wait in a queue, many that come so soon would never be
-	// answered.
-	promptPollPause = 3000
+	// pollBackoffPerSidecar is the first backoff, in ms for each sidecar of the fleet.
+	pollBackoffPerSidecar = 50
+	maxPollDoublings      = 4 // of the backoff, one for each failure in a row
+	// maxPromptPollBackoff bounds the backoff, in ms, where discovery has time for all sidecars. A sidecar
+	// counts as informed 6 s after discovery can be reached (PROTOCOL), which leaves time for a poll without
+	// an answer and one with it. Where polls wait in a queue, many that come so soon would not be answered.
+	maxPromptPollBackoff = 3000
 )
 
 func (b *Balancer) onEndpointUpdate(ev EndpointUpdate) {
@@ -60,20 +58,20 @@
 	b.scheduleRefresh(s)
 }
 
-// schedulePoll polls discovery after a backoff with jitter, from minFraction of it to all, within maxPause if
-// that is not 0. The backoff leaves discovery time for the polls of all sidecars: what they send at once,
+// schedulePoll polls discovery after a backoff with jitter, from minFraction of it to all, within maxBackoff
+// if that is not 0. The backoff leaves discovery time for the polls of all sidecars: what they send at once,
 // after a mass restart or an outage of discovery, waits in its queue until most is given up. prompt says that
 // there is no queue.
-func (b *Balancer) schedulePoll(minFraction, maxPause float64, prompt bool) {
-	fleetPause := pollPause * float64(max(b.config.SidecarCount, 1))
-	pause := fleetPause * float64(int(1)<<min(b.discovery.failedPolls, maxPollDoublings))
-	fewSidecars := 2*fleetPause <= promptPollPause // their polls all pass in time
-	if pause > promptPollPause && (prompt || fewSidecars) {
-		pause, minFraction = promptPollPause, 0
+func (b *Balancer) schedulePoll(minFraction, maxBackoff float64, prompt bool) {
+	fleetBackoff := pollBackoffPerSidecar * float64(max(b.config.SidecarCount, 1))
+	backoff := fleetBackoff * float64(int(1)<<min(b.discovery.failedPolls, maxPollDoublings))
+	fewSidecars := 2*fleetBackoff <= maxPromptPollBackoff // their polls all pass in time
+	if backoff > maxPromptPollBackoff && (prompt || fewSidecars) {
+		backoff, minFraction = maxPromptPollBackoff, 0
 	}
-	if maxPause > 0 {
-		pause = math.Min(pause, maxPause)
+	if maxBackoff > 0 {
+		backoff = math.Min(backoff, maxBackoff)
 	}
-	delay := pause * (minFraction + (1-minFraction)*b.random())
+	delay := backoff * (minFraction + (1-minFraction)*b.random())
 	b.emit(Action{Kind: SetTimer, Token: discoveryTimer, Delay: delay})
 }
--- a/balance/discovery_test.go
+++ b/balance/discovery_test.go
@@ -46,7 +46,7 @@
 	cfg := baseConfig()
 	cfg.Subscribe = true
 	h := newHarness(t, cfg, testServers(3)...)
-	if len(h.actions) != 1 || h.actions[0].Token != discoveryTimer || h.actions[0].Delay > pollPause*float64(cfg.SidecarCount) {
+	if len(h.actions) != 1 || h.actions[0].Token != discoveryTimer || h.actions[0].Delay > pollBackoffPerSidecar*float64(cfg.SidecarCount) {
 		t.Fatalf("at the start: %+v", h.actions)
 	}
 	if !hasAction(h.handle(TimerFired{Token: discoveryTimer}), WatchEndpoints) {
@@ -80,21 +80,21 @@
 				cfg := baseConfig()
 				cfg.Subscribe, cfg.SidecarCount, cfg.Seed = true, peers, splitmix64(seed+1)
 				h := newHarness(t, cfg, testServers(3)...)
-				if h.actions[0].Delay > promptPollPause {
+				if h.actions[0].Delay > maxPromptPollBackoff {
 					t.Errorf("%d peers: the first poll after %v ms", peers, h.actions[0].Delay)
 				}
 				for range 8 {
 					h.handle(TimerFired{Token: discoveryTimer})
 					pause := h.handle(EndpointUpdate{Kind: UpdateFailed, DiscoveryUnreachable: unqueued})[0].Delay
-					if worst = max(worst, pause); pause < promptPollPause/3 {
+					if worst = max(worst, pause); pause < maxPromptPollBackoff/3 {
 						lows++
 					}
 				}
 			}
-			if late := worst > promptPollPause; late != (peers > 30 && !unqueued) {
+			if late := worst > maxPromptPollBackoff; late != (peers > 30 && !unqueued) {
 				t.Errorf("%d peers, unqueued %v: a pause of %v ms", peers, unqueued, worst)
 			}
-			if unqueued && peers > 30 && (lows < 50*8/5 || worst < promptPollPause*0.9) {
+			if unqueued && peers > 30 && (lows < 50*8/5 || worst < maxPromptPollBackoff*0.9) {
 				t.Errorf("%d peers: %d of 400 pauses in the first third, the longest %v ms", peers, lows, worst)
 			}
 		}
