--- a/balance/admission.go
+++ b/balance/admission.go
@@ -12,6 +12,7 @@
 	initialLatencyRatio         = 0.33 // least latency that is assumed until there are answers
 	minLatencyDecay             = 6e4  // ms in which the least latency is forgotten: servers change
 	averagingSamples            = 50   // answers or load reports over which a mean is taken
+	maxLatencySamples           = 300  // answers over which the mean latency of a class is taken
 	immediateShedGain           = 1.5  // fraction to shed at once, per objective of excess latency
 	minShedStep                 = 0.04 // step of the sustained fraction per request and objective of excess
 	maxShedStep                 = 0.34 // the same of a request long after the one before
@@ -21,6 +22,7 @@
 	maxShedFraction             = 0.95 // answers are needed to see that the overload is over
 	maxLatencyRatio             = 2    // latencies count as at most this multiple of the objective
 	answerRateSpan              = 8    // span of the answer rate, in longest objectives
+	growthDeviations            = 2    // standard deviations by which recent answers must show a higher rate
 	assumedAnswers              = 3    // added to the answer rate; the load is averaged over as many
 	maxFairnessBoost            = 2    // bound of how far a tenant counts as under its quota
 	similarValueFactor          = 1.25 // values within this factor are shed alike
--- a/balance/estimates.go
+++ b/balance/estimates.go
@@ -28,7 +28,7 @@
 	long := state.answers.rate(b.now, state.firstAnswerAt, answerRateSpan*b.longestObjective, assumed)
 	const longAgo = 1e9 // no correction for a short time of counting
 	recent := state.recentAnswers.rate(b.now, b.now-longAgo, b.longestObjective, 0) * b.longestObjective
-	certain := recent - 2*math.Sqrt(recent) // two standard deviations below
+	certain := recent - growthDeviations*math.Sqrt(recent)
 	return math.Max(long, certain/b.longestObjective)
 }
 
--- a/balance/stats.go
+++ b/balance/stats.go
@@ -2,9 +2,6 @@
 
 import "math"
 
-// maxLatencySamples bounds the samples over which a class's mean latency is taken: older ones fade.
-const maxLatencySamples = 300
-
 // requestCounts counts the requests of a class or tenant, and those answered within their objective. Both start at 1, so
 // that neither is ever 0.
 type requestCounts struct{ received, servedInTime, quota float64 }
