--- a/internal/lab/controlplane/process.go
+++ b/internal/lab/controlplane/process.go
@@ -9,192 +9,205 @@
 	"milldeck/internal/leaderelection/leasetable"
 )
 
-func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
-
-// ttlMS is the lease of a duty, and stopMS before its end a holder stops by itself.
 const (
-	ttlMS      = 3000
-	marginMS   = 500
-	restartMS  = 6000 // from a controller's death to its next life
-	mostInHand = 512
+	leaderLeaseMS     = 3000 // duration of a leader's lease
+	leaseMarginMS     = 500  // a leader stops by itself this long before its lease expires
+	processRestartMS  = 6000 // from the crash of a process to its restart, at least
+	maxPendingEffects = 512  // of a paused process
 )
 
-// controller is what a process does while it holds its duty. Take has it begin anew under a token.
+// controller is what a process runs while it is the leader.
 type controller interface {
-	take(token uint64)
-	step()
+	// becomeLeader starts a term with a fencing token: what was known from earlier terms is forgotten.
+	becomeLeader(token uint64)
+	// reconcile takes one step towards the wanted state.
+	reconcile()
 }
 
-// process is one process of the program that is a candidate for a duty. Its controller writes and calls through it, so
-// that it can be killed, frozen or cut off at any of these.
+// process is a process of the control plane that campaigns for a lease. Its controller writes and calls through it, so
+// that it can crash, pause or be partitioned before and after every effect.
 type process struct {
-	w      *world
-	name   string
-	duty   string
-	n      int // life
-	c      controller
-	token  uint64
-	until  int64 // its own belief of the end of its lease
-	dead   bool
-	frozen int64 // until
-	cut    int64 // until: it meets a replica that is left behind
-	behind *state
-	doom   *doom
-	hand   []func() // what it had still to do when it was frozen
-	writes int
+	cluster      *cluster
+	name         string
+	leaseName    string
+	incarnation  int
+	controller   controller
+	token        uint64 // 0: not the leader
+	leaseUntilMS int64  // as the process believes
+	writeCount   int
+
+	down               bool
+	pausedUntilMS      int64
+	partitionedUntilMS int64
+	staleState         *registryState // of the replica that a partitioned process reads
+	scheduledFault     *processFault
+	pendingEffects     []func() // begun before a pause
 }
 
-// doom is what becomes of a process at its next steps.
-type doom struct {
-	after  int // effects from now
-	freeze int64
-	late   bool // killed after the effect, before its answer
+// processFault is a crash or a pause at a later effect of a process.
+type processFault struct {
+	skipEffects int   // effects before it
+	pauseMS     int64 // 0: a crash
+	afterEffect bool  // the crash comes after the effect instead of before it
 }
 
-func (w *world) process(name, duty string, c func(p *process) controller) *process {
-	p := &process{w: w, name: name, duty: duty}
-	p.c = c(p)
-	w.procs = append(w.procs, p)
-	return p
+// sortedKeys returns the keys of a map in ascending order.
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
+
+// addProcess adds a process that runs the controller.
+func (c *cluster) addProcess(name, leaseName string, newController func(*process) controller) {
+	added := &process{cluster: c, name: name, leaseName: leaseName}
+	added.controller = newController(added)
+	c.processes = append(c.processes, added)
 }
 
-// holds tells whether the process believes that it holds its duty.
-func (p *process) holds() bool { return p.token != 0 && p.w.now < p.until }
+// candidateID identifies the present incarnation in the election.
+func (p *process) candidateID() string { return fmt.Sprintf("%s.%d", p.name, p.incarnation) }
+
+// holdsLease tells whether the process believes that it is the leader.
+func (p *process) holdsLease() bool { return p.token != 0 && p.cluster.nowMS < p.leaseUntilMS }
 
-// reads is the state that it reads; nil: nobody answers.
-func (p *process) reads() *state {
+// paused tells whether the process is paused.
+func (p *process) paused() bool { return p.pausedUntilMS > p.cluster.nowMS }
+
+// partitioned tells whether the process reaches only a minority of the registry.
+func (p *process) partitioned() bool { return p.partitionedUntilMS > p.cluster.nowMS }
+
+// readState is the state that the process reads: a stale one while it is partitioned, nil where nobody answers.
+func (p *process) readState() *registryState {
 	switch {
-	case p.cut > p.w.now:
-		return p.behind
-	case !p.w.plane.leads():
+	case p.partitioned():
+		return p.staleState
+	case !p.cluster.registry.hasLeader():
 		return nil
+	default:
+		return p.cluster.registry.registryState
 	}
-	return p.w.plane.state
 }
 
-func (p *process) step() {
-	w := p.w
-	if p.dead || p.frozen > w.now {
+// tick runs the process for one tick.
+func (p *process) tick() {
+	if p.down || p.paused() {
 		return
 	}
-	for len(p.hand) > 0 && !p.dead { // it goes on where it was frozen, before it looks at any clock
-		do := p.hand[0]
-		p.hand = p.hand[1:]
-		do()
+	p.resume()
+	if !p.partitioned() {
+		p.staleState = nil
 	}
-	if p.cut <= w.now {
-		p.behind = nil
-	}
-	p.seek()
-	if p.holds() && p.reads() != nil {
-		p.c.step()
+	p.campaign()
+	if p.holdsLease() && p.readState() != nil {
+		p.controller.reconcile()
 	}
 }
 
-// leases is the leader's part: a holder that has not shown for the length of its lease loses the duty.
-func (l *plane) leases() {
-	if !l.leads() {
-		return
-	}
-	for _, duty := range sorted(l.renewed) {
-		d, is := l.duties.Get(duty)
-		if !is || d.Holder == "" || l.w.now-l.renewed[duty] < ttlMS {
-			continue
-		}
-		l.rev++
-		// An expiry is never rejected.
-		_ = l.duties.Apply(l.rev, &leasetable.Operation{Kind: leasetable.Expire, Name: duty, Candidate: d.Holder, Token: d.Token})
-		if l.w.opt.Bugs.LeaseFrees {
-			l.w.free(duty)
-		}
-		l.renewed[duty] = l.w.now
+// resume executes the effects that a pause interrupted, before the process reads its clock again.
+func (p *process) resume() {
+	for len(p.pendingEffects) > 0 && !p.down {
+		effect := p.pendingEffects[0]
+		p.pendingEffects = p.pendingEffects[1:]
+		effect()
 	}
 }
 
-func (p *process) id() string { return fmt.Sprintf("%s.%d", p.name, p.n) }
-
-// seek asks for the duty, and renews it.
-func (p *process) seek() {
-	l := p.w.plane
-	if p.cut > p.w.now || !l.leads() {
+// campaign renews the lease, or queues for it.
+func (p *process) campaign() {
+	registry := p.cluster.registry
+	if p.partitioned() || !registry.hasLeader() {
 		return
 	}
-	d, _ := l.duties.Get(p.duty)
+	lease, _ := registry.leases.Get(p.leaseName)
 	switch {
-	case d.Holder == p.id():
-		l.renewed[p.duty] = p.w.now
-		p.until = p.w.now + ttlMS - marginMS
-		if p.token != d.Token {
-			p.token = d.Token
-			p.c.take(p.token)
+	case lease.Holder == p.candidateID():
+		registry.renewedMS[p.leaseName] = p.cluster.nowMS
+		p.leaseUntilMS = p.cluster.nowMS + leaderLeaseMS - leaseMarginMS
+		if p.token != lease.Token {
+			p.token = lease.Token
+			p.controller.becomeLeader(p.token)
 		}
-	case !slices.Contains(d.Queue, p.id()):
+	case !slices.Contains(lease.Queue, p.candidateID()):
 		p.token = 0
-		l.rev++
-		// Rejected only where a limit is reached; it campaigns again at its next step.
-		_ = l.duties.Apply(l.rev, &leasetable.Operation{Kind: leasetable.Campaign, Name: p.duty, Candidate: p.id(), TTLMS: ttlMS})
-		l.renewed[p.duty] = p.w.now
+		registry.revision++
+		// Rejected only where a limit is reached; it campaigns again at its next tick.
+		_ = registry.leases.Apply(registry.revision, &leasetable.Operation{Kind: leasetable.Campaign, Name: p.leaseName, Candidate: p.candidateID(), TTLMS: leaderLeaseMS})
+		registry.renewedMS[p.leaseName] = p.cluster.nowMS
 	default:
 		p.token = 0
 	}
 }
 
-// kill ends the process; it is started again later, as another candidate.
-func (p *process) kill() {
-	if p.dead {
+// crash ends the process. It restarts later as another candidate.
+func (p *process) crash() {
+	if p.down {
 		return
 	}
-	p.dead, p.hand, p.token = true, nil, 0
-	was := p.id()
-	p.w.after(restartMS+p.w.rng.Int64N(4000), func() {
-		l := p.w.plane
+	p.down, p.pendingEffects, p.token = true, nil, 0
+	candidateID := p.candidateID()
+	p.cluster.schedule(processRestartMS+p.cluster.random.Int64N(4000), func() {
+		registry := p.cluster.registry
 		// Its place in the queue, if it has one; an expiry is never rejected.
-		_ = l.duties.Apply(l.rev, &leasetable.Operation{Kind: leasetable.Expire, Name: p.duty, Candidate: was})
-		p.dead, p.n = false, p.n+1
+		_ = registry.leases.Apply(registry.revision, &leasetable.Operation{Kind: leasetable.Expire, Name: p.leaseName, Candidate: candidateID})
+		p.down, p.incarnation = false, p.incarnation+1
 	})
 }
 
-// act does one effect, unless the process meets its doom there. It tells whether the process goes on.
-func (p *process) act(do func()) bool {
-	if p.dead {
+// execute executes an effect, unless a fault is scheduled there. It reports whether the process goes on; a paused one
+// does, and executes the effect when it resumes.
+func (p *process) execute(effect func()) bool {
+	if p.down {
 		return false
 	}
-	if p.frozen > p.w.now {
-		if len(p.hand) < mostInHand {
-			p.hand = append(p.hand, do)
+	if p.paused() {
+		if len(p.pendingEffects) < maxPendingEffects {
+			p.pendingEffects = append(p.pendingEffects, effect)
 		}
 		return true
 	}
-	if d := p.doom; d != nil {
-		if d.after--; d.after < 0 {
-			p.doom = nil
-			switch {
-			case d.freeze > 0:
-				p.frozen = p.w.now + d.freeze
-				p.hand = append(p.hand, do)
-				return true
-			case d.late:
-				do()
-			}
-			p.kill()
-			return false
-		}
+	if fault := p.takeDueFault(); fault != nil {
+		return p.fail(fault, effect)
+	}
+	effect()
+	return !p.down
+}
+
+// takeDueFault counts an effect. It returns the scheduled fault if it is due now.
+func (p *process) takeDueFault() *processFault {
+	fault := p.scheduledFault
+	if fault == nil {
+		return nil
+	}
+	fault.skipEffects--
+	if fault.skipEffects >= 0 {
+		return nil
+	}
+	p.scheduledFault = nil
+	return fault
+}
+
+// fail pauses or crashes the process at an effect. It reports whether the process goes on.
+func (p *process) fail(fault *processFault, effect func()) bool {
+	if fault.pauseMS > 0 {
+		p.pausedUntilMS = p.cluster.nowMS + fault.pauseMS
+		p.pendingEffects = append(p.pendingEffects, effect)
+		return true
+	}
+	if fault.afterEffect {
+		effect()
 	}
-	do()
-	return !p.dead
+	p.crash()
+	return false
 }
 
-// write has a record written under the duty's token. It is tried again by its id once, as a client does; an answer may be
-// missing all the same.
-func (p *process) write(token uint64, do func() (string, string)) (a answer, known bool) {
-	if p.cut > p.w.now {
-		return answer{}, false // nobody there can write
+// write writes to the registry under a fencing token. As a client does, it retries once with the same id; still no answer
+// may come, and known is false.
+func (p *process) write(token uint64, apply func() writeResult) (result writeResult, known bool) {
+	if p.partitioned() {
+		return writeResult{}, false // a minority cannot write
 	}
-	p.writes++
-	p.w.writes++
-	id := fmt.Sprintf("%s/%d", p.id(), p.writes)
-	if a, known = p.w.plane.write(id, p.duty, token, do); known {
-		return a, true
+	p.writeCount++
+	p.cluster.writeCount++
+	id := fmt.Sprintf("%s/%d", p.candidateID(), p.writeCount)
+	if result, known = p.cluster.registry.write(id, p.leaseName, token, apply); known {
+		return result, true
 	}
-	return p.w.plane.write(id, p.duty, token, do)
+	return p.cluster.registry.write(id, p.leaseName, token, apply)
 }
