--- a/internal/release/table.go
+++ b/internal/release/table.go
@@ -62,8 +62,8 @@
 // RequiresToken reports whether the operation is valid only under the token of the release's lease.
 func (op *Operation) RequiresToken() bool { return op.Delta != nil }
 
-// Apply applies one operation. Revision is its place in the log. An error says why the operation was rejected; it has
-// changed nothing then.
+// Apply applies one operation. Revision is its place in the log. An error says why the operation was rejected; no release
+// under way has changed then, though a start at a full table may have evicted a finished one.
 func (t *Table) Apply(revision uint64, op *Operation) error {
 	switch {
 	case op == nil:
