--- a/cmd/milldeck/fleetbudgets_test.go
+++ b/cmd/milldeck/fleetbudgets_test.go
@@ -13,7 +13,7 @@
 
 // Budgets become those of the file: new ones are set, others deleted, and an invalid file sets none.
 func TestFleetBudgets(t *testing.T) {
-	block, err := proc.TakeBlock()
+	block, err := proc.ReserveBlock()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/milldeck/lab_run.go
+++ b/cmd/milldeck/lab_run.go
@@ -52,7 +52,7 @@
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	result, err := live.Run(ctx, plan, live.Options{Sidecar: path, Milldeck: self, Dir: dir, Progress: progress})
+	result, err := live.Run(ctx, plan, live.Options{SidecarPath: path, MilldeckPath: self, Dir: dir, Progress: progress})
 	if err != nil {
 		return nil, fmt.Errorf("%w (logs in %s)", err, dir)
 	}
@@ -68,13 +68,13 @@
 	terminal := isTerminal(w)
 	return func(progress live.Progress) {
 		faults := "no fault"
-		if len(progress.Faults) > 0 {
-			faults = strings.Join(progress.Faults, ", ")
+		if len(progress.ActiveFaults) > 0 {
+			faults = strings.Join(progress.ActiveFaults, ", ")
 		}
-		line := fmt.Sprintf("%5.1f s  %3.0f%%  %6d requests  %6.2f%% served in time  %s", progress.AtS, 100*progress.Done, progress.Requests, 100*progress.Served, faults)
+		line := fmt.Sprintf("%5.1f s  %3.0f%%  %6d requests  %6.2f%% served in time  %s", progress.AtSeconds, 100*progress.LoadShare, progress.Requests, 100*progress.ServedShare, faults)
 		if terminal {
 			fmt.Fprintf(w, "\r\x1b[K%s", line)
-			if progress.Done >= 1 {
+			if progress.LoadShare >= 1 {
 				fmt.Fprintln(w)
 			}
 			return
--- a/cmd/milldeck/lab_server.go
+++ b/cmd/milldeck/lab_server.go
@@ -23,7 +23,7 @@
 			if config == "" {
 				return usageError{errors.New("lab server needs --config FILE")}
 			}
-			server, faults, err := live.LoadServer(config, harm)
+			server, faults, err := live.LoadServerConfig(config, harm)
 			if err != nil {
 				return err
 			}
--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -20,263 +20,263 @@
 )
 
 const (
-	// lateLimit is how late the lab may begin a request for it still to count: beyond it the lab's own machine
+	// maxSendDelay is how late the lab may begin a request for it still to count: beyond it the lab's own machine
 	// is what is measured.
-	lateLimit = 50 * time.Millisecond
-	// answerWait is how long past its time a client still listens, so that a late answer is seen as late.
-	answerWait = 300 * time.Millisecond
-	dialWait   = 500 * time.Millisecond
-	// keepIdle is less than the 2 s after which a sidecar may close a connection without a request.
-	keepIdle = 1500 * time.Millisecond
-	postBody = "{}"
+	maxSendDelay = 50 * time.Millisecond
+	// lateResponseWait is how long past its time a client still listens, so that a late answer is seen as late.
+	lateResponseWait = 300 * time.Millisecond
+	dialTimeout      = 500 * time.Millisecond
+	// maxConnectionIdle is less than the 2 s after which a sidecar may close a connection without a request.
+	maxConnectionIdle = 1500 * time.Millisecond
+	emptyJSONBody     = "{}"
 )
 
-// asked is a request that is known to servers by its id.
-type asked struct {
+// sentRequest is a request that is known to servers by its id.
+type sentRequest struct {
 	*lab.Arrival
 	attempts atomic.Int32
 }
 
-// app is the application beside one sidecar: its connections.
-type app struct {
+// connectionPool is the application beside one sidecar: its connections.
+type connectionPool struct {
 	mu   sync.Mutex
-	idle []*appConn
+	idle []*clientConnection
 }
 
-type appConn struct {
+type clientConnection struct {
 	net.Conn
-	in    *bufio.Reader
-	since time.Time
+	reader    *bufio.Reader
+	idleSince time.Time
 }
 
-func (a *app) take() *appConn {
+func (a *connectionPool) get() *clientConnection {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for len(a.idle) > 0 {
-		c := a.idle[len(a.idle)-1]
+		connection := a.idle[len(a.idle)-1]
 		a.idle = a.idle[:len(a.idle)-1]
-		if time.Since(c.since) < keepIdle {
-			return c
+		if time.Since(connection.idleSince) < maxConnectionIdle {
+			return connection
 		}
-		c.Close()
+		connection.Close()
 	}
 	return nil
 }
 
-func (a *app) put(c *appConn) {
-	c.since = time.Now()
-	c.SetDeadline(time.Time{})
+func (a *connectionPool) put(connection *clientConnection) {
+	connection.idleSince = time.Now()
+	connection.SetDeadline(time.Time{})
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	// The oldest go first: under a falling load they would otherwise stay open for good.
-	for len(a.idle) > 0 && time.Since(a.idle[0].since) > keepIdle {
+	for len(a.idle) > 0 && time.Since(a.idle[0].idleSince) > maxConnectionIdle {
 		a.idle[0].Close()
 		a.idle = a.idle[1:]
 	}
-	a.idle = append(a.idle, c)
+	a.idle = append(a.idle, connection)
 }
 
-func (a *app) close() {
+func (a *connectionPool) close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, c := range a.idle {
-		c.Close()
+	for _, connection := range a.idle {
+		connection.Close()
 	}
 	a.idle = nil
 }
 
-// load sends the plan's requests at their times, whatever becomes of them. It returns when all are sent or ctx
+// generateLoad sends the plan's requests at their times, whatever becomes of them. It returns when all are sent or ctx
 // ends; open ones go on.
-func (f *fleet) load(ctx context.Context) {
+func (f *fleet) generateLoad(ctx context.Context) {
 	arrivals := f.plan.Arrivals()
 	for {
-		a, more := arrivals.Next()
-		if !more || !sleep(ctx, millis(a.StartMS-f.now())) {
+		arrival, ok := arrivals.Next()
+		if !ok || !sleep(ctx, milliseconds(arrival.StartMS-f.now())) {
 			return
 		}
-		late := f.now() - a.StartMS
-		f.measure.RecordLateness(max(late, 0))
-		if late > lateLimit.Seconds()*1000 {
-			f.measure.RequestSentLate()
+		delay := f.now() - arrival.StartMS
+		f.recorder.RecordLateness(max(delay, 0))
+		if delay > maxSendDelay.Seconds()*1000 {
+			f.recorder.RequestSentLate()
 			continue
 		}
-		f.open.Add(1)
-		f.clients.Go(func() {
-			defer f.open.Add(-1)
-			f.request(&a)
+		f.openRequests.Add(1)
+		f.openClients.Go(func() {
+			defer f.openRequests.Add(-1)
+			f.sendWithRetries(&arrival)
 		})
 	}
 }
 
-// request makes the tries of one request.
-func (f *fleet) request(a *lab.Arrival) {
+// sendWithRetries makes the tries of one request.
+func (f *fleet) sendWithRetries(arrival *lab.Arrival) {
 	ctx := f.ctx
-	if a.DisconnectAfterMS > 0 {
+	if arrival.DisconnectAfterMS > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, f.at(a.StartMS+a.DisconnectAfterMS))
+		ctx, cancel = context.WithDeadline(ctx, f.timeAt(arrival.StartMS+arrival.DisconnectAfterMS))
 		defer cancel()
 	}
-	how, tries := lab.OutcomeNoResponse, 0
+	outcome, attempts := lab.OutcomeNoResponse, 0
 	for {
 		var retryAfter float64
-		how, retryAfter = f.try(ctx, a, tries)
-		tries++
-		if ctx.Err() != nil && how != lab.OutcomeServed {
-			f.measure.RequestDone(a, tries, how, f.ctx.Err() == nil, f.now())
+		outcome, retryAfter = f.sendAttempt(ctx, arrival, attempts)
+		attempts++
+		if ctx.Err() != nil && outcome != lab.OutcomeServed {
+			f.recorder.RequestDone(arrival, attempts, outcome, f.ctx.Err() == nil, f.now())
 			return
 		}
-		at, again := f.plan.NextRetry(a, tries-1, how, f.now(), retryAfter)
-		if !again || !sleep(ctx, millis(at-f.now())) {
-			f.measure.RequestDone(a, tries, how, again && f.ctx.Err() == nil, f.now())
+		retryAt, retry := f.plan.NextRetry(arrival, attempts-1, outcome, f.now(), retryAfter)
+		if !retry || !sleep(ctx, milliseconds(retryAt-f.now())) {
+			f.recorder.RequestDone(arrival, attempts, outcome, retry && f.ctx.Err() == nil, f.now())
 			return
 		}
 	}
 }
 
-// try sends the request once and waits for its answer.
-func (f *fleet) try(ctx context.Context, a *lab.Arrival, number int) (lab.Outcome, float64) {
-	client, sidecar := lab.Endpoint{Kind: lab.ClientEndpoint, Index: a.Sidecar}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: a.Sidecar}
-	timeout := f.plan.AttemptTimeout(a, f.now())
-	ctx, cancel := context.WithTimeout(ctx, millis(timeout)+answerWait)
+// sendAttempt sends the request once and waits for its answer.
+func (f *fleet) sendAttempt(ctx context.Context, arrival *lab.Arrival, attempt int) (lab.Outcome, float64) {
+	client, sidecar := lab.Endpoint{Kind: lab.ClientEndpoint, Index: arrival.Sidecar}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: arrival.Sidecar}
+	timeout := f.plan.AttemptTimeout(arrival, f.now())
+	ctx, cancel := context.WithTimeout(ctx, milliseconds(timeout)+lateResponseWait)
 	defer cancel()
-	if !f.net.pass(ctx, client, sidecar, 0, rand.Float64()) {
-		sleep(ctx, millis(timeout)) // it never got there
+	if !f.network.transmit(ctx, client, sidecar, 0, rand.Float64()) {
+		sleep(ctx, milliseconds(timeout)) // it never got there
 		return lab.OutcomeNoResponse, 0
 	}
-	n := f.nodes[a.Sidecar]
-	id := f.nextID()
-	conn := n.app.take()
-	for kept := conn != nil; ; kept = false {
-		if conn == nil {
-			d := net.Dialer{Timeout: dialWait}
-			c, err := d.DialContext(ctx, "tcp4", n.addr)
+	process := f.sidecars[arrival.Sidecar]
+	requestID := f.nextRequestID()
+	connection := process.clients.get()
+	for reused := connection != nil; ; reused = false {
+		if connection == nil {
+			dialer := net.Dialer{Timeout: dialTimeout}
+			dialed, err := dialer.DialContext(ctx, "tcp4", process.address)
 			if err != nil {
 				return lab.OutcomeUnreachable, 0
 			}
-			conn = &appConn{Conn: c, in: bufio.NewReader(c)}
+			connection = &clientConnection{Conn: dialed, reader: bufio.NewReader(dialed)}
 		}
-		how, retryAfter, silent := f.exchange(ctx, conn, a, id, number, timeout)
+		outcome, retryAfter, noBytes := f.roundTrip(ctx, connection, arrival, requestID, attempt, timeout)
 		// PROTOCOL: if the close of a kept connection crosses a request, the client sends it once more.
-		if kept && silent && how == lab.OutcomeUnreachable {
-			conn = nil
+		if reused && noBytes && outcome == lab.OutcomeUnreachable {
+			connection = nil
 			continue
 		}
-		return how, retryAfter
+		return outcome, retryAfter
 	}
 }
 
-// exchange writes a request and reads its answer. Silent tells that not a byte came before the connection ended.
-func (f *fleet) exchange(ctx context.Context, c *appConn, a *lab.Arrival, id uint64, number int, timeout float64) (how lab.Outcome, retryAfter float64, silent bool) {
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+// roundTrip writes a request and reads its answer. Silent tells that not a byte came before the connection ended.
+func (f *fleet) roundTrip(ctx context.Context, connection *clientConnection, arrival *lab.Arrival, requestID uint64, attempt int, timeout float64) (outcome lab.Outcome, retryAfter float64, noBytes bool) {
+	stop := context.AfterFunc(ctx, func() { connection.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	began := time.Now()
-	known := &asked{Arrival: a}
-	f.asked.Store(id, known)
+	startedAt := time.Now()
+	sent := &sentRequest{Arrival: arrival}
+	f.sentRequests.Store(requestID, sent)
 	// Servers may meet the request for as long as the judge remembers it.
-	time.AfterFunc(millis(timeout)+rememberAsked, func() { f.asked.Delete(id) })
-	f.judge.RequestSent(f.now(), id, a.Sidecar, a.Class, timeout) // before the first byte: servers may be quick
-	kept := !c.since.IsZero()
-	if _, err := io.WriteString(c, f.head(a, id, number, timeout)); err != nil {
-		c.Close()
-		f.judge.ClientDisconnected(f.now(), id) // not taken
+	time.AfterFunc(milliseconds(timeout)+sentRequestRetention, func() { f.sentRequests.Delete(requestID) })
+	f.checker.RequestSent(f.now(), requestID, arrival.Sidecar, arrival.Class, timeout) // before the first byte: servers may be quick
+	reused := !connection.idleSince.IsZero()
+	if _, err := io.WriteString(connection, f.requestHead(arrival, requestID, attempt, timeout)); err != nil {
+		connection.Close()
+		f.checker.ClientDisconnected(f.now(), requestID) // not taken
 		return lab.OutcomeUnreachable, 0, true
 	}
-	resp, err := http.ReadResponse(c.in, nil)
+	response, err := http.ReadResponse(connection.reader, nil)
 	var body []byte
 	if err == nil {
-		body, err = io.ReadAll(resp.Body)
+		body, err = io.ReadAll(response.Body)
 	}
 	now := f.now()
-	client, sidecar := lab.Endpoint{Kind: lab.ClientEndpoint, Index: a.Sidecar}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: a.Sidecar}
-	if err == nil && !f.net.pass(ctx, sidecar, client, 0, rand.Float64()) {
+	client, sidecar := lab.Endpoint{Kind: lab.ClientEndpoint, Index: arrival.Sidecar}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: arrival.Sidecar}
+	if err == nil && !f.network.transmit(ctx, sidecar, client, 0, rand.Float64()) {
 		err = context.DeadlineExceeded
 	}
 	if err != nil {
-		c.Close()
-		return f.broken(ctx, err, id, kept, f.ms(began)+timeout+answerWait.Seconds()*1000)
+		connection.Close()
+		return f.classifyConnectionError(ctx, err, requestID, reused, f.millisecondsAt(startedAt)+timeout+lateResponseWait.Seconds()*1000)
 	}
-	if c.in.Buffered() > 0 || resp.Close {
-		c.Close()
+	if connection.reader.Buffered() > 0 || response.Close {
+		connection.Close()
 	} else if stop() {
-		f.nodes[a.Sidecar].app.put(c)
+		f.sidecars[arrival.Sidecar].clients.put(connection)
 	} else {
-		c.Close()
+		connection.Close()
 	}
-	switch resp.StatusCode {
+	switch response.StatusCode {
 	case http.StatusOK:
-		owner, server := made(string(body))
-		f.judge.ResponseReceived(now, id, lab.OutcomeServed, owner, server)
+		owner, server := parseResponse(string(body))
+		f.checker.ResponseReceived(now, requestID, lab.OutcomeServed, owner, server)
 		return lab.OutcomeServed, 0, false
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		f.judge.ResponseReceived(now, id, lab.OutcomeRejected, 0, -1)
-		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // none, or not a number: no wait
-		return lab.OutcomeRejected, 1000 * s, false
+		f.checker.ResponseReceived(now, requestID, lab.OutcomeRejected, 0, -1)
+		seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // none, or not a number: no wait
+		return lab.OutcomeRejected, 1000 * seconds, false
 	default:
-		f.judge.ResponseReceived(now, id, lab.OutcomeFailed, 0, -1)
+		f.checker.ResponseReceived(now, requestID, lab.OutcomeFailed, 0, -1)
 		return lab.OutcomeFailed, 0, false
 	}
 }
 
-// broken says how a connection without a whole answer counts; until is when the client stops listening.
-func (f *fleet) broken(ctx context.Context, err error, id uint64, kept bool, until float64) (lab.Outcome, float64, bool) {
+// classifyConnectionError says how a connection without a whole answer counts; until is when the client stops listening.
+func (f *fleet) classifyConnectionError(ctx context.Context, err error, id uint64, reused bool, until float64) (lab.Outcome, float64, bool) {
 	now := f.now()
 	switch {
 	case f.ctx.Err() != nil:
-		f.judge.ClientDisconnected(now, id) // the run is over
+		f.checker.ClientDisconnected(now, id) // the run is over
 		return lab.OutcomeNoResponse, 0, false
 	case ctx.Err() != nil && now < until-1:
-		f.judge.ClientDisconnected(now, id)
+		f.checker.ClientDisconnected(now, id)
 		return lab.OutcomeNoResponse, 0, false
 	case ctx.Err() != nil:
-		f.judge.RequestUnanswered(now, id, lab.OutcomeNoResponse)
+		f.checker.RequestUnanswered(now, id, lab.OutcomeNoResponse)
 		return lab.OutcomeNoResponse, 0, false
 	case errors.Is(err, io.ErrUnexpectedEOF), strings.Contains(err.Error(), "malformed"):
-		f.judge.CorruptResponseReceived(now, id)
+		f.checker.CorruptResponseReceived(now, id)
 		return lab.OutcomeFailed, 0, false
-	case kept && f.judge.ConnectionClosed(now, id):
+	case reused && f.checker.ConnectionClosed(now, id):
 		return lab.OutcomeUnreachable, 0, true
 	default:
-		f.judge.RequestUnanswered(now, id, lab.OutcomeUnreachable)
+		f.checker.RequestUnanswered(now, id, lab.OutcomeUnreachable)
 		return lab.OutcomeUnreachable, 0, false
 	}
 }
 
-// made reads whose answer a body is.
-func made(body string) (owner uint64, server int) {
-	id, n, _ := strings.Cut(body, " ")
+// parseResponse reads whose answer a body is.
+func parseResponse(body string) (owner uint64, server int) {
+	id, number, _ := strings.Cut(body, " ")
 	owner, err := strconv.ParseUint(id, 16, 64)
 	if err != nil {
 		return 0, -1
 	}
-	if server, err = strconv.Atoi(n); err != nil {
+	if server, err = strconv.Atoi(number); err != nil {
 		return owner, -1
 	}
 	return owner, server
 }
 
-// head is the request as PROTOCOL has it.
-func (f *fleet) head(a *lab.Arrival, id uint64, number int, timeout float64) string {
-	var b strings.Builder
-	class := &f.plan.Classes[a.Class]
+// requestHead is the request as PROTOCOL has it.
+func (f *fleet) requestHead(arrival *lab.Arrival, requestID uint64, attempt int, timeout float64) string {
+	var head strings.Builder
+	class := &f.plan.Classes[arrival.Class]
 	method := "POST"
 	if class.Idempotency == balance.Idempotent {
 		method = "GET"
 	}
-	fmt.Fprintf(&b, "%s /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: %.0f\r\nX-Cost: %.0f\r\n",
-		method, id, class.Name, timeout, 1000*a.ExpectedWorkMS)
-	if a.Key != 0 {
-		fmt.Fprintf(&b, "Cookie: k=%016x\r\n", a.Key)
+	fmt.Fprintf(&head, "%s /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: %.0f\r\nX-Cost: %.0f\r\n",
+		method, requestID, class.Name, timeout, 1000*arrival.ExpectedWorkMS)
+	if arrival.Key != 0 {
+		fmt.Fprintf(&head, "Cookie: k=%016x\r\n", arrival.Key)
 	}
-	if number > 0 {
-		b.WriteString("X-Retried: 1\r\n")
+	if attempt > 0 {
+		head.WriteString("X-Retried: 1\r\n")
 	}
 	if class.Idempotency == balance.IdempotentWithKey {
-		fmt.Fprintf(&b, "Idempotency-Key: %032x\r\n", a.EffectID)
+		fmt.Fprintf(&head, "Idempotency-Key: %032x\r\n", arrival.EffectID)
 	}
 	if method == "POST" {
-		fmt.Fprintf(&b, "Content-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(postBody), postBody)
+		fmt.Fprintf(&head, "Content-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(emptyJSONBody), emptyJSONBody)
 	} else {
-		b.WriteString("\r\n")
+		head.WriteString("\r\n")
 	}
-	return b.String()
+	return head.String()
 }
--- a/internal/lab/live/controllers.go
+++ b/internal/lab/live/controllers.go
@@ -18,160 +18,160 @@
 )
 
 const (
-	controllerReady = 15 * time.Second
-	// stepWait bounds a command of an operator's: one that follows what it has started is to be killed by then.
-	stepWait = 60 * time.Second
-	mostSaid = 500 // bytes of a command's output in an error
+	controllerReadyTimeout = 15 * time.Second
+	// commandTimeout bounds a command of an operator's: one that follows what it has started is to be killed by then.
+	commandTimeout = 60 * time.Second
+	maxOutputBytes = 500 // bytes of a command's output in an error
 )
 
 // controller is a process of the program that acts on the fleet.
 type controller struct {
-	c    *control
-	file *lab.ControllerSpec
-	addr string
+	controlPlane *controlPlane
+	spec         *lab.ControllerSpec
+	address      string
 
-	mu   sync.Mutex
-	proc *proc.Process
+	mu      sync.Mutex
+	process *proc.Process
 }
 
-func newController(c *control, n int) *controller {
-	return &controller{c: c, file: &c.file.Controllers[n], addr: c.f.addrs.Addr(planeNet, 0, controllerPort+n)}
+func newController(plane *controlPlane, number int) *controller {
+	return &controller{controlPlane: plane, spec: &plane.spec.Controllers[number], address: plane.fleet.addresses.Addr(controlPlaneNet, 0, firstControllerPort+number)}
 }
 
-// fill puts in what placeholders stand for.
-func (c *control) fill(text, name, listen, config, file string) string {
-	https := c.f.registry.cluster.HTTPAddrs()
+// expandPlaceholders puts in what placeholders stand for.
+func (c *controlPlane) expandPlaceholders(text, name, listen, config, stepFile string) string {
+	replicas := c.fleet.registryService.cluster.HTTPAddrs()
 	var quoted []string
-	for _, a := range https {
-		quoted = append(quoted, fmt.Sprintf("%q", a))
+	for _, replica := range replicas {
+		quoted = append(quoted, fmt.Sprintf("%q", replica))
 	}
-	pairs := []string{
-		"{replicas}", strings.Join(https, ","), "{list}", "[" + strings.Join(quoted, ", ") + "]", "{supervisor}", c.supervisorAddr(),
-		"{listen}", listen, "{name}", name, "{dir}", filepath.Join(c.f.opts.Dir, name), "{config}", config, "{file}", file,
+	replacements := []string{
+		"{replicas}", strings.Join(replicas, ","), "{list}", "[" + strings.Join(quoted, ", ") + "]", "{supervisor}", c.supervisorAddress(),
+		"{listen}", listen, "{name}", name, "{dir}", filepath.Join(c.fleet.options.Dir, name), "{config}", config, "{file}", stepFile,
 	}
-	for _, k := range c.controllers {
-		pairs = append(pairs, "{at:"+k.file.Name+"}", k.addr)
+	for _, controller := range c.controllers {
+		replacements = append(replacements, "{at:"+controller.spec.Name+"}", controller.address)
 	}
-	for i := range c.f.plan.Servers {
-		pairs = append(pairs, fmt.Sprintf("{server:%d}", i), c.f.plan.Servers[i].UID)
+	for i := range c.fleet.plan.Servers {
+		replacements = append(replacements, fmt.Sprintf("{server:%d}", i), c.fleet.plan.Servers[i].UID)
 	}
-	return strings.NewReplacer(pairs...).Replace(text)
+	return strings.NewReplacer(replacements...).Replace(text)
 }
 
 func (k *controller) start(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, controllerReady)
+	ctx, cancel := context.WithTimeout(ctx, controllerReadyTimeout)
 	defer cancel()
-	dir, name := k.c.f.opts.Dir, k.file.Name
+	dir, name := k.controlPlane.fleet.options.Dir, k.spec.Name
 	if err := os.MkdirAll(filepath.Join(dir, name), 0o755); err != nil {
 		return fmt.Errorf("controller %s: %w", name, err)
 	}
 	path := filepath.Join(dir, name+".toml")
-	if err := os.WriteFile(path, []byte(k.c.fill(k.file.Config, name, k.addr, path, "")), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(k.controlPlane.expandPlaceholders(k.spec.Config, name, k.address, path, "")), 0o600); err != nil {
 		return fmt.Errorf("controller %s: %w", name, err)
 	}
-	var args []string
-	for _, a := range k.file.Args {
-		args = append(args, k.c.fill(a, name, k.addr, path, ""))
+	var arguments []string
+	for _, argument := range k.spec.Args {
+		arguments = append(arguments, k.controlPlane.expandPlaceholders(argument, name, k.address, path, ""))
 	}
-	p, err := proc.Start(proc.Spec{Name: "controller " + name, Path: k.c.f.opts.Milldeck, Args: args, Log: filepath.Join(dir, name+".log")})
+	process, err := proc.Start(proc.Spec{Name: "controller " + name, Path: k.controlPlane.fleet.options.MilldeckPath, Args: arguments, Log: filepath.Join(dir, name+".log")})
 	if err != nil {
 		return err
 	}
 	k.mu.Lock()
-	k.proc = p
+	k.process = process
 	k.mu.Unlock()
-	_, err = p.WaitLog(ctx, k.file.ReadyLine)
+	_, err = process.WaitLog(ctx, k.spec.ReadyLine)
 	return err
 }
 
-func (k *controller) running() *proc.Process {
+func (k *controller) runningProcess() *proc.Process {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.proc
+	return k.process
 }
 
 func (k *controller) kill() {
-	if p := k.running(); p != nil {
-		p.Kill()
+	if process := k.runningProcess(); process != nil {
+		process.Kill()
 	}
 }
 
 // stop ends it as at a planned end. It is no part of what is judged whether it does so in time.
 func (k *controller) stop(ctx context.Context) {
-	if p := k.running(); p != nil && p.Running() {
-		if err := p.Stop(ctx); err != nil {
+	if process := k.runningProcess(); process != nil && process.Running() {
+		if err := process.Stop(ctx); err != nil {
 			slog.Warn("a controller did not end well", "error", err)
 		}
 	}
 }
 
-// steps plays what an operator does, each step at its time.
-func (c *control) steps(ctx context.Context) {
-	var all sync.WaitGroup
-	defer all.Wait()
-	for _, k := range c.controllers {
-		if k.file.AtS == 0 {
+// runSteps plays what an operator does, each step at its time.
+func (c *controlPlane) runSteps(ctx context.Context) {
+	var group sync.WaitGroup
+	defer group.Wait()
+	for _, controller := range c.controllers {
+		if controller.spec.AtS == 0 {
 			continue
 		}
-		all.Go(func() {
-			if sleep(ctx, millis(1000*k.file.AtS-c.f.now())) {
-				c.trouble("controller "+k.file.Name, k.start(ctx))
+		group.Go(func() {
+			if sleep(ctx, milliseconds(1000*controller.spec.AtS-c.fleet.now())) {
+				c.recordFailure("controller "+controller.spec.Name, controller.start(ctx))
 			}
 		})
 	}
-	for i := range c.file.Steps {
-		s := &c.file.Steps[i]
-		all.Go(func() {
-			if !sleep(ctx, millis(1000*s.AtS-c.f.now())) {
+	for i := range c.spec.Steps {
+		step := &c.spec.Steps[i]
+		group.Go(func() {
+			if !sleep(ctx, milliseconds(1000*step.AtS-c.fleet.now())) {
 				return
 			}
-			slog.Debug("step", "args", s.Args, "do", s.Action)
-			what := fmt.Sprintf("step %d", i)
-			if s.Action != "" {
-				c.trouble(what, c.act(ctx, i, s))
+			slog.Debug("step", "args", step.Args, "do", step.Action)
+			description := fmt.Sprintf("step %d", i)
+			if step.Action != "" {
+				c.recordFailure(description, c.performAction(ctx, i, step))
 				return
 			}
-			c.trouble(what, c.command(ctx, i, s))
+			c.recordFailure(description, c.runCommand(ctx, i, step))
 		})
 	}
 }
 
-// command runs a command of the program, which has to end with the step's status.
-func (c *control) command(ctx context.Context, n int, s *lab.StepSpec) error {
-	path := filepath.Join(c.f.opts.Dir, fmt.Sprintf("step%d.toml", n))
-	if err := os.WriteFile(path, []byte(c.fill(s.File, "step", "", "", path)), 0o600); err != nil {
+// runCommand runs a command of the program, which has to end with the step's status.
+func (c *controlPlane) runCommand(ctx context.Context, stepNumber int, step *lab.StepSpec) error {
+	path := filepath.Join(c.fleet.options.Dir, fmt.Sprintf("step%d.toml", stepNumber))
+	if err := os.WriteFile(path, []byte(c.expandPlaceholders(step.File, "step", "", "", path)), 0o600); err != nil {
 		return err
 	}
-	var args []string
-	for _, a := range s.Args {
-		args = append(args, c.fill(a, "step", "", "", path))
+	var arguments []string
+	for _, argument := range step.Args {
+		arguments = append(arguments, c.expandPlaceholders(argument, "step", "", "", path))
 	}
-	ctx, cancel := context.WithTimeout(ctx, stepWait)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	out, err := exec.CommandContext(ctx, c.f.opts.Milldeck, args...).CombinedOutput()
-	if logged := os.WriteFile(filepath.Join(c.f.opts.Dir, fmt.Sprintf("step%d.log", n)), out, 0o644); logged != nil {
-		return logged
+	output, err := exec.CommandContext(ctx, c.fleet.options.MilldeckPath, arguments...).CombinedOutput()
+	if writeError := os.WriteFile(filepath.Join(c.fleet.options.Dir, fmt.Sprintf("step%d.log", stepNumber)), output, 0o644); writeError != nil {
+		return writeError
 	}
 	status := 0
 	var exit *exec.ExitError
 	if errors.As(err, &exit) && ctx.Err() == nil {
 		status, err = exit.ExitCode(), nil
 	}
-	if err == nil && status != s.ExitStatus {
-		err = fmt.Errorf("milldeck %s ended with status %d, not %d: %s", strings.Join(args, " "), status, s.ExitStatus, tail(out))
+	if err == nil && status != step.ExitStatus {
+		err = fmt.Errorf("milldeck %s ended with status %d, not %d: %s", strings.Join(arguments, " "), status, step.ExitStatus, outputTail(output))
 	}
 	return err
 }
 
-func tail(out []byte) string {
-	return strings.TrimSpace(string(out[max(0, len(out)-mostSaid):]))
+func outputTail(output []byte) string {
+	return strings.TrimSpace(string(output[max(0, len(output)-maxOutputBytes):]))
 }
 
 // signalAll sends a signal to a process where there is one.
-func signalAll(sig syscall.Signal, all ...*proc.Process) {
-	for _, p := range all {
-		if p != nil {
-			p.Signal(sig)
+func signalAll(signal syscall.Signal, processes ...*proc.Process) {
+	for _, process := range processes {
+		if process != nil {
+			process.Signal(signal)
 		}
 	}
 }
--- /dev/null
+++ b/internal/lab/live/direct_actions.go
@@ -0,0 +1,90 @@
+package live
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"time"
+
+	"milldeck/internal/lab"
+	"milldeck/internal/leaderelection"
+	"milldeck/internal/placement"
+	"milldeck/internal/registry"
+	"milldeck/internal/supervisor"
+)
+
+const (
+	maxPlacedKeys = 100              // whose copies are placed
+	copyTTL       = 30 * time.Second // how long they last
+)
+
+// performAction does something to units behind the controllers' back.
+func (c *controlPlane) performAction(ctx context.Context, stepNumber int, step *lab.StepSpec) error {
+	serverNumbers, sidecarNumbers := c.fleet.plan.MatchUnits(step.Target)
+	var servers, units []string
+	for _, i := range serverNumbers {
+		servers = append(servers, c.fleet.plan.Servers[i].UID)
+	}
+	units = slices.Clone(servers)
+	for _, i := range sidecarNumbers {
+		units = append(units, c.fleet.plan.Sidecars[i].Name)
+	}
+	switch step.Action {
+	case "drain":
+		for _, uid := range servers {
+			if _, err := c.fleet.registryService.client.SetState(ctx, registry.WriteOptions{}, uid, registry.InstanceTerminating); err != nil {
+				return err
+			}
+		}
+		return nil
+	case "copies":
+		return c.placeCopies(ctx, servers)
+	}
+	return c.changeUnits(ctx, stepNumber, supervisor.Op(step.Action), units)
+}
+
+// changeUnits asks the platform.
+func (c *controlPlane) changeUnits(ctx context.Context, stepNumber int, op supervisor.Op, units []string) error {
+	inventory, err := c.supervisorClient.List(ctx)
+	if err != nil {
+		return err
+	}
+	var requests []supervisor.Request
+	for _, name := range units {
+		unit := inventory.Find(name)
+		if unit == nil {
+			return fmt.Errorf("the platform knows no unit %s", name)
+		}
+		request := supervisor.Request{ID: fmt.Sprintf("lab/step%d/%s", stepNumber, name), Op: op, Epoch: inventory.Epoch, Unit: name, Incarnation: unit.Incarnation}
+		if op != supervisor.Stop {
+			request.Kind, request.Version, request.Listen, request.Zone, request.ConfigName = unit.Kind, unit.Version, unit.Listen, unit.Zone, unit.ConfigName
+		}
+		requests = append(requests, request)
+	}
+	results, err := c.supervisorClient.Do(ctx, requests...)
+	for i := range results {
+		if err == nil {
+			err = results[i].Err()
+		}
+	}
+	return err
+}
+
+// placeCopies takes the spreader's duty and places copies of keys on servers, whatever that costs.
+func (c *controlPlane) placeCopies(ctx context.Context, servers []string) error {
+	client := c.fleet.registryService.client
+	return leaderelection.Run(ctx, client, "spread", leaderelection.Options{}, func(ctx context.Context, lease *leaderelection.Lease) error {
+		now := time.Now()
+		var directives []placement.Directive
+		for i := range min(maxPlacedKeys, c.fleet.plan.Experiment.Clients.Keys) {
+			key := fmt.Sprintf("%016x", hashKey(c.fleet.plan.ClientKey(i)))
+			directive := placement.Directive{ID: "spread/" + key, Kind: placement.KindSpreadKey, KeyHash: key, ExpiresAtMS: now.Add(copyTTL).UnixMilli()}
+			for _, server := range servers {
+				directive.Copies = append(directive.Copies, placement.KeyCopy{ServerUID: server, LoadFraction: 1 / float64(len(servers)+1)})
+			}
+			directives = append(directives, directive)
+		}
+		_, err := client.SetPlacement(ctx, registry.WriteOptions{Guard: lease.Guard()}, now.UnixMilli(), directives)
+		return err
+	})
+}
--- a/internal/lab/live/discovery.go
+++ b/internal/lab/live/discovery.go
@@ -14,140 +14,140 @@
 )
 
 const (
-	emptyLine   = 2 * time.Second // PROTOCOL: an empty line where nothing changes
-	oldStays    = 1500 * time.Millisecond
-	historyMost = 4096 // changes that an agent keeps for watches that ask after an older revision
+	keepAliveInterval = 2 * time.Second // PROTOCOL: an empty line where nothing changes
+	oldAddressGrace   = 1500 * time.Millisecond
+	maxHistory        = 4096 // changes that an agent keeps for watches that ask after an older revision
 )
 
-// target is an entry in PROTOCOL's form.
-type target struct {
+// endpoint is an entry in PROTOCOL's form.
+type endpoint struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
 	Zone     string  `json:"az"`
 	Model    string  `json:"model"`
-	Pod      int     `json:"pod_group"`
+	PodGroup int     `json:"pod_group"`
 	State    string  `json:"state"`
 	Capacity float64 `json:"capacity_hint"`
-	Boot     float64 `json:"boot_ms"`
+	BootMS   float64 `json:"boot_ms"`
 }
 
-type list struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []target `json:"targets"`
+type endpointList struct {
+	Revision int64      `json:"rev"`
+	Full     bool       `json:"all"`
+	Targets  []endpoint `json:"targets"`
 }
 
 // The states of PROTOCOL.
 const (
-	ready       = "Ready"
-	terminating = "Terminating"
-	gone        = "Gone"
+	stateReady       = "Ready"
+	stateTerminating = "Terminating"
+	stateGone        = "Gone"
 )
 
-// change is one entry that an agent has been sent.
-type change struct {
-	rev    int64
-	server int
-	entry  target
+// endpointChange is one entry that an agent has been sent.
+type endpointChange struct {
+	revision int64
+	server   int
+	endpoint endpoint
 }
 
 // agent is the stand-in for the discovery agent on one sidecar's machine: it answers at once with what it has
 // been sent, and is silent while discovery is down.
 type agent struct {
-	f *fleet
-	n int // of the sidecar
+	fleet   *fleet
+	sidecar int // of the sidecar
 
-	mu      sync.Mutex
-	rev     int64
-	entries map[int]target // by server; those gone are left out
-	boots   map[int]float64
-	log     []change
-	pending []change
-	woken   chan struct{}
-	srv     *http.Server
-	moves   int
-	queue   chan sending
+	mu          sync.Mutex
+	revision    int64
+	endpoints   map[int]endpoint // by server; those gone are left out
+	knownBootMS map[int]float64
+	history     []endpointChange
+	pending     []endpointChange
+	changed     chan struct{}
+	httpServer  *http.Server
+	relocations int
+	deliveries  chan delivery
 }
 
-// sending is a change on its way to an agent.
-type sending struct {
-	due float64 // ms
-	change
+// delivery is a change on its way to an agent.
+type delivery struct {
+	dueMS float64 // ms
+	endpointChange
 }
 
-// queueLength is how many changes can be on their way to an agent at a time; publishing waits beyond it.
-const queueLength = 1 << 14
+// maxDeliveries is how many changes can be on their way to an agent at a time; publishing waits beyond it.
+const maxDeliveries = 1 << 14
 
-func newAgent(f *fleet, n int) *agent {
-	return &agent{f: f, n: n, rev: 1, entries: map[int]target{}, boots: map[int]float64{}, woken: make(chan struct{}), queue: make(chan sending, queueLength)}
+func newAgent(fleet *fleet, sidecar int) *agent {
+	return &agent{fleet: fleet, sidecar: sidecar, revision: 1, endpoints: map[int]endpoint{}, knownBootMS: map[int]float64{}, changed: make(chan struct{}), deliveries: make(chan delivery, maxDeliveries)}
 }
 
-// open serves at the agent's address, or after a move at its other one.
-func (a *agent) open() error {
-	ln, err := net.Listen("tcp4", a.addr())
+// listen serves at the agent's address, or after a move at its other one.
+func (a *agent) listen() error {
+	listener, err := net.Listen("tcp4", a.address())
 	if err != nil {
-		return fmt.Errorf("discovery of sidecar %d: %w", a.n, err)
+		return fmt.Errorf("discovery of sidecar %d: %w", a.sidecar, err)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", a.serve)
-	a.srv = &http.Server{Handler: mux, ReadHeaderTimeout: closeWait}
-	go a.srv.Serve(ln)
+	a.httpServer = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
+	go a.httpServer.Serve(listener)
 	return nil
 }
 
-func (a *agent) addr() string { return a.f.addrs.discovery(a.n, a.moves%2) }
+func (a *agent) address() string { return a.fleet.addresses.discovery(a.sidecar, a.relocations%2) }
 
-// move goes to the other address; the old one takes nothing new and ends soon.
-func (a *agent) move() error {
-	old := a.srv
-	a.moves++
-	if err := a.open(); err != nil {
+// relocate goes to the other address; the old one takes nothing new and ends soon.
+func (a *agent) relocate() error {
+	previous := a.httpServer
+	a.relocations++
+	if err := a.listen(); err != nil {
 		return err
 	}
 	// Shutdown closes the listener at once and waits for watches, which never end by themselves.
-	ctx, cancel := context.WithTimeout(context.Background(), oldStays)
+	ctx, cancel := context.WithTimeout(context.Background(), oldAddressGrace)
 	go func() {
 		defer cancel()
-		if old.Shutdown(ctx) != nil {
-			old.Close()
+		if previous.Shutdown(ctx) != nil {
+			previous.Close()
 		}
 	}()
 	return nil
 }
 
 func (a *agent) close() {
-	if a.srv != nil {
-		a.srv.Close()
+	if a.httpServer != nil {
+		a.httpServer.Close()
 	}
 }
 
-// deaf tells whether discovery cannot reach the agent.
-func (a *agent) deaf() bool {
-	cut, _, _, _ := a.f.net.way(lab.Endpoint{Kind: lab.DiscoveryEndpoint}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: a.n})
-	return cut || a.f.discoveryDown.Load()
+// isUnreachable tells whether discovery cannot reach the agent.
+func (a *agent) isUnreachable() bool {
+	partitioned, _, _, _ := a.fleet.network.state(lab.Endpoint{Kind: lab.DiscoveryEndpoint}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: a.sidecar})
+	return partitioned || a.fleet.discoveryDown.Load()
 }
 
-// receive takes changes as they come to the machine, in order, until the run ends.
-func (a *agent) receive() {
+// receiveChanges takes changes as they come to the machine, in order, until the run ends.
+func (a *agent) receiveChanges() {
 	for {
 		select {
-		case <-a.f.ctx.Done():
+		case <-a.fleet.ctx.Done():
 			return
-		case s := <-a.queue:
-			if !sleep(a.f.ctx, millis(s.due-a.f.now())) {
+		case next := <-a.deliveries:
+			if !sleep(a.fleet.ctx, milliseconds(next.dueMS-a.fleet.now())) {
 				return
 			}
 			a.mu.Lock()
-			a.pending = append(a.pending, s.change)
+			a.pending = append(a.pending, next.endpointChange)
 			a.mu.Unlock()
-			a.catchUp()
+			a.applyPending()
 		}
 	}
 }
 
-// catchUp takes over what came, unless discovery is out of reach.
-func (a *agent) catchUp() {
-	if a.deaf() {
+// applyPending takes over what came, unless discovery is out of reach.
+func (a *agent) applyPending() {
+	if a.isUnreachable() {
 		return
 	}
 	a.mu.Lock()
@@ -155,77 +155,77 @@
 	if len(a.pending) == 0 {
 		return
 	}
-	for _, c := range a.pending {
-		a.rev = max(a.rev, c.rev)
-		if c.entry.State == gone {
-			delete(a.entries, c.server)
+	for _, change := range a.pending {
+		a.revision = max(a.revision, change.revision)
+		if change.endpoint.State == stateGone {
+			delete(a.endpoints, change.server)
 		} else {
-			a.entries[c.server] = c.entry
+			a.endpoints[change.server] = change.endpoint
 		}
-		a.boots[c.server] = c.entry.Boot
-		a.log = append(a.log, c)
+		a.knownBootMS[change.server] = change.endpoint.BootMS
+		a.history = append(a.history, change)
 	}
-	if extra := len(a.log) - historyMost; extra > 0 {
-		a.log = a.log[extra:]
+	if excess := len(a.history) - maxHistory; excess > 0 {
+		a.history = a.history[excess:]
 	}
 	a.pending = nil
-	close(a.woken)
-	a.woken = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// all is the whole list; the caller holds the lock.
-func (a *agent) all() list {
-	l := list{Rev: a.rev, All: true, Targets: []target{}}
-	for i := range a.f.servers {
-		if e, is := a.entries[i]; is {
-			l.Targets = append(l.Targets, e)
+// fullList is the whole list; the caller holds the lock.
+func (a *agent) fullList() endpointList {
+	full := endpointList{Revision: a.revision, Full: true, Targets: []endpoint{}}
+	for i := range a.fleet.servers {
+		if entry, ok := a.endpoints[i]; ok {
+			full.Targets = append(full.Targets, entry)
 		}
 	}
-	return l
+	return full
 }
 
-// since is what changed after a revision, newest entry of each server only; the whole list where that is not
+// changesSince is what changed after a revision, newest entry of each server only; the whole list where that is not
 // known any more. The caller holds the lock.
-func (a *agent) since(rev int64) (list, map[int]bool) {
-	told := map[int]bool{}
-	if rev <= 0 || rev > a.rev || len(a.log) > 0 && rev < a.log[0].rev-1 {
-		for i := range a.f.servers {
-			if _, known := a.boots[i]; known {
-				told[i] = a.entries[i].State == ready
+func (a *agent) changesSince(revision int64) (endpointList, map[int]bool) {
+	notified := map[int]bool{}
+	if revision <= 0 || revision > a.revision || len(a.history) > 0 && revision < a.history[0].revision-1 {
+		for i := range a.fleet.servers {
+			if _, known := a.knownBootMS[i]; known {
+				notified[i] = a.endpoints[i].State == stateReady
 			}
 		}
-		return a.all(), told
+		return a.fullList(), notified
 	}
-	last := map[int]target{}
-	for _, c := range a.log {
-		if c.rev > rev {
-			last[c.server] = c.entry
+	newest := map[int]endpoint{}
+	for _, change := range a.history {
+		if change.revision > revision {
+			newest[change.server] = change.endpoint
 		}
 	}
-	l := list{Rev: a.rev, Targets: []target{}}
-	for i := range a.f.servers {
-		if e, is := last[i]; is {
-			l.Targets = append(l.Targets, e)
-			told[i] = e.State == ready
+	changes := endpointList{Revision: a.revision, Targets: []endpoint{}}
+	for i := range a.fleet.servers {
+		if entry, ok := newest[i]; ok {
+			changes.Targets = append(changes.Targets, entry)
+			notified[i] = entry.State == stateReady
 		}
 	}
-	return l, told
+	return changes, notified
 }
 
 func (a *agent) serve(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	if q.Get("watch") == "" {
+	query := r.URL.Query()
+	if query.Get("watch") == "" {
 		a.mu.Lock()
-		l, told := a.since(0)
+		current, notified := a.changesSince(0)
 		a.mu.Unlock()
 		w.Header().Set("Content-Type", "application/json")
-		if json.NewEncoder(w).Encode(l) == nil {
-			a.tell(told)
+		if json.NewEncoder(w).Encode(current) == nil {
+			a.notifyChecker(notified)
 		}
 		return
 	}
-	after, err := strconv.ParseInt(q.Get("after"), 10, 64)
-	if q.Get("after") != "" && err != nil {
+	after, err := strconv.ParseInt(query.Get("after"), 10, 64)
+	if query.Get("after") != "" && err != nil {
 		http.Error(w, "after is no number", http.StatusBadRequest)
 		return
 	}
@@ -233,96 +233,96 @@
 }
 
 func (a *agent) watch(w http.ResponseWriter, r *http.Request, after int64) {
-	out := http.NewResponseController(w)
-	quiet := time.NewTicker(emptyLine)
-	defer quiet.Stop()
+	controller := http.NewResponseController(w)
+	keepAlive := time.NewTicker(keepAliveInterval)
+	defer keepAlive.Stop()
 	first := true
 	for {
 		a.mu.Lock()
-		l, told := a.since(after)
-		woken := a.woken
+		changes, notified := a.changesSince(after)
+		changed := a.changed
 		a.mu.Unlock()
-		if l.All || len(l.Targets) > 0 || first {
-			line, err := json.Marshal(l)
+		if changes.Full || len(changes.Targets) > 0 || first {
+			line, err := json.Marshal(changes)
 			if err != nil {
 				return
 			}
-			if _, err := w.Write(append(line, '\n')); err != nil || out.Flush() != nil {
+			if _, err := w.Write(append(line, '\n')); err != nil || controller.Flush() != nil {
 				return
 			}
-			a.tell(told)
-			after, first = l.Rev, false
-			quiet.Reset(emptyLine)
+			a.notifyChecker(notified)
+			after, first = changes.Revision, false
+			keepAlive.Reset(keepAliveInterval)
 		}
 		select {
 		case <-r.Context().Done():
 			return
-		case <-woken:
-		case <-quiet.C:
-			if a.deaf() {
+		case <-changed:
+		case <-keepAlive.C:
+			if a.isUnreachable() {
 				continue
 			}
-			if _, err := w.Write([]byte("\n")); err != nil || out.Flush() != nil {
+			if _, err := w.Write([]byte("\n")); err != nil || controller.Flush() != nil {
 				return
 			}
 		}
 	}
 }
 
-// tell records what the sidecar has been told.
-func (a *agent) tell(told map[int]bool) {
-	now := a.f.now()
-	for s, isReady := range told {
-		a.f.judge.EndpointNotified(now, a.n, s, isReady)
+// notifyChecker records what the sidecar has been told.
+func (a *agent) notifyChecker(notified map[int]bool) {
+	now := a.fleet.now()
+	for server, isReady := range notified {
+		a.fleet.checker.EndpointNotified(now, a.sidecar, server, isReady)
 	}
 }
 
-// entry is a server's, as one sidecar sees it.
-func (f *fleet) entry(s *server, sidecar int, state string) target {
-	boot := 0.0
-	if s.boot > 0 {
-		boot = f.unix(s.boot)
+// endpointOf is a server's, as one sidecar sees it.
+func (f *fleet) endpointOf(server *server, sidecar int, state string) endpoint {
+	bootMS := 0.0
+	if server.bootMS > 0 {
+		bootMS = f.unixMS(server.bootMS)
 	}
-	return target{
-		UID: s.plan.UID, Endpoint: f.addrs.server(s.plan.AddressSlot, sidecar), Zone: f.plan.Experiment.Zones[s.plan.Zone],
-		Model: s.plan.Spec.Kind, Pod: s.plan.Cell, State: state, Capacity: 1, Boot: boot,
+	return endpoint{
+		UID: server.plan.UID, Endpoint: f.addresses.server(server.plan.AddressSlot, sidecar), Zone: f.plan.Experiment.Zones[server.plan.Zone],
+		Model: server.plan.Spec.Kind, PodGroup: server.plan.Cell, State: state, Capacity: 1, BootMS: bootMS,
 	}
 }
 
-// publish tells every agent of a server, each after its own time and in order.
-func (f *fleet) publish(s *server, state string) {
-	if f.registry != nil {
-		f.registry.publish(s, state)
+// publishState tells every agent of a server, each after its own time and in order.
+func (f *fleet) publishState(server *server, state string) {
+	if f.registryService != nil {
+		f.registryService.publishState(server, state)
 		return
 	}
-	f.listMu.Lock()
-	defer f.listMu.Unlock()
-	f.rev++
-	f.listed[s.n] = state
-	for i, a := range f.agents {
-		c := change{f.rev, s.n, f.entry(s, i, state)}
+	f.publishedMu.Lock()
+	defer f.publishedMu.Unlock()
+	f.revision++
+	f.publishedStates[server.number] = state
+	for sidecar, agent := range f.agents {
+		notification := endpointChange{f.revision, server.number, f.endpointOf(server, sidecar, state)}
 		select {
-		case a.queue <- sending{f.now() + f.plan.Sidecars[i].NotificationDelayMS + f.discoveryLate, c}:
+		case agent.deliveries <- delivery{f.now() + f.plan.Sidecars[sidecar].NotificationDelayMS + f.discoveryDelayMS, notification}:
 		case <-f.ctx.Done():
 		}
 	}
 }
 
-// state is what discovery has been told of a server.
-func (f *fleet) state(s *server) string {
-	f.listMu.Lock()
-	defer f.listMu.Unlock()
-	return f.listed[s.n]
+// publishedState is what discovery has been told of a server.
+func (f *fleet) publishedState(server *server) string {
+	f.publishedMu.Lock()
+	defer f.publishedMu.Unlock()
+	return f.publishedStates[server.number]
 }
 
-// informed tells whether a sidecar has been told of a server's present life.
-func (f *fleet) informed(sidecar, server int) bool {
-	a, s := f.agents[sidecar], f.servers[server]
-	s.mu.Lock()
-	boot := s.boot
-	s.mu.Unlock()
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	known, is := a.boots[server]
-	return is && (boot == 0 || known == f.unix(boot))
+// isInformed tells whether a sidecar has been told of a server's present life.
+func (f *fleet) isInformed(sidecar, server int) bool {
+	agent, target := f.agents[sidecar], f.servers[server]
+	target.mu.Lock()
+	bootMS := target.bootMS
+	target.mu.Unlock()
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	knownBootMS, ok := agent.knownBootMS[server]
+	return ok && (bootMS == 0 || knownBootMS == f.unixMS(bootMS))
 }
--- a/internal/lab/live/faults.go
+++ b/internal/lab/live/faults.go
@@ -12,220 +12,220 @@
 )
 
 const (
-	restartPause = 100 // ms between the end of a server and its new start, as in package sim
-	excuseAfter  = 500 // ms after a freeze or cut in which answers may still be late
+	restartPauseMS   = 100 // ms between the end of a server and its new start, as in package sim
+	faultAftermathMS = 500 // ms after a freeze or cut in which answers may still be late
 )
 
-// inject begins and ends the faults at their times; it returns once none is under way.
-func (f *fleet) inject(ctx context.Context) {
-	var all sync.WaitGroup
-	defer all.Wait()
+// injectFaults begins and ends the faults at their times; it returns once none is under way.
+func (f *fleet) injectFaults(ctx context.Context) {
+	var group sync.WaitGroup
+	defer group.Wait()
 	for i := range f.plan.Faults {
-		ft := &f.plan.Faults[i]
-		all.Go(func() {
-			if !sleep(ctx, millis(ft.StartMS-f.now())) {
+		fault := &f.plan.Faults[i]
+		group.Go(func() {
+			if !sleep(ctx, milliseconds(fault.StartMS-f.now())) {
 				return
 			}
-			slog.Debug("fault begins", "fault", ft.Label)
-			f.begin(ctx, ft)
-			if ft.EndMS == 0 {
+			slog.Debug("fault begins", "fault", fault.Label)
+			f.beginFault(ctx, fault)
+			if fault.EndMS == 0 {
 				return
 			}
-			sleep(ctx, millis(ft.EndMS-f.now()))
-			f.end(ctx, ft) // also when the run is cut short: what is stopped must go on to be ended
+			sleep(ctx, milliseconds(fault.EndMS-f.now()))
+			f.endFault(ctx, fault) // also when the run is cut short: what is stopped must go on to be ended
 		})
 	}
-	for _, s := range f.servers {
-		if s.plan.StartMS > 0 {
-			all.Go(func() {
-				if sleep(ctx, millis(s.plan.StartMS-f.now())) {
-					f.boot(s)
+	for _, server := range f.servers {
+		if server.plan.StartMS > 0 {
+			group.Go(func() {
+				if sleep(ctx, milliseconds(server.plan.StartMS-f.now())) {
+					f.startServer(server)
 				}
 			})
 		}
-		if s.plan.ReplacedMS > 0 {
-			all.Go(func() {
-				if sleep(ctx, millis(s.plan.ReplacedMS-f.now())) {
-					f.retire(ctx, s, false)
+		if server.plan.ReplacedMS > 0 {
+			group.Go(func() {
+				if sleep(ctx, milliseconds(server.plan.ReplacedMS-f.now())) {
+					f.drainServer(ctx, server, false)
 				}
 			})
 		}
 	}
 }
 
-// failed reports what the lab itself could not do.
-func failed(what string, err error) {
+// logFaultFailure reports what the lab itself could not do.
+func logFaultFailure(action string, err error) {
 	if err != nil {
-		slog.Error("the lab cannot play a fault", "fault", what, "error", err)
+		slog.Error("the lab cannot play a fault", "fault", action, "error", err)
 	}
 }
 
-func (f *fleet) begin(ctx context.Context, ft *lab.Fault) {
-	if f.control != nil {
-		f.control.begin(ctx, ft)
+func (f *fleet) beginFault(ctx context.Context, fault *lab.Fault) {
+	if f.controlPlane != nil {
+		f.controlPlane.beginFault(ctx, fault)
 	}
-	for _, i := range ft.Servers {
-		s := f.servers[i]
-		if f.control != nil {
-			f.control.befall(ctx, s, ft)
+	for _, number := range fault.Servers {
+		server := f.servers[number]
+		if f.controlPlane != nil {
+			f.controlPlane.beginServerFault(ctx, server, fault)
 			continue
 		}
-		switch ft.Kind {
+		switch fault.Kind {
 		case lab.FaultKill:
-			s.die()
-			f.unlist(s)
+			server.crash()
+			f.removeAfterSilence(server)
 		case lab.FaultZoneOutage:
-			f.net.change(func() { f.net.dark[i] = true })
-			failed(ft.Label, s.hush(true))
-			f.unlist(s)
+			f.network.update(func() { f.network.darkServers[number] = true })
+			logFaultFailure(fault.Label, server.setSilent(true))
+			f.removeAfterSilence(server)
 		case lab.FaultRestart:
-			go f.retire(ctx, s, true)
+			go f.drainServer(ctx, server, true)
 		case lab.FaultFreeze:
-			f.net.change(func() { f.net.dark[i] = true })
+			f.network.update(func() { f.network.darkServers[number] = true })
 		case lab.FaultConnectionRefused:
-			for _, p := range s.ports {
-				p.close()
+			for _, port := range server.ports {
+				port.close()
 			}
-			s.lose()
+			server.resetConnections()
 		case lab.FaultDiscoveryFalseRemoval:
-			if f.state(s) == ready {
-				f.publish(s, gone)
+			if f.publishedState(server) == stateReady {
+				f.publishState(server, stateGone)
 			}
 		default:
-			s.suffer(ft, true)
+			server.setFault(fault, true)
 		}
 	}
-	for _, i := range ft.Sidecars {
-		n := f.nodes[i]
-		switch ft.Kind {
+	for _, number := range fault.Sidecars {
+		sidecar := f.sidecars[number]
+		switch fault.Kind {
 		case lab.FaultKill:
-			n.kill()
+			sidecar.kill()
 		case lab.FaultRestart:
-			f.restarts.Go(func() { f.restart(n) })
+			f.sidecarRestarts.Go(func() { f.restartSidecar(sidecar) })
 		case lab.FaultFreeze:
-			f.judge.ExcuseSidecar(i, f.now()-slackMS, ft.EndMS+excuseAfter)
-			n.signal(syscall.SIGSTOP)
+			f.checker.ExcuseSidecar(number, f.now()-timeoutToleranceMS, fault.EndMS+faultAftermathMS)
+			sidecar.signal(syscall.SIGSTOP)
 		case lab.FaultReload:
-			f.reload(n)
+			f.reloadSidecar(sidecar)
 		case lab.FaultDescriptorExhaustion:
-			go f.fill(ctx, n, ft)
+			go f.exhaustDescriptors(ctx, sidecar, fault)
 		}
 	}
-	switch ft.Kind {
+	switch fault.Kind {
 	case lab.FaultPartition, lab.FaultDelay, lab.FaultPacketLoss:
-		f.net.change(func() { f.net.faults = append(f.net.faults, ft) })
-		if ft.Kind == lab.FaultPartition {
-			f.cut(ft, true)
+		f.network.update(func() { f.network.faults = append(f.network.faults, fault) })
+		if fault.Kind == lab.FaultPartition {
+			f.setPartition(fault, true)
 		}
 	case lab.FaultRegistryDown:
-		f.registry.kill()
+		f.registryService.killReplicas()
 	case lab.FaultDiscoveryDown:
 		f.discoveryDown.Store(true)
 	case lab.FaultDiscoveryDelay:
-		f.listMu.Lock()
-		f.discoveryLate += ft.DelayMS
-		f.listMu.Unlock()
+		f.publishedMu.Lock()
+		f.discoveryDelayMS += fault.DelayMS
+		f.publishedMu.Unlock()
 	}
 }
 
-func (f *fleet) end(ctx context.Context, ft *lab.Fault) {
-	if f.control != nil {
-		f.control.end(ctx, ft)
+func (f *fleet) endFault(ctx context.Context, fault *lab.Fault) {
+	if f.controlPlane != nil {
+		f.controlPlane.endFault(ctx, fault)
 	}
-	for _, i := range ft.Servers {
-		s := f.servers[i]
-		if f.control != nil {
-			f.control.spare(ctx, s, ft)
+	for _, number := range fault.Servers {
+		server := f.servers[number]
+		if f.controlPlane != nil {
+			f.controlPlane.endServerFault(ctx, server, fault)
 			continue
 		}
-		switch ft.Kind {
+		switch fault.Kind {
 		case lab.FaultKill:
-			if !s.isUp() {
-				f.boot(s)
+			if !server.isUp() {
+				f.startServer(server)
 			}
 		case lab.FaultZoneOutage:
-			s.lose()
-			f.net.change(func() { delete(f.net.dark, i) })
-			failed(ft.Label, s.hush(false))
-			if s.plan.ReplacedMS == 0 || f.now() < s.plan.ReplacedMS {
-				f.boot(s)
+			server.resetConnections()
+			f.network.update(func() { delete(f.network.darkServers, number) })
+			logFaultFailure(fault.Label, server.setSilent(false))
+			if server.plan.ReplacedMS == 0 || f.now() < server.plan.ReplacedMS {
+				f.startServer(server)
 			}
 		case lab.FaultFreeze:
-			f.net.change(func() { delete(f.net.dark, i) })
+			f.network.update(func() { delete(f.network.darkServers, number) })
 		case lab.FaultConnectionRefused:
-			failed(ft.Label, s.listen())
+			logFaultFailure(fault.Label, server.listen())
 		case lab.FaultDiscoveryFalseRemoval:
-			if f.state(s) == gone && s.isUp() {
-				f.publish(s, ready)
+			if f.publishedState(server) == stateGone && server.isUp() {
+				f.publishState(server, stateReady)
 			}
 		default:
-			s.suffer(ft, false)
+			server.setFault(fault, false)
 		}
 	}
-	for _, i := range ft.Sidecars {
-		n := f.nodes[i]
+	for _, number := range fault.Sidecars {
+		sidecar := f.sidecars[number]
 		switch {
-		case ft.Kind == lab.FaultFreeze:
-			n.signal(syscall.SIGCONT)
-		case ft.Kind == lab.FaultKill && ctx.Err() == nil:
-			f.restarts.Go(func() { f.again(n) })
+		case fault.Kind == lab.FaultFreeze:
+			sidecar.signal(syscall.SIGCONT)
+		case fault.Kind == lab.FaultKill && ctx.Err() == nil:
+			f.sidecarRestarts.Go(func() { f.startSidecar(sidecar) })
 		}
 	}
-	switch ft.Kind {
+	switch fault.Kind {
 	case lab.FaultPartition, lab.FaultDelay, lab.FaultPacketLoss:
-		f.net.change(func() {
-			f.net.faults = slices.DeleteFunc(f.net.faults, func(g *lab.Fault) bool { return g == ft })
+		f.network.update(func() {
+			f.network.faults = slices.DeleteFunc(f.network.faults, func(candidate *lab.Fault) bool { return candidate == fault })
 		})
-		if ft.Kind == lab.FaultPartition {
-			f.cut(ft, false)
+		if fault.Kind == lab.FaultPartition {
+			f.setPartition(fault, false)
 		}
 	case lab.FaultRegistryDown:
-		failed(ft.Label, f.registry.startAgain())
+		logFaultFailure(fault.Label, f.registryService.restartReplicas())
 	case lab.FaultDiscoveryDown:
 		f.discoveryDown.Store(false)
 	case lab.FaultDiscoveryDelay:
-		f.listMu.Lock()
-		f.discoveryLate -= ft.DelayMS
-		f.listMu.Unlock()
+		f.publishedMu.Lock()
+		f.discoveryDelayMS -= fault.DelayMS
+		f.publishedMu.Unlock()
 	}
-	if f.registry == nil {
-		for _, a := range f.agents {
-			a.catchUp()
+	if f.registryService == nil {
+		for _, agent := range f.agents {
+			agent.applyPending()
 		}
 	}
 }
 
-// cut makes the ports between two parties silent, or lets them speak again, and excuses sidecars that are cut
+// setPartition makes the ports between two parties silent, or lets them speak again, and excuses sidecars that are cut
 // off from their own clients.
-func (f *fleet) cut(ft *lab.Fault, on bool) {
-	for i, n := range f.nodes {
-		sidecar, client := lab.Endpoint{Kind: lab.SidecarEndpoint, Index: i}, lab.Endpoint{Kind: lab.ClientEndpoint, Index: i}
-		if on && (ft.Affects(client, sidecar) || ft.Affects(sidecar, client)) {
-			f.judge.ExcuseSidecar(n.n, f.now()-slackMS, ft.EndMS+excuseAfter)
+func (f *fleet) setPartition(fault *lab.Fault, active bool) {
+	for number, process := range f.sidecars {
+		sidecar, client := lab.Endpoint{Kind: lab.SidecarEndpoint, Index: number}, lab.Endpoint{Kind: lab.ClientEndpoint, Index: number}
+		if active && (fault.Affects(client, sidecar) || fault.Affects(sidecar, client)) {
+			f.checker.ExcuseSidecar(process.number, f.now()-timeoutToleranceMS, fault.EndMS+faultAftermathMS)
 		}
-		for _, s := range f.servers {
-			server := lab.Endpoint{Kind: lab.ServerEndpoint, Index: s.n}
+		for _, target := range f.servers {
+			server := lab.Endpoint{Kind: lab.ServerEndpoint, Index: target.number}
 			// Of a connection that comes up, both ways are needed.
-			if ft.Affects(sidecar, server) || ft.Affects(server, sidecar) {
-				failed(ft.Label, s.ports[i].hush(on))
+			if fault.Affects(sidecar, server) || fault.Affects(server, sidecar) {
+				logFaultFailure(fault.Label, target.ports[number].setSilent(active))
 			}
 		}
 	}
 }
 
-// boot starts a server anew, cold, and lists it.
-func (f *fleet) boot(s *server) {
-	s.mu.Lock()
-	fallen := s.model.Overloaded()
-	s.mu.Unlock()
-	if fallen {
+// startServer starts a server anew, cold, and lists it.
+func (f *fleet) startServer(server *server) {
+	server.mu.Lock()
+	overloaded := server.model.Overloaded()
+	server.mu.Unlock()
+	if overloaded {
 		return // it stays down
 	}
-	if err := s.start(f.now(), true); err != nil {
-		failed("start of a server", err)
+	if err := server.start(f.now(), true); err != nil {
+		logFaultFailure("start of a server", err)
 		return
 	}
-	f.publish(s, ready)
+	f.publishState(server, stateReady)
 }
 
 func (s *server) isUp() bool {
@@ -234,45 +234,45 @@
 	return s.up
 }
 
-// unlist has discovery find out, late, that a server is gone.
-func (f *fleet) unlist(s *server) {
-	if f.registry != nil {
+// removeAfterSilence has discovery find out, late, that a server is gone.
+func (f *fleet) removeAfterSilence(server *server) {
+	if f.registryService != nil {
 		return // its lease ends by itself
 	}
-	s.mu.Lock()
-	life := s.life
-	s.mu.Unlock()
-	silent := f.plan.Experiment.Discovery.FailureDetectionMS
-	time.AfterFunc(millis((silent.Min+silent.Max)/2), func() {
-		s.mu.Lock()
-		same := s.life == life
-		s.mu.Unlock()
-		if same && f.ctx.Err() == nil && f.state(s) == ready {
-			f.publish(s, gone)
+	server.mu.Lock()
+	incarnation := server.incarnation
+	server.mu.Unlock()
+	delay := f.plan.Experiment.Discovery.FailureDetectionMS
+	time.AfterFunc(milliseconds((delay.Min+delay.Max)/2), func() {
+		server.mu.Lock()
+		unchanged := server.incarnation == incarnation
+		server.mu.Unlock()
+		if unchanged && f.ctx.Err() == nil && f.publishedState(server) == stateReady {
+			f.publishState(server, stateGone)
 		}
 	})
 }
 
-// retire drains a server and ends it; again has it start anew.
-func (f *fleet) retire(ctx context.Context, s *server, again bool) {
-	if !s.isUp() || f.state(s) != ready {
+// drainServer drains a server and ends it; again has it start anew.
+func (f *fleet) drainServer(ctx context.Context, server *server, restart bool) {
+	if !server.isUp() || f.publishedState(server) != stateReady {
 		return
 	}
-	f.publish(s, terminating)
-	if !sleep(ctx, millis(f.plan.DrainDurationMS())) || f.state(s) != terminating {
+	f.publishState(server, stateTerminating)
+	if !sleep(ctx, milliseconds(f.plan.DrainDurationMS())) || f.publishedState(server) != stateTerminating {
 		return
 	}
-	s.die()
-	if !again {
-		f.publish(s, gone)
-	} else if sleep(ctx, restartPause*time.Millisecond) {
-		f.boot(s)
+	server.crash()
+	if !restart {
+		f.publishState(server, stateGone)
+	} else if sleep(ctx, restartPauseMS*time.Millisecond) {
+		f.startServer(server)
 	}
 }
 
-// suffer begins or ends what makes a server answer badly.
-func (s *server) suffer(ft *lab.Fault, on bool) {
+// setFault begins or ends what makes a server answer badly.
+func (s *server) setFault(fault *lab.Fault, active bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.model.SetFault(ft, on)
+	s.model.SetFault(fault, active)
 }
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -17,199 +17,201 @@
 )
 
 const (
-	// slackMS is what PROTOCOL adds to each time limit on sockets.
-	slackMS       = 50
-	readyWait     = 15 * time.Second
-	readyPoll     = 10 * time.Millisecond
-	killAfter     = 5 * time.Second // after SIGTERM: PROTOCOL's 3.7 s, and some for a busy machine
-	rememberAsked = 35 * time.Second
-	// beatEvery is how often the lab looks whether its own machine is late, and lateBeat from when on it is.
-	beatEvery = 5 * time.Millisecond
-	lateBeat  = 20 * time.Millisecond
+	// timeoutToleranceMS is what PROTOCOL adds to each time limit on sockets.
+	timeoutToleranceMS   = 50
+	readyTimeout         = 15 * time.Second
+	readyPollInterval    = 10 * time.Millisecond
+	stopTimeout          = 5 * time.Second // after SIGTERM: PROTOCOL's 3.7 s, and some for a busy machine
+	sentRequestRetention = 35 * time.Second
+	// schedulingCheckInterval is how often the lab looks whether its own machine is late, and maxSchedulingDelay from when on it is.
+	schedulingCheckInterval = 5 * time.Millisecond
+	maxSchedulingDelay      = 20 * time.Millisecond
 	// descriptors each process needs beside its connections.
-	spareDescriptors = 512
+	reservedDescriptors = 512
 )
 
 // Options say how a plan is played.
 type Options struct {
-	Sidecar  string // the program; it is started once for each sidecar
-	Milldeck string // the operators' program, for the list service and its agents
-	Dir      string // for configurations and logs
-	Progress func(Progress)
+	SidecarPath  string // the program; it is started once for each sidecar
+	MilldeckPath string // the operators' program, for the list service and its agents
+	Dir          string // for configurations and logs
+	Progress     func(Progress)
 }
 
 // Progress is how far a run has come.
 type Progress struct {
-	Done     float64 // of the load, 0 to 1
-	AtS      float64
-	Requests int
-	Served   float64 // share of the worth so far
-	Faults   []string
+	LoadShare    float64 // of the load, 0 to 1
+	AtSeconds    float64
+	Requests     int
+	ServedShare  float64 // share of the worth so far
+	ActiveFaults []string
 }
 
 // Run plays a plan. When ctx ends early, children are ended and the result so far is returned, marked as cut.
-func Run(ctx context.Context, p *lab.Plan, opts Options) (*lab.Result, error) {
-	f, err := newFleet(ctx, p, opts)
+func Run(ctx context.Context, plan *lab.Plan, options Options) (*lab.Result, error) {
+	fleet, err := newFleet(ctx, plan, options)
 	if err != nil {
 		return nil, err
 	}
-	defer f.close()
-	if err := f.start(ctx); err != nil {
+	defer fleet.close()
+	if err := fleet.start(ctx); err != nil {
 		return nil, err
 	}
-	f.zero.Store(int64(time.Since(f.made)))
-	r := f.play(ctx)
-	return r, f.control.failed()
+	fleet.startOffset.Store(int64(time.Since(fleet.createdAt)))
+	result := fleet.play(ctx)
+	return result, fleet.controlPlane.firstFailure()
 }
 
 // fleet is all that takes part in a run.
 type fleet struct {
-	plan    *lab.Plan
-	opts    Options
-	judge   *lab.Checker
-	measure *lab.Recorder
-	stores  *lab.MemoryEffectStore
-	addrs   addresses
-	net     *network
+	plan      *lab.Plan
+	options   Options
+	checker   *lab.Checker
+	recorder  *lab.Recorder
+	effects   *lab.MemoryEffectStore
+	addresses addresses
+	network   *network
 
-	ctx    context.Context // ends with the run
-	cancel context.CancelFunc
-	made   time.Time
-	zero   atomic.Int64 // ns from made to the run's time 0, when all sidecars are ready
+	ctx         context.Context // ends with the run
+	cancel      context.CancelFunc
+	createdAt   time.Time
+	startOffset atomic.Int64 // ns from made to the run's time 0, when all sidecars are ready
 
-	registry *listService // nil: discovery is the lab's stand-in
-	control  *control     // nil: there is no control plane
-	servers  []*server
-	agents   []*agent
-	nodes    []*node
-	clients  sync.WaitGroup
-	restarts sync.WaitGroup // of sidecars
-	open     atomic.Int64
-	lastID   atomic.Uint64
-	attempts atomic.Int64
-	asked    sync.Map // request id -> *asked
+	registryService *registryService // nil: discovery is the lab's stand-in
+	controlPlane    *controlPlane    // nil: there is no control plane
+	servers         []*server
+	agents          []*agent
+	sidecars        []*sidecarProcess
+	openClients     sync.WaitGroup
+	sidecarRestarts sync.WaitGroup // of sidecars
+	openRequests    atomic.Int64
+	lastRequestID   atomic.Uint64
+	lastAttempt     atomic.Int64
+	sentRequests    sync.Map // request id -> *asked
 
-	peers *relay // nil: sidecars may not tell each other anything
+	gossip *gossipRelay // nil: sidecars may not tell each other anything
 
-	listMu        sync.Mutex
-	rev           int64
-	listed        map[int]string
-	discoveryLate float64 // ms
-	discoveryDown atomic.Bool
+	publishedMu      sync.Mutex
+	revision         int64
+	publishedStates  map[int]string
+	discoveryDelayMS float64 // ms
+	discoveryDown    atomic.Bool
 }
 
-func newFleet(ctx context.Context, p *lab.Plan, opts Options) (*fleet, error) {
-	if err := descriptors(p); err != nil {
+func newFleet(ctx context.Context, plan *lab.Plan, options Options) (*fleet, error) {
+	if err := checkDescriptorLimit(plan); err != nil {
 		return nil, err
 	}
-	block, err := proc.TakeBlock()
+	block, err := proc.ReserveBlock()
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{
-		plan: p, opts: opts, judge: lab.NewChecker(p, slackMS), measure: lab.NewRecorder(p), stores: lab.NewMemoryEffectStore(),
-		addrs: addresses{block}, net: newNetwork(), listed: map[int]string{}, rev: 1,
+	fleet := &fleet{
+		plan: plan, options: options, checker: lab.NewChecker(plan, timeoutToleranceMS), recorder: lab.NewRecorder(plan), effects: lab.NewMemoryEffectStore(),
+		addresses: addresses{block}, network: newNetwork(), publishedStates: map[int]string{}, revision: 1,
 	}
-	f.ctx, f.cancel = context.WithCancel(context.Background())
-	f.made = time.Now()
-	if p.Experiment.Discovery.Source == "registry" {
-		f.registry = &listService{f: f}
+	fleet.ctx, fleet.cancel = context.WithCancel(context.Background())
+	fleet.createdAt = time.Now()
+	if plan.Experiment.Discovery.Source == "registry" {
+		fleet.registryService = &registryService{fleet: fleet}
 	}
-	if p.Experiment.HasControlPlane() {
-		f.control = newControl(f)
+	if plan.Experiment.HasControlPlane() {
+		fleet.controlPlane = newControlPlane(fleet)
 	}
-	for i := range p.Servers {
-		f.servers = append(f.servers, f.newServer(i))
+	for i := range plan.Servers {
+		fleet.servers = append(fleet.servers, fleet.newServer(i))
 	}
-	for i := range p.Sidecars {
-		f.agents = append(f.agents, newAgent(f, i))
-		f.nodes = append(f.nodes, f.newNode(i))
+	for i := range plan.Sidecars {
+		fleet.agents = append(fleet.agents, newAgent(fleet, i))
+		fleet.sidecars = append(fleet.sidecars, fleet.newSidecarProcess(i))
 	}
-	if p.Experiment.Limits.AllowGossip {
-		f.peers = newRelay(f)
+	if plan.Experiment.Limits.AllowGossip {
+		fleet.gossip = newGossipRelay(fleet)
 	}
-	return f, nil
+	return fleet, nil
 }
 
-// descriptors refuses a plan whose sockets this process may not hold.
-func descriptors(p *lab.Plan) error {
+// checkDescriptorLimit refuses a plan whose sockets this process may not hold.
+func checkDescriptorLimit(plan *lab.Plan) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("descriptors: %w", err)
 	}
-	listeners := len(p.Servers)*len(p.Sidecars) + 3*len(p.Sidecars)
+	listeners := len(plan.Servers)*len(plan.Sidecars) + 3*len(plan.Sidecars)
 	// Beside its listener each pair of a sidecar and a server holds a few connections.
-	if need := uint64(3*listeners + spareDescriptors); need > limit.Cur {
+	if needed := uint64(3*listeners + reservedDescriptors); needed > limit.Cur {
 		return fmt.Errorf("%d sidecars and %d servers need about %d descriptors, the limit is %d: play it with lab sim",
-			len(p.Sidecars), len(p.Servers), need, limit.Cur)
+			len(plan.Sidecars), len(plan.Servers), needed, limit.Cur)
 	}
 	return nil
 }
 
-// ms is a time in the run's own ms.
-func (f *fleet) ms(t time.Time) float64 {
-	return float64(t.Sub(f.made)-time.Duration(f.zero.Load())) / 1e6
+// millisecondsAt is a time in the run's own ms.
+func (f *fleet) millisecondsAt(t time.Time) float64 {
+	return float64(t.Sub(f.createdAt)-time.Duration(f.startOffset.Load())) / 1e6
 }
 
-func (f *fleet) now() float64 { return f.ms(time.Now()) }
+func (f *fleet) now() float64 { return f.millisecondsAt(time.Now()) }
 
-func (f *fleet) at(ms float64) time.Time {
-	return f.made.Add(time.Duration(f.zero.Load()) + millis(ms))
+func (f *fleet) timeAt(ms float64) time.Time {
+	return f.createdAt.Add(time.Duration(f.startOffset.Load()) + milliseconds(ms))
 }
 
-// unix is a time of the run in Unix ms, as boot_ms has it.
-func (f *fleet) unix(ms float64) float64 { return math.Round(float64(f.at(ms).UnixMicro()) / 1000) }
+// unixMS is a time of the run in Unix ms, as boot_ms has it.
+func (f *fleet) unixMS(ms float64) float64 {
+	return math.Round(float64(f.timeAt(ms).UnixMicro()) / 1000)
+}
 
-func (f *fleet) nextID() uint64 { return f.lastID.Add(1) }
+func (f *fleet) nextRequestID() uint64 { return f.lastRequestID.Add(1) }
 
-// isRepeat tells whether a request had an attempt before this one.
-func (f *fleet) isRepeat(id uint64) bool {
-	v, known := f.asked.Load(id)
-	return known && v.(*asked).attempts.Add(1) > 1
+// isRetry tells whether a request had an attempt before this one.
+func (f *fleet) isRetry(id uint64) bool {
+	value, ok := f.sentRequests.Load(id)
+	return ok && value.(*sentRequest).attempts.Add(1) > 1
 }
 
 // start brings up servers, discovery and sidecars; the run's time begins once all are ready.
 func (f *fleet) start(ctx context.Context) error {
-	for _, s := range f.servers {
-		if s.plan.StartMS > 0 || f.control != nil {
+	for _, server := range f.servers {
+		if server.plan.StartMS > 0 || f.controlPlane != nil {
 			continue // a platform starts it
 		}
-		if err := s.start(0, false); err != nil {
+		if err := server.start(0, false); err != nil {
 			return err
 		}
-		f.listed[s.n] = ready
-		for i, a := range f.agents {
-			a.entries[s.n] = f.entry(s, i, ready)
-			a.boots[s.n] = 0
+		f.publishedStates[server.number] = stateReady
+		for number, agent := range f.agents {
+			agent.endpoints[server.number] = f.endpointOf(server, number, stateReady)
+			agent.knownBootMS[server.number] = 0
 		}
 	}
-	if f.control != nil {
-		return f.control.start(ctx)
+	if f.controlPlane != nil {
+		return f.controlPlane.start(ctx)
 	}
-	if f.registry != nil {
-		if err := f.registry.start(ctx); err != nil {
+	if f.registryService != nil {
+		if err := f.registryService.start(ctx); err != nil {
 			return err
 		}
 	} else {
-		for _, a := range f.agents {
-			if err := a.open(); err != nil {
+		for _, agent := range f.agents {
+			if err := agent.listen(); err != nil {
 				return err
 			}
-			go a.receive()
+			go agent.receiveChanges()
 		}
 	}
-	if f.peers != nil {
-		if err := f.peers.open(); err != nil {
+	if f.gossip != nil {
+		if err := f.gossip.open(); err != nil {
 			return err
 		}
 	}
-	for _, n := range f.nodes {
-		if err := n.start(); err != nil {
+	for _, sidecar := range f.sidecars {
+		if err := sidecar.start(); err != nil {
 			return err
 		}
 	}
-	for _, n := range f.nodes {
-		if err := n.ready(ctx); err != nil {
+	for _, sidecar := range f.sidecars {
+		if err := sidecar.awaitReady(ctx); err != nil {
 			return err
 		}
 	}
@@ -218,127 +220,127 @@
 
 // play runs load and faults to the end.
 func (f *fleet) play(ctx context.Context) *lab.Result {
-	load, stop := context.WithCancel(ctx)
-	defer stop()
-	var around sync.WaitGroup
-	around.Go(func() { f.beat(load) })
-	around.Go(func() { f.report(load) })
-	around.Go(func() { f.inject(load) })
-	if f.control != nil {
-		f.control.onTrouble(load, stop)
-		around.Go(func() { f.control.steps(load) })
-	}
-	f.load(load)
-	f.settle(ctx)
-	stop()
-	if f.control != nil {
-		f.control.finish()
-	}
-	around.Wait()
-	f.restarts.Wait()
-	f.stopNodes()
+	loadContext, stopLoad := context.WithCancel(ctx)
+	defer stopLoad()
+	var background sync.WaitGroup
+	background.Go(func() { f.watchScheduling(loadContext) })
+	background.Go(func() { f.reportProgress(loadContext) })
+	background.Go(func() { f.injectFaults(loadContext) })
+	if f.controlPlane != nil {
+		f.controlPlane.onFailure(loadContext, stopLoad)
+		background.Go(func() { f.controlPlane.runSteps(loadContext) })
+	}
+	f.generateLoad(loadContext)
+	f.awaitOpenRequests(ctx)
+	stopLoad()
+	if f.controlPlane != nil {
+		f.controlPlane.finish()
+	}
+	background.Wait()
+	f.sidecarRestarts.Wait()
+	f.stopSidecars()
 	f.cancel()
-	f.clients.Wait()
-	f.judge.Finish(f.now())
-	r := f.measure.Result("run", "module", f.judge)
-	r.CutShort = ctx.Err() != nil
-	if f.control != nil {
-		r.Metrics = f.control.judge.Metrics()
-	}
-	return r
+	f.openClients.Wait()
+	f.checker.Finish(f.now())
+	result := f.recorder.Result("run", "module", f.checker)
+	result.CutShort = ctx.Err() != nil
+	if f.controlPlane != nil {
+		result.Metrics = f.controlPlane.checker.Metrics()
+	}
+	return result
 }
 
-// settle waits for what is open after the last request.
-func (f *fleet) settle(ctx context.Context) {
+// awaitOpenRequests waits for what is open after the last request.
+func (f *fleet) awaitOpenRequests(ctx context.Context) {
 	longest := 0.0
 	for i := range f.plan.Classes {
 		longest = max(longest, f.plan.Classes[i].DeadlineMS)
 	}
-	end := time.Now().Add(millis(longest) + 2*answerWait)
-	for f.open.Load() > 0 && time.Now().Before(end) && ctx.Err() == nil {
-		time.Sleep(readyPoll)
+	deadline := time.Now().Add(milliseconds(longest) + 2*lateResponseWait)
+	for f.openRequests.Load() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
+		time.Sleep(readyPollInterval)
 	}
 }
 
-// beat watches for the lab's own machine being late, of which no sidecar is to blame.
-func (f *fleet) beat(ctx context.Context) {
+// watchScheduling watches for the lab's own machine being late, of which no sidecar is to blame.
+func (f *fleet) watchScheduling(ctx context.Context) {
 	for {
-		due := time.Now().Add(beatEvery)
-		if !sleep(ctx, beatEvery) {
+		due := time.Now().Add(schedulingCheckInterval)
+		if !sleep(ctx, schedulingCheckInterval) {
 			return
 		}
-		if late := time.Since(due); late > lateBeat {
-			f.judge.ExcuseAll(f.ms(due), f.now()+slackMS)
+		if delay := time.Since(due); delay > maxSchedulingDelay {
+			f.checker.ExcuseAll(f.millisecondsAt(due), f.now()+timeoutToleranceMS)
 		}
 	}
 }
 
-// report tells of the progress every second.
-func (f *fleet) report(ctx context.Context) {
-	if f.opts.Progress == nil {
+// reportProgress tells of the progress every second.
+func (f *fleet) reportProgress(ctx context.Context) {
+	if f.options.Progress == nil {
 		return
 	}
 	for sleep(ctx, time.Second) {
 		now := f.now()
-		requests, served := f.measure.Progress()
-		p := Progress{Done: min(1, now/f.plan.DurationMS), AtS: now / 1000, Requests: requests, Served: served}
+		requests, served := f.recorder.Progress()
+		progress := Progress{LoadShare: min(1, now/f.plan.DurationMS), AtSeconds: now / 1000, Requests: requests, ServedShare: served}
 		for i := range f.plan.Faults {
-			if ft := &f.plan.Faults[i]; now >= ft.StartMS && now < ft.EndMS {
-				p.Faults = append(p.Faults, ft.Label)
+			if fault := &f.plan.Faults[i]; now >= fault.StartMS && now < fault.EndMS {
+				progress.ActiveFaults = append(progress.ActiveFaults, fault.Label)
 			}
 		}
-		f.opts.Progress(p)
+		f.options.Progress(progress)
 	}
 }
 
-// stopNodes ends the sidecars in good order.
-func (f *fleet) stopNodes() {
-	if f.control != nil {
-		f.control.stop()
+// stopSidecars ends the sidecars in good order.
+func (f *fleet) stopSidecars() {
+	if f.controlPlane != nil {
+		f.controlPlane.stop()
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), killAfter)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	var all sync.WaitGroup
-	for _, n := range f.nodes {
-		all.Go(func() {
-			n.app.close()
-			if err := n.stop(ctx); err != nil {
-				f.judge.SidecarCrashed(f.now(), n.n, err.Error())
+	var group sync.WaitGroup
+	for _, sidecar := range f.sidecars {
+		group.Go(func() {
+			sidecar.clients.close()
+			if err := sidecar.stop(ctx); err != nil {
+				f.checker.SidecarCrashed(f.now(), sidecar.number, err.Error())
 			}
 		})
 	}
-	all.Wait()
+	group.Wait()
 }
 
 // close ends whatever is left.
 func (f *fleet) close() {
 	f.cancel()
-	if f.control != nil {
-		f.control.close()
-	}
-	for _, n := range f.nodes {
-		n.app.close()
-		n.mu.Lock()
-		if n.proc != nil {
-			n.told.Store(true)
-			n.proc.Kill()
+	if f.controlPlane != nil {
+		f.controlPlane.close()
+	}
+	for _, sidecar := range f.sidecars {
+		sidecar.clients.close()
+		sidecar.mu.Lock()
+		if sidecar.process != nil {
+			sidecar.stopRequested.Store(true)
+			sidecar.process.Kill()
 		}
-		n.mu.Unlock()
+		sidecar.mu.Unlock()
 	}
-	for _, a := range f.agents {
-		a.close()
+	for _, agent := range f.agents {
+		agent.close()
 	}
-	if f.registry != nil {
-		f.registry.close()
+	if f.registryService != nil {
+		f.registryService.close()
 	}
-	for _, s := range f.servers {
-		if f.control == nil {
-			s.die()
+	for _, server := range f.servers {
+		if f.controlPlane == nil {
+			server.crash()
 		}
 	}
-	if f.peers != nil {
-		f.peers.close()
+	if f.gossip != nil {
+		f.gossip.close()
 	}
-	f.addrs.Release()
+	f.addresses.Release()
 }
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { proctest.Main(m) }
 
-const fleetFile = `name = "live"
+const fleetExperiment = `name = "live"
 seed = 4
 duration_s = %s
 zones = ["a", "b"]
@@ -55,72 +55,72 @@
 rate = 120
 `
 
-func run(t *testing.T, ctx context.Context, duration, faults string) (*lab.Result, string) {
+func playFleet(t *testing.T, ctx context.Context, duration, faults string) (*lab.Result, string) {
 	t.Helper()
-	return runFile(t, ctx, fleetFile, duration, faults)
+	return playExperiment(t, ctx, fleetExperiment, duration, faults)
 }
 
-func runFile(t *testing.T, ctx context.Context, file, duration, faults string) (*lab.Result, string) {
+func playExperiment(t *testing.T, ctx context.Context, template, duration, faults string) (*lab.Result, string) {
 	t.Helper()
-	f, err := lab.Parse("live.toml", []byte(fmt.Sprintf(file, duration)+faults))
+	experiment, err := lab.Parse("live.toml", []byte(fmt.Sprintf(template, duration)+faults))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	r, err := Run(ctx, f.NewPlan(0), Options{Sidecar: proctest.Program(t, "sidecar"), Dir: dir})
+	result, err := Run(ctx, experiment.NewPlan(0), Options{SidecarPath: proctest.Program(t, "sidecar"), Dir: dir})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.ViolationCount > 0 {
-		for _, b := range r.Violations {
-			t.Errorf("rule %s: %s\n  %s", b.Rule, b.Detail, strings.Join(b.History, "\n  "))
+	if result.ViolationCount > 0 {
+		for _, violation := range result.Violations {
+			t.Errorf("rule %s: %s\n  %s", violation.Rule, violation.Detail, strings.Join(violation.History, "\n  "))
 		}
 		t.Log(LogTail(dir))
 	}
-	return r, dir
+	return result, dir
 }
 
-func fault(kind, target, at, lasts, more string) string {
-	out := fmt.Sprintf("[[fault]]\nkind = %q\nat_s = %s\n%s\n", kind, at, more)
+func faultTOML(kind, target, atSeconds, lastsSeconds, extra string) string {
+	text := fmt.Sprintf("[[fault]]\nkind = %q\nat_s = %s\n%s\n", kind, atSeconds, extra)
 	if target != "" {
-		out += fmt.Sprintf("target = %q\n", target)
+		text += fmt.Sprintf("target = %q\n", target)
 	}
-	if lasts != "" {
-		out += "for_s = " + lasts + "\n"
+	if lastsSeconds != "" {
+		text += "for_s = " + lastsSeconds + "\n"
 	}
-	return out
+	return text
 }
 
 // Real processes, with every kind of fault between them, break no rule and serve what can be served.
 func TestFleetUnderFaults(t *testing.T) {
 	for name, faults := range map[string]string{
-		"processes": fault("kill", "sidecar:0", "0.8", "0.3", "") + fault("freeze", "sidecar:1", "1", "0.4", "") +
-			fault("restart", "sidecar:2", "1.5", "", "") + fault("reload", "sidecars", "0.5", "", "") +
-			fault("descriptors", "sidecar:1", "2", "0.5", ""),
-		"servers": fault("kill", "server:0", "0.5", "0.8", "") + fault("slow", "server:1", "0.5", "1", "by = 8") +
-			fault("errors", "server:2", "0.5", "1", "part = 0.7") + fault("silent", "server:3", "1", "0.5", "") +
-			fault("refused", "server:4", "1", "0.5", "") + fault("reset", "server:5", "1.2", "0.6", "part = 0.4") +
-			fault("spoilt", "server:1", "1.6", "0.6", "part = 0.4") + fault("freeze", "server:2", "1.6", "0.4", ""),
-		"network": fault("zone-lost", "zone:b", "0.4", "0.8", "") + fault("cut", "", "1.4", "0.4", `between = ["zone:a", "server:1"]`) +
-			fault("cut", "", "1.5", "0.4", "between = [\"sidecar:0\", \"server:0\"]\ndirection = \"back\"") +
-			fault("delay", "", "2", "0.4", "between = [\"sidecars\", \"server:2\"]\nms = 60") +
-			fault("loss", "", "2", "0.4", "between = [\"sidecars\", \"servers\"]\npart = 0.05"),
-		"discovery": fault("roll", "server:0-2", "0.3", "0.6", "steps = 3\nreuse = true") + fault("discovery-down", "", "0.6", "0.6", "") +
-			fault("discovery-late", "", "1.3", "0.5", "ms = 300") + fault("discovery-bad", "", "1.8", "0.3", "share = 0.3") +
-			fault("restart", "server:5", "0.4", "", ""),
+		"processes": faultTOML("kill", "sidecar:0", "0.8", "0.3", "") + faultTOML("freeze", "sidecar:1", "1", "0.4", "") +
+			faultTOML("restart", "sidecar:2", "1.5", "", "") + faultTOML("reload", "sidecars", "0.5", "", "") +
+			faultTOML("descriptors", "sidecar:1", "2", "0.5", ""),
+		"servers": faultTOML("kill", "server:0", "0.5", "0.8", "") + faultTOML("slow", "server:1", "0.5", "1", "by = 8") +
+			faultTOML("errors", "server:2", "0.5", "1", "part = 0.7") + faultTOML("silent", "server:3", "1", "0.5", "") +
+			faultTOML("refused", "server:4", "1", "0.5", "") + faultTOML("reset", "server:5", "1.2", "0.6", "part = 0.4") +
+			faultTOML("spoilt", "server:1", "1.6", "0.6", "part = 0.4") + faultTOML("freeze", "server:2", "1.6", "0.4", ""),
+		"network": faultTOML("zone-lost", "zone:b", "0.4", "0.8", "") + faultTOML("cut", "", "1.4", "0.4", `between = ["zone:a", "server:1"]`) +
+			faultTOML("cut", "", "1.5", "0.4", "between = [\"sidecar:0\", \"server:0\"]\ndirection = \"back\"") +
+			faultTOML("delay", "", "2", "0.4", "between = [\"sidecars\", \"server:2\"]\nms = 60") +
+			faultTOML("loss", "", "2", "0.4", "between = [\"sidecars\", \"servers\"]\npart = 0.05"),
+		"discovery": faultTOML("roll", "server:0-2", "0.3", "0.6", "steps = 3\nreuse = true") + faultTOML("discovery-down", "", "0.6", "0.6", "") +
+			faultTOML("discovery-late", "", "1.3", "0.5", "ms = 300") + faultTOML("discovery-bad", "", "1.8", "0.3", "share = 0.3") +
+			faultTOML("restart", "server:5", "0.4", "", ""),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r, dir := run(t, t.Context(), "2.6", faults)
-			if r.Requests < 200 || r.ServedShare < 0.6 {
-				t.Errorf("%d requests, %.3f served; attempts %v\n%s", r.Requests, r.ServedShare, r.AttemptsByResult, LogTail(dir))
+			result, dir := playFleet(t, t.Context(), "2.6", faults)
+			if result.Requests < 200 || result.ServedShare < 0.6 {
+				t.Errorf("%d requests, %.3f served; attempts %v\n%s", result.Requests, result.ServedShare, result.AttemptsByResult, LogTail(dir))
 			}
 		})
 	}
 }
 
-func TestASidecarThatDiesAtStartIsNamedWithItsLog(t *testing.T) {
-	f, err := lab.Parse("live.toml", fmt.Appendf(nil, fleetFile, "1"))
+func TestSidecarStartFailureReportsItsLog(t *testing.T) {
+	experiment, err := lab.Parse("live.toml", fmt.Appendf(nil, fleetExperiment, "1"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,17 +128,17 @@
 	if err := os.WriteFile(script, []byte("#!/bin/sh\necho no luck today >&2\nexit 3\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	_, err = Run(t.Context(), f.NewPlan(0), Options{Sidecar: script, Dir: t.TempDir()})
+	_, err = Run(t.Context(), experiment.NewPlan(0), Options{SidecarPath: script, Dir: t.TempDir()})
 	if err == nil || !strings.Contains(err.Error(), "sidecar n0") || !strings.Contains(err.Error(), "no luck today") {
 		t.Errorf("%v names neither the sidecar nor its log", err)
 	}
 }
 
 // An interrupt ends all children and still gives a result.
-func TestACutShortRunEndsItsChildren(t *testing.T) {
+func TestInterruptedRunStopsItsProcesses(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(1500*time.Millisecond, cancel) // in mid-run, whenever that is
-	r, _ := run(t, ctx, "60", fault("freeze", "sidecar:0", "0.2", "50", ""))
+	r, _ := playFleet(t, ctx, "60", faultTOML("freeze", "sidecar:0", "0.2", "50", ""))
 	if !r.CutShort || r.Requests == 0 {
 		t.Errorf("cut short: %v, %d requests", r.CutShort, r.Requests)
 	}
@@ -162,37 +162,37 @@
 
 // Sidecars that meet each server seldom tell each other of those that are late, but not over links that are cut; once these are whole again
 // no more is told than the requests pay for.
-func TestHintsBetweenProcesses(t *testing.T) {
-	const perRequest, atOnce = 2.2, 400 + 39 // bytes: balance's tellSpend at a price of 0.06, tellBurst and the question
-	const questions = 3 * 2                  // each asks the others at its start, which is before the first fault
-	told := func(t *testing.T, cut string) *lab.Result {
+func TestGossipBetweenProcesses(t *testing.T) {
+	const bytesPerRequest, burst = 2.2, 400 + 39 // bytes: balance's tellSpend at a price of 0.06, tellBurst and the question
+	const initialRequests = 3 * 2                // each asks the others at its start, which is before the first fault
+	play := func(t *testing.T, partition string) *lab.Result {
 		faults := "[limits]\nmay_tell = true\ncancel = true\n[prices]\npeer = 0.06\n" +
-			fault("slow", "server:0-19", "0.4", "1", "by = 40") + fault("slow", "server:0-19", "1.8", "1", "by = 40")
-		large := strings.Replace(fleetFile, "count = 6\n", "count = 60\nwarm_gain = 0.3\nwarm_ms = 5000\nwarm_keys = 50\n", 1)
-		r, _ := runFile(t, t.Context(), large, "2.8", faults+cut)
-		if most := perRequest*float64(r.Requests) + 3*atOnce; float64(r.GossipBytes) > most {
-			t.Errorf("%d bytes told with %d requests, at most %.0f", r.GossipBytes, r.Requests, most)
+			faultTOML("slow", "server:0-19", "0.4", "1", "by = 40") + faultTOML("slow", "server:0-19", "1.8", "1", "by = 40")
+		manyServers := strings.Replace(fleetExperiment, "count = 6\n", "count = 60\nwarm_gain = 0.3\nwarm_ms = 5000\nwarm_keys = 50\n", 1)
+		result, _ := playExperiment(t, t.Context(), manyServers, "2.8", faults+partition)
+		if limit := bytesPerRequest*float64(result.Requests) + 3*burst; float64(result.GossipBytes) > limit {
+			t.Errorf("%d bytes told with %d requests, at most %.0f", result.GossipBytes, result.Requests, limit)
 		}
-		return r
+		return result
 	}
-	cut := func(at, lasts string) string {
-		return fault("cut", "", at, lasts, `between = ["sidecars", "sidecars"]`)
+	partition := func(at, lastsSeconds string) string {
+		return faultTOML("cut", "", at, lastsSeconds, `between = ["sidecars", "sidecars"]`)
 	}
 	t.Run("whole", func(t *testing.T) {
 		t.Parallel()
-		if r := told(t, ""); r.GossipMessages <= questions {
-			t.Errorf("nothing was told, %d messages", r.GossipMessages)
+		if result := play(t, ""); result.GossipMessages <= initialRequests {
+			t.Errorf("nothing was told, %d messages", result.GossipMessages)
 		}
 	})
 	t.Run("cut", func(t *testing.T) {
 		t.Parallel()
-		if r := told(t, cut("0", "9")); r.GossipMessages > questions {
-			t.Errorf("%d messages crossed cut links", r.GossipMessages)
+		if result := play(t, partition("0", "9")); result.GossipMessages > initialRequests {
+			t.Errorf("%d messages crossed cut links", result.GossipMessages)
 		}
 	})
 	t.Run("healed", func(t *testing.T) {
 		t.Parallel()
-		if r := told(t, cut("0", "1.6")); r.GossipMessages <= questions {
+		if result := play(t, partition("0", "1.6")); result.GossipMessages <= initialRequests {
 			t.Error("nothing was told once the links were whole")
 		}
 	})
--- /dev/null
+++ b/internal/lab/live/server_process.go
@@ -0,0 +1,334 @@
+package live
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"milldeck/internal/config"
+	"milldeck/internal/lab"
+)
+
+// ServerConfig is the configuration of one model server that runs as a program of its own.
+type ServerConfig struct {
+	LabAddress   string          `toml:"lab"`     // address of the lab that judges it; "": none, and requests speak for themselves
+	Number       int             `toml:"number"`  // in the lab's plan
+	Zone         int             `toml:"zone"`    // number of its zone
+	PodGroup     int             `toml:"pod"`     // its pod group
+	Speed        float64         `toml:"speed"`   // of a core; 0: 1
+	SlowStartMS  float64         `toml:"cold_ms"` // until it is warm
+	StartsWarm   bool            `toml:"warm"`    // its first life in the lab's run begins warm
+	Seed         uint64          `toml:"seed"`
+	HealthChecks bool            `toml:"probes"` // it answers probes of sidecars
+	Rules        lab.RulesSpec   `toml:"rules"`
+	Kind         lab.ServerSpec  `toml:"kind"`
+	Classes      []lab.ClassSpec `toml:"class"`
+}
+
+// LoadServerConfig reads a server's configuration and, where a path is given, what its version does wrong.
+func LoadServerConfig(path, regressionPath string) (*ServerConfig, *lab.Regression, error) {
+	server, regression := &ServerConfig{Speed: 1}, &lab.Regression{}
+	serverFile, err := config.Load(path, server)
+	if err != nil {
+		return nil, nil, err
+	}
+	if err := server.validate(serverFile); err != nil {
+		return nil, nil, err
+	}
+	var regressionFile *config.File
+	if regressionPath != "" {
+		if regressionFile, err = config.Load(regressionPath, regression); err != nil {
+			return nil, nil, err
+		}
+	}
+	var first error
+	var classNames []string
+	for _, class := range server.Classes {
+		classNames = append(classNames, class.Name)
+	}
+	regression.Validate("", classNames, func(key, format string, args ...any) {
+		if first == nil && regressionFile != nil {
+			first = regressionFile.Errorf(key, format, args...)
+		}
+	})
+	return server, regression, first
+}
+
+// validate holds the figures to what a whole experiment may say.
+func (f *ServerConfig) validate(file *config.File) error {
+	f.Kind.Count = lab.Range{Min: 1, Max: 1}
+	experiment := lab.Experiment{Servers: []lab.ServerSpec{f.Kind}, Classes: f.Classes}
+	if err := experiment.ValidateServer(file); err != nil {
+		return err
+	}
+	f.Kind = experiment.Servers[0]
+	switch {
+	case f.Number < 0 || f.Zone < 0 || f.PodGroup < 0:
+		return file.Errorf("number", "number, zone and pod are from 0 on")
+	case !(f.Speed > 0 && f.Speed <= 100):
+		return file.Errorf("speed", "%v is not within 0 to 100", f.Speed)
+	case !(f.SlowStartMS >= 0 && f.SlowStartMS <= 3.6e6):
+		return file.Errorf("cold_ms", "%v is not within 0 to 3600000", f.SlowStartMS)
+	case len(f.Classes) == 0:
+		return file.Errorf("class", "no classes")
+	}
+	return nil
+}
+
+// plan is the lab's plan with this server alone, as number 0.
+func (f *ServerConfig) plan() *lab.Plan {
+	experiment := &lab.Experiment{Rules: f.Rules, Servers: []lab.ServerSpec{f.Kind}, Classes: f.Classes}
+	return &lab.Plan{
+		Experiment: experiment, Seed: f.Seed,
+		Servers: []lab.ServerPlan{{Spec: &experiment.Servers[0], Zone: f.Zone, Cell: f.PodGroup, Speed: f.Speed, SlowStartMS: f.SlowStartMS}},
+		Classes: lab.NewClassPlans(experiment.Classes),
+	}
+}
+
+// Unit is who a server is to its platform.
+type Unit struct{ Name, Version string }
+
+const (
+	// maxDrain bounds how long a server that was told to end answers what it has taken; its platform kills it sooner
+	// where its grace is shorter.
+	maxDrain     = 60 * time.Second
+	leakInterval = 50 * time.Millisecond
+	pageSize     = 4096
+)
+
+// errFailsAtStart is the end of a version that fails at its start.
+var errFailsAtStart = errors.New("this version fails at its start")
+
+// ServeServer runs a model server until ctx ends, which drains it, or it dies. It logs "serves" once it listens.
+func ServeServer(ctx context.Context, listener net.Listener, unit Unit, config *ServerConfig, regression *lab.Regression) error {
+	defer listener.Close()
+	if regression.FailsAtStart {
+		return errFailsAtStart
+	}
+	process, err := newServerProcess(ctx, unit, config, regression)
+	if err != nil {
+		return err
+	}
+	defer process.close()
+	go process.acceptLoop(listener)
+	if regression.LeakMBPerSecond > 0 {
+		go process.leakMemory()
+	}
+	slog.Info("serves", "listen", listener.Addr().String(), "unit", unit.Name, "version", unit.Version)
+	select {
+	case err := <-process.failure:
+		return err
+	case <-ctx.Done():
+	}
+	return process.drain(listener)
+}
+
+// serverProcess is a server as a process: its front's host.
+type serverProcess struct {
+	unit             Unit
+	config           *ServerConfig
+	regression       *lab.Regression
+	frontend         frontend
+	startedAt        time.Time
+	observer         observer
+	effects          lab.EffectStore
+	terminating      atomic.Bool
+	failure          chan error
+	openAttempts     atomic.Int64 // attempts that are not over
+	receivedAttempts atomic.Int64
+	cores            float64
+
+	ctx    context.Context
+	cancel context.CancelFunc
+}
+
+// observer is who watches a server: the lab that judges it, or nobody.
+type observer interface {
+	beginAttempt(id uint64, x receivedRequest) (serverAttempt, bool)
+	addCounts(add func(*lab.Counts))
+	reportReady()
+	reportTerminating()
+	jobCompleted(at time.Time, end lab.JobCompletion)
+	overloaded(at time.Time, fall *lab.SlowStartOverload)
+	close()
+}
+
+func newServerProcess(ctx context.Context, unit Unit, config *ServerConfig, regression *lab.Regression) (*serverProcess, error) {
+	process := &serverProcess{unit: unit, config: config, regression: regression, startedAt: time.Now(), failure: make(chan error, 1), cores: float64(config.Kind.Cores)}
+	process.ctx, process.cancel = context.WithCancel(context.WithoutCancel(ctx))
+	plan := config.plan()
+	slowStart := !config.StartsWarm
+	if config.LabAddress == "" {
+		process.observer, process.effects = &standaloneObserver{process: process}, lab.NewMemoryEffectStore()
+	} else {
+		lab, firstIncarnation, err := dialLab(process)
+		if err != nil {
+			return nil, err
+		}
+		process.observer, process.effects = lab, lab
+		slowStart = slowStart || !firstIncarnation
+	}
+	process.frontend = newFrontend(process, config.Number, &plan.Servers[0], lab.NewServer(plan, 0, process.effects), config.HealthChecks)
+	process.frontend.processEndpoint = process.processEndpoint
+	process.frontend.applyRegression = process.applyRegression
+	process.frontend.up = true
+	process.frontend.model.Start(0, slowStart)
+	return process, nil
+}
+
+func (p *serverProcess) close() {
+	p.cancel()
+	p.observer.close()
+}
+
+func (p *serverProcess) acceptLoop(listener net.Listener) {
+	for {
+		connection, err := listener.Accept()
+		if err != nil {
+			if p.ctx.Err() != nil || p.terminating.Load() {
+				return
+			}
+			time.Sleep(time.Millisecond) // out of descriptors: the queue holds them meanwhile
+			continue
+		}
+		go p.frontend.serveConnection(connection, -1)
+	}
+}
+
+// processEndpoint answers what is asked of the process itself: the platform's ready check, and what it has seen.
+func (p *serverProcess) processEndpoint(path string) (status int, body string, ok bool) {
+	switch path {
+	case readyPath:
+		return p.readiness(), "", true
+	case statusPath:
+		p.frontend.mu.Lock()
+		warmingUp := p.frontend.model.IsWarmingUp(p.now())
+		p.frontend.mu.Unlock()
+		return http.StatusOK, fmt.Sprintf("{\"open\":%d,\"taken\":%d,\"cold\":%v}\n", p.openAttempts.Load(), p.receivedAttempts.Load(), warmingUp), true
+	}
+	return 0, "", false
+}
+
+// The paths that a server's process answers beside the wire's.
+const (
+	readyPath  = "/health/ready"
+	statusPath = "/lab/seen"
+)
+
+// readiness answers the platform's ready check. The lab lists the server at its first good answer.
+func (p *serverProcess) readiness() int {
+	if p.regression.NeverReady || p.terminating.Load() {
+		return http.StatusServiceUnavailable
+	}
+	p.observer.reportReady()
+	return http.StatusOK
+}
+
+// applyRegression lets the version's harm act on a request.
+func (p *serverProcess) applyRegression(job *lab.Job) {
+	p.frontend.mu.Lock()
+	load := float64(p.frontend.model.Load()) / p.cores
+	p.frontend.mu.Unlock()
+	fail, slowdown := p.regression.Apply(p.config.Classes[job.Class].Name, job.Tenant, load, rand.Float64())
+	job.FailImmediately = job.FailImmediately || fail
+	job.WorkMS *= slowdown
+}
+
+// leakMemory loses memory as the version does until the platform would kill it.
+func (p *serverProcess) leakMemory() {
+	var leaked [][]byte
+	limit := int(p.regression.LeakLimitMB * 1e6)
+	for total := 0; sleep(p.ctx, leakInterval); {
+		chunk := make([]byte, int(p.regression.LeakMBPerSecond*1e6*leakInterval.Seconds()))
+		for i := 0; i < len(chunk); i += pageSize {
+			chunk[i] = 1 // a page that was never written takes no memory
+		}
+		leaked = append(leaked, chunk)
+		if total += len(chunk); total > limit {
+			p.fail(fmt.Errorf("out of memory: %d MB in %d parts", total/1e6, len(leaked)))
+			return
+		}
+	}
+}
+
+func (p *serverProcess) fail(err error) {
+	select {
+	case p.failure <- err:
+	default:
+	}
+}
+
+// drain answers what was taken, and what still comes on connections that are open, until nothing is left.
+func (p *serverProcess) drain(listener net.Listener) error {
+	p.terminating.Store(true)
+	p.observer.reportTerminating()
+	if p.regression.LosesAnswers {
+		p.frontend.resetConnections()
+		return nil
+	}
+	listener.Close()
+	deadline := time.Now().Add(maxDrain)
+	for idlePolls := 0; idlePolls < drainIdlePolls && time.Now().Before(deadline); idlePolls++ {
+		if p.openAttempts.Load() > 0 {
+			idlePolls = 0
+		}
+		time.Sleep(readyPollInterval)
+	}
+	return nil
+}
+
+// drainIdlePolls is for how many looks in a row nothing may be open before it ends: a request that was under way to it when
+// it was told to end has come by then.
+const drainIdlePolls = 10
+
+func (p *serverProcess) runContext() context.Context { return p.ctx }
+
+func (p *serverProcess) now() float64 { return float64(time.Since(p.startedAt)) / 1e6 }
+
+func (p *serverProcess) recordLateness(float64) {}
+
+func (p *serverProcess) addCounts(apply func(*lab.Counts)) { p.observer.addCounts(apply) }
+
+func (p *serverProcess) timeAt(ms float64) time.Time { return p.startedAt.Add(milliseconds(ms)) }
+
+func (p *serverProcess) jobCompleted(completion lab.JobCompletion) {
+	p.observer.jobCompleted(p.timeAt(completion.At), completion)
+}
+
+func (p *serverProcess) overloaded(now float64, overload *lab.SlowStartOverload) {
+	p.observer.overloaded(p.timeAt(now), overload)
+	p.fail(errors.New("pushed over while it was cold"))
+}
+
+func (p *serverProcess) pathTo(int) networkPath { return directPath{} }
+
+func (p *serverProcess) beginAttempt(requestID uint64, _ int, received receivedRequest) (serverAttempt, bool) {
+	attempt, ok := p.observer.beginAttempt(requestID, received)
+	p.openAttempts.Add(1)
+	p.receivedAttempts.Add(1)
+	return &countedAttempt{serverAttempt: attempt, openAttempts: &p.openAttempts}, ok
+}
+
+// countedAttempt is an attempt that counts as open until it is over.
+type countedAttempt struct {
+	serverAttempt
+	openAttempts *atomic.Int64
+}
+
+func (c *countedAttempt) ended(result string) {
+	c.serverAttempt.ended(result)
+	c.openAttempts.Add(-1)
+}
+
+// directPath is a way that takes no time and loses nothing: that of the platform and of sidecars whose name is not known.
+type directPath struct{}
+
+func (directPath) deliverRequest(context.Context, bool) bool { return true }
+
+func (directPath) deliverResponse(context.Context) bool { return true }
--- /dev/null
+++ b/internal/lab/live/standalone.go
@@ -0,0 +1,66 @@
+package live
+
+import (
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"milldeck/internal/lab"
+)
+
+// standaloneObserver is the observer of a server that no lab watches: what a request is, its head says.
+type standaloneObserver struct {
+	process     *serverProcess
+	lastAttempt atomic.Int64
+}
+
+// standaloneAttempt is an attempt known by its request's head alone.
+type standaloneAttempt struct {
+	directPath
+	requestJob lab.Job
+}
+
+func (t *standaloneAttempt) job() lab.Job { return t.requestJob }
+
+func (t *standaloneAttempt) ended(string) {}
+
+func (t *standaloneAttempt) responseProduced() {}
+
+func (a *standaloneObserver) beginAttempt(id uint64, received receivedRequest) (serverAttempt, bool) {
+	header := received.request.Header
+	attempt := &standaloneAttempt{requestJob: lab.Job{Attempt: a.lastAttempt.Add(1), Request: id}}
+	classKnown := false
+	for i := range a.process.config.Classes {
+		if a.process.config.Classes[i].Name == header.Get("X-Priority-Class") {
+			attempt.requestJob.Class, classKnown = i, true
+		}
+	}
+	if !classKnown {
+		return attempt, false
+	}
+	if microseconds, err := strconv.ParseFloat(header.Get("X-Cost"), 64); err == nil {
+		attempt.requestJob.WorkMS = microseconds / 1000
+	} else {
+		attempt.requestJob.WorkMS = a.process.config.Classes[attempt.requestJob.Class].WorkMS.Min
+	}
+	if cookie, err := received.request.Cookie("k"); err == nil {
+		attempt.requestJob.Key, _ = strconv.ParseUint(cookie.Value, 16, 64) // 0, no key, where it is none
+	}
+	if key := strings.TrimLeft(header.Get("Idempotency-Key"), "0"); key != "" {
+		attempt.requestJob.EffectID, _ = strconv.ParseUint(key[:min(16, len(key))], 16, 64) // as above
+	}
+	return attempt, true
+}
+
+func (*standaloneObserver) addCounts(func(*lab.Counts)) {}
+
+func (*standaloneObserver) reportReady() {}
+
+func (*standaloneObserver) reportTerminating() {}
+
+func (*standaloneObserver) jobCompleted(time.Time, lab.JobCompletion) {}
+
+func (*standaloneObserver) overloaded(time.Time, *lab.SlowStartOverload) {}
+
+func (*standaloneObserver) close() {}
--- a/internal/lab/proc/block.go
+++ b/internal/lab/proc/block.go
@@ -9,24 +9,24 @@
 
 // Blocks of 127.B.0.0/16, and the address within one that is held for as long as it is taken.
 const (
-	firstBlock = 64
-	lastBlock  = 126
-	lockPort   = 9999
-	hostsInNet = 250
+	firstBlock      = 64
+	lastBlock       = 126
+	reservationPort = 9999
+	hostsPerNet     = 250
 )
 
 // Block is a part of the loopback range of one's own, so that runs and tests beside each other never meet.
 type Block struct {
-	number int
-	lock   net.Listener
+	number      int
+	reservation net.Listener
 }
 
-// TakeBlock takes a free part of the loopback range.
-func TakeBlock() (*Block, error) {
-	for b := firstBlock; b <= lastBlock; b++ {
-		ln, err := net.Listen("tcp4", fmt.Sprintf("127.%d.255.254:%d", b, lockPort))
+// ReserveBlock takes a free part of the loopback range.
+func ReserveBlock() (*Block, error) {
+	for number := firstBlock; number <= lastBlock; number++ {
+		reservation, err := net.Listen("tcp4", fmt.Sprintf("127.%d.255.254:%d", number, reservationPort))
 		if err == nil {
-			return &Block{b, ln}, nil
+			return &Block{number, reservation}, nil
 		}
 		if !errors.Is(err, syscall.EADDRINUSE) {
 			return nil, fmt.Errorf("loopback addresses: %w", err)
@@ -36,9 +36,9 @@
 }
 
 // Release gives it back.
-func (b *Block) Release() { b.lock.Close() }
+func (b *Block) Release() { b.reservation.Close() }
 
 // Addr is an address in the block: the host-th of the nets from net on.
-func (b *Block) Addr(net, host, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", b.number, net+host/hostsInNet, 1+host%hostsInNet, port)
+func (b *Block) Addr(subnet, host, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", b.number, subnet+host/hostsPerNet, 1+host%hostsPerNet, port)
 }
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// tailBytes of a log are shown when something went wrong.
-	tailBytes = 4 << 10
-	// pollEvery is how often a log is read again by WaitLog; nothing announces that a file has grown.
-	pollEvery = 5 * time.Millisecond
+	// logTailBytes of a log are shown when something went wrong.
+	logTailBytes = 4 << 10
+	// logPollInterval is how often a log is read again by WaitLog; nothing announces that a file has grown.
+	logPollInterval = 5 * time.Millisecond
 )
 
 // Spec says what to start.
@@ -38,58 +38,58 @@
 type Process struct {
 	Name string
 
-	cmd  *exec.Cmd
-	log  string
-	from int64 // where this process's log begins in the file
-	done chan struct{}
-	err  error // of Wait; valid once done is closed
+	command   *exec.Cmd
+	logPath   string
+	logOffset int64 // where this process's log begins in the file
+	done      chan struct{}
+	waitError error // of Wait; valid once done is closed
 }
 
-// spawner starts all children from one thread: the kernel ends a child when the thread that started it ends,
+// spawnThread starts all children from one thread: the kernel ends a child when the thread that started it ends,
 // which of a goroutine's thread may be at any time.
-var spawner = sync.OnceValue(func() chan func() {
-	work := make(chan func())
+var spawnThread = sync.OnceValue(func() chan func() {
+	tasks := make(chan func())
 	go func() {
 		runtime.LockOSThread()
-		for do := range work {
-			do()
+		for task := range tasks {
+			task()
 		}
 	}()
-	return work
+	return tasks
 })
 
 // Start starts a child.
-func Start(s Spec) (*Process, error) {
-	if err := os.MkdirAll(filepath.Dir(s.Log), 0o755); err != nil {
-		return nil, fmt.Errorf("%s: %w", s.Name, err)
+func Start(spec Spec) (*Process, error) {
+	if err := os.MkdirAll(filepath.Dir(spec.Log), 0o755); err != nil {
+		return nil, fmt.Errorf("%s: %w", spec.Name, err)
 	}
-	log, err := os.OpenFile(s.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	log, err := os.OpenFile(spec.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", s.Name, err)
+		return nil, fmt.Errorf("%s: %w", spec.Name, err)
 	}
 	defer log.Close()
-	from, err := log.Seek(0, io.SeekEnd)
+	logOffset, err := log.Seek(0, io.SeekEnd)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", s.Name, err)
+		return nil, fmt.Errorf("%s: %w", spec.Name, err)
 	}
-	cmd := exec.Command(s.Path, s.Args...)
-	cmd.Env = append(os.Environ(), s.Env...)
-	cmd.Stdout, cmd.Stderr = log, log
-	cmd.SysProcAttr = &syscall.SysProcAttr{
+	command := exec.Command(spec.Path, spec.Args...)
+	command.Env = append(os.Environ(), spec.Env...)
+	command.Stdout, command.Stderr = log, log
+	command.SysProcAttr = &syscall.SysProcAttr{
 		Pdeathsig: syscall.SIGKILL,
 		Setpgid:   true, // a Ctrl-C at the terminal is the parent's to pass on, in its order
 	}
 	started := make(chan error)
-	spawner() <- func() { started <- cmd.Start() }
+	spawnThread() <- func() { started <- command.Start() }
 	if err := <-started; err != nil {
-		return nil, fmt.Errorf("%s: %w", s.Name, err)
+		return nil, fmt.Errorf("%s: %w", spec.Name, err)
 	}
-	p := &Process{Name: s.Name, cmd: cmd, log: s.Log, from: from, done: make(chan struct{})}
+	process := &Process{Name: spec.Name, command: command, logPath: spec.Log, logOffset: logOffset, done: make(chan struct{})}
 	go func() {
-		p.err = cmd.Wait()
-		close(p.done)
+		process.waitError = command.Wait()
+		close(process.done)
 	}()
-	return p, nil
+	return process, nil
 }
 
 // Done is closed when the process has ended.
@@ -106,17 +106,17 @@
 }
 
 // PID is the process's number.
-func (p *Process) PID() int { return p.cmd.Process.Pid }
+func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Exit says how it ended, once it has: nil is status 0.
-func (p *Process) Exit() error {
+// Wait says how it ended, once it has: nil is status 0.
+func (p *Process) Wait() error {
 	<-p.done
-	return p.err
+	return p.waitError
 }
 
 // Signal sends a signal; to one that has ended it sends none.
-func (p *Process) Signal(sig syscall.Signal) error {
-	err := p.cmd.Process.Signal(sig)
+func (p *Process) Signal(signal syscall.Signal) error {
+	err := p.command.Process.Signal(signal)
 	if errors.Is(err, os.ErrProcessDone) {
 		return nil
 	}
@@ -136,8 +136,8 @@
 	p.Signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
-		if p.err != nil {
-			return fmt.Errorf("%s: %w", p.Name, p.err)
+		if p.waitError != nil {
+			return fmt.Errorf("%s: %w", p.Name, p.waitError)
 		}
 		return nil
 	case <-ctx.Done():
@@ -148,40 +148,40 @@
 
 // Log is the end of what this process has logged.
 func (p *Process) Log() string {
-	data, err := p.read()
+	content, err := p.readLog()
 	if err != nil {
 		return err.Error()
 	}
-	if len(data) > tailBytes {
-		data = data[len(data)-tailBytes:]
+	if len(content) > logTailBytes {
+		content = content[len(content)-logTailBytes:]
 	}
-	return string(data)
+	return string(content)
 }
 
-func (p *Process) read() ([]byte, error) {
-	f, err := os.Open(p.log)
+func (p *Process) readLog() ([]byte, error) {
+	file, err := os.Open(p.logPath)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	if _, err := f.Seek(p.from, io.SeekStart); err != nil {
+	defer file.Close()
+	if _, err := file.Seek(p.logOffset, io.SeekStart); err != nil {
 		return nil, err
 	}
-	return io.ReadAll(f)
+	return io.ReadAll(file)
 }
 
 // WaitLog waits until the process has logged a line with the text and returns the line. It fails, with the
 // log's end, when the process ends or ctx does first.
 func (p *Process) WaitLog(ctx context.Context, text string) (string, error) {
-	tick := time.NewTicker(pollEvery)
-	defer tick.Stop()
+	ticker := time.NewTicker(logPollInterval)
+	defer ticker.Stop()
 	for {
 		ended := !p.Running() // before the log is read, so that its last lines are
-		data, err := p.read()
+		content, err := p.readLog()
 		if err != nil {
 			return "", fmt.Errorf("%s: %w", p.Name, err)
 		}
-		for line := range strings.SplitSeq(string(data), "\n") {
+		for line := range strings.SplitSeq(string(content), "\n") {
 			if strings.Contains(line, text) {
 				return line, nil
 			}
@@ -192,17 +192,17 @@
 		select {
 		case <-ctx.Done():
 			return "", fmt.Errorf("%s did not log %q: %w; its log ends:\n%s", p.Name, text, ctx.Err(), p.Log())
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
 
 // Path is the program that it runs.
-func (p *Process) Path() string { return p.cmd.Path }
+func (p *Process) Path() string { return p.command.Path }
 
-// LimitFiles bounds the size in bytes of files that it may write from now on, as on a disk that is full.
-func (p *Process) LimitFiles(most uint64) error {
-	limit := syscall.Rlimit{Cur: most, Max: most}
+// LimitFileSize bounds the size in bytes of files that it may write from now on, as on a disk that is full.
+func (p *Process) LimitFileSize(maxBytes uint64) error {
+	limit := syscall.Rlimit{Cur: maxBytes, Max: maxBytes}
 	_, _, errno := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(p.PID()), syscall.RLIMIT_FSIZE, uintptr(unsafe.Pointer(&limit)), 0, 0, 0)
 	if errno != 0 {
 		return fmt.Errorf("%s: %w", p.Name, errno)
--- a/internal/lab/proc/proctest/block.go
+++ b/internal/lab/proc/proctest/block.go
@@ -9,7 +9,7 @@
 // Block reserves a block of loopback addresses until the test ends.
 func Block(t testing.TB) *proc.Block {
 	t.Helper()
-	block, err := proc.TakeBlock()
+	block, err := proc.ReserveBlock()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/proc/proctest/proctest.go
+++ b/internal/lab/proc/proctest/proctest.go
@@ -9,17 +9,17 @@
 	"testing"
 )
 
-var built struct {
-	mu  sync.Mutex
-	dir string
-	of  map[string]string // paths by name
+var builtPrograms struct {
+	mu    sync.Mutex
+	dir   string
+	paths map[string]string // paths by name
 }
 
 // Main runs a package's tests and removes what was built for them. It is for TestMain.
 func Main(m *testing.M) {
 	code := m.Run()
-	if built.dir != "" {
-		os.RemoveAll(built.dir)
+	if builtPrograms.dir != "" {
+		os.RemoveAll(builtPrograms.dir)
 	}
 	os.Exit(code)
 }
@@ -27,22 +27,22 @@
 // Program is the path of a program of cmd, built once for all tests of the package.
 func Program(t testing.TB, name string) string {
 	t.Helper()
-	built.mu.Lock()
-	defer built.mu.Unlock()
-	if path := built.of[name]; path != "" {
+	builtPrograms.mu.Lock()
+	defer builtPrograms.mu.Unlock()
+	if path := builtPrograms.paths[name]; path != "" {
 		return path
 	}
-	if built.dir == "" {
+	if builtPrograms.dir == "" {
 		dir, err := os.MkdirTemp("", "milldeck-test-")
 		if err != nil {
 			t.Fatal(err)
 		}
-		built.dir, built.of = dir, map[string]string{}
+		builtPrograms.dir, builtPrograms.paths = dir, map[string]string{}
 	}
-	path := filepath.Join(built.dir, name)
+	path := filepath.Join(builtPrograms.dir, name)
 	if out, err := exec.Command("go", "build", "-o", path, "milldeck/cmd/"+name).CombinedOutput(); err != nil {
 		t.Fatalf("%s: %v: %s", name, err, out)
 	}
-	built.of[name] = path
+	builtPrograms.paths[name] = path
 	return path
 }
--- a/internal/leaderelection/bench/bench.go
+++ b/internal/leaderelection/bench/bench.go
@@ -134,7 +134,7 @@
 }
 
 func runBench(ctx context.Context, opts Options) (*Result, error) {
-	block, err := proc.TakeBlock()
+	block, err := proc.ReserveBlock()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/maintenance/controller/controller_test.go
+++ b/internal/maintenance/controller/controller_test.go
@@ -53,7 +53,7 @@
 	t.Cleanup(cancel)
 	b := &testbed{T: t, ctx: ctx, program: proctest.Program(t, "milldeck"), dir: t.TempDir()}
 	b.serverReady.Store(true)
-	block, err := proc.TakeBlock()
+	block, err := proc.ReserveBlock()
 	b.must(err)
 	t.Cleanup(block.Release)
 	b.cluster, err = cluster.Start(ctx, 3, cluster.Options{Program: b.program, DataDir: b.dir, Addresses: block})
--- a/internal/registry/bench/bench.go
+++ b/internal/registry/bench/bench.go
@@ -83,7 +83,7 @@
 // Run runs the benchmark.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	startedAt := time.Now()
-	addresses, err := proc.TakeBlock()
+	addresses, err := proc.ReserveBlock()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/registry/outage_test.go
+++ b/internal/registry/outage_test.go
@@ -36,7 +36,7 @@
 	dir := t.TempDir()
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
 	defer cancel()
-	report, err := live.Run(ctx, experiment.NewPlan(0), live.Options{Sidecar: proctest.Program(t, "sidecar"), Milldeck: proctest.Program(t, "milldeck"), Dir: dir})
+	report, err := live.Run(ctx, experiment.NewPlan(0), live.Options{SidecarPath: proctest.Program(t, "sidecar"), MilldeckPath: proctest.Program(t, "milldeck"), Dir: dir})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/storage_test.go
+++ b/internal/registry/storage_test.go
@@ -90,8 +90,8 @@
 		}
 		lines := strings.Split(strings.TrimSpace(replica.Process.Log()), "\n")
 		last := lines[len(lines)-1]
-		if replica.Process.Exit() == nil || !strings.HasPrefix(last, "milldeck: ") || !strings.Contains(last, reason) {
-			t.Errorf("it ended with %v and %q, want a line about %q", replica.Process.Exit(), last, reason)
+		if replica.Process.Wait() == nil || !strings.HasPrefix(last, "milldeck: ") || !strings.Contains(last, reason) {
+			t.Errorf("it ended with %v and %q, want a line about %q", replica.Process.Wait(), last, reason)
 		}
 	}
 	failsToStart(victim, "snapshot")
@@ -194,7 +194,7 @@
 func TestFullDisk(t *testing.T) {
 	env := startEnv(t, 3, false, "snapshot_every = 100000")
 	victim := env.cluster.Replicas[0]
-	if err := victim.Process.LimitFiles(256 << 10); err != nil {
+	if err := victim.Process.LimitFileSize(256 << 10); err != nil {
 		t.Fatal(err)
 	}
 	batch := make([]registry.Instance, 200)
--- a/internal/release/controller/site_test.go
+++ b/internal/release/controller/site_test.go
@@ -40,7 +40,7 @@
 	t.Cleanup(cancel)
 	site := &testSite{t: t, ctx: ctx, program: proctest.Program(t, "milldeck"), dir: t.TempDir()}
 	var err error
-	site.block, err = proc.TakeBlock()
+	site.block, err = proc.ReserveBlock()
 	site.must(err)
 	t.Cleanup(site.block.Release)
 	site.startCluster()
@@ -219,7 +219,7 @@
 	case <-s.ctx.Done():
 		s.t.Fatalf("the command does not end\n%s\n%s", process.Log(), s.describe())
 	}
-	if err := process.Exit(); err != nil {
+	if err := process.Wait(); err != nil {
 		s.t.Fatalf("%v\n%s", err, process.Log())
 	}
 }
--- a/internal/supervisor/standin/process.go
+++ b/internal/supervisor/standin/process.go
@@ -76,7 +76,7 @@
 
 // exitText says how a process has ended. Its last line of output says why, unless it was killed.
 func exitText(process *proc.Process) string {
-	err := process.Exit()
+	err := process.Wait()
 	if err == nil {
 		return "exit status 0"
 	}
--- a/internal/supervisor/standin/test_platform_test.go
+++ b/internal/supervisor/standin/test_platform_test.go
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
 	r := &testPlatform{t: t, ctx: ctx, dir: t.TempDir()}
 	var err error
-	if r.block, err = proc.TakeBlock(); err != nil {
+	if r.block, err = proc.ReserveBlock(); err != nil {
 		t.Fatal(err)
 	}
 	r.process, err = proc.Start(proc.Spec{
