--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -1,17 +1,14 @@
 package live
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"strconv"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -20,73 +17,25 @@
 )
 
 const (
-	// maxSendDelay is how late the lab may begin a request for it still to count: beyond it the lab's own machine
-	// is what is measured.
+	// maxSendDelay is how late the lab may start a request for it to count. A later one would measure the lab's own
+	// machine.
 	maxSendDelay = 50 * time.Millisecond
-	// lateResponseWait is how long past its time a client still listens, so that a late answer is seen as late.
+	// lateResponseWait is how long after its timeout a client still listens, to tell a late response from none.
 	lateResponseWait = 300 * time.Millisecond
 	dialTimeout      = 500 * time.Millisecond
-	// maxConnectionIdle is less than the 2 s after which a sidecar may close a connection without a request.
+	// maxConnectionIdle is below the 2 s of idleness after which a sidecar may close a connection.
 	maxConnectionIdle = 1500 * time.Millisecond
 	emptyJSONBody     = "{}"
 )
 
-// sentRequest is a request that is known to servers by its id.
+// sentRequest is a request that a client has sent. Servers look it up by its id.
 type sentRequest struct {
 	*lab.Arrival
-	attempts atomic.Int32
+	attempts atomic.Int32 // that servers have received
 }
 
-// connectionPool is the application beside one sidecar: its connections.
-type connectionPool struct {
-	mu   sync.Mutex
-	idle []*clientConnection
-}
-
-type clientConnection struct {
-	net.Conn
-	reader    *bufio.Reader
-	idleSince time.Time
-}
-
-func (a *connectionPool) get() *clientConnection {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for len(a.idle) > 0 {
-		connection := a.idle[len(a.idle)-1]
-		a.idle = a.idle[:len(a.idle)-1]
-		if time.Since(connection.idleSince) < maxConnectionIdle {
-			return connection
-		}
-		connection.Close()
-	}
-	return nil
-}
-
-func (a *connectionPool) put(connection *clientConnection) {
-	connection.idleSince = time.Now()
-	connection.SetDeadline(time.Time{})
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	// The oldest go first: under a falling load they would otherwise stay open for good.
-	for len(a.idle) > 0 && time.Since(a.idle[0].idleSince) > maxConnectionIdle {
-		a.idle[0].Close()
-		a.idle = a.idle[1:]
-	}
-	a.idle = append(a.idle, connection)
-}
-
-func (a *connectionPool) close() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for _, connection := range a.idle {
-		connection.Close()
-	}
-	a.idle = nil
-}
-
-// generateLoad sends the plan's requests at their times, whatever becomes of them. It returns when all are sent or ctx
-// ends; open ones go on.
+// generateLoad sends the plan's requests at their times, an open loop: it does not wait for responses. It returns when
+// all are sent or ctx ends; requests in flight go on.
 func (f *fleet) generateLoad(ctx context.Context) {
 	arrivals := f.plan.Arrivals()
 	for {
@@ -108,7 +57,7 @@
 	}
 }
 
-// sendWithRetries makes the tries of one request.
+// sendWithRetries makes the attempts of one request, as the plan has its client retry.
 func (f *fleet) sendWithRetries(arrival *lab.Arrival) {
 	ctx := f.ctx
 	if arrival.DisconnectAfterMS > 0 {
@@ -116,10 +65,9 @@
 		ctx, cancel = context.WithDeadline(ctx, f.timeAt(arrival.StartMS+arrival.DisconnectAfterMS))
 		defer cancel()
 	}
-	outcome, attempts := lab.OutcomeNoResponse, 0
+	attempts := 0
 	for {
-		var retryAfter float64
-		outcome, retryAfter = f.sendAttempt(ctx, arrival, attempts)
+		outcome, retryAfter := f.sendAttempt(ctx, arrival, attempts)
 		attempts++
 		if ctx.Err() != nil && outcome != lab.OutcomeServed {
 			f.recorder.RequestDone(arrival, attempts, outcome, f.ctx.Err() == nil, f.now())
@@ -133,53 +81,74 @@
 	}
 }
 
-// sendAttempt sends the request once and waits for its answer.
-func (f *fleet) sendAttempt(ctx context.Context, arrival *lab.Arrival, attempt int) (lab.Outcome, float64) {
-	client, sidecar := lab.Endpoint{Kind: lab.ClientEndpoint, Index: arrival.Sidecar}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: arrival.Sidecar}
+// sendAttempt sends the request once and waits for its response. It returns the outcome and the Retry-After of the
+// response in ms, 0 where there is none.
+func (f *fleet) sendAttempt(ctx context.Context, arrival *lab.Arrival, number int) (lab.Outcome, float64) {
+	client, sidecar := clientLink(arrival)
 	timeout := f.plan.AttemptTimeout(arrival, f.now())
 	ctx, cancel := context.WithTimeout(ctx, milliseconds(timeout)+lateResponseWait)
 	defer cancel()
 	if !f.network.transmit(ctx, client, sidecar, 0, rand.Float64()) {
-		sleep(ctx, milliseconds(timeout)) // it never got there
+		sleep(ctx, milliseconds(timeout)) // the request never arrived: the client waits in vain
 		return lab.OutcomeNoResponse, 0
 	}
 	process := f.sidecars[arrival.Sidecar]
-	requestID := f.nextRequestID()
+	attempt := clientAttempt{arrival: arrival, requestID: f.nextRequestID(), number: number, timeoutMS: timeout}
 	connection := process.clients.get()
 	for reused := connection != nil; ; reused = false {
 		if connection == nil {
-			dialer := net.Dialer{Timeout: dialTimeout}
-			dialed, err := dialer.DialContext(ctx, "tcp4", process.address)
+			dialed, err := dialClient(ctx, process.address)
 			if err != nil {
 				return lab.OutcomeUnreachable, 0
 			}
-			connection = &clientConnection{Conn: dialed, reader: bufio.NewReader(dialed)}
+			connection = dialed
 		}
-		outcome, retryAfter, noBytes := f.roundTrip(ctx, connection, arrival, requestID, attempt, timeout)
-		// PROTOCOL: if the close of a kept connection crosses a request, the client sends it once more.
-		if reused && noBytes && outcome == lab.OutcomeUnreachable {
+		response := f.roundTrip(ctx, connection, attempt)
+		// The platform's protocol: a client sends the request once more where the close of a kept-alive connection
+		// crossed it.
+		if reused && response.noBytes && response.outcome == lab.OutcomeUnreachable {
 			connection = nil
 			continue
 		}
-		return outcome, retryAfter
+		return response.outcome, response.retryAfterMS
 	}
 }
 
-// roundTrip writes a request and reads its answer. Silent tells that not a byte came before the connection ended.
-func (f *fleet) roundTrip(ctx context.Context, connection *clientConnection, arrival *lab.Arrival, requestID uint64, attempt int, timeout float64) (outcome lab.Outcome, retryAfter float64, noBytes bool) {
-	stop := context.AfterFunc(ctx, func() { connection.SetDeadline(time.Unix(1, 0)) })
+// clientLink is the two ends of the link between a request's client and its sidecar.
+func clientLink(arrival *lab.Arrival) (client, sidecar lab.Endpoint) {
+	client = lab.Endpoint{Kind: lab.ClientEndpoint, Index: arrival.Sidecar}
+	sidecar = lab.Endpoint{Kind: lab.SidecarEndpoint, Index: arrival.Sidecar}
+	return client, sidecar
+}
+
+// clientAttempt is one attempt of a client at a request.
+type clientAttempt struct {
+	arrival   *lab.Arrival
+	requestID uint64
+	number    int // 0: the first
+	timeoutMS float64
+}
+
+// clientResponse is what a client gets.
+type clientResponse struct {
+	outcome      lab.Outcome
+	retryAfterMS float64
+	noBytes      bool // the connection ended before the first byte of a response
+}
+
+// roundTrip writes a request and reads its response.
+func (f *fleet) roundTrip(ctx context.Context, connection *clientConnection, attempt clientAttempt) clientResponse {
+	stop := context.AfterFunc(ctx, func() {
+		_ = connection.SetDeadline(time.Unix(1, 0)) // fails on a closed connection, whose reads have failed already
+	})
 	defer stop()
 	startedAt := time.Now()
-	sent := &sentRequest{Arrival: arrival}
-	f.sentRequests.Store(requestID, sent)
-	// Servers may meet the request for as long as the judge remembers it.
-	time.AfterFunc(milliseconds(timeout)+sentRequestRetention, func() { f.sentRequests.Delete(requestID) })
-	f.checker.RequestSent(f.now(), requestID, arrival.Sidecar, arrival.Class, timeout) // before the first byte: servers may be quick
 	reused := !connection.idleSince.IsZero()
-	if _, err := io.WriteString(connection, f.requestHead(arrival, requestID, attempt, timeout)); err != nil {
+	f.recordRequest(attempt)
+	if _, err := io.WriteString(connection, f.requestHead(attempt)); err != nil {
 		connection.Close()
-		f.checker.ClientDisconnected(f.now(), requestID) // not taken
-		return lab.OutcomeUnreachable, 0, true
+		f.checker.ClientDisconnected(f.now(), attempt.requestID) // the sidecar has not accepted it
+		return clientResponse{outcome: lab.OutcomeUnreachable, noBytes: true}
 	}
 	response, err := http.ReadResponse(connection.reader, nil)
 	var body []byte
@@ -187,61 +156,76 @@
 		body, err = io.ReadAll(response.Body)
 	}
 	now := f.now()
-	client, sidecar := lab.Endpoint{Kind: lab.ClientEndpoint, Index: arrival.Sidecar}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: arrival.Sidecar}
+	client, sidecar := clientLink(attempt.arrival)
 	if err == nil && !f.network.transmit(ctx, sidecar, client, 0, rand.Float64()) {
 		err = context.DeadlineExceeded
 	}
 	if err != nil {
 		connection.Close()
-		return f.classifyConnectionError(ctx, err, requestID, reused, f.millisecondsAt(startedAt)+timeout+lateResponseWait.Seconds()*1000)
+		listenUntil := f.millisecondsAt(startedAt) + attempt.timeoutMS + lateResponseWait.Seconds()*1000
+		return f.classifyConnectionError(ctx, err, attempt.requestID, reused, listenUntil)
 	}
-	if connection.reader.Buffered() > 0 || response.Close {
-		connection.Close()
-	} else if stop() {
-		f.sidecars[arrival.Sidecar].clients.put(connection)
+	reusable := connection.reader.Buffered() == 0 && !response.Close
+	if reusable && stop() {
+		f.sidecars[attempt.arrival.Sidecar].clients.store(connection)
 	} else {
 		connection.Close()
 	}
+	return f.classifyResponse(now, attempt.requestID, response, string(body))
+}
+
+// recordRequest makes a request known to the servers and the checker. It has to be called before the first byte is
+// sent: a server may be quick.
+func (f *fleet) recordRequest(attempt clientAttempt) {
+	f.sentRequests.Store(attempt.requestID, &sentRequest{Arrival: attempt.arrival})
+	// Servers may receive the request for as long as the checker remembers it.
+	time.AfterFunc(milliseconds(attempt.timeoutMS)+sentRequestRetention, func() { f.sentRequests.Delete(attempt.requestID) })
+	f.checker.RequestSent(f.now(), attempt.requestID, attempt.arrival.Sidecar, attempt.arrival.Class, attempt.timeoutMS)
+}
+
+// classifyResponse reports a complete response to the checker.
+func (f *fleet) classifyResponse(now float64, requestID uint64, response *http.Response, body string) clientResponse {
 	switch response.StatusCode {
 	case http.StatusOK:
-		owner, server := parseResponse(string(body))
+		owner, server := parseResponse(body)
 		f.checker.ResponseReceived(now, requestID, lab.OutcomeServed, owner, server)
-		return lab.OutcomeServed, 0, false
+		return clientResponse{outcome: lab.OutcomeServed}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		f.checker.ResponseReceived(now, requestID, lab.OutcomeRejected, 0, -1)
-		seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // none, or not a number: no wait
-		return lab.OutcomeRejected, 1000 * seconds, false
+		seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // 0, no wait, where there is no number
+		return clientResponse{outcome: lab.OutcomeRejected, retryAfterMS: 1000 * seconds}
 	default:
 		f.checker.ResponseReceived(now, requestID, lab.OutcomeFailed, 0, -1)
-		return lab.OutcomeFailed, 0, false
+		return clientResponse{outcome: lab.OutcomeFailed}
 	}
 }
 
-// classifyConnectionError says how a connection without a whole answer counts; until is when the client stops listening.
-func (f *fleet) classifyConnectionError(ctx context.Context, err error, id uint64, reused bool, until float64) (lab.Outcome, float64, bool) {
+// classifyConnectionError reports a connection without a complete response to the checker. The client stops listening
+// at listenUntil, a time of the run in ms.
+func (f *fleet) classifyConnectionError(ctx context.Context, err error, requestID uint64, reused bool, listenUntil float64) clientResponse {
 	now := f.now()
 	switch {
 	case f.ctx.Err() != nil:
-		f.checker.ClientDisconnected(now, id) // the run is over
-		return lab.OutcomeNoResponse, 0, false
-	case ctx.Err() != nil && now < until-1:
-		f.checker.ClientDisconnected(now, id)
-		return lab.OutcomeNoResponse, 0, false
+		f.checker.ClientDisconnected(now, requestID) // the run has ended
+		return clientResponse{outcome: lab.OutcomeNoResponse}
+	case ctx.Err() != nil && now < listenUntil-1:
+		f.checker.ClientDisconnected(now, requestID)
+		return clientResponse{outcome: lab.OutcomeNoResponse}
 	case ctx.Err() != nil:
-		f.checker.RequestUnanswered(now, id, lab.OutcomeNoResponse)
-		return lab.OutcomeNoResponse, 0, false
+		f.checker.RequestUnanswered(now, requestID, lab.OutcomeNoResponse)
+		return clientResponse{outcome: lab.OutcomeNoResponse}
 	case errors.Is(err, io.ErrUnexpectedEOF), strings.Contains(err.Error(), "malformed"):
-		f.checker.CorruptResponseReceived(now, id)
-		return lab.OutcomeFailed, 0, false
-	case reused && f.checker.ConnectionClosed(now, id):
-		return lab.OutcomeUnreachable, 0, true
+		f.checker.CorruptResponseReceived(now, requestID)
+		return clientResponse{outcome: lab.OutcomeFailed}
+	case reused && f.checker.ConnectionClosed(now, requestID):
+		return clientResponse{outcome: lab.OutcomeUnreachable, noBytes: true}
 	default:
-		f.checker.RequestUnanswered(now, id, lab.OutcomeUnreachable)
-		return lab.OutcomeUnreachable, 0, false
+		f.checker.RequestUnanswered(now, requestID, lab.OutcomeUnreachable)
+		return clientResponse{outcome: lab.OutcomeUnreachable}
 	}
 }
 
-// parseResponse reads whose answer a body is.
+// parseResponse returns the request and the server that a body names; 0 and -1 where it names none.
 func parseResponse(body string) (owner uint64, server int) {
 	id, number, _ := strings.Cut(body, " ")
 	owner, err := strconv.ParseUint(id, 16, 64)
@@ -254,26 +238,30 @@
 	return owner, server
 }
 
-// requestHead is the request as PROTOCOL has it.
-func (f *fleet) requestHead(arrival *lab.Arrival, requestID uint64, attempt int, timeout float64) string {
-	var head strings.Builder
-	class := &f.plan.Classes[arrival.Class]
-	method := "POST"
+// requestHead is the request's bytes in the platform's protocol, with the body of a POST.
+func (f *fleet) requestHead(attempt clientAttempt) string {
+	arrival, class := attempt.arrival, &f.plan.Classes[attempt.arrival.Class]
+	method := http.MethodPost
 	if class.Idempotency == balance.Idempotent {
-		method = "GET"
+		method = http.MethodGet
 	}
-	fmt.Fprintf(&head, "%s /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: %.0f\r\nX-Cost: %.0f\r\n",
-		method, requestID, class.Name, timeout, 1000*arrival.ExpectedWorkMS)
+	var head strings.Builder
+	fmt.Fprintf(&head, "%s /api HTTP/1.1\r\n", method)
+	head.WriteString("Host: backend.local\r\n")
+	fmt.Fprintf(&head, "X-Request-ID: %016x\r\n", attempt.requestID)
+	fmt.Fprintf(&head, "X-Priority-Class: %s\r\n", class.Name)
+	fmt.Fprintf(&head, "X-Timeout-Ms: %.0f\r\n", attempt.timeoutMS)
+	fmt.Fprintf(&head, "X-Cost: %.0f\r\n", 1000*arrival.ExpectedWorkMS)
 	if arrival.Key != 0 {
 		fmt.Fprintf(&head, "Cookie: k=%016x\r\n", arrival.Key)
 	}
-	if attempt > 0 {
+	if attempt.number > 0 {
 		head.WriteString("X-Retried: 1\r\n")
 	}
 	if class.Idempotency == balance.IdempotentWithKey {
 		fmt.Fprintf(&head, "Idempotency-Key: %032x\r\n", arrival.EffectID)
 	}
-	if method == "POST" {
+	if method == http.MethodPost {
 		fmt.Fprintf(&head, "Content-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(emptyJSONBody), emptyJSONBody)
 	} else {
 		head.WriteString("\r\n")
--- a/internal/lab/live/faults.go
+++ b/internal/lab/live/faults.go
@@ -60,6 +60,7 @@
 	}
 }
 
+// beginFault puts a fault into force: on servers, then on sidecars, then on the network and discovery.
 func (f *fleet) beginFault(ctx context.Context, fault *lab.Fault) {
 	if f.controlPlane != nil {
 		f.controlPlane.beginFault(ctx, fault)
@@ -70,47 +71,61 @@
 			f.controlPlane.beginServerFault(ctx, server, fault)
 			continue
 		}
-		switch fault.Kind {
-		case lab.FaultKill:
-			server.crash()
-			f.removeAfterSilence(server)
-		case lab.FaultZoneOutage:
-			f.network.update(func() { f.network.darkServers[number] = true })
-			logFaultFailure(fault.Label, server.setSilent(true))
-			f.removeAfterSilence(server)
-		case lab.FaultRestart:
-			go f.drainServer(ctx, server, true)
-		case lab.FaultFreeze:
-			f.network.update(func() { f.network.darkServers[number] = true })
-		case lab.FaultConnectionRefused:
-			for _, port := range server.ports {
-				port.close()
-			}
-			server.resetConnections()
-		case lab.FaultDiscoveryFalseRemoval:
-			if f.publishedState(server) == stateReady {
-				f.publishState(server, stateGone)
-			}
-		default:
-			server.setFault(fault, true)
-		}
+		f.beginServerFault(ctx, server, fault)
 	}
 	for _, number := range fault.Sidecars {
-		sidecar := f.sidecars[number]
-		switch fault.Kind {
-		case lab.FaultKill:
-			sidecar.kill()
-		case lab.FaultRestart:
-			f.sidecarRestarts.Go(func() { f.restartSidecar(sidecar) })
-		case lab.FaultFreeze:
-			f.checker.ExcuseSidecar(number, f.now()-timeoutToleranceMS, fault.EndMS+faultAftermathMS)
-			sidecar.signal(syscall.SIGSTOP)
-		case lab.FaultReload:
-			f.reloadSidecar(sidecar)
-		case lab.FaultDescriptorExhaustion:
-			go f.exhaustDescriptors(ctx, sidecar, fault)
+		f.beginSidecarFault(ctx, f.sidecars[number], fault)
+	}
+	f.beginInfrastructureFault(fault)
+}
+
+// beginServerFault begins a fault on one modelled server that runs in this process.
+func (f *fleet) beginServerFault(ctx context.Context, server *server, fault *lab.Fault) {
+	switch fault.Kind {
+	case lab.FaultKill:
+		server.crash()
+		f.removeAfterSilence(server)
+	case lab.FaultZoneOutage:
+		f.network.update(func() { f.network.darkServers[server.number] = true })
+		logFaultFailure(fault.Label, server.setSilent(true))
+		f.removeAfterSilence(server)
+	case lab.FaultRestart:
+		go f.drainServer(ctx, server, true)
+	case lab.FaultFreeze:
+		f.network.update(func() { f.network.darkServers[server.number] = true })
+	case lab.FaultConnectionRefused:
+		for _, port := range server.ports {
+			port.close()
 		}
+		server.resetConnections()
+	case lab.FaultDiscoveryFalseRemoval:
+		if f.publishedState(server) == stateReady {
+			f.publishState(server, stateGone)
+		}
+	default:
+		server.setFault(fault, true)
+	}
+}
+
+// beginSidecarFault begins a fault on one sidecar process.
+func (f *fleet) beginSidecarFault(ctx context.Context, sidecar *sidecarProcess, fault *lab.Fault) {
+	switch fault.Kind {
+	case lab.FaultKill:
+		sidecar.kill()
+	case lab.FaultRestart:
+		f.sidecarRestarts.Go(func() { f.restartSidecar(sidecar) })
+	case lab.FaultFreeze:
+		f.checker.ExcuseSidecar(sidecar.number, f.now()-timeoutToleranceMS, fault.EndMS+faultAftermathMS)
+		sidecar.signal(syscall.SIGSTOP)
+	case lab.FaultReload:
+		f.reloadSidecar(sidecar)
+	case lab.FaultDescriptorExhaustion:
+		go f.exhaustDescriptors(ctx, sidecar, fault)
 	}
+}
+
+// beginInfrastructureFault begins a fault of the network, the registry or discovery.
+func (f *fleet) beginInfrastructureFault(fault *lab.Fault) {
 	switch fault.Kind {
 	case lab.FaultPartition, lab.FaultDelay, lab.FaultPacketLoss:
 		f.network.update(func() { f.network.faults = append(f.network.faults, fault) })
@@ -128,6 +143,8 @@
 	}
 }
 
+// endFault takes a fault out of force, in the order in which beginFault put it there. It also runs when the run is
+// interrupted: a process that is stopped has to continue before it can exit.
 func (f *fleet) endFault(ctx context.Context, fault *lab.Fault) {
 	if f.controlPlane != nil {
 		f.controlPlane.endFault(ctx, fault)
@@ -138,39 +155,58 @@
 			f.controlPlane.endServerFault(ctx, server, fault)
 			continue
 		}
-		switch fault.Kind {
-		case lab.FaultKill:
-			if !server.isUp() {
-				f.startServer(server)
-			}
-		case lab.FaultZoneOutage:
-			server.resetConnections()
-			f.network.update(func() { delete(f.network.darkServers, number) })
-			logFaultFailure(fault.Label, server.setSilent(false))
-			if server.plan.ReplacedMS == 0 || f.now() < server.plan.ReplacedMS {
-				f.startServer(server)
-			}
-		case lab.FaultFreeze:
-			f.network.update(func() { delete(f.network.darkServers, number) })
-		case lab.FaultConnectionRefused:
-			logFaultFailure(fault.Label, server.listen())
-		case lab.FaultDiscoveryFalseRemoval:
-			if f.publishedState(server) == stateGone && server.isUp() {
-				f.publishState(server, stateReady)
-			}
-		default:
-			server.setFault(fault, false)
-		}
+		f.endServerFault(server, fault)
 	}
 	for _, number := range fault.Sidecars {
-		sidecar := f.sidecars[number]
-		switch {
-		case fault.Kind == lab.FaultFreeze:
-			sidecar.signal(syscall.SIGCONT)
-		case fault.Kind == lab.FaultKill && ctx.Err() == nil:
-			f.sidecarRestarts.Go(func() { f.startSidecar(sidecar) })
+		f.endSidecarFault(ctx, f.sidecars[number], fault)
+	}
+	f.endInfrastructureFault(fault)
+	if f.registryService == nil {
+		for _, agent := range f.agents {
+			agent.applyPending()
+		}
+	}
+}
+
+// endServerFault ends a fault on one modelled server that runs in this process.
+func (f *fleet) endServerFault(server *server, fault *lab.Fault) {
+	switch fault.Kind {
+	case lab.FaultKill:
+		if !server.isUp() {
+			f.startServer(server)
+		}
+	case lab.FaultZoneOutage:
+		server.resetConnections()
+		f.network.update(func() { delete(f.network.darkServers, server.number) })
+		logFaultFailure(fault.Label, server.setSilent(false))
+		if server.plan.ReplacedMS == 0 || f.now() < server.plan.ReplacedMS {
+			f.startServer(server)
+		}
+	case lab.FaultFreeze:
+		f.network.update(func() { delete(f.network.darkServers, server.number) })
+	case lab.FaultConnectionRefused:
+		logFaultFailure(fault.Label, server.listen())
+	case lab.FaultDiscoveryFalseRemoval:
+		if f.publishedState(server) == stateGone && server.isUp() {
+			f.publishState(server, stateReady)
 		}
+	default:
+		server.setFault(fault, false)
 	}
+}
+
+// endSidecarFault ends a fault on one sidecar process.
+func (f *fleet) endSidecarFault(ctx context.Context, sidecar *sidecarProcess, fault *lab.Fault) {
+	switch {
+	case fault.Kind == lab.FaultFreeze:
+		sidecar.signal(syscall.SIGCONT)
+	case fault.Kind == lab.FaultKill && ctx.Err() == nil:
+		f.sidecarRestarts.Go(func() { f.startSidecar(sidecar) })
+	}
+}
+
+// endInfrastructureFault ends a fault of the network, the registry or discovery.
+func (f *fleet) endInfrastructureFault(fault *lab.Fault) {
 	switch fault.Kind {
 	case lab.FaultPartition, lab.FaultDelay, lab.FaultPacketLoss:
 		f.network.update(func() {
@@ -188,11 +224,6 @@
 		f.discoveryDelayMS -= fault.DelayMS
 		f.publishedMu.Unlock()
 	}
-	if f.registryService == nil {
-		for _, agent := range f.agents {
-			agent.applyPending()
-		}
-	}
 }
 
 // setPartition makes the ports between two parties silent, or lets them speak again, and excuses sidecars that are cut
--- a/internal/lab/live/frontend.go
+++ b/internal/lab/live/frontend.go
@@ -3,12 +3,9 @@
 import (
 	"bufio"
 	"context"
-	"fmt"
 	"io"
-	"math/rand/v2"
 	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
@@ -16,58 +13,83 @@
 )
 
 const (
-	handshakeRoundTrips = 1 // round trips of a new connection before its first request arrives, as in package sim
-	healthCheckWorkMS   = 0.3
-	maxRequestBody      = 64 << 10 // PROTOCOL
-	readHeaderTimeout   = time.Second
-
-	connectionClosed   = "given up" // its sidecar closed the connection
+	// handshakeRoundTrips is the round trips of a new connection before its first request arrives, as in package sim.
+	handshakeRoundTrips = 1
+	// healthCheckWorkMS is the work of a sidecar's health check.
+	healthCheckWorkMS = 0.3
+	// maxRequestBody is the largest request body that the platform's protocol allows.
+	maxRequestBody    = 64 << 10
+	readHeaderTimeout = time.Second
+	// notProcessedHeader tells the sidecar that a retry elsewhere is safe: the request has had no effect.
 	notProcessedHeader = "X-Not-Processed: 1\r\n"
 )
 
-// host is what a server's front stands in: the lab's own process, or a program of its own.
+// The results of attempts, by which the lab's reports count them.
+const (
+	resultServed     = "served"
+	resultError      = "error"
+	resultExpired    = "expired"
+	resultFull       = "full"
+	resultReset      = "reset"
+	resultCorrupt    = "spoilt"
+	connectionClosed = "given up" // the sidecar closed the connection before the response
+)
+
+// host is what a frontend runs in: the lab's own process, or the process of one server.
 type host interface {
 	runContext() context.Context // ends with the run
-	now() float64                // ms, of the model
+	now() float64                // the model's time, in ms
 	pathTo(sidecar int) networkPath
-	// call tells of an attempt, and whether a client sent its request. A sidecar of -1 is not known.
-	beginAttempt(id uint64, sidecar int, x receivedRequest) (serverAttempt, bool)
-	addCounts(add func(*lab.Counts))
+	// beginAttempt records an attempt and reports whether a client sent its request. A sidecar of -1 is not known.
+	beginAttempt(requestID uint64, sidecar int, received receivedRequest) (serverAttempt, bool)
+	addCounts(apply func(*lab.Counts))
 	recordLateness(ms float64)
-	jobCompleted(end lab.JobCompletion)
-	overloaded(now float64, fall *lab.SlowStartOverload)
+	jobCompleted(completion lab.JobCompletion)
+	overloaded(now float64, overload *lab.SlowStartOverload)
 }
 
-// networkPath is the way between a sidecar and a server. False: what went on it is lost, or ctx has ended.
+// networkPath is the modelled network between a sidecar and a server. Its methods wait until the message would have
+// arrived. False: the message is lost, or ctx has ended.
 type networkPath interface {
-	deliverRequest(ctx context.Context, fresh bool) bool
+	deliverRequest(ctx context.Context, newConnection bool) bool
 	deliverResponse(ctx context.Context) bool
 }
 
-// serverAttempt is one attempt.
+// serverAttempt is one attempt at a server.
 type serverAttempt interface {
 	networkPath
-	job() lab.Job // once it has arrived
-	ended(how string)
-	responseProduced() // an answer, which leaves only after this has returned
+	job() lab.Job // valid once the request has arrived
+	ended(result string)
+	responseProduced() // returns before the response is sent
 }
 
-// frontend is one server: its model behind real sockets.
+// frontend is the HTTP side of one modelled server: real sockets in front of the model of package lab.
 type frontend struct {
 	host                host
-	number              int
+	number              int // in the plan
 	plan                *lab.ServerPlan
 	answersHealthChecks bool
-	processEndpoint     func(path string) (status int, body string, mine bool) // what is asked of its process; nil: nothing
-	applyRegression     func(*lab.Job)                                         // what a harmful version does to a request; nil: nothing
+	// processEndpoint answers requests to the server's process itself, such as the supervisor's readiness check.
+	// ok is false for all other paths. nil: there is no such process.
+	processEndpoint func(path string) (status int, body string, ok bool)
+	// applyRegression changes a job as the server's faulty version would. nil: the version is healthy.
+	applyRegression func(*lab.Job)
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards what follows
 	model       *lab.Server
-	timer       *time.Timer
+	timer       *time.Timer // of the model's next event
 	up          bool
 	incarnation int
 	connections map[net.Conn]struct{}
-	pendingJobs map[int64]chan lab.JobCompletion
+	pendingJobs map[int64]chan lab.JobCompletion // by attempt
+}
+
+// clientPeer is the other side of a connection.
+type clientPeer struct {
+	connection          net.Conn
+	sidecar             int  // -1: not known
+	newConnection       bool // no request has been answered on it yet
+	overConnectionLimit bool // the server already held as many connections as it allows
 }
 
 func newFrontend(frontendHost host, number int, plan *lab.ServerPlan, model *lab.Server, answersHealthChecks bool) frontend {
@@ -77,7 +99,7 @@
 	}
 }
 
-// resetConnections resets all connections and forgets what they waited for.
+// resetConnections resets all connections and drops the jobs that they wait for, as the end of the process does.
 func (s *frontend) resetConnections() {
 	s.mu.Lock()
 	s.incarnation++
@@ -93,11 +115,12 @@
 // receivedRequest is one request on a connection.
 type receivedRequest struct {
 	request     *http.Request
-	firstByteAt time.Time // of its first byte
+	firstByteAt time.Time
 	lastByteAt  time.Time
 }
 
-// serveConnection is one connection. One goroutine reads, so that a close is seen while a request is at work.
+// serveConnection answers the requests of one connection until it closes. A goroutine of its own reads, so that a close
+// is noticed while a request is processed.
 func (s *frontend) serveConnection(connection net.Conn, sidecar int) {
 	s.mu.Lock()
 	incarnation := s.incarnation
@@ -125,23 +148,23 @@
 		s.readRequests(ctx, connection, requests)
 	}()
 	idleTimeout := milliseconds(s.plan.Spec.IdleCloseMS)
-	newConnection := true
+	client := clientPeer{connection: connection, sidecar: sidecar, newConnection: true, overConnectionLimit: overConnectionLimit}
 	for {
-		connection.SetReadDeadline(time.Now().Add(idleTimeout))
+		_ = connection.SetReadDeadline(time.Now().Add(idleTimeout)) // fails on a closed connection, which the reader reports
 		select {
 		case <-ctx.Done():
 			return
 		case received := <-requests:
-			connection.SetReadDeadline(time.Time{})
-			if !s.handleRequest(ctx, connection, sidecar, received, newConnection, overConnectionLimit) {
+			_ = connection.SetReadDeadline(time.Time{}) // as above
+			if !s.handleRequest(ctx, client, received) {
 				return
 			}
-			newConnection = false
+			client.newConnection = false
 		}
 	}
 }
 
-// readRequests hands on each request; it returns when the connection has ended.
+// readRequests sends each request to the channel; it returns when the connection has closed.
 func (s *frontend) readRequests(ctx context.Context, connection net.Conn, requests chan<- receivedRequest) {
 	reader := bufio.NewReader(connection)
 	for {
@@ -163,104 +186,3 @@
 		}
 	}
 }
-
-// handleRequest answers one request; false ends the connection.
-func (s *frontend) handleRequest(ctx context.Context, connection net.Conn, sidecar int, received receivedRequest, newConnection, overConnectionLimit bool) bool {
-	write := func(status int, header, body string) bool {
-		_, err := fmt.Fprintf(connection, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), header, len(body), body)
-		return err == nil
-	}
-	if s.processEndpoint != nil {
-		if status, body, ok := s.processEndpoint(received.request.URL.Path); ok {
-			return write(status, "", body) // who asks stands beside it
-		}
-	}
-	requestID, err := strconv.ParseUint(received.request.Header.Get("X-Request-ID"), 16, 64)
-	if received.request.URL.Path != "/api" || err != nil {
-		path := s.host.pathTo(sidecar)
-		if received.request.URL.Path != "/health/live" || !s.answersHealthChecks {
-			return awaitDelivery(ctx, path.deliverResponse) && write(http.StatusNotFound, "", "")
-		}
-		s.host.addCounts(func(counts *lab.Counts) { counts.HealthChecks++ })
-		if !awaitDelivery(ctx, func(ctx context.Context) bool { return path.deliverRequest(ctx, newConnection) }) {
-			return false
-		}
-		s.submit(lab.Job{WorkMS: healthCheckWorkMS})
-		return awaitDelivery(ctx, path.deliverResponse) && write(http.StatusOK, "", "")
-	}
-	attempt, ok := s.host.beginAttempt(requestID, sidecar, received)
-	respond := func(status int, header, body string) bool {
-		return awaitDelivery(ctx, attempt.deliverResponse) && write(status, header, body)
-	}
-	var once sync.Once
-	ended := func(result string) { once.Do(func() { attempt.ended(result) }) }
-	// Its close ends the attempt for the judge at once, whatever link is cut in between.
-	defer context.AfterFunc(ctx, func() { ended(connectionClosed) })()
-	defer ended(connectionClosed)
-	endAttempt := func(result string) bool {
-		ended(result)
-		return true
-	}
-	if !ok {
-		return respond(http.StatusBadRequest, "", "")
-	}
-	if !awaitDelivery(ctx, func(ctx context.Context) bool { return attempt.deliverRequest(ctx, newConnection) }) {
-		return false
-	}
-	if overConnectionLimit {
-		return respond(http.StatusServiceUnavailable, notProcessedHeader, "") && endAttempt("full")
-	}
-	if newConnection {
-		s.host.addCounts(func(counts *lab.Counts) { counts.Handshakes++ })
-		if s.plan.Spec.HandshakeMS > 0 {
-			s.submit(lab.Job{WorkMS: s.plan.Spec.HandshakeMS})
-		}
-	}
-	job := attempt.job()
-	if timeoutMS, err := strconv.ParseFloat(received.request.Header.Get("X-Timeout-Ms"), 64); err == nil {
-		job.ExpiresAt = s.host.now() - float64(time.Since(received.lastByteAt))/1e6 + timeoutMS
-	}
-	if s.applyRegression != nil {
-		s.applyRegression(&job)
-	}
-	result, accepted := s.submit(job)
-	if !accepted {
-		return respond(http.StatusServiceUnavailable, notProcessedHeader, "") && endAttempt("full")
-	}
-	var completion lab.JobCompletion
-	select {
-	case <-ctx.Done():
-		s.cancel(job.Attempt)
-		return false
-	case completion = <-result:
-	}
-	s.mu.Lock()
-	unresponsive, resetShare, corruptShare := s.model.Unresponsive, s.model.ResetShare, s.model.CorruptShare
-	s.mu.Unlock()
-	switch {
-	case unresponsive:
-		<-ctx.Done()
-		return false
-	case completion.Result == lab.JobExpired:
-		return respond(http.StatusGatewayTimeout, notProcessedHeader, "") && endAttempt("expired")
-	case completion.Result == lab.JobFailed:
-		return respond(http.StatusInternalServerError, "", "") && endAttempt("error")
-	case rand.Float64() < resetShare:
-		ended("reset")
-		resetConnection(connection)
-		return false
-	case rand.Float64() < corruptShare:
-		return respond(http.StatusOK, "Content-Length: x\r\n", "noise") && endAttempt("spoilt")
-	}
-	attempt.responseProduced()
-	return respond(http.StatusOK, "Content-Type: text/plain\r\n", fmt.Sprintf("%016x %d", requestID, s.number)) && endAttempt("served")
-}
-
-// awaitDelivery waits until something has gone its way; what is lost, the other side waits for in vain.
-func awaitDelivery(ctx context.Context, pass func(context.Context) bool) bool {
-	if pass(ctx) {
-		return true
-	}
-	<-ctx.Done()
-	return false
-}
--- /dev/null
+++ b/internal/lab/live/frontend_attempt.go
@@ -0,0 +1,173 @@
+package live
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"milldeck/internal/lab"
+)
+
+// writeResponse writes a response with a body and reports whether that succeeded. Header holds complete lines.
+func writeResponse(connection net.Conn, status int, header, body string) bool {
+	_, err := fmt.Fprintf(connection, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s",
+		status, http.StatusText(status), header, len(body), body)
+	return err == nil
+}
+
+// handleRequest answers one request. False: the connection has to be closed.
+func (s *frontend) handleRequest(ctx context.Context, client clientPeer, received receivedRequest) bool {
+	if s.processEndpoint != nil {
+		if status, body, ok := s.processEndpoint(received.request.URL.Path); ok {
+			return writeResponse(client.connection, status, "", body) // its client is on this machine: no network to model
+		}
+	}
+	requestID, err := strconv.ParseUint(received.request.Header.Get("X-Request-ID"), 16, 64)
+	if received.request.URL.Path != "/api" || err != nil {
+		return s.handleHealthCheck(ctx, client, received)
+	}
+	attempt, ok := s.host.beginAttempt(requestID, client.sidecar, received)
+	handler := &attemptHandler{
+		frontend: s, client: client, received: received, requestID: requestID, attempt: attempt,
+	}
+	// A closed connection ends the attempt for the checker at once, whatever link is partitioned in between.
+	defer context.AfterFunc(ctx, func() { handler.end(connectionClosed) })()
+	defer handler.end(connectionClosed)
+	if !ok {
+		return handler.respond(ctx, http.StatusBadRequest, "", "")
+	}
+	return handler.run(ctx)
+}
+
+// handleHealthCheck answers a sidecar's health check; any other path is not found.
+func (s *frontend) handleHealthCheck(ctx context.Context, client clientPeer, received receivedRequest) bool {
+	path := s.host.pathTo(client.sidecar)
+	if received.request.URL.Path != "/health/live" || !s.answersHealthChecks {
+		return awaitDelivery(ctx, path.deliverResponse) && writeResponse(client.connection, http.StatusNotFound, "", "")
+	}
+	s.host.addCounts(func(counts *lab.Counts) { counts.HealthChecks++ })
+	if !awaitDelivery(ctx, func(ctx context.Context) bool { return path.deliverRequest(ctx, client.newConnection) }) {
+		return false
+	}
+	s.submit(lab.Job{WorkMS: healthCheckWorkMS})
+	return awaitDelivery(ctx, path.deliverResponse) && writeResponse(client.connection, http.StatusOK, "", "")
+}
+
+// attemptHandler answers one attempt at a request of the API.
+type attemptHandler struct {
+	frontend  *frontend
+	client    clientPeer
+	received  receivedRequest
+	requestID uint64
+	attempt   serverAttempt
+	endOnce   sync.Once
+}
+
+// end reports how the attempt ended. Only the first call counts.
+func (h *attemptHandler) end(result string) {
+	h.endOnce.Do(func() { h.attempt.ended(result) })
+}
+
+// respond sends a response over the modelled network.
+func (h *attemptHandler) respond(ctx context.Context, status int, header, body string) bool {
+	return awaitDelivery(ctx, h.attempt.deliverResponse) && writeResponse(h.client.connection, status, header, body)
+}
+
+// finish sends a response and, once it is written, ends the attempt with the result.
+func (h *attemptHandler) finish(ctx context.Context, result string, status int, header, body string) bool {
+	if !h.respond(ctx, status, header, body) {
+		return false
+	}
+	h.end(result)
+	return true
+}
+
+// run admits the request, has the model process it and answers it. False: the connection has to be closed.
+func (h *attemptHandler) run(ctx context.Context) bool {
+	s := h.frontend
+	arrives := func(ctx context.Context) bool { return h.attempt.deliverRequest(ctx, h.client.newConnection) }
+	if !awaitDelivery(ctx, arrives) {
+		return false
+	}
+	if h.client.overConnectionLimit {
+		return h.finish(ctx, resultFull, http.StatusServiceUnavailable, notProcessedHeader, "")
+	}
+	if h.client.newConnection {
+		s.chargeHandshake()
+	}
+	job := h.job()
+	result, accepted := s.submit(job)
+	if !accepted {
+		return h.finish(ctx, resultFull, http.StatusServiceUnavailable, notProcessedHeader, "")
+	}
+	select {
+	case <-ctx.Done():
+		s.cancel(job.Attempt)
+		return false
+	case completion := <-result:
+		return h.complete(ctx, completion)
+	}
+}
+
+// chargeHandshake has the model do the work of a new connection.
+func (s *frontend) chargeHandshake() {
+	s.host.addCounts(func(counts *lab.Counts) { counts.Handshakes++ })
+	if s.plan.Spec.HandshakeMS > 0 {
+		s.submit(lab.Job{WorkMS: s.plan.Spec.HandshakeMS})
+	}
+}
+
+// job is the model's job for the attempt: with the deadline that its request states, and with what the server's
+// version does wrong.
+func (h *attemptHandler) job() lab.Job {
+	s := h.frontend
+	job := h.attempt.job()
+	if timeoutMS, err := strconv.ParseFloat(h.received.request.Header.Get("X-Timeout-Ms"), 64); err == nil {
+		job.ExpiresAt = s.host.now() - float64(time.Since(h.received.lastByteAt))/1e6 + timeoutMS
+	}
+	if s.applyRegression != nil {
+		s.applyRegression(&job)
+	}
+	return job
+}
+
+// complete answers a request that the model has processed, as the faults in force have it.
+func (h *attemptHandler) complete(ctx context.Context, completion lab.JobCompletion) bool {
+	s := h.frontend
+	s.mu.Lock()
+	unresponsive, resetShare, corruptShare := s.model.Unresponsive, s.model.ResetShare, s.model.CorruptShare
+	s.mu.Unlock()
+	switch {
+	case unresponsive:
+		<-ctx.Done()
+		return false
+	case completion.Result == lab.JobExpired:
+		return h.finish(ctx, resultExpired, http.StatusGatewayTimeout, notProcessedHeader, "")
+	case completion.Result == lab.JobFailed:
+		return h.finish(ctx, resultError, http.StatusInternalServerError, "", "")
+	case rand.Float64() < resetShare:
+		h.end(resultReset)
+		resetConnection(h.client.connection)
+		return false
+	case rand.Float64() < corruptShare:
+		return h.finish(ctx, resultCorrupt, http.StatusOK, "Content-Length: x\r\n", "noise")
+	}
+	h.attempt.responseProduced()
+	body := fmt.Sprintf("%016x %d", h.requestID, s.number)
+	return h.finish(ctx, resultServed, http.StatusOK, "Content-Type: text/plain\r\n", body)
+}
+
+// awaitDelivery waits for a message to cross the network. When it is lost, nothing happens until the other side gives
+// up and ctx ends: the result is false then.
+func awaitDelivery(ctx context.Context, deliver func(context.Context) bool) bool {
+	if deliver(ctx) {
+		return true
+	}
+	<-ctx.Done()
+	return false
+}
--- a/internal/lab/live/frontend_jobs.go
+++ b/internal/lab/live/frontend_jobs.go
@@ -6,7 +6,8 @@
 	"milldeck/internal/lab"
 )
 
-// submit brings the model a job; what becomes of it comes on the channel.
+// submit gives the model a job. Its completion comes on the channel; false: the server rejects the job, its queue is
+// full.
 func (s *frontend) submit(job lab.Job) (<-chan lab.JobCompletion, bool) {
 	s.mu.Lock()
 	now := s.host.now()
@@ -27,6 +28,7 @@
 	return result, accepted
 }
 
+// cancel drops the job of an attempt whose connection has closed.
 func (s *frontend) cancel(attempt int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,7 +39,7 @@
 	s.scheduleTimer(now)
 }
 
-// advanceModel lets the model's time pass; the caller holds the lock.
+// advanceModel advances the model to a time and reports the jobs completed by then. The caller holds the lock.
 func (s *frontend) advanceModel(now float64) {
 	s.model.Advance(now, func(completion lab.JobCompletion) {
 		if completion.Result != lab.JobExpired {
@@ -50,7 +52,7 @@
 	})
 }
 
-// scheduleTimer sets the timer for what the model does next; the caller holds the lock.
+// scheduleTimer sets the timer to the model's next event. The caller holds the lock.
 func (s *frontend) scheduleTimer(now float64) {
 	next := s.model.Next()
 	if next > 1e12 {
