--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -116,9 +116,7 @@
 
 // clientLink is the two ends of the link between a request's client and its sidecar.
 func clientLink(arrival *lab.Arrival) (client, sidecar lab.Endpoint) {
-	client = lab.Endpoint{Kind: lab.ClientEndpoint, Index: arrival.Sidecar}
-	sidecar = lab.Endpoint{Kind: lab.SidecarEndpoint, Index: arrival.Sidecar}
-	return client, sidecar
+	return lab.Endpoint{Kind: lab.ClientEndpoint, Index: arrival.Sidecar}, sidecarEndpoint(arrival.Sidecar)
 }
 
 // clientAttempt is one attempt of a client at a request.
--- a/internal/lab/live/controllers.go
+++ b/internal/lab/live/controllers.go
@@ -19,12 +19,12 @@
 
 const (
 	controllerReadyTimeout = 15 * time.Second
-	// commandTimeout bounds a command of an operator's: one that follows what it has started is to be killed by then.
+	// commandTimeout bounds a command of an operator: one that follows its own progress is killed by then.
 	commandTimeout = 60 * time.Second
-	maxOutputBytes = 500 // bytes of a command's output in an error
+	maxOutputBytes = 500 // of a command's output or a response in an error
 )
 
-// controller is a process of the program that acts on the fleet.
+// controller is a process of a controller under test, such as the release controller.
 type controller struct {
 	controlPlane *controlPlane
 	spec         *lab.ControllerSpec
@@ -38,7 +38,7 @@
 	return &controller{controlPlane: plane, spec: &plane.spec.Controllers[number], address: plane.fleet.addresses.Addr(controlPlaneNet, 0, firstControllerPort+number)}
 }
 
-// expandPlaceholders puts in what placeholders stand for.
+// expandPlaceholders replaces the placeholders that an experiment may use in configurations and arguments.
 func (c *controlPlane) expandPlaceholders(text, name, listen, config, stepFile string) string {
 	replicas := c.fleet.registryService.cluster.HTTPAddrs()
 	var quoted []string
@@ -46,8 +46,14 @@
 		quoted = append(quoted, fmt.Sprintf("%q", replica))
 	}
 	replacements := []string{
-		"{replicas}", strings.Join(replicas, ","), "{list}", "[" + strings.Join(quoted, ", ") + "]", "{supervisor}", c.supervisorAddress(),
-		"{listen}", listen, "{name}", name, "{dir}", filepath.Join(c.fleet.options.Dir, name), "{config}", config, "{file}", stepFile,
+		"{replicas}", strings.Join(replicas, ","),
+		"{list}", "[" + strings.Join(quoted, ", ") + "]",
+		"{supervisor}", c.supervisorAddress(),
+		"{listen}", listen,
+		"{name}", name,
+		"{dir}", filepath.Join(c.fleet.options.Dir, name),
+		"{config}", config,
+		"{file}", stepFile,
 	}
 	for _, controller := range c.controllers {
 		replacements = append(replacements, "{at:"+controller.spec.Name+"}", controller.address)
@@ -58,6 +64,7 @@
 	return strings.NewReplacer(replacements...).Replace(text)
 }
 
+// start writes the controller's configuration, starts its process and waits for its ready line.
 func (k *controller) start(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, controllerReadyTimeout)
 	defer cancel()
@@ -66,14 +73,18 @@
 		return fmt.Errorf("controller %s: %w", name, err)
 	}
 	path := filepath.Join(dir, name+".toml")
-	if err := os.WriteFile(path, []byte(k.controlPlane.expandPlaceholders(k.spec.Config, name, k.address, path, "")), 0o600); err != nil {
+	config := k.controlPlane.expandPlaceholders(k.spec.Config, name, k.address, path, "")
+	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		return fmt.Errorf("controller %s: %w", name, err)
 	}
 	var arguments []string
 	for _, argument := range k.spec.Args {
 		arguments = append(arguments, k.controlPlane.expandPlaceholders(argument, name, k.address, path, ""))
 	}
-	process, err := proc.Start(proc.Spec{Name: "controller " + name, Path: k.controlPlane.fleet.options.MilldeckPath, Args: arguments, Log: filepath.Join(dir, name+".log")})
+	process, err := proc.Start(proc.Spec{
+		Name: "controller " + name, Path: k.controlPlane.fleet.options.MilldeckPath, Args: arguments,
+		Log: filepath.Join(dir, name+".log"),
+	})
 	if err != nil {
 		return err
 	}
@@ -84,28 +95,31 @@
 	return err
 }
 
+// runningProcess is the newest process, nil before the first start. It may have exited.
 func (k *controller) runningProcess() *proc.Process {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.process
 }
 
+// kill ends the process at once.
 func (k *controller) kill() {
 	if process := k.runningProcess(); process != nil {
 		process.Kill()
 	}
 }
 
-// stop ends it as at a planned end. It is no part of what is judged whether it does so in time.
+// stop ends the process gracefully. Whether it does so in time is not part of what the checker judges.
 func (k *controller) stop(ctx context.Context) {
 	if process := k.runningProcess(); process != nil && process.Running() {
 		if err := process.Stop(ctx); err != nil {
-			slog.Warn("a controller did not end well", "error", err)
+			slog.Warn("controller shutdown failed", "controller", k.spec.Name, "error", err)
 		}
 	}
 }
 
-// runSteps plays what an operator does, each step at its time.
+// runSteps starts the controllers that start later and performs the operator's steps, each at its time. It returns when
+// all have ended.
 func (c *controlPlane) runSteps(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -125,7 +139,7 @@
 			if !sleep(ctx, milliseconds(1000*step.AtS-c.fleet.now())) {
 				return
 			}
-			slog.Debug("step", "args", step.Args, "do", step.Action)
+			slog.Debug("operator step", "args", step.Args, "action", step.Action)
 			description := fmt.Sprintf("step %d", i)
 			if step.Action != "" {
 				c.recordFailure(description, c.performAction(ctx, i, step))
@@ -136,7 +150,7 @@
 	}
 }
 
-// runCommand runs a command of the program, which has to end with the step's status.
+// runCommand runs an operator's milldeck command, which has to exit with the step's status.
 func (c *controlPlane) runCommand(ctx context.Context, stepNumber int, step *lab.StepSpec) error {
 	path := filepath.Join(c.fleet.options.Dir, fmt.Sprintf("step%d.toml", stepNumber))
 	if err := os.WriteFile(path, []byte(c.expandPlaceholders(step.File, "step", "", "", path)), 0o600); err != nil {
@@ -149,7 +163,8 @@
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	output, err := exec.CommandContext(ctx, c.fleet.options.MilldeckPath, arguments...).CombinedOutput()
-	if writeError := os.WriteFile(filepath.Join(c.fleet.options.Dir, fmt.Sprintf("step%d.log", stepNumber)), output, 0o644); writeError != nil {
+	logPath := filepath.Join(c.fleet.options.Dir, fmt.Sprintf("step%d.log", stepNumber))
+	if writeError := os.WriteFile(logPath, output, 0o644); writeError != nil {
 		return writeError
 	}
 	status := 0
@@ -158,20 +173,22 @@
 		status, err = exit.ExitCode(), nil
 	}
 	if err == nil && status != step.ExitStatus {
-		err = fmt.Errorf("milldeck %s ended with status %d, not %d: %s", strings.Join(arguments, " "), status, step.ExitStatus, outputTail(output))
+		err = fmt.Errorf("milldeck %s exited with status %d, not %d: %s",
+			strings.Join(arguments, " "), status, step.ExitStatus, outputTail(output))
 	}
 	return err
 }
 
+// outputTail is the end of an output, for an error.
 func outputTail(output []byte) string {
 	return strings.TrimSpace(string(output[max(0, len(output)-maxOutputBytes):]))
 }
 
-// signalAll sends a signal to a process where there is one.
+// signalAll sends a signal to all processes that are not nil.
 func signalAll(signal syscall.Signal, processes ...*proc.Process) {
 	for _, process := range processes {
 		if process != nil {
-			process.Signal(signal)
+			_ = process.Signal(signal) // fails for a process that is not a child any more only: it needs no signal
 		}
 	}
 }
--- a/internal/lab/live/controlplane.go
+++ b/internal/lab/live/controlplane.go
@@ -20,7 +20,7 @@
 	"milldeck/internal/supervisor"
 )
 
-// The control plane's addresses, in nets that the list service and sidecars leave free.
+// The control plane's addresses, in subnets that the registry and the sidecars do not use.
 const (
 	controlPlaneNet     = 220
 	supervisorPort      = 8600
@@ -29,34 +29,34 @@
 )
 
 const (
-	startupTimeout  = 30 * time.Second // for all servers, and then for all sidecars, of one machine that starts them at once
-	startBatchSize  = 64               // units that are started in one call
+	startupTimeout  = 30 * time.Second // of all servers, and of all sidecars, which start at once on one machine
+	startBatchSize  = 64               // units in one request to the supervisor
 	sidecarLeaseTTL = 3 * time.Second  // of a sidecar in the ledger
-	shutdownTimeout = 10 * time.Second // for the platform to end all that it has started
+	shutdownTimeout = 10 * time.Second // of the supervisor with all its units
 )
 
-// controlPlane is the control plane of a run: the platform that starts servers and sidecars, the controllers, and what
-// watches them for the judge.
+// controlPlane is the control plane of a run: the stand-in supervisor that starts servers and sidecars, the controllers
+// under test, and the goroutines that observe all of them for the checker.
 type controlPlane struct {
 	fleet    *fleet
 	spec     *lab.ControlPlaneSpec
 	checker  *lab.ControlPlaneChecker
 	ctx      context.Context
 	cancel   context.CancelFunc
-	finished atomic.Bool // the run is judged; what ends now does so because it is over
+	finished atomic.Bool // the checker has its verdict: processes that exit from now on do so because the run is over
 
-	listener         net.Listener
+	listener         net.Listener // for the server processes
 	supervisor       *proc.Process
 	supervisorClient *supervisor.Client
 	controllers      []*controller
 	background       sync.WaitGroup
 
-	serverByUnit  map[string]int // of servers by unit
-	sidecarByUnit map[string]int // of sidecars by unit
+	serverByUnit  map[string]int // numbers of servers by unit name
+	sidecarByUnit map[string]int // numbers of sidecars by unit name
 
 	mu          sync.Mutex
 	processes   map[int]*unitProcess // by pid
-	failure     error                // what the lab itself could not do
+	failure     error                // the first action that the lab itself could not perform
 	abortLoad   func()               // ends the run's load
 	loadContext context.Context      // ends with the load
 }
@@ -79,7 +79,7 @@
 	return plane
 }
 
-// now is the run's time; all before its begin is at 0.
+// now is the run's time in ms; 0 before the run starts.
 func (c *controlPlane) now() float64 {
 	if c.fleet.startOffset.Load() == 0 {
 		return 0
@@ -87,15 +87,17 @@
 	return c.fleet.now()
 }
 
+// supervisorAddress is where the supervisor listens.
 func (c *controlPlane) supervisorAddress() string {
 	return c.fleet.addresses.Addr(controlPlaneNet, 0, supervisorPort)
 }
 
+// labServiceAddress is where the lab listens for server processes.
 func (c *controlPlane) labServiceAddress() string {
 	return c.fleet.addresses.Addr(controlPlaneNet, 0, labServicePort)
 }
 
-// start brings up the list service, the platform, servers, agents, sidecars and controllers, in this order.
+// start starts the registry, the supervisor, servers, agents, sidecars and controllers, in this order.
 func (c *controlPlane) start(ctx context.Context) error {
 	fleet := c.fleet
 	registryService := fleet.registryService
@@ -147,12 +149,12 @@
 	return nil
 }
 
-// setBudgets tells the ledger what may be out.
+// setBudgets writes the experiment's disruption budgets to the ledger.
 func (c *controlPlane) setBudgets(ctx context.Context) error {
 	for i := range c.spec.Budgets {
 		budget := &c.spec.Budgets[i]
 		_, err := c.fleet.registryService.client.ApplyLedgerOp(ctx, registry.WriteOptions{}, disruption.Op{
-			Kind: disruption.OpSetBudget, Owner: "operator/lab", Budget: &disruption.Budget{
+			Kind: disruption.OpSetBudget, Owner: ledgerOwner, Budget: &disruption.Budget{
 				Name:           budget.Name,
 				Selector:       disruption.Selector{Kind: disruption.Kind(budget.Kind), Zone: budget.Zone, Model: budget.ServerKind},
 				MaxUnavailable: disruption.Limit{Count: budget.LedgerMaxOut},
@@ -165,8 +167,8 @@
 	return nil
 }
 
-// agentConfig is what an agent's configuration says beside the list: the placement, where reports go, and its sidecar,
-// which it registers in the ledger.
+// agentConfig is the part of an agent's configuration that a control plane needs: the placement file, the receivers of
+// load reports, and the sidecar that the agent registers in the ledger.
 func (c *controlPlane) agentConfig(sidecar int, agentName string) string {
 	var reports []string
 	for _, controller := range c.controllers {
@@ -175,12 +177,18 @@
 		}
 	}
 	plan := &c.fleet.plan.Sidecars[sidecar]
-	return fmt.Sprintf("saved_placement = %q\nreports = [%s]\n[sidecar]\nname = %q\naddress = %q\nzone = %q\ntenant = %q\nversion = %q\nlease_ms = %d\n",
-		filepath.Join(c.fleet.options.Dir, agentName+".placement"), strings.Join(reports, ", "), plan.Name, c.fleet.addresses.sidecar(sidecar),
-		c.fleet.plan.Experiment.Zones[plan.Zone], c.fleet.plan.Tenant(sidecar), c.spec.SidecarVersion, sidecarLeaseTTL.Milliseconds())
+	var text strings.Builder
+	fmt.Fprintf(&text, "saved_placement = %q\n", filepath.Join(c.fleet.options.Dir, agentName+".placement"))
+	fmt.Fprintf(&text, "reports = [%s]\n", strings.Join(reports, ", "))
+	text.WriteString("[sidecar]\n")
+	fmt.Fprintf(&text, "name = %q\naddress = %q\n", plan.Name, c.fleet.addresses.sidecar(sidecar))
+	fmt.Fprintf(&text, "zone = %q\ntenant = %q\n", c.fleet.plan.Experiment.Zones[plan.Zone], c.fleet.plan.Tenant(sidecar))
+	fmt.Fprintf(&text, "version = %q\nlease_ms = %d\n", c.spec.SidecarVersion, sidecarLeaseTTL.Milliseconds())
+	return text.String()
 }
 
-// recordFailure keeps the first thing that the lab itself could not do: such a run says nothing.
+// recordFailure stores the first action that the lab itself could not perform and ends the load: the run is void. What
+// fails after the load has ended, or is cut off with it, does not count.
 func (c *controlPlane) recordFailure(action string, err error) {
 	if err == nil || c.finished.Load() {
 		return
@@ -191,21 +199,21 @@
 		return
 	}
 	if c.failure == nil {
-		c.failure = fmt.Errorf("the lab cannot play %s: %w", action, err)
+		c.failure = fmt.Errorf("the lab cannot perform %s: %w", action, err)
 		if c.abortLoad != nil {
 			c.abortLoad()
 		}
 	}
 }
 
-// onFailure has something done at the first trouble while the load goes on: what is cut off with it is none.
+// onFailure sets what recordFailure calls, and the context of the load after whose end nothing counts as a failure.
 func (c *controlPlane) onFailure(load context.Context, abort func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.loadContext, c.abortLoad = load, abort
 }
 
-// firstFailure is what made the run say nothing.
+// firstFailure is the error that makes the run void, nil where there is none or no control plane.
 func (c *controlPlane) firstFailure() error {
 	if c == nil {
 		return nil
@@ -215,13 +223,13 @@
 	return c.failure
 }
 
-// finish judges how all stands, before anything is ended.
+// finish has the checker judge the final state, before any process is stopped.
 func (c *controlPlane) finish() {
 	c.checker.Finish(c.now())
 	c.finished.Store(true)
 }
 
-// stop ends controllers, and then all that the platform has started.
+// stop ends the controllers, and then the supervisor with all its units, and looks for crashes in the sidecars' logs.
 func (c *controlPlane) stop() {
 	c.finished.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
@@ -242,12 +250,12 @@
 	c.findSidecarCrashes()
 }
 
-// findSidecarCrashes looks for sidecars that ended by a fault of their own, as their logs tell.
+// findSidecarCrashes reports the sidecars whose logs show a panic, a runtime error or a data race.
 func (c *controlPlane) findSidecarCrashes() {
 	for unit, sidecar := range c.sidecarByUnit {
 		content, err := os.ReadFile(filepath.Join(c.fleet.options.Dir, "units", unit+".log"))
 		if err != nil {
-			continue // it never logged
+			continue // it has logged nothing
 		}
 		for _, marker := range []string{"panic: ", "fatal error: ", "DATA RACE"} {
 			if _, after, found := strings.Cut(string(content), marker); found {
@@ -259,7 +267,7 @@
 	}
 }
 
-// close ends whatever is left.
+// close kills the processes that are left and waits for the goroutines.
 func (c *controlPlane) close() {
 	c.finished.Store(true)
 	c.cancel()
@@ -270,8 +278,8 @@
 	supervisor := c.supervisor
 	c.mu.Unlock()
 	if supervisor != nil {
-		supervisor.Signal(syscall.SIGCONT)
-		supervisor.Kill() // the kernel ends what it has started with it
+		_ = supervisor.Signal(syscall.SIGCONT) // fails only where it is gone; Kill sees to the rest
+		supervisor.Kill()                      // the kernel kills its units with it
 	}
 	if c.listener != nil {
 		c.listener.Close()
--- a/internal/lab/live/controlplane_faults.go
+++ b/internal/lab/live/controlplane_faults.go
@@ -17,24 +17,20 @@
 )
 
 const (
-	// supervisorFaultAftermathMS in ms is how long after a fault of the platform's its doing may still show.
+	// supervisorFaultAftermathMS is how long after a fault of the supervisor its effects may still show.
 	supervisorFaultAftermathMS = 5000
-	// supervisorRequestTimeout bounds the question who leads, at the time of a fault.
+	// supervisorRequestTimeout bounds the requests that a fault makes: which replica leads, and to the supervisor.
 	supervisorRequestTimeout = 2 * time.Second
-	untilRunEndMS            = 1e12 // ms
+	untilRunEndMS            = 1e12 // later than the end of any run
 )
 
-// beginFault begins a fault at processes of the control plane, and tells the judge which units it befalls.
+// beginFault begins a fault at processes of the control plane, and announces to the checker which units it affects.
 func (c *controlPlane) beginFault(ctx context.Context, fault *lab.Fault) {
 	c.announceFault(fault)
 	if fault.Leader {
 		c.resolveLeader(ctx, fault)
 	}
-	for _, replica := range fault.Replicas {
-		if links := c.fleet.registryService.links; fault.Kind == lab.FaultPartition && links != nil {
-			links.Partition(replica, lab.RegistryReplicas, true)
-		}
-	}
+	c.partitionReplicas(fault, true)
 	switch fault.Kind {
 	case lab.FaultKill:
 		for _, process := range c.affectedProcesses(fault) {
@@ -47,13 +43,9 @@
 	}
 }
 
-// endFault ends it: what was killed is started again, what was stopped goes on.
+// endFault ends it: what was killed is started again, what was stopped continues.
 func (c *controlPlane) endFault(ctx context.Context, fault *lab.Fault) {
-	for _, replica := range fault.Replicas {
-		if links := c.fleet.registryService.links; fault.Kind == lab.FaultPartition && links != nil {
-			links.Partition(replica, lab.RegistryReplicas, false)
-		}
-	}
+	c.partitionReplicas(fault, false)
 	switch {
 	case fault.Kind == lab.FaultFreeze:
 		signalAll(syscall.SIGCONT, c.affectedProcesses(fault)...)
@@ -62,7 +54,18 @@
 	}
 }
 
-// announceFault tells the judge of units that the lab itself takes out.
+// partitionReplicas partitions the replicas of a fault from the others, or ends that.
+func (c *controlPlane) partitionReplicas(fault *lab.Fault, partitioned bool) {
+	links := c.fleet.registryService.links
+	if fault.Kind != lab.FaultPartition || links == nil {
+		return
+	}
+	for _, replica := range fault.Replicas {
+		links.Partition(replica, lab.RegistryReplicas, partitioned)
+	}
+}
+
+// announceFault reports to the checker the units that the lab itself makes unavailable.
 func (c *controlPlane) announceFault(fault *lab.Fault) {
 	until := fault.EndMS + c.spec.DetectionMS
 	if fault.EndMS == 0 {
@@ -81,7 +84,7 @@
 	}
 }
 
-// beginServerFault begins a fault at a server that the platform has started.
+// beginServerFault begins a fault at a server that the supervisor has started.
 func (c *controlPlane) beginServerFault(ctx context.Context, server *server, fault *lab.Fault) {
 	switch fault.Kind {
 	case lab.FaultKill, lab.FaultZoneOutage:
@@ -89,11 +92,11 @@
 	case lab.FaultRestart:
 		c.recordFailure(fault.Label, c.restartUnit(ctx, server.plan.UID))
 	default:
-		server.setFault(fault, true) // its process is told with each request
+		server.setFault(fault, true) // its process receives it with each request
 	}
 }
 
-// endServerFault ends it.
+// endServerFault ends a fault at a server that the supervisor has started.
 func (c *controlPlane) endServerFault(ctx context.Context, server *server, fault *lab.Fault) {
 	switch fault.Kind {
 	case lab.FaultKill, lab.FaultZoneOutage:
@@ -105,17 +108,18 @@
 	}
 }
 
-// startUnit has the platform start a unit that a fault has killed, where nobody else has meanwhile.
+// startUnit has the supervisor start a unit that a fault has killed, unless someone else has started it meanwhile.
 func (c *controlPlane) startUnit(ctx context.Context, unit string) error {
 	return c.changeUnit(ctx, unit, supervisor.Start)
 }
 
-// restartUnit has the platform restart a unit, as its planned restarts do.
+// restartUnit has the supervisor restart a unit, as its planned restarts do.
 func (c *controlPlane) restartUnit(ctx context.Context, unit string) error {
 	return c.changeUnit(ctx, unit, supervisor.Restart)
 }
 
-// changeUnit asks the platform for one thing, as it was before. What others have done to the unit meanwhile is no trouble.
+// changeUnit has the supervisor perform an operation on a unit with its present version and configuration. A unit that
+// others have removed or started meanwhile is left alone, which is no error.
 func (c *controlPlane) changeUnit(ctx context.Context, unit string, op supervisor.Op) error {
 	inventory, err := c.supervisorClient.List(ctx)
 	if err != nil {
@@ -132,20 +136,20 @@
 	return err
 }
 
-// resolveLeader finds who leads now, once for a fault.
+// resolveLeader sets the replica that a fault of the leader affects: the leader at this time, replica 0 if there is none.
 func (c *controlPlane) resolveLeader(ctx context.Context, fault *lab.Fault) {
 	ctx, cancel := context.WithTimeout(ctx, supervisorRequestTimeout)
 	defer cancel()
 	leader, err := c.fleet.registryService.cluster.AwaitLeader(ctx)
 	if err != nil {
-		slog.Warn("nobody leads, so that replica 0 is taken", "fault", fault.Label)
+		slog.Warn("no leader, the fault affects replica 0", "fault", fault.Label)
 		fault.Replicas = []int{0}
 		return
 	}
 	fault.Replicas = []int{leader.Index}
 }
 
-// affectedProcesses are the processes that a fault befalls.
+// affectedProcesses are the processes of the control plane that a fault affects.
 func (c *controlPlane) affectedProcesses(fault *lab.Fault) []*proc.Process {
 	var processes []*proc.Process
 	for _, index := range fault.Replicas {
@@ -202,17 +206,28 @@
 	return nil
 }
 
-// injectSupervisorFault has the platform do wrong.
+// supervisorFault is the body of the stand-in supervisor's /faults.
+type supervisorFault struct {
+	Count      int    `json:"count"`
+	DelayMS    int64  `json:"delay_ms"`
+	DurationMS int64  `json:"for_ms"`
+	Kind       string `json:"kind"`
+	Operation  string `json:"on"`
+}
+
+// injectSupervisorFault has the stand-in supervisor misbehave.
 func (c *controlPlane) injectSupervisorFault(ctx context.Context, fault *lab.Fault) error {
-	body, err := json.Marshal(map[string]any{
-		"kind": fault.Misbehaviour, "on": fault.Operation, "count": fault.CallCount, "for_ms": int64(max(0, fault.EndMS-fault.StartMS)), "delay_ms": int64(fault.DelayMS),
+	body, err := json.Marshal(supervisorFault{
+		Kind: fault.Misbehaviour, Operation: fault.Operation, Count: fault.CallCount,
+		DurationMS: int64(max(0, fault.EndMS-fault.StartMS)), DelayMS: int64(fault.DelayMS),
 	})
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, supervisorRequestTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.supervisorAddress()+"/faults", bytes.NewReader(body))
+	url := "http://" + c.supervisorAddress() + "/faults"
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -223,7 +238,7 @@
 	defer response.Body.Close()
 	output, err := io.ReadAll(io.LimitReader(response.Body, maxOutputBytes))
 	if err == nil && response.StatusCode/100 != 2 {
-		err = fmt.Errorf("the platform answers %s: %s", response.Status, outputTail(output))
+		err = fmt.Errorf("the supervisor answered %s: %s", response.Status, outputTail(output))
 	}
 	return err
 }
--- a/internal/lab/live/direct_actions.go
+++ b/internal/lab/live/direct_actions.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	maxPlacedKeys = 100              // whose copies are placed
-	copyTTL       = 30 * time.Second // how long they last
+	maxPlacedKeys = 100              // keys of which copies are placed
+	copyTTL       = 30 * time.Second // of the copies
 )
 
-// performAction does something to units behind the controllers' back.
+// performAction performs a step that bypasses the controllers: the checker has to find it.
 func (c *controlPlane) performAction(ctx context.Context, stepNumber int, step *lab.StepSpec) error {
 	serverNumbers, sidecarNumbers := c.fleet.plan.MatchUnits(step.Target)
 	var servers, units []string
@@ -43,7 +43,7 @@
 	return c.changeUnits(ctx, stepNumber, supervisor.Op(step.Action), units)
 }
 
-// changeUnits asks the platform.
+// changeUnits has the supervisor perform an operation on units.
 func (c *controlPlane) changeUnits(ctx context.Context, stepNumber int, op supervisor.Op, units []string) error {
 	inventory, err := c.supervisorClient.List(ctx)
 	if err != nil {
@@ -53,7 +53,7 @@
 	for _, name := range units {
 		unit := inventory.Find(name)
 		if unit == nil {
-			return fmt.Errorf("the platform knows no unit %s", name)
+			return fmt.Errorf("the supervisor has no unit %s", name)
 		}
 		request := supervisor.Request{ID: fmt.Sprintf("lab/step%d/%s", stepNumber, name), Op: op, Epoch: inventory.Epoch, Unit: name, Incarnation: unit.Incarnation}
 		if op != supervisor.Stop {
@@ -70,7 +70,7 @@
 	return err
 }
 
-// placeCopies takes the spreader's duty and places copies of keys on servers, whatever that costs.
+// placeCopies takes the hot-key controller's lease and places copies of keys on servers without regard to their load.
 func (c *controlPlane) placeCopies(ctx context.Context, servers []string) error {
 	client := c.fleet.registryService.client
 	return leaderelection.Run(ctx, client, "spread", leaderelection.Options{}, func(ctx context.Context, lease *leaderelection.Lease) error {
--- a/internal/lab/live/discovery.go
+++ b/internal/lab/live/discovery.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	keepAliveInterval = 2 * time.Second // PROTOCOL: an empty line where nothing changes
+	keepAliveInterval = 2 * time.Second // of a watch; the protocol has an empty line then
 	oldAddressGrace   = 1500 * time.Millisecond
-	maxHistory        = 4096 // changes that an agent keeps for watches that ask after an older revision
+	maxHistory        = 4096 // changes retained for watches that resume at an older revision
 )
 
-// endpoint is an entry in PROTOCOL's form.
+// endpoint is one entry of the endpoint list, as the platform's discovery protocol encodes it.
 type endpoint struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -37,29 +37,30 @@
 	Targets  []endpoint `json:"targets"`
 }
 
-// The states of PROTOCOL.
+// The states of an endpoint in the discovery protocol.
 const (
 	stateReady       = "Ready"
 	stateTerminating = "Terminating"
 	stateGone        = "Gone"
 )
 
-// endpointChange is one entry that an agent has been sent.
+// endpointChange is one change that discovery has sent to an agent.
 type endpointChange struct {
 	revision int64
 	server   int
 	endpoint endpoint
 }
 
-// agent is the stand-in for the discovery agent on one sidecar's machine: it answers at once with what it has
-// been sent, and is silent while discovery is down.
+// agent is the stand-in for the discovery agent on one sidecar's machine. It answers from the changes that it has
+// received, and receives none while discovery is down. With the registry it serves nothing itself and mirrors what the
+// real agent has sent to its sidecar.
 type agent struct {
 	fleet   *fleet
-	sidecar int // of the sidecar
+	sidecar int // number
 
 	mu          sync.Mutex
 	revision    int64
-	endpoints   map[int]endpoint // by server; those gone are left out
+	endpoints   map[int]endpoint // by server, without those removed
 	knownBootMS map[int]float64
 	history     []endpointChange
 	pending     []endpointChange
@@ -69,20 +70,24 @@
 	deliveries  chan delivery
 }
 
-// delivery is a change on its way to an agent.
+// delivery is a change in flight to an agent.
 type delivery struct {
-	dueMS float64 // ms
+	dueMS float64 // time of the run at which it arrives
 	endpointChange
 }
 
-// maxDeliveries is how many changes can be on their way to an agent at a time; publishing waits beyond it.
+// maxDeliveries is the number of changes in flight to an agent beyond which publishing blocks.
 const maxDeliveries = 1 << 14
 
 func newAgent(fleet *fleet, sidecar int) *agent {
-	return &agent{fleet: fleet, sidecar: sidecar, revision: 1, endpoints: map[int]endpoint{}, knownBootMS: map[int]float64{}, changed: make(chan struct{}), deliveries: make(chan delivery, maxDeliveries)}
+	return &agent{
+		fleet: fleet, sidecar: sidecar, revision: 1,
+		endpoints: map[int]endpoint{}, knownBootMS: map[int]float64{},
+		changed: make(chan struct{}), deliveries: make(chan delivery, maxDeliveries),
+	}
 }
 
-// listen serves at the agent's address, or after a move at its other one.
+// listen serves the discovery protocol at the agent's present address.
 func (a *agent) listen() error {
 	listener, err := net.Listen("tcp4", a.address())
 	if err != nil {
@@ -91,25 +96,27 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", a.serve)
 	a.httpServer = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
-	go a.httpServer.Serve(listener)
+	server := a.httpServer
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed, which is no failure
 	return nil
 }
 
+// address is where the agent listens; each relocation goes to the other of two addresses.
 func (a *agent) address() string { return a.fleet.addresses.discovery(a.sidecar, a.relocations%2) }
 
-// relocate goes to the other address; the old one takes nothing new and ends soon.
+// relocate moves the agent to its other address. The old one accepts nothing and closes its watches soon.
 func (a *agent) relocate() error {
 	previous := a.httpServer
 	a.relocations++
 	if err := a.listen(); err != nil {
 		return err
 	}
-	// Shutdown closes the listener at once and waits for watches, which never end by themselves.
+	// Shutdown closes the listener at once and waits for watches, which do not end by themselves.
 	ctx, cancel := context.WithTimeout(context.Background(), oldAddressGrace)
 	go func() {
 		defer cancel()
 		if previous.Shutdown(ctx) != nil {
-			previous.Close()
+			_ = previous.Close() // its listener is closed already; only watches are cut off
 		}
 	}()
 	return nil
@@ -117,17 +124,17 @@
 
 func (a *agent) close() {
 	if a.httpServer != nil {
-		a.httpServer.Close()
+		_ = a.httpServer.Close() // the run is over: nothing depends on it
 	}
 }
 
-// isUnreachable tells whether discovery cannot reach the agent.
+// isUnreachable reports whether discovery cannot reach the agent.
 func (a *agent) isUnreachable() bool {
-	partitioned, _, _, _ := a.fleet.network.state(lab.Endpoint{Kind: lab.DiscoveryEndpoint}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: a.sidecar})
-	return partitioned || a.fleet.discoveryDown.Load()
+	link := a.fleet.network.state(lab.Endpoint{Kind: lab.DiscoveryEndpoint}, sidecarEndpoint(a.sidecar))
+	return link.partitioned || a.fleet.discoveryDown.Load()
 }
 
-// receiveChanges takes changes as they come to the machine, in order, until the run ends.
+// receiveChanges receives changes at their arrival times, in order, until the run ends.
 func (a *agent) receiveChanges() {
 	for {
 		select {
@@ -145,7 +152,7 @@
 	}
 }
 
-// applyPending takes over what came, unless discovery is out of reach.
+// applyPending applies the received changes and wakes the watches, unless discovery is unreachable.
 func (a *agent) applyPending() {
 	if a.isUnreachable() {
 		return
@@ -173,7 +180,7 @@
 	a.changed = make(chan struct{})
 }
 
-// fullList is the whole list; the caller holds the lock.
+// fullList is the complete endpoint list. The caller holds the lock.
 func (a *agent) fullList() endpointList {
 	full := endpointList{Revision: a.revision, Full: true, Targets: []endpoint{}}
 	for i := range a.fleet.servers {
@@ -184,8 +191,9 @@
 	return full
 }
 
-// changesSince is what changed after a revision, newest entry of each server only; the whole list where that is not
-// known any more. The caller holds the lock.
+// changesSince is what changed after a revision, with the newest entry of each server; the complete list where the
+// history does not reach back that far. The map tells which servers the reader learns of, and whether as ready. The
+// caller holds the lock.
 func (a *agent) changesSince(revision int64) (endpointList, map[int]bool) {
 	notified := map[int]bool{}
 	if revision <= 0 || revision > a.revision || len(a.history) > 0 && revision < a.history[0].revision-1 {
@@ -212,6 +220,7 @@
 	return changes, notified
 }
 
+// serve answers a poll with the complete list, and a watch with what changes.
 func (a *agent) serve(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	if query.Get("watch") == "" {
@@ -232,6 +241,7 @@
 	a.watch(w, r, after)
 }
 
+// watch writes a line for each change after a revision, and an empty line where nothing changes for a while.
 func (a *agent) watch(w http.ResponseWriter, r *http.Request, after int64) {
 	controller := http.NewResponseController(w)
 	keepAlive := time.NewTicker(keepAliveInterval)
@@ -269,7 +279,7 @@
 	}
 }
 
-// notifyChecker records what the sidecar has been told.
+// notifyChecker reports to the checker of which servers the sidecar has been notified.
 func (a *agent) notifyChecker(notified map[int]bool) {
 	now := a.fleet.now()
 	for server, isReady := range notified {
@@ -277,7 +287,7 @@
 	}
 }
 
-// endpointOf is a server's, as one sidecar sees it.
+// endpointOf is a server's entry in the endpoint list of one sidecar.
 func (f *fleet) endpointOf(server *server, sidecar int, state string) endpoint {
 	bootMS := 0.0
 	if server.bootMS > 0 {
@@ -289,7 +299,7 @@
 	}
 }
 
-// publishState tells every agent of a server, each after its own time and in order.
+// publishState sends a server's state to every agent: each receives it after its own delay, in order.
 func (f *fleet) publishState(server *server, state string) {
 	if f.registryService != nil {
 		f.registryService.publishState(server, state)
@@ -308,14 +318,14 @@
 	}
 }
 
-// publishedState is what discovery has been told of a server.
+// publishedState is a server's state in discovery.
 func (f *fleet) publishedState(server *server) string {
 	f.publishedMu.Lock()
 	defer f.publishedMu.Unlock()
 	return f.publishedStates[server.number]
 }
 
-// isInformed tells whether a sidecar has been told of a server's present life.
+// isInformed reports whether a sidecar has been notified of a server's present incarnation.
 func (f *fleet) isInformed(sidecar, server int) bool {
 	agent, target := f.agents[sidecar], f.servers[server]
 	target.mu.Lock()
--- a/internal/lab/live/faults.go
+++ b/internal/lab/live/faults.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	restartPauseMS   = 100 // ms between the end of a server and its new start, as in package sim
-	faultAftermathMS = 500 // ms after a freeze or cut in which answers may still be late
+	restartPauseMS   = 100 // between the exit of a server and its next start, as in package sim
+	faultAftermathMS = 500 // after a freeze or partition, in which responses may still be late
 )
 
-// injectFaults begins and ends the faults at their times; it returns once none is under way.
+// injectFaults begins and ends the plan's faults, and starts and replaces servers, at their times. It returns once none
+// is in force.
 func (f *fleet) injectFaults(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -32,7 +33,7 @@
 				return
 			}
 			sleep(ctx, milliseconds(fault.EndMS-f.now()))
-			f.endFault(ctx, fault) // also when the run is cut short: what is stopped must go on to be ended
+			f.endFault(ctx, fault)
 		})
 	}
 	for _, server := range f.servers {
@@ -53,10 +54,10 @@
 	}
 }
 
-// logFaultFailure reports what the lab itself could not do.
+// logFaultFailure logs an action that the lab itself could not perform.
 func logFaultFailure(action string, err error) {
 	if err != nil {
-		slog.Error("the lab cannot play a fault", "fault", action, "error", err)
+		slog.Error("fault injection failed", "fault", action, "error", err)
 	}
 }
 
@@ -226,8 +227,8 @@
 	}
 }
 
-// setPartition makes the ports between two parties silent, or lets them speak again, and excuses sidecars that are cut
-// off from their own clients.
+// setPartition silences the ports between partitioned endpoints, or opens them again, and excuses the sidecars that are
+// partitioned from their own clients.
 func (f *fleet) setPartition(fault *lab.Fault, active bool) {
 	for number, process := range f.sidecars {
 		sidecar, client := lab.Endpoint{Kind: lab.SidecarEndpoint, Index: number}, lab.Endpoint{Kind: lab.ClientEndpoint, Index: number}
@@ -236,7 +237,7 @@
 		}
 		for _, target := range f.servers {
 			server := lab.Endpoint{Kind: lab.ServerEndpoint, Index: target.number}
-			// Of a connection that comes up, both ways are needed.
+			// A connection needs both directions to be established.
 			if fault.Affects(sidecar, server) || fault.Affects(server, sidecar) {
 				logFaultFailure(fault.Label, target.ports[number].setSilent(active))
 			}
@@ -244,13 +245,13 @@
 	}
 }
 
-// startServer starts a server anew, cold, and lists it.
+// startServer starts a server, in slow start, and publishes it as ready.
 func (f *fleet) startServer(server *server) {
 	server.mu.Lock()
 	overloaded := server.model.Overloaded()
 	server.mu.Unlock()
 	if overloaded {
-		return // it stays down
+		return // an overloaded server stays down for the rest of the run
 	}
 	if err := server.start(f.now(), true); err != nil {
 		logFaultFailure("start of a server", err)
@@ -259,16 +260,18 @@
 	f.publishState(server, stateReady)
 }
 
+// isUp reports whether the server's process runs.
 func (s *server) isUp() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.up
 }
 
-// removeAfterSilence has discovery find out, late, that a server is gone.
+// removeAfterSilence has the stand-in discovery remove a server that does not answer any more, after the time that it
+// takes to notice. With the registry the server's lease expires instead.
 func (f *fleet) removeAfterSilence(server *server) {
 	if f.registryService != nil {
-		return // its lease ends by itself
+		return // its lease expires
 	}
 	server.mu.Lock()
 	incarnation := server.incarnation
@@ -284,7 +287,7 @@
 	})
 }
 
-// drainServer drains a server and ends it; again has it start anew.
+// drainServer publishes a server as terminating and stops it after the drain time; with restart it starts it again.
 func (f *fleet) drainServer(ctx context.Context, server *server, restart bool) {
 	if !server.isUp() || f.publishedState(server) != stateReady {
 		return
@@ -301,7 +304,7 @@
 	}
 }
 
-// setFault begins or ends what makes a server answer badly.
+// setFault begins or ends a fault in the server's model.
 func (s *server) setFault(fault *lab.Fault, active bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/live/gossip_relay.go
+++ b/internal/lab/live/gossip_relay.go
@@ -11,16 +11,19 @@
 	"milldeck/internal/lab"
 )
 
-// maxInFlightDatagrams bounds the datagrams that the relay holds back; beyond it they are lost, as on any network.
+// maxInFlightDatagrams bounds the datagrams that the relay delays at a time. More are lost, as on any network.
 const maxInFlightDatagrams = 4096
 
-// gossipRelay carries datagrams between sidecars, under the faults of their links. Each sidecar has an address here:
-// what is sent to it goes to that sidecar, and comes to it from the sender's address.
+// maxDatagram is the length in bytes to which longer datagrams are cut.
+const maxDatagram = 2048
+
+// gossipRelay forwards gossip datagrams between sidecars, subject to the faults on their links. It has an address for each
+// sidecar: a datagram sent to that address goes to the sidecar, and reaches it from the sender's relay address.
 type gossipRelay struct {
 	fleet           *fleet
-	connections     []*net.UDPConn
+	connections     []*net.UDPConn // by sidecar
 	sidecarBySource map[netip.AddrPort]int
-	destinations    []netip.AddrPort
+	destinations    []netip.AddrPort // where each sidecar receives gossip
 	inFlight        atomic.Int64
 }
 
@@ -28,24 +31,24 @@
 	return &gossipRelay{fleet: fleet, sidecarBySource: map[netip.AddrPort]int{}}
 }
 
-// open binds the addresses.
-func (x *gossipRelay) open() error {
-	for i := range x.fleet.plan.Sidecars {
-		connection, err := listenUDP(x.fleet.addresses.gossipRelay(i))
+// open binds the addresses and starts to forward.
+func (r *gossipRelay) open() error {
+	for i := range r.fleet.plan.Sidecars {
+		connection, err := listenUDP(r.fleet.addresses.gossipRelay(i))
 		if err != nil {
-			x.close()
-			return fmt.Errorf("address of sidecar %d for the others: %w", i, err)
+			r.close()
+			return fmt.Errorf("gossip address of sidecar %d: %w", i, err)
 		}
-		x.connections = append(x.connections, connection)
-		destination, err := netip.ParseAddrPort(x.fleet.addresses.gossipListen(i))
+		r.connections = append(r.connections, connection)
+		destination, err := netip.ParseAddrPort(r.fleet.addresses.gossipListen(i))
 		if err != nil {
-			return fmt.Errorf("address of sidecar %d: %w", i, err)
+			return fmt.Errorf("gossip address of sidecar %d: %w", i, err)
 		}
-		x.destinations = append(x.destinations, destination)
-		x.sidecarBySource[destination] = i
+		r.destinations = append(r.destinations, destination)
+		r.sidecarBySource[destination] = i
 	}
-	for i := range x.connections {
-		go x.forward(i)
+	for i := range r.connections {
+		go r.forward(i)
 	}
 	return nil
 }
@@ -58,34 +61,47 @@
 	return net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addrPort))
 }
 
-// forward passes on what is sent to one sidecar until the relay is closed.
-func (x *gossipRelay) forward(destination int) {
-	buffer := make([]byte, 2048)
+// forward forwards the datagrams for one sidecar until the relay is closed.
+func (r *gossipRelay) forward(destination int) {
+	buffer := make([]byte, maxDatagram)
 	for {
-		length, source, err := x.connections[destination].ReadFromUDPAddrPort(buffer)
+		length, source, err := r.connections[destination].ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
-		sender, ok := x.sidecarBySource[source]
-		partitioned, extraDelay, loss, _ := x.fleet.network.state(lab.Endpoint{Kind: lab.SidecarEndpoint, Index: sender}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: destination})
-		if !ok || partitioned || rand.Float64() < loss || x.inFlight.Load() >= maxInFlightDatagrams {
+		sender, ok := r.sidecarBySource[source]
+		link := r.fleet.network.state(sidecarEndpoint(sender), sidecarEndpoint(destination))
+		if !ok || link.partitioned || rand.Float64() < link.loss || r.inFlight.Load() >= maxInFlightDatagrams {
 			continue
 		}
 		datagram := append([]byte(nil), buffer[:length]...)
-		x.inFlight.Add(1)
+		r.inFlight.Add(1)
 		delay := milliseconds(lab.MinPeerDelayMS + (lab.MaxPeerDelayMS-lab.MinPeerDelayMS)*rand.Float64())
-		time.AfterFunc(delay+extraDelay, func() {
-			x.inFlight.Add(-1)
-			// An error is a sidecar that is down: what is sent to it is lost.
-			if _, err := x.connections[sender].WriteToUDPAddrPort(datagram, x.destinations[destination]); err == nil {
-				x.fleet.recorder.AddCounts(func(counts *lab.Counts) { counts.GossipMessages++; counts.GossipBytes += len(datagram) })
-			}
+		time.AfterFunc(delay+link.extraDelay, func() {
+			r.inFlight.Add(-1)
+			r.deliver(sender, destination, datagram)
 		})
 	}
 }
 
-func (x *gossipRelay) close() {
-	for _, connection := range x.connections {
-		connection.Close()
+// deliver sends a datagram to its destination and counts it.
+func (r *gossipRelay) deliver(sender, destination int, datagram []byte) {
+	if _, err := r.connections[sender].WriteToUDPAddrPort(datagram, r.destinations[destination]); err != nil {
+		return // the sidecar is down: the datagram is lost
+	}
+	r.fleet.recorder.AddCounts(func(counts *lab.Counts) {
+		counts.GossipMessages++
+		counts.GossipBytes += len(datagram)
+	})
+}
+
+func sidecarEndpoint(number int) lab.Endpoint {
+	return lab.Endpoint{Kind: lab.SidecarEndpoint, Index: number}
+}
+
+// close closes all addresses.
+func (r *gossipRelay) close() {
+	for _, connection := range r.connections {
+		_ = connection.Close() // the run is over: nothing depends on it
 	}
 }
--- a/internal/lab/live/lab_client.go
+++ b/internal/lab/live/lab_client.go
@@ -14,61 +14,80 @@
 	"milldeck/internal/lab"
 )
 
-// What a server's program and the lab say to each other: calls of net/rpc on one connection for each life of a server.
-// Its end is the end of that life.
+// The messages between a server process and the lab: arguments and replies of net/rpc calls, on one connection for each
+// incarnation of the server, whose end is the end of the incarnation. encoding/gob identifies fields by their names, so
+// that the names are part of the protocol.
 type (
-	// HelloRequest begins a life.
+	// HelloRequest starts an incarnation.
 	HelloRequest struct {
 		Unit, Version string
 		PID           int
 	}
 	// HelloReply answers it.
-	HelloReply struct{ First bool } // the run has not begun yet
-	// BeginRequest tells of an attempt; Call is the server's number for it.
+	HelloReply struct{ First bool } // the run has not started yet
+	// BeginRequest reports an attempt. Call is the server's number for it; First and Last are the arrival times of its
+	// first and last byte.
 	BeginRequest struct {
 		Call, First, Last int64 // Unix ns
 		ID                uint64
 	}
-	// BeginReply says what the request is.
+	// BeginReply describes the request. Known is false where no client has sent it.
 	BeginReply struct {
 		Known bool
 		Job   lab.Job
 	}
-	// TransitRequest asks that something go its way over the network, and is answered when it has.
+	// TransitRequest sends a message over the modelled network: a response where Back is set, else a request, on a new
+	// connection where Fresh is set. The reply comes when the message has arrived.
 	TransitRequest struct {
 		Call        int64
 		Back, Fresh bool
 	}
-	// AttemptEndReport ends an attempt.
+	// AttemptEndReport reports how an attempt ended.
 	AttemptEndReport struct {
 		Call, At int64 // Unix ns
 		How      string
 	}
-	// ExecutionReport tells that a request's work is done.
+	// ExecutionReport reports the work of a completed request.
 	ExecutionReport struct {
 		Request uint64
 		At      int64 // Unix ns
 		Effect  bool
-		Work    float64 // ms on a standard core that it took
+		Work    float64 // ms on a standard core
 		Key     uint64  // 0: none
-		Met     bool    // its key was warm, or it has none
+		Met     bool    // the key was cached, or there is none
 	}
-	// EffectQuery asks whether its group has had it.
+	// EffectQuery asks whether an effect has been applied before.
 	EffectQuery struct {
 		Class  int
 		Effect uint64
 	}
-	// OverloadReport tells that the server was pushed over.
+	// OverloadReport reports that the server was overloaded during slow start.
 	OverloadReport struct {
 		At   int64 // Unix ns
 		Fall lab.SlowStartOverload
 	}
 )
 
-// labDialTimeout bounds how long a server tries to reach its lab: both are on one machine.
+// The service and its methods, which are those of serverSession.
+const (
+	labService        = "Lab"
+	methodHello       = labService + ".Hello"
+	methodReady       = labService + ".Ready"
+	methodTerminating = labService + ".Ends"
+	methodBegin       = labService + ".Begin"
+	methodTransit     = labService + ".Pass"
+	methodEnd         = labService + ".Over"
+	methodResponse    = labService + ".Made"
+	methodEffect      = labService + ".Seen"
+	methodExecution   = labService + ".Ran"
+	methodOverload    = labService + ".Fell"
+	methodCounts      = labService + ".Count"
+)
+
+// labDialTimeout bounds the connection to the lab, which is on the same machine.
 const labDialTimeout = 5 * time.Second
 
-// labClient is the observer of a server that a lab watches from its own process.
+// labClient is the observer of a server whose lab runs in another process: it reports by RPC.
 type labClient struct {
 	process   *serverProcess
 	rpcClient *rpc.Client
@@ -76,36 +95,37 @@
 	readyOnce sync.Once
 }
 
-// dialLab reaches the lab; first tells that the run has not begun.
+// dialLab connects to the lab. The second result tells whether the run has not started yet.
 func dialLab(process *serverProcess) (*labClient, bool, error) {
 	connection, err := net.DialTimeout("tcp4", process.config.LabAddress, labDialTimeout)
 	if err != nil {
-		return nil, false, fmt.Errorf("the lab: %w", err)
+		return nil, false, fmt.Errorf("connect to the lab: %w", err)
 	}
 	lab := &labClient{process: process, rpcClient: rpc.NewClient(connection)}
 	var welcome HelloReply
-	if err := lab.rpcClient.Call("Lab.Hello", HelloRequest{process.unit.Name, process.unit.Version, os.Getpid()}, &welcome); err != nil {
-		lab.rpcClient.Close()
-		return nil, false, fmt.Errorf("the lab: %w", err)
+	hello := HelloRequest{Unit: process.unit.Name, Version: process.unit.Version, PID: os.Getpid()}
+	if err := lab.rpcClient.Call(methodHello, hello, &welcome); err != nil {
+		_ = lab.rpcClient.Close() // the failed call is the error that counts
+		return nil, false, fmt.Errorf("connect to the lab: %w", err)
 	}
 	return lab, welcome.First, nil
 }
 
-// call calls the lab and waits. A lab that is gone answers nothing: whoever waits then goes without.
+// call calls the lab and waits for the reply. False: the lab does not answer, and reply is not set.
 func (r *labClient) call(method string, arguments, reply any) bool {
-	if err := r.rpcClient.Call("Lab."+method, arguments, reply); err != nil {
-		slog.Debug("the lab does not answer", "method", method, "error", err)
+	if err := r.rpcClient.Call(method, arguments, reply); err != nil {
+		slog.Debug("call to the lab failed", "method", method, "error", err)
 		return false
 	}
 	return true
 }
 
-// notify calls the lab and does not wait.
+// notify calls the lab without waiting. A lost report has no consequence: its lab is gone.
 func (r *labClient) notify(method string, arguments any) {
-	r.rpcClient.Go("Lab."+method, arguments, new(int), make(chan *rpc.Call, 1))
+	r.rpcClient.Go(method, arguments, new(int), make(chan *rpc.Call, 1))
 }
 
-// remoteAttempt is an attempt of which the lab knows.
+// remoteAttempt is an attempt that the lab follows.
 type remoteAttempt struct {
 	lab        *labClient
 	number     int64
@@ -115,7 +135,10 @@
 func (r *labClient) beginAttempt(requestID uint64, received receivedRequest) (serverAttempt, bool) {
 	attempt := &remoteAttempt{lab: r, number: r.lastCall.Add(1)}
 	var begun BeginReply
-	known := r.call("Begin", BeginRequest{attempt.number, received.firstByteAt.UnixNano(), received.lastByteAt.UnixNano(), requestID}, &begun) && begun.Known
+	begin := BeginRequest{
+		Call: attempt.number, ID: requestID, First: received.firstByteAt.UnixNano(), Last: received.lastByteAt.UnixNano(),
+	}
+	known := r.call(methodBegin, begin, &begun) && begun.Known
 	attempt.requestJob = begun.Job
 	return attempt, known
 }
@@ -130,9 +153,10 @@
 	return c.transit(ctx, TransitRequest{Call: c.number, Back: true})
 }
 
+// transit waits until a message has crossed the modelled network. False: it is lost, or ctx has ended.
 func (c *remoteAttempt) transit(ctx context.Context, request TransitRequest) bool {
 	var ok bool
-	call := c.lab.rpcClient.Go("Lab.Pass", request, &ok, make(chan *rpc.Call, 1))
+	call := c.lab.rpcClient.Go(methodTransit, request, &ok, make(chan *rpc.Call, 1))
 	select {
 	case <-ctx.Done():
 		return false
@@ -142,33 +166,38 @@
 }
 
 func (c *remoteAttempt) ended(result string) {
-	c.lab.notify("Over", AttemptEndReport{c.number, time.Now().UnixNano(), result})
+	c.lab.notify(methodEnd, AttemptEndReport{Call: c.number, At: time.Now().UnixNano(), How: result})
 }
 
-func (c *remoteAttempt) responseProduced() { c.lab.call("Made", c.number, new(int)) }
+func (c *remoteAttempt) responseProduced() { c.lab.call(methodResponse, c.number, new(int)) }
 
 func (r *labClient) addCounts(apply func(*lab.Counts)) {
 	var counts lab.Counts
 	apply(&counts)
-	r.notify("Count", counts)
+	r.notify(methodCounts, counts)
 }
 
-func (r *labClient) reportReady() { r.readyOnce.Do(func() { r.notify("Ready", 0) }) }
+func (r *labClient) reportReady() { r.readyOnce.Do(func() { r.notify(methodReady, 0) }) }
 
-func (r *labClient) reportTerminating() { r.call("Ends", 0, new(int)) }
+func (r *labClient) reportTerminating() { r.call(methodTerminating, 0, new(int)) }
 
 func (r *labClient) jobCompleted(at time.Time, completion lab.JobCompletion) {
-	r.notify("Ran", ExecutionReport{completion.Request, at.UnixNano(), completion.EffectApplied, completion.ActualWorkMS, completion.Key, completion.CacheHit})
+	r.notify(methodExecution, ExecutionReport{
+		Request: completion.Request, At: at.UnixNano(), Effect: completion.EffectApplied,
+		Work: completion.ActualWorkMS, Key: completion.Key, Met: completion.CacheHit,
+	})
 }
 
 func (r *labClient) overloaded(at time.Time, overload *lab.SlowStartOverload) {
-	r.call("Fell", OverloadReport{at.UnixNano(), *overload}, new(int))
+	r.call(methodOverload, OverloadReport{At: at.UnixNano(), Fall: *overload}, new(int))
 }
 
-// CheckAndRecord asks for the effects of the server's group, which the lab keeps for all of them.
+// CheckAndRecord asks the lab, which holds the effects of all servers of a deduplication scope.
 func (r *labClient) CheckAndRecord(_ float64, _ *lab.ServerPlan, _ *lab.ClassPlan, number int, effect uint64) bool {
 	var seen bool
-	return r.call("Seen", EffectQuery{number, effect}, &seen) && seen
+	return r.call(methodEffect, EffectQuery{Class: number, Effect: effect}, &seen) && seen
 }
 
-func (r *labClient) close() { r.rpcClient.Close() }
+func (r *labClient) close() {
+	_ = r.rpcClient.Close() // fails where the connection is closed already
+}
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -1,6 +1,11 @@
-// Package live plays a lab plan with real sidecar processes on loopback addresses of their own: real sockets
-// and real time. Servers, discovery and clients are stand-ins that speak PROTOCOL, in this process; the server
-// model is that of package lab.
+// Package live runs an experiment of the lab with real sidecar processes, in real time and over real sockets on the
+// loopback interface. It owns the processes, the addresses, the modelled network and the injection of faults. Clients,
+// servers and discovery are stand-ins in this process that speak the platform's protocol; where the experiment has a
+// control plane, servers are processes too (ServeServer), and the registry, the supervisor and the controllers are the
+// project's own programs.
+//
+// The package does not decide what is right: it reports what it observes to the checkers of package lab, which also has
+// the model of a server. Package sim runs the same plans in simulated time.
 package live
 
 import (
@@ -17,39 +22,42 @@
 )
 
 const (
-	// timeoutToleranceMS is what PROTOCOL adds to each time limit on sockets.
+	// timeoutToleranceMS is the tolerance that the platform's protocol adds to each time limit on sockets.
 	timeoutToleranceMS   = 50
 	readyTimeout         = 15 * time.Second
 	readyPollInterval    = 10 * time.Millisecond
-	stopTimeout          = 5 * time.Second // after SIGTERM: PROTOCOL's 3.7 s, and some for a busy machine
+	stopTimeout          = 5 * time.Second // after SIGTERM: the protocol's 3.7 s, and a margin for a busy machine
 	sentRequestRetention = 35 * time.Second
-	// schedulingCheckInterval is how often the lab looks whether its own machine is late, and maxSchedulingDelay from when on it is.
+	// schedulingCheckInterval is how often the lab checks whether its own machine schedules it late. A delay beyond
+	// maxSchedulingDelay excuses all sidecars for its time.
 	schedulingCheckInterval = 5 * time.Millisecond
 	maxSchedulingDelay      = 20 * time.Millisecond
-	// descriptors each process needs beside its connections.
+	// reservedDescriptors is the number of descriptors that this process needs beside its connections.
 	reservedDescriptors = 512
 )
 
-// Options say how a plan is played.
+// Options configure a run.
 type Options struct {
-	SidecarPath  string // the program; it is started once for each sidecar
-	MilldeckPath string // the operators' program, for the list service and its agents
-	Dir          string // for configurations and logs
-	Progress     func(Progress)
+	SidecarPath  string         // of the sidecar program
+	MilldeckPath string         // of the milldeck program: registry, agents, supervisor, servers
+	Dir          string         // folder of configurations and logs
+	Progress     func(Progress) // called every second of the run; nil: not at all
 }
 
-// Progress is how far a run has come.
+// Progress is the state of a run.
 type Progress struct {
-	LoadShare    float64 // of the load, 0 to 1
-	AtSeconds    float64
-	Requests     int
-	ServedShare  float64 // share of the worth so far
-	ActiveFaults []string
+	LoadShare    float64  // part of the load that is over, 0 to 1
+	AtSeconds    float64  // since the start of the load
+	Requests     int      // so far
+	ServedShare  float64  // served part of the priority weight so far, 0 to 1
+	ActiveFaults []string // labels of the faults in force
 }
 
-// Run plays a plan. When ctx ends early, children are ended and the result so far is returned, marked as cut.
+// Run runs a plan and returns its result. When ctx ends early, the processes are stopped and the result so far is returned,
+// marked as cut short. The error is what the lab itself could not do: start a process, hold enough descriptors or perform
+// a step. Broken rules are part of the result.
 func Run(ctx context.Context, plan *lab.Plan, options Options) (*lab.Result, error) {
-	fleet, err := newFleet(ctx, plan, options)
+	fleet, err := newFleet(plan, options)
 	if err != nil {
 		return nil, err
 	}
@@ -62,7 +70,7 @@
 	return result, fleet.controlPlane.firstFailure()
 }
 
-// fleet is all that takes part in a run.
+// fleet holds all parts of a run.
 type fleet struct {
 	plan      *lab.Plan
 	options   Options
@@ -75,30 +83,30 @@
 	ctx         context.Context // ends with the run
 	cancel      context.CancelFunc
 	createdAt   time.Time
-	startOffset atomic.Int64 // ns from made to the run's time 0, when all sidecars are ready
+	startOffset atomic.Int64 // ns from createdAt to the run's time 0, when all sidecars are ready
 
-	registryService *registryService // nil: discovery is the lab's stand-in
-	controlPlane    *controlPlane    // nil: there is no control plane
+	registryService *registryService // nil: discovery is the stand-in of this process
+	controlPlane    *controlPlane    // nil: the experiment has none
 	servers         []*server
 	agents          []*agent
 	sidecars        []*sidecarProcess
 	openClients     sync.WaitGroup
-	sidecarRestarts sync.WaitGroup // of sidecars
+	sidecarRestarts sync.WaitGroup
 	openRequests    atomic.Int64
 	lastRequestID   atomic.Uint64
 	lastAttempt     atomic.Int64
-	sentRequests    sync.Map // request id -> *asked
+	sentRequests    sync.Map // request id to *sentRequest
 
-	gossip *gossipRelay // nil: sidecars may not tell each other anything
+	gossip *gossipRelay // nil: sidecars may not exchange gossip
 
-	publishedMu      sync.Mutex
+	publishedMu      sync.Mutex // guards what follows, but for discoveryDown
 	revision         int64
-	publishedStates  map[int]string
-	discoveryDelayMS float64 // ms
+	publishedStates  map[int]string // by server
+	discoveryDelayMS float64        // added by faults in force
 	discoveryDown    atomic.Bool
 }
 
-func newFleet(ctx context.Context, plan *lab.Plan, options Options) (*fleet, error) {
+func newFleet(plan *lab.Plan, options Options) (*fleet, error) {
 	if err := checkDescriptorLimit(plan); err != nil {
 		return nil, err
 	}
@@ -131,50 +139,52 @@
 	return fleet, nil
 }
 
-// checkDescriptorLimit refuses a plan whose sockets this process may not hold.
+// checkDescriptorLimit rejects a plan that needs more sockets than this process may hold.
 func checkDescriptorLimit(plan *lab.Plan) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("descriptors: %w", err)
 	}
 	listeners := len(plan.Servers)*len(plan.Sidecars) + 3*len(plan.Sidecars)
-	// Beside its listener each pair of a sidecar and a server holds a few connections.
+	// Each pair of a sidecar and a server holds a few connections beside its listener.
 	if needed := uint64(3*listeners + reservedDescriptors); needed > limit.Cur {
-		return fmt.Errorf("%d sidecars and %d servers need about %d descriptors, the limit is %d: play it with lab sim",
+		return fmt.Errorf("%d sidecars and %d servers need about %d descriptors, the limit is %d: use lab sim",
 			len(plan.Sidecars), len(plan.Servers), needed, limit.Cur)
 	}
 	return nil
 }
 
-// millisecondsAt is a time in the run's own ms.
+// millisecondsAt converts a time to the run's time in ms.
 func (f *fleet) millisecondsAt(t time.Time) float64 {
 	return float64(t.Sub(f.createdAt)-time.Duration(f.startOffset.Load())) / 1e6
 }
 
+// now is the run's time in ms.
 func (f *fleet) now() float64 { return f.millisecondsAt(time.Now()) }
 
+// timeAt converts the run's time in ms to a time.
 func (f *fleet) timeAt(ms float64) time.Time {
 	return f.createdAt.Add(time.Duration(f.startOffset.Load()) + milliseconds(ms))
 }
 
-// unixMS is a time of the run in Unix ms, as boot_ms has it.
+// unixMS converts the run's time in ms to Unix time in ms, the unit of boot_ms.
 func (f *fleet) unixMS(ms float64) float64 {
 	return math.Round(float64(f.timeAt(ms).UnixMicro()) / 1000)
 }
 
 func (f *fleet) nextRequestID() uint64 { return f.lastRequestID.Add(1) }
 
-// isRetry tells whether a request had an attempt before this one.
+// isRetry counts an attempt at a request and reports whether there was one before it.
 func (f *fleet) isRetry(id uint64) bool {
 	value, ok := f.sentRequests.Load(id)
 	return ok && value.(*sentRequest).attempts.Add(1) > 1
 }
 
-// start brings up servers, discovery and sidecars; the run's time begins once all are ready.
+// start starts servers, discovery and sidecars and waits until all are ready.
 func (f *fleet) start(ctx context.Context) error {
 	for _, server := range f.servers {
 		if server.plan.StartMS > 0 || f.controlPlane != nil {
-			continue // a platform starts it
+			continue // started later, or by the supervisor
 		}
 		if err := server.start(0, false); err != nil {
 			return err
@@ -218,7 +228,7 @@
 	return nil
 }
 
-// play runs load and faults to the end.
+// play runs the load and the faults to their end, stops the sidecars and returns the result.
 func (f *fleet) play(ctx context.Context) *lab.Result {
 	loadContext, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
@@ -250,7 +260,7 @@
 	return result
 }
 
-// awaitOpenRequests waits for what is open after the last request.
+// awaitOpenRequests waits for the requests in flight after the last one was sent.
 func (f *fleet) awaitOpenRequests(ctx context.Context) {
 	longest := 0.0
 	for i := range f.plan.Classes {
@@ -262,7 +272,7 @@
 	}
 }
 
-// watchScheduling watches for the lab's own machine being late, of which no sidecar is to blame.
+// watchScheduling detects that the lab's own machine is overloaded, and excuses all sidecars for that time.
 func (f *fleet) watchScheduling(ctx context.Context) {
 	for {
 		due := time.Now().Add(schedulingCheckInterval)
@@ -275,7 +285,7 @@
 	}
 }
 
-// reportProgress tells of the progress every second.
+// reportProgress calls Options.Progress every second.
 func (f *fleet) reportProgress(ctx context.Context) {
 	if f.options.Progress == nil {
 		return
@@ -293,7 +303,7 @@
 	}
 }
 
-// stopSidecars ends the sidecars in good order.
+// stopSidecars ends all sidecars gracefully.
 func (f *fleet) stopSidecars() {
 	if f.controlPlane != nil {
 		f.controlPlane.stop()
@@ -313,7 +323,7 @@
 	group.Wait()
 }
 
-// close ends whatever is left.
+// close kills the processes that are left and closes all listeners.
 func (f *fleet) close() {
 	f.cancel()
 	if f.controlPlane != nil {
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -153,7 +153,9 @@
 		}
 		var pid, parent int
 		var name, state string
-		fmt.Sscan(string(data), &pid, &name, &state, &parent)
+		if _, err := fmt.Sscan(string(data), &pid, &name, &state, &parent); err != nil {
+			continue // a name with a space: not a sidecar's
+		}
 		if parent == syscall.Getpid() && name == "(sidecar)" && state != "Z" {
 			t.Errorf("process %d is left", pid)
 		}
--- a/internal/lab/live/placement_watch.go
+++ b/internal/lab/live/placement_watch.go
@@ -10,12 +10,12 @@
 	"milldeck/internal/placement"
 )
 
-// watchPlacement follows what an agent tells its sidecar beyond the list.
+// watchPlacement follows the placement that an agent serves to its sidecar.
 func (c *controlPlane) watchPlacement(agent *agent) {
 	startedAt := time.Now()
 	cache := placement.NewCache()
 	for c.ctx.Err() == nil {
-		err := c.fleet.registryService.client.WatchPlacement(c.ctx, agent.address(), cache.Revision(), cache.Epoch(), func(update *placement.Update, _ time.Duration) error {
+		apply := func(update *placement.Update, _ time.Duration) error {
 			if update == nil || c.finished.Load() {
 				return nil
 			}
@@ -25,14 +25,16 @@
 			}
 			c.applyPlacement(agent.sidecar, cache, now, now.Sub(startedAt).Milliseconds())
 			return nil
-		})
+		}
+		client := c.fleet.registryService.client
+		err := client.WatchPlacement(c.ctx, agent.address(), cache.Revision(), cache.Epoch(), apply)
 		if err != nil {
 			sleep(c.ctx, readinessPollInterval)
 		}
 	}
 }
 
-// applyPlacement tells the judge which servers a sidecar is told to keep off, and where keys have copies.
+// applyPlacement reports to the checker which servers a sidecar has to exclude, and where keys have copies.
 func (c *controlPlane) applyPlacement(sidecar int, cache *placement.Cache, wallTime time.Time, monotonicMS int64) {
 	var exclusions []lab.Exclusion
 	var copies []lab.KeyCopy
@@ -40,12 +42,13 @@
 		switch directive.Kind {
 		case placement.KindExclude:
 			for _, server := range directive.Servers {
-				exclusions = append(exclusions, lab.Exclusion{Tenant: directive.Tenant, Server: server, Until: c.now() + float64(directive.RemainingMS)})
+				until := c.now() + float64(directive.RemainingMS)
+				exclusions = append(exclusions, lab.Exclusion{Tenant: directive.Tenant, Server: server, Until: until})
 			}
 		case placement.KindSpreadKey:
 			key, err := strconv.ParseUint(directive.KeyHash, 16, 64)
 			if err != nil {
-				continue // the reader takes none such
+				continue // Cache.Apply rejects such a directive
 			}
 			for _, server := range directive.Copies {
 				copies = append(copies, lab.KeyCopy{Key: key, Server: server.ServerUID})
@@ -56,7 +59,7 @@
 	c.checker.CopiesPublished(sidecar, copies)
 }
 
-// hashKey is a key of the lab's as sidecars hash it and the placement names it.
+// hashKey is the hash of a key of the lab, by which sidecars and the placement identify it.
 func hashKey(key uint64) uint64 {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%016x", key)
--- a/internal/lab/live/process_watch.go
+++ b/internal/lab/live/process_watch.go
@@ -1,12 +1,8 @@
 package live
 
 import (
-	"fmt"
 	"net/http"
-	"os"
-	"path/filepath"
 	"strconv"
-	"strings"
 	"syscall"
 	"time"
 
@@ -14,20 +10,21 @@
 )
 
 const (
-	processPollInterval   = 20 * time.Millisecond // nothing announces that another process has started one
-	readinessPollInterval = 50 * time.Millisecond // a sidecar that drains says so for ten times as long
+	processPollInterval   = 20 * time.Millisecond // of the supervisor's children
+	readinessPollInterval = 50 * time.Millisecond // a draining sidecar reports that for ten times as long
 	unitEnv               = "LAB_UNIT"
 	versionEnv            = "LAB_VERSION"
 )
 
-// unitProcess is a process of a unit.
+// unitProcess is a process of a unit of the supervisor: a server or a sidecar.
 type unitProcess struct{ unit, version string }
 
+// incarnationID identifies an incarnation of a unit for the checker.
 func incarnationID(pid int) string { return strconv.Itoa(pid) }
 
-// processStarted notes a process of a unit, once.
+// processStarted reports a process of a unit to the checker, once.
 func (c *controlPlane) processStarted(unit string, pid int, version string) {
-	c.reapExited(unit) // the one before it may have ended since the last look
+	c.reapExited(unit) // the one before it may have exited since the last poll
 	c.mu.Lock()
 	_, known := c.processes[pid]
 	c.processes[pid] = &unitProcess{unit, version}
@@ -41,7 +38,7 @@
 	}
 }
 
-// processExited notes its end, once.
+// processExited reports the exit of a process to the checker, once.
 func (c *controlPlane) processExited(pid int) {
 	c.mu.Lock()
 	process := c.processes[pid]
@@ -52,7 +49,7 @@
 	}
 }
 
-// watchProcesses looks which processes the platform has: it sees what runs, whatever the platform knows or says.
+// watchProcesses polls the supervisor's child processes: it sees what runs, whatever the supervisor knows or reports.
 func (c *controlPlane) watchProcesses() {
 	for sleep(c.ctx, processPollInterval) && !c.finished.Load() {
 		c.mu.Lock()
@@ -61,7 +58,7 @@
 		for _, pid := range childProcesses(supervisor.PID()) {
 			unit, version := unitOfProcess(pid)
 			if unit == "" {
-				continue // between its fork and its program, or ended meanwhile
+				continue // between fork and exec, or exited meanwhile
 			}
 			c.processStarted(unit, pid, version)
 		}
@@ -69,7 +66,7 @@
 	}
 }
 
-// reapExited notes which processes of a unit have ended, of all where it is "".
+// reapExited reports the processes of a unit that have exited; of all units where it is "".
 func (c *controlPlane) reapExited(unit string) {
 	c.mu.Lock()
 	var exited []int
@@ -84,51 +81,6 @@
 	}
 }
 
-// childProcesses are the processes that one has started and that have not been waited for.
-func childProcesses(pid int) []int {
-	var running []int
-	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", pid)) // the pattern is well-formed
-	for _, path := range paths {
-		data, err := os.ReadFile(path)
-		if err != nil {
-			continue // the thread has ended
-		}
-		for _, text := range strings.Fields(string(data)) {
-			if child, err := strconv.Atoi(text); err == nil && isProcessRunning(child) {
-				running = append(running, child)
-			}
-		}
-	}
-	return running
-}
-
-// isProcessRunning tells whether a process runs; one that has ended and was not waited for does not.
-func isProcessRunning(pid int) bool {
-	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-	if err != nil {
-		return false
-	}
-	_, fields, ok := strings.Cut(string(data), ") ")
-	return ok && fields != "" && fields[0] != 'Z' && fields[0] != 'X'
-}
-
-// unitOfProcess is which unit a process is, on which version.
-func unitOfProcess(pid int) (unit, version string) {
-	content, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
-	if err != nil {
-		return "", ""
-	}
-	for entry := range strings.SplitSeq(string(content), "\x00") {
-		switch key, value, _ := strings.Cut(entry, "="); key {
-		case unitEnv:
-			unit = value
-		case versionEnv:
-			version = value
-		}
-	}
-	return unit, version
-}
-
 // signalUnit sends a signal to all processes of a unit.
 func (c *controlPlane) signalUnit(unit string, signal syscall.Signal) {
 	c.mu.Lock()
@@ -140,13 +92,13 @@
 	}
 	c.mu.Unlock()
 	for _, pid := range pids {
-		if current, _ := unitOfProcess(pid); current == unit { // the number is not another's by now
-			syscall.Kill(pid, signal) // an error is one that has ended
+		if current, _ := unitOfProcess(pid); current == unit { // the pid has not been reused
+			_ = syscall.Kill(pid, signal) // fails for a process that has exited: it needs no signal
 		}
 	}
 }
 
-// newestProcess is the process of a unit that runs, 0 if none does.
+// newestProcess is the pid of a unit's running process, 0 if there is none.
 func (c *controlPlane) newestProcess(unit string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,9 +111,10 @@
 	return pid
 }
 
+// healthClient opens a connection for each check: a kept-alive one would hide a restart.
 var healthClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// readinessStatus asks a process whether it is ready; 0: it does not answer.
+// readinessStatus is the HTTP status of a process's readiness check; 0: it does not answer.
 func readinessStatus(address string) int {
 	response, err := healthClient.Get("http://" + address + readyPath)
 	if err != nil {
@@ -171,9 +124,11 @@
 	return response.StatusCode
 }
 
+// isReady reports whether the readiness check at an address succeeds.
 func (c *controlPlane) isReady(address string) bool { return readinessStatus(address) == http.StatusOK }
 
-// watchSidecars asks each sidecar whether it is ready. One that was and says that it is not any more was told to end.
+// watchSidecars polls each sidecar's readiness. One that was ready and reports that it is not any more has been asked to
+// terminate.
 func (c *controlPlane) watchSidecars() {
 	for _, sidecar := range c.fleet.sidecars {
 		unit := c.fleet.plan.Sidecars[sidecar.number].Name
@@ -196,25 +151,26 @@
 	}
 }
 
-// watchEndpoints follows the list as the replicas tell it.
+// watchEndpoints follows the endpoint list of the replicas.
 func (c *controlPlane) watchEndpoints() {
 	registryService := c.fleet.registryService
 	for attempt := 0; c.ctx.Err() == nil; attempt++ {
 		states := map[string]string{}
-		err := registryService.client.WatchEndpoints(c.ctx, registryService.cluster.Replicas[attempt%len(registryService.cluster.Replicas)].HTTPAddr, 0, 0, func(list *registry.EndpointList, _ time.Duration) error {
-			if list == nil || c.finished.Load() {
-				return nil
+		replicas := registryService.cluster.Replicas
+		replica := replicas[attempt%len(replicas)].HTTPAddr
+		apply := func(list *registry.EndpointList, _ time.Duration) error {
+			if list != nil && !c.finished.Load() {
+				c.applyEndpointList(states, list)
 			}
-			c.applyEndpointList(states, list)
 			return nil
-		})
-		if err != nil {
+		}
+		if err := registryService.client.WatchEndpoints(c.ctx, replica, 0, 0, apply); err != nil {
 			sleep(c.ctx, readyPollInterval)
 		}
 	}
 }
 
-// applyEndpointList tells the judge what a line of a watch changes.
+// applyEndpointList reports the changes of a watch event to the checker.
 func (c *controlPlane) applyEndpointList(states map[string]string, list *registry.EndpointList) {
 	now := c.now()
 	next := map[string]string{}
--- a/internal/lab/live/server_lifecycle.go
+++ b/internal/lab/live/server_lifecycle.go
@@ -8,34 +8,73 @@
 	"time"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/lab"
 	"milldeck/internal/registry"
 )
 
-// serverConfig is the configuration of a server's process.
+const (
+	// ledgerOwner is the owner of the lab's own operations on the ledger.
+	ledgerOwner = "operator/lab"
+	// warmUpPollInterval is how often the lab looks for servers that have warmed up.
+	warmUpPollInterval = time.Second
+)
+
+// serverConfig is the configuration of a server's process, a ServerConfig in TOML.
 func (c *controlPlane) serverConfig(server *server) string {
-	experiment := c.fleet.plan.Experiment
-	spec, plan := server.plan.Spec, server.plan
+	experiment, plan := c.fleet.plan.Experiment, server.plan
 	var text strings.Builder
-	fmt.Fprintf(&text, "lab = %q\nnumber = %d\nzone = %d\npod = %d\nspeed = %v\ncold_ms = %v\nwarm = true\nseed = %d\nprobes = %v\n",
-		c.labServiceAddress(), server.number, plan.Zone, plan.Cell, tomlFloat(plan.Speed), tomlFloat(plan.SlowStartMS), c.fleet.plan.Seed>>1, experiment.Limits.AllowHealthChecks)
-	fmt.Fprintf(&text, "[rules]\nfall_multiple = %v\nfall_ms = %v\n", tomlFloat(experiment.Rules.OverloadMultiple), tomlFloat(experiment.Rules.OverloadWindowMS))
-	fmt.Fprintf(&text, "[kind]\nkind = %q\ncores = %d\nqueue = %d\npod_size = %d\ncold_from = %v\n", spec.Kind, spec.Cores, spec.QueueLength, spec.CellSize, tomlFloat(spec.SlowStartFrom))
-	fmt.Fprintf(&text, "choke_at = %v\nchoke_for_ms = %v\nchoke_slower = %v\nchoke_idle_ms = %v\nchoke_most_ms = %v\n",
-		tomlFloat(spec.CongestionQueuePerCore), tomlFloat(spec.CongestionAfterMS), tomlFloat(spec.CongestionSlowdown), tomlFloat(spec.CongestionIdleMS), tomlFloat(spec.CongestionMaxMS))
-	fmt.Fprintf(&text, "warm_gain = %v\nwarm_ms = %v\nwarm_keys = %d\nconnections = %d\nidle_close_ms = %v\nhandshake_ms = %v\nerror_rate = %v\n",
-		tomlFloat(spec.CacheGain), tomlFloat(spec.CacheTTLMS), spec.CacheKeys, spec.MaxConnections, tomlFloat(spec.IdleCloseMS), tomlFloat(spec.HandshakeMS), tomlFloat(spec.ErrorRate))
+	fmt.Fprintf(&text, "lab = %q\n", c.labServiceAddress())
+	fmt.Fprintf(&text, "number = %d\nzone = %d\npod = %d\n", server.number, plan.Zone, plan.Cell)
+	fmt.Fprintf(&text, "speed = %v\ncold_ms = %v\nwarm = true\n", tomlFloat(plan.Speed), tomlFloat(plan.SlowStartMS))
+	fmt.Fprintf(&text, "seed = %d\n", c.fleet.plan.Seed>>1) // a TOML integer has 63 bits and a sign
+	fmt.Fprintf(&text, "probes = %v\n", experiment.Limits.AllowHealthChecks)
+	text.WriteString("[rules]\n")
+	fmt.Fprintf(&text, "fall_multiple = %v\n", tomlFloat(experiment.Rules.OverloadMultiple))
+	fmt.Fprintf(&text, "fall_ms = %v\n", tomlFloat(experiment.Rules.OverloadWindowMS))
+	writeServerSpec(&text, plan.Spec)
 	for i := range experiment.Classes {
-		spec := &experiment.Classes[i]
-		fmt.Fprintf(&text, "[[class]]\nname = %q\nshare = %v\nwork_ms = [%v, %v]\naim_ms = %v\ndeadline_ms = %v\nworth = %v\neffect = %q\n",
-			spec.Name, tomlFloat(spec.Share), tomlFloat(spec.WorkMS.Min), tomlFloat(spec.WorkMS.Max), tomlFloat(spec.LatencyObjectiveMS), tomlFloat(spec.DeadlineMS), tomlFloat(spec.PriorityWeight), spec.Idempotency)
-		if spec.DeduplicationScope != "" {
-			fmt.Fprintf(&text, "group = %q\nwindow_ms = %v\n", spec.DeduplicationScope, tomlFloat(spec.IdempotencyWindowMS))
-		}
+		writeClassSpec(&text, &experiment.Classes[i])
 	}
 	return text.String()
 }
 
-// tomlFloat is a figure as TOML has it: with a point.
+// writeServerSpec writes the [kind] table of a server's configuration.
+func writeServerSpec(text *strings.Builder, spec *lab.ServerSpec) {
+	text.WriteString("[kind]\n")
+	fmt.Fprintf(text, "kind = %q\ncores = %d\nqueue = %d\n", spec.Kind, spec.Cores, spec.QueueLength)
+	fmt.Fprintf(text, "pod_size = %d\n", spec.CellSize)
+	fmt.Fprintf(text, "cold_from = %v\n", tomlFloat(spec.SlowStartFrom))
+	fmt.Fprintf(text, "choke_at = %v\n", tomlFloat(spec.CongestionQueuePerCore))
+	fmt.Fprintf(text, "choke_for_ms = %v\n", tomlFloat(spec.CongestionAfterMS))
+	fmt.Fprintf(text, "choke_slower = %v\n", tomlFloat(spec.CongestionSlowdown))
+	fmt.Fprintf(text, "choke_idle_ms = %v\n", tomlFloat(spec.CongestionIdleMS))
+	fmt.Fprintf(text, "choke_most_ms = %v\n", tomlFloat(spec.CongestionMaxMS))
+	fmt.Fprintf(text, "warm_gain = %v\n", tomlFloat(spec.CacheGain))
+	fmt.Fprintf(text, "warm_ms = %v\n", tomlFloat(spec.CacheTTLMS))
+	fmt.Fprintf(text, "warm_keys = %d\n", spec.CacheKeys)
+	fmt.Fprintf(text, "connections = %d\n", spec.MaxConnections)
+	fmt.Fprintf(text, "idle_close_ms = %v\n", tomlFloat(spec.IdleCloseMS))
+	fmt.Fprintf(text, "handshake_ms = %v\n", tomlFloat(spec.HandshakeMS))
+	fmt.Fprintf(text, "error_rate = %v\n", tomlFloat(spec.ErrorRate))
+}
+
+// writeClassSpec writes a [[class]] table of a server's configuration.
+func writeClassSpec(text *strings.Builder, spec *lab.ClassSpec) {
+	text.WriteString("[[class]]\n")
+	fmt.Fprintf(text, "name = %q\n", spec.Name)
+	fmt.Fprintf(text, "share = %v\n", tomlFloat(spec.Share))
+	fmt.Fprintf(text, "work_ms = [%v, %v]\n", tomlFloat(spec.WorkMS.Min), tomlFloat(spec.WorkMS.Max))
+	fmt.Fprintf(text, "aim_ms = %v\n", tomlFloat(spec.LatencyObjectiveMS))
+	fmt.Fprintf(text, "deadline_ms = %v\n", tomlFloat(spec.DeadlineMS))
+	fmt.Fprintf(text, "worth = %v\n", tomlFloat(spec.PriorityWeight))
+	fmt.Fprintf(text, "effect = %q\n", spec.Idempotency)
+	if spec.DeduplicationScope != "" {
+		fmt.Fprintf(text, "group = %q\n", spec.DeduplicationScope)
+		fmt.Fprintf(text, "window_ms = %v\n", tomlFloat(spec.IdempotencyWindowMS))
+	}
+}
+
+// tomlFloat formats a float for TOML, which requires a point or an exponent.
 func tomlFloat(value float64) string {
 	text := fmt.Sprintf("%g", value)
 	if !strings.ContainsAny(text, ".e") {
@@ -44,7 +83,7 @@
 	return text
 }
 
-// registerServer has a server in the list for the first time, before anybody reads it.
+// registerServer registers a server for the first time, before any agent reads the endpoint list.
 func (c *controlPlane) registerServer(ctx context.Context, server *server) error {
 	registryService := c.fleet.registryService
 	c.fleet.publishedMu.Lock()
@@ -52,12 +91,13 @@
 	c.fleet.publishedMu.Unlock()
 	registryService.leases.Add(registryService.instance(server))
 	if err := registryService.leases.RenewOnce(ctx); err != nil {
-		return fmt.Errorf("list service: %w", err)
+		return fmt.Errorf("registry: %w", err)
 	}
 	return nil
 }
 
-// serverReady lists a server whose process answers the platform's ready check; its first life in the run is warm.
+// serverReady publishes a server whose process answers the supervisor's readiness check. Its first incarnation in the
+// run starts warm.
 func (c *controlPlane) serverReady(server *server, version string, firstIncarnation bool) {
 	server.mu.Lock()
 	if server.up {
@@ -75,7 +115,7 @@
 	}
 }
 
-// serverExited ends a server's life: it deregisters where it was told to end, else its lease runs out.
+// serverExited ends a server's incarnation. One that was asked to terminate deregisters; otherwise its lease expires.
 func (c *controlPlane) serverExited(server *server, terminationRequested bool) {
 	server.mu.Lock()
 	wasUp := server.up
@@ -90,36 +130,51 @@
 	}
 }
 
-// reportWarmedUp tells the ledger of servers that have warmed up after a start: who operates servers sees that, the list does
-// not. A unit that has changed since it was looked at is left alone.
+// reportWarmedUp reports to the ledger the servers that have warmed up after a start, which the operator of servers sees
+// and the endpoint list does not show. The ledger ignores a unit that has changed since it was read.
 func (c *controlPlane) reportWarmedUp() {
-	client := c.fleet.registryService.client
-	for sleep(c.ctx, time.Second) && !c.finished.Load() {
+	for sleep(c.ctx, warmUpPollInterval) && !c.finished.Load() {
 		ctx, cancel := context.WithTimeout(c.ctx, registryWriteTimeout)
-		view, err := client.LedgerView(ctx, true, true)
-		var warmedUp []disruption.Unit
-		for i := range view.Units {
-			unit := &view.Units[i]
-			if number, ok := c.serverByUnit[unitName(unit.ID)]; ok && unit.Condition == disruption.ConditionWarmingUp && c.isWarm(c.fleet.servers[number]) {
-				warmedUp = append(warmedUp, disruption.Unit{ID: unit.ID, Condition: disruption.ConditionUp, TransitionRevision: unit.TransitionRevision})
-			}
-		}
-		if err == nil && len(warmedUp) > 0 {
-			_, err = client.ApplyLedgerOp(ctx, registry.WriteOptions{}, disruption.Op{Kind: disruption.OpObserve, Owner: "operator/lab", Observed: warmedUp})
-		}
-		if err != nil && c.ctx.Err() == nil {
-			slog.Debug("not seen as warm", "units", len(warmedUp), "error", err)
+		if err := c.reportWarmedUpOnce(ctx); err != nil && c.ctx.Err() == nil {
+			slog.Debug("warm-up report failed", "error", err)
 		}
 		cancel()
 	}
 }
 
-// unitName is the name of a unit of the ledger.
+func (c *controlPlane) reportWarmedUpOnce(ctx context.Context) error {
+	client := c.fleet.registryService.client
+	view, err := client.LedgerView(ctx, true, true)
+	if err != nil {
+		return err
+	}
+	var warmedUp []disruption.Unit
+	for i := range view.Units {
+		unit := &view.Units[i]
+		number, ok := c.serverByUnit[unitName(unit.ID)]
+		if !ok || unit.Condition != disruption.ConditionWarmingUp || !c.isWarm(c.fleet.servers[number]) {
+			continue
+		}
+		warmedUp = append(warmedUp, disruption.Unit{
+			ID: unit.ID, Condition: disruption.ConditionUp, TransitionRevision: unit.TransitionRevision,
+		})
+	}
+	if len(warmedUp) == 0 {
+		return nil
+	}
+	_, err = client.ApplyLedgerOp(ctx, registry.WriteOptions{}, disruption.Op{
+		Kind: disruption.OpObserve, Owner: ledgerOwner, Observed: warmedUp,
+	})
+	return err
+}
+
+// unitName is the name in the id of a ledger's unit, which is kind/name.
 func unitName(id string) string {
 	_, name, _ := strings.Cut(id, "/")
 	return name
 }
 
+// isWarm reports whether a server runs and has finished its slow start.
 func (c *controlPlane) isWarm(server *server) bool {
 	server.mu.Lock()
 	defer server.mu.Unlock()
--- a/internal/lab/live/server_process.go
+++ b/internal/lab/live/server_process.go
@@ -15,23 +15,24 @@
 	"milldeck/internal/lab"
 )
 
-// ServerConfig is the configuration of one model server that runs as a program of its own.
+// ServerConfig is the configuration of one modelled server that runs as a process of its own (milldeck lab server).
 type ServerConfig struct {
-	LabAddress   string          `toml:"lab"`     // address of the lab that judges it; "": none, and requests speak for themselves
-	Number       int             `toml:"number"`  // in the lab's plan
-	Zone         int             `toml:"zone"`    // number of its zone
-	PodGroup     int             `toml:"pod"`     // its pod group
-	Speed        float64         `toml:"speed"`   // of a core; 0: 1
-	SlowStartMS  float64         `toml:"cold_ms"` // until it is warm
-	StartsWarm   bool            `toml:"warm"`    // its first life in the lab's run begins warm
+	LabAddress   string          `toml:"lab"`     // address of the lab that observes it; "": none, requests are known by their headers
+	Number       int             `toml:"number"`  // in the lab's plan, from 0 on
+	Zone         int             `toml:"zone"`    // number of the zone
+	PodGroup     int             `toml:"pod"`     // number of the pod group
+	Speed        float64         `toml:"speed"`   // of a core, relative to a standard core; 1 where it is not given
+	SlowStartMS  float64         `toml:"cold_ms"` // duration of the slow start
+	StartsWarm   bool            `toml:"warm"`    // the first incarnation in the lab's run starts warm
 	Seed         uint64          `toml:"seed"`
-	HealthChecks bool            `toml:"probes"` // it answers probes of sidecars
+	HealthChecks bool            `toml:"probes"` // it answers the sidecars' health checks
 	Rules        lab.RulesSpec   `toml:"rules"`
 	Kind         lab.ServerSpec  `toml:"kind"`
 	Classes      []lab.ClassSpec `toml:"class"`
 }
 
-// LoadServerConfig reads a server's configuration and, where a path is given, what its version does wrong.
+// LoadServerConfig reads a server's configuration and, where a second path is given, the regression of its version. The
+// errors name the file, the line and the key.
 func LoadServerConfig(path, regressionPath string) (*ServerConfig, *lab.Regression, error) {
 	server, regression := &ServerConfig{Speed: 1}, &lab.Regression{}
 	serverFile, err := config.Load(path, server)
@@ -60,7 +61,7 @@
 	return server, regression, first
 }
 
-// validate holds the figures to what a whole experiment may say.
+// validate applies the limits that hold for a complete experiment.
 func (f *ServerConfig) validate(file *config.File) error {
 	f.Kind.Count = lab.Range{Min: 1, Max: 1}
 	experiment := lab.Experiment{Servers: []lab.ServerSpec{f.Kind}, Classes: f.Classes}
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// plan is the lab's plan with this server alone, as number 0.
+// plan is a plan with this server alone, as number 0.
 func (f *ServerConfig) plan() *lab.Plan {
 	experiment := &lab.Experiment{Rules: f.Rules, Servers: []lab.ServerSpec{f.Kind}, Classes: f.Classes}
 	return &lab.Plan{
@@ -91,21 +92,22 @@
 	}
 }
 
-// Unit is who a server is to its platform.
+// Unit identifies a server to its supervisor.
 type Unit struct{ Name, Version string }
 
 const (
-	// maxDrain bounds how long a server that was told to end answers what it has taken; its platform kills it sooner
-	// where its grace is shorter.
+	// maxDrain bounds the graceful shutdown. The supervisor kills the process sooner where its grace period is shorter.
 	maxDrain     = 60 * time.Second
 	leakInterval = 50 * time.Millisecond
 	pageSize     = 4096
 )
 
-// errFailsAtStart is the end of a version that fails at its start.
+// errFailsAtStart is the error of a version that fails at its start.
 var errFailsAtStart = errors.New("this version fails at its start")
 
-// ServeServer runs a model server until ctx ends, which drains it, or it dies. It logs "serves" once it listens.
+// ServeServer runs a modelled server until ctx ends, after which it drains and returns nil, or until it fails as its
+// version's regression or an overload has it. It closes the listener. It logs "serves" once it accepts connections, which
+// the lab and tests wait for.
 func ServeServer(ctx context.Context, listener net.Listener, unit Unit, config *ServerConfig, regression *lab.Regression) error {
 	defer listener.Close()
 	if regression.FailsAtStart {
@@ -129,7 +131,7 @@
 	return process.drain(listener)
 }
 
-// serverProcess is a server as a process: its front's host.
+// serverProcess is a server in a process of its own, the host of its frontend.
 type serverProcess struct {
 	unit             Unit
 	config           *ServerConfig
@@ -140,7 +142,7 @@
 	effects          lab.EffectStore
 	terminating      atomic.Bool
 	failure          chan error
-	openAttempts     atomic.Int64 // attempts that are not over
+	openAttempts     atomic.Int64 // that have not ended
 	receivedAttempts atomic.Int64
 	cores            float64
 
@@ -148,19 +150,24 @@
 	cancel context.CancelFunc
 }
 
-// observer is who watches a server: the lab that judges it, or nobody.
+// observer receives what a server reports: the lab that observes it, or nobody.
 type observer interface {
-	beginAttempt(id uint64, x receivedRequest) (serverAttempt, bool)
-	addCounts(add func(*lab.Counts))
+	beginAttempt(requestID uint64, received receivedRequest) (serverAttempt, bool)
+	addCounts(apply func(*lab.Counts))
 	reportReady()
 	reportTerminating()
-	jobCompleted(at time.Time, end lab.JobCompletion)
-	overloaded(at time.Time, fall *lab.SlowStartOverload)
+	jobCompleted(at time.Time, completion lab.JobCompletion)
+	overloaded(at time.Time, overload *lab.SlowStartOverload)
 	close()
 }
 
+// newServerProcess returns a server that accepts connections. ctx bounds its work, but its end does not cut that off: the
+// process drains first.
 func newServerProcess(ctx context.Context, unit Unit, config *ServerConfig, regression *lab.Regression) (*serverProcess, error) {
-	process := &serverProcess{unit: unit, config: config, regression: regression, startedAt: time.Now(), failure: make(chan error, 1), cores: float64(config.Kind.Cores)}
+	process := &serverProcess{
+		unit: unit, config: config, regression: regression, startedAt: time.Now(),
+		failure: make(chan error, 1), cores: float64(config.Kind.Cores),
+	}
 	process.ctx, process.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	plan := config.plan()
 	slowStart := !config.StartsWarm
@@ -174,7 +181,8 @@
 		process.observer, process.effects = lab, lab
 		slowStart = slowStart || !firstIncarnation
 	}
-	process.frontend = newFrontend(process, config.Number, &plan.Servers[0], lab.NewServer(plan, 0, process.effects), config.HealthChecks)
+	model := lab.NewServer(plan, 0, process.effects)
+	process.frontend = newFrontend(process, config.Number, &plan.Servers[0], model, config.HealthChecks)
 	process.frontend.processEndpoint = process.processEndpoint
 	process.frontend.applyRegression = process.applyRegression
 	process.frontend.up = true
@@ -187,6 +195,7 @@
 	p.observer.close()
 }
 
+// acceptLoop accepts connections until the process terminates.
 func (p *serverProcess) acceptLoop(listener net.Listener) {
 	for {
 		connection, err := listener.Accept()
@@ -194,14 +203,14 @@
 			if p.ctx.Err() != nil || p.terminating.Load() {
 				return
 			}
-			time.Sleep(time.Millisecond) // out of descriptors: the queue holds them meanwhile
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		go p.frontend.serveConnection(connection, -1)
 	}
 }
 
-// processEndpoint answers what is asked of the process itself: the platform's ready check, and what it has seen.
+// processEndpoint answers the requests to the process itself: the supervisor's readiness check, and its status.
 func (p *serverProcess) processEndpoint(path string) (status int, body string, ok bool) {
 	switch path {
 	case readyPath:
@@ -210,18 +219,19 @@
 		p.frontend.mu.Lock()
 		warmingUp := p.frontend.model.IsWarmingUp(p.now())
 		p.frontend.mu.Unlock()
-		return http.StatusOK, fmt.Sprintf("{\"open\":%d,\"taken\":%d,\"cold\":%v}\n", p.openAttempts.Load(), p.receivedAttempts.Load(), warmingUp), true
+		body := fmt.Sprintf("{\"open\":%d,\"taken\":%d,\"cold\":%v}\n", p.openAttempts.Load(), p.receivedAttempts.Load(), warmingUp)
+		return http.StatusOK, body, true
 	}
 	return 0, "", false
 }
 
-// The paths that a server's process answers beside the wire's.
+// The paths that a server's process answers beside those of the platform's protocol.
 const (
 	readyPath  = "/health/ready"
 	statusPath = "/lab/seen"
 )
 
-// readiness answers the platform's ready check. The lab lists the server at its first good answer.
+// readiness is the HTTP status of the supervisor's readiness check. The lab publishes the server at the first success.
 func (p *serverProcess) readiness() int {
 	if p.regression.NeverReady || p.terminating.Load() {
 		return http.StatusServiceUnavailable
@@ -230,7 +240,7 @@
 	return http.StatusOK
 }
 
-// applyRegression lets the version's harm act on a request.
+// applyRegression applies the version's regression to a job.
 func (p *serverProcess) applyRegression(job *lab.Job) {
 	p.frontend.mu.Lock()
 	load := float64(p.frontend.model.Load()) / p.cores
@@ -240,14 +250,14 @@
 	job.WorkMS *= slowdown
 }
 
-// leakMemory loses memory as the version does until the platform would kill it.
+// leakMemory leaks memory as the version does, and fails at the limit at which a supervisor would kill it.
 func (p *serverProcess) leakMemory() {
 	var leaked [][]byte
 	limit := int(p.regression.LeakLimitMB * 1e6)
 	for total := 0; sleep(p.ctx, leakInterval); {
 		chunk := make([]byte, int(p.regression.LeakMBPerSecond*1e6*leakInterval.Seconds()))
 		for i := 0; i < len(chunk); i += pageSize {
-			chunk[i] = 1 // a page that was never written takes no memory
+			chunk[i] = 1 // the kernel allocates a page when it is first written
 		}
 		leaked = append(leaked, chunk)
 		if total += len(chunk); total > limit {
@@ -257,6 +267,7 @@
 	}
 }
 
+// fail ends the process with an error. Only the first one counts.
 func (p *serverProcess) fail(err error) {
 	select {
 	case p.failure <- err:
@@ -264,7 +275,8 @@
 	}
 }
 
-// drain answers what was taken, and what still comes on connections that are open, until nothing is left.
+// drain shuts down gracefully: it answers the requests in flight, and those that still arrive on open connections, until
+// there have been none for a while.
 func (p *serverProcess) drain(listener net.Listener) error {
 	p.terminating.Store(true)
 	p.observer.reportTerminating()
@@ -283,8 +295,8 @@
 	return nil
 }
 
-// drainIdlePolls is for how many looks in a row nothing may be open before it ends: a request that was under way to it when
-// it was told to end has come by then.
+// drainIdlePolls is the number of consecutive polls without a request in flight after which the process exits. A request
+// that was on the network when the process was asked to terminate has arrived by then.
 const drainIdlePolls = 10
 
 func (p *serverProcess) runContext() context.Context { return p.ctx }
@@ -303,7 +315,7 @@
 
 func (p *serverProcess) overloaded(now float64, overload *lab.SlowStartOverload) {
 	p.observer.overloaded(p.timeAt(now), overload)
-	p.fail(errors.New("pushed over while it was cold"))
+	p.fail(errors.New("overloaded during slow start"))
 }
 
 func (p *serverProcess) pathTo(int) networkPath { return directPath{} }
@@ -315,7 +327,7 @@
 	return &countedAttempt{serverAttempt: attempt, openAttempts: &p.openAttempts}, ok
 }
 
-// countedAttempt is an attempt that counts as open until it is over.
+// countedAttempt is an attempt that is counted as open until it has ended.
 type countedAttempt struct {
 	serverAttempt
 	openAttempts *atomic.Int64
@@ -326,7 +338,7 @@
 	c.openAttempts.Add(-1)
 }
 
-// directPath is a way that takes no time and loses nothing: that of the platform and of sidecars whose name is not known.
+// directPath is a path without delay and loss: that of the supervisor, and of sidecars that are not known.
 type directPath struct{}
 
 func (directPath) deliverRequest(context.Context, bool) bool { return true }
--- a/internal/lab/live/server_process_test.go
+++ b/internal/lab/live/server_process_test.go
@@ -112,7 +112,9 @@
 		statuses := make(chan int)
 		go func() { statuses <- sendRequest(t, address, "read", 7) }()
 		awaitOpenRequest(t, address)
-		process.Signal(syscall.SIGTERM)
+		if err := process.Signal(syscall.SIGTERM); err != nil {
+			t.Fatal(err)
+		}
 		if status := <-statuses; status != http.StatusOK {
 			t.Errorf("what it had taken got %d", status)
 		}
@@ -126,7 +128,9 @@
 		statuses := make(chan int)
 		go func() { statuses <- sendRequest(t, address, "read", 7) }()
 		awaitOpenRequest(t, address)
-		process.Signal(syscall.SIGTERM)
+		if err := process.Signal(syscall.SIGTERM); err != nil {
+			t.Fatal(err)
+		}
 		if status := <-statuses; status != 0 {
 			t.Errorf("what it had taken got %d", status)
 		}
--- a/internal/lab/live/server_session.go
+++ b/internal/lab/live/server_session.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
@@ -13,11 +14,11 @@
 	"milldeck/internal/lab"
 )
 
-// listenForServers listens for servers' processes, which tell the lab what they do.
+// listenForServers accepts the connections of server processes, which report to the lab.
 func (c *controlPlane) listenForServers() error {
 	listener, err := net.Listen("tcp4", c.labServiceAddress())
 	if err != nil {
-		return fmt.Errorf("the lab's own address for servers: %w", err)
+		return fmt.Errorf("listen for server processes: %w", err)
 	}
 	c.listener = listener
 	c.background.Go(func() {
@@ -32,23 +33,23 @@
 	return nil
 }
 
-// serveConnection serves one life of a server, to its end.
+// serveConnection serves the calls of one incarnation of a server, until it exits.
 func (c *controlPlane) serveConnection(connection net.Conn) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	defer cancel()
 	defer context.AfterFunc(ctx, func() { connection.Close() })()
 	session := &serverSession{controlPlane: c, ctx: ctx, attempts: map[int64]*observedAttempt{}}
 	rpcServer := rpc.NewServer()
-	if err := rpcServer.RegisterName("Lab", session); err != nil {
-		slog.Error("the lab's calls", "error", err)
+	if err := rpcServer.RegisterName(labService, session); err != nil {
+		slog.Error("RPC service not registered", "error", err)
 		return
 	}
-	// What still waits for its way over the network must not keep the end of the life from being seen.
+	// Calls that wait for the modelled network are cancelled when the process exits, so that ServeConn returns at once.
 	rpcServer.ServeConn(&monitoredConnection{connection, cancel})
 	session.disconnected()
 }
 
-// monitoredConnection cancels when the other side is gone.
+// monitoredConnection calls onDisconnect when a read fails: the process at the other end has exited.
 type monitoredConnection struct {
 	net.Conn
 	onDisconnect func()
@@ -62,13 +63,14 @@
 	return n, err
 }
 
-// serverSession is one life of a server as it tells of it. Its exported methods are the calls of net/rpc.
+// serverSession is one incarnation of a server process as it reports itself. Its exported methods are the methods of the
+// RPC service "Lab": their names are part of the protocol between a server process and the lab.
 type serverSession struct {
 	controlPlane *controlPlane
 	ctx          context.Context
 
 	mu                   sync.Mutex
-	server               *server // nil before it has said who it is
+	server               *server // nil before Hello
 	pid                  int
 	version              string
 	firstIncarnation     bool
@@ -76,169 +78,181 @@
 	attempts             map[int64]*observedAttempt
 }
 
-// Hello begins the life.
-func (l *serverSession) Hello(hello HelloRequest, welcome *HelloReply) error {
-	number, ok := l.controlPlane.serverByUnit[hello.Unit]
+// Hello starts the incarnation. It has to be the first call.
+func (s *serverSession) Hello(hello HelloRequest, welcome *HelloReply) error {
+	number, ok := s.controlPlane.serverByUnit[hello.Unit]
 	if !ok {
 		return fmt.Errorf("no server %q", hello.Unit)
 	}
-	l.mu.Lock()
-	l.server, l.pid, l.version, l.firstIncarnation = l.controlPlane.fleet.servers[number], hello.PID, hello.Version, l.controlPlane.fleet.startOffset.Load() == 0
-	l.mu.Unlock()
-	welcome.First = l.firstIncarnation
-	l.controlPlane.processStarted(hello.Unit, hello.PID, hello.Version)
+	fleet := s.controlPlane.fleet
+	s.mu.Lock()
+	s.server, s.pid, s.version = fleet.servers[number], hello.PID, hello.Version
+	s.firstIncarnation = fleet.startOffset.Load() == 0
+	s.mu.Unlock()
+	welcome.First = s.firstIncarnation
+	s.controlPlane.processStarted(hello.Unit, hello.PID, hello.Version)
 	return nil
 }
 
-// identified is the server, an error before it has said so.
-func (l *serverSession) identified() (*server, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.server == nil {
-		return nil, fmt.Errorf("no hello")
+// identified is the server, an error before Hello.
+func (s *serverSession) identified() (*server, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.server == nil {
+		return nil, errors.New("the first call has to be Hello")
 	}
-	return l.server, nil
+	return s.server, nil
 }
 
-func (l *serverSession) disconnected() {
-	server, err := l.identified()
+// disconnected ends the incarnation, with the attempts that are open.
+func (s *serverSession) disconnected() {
+	server, err := s.identified()
 	if err != nil {
 		return
 	}
-	now := l.controlPlane.fleet.now()
-	l.mu.Lock()
-	attempts, terminationRequested := l.attempts, l.terminationRequested
-	l.attempts = map[int64]*observedAttempt{}
-	l.mu.Unlock()
+	now := s.controlPlane.fleet.now()
+	s.mu.Lock()
+	attempts, terminationRequested := s.attempts, s.terminationRequested
+	s.attempts = map[int64]*observedAttempt{}
+	s.mu.Unlock()
 	for _, attempt := range attempts {
 		attempt.endedAt(now, connectionClosed)
 	}
-	l.controlPlane.serverExited(server, terminationRequested)
+	s.controlPlane.serverExited(server, terminationRequested)
 }
 
-// Ready tells that the process answers the platform's ready check.
-func (l *serverSession) Ready(int, *int) error {
-	server, err := l.identified()
+// Ready reports that the process answers the supervisor's readiness check.
+func (s *serverSession) Ready(int, *int) error {
+	server, err := s.identified()
 	if err != nil {
 		return err
 	}
-	l.controlPlane.checker.ReadinessChanged(l.controlPlane.now(), server.plan.UID, incarnationID(l.pid), true)
-	l.controlPlane.serverReady(server, l.version, l.firstIncarnation)
+	s.controlPlane.checker.ReadinessChanged(s.controlPlane.now(), server.plan.UID, incarnationID(s.pid), true)
+	s.controlPlane.serverReady(server, s.version, s.firstIncarnation)
 	return nil
 }
 
-// Ends tells that the process was told to end.
-func (l *serverSession) Ends(int, *int) error {
-	server, err := l.identified()
-	if err != nil || l.controlPlane.finished.Load() {
+// Ends reports that the process was asked to terminate.
+func (s *serverSession) Ends(int, *int) error {
+	server, err := s.identified()
+	if err != nil || s.controlPlane.finished.Load() {
 		return err
 	}
-	l.mu.Lock()
-	l.terminationRequested = true
-	l.mu.Unlock()
-	l.controlPlane.checker.TerminationRequested(l.controlPlane.now(), server.plan.UID, incarnationID(l.pid))
+	s.mu.Lock()
+	s.terminationRequested = true
+	s.mu.Unlock()
+	s.controlPlane.checker.TerminationRequested(s.controlPlane.now(), server.plan.UID, incarnationID(s.pid))
 	return nil
 }
 
-// Begin tells of an attempt and is answered with what its request is.
-func (l *serverSession) Begin(begin BeginRequest, begun *BeginReply) error {
-	server, err := l.identified()
+// Begin reports an attempt and returns what the lab knows of its request.
+func (s *serverSession) Begin(begin BeginRequest, reply *BeginReply) error {
+	server, err := s.identified()
 	if err != nil {
 		return err
 	}
-	attempt, known := l.controlPlane.fleet.recordAttempt(server.number, begin.ID, 0, time.Unix(0, begin.First), time.Unix(0, begin.Last))
-	l.mu.Lock()
-	l.attempts[begin.Call] = attempt
-	l.mu.Unlock()
-	if begun.Known = known; known {
-		begun.Job = attempt.job()
-		begun.Job.Tenant = l.controlPlane.fleet.plan.Tenant(attempt.sidecar)
-		server.mu.Lock()
-		begun.Job.WorkMS *= server.model.Slowdown
-		begun.Job.FailImmediately = rand.Float64() < server.model.ErrorShare
-		server.mu.Unlock()
+	fleet := s.controlPlane.fleet
+	attempt, known := fleet.recordAttempt(server.number, begin.ID, 0, time.Unix(0, begin.First), time.Unix(0, begin.Last))
+	s.mu.Lock()
+	s.attempts[begin.Call] = attempt
+	s.mu.Unlock()
+	if !known {
+		return nil
 	}
+	reply.Known = true
+	reply.Job = attempt.job()
+	reply.Job.Tenant = fleet.plan.Tenant(attempt.sidecar)
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	reply.Job.WorkMS *= server.model.Slowdown
+	reply.Job.FailImmediately = rand.Float64() < server.model.ErrorShare
 	return nil
 }
 
-func (l *serverSession) attempt(call int64) (*observedAttempt, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if attempt := l.attempts[call]; attempt != nil {
+// attempt is an open attempt by the number that the server gave it.
+func (s *serverSession) attempt(call int64) (*observedAttempt, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if attempt := s.attempts[call]; attempt != nil {
 		return attempt, nil
 	}
 	return nil, fmt.Errorf("no attempt %d", call)
 }
 
-// Pass answers once something has gone its way.
-func (l *serverSession) Pass(transit TransitRequest, delivered *bool) error {
-	attempt, err := l.attempt(transit.Call)
+// Pass returns once a message has crossed the modelled network, or is lost.
+func (s *serverSession) Pass(transit TransitRequest, delivered *bool) error {
+	attempt, err := s.attempt(transit.Call)
 	if err != nil {
 		return err
 	}
 	if transit.Back {
-		*delivered = attempt.deliverResponse(l.ctx)
+		*delivered = attempt.deliverResponse(s.ctx)
 	} else {
-		*delivered = attempt.deliverRequest(l.ctx, transit.Fresh)
+		*delivered = attempt.deliverRequest(s.ctx, transit.Fresh)
 	}
 	return nil
 }
 
-// Over ends an attempt.
-func (l *serverSession) Over(report AttemptEndReport, _ *int) error {
-	l.mu.Lock()
-	attempt := l.attempts[report.Call]
-	delete(l.attempts, report.Call)
-	l.mu.Unlock()
+// Over reports the end of an attempt.
+func (s *serverSession) Over(report AttemptEndReport, _ *int) error {
+	s.mu.Lock()
+	attempt := s.attempts[report.Call]
+	delete(s.attempts, report.Call)
+	s.mu.Unlock()
 	if attempt != nil {
-		attempt.endedAt(l.controlPlane.fleet.millisecondsAt(time.Unix(0, report.At)), report.How)
+		attempt.endedAt(s.controlPlane.fleet.millisecondsAt(time.Unix(0, report.At)), report.How)
 	}
 	return nil
 }
 
-// Made tells of an answer, before it leaves.
-func (l *serverSession) Made(call int64, _ *int) error {
-	attempt, err := l.attempt(call)
+// Made reports a response, before it is sent.
+func (s *serverSession) Made(call int64, _ *int) error {
+	attempt, err := s.attempt(call)
 	if err == nil {
 		attempt.responseProduced()
 	}
 	return err
 }
 
-// Seen answers whether the server's group has had an effect.
-func (l *serverSession) Seen(query EffectQuery, seen *bool) error {
-	server, err := l.identified()
-	if err != nil || query.Class < 0 || query.Class >= len(l.controlPlane.fleet.plan.Classes) {
+// Seen returns whether the effect has been applied in the server's deduplication scope before, and records it.
+func (s *serverSession) Seen(query EffectQuery, seen *bool) error {
+	server, err := s.identified()
+	fleet := s.controlPlane.fleet
+	if err != nil || query.Class < 0 || query.Class >= len(fleet.plan.Classes) {
 		return err
 	}
-	*seen = l.controlPlane.fleet.effects.CheckAndRecord(l.controlPlane.fleet.now(), server.plan, &l.controlPlane.fleet.plan.Classes[query.Class], query.Class, query.Effect)
+	class := &fleet.plan.Classes[query.Class]
+	*seen = fleet.effects.CheckAndRecord(fleet.now(), server.plan, class, query.Class, query.Effect)
 	return nil
 }
 
-// Ran tells that a request's work is done.
-func (l *serverSession) Ran(report ExecutionReport, _ *int) error {
-	server, err := l.identified()
+// Ran reports the work of a completed request.
+func (s *serverSession) Ran(report ExecutionReport, _ *int) error {
+	server, err := s.identified()
 	if err != nil {
 		return err
 	}
-	at := l.controlPlane.fleet.millisecondsAt(time.Unix(0, report.At))
-	l.controlPlane.fleet.checker.RequestExecuted(at, report.Request, server.number, report.Effect)
-	l.controlPlane.checker.WorkDone(at, server.plan.UID, hashKey(report.Key), report.Work, !report.Met)
+	fleet := s.controlPlane.fleet
+	at := fleet.millisecondsAt(time.Unix(0, report.At))
+	fleet.checker.RequestExecuted(at, report.Request, server.number, report.Effect)
+	s.controlPlane.checker.WorkDone(at, server.plan.UID, hashKey(report.Key), report.Work, !report.Met)
 	return nil
 }
 
-// Fell tells that the server was pushed over.
-func (l *serverSession) Fell(report OverloadReport, _ *int) error {
-	server, err := l.identified()
-	if err == nil {
-		l.controlPlane.fleet.checker.ServerOverloaded(l.controlPlane.fleet.millisecondsAt(time.Unix(0, report.At)), server.number, &report.Fall)
+// Fell reports that the server was overloaded during slow start.
+func (s *serverSession) Fell(report OverloadReport, _ *int) error {
+	server, err := s.identified()
+	if err != nil {
+		return err
 	}
-	return err
+	fleet := s.controlPlane.fleet
+	fleet.checker.ServerOverloaded(fleet.millisecondsAt(time.Unix(0, report.At)), server.number, &report.Fall)
+	return nil
 }
 
-// Count counts what the server has met.
-func (l *serverSession) Count(delta lab.Counts, _ *int) error {
-	l.controlPlane.fleet.recorder.AddCounts(func(counts *lab.Counts) {
+// Count adds the server's counts of health checks and handshakes.
+func (s *serverSession) Count(delta lab.Counts, _ *int) error {
+	s.controlPlane.fleet.recorder.AddCounts(func(counts *lab.Counts) {
 		counts.HealthChecks += delta.HealthChecks
 		counts.Handshakes += delta.Handshakes
 	})
--- a/internal/lab/live/sidecar.go
+++ b/internal/lab/live/sidecar.go
@@ -17,7 +17,7 @@
 	"milldeck/internal/lab/proc"
 )
 
-// sidecarProcess is one sidecar's process.
+// sidecarProcess is one sidecar and, unless a supervisor starts it, its process.
 type sidecarProcess struct {
 	fleet   *fleet
 	number  int
@@ -27,64 +27,67 @@
 	mu            sync.Mutex
 	process       *proc.Process
 	incarnation   int
-	stopRequested *atomic.Bool // this process was told to end
+	stopRequested *atomic.Bool // an exit of the present process is expected
 }
 
+// newSidecarProcess returns a sidecar of the plan that has not been started.
 func (f *fleet) newSidecarProcess(number int) *sidecarProcess {
 	return &sidecarProcess{fleet: f, number: number, address: f.addresses.sidecar(number)}
 }
 
-// start starts the process with what its agent knows.
-func (n *sidecarProcess) start() error {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	fleet := n.fleet
-	path := fleet.sidecarConfigPath(n)
-	if err := n.writeConfig(path); err != nil {
+// start starts the process with the endpoint list that its agent has.
+func (s *sidecarProcess) start() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	fleet := s.fleet
+	path := fleet.sidecarConfigPath(s)
+	if err := s.writeConfig(path); err != nil {
 		return err
 	}
 	process, err := proc.Start(proc.Spec{
-		Name: "sidecar " + fleet.plan.Sidecars[n.number].Name, Path: fleet.options.SidecarPath, Env: []string{"NODE_CONFIG=" + path},
-		Log: filepath.Join(fleet.options.Dir, fleet.plan.Sidecars[n.number].Name+".log"),
+		Name: "sidecar " + fleet.plan.Sidecars[s.number].Name, Path: fleet.options.SidecarPath, Env: []string{"NODE_CONFIG=" + path},
+		Log: filepath.Join(fleet.options.Dir, fleet.plan.Sidecars[s.number].Name+".log"),
 	})
 	if err != nil {
 		return err
 	}
-	n.process, n.stopRequested = process, new(atomic.Bool)
-	n.incarnation++
-	fleet.checker.SidecarRestarted(n.number)
-	go n.watchExit(process, n.stopRequested)
+	s.process, s.stopRequested = process, new(atomic.Bool)
+	s.incarnation++
+	fleet.checker.SidecarRestarted(s.number)
+	go s.watchExit(process, s.stopRequested)
 	return nil
 }
 
+// sidecarConfigPath is the path of a sidecar's configuration.
 func (f *fleet) sidecarConfigPath(sidecar *sidecarProcess) string {
 	return filepath.Join(f.options.Dir, f.plan.Sidecars[sidecar.number].Name+".json")
 }
 
-// watchExit notices a process that ends by itself once the run has begun; before, its start has failed.
-func (n *sidecarProcess) watchExit(process *proc.Process, stopRequested *atomic.Bool) {
+// watchExit reports a process that exits unexpectedly once the run has started. Before that awaitReady fails.
+func (s *sidecarProcess) watchExit(process *proc.Process, stopRequested *atomic.Bool) {
 	<-process.Done()
-	if !stopRequested.Load() && n.fleet.startOffset.Load() != 0 {
-		slog.Error("a sidecar ended by itself", "sidecar", n.fleet.plan.Sidecars[n.number].Name, "error", process.Wait(), "log", process.Log())
-		n.fleet.checker.SidecarCrashed(n.fleet.now(), n.number, fmt.Sprint(process.Wait()))
+	if !stopRequested.Load() && s.fleet.startOffset.Load() != 0 {
+		slog.Error("sidecar exited unexpectedly",
+			"sidecar", s.fleet.plan.Sidecars[s.number].Name, "error", process.Wait(), "log", process.Log())
+		s.fleet.checker.SidecarCrashed(s.fleet.now(), s.number, fmt.Sprint(process.Wait()))
 	}
 }
 
-// writeConfig writes the configuration.
-func (n *sidecarProcess) writeConfig(path string) error {
-	data, err := n.config()
+// writeConfig writes the configuration file.
+func (s *sidecarProcess) writeConfig(path string) error {
+	data, err := s.config()
 	if err != nil {
 		return err
 	}
 	if err := os.WriteFile(path, data, 0o600); err != nil {
-		return fmt.Errorf("configuration of sidecar %d: %w", n.number, err)
+		return fmt.Errorf("configuration of sidecar %d: %w", s.number, err)
 	}
 	return nil
 }
 
-// config is the configuration of the sidecar's next life.
-func (n *sidecarProcess) config() ([]byte, error) {
-	fleet, agent := n.fleet, n.fleet.agents[n.number]
+// config is the configuration of the sidecar's next incarnation, in JSON.
+func (s *sidecarProcess) config() ([]byte, error) {
+	fleet, agent := s.fleet, s.fleet.agents[s.number]
 	agent.mu.Lock()
 	endpoints := agent.fullList()
 	discovery := agent.address()
@@ -92,41 +95,41 @@
 	spec := fleet.plan.Experiment.Sidecars
 	type object = map[string]any
 	config := object{
-		"name": fleet.plan.Sidecars[n.number].Name, "listen": n.address, "discovery": discovery,
-		"seed":   fmt.Sprintf("%016x", fleet.plan.IncarnationSeed(n.number, n.incarnation)),
+		"name": fleet.plan.Sidecars[s.number].Name, "listen": s.address, "discovery": discovery,
+		"seed":   fmt.Sprintf("%016x", fleet.plan.IncarnationSeed(s.number, s.incarnation)),
 		"limits": object{"cores": spec.Cores, "memory_mb": spec.MemoryMB, "sockets": spec.Sockets},
-		"known":  endpoints, "settings": json.RawMessage(fleet.plan.Settings(n.number)),
+		"known":  endpoints, "settings": json.RawMessage(fleet.plan.Settings(s.number)),
 	}
 	if fleet.gossip != nil {
 		var gossipAddresses []string
 		for i := range fleet.sidecars {
 			gossipAddresses = append(gossipAddresses, fleet.addresses.gossipRelay(i))
 		}
-		config["peer_listen"], config["peers"] = fleet.addresses.gossipListen(n.number), gossipAddresses
+		config["peer_listen"], config["peers"] = fleet.addresses.gossipListen(s.number), gossipAddresses
 	}
 	if fleet.controlPlane != nil {
 		config["placement"], config["version"] = discovery, fleet.plan.Experiment.ControlPlane.SidecarVersion
-		if tenant := fleet.plan.Tenant(n.number); tenant != "" {
+		if tenant := fleet.plan.Tenant(s.number); tenant != "" {
 			config["application"] = tenant
 		}
 	}
 	data, err := json.Marshal(config)
 	if err != nil {
-		return nil, fmt.Errorf("configuration of sidecar %d: %w", n.number, err)
+		return nil, fmt.Errorf("configuration of sidecar %d: %w", s.number, err)
 	}
 	return data, nil
 }
 
-// awaitReady waits until the sidecar says that it is.
-func (n *sidecarProcess) awaitReady(ctx context.Context) error {
+// awaitReady waits until the sidecar's readiness check succeeds.
+func (s *sidecarProcess) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	n.mu.Lock()
-	process := n.process
-	n.mu.Unlock()
+	s.mu.Lock()
+	process := s.process
+	s.mu.Unlock()
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
-		response, err := client.Get("http://" + n.address + "/health/ready")
+		response, err := client.Get("http://" + s.address + "/health/ready")
 		if err == nil {
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
@@ -134,55 +137,65 @@
 			}
 		}
 		if !process.Running() {
-			return fmt.Errorf("%s ended before it was ready (%v); its log ends:\n%s", process.Name, process.Wait(), process.Log())
+			return fmt.Errorf("%s exited before it was ready (%s); its log ends:\n%s",
+				process.Name, exitStatus(process.Wait()), process.Log())
 		}
 		if !sleep(ctx, readyPollInterval) {
 			if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-				return fmt.Errorf("%s did not get ready within %v; its log ends:\n%s", process.Name, readyTimeout, process.Log())
+				return fmt.Errorf("%s was not ready within %v; its log ends:\n%s", process.Name, readyTimeout, process.Log())
 			}
 			return ctx.Err()
 		}
 	}
 }
 
-// stop ends the process with SIGTERM; ctx bounds it.
-func (n *sidecarProcess) stop(ctx context.Context) error {
-	n.mu.Lock()
-	process := n.process
+// exitStatus describes how a process exited.
+func exitStatus(err error) string {
+	if err == nil {
+		return "exit status 0"
+	}
+	return err.Error()
+}
+
+// stop ends the process with SIGTERM, and with SIGKILL when ctx ends first, which is an error.
+func (s *sidecarProcess) stop(ctx context.Context) error {
+	s.mu.Lock()
+	process := s.process
 	if process == nil || !process.Running() {
-		n.mu.Unlock()
+		s.mu.Unlock()
 		return nil
 	}
-	n.stopRequested.Store(true)
-	n.mu.Unlock()
+	s.stopRequested.Store(true)
+	s.mu.Unlock()
 	return process.Stop(ctx)
 }
 
-// kill ends the process at once. What it owed is not its fault.
-func (n *sidecarProcess) kill() {
-	if n.fleet.controlPlane != nil {
-		n.fleet.controlPlane.signalUnit(n.fleet.plan.Sidecars[n.number].Name, syscall.SIGKILL)
+// kill ends the process at once. The checker does not blame the sidecar for the requests in flight.
+func (s *sidecarProcess) kill() {
+	if s.fleet.controlPlane != nil {
+		s.fleet.controlPlane.signalUnit(s.fleet.plan.Sidecars[s.number].Name, syscall.SIGKILL)
 		return
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.process == nil || !n.process.Running() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.process == nil || !s.process.Running() {
 		return
 	}
-	n.stopRequested.Store(true)
-	now := n.fleet.now()
-	n.fleet.checker.ExcuseSidecar(n.number, now-timeoutToleranceMS, now+timeoutToleranceMS)
-	n.process.Kill()
+	s.stopRequested.Store(true)
+	now := s.fleet.now()
+	s.fleet.checker.ExcuseSidecar(s.number, now-timeoutToleranceMS, now+timeoutToleranceMS)
+	s.process.Kill()
 }
 
-func (n *sidecarProcess) signal(signal syscall.Signal) {
-	if n.fleet.controlPlane != nil {
-		n.fleet.controlPlane.signalUnit(n.fleet.plan.Sidecars[n.number].Name, signal)
+// signal sends a signal to the process, if there is one.
+func (s *sidecarProcess) signal(signal syscall.Signal) {
+	if s.fleet.controlPlane != nil {
+		s.fleet.controlPlane.signalUnit(s.fleet.plan.Sidecars[s.number].Name, signal)
 		return
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.process != nil {
-		n.process.Signal(signal)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.process != nil {
+		_ = s.process.Signal(signal) // fails for a process that is not a child any more only: it needs no signal
 	}
 }
--- a/internal/lab/live/sidecar_faults.go
+++ b/internal/lab/live/sidecar_faults.go
@@ -8,7 +8,7 @@
 	"milldeck/internal/lab"
 )
 
-// restartSidecar ends a sidecar as a planned restart does and starts it again.
+// restartSidecar stops a sidecar gracefully and starts it again.
 func (f *fleet) restartSidecar(sidecar *sidecarProcess) {
 	if f.controlPlane != nil {
 		f.controlPlane.recordFailure("restart", f.controlPlane.restartUnit(f.ctx, f.plan.Sidecars[sidecar.number].Name))
@@ -22,8 +22,8 @@
 	f.startSidecar(sidecar)
 }
 
-// startSidecar starts a sidecar that has ended and waits until it is ready: told to end sooner, it would not have its
-// signals in hand yet.
+// startSidecar starts a sidecar whose process has exited and waits until it is ready: before that it does not handle
+// signals, and a stop would kill it.
 func (f *fleet) startSidecar(sidecar *sidecarProcess) {
 	if f.ctx.Err() != nil {
 		return
@@ -39,11 +39,11 @@
 	logFaultFailure("start of a sidecar", err)
 }
 
-// reloadSidecar moves discovery and tells the sidecar with SIGHUP.
+// reloadSidecar moves the discovery agent, writes the new address to the configuration and has the sidecar reload it.
 func (f *fleet) reloadSidecar(sidecar *sidecarProcess) {
 	agent := f.agents[sidecar.number]
 	if f.registryService != nil {
-		sidecar.signal(syscall.SIGHUP) // an agent stays where it is
+		sidecar.signal(syscall.SIGHUP) // the real agents do not move: the configuration is reloaded as it is
 		return
 	}
 	agent.mu.Lock()
@@ -63,7 +63,7 @@
 	sidecar.signal(syscall.SIGHUP)
 }
 
-// exhaustDescriptors holds as many connections to a sidecar as it has descriptors, and says nothing on them.
+// exhaustDescriptors holds as many silent connections to a sidecar as it has descriptors.
 func (f *fleet) exhaustDescriptors(ctx context.Context, sidecar *sidecarProcess, fault *lab.Fault) {
 	var connections []net.Conn
 	defer func() {
--- a/internal/lab/live/standalone.go
+++ b/internal/lab/live/standalone.go
@@ -9,13 +9,14 @@
 	"milldeck/internal/lab"
 )
 
-// standaloneObserver is the observer of a server that no lab watches: what a request is, its head says.
+// standaloneObserver is the observer of a server that runs without a lab. It takes what it knows of a request from the
+// request's header and reports to nobody.
 type standaloneObserver struct {
 	process     *serverProcess
 	lastAttempt atomic.Int64
 }
 
-// standaloneAttempt is an attempt known by its request's head alone.
+// standaloneAttempt is an attempt of which only the request's header is known.
 type standaloneAttempt struct {
 	directPath
 	requestJob lab.Job
@@ -45,10 +46,10 @@
 		attempt.requestJob.WorkMS = a.process.config.Classes[attempt.requestJob.Class].WorkMS.Min
 	}
 	if cookie, err := received.request.Cookie("k"); err == nil {
-		attempt.requestJob.Key, _ = strconv.ParseUint(cookie.Value, 16, 64) // 0, no key, where it is none
+		attempt.requestJob.Key, _ = strconv.ParseUint(cookie.Value, 16, 64) // 0, no key, where the cookie holds none
 	}
 	if key := strings.TrimLeft(header.Get("Idempotency-Key"), "0"); key != "" {
-		attempt.requestJob.EffectID, _ = strconv.ParseUint(key[:min(16, len(key))], 16, 64) // as above
+		attempt.requestJob.EffectID, _ = strconv.ParseUint(key[:min(16, len(key))], 16, 64) // 0, no effect, likewise
 	}
 	return attempt, true
 }
--- a/internal/lab/live/supervisor.go
+++ b/internal/lab/live/supervisor.go
@@ -11,7 +11,7 @@
 	"milldeck/internal/supervisor"
 )
 
-// startSupervisor writes the versions' file and starts the platform.
+// startSupervisor writes the versions that the stand-in supervisor can start, and starts it.
 func (c *controlPlane) startSupervisor(ctx context.Context) error {
 	text, err := c.versionsConfig()
 	if err != nil {
@@ -28,6 +28,7 @@
 	return c.launchSupervisor(ctx)
 }
 
+// launchSupervisor starts the supervisor's process and waits until it serves.
 func (c *controlPlane) launchSupervisor(ctx context.Context) error {
 	dir := c.fleet.options.Dir
 	process, err := proc.Start(proc.Spec{
@@ -45,28 +46,33 @@
 	return err
 }
 
-// versionsConfig is the platform's file, with a file beside it for what each version of servers does wrong.
+// versionsConfig is the supervisor's configuration of versions. For each version of servers it writes a file beside it
+// with the regression of that version.
 func (c *controlPlane) versionsConfig() (string, error) {
 	var text strings.Builder
 	for i := range c.spec.Versions {
 		version := &c.spec.Versions[i]
-		fmt.Fprintf(&text, "[[version]]\nname = %q\nkind = %q\nready = %q\nrestarts = %d\ngrace_ms = %d\n", version.Name, version.Kind, readyPath, version.MaxRestarts, version.GraceMS)
+		fmt.Fprintf(&text, "[[version]]\nname = %q\nkind = %q\nready = %q\n", version.Name, version.Kind, readyPath)
+		fmt.Fprintf(&text, "restarts = %d\ngrace_ms = %d\n", version.MaxRestarts, version.GraceMS)
 		environment := fmt.Sprintf("%s = \"{name}\", %s = \"{version}\"", unitEnv, versionEnv)
 		if version.Kind == "sidecar" {
-			fmt.Fprintf(&text, "argv = [%q]\nenv = { NODE_CONFIG = \"{config}\", %s }\n", c.fleet.options.SidecarPath, environment)
+			fmt.Fprintf(&text, "argv = [%q]\n", c.fleet.options.SidecarPath)
+			fmt.Fprintf(&text, "env = { NODE_CONFIG = \"{config}\", %s }\n", environment)
 			continue
 		}
 		path := filepath.Join(c.fleet.options.Dir, "harm-"+version.Name+".toml")
 		if err := os.WriteFile(path, []byte(version.Regression.TOML()), 0o600); err != nil {
 			return "", fmt.Errorf("version %s: %w", version.Name, err)
 		}
-		fmt.Fprintf(&text, "argv = [%q, \"lab\", \"server\", \"--listen\", \"{listen}\", \"--name\", \"{name}\", \"--version\", \"{version}\", \"--config\", \"{config}\", \"--harm\", %q]\nenv = { %s }\n",
-			c.fleet.options.MilldeckPath, path, environment)
+		fmt.Fprintf(&text, "argv = [%q, \"lab\", \"server\", \"--listen\", \"{listen}\", \"--name\", \"{name}\", ",
+			c.fleet.options.MilldeckPath)
+		fmt.Fprintf(&text, "\"--version\", \"{version}\", \"--config\", \"{config}\", \"--harm\", %q]\n", path)
+		fmt.Fprintf(&text, "env = { %s }\n", environment)
 	}
 	return text.String(), nil
 }
 
-// startUnits asks the platform to start units that it does not know.
+// startUnits has the supervisor start units that it does not have yet, in batches.
 func (c *controlPlane) startUnits(ctx context.Context, requests []supervisor.Request) error {
 	inventory, err := c.supervisorClient.List(ctx)
 	if err != nil {
@@ -91,6 +97,7 @@
 	return nil
 }
 
+// startServers starts all servers, waits until they are ready and registers them.
 func (c *controlPlane) startServers(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startupTimeout)
 	defer cancel()
@@ -98,7 +105,8 @@
 	for _, server := range c.fleet.servers {
 		requests = append(requests, supervisor.Request{
 			ID: "lab/start/" + server.plan.UID, Op: supervisor.Start, Unit: server.plan.UID, Kind: supervisor.Server,
-			Version: c.spec.ServerVersion, Listen: c.fleet.addresses.server(server.plan.AddressSlot, 0), Zone: c.fleet.plan.Experiment.Zones[server.plan.Zone],
+			Version: c.spec.ServerVersion, Listen: c.fleet.addresses.server(server.plan.AddressSlot, 0),
+			Zone:       c.fleet.plan.Experiment.Zones[server.plan.Zone],
 			ConfigName: "base", ConfigText: c.serverConfig(server),
 		})
 	}
@@ -108,7 +116,8 @@
 	for _, server := range c.fleet.servers {
 		for !server.isUp() {
 			if !sleep(ctx, readyPollInterval) {
-				return fmt.Errorf("server %s did not get ready within %v: %w; %s", server.plan.UID, startupTimeout, ctx.Err(), c.supervisor.Log())
+				return fmt.Errorf("server %s was not ready within %v: %w; %s",
+					server.plan.UID, startupTimeout, ctx.Err(), c.supervisor.Log())
 			}
 		}
 		if err := c.registerServer(ctx, server); err != nil {
@@ -118,6 +127,7 @@
 	return nil
 }
 
+// startSidecars starts all sidecars and waits until they are ready.
 func (c *controlPlane) startSidecars(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startupTimeout)
 	defer cancel()
@@ -130,7 +140,9 @@
 		plan := &c.fleet.plan.Sidecars[sidecar.number]
 		requests = append(requests, supervisor.Request{
 			ID: "lab/start/" + plan.Name, Op: supervisor.Start, Unit: plan.Name, Kind: supervisor.Sidecar,
-			Version: c.spec.SidecarVersion, Listen: sidecar.address, Zone: c.fleet.plan.Experiment.Zones[plan.Zone], ConfigName: "base", ConfigText: string(text),
+			Version: c.spec.SidecarVersion, Listen: sidecar.address,
+			Zone:       c.fleet.plan.Experiment.Zones[plan.Zone],
+			ConfigName: "base", ConfigText: string(text),
 		})
 	}
 	if err := c.startUnits(ctx, requests); err != nil {
@@ -139,7 +151,8 @@
 	for _, sidecar := range c.fleet.sidecars {
 		for !c.isReady(sidecar.address) {
 			if !sleep(ctx, readyPollInterval) {
-				return fmt.Errorf("sidecar %s did not get ready within %v: %w", c.fleet.plan.Sidecars[sidecar.number].Name, startupTimeout, ctx.Err())
+				return fmt.Errorf("sidecar %s was not ready within %v: %w",
+					c.fleet.plan.Sidecars[sidecar.number].Name, startupTimeout, ctx.Err())
 			}
 		}
 	}
--- a/internal/lab/proc/block.go
+++ b/internal/lab/proc/block.go
@@ -7,7 +7,8 @@
 	"syscall"
 )
 
-// Blocks of 127.B.0.0/16, and the address within one that is held for as long as it is taken.
+// The blocks are 127.B.0.0/16 for B from firstBlock to lastBlock. A listener at a fixed address within a block holds its
+// reservation, so that the kernel releases it with the process.
 const (
 	firstBlock      = 64
 	lastBlock       = 126
@@ -15,13 +16,14 @@
 	hostsPerNet     = 250
 )
 
-// Block is a part of the loopback range of one's own, so that runs and tests beside each other never meet.
+// Block is a reserved part of the loopback range. Runs and tests that run at the same time, also in different processes,
+// never share an address.
 type Block struct {
 	number      int
 	reservation net.Listener
 }
 
-// ReserveBlock takes a free part of the loopback range.
+// ReserveBlock reserves the first free block. The caller has to release it. It fails when all blocks are reserved.
 func ReserveBlock() (*Block, error) {
 	for number := firstBlock; number <= lastBlock; number++ {
 		reservation, err := net.Listen("tcp4", fmt.Sprintf("127.%d.255.254:%d", number, reservationPort))
@@ -32,13 +34,14 @@
 			return nil, fmt.Errorf("loopback addresses: %w", err)
 		}
 	}
-	return nil, fmt.Errorf("loopback addresses: all of 127.%d.0.0 to 127.%d.0.0 are taken by other runs", firstBlock, lastBlock)
+	return nil, fmt.Errorf("loopback addresses: all of 127.%d.0.0 to 127.%d.0.0 are reserved by other runs", firstBlock, lastBlock)
 }
 
-// Release gives it back.
+// Release ends the reservation.
 func (b *Block) Release() { b.reservation.Close() }
 
-// Addr is an address in the block: the host-th of the nets from net on.
+// Addr returns an address in the block as host:port. Hosts are counted from the first address of the /24 subnet, and go
+// on in the subnets that follow it.
 func (b *Block) Addr(subnet, host, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", b.number, subnet+host/hostsPerNet, 1+host%hostsPerNet, port)
 }
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -1,5 +1,6 @@
-// Package proc starts programs of the project as child processes, on behalf of the lab and of tests: it keeps
-// their logs, waits for events with a bound and ends only what it started. Children die with their parent.
+// Package proc starts programs of the project as child processes, for the lab and for tests. It owns the children's log
+// files, waits for log lines and exits within a bound, and signals only what it started. The kernel kills the children
+// when the parent exits. It does not restart a process that exits: that is the caller's decision.
 package proc
 
 import (
@@ -19,34 +20,34 @@
 )
 
 const (
-	// logTailBytes of a log are shown when something went wrong.
+	// logTailBytes is how much of the end of a log an error shows.
 	logTailBytes = 4 << 10
-	// logPollInterval is how often a log is read again by WaitLog; nothing announces that a file has grown.
+	// logPollInterval is how often WaitLog reads a log again.
 	logPollInterval = 5 * time.Millisecond
 )
 
-// Spec says what to start.
+// Spec describes a process to start.
 type Spec struct {
-	Name string // in errors
-	Path string
-	Args []string
-	Env  []string // beside the parent's
-	Log  string   // file for standard output and error; appended to
+	Name string   // for error messages
+	Path string   // of the program
+	Args []string // without the program's name
+	Env  []string // KEY=VALUE, added to the parent's environment
+	Log  string   // path of the file to which standard output and error are appended
 }
 
-// Process is a child.
+// Process is a child process. Its methods are safe for concurrent use.
 type Process struct {
 	Name string
 
 	command   *exec.Cmd
 	logPath   string
-	logOffset int64 // where this process's log begins in the file
+	logOffset int64 // where this process's output begins in the file
 	done      chan struct{}
-	waitError error // of Wait; valid once done is closed
+	waitError error // the result of Wait; valid once done is closed
 }
 
-// spawnThread starts all children from one thread: the kernel ends a child when the thread that started it ends,
-// which of a goroutine's thread may be at any time.
+// spawnThread returns the channel of tasks of one thread that starts all children. The kernel sends a child its
+// Pdeathsig when the thread that started it exits, and the runtime may end the thread of any goroutine at any time.
 var spawnThread = sync.OnceValue(func() chan func() {
 	tasks := make(chan func())
 	go func() {
@@ -58,7 +59,7 @@
 	return tasks
 })
 
-// Start starts a child.
+// Start starts a child process. Its log file and the folder of that are created when they are missing.
 func Start(spec Spec) (*Process, error) {
 	if err := os.MkdirAll(filepath.Dir(spec.Log), 0o755); err != nil {
 		return nil, fmt.Errorf("%s: %w", spec.Name, err)
@@ -77,7 +78,7 @@
 	command.Stdout, command.Stderr = log, log
 	command.SysProcAttr = &syscall.SysProcAttr{
 		Pdeathsig: syscall.SIGKILL,
-		Setpgid:   true, // a Ctrl-C at the terminal is the parent's to pass on, in its order
+		Setpgid:   true, // an interrupt at the terminal reaches the parent only, which stops its children in order
 	}
 	started := make(chan error)
 	spawnThread() <- func() { started <- command.Start() }
@@ -92,10 +93,10 @@
 	return process, nil
 }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has exited.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Running tells whether it has not ended yet.
+// Running reports whether the process has not exited yet.
 func (p *Process) Running() bool {
 	select {
 	case <-p.done:
@@ -105,16 +106,16 @@
 	}
 }
 
-// PID is the process's number.
+// PID returns the process id.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Wait says how it ended, once it has: nil is status 0.
+// Wait waits until the process has exited. A nil error is exit status 0; others are those of exec.Cmd.Wait.
 func (p *Process) Wait() error {
 	<-p.done
 	return p.waitError
 }
 
-// Signal sends a signal; to one that has ended it sends none.
+// Signal sends a signal. A process that has exited gets none, which is no error.
 func (p *Process) Signal(signal syscall.Signal) error {
 	err := p.command.Process.Signal(signal)
 	if errors.Is(err, os.ErrProcessDone) {
@@ -123,17 +124,19 @@
 	return err
 }
 
-// Kill ends it at once and waits for its end.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	if p.Signal(syscall.SIGKILL) == nil {
 		<-p.done
 	}
 }
 
-// Stop asks it to end with SIGTERM and kills it when ctx ends first; the error says so or how it failed.
+// Stop ends the process with SIGTERM, also one that is stopped by SIGSTOP. When ctx ends first it kills the process and
+// the error wraps that of ctx; otherwise the error is that of Wait.
 func (p *Process) Stop(ctx context.Context) error {
-	p.Signal(syscall.SIGCONT)
-	p.Signal(syscall.SIGTERM)
+	// A signal that cannot be sent shows below: the process does not exit before ctx ends.
+	_ = p.Signal(syscall.SIGCONT)
+	_ = p.Signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
 		if p.waitError != nil {
@@ -146,7 +149,7 @@
 	}
 }
 
-// Log is the end of what this process has logged.
+// Log returns the end of what this process has logged, or the error of reading it: it is meant for messages.
 func (p *Process) Log() string {
 	content, err := p.readLog()
 	if err != nil {
@@ -158,6 +161,7 @@
 	return string(content)
 }
 
+// readLog returns all that this process has logged so far.
 func (p *Process) readLog() ([]byte, error) {
 	file, err := os.Open(p.logPath)
 	if err != nil {
@@ -170,13 +174,13 @@
 	return io.ReadAll(file)
 }
 
-// WaitLog waits until the process has logged a line with the text and returns the line. It fails, with the
-// log's end, when the process ends or ctx does first.
+// WaitLog waits until the process has logged a line that contains text and returns the line. It fails when the process
+// exits or ctx ends first; the error shows the end of the log.
 func (p *Process) WaitLog(ctx context.Context, text string) (string, error) {
 	ticker := time.NewTicker(logPollInterval)
 	defer ticker.Stop()
 	for {
-		ended := !p.Running() // before the log is read, so that its last lines are
+		ended := !p.Running() // checked before the log is read, so that its last lines are not missed
 		content, err := p.readLog()
 		if err != nil {
 			return "", fmt.Errorf("%s: %w", p.Name, err)
@@ -197,13 +201,15 @@
 	}
 }
 
-// Path is the program that it runs.
+// Path returns the path of the program.
 func (p *Process) Path() string { return p.command.Path }
 
-// LimitFileSize bounds the size in bytes of files that it may write from now on, as on a disk that is full.
+// LimitFileSize sets the maximum size in bytes of the files that the process writes from now on. Writes beyond it fail,
+// as on a full disk.
 func (p *Process) LimitFileSize(maxBytes uint64) error {
 	limit := syscall.Rlimit{Cur: maxBytes, Max: maxBytes}
-	_, _, errno := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(p.PID()), syscall.RLIMIT_FSIZE, uintptr(unsafe.Pointer(&limit)), 0, 0, 0)
+	_, _, errno := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(p.PID()), syscall.RLIMIT_FSIZE,
+		uintptr(unsafe.Pointer(&limit)), 0, 0, 0)
 	if errno != 0 {
 		return fmt.Errorf("%s: %w", p.Name, errno)
 	}
--- a/internal/lab/proc/proctest/proctest.go
+++ b/internal/lab/proc/proctest/proctest.go
@@ -1,4 +1,5 @@
-// Package proctest builds the project's programs for tests that start them as processes.
+// Package proctest serves tests that start the project's programs as processes: it builds each program once a test
+// binary, and reserves loopback addresses. Package proc starts them.
 package proctest
 
 import (
@@ -9,22 +10,23 @@
 	"testing"
 )
 
+// builtPrograms are the programs that this test binary has built.
 var builtPrograms struct {
 	mu    sync.Mutex
 	dir   string
-	paths map[string]string // paths by name
+	paths map[string]string // by the name of the program
 }
 
-// Main runs a package's tests and removes what was built for them. It is for TestMain.
+// Main runs a package's tests, removes the programs built for them and exits. Call it from TestMain.
 func Main(m *testing.M) {
 	code := m.Run()
 	if builtPrograms.dir != "" {
-		os.RemoveAll(builtPrograms.dir)
+		_ = os.RemoveAll(builtPrograms.dir) // a temporary folder: what is left of it does not make the tests fail
 	}
 	os.Exit(code)
 }
 
-// Program is the path of a program of cmd, built once for all tests of the package.
+// Program returns the path of a program of cmd, which is built once for all tests of the package.
 func Program(t testing.TB, name string) string {
 	t.Helper()
 	builtPrograms.mu.Lock()
