--- a/internal/lab/control_checker.go
+++ b/internal/lab/control_checker.go
@@ -8,44 +8,65 @@
 	"strings"
 )
 
-// ControlPlaneChecker decides whether the control plane broke a rule, from processes that begin, answer and end, from the list
-// and from what sidecars are told; it asks no controller. Times are ms of the run. It may be called concurrently.
+const (
+	// coldWorkSlots is the number of slots of the window in which the cold work of replicas is counted.
+	coldWorkSlots = 20
+	// hoursToleranceMS is how late the checker may learn of an exclusion.
+	hoursToleranceMS = 500
+)
+
+// States of an endpoint in the registry that matter to the checker.
+const (
+	listReady    = "Ready"
+	listDraining = "Terminating"
+)
+
+// ControlPlaneChecker finds violations of the rules of the control plane, from processes that start, answer and exit, from
+// the endpoint list and from what agents publish to sidecars. It never asks a controller. Times are ms of the run. It may be
+// used concurrently.
 //
-// A unit is in where its process answers and, of a server, the list calls it ready; otherwise it is out. It was taken
-// out where it was told to end or the list calls it draining, and it failed where a fault of the lab's or its own end
-// came first. Only what is taken out can break a budget: what fails counts against it once it may be known.
+// A unit, which is a server or a sidecar, is in service while one of its processes is ready and, of a server, the endpoint
+// list has it as ready. A disruption is voluntary if the unit was told to terminate or the endpoint list has it as draining;
+// it is a failure if a fault or the unit's own end came first. Only a voluntary disruption can violate a budget. A failure
+// counts against the budget once controllers have had the time to detect it.
 type ControlPlaneChecker struct {
-	checker    *Checker
-	plan       *Plan
-	spec       *ControlPlaneSpec
-	units      map[string]*unitState
-	exclusions map[int]map[exclusionKey]interval // by sidecar: what it keeps off, since when and until when
-	copies     map[int][]KeyCopy                 // by sidecar
-	copyCount  map[KeyCopy]int                   // how many sidecars are told of each
-	coldWork   [coldWorkSlots]struct {
-		slot   int
-		workMS float64
-	}
-	exclusionCount    int
-	outsideHoursMS    float64        // ms
-	maxDisrupted      map[string]int // by kind
+	checker *Checker
+	plan    *Plan
+	spec    *ControlPlaneSpec
+	units   map[string]*unitState // by name
+
+	supervisorFaults []supervisorFault
+	maxDisrupted     map[string]int // by kind of unit: the most voluntary disruptions at a time
+
+	exclusions     map[int]map[exclusionKey]interval // by sidecar: since when and until when they hold
+	exclusionCount int
+	outsideHoursMS float64 // of exclusions
+
+	copies            map[int][]KeyCopy // by sidecar
+	copyCount         map[KeyCopy]int   // sidecars that have each
+	coldWork          [coldWorkSlots]coldWorkSlot
 	peakColdWorkMS    float64
-	lastColdViolation float64 // when the rule on it was broken last; before the run at the start
-	fleetCapacity     float64 // work that all servers do in a second, ms
-	supervisorFaults  []supervisorFault
+	lastColdViolation float64 // -Inf: none
+	fleetCapacity     float64 // of all servers, ms of standard work a second
+}
+
+// coldWorkSlot is the cold work of replicas within one slot of the window.
+type coldWorkSlot struct {
+	slot   int
+	workMS float64
 }
 
-// unitState is a unit as the judge sees it.
+// unitState is a unit as the checker knows it.
 type unitState struct {
 	name, kind, zone, serverKind string
-	processes                    map[string]*processState
-	endpointState                string // of a server, as the list has it; "": not at all
-	out                          bool
+	processes                    map[string]*processState // by incarnation
+	endpointState                string                   // of a server, in the endpoint list; "": it is not listed
+	out                          bool                     // it is not in service
 	outSince                     float64
-	voluntary                    bool
-	faultInterval                interval      // of the lab's, that befalls it
-	version                      string        // of the newest life
-	lastProcess                  *processState // that ended newest
+	voluntary                    bool     // it is out by a voluntary disruption
+	faultInterval                interval // of a fault that the run injects
+	version                      string   // of the newest process
+	lastProcess                  *processState
 	expected                     FinalStateSpec
 }
 
@@ -53,86 +74,76 @@
 type processState struct {
 	version     string
 	ready       bool
-	wasReady    bool // ready once
-	terminating bool
+	wasReady    bool // it was ready at some time
+	terminating bool // it was told to end
 }
 
-type exclusionKey struct {
-	tenant, server string
-}
-
-// supervisorFault is a time in which the platform itself does wrong, as the lab had it.
+// supervisorFault is a period in which the supervisor misbehaves.
 type supervisorFault struct {
 	interval
 	misbehaviour string
 }
 
-const (
-	coldWorkSlots = 20 // parts of the window in which cold work is counted
-	// hoursToleranceMS in ms is what the judge's own news may be late by.
-	hoursToleranceMS = 500
-)
-
-// Names of the states of the list.
-const (
-	listReady    = "Ready"
-	listDraining = "Terminating"
-)
-
-// NewControlPlaneChecker makes the judge of a run's control plane; what it finds is part of j's verdict.
-func NewControlPlaneChecker(p *Plan, j *Checker) *ControlPlaneChecker {
-	c := &ControlPlaneChecker{checker: j, plan: p, spec: p.Experiment.ControlPlane, units: map[string]*unitState{}, exclusions: map[int]map[exclusionKey]interval{}, copies: map[int][]KeyCopy{}, copyCount: map[KeyCopy]int{}, maxDisrupted: map[string]int{}, lastColdViolation: math.Inf(-1)}
-	expected := func(version string) FinalStateSpec { return FinalStateSpec{Version: version} }
+// NewControlPlaneChecker returns the checker of a run with the control plane. Violations are reported to the checker.
+func NewControlPlaneChecker(p *Plan, checker *Checker) *ControlPlaneChecker {
+	c := &ControlPlaneChecker{
+		checker: checker, plan: p, spec: p.Experiment.ControlPlane, units: map[string]*unitState{},
+		maxDisrupted: map[string]int{}, exclusions: map[int]map[exclusionKey]interval{},
+		copies: map[int][]KeyCopy{}, copyCount: map[KeyCopy]int{}, lastColdViolation: math.Inf(-1),
+	}
+	zones := p.Experiment.Zones
 	for i := range p.Servers {
-		s := &p.Servers[i]
-		c.fleetCapacity += 1000 * float64(s.Spec.Cores) * s.Speed
-		c.units[s.UID] = &unitState{
-			name: s.UID, kind: "server", zone: p.Experiment.Zones[s.Zone], serverKind: s.Spec.Kind, processes: map[string]*processState{}, out: true,
-			expected: expected(c.spec.ServerVersion),
+		server := &p.Servers[i]
+		c.fleetCapacity += 1000 * float64(server.Spec.Cores) * server.Speed
+		c.units[server.UID] = &unitState{
+			name: server.UID, kind: unitServer, zone: zones[server.Zone], serverKind: server.Spec.Kind,
+			processes: map[string]*processState{}, out: true, expected: FinalStateSpec{Version: c.spec.ServerVersion},
 		}
 	}
 	for i := range p.Sidecars {
-		s := &p.Sidecars[i]
-		c.units[s.Name] = &unitState{
-			name: s.Name, kind: "sidecar", zone: p.Experiment.Zones[s.Zone], processes: map[string]*processState{}, out: true,
-			expected: expected(c.spec.SidecarVersion),
+		sidecar := &p.Sidecars[i]
+		c.units[sidecar.Name] = &unitState{
+			name: sidecar.Name, kind: unitSidecar, zone: zones[sidecar.Zone],
+			processes: map[string]*processState{}, out: true, expected: FinalStateSpec{Version: c.spec.SidecarVersion},
 		}
 	}
-	for _, finalState := range c.spec.FinalStates {
-		serverIndexes, sidecarIndexes := p.MatchUnits(finalState.Target)
+	for _, state := range c.spec.FinalStates {
+		serverIndexes, sidecarIndexes := p.MatchUnits(state.Target)
 		for _, i := range serverIndexes {
-			c.units[p.Servers[i].UID].expected = finalState
+			c.units[p.Servers[i].UID].expected = state
 		}
 		for _, i := range sidecarIndexes {
-			c.units[p.Sidecars[i].Name].expected = finalState
+			c.units[p.Sidecars[i].Name].expected = state
 		}
 	}
 	return c
 }
 
-// update has a unit changed and then looked at, under the lock.
+// update changes the state of a unit and checks the budgets if the change took it out of service.
 func (c *ControlPlaneChecker) update(now float64, unit string, voluntary bool, change func(state *unitState)) {
 	c.checker.mu.Lock()
 	defer c.checker.mu.Unlock()
 	state := c.units[unit]
 	if state == nil {
-		return // none of the experiment's
+		return // no unit of the experiment
 	}
 	change(state)
-	inService := state.inService()
-	switch {
-	case inService:
+	if state.inService() {
 		state.out = false
-	case !state.out:
-		state.out, state.outSince = true, now
-		if state.voluntary = voluntary && !state.isFaulted(now); state.voluntary {
-			c.checkBudgets(now, state)
-			c.countDisrupted(state.kind)
-		}
+		return
+	}
+	if state.out {
+		return
+	}
+	state.out, state.outSince = true, now
+	state.voluntary = voluntary && !state.isFaulted(now)
+	if state.voluntary {
+		c.checkBudgets(now, state)
+		c.countDisrupted(state.kind)
 	}
 }
 
-// countDisrupted keeps the most units of a kind that were taken out at a time.
+// countDisrupted updates the most voluntary disruptions of a kind of units.
 func (c *ControlPlaneChecker) countDisrupted(kind string) {
 	count := 0
 	for _, state := range c.units {
@@ -143,25 +154,24 @@
 	c.maxDisrupted[kind] = max(c.maxDisrupted[kind], count)
 }
 
-// inService tells whether it serves.
 func (u *unitState) inService() bool {
-	if u.kind == "server" && u.endpointState != listReady {
+	if u.kind == unitServer && u.endpointState != listReady {
 		return false
 	}
-	for _, l := range u.processes {
-		if l.ready && !l.terminating {
+	for _, process := range u.processes {
+		if process.ready && !process.terminating {
 			return true
 		}
 	}
 	return false
 }
 
-// isFaulted tells whether a fault of the lab's befalls it.
+// isFaulted reports whether a fault of the run affects the unit.
 func (u *unitState) isFaulted(now float64) bool {
 	return now >= u.faultInterval.from && now <= u.faultInterval.to
 }
 
-// checkBudgets looks whether a unit that was taken out now may be.
+// checkBudgets checks the budgets that select a unit, which was just taken out of service.
 func (c *ControlPlaneChecker) checkBudgets(now float64, state *unitState) {
 	for i := range c.spec.Budgets {
 		budget := &c.spec.Budgets[i]
@@ -170,38 +180,47 @@
 		}
 		var names []string
 		for _, name := range slices.Sorted(maps.Keys(c.units)) {
-			other := c.units[name]
-			if other.out && budget.selects(other) && (other.voluntary || now-other.outSince > c.spec.DetectionMS) {
+			if other := c.units[name]; budget.selects(other) && c.countsAsOut(now, other) {
 				names = append(names, name)
 			}
 		}
 		if len(names) > budget.MaxOut {
-			c.checker.report(now, RuleDisruptionBudget, nil, fmt.Sprintf("%s is taken out, of %s then %d are out, at most %d may be: %s",
+			c.checker.report(now, RuleDisruptionBudget, nil, fmt.Sprintf(
+				"%s is taken out, of %s then %d are out, at most %d may be: %s",
 				state.name, budget.Name, len(names), budget.MaxOut, strings.Join(names, " ")))
 		}
 	}
 }
 
+// countsAsOut reports whether a unit counts against its budgets.
+func (c *ControlPlaneChecker) countsAsOut(now float64, state *unitState) bool {
+	return state.out && (state.voluntary || now-state.outSince > c.spec.DetectionMS)
+}
+
 func (b *BudgetSpec) selects(u *unitState) bool {
 	return b.Kind == u.kind && (b.Zone == "" || b.Zone == u.zone) && (b.ServerKind == "" || b.ServerKind == u.serverKind)
 }
 
-// ProcessStarted: a process of a unit has begun; life names it.
+// ProcessStarted records that a process of a unit has started. The incarnation identifies the process.
 func (c *ControlPlaneChecker) ProcessStarted(now float64, unit, incarnation, version string) {
 	c.update(now, unit, false, func(state *unitState) {
 		for _, name := range slices.Sorted(maps.Keys(state.processes)) {
 			if name != incarnation && !c.supervisorFaulted(now, "twice", "forget") {
-				c.checker.report(now, RuleDuplicateAction, nil, fmt.Sprintf("%s is started while its process %s still runs", unit, name))
+				c.checker.report(now, RuleDuplicateAction, nil,
+					fmt.Sprintf("%s is started while its process %s still runs", unit, name))
 			}
 		}
-		if last := state.lastProcess; last != nil && last.terminating && last.wasReady && last.version == version && !state.isFaulted(now) && !c.supervisorFaulted(now, "twice", "forget", "wrong") {
-			c.checker.report(now, RuleDuplicateAction, nil, fmt.Sprintf("%s was ready on version %s, was told to end and is started on it again", unit, version))
+		last := state.lastProcess
+		repeated := last != nil && last.terminating && last.wasReady && last.version == version
+		if repeated && !state.isFaulted(now) && !c.supervisorFaulted(now, "twice", "forget", "wrong") {
+			c.checker.report(now, RuleDuplicateAction, nil,
+				fmt.Sprintf("%s was ready on version %s, was told to end and is started on it again", unit, version))
 		}
 		state.processes[incarnation], state.version = &processState{version: version}, version
 	})
 }
 
-// ReadinessChanged: a process answers that it is, or that it is not any more.
+// ReadinessChanged records that a process answers that it is ready, or that it is not.
 func (c *ControlPlaneChecker) ReadinessChanged(now float64, unit, incarnation string, ready bool) {
 	c.update(now, unit, false, func(state *unitState) {
 		if process := state.processes[incarnation]; process != nil {
@@ -210,7 +229,7 @@
 	})
 }
 
-// TerminationRequested: a process has been told to end.
+// TerminationRequested records that a process was told to end.
 func (c *ControlPlaneChecker) TerminationRequested(now float64, unit, incarnation string) {
 	c.update(now, unit, !c.supervisorFaulted(now, "wrong"), func(state *unitState) {
 		if process := state.processes[incarnation]; process != nil {
@@ -219,7 +238,7 @@
 	})
 }
 
-// ProcessExited: a process has ended.
+// ProcessExited records that a process has ended.
 func (c *ControlPlaneChecker) ProcessExited(now float64, unit, incarnation string) {
 	c.update(now, unit, false, func(state *unitState) {
 		if process := state.processes[incarnation]; process != nil {
@@ -229,17 +248,19 @@
 	})
 }
 
-// EndpointStateChanged: the list has a server in this state; "" is not at all.
+// EndpointStateChanged records the state that the endpoint list has of a server; "" means that it is not listed.
 func (c *ControlPlaneChecker) EndpointStateChanged(now float64, unit, state string) {
-	c.update(now, unit, state == listDraining, func(unitState *unitState) { unitState.endpointState = state })
+	c.update(now, unit, state == listDraining, func(server *unitState) { server.endpointState = state })
 }
 
-// FaultInjected: the lab itself does something to a unit, which may be out for it within this time.
+// FaultInjected records that the run itself affects a unit within a period.
 func (c *ControlPlaneChecker) FaultInjected(unit string, from, to float64) {
-	c.update(from, unit, false, func(state *unitState) { state.faultInterval = interval{from, max(to, state.faultInterval.to)} })
+	c.update(from, unit, false, func(state *unitState) {
+		state.faultInterval = interval{from, max(to, state.faultInterval.to)}
+	})
 }
 
-// SupervisorFault: within this time the platform itself does wrong, in the way of its fault.
+// SupervisorFault records that the run has the supervisor misbehave within a period.
 func (c *ControlPlaneChecker) SupervisorFault(misbehaviour string, from, to float64) {
 	c.checker.mu.Lock()
 	defer c.checker.mu.Unlock()
@@ -248,13 +269,14 @@
 	}
 }
 
+// supervisorFaulted reports whether the supervisor misbehaves in one of the given ways now.
 func (c *ControlPlaneChecker) supervisorFaulted(now float64, misbehaviours ...string) bool {
 	return slices.ContainsFunc(c.supervisorFaults, func(fault supervisorFault) bool {
 		return now >= fault.from && now <= fault.to && slices.Contains(misbehaviours, fault.misbehaviour)
 	})
 }
 
-// Finish ends the run: all units have to stand as they should.
+// Finish ends the run. All units have to be in their expected state.
 func (c *ControlPlaneChecker) Finish(now float64) {
 	c.checker.mu.Lock()
 	defer c.checker.mu.Unlock()
@@ -265,28 +287,33 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.units)) {
-		state := c.units[name]
-		if state.isFaulted(now) {
-			continue
-		}
-		switch {
-		case state.expected.Removed && len(state.processes) > 0:
-			c.checker.report(now, RuleFinalState, nil, name+" still runs, and should be gone")
-		case state.expected.Removed:
-		case state.out:
-			c.checker.report(now, RuleFinalState, nil, fmt.Sprintf("%s is out since %.0f ms, %s", name, state.outSince, state.describe()))
-		case state.version != state.expected.Version && !c.spec.AllowMixedVersions:
-			c.checker.report(now, RuleFinalState, nil, fmt.Sprintf("%s is on version %s, and should be on %s", name, state.version, state.expected.Version))
+		if state := c.units[name]; !state.isFaulted(now) {
+			c.checkFinalState(now, state)
 		}
 	}
 }
 
-// describe says in what state a unit that is out is.
+// checkFinalState checks that a unit is in its expected state.
+func (c *ControlPlaneChecker) checkFinalState(now float64, state *unitState) {
+	switch {
+	case state.expected.Removed && len(state.processes) > 0:
+		c.checker.report(now, RuleFinalState, nil, state.name+" still runs, and should be gone")
+	case state.expected.Removed:
+	case state.out:
+		c.checker.report(now, RuleFinalState, nil,
+			fmt.Sprintf("%s is out since %.0f ms, %s", state.name, state.outSince, state.describe()))
+	case state.version != state.expected.Version && !c.spec.AllowMixedVersions:
+		c.checker.report(now, RuleFinalState, nil, fmt.Sprintf(
+			"%s is on version %s, and should be on %s", state.name, state.version, state.expected.Version))
+	}
+}
+
+// describe says why a unit is out of service.
 func (u *unitState) describe() string {
 	switch {
 	case len(u.processes) == 0:
 		return "no process of it runs"
-	case u.kind == "server" && u.endpointState != listReady:
+	case u.kind == unitServer && u.endpointState != listReady:
 		return fmt.Sprintf("the list has it as %q", u.endpointState)
 	default:
 		return "its process does not answer that it is ready"
--- a/internal/lab/control_checker_published.go
+++ b/internal/lab/control_checker_published.go
@@ -7,47 +7,50 @@
 	"strings"
 )
 
-// Exclusion is a server that sidecars of a tenant are told to keep off, and until when.
+// Exclusion is a server that sidecars of a tenant do not use, and until when.
 type Exclusion struct {
 	Tenant, Server string
 	Until          float64
 }
 
-// ExclusionsPublished: a sidecar's agent has this to tell it of servers that it keeps off, in place of all before.
+type exclusionKey struct {
+	tenant, server string
+}
+
+// ExclusionsPublished records the exclusions that the agent of a sidecar publishes to it, in place of those before.
 func (c *ControlPlaneChecker) ExclusionsPublished(now float64, sidecar int, exclusions []Exclusion) {
 	c.checker.mu.Lock()
 	defer c.checker.mu.Unlock()
 	previous := c.exclusions[sidecar]
-	for _, exclusion := range exclusions {
-		if _, known := previous[exclusionKey{exclusion.Tenant, exclusion.Server}]; !known {
-			c.exclusionCount++
-		}
-	}
 	next := map[exclusionKey]interval{}
 	for _, exclusion := range exclusions {
 		key := exclusionKey{exclusion.Tenant, exclusion.Server}
+		before, known := previous[key]
+		if !known {
+			c.exclusionCount++
+		}
 		from := now
-		if excluded, ok := previous[key]; ok && excluded.to >= now {
-			from = excluded.from
+		if known && before.to >= now {
+			from = before.from
 		}
 		next[key] = interval{from, exclusion.Until}
 	}
 	for _, key := range sortedExclusions(previous) {
-		excluded := previous[key]
+		ended := previous[key]
 		if renewed, stays := next[key]; !stays || renewed.from == now {
-			c.checkHours(now, sidecar, key, interval{excluded.from, min(excluded.to, now)})
+			c.checkHours(now, sidecar, key, interval{ended.from, min(ended.to, now)})
 		}
 	}
 	c.exclusions[sidecar] = next
 }
 
-func sortedExclusions(m map[exclusionKey]interval) []exclusionKey {
-	return slices.SortedFunc(maps.Keys(m), func(a, b exclusionKey) int {
+func sortedExclusions(exclusions map[exclusionKey]interval) []exclusionKey {
+	return slices.SortedFunc(maps.Keys(exclusions), func(a, b exclusionKey) int {
 		return strings.Compare(a.tenant+"\x00"+a.server, b.tenant+"\x00"+b.server)
 	})
 }
 
-// checkHours looks whether a time in which a tenant was kept off lies within its approved hours, which may adjoin.
+// checkHours checks that an exclusion lay within the approved hours of its tenant, which may adjoin.
 func (c *ControlPlaneChecker) checkHours(now float64, sidecar int, key exclusionKey, excluded interval) {
 	coveredUntil := excluded.from
 	hours := slices.Clone(c.spec.MaintenanceHours)
@@ -59,23 +62,25 @@
 	}
 	c.outsideHoursMS += max(0, excluded.to-coveredUntil)
 	if coveredUntil+hoursToleranceMS < excluded.to {
-		c.checker.report(now, RuleMaintenanceHours, nil, fmt.Sprintf("sidecar %d is told to keep %s off %s from %.0f to %.0f ms, outside its hours from %.0f ms on",
+		c.checker.report(now, RuleMaintenanceHours, nil, fmt.Sprintf(
+			"sidecar %d is told to keep %s off %s from %.0f to %.0f ms, outside its hours from %.0f ms on",
 			sidecar, key.tenant, key.server, excluded.from, excluded.to, coveredUntil))
 	}
 }
 
-// KeyCopy is a server that sidecars are told to send a key to, beside the key's own.
+// KeyCopy is a server that sidecars send a hot key to, beside the key's own server.
 type KeyCopy struct {
 	Key    uint64 // as sidecars hash it
 	Server string
 }
 
-// CopiesPublished: a sidecar's agent has these copies to tell it of, in place of all before.
+// CopiesPublished records the copies that the agent of a sidecar publishes to it, in place of those before.
 func (c *ControlPlaneChecker) CopiesPublished(sidecar int, copies []KeyCopy) {
 	c.checker.mu.Lock()
 	defer c.checker.mu.Unlock()
 	for _, keyCopy := range c.copies[sidecar] {
-		if c.copyCount[keyCopy]--; c.copyCount[keyCopy] <= 0 {
+		c.copyCount[keyCopy]--
+		if c.copyCount[keyCopy] <= 0 {
 			delete(c.copyCount, keyCopy)
 		}
 	}
@@ -85,8 +90,7 @@
 	c.copies[sidecar] = copies
 }
 
-// WorkDone: a server has done work for a key, cold where that was not warm there. Only what a copy does cold is the
-// spreader's.
+// WorkDone records work of a server for a key in ms, cold if the key was not in its cache. Only cold work of copies counts.
 func (c *ControlPlaneChecker) WorkDone(now float64, unit string, key uint64, workMS float64, coldCache bool) {
 	windowMS := 1000 * c.spec.ColdWork.WindowS
 	if windowMS == 0 || !coldCache {
@@ -97,37 +101,51 @@
 	if c.copyCount[KeyCopy{key, unit}] == 0 {
 		return
 	}
-	slot := int(now / windowMS * coldWorkSlots)
+	sum := c.addColdWork(int(now/windowMS*coldWorkSlots), workMS)
+	c.peakColdWorkMS = max(c.peakColdWorkMS, sum)
+	limit := c.coldWorkLimitMS()
+	if sum > limit && now > c.lastColdViolation+windowMS {
+		c.lastColdViolation = now // one violation per window: the work in it is the same
+		c.checker.report(now, RuleHotKeyCost, nil, fmt.Sprintf(
+			"within %.1f s copies did %.0f ms of work for keys that were not warm there, at most %.0f may be",
+			c.spec.ColdWork.WindowS, sum, limit))
+	}
+}
+
+// addColdWork adds cold work to a slot and returns the sum of the window that ends with it.
+func (c *ControlPlaneChecker) addColdWork(slot int, workMS float64) float64 {
 	current := &c.coldWork[((slot%coldWorkSlots)+coldWorkSlots)%coldWorkSlots]
 	if current.slot != slot {
-		current.slot, current.workMS = slot, 0
+		*current = coldWorkSlot{slot: slot}
 	}
 	current.workMS += workMS
 	sum := 0.0
-	for _, part := range c.coldWork {
-		if part.slot > slot-coldWorkSlots {
-			sum += part.workMS
+	for _, other := range c.coldWork {
+		if other.slot > slot-coldWorkSlots {
+			sum += other.workMS
 		}
 	}
-	c.peakColdWorkMS = max(c.peakColdWorkMS, sum)
-	if limit := c.spec.ColdWork.MaxShare * c.fleetCapacity * c.spec.ColdWork.WindowS; sum > limit && now > c.lastColdViolation+windowMS {
-		c.lastColdViolation = now // one for each window: the work in it is the same
-		c.checker.report(now, RuleHotKeyCost, nil, fmt.Sprintf("within %.1f s copies did %.0f ms of work for keys that were not warm there, at most %.0f may be",
-			c.spec.ColdWork.WindowS, sum, limit))
-	}
+	return sum
+}
+
+// coldWorkLimitMS is the cold work that copies may do within a window.
+func (c *ControlPlaneChecker) coldWorkLimitMS() float64 {
+	return c.spec.ColdWork.MaxShare * c.fleetCapacity * c.spec.ColdWork.WindowS
 }
 
-// Metrics are what the judge has measured: how often a sidecar was told to begin to keep off a server, for how many seconds
-// it was told to outside its tenant's hours, the most cold work of copies against its budget, and the most servers and
-// sidecars that were out at a time of those that somebody took out.
+// Metrics returns what was measured, by the names that results have: how often a sidecar got a new exclusion, for how many
+// seconds exclusions held outside the hours of their tenants, the most servers and sidecars that were disrupted voluntarily
+// at a time, and the peak of cold work against its limit.
 func (c *ControlPlaneChecker) Metrics() map[string]float64 {
 	c.checker.mu.Lock()
 	defer c.checker.mu.Unlock()
 	metrics := map[string]float64{
-		"kept_off": float64(c.exclusionCount), "kept_off_outside_s": roundMicros(c.outsideHoursMS / 1000),
-		"most_servers_out": float64(c.maxDisrupted["server"]), "most_sidecars_out": float64(c.maxDisrupted["sidecar"]),
+		"kept_off":           float64(c.exclusionCount),
+		"kept_off_outside_s": roundMicros(c.outsideHoursMS / 1000),
+		"most_servers_out":   float64(c.maxDisrupted[unitServer]),
+		"most_sidecars_out":  float64(c.maxDisrupted[unitSidecar]),
 	}
-	if limit := c.spec.ColdWork.MaxShare * c.fleetCapacity * c.spec.ColdWork.WindowS; limit > 0 {
+	if limit := c.coldWorkLimitMS(); limit > 0 {
 		metrics["cold_work_of_budget"] = roundMicros(c.peakColdWorkMS / limit)
 	}
 	return metrics
--- /dev/null
+++ b/internal/lab/control_spec.go
@@ -0,0 +1,136 @@
+package lab
+
+import "slices"
+
+// ControlPlaneSpec has an experiment played with the control plane. Servers and sidecars are processes that the emulator's
+// supervisor starts, and controllers act on them. The emulator starts the initial processes, sends the load, injects faults
+// and checks the rules.
+type ControlPlaneSpec struct {
+	ServerVersion      string                 `toml:"server_version"`  // version that servers start on
+	SidecarVersion     string                 `toml:"sidecar_version"` // version that sidecars start on
+	DetectionMS        float64                `toml:"sight_ms"`        // how long controllers may be unaware of a failure
+	AllowMixedVersions bool                   `toml:"mixed"`           // units of one kind may end on several versions
+	Versions           []VersionSpec          `toml:"version"`
+	Controllers        []ControllerSpec       `toml:"controller"`
+	Steps              []StepSpec             `toml:"step"`
+	Budgets            []BudgetSpec           `toml:"budget"`
+	MaintenanceHours   []MaintenanceHoursSpec `toml:"hours"`
+	FinalStates        []FinalStateSpec       `toml:"end"`
+	Tenants            []TenantSpec           `toml:"tenant"`
+	ColdWork           ColdWorkSpec           `toml:"spread"`
+}
+
+// Kinds of the units that the control plane acts on.
+const (
+	unitServer  = "server"
+	unitSidecar = "sidecar"
+)
+
+// VersionSpec is a version of servers or sidecars that the supervisor can run.
+type VersionSpec struct {
+	Name        string     `toml:"name"`
+	Kind        string     `toml:"kind"`     // "server" or "sidecar"
+	MaxRestarts int        `toml:"restarts"` // by the supervisor itself
+	GraceMS     int64      `toml:"grace_ms"` // from SIGTERM to SIGKILL; 0: the supervisor's default
+	Regression  Regression `toml:"harm"`     // of servers
+}
+
+// ControllerSpec is a process of this program that acts on the fleet. Args and Config may hold placeholders: {replicas} for
+// the addresses of the registry with commas between, {list} for the same as a TOML array, {supervisor}, {listen} and {name}
+// for the supervisor's address, the controller's own address and its name, {at:NAME} for another controller's address,
+// {server:N} for a server's UID, {dir} for a directory of its own and {config} for the path of its configuration file.
+type ControllerSpec struct {
+	Name            string   `toml:"name"`
+	Args            []string `toml:"args"`
+	Config          string   `toml:"config"`
+	ReadyLine       string   `toml:"ready"`   // what it logs once it is ready; "": msg=serves
+	AtS             float64  `toml:"at_s"`    // when it is started; 0: before the load
+	ReceivesReports bool     `toml:"reports"` // agents forward load reports of sidecars to it
+}
+
+// Actions of a StepSpec that run no command.
+const (
+	actionStop    = "stop"
+	actionStart   = "start"
+	actionRestart = "restart"
+	actionDrain   = "drain"
+	actionCopies  = "copies"
+)
+
+// StepSpec is what an operator does during the run: a command of this program, with the placeholders of ControllerSpec and
+// {file}, or an action that bypasses the controllers.
+type StepSpec struct {
+	AtS        float64  `toml:"at_s"`
+	Args       []string `toml:"args"`
+	File       string   `toml:"file"`   // contents of the file that {file} names
+	ExitStatus int      `toml:"status"` // that the command has to end with
+	Action     string   `toml:"do"`     // on Target: stop, start or restart at the supervisor, drain in the registry, or copies of all keys placed there
+	Target     string   `toml:"target"`
+}
+
+// BudgetSpec bounds how many of the units that it selects may be unavailable at a time, for RuleDisruptionBudget. The ledger
+// is configured with it before the run.
+type BudgetSpec struct {
+	Name         string `toml:"name"`
+	Kind         string `toml:"kind"` // "server" or "sidecar"
+	Zone         string `toml:"zone"` // "": all zones
+	ServerKind   string `toml:"of"`   // "": all kinds of servers
+	MaxOut       int    `toml:"most"`
+	LedgerMaxOut *int   `toml:"told"` // what the ledger is configured with in place of MaxOut, to test the checker
+}
+
+// MaintenanceHoursSpec is a period in which a tenant may be excluded from servers, for RuleMaintenanceHours.
+type MaintenanceHoursSpec struct {
+	Tenant string  `toml:"tenant"`
+	FromS  float64 `toml:"from_s"`
+	ToS    float64 `toml:"to_s"`
+}
+
+// FinalStateSpec states how units have to be at the end of the run, for RuleFinalState. Units without one have to be as at
+// the start.
+type FinalStateSpec struct {
+	Target  string `toml:"target"`
+	Version string `toml:"version"`
+	Removed bool   `toml:"gone"`
+}
+
+// TenantSpec assigns sidecars to a tenant.
+type TenantSpec struct {
+	Name   string `toml:"name"`
+	Target string `toml:"target"`
+}
+
+// ColdWorkSpec bounds the work that replicas of hot keys do for keys they have not cached, for RuleHotKeyCost: within any
+// window at most a share of what all servers can do.
+type ColdWorkSpec struct {
+	WindowS  float64 `toml:"window_s"` // 0: no bound
+	MaxShare float64 `toml:"most"`
+}
+
+// MatchUnits returns the indexes of the servers and sidecars that a target of the control plane names.
+func (p *Plan) MatchUnits(text string) (serverIndexes, sidecarIndexes []int) {
+	target, err := parseTarget(text, p.Experiment)
+	if err != nil {
+		return nil, nil // targets were validated when the experiment was read
+	}
+	if target.parties&partyServers != 0 {
+		serverIndexes = p.matchServers(target)
+	}
+	if target.parties&partySidecars != 0 {
+		sidecarIndexes = p.matchSidecars(target)
+	}
+	return serverIndexes, sidecarIndexes
+}
+
+// Tenant returns the tenant of a sidecar, or "" if it has none.
+func (p *Plan) Tenant(sidecar int) string {
+	if !p.Experiment.HasControlPlane() {
+		return ""
+	}
+	for _, tenant := range p.Experiment.ControlPlane.Tenants {
+		if _, indexes := p.MatchUnits(tenant.Target); slices.Contains(indexes, sidecar) {
+			return tenant.Name
+		}
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/lab/fault_validate.go
@@ -0,0 +1,176 @@
+package lab
+
+import (
+	"slices"
+	"strings"
+)
+
+const (
+	maxSteps     = 1000 // of a rolling replacement or restart
+	maxCallCount = 1000 // of a fault of the supervisor
+)
+
+// Values of FaultSpec.Direction; "" is the same as both.
+const (
+	directionBoth  = "both"
+	directionThere = "there" // from the first to the second of Between
+	directionBack  = "back"
+)
+
+// Targets of faults that affect no group of parties.
+const (
+	targetDiscovery  = "discovery"
+	targetSupervisor = "supervisor"
+)
+
+// validate checks the entry of a fault, whose key in the file is given.
+func (f *FaultSpec) validate(e *Experiment, key string, v *validator) {
+	requirements, known := requirementsByFault[FaultKind(f.Kind)]
+	if !known {
+		v.reportf(key+".kind", "unknown fault %q, there are %s", f.Kind, strings.Join(FaultKinds(), ", "))
+		return
+	}
+	if !(f.AtS >= 0 && f.AtS <= e.DurationS) {
+		v.reportf(key+".at_s", "%v is not within the run of %v s", f.AtS, e.DurationS)
+	}
+	if !(f.DurationS >= 0 && f.DurationS <= maxDurationS) {
+		v.reportf(key+".for_s", "%v is not a duration", f.DurationS)
+	}
+	if !(f.Share >= 0 && f.Share <= 1) {
+		v.reportf(key+".share", "%v is not a share", f.Share)
+	}
+	if f.Steps < 0 || f.Steps > maxSteps {
+		v.reportf(key+".steps", "%d is not within 0 to %d", f.Steps, maxSteps)
+	}
+	f.validateRequired(requirements, key, v)
+	if f.validateEnvironment(e, key, v) {
+		f.validateTarget(e, requirements, key, v)
+	}
+}
+
+// validateRequired checks the fields that the kind of fault needs.
+func (f *FaultSpec) validateRequired(requirements faultRequirements, key string, v *validator) {
+	if requirements.duration && f.DurationS == 0 {
+		v.reportf(key+".for_s", "%s needs a duration", f.Kind)
+	}
+	if requirements.probability && !(f.Probability > 0 && f.Probability <= 1) {
+		v.reportf(key+".part", "%s needs a part within 0 to 1", f.Kind)
+	}
+	if requirements.share && f.Share == 0 {
+		v.reportf(key+".share", "%s needs a share", f.Kind)
+	}
+	if requirements.factor && !(f.Factor >= 1 && f.Factor <= 1e4) {
+		v.reportf(key+".by", "%s needs a factor within 1 to 10000", f.Kind)
+	}
+	if requirements.delay && !(f.DelayMS > 0 && f.DelayMS <= maxDelayMS) {
+		v.reportf(key+".ms", "%s needs milliseconds within 0 to 60000", f.Kind)
+	}
+}
+
+// validateEnvironment checks that the experiment has the components that the fault affects.
+func (f *FaultSpec) validateEnvironment(e *Experiment, key string, v *validator) bool {
+	kind := FaultKind(f.Kind)
+	fromRegistry := e.Discovery.Source == DiscoveryRegistry
+	switch {
+	case f.isOfControlPlane(e):
+		return true
+	case kind == FaultSupervisor:
+		v.reportf(key+".kind", "%s needs [control]", f.Kind)
+	case IsHotKeyFault(kind) && (e.HotKeys == nil || !e.HotKeys.Enabled):
+		v.reportf(key+".kind", "%s needs [spread] with on = true", f.Kind)
+	case kind == FaultRegistryDown && !fromRegistry:
+		v.reportf(key+".kind", "%s needs discovery.source = \"registry\"", f.Kind)
+	case fromRegistry && needsLabDiscovery(kind):
+		v.reportf(key+".kind", "%s needs discovery.source = \"lab\"", f.Kind)
+	default:
+		return true
+	}
+	return false
+}
+
+// isOfControlPlane reports whether the fault is one of the supervisor or partitions a replica of the registry.
+func (f *FaultSpec) isOfControlPlane(e *Experiment) bool {
+	kind := FaultKind(f.Kind)
+	return e.HasControlPlane() && (kind == FaultSupervisor || kind == FaultPartition && f.Target != "")
+}
+
+// needsLabDiscovery reports whether a fault can be played with the emulator's stand-in for the registry only.
+func needsLabDiscovery(kind FaultKind) bool {
+	switch kind {
+	case FaultPartition, FaultDiscoveryDown, FaultDiscoveryDelay, FaultDiscoveryFalseRemoval:
+		return true
+	default:
+		return false
+	}
+}
+
+// validateTarget checks whom the fault affects.
+func (f *FaultSpec) validateTarget(e *Experiment, requirements faultRequirements, key string, v *validator) {
+	switch {
+	case f.isOfControlPlane(e) && FaultKind(f.Kind) == FaultPartition:
+		f.validatePartitionedReplica(e, key, v)
+	case f.isOfControlPlane(e):
+		f.validateSupervisorFault(key, v)
+	case requirements.parties == partyLinks:
+		f.validateLinks(e, key, v)
+	case requirements.parties != partyNone:
+		f.validateParties(e, requirements, key, v)
+	case f.Target != "" && f.Target != targetDiscovery:
+		v.reportf(key+".target", "%s befalls discovery, not %q", f.Kind, f.Target)
+	}
+}
+
+// validateParties checks that the target names parties that the fault can affect.
+func (f *FaultSpec) validateParties(e *Experiment, requirements faultRequirements, key string, v *validator) {
+	target, err := parseTarget(f.Target, e)
+	if err != nil {
+		v.reportf(key+".target", "%w", err)
+		return
+	}
+	// With the control plane, processes of servers are not frozen.
+	freezesServer := FaultKind(f.Kind) == FaultFreeze && target.parties&partyServers != 0
+	if target.parties&requirements.parties == 0 || e.HasControlPlane() && freezesServer {
+		v.reportf(key+".target", "%s cannot befall %q", f.Kind, f.Target)
+	}
+}
+
+func (f *FaultSpec) validateLinks(e *Experiment, key string, v *validator) {
+	if len(f.Between) != 2 {
+		v.reportf(key+".between", "%s needs two parties or groups", f.Kind)
+		return
+	}
+	for _, party := range f.Between {
+		if _, err := parseTarget(party, e); err != nil {
+			v.reportf(key+".between", "%w", err)
+		}
+	}
+	if f.Direction != "" {
+		v.oneOf(key+".direction", f.Direction, directionBoth, directionThere, directionBack)
+	}
+}
+
+func (f *FaultSpec) validatePartitionedReplica(e *Experiment, key string, v *validator) {
+	target, err := parseControlPlaneTarget(f.Target, e)
+	if err != nil {
+		v.reportf(key+".target", "%w", err)
+		return
+	}
+	if target.parties != partyReplicas {
+		v.reportf(key+".target", "of targets only replicas can be cut off, not %q", f.Target)
+	}
+}
+
+func (f *FaultSpec) validateSupervisorFault(key string, v *validator) {
+	if !slices.Contains(SupervisorMisbehaviours, f.Misbehaviour) {
+		v.reportf(key+".what", "%q is none of %s", f.Misbehaviour, strings.Join(SupervisorMisbehaviours, ", "))
+	}
+	if f.Operation != "" {
+		v.oneOf(key+".on", f.Operation, "do", "list")
+	}
+	if f.CallCount < 0 || f.CallCount > maxCallCount {
+		v.reportf(key+".count", "%d is not within 0 to %d", f.CallCount, maxCallCount)
+	}
+	if f.Target != "" && f.Target != targetSupervisor {
+		v.reportf(key+".target", "%s befalls the supervisor, not %q", f.Kind, f.Target)
+	}
+}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -1,277 +1,151 @@
 package lab
 
 import (
-	"fmt"
 	"maps"
 	"math/rand/v2"
 	"slices"
-	"strconv"
-	"strings"
 )
 
-// FaultKind says what a fault does; the comments name the fields of FaultSpec that count beside AtS and DurationS.
+// FaultKind names a kind of fault.
 type FaultKind string
 
-// The faults. Unless it says otherwise, what a fault has broken is whole again after DurationS.
+// The kinds of faults. The comments name the fields of FaultSpec that a kind uses beside AtS and DurationS. Unless stated
+// otherwise, the effect of a fault ends after DurationS.
 const (
-	FaultKill                  FaultKind = "kill"           // Target, Share: ends at once; starts anew after DurationS, a server cold
-	FaultFreeze                FaultKind = "freeze"         // Target, Share: stopped and continued, as by SIGSTOP and SIGCONT
-	FaultRestart               FaultKind = "restart"        // Target, Share, Steps: as by SIGTERM; a server drains and comes back cold
-	FaultReload                FaultKind = "reload"         // Target, Share: sidecars get SIGHUP, and discovery moves
-	FaultSlow                  FaultKind = "slow"           // Target, Share, By: servers are slower by a factor
-	FaultErrors                FaultKind = "errors"         // Target, Share, Part: servers fail requests at once
-	FaultNoResponse            FaultKind = "silent"         // Target, Share: servers take requests and say nothing
+	FaultKill                  FaultKind = "kill"           // Target, Share: the process is killed; it is started again after DurationS, a server with a slow start
+	FaultFreeze                FaultKind = "freeze"         // Target, Share: the process is stopped and continued, as by SIGSTOP and SIGCONT
+	FaultRestart               FaultKind = "restart"        // Target, Share, Steps: graceful restart, as by SIGTERM; servers drain and come back with a slow start
+	FaultReload                FaultKind = "reload"         // Target, Share: sidecars get SIGHUP, and the address of discovery changes
+	FaultSlow                  FaultKind = "slow"           // Target, Share, Factor: servers are slower by a factor
+	FaultErrors                FaultKind = "errors"         // Target, Share, Probability: servers fail requests without doing their work
+	FaultNoResponse            FaultKind = "silent"         // Target, Share: servers accept requests and never respond
 	FaultConnectionRefused     FaultKind = "refused"        // Target, Share: servers refuse connections
-	FaultReset                 FaultKind = "reset"          // Target, Share, Part: connections break after the request has run
-	FaultCorruptResponse       FaultKind = "spoilt"         // Target, Share, Part: answers are noise; the request has run
-	FaultPartition             FaultKind = "cut"            // Between, Direction: nothing passes
-	FaultDelay                 FaultKind = "delay"          // Between, Direction, MS: all takes longer
-	FaultPacketLoss            FaultKind = "loss"           // Between, Direction, Part: requests or answers are lost
-	FaultZoneOutage            FaultKind = "zone-lost"      // Target (zone:X): its servers vanish and come back cold
-	FaultDiscoveryDown         FaultKind = "discovery-down" // nothing is told
-	FaultDiscoveryDelay        FaultKind = "discovery-late" // MS: all is told so much later
-	FaultDiscoveryFalseRemoval FaultKind = "discovery-bad"  // Share: so many running servers are listed as gone
-	FaultRegistryDown          FaultKind = "registry-down"  // all replicas of the list service are killed, and started again
-	FaultRollingReplacement    FaultKind = "roll"           // Target, Share, Steps, Reuse: servers are replaced by new ones, cold
-	FaultDescriptorExhaustion  FaultKind = "descriptors"    // Target, Share: idle connections fill the sidecars' descriptors
-	FaultHotKeyControllerDown  FaultKind = "decider-down"   // nobody decides which keys are spread; its successor goes on from the placement
-	FaultLoadReportLoss        FaultKind = "reports-lost"   // Part: so many of the sidecars' reports are lost
-	FaultFalseLoadReports      FaultKind = "reports-lie"    // Target, Share: sidecars report heat of keys that nobody asks for
-	FaultSupervisor            FaultKind = "platform"       // What, On, Count: the platform that starts and stops processes does wrong
+	FaultReset                 FaultKind = "reset"          // Target, Share, Probability: connections are reset after the request was executed
+	FaultCorruptResponse       FaultKind = "spoilt"         // Target, Share, Probability: responses are corrupt; the request was executed
+	FaultPartition             FaultKind = "cut"            // Between, Direction: a network partition, nothing passes
+	FaultDelay                 FaultKind = "delay"          // Between, Direction, DelayMS: messages take longer
+	FaultPacketLoss            FaultKind = "loss"           // Between, Direction, Probability: requests or responses are lost
+	FaultZoneOutage            FaultKind = "zone-lost"      // Target (zone:X): its servers vanish and come back with a slow start
+	FaultDiscoveryDown         FaultKind = "discovery-down" // no sidecar is notified of any change
+	FaultDiscoveryDelay        FaultKind = "discovery-late" // DelayMS: notifications arrive later
+	FaultDiscoveryFalseRemoval FaultKind = "discovery-bad"  // Share: running servers are listed as removed
+	FaultRegistryDown          FaultKind = "registry-down"  // all replicas of the registry are killed and started again
+	FaultRollingReplacement    FaultKind = "roll"           // Target, Share, Steps, ReuseAddresses: servers are replaced by new ones, with a slow start
+	FaultDescriptorExhaustion  FaultKind = "descriptors"    // Target, Share: idle connections exhaust the sidecars' file descriptors
+	FaultHotKeyControllerDown  FaultKind = "decider-down"   // the hot-key controller is down; its successor continues from the placement
+	FaultLoadReportLoss        FaultKind = "reports-lost"   // Probability: load reports of sidecars are lost
+	FaultFalseLoadReports      FaultKind = "reports-lie"    // Target, Share: sidecars report load of keys that nobody requests
+	FaultSupervisor            FaultKind = "platform"       // Misbehaviour, Operation, CallCount: the supervisor misbehaves
 )
 
-// partyMask says which parties a kind of fault can befall.
-type partyMask uint16
-
-const (
-	partyServers partyMask = 1 << iota
-	partySidecars
-	partyZones
-	partyLinks
-	partyNone
-	partyReplicas // of the list service
-	partyAgents
-	partyControllers
-	partySupervisor
-
-	// partyControlPlane are the processes of the control plane that can be killed; with the platform all that it has started would
-	// end, so that one can only be frozen.
-	partyControlPlane = partyReplicas | partyAgents | partyControllers
-)
+// IsHotKeyFault reports whether a fault affects the hot-key controller or its input.
+func IsHotKeyFault(kind FaultKind) bool {
+	return kind == FaultHotKeyControllerDown || kind == FaultLoadReportLoss || kind == FaultFalseLoadReports
+}
 
-// faultRequirements is what a kind of fault wants of its entry.
+// faultRequirements are what a kind of fault needs of its entry.
 type faultRequirements struct {
-	parties        partyMask
-	requiredFields string // of "for part by ms", those that it wants
+	parties partyMask // that it can affect
+
+	duration, probability, share, factor, delay bool // fields that have to be set
 }
 
 var requirementsByFault = map[FaultKind]faultRequirements{
-	FaultKill: {partyServers | partySidecars | partyControlPlane, ""}, FaultFreeze: {partyServers | partySidecars | partyControlPlane | partySupervisor, "for"}, FaultRestart: {partyServers | partySidecars, ""},
-	FaultReload: {partySidecars, ""}, FaultSlow: {partyServers, "for by"}, FaultErrors: {partyServers, "for part"}, FaultNoResponse: {partyServers, "for"},
-	FaultConnectionRefused: {partyServers, "for"}, FaultReset: {partyServers, "for part"}, FaultCorruptResponse: {partyServers, "for part"},
-	FaultPartition: {partyLinks, "for"}, FaultDelay: {partyLinks, "for ms"}, FaultPacketLoss: {partyLinks, "for part"}, FaultZoneOutage: {partyZones, "for"},
-	FaultDiscoveryDown: {partyNone, "for"}, FaultDiscoveryDelay: {partyNone, "for ms"}, FaultDiscoveryFalseRemoval: {partyNone, "for share"},
-	FaultHotKeyControllerDown: {partyNone, "for"}, FaultLoadReportLoss: {partyNone, "for part"}, FaultFalseLoadReports: {partySidecars, "for"},
-	FaultRegistryDown: {partyNone, "for"}, FaultSupervisor: {partyNone, ""}, FaultRollingReplacement: {partyServers, "for"}, FaultDescriptorExhaustion: {partySidecars, "for"},
+	FaultKill:                  {parties: partyServers | partySidecars | partyControlPlane},
+	FaultFreeze:                {parties: partyServers | partySidecars | partyControlPlane | partySupervisor, duration: true},
+	FaultRestart:               {parties: partyServers | partySidecars},
+	FaultReload:                {parties: partySidecars},
+	FaultSlow:                  {parties: partyServers, duration: true, factor: true},
+	FaultErrors:                {parties: partyServers, duration: true, probability: true},
+	FaultNoResponse:            {parties: partyServers, duration: true},
+	FaultConnectionRefused:     {parties: partyServers, duration: true},
+	FaultReset:                 {parties: partyServers, duration: true, probability: true},
+	FaultCorruptResponse:       {parties: partyServers, duration: true, probability: true},
+	FaultPartition:             {parties: partyLinks, duration: true},
+	FaultDelay:                 {parties: partyLinks, duration: true, delay: true},
+	FaultPacketLoss:            {parties: partyLinks, duration: true, probability: true},
+	FaultZoneOutage:            {parties: partyZones, duration: true},
+	FaultDiscoveryDown:         {parties: partyNone, duration: true},
+	FaultDiscoveryDelay:        {parties: partyNone, duration: true, delay: true},
+	FaultDiscoveryFalseRemoval: {parties: partyNone, duration: true, share: true},
+	FaultRegistryDown:          {parties: partyNone, duration: true},
+	FaultRollingReplacement:    {parties: partyServers, duration: true},
+	FaultDescriptorExhaustion:  {parties: partySidecars, duration: true},
+	FaultHotKeyControllerDown:  {parties: partyNone, duration: true},
+	FaultLoadReportLoss:        {parties: partyNone, duration: true, probability: true},
+	FaultFalseLoadReports:      {parties: partySidecars, duration: true},
+	FaultSupervisor:            {parties: partyNone},
 }
 
-// FaultKinds lists the kinds of faults by name.
+// FaultKinds returns the names of all kinds of faults, sorted.
 func FaultKinds() []string {
 	var names []string
-	for k := range maps.Keys(requirementsByFault) {
-		names = append(names, string(k))
+	for kind := range maps.Keys(requirementsByFault) {
+		names = append(names, string(kind))
 	}
 	slices.Sort(names)
 	return names
 }
 
-// maxSteps bounds the steps of a roll or restart.
-const maxSteps = 1000
-
-func (f *FaultSpec) validate(file *Experiment, key string, bad reportFunc) {
-	requirements, known := requirementsByFault[FaultKind(f.Kind)]
-	if !known {
-		bad(key+".kind", "unknown fault %q, there are %s", f.Kind, strings.Join(FaultKinds(), ", "))
-		return
-	}
-	if !(f.AtS >= 0 && f.AtS <= file.DurationS) {
-		bad(key+".at_s", "%v is not within the run of %v s", f.AtS, file.DurationS)
-	}
-	if !(f.DurationS >= 0 && f.DurationS <= maxDurationS) {
-		bad(key+".for_s", "%v is not a duration", f.DurationS)
-	}
-	if !(f.Share >= 0 && f.Share <= 1) {
-		bad(key+".share", "%v is not a share", f.Share)
-	}
-	if f.Steps < 0 || f.Steps > maxSteps {
-		bad(key+".steps", "%d is not within 0 to %d", f.Steps, maxSteps)
-	}
-	for _, field := range strings.Fields(requirements.requiredFields) {
-		switch {
-		case field == "for" && f.DurationS == 0:
-			bad(key+".for_s", "%s needs a duration", f.Kind)
-		case field == "part" && !(f.Probability > 0 && f.Probability <= 1):
-			bad(key+".part", "%s needs a part within 0 to 1", f.Kind)
-		case field == "share" && f.Share == 0:
-			bad(key+".share", "%s needs a share", f.Kind)
-		case field == "by" && !(f.Factor >= 1 && f.Factor <= 1e4):
-			bad(key+".by", "%s needs a factor within 1 to 10000", f.Kind)
-		case field == "ms" && !(f.DelayMS > 0 && f.DelayMS <= 6e4):
-			bad(key+".ms", "%s needs milliseconds within 0 to 60000", f.Kind)
-		}
-	}
-	fromRegistry := file.Discovery.Source == "registry"
-	switch kind := FaultKind(f.Kind); {
-	case file.HasControlPlane() && (kind == FaultSupervisor || kind == FaultPartition && f.Target != ""):
-		f.validateControlPlaneFault(file, key, bad)
-	case kind == FaultSupervisor:
-		bad(key+".kind", "%s needs [control]", f.Kind)
-	case IsHotKeyFault(kind) && (file.HotKeys == nil || !file.HotKeys.Enabled):
-		bad(key+".kind", "%s needs [spread] with on = true", f.Kind)
-	case kind == FaultRegistryDown && !fromRegistry:
-		bad(key+".kind", "%s needs discovery.source = \"registry\"", f.Kind)
-	case fromRegistry && (kind == FaultPartition || kind == FaultDiscoveryDown || kind == FaultDiscoveryDelay || kind == FaultDiscoveryFalseRemoval):
-		bad(key+".kind", "%s needs discovery.source = \"lab\"", f.Kind)
-	case requirements.parties == partyLinks:
-		f.validateLinks(file, key, bad)
-	case requirements.parties != partyNone:
-		if target, err := parseTarget(f.Target, file); err != nil {
-			bad(key+".target", "%v", err)
-		} else if target.parties&requirements.parties == 0 || file.HasControlPlane() && f.Kind == string(FaultFreeze) && target.parties&partyServers != 0 {
-			bad(key+".target", "%s cannot befall %q", f.Kind, f.Target)
-		}
-	case f.Target != "" && f.Target != "discovery":
-		bad(key+".target", "%s befalls discovery, not %q", f.Kind, f.Target)
-	}
-}
-
-func (f *FaultSpec) validateLinks(file *Experiment, key string, bad reportFunc) {
-	if len(f.Between) != 2 {
-		bad(key+".between", "%s needs two parties or groups", f.Kind)
-		return
-	}
-	for _, party := range f.Between {
-		if _, err := parseTarget(party, file); err != nil {
-			bad(key+".between", "%v", err)
-		}
-	}
-	if direction := f.Direction; direction != "" && direction != "both" && direction != "there" && direction != "back" {
-		bad(key+".direction", "%q is not both, there or back", direction)
-	}
-}
-
-// target is a parsed name of parties.
-type target struct {
-	parties     partyMask
-	zone        int    // -1: any
-	kind        string // "": any
-	first, last int    // of a numbered range; -1: all
-	controller  string // "": none
-	leader      bool
-	discovery   bool
-	clients     bool
-}
-
-// parseTarget reads "servers", "sidecars", "clients", "discovery", "zone:NAME" (both servers and sidecars
-// there), "kind:NAME" (servers), "server:N", "server:N-M" and the same of sidecars. Numbers count from 0.
-func parseTarget(text string, file *Experiment) (target, error) {
-	t := target{zone: -1, first: -1, last: -1}
-	name, arg, _ := strings.Cut(text, ":")
-	switch name {
-	case "servers":
-		t.parties = partyServers
-	case "sidecars":
-		t.parties = partySidecars
-	case "clients":
-		t.clients = true
-		t.parties = partyNone
-	case "discovery":
-		t.discovery = true
-		t.parties = partyNone
-	case "zone":
-		t.parties = partyServers | partySidecars | partyZones
-		if t.zone = file.zoneIndex(arg); t.zone < 0 {
-			return t, fmt.Errorf("unknown zone %q", arg)
-		}
-	case "kind":
-		t.parties, t.kind = partyServers, arg
-		if !slices.ContainsFunc(file.Servers, func(k ServerSpec) bool { return k.Kind == arg }) {
-			return t, fmt.Errorf("unknown kind %q", arg)
-		}
-	case "server", "sidecar":
-		t.parties = partyServers
-		most := 0
-		for i := range file.Servers {
-			most += int(file.Servers[i].Count.Min)
-		}
-		if name == "sidecar" {
-			t.parties, most = partySidecars, int(file.Sidecars.Count.Min)
-		}
-		from, to, ranged := strings.Cut(arg, "-")
-		var err error
-		if t.first, err = strconv.Atoi(from); err == nil {
-			t.last = t.first
-			if ranged {
-				t.last, err = strconv.Atoi(to)
-			}
-		}
-		if err != nil || t.first < 0 || t.last < t.first || t.last >= most {
-			return t, fmt.Errorf("unknown target %q, numbers go from 0 to %d", text, most-1)
-		}
-	default:
-		return parseControlPlaneTarget(text, file)
-	}
-	return t, nil
-}
+// SupervisorMisbehaviours are what the supervisor can do wrong; see docs/supervisor.md.
+var SupervisorMisbehaviours = []string{"fail", "hang", "late", "half", "lose", "twice", "wrong", "forget"}
 
-// Fault is a fault with its targets drawn.
+// Fault is a scheduled fault with its targets drawn.
 type Fault struct {
-	Kind           FaultKind
-	StartMS, EndMS float64 // ms; End is 0 where it does not end
-	Servers        []int   // in Plan.Servers
-	Sidecars       []int   // in Plan.Sidecars
-	Label          string  // as the experiment words it, for reports
-	Probability    float64
-	Factor         float64
-	DelayMS        float64
+	Kind        FaultKind
+	StartMS     float64
+	EndMS       float64 // 0: it does not end
+	Servers     []int   // indexes in Plan.Servers
+	Sidecars    []int   // indexes in Plan.Sidecars
+	Label       string  // kind and target as the experiment states them, for reports
+	Probability float64
+	Factor      float64
+	DelayMS     float64
+
+	// Of the control plane: replicas of the registry and agents by number, controllers by name.
+	Replicas, Agents []int
+	Leader           bool // whichever replica is the leader at that time
+	Controllers      []string
+	Supervisor       bool
 
-	// Of the control plane: replicas (Leader: the one that leads then) and agents by number, controllers by name, and
-	// the platform, which may also do wrong as What says.
-	Replicas, Agents        []int
-	Leader                  bool
-	Controllers             []string
-	Supervisor              bool
+	// Of the supervisor: see FaultSpec.
 	Misbehaviour, Operation string
 	CallCount               int
 
-	// Of links: which there are, and which way nothing passes.
+	// Of links: the endpoints, and the directions in which the fault holds.
 	SideA, SideB      EndpointSet
-	Forward, Backward bool
+	Forward, Backward bool // from A to B, from B to A
 }
 
-// EndpointSet is one end of a link fault.
+// Affects reports whether a link fault holds for messages from one endpoint to another.
+func (f *Fault) Affects(from, to Endpoint) bool {
+	return f.Forward && f.SideA.contains(from) && f.SideB.contains(to) ||
+		f.Backward && f.SideB.contains(from) && f.SideA.contains(to)
+}
+
+// EndpointSet is one side of a link fault.
 type EndpointSet struct {
 	Servers, Sidecars  map[int]bool
 	Clients, Discovery bool
 }
 
-func (p *EndpointSet) contains(end Endpoint) bool {
-	switch end.Kind {
+func (s *EndpointSet) contains(endpoint Endpoint) bool {
+	switch endpoint.Kind {
 	case ServerEndpoint:
-		return p.Servers[end.Index]
+		return s.Servers[endpoint.Index]
 	case SidecarEndpoint:
-		return p.Sidecars[end.Index]
+		return s.Sidecars[endpoint.Index]
 	case ClientEndpoint:
-		return p.Clients
+		return s.Clients
 	default:
-		return p.Discovery
+		return s.Discovery
 	}
 }
 
-// EndpointKind is what stands at an end of a link.
+// EndpointKind is the kind of an endpoint of a link.
 type EndpointKind uint8
 
-// The kinds of ends; a client's number is that of its sidecar, and discovery has none.
+// The kinds of endpoints. The index of a client is that of its sidecar; discovery has none.
 const (
 	ServerEndpoint EndpointKind = iota
 	SidecarEndpoint
@@ -285,50 +159,84 @@
 	Index int
 }
 
-// Affects tells whether a link fault holds for what goes from one end to another.
-func (f *Fault) Affects(from, to Endpoint) bool {
-	return f.Forward && f.SideA.contains(from) && f.SideB.contains(to) || f.Backward && f.SideB.contains(from) && f.SideA.contains(to)
-}
-
-// A message from one sidecar to another takes between these times in ms, as in the users' service (BRIEF).
-const MinPeerDelayMS, MaxPeerDelayMS = 1.3, 12.0
+// Bounds of the delay of a message between two sidecars in ms, as in the users' service.
+const (
+	MinPeerDelayMS = 1.3
+	MaxPeerDelayMS = 12.0
+)
 
 // resolve draws the targets of a fault.
 func (f *FaultSpec) resolve(p *Plan, rng *rand.Rand) Fault {
 	fault := Fault{
-		Kind: FaultKind(f.Kind), StartMS: 1000 * f.AtS, Probability: f.Probability, Factor: f.Factor, DelayMS: f.DelayMS, Label: f.label(),
+		Kind: FaultKind(f.Kind), StartMS: 1000 * f.AtS, Label: f.label(),
+		Probability: f.Probability, Factor: f.Factor, DelayMS: f.DelayMS,
+		Misbehaviour: f.Misbehaviour, Operation: f.Operation, CallCount: f.CallCount,
 	}
 	if f.DurationS > 0 {
 		fault.EndMS = fault.StartMS + 1000*f.DurationS
 	}
-	fault.Misbehaviour, fault.Operation, fault.CallCount = f.Misbehaviour, f.Operation, f.CallCount
-	requirements := requirementsByFault[fault.Kind]
 	if p.Experiment.HasControlPlane() && f.Target != "" {
 		p.resolveControlPlaneTarget(f, &fault)
 		if fault.Kind == FaultPartition {
 			return fault
 		}
 	}
+	requirements := requirementsByFault[fault.Kind]
 	switch requirements.parties {
 	case partyLinks:
 		fault.SideA, fault.SideB = p.endpointSet(f.Between[0]), p.endpointSet(f.Between[1])
-		fault.Forward, fault.Backward = f.Direction != "back", f.Direction != "there"
+		fault.Forward = f.Direction != directionBack
+		fault.Backward = f.Direction != directionThere
 	case partyNone:
 		if fault.Kind == FaultDiscoveryFalseRemoval {
 			fault.Servers = sampleShare(p.initialServers(), f.Share, rng)
 		}
 	default:
-		target, _ := parseTarget(f.Target, p.Experiment) // checked when the file was read
-		if target.parties&requirements.parties&partyServers != 0 || requirements.parties == partyZones {
+		target, _ := parseTarget(f.Target, p.Experiment) // validated when the experiment was read
+		affected := target.parties & requirements.parties
+		if affected&partyServers != 0 || requirements.parties == partyZones {
 			fault.Servers = sampleShare(p.matchServers(target), f.Share, rng)
 		}
-		if target.parties&requirements.parties&partySidecars != 0 {
+		if affected&partySidecars != 0 {
 			fault.Sidecars = sampleShare(p.matchSidecars(target), f.Share, rng)
 		}
 	}
 	return fault
 }
 
+// resolveControlPlaneTarget sets the targets of a fault that are processes of the control plane, if it has such.
+func (p *Plan) resolveControlPlaneTarget(spec *FaultSpec, fault *Fault) {
+	target, err := parseControlPlaneTarget(spec.Target, p.Experiment)
+	if err != nil {
+		return // its targets are servers or sidecars
+	}
+	switch target.parties {
+	case partyReplicas:
+		fault.Leader = target.leader
+		if !target.leader {
+			fault.Replicas = target.indexesBelow(RegistryReplicas)
+		}
+	case partyAgents:
+		fault.Agents = target.indexesBelow(len(p.Sidecars))
+	case partyControllers:
+		for _, controller := range p.Experiment.ControlPlane.Controllers {
+			if target.controller == "" || controller.Name == target.controller {
+				fault.Controllers = append(fault.Controllers, controller.Name)
+			}
+		}
+	case partySupervisor:
+		fault.Supervisor = true
+	}
+}
+
+// PartitionsReplicas reports whether a fault partitions a replica of the registry from the others.
+func (p *Plan) PartitionsReplicas() bool {
+	return slices.ContainsFunc(p.Faults, func(f Fault) bool {
+		return f.Kind == FaultPartition && (f.Leader || len(f.Replicas) > 0)
+	})
+}
+
+// label is the fault as reports name it.
 func (f *FaultSpec) label() string {
 	place := f.Target
 	if len(f.Between) == 2 {
@@ -340,7 +248,7 @@
 	return f.Kind + " " + place
 }
 
-// sampleShare takes a share of the parties, at least one, in their order; share 0 takes all.
+// sampleShare draws a share of the indexes, at least one, and returns them in ascending order. A share of 0 means all.
 func sampleShare(all []int, share float64, rng *rand.Rand) []int {
 	if share == 0 || len(all) == 0 {
 		return all
--- a/internal/lab/hotkey_load.go
+++ b/internal/lab/hotkey_load.go
@@ -1,30 +1,79 @@
 package lab
 
-// hotKeyNumberBase is the number of the first hot key: far above those that clients draw by their skew.
-const hotKeyNumberBase = 1 << 40
+const (
+	// hotKeyNumberBase is the number of the first hot key, far above those that clients draw.
+	hotKeyNumberBase = 1 << 40
+	// hotKeysPerPhase is the distance between the numbers of the first hot keys of two phases.
+	hotKeysPerPhase = 1000
+	// maxHotKeyPeriods bounds the periods of an experiment.
+	maxHotKeyPeriods = 10_000
+)
 
-// hotKeyAt is the key that a part of all requests is for at a time, as a phase "hot" has it; part 0: none is hot.
+// hotKeyPeriod is a period in which one key has a share of all requests.
+type hotKeyPeriod struct {
+	from, to float64 // ms
+	key      uint64
+}
+
+// ClientKey returns the key of a number that clients draw, from 0.
+func (p *Plan) ClientKey(n int) uint64 { return mixHash(streamArrivals, uint64(n)) | 1 }
+
+// hotKeyAt returns the key that is hot at a time, and its share of all requests; 0: none is hot.
 func (p *Plan) hotKeyAt(now float64) (share float64, key uint64) {
-	phaseIndex, start := p.phaseAt(now)
-	phase := &p.Experiment.Phases[phaseIndex]
-	if phase.Kind != "hot" {
+	index, start := p.phaseAt(now)
+	phase := &p.Experiment.Phases[index]
+	if phase.Kind != PhaseHot {
 		return 0, 0
 	}
-	number := uint64(hotKeyNumberBase + 1000*phaseIndex)
+	number := uint64(hotKeyNumberBase + hotKeysPerPhase*index)
 	if phase.KeyChangeS > 0 {
 		number += uint64((now - start) / (1000 * phase.KeyChangeS))
 	}
 	return phase.Share, mixHash(streamArrivals, number) | 1
 }
 
-// phaseAt is the phase of a time, and when that began in ms.
-func (p *Plan) phaseAt(now float64) (index int, start float64) {
-	for index < len(p.Experiment.Phases)-1 && now >= start+1000*p.Experiment.Phases[index].DurationS {
-		start += 1000 * p.Experiment.Phases[index].DurationS
-		index++
+// hotKeyPeriods returns the periods of hot keys, in order.
+func (p *Plan) hotKeyPeriods() []hotKeyPeriod {
+	var periods []hotKeyPeriod
+	start := 0.0
+	for i := range p.Experiment.Phases {
+		phase := &p.Experiment.Phases[i]
+		end := min(start+1000*phase.DurationS, p.DurationMS)
+		if i == len(p.Experiment.Phases)-1 {
+			end = p.DurationMS
+		}
+		keyChangeMS := 1000 * phase.KeyChangeS
+		if keyChangeMS == 0 {
+			keyChangeMS = max(end-start, 1)
+		}
+		for from := start; phase.Kind == PhaseHot && from < end && len(periods) < maxHotKeyPeriods; from += keyChangeMS {
+			to := min(from+keyChangeMS, end)
+			_, key := p.hotKeyAt((from + to) / 2)
+			periods = append(periods, hotKeyPeriod{from, to, key})
+		}
+		start = end
 	}
-	return index, start
+	return periods
 }
 
-// ClientKey is the n-th of the keys that clients draw.
-func (p *Plan) ClientKey(n int) uint64 { return mixHash(streamArrivals, uint64(n)) | 1 }
+// HotKeys returns all keys that are hot at some time.
+func (p *Plan) HotKeys() map[uint64]bool {
+	keys := map[uint64]bool{}
+	for _, period := range p.hotKeyPeriods() {
+		keys[period.key] = true
+	}
+	return keys
+}
+
+// WithoutHotKeys returns the experiment with its hot phases made steady.
+func (e *Experiment) WithoutHotKeys() *Experiment {
+	steady := *e
+	steady.Phases = nil
+	for _, phase := range e.Phases {
+		if phase.Kind == PhaseHot {
+			phase.Kind, phase.Share, phase.KeyChangeS = PhaseSteady, 0, 0
+		}
+		steady.Phases = append(steady.Phases, phase)
+	}
+	return &steady
+}
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -1,126 +1,97 @@
 package lab
 
 import (
-	"encoding/json"
+	"cmp"
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"slices"
 
 	"milldeck/balance"
-	"milldeck/internal/wire"
 )
 
-// Plan is one draw of an experiment: all that chance decides ahead of the run. The same file and seed give the
-// same plan, and the modes share it.
+// Plan is an experiment with everything drawn that chance decides ahead of the run. An experiment and a seed always give the
+// same plan, in a simulation as with real processes.
 type Plan struct {
 	Experiment *Experiment
 	Seed       uint64
-	DurationMS float64 // ms of load
+	DurationMS float64 // of the load
 	Servers    []ServerPlan
 	Sidecars   []SidecarPlan
 	Classes    []ClassPlan
-	Faults     []Fault
+	Faults     []Fault // by start
 }
 
-// ServerPlan is one server, of which those that come by a roll are born later.
+// ServerPlan is a server. Those of a rolling replacement start during the run.
 type ServerPlan struct {
 	UID         string
 	Spec        *ServerSpec
 	KindIndex   int
 	Zone        int
 	Cell        int
-	Speed       float64
-	SlowStartMS float64
-	StartMS     float64   // ms; 0: there from the start, and warm
-	ReplacedMS  float64   // ms at which a roll replaces it; 0: never
-	AddressSlot int       // the address that it has; two that never run together may share one
-	DelayByZone []float64 // ms one way, by zone
+	Speed       float64   // of a core; 1 is the speed of a standard core
+	SlowStartMS float64   // length of the slow start
+	StartMS     float64   // 0: it runs from the beginning, without slow start
+	ReplacedMS  float64   // when it is replaced; 0: never
+	AddressSlot int       // servers that never run at the same time may share a slot
+	DelayByZone []float64 // one-way delay in ms
 }
 
-// SidecarPlan is one sidecar with its application.
+// SidecarPlan is a sidecar with its application.
 type SidecarPlan struct {
 	Name                string
 	Zone                int
-	TrafficShare        float64 // of the traffic, of all sidecars together 1
+	TrafficShare        float64 // of the traffic of the fleet
 	Seed                uint64
-	NotificationDelayMS float64 // ms from a change to its hearing of it
+	NotificationDelayMS float64 // from a change of the endpoint list to its notification
 }
 
-// ClassPlan is one class as it is played.
+// ClassPlan is a class of requests with its values decoded.
 type ClassPlan struct {
 	*ClassSpec
 	Idempotency        balance.Idempotency
 	DeduplicationScope balance.DeduplicationScope
-	cumulativeShare    float64 // cumulated
+	cumulativeShare    float64 // of requests, of this class and those before
 }
 
-// Streams of random numbers, one for each purpose, so that one more draw for one does not move the others.
-const (
-	streamServers uint64 = iota + 1
-	streamSidecars
-	streamFaults
-	streamArrivals
-	streamNetwork
-)
-
-func (p *Plan) rng(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(p.Seed, stream)) }
-
-func (r Range) draw(rng *rand.Rand) float64 { return r.Min + (r.Max-r.Min)*rng.Float64() }
-
-func (r Range) drawInt(rng *rand.Rand) int {
-	return int(r.Min) + rng.IntN(int(r.Max)-int(r.Min)+1)
-}
+// addressReuseGapMS is the time between the end of a server and the start of another at its address.
+const addressReuseGapMS = 200
 
-// NewPlan makes the plan of a seed; 0 takes the file's.
-func (f *Experiment) NewPlan(seed uint64) *Plan {
+// NewPlan draws the plan of a seed; 0 means the experiment's own seed.
+func (e *Experiment) NewPlan(seed uint64) *Plan {
 	if seed == 0 {
-		seed = f.Seed
+		seed = e.Seed
 	}
-	p := &Plan{Experiment: f, Seed: seed, DurationMS: 1000 * f.DurationS}
+	p := &Plan{Experiment: e, Seed: seed, DurationMS: 1000 * e.DurationS}
 	p.drawServers()
 	p.drawSidecars()
-	p.Classes = NewClassPlans(f.Classes)
-	rng := p.rng(streamFaults)
-	for i := range f.Faults {
-		fault := f.Faults[i].resolve(p, rng)
-		switch fault.Kind {
-		case FaultRollingReplacement:
-			p.replaceServers(&fault, f.Faults[i].Steps, f.Faults[i].ReuseAddresses, rng)
-			p.Faults = append(p.Faults, fault)
-		case FaultRestart:
-			p.Faults = append(p.Faults, splitIntoSteps(fault, f.Faults[i].Steps)...)
-		default:
-			p.Faults = append(p.Faults, fault)
-		}
-	}
-	slices.SortStableFunc(p.Faults, func(a, b Fault) int {
-		return int(math.Copysign(1, a.StartMS-b.StartMS)) * boolToInt(a.StartMS != b.StartMS)
-	})
+	p.Classes = NewClassPlans(e.Classes)
+	p.drawFaults()
 	return p
 }
 
-// NewClassPlans are classes as they are played.
+// NewClassPlans decodes classes of requests.
 func NewClassPlans(specs []ClassSpec) []ClassPlan {
 	var plans []ClassPlan
 	sum := 0.0
 	for i := range specs {
 		spec := &specs[i]
 		sum += spec.Share
-		plans = append(plans, ClassPlan{ClassSpec: spec, Idempotency: idempotencyByName[spec.Idempotency], DeduplicationScope: scopeByName[spec.DeduplicationScope], cumulativeShare: sum})
+		plans = append(plans, ClassPlan{
+			ClassSpec: spec, Idempotency: idempotencyByName[spec.Idempotency],
+			DeduplicationScope: scopeByName[spec.DeduplicationScope], cumulativeShare: sum,
+		})
 	}
 	return plans
 }
 
-func boolToInt(b bool) int {
-	if b {
-		return 1
-	}
-	return 0
+var idempotencyByName = map[string]balance.Idempotency{
+	idempotencySafe: balance.Idempotent, idempotencyKeyed: balance.IdempotentWithKey, idempotencyUnsafe: balance.NonIdempotent,
 }
 
-var idempotencyByName = map[string]balance.Idempotency{"safe": balance.Idempotent, "keyed": balance.IdempotentWithKey, "unsafe": balance.NonIdempotent}
-var scopeByName = map[string]balance.DeduplicationScope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "pod": balance.ScopeCell}
+var scopeByName = map[string]balance.DeduplicationScope{
+	scopeAll: balance.ScopeAll, scopeZone: balance.ScopeZone, scopePod: balance.ScopeCell,
+}
 
 func (p *Plan) drawServers() {
 	rng := p.rng(streamServers)
@@ -130,7 +101,7 @@
 			p.addServer(kindIndex, number%len(p.Experiment.Zones), rng)
 		}
 	}
-	// Pods hold servers of one zone, whatever their kind.
+	// A cell consists of servers of one zone, whatever their kind.
 	cellSize := p.Experiment.Servers[0].CellSize
 	zoneCounts := make([]int, len(p.Experiment.Zones))
 	for i := range p.Servers {
@@ -140,6 +111,7 @@
 	}
 }
 
+// addServer draws a server. The pointer is valid until the next one is added.
 func (p *Plan) addServer(kindIndex, zone int, rng *rand.Rand) *ServerPlan {
 	spec := &p.Experiment.Servers[kindIndex]
 	server := ServerPlan{
@@ -165,37 +137,55 @@
 		weight := math.Pow(float64(i+1), -p.Experiment.Sidecars.Skew)
 		sum += weight
 		p.Sidecars = append(p.Sidecars, SidecarPlan{
-			Name: fmt.Sprintf("n%d", i), TrafficShare: weight, Seed: rng.Uint64(), NotificationDelayMS: p.Experiment.Discovery.PropagationMS.draw(rng),
+			Name: fmt.Sprintf("n%d", i), TrafficShare: weight, Seed: rng.Uint64(),
+			NotificationDelayMS: p.Experiment.Discovery.PropagationMS.draw(rng),
 		})
 	}
-	// Zones are dealt after the weights, so that the largest are not all in the first zone.
+	// Zones are assigned in random order, so that the largest shares are not all in the first zone.
 	for i, order := range rng.Perm(count) {
 		p.Sidecars[i].Zone = order % len(p.Experiment.Zones)
 		p.Sidecars[i].TrafficShare /= sum
 	}
 }
 
-// replaceServers replaces servers in steps: each step's new servers are born, the old ones drain and go.
-func (p *Plan) replaceServers(fault *Fault, steps int, reuse bool, rng *rand.Rand) {
+func (p *Plan) drawFaults() {
+	rng := p.rng(streamFaults)
+	for i := range p.Experiment.Faults {
+		spec := &p.Experiment.Faults[i]
+		fault := spec.resolve(p, rng)
+		switch fault.Kind {
+		case FaultRollingReplacement:
+			p.replaceServers(&fault, spec, rng)
+			p.Faults = append(p.Faults, fault)
+		case FaultRestart:
+			p.Faults = append(p.Faults, splitIntoSteps(&fault, spec.Steps)...)
+		default:
+			p.Faults = append(p.Faults, fault)
+		}
+	}
+	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return cmp.Compare(a.StartMS, b.StartMS) })
+}
+
+// replaceServers plans a rolling replacement: in each step new servers start, and the old ones drain and end.
+func (p *Plan) replaceServers(fault *Fault, spec *FaultSpec, rng *rand.Rand) {
 	count := len(fault.Servers)
-	steps = max(1, min(steps, count))
+	steps := max(1, min(spec.Steps, count))
 	durationMS := fault.EndMS - fault.StartMS
 	for i, oldIndex := range fault.Servers {
 		at := fault.StartMS + durationMS*float64(i*steps/count)/float64(steps)
 		p.Servers[oldIndex].ReplacedMS = at
 		replacement := p.addServer(p.Servers[oldIndex].KindIndex, p.Servers[oldIndex].Zone, rng)
-		replacement.Cell, replacement.StartMS = p.Servers[oldIndex].Cell, at
-		if reuse { // it can only start where the old one has gone
-			replacement.AddressSlot, replacement.StartMS = p.Servers[oldIndex].AddressSlot, at+p.DrainDurationMS()+addressReuseGapMS
+		old := &p.Servers[oldIndex]
+		replacement.Cell, replacement.StartMS = old.Cell, at
+		if spec.ReuseAddresses { // it cannot start before the old one has ended
+			replacement.AddressSlot = old.AddressSlot
+			replacement.StartMS = at + p.DrainDurationMS() + addressReuseGapMS
 		}
 	}
 }
 
-// addressReuseGapMS is the time in ms between the end of a server and the start of another at its address.
-const addressReuseGapMS = 200
-
-// DrainDurationMS is how long in ms a server that is told to end serves on: a change reaches every sidecar, and the
-// grace and the longest deadline pass.
+// DrainDurationMS returns how long a server that drains continues to serve: until the change has reached every sidecar, and
+// the grace and the longest deadline have passed.
 func (p *Plan) DrainDurationMS() float64 {
 	longest := 0.0
 	for i := range p.Experiment.Classes {
@@ -204,29 +194,35 @@
 	return p.Experiment.Discovery.PropagationMS.Max + p.Experiment.Rules.DrainGraceMS + longest
 }
 
-// splitIntoSteps makes a fault of several steps into one for each.
-func splitIntoSteps(f Fault, steps int) []Fault {
-	var faults []Fault
-	all := f.Servers
-	targetsOf := func(step *Fault) *[]int { return &step.Servers }
-	if len(f.Sidecars) > 0 {
-		all = f.Sidecars
-		targetsOf = func(step *Fault) *[]int { return &step.Sidecars }
+// splitIntoSteps splits a fault into one for each step, with the targets divided among them.
+func splitIntoSteps(fault *Fault, steps int) []Fault {
+	ofSidecars := len(fault.Sidecars) > 0
+	targets := fault.Servers
+	if ofSidecars {
+		targets = fault.Sidecars
+	}
+	intervalMS := 0.0
+	if fault.EndMS > 0 {
+		intervalMS = fault.EndMS - fault.StartMS
 	}
-	steps = max(1, min(steps, len(all)))
+	steps = max(1, min(steps, len(targets)))
+	var faults []Fault
 	for index := range steps {
-		step := f
-		*targetsOf(&step) = all[index*len(all)/steps : (index+1)*len(all)/steps]
-		step.StartMS = f.StartMS + (f.EndMS-f.StartMS)*float64(index)/float64(steps)*boolToFloat(f.EndMS > 0)
+		step := *fault
+		part := targets[index*len(targets)/steps : (index+1)*len(targets)/steps]
+		if ofSidecars {
+			step.Sidecars = part
+		} else {
+			step.Servers = part
+		}
+		step.StartMS = fault.StartMS + intervalMS*float64(index)/float64(steps)
 		step.EndMS = 0
 		faults = append(faults, step)
 	}
 	return faults
 }
 
-func boolToFloat(b bool) float64 { return float64(boolToInt(b)) }
-
-// initialServers are the servers that are there from the start.
+// initialServers returns the indexes of the servers that run from the beginning.
 func (p *Plan) initialServers() []int {
 	var indexes []int
 	for i := range p.Servers {
@@ -237,132 +233,26 @@
 	return indexes
 }
 
-func (p *Plan) matchServers(target target) []int {
-	var indexes []int
-	for _, i := range p.initialServers() {
-		server := &p.Servers[i]
-		if (target.zone < 0 || server.Zone == target.zone) && (target.kind == "" || server.Spec.Kind == target.kind) && (target.first < 0 || i >= target.first && i <= target.last) {
-			indexes = append(indexes, i)
-		}
-	}
-	return indexes
-}
-
-func (p *Plan) matchSidecars(target target) []int {
-	var indexes []int
-	for i := range p.Sidecars {
-		if (target.zone < 0 || p.Sidecars[i].Zone == target.zone) && (target.first < 0 || i >= target.first && i <= target.last) {
-			indexes = append(indexes, i)
-		}
-	}
-	return indexes
-}
+// Capacity returns the work that a server can do at full capacity, in ms of standard work a second.
+func (s *ServerPlan) Capacity() float64 { return 1000 * s.Speed * float64(s.Spec.Cores) }
 
-func (p *Plan) endpointSet(text string) EndpointSet {
-	target, _ := parseTarget(text, p.Experiment) // checked when the file was read
-	endpoints := EndpointSet{Servers: map[int]bool{}, Sidecars: map[int]bool{}, Clients: target.clients, Discovery: target.discovery}
-	if target.parties&partyServers != 0 {
-		for _, i := range p.matchServers(target) {
-			endpoints.Servers[i] = true
-		}
-	}
-	if target.parties&partySidecars != 0 {
-		for _, i := range p.matchSidecars(target) {
-			endpoints.Sidecars[i] = true
-		}
+// MeanServerCapacity returns the mean capacity of the initial servers, in ms of standard work a second.
+func (p *Plan) MeanServerCapacity() float64 {
+	sum := 0.0
+	initial := p.initialServers()
+	for _, i := range initial {
+		sum += p.Servers[i].Capacity()
 	}
-	return endpoints
+	return sum / float64(max(len(initial), 1))
 }
 
-// Settings is the JSON object that sidecar n is told, in the form of the wire.
-func (p *Plan) Settings(sidecar int) []byte {
-	experiment := p.Experiment
-	type m = map[string]any
-	var classes []m
-	for i := range experiment.Classes {
-		spec := &experiment.Classes[i]
-		class := m{
-			"name": spec.Name, "effect": wireIdempotency[spec.Idempotency], "on_time_ms": spec.LatencyObjectiveMS, "hard_limit_ms": spec.DeadlineMS,
-			"worth": spec.PriorityWeight, "late_worth": 0.0, "stream": false,
-		}
-		if spec.Idempotency == "keyed" {
-			class["group"], class["window_ms"] = wireScopes[spec.DeduplicationScope], spec.IdempotencyWindowMS
-		}
-		classes = append(classes, class)
-	}
-	var kinds []string
-	slowStartFrom, slowStartMS, idleCloseMS, hasCache := 1.0, 0.0, math.Inf(1), false
-	for i := range experiment.Servers {
-		spec := &experiment.Servers[i]
-		kinds = append(kinds, spec.Kind)
-		slowStartFrom = min(slowStartFrom, spec.SlowStartFrom)
-		slowStartMS = max(slowStartMS, 1000*spec.SlowStartS.Max)
-		idleCloseMS = min(idleCloseMS, spec.IdleCloseMS)
-		hasCache = hasCache || spec.CacheGain > 0
-	}
-	discovery := "automatic"
-	if experiment.Discovery.Mode == "subscribe" {
-		discovery = "subscribe"
+// MeanWork returns the mean work of a request in ms of standard work.
+func (p *Plan) MeanWork() float64 {
+	sum, shares := 0.0, 0.0
+	for i := range p.Classes {
+		class := &p.Classes[i]
+		sum += class.Share * (class.WorkMS.Min + class.WorkMS.Max) / 2
+		shares += class.Share
 	}
-	settings, err := json.Marshal(m{
-		"classes": classes, "clients": m{"marks_retry": true}, "discovery": discovery,
-		"family_info": m{"warm_keys": hasCache}, "kinds": kinds, "zones": experiment.Zones, "zone": p.Sidecars[sidecar].Zone,
-		"my_number": sidecar, "peers_total": len(p.Sidecars), "quantum_ms": tickMS, "tenants": []string{},
-		"report": m{"fields": []string{}, "via": "silent"}, "over_share_worth": 1.0,
-		"result_mix": m{"whole": 1.0}, "value_by": "request", "weights": "silent",
-		"limits": m{
-			"cancel": experiment.Limits.AllowCancel, "conn_idle_ms": idleCloseMS, "connect_timeout_ms": experiment.Limits.ConnectTimeoutMS,
-			"max_attempts": experiment.Limits.MaxAttempts, "max_retry_after_ms": experiment.Limits.MaxRetryAfterMS,
-			"may_tell": experiment.Limits.AllowGossip, "parallel_tries": false, "probes": experiment.Limits.AllowHealthChecks,
-			"retry_after": experiment.Limits.AllowRetryAfter, "streams_per_conn": 1,
-		},
-		"rules": m{
-			"answer_slack_ms": experiment.Rules.AnswerSlackMS, "ask_within_ms": experiment.Rules.PollWithinMS, "cold_from": slowStartFrom,
-			"cold_ms": slowStartMS, "drain_grace_ms": experiment.Rules.DrainGraceMS, "fall_ms": experiment.Rules.OverloadWindowMS,
-			"fall_multiple": experiment.Rules.OverloadMultiple,
-		},
-		"penalties": m{
-			"cross_zone": experiment.Costs.CrossZone, "waste": experiment.Costs.WastedWork, "handshake": experiment.Costs.Handshake,
-			"probe": experiment.Costs.HealthCheck, "peer": experiment.Costs.PeerMessage, "late_fail": experiment.Costs.LateFailure,
-		},
-	})
-	if err != nil {
-		panic(err) // all of it is plain figures and names
-	}
-	return settings
+	return sum / max(shares, 1e-9)
 }
-
-// tickMS is the tick of the virtual clock and the least time between two timers of a live sidecar.
-const tickMS = 2
-
-// TickMS is the tick of the virtual clock in ms.
-func (p *Plan) TickMS() float64 { return tickMS }
-
-var wireIdempotency = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
-var wireScopes = map[string]string{"all": "all", "zone": "zone", "pod": "cell"}
-
-// Config is the module's configuration for sidecar n, read from the same settings that a real one gets. The
-// seed is of its life'th start.
-func (p *Plan) Config(sidecar, incarnation int) (balance.Config, error) {
-	return wire.ParseSettings(p.IncarnationSeed(sidecar, incarnation), p.Settings(sidecar))
-}
-
-// IncarnationSeed is the seed of a sidecar's life'th start.
-func (p *Plan) IncarnationSeed(sidecar, incarnation int) uint64 {
-	return mixHash(p.Sidecars[sidecar].Seed, uint64(incarnation))
-}
-
-// mixHash mixes numbers into one; the lab's chances that must not depend on the order of events come from it.
-func mixHash(parts ...uint64) uint64 {
-	h := uint64(0x9e3779b97f4a7c15)
-	for _, p := range parts {
-		h ^= p
-		h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
-		h = (h ^ h>>27) * 0x94d049bb133111eb
-		h ^= h >> 31
-	}
-	return h
-}
-
-// hashFraction is an even draw from 0 to 1 that follows from its parts alone.
-func hashFraction(parts ...uint64) float64 { return float64(mixHash(parts...)>>11) / (1 << 53) }
--- a/internal/lab/regression.go
+++ b/internal/lab/regression.go
@@ -2,75 +2,82 @@
 
 import (
 	"fmt"
-	"math"
+	"slices"
 )
 
-// Regression is what a version of servers does wrong. The zero value is a version that does nothing wrong.
+// Regression is what a version of servers does wrong. The zero value is a version without regression.
 type Regression struct {
-	NeverReady        bool    `toml:"never_ready"`    // it says that it is not ready, and is never listed
-	FailsAtStart      bool    `toml:"fails_at_start"` // it ends with status 1 before it listens
-	ErrorShare        float64 `toml:"error_share"`    // of its requests, which fail at once
-	Slowdown          float64 `toml:"slower_by"`      // factor by which its work takes longer ...
-	SlowdownAboveLoad float64 `toml:"slower_above"`   // ... of requests that meet more than so many others a core
-	Class             string  `toml:"class"`          // only requests of this class suffer; "": all
-	Tenant            string  `toml:"tenant"`         // only those of this tenant; "": all
-	LeakMBPerSecond   float64 `toml:"leak_mb_s"`      // memory that it loses a second
-	LeakLimitMB       float64 `toml:"leak_most_mb"`   // at which it is killed; 0: 256
-	LosesAnswers      bool    `toml:"loses_answers"`  // at SIGTERM, where it would answer what it has taken
+	NeverReady        bool    `toml:"never_ready"`    // it answers that it is not ready, and is never listed
+	FailsAtStart      bool    `toml:"fails_at_start"` // it exits with status 1 before it listens
+	ErrorShare        float64 `toml:"error_share"`    // of its requests, which fail without doing their work
+	Slowdown          float64 `toml:"slower_by"`      // factor by which its work takes longer
+	SlowdownAboveLoad float64 `toml:"slower_above"`   // only for requests that find more than so many others per core
+	Class             string  `toml:"class"`          // only requests of this class are affected; "": of all classes
+	Tenant            string  `toml:"tenant"`         // only requests of this tenant are affected; "": of all tenants
+	LeakMBPerSecond   float64 `toml:"leak_mb_s"`
+	LeakLimitMB       float64 `toml:"leak_most_mb"`  // at which it is killed; 0: 256
+	LosesAnswers      bool    `toml:"loses_answers"` // at SIGTERM it exits without answering the requests in flight
 }
 
-// Bounds of a leak: it is real memory of the machine that plays the run.
+// Bounds of a memory leak. The memory is really allocated on the machine that plays the experiment.
 const (
-	defaultLeakMB = 256
-	maxLeakMB     = 1024
-	maxLeakRate   = 256
+	defaultLeakMB        = 256
+	maxLeakMB            = 1024
+	maxLeakMBPerSecond   = 256
+	maxSlowdown          = 1000
+	maxSlowdownAboveLoad = 1e4
 )
 
-// Validate refuses what cannot be and fills in what is left out; classes are the names that there are.
-func (h *Regression) Validate(prefix string, classes []string, bad func(key, format string, args ...any)) {
-	if h.Slowdown == 0 {
-		h.Slowdown = 1
-	}
-	if h.LeakLimitMB == 0 {
-		h.LeakLimitMB = defaultLeakMB
-	}
-	for _, r := range []struct {
-		key         string
-		v, lo, most float64
+// Validate reports invalid values by their keys, which begin with the prefix, and sets defaults. The classes are the names of
+// the classes that the experiment has.
+func (r *Regression) Validate(prefix string, classes []string, reportf func(key, format string, args ...any)) {
+	setDefault(&r.Slowdown, 1)
+	setDefault(&r.LeakLimitMB, defaultLeakMB)
+	for _, bound := range []struct {
+		key                    string
+		value, lowest, highest float64
 	}{
-		{"error_share", h.ErrorShare, 0, 1}, {"slower_by", h.Slowdown, 1, 1000}, {"slower_above", h.SlowdownAboveLoad, 0, 1e4},
-		{"leak_mb_s", h.LeakMBPerSecond, 0, maxLeakRate}, {"leak_most_mb", h.LeakLimitMB, 1, maxLeakMB},
+		{"error_share", r.ErrorShare, 0, 1},
+		{"slower_by", r.Slowdown, 1, maxSlowdown},
+		{"slower_above", r.SlowdownAboveLoad, 0, maxSlowdownAboveLoad},
+		{"leak_mb_s", r.LeakMBPerSecond, 0, maxLeakMBPerSecond},
+		{"leak_most_mb", r.LeakLimitMB, 1, maxLeakMB},
 	} {
-		if !(r.v >= r.lo && r.v <= r.most) || math.IsNaN(r.v) {
-			bad(prefix+r.key, "%v is not within %v to %v", r.v, r.lo, r.most)
+		if !(bound.value >= bound.lowest && bound.value <= bound.highest) { // NaN is never within
+			reportf(prefix+bound.key, "%v is not within %v to %v", bound.value, bound.lowest, bound.highest)
 		}
 	}
-	if h.Class == "" {
-		return
-	}
-	for _, class := range classes {
-		if class == h.Class {
-			return
-		}
+	if r.Class != "" && !slices.Contains(classes, r.Class) {
+		reportf(prefix+"class", "unknown class %q", r.Class)
 	}
-	bad(prefix+"class", "unknown class %q", h.Class)
 }
 
-// Apply tells whether a request suffers from it; fate is an even draw from 0 to 1 of the request's own, and load
-// how many others the server holds a core. Slower is the factor of its work, at least 1.
-func (h *Regression) Apply(class, tenant string, load, draw float64) (fail bool, slowdown float64) {
-	if h.Class != "" && h.Class != class || h.Tenant != "" && h.Tenant != tenant {
+// Apply returns how a request is affected: whether it fails, and the factor of its work, at least 1. The load is how many
+// other requests the server has per core. The draw is a uniform draw from 0 to 1 for this request.
+func (r *Regression) Apply(class, tenant string, load, draw float64) (fail bool, slowdown float64) {
+	if r.Class != "" && r.Class != class || r.Tenant != "" && r.Tenant != tenant {
 		return false, 1
 	}
 	slowdown = 1
-	if load > h.SlowdownAboveLoad {
-		slowdown = max(1, h.Slowdown)
+	if load > r.SlowdownAboveLoad {
+		slowdown = max(1, r.Slowdown)
 	}
-	return draw < h.ErrorShare, slowdown
+	return draw < r.ErrorShare, slowdown
 }
 
-// TOML is the harm as a file of its own.
-func (h *Regression) TOML() string {
-	return fmt.Sprintf("never_ready = %v\nfails_at_start = %v\nerror_share = %f\nslower_by = %f\nslower_above = %f\nclass = %q\ntenant = %q\nleak_mb_s = %f\nleak_most_mb = %f\nloses_answers = %v\n",
-		h.NeverReady, h.FailsAtStart, h.ErrorShare, h.Slowdown, h.SlowdownAboveLoad, h.Class, h.Tenant, h.LeakMBPerSecond, h.LeakLimitMB, h.LosesAnswers)
+// TOML returns the regression as a file of its own.
+func (r *Regression) TOML() string {
+	return fmt.Sprintf(`never_ready = %v
+fails_at_start = %v
+error_share = %f
+slower_by = %f
+slower_above = %f
+class = %q
+tenant = %q
+leak_mb_s = %f
+leak_most_mb = %f
+loses_answers = %v
+`,
+		r.NeverReady, r.FailsAtStart, r.ErrorShare, r.Slowdown, r.SlowdownAboveLoad,
+		r.Class, r.Tenant, r.LeakMBPerSecond, r.LeakLimitMB, r.LosesAnswers)
 }
--- /dev/null
+++ b/internal/lab/request_history.go
@@ -0,0 +1,67 @@
+package lab
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+)
+
+const (
+	maxHistoriesPerRule = 20  // violations of a rule that are retained with their history; others are counted only
+	maxHistoryEvents    = 100 // of a request
+	// historyRetentionMS is how long a request is remembered after its deadline and idempotency window: what a server does
+	// with it until then, such as after a partition has ended, belongs to its history too.
+	historyRetentionMS = 5000
+	noServer           = -1
+)
+
+// requestHistory is what is known of an attempt of a client.
+type requestHistory struct {
+	id           uint64
+	sidecar      int
+	class        int
+	sentAt       float64
+	deadline     float64
+	expiresAt    float64 // when it is forgotten
+	answered     bool    // it has its final response, or needs none any more
+	respondedBy  map[int]bool
+	effectCount  int
+	attemptCount int
+	openAttempts []openAttempt
+	events       []historyEvent
+}
+
+// openAttempt is an attempt of a sidecar on an open connection.
+type openAttempt struct {
+	attempt   int64
+	server    int
+	startedAt float64
+}
+
+type historyEvent struct {
+	at     float64
+	text   string
+	server int // noServer: none
+}
+
+// record adds an event.
+func (h *requestHistory) record(now float64, text string, server int) {
+	if len(h.events) < maxHistoryEvents {
+		h.events = append(h.events, historyEvent{now, text, server})
+	}
+}
+
+// format returns the events as lines, in order of time.
+func (h *requestHistory) format() []string {
+	sorted := slices.Clone(h.events)
+	slices.SortStableFunc(sorted, func(a, b historyEvent) int { return cmp.Compare(a.at, b.at) })
+	var lines []string
+	for _, event := range sorted {
+		line := fmt.Sprintf("%.1f ms: %s", event.at, event.text)
+		if event.server >= 0 {
+			line += fmt.Sprintf(" server %d", event.server)
+		}
+		lines = append(lines, line)
+	}
+	return lines
+}
--- /dev/null
+++ b/internal/lab/result.go
@@ -0,0 +1,167 @@
+package lab
+
+import (
+	"math"
+	"slices"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+// How late the emulator itself may be for a run to say something of sidecars.
+const (
+	maxLatenessMS    = 20.0  // 99th percentile of its lateness
+	maxSentLateShare = 0.005 // of the requests, sent too late to count
+)
+
+// Modes of a run, as results have them.
+const (
+	ModeSimulation = "sim" // on a virtual clock
+	ModeLive       = "run" // with real processes
+)
+
+// Result is the result of a run, as its JSON has it. Times are ms unless a key says otherwise.
+type Result struct {
+	Name            string  `json:"name"`
+	Mode            string  `json:"mode"` // ModeSimulation or ModeLive
+	Policy          string  `json:"policy"`
+	Seed            uint64  `json:"seed"`
+	DurationSeconds float64 `json:"duration_s"`
+	Sidecars        int     `json:"sidecars"`
+	Servers         int     `json:"servers"`
+	CutShort        bool    `json:"cut_short,omitempty"`
+
+	Counts
+	ServedShare         float64 `json:"served_share"` // of the requests, within their latency objective
+	WeightedServedShare float64 `json:"worth_share"`  // the same, by priority weight
+	P50                 float64 `json:"p50_ms"`       // of all served requests, late ones included
+	P90                 float64 `json:"p90_ms"`
+	P99                 float64 `json:"p99_ms"`
+	P999                float64 `json:"p999_ms"`
+	Lateness            float64 `json:"lateness_ms"` // 99th percentile of how late the emulator itself was
+	MaxLateness         float64 `json:"lateness_max_ms"`
+	CrossZoneShare      float64 `json:"cross_zone_share"` // of the attempts
+
+	ViolationCount       int             `json:"broken_rules"`
+	Overloaded           bool            `json:"overloaded,omitempty"`  // the machine could not play the load in time
+	DiscountedViolations int             `json:"not_counted,omitempty"` // of such a run, which say nothing of sidecars
+	ViolationsByRule     map[Rule]int    `json:"rules"`
+	Violations           []Violation     `json:"broken,omitempty"`
+	AttemptsByResult     map[string]int  `json:"attempts_by_result"`
+	Classes              []ClassResult   `json:"classes"`
+	WindowMS             float64         `json:"window_ms"`
+	Windows              []Window        `json:"windows"`
+	Faults               []FaultInterval `json:"faults"`
+
+	Metrics map[string]float64 `json:"figures,omitempty"` // of the component that the experiment is about
+}
+
+// ClassResult is the result of a class of requests.
+type ClassResult struct {
+	Name        string  `json:"name"`
+	Requests    int     `json:"requests"`
+	ServedShare float64 `json:"served_share"`
+}
+
+// Window is the result of a period of Result.WindowMS.
+type Window struct {
+	AtS                 float64        `json:"at_s"`
+	OfferedWeight       float64        `json:"worth_asked"`
+	WeightedServedShare float64        `json:"worth_share"`
+	P50                 float64        `json:"p50_ms"`
+	P99                 float64        `json:"p99_ms"`
+	AttemptsByResult    map[string]int `json:"attempts_by_result"`
+	AttemptsByZone      []int          `json:"attempts_by_zone"`
+}
+
+// FaultInterval is when a fault held.
+type FaultInterval struct {
+	Fault string  `json:"fault"`
+	FromS float64 `json:"from_s"`
+	ToS   float64 `json:"to_s,omitempty"` // 0: it had no end
+}
+
+// Result returns the result of a run in a mode with a policy, whose violations the checker has.
+func (r *Recorder) Result(mode, policy string, checker *Checker) *Result {
+	violationCounts, violations := checker.Violations()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	plan := r.plan
+	result := &Result{
+		Name: plan.Experiment.Name, Mode: mode, Policy: policy, Seed: plan.Seed, DurationSeconds: plan.DurationMS / 1000,
+		Sidecars: len(plan.Sidecars), Servers: len(plan.initialServers()), Counts: r.counts,
+		P50: quantile(r.latency, 50), P90: quantile(r.latency, 90), P99: quantile(r.latency, 99), P999: quantile(r.latency, 99.9),
+		Lateness: quantile(r.lateness, 99), MaxLateness: quantile(r.lateness, 100),
+		ServedShare:         fraction(float64(r.counts.Served), float64(r.counts.Requests)),
+		WeightedServedShare: r.weightedServedShare(),
+		CrossZoneShare:      fraction(float64(r.counts.CrossZoneAttempts), float64(r.counts.Attempts)),
+		ViolationsByRule:    violationCounts, Violations: violations, AttemptsByResult: r.attemptsByResult,
+		WindowMS: r.windowMS, Classes: r.classResults(), Windows: r.windowResults(),
+	}
+	for _, count := range violationCounts {
+		result.ViolationCount += count
+	}
+	result.discountIfOverloaded()
+	for i := range plan.Faults {
+		fault := &plan.Faults[i]
+		result.Faults = append(result.Faults, FaultInterval{fault.Label, fault.StartMS / 1000, fault.EndMS / 1000})
+	}
+	return result
+}
+
+func (r *Recorder) classResults() []ClassResult {
+	var results []ClassResult
+	for i := range r.classes {
+		class := &r.classes[i]
+		servedShare := fraction(float64(class.served), float64(class.requests))
+		results = append(results, ClassResult{r.plan.Classes[i].Name, class.requests, servedShare})
+	}
+	return results
+}
+
+func (r *Recorder) windowResults() []Window {
+	var results []Window
+	for i := range r.windows {
+		window := &r.windows[i]
+		results = append(results, Window{
+			AtS: float64(i) * r.windowMS / 1000, OfferedWeight: window.offeredWeight,
+			WeightedServedShare: fraction(window.servedWeight, window.offeredWeight),
+			P50:                 quantile(window.latency, 50), P99: quantile(window.latency, 99),
+			AttemptsByResult: window.attemptsByResult, AttemptsByZone: window.attemptsByZone,
+		})
+	}
+	return results
+}
+
+// discountIfOverloaded discounts the violations of sidecars if the machine could not play the load in time. Those of the
+// control plane remain: they do not depend on milliseconds.
+func (r *Result) discountIfOverloaded() {
+	due := float64(r.Requests + r.SentTooLate)
+	if r.Lateness <= maxLatenessMS && float64(r.SentTooLate) <= maxSentLateShare*due {
+		return
+	}
+	all := r.ViolationCount
+	r.ViolationCount = 0
+	for _, rule := range ControlPlaneRules {
+		r.ViolationCount += r.ViolationsByRule[rule]
+	}
+	r.Overloaded, r.DiscountedViolations = true, all-r.ViolationCount
+	r.Violations = slices.DeleteFunc(r.Violations, func(violation Violation) bool {
+		return !slices.Contains(ControlPlaneRules, violation.Rule)
+	})
+}
+
+// quantile returns a percentile of a histogram in ms, 0 of an empty one.
+func quantile(histogram *hdrhistogram.Histogram, percentile float64) float64 {
+	if histogram.TotalCount() == 0 {
+		return 0
+	}
+	return roundMicros(float64(histogram.ValueAtQuantile(percentile)) / 1000)
+}
+
+// fraction returns a part of a whole, rounded to six digits. The part of an empty whole is 1.
+func fraction(part, whole float64) float64 {
+	if whole == 0 {
+		return 1
+	}
+	return math.Round(part/whole*1e6) / 1e6
+}
--- /dev/null
+++ b/internal/lab/server_capacity.go
@@ -0,0 +1,133 @@
+package lab
+
+import "math"
+
+// workSlot is the work that a warming-up server was sent within one slot of the overload window.
+type workSlot struct {
+	slot               int
+	work, informedWork float64
+}
+
+// SlowStartOverload is how a warming-up server was overloaded.
+type SlowStartOverload struct {
+	WorkMS, BudgetMS float64 // standard work within the window, and how much the server could take
+	InformedShare    float64 // of the work, from sidecars that had been notified of its start
+}
+
+// Overloaded reports whether the server was overloaded while it was warming up. It stays down then.
+func (s *Server) Overloaded() bool { return s.overloaded }
+
+// IsWarmingUp reports whether the slow start has not ended yet.
+func (s *Server) IsWarmingUp(now float64) bool {
+	return s.startedCold && now < s.startedAt+s.Plan.SlowStartMS
+}
+
+// capacityShare returns the share of its capacity that a server has, which grows linearly during the slow start.
+func (s *Server) capacityShare(now float64) float64 {
+	if !s.startedCold || now >= s.startedAt+s.Plan.SlowStartMS {
+		return 1
+	}
+	from := s.Plan.Spec.SlowStartFrom
+	return from + (1-from)*(now-s.startedAt)/s.Plan.SlowStartMS
+}
+
+// recordSlowStartWork counts the work that a warming-up server is sent, whether it accepts it or not, and returns the
+// overload if it is too much.
+func (s *Server) recordSlowStartWork(now float64, job Job) *SlowStartOverload {
+	if !s.IsWarmingUp(now) || s.rules.OverloadWindowMS <= 0 {
+		return nil
+	}
+	slotMS := s.rules.OverloadWindowMS / overloadSlots
+	slot := int(now / slotMS)
+	current := &s.slowStartWork[slot%overloadSlots]
+	if current.slot != slot {
+		*current = workSlot{slot: slot}
+	}
+	current.work += job.WorkMS
+	if job.SenderInformed {
+		current.informedWork += job.WorkMS
+	}
+	totalWork, informedWork := 0.0, 0.0
+	for _, slotWork := range s.slowStartWork {
+		if slotWork.slot > slot-overloadSlots {
+			totalWork += slotWork.work
+			informedWork += slotWork.informedWork
+		}
+	}
+	capacity := s.Plan.Speed * s.capacityShare(now) * float64(s.Plan.Spec.Cores)
+	budget := s.rules.OverloadMultiple * capacity * s.rules.OverloadWindowMS * overloadTolerance
+	if totalWork <= budget {
+		return nil
+	}
+	return &SlowStartOverload{WorkMS: totalWork, BudgetMS: budget, InformedShare: informedWork / totalWork}
+}
+
+// Congested reports whether too many waiting jobs have slowed the server down.
+func (s *Server) Congested(now float64) bool { return now >= s.congestedSince }
+
+// updateCongestion tracks whether the server is crowded, congested, or idle again.
+func (s *Server) updateCongestion(now float64) {
+	switch {
+	case s.Plan.Spec.CongestionQueuePerCore == 0:
+	case now >= s.congestedSince:
+		s.endCongestion(now)
+	default:
+		s.beginCongestion(now)
+	}
+}
+
+// beginCongestion makes the server congested once too many jobs have waited for long enough.
+func (s *Server) beginCongestion(now float64) {
+	spec := s.Plan.Spec
+	if float64(len(s.waiting)) <= spec.CongestionQueuePerCore*float64(spec.Cores) {
+		s.crowdedSince = math.Inf(1)
+	} else if math.IsInf(s.crowdedSince, 1) {
+		s.crowdedSince = now
+	}
+	if now >= s.crowdedSince+spec.CongestionAfterMS {
+		s.congestedSince, s.idleSince = now, math.Inf(1)
+	}
+}
+
+// endCongestion ends the congestion once the server was idle for long enough, or after the longest time.
+func (s *Server) endCongestion(now float64) {
+	spec := s.Plan.Spec
+	if float64(len(s.running)) > idleUtilisation*float64(spec.Cores) || len(s.waiting) > 0 {
+		s.idleSince = math.Inf(1)
+	} else if math.IsInf(s.idleSince, 1) {
+		s.idleSince = now
+	}
+	wasIdle := now >= s.idleSince+spec.CongestionIdleMS
+	tookLongest := now >= s.congestedSince+spec.CongestionMaxMS && spec.CongestionMaxMS > 0
+	if wasIdle || tookLongest {
+		s.congestedSince, s.crowdedSince = math.Inf(1), math.Inf(1)
+	}
+}
+
+// lookUpKey reports whether a key is cached, and caches it.
+func (s *Server) lookUpKey(now float64, key uint64) bool {
+	spec := s.Plan.Spec
+	capacity := max(spec.CacheKeys, 1)
+	for len(s.cacheOrder) > 0 && (now > s.cacheOrder[0].at+spec.CacheTTLMS || len(s.cacheOrder) > 2*capacity) {
+		s.evictOldest()
+	}
+	if s.AlwaysCached[key] {
+		return true
+	}
+	lastUse, known := s.cachedAt[key]
+	s.cachedAt[key] = now
+	s.cacheOrder = append(s.cacheOrder, timedKey{key, now})
+	for len(s.cachedAt) > capacity {
+		s.evictOldest()
+	}
+	return known && now <= lastUse+spec.CacheTTLMS
+}
+
+// evictOldest drops the oldest use. A key that was used again since stays cached.
+func (s *Server) evictOldest() {
+	oldest := s.cacheOrder[0]
+	s.cacheOrder = s.cacheOrder[1:]
+	if s.cachedAt[oldest.key] == oldest.at {
+		delete(s.cachedAt, oldest.key)
+	}
+}
