--- a/cmd/milldeck/dutybench.go
+++ b/cmd/milldeck/dutybench.go
@@ -51,7 +51,7 @@
 	}
 	if flags.logDir != "" {
 		entries, _ := os.ReadDir(flags.logDir) // a folder that cannot be read yet is created or reported by the bench
-		if len(entries) > 0 { // logs of another run would be judged with this one's
+		if len(entries) > 0 {                  // logs of another run would be judged with this one's
 			return dutyOutcome{}, usageError{fmt.Errorf("--logs: %s is not empty", flags.logDir)}
 		}
 		dir = flags.logDir
