--- a/cmd/milldeck/lab_run.go
+++ b/cmd/milldeck/lab_run.go
@@ -30,7 +30,7 @@
 
 // play plays a plan with real processes.
 func (f *liveFlags) play(ctx context.Context, plan *lab.Plan, progress func(live.Progress)) (*lab.Result, error) {
-	if plan.File.Spread != nil {
+	if plan.Experiment.HotKeys != nil {
 		return nil, usageError{errors.New("[spread] is played by lab sim alone")}
 	}
 	self, err := os.Executable()
@@ -52,11 +52,11 @@
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	result, err := live.Run(ctx, plan, live.Options{Sidecar: path, Milldeck: self, Dir: dir, Progress: progress})
+	result, err := live.Run(ctx, plan, live.Options{SidecarPath: path, MilldeckPath: self, Dir: dir, Progress: progress})
 	if err != nil {
 		return nil, fmt.Errorf("%w (logs in %s)", err, dir)
 	}
-	if f.logDir == "" && result.BrokenRules == 0 {
+	if f.logDir == "" && result.ViolationCount == 0 {
 		return result, os.RemoveAll(dir)
 	}
 	slog.Info("logs kept", "folder", dir)
@@ -68,13 +68,13 @@
 	terminal := isTerminal(w)
 	return func(progress live.Progress) {
 		faults := "no fault"
-		if len(progress.Faults) > 0 {
-			faults = strings.Join(progress.Faults, ", ")
+		if len(progress.ActiveFaults) > 0 {
+			faults = strings.Join(progress.ActiveFaults, ", ")
 		}
-		line := fmt.Sprintf("%5.1f s  %3.0f%%  %6d requests  %6.2f%% served in time  %s", progress.AtS, 100*progress.Done, progress.Requests, 100*progress.Served, faults)
+		line := fmt.Sprintf("%5.1f s  %3.0f%%  %6d requests  %6.2f%% served in time  %s", progress.AtSeconds, 100*progress.LoadShare, progress.Requests, 100*progress.ServedShare, faults)
 		if terminal {
 			fmt.Fprintf(w, "\r\x1b[K%s", line)
-			if progress.Done >= 1 {
+			if progress.LoadShare >= 1 {
 				fmt.Fprintln(w)
 			}
 			return
@@ -142,10 +142,10 @@
 					return err
 				}
 			}
-			if err := report.Compare(command.OutOrStdout(), []*lab.Result{simulated, measured}); err != nil {
+			if err := report.WriteComparison(command.OutOrStdout(), []*lab.Result{simulated, measured}); err != nil {
 				return err
 			}
-			differences, pairs, err := report.Diff([]*lab.Result{simulated}, []*lab.Result{measured})
+			differences, pairs, err := report.Compare([]*lab.Result{simulated}, []*lab.Result{measured})
 			if err != nil {
 				return err
 			}
--- /dev/null
+++ b/internal/lab/controlplane/checker.go
@@ -0,0 +1,190 @@
+package controlplane
+
+import (
+	"fmt"
+
+	"milldeck/internal/release"
+	"milldeck/internal/supervisor"
+)
+
+// Rules that the checker checks. Their texts are stored in results.
+const (
+	ruleBudget   = "budget"   // a permit or a failure takes more units out of service than the disruption budget allows
+	ruleHours    = "hours"    // a tenant is excluded from servers outside its approved hours
+	ruleOnce     = "once"     // a unit has two processes, or is restarted on a version that it was already serving on
+	ruleStranded = "stranded" // a unit, release or window is left in an intermediate state
+	ruleSpread   = "spread"   // a hot key gets more replicas, or faster, than its warm-up budget allows
+)
+
+// RuleNames lists the rules in the order of reports.
+var RuleNames = []string{ruleBudget, ruleHours, ruleOnce, ruleStranded, ruleSpread}
+
+const (
+	// detectionMS is how long a failure may be unknown to the ledger: the registration lease and a few ticks.
+	detectionMS = endpointLeaseMS + 4*tickMS
+	// restoreGraceMS is how long acts that were decided before a restore may still arrive.
+	restoreGraceMS = 15_000
+	// maxListedViolations of a simulation are described in its result.
+	maxListedViolations = 20
+)
+
+// observation is what the checker knows of a unit.
+type observation struct {
+	inService        bool
+	outSinceMS       int64 // when it left service last
+	inServiceSinceMS int64 // when it entered service last
+	granted          bool  // a permit to take it out of service is in effect
+	leftService      bool  // since that permit
+	stopRequested    bool  // the platform was asked to stop its process
+	servedBeforeStop bool  // and that process had been in service for a while
+	version          string
+	incarnation      uint64
+}
+
+// checker checks the rules. It observes processes, the endpoint list, the exclusions that sidecars follow and grants as
+// they are written. It never asks a table of the control plane which units are unavailable.
+type checker struct {
+	cluster          *cluster
+	enabled          bool
+	violations       []Violation // the first maxListedViolations
+	violationsByRule map[string]int
+
+	restoredMS         int64           // when a backup was restored; 0: never
+	platformMisbehaved bool            // the platform starts units twice or forgets running ones: ruleOnce is not checked
+	duplicatedUnits    map[string]bool // units with two processes that were reported
+	divertedReleases   map[string]bool // releases that were ever halted or rolled back
+	upgradedUnits      map[string]bool // units that were started on another version than the initial one
+
+	grantedUnits map[string]*unit // with observation.granted
+
+	hours          map[string][]approvedHours // by tenant, oldest first
+	excludedMS     int64                      // exclusion of tenants, summed over all sidecars
+	outsideHoursMS int64                      // of that, outside approved hours
+
+	warmupWork map[int64]float64 // ms of warm-up work that was begun, by second
+}
+
+func newChecker(cluster *cluster) *checker {
+	return &checker{
+		cluster:          cluster,
+		violationsByRule: map[string]int{},
+		duplicatedUnits:  map[string]bool{},
+		divertedReleases: map[string]bool{},
+		upgradedUnits:    map[string]bool{},
+		grantedUnits:     map[string]*unit{},
+		hours:            map[string][]approvedHours{},
+		warmupWork:       map[int64]float64{},
+	}
+}
+
+// start enables the checker once the fleet has started.
+func (c *checker) start() {
+	c.enabled = true
+	for _, member := range c.cluster.units {
+		c.observe(member)
+		if !member.observed.inService {
+			c.report(ruleStranded, member.ID+" is out of service at the start")
+		}
+	}
+	clear(c.upgradedUnits)
+}
+
+// report records a violation.
+func (c *checker) report(rule, detail string) {
+	if !c.enabled {
+		return
+	}
+	c.violationsByRule[rule]++
+	if len(c.violations) < maxListedViolations {
+		atS := float64(c.cluster.nowMS-c.cluster.startMS) / 1000
+		c.violations = append(c.violations, Violation{AtS: atS, Rule: rule, Detail: detail})
+	}
+}
+
+// violationCount is the number of violations of all rules.
+func (c *checker) violationCount() int {
+	count := 0
+	for _, rule := range RuleNames {
+		count += c.violationsByRule[rule]
+	}
+	return count
+}
+
+// observe updates whether a unit is in service, and checks that it has one process.
+func (c *checker) observe(target *unit) {
+	observed := &target.observed
+	inService := c.cluster.inService(target)
+	switch {
+	case inService && !observed.inService:
+		if observed.granted && observed.leftService {
+			c.endGrant(target)
+		}
+		observed.inServiceSinceMS = c.cluster.nowMS
+	case !inService && observed.inService:
+		observed.outSinceMS = c.cluster.nowMS
+	}
+	if !inService && observed.granted {
+		observed.leftService = true
+	}
+	observed.inService = inService
+
+	processes := c.cluster.platform.LiveProcesses(target.name)
+	if processes > 1 && !c.platformMisbehaved && !c.duplicatedUnits[target.ID] {
+		c.duplicatedUnits[target.ID] = true
+		c.report(ruleOnce, fmt.Sprintf("%s has %d processes", target.ID, processes))
+	}
+}
+
+// observeRequests observes requests to the platform before they are sent. A stop of another incarnation than the running
+// one is rejected by the platform, and is ignored.
+func (c *checker) observeRequests(requests []supervisor.Request) {
+	for index := range requests {
+		request := &requests[index]
+		target := c.cluster.unitsByName[request.Unit]
+		observed := &target.observed
+		if request.Op != supervisor.Stop || request.Incarnation != observed.incarnation || observed.stopRequested {
+			continue
+		}
+		c.requirePermit(target, "stopped")
+		// A controller may have given up on a unit that has entered service only now.
+		observed.servedBeforeStop = observed.inService && c.cluster.nowMS-observed.inServiceSinceMS > detectionMS
+		observed.stopRequested = true
+	}
+}
+
+// observeLaunch observes the start of a process. One of the same incarnation is a restart by the platform itself.
+func (c *checker) observeLaunch(target *unit, version string, incarnation uint64) {
+	observed := &target.observed
+	servedAlready := observed.stopRequested && observed.servedBeforeStop && observed.version == version
+	excused := c.platformMisbehaved || c.restoredMS != 0
+	if servedAlready && observed.incarnation != incarnation && !excused && !c.divertedReleases[c.releaseOf(target)] {
+		c.report(ruleOnce, fmt.Sprintf("%s was in service on version %s, was stopped and is started on it again", target.ID, version))
+	}
+	observed.stopRequested, observed.servedBeforeStop = false, false
+	observed.version, observed.incarnation = version, incarnation
+	if version != initialVersion {
+		c.upgradedUnits[target.ID] = true
+	}
+}
+
+// releaseOf is the name of the release that a unit is part of, or empty. It updates whether that release was diverted.
+func (c *checker) releaseOf(target *unit) string {
+	for _, name := range c.cluster.registry.releases.Names() {
+		state, _ := c.cluster.registry.releases.Get(name)
+		for index := range state.Units {
+			if state.Units[index].ID == target.ID {
+				c.observePhase(name)
+				return name
+			}
+		}
+	}
+	return ""
+}
+
+// observePhase records whether a release was ever halted or rolled back: stopped units then start on their old version.
+func (c *checker) observePhase(name string) {
+	state, _ := c.cluster.registry.releases.Get(name)
+	if state.Status.Phase != release.PhaseRollout && state.Status.Phase != release.PhaseCompleted {
+		c.divertedReleases[name] = true
+	}
+}
--- a/internal/lab/controlplane/faults.go
+++ b/internal/lab/controlplane/faults.go
@@ -1,211 +1,285 @@
 package controlplane
 
 import (
-	"context"
 	"fmt"
 
 	"milldeck/internal/maintenance"
 	"milldeck/internal/release"
-	"milldeck/internal/supervisor"
 	"milldeck/internal/supervisor/core"
 )
 
-// startUnit has the platform start a unit that has ended as it was last, by an operator.
-func (w *world) startUnit(u *unit, at *supervisor.Unit, memory uint64) {
-	inc := uint64(0)
-	if at != nil {
-		if inc = at.Incarnation; at.State != supervisor.Exited {
-			if at.State == supervisor.Starting && !u.alive { // listed, and no process: half was done
-				w.calls++
-				w.platform.Do(context.Background(), supervisor.Request{ID: fmt.Sprintf("ops-%d", w.calls), Op: supervisor.Stop, Epoch: memory, Unit: u.name, Incarnation: inc})
+const (
+	// faultPeriodMS is the time from the start within which faults begin.
+	faultPeriodMS = 300_000
+	// clockFaultMS is how long the clock of a leader or controller is wrong.
+	clockFaultMS = 120_000
+	// crashText is the exit text of a process that crashes.
+	crashText = "signal: killed"
+)
+
+// platformFaultKinds are the faults of the platform that are drawn, beside hanging.
+var platformFaultKinds = []core.FaultKind{
+	core.FaultPartial,
+	core.FaultDropResponse,
+	core.FaultDuplicate,
+	core.FaultWrongUnit,
+	core.FaultLoseState,
+	core.FaultError,
+}
+
+// scheduleFaults draws the faults of the simulation. The order of draws is part of what a seed means.
+func (c *cluster) scheduleFaults() {
+	c.scheduleZoneLoss(10_000 + c.random.Int64N(120_000))
+	c.scheduleLeaderCrashes()
+	c.scheduleProcessFaults()
+	c.scheduleMinorityPartition()
+	c.scheduleAgentPartition()
+	c.schedulePlatformFaults()
+	c.scheduleServerCrashes()
+	c.scheduleClockFaults()
+	c.scheduleOperatorCommands()
+	c.scheduleRestore()
+}
+
+// drawFaultTime draws when a fault begins, in ms from now.
+func (c *cluster) drawFaultTime() int64 { return 5000 + c.random.Int64N(faultPeriodMS) }
+
+// drawProcess draws a process.
+func (c *cluster) drawProcess() *process { return c.processes[c.random.IntN(len(c.processes))] }
+
+// scheduleFault schedules a fault and describes it in the result.
+func (c *cluster) scheduleFault(delayMS int64, description string, inject func()) {
+	c.scenario.faults = append(c.scenario.faults, fmt.Sprintf("%4.0f s %s", float64(delayMS)/1000, description))
+	c.schedule(delayMS, inject)
+	c.extendFaults(delayMS)
+}
+
+// extendFaults notes that a fault lasts for a time from now.
+func (c *cluster) extendFaults(durationMS int64) {
+	c.scenario.faultsEndMS = max(c.scenario.faultsEndMS, c.nowMS+durationMS)
+}
+
+// scheduleZoneLoss has a zone lose its power, or its network.
+func (c *cluster) scheduleZoneLoss(delayMS int64) {
+	zone := zones[c.random.IntN(len(zones))]
+	powerLoss := c.random.IntN(2) == 0
+	durationMS := 10_000 + c.random.Int64N(80_000)
+	manner := "cut off"
+	if powerLoss {
+		manner = "without power"
+	}
+	c.scheduleFault(delayMS, fmt.Sprintf("zone %s %s for %d ms", zone, manner, durationMS), func() {
+		if powerLoss {
+			c.powerOffUntilMS[zone] = c.nowMS + durationMS
+		}
+		for _, member := range c.units {
+			if member.Zone != zone {
+				continue
+			}
+			member.changing = true
+			if powerLoss {
+				c.platform.Crash(member.name, crashText)
+			} else {
+				member.unreachableUntilMS = c.nowMS + durationMS
 			}
-			return
 		}
+	})
+	c.extendFaults(delayMS + durationMS)
+}
+
+// scheduleLeaderCrashes crashes the leader of the registry, at times all of its replicas.
+func (c *cluster) scheduleLeaderCrashes() {
+	c.scheduleFault(c.drawFaultTime(), "leader killed between entry and answer", func() { c.registry.dropNextResponse = true })
+	for range c.random.IntN(3) {
+		c.scheduleFault(c.drawFaultTime(), "leader killed", func() { c.registry.crashLeader(1000 + c.random.Int64N(6000)) })
 	}
-	w.calls++
-	w.platform.Do(context.Background(), supervisor.Request{ID: fmt.Sprintf("ops-%d", w.calls), Op: supervisor.Start, Epoch: memory, Unit: u.name,
-		Incarnation: inc, Kind: supervisor.Kind(u.Kind), Version: u.version, ConfigName: "c1", ConfigText: "c1", Listen: "127.0.0.1:7000", Zone: u.Zone})
-}
-
-// The night's faults come within busyMS of its begin.
-const busyMS = 300_000
-
-// faults draws the night's faults.
-func (w *world) faults() {
-	r := w.rng
-	at := func() int64 { return 5000 + r.Int64N(busyMS) }
-	w.loseZone(10_000 + r.Int64N(120_000))
-	w.fault(at(), "leader killed between entry and answer", func() { w.plane.lose = true })
-	for range r.IntN(3) {
-		w.fault(at(), "leader killed", func() { w.plane.kill(1000 + r.Int64N(6000)) })
-	}
-	if r.IntN(4) == 0 {
-		w.fault(at(), "all replicas killed and started", func() { w.plane.kill(20_000 + r.Int64N(30_000)) })
-	}
-	for range 2 + r.IntN(5) {
-		p, k, late := w.procs[r.IntN(len(w.procs))], r.IntN(30), r.IntN(2) == 0
-		w.fault(at(), fmt.Sprintf("a holder of %s killed at its effect %d", p.duty, k), func() { w.holder(p).doom = &doom{after: k, late: late} })
-	}
-	for range 1 + r.IntN(3) {
-		p, k, ms := w.procs[r.IntN(len(w.procs))], r.IntN(30), 4000+r.Int64N(56_000)
-		w.fault(at(), fmt.Sprintf("a holder of %s frozen for %d ms", p.duty, ms), func() { w.holder(p).doom = &doom{after: k, freeze: ms} })
+	if c.random.IntN(4) == 0 {
+		c.scheduleFault(c.drawFaultTime(), "all replicas killed and started", func() { c.registry.crashLeader(20_000 + c.random.Int64N(30_000)) })
 	}
-	if r.IntN(2) == 0 {
-		p, ms := w.procs[r.IntN(len(w.procs))], 5000+r.Int64N(60_000)
-		w.fault(at(), fmt.Sprintf("a holder of %s and a tenth of the sidecars at a minority for %d ms", p.duty, ms), func() {
-			h := w.holder(p)
-			h.behind, h.cut = w.plane.copied(), w.now+ms
-			w.mute(len(w.sidecars)/10, ms)
+}
+
+// scheduleProcessFaults crashes and pauses lease holders at one of their effects.
+func (c *cluster) scheduleProcessFaults() {
+	for range 2 + c.random.IntN(5) {
+		target, skipEffects, afterEffect := c.drawProcess(), c.random.IntN(30), c.random.IntN(2) == 0
+		description := fmt.Sprintf("a holder of %s killed at its effect %d", target.leaseName, skipEffects)
+		c.scheduleFault(c.drawFaultTime(), description, func() {
+			c.leaderOf(target).scheduledFault = &processFault{skipEffects: skipEffects, afterEffect: afterEffect}
 		})
 	}
-	n, ms := 1+r.IntN(max(len(w.sidecars)/50, 1)), 5000+r.Int64N(100_000)
-	w.fault(at(), fmt.Sprintf("%d sidecars cut off from their agents for %d ms", n, ms), func() { w.mute(n, ms) })
-	w.platformFaults(at)
-	for range 3 + r.IntN(10) {
-		u := w.servers[r.IntN(len(w.servers))]
-		w.fault(at(), u.ID+" ends by itself", func() { w.platform.Crash(u.name, "signal: killed") })
-	}
-	w.clocks(at)
-	w.people(at)
-	if r.IntN(5) == 0 {
-		t := at()
-		w.fault(t, "backup", func() { w.plane.backup = w.plane.copied() })
-		w.fault(t+5000+r.Int64N(60_000), "restore from it", func() {
-			w.judge.restore = w.now
-			w.plane.restore()
-			for _, t := range tenants { // whoever restores sets again first what was withdrawn since the backup
-				if list := w.judge.hours[t.name]; list[len(list)-1].length == 0 && w.plane.windows.Contract(t.name) != nil {
-					w.operate(&maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: t.name})
-				}
-			}
-			for _, u := range w.units {
-				u.active = true
-			}
+	for range 1 + c.random.IntN(3) {
+		target, skipEffects, durationMS := c.drawProcess(), c.random.IntN(30), 4000+c.random.Int64N(56_000)
+		description := fmt.Sprintf("a holder of %s frozen for %d ms", target.leaseName, durationMS)
+		c.scheduleFault(c.drawFaultTime(), description, func() {
+			c.leaderOf(target).scheduledFault = &processFault{skipEffects: skipEffects, pauseMS: durationMS}
 		})
 	}
 }
 
-// holder is who holds a process's duty, or itself.
-func (w *world) holder(p *process) *process {
-	for _, q := range w.procs {
-		if q.duty == p.duty && q.holds() && !q.dead {
-			return q
+// leaderOf is the process that holds the lease of a process, or that process where none does.
+func (c *cluster) leaderOf(target *process) *process {
+	for _, candidate := range c.processes {
+		if candidate.leaseName == target.leaseName && candidate.holdsLease() && !candidate.down {
+			return candidate
 		}
 	}
-	return p
+	return target
 }
 
-func (w *world) mute(n int, ms int64) {
-	for range n {
-		u := w.sidecars[w.rng.IntN(len(w.sidecars))]
-		u.car.mute, u.active = w.now+ms, true
+// scheduleMinorityPartition at times partitions a lease holder, with a replica that falls behind, and a tenth of the
+// sidecars.
+func (c *cluster) scheduleMinorityPartition() {
+	if c.random.IntN(2) != 0 {
+		return
 	}
+	target, durationMS := c.drawProcess(), 5000+c.random.Int64N(60_000)
+	description := fmt.Sprintf("a holder of %s and a tenth of the sidecars at a minority for %d ms", target.leaseName, durationMS)
+	c.scheduleFault(c.drawFaultTime(), description, func() {
+		leader := c.leaderOf(target)
+		leader.staleState, leader.partitionedUntilMS = c.registry.clone(), c.nowMS+durationMS
+		c.partitionAgents(len(c.sidecars)/10, durationMS)
+	})
 }
 
-// loseZone has a zone lose its power, or be cut off.
-func (w *world) loseZone(at int64) {
-	zone, power, ms := zones[w.rng.IntN(len(zones))], w.rng.IntN(2) == 0, 10_000+w.rng.Int64N(80_000)
-	how := "cut off"
-	if power {
-		how = "without power"
+// scheduleAgentPartition partitions some sidecars from their agents.
+func (c *cluster) scheduleAgentPartition() {
+	count, durationMS := 1+c.random.IntN(max(len(c.sidecars)/50, 1)), 5000+c.random.Int64N(100_000)
+	description := fmt.Sprintf("%d sidecars cut off from their agents for %d ms", count, durationMS)
+	c.scheduleFault(c.drawFaultTime(), description, func() { c.partitionAgents(count, durationMS) })
+}
+
+// partitionAgents partitions so many sidecars from their agents.
+func (c *cluster) partitionAgents(count int, durationMS int64) {
+	for range count {
+		target := c.sidecars[c.random.IntN(len(c.sidecars))]
+		target.sidecar.agentDownUntilMS, target.changing = c.nowMS+durationMS, true
 	}
-	w.fault(at, fmt.Sprintf("zone %s %s for %d ms", zone, how, ms), func() {
-		if power {
-			w.powerOff[zone] = w.now + ms
-		}
-		for _, u := range w.units {
-			if u.Zone != zone {
-				continue
-			}
-			u.active = true
-			if power {
-				w.platform.Crash(u.name, "signal: killed")
-			} else {
-				u.cut = w.now + ms
-			}
-		}
-	})
-	w.night.quiet = max(w.night.quiet, w.now+at+ms)
 }
 
-func (w *world) platformFaults(at func() int64) {
-	r := w.rng
-	hang := core.Fault{Kind: core.FaultHang, DurationMS: 2000 + r.Int64N(30_000)}
-	w.fault(at(), fmt.Sprintf("the platform hangs for %d ms", hang.DurationMS), w.platformFault(hang))
-	for range 1 + r.IntN(4) {
-		f := core.Fault{Kind: []core.FaultKind{core.FaultPartial, core.FaultDropResponse, core.FaultDuplicate, core.FaultWrongUnit, core.FaultLoseState, core.FaultError}[r.IntN(6)], Count: 1 + r.IntN(3)}
-		switch f.Kind {
+// schedulePlatformFaults lets the platform hang, and fail in some other ways.
+func (c *cluster) schedulePlatformFaults() {
+	hang := core.Fault{Kind: core.FaultHang, DurationMS: 2000 + c.random.Int64N(30_000)}
+	c.schedulePlatformFault(fmt.Sprintf("the platform hangs for %d ms", hang.DurationMS), hang)
+	for range 1 + c.random.IntN(4) {
+		fault := core.Fault{Kind: platformFaultKinds[c.random.IntN(len(platformFaultKinds))], Count: 1 + c.random.IntN(3)}
+		switch fault.Kind {
 		case core.FaultLoseState:
-			f.Count, f.DurationMS = 0, 1000+r.Int64N(20_000)
-			w.judge.excused = true
+			fault.Count, fault.DurationMS = 0, 1000+c.random.Int64N(20_000)
+			c.checker.platformMisbehaved = true
 		case core.FaultDuplicate:
-			f.On, f.Count = core.OnDo, 1
-			w.judge.excused = true
+			fault.On, fault.Count = core.OnDo, 1
+			c.checker.platformMisbehaved = true
 		case core.FaultPartial, core.FaultWrongUnit:
-			f.On = core.OnDo
+			fault.On = core.OnDo
 		}
-		w.fault(at(), "the platform: "+string(f.Kind), w.platformFault(f))
+		c.schedulePlatformFault("the platform: "+string(fault.Kind), fault)
 	}
 }
 
-// clocks has some be wrong, by up to an hour; they are mended after a while.
-func (w *world) clocks(at func() int64) {
-	r := w.rng
-	const hour = 3600_000
-	off := func() int64 { return r.Int64N(2*hour) - hour }
-	for range max(len(w.sidecars)/100, 1) {
-		c := w.sidecars[r.IntN(len(w.sidecars))].car // one that is wrong keeps off for no time, and no window is empty of it
-		old, o := c.off, off()
-		c.off = o
-		w.after(busyMS, func() { c.off = old })
+func (c *cluster) schedulePlatformFault(description string, fault core.Fault) {
+	c.scheduleFault(c.drawFaultTime(), description, func() {
+		_ = c.platform.SetFault(fault) // rejected where the platform has as many faults as it accepts: one fewer is injected
+	})
+}
+
+// scheduleServerCrashes crashes single servers.
+func (c *cluster) scheduleServerCrashes() {
+	for range 3 + c.random.IntN(10) {
+		server := c.servers[c.random.IntN(len(c.servers))]
+		c.scheduleFault(c.drawFaultTime(), server.ID+" ends by itself", func() { c.platform.Crash(server.name, crashText) })
 	}
-	switch o := off(); r.IntN(4) {
+}
+
+// scheduleClockFaults makes some clocks wrong by up to an hour, for a while: those of some sidecars, and at times that of
+// the registry's leader or of a maintenance controller.
+func (c *cluster) scheduleClockFaults() {
+	drawOffset := func() int64 { return c.random.Int64N(2*hourMS) - hourMS }
+	for range max(len(c.sidecars)/100, 1) {
+		sidecar := c.sidecars[c.random.IntN(len(c.sidecars))].sidecar
+		accurateMS := sidecar.offsetMS
+		sidecar.offsetMS = drawOffset()
+		c.schedule(faultPeriodMS, func() { sidecar.offsetMS = accurateMS })
+	}
+	offsetMS := drawOffset()
+	switch c.random.IntN(4) {
 	case 0:
-		w.fault(at(), fmt.Sprintf("the leader's clock off by %d ms", o), func() {
-			old := w.plane.leader
-			w.plane.leader.off = o
-			w.after(120_000, func() { w.plane.leader = old })
-		})
-		w.night.quiet += 120_000
+		c.scheduleClockFault("the leader's clock", &c.registry.leaderClock, offsetMS)
+		c.scenario.faultsEndMS += clockFaultMS
 	case 1:
-		for _, p := range w.procs {
-			if c, is := p.c.(*windower); is {
-				w.fault(at(), fmt.Sprintf("the clock of %s off by %d ms", p.name, o), func() {
-					old := c.clock
-					c.clock.off = o
-					w.after(120_000, func() { c.clock = old })
-				})
-				break
-			}
-		}
-		w.night.quiet += 120_000
+		c.scheduleControllerClockFault(offsetMS)
+		c.scenario.faultsEndMS += clockFaultMS
 	}
 }
 
-// people do what crosses what is under way.
-func (w *world) people(at func() int64) {
-	r := w.rng
-	tell := func(name string, action release.Action) func() {
-		return func() {
-			if w.plane.leads() {
-				w.plane.rev++
-				_ = w.plane.releases.Apply(w.plane.rev, &release.Operation{Name: name, Command: &release.Command{Action: action, Operator: "operator/eva"}})
-			}
+// scheduleControllerClockFault makes the clock of the first maintenance controller wrong.
+func (c *cluster) scheduleControllerClockFault(offsetMS int64) {
+	for _, process := range c.processes {
+		if maintainer, ok := process.controller.(*maintenanceController); ok {
+			c.scheduleClockFault("the clock of "+process.name, &maintainer.clock, offsetMS)
+			return
 		}
 	}
-	name := []string{releaseS, releaseC}[r.IntN(2)]
-	switch r.IntN(5) {
+}
+
+// scheduleClockFault makes a clock wrong for clockFaultMS.
+func (c *cluster) scheduleClockFault(name string, clock *wallClock, offsetMS int64) {
+	c.scheduleFault(c.drawFaultTime(), fmt.Sprintf("%s off by %d ms", name, offsetMS), func() {
+		accurate := *clock
+		clock.offsetMS = offsetMS
+		c.schedule(clockFaultMS, func() { *clock = accurate })
+	})
+}
+
+// scheduleOperatorCommands at times has an operator interfere: halt a release, roll it back or withdraw a contract.
+func (c *cluster) scheduleOperatorCommands() {
+	name := []string{serverReleaseName, sidecarReleaseName}[c.random.IntN(2)]
+	switch c.random.IntN(5) {
 	case 0:
-		w.fault(at(), "release "+name+" halted", tell(name, release.CommandHalt))
+		c.scheduleReleaseCommand(name, "halted", release.CommandHalt)
 	case 1:
-		w.fault(at(), "release "+name+" sent back", tell(name, release.CommandRollback))
+		c.scheduleReleaseCommand(name, "sent back", release.CommandRollback)
 	case 2:
-		t := tenants[r.IntN(len(tenants))].name
-		w.fault(at(), "the contract of "+t+" withdrawn", func() {
-			if w.operate(&maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: t}) == string(maintenance.OutcomeApplied) {
-				w.judge.agree(t, w.judge.hours[t][0].opens, 0)
-				w.night.fits = false
-			}
-		})
+		c.scheduleWithdrawal(tenants[c.random.IntN(len(tenants))].name)
+	}
+}
+
+func (c *cluster) scheduleReleaseCommand(name, outcome string, action release.Action) {
+	c.scheduleFault(c.drawFaultTime(), "release "+name+" "+outcome, func() {
+		if !c.registry.hasLeader() {
+			return
+		}
+		// Rejected where the release has finished.
+		_ = c.registry.commitReleaseOp(&release.Operation{Name: name, Command: &release.Command{Action: action, Operator: "operator/eva"}})
+	})
+}
+
+func (c *cluster) scheduleWithdrawal(tenant string) {
+	c.scheduleFault(c.drawFaultTime(), "the contract of "+tenant+" withdrawn", func() {
+		if c.withdrawContract(tenant) == string(maintenance.OutcomeApplied) {
+			c.checker.setHours(tenant, c.checker.hours[tenant][0].opens, 0)
+			c.scenario.windowFits = false
+		}
+	})
+}
+
+// scheduleRestore at times restores the registry from a backup. After that the operator withdraws again first what was
+// withdrawn since the backup.
+func (c *cluster) scheduleRestore() {
+	if c.random.IntN(5) != 0 {
+		return
 	}
+	backupMS := c.drawFaultTime()
+	c.scheduleFault(backupMS, "backup", func() { c.registry.backup = c.registry.clone() })
+	c.scheduleFault(backupMS+5000+c.random.Int64N(60_000), "restore from it", func() {
+		c.checker.restoredMS = c.nowMS
+		c.registry.restoreBackup()
+		for _, tenant := range tenants {
+			if c.checker.hoursWithdrawn(tenant.name) && c.registry.windows.Contract(tenant.name) != nil {
+				c.withdrawContract(tenant.name)
+			}
+		}
+		for _, member := range c.units {
+			member.changing = true
+		}
+	})
 }
--- /dev/null
+++ b/internal/lab/controlplane/registry.go
@@ -0,0 +1,237 @@
+package controlplane
+
+import (
+	"fmt"
+	"slices"
+
+	"milldeck/internal/disruption"
+	"milldeck/internal/leaderelection/leasetable"
+	"milldeck/internal/maintenance"
+	"milldeck/internal/placement"
+	"milldeck/internal/release"
+)
+
+// registry is the replicated registry. Without a leader it neither reads nor writes; the leader may crash between
+// applying a write and answering it.
+type registry struct {
+	*registryState
+	cluster           *cluster
+	leaderClock       wallClock // of the present leader
+	leaderlessUntilMS int64
+	leaderSinceMS     int64
+	dropNextResponse  bool // the leader crashes after applying the next write, before it answers
+	backup            *registryState
+	renewedMS         map[string]int64 // by lease: its last renewal
+
+	// Index of the permits that are granted and not finished, as of indexedRevision.
+	indexedRevision uint64
+	permitByUnit    map[string]disruption.Permit
+	seenGrants      map[string]uint64   // by permit: the revision of its grant
+	newGrants       []disruption.Permit // granted since the checker took them last
+
+	forgedPermits map[string]*disruption.Permit // of Defects.StaleReads
+}
+
+func newRegistry(cluster *cluster) *registry {
+	return &registry{
+		registryState: newRegistryState(),
+		cluster:       cluster,
+		renewedMS:     map[string]int64{},
+		permitByUnit:  map[string]disruption.Permit{},
+		seenGrants:    map[string]uint64{},
+		forgedPermits: map[string]*disruption.Permit{},
+	}
+}
+
+// hasLeader tells whether the registry reads and writes.
+func (r *registry) hasLeader() bool { return r.cluster.nowMS >= r.leaderlessUntilMS }
+
+// leaderTimeMS is the wall clock of the leader, in Unix ms.
+func (r *registry) leaderTimeMS() int64 { return r.cluster.nowMS + r.leaderClock.offsetMS }
+
+// crashLeader crashes the leader. Another is elected after electionMS, and takes every lease as renewed then.
+func (r *registry) crashLeader(electionMS int64) {
+	r.leaderlessUntilMS = r.cluster.nowMS + electionMS
+	r.leaderSinceMS = r.leaderlessUntilMS
+	for name := range r.renewedMS {
+		r.renewedMS[name] = r.leaderlessUntilMS
+	}
+}
+
+// write applies a write at most once for an id, under the fencing token of a lease; without a lease name under none.
+// known is false where no answer came: the write may have been applied or not.
+func (r *registry) write(id, leaseName string, token uint64, apply func() writeResult) (result writeResult, known bool) {
+	if !r.hasLeader() {
+		return writeResult{}, false
+	}
+	if earlier, ok := r.writeResults[id]; ok {
+		return earlier, true
+	}
+	r.revision++
+	if r.fenced(leaseName, token) {
+		result = writeResult{outcomeStaleToken, fmt.Sprintf("token %d of %s is stale", token, leaseName)}
+	} else {
+		result = apply()
+	}
+	r.writeResults[id] = result
+	if r.dropNextResponse {
+		r.dropNextResponse = false
+		r.crashLeader(1500 + r.cluster.random.Int64N(4000))
+		return writeResult{}, false
+	}
+	return result, true
+}
+
+// fenced tells whether a write is rejected because its token is stale.
+func (r *registry) fenced(leaseName string, token uint64) bool {
+	return leaseName != "" && !r.cluster.options.Defects.IgnoreFencingTokens && !r.leases.TokenValid(leaseName, token)
+}
+
+// commitLedgerOp applies a ledger operation in a revision of its own.
+func (r *registry) commitLedgerOp(op *disruption.Op) {
+	r.revision++
+	r.ledger.Apply(r.revision, op)
+}
+
+// commitReleaseOp applies a release operation in a revision of its own.
+func (r *registry) commitReleaseOp(op *release.Operation) error {
+	r.revision++
+	return r.releases.Apply(r.revision, op)
+}
+
+// applyLedgerOp applies a ledger operation within a write.
+func (r *registry) applyLedgerOp(op *disruption.Op) writeResult {
+	if r.cluster.options.Defects.StaleReads && r.applyStaleGrant(op) {
+		return writeResult{outcome: outcomeDone}
+	}
+	result := r.ledger.Apply(r.revision, op)
+	return writeResult{string(result.Outcome), result.Reason}
+}
+
+// applyReleaseOp applies a release operation within a write.
+func (r *registry) applyReleaseOp(op *release.Operation) writeResult {
+	if err := r.releases.Apply(r.revision, op); err != nil {
+		return writeResult{outcomeRejected, err.Error()}
+	}
+	return writeResult{outcome: outcomeDone}
+}
+
+// applyMaintenanceOp applies a maintenance operation within a write, together with the placement directives that follow
+// from it.
+func (r *registry) applyMaintenanceOp(op *maintenance.Operation, stamp maintenance.Timestamp) writeResult {
+	if r.cluster.options.Defects.IgnoreFencingTokens {
+		op = r.withHighestToken(op)
+	}
+	changes, err := r.windows.Apply(r.revision, op, r.leaderStamped(stamp))
+	r.applyDirectives(changes.SetDirectives, changes.DeleteDirectiveIDs)
+	if err != nil {
+		return writeResult{string(maintenance.OutcomeOf(err)), err.Error()}
+	}
+	r.cluster.simulateWork(op)
+	return writeResult{outcome: string(maintenance.OutcomeApplied)}
+}
+
+// leaderStamped adds the leader's time to a controller's.
+func (r *registry) leaderStamped(stamp maintenance.Timestamp) maintenance.Timestamp {
+	stamp.LeaderMS, stamp.LeaderUncertaintyMS = r.leaderTimeMS(), r.leaderClock.uncertaintyMS
+	if r.cluster.options.Defects.UseControllerClock {
+		stamp.LeaderMS, stamp.LeaderUncertaintyMS = stamp.ControllerMS, stamp.UncertaintyMS
+	}
+	return stamp
+}
+
+// applyDirectives sets and deletes placement directives. Those that have expired are not set.
+func (r *registry) applyDirectives(set []placement.Directive, deleted []string) {
+	if len(set) == 0 && len(deleted) == 0 {
+		return
+	}
+	leaderMS := r.leaderTimeMS()
+	if r.cluster.options.Defects.ExcludePastClose {
+		for index := range set {
+			set[index].ExpiresAtMS = leaderMS + maintenance.ExclusionTTLMS
+		}
+	}
+	set = slices.DeleteFunc(set, func(directive placement.Directive) bool { return directive.ExpiresAtMS <= leaderMS })
+	if len(set)+len(deleted) > 0 {
+		r.placements.Apply(r.revision, maintenance.LeaseName, &placement.Op{LeaderTimeMS: leaderMS, Set: set, Delete: deleted})
+	}
+}
+
+// expireLeases expires the leases that were not renewed for their duration.
+func (r *registry) expireLeases() {
+	if !r.hasLeader() {
+		return
+	}
+	for _, name := range sortedKeys(r.renewedMS) {
+		lease, ok := r.leases.Get(name)
+		if !ok || lease.Holder == "" || r.cluster.nowMS-r.renewedMS[name] < leaderLeaseMS {
+			continue
+		}
+		r.revision++
+		// An expiry is never rejected.
+		_ = r.leases.Apply(r.revision, &leasetable.Operation{Kind: leasetable.Expire, Name: name, Candidate: lease.Holder, Token: lease.Token})
+		if r.cluster.options.Defects.CompletePermitsOnLeaseExpiry {
+			r.completePermitsOf(name)
+		}
+		r.renewedMS[name] = r.cluster.nowMS
+	}
+}
+
+// restoreBackup restores the backup in an epoch of its own. Leases and the results of writes are retained; the ledger is
+// halted until an operator resumes it.
+func (r *registry) restoreBackup() {
+	current := r.registryState
+	r.registryState, r.backup = r.backup, nil
+	r.revision = current.revision + 1
+	r.epoch = current.epoch + 1
+	r.leases, r.writeResults = current.leases, current.writeResults
+	r.placements.StartEpoch(r.revision, r.epoch)
+	r.ledger.HaltForUncertainty(r.revision, "the list was restored from a backup")
+
+	r.seenGrants, r.permitByUnit, r.indexedRevision = map[string]uint64{}, map[string]disruption.Permit{}, 0
+	r.indexPermits()
+	r.newGrants = nil // grants of the backup are not new
+}
+
+// permit returns a permit by its id.
+func (r *registry) permit(id string) (disruption.Permit, bool) {
+	if forged := r.forgedPermits[id]; forged != nil {
+		return *forged, true
+	}
+	return r.ledger.Permit(id)
+}
+
+// permitFinished tells whether a permit reserves nothing any more.
+func permitFinished(stage disruption.Stage) bool {
+	return stage == disruption.StageCompleted || stage == disruption.StageCancelled
+}
+
+// indexPermits brings the index of permits up to date.
+func (r *registry) indexPermits() {
+	if r.indexedRevision == r.revision && r.indexedRevision != 0 {
+		return
+	}
+	r.indexedRevision = r.revision
+	clear(r.permitByUnit)
+	permits := r.ledger.OpenPermits()
+	for _, id := range sortedKeys(r.forgedPermits) {
+		permits = append(permits, *r.forgedPermits[id])
+	}
+	for _, permit := range permits {
+		if permit.Stage != disruption.StageRequested && !permitFinished(permit.Stage) {
+			r.indexPermit(permit)
+		}
+	}
+}
+
+func (r *registry) indexPermit(permit disruption.Permit) {
+	for _, unitID := range permit.Units {
+		if !slices.Contains(permit.CompletedUnits, unitID) {
+			r.permitByUnit[unitID] = permit
+		}
+	}
+	if r.seenGrants[permit.ID] != permit.GrantRevision {
+		r.seenGrants[permit.ID] = permit.GrantRevision
+		r.newGrants = append(r.newGrants, permit)
+	}
+}
--- a/internal/lab/controlplane/sidecars.go
+++ b/internal/lab/controlplane/sidecars.go
@@ -1,82 +1,113 @@
 package controlplane
 
-import (
-	"milldeck/internal/placement"
+import "milldeck/internal/placement"
+
+const (
+	syncMS       = 3000 // in which all sidecars poll a new revision
+	syncPeriodMS = 5000 // between polls while nothing changes
 )
 
-// walk has sidecars take in what their agents have, and end what is over.
-func (w *world) walk() {
-	if rev := max(w.plane.places.Revision(), w.plane.rev); rev != w.moved {
-		w.moved, w.walkTo = rev, w.now+3000
+// syncSidecars lets sidecars poll the registry, and ends the exclusions that have expired.
+func (c *cluster) syncSidecars() {
+	if revision := max(c.registry.placements.Revision(), c.registry.revision); revision != c.syncedRevision {
+		c.syncedRevision, c.syncUntilMS = revision, c.nowMS+syncMS
 	}
-	if w.now > w.walkTo && w.now%5000 != 0 {
+	if c.nowMS > c.syncUntilMS && c.nowMS%syncPeriodMS != 0 {
 		return
 	}
-	leader := w.now + w.plane.leader.off
-	whole := w.plane.places.CompleteUpdate(leader)
-	for _, u := range w.sidecars {
-		c := u.car
-		for _, id := range sorted(c.forced) {
-			if f := c.forced[id]; f.end <= w.now {
-				w.lapse(u, id, f.end)
-			}
-		}
-		if !u.alive || u.ready > w.now || c.mute > w.now || w.now%1000 < c.lag%1000-tickMS {
-			continue
+	leaderMS := c.registry.leaderTimeMS()
+	update := c.registry.placements.CompleteUpdate(leaderMS)
+	for _, member := range c.sidecars {
+		c.endExpiredExclusions(member)
+		polls := c.nowMS%1000 >= member.sidecar.pollDelayMS%1000-tickMS
+		if member.ready(c.nowMS) && member.agentReachable(c.nowMS) && polls {
+			c.syncSidecar(member, &update, leaderMS)
 		}
-		c.list = w.plane.rev
-		if c.rev == whole.Revision && c.epoch == whole.Epoch {
+	}
+}
+
+// syncSidecar applies the newest placement to a sidecar: exclusions begin, are extended or end.
+func (c *cluster) syncSidecar(target *unit, update *placement.Update, leaderMS int64) {
+	sidecar := target.sidecar
+	sidecar.endpointRevision = c.registry.revision
+	if sidecar.placementRevision == update.Revision && sidecar.placementEpoch == update.Epoch {
+		return
+	}
+	previousRevision := sidecar.placementRevision
+	if sidecar.placementEpoch != update.Epoch {
+		previousRevision = 0
+	}
+	sidecar.placementRevision, sidecar.placementEpoch = update.Revision, update.Epoch
+	current := map[string]bool{}
+	for index := range update.Directives {
+		directive := &update.Directives[index]
+		if directive.Kind != placement.KindExclude {
 			continue
 		}
-		had := c.rev
-		if c.epoch != whole.Epoch {
-			had = 0
+		current[directive.ID] = true
+		if directive.Revision > previousRevision || sidecar.exclusions[directive.ID] == nil {
+			c.applyExclusion(target, directive, directive.ExpiresAtMS-leaderMS)
 		}
-		c.rev, c.epoch = whole.Revision, whole.Epoch
-		told := map[string]bool{}
-		for i := range whole.Directives {
-			if e := &whole.Directives[i]; e.Kind == placement.KindExclude {
-				told[e.ID] = true
-				if e.Revision > had || c.forced[e.ID] == nil {
-					w.force(u, e, e.ExpiresAtMS-leader)
-				}
-			}
-		}
-		for _, id := range sorted(c.forced) {
-			if !told[id] {
-				w.lapse(u, id, w.now)
-			}
+	}
+	for _, directiveID := range sortedKeys(sidecar.exclusions) {
+		if !current[directiveID] {
+			c.endExclusion(target, directiveID, c.nowMS)
 		}
 	}
 }
 
-// force has a sidecar follow an entry: until its own clock says that it is over, or what was left of it has passed.
-func (w *world) force(u *unit, e *placement.Directive, left int64) {
-	c := u.car
-	end := min(e.ExpiresAtMS-c.off, w.now+left)
-	f := c.forced[e.ID]
-	if f != nil && f.end <= w.now {
-		w.lapse(u, e.ID, f.end)
-		f = nil
+// applyExclusion has a sidecar follow a directive until its own clock reaches the expiry, or what remained of the
+// directive by the leader's clock has passed.
+func (c *cluster) applyExclusion(target *unit, directive *placement.Directive, remainingMS int64) {
+	sidecar := target.sidecar
+	expiresMS := min(directive.ExpiresAtMS-sidecar.offsetMS, c.nowMS+remainingMS)
+	active := sidecar.exclusions[directive.ID]
+	if active != nil && active.expiresMS <= c.nowMS {
+		c.endExclusion(target, directive.ID, active.expiresMS)
+		active = nil
 	}
-	if end <= w.now {
+	if expiresMS <= c.nowMS {
 		return
 	}
-	if f == nil {
-		f = &forced{tenant: e.Tenant, since: w.now, drain: w.now + 1000 + w.rng.Int64N(8000)}
-		c.forced[e.ID] = f
+	if active == nil {
+		active = &exclusion{tenant: directive.Tenant, startedMS: c.nowMS, drainedMS: c.nowMS + 1000 + c.random.Int64N(8000)}
+		sidecar.exclusions[directive.ID] = active
 	}
-	f.end = end
+	active.expiresMS = expiresMS
 }
 
-func (w *world) lapse(u *unit, id string, at int64) {
-	f := u.car.forced[id]
-	delete(u.car.forced, id)
-	w.judge.kept(u, f.tenant, f.since, min(f.end, at))
+// endExclusion ends an exclusion at a time, or at its expiry if that came before.
+func (c *cluster) endExclusion(target *unit, directiveID string, endMS int64) {
+	ended := target.sidecar.exclusions[directiveID]
+	delete(target.sidecar.exclusions, directiveID)
+	c.checker.observeExclusion(target, ended.tenant, ended.startedMS, min(ended.expiresMS, endMS))
 }
 
-func (w *world) lapseAll(u *unit) {
-	for _, id := range sorted(u.car.forced) {
-		w.lapse(u, id, w.now)
+func (c *cluster) endExpiredExclusions(target *unit) {
+	for _, directiveID := range sortedKeys(target.sidecar.exclusions) {
+		if active := target.sidecar.exclusions[directiveID]; active.expiresMS <= c.nowMS {
+			c.endExclusion(target, directiveID, active.expiresMS)
+		}
+	}
+}
+
+func (c *cluster) endAllExclusions(target *unit) {
+	for _, directiveID := range sortedKeys(target.sidecar.exclusions) {
+		c.endExclusion(target, directiveID, c.nowMS)
+	}
+}
+
+// loadReport is a sidecar's load report: the requests in flight to the servers that it excludes.
+func (c *cluster) loadReport(source *unit) placement.LoadReport {
+	report := placement.LoadReport{Sidecar: source.name, PlacementRevision: source.sidecar.placementRevision, ExcludedInFlight: map[string]int{}}
+	for directiveID, active := range source.sidecar.exclusions {
+		if active.expiresMS <= c.nowMS {
+			continue
+		}
+		report.ExcludedInFlight[directiveID] = 0
+		if active.drainedMS > c.nowMS {
+			report.ExcludedInFlight[directiveID] = 1
+		}
 	}
+	return report
 }
--- /dev/null
+++ b/internal/lab/live/frontend.go
@@ -0,0 +1,188 @@
+package live
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"milldeck/internal/lab"
+)
+
+const (
+	// handshakeRoundTrips is the round trips of a new connection before its first request arrives, as in package sim.
+	handshakeRoundTrips = 1
+	// healthCheckWorkMS is the work of a sidecar's health check.
+	healthCheckWorkMS = 0.3
+	// maxRequestBody is the largest request body that the platform's protocol allows.
+	maxRequestBody    = 64 << 10
+	readHeaderTimeout = time.Second
+	// notProcessedHeader tells the sidecar that a retry elsewhere is safe: the request has had no effect.
+	notProcessedHeader = "X-Not-Processed: 1\r\n"
+)
+
+// The results of attempts, by which the lab's reports count them.
+const (
+	resultServed     = "served"
+	resultError      = "error"
+	resultExpired    = "expired"
+	resultFull       = "full"
+	resultReset      = "reset"
+	resultCorrupt    = "spoilt"
+	connectionClosed = "given up" // the sidecar closed the connection before the response
+)
+
+// host is what a frontend runs in: the lab's own process, or the process of one server.
+type host interface {
+	runContext() context.Context // ends with the run
+	now() float64                // the model's time, in ms
+	pathTo(sidecar int) networkPath
+	// beginAttempt records an attempt and reports whether a client sent its request. A sidecar of -1 is not known.
+	beginAttempt(requestID uint64, sidecar int, received receivedRequest) (serverAttempt, bool)
+	addCounts(apply func(*lab.Counts))
+	recordLateness(ms float64)
+	jobCompleted(completion lab.JobCompletion)
+	overloaded(now float64, overload *lab.SlowStartOverload)
+}
+
+// networkPath is the modelled network between a sidecar and a server. Its methods wait until the message would have
+// arrived. False: the message is lost, or ctx has ended.
+type networkPath interface {
+	deliverRequest(ctx context.Context, newConnection bool) bool
+	deliverResponse(ctx context.Context) bool
+}
+
+// serverAttempt is one attempt at a server.
+type serverAttempt interface {
+	networkPath
+	job() lab.Job // valid once the request has arrived
+	ended(result string)
+	responseProduced() // returns before the response is sent
+}
+
+// frontend is the HTTP side of one modelled server: real sockets in front of the model of package lab.
+type frontend struct {
+	host                host
+	number              int // in the plan
+	plan                *lab.ServerPlan
+	answersHealthChecks bool
+	// processEndpoint answers requests to the server's process itself, such as the supervisor's readiness check.
+	// ok is false for all other paths. nil: there is no such process.
+	processEndpoint func(path string) (status int, body string, ok bool)
+	// applyRegression changes a job as the server's faulty version would. nil: the version is healthy.
+	applyRegression func(*lab.Job)
+
+	mu          sync.Mutex // guards what follows
+	model       *lab.Server
+	timer       *time.Timer // of the model's next event
+	up          bool
+	incarnation int
+	connections map[net.Conn]struct{}
+	pendingJobs map[int64]chan lab.JobCompletion // by attempt
+}
+
+// clientPeer is the other side of a connection.
+type clientPeer struct {
+	connection          net.Conn
+	sidecar             int  // -1: not known
+	newConnection       bool // no request has been answered on it yet
+	overConnectionLimit bool // the server already held as many connections as it allows
+}
+
+func newFrontend(frontendHost host, number int, plan *lab.ServerPlan, model *lab.Server, answersHealthChecks bool) frontend {
+	return frontend{
+		host: frontendHost, number: number, plan: plan, model: model, answersHealthChecks: answersHealthChecks,
+		connections: map[net.Conn]struct{}{}, pendingJobs: map[int64]chan lab.JobCompletion{},
+	}
+}
+
+// resetConnections resets all connections and drops the jobs that they wait for, as the end of the process does.
+func (s *frontend) resetConnections() {
+	s.mu.Lock()
+	s.incarnation++
+	connections := s.connections
+	s.connections = map[net.Conn]struct{}{}
+	s.pendingJobs = map[int64]chan lab.JobCompletion{}
+	s.mu.Unlock()
+	for connection := range connections {
+		resetConnection(connection)
+	}
+}
+
+// receivedRequest is one request on a connection.
+type receivedRequest struct {
+	request     *http.Request
+	firstByteAt time.Time
+	lastByteAt  time.Time
+}
+
+// serveConnection answers the requests of one connection until it closes. A goroutine of its own reads, so that a close
+// is noticed while a request is processed.
+func (s *frontend) serveConnection(connection net.Conn, sidecar int) {
+	s.mu.Lock()
+	incarnation := s.incarnation
+	if !s.up || s.host.runContext().Err() != nil {
+		s.mu.Unlock()
+		resetConnection(connection)
+		return
+	}
+	s.connections[connection] = struct{}{}
+	overConnectionLimit := len(s.connections) > s.plan.Spec.MaxConnections
+	s.mu.Unlock()
+	ctx, cancel := context.WithCancel(s.host.runContext())
+	defer func() {
+		cancel()
+		s.mu.Lock()
+		if s.incarnation == incarnation {
+			delete(s.connections, connection)
+		}
+		s.mu.Unlock()
+		connection.Close()
+	}()
+	requests := make(chan receivedRequest, 1)
+	go func() {
+		defer cancel()
+		s.readRequests(ctx, connection, requests)
+	}()
+	idleTimeout := milliseconds(s.plan.Spec.IdleCloseMS)
+	client := clientPeer{connection: connection, sidecar: sidecar, newConnection: true, overConnectionLimit: overConnectionLimit}
+	for {
+		_ = connection.SetReadDeadline(time.Now().Add(idleTimeout)) // fails on a closed connection, which the reader reports
+		select {
+		case <-ctx.Done():
+			return
+		case received := <-requests:
+			_ = connection.SetReadDeadline(time.Time{}) // as above
+			if !s.handleRequest(ctx, client, received) {
+				return
+			}
+			client.newConnection = false
+		}
+	}
+}
+
+// readRequests sends each request to the channel; it returns when the connection has closed.
+func (s *frontend) readRequests(ctx context.Context, connection net.Conn, requests chan<- receivedRequest) {
+	reader := bufio.NewReader(connection)
+	for {
+		if _, err := reader.Peek(1); err != nil {
+			return
+		}
+		firstByteAt := time.Now()
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		if _, err := io.Copy(io.Discard, io.LimitReader(request.Body, maxRequestBody)); err != nil {
+			return
+		}
+		select {
+		case requests <- receivedRequest{request, firstByteAt, time.Now()}:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
