--- a/cmd/milldeck/registry_bench.go
+++ b/cmd/milldeck/registry_bench.go
@@ -36,12 +36,12 @@
 func (r registryBenchOutcome) table(w io.Writer) error {
 	_, err := fmt.Fprintf(w, `%d instances, %d watchers, %d changes (%.0f s in all)
 acknowledged write to the last watcher  p50 %.1f ms, p99 %.1f ms, at most %.1f ms; %d missed
-bytes a change and watcher              %.0f, of the whole list %d: ratio %.5f
+bytes a change and watcher              %.0f, of the complete list %d: ratio %.5f
 memory of a watcher at its replica      %.0f bytes
 writes a second, 1 replica              %.0f, p99 %.1f ms
 writes a second, 3 replicas             %.0f, p99 %.1f ms
 without a leader after a kill           p50 %.0f ms, at most %.0f ms over %d kills
-`, r.Instances, r.Watchers, r.Changes, r.Seconds, r.WatchP50MS, r.WatchP99MS, r.WatchMaxMS, r.MissedChanges, r.DeltaBytes, r.FullListBytes, r.DeltaRatio,
+`, r.Instances, r.Watchers, r.Changes, r.Seconds, r.WatchP50MS, r.WatchP99MS, r.WatchMaxMS, r.MissedChanges, r.DeltaBytes, r.CompleteListBytes, r.DeltaRatio,
 		r.BytesPerWatcher, r.SingleWritesPerSecond, r.SingleWriteP99MS, r.ClusterWritesPerSecond, r.ClusterWriteP99MS, r.LeaderGapP50MS, r.LeaderGapMaxMS, r.LeaderKills)
 	if err == nil && r.LogEntries > 0 {
 		_, err = fmt.Fprintf(w, "restart with %d log entries           %.0f ms, with a snapshot %.0f ms\n", r.LogEntries, r.RestartFromLogMS, r.RestartFromSnapshotMS)
--- a/cmd/milldeck/registry_watch.go
+++ b/cmd/milldeck/registry_watch.go
@@ -28,7 +28,7 @@
 		},
 	}
 	a.flags(command)
-	command.Flags().Uint64Var(&w.revision, "after", 0, "begin after this revision; 0 begins with the full list")
+	command.Flags().Uint64Var(&w.revision, "after", 0, "begin after this revision; 0 begins with the complete list")
 	command.Flags().Uint64Var(&w.epoch, "epoch", 0, "the epoch of that revision")
 	return command
 }
@@ -57,7 +57,7 @@
 
 // print prints a watch event that is new. A nil list is a heartbeat.
 func (w *endpointWatch) print(out io.Writer, list *registry.EndpointList) error {
-	if list == nil || list.Epoch == w.epoch && list.Revision <= w.revision && !list.Full {
+	if list == nil || list.Epoch == w.epoch && list.Revision <= w.revision && !list.Complete {
 		return nil
 	}
 	w.revision, w.epoch = list.Revision, list.Epoch
--- a/internal/agent/fixtures_test.go
+++ b/internal/agent/fixtures_test.go
@@ -36,8 +36,8 @@
 func fixtureInstanceList(t *testing.T) *instanceList {
 	t.Helper()
 	list := &instanceList{maxLossFraction: defaultMaxLossFraction}
-	first := &registry.EndpointList{Revision: 41, Epoch: 7, Full: true, Targets: []registry.Target{{UID: "s1", Endpoint: "127.0.0.1:9001", State: registry.InstanceReady}}}
-	second := &registry.EndpointList{Revision: 12, Epoch: 8, Full: true, Targets: []registry.Target{
+	first := &registry.EndpointList{Revision: 41, Epoch: 7, Complete: true, Targets: []registry.Target{{UID: "s1", Endpoint: "127.0.0.1:9001", State: registry.InstanceReady}}}
+	second := &registry.EndpointList{Revision: 12, Epoch: 8, Complete: true, Targets: []registry.Target{
 		{UID: "s2", Endpoint: "127.0.0.1:9002", Zone: "zone-b", State: registry.InstanceTerminating, Capacity: 0.25},
 		{UID: "s1", Endpoint: "127.0.0.1:9001", Zone: "zone-a", Model: "m1", PodGroup: 3, State: registry.InstanceReady, Capacity: 1.5, BootMS: 1_764_633_500_125.5},
 		{UID: "s3 <ä>", Endpoint: "[::1]:9003", State: registry.InstanceReady, Capacity: 1},
--- a/internal/agent/http.go
+++ b/internal/agent/http.go
@@ -38,7 +38,7 @@
 		return
 	}
 	if r.URL.Query().Get("watch") == "" {
-		if err := a.hub.WriteFullList(w); err != nil {
+		if err := a.hub.WriteCompleteList(w); err != nil {
 			a.logger.Debug("list not written", "error", err)
 		}
 		return
@@ -83,7 +83,7 @@
 		return
 	}
 	if r.URL.Query().Get("watch") == "" {
-		err = cache.feed.WriteFullList(w)
+		err = cache.feed.WriteComplete(w)
 	} else {
 		err = cache.feed.Watch(r.Context(), w, r, after, epoch, cache.registryAlive)
 	}
--- a/internal/agent/instance_list.go
+++ b/internal/agent/instance_list.go
@@ -46,9 +46,9 @@
 func (l *instanceList) merge(received *registry.EndpointList, confirmed bool) (mergeResult, listChanges) {
 	sameEpoch := received.Epoch == l.epoch
 	switch {
-	case l.known() && sameEpoch && (received.Revision < l.revision || received.Revision == l.revision && !received.Full):
+	case l.known() && sameEpoch && (received.Revision < l.revision || received.Revision == l.revision && !received.Complete):
 		return listOutdated, listChanges{}
-	case !received.Full && (!l.known() || !sameEpoch):
+	case !received.Complete && (!l.known() || !sameEpoch):
 		return listDiscontinuous, listChanges{}
 	}
 	next := l.targetsAfter(received)
@@ -64,7 +64,7 @@
 // targetsAfter returns the targets as they are after a list or change.
 func (l *instanceList) targetsAfter(received *registry.EndpointList) map[string]registry.Target {
 	next := map[string]registry.Target{}
-	if !received.Full {
+	if !received.Complete {
 		maps.Copy(next, l.targets)
 	}
 	for _, target := range received.Targets {
--- a/internal/agent/instance_list_test.go
+++ b/internal/agent/instance_list_test.go
@@ -9,7 +9,7 @@
 )
 
 func newList(rev, epoch uint64, all bool, uids ...string) *registry.EndpointList {
-	list := &registry.EndpointList{Revision: rev, Epoch: epoch, Full: all, Targets: []registry.Target{}}
+	list := &registry.EndpointList{Revision: rev, Epoch: epoch, Complete: all, Targets: []registry.Target{}}
 	for _, uid := range uids {
 		state := registry.InstanceReady
 		if uid[0] == '-' {
--- a/internal/lab/live/process_watch.go
+++ b/internal/lab/live/process_watch.go
@@ -221,7 +221,7 @@
 	for _, entry := range list.Targets {
 		next[entry.UID] = entry.State
 	}
-	if list.Full {
+	if list.Complete {
 		for unit := range c.serverByUnit {
 			if _, listed := next[unit]; !listed {
 				next[unit] = ""
--- a/internal/lab/live/registry_service.go
+++ b/internal/lab/live/registry_service.go
@@ -179,7 +179,7 @@
 func (a *agent) applyUpdate(list *registry.EndpointList, index map[string]int) {
 	notified := map[int]bool{}
 	a.mu.Lock()
-	if list.Full {
+	if list.Complete {
 		for server := range a.endpoints {
 			notified[server] = false
 		}
--- a/internal/leaderelection/fixtures_test.go
+++ b/internal/leaderelection/fixtures_test.go
@@ -48,7 +48,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", func(w http.ResponseWriter, _ *http.Request) {
-		if err := json.NewEncoder(w).Encode(state.FullList()); err != nil {
+		if err := json.NewEncoder(w).Encode(state.CompleteList()); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/registry/bench/bench.go
+++ b/internal/registry/bench/bench.go
@@ -58,7 +58,7 @@
 	WatchMaxMS             float64 `json:"watch_max_ms"`
 	MissedChanges          int     `json:"changes_missed"` // that some watchers did not receive
 	DeltaBytes             float64 `json:"delta_bytes"`    // per change and watcher
-	FullListBytes          int     `json:"whole_list_bytes"`
+	CompleteListBytes      int     `json:"whole_list_bytes"`
 	DeltaRatio             float64 `json:"delta_ratio"`
 	BytesPerWatcher        float64 `json:"bytes_per_watcher"` // of a replica's resident memory
 	SingleWritesPerSecond  float64 `json:"writes_per_s_1_replica"`
--- a/internal/registry/bench/bench_test.go
+++ b/internal/registry/bench/bench_test.go
@@ -26,7 +26,7 @@
 	}
 	for name, value := range map[string]float64{
 		"watch p50": result.WatchP50MS, "watch maximum": result.WatchMaxMS, "bytes a change": result.DeltaBytes,
-		"full list": float64(result.FullListBytes), "writes, 1 replica": result.SingleWritesPerSecond,
+		"complete list": float64(result.CompleteListBytes), "writes, 1 replica": result.SingleWritesPerSecond,
 		"writes, 3 replicas": result.ClusterWritesPerSecond, "leader gap": result.LeaderGapMaxMS,
 		"restart from the log": result.RestartFromLogMS, "restart from a snapshot": result.RestartFromSnapshotMS,
 		"duration": result.Seconds,
--- a/internal/registry/bench/watches.go
+++ b/internal/registry/bench/watches.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	b.result.FullListBytes = int(watchers.fullListBytes.Load())
+	b.result.CompleteListBytes = int(watchers.completeListBytes.Load())
 	b.result.BytesPerWatcher = float64(after-before) / float64(b.options.Watchers)
 	b.progressf("%d watchers are connected, %.0f bytes each at the replicas; %d changes a second follow",
 		b.options.Watchers, b.result.BytesPerWatcher, b.options.ChangesPerSecond)
@@ -69,9 +69,9 @@
 	b.result.WatchP50MS, b.result.WatchP99MS = quantileMS(histogram, 50), quantileMS(histogram, 99)
 	b.result.WatchMaxMS = quantileMS(histogram, 100)
 	b.result.DeltaBytes = float64(watchers.deltaBytes()) / float64(b.options.Watchers) / float64(max(b.result.Changes, 1))
-	b.result.DeltaRatio = b.result.DeltaBytes / float64(b.result.FullListBytes)
-	b.progressf("to the last watcher: p50 %.1f ms, p99 %.1f ms; %.0f bytes a change, full list %d",
-		b.result.WatchP50MS, b.result.WatchP99MS, b.result.DeltaBytes, b.result.FullListBytes)
+	b.result.DeltaRatio = b.result.DeltaBytes / float64(b.result.CompleteListBytes)
+	b.progressf("to the last watcher: p50 %.1f ms, p99 %.1f ms; %.0f bytes a change, complete list %d",
+		b.result.WatchP50MS, b.result.WatchP99MS, b.result.DeltaBytes, b.result.CompleteListBytes)
 }
 
 // registerInstances registers the instances of the list, in batches.
@@ -138,13 +138,13 @@
 
 // watcherPool is the watchers of the benchmark.
 type watcherPool struct {
-	deliveries    *deliveryTracker
-	watchers      []*watcher
-	fullListBytes atomic.Int64 // size of the first line of a watch
-	running       sync.WaitGroup
+	deliveries        *deliveryTracker
+	watchers          []*watcher
+	completeListBytes atomic.Int64 // size of the first line of a watch
+	running           sync.WaitGroup
 }
 
-// start connects watchers, spread over the replicas, and waits until each has the full list.
+// start connects watchers, spread over the replicas, and waits until each has the complete list.
 func (p *watcherPool) start(replicas *cluster.Cluster, count int) error {
 	started := make(chan error, count)
 	for ordinal := range count {
@@ -177,7 +177,7 @@
 	p.running.Wait()
 }
 
-// deltaBytes is the size of all watch events, after the full lists.
+// deltaBytes is the size of all watch events, after the complete list.
 func (p *watcherPool) deltaBytes() int64 {
 	total := int64(0)
 	for _, connected := range p.watchers {
@@ -194,7 +194,7 @@
 	deltaBytes atomic.Int64
 }
 
-// run reads lines until the connection ends. It sends nil to started when it has the full list, or the error.
+// run reads lines until the connection ends. It sends nil to started when it has the complete list, or the error.
 func (w *watcher) run(started chan<- error) {
 	if _, err := fmt.Fprintf(w.conn, "GET /registry/instances?watch=1&after=0 HTTP/1.1\r\nHost: bench\r\n\r\n"); err != nil {
 		started <- err
@@ -215,7 +215,7 @@
 		}
 		if first {
 			first = false
-			w.pool.fullListBytes.Store(int64(lineBytes))
+			w.pool.completeListBytes.Store(int64(lineBytes))
 			started <- nil
 		} else {
 			w.deltaBytes.Add(int64(lineBytes))
--- a/internal/registry/fixtures_served_test.go
+++ b/internal/registry/fixtures_served_test.go
@@ -137,7 +137,7 @@
 			note("list watch "+cursor.name, late)
 			note("placement watch "+cursor.name, lateEntries)
 		}
-		for name, write := range map[string]func(http.ResponseWriter) error{"list.json": hub.WriteFullList, "placement.json": feed.WriteFullList} {
+		for name, write := range map[string]func(http.ResponseWriter) error{"list.json": hub.WriteCompleteList, "placement.json": feed.WriteComplete} {
 			recorder := newBodyRecorder()
 			if err := write(recorder); err != nil {
 				t.Fatal(err)
--- a/internal/registry/fixtures_test.go
+++ b/internal/registry/fixtures_test.go
@@ -58,7 +58,7 @@
 	}
 	maintenanceOp := func(name string, guard *registry.Guard, offsetMS int64, op maintenance.Operation) uint64 {
 		stamp := &maintenance.Timestamp{ControllerMS: monday + offsetMS, UncertaintyMS: 100, LeaderMS: monday + offsetMS + 20, LeaderUncertaintyMS: 250}
-		return add(name, registry.Record{Op: registry.OpWindow, ID: "write-" + name, Guard: guard, Window: &op, Stamp: stamp})
+		return add(name, registry.Record{Op: registry.OpWindow, ID: "write-" + name, Guard: guard, Window: &op, Timestamp: stamp})
 	}
 
 	add("epoch", registry.Record{Op: registry.OpEpoch, Epoch: 4_503_599_627_370_495})
@@ -201,7 +201,7 @@
 }
 
 // TestStoredRecords reads the stored bytes of a record of every kind, writes the same bytes again, and applies them: the
-// outcome, the revision and the whole state after each record are those of the version that wrote them.
+// outcome, the revision and the complete state after each record are those of the version that wrote them.
 func TestStoredRecords(t *testing.T) {
 	state := registry.NewStateMachine()
 	operations := map[registry.Op]bool{}
--- a/internal/registry/http_maintenance.go
+++ b/internal/registry/http_maintenance.go
@@ -95,5 +95,5 @@
 		return
 	}
 	timestamp := body.timestamp(time.Now().UnixMilli())
-	r.proposeAndRespond(w, &Record{Op: OpWindow, ID: body.ID, Guard: body.Guard, Window: &body.Op, Stamp: timestamp}, nil)
+	r.proposeAndRespond(w, &Record{Op: OpWindow, ID: body.ID, Guard: body.Guard, Window: &body.Op, Timestamp: timestamp}, nil)
 }
--- a/internal/registry/http_placement.go
+++ b/internal/registry/http_placement.go
@@ -26,7 +26,7 @@
 		return
 	}
 	r.setFreshnessHeaders(w)
-	if err := r.hub.placementFeed.WriteFullList(w); err != nil {
+	if err := r.hub.placementFeed.WriteComplete(w); err != nil {
 		r.logger.Debug("placement not written", "error", err)
 	}
 }
--- a/internal/registry/http_read.go
+++ b/internal/registry/http_read.go
@@ -46,7 +46,7 @@
 		return
 	}
 	r.setFreshnessHeaders(w)
-	if err := r.hub.WriteFullList(w); err != nil {
+	if err := r.hub.WriteCompleteList(w); err != nil {
 		r.logger.Debug("endpoint list not written", "error", err)
 	}
 }
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -29,8 +29,8 @@
 	leasesChanged broadcaster // apart, as the thousands who watch the list are not woken for leases
 	placementFeed *PlacementFeed
 
-	fullListMu sync.Mutex
-	fullList   encodedList // last encoded: thousands who connect at once share the bytes
+	completeListMu sync.Mutex
+	completeList   encodedList // last encoded: thousands who connect at once share the bytes
 }
 
 // encodedChange is the watch event of one revision, encoded once for all watchers.
@@ -39,7 +39,7 @@
 	line     []byte
 }
 
-// encodedList is the full list of a revision.
+// encodedList is the complete list of a revision.
 type encodedList struct {
 	revision, epoch uint64
 	line            []byte // nil: none was encoded yet
@@ -84,7 +84,7 @@
 func (h *Hub) encodeChangeLocked(previous uint64) error {
 	changes := h.state.ChangesSince(previous, 0)
 	if previous == 0 {
-		changes = h.state.FullList()
+		changes = h.state.CompleteList()
 	}
 	line, err := jsonLine(changes)
 	if err != nil {
@@ -158,7 +158,7 @@
 		}
 	}
 	if !h.state.HasHistorySince(position.revision, position.epoch) {
-		line, err := h.encodeFullListLocked()
+		line, err := h.encodeCompleteListLocked()
 		return [][]byte{line}, err
 	}
 	line, err := jsonLine(h.state.ChangesSince(position.revision, position.epoch))
@@ -180,20 +180,20 @@
 	return nil
 }
 
-// encodeFullListLocked returns the full list as a line, which is encoded once for each revision. The caller holds the
+// encodeCompleteListLocked returns the complete list as a line, which is encoded once for each revision. The caller holds the
 // lock for reading.
-func (h *Hub) encodeFullListLocked() ([]byte, error) {
-	h.fullListMu.Lock()
-	defer h.fullListMu.Unlock()
+func (h *Hub) encodeCompleteListLocked() ([]byte, error) {
+	h.completeListMu.Lock()
+	defer h.completeListMu.Unlock()
 	revision, epoch := h.state.Revision(), h.state.Epoch()
-	if h.fullList.line != nil && h.fullList.revision == revision && h.fullList.epoch == epoch {
-		return h.fullList.line, nil
+	if h.completeList.line != nil && h.completeList.revision == revision && h.completeList.epoch == epoch {
+		return h.completeList.line, nil
 	}
-	line, err := jsonLine(h.state.FullList())
+	line, err := jsonLine(h.state.CompleteList())
 	if err != nil {
 		return nil, err
 	}
-	h.fullList = encodedList{revision, epoch, line}
+	h.completeList = encodedList{revision, epoch, line}
 	return line, nil
 }
 
@@ -206,10 +206,10 @@
 	return streamChanges(ctx, w, request, cursor{revision: after, epoch: epoch}, alive, h)
 }
 
-// WriteFullList answers with the full endpoint list.
-func (h *Hub) WriteFullList(w http.ResponseWriter) error {
+// WriteCompleteList answers with the complete endpoint list.
+func (h *Hub) WriteCompleteList(w http.ResponseWriter) error {
 	h.mu.RLock()
-	line, err := h.encodeFullListLocked()
+	line, err := h.encodeCompleteListLocked()
 	h.mu.RUnlock()
 	if err != nil {
 		return err
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -25,11 +25,11 @@
 	InstanceRemoved     = "Gone"
 )
 
-// EndpointList is PROTOCOL's endpoint list (Full) or a watch event with the targets that changed. Epoch is an
+// EndpointList is PROTOCOL's endpoint list (Complete) or a watch event with the targets that changed. Epoch is an
 // extension: it names the history that Revision belongs to. Readers that do not know the field skip it.
 type EndpointList struct {
 	Revision uint64   `json:"rev"`
-	Full     bool     `json:"all"`
+	Complete bool     `json:"all"`
 	Targets  []Target `json:"targets"`
 	Epoch    uint64   `json:"epoch,omitempty"`
 }
--- a/internal/registry/placement_env_test.go
+++ b/internal/registry/placement_env_test.go
@@ -43,11 +43,11 @@
 
 // placementFollower watches the placement.
 type placementFollower struct {
-	mu        sync.Mutex
-	reader    *placement.Cache
-	fullLists int // complete updates
-	onUpdate  func(rev uint64, at time.Time)
-	startedAt time.Time
+	mu              sync.Mutex
+	reader          *placement.Cache
+	completeUpdates int // complete updates
+	onUpdate        func(rev uint64, at time.Time)
+	startedAt       time.Time
 }
 
 // followPlacement watches the placement until the test ends, at one replica and at the next whenever a watch ends.
@@ -69,7 +69,7 @@
 				follower.mu.Lock()
 				defer follower.mu.Unlock()
 				if list.Complete {
-					follower.fullLists++
+					follower.completeUpdates++
 				}
 				updated, err := follower.reader.Apply(list, time.Now().UnixMilli(), time.Since(follower.startedAt).Milliseconds())
 				if updated && follower.onUpdate != nil {
--- a/internal/registry/placement_feed.go
+++ b/internal/registry/placement_feed.go
@@ -107,9 +107,9 @@
 	return streamChanges(ctx, w, request, cursor{revision: after, epoch: epoch}, alive, f)
 }
 
-// WriteFullList answers with the complete placement. It is not shared, as a linearizable read has to see every write
+// WriteCompleteList answers with the complete placement. It is not shared, as a linearizable read has to see every write
 // before it.
-func (f *PlacementFeed) WriteFullList(w http.ResponseWriter) error {
+func (f *PlacementFeed) WriteComplete(w http.ResponseWriter) error {
 	data, err := json.Marshal(f.read(0, 0))
 	if err != nil {
 		return fmt.Errorf("placement: %w", err)
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -65,7 +65,7 @@
 	Placement *placement.Op          `json:"placement,omitempty"`
 	Release   *release.Operation     `json:"release,omitempty"`
 	Window    *maintenance.Operation `json:"window,omitempty"`
-	Stamp     *maintenance.Timestamp `json:"stamp,omitempty"`
+	Timestamp *maintenance.Timestamp `json:"stamp,omitempty"`
 	Ledger    *disruption.Op         `json:"ledger,omitempty"`
 	Sidecars  []Sidecar              `json:"sidecars,omitempty"`
 }
--- a/internal/registry/state_history.go
+++ b/internal/registry/state_history.go
@@ -6,7 +6,7 @@
 )
 
 // minRetainedChanges is how many changes the history retains at least, and up to twice as many, for watchers that
-// reconnect: one that is further behind gets the full list.
+// reconnect: one that is further behind gets the complete list.
 const minRetainedChanges = 8192
 
 // Change is the change of one instance. Its target is as it was then, InstanceRemoved where it was removed.
@@ -35,9 +35,9 @@
 	s.history = append(s.history[:0], s.history[excess:]...)
 }
 
-// FullList returns the endpoint list, ordered by uid.
-func (s *StateMachine) FullList() EndpointList {
-	list := EndpointList{Revision: s.revision, Full: true, Epoch: s.epoch, Targets: make([]Target, 0, len(s.instances))}
+// CompleteList returns the endpoint list, ordered by uid.
+func (s *StateMachine) CompleteList() EndpointList {
+	list := EndpointList{Revision: s.revision, Complete: true, Epoch: s.epoch, Targets: make([]Target, 0, len(s.instances))}
 	for _, uid := range slices.Sorted(maps.Keys(s.instances)) {
 		list.Targets = append(list.Targets, s.instances[uid].Target)
 	}
@@ -49,11 +49,11 @@
 	return revision != 0 && revision >= s.compactedRevision && revision <= s.revision && (epoch == 0 || epoch == s.epoch)
 }
 
-// ChangesSince returns the newest state of each instance that changed after a revision of an epoch, or the full list
+// ChangesSince returns the newest state of each instance that changed after a revision of an epoch, or the complete list
 // where the history does not reach back so far.
 func (s *StateMachine) ChangesSince(revision, epoch uint64) EndpointList {
 	if !s.HasHistorySince(revision, epoch) {
-		return s.FullList()
+		return s.CompleteList()
 	}
 	list := EndpointList{Revision: s.revision, Epoch: s.epoch, Targets: []Target{}}
 	positions := map[string]int{} // by uid, in list.Targets
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// applyEpoch starts another history: watchers of the earlier one get the full list.
+// applyEpoch starts another history: watchers of the earlier one get the complete list.
 func (s *StateMachine) applyEpoch(index uint64, record *Record) Result {
 	s.epoch, s.revision = record.Epoch, index
 	s.history, s.compactedRevision = nil, index
--- a/internal/registry/state_machine_test.go
+++ b/internal/registry/state_machine_test.go
@@ -137,7 +137,7 @@
 				state = snapshotRoundTrip(t, state)
 				cursors = []uint64{0, state.Revision()}
 				model.changes = slices.DeleteFunc(model.changes, func(change Change) bool { return change.Revision <= state.Revision() })
-				for _, instance := range model.instances { // the full list replaces the history
+				for _, instance := range model.instances { // the complete list replaces the history
 					model.changes = append(model.changes, Change{Revision: 0, Target: instance.Target})
 				}
 			}
@@ -162,7 +162,7 @@
 // checkAgainstModel compares the lists, and what a watcher at each cursor receives.
 func checkAgainstModel(t *rapid.T, state *StateMachine, model *referenceModel, cursors []uint64) {
 	listed := map[string]Target{}
-	for _, target := range state.FullList().Targets {
+	for _, target := range state.CompleteList().Targets {
 		listed[target.UID] = target
 	}
 	want := map[string]Target{}
@@ -177,7 +177,7 @@
 		if changes.Revision != state.Revision() {
 			t.Fatalf("since %d: revision %d, want %d", cursor, changes.Revision, state.Revision())
 		}
-		if changes.Full {
+		if changes.Complete {
 			continue // compared above
 		}
 		got := map[string]Target{}
@@ -200,17 +200,17 @@
 	if len(state.history) > 2*minRetainedChanges {
 		t.Errorf("%d changes are retained", len(state.history))
 	}
-	if changes := state.ChangesSince(10, 0); !changes.Full {
-		t.Error("a cursor older than the history does not get the full list")
+	if changes := state.ChangesSince(10, 0); !changes.Complete {
+		t.Error("a cursor older than the history does not get the complete list")
 	}
-	if changes := state.ChangesSince(state.Revision()-5, 0); changes.Full || len(changes.Targets) == 0 {
+	if changes := state.ChangesSince(state.Revision()-5, 0); changes.Complete || len(changes.Targets) == 0 {
 		t.Errorf("a cursor within the history gets %+v", changes)
 	}
-	if changes := state.ChangesSince(state.Revision()-5, 77); !changes.Full {
-		t.Error("a cursor of another epoch does not get the full list")
+	if changes := state.ChangesSince(state.Revision()-5, 77); !changes.Complete {
+		t.Error("a cursor of another epoch does not get the complete list")
 	}
-	if changes := state.ChangesSince(state.Revision()+5, 0); !changes.Full {
-		t.Error("a cursor ahead of the list does not get the full list")
+	if changes := state.ChangesSince(state.Revision()+5, 0); !changes.Complete {
+		t.Error("a cursor ahead of the list does not get the complete list")
 	}
 }
 
@@ -350,7 +350,7 @@
 	f.Add(buffer.Bytes())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if state, err := ReadSnapshot(bytes.NewReader(data)); err == nil {
-			state.FullList()
+			state.CompleteList()
 		}
 	})
 }
--- a/internal/registry/state_maintenance.go
+++ b/internal/registry/state_maintenance.go
@@ -29,7 +29,7 @@
 // applyWindow applies an operation to contracts and windows, and what follows from it for the ledger's budgets and for
 // the placement, in one record.
 func (s *StateMachine) applyWindow(index uint64, record *Record) Result {
-	if record.Window == nil || record.Stamp == nil {
+	if record.Window == nil || record.Timestamp == nil {
 		return conflictResult(index, "no operation, or no time")
 	}
 	op := *record.Window
@@ -39,13 +39,13 @@
 		}
 		op.Token = record.Guard.Token
 	}
-	changes, err := s.windows.Apply(index, &op, *record.Stamp)
+	changes, err := s.windows.Apply(index, &op, *record.Timestamp)
 	if err != nil {
 		// The controller reads the outcome of the table from the front of the text.
 		return Result{windowOutcome(maintenance.OutcomeOf(err)), index, err.Error()}
 	}
 	budgetFailure := s.applyContractBudget(index, &op)
-	placementFailure := s.publishWindow(index, record.Stamp.LeaderMS, changes.SetDirectives, changes.DeleteDirectiveIDs)
+	placementFailure := s.publishWindow(index, record.Timestamp.LeaderMS, changes.SetDirectives, changes.DeleteDirectiveIDs)
 	return Result{OutcomeDone, index, cmp.Or(budgetFailure, placementFailure)}
 }
 
--- a/internal/registry/storage_test.go
+++ b/internal/registry/storage_test.go
@@ -238,12 +238,12 @@
 	if err != nil || len(after.Targets) != 1 || after.Epoch == before.Epoch || after.Revision <= before.Revision {
 		t.Errorf("after the restore %+v (%v), before %+v", after, err, before)
 	}
-	// A cursor of the old epoch gets the full list from every replica.
+	// A cursor of the old epoch gets the complete list from every replica.
 	for _, replica := range env.cluster.Replicas {
 		env.eventually("the replica has the restored list", func() bool { return env.status(replica).Revision == after.Revision })
 		ctx, cancel := context.WithCancel(env.ctx)
 		err := env.client.WatchEndpoints(ctx, replica.HTTPAddr, before.Revision, before.Epoch, func(list *registry.EndpointList, _ time.Duration) error {
-			if !list.Full || len(list.Targets) != 1 {
+			if !list.Complete || len(list.Targets) != 1 {
 				t.Errorf("a watcher of the old epoch receives %+v", list)
 			}
 			cancel()
