--- a/internal/registry/placement_feed.go
+++ b/internal/registry/placement_feed.go
@@ -107,7 +107,7 @@
 	return streamChanges(ctx, w, request, cursor{revision: after, epoch: epoch}, alive, f)
 }
 
-// WriteCompleteList answers with the complete placement. It is not shared, as a linearizable read has to see every write
+// WriteComplete answers with the complete placement. It is not shared, as a linearizable read has to see every write
 // before it.
 func (f *PlacementFeed) WriteComplete(w http.ResponseWriter) error {
 	data, err := json.Marshal(f.read(0, 0))
