--- a/cmd/milldeck/agent.go
+++ b/cmd/milldeck/agent.go
@@ -17,14 +17,14 @@
 
 // agentFile is the configuration of an agent.
 type agentFile struct {
-	Listen   string   `toml:"listen"`
-	Replicas []string `toml:"replicas"`
-	Saved    string   `toml:"saved"` // file of the last good endpoint list
-	Fleet    int      `toml:"fleet"` // approximate number of agents
-	Share    float64  `toml:"share"` // of the ready servers that one list may remove unconfirmed
+	Listen          string   `toml:"listen"`
+	Replicas        []string `toml:"replicas"`
+	ListFile        string   `toml:"saved"` // file of the last good endpoint list
+	FleetSize       int      `toml:"fleet"` // approximate number of agents
+	MaxLossFraction float64  `toml:"share"` // of the ready servers that one list may remove unconfirmed
 
-	SavedPlacement string   `toml:"saved_placement"`
-	Reports        []string `toml:"reports"` // addresses that load reports are forwarded to
+	PlacementFile   string   `toml:"saved_placement"`
+	ReportAddresses []string `toml:"reports"` // addresses that load reports are forwarded to
 
 	Sidecar *sidecarFile `toml:"sidecar"` // absent: no sidecar is registered
 }
@@ -62,8 +62,8 @@
 	if _, err := registry.NewClient(f.Replicas); err != nil {
 		return agent.Options{}, file.Errorf("replicas", "%v", err)
 	}
-	if f.Fleet < 0 || f.Share < 0 || f.Share > 1 {
-		return agent.Options{}, file.Errorf("share", "fleet %d is negative, or share %v is not within 0 to 1", f.Fleet, f.Share)
+	if f.FleetSize < 0 || f.MaxLossFraction < 0 || f.MaxLossFraction > 1 {
+		return agent.Options{}, file.Errorf("share", "fleet %d is negative, or share %v is not within 0 to 1", f.FleetSize, f.MaxLossFraction)
 	}
 	sidecar := f.Sidecar.options()
 	if sidecar != nil {
@@ -72,8 +72,8 @@
 		}
 	}
 	return agent.Options{
-		Listen: f.Listen, Replicas: f.Replicas, ListFile: f.Saved, FleetSize: f.Fleet, MaxLossFraction: f.Share,
-		PlacementFile: f.SavedPlacement, ReportAddresses: f.Reports, Sidecar: sidecar,
+		Listen: f.Listen, Replicas: f.Replicas, ListFile: f.ListFile, FleetSize: f.FleetSize, MaxLossFraction: f.MaxLossFraction,
+		PlacementFile: f.PlacementFile, ReportAddresses: f.ReportAddresses, Sidecar: sidecar,
 	}, nil
 }
 
@@ -85,7 +85,7 @@
 		Short: "Runs the node agent beside a sidecar until SIGTERM",
 		Long: "agent follows the registry and speaks PROTOCOL's discovery to the sidecar on this machine. It outlives the\n" +
 			"registry: it serves the last good list, also at its start.\n\n" + exitHelp,
-		Args: exactly(0),
+		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			if path == "" {
 				return usageError{errors.New("agent takes --config FILE")}
--- a/cmd/milldeck/benchmark.go
+++ b/cmd/milldeck/benchmark.go
@@ -9,23 +9,23 @@
 	"github.com/spf13/cobra"
 )
 
-// outcome is what a benchmark found: its JSON is the result.
-type outcome interface {
-	table(io.Writer) error
-	verdict() error // what it found that must not be
+// benchmarkResult is what a benchmark found: its JSON is the result.
+type benchmarkResult interface {
+	writeTable(io.Writer) error
+	failure() error // what it found that must not be
 }
 
 // benchmark is a command that measures processes of this program.
 type benchmark struct {
-	short, long, full string
-	run               func(ctx context.Context, full bool, self, dir string, say func(string)) (outcome, error)
+	short, long, fullHelp string
+	run                   func(ctx context.Context, fullHelp bool, self, dir string, say func(string)) (benchmarkResult, error)
 }
 
 func (b benchmark) command() *cobra.Command {
 	var path string
 	var full bool
 	command := &cobra.Command{
-		Use: "bench", Short: b.short, Long: b.long + "\n\n" + exitHelp, Args: exactly(0),
+		Use: "bench", Short: b.short, Long: b.long + "\n\n" + exitHelp, Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			program, err := os.Executable()
 			if err != nil {
@@ -46,14 +46,14 @@
 				}
 			}
 			if path != "-" {
-				if err := result.table(command.OutOrStdout()); err != nil {
+				if err := result.writeTable(command.OutOrStdout()); err != nil {
 					return err
 				}
 			}
-			return result.verdict()
+			return result.failure()
 		},
 	}
 	command.Flags().StringVar(&path, "json", "", "write the result to this file as JSON (- for standard output)")
-	command.Flags().BoolVar(&full, "full", false, b.full)
+	command.Flags().BoolVar(&full, "full", false, b.fullHelp)
 	return command
 }
--- a/cmd/milldeck/contract.go
+++ b/cmd/milldeck/contract.go
@@ -16,27 +16,27 @@
 )
 
 func newContract() *cobra.Command {
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "contract",
 		Short: "What tenants have agreed to about maintenance",
 		Long:  "contract checks, sets and withdraws tenants' contracts. docs/maintenance-windows.md describes their files.\n\n" + exitHelp,
-		Args:  exactly(0),
-		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
+		Args:  exactArgs(0),
+		RunE:  func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
-	c.AddCommand(newContractCheck(), newContractSet(), newContractWithdraw(), newContractList(), newContractResume())
-	return c
+	command.AddCommand(newContractCheck(), newContractSet(), newContractWithdraw(), newContractList(), newContractResume())
+	return command
 }
 
 func newContractCheck() *cobra.Command {
 	var at string
 	var days int
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:     "check FILE",
 		Short:   "Checks a contract and prints its next approved hours",
 		Long:    "check reads a contract and prints the hours that it approves, in the tenant's zone and in UTC.\n\n" + exitHelp,
 		Example: "  milldeck contract check portal.toml --days 14",
-		Args:    exactly(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		Args:    exactArgs(1),
+		RunE: func(command *cobra.Command, args []string) error {
 			const maxDays = 400 // the hours of a year, and more than a closed season
 			now, err := parseTimeMS(at)
 			if err != nil {
@@ -49,12 +49,12 @@
 			if err != nil {
 				return err
 			}
-			return printApprovedHours(c.OutOrStdout(), terms, now, days)
+			return printApprovedHours(command.OutOrStdout(), terms, now, days)
 		},
 	}
-	c.Flags().StringVar(&at, "at", "", "from this time on, RFC 3339 (default now)")
-	c.Flags().IntVar(&days, "days", 7, "how many days ahead")
-	return c
+	command.Flags().StringVar(&at, "at", "", "from this time on, RFC 3339 (default now)")
+	command.Flags().IntVar(&days, "days", 7, "how many days ahead")
+	return command
 }
 
 // printApprovedHours prints the approved hours of the next days, in the tenant's time zone and in UTC.
@@ -83,37 +83,37 @@
 }
 
 func newContractSet() *cobra.Command {
-	c := asks("set FILE", "Brings a contract into force, and the disruption budget that belongs to it", 1,
-		func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
+	command := newClientCommand("set FILE", "Brings a contract into force, and the disruption budget that belongs to it", 1,
+		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
 			terms, err := contract.Load(args[0])
 			if err != nil {
 				return err
 			}
 			approval := maintenance.NewPlanner().Approval(&maintenance.ActiveContract{Contract: *terms}, time.Now().UnixMilli(), 0)
 			op := maintenance.Operation{Kind: maintenance.OpSetContract, Contract: terms, CurrentApproval: approval}
-			return writeWindowOperation(ctx, c, a, client, op)
+			return writeWindowOperation(ctx, command, flags, client, op)
 		})
-	c.Example = "  milldeck contract set portal.toml"
-	return c
+	command.Example = "  milldeck contract set portal.toml"
+	return command
 }
 
 func newContractWithdraw() *cobra.Command {
-	c := asks("withdraw TENANT", "Ends a contract; windows that are out of service return", 1,
-		func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
-			return writeWindowOperation(ctx, c, a, client, maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: args[0]})
+	command := newClientCommand("withdraw TENANT", "Ends a contract; windows that are out of service return", 1,
+		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
+			return writeWindowOperation(ctx, command, flags, client, maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: args[0]})
 		})
-	c.Example = "  milldeck contract withdraw member-portal"
-	return c
+	command.Example = "  milldeck contract withdraw member-portal"
+	return command
 }
 
 func newContractList() *cobra.Command {
-	c := asks("list", "Prints the contracts in force, with the minutes used this month", 0,
-		func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, _ []string) error {
+	command := newClientCommand("list", "Prints the contracts in force, with the minutes used this month", 0,
+		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, _ []string) error {
 			view, err := client.Windows(ctx, true)
 			if err != nil {
 				return err
 			}
-			return a.show(c.OutOrStdout(), view.Table.Contracts, func(out io.Writer) error {
+			return flags.print(command.OutOrStdout(), view.Table.Contracts, func(out io.Writer) error {
 				table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 				for _, active := range view.Table.Contracts {
 					fmt.Fprintf(table, "%s\tversion %d\t%s\t%d of %d minutes\n", active.Tenant, active.Version, active.Zone,
@@ -122,8 +122,8 @@
 				return table.Flush()
 			})
 		})
-	c.Example = "  milldeck contract list\n  milldeck contract list --json"
-	return c
+	command.Example = "  milldeck contract list\n  milldeck contract list --json"
+	return command
 }
 
 // minutesUsed is what a tenant's windows have used of the present month of its time zone.
@@ -141,10 +141,10 @@
 }
 
 func newContractResume() *cobra.Command {
-	c := asks("resume TENANT", "Resumes a tenant that an overrun has halted", 1,
-		func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
-			return writeWindowOperation(ctx, c, a, client, maintenance.Operation{Kind: maintenance.OpResume, Scope: "tenant/" + args[0]})
+	command := newClientCommand("resume TENANT", "Resumes a tenant that an overrun has halted", 1,
+		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
+			return writeWindowOperation(ctx, command, flags, client, maintenance.Operation{Kind: maintenance.OpResume, Scope: "tenant/" + args[0]})
 		})
-	c.Example = "  milldeck contract resume member-portal"
-	return c
+	command.Example = "  milldeck contract resume member-portal"
+	return command
 }
--- a/cmd/milldeck/fleetbudgets.go
+++ b/cmd/milldeck/fleet_budgets.go
@@ -43,9 +43,9 @@
 }
 
 func newFleetBudgets() *cobra.Command {
-	a := &asking{}
+	flags := &clientFlags{}
 	var operator string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "budgets [FILE]",
 		Short: "Prints how much may be unavailable at a time, or sets it from a file",
 		Long: "budgets prints the budgets that are set. With a file it makes them those of the file: it sets each that is new or\n" +
@@ -53,17 +53,17 @@
 			"What holds without any budget: docs/ledger.md, \"Budgets\".\n\n" + exitHelp,
 		Example: "  milldeck fleet budgets\n  milldeck fleet budgets budgets.toml --by ana",
 		Args:    cobra.MaximumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			return runBudgets(c, a, disruption.OperatorOwner(operator), args)
+		RunE: func(command *cobra.Command, args []string) error {
+			return runBudgets(command, flags, disruption.OperatorOwner(operator), args)
 		},
 	}
-	a.flags(c)
-	operatorFlag(c, &operator)
-	return c
+	flags.addTo(command)
+	operatorFlag(command, &operator)
+	return command
 }
 
 // runBudgets sets the budgets of a file where one is given, and prints those that are then set.
-func runBudgets(c *cobra.Command, a *asking, owner string, files []string) error {
+func runBudgets(command *cobra.Command, flags *clientFlags, owner string, files []string) error {
 	var desired map[string]*disruption.Budget
 	if len(files) > 0 {
 		var err error
@@ -71,7 +71,7 @@
 			return usageError{err}
 		}
 	}
-	return a.with(c, func(ctx context.Context, client *registry.Client) error {
+	return flags.withClient(command, func(ctx context.Context, client *registry.Client) error {
 		view, err := client.LedgerView(ctx, true, false)
 		if err != nil {
 			return err
@@ -84,7 +84,7 @@
 				return err
 			}
 		}
-		return a.show(c.OutOrStdout(), view.Budgets, func(w io.Writer) error { return writeBudgets(w, view.Budgets) })
+		return flags.print(command.OutOrStdout(), view.Budgets, func(out io.Writer) error { return writeBudgets(out, view.Budgets) })
 	})
 }
 
@@ -111,13 +111,13 @@
 }
 
 func writeBudgets(out io.Writer, budgets []disruption.Budget) error {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	for i := range budgets {
 		budget := &budgets[i]
-		fmt.Fprintf(w, "%s\t%s out\t%s cold\tof %s\n", budget.Name,
+		fmt.Fprintf(table, "%s\t%s out\t%s cold\tof %s\n", budget.Name,
 			describeLimit(budget.MaxUnavailable), describeLimit(budget.MaxWarmingUp), describeSelector(&budget.Selector))
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
 func describeLimit(limit disruption.Limit) string {
--- a/cmd/milldeck/lab.go
+++ b/cmd/milldeck/lab.go
@@ -23,7 +23,7 @@
 		Short: "Tries a fleet out on this machine: load, faults, a judge and reports",
 		Long: "lab plays experiments: a fleet of sidecars and servers under load, with scheduled faults, watched by a judge.\n" +
 			"An experiment is a TOML file, as those in experiments/; docs/lab.md tells its keys and the faults there are.\n\n" + exitHelp,
-		Args: exactly(0),
+		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
 	command.AddCommand(newLabSim(), newLabRun(), newLabCompare(), newLabSweep(), newLabDiff(), newLabFaults(), newLabServer())
@@ -71,8 +71,8 @@
 	return os.WriteFile(path, data, 0o644)
 }
 
-// verdict is the error of a run whose sidecars broke rules.
-func verdict(result *lab.Result) error {
+// violationError is the error of a run whose sidecars broke rules.
+func violationError(result *lab.Result) error {
 	if result.ViolationCount > 0 {
 		return fmt.Errorf("%s, seed %d: %d rule(s) broken (%s)", result.Name, result.Seed, result.ViolationCount, strings.Join(ruleNames(result), ", "))
 	}
@@ -151,7 +151,7 @@
 			"control plane is a simulation of that, without requests, unless --policy is given;\n" +
 			"docs/control-plane-simulation.md has more.\n\n" + exitHelp,
 		Example: "  milldeck lab sim experiments/fleet.toml --seed 3 --json out.json\n  milldeck lab sim experiments/fleet.toml --policy all",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE:    simulation.run,
 	}
 	simulation.register(command)
@@ -215,7 +215,7 @@
 	if s.policy != sim.Module {
 		return nil
 	}
-	return verdict(result)
+	return violationError(result)
 }
 
 // finishComparison writes the results of several policies side by side.
--- a/cmd/milldeck/lab_controlplane.go
+++ b/cmd/milldeck/lab_controlplane.go
@@ -69,8 +69,8 @@
 	if f.seeds == "" {
 		return seed, seed, nil
 	}
-	from, to, isRange := strings.Cut(f.seeds, "-")
-	if !isRange {
+	from, to, ranged := strings.Cut(f.seeds, "-")
+	if !ranged {
 		to = from
 	}
 	first, err = strconv.ParseUint(from, 10, 63)
--- a/cmd/milldeck/lab_run.go
+++ b/cmd/milldeck/lab_run.go
@@ -93,7 +93,7 @@
 		Long: "run plays an experiment with real sidecar processes on loopback addresses, in real time. It takes as long as\n" +
 			"the experiment says and a few seconds more. An interrupt ends all children and still writes the result.\n\n" + exitHelp,
 		Example: "  milldeck lab run experiments/quickstart.toml --report out",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			plan, err := planning.plan(args[0])
 			if err != nil {
@@ -106,7 +106,7 @@
 			if err := output.write(command, result); err != nil {
 				return err
 			}
-			return verdict(result)
+			return violationError(result)
 		},
 	}
 	output.register(command)
@@ -123,7 +123,7 @@
 		Use:   "compare FILE",
 		Short: "Plays an experiment both ways and tells how far apart they are",
 		Long:  "compare plays an experiment in sim and in run, from the same plan, and prints both with their difference.\n\n" + exitHelp,
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			plan, err := planning.plan(args[0])
 			if err != nil {
--- a/cmd/milldeck/lab_server.go
+++ b/cmd/milldeck/lab_server.go
@@ -13,17 +13,17 @@
 
 // newLabServer is hidden: it is what the lab's platform starts.
 func newLabServer() *cobra.Command {
-	var listen, config, harm string
+	var listen, configPath, regressionPath string
 	var unit live.Unit
 	command := &cobra.Command{
-		Use: "server", Hidden: true, Short: "Runs one model server until SIGTERM", Args: exactly(0),
+		Use: "server", Hidden: true, Short: "Runs one model server until SIGTERM", Args: exactArgs(0),
 		Long: "server runs one of the lab's model servers as a process, until SIGTERM, which drains it. It speaks to sidecars as\n" +
 			"a real one does, answers GET /health/ready, and tells the lab that its configuration names what it does.\n\n" + exitHelp,
 		RunE: func(command *cobra.Command, _ []string) error {
-			if config == "" {
+			if configPath == "" {
 				return usageError{errors.New("lab server needs --config FILE")}
 			}
-			server, faults, err := live.LoadServer(config, harm)
+			server, faults, err := live.LoadServer(configPath, regressionPath)
 			if err != nil {
 				return err
 			}
@@ -38,8 +38,8 @@
 		},
 	}
 	command.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address on loopback")
-	command.Flags().StringVar(&config, "config", "", "TOML file: the kind's model, rules, classes and the lab's address")
-	command.Flags().StringVar(&harm, "harm", "", "TOML file of what its version does wrong")
+	command.Flags().StringVar(&configPath, "config", "", "TOML file: the kind's model, rules, classes and the lab's address")
+	command.Flags().StringVar(&regressionPath, "harm", "", "TOML file of what its version does wrong")
 	command.Flags().StringVar(&unit.Name, "name", "server", "its unit's name")
 	command.Flags().StringVar(&unit.Version, "version", "", "its version's name")
 	return command
--- a/cmd/milldeck/lab_sweep.go
+++ b/cmd/milldeck/lab_sweep.go
@@ -37,8 +37,8 @@
 // player plays one plan.
 type player func(context.Context, *lab.Plan) (*lab.Result, error)
 
-// parse gives the experiment, the seeds and what plays them.
-func (f *seedFlags) parse(path string) (*lab.Experiment, []uint64, player, error) {
+// load gives the experiment, the seeds and what plays them.
+func (f *seedFlags) load(path string) (*lab.Experiment, []uint64, player, error) {
 	seeds, err := parseSeeds(f.seeds)
 	if err != nil {
 		return nil, nil, nil, usageError{err}
@@ -73,9 +73,9 @@
 		Long: "sweep plays an experiment on many seeds and shows the worst one. Results go to a file, one JSON object a line;\n" +
 			"a sweep that was cut off goes on where the file ends.\n\n" + exitHelp,
 		Example: "  milldeck lab sweep experiments/fleet.toml --seeds 1-20 --json sweep.jsonl",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			experiment, seeds, play, err := flags.parse(args[0])
+			experiment, seeds, play, err := flags.load(args[0])
 			if err != nil {
 				return err
 			}
@@ -119,19 +119,19 @@
 }
 
 func (s *seedSweep) run(ctx context.Context, seeds []uint64) error {
-	known := map[uint64]*lab.Result{}
+	earlier := map[uint64]*lab.Result{}
 	var resultFile *os.File
 	if s.path != "" {
 		var err error
-		if resultFile, err = s.resume(known); err != nil {
+		if resultFile, err = s.resume(earlier); err != nil {
 			return err
 		}
 		defer resultFile.Close()
 	}
 	var worst *lab.Result
-	broken, sum := 0, 0.0
+	violationCount, servedShareSum := 0, 0.0
 	for i, seed := range seeds {
-		result, reused := known[seed]
+		result, reused := earlier[seed]
 		started := time.Now()
 		if !reused {
 			var err error
@@ -156,19 +156,19 @@
 		if worst == nil || result.ViolationCount > worst.ViolationCount || result.ViolationCount == worst.ViolationCount && result.WeightedServedShare < worst.WeightedServedShare {
 			worst = result
 		}
-		broken += result.ViolationCount
-		sum += result.WeightedServedShare
+		violationCount += result.ViolationCount
+		servedShareSum += result.WeightedServedShare
 	}
 	fmt.Fprintf(s.output, "worth served %.4f in the mean; worst seed %d: worth %.4f, %d rule(s) broken\n",
-		sum/float64(len(seeds)), worst.Seed, worst.WeightedServedShare, worst.ViolationCount)
-	if broken > 0 {
-		return fmt.Errorf("%s: %d rule(s) broken", s.experiment.Name, broken)
+		servedShareSum/float64(len(seeds)), worst.Seed, worst.WeightedServedShare, worst.ViolationCount)
+	if violationCount > 0 {
+		return fmt.Errorf("%s: %d rule(s) broken", s.experiment.Name, violationCount)
 	}
 	return nil
 }
 
 // resume reads what an earlier sweep found and opens the file for more. A torn last line is taken off.
-func (s *seedSweep) resume(known map[uint64]*lab.Result) (*os.File, error) {
+func (s *seedSweep) resume(earlier map[uint64]*lab.Result) (*os.File, error) {
 	resultFile, err := os.OpenFile(s.path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return nil, err
@@ -182,13 +182,13 @@
 		_, err = resultFile.Seek(complete, io.SeekStart)
 	}
 	if err == nil && complete > 0 {
-		var earlier []*lab.Result
-		if earlier, err = report.ReadResults(s.path); err == nil {
-			for _, result := range earlier {
+		var results []*lab.Result
+		if results, err = report.ReadResults(s.path); err == nil {
+			for _, result := range results {
 				if result.Name != s.experiment.Name {
 					err = usageError{fmt.Errorf("%s holds results of %s, not of %s", s.path, result.Name, s.experiment.Name)}
 				}
-				known[result.Seed] = result
+				earlier[result.Seed] = result
 			}
 		}
 	}
@@ -206,7 +206,7 @@
 		Short: "Compares two runs, or two sweeps seed by seed",
 		Long: "diff compares results that --json wrote. Runs with the same seed make a pair; over several pairs it gives the\n" +
 			"95% interval of the mean difference.\n\n" + exitHelp,
-		Args: exactly(2),
+		Args: exactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			before, err := report.ReadResults(args[0])
 			if err != nil {
@@ -238,9 +238,9 @@
 		Long: "faults plays an experiment once for each kind of fault that it has, with that kind alone, over some seeds, and\n" +
 			"prints kinds by rules broken.\n\n" + exitHelp,
 		Example: "  milldeck lab faults experiments/faults.toml --seeds 1-10",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			experiment, seeds, play, err := flags.parse(args[0])
+			experiment, seeds, play, err := flags.load(args[0])
 			if err != nil {
 				return err
 			}
@@ -262,37 +262,37 @@
 		fmt.Fprintf(w, " %s |", rule)
 	}
 	fmt.Fprintf(w, "\n| --- | --- | --- |%s\n", strings.Repeat(" --- |", len(experiment.ApplicableRules())))
-	broken := 0
+	violationCount := 0
 	for _, kind := range lab.FaultKinds() {
 		if len(byKind[kind]) == 0 {
 			continue
 		}
-		alone := *experiment
-		alone.Faults = byKind[kind]
-		counts, sum, worst := map[lab.Rule]int{}, 0.0, 1.0
+		withKind := *experiment
+		withKind.Faults = byKind[kind]
+		counts, servedShareSum, worst := map[lab.Rule]int{}, 0.0, 1.0
 		for _, seed := range seeds {
-			result, err := play(ctx, alone.NewPlan(seed))
+			result, err := play(ctx, withKind.NewPlan(seed))
 			if err != nil {
 				return fmt.Errorf("%s, seed %d: %w", kind, seed, err)
 			}
 			if ctx.Err() != nil {
 				return errors.New("cut short")
 			}
-			sum += result.WeightedServedShare
+			servedShareSum += result.WeightedServedShare
 			worst = min(worst, result.WeightedServedShare)
-			for rule, n := range result.ViolationsByRule {
-				counts[rule] += n
-				broken += n
+			for rule, count := range result.ViolationsByRule {
+				counts[rule] += count
+				violationCount += count
 			}
 		}
-		fmt.Fprintf(w, "| `%s` | %.4f | %.4f |", kind, sum/float64(len(seeds)), worst)
+		fmt.Fprintf(w, "| `%s` | %.4f | %.4f |", kind, servedShareSum/float64(len(seeds)), worst)
 		for _, rule := range experiment.ApplicableRules() {
 			fmt.Fprintf(w, " %d |", counts[rule])
 		}
 		fmt.Fprintln(w)
 	}
-	if broken > 0 {
-		return fmt.Errorf("%s: %d rule(s) broken", experiment.Name, broken)
+	if violationCount > 0 {
+		return fmt.Errorf("%s: %d rule(s) broken", experiment.Name, violationCount)
 	}
 	return nil
 }
--- a/cmd/milldeck/duty.go
+++ b/cmd/milldeck/lease.go
@@ -20,17 +20,17 @@
 	"milldeck/internal/registry"
 )
 
-func newDuty() *cobra.Command {
-	c := &cobra.Command{
+func newLease() *cobra.Command {
+	command := &cobra.Command{
 		Use:   "duty",
 		Short: "Leader election: leases for what only one process may do at a time",
 		Long: "duty holds, shows and hands over leases, each for what only one process may do at a time. docs/leader-election.md says\n" +
 			"what is promised.\n\n" + exitHelp,
-		Args: exactly(0),
-		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
+		Args: exactArgs(0),
+		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
-	c.AddCommand(newHold(), newDutyList(), newDutyWatch(), newDutyRelease(), newHandover(), newTakeaway(), newDutyBench())
-	return c
+	command.AddCommand(newLeaseHold(), newLeaseList(), newLeaseWatch(), newLeaseRelease(), newLeaseHandover(), newLeaseRevoke(), newLeaseBench())
+	return command
 }
 
 // holdOptions are the flags of `milldeck duty hold`.
@@ -41,9 +41,9 @@
 	clockFaults  string
 }
 
-func newHold() *cobra.Command {
+func newLeaseHold() *cobra.Command {
 	var opts holdOptions
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "hold NAME...",
 		Short: "Campaigns for leases and holds them until SIGTERM",
 		Long: "hold campaigns for leases, holds each until an interrupt and releases it. It prints a JSON line for each step: waiting,\n" +
@@ -56,9 +56,11 @@
 			}
 			return nil
 		},
-		RunE: func(c *cobra.Command, names []string) error { return hold(c.Context(), c.OutOrStdout(), names, opts) },
+		RunE: func(command *cobra.Command, names []string) error {
+			return holdLeases(command.Context(), command.OutOrStdout(), names, opts)
+		},
 	}
-	flags := c.Flags()
+	flags := command.Flags()
 	flags.StringSliceVar(&opts.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
 	flags.StringVar(&opts.election.Candidate, "who", "", "this candidate's name, another with each start (default: drawn)")
 	flags.DurationVar(&opts.election.TTL, "ttl", leaderelection.DefaultTTL, "TTL of the lease, if this candidate finds it free")
@@ -66,11 +68,11 @@
 	flags.DurationVar(&opts.saveInterval, "save-every", 0, "interval at which to count up in the lease's checkpoint, as a trial of its guard; 0: never")
 	flags.StringVar(&opts.clockFaults, "clock", "", `a fault of this process's clock, for trials: "rate=0.9" or "jump=1h/300ms"`)
 	_ = flags.MarkHidden("clock") // it fails only for a flag that does not exist
-	return c
+	return command
 }
 
-// hold campaigns for all the leases until ctx ends, and prints their events.
-func hold(ctx context.Context, w io.Writer, names []string, opts holdOptions) error {
+// holdLeases campaigns for all the leases until ctx ends, and prints their events.
+func holdLeases(ctx context.Context, out io.Writer, names []string, opts holdOptions) error {
 	if ttl := opts.election.TTL.Milliseconds(); ttl < leasetable.MinTTLMS || ttl > leasetable.MaxTTLMS {
 		return usageError{fmt.Errorf("--ttl: %v is not within %d ms to %d ms", opts.election.TTL, leasetable.MinTTLMS, leasetable.MaxTTLMS)}
 	}
@@ -83,26 +85,26 @@
 		return usageError{fmt.Errorf("--replicas: %w", err)}
 	}
 	defer client.Close()
-	out := &jsonLines{encoder: json.NewEncoder(w)}
+	lines := &jsonLines{encoder: json.NewEncoder(out)}
 	election := opts.election
 	election.Clock = faultyClock
 	if election.Candidate == "" {
 		election.Candidate = registry.NewID() // one for all leases, so that their renewals are sent together
 	}
-	election.OnEvent = func(e leaderelection.Event) {
-		out.print(timedEvent{e, faultyClock.MonotonicNSOf(e.At), faultyClock.MonotonicNSOf(e.ValidUntil)})
+	election.OnEvent = func(runErr leaderelection.Event) {
+		lines.print(timedEvent{runErr, faultyClock.MonotonicNSOf(runErr.At), faultyClock.MonotonicNSOf(runErr.ValidUntil)})
 	}
 	ended := make(chan error, len(names))
 	for _, name := range names {
 		go func() {
 			ended <- leaderelection.Run(ctx, client, name, election, func(ctx context.Context, lease *leaderelection.Lease) error {
-				return holdLease(ctx, lease, opts.saveInterval, out)
+				return holdLease(ctx, lease, opts.saveInterval, lines)
 			})
 		}()
 	}
 	for range names {
-		if e := <-ended; !errors.Is(e, leaderelection.ErrStepDownRequested) {
-			err = errors.Join(err, e)
+		if runErr := <-ended; !errors.Is(runErr, leaderelection.ErrStepDownRequested) {
+			err = errors.Join(err, runErr)
 		}
 	}
 	if ctx.Err() != nil {
@@ -173,13 +175,13 @@
 	}
 }
 
-func newDutyList() *cobra.Command {
-	return asks("list", "Prints the leases", 0, func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, _ []string) error {
+func newLeaseList() *cobra.Command {
+	return newClientCommand("list", "Prints the leases", 0, func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, _ []string) error {
 		leases, err := client.Leases(ctx)
 		if err != nil {
 			return err
 		}
-		return a.show(c.OutOrStdout(), leases, func(w io.Writer) error {
+		return flags.print(command.OutOrStdout(), leases, func(w io.Writer) error {
 			table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 			for i := range leases {
 				fmt.Fprintln(table, leaseRow(&leases[i]))
@@ -204,22 +206,22 @@
 }
 
 // showLease prints one lease as JSON or as a line.
-func (a *asking) showLease(w io.Writer, lease leasetable.Lease) error {
-	return a.show(w, lease, func(w io.Writer) error {
+func (f *clientFlags) showLease(w io.Writer, lease leasetable.Lease) error {
+	return f.print(w, lease, func(w io.Writer) error {
 		_, err := fmt.Fprintln(w, strings.ReplaceAll(leaseRow(&lease), "\t", "  "))
 		return err
 	})
 }
 
-func newDutyWatch() *cobra.Command {
-	a := &asking{}
-	c := &cobra.Command{
-		Use: "watch NAME", Short: "Prints a lease and each of its changes, until an interrupt", Args: exactly(1),
+func newLeaseWatch() *cobra.Command {
+	flags := &clientFlags{}
+	command := &cobra.Command{
+		Use: "watch NAME", Short: "Prints a lease and each of its changes, until an interrupt", Args: exactArgs(1),
 		Long: "watch prints a lease and each of its changes, until an interrupt.\n\n" + exitHelp,
-		RunE: func(c *cobra.Command, args []string) error {
-			return a.with(c, func(_ context.Context, client *registry.Client) error {
+		RunE: func(command *cobra.Command, args []string) error {
+			return flags.withClient(command, func(_ context.Context, client *registry.Client) error {
 				// It lasts until the interrupt, not until --wait is over. A closed output ends the program by SIGPIPE.
-				err := client.WatchLease(c.Context(), args[0], func(lease leasetable.Lease) { _ = a.showLease(c.OutOrStdout(), lease) })
+				err := client.WatchLease(command.Context(), args[0], func(lease leasetable.Lease) { _ = flags.showLease(command.OutOrStdout(), lease) })
 				if errors.Is(err, context.Canceled) {
 					return nil
 				}
@@ -227,38 +229,38 @@
 			})
 		},
 	}
-	a.flags(c)
-	return c
+	flags.addTo(command)
+	return command
 }
 
-// leaseCommand returns a command that makes one request about a lease and prints the lease as it then is. The command
+// newLeaseCommand returns a command that makes one request about a lease and prints the lease as it then is. The command
 // sets the request's fields from its flags.
-func leaseCommand(use, short string, kind leasetable.OperationKind, request *registry.LeaseRequest) *cobra.Command {
-	return asks(use, short, 1, func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
+func newLeaseCommand(use, short string, kind leasetable.OperationKind, request *registry.LeaseRequest) *cobra.Command {
+	return newClientCommand(use, short, 1, func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
 		lease, err := client.UpdateLease(ctx, kind, args[0], *request)
 		if err != nil {
 			return err
 		}
-		return a.showLease(c.OutOrStdout(), lease)
+		return flags.showLease(command.OutOrStdout(), lease)
 	})
 }
 
-func newDutyRelease() *cobra.Command {
+func newLeaseRelease() *cobra.Command {
 	var request registry.LeaseRequest
-	c := leaseCommand("release NAME", "Gives up a lease for its holder, or a place in its queue", leasetable.Release, &request)
-	c.Flags().StringVar(&request.Candidate, "who", "", "the holder or candidate")
-	c.Flags().Uint64Var(&request.Token, "token", 0, "the holder's fencing token; 0: a place in the queue")
-	return c
+	command := newLeaseCommand("release NAME", "Gives up a lease for its holder, or a place in its queue", leasetable.Release, &request)
+	command.Flags().StringVar(&request.Candidate, "who", "", "the holder or candidate")
+	command.Flags().Uint64Var(&request.Token, "token", 0, "the holder's fencing token; 0: a place in the queue")
+	return command
 }
 
-func newHandover() *cobra.Command {
+func newLeaseHandover() *cobra.Command {
 	var request registry.LeaseRequest
-	c := leaseCommand("handover NAME", "Requests the holder to step down in favour of a candidate", leasetable.Handover, &request)
-	c.Flags().StringVar(&request.Successor, "to", "", "the candidate, who waits in the queue")
-	return c
+	command := newLeaseCommand("handover NAME", "Requests the holder to step down in favour of a candidate", leasetable.Handover, &request)
+	command.Flags().StringVar(&request.Successor, "to", "", "the candidate, who waits in the queue")
+	return command
 }
 
-func newTakeaway() *cobra.Command {
+func newLeaseRevoke() *cobra.Command {
 	const short = "Revokes a lease: its token is invalid at once, and the next candidate acquires it after the holder's TTL"
-	return leaseCommand("takeaway NAME", short, leasetable.Revoke, &registry.LeaseRequest{})
+	return newLeaseCommand("takeaway NAME", short, leasetable.Revoke, &registry.LeaseRequest{})
 }
--- a/cmd/milldeck/dutybench.go
+++ b/cmd/milldeck/lease_bench.go
@@ -12,33 +12,33 @@
 	"milldeck/internal/leaderelection/bench"
 )
 
-// dutyBenchFlags are the flags of `milldeck duty bench` beside those of every benchmark.
-type dutyBenchFlags struct {
+// leaseBenchFlags are the flags of `milldeck duty bench` beside those of every benchmark.
+type leaseBenchFlags struct {
 	faults    int
 	faultTime time.Duration
 	logDir    string
 }
 
-func newDutyBench() *cobra.Command {
-	var flags dutyBenchFlags
-	c := benchmark{
+func newLeaseBench() *cobra.Command {
+	var flags leaseBenchFlags
+	command := benchmark{
 		short: "Injects faults into lease holders and measures how leases change hands",
 		long: "bench starts replicas and lease holders as processes, kills, freezes and stops holders at random moments while raft\n" +
 			"leaders of the registry are killed as well, and judges from what the processes print whether two ever believed at a\n" +
 			"time that they hold one lease. It ends within two minutes; --full injects four times as many faults and ends within\n" +
 			"eight. An overlap or a write that took effect twice is a failure.",
-		full: "four times as many faults",
-		run: func(ctx context.Context, full bool, self, dir string, say func(string)) (outcome, error) {
-			return runDutyBench(ctx, full, self, dir, say, flags)
+		fullHelp: "four times as many faults",
+		run: func(ctx context.Context, full bool, self, dir string, say func(string)) (benchmarkResult, error) {
+			return runLeaseBench(ctx, full, self, dir, say, flags)
 		},
 	}.command()
-	c.Flags().IntVar(&flags.faults, "faults", 0, "how many faults (default 504, with --full 2016)")
-	c.Flags().DurationVar(&flags.faultTime, "for", 0, "inject faults for so long at most (default 45s, with --full 3m)")
-	c.Flags().StringVar(&flags.logDir, "logs", "", "keep configurations, logs and data in this folder, which is new or empty")
-	return c
+	command.Flags().IntVar(&flags.faults, "faults", 0, "how many faults (default 504, with --full 2016)")
+	command.Flags().DurationVar(&flags.faultTime, "for", 0, "inject faults for so long at most (default 45s, with --full 3m)")
+	command.Flags().StringVar(&flags.logDir, "logs", "", "keep configurations, logs and data in this folder, which is new or empty")
+	return command
 }
 
-func runDutyBench(ctx context.Context, full bool, program, dir string, progress func(string), flags dutyBenchFlags) (outcome, error) {
+func runLeaseBench(ctx context.Context, full bool, program, dir string, progress func(string), flags leaseBenchFlags) (benchmarkResult, error) {
 	opts := bench.QuickOptions()
 	if full {
 		opts = bench.FullOptions()
@@ -51,27 +51,27 @@
 	}
 	if flags.logDir != "" {
 		entries, _ := os.ReadDir(flags.logDir) // a folder that cannot be read yet is created or reported by the bench
-		if len(entries) > 0 { // logs of another run would be judged with this one's
-			return dutyOutcome{}, usageError{fmt.Errorf("--logs: %s is not empty", flags.logDir)}
+		if len(entries) > 0 {                  // logs of another run would be judged with this one's
+			return leaseBenchResult{}, usageError{fmt.Errorf("--logs: %s is not empty", flags.logDir)}
 		}
 		dir = flags.logDir
 	}
 	opts.Program, opts.Dir, opts.Progress = program, dir, progress
 	result, err := bench.Run(ctx, opts)
-	return dutyOutcome{result}, err
+	return leaseBenchResult{result}, err
 }
 
-// dutyOutcome is the result of the bench as a command prints it.
-type dutyOutcome struct{ *bench.Result }
+// leaseBenchResult is the result of the bench as a command prints it.
+type leaseBenchResult struct{ *bench.Result }
 
-func (r dutyOutcome) verdict() error {
+func (r leaseBenchResult) failure() error {
 	if len(r.Violations) > 0 {
 		return fmt.Errorf("%d overlaps, %d writes counted twice: %v", r.Overlaps, r.DuplicateWrites, r.Violations)
 	}
 	return nil
 }
 
-func (r dutyOutcome) table(w io.Writer) error {
+func (r leaseBenchResult) writeTable(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "%d faults (%d kills, %d freezes, %d stops), %d registry leaders killed, %.0f s\n"+
 		"%d tenures, %d overlaps; %d guarded writes, %d refused, %d counted twice\n"+
 		"%d releases heard of after the next had begun, %d times given and not taken up\n"+
@@ -79,9 +79,9 @@
 		"after a kill, lease %d ms         p50 %.0f ms, p99 %.0f ms\n%.0f renewals a second\n",
 		r.Faults, r.Kills, r.Freezes, r.Stops, r.LeaderKills, r.Seconds, r.Tenures, r.Overlaps, r.GuardedWrites, r.RejectedWrites, r.DuplicateWrites, r.LateReleaseNotices, r.ExpiredUnclaimed,
 		r.ReleaseGapP50MS, r.ReleaseGapP99MS, r.TTLMS, r.KillGapP50MS, r.KillGapP99MS, r.RenewalsPerSecond)
-	for _, n := range r.HandoverCosts {
+	for _, cost := range r.HandoverCosts {
 		if err == nil {
-			_, err = fmt.Fprintf(w, "%.1f log entries a handover with %d candidates\n", n.LogEntries, n.Candidates)
+			_, err = fmt.Fprintf(w, "%.1f log entries a handover with %d candidates\n", cost.LogEntries, cost.Candidates)
 		}
 	}
 	return err
--- a/cmd/milldeck/main.go
+++ b/cmd/milldeck/main.go
@@ -84,8 +84,8 @@
 	flags := root.PersistentFlags()
 	flags.StringVar(&level, "log-level", "info", "least level that is logged: debug, info, warn or error")
 	flags.StringVar(&format, "log-format", "text", "form of the log: text or json")
-	root.AddCommand(newVersion(), newLab(), newRegistry(), newDuty(), newAgent(), newSupervisor(), newRelease(), newFleet(),
-		newSpread(), newContract(), newWindow())
+	root.AddCommand(newVersion(), newLab(), newRegistry(), newLease(), newAgent(), newSupervisor(), newRelease(), newFleet(),
+		newHotKey(), newContract(), newWindow())
 	return root
 }
 
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// exactly demands n arguments and says which in the usage line.
-func exactly(count int) cobra.PositionalArgs {
+// exactArgs demands n arguments and says which in the usage line.
+func exactArgs(count int) cobra.PositionalArgs {
 	return func(command *cobra.Command, args []string) error {
 		if len(args) != count {
 			return usageError{fmt.Errorf("%s takes %d argument(s), not %d: %s", command.CommandPath(), count, len(args), command.UseLine())}
--- a/cmd/milldeck/main_test.go
+++ b/cmd/milldeck/main_test.go
@@ -9,18 +9,18 @@
 	"testing"
 )
 
-// command runs one command line in this process.
-func command(t *testing.T, args ...string) (code int, out, errOut string) {
+// runCommand runs one command line in this process.
+func runCommand(t *testing.T, args ...string) (code int, out, errOut string) {
 	t.Helper()
-	var o, e bytes.Buffer
-	code = execute(t.Context(), args, &o, &e)
-	return code, o.String(), e.String()
+	var stdout, stderr bytes.Buffer
+	code = execute(t.Context(), args, &stdout, &stderr)
+	return code, stdout.String(), stderr.String()
 }
 
 func TestVersionIsOneObject(t *testing.T) {
-	code, out, _ := command(t, "version", "--json")
-	var v map[string]any
-	if err := json.Unmarshal([]byte(out), &v); code != 0 || err != nil || v["version"] == "" || !strings.HasPrefix(v["go"].(string), "go1") {
+	code, out, _ := runCommand(t, "version", "--json")
+	var version map[string]any
+	if err := json.Unmarshal([]byte(out), &version); code != 0 || err != nil || version["version"] == "" || !strings.HasPrefix(version["go"].(string), "go1") {
 		t.Errorf("exit %d, %q: %v", code, out, err)
 	}
 }
@@ -28,7 +28,7 @@
 func TestBadUseExitsWithTwoAndOneLine(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.toml")
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, file string
 		args       []string
 		want       string
@@ -40,24 +40,24 @@
 		{"no file", "", []string{"lab", "sim"}, "1 argument"},
 		{"no such file", "", []string{"lab", "sim", dir + "/none.toml"}, "none.toml"},
 		{"unknown key", "name = \"x\"\nspeed = 3\n", []string{"lab", "run", bad}, "bad.toml:2: speed: unknown key"},
-		{"unknown policy", quick, []string{"lab", "sim", bad, "--policy", "best"}, "--policy best"},
-		{"bad seeds", quick, []string{"lab", "sweep", bad, "--seeds", "9-1"}, "--seeds 9-1"},
-		{"negative rate", strings.Replace(quick, "rate = 100", "rate = -1", 1), []string{"lab", "sim", bad}, "phase[0].rate"},
-		{"unknown target", quick + "[[fault]]\nkind = \"kill\"\nat_s = 1\ntarget = \"server:99\"\n", []string{"lab", "run", bad}, "fault[0].target"},
+		{"unknown policy", quickExperiment, []string{"lab", "sim", bad, "--policy", "best"}, "--policy best"},
+		{"bad seeds", quickExperiment, []string{"lab", "sweep", bad, "--seeds", "9-1"}, "--seeds 9-1"},
+		{"negative rate", strings.Replace(quickExperiment, "rate = 100", "rate = -1", 1), []string{"lab", "sim", bad}, "phase[0].rate"},
+		{"unknown target", quickExperiment + "[[fault]]\nkind = \"kill\"\nat_s = 1\ntarget = \"server:99\"\n", []string{"lab", "run", bad}, "fault[0].target"},
 	} {
-		if c.file != "" {
-			if err := os.WriteFile(bad, []byte(c.file), 0o600); err != nil {
+		if test.file != "" {
+			if err := os.WriteFile(bad, []byte(test.file), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
-		code, _, errOut := command(t, c.args...)
-		if code != exitUsage || strings.Count(errOut, "\n") != 1 || !strings.Contains(errOut, c.want) {
-			t.Errorf("%s: exit %d, said %q, want 2 and one line with %q", c.name, code, errOut, c.want)
+		code, _, errOut := runCommand(t, test.args...)
+		if code != exitUsage || strings.Count(errOut, "\n") != 1 || !strings.Contains(errOut, test.want) {
+			t.Errorf("%s: exit %d, said %q, want 2 and one line with %q", test.name, code, errOut, test.want)
 		}
 	}
 }
 
-const quick = `name = "quick"
+const quickExperiment = `name = "quick"
 duration_s = 3
 [[server]]
 kind = "k"
@@ -72,41 +72,41 @@
 rate = 100
 `
 
-func TestSweepGoesOnWhereItWasCutOff(t *testing.T) {
+func TestSweepResumesAfterInterruption(t *testing.T) {
 	dir := t.TempDir()
-	file, kept := filepath.Join(dir, "quick.toml"), filepath.Join(dir, "kept.jsonl")
-	if err := os.WriteFile(file, []byte(quick), 0o600); err != nil {
+	file, results := filepath.Join(dir, "quick.toml"), filepath.Join(dir, "kept.jsonl")
+	if err := os.WriteFile(file, []byte(quickExperiment), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, out, errOut := command(t, "lab", "sweep", file, "--seeds", "1-2", "--json", kept); code != 0 {
+	if code, out, errOut := runCommand(t, "lab", "sweep", file, "--seeds", "1-2", "--json", results); code != 0 {
 		t.Fatal(out, errOut)
 	}
-	whole, err := os.ReadFile(kept)
+	complete, err := os.ReadFile(results)
 	if err != nil {
 		t.Fatal(err)
 	}
 	// As if the machine had gone down within the second line.
-	if err := os.WriteFile(kept, whole[:len(whole)-40], 0o600); err != nil {
+	if err := os.WriteFile(results, complete[:len(complete)-40], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	code, out, errOut := command(t, "lab", "sweep", file, "--seeds", "1-2", "--json", kept)
+	code, out, errOut := runCommand(t, "lab", "sweep", file, "--seeds", "1-2", "--json", results)
 	if code != 0 || strings.Count(out, "from the file") != 1 {
 		t.Errorf("exit %d, %s %s, want one seed from the file", code, out, errOut)
 	}
-	if again, err := os.ReadFile(kept); err != nil || !bytes.Equal(whole, again) {
+	if resumed, err := os.ReadFile(results); err != nil || !bytes.Equal(complete, resumed) {
 		t.Errorf("the file differs from that of a sweep in one go: %v", err)
 	}
-	if code, out, errOut := command(t, "lab", "diff", kept, kept); code != 0 || !strings.HasPrefix(out, "2 pair(s)") {
+	if code, out, errOut := runCommand(t, "lab", "diff", results, results); code != 0 || !strings.HasPrefix(out, "2 pair(s)") {
 		t.Errorf("diff: exit %d, %s %s", code, out, errOut)
 	}
 }
 
 func TestAllPoliciesSideBySide(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "quick.toml")
-	if err := os.WriteFile(file, []byte(quick), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(quickExperiment), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	code, out, errOut := command(t, "lab", "sim", file, "--policy", "all")
+	code, out, errOut := runCommand(t, "lab", "sim", file, "--policy", "all")
 	if code != 0 {
 		t.Fatal(errOut)
 	}
--- a/cmd/milldeck/registry.go
+++ b/cmd/milldeck/registry.go
@@ -28,7 +28,7 @@
 		Short: "The service registry: replicated discovery with leases and watches",
 		Long: "registry runs and queries the service registry: one, three or five replicas that share one log and one revision.\n" +
 			"docs/registry.md describes it, also when parts of it fail.\n\n" + exitHelp,
-		Args: exactly(0),
+		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
 	command.AddCommand(newRegistryServe(), newRegistryList(), newRegistryGet(), newRegistryWatch(), newRegistryRegister(),
@@ -37,55 +37,55 @@
 	return command
 }
 
-// asking are the flags of commands that call the registry.
-type asking struct {
+// clientFlags are the flags of commands that call the registry.
+type clientFlags struct {
 	replicas []string
 	wait     time.Duration
 	json     bool
 }
 
-// flags adds the flags to a command.
-func (a *asking) flags(command *cobra.Command) {
-	command.Flags().StringSliceVar(&a.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
-	command.Flags().DurationVar(&a.wait, "wait", defaultWait, "how long to retry")
-	command.Flags().BoolVar(&a.json, "json", false, "print JSON")
+// addTo adds the flags to a command.
+func (f *clientFlags) addTo(command *cobra.Command) {
+	command.Flags().StringSliceVar(&f.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
+	command.Flags().DurationVar(&f.wait, "wait", defaultWait, "how long to retry")
+	command.Flags().BoolVar(&f.json, "json", false, "print JSON")
 }
 
-// with calls run with a client, and a context that ends after --wait.
-func (a *asking) with(command *cobra.Command, run func(context.Context, *registry.Client) error) error {
-	client, err := registry.NewClient(a.replicas)
+// withClient calls run with a client, and a context that ends after --wait.
+func (f *clientFlags) withClient(command *cobra.Command, run func(context.Context, *registry.Client) error) error {
+	client, err := registry.NewClient(f.replicas)
 	if err != nil {
 		return usageError{fmt.Errorf("--replicas: %w", err)}
 	}
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(command.Context(), a.wait)
+	ctx, cancel := context.WithTimeout(command.Context(), f.wait)
 	defer cancel()
 	return run(ctx, client)
 }
 
-// show prints a value as JSON, or as text.
-func (a *asking) show(out io.Writer, value any, writeText func(io.Writer) error) error {
-	if a.json {
+// print prints a value as JSON, or as text.
+func (f *clientFlags) print(out io.Writer, value any, writeText func(io.Writer) error) error {
+	if f.json {
 		return json.NewEncoder(out).Encode(value)
 	}
 	return writeText(out)
 }
 
-// runAsking runs a command that calls the registry.
-type runAsking func(ctx context.Context, command *cobra.Command, a *asking, client *registry.Client, args []string) error
+// runClientCommand runs a command that calls the registry.
+type runClientCommand func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error
 
-// asks makes a command that calls the registry.
-func asks(use, short string, args int, run runAsking) *cobra.Command {
-	a := &asking{}
+// newClientCommand makes a command that calls the registry.
+func newClientCommand(use, short string, args int, run runClientCommand) *cobra.Command {
+	flags := &clientFlags{}
 	command := &cobra.Command{
-		Use: use, Short: short, Long: short + ".\n\n" + exitHelp, Args: exactly(args),
+		Use: use, Short: short, Long: short + ".\n\n" + exitHelp, Args: exactArgs(args),
 		RunE: func(command *cobra.Command, args []string) error {
-			return a.with(command, func(ctx context.Context, client *registry.Client) error {
-				return run(ctx, command, a, client, args)
+			return flags.withClient(command, func(ctx context.Context, client *registry.Client) error {
+				return run(ctx, command, flags, client, args)
 			})
 		},
 	}
-	a.flags(command)
+	flags.addTo(command)
 	return command
 }
 
--- a/cmd/milldeck/registry_bench.go
+++ b/cmd/milldeck/registry_bench.go
@@ -16,24 +16,24 @@
 		long: "bench starts replicas on loopback addresses and measures how soon changes reach thousands of watchers, how many\n" +
 			"writes one and three replicas take, and how long a killed leader is missed. It ends within a minute; --full\n" +
 			"takes several and adds the restart with a long log.",
-		full: "the long form: 30 kills, longer loads, restarts with 100,000 log entries",
-		run: func(ctx context.Context, full bool, program, dir string, report func(string)) (outcome, error) {
+		fullHelp: "the long form: 30 kills, longer loads, restarts with 100,000 log entries",
+		run: func(ctx context.Context, full bool, program, dir string, report func(string)) (benchmarkResult, error) {
 			options := bench.Quick()
 			if full {
 				options = bench.Full()
 			}
 			options.Program, options.Dir, options.Progress = program, dir, report
 			result, err := bench.Run(ctx, options)
-			return registryBenchOutcome{result}, err
+			return registryBenchResult{result}, err
 		},
 	}.command()
 }
 
-type registryBenchOutcome struct{ *bench.Result }
+type registryBenchResult struct{ *bench.Result }
 
-func (r registryBenchOutcome) verdict() error { return nil }
+func (r registryBenchResult) failure() error { return nil }
 
-func (r registryBenchOutcome) table(w io.Writer) error {
+func (r registryBenchResult) writeTable(w io.Writer) error {
 	_, err := fmt.Fprintf(w, `%d instances, %d watchers, %d changes (%.0f s in all)
 acknowledged write to the last watcher  p50 %.1f ms, p99 %.1f ms, at most %.1f ms; %d missed
 bytes a change and watcher              %.0f, of the whole list %d: ratio %.5f
--- a/cmd/milldeck/registry_list.go
+++ b/cmd/milldeck/registry_list.go
@@ -12,13 +12,13 @@
 
 func newRegistryList() *cobra.Command {
 	var fresh bool
-	command := asks("list", "Prints the instances", 0,
-		func(ctx context.Context, command *cobra.Command, a *asking, client *registry.Client, _ []string) error {
+	command := newClientCommand("list", "Prints the instances", 0,
+		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, _ []string) error {
 			list, err := client.List(ctx, fresh)
 			if err != nil {
 				return err
 			}
-			return a.show(command.OutOrStdout(), list, func(out io.Writer) error { return writeEndpointList(out, list) })
+			return flags.print(command.OutOrStdout(), list, func(out io.Writer) error { return writeEndpointList(out, list) })
 		})
 	addFreshFlag(command, &fresh)
 	return command
--- a/cmd/milldeck/registry_members.go
+++ b/cmd/milldeck/registry_members.go
@@ -14,7 +14,7 @@
 	command := &cobra.Command{
 		Use: "members", Short: "Lists, adds and removes replicas",
 		Long: "members lists the replicas of the cluster, and adds and removes replicas while it runs.\n\n" + exitHelp,
-		Args: exactly(0), RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
+		Args: exactArgs(0), RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
 	command.AddCommand(
 		newMembersCommand("list", "Prints the replicas", 0,
@@ -37,13 +37,13 @@
 
 // newMembersCommand makes a command that prints the answer of a call.
 func newMembersCommand(use, short string, args int, call membersCall) *cobra.Command {
-	return asks(use, short, args,
-		func(ctx context.Context, command *cobra.Command, a *asking, client *registry.Client, args []string) error {
+	return newClientCommand(use, short, args,
+		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
 			members, err := call(ctx, client, args)
 			if err != nil {
 				return err
 			}
-			return a.show(command.OutOrStdout(), members, func(out io.Writer) error {
+			return flags.print(command.OutOrStdout(), members, func(out io.Writer) error {
 				for _, member := range members {
 					fmt.Fprintf(out, "%s (raft %s)\n", member.HTTPAddr, member.RaftAddr)
 				}
--- a/cmd/milldeck/registry_register.go
+++ b/cmd/milldeck/registry_register.go
@@ -13,13 +13,13 @@
 func newRegistryRegister() *cobra.Command {
 	var instance registry.Instance
 	var hold bool
-	a := &asking{}
+	registryFlags := &clientFlags{}
 	command := &cobra.Command{
-		Use: "register UID ENDPOINT", Short: "Registers an instance", Args: exactly(2),
+		Use: "register UID ENDPOINT", Short: "Registers an instance", Args: exactArgs(2),
 		Long: "register registers an instance. With --hold it renews the lease until an interrupt and deregisters then.\n\n" + exitHelp,
 		RunE: func(command *cobra.Command, args []string) error {
 			instance.UID, instance.Endpoint, instance.State = args[0], args[1], registry.InstanceReady
-			return a.with(command, func(ctx context.Context, client *registry.Client) error {
+			return registryFlags.withClient(command, func(ctx context.Context, client *registry.Client) error {
 				if hold {
 					return registry.NewLeaseKeepAlive(client, instance).Run(command.Context())
 				}
@@ -27,14 +27,14 @@
 				if err != nil {
 					return err
 				}
-				return a.show(command.OutOrStdout(), result, func(out io.Writer) error {
+				return registryFlags.print(command.OutOrStdout(), result, func(out io.Writer) error {
 					_, err := fmt.Fprintf(out, "registered at revision %d\n", result.Revision)
 					return err
 				})
 			})
 		},
 	}
-	a.flags(command)
+	registryFlags.addTo(command)
 	flags := command.Flags()
 	flags.StringVar(&instance.Zone, "zone", "", "zone")
 	flags.StringVar(&instance.Model, "model", "", "type of machine")
--- a/cmd/milldeck/registry_serve.go
+++ b/cmd/milldeck/registry_serve.go
@@ -18,9 +18,9 @@
 
 // Defaults of a replica's configuration.
 const (
-	defaultWarmUp      = time.Minute
-	defaultBackupEvery = time.Hour
-	defaultBackupKeep  = 24 // a day of hourly backups
+	defaultWarmUp            = time.Minute
+	defaultBackupInterval    = time.Hour
+	defaultBackupRetainCount = 24 // a day of hourly backups
 
 	// backupRetryDelay follows a failure of taking part in the election for backups: the registry has had no leader for
 	// long.
@@ -29,15 +29,15 @@
 
 // replicaFile is the configuration of a replica.
 type replicaFile struct {
-	HTTP      string       `toml:"http"`
-	Raft      string       `toml:"raft"`
-	Advertise string       `toml:"advertise"` // raft address that the other replicas use, where it differs from raft
-	Dir       string       `toml:"dir"`
-	Snapshot  uint64       `toml:"snapshot_every"` // log entries
-	WarmAfter *float64     `toml:"warm_after_s"`   // absent: a minute; 0: an observer marks servers as warm
-	Members   []memberFile `toml:"member"`
-	Expiry    expiryFile   `toml:"expiry"`
-	Backup    backupFile   `toml:"backup"`
+	HTTP              string       `toml:"http"`
+	Raft              string       `toml:"raft"`
+	Advertise         string       `toml:"advertise"` // raft address that the other replicas use, where it differs from raft
+	Dir               string       `toml:"dir"`
+	SnapshotThreshold uint64       `toml:"snapshot_every"` // log entries
+	WarmUpS           *float64     `toml:"warm_after_s"`   // absent: a minute; 0: an observer marks servers as warm
+	Members           []memberFile `toml:"member"`
+	Expiry            expiryFile   `toml:"expiry"`
+	Backup            backupFile   `toml:"backup"`
 }
 
 type memberFile struct {
@@ -47,15 +47,15 @@
 
 // expiryFile limits mass expiry.
 type expiryFile struct {
-	Share   float64 `toml:"share"` // of the registrations
-	WithinS float64 `toml:"within_s"`
+	MaxShare float64 `toml:"share"` // of the registrations
+	WindowS  float64 `toml:"within_s"`
 }
 
 // backupFile is the configuration of the cluster's backups.
 type backupFile struct {
-	Dir    string  `toml:"dir"` // shared by all replicas; "": no backups
-	EveryS float64 `toml:"every_s"`
-	Keep   int     `toml:"keep"` // number of backups
+	Dir         string  `toml:"dir"` // shared by all replicas; "": no backups
+	IntervalS   float64 `toml:"every_s"`
+	RetainCount int     `toml:"keep"` // number of backups
 }
 
 // load reads the configuration of a replica and returns its options.
@@ -78,16 +78,16 @@
 	switch {
 	case f.Dir == "":
 		return file.Errorf("dir", "a replica needs a directory")
-	case f.Expiry.Share < 0 || f.Expiry.Share > 1:
-		return file.Errorf("expiry.share", "%v is not within 0 to 1", f.Expiry.Share)
-	case f.Backup.EveryS < 0:
-		return file.Errorf("backup.every_s", "%v is negative", f.Backup.EveryS)
-	case f.Backup.Keep < 0:
-		return file.Errorf("backup.keep", "%d is negative", f.Backup.Keep)
-	case f.WarmAfter != nil && *f.WarmAfter < 0:
-		return file.Errorf("warm_after_s", "%v is negative", *f.WarmAfter)
-	case f.Expiry.WithinS < 0:
-		return file.Errorf("expiry.within_s", "%v is negative", f.Expiry.WithinS)
+	case f.Expiry.MaxShare < 0 || f.Expiry.MaxShare > 1:
+		return file.Errorf("expiry.share", "%v is not within 0 to 1", f.Expiry.MaxShare)
+	case f.Backup.IntervalS < 0:
+		return file.Errorf("backup.every_s", "%v is negative", f.Backup.IntervalS)
+	case f.Backup.RetainCount < 0:
+		return file.Errorf("backup.keep", "%d is negative", f.Backup.RetainCount)
+	case f.WarmUpS != nil && *f.WarmUpS < 0:
+		return file.Errorf("warm_after_s", "%v is negative", *f.WarmUpS)
+	case f.Expiry.WindowS < 0:
+		return file.Errorf("expiry.within_s", "%v is negative", f.Expiry.WindowS)
 	}
 	return f.validateMembers(file)
 }
@@ -125,12 +125,12 @@
 // options are the options of a valid configuration.
 func (f *replicaFile) options() registry.Options {
 	options := registry.Options{
-		HTTPAddr: f.HTTP, RaftAddr: f.Raft, AdvertiseRaftAddr: f.Advertise, DataDir: f.Dir, SnapshotThreshold: f.Snapshot,
-		Expiry:         registry.ExpiryPolicy{MaxShare: f.Expiry.Share, Window: seconds(f.Expiry.WithinS)},
+		HTTPAddr: f.HTTP, RaftAddr: f.Raft, AdvertiseRaftAddr: f.Advertise, DataDir: f.Dir, SnapshotThreshold: f.SnapshotThreshold,
+		Expiry:         registry.ExpiryPolicy{MaxShare: f.Expiry.MaxShare, Window: seconds(f.Expiry.WindowS)},
 		WarmUpDuration: defaultWarmUp,
 	}
-	if f.WarmAfter != nil {
-		options.WarmUpDuration = seconds(*f.WarmAfter)
+	if f.WarmUpS != nil {
+		options.WarmUpDuration = seconds(*f.WarmUpS)
 	}
 	for _, member := range f.Members {
 		options.Members = append(options.Members, registry.Member{HTTPAddr: member.HTTP, RaftAddr: member.Raft})
@@ -142,8 +142,8 @@
 func (f *replicaFile) backupOptions() leaderelection.BackupOptions {
 	return leaderelection.BackupOptions{
 		Dir:         f.Backup.Dir,
-		MinInterval: cmp.Or(seconds(f.Backup.EveryS), defaultBackupEvery),
-		RetainCount: cmp.Or(f.Backup.Keep, defaultBackupKeep),
+		MinInterval: cmp.Or(seconds(f.Backup.IntervalS), defaultBackupInterval),
+		RetainCount: cmp.Or(f.Backup.RetainCount, defaultBackupRetainCount),
 		Candidate:   f.HTTP + "/" + registry.NewID(),
 	}
 }
@@ -158,7 +158,7 @@
 		Short: "Runs a replica until SIGTERM",
 		Long: "serve runs a replica. --dev runs a single one that holds its log in memory, at " + devHTTP + ". A replica without\n" +
 			"members in its configuration waits until `registry members add` adds it.\n\n" + exitHelp,
-		Args: exactly(0),
+		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			if dev == (path != "") {
 				return usageError{errors.New("registry serve takes --config FILE or --dev")}
--- a/cmd/milldeck/registry_snapshot.go
+++ b/cmd/milldeck/registry_snapshot.go
@@ -21,16 +21,16 @@
 	command := &cobra.Command{
 		Use: "snapshot", Short: "Saves, restores and verifies backups",
 		Long: "snapshot saves the state to a file, replaces the state by a saved one, or verifies a file.\n\n" + exitHelp,
-		Args: exactly(0), RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
+		Args: exactArgs(0), RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
 	command.AddCommand(
-		asks("save FILE", "Saves the leader's state to a file", 1, saveSnapshot),
-		asks("restore FILE", "Replaces the cluster's state by a saved one, under a new epoch", 1, restoreSnapshot),
-		asks("verify FILE", "Verifies a saved state", 1, verifySnapshot))
+		newClientCommand("save FILE", "Saves the leader's state to a file", 1, saveSnapshot),
+		newClientCommand("restore FILE", "Replaces the cluster's state by a saved one, under a new epoch", 1, restoreSnapshot),
+		newClientCommand("verify FILE", "Verifies a saved state", 1, verifySnapshot))
 	return command
 }
 
-func saveSnapshot(ctx context.Context, command *cobra.Command, a *asking, client *registry.Client, args []string) error {
+func saveSnapshot(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
 	data, err := client.SaveSnapshot(ctx)
 	if err != nil {
 		return err
@@ -38,10 +38,10 @@
 	if err := renameio.WriteFile(args[0], data, snapshotMode); err != nil {
 		return err
 	}
-	return describeSnapshot(command.OutOrStdout(), a, data)
+	return describeSnapshot(command.OutOrStdout(), flags, data)
 }
 
-func restoreSnapshot(ctx context.Context, command *cobra.Command, a *asking, client *registry.Client, args []string) error {
+func restoreSnapshot(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
 	data, err := readSnapshotFile(args[0])
 	if err != nil {
 		return err
@@ -50,18 +50,18 @@
 	if err != nil {
 		return err
 	}
-	return a.show(command.OutOrStdout(), result, func(out io.Writer) error {
+	return flags.print(command.OutOrStdout(), result, func(out io.Writer) error {
 		_, err := fmt.Fprintf(out, "restored; the list continues at revision %d under a new epoch\n", result.Revision)
 		return err
 	})
 }
 
-func verifySnapshot(_ context.Context, command *cobra.Command, a *asking, _ *registry.Client, args []string) error {
+func verifySnapshot(_ context.Context, command *cobra.Command, flags *clientFlags, _ *registry.Client, args []string) error {
 	data, err := readSnapshotFile(args[0])
 	if err != nil {
 		return err
 	}
-	return describeSnapshot(command.OutOrStdout(), a, data)
+	return describeSnapshot(command.OutOrStdout(), flags, data)
 }
 
 // readSnapshotFile reads and verifies a snapshot.
@@ -86,7 +86,7 @@
 }
 
 // describeSnapshot prints what a snapshot holds.
-func describeSnapshot(out io.Writer, a *asking, data []byte) error {
+func describeSnapshot(out io.Writer, flags *clientFlags, data []byte) error {
 	state, err := registry.ReadSnapshot(bytes.NewReader(data))
 	if err != nil {
 		return err
@@ -94,7 +94,7 @@
 	description := snapshotDescription{
 		Bytes: len(data), Epoch: state.Epoch(), Instances: state.Len(), Revision: state.Revision(), Version: registry.SnapshotVersion,
 	}
-	return a.show(out, description, func(out io.Writer) error {
+	return flags.print(out, description, func(out io.Writer) error {
 		_, err := fmt.Fprintf(out, "revision %d, epoch %d, %d instances, %d bytes\n",
 			description.Revision, description.Epoch, description.Instances, description.Bytes)
 		return err
--- a/cmd/milldeck/registry_status.go
+++ b/cmd/milldeck/registry_status.go
@@ -17,8 +17,8 @@
 }
 
 func newRegistryStatus() *cobra.Command {
-	return asks("status", "Prints the status of each replica", 0,
-		func(ctx context.Context, command *cobra.Command, a *asking, client *registry.Client, _ []string) error {
+	return newClientCommand("status", "Prints the status of each replica", 0,
+		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, _ []string) error {
 			var replicas []replicaStatus
 			for _, address := range client.Replicas() {
 				status, err := client.ReplicaStatus(ctx, address)
@@ -28,7 +28,7 @@
 				}
 				replicas = append(replicas, replica)
 			}
-			return a.show(command.OutOrStdout(), replicas, func(out io.Writer) error { return writeReplicas(out, replicas) })
+			return flags.print(command.OutOrStdout(), replicas, func(out io.Writer) error { return writeReplicas(out, replicas) })
 		})
 }
 
--- a/cmd/milldeck/registry_suspects.go
+++ b/cmd/milldeck/registry_suspects.go
@@ -11,8 +11,8 @@
 )
 
 func newRegistrySuspects() *cobra.Command {
-	return asks("suspects keep|expire", "Decides on instances whose expiry is held back", 1,
-		func(ctx context.Context, command *cobra.Command, a *asking, client *registry.Client, args []string) error {
+	return newClientCommand("suspects keep|expire", "Decides on instances whose expiry is held back", 1,
+		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
 			decision := args[0]
 			if decision != "keep" && decision != "expire" {
 				return usageError{fmt.Errorf("registry suspects takes keep or expire, not %q", decision)}
@@ -21,7 +21,7 @@
 			if err != nil {
 				return err
 			}
-			return a.show(command.OutOrStdout(), result, func(out io.Writer) error {
+			return flags.print(command.OutOrStdout(), result, func(out io.Writer) error {
 				_, err := fmt.Fprintln(out, result.Outcome, result.Reason)
 				return err
 			})
--- a/cmd/milldeck/registry_watch.go
+++ b/cmd/milldeck/registry_watch.go
@@ -16,18 +16,18 @@
 const watchRetryDelay = time.Second
 
 func newRegistryWatch() *cobra.Command {
-	a := &asking{}
-	w := &endpointWatch{asking: a}
+	flags := &clientFlags{}
+	w := &endpointWatch{flags: flags}
 	command := &cobra.Command{
-		Use: "watch", Short: "Prints each change as it comes, until an interrupt", Args: exactly(0),
+		Use: "watch", Short: "Prints each change as it comes, until an interrupt", Args: exactArgs(0),
 		Long: "watch prints each change as it comes, until an interrupt; it moves on to another replica when one fails.\n\n" + exitHelp,
 		RunE: func(command *cobra.Command, _ []string) error {
-			return a.with(command, func(_ context.Context, client *registry.Client) error {
+			return flags.withClient(command, func(_ context.Context, client *registry.Client) error {
 				return w.run(command.Context(), command.OutOrStdout(), client)
 			})
 		},
 	}
-	a.flags(command)
+	flags.addTo(command)
 	command.Flags().Uint64Var(&w.revision, "after", 0, "begin after this revision; 0 begins with the full list")
 	command.Flags().Uint64Var(&w.epoch, "epoch", 0, "the epoch of that revision")
 	return command
@@ -35,14 +35,14 @@
 
 // endpointWatch prints the changes after a revision of an epoch.
 type endpointWatch struct {
-	asking          *asking
+	flags           *clientFlags
 	revision, epoch uint64
 }
 
 // run watches one replica after the other until ctx ends. The position survives the failure of a replica.
 func (w *endpointWatch) run(ctx context.Context, out io.Writer, client *registry.Client) error {
-	for n := 0; ctx.Err() == nil; n++ {
-		replica := client.Replicas()[n%len(client.Replicas())]
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		replica := client.Replicas()[attempt%len(client.Replicas())]
 		err := client.WatchEndpoints(ctx, replica, w.revision, w.epoch, func(list *registry.EndpointList, _ time.Duration) error {
 			return w.print(out, list)
 		})
@@ -61,7 +61,7 @@
 		return nil
 	}
 	w.revision, w.epoch = list.Revision, list.Epoch
-	return w.asking.show(out, list, func(out io.Writer) error {
+	return w.flags.print(out, list, func(out io.Writer) error {
 		for _, target := range list.Targets {
 			fmt.Fprintf(out, "%d %s %s %s\n", list.Revision, target.UID, target.Endpoint, target.State)
 		}
--- a/cmd/milldeck/release.go
+++ b/cmd/milldeck/release.go
@@ -7,17 +7,17 @@
 )
 
 func newRelease() *cobra.Command {
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "release",
 		Short: "Releases: another version, wave by wave, within the fleet's budgets",
 		Long:  "release updates servers or sidecars to another version. docs/release.md says what is promised.\n\n" + exitHelp,
-		Args:  exactly(0),
-		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
+		Args:  exactArgs(0),
+		RunE:  func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
-	c.AddCommand(newReleaseCheck(), newReleaseStart(), newReleaseStatus(),
+	command.AddCommand(newReleaseCheck(), newReleaseStart(), newReleaseStatus(),
 		newReleaseCommand(release.CommandHalt, "Halts a release: no further unit is taken out"),
 		newReleaseCommand(release.CommandResume, "Resumes a halted release"),
 		newReleaseCommand(release.CommandRollback, "Rolls a release back to the version that its units had"),
 		newReleaseCommand(release.CommandFinalize, "Finalizes a finished release: it cannot be rolled back, and its units are free"))
-	return c
+	return command
 }
--- a/cmd/milldeck/release_check.go
+++ b/cmd/milldeck/release_check.go
@@ -33,31 +33,31 @@
 
 func newReleaseCheck() *cobra.Command {
 	flags := &checkFlags{}
-	a := &asking{}
-	c := &cobra.Command{
+	registryFlags := &clientFlags{}
+	command := &cobra.Command{
 		Use:   "check PLAN",
 		Short: "Checks a plan, and makes a dry run against a view of the fleet",
 		Long: "check validates a plan, and names what is wrong with it by file, line and key. With --dry-run it reads the fleet\n" +
 			"from the registry, with --view from a file (the ledger as the registry shows it, with all its units): it assigns\n" +
 			"the waves, says which capacity remains and which warms up, and rejects what budgets can never allow.\n\n" + exitHelp,
 		Example: "  milldeck release check plan.toml --dry-run\n  milldeck release check plan.toml --view ledger.json --json",
-		Args:    exactly(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		Args:    exactArgs(1),
+		RunE: func(command *cobra.Command, args []string) error {
 			p, err := plan.Load(args[0])
 			if err != nil {
 				return err
 			}
 			if flags.viewPath == "" && !flags.dryRun {
-				_, err = fmt.Fprintf(c.OutOrStdout(), "%s: release %s, plan %s, %d waves\n", args[0], p.Name, p.Hash(), len(p.Waves))
+				_, err = fmt.Fprintf(command.OutOrStdout(), "%s: release %s, plan %s, %d waves\n", args[0], p.Name, p.Hash(), len(p.Waves))
 				return err
 			}
-			view, err := flags.readView(c, a)
+			view, err := flags.readView(command, registryFlags)
 			if err != nil {
 				return err
 			}
 			preview := plan.NewPreview(p, view.Units, view.Budgets)
 			text := func(w io.Writer) error { return printPreview(w, preview) }
-			if err := a.show(c.OutOrStdout(), preview, text); err != nil {
+			if err := registryFlags.print(command.OutOrStdout(), preview, text); err != nil {
 				return err
 			}
 			if count := len(preview.Infeasible); count > 0 {
@@ -66,14 +66,14 @@
 			return nil
 		},
 	}
-	c.Flags().BoolVar(&flags.dryRun, "dry-run", false, "make a dry run against the fleet as it is")
-	c.Flags().StringVar(&flags.viewPath, "view", "", "file with the ledger's view (JSON), for a dry run without the registry")
-	a.flags(c)
-	return c
+	command.Flags().BoolVar(&flags.dryRun, "dry-run", false, "make a dry run against the fleet as it is")
+	command.Flags().StringVar(&flags.viewPath, "view", "", "file with the ledger's view (JSON), for a dry run without the registry")
+	registryFlags.addTo(command)
+	return command
 }
 
 // readView reads the ledger's view from a file, or else from the registry.
-func (f *checkFlags) readView(c *cobra.Command, a *asking) (*disruption.View, error) {
+func (f *checkFlags) readView(command *cobra.Command, flags *clientFlags) (*disruption.View, error) {
 	if f.viewPath != "" {
 		view, err := readViewFile(f.viewPath)
 		if err != nil {
@@ -82,7 +82,7 @@
 		return view, nil
 	}
 	view := &disruption.View{}
-	err := a.with(c, func(ctx context.Context, client *registry.Client) (err error) {
+	err := flags.withClient(command, func(ctx context.Context, client *registry.Client) (err error) {
 		*view, err = client.LedgerView(ctx, true, true)
 		return err
 	})
--- a/cmd/milldeck/release_start.go
+++ b/cmd/milldeck/release_start.go
@@ -46,8 +46,8 @@
 	strata             int
 }
 
-func (f *controllerFlags) register(c *cobra.Command) {
-	flags := c.Flags()
+func (f *controllerFlags) register(command *cobra.Command) {
+	flags := command.Flags()
 	flags.StringSliceVar(&f.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
 	flags.StringVar(&f.platform, "platform", devPlatform, "address of the platform that starts and stops processes")
 	flags.StringVar(&f.listen, "listen", devReports, "address for sidecars' load reports, which agents forward")
@@ -108,7 +108,7 @@
 		return err
 	}
 	stopServing := serveReports(listener, reports)
-	c := &controller.Controller{
+	command := &controller.Controller{
 		Name:               name,
 		Store:              client,
 		Platform:           platform,
@@ -126,7 +126,7 @@
 			logger.Info("lease event", "type", event.Type, "lease", event.Lease, "token", event.Token)
 		}
 	}}
-	err = leaderelection.Run(ctx, client, release.Owner(name), options, c.Run)
+	err = leaderelection.Run(ctx, client, release.Owner(name), options, command.Run)
 	if stopErr := stopServing(context.WithoutCancel(ctx)); err == nil {
 		err = stopErr
 	}
@@ -276,24 +276,24 @@
 
 func newReleaseStart() *cobra.Command {
 	flags := &controllerFlags{}
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "start PLAN",
 		Short: "Starts a release and carries it out until it is finished",
 		Long: "start checks a plan against the fleet, writes the release to the log and carries it out, for as long as it holds\n" +
 			"the lease release/NAME. Run it twice for a second candidate: whichever is left continues where the other stopped.\n" +
 			"A plan that is under way continues; an edited one is rejected. The exit code is 0 when all units are updated.\n\n" + exitHelp,
 		Example: "  milldeck release start plan.toml --platform 127.0.0.1:8540",
-		Args:    exactly(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		Args:    exactArgs(1),
+		RunE: func(command *cobra.Command, args []string) error {
 			p, err := plan.Load(args[0])
 			if err != nil {
 				return err
 			}
-			return flags.runRelease(c.Context(), c.OutOrStdout(), p, func(inputs *releaseInputs) (*release.State, error) {
+			return flags.runRelease(command.Context(), command.OutOrStdout(), p, func(inputs *releaseInputs) (*release.State, error) {
 				return release.New(p, time.Now().UnixMilli(), inputs.ledger.Units, inputs.ledger.Budgets, inputs.platform)
 			})
 		},
 	}
-	flags.register(c)
-	return c
+	flags.register(command)
+	return command
 }
--- a/cmd/milldeck/release_status.go
+++ b/cmd/milldeck/release_status.go
@@ -13,32 +13,32 @@
 )
 
 func newReleaseStatus() *cobra.Command {
-	c := asks("status [NAME]", "Prints the releases, or one with its units", 0,
-		func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
+	command := newClientCommand("status [NAME]", "Prints the releases, or one with its units", 0,
+		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
 			if len(args) == 0 {
-				return showReleases(ctx, c, a, client)
+				return showReleases(ctx, command, flags, client)
 			}
 			stored, err := client.Release(ctx, args[0], false, false)
 			if err != nil {
 				return err
 			}
-			return a.show(c.OutOrStdout(), stored, func(w io.Writer) error { return printRelease(w, stored.State) })
+			return flags.print(command.OutOrStdout(), stored, func(w io.Writer) error { return printRelease(w, stored.State) })
 		})
-	c.Args = func(c *cobra.Command, args []string) error {
+	command.Args = func(command *cobra.Command, args []string) error {
 		if len(args) > 1 {
-			return usageError{fmt.Errorf("%s takes one name at most", c.CommandPath())}
+			return usageError{fmt.Errorf("%s takes one name at most", command.CommandPath())}
 		}
 		return nil
 	}
-	return c
+	return command
 }
 
-func showReleases(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client) error {
+func showReleases(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client) error {
 	all, err := client.Releases(ctx)
 	if err != nil {
 		return err
 	}
-	return a.show(c.OutOrStdout(), all, func(out io.Writer) error {
+	return flags.print(command.OutOrStdout(), all, func(out io.Writer) error {
 		w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 		for _, stored := range all {
 			fmt.Fprintln(w, releaseLine(stored.State))
@@ -97,19 +97,19 @@
 // it.
 func newReleaseCommand(action release.Action, short string) *cobra.Command {
 	var operator, reason string
-	c := asks(string(action)+" NAME", short, 1,
-		func(ctx context.Context, c *cobra.Command, a *asking, client *registry.Client, args []string) error {
-			command := &release.Command{Action: action, Operator: "operator/" + operator, Reason: reason}
-			result, err := client.WriteRelease(ctx, registry.WriteOptions{}, args[0], release.Operation{Command: command})
+	cobraCommand := newClientCommand(string(action)+" NAME", short, 1,
+		func(ctx context.Context, cobraCommand *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
+			releaseCommand := &release.Command{Action: action, Operator: "operator/" + operator, Reason: reason}
+			result, err := client.WriteRelease(ctx, registry.WriteOptions{}, args[0], release.Operation{Command: releaseCommand})
 			if err != nil {
 				return err
 			}
-			return a.show(c.OutOrStdout(), result, func(w io.Writer) error {
+			return flags.print(cobraCommand.OutOrStdout(), result, func(w io.Writer) error {
 				_, err := fmt.Fprintf(w, "%s: %s recorded at revision %d\n", args[0], action, result.Revision)
 				return err
 			})
 		})
-	operatorFlag(c, &operator)
-	c.Flags().StringVar(&reason, "why", "", "reason, stored in the log")
-	return c
+	operatorFlag(cobraCommand, &operator)
+	cobraCommand.Flags().StringVar(&reason, "why", "", "reason, stored in the log")
+	return cobraCommand
 }
--- a/cmd/milldeck/supervisor.go
+++ b/cmd/milldeck/supervisor.go
@@ -16,15 +16,15 @@
 // newSupervisor returns the commands of the lab's platform. They are hidden: a site's own platform is met as
 // docs/supervisor.md says.
 func newSupervisor() *cobra.Command {
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:    "supervisor",
 		Hidden: true,
 		Short:  "The platform that starts and stops processes",
-		Args:   exactly(0),
-		RunE:   func(c *cobra.Command, _ []string) error { return c.Help() },
+		Args:   exactArgs(0),
+		RunE:   func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
-	c.AddCommand(newStandIn())
-	return c
+	command.AddCommand(newStandIn())
+	return command
 }
 
 // standInOptions are the flags of supervisor stand-in.
@@ -33,19 +33,19 @@
 }
 
 func newStandIn() *cobra.Command {
-	o := &standInOptions{}
-	c := &cobra.Command{
+	options := &standInOptions{}
+	command := &cobra.Command{
 		Use:   "stand-in",
 		Short: "Runs the lab's platform until SIGTERM, and stops what it has started",
 		Long: "stand-in starts, stops and lists processes as a platform does, and fails when a fault is injected. docs/supervisor.md\n" +
 			"describes its HTTP form and its faults.\n\n" + exitHelp,
-		Args: exactly(0),
-		RunE: func(c *cobra.Command, _ []string) error { return o.serve(c.Context()) },
+		Args: exactArgs(0),
+		RunE: func(command *cobra.Command, _ []string) error { return options.serve(command.Context()) },
 	}
-	c.Flags().StringVar(&o.listen, "listen", "127.0.0.1:0", "address on loopback")
-	c.Flags().StringVar(&o.versions, "versions", "", "TOML file of the versions that it can run")
-	c.Flags().StringVar(&o.dir, "dir", "", "folder of logs and configurations (default: one of its own, removed at the end)")
-	return c
+	command.Flags().StringVar(&options.listen, "listen", "127.0.0.1:0", "address on loopback")
+	command.Flags().StringVar(&options.versions, "versions", "", "TOML file of the versions that it can run")
+	command.Flags().StringVar(&options.dir, "dir", "", "folder of logs and configurations (default: one of its own, removed at the end)")
+	return command
 }
 
 // serve runs a platform until ctx ends.
--- a/cmd/milldeck/version.go
+++ b/cmd/milldeck/version.go
@@ -45,7 +45,7 @@
 		Use:   "version",
 		Short: "Prints what build this is",
 		Long:  "version prints what build this is, from the build information of the program.\n\n" + exitHelp,
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			build := readBuild()
 			if asJSON {
--- a/cmd/milldeck/window.go
+++ b/cmd/milldeck/window.go
@@ -14,30 +14,30 @@
 )
 
 func newWindow() *cobra.Command {
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "window",
 		Short: "Maintenance windows by contract",
 		Long: "window takes servers out of service for maintenance in the hours that their tenants approve.\n" +
 			"docs/maintenance-windows.md says what is guaranteed.\n\n" +
 			exitHelp,
-		Args: exactly(0),
-		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
+		Args: exactArgs(0),
+		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
-	c.AddCommand(newWindowPlan(), newWindowServe(), newWindowPropose(), newWindowList(), newWindowShow(),
+	command.AddCommand(newWindowPlan(), newWindowServe(), newWindowPropose(), newWindowList(), newWindowShow(),
 		newWindowHalt(maintenance.OpHalt, "Halts a window, a tenant's windows or all: no more drains start, a window by name returns"),
 		newWindowHalt(maintenance.OpResume, "Resumes halted windows"),
 		newWindowOperation(maintenance.OpCancel, "Cancels a window; one that is out of service returns"),
 		newWindowOperation(maintenance.OpFinishWork, "Reports that the work of a free window is done"))
-	return c
+	return command
 }
 
 // windowFile is a window as an operator writes it.
 type windowFile struct {
-	Name    string              `toml:"name"`
-	Servers []string            `toml:"servers"` // by UID
-	Work    string              `toml:"work"`    // "30m"
-	After   string              `toml:"after"`   // not before, RFC 3339; "": from now on
-	Fleet   map[string][]string `toml:"fleet"`   // all servers by UID, each with its tenants; none: all tenants
+	Name      string              `toml:"name"`
+	Servers   []string            `toml:"servers"` // by UID
+	Work      string              `toml:"work"`    // "30m"
+	NotBefore string              `toml:"after"`   // not before, RFC 3339; "": from now on
+	Fleet     map[string][]string `toml:"fleet"`   // all servers by UID, each with its tenants; none: all tenants
 }
 
 // minWork and maxWork bound the work of one window: longer work takes several windows.
@@ -46,25 +46,25 @@
 func newWindowPlan() *cobra.Command {
 	var contracts []string
 	var at string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "plan FILE --contract FILE...",
 		Short: "Finds the earliest start that all contracts approve",
 		Long: "plan reads a window and the contracts of its servers' tenants and prints the earliest time at which it may begin, or\n" +
 			"says whose contract forbids it and what comes nearest. It changes nothing and sends no request to the registry: the\n" +
 			"time that other windows take and the minutes used in a month are not counted.\n\n" + exitHelp,
 		Example: "  milldeck window plan window.toml --contract portal.toml --contract teller.toml --at 2026-06-10T12:00:00Z",
-		Args:    exactly(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		Args:    exactArgs(1),
+		RunE: func(command *cobra.Command, args []string) error {
 			nowMS, err := parseTimeMS(at)
 			if err != nil {
 				return usageError{fmt.Errorf("--at: %w", err)}
 			}
-			return planWindow(c.OutOrStdout(), args[0], contracts, nowMS)
+			return planWindow(command.OutOrStdout(), args[0], contracts, nowMS)
 		},
 	}
-	c.Flags().StringArrayVar(&contracts, "contract", nil, "a tenant's contract; may be repeated")
-	c.Flags().StringVar(&at, "at", "", "plan as if it were this time, RFC 3339 (default now)")
-	return c
+	command.Flags().StringArrayVar(&contracts, "contract", nil, "a tenant's contract; may be repeated")
+	command.Flags().StringVar(&at, "at", "", "plan as if it were this time, RFC 3339 (default now)")
+	return command
 }
 
 // planWindow plans the window of a file under the contracts of other files, and prints the plan.
@@ -129,8 +129,8 @@
 		return none, nil, file.Errorf("work", "%q is no time like 30m, from %s to %s", window.Work, minWork, maxWork)
 	}
 	request := maintenance.Request{Name: window.Name, ServerUIDs: window.Servers, WorkMS: work.Milliseconds()}
-	if window.After != "" {
-		if request.NotBeforeMS, err = parseTimeMS(window.After); err != nil {
+	if window.NotBefore != "" {
+		if request.NotBeforeMS, err = parseTimeMS(window.NotBefore); err != nil {
 			return none, nil, file.Errorf("after", "%v", err)
 		}
 	}
--- a/cmd/milldeck/window_serve.go
+++ b/cmd/milldeck/window_serve.go
@@ -23,8 +23,8 @@
 func newWindowServe() *cobra.Command {
 	var listen, readyPath string
 	var uncertainty, clockError, ttl time.Duration
-	a := &asking{}
-	c := &cobra.Command{
+	flags := &clientFlags{}
+	command := &cobra.Command{
 		Use:     "serve",
 		Aliases: []string{"run"},
 		Short:   "Campaigns for the lease " + maintenance.LeaseName + " and carries out windows while it is held, until SIGTERM",
@@ -32,8 +32,8 @@
 			"held. Run two or three; agents forward reports to all of them. When one stops, the next continues. It is ready\n" +
 			"once it logs \"serves\".\n\n" + exitHelp,
 		Example: "  milldeck window serve --replicas 127.0.0.1:8500,127.0.0.2:8500 --reports-listen 127.0.0.1:8550 --clock-off 100ms",
-		Args:    exactly(0),
-		RunE: func(c *cobra.Command, _ []string) error {
+		Args:    exactArgs(0),
+		RunE: func(command *cobra.Command, _ []string) error {
 			if uncertainty <= 0 || uncertainty > maxClockUncertainty {
 				return usageError{fmt.Errorf("--clock-off: %v is not within 1ms to %v", uncertainty, maxClockUncertainty)}
 			}
@@ -43,7 +43,7 @@
 			if err := registry.CheckLoopback("reports-listen", listen); err != nil {
 				return usageError{err}
 			}
-			client, err := registry.NewClient(a.replicas)
+			client, err := registry.NewClient(flags.replicas)
 			if err != nil {
 				return usageError{fmt.Errorf("--replicas: %w", err)}
 			}
@@ -58,20 +58,20 @@
 			}
 			mux := http.NewServeMux()
 			mux.Handle("/reports", reports)
-			return serveUnderLease(c.Context(), listen, mux, client, maintenance.LeaseName, ttl, windows.Run)
+			return serveUnderLease(command.Context(), listen, mux, client, maintenance.LeaseName, ttl, windows.Run)
 		},
 	}
-	c.Flags().StringVar(&listen, "reports-listen", defaultWindowReportsAddr, "address for load reports, which agents forward")
-	c.Flags().StringSliceVar(&a.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
-	c.Flags().DurationVar(&uncertainty, "clock-off", 250*time.Millisecond, "uncertainty of this machine's clock, as its time service says")
-	c.Flags().StringVar(&readyPath, "ready-path", "/health/ready", "path at which a server that is ready answers 200")
-	c.Flags().DurationVar(&ttl, "ttl", leaderelection.DefaultTTL, "how long after its last heartbeat the lease of a controller expires")
-	c.Flags().DurationVar(&clockError, "clock-ahead", 0, "error added to the clock, to test clock faults")
-	c.Flags().StringVar(&listen, "listen", defaultWindowReportsAddr, "alias of --reports-listen, as other controllers name it")
+	command.Flags().StringVar(&listen, "reports-listen", defaultWindowReportsAddr, "address for load reports, which agents forward")
+	command.Flags().StringSliceVar(&flags.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
+	command.Flags().DurationVar(&uncertainty, "clock-off", 250*time.Millisecond, "uncertainty of this machine's clock, as its time service says")
+	command.Flags().StringVar(&readyPath, "ready-path", "/health/ready", "path at which a server that is ready answers 200")
+	command.Flags().DurationVar(&ttl, "ttl", leaderelection.DefaultTTL, "how long after its last heartbeat the lease of a controller expires")
+	command.Flags().DurationVar(&clockError, "clock-ahead", 0, "error added to the clock, to test clock faults")
+	command.Flags().StringVar(&listen, "listen", defaultWindowReportsAddr, "alias of --reports-listen, as other controllers name it")
 	for _, name := range []string{"clock-ahead", "listen"} {
-		if err := c.Flags().MarkHidden(name); err != nil {
+		if err := command.Flags().MarkHidden(name); err != nil {
 			panic(err) // the flag is defined above
 		}
 	}
-	return c
+	return command
 }
--- a/cmd/milldeck/window_test.go
+++ b/cmd/milldeck/window_test.go
@@ -58,7 +58,7 @@
 		{[]string{"window", "show", "w", "--replicas", "127.0.0.1:1", "--wait", "100ms"}, exitFailed, []string{"connection refused"}},
 		{[]string{"contract", "check", windowFile}, exitUsage, []string{"w.toml:1: name: unknown key"}},
 	} {
-		code, out, errOut := command(t, test.args...)
+		code, out, errOut := runCommand(t, test.args...)
 		for _, want := range test.want {
 			if code != test.code || !strings.Contains(out+errOut, want) {
 				t.Errorf("%v: exit %d, %q, want %d and %q", test.args, code, out+errOut, test.code, want)
--- a/internal/maintenance/calendar/calendar_test.go
+++ b/internal/maintenance/calendar/calendar_test.go
@@ -21,9 +21,9 @@
 // formatUTC formats intervals in UTC, where each instant has one name.
 func formatUTC(intervals []Interval) []string {
 	var lines []string
-	for _, i := range intervals {
-		const f = "01-02 15:04"
-		lines = append(lines, time.UnixMilli(i.StartMS).UTC().Format(f)+" to "+time.UnixMilli(i.EndMS).UTC().Format(f))
+	for _, interval := range intervals {
+		const layout = "01-02 15:04"
+		lines = append(lines, time.UnixMilli(interval.StartMS).UTC().Format(layout)+" to "+time.UnixMilli(interval.EndMS).UTC().Format(layout))
 	}
 	return lines
 }
@@ -83,8 +83,8 @@
 	calendar := mustCompile(t, Spec{"America/Montevideo", []Rule{{"FREQ=DAILY", "22:00", "6h", "2026-01-01"}}, nil})
 	at := time.Date(2026, 3, 1, 1, 0, 0, 0, time.UTC) // still February there
 	var got []string
-	for _, m := range calendar.Months(at.UnixMilli(), at.Add(3*time.Hour).UnixMilli()) {
-		got = append(got, m.Name+" "+formatUTC([]Interval{m.Interval})[0])
+	for _, month := range calendar.Months(at.UnixMilli(), at.Add(3*time.Hour).UnixMilli()) {
+		got = append(got, month.Name+" "+formatUTC([]Interval{month.Interval})[0])
 	}
 	if diff := cmp.Diff([]string{"2026-02 02-01 03:00 to 03-01 03:00", "2026-03 03-01 03:00 to 04-01 03:00"}, got); diff != "" {
 		t.Error(diff)
@@ -107,9 +107,11 @@
 		"closed[0]":       {"Europe/Madrid", []Rule{valid}, []ClosedDay{{Day: "2026-01-01", Recurrence: "FREQ=DAILY"}}},
 		"closed[0].day":   {"Europe/Madrid", []Rule{valid}, []ClosedDay{{Day: "tomorrow"}}},
 	} {
-		if _, err := Compile(spec); err == nil || !strings.HasPrefix(err.Error(), field+": ") {
-			t.Errorf("%v does not name %s", err, field)
-		}
+		t.Run(field, func(t *testing.T) {
+			if _, err := Compile(spec); err == nil || !strings.HasPrefix(err.Error(), field+": ") {
+				t.Errorf("%v does not name %s", err, field)
+			}
+		})
 	}
 	for _, recurrence := range []string{
 		"FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30",
@@ -121,10 +123,12 @@
 		"BYDAY=MO",
 		"",
 	} {
-		_, err := Compile(with(func(rule *Rule) { rule.Recurrence = recurrence }))
-		if err == nil || !strings.HasPrefix(err.Error(), "hours[1].rule: ") {
-			t.Errorf("%q: %v", recurrence, err)
-		}
+		t.Run("recurrence "+recurrence, func(t *testing.T) {
+			_, err := Compile(with(func(rule *Rule) { rule.Recurrence = recurrence }))
+			if err == nil || !strings.HasPrefix(err.Error(), "hours[1].rule: ") {
+				t.Errorf("%q: %v", recurrence, err)
+			}
+		})
 	}
 }
 
@@ -211,8 +215,8 @@
 		approved := calendar.Between(from.UnixMilli(), until.UnixMilli())
 		for instant := from; instant.Before(until); instant = instant.Add(7 * time.Minute) { // coprime to 60: all minutes of an hour occur
 			got := false
-			for _, i := range approved {
-				got = got || i.StartMS <= instant.UnixMilli() && instant.UnixMilli() < i.EndMS
+			for _, interval := range approved {
+				got = got || interval.StartMS <= instant.UnixMilli() && instant.UnixMilli() < interval.EndMS
 			}
 			if want := model.approved(instant); got != want {
 				t.Fatalf("%s: approved %v, want %v; %v", instant, got, want, formatUTC(approved))
--- a/internal/maintenance/contract/contract_test.go
+++ b/internal/maintenance/contract/contract_test.go
@@ -49,16 +49,18 @@
 	for _, test := range []struct{ old, new, want string }{
 		{"minutes_a_month", "minutes", "c.toml:4: minutes: unknown key"},
 		{"0.6", "1.0", "c.toml:5: least_share: "},
-		{`"halt"`, `"pray"`, "c.toml:7: on_overrun: "},
+		{`"halt"`, `"ignore"`, "c.toml:7: on_overrun: "},
 		{"America/Montevideo", "America/Montvideo", "c.toml:2: zone: "},
 		{"FREQ=WEEKLY;BYDAY=MO,TU", "FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30", "c.toml:10: hours[0].rule: "},
 		{"2026-12-24", "24.12.2026", "c.toml:16: closed[0].day: "},
 		{"= 600", `= "many"`, "c.toml:4: "},
 		{`notice = "24h"`, "", "c.toml: notice: "},
 	} {
-		_, err := Parse("c.toml", []byte(strings.Replace(validContract, test.old, test.new, 1)))
-		if err == nil || !strings.HasPrefix(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: %v, want %q", test.new, test.old, err, test.want)
-		}
+		t.Run(test.old+" replaced by "+test.new, func(t *testing.T) {
+			_, err := Parse("c.toml", []byte(strings.Replace(validContract, test.old, test.new, 1)))
+			if err == nil || !strings.HasPrefix(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want %q", err, test.want)
+			}
+		})
 	}
 }
--- a/internal/maintenance/contracts.go
+++ b/internal/maintenance/contracts.go
@@ -19,7 +19,7 @@
 	affected := t.windowsOutOfService(next.Tenant)
 	t.contracts[next.Tenant] = &ActiveContract{Contract: *next, Version: revision}
 	for _, item := range affected {
-		t.updateApproval(revision, now, next.Tenant, item, func(approval *Approval) {
+		t.reviseWindow(revision, now, next.Tenant, item, func(approval *Approval) {
 			if op.CurrentApproval == nil || len(op.CurrentApproval.Months) == 0 {
 				return
 			}
@@ -39,7 +39,8 @@
 	affected := t.windowsOutOfService(tenant)
 	delete(t.contracts, tenant)
 	for _, item := range affected {
-		t.updateApproval(revision, now, tenant, item, func(*Approval) {})
+		// The approval stays as it is: without its contract it no longer counts.
+		t.reviseWindow(revision, now, tenant, item, func(*Approval) {})
 	}
 	return nil
 }
@@ -66,10 +67,10 @@
 	return affected
 }
 
-// updateApproval stores a new version of a window after a change of a tenant's contract, with the tenant's approvals
+// reviseWindow stores a new version of a window after a change of a tenant's contract, with the tenant's approvals
 // updated, and records the changed exclusions.
-func (t *Table) updateApproval(revision uint64, now timeBounds, tenant string, item affectedWindow, update func(*Approval)) {
-	window := *item.previous
+func (t *Table) reviseWindow(revision uint64, now timeBounds, tenant string, affected affectedWindow, update func(*Approval)) {
+	window := *affected.previous
 	window.Approvals = slices.Clone(window.Approvals)
 	for i := range window.Approvals {
 		if approval := &window.Approvals[i]; approval.Tenant == tenant {
@@ -81,7 +82,7 @@
 	shortened := window.shortenExclusion(now)
 	t.windows[window.Name] = &window
 	remaining := t.ExclusionDirectives(&window)
-	for _, id := range item.directiveIDs {
+	for _, id := range affected.directiveIDs {
 		if !slices.ContainsFunc(remaining, func(directive placement.Directive) bool { return directive.ID == id }) {
 			t.changes.DeleteDirectiveIDs = append(t.changes.DeleteDirectiveIDs, id)
 		}
--- a/internal/maintenance/controller/controller.go
+++ b/internal/maintenance/controller/controller.go
@@ -27,6 +27,9 @@
 	maxConcurrentCalls = 16                     // writes of one pass, and health checks of one window
 	minBackoff         = 500 * time.Millisecond
 	maxBackoff         = 5 * time.Second
+
+	// A pass that the reconciler wants within maxActiveWait shows that a window is out of service or about to be.
+	maxActiveWait = time.Second
 )
 
 // Registry is the part of the registry's client that the controller uses; *registry.Client implements it.
@@ -132,7 +135,7 @@
 		return 0, nil // a result may permit the next step at once
 	}
 	wait := min(time.Duration(nextRunMS-now.MonotonicMS)*time.Millisecond, idleInterval)
-	if wait <= time.Second {
+	if wait <= maxActiveWait {
 		wait = activeInterval
 	}
 	return wait, nil
--- a/internal/maintenance/controller/controller_test.go
+++ b/internal/maintenance/controller/controller_test.go
@@ -214,31 +214,31 @@
 // awaitStage waits until a window is at a stage.
 func (b *testbed) awaitStage(name string, want maintenance.Stage) *maintenance.Window {
 	b.Helper()
-	return b.awaitWindow(string(want), name, func(w *maintenance.Window, _ *maintenance.Snapshot) bool {
-		if w.Finished() && w.Stage != want {
-			b.Fatalf("%s is %s: %s", name, w.Stage, w.Reason)
+	return b.awaitWindow(string(want), name, func(window *maintenance.Window, _ *maintenance.Snapshot) bool {
+		if window.Finished() && window.Stage != want {
+			b.Fatalf("%s is %s: %s", name, window.Stage, window.Reason)
 		}
-		return w.Stage == want
+		return window.Stage == want
 	})
 }
 
 // placement reads what an agent delivers to its sidecars.
-func (b *testbed) placement(agent string) (list placement.Update) {
+func (b *testbed) placement(agent string) (update placement.Update) {
 	ctx, cancel := context.WithTimeout(b.ctx, time.Second)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+agent+"/registry/placement", nil)
 	if err != nil {
-		return list
+		return update
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return list
+		return update
 	}
 	defer response.Body.Close()
-	if json.NewDecoder(response.Body).Decode(&list) != nil {
+	if json.NewDecoder(response.Body).Decode(&update) != nil {
 		return placement.Update{} // nothing is known there yet
 	}
-	return list
+	return update
 }
 
 // excluded reports whether an agent delivers an exclusion.
@@ -254,16 +254,16 @@
 // runSidecar follows the directives of its agent, reports them, and counts those after the close.
 func (b *testbed) runSidecar(addr, name string) {
 	for b.ctx.Err() == nil {
-		list := b.placement(addr)
+		update := b.placement(addr)
 		report := placement.LoadReport{
 			Sidecar:           name,
-			PlacementRevision: list.Revision,
-			PlacementEpoch:    list.Epoch,
+			PlacementRevision: update.Revision,
+			PlacementEpoch:    update.Epoch,
 			IntervalMS:        100,
 			ExcludedInFlight:  map[string]int{},
 		}
-		for _, entry := range list.Directives {
-			report.ExcludedInFlight[entry.ID] = int(b.openRequests.Load())
+		for _, directive := range update.Directives {
+			report.ExcludedInFlight[directive.ID] = int(b.openRequests.Load())
 			b.exclusionsSeen.Add(1)
 			if closeMS := b.closeMS.Load(); closeMS != 0 && time.Now().UnixMilli() >= closeMS {
 				b.lateExclusions.Add(1)
@@ -315,17 +315,17 @@
 	leader.Process.Kill()
 	_, err = b.cluster.AwaitLeader(b.ctx)
 	b.must(err)
-	if w := b.awaitStage("disks", maintenance.StageDraining); w.DrainedAtMS != 0 {
-		t.Errorf("drained with requests in flight: %+v", w)
+	if window := b.awaitStage("disks", maintenance.StageDraining); window.DrainedAtMS != 0 {
+		t.Errorf("drained with requests in flight: %+v", window)
 	}
 	b.openRequests.Store(0)
-	free := b.awaitStage("disks", maintenance.StageDrained)
+	drained := b.awaitStage("disks", maintenance.StageDrained)
 	if !b.excluded() {
 		t.Error("drained, and no agent delivers an exclusion")
 	}
 	first.Kill()
 	done := b.awaitStage("disks", maintenance.StageDone)
-	workFinished := done.DrainedAtMS == free.DrainedAtMS && done.ReturnStartedAtMS >= free.DrainedAtMS+done.WorkMS
+	workFinished := done.DrainedAtMS == drained.DrainedAtMS && done.ReturnStartedAtMS >= drained.DrainedAtMS+done.WorkMS
 	if !workFinished || done.ReturnedAtMS >= done.ClosesAtMS || done.Attempt != 1 {
 		t.Errorf("%+v", done)
 	}
@@ -334,11 +334,11 @@
 	b.propose("fans", time.Hour)
 	b.awaitStage("fans", maintenance.StageDrained)
 	b.write(maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: "portal"})
-	at := time.Now()
+	withdrawnAt := time.Now()
 	b.eventually("no exclusion is delivered", func() bool { return !b.excluded() })
-	t.Logf("no exclusion %v after a contract is withdrawn", time.Since(at))
-	if w := b.awaitStage("fans", maintenance.StageHalted); w.Reason != "a contract has changed" || w.ReturnedAtMS == 0 {
-		t.Errorf("%+v", w)
+	t.Logf("no exclusion %v after a contract is withdrawn", time.Since(withdrawnAt))
+	if window := b.awaitStage("fans", maintenance.StageHalted); window.Reason != "a contract has changed" || window.ReturnedAtMS == 0 {
+		t.Errorf("%+v", window)
 	}
 	b.awaitSettled()
 }
@@ -360,9 +360,9 @@
 			interval := calendar.Interval{StartMS: now.Add(-time.Hour).UnixMilli(), EndMS: closesAtMS + 24*3600_000}
 			month := calendar.Month{Name: "2026-01", Interval: interval}
 			b.setContract(&maintenance.Approval{Tenant: "portal", OpensAtMS: month.StartMS, ClosesAtMS: closesAtMS, Months: []calendar.Month{month}})
-			w := b.awaitStage("disks", maintenance.StageReturning)
-			if w.ClosesAtMS != closesAtMS || w.ExcludedUntilMS > closesAtMS-maintenance.CloseGuardMS {
-				t.Errorf("excluded until %d, the close is %d", w.ExcludedUntilMS, w.ClosesAtMS)
+			window := b.awaitStage("disks", maintenance.StageReturning)
+			if window.ClosesAtMS != closesAtMS || window.ExcludedUntilMS > closesAtMS-maintenance.CloseGuardMS {
+				t.Errorf("excluded until %d, the close is %d", window.ExcludedUntilMS, window.ClosesAtMS)
 			}
 			controller.Kill()
 			if registryDown {
@@ -386,11 +386,11 @@
 				b.must(err)
 			}
 			b.startController(1)
-			b.awaitWindow("the overrun is found", "disks", func(w *maintenance.Window, snapshot *maintenance.Snapshot) bool {
-				return w.Stage == maintenance.StageOverrun && w.OutOfService() && snapshot.Halts["tenant/portal"] != ""
+			b.awaitWindow("the overrun is found", "disks", func(window *maintenance.Window, snapshot *maintenance.Snapshot) bool {
+				return window.Stage == maintenance.StageOverrun && window.OutOfService() && snapshot.Halts["tenant/portal"] != ""
 			})
 			b.serverReady.Store(true)
-			b.awaitWindow("it has returned", "disks", func(w *maintenance.Window, _ *maintenance.Snapshot) bool { return w.Finished() })
+			b.awaitWindow("it has returned", "disks", func(window *maintenance.Window, _ *maintenance.Snapshot) bool { return window.Finished() })
 			b.awaitSettled()
 			if b.lateExclusions.Load() > 0 {
 				t.Errorf("%d exclusions were delivered after the close", b.lateExclusions.Load())
--- a/internal/maintenance/exclusion_test.go
+++ b/internal/maintenance/exclusion_test.go
@@ -19,9 +19,9 @@
 			closesAtMS, excludedUntil int64
 			timestamp                 Timestamp
 		}{
-			"before the expiry": {now + 10_000, now + 10_000 - CloseGuardMS - 250, Timestamp{now, 250, now, 250}},
-			"after the expiry":  {now + 60_000, window.ExcludedUntilMS, Timestamp{now, 250, now, 250}},
-			"passed":            {now + 1000, 0, Timestamp{now, 250, now, 250}},
+			"before the expiry": {now + 10_000, now + 10_000 - CloseGuardMS - 250, agreeingClocks(now)},
+			"after the expiry":  {now + 60_000, window.ExcludedUntilMS, agreeingClocks(now)},
+			"passed":            {now + 1000, 0, agreeingClocks(now)},
 			"clock fault":       {now + 10_000, 0, Timestamp{now, 250, now - 60_000, 250}},
 		} {
 			t.Run(name, func(t *testing.T) {
@@ -30,8 +30,8 @@
 				terms := next.Contract("portal").Contract
 				changes, err := next.Apply(100, &Operation{Kind: OpSetContract, Contract: &terms, CurrentApproval: approval}, test.timestamp)
 				excludedUntilMS := int64(0)
-				for _, entry := range changes.SetDirectives {
-					excludedUntilMS = entry.ExpiresAtMS
+				for _, directive := range changes.SetDirectives {
+					excludedUntilMS = directive.ExpiresAtMS
 				}
 				deleted := len(changes.DeleteDirectiveIDs) == 1
 				stored := next.Window("w").ExcludedUntilMS
--- a/internal/maintenance/oracle_test.go
+++ b/internal/maintenance/oracle_test.go
@@ -71,26 +71,26 @@
 }
 
 // recordExclusion checks that a tenant's exclusion from a server was within its hours, minute by minute.
-func (o *oracle) recordExclusion(tenant string, from, until int64) {
-	o.excludedMS += until - from
+func (o *oracle) recordExclusion(tenant string, startMS, endMS int64) {
+	o.excludedMS += endMS - startMS
 	agreed := o.agreed[tenant]
-	approvedAt := func(t int64) bool {
+	approvedAt := func(instantMS int64) bool {
 		for i := len(agreed) - 1; i >= 0; i-- {
-			if agreed[i].effectiveFromMS <= t && agreed[i].approves(t) {
+			if agreed[i].effectiveFromMS <= instantMS && agreed[i].approves(instantMS) {
 				return true
 			}
 			// An exclusion from the contract before may last until it expires.
-			if agreed[i].effectiveFromMS+ExclusionTTLMS <= t {
+			if agreed[i].effectiveFromMS+ExclusionTTLMS <= instantMS {
 				return false
 			}
 		}
 		return false
 	}
-	for t := from; t < until; t += min(minuteMS, until-t) {
-		if !approvedAt(t) || !approvedAt(min(t+minuteMS-1, until-1)) {
-			o.outsideMS += min(minuteMS, until-t)
+	for instantMS := startMS; instantMS < endMS; instantMS += min(minuteMS, endMS-instantMS) {
+		if !approvedAt(instantMS) || !approvedAt(min(instantMS+minuteMS-1, endMS-1)) {
+			o.outsideMS += min(minuteMS, endMS-instantMS)
 			if o.firstViolation == "" {
-				o.firstViolation = fmt.Sprintf("%s excluded from %s to %s", tenant, formatUTC(from), formatUTC(until))
+				o.firstViolation = fmt.Sprintf("%s excluded from %s to %s", tenant, formatUTC(startMS), formatUTC(endMS))
 			}
 		}
 	}
--- a/internal/maintenance/planner.go
+++ b/internal/maintenance/planner.go
@@ -109,17 +109,17 @@
 // Plan finds the earliest start from nowMS (Unix ms) on that all contracts concerned approve. Where there is none, the
 // error is an *InfeasibleError.
 func (p *Planner) Plan(table *Table, fleet Fleet, request Request, nowMS int64) (*Plan, error) {
-	search, err := p.newSearch(table, fleet, request, nowMS)
+	startSearch, err := p.newSearch(table, fleet, request, nowMS)
 	if err != nil {
 		return nil, err
 	}
 	requiredMS := table.EstimatedTotalMS(request.WorkMS) + CloseGuardMS
-	startMS := search.earliestStart(requiredMS)
+	startMS := startSearch.earliestStart(requiredMS)
 	if startMS == 0 {
-		return nil, search.explainInfeasible(requiredMS)
+		return nil, startSearch.explainInfeasible(requiredMS)
 	}
 	plan := &Plan{StartMS: startMS, RequiredMS: requiredMS}
-	for _, participant := range search.participants {
+	for _, participant := range startSearch.participants {
 		approval := p.Approval(participant.contract, startMS, participant.serverCount)
 		if approval == nil {
 			tenant := participant.contract.Tenant
--- a/internal/maintenance/reconcile_stages.go
+++ b/internal/maintenance/reconcile_stages.go
@@ -25,7 +25,7 @@
 	scheduled bool // a window was scheduled in this pass: the next one has to see its time taken
 }
 
-// nextRunMS is the monotonic time at which a window is looked at again at the latest.
+// nextRunMS is the monotonic time by which a window has to be reconciled again.
 func (p *reconcilePass) nextRunMS(window *Window) int64 {
 	return p.clock.MonotonicMS + p.pollIntervalMS(window)
 }
@@ -59,7 +59,7 @@
 		return p.reconcileReturning(window)
 	case window.Stage == StageAwaitingPermit:
 		return p.reconcileAwaitingPermit(window)
-	case p.activePermit(window) != "": // left from an attempt that took no server out: cancel it before the next
+	case p.activePermit(window) != "": // of an earlier attempt that took no server out: cancel it before the next
 		return ledgerAction(disruption.OpCancel, window)
 	case window.Stage == StageProposed:
 		return p.schedule(window)
@@ -81,12 +81,16 @@
 // activePermit is the stage of the window's permit; "" where it has ended, or was not requested yet.
 func (p *reconcilePass) activePermit(window *Window) disruption.Stage {
 	stage := p.view.PermitStages[window.PermitID()]
-	if stage == disruption.StageCompleted || stage == disruption.StageCancelled {
+	if permitEnded(stage) {
 		return ""
 	}
 	return stage
 }
 
+func permitEnded(stage disruption.Stage) bool {
+	return stage == disruption.StageCompleted || stage == disruption.StageCancelled
+}
+
 // schedule plans a window, or rejects it. It does so for one window a pass.
 func (p *reconcilePass) schedule(window *Window) Action {
 	if p.scheduled {
@@ -145,9 +149,9 @@
 func (p *reconcilePass) reconcileAwaitingPermit(window *Window) Action {
 	stage, requested := p.view.PermitStages[window.PermitID()]
 	rejection, permitRejected := p.reconciler.permitRejections[window.Name]
-	delete(p.reconciler.permitRejections, window.Name)
+	delete(p.reconciler.permitRejections, window.Name) // a rejection is acted on once: the window may be proposed again
 	switch {
-	case permitRejected && !requested: // where it was requested after all, an earlier attempt has succeeded
+	case permitRejected && !requested: // the ledger has the permit where an earlier request succeeded without an answer
 		return reject(rejection)
 	case p.table.checkDrain(window, p.now) != nil || !p.approvalsCurrent(window):
 		return p.schedule(window)
@@ -155,7 +159,7 @@
 		return p.requestPermit(window)
 	case stage == disruption.StageGranted:
 		return &Operation{Kind: OpBeginDrain}
-	case stage == disruption.StageCompleted || stage == disruption.StageCancelled:
+	case permitEnded(stage):
 		return p.schedule(window)
 	}
 	return nil
--- a/internal/maintenance/reconciler.go
+++ b/internal/maintenance/reconciler.go
@@ -33,6 +33,16 @@
 	return Timestamp{ControllerMS: r.WallMS, UncertaintyMS: r.UncertaintyMS}
 }
 
+// presumedTimestamp is the timestamp of an operation written now, as if the leader's clock agreed with the controller's.
+func (r ClockReading) presumedTimestamp() Timestamp {
+	return Timestamp{
+		ControllerMS:        r.WallMS,
+		UncertaintyMS:       r.UncertaintyMS,
+		LeaderMS:            r.WallMS,
+		LeaderUncertaintyMS: r.UncertaintyMS,
+	}
+}
+
 // Action is what an Effect writes: an *Operation of the Table or a *LedgerAction on the disruption ledger.
 type Action interface{ maintenanceAction() }
 
@@ -129,7 +139,7 @@
 		view:       view,
 		table:      view.Table,
 		clock:      now,
-		now:        view.Table.boundTime(Timestamp{now.WallMS, now.UncertaintyMS, now.WallMS, now.UncertaintyMS}),
+		now:        view.Table.boundTime(now.presumedTimestamp()),
 	}
 	nextRunMS = now.MonotonicMS + idlePollMS
 	for _, window := range windows {
--- a/internal/maintenance/scenario_test.go
+++ b/internal/maintenance/scenario_test.go
@@ -66,7 +66,7 @@
 		sim.proposeWindow("w", 5*minuteMS, "m0")
 		return sim
 	}
-	t.Run("a calm evening", func(t *testing.T) {
+	t.Run("no faults", func(t *testing.T) {
 		sim := begin(t)
 		window := sim.awaitStage(t, "w", StageDone)
 		sim.runUntil(sim.nowMS + 1000) // the sidecars are notified
@@ -104,13 +104,13 @@
 		sim.awaitStage(t, "w", StageOverrun)
 		sim.checkInvariants(t)
 	})
-	t.Run("a sidecar is cut off from its agent", func(t *testing.T) {
+	t.Run("a sidecar is partitioned from its agent", func(t *testing.T) {
 		sim := begin(t)
 		sim.awaitStage(t, "w", StageDraining)
 		sim.sidecars[1].partitioned = true
 		sim.runUntil(sim.nowMS + 20*minuteMS)
 		if sim.table.Window("w").Stage == StageDrained {
-			t.Error("free, though one sidecar may still send")
+			t.Error("drained, though one sidecar may still send requests")
 		}
 		sim.sidecars[1].partitioned = false
 		sim.awaitStage(t, "w", StageDone)
@@ -119,8 +119,7 @@
 	t.Run("clocks of controller, leader and a sidecar an hour apart", func(t *testing.T) {
 		sim := begin(t)
 		sim.awaitStage(t, "w", StageDrained)
-		const hour = 60 * minuteMS
-		sim.controller.clock.offsetMS, sim.leaderClock.offsetMS, sim.sidecars[0].clock.offsetMS = hour, -hour, -2*hour
+		sim.controller.clock.offsetMS, sim.leaderClock.offsetMS, sim.sidecars[0].clock.offsetMS = hourMS, -hourMS, -2*hourMS
 		sim.oracle.clocksFaulty = true
 		window := sim.awaitStage(t, "w", StageOverrun) // by the later clock: a clock fault counts against the window
 		if window.StageAfterReturn != StageHalted || sim.table.ClockFault() == "" {
@@ -266,19 +265,27 @@
 // TestControllerLossAtEachWrite has a controller killed or paused at each of its writes; the next one continues without a
 // repeated step.
 func TestControllerLossAtEachWrite(t *testing.T) {
-	play := func(t *testing.T, faultAtWrite int, after, frozen bool) (*simulation, int) {
+	type controllerLoss string
+	const (
+		killedBeforeWrite controllerLoss = "killed before"
+		killedAfterWrite  controllerLoss = "killed after" // the write is in the log, its answer is lost
+		frozenAtWrite     controllerLoss = "frozen at"
+	)
+	// play has a controller lost at its write of that number; 0: never. It returns the simulation and the number of writes.
+	play := func(t *testing.T, loss controllerLoss, lossAtWrite int) (*simulation, int) {
+		t.Helper()
 		sim := newScenario(t, "America/Montevideo", "2026-06-10 21:58")
 		writeCount := 0
-		sim.beforeWrite = func(e *Effect) {
-			if writeCount++; writeCount != faultAtWrite {
+		sim.beforeWrite = func(*Effect) {
+			if writeCount++; writeCount != lossAtWrite {
 				return
 			}
-			switch {
-			case frozen:
+			switch loss {
+			case frozenAtWrite:
 				sim.freezeController(20_000)
-			case after: // it is in the log, its answer is lost
+			case killedAfterWrite:
 				sim.schedule(1, func() { sim.killController(6000) })
-			default:
+			case killedBeforeWrite:
 				sim.killController(6000)
 			}
 		}
@@ -290,11 +297,11 @@
 		sim.checkInvariants(t)
 		return sim, writeCount
 	}
-	faultless, writes := play(t, -1, false, false)
-	for faultAtWrite := 1; faultAtWrite <= writes; faultAtWrite++ {
-		for _, how := range []string{"before", "after", "frozen"} {
-			t.Run(fmt.Sprintf("%s write %d", how, faultAtWrite), func(t *testing.T) {
-				sim, _ := play(t, faultAtWrite, how == "after", how == "frozen")
+	faultless, writes := play(t, "", 0)
+	for write := 1; write <= writes; write++ {
+		for _, loss := range []controllerLoss{killedBeforeWrite, killedAfterWrite, frozenAtWrite} {
+			t.Run(fmt.Sprintf("%s write %d", loss, write), func(t *testing.T) {
+				sim, _ := play(t, loss, write)
 				if !slices.Equal(sim.history, faultless.history) {
 					t.Errorf("%v, wanted %v", sim.history, faultless.history)
 				}
@@ -310,13 +317,13 @@
 		from        uint64 // first week to simulate: it shows only in some
 		plant       func(*simulation)
 	}{
-		{"token test left out", "under token", 8, func(sim *simulation) { sim.ignoreTokens = true }},
-		{"until past the close", "outside the hours", 38, func(sim *simulation) {
-			sim.corruptDirective = func(entry *placement.Directive) { entry.ExpiresAtMS = sim.nowMS + ExclusionTTLMS }
+		{"fencing token not checked", "under token", 8, func(sim *simulation) { sim.ignoreTokens = true }},
+		{"exclusion that expires after the close", "outside the hours", 38, func(sim *simulation) {
+			sim.corruptDirective = func(directive *placement.Directive) { directive.ExpiresAtMS = sim.nowMS + ExclusionTTLMS }
 		}},
-		{"uncertainty ignored", "outside the hours", 0, func(sim *simulation) {
-			sim.leaderClock = simulatedClock{4500, 0}
-			sim.controller.clock = simulatedClock{4500, 0}
+		{"uncertainty of clocks not declared", "outside the hours", 0, func(sim *simulation) {
+			sim.leaderClock = simulatedClock{offsetMS: 4500}
+			sim.controller.clock = simulatedClock{offsetMS: 4500}
 		}},
 		{"minutes counted in UTC months", "counted", 20, func(sim *simulation) {
 			daily := calendar.Rule{Recurrence: "FREQ=DAILY", Start: "00:00", Length: "1h", FirstDay: "2020-01-01"}
@@ -344,10 +351,11 @@
 			t.Error("not found")
 		})
 	}
-	t.Run("clocks that own up to being off do no harm", func(t *testing.T) {
+	t.Run("clock errors within the declared uncertainty", func(t *testing.T) {
 		for seed := range uint64(4) {
 			sim, _, _ := simulateWeek(seed, func(sim *simulation) {
-				sim.leaderClock, sim.controller.clock = simulatedClock{4500, 4700}, simulatedClock{4500, 4700}
+				uncertain := simulatedClock{offsetMS: 4500, uncertaintyMS: 4700}
+				sim.leaderClock, sim.controller.clock = uncertain, uncertain
 				sim.oracle.clocksFaulty = true // with such an uncertainty the counted minutes are too high
 			})
 			sim.checkInvariants(t)
@@ -358,8 +366,8 @@
 			sim := newScenario(t, "America/Montevideo", "2026-06-10 21:58")
 			sim.proposeWindow("w", 5*minuteMS, "m0")
 			sim.awaitStage(t, "w", StageDrained)
-			sim.beforeWrite = func(entry *Effect) { // a contract is withdrawn between the check and the log
-				if op, ok := entry.Action.(*Operation); !ok || op.Kind != OpExtendExclusion || sim.table.Contract("portal") == nil {
+			sim.beforeWrite = func(effect *Effect) { // a contract is withdrawn between the check and the log
+				if op, ok := effect.Action.(*Operation); !ok || op.Kind != OpExtendExclusion || sim.table.Contract("portal") == nil {
 					return
 				}
 				withdrawn := sim.table.contracts["portal"]
--- a/internal/maintenance/search.go
+++ b/internal/maintenance/search.go
@@ -24,7 +24,7 @@
 	approved    []calendar.Interval // within the planning horizon
 }
 
-// checkServerCount checks that the contract ever lets so many servers go out of service at once.
+// checkServerCount checks that the contract permits so many servers out of service at once, whatever the time.
 func (p *participant) checkServerCount(requested int) error {
 	if requested <= maxServersOut(p.serverCount, p.contract.MinAvailableShare) {
 		return nil
@@ -93,7 +93,7 @@
 		case window.OutOfService():
 			endMS := max(window.DrainStartedAtMS+window.EstimatedTotalMS, s.nowMS+s.table.EstimatedReturnMS())
 			reserved = append(reserved, reservation{window, calendar.Interval{StartMS: window.DrainStartedAtMS, EndMS: endMS}})
-		case window.Stage == StageApproved || window.Stage == StageAwaitingPermit:
+		case window.Stage.hasPlannedStart():
 			startMS := max(window.PlannedStartMS, min(s.nowMS, window.ClosesAtMS-requiredMS))
 			reserved = append(reserved, reservation{window, calendar.Interval{StartMS: startMS, EndMS: startMS + requiredMS}})
 		}
@@ -129,15 +129,15 @@
 	return saturated
 }
 
-// nextStartWithinMinutes returns 0 where all tenants have the minutes for a window at startMS, and otherwise the next
-// start to try.
+// nextStartWithinMinutes returns 0 where the monthly minutes of all tenants suffice for a window at startMS, and
+// otherwise the next start that may succeed: the begin of the month after the one whose minutes are exhausted.
 func (s *search) nextStartWithinMinutes(startMS, requiredMS int64) int64 {
 	for i := range s.participants {
 		participant := &s.participants[i]
 		limitMS := int64(participant.contract.MinutesPerMonth) * minuteMS
 		for _, month := range participant.calendar.Months(startMS, startMS+requiredMS) {
-			window := min(month.EndMS, startMS+requiredMS) - max(month.StartMS, startMS)
-			if s.plannedMS(participant.contract.Tenant, month)+window > limitMS {
+			requestedMS := min(month.EndMS, startMS+requiredMS) - max(month.StartMS, startMS)
+			if s.plannedMS(participant.contract.Tenant, month)+requestedMS > limitMS {
 				return max(month.EndMS, startMS+1)
 			}
 		}
@@ -150,8 +150,7 @@
 func (s *search) plannedMS(tenant string, month calendar.Month) int64 {
 	planned := s.table.committedMS(tenant, month.Name, s.nowMS)
 	for _, other := range s.table.Windows() {
-		pending := other.Stage == StageApproved || other.Stage == StageAwaitingPermit
-		if !pending || other.Name == s.request.Name || !other.involves(tenant) {
+		if !other.Stage.hasPlannedStart() || other.Name == s.request.Name || !other.involves(tenant) {
 			continue
 		}
 		endMS := other.PlannedStartMS + s.table.EstimatedTotalMS(other.WorkMS)
--- a/internal/maintenance/simulated_weeks_test.go
+++ b/internal/maintenance/simulated_weeks_test.go
@@ -14,60 +14,78 @@
 var criticalDays = []string{"2026-03-27", "2026-10-22", "2026-04-02", "2026-10-01", "2026-03-06", "2026-10-30", "2026-06-26", "2026-02-25"}
 
 // simulateWeek simulates one week: windows on shared servers, and faults drawn from the seed. It counts the windows that
-// could be carried out, and those that were.
+// could be carried out, and those that were. The order of the draws decides what a seed gives.
 func simulateWeek(seed uint64, inject func(*simulation)) (sim *simulation, feasible, completed int) {
 	start, err := time.Parse(time.DateOnly, criticalDays[seed%uint64(len(criticalDays))])
 	if err != nil {
 		panic(err)
 	}
 	fleet := Fleet{}
-	for i := range 8 {
+	for i := range weekServerCount {
 		fleet[fmt.Sprint("m", i)] = [][]string{{"portal"}, {"teller"}, {"portal", "teller"}, {"island"}}[i%4]
 	}
 	sim = newSimulation(seed, start, 4, fleet)
 	if inject != nil {
 		inject(sim)
 	}
-	for _, agreed := range []struct{ tenant, zone, start string }{
+	for _, hours := range []struct{ tenant, zone, start string }{
 		{"portal", "America/Montevideo", "22:00"},
 		{"teller", "Europe/Madrid", "01:00"},
 		{"island", "Australia/Lord_Howe", "01:15"},
 	} {
-		sim.setContract(dailyContract(agreed.tenant, agreed.zone, agreed.start, 6*time.Hour))
+		sim.setContract(dailyContract(hours.tenant, hours.zone, hours.start, 6*time.Hour))
 	}
 	end := sim.nowMS + 7*dayMS
-	names := []string{}
-	for i := range 4 {
+	names := sim.proposeRandomWindows(4)
+	for range 3 {
+		sim.injectFault(sim.random.Int64N(6 * dayMS))
+	}
+	for sim.nowMS < end {
+		sim.runUntil(sim.nowMS + 6*hourMS)
+		sim.resumeAllHalts() // operators do so four times a day
+	}
+	feasible, completed = sim.countFeasible(names)
+	return sim, feasible, completed
+}
+
+const weekServerCount = 8
+
+// proposeRandomWindows has windows of one server each proposed within the first three days, and returns their names.
+func (sim *simulation) proposeRandomWindows(count int) []string {
+	var names []string
+	for i := range count {
 		afterMS := sim.random.Int64N(3 * dayMS)
 		op := Operation{
 			Kind:       OpPropose,
 			Window:     fmt.Sprint("w", i),
 			Operator:   "ops",
-			ServerUIDs: []string{fmt.Sprint("m", sim.random.IntN(8))},
+			ServerUIDs: []string{fmt.Sprint("m", sim.random.IntN(weekServerCount))},
 			WorkMS:     minuteMS * (2 + sim.random.Int64N(6)),
 		}
 		names = append(names, op.Window)
 		sim.schedule(afterMS, func() {
-			for sim.applyOperator(op) == OutcomeClockFault { // operators try again
+			if sim.applyOperator(op) == OutcomeClockFault { // operators retry once, an hour later
 				sim.schedule(hourMS, func() { sim.applyOperator(op) })
-				return
 			}
 		})
 	}
-	for range 3 {
-		sim.injectFault(sim.random.Int64N(6 * dayMS))
+	return names
+}
+
+// resumeAllHalts has operators resume all that is halted.
+func (sim *simulation) resumeAllHalts() {
+	for scope := range sim.table.Halts() {
+		sim.applyOperator(Operation{Kind: OpResume, Scope: scope})
 	}
-	for sim.nowMS < end {
-		sim.runUntil(sim.nowMS + 6*hourMS)
-		for scope := range sim.table.Halts() { // operators resume what is halted four times a day
-			sim.applyOperator(Operation{Kind: OpResume, Scope: scope})
-		}
-		for _, window := range sim.table.Windows() {
-			if window.Stage == StageHalted {
-				sim.applyOperator(Operation{Kind: OpResume, Scope: "window/" + window.Name})
-			}
+	for _, window := range sim.table.Windows() {
+		if window.Stage == StageHalted {
+			sim.applyOperator(Operation{Kind: OpResume, Scope: "window/" + window.Name})
 		}
 	}
+}
+
+// countFeasible counts the windows of these names that could be carried out, and those that were.
+func (sim *simulation) countFeasible(names []string) (feasible, completed int) {
 	for _, name := range names {
 		switch window := sim.table.Window(name); {
 		case window == nil || sim.slowWindows[name]: // never proposed, or its servers did not return for hours
@@ -79,13 +97,26 @@
 			}
 		}
 	}
-	return sim, feasible, completed
+	return feasible, completed
 }
 
+// The kinds of faults that injectFault draws.
+const (
+	faultControllerKilled = iota
+	faultControllerFrozen
+	faultRegistryDown
+	faultSidecarPartitioned
+	faultClocksApart
+	faultSlowReturns
+	faultLedgerHalted
+	faultContractWithdrawn
+	faultKindCount
+)
+
 // injectFault injects a random fault after a time; half of them during the next window that goes out of service.
 func (sim *simulation) injectFault(afterMS int64) {
 	durationMS := minuteMS * (1 + sim.random.Int64N(90))
-	kind := sim.random.IntN(8)
+	kind := sim.random.IntN(faultKindCount)
 	trigger := func(do func()) {
 		sim.schedule(afterMS, do)
 	}
@@ -94,18 +125,18 @@
 	}
 	trigger(func() {
 		switch kind {
-		case 0:
+		case faultControllerKilled:
 			sim.killController(durationMS)
-		case 1:
+		case faultControllerFrozen:
 			sim.freezeController(durationMS / 10)
-		case 2:
+		case faultRegistryDown:
 			sim.registryDown = true
 			sim.schedule(durationMS, func() { sim.registryDown = false })
-		case 3:
+		case faultSidecarPartitioned:
 			sidecar := sim.sidecars[sim.random.IntN(len(sim.sidecars))]
 			sidecar.partitioned = true
 			sim.schedule(durationMS, func() { sidecar.partitioned = false })
-		case 4: // clocks of controller, leader and one sidecar an hour apart
+		case faultClocksApart: // those of controller, leader and one sidecar
 			sim.oracle.clocksFaulty = true
 			sim.controller.clock.offsetMS = hourMS
 			sim.leaderClock.offsetMS = -hourMS
@@ -114,12 +145,12 @@
 				sim.leaderClock, sim.sidecars[0].clock = sim.accurateClock(), sim.accurateClock()
 				sim.controller.clock = sim.accurateClock()
 			})
-		case 5:
+		case faultSlowReturns:
 			sim.slowReturns = true
 			sim.schedule(durationMS, func() { sim.slowReturns = false })
-		case 6:
+		case faultLedgerHalted:
 			sim.haltLedger(durationMS)
-		case 7:
+		case faultContractWithdrawn:
 			if sim.table.Contract("teller") != nil {
 				sim.applyOperator(Operation{Kind: OpWithdrawContract, Tenant: "teller"})
 				sim.oracle.agreed["teller"] = append(sim.oracle.agreed["teller"], agreedHours{effectiveFromMS: sim.nowMS, withdrawn: true})
--- a/internal/maintenance/table_test.go
+++ b/internal/maintenance/table_test.go
@@ -38,6 +38,11 @@
 	return fixture, table
 }
 
+// agreeingClocks is the timestamp of an operation where both clocks show atMS with a usual uncertainty.
+func agreeingClocks(atMS int64) Timestamp {
+	return Timestamp{ControllerMS: atMS, UncertaintyMS: 250, LeaderMS: atMS, LeaderUncertaintyMS: 250}
+}
+
 // timestamps are times around the hours, and two that cannot be trusted.
 func (f *tableFixture) timestamps() []Timestamp {
 	agreeing := func(atMS int64) Timestamp { return Timestamp{atMS, 250, atMS + 20, 250} }
@@ -213,7 +218,7 @@
 			op.ServerUIDs, op.WorkMS = []string{"m0", "w"}, minuteMS
 		}
 		revision++
-		mustApply(table, revision, op, Timestamp{f.openMS + offsetMS, 250, f.openMS + offsetMS, 250})
+		mustApply(table, revision, op, agreeingClocks(f.openMS+offsetMS))
 		visit(table)
 	}
 	visit(table)
@@ -236,11 +241,11 @@
 	var explore func(t *testing.T, from *Table, depth int)
 	explore = func(t *testing.T, from *Table, depth int) {
 		before, next := from.Snapshot(), cloneTable(from)
-		stamps := selected
+		timestamps := selected
 		if depth == 2 {
-			stamps = all
+			timestamps = all
 		}
-		for _, timestamp := range stamps {
+		for _, timestamp := range timestamps {
 			for _, op := range fixture.operations(from, timestamp) {
 				_, rejection := next.Apply(before.ModRevision+100, &op, timestamp)
 				operations++
@@ -266,12 +271,12 @@
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fixture, table := newTableFixture()
-		stamps := fixture.timestamps()
+		timestamps := fixture.timestamps()
 		for revision := uint64(2); revision < 60; revision++ {
 			before := table.Snapshot()
-			timestamp := rapid.SampledFrom(stamps).Draw(rt, "time")
-			ops := fixture.operations(table, timestamp)
-			op := ops[rapid.IntRange(0, len(ops)-1).Draw(rt, "op")]
+			timestamp := rapid.SampledFrom(timestamps).Draw(rt, "time")
+			operations := fixture.operations(table, timestamp)
+			op := operations[rapid.IntRange(0, len(operations)-1).Draw(rt, "op")]
 			if op.Token != 0 {
 				op.Token = uint64(rapid.IntRange(4, 6).Draw(rt, "token"))
 			}
@@ -279,9 +284,9 @@
 			if err := checkTransition(table, before, &op, timestamp, rejection); err != nil {
 				rt.Fatalf("%v, %+v at %+v", err, op, timestamp)
 			}
-			for _, entry := range changes.SetDirectives {
-				if slices.Contains(changes.DeleteDirectiveIDs, entry.ID) {
-					rt.Fatalf("%s is set and deleted", entry.ID)
+			for _, directive := range changes.SetDirectives {
+				if slices.Contains(changes.DeleteDirectiveIDs, directive.ID) {
+					rt.Fatalf("%s is set and deleted", directive.ID)
 				}
 			}
 		}
@@ -303,7 +308,7 @@
 	fixture, table := newTableFixture()
 	for i := range 3 * MaxFinishedWindows {
 		name := fmt.Sprint("w", i)
-		timestamp := Timestamp{fixture.openMS + int64(i), 250, fixture.openMS + int64(i), 250}
+		timestamp := agreeingClocks(fixture.openMS + int64(i))
 		proposal := Operation{Kind: OpPropose, Window: name, ServerUIDs: []string{"m0"}, WorkMS: minuteMS}
 		mustApply(table, uint64(10+2*i), proposal, timestamp)
 		mustApply(table, uint64(11+2*i), Operation{Kind: OpCancel, Window: name}, timestamp)
--- a/internal/maintenance/timestamp.go
+++ b/internal/maintenance/timestamp.go
@@ -46,7 +46,8 @@
 // trusted reports whether the bounds hold.
 func (b timeBounds) trusted() bool { return b.clockFault == "" }
 
-// boundTime checks a timestamp against the log time, which never runs backwards.
+// boundTime checks a timestamp against the log time, which never runs backwards. Where the clocks are not trusted, only
+// the log time is known to have passed.
 func (t *Table) boundTime(timestamp Timestamp) timeBounds {
 	earliest, latest := timestamp.bounds()
 	now := timeBounds{
--- a/internal/maintenance/window.go
+++ b/internal/maintenance/window.go
@@ -31,9 +31,12 @@
 
 // beforeDrain reports whether the window has not taken any server out yet.
 func (s Stage) beforeDrain() bool {
-	return s == StageProposed || s == StageApproved || s == StageAwaitingPermit
+	return s == StageProposed || s.hasPlannedStart()
 }
 
+// hasPlannedStart reports whether the window is expected to start its drain at PlannedStartMS.
+func (s Stage) hasPlannedStart() bool { return s == StageApproved || s == StageAwaitingPermit }
+
 // Approval is what one contract approves of a window, computed from the contract at ContractVersion. Replicas check
 // operations against it and never expand recurrence rules, so it does not matter whether all have the same time zone
 // data. Times are Unix ms.
