--- a/internal/registry/bench/bench.go
+++ b/internal/registry/bench/bench.go
@@ -171,10 +171,17 @@
 	firstRestartOrdinal = 3_000_000
 )
 
+// hostsPerByte is how many values newInstance uses of a byte of an address, so that none ends in 0 or 255.
+const hostsPerByte = 250
+
+// newInstance returns the instance with an ordinal. The steps change its capacity with each write: a registration that
+// changes nothing would make no watch event.
 func newInstance(ordinal int) registry.Instance {
+	address := fmt.Sprintf("127.%d.%d.%d:9000",
+		1+ordinal/(hostsPerByte*hostsPerByte), ordinal/hostsPerByte%hostsPerByte, 1+ordinal%hostsPerByte)
 	return registry.Instance{Target: registry.Target{
 		UID:      fmt.Sprintf("s-%08x", ordinal),
-		Endpoint: fmt.Sprintf("127.%d.%d.%d:9000", 1+ordinal/62500, ordinal/250%250, 1+ordinal%250),
+		Endpoint: address,
 		Zone:     string(rune('a' + ordinal%3)), Model: "m1", PodGroup: ordinal / 8,
 		State: registry.InstanceReady, Capacity: 1,
 	}}
--- a/internal/registry/bench/restart.go
+++ b/internal/registry/bench/restart.go
@@ -25,6 +25,7 @@
 		snapshotEvery int
 		elapsedMS     *float64
 	}{
+		// Ten times as many entries as are written: no snapshot is taken.
 		{"plain", 10 * b.options.LogEntries, &b.result.RestartFromLogMS},
 		{"snap", b.options.LogEntries / 2, &b.result.RestartFromSnapshotMS},
 	} {
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -150,7 +150,8 @@
 	}
 }
 
-// newStatusError makes an error of an answer: an error, or the result of a write that was not applied.
+// newStatusError makes an error of an answer, which has either the text of an error or, as the result of a write that was
+// not applied, a reason.
 func newStatusError(statusCode int, data []byte) *StatusError {
 	var failure struct {
 		Error  string `json:"error"`
@@ -212,7 +213,7 @@
 // Register registers instances, all or none.
 func (c *Client) Register(ctx context.Context, options WriteOptions, instances ...Instance) (Result, error) {
 	return post[Result](ctx, c, "/registry/instances", registerRequest{
-		Guard: options.Guard, ID: options.ensureID(), IfRevision: options.IfRevision, Targets: instances,
+		Guard: options.Guard, ID: options.ensureID(), IfRevision: options.IfRevision, Instances: instances,
 	})
 }
 
--- a/internal/registry/client_leases.go
+++ b/internal/registry/client_leases.go
@@ -33,7 +33,7 @@
 
 // RenewLeases renews leases that a candidate holds or waits for, and returns the names of those that it has lost.
 func (c *Client) RenewLeases(ctx context.Context, candidate string, renewals []LeaseRenewal) ([]string, error) {
-	response, err := post[lostLeases](ctx, c, "/duties/renew", leaseRenewals{renewals, candidate})
+	response, err := post[renewLeasesResponse](ctx, c, "/duties/renew", renewLeasesRequest{renewals, candidate})
 	return response.Lost, err
 }
 
--- a/internal/registry/client_watch.go
+++ b/internal/registry/client_watch.go
@@ -80,8 +80,8 @@
 func (c *Client) streamLines(ctx context.Context, watchURL string, onHeader func(http.Header), handle func([]byte) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silenceTimer := time.AfterFunc(HeartbeatTimeout, func() { cancel(errHeartbeatTimeout) })
-	defer silenceTimer.Stop()
+	heartbeatTimer := time.AfterFunc(HeartbeatTimeout, func() { cancel(errHeartbeatTimeout) })
+	defer heartbeatTimer.Stop()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, watchURL, nil)
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(make([]byte, 0, initialWatchLineBytes), maxWatchLineBytes)
 	for lines.Scan() {
-		silenceTimer.Reset(HeartbeatTimeout)
+		heartbeatTimer.Reset(HeartbeatTimeout)
 		if err := handle(bytes.TrimSpace(lines.Bytes())); err != nil {
 			return err
 		}
--- a/internal/registry/cluster/cluster.go
+++ b/internal/registry/cluster/cluster.go
@@ -177,7 +177,7 @@
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	status, err := client.ReplicaStatus(ctx, r.HTTPAddr)
-	return err == nil && status.Role == "Leader" && status.Epoch != 0 && status.Fresh
+	return err == nil && status.Role == registry.RoleLeader && status.Epoch != 0 && status.Fresh
 }
 
 // Logs returns the last lines of the logs of all replicas.
--- a/internal/registry/http_admin.go
+++ b/internal/registry/http_admin.go
@@ -9,10 +9,13 @@
 	"github.com/hashicorp/raft"
 )
 
+// RoleLeader is the role in the status of a leader, by raft's name.
+const RoleLeader = "Leader"
+
 // Status is the status of a replica.
 type Status struct {
 	HTTPAddr     string `json:"http"`
-	Role         string `json:"role"`   // as raft names it: Leader, Follower, Candidate
+	Role         string `json:"role"`   // as raft names it: RoleLeader, Follower, Candidate
 	Leader       string `json:"leader"` // HTTP address; "": none is known
 	Revision     uint64 `json:"rev"`
 	Epoch        uint64 `json:"epoch"`
--- a/internal/registry/http_leases.go
+++ b/internal/registry/http_leases.go
@@ -95,19 +95,19 @@
 	Token uint64 `json:"token"`
 }
 
-// leaseRenewals is the body of a call that renews leases.
-type leaseRenewals struct {
+// renewLeasesRequest is the body of a call that renews leases.
+type renewLeasesRequest struct {
 	Leases    []LeaseRenewal `json:"duties"`
 	Candidate string         `json:"who"`
 }
 
-// lostLeases is the answer: the leases that the candidate does not hold or wait for any more.
-type lostLeases struct {
+// renewLeasesResponse is the answer: the leases that the candidate does not hold or wait for any more.
+type renewLeasesResponse struct {
 	Lost []string `json:"lost"`
 }
 
 func (r *Replica) serveRenewLeases(w http.ResponseWriter, request *http.Request) {
-	var body leaseRenewals
+	var body renewLeasesRequest
 	if !readJSON(w, request, &body) {
 		return
 	}
@@ -130,7 +130,7 @@
 			}
 		}
 	})
-	writeJSON(w, http.StatusOK, lostLeases{lost})
+	writeJSON(w, http.StatusOK, renewLeasesResponse{lost})
 }
 
 // serveLeases lists all leases, or streams the changes of one of them.
--- a/internal/registry/http_maintenance.go
+++ b/internal/registry/http_maintenance.go
@@ -15,19 +15,19 @@
 // WindowsView is contracts and maintenance windows, with what their controller needs of the rest of the state at the
 // same revision.
 type WindowsView struct {
-	Revision uint64                              `json:"rev"`
-	Table    *maintenance.Snapshot               `json:"table"`
-	Permits  map[string]disruption.Stage         `json:"permits"`
-	Out      map[string]maintenance.ServerStatus `json:"out"`
-	Fleet    maintenance.Fleet                   `json:"fleet"`
-	Sidecars []string                            `json:"sidecars"`
+	Revision     uint64                              `json:"rev"`
+	Table        *maintenance.Snapshot               `json:"table"`
+	PermitStages map[string]disruption.Stage         `json:"permits"`
+	OutOfService map[string]maintenance.ServerStatus `json:"out"`
+	Fleet        maintenance.Fleet                   `json:"fleet"`
+	LiveSidecars []string                            `json:"sidecars"`
 }
 
 // View is the form that the controller reads.
 func (v *WindowsView) View() *maintenance.View {
 	return &maintenance.View{
 		Revision: v.Revision, Table: maintenance.Restore(v.Table),
-		PermitStages: v.Permits, OutOfService: v.Out, Fleet: v.Fleet, LiveSidecars: v.Sidecars,
+		PermitStages: v.PermitStages, OutOfService: v.OutOfService, Fleet: v.Fleet, LiveSidecars: v.LiveSidecars,
 	}
 }
 
@@ -40,7 +40,7 @@
 		view := maintenance.ReadView(state.appliedIndex, state.windows, state.Ledger())
 		response = WindowsView{
 			Revision: view.Revision, Table: state.windows.Snapshot(),
-			Permits: view.PermitStages, Out: view.OutOfService, Fleet: view.Fleet, Sidecars: view.LiveSidecars,
+			PermitStages: view.PermitStages, OutOfService: view.OutOfService, Fleet: view.Fleet, LiveSidecars: view.LiveSidecars,
 		}
 	})
 	r.setFreshnessHeaders(w)
--- a/internal/registry/http_sidecars.go
+++ b/internal/registry/http_sidecars.go
@@ -27,10 +27,10 @@
 	if entries := len(s.Sidecars) + len(s.Deregistered); entries == 0 || entries > maxBatchSize {
 		return validation.Errorf("sidecars", "%d entries, wanted 1 to %d", entries, maxBatchSize)
 	}
-	for k := range s.Sidecars {
-		s.Sidecars[k].TTLMS = s.TTLMS
-		if err := s.Sidecars[k].validate(); err != nil {
-			return fmt.Errorf("sidecars[%d].%w", k, err)
+	for i := range s.Sidecars {
+		s.Sidecars[i].TTLMS = s.TTLMS
+		if err := s.Sidecars[i].validate(); err != nil {
+			return fmt.Errorf("sidecars[%d].%w", i, err)
 		}
 	}
 	return nil
@@ -39,8 +39,8 @@
 // names are the names of the sidecars that the request registers or renews.
 func (s *SidecarRequest) names() []string {
 	names := make([]string, 0, len(s.Sidecars))
-	for k := range s.Sidecars {
-		names = append(names, s.Sidecars[k].Name)
+	for i := range s.Sidecars {
+		names = append(names, s.Sidecars[i].Name)
 	}
 	return names
 }
@@ -48,8 +48,8 @@
 // record makes the record of what a request changes in the state; mere renewals are not part of it.
 func (s *SidecarRequest) record(state *StateMachine) *Record {
 	record := &Record{Op: OpSidecars, ID: s.ID}
-	for k := range s.Sidecars {
-		sidecar := &s.Sidecars[k]
+	for i := range s.Sidecars {
+		sidecar := &s.Sidecars[i]
 		var existing *Sidecar
 		if state.ledger != nil {
 			existing = state.ledger.sidecars[sidecar.Name]
--- a/internal/registry/http_write.go
+++ b/internal/registry/http_write.go
@@ -20,7 +20,7 @@
 		writeRetryable(w, err)
 		return
 	}
-	r.hub.Read(func(state *StateMachine) { r.registrations.refresh(time.Now(), state, uids) })
+	r.refreshRegistrations(uids)
 	writeJSON(w, result.Outcome.statusCode(), result)
 }
 
@@ -37,7 +37,7 @@
 	Guard      *Guard     `json:"guard,omitempty"`
 	ID         string     `json:"id"` // idempotency key
 	IfRevision *uint64    `json:"if_rev,omitempty"`
-	Targets    []Instance `json:"targets"`
+	Instances  []Instance `json:"targets"`
 }
 
 // toRecord validates a request, with defaults for what it omits, and returns its record and the uids that it concerns.
@@ -45,12 +45,12 @@
 	if err := checkWriteID(q.ID); err != nil {
 		return nil, nil, err
 	}
-	if len(q.Targets) == 0 || len(q.Targets) > maxBatchSize {
-		return nil, nil, validation.Errorf("targets", "%d entries, wanted 1 to %d", len(q.Targets), maxBatchSize)
+	if len(q.Instances) == 0 || len(q.Instances) > maxBatchSize {
+		return nil, nil, validation.Errorf("targets", "%d entries, wanted 1 to %d", len(q.Instances), maxBatchSize)
 	}
-	uids := make([]string, 0, len(q.Targets))
-	for k := range q.Targets {
-		instance := &q.Targets[k]
+	uids := make([]string, 0, len(q.Instances))
+	for i := range q.Instances {
+		instance := &q.Instances[i]
 		if instance.State == "" {
 			instance.State = InstanceReady
 		}
@@ -59,11 +59,11 @@
 		}
 		instance.Revision, instance.Suspect = 0, false
 		if err := instance.validate(); err != nil {
-			return nil, nil, fmt.Errorf("targets[%d].%w", k, err)
+			return nil, nil, fmt.Errorf("targets[%d].%w", i, err)
 		}
 		uids = append(uids, instance.UID)
 	}
-	return &Record{Op: OpRegister, ID: q.ID, IfRevision: q.IfRevision, Guard: q.Guard, Instances: q.Targets}, uids, nil
+	return &Record{Op: OpRegister, ID: q.ID, IfRevision: q.IfRevision, Guard: q.Guard, Instances: q.Instances}, uids, nil
 }
 
 func (r *Replica) serveRegister(w http.ResponseWriter, request *http.Request) {
@@ -175,7 +175,7 @@
 		refs = append(refs, InstanceRef{UID: uid})
 	}
 	_, err := r.propose(&Record{Op: OpSuspect, Refs: refs})
-	r.refreshRegistrations(refs)
+	r.refreshRegistrations(uids)
 	return err
 }
 
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -133,8 +133,8 @@
 func (h *Hub) next(position cursor) (watchBatch, error) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	batch := watchBatch{next: cursor{h.state.Revision(), h.state.Epoch(), true}, changed: h.listChanged.changed}
-	if position == batch.next {
+	batch := watchBatch{position: cursor{h.state.Revision(), h.state.Epoch(), true}, changed: h.listChanged.changed}
+	if position == batch.position {
 		return batch, nil
 	}
 	lines, err := h.linesAfterLocked(position)
@@ -168,11 +168,11 @@
 // encodedAfterLocked returns the encoded changes after a revision, or nil where they are too many or not encoded any
 // more. The caller holds the lock for reading.
 func (h *Hub) encodedAfterLocked(revision uint64) (lines [][]byte) {
-	for k := len(h.encoded) - 1; k >= 0 && len(h.encoded)-k <= maxChangesWritten; k-- {
-		if h.encoded[k].previous != revision {
+	for i := len(h.encoded) - 1; i >= 0 && len(h.encoded)-i <= maxChangesWritten; i-- {
+		if h.encoded[i].previous != revision {
 			continue
 		}
-		for _, change := range h.encoded[k:] {
+		for _, change := range h.encoded[i:] {
 			lines = append(lines, change.line)
 		}
 		return lines
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -113,7 +113,7 @@
 		}
 		r.metrics.suspected.Add(float64(len(suspects)))
 		r.logger.Warn("mass expiry of instances held back", "instances", len(suspects), "first", suspects[0].UID)
-		r.refreshRegistrations(suspects)
+		r.refreshRegistrations(refNames(suspects))
 	case len(expire) > 0:
 		if _, err := r.propose(&Record{Op: OpExpire, Refs: expire}); err != nil {
 			return // the next sweep finds them again, of this leader or the next
@@ -121,11 +121,11 @@
 		r.metrics.expired.Add(float64(len(expire)))
 		r.logger.Info("registrations expired", "instances", len(expire), "first", expire[0].UID)
 		r.registrations.recordExpired(now, len(expire))
-		r.refreshRegistrations(expire)
+		r.refreshRegistrations(refNames(expire))
 	}
 }
 
 // refreshRegistrations updates the tracker after a write about instances.
-func (r *Replica) refreshRegistrations(refs []InstanceRef) {
-	r.hub.Read(func(state *StateMachine) { r.registrations.refresh(time.Now(), state, refNames(refs)) })
+func (r *Replica) refreshRegistrations(uids []string) {
+	r.hub.Read(func(state *StateMachine) { r.registrations.refresh(time.Now(), state, uids) })
 }
--- a/internal/registry/lease_tracker.go
+++ b/internal/registry/lease_tracker.go
@@ -155,8 +155,8 @@
 	return 0
 }
 
-// findExpired returns an operation for each lease and place in a queue that has expired, until one of them was applied
-// and refresh called.
+// findExpired returns an operation for each lease and place in a queue that has expired, and lets none of them be renewed
+// any more. It returns an operation again until that was applied and refresh called.
 func (t *leaseTracker) findExpired(now time.Time) []leasetable.Operation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -69,7 +69,7 @@
 	gauge("milldeck_registry_watchers", "Open watches.", func(s Status) float64 { return float64(s.Watchers) })
 	gauge("milldeck_registry_age_seconds", "How old the state may be.", func(s Status) float64 { return float64(s.AgeMS) / 1000 })
 	gauge("milldeck_registry_leader", "1 while this replica is the leader.", func(s Status) float64 {
-		if s.Role == "Leader" {
+		if s.Role == RoleLeader {
 			return 1
 		}
 		return 0
--- a/internal/registry/placement_feed.go
+++ b/internal/registry/placement_feed.go
@@ -34,7 +34,7 @@
 	encodedAt    time.Time
 	notification uint64 // number of the last notification before it was encoded
 	data         []byte // nil: nothing has changed
-	next         cursor
+	position     cursor
 }
 
 // NewPlacementFeed makes a feed of a source. Read returns what has changed after a revision of an epoch, with the
@@ -69,7 +69,7 @@
 		encoded.notification = notification
 		f.cached[position], line = encoded, encoded
 	}
-	batch := watchBatch{next: line.next, changed: changed}
+	batch := watchBatch{position: line.position, changed: changed}
 	if line.data != nil {
 		batch.lines = [][]byte{line.data}
 	}
@@ -91,8 +91,8 @@
 func (f *PlacementFeed) encode(position cursor) (placementLine, error) {
 	line := placementLine{encodedAt: time.Now()}
 	update := f.read(position.revision, position.epoch)
-	line.next = cursor{update.Revision, update.Epoch, true}
-	if line.next == position {
+	line.position = cursor{update.Revision, update.Epoch, true}
+	if line.position == position {
 		return line, nil
 	}
 	var err error
--- a/internal/registry/registration_tracker.go
+++ b/internal/registry/registration_tracker.go
@@ -136,7 +136,8 @@
 	return expire, nil
 }
 
-// isMassExpiryLocked reports whether too many registrations are missing, of which late have not expired yet or only now.
+// isMassExpiryLocked reports whether too many registrations are missing: the late ones, which are still tracked, and those
+// that expired recently. The caller holds the lock.
 func (t *registrationTracker) isMassExpiryLocked(late int) bool {
 	total := len(t.registrations) + len(t.recentExpiries)
 	missing := late + len(t.recentExpiries)
--- a/internal/registry/sidecar_tracker.go
+++ b/internal/registry/sidecar_tracker.go
@@ -55,8 +55,8 @@
 func (t *sidecarTracker) recordRevisions(sidecars []Sidecar, removed []string) {
 	t.revisionsMu.Lock()
 	defer t.revisionsMu.Unlock()
-	for k := range sidecars {
-		t.revisions[sidecars[k].Name] = sidecarRevisions{sidecars[k].ListRevision, sidecars[k].PlacementRevision}
+	for i := range sidecars {
+		t.revisions[sidecars[i].Name] = sidecarRevisions{sidecars[i].ListRevision, sidecars[i].PlacementRevision}
 	}
 	for _, name := range removed {
 		delete(t.revisions, name)
@@ -67,9 +67,9 @@
 func (t *sidecarTracker) fillRevisions(sidecars []Sidecar) {
 	t.revisionsMu.Lock()
 	defer t.revisionsMu.Unlock()
-	for k := range sidecars {
-		reported := t.revisions[sidecars[k].Name]
-		sidecars[k].ListRevision, sidecars[k].PlacementRevision = reported.list, reported.placement
+	for i := range sidecars {
+		reported := t.revisions[sidecars[i].Name]
+		sidecars[i].ListRevision, sidecars[i].PlacementRevision = reported.list, reported.placement
 	}
 }
 
--- a/internal/registry/state_history.go
+++ b/internal/registry/state_history.go
@@ -57,8 +57,8 @@
 	}
 	list := EndpointList{Revision: s.revision, Epoch: s.epoch, Targets: []Target{}}
 	positions := map[string]int{} // by uid, in list.Targets
-	for k := s.firstChangeAfter(revision); k < len(s.history); k++ {
-		target := s.history[k].Target
+	for i := s.firstChangeAfter(revision); i < len(s.history); i++ {
+		target := s.history[i].Target
 		if position, ok := positions[target.UID]; ok {
 			list.Targets[position] = target
 			continue
--- a/internal/registry/state_instances.go
+++ b/internal/registry/state_instances.go
@@ -5,8 +5,8 @@
 // applyRegister registers new instances and new incarnations of known ones: all of a batch or none.
 func (s *StateMachine) applyRegister(index uint64, record *Record) Result {
 	added := 0
-	for k := range record.Instances {
-		instance := &record.Instances[k]
+	for i := range record.Instances {
+		instance := &record.Instances[i]
 		existing := s.instances[instance.UID]
 		if existing == nil {
 			added++
@@ -18,8 +18,8 @@
 	if len(s.instances)+added > maxInstances {
 		return Result{OutcomeLimitExceeded, s.revision, fmt.Sprintf("the list holds %d instances", len(s.instances))}
 	}
-	for k := range record.Instances {
-		s.registerInstance(index, record.Instances[k])
+	for i := range record.Instances {
+		s.registerInstance(index, record.Instances[i])
 	}
 	return doneResult(index)
 }
@@ -105,8 +105,8 @@
 
 // applyMirror sets and removes entries as an agent has them from the registry that it mirrors.
 func (s *StateMachine) applyMirror(index uint64, record *Record) Result {
-	for k := range record.Instances {
-		instance := record.Instances[k]
+	for i := range record.Instances {
+		instance := record.Instances[i]
 		if existing := s.instances[instance.UID]; existing == nil || existing.Target != instance.Target {
 			s.setInstance(index, instance)
 		}
--- a/internal/registry/state_ledger.go
+++ b/internal/registry/state_ledger.go
@@ -102,8 +102,8 @@
 	}
 	table := s.ledger.table
 	if record.Op == OpRegister {
-		for k := range record.Instances {
-			if instance := s.instances[record.Instances[k].UID]; instance != nil {
+		for i := range record.Instances {
+			if instance := s.instances[record.Instances[i].UID]; instance != nil {
 				table.Register(index, instance.disruptionUnit())
 			}
 		}
--- a/internal/registry/state_machine_test.go
+++ b/internal/registry/state_machine_test.go
@@ -231,16 +231,16 @@
 	for n := range uint64(3) {
 		register(n + 2)
 	}
-	batch, err := hub.next(first.next)
+	batch, err := hub.next(first.position)
 	if err != nil || len(batch.lines) != 3 {
 		t.Errorf("a little behind: %d lines, want each change: %v", len(batch.lines), err)
 	}
 	for n := range uint64(5000) {
 		register(n + 5)
 	}
-	batch, err = hub.next(first.next)
+	batch, err = hub.next(first.position)
 	var list EndpointList
-	if err != nil || len(batch.lines) != 1 || json.Unmarshal(batch.lines[0], &list) != nil || len(list.Targets) != 1 || list.Targets[0].BootMS != 5004 || batch.next.revision != 5004 {
+	if err != nil || len(batch.lines) != 1 || json.Unmarshal(batch.lines[0], &list) != nil || len(list.Targets) != 1 || list.Targets[0].BootMS != 5004 || batch.position.revision != 5004 {
 		t.Errorf("far behind: %d lines, %+v, %v", len(batch.lines), list, err)
 	}
 	if len(hub.encoded) > maxEncodedChanges {
--- a/internal/registry/state_sidecars.go
+++ b/internal/registry/state_sidecars.go
@@ -79,8 +79,8 @@
 func (s *StateMachine) applySidecars(index uint64, record *Record) Result {
 	ledger := s.ensureLedger(index)
 	added := 0
-	for k := range record.Sidecars {
-		if ledger.sidecars[record.Sidecars[k].Name] == nil {
+	for i := range record.Sidecars {
+		if ledger.sidecars[record.Sidecars[i].Name] == nil {
 			added++
 		}
 	}
--- a/internal/registry/state_snapshot.go
+++ b/internal/registry/state_snapshot.go
@@ -30,8 +30,8 @@
 	maxSnapshotBytes = 512 << 20
 )
 
-// snapshot is the stored state. The history is not part of it: watchers that reconnect after a restore get the full
-// list. Tables that an older version did not have are absent.
+// snapshot is the stored state. The history is not part of it: watchers that reconnect after a restore get the
+// complete list. Tables that an older version did not have are absent.
 type snapshot struct {
 	Revision        uint64                `json:"rev"`
 	AppliedIndex    uint64                `json:"applied"`
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -19,9 +19,9 @@
 
 // watchBatch is what a watcher is to be written.
 type watchBatch struct {
-	lines   [][]byte        // shared with other watchers: they must not be changed; none: nothing has changed
-	next    cursor          // position after the lines
-	changed <-chan struct{} // closed at the next change
+	lines    [][]byte        // shared with other watchers: they must not be changed; none: nothing has changed
+	position cursor          // position after the lines
+	changed  <-chan struct{} // closed at the next change
 }
 
 // changeSource is what watchers follow. Next returns lines for every cursor that has not started.
@@ -46,7 +46,7 @@
 		if err != nil {
 			return err
 		}
-		position = batch.next
+		position = batch.position
 		if len(batch.lines) > 0 {
 			if err := writeLines(w, controller, batch.lines); err != nil {
 				return err
