--- a/balance/action.go
+++ b/balance/action.go
@@ -25,7 +25,7 @@
 	Attempt    int
 	Server     ServerID
 	Deadline   float64 // time at which the attempt is given up; 0: at the client's deadline
-	RetryAfter float64 // how long the client should wait before it retries; 0: it is told nothing
+	RetryAfter float64 // how long the client should wait before it retries; 0: the answer does not say
 	Delay      float64 // from now until the timer fires
 	Token      uint64  // by which TimerFired names the timer
 	Peer       int     // SidecarIndex of the receiver; -1: all sidecars
--- a/balance/admission.go
+++ b/balance/admission.go
@@ -56,16 +56,16 @@
 // excessLatency is by how much the expected latency exceeds what is allowed, as a fraction of the objective.
 // Below 0 it is taken with the larger allowance, so that shedding ends as fast where the smaller one applies.
 func (b *Balancer) excessLatency(answerRate float64) float64 {
-	least, assumed := b.admission.minLatencyRatio, 1-b.answerRate(0)/answerRate
-	expected := b.admission.load.mean/answerRate + least*assumed // assumed answers take the least
+	minRatio, assumed := b.admission.minLatencyRatio, 1-b.answerRate(0)/answerRate
+	expected := b.admission.load.mean/answerRate + minRatio*assumed // assumed answers take the least
 	allowance := queueingAllowance
 	if b.lowTraffic() {
 		allowance = queueingAllowanceLowTraffic
 	}
-	threshold := least + allowance*(1-least)
+	threshold := minRatio + allowance*(1-minRatio)
 	excess := math.Min(expected, maxLatencyRatio) - threshold
 	if excess < 0 {
-		excess = expected - least - queueingAllowance*(1-least)
+		excess = expected - minRatio - queueingAllowance*(1-minRatio)
 	}
 	return excess
 }
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -42,6 +42,7 @@
 	drift   float64 // mean step: what all servers have in common
 }
 
+// discoveryState is what the backoff of polls goes by; see schedulePoll.
 type discoveryState struct {
 	failedPolls int // in a row
 }
--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -49,8 +49,8 @@
 	if !b.inSlowStart(s) {
 		return 1
 	}
-	least := b.config.SlowStartMinCapacity
-	return least + (1-least)*math.Max(0, b.now-s.slowStart.since)/b.config.SlowStartDuration
+	minFactor := b.config.SlowStartMinCapacity
+	return minFactor + (1-minFactor)*math.Max(0, b.now-s.slowStart.since)/b.config.SlowStartDuration
 }
 
 // hasSlowStartBudget limits the attempts at a server in slow start, retries included: to half of the allowed
--- a/balance/config.go
+++ b/balance/config.go
@@ -92,7 +92,7 @@
 	AllowCancel           bool    // attempts may be cancelled
 	AllowHealthChecks     bool    // servers may be sent health checks
 	AllowGossip           bool    // sidecars may send each other messages
-	SendRetryAfter        bool    // rejected clients are told when to retry
+	SendRetryAfter        bool    // rejected clients get a Retry-After
 	MaxRetryAfter         float64 // the longest Retry-After that a client obeys
 	ConnectTimeout        float64 // of an attempt
 
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -18,7 +18,7 @@
 	switch ev.Kind {
 	case UpdateFailed:
 		b.discovery.failedPolls++
-		b.schedulePoll(0.5, b.config.PollInterval, ev.DiscoveryUnreachable) // a quarter of what is allowed
+		b.schedulePoll(0.5, b.config.PollInterval, ev.DiscoveryUnreachable) // from half of the backoff on
 		return
 	case UpdateFull, UpdateCached:
 		b.removeUnlisted(ev.Servers)
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -19,7 +19,7 @@
 	maxGossipLifetime        = 5000 // ms that it holds at most: what the age of a finding can express
 	maxGossipEjectedFraction = 0.1  // of the servers, and at most half of those of a zone
 	sufficientConfirmations  = 3    // times that a finding was received before it is not published again
-	gossipContactLimit       = 4    // visits of a server in a finding's lifetime that tell as much
+	gossipContactLimit       = 4    // visits of a server in a finding's lifetime that show as much
 	maxContradictions        = 2.5  // recent contradictions after which a sender is ignored
 )
 
--- a/balance/gossip_codec.go
+++ b/balance/gossip_codec.go
@@ -22,11 +22,11 @@
 	findingAgeUnit   = 20 // ms; a byte reaches 5.1 s, by when a finding no longer holds
 )
 
-// findingKind says what a sidecar has found, or that it asks.
+// findingKind says what a sidecar has found, or that the message is a query.
 type findingKind uint8
 
 const (
-	findingQuery    findingKind = 1 + iota // asks for the faults that the receiver knows
+	findingQuery    findingKind = 1 + iota // requests the faults that the receiver knows
 	findingFault                           // a server is late, fails or is unreachable
 	findingRecovery                        // a server answers in time again
 	findingKindEnd
--- a/balance/gossip_state.go
+++ b/balance/gossip_state.go
@@ -33,7 +33,7 @@
 	return true
 }
 
-// clearGossipEjection ends the ejection of a server by what others said.
+// clearGossipEjection ends the ejection of a server by gossip.
 func (b *Balancer) clearGossipEjection(s *server) {
 	if s.gossip.ejectedUntil > 0 {
 		s.gossip.ejectedUntil, s.gossip.source, s.gossip.confirmations = 0, -1, 0
--- a/balance/random.go
+++ b/balance/random.go
@@ -15,4 +15,4 @@
 	return z ^ z>>31
 }
 
-func clamp(value, least, most float64) float64 { return math.Max(least, math.Min(most, value)) }
+func clamp(value, lower, upper float64) float64 { return math.Max(lower, math.Min(upper, value)) }
--- a/balance/server.go
+++ b/balance/server.go
@@ -68,12 +68,12 @@
 	listed      bool    // in rotation.reporters
 }
 
-// gossipFindings is what other sidecars said of a server, and what was said to them.
+// gossipFindings is what was received from other sidecars about a server, and what was published to them.
 type gossipFindings struct {
-	ejectedUntil   float64 // by what others said; 0: it is not
+	ejectedUntil   float64 // by what was received; 0: it is not
 	observedAt     float64 // when the latest finding was made
-	source         int     // the sidecar that said it first; -1: none
-	confirmations  int     // times that it was said
+	source         int     // the sidecar that published it first; -1: none
+	confirmations  int     // times that it was received
 	publishedUntil float64 // this sidecar's own finding was published and holds until then
 }
 
--- a/balance/weight_trend.go
+++ b/balance/weight_trend.go
@@ -64,7 +64,7 @@
 	} else {
 		health, penalty = 1, 1-health
 	}
-	capacity := 100 * s.RelativeCapacity * math.Exp(s.logCapacity)
+	capacity := baseWeight * s.RelativeCapacity * math.Exp(s.logCapacity)
 	return weightTrend{
 		level:        capacity * slowStart * health,
 		slope:        capacity * rise * health,
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -15,7 +15,7 @@
 	"milldeck/internal/wire"
 )
 
-const inputBuffer = 1 << 16
+const inputBufferBytes = 1 << 16
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
@@ -27,7 +27,7 @@
 // run answers frames until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	host := instanceHost{instances: map[uint16]*balance.Balancer{}}
-	reader := wire.NewReader(bufio.NewReaderSize(in, inputBuffer))
+	reader := wire.NewReader(bufio.NewReaderSize(in, inputBufferBytes))
 	for {
 		host.reply.Reset()
 		err := reader.Read(host.handle)
@@ -45,15 +45,15 @@
 
 // instanceHost holds the instances of this process, which share nothing, and the reply to the current frame.
 type instanceHost struct {
-	instances map[uint16]*balance.Balancer // nil: it could not start, and its events are ignored
+	instances map[uint16]*balance.Balancer // nil: one that could not start, whose events are ignored
 	reply     wire.Reply
 }
 
 // handle adds the actions of a record to the reply. A panic of an instance is reported to the simulator as its fault.
 func (h *instanceHost) handle(clock float64, record wire.Record) (err error) {
 	defer func() {
-		if p := recover(); p != nil {
-			h.reply.Fault(record.Instance, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
+		if panicked := recover(); panicked != nil {
+			h.reply.Fault(record.Instance, fmt.Sprintf("panic: %v\n%s", panicked, debug.Stack()))
 		}
 	}()
 	switch {
@@ -74,25 +74,25 @@
 		h.reply.Fault(instance, err.Error())
 		return
 	}
-	b, err := balance.New(config)
+	balancer, err := balance.New(config)
 	if err != nil {
 		h.instances[instance] = nil
 		h.reply.Fault(instance, "settings: "+err.Error())
 		return
 	}
-	h.instances[instance] = b
-	h.reply.Add(instance, b.Start(clock))
+	h.instances[instance] = balancer
+	h.reply.Add(instance, balancer.Start(clock))
 }
 
 func (h *instanceHost) handleEvent(clock float64, instance uint16, event balance.Event) error {
-	b, started := h.instances[instance]
+	balancer, started := h.instances[instance]
 	if !started {
 		return fmt.Errorf("event for instance %d, which was never started", instance)
 	}
-	if b == nil {
+	if balancer == nil {
 		return nil
 	}
-	actions, err := b.Handle(clock, event)
+	actions, err := balancer.Handle(clock, event)
 	if err != nil {
 		h.reply.Fault(instance, err.Error())
 		return nil
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	headerSize     = 16
-	tableEntrySize = 23
+	headerSize     = 16      // bytes of a frame's header
+	tableEntrySize = 23      // bytes of a server in a table
 	maxFrameSize   = 1 << 28 // far above any batch of the simulator
-	maxTables      = 16
+	maxTables      = 16      // server tables, numbered from 0
 )
 
 // Kinds of endpoint updates.
@@ -120,15 +120,15 @@
 }
 
 func (r *Reader) readRecord(d *frameDecoder) (Record, error) {
-	code, first := d.uint16(), d.uint16()
+	code, instanceOrTable := d.uint16(), d.uint16()
 	if d.truncated {
 		return Record{}, errTruncated
 	}
-	record := Record{Instance: first}
+	record := Record{Instance: instanceOrTable}
 	var err error
 	switch code {
 	case eventServerTable:
-		err = r.readServerTable(d, first)
+		err = r.readServerTable(d, instanceOrTable)
 	case eventInstanceStarted:
 		seed := d.uint64()
 		record.Started = &InstanceStarted{Seed: seed, Settings: d.bytes(d.uint32())}
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -10,7 +10,9 @@
 
 const (
 	allPeers = 0xffffffff
-	maxText  = 0xffff // bytes; longer texts are cut
+	// watchSubscribe is the argument of actionWatchEndpoints that subscribes to the endpoint list.
+	watchSubscribe = 1
+	maxText        = 0xffff // bytes; longer texts are cut
 )
 
 // Reply collects the actions that answer one frame. Reset has to be called before its first use.
@@ -76,7 +78,7 @@
 		r.appendText([]byte(a.Text))
 	case balance.WatchEndpoints:
 		r.appendHeader(actionWatchEndpoints, instance)
-		r.buffer = append(r.buffer, 1) // subscribe
+		r.buffer = append(r.buffer, watchSubscribe)
 	case balance.FetchEndpoints:
 		r.appendHeader(actionFetchEndpoints, instance)
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -204,7 +204,7 @@
 
 // checkNotNegative names the key of a setting that is negative, as the operator knows it; balance.New names the field.
 func (s *settings) checkNotNegative(config *balance.Config) error {
-	for _, figure := range []struct {
+	for _, setting := range []struct {
 		key   string
 		value float64
 	}{
@@ -227,7 +227,7 @@
 		{"penalties.cross_zone", s.Costs.CrossZone},
 		{"penalties.probe", s.Costs.HealthCheck},
 	} {
-		if err := notNegative(figure.key, figure.value); err != nil {
+		if err := notNegative(setting.key, setting.value); err != nil {
 			return err
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -42,7 +42,7 @@
 type Record struct {
 	Instance uint16
 	Started  *InstanceStarted
-	Killed   bool // its state is void
+	Killed   bool // its state is discarded
 	Event    balance.Event
 }
 
