--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -50,7 +50,7 @@
 			continue
 		}
 		f.openRequests.Add(1)
-		f.openClients.Go(func() {
+		f.clientGoroutines.Go(func() {
 			defer f.openRequests.Add(-1)
 			f.sendWithRetries(&arrival)
 		})
--- a/internal/lab/live/controllers.go
+++ b/internal/lab/live/controllers.go
@@ -35,11 +35,22 @@
 }
 
 func newController(plane *controlPlane, number int) *controller {
-	return &controller{controlPlane: plane, spec: &plane.spec.Controllers[number], address: plane.fleet.addresses.Addr(controlPlaneNet, 0, firstControllerPort+number)}
+	return &controller{
+		controlPlane: plane, spec: &plane.spec.Controllers[number],
+		address: plane.fleet.addresses.Addr(controlPlaneNet, 0, firstControllerPort+number),
+	}
+}
+
+// placeholders are the values of the placeholders that differ from process to process.
+type placeholders struct {
+	name     string // of the controller, or "step"
+	listen   string // address of the controller
+	config   string // path of the controller's configuration
+	stepFile string // path of the step's file
 }
 
 // expandPlaceholders replaces the placeholders that an experiment may use in configurations and arguments.
-func (c *controlPlane) expandPlaceholders(text, name, listen, config, stepFile string) string {
+func (c *controlPlane) expandPlaceholders(text string, own placeholders) string {
 	replicas := c.fleet.registryService.cluster.HTTPAddrs()
 	var quoted []string
 	for _, replica := range replicas {
@@ -49,11 +60,11 @@
 		"{replicas}", strings.Join(replicas, ","),
 		"{list}", "[" + strings.Join(quoted, ", ") + "]",
 		"{supervisor}", c.supervisorAddress(),
-		"{listen}", listen,
-		"{name}", name,
-		"{dir}", filepath.Join(c.fleet.options.Dir, name),
-		"{config}", config,
-		"{file}", stepFile,
+		"{listen}", own.listen,
+		"{name}", own.name,
+		"{dir}", filepath.Join(c.fleet.options.Dir, own.name),
+		"{config}", own.config,
+		"{file}", own.stepFile,
 	}
 	for _, controller := range c.controllers {
 		replacements = append(replacements, "{at:"+controller.spec.Name+"}", controller.address)
@@ -65,55 +76,56 @@
 }
 
 // start writes the controller's configuration, starts its process and waits for its ready line.
-func (k *controller) start(ctx context.Context) error {
+func (c *controller) start(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, controllerReadyTimeout)
 	defer cancel()
-	dir, name := k.controlPlane.fleet.options.Dir, k.spec.Name
+	dir, name := c.controlPlane.fleet.options.Dir, c.spec.Name
 	if err := os.MkdirAll(filepath.Join(dir, name), 0o755); err != nil {
 		return fmt.Errorf("controller %s: %w", name, err)
 	}
 	path := filepath.Join(dir, name+".toml")
-	config := k.controlPlane.expandPlaceholders(k.spec.Config, name, k.address, path, "")
+	own := placeholders{name: name, listen: c.address, config: path}
+	config := c.controlPlane.expandPlaceholders(c.spec.Config, own)
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		return fmt.Errorf("controller %s: %w", name, err)
 	}
 	var arguments []string
-	for _, argument := range k.spec.Args {
-		arguments = append(arguments, k.controlPlane.expandPlaceholders(argument, name, k.address, path, ""))
+	for _, argument := range c.spec.Args {
+		arguments = append(arguments, c.controlPlane.expandPlaceholders(argument, own))
 	}
 	process, err := proc.Start(proc.Spec{
-		Name: "controller " + name, Path: k.controlPlane.fleet.options.MilldeckPath, Args: arguments,
+		Name: "controller " + name, Path: c.controlPlane.fleet.options.MilldeckPath, Args: arguments,
 		Log: filepath.Join(dir, name+".log"),
 	})
 	if err != nil {
 		return err
 	}
-	k.mu.Lock()
-	k.process = process
-	k.mu.Unlock()
-	_, err = process.WaitLog(ctx, k.spec.ReadyLine)
+	c.mu.Lock()
+	c.process = process
+	c.mu.Unlock()
+	_, err = process.WaitLog(ctx, c.spec.ReadyLine)
 	return err
 }
 
 // runningProcess is the newest process, nil before the first start. It may have exited.
-func (k *controller) runningProcess() *proc.Process {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.process
+func (c *controller) runningProcess() *proc.Process {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.process
 }
 
 // kill ends the process at once.
-func (k *controller) kill() {
-	if process := k.runningProcess(); process != nil {
+func (c *controller) kill() {
+	if process := c.runningProcess(); process != nil {
 		process.Kill()
 	}
 }
 
 // stop ends the process gracefully. Whether it does so in time is not part of what the checker judges.
-func (k *controller) stop(ctx context.Context) {
-	if process := k.runningProcess(); process != nil && process.Running() {
+func (c *controller) stop(ctx context.Context) {
+	if process := c.runningProcess(); process != nil && process.Running() {
 		if err := process.Stop(ctx); err != nil {
-			slog.Warn("controller shutdown failed", "controller", k.spec.Name, "error", err)
+			slog.Warn("controller shutdown failed", "controller", c.spec.Name, "error", err)
 		}
 	}
 }
@@ -153,12 +165,13 @@
 // runCommand runs an operator's milldeck command, which has to exit with the step's status.
 func (c *controlPlane) runCommand(ctx context.Context, stepNumber int, step *lab.StepSpec) error {
 	path := filepath.Join(c.fleet.options.Dir, fmt.Sprintf("step%d.toml", stepNumber))
-	if err := os.WriteFile(path, []byte(c.expandPlaceholders(step.File, "step", "", "", path)), 0o600); err != nil {
+	own := placeholders{name: "step", stepFile: path}
+	if err := os.WriteFile(path, []byte(c.expandPlaceholders(step.File, own)), 0o600); err != nil {
 		return err
 	}
 	var arguments []string
 	for _, argument := range step.Args {
-		arguments = append(arguments, c.expandPlaceholders(argument, "step", "", "", path))
+		arguments = append(arguments, c.expandPlaceholders(argument, own))
 	}
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
--- a/internal/lab/live/controlplane.go
+++ b/internal/lab/live/controlplane.go
@@ -63,7 +63,9 @@
 
 func newControlPlane(fleet *fleet) *controlPlane {
 	plane := &controlPlane{
-		fleet: fleet, spec: fleet.plan.Experiment.ControlPlane, serverByUnit: map[string]int{}, sidecarByUnit: map[string]int{}, processes: map[int]*unitProcess{},
+		fleet: fleet, spec: fleet.plan.Experiment.ControlPlane,
+		serverByUnit: map[string]int{}, sidecarByUnit: map[string]int{},
+		processes: map[int]*unitProcess{},
 	}
 	plane.checker = lab.NewControlPlaneChecker(fleet.plan, fleet.checker)
 	plane.ctx, plane.cancel = context.WithCancel(fleet.ctx)
--- a/internal/lab/live/controlplane_faults.go
+++ b/internal/lab/live/controlplane_faults.go
@@ -130,7 +130,8 @@
 		return nil
 	}
 	_, err = c.supervisorClient.Do(ctx, supervisor.Request{
-		ID: fmt.Sprintf("lab/%s/%s/%d", op, unit, known.Incarnation), Op: op, Epoch: inventory.Epoch, Unit: unit, Incarnation: known.Incarnation,
+		ID: fmt.Sprintf("lab/%s/%s/%d", op, unit, known.Incarnation), Op: op, Epoch: inventory.Epoch,
+		Unit: unit, Incarnation: known.Incarnation,
 		Kind: known.Kind, Version: known.Version, Listen: known.Listen, Zone: known.Zone, ConfigName: known.ConfigName,
 	})
 	return err
--- a/internal/lab/live/controlplane_test.go
+++ b/internal/lab/live/controlplane_test.go
@@ -62,11 +62,12 @@
 most = 1
 `
 
+// stepTOML is an operator's step of an experiment.
 func stepTOML(action, target, atSeconds string) string {
 	return fmt.Sprintf("[[control.step]]\nat_s = %s\ndo = %q\ntarget = %q\n", atSeconds, action, target)
 }
 
-// What nobody of the control plane did breaks no rule, whatever fails; what is done behind its back is found.
+// Faults alone break no rule of the control plane. Steps that bypass the controllers do, and the checker finds them.
 func TestControlPlane(t *testing.T) {
 	for _, test := range []struct {
 		name, extra string
--- a/internal/lab/live/direct_actions.go
+++ b/internal/lab/live/direct_actions.go
@@ -16,6 +16,8 @@
 const (
 	maxPlacedKeys = 100              // keys of which copies are placed
 	copyTTL       = 30 * time.Second // of the copies
+	// hotKeyLease is the lease of the hot-key controller.
+	hotKeyLease = "spread"
 )
 
 // performAction performs a step that bypasses the controllers: the checker has to find it.
@@ -29,10 +31,11 @@
 	for _, i := range sidecarNumbers {
 		units = append(units, c.fleet.plan.Sidecars[i].Name)
 	}
+	registryClient := c.fleet.registryService.client
 	switch step.Action {
 	case "drain":
 		for _, uid := range servers {
-			if _, err := c.fleet.registryService.client.SetState(ctx, registry.WriteOptions{}, uid, registry.InstanceTerminating); err != nil {
+			if _, err := registryClient.SetState(ctx, registry.WriteOptions{}, uid, registry.InstanceTerminating); err != nil {
 				return err
 			}
 		}
@@ -55,9 +58,13 @@
 		if unit == nil {
 			return fmt.Errorf("the supervisor has no unit %s", name)
 		}
-		request := supervisor.Request{ID: fmt.Sprintf("lab/step%d/%s", stepNumber, name), Op: op, Epoch: inventory.Epoch, Unit: name, Incarnation: unit.Incarnation}
+		request := supervisor.Request{
+			ID: fmt.Sprintf("lab/step%d/%s", stepNumber, name), Op: op, Epoch: inventory.Epoch,
+			Unit: name, Incarnation: unit.Incarnation,
+		}
 		if op != supervisor.Stop {
-			request.Kind, request.Version, request.Listen, request.Zone, request.ConfigName = unit.Kind, unit.Version, unit.Listen, unit.Zone, unit.ConfigName
+			request.Kind, request.Version, request.ConfigName = unit.Kind, unit.Version, unit.ConfigName
+			request.Listen, request.Zone = unit.Listen, unit.Zone
 		}
 		requests = append(requests, request)
 	}
@@ -73,18 +80,22 @@
 // placeCopies takes the hot-key controller's lease and places copies of keys on servers without regard to their load.
 func (c *controlPlane) placeCopies(ctx context.Context, servers []string) error {
 	client := c.fleet.registryService.client
-	return leaderelection.Run(ctx, client, "spread", leaderelection.Options{}, func(ctx context.Context, lease *leaderelection.Lease) error {
+	place := func(ctx context.Context, lease *leaderelection.Lease) error {
 		now := time.Now()
+		loadFraction := 1 / float64(len(servers)+1) // what is left stays with the key's own server
 		var directives []placement.Directive
 		for i := range min(maxPlacedKeys, c.fleet.plan.Experiment.Clients.Keys) {
 			key := fmt.Sprintf("%016x", hashKey(c.fleet.plan.ClientKey(i)))
-			directive := placement.Directive{ID: "spread/" + key, Kind: placement.KindSpreadKey, KeyHash: key, ExpiresAtMS: now.Add(copyTTL).UnixMilli()}
+			directive := placement.Directive{
+				ID: "spread/" + key, Kind: placement.KindSpreadKey, KeyHash: key, ExpiresAtMS: now.Add(copyTTL).UnixMilli(),
+			}
 			for _, server := range servers {
-				directive.Copies = append(directive.Copies, placement.KeyCopy{ServerUID: server, LoadFraction: 1 / float64(len(servers)+1)})
+				directive.Copies = append(directive.Copies, placement.KeyCopy{ServerUID: server, LoadFraction: loadFraction})
 			}
 			directives = append(directives, directive)
 		}
 		_, err := client.SetPlacement(ctx, registry.WriteOptions{Guard: lease.Guard()}, now.UnixMilli(), directives)
 		return err
-	})
+	}
+	return leaderelection.Run(ctx, client, hotKeyLease, leaderelection.Options{}, place)
 }
--- a/internal/lab/live/discovery.go
+++ b/internal/lab/live/discovery.go
@@ -294,7 +294,8 @@
 		bootMS = f.unixMS(server.bootMS)
 	}
 	return endpoint{
-		UID: server.plan.UID, Endpoint: f.addresses.server(server.plan.AddressSlot, sidecar), Zone: f.plan.Experiment.Zones[server.plan.Zone],
+		UID: server.plan.UID, Endpoint: f.addresses.server(server.plan.AddressSlot, sidecar),
+		Zone:  f.plan.Experiment.Zones[server.plan.Zone],
 		Model: server.plan.Spec.Kind, PodGroup: server.plan.Cell, State: state, Capacity: 1, BootMS: bootMS,
 	}
 }
@@ -311,8 +312,9 @@
 	f.publishedStates[server.number] = state
 	for sidecar, agent := range f.agents {
 		notification := endpointChange{f.revision, server.number, f.endpointOf(server, sidecar, state)}
+		dueMS := f.now() + f.plan.Sidecars[sidecar].NotificationDelayMS + f.discoveryDelayMS
 		select {
-		case agent.deliveries <- delivery{f.now() + f.plan.Sidecars[sidecar].NotificationDelayMS + f.discoveryDelayMS, notification}:
+		case agent.deliveries <- delivery{dueMS, notification}:
 		case <-f.ctx.Done():
 		}
 	}
--- a/internal/lab/live/faults.go
+++ b/internal/lab/live/faults.go
@@ -231,7 +231,7 @@
 // partitioned from their own clients.
 func (f *fleet) setPartition(fault *lab.Fault, active bool) {
 	for number, process := range f.sidecars {
-		sidecar, client := lab.Endpoint{Kind: lab.SidecarEndpoint, Index: number}, lab.Endpoint{Kind: lab.ClientEndpoint, Index: number}
+		sidecar, client := sidecarEndpoint(number), lab.Endpoint{Kind: lab.ClientEndpoint, Index: number}
 		if active && (fault.Affects(client, sidecar) || fault.Affects(sidecar, client)) {
 			f.checker.ExcuseSidecar(process.number, f.now()-timeoutToleranceMS, fault.EndMS+faultAftermathMS)
 		}
--- a/internal/lab/live/frontend.go
+++ b/internal/lab/live/frontend.go
@@ -100,13 +100,13 @@
 }
 
 // resetConnections resets all connections and drops the jobs that they wait for, as the end of the process does.
-func (s *frontend) resetConnections() {
-	s.mu.Lock()
-	s.incarnation++
-	connections := s.connections
-	s.connections = map[net.Conn]struct{}{}
-	s.pendingJobs = map[int64]chan lab.JobCompletion{}
-	s.mu.Unlock()
+func (f *frontend) resetConnections() {
+	f.mu.Lock()
+	f.incarnation++
+	connections := f.connections
+	f.connections = map[net.Conn]struct{}{}
+	f.pendingJobs = map[int64]chan lab.JobCompletion{}
+	f.mu.Unlock()
 	for connection := range connections {
 		resetConnection(connection)
 	}
@@ -121,34 +121,36 @@
 
 // serveConnection answers the requests of one connection until it closes. A goroutine of its own reads, so that a close
 // is noticed while a request is processed.
-func (s *frontend) serveConnection(connection net.Conn, sidecar int) {
-	s.mu.Lock()
-	incarnation := s.incarnation
-	if !s.up || s.host.runContext().Err() != nil {
-		s.mu.Unlock()
+func (f *frontend) serveConnection(connection net.Conn, sidecar int) {
+	f.mu.Lock()
+	incarnation := f.incarnation
+	if !f.up || f.host.runContext().Err() != nil {
+		f.mu.Unlock()
 		resetConnection(connection)
 		return
 	}
-	s.connections[connection] = struct{}{}
-	overConnectionLimit := len(s.connections) > s.plan.Spec.MaxConnections
-	s.mu.Unlock()
-	ctx, cancel := context.WithCancel(s.host.runContext())
+	f.connections[connection] = struct{}{}
+	overConnectionLimit := len(f.connections) > f.plan.Spec.MaxConnections
+	f.mu.Unlock()
+	ctx, cancel := context.WithCancel(f.host.runContext())
 	defer func() {
 		cancel()
-		s.mu.Lock()
-		if s.incarnation == incarnation {
-			delete(s.connections, connection)
+		f.mu.Lock()
+		if f.incarnation == incarnation {
+			delete(f.connections, connection)
 		}
-		s.mu.Unlock()
+		f.mu.Unlock()
 		connection.Close()
 	}()
 	requests := make(chan receivedRequest, 1)
 	go func() {
 		defer cancel()
-		s.readRequests(ctx, connection, requests)
+		f.readRequests(ctx, connection, requests)
 	}()
-	idleTimeout := milliseconds(s.plan.Spec.IdleCloseMS)
-	client := clientPeer{connection: connection, sidecar: sidecar, newConnection: true, overConnectionLimit: overConnectionLimit}
+	idleTimeout := milliseconds(f.plan.Spec.IdleCloseMS)
+	client := clientPeer{
+		connection: connection, sidecar: sidecar, newConnection: true, overConnectionLimit: overConnectionLimit,
+	}
 	for {
 		_ = connection.SetReadDeadline(time.Now().Add(idleTimeout)) // fails on a closed connection, which the reader reports
 		select {
@@ -156,7 +158,7 @@
 			return
 		case received := <-requests:
 			_ = connection.SetReadDeadline(time.Time{}) // as above
-			if !s.handleRequest(ctx, client, received) {
+			if !f.handleRequest(ctx, client, received) {
 				return
 			}
 			client.newConnection = false
@@ -165,7 +167,7 @@
 }
 
 // readRequests sends each request to the channel; it returns when the connection has closed.
-func (s *frontend) readRequests(ctx context.Context, connection net.Conn, requests chan<- receivedRequest) {
+func (f *frontend) readRequests(ctx context.Context, connection net.Conn, requests chan<- receivedRequest) {
 	reader := bufio.NewReader(connection)
 	for {
 		if _, err := reader.Peek(1); err != nil {
--- a/internal/lab/live/frontend_attempt.go
+++ b/internal/lab/live/frontend_attempt.go
@@ -21,19 +21,19 @@
 }
 
 // handleRequest answers one request. False: the connection has to be closed.
-func (s *frontend) handleRequest(ctx context.Context, client clientPeer, received receivedRequest) bool {
-	if s.processEndpoint != nil {
-		if status, body, ok := s.processEndpoint(received.request.URL.Path); ok {
+func (f *frontend) handleRequest(ctx context.Context, client clientPeer, received receivedRequest) bool {
+	if f.processEndpoint != nil {
+		if status, body, ok := f.processEndpoint(received.request.URL.Path); ok {
 			return writeResponse(client.connection, status, "", body) // its client is on this machine: no network to model
 		}
 	}
 	requestID, err := strconv.ParseUint(received.request.Header.Get("X-Request-ID"), 16, 64)
 	if received.request.URL.Path != "/api" || err != nil {
-		return s.handleHealthCheck(ctx, client, received)
+		return f.handleHealthCheck(ctx, client, received)
 	}
-	attempt, ok := s.host.beginAttempt(requestID, client.sidecar, received)
+	attempt, ok := f.host.beginAttempt(requestID, client.sidecar, received)
 	handler := &attemptHandler{
-		frontend: s, client: client, received: received, requestID: requestID, attempt: attempt,
+		frontend: f, client: client, received: received, requestID: requestID, attempt: attempt,
 	}
 	// A closed connection ends the attempt for the checker at once, whatever link is partitioned in between.
 	defer context.AfterFunc(ctx, func() { handler.end(connectionClosed) })()
@@ -45,16 +45,16 @@
 }
 
 // handleHealthCheck answers a sidecar's health check; any other path is not found.
-func (s *frontend) handleHealthCheck(ctx context.Context, client clientPeer, received receivedRequest) bool {
-	path := s.host.pathTo(client.sidecar)
-	if received.request.URL.Path != "/health/live" || !s.answersHealthChecks {
+func (f *frontend) handleHealthCheck(ctx context.Context, client clientPeer, received receivedRequest) bool {
+	path := f.host.pathTo(client.sidecar)
+	if received.request.URL.Path != "/health/live" || !f.answersHealthChecks {
 		return awaitDelivery(ctx, path.deliverResponse) && writeResponse(client.connection, http.StatusNotFound, "", "")
 	}
-	s.host.addCounts(func(counts *lab.Counts) { counts.HealthChecks++ })
+	f.host.addCounts(func(counts *lab.Counts) { counts.HealthChecks++ })
 	if !awaitDelivery(ctx, func(ctx context.Context) bool { return path.deliverRequest(ctx, client.newConnection) }) {
 		return false
 	}
-	s.submit(lab.Job{WorkMS: healthCheckWorkMS})
+	f.submit(lab.Job{WorkMS: healthCheckWorkMS})
 	return awaitDelivery(ctx, path.deliverResponse) && writeResponse(client.connection, http.StatusOK, "", "")
 }
 
@@ -115,10 +115,10 @@
 }
 
 // chargeHandshake has the model do the work of a new connection.
-func (s *frontend) chargeHandshake() {
-	s.host.addCounts(func(counts *lab.Counts) { counts.Handshakes++ })
-	if s.plan.Spec.HandshakeMS > 0 {
-		s.submit(lab.Job{WorkMS: s.plan.Spec.HandshakeMS})
+func (f *frontend) chargeHandshake() {
+	f.host.addCounts(func(counts *lab.Counts) { counts.Handshakes++ })
+	if f.plan.Spec.HandshakeMS > 0 {
+		f.submit(lab.Job{WorkMS: f.plan.Spec.HandshakeMS})
 	}
 }
 
--- a/internal/lab/live/lab_client.go
+++ b/internal/lab/live/lab_client.go
@@ -112,8 +112,8 @@
 }
 
 // call calls the lab and waits for the reply. False: the lab does not answer, and reply is not set.
-func (r *labClient) call(method string, arguments, reply any) bool {
-	if err := r.rpcClient.Call(method, arguments, reply); err != nil {
+func (c *labClient) call(method string, arguments, reply any) bool {
+	if err := c.rpcClient.Call(method, arguments, reply); err != nil {
 		slog.Debug("call to the lab failed", "method", method, "error", err)
 		return false
 	}
@@ -121,8 +121,8 @@
 }
 
 // notify calls the lab without waiting. A lost report has no consequence: its lab is gone.
-func (r *labClient) notify(method string, arguments any) {
-	r.rpcClient.Go(method, arguments, new(int), make(chan *rpc.Call, 1))
+func (c *labClient) notify(method string, arguments any) {
+	c.rpcClient.Go(method, arguments, new(int), make(chan *rpc.Call, 1))
 }
 
 // remoteAttempt is an attempt that the lab follows.
@@ -132,31 +132,31 @@
 	requestJob lab.Job
 }
 
-func (r *labClient) beginAttempt(requestID uint64, received receivedRequest) (serverAttempt, bool) {
-	attempt := &remoteAttempt{lab: r, number: r.lastCall.Add(1)}
-	var begun BeginReply
+func (c *labClient) beginAttempt(requestID uint64, received receivedRequest) (serverAttempt, bool) {
+	attempt := &remoteAttempt{lab: c, number: c.lastCall.Add(1)}
+	var reply BeginReply
 	begin := BeginRequest{
 		Call: attempt.number, ID: requestID, First: received.firstByteAt.UnixNano(), Last: received.lastByteAt.UnixNano(),
 	}
-	known := r.call(methodBegin, begin, &begun) && begun.Known
-	attempt.requestJob = begun.Job
+	known := c.call(methodBegin, begin, &reply) && reply.Known
+	attempt.requestJob = reply.Job
 	return attempt, known
 }
 
-func (c *remoteAttempt) job() lab.Job { return c.requestJob }
+func (a *remoteAttempt) job() lab.Job { return a.requestJob }
 
-func (c *remoteAttempt) deliverRequest(ctx context.Context, newConnection bool) bool {
-	return c.transit(ctx, TransitRequest{Call: c.number, Fresh: newConnection})
+func (a *remoteAttempt) deliverRequest(ctx context.Context, newConnection bool) bool {
+	return a.transit(ctx, TransitRequest{Call: a.number, Fresh: newConnection})
 }
 
-func (c *remoteAttempt) deliverResponse(ctx context.Context) bool {
-	return c.transit(ctx, TransitRequest{Call: c.number, Back: true})
+func (a *remoteAttempt) deliverResponse(ctx context.Context) bool {
+	return a.transit(ctx, TransitRequest{Call: a.number, Back: true})
 }
 
 // transit waits until a message has crossed the modelled network. False: it is lost, or ctx has ended.
-func (c *remoteAttempt) transit(ctx context.Context, request TransitRequest) bool {
+func (a *remoteAttempt) transit(ctx context.Context, request TransitRequest) bool {
 	var ok bool
-	call := c.lab.rpcClient.Go(methodTransit, request, &ok, make(chan *rpc.Call, 1))
+	call := a.lab.rpcClient.Go(methodTransit, request, &ok, make(chan *rpc.Call, 1))
 	select {
 	case <-ctx.Done():
 		return false
@@ -165,39 +165,39 @@
 	}
 }
 
-func (c *remoteAttempt) ended(result string) {
-	c.lab.notify(methodEnd, AttemptEndReport{Call: c.number, At: time.Now().UnixNano(), How: result})
+func (a *remoteAttempt) ended(result string) {
+	a.lab.notify(methodEnd, AttemptEndReport{Call: a.number, At: time.Now().UnixNano(), How: result})
 }
 
-func (c *remoteAttempt) responseProduced() { c.lab.call(methodResponse, c.number, new(int)) }
+func (a *remoteAttempt) responseProduced() { a.lab.call(methodResponse, a.number, new(int)) }
 
-func (r *labClient) addCounts(apply func(*lab.Counts)) {
+func (c *labClient) addCounts(apply func(*lab.Counts)) {
 	var counts lab.Counts
 	apply(&counts)
-	r.notify(methodCounts, counts)
+	c.notify(methodCounts, counts)
 }
 
-func (r *labClient) reportReady() { r.readyOnce.Do(func() { r.notify(methodReady, 0) }) }
+func (c *labClient) reportReady() { c.readyOnce.Do(func() { c.notify(methodReady, 0) }) }
 
-func (r *labClient) reportTerminating() { r.call(methodTerminating, 0, new(int)) }
+func (c *labClient) reportTerminating() { c.call(methodTerminating, 0, new(int)) }
 
-func (r *labClient) jobCompleted(at time.Time, completion lab.JobCompletion) {
-	r.notify(methodExecution, ExecutionReport{
+func (c *labClient) jobCompleted(at time.Time, completion lab.JobCompletion) {
+	c.notify(methodExecution, ExecutionReport{
 		Request: completion.Request, At: at.UnixNano(), Effect: completion.EffectApplied,
 		Work: completion.ActualWorkMS, Key: completion.Key, Met: completion.CacheHit,
 	})
 }
 
-func (r *labClient) overloaded(at time.Time, overload *lab.SlowStartOverload) {
-	r.call(methodOverload, OverloadReport{At: at.UnixNano(), Fall: *overload}, new(int))
+func (c *labClient) overloaded(at time.Time, overload *lab.SlowStartOverload) {
+	c.call(methodOverload, OverloadReport{At: at.UnixNano(), Fall: *overload}, new(int))
 }
 
 // CheckAndRecord asks the lab, which holds the effects of all servers of a deduplication scope.
-func (r *labClient) CheckAndRecord(_ float64, _ *lab.ServerPlan, _ *lab.ClassPlan, number int, effect uint64) bool {
-	var seen bool
-	return r.call(methodEffect, EffectQuery{Class: number, Effect: effect}, &seen) && seen
+func (c *labClient) CheckAndRecord(_ float64, _ *lab.ServerPlan, _ *lab.ClassPlan, number int, effect uint64) bool {
+	var applied bool
+	return c.call(methodEffect, EffectQuery{Class: number, Effect: effect}, &applied) && applied
 }
 
-func (r *labClient) close() {
-	_ = r.rpcClient.Close() // fails where the connection is closed already
+func (c *labClient) close() {
+	_ = c.rpcClient.Close() // fails where the connection is closed already
 }
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -85,17 +85,17 @@
 	createdAt   time.Time
 	startOffset atomic.Int64 // ns from createdAt to the run's time 0, when all sidecars are ready
 
-	registryService *registryService // nil: discovery is the stand-in of this process
-	controlPlane    *controlPlane    // nil: the experiment has none
-	servers         []*server
-	agents          []*agent
-	sidecars        []*sidecarProcess
-	openClients     sync.WaitGroup
-	sidecarRestarts sync.WaitGroup
-	openRequests    atomic.Int64
-	lastRequestID   atomic.Uint64
-	lastAttempt     atomic.Int64
-	sentRequests    sync.Map // request id to *sentRequest
+	registryService  *registryService // nil: discovery is the stand-in of this process
+	controlPlane     *controlPlane    // nil: the experiment has none
+	servers          []*server
+	agents           []*agent
+	sidecars         []*sidecarProcess
+	clientGoroutines sync.WaitGroup
+	sidecarRestarts  sync.WaitGroup
+	openRequests     atomic.Int64
+	lastRequestID    atomic.Uint64
+	lastAttempt      atomic.Int64
+	sentRequests     sync.Map // request id to *sentRequest
 
 	gossip *gossipRelay // nil: sidecars may not exchange gossip
 
@@ -115,7 +115,8 @@
 		return nil, err
 	}
 	fleet := &fleet{
-		plan: plan, options: options, checker: lab.NewChecker(plan, timeoutToleranceMS), recorder: lab.NewRecorder(plan), effects: lab.NewMemoryEffectStore(),
+		plan: plan, options: options,
+		checker: lab.NewChecker(plan, timeoutToleranceMS), recorder: lab.NewRecorder(plan), effects: lab.NewMemoryEffectStore(),
 		addresses: addresses{block}, network: newNetwork(), publishedStates: map[int]string{}, revision: 1,
 	}
 	fleet.ctx, fleet.cancel = context.WithCancel(context.Background())
@@ -250,7 +251,7 @@
 	f.sidecarRestarts.Wait()
 	f.stopSidecars()
 	f.cancel()
-	f.openClients.Wait()
+	f.clientGoroutines.Wait()
 	f.checker.Finish(f.now())
 	result := f.recorder.Result("run", "module", f.checker)
 	result.CutShort = ctx.Err() != nil
@@ -293,7 +294,9 @@
 	for sleep(ctx, time.Second) {
 		now := f.now()
 		requests, served := f.recorder.Progress()
-		progress := Progress{LoadShare: min(1, now/f.plan.DurationMS), AtSeconds: now / 1000, Requests: requests, ServedShare: served}
+		progress := Progress{
+			LoadShare: min(1, now/f.plan.DurationMS), AtSeconds: now / 1000, Requests: requests, ServedShare: served,
+		}
 		for i := range f.plan.Faults {
 			if fault := &f.plan.Faults[i]; now >= fault.StartMS && now < fault.EndMS {
 				progress.ActiveFaults = append(progress.ActiveFaults, fault.Label)
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -55,11 +55,13 @@
 rate = 120
 `
 
+// playFleet runs fleetExperiment.
 func playFleet(t *testing.T, ctx context.Context, duration, faults string) (*lab.Result, string) {
 	t.Helper()
 	return playExperiment(t, ctx, fleetExperiment, duration, faults)
 }
 
+// playExperiment runs an experiment and reports the rules that it breaks.
 func playExperiment(t *testing.T, ctx context.Context, template, duration, faults string) (*lab.Result, string) {
 	t.Helper()
 	experiment, err := lab.Parse("live.toml", []byte(fmt.Sprintf(template, duration)+faults))
@@ -80,6 +82,7 @@
 	return result, dir
 }
 
+// faultTOML is a fault of an experiment.
 func faultTOML(kind, target, atSeconds, lastsSeconds, extra string) string {
 	text := fmt.Sprintf("[[fault]]\nkind = %q\nat_s = %s\n%s\n", kind, atSeconds, extra)
 	if target != "" {
@@ -91,7 +94,7 @@
 	return text
 }
 
-// Real processes, with every kind of fault between them, break no rule and serve what can be served.
+// Real processes under every kind of fault break no rule and serve most requests.
 func TestFleetUnderFaults(t *testing.T) {
 	for name, faults := range map[string]string{
 		"processes": faultTOML("kill", "sidecar:0", "0.8", "0.3", "") + faultTOML("freeze", "sidecar:1", "1", "0.4", "") +
@@ -134,13 +137,13 @@
 	}
 }
 
-// An interrupt ends all children and still gives a result.
+// An interrupted run stops all its processes and still returns a result.
 func TestInterruptedRunStopsItsProcesses(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	time.AfterFunc(1500*time.Millisecond, cancel) // in mid-run, whenever that is
-	r, _ := playFleet(t, ctx, "60", faultTOML("freeze", "sidecar:0", "0.2", "50", ""))
-	if !r.CutShort || r.Requests == 0 {
-		t.Errorf("cut short: %v, %d requests", r.CutShort, r.Requests)
+	time.AfterFunc(1500*time.Millisecond, cancel) // while the load is sent
+	result, _ := playFleet(t, ctx, "60", faultTOML("freeze", "sidecar:0", "0.2", "50", ""))
+	if !result.CutShort || result.Requests == 0 {
+		t.Errorf("cut short: %v, %d requests", result.CutShort, result.Requests)
 	}
 	children, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
@@ -149,7 +152,7 @@
 	for _, path := range children {
 		data, err := os.ReadFile(path)
 		if err != nil {
-			continue // ended meanwhile
+			continue // exited meanwhile
 		}
 		var pid, parent int
 		var name, state string
@@ -162,40 +165,40 @@
 	}
 }
 
-// Sidecars that meet each server seldom tell each other of those that are late, but not over links that are cut; once these are whole again
-// no more is told than the requests pay for.
+// Sidecars that rarely reach each server gossip about the slow ones, but not across a partition. Once the partition has
+// healed they send no more than the budget that the requests earn.
 func TestGossipBetweenProcesses(t *testing.T) {
-	const bytesPerRequest, burst = 2.2, 400 + 39 // bytes: balance's tellSpend at a price of 0.06, tellBurst and the question
-	const initialRequests = 3 * 2                // each asks the others at its start, which is before the first fault
+	const bytesPerRequest, burst = 2.2, 400 + 39 // balance's gossip budget at a cost of 0.06, gossipBurstBytes, and a poll
+	const initialRequests = 3 * 2                // each polls the others at its start, before the first fault
 	play := func(t *testing.T, partition string) *lab.Result {
 		faults := "[limits]\nmay_tell = true\ncancel = true\n[prices]\npeer = 0.06\n" +
 			faultTOML("slow", "server:0-19", "0.4", "1", "by = 40") + faultTOML("slow", "server:0-19", "1.8", "1", "by = 40")
 		manyServers := strings.Replace(fleetExperiment, "count = 6\n", "count = 60\nwarm_gain = 0.3\nwarm_ms = 5000\nwarm_keys = 50\n", 1)
 		result, _ := playExperiment(t, t.Context(), manyServers, "2.8", faults+partition)
 		if limit := bytesPerRequest*float64(result.Requests) + 3*burst; float64(result.GossipBytes) > limit {
-			t.Errorf("%d bytes told with %d requests, at most %.0f", result.GossipBytes, result.Requests, limit)
+			t.Errorf("%d bytes of gossip with %d requests, at most %.0f", result.GossipBytes, result.Requests, limit)
 		}
 		return result
 	}
 	partition := func(at, lastsSeconds string) string {
 		return faultTOML("cut", "", at, lastsSeconds, `between = ["sidecars", "sidecars"]`)
 	}
-	t.Run("whole", func(t *testing.T) {
+	t.Run("connected", func(t *testing.T) {
 		t.Parallel()
 		if result := play(t, ""); result.GossipMessages <= initialRequests {
-			t.Errorf("nothing was told, %d messages", result.GossipMessages)
+			t.Errorf("no gossip, %d messages", result.GossipMessages)
 		}
 	})
-	t.Run("cut", func(t *testing.T) {
+	t.Run("partitioned", func(t *testing.T) {
 		t.Parallel()
 		if result := play(t, partition("0", "9")); result.GossipMessages > initialRequests {
-			t.Errorf("%d messages crossed cut links", result.GossipMessages)
+			t.Errorf("%d messages crossed the partition", result.GossipMessages)
 		}
 	})
 	t.Run("healed", func(t *testing.T) {
 		t.Parallel()
 		if result := play(t, partition("0", "1.6")); result.GossipMessages <= initialRequests {
-			t.Error("nothing was told once the links were whole")
+			t.Error("no gossip once the partition had healed")
 		}
 	})
 }
--- a/internal/lab/live/registry_service.go
+++ b/internal/lab/live/registry_service.go
@@ -169,14 +169,15 @@
 		numberByUID[server.plan.UID] = server.number
 	}
 	for r.ctx.Err() == nil {
-		err := r.client.WatchEndpoints(r.ctx, agent.address(), revision, 0, func(update *registry.EndpointList, _ time.Duration) error {
+		apply := func(update *registry.EndpointList, _ time.Duration) error {
 			if update == nil {
 				return nil
 			}
 			revision = update.Revision
 			agent.applyUpdate(update, numberByUID)
 			return nil
-		})
+		}
+		err := r.client.WatchEndpoints(r.ctx, agent.address(), revision, 0, apply)
 		slog.Debug("agent watch ended", "sidecar", agent.sidecar, "error", err)
 		sleep(r.ctx, readyPollInterval)
 	}
--- a/internal/lab/live/server_network.go
+++ b/internal/lab/live/server_network.go
@@ -15,29 +15,29 @@
 }
 
 // latency is the one-way delay between the sidecar's zone and the server, with jitter.
-func (l *sidecarPath) latency() time.Duration {
-	delayMS := l.fleet.plan.Servers[l.server].DelayByZone[l.fleet.plan.Sidecars[l.sidecar].Zone]
-	return milliseconds(delayMS * (1 + l.fleet.plan.Experiment.Network.Jitter*(2*rand.Float64()-1)))
+func (p *sidecarPath) latency() time.Duration {
+	delayMS := p.fleet.plan.Servers[p.server].DelayByZone[p.fleet.plan.Sidecars[p.sidecar].Zone]
+	return milliseconds(delayMS * (1 + p.fleet.plan.Experiment.Network.Jitter*(2*rand.Float64()-1)))
 }
 
 // endpoints are the two ends of the link.
-func (l *sidecarPath) endpoints() (server, sidecar lab.Endpoint) {
-	return lab.Endpoint{Kind: lab.ServerEndpoint, Index: l.server}, sidecarEndpoint(l.sidecar)
+func (p *sidecarPath) endpoints() (server, sidecar lab.Endpoint) {
+	return lab.Endpoint{Kind: lab.ServerEndpoint, Index: p.server}, sidecarEndpoint(p.sidecar)
 }
 
-func (l *sidecarPath) deliverRequest(ctx context.Context, newConnection bool) bool {
-	server, sidecar := l.endpoints()
+func (p *sidecarPath) deliverRequest(ctx context.Context, newConnection bool) bool {
+	server, sidecar := p.endpoints()
 	oneWayTrips := 1.0
 	if newConnection {
 		oneWayTrips += 2 * handshakeRoundTrips
 	}
-	delay := time.Duration(oneWayTrips * float64(l.latency()))
-	return l.fleet.network.transmit(ctx, sidecar, server, delay, rand.Float64())
+	delay := time.Duration(oneWayTrips * float64(p.latency()))
+	return p.fleet.network.transmit(ctx, sidecar, server, delay, rand.Float64())
 }
 
-func (l *sidecarPath) deliverResponse(ctx context.Context) bool {
-	server, sidecar := l.endpoints()
-	return l.fleet.network.transmit(ctx, server, sidecar, l.latency(), rand.Float64())
+func (p *sidecarPath) deliverResponse(ctx context.Context) bool {
+	server, sidecar := p.endpoints()
+	return p.fleet.network.transmit(ctx, server, sidecar, p.latency(), rand.Float64())
 }
 
 // observedAttempt is an attempt at a server in this or in its own process, which the checker and the recorder follow.
@@ -63,23 +63,23 @@
 	return attempt, ok
 }
 
-func (c *observedAttempt) job() lab.Job {
-	request := c.request
+func (a *observedAttempt) job() lab.Job {
+	request := a.request
 	return lab.Job{
-		Attempt: c.attempt, Request: c.requestID, Class: request.Class,
+		Attempt: a.attempt, Request: a.requestID, Class: request.Class,
 		Key: request.Key, EffectID: request.EffectID, WorkMS: request.WorkMS,
-		SenderInformed: c.fleet.isInformed(c.sidecar, c.server),
+		SenderInformed: a.fleet.isInformed(a.sidecar, a.server),
 	}
 }
 
-func (c *observedAttempt) ended(result string) { c.endedAt(c.fleet.now(), result) }
+func (a *observedAttempt) ended(result string) { a.endedAt(a.fleet.now(), result) }
 
 // endedAt ends the attempt at a time of the run in ms.
-func (c *observedAttempt) endedAt(now float64, result string) {
-	c.fleet.checker.AttemptEnded(now, c.requestID, c.attempt, result)
-	c.fleet.recorder.AttemptDone(now, c.sidecar, c.server, c.fleet.isRetry(c.requestID), result)
+func (a *observedAttempt) endedAt(now float64, result string) {
+	a.fleet.checker.AttemptEnded(now, a.requestID, a.attempt, result)
+	a.fleet.recorder.AttemptDone(now, a.sidecar, a.server, a.fleet.isRetry(a.requestID), result)
 }
 
-func (c *observedAttempt) responseProduced() {
-	c.fleet.checker.ResponseProduced(c.fleet.now(), c.requestID, c.server)
+func (a *observedAttempt) responseProduced() {
+	a.fleet.checker.ResponseProduced(a.fleet.now(), a.requestID, a.server)
 }
--- a/internal/lab/live/server_process.go
+++ b/internal/lab/live/server_process.go
@@ -62,32 +62,34 @@
 }
 
 // validate applies the limits that hold for a complete experiment.
-func (f *ServerConfig) validate(file *config.File) error {
-	f.Kind.Count = lab.Range{Min: 1, Max: 1}
-	experiment := lab.Experiment{Servers: []lab.ServerSpec{f.Kind}, Classes: f.Classes}
+func (c *ServerConfig) validate(file *config.File) error {
+	c.Kind.Count = lab.Range{Min: 1, Max: 1}
+	experiment := lab.Experiment{Servers: []lab.ServerSpec{c.Kind}, Classes: c.Classes}
 	if err := experiment.ValidateServer(file); err != nil {
 		return err
 	}
-	f.Kind = experiment.Servers[0]
+	c.Kind = experiment.Servers[0]
 	switch {
-	case f.Number < 0 || f.Zone < 0 || f.PodGroup < 0:
+	case c.Number < 0 || c.Zone < 0 || c.PodGroup < 0:
 		return file.Errorf("number", "number, zone and pod are from 0 on")
-	case !(f.Speed > 0 && f.Speed <= 100):
-		return file.Errorf("speed", "%v is not within 0 to 100", f.Speed)
-	case !(f.SlowStartMS >= 0 && f.SlowStartMS <= 3.6e6):
-		return file.Errorf("cold_ms", "%v is not within 0 to 3600000", f.SlowStartMS)
-	case len(f.Classes) == 0:
+	case !(c.Speed > 0 && c.Speed <= 100):
+		return file.Errorf("speed", "%v is not within 0 to 100", c.Speed)
+	case !(c.SlowStartMS >= 0 && c.SlowStartMS <= 3.6e6):
+		return file.Errorf("cold_ms", "%v is not within 0 to 3600000", c.SlowStartMS)
+	case len(c.Classes) == 0:
 		return file.Errorf("class", "no classes")
 	}
 	return nil
 }
 
 // plan is a plan with this server alone, as number 0.
-func (f *ServerConfig) plan() *lab.Plan {
-	experiment := &lab.Experiment{Rules: f.Rules, Servers: []lab.ServerSpec{f.Kind}, Classes: f.Classes}
+func (c *ServerConfig) plan() *lab.Plan {
+	experiment := &lab.Experiment{Rules: c.Rules, Servers: []lab.ServerSpec{c.Kind}, Classes: c.Classes}
 	return &lab.Plan{
-		Experiment: experiment, Seed: f.Seed,
-		Servers: []lab.ServerPlan{{Spec: &experiment.Servers[0], Zone: f.Zone, Cell: f.PodGroup, Speed: f.Speed, SlowStartMS: f.SlowStartMS}},
+		Experiment: experiment, Seed: c.Seed,
+		Servers: []lab.ServerPlan{{
+			Spec: &experiment.Servers[0], Zone: c.Zone, Cell: c.PodGroup, Speed: c.Speed, SlowStartMS: c.SlowStartMS,
+		}},
 		Classes: lab.NewClassPlans(experiment.Classes),
 	}
 }
@@ -219,7 +221,8 @@
 		p.frontend.mu.Lock()
 		warmingUp := p.frontend.model.IsWarmingUp(p.now())
 		p.frontend.mu.Unlock()
-		body := fmt.Sprintf("{\"open\":%d,\"taken\":%d,\"cold\":%v}\n", p.openAttempts.Load(), p.receivedAttempts.Load(), warmingUp)
+		body := fmt.Sprintf("{\"open\":%d,\"taken\":%d,\"cold\":%v}\n",
+			p.openAttempts.Load(), p.receivedAttempts.Load(), warmingUp)
 		return http.StatusOK, body, true
 	}
 	return 0, "", false
@@ -333,9 +336,9 @@
 	openAttempts *atomic.Int64
 }
 
-func (c *countedAttempt) ended(result string) {
-	c.serverAttempt.ended(result)
-	c.openAttempts.Add(-1)
+func (a *countedAttempt) ended(result string) {
+	a.serverAttempt.ended(result)
+	a.openAttempts.Add(-1)
 }
 
 // directPath is a path without delay and loss: that of the supervisor, and of sidecars that are not known.
--- a/internal/lab/live/server_process_test.go
+++ b/internal/lab/live/server_process_test.go
@@ -37,7 +37,8 @@
 effect = "safe"
 `
 
-// startServer starts a model server with a harm; it waits for "serves" where that is to come.
+// startServer starts a server process with a regression, in TOML. With serves it waits until the process accepts
+// connections and returns its address.
 func startServer(t *testing.T, work, regression string, serves bool) (*proc.Process, string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -69,7 +70,7 @@
 	return process, address
 }
 
-// sendRequest asks a server as a sidecar does and gives the status, 0 where there is no answer.
+// sendRequest sends a request as a sidecar does and returns the status, 0 where there is no response.
 func sendRequest(t *testing.T, address, class string, id int) int {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+"/api", nil)
@@ -84,13 +85,14 @@
 		return 0
 	}
 	defer response.Body.Close()
-	body, _ := bufio.NewReader(response.Body).ReadString('\n') // as long as the answer is
+	body, _ := bufio.NewReader(response.Body).ReadString('\n') // a body without a newline ends in io.EOF
 	if response.StatusCode == http.StatusOK && body != fmt.Sprintf("%016x 3", id) {
 		t.Errorf("request %x is answered with %q", id, body)
 	}
 	return response.StatusCode
 }
 
+// readinessOf is the status of the readiness check, 0 where there is no response.
 func readinessOf(t *testing.T, address string) int {
 	t.Helper()
 	response, err := http.Get("http://" + address + "/health/ready")
@@ -101,13 +103,13 @@
 	return response.StatusCode
 }
 
-// A server's process answers, drains at SIGTERM what it has taken, and a version does wrong what it is told to.
+// A server process answers requests, drains at SIGTERM, and shows the regression of its version.
 func TestServerProcess(t *testing.T) {
 	t.Run("drains", func(t *testing.T) {
 		t.Parallel()
 		process, address := startServer(t, "400, 400", "", true)
-		if statuses := readinessOf(t, address); statuses != http.StatusOK {
-			t.Errorf("ready check: %d", statuses)
+		if status := readinessOf(t, address); status != http.StatusOK {
+			t.Errorf("readiness check: %d", status)
 		}
 		statuses := make(chan int)
 		go func() { statuses <- sendRequest(t, address, "read", 7) }()
@@ -116,10 +118,10 @@
 			t.Fatal(err)
 		}
 		if status := <-statuses; status != http.StatusOK {
-			t.Errorf("what it had taken got %d", status)
+			t.Errorf("the request in flight got %d", status)
 		}
 		if err := process.Wait(); err != nil {
-			t.Errorf("its end: %v", err)
+			t.Errorf("exit after the drain: %v", err)
 		}
 	})
 	t.Run("loses answers", func(t *testing.T) {
@@ -132,7 +134,7 @@
 			t.Fatal(err)
 		}
 		if status := <-statuses; status != 0 {
-			t.Errorf("what it had taken got %d", status)
+			t.Errorf("the request in flight got %d", status)
 		}
 	})
 	t.Run("one class", func(t *testing.T) {
@@ -145,13 +147,13 @@
 	t.Run("never ready", func(t *testing.T) {
 		t.Parallel()
 		if _, address := startServer(t, "1, 1", "never_ready = true\n", true); readinessOf(t, address) != http.StatusServiceUnavailable {
-			t.Error("it says that it is ready")
+			t.Error("the readiness check succeeds")
 		}
 	})
 	t.Run("fails at start", func(t *testing.T) {
 		t.Parallel()
 		if process, _ := startServer(t, "1, 1", "fails_at_start = true\n", false); process.Wait() == nil {
-			t.Error("it ended well")
+			t.Error("the process exited with status 0")
 		}
 	})
 	t.Run("leaks", func(t *testing.T) {
@@ -169,7 +171,7 @@
 	})
 }
 
-// awaitOpenRequest waits until the server holds a request.
+// awaitOpenRequest waits until the server has a request in flight.
 func awaitOpenRequest(t *testing.T, address string) {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -187,10 +189,10 @@
 			return
 		}
 	}
-	t.Fatal("no request came")
+	t.Fatal("no request in flight within 5 s")
 }
 
-// The harm of a version is decided by the request alone.
+// Whether a regression affects a request depends on the request, the load and the draw alone.
 func TestRegressionDependsOnRequest(t *testing.T) {
 	regression := lab.Regression{ErrorShare: 0.5, Slowdown: 1.3, SlowdownAboveLoad: 1, Class: "read", Tenant: "branch"}
 	for _, test := range []struct {
--- a/internal/lab/live/server_session.go
+++ b/internal/lab/live/server_session.go
@@ -55,10 +55,10 @@
 	onDisconnect func()
 }
 
-func (w *monitoredConnection) Read(buffer []byte) (int, error) {
-	n, err := w.Conn.Read(buffer)
+func (c *monitoredConnection) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
 	if err != nil {
-		w.onDisconnect()
+		c.onDisconnect()
 	}
 	return n, err
 }
@@ -215,14 +215,14 @@
 }
 
 // Seen returns whether the effect has been applied in the server's deduplication scope before, and records it.
-func (s *serverSession) Seen(query EffectQuery, seen *bool) error {
+func (s *serverSession) Seen(query EffectQuery, applied *bool) error {
 	server, err := s.identified()
 	fleet := s.controlPlane.fleet
 	if err != nil || query.Class < 0 || query.Class >= len(fleet.plan.Classes) {
 		return err
 	}
 	class := &fleet.plan.Classes[query.Class]
-	*seen = fleet.effects.CheckAndRecord(fleet.now(), server.plan, class, query.Class, query.Effect)
+	*applied = fleet.effects.CheckAndRecord(fleet.now(), server.plan, class, query.Class, query.Effect)
 	return nil
 }
 
--- a/internal/lab/live/sidecar.go
+++ b/internal/lab/live/sidecar.go
@@ -45,7 +45,8 @@
 		return err
 	}
 	process, err := proc.Start(proc.Spec{
-		Name: "sidecar " + fleet.plan.Sidecars[s.number].Name, Path: fleet.options.SidecarPath, Env: []string{"NODE_CONFIG=" + path},
+		Name: "sidecar " + fleet.plan.Sidecars[s.number].Name,
+		Path: fleet.options.SidecarPath, Env: []string{"NODE_CONFIG=" + path},
 		Log: filepath.Join(fleet.options.Dir, fleet.plan.Sidecars[s.number].Name+".log"),
 	})
 	if err != nil {
@@ -85,33 +86,54 @@
 	return nil
 }
 
+// sidecarConfig is a sidecar's configuration file, with the keys in alphabetical order.
+type sidecarConfig struct {
+	Application  string          `json:"application,omitempty"`
+	Discovery    string          `json:"discovery"`
+	Known        endpointList    `json:"known"`
+	Limits       sidecarLimits   `json:"limits"`
+	Listen       string          `json:"listen"`
+	Name         string          `json:"name"`
+	GossipListen string          `json:"peer_listen,omitempty"`
+	GossipPeers  []string        `json:"peers,omitempty"`
+	Placement    string          `json:"placement,omitempty"`
+	Seed         string          `json:"seed"`
+	Settings     json.RawMessage `json:"settings"`
+	Version      string          `json:"version,omitempty"`
+}
+
+type sidecarLimits struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
 // config is the configuration of the sidecar's next incarnation, in JSON.
 func (s *sidecarProcess) config() ([]byte, error) {
 	fleet, agent := s.fleet, s.fleet.agents[s.number]
 	agent.mu.Lock()
-	endpoints := agent.fullList()
+	known := agent.fullList()
 	discovery := agent.address()
 	agent.mu.Unlock()
 	spec := fleet.plan.Experiment.Sidecars
-	type object = map[string]any
-	config := object{
-		"name": fleet.plan.Sidecars[s.number].Name, "listen": s.address, "discovery": discovery,
-		"seed":   fmt.Sprintf("%016x", fleet.plan.IncarnationSeed(s.number, s.incarnation)),
-		"limits": object{"cores": spec.Cores, "memory_mb": spec.MemoryMB, "sockets": spec.Sockets},
-		"known":  endpoints, "settings": json.RawMessage(fleet.plan.Settings(s.number)),
+	config := sidecarConfig{
+		Name:      fleet.plan.Sidecars[s.number].Name,
+		Listen:    s.address,
+		Discovery: discovery,
+		Seed:      fmt.Sprintf("%016x", fleet.plan.IncarnationSeed(s.number, s.incarnation)),
+		Limits:    sidecarLimits{Cores: spec.Cores, MemoryMB: spec.MemoryMB, Sockets: spec.Sockets},
+		Known:     known,
+		Settings:  json.RawMessage(fleet.plan.Settings(s.number)),
 	}
 	if fleet.gossip != nil {
-		var gossipAddresses []string
+		config.GossipListen = fleet.addresses.gossipListen(s.number)
 		for i := range fleet.sidecars {
-			gossipAddresses = append(gossipAddresses, fleet.addresses.gossipRelay(i))
+			config.GossipPeers = append(config.GossipPeers, fleet.addresses.gossipRelay(i))
 		}
-		config["peer_listen"], config["peers"] = fleet.addresses.gossipListen(s.number), gossipAddresses
 	}
 	if fleet.controlPlane != nil {
-		config["placement"], config["version"] = discovery, fleet.plan.Experiment.ControlPlane.SidecarVersion
-		if tenant := fleet.plan.Tenant(s.number); tenant != "" {
-			config["application"] = tenant
-		}
+		config.Placement, config.Version = discovery, fleet.plan.Experiment.ControlPlane.SidecarVersion
+		config.Application = fleet.plan.Tenant(s.number)
 	}
 	data, err := json.Marshal(config)
 	if err != nil {
--- a/internal/lab/live/standalone.go
+++ b/internal/lab/live/standalone.go
@@ -22,18 +22,18 @@
 	requestJob lab.Job
 }
 
-func (t *standaloneAttempt) job() lab.Job { return t.requestJob }
+func (a *standaloneAttempt) job() lab.Job { return a.requestJob }
 
-func (t *standaloneAttempt) ended(string) {}
+func (a *standaloneAttempt) ended(string) {}
 
-func (t *standaloneAttempt) responseProduced() {}
+func (a *standaloneAttempt) responseProduced() {}
 
-func (a *standaloneObserver) beginAttempt(id uint64, received receivedRequest) (serverAttempt, bool) {
+func (o *standaloneObserver) beginAttempt(id uint64, received receivedRequest) (serverAttempt, bool) {
 	header := received.request.Header
-	attempt := &standaloneAttempt{requestJob: lab.Job{Attempt: a.lastAttempt.Add(1), Request: id}}
+	attempt := &standaloneAttempt{requestJob: lab.Job{Attempt: o.lastAttempt.Add(1), Request: id}}
 	classKnown := false
-	for i := range a.process.config.Classes {
-		if a.process.config.Classes[i].Name == header.Get("X-Priority-Class") {
+	for i := range o.process.config.Classes {
+		if o.process.config.Classes[i].Name == header.Get("X-Priority-Class") {
 			attempt.requestJob.Class, classKnown = i, true
 		}
 	}
@@ -43,7 +43,7 @@
 	if microseconds, err := strconv.ParseFloat(header.Get("X-Cost"), 64); err == nil {
 		attempt.requestJob.WorkMS = microseconds / 1000
 	} else {
-		attempt.requestJob.WorkMS = a.process.config.Classes[attempt.requestJob.Class].WorkMS.Min
+		attempt.requestJob.WorkMS = o.process.config.Classes[attempt.requestJob.Class].WorkMS.Min
 	}
 	if cookie, err := received.request.Cookie("k"); err == nil {
 		attempt.requestJob.Key, _ = strconv.ParseUint(cookie.Value, 16, 64) // 0, no key, where the cookie holds none
--- a/internal/lab/proc/block.go
+++ b/internal/lab/proc/block.go
@@ -34,7 +34,8 @@
 			return nil, fmt.Errorf("loopback addresses: %w", err)
 		}
 	}
-	return nil, fmt.Errorf("loopback addresses: all of 127.%d.0.0 to 127.%d.0.0 are reserved by other runs", firstBlock, lastBlock)
+	return nil, fmt.Errorf("loopback addresses: all of 127.%d.0.0 to 127.%d.0.0 are reserved by other runs",
+		firstBlock, lastBlock)
 }
 
 // Release ends the reservation.
