--- a/internal/lab/live/discovery.go
+++ b/internal/lab/live/discovery.go
@@ -33,7 +33,7 @@
 
 type endpointList struct {
 	Revision int64      `json:"rev"`
-	Full     bool       `json:"all"`
+	Complete bool       `json:"all"`
 	Targets  []endpoint `json:"targets"`
 }
 
@@ -180,15 +180,15 @@
 	a.changed = make(chan struct{})
 }
 
-// fullList is the complete endpoint list. The caller holds the lock.
-func (a *agent) fullList() endpointList {
-	full := endpointList{Revision: a.revision, Full: true, Targets: []endpoint{}}
+// completeList is the complete endpoint list. The caller holds the lock.
+func (a *agent) completeList() endpointList {
+	complete := endpointList{Revision: a.revision, Complete: true, Targets: []endpoint{}}
 	for i := range a.fleet.servers {
 		if entry, ok := a.endpoints[i]; ok {
-			full.Targets = append(full.Targets, entry)
+			complete.Targets = append(complete.Targets, entry)
 		}
 	}
-	return full
+	return complete
 }
 
 // changesSince is what changed after a revision, with the newest entry of each server; the complete list where the
@@ -202,7 +202,7 @@
 				notified[i] = a.endpoints[i].State == stateReady
 			}
 		}
-		return a.fullList(), notified
+		return a.completeList(), notified
 	}
 	newest := map[int]endpoint{}
 	for _, change := range a.history {
@@ -252,7 +252,7 @@
 		changes, notified := a.changesSince(after)
 		changed := a.changed
 		a.mu.Unlock()
-		if changes.Full || len(changes.Targets) > 0 || first {
+		if changes.Complete || len(changes.Targets) > 0 || first {
 			line, err := json.Marshal(changes)
 			if err != nil {
 				return
--- a/internal/lab/live/sidecar.go
+++ b/internal/lab/live/sidecar.go
@@ -112,7 +112,7 @@
 func (s *sidecarProcess) config() ([]byte, error) {
 	fleet, agent := s.fleet, s.fleet.agents[s.number]
 	agent.mu.Lock()
-	known := agent.fullList()
+	known := agent.completeList()
 	discovery := agent.address()
 	agent.mu.Unlock()
 	spec := fleet.plan.Experiment.Sidecars
--- a/internal/lab/live/sidecar_test.go
+++ b/internal/lab/live/sidecar_test.go
@@ -7,7 +7,7 @@
 
 // The keys of a sidecar's configuration are those that the sidecar program reads; keys without a value are left out.
 func TestSidecarConfigKeys(t *testing.T) {
-	known := endpointList{Revision: 1, Full: true, Targets: []endpoint{}}
+	known := endpointList{Revision: 1, Complete: true, Targets: []endpoint{}}
 	for _, test := range []struct {
 		name   string
 		config sidecarConfig
