--- a/internal/lab/target.go
+++ b/internal/lab/target.go
@@ -131,10 +131,12 @@
 		switch name {
 		case "replica":
 			t.parties = partyReplicas
-			return t, t.parseIndex(text, arg, RegistryReplicas)
+			err := t.parseIndex(text, arg, RegistryReplicas)
+			return t, err
 		case "agent":
 			t.parties = partyAgents
-			return t, t.parseIndex(text, arg, int(e.Sidecars.Count.Min))
+			err := t.parseIndex(text, arg, int(e.Sidecars.Count.Min))
+			return t, err
 		case "controller":
 			t.parties, t.controller = partyControllers, arg
 			if e.hasController(arg) {
