--- a/internal/hotkey/simulated_fleet_test.go
+++ b/internal/hotkey/simulated_fleet_test.go
@@ -149,7 +149,7 @@
 				for seed := range uint64(seeds) {
 					p := fleetExperiment(b, day.sidecars, day.rate, day.skew).NewPlan(seed + 1)
 					without += playFleet(b, p, sim.Options{Workers: 2}) / seeds
-					with += playFleet(b, p, sim.Options{Workers: 1, NewInstance: newSimulatedController(b, p).newSidecar}) / seeds
+					with += playFleet(b, p, sim.Options{Workers: 1, InstanceFactory: newSimulatedController(b, p).newSidecar}) / seeds
 				}
 			}
 			b.ReportMetric(without/float64(b.N), "worth-without")
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -224,7 +224,7 @@
 			return err
 		}
 		box.Color = color.NRGBA{200, 60, 60, 50} // RGBA would want its parts multiplied
-		box.LineStyle.Width = 0
+		box.Width = 0
 		p.Add(box)
 	}
 	for _, l := range drawn {
--- a/internal/lab/sim/baseline.go
+++ b/internal/lab/sim/baseline.go
@@ -8,52 +8,56 @@
 	"milldeck/balance"
 )
 
-// Instance is what decides for one sidecar: the module, or a baseline beside it. Actions are valid until the
-// next call.
+// Instance decides for one sidecar: the decision module, or a baseline to compare it with. Times are ms of the run. The
+// actions that it returns are valid until the next call.
 type Instance interface {
 	Start(now float64) []balance.Action
-	Handle(now float64, ev balance.Event) ([]balance.Action, error)
+	Handle(now float64, event balance.Event) ([]balance.Action, error)
 }
 
 // Module is the name of the decision module among the policies.
 const Module = "module"
 
-// pickFunc picks one of the servers that a request may go to; there is at least one.
-type pickFunc func(b *baseline, from []*endpoint) *endpoint
+// Names of the baselines.
+const (
+	policyRandom     = "random"
+	policyRoundRobin = "round-robin"
+	policyLeast      = "least"       // fewest requests in flight
+	policyTwoChoices = "two-choices" // fewer requests in flight of two random servers
+)
+
+// reconnectTimer is the token of the only timer of a baseline.
+const reconnectTimer = 1
+
+// pickFunc picks one of the eligible servers, of which there is at least one.
+type pickFunc func(b *baseline, eligible []*baselineServer) *baselineServer
 
 var baselines = map[string]pickFunc{
-	"random":      func(b *baseline, from []*endpoint) *endpoint { return from[b.rng.IntN(len(from))] },
-	"round-robin": roundRobin,
-	"least":       func(_ *baseline, from []*endpoint) *endpoint { return slices.MinFunc(from, byInFlight) },
-	"two-choices": func(b *baseline, from []*endpoint) *endpoint {
-		s, t := from[b.rng.IntN(len(from))], from[b.rng.IntN(len(from))]
-		if byInFlight(t, s) < 0 {
-			return t
-		}
-		return s
-	},
+	policyRandom: pickRandom, policyRoundRobin: pickRoundRobin, policyLeast: pickLeast, policyTwoChoices: pickTwoChoices,
 }
 
-// Policies lists the names that New takes: the module first, then the baselines.
-func Policies() []string { return []string{Module, "random", "round-robin", "least", "two-choices"} }
+// Policies returns the names that NewInstance accepts: the decision module, then the baselines.
+func Policies() []string {
+	return []string{Module, policyRandom, policyRoundRobin, policyLeast, policyTwoChoices}
+}
 
-// New makes one sidecar's instance of a policy.
-func New(policy string, cfg balance.Config) (Instance, error) {
+// NewInstance returns an instance of a policy.
+func NewInstance(policy string, config balance.Config) (Instance, error) {
 	if policy == Module {
-		return balance.New(cfg)
+		return balance.New(config)
 	}
-	choose, known := baselines[policy]
+	pick, known := baselines[policy]
 	if !known {
 		return nil, fmt.Errorf("unknown policy %q", policy)
 	}
 	return &baseline{
-		config: cfg, pick: choose, rng: rand.New(rand.NewPCG(cfg.Seed, 1)),
-		byID: map[balance.ServerID]*endpoint{}, requests: map[balance.RequestID]*openRequest{},
+		config: config, pick: pick, rng: rand.New(rand.NewPCG(config.Seed, 1)),
+		byID: map[balance.ServerID]*baselineServer{}, requests: map[balance.RequestID]*baselineRequest{},
 	}, nil
 }
 
-// baseline is a textbook balancer. It keeps the rules on repeats and drains, knows the servers of the list and
-// what it has in flight itself, and learns nothing else.
+// baseline is a textbook load balancer. It obeys the rules on retries and draining servers. Beside the endpoint list it knows
+// only its own requests in flight.
 type baseline struct {
 	config  balance.Config
 	pick    pickFunc
@@ -61,52 +65,71 @@
 	now     float64
 	actions []balance.Action
 
-	endpoints  []*endpoint // in the order in which they were first listed
-	byID       map[balance.ServerID]*endpoint
-	requests   map[balance.RequestID]*openRequest
-	nextServer int
-	eligible   []*endpoint
+	endpoints  []*baselineServer // in the order in which they were first listed
+	byID       map[balance.ServerID]*baselineServer
+	requests   map[balance.RequestID]*baselineRequest
+	nextServer int               // of round-robin
+	eligible   []*baselineServer // reused by collectEligible
 }
 
-type endpoint struct {
+// baselineServer is a server of the endpoint list.
+type baselineServer struct {
 	balance.Server
 	inFlight int
-	number   int // by the order of first listing
+	number   int // in the order in which servers were first listed
 }
 
-type openRequest struct {
+// baselineRequest is a request that has no final response yet.
+type baselineRequest struct {
 	balance.Request
 	class    *balance.Class
 	deadline float64
-	attempts []sentAttempt
+	attempts []baselineAttempt
 	inFlight int
 	answered bool
 }
 
-type sentAttempt struct {
-	endpoint      *endpoint
+// baselineAttempt is an attempt of a request.
+type baselineAttempt struct {
+	endpoint      *baselineServer
 	sentAt        float64
-	neverExecuted bool // it never ran
+	neverExecuted bool
 }
 
-func byInFlight(s, t *endpoint) int { return s.inFlight - t.inFlight }
+func byInFlight(a, b *baselineServer) int { return a.inFlight - b.inFlight }
+
+func pickRandom(b *baseline, eligible []*baselineServer) *baselineServer {
+	return eligible[b.rng.IntN(len(eligible))]
+}
+
+func pickLeast(_ *baseline, eligible []*baselineServer) *baselineServer {
+	return slices.MinFunc(eligible, byInFlight)
+}
 
-// roundRobin takes the next server after the last one taken that is among those allowed.
-func roundRobin(b *baseline, eligible []*endpoint) *endpoint {
-	best := eligible[0]
+func pickTwoChoices(b *baseline, eligible []*baselineServer) *baselineServer {
+	first, second := pickRandom(b, eligible), pickRandom(b, eligible)
+	if byInFlight(second, first) < 0 {
+		return second
+	}
+	return first
+}
+
+// pickRoundRobin picks the first eligible server after the one picked last.
+func pickRoundRobin(b *baseline, eligible []*baselineServer) *baselineServer {
+	next := eligible[0]
 	for _, endpoint := range eligible {
 		if endpoint.number >= b.nextServer {
-			best = endpoint
+			next = endpoint
 			break
 		}
 	}
-	b.nextServer = best.number + 1
-	return best
+	b.nextServer = next.number + 1
+	return next
 }
 
-func (b *baseline) emit(a balance.Action) { b.actions = append(b.actions, a) }
+func (b *baseline) emit(action balance.Action) { b.actions = append(b.actions, action) }
 
-// Start begins the instance's life.
+// Start implements Instance.
 func (b *baseline) Start(now float64) []balance.Action {
 	b.now, b.actions = now, b.actions[:0]
 	if b.config.Subscribe {
@@ -115,63 +138,78 @@
 	return b.actions
 }
 
-// Handle takes one event.
-func (b *baseline) Handle(now float64, ev balance.Event) ([]balance.Action, error) {
+// Handle implements Instance.
+func (b *baseline) Handle(now float64, event balance.Event) ([]balance.Action, error) {
 	b.now, b.actions = now, b.actions[:0]
-	switch ev := ev.(type) {
+	switch event := event.(type) {
 	case balance.Request:
-		request := &openRequest{Request: ev, class: &b.config.Classes[ev.Class], deadline: now + ev.Timeout}
-		b.requests[ev.ID] = request
+		request := &baselineRequest{Request: event, class: &b.config.Classes[event.Class], deadline: now + event.Timeout}
+		b.requests[event.ID] = request
 		b.advance(request)
 	case balance.Outcome:
-		request := b.requests[ev.Request]
-		if request == nil || ev.Attempt >= len(request.attempts) {
-			return nil, fmt.Errorf("outcome of request %d, which is not open", ev.Request)
+		if err := b.handleOutcome(event); err != nil {
+			return nil, err
 		}
-		request.attempts[ev.Attempt].endpoint.inFlight--
-		request.attempts[ev.Attempt].neverExecuted = ev.Result.NeverExecuted()
-		request.inFlight--
-		request.answered = request.answered || ev.RequestDone
-		b.advance(request)
 	case balance.ClientDisconnected:
-		if request := b.requests[ev.Request]; request != nil {
-			request.answered = true
-			if request.inFlight > 0 && b.config.AllowCancel {
-				b.emit(balance.Action{Kind: balance.Cancel, Request: request.ID, Attempt: len(request.attempts) - 1})
-			}
-			b.advance(request)
-		}
+		b.handleDisconnect(event)
 	case balance.EndpointUpdate:
-		b.applyUpdate(ev)
+		b.applyUpdate(event)
 	case balance.TimerFired:
 		b.emit(balance.Action{Kind: balance.WatchEndpoints})
 	}
 	return b.actions, nil
 }
 
-func (b *baseline) applyUpdate(ev balance.EndpointUpdate) {
-	if ev.Kind == balance.UpdateFailed {
-		b.emit(balance.Action{Kind: balance.SetTimer, Token: 1, Delay: 1000 + 1000*b.rng.Float64()})
+func (b *baseline) handleOutcome(outcome balance.Outcome) error {
+	request := b.requests[outcome.Request]
+	if request == nil || outcome.Attempt >= len(request.attempts) {
+		return fmt.Errorf("outcome of request %d, which is not open", outcome.Request)
+	}
+	attempt := &request.attempts[outcome.Attempt]
+	attempt.endpoint.inFlight--
+	attempt.neverExecuted = outcome.Result.NeverExecuted()
+	request.inFlight--
+	request.answered = request.answered || outcome.RequestDone
+	b.advance(request)
+	return nil
+}
+
+func (b *baseline) handleDisconnect(event balance.ClientDisconnected) {
+	request := b.requests[event.Request]
+	if request == nil {
 		return
 	}
-	if ev.Kind != balance.UpdateDelta {
-		for _, s := range b.endpoints {
-			s.State = balance.Removed
+	request.answered = true
+	if request.inFlight > 0 && b.config.AllowCancel {
+		b.emit(balance.Action{Kind: balance.Cancel, Request: request.ID, Attempt: len(request.attempts) - 1})
+	}
+	b.advance(request)
+}
+
+// applyUpdate updates the endpoints. After a failure it watches the endpoint list again after one to two seconds.
+func (b *baseline) applyUpdate(update balance.EndpointUpdate) {
+	if update.Kind == balance.UpdateFailed {
+		b.emit(balance.Action{Kind: balance.SetTimer, Token: reconnectTimer, Delay: 1000 + 1000*b.rng.Float64()})
+		return
+	}
+	if update.Kind != balance.UpdateDelta {
+		for _, endpoint := range b.endpoints {
+			endpoint.State = balance.Removed
 		}
 	}
-	for _, s := range ev.Servers {
-		known := b.byID[s.ID]
-		if known == nil {
-			known = &endpoint{number: len(b.endpoints)}
-			b.byID[s.ID] = known
-			b.endpoints = append(b.endpoints, known)
+	for _, server := range update.Servers {
+		endpoint := b.byID[server.ID]
+		if endpoint == nil {
+			endpoint = &baselineServer{number: len(b.endpoints)}
+			b.byID[server.ID] = endpoint
+			b.endpoints = append(b.endpoints, endpoint)
 		}
-		known.Server = s
+		endpoint.Server = server
 	}
 }
 
-// advance sends what may be sent, else answers.
-func (b *baseline) advance(request *openRequest) {
+// advance sends the next attempt of a request if there is an eligible server, and answers the request otherwise.
+func (b *baseline) advance(request *baselineRequest) {
 	switch {
 	case request.inFlight > 0:
 	case request.answered:
@@ -180,7 +218,7 @@
 		endpoint := b.pick(b, b.eligible)
 		endpoint.inFlight++
 		request.inFlight++
-		request.attempts = append(request.attempts, sentAttempt{endpoint: endpoint, sentAt: b.now})
+		request.attempts = append(request.attempts, baselineAttempt{endpoint: endpoint, sentAt: b.now})
 		b.emit(balance.Action{Kind: balance.Send, Request: request.ID, Server: endpoint.ID})
 	default:
 		kind := balance.Fail
@@ -192,16 +230,20 @@
 	}
 }
 
-// isRetrySafe: the client may be told to try again.
-func (r *openRequest) isRetrySafe() bool {
-	if r.class.Idempotency == balance.Idempotent || r.class.Idempotency == balance.IdempotentWithKey && r.class.DeduplicationScope == balance.ScopeAll {
+// isRetrySafe reports whether the client can retry without executing the request twice.
+func (r *baselineRequest) isRetrySafe() bool {
+	switch {
+	case r.class.Idempotency == balance.Idempotent:
+		return true
+	case r.class.Idempotency == balance.IdempotentWithKey && r.class.DeduplicationScope == balance.ScopeAll:
 		return true
+	default:
+		return !slices.ContainsFunc(r.attempts, func(attempt baselineAttempt) bool { return !attempt.neverExecuted })
 	}
-	return !slices.ContainsFunc(r.attempts, func(attempt sentAttempt) bool { return !attempt.neverExecuted })
 }
 
-// collectEligible lists the servers that the rules allow for the next attempt.
-func (b *baseline) collectEligible(request *openRequest) bool {
+// collectEligible collects the servers that the rules allow for the next attempt, and reports whether there are any.
+func (b *baseline) collectEligible(request *baselineRequest) bool {
 	b.eligible = b.eligible[:0]
 	for _, endpoint := range b.endpoints {
 		if endpoint.State == balance.Ready && b.isAllowed(request, endpoint) {
@@ -211,16 +253,37 @@
 	return len(b.eligible) > 0
 }
 
-func (b *baseline) isAllowed(request *openRequest, endpoint *endpoint) bool {
-	for _, previous := range request.attempts {
-		switch {
-		case previous.endpoint == endpoint:
+// isAllowed reports whether the rules allow an attempt at a server after the previous attempts.
+func (b *baseline) isAllowed(request *baselineRequest, endpoint *baselineServer) bool {
+	for i := range request.attempts {
+		previous := &request.attempts[i]
+		if previous.endpoint == endpoint {
 			return false
-		case previous.neverExecuted || request.class.Idempotency == balance.Idempotent:
-		case request.class.Idempotency == balance.NonIdempotent, b.now+b.config.ConnectTimeout >= previous.sentAt+request.class.IdempotencyWindow,
-			request.class.DeduplicationScope == balance.ScopeZone && previous.endpoint.Zone != endpoint.Zone, request.class.DeduplicationScope == balance.ScopeCell && previous.endpoint.Cell != endpoint.Cell:
+		}
+		if !previous.neverExecuted && !b.isRepeatAllowed(request.class, previous, endpoint) {
 			return false
 		}
 	}
 	return true
 }
+
+// isRepeatAllowed reports whether a request that a previous attempt may have executed can be repeated at a server.
+func (b *baseline) isRepeatAllowed(class *balance.Class, previous *baselineAttempt, endpoint *baselineServer) bool {
+	switch class.Idempotency {
+	case balance.Idempotent:
+		return true
+	case balance.NonIdempotent:
+		return false
+	}
+	if b.now+b.config.ConnectTimeout >= previous.sentAt+class.IdempotencyWindow {
+		return false
+	}
+	switch class.DeduplicationScope {
+	case balance.ScopeZone:
+		return previous.endpoint.Zone == endpoint.Zone
+	case balance.ScopeCell:
+		return previous.endpoint.Cell == endpoint.Cell
+	default:
+		return true
+	}
+}
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -5,17 +5,17 @@
 	"milldeck/internal/lab"
 )
 
-// client is one request with all its tries.
-type client struct {
-	engine *engine
+// simClient is a request of a client with all its attempts.
+type simClient struct {
+	engine *simEngine
 	lab.Arrival
 	attempts int
 	done     bool
-	current  *request // the one it waits for
+	current  *simRequest // the attempt that the client waits for; nil: none
 }
 
-// sendAttempt makes the next try.
-func (c *client) sendAttempt(now float64) {
+// sendAttempt sends the next attempt to the sidecar.
+func (c *simClient) sendAttempt(now float64) {
 	if c.done {
 		return
 	}
@@ -23,7 +23,7 @@
 	c.attempts++
 	timeout := engine.plan.AttemptTimeout(&c.Arrival, now)
 	switch {
-	case engine.isPartitioned(lab.Endpoint{Kind: lab.ClientEndpoint, Index: sidecar.index}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: sidecar.index}):
+	case engine.isPartitioned(sidecar.clientEndpoint(), sidecar.endpoint()):
 		engine.schedule(now+timeout, func(now float64) { c.attemptDone(now, lab.OutcomeNoResponse, 0) })
 		return
 	case !sidecar.up || sidecar.draining:
@@ -31,7 +31,7 @@
 		return
 	}
 	engine.lastRequest++
-	request := &request{id: engine.lastRequest, client: c, sidecar: sidecar, deadline: now + timeout}
+	request := &simRequest{id: engine.lastRequest, client: c, sidecar: sidecar, deadline: now + timeout}
 	c.current = request
 	sidecar.requests[request.id] = request
 	engine.checker.RequestSent(now, request.id, sidecar.index, c.Class, timeout)
@@ -58,8 +58,8 @@
 	})
 }
 
-// attemptDone: a try is over; the client tries again or has what it got.
-func (c *client) attemptDone(now float64, outcome lab.Outcome, retryAfter float64) {
+// attemptDone ends an attempt. The client retries, or its request has ended.
+func (c *simClient) attemptDone(now float64, outcome lab.Outcome, retryAfter float64) {
 	if c.done {
 		return
 	}
@@ -71,8 +71,8 @@
 	c.finish(now, outcome, false)
 }
 
-// disconnect: the client goes away before it has an answer.
-func (c *client) disconnect(now float64) {
+// disconnect has the client disconnect before it has a response.
+func (c *simClient) disconnect(now float64) {
 	if c.done {
 		return
 	}
@@ -83,7 +83,8 @@
 	c.finish(now, lab.OutcomeNoResponse, true)
 }
 
-func (c *client) finish(now float64, outcome lab.Outcome, disconnected bool) {
+// finish records the end of the request.
+func (c *simClient) finish(now float64, outcome lab.Outcome, disconnected bool) {
 	c.done = true
 	c.engine.openRequests--
 	if s := c.engine.hotKeys; s != nil {
--- a/internal/lab/sim/engine.go
+++ b/internal/lab/sim/engine.go
@@ -1,14 +1,14 @@
-// Package sim plays a lab plan on a virtual clock: many instances of the decision module, the model of the
-// servers, clients and a network, without sockets. The same plan gives the same result to the byte, whatever the
-// number of workers: within one tick instances run beside each other, since they share nothing, and all else
-// happens in one order.
+// Package sim plays a plan of package lab on a virtual clock, without sockets: many instances of the decision module, the
+// model of the servers, the clients and the network between them.
+//
+// The simulation is deterministic. A plan gives the same result to the byte, whatever the number of workers: within a tick
+// instances run in parallel, as they share no state, and everything else happens in one order.
 package sim
 
 import (
 	"context"
 	"fmt"
 	"hash/fnv"
-	"io"
 	"math"
 	"math/rand/v2"
 	"runtime"
@@ -20,63 +20,80 @@
 	"milldeck/internal/lab"
 )
 
-// Options say how a plan is played.
+// Options are how a plan is played.
 type Options struct {
-	Policy   string // one of Policies; "" is the module
-	Workers  int    // instances that run at a time; 0: one for each core. It does not change the result
-	Progress func(done float64)
+	Policy   string             // one of Policies; "": Module
+	Workers  int                // instances that run in parallel; 0: one per core. It does not change the result
+	Progress func(done float64) // called about every second of the run with the share that is done; may be nil
 
-	// New makes a sidecar's instance in place of Policy's; for tests that plant faults.
-	NewInstance func(n int, cfg balance.Config) (Instance, error)
+	// InstanceFactory makes the instance of a sidecar in place of Policy, for tests with defective instances.
+	InstanceFactory func(sidecar int, config balance.Config) (Instance, error)
 }
 
-// Stats say what a run cost; they are no part of its result.
+// Stats are what a run cost. They are no part of its result.
 type Stats struct {
-	Events  int // of instances and of the world around them
+	Events  int // of instances and of everything around them
 	Elapsed time.Duration
 }
 
 const (
-	// clientDelayMS is between an application and its sidecar on the same machine, in ms.
+	// clientDelayMS is the delay between an application and its sidecar on the same machine.
 	clientDelayMS = 0.05
-	// slack is what the judge allows in ms beside the rules' own: two ticks.
+	// slackTicks is what the checker allows beside the tolerances of the rules.
 	slackTicks = 2
-	// handshakeTrips are the round trips of a new connection before its first request leaves.
+	// handshakeTrips is the number of round trips of a new connection before its first request leaves.
 	handshakeTrips = 1
-	// idleReuseShare of a server's idle time is how long a sidecar uses a connection again, as the real one does.
+	// idleReuseShare is the share of a server's idle timeout for which a sidecar reuses a connection, as a real one does.
 	idleReuseShare = 0.85
-	// A restarted sidecar takes requests for takes ms after its SIGTERM, answers what it took for at most
-	// drains ms, and is back after starts ms: PROTOCOL's figures and a start of a lean program.
-	drainNoticeMS, drainTimeoutMS, startupMS = 300, 3500, 100
-	// excuseAfterMS is how long in ms after a freeze answers may still be late: what waited is worked off.
+
+	// A restarted sidecar accepts requests for drainNoticeMS after its SIGTERM, answers them until drainTimeoutMS, and is
+	// back after startupMS.
+	drainNoticeMS  = 300
+	drainTimeoutMS = 3500
+	startupMS      = 100
+
+	// excuseAfterMS is how long after a freeze responses may still be late, as the backlog is worked off.
 	excuseAfterMS = 500
-	// healthCheckWorkMS is the work of a probe in ms.
+	// healthCheckWorkMS is the work of a health check at a server.
 	healthCheckWorkMS = 0.3
-	// discoveryCallMS is how long in ms a call for the list takes.
+	// discoveryCallMS is the duration of a call for the endpoint list.
 	discoveryCallMS = 5
+	// afterLoadMS is how long the run may go on after the load, beside the time that a server needs to drain.
+	afterLoadMS = 5000
+	// progressIntervalMS is the interval between two reports of the progress.
+	progressIntervalMS = 1000
+	// minParallelSidecars is the number of instances from which running them in parallel pays.
+	minParallelSidecars = 4
 )
 
-// Run plays a plan to its end.
+// Streams of random numbers of a simulation, apart from those of its plan.
+const (
+	streamHotKeys = 98
+	streamNetwork = 99
+)
+
+// Run plays a plan to its end, or until the context is cancelled, which cuts the result short.
 func Run(ctx context.Context, plan *lab.Plan, opts Options) (*lab.Result, Stats, error) {
 	began := time.Now()
-	engine := newEngine(plan, opts)
-	if err := engine.play(ctx); err != nil {
+	e := newEngine(plan, opts)
+	if err := e.play(ctx); err != nil {
 		return nil, Stats{}, err
 	}
-	result := engine.recorder.Result("sim", engine.opts.Policy, engine.checker)
+	result := e.recorder.Result(lab.ModeSimulation, e.opts.Policy, e.checker)
 	result.CutShort = ctx.Err() != nil
-	if engine.hotKeys != nil {
-		result.Metrics = engine.hotKeys.checker.Metrics()
+	if e.hotKeys != nil {
+		result.Metrics = e.hotKeys.checker.Metrics()
 	}
-	return result, Stats{Events: engine.events, Elapsed: time.Since(began)}, nil
+	return result, Stats{Events: e.events, Elapsed: time.Since(began)}, nil
 }
 
-type engine struct {
+// simEngine is a running simulation.
+type simEngine struct {
 	plan     *lab.Plan
 	opts     Options
 	checker  *lab.Checker
 	recorder *lab.Recorder
-	rng      *rand.Rand // of the network; drawn from in one order
+	rng      *rand.Rand // of the network
 	tickMS   float64
 
 	now    float64
@@ -86,124 +103,126 @@
 	servers          []*simServer
 	sidecars         []*simSidecar
 	byID             map[balance.ServerID]*simServer
-	linkFaults       []*lab.Fault // of links, those in force
-	discoveryDown    bool         // discovery tells nothing
-	discoveryDelayMS float64      // ms by which it tells all later
+	linkFaults       []*lab.Fault // faults of links that hold now
+	discoveryDown    bool
+	discoveryDelayMS float64 // additional delay of notifications
 	lastRequest      uint64
 	lastAttempt      int64
-	openRequests     int // requests whose client still waits
-	moreArrivals     bool
-	scheduled        []*simSidecar
-	failure          error
-	hotKeys          *hotKeyController // nil: the experiment is not about hot keys
+	openRequests     int               // requests of clients that have not ended
+	moreArrivals     bool              // the load has not ended
+	scheduled        []*simSidecar     // to run in this tick
+	hotKeys          *hotKeySimulation // nil: the experiment has no hot keys
 }
 
-func newEngine(plan *lab.Plan, opts Options) *engine {
+func newEngine(plan *lab.Plan, opts Options) *simEngine {
 	if opts.Policy == "" {
 		opts.Policy = Module
 	}
 	if opts.Workers <= 0 {
 		opts.Workers = runtime.GOMAXPROCS(0)
 	}
-	if opts.NewInstance == nil {
-		opts.NewInstance = func(_ int, cfg balance.Config) (Instance, error) { return New(opts.Policy, cfg) }
+	if opts.InstanceFactory == nil {
+		opts.InstanceFactory = func(_ int, config balance.Config) (Instance, error) { return NewInstance(opts.Policy, config) }
 	}
-	e := &engine{
+	e := &simEngine{
 		plan: plan, opts: opts, checker: lab.NewChecker(plan, slackTicks*plan.TickMS()), recorder: lab.NewRecorder(plan),
-		rng: rand.New(rand.NewPCG(plan.Seed, 99)), tickMS: plan.TickMS(), byID: map[balance.ServerID]*simServer{}, moreArrivals: true,
+		rng: rand.New(rand.NewPCG(plan.Seed, streamNetwork)), tickMS: plan.TickMS(),
+		byID: map[balance.ServerID]*simServer{}, moreArrivals: true,
 	}
-	stores := lab.NewMemoryEffectStore()
+	effects := lab.NewMemoryEffectStore()
 	for i := range plan.Servers {
-		server := &simServer{engine: e, index: i, plan: &plan.Servers[i], model: lab.NewServer(plan, i, stores), id: serverID(plan.Servers[i].UID), inFlight: map[int64]*attempt{}}
-		server.up = server.plan.StartMS == 0
-		server.listed = server.up
+		server := newServer(e, i, effects)
 		e.servers = append(e.servers, server)
 		e.byID[server.id] = server
 	}
 	return e
 }
 
-// serverID is the number that a real sidecar gives a server, so that both modes rank servers alike.
+// serverID returns the identifier that a real sidecar gives a server, so that both rank servers alike.
 func serverID(uid string) balance.ServerID {
-	h := fnv.New64a()
-	io.WriteString(h, uid)
-	return balance.ServerID(h.Sum64())
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(uid)) // a hash never fails
+	return balance.ServerID(hash.Sum64())
 }
 
-// play runs the events of the world and, tick by tick, the instances that have any.
-func (e *engine) play(ctx context.Context) error {
+// play runs the simulation to its end.
+func (e *simEngine) play(ctx context.Context) error {
+	if err := e.start(); err != nil {
+		return err
+	}
+	end := e.plan.DurationMS + e.plan.DrainDurationMS() + afterLoadMS
+	nextProgress := 0.0
+	for (e.moreArrivals || e.openRequests > 0) && e.now < end {
+		due, pending := e.queue.peek()
+		if !pending {
+			break
+		}
+		// Ticks without an event are skipped.
+		e.now = max(e.now+e.tickMS, math.Ceil(due/e.tickMS)*e.tickMS)
+		if err := e.runTick(); err != nil {
+			return err
+		}
+		if e.opts.Progress != nil && e.now >= nextProgress {
+			nextProgress = e.now + progressIntervalMS
+			e.opts.Progress(min(1, e.now/e.plan.DurationMS))
+		}
+		if ctx.Err() != nil {
+			break
+		}
+	}
+	e.checker.Finish(e.now)
+	return nil
+}
+
+// start starts the sidecars and schedules the faults and the first arrival.
+func (e *simEngine) start() error {
 	if e.plan.Experiment.HotKeys != nil {
 		var err error
-		if e.hotKeys, err = newHotKeyController(e); err != nil {
+		if e.hotKeys, err = newHotKeySimulation(e); err != nil {
 			return err
 		}
 	}
 	for i := range e.plan.Sidecars {
-		sidecar := &simSidecar{engine: e, index: i, plan: &e.plan.Sidecars[i], endpoints: map[int]endpointView{}, requests: map[uint64]*request{}, idleConnections: map[int][]float64{}}
+		sidecar := newSidecar(e, i)
 		e.sidecars = append(e.sidecars, sidecar)
-		for _, server := range e.servers {
-			if server.listed {
-				sidecar.endpoints[server.index] = endpointView{}
-			}
-		}
 		sidecar.start(0)
 	}
 	if e.hotKeys != nil {
 		e.hotKeys.start()
 	}
-	e.scheduleRolls()
+	e.scheduleReplacements()
 	for i := range e.plan.Faults {
 		e.scheduleFault(&e.plan.Faults[i])
 	}
-	arrivals := e.plan.Arrivals()
-	e.nextArrival(arrivals)
-	end := e.plan.DurationMS + e.plan.DrainDurationMS() + 5000
-	progress := 0.0
-	for (e.moreArrivals || e.openRequests > 0) && e.now < end {
-		at, any := e.queue.peek()
-		if !any {
-			break
-		}
-		// Ticks without any event are skipped.
-		e.now = max(e.now+e.tickMS, math.Ceil(at/e.tickMS)*e.tickMS)
-		if err := e.runTick(); err != nil {
-			return err
-		}
-		if e.opts.Progress != nil && e.now >= progress {
-			progress = e.now + 1000
-			e.opts.Progress(min(1, e.now/e.plan.DurationMS))
-		}
-		if ctx.Err() != nil {
-			break
-		}
-	}
-	e.checker.Finish(e.now)
+	e.nextArrival(e.plan.Arrivals())
 	return nil
 }
 
-func (e *engine) nextArrival(arrivals *lab.Arrivals) {
+// nextArrival schedules the next request of the load.
+func (e *simEngine) nextArrival(arrivals *lab.Arrivals) {
 	arrival, more := arrivals.Next()
-	if e.moreArrivals = more; !more {
+	e.moreArrivals = more
+	if !more {
 		return
 	}
 	e.openRequests++
 	e.schedule(arrival.StartMS, func(now float64) {
 		e.nextArrival(arrivals)
-		c := &client{engine: e, Arrival: arrival}
+		client := &simClient{engine: e, Arrival: arrival}
 		if arrival.DisconnectAfterMS > 0 {
-			e.schedule(arrival.StartMS+arrival.DisconnectAfterMS, func(now float64) { c.disconnect(now) })
+			e.schedule(arrival.StartMS+arrival.DisconnectAfterMS, client.disconnect)
 		}
-		c.sendAttempt(now)
+		client.sendAttempt(now)
 	})
 }
 
-// schedule has the world do something at a time; what was due before the current tick happens within it.
-func (e *engine) schedule(when float64, run func(now float64)) {
+// schedule has something happen at a time. What was due before the current tick happens within it.
+func (e *simEngine) schedule(when float64, run func(now float64)) {
 	e.queue.push(when, run)
 }
 
-// runTick is one tick.
-func (e *engine) runTick() error {
+// runTick runs the events that are due, then the scheduled instances, then carries out their actions in one order.
+func (e *simEngine) runTick() error {
 	for {
 		due, pending := e.queue.peek()
 		if !pending || due > e.now {
@@ -217,7 +236,7 @@
 	}
 	active := e.scheduled
 	e.scheduled = nil
-	e.handleEvents(active)
+	e.runInstances(active)
 	for _, sidecar := range active {
 		if sidecar.err != nil {
 			return fmt.Errorf("sidecar %d: %w", sidecar.index, sidecar.err)
@@ -231,11 +250,9 @@
 	return nil
 }
 
-// minParallelSidecars instances are run in place: handing them over would cost more.
-const minParallelSidecars = 4
-
-// handleEvents has the instances handle what came for them. Nothing but their own state is touched.
-func (e *engine) handleEvents(active []*simSidecar) {
+// runInstances has the scheduled instances handle their events, in parallel if there are enough of them. An instance
+// changes no state but its own.
+func (e *simEngine) runInstances(active []*simSidecar) {
 	for _, sidecar := range active {
 		e.events += len(sidecar.events)
 	}
@@ -257,46 +274,3 @@
 	}
 	wg.Wait()
 }
-
-// networkDelay is how long something takes between a sidecar and a server, one way; false: it does not arrive.
-func (e *engine) networkDelay(sidecar *simSidecar, server *simServer, toServer bool) (float64, bool) {
-	delay := server.plan.DelayByZone[sidecar.plan.Zone]
-	delay *= 1 + e.plan.Experiment.Network.Jitter*(2*e.rng.Float64()-1)
-	from, to := lab.Endpoint{Kind: lab.SidecarEndpoint, Index: sidecar.index}, lab.Endpoint{Kind: lab.ServerEndpoint, Index: server.index}
-	if !toServer {
-		from, to = to, from
-	}
-	extra, passes := e.linkDelay(from, to)
-	return delay + extra, passes
-}
-
-// linkDelay is what the faults in force add to the way from one end to another; false: nothing passes.
-func (e *engine) linkDelay(from, to lab.Endpoint) (float64, bool) {
-	extra := 0.0
-	for _, fault := range e.linkFaults {
-		if !fault.Affects(from, to) {
-			continue
-		}
-		switch fault.Kind {
-		case lab.FaultPartition:
-			return 0, false
-		case lab.FaultPacketLoss:
-			if e.rng.Float64() < fault.Probability {
-				return 0, false
-			}
-		case lab.FaultDelay:
-			extra += fault.DelayMS
-		}
-	}
-	return extra, true
-}
-
-// isPartitioned tells whether nothing at all passes from one end to another now.
-func (e *engine) isPartitioned(from, to lab.Endpoint) bool {
-	for _, fault := range e.linkFaults {
-		if fault.Kind == lab.FaultPartition && fault.Affects(from, to) {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/lab/sim/engine_test.go
+++ b/internal/lab/sim/engine_test.go
@@ -115,8 +115,6 @@
 	Instance
 	change func(p *defectiveInstance, now float64, ev balance.Event, acts []balance.Action) []balance.Action
 
-	sent    map[balance.RequestID]balance.ServerID
-	held    []balance.Action
 	servers []balance.ServerID
 	bad     balance.ServerID
 }
@@ -203,7 +201,7 @@
 				return sendTo(p, acts)
 			}},
 	} {
-		r := mustRun(t, newSmallPlan(t, c.faults, 3), Options{NewInstance: func(n int, cfg balance.Config) (Instance, error) {
+		r := mustRun(t, newSmallPlan(t, c.faults, 3), Options{InstanceFactory: func(n int, cfg balance.Config) (Instance, error) {
 			b, err := balance.New(cfg)
 			return &defectiveInstance{Instance: b, change: c.change}, err
 		}})
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -7,11 +7,11 @@
 	"milldeck/internal/lab"
 )
 
-// scheduleRolls has servers come and go as the plan's rolls say.
-func (e *engine) scheduleRolls() {
+// scheduleReplacements schedules the servers that start or end in a rolling replacement.
+func (e *simEngine) scheduleReplacements() {
 	for _, server := range e.servers {
 		if server.plan.StartMS > 0 {
-			e.schedule(server.plan.StartMS, func(now float64) { server.boot(now) })
+			e.schedule(server.plan.StartMS, server.boot)
 		}
 		if server.plan.ReplacedMS > 0 {
 			e.schedule(server.plan.ReplacedMS, func(now float64) { server.drain(now, false) })
@@ -19,67 +19,30 @@
 	}
 }
 
-// scheduleFault has a fault begin and end. A roll is in the servers' own times; that descriptors are used up
-// is nothing to instances, which have no sockets.
-func (e *engine) scheduleFault(fault *lab.Fault) {
+// scheduleFault schedules the begin and the end of a fault. Rolling replacements are in the plans of the servers. Exhausted
+// file descriptors have no effect, as simulated sidecars have no sockets.
+func (e *simEngine) scheduleFault(fault *lab.Fault) {
 	e.schedule(fault.StartMS, func(now float64) { e.beginFault(now, fault) })
 	if fault.EndMS > 0 {
 		e.schedule(fault.EndMS, func(now float64) { e.endFault(now, fault) })
 	}
 }
 
-func (e *engine) beginFault(now float64, fault *lab.Fault) {
+func (e *simEngine) beginFault(now float64, fault *lab.Fault) {
 	for _, i := range fault.Servers {
-		server := e.servers[i]
-		switch fault.Kind {
-		case lab.FaultKill:
-			server.crash(now)
-			server.scheduleRemoval(now)
-		case lab.FaultZoneOutage:
-			server.vanished = true
-			server.scheduleRemoval(now)
-		case lab.FaultRestart:
-			server.drain(now, true)
-		case lab.FaultFreeze:
-			server.frozen = true
-		case lab.FaultConnectionRefused:
-			server.refusing = true
-			server.resetConnections(now, balance.Reset)
-		case lab.FaultDiscoveryFalseRemoval:
-			if server.listed {
-				e.publishEndpoint(now, server, balance.Removed)
-			}
-		default:
-			server.model.SetFault(fault, true)
-		}
+		e.servers[i].beginFault(now, fault)
 	}
 	for _, i := range fault.Sidecars {
-		sidecar := e.sidecars[i]
-		switch fault.Kind {
-		case lab.FaultKill:
-			sidecar.kill(now)
-		case lab.FaultRestart:
-			sidecar.restart(now)
-		case lab.FaultFreeze:
-			sidecar.freeze(fault.EndMS)
-		case lab.FaultReload:
-			sidecar.fetchEndpoints(sidecar.subscribed) // it follows discovery to another address and gets the list anew
-		}
+		e.sidecars[i].beginFault(now, fault)
 	}
 	switch fault.Kind {
-	case lab.FaultPartition, lab.FaultDelay, lab.FaultPacketLoss:
+	case lab.FaultPartition:
 		e.linkFaults = append(e.linkFaults, fault)
-		if fault.Kind == lab.FaultPartition {
-			e.excusePartitioned(fault)
-		}
-	case lab.FaultDiscoveryDown, lab.FaultRegistryDown: // agents keep the last list
-		e.discoveryDown = true
-		for _, sidecar := range e.sidecars {
-			if sidecar.subscribed {
-				sidecar.subscribed = false
-				sidecar.deliver(balance.EndpointUpdate{Kind: balance.UpdateFailed})
-			}
-		}
+		e.excusePartitioned(fault)
+	case lab.FaultDelay, lab.FaultPacketLoss:
+		e.linkFaults = append(e.linkFaults, fault)
+	case lab.FaultDiscoveryDown, lab.FaultRegistryDown: // agents retain the last endpoint list
+		e.stopDiscovery()
 	case lab.FaultDiscoveryDelay:
 		e.discoveryDelayMS += fault.DelayMS
 	case lab.FaultHotKeyControllerDown, lab.FaultLoadReportLoss, lab.FaultFalseLoadReports:
@@ -87,59 +50,12 @@
 	}
 }
 
-// excusePartitioned: what a client that is cut off from its sidecar gets is not the sidecar's doing.
-func (e *engine) excusePartitioned(fault *lab.Fault) {
-	for _, sidecar := range e.sidecars {
-		clientEnd, sidecarEnd := lab.Endpoint{Kind: lab.ClientEndpoint, Index: sidecar.index}, lab.Endpoint{Kind: lab.SidecarEndpoint, Index: sidecar.index}
-		if fault.Affects(clientEnd, sidecarEnd) || fault.Affects(sidecarEnd, clientEnd) {
-			e.checker.ExcuseSidecar(sidecar.index, fault.StartMS, fault.EndMS+excuseAfterMS)
-		}
-	}
-}
-
-func (e *engine) endFault(now float64, fault *lab.Fault) {
+func (e *simEngine) endFault(now float64, fault *lab.Fault) {
 	for _, i := range fault.Servers {
-		server := e.servers[i]
-		switch fault.Kind {
-		case lab.FaultKill:
-			if !server.up {
-				server.boot(now)
-			}
-		case lab.FaultZoneOutage:
-			if server.vanished {
-				server.vanished = false
-				server.resetConnections(now, balance.Reset)
-				if server.plan.ReplacedMS == 0 || now < server.plan.ReplacedMS {
-					server.boot(now)
-				}
-			}
-		case lab.FaultFreeze:
-			server.frozen = false
-			received := server.waiting
-			server.waiting = nil
-			for _, attempt := range received {
-				server.receive(now, attempt)
-			}
-			server.advance(now)
-			server.scheduleAdvance()
-		case lab.FaultConnectionRefused:
-			server.refusing = false
-		case lab.FaultDiscoveryFalseRemoval:
-			if server.listed {
-				e.publishEndpoint(now, server, balance.Ready)
-			}
-		default:
-			server.model.SetFault(fault, false)
-		}
+		e.servers[i].endFault(now, fault)
 	}
 	for _, i := range fault.Sidecars {
-		sidecar := e.sidecars[i]
-		switch {
-		case fault.Kind == lab.FaultKill && !sidecar.up:
-			sidecar.start(now)
-		case fault.Kind == lab.FaultFreeze:
-			sidecar.unfreeze(now)
-		}
+		e.sidecars[i].endFault(now, fault)
 	}
 	switch fault.Kind {
 	case lab.FaultPartition, lab.FaultDelay, lab.FaultPacketLoss:
@@ -152,8 +68,120 @@
 		e.hotKeys.setFault(now, fault, false)
 	}
 	for _, sidecar := range e.sidecars {
-		if e.plan.Experiment.Discovery.Mode != "subscribe" || sidecar.subscribed {
+		if sidecar.isNotified() {
 			sidecar.applyUpdates(now)
 		}
 	}
 }
+
+// stopDiscovery makes discovery unavailable, which ends the watches of sidecars.
+func (e *simEngine) stopDiscovery() {
+	e.discoveryDown = true
+	for _, sidecar := range e.sidecars {
+		if sidecar.subscribed {
+			sidecar.subscribed = false
+			sidecar.deliver(balance.EndpointUpdate{Kind: balance.UpdateFailed})
+		}
+	}
+}
+
+// excusePartitioned excuses the sidecars that are partitioned from their clients.
+func (e *simEngine) excusePartitioned(fault *lab.Fault) {
+	for _, sidecar := range e.sidecars {
+		client := sidecar.clientEndpoint()
+		if fault.Affects(client, sidecar.endpoint()) || fault.Affects(sidecar.endpoint(), client) {
+			e.checker.ExcuseSidecar(sidecar.index, fault.StartMS, fault.EndMS+excuseAfterMS)
+		}
+	}
+}
+
+func (s *simServer) beginFault(now float64, fault *lab.Fault) {
+	switch fault.Kind {
+	case lab.FaultKill:
+		s.crash(now)
+		s.scheduleRemoval(now)
+	case lab.FaultZoneOutage:
+		s.vanished = true
+		s.scheduleRemoval(now)
+	case lab.FaultRestart:
+		s.drain(now, true)
+	case lab.FaultFreeze:
+		s.frozen = true
+	case lab.FaultConnectionRefused:
+		s.refusing = true
+		s.resetConnections(now, balance.Reset)
+	case lab.FaultDiscoveryFalseRemoval:
+		if s.listed {
+			s.engine.publishEndpoint(now, s, balance.Removed)
+		}
+	default:
+		s.model.SetFault(fault, true)
+	}
+}
+
+func (s *simServer) endFault(now float64, fault *lab.Fault) {
+	switch fault.Kind {
+	case lab.FaultKill:
+		if !s.up {
+			s.boot(now)
+		}
+	case lab.FaultZoneOutage:
+		s.endOutage(now)
+	case lab.FaultFreeze:
+		s.unfreeze(now)
+	case lab.FaultConnectionRefused:
+		s.refusing = false
+	case lab.FaultDiscoveryFalseRemoval:
+		if s.listed {
+			s.engine.publishEndpoint(now, s, balance.Ready)
+		}
+	default:
+		s.model.SetFault(fault, false)
+	}
+}
+
+// endOutage starts a vanished server again, unless it was to be replaced in the meantime.
+func (s *simServer) endOutage(now float64) {
+	if !s.vanished {
+		return
+	}
+	s.vanished = false
+	s.resetConnections(now, balance.Reset)
+	if s.plan.ReplacedMS == 0 || now < s.plan.ReplacedMS {
+		s.boot(now)
+	}
+}
+
+// unfreeze continues the server, with the requests that it received in the meantime.
+func (s *simServer) unfreeze(now float64) {
+	s.frozen = false
+	received := s.waiting
+	s.waiting = nil
+	for _, attempt := range received {
+		s.receive(now, attempt)
+	}
+	s.advance(now)
+	s.scheduleAdvance()
+}
+
+func (s *simSidecar) beginFault(now float64, fault *lab.Fault) {
+	switch fault.Kind {
+	case lab.FaultKill:
+		s.kill(now)
+	case lab.FaultRestart:
+		s.restart(now)
+	case lab.FaultFreeze:
+		s.freeze(fault.EndMS)
+	case lab.FaultReload:
+		s.fetchEndpoints(s.subscribed) // it follows discovery to another address, and gets the complete list
+	}
+}
+
+func (s *simSidecar) endFault(now float64, fault *lab.Fault) {
+	switch {
+	case fault.Kind == lab.FaultKill && !s.up:
+		s.start(now)
+	case fault.Kind == lab.FaultFreeze:
+		s.unfreeze(now)
+	}
+}
--- a/internal/lab/sim/hotkey.go
+++ b/internal/lab/sim/hotkey.go
@@ -14,46 +14,61 @@
 )
 
 const (
-	epochSeconds         = 1e9  // s of Unix time at which the virtual clock starts, for what counts by it
-	sketchKeys           = 64   // that a sidecar counts at a time, as the real one does
-	refreshIntervalMS    = 1000 // between two looks of who decides at the list
-	congestionIntervalMS = 100  // between two counts of choked servers
-	falseKeys            = 8    // keys that a lying sidecar reports, each with as much as it met of all
+	epochSeconds         = 1e9  // Unix time at which the virtual clock starts
+	sketchKeys           = 64   // keys that a sidecar counts at a time, as a real one does
+	refreshIntervalMS    = 1000 // between two updates of the controller's view of the servers
+	congestionIntervalMS = 100  // between two counts of congested servers
+	falseKeys            = 8    // keys that a false load report has, each with the sidecar's total load
 )
 
-// hotKeyController is what stands between sidecars and the decider of spread keys: reports, the placement and its ways.
-type hotKeyController struct {
-	engine  *engine
+// hotKeySimulation simulates what is between the sidecars and the hot-key controller: load reports, the placement and their
+// delays. The decisions are those of hotkey.Planner.
+type hotKeySimulation struct {
+	engine  *simEngine
 	spec    *lab.HotKeySpec
 	config  hotkey.Config
 	checker *lab.HotKeyChecker
-	rng     *rand.Rand // of reports and placement: it moves no other chance
+	rng     *rand.Rand // of its own, so that no other draw depends on reports and placements
 	hotKeys map[uint64]bool
 
-	planner   *hotkey.Planner // nil: nobody decides
-	writing   bool
-	revision  uint64
-	entries   map[string]placement.Directive
-	placement balance.Placement // all entries, as sidecars get them
-	sketches  []hotKeySketch    // by sidecar
+	planner    *hotkey.Planner // nil: the controller is down
+	writing    bool            // the changes of a plan are being written
+	revision   uint64
+	directives map[string]placement.Directive // by ID
+	placement  balance.Placement              // all directives, as sidecars get them
+	keyLoads   []sidecarKeyLoad               // by sidecar
 
-	lossShares     []float64 // parts of the reports that are lost now
+	lossShares     []float64 // of the load reports that faults lose now
 	falseReporters map[int]bool
 }
 
-// hotKeySketch is what the sidecar's program keeps beside the module.
-type hotKeySketch struct {
+// sidecarKeyLoad is what the program of a sidecar holds beside the decision module.
+type sidecarKeyLoad struct {
 	sketch        *topk.Sketch
-	revision      uint64
-	updatePending bool // the placement is on its way
+	revision      uint64 // of the placement that it has
+	updatePending bool   // a placement is on its way to it
 }
 
-func newHotKeyController(engine *engine) (*hotKeyController, error) {
+func newHotKeySimulation(engine *simEngine) (*hotKeySimulation, error) {
 	plan := engine.plan
-	c := &hotKeyController{
-		engine: engine, spec: plan.Experiment.HotKeys, checker: lab.NewHotKeyChecker(plan, engine.checker), rng: rand.New(rand.NewPCG(plan.Seed, 98)),
-		hotKeys: plan.HotKeys(), entries: map[string]placement.Directive{}, sketches: make([]hotKeySketch, len(plan.Sidecars)), falseReporters: map[int]bool{},
+	c := &hotKeySimulation{
+		engine: engine, spec: plan.Experiment.HotKeys, checker: lab.NewHotKeyChecker(plan, engine.checker),
+		rng: rand.New(rand.NewPCG(plan.Seed, streamHotKeys)), hotKeys: plan.HotKeys(),
+		directives: map[string]placement.Directive{}, keyLoads: make([]sidecarKeyLoad, len(plan.Sidecars)),
+		falseReporters: map[int]bool{},
 	}
+	c.config = c.controllerConfig()
+	if c.spec.Oracle {
+		for _, server := range engine.servers {
+			server.model.AlwaysCached = c.hotKeys
+		}
+	}
+	return c, c.config.Validate()
+}
+
+// controllerConfig returns the controller's configuration.
+func (c *hotKeySimulation) controllerConfig() hotkey.Config {
+	plan := c.engine.plan
 	serverCapacity, requestWork := c.spec.ServerCapacity, c.spec.RequestWorkMS
 	if serverCapacity == 0 {
 		serverCapacity = plan.MeanServerCapacity()
@@ -61,54 +76,51 @@
 	if requestWork == 0 {
 		requestWork = plan.MeanWork()
 	}
-	c.config = hotkey.DefaultConfig(serverCapacity, requestWork)
+	config := hotkey.DefaultConfig(serverCapacity, requestWork)
 	if c.spec.WarmupBudget > 0 {
-		c.config.WarmupBudget = c.spec.WarmupBudget
+		config.WarmupBudget = c.spec.WarmupBudget
 	}
 	if c.spec.CopiesPerServer > 0 {
-		c.config.ReplicasPerServer = c.spec.CopiesPerServer
+		config.ReplicasPerServer = c.spec.CopiesPerServer
 	}
 	if c.spec.MaxKeys > 0 {
-		c.config.MaxKeys = c.spec.MaxKeys
+		config.MaxKeys = c.spec.MaxKeys
 	}
-	if c.spec.Oracle {
-		for _, server := range engine.servers {
-			server.model.AlwaysCached = c.hotKeys
-		}
-	}
-	return c, c.config.Validate()
+	return config
 }
 
-// start starts what goes on by itself.
-func (c *hotKeyController) start() {
+// start starts the periodic measurements and, if it is enabled, the controller and the load reports.
+func (c *hotKeySimulation) start() {
 	c.repeat(congestionIntervalMS, congestionIntervalMS, func(float64) { c.countCongested() })
-	c.repeat(0, refreshIntervalMS, func(now float64) { c.refreshServers(now) })
+	c.repeat(0, refreshIntervalMS, c.refreshServers)
 	if !c.spec.Enabled {
 		return
 	}
 	c.startPlanner(0)
-	for index := range c.sketches {
-		c.repeat(c.rng.Float64()*c.spec.ReportIntervalMS, c.spec.ReportIntervalMS, func(now float64) { c.sendReport(now, index) })
+	for index := range c.keyLoads {
+		first := c.rng.Float64() * c.spec.ReportIntervalMS
+		c.repeat(first, c.spec.ReportIntervalMS, func(now float64) { c.sendReport(now, index) })
 	}
 	c.repeat(c.spec.PlanIntervalMS, c.spec.PlanIntervalMS, c.plan)
 }
 
-// repeat does something again and again, first at a time.
-func (c *hotKeyController) repeat(first, every float64, run func(now float64)) {
+// repeat has something happen at a time, and again after each interval.
+func (c *hotKeySimulation) repeat(first, every float64, run func(now float64)) {
 	c.engine.schedule(first, func(now float64) {
 		run(now)
 		c.repeat(first+every, every, run)
 	})
 }
 
-func (c *hotKeyController) drawDelay(r lab.Range) float64 {
+func (c *hotKeySimulation) drawDelay(r lab.Range) float64 {
 	return r.Min + (r.Max-r.Min)*c.rng.Float64()
 }
 
-// unixSeconds is a time of the run in seconds of Unix time.
+// unixSeconds returns a time of the run as Unix time.
 func unixSeconds(now float64) float64 { return epochSeconds + now/1000 }
 
-func (c *hotKeyController) countCongested() {
+// countCongested records how many servers are congested.
+func (c *hotKeySimulation) countCongested() {
 	count := 0
 	for _, server := range c.engine.servers {
 		if server.up && server.model.Congested(c.engine.now) {
@@ -118,29 +130,44 @@
 	c.checker.RecordCongestion(count, congestionIntervalMS)
 }
 
-// startPlanner begins a decider, which goes on from the placement.
-func (c *hotKeyController) startPlanner(now float64) {
+// startPlanner starts the controller, which continues from the placement.
+func (c *hotKeySimulation) startPlanner(now float64) {
 	planner, err := hotkey.NewPlanner(c.config)
 	if err != nil {
-		panic(err) // its settings were checked
+		panic(err) // the configuration was validated
 	}
 	c.planner = planner
 	c.refreshServers(now)
-	planner.SetExpectedSidecars(len(c.sketches))
-	var entries []placement.Directive
-	for _, id := range slices.Sorted(maps.Keys(c.entries)) {
-		entries = append(entries, c.entries[id])
+	planner.SetExpectedSidecars(len(c.keyLoads))
+	var directives []placement.Directive
+	for _, id := range slices.Sorted(maps.Keys(c.directives)) {
+		directives = append(directives, c.directives[id])
 	}
-	planner.Restore(unixSeconds(now), entries)
+	planner.Restore(unixSeconds(now), directives)
 }
 
-// refreshServers tells the decider of the list, and drops entries that are over.
-func (c *hotKeyController) refreshServers(now float64) {
-	slowStartMS, ready := 0.0, 0
+// refreshServers updates the controller's view of the servers, and removes expired directives.
+func (c *hotKeySimulation) refreshServers(now float64) {
+	servers, ready := c.listServers(now)
+	c.checker.RecordReadyServers(ready)
+	if c.planner != nil {
+		c.planner.SetServers(servers)
+	}
+	for _, id := range slices.Sorted(maps.Keys(c.directives)) {
+		directive := c.directives[id]
+		if float64(directive.ExpiresAtMS) <= 1000*unixSeconds(now) {
+			delete(c.directives, id)
+			c.checker.PlacementChanged(now, directiveKey(&directive), nil)
+		}
+	}
+}
+
+// listServers returns the servers as the controller sees them, and how many are listed as ready.
+func (c *hotKeySimulation) listServers(now float64) (servers []hotkey.Server, ready int) {
+	slowStartMS := 0.0
 	for i := range c.engine.plan.Experiment.Servers {
 		slowStartMS = max(slowStartMS, 1000*c.engine.plan.Experiment.Servers[i].SlowStartS.Max)
 	}
-	var servers []hotkey.Server
 	for _, server := range c.engine.servers {
 		if server.plan.StartMS > now {
 			continue
@@ -149,65 +176,34 @@
 			ready++
 		}
 		servers = append(servers, hotkey.Server{
-			UID: server.plan.UID, Zone: strconv.Itoa(server.plan.Zone), Pod: server.plan.Cell, Capacity: 1, BootMS: epochSeconds*1000 + server.startedAt,
-			Ready: server.listed, WarmingUp: server.startedAt > 0 && now < server.startedAt+slowStartMS,
+			UID: server.plan.UID, Zone: strconv.Itoa(server.plan.Zone), Pod: server.plan.Cell, Capacity: 1,
+			BootMS: epochSeconds*1000 + server.startedAt, Ready: server.listed,
+			WarmingUp: server.startedAt > 0 && now < server.startedAt+slowStartMS,
 		})
 	}
-	c.checker.RecordReadyServers(ready)
-	if c.planner != nil {
-		c.planner.SetServers(servers)
-	}
-	for _, id := range slices.Sorted(maps.Keys(c.entries)) {
-		if e := c.entries[id]; float64(e.ExpiresAtMS) <= 1000*unixSeconds(now) {
-			delete(c.entries, id)
-			c.checker.PlacementChanged(now, directiveKey(&e), nil)
-		}
-	}
-}
-
-func directiveKey(e *placement.Directive) uint64 {
-	key, _ := strconv.ParseUint(e.KeyHash, 16, 64) // the decider wrote it
-	return key
-}
-
-// sidecarStarted: a sidecar begins a life; its agent has the placement at hand.
-func (c *hotKeyController) sidecarStarted(sidecar *simSidecar) {
-	c.sketches[sidecar.index] = hotKeySketch{sketch: topk.New(sketchKeys, c.config.HalfLife)}
-	if c.revision > 0 {
-		c.sendPlacement(sidecar)
-	}
+	return servers, ready
 }
 
-// requestReceived: a sidecar gets a request. With the oracle a hot key keeps to no servers.
-func (c *hotKeyController) requestReceived(now float64, sidecar *simSidecar, request *balance.Request) {
+// requestReceived counts the load of a request's key. With the oracle, a hot key is removed so that the request may go to
+// any server.
+func (c *hotKeySimulation) requestReceived(now float64, sidecar *simSidecar, request *balance.Request) {
 	if c.spec.Oracle && c.hotKeys[request.Key] {
 		request.Key = 0
 	}
 	if request.Key != 0 && c.spec.Enabled {
-		c.sketches[sidecar.index].sketch.Add(now/1000, request.Key, request.ExpectedWork)
+		c.keyLoads[sidecar.index].sketch.Add(now/1000, request.Key, request.ExpectedWork)
 	}
 }
 
-// sendReport has a sidecar report. One that stands still says nothing.
-func (c *hotKeyController) sendReport(now float64, index int) {
-	sidecar, sketch := c.engine.sidecars[index], &c.sketches[index]
+// sendReport sends the load report of a sidecar. A frozen one sends none.
+func (c *hotKeySimulation) sendReport(now float64, index int) {
+	sidecar, keyLoad := c.engine.sidecars[index], &c.keyLoads[index]
 	if !sidecar.up || sidecar.frozen {
 		return
 	}
-	top := sketch.sketch.Top(now/1000, placement.MaxHotKeys)
-	report := &placement.LoadReport{Sidecar: sidecar.plan.Name, PlacementRevision: sketch.revision, IntervalMS: c.spec.ReportIntervalMS, TotalKeyLoad: top.Total}
-	for _, key := range top.Keys {
-		report.HotKeys = append(report.HotKeys, placement.KeyLoad{KeyHash: hotkey.FormatKey(key.Key), Load: key.Load, ErrorBound: key.Error})
-	}
-	if c.falseReporters[index] {
-		report.HotKeys = nil
-		for k := range falseKeys {
-			report.HotKeys = append(report.HotKeys, placement.KeyLoad{KeyHash: hotkey.FormatKey(uint64(k + 1)), Load: top.Total})
-		}
-		report.TotalKeyLoad = falseKeys * top.Total
-	}
-	for _, part := range c.lossShares {
-		if c.rng.Float64() < part {
+	report := c.loadReport(now, sidecar, keyLoad)
+	for _, share := range c.lossShares {
+		if c.rng.Float64() < share {
 			return
 		}
 	}
@@ -218,8 +214,30 @@
 	})
 }
 
-// plan has the decider decide and its changes written; meanwhile it waits.
-func (c *hotKeyController) plan(now float64) {
+// loadReport returns the load report of a sidecar, which is false under a fault.
+func (c *hotKeySimulation) loadReport(now float64, sidecar *simSidecar, keyLoad *sidecarKeyLoad) *placement.LoadReport {
+	top := keyLoad.sketch.Top(now/1000, placement.MaxHotKeys)
+	report := &placement.LoadReport{
+		Sidecar: sidecar.plan.Name, PlacementRevision: keyLoad.revision, IntervalMS: c.spec.ReportIntervalMS,
+		TotalKeyLoad: top.Total,
+	}
+	if c.falseReporters[sidecar.index] {
+		for key := range falseKeys {
+			report.HotKeys = append(report.HotKeys, placement.KeyLoad{KeyHash: hotkey.FormatKey(uint64(key + 1)), Load: top.Total})
+		}
+		report.TotalKeyLoad = falseKeys * top.Total
+		return report
+	}
+	for _, key := range top.Keys {
+		report.HotKeys = append(report.HotKeys, placement.KeyLoad{
+			KeyHash: hotkey.FormatKey(key.Key), Load: key.Load, ErrorBound: key.Error,
+		})
+	}
+	return report
+}
+
+// plan has the controller plan, and writes its changes after a delay. It does not plan again before they are written.
+func (c *hotKeySimulation) plan(now float64) {
 	if c.planner == nil || c.writing {
 		return
 	}
@@ -235,63 +253,12 @@
 	})
 }
 
-func (c *hotKeyController) applyChanges(now float64, planner *hotkey.Planner, changes []hotkey.Change) {
-	c.revision++
-	for _, change := range changes {
-		id := change.RemoveID
-		if change.Set != nil {
-			id = change.Set.ID
-			directive := *change.Set
-			directive.Revision = c.revision
-			c.entries[id] = directive
-			shares := map[int]float64{}
-			for _, replica := range directive.Copies {
-				if server := c.engine.byID[serverID(replica.ServerUID)]; server != nil {
-					shares[server.index] = replica.LoadFraction
-				}
-			}
-			c.checker.PlacementChanged(now, directiveKey(&directive), shares)
-		} else if directive, ok := c.entries[id]; ok {
-			delete(c.entries, id)
-			c.checker.PlacementChanged(now, directiveKey(&directive), nil)
-		}
-		planner.Confirm(id, c.revision)
-	}
-	c.checker.PlacementWritten(now)
-	c.placement = balance.Placement{}
-	for _, id := range slices.Sorted(maps.Keys(c.entries)) {
-		directive := c.entries[id]
-		hotKey := balance.HotKey{Key: directiveKey(&directive), ExpiresAt: float64(directive.ExpiresAtMS) - 1000*epochSeconds}
-		for _, replica := range directive.Copies {
-			hotKey.Replicas = append(hotKey.Replicas, balance.Replica{Server: serverID(replica.ServerUID), LoadFraction: replica.LoadFraction})
-		}
-		c.placement.HotKeys = append(c.placement.HotKeys, hotKey)
-	}
-	for _, sidecar := range c.engine.sidecars {
-		c.sendPlacement(sidecar)
-	}
-}
-
-// sendPlacement has a sidecar get the placement as it is when it comes there.
-func (c *hotKeyController) sendPlacement(sidecar *simSidecar) {
-	sketch, incarnation := &c.sketches[sidecar.index], sidecar.incarnation
-	if !sidecar.up || sketch.updatePending {
-		return
-	}
-	sketch.updatePending = true
-	c.engine.schedule(c.engine.now+c.drawDelay(c.spec.PlacementDelayMS), func(float64) {
-		if sidecar.incarnation == incarnation {
-			sketch.updatePending, sketch.revision = false, c.revision
-			sidecar.deliver(c.placement)
-		}
-	})
-}
-
-// setFault begins or ends one of the spreader's.
-func (c *hotKeyController) setFault(now float64, fault *lab.Fault, active bool) {
+// setFault begins or ends a fault of the controller or its load reports.
+func (c *hotKeySimulation) setFault(now float64, fault *lab.Fault, active bool) {
 	switch fault.Kind {
 	case lab.FaultHotKeyControllerDown:
-		if c.planner = nil; !active {
+		c.planner = nil
+		if !active {
 			c.startPlanner(now)
 		}
 	case lab.FaultLoadReportLoss:
--- a/internal/lab/sim/queue.go
+++ b/internal/lab/sim/queue.go
@@ -1,29 +1,34 @@
 package sim
 
-// eventQueue is a heap of what is to happen, by time and, at the same time, by the order of pushing.
+// eventQueue is a heap of events by time and, at the same time, in the order in which they were pushed.
 type eventQueue struct {
-	heap []event
-	seq  uint64
+	heap     []event
+	sequence uint64 // of the event pushed last
 }
 
+// event is something that happens at a time.
 type event struct {
-	due float64
-	seq uint64
-	run func(now float64)
+	due      float64
+	sequence uint64
+	run      func(now float64)
 }
 
-func (e *event) before(f *event) bool { return e.due < f.due || e.due == f.due && e.seq < f.seq }
+func (e *event) before(other *event) bool {
+	return e.due < other.due || e.due == other.due && e.sequence < other.sequence
+}
 
-func (q *eventQueue) peek() (float64, bool) {
+// peek returns when the next event is due; false: there is none.
+func (q *eventQueue) peek() (due float64, pending bool) {
 	if len(q.heap) == 0 {
 		return 0, false
 	}
 	return q.heap[0].due, true
 }
 
-func (q *eventQueue) push(at float64, do func(now float64)) {
-	q.seq++
-	q.heap = append(q.heap, event{at, q.seq, do})
+// push adds an event.
+func (q *eventQueue) push(due float64, run func(now float64)) {
+	q.sequence++
+	q.heap = append(q.heap, event{due, q.sequence, run})
 	for i := len(q.heap) - 1; i > 0; {
 		parent := (i - 1) / 2
 		if !q.heap[i].before(&q.heap[parent]) {
@@ -34,8 +39,9 @@
 	}
 }
 
+// pop removes the next event and returns what it runs.
 func (q *eventQueue) pop() func(now float64) {
-	do := q.heap[0].run
+	run := q.heap[0].run
 	last := len(q.heap) - 1
 	q.heap[0] = q.heap[last]
 	q.heap[last] = event{}
@@ -54,5 +60,5 @@
 		q.heap[i], q.heap[child] = q.heap[child], q.heap[i]
 		i = child
 	}
-	return do
+	return run
 }
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -10,11 +10,12 @@
 	"milldeck/internal/lab"
 )
 
+// errUnknownTarget is given for an instance that sends an unknown request, or sends to an unknown server.
 var errUnknownTarget = errors.New("the instance sends a request or to a server that it was not given")
 
-// simServer is one server with the faults it suffers.
+// simServer is a server: the model of package lab with its process, its connections and its faults.
 type simServer struct {
-	engine *engine
+	engine *simEngine
 	index  int
 	plan   *lab.ServerPlan
 	model  *lab.Server
@@ -22,29 +23,46 @@
 
 	up          bool // its process runs
 	incarnation int
-	vanished    bool // its machine says nothing
+	vanished    bool // its machine does not respond
 	frozen      bool
-	refusing    bool
-	listed      bool // discovery has it, ready
+	refusing    bool // it refuses connections
+	listed      bool // the endpoint list has it as ready
 	startedAt   float64
 
 	connections int
-	inFlight    map[int64]*attempt // those that it holds
-	waiting     []*attempt         // that came while it was frozen
-	wakeAt      float64            // when it is next looked at; 0: not
+	inFlight    map[int64]*simAttempt // running and waiting, by attempt
+	waiting     []*simAttempt         // received while it was frozen
+	wakeAt      float64               // when advance is scheduled; 0: it is not
 }
 
-func (s *simServer) endpoint(state balance.ServerState, startedAt float64) balance.Server {
+// newServer returns a server of the plan, which runs if it is one of the initial ones.
+func newServer(e *simEngine, index int, effects lab.EffectStore) *simServer {
+	plan := &e.plan.Servers[index]
+	initial := plan.StartMS == 0
+	return &simServer{
+		engine: e, index: index, plan: plan, model: lab.NewServer(e.plan, index, effects), id: serverID(plan.UID),
+		inFlight: map[int64]*simAttempt{}, up: initial, listed: initial,
+	}
+}
+
+// endpoint returns the server as an endpoint of links.
+func (s *simServer) endpoint() lab.Endpoint {
+	return lab.Endpoint{Kind: lab.ServerEndpoint, Index: s.index}
+}
+
+// listEntry returns the entry of the endpoint list for the server in a state.
+func (s *simServer) listEntry(state balance.ServerState, startedAt float64) balance.Server {
 	return balance.Server{
-		ID: s.id, State: state, StartedAt: startedAt, RelativeCapacity: 1, Cell: s.plan.Cell, Zone: s.plan.Zone, Kind: s.plan.KindIndex,
+		ID: s.id, State: state, StartedAt: startedAt, RelativeCapacity: 1,
+		Cell: s.plan.Cell, Zone: s.plan.Zone, Kind: s.plan.KindIndex,
 	}
 }
 
-// receive brings an attempt's request.
-func (s *simServer) receive(now float64, attempt *attempt) {
+// receive takes the request of an attempt.
+func (s *simServer) receive(now float64, attempt *simAttempt) {
 	engine := s.engine
 	switch {
-	case s.vanished || engine.isPartitioned(lab.Endpoint{Kind: lab.SidecarEndpoint, Index: attempt.sidecar.index}, lab.Endpoint{Kind: lab.ServerEndpoint, Index: s.index}):
+	case s.vanished || engine.isPartitioned(attempt.sidecar.endpoint(), s.endpoint()):
 		return
 	case s.frozen:
 		s.waiting = append(s.waiting, attempt)
@@ -54,25 +72,17 @@
 		return
 	}
 	engine.checker.AttemptReceived(now, attempt.sentAt, attempt.request.id, attempt.id, attempt.sidecar.index, s.index)
-	if !attempt.inFlight { // given up while it was on its way
+	if !attempt.inFlight { // it was cancelled before it arrived
 		engine.checker.AttemptEnded(now, attempt.request.id, attempt.id, "given up")
 		return
 	}
-	attempt.arrived = true
 	s.advance(now)
-	arrival := &attempt.request.client.Arrival
-	view, told := attempt.sidecar.endpoints[s.index]
 	accepted := false
 	if s.connections <= s.plan.Spec.MaxConnections {
 		var overload *lab.SlowStartOverload
-		accepted, overload = s.model.Offer(now, lab.Job{
-			Attempt: attempt.id, Request: attempt.request.id, Class: arrival.Class, Key: arrival.Key, EffectID: arrival.EffectID, WorkMS: arrival.WorkMS,
-			ExpiresAt: attempt.deadline, SenderInformed: told && view.startedAt == s.startedAt,
-		})
+		accepted, overload = s.model.Offer(now, s.job(attempt))
 		if overload != nil {
-			engine.checker.ServerOverloaded(now, s.index, overload)
-			s.crash(now)
-			s.scheduleRemoval(now)
+			s.crashOverloaded(now, overload)
 			s.sendResult(now, attempt, balance.Reset)
 			return
 		}
@@ -85,6 +95,24 @@
 	s.scheduleAdvance()
 }
 
+// job returns an attempt as the model sees it.
+func (s *simServer) job(attempt *simAttempt) lab.Job {
+	arrival := &attempt.request.client.Arrival
+	view, notified := attempt.sidecar.endpoints[s.index]
+	return lab.Job{
+		Attempt: attempt.id, Request: attempt.request.id, Class: arrival.Class, Key: arrival.Key,
+		EffectID: arrival.EffectID, WorkMS: arrival.WorkMS, ExpiresAt: attempt.deadline,
+		SenderInformed: notified && view.startedAt == s.startedAt,
+	}
+}
+
+// crashOverloaded ends the process of a warming-up server that was overloaded.
+func (s *simServer) crashOverloaded(now float64, overload *lab.SlowStartOverload) {
+	s.engine.checker.ServerOverloaded(now, s.index, overload)
+	s.crash(now)
+	s.scheduleRemoval(now)
+}
+
 // addBackgroundWork adds work that nobody waits for.
 func (s *simServer) addBackgroundWork(now, ms float64) {
 	if !s.up || ms <= 0 {
@@ -92,14 +120,12 @@
 	}
 	s.advance(now)
 	if _, overload := s.model.Offer(now, lab.Job{WorkMS: ms}); overload != nil {
-		s.engine.checker.ServerOverloaded(now, s.index, overload)
-		s.crash(now)
-		s.scheduleRemoval(now)
+		s.crashOverloaded(now, overload)
 	}
 	s.scheduleAdvance()
 }
 
-// scheduleAdvance sets the time at which the server is looked at again.
+// scheduleAdvance schedules advance for the end of the next job.
 func (s *simServer) scheduleAdvance() {
 	next := s.model.Next()
 	if s.frozen || math.IsInf(next, 1) || s.wakeAt != 0 && s.wakeAt <= next {
@@ -107,7 +133,7 @@
 	}
 	s.wakeAt = next
 	s.engine.schedule(next, func(now float64) {
-		if s.wakeAt != next { // an earlier look has taken its place
+		if s.wakeAt != next { // it was scheduled for an earlier time since
 			return
 		}
 		s.wakeAt = 0
@@ -118,14 +144,15 @@
 	})
 }
 
+// advance ends the jobs that are due.
 func (s *simServer) advance(now float64) {
 	if s.frozen {
 		return
 	}
-	s.model.Advance(now, func(end lab.JobCompletion) { s.jobDone(now, end) })
+	s.model.Advance(now, func(completion lab.JobCompletion) { s.jobDone(now, completion) })
 }
 
-// jobDone: a job has ended; its answer, if it gets that far, goes back.
+// jobDone sends the response of a job that has ended.
 func (s *simServer) jobDone(now float64, completion lab.JobCompletion) {
 	engine := s.engine
 	if engine.hotKeys != nil {
@@ -144,24 +171,32 @@
 		s.sendResult(now, attempt, balance.Overloaded)
 	case completion.Result == lab.JobFailed:
 		s.sendResult(now, attempt, balance.Failed)
-	case s.model.ResetShare > 0 && engine.rng.Float64() < s.model.ResetShare, s.model.CorruptShare > 0 && engine.rng.Float64() < s.model.CorruptShare:
-		s.sendResult(now, attempt, balance.Reset) // of a spoilt answer the sidecar closes the connection
+	case s.breaksResponse():
+		s.sendResult(now, attempt, balance.Reset)
 	default:
 		engine.checker.ResponseProduced(now, completion.Request, s.index)
 		s.sendResult(now, attempt, balance.OK)
 	}
 }
 
-// sendResult sends what becomes of an attempt to its sidecar.
-func (s *simServer) sendResult(now float64, attempt *attempt, result balance.Result) {
+// breaksResponse draws whether a fault resets the connection of a response, or corrupts the response, on which the sidecar
+// closes the connection.
+func (s *simServer) breaksResponse() bool {
+	rng := s.engine.rng
+	return s.model.ResetShare > 0 && rng.Float64() < s.model.ResetShare ||
+		s.model.CorruptShare > 0 && rng.Float64() < s.model.CorruptShare
+}
+
+// sendResult sends the result of an attempt to its sidecar.
+func (s *simServer) sendResult(now float64, attempt *simAttempt, result balance.Result) {
 	delay, passes := s.engine.networkDelay(attempt.sidecar, s, false)
 	if passes && !s.vanished {
 		s.engine.schedule(now+delay, func(now float64) { attempt.finish(now, result) })
 	}
 }
 
-// cancelAttempt: the sidecar has given an attempt up and closed its connection.
-func (s *simServer) cancelAttempt(now float64, attempt *attempt) {
+// cancelAttempt handles that the sidecar has closed the connection of an attempt.
+func (s *simServer) cancelAttempt(now float64, attempt *simAttempt) {
 	if s.inFlight[attempt.id] != nil && s.up && !s.frozen && !s.vanished {
 		s.advance(now)
 		if s.model.Cancel(now, attempt.id) {
@@ -171,7 +206,7 @@
 	}
 }
 
-// crash ends the process: what it held is reset.
+// crash ends the process, which resets its connections.
 func (s *simServer) crash(now float64) {
 	if !s.up {
 		return
@@ -180,20 +215,20 @@
 	s.resetConnections(now, balance.Reset)
 }
 
-// resetConnections ends all that came of the life of a process.
+// resetConnections ends all connections with a result for their attempts.
 func (s *simServer) resetConnections(now float64, result balance.Result) {
 	s.incarnation++
 	s.connections = 0
 	for _, id := range slices.Sorted(maps.Keys(s.inFlight)) {
 		s.sendResult(now, s.inFlight[id], result)
 	}
-	s.inFlight = map[int64]*attempt{}
+	s.inFlight = map[int64]*simAttempt{}
 	for _, sidecar := range s.engine.sidecars {
 		delete(sidecar.idleConnections, s.index)
 	}
 }
 
-// boot starts the process anew, cold, and lists it.
+// boot starts a new process with a slow start, and lists it.
 func (s *simServer) boot(now float64) {
 	if s.model.Overloaded() {
 		return // it stays down
@@ -203,11 +238,12 @@
 	s.engine.publishEndpoint(now, s, balance.Ready)
 }
 
-// scheduleRemoval has discovery find out, late, that the server is gone.
+// scheduleRemoval has discovery detect, after a delay, that the server has failed.
 func (s *simServer) scheduleRemoval(now float64) {
 	incarnation := s.incarnation
 	detection := s.engine.plan.Experiment.Discovery.FailureDetectionMS
-	s.engine.schedule(now+detection.Min+(detection.Max-detection.Min)*s.engine.rng.Float64(), func(now float64) {
+	detectedAt := now + detection.Min + (detection.Max-detection.Min)*s.engine.rng.Float64()
+	s.engine.schedule(detectedAt, func(now float64) {
 		if s.listed && s.incarnation == incarnation && (!s.up || s.vanished) {
 			s.listed = false
 			s.engine.publishEndpoint(now, s, balance.Removed)
@@ -215,7 +251,7 @@
 	})
 }
 
-// drain drains the server and ends it; again has it start anew.
+// drain drains the server, then ends it or restarts it.
 func (s *simServer) drain(now float64, restart bool) {
 	if !s.up || !s.listed {
 		return
@@ -235,12 +271,3 @@
 		}
 	})
 }
-
-// publishEndpoint tells all sidecars of a server, each after its own time.
-func (e *engine) publishEndpoint(now float64, server *simServer, state balance.ServerState) {
-	update := endpointUpdate{server, state, server.startedAt}
-	for _, sidecar := range e.sidecars {
-		sidecar.lastNotified = math.Max(sidecar.lastNotified, now+sidecar.plan.NotificationDelayMS+e.discoveryDelayMS)
-		e.schedule(sidecar.lastNotified, func(now float64) { sidecar.receiveUpdate(now, update) })
-	}
-}
