--- a/internal/lab/arrivals.go
+++ b/internal/lab/arrivals.go
@@ -134,14 +134,14 @@
 			zoneShare += sidecar.TrafficShare
 		}
 	}
-	movedShare := a.shiftedSteps / shiftSteps * boolToFloat(zoneShare > 0)
+	shiftedShare := a.shiftedSteps / shiftSteps * boolToFloat(zoneShare > 0)
 	sum := 0.0
 	a.cumulativeWeights = a.cumulativeWeights[:0]
 	for i := range a.plan.Sidecars {
 		sidecar := &a.plan.Sidecars[i]
-		weight := sidecar.TrafficShare * (1 - movedShare)
+		weight := sidecar.TrafficShare * (1 - shiftedShare)
 		if sidecar.Zone == a.shiftZone && zoneShare > 0 {
-			weight = sidecar.TrafficShare * (1 + movedShare*(1-zoneShare)/zoneShare)
+			weight = sidecar.TrafficShare * (1 + shiftedShare*(1-zoneShare)/zoneShare)
 		}
 		sum += weight
 		a.cumulativeWeights = append(a.cumulativeWeights, sum)
--- a/internal/lab/control_checker.go
+++ b/internal/lab/control_checker.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// coldWorkSlots is the number of slots of the window in which the cold work of replicas is counted.
-	coldWorkSlots = 20
+	// warmupWorkSlots is the number of slots of the window in which the warm-up work of replicas is counted.
+	warmupWorkSlots = 20
 	// hoursToleranceMS is how late the checker may learn of an exclusion.
 	hoursToleranceMS = 500
 )
@@ -42,16 +42,16 @@
 	exclusionCount int
 	outsideHoursMS float64 // of exclusions
 
-	copies            map[int][]KeyCopy // by sidecar
-	copyCount         map[KeyCopy]int   // sidecars that have each
-	coldWork          [coldWorkSlots]coldWorkSlot
-	peakColdWorkMS    float64
-	lastColdViolation float64 // -Inf: none
-	fleetCapacity     float64 // of all servers, ms of standard work a second
+	copies              map[int][]KeyCopy // by sidecar
+	copyCount           map[KeyCopy]int   // sidecars that have each
+	warmupWork          [warmupWorkSlots]warmupWorkSlot
+	peakWarmupWorkMS    float64
+	lastWarmupViolation float64 // -Inf: none
+	fleetCapacity       float64 // of all servers, ms of standard work a second
 }
 
-// coldWorkSlot is the cold work of replicas within one slot of the window.
-type coldWorkSlot struct {
+// warmupWorkSlot is the warm-up work of replicas within one slot of the window.
+type warmupWorkSlot struct {
 	slot   int
 	workMS float64
 }
@@ -89,7 +89,7 @@
 	c := &ControlPlaneChecker{
 		checker: checker, plan: p, spec: p.Experiment.ControlPlane, units: map[string]*unitState{},
 		maxDisrupted: map[string]int{}, exclusions: map[int]map[exclusionKey]interval{},
-		copies: map[int][]KeyCopy{}, copyCount: map[KeyCopy]int{}, lastColdViolation: math.Inf(-1),
+		copies: map[int][]KeyCopy{}, copyCount: map[KeyCopy]int{}, lastWarmupViolation: math.Inf(-1),
 	}
 	zones := p.Experiment.Zones
 	for i := range p.Servers {
--- a/internal/lab/control_checker_published.go
+++ b/internal/lab/control_checker_published.go
@@ -90,10 +90,11 @@
 	c.copies[sidecar] = copies
 }
 
-// WorkDone records work of a server for a key in ms, cold if the key was not in its cache. Only cold work of copies counts.
-func (c *ControlPlaneChecker) WorkDone(now float64, unit string, key uint64, workMS float64, coldCache bool) {
-	windowMS := 1000 * c.spec.ColdWork.WindowS
-	if windowMS == 0 || !coldCache {
+// WorkDone records work of a server for a key in ms. Only work of copies for keys that are not in their cache counts: it is
+// the warm-up work of the copies.
+func (c *ControlPlaneChecker) WorkDone(now float64, unit string, key uint64, workMS float64, cacheMiss bool) {
+	windowMS := 1000 * c.spec.WarmupWork.WindowS
+	if windowMS == 0 || !cacheMiss {
 		return
 	}
 	c.checker.mu.Lock()
@@ -101,41 +102,41 @@
 	if c.copyCount[KeyCopy{key, unit}] == 0 {
 		return
 	}
-	sum := c.addColdWork(int(now/windowMS*coldWorkSlots), workMS)
-	c.peakColdWorkMS = max(c.peakColdWorkMS, sum)
-	limit := c.coldWorkLimitMS()
-	if sum > limit && now > c.lastColdViolation+windowMS {
-		c.lastColdViolation = now // one violation per window: the work in it is the same
+	sum := c.addWarmupWork(int(now/windowMS*warmupWorkSlots), workMS)
+	c.peakWarmupWorkMS = max(c.peakWarmupWorkMS, sum)
+	limit := c.warmupWorkLimitMS()
+	if sum > limit && now > c.lastWarmupViolation+windowMS {
+		c.lastWarmupViolation = now // one violation per window: the work in it is the same
 		c.checker.report(now, RuleHotKeyCost, nil, fmt.Sprintf(
 			"within %.1f s copies did %.0f ms of work for keys that were not warm there, at most %.0f may be",
-			c.spec.ColdWork.WindowS, sum, limit))
+			c.spec.WarmupWork.WindowS, sum, limit))
 	}
 }
 
-// addColdWork adds cold work to a slot and returns the sum of the window that ends with it.
-func (c *ControlPlaneChecker) addColdWork(slot int, workMS float64) float64 {
-	current := &c.coldWork[((slot%coldWorkSlots)+coldWorkSlots)%coldWorkSlots]
+// addWarmupWork adds warm-up work to a slot and returns the sum of the window that ends with it.
+func (c *ControlPlaneChecker) addWarmupWork(slot int, workMS float64) float64 {
+	current := &c.warmupWork[((slot%warmupWorkSlots)+warmupWorkSlots)%warmupWorkSlots]
 	if current.slot != slot {
-		*current = coldWorkSlot{slot: slot}
+		*current = warmupWorkSlot{slot: slot}
 	}
 	current.workMS += workMS
 	sum := 0.0
-	for _, other := range c.coldWork {
-		if other.slot > slot-coldWorkSlots {
+	for _, other := range c.warmupWork {
+		if other.slot > slot-warmupWorkSlots {
 			sum += other.workMS
 		}
 	}
 	return sum
 }
 
-// coldWorkLimitMS is the cold work that copies may do within a window.
-func (c *ControlPlaneChecker) coldWorkLimitMS() float64 {
-	return c.spec.ColdWork.MaxShare * c.fleetCapacity * c.spec.ColdWork.WindowS
+// warmupWorkLimitMS is the warm-up work that copies may do within a window.
+func (c *ControlPlaneChecker) warmupWorkLimitMS() float64 {
+	return c.spec.WarmupWork.MaxShare * c.fleetCapacity * c.spec.WarmupWork.WindowS
 }
 
 // Metrics returns what was measured, by the names that results have: how often a sidecar got a new exclusion, for how many
 // seconds exclusions held outside the hours of their tenants, the most servers and sidecars that were disrupted voluntarily
-// at a time, and the peak of cold work against its limit.
+// at a time, and the peak of warm-up work against its limit.
 func (c *ControlPlaneChecker) Metrics() map[string]float64 {
 	c.checker.mu.Lock()
 	defer c.checker.mu.Unlock()
@@ -145,8 +146,8 @@
 		"most_servers_out":   float64(c.maxDisrupted[unitServer]),
 		"most_sidecars_out":  float64(c.maxDisrupted[unitSidecar]),
 	}
-	if limit := c.coldWorkLimitMS(); limit > 0 {
-		metrics["cold_work_of_budget"] = roundMicros(c.peakColdWorkMS / limit)
+	if limit := c.warmupWorkLimitMS(); limit > 0 {
+		metrics["cold_work_of_budget"] = roundMicros(c.peakWarmupWorkMS / limit)
 	}
 	return metrics
 }
--- a/internal/lab/control_checker_test.go
+++ b/internal/lab/control_checker_test.go
@@ -59,7 +59,7 @@
 most = 0.3
 `
 
-// controlPlaneFixture is a fleet whose judge is told by hand.
+// controlPlaneFixture is a fleet whose checker is fed by the test.
 type controlPlaneFixture struct {
 	t       *testing.T
 	plan    *Plan
@@ -68,168 +68,170 @@
 	names   []string
 }
 
+// newControlPlaneFixture returns a fleet that is in service: servers 0 to 2 on version 1, server 3 on version 2.
 func newControlPlaneFixture(t *testing.T) *controlPlaneFixture {
 	t.Helper()
-	f, err := Parse("control.toml", []byte(controlPlaneExperiment))
+	experiment, err := Parse("control.toml", []byte(controlPlaneExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := f.NewPlan(0)
-	w := &controlPlaneFixture{t: t, plan: p, checker: NewChecker(p, 0)}
-	w.control = NewControlPlaneChecker(p, w.checker)
-	for i := range p.Servers {
-		w.names = append(w.names, p.Servers[i].UID)
+	plan := experiment.NewPlan(0)
+	fixture := &controlPlaneFixture{t: t, plan: plan, checker: NewChecker(plan, 0)}
+	fixture.control = NewControlPlaneChecker(plan, fixture.checker)
+	for i := range plan.Servers {
+		fixture.names = append(fixture.names, plan.Servers[i].UID)
 		version := "1"
 		if i == 3 {
 			version = "2"
 		}
-		w.startServer(0, i, "first", version)
+		fixture.startServer(0, i, "first", version)
 	}
-	for i := range p.Sidecars {
-		w.control.ProcessStarted(0, p.Sidecars[i].Name, "first", "1")
-		w.control.ReadinessChanged(0, p.Sidecars[i].Name, "first", true)
+	for i := range plan.Sidecars {
+		fixture.control.ProcessStarted(0, plan.Sidecars[i].Name, "first", "1")
+		fixture.control.ReadinessChanged(0, plan.Sidecars[i].Name, "first", true)
 	}
-	return w
+	return fixture
 }
 
-func (w *controlPlaneFixture) startServer(now float64, server int, life, version string) {
-	w.control.ProcessStarted(now, w.names[server], life, version)
-	w.control.ReadinessChanged(now, w.names[server], life, true)
-	w.control.EndpointStateChanged(now, w.names[server], listReady)
+// startServer starts a server, which gets ready and listed.
+func (f *controlPlaneFixture) startServer(now float64, server int, incarnation, version string) {
+	f.control.ProcessStarted(now, f.names[server], incarnation, version)
+	f.control.ReadinessChanged(now, f.names[server], incarnation, true)
+	f.control.EndpointStateChanged(now, f.names[server], listReady)
 }
 
-// drainServer takes a server out as a controller does, and ends it.
-func (w *controlPlaneFixture) drainServer(now float64, server int, life string) {
-	w.control.EndpointStateChanged(now, w.names[server], listDraining)
-	w.control.TerminationRequested(now+500, w.names[server], life)
-	w.control.ReadinessChanged(now+500, w.names[server], life, false)
-	w.control.ProcessExited(now+600, w.names[server], life)
+// drainServer drains a server and ends it, as a controller does.
+func (f *controlPlaneFixture) drainServer(now float64, server int, incarnation string) {
+	f.control.EndpointStateChanged(now, f.names[server], listDraining)
+	f.control.TerminationRequested(now+500, f.names[server], incarnation)
+	f.control.ReadinessChanged(now+500, f.names[server], incarnation, false)
+	f.control.ProcessExited(now+600, f.names[server], incarnation)
 }
 
-// A hand's worth of runs for each rule of the control plane: one that breaks it, and beside it what looks alike.
+// TestControlPlaneCheckerRules has runs that violate each rule of the control plane, and similar runs that do not.
 func TestControlPlaneCheckerRules(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		play func(w *controlPlaneFixture)
+		play func(f *controlPlaneFixture)
 		want map[Rule]int
 	}{
-		{"calm", func(*controlPlaneFixture) {}, nil},
-		{"one after the other", func(w *controlPlaneFixture) {
-			w.drainServer(1000, 0, "first")
-			w.startServer(3000, 0, "next", "1.5")
-			w.drainServer(3500, 0, "next")
-			w.startServer(4000, 0, "third", "1")
-			w.drainServer(5000, 1, "first")
-			w.startServer(6000, 1, "next", "1.5")
-			w.drainServer(7000, 1, "next")
-			w.startServer(8000, 1, "third", "1")
+		{"no action", func(*controlPlaneFixture) {}, nil},
+		{"one after the other", func(f *controlPlaneFixture) {
+			f.drainServer(1000, 0, "first")
+			f.startServer(3000, 0, "next", "1.5")
+			f.drainServer(3500, 0, "next")
+			f.startServer(4000, 0, "third", "1")
+			f.drainServer(5000, 1, "first")
+			f.startServer(6000, 1, "next", "1.5")
+			f.drainServer(7000, 1, "next")
+			f.startServer(8000, 1, "third", "1")
 		}, nil},
-		{"two at once", func(w *controlPlaneFixture) {
-			w.drainServer(1000, 0, "first")
-			w.drainServer(1100, 1, "first")
-			w.startServer(3000, 0, "next", "1.5")
-			w.startServer(3000, 1, "next", "1.5")
-			w.plan.Experiment.ControlPlane.AllowMixedVersions = true
+		{"two at once", func(f *controlPlaneFixture) {
+			f.drainServer(1000, 0, "first")
+			f.drainServer(1100, 1, "first")
+			f.startServer(3000, 0, "next", "1.5")
+			f.startServer(3000, 1, "next", "1.5")
+			f.plan.Experiment.ControlPlane.AllowMixedVersions = true
 		}, map[Rule]int{RuleDisruptionBudget: 1}},
-		{"stopped without a drain, beside another", func(w *controlPlaneFixture) {
-			w.control.TerminationRequested(1000, w.names[0], "first")
-			w.control.TerminationRequested(1000, w.names[1], "first")
-			w.plan.Experiment.ControlPlane.FinalStates = nil
-			w.control.ProcessExited(1010, w.names[0], "first")
-			w.control.ProcessExited(1010, w.names[1], "first")
-			w.control.FaultInjected(w.names[0], 1020, 1e9)
-			w.control.FaultInjected(w.names[1], 1020, 1e9)
+		{"two terminated at once without a drain", func(f *controlPlaneFixture) {
+			f.control.TerminationRequested(1000, f.names[0], "first")
+			f.control.TerminationRequested(1000, f.names[1], "first")
+			f.plan.Experiment.ControlPlane.FinalStates = nil
+			f.control.ProcessExited(1010, f.names[0], "first")
+			f.control.ProcessExited(1010, f.names[1], "first")
+			f.control.FaultInjected(f.names[0], 1020, 1e9)
+			f.control.FaultInjected(f.names[1], 1020, 1e9)
 		}, map[Rule]int{RuleDisruptionBudget: 1}},
-		{"one fails just before another is taken out", func(w *controlPlaneFixture) {
-			w.control.FaultInjected(w.names[0], 900, 4000)
-			w.control.ProcessExited(1000, w.names[0], "first")
-			w.drainServer(1500, 1, "first")
-			w.startServer(3000, 0, "next", "1")
-			w.startServer(3000, 1, "next", "1.5")
-			w.plan.Experiment.ControlPlane.AllowMixedVersions = true
+		{"a failure just before a disruption", func(f *controlPlaneFixture) {
+			f.control.FaultInjected(f.names[0], 900, 4000)
+			f.control.ProcessExited(1000, f.names[0], "first")
+			f.drainServer(1500, 1, "first")
+			f.startServer(3000, 0, "next", "1")
+			f.startServer(3000, 1, "next", "1.5")
+			f.plan.Experiment.ControlPlane.AllowMixedVersions = true
 		}, nil},
-		{"one has long failed when another is taken out", func(w *controlPlaneFixture) {
-			w.control.FaultInjected(w.names[0], 900, 9000)
-			w.control.ProcessExited(1000, w.names[0], "first")
-			w.drainServer(5000, 1, "first")
-			w.startServer(8000, 0, "next", "1")
-			w.startServer(8000, 1, "next", "1.5")
-			w.plan.Experiment.ControlPlane.AllowMixedVersions = true
+		{"a failure long before a disruption", func(f *controlPlaneFixture) {
+			f.control.FaultInjected(f.names[0], 900, 9000)
+			f.control.ProcessExited(1000, f.names[0], "first")
+			f.drainServer(5000, 1, "first")
+			f.startServer(8000, 0, "next", "1")
+			f.startServer(8000, 1, "next", "1.5")
+			f.plan.Experiment.ControlPlane.AllowMixedVersions = true
 		}, map[Rule]int{RuleDisruptionBudget: 1}},
-		{"two fail, nobody takes anything out", func(w *controlPlaneFixture) {
+		{"two failures, no disruption", func(f *controlPlaneFixture) {
 			for i := range 2 {
-				w.control.FaultInjected(w.names[i], 900, 9000)
-				w.control.ProcessExited(1000, w.names[i], "first")
-				w.startServer(8000, i, "next", "1")
+				f.control.FaultInjected(f.names[i], 900, 9000)
+				f.control.ProcessExited(1000, f.names[i], "first")
+				f.startServer(8000, i, "next", "1")
 			}
 		}, nil},
-		{"started twice", func(w *controlPlaneFixture) {
-			w.control.ProcessStarted(1000, w.names[0], "second", "1")
-			w.control.ProcessExited(1100, w.names[0], "second")
+		{"started twice", func(f *controlPlaneFixture) {
+			f.control.ProcessStarted(1000, f.names[0], "second", "1")
+			f.control.ProcessExited(1100, f.names[0], "second")
 		}, map[Rule]int{RuleDuplicateAction: 1}},
-		{"started twice by the platform's fault", func(w *controlPlaneFixture) {
-			w.control.SupervisorFault("twice", 900, 1100)
-			w.control.ProcessStarted(1000, w.names[0], "second", "1")
-			w.control.ProcessExited(1100, w.names[0], "second")
+		{"started twice by a fault of the supervisor", func(f *controlPlaneFixture) {
+			f.control.SupervisorFault("twice", 900, 1100)
+			f.control.ProcessStarted(1000, f.names[0], "second", "1")
+			f.control.ProcessExited(1100, f.names[0], "second")
 		}, nil},
-		{"the same step done again", func(w *controlPlaneFixture) {
-			w.drainServer(1000, 3, "first")
-			w.startServer(2000, 3, "next", "2")
+		{"the same action carried out again", func(f *controlPlaneFixture) {
+			f.drainServer(1000, 3, "first")
+			f.startServer(2000, 3, "next", "2")
 		}, map[Rule]int{RuleDuplicateAction: 1}},
-		{"started again, as it never was ready", func(w *controlPlaneFixture) {
-			w.drainServer(1000, 0, "first")
-			w.control.ProcessStarted(2000, w.names[0], "next", "1.5")
-			w.control.TerminationRequested(3000, w.names[0], "next")
-			w.control.ProcessExited(3000, w.names[0], "next")
-			w.startServer(4000, 0, "third", "1.5")
-			w.drainServer(5000, 0, "third")
-			w.startServer(6000, 0, "fourth", "1")
+		{"started again after it never was ready", func(f *controlPlaneFixture) {
+			f.drainServer(1000, 0, "first")
+			f.control.ProcessStarted(2000, f.names[0], "next", "1.5")
+			f.control.TerminationRequested(3000, f.names[0], "next")
+			f.control.ProcessExited(3000, f.names[0], "next")
+			f.startServer(4000, 0, "third", "1.5")
+			f.drainServer(5000, 0, "third")
+			f.startServer(6000, 0, "fourth", "1")
 		}, nil},
-		{"left out", func(w *controlPlaneFixture) { w.drainServer(1000, 0, "first") }, map[Rule]int{RuleFinalState: 1}},
-		{"drained, never stopped", func(w *controlPlaneFixture) { w.control.EndpointStateChanged(1000, w.names[0], listDraining) }, map[Rule]int{RuleFinalState: 1}},
-		{"wrong version", func(w *controlPlaneFixture) {
-			w.drainServer(1000, 0, "first")
-			w.startServer(3000, 0, "next", "2")
+		{"left out of service", func(f *controlPlaneFixture) { f.drainServer(1000, 0, "first") }, map[Rule]int{RuleFinalState: 1}},
+		{"drained, never terminated", func(f *controlPlaneFixture) { f.control.EndpointStateChanged(1000, f.names[0], listDraining) }, map[Rule]int{RuleFinalState: 1}},
+		{"wrong version", func(f *controlPlaneFixture) {
+			f.drainServer(1000, 0, "first")
+			f.startServer(3000, 0, "next", "2")
 		}, map[Rule]int{RuleFinalState: 1}},
-		{"within its hours, which adjoin", func(w *controlPlaneFixture) {
-			w.control.ExclusionsPublished(11000, 0, []Exclusion{{"branch", w.names[0], 25000}})
-			w.control.ExclusionsPublished(15000, 0, []Exclusion{{"branch", w.names[0], 29000}, {"branch", w.names[1], 26000}})
-			w.control.ExclusionsPublished(28000, 0, nil)
+		{"within its hours, which adjoin", func(f *controlPlaneFixture) {
+			f.control.ExclusionsPublished(11000, 0, []Exclusion{{"branch", f.names[0], 25000}})
+			f.control.ExclusionsPublished(15000, 0, []Exclusion{{"branch", f.names[0], 29000}, {"branch", f.names[1], 26000}})
+			f.control.ExclusionsPublished(28000, 0, nil)
 		}, nil},
-		{"before its hours", func(w *controlPlaneFixture) {
-			w.control.ExclusionsPublished(5000, 0, []Exclusion{{"branch", w.names[0], 12000}})
-			w.control.ExclusionsPublished(11000, 0, nil)
+		{"before its hours", func(f *controlPlaneFixture) {
+			f.control.ExclusionsPublished(5000, 0, []Exclusion{{"branch", f.names[0], 12000}})
+			f.control.ExclusionsPublished(11000, 0, nil)
 		}, map[Rule]int{RuleMaintenanceHours: 1}},
-		{"past their close", func(w *controlPlaneFixture) {
-			w.control.ExclusionsPublished(25000, 0, []Exclusion{{"branch", w.names[0], 35000}})
+		{"after their close", func(f *controlPlaneFixture) {
+			f.control.ExclusionsPublished(25000, 0, []Exclusion{{"branch", f.names[0], 35000}})
 		}, map[Rule]int{RuleMaintenanceHours: 1}},
-		{"taken back before their close", func(w *controlPlaneFixture) {
-			w.control.ExclusionsPublished(25000, 0, []Exclusion{{"branch", w.names[0], 35000}})
-			w.control.ExclusionsPublished(29000, 0, nil)
+		{"withdrawn before their close", func(f *controlPlaneFixture) {
+			f.control.ExclusionsPublished(25000, 0, []Exclusion{{"branch", f.names[0], 35000}})
+			f.control.ExclusionsPublished(29000, 0, nil)
 		}, nil},
-		{"another tenant's hours", func(w *controlPlaneFixture) {
-			w.control.ExclusionsPublished(11000, 1, []Exclusion{{"portal", w.names[0], 12000}})
+		{"another tenant's hours", func(f *controlPlaneFixture) {
+			f.control.ExclusionsPublished(11000, 1, []Exclusion{{"portal", f.names[0], 12000}})
 		}, map[Rule]int{RuleMaintenanceHours: 1}},
-		{"cold work within its budget", func(w *controlPlaneFixture) {
-			w.control.CopiesPublished(0, []KeyCopy{{7, w.names[0]}})
-			w.control.WorkDone(1000, w.names[0], 7, 100, true)
-			w.control.WorkDone(1000, w.names[0], 7, 1e6, false) // warm
-			w.control.WorkDone(1000, w.names[1], 7, 1e6, true)  // no copy
-			w.control.CopiesPublished(0, nil)
-			w.control.WorkDone(1000, w.names[0], 7, 1e6, true)
+		{"warm-up work within its limit", func(f *controlPlaneFixture) {
+			f.control.CopiesPublished(0, []KeyCopy{{7, f.names[0]}})
+			f.control.WorkDone(1000, f.names[0], 7, 100, true)
+			f.control.WorkDone(1000, f.names[0], 7, 1e6, false) // warm
+			f.control.WorkDone(1000, f.names[1], 7, 1e6, true)  // no copy
+			f.control.CopiesPublished(0, nil)
+			f.control.WorkDone(1000, f.names[0], 7, 1e6, true)
 		}, nil},
-		{"too much cold work", func(w *controlPlaneFixture) {
-			w.control.CopiesPublished(0, []KeyCopy{{7, w.names[0]}})
+		{"too much warm-up work", func(f *controlPlaneFixture) {
+			f.control.CopiesPublished(0, []KeyCopy{{7, f.names[0]}})
 			for i := range 5 {
-				w.control.WorkDone(1000+100*float64(i), w.names[0], 7, 1000, true)
+				f.control.WorkDone(1000+100*float64(i), f.names[0], 7, 1000, true)
 			}
 		}, map[Rule]int{RuleHotKeyCost: 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newControlPlaneFixture(t)
-			c.play(w)
-			w.control.Finish(60000)
-			got, broken := w.checker.Violations()
+			f := newControlPlaneFixture(t)
+			c.play(f)
+			f.control.Finish(60000)
+			got, broken := f.checker.Violations()
 			for _, rule := range ControlPlaneRules {
 				if got[rule] != c.want[rule] {
 					t.Errorf("rule %s broken %d times, wanted %d", rule, got[rule], c.want[rule])
@@ -244,41 +246,41 @@
 	}
 }
 
-// The figures are what was told and done, whether or not a rule was broken.
+// TestControlPlaneMetrics checks that metrics count what was published and done, whether or not a rule was violated.
 func TestControlPlaneMetrics(t *testing.T) {
-	w := newControlPlaneFixture(t)
-	w.control.ExclusionsPublished(25000, 0, []Exclusion{{"branch", w.names[0], 35000}})
-	w.control.ExclusionsPublished(32000, 0, nil)
-	w.drainServer(1000, 0, "first")
-	w.drainServer(1100, 1, "first")
-	w.control.CopiesPublished(0, []KeyCopy{{7, w.names[0]}})
-	w.control.WorkDone(1000, w.names[0], 7, 480, true)
-	got := w.control.Metrics()
+	f := newControlPlaneFixture(t)
+	f.control.ExclusionsPublished(25000, 0, []Exclusion{{"branch", f.names[0], 35000}})
+	f.control.ExclusionsPublished(32000, 0, nil)
+	f.drainServer(1000, 0, "first")
+	f.drainServer(1100, 1, "first")
+	f.control.CopiesPublished(0, []KeyCopy{{7, f.names[0]}})
+	f.control.WorkDone(1000, f.names[0], 7, 480, true)
+	got := f.control.Metrics()
 	want := map[string]float64{"kept_off": 1, "kept_off_outside_s": 2, "most_servers_out": 2, "most_sidecars_out": 0, "cold_work_of_budget": 0.1}
 	if !maps.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
 }
 
-// faultEntry is an entry of a file.
+// faultEntry returns the entry of a fault.
 func faultEntry(kind, target, more string) string {
 	return fmt.Sprintf("[[fault]]\nkind = %q\ntarget = %q\nat_s = 1\n%s\n", kind, target, more)
 }
 
-// What a fault names in the control plane is drawn into the plan.
+// TestControlPlaneFaultTargets checks that a plan has the processes of the control plane that faults name.
 func TestControlPlaneFaultTargets(t *testing.T) {
 	text := controlPlaneExperiment + faultEntry("kill", "leader", "for_s = 2") + faultEntry("freeze", "agent:1", "for_s = 1") +
 		faultEntry("kill", "controllers", "") + faultEntry("cut", "replica:2", "for_s = 1") + faultEntry("freeze", "supervisor", "for_s = 1")
 	text = strings.Replace(text, "[control.spread]", "[[control.controller]]\nname = \"x\"\nargs = [\"y\"]\n[control.spread]", 1)
-	f, err := Parse("control.toml", []byte(text))
+	experiment, err := Parse("control.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := f.NewPlan(0)
-	all := p.Faults
-	if len(all) != 5 || !all[0].Leader || !slices.Equal(all[1].Agents, []int{1}) || !slices.Equal(all[2].Controllers, []string{"x"}) ||
-		!slices.Equal(all[3].Replicas, []int{2}) || !all[4].Supervisor || !p.PartitionsReplicas() {
-		t.Errorf("%+v", all)
+	plan := experiment.NewPlan(0)
+	faults := plan.Faults
+	if len(faults) != 5 || !faults[0].Leader || !slices.Equal(faults[1].Agents, []int{1}) || !slices.Equal(faults[2].Controllers, []string{"x"}) ||
+		!slices.Equal(faults[3].Replicas, []int{2}) || !faults[4].Supervisor || !plan.PartitionsReplicas() {
+		t.Errorf("%+v", faults)
 	}
 }
 
@@ -310,30 +312,30 @@
 	}
 }
 
-// In a phase "hot" a part of the requests is for one key, which another takes the place of.
+// TestHotPhaseChangesKeys checks that a hot phase has one hot key at a time, which changes.
 func TestHotPhaseChangesKeys(t *testing.T) {
 	text := strings.Replace(controlPlaneExperiment, "rate = 10\n", "rate = 200\nkind = \"hot\"\npart = 0.3\nevery_s = 20\n", 1)
 	text = strings.Replace(text, "[sidecars]\n", "[clients]\nkeys = 1000\n[sidecars]\n", 1)
-	f, err := Parse("hot.toml", []byte(text))
+	experiment, err := Parse("hot.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := [3]int{}
+	totals := [3]int{}
 	counts := [3]map[uint64]int{{}, {}, {}}
-	arrivals := f.NewPlan(0).Arrivals()
+	arrivals := experiment.NewPlan(0).Arrivals()
 	for {
-		a, more := arrivals.Next()
+		arrival, more := arrivals.Next()
 		if !more {
 			break
 		}
-		all[int(a.StartMS/20000)]++
-		counts[int(a.StartMS/20000)][a.Key]++
+		totals[int(arrival.StartMS/20000)]++
+		counts[int(arrival.StartMS/20000)][arrival.Key]++
 	}
 	seen := map[uint64]bool{}
 	for i, keys := range counts {
 		hot := 0
 		for key, n := range keys {
-			if float64(n) > 0.2*float64(all[i]) {
+			if float64(n) > 0.2*float64(totals[i]) {
 				hot++
 				seen[key] = true
 			}
--- a/internal/lab/control_spec.go
+++ b/internal/lab/control_spec.go
@@ -17,7 +17,7 @@
 	MaintenanceHours   []MaintenanceHoursSpec `toml:"hours"`
 	FinalStates        []FinalStateSpec       `toml:"end"`
 	Tenants            []TenantSpec           `toml:"tenant"`
-	ColdWork           ColdWorkSpec           `toml:"spread"`
+	WarmupWork         WarmupWorkSpec         `toml:"spread"`
 }
 
 // Kinds of the units that the control plane acts on.
@@ -100,9 +100,9 @@
 	Target string `toml:"target"`
 }
 
-// ColdWorkSpec bounds the work that replicas of hot keys do for keys they have not cached, for RuleHotKeyCost: within any
+// WarmupWorkSpec bounds the work that replicas of hot keys do for keys they have not cached, for RuleHotKeyCost: within any
 // window at most a share of what all servers can do.
-type ColdWorkSpec struct {
+type WarmupWorkSpec struct {
 	WindowS  float64 `toml:"window_s"` // 0: no bound
 	MaxShare float64 `toml:"most"`
 }
--- a/internal/lab/control_validate.go
+++ b/internal/lab/control_validate.go
@@ -48,8 +48,8 @@
 	e.validateBudgets(v)
 	e.validateMaintenanceHours(v)
 	e.validateUnits(v)
-	v.number("control.spread.window_s", spec.ColdWork.WindowS, 0, 3600)
-	v.number("control.spread.most", spec.ColdWork.MaxShare, 0, 1)
+	v.number("control.spread.window_s", spec.WarmupWork.WindowS, 0, 3600)
+	v.number("control.spread.most", spec.WarmupWork.MaxShare, 0, 1)
 	for i := range e.Faults {
 		if kind := FaultKind(e.Faults[i].Kind); slices.Contains(unsupportedWithControlPlane, kind) {
 			v.reportf(fmt.Sprintf("fault[%d].kind", i), "%s is not played with the control plane", kind)
@@ -76,15 +76,15 @@
 		v.reportf("control.version", "%d versions, at most %d", len(spec.Versions), maxVersions)
 	}
 	type versionKey struct{ kind, name string }
-	seen := map[versionKey]bool{}
+	versions := map[versionKey]bool{}
 	for i := range spec.Versions {
 		version, prefix := &spec.Versions[i], fmt.Sprintf("control.version[%d].", i)
 		v.oneOf(prefix+"kind", version.Kind, unitServer, unitSidecar)
 		key := versionKey{version.Kind, version.Name}
-		if !isPlainName(version.Name) || seen[key] {
+		if !isPlainName(version.Name) || versions[key] {
 			v.reportf(prefix+"name", "%q is no plain name or a duplicate", version.Name)
 		}
-		seen[key] = true
+		versions[key] = true
 		v.number(prefix+"restarts", float64(version.MaxRestarts), 0, 1000)
 		v.number(prefix+"grace_ms", float64(version.GraceMS), 0, 6e5)
 		if version.Kind == unitSidecar && version.Regression != (Regression{}) {
@@ -92,10 +92,10 @@
 		}
 		version.Regression.Validate(prefix+"harm.", classes, v.reportf)
 	}
-	if !seen[versionKey{unitServer, spec.ServerVersion}] {
+	if !versions[versionKey{unitServer, spec.ServerVersion}] {
 		v.reportf("control.server_version", "there is no version %q of servers", spec.ServerVersion)
 	}
-	if !seen[versionKey{unitSidecar, spec.SidecarVersion}] {
+	if !versions[versionKey{unitSidecar, spec.SidecarVersion}] {
 		v.reportf("control.sidecar_version", "there is no version %q of sidecars", spec.SidecarVersion)
 	}
 }
@@ -105,13 +105,13 @@
 	if len(controllers) > maxControllers {
 		v.reportf("control.controller", "%d controllers, at most %d", len(controllers), maxControllers)
 	}
-	seen := map[string]bool{}
+	names := map[string]bool{}
 	for i := range controllers {
 		controller, prefix := &controllers[i], fmt.Sprintf("control.controller[%d].", i)
-		if !isPlainName(controller.Name) || seen[controller.Name] {
+		if !isPlainName(controller.Name) || names[controller.Name] {
 			v.reportf(prefix+"name", "%q is no plain name or a duplicate", controller.Name)
 		}
-		seen[controller.Name] = true
+		names[controller.Name] = true
 		v.number(prefix+"at_s", controller.AtS, 0, e.DurationS)
 		if len(controller.Args) == 0 {
 			v.reportf(prefix+"args", "a controller needs its command line")
--- a/internal/lab/experiment_validate.go
+++ b/internal/lab/experiment_validate.go
@@ -53,12 +53,12 @@
 }
 
 func (e *Experiment) validateZones(v *validator) {
-	seen := map[string]bool{}
+	names := map[string]bool{}
 	for _, zone := range e.Zones {
-		if zone == "" || seen[zone] {
+		if zone == "" || names[zone] {
 			v.reportf("zones", "%q is empty or a duplicate", zone)
 		}
-		seen[zone] = true
+		names[zone] = true
 	}
 	if len(e.Zones) == 0 || len(e.Zones) > maxZones {
 		v.reportf("zones", "%d zones, wanted 1 to %d", len(e.Zones), maxZones)
@@ -123,13 +123,13 @@
 	if len(e.Servers) == 0 {
 		v.reportf("server", "no kind of servers")
 	}
-	seen := map[string]bool{}
+	kinds := map[string]bool{}
 	for i := range e.Servers {
 		spec, prefix := &e.Servers[i], fmt.Sprintf("server[%d].", i)
-		if spec.Kind == "" || seen[spec.Kind] {
+		if spec.Kind == "" || kinds[spec.Kind] {
 			v.reportf(prefix+"kind", "%q is empty or a duplicate", spec.Kind)
 		}
-		seen[spec.Kind] = true
+		kinds[spec.Kind] = true
 		spec.setDefaults()
 		spec.validate(prefix, v)
 	}
@@ -172,13 +172,13 @@
 	if len(e.Classes) == 0 || len(e.Classes) > maxClasses {
 		v.reportf("class", "%d classes, wanted 1 to %d", len(e.Classes), maxClasses)
 	}
-	seen := map[string]bool{}
+	names := map[string]bool{}
 	for i := range e.Classes {
 		spec, prefix := &e.Classes[i], fmt.Sprintf("class[%d].", i)
-		if spec.Name == "" || seen[spec.Name] {
+		if spec.Name == "" || names[spec.Name] {
 			v.reportf(prefix+"name", "%q is empty or a duplicate", spec.Name)
 		}
-		seen[spec.Name] = true
+		names[spec.Name] = true
 		setDefault(&spec.Share, 1)
 		setDefault(&spec.PriorityWeight, 1)
 		setDefault(&spec.DeduplicationScope, scopeAll)
--- a/internal/lab/fault_validate.go
+++ b/internal/lab/fault_validate.go
@@ -12,9 +12,9 @@
 
 // Values of FaultSpec.Direction; "" is the same as both.
 const (
-	directionBoth  = "both"
-	directionThere = "there" // from the first to the second of Between
-	directionBack  = "back"
+	directionBoth    = "both"
+	directionForward = "there" // from the first to the second of Between
+	directionReverse = "back"
 )
 
 // Targets of faults that affect no group of parties.
@@ -145,7 +145,7 @@
 		}
 	}
 	if f.Direction != "" {
-		v.oneOf(key+".direction", f.Direction, directionBoth, directionThere, directionBack)
+		v.oneOf(key+".direction", f.Direction, directionBoth, directionForward, directionReverse)
 	}
 }
 
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -185,8 +185,8 @@
 	switch requirements.parties {
 	case partyLinks:
 		fault.SideA, fault.SideB = p.endpointSet(f.Between[0]), p.endpointSet(f.Between[1])
-		fault.Forward = f.Direction != directionBack
-		fault.Backward = f.Direction != directionThere
+		fault.Forward = f.Direction != directionReverse
+		fault.Backward = f.Direction != directionForward
 	case partyNone:
 		if fault.Kind == FaultDiscoveryFalseRemoval {
 			fault.Servers = sampleShare(p.initialServers(), f.Share, rng)
--- a/internal/lab/hotkey_checker.go
+++ b/internal/lab/hotkey_checker.go
@@ -13,36 +13,36 @@
 	copyGraceMS = 1000
 	// hotKeyGraceMS is how long a key may be spread after it was hot.
 	hotKeyGraceMS = 60_000
-	// minCopies and minColdWork are allowed in the smallest fleet; cold work in multiples of a request's work per second.
-	minCopies   = 4
-	minColdWork = 30
+	// minCopies and minWarmupWork are allowed in the smallest fleet; warm-up work in multiples of a request's work per second.
+	minCopies     = 4
+	minWarmupWork = 30
 )
 
 // HotKeyChecker finds violations of RuleHotKeyCost, from what servers execute and from what the placement tells sidecars. It
 // never asks the controller. It also measures how hot keys are served. Times are ms of the run. It may not be used
 // concurrently.
 type HotKeyChecker struct {
-	checker         *Checker
-	plan            *Plan
-	periods         []hotKeyPeriod
-	allowedColdRate float64 // additional cold work that is allowed, ms per ms
+	checker           *Checker
+	plan              *Plan
+	periods           []hotKeyPeriod
+	allowedWarmupRate float64 // warm-up work that is allowed, ms per ms
 
 	copies       map[uint64]map[int]*copyState // by key and server
 	copyCount    int                           // in the placement
 	readyCounts  [readySampleCount]int         // the last samples of the number of ready servers
 	readySamples int
 
-	coldBacklogMS, lastColdAt float64 // additional cold work that the allowed rate has not covered yet
-	exceeded                  bool    // the backlog is beyond its limit
-
-	coldWorkMS, peakBacklogMS float64
-	peakCopiesShare           float64 // of the allowed copies
-	spreadKeys                int
-	neverHot                  map[uint64]bool // keys that were spread without being hot
-	timeToSpread              []float64       // by period: ms until a replica served from its cache; below 0: none did
-	hotKeys, otherKeys        servedTally
-	congestedSeconds          float64
-	cacheHits, keyedRequests  float64 // of requests with a key
+	warmupBacklogMS, lastWarmupAt float64 // warm-up work that the allowed rate has not covered yet
+	exceeded                      bool    // the backlog is beyond its limit
+
+	warmupWorkMS, peakBacklogMS float64
+	peakCopiesShare             float64 // of the allowed copies
+	spreadKeys                  int
+	neverHot                    map[uint64]bool // keys that were spread without being hot
+	timeToSpread                []float64       // by period: ms until a replica served from its cache; below 0: none did
+	hotKeys, otherKeys          servedTally
+	congestedSeconds            float64
+	cacheHits, keyedRequests    float64 // of requests with a key
 }
 
 // servedTally sums the priority weight of requests.
@@ -60,10 +60,10 @@
 func NewHotKeyChecker(p *Plan, checker *Checker) *HotKeyChecker {
 	initial := len(p.initialServers())
 	fleetCapacity := p.MeanServerCapacity() * float64(initial)
-	allowedMSPerSecond := math.Max(p.Experiment.HotKeys.Limits.ColdWorkShare*fleetCapacity, minColdWork*p.MeanWork())
+	allowedMSPerSecond := math.Max(p.Experiment.HotKeys.Limits.WarmupWorkShare*fleetCapacity, minWarmupWork*p.MeanWork())
 	h := &HotKeyChecker{
 		checker: checker, plan: p, periods: p.hotKeyPeriods(), copies: map[uint64]map[int]*copyState{},
-		neverHot: map[uint64]bool{}, allowedColdRate: allowedMSPerSecond / 1000,
+		neverHot: map[uint64]bool{}, allowedWarmupRate: allowedMSPerSecond / 1000,
 	}
 	for range h.periods {
 		h.timeToSpread = append(h.timeToSpread, -1)
@@ -140,7 +140,7 @@
 	}
 	if !completion.CacheHit {
 		extraWorkMS := completion.ActualWorkMS * h.plan.Servers[server].Spec.CacheGain
-		h.addColdWork(completion.At, extraWorkMS)
+		h.addWarmupWork(completion.At, extraWorkMS)
 		return
 	}
 	if state.share > 0 {
@@ -148,17 +148,17 @@
 	}
 }
 
-// addColdWork adds additional work of a replica without the key in its cache.
-func (h *HotKeyChecker) addColdWork(now, extraWorkMS float64) {
-	covered := h.allowedColdRate * math.Max(now-h.lastColdAt, 0)
-	h.coldBacklogMS = math.Max(h.coldBacklogMS-covered, 0) + extraWorkMS
-	h.lastColdAt = math.Max(h.lastColdAt, now)
-	h.coldWorkMS += extraWorkMS
-	h.peakBacklogMS = math.Max(h.peakBacklogMS, h.coldBacklogMS)
-	limit := 1000 * h.allowedColdRate
-	exceeded := h.coldBacklogMS > limit
+// addWarmupWork adds additional work of a replica without the key in its cache.
+func (h *HotKeyChecker) addWarmupWork(now, extraWorkMS float64) {
+	covered := h.allowedWarmupRate * math.Max(now-h.lastWarmupAt, 0)
+	h.warmupBacklogMS = math.Max(h.warmupBacklogMS-covered, 0) + extraWorkMS
+	h.lastWarmupAt = math.Max(h.lastWarmupAt, now)
+	h.warmupWorkMS += extraWorkMS
+	h.peakBacklogMS = math.Max(h.peakBacklogMS, h.warmupBacklogMS)
+	limit := 1000 * h.allowedWarmupRate
+	exceeded := h.warmupBacklogMS > limit
 	if exceeded && !h.exceeded {
-		h.report(now, fmt.Sprintf("%.0f ms of cold work of copies are not paid for, at most %.0f may be", h.coldBacklogMS, limit))
+		h.report(now, fmt.Sprintf("%.0f ms of cold work of copies are not paid for, at most %.0f may be", h.warmupBacklogMS, limit))
 	}
 	h.exceeded = exceeded
 }
@@ -215,8 +215,8 @@
 		"rest_worth_share":      fraction(h.otherKeys.servedWeight, h.otherKeys.offeredWeight),
 		"spread_keys":           float64(h.spreadKeys),
 		"spread_never_hot":      float64(len(h.neverHot)),
-		"spread_cold_ms":        roundMicros(h.coldWorkMS),
-		"spread_cold_of_budget": roundMicros(h.peakBacklogMS / (1000 * h.allowedColdRate)),
+		"spread_cold_ms":        roundMicros(h.warmupWorkMS),
+		"spread_cold_of_budget": roundMicros(h.peakBacklogMS / (1000 * h.allowedWarmupRate)),
 		"spread_copies_of_most": roundMicros(h.peakCopiesShare),
 		"warm_share":            fraction(h.cacheHits, h.keyedRequests),
 		"choked_server_s":       roundMicros(h.congestedSeconds),
--- a/internal/lab/hotkey_spec.go
+++ b/internal/lab/hotkey_spec.go
@@ -23,14 +23,14 @@
 
 // CopyLimitsSpec is what replicas of hot keys may cost for RuleHotKeyCost, whatever the controller is configured with.
 type CopyLimitsSpec struct {
-	ColdWorkShare   float64 `toml:"cold"`   // of the fleet's capacity, for additional cold work; a second's worth may come at once
+	WarmupWorkShare float64 `toml:"cold"`   // of the fleet's capacity, for additional cold work; a second's worth may come at once
 	CopiesPerServer float64 `toml:"copies"` // of all keys at a time, per ready server
 }
 
 func (s *HotKeySpec) setDefaults() {
 	setDefault(&s.PlanIntervalMS, 150)
 	setDefault(&s.ReportIntervalMS, 1000)
-	setDefault(&s.Limits.ColdWorkShare, 0.03)
+	setDefault(&s.Limits.WarmupWorkShare, 0.03)
 	setDefault(&s.Limits.CopiesPerServer, 1)
 	setDefault(&s.ReportDelayMS, Range{2, 60})
 	setDefault(&s.WriteDelayMS, Range{5, 40})
@@ -56,6 +56,6 @@
 	v.number("spread.budget", spec.WarmupBudget, 0, 1)
 	v.number("spread.copies", spec.CopiesPerServer, 0, 10)
 	v.number("spread.max_keys", float64(spec.MaxKeys), 0, 1024)
-	v.number("spread.allowed.cold", spec.Limits.ColdWorkShare, 0, 1)
+	v.number("spread.allowed.cold", spec.Limits.WarmupWorkShare, 0, 1)
 	v.number("spread.allowed.copies", spec.Limits.CopiesPerServer, 0, 64)
 }
--- a/internal/lab/hotkey_test.go
+++ b/internal/lab/hotkey_test.go
@@ -22,38 +22,38 @@
 	return Parse("hot-key-sim.toml", []byte(text))
 }
 
-// The times of hot keys are those that arrivals have.
+// TestHotKeyPeriods checks that hot keys are requested in their periods.
 func TestHotKeyPeriods(t *testing.T) {
-	f, err := parseHotKeyExperiment(t, "\npart = 0.3", "\npart = 0.3\nevery_s = 5")
+	experiment, err := parseHotKeyExperiment(t, "\npart = 0.3", "\npart = 0.3\nevery_s = 5")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := f.NewPlan(3)
-	times := p.hotKeyPeriods()
-	if len(times) != 5 || len(p.HotKeys()) != 5 {
-		t.Fatalf("%d times, %d keys", len(times), len(p.HotKeys()))
+	plan := experiment.NewPlan(3)
+	periods := plan.hotKeyPeriods()
+	if len(periods) != 5 || len(plan.HotKeys()) != 5 {
+		t.Fatalf("%d times, %d keys", len(periods), len(plan.HotKeys()))
 	}
-	all, hot := make([]float64, 6), make([]float64, 6)
-	for from := p.Arrivals(); ; {
-		a, more := from.Next()
+	totals, hot := make([]float64, 6), make([]float64, 6)
+	for from := plan.Arrivals(); ; {
+		arrival, more := from.Next()
 		if !more {
 			break
 		}
-		i := int(a.StartMS / 5000)
-		all[i]++
-		if p.HotKeys()[a.Key] {
-			if h := times[max(i, 1)-1]; h.key != a.Key || a.StartMS < h.from || a.StartMS > h.to {
-				t.Fatalf("%v ms: hot at another time", a.StartMS)
+		i := int(arrival.StartMS / 5000)
+		totals[i]++
+		if plan.HotKeys()[arrival.Key] {
+			if period := periods[max(i, 1)-1]; period.key != arrival.Key || arrival.StartMS < period.from || arrival.StartMS > period.to {
+				t.Fatalf("%v ms: hot at another time", arrival.StartMS)
 			}
 			hot[i]++
 		}
 	}
 	for i, n := range hot {
-		if part := n / all[i]; i == 0 && n > 0 || i > 0 && (part < 0.27 || part > 0.33) {
-			t.Errorf("%d s: %.3f of the requests", 5*i, part)
+		if share := n / totals[i]; i == 0 && n > 0 || i > 0 && (share < 0.27 || share > 0.33) {
+			t.Errorf("%d s: %.3f of the requests", 5*i, share)
 		}
 	}
-	if calm := f.WithoutHotKeys().NewPlan(3); len(calm.hotKeyPeriods()) != 0 || calm.Experiment.Phases[1].Kind != "steady" {
+	if steady := experiment.WithoutHotKeys().NewPlan(3); len(steady.hotKeyPeriods()) != 0 || steady.Experiment.Phases[1].Kind != "steady" {
 		t.Error("calm is not")
 	}
 }
@@ -74,52 +74,58 @@
 	}
 }
 
-// The judge counts cold work at servers that the placement made carry, and copies; nothing else.
+// TestHotKeyChecker checks that the checker counts the replicas of the placement and their warm-up work, and nothing else.
 func TestHotKeyChecker(t *testing.T) {
-	f, err := parseHotKeyExperiment(t, "count = 40", "count = 5")
+	experiment, err := parseHotKeyExperiment(t, "count = 40", "count = 5")
 	if err != nil {
 		t.Fatal(err)
 	}
-	const key, paid = 7, 30 * 120 // ms of extra cold work that a small fleet may have at once, about
-	p := f.NewPlan(1)
-	run := func(s *HotKeyChecker, at float64, server int, extra float64, met bool) {
-		s.JobCompleted(server, &JobCompletion{Job: Job{Key: key, Attempt: 1}, EffectApplied: true, CacheHit: met, ActualWorkMS: extra / 0.45, At: at})
+	const key, allowedMS = 7, 30 * 120 // about the warm-up work in ms that a small fleet may have at once
+	plan := experiment.NewPlan(1)
+	run := func(hotKeyChecker *HotKeyChecker, at float64, server int, extra float64, cacheHit bool) {
+		hotKeyChecker.JobCompleted(server, &JobCompletion{Job: Job{Key: key, Attempt: 1}, EffectApplied: true, CacheHit: cacheHit, ActualWorkMS: extra / 0.45, At: at})
 	}
 	for _, c := range []struct {
 		name string
-		do   func(s *HotKeyChecker)
+		do   func(hotKeyChecker *HotKeyChecker)
 		want int
 	}{
-		{"paid for", func(s *HotKeyChecker) { run(s, 10, 1, 0.9*paid, false) }, 0},
-		{"too much at once", func(s *HotKeyChecker) {
+		{"within the limit", func(hotKeyChecker *HotKeyChecker) { run(hotKeyChecker, 10, 1, 0.9*allowedMS, false) }, 0},
+		{"too much at once", func(hotKeyChecker *HotKeyChecker) {
 			for range 4 {
-				run(s, 10, 1, 0.4*paid, false)
+				run(hotKeyChecker, 10, 1, 0.4*allowedMS, false)
 			}
 		}, 1},
-		{"the same over four seconds", func(s *HotKeyChecker) {
+		{"the same over four seconds", func(hotKeyChecker *HotKeyChecker) {
 			for i := range 4 {
-				run(s, 10+1000*float64(i), 1, 0.4*paid, false)
+				run(hotKeyChecker, 10+1000*float64(i), 1, 0.4*allowedMS, false)
 			}
 		}, 0},
-		{"of its own servers", func(s *HotKeyChecker) { run(s, 10, 0, 9*paid, false) }, 0},
-		{"warm", func(s *HotKeyChecker) { run(s, 10, 1, 9*paid, true) }, 0},
-		{"just given up", func(s *HotKeyChecker) { s.PlacementChanged(5, key, nil); run(s, 10, 1, 9*paid, false) }, 1},
-		{"long given up", func(s *HotKeyChecker) { s.PlacementChanged(5, key, nil); run(s, 3000, 1, 9*paid, false) }, 0},
-		{"as many copies as servers", func(s *HotKeyChecker) {
-			s.PlacementChanged(5, key, map[int]float64{1: 0, 2: 0, 3: 0})
-			s.PlacementChanged(5, 8, map[int]float64{1: 0, 2: 0})
+		{"at a server that is no replica", func(hotKeyChecker *HotKeyChecker) { run(hotKeyChecker, 10, 0, 9*allowedMS, false) }, 0},
+		{"from the cache", func(hotKeyChecker *HotKeyChecker) { run(hotKeyChecker, 10, 1, 9*allowedMS, true) }, 0},
+		{"just removed from the placement", func(hotKeyChecker *HotKeyChecker) {
+			hotKeyChecker.PlacementChanged(5, key, nil)
+			run(hotKeyChecker, 10, 1, 9*allowedMS, false)
+		}, 1},
+		{"long removed from the placement", func(hotKeyChecker *HotKeyChecker) {
+			hotKeyChecker.PlacementChanged(5, key, nil)
+			run(hotKeyChecker, 3000, 1, 9*allowedMS, false)
+		}, 0},
+		{"as many replicas as servers", func(hotKeyChecker *HotKeyChecker) {
+			hotKeyChecker.PlacementChanged(5, key, map[int]float64{1: 0, 2: 0, 3: 0})
+			hotKeyChecker.PlacementChanged(5, 8, map[int]float64{1: 0, 2: 0})
 		}, 0},
-		{"one more", func(s *HotKeyChecker) {
-			s.PlacementChanged(5, key, map[int]float64{1: 0, 2: 0, 3: 0})
-			s.PlacementChanged(5, 8, map[int]float64{1: 0, 2: 0, 3: 0})
+		{"one replica more", func(hotKeyChecker *HotKeyChecker) {
+			hotKeyChecker.PlacementChanged(5, key, map[int]float64{1: 0, 2: 0, 3: 0})
+			hotKeyChecker.PlacementChanged(5, 8, map[int]float64{1: 0, 2: 0, 3: 0})
 		}, 1},
 	} {
-		j := NewChecker(p, 0)
-		s := NewHotKeyChecker(p, j)
-		s.PlacementChanged(0, key, map[int]float64{1: 0.5, 2: 0})
-		c.do(s)
-		s.PlacementWritten(10)
-		if counts, _ := j.Violations(); counts[RuleHotKeyCost] != c.want {
+		checker := NewChecker(plan, 0)
+		hotKeyChecker := NewHotKeyChecker(plan, checker)
+		hotKeyChecker.PlacementChanged(0, key, map[int]float64{1: 0.5, 2: 0})
+		c.do(hotKeyChecker)
+		hotKeyChecker.PlacementWritten(10)
+		if counts, _ := checker.Violations(); counts[RuleHotKeyCost] != c.want {
 			t.Errorf("%s: %v", c.name, counts)
 		}
 	}
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -159,9 +159,9 @@
 }
 
 // fraction returns a part of a whole, rounded to six digits. The part of an empty whole is 1.
-func fraction(part, whole float64) float64 {
-	if whole == 0 {
+func fraction(part, total float64) float64 {
+	if total == 0 {
 		return 1
 	}
-	return math.Round(part/whole*1e6) / 1e6
+	return math.Round(part/total*1e6) / 1e6
 }
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -59,9 +59,9 @@
 	effects EffectStore
 	classes []ClassPlan
 
-	startedAt   float64
-	startedCold bool // it began with a slow start
-	overloaded  bool
+	startedAt    float64
+	hasSlowStart bool // it began with a slow start
+	overloaded   bool
 
 	running []runningJob // a heap by end
 	waiting []Job
@@ -111,9 +111,9 @@
 	return s
 }
 
-// Start begins a new incarnation, with empty queue and cache, and with a slow start if cold. Faults last.
-func (s *Server) Start(now float64, cold bool) {
-	s.startedAt, s.startedCold, s.overloaded = now, cold, false
+// Start begins a new incarnation, with empty queue and cache, and with a slow start if so told. Faults last.
+func (s *Server) Start(now float64, slowStart bool) {
+	s.startedAt, s.hasSlowStart, s.overloaded = now, slowStart, false
 	s.running, s.waiting = s.running[:0], s.waiting[:0]
 	s.cachedAt, s.cacheOrder = map[uint64]float64{}, nil
 	s.crowdedSince, s.congestedSince, s.idleSince = math.Inf(1), math.Inf(1), math.Inf(1)
@@ -193,7 +193,7 @@
 	if job.Key == 0 || s.Plan.Spec.CacheGain <= 0 {
 		return
 	}
-	started.cacheHit = s.lookUpKey(now, job.Key)
+	started.cacheHit = s.checkCache(now, job.Key)
 	if started.cacheHit {
 		started.actualWorkMS *= 1 - s.Plan.Spec.CacheGain
 	}
@@ -248,16 +248,16 @@
 
 // Cancel removes an attempt from the queue, as its caller has disconnected, and reports whether it was there. A running job
 // continues.
-func (s *Server) Cancel(now float64, attempt int64) (dropped bool) {
+func (s *Server) Cancel(now float64, attempt int64) (removed bool) {
 	for i := range s.waiting {
 		if s.waiting[i].Attempt == attempt {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
-			dropped = true
+			removed = true
 			break
 		}
 	}
 	s.updateCongestion(now)
-	return dropped
+	return removed
 }
 
 // Load returns the number of jobs that are running or waiting.
--- a/internal/lab/server_capacity.go
+++ b/internal/lab/server_capacity.go
@@ -19,12 +19,12 @@
 
 // IsWarmingUp reports whether the slow start has not ended yet.
 func (s *Server) IsWarmingUp(now float64) bool {
-	return s.startedCold && now < s.startedAt+s.Plan.SlowStartMS
+	return s.hasSlowStart && now < s.startedAt+s.Plan.SlowStartMS
 }
 
 // capacityShare returns the share of its capacity that a server has, which grows linearly during the slow start.
 func (s *Server) capacityShare(now float64) float64 {
-	if !s.startedCold || now >= s.startedAt+s.Plan.SlowStartMS {
+	if !s.hasSlowStart || now >= s.startedAt+s.Plan.SlowStartMS {
 		return 1
 	}
 	from := s.Plan.Spec.SlowStartFrom
@@ -104,8 +104,8 @@
 	}
 }
 
-// lookUpKey reports whether a key is cached, and caches it.
-func (s *Server) lookUpKey(now float64, key uint64) bool {
+// checkCache reports whether a key is cached, and caches it.
+func (s *Server) checkCache(now float64, key uint64) bool {
 	spec := s.Plan.Spec
 	capacity := max(spec.CacheKeys, 1)
 	for len(s.cacheOrder) > 0 && (now > s.cacheOrder[0].at+spec.CacheTTLMS || len(s.cacheOrder) > 2*capacity) {
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -49,7 +49,7 @@
 		sidecar.deliver(event)
 	})
 	engine.schedule(request.deadline+engine.plan.Experiment.Rules.AnswerSlackMS+slackTicks*engine.tickMS+2*clientDelayMS, func(now float64) {
-		if request.clientGone {
+		if request.clientDone {
 			return
 		}
 		engine.checker.RequestUnanswered(now, request.id, lab.OutcomeNoResponse)
--- a/internal/lab/sim/engine_test.go
+++ b/internal/lab/sim/engine_test.go
@@ -12,7 +12,7 @@
 	"milldeck/internal/lab"
 )
 
-// smallExperiment is a fleet that takes a fraction of a second to play; %s holds its faults.
+// smallExperiment takes a fraction of a second to simulate; %s stands for its faults.
 const smallExperiment = `name = "small"
 duration_s = 12
 zones = ["a", "b"]
@@ -59,37 +59,37 @@
 
 func newSmallPlan(t *testing.T, faults string, seed uint64) *lab.Plan {
 	t.Helper()
-	f, err := lab.Parse("small.toml", fmt.Appendf(nil, smallExperiment, faults))
+	experiment, err := lab.Parse("small.toml", fmt.Appendf(nil, smallExperiment, faults))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f.NewPlan(seed)
+	return experiment.NewPlan(seed)
 }
 
-func mustRun(t *testing.T, p *lab.Plan, o Options) *lab.Result {
+func mustRun(t *testing.T, plan *lab.Plan, options Options) *lab.Result {
 	t.Helper()
-	r, _, err := Run(t.Context(), p, o)
+	result, _, err := Run(t.Context(), plan, options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return result
 }
 
-// everyFault is one of each kind, as experiments/faults.toml has them.
-func everyFault(t *testing.T, seed uint64) *lab.Plan {
+// newFaultsPlan returns a plan of experiments/faults.toml, which has a fault of each kind.
+func newFaultsPlan(t *testing.T, seed uint64) *lab.Plan {
 	t.Helper()
-	f, err := lab.Load("../../../experiments/faults.toml")
+	experiment, err := lab.Load("../../../experiments/faults.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f.NewPlan(seed)
+	return experiment.NewPlan(seed)
 }
 
 func TestModuleKeepsRulesUnderEveryFault(t *testing.T) {
 	for seed := range uint64(10) {
-		r := mustRun(t, everyFault(t, seed+1), Options{})
-		if r.ViolationCount > 0 || r.Requests < 3000 || r.ServedShare < 0.5 {
-			t.Errorf("seed %d: %d requests, %.3f served, rules broken: %+v", seed+1, r.Requests, r.ServedShare, r.Violations)
+		result := mustRun(t, newFaultsPlan(t, seed+1), Options{})
+		if result.ViolationCount > 0 || result.Requests < 3000 || result.ServedShare < 0.5 {
+			t.Errorf("seed %d: %d requests, %.3f served, rules broken: %+v", seed+1, result.Requests, result.ServedShare, result.Violations)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 func TestResultIndependentOfWorkers(t *testing.T) {
 	var first []byte
 	for _, workers := range []int{1, 6, 6, 3} {
-		data, err := json.Marshal(mustRun(t, everyFault(t, 5), Options{Workers: workers}))
+		data, err := json.Marshal(mustRun(t, newFaultsPlan(t, 5), Options{Workers: workers}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -110,50 +110,50 @@
 	}
 }
 
-// defectiveInstance is an instance that breaks one rule on purpose.
+// defectiveInstance is an instance whose actions are changed so that it violates a rule.
 type defectiveInstance struct {
 	Instance
 	change func(p *defectiveInstance, now float64, ev balance.Event, acts []balance.Action) []balance.Action
 
 	servers []balance.ServerID
-	bad     balance.ServerID
+	target  balance.ServerID
 }
 
-func (p *defectiveInstance) Handle(now float64, ev balance.Event) ([]balance.Action, error) {
-	if l, ok := ev.(balance.EndpointUpdate); ok {
-		for _, s := range l.Servers {
-			if l.Kind != balance.UpdateDelta {
-				p.servers = append(p.servers, s.ID)
+func (d *defectiveInstance) Handle(now float64, event balance.Event) ([]balance.Action, error) {
+	if update, ok := event.(balance.EndpointUpdate); ok {
+		for _, server := range update.Servers {
+			if update.Kind != balance.UpdateDelta {
+				d.servers = append(d.servers, server.ID)
 			}
-			if l.Kind == balance.UpdateDelta && (s.State != balance.Ready || s.StartedAt > 0) {
-				p.bad = s.ID
+			if update.Kind == balance.UpdateDelta && (server.State != balance.Ready || server.StartedAt > 0) {
+				d.target = server.ID
 			}
 		}
 	}
-	acts, err := p.Instance.Handle(now, ev)
+	actions, err := d.Instance.Handle(now, event)
 	if err != nil {
-		return acts, nil // what it was made to do confuses the module
+		return actions, nil // what it was made to do confuses the module
 	}
-	return p.change(p, now, ev, acts), nil
+	return d.change(d, now, event, actions), nil
 }
 
-// sendTo has all first attempts go to one server.
-func sendTo(p *defectiveInstance, acts []balance.Action) []balance.Action {
-	for i := range acts {
-		if acts[i].Kind == balance.Send && p.bad != 0 {
-			acts[i].Server = p.bad
+// redirect sends all attempts to the target of the instance.
+func redirect(instance *defectiveInstance, actions []balance.Action) []balance.Action {
+	for i := range actions {
+		if actions[i].Kind == balance.Send && instance.target != 0 {
+			actions[i].Server = instance.target
 		}
 	}
-	return acts
+	return actions
 }
 
-// The judge is proved able to fail: for every rule that an instance can break, one that does is caught, with
-// the story of a request.
+// TestCheckerDetectsDefects checks that the checker detects an instance that violates a rule, for every rule that an instance
+// can violate, and that it reports the history of a request.
 func TestCheckerDetectsDefects(t *testing.T) {
 	drop := func(kinds ...balance.ActionKind) func(*defectiveInstance, float64, balance.Event, []balance.Action) []balance.Action {
-		return func(_ *defectiveInstance, _ float64, _ balance.Event, acts []balance.Action) []balance.Action {
+		return func(_ *defectiveInstance, _ float64, _ balance.Event, actions []balance.Action) []balance.Action {
 			var out []balance.Action
-			for _, a := range acts {
+			for _, a := range actions {
 				keep := true
 				for _, k := range kinds {
 					keep = keep && a.Kind != k
@@ -172,84 +172,84 @@
 	}{
 		{lab.RuleSingleResponse, "[[fault]]\nkind = \"errors\"\ntarget = \"servers\"\npart = 1\nat_s = 2\nfor_s = 1\n", drop(balance.Reject, balance.Fail)},
 		{lab.RuleDuplicateEffect, "[[fault]]\nkind = \"reset\"\ntarget = \"servers\"\npart = 0.2\nat_s = 2\nfor_s = 5\n",
-			func(p *defectiveInstance, _ float64, ev balance.Event, acts []balance.Action) []balance.Action {
+			func(instance *defectiveInstance, _ float64, event balance.Event, actions []balance.Action) []balance.Action {
 				// A request that may have run is sent again, whatever its class, to any server.
-				if o, ok := ev.(balance.Outcome); ok && o.Result == balance.Reset && o.Attempt == 0 {
-					to := p.servers[0]
-					if to == o.Server {
-						to = p.servers[1]
+				if outcome, ok := event.(balance.Outcome); ok && outcome.Result == balance.Reset && outcome.Attempt == 0 {
+					to := instance.servers[0]
+					if to == outcome.Server {
+						to = instance.servers[1]
 					}
-					return []balance.Action{{Kind: balance.Send, Request: o.Request, Server: to}}
+					return []balance.Action{{Kind: balance.Send, Request: outcome.Request, Server: to}}
 				}
-				return acts
+				return actions
 			}},
-		{lab.RuleParallelAttempts, "", func(p *defectiveInstance, _ float64, ev balance.Event, acts []balance.Action) []balance.Action {
-			out := append([]balance.Action(nil), acts...)
-			for _, a := range acts {
+		{lab.RuleParallelAttempts, "", func(instance *defectiveInstance, _ float64, event balance.Event, actions []balance.Action) []balance.Action {
+			out := append([]balance.Action(nil), actions...)
+			for _, a := range actions {
 				if a.Kind == balance.Send {
-					out = append(out, balance.Action{Kind: balance.Send, Request: a.Request, Server: p.servers[0]})
+					out = append(out, balance.Action{Kind: balance.Send, Request: a.Request, Server: instance.servers[0]})
 				}
 			}
 			return out
 		}},
 		{lab.RuleDraining, "[[fault]]\nkind = \"restart\"\ntarget = \"server:0\"\nat_s = 1\n",
-			func(p *defectiveInstance, _ float64, _ balance.Event, acts []balance.Action) []balance.Action {
-				return sendTo(p, acts)
+			func(instance *defectiveInstance, _ float64, _ balance.Event, actions []balance.Action) []balance.Action {
+				return redirect(instance, actions)
 			}},
 		{lab.RuleSlowStart, "[[fault]]\nkind = \"kill\"\ntarget = \"server:0\"\nat_s = 1\nfor_s = 1\n",
-			func(p *defectiveInstance, _ float64, _ balance.Event, acts []balance.Action) []balance.Action {
-				return sendTo(p, acts)
+			func(instance *defectiveInstance, _ float64, _ balance.Event, actions []balance.Action) []balance.Action {
+				return redirect(instance, actions)
 			}},
 	} {
-		r := mustRun(t, newSmallPlan(t, c.faults, 3), Options{InstanceFactory: func(n int, cfg balance.Config) (Instance, error) {
-			b, err := balance.New(cfg)
-			return &defectiveInstance{Instance: b, change: c.change}, err
+		result := mustRun(t, newSmallPlan(t, c.faults, 3), Options{InstanceFactory: func(_ int, config balance.Config) (Instance, error) {
+			instance, err := balance.New(config)
+			return &defectiveInstance{Instance: instance, change: c.change}, err
 		}})
-		if r.ViolationsByRule[c.rule] == 0 {
-			t.Errorf("rule %s: the planted fault was not seen; broken: %v", c.rule, r.ViolationsByRule)
+		if result.ViolationsByRule[c.rule] == 0 {
+			t.Errorf("rule %s: the planted fault was not seen; broken: %v", c.rule, result.ViolationsByRule)
 			continue
 		}
-		for _, b := range r.Violations {
-			if b.Rule == c.rule && b.Request != 0 && len(b.History) == 0 {
-				t.Errorf("rule %s: no story of request %d", c.rule, b.Request)
+		for _, violation := range result.Violations {
+			if violation.Rule == c.rule && violation.Request != 0 && len(violation.History) == 0 {
+				t.Errorf("rule %s: no story of request %d", c.rule, violation.Request)
 			}
 		}
 	}
 }
 
-// All experiments of the repository are played, though only their first seconds.
+// TestExperimentsRun simulates the first seconds of all experiments of the repository.
 func TestExperimentsRun(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal("no experiments", err)
 	}
 	for _, path := range files {
-		f, err := lab.Load(path)
+		experiment, err := lab.Load(path)
 		if err != nil {
 			t.Error(err)
 			continue
 		}
-		p := f.NewPlan(0)
-		p.DurationMS = 2000
-		r := mustRun(t, p, Options{})
-		if r.Requests == 0 || r.ViolationCount > 0 {
-			t.Errorf("%s: %d requests, broken %+v", path, r.Requests, r.Violations)
+		plan := experiment.NewPlan(0)
+		plan.DurationMS = 2000
+		result := mustRun(t, plan, Options{})
+		if result.Requests == 0 || result.ViolationCount > 0 {
+			t.Errorf("%s: %d requests, broken %+v", path, result.Requests, result.Violations)
 		}
 	}
 }
 
 func TestBaselinesKeepRetryRules(t *testing.T) {
 	for _, policy := range Policies()[1:] {
-		r := mustRun(t, everyFault(t, 2), Options{Policy: policy})
+		result := mustRun(t, newFaultsPlan(t, 2), Options{Policy: policy})
 		for _, rule := range []lab.Rule{lab.RuleDuplicateEffect, lab.RuleParallelAttempts, lab.RuleDraining, lab.RuleSingleResponse} {
-			if r.ViolationsByRule[rule] > 0 {
-				t.Errorf("%s breaks rule %s: %+v", policy, rule, r.Violations[0])
+			if result.ViolationsByRule[rule] > 0 {
+				t.Errorf("%s breaks rule %s: %+v", policy, rule, result.Violations[0])
 			}
 		}
 	}
 }
 
-// BenchmarkFleet shows how the time of a run grows with the number of sidecars, at the same load.
+// BenchmarkFleet measures how the time of a run grows with the number of sidecars, at the same load.
 func BenchmarkFleet(b *testing.B) {
 	data, err := os.ReadFile("../../../experiments/fleet.toml")
 	if err != nil {
--- a/internal/lab/sim/hotkey_test.go
+++ b/internal/lab/sim/hotkey_test.go
@@ -9,7 +9,7 @@
 	"milldeck/internal/lab"
 )
 
-// runHotKeyExperiment plays experiments/hot-key-sim.toml, short and with changes.
+// runHotKeyExperiment simulates an experiment after replacing texts of its file, given as pairs of old and new.
 func runHotKeyExperiment(t *testing.T, file string, workers int, change ...string) *lab.Result {
 	t.Helper()
 	data, err := os.ReadFile("../../../experiments/" + file)
@@ -23,15 +23,15 @@
 		}
 		text = strings.Replace(text, change[i], change[i+1], 1)
 	}
-	f, err := lab.Parse(file, []byte(text))
+	experiment, err := lab.Parse(file, []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, _, err := Run(t.Context(), f.NewPlan(1), Options{Workers: workers})
+	result, _, err := Run(t.Context(), experiment.NewPlan(1), Options{Workers: workers})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return result
 }
 
 const shortDuration = "duration_s = 9"
@@ -40,8 +40,8 @@
 	t.Parallel()
 	on := runHotKeyExperiment(t, "hot-key-sim.toml", 2, "duration_s = 30", shortDuration)
 	off := runHotKeyExperiment(t, "hot-key-sim.toml", 2, "duration_s = 30", shortDuration, "on = true", "on = false")
-	if f := on.Metrics; f["hot_found"] != 1 || f["spread_never_hot"] != 0 || f["hot_carried_most_ms"] > 2500 || on.ViolationCount > 0 {
-		t.Errorf("%v, rules %v", f, on.ViolationsByRule)
+	if metrics := on.Metrics; metrics["hot_found"] != 1 || metrics["spread_never_hot"] != 0 || metrics["hot_carried_most_ms"] > 2500 || on.ViolationCount > 0 {
+		t.Errorf("%v, rules %v", metrics, on.ViolationsByRule)
 	}
 	if on.WeightedServedShare < off.WeightedServedShare+0.02 {
 		t.Errorf("worth %v, without %v", on.WeightedServedShare, off.WeightedServedShare)
@@ -55,7 +55,8 @@
 	}
 }
 
-// Half of the reports are lost, sidecars lie, and nobody decides while copies warm; the successor goes on.
+// TestHotKeyUnderFaults loses half of the load reports, has sidecars send false ones, and has the controller fail over while
+// replicas warm up.
 func TestHotKeyUnderFaults(t *testing.T) {
 	t.Parallel()
 	faults := `
@@ -78,15 +79,15 @@
 for_s = 1.5
 
 [[phase]]`
-	r := runHotKeyExperiment(t, "hot-key-sim.toml", 2, "duration_s = 30", "duration_s = 13", "rate = 1400", "rate = 1200", "[[phase]]", faults)
-	if f := r.Metrics; f["hot_found"] != 1 || f["spread_never_hot"] != 0 || r.ViolationCount > 0 {
-		t.Errorf("%v, rules %v", f, r.ViolationsByRule)
+	result := runHotKeyExperiment(t, "hot-key-sim.toml", 2, "duration_s = 30", "duration_s = 13", "rate = 1400", "rate = 1200", "[[phase]]", faults)
+	if metrics := result.Metrics; metrics["hot_found"] != 1 || metrics["spread_never_hot"] != 0 || result.ViolationCount > 0 {
+		t.Errorf("%v, rules %v", metrics, result.ViolationsByRule)
 	}
 }
 
 func TestDefectiveHotKeyControllerIsDetected(t *testing.T) {
 	t.Parallel()
-	if r := runHotKeyExperiment(t, "hot-key-sim-broken.toml", 2); r.ViolationsByRule[lab.RuleHotKeyCost] == 0 {
-		t.Errorf("rules %v, %v", r.ViolationsByRule, r.Metrics)
+	if result := runHotKeyExperiment(t, "hot-key-sim-broken.toml", 2); result.ViolationsByRule[lab.RuleHotKeyCost] == 0 {
+		t.Errorf("rules %v, %v", result.ViolationsByRule, result.Metrics)
 	}
 }
--- a/internal/lab/sim/request.go
+++ b/internal/lab/sim/request.go
@@ -15,7 +15,7 @@
 	sidecar    *simSidecar
 	deadline   float64
 	answered   bool // it has its final response, or its client has disconnected
-	clientGone bool // its client has the response, or has disconnected
+	clientDone bool // its client has the response, or has disconnected
 	attempts   []*simAttempt
 	inFlight   int // attempts that have not ended
 }
@@ -54,14 +54,14 @@
 	}
 	request.attempts = append(request.attempts, attempt)
 	request.inFlight++
-	tooMany := len(request.attempts) > engine.plan.Experiment.Limits.MaxAttempts
-	if request.answered || tooMany || attempt.deadline <= engine.now {
+	exceedsLimit := len(request.attempts) > engine.plan.Experiment.Limits.MaxAttempts
+	if request.answered || exceedsLimit || attempt.deadline <= engine.now {
 		engine.schedule(engine.now, func(now float64) { attempt.finish(now, balance.Obsolete) })
 		return
 	}
 	engine.schedule(attempt.deadline, attempt.timeOut)
 	delay, passes := engine.networkDelay(s, server, true)
-	if s.takeIdleConnection(server) {
+	if s.acquireIdleConnection(server) {
 		attempt.connected = true
 		if passes {
 			engine.schedule(engine.now+delay, func(now float64) { server.receive(now, attempt) })
@@ -97,8 +97,8 @@
 	})
 }
 
-// takeIdleConnection takes an idle connection to a server, and reports whether there was one.
-func (s *simSidecar) takeIdleConnection(server *simServer) bool {
+// acquireIdleConnection takes an idle connection to a server, and reports whether there was one.
+func (s *simSidecar) acquireIdleConnection(server *simServer) bool {
 	idle := s.idleConnections[server.index]
 	if len(idle) == 0 {
 		return false
@@ -202,10 +202,10 @@
 func (r *simRequest) respond(now float64, outcome lab.Outcome, retryAfter float64, server int) {
 	engine := r.sidecar.engine
 	engine.schedule(now+clientDelayMS, func(now float64) {
-		if r.clientGone || engine.isPartitioned(r.sidecar.endpoint(), r.sidecar.clientEndpoint()) {
+		if r.clientDone || engine.isPartitioned(r.sidecar.endpoint(), r.sidecar.clientEndpoint()) {
 			return
 		}
-		r.clientGone = true
+		r.clientDone = true
 		engine.checker.ResponseReceived(now, r.id, outcome, r.id, server)
 		r.client.attemptDone(now, outcome, retryAfter)
 	})
@@ -213,7 +213,7 @@
 
 // disconnect has the client give up the request.
 func (r *simRequest) disconnect() {
-	r.clientGone = true
+	r.clientDone = true
 	if r.answered {
 		return
 	}
--- a/internal/lab/sim/sidecar_lifecycle.go
+++ b/internal/lab/sim/sidecar_lifecycle.go
@@ -34,10 +34,10 @@
 	for _, attempt := range r.attempts {
 		attempt.reset(now)
 	}
-	if r.clientGone {
+	if r.clientDone {
 		return
 	}
-	r.clientGone, r.answered = true, true
+	r.clientDone, r.answered = true, true
 	engine.schedule(now+clientDelayMS, func(now float64) {
 		engine.checker.RequestUnanswered(now, r.id, lab.OutcomeUnreachable)
 		r.client.attemptDone(now, lab.OutcomeUnreachable, 0)
