--- a/internal/registry/linearizability_test.go
+++ b/internal/registry/linearizability_test.go
@@ -1,6 +1,7 @@
 package registry_test
 
 import (
+	"context"
 	"fmt"
 	"math/rand/v2"
 	"net/http"
@@ -53,72 +54,26 @@
 	},
 }
 
+const (
+	leaderKills      = 50
+	casWriters       = 6
+	writersPerShared = 3 // that contend for one instance
+)
+
 // The leader is killed 50 times during a stream of writes, at seeded moments: every acknowledged write is applied once,
 // and the history is linearizable.
 func TestLeaderKilledDuringWrites(t *testing.T) {
 	env := startEnv(t, 3, false, "")
-	const kills, writers = 50, 6
-	ctx := env.ctx
+	history := &casHistory{startedAt: time.Now(), acked: map[string]registry.Result{}}
 	var stopping atomic.Bool // calls in flight are completed, so that their outcome is known
-	var mutex sync.Mutex
-	var operations []porcupine.Operation
-	began := time.Now()
-	acked := map[string]registry.Result{}
-	var writersDone sync.WaitGroup
-	for w := range writers {
-		writersDone.Go(func() {
-			client, err := env.cluster.Client()
-			if err != nil {
-				t.Error(err)
-				return
-			}
-			defer client.Close()
-			random := rand.New(rand.NewPCG(1, uint64(w)))
-			uid, revision := fmt.Sprintf("shared-%d", w/3), uint64(0) // three writers contend for one instance
-			for attempt := 1; !stopping.Load(); attempt++ {
-				value := attempt*writers + w
-				// A write without contention, with an idempotency key: applied once, whatever is lost.
-				ownInstance := newInstance(fmt.Sprintf("own-%d-%d", w, attempt), value)
-				if result, err := client.Register(ctx, registry.WriteOptions{}, ownInstance); err == nil {
-					mutex.Lock()
-					acked[ownInstance.UID] = result
-					mutex.Unlock()
-				}
-				input := casInput{write: random.IntN(2) == 0, value: value, expect: revision}
-				call := time.Since(began)
-				var output casOutput
-				if input.write {
-					instance := newInstance(uid, 1)
-					instance.BootMS = float64(value)
-					instance.Capacity = 1
-					result, err := client.Register(ctx, registry.WriteOptions{IfRevision: &input.expect}, instance)
-					switch {
-					case err == nil:
-						output, revision = casOutput{ok: true, revision: result.Revision}, result.Revision
-					case hasStatus(err, http.StatusConflict), hasStatus(err, http.StatusNotFound):
-					default:
-						t.Error(err)
-						return
-					}
-				} else {
-					instance, err := client.Get(ctx, uid, true)
-					if err != nil && !hasStatus(err, http.StatusNotFound) {
-						t.Error(err)
-						return
-					}
-					output, revision = casOutput{ok: true, revision: instance.Revision, value: int(instance.BootMS)}, instance.Revision
-				}
-				mutex.Lock()
-				operations = append(operations, porcupine.Operation{ClientId: w, Input: input, Call: int64(call), Output: output, Return: int64(time.Since(began))})
-				mutex.Unlock()
-			}
-		})
+	var writers sync.WaitGroup
+	for writer := range casWriters {
+		writers.Go(func() { env.writeAndRead(writer, history, &stopping) })
 	}
 	random := rand.New(rand.NewPCG(2, 2))
-	count := func() int { mutex.Lock(); defer mutex.Unlock(); return len(acked) }
-	for range kills {
-		after := count() + 1 + random.IntN(200) // a seeded moment during the writes
-		env.eventually("writes go on", func() bool { return count() >= after })
+	for range leaderKills {
+		after := history.ackedCount() + 1 + random.IntN(200) // a seeded moment during the writes
+		env.eventually("writes go on", func() bool { return history.ackedCount() >= after })
 		victim := env.leader()
 		victim.Process.Kill()
 		env.leader()
@@ -128,18 +83,8 @@
 		env.eventually("the killed replica follows again", func() bool { return env.status(victim).Leader != "" })
 	}
 	stopping.Store(true)
-	writersDone.Wait()
-	// A registration with a lower boot_ms than the entry's is rejected whatever the revision. Values grow per writer only,
-	// so the model would take such a rejection for a conflict: rejections are left out of the history.
-	byKey := map[int][]porcupine.Operation{}
-	for _, op := range operations {
-		byKey[op.ClientId/3] = append(byKey[op.ClientId/3], op)
-	}
-	for key, history := range byKey {
-		if result := porcupine.CheckOperationsTimeout(casModel, withoutRejectedWrites(history), 20*time.Second); result != porcupine.Ok {
-			t.Errorf("history of shared-%d with %d operations is not linearizable: %s", key, len(history), result)
-		}
-	}
+	writers.Wait()
+	history.checkLinearizable(t)
 	list, err := env.client.List(env.ctx, true)
 	if err != nil {
 		t.Fatal(err)
@@ -149,15 +94,115 @@
 		there[target.UID]++
 	}
 	lost := 0
-	for uid := range acked {
+	for uid := range history.acked {
 		if there[uid] != 1 {
 			lost++
 		}
 	}
 	if lost > 0 {
-		t.Errorf("%d of %d acknowledged writes are not there, or twice", lost, len(acked))
+		t.Errorf("%d of %d acknowledged writes are not there, or twice", lost, len(history.acked))
+	}
+	t.Logf("%d kills, %d acknowledged writes, %d operations checked", leaderKills, len(history.acked), len(history.operations))
+}
+
+// casHistory is what the writers have done.
+type casHistory struct {
+	startedAt time.Time
+
+	mu         sync.Mutex
+	acked      map[string]registry.Result // of writes without contention, by uid
+	operations []porcupine.Operation      // on the contended instances
+}
+
+func (h *casHistory) ackedCount() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return len(h.acked)
+}
+
+func (h *casHistory) recordAcked(uid string, result registry.Result) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.acked[uid] = result
+}
+
+// recordOperation records an operation that was called at a time since the start and has returned now.
+func (h *casHistory) recordOperation(writer int, input casInput, output casOutput, call time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.operations = append(h.operations, porcupine.Operation{
+		ClientId: writer, Input: input, Call: int64(call), Output: output, Return: int64(time.Since(h.startedAt)),
+	})
+}
+
+// checkLinearizable checks the history of each contended instance.
+func (h *casHistory) checkLinearizable(t *testing.T) {
+	t.Helper()
+	byInstance := map[int][]porcupine.Operation{}
+	for _, operation := range h.operations {
+		shared := operation.ClientId / writersPerShared
+		byInstance[shared] = append(byInstance[shared], operation)
+	}
+	for shared, operations := range byInstance {
+		// A registration with a lower boot_ms than the entry's is rejected whatever the revision. Values grow per writer only,
+		// so the model would take such a rejection for a conflict: rejections are left out of the history.
+		if result := porcupine.CheckOperationsTimeout(casModel, withoutRejectedWrites(operations), 20*time.Second); result != porcupine.Ok {
+			t.Errorf("history of shared-%d with %d operations is not linearizable: %s", shared, len(operations), result)
+		}
+	}
+}
+
+// writeAndRead writes instances of its own, and writes and reads an instance that writers contend for, until stopping.
+func (e *testEnv) writeAndRead(writer int, history *casHistory, stopping *atomic.Bool) {
+	client, err := e.cluster.Client()
+	if err != nil {
+		e.Error(err)
+		return
+	}
+	defer client.Close()
+	random := rand.New(rand.NewPCG(1, uint64(writer)))
+	uid, revision := fmt.Sprintf("shared-%d", writer/writersPerShared), uint64(0)
+	for attempt := 1; !stopping.Load(); attempt++ {
+		value := attempt*casWriters + writer
+		// A write without contention, with an idempotency key: applied once, whatever is lost.
+		own := newInstance(fmt.Sprintf("own-%d-%d", writer, attempt), value)
+		if result, err := client.Register(e.ctx, registry.WriteOptions{}, own); err == nil {
+			history.recordAcked(own.UID, result)
+		}
+		input := casInput{write: random.IntN(2) == 0, value: value, expect: revision}
+		call := time.Since(history.startedAt)
+		output, err := applyCAS(e.ctx, client, uid, input)
+		if err != nil {
+			e.Error(err)
+			return
+		}
+		if output.ok {
+			revision = output.revision
+		}
+		history.recordOperation(writer, input, output, call)
+	}
+}
+
+// applyCAS applies an operation to an instance. A rejected write is no error.
+func applyCAS(ctx context.Context, client *registry.Client, uid string, input casInput) (casOutput, error) {
+	if !input.write {
+		instance, err := client.Get(ctx, uid, true)
+		if err != nil && !hasStatus(err, http.StatusNotFound) {
+			return casOutput{}, err
+		}
+		return casOutput{ok: true, revision: instance.Revision, value: int(instance.BootMS)}, nil
+	}
+	instance := newInstance(uid, 1)
+	instance.BootMS = float64(input.value)
+	instance.Capacity = 1
+	result, err := client.Register(ctx, registry.WriteOptions{IfRevision: &input.expect}, instance)
+	switch {
+	case err == nil:
+		return casOutput{ok: true, revision: result.Revision}, nil
+	case hasStatus(err, http.StatusConflict), hasStatus(err, http.StatusNotFound):
+		return casOutput{}, nil
 	}
-	t.Logf("%d kills, %d acknowledged writes, %d operations checked", kills, len(acked), len(operations))
+	return casOutput{}, err
 }
 
 // withoutRejectedWrites leaves out writes that were rejected: they have no effect, and may be rejected for the boot time
--- a/internal/registry/storage_test.go
+++ b/internal/registry/storage_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"milldeck/internal/lab/proc/proctest"
 	"milldeck/internal/registry"
 	"milldeck/internal/registry/cluster"
 )
@@ -35,41 +36,11 @@
 // snapshot.
 func TestAllReplicasKilledAndCorruptStores(t *testing.T) {
 	env := startEnv(t, 3, false, "snapshot_every = 50")
-	ctx, stop := context.WithCancel(env.ctx)
-	acked := map[string]bool{}
-	var mu sync.Mutex
-	var wg sync.WaitGroup
-	for w := range 4 {
-		wg.Go(func() {
-			for n := 0; ctx.Err() == nil; n++ {
-				instance := newInstance(fmt.Sprintf("w%d-%d", w, n%100), 1)
-				instance.BootMS = float64(n)
-				if _, err := env.client.Register(ctx, registry.WriteOptions{}, instance); err == nil {
-					mu.Lock()
-					acked[instance.UID] = true
-					mu.Unlock()
-				}
-			}
-		})
-	}
-	env.eventually("snapshots are made", func() bool {
-		for _, replica := range env.cluster.Replicas {
-			found, err := filepath.Glob(filepath.Join(replica.DataDir, "snapshots", "*[0-9]", "state.bin"))
-			if err != nil || len(found) == 0 {
-				return false
-			}
-		}
-		return true
-	})
-	for _, replica := range env.cluster.Replicas {
-		replica.Process.Kill()
-	}
-	stop()
-	wg.Wait()
+	acked := env.writeUntilKilled()
 
 	// One replica has a flipped byte in each of its snapshots.
 	victim := env.cluster.Replicas[0]
-	snapshots, err := filepath.Glob(filepath.Join(victim.DataDir, "snapshots", "*[0-9]", "state.bin")) // others are incomplete
+	snapshots, err := snapshotFiles(victim)
 	if err != nil || len(snapshots) == 0 {
 		t.Fatal("no snapshot", err)
 	}
@@ -81,20 +52,7 @@
 			t.Fatal(err)
 		}
 	}
-	failsToStart := func(replica *cluster.Replica, reason string) {
-		t.Helper()
-		select {
-		case <-replica.Process.Done():
-		case <-time.After(20 * time.Second):
-			t.Fatalf("with a corrupt %s replica %d starts", reason, replica.Index)
-		}
-		lines := strings.Split(strings.TrimSpace(replica.Process.Log()), "\n")
-		last := lines[len(lines)-1]
-		if replica.Process.Wait() == nil || !strings.HasPrefix(last, "milldeck: ") || !strings.Contains(last, reason) {
-			t.Errorf("it ended with %v and %q, want a line about %q", replica.Process.Wait(), last, reason)
-		}
-	}
-	failsToStart(victim, "snapshot")
+	env.failsToStart(victim, "snapshot")
 	env.leader()
 	list, err := env.client.List(env.ctx, true)
 	if err != nil {
@@ -109,75 +67,142 @@
 			t.Errorf("%s was acknowledged and is not there", uid)
 		}
 	}
-
-	// With an empty data directory it catches up by snapshot, as the others have compacted their logs.
-	replaceFromEmpty := func(replica *cluster.Replica) {
-		t.Helper()
-		if err := os.RemoveAll(replica.DataDir); err != nil {
-			t.Fatal(err)
-		}
-		if err := replica.Start(); err != nil {
-			t.Fatal(err)
-		}
-		env.eventually("the replaced replica catches up", func() bool {
-			return env.status(replica).Revision == list.Revision && env.status(replica).Instances == len(list.Targets)
-		})
-		if found, err := filepath.Glob(filepath.Join(replica.DataDir, "snapshots", "*", "state.bin")); err != nil || len(found) == 0 {
-			t.Errorf("it caught up without a snapshot: %v", err)
-		}
-	}
-	replaceFromEmpty(victim)
+	env.replaceFromEmpty(victim, list)
 
 	// A flipped byte in the log, and a truncated log.
-	for name, damage := range map[string]func(string){
-		"flipped": func(path string) {
-			data, err := os.ReadFile(path)
-			if err != nil {
-				t.Fatal(err)
-			}
-			at := bytes.LastIndex(data, []byte(`"instances":[{"uid"`))
-			if at < 0 {
-				t.Fatal("no record in the store")
-			}
-			for k := 0; ; { // in every copy of a record that the file holds
-				n := bytes.Index(data[k:], []byte(`"instances":[{"uid"`))
-				if n < 0 {
-					break
-				}
-				data[k+n+3] ^= 0x20
-				k += n + 1
-			}
-			if err := os.WriteFile(path, data, 0o600); err != nil {
-				t.Fatal(err)
-			}
-		},
-		"truncated": func(path string) {
-			if err := os.Truncate(path, 6000); err != nil {
-				t.Fatal(err)
-			}
-		},
-	} {
+	for name, damage := range map[string]func(*testing.T, string){"flipped": flipRecords, "truncated": truncateLog} {
 		victim := env.cluster.Replicas[1]
 		victim.Process.Kill()
-		damage(filepath.Join(victim.DataDir, "raft.db"))
+		damage(t, filepath.Join(victim.DataDir, "raft.db"))
 		if err := victim.Start(); err != nil {
 			t.Fatal(err)
 		}
-		failsToStart(victim, victim.DataDir)
+		env.failsToStart(victim, victim.DataDir)
 		env.leader() // the others continue
 		if _, err := env.client.List(env.ctx, true); err != nil {
 			t.Error(name, err)
 		}
-		replaceFromEmpty(victim)
+		env.replaceFromEmpty(victim, list)
 	}
+}
 
-	// A data directory that cannot be created.
-	command := exec.Command(env.cluster.Replicas[0].Process.Path(), "registry", "serve", "--config", unwritableConfig(t))
+// A replica whose data directory cannot be created fails to start with a one-line error.
+func TestUnwritableDataDir(t *testing.T) {
+	command := exec.Command(proctest.Program(t, "milldeck"), "registry", "serve", "--config", unwritableConfig(t))
 	if output, err := command.CombinedOutput(); err == nil || strings.Count(string(output), "\n") != 1 || !strings.Contains(string(output), "dir") {
 		t.Errorf("a data directory that cannot be created: %v, %q", err, output)
 	}
 }
 
+// writeUntilKilled writes until every replica has a snapshot, and kills all replicas during the writes. It returns the
+// uids whose registration was acknowledged.
+func (e *testEnv) writeUntilKilled() map[string]bool {
+	e.Helper()
+	ctx, stop := context.WithCancel(e.ctx)
+	acked := map[string]bool{}
+	var mu sync.Mutex
+	var writers sync.WaitGroup
+	for writer := range 4 {
+		writers.Go(func() {
+			for n := 0; ctx.Err() == nil; n++ {
+				instance := newInstance(fmt.Sprintf("w%d-%d", writer, n%100), 1)
+				instance.BootMS = float64(n)
+				if _, err := e.client.Register(ctx, registry.WriteOptions{}, instance); err == nil {
+					mu.Lock()
+					acked[instance.UID] = true
+					mu.Unlock()
+				}
+			}
+		})
+	}
+	e.eventually("snapshots are made", func() bool {
+		for _, replica := range e.cluster.Replicas {
+			found, err := snapshotFiles(replica)
+			if err != nil || len(found) == 0 {
+				return false
+			}
+		}
+		return true
+	})
+	for _, replica := range e.cluster.Replicas {
+		replica.Process.Kill()
+	}
+	stop()
+	writers.Wait()
+	return acked
+}
+
+// snapshotFiles are the files of the complete snapshots of a replica.
+func snapshotFiles(replica *cluster.Replica) ([]string, error) {
+	return filepath.Glob(filepath.Join(replica.DataDir, "snapshots", "*[0-9]", "state.bin")) // others are incomplete
+}
+
+// failsToStart waits until a replica has ended with a one-line error that names a reason.
+func (e *testEnv) failsToStart(replica *cluster.Replica, reason string) {
+	e.Helper()
+	select {
+	case <-replica.Process.Done():
+	case <-time.After(20 * time.Second):
+		e.Fatalf("with a corrupt %s replica %d starts", reason, replica.Index)
+	}
+	lines := strings.Split(strings.TrimSpace(replica.Process.Log()), "\n")
+	last := lines[len(lines)-1]
+	if replica.Process.Wait() == nil || !strings.HasPrefix(last, "milldeck: ") || !strings.Contains(last, reason) {
+		e.Errorf("it ended with %v and %q, want a line about %q", replica.Process.Wait(), last, reason)
+	}
+}
+
+// replaceFromEmpty starts a replica with an empty data directory. It has to catch up with a list by snapshot, as the
+// others have compacted their logs.
+func (e *testEnv) replaceFromEmpty(replica *cluster.Replica, list registry.EndpointList) {
+	e.Helper()
+	if err := os.RemoveAll(replica.DataDir); err != nil {
+		e.Fatal(err)
+	}
+	if err := replica.Start(); err != nil {
+		e.Fatal(err)
+	}
+	e.eventually("the replaced replica catches up", func() bool {
+		status := e.status(replica)
+		return status.Revision == list.Revision && status.Instances == len(list.Targets)
+	})
+	if found, err := filepath.Glob(filepath.Join(replica.DataDir, "snapshots", "*", "state.bin")); err != nil || len(found) == 0 {
+		e.Errorf("it caught up without a snapshot: %v", err)
+	}
+}
+
+// flipRecords flips a byte in every copy of a record that the file of a log holds.
+func flipRecords(t *testing.T, path string) {
+	t.Helper()
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	record := []byte(`"instances":[{"uid"`)
+	if !bytes.Contains(data, record) {
+		t.Fatal("no record in the store")
+	}
+	for k := 0; ; {
+		n := bytes.Index(data[k:], record)
+		if n < 0 {
+			break
+		}
+		data[k+n+3] ^= 0x20
+		k += n + 1
+	}
+	if err := os.WriteFile(path, data, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// truncateLog truncates the file of a log.
+func truncateLog(t *testing.T, path string) {
+	t.Helper()
+	if err := os.Truncate(path, 6000); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // unwritableConfig is a configuration whose data directory nobody can create, not even root.
 func unwritableConfig(t *testing.T) string {
 	t.Helper()
