--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -140,14 +140,14 @@
 	case b.now < s.gossip.ejectedUntil:
 		s.gossip.confirmations++
 		b.applyFinding(s, f)
-	case b.mayBelieve(s) && b.mayEjectByGossip(s):
+	case b.findingPlausible(s) && b.mayEjectByGossip(s):
 		s.gossip.confirmations, s.gossip.source = 1, from
 		b.applyFinding(s, f)
 	}
 }
 
-// mayBelieve reports whether this sidecar has had errors from a server, or has just started.
-func (b *Balancer) mayBelieve(s *server) bool {
+// findingPlausible reports whether this sidecar has had errors from a server, or has just started.
+func (b *Balancer) findingPlausible(s *server) bool {
 	return s.errors.consecutive > 0 || b.now < math.Max(s.ejection.until, b.startedAt+b.gossipLifetime())
 }
 
--- a/balance/validate.go
+++ b/balance/validate.go
@@ -14,9 +14,9 @@
 
 func (e *ConfigError) Error() string { return e.Field + ": " + e.Reason }
 
-// figure is a number of the settings that must be finite and not negative.
-type figure struct {
-	field string
+// numericField is a setting that must be finite and not negative.
+type numericField struct {
+	name  string
 	value float64
 }
 
@@ -25,28 +25,28 @@
 	if len(c.Classes) == 0 {
 		return &ConfigError{"Classes", "there are none"}
 	}
-	figures := c.figures()
+	fields := c.numericFields()
 	for i := range c.Classes {
 		prefix := fmt.Sprintf("Classes[%d].", i)
 		if err := c.Classes[i].validate(prefix); err != nil {
 			return err
 		}
-		figures = append(figures, c.Classes[i].figures(prefix)...)
+		fields = append(fields, c.Classes[i].numericFields(prefix)...)
 	}
 	for i, tenant := range c.Tenants {
 		prefix := fmt.Sprintf("Tenants[%d].", i)
-		figures = append(figures, figure{prefix + "QuotaRate", tenant.QuotaRate}, figure{prefix + "Quota", tenant.Quota})
+		fields = append(fields, numericField{prefix + "QuotaRate", tenant.QuotaRate}, numericField{prefix + "Quota", tenant.Quota})
 	}
-	for _, f := range figures {
-		if !(f.value >= 0) || math.IsInf(f.value, 0) {
-			return &ConfigError{f.field, fmt.Sprintf("%v is not a finite number of at least 0", f.value)}
+	for _, field := range fields {
+		if !(field.value >= 0) || math.IsInf(field.value, 0) {
+			return &ConfigError{field.name, fmt.Sprintf("%v is not a finite number of at least 0", field.value)}
 		}
 	}
 	return nil
 }
 
-func (c *Config) figures() []figure {
-	return []figure{
+func (c *Config) numericFields() []numericField {
+	return []numericField{
 		{"EventInterval", c.EventInterval},
 		{"MaxAttempts", float64(c.MaxAttempts)},
 		{"MaxRetryAfter", c.MaxRetryAfter},
@@ -84,8 +84,8 @@
 	return nil
 }
 
-func (c *Class) figures(prefix string) []figure {
-	return []figure{
+func (c *Class) numericFields(prefix string) []numericField {
+	return []numericField{
 		{prefix + "LatencyObjective", c.LatencyObjective},
 		{prefix + "Deadline", c.Deadline},
 		{prefix + "PriorityWeight", c.PriorityWeight},
--- a/internal/registry/bench/restart.go
+++ b/internal/registry/bench/restart.go
@@ -73,22 +73,19 @@
 	defer client.Close()
 	var writers sync.WaitGroup
 	var next atomic.Int64
-	var failure atomic.Pointer[error]
+	var failure lastError
 	for writer := range restartWritersFactor * b.options.Writers {
 		writers.Go(func() {
 			instance := newInstance(firstRestartOrdinal + writer)
 			for sequence := next.Add(1); sequence <= int64(b.options.LogEntries); sequence = next.Add(1) {
 				instance.Capacity = 1 + float64(sequence%999)/1000
 				if _, err := client.Register(ctx, registry.WriteOptions{}, instance); err != nil {
-					failure.Store(&err)
+					failure.record(err)
 					return
 				}
 			}
 		})
 	}
 	writers.Wait()
-	if err := failure.Load(); err != nil {
-		return *err
-	}
-	return nil
+	return failure.get()
 }
--- a/internal/registry/bench/watches.go
+++ b/internal/registry/bench/watches.go
@@ -113,7 +113,7 @@
 	ticker := time.NewTicker(time.Second / time.Duration(b.options.ChangesPerSecond))
 	defer ticker.Stop()
 	var writes sync.WaitGroup
-	var failure atomic.Pointer[error]
+	var failure lastError
 	end := time.Now().Add(b.options.WatchDuration)
 	for sequence := 0; time.Now().Before(end); sequence++ {
 		<-ticker.C
@@ -122,7 +122,7 @@
 		writes.Go(func() {
 			result, err := client.Register(ctx, registry.WriteOptions{}, instance)
 			if err != nil {
-				failure.Store(&err)
+				failure.record(err)
 				return
 			}
 			deliveries.recordAcknowledged(result.Revision, time.Now())
@@ -130,10 +130,7 @@
 	}
 	writes.Wait()
 	deliveries.awaitDelivered(time.Now().Add(deliveryTimeout))
-	if err := failure.Load(); err != nil {
-		return *err
-	}
-	return nil
+	return failure.get()
 }
 
 // watcherPool is the watchers of the benchmark.
--- a/internal/registry/bench/writes.go
+++ b/internal/registry/bench/writes.go
@@ -3,12 +3,26 @@
 import (
 	"context"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"milldeck/internal/registry"
 	"milldeck/internal/registry/cluster"
 )
 
+// lastError holds the last of the errors of concurrent writers.
+type lastError struct{ pointer atomic.Pointer[error] }
+
+func (l *lastError) record(err error) { l.pointer.Store(&err) }
+
+// get returns the last error, nil where there was none.
+func (l *lastError) get() error {
+	if err := l.pointer.Load(); err != nil {
+		return *err
+	}
+	return nil
+}
+
 // measureWrites measures how many writes a second a cluster applies, and their 99th percentile. Each of many concurrent
 // writers writes an instance of its own.
 func (b *benchmark) measureWrites(ctx context.Context, replicas *cluster.Cluster) (perSecond, p99MS float64, err error) {
--- a/internal/registry/http_read.go
+++ b/internal/registry/http_read.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"net/http"
 	"strconv"
-	"time"
 )
 
 // setFreshnessHeaders sets AgeHeader and FreshHeader.
@@ -32,7 +31,7 @@
 		r.writeNoLeader(w)
 		return false
 	}
-	r.verifiedAt.Store(int64(time.Since(r.startedAt)))
+	r.verifiedAt.Store(int64(r.uptime()))
 	return true
 }
 
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -38,7 +38,7 @@
 	if err := r.raft.Barrier(applyTimeout).Error(); err != nil {
 		return err
 	}
-	r.verifiedAt.Store(int64(time.Since(r.startedAt)))
+	r.verifiedAt.Store(int64(r.uptime()))
 	r.resetTrackers()
 	r.warmUps = newWarmUpTracker(r.options.WarmUpDuration)
 	r.isLeader.Store(true)
@@ -86,7 +86,7 @@
 				return
 			}
 		case <-verify.C:
-			verifyStarted := time.Since(r.startedAt) // the verification proves the leadership of this time
+			verifyStarted := r.uptime() // the verification proves the leadership of this time
 			if r.raft.VerifyLeader().Error() != nil {
 				return
 			}
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -79,9 +79,9 @@
 	httpServer *http.Server
 	watchers   atomic.Int64
 
-	// Of the leader.
+	// Used by the leader only.
 	isLeader             atomic.Bool  // the leadership is established: earlier records are applied
-	verifiedAt           atomic.Int64 // when the leadership was last verified, ns since startedAt
+	verifiedAt           atomic.Int64 // uptime, in ns, at which the leadership was last verified
 	registrations        *registrationTracker
 	sidecarRegistrations *sidecarTracker
 	leaseTracker         *leaseTracker
@@ -222,17 +222,20 @@
 		errors.Is(err, raft.ErrLeadershipTransferInProgress)
 }
 
+// uptime is the time since the replica was started, by the monotonic clock.
+func (r *Replica) uptime() time.Duration { return time.Since(r.startedAt) }
+
 // listAge is how old this replica's state may be: the time since it was last known to be the newest.
 func (r *Replica) listAge() time.Duration {
 	if r.raft.State() == raft.Leader {
 		if !r.isLeader.Load() {
-			return time.Since(r.startedAt)
+			return r.uptime()
 		}
-		return time.Since(r.startedAt) - time.Duration(r.verifiedAt.Load())
+		return r.uptime() - time.Duration(r.verifiedAt.Load())
 	}
 	lastContact := r.raft.LastContact()
 	if lastContact.IsZero() {
-		return time.Since(r.startedAt)
+		return r.uptime()
 	}
 	return time.Since(lastContact)
 }
