--- a/cmd/milldeck/release_check.go
+++ b/cmd/milldeck/release_check.go
@@ -9,7 +9,6 @@
 	"maps"
 	"os"
 	"slices"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -43,27 +42,20 @@
 		Example: "  milldeck release check plan.toml --dry-run\n  milldeck release check plan.toml --view ledger.json --json",
 		Args:    exactly(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			p, err := plan.Load(args[0])
+			path := args[0]
+			p, err := plan.Load(path)
 			if err != nil {
 				return err
 			}
 			if flags.viewPath == "" && !flags.dryRun {
-				_, err = fmt.Fprintf(c.OutOrStdout(), "%s: release %s, plan %s, %d waves\n", args[0], p.Name, p.Hash(), len(p.Waves))
+				_, err = fmt.Fprintf(c.OutOrStdout(), "%s: release %s, plan %s, %d waves\n", path, p.Name, p.Hash(), len(p.Waves))
 				return err
 			}
 			view, err := flags.readView(c, a)
 			if err != nil {
 				return err
 			}
-			preview := plan.NewPreview(p, view.Units, view.Budgets)
-			text := func(w io.Writer) error { return printPreview(w, preview) }
-			if err := a.show(c.OutOrStdout(), preview, text); err != nil {
-				return err
-			}
-			if count := len(preview.Infeasible); count > 0 {
-				return fmt.Errorf("release %s is infeasible as planned: %d reasons", p.Name, count)
-			}
-			return nil
+			return showPreview(c.OutOrStdout(), a, plan.NewPreview(p, view.Units, view.Budgets))
 		},
 	}
 	c.Flags().BoolVar(&flags.dryRun, "dry-run", false, "make a dry run against the fleet as it is")
@@ -112,16 +104,29 @@
 	return view, nil
 }
 
+// showPreview prints a dry run as the flags say, and returns an error if the plan is infeasible.
+func showPreview(out io.Writer, a *asking, preview *plan.Preview) error {
+	err := a.show(out, preview, func(w io.Writer) error { return printPreview(w, preview) })
+	if err != nil {
+		return err
+	}
+	if count := len(preview.Infeasible); count > 0 {
+		return fmt.Errorf("release %s is infeasible as planned: %d reasons", preview.Name, count)
+	}
+	return nil
+}
+
 // printPreview prints a dry run for people.
 func printPreview(out io.Writer, preview *plan.Preview) error {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	w := newTable(out)
 	fmt.Fprintf(w, "release %s, plan %s: at most %d out at once\n", preview.Name, preview.Hash, preview.MaxUnavailable)
 	fmt.Fprintln(w, "wave\tunits\tupdated after it\tbake\twarming up\tnames")
 	for i := range preview.Waves {
 		printPreviewWave(w, i, &preview.Waves[i])
 	}
 	for _, zone := range slices.Sorted(maps.Keys(preview.RemainingCapacity)) {
-		capacity, name := preview.RemainingCapacity[zone], "zone "+zone
+		capacity := preview.RemainingCapacity[zone]
+		name := "zone " + zone
 		if zone == "" {
 			name = "the fleet"
 		}
@@ -134,7 +139,8 @@
 }
 
 func printPreviewWave(w io.Writer, i int, wave *plan.PreviewWave) {
-	names, more := wave.Units, ""
+	names := wave.Units
+	more := ""
 	if len(names) > maxNamesPrinted {
 		more = fmt.Sprintf(" and %d more", len(names)-maxNamesPrinted)
 		names = names[:maxNamesPrinted]
--- a/cmd/milldeck/release_start.go
+++ b/cmd/milldeck/release_start.go
@@ -27,11 +27,19 @@
 )
 
 const (
-	devReports      = "127.0.0.1:8530" // where a release's controller accepts load reports
-	devPlatform     = "127.0.0.1:8540"
-	reportsTimeout  = 5 * time.Second // for the header of a request, and for open requests at the end
+	devReports  = "127.0.0.1:8530" // where a release's controller accepts load reports
+	devPlatform = "127.0.0.1:8540"
+
+	defaultMaxRequestDuration = 10 * time.Second
+	defaultWarmUpTime         = time.Minute
+	defaultStrata             = 32
+
+	reportsTimeout     = 5 * time.Second // for the header of a request, and for open requests at the end
+	reportsIdleTimeout = time.Minute     // of a connection between two reports
+
 	prepareTimeout  = 2 * time.Second // for one request to the hot-key controller
-	maxPrepareBytes = 1 << 10         // of its answer
+	preparePath     = "/spread/leave" // of that request
+	maxPrepareBytes = 1 << 10         // of its response
 )
 
 // controllerFlags are the flags of all commands that run a release's controller.
@@ -54,11 +62,11 @@
 	flags.StringVar(&f.hotKeyController, "spread", "",
 		"address of the hot-key controller, which makes copies of keys before a server goes; none: there are none")
 	flags.StringVar(&f.configDir, "files", "", "directory of configurations: CONFIG/UNIT, or CONFIG for all")
-	flags.DurationVar(&f.maxRequestDuration, "longest", 10*time.Second,
+	flags.DurationVar(&f.maxRequestDuration, "longest", defaultMaxRequestDuration,
 		"the longest that a request may take: the largest hard limit of the settings")
-	flags.DurationVar(&f.warmUpTime, "warm-after", time.Minute,
+	flags.DurationVar(&f.warmUpTime, "warm-after", defaultWarmUpTime,
 		"how long after it is ready a server counts as warm; 0: another process reports that")
-	flags.IntVar(&f.strata, "strata", 32, "expected classes × zones, which share the judge's false-alarm rate")
+	flags.IntVar(&f.strata, "strata", defaultStrata, "expected classes × zones, which share the judge's false-alarm rate")
 }
 
 // releaseInputs is what a release's initial state is made from, besides its plan.
@@ -122,7 +130,7 @@
 	logger := releaseLogger(name)
 	logger.Info("release controller started", "reports", listener.Addr().String())
 	options := leaderelection.Options{OnEvent: func(event leaderelection.Event) {
-		if event.Type != "renewed" {
+		if event.Type != leaderelection.Renewed {
 			logger.Info("lease event", "type", event.Type, "lease", event.Lease, "token", event.Token)
 		}
 	}}
@@ -145,7 +153,7 @@
 		Handler:           mux,
 		ReadHeaderTimeout: reportsTimeout,
 		WriteTimeout:      2 * reportsTimeout,
-		IdleTimeout:       time.Minute,
+		IdleTimeout:       reportsIdleTimeout,
 	}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
@@ -229,8 +237,8 @@
 		return "", nil
 	}
 	path := filepath.Join(f.configDir, filepath.Base(config))
-	if ofUnit := filepath.Join(path, filepath.Base(unit)); isFile(ofUnit) {
-		path = ofUnit
+	if unitPath := filepath.Join(path, filepath.Base(unit)); isFile(unitPath) {
+		path = unitPath
 	}
 	info, err := os.Stat(path)
 	if err != nil {
@@ -248,14 +256,20 @@
 	return err == nil && info.Mode().IsRegular()
 }
 
-// prepareUnit asks the hot-key controller to copy what a server alone serves, nil where there is none.
+// prepareResponse is the hot-key controller's response.
+type prepareResponse struct {
+	Ready bool `json:"ready"` // replicas of what the server alone serves are available elsewhere
+}
+
+// prepareUnit returns the function that asks the hot-key controller to replicate what a server alone serves, nil where
+// there is no such controller.
 func (f *controllerFlags) prepareUnit() func(context.Context, string) (bool, error) {
 	if f.hotKeyController == "" {
 		return nil
 	}
 	client := &http.Client{Timeout: prepareTimeout}
 	return func(ctx context.Context, uid string) (bool, error) {
-		address := "http://" + f.hotKeyController + "/spread/leave?uid=" + url.QueryEscape(uid)
+		address := "http://" + f.hotKeyController + preparePath + "?uid=" + url.QueryEscape(uid)
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, address, nil)
 		if err != nil {
 			return false, err
@@ -268,9 +282,9 @@
 		if resp.StatusCode != http.StatusOK {
 			return false, fmt.Errorf("hot-key controller: %s", resp.Status)
 		}
-		var answer struct{ Ready bool }
-		err = json.NewDecoder(io.LimitReader(resp.Body, maxPrepareBytes)).Decode(&answer)
-		return answer.Ready, err
+		var prepared prepareResponse
+		err = json.NewDecoder(io.LimitReader(resp.Body, maxPrepareBytes)).Decode(&prepared)
+		return prepared.Ready, err
 	}
 }
 
--- a/cmd/milldeck/release_status.go
+++ b/cmd/milldeck/release_status.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"io"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -39,7 +38,7 @@
 		return err
 	}
 	return a.show(c.OutOrStdout(), all, func(out io.Writer) error {
-		w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+		w := newTable(out)
 		for _, stored := range all {
 			fmt.Fprintln(w, releaseLine(stored.State))
 		}
@@ -62,7 +61,7 @@
 
 // printRelease prints a release: the units in progress one by one, and a count of the others.
 func printRelease(out io.Writer, state *release.State) error {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	w := newTable(out)
 	fmt.Fprintln(w, releaseLine(state))
 	updated, rolledBack, pending := 0, 0, 0
 	for i := range state.Units {
--- a/internal/release/clustermodel_test.go
+++ b/internal/release/clustermodel_test.go
@@ -28,16 +28,16 @@
 
 // unitModel is the truth about one unit, whatever anybody has observed of it.
 type unitModel struct {
-	unit            disruption.Unit // as it registers
-	version         string          // of the process that was started last
-	config          string          // that this process runs by
-	bootMS          int64           // when it was started
-	readyMS         int64           // when it is ready; -1: never
-	terminating     bool            // in the endpoint list
-	drainingSinceMS int64
-	leaseEndMS      int64 // when its registration expires; 0: it is renewed
-	coldUntilMS     int64 // when it is warm
-	rejectedConfig  string
+	unit             disruption.Unit // as it registers
+	version          string          // of the process that was started last
+	config           string          // that this process runs by
+	bootMS           int64           // when it was started
+	readyMS          int64           // when it is ready; -1: never
+	terminating      bool            // in the endpoint list
+	drainingSinceMS  int64
+	leaseEndMS       int64 // when its registration expires; 0: it is renewed
+	warmingUpUntilMS int64 // when it is warm
+	rejectedConfig   string
 }
 
 // name is the unit's name at the platform.
@@ -61,7 +61,7 @@
 	neverReady         map[string]bool // versions that never become ready in the endpoint list
 	rejectedConfigs    map[string]bool // configurations that sidecars reject
 	verdict            func(*State) judge.Verdict
-	maxOut             int  // the most units that were out at once
+	peakUnavailable    int  // the most units that were out at once
 	hidesEndedPermits  bool // views of the ledger lack permits that have ended
 	reportsChangesOnly bool // units register in the ledger only when they change, as in the registry
 	bugs               plantedBugs
@@ -72,15 +72,15 @@
 
 // plantedBugs are faults of the code under test that the tests have to detect.
 type plantedBugs struct {
-	writesAfterEffects      bool // a state is written after its effects were executed
-	requestIDsPerController bool // request IDs depend on the controller, not on the written state
-	rollbackRankForward     bool // rollbacks request permits at the priority of rollouts
-	trustsIncompleteList    bool // a unit that an incomplete list lacks counts as stopped
+	writesAfterEffects        bool // a state is written after its effects were executed
+	requestIDsPerController   bool // request IDs depend on the controller, not on the written state
+	rollbackAtRolloutPriority bool // rollbacks request permits at the priority of rollouts
+	trustsIncompleteList      bool // a unit that an incomplete list lacks counts as stopped
 }
 
 // newClusterModel makes a cluster of units that all run version 1 with configuration c1 and are up, of which the ledger
-// lets maxOut be out.
-func newClusterModel(t testing.TB, kind disruption.Kind, zones, unitsPerZone, maxOut int) *clusterModel {
+// lets maxUnavailable be out.
+func newClusterModel(t testing.TB, kind disruption.Kind, zones, unitsPerZone, maxUnavailable int) *clusterModel {
 	t.Helper()
 	model := &clusterModel{
 		t:               t,
@@ -104,7 +104,7 @@
 		}
 	}
 	model.platform = fake.New(fake.Options{Versions: versions}, model.nowMS)
-	budget := &disruption.Budget{Name: "all", MaxUnavailable: disruption.Limit{Count: &maxOut}}
+	budget := &disruption.Budget{Name: "all", MaxUnavailable: disruption.Limit{Count: &maxUnavailable}}
 	model.applyLedgerOp(&disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/ci", Budget: budget})
 	for zone := range zones {
 		for i := range unitsPerZone {
@@ -119,7 +119,7 @@
 			t.Fatalf("%s is %q at the start", id, unit.Condition)
 		}
 	}
-	model.maxOut = 0
+	model.peakUnavailable = 0
 	model.launches = map[string]int{}
 	return model
 }
@@ -234,7 +234,7 @@
 // serves reports whether a unit truly serves, at its full capacity.
 func (m *clusterModel) serves(unit *unitModel) bool {
 	ready := unit.readyMS >= 0 && unit.readyMS <= m.nowMS
-	return m.alive(unit) && ready && !unit.terminating && unit.coldUntilMS <= m.nowMS
+	return m.alive(unit) && ready && !unit.terminating && unit.warmingUpUntilMS <= m.nowMS
 }
 
 // advance lets a tick pass: processes go on, units register, leases expire, health checks report.
@@ -254,7 +254,7 @@
 			out++
 		}
 	}
-	m.maxOut = max(m.maxOut, out)
+	m.peakUnavailable = max(m.peakUnavailable, out)
 }
 
 // expire ends the registration of a unit without a process once its lease is over.
@@ -282,7 +282,7 @@
 	if registered && known.BootMS != reported.BootMS {
 		unit.terminating = false // a restarted unit registers as ready
 		if reported.Kind == disruption.KindServer {
-			unit.coldUntilMS = m.nowMS + serverWarmUpMS
+			unit.warmingUpUntilMS = m.nowMS + serverWarmUpMS
 		}
 	}
 	if unit.terminating {
@@ -293,7 +293,7 @@
 	}
 	known, _ = m.ledger.Unit(id)
 	ready, knownUp := reported.Condition == disruption.ConditionUp, known.Condition == disruption.ConditionUp
-	if ready && !knownUp && unit.coldUntilMS <= m.nowMS {
+	if ready && !knownUp && unit.warmingUpUntilMS <= m.nowMS {
 		m.observeUnit(id, disruption.ConditionUp)
 	}
 	known, _ = m.ledger.Unit(id)
--- a/internal/release/command.go
+++ b/internal/release/command.go
@@ -61,7 +61,7 @@
 		return
 	}
 	deadline := r.release.Plan.DeadlineSeconds
-	if float64(r.view.NowMS-r.release.StartedAtMS) > 1000*deadline {
+	if float64(r.view.NowMS-r.release.StartedAtMS) > msPerSecond*deadline {
 		r.halt(guardOperator, fmt.Sprintf("the deadline of %v s is over", deadline), policy)
 	}
 }
--- a/internal/release/controller/controller_test.go
+++ b/internal/release/controller/controller_test.go
@@ -140,7 +140,7 @@
 				}
 				cluster.checkVersion(t, "2")
 				if len(cluster.cohort) == 0 {
-					t.Error("sidecars were not told to count requests to the new version separately")
+					t.Error("sidecars were not directed to count requests to the new version separately")
 				}
 			})
 		})
--- a/internal/release/controller/evidence.go
+++ b/internal/release/controller/evidence.go
@@ -14,7 +14,7 @@
 	"milldeck/internal/supervisor"
 )
 
-// recordReports takes in the sidecars' reports: which endpoint lists they have at each step, and once per interval what
+// recordReports records what the sidecars report: which endpoint lists they have at each step, and once per interval what
 // the judge compares.
 func (t *leaseTerm) recordReports(observed *observation, nowMS int64) {
 	reports, _ := t.Reports.Snapshot()
--- a/internal/release/controller/execute.go
+++ b/internal/release/controller/execute.go
@@ -15,7 +15,7 @@
 )
 
 // execute executes the effects of a step, and reports whether a next state was written. The platform's requests are sent
-// first, in one call.
+// first, in one call. An effect that fails is not an error: the next step finds it missing and repeats it.
 func (t *leaseTerm) execute(ctx context.Context, effects []release.Effect) (wrote bool, err error) {
 	var requests []supervisor.Request
 	for _, effect := range effects {
--- a/internal/release/controller/observe.go
+++ b/internal/release/controller/observe.go
@@ -52,7 +52,7 @@
 	return &observation{ledger: ledger, list: list, sidecars: sidecars, platform: platform}, nil
 }
 
-// observe reads the fleet, takes in what is evidence, and returns the view that the next state is decided by.
+// observe reads the fleet, records what is evidence, and returns the view that the next state is decided by.
 func (t *leaseTerm) observe(ctx context.Context) (*release.View, error) {
 	ctx, cancel := withCallTimeout(ctx)
 	defer cancel()
@@ -79,8 +79,8 @@
 		Platform:      observed.platform,
 		Outcomes:      t.outcomes,
 		DeniedPermits: t.deniedPermits,
-		Permit:        func(id string) (disruption.Permit, bool) { permit, ok := permits[id]; return permit, ok },
-		Unit:          func(id string) (disruption.Unit, bool) { unit, ok := units[id]; return unit, ok },
+		Permit:        lookupIn(permits),
+		Unit:          lookupIn(units),
 		Prepared:      func(id string) bool { return t.PrepareUnit == nil || t.prepared[id] },
 		Drained:       func(id string) bool { return t.drains.Drained(nowMS, id) },
 		// No sidecar reports yet which configuration it has read, so a release of a configuration alone halts at its
@@ -89,3 +89,11 @@
 		ConfigRejection: func(string, string) string { return "" },
 	}, nil
 }
+
+// lookupIn returns the function that looks IDs up in a map.
+func lookupIn[T any](byID map[string]T) func(id string) (T, bool) {
+	return func(id string) (T, bool) {
+		value, ok := byID[id]
+		return value, ok
+	}
+}
--- a/internal/release/controller/process_test.go
+++ b/internal/release/controller/process_test.go
@@ -21,7 +21,7 @@
 )
 
 // serverEnvironment, where it is set to the replicas' addresses, makes the test binary a server of the fleet.
-const serverEnvironment = "DRIVE_TEST_AS_SERVER"
+const serverEnvironment = "RELEASE_TEST_AS_SERVER"
 
 func TestMain(m *testing.M) {
 	if replicas, ok := os.LookupEnv(serverEnvironment); ok {
--- a/internal/release/crash_test.go
+++ b/internal/release/crash_test.go
@@ -114,8 +114,8 @@
 	case state.Status.Phase != s.wantPhase:
 		return effects, fmt.Errorf("it ended %s (%s), want %s", state.Status.Phase, state.Status.HaltReason, s.wantPhase)
 	}
-	if model.maxOut > maxOut {
-		return effects, fmt.Errorf("budget: %d units were out at once, allowed are %d", model.maxOut, maxOut)
+	if model.peakUnavailable > maxOut {
+		return effects, fmt.Errorf("budget: %d units were out at once, allowed are %d", model.peakUnavailable, maxOut)
 	}
 	if err := s.checkOnce(model); err != nil {
 		return effects, err
--- a/internal/release/doc.go
+++ b/internal/release/doc.go
@@ -5,7 +5,7 @@
 // of them as each registry replica holds them. State.Reconcile is the pure core: it takes an observation of the fleet (a
 // View, with its time) and returns effects, the last of which is the next state to write. Files: state.go and table.go
 // hold what is stored, reconciler.go the core's entry, command.go operators and guards, rollout.go and rollback.go the
-// waves, unit.go with permit.go, process.go and warmup.go one unit's stages; drained.go, analysis.go and interval.go turn
+// waves, unit.go with permit.go, process.go and warmup.go one unit's stages; drain_tracker.go, analysis.go and interval.go turn
 // observations into evidence.
 //
 // Every effect follows from state that is already written, and a stage is left only on evidence. Effects may therefore be
--- a/internal/release/fakecontroller_test.go
+++ b/internal/release/fakecontroller_test.go
@@ -25,13 +25,13 @@
 func (m *clusterModel) newController(name string) *fakeController {
 	m.token++
 	state, _ := m.table.Get(name)
-	own := *state
-	own.Units = slices.Clone(state.Units)
+	copied := *state
+	copied.Units = slices.Clone(state.Units)
 	return &fakeController{
 		model:         m,
 		name:          name,
 		token:         m.token,
-		state:         &own,
+		state:         &copied,
 		outcomes:      map[string]supervisor.Outcome{},
 		deniedPermits: map[string]string{},
 	}
@@ -79,7 +79,7 @@
 // visiblePermit is a permit as a view of the ledger has it: not every view has those that have ended.
 func (m *clusterModel) visiblePermit(id string) (disruption.Permit, bool) {
 	permit, known := m.ledger.Permit(id)
-	if m.hidesEndedPermits && known && ended(permit) {
+	if m.hidesEndedPermits && known && permitEnded(permit) {
 		return disruption.Permit{}, false
 	}
 	return permit, known
@@ -113,7 +113,7 @@
 }
 
 func (c *fakeController) executeLedgerOp(op disruption.Op, answerLost bool) {
-	if c.model.bugs.rollbackRankForward && op.Kind == disruption.OpRequest {
+	if c.model.bugs.rollbackAtRolloutPriority && op.Kind == disruption.OpRequest {
 		permit := *op.Permit
 		permit.Priority = disruption.PriorityRollout
 		op.Permit = &permit
@@ -140,21 +140,21 @@
 
 func (c *fakeController) executeWrite(delta Delta, valid, answerLost bool) {
 	if c.model.bugs.writesAfterEffects {
-		c.applyToOwn(delta)
+		c.applyToState(delta)
 		c.pendingDeltas = append(c.pendingDeltas, delta)
 		return
 	}
 	if !valid || c.model.apply(&Operation{Name: c.name, Delta: &delta}) != nil || answerLost {
 		return
 	}
-	c.applyToOwn(delta)
+	c.applyToState(delta)
 	if written, _ := c.model.table.Get(c.name); c.state.Sequence != written.Sequence {
 		c.model.t.Fatal("the controller's state is not that of the log")
 	}
 }
 
-// applyToOwn applies a delta to the controller's own state, which it was computed from.
-func (c *fakeController) applyToOwn(delta Delta) {
+// applyToState applies a delta to the controller's own state, which it was computed from.
+func (c *fakeController) applyToState(delta Delta) {
 	if err := c.state.Apply(delta); err != nil {
 		c.model.t.Fatal(err)
 	}
@@ -176,7 +176,7 @@
 const (
 	crashBefore crashMode = "before" // the controller dies before it
 	crashAfter  crashMode = "after"  // it dies after it, before it learns the outcome
-	crashFrozen crashMode = "frozen" // it is frozen, and executes this effect and the rest when another has taken over
+	crashFrozen crashMode = "frozen" // it is frozen, and executes this effect and the rest under a stale token
 )
 
 var crashModes = []crashMode{crashBefore, crashAfter, crashFrozen}
--- a/internal/release/faults_test.go
+++ b/internal/release/faults_test.go
@@ -64,7 +64,7 @@
 	}
 	state, err := model.runToEnd(noCrash(), 1000, func(_ int, state *State) {
 		if state.Status.Phase == PhaseRollback {
-			halt := &disruption.Halt{Reason: "a bad night"}
+			halt := &disruption.Halt{Reason: "incident"}
 			model.applyLedgerOp(&disruption.Op{Kind: disruption.OpHalt, Owner: operatorName, Halt: halt})
 		}
 	})
@@ -152,7 +152,7 @@
 			return findByCrashes(t, scenarioNamed(t, "configuration"), plantedBugs{requestIDsPerController: true})
 		}},
 		{"rollbacks at the priority of rollouts", func(t *testing.T) error {
-			return rollbackUnderFleetHalt(t, plantedBugs{rollbackRankForward: true})
+			return rollbackUnderFleetHalt(t, plantedBugs{rollbackAtRolloutPriority: true})
 		}},
 		{"absence from an incomplete list taken for an end", func(t *testing.T) error {
 			var found error
@@ -233,13 +233,13 @@
 
 // randomFaults is a release with random faults.
 type randomFaults struct {
-	rng         *rand.Rand
-	model       *clusterModel
-	planned     *crash
-	maxOut      int
-	crashed     map[int]bool // indexes of the units that have failed alone
-	currentTick int
-	budgetErr   error // the first time that too many units were out
+	rng            *rand.Rand
+	model          *clusterModel
+	planned        *crash
+	maxUnavailable int
+	crashed        map[int]bool // indexes of the units that have failed alone
+	currentTick    int
+	budgetErr      error // the first time that too many units were out
 }
 
 // faultTicks is how long faults are injected. After that a halted release is rolled back.
@@ -247,9 +247,9 @@
 
 func playRandomFaults(t testing.TB, seed uint64) (Phase, error) {
 	t.Helper()
-	const maxOut = 12
+	const maxUnavailable = 12
 	rng := rand.New(rand.NewPCG(seed, 7))
-	model := newClusterModel(t, disruption.KindServer, 4, 50, maxOut)
+	model := newClusterModel(t, disruption.KindServer, 4, 50, maxUnavailable)
 	planText := strings.Replace(serverPlan, "count = 1", "share = 0.05", 1)
 	planText = strings.Replace(planText, "count = 2", "count = 10", 1)
 	if rng.IntN(2) == 0 {
@@ -261,7 +261,7 @@
 		regressionTick = rng.IntN(300)
 	}
 	planned := &crash{effectIndex: rng.IntN(200), mode: crashModes[rng.IntN(3)]}
-	played := &randomFaults{rng: rng, model: model, planned: planned, maxOut: maxOut, crashed: map[int]bool{}}
+	played := &randomFaults{rng: rng, model: model, planned: planned, maxUnavailable: maxUnavailable, crashed: map[int]bool{}}
 	model.verdict = func(*State) judge.Verdict {
 		if regressionTick >= 0 && played.currentTick >= regressionTick {
 			return judge.Verdict{Outcome: judge.Regression, Reason: "planted"}
@@ -291,8 +291,8 @@
 	if tick > faultTicks && state.Status.Phase == PhaseHalted && tick%50 == 0 {
 		sendCommand(f.model.t, f.model, CommandRollback)
 	}
-	if out := f.model.plannedOut(state, f.crashed); out > f.maxOut && f.budgetErr == nil {
-		f.budgetErr = fmt.Errorf("budget: %d units are out for planned reasons at tick %d, allowed are %d", out, tick, f.maxOut)
+	if out := f.model.plannedOut(state, f.crashed); out > f.maxUnavailable && f.budgetErr == nil {
+		f.budgetErr = fmt.Errorf("budget: %d units are out for planned reasons at tick %d, allowed are %d", out, tick, f.maxUnavailable)
 	}
 }
 
--- a/internal/release/judge/evidence.go
+++ b/internal/release/judge/evidence.go
@@ -6,6 +6,9 @@
 // requests at rates of some percent. Far from it a test takes somewhat more traffic and is as valid.
 const mixturePrecision = 2.0
 
+// maxVarianceShare is the share at which the variance share × (1 − share) is largest.
+const maxVarianceShare = 0.5
+
 // eProcess is evidence against the hypothesis that the mean of what is added is at most 0, whatever was added before. It
 // may be read after every interval. For every λ, exp(λ·sum − λ²/2·variance) with variance = Σ(x² + 2E[x²])/3 is a
 // nonnegative supermartingale that starts at 1 (Delyon 2009, for any square-integrable martingale), so a mixture over λ > 0
@@ -25,9 +28,10 @@
 	if p.sum <= 0 {
 		return 0
 	}
+	// The integral over λ > 0 is Gaussian: its value over all λ, times the share of it at λ > 0.
 	totalVariance := p.variance + mixturePrecision
-	below := 0.5 * math.Erfc(-p.sum/math.Sqrt(2*totalVariance))
-	return math.Ln2 + 0.5*math.Log(mixturePrecision/totalVariance) + p.sum*p.sum/(2*totalVariance) + math.Log(below)
+	positiveShare := 0.5 * math.Erfc(-p.sum/math.Sqrt(2*totalVariance))
+	return math.Ln2 + 0.5*math.Log(mixturePrecision/totalVariance) + p.sum*p.sum/(2*totalVariance) + math.Log(positiveShare)
 }
 
 // comparison tests a share of the canary's requests against that of the baseline's, both ways: whether it is higher by more
@@ -55,7 +59,7 @@
 	difference := float64(canaryHits)/canary - float64(baselineHits)/baseline
 	// The variance is at least that of the tolerated share, which the hypotheses allow.
 	share := max(float64(canaryHits+baselineHits)/(canary+baseline), c.tolerance)
-	share = min(share, 0.5)
+	share = min(share, maxVarianceShare)
 	variance := weight * share * (1 - share)
 	dispersedVariance := variance * c.dispersion()
 	c.regression.add(weight*(difference-c.tolerance), dispersedVariance)
--- a/internal/release/judge/histogram.go
+++ b/internal/release/judge/histogram.go
@@ -35,7 +35,7 @@
 // decayAndAdd decays a histogram by one interval and adds the interval's counts to it.
 func decayAndAdd(histogram []float64, counts []uint32) []float64 {
 	for i := range histogram {
-		histogram[i] *= decay
+		histogram[i] *= decayPerInterval
 	}
 	for i, count := range counts[:min(len(counts), maxLatencyBuckets)] {
 		if i == len(histogram) {
--- a/internal/release/judge/judge.go
+++ b/internal/release/judge/judge.go
@@ -33,8 +33,8 @@
 	noDataIntervals = 5
 	// highLoadFactor is how far an interval's traffic has to be above its mean so far to count as high load.
 	highLoadFactor = 1.2
-	// decay is what the mean traffic and the baseline's latencies keep of their weight in each interval: about a minute.
-	decay = 0.98
+	// decayPerInterval is what the mean traffic and the baseline's latencies keep of their weight in each interval: about a minute.
+	decayPerInterval = 0.98
 	// tailShare is the share of the baseline's answers beyond the bound of latency that both are compared by.
 	tailShare = 0.25
 	// maxStrata bounds memory: classes × zones beyond it are not judged, and a pass is withheld.
--- a/internal/release/judge/pass.go
+++ b/internal/release/judge/pass.go
@@ -47,14 +47,14 @@
 	counted := 0
 	for _, key := range j.sortedStrata() {
 		evidence := j.strata[key]
-		if !j.canariesIn(key.zone) || evidence.baselineRequests == 0 {
+		if !j.hasCanaries(key.zone) || evidence.baselineRequests == 0 {
 			continue
 		}
 		if float64(evidence.baselineRequests) < minClassShare*float64(baselineByZone[key.zone]) {
 			continue
 		}
 		counted++
-		if reason := evidence.missing(key); reason != "" {
+		if reason := evidence.missingTraffic(key); reason != "" {
 			return reason
 		}
 	}
@@ -70,15 +70,15 @@
 	})
 }
 
-func (j *Judge) canariesIn(name string) bool {
-	units := j.zones[name]
-	return units != nil && units.canaryUnits > 0
+func (j *Judge) hasCanaries(zoneName string) bool {
+	evidence := j.zones[zoneName]
+	return evidence != nil && evidence.canaryUnits > 0
 }
 
 // suspectZone says which zone's restarts or memory withhold a pass.
 func (j *Judge) suspectZone() string {
-	for _, name := range slices.Sorted(maps.Keys(j.zones)) {
-		if reason := j.zones[name].suspicion(name); reason != "" {
+	for _, zoneName := range slices.Sorted(maps.Keys(j.zones)) {
+		if reason := j.zones[zoneName].suspicion(zoneName); reason != "" {
 			return reason
 		}
 	}
--- a/internal/release/judge/stratum.go
+++ b/internal/release/judge/stratum.go
@@ -51,7 +51,7 @@
 	if s.meanRequests == 0 {
 		s.meanRequests = requests
 	}
-	s.meanRequests = decay*s.meanRequests + (1-decay)*requests
+	s.meanRequests = decayPerInterval*s.meanRequests + (1-decayPerInterval)*requests
 	return highLoad
 }
 
@@ -91,8 +91,8 @@
 	return ""
 }
 
-// missing names the first comparison that has too little traffic to pass, empty where all pass.
-func (s *stratum) missing(key stratumKey) string {
+// missingTraffic names the first comparison that has too little traffic to pass, empty where all pass.
+func (s *stratum) missingTraffic(key stratumKey) string {
 	passThreshold := -math.Log(falsePassRate)
 	for _, candidate := range []struct {
 		name       string
--- a/internal/release/judge/zone.go
+++ b/internal/release/judge/zone.go
@@ -38,27 +38,27 @@
 }
 
 // regression describes the regression that there is enough evidence of, empty where there is none.
-func (z *zone) regression(name string) string {
+func (z *zone) regression(zoneName string) string {
 	if z.restarts.regression.logEvidence() >= z.threshold {
 		return fmt.Sprintf("restarts in zone %q: %d in %d unit-intervals, more than the old and the tolerated %v",
-			name, z.restarts.canaryHits, z.restarts.canaryTrials, z.restarts.tolerance)
+			zoneName, z.restarts.canaryHits, z.restarts.canaryTrials, z.restarts.tolerance)
 	}
 	if z.intervalsAbove >= memoryRegressionIntervals {
-		return fmt.Sprintf("memory in zone %q: %.2f times the old, tolerated %.2f", name, z.memoryRatio, 1+z.memoryTolerance)
+		return fmt.Sprintf("memory in zone %q: %.2f times the old, tolerated %.2f", zoneName, z.memoryRatio, 1+z.memoryTolerance)
 	}
 	return ""
 }
 
 // suspicion says why the zone's restarts or memory withhold a pass, empty where they do not.
-func (z *zone) suspicion(name string) string {
+func (z *zone) suspicion(zoneName string) string {
 	if z.canaryUnits == 0 {
 		return ""
 	}
 	if z.restarts.regression.logEvidence() > restartSuspicion {
-		return fmt.Sprintf("%d restarts in zone %q, in %d unit-intervals", z.restarts.canaryHits, name, z.restarts.canaryTrials)
+		return fmt.Sprintf("%d restarts in zone %q, in %d unit-intervals", z.restarts.canaryHits, zoneName, z.restarts.canaryTrials)
 	}
 	if z.intervalsAbove > 0 || z.memorySamples > 0 && z.memorySamples < memoryRegressionIntervals {
-		return fmt.Sprintf("memory in zone %q: %.2f times the old", name, z.memoryRatio)
+		return fmt.Sprintf("memory in zone %q: %.2f times the old", zoneName, z.memoryRatio)
 	}
 	return ""
 }
--- a/internal/release/lifecycle_test.go
+++ b/internal/release/lifecycle_test.go
@@ -83,9 +83,9 @@
 		}
 	}
 	first := model.list().Find(state.Units[0].Name)
-	if reloaded != 1 || first.ConfigName != "c1" || model.maxOut > 0 {
+	if reloaded != 1 || first.ConfigName != "c1" || model.peakUnavailable > 0 {
 		t.Errorf("%d were reloaded, the first has %s, %d were out at once; want 1, c1, 0",
-			reloaded, first.ConfigName, model.maxOut)
+			reloaded, first.ConfigName, model.peakUnavailable)
 	}
 	sendCommand(t, model, CommandRollback)
 	checkEnd(t, model, 300, PhaseRolledBack, "")
@@ -268,8 +268,8 @@
 // Two releases, a maintenance window's permit and an operator's drain request permits at once in one zone; then servers
 // fail alone.
 func TestConcurrentPermitRequestsShareBudget(t *testing.T) {
-	const maxOut = 2
-	model := newClusterModel(t, disruption.KindServer, 2, 6, maxOut)
+	const maxUnavailable = 2
+	model := newClusterModel(t, disruption.KindServer, 2, 6, maxUnavailable)
 	model.startRelease(planForUnits("r1", `"server/a0","server/a1","server/b0","server/b1"`))
 	model.startRelease(planForUnits("r2", `"server/a2","server/b2","server/b3"`))
 	model.startDrain("d", "server/a3")
@@ -309,8 +309,8 @@
 		for _, id := range model.unitsOut() {
 			out[id] = true
 		}
-		if len(out) > maxOut {
-			t.Fatalf("tick %d: %d are out under permits, allowed are %d", tick, len(out), maxOut)
+		if len(out) > maxUnavailable {
+			t.Fatalf("tick %d: %d are out under permits, allowed are %d", tick, len(out), maxUnavailable)
 		}
 		model.advance()
 	}
--- a/internal/release/permit.go
+++ b/internal/release/permit.go
@@ -6,17 +6,17 @@
 )
 
 // reconcilePermit follows a permit from its request to the beginning of the disruption.
-func (r *reconciler) reconcilePermit(unit *Unit, permit disruption.Permit, known bool) {
-	granted := known && permit.Stage != disruption.StageRequested
+func (r *reconciler) reconcilePermit(unit *Unit, permit disruption.Permit, permitKnown bool) {
+	granted := permitKnown && permit.Stage != disruption.StageRequested
 	switch {
-	case known && ended(permit): // by an operator
+	case permitKnown && permitEnded(permit): // by an operator
 		r.enterStage(unit, StagePending)
 	case unit.Stage == StageRequestingPermit:
-		r.awaitGrant(unit, permit, known, granted)
+		r.awaitGrant(unit, permit, permitKnown, granted)
 	case !granted: // a halt of the ledger has revoked the grant
 		r.enterStage(unit, StageRequestingPermit)
 	case unit.Stage == StagePreparing:
-		r.prepare(unit)
+		r.awaitPreparation(unit)
 	default:
 		r.beginDisruption(unit, permit)
 	}
@@ -26,9 +26,9 @@
 }
 
 // awaitGrant requests a permit that the ledger does not have, and waits until it is granted.
-func (r *reconciler) awaitGrant(unit *Unit, permit disruption.Permit, known, granted bool) {
+func (r *reconciler) awaitGrant(unit *Unit, permit disruption.Permit, permitKnown, granted bool) {
 	switch {
-	case !known:
+	case !permitKnown:
 		r.requestPermit(unit)
 		r.checkDenied(unit)
 	case !granted:
@@ -67,7 +67,7 @@
 	if reason == "" || !r.inStageFor(unit, requestEffectTimeoutMS) {
 		return
 	}
-	r.failures = append(r.failures, unit.ID+": "+reasonNoPermit+reason)
+	r.failures = append(r.failures, unit.ID+": "+reasonPermitDeniedPrefix+reason)
 	if unit.Rollback {
 		unit.Stage = StageFailed
 		return
@@ -75,8 +75,8 @@
 	r.enterStage(unit, StagePending)
 }
 
-// prepare waits until what only this unit serves is available elsewhere.
-func (r *reconciler) prepare(unit *Unit) {
+// awaitPreparation waits until what only this unit serves is available elsewhere.
+func (r *reconciler) awaitPreparation(unit *Unit) {
 	if r.view.Prepared(unit.ID) || r.exitedOrLost(unit) {
 		r.enterStage(unit, StageBeginningDisruption)
 		return
@@ -97,8 +97,8 @@
 }
 
 // reconcileCancel cancels a permit before its unit was changed, and returns a draining server to the endpoint list.
-func (r *reconciler) reconcileCancel(unit *Unit, permit disruption.Permit, known bool) {
-	if !known || ended(permit) {
+func (r *reconciler) reconcileCancel(unit *Unit, permit disruption.Permit, permitKnown bool) {
+	if !permitKnown || permitEnded(permit) {
 		unit.Reason = ""
 		r.enterStage(unit, StagePending)
 		return
--- a/internal/release/plan/waves.go
+++ b/internal/release/plan/waves.go
@@ -11,8 +11,8 @@
 	"milldeck/internal/disruption"
 )
 
-// tolerance absorbs rounding in products of shares and counts, and in sums of capacities.
-const tolerance = 1e-9
+// roundingTolerance absorbs rounding in products of shares and counts, and in sums of capacities.
+const roundingTolerance = 1e-9
 
 // SelectUnits are the units that a plan changes, in the order in which it changes them: by a hash of their IDs, so that
 // neighbours in a rack or pod group are spread over the waves.
@@ -69,7 +69,7 @@
 	case w.Count != nil:
 		return *w.Count
 	case w.Share != nil:
-		return int(math.Ceil(*w.Share*float64(zoneSize) - tolerance))
+		return int(math.Ceil(*w.Share*float64(zoneSize) - roundingTolerance))
 	}
 	return zoneSize
 }
@@ -90,7 +90,7 @@
 		bound = float64(*limit.Count)
 	}
 	if limit.Fraction != nil {
-		bound = min(bound, math.Floor(*limit.Fraction*float64(unitCount)+tolerance))
+		bound = min(bound, math.Floor(*limit.Fraction*float64(unitCount)+roundingTolerance))
 	}
 	if math.IsInf(bound, 1) {
 		return 0, false
--- a/internal/release/process.go
+++ b/internal/release/process.go
@@ -17,8 +17,8 @@
 
 // exitedOrLost reports whether a unit has ended by itself, so that no request can be open on it.
 func (r *reconciler) exitedOrLost(unit *Unit) bool {
-	ledgerUnit, known := r.view.Unit(unit.ID)
-	if known && ledgerUnit.Condition == disruption.ConditionLost {
+	ledgerUnit, registered := r.view.Unit(unit.ID)
+	if registered && ledgerUnit.Condition == disruption.ConditionLost {
 		return true
 	}
 	listed := r.listedUnit(unit)
@@ -62,7 +62,7 @@
 	if listed == nil {
 		return // it may run: the platform has lost its state and has not found all units again
 	}
-	if r.ensureRequested(unit, platform, supervisor.Stop, listed.Incarnation) {
+	if r.awaitAcceptance(unit, platform, supervisor.Stop, listed.Incarnation) {
 		return
 	}
 	timeoutMS := int64(requestEffectTimeoutMS)
@@ -98,7 +98,7 @@
 
 // requestStart requests a start, and again where the accepted request shows no effect.
 func (r *reconciler) requestStart(unit *Unit, platform *supervisor.List, incarnation uint64) {
-	if r.ensureRequested(unit, platform, supervisor.Start, incarnation) {
+	if r.awaitAcceptance(unit, platform, supervisor.Start, incarnation) {
 		return
 	}
 	r.repeatWithoutEffect(unit, requestEffectTimeoutMS)
@@ -133,7 +133,7 @@
 func (r *reconciler) reconcileReload(unit *Unit) {
 	desired := unit.desiredImage()
 	if reason := r.view.ConfigRejection(unit.ID, desired.ConfigName); reason != "" && r.requestAccepted(unit) {
-		r.failUnit(unit, reasonConfigRejected+reason)
+		r.failUnit(unit, reasonConfigRejectedPrefix+reason)
 		return
 	}
 	platform := r.view.Platform
@@ -151,7 +151,7 @@
 		}
 		return
 	}
-	if r.ensureRequested(unit, platform, supervisor.Reload, listed.Incarnation) {
+	if r.awaitAcceptance(unit, platform, supervisor.Reload, listed.Incarnation) {
 		return
 	}
 	if r.acceptedFor(unit, requestEffectTimeoutMS) {
@@ -171,9 +171,9 @@
 	return running == desired && listed.ConfigName == desired.ConfigName
 }
 
-// ensureRequested decides a request, which is written before it is sent, or sends the written one until it is answered. It
-// reports whether the unit has to wait for that; otherwise the request was accepted, and the list shows its effect.
-func (r *reconciler) ensureRequested(unit *Unit, platform *supervisor.List, op supervisor.Op, incarnation uint64) bool {
+// awaitAcceptance decides a request, which is written before it is sent, or sends the written one until it is answered. It
+// reports whether the unit still waits; otherwise the request was accepted, and the list shows its effect.
+func (r *reconciler) awaitAcceptance(unit *Unit, platform *supervisor.List, op supervisor.Op, incarnation uint64) bool {
 	if unit.Request == nil || unit.Request.Op != op || unit.Request.Epoch != platform.Epoch {
 		r.decideRequest(unit, platform, op, incarnation)
 		return true
--- a/internal/release/reconciler.go
+++ b/internal/release/reconciler.go
@@ -17,6 +17,9 @@
 	rollbackStallTimeoutMS = 120_000 // without a grant in a rollback that has a failed unit
 )
 
+// msPerSecond converts the seconds of plans to the controller's milliseconds.
+const msPerSecond = 1000
+
 // Bounds on attempts.
 const (
 	// maxFailedStarts is how many starts may fail before the unit does: the first may be the platform's fault.
--- a/internal/release/rollout.go
+++ b/internal/release/rollout.go
@@ -34,7 +34,7 @@
 // units have converged, have baked, and are judged to be no worse than the others.
 func (r *reconciler) advanceRollout() {
 	if r.status.Token != r.view.Token {
-		r.status.BakeStartMS = 0 // the analysis of another controller is not known here
+		r.status.BakeStartMS = 0 // the analysis of the controller before was not stored
 	}
 	pending, converged := r.collectWave()
 	wave := r.currentWave()
@@ -49,7 +49,7 @@
 	if r.status.BakeStartMS == 0 {
 		r.status.BakeStartMS = max(r.view.NowMS, 1)
 	}
-	if float64(r.view.NowMS-r.status.BakeStartMS) < 1000*wave.BakeSeconds {
+	if float64(r.view.NowMS-r.status.BakeStartMS) < msPerSecond*wave.BakeSeconds {
 		return
 	}
 	r.finishWave(wave)
--- a/internal/release/table.go
+++ b/internal/release/table.go
@@ -88,7 +88,7 @@
 	if existing != nil && existing.PlanHash == state.PlanHash && !existing.Status.Phase.Finished() {
 		return nil
 	}
-	if err := t.checkPlace(state, existing); err != nil {
+	if err := t.admit(state, existing); err != nil {
 		return err
 	}
 	if len(state.Units) == 0 || len(state.Units) > maxUnits {
@@ -111,9 +111,9 @@
 	return nil
 }
 
-// checkPlace reports why there is no place for a release: one of its name is under way, or the table is full. A full table
+// admit reports why there is no place for a release: one of its name is under way, or the table is full. A full table
 // evicts its oldest release without claims.
-func (t *Table) checkPlace(state, existing *State) error {
+func (t *Table) admit(state, existing *State) error {
 	if existing == nil {
 		if len(t.releases) >= maxReleases && !t.evictOldest() {
 			return fmt.Errorf("%d releases are under way", maxReleases)
@@ -124,15 +124,15 @@
 		return fmt.Errorf("release %s is under way with another plan (%s, not %s): roll it back or let it finish first",
 			state.Name, existing.PlanHash, state.PlanHash)
 	}
-	if !existing.holdsNoClaims() {
+	if !existing.claimsReleased() {
 		return fmt.Errorf("release %s is %s and may still be rolled back: finalize it first",
 			state.Name, existing.Status.Phase)
 	}
 	return nil
 }
 
-// holdsNoClaims reports whether a release no longer needs its units: it has rolled back, or is finished and final.
-func (s *State) holdsNoClaims() bool {
+// claimsReleased reports whether a release no longer needs its units: it has rolled back, or is finished and final.
+func (s *State) claimsReleased() bool {
 	return s.Status.Phase == PhaseRolledBack || s.Status.Phase.Finished() && s.Status.Finalized
 }
 
@@ -145,7 +145,7 @@
 	if err := state.Apply(delta); err != nil {
 		return err
 	}
-	t.dropClaims(state)
+	t.dropClaimsIfDone(state)
 	return nil
 }
 
@@ -165,7 +165,7 @@
 	if command.Action == CommandFinalize {
 		state.Status.Finalized = true
 		state.Sequence++ // a delta that was computed before no longer applies
-		t.dropClaims(state)
+		t.dropClaimsIfDone(state)
 		return nil
 	}
 	t.commands[name] = append(t.commands[name], command)
@@ -197,7 +197,7 @@
 
 // claimUnits claims a release's units, unless it no longer needs them.
 func (t *Table) claimUnits(state *State) {
-	if state.holdsNoClaims() {
+	if state.claimsReleased() {
 		return
 	}
 	for i := range state.Units {
@@ -205,9 +205,9 @@
 	}
 }
 
-// dropClaims frees the units of a release that no longer needs them.
-func (t *Table) dropClaims(state *State) {
-	if state.holdsNoClaims() {
+// dropClaimsIfDone frees the units of a release that no longer needs them.
+func (t *Table) dropClaimsIfDone(state *State) {
+	if state.claimsReleased() {
 		maps.DeleteFunc(t.claims, func(_, claimant string) bool { return claimant == state.Name })
 	}
 }
@@ -223,7 +223,7 @@
 	var oldest *State
 	for _, name := range t.Names() {
 		state := t.releases[name]
-		if state.holdsNoClaims() && (oldest == nil || state.StartRevision < oldest.StartRevision) {
+		if state.claimsReleased() && (oldest == nil || state.StartRevision < oldest.StartRevision) {
 			oldest = state
 		}
 	}
--- a/internal/release/unit.go
+++ b/internal/release/unit.go
@@ -7,21 +7,27 @@
 	"milldeck/internal/supervisor"
 )
 
-// Reasons of a unit's state that do not quote what others said. They are stored.
+// Reasons of a unit's state, as far as they do not quote the platform, the ledger or a sidecar. They are stored.
 const (
-	reasonNotReady        = "it was started and is not ready"
-	reasonEnded           = "it ended"
-	reasonNotRunning      = "it does not run"
-	reasonNotReloaded     = "it does not take the configuration up"
-	reasonNoEffect        = "the platform does not do what it says"
-	reasonUnknownVersion  = "the platform has no such version"
-	reasonNoPermit        = "no permit can be had: "
-	reasonConfigRejected  = "it refuses the configuration: "
-	purposeDrain          = "drained"
-	purposeReleasePrefix  = "to "
-	conditionUnregistered = disruption.Condition("not registered") // of a unit that the ledger does not have
+	reasonNotReady             = "it was started and is not ready"
+	reasonEnded                = "it ended"
+	reasonNotRunning           = "it does not run"
+	reasonNotReloaded          = "it does not take the configuration up"
+	reasonNoEffect             = "the platform does not do what it says"
+	reasonUnknownVersion       = "the platform has no such version"
+	reasonPermitDeniedPrefix   = "no permit can be had: "
+	reasonConfigRejectedPrefix = "it refuses the configuration: "
 )
 
+// Purposes of permits. They are stored in the ledger.
+const (
+	purposeDrain         = "drained"
+	purposeReleasePrefix = "to " // before the desired image
+)
+
+// conditionUnregistered stands in reasons for the condition of a unit that the ledger does not have.
+const conditionUnregistered = disruption.Condition("not registered")
+
 // reconcileUnit does what a unit's written stage requires, and moves it to the next stage once there is evidence.
 func (r *reconciler) reconcileUnit(i int) {
 	written := r.release.Units[i]
@@ -32,39 +38,39 @@
 		return
 	}
 	unit := r.unit(i)
-	permit, known := r.view.Permit(r.release.PermitID(&unit))
-	r.reconcileStage(&unit, permit, known)
+	permit, permitKnown := r.view.Permit(r.release.PermitID(&unit))
+	r.reconcileStage(&unit, permit, permitKnown)
 	r.setUnit(i, unit)
 }
 
 // reconcileStage calls the function of the unit's stage. Known says whether the ledger has the unit's permit.
-func (r *reconciler) reconcileStage(unit *Unit, permit disruption.Permit, known bool) {
+func (r *reconciler) reconcileStage(unit *Unit, permit disruption.Permit, permitKnown bool) {
 	switch unit.Stage {
 	case StageRequestingPermit, StagePreparing, StageBeginningDisruption:
-		r.reconcilePermit(unit, permit, known)
+		r.reconcilePermit(unit, permit, permitKnown)
 	case StageDraining:
 		r.reconcileDrain(unit)
 	case StageStopping:
-		if r.requireActivePermit(unit, permit, known) {
+		if r.requireActivePermit(unit, permit, permitKnown) {
 			r.reconcileStop(unit)
 		}
 	case StageStarting:
 		r.reconcileStart(unit)
 	case StageReloading:
-		if r.requireActivePermit(unit, permit, known) {
+		if r.requireActivePermit(unit, permit, permitKnown) {
 			r.reconcileReload(unit)
 		}
 	case StageWarmingUp:
-		r.reconcileWarmUp(unit, permit, known)
+		r.reconcileWarmUp(unit, permit, permitKnown)
 	case StageCancelling:
-		r.reconcileCancel(unit, permit, known)
+		r.reconcileCancel(unit, permit, permitKnown)
 	}
 }
 
 // requireActivePermit reports whether the unit's permit lets it be changed, and otherwise makes it start over: evidence
 // completed the permit before the unit was rolled back, or an operator completed it.
-func (r *reconciler) requireActivePermit(unit *Unit, permit disruption.Permit, known bool) bool {
-	if known && (permit.Stage == disruption.StageActive || permit.Stage == disruption.StageReturning) {
+func (r *reconciler) requireActivePermit(unit *Unit, permit disruption.Permit, permitKnown bool) bool {
+	if permitKnown && (permit.Stage == disruption.StageActive || permit.Stage == disruption.StageReturning) {
 		return true
 	}
 	r.enterStage(unit, StagePending)
@@ -109,8 +115,8 @@
 	r.failures = append(r.failures, reason)
 }
 
-// ended reports whether evidence or an operator has ended a permit.
-func ended(permit disruption.Permit) bool {
+// permitEnded reports whether evidence or an operator has ended a permit.
+func permitEnded(permit disruption.Permit) bool {
 	return permit.Stage == disruption.StageCompleted || permit.Stage == disruption.StageCancelled
 }
 
--- a/internal/release/warmup.go
+++ b/internal/release/warmup.go
@@ -10,21 +10,21 @@
 
 // reconcileWarmUp waits for the evidence that completes a unit's permit. That the platform runs the unit is not enough: it
 // has to be registered, ready and warm.
-func (r *reconciler) reconcileWarmUp(unit *Unit, permit disruption.Permit, known bool) {
+func (r *reconciler) reconcileWarmUp(unit *Unit, permit disruption.Permit, permitKnown bool) {
 	switch {
-	case known && ended(permit):
+	case permitKnown && permitEnded(permit):
 		unit.FailedStarts = 0
 		unit.Reason = ""
 		r.enterStage(unit, StageConverged)
 	case r.release.retires(unit):
-		r.awaitRetirement(unit, known)
+		r.awaitRetirement(unit, permitKnown)
 	default:
-		r.awaitReturn(unit, permit, known)
+		r.awaitReturn(unit, permit, permitKnown)
 	}
 }
 
 // awaitRetirement waits until a drained unit has left the fleet for good.
-func (r *reconciler) awaitRetirement(unit *Unit, known bool) {
+func (r *reconciler) awaitRetirement(unit *Unit, permitKnown bool) {
 	listed := r.listedUnit(unit)
 	if listed != nil && listed.State != supervisor.Exited {
 		r.enterStage(unit, StageStopping) // it had ended by itself, and the platform has restarted it
@@ -32,21 +32,21 @@
 	}
 	ledgerUnit, registered := r.view.Unit(unit.ID)
 	switch {
-	case !registered && !known: // its permit is complete and forgotten
+	case !registered && !permitKnown: // its permit is complete and forgotten
 		r.enterStage(unit, StageConverged)
 	case registered && r.permitCompletes(ledgerUnit.Condition):
-		r.completePermit(unit, known)
+		r.completePermit(unit, permitKnown)
 	}
 }
 
 // awaitReturn waits until an updated unit is up, and restarts or fails it where it does not come up.
-func (r *reconciler) awaitReturn(unit *Unit, permit disruption.Permit, known bool) {
-	if known && permit.Stage == disruption.StageActive {
+func (r *reconciler) awaitReturn(unit *Unit, permit disruption.Permit, permitKnown bool) {
+	if permitKnown && permit.Stage == disruption.StageActive {
 		r.emitPermitOp(disruption.OpReturn, unit)
 	}
 	ledgerUnit, registered := r.view.Unit(unit.ID)
 	if registered && r.permitCompletes(ledgerUnit.Condition) {
-		r.completePermit(unit, known)
+		r.completePermit(unit, permitKnown)
 		return
 	}
 	if r.endedWhileWarmingUp(unit) || !r.inStageFor(unit, warmUpTimeoutMS) {
@@ -65,8 +65,8 @@
 }
 
 // completePermit completes a unit's permit. One that the ledger does not have was completed and forgotten.
-func (r *reconciler) completePermit(unit *Unit, known bool) {
-	if known {
+func (r *reconciler) completePermit(unit *Unit, permitKnown bool) {
+	if permitKnown {
 		r.emitPermitOp(disruption.OpComplete, unit)
 		return
 	}
--- a/internal/sidecar/attempt_outcome_test.go
+++ b/internal/sidecar/attempt_outcome_test.go
@@ -367,13 +367,13 @@
 func TestResetDuringWrite(t *testing.T) {
 	listener, conns := newUnreadListener(t)
 	healthyServer := newBackend(t, "b", func(conn net.Conn, r *http.Request, body string) bool {
-		return len(body) == maxBody && serveOK(conn, r, body)
+		return len(body) == maxBodyBytes && serveOK(conn, r, body)
 	})
 	loop := newSteppedLoop(t, newConfigDocument("127.0.0.1:1", readyEndpoint("a", listener.Addr().String())), func(pool *connPool) {
 		pool.dialer.Control = smallSocketBuffers(syscall.SO_SNDBUF)
 	})
 	call := loop.newCall("charge")
-	call.outbound.body = make([]byte, maxBody)
+	call.outbound.body = make([]byte, maxBodyBytes)
 	loop.handleEvent(loop.nowMS(), requestArrived{call})
 	conn := receiveWithin(t, "the connection", conns)
 	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil { // a part of it has arrived
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -24,14 +24,14 @@
 // connection is not evicted, and neither are idle ones that have carried requests.
 const partialRequestGrace = 50 * time.Millisecond
 
-// maxPipelined is how many bytes are read ahead behind an active request: one more request without a body.
-const maxPipelined = maxRequestHeader
+// maxPipelinedBytes is how many bytes are read ahead behind an active request: one more request without a body.
+const maxPipelinedBytes = maxRequestHeaderBytes
 
 // lingerTimeout is how long a connection stays open after its last response for the client to close it. If it were closed
 // over unread bytes, it would be reset, and the client could lose the response.
 const lingerTimeout = shutdownMargin / 2
 
-// errPipelineTooLong ends the connection of a client that sends more than maxPipelined behind an active request.
+// errPipelineTooLong ends the connection of a client that sends more than maxPipelinedBytes behind an active request.
 var errPipelineTooLong = errors.New("too many bytes behind an active request")
 
 // clientConn is a connection of a client. Reading from it and evicting it exclude each other under the lock of the
@@ -121,7 +121,7 @@
 			return 0, true, nil
 		}
 		c.readErr = err
-		if err == nil && len(c.pipelined)+n > maxPipelined {
+		if err == nil && len(c.pipelined)+n > maxPipelinedBytes {
 			c.readErr, c.pipelined = errPipelineTooLong, nil
 		}
 		if c.readErr != nil {
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -102,7 +102,7 @@
 			writeTo(t, conn, sidecar.wireText(sidecar.newRequest("lookup", time.Minute)))
 			receiveWithin(t, "the request", server.arrivals)
 			tryWrite(conn, pipelined) // it may be disconnected while it sends
-			if len(pipelined) > maxPipelined {
+			if len(pipelined) > maxPipelinedBytes {
 				if got := readStatus(t, bufio.NewReader(conn)); got != 400 {
 					t.Errorf("answered %d", got)
 				}
@@ -226,7 +226,7 @@
 
 // A last response arrives completely even if its client reads late and has sent more, which is never read.
 func TestFinalResponseSurvivesUnreadBytes(t *testing.T) {
-	body := strings.Repeat("x", maxBody)
+	body := strings.Repeat("x", maxBodyBytes)
 	server := newBackend(t, "a", respondWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint), func(sidecar *Sidecar) { sidecar.frontend.listener.lingerTimeout = testTimeout })
 	conn := sidecar.dial()
--- a/internal/sidecar/client_listener_test.go
+++ b/internal/sidecar/client_listener_test.go
@@ -208,7 +208,7 @@
 func TestOversizedHeaderConnectionIsEvictable(t *testing.T) {
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address()), func(sidecar *Sidecar) { sidecar.frontend.listener.lingerTimeout = 0 })
 	conn := sidecar.dial()
-	writeTo(t, conn, "GET /api HTTP/1.1\r\nHost: b\r\nX: "+strings.Repeat("x", 2*maxRequestHeader))
+	writeTo(t, conn, "GET /api HTTP/1.1\r\nHost: b\r\nX: "+strings.Repeat("x", 2*maxRequestHeaderBytes))
 	if got := readStatus(t, bufio.NewReader(conn)); got != 431 {
 		t.Errorf("answered %d", got)
 	}
--- a/internal/sidecar/discovery_client.go
+++ b/internal/sidecar/discovery_client.go
@@ -79,7 +79,7 @@
 		client: &http.Client{Transport: &http.Transport{
 			DisableKeepAlives:      true,
 			DisableCompression:     true,
-			MaxResponseHeaderBytes: maxResponseHeader,
+			MaxResponseHeaderBytes: maxResponseHeaderBytes,
 			DialContext:            (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext,
 		}},
 	}
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -265,7 +265,7 @@
 
 // A client that does not read its response delays a drain no longer than the process may live.
 func TestDrainWithClientThatDoesNotRead(t *testing.T) {
-	body := strings.Repeat("x", maxBody)
+	body := strings.Repeat("x", maxBodyBytes)
 	server := newBackend(t, "a", respondWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
 	sidecar.frontend.writeTimeout = time.Hour
@@ -305,7 +305,7 @@
 	payloads := []string{
 		"", "GET /api HT", requestText[:len(requestText)-2], "POST /api HTTP/1.1\r\nHost: b\r\nContent-Length: 60000\r\n\r\nhalf",
 		requestText, requestText + requestText, requestText + strings.Repeat("x", 5000), requestText + strings.Repeat("x", 1<<18), strings.Repeat("x", 1<<18),
-		"GET /api HTTP/1.1\r\nX: " + strings.Repeat("x", 2*maxRequestHeader),
+		"GET /api HTTP/1.1\r\nX: " + strings.Repeat("x", 2*maxRequestHeaderBytes),
 	}
 	var flood sync.WaitGroup
 	for i := range 4 {
--- a/internal/sidecar/fixtures_test.go
+++ b/internal/sidecar/fixtures_test.go
@@ -273,7 +273,7 @@
 	exchange("non-idempotent class with a key", "POST /api", charge+"Idempotency-Key: 1\r\n", "")
 	exchange("GET with a body", "GET /api", lookup, "body")
 	exchange("chunked", "POST /api", charge+"Transfer-Encoding: chunked\r\n", "")
-	exchange("body too large", "POST /api", charge, strings.Repeat("x", maxBody+1))
+	exchange("body too large", "POST /api", charge, strings.Repeat("x", maxBodyBytes+1))
 	exchange("other path", "GET /other", lookup, "")
 	exchange("other method", "PUT /api", lookup, "")
 	front.maxInFlight = 0
@@ -300,7 +300,7 @@
 	}
 	address, requests := newRecorder(t, response, response, response, response)
 	memory := &byteBudget{}
-	memory.release(4 * maxBody)
+	memory.release(4 * maxBodyBytes)
 	host := &upstreamHost{id: 1, address: address}
 	var got transcript
 	record := func(name string, exchange exchangeResult) {
--- a/internal/sidecar/frontend.go
+++ b/internal/sidecar/frontend.go
@@ -53,7 +53,7 @@
 		Handler:                      f,
 		ReadHeaderTimeout:            headerTimeout,
 		IdleTimeout:                  idleTimeout,
-		MaxHeaderBytes:               maxRequestHeader,
+		MaxHeaderBytes:               maxRequestHeaderBytes,
 		DisableGeneralOptionsHandler: true,
 		ConnContext:                  withClientConn,
 		ConnState:                    f.listener.onConnState,
--- a/internal/sidecar/frontend_test.go
+++ b/internal/sidecar/frontend_test.go
@@ -97,7 +97,7 @@
 
 // A client that does not read its responses is disconnected.
 func TestClientThatDoesNotReadIsDisconnected(t *testing.T) {
-	body := strings.Repeat("x", maxBody)
+	body := strings.Repeat("x", maxBodyBytes)
 	server := newBackend(t, "a", respondWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
 	sidecar.frontend.writeTimeout = 100 * time.Millisecond
--- a/internal/sidecar/idempotency_window_test.go
+++ b/internal/sidecar/idempotency_window_test.go
@@ -70,7 +70,7 @@
 		replaceSetting(`"window_ms": 2000, "on_time_ms": 500, "hard_limit_ms": 1000`, `"window_ms": 600, "on_time_ms": 500, "hard_limit_ms": 8000`)
 	sidecar := startSidecar(t, document, func(sidecar *Sidecar) { sidecar.loop.pool.dialer.Control = smallSocketBuffers(syscall.SO_SNDBUF) })
 	req := sidecar.newRequest("reserve", 8*time.Second)
-	req.Body, req.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBody))), maxBody
+	req.Body, req.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBodyBytes))), maxBodyBytes
 	answered := sidecar.doAsync(req)
 	firstConn, other := net.Conn(nil), secondConns
 	select {
--- a/internal/sidecar/placement_client.go
+++ b/internal/sidecar/placement_client.go
@@ -75,7 +75,7 @@
 		placementTiming: timing,
 		client: &http.Client{Transport: &http.Transport{
 			DisableCompression:     true,
-			MaxResponseHeaderBytes: maxResponseHeader,
+			MaxResponseHeaderBytes: maxResponseHeaderBytes,
 			MaxIdleConnsPerHost:    1,
 			IdleConnTimeout:        3 * reportInterval,
 			DialContext:            (&net.Dialer{Timeout: placementDialTimeout, KeepAlive: -1}).DialContext,
--- a/internal/sidecar/placement_report.go
+++ b/internal/sidecar/placement_report.go
@@ -144,7 +144,7 @@
 	}
 	defer resp.Body.Close()
 	// The body is read so that the connection can be reused.
-	if _, err := io.CopyN(io.Discard, resp.Body, maxResponseHeader); err != nil && !errors.Is(err, io.EOF) {
+	if _, err := io.CopyN(io.Discard, resp.Body, maxResponseHeaderBytes); err != nil && !errors.Is(err, io.EOF) {
 		return err
 	}
 	if resp.StatusCode >= http.StatusMultipleChoices {
--- a/internal/sidecar/request_parsing.go
+++ b/internal/sidecar/request_parsing.go
@@ -16,10 +16,10 @@
 	apiPath   = "/api"
 	readyPath = "/health/ready"
 
-	maxTimeout       = time.Hour // of X-Timeout-Ms
-	maxRequestHeader = 8 << 10
-	maxRequestID     = 128
-	maxCostMicros    = 1e12 // of X-Cost
+	maxTimeout            = time.Hour // of X-Timeout-Ms
+	maxRequestHeaderBytes = 8 << 10
+	maxRequestIDBytes     = 128
+	maxCostMicros         = 1e12 // of X-Cost
 	// bodyTimeout: the application runs beside the sidecar, so what it sends is there at once.
 	bodyTimeout = 1200 * time.Millisecond
 )
@@ -64,7 +64,7 @@
 		return &malformedError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is spoken here"}
 	case len(r.TransferEncoding) > 0:
 		return &malformedError{http.StatusLengthRequired, "a body needs Content-Length, not Transfer-Encoding"}
-	case r.ContentLength > maxBody:
+	case r.ContentLength > maxBodyBytes:
 		return &malformedError{http.StatusRequestEntityTooLarge, "body too large"}
 	case r.Method == http.MethodGet && r.ContentLength != 0:
 		return badRequest("GET with a body")
@@ -79,7 +79,7 @@
 			return nil, 0, badRequest(name + " stands twice")
 		}
 	}
-	if id := r.Header.Get("X-Request-ID"); id == "" || len(id) > maxRequestID {
+	if id := r.Header.Get("X-Request-ID"); id == "" || len(id) > maxRequestIDBytes {
 		return nil, 0, badRequest("no X-Request-ID of a usable length")
 	}
 	request := balance.Request{ClientRetry: r.Header.Get("X-Retried") == "1"}
@@ -103,7 +103,7 @@
 	if request.ExpectedWork, err = parseCost(r.Header.Get("X-Cost")); err != nil {
 		return nil, 0, err
 	}
-	request.Key = keyOf(r)
+	request.Key = requestKey(r)
 	return &call{request: request, response: make(chan response, 1)}, timeout, nil
 }
 
@@ -149,8 +149,8 @@
 	return micros / 1e3, nil
 }
 
-// keyOf hashes the cookie k, which names what the request is about; without it the key is 0.
-func keyOf(r *http.Request) uint64 {
+// requestKey hashes the cookie k, which names what the request is about; without it the key is 0.
+func requestKey(r *http.Request) uint64 {
 	cookie, err := r.Cookie("k")
 	if err != nil {
 		return 0
--- a/internal/sidecar/request_parsing_test.go
+++ b/internal/sidecar/request_parsing_test.go
@@ -47,7 +47,7 @@
 		"two times":           {"charge", func(r *http.Request) { r.Header.Add("X-Timeout-Ms", "100") }, 400},
 		"two keys":            {"reserve", func(r *http.Request) { r.Header.Add("Idempotency-Key", "2") }, 400},
 		"body too large": {"charge", func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, maxBody+1))), maxBody+1
+			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, maxBodyBytes+1))), maxBodyBytes+1
 		}, 413},
 		"chunked": {"charge", func(r *http.Request) { r.ContentLength = -1 }, 411},
 	} {
@@ -63,7 +63,7 @@
 		t.Errorf("%d requests reached the server", n)
 	}
 	req := sidecar.newRequest("charge", time.Second)
-	req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, maxBody))), maxBody
+	req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, maxBodyBytes))), maxBodyBytes
 	if got := sidecar.do(req); got.status != 200 {
 		t.Errorf("the largest body: %+v", got)
 	}
--- a/internal/sidecar/stepped_loop_test.go
+++ b/internal/sidecar/stepped_loop_test.go
@@ -29,8 +29,8 @@
 		t.Fatal(err)
 	}
 	memory := &byteBudget{}
-	memory.release(4 * maxBody)
-	loop := &steppedLoop{newEventLoop(config, balancer, newConnPool(config, 10, memory)), t, 4 * maxBody}
+	memory.release(4 * maxBodyBytes)
+	loop := &steppedLoop{newEventLoop(config, balancer, newConnPool(config, 10, memory)), t, 4 * maxBodyBytes}
 	loop.pool.reuseDelay = 0
 	for _, tweak := range tweaks {
 		tweak(loop.pool)
--- a/internal/sidecar/upstream_exchange_test.go
+++ b/internal/sidecar/upstream_exchange_test.go
@@ -154,7 +154,7 @@
 		t.Fatal(err)
 	}
 	memory := &byteBudget{}
-	memory.release(maxBody)
+	memory.release(maxBodyBytes)
 	pool := newConnPool(config, 10, memory)
 	pool.reuseDelay = 0
 	t.Cleanup(pool.closeAll)
--- a/internal/sidecar/upstream_response.go
+++ b/internal/sidecar/upstream_response.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	maxBody             = 64 << 10 // of requests and responses
-	maxResponseHeader   = 32 << 10
-	maxInterimResponses = 5 // 1xx responses before the final one
+	maxBodyBytes           = 64 << 10 // of requests and responses
+	maxResponseHeaderBytes = 32 << 10
+	maxInterimResponses    = 5 // 1xx responses before the final one
 )
 
 var (
@@ -30,7 +30,7 @@
 // readResponse reads the response to a request that is completely written: if it fails, the server may have executed the
 // request. It also reports whether the connection can be reused.
 func (p *connPool) readResponse(ctx context.Context, conn *upstreamConn) (result exchangeResult, reusable bool) {
-	conn.limit.N = maxResponseHeader + 2*maxBody // an endless response must not fill the memory
+	conn.limit.N = maxResponseHeaderBytes + 2*maxBodyBytes // an endless response must not fill the memory
 	status, header, err := readHeader(conn.reader)
 	var body []byte
 	reservedBytes := 0
@@ -159,10 +159,10 @@
 	case status == http.StatusNoContent || status == http.StatusNotModified: // the sidecar never asks for these
 		return 0, false, errMalformedResponse
 	case len(transferEncodings) == 1 && len(contentLengths) == 0 && strings.EqualFold(transferEncodings[0], "chunked"):
-		return maxBody, true, nil
+		return maxBodyBytes, true, nil
 	case len(transferEncodings) == 0 && len(contentLengths) == 1:
 		length, err := strconv.ParseUint(contentLengths[0], 10, 63)
-		if err != nil || length > maxBody {
+		if err != nil || length > maxBodyBytes {
 			return 0, false, errMalformedResponse
 		}
 		return int(length), false, nil
@@ -173,11 +173,11 @@
 
 // readChunked reads a chunked body and its trailer.
 func readChunked(reader *bufio.Reader) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(reader), maxBody+1))
+	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(reader), maxBodyBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxBody {
+	if len(body) > maxBodyBytes {
 		return nil, errMalformedResponse
 	}
 	_, err = textproto.NewReader(reader).ReadMIMEHeader()
