--- a/cmd/milldeck/release_start.go
+++ b/cmd/milldeck/release_start.go
@@ -17,6 +17,7 @@
 	"github.com/spf13/cobra"
 
 	"milldeck/internal/disruption"
+	"milldeck/internal/hotkey"
 	"milldeck/internal/leaderelection"
 	"milldeck/internal/loadreport"
 	"milldeck/internal/registry"
@@ -256,11 +257,6 @@
 	return err == nil && info.Mode().IsRegular()
 }
 
-// prepareResponse is the hot-key controller's response.
-type prepareResponse struct {
-	Ready bool `json:"ready"` // replicas of what the server alone serves are available elsewhere
-}
-
 // prepareUnit returns the function that asks the hot-key controller to replicate what a server alone serves, nil where
 // there is no such controller.
 func (f *controllerFlags) prepareUnit() func(context.Context, string) (bool, error) {
@@ -282,9 +278,9 @@
 		if resp.StatusCode != http.StatusOK {
 			return false, fmt.Errorf("hot-key controller: %s", resp.Status)
 		}
-		var prepared prepareResponse
-		err = json.NewDecoder(io.LimitReader(resp.Body, maxPrepareBytes)).Decode(&prepared)
-		return prepared.Ready, err
+		var status hotkey.DrainStatus
+		err = json.NewDecoder(io.LimitReader(resp.Body, maxPrepareBytes)).Decode(&status)
+		return status.Drained, err
 	}
 }
 
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -13,6 +13,9 @@
 // capacityPollInterval is how soon Accept looks again for a connection to evict, and drain for one to close.
 const capacityPollInterval = 5 * time.Millisecond
 
+// readBufferBytes is how much is read ahead at a time behind an active request.
+const readBufferBytes = 4 << 10
+
 // clientListener accepts client connections and holds the table of those that are open. A plain listener with a limit
 // stops accepting when it is full, so that silent clients shut all others out; this one evicts the connection that is
 // idle for longest.
@@ -29,7 +32,7 @@
 	mu            sync.Mutex
 	drainDeadline time.Time // no connection lingers longer; zero: no drain yet
 	conns         map[*clientConn]struct{}
-	readBuffer    [4 << 10]byte // for one read under the lock
+	readBuffer    [readBufferBytes]byte // for one read under the lock
 }
 
 func newClientListener(listener net.Listener, maxConns, maxPersistent int) *clientListener {
--- a/internal/sidecar/clock.go
+++ b/internal/sidecar/clock.go
@@ -2,6 +2,13 @@
 
 import "time"
 
+// Factors between units of time.
+const (
+	msPerSecond = 1e3
+	microsPerMS = 1e3
+	nanosPerMS  = 1e6
+)
+
 // clock is the only clock of a sidecar. It reads Unix milliseconds once, when it is created, and advances
 // monotonically from there, so that the boot_ms of a server converts to the same value each time it is listed.
 type clock struct {
@@ -11,11 +18,11 @@
 
 func newClock() clock {
 	now := time.Now()
-	return clock{start: now, startUnixMS: float64(now.UnixMicro()) / 1e3}
+	return clock{start: now, startUnixMS: float64(now.UnixMicro()) / microsPerMS}
 }
 
 // unixMS converts a time to Unix milliseconds.
-func (c clock) unixMS(t time.Time) float64 { return c.startUnixMS + float64(t.Sub(c.start))/1e6 }
+func (c clock) unixMS(t time.Time) float64 { return c.startUnixMS + float64(t.Sub(c.start))/nanosPerMS }
 
 // timeAt converts Unix milliseconds to a time.
 func (c clock) timeAt(unixMS float64) time.Time {
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -141,27 +142,7 @@
 	if err != nil {
 		return nil, err
 	}
-	config := &Config{
-		Name:             f.Name,
-		ListenAddress:    f.Listen,
-		DiscoveryAddress: f.Discovery,
-		PlacementAddress: f.Placement,
-		Application:      f.Application,
-		Version:          f.Version,
-		Cores:            f.Limits.Cores,
-		MemoryMB:         f.Limits.MemoryMB,
-		Sockets:          f.Limits.Sockets,
-		settings:         settings,
-		zoneNumbers:      numberByName(names.Zones),
-		kindNumbers:      numberByName(names.Kinds),
-		loadReportFields: names.Report.Fields,
-		connIdleTimeout:  durationFromMS(names.Limits.ConnIdle),
-		maxOpenRequests:  names.Limits.MaxOpen,
-		knownEndpoints:   f.Known,
-	}
-	if config.Sockets == 0 {
-		config.Sockets = defaultSockets
-	}
+	config := f.newConfig(settings, &names)
 	if config.Sockets < minSockets || config.MemoryMB < 0 || config.Cores < 0 {
 		return nil, fmt.Errorf("invalid limits: %+v (at least %d sockets)", f.Limits, minSockets)
 	}
@@ -185,6 +166,28 @@
 	return config, nil
 }
 
+// newConfig copies what needs no further check, and sets defaults.
+func (f *configFile) newConfig(settings balance.Config, names *settingsNames) *Config {
+	return &Config{
+		Name:             f.Name,
+		ListenAddress:    f.Listen,
+		DiscoveryAddress: f.Discovery,
+		PlacementAddress: f.Placement,
+		Application:      f.Application,
+		Version:          f.Version,
+		Cores:            f.Limits.Cores,
+		MemoryMB:         f.Limits.MemoryMB,
+		Sockets:          cmp.Or(f.Limits.Sockets, defaultSockets),
+		settings:         settings,
+		zoneNumbers:      numberByName(names.Zones),
+		kindNumbers:      numberByName(names.Kinds),
+		loadReportFields: names.Report.Fields,
+		connIdleTimeout:  durationFromMS(names.Limits.ConnIdle),
+		maxOpenRequests:  names.Limits.MaxOpen,
+		knownEndpoints:   f.Known,
+	}
+}
+
 func (f *configFile) checkAddresses() error {
 	for name, address := range map[string]string{"listen": f.Listen, "discovery": f.Discovery} {
 		if _, _, err := net.SplitHostPort(address); err != nil {
--- a/internal/sidecar/conn_pool.go
+++ b/internal/sidecar/conn_pool.go
@@ -99,13 +99,13 @@
 		maxIdleTime:      time.Duration(float64(config.connIdleTimeout) * idleTimeoutFraction),
 		reuseDelay:       reuseDelay,
 		loadReportFields: config.loadReportFields,
-		healthCheckPath:  "/health/live",
+		healthCheckPath:  healthCheckPath,
 		bodyMemory:       bodyMemory,
 		withIdle:         map[*upstreamHost]struct{}{},
 		maxConns:         maxConns,
 	}
 	if config.settings.LoadReports != balance.LoadReportNone {
-		pool.healthCheckPath = "/stats"
+		pool.healthCheckPath = healthReportsPath
 	}
 	return pool
 }
--- a/internal/sidecar/endpoint_list.go
+++ b/internal/sidecar/endpoint_list.go
@@ -113,10 +113,13 @@
 // serverID is the ID of the server with a UID, whether it is listed or not.
 func (cfg *Config) serverID(uid string) balance.ServerID { return cfg.toServer(&endpoint{UID: uid}).ID }
 
-// numberOrUnknown returns -1 for a name that the settings lack.
+// unknownNumber is the number of a zone or kind that the settings lack.
+const unknownNumber = -1
+
+// numberOrUnknown is the number of a name, or unknownNumber.
 func numberOrUnknown(numbers map[string]int, name string) int {
 	if number, ok := numbers[name]; ok {
 		return number
 	}
-	return -1
+	return unknownNumber
 }
--- a/internal/sidecar/event_loop.go
+++ b/internal/sidecar/event_loop.go
@@ -11,6 +11,9 @@
 // eventQueueSize lets other goroutines hand over their events while the loop is busy.
 const eventQueueSize = 1024
 
+// noTimerWakeup is how long the loop sleeps at first if neither a timer is set nor an event arrives.
+const noTimerWakeup = time.Hour
+
 // eventLoop owns the balancer and all state that belongs to it: calls, timers, ready upstreams, the placement in force.
 // It runs on one goroutine, which never blocks on I/O. Other goroutines reach it through post.
 type eventLoop struct {
@@ -62,7 +65,7 @@
 	defer close(l.stopped)
 	l.ctx = ctx
 	l.start()
-	wakeup := time.NewTimer(time.Hour)
+	wakeup := time.NewTimer(noTimerWakeup)
 	defer wakeup.Stop()
 	for l.runBatch(ctx, wakeup) {
 	}
--- a/internal/sidecar/frontend.go
+++ b/internal/sidecar/frontend.go
@@ -112,7 +112,7 @@
 		writeResponse(w, response{status: statusRejected})
 		return
 	}
-	idHash, ok := f.requestIDs.claim(r.Header.Get("X-Request-ID"))
+	idHash, ok := f.requestIDs.claim(r.Header.Get(requestIDHeader))
 	if !ok {
 		f.rejectMalformed(w, r, &malformedError{http.StatusConflict, "X-Request-ID is in use"})
 		return
@@ -185,7 +185,7 @@
 		// The balancer owes each request an answer by now, so this is a bug.
 		resp, ended := f.concludeCall(call)
 		if ended {
-			frontendLog.Error("balancer did not answer in time", "request", r.Header.Get("X-Request-ID"))
+			frontendLog.Error("balancer did not answer in time", "request", r.Header.Get(requestIDHeader))
 		}
 		return resp
 	}
@@ -233,7 +233,7 @@
 		header.Set("Content-Type", resp.contentType)
 	}
 	if resp.retryAfterMS > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(resp.retryAfterMS/1e3, 'f', 3, 64))
+		header.Set("Retry-After", strconv.FormatFloat(resp.retryAfterMS/msPerSecond, 'f', 3, 64))
 	}
 	header.Set("Content-Length", strconv.Itoa(len(resp.body)))
 	w.WriteHeader(resp.status)
--- a/internal/sidecar/peer_transport.go
+++ b/internal/sidecar/peer_transport.go
@@ -114,7 +114,8 @@
 	return p.inbound
 }
 
-// send queues a datagram for a peer, -1 for all, and never blocks. It drops what cannot be sent.
+// send queues a datagram for a peer, or for all if the peer's number is negative, and never blocks. It drops what cannot
+// be sent.
 func (p *peerTransport) send(peer int, data []byte) {
 	if p == nil || len(data) > maxDatagramBytes || peer >= len(p.addresses) {
 		return
--- a/internal/sidecar/placement_client.go
+++ b/internal/sidecar/placement_client.go
@@ -21,6 +21,7 @@
 	placementMaxBackoff         = 2 * time.Second
 	placementUnsupportedBackoff = 15 * time.Second // at an older agent, which serves no placement
 	placementDialTimeout        = time.Second
+	placementIdleTimeout        = 3 * reportInterval // of a connection between two reports
 )
 
 var (
@@ -77,7 +78,7 @@
 			DisableCompression:     true,
 			MaxResponseHeaderBytes: maxResponseHeaderBytes,
 			MaxIdleConnsPerHost:    1,
-			IdleConnTimeout:        3 * reportInterval,
+			IdleConnTimeout:        placementIdleTimeout,
 			DialContext:            (&net.Dialer{Timeout: placementDialTimeout, KeepAlive: -1}).DialContext,
 		}},
 	}
@@ -95,7 +96,8 @@
 		if received {
 			backoff, lastMessage = placementInitialBackoff, ""
 		}
-		if message := err.Error(); message != lastMessage { // one line for an agent that stays unreachable
+		// One line for an agent that stays unreachable: each dial makes an error value of its own, with the same text.
+		if message := err.Error(); message != lastMessage {
 			placementLog.Warn("placement watch failed", "error", err)
 			lastMessage = message
 		}
--- a/internal/sidecar/placement_report.go
+++ b/internal/sidecar/placement_report.go
@@ -17,8 +17,11 @@
 	"milldeck/internal/placement"
 )
 
-// reportInterval is the time between two load reports.
-const reportInterval = time.Second
+const (
+	reportInterval = time.Second // between two load reports
+	// minPauseDivisor: after a report that took long, the next one still waits for this part of the interval.
+	minPauseDivisor = 10
+)
 
 // buildReport describes the placement in force and the requests since the last report.
 func (l *eventLoop) buildReport(nowMS float64) *placement.LoadReport {
@@ -106,7 +109,7 @@
 		if p.synced() && !p.reportOnce(ctx) {
 			return
 		}
-		pause = max(p.reportInterval-time.Since(startedAt), p.reportInterval/10)
+		pause = max(p.reportInterval-time.Since(startedAt), p.reportInterval/minPauseDivisor)
 	}
 }
 
--- a/internal/sidecar/report_recorder.go
+++ b/internal/sidecar/report_recorder.go
@@ -58,7 +58,7 @@
 	if !(workMS > 0) {
 		workMS = r.workByClass[request.Class].meanMS
 	}
-	r.keyLoad.Add(nowMS/1e3, request.Key, workMS)
+	r.keyLoad.Add(nowMS/msPerSecond, request.Key, workMS)
 }
 
 // recordOutcome counts the outcome of an attempt. One that was cancelled or not sent says nothing about the server.
@@ -104,7 +104,7 @@
 func (r *reportRecorder) flushInto(report *placement.LoadReport, nowMS float64) {
 	report.IntervalMS = math.Max(nowMS-r.spanStartMS, 0)
 	r.spanStartMS = nowMS
-	top := r.keyLoad.Top(nowMS/1e3, placement.MaxHotKeys)
+	top := r.keyLoad.Top(nowMS/msPerSecond, placement.MaxHotKeys)
 	report.TotalKeyLoad = top.Total
 	for _, key := range top.Keys {
 		report.HotKeys = append(report.HotKeys, placement.KeyLoad{
--- a/internal/sidecar/request_parsing.go
+++ b/internal/sidecar/request_parsing.go
@@ -35,9 +35,23 @@
 // badRequest is a malformedError with status 400.
 func badRequest(message string) error { return &malformedError{http.StatusBadRequest, message} }
 
+// Headers of a request, in the canonical form that net/http stores.
+const (
+	requestIDHeader      = "X-Request-Id"
+	priorityClassHeader  = "X-Priority-Class"
+	tenantHeader         = "X-Tenant-Id"
+	timeoutHeader        = "X-Timeout-Ms" // milliseconds
+	idempotencyKeyHeader = "Idempotency-Key"
+	retriedHeader        = "X-Retried" // "1": the client sends the request again
+	costHeader           = "X-Cost"    // expected work in microseconds
+)
+
+// keyCookie names what a request is about.
+const keyCookie = "k"
+
 // singleValueHeaders may occur once only, as two values could be read in two ways.
 var singleValueHeaders = []string{
-	"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Timeout-Ms", "Idempotency-Key", "X-Retried", "X-Cost",
+	requestIDHeader, priorityClassHeader, tenantHeader, timeoutHeader, idempotencyKeyHeader, retriedHeader, costHeader,
 }
 
 // parseRequest checks the head of a request. It returns the call and how long the client waits, or a malformedError. The
@@ -79,16 +93,16 @@
 			return nil, 0, badRequest(name + " stands twice")
 		}
 	}
-	if id := r.Header.Get("X-Request-ID"); id == "" || len(id) > maxRequestIDBytes {
+	if id := r.Header.Get(requestIDHeader); id == "" || len(id) > maxRequestIDBytes {
 		return nil, 0, badRequest("no X-Request-ID of a usable length")
 	}
-	request := balance.Request{ClientRetry: r.Header.Get("X-Retried") == "1"}
+	request := balance.Request{ClientRetry: r.Header.Get(retriedHeader) == "1"}
 	var ok bool
-	if request.Class, ok = f.config.classNumbers[r.Header.Get("X-Priority-Class")]; !ok {
+	if request.Class, ok = f.config.classNumbers[r.Header.Get(priorityClassHeader)]; !ok {
 		return nil, 0, badRequest("unknown X-Priority-Class")
 	}
 	if len(f.config.tenantNumbers) > 0 {
-		if request.Tenant, ok = f.config.tenantNumbers[r.Header.Get("X-Tenant-Id")]; !ok {
+		if request.Tenant, ok = f.config.tenantNumbers[r.Header.Get(tenantHeader)]; !ok {
 			return nil, 0, badRequest("unknown X-Tenant-Id")
 		}
 	}
@@ -96,11 +110,11 @@
 	if err := checkMethod(class.Idempotency, r); err != nil {
 		return nil, 0, err
 	}
-	timeout, err := parseTimeout(r.Header.Get("X-Timeout-Ms"), durationFromMS(class.Deadline))
+	timeout, err := parseTimeout(r.Header.Get(timeoutHeader), durationFromMS(class.Deadline))
 	if err != nil {
 		return nil, 0, err
 	}
-	if request.ExpectedWork, err = parseCost(r.Header.Get("X-Cost")); err != nil {
+	if request.ExpectedWork, err = parseCost(r.Header.Get(costHeader)); err != nil {
 		return nil, 0, err
 	}
 	request.Key = requestKey(r)
@@ -110,7 +124,7 @@
 // checkMethod checks that the method and the idempotency key fit the class. A request of a class with idempotency keys
 // could be executed twice without its key.
 func checkMethod(idempotency balance.Idempotency, r *http.Request) error {
-	keyPresent := r.Header.Get("Idempotency-Key") != ""
+	keyPresent := r.Header.Get(idempotencyKeyHeader) != ""
 	switch {
 	case idempotency == balance.Idempotent && r.Method != http.MethodGet:
 		return badRequest("the class is sent with GET")
@@ -146,12 +160,12 @@
 	if err != nil || !(micros >= 0 && micros < maxCostMicros) {
 		return 0, badRequest("X-Cost is not a number of microseconds")
 	}
-	return micros / 1e3, nil
+	return micros / microsPerMS, nil
 }
 
-// requestKey hashes the cookie k, which names what the request is about; without it the key is 0.
+// requestKey hashes keyCookie; without it the key is 0.
 func requestKey(r *http.Request) uint64 {
-	cookie, err := r.Cookie("k")
+	cookie, err := r.Cookie(keyCookie)
 	if err != nil {
 		return 0
 	}
--- a/internal/sidecar/upstream_exchange.go
+++ b/internal/sidecar/upstream_exchange.go
@@ -14,7 +14,12 @@
 	"milldeck/balance"
 )
 
-const healthCheckTimeout = 250 * time.Millisecond
+const (
+	healthCheckTimeout = 250 * time.Millisecond
+
+	healthCheckPath   = "/health/live"
+	healthReportsPath = "/stats" // a health check that also returns a load report
+)
 
 // expiredDeadline makes all I/O on a connection fail at once.
 var expiredDeadline = time.Unix(1, 0)
@@ -147,7 +152,7 @@
 
 // encodeRequest encodes a request with the time that remains for it.
 func encodeRequest(req *http.Request, attempt *attempt, remaining time.Duration) (*bytes.Buffer, error) {
-	req.Header.Set("X-Timeout-Ms", strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
+	req.Header.Set(timeoutHeader, strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
 	req.Body = http.NoBody
 	if attempt != nil && len(attempt.call.outbound.body) > 0 {
 		// A new reader for each connection, as encoding consumes it.
--- a/internal/sidecar/upstream_response.go
+++ b/internal/sidecar/upstream_response.go
@@ -22,6 +22,12 @@
 	maxInterimResponses    = 5 // 1xx responses before the final one
 )
 
+// Headers of a server's response, in the canonical form that net/textproto stores.
+const (
+	notProcessedHeader = "X-Not-Processed" // "1": the server did not execute the request
+	serverLoadHeader   = "X-Server-Load"   // a load report
+)
+
 var (
 	errMalformedResponse   = errors.New("malformed response")
 	errBodyMemoryExhausted = errors.New("body memory is exhausted")
@@ -40,7 +46,7 @@
 	if err != nil {
 		return exchangeResult{outcome: brokenResult(ctx, err)}, false
 	}
-	if load := header["X-Server-Load"]; len(load) == 1 {
+	if load := header[serverLoadHeader]; len(load) == 1 {
 		result.loadReport = parseLoadReport(load[0], p.loadReportFields)
 	}
 	result.outcome = outcomeOf(status, header)
@@ -71,9 +77,9 @@
 }
 
 // outcomeOf is the outcome of a complete response. A 503 or 504 proves that the server did not execute the request only
-// with X-Not-Processed.
+// with notProcessedHeader.
 func outcomeOf(status int, header http.Header) balance.Result {
-	notProcessed := header.Get("X-Not-Processed") == "1"
+	notProcessed := header.Get(notProcessedHeader) == "1"
 	switch {
 	case status == http.StatusOK:
 		return balance.OK
