--- a/cmd/sidecar/discovery_test.go
+++ b/cmd/sidecar/discovery_test.go
@@ -20,7 +20,10 @@
 	testTimeout = 20 * time.Second // bounds every wait; none is expected to last that long
 	// notificationDeadline is when, after a silence began, a drain counts as known and requests to the server must have
 	// ended: PROTOCOL's 6 s and the grace period of the settings below.
-	notificationDeadline = 6*time.Second + 750*time.Millisecond
+	notificationDeadline = 6*time.Second + drainGracePeriod
+	// addressChangeDeadline is the same after SIGHUP with another discovery address.
+	addressChangeDeadline = 4*time.Second + drainGracePeriod
+	drainGracePeriod      = 750 * time.Millisecond // drain_grace_ms of the settings below
 
 	listHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
 )
@@ -81,12 +84,17 @@
 
 func startRig(t *testing.T) *sidecarRig {
 	t.Helper()
-	return startRigWith(t, "automatic", 1, 0)
+	return startRigWith(t, rigOptions{discoveryMode: "automatic", sidecars: 1})
 }
 
-// startRigWith starts a rig. mode says how lists are delivered, peers how many sidecars the settings count, and
-// sockets how many descriptors the system and the configuration allow; 0: as usual.
-func startRigWith(t *testing.T, mode string, peers, sockets int) *sidecarRig {
+// rigOptions are what a rig's configuration says.
+type rigOptions struct {
+	discoveryMode string // how lists are delivered
+	sidecars      int    // how many the settings count
+	sockets       int    // descriptors that the system and the configuration allow; 0: as usual
+}
+
+func startRigWith(t *testing.T, options rigOptions) *sidecarRig {
 	t.Helper()
 	rig := &sidecarRig{t: t, registry: newFakeRegistry(t), client: http.DefaultClient}
 	for i := range 2 {
@@ -99,11 +107,11 @@
 		"discovery":%q,"peers_total":%d,"quantum_ms":2,"rules":{"drain_grace_ms":750,"ask_within_ms":10000},
 		"limits":{"max_attempts":2},
 		"classes":[{"name":"c","effect":"read_like","group":"all","on_time_ms":500,"hard_limit_ms":2000}]}}`,
-			discovery, sockets, mode, peers)
+			discovery, options.sockets, options.discoveryMode, options.sidecars)
 	}
 	command, _ := newProgram(t, config(rig.registry.Addr().String()))
-	if sockets > 0 {
-		command.Args = []string{"sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, sockets), command.Path}
+	if options.sockets > 0 {
+		command.Args = []string{"sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, options.sockets), command.Path}
 		command.Path = "/bin/sh"
 	}
 	command, lines, address := awaitListening(t, command)
@@ -238,8 +246,8 @@
 	rig.awaitAnswers("the list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
 	next := newFakeRegistry(t)
 	rig.reloadDiscovery(next.Addr().String())
-	movedAt := time.Now()
+	changedAt := time.Now()
 	next.nextCall(t)
 	tryWrite(next.nextCall(t), listHead+rig.listJSON(1, true, "Terminating", strings.Repeat(" ", 2)))
-	rig.awaitAnswers("the drain", movedAt.Add(4*time.Second+750*time.Millisecond), func(answer string) bool { return answer == "1" })
+	rig.awaitAnswers("the drain", changedAt.Add(addressChangeDeadline), func(answer string) bool { return answer == "1" })
 }
--- a/cmd/sidecar/outage_test.go
+++ b/cmd/sidecar/outage_test.go
@@ -7,6 +7,7 @@
 	"net/http"
 	"net/http/httptest"
 	"os"
+	"os/exec"
 	"strings"
 	"sync"
 	"syscall"
@@ -81,7 +82,7 @@
 				if crowded {
 					sockets = 128
 				}
-				rig := startRigWith(t, mode, 80, sockets)
+				rig := startRigWith(t, rigOptions{discoveryMode: mode, sidecars: 80, sockets: sockets})
 				rig.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}} // each request is from a new client
 				if crowded {
 					fillWithClients = rig.fillWithClients
@@ -103,7 +104,7 @@
 				rig.reloadDiscovery(next.Addr().String())
 				reloadedAt := time.Now()
 				next.answerAll(t, listHead+rig.listJSON(1, true, "Terminating", ""))
-				rig.awaitAnswers("the move", reloadedAt.Add(4*time.Second+750*time.Millisecond), func(answer string) bool { return answer == "0" })
+				rig.awaitAnswers("the address change", reloadedAt.Add(addressChangeDeadline), func(answer string) bool { return answer == "0" })
 
 				fillWithClients()
 				terminatedAt := time.Now()
@@ -121,18 +122,20 @@
 	silent := newFakeRegistry(t)
 	for _, address := range []string{"127.0.0.1:1", silent.Addr().String()} {
 		for _, mode := range []string{"automatic", "subscribe"} {
-			startedAt := time.Now()
-			command, lines, listen := startProgram(t, strings.NewReplacer(
-				"127.0.0.1:1", address, `"classes"`, `"discovery":"`+mode+`","classes"`).Replace(config))
-			resp, err := http.Get("http://" + listen + "/health/ready")
-			if err != nil {
-				t.Fatal(err)
-			}
-			resp.Body.Close()
-			if elapsed := time.Since(startedAt); resp.StatusCode != http.StatusOK || elapsed >= 10*time.Second {
-				t.Errorf("%s at %s: %s after %v", mode, address, resp.Status, elapsed)
-			}
-			terminate(t, command, lines)
+			t.Run(mode+" at "+address, func(t *testing.T) {
+				startedAt := time.Now()
+				command, lines, listen := startProgram(t, strings.NewReplacer(
+					"127.0.0.1:1", address, `"classes"`, `"discovery":"`+mode+`","classes"`).Replace(config))
+				resp, err := http.Get("http://" + listen + "/health/ready")
+				if err != nil {
+					t.Fatal(err)
+				}
+				resp.Body.Close()
+				if elapsed := time.Since(startedAt); resp.StatusCode != http.StatusOK || elapsed >= 10*time.Second {
+					t.Errorf("%s after %v", resp.Status, elapsed)
+				}
+				terminate(t, command, lines)
+			})
 		}
 	}
 }
@@ -140,48 +143,63 @@
 // A signal that arrives while the configuration is read, here from a pipe, is obeyed once the sidecar is ready.
 func TestSignalsDuringStart(t *testing.T) {
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP} {
-		command, _ := newProgram(t, config)
-		path := strings.TrimPrefix(command.Env[len(command.Env)-1], "NODE_CONFIG=")
-		if err := os.Remove(path); err != nil {
-			t.Fatal(err)
-		}
-		if err := syscall.Mkfifo(path, 0o600); err != nil {
-			t.Fatal(err)
-		}
-		written := make(chan error, 1)
-		writeConfig := func(text string, before func() error) { // blocks until the program reads
-			file, err := os.OpenFile(path, os.O_WRONLY, 0)
-			if err == nil {
-				err = before()
-				tryWrite(file, text)
-				file.Close()
+		t.Run(sig.String(), func(t *testing.T) {
+			command, _ := newProgram(t, config)
+			pipe := newConfigPipe(t, command)
+			lines := startWithLog(t, command)
+			watchdog := time.AfterFunc(testTimeout, func() { _ = command.Process.Kill() })
+			t.Cleanup(func() { watchdog.Stop() })
+			go pipe.write(config, func() error { return command.Process.Signal(sig) })
+			awaitLogLine(t, lines, "listen=")
+			if err := <-pipe.written; err != nil {
+				t.Fatal(err)
 			}
-			written <- err
-		}
-		lines := startWithLog(t, command)
-		watchdog := time.AfterFunc(testTimeout, func() { _ = command.Process.Kill() })
-		t.Cleanup(func() { watchdog.Stop() })
-		go writeConfig(config, func() error { return command.Process.Signal(sig) })
-		awaitLogLine(t, lines, "listen=")
-		if err := <-written; err != nil {
-			t.Fatal(err)
-		}
-		if sig == syscall.SIGHUP {
-			go writeConfig(strings.Replace(config, "127.0.0.1:1", "127.0.0.1:3", 1), func() error { return nil })
-			if line, _ := awaitLogLine(t, lines, "reloaded"); !strings.Contains(line, "discovery=127.0.0.1:3") {
-				t.Errorf("logged %q", line)
+			if sig == syscall.SIGHUP {
+				go pipe.write(strings.Replace(config, "127.0.0.1:1", "127.0.0.1:3", 1), func() error { return nil })
+				if line, _ := awaitLogLine(t, lines, "reloaded"); !strings.Contains(line, "discovery=127.0.0.1:3") {
+					t.Errorf("logged %q", line)
+				}
+				if err := <-pipe.written; err != nil {
+					t.Fatal(err)
+				}
+				terminate(t, command, lines)
+				return
 			}
-			if err := <-written; err != nil {
-				t.Fatal(err)
+			awaitLogLine(t, lines, "drained")
+			if err := command.Wait(); err != nil {
+				t.Errorf("ended with %v", err)
 			}
-			terminate(t, command, lines)
-			continue
-		}
-		awaitLogLine(t, lines, "drained")
-		if err := command.Wait(); err != nil {
-			t.Errorf("ended with %v", err)
-		}
+		})
+	}
+}
+
+// configPipe is a named pipe in place of a program's configuration file.
+type configPipe struct {
+	path    string
+	written chan error // one for each write
+}
+
+func newConfigPipe(t *testing.T, command *exec.Cmd) *configPipe {
+	t.Helper()
+	path := strings.TrimPrefix(command.Env[len(command.Env)-1], "NODE_CONFIG=")
+	if err := os.Remove(path); err != nil {
+		t.Fatal(err)
+	}
+	if err := syscall.Mkfifo(path, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return &configPipe{path: path, written: make(chan error, 1)}
+}
+
+// write blocks until the program reads, calls before, and writes a configuration.
+func (pipe *configPipe) write(text string, before func() error) {
+	file, err := os.OpenFile(pipe.path, os.O_WRONLY, 0)
+	if err == nil {
+		err = before()
+		tryWrite(file, text)
+		file.Close()
 	}
+	pipe.written <- err
 }
 
 // A further signal during the drain, or at the last moment of the process, has no effect: the request in flight is
--- a/internal/release/controller/fakecluster_test.go
+++ b/internal/release/controller/fakecluster_test.go
@@ -75,7 +75,7 @@
 			Version: "1", Listen: "127.0.0.1:7000", Zone: zone,
 		})
 		if err != nil {
-			panic(err) // the fake platform fails only where it was told to
+			panic(err) // the fake platform fails only where a fault is set
 		}
 	}
 	one := 1
@@ -94,7 +94,7 @@
 func (f *fakeCluster) mustList() *supervisor.List {
 	list, err := f.platform.List(context.Background())
 	if err != nil {
-		panic(err) // the fake platform fails only where it was told to
+		panic(err) // the fake platform fails only where a fault is set
 	}
 	return list
 }
--- a/internal/release/crash_test.go
+++ b/internal/release/crash_test.go
@@ -91,8 +91,8 @@
 // errCompletedEarly says that a release was completed before it was to be rolled back.
 var errCompletedEarly = errors.New("the release was completed before it was rolled back")
 
-// play plays a scenario with a planned crash, and returns the number of effects and what went wrong.
-func (s *scenario) play(t testing.TB, planned *crash, bugs plantedBugs) (effects int, err error) {
+// run runs a scenario with a planned crash, and returns the number of effects and what went wrong.
+func (s *scenario) run(t testing.TB, planned *crash, bugs plantedBugs) (effects int, err error) {
 	t.Helper()
 	const zones, unitsPerZone, maxOut = 2, 3, 2
 	model := newClusterModel(t, s.kind, zones, unitsPerZone, maxOut)
@@ -164,7 +164,7 @@
 		tested.wantImage = Image{"1", "c1"}
 		tested.maxLaunches = 1
 		for tested.rollbackTick = 1; tested.rollbackTick < 100; tested.rollbackTick++ {
-			_, err := tested.play(t, noCrash(), plantedBugs{})
+			_, err := tested.run(t, noCrash(), plantedBugs{})
 			if errors.Is(err, errCompletedEarly) {
 				break
 			}
@@ -179,10 +179,10 @@
 // twice.
 func TestControllerKilledAtEveryEffect(t *testing.T) {
 	for _, tested := range scenarios {
-		if _, err := tested.play(t, &crash{effectIndex: -2}, plantedBugs{}); err != nil {
+		if _, err := tested.run(t, &crash{effectIndex: -2}, plantedBugs{}); err != nil {
 			t.Errorf("%s, no crash, ended permits hidden: %v", tested.name, err)
 		}
-		effects, err := tested.play(t, noCrash(), plantedBugs{})
+		effects, err := tested.run(t, noCrash(), plantedBugs{})
 		if err != nil {
 			t.Errorf("%s, no crash: %v", tested.name, err)
 			continue
@@ -191,7 +191,7 @@
 		for index := range effects {
 			for _, mode := range crashModes {
 				t.Run(fmt.Sprintf("%s/%d %s", tested.name, index, mode), func(t *testing.T) {
-					if _, err := tested.play(t, &crash{effectIndex: index, mode: mode}, plantedBugs{}); err != nil {
+					if _, err := tested.run(t, &crash{effectIndex: index, mode: mode}, plantedBugs{}); err != nil {
 						t.Error(err)
 					}
 				})
--- a/internal/release/drain_tracker.go
+++ b/internal/release/drain_tracker.go
@@ -59,7 +59,7 @@
 	return oldest
 }
 
-// Drained reports whether a server is proved to have no open request. Without live sidecars nobody sends it any.
+// Drained reports whether a server is proved to have no open request. Without live sidecars no request is sent to it.
 func (t *DrainTracker) Drained(nowMS int64, id string) bool {
 	proof := t.proofs[id]
 	return proof != nil && proof.confirmedSinceMS != 0 && nowMS-proof.confirmedSinceMS >= t.maxRequestMS
--- a/internal/release/fakecontroller_test.go
+++ b/internal/release/fakecontroller_test.go
@@ -235,7 +235,7 @@
 	}
 }
 
-// run plays the release r until it is finished and its commands are handled, for a number of ticks at most, with a hook
+// run runs the release r until it is finished and its commands are handled, for a number of ticks at most, with a hook
 // before each tick. It returns the release and the number of effects.
 func (m *clusterModel) run(planned *crash, ticks int, beforeTick func(tick int, state *State)) (*State, int) {
 	const name = "r"
--- a/internal/release/faults_test.go
+++ b/internal/release/faults_test.go
@@ -14,10 +14,10 @@
 	"milldeck/internal/supervisor/core"
 )
 
-// seedsFlag is how many seeds of random faults are played. docs/release.md has figures of 300.
+// seedsFlag is how many seeds of random faults are run. docs/release.md has figures of 300.
 var seedsFlag = flag.Uint64("seeds", 6, "seeds of random faults")
 
-// runToEnd plays the release r to its end, and returns an error unless all its units are as its phase says.
+// runToEnd runs the release r to its end, and returns an error unless all its units are as its phase says.
 func (m *clusterModel) runToEnd(planned *crash, ticks int, beforeTick func(int, *State)) (*State, error) {
 	state, _ := m.run(planned, ticks, beforeTick)
 	for range settleTicks {
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// rollbackUnderFleetHalt plays a release that a guard rolls back while an operator has halted the whole fleet.
-func rollbackUnderFleetHalt(t testing.TB, planted plantedBugs) error {
+// runRollbackUnderFleetHalt runs a release that a guard rolls back while an operator has halted the whole fleet.
+func runRollbackUnderFleetHalt(t testing.TB, planted plantedBugs) error {
 	t.Helper()
 	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
 	model.bugs = planted
@@ -74,8 +74,8 @@
 	return err
 }
 
-// losePlatformState plays a release in which the platform loses its state at a tick, and finds all units again 8 s later.
-func losePlatformState(t testing.TB, planted plantedBugs, lossTick int) error {
+// runWithPlatformStateLoss runs a release in which the platform loses its state at a tick, and finds all units again 8 s later.
+func runWithPlatformStateLoss(t testing.TB, planted plantedBugs, lossTick int) error {
 	t.Helper()
 	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
 	model.bugs = planted
@@ -96,14 +96,14 @@
 }
 
 func TestRollbackContinuesUnderFleetHalt(t *testing.T) {
-	if err := rollbackUnderFleetHalt(t, plantedBugs{}); err != nil {
+	if err := runRollbackUnderFleetHalt(t, plantedBugs{}); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestPlatformStateLossIsNotEvidence(t *testing.T) {
 	for lossTick := range 60 {
-		if err := losePlatformState(t, plantedBugs{}, lossTick); err != nil {
+		if err := runWithPlatformStateLoss(t, plantedBugs{}, lossTick); err != nil {
 			t.Errorf("state lost at tick %d: %v", lossTick, err)
 		}
 	}
@@ -113,13 +113,13 @@
 // a crash.
 func findByCrashes(t *testing.T, tested *scenario, planted plantedBugs) error {
 	t.Helper()
-	if _, err := tested.play(t, noCrash(), planted); err != nil {
+	if _, err := tested.run(t, noCrash(), planted); err != nil {
 		t.Errorf("%+v shows without a crash: %v", planted, err)
 	}
 	var found error
 	for index := 0; index < 120 && found == nil; index++ {
 		for _, mode := range crashModes {
-			if _, err := tested.play(t, &crash{effectIndex: index, mode: mode}, planted); err != nil {
+			if _, err := tested.run(t, &crash{effectIndex: index, mode: mode}, planted); err != nil {
 				found = err
 			}
 		}
@@ -152,12 +152,12 @@
 			return findByCrashes(t, scenarioNamed(t, "configuration"), plantedBugs{requestIDsPerController: true})
 		}},
 		{"rollbacks at the priority of rollouts", func(t *testing.T) error {
-			return rollbackUnderFleetHalt(t, plantedBugs{rollbackAtRolloutPriority: true})
+			return runRollbackUnderFleetHalt(t, plantedBugs{rollbackAtRolloutPriority: true})
 		}},
 		{"absence from an incomplete list taken for an end", func(t *testing.T) error {
 			var found error
 			for lossTick := 0; lossTick < 60 && found == nil; lossTick++ {
-				found = losePlatformState(t, plantedBugs{trustsIncompleteList: true}, lossTick)
+				found = runWithPlatformStateLoss(t, plantedBugs{trustsIncompleteList: true}, lossTick)
 			}
 			return found
 		}},
@@ -186,14 +186,14 @@
 	for _, fault := range faults {
 		for _, rollbackTick := range []int{0, 62} {
 			for faultTick := 0; faultTick < 100; faultTick += 7 {
-				playPlatformFault(t, fault, faultTick, rollbackTick)
+				runPlatformFault(t, fault, faultTick, rollbackTick)
 			}
 		}
 	}
 }
 
-// playPlatformFault plays a release with one fault. RollbackTick is 0 where it is not rolled back.
-func playPlatformFault(t *testing.T, fault core.Fault, faultTick, rollbackTick int) {
+// runPlatformFault runs a release with one fault. RollbackTick is 0 where it is not rolled back.
+func runPlatformFault(t *testing.T, fault core.Fault, faultTick, rollbackTick int) {
 	t.Helper()
 	const maxLaunches = 2 // a start that was done by half, or a unit that was stopped wrongly, is started again
 	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
@@ -222,7 +222,7 @@
 	seeds := *seedsFlag
 	outcomes := map[Phase]int{}
 	for seed := range seeds {
-		phase, err := playRandomFaults(t, seed)
+		phase, err := runRandomFaults(t, seed)
 		if err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
@@ -245,7 +245,7 @@
 // faultTicks is how long faults are injected. After that a halted release is rolled back.
 const faultTicks = 400
 
-func playRandomFaults(t testing.TB, seed uint64) (Phase, error) {
+func runRandomFaults(t testing.TB, seed uint64) (Phase, error) {
 	t.Helper()
 	const maxUnavailable = 12
 	rng := rand.New(rand.NewPCG(seed, 7))
@@ -261,16 +261,16 @@
 		regressionTick = rng.IntN(300)
 	}
 	planned := &crash{effectIndex: rng.IntN(200), mode: crashModes[rng.IntN(3)]}
-	played := &randomFaults{rng: rng, model: model, planned: planned, maxUnavailable: maxUnavailable, crashed: map[int]bool{}}
+	faults := &randomFaults{rng: rng, model: model, planned: planned, maxUnavailable: maxUnavailable, crashed: map[int]bool{}}
 	model.verdict = func(*State) judge.Verdict {
-		if regressionTick >= 0 && played.currentTick >= regressionTick {
+		if regressionTick >= 0 && faults.currentTick >= regressionTick {
 			return judge.Verdict{Outcome: judge.Regression, Reason: "planted"}
 		}
 		return judge.Verdict{Outcome: judge.Pass}
 	}
-	state, err := model.runToEnd(planned, 4000, played.beforeTick)
+	state, err := model.runToEnd(planned, 4000, faults.beforeTick)
 	if err == nil {
-		err = played.budgetErr
+		err = faults.budgetErr
 	}
 	return state.Status.Phase, err
 }
--- a/internal/release/interval_test.go
+++ b/internal/release/interval_test.go
@@ -10,38 +10,6 @@
 	"milldeck/internal/supervisor"
 )
 
-// A server is drained once all live sidecars have had a list in which it is Terminating for a second without a break.
-func TestDrainProofNeedsEveryLiveSidecar(t *testing.T) {
-	tracker := NewDrainTracker(1000)
-	update := func(nowMS int64, sidecarRevisions map[string]uint64, liveSidecars ...string) bool {
-		tracker.Update(nowMS, []string{"s"}, 50, liveSidecars, sidecarRevisions)
-		return tracker.Drained(nowMS, "s")
-	}
-	for i, c := range []struct {
-		nowMS            int64
-		sidecarRevisions map[string]uint64
-		liveSidecars     []string
-		want             bool
-	}{
-		{1000, map[string]uint64{"a": 60}, []string{"a", "b"}, false}, // b reports nothing
-		{5000, map[string]uint64{"a": 60, "b": 49}, []string{"a", "b"}, false},
-		{6000, map[string]uint64{"a": 60, "b": 50}, []string{"a", "b"}, false}, // requests that were sent before may still be open
-		{6900, map[string]uint64{"a": 60, "b": 50, "c": 9}, []string{"a", "b", "c"}, false},
-		{7000, map[string]uint64{"a": 60, "b": 50, "c": 51}, []string{"a", "b", "c"}, false}, // c had an older list until now
-		{7999, map[string]uint64{"a": 60, "b": 50, "c": 51}, []string{"a", "b", "c"}, false},
-		{8000, map[string]uint64{"a": 60, "b": 50, "c": 51}, []string{"a", "b", "c"}, true},
-		{8100, map[string]uint64{"a": 60, "b": 50}, []string{"a", "b", "c"}, false}, // c no longer reports
-	} {
-		if got := update(c.nowMS, c.sidecarRevisions, c.liveSidecars...); got != c.want {
-			t.Errorf("row %d: drained %v, want %v", i, got, c.want)
-		}
-	}
-	tracker.Update(9000, nil, 60, nil, nil)
-	if update(9001, nil); len(tracker.proofs) != 1 || tracker.Drained(9500, "s") {
-		t.Error("the proof of an earlier drain counts for a server that drains again")
-	}
-}
-
 // The counts of a release's cohort are the canary's; those of another release's cohort are left out.
 func TestIntervalFromReports(t *testing.T) {
 	state := &State{Name: "r", Plan: &plan.Plan{Change: plan.Change{ServerVersion: "2"}}, Units: []Unit{
--- a/internal/release/judge/trafficmodel_test.go
+++ b/internal/release/judge/trafficmodel_test.go
@@ -146,7 +146,7 @@
 	return ZoneSample{Zone: zone, Canary: canary, Baseline: baseline}
 }
 
-// run plays up to a number of seconds, until the first regression, or until a pass where stopAtPass says so.
+// run runs up to a number of seconds, until the first regression, or until a pass where stopAtPass says so.
 func (m *trafficModel) run(maxSeconds int, stopAtPass bool) (verdict Verdict, seconds, requests int) {
 	watched := New(testSettings)
 	for seconds = 1; seconds <= maxSeconds; seconds++ {
--- a/internal/release/lifecycle_test.go
+++ b/internal/release/lifecycle_test.go
@@ -1,6 +1,7 @@
 package release
 
 import (
+	"fmt"
 	"strings"
 	"testing"
 
@@ -28,7 +29,7 @@
 	}
 }
 
-// checkEnd plays the release r to its end, and checks its phase and a part of the reason of its halt.
+// checkEnd runs the release r to its end, and checks its phase and a part of the reason of its halt.
 func checkEnd(t *testing.T, model *clusterModel, ticks int, phase Phase, reason string) *State {
 	t.Helper()
 	state, err := model.runToEnd(noCrash(), ticks, nil)
@@ -91,7 +92,7 @@
 	checkEnd(t, model, 300, PhaseRolledBack, "")
 }
 
-// A halt at every moment, so also across each grant: no unit is taken out after it, those that are out return or finish,
+// A halt at every moment, so also across each grant: no further unit goes out after it, those that are out return or finish,
 // and a resumed release completes as if nothing had happened.
 func TestHaltAtEveryTick(t *testing.T) {
 	const haltTicks = 60
@@ -236,14 +237,19 @@
 
 func TestMissingOrSparseReportsHoldWave(t *testing.T) {
 	for _, outcome := range []judge.Outcome{judge.NoData, judge.Inconclusive, ""} {
-		model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
-		model.startRelease(serverPlan)
-		model.verdict = func(*State) judge.Verdict { return judge.Verdict{Outcome: outcome} }
-		state, _ := model.run(noCrash(), 400, nil)
-		if state.Status.Phase != PhaseRollout || state.Status.Wave != 0 {
-			t.Errorf("verdict %q: it is %s in wave %d, want to stay in the first", outcome, state.Status.Phase, state.Status.Wave)
-		}
+		t.Run(fmt.Sprintf("verdict %q", outcome), func(t *testing.T) {
+			model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
+			model.startRelease(serverPlan)
+			model.verdict = func(*State) judge.Verdict { return judge.Verdict{Outcome: outcome} }
+			state, _ := model.run(noCrash(), 400, nil)
+			if state.Status.Phase != PhaseRollout || state.Status.Wave != 0 {
+				t.Errorf("it is %s in wave %d, want to stay in the first", state.Status.Phase, state.Status.Wave)
+			}
+		})
 	}
+}
+
+func TestInconclusiveWaveIsExtended(t *testing.T) {
 	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
 	model.startRelease(strings.Replace(serverPlan, "bake_s = 5", "bake_s = 5\nwiden = 1", 1))
 	model.verdict = func(*State) judge.Verdict { return judge.Verdict{Outcome: judge.Inconclusive} }
--- a/internal/release/new.go
+++ b/internal/release/new.go
@@ -11,7 +11,7 @@
 
 // New makes the initial state of a release from its plan and from the fleet and the platform as they are. Units that run
 // the target image already are left out. It is an error if the plan is infeasible, if the platform does not list a unit,
-// which nobody could stop then, or if nothing is left to do.
+// which could not be stopped then, or if nothing is left to do.
 func New(
 	releasePlan *plan.Plan, nowMS int64, units []disruption.Unit, budgets []disruption.Budget, platform *supervisor.List,
 ) (*State, error) {
--- a/internal/release/state.go
+++ b/internal/release/state.go
@@ -44,7 +44,7 @@
 	StagePending             Stage = "todo"   // not started in this direction
 	StageRequestingPermit    Stage = "ask"    // waiting for the ledger to grant its permit
 	StagePreparing           Stage = "make"   // granted; what only this unit serves is being made available elsewhere
-	StageBeginningDisruption Stage = "begin"  // the ledger is told that the disruption begins
+	StageBeginningDisruption Stage = "begin"  // the ledger records that the disruption begins
 	StageDraining            Stage = "drain"  // Terminating in the endpoint list, until it is proved to have no open request
 	StageStopping            Stage = "stop"   // the platform is asked to stop it
 	StageStarting            Stage = "start"  // the platform is asked to start it with the desired image
--- a/internal/release/warmup.go
+++ b/internal/release/warmup.go
@@ -32,7 +32,7 @@
 	}
 	ledgerUnit, registered := r.view.Unit(unit.ID)
 	switch {
-	case !registered && !permitKnown: // its permit is complete and forgotten
+	case !registered && !permitKnown: // its permit is complete and no longer in the ledger
 		r.enterStage(unit, StageConverged)
 	case registered && r.permitCompletes(ledgerUnit.Condition):
 		r.completePermit(unit, permitKnown)
@@ -64,7 +64,7 @@
 	return condition == disruption.ConditionUp || r.release.DrainOnly && condition == disruption.ConditionLost
 }
 
-// completePermit completes a unit's permit. One that the ledger does not have was completed and forgotten.
+// completePermit completes a unit's permit. One that the ledger no longer has was completed before.
 func (r *reconciler) completePermit(unit *Unit, permitKnown bool) {
 	if permitKnown {
 		r.emitPermitOp(disruption.OpComplete, unit)
--- a/internal/sidecar/attempt_outcome_test.go
+++ b/internal/sidecar/attempt_outcome_test.go
@@ -145,7 +145,7 @@
 // response, one outcome, and no body memory stays reserved.
 func TestResponseRacingTermination(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
-	for name, play := range map[string]func(loop *steppedLoop, call *call, event attemptCompleted){
+	for name, terminate := range map[string]func(loop *steppedLoop, call *call, event attemptCompleted){
 		"disconnect first": func(loop *steppedLoop, call *call, event attemptCompleted) {
 			loop.disconnect(call)
 			loop.handleEvent(loop.nowMS(), event)
@@ -190,7 +190,7 @@
 			if event.exchange.outcome != balance.OK {
 				t.Fatalf("%+v", event.exchange)
 			}
-			play(loop, call, event)
+			terminate(loop, call, event)
 			loop.assertReleased(call)
 		})
 	}
@@ -237,7 +237,7 @@
 				t.Errorf("%+v, want %v", result, test.want)
 			}
 			if remaining := pool.bodyMemory.remaining.Load(); remaining != memory-int64(result.response.reservedBytes) {
-				t.Errorf("%d bytes held for an answer of %d", memory-remaining, result.response.reservedBytes)
+				t.Errorf("%d bytes reserved for a response of %d", memory-remaining, result.response.reservedBytes)
 			}
 			if pool.openConns != 0 {
 				t.Error("the connection is not closed")
--- a/internal/sidecar/client_listener_test.go
+++ b/internal/sidecar/client_listener_test.go
@@ -26,7 +26,7 @@
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(persistent), req)
 		if err != nil {
-			t.Fatal("on the good client's connection:", err)
+			t.Fatal("on the persistent connection:", err)
 		}
 		resp.Body.Close()
 		return resp.StatusCode
@@ -177,7 +177,7 @@
 				}
 				evicted = listener.evictOne()
 				if evicted == nil && listener.evictExcessPersistent() != nil {
-					t.Error("trimmed")
+					t.Error("evicted as in excess of the persistent ones")
 				}
 			})
 			if (evicted == conn) != test.evicted {
@@ -212,7 +212,7 @@
 	if got := readStatus(t, bufio.NewReader(conn)); got != 431 {
 		t.Errorf("answered %d", got)
 	}
-	waitUntil(t, "room", func() bool {
+	waitUntil(t, "an evictable connection", func() bool {
 		evicted := false
 		sidecar.frontend.listener.locked(func() {
 			if len(sidecar.frontend.listener.conns) == 0 {
--- a/internal/sidecar/conn_pool_test.go
+++ b/internal/sidecar/conn_pool_test.go
@@ -105,7 +105,7 @@
 		t.Errorf("%+v", conn)
 	}
 	if conn := pool.popIdle(upstream); conn != nil || len(upstream.idleConns) != 1 {
-		t.Errorf("%+v has not rested", conn)
+		t.Errorf("%+v is reused within the reuse delay", conn)
 	}
 }
 
@@ -145,7 +145,7 @@
 	}
 }
 
-// A request that a server turned away, or that could not connect, is retried at another server, even if it is not
+// A request that a server rejected, or that could not connect, is retried at another server, even if it is not
 // idempotent.
 func TestUnexecutedAttemptIsRetriedElsewhere(t *testing.T) {
 	full := newBackend(t, "a", respondWith("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true))
--- a/internal/sidecar/discovery_failure_test.go
+++ b/internal/sidecar/discovery_failure_test.go
@@ -19,11 +19,11 @@
 	"milldeck/balance"
 )
 
-// callScript is how discovery treats one call: the connection is established or not, and then play handles it.
+// callScript is how discovery treats one call: the connection is established or not, and then handled.
 type callScript struct {
 	name   string
 	dial   func(ctx context.Context) error
-	play   func(far net.Conn)
+	handle func(remote net.Conn)
 	resets bool // it ends with a reset
 	silent bool // discovery may be back while the call lasts; otherwise it is back right after the call
 }
@@ -32,12 +32,12 @@
 
 var failureScripts = []callScript{
 	{name: "refused", dial: func(context.Context) error { return syscall.ECONNREFUSED }},
-	{name: "reset", play: closeImmediately, resets: true},
-	{name: "503", play: func(remote net.Conn) {
+	{name: "reset", handle: closeImmediately, resets: true},
+	{name: "503", handle: func(remote net.Conn) {
 		tryWrite(remote, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	}},
-	{name: "closed at once", play: closeImmediately},
-	{name: "silent", play: func(net.Conn) {}, silent: true},
+	{name: "closed at once", handle: closeImmediately},
+	{name: "silent", handle: func(net.Conn) {}, silent: true},
 	{name: "not coming up", silent: true, dial: func(ctx context.Context) error {
 		select { // as the dialer does, which this replaces
 		case <-ctx.Done():
@@ -76,10 +76,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		established := make(chan net.Conn, 1)
 		if before != "start" {
-			script = append([]callScript{{play: func(remote net.Conn) { tryWrite(remote, streamHeader+firstList); established <- remote }}}, script...)
+			script = append([]callScript{{handle: func(remote net.Conn) { tryWrite(remote, streamHeader+firstList); established <- remote }}}, script...)
 		}
 		listSent := make(chan struct{})
-		script := append(script, callScript{play: func(remote net.Conn) {
+		script := append(script, callScript{handle: func(remote net.Conn) {
 			tryWrite(remote, streamHeader+strings.Replace(firstList, "1", "9", 1))
 			close(listSent)
 		}})
@@ -96,7 +96,7 @@
 			work.Go(func() {
 				defer remote.Close()
 				if _, err := http.ReadRequest(bufio.NewReader(remote)); err == nil {
-					step.play(remote)
+					step.handle(remote)
 					discard(remote) // silent until the sidecar gives the call up
 				}
 			})
@@ -110,7 +110,7 @@
 		if before != "start" {
 			watch := <-established
 			synctest.Wait()
-			if before == "moved" {
+			if before == "address changed" {
 				loop.post(discoveryAddressChanged{"127.0.0.1:2"})
 			} else {
 				watch.Close()
@@ -122,7 +122,7 @@
 		}
 		receivedAt = time.Now()
 		if synctest.Wait(); loop.discovery.revision.Load() != 9 {
-			t.Error("the list is not in hand")
+			t.Error("the list was not received")
 		}
 		cancel()
 		work.Wait()
@@ -138,7 +138,7 @@
 // discovery may be back right after it, and the start of one that was silent.
 func TestFailedCallsEndBeforeNotificationDeadline(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
-		for _, before := range []string{"start", "closed", "moved"} {
+		for _, before := range []string{"start", "closed", "address changed"} {
 			for _, outage := range []int{0, 6} { // refused calls before
 				worst := map[string]time.Duration{}
 				for lastIndex, last := range failureScripts {
@@ -174,9 +174,9 @@
 // longer timeout, as a call that is given up goes to the end of the queue; after a sign of life counting starts
 // again.
 func TestQueuedCallsAreReported(t *testing.T) {
-	rejectCall, queueTime := failureScripts[2].play, 4*time.Second
-	after := func(wait time.Duration, play func(net.Conn)) func(net.Conn) {
-		return func(remote net.Conn) { time.Sleep(wait); play(remote) }
+	rejectCall, queueTime := failureScripts[2].handle, 4*time.Second
+	after := func(wait time.Duration, handle func(net.Conn)) func(net.Conn) {
+		return func(remote net.Conn) { time.Sleep(wait); handle(remote) }
 	}
 	sendHeartbeat := func(remote net.Conn) { tryWrite(remote, streamHeader+"\n") }
 	stall := func(net.Conn) {}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -55,11 +55,13 @@
 	registry := newFakeRegistry(t)
 	client, updates := newRecordingClient(t, registry.address())
 	for name, call := range map[string]func(context.Context){"watch": client.watch, "list": client.fetchList} {
-		call(t.Context())
-		receiveWithin(t, "the call", registry.calls).failWith <- http.StatusServiceUnavailable
-		if update := receiveWithin(t, "the failure", updates); update.kind != balance.UpdateFailed {
-			t.Errorf("%s: %+v", name, update)
-		}
+		t.Run(name, func(t *testing.T) {
+			call(t.Context())
+			receiveWithin(t, "the call", registry.calls).failWith <- http.StatusServiceUnavailable
+			if update := receiveWithin(t, "the failure", updates); update.kind != balance.UpdateFailed {
+				t.Errorf("%+v", update)
+			}
+		})
 	}
 	registry.Close()
 	client.watch(t.Context())
@@ -123,8 +125,8 @@
 	}
 }
 
-// Asking for a watch while one is open changes nothing. After an address change the old service is ignored, the end
-// of its watch is no failure, and the new service is not asked by the old revision.
+// A second watch changes nothing while one is open. After an address change the previous service is ignored, the end
+// of its watch is no failure, and the first request to the new service does not name the previous revision.
 func TestWatchAfterAddressChange(t *testing.T) {
 	previous, registry := newFakeRegistry(t), newFakeRegistry(t)
 	client, updates := newRecordingClient(t, previous.address())
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -294,7 +294,7 @@
 	sidecar.done <- nil
 }
 
-// Many bad clients, which disconnect in every way, shut nobody out and leave no state behind.
+// Many faulty clients, which disconnect in every way, shut no other client out and leave no state behind.
 func TestFloodOfDisconnectingClients(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
--- a/internal/sidecar/placement_test.go
+++ b/internal/sidecar/placement_test.go
@@ -80,7 +80,7 @@
 	call.sendLine(t, "\n"+string(indented))
 	rig.awaitRevision(1)
 	endless := strings.Repeat(`"window/w/kita",`, maxPlacementBytes/16)
-	for name, bad := range map[string]func(call registryCall){
+	for name, sendInvalid := range map[string]func(call registryCall){
 		"torn":         func(call registryCall) { call.sendLine(t, `{"rev":2,"all":true,`); close(call.lines) },
 		"endless":      func(call registryCall) { call.sendLine(t, `{"rev":2,"gone":[`+endless); <-call.disconnected },
 		"no placement": func(call registryCall) { call.sendLine(t, `["rev"]`); <-call.disconnected },
@@ -93,7 +93,7 @@
 			<-call.disconnected
 		},
 	} {
-		bad(call)
+		sendInvalid(call)
 		call = receiveWithin(t, name+": the next watch", rig.agent.calls)
 		if call.query != "watch=1&after=1&epoch=5" {
 			t.Errorf("%s: requested %q", name, call.query)
@@ -149,7 +149,7 @@
 	var reports []placement.LoadReport
 	last := rig.agent.nextReport(t, &reports)
 	if v, w := last.ExcludedInFlight["window/v/kita"], last.ExcludedInFlight["window/w/kita"]; v != 1 || w != 1 || len(last.ExcludedInFlight) != 3 {
-		t.Errorf("open %v, want the held request at a, which both keep off, and none of another tenant", last.ExcludedInFlight)
+		t.Errorf("open %v, want the held request at a, which both exclude, and none of another tenant", last.ExcludedInFlight)
 	}
 	rig.release <- true
 	<-pending
@@ -158,7 +158,7 @@
 		t.Errorf("open %v after its end", last.ExcludedInFlight)
 	}
 	if len(last.HotKeys) != 1 || last.HotKeys[0].KeyHash != "335f24192ff5d0d4" || !(last.HotKeys[0].Load > 0) || last.HotKeys[0].ErrorBound != 0 || last.HotKeys[0].Load != last.TotalKeyLoad {
-		t.Errorf("heat %+v of %v", last.HotKeys, last.TotalKeyLoad)
+		t.Errorf("key load %+v of %v", last.HotKeys, last.TotalKeyLoad)
 	}
 	got := map[string][3]int{}
 	suspended := map[string]bool{}
@@ -198,18 +198,20 @@
 // Where the settings name no tenants, all requests belong to the calling application.
 func TestApplicationIsDefaultTenant(t *testing.T) {
 	for application, want := range map[string]bool{"kita": true, "portal": false, "": false} {
-		rig := startPlacementRig(t, func(document configDocument) {
-			document.replaceSetting(`"tenants": [{"name": "kita", "share": 1, "allowance_per_s": 100}],`, "")
-			document["application"] = application
+		t.Run("application "+application, func(t *testing.T) {
+			rig := startPlacementRig(t, func(document configDocument) {
+				document.replaceSetting(`"tenants": [{"name": "kita", "share": 1, "allowance_per_s": 100}],`, "")
+				document["application"] = application
+			})
+			receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, excludeDirective(time.Hour, "a"))
+			report := rig.awaitRevision(1)
+			if open, ok := report.ExcludedInFlight["window/w/kita"]; !ok || open != 0 {
+				t.Errorf("open %d, in force %v", open, ok)
+			}
+			if excluded := rig.countLookups(10) == 0; excluded != want {
+				t.Errorf("excluded %v, want %v", excluded, want)
+			}
 		})
-		receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, excludeDirective(time.Hour, "a"))
-		report := rig.awaitRevision(1)
-		if open, ok := report.ExcludedInFlight["window/w/kita"]; !ok || open != 0 {
-			t.Errorf("%q: open %d, in force %v", application, open, ok)
-		}
-		if excluded := rig.countLookups(10) == 0; excluded != want {
-			t.Errorf("%q: excluded %v, want %v", application, excluded, want)
-		}
 	}
 }
 
