--- a/internal/sidecar/client_listener_test.go
+++ b/internal/sidecar/client_listener_test.go
@@ -130,13 +130,7 @@
 // overdue, or that is idle, is. Nothing is read from an evicted connection.
 func TestReadAndEvictionAreMutuallyExclusive(t *testing.T) {
 	const partial = "GET /api HTT"
-	for name, test := range map[string]struct {
-		phase   connPhase
-		read    string // before the reader waits again
-		wait    bool   // the reader waits for more
-		age     time.Duration
-		evicted bool
-	}{
+	for name, test := range map[string]evictionCase{
 		"not read yet":                  {phaseNew, "", false, 0, false},
 		"complete request read":         {phaseNew, partial, false, time.Hour, false},
 		"complete request read, reused": {phaseIdle, partial, false, time.Hour, false},
@@ -148,61 +142,81 @@
 		"request active":                {phaseActive, "", true, time.Hour, false},
 		"last response written":         {phaseClosing, "", false, 0, true},
 	} {
-		t.Run(name, func(t *testing.T) {
-			listener := newTestFrontend(t, 10, 0, nil).listener
-			client, conn := listener.dialAndAccept(t)
-			listener.locked(func() { conn.phase = test.phase })
-			if test.read != "" {
-				writeTo(t, client, test.read)
-				if n, err := conn.Read(make([]byte, 100)); n != len(test.read) || err != nil {
-					t.Fatal(n, err)
-				}
-			}
-			read := make(chan error, 1)
-			if test.wait {
-				go func() {
-					_, err := conn.Read(make([]byte, 100))
-					read <- err
-				}()
-				waiting := false
-				for !waiting {
-					listener.locked(func() { waiting = conn.readerWaiting })
-				}
-			}
-			var evicted *clientConn
-			listener.locked(func() {
-				conn.phaseSince = time.Now().Add(time.Hour) // however long the test takes, the grace of a partial request is not over
-				if test.age > 0 {
-					conn.phaseSince = time.Now().Add(-test.age)
-				}
-				evicted = listener.evictOne()
-				if evicted == nil && listener.evictExcessPersistent() != nil {
-					t.Error("evicted as in excess of the persistent ones")
-				}
-			})
-			if (evicted == conn) != test.evicted {
-				t.Errorf("evicted: %v", evicted == conn)
-			}
-			if !test.evicted {
-				listener.shutdownIdle()
-				if _, err := conn.Write([]byte("x")); err != nil {
-					t.Error("closed during a drain:", err)
-				}
-			}
-			writeTo(t, client, "x") // before the connection is closed
-			if !test.wait {
-				go func() {
-					_, err := conn.Read(make([]byte, 100))
-					read <- err
-				}()
-			}
-			if err := receiveWithin(t, "the read", read); (err == nil) == test.evicted {
-				t.Errorf("read: %v", err)
-			}
-		})
+		t.Run(name, test.run)
 	}
 }
 
+// evictionCase is a connection at the moment when one is to be evicted.
+type evictionCase struct {
+	phase   connPhase
+	read    string // before the reader waits again
+	wait    bool   // the reader waits for more
+	age     time.Duration
+	evicted bool
+}
+
+func (test evictionCase) run(t *testing.T) {
+	listener := newTestFrontend(t, 10, 0, nil).listener
+	client, conn := listener.dialAndAccept(t)
+	listener.locked(func() { conn.phase = test.phase })
+	if test.read != "" {
+		writeTo(t, client, test.read)
+		if n, err := conn.Read(make([]byte, 100)); n != len(test.read) || err != nil {
+			t.Fatal(n, err)
+		}
+	}
+	var read <-chan error
+	if test.wait {
+		read = readAsync(conn)
+		waiting := false
+		for !waiting {
+			listener.locked(func() { waiting = conn.readerWaiting })
+		}
+	}
+	if evicted := test.evict(t, listener, conn); (evicted == conn) != test.evicted {
+		t.Errorf("evicted: %v", evicted == conn)
+	}
+	if !test.evicted {
+		listener.shutdownIdle()
+		if _, err := conn.Write([]byte("x")); err != nil {
+			t.Error("closed during a drain:", err)
+		}
+	}
+	writeTo(t, client, "x") // before the connection is closed
+	if !test.wait {
+		read = readAsync(conn)
+	}
+	if err := receiveWithin(t, "the read", read); (err == nil) == test.evicted {
+		t.Errorf("read: %v", err)
+	}
+}
+
+// evict lets the connection's phase have the age of the case, and returns the connection that is evicted.
+func (test evictionCase) evict(t *testing.T, listener *clientListener, conn *clientConn) (evicted *clientConn) {
+	t.Helper()
+	listener.locked(func() {
+		conn.phaseSince = time.Now().Add(time.Hour) // however long the test takes, the grace of a partial request is not over
+		if test.age > 0 {
+			conn.phaseSince = time.Now().Add(-test.age)
+		}
+		evicted = listener.evictOne()
+		if evicted == nil && listener.evictExcessPersistent() != nil {
+			t.Error("evicted as in excess of the persistent ones")
+		}
+	})
+	return evicted
+}
+
+// readAsync reads once on a goroutine of its own.
+func readAsync(conn *clientConn) <-chan error {
+	read := make(chan error, 1)
+	go func() {
+		_, err := conn.Read(make([]byte, 100))
+		read <- err
+	}()
+	return read
+}
+
 // A connection with an oversized header is evictable once its response is written, although net/http keeps it open
 // for a while.
 func TestOversizedHeaderConnectionIsEvictable(t *testing.T) {
--- a/internal/sidecar/discovery_failure_test.go
+++ b/internal/sidecar/discovery_failure_test.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"fmt"
@@ -59,54 +58,48 @@
 	return n, err
 }
 
-// runAgainstScript runs an event loop on a fake clock against a discovery that treats each call as the script says,
-// and answers the one after it with revision 9. Before that, the loop may have had a watch that was closed, or have
-// moved from another address. It returns when each call of the script was made and when revision 9 was received.
-func runAgainstScript(t *testing.T, mode, before string, seed int, script []callScript) (calls []time.Time, receivedAt time.Time) {
+// loadScriptedConfig is a configuration of a large fleet whose lists are delivered in a mode.
+func loadScriptedConfig(t *testing.T, mode string, seed int) *Config {
+	t.Helper()
 	document := newConfigDocument("127.0.0.1:1").replaceSetting(`"subscribe"`, fmt.Sprintf(`%q, "peers_total": 80`, mode))
 	document["seed"] = fmt.Sprintf("%x", seed)
 	config, err := document.load(t)
 	if err != nil {
 		t.Fatal(err)
 	}
+	return config
+}
+
+// runAgainstScript runs an event loop on a fake clock against a discovery that treats each call as the script says,
+// and answers the one after it with revision 9. Before that, the loop may have had a watch that was closed, or have
+// changed from another address. It returns when each call of the script was made and when revision 9 was received.
+func runAgainstScript(t *testing.T, mode, before string, seed int, script []callScript) (calls []time.Time, receivedAt time.Time) {
+	t.Helper()
+	config := loadScriptedConfig(t, mode, seed)
 	balancer, err := balance.New(config.settings)
 	if err != nil {
 		t.Fatal(err)
 	}
+	discovery := &scriptedDiscovery{}
 	synctest.Test(t, func(t *testing.T) {
 		established := make(chan net.Conn, 1)
 		if before != "start" {
-			script = append([]callScript{{handle: func(remote net.Conn) { tryWrite(remote, streamHeader+firstList); established <- remote }}}, script...)
+			discovery.addCalls(func(remote net.Conn) {
+				tryWrite(remote, streamHeader+firstList)
+				established <- remote
+			})
 		}
 		listSent := make(chan struct{})
-		script := append(script, callScript{handle: func(remote net.Conn) {
+		discovery.script = append(discovery.script, script...)
+		discovery.addCalls(func(remote net.Conn) {
 			tryWrite(remote, streamHeader+strings.Replace(firstList, "1", "9", 1))
 			close(listSent)
-		}})
+		})
 		loop := newEventLoop(config, balancer, newConnPool(config, 100, &byteBudget{}))
 		loop.discovery = newDiscoveryClient(config.DiscoveryAddress, loop.post, func(task func()) { loop.workers.Go(task) })
-		var work sync.WaitGroup
-		loop.discovery.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
-			step := script[min(len(calls), len(script)-1)]
-			calls = append(calls, time.Now())
-			if step.dial != nil {
-				return nil, step.dial(ctx)
-			}
-			local, remote := net.Pipe()
-			work.Go(func() {
-				defer remote.Close()
-				if _, err := http.ReadRequest(bufio.NewReader(remote)); err == nil {
-					step.handle(remote)
-					discard(remote) // silent until the sidecar gives the call up
-				}
-			})
-			if step.resets {
-				return resetConnReader{local}, nil
-			}
-			return local, nil
-		}
+		loop.discovery.client.Transport.(*http.Transport).DialContext = discovery.dial
 		ctx, cancel := context.WithCancel(t.Context())
-		work.Go(func() { loop.run(ctx) })
+		discovery.workers.Go(func() { loop.run(ctx) })
 		if before != "start" {
 			watch := <-established
 			synctest.Wait()
@@ -125,12 +118,12 @@
 			t.Error("the list was not received")
 		}
 		cancel()
-		work.Wait()
+		discovery.workers.Wait()
 	})
 	if before != "start" {
-		calls = calls[1:]
+		return discovery.calls[1:], receivedAt
 	}
-	return calls, receivedAt
+	return discovery.calls, receivedAt
 }
 
 // However the last one or two calls fail, and after however many failures, the list is received before PROTOCOL
@@ -185,9 +178,9 @@
 		after(minQueuedTime, closeImmediately)(remote)
 	}
 	for name, test := range map[string]struct {
-		scripts []func(net.Conn)
-		queued  bool
-		calls   int
+		handlers []func(net.Conn)
+		queued   bool
+		calls    int
 	}{
 		"rejected at once":          {[]func(net.Conn){rejectCall}, false, 1},
 		"rejected after a while":    {[]func(net.Conn){after(minQueuedTime, rejectCall)}, true, 1},
@@ -199,7 +192,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				scripted := &scriptedDiscovery{scripts: test.scripts}
+				scripted := &scriptedDiscovery{}
+				scripted.addCalls(test.handlers...)
 				updates := make(chan endpointUpdate, 1)
 				var work sync.WaitGroup
 				client := newDiscoveryClient("127.0.0.1:1", func(event loopEvent) { updates <- event.(endpointUpdate) }, func(task func()) { work.Go(task) })
@@ -207,15 +201,15 @@
 				client.watch(t.Context())
 				select {
 				case update := <-updates:
-					if update.kind != balance.UpdateFailed || update.discoveryUnreachable == test.queued || scripted.calls != test.calls {
-						t.Errorf("%+v after %d calls", update, scripted.calls)
+					if update.kind != balance.UpdateFailed || update.discoveryUnreachable == test.queued || len(scripted.calls) != test.calls {
+						t.Errorf("%+v after %d calls", update, len(scripted.calls))
 					}
 				case <-time.After(5 * time.Minute):
 					t.Error("no report in five minutes")
 				}
 				client.cancel()
 				work.Wait()
-				scripted.work.Wait()
+				scripted.workers.Wait()
 			})
 		})
 	}
--- a/internal/sidecar/discovery_silence_test.go
+++ b/internal/sidecar/discovery_silence_test.go
@@ -25,29 +25,42 @@
 	firstList    = `{"rev":1,"all":true,"targets":[]}` + "\n"
 )
 
-// scriptedDiscovery is a discovery on a fake clock: each call is handled by the next script, and the last one handles
-// all further calls.
+// scriptedDiscovery is a discovery service that treats each call as a script says. A discovery client reaches it through
+// pipes in place of sockets.
 type scriptedDiscovery struct {
-	scripts []func(c net.Conn)
-	calls   int
-	work    sync.WaitGroup
+	script  []callScript
+	calls   []time.Time // when each was made
+	workers sync.WaitGroup
 }
 
-func (scripted *scriptedDiscovery) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+// dial makes the next call of the script; the last one repeats.
+func (d *scriptedDiscovery) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+	step := d.script[min(len(d.calls), len(d.script)-1)]
+	d.calls = append(d.calls, time.Now())
+	if step.dial != nil {
+		return nil, step.dial(ctx)
+	}
 	local, remote := net.Pipe()
-	play := scripted.scripts[min(scripted.calls, len(scripted.scripts)-1)]
-	scripted.calls++
-	scripted.work.Go(func() {
+	d.workers.Go(func() {
 		defer remote.Close()
-		if _, err := http.ReadRequest(bufio.NewReader(remote)); err != nil {
-			return
+		if _, err := http.ReadRequest(bufio.NewReader(remote)); err == nil {
+			step.handle(remote)
+			discard(remote) // silent until the sidecar gives the call up
 		}
-		play(remote)
-		discard(remote) // silent until the sidecar gives the call up
 	})
+	if step.resets {
+		return resetConnReader{local}, nil
+	}
 	return local, nil
 }
 
+// addCalls adds calls whose connections are established, and then handled.
+func (d *scriptedDiscovery) addCalls(handlers ...func(remote net.Conn)) {
+	for _, handle := range handlers {
+		d.script = append(d.script, callScript{handle: handle})
+	}
+}
+
 // silenceScripts are the points where a watch may fall silent; each calls silenceBegins then.
 var silenceScripts = map[string]func(conn net.Conn, silenceBegins func()){
 	"before the first byte": func(conn net.Conn, silenceBegins func()) { silenceBegins() },
@@ -97,11 +110,11 @@
 		scripted := &scriptedDiscovery{}
 		var once sync.Once
 		silenceBegins := func() { once.Do(func() { silentFrom = time.Now() }) }
-		scripted.scripts = append(scripted.scripts, func(conn net.Conn) { script(conn, silenceBegins) })
+		scripted.addCalls(func(conn net.Conn) { script(conn, silenceBegins) })
 		for range silentCalls - 1 {
-			scripted.scripts = append(scripted.scripts, func(net.Conn) {})
+			scripted.addCalls(func(net.Conn) {})
 		}
-		scripted.scripts = append(scripted.scripts, func(conn net.Conn) {
+		scripted.addCalls(func(conn net.Conn) {
 			tryWrite(conn, streamHeader+strings.Replace(firstList, "1", "9", 1))
 		})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -122,7 +135,7 @@
 		}
 		cancel()
 		work.Wait()
-		scripted.work.Wait()
+		scripted.workers.Wait()
 	})
 	return receivedAt.Sub(silentFrom)
 }
--- a/internal/sidecar/fixtures_test.go
+++ b/internal/sidecar/fixtures_test.go
@@ -199,96 +199,125 @@
 	return <-reportDue
 }
 
-// The sidecar's own responses are the same bytes, except for the date.
-func TestLocalResponsesFixture(t *testing.T) {
-	var loop *eventLoop
-	actions := map[string]balance.Action{
-		"hold-off=1": {Kind: balance.Reject, RetryAfter: 1250}, "hold-off=0": {Kind: balance.Reject}, "fail": {Kind: balance.Fail},
+// localResponses is a frontend before an event loop whose balancer the test replaces: the query of a request says how it
+// is answered. It records the bytes of each response.
+type localResponses struct {
+	t      *testing.T
+	front  *frontend
+	loop   *eventLoop
+	got    transcript
+	lastID int
+}
+
+func newLocalResponses(t *testing.T) *localResponses {
+	t.Helper()
+	exchanges := &localResponses{t: t}
+	exchanges.front = newTestFrontend(t, 10, 10, exchanges.answer)
+	exchanges.loop = newEventLoop(exchanges.front.config, nil, nil)
+	serveUntilCleanup(t, exchanges.front.httpServer(), exchanges.front.listener)
+	return exchanges
+}
+
+// answer answers a request as its query says, or not at all.
+func (exchanges *localResponses) answer(event loopEvent) {
+	arrived, ok := event.(requestArrived)
+	if !ok {
+		return
 	}
-	front := newTestFrontend(t, 10, 10, func(event loopEvent) {
-		arrived, ok := event.(requestArrived)
-		if !ok {
-			return
-		}
-		if query := arrived.call.outbound.url.RawQuery; query == "serve" {
-			arrived.call.markAnswered()
-			arrived.call.response <- response{status: 200, contentType: "text/plain", body: []byte("done")}
-		} else if action, ok := actions[query]; ok {
-			loop.calls.add(arrived.call)
-			action.Request = arrived.call.request.ID
-			loop.execute(loop.clock.unixMS(time.Now()), []balance.Action{action})
-		} else if query == "late" {
-			loop.calls.add(arrived.call)
-			loop.execute(loop.clock.unixMS(arrived.call.deadline), []balance.Action{{Kind: balance.Fail, Request: arrived.call.request.ID}})
-		}
-	})
-	loop = newEventLoop(front.config, nil, nil)
-	httpServer := front.httpServer()
-	serveUntilCleanup(t, httpServer, front.listener)
+	loop := exchanges.loop
+	nowMS := loop.clock.unixMS(time.Now())
+	var action balance.Action
+	switch arrived.call.outbound.url.RawQuery {
+	case "serve":
+		arrived.call.markAnswered()
+		arrived.call.response <- response{status: 200, contentType: "text/plain", body: []byte("done")}
+		return
+	case "hold-off=1":
+		action = balance.Action{Kind: balance.Reject, RetryAfter: 1250}
+	case "hold-off=0":
+		action = balance.Action{Kind: balance.Reject}
+	case "fail":
+		action = balance.Action{Kind: balance.Fail}
+	case "late":
+		action = balance.Action{Kind: balance.Fail}
+		nowMS = loop.clock.unixMS(arrived.call.deadline)
+	default:
+		return
+	}
+	loop.calls.add(arrived.call)
+	action.Request = arrived.call.request.ID
+	loop.execute(nowMS, []balance.Action{action})
+}
+
+// add sends a request on a connection of its own, and records the response.
+func (exchanges *localResponses) add(name, line, headers, body string) {
+	t := exchanges.t
+	t.Helper()
+	exchanges.lastID++
+	address := exchanges.front.listener.Addr().String()
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	setTestDeadline(t, conn)
+	text := line + " HTTP/1.1\r\nHost: b\r\nX-Tenant-Id: kita\r\n" + headers
+	if !strings.Contains(headers, "X-Request-ID") {
+		text += fmt.Sprintf("X-Request-ID: %d\r\n", exchanges.lastID)
+	}
+	if body != "" {
+		text += fmt.Sprintf("Content-Length: %d\r\n", len(body))
+	}
+	writeTo(t, conn, text+"\r\n"+body)
+	var raw bytes.Buffer
+	reader := bufio.NewReader(io.TeeReader(conn, &raw))
+	if readStatus(t, reader) == 0 {
+		t.Errorf("%s: no answer", name)
+	}
+	exchanges.got.add(name, withoutVolatile(raw.String(), address))
+}
 
+// The sidecar's own responses are the same bytes, except for the date.
+func TestLocalResponsesFixture(t *testing.T) {
+	exchanges := newLocalResponses(t)
+	front := exchanges.front
 	const lookup = "X-Priority-Class: lookup\r\n"
 	const charge = "X-Priority-Class: charge\r\n"
 	const reserve = "X-Priority-Class: reserve\r\n"
-	var got transcript
-	lastID := 0
-	exchange := func(name, line, headers, body string) {
-		t.Helper()
-		lastID++
-		conn, err := net.Dial("tcp", front.listener.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-		setTestDeadline(t, conn)
-		text := line + " HTTP/1.1\r\nHost: b\r\nX-Tenant-Id: kita\r\n" + headers
-		if !strings.Contains(headers, "X-Request-ID") {
-			text += fmt.Sprintf("X-Request-ID: %d\r\n", lastID)
-		}
-		if body != "" {
-			text += fmt.Sprintf("Content-Length: %d\r\n", len(body))
-		}
-		writeTo(t, conn, text+"\r\n"+body)
-		var raw bytes.Buffer
-		reader := bufio.NewReader(io.TeeReader(conn, &raw))
-		if readStatus(t, reader) == 0 {
-			t.Errorf("%s: no answer", name)
-		}
-		got.add(name, withoutVolatile(raw.String(), front.listener.Addr().String()))
-	}
-	exchange("ready", "GET /health/ready", "", "")
-	exchange("served", "GET /api?serve", lookup, "")
-	exchange("rejected with Retry-After", "GET /api?hold-off=1", lookup, "")
-	exchange("rejected without Retry-After", "GET /api?hold-off=0", lookup, "")
-	exchange("failed", "POST /api?fail", charge, "body")
-	exchange("timed out", "GET /api?late", lookup, "")
-	exchange("no request ID", "GET /api", "X-Request-ID: \r\n"+lookup, "")
-	exchange("two request IDs", "GET /api", "X-Request-ID: 1\r\nX-Request-ID: 2\r\n"+lookup, "")
-	exchange("request ID in use", "GET /api?serve", "X-Request-ID: 2\r\n"+lookup, "")
-	exchange("unknown class", "GET /api", "X-Priority-Class: none\r\n", "")
-	exchange("invalid timeout", "GET /api", "X-Timeout-Ms: soon\r\n"+lookup, "")
-	exchange("invalid cost", "GET /api", "X-Cost: NaN\r\n"+lookup, "")
-	exchange("GET class by POST", "POST /api", lookup, "")
-	exchange("POST class by GET", "GET /api", charge, "")
-	exchange("no idempotency key", "POST /api", reserve, "")
-	exchange("non-idempotent class with a key", "POST /api", charge+"Idempotency-Key: 1\r\n", "")
-	exchange("GET with a body", "GET /api", lookup, "body")
-	exchange("chunked", "POST /api", charge+"Transfer-Encoding: chunked\r\n", "")
-	exchange("body too large", "POST /api", charge, strings.Repeat("x", maxBodyBytes+1))
-	exchange("other path", "GET /other", lookup, "")
-	exchange("other method", "PUT /api", lookup, "")
+	exchanges.add("ready", "GET /health/ready", "", "")
+	exchanges.add("served", "GET /api?serve", lookup, "")
+	exchanges.add("rejected with Retry-After", "GET /api?hold-off=1", lookup, "")
+	exchanges.add("rejected without Retry-After", "GET /api?hold-off=0", lookup, "")
+	exchanges.add("failed", "POST /api?fail", charge, "body")
+	exchanges.add("timed out", "GET /api?late", lookup, "")
+	exchanges.add("no request ID", "GET /api", "X-Request-ID: \r\n"+lookup, "")
+	exchanges.add("two request IDs", "GET /api", "X-Request-ID: 1\r\nX-Request-ID: 2\r\n"+lookup, "")
+	exchanges.add("request ID in use", "GET /api?serve", "X-Request-ID: 2\r\n"+lookup, "")
+	exchanges.add("unknown class", "GET /api", "X-Priority-Class: none\r\n", "")
+	exchanges.add("invalid timeout", "GET /api", "X-Timeout-Ms: soon\r\n"+lookup, "")
+	exchanges.add("invalid cost", "GET /api", "X-Cost: NaN\r\n"+lookup, "")
+	exchanges.add("GET class by POST", "POST /api", lookup, "")
+	exchanges.add("POST class by GET", "GET /api", charge, "")
+	exchanges.add("no idempotency key", "POST /api", reserve, "")
+	exchanges.add("non-idempotent class with a key", "POST /api", charge+"Idempotency-Key: 1\r\n", "")
+	exchanges.add("GET with a body", "GET /api", lookup, "body")
+	exchanges.add("chunked", "POST /api", charge+"Transfer-Encoding: chunked\r\n", "")
+	exchanges.add("body too large", "POST /api", charge, strings.Repeat("x", maxBodyBytes+1))
+	exchanges.add("other path", "GET /other", lookup, "")
+	exchanges.add("other method", "PUT /api", lookup, "")
 	front.maxInFlight = 0
-	exchange("too many requests", "GET /api", lookup, "")
+	exchanges.add("too many requests", "GET /api", lookup, "")
 	front.bodyMemory.remaining.Store(0)
-	exchange("body memory exhausted", "POST /api", charge, "body")
+	exchanges.add("body memory exhausted", "POST /api", charge, "body")
 	front.maxInFlight = 10
 	drainEnd := time.Now().Add(testTimeout)
 	front.drainDeadline.Store(&drainEnd)
-	exchange("not ready while draining", "GET /health/ready", "", "")
+	exchanges.add("not ready while draining", "GET /health/ready", "", "")
 	front.closeAfterResponse.Store(true)
-	exchange("served while connections close", "GET /api?serve", lookup, "")
+	exchanges.add("served while connections close", "GET /api?serve", lookup, "")
 	close(front.drainExpired)
-	exchange("drain deadline", "GET /api?never", lookup, "")
-	goldentest.Compare(t, "answers.golden.txt", got.Bytes())
+	exchanges.add("drain deadline", "GET /api?never", lookup, "")
+	goldentest.Compare(t, "answers.golden.txt", exchanges.got.Bytes())
 }
 
 // The requests that servers get, attempts and health checks, are the same bytes, except for the remaining time.
