--- a/internal/release/lifecycle_test.go
+++ b/internal/release/lifecycle_test.go
@@ -1,6 +1,7 @@
 package release
 
 import (
+	"fmt"
 	"strings"
 	"testing"
 
@@ -28,7 +29,7 @@
 	}
 }
 
-// checkEnd plays the release r to its end, and checks its phase and a part of the reason of its halt.
+// checkEnd runs the release r to its end, and checks its phase and a part of the reason of its halt.
 func checkEnd(t *testing.T, model *clusterModel, ticks int, phase Phase, reason string) *State {
 	t.Helper()
 	state, err := model.runToEnd(noCrash(), ticks, nil)
@@ -83,15 +84,15 @@
 		}
 	}
 	first := model.list().Find(state.Units[0].Name)
-	if reloaded != 1 || first.ConfigName != "c1" || model.maxOut > 0 {
+	if reloaded != 1 || first.ConfigName != "c1" || model.peakUnavailable > 0 {
 		t.Errorf("%d were reloaded, the first has %s, %d were out at once; want 1, c1, 0",
-			reloaded, first.ConfigName, model.maxOut)
+			reloaded, first.ConfigName, model.peakUnavailable)
 	}
 	sendCommand(t, model, CommandRollback)
 	checkEnd(t, model, 300, PhaseRolledBack, "")
 }
 
-// A halt at every moment, so also across each grant: no unit is taken out after it, those that are out return or finish,
+// A halt at every moment, so also across each grant: no further unit goes out after it, those that are out return or finish,
 // and a resumed release completes as if nothing had happened.
 func TestHaltAtEveryTick(t *testing.T) {
 	const haltTicks = 60
@@ -236,14 +237,19 @@
 
 func TestMissingOrSparseReportsHoldWave(t *testing.T) {
 	for _, outcome := range []judge.Outcome{judge.NoData, judge.Inconclusive, ""} {
-		model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
-		model.startRelease(serverPlan)
-		model.verdict = func(*State) judge.Verdict { return judge.Verdict{Outcome: outcome} }
-		state, _ := model.run(noCrash(), 400, nil)
-		if state.Status.Phase != PhaseRollout || state.Status.Wave != 0 {
-			t.Errorf("verdict %q: it is %s in wave %d, want to stay in the first", outcome, state.Status.Phase, state.Status.Wave)
-		}
+		t.Run(fmt.Sprintf("verdict %q", outcome), func(t *testing.T) {
+			model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
+			model.startRelease(serverPlan)
+			model.verdict = func(*State) judge.Verdict { return judge.Verdict{Outcome: outcome} }
+			state, _ := model.run(noCrash(), 400, nil)
+			if state.Status.Phase != PhaseRollout || state.Status.Wave != 0 {
+				t.Errorf("it is %s in wave %d, want to stay in the first", state.Status.Phase, state.Status.Wave)
+			}
+		})
 	}
+}
+
+func TestInconclusiveWaveIsExtended(t *testing.T) {
 	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
 	model.startRelease(strings.Replace(serverPlan, "bake_s = 5", "bake_s = 5\nwiden = 1", 1))
 	model.verdict = func(*State) judge.Verdict { return judge.Verdict{Outcome: judge.Inconclusive} }
@@ -268,8 +274,8 @@
 // Two releases, a maintenance window's permit and an operator's drain request permits at once in one zone; then servers
 // fail alone.
 func TestConcurrentPermitRequestsShareBudget(t *testing.T) {
-	const maxOut = 2
-	model := newClusterModel(t, disruption.KindServer, 2, 6, maxOut)
+	const maxUnavailable = 2
+	model := newClusterModel(t, disruption.KindServer, 2, 6, maxUnavailable)
 	model.startRelease(planForUnits("r1", `"server/a0","server/a1","server/b0","server/b1"`))
 	model.startRelease(planForUnits("r2", `"server/a2","server/b2","server/b3"`))
 	model.startDrain("d", "server/a3")
@@ -309,8 +315,8 @@
 		for _, id := range model.unitsOut() {
 			out[id] = true
 		}
-		if len(out) > maxOut {
-			t.Fatalf("tick %d: %d are out under permits, allowed are %d", tick, len(out), maxOut)
+		if len(out) > maxUnavailable {
+			t.Fatalf("tick %d: %d are out under permits, allowed are %d", tick, len(out), maxUnavailable)
 		}
 		model.advance()
 	}
--- a/internal/sidecar/attempt_outcome_test.go
+++ b/internal/sidecar/attempt_outcome_test.go
@@ -145,7 +145,7 @@
 // response, one outcome, and no body memory stays reserved.
 func TestResponseRacingTermination(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
-	for name, play := range map[string]func(loop *steppedLoop, call *call, event attemptCompleted){
+	for name, terminate := range map[string]func(loop *steppedLoop, call *call, event attemptCompleted){
 		"disconnect first": func(loop *steppedLoop, call *call, event attemptCompleted) {
 			loop.disconnect(call)
 			loop.handleEvent(loop.nowMS(), event)
@@ -190,7 +190,7 @@
 			if event.exchange.outcome != balance.OK {
 				t.Fatalf("%+v", event.exchange)
 			}
-			play(loop, call, event)
+			terminate(loop, call, event)
 			loop.assertReleased(call)
 		})
 	}
@@ -237,7 +237,7 @@
 				t.Errorf("%+v, want %v", result, test.want)
 			}
 			if remaining := pool.bodyMemory.remaining.Load(); remaining != memory-int64(result.response.reservedBytes) {
-				t.Errorf("%d bytes held for an answer of %d", memory-remaining, result.response.reservedBytes)
+				t.Errorf("%d bytes reserved for a response of %d", memory-remaining, result.response.reservedBytes)
 			}
 			if pool.openConns != 0 {
 				t.Error("the connection is not closed")
@@ -367,13 +367,13 @@
 func TestResetDuringWrite(t *testing.T) {
 	listener, conns := newUnreadListener(t)
 	healthyServer := newBackend(t, "b", func(conn net.Conn, r *http.Request, body string) bool {
-		return len(body) == maxBody && serveOK(conn, r, body)
+		return len(body) == maxBodyBytes && serveOK(conn, r, body)
 	})
 	loop := newSteppedLoop(t, newConfigDocument("127.0.0.1:1", readyEndpoint("a", listener.Addr().String())), func(pool *connPool) {
 		pool.dialer.Control = smallSocketBuffers(syscall.SO_SNDBUF)
 	})
 	call := loop.newCall("charge")
-	call.outbound.body = make([]byte, maxBody)
+	call.outbound.body = make([]byte, maxBodyBytes)
 	loop.handleEvent(loop.nowMS(), requestArrived{call})
 	conn := receiveWithin(t, "the connection", conns)
 	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil { // a part of it has arrived
