--- a/cmd/milldeck/benchmark.go
+++ b/cmd/milldeck/benchmark.go
@@ -9,16 +9,25 @@
 	"github.com/spf13/cobra"
 )
 
-// benchmarkResult is what a benchmark found: its JSON is the result.
+// benchmarkResult is what a benchmark measured. Its JSON is written as the result.
 type benchmarkResult interface {
 	writeTable(io.Writer) error
-	failure() error // what it found that must not be
+	failure() error // the violations that were found, or nil
+}
+
+// benchmarkOptions are the options of one run of a benchmark.
+type benchmarkOptions struct {
+	full     bool
+	program  string       // the executable that the benchmark's processes run
+	dir      string       // a new directory for logs and data, which the caller removes
+	progress func(string) // called with a line for each step
 }
 
 // benchmark is a command that measures processes of this program.
 type benchmark struct {
-	short, long, fullHelp string
-	run                   func(ctx context.Context, fullHelp bool, self, dir string, say func(string)) (benchmarkResult, error)
+	short, long string
+	fullHelp    string // help text of --full
+	run         func(context.Context, benchmarkOptions) (benchmarkResult, error)
 }
 
 func (b benchmark) command() *cobra.Command {
@@ -27,16 +36,7 @@
 	command := &cobra.Command{
 		Use: "bench", Short: b.short, Long: b.long + "\n\n" + exitHelp, Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
-			program, err := os.Executable()
-			if err != nil {
-				return err
-			}
-			dir, err := os.MkdirTemp("", "milldeck-bench-")
-			if err != nil {
-				return err
-			}
-			defer func() { _ = os.RemoveAll(dir) }() // a temporary directory that stays is no failure of the benchmark
-			result, err := b.run(command.Context(), full, program, dir, func(line string) { fmt.Fprintln(command.ErrOrStderr(), line) })
+			result, err := b.runInTempDir(command, full)
 			if err != nil {
 				return err
 			}
@@ -57,3 +57,22 @@
 	command.Flags().BoolVar(&full, "full", false, b.fullHelp)
 	return command
 }
+
+// runInTempDir runs the benchmark in a temporary directory and prints its progress on standard error.
+func (b benchmark) runInTempDir(command *cobra.Command, full bool) (benchmarkResult, error) {
+	program, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	dir, err := os.MkdirTemp("", "milldeck-bench-")
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = os.RemoveAll(dir) }() // a temporary directory that stays is no failure of the benchmark
+	return b.run(command.Context(), benchmarkOptions{
+		full:     full,
+		program:  program,
+		dir:      dir,
+		progress: func(line string) { fmt.Fprintln(command.ErrOrStderr(), line) },
+	})
+}
--- a/cmd/milldeck/contract.go
+++ b/cmd/milldeck/contract.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -114,7 +113,7 @@
 				return err
 			}
 			return flags.print(command.OutOrStdout(), view.Table.Contracts, func(out io.Writer) error {
-				table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+				table := newTable(out)
 				for _, active := range view.Table.Contracts {
 					fmt.Fprintf(table, "%s\tversion %d\t%s\t%d of %d minutes\n", active.Tenant, active.Version, active.Zone,
 						minutesUsed(view.Table, active), active.MinutesPerMonth)
--- a/cmd/milldeck/fleet.go
+++ b/cmd/milldeck/fleet.go
@@ -8,7 +8,6 @@
 	"io"
 	"maps"
 	"slices"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -21,7 +20,7 @@
 func newFleet() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "fleet",
-		Short: "The fleet as a whole: what is unavailable, halts, drains",
+		Short: "The fleet: unavailable units, halts, drains",
 		Long:  "fleet shows what is unavailable and why, halts all that would take more out of service, and drains servers.\n\n" + exitHelp,
 		Args:  exactArgs(0),
 		RunE:  func(command *cobra.Command, _ []string) error { return command.Help() },
@@ -43,7 +42,7 @@
 
 // writeFleet prints a ledger for people: uncertainty and halts first.
 func writeFleet(out io.Writer, view *disruption.View) error {
-	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	table := newTable(out)
 	if view.Uncertainty != "" {
 		fmt.Fprintln(table, "doubt:", view.Uncertainty)
 	}
@@ -57,7 +56,7 @@
 		if status.Unavailable == 0 && status.WarmingUp == 0 {
 			continue
 		}
-		fmt.Fprintf(table, "%s\t%d of %d out, %d may be\t%.4g of %.4g cold\n", status.Name, status.Unavailable, status.Total,
+		fmt.Fprintf(table, "%s\t%d of %d unavailable, at most %d\t%.4g of %.4g warming up\n", status.Name, status.Unavailable, status.Total,
 			status.MaxUnavailable, status.WarmingUp, status.Capacity)
 	}
 	for _, permit := range view.Permits {
@@ -109,7 +108,7 @@
 		Short: "Drains and stops servers for good, one after the other within the budgets",
 		Long: "drain drains servers and stops them: what only they serve is made ready elsewhere, the endpoint list says\n" +
 			"Terminating, and once every live sidecar has that list and no request can be in flight, the platform stops them.\n" +
-			"NAME is the drain's, and of its lease, release/NAME: of two that run the second is a candidate. release halt and\n" +
+			"NAME is the drain's, and of its lease, release/NAME: of two that run the second waits as a candidate. release halt and\n" +
 			"resume act on it.\n\n" + exitHelp,
 		Example: "  milldeck fleet drain rack-7 --ids server/a1,server/a2\n  milldeck fleet drain zone-b --zone b --deadline 6h",
 		Args:    exactArgs(1),
--- a/cmd/milldeck/fleet_budgets.go
+++ b/cmd/milldeck/fleet_budgets.go
@@ -6,7 +6,6 @@
 	"io"
 	"maps"
 	"slices"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -111,7 +110,7 @@
 }
 
 func writeBudgets(out io.Writer, budgets []disruption.Budget) error {
-	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	table := newTable(out)
 	for i := range budgets {
 		budget := &budgets[i]
 		fmt.Fprintf(table, "%s\t%s out\t%s cold\tof %s\n", budget.Name,
--- a/cmd/milldeck/hotkey.go
+++ b/cmd/milldeck/hotkey.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"net/http"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -27,7 +26,7 @@
 func newHotKey() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "spread",
-		Short: "The controller of hot keys",
+		Short: "Hot keys: the controller that replicates them over additional servers",
 		Long: "spread replicates hot keys over additional servers, and shows which it replicates. docs/hot-keys.md describes it.\n\n" +
 			exitHelp,
 		Args: exactArgs(0),
@@ -59,8 +58,8 @@
 	command.Flags().StringVar(&options.listen, "listen", defaultHotKeyAddr, "address for load reports and status requests")
 	command.Flags().StringSliceVar(&options.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
 	command.Flags().Float64Var(&options.serverCapacity, "bear", 1000, "capacity of a server of relative capacity 1, ms of work a second: 1000 for each core")
-	command.Flags().Float64Var(&options.requestWork, "work", 50, "work of a usual request, ms")
-	command.Flags().DurationVar(&options.serverWarmup, "cold-for", time.Minute, "how long after its start a server gets no replicas")
+	command.Flags().Float64Var(&options.requestWork, "work", 50, "work of an average request, ms")
+	command.Flags().DurationVar(&options.serverWarmup, "cold-for", time.Minute, "warm-up of a server: for so long after its start it gets no replicas")
 	return command
 }
 
@@ -93,7 +92,7 @@
 	command := &cobra.Command{
 		Use:   "show",
 		Short: "Prints the keys that are replicated",
-		Long:  "show prints the keys that are replicated: it asks the controller that holds the lease.\n\n" + exitHelp,
+		Long:  "show prints the keys that are replicated: from the controller that holds the lease.\n\n" + exitHelp,
 		Args:  exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			ctx, cancel := context.WithTimeout(command.Context(), flags.wait)
@@ -113,9 +112,9 @@
 
 // printKeyStatuses prints a line for each key.
 func printKeyStatuses(w io.Writer, statuses []hotkey.KeyStatus) error {
-	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	table := newTable(w)
 	for _, status := range statuses {
-		fmt.Fprintf(table, "%s\t%.0f to %.0f ms/s\t%d warming\t%d carrying\t%d cooling\n",
+		fmt.Fprintf(table, "%s\t%.0f to %.0f ms/s\t%d warming up\t%d active\t%d retiring\n",
 			status.Key, status.LowerBound, status.UpperBound, status.Warming, status.Active, status.Retiring)
 	}
 	return table.Flush()
--- a/cmd/milldeck/lab.go
+++ b/cmd/milldeck/lab.go
@@ -20,9 +20,9 @@
 func newLab() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "lab",
-		Short: "Tries a fleet out on this machine: load, faults, a judge and reports",
-		Long: "lab plays experiments: a fleet of sidecars and servers under load, with scheduled faults, watched by a judge.\n" +
-			"An experiment is a TOML file, as those in experiments/; docs/lab.md tells its keys and the faults there are.\n\n" + exitHelp,
+		Short: "Tests a fleet on this machine: load, fault injection, rule checks and reports",
+		Long: "lab plays experiments: a fleet of sidecars and servers under load, with scheduled faults and rules that are\n" +
+			"checked. An experiment is a TOML file, as those in experiments/; docs/lab.md describes its keys and the faults.\n\n" + exitHelp,
 		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
@@ -71,7 +71,10 @@
 	return os.WriteFile(path, data, 0o644)
 }
 
-// violationError is the error of a run whose sidecars broke rules.
+// errCutShort is the error of a run that an interrupt ended.
+var errCutShort = errors.New("cut short")
+
+// violationError is the error of a run whose sidecars broke rules, or that could not be judged.
 func violationError(result *lab.Result) error {
 	if result.ViolationCount > 0 {
 		return fmt.Errorf("%s, seed %d: %d rule(s) broken (%s)", result.Name, result.Seed, result.ViolationCount, strings.Join(ruleNames(result), ", "))
@@ -81,7 +84,7 @@
 			result.Name, result.Lateness, result.SentTooLate)
 	}
 	if result.CutShort {
-		return errors.New("cut short")
+		return errCutShort
 	}
 	return nil
 }
@@ -101,7 +104,7 @@
 	return names
 }
 
-// planFlags are the flags of how an experiment is drawn.
+// planFlags are the flags that change how a plan is drawn from an experiment.
 type planFlags struct {
 	seed    uint64
 	without []string
@@ -161,9 +164,9 @@
 func (s *simCommand) register(command *cobra.Command) {
 	s.output.register(command)
 	s.planning.register(command)
-	command.Flags().StringVar(&s.policy, "policy", sim.Module, "what decides: "+strings.Join(sim.Policies(), ", ")+", or all of them side by side")
+	command.Flags().StringVar(&s.policy, "policy", sim.Module, "policy that decides: "+strings.Join(sim.Policies(), ", ")+", or all of them side by side")
 	s.controlPlane.register(command)
-	command.Flags().IntVar(&s.workers, "workers", 0, "sidecars that decide at a time (default: one for each core); the result is the same")
+	command.Flags().IntVar(&s.workers, "workers", 0, "sidecars simulated in parallel (default: one for each core); the result is the same")
 }
 
 // run plays the experiment that the arguments name: as a simulation of its control plane, or with one or all policies.
--- a/cmd/milldeck/lab_controlplane.go
+++ b/cmd/milldeck/lab_controlplane.go
@@ -6,7 +6,6 @@
 	"runtime"
 	"strconv"
 	"strings"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -23,10 +22,30 @@
 }
 
 func (f *controlPlaneFlags) register(command *cobra.Command) {
-	command.Flags().StringVar(&f.seeds, "seeds", "", "with a control plane: play the nights of these seeds, as 1-300 (default: the file's or --seed)")
+	command.Flags().StringVar(&f.seeds, "seeds", "", "with a control plane: simulate these seeds, as 1-300 (default: the file's or --seed)")
 	command.Flags().IntVar(&f.sidecars, "sidecars", 1000, "with a control plane: sidecars of the fleet, 16 to 10,000")
 	command.Flags().IntVar(&f.servers, "servers", 2000, "with a control plane: servers of the fleet, 160 to 10,000")
-	command.Flags().IntVar(&f.releases, "releases", 0, "with a control plane: also play so many releases of harmful and of healthy versions")
+	command.Flags().IntVar(&f.releases, "releases", 0, "with a control plane: also simulate so many releases of regressed and of healthy versions")
+}
+
+// Bounds of a simulation.
+const (
+	minSidecars = 16
+	maxSidecars = 10_000
+	minServers  = 160
+	maxServers  = 10_000
+	maxReleases = 10_000
+)
+
+// validate checks the size of a simulation.
+func (f *controlPlaneFlags) validate() error {
+	valid := f.sidecars >= minSidecars && f.sidecars <= maxSidecars &&
+		f.servers >= minServers && f.servers <= maxServers &&
+		f.releases >= 0 && f.releases <= maxReleases
+	if !valid {
+		return usageError{fmt.Errorf("%d sidecars, %d servers, %d releases: beyond what can be simulated", f.sidecars, f.servers, f.releases)}
+	}
+	return nil
 }
 
 // play plays the simulations and writes their figures; a broken rule is an error.
@@ -35,13 +54,14 @@
 	if err != nil {
 		return err
 	}
-	if f.sidecars < 16 || f.sidecars > 10_000 || f.servers < 160 || f.servers > 10_000 || f.releases < 0 || f.releases > 10_000 {
-		return usageError{fmt.Errorf("%d sidecars, %d servers, %d releases: beyond what can be played", f.sidecars, f.servers, f.releases)}
+	if err := f.validate(); err != nil {
+		return err
 	}
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
-	result, err := batch.Run(command.Context(), plan.Experiment.Name, firstSeed, lastSeed, f.releases, controlplane.Options{Sidecars: f.sidecars, Servers: f.servers}, workers)
+	options := controlplane.Options{Sidecars: f.sidecars, Servers: f.servers}
+	result, err := batch.Run(command.Context(), plan.Experiment.Name, firstSeed, lastSeed, f.releases, options, workers)
 	if err != nil {
 		return err
 	}
@@ -56,15 +76,15 @@
 		}
 	}
 	if figures := result.Summary; figures.Violations+figures.RolloutViolations > 0 {
-		return fmt.Errorf("%s: %d rule(s) broken, in the nights of seeds %v", result.Name, figures.Violations+figures.RolloutViolations, figures.FailedSeeds)
+		return fmt.Errorf("%s: %d rule(s) broken, in the simulations of seeds %v", result.Name, figures.Violations+figures.RolloutViolations, figures.FailedSeeds)
 	}
 	return nil
 }
 
-// maxSimulations bounds one call.
+// maxSimulations bounds the seeds of one command.
 const maxSimulations = 100_000
 
-// seedRange gives the first and last seed of --seeds, or the plan's own.
+// seedRange returns the first and last seed of --seeds, or the plan's own.
 func (f *controlPlaneFlags) seedRange(seed uint64) (first, last uint64, err error) {
 	if f.seeds == "" {
 		return seed, seed, nil
@@ -83,23 +103,23 @@
 	return first, last, nil
 }
 
-// maxListedViolations of a simulation are shown.
+// maxListedViolations is how many violations of a simulation are printed.
 const maxListedViolations = 3
 
 func writeControlPlaneTable(w io.Writer, result *batch.Result) error {
 	figures := &result.Summary
-	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	table := newTable(w)
 	row := func(name, format string, args ...any) {
 		fmt.Fprintf(table, "%s\t%s\n", name, fmt.Sprintf(format, args...))
 	}
-	row(result.Name, "%d nights of the control plane, %.0f s in all, %d writes", figures.Simulations, figures.SimulatedSeconds, figures.Writes)
+	row(result.Name, "%d simulations of the control plane, %.0f s in all, %d writes", figures.Simulations, figures.SimulatedSeconds, figures.Writes)
 	row("rules broken", "%d", figures.Violations+figures.RolloutViolations)
-	row("kept off", "%.0f s by all sidecars, %.3f s outside approved hours", figures.ExcludedSeconds, figures.ExcludedOutsideHoursSeconds)
-	row("windows", "%.4f of %d that could fit were held", figures.CompletedWindowShare, figures.FeasibleWindows)
+	row("excluded", "%.0f s by all sidecars, %.3f s outside approved hours", figures.ExcludedSeconds, figures.ExcludedOutsideHoursSeconds)
+	row("windows", "%.4f of %d feasible ones were completed", figures.CompletedWindowShare, figures.FeasibleWindows)
 	if figures.RegressedRollouts > 0 {
-		row("harmful versions", "%.4f of %d stopped under a tenth of the fleet", figures.StoppedEarlyShare, figures.RegressedRollouts)
+		row("regressed versions", "%.4f of %d stopped under a tenth of the fleet", figures.StoppedEarlyShare, figures.RegressedRollouts)
 		row("healthy versions", "%.4f of %d halted", figures.FalseHaltShare, figures.HealthyRollouts)
-		row("way back", "%.2f of the time forward, median %.2f", figures.MaxRollbackRatio, figures.MedianRollbackRatio)
+		row("rollback", "at most %.2f of the rollout's duration, median %.2f", figures.MaxRollbackRatio, figures.MedianRollbackRatio)
 	}
 	for _, simulation := range result.Simulations {
 		for i, violation := range simulation.FirstViolations {
--- a/cmd/milldeck/lab_hotkey.go
+++ b/cmd/milldeck/lab_hotkey.go
@@ -15,11 +15,11 @@
 }
 
 func (f *hotKeyFlags) register(command *cobra.Command) {
-	command.Flags().StringVar(&f.controller, "spread", "", "in sim, who spreads hot keys in place of what the file says: on, off or oracle")
+	command.Flags().StringVar(&f.controller, "spread", "", "in sim, the hot-key controller in place of that of the file: on, off or oracle")
 	command.Flags().BoolVar(&f.withoutHotKeys, "calm", false, "leave out phases of hot keys")
 }
 
-// apply gives the experiment as the flags change it.
+// apply returns the experiment as the flags change it.
 func (f *hotKeyFlags) apply(experiment *lab.Experiment) (*lab.Experiment, error) {
 	if f.withoutHotKeys {
 		experiment = experiment.WithoutHotKeys()
@@ -40,7 +40,7 @@
 	}
 	for i := range changed.Faults {
 		if !hotKeys.Enabled && lab.IsHotKeyFault(lab.FaultKind(changed.Faults[i].Kind)) {
-			return nil, usageError{fmt.Errorf("--spread %s: %s needs the spreader", f.controller, changed.Faults[i].Kind)}
+			return nil, usageError{fmt.Errorf("--spread %s: %s needs the hot-key controller", f.controller, changed.Faults[i].Kind)}
 		}
 	}
 	return &changed, nil
--- a/cmd/milldeck/lab_run.go
+++ b/cmd/milldeck/lab_run.go
@@ -63,7 +63,7 @@
 	return result, nil
 }
 
-// runProgress shows how a run goes: one line that changes on a terminal, plain lines when piped.
+// runProgress prints the progress of a run: one line that is overwritten on a terminal, plain lines otherwise.
 func runProgress(w io.Writer) func(live.Progress) {
 	terminal := isTerminal(w)
 	return func(progress live.Progress) {
@@ -91,7 +91,7 @@
 		Use:   "run FILE",
 		Short: "Plays an experiment with real sidecar processes and sockets",
 		Long: "run plays an experiment with real sidecar processes on loopback addresses, in real time. It takes as long as\n" +
-			"the experiment says and a few seconds more. An interrupt ends all children and still writes the result.\n\n" + exitHelp,
+			"the experiment says and a few seconds more. An interrupt ends all child processes and still writes the result.\n\n" + exitHelp,
 		Example: "  milldeck lab run experiments/quickstart.toml --report out",
 		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -121,7 +121,7 @@
 	var path string
 	command := &cobra.Command{
 		Use:   "compare FILE",
-		Short: "Plays an experiment both ways and tells how far apart they are",
+		Short: "Plays an experiment in sim and in run and prints the difference",
 		Long:  "compare plays an experiment in sim and in run, from the same plan, and prints both with their difference.\n\n" + exitHelp,
 		Args:  exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
--- a/cmd/milldeck/lab_server.go
+++ b/cmd/milldeck/lab_server.go
@@ -18,7 +18,7 @@
 	command := &cobra.Command{
 		Use: "server", Hidden: true, Short: "Runs one model server until SIGTERM", Args: exactArgs(0),
 		Long: "server runs one of the lab's model servers as a process, until SIGTERM, which drains it. It speaks to sidecars as\n" +
-			"a real one does, answers GET /health/ready, and tells the lab that its configuration names what it does.\n\n" + exitHelp,
+			"a real one does, answers GET /health/ready, and reports what it does to the lab at the address in its configuration.\n\n" + exitHelp,
 		RunE: func(command *cobra.Command, _ []string) error {
 			if configPath == "" {
 				return usageError{errors.New("lab server needs --config FILE")}
@@ -38,9 +38,9 @@
 		},
 	}
 	command.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address on loopback")
-	command.Flags().StringVar(&configPath, "config", "", "TOML file: the kind's model, rules, classes and the lab's address")
-	command.Flags().StringVar(&regressionPath, "harm", "", "TOML file of what its version does wrong")
-	command.Flags().StringVar(&unit.Name, "name", "server", "its unit's name")
-	command.Flags().StringVar(&unit.Version, "version", "", "its version's name")
+	command.Flags().StringVar(&configPath, "config", "", "TOML file: the model of its kind, rules, request classes and the lab's address")
+	command.Flags().StringVar(&regressionPath, "harm", "", "TOML file of the regressions of its version")
+	command.Flags().StringVar(&unit.Name, "name", "server", "name of its unit")
+	command.Flags().StringVar(&unit.Version, "version", "", "name of its version")
 	return command
 }
--- a/cmd/milldeck/lab_sweep.go
+++ b/cmd/milldeck/lab_sweep.go
@@ -31,13 +31,13 @@
 	f.hotKeyFlags.register(command)
 	command.Flags().StringVar(&f.seeds, "seeds", "1-10", "seeds, as 1-20 or 3,5,8")
 	command.Flags().StringVar(&f.mode, "mode", "sim", "sim or run")
-	command.Flags().StringVar(&f.policy, "policy", sim.Module, "in sim, what decides")
+	command.Flags().StringVar(&f.policy, "policy", sim.Module, "in sim, the policy that decides")
 }
 
 // player plays one plan.
 type player func(context.Context, *lab.Plan) (*lab.Result, error)
 
-// load gives the experiment, the seeds and what plays them.
+// load returns the experiment, the seeds and the player of the mode.
 func (f *seedFlags) load(path string) (*lab.Experiment, []uint64, player, error) {
 	seeds, err := parseSeeds(f.seeds)
 	if err != nil {
@@ -71,7 +71,7 @@
 		Use:   "sweep FILE",
 		Short: "Plays an experiment on many seeds",
 		Long: "sweep plays an experiment on many seeds and shows the worst one. Results go to a file, one JSON object a line;\n" +
-			"a sweep that was cut off goes on where the file ends.\n\n" + exitHelp,
+			"an interrupted sweep continues where the file ends.\n\n" + exitHelp,
 		Example: "  milldeck lab sweep experiments/fleet.toml --seeds 1-20 --json sweep.jsonl",
 		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -110,7 +110,8 @@
 	return seeds, nil
 }
 
-// seedSweep plays one experiment on many seeds.
+// seedSweep plays one experiment on many seeds. With a path it appends each result to that file, and takes the results
+// that are there already from it.
 type seedSweep struct {
 	experiment *lab.Experiment
 	path       string
@@ -131,29 +132,23 @@
 	var worst *lab.Result
 	violationCount, servedShareSum := 0, 0.0
 	for i, seed := range seeds {
-		result, reused := earlier[seed]
 		started := time.Now()
+		result, reused := earlier[seed]
+		note := "from the file"
 		if !reused {
 			var err error
-			if result, err = s.play(ctx, s.experiment.NewPlan(seed)); err != nil {
-				return fmt.Errorf("seed %d: %w", seed, err)
+			result, err = s.playSeed(ctx, seed, resultFile)
+			if errors.Is(err, errCutShort) {
+				return fmt.Errorf("cut short after %d of %d seeds; the same command continues from there", i, len(seeds))
 			}
-			if ctx.Err() != nil {
-				return fmt.Errorf("cut short after %d of %d seeds; the same command goes on from there", i, len(seeds))
-			}
-			if resultFile != nil {
-				if err := json.NewEncoder(resultFile).Encode(result); err != nil {
-					return err
-				}
+			if err != nil {
+				return err
 			}
-		}
-		note := fmt.Sprintf("%.1f s", time.Since(started).Seconds())
-		if reused {
-			note = "from the file"
+			note = fmt.Sprintf("%.1f s", time.Since(started).Seconds())
 		}
 		fmt.Fprintf(s.output, "%4d/%d  seed %-6d  worth %.4f  p99 %8.1f ms  lost %4d  rules broken %d  (%s)\n",
 			i+1, len(seeds), seed, result.WeightedServedShare, result.P99, result.Unanswered, result.ViolationCount, note)
-		if worst == nil || result.ViolationCount > worst.ViolationCount || result.ViolationCount == worst.ViolationCount && result.WeightedServedShare < worst.WeightedServedShare {
+		if worst == nil || isWorse(result, worst) {
 			worst = result
 		}
 		violationCount += result.ViolationCount
@@ -167,7 +162,30 @@
 	return nil
 }
 
-// resume reads what an earlier sweep found and opens the file for more. A torn last line is taken off.
+// playSeed plays one seed and appends the result to the file, which may be nil. The error is errCutShort where ctx has
+// ended.
+func (s *seedSweep) playSeed(ctx context.Context, seed uint64, resultFile *os.File) (*lab.Result, error) {
+	result, err := s.play(ctx, s.experiment.NewPlan(seed))
+	switch {
+	case err != nil:
+		return nil, fmt.Errorf("seed %d: %w", seed, err)
+	case ctx.Err() != nil:
+		return nil, errCutShort
+	case resultFile == nil:
+		return result, nil
+	}
+	return result, json.NewEncoder(resultFile).Encode(result)
+}
+
+// isWorse reports whether a result broke more rules than another, or as many and served less.
+func isWorse(result, other *lab.Result) bool {
+	if result.ViolationCount != other.ViolationCount {
+		return result.ViolationCount > other.ViolationCount
+	}
+	return result.WeightedServedShare < other.WeightedServedShare
+}
+
+// resume reads what an earlier sweep found and opens the file for more. An incomplete last line is removed.
 func (s *seedSweep) resume(earlier map[uint64]*lab.Result) (*os.File, error) {
 	resultFile, err := os.OpenFile(s.path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
@@ -269,25 +287,14 @@
 		}
 		withKind := *experiment
 		withKind.Faults = byKind[kind]
-		counts, servedShareSum, worst := map[lab.Rule]int{}, 0.0, 1.0
-		for _, seed := range seeds {
-			result, err := play(ctx, withKind.NewPlan(seed))
-			if err != nil {
-				return fmt.Errorf("%s, seed %d: %w", kind, seed, err)
-			}
-			if ctx.Err() != nil {
-				return errors.New("cut short")
-			}
-			servedShareSum += result.WeightedServedShare
-			worst = min(worst, result.WeightedServedShare)
-			for rule, count := range result.ViolationsByRule {
-				counts[rule] += count
-				violationCount += count
-			}
+		summary, err := summarizeSeeds(ctx, &withKind, seeds, play)
+		if err != nil {
+			return fmt.Errorf("%s: %w", kind, err)
 		}
-		fmt.Fprintf(w, "| `%s` | %.4f | %.4f |", kind, servedShareSum/float64(len(seeds)), worst)
+		violationCount += summary.violationCount
+		fmt.Fprintf(w, "| `%s` | %.4f | %.4f |", kind, summary.meanServedShare, summary.worstServedShare)
 		for _, rule := range experiment.ApplicableRules() {
-			fmt.Fprintf(w, " %d |", counts[rule])
+			fmt.Fprintf(w, " %d |", summary.violationsByRule[rule])
 		}
 		fmt.Fprintln(w)
 	}
@@ -296,3 +303,34 @@
 	}
 	return nil
 }
+
+// seedSummary is what plays of one experiment on several seeds found. Shares are weighted by priority.
+type seedSummary struct {
+	meanServedShare  float64
+	worstServedShare float64
+	violationsByRule map[lab.Rule]int
+	violationCount   int
+}
+
+// summarizeSeeds plays an experiment on all seeds, and returns errCutShort where ctx ends before.
+func summarizeSeeds(ctx context.Context, experiment *lab.Experiment, seeds []uint64, play player) (*seedSummary, error) {
+	summary := &seedSummary{worstServedShare: 1, violationsByRule: map[lab.Rule]int{}}
+	servedShareSum := 0.0
+	for _, seed := range seeds {
+		result, err := play(ctx, experiment.NewPlan(seed))
+		if err != nil {
+			return nil, fmt.Errorf("seed %d: %w", seed, err)
+		}
+		if ctx.Err() != nil {
+			return nil, errCutShort
+		}
+		servedShareSum += result.WeightedServedShare
+		summary.worstServedShare = min(summary.worstServedShare, result.WeightedServedShare)
+		for rule, count := range result.ViolationsByRule {
+			summary.violationsByRule[rule] += count
+			summary.violationCount += count
+		}
+	}
+	summary.meanServedShare = servedShareSum / float64(len(seeds))
+	return summary, nil
+}
--- a/cmd/milldeck/lease.go
+++ b/cmd/milldeck/lease.go
@@ -9,7 +9,6 @@
 	"strconv"
 	"strings"
 	"sync"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -23,9 +22,9 @@
 func newLease() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "duty",
-		Short: "Leader election: leases for what only one process may do at a time",
-		Long: "duty holds, shows and hands over leases, each for what only one process may do at a time. docs/leader-election.md says\n" +
-			"what is promised.\n\n" + exitHelp,
+		Short: "Leader election: leases that one process at a time holds",
+		Long: "duty holds, shows and hands over leases, each held by one process at a time. docs/leader-election.md says what is\n" +
+			"guaranteed.\n\n" + exitHelp,
 		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
@@ -52,7 +51,7 @@
 		Example: "  milldeck duty hold backup --ttl 5s\n  milldeck duty hold backup --once",
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				return usageError{errors.New("duty hold takes the names of duties")}
+				return usageError{errors.New("duty hold takes the names of leases")}
 			}
 			return nil
 		},
@@ -65,8 +64,8 @@
 	flags.StringVar(&opts.election.Candidate, "who", "", "this candidate's name, another with each start (default: drawn)")
 	flags.DurationVar(&opts.election.TTL, "ttl", leaderelection.DefaultTTL, "TTL of the lease, if this candidate finds it free")
 	flags.BoolVar(&opts.election.SingleTenure, "once", false, "end after the first tenure, however it ended")
-	flags.DurationVar(&opts.saveInterval, "save-every", 0, "interval at which to count up in the lease's checkpoint, as a trial of its guard; 0: never")
-	flags.StringVar(&opts.clockFaults, "clock", "", `a fault of this process's clock, for trials: "rate=0.9" or "jump=1h/300ms"`)
+	flags.DurationVar(&opts.saveInterval, "save-every", 0, "interval at which to increment a counter in the lease's checkpoint, to test its guard; 0: never")
+	flags.StringVar(&opts.clockFaults, "clock", "", `a fault injected into this process's clock, for tests: "rate=0.9" or "jump=1h/300ms"`)
 	_ = flags.MarkHidden("clock") // it fails only for a flag that does not exist
 	return command
 }
@@ -182,7 +181,7 @@
 			return err
 		}
 		return flags.print(command.OutOrStdout(), leases, func(w io.Writer) error {
-			table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+			table := newTable(w)
 			for i := range leases {
 				fmt.Fprintln(table, leaseRow(&leases[i]))
 			}
@@ -247,15 +246,15 @@
 
 func newLeaseRelease() *cobra.Command {
 	var request registry.LeaseRequest
-	command := newLeaseCommand("release NAME", "Gives up a lease for its holder, or a place in its queue", leasetable.Release, &request)
+	command := newLeaseCommand("release NAME", "Releases a lease for its holder, or removes a candidate from its queue", leasetable.Release, &request)
 	command.Flags().StringVar(&request.Candidate, "who", "", "the holder or candidate")
-	command.Flags().Uint64Var(&request.Token, "token", 0, "the holder's fencing token; 0: a place in the queue")
+	command.Flags().Uint64Var(&request.Token, "token", 0, "the holder's fencing token; 0: the candidate leaves the queue")
 	return command
 }
 
 func newLeaseHandover() *cobra.Command {
 	var request registry.LeaseRequest
-	command := newLeaseCommand("handover NAME", "Requests the holder to step down in favour of a candidate", leasetable.Handover, &request)
+	command := newLeaseCommand("handover NAME", "Asks the holder to step down in favour of a candidate", leasetable.Handover, &request)
 	command.Flags().StringVar(&request.Successor, "to", "", "the candidate, who waits in the queue")
 	return command
 }
--- a/cmd/milldeck/lease_bench.go
+++ b/cmd/milldeck/lease_bench.go
@@ -28,8 +28,8 @@
 			"time that they hold one lease. It ends within two minutes; --full injects four times as many faults and ends within\n" +
 			"eight. An overlap or a write that took effect twice is a failure.",
 		fullHelp: "four times as many faults",
-		run: func(ctx context.Context, full bool, self, dir string, say func(string)) (benchmarkResult, error) {
-			return runLeaseBench(ctx, full, self, dir, say, flags)
+		run: func(ctx context.Context, options benchmarkOptions) (benchmarkResult, error) {
+			return runLeaseBench(ctx, options, flags)
 		},
 	}.command()
 	command.Flags().IntVar(&flags.faults, "faults", 0, "how many faults (default 504, with --full 2016)")
@@ -38,26 +38,28 @@
 	return command
 }
 
-func runLeaseBench(ctx context.Context, full bool, program, dir string, progress func(string), flags leaseBenchFlags) (benchmarkResult, error) {
-	opts := bench.QuickOptions()
-	if full {
-		opts = bench.FullOptions()
+func runLeaseBench(ctx context.Context, options benchmarkOptions, flags leaseBenchFlags) (benchmarkResult, error) {
+	benchOptions := bench.QuickOptions()
+	if options.full {
+		benchOptions = bench.FullOptions()
 	}
+	benchOptions.Program = options.program
+	benchOptions.Dir = options.dir
+	benchOptions.Progress = options.progress
 	if flags.faults > 0 {
-		opts.Faults = flags.faults
+		benchOptions.Faults = flags.faults
 	}
 	if flags.faultTime > 0 {
-		opts.FaultTime = flags.faultTime
+		benchOptions.FaultTime = flags.faultTime
 	}
 	if flags.logDir != "" {
 		entries, _ := os.ReadDir(flags.logDir) // a folder that cannot be read yet is created or reported by the bench
 		if len(entries) > 0 {                  // logs of another run would be judged with this one's
 			return leaseBenchResult{}, usageError{fmt.Errorf("--logs: %s is not empty", flags.logDir)}
 		}
-		dir = flags.logDir
+		benchOptions.Dir = flags.logDir
 	}
-	opts.Program, opts.Dir, opts.Progress = program, dir, progress
-	result, err := bench.Run(ctx, opts)
+	result, err := bench.Run(ctx, benchOptions)
 	return leaseBenchResult{result}, err
 }
 
@@ -72,13 +74,19 @@
 }
 
 func (r leaseBenchResult) writeTable(w io.Writer) error {
-	_, err := fmt.Fprintf(w, "%d faults (%d kills, %d freezes, %d stops), %d registry leaders killed, %.0f s\n"+
-		"%d tenures, %d overlaps; %d guarded writes, %d refused, %d counted twice\n"+
-		"%d releases heard of after the next had begun, %d times given and not taken up\n"+
-		"without a holder after a release  p50 %.0f ms, p99 %.0f ms\n"+
-		"after a kill, lease %d ms         p50 %.0f ms, p99 %.0f ms\n%.0f renewals a second\n",
-		r.Faults, r.Kills, r.Freezes, r.Stops, r.LeaderKills, r.Seconds, r.Tenures, r.Overlaps, r.GuardedWrites, r.RejectedWrites, r.DuplicateWrites, r.LateReleaseNotices, r.ExpiredUnclaimed,
-		r.ReleaseGapP50MS, r.ReleaseGapP99MS, r.TTLMS, r.KillGapP50MS, r.KillGapP99MS, r.RenewalsPerSecond)
+	_, err := fmt.Fprintf(w, `%d faults (%d kills, %d freezes, %d stops), %d registry leaders killed, %.0f s
+%d tenures, %d overlaps; %d guarded writes, %d rejected, %d counted twice
+%d notices of a release came after the next tenure had begun, %d leases were granted and expired unclaimed
+without a holder after a release  p50 %.0f ms, p99 %.0f ms
+after a kill, TTL %d ms           p50 %.0f ms, p99 %.0f ms
+%.0f renewals a second
+`,
+		r.Faults, r.Kills, r.Freezes, r.Stops, r.LeaderKills, r.Seconds,
+		r.Tenures, r.Overlaps, r.GuardedWrites, r.RejectedWrites, r.DuplicateWrites,
+		r.LateReleaseNotices, r.ExpiredUnclaimed,
+		r.ReleaseGapP50MS, r.ReleaseGapP99MS,
+		r.TTLMS, r.KillGapP50MS, r.KillGapP99MS,
+		r.RenewalsPerSecond)
 	for _, cost := range r.HandoverCosts {
 		if err == nil {
 			_, err = fmt.Fprintf(w, "%.1f log entries a handover with %d candidates\n", cost.LogEntries, cost.Candidates)
--- a/cmd/milldeck/main.go
+++ b/cmd/milldeck/main.go
@@ -1,4 +1,4 @@
-// Command milldeck is the operators' command: it plays fleets in the lab, and runs the registry, its agents and the
+// Command milldeck is the operators' command: it plays experiments with fleets in the lab, and runs the registry, its agents and the
 // controllers of releases, maintenance windows and hot keys.
 package main
 
@@ -23,7 +23,7 @@
 	exitUsage  = 2 // bad use, or a file that cannot be used: nothing was started
 )
 
-const exitHelp = `Exit codes: 0 done; 1 the work failed; 2 bad use or a bad file, nothing was begun.`
+const exitHelp = `Exit codes: 0 done; 1 the work failed; 2 bad use or a bad file, nothing was started.`
 
 // usageError marks an error as the caller's.
 type usageError struct{ error }
@@ -64,8 +64,8 @@
 	var level, format string
 	root := &cobra.Command{
 		Use:   "milldeck",
-		Short: "Runs and tries out fleets of load-balancing sidecars",
-		Long: "milldeck runs and tries out fleets of load-balancing sidecars.\n\n" +
+		Short: "Operates fleets of load-balancing sidecars and tests them in the lab",
+		Long: "milldeck operates fleets of load-balancing sidecars and tests them in the lab.\n\n" +
 			"Logs go to standard error, results to standard output.\n" + exitHelp,
 		SilenceErrors: true,
 		SilenceUsage:  true,
@@ -82,14 +82,14 @@
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	flags := root.PersistentFlags()
-	flags.StringVar(&level, "log-level", "info", "least level that is logged: debug, info, warn or error")
+	flags.StringVar(&level, "log-level", "info", "lowest level that is logged: debug, info, warn or error")
 	flags.StringVar(&format, "log-format", "text", "form of the log: text or json")
 	root.AddCommand(newVersion(), newLab(), newRegistry(), newLease(), newAgent(), newSupervisor(), newRelease(), newFleet(),
 		newHotKey(), newContract(), newWindow())
 	return root
 }
 
-// configureLogging makes the logger that all subcommands share.
+// configureLogging sets the default logger, which all subcommands share.
 func configureLogging(w io.Writer, level, format string) error {
 	var logLevel slog.Level
 	if err := logLevel.UnmarshalText([]byte(level)); err != nil {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// exactArgs demands n arguments and says which in the usage line.
+// exactArgs accepts count positional arguments. Its error quotes the usage line, which names them.
 func exactArgs(count int) cobra.PositionalArgs {
 	return func(command *cobra.Command, args []string) error {
 		if len(args) != count {
--- a/cmd/milldeck/main_test.go
+++ b/cmd/milldeck/main_test.go
@@ -45,15 +45,17 @@
 		{"negative rate", strings.Replace(quickExperiment, "rate = 100", "rate = -1", 1), []string{"lab", "sim", bad}, "phase[0].rate"},
 		{"unknown target", quickExperiment + "[[fault]]\nkind = \"kill\"\nat_s = 1\ntarget = \"server:99\"\n", []string{"lab", "run", bad}, "fault[0].target"},
 	} {
-		if test.file != "" {
-			if err := os.WriteFile(bad, []byte(test.file), 0o600); err != nil {
-				t.Fatal(err)
+		t.Run(test.name, func(t *testing.T) {
+			if test.file != "" {
+				if err := os.WriteFile(bad, []byte(test.file), 0o600); err != nil {
+					t.Fatal(err)
+				}
 			}
-		}
-		code, _, errOut := runCommand(t, test.args...)
-		if code != exitUsage || strings.Count(errOut, "\n") != 1 || !strings.Contains(errOut, test.want) {
-			t.Errorf("%s: exit %d, said %q, want 2 and one line with %q", test.name, code, errOut, test.want)
-		}
+			code, _, errOut := runCommand(t, test.args...)
+			if code != exitUsage || strings.Count(errOut, "\n") != 1 || !strings.Contains(errOut, test.want) {
+				t.Errorf("exit %d, said %q, want 2 and one line with %q", code, errOut, test.want)
+			}
+		})
 	}
 }
 
@@ -85,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// As if the machine had gone down within the second line.
+	// As if the machine had failed while the second line was written.
 	if err := os.WriteFile(results, complete[:len(complete)-40], 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +96,7 @@
 		t.Errorf("exit %d, %s %s, want one seed from the file", code, out, errOut)
 	}
 	if resumed, err := os.ReadFile(results); err != nil || !bytes.Equal(complete, resumed) {
-		t.Errorf("the file differs from that of a sweep in one go: %v", err)
+		t.Errorf("the file differs from that of an uninterrupted sweep: %v", err)
 	}
 	if code, out, errOut := runCommand(t, "lab", "diff", results, results); code != 0 || !strings.HasPrefix(out, "2 pair(s)") {
 		t.Errorf("diff: exit %d, %s %s", code, out, errOut)
--- a/cmd/milldeck/registry_bench.go
+++ b/cmd/milldeck/registry_bench.go
@@ -12,37 +12,49 @@
 
 func newRegistryBench() *cobra.Command {
 	return benchmark{
-		short: "Measures the list service with processes of this program",
+		short: "Measures watches, writes and leader failover with processes of this program",
 		long: "bench starts replicas on loopback addresses and measures how soon changes reach thousands of watchers, how many\n" +
-			"writes one and three replicas take, and how long a killed leader is missed. It ends within a minute; --full\n" +
+			"writes one and three replicas take, and how long a killed leader leaves the cluster without one. It ends within a minute; --full\n" +
 			"takes several and adds the restart with a long log.",
 		fullHelp: "the long form: 30 kills, longer loads, restarts with 100,000 log entries",
-		run: func(ctx context.Context, full bool, program, dir string, report func(string)) (benchmarkResult, error) {
-			options := bench.Quick()
-			if full {
-				options = bench.Full()
-			}
-			options.Program, options.Dir, options.Progress = program, dir, report
-			result, err := bench.Run(ctx, options)
-			return registryBenchResult{result}, err
-		},
+		run:      runRegistryBench,
 	}.command()
 }
 
+func runRegistryBench(ctx context.Context, options benchmarkOptions) (benchmarkResult, error) {
+	benchOptions := bench.Quick()
+	if options.full {
+		benchOptions = bench.Full()
+	}
+	benchOptions.Program = options.program
+	benchOptions.Dir = options.dir
+	benchOptions.Progress = options.progress
+	result, err := bench.Run(ctx, benchOptions)
+	return registryBenchResult{result}, err
+}
+
+// registryBenchResult is the result of the bench as a command prints it.
 type registryBenchResult struct{ *bench.Result }
 
+// failure returns nil: the bench measures and does not judge.
 func (r registryBenchResult) failure() error { return nil }
 
 func (r registryBenchResult) writeTable(w io.Writer) error {
 	_, err := fmt.Fprintf(w, `%d instances, %d watchers, %d changes (%.0f s in all)
 acknowledged write to the last watcher  p50 %.1f ms, p99 %.1f ms, at most %.1f ms; %d missed
-bytes a change and watcher              %.0f, of the whole list %d: ratio %.5f
+bytes a change and watcher              %.0f, of the full list %d: ratio %.5f
 memory of a watcher at its replica      %.0f bytes
 writes a second, 1 replica              %.0f, p99 %.1f ms
 writes a second, 3 replicas             %.0f, p99 %.1f ms
 without a leader after a kill           p50 %.0f ms, at most %.0f ms over %d kills
-`, r.Instances, r.Watchers, r.Changes, r.Seconds, r.WatchP50MS, r.WatchP99MS, r.WatchMaxMS, r.MissedChanges, r.DeltaBytes, r.FullListBytes, r.DeltaRatio,
-		r.BytesPerWatcher, r.SingleWritesPerSecond, r.SingleWriteP99MS, r.ClusterWritesPerSecond, r.ClusterWriteP99MS, r.LeaderGapP50MS, r.LeaderGapMaxMS, r.LeaderKills)
+`,
+		r.Instances, r.Watchers, r.Changes, r.Seconds,
+		r.WatchP50MS, r.WatchP99MS, r.WatchMaxMS, r.MissedChanges,
+		r.DeltaBytes, r.FullListBytes, r.DeltaRatio,
+		r.BytesPerWatcher,
+		r.SingleWritesPerSecond, r.SingleWriteP99MS,
+		r.ClusterWritesPerSecond, r.ClusterWriteP99MS,
+		r.LeaderGapP50MS, r.LeaderGapMaxMS, r.LeaderKills)
 	if err == nil && r.LogEntries > 0 {
 		_, err = fmt.Fprintf(w, "restart with %d log entries           %.0f ms, with a snapshot %.0f ms\n", r.LogEntries, r.RestartFromLogMS, r.RestartFromSnapshotMS)
 	}
--- a/cmd/milldeck/window.go
+++ b/cmd/milldeck/window.go
@@ -24,10 +24,10 @@
 		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
 	command.AddCommand(newWindowPlan(), newWindowServe(), newWindowPropose(), newWindowList(), newWindowShow(),
-		newWindowHalt(maintenance.OpHalt, "Halts a window, a tenant's windows or all: no more drains start, a window by name returns"),
+		newWindowHalt(maintenance.OpHalt, "Halts a window, a tenant's windows or all: no more drains start, a window halted by name returns"),
 		newWindowHalt(maintenance.OpResume, "Resumes halted windows"),
 		newWindowOperation(maintenance.OpCancel, "Cancels a window; one that is out of service returns"),
-		newWindowOperation(maintenance.OpFinishWork, "Reports that the work of a free window is done"))
+		newWindowOperation(maintenance.OpFinishWork, "Reports that the work of a drained window is done"))
 	return command
 }
 
@@ -118,32 +118,38 @@
 
 // loadWindowFile reads the request for a window and the fleet, which has to contain its servers where it is required.
 func loadWindowFile(path string, requireFleet bool) (maintenance.Request, maintenance.Fleet, error) {
-	none := maintenance.Request{}
 	window := &windowFile{}
 	file, err := config.Load(path, window)
 	if err != nil {
-		return none, nil, err
+		return maintenance.Request{}, nil, err
 	}
-	work, err := time.ParseDuration(window.Work)
+	request, err := window.request(file, requireFleet)
+	return request, window.Fleet, err
+}
+
+// request validates the file and returns the request for its window.
+func (f *windowFile) request(file *config.File, requireFleet bool) (maintenance.Request, error) {
+	none := maintenance.Request{}
+	work, err := time.ParseDuration(f.Work)
 	if err != nil || work < minWork || work > maxWork {
-		return none, nil, file.Errorf("work", "%q is no time like 30m, from %s to %s", window.Work, minWork, maxWork)
+		return none, file.Errorf("work", "%q is no time like 30m, from %s to %s", f.Work, minWork, maxWork)
 	}
-	request := maintenance.Request{Name: window.Name, ServerUIDs: window.Servers, WorkMS: work.Milliseconds()}
-	if window.NotBefore != "" {
-		if request.NotBeforeMS, err = parseTimeMS(window.NotBefore); err != nil {
-			return none, nil, file.Errorf("after", "%v", err)
+	request := maintenance.Request{Name: f.Name, ServerUIDs: f.Servers, WorkMS: work.Milliseconds()}
+	if f.NotBefore != "" {
+		if request.NotBeforeMS, err = parseTimeMS(f.NotBefore); err != nil {
+			return none, file.Errorf("after", "%v", err)
 		}
 	}
-	if len(window.Servers) == 0 {
-		return none, nil, file.Errorf("servers", "none")
+	if len(f.Servers) == 0 {
+		return none, file.Errorf("servers", "none")
 	}
 	slices.Sort(request.ServerUIDs)
 	for _, uid := range request.ServerUIDs {
-		if _, known := window.Fleet[uid]; requireFleet && !known {
-			return none, nil, file.Errorf("servers", "%s is not in fleet", uid)
+		if _, known := f.Fleet[uid]; requireFleet && !known {
+			return none, file.Errorf("servers", "%s is not in fleet", uid)
 		}
 	}
-	return request, window.Fleet, nil
+	return request, nil
 }
 
 // printPlan prints the start in UTC, and what each contract approves in its own time zone.
--- a/cmd/milldeck/window_operate.go
+++ b/cmd/milldeck/window_operate.go
@@ -8,7 +8,6 @@
 	"maps"
 	"os/user"
 	"slices"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -98,7 +97,7 @@
 	return command
 }
 
-// newWindowOperation returns the command that writes an operation of a kind on one window. It is called like the kind.
+// newWindowOperation returns the command that writes an operation of a kind on one window. It is named like the kind.
 func newWindowOperation(kind maintenance.OperationKind, short string) *cobra.Command {
 	var reason string
 	command := newClientCommand(string(kind)+" NAME", short, 1,
@@ -121,25 +120,28 @@
 			if err != nil {
 				return err
 			}
-			return flags.print(command.OutOrStdout(), view.Table, func(out io.Writer) error {
-				table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-				for _, window := range view.Table.Windows {
-					fmt.Fprintf(table, "%s\t%s\t%d servers\t%s\t%s\n", window.Name, window.Stage, len(window.ServerUIDs),
-						formatTimeMS(window.PlannedStartMS), window.Reason)
-				}
-				for _, scope := range slices.Sorted(maps.Keys(view.Table.Halts)) {
-					fmt.Fprintf(table, "halted: %s\t%s\n", cmp.Or(scope, "all windows"), view.Table.Halts[scope])
-				}
-				if view.Table.ClockFault != "" {
-					fmt.Fprintln(table, "in doubt:", view.Table.ClockFault)
-				}
-				return table.Flush()
-			})
+			return flags.print(command.OutOrStdout(), view.Table, func(out io.Writer) error { return writeWindows(out, view.Table) })
 		})
 	command.Example = "  milldeck window list\n  milldeck window list --json"
 	return command
 }
 
+// writeWindows writes a line for each window and each halt, and the clock fault where there is one.
+func writeWindows(out io.Writer, snapshot *maintenance.Snapshot) error {
+	table := newTable(out)
+	for _, window := range snapshot.Windows {
+		fmt.Fprintf(table, "%s\t%s\t%d servers\t%s\t%s\n", window.Name, window.Stage, len(window.ServerUIDs),
+			formatTimeMS(window.PlannedStartMS), window.Reason)
+	}
+	for _, scope := range slices.Sorted(maps.Keys(snapshot.Halts)) {
+		fmt.Fprintf(table, "halted: %s\t%s\n", cmp.Or(scope, "all windows"), snapshot.Halts[scope])
+	}
+	if snapshot.ClockFault != "" {
+		fmt.Fprintln(table, "in doubt:", snapshot.ClockFault)
+	}
+	return table.Flush()
+}
+
 // formatTimeMS formats a time in Unix ms; 0 is "-".
 func formatTimeMS(ms int64) string {
 	if ms == 0 {
@@ -159,28 +161,31 @@
 			if window == nil {
 				return fmt.Errorf("there is no window %s", args[0])
 			}
-			return flags.print(command.OutOrStdout(), window, func(out io.Writer) error {
-				table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-				fmt.Fprintf(table, "%s\t%s\t%s\n", window.Name, window.Stage, window.Reason)
-				for _, times := range []struct {
-					name string
-					at   int64
-				}{
-					{"begins", window.PlannedStartMS},
-					{"closes", window.ClosesAtMS},
-					{"out", window.DrainStartedAtMS},
-					{"free", window.DrainedAtMS},
-					{"returned", window.ReturnStartedAtMS},
-					{"back", window.ReturnedAtMS},
-				} {
-					fmt.Fprintf(table, "%s\t%s\t\n", times.name, formatTimeMS(times.at))
-				}
-				for _, approval := range window.Approvals {
-					fmt.Fprintf(table, "%s approves\t%s\tto %s\n", approval.Tenant, formatTimeMS(approval.OpensAtMS), formatTimeMS(approval.ClosesAtMS))
-				}
-				return table.Flush()
-			})
+			return flags.print(command.OutOrStdout(), window, func(out io.Writer) error { return writeWindow(out, window) })
 		})
 	command.Example = "  milldeck window show disks-3\n  milldeck window show disks-3 --json"
 	return command
 }
+
+// writeWindow writes a window's stage, the times of its life cycle, and what each contract approves.
+func writeWindow(out io.Writer, window *maintenance.Window) error {
+	table := newTable(out)
+	fmt.Fprintf(table, "%s\t%s\t%s\n", window.Name, window.Stage, window.Reason)
+	for _, event := range []struct {
+		name string
+		atMS int64
+	}{
+		{"planned start", window.PlannedStartMS},
+		{"close", window.ClosesAtMS},
+		{"drain started", window.DrainStartedAtMS},
+		{"drained", window.DrainedAtMS},
+		{"return started", window.ReturnStartedAtMS},
+		{"returned", window.ReturnedAtMS},
+	} {
+		fmt.Fprintf(table, "%s\t%s\t\n", event.name, formatTimeMS(event.atMS))
+	}
+	for _, approval := range window.Approvals {
+		fmt.Fprintf(table, "%s approves\t%s\tto %s\n", approval.Tenant, formatTimeMS(approval.OpensAtMS), formatTimeMS(approval.ClosesAtMS))
+	}
+	return table.Flush()
+}
