--- a/cmd/milldeck/lab_run.go
+++ b/cmd/milldeck/lab_run.go
@@ -142,15 +142,7 @@
 					return err
 				}
 			}
-			if err := report.WriteComparison(command.OutOrStdout(), []*lab.Result{simulated, measured}); err != nil {
-				return err
-			}
-			differences, pairs, err := report.Compare([]*lab.Result{simulated}, []*lab.Result{measured})
-			if err != nil {
-				return err
-			}
-			fmt.Fprintln(command.OutOrStdout(), "\nA is sim, B is run:")
-			return report.WriteDiff(command.OutOrStdout(), differences, pairs)
+			return writeModeComparison(command.OutOrStdout(), simulated, measured)
 		},
 	}
 	processes.register(command)
@@ -158,3 +150,16 @@
 	command.Flags().StringVar(&path, "json", "", "write both results to this file as a JSON array (- for standard output)")
 	return command
 }
+
+// writeModeComparison writes the results of sim and run side by side, with their difference.
+func writeModeComparison(out io.Writer, simulated, measured *lab.Result) error {
+	if err := report.WriteComparison(out, []*lab.Result{simulated, measured}); err != nil {
+		return err
+	}
+	differences, pairs, err := report.Compare([]*lab.Result{simulated}, []*lab.Result{measured})
+	if err != nil {
+		return err
+	}
+	fmt.Fprintln(out, "\nA is sim, B is run:")
+	return report.WriteDiff(out, differences, pairs)
+}
--- a/cmd/milldeck/lease.go
+++ b/cmd/milldeck/lease.go
@@ -90,25 +90,34 @@
 	if election.Candidate == "" {
 		election.Candidate = registry.NewID() // one for all leases, so that their renewals are sent together
 	}
-	election.OnEvent = func(runErr leaderelection.Event) {
-		lines.print(timedEvent{runErr, faultyClock.MonotonicNSOf(runErr.At), faultyClock.MonotonicNSOf(runErr.ValidUntil)})
+	election.OnEvent = func(event leaderelection.Event) {
+		lines.print(timedEvent{event, faultyClock.MonotonicNSOf(event.At), faultyClock.MonotonicNSOf(event.ValidUntil)})
 	}
+	err = campaignForAll(ctx, client, names, election, func(ctx context.Context, lease *leaderelection.Lease) error {
+		return holdLease(ctx, lease, opts.saveInterval, lines)
+	})
+	if ctx.Err() != nil {
+		return nil // it was interrupted, and what it held is released or expires
+	}
+	return err
+}
+
+// campaignForAll campaigns for the leases at the same time and runs work under each, until all campaigns have ended. A
+// requested step-down is no error.
+func campaignForAll(ctx context.Context, client *registry.Client, names []string, election leaderelection.Options,
+	work func(context.Context, *leaderelection.Lease) error) error {
 	ended := make(chan error, len(names))
 	for _, name := range names {
 		go func() {
-			ended <- leaderelection.Run(ctx, client, name, election, func(ctx context.Context, lease *leaderelection.Lease) error {
-				return holdLease(ctx, lease, opts.saveInterval, lines)
-			})
+			ended <- leaderelection.Run(ctx, client, name, election, work)
 		}()
 	}
+	var err error
 	for range names {
 		if runErr := <-ended; !errors.Is(runErr, leaderelection.ErrStepDownRequested) {
 			err = errors.Join(err, runErr)
 		}
 	}
-	if ctx.Err() != nil {
-		return nil // it was interrupted, and what it held is released or expires
-	}
 	return err
 }
 
