--- a/cmd/milldeck/agent.go
+++ b/cmd/milldeck/agent.go
@@ -45,7 +45,11 @@
 		return nil
 	}
 	return &agent.SidecarOptions{
-		Name: f.Name, Address: f.Address, Zone: f.Zone, Tenant: f.Tenant, Version: f.Version,
+		Name:     f.Name,
+		Address:  f.Address,
+		Zone:     f.Zone,
+		Tenant:   f.Tenant,
+		Version:  f.Version,
 		LeaseTTL: time.Duration(f.LeaseMS) * time.Millisecond,
 	}
 }
@@ -72,8 +76,14 @@
 		}
 	}
 	return agent.Options{
-		Listen: f.Listen, Replicas: f.Replicas, ListFile: f.ListFile, FleetSize: f.FleetSize, MaxLossFraction: f.MaxLossFraction,
-		PlacementFile: f.PlacementFile, ReportAddresses: f.ReportAddresses, Sidecar: sidecar,
+		Listen:          f.Listen,
+		Replicas:        f.Replicas,
+		ListFile:        f.ListFile,
+		FleetSize:       f.FleetSize,
+		MaxLossFraction: f.MaxLossFraction,
+		PlacementFile:   f.PlacementFile,
+		ReportAddresses: f.ReportAddresses,
+		Sidecar:         sidecar,
 	}, nil
 }
 
--- a/cmd/milldeck/lab.go
+++ b/cmd/milldeck/lab.go
@@ -203,7 +203,7 @@
 		if err != nil {
 			return nil, err
 		}
-		slog.Info("played", "policy", policy, "events", stats.Events, "seconds", stats.Elapsed.Seconds(),
+		slog.Info("simulation completed", "component", "lab", "policy", policy, "events", stats.Events, "seconds", stats.Elapsed.Seconds(),
 			"events_a_second", int(float64(stats.Events)/stats.Elapsed.Seconds()))
 		results = append(results, result)
 	}
--- a/cmd/milldeck/lab_run.go
+++ b/cmd/milldeck/lab_run.go
@@ -59,7 +59,7 @@
 	if f.logDir == "" && result.ViolationCount == 0 {
 		return result, os.RemoveAll(dir)
 	}
-	slog.Info("logs kept", "folder", dir)
+	slog.Info("logs retained", "component", "lab", "dir", dir)
 	return result, nil
 }
 
--- a/cmd/milldeck/registry_serve.go
+++ b/cmd/milldeck/registry_serve.go
@@ -125,9 +125,13 @@
 // options are the options of a valid configuration.
 func (f *replicaFile) options() registry.Options {
 	options := registry.Options{
-		HTTPAddr: f.HTTP, RaftAddr: f.Raft, AdvertiseRaftAddr: f.Advertise, DataDir: f.Dir, SnapshotThreshold: f.SnapshotThreshold,
-		Expiry:         registry.ExpiryPolicy{MaxShare: f.Expiry.MaxShare, Window: seconds(f.Expiry.WindowS)},
-		WarmUpDuration: defaultWarmUp,
+		HTTPAddr:          f.HTTP,
+		RaftAddr:          f.Raft,
+		AdvertiseRaftAddr: f.Advertise,
+		DataDir:           f.Dir,
+		SnapshotThreshold: f.SnapshotThreshold,
+		Expiry:            registry.ExpiryPolicy{MaxShare: f.Expiry.MaxShare, Window: seconds(f.Expiry.WindowS)},
+		WarmUpDuration:    defaultWarmUp,
 	}
 	if f.WarmUpS != nil {
 		options.WarmUpDuration = seconds(*f.WarmUpS)
--- a/cmd/milldeck/registry_watch.go
+++ b/cmd/milldeck/registry_watch.go
@@ -46,7 +46,7 @@
 		err := client.WatchEndpoints(ctx, replica, w.revision, w.epoch, func(list *registry.EndpointList, _ time.Duration) error {
 			return w.print(out, list)
 		})
-		slog.Debug("watch failed", "replica", replica, "error", err)
+		slog.Debug("endpoint watch failed", "component", "watch", "replica", replica, "error", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(watchRetryDelay):
--- a/internal/maintenance/controller/controller_test.go
+++ b/internal/maintenance/controller/controller_test.go
@@ -56,22 +56,44 @@
 	block, err := proc.TakeBlock()
 	b.must(err)
 	t.Cleanup(block.Release)
-	b.cluster, err = cluster.Start(ctx, 3, cluster.Options{Program: b.program, DataDir: b.dir, Addresses: block})
-	t.Cleanup(func() {
+	b.startCluster(block)
+	b.registerServers()
+	for n := range 2 {
+		b.reportAddrs = append(b.reportAddrs, block.Addr(211, n, 8550))
+	}
+	var sidecars sync.WaitGroup
+	t.Cleanup(sidecars.Wait)
+	t.Cleanup(cancel)
+	b.startAgents(block, &sidecars)
+	b.setContract(nil)
+	return b
+}
+
+// startCluster starts the registry replicas.
+func (b *testbed) startCluster(block *proc.Block) {
+	b.Helper()
+	var err error
+	b.cluster, err = cluster.Start(b.ctx, 3, cluster.Options{Program: b.program, DataDir: b.dir, Addresses: block})
+	b.Cleanup(func() {
 		if err := b.cluster.Close(); err != nil {
-			t.Error(err)
+			b.Error(err)
 		}
 	})
 	b.must(err)
 	b.client, err = b.cluster.Client()
 	b.must(err)
-	t.Cleanup(b.client.Close)
+	b.Cleanup(b.client.Close)
+}
+
+// registerServers registers 16 servers. The first one exists.
+func (b *testbed) registerServers() {
+	b.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !b.serverReady.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	}))
-	t.Cleanup(server.Close)
+	b.Cleanup(server.Close)
 	var instances []registry.Instance
 	for i := range 16 {
 		instances = append(instances, registry.Instance{Target: registry.Target{
@@ -85,34 +107,31 @@
 		}})
 	}
 	instances[0].Endpoint = strings.TrimPrefix(server.URL, "http://")
-	_, err = b.client.Register(ctx, registry.WriteOptions{}, instances...)
+	_, err := b.client.Register(b.ctx, registry.WriteOptions{}, instances...)
 	b.must(err)
-	for n := range 2 {
-		b.reportAddrs = append(b.reportAddrs, block.Addr(211, n, 8550))
-	}
-	var sidecars sync.WaitGroup
-	t.Cleanup(sidecars.Wait)
-	t.Cleanup(cancel)
-	call := registry.SidecarRequest{TTLMS: 600_000}
+}
+
+// startAgents starts two agents with two sidecars each, and registers the sidecars. The sidecars run until ctx ends.
+func (b *testbed) startAgents(block *proc.Block, sidecars *sync.WaitGroup) {
+	b.Helper()
+	request := registry.SidecarRequest{TTLMS: 600_000}
 	for n := range 2 {
 		nodeAgent, err := agent.Start(agent.Options{Listen: block.Addr(201, n, 8500), Replicas: b.cluster.HTTPAddrs(), ReportAddresses: b.reportAddrs})
 		b.must(err)
-		t.Cleanup(func() {
+		b.Cleanup(func() {
 			if err := nodeAgent.Close(); err != nil {
-				t.Error(err)
+				b.Error(err)
 			}
 		})
 		b.agents = append(b.agents, nodeAgent.Addr())
 		for i := range 2 {
 			name := fmt.Sprint("sidecar-", n, "-", i)
-			call.Sidecars = append(call.Sidecars, registry.Sidecar{Name: name, Ready: true, TTLMS: call.TTLMS})
+			request.Sidecars = append(request.Sidecars, registry.Sidecar{Name: name, Ready: true, TTLMS: request.TTLMS})
 			sidecars.Go(func() { b.runSidecar(nodeAgent.Addr(), name) })
 		}
 	}
-	_, err = b.client.RegisterSidecars(ctx, call)
+	_, err := b.client.RegisterSidecars(b.ctx, request)
 	b.must(err)
-	b.setContract(nil)
-	return b
 }
 
 func (b *testbed) must(err error) {
