--- a/cmd/milldeck/lab_server.go
+++ b/cmd/milldeck/lab_server.go
@@ -23,7 +23,7 @@
 			if configPath == "" {
 				return usageError{errors.New("lab server needs --config FILE")}
 			}
-			server, faults, err := live.LoadServer(configPath, regressionPath)
+			server, faults, err := live.LoadServerConfig(configPath, regressionPath)
 			if err != nil {
 				return err
 			}
--- a/cmd/milldeck/registry_bench.go
+++ b/cmd/milldeck/registry_bench.go
@@ -42,7 +42,7 @@
 func (r registryBenchResult) writeTable(w io.Writer) error {
 	_, err := fmt.Fprintf(w, `%d instances, %d watchers, %d changes (%.0f s in all)
 acknowledged write to the last watcher  p50 %.1f ms, p99 %.1f ms, at most %.1f ms; %d missed
-bytes a change and watcher              %.0f, of the full list %d: ratio %.5f
+bytes a change and watcher              %.0f, of the complete list %d: ratio %.5f
 memory of a watcher at its replica      %.0f bytes
 writes a second, 1 replica              %.0f, p99 %.1f ms
 writes a second, 3 replicas             %.0f, p99 %.1f ms
@@ -50,7 +50,7 @@
 `,
 		r.Instances, r.Watchers, r.Changes, r.Seconds,
 		r.WatchP50MS, r.WatchP99MS, r.WatchMaxMS, r.MissedChanges,
-		r.DeltaBytes, r.FullListBytes, r.DeltaRatio,
+		r.DeltaBytes, r.CompleteListBytes, r.DeltaRatio,
 		r.BytesPerWatcher,
 		r.SingleWritesPerSecond, r.SingleWriteP99MS,
 		r.ClusterWritesPerSecond, r.ClusterWriteP99MS,
--- /dev/null
+++ b/internal/lab/live/process_watch.go
@@ -0,0 +1,194 @@
+package live
+
+import (
+	"net/http"
+	"strconv"
+	"syscall"
+	"time"
+
+	"milldeck/internal/registry"
+)
+
+const (
+	processPollInterval   = 20 * time.Millisecond // of the supervisor's children
+	readinessPollInterval = 50 * time.Millisecond // a draining sidecar reports that for ten times as long
+	unitEnv               = "LAB_UNIT"
+	versionEnv            = "LAB_VERSION"
+)
+
+// unitProcess is a process of a unit of the supervisor: a server or a sidecar.
+type unitProcess struct{ unit, version string }
+
+// incarnationID identifies an incarnation of a unit for the checker.
+func incarnationID(pid int) string { return strconv.Itoa(pid) }
+
+// processStarted reports a process of a unit to the checker, once.
+func (c *controlPlane) processStarted(unit string, pid int, version string) {
+	c.reapExited(unit) // the one before it may have exited since the last poll
+	c.mu.Lock()
+	_, known := c.processes[pid]
+	c.processes[pid] = &unitProcess{unit, version}
+	c.mu.Unlock()
+	if known || c.finished.Load() {
+		return
+	}
+	c.checker.ProcessStarted(c.now(), unit, incarnationID(pid), version)
+	if sidecar, ok := c.sidecarByUnit[unit]; ok {
+		c.fleet.checker.SidecarRestarted(sidecar)
+	}
+}
+
+// processExited reports the exit of a process to the checker, once.
+func (c *controlPlane) processExited(pid int) {
+	c.mu.Lock()
+	process := c.processes[pid]
+	delete(c.processes, pid)
+	c.mu.Unlock()
+	if process != nil && !c.finished.Load() {
+		c.checker.ProcessExited(c.now(), process.unit, incarnationID(pid))
+	}
+}
+
+// watchProcesses polls the supervisor's child processes: it sees what runs, whatever the supervisor knows or reports.
+func (c *controlPlane) watchProcesses() {
+	for sleep(c.ctx, processPollInterval) && !c.finished.Load() {
+		c.mu.Lock()
+		supervisor := c.supervisor
+		c.mu.Unlock()
+		for _, pid := range childProcesses(supervisor.PID()) {
+			unit, version := unitOfProcess(pid)
+			if unit == "" {
+				continue // between fork and exec, or exited meanwhile
+			}
+			c.processStarted(unit, pid, version)
+		}
+		c.reapExited("")
+	}
+}
+
+// reapExited reports the processes of a unit that have exited; of all units where it is "".
+func (c *controlPlane) reapExited(unit string) {
+	c.mu.Lock()
+	var exited []int
+	for pid, process := range c.processes {
+		if (unit == "" || process.unit == unit) && !isProcessRunning(pid) {
+			exited = append(exited, pid)
+		}
+	}
+	c.mu.Unlock()
+	for _, pid := range exited {
+		c.processExited(pid)
+	}
+}
+
+// signalUnit sends a signal to all processes of a unit.
+func (c *controlPlane) signalUnit(unit string, signal syscall.Signal) {
+	c.mu.Lock()
+	var pids []int
+	for pid, process := range c.processes {
+		if process.unit == unit {
+			pids = append(pids, pid)
+		}
+	}
+	c.mu.Unlock()
+	for _, pid := range pids {
+		if current, _ := unitOfProcess(pid); current == unit { // the pid has not been reused
+			_ = syscall.Kill(pid, signal) // fails for a process that has exited: it needs no signal
+		}
+	}
+}
+
+// newestProcess is the pid of a unit's running process, 0 if there is none.
+func (c *controlPlane) newestProcess(unit string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	pid := 0
+	for candidate, process := range c.processes {
+		if process.unit == unit {
+			pid = max(pid, candidate)
+		}
+	}
+	return pid
+}
+
+// healthClient opens a connection for each check: a kept-alive one would hide a restart.
+var healthClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+
+// readinessStatus is the HTTP status of a process's readiness check; 0: it does not answer.
+func readinessStatus(address string) int {
+	response, err := healthClient.Get("http://" + address + readyPath)
+	if err != nil {
+		return 0
+	}
+	response.Body.Close()
+	return response.StatusCode
+}
+
+// isReady reports whether the readiness check at an address succeeds.
+func (c *controlPlane) isReady(address string) bool { return readinessStatus(address) == http.StatusOK }
+
+// watchSidecars polls each sidecar's readiness. One that was ready and reports that it is not any more has been asked to
+// terminate.
+func (c *controlPlane) watchSidecars() {
+	for _, sidecar := range c.fleet.sidecars {
+		unit := c.fleet.plan.Sidecars[sidecar.number].Name
+		c.background.Go(func() {
+			readyPID := 0 // the process that was ready
+			for sleep(c.ctx, readinessPollInterval) && !c.finished.Load() {
+				pid := c.newestProcess(unit)
+				if pid == 0 {
+					continue
+				}
+				switch status := readinessStatus(sidecar.address); {
+				case status == http.StatusOK && readyPID != pid:
+					readyPID = pid
+					c.checker.ReadinessChanged(c.now(), unit, incarnationID(pid), true)
+				case status == http.StatusServiceUnavailable && readyPID == pid:
+					c.checker.TerminationRequested(c.now(), unit, incarnationID(pid))
+				}
+			}
+		})
+	}
+}
+
+// watchEndpoints follows the endpoint list of the replicas.
+func (c *controlPlane) watchEndpoints() {
+	registryService := c.fleet.registryService
+	for attempt := 0; c.ctx.Err() == nil; attempt++ {
+		states := map[string]string{}
+		replicas := registryService.cluster.Replicas
+		replica := replicas[attempt%len(replicas)].HTTPAddr
+		apply := func(list *registry.EndpointList, _ time.Duration) error {
+			if list != nil && !c.finished.Load() {
+				c.applyEndpointList(states, list)
+			}
+			return nil
+		}
+		if err := registryService.client.WatchEndpoints(c.ctx, replica, 0, 0, apply); err != nil {
+			sleep(c.ctx, readyPollInterval)
+		}
+	}
+}
+
+// applyEndpointList reports the changes of a watch event to the checker.
+func (c *controlPlane) applyEndpointList(states map[string]string, list *registry.EndpointList) {
+	now := c.now()
+	next := map[string]string{}
+	for _, entry := range list.Targets {
+		next[entry.UID] = entry.State
+	}
+	if list.Complete {
+		for unit := range c.serverByUnit {
+			if _, listed := next[unit]; !listed {
+				next[unit] = ""
+			}
+		}
+	}
+	for unit, state := range next {
+		if previous, ok := states[unit]; ok && previous == state {
+			continue
+		}
+		states[unit] = state
+		c.checker.EndpointStateChanged(now, unit, state)
+	}
+}
--- a/internal/lab/proc/proctest/proctest.go
+++ b/internal/lab/proc/proctest/proctest.go
@@ -1,4 +1,5 @@
-// Package proctest builds the project's programs for tests that start them as processes.
+// Package proctest serves tests that start the project's programs as processes: it builds each program once a test
+// binary, and reserves loopback addresses. Package proc starts them.
 package proctest
 
 import (
@@ -9,40 +10,41 @@
 	"testing"
 )
 
-var built struct {
-	mu  sync.Mutex
-	dir string
-	of  map[string]string // paths by name
+// builtPrograms are the programs that this test binary has built.
+var builtPrograms struct {
+	mu    sync.Mutex
+	dir   string
+	paths map[string]string // by the name of the program
 }
 
-// Main runs a package's tests and removes what was built for them. It is for TestMain.
+// Main runs a package's tests, removes the programs built for them and exits. Call it from TestMain.
 func Main(m *testing.M) {
 	code := m.Run()
-	if built.dir != "" {
-		os.RemoveAll(built.dir)
+	if builtPrograms.dir != "" {
+		_ = os.RemoveAll(builtPrograms.dir) // a temporary folder: what is left of it does not make the tests fail
 	}
 	os.Exit(code)
 }
 
-// Program is the path of a program of cmd, built once for all tests of the package.
+// Program returns the path of a program of cmd, which is built once for all tests of the package.
 func Program(t testing.TB, name string) string {
 	t.Helper()
-	built.mu.Lock()
-	defer built.mu.Unlock()
-	if path := built.of[name]; path != "" {
+	builtPrograms.mu.Lock()
+	defer builtPrograms.mu.Unlock()
+	if path := builtPrograms.paths[name]; path != "" {
 		return path
 	}
-	if built.dir == "" {
+	if builtPrograms.dir == "" {
 		dir, err := os.MkdirTemp("", "milldeck-test-")
 		if err != nil {
 			t.Fatal(err)
 		}
-		built.dir, built.of = dir, map[string]string{}
+		builtPrograms.dir, builtPrograms.paths = dir, map[string]string{}
 	}
-	path := filepath.Join(built.dir, name)
+	path := filepath.Join(builtPrograms.dir, name)
 	if out, err := exec.Command("go", "build", "-o", path, "milldeck/cmd/"+name).CombinedOutput(); err != nil {
 		t.Fatalf("%s: %v: %s", name, err, out)
 	}
-	built.of[name] = path
+	builtPrograms.paths[name] = path
 	return path
 }
--- a/internal/registry/storage_test.go
+++ b/internal/registry/storage_test.go
@@ -90,8 +90,8 @@
 		}
 		lines := strings.Split(strings.TrimSpace(replica.Process.Log()), "\n")
 		last := lines[len(lines)-1]
-		if replica.Process.Exit() == nil || !strings.HasPrefix(last, "milldeck: ") || !strings.Contains(last, reason) {
-			t.Errorf("it ended with %v and %q, want a line about %q", replica.Process.Exit(), last, reason)
+		if replica.Process.Wait() == nil || !strings.HasPrefix(last, "milldeck: ") || !strings.Contains(last, reason) {
+			t.Errorf("it ended with %v and %q, want a line about %q", replica.Process.Wait(), last, reason)
 		}
 	}
 	failsToStart(victim, "snapshot")
@@ -194,7 +194,7 @@
 func TestFullDisk(t *testing.T) {
 	env := startEnv(t, 3, false, "snapshot_every = 100000")
 	victim := env.cluster.Replicas[0]
-	if err := victim.Process.LimitFiles(256 << 10); err != nil {
+	if err := victim.Process.LimitFileSize(256 << 10); err != nil {
 		t.Fatal(err)
 	}
 	batch := make([]registry.Instance, 200)
@@ -238,12 +238,12 @@
 	if err != nil || len(after.Targets) != 1 || after.Epoch == before.Epoch || after.Revision <= before.Revision {
 		t.Errorf("after the restore %+v (%v), before %+v", after, err, before)
 	}
-	// A cursor of the old epoch gets the full list from every replica.
+	// A cursor of the old epoch gets the complete list from every replica.
 	for _, replica := range env.cluster.Replicas {
 		env.eventually("the replica has the restored list", func() bool { return env.status(replica).Revision == after.Revision })
 		ctx, cancel := context.WithCancel(env.ctx)
 		err := env.client.WatchEndpoints(ctx, replica.HTTPAddr, before.Revision, before.Epoch, func(list *registry.EndpointList, _ time.Duration) error {
-			if !list.Full || len(list.Targets) != 1 {
+			if !list.Complete || len(list.Targets) != 1 {
 				t.Errorf("a watcher of the old epoch receives %+v", list)
 			}
 			cancel()
