--- a/cmd/milldeck/release_status.go
+++ b/cmd/milldeck/release_status.go
@@ -97,19 +97,19 @@
 // it.
 func newReleaseCommand(action release.Action, short string) *cobra.Command {
 	var operator, reason string
-	cobraCommand := newClientCommand(string(action)+" NAME", short, 1,
-		func(ctx context.Context, cobraCommand *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
+	command := newClientCommand(string(action)+" NAME", short, 1,
+		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
 			releaseCommand := &release.Command{Action: action, Operator: "operator/" + operator, Reason: reason}
 			result, err := client.WriteRelease(ctx, registry.WriteOptions{}, args[0], release.Operation{Command: releaseCommand})
 			if err != nil {
 				return err
 			}
-			return flags.print(cobraCommand.OutOrStdout(), result, func(w io.Writer) error {
+			return flags.print(command.OutOrStdout(), result, func(w io.Writer) error {
 				_, err := fmt.Fprintf(w, "%s: %s recorded at revision %d\n", args[0], action, result.Revision)
 				return err
 			})
 		})
-	operatorFlag(cobraCommand, &operator)
-	cobraCommand.Flags().StringVar(&reason, "why", "", "reason, stored in the log")
-	return cobraCommand
+	operatorFlag(command, &operator)
+	command.Flags().StringVar(&reason, "why", "", "reason, stored in the log")
+	return command
 }
