--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -151,7 +151,7 @@
 }
 
 // clock reads the wall clock in Unix ms, and the monotonic clock in ms since the agent's start.
-func (a *Agent) clock() (wallMS, monoMS int64) {
+func (a *Agent) clock() (wallMS, monotonicMS int64) {
 	return time.Now().UnixMilli(), time.Since(a.startedAt).Milliseconds()
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -84,7 +84,7 @@
 			startFakeReplica(t, first, shrunk)
 			startFakeReplica(t, other, second)
 			agent := startAgent(t, Options{Listen: block.Addr(201, 0, 8500), Replicas: []string{first, other}, ListFile: path, FleetSize: 1})
-			counted := func(name string) bool {
+			hasCounted := func(name string) bool {
 				response, err := http.Get("http://" + agent.Addr() + "/metrics")
 				if err != nil {
 					t.Fatal(err)
@@ -100,7 +100,7 @@
 				waitFor(t, "the shrunken list is applied", func() bool { return len(servedList(t, agent).Targets) == 1 })
 				return
 			}
-			waitFor(t, "the shrunken list needs confirmation", func() bool { return counted("milldeck_agent_held_total") })
+			waitFor(t, "the shrunken list needs confirmation", func() bool { return hasCounted("milldeck_agent_held_total") })
 			waitFor(t, "the agent has the second replica's list", func() bool { agent.mu.Lock(); defer agent.mu.Unlock(); return agent.list.revision == 6 })
 			if served := servedList(t, agent); len(served.Targets) != 6 {
 				t.Errorf("unconfirmed, it serves %+v", served)
--- a/internal/agent/fixtures_test.go
+++ b/internal/agent/fixtures_test.go
@@ -25,11 +25,11 @@
 
 // The wall clock (Unix ms) and the monotonic clock (ms) of the fixtures.
 const (
-	fixtureWallMS = 1_764_633_600_000
-	fixtureMonoMS = 5_000
+	fixtureWallMS      = 1_764_633_600_000
+	fixtureMonotonicMS = 5_000
 )
 
-func fixtureClock() (wallMS, monoMS int64) { return fixtureWallMS, fixtureMonoMS }
+func fixtureClock() (wallMS, monotonicMS int64) { return fixtureWallMS, fixtureMonotonicMS }
 
 // fixtureInstanceList holds a list with every field of an instance set. The registry was restored once, so the revision that is
 // served differs from the registry's.
--- a/internal/agent/instance_list_test.go
+++ b/internal/agent/instance_list_test.go
@@ -8,8 +8,8 @@
 	"milldeck/internal/registry"
 )
 
-func newList(rev, epoch uint64, all bool, uids ...string) *registry.EndpointList {
-	list := &registry.EndpointList{Revision: rev, Epoch: epoch, Full: all, Targets: []registry.Target{}}
+func newList(revision, epoch uint64, full bool, uids ...string) *registry.EndpointList {
+	list := &registry.EndpointList{Revision: revision, Epoch: epoch, Full: full, Targets: []registry.Target{}}
 	for _, uid := range uids {
 		state := registry.InstanceReady
 		if uid[0] == '-' {
--- a/internal/agent/placement_cache.go
+++ b/internal/agent/placement_cache.go
@@ -39,7 +39,7 @@
 
 // newPlacementCache returns a cache with the saved placement, if there is one that has not expired. The clock reads Unix ms
 // and a monotonic clock in ms.
-func newPlacementCache(path string, clock func() (wallMS, monoMS int64), logger *slog.Logger) *placementCache {
+func newPlacementCache(path string, clock func() (wallMS, monotonicMS int64), logger *slog.Logger) *placementCache {
 	c := &placementCache{clock: clock, cache: placement.NewCache(), requested: make(chan struct{}), settled: make(chan struct{})}
 	c.state = savedState{path: path, mu: &c.mu, encode: c.encode}
 	c.feed = registry.NewPlacementFeed(c.changesSince)
@@ -60,8 +60,8 @@
 func (c *placementCache) changesSince(after, epoch uint64) placement.Update {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	wallMS, monoMS := c.clock()
-	return c.cache.ChangesSince(after, epoch, wallMS+writeAllowanceMS, monoMS+writeAllowanceMS)
+	wallMS, monotonicMS := c.clock()
+	return c.cache.ChangesSince(after, epoch, wallMS+writeAllowanceMS, monotonicMS+writeAllowanceMS)
 }
 
 // placementFile is the body of the saved placement.
@@ -72,8 +72,8 @@
 
 // encode returns the bytes of the placement file. The caller holds the lock.
 func (c *placementCache) encode() ([]byte, error) {
-	wallMS, monoMS := c.clock()
-	body, err := json.Marshal(placementFile{wallMS, c.cache.Snapshot(wallMS, monoMS)})
+	wallMS, monotonicMS := c.clock()
+	body, err := json.Marshal(placementFile{wallMS, c.cache.Snapshot(wallMS, monotonicMS)})
 	if err != nil {
 		return nil, err
 	}
@@ -93,16 +93,16 @@
 	if err := json.Unmarshal(body, &file); err != nil {
 		return err
 	}
-	wallMS, monoMS := c.clock()
-	return c.cache.Restore(file.Placement, file.SavedAtMS, wallMS, monoMS)
+	wallMS, monotonicMS := c.clock()
+	return c.cache.Restore(file.Placement, file.SavedAtMS, wallMS, monotonicMS)
 }
 
 // merge applies an update that a replica sent.
 func (c *placementCache) merge(update *placement.Update) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	wallMS, monoMS := c.clock()
-	changed, err := c.cache.Apply(update, wallMS, monoMS)
+	wallMS, monotonicMS := c.clock()
+	changed, err := c.cache.Apply(update, wallMS, monotonicMS)
 	if err != nil {
 		return fmt.Errorf("placement: %w", err)
 	}
@@ -143,8 +143,8 @@
 
 // markAlive records that the registry has sent something.
 func (c *placementCache) markAlive() {
-	_, monoMS := c.clock()
-	c.lastRegistryMessageMS.Store(monoMS + 1)
+	_, monotonicMS := c.clock()
+	c.lastRegistryMessageMS.Store(monotonicMS + 1)
 	c.unsupported.Store(false)
 }
 
@@ -156,7 +156,7 @@
 
 // registryAlive reports whether the registry has been heard recently enough for the placement to be called current.
 func (c *placementCache) registryAlive() bool {
-	_, monoMS := c.clock()
+	_, monotonicMS := c.clock()
 	lastMessageMS := c.lastRegistryMessageMS.Load()
-	return lastMessageMS != 0 && monoMS+1-lastMessageMS < registryHeartbeatTimeout.Milliseconds()
+	return lastMessageMS != 0 && monotonicMS+1-lastMessageMS < registryHeartbeatTimeout.Milliseconds()
 }
--- a/internal/agent/placement_test.go
+++ b/internal/agent/placement_test.go
@@ -41,19 +41,19 @@
 	return &leaseOwner{t, client, &registry.Guard{Lease: lease.Name, Token: lease.Token}}
 }
 
-// setEntry sets a directive that expires after a time, and returns its expiry in Unix ms.
-func (o *leaseOwner) setEntry(tenant string, duration time.Duration) (untilMS int64) {
+// setDirective sets a directive that expires after a time, and returns its expiry in Unix ms.
+func (o *leaseOwner) setDirective(tenant string, duration time.Duration) (expiresAtMS int64) {
 	o.Helper()
 	now := time.Now().UnixMilli()
-	entry := placement.Directive{ID: "window/w/" + tenant, Kind: placement.KindExclude, Tenant: tenant, Servers: []string{"s1"}, ExpiresAtMS: now + duration.Milliseconds()}
-	if _, err := o.client.SetPlacement(o.Context(), registry.WriteOptions{Guard: o.guard}, now, []placement.Directive{entry}); err != nil {
+	directive := placement.Directive{ID: "window/w/" + tenant, Kind: placement.KindExclude, Tenant: tenant, Servers: []string{"s1"}, ExpiresAtMS: now + duration.Milliseconds()}
+	if _, err := o.client.SetPlacement(o.Context(), registry.WriteOptions{Guard: o.guard}, now, []placement.Directive{directive}); err != nil {
 		o.Fatal(err)
 	}
-	return entry.ExpiresAtMS
+	return directive.ExpiresAtMS
 }
 
 // servedPlacement is what an agent serves as the placement.
-func servedPlacement(t *testing.T, agent *Agent) (status int, list placement.Update) {
+func servedPlacement(t *testing.T, agent *Agent) (status int, update placement.Update) {
 	t.Helper()
 	response, err := http.Get("http://" + agent.Addr() + "/registry/placement")
 	if err != nil {
@@ -61,17 +61,17 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusOK {
-		if err := json.NewDecoder(response.Body).Decode(&list); err != nil {
+		if err := json.NewDecoder(response.Body).Decode(&update); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return response.StatusCode, list
+	return response.StatusCode, update
 }
 
 // placementWatcher follows an agent as a sidecar does, with a cache of its own.
 type placementWatcher struct {
 	mu        sync.Mutex
-	reader    *placement.Cache
+	cache     *placement.Cache
 	startedAt time.Time
 }
 
@@ -81,23 +81,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	watcher := &placementWatcher{reader: placement.NewCache(), startedAt: time.Now()}
+	watcher := &placementWatcher{cache: placement.NewCache(), startedAt: time.Now()}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for ctx.Err() == nil {
 			watcher.mu.Lock()
-			rev, epoch := watcher.reader.Revision(), watcher.reader.Epoch()
+			revision, epoch := watcher.cache.Revision(), watcher.cache.Epoch()
 			watcher.mu.Unlock()
 			// Why it ended does not matter: it is continued below.
-			_ = client.WatchPlacement(ctx, addr, rev, epoch, func(list *placement.Update, _ time.Duration) error {
-				if list == nil {
+			_ = client.WatchPlacement(ctx, addr, revision, epoch, func(update *placement.Update, _ time.Duration) error {
+				if update == nil {
 					return nil
 				}
 				watcher.mu.Lock()
 				defer watcher.mu.Unlock()
-				_, err := watcher.reader.Apply(list, time.Now().UnixMilli(), time.Since(watcher.startedAt).Milliseconds())
+				_, err := watcher.cache.Apply(update, time.Now().UnixMilli(), time.Since(watcher.startedAt).Milliseconds())
 				return err
 			})
 			select {
@@ -110,22 +110,22 @@
 	return watcher
 }
 
-// activeEntries returns the IDs of the directives in force, and the remaining time of the first of them in ms.
-func (w *placementWatcher) activeEntries() (ids string, remainingMS int64) {
+// activeDirectives returns the IDs of the directives in force, and the remaining time of the first of them in ms.
+func (w *placementWatcher) activeDirectives() (ids string, remainingMS int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, entry := range w.reader.Active(time.Now().UnixMilli(), time.Since(w.startedAt).Milliseconds()).Directives {
+	for _, directive := range w.cache.Active(time.Now().UnixMilli(), time.Since(w.startedAt).Milliseconds()).Directives {
 		if ids == "" {
-			remainingMS = entry.RemainingMS
+			remainingMS = directive.RemainingMS
 		}
-		ids += entry.ID + " "
+		ids += directive.ID + " "
 	}
 	return strings.TrimSpace(ids), remainingMS
 }
 
 // While the registry is unreachable, agent and sidecar let directives expire by themselves. An agent that is restarted
 // serves the saved placement, for no longer than it had left.
-func TestPlacementEntriesExpireWithoutRegistry(t *testing.T) {
+func TestDirectivesExpireWithoutRegistry(t *testing.T) {
 	block := proctest.Block(t)
 	replica := startReplica(t, block)
 	owner := newLeaseOwner(t, replica)
@@ -133,8 +133,8 @@
 	opts := Options{Listen: block.Addr(201, 0, 8500), Replicas: []string{replica.Addr()}, PlacementFile: path}
 	agent := startAgent(t, opts)
 	watcher := startPlacementWatcher(t, agent.Addr())
-	shortUntilMS, longUntilMS := owner.setEntry("short", 1500*time.Millisecond), owner.setEntry("long", time.Minute)
-	waitFor(t, "the sidecar has both", func() bool { ids, _ := watcher.activeEntries(); return ids == "window/w/long window/w/short" })
+	shortUntilMS, longUntilMS := owner.setDirective("short", 1500*time.Millisecond), owner.setDirective("long", time.Minute)
+	waitFor(t, "the sidecar has both", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/long window/w/short" })
 	waitFor(t, "both are saved", func() bool {
 		data, err := os.ReadFile(path)
 		return err == nil && bytes.Contains(data, []byte("window/w/long"))
@@ -142,7 +142,7 @@
 	if err := replica.Close(); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the short one expires at the sidecar", func() bool { ids, _ := watcher.activeEntries(); return ids == "window/w/long" })
+	waitFor(t, "the short one expires at the sidecar", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/long" })
 	if now := time.Now().UnixMilli(); now < shortUntilMS-200 {
 		t.Errorf("it expired %d ms too early", shortUntilMS-now)
 	}
@@ -157,7 +157,7 @@
 	if status != http.StatusOK || len(list.Directives) != 1 || list.Directives[0].ID != "window/w/long" || list.Directives[0].RemainingMS > longUntilMS-time.Now().UnixMilli() {
 		t.Errorf("restarted it serves %d %+v", status, list)
 	}
-	waitFor(t, "the sidecar has reconnected", func() bool { ids, _ := watcher.activeEntries(); return ids == "window/w/long" })
+	waitFor(t, "the sidecar has reconnected", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/long" })
 	if err := restarted.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -177,21 +177,21 @@
 // gone back nothing of the file is used, and a directive that has expired does not come back.
 func TestSavedPlacementAgesWhileStored(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "placement")
-	wallMS, monoMS := int64(1_000_000), int64(5)
-	clock := func() (int64, int64) { return wallMS, monoMS }
+	wallMS, monotonicMS := int64(1_000_000), int64(5)
+	clock := func() (int64, int64) { return wallMS, monotonicMS }
 	cache := newPlacementCache(path, clock, slog.Default())
-	entry := func(id string, untilMS, remainingMS int64) placement.Directive {
+	newDirective := func(id string, untilMS, remainingMS int64) placement.Directive {
 		return placement.Directive{ID: id, Kind: placement.KindExclude, Tenant: "t", Servers: []string{"s"}, ExpiresAtMS: untilMS, RemainingMS: remainingMS, Revision: 3}
 	}
-	list := &placement.Update{Revision: 3, Epoch: 7, Complete: true, Directives: []placement.Directive{
-		entry("a", wallMS+60_000, 2000), // its writer's clock is ahead
-		entry("b", wallMS+500, 60_000),  // the registry's is behind
-		entry("c", wallMS+60_000, 60_000),
+	update := &placement.Update{Revision: 3, Epoch: 7, Complete: true, Directives: []placement.Directive{
+		newDirective("a", wallMS+60_000, 2000), // its writer's clock is ahead
+		newDirective("b", wallMS+500, 60_000),  // the registry's is behind
+		newDirective("c", wallMS+60_000, 60_000),
 	}}
-	if err := cache.merge(list); err != nil {
+	if err := cache.merge(update); err != nil {
 		t.Fatal(err)
 	}
-	wallMS, monoMS = wallMS+1000, monoMS+1000
+	wallMS, monotonicMS = wallMS+1000, monotonicMS+1000
 	if err := cache.state.saveIfDirty(); err != nil {
 		t.Fatal(err)
 	}
@@ -199,8 +199,8 @@
 		cache.mu.Lock()
 		defer cache.mu.Unlock()
 		out := ""
-		for _, entry := range cache.cache.Active(cache.clock()).Directives {
-			out += entry.ID
+		for _, newDirective := range cache.cache.Active(cache.clock()).Directives {
+			out += newDirective.ID
 		}
 		return out
 	}
@@ -209,26 +209,26 @@
 		want   string
 	}{{0, "ac"}, {999, "ac"}, {1000, "c"}, {58_999, "c"}, {59_000, ""}, {-1, ""}} {
 		savedWallMS := wallMS
-		wallMS, monoMS = savedWallMS+c.passed, 0 // as after a restart of the machine
+		wallMS, monotonicMS = savedWallMS+c.passed, 0 // as after a restart of the machine
 		if got := ids(newPlacementCache(path, clock, slog.Default())); got != c.want {
 			t.Errorf("after %d ms there are %q, want %q", c.passed, got, c.want)
 		}
 		wallMS = savedWallMS
 	}
 	restarted := newPlacementCache(path, clock, slog.Default())
-	list.Directives = list.Directives[1:2] // sent again by a registry whose clock is behind
-	if err := restarted.merge(list); err != nil || ids(restarted) != "" {
+	update.Directives = update.Directives[1:2] // sent again by a registry whose clock is behind
+	if err := restarted.merge(update); err != nil || ids(restarted) != "" {
 		t.Errorf("an expired directive is back: %q, %v", ids(restarted), err)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for k := range data {
+	for i := range data {
 		corrupted := bytes.Clone(data)
-		corrupted[k] ^= 1
+		corrupted[i] ^= 1
 		if _, err := decodeChecksummed(placementFileForm, corrupted); err == nil {
-			t.Fatalf("byte %d flipped, and the file was used", k)
+			t.Fatalf("byte %d flipped, and the file was used", i)
 		}
 	}
 }
@@ -269,18 +269,18 @@
 	first, other := newCountingProxy(t, block.Addr(202, 0, 8500), replica.Addr()), newCountingProxy(t, block.Addr(202, 1, 8500), replica.Addr())
 	agent := startAgent(t, Options{Listen: block.Addr(201, 0, 8500), Replicas: []string{first.listener.Addr().String(), other.listener.Addr().String()}, FleetSize: 1})
 	watcher := startPlacementWatcher(t, agent.Addr())
-	owner.setEntry("a", time.Minute)
-	waitFor(t, "the directive is in force", func() bool { ids, _ := watcher.activeEntries(); return ids == "window/w/a" })
+	owner.setDirective("a", time.Minute)
+	waitFor(t, "the directive is in force", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/a" })
 	first.closeConnections()
-	owner.setEntry("b", time.Minute)
-	waitFor(t, "the second is in force", func() bool { ids, _ := watcher.activeEntries(); return ids == "window/w/a window/w/b" })
+	owner.setDirective("b", time.Minute)
+	waitFor(t, "the second is in force", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/a window/w/b" })
 	first.closeConnections()
 	other.closeConnections()
 	if _, err := owner.client.RemovePlacement(t.Context(), registry.WriteOptions{Guard: owner.guard}, "window/w/a"); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the first is removed", func() bool { ids, _ := watcher.activeEntries(); return ids == "window/w/b" })
-	if ids, remainingMS := watcher.activeEntries(); remainingMS > time.Minute.Milliseconds() {
+	waitFor(t, "the first is removed", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/b" })
+	if ids, remainingMS := watcher.activeDirectives(); remainingMS > time.Minute.Milliseconds() {
 		t.Errorf("%s has %d ms left", ids, remainingMS)
 	}
 }
--- a/internal/disruption/constraint.go
+++ b/internal/disruption/constraint.go
@@ -9,11 +9,11 @@
 // constraint is a budget or a built-in rule, with the sums over its units. Sums are whole numbers, so they do not
 // depend on the order in which units were added.
 type constraint struct {
-	key        string
-	budget     *Budget // nil for a built-in rule
-	neverEmpty bool    // of a pod group or a zone of servers: one unit has to serve at any moment
-	zoneKind   Kind    // of a zone: the kind of its units; else ""
-	zoneSlots  bool    // it counts the zones of a kind, see zoneSlotsKey
+	key         string
+	budget      *Budget // nil for a built-in rule
+	neverEmpty  bool    // of a pod group or a zone of servers: one unit has to serve at any moment
+	zoneKind    Kind    // of a zone: the kind of its units; else ""
+	countsZones bool    // it counts the zones of a kind, see zoneSlotsKey
 
 	total          int // units
 	unavailable    int
@@ -56,7 +56,7 @@
 func (l *Ledger) constraintsOf(unit *Unit) []*constraint {
 	server := unit.Kind == KindServer
 	zone := l.getOrAddConstraint(constraint{key: zoneKey(unit.Kind, unit.Zone), zoneKind: unit.Kind, neverEmpty: server})
-	l.getOrAddConstraint(constraint{key: zoneSlotsKey(unit.Kind), zoneSlots: true})
+	l.getOrAddConstraint(constraint{key: zoneSlotsKey(unit.Kind), countsZones: true})
 	constraints := []*constraint{zone}
 	if server {
 		constraints = append(constraints, l.getOrAddConstraint(constraint{key: podGroupKey(unit.PodGroup), neverEmpty: true}))
@@ -112,7 +112,7 @@
 // pruneConstraints removes those built-in constraints that have neither units nor waiters.
 func (l *Ledger) pruneConstraints(constraints []*constraint) {
 	for _, c := range constraints {
-		if c.budget == nil && !c.zoneSlots && c.total == 0 && len(c.waiters) == 0 {
+		if c.budget == nil && !c.countsZones && c.total == 0 && len(c.waiters) == 0 {
 			delete(l.constraints, c.key)
 		}
 	}
--- a/internal/disruption/demand.go
+++ b/internal/disruption/demand.go
@@ -16,7 +16,7 @@
 	blockedReason string        // why one of its units cannot be had now; "": all can
 
 	blocksLater bool          // it keeps later permits from what it waits for
-	neededSlots []*constraint // of zoneSlots, those of which it needs the one slot: it leaves a zone with most units unavailable
+	neededSlots []*constraint // of countsZones, those of which it needs the one slot: it leaves a zone with most units unavailable
 }
 
 // needs reports whether the permit would use up some of what a constraint allows.
--- a/internal/disruption/fixtures_test.go
+++ b/internal/disruption/fixtures_test.go
@@ -57,8 +57,8 @@
 	return steps
 }
 
-// play applies a step at a revision and describes the result.
-func play(t *testing.T, ledger *Ledger, revision uint64, step scriptStep) string {
+// applyStep applies a step at a revision and describes the result.
+func applyStep(t *testing.T, ledger *Ledger, revision uint64, step scriptStep) string {
 	t.Helper()
 	var unit Unit
 	if step.Unit != nil {
@@ -111,7 +111,7 @@
 	var snapshots [][]byte
 	for i, step := range steps {
 		revision := uint64(i + 1)
-		traces.WriteString(trace(ledger, revision, play(t, ledger, revision, step)))
+		traces.WriteString(trace(ledger, revision, applyStep(t, ledger, revision, step)))
 		snapshots = append(snapshots, encode(t, ledger.Snapshot()))
 	}
 	goldentest.Compare(t, "trace.txt", []byte(traces.String()))
@@ -137,7 +137,7 @@
 			t.Fatalf("snapshot %d is written as\n%s\nnot\n%s", i+1, again, data)
 		}
 		for k := i + 1; k < len(steps); k++ {
-			play(t, restored, uint64(k+1), steps[k])
+			applyStep(t, restored, uint64(k+1), steps[k])
 		}
 		if last := encode(t, restored.Snapshot()); !bytes.Equal(last, snapshots[len(snapshots)-1]) {
 			t.Fatalf("restored at step %d it ends as\n%s\nnot\n%s", i+1, last, snapshots[len(snapshots)-1])
--- a/internal/hotkey/fixtures_test.go
+++ b/internal/hotkey/fixtures_test.go
@@ -67,9 +67,9 @@
 				if step >= 36 {
 					load = 5
 				}
-				r := &placement.LoadReport{Sidecar: fmt.Sprint("sidecar-", i), PlacementRevision: revision, IntervalMS: 1000, TotalKeyLoad: load + 200,
+				report := &placement.LoadReport{Sidecar: fmt.Sprint("sidecar-", i), PlacementRevision: revision, IntervalMS: 1000, TotalKeyLoad: load + 200,
 					HotKeys: []placement.KeyLoad{{KeyHash: FormatKey(fixtureKey), Load: load, ErrorBound: 2}, {KeyHash: FormatKey(7), Load: 20 + float64(i), ErrorBound: 1}}}
-				if !planner.AddReport(now, r) {
+				if !planner.AddReport(now, report) {
 					t.Fatalf("step %d: a report was rejected", step)
 				}
 			}
@@ -80,13 +80,13 @@
 		if drained != "" && !planner.Drained(drained) {
 			planner.StartDrain(drained)
 		}
-		for _, f := range planner.Plan(now) {
+		for _, change := range planner.Plan(now) {
 			revision++
-			changes = append(changes, fixtureChange{int64(now * 1000), f.Set, f.RemoveID})
-			if f.Set != nil {
-				planner.Confirm(f.Set.ID, revision)
+			changes = append(changes, fixtureChange{int64(now * 1000), change.Set, change.RemoveID})
+			if change.Set != nil {
+				planner.Confirm(change.Set.ID, revision)
 			} else {
-				planner.Confirm(f.RemoveID, revision)
+				planner.Confirm(change.RemoveID, revision)
 			}
 		}
 	}
@@ -103,7 +103,7 @@
 }
 
 // The status over HTTP keeps its bytes, also that of a planner that was restored from the golden file's directives.
-func TestFixtureTableOverHTTP(t *testing.T) {
+func TestFixtureStatusOverHTTP(t *testing.T) {
 	_, planner := playFixture(t, 18)
 	goldentest.Compare(t, "table.json", call(t, &Controller{planner: planner}, http.MethodGet, "/spread", http.StatusOK))
 
@@ -127,10 +127,10 @@
 	var changes []fixtureChange
 	for step := range 32 {
 		now := fixtureStart + 5 + float64(step)/4
-		for _, f := range successor.Plan(now) {
-			changes = append(changes, fixtureChange{int64(now * 1000), f.Set, f.RemoveID})
-			if f.Set != nil {
-				successor.Confirm(f.Set.ID, uint64(10+step))
+		for _, planned := range successor.Plan(now) {
+			changes = append(changes, fixtureChange{int64(now * 1000), planned.Set, planned.RemoveID})
+			if planned.Set != nil {
+				successor.Confirm(planned.Set.ID, uint64(10+step))
 			}
 		}
 	}
--- a/internal/hotkey/process_test.go
+++ b/internal/hotkey/process_test.go
@@ -122,13 +122,13 @@
 
 // replicatedShare is the fraction of a key's load that replicas take by the placement, and their servers.
 func (c *processCluster) replicatedShare(key uint64) (share float64, servers []string) {
-	directives, err := c.client.PlacementView(c.ctx, false)
+	update, err := c.client.PlacementView(c.ctx, false)
 	if err != nil {
 		return 0, nil
 	}
-	for _, e := range directives.Directives {
-		for _, c := range e.Copies {
-			if e.ID == hotkey.DirectiveID(key) && c.LoadFraction > 0 {
+	for _, directive := range update.Directives {
+		for _, c := range directive.Copies {
+			if directive.ID == hotkey.DirectiveID(key) && c.LoadFraction > 0 {
 				share += c.LoadFraction
 				servers = append(servers, c.ServerUID)
 			}
@@ -141,11 +141,11 @@
 // reports a key of its own.
 func (c *processCluster) runSidecar(addr, name string, misreports bool) {
 	for n := 0; c.ctx.Err() == nil; n++ {
-		var directives placement.Update
-		if !c.call(http.MethodGet, "http://"+addr+"/registry/placement", &directives) {
-			directives = placement.Update{} // the agent has none yet
+		var update placement.Update
+		if !c.call(http.MethodGet, "http://"+addr+"/registry/placement", &update) {
+			update = placement.Update{} // the agent has none yet
 		}
-		report := placement.LoadReport{Sidecar: fmt.Sprint(name, "-", c.incarnation.Load()), PlacementRevision: directives.Revision, PlacementEpoch: directives.Epoch, IntervalMS: 1000, TotalKeyLoad: 900,
+		report := placement.LoadReport{Sidecar: fmt.Sprint(name, "-", c.incarnation.Load()), PlacementRevision: update.Revision, PlacementEpoch: update.Epoch, IntervalMS: 1000, TotalKeyLoad: 900,
 			HotKeys: []placement.KeyLoad{{KeyHash: hotkey.FormatKey(c.hotKey.Load()), Load: 300}}}
 		if misreports {
 			report.TotalKeyLoad, report.HotKeys = 7000, []placement.KeyLoad{{KeyHash: hotkey.FormatKey(999), Load: 7000}}
--- a/internal/hotkey/simulated_fleet_test.go
+++ b/internal/hotkey/simulated_fleet_test.go
@@ -26,7 +26,7 @@
 	planner    *hotkey.Planner
 	nextPlanMS float64
 	revision   uint64
-	entries    map[string]placement.Directive
+	directives map[string]placement.Directive
 	sidecars   []*simulatedSidecar
 }
 
@@ -60,11 +60,11 @@
 		c.revision++
 		changed = true
 		if change.Set == nil {
-			delete(c.entries, change.RemoveID)
+			delete(c.directives, change.RemoveID)
 			c.planner.Confirm(change.RemoveID, c.revision)
 			continue
 		}
-		c.entries[change.Set.ID] = *change.Set
+		c.directives[change.Set.ID] = *change.Set
 		c.planner.Confirm(change.Set.ID, c.revision)
 	}
 	if changed {
@@ -82,8 +82,8 @@
 	if now >= c.placementDueMS {
 		c.placementDueMS, c.revision = math.Inf(1), c.controller.revision
 		var p balance.Placement
-		for _, id := range slices.Sorted(maps.Keys(c.controller.entries)) {
-			directive := c.controller.entries[id]
+		for _, id := range slices.Sorted(maps.Keys(c.controller.directives)) {
+			directive := c.controller.directives[id]
 			hotKey := balance.HotKey{ExpiresAt: float64(directive.ExpiresAtMS) - unixStart*1000}
 			hotKey.Key, _ = strconv.ParseUint(directive.KeyHash, 16, 64)
 			for _, replica := range directive.Copies {
@@ -181,7 +181,7 @@
 	}
 	planner.SetServers(servers)
 	planner.SetExpectedSidecars(len(p.Sidecars))
-	return &simulatedController{planner: planner, entries: map[string]placement.Directive{}}
+	return &simulatedController{planner: planner, directives: map[string]placement.Directive{}}
 }
 
 // newSidecar wraps the module instance of one sidecar.
--- a/internal/hotkey/topk/sketch_test.go
+++ b/internal/hotkey/topk/sketch_test.go
@@ -19,32 +19,32 @@
 }
 
 func (e *exactCounts) decay(now float64) {
-	f := math.Exp2(-(now - e.updatedAt) / e.halfLife)
-	for k := range e.byKey {
-		e.byKey[k] *= f
+	factor := math.Exp2(-(now - e.updatedAt) / e.halfLife)
+	for key := range e.byKey {
+		e.byKey[key] *= factor
 	}
 	e.updatedAt = now
 }
 
 // boundsHold tells whether a part's bounds hold for each key of the exact counts.
-func boundsHold(p Snapshot, truth map[uint64]float64) bool {
-	listed, all := map[uint64]KeyLoad{}, 0.0
-	for _, f := range p.Keys {
-		listed[f.Key] = f
+func boundsHold(snapshot Snapshot, exact map[uint64]float64) bool {
+	listed, total := map[uint64]KeyLoad{}, 0.0
+	for _, bounds := range snapshot.Keys {
+		listed[bounds.Key] = bounds
 	}
-	for _, v := range truth {
-		all += v
+	for _, load := range exact {
+		total += load
 	}
-	slack := 1e-9 * (1 + all)
-	if math.Abs(p.Total-all) > slack {
+	tolerance := 1e-9 * (1 + total)
+	if math.Abs(snapshot.Total-total) > tolerance {
 		return false
 	}
-	for k, v := range truth {
-		f, ok := listed[k]
+	for key, load := range exact {
+		bounds, ok := listed[key]
 		if !ok {
-			f = KeyLoad{Load: p.UnlistedBound, Error: p.UnlistedBound}
+			bounds = KeyLoad{Load: snapshot.UnlistedBound, Error: snapshot.UnlistedBound}
 		}
-		if v > f.Load+slack || v < f.Load-f.Error-slack {
+		if load > bounds.Load+tolerance || load < bounds.Load-bounds.Error-tolerance {
 			return false
 		}
 	}
@@ -53,28 +53,28 @@
 
 // playRequests adds drawn requests to a Summary and to exact counts, and returns both as loads.
 func playRequests(t *rapid.T, name string, now float64) (Snapshot, map[uint64]float64) {
-	half := 2.0
-	s := New(rapid.IntRange(1, 8).Draw(t, name+" size"), half)
-	e := &exactCounts{halfLife: half, byKey: map[uint64]float64{}}
+	halfLife := 2.0
+	sketch := New(rapid.IntRange(1, 8).Draw(t, name+" size"), halfLife)
+	exact := &exactCounts{halfLife: halfLife, byKey: map[uint64]float64{}}
 	at := 0.0
 	for range rapid.IntRange(0, 60).Draw(t, name+" requests") {
 		at = math.Min(at+rapid.SampledFrom([]float64{0, 0.01, 0.5, 3, 100}).Draw(t, "gap"), now)
 		key, work := rapid.Uint64Range(0, 14).Draw(t, "key"), rapid.Float64Range(0.1, 100).Draw(t, "work")
-		s.Add(at, key, work)
-		e.add(at, key, work)
+		sketch.Add(at, key, work)
+		exact.add(at, key, work)
 	}
-	e.decay(now)
-	for k := range e.byKey {
-		e.byKey[k] *= math.Ln2 / half
+	exact.decay(now)
+	for k := range exact.byKey {
+		exact.byKey[k] *= math.Ln2 / halfLife
 	}
-	return s.Top(now, rapid.IntRange(1, 8).Draw(t, name+" top")), e.byKey
+	return sketch.Top(now, rapid.IntRange(1, 8).Draw(t, name+" top")), exact.byKey
 }
 
 func TestBoundsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, truth := playRequests(t, "one", 5000)
-		if !boundsHold(p, truth) {
-			t.Fatalf("%+v does not hold for %v", p, truth)
+		snapshot, exact := playRequests(t, "one", 5000)
+		if !boundsHold(snapshot, exact) {
+			t.Fatalf("%+v does not hold for %v", snapshot, exact)
 		}
 	})
 }
@@ -83,18 +83,18 @@
 func TestMergedBoundsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sum := map[uint64]float64{}
-		var parts []Snapshot
+		var snapshots []Snapshot
 		for range rapid.IntRange(1, 5).Draw(t, "sidecars") {
-			p, truth := playRequests(t, "part", 5000)
-			parts = append(parts, p)
-			for k, v := range truth {
-				sum[k] += v
+			snapshot, exact := playRequests(t, "part", 5000)
+			snapshots = append(snapshots, snapshot)
+			for key, load := range exact {
+				sum[key] += load
 			}
 		}
 		size := rapid.IntRange(1, 12).Draw(t, "merged size")
-		half := len(parts) / 2
-		flat := Merge(size, parts...)
-		tree := Merge(size, Merge(size, parts[:half]...), Merge(size, parts[half:]...))
+		half := len(snapshots) / 2
+		flat := Merge(size, snapshots...)
+		tree := Merge(size, Merge(size, snapshots[:half]...), Merge(size, snapshots[half:]...))
 		if !boundsHold(flat, sum) || !boundsHold(tree, sum) {
 			t.Fatalf("%+v or %+v does not hold for %v", flat, tree, sum)
 		}
@@ -103,7 +103,7 @@
 
 // A key with more than 1/size of the load is always listed, however many others come between.
 func TestHeavyKeyIsListed(t *testing.T) {
-	s := New(16, 2)
+	sketch := New(16, 2)
 	now := 0.0
 	for i := range 10_000 {
 		now += 0.003
@@ -111,37 +111,37 @@
 		if i%10 == 0 {
 			key = 7
 		}
-		s.Add(now, key, 20)
+		sketch.Add(now, key, 20)
 	}
-	p := s.Top(now, 16)
-	if p.Keys[0].Key != 7 || p.Keys[0].LowerBound() < 0.05*p.Total {
-		t.Fatalf("first is %+v of %v", p.Keys[0], p.Total)
+	top := sketch.Top(now, 16)
+	if top.Keys[0].Key != 7 || top.Keys[0].LowerBound() < 0.05*top.Total {
+		t.Fatalf("first is %+v of %v", top.Keys[0], top.Total)
 	}
-	if want := 20 / 0.003; math.Abs(p.Total-want) > 0.02*want {
-		t.Fatalf("all %v ms/s, wanted %v", p.Total, want)
+	if want := 20 / 0.003; math.Abs(top.Total-want) > 0.02*want {
+		t.Fatalf("all %v ms/s, wanted %v", top.Total, want)
 	}
-	if len(s.counters) != 16 || len(s.byKey) != 16 {
-		t.Fatalf("%d counters, %d keys", len(s.counters), len(s.byKey))
+	if len(sketch.counters) != 16 || len(sketch.byKey) != 16 {
+		t.Fatalf("%d counters, %d keys", len(sketch.counters), len(sketch.byKey))
 	}
 }
 
 func TestInvalidWorkIsIgnored(t *testing.T) {
-	s := New(4, 1)
+	sketch := New(4, 1)
 	for _, work := range []float64{math.NaN(), math.Inf(1), -1, 0} {
-		s.Add(1, 9, work)
+		sketch.Add(1, 9, work)
 	}
-	if p := s.Top(1, 4); len(p.Keys) != 0 || p.Total != 0 {
-		t.Fatalf("%+v", p)
+	if top := sketch.Top(1, 4); len(top.Keys) != 0 || top.Total != 0 {
+		t.Fatalf("%+v", top)
 	}
 }
 
 func BenchmarkAdd(b *testing.B) {
-	s := New(64, 2)
-	now, z := 0.0, uint64(1)
+	sketch := New(64, 2)
+	now, random := 0.0, uint64(1)
 	b.ReportAllocs()
 	for range b.N {
 		now += 0.001
-		z = z*6364136223846793005 + 1442695040888963407
-		s.Add(now, z>>58|z>>40&0xff, 20)
+		random = random*6364136223846793005 + 1442695040888963407
+		sketch.Add(now, random>>58|random>>40&0xff, 20)
 	}
 }
--- a/internal/leaderelection/bench/bench.go
+++ b/internal/leaderelection/bench/bench.go
@@ -134,12 +134,12 @@
 }
 
 func runBench(ctx context.Context, opts Options) (*Result, error) {
-	block, err := proc.TakeBlock()
+	addresses, err := proc.TakeBlock()
 	if err != nil {
 		return nil, err
 	}
-	defer block.Release()
-	replicas, err := cluster.Start(ctx, opts.Replicas, cluster.Options{Program: opts.Program, DataDir: opts.Dir, Addresses: block})
+	defer addresses.Release()
+	replicas, err := cluster.Start(ctx, opts.Replicas, cluster.Options{Program: opts.Program, DataDir: opts.Dir, Addresses: addresses})
 	defer func() { _ = replicas.Close() }() // the processes have served their purpose
 	if err != nil {
 		return nil, err
--- a/internal/leaderelection/clock/clock.go
+++ b/internal/leaderelection/clock/clock.go
@@ -49,11 +49,11 @@
 func newClock(rate float64, jump, jumpInterval time.Duration) *Clock {
 	c := &Clock{rate: rate, jump: jump, jumpInterval: jumpInterval}
 	// Two clocks cannot be read at once: of several pairs of readings the one that took the shortest time is used.
-	closest := int64(math.MaxInt64)
+	shortest := int64(math.MaxInt64)
 	for range baseReadings {
 		before, wall := MonotonicNS(), time.Now()
-		if distance := MonotonicNS() - before; distance < closest {
-			closest, c.baseTime, c.baseMonotonicNS = distance, wall, before
+		if elapsed := MonotonicNS() - before; elapsed < shortest {
+			shortest, c.baseTime, c.baseMonotonicNS = elapsed, wall, before
 		}
 	}
 	return c
--- a/internal/loadreport/bench_test.go
+++ b/internal/loadreport/bench_test.go
@@ -58,14 +58,14 @@
 func fleetBatches(b *testing.B, batchSize int, counts bool) (bodies [][]byte) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var reports []placement.LoadReport
-	for k := range fleetSize {
-		reports = append(reports, typicalReport(fmt.Sprint("sidecar-", k), rng))
+	for i := range fleetSize {
+		reports = append(reports, typicalReport(fmt.Sprint("sidecar-", i), rng))
 		if !counts {
-			reports[k].ClassCounts = nil
+			reports[i].ClassCounts = nil
 		}
 	}
-	for k := 0; k < fleetSize; k += batchSize {
-		bodies = append(bodies, encodeBatch(b, reports[k:k+batchSize]...))
+	for i := 0; i < fleetSize; i += batchSize {
+		bodies = append(bodies, encodeBatch(b, reports[i:i+batchSize]...))
 	}
 	return bodies
 }
@@ -140,11 +140,11 @@
 			}
 		}
 	}()
-	for k, data := range requests {
-		if conns[k], err = net.Dial("tcp", addr); err != nil {
+	for i, data := range requests {
+		if conns[i], err = net.Dial("tcp", addr); err != nil {
 			b.Fatal(err)
 		}
-		requests[k] = append(fmt.Appendf(nil, "POST /reports HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n", addr, len(data)), data...)
+		requests[i] = append(fmt.Appendf(nil, "POST /reports HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n", addr, len(data)), data...)
 	}
 	before, _ := readUsage()
 	for b.Loop() {
@@ -153,12 +153,12 @@
 		for worker := range concurrency {
 			workers.Go(func() {
 				response := make([]byte, 4096)
-				for k := worker; k < len(conns); k += concurrency {
-					if _, err := conns[k].Write(requests[k]); err != nil {
+				for i := worker; i < len(conns); i += concurrency {
+					if _, err := conns[i].Write(requests[i]); err != nil {
 						b.Error(err)
 						return
 					}
-					n, err := conns[k].Read(response)
+					n, err := conns[i].Read(response)
 					if err != nil || !bytes.HasPrefix(response[:n], []byte("HTTP/1.1 204")) {
 						b.Errorf("%v: %s", err, response[:n])
 						return
--- a/internal/loadreport/collector.go
+++ b/internal/loadreport/collector.go
@@ -107,12 +107,12 @@
 // addBatch adds all reports of a batch. It reports whether any was of a sidecar too many, and returns an error that joins
 // those of the invalid reports, each with the report's index.
 func (c *Collector) addBatch(reports []placement.LoadReport) (overCapacity bool, invalid error) {
-	for k := range reports {
-		switch err := c.Add(&reports[k]); {
+	for i := range reports {
+		switch err := c.Add(&reports[i]); {
 		case errors.Is(err, errTooManySidecars):
 			overCapacity = true
 		case err != nil:
-			invalid = errors.Join(invalid, fmt.Errorf("reports[%d].%w", k, err))
+			invalid = errors.Join(invalid, fmt.Errorf("reports[%d].%w", i, err))
 		}
 	}
 	return overCapacity, invalid
--- a/internal/loadreport/collector_test.go
+++ b/internal/loadreport/collector_test.go
@@ -75,8 +75,8 @@
 		report.ClassCounts[0].Late = rapid.Int().Draw(t, "late")
 		report.HotKeys = report.HotKeys[:rapid.IntRange(0, 3).Draw(t, "heat")]
 		report.ClassCounts = report.ClassCounts[:2]
-		for k := range report.ClassCounts {
-			report.ClassCounts[k].LatencyHistogram = report.ClassCounts[k].LatencyHistogram[:k]
+		for i := range report.ClassCounts {
+			report.ClassCounts[i].LatencyHistogram = report.ClassCounts[i].LatencyHistogram[:i]
 		}
 		report.SuspendedDirectives = rapid.SliceOfN(rapid.SampledFrom([]string{"x", "y"}), 0, 2).Draw(t, "suspended")
 		data := encodeBatch(t, report, placement.LoadReport{Sidecar: "b"})
@@ -88,9 +88,9 @@
 			data = indented.Bytes()
 		}
 		for range rapid.IntRange(0, 2).Draw(t, "changes") {
-			k := rapid.IntRange(0, len(data)-1).Draw(t, "at")
+			i := rapid.IntRange(0, len(data)-1).Draw(t, "at")
 			inserted := rapid.SampledFrom([]string{"", "0", "-", ".", "e", "1", `"`, ",", "}", "]", " ", "null", "\\", `"name":1,`, "x"}).Draw(t, "put")
-			data = append(append(bytes.Clone(data[:k]), inserted...), data[k+rapid.IntRange(0, 1).Draw(t, "over"):]...)
+			data = append(append(bytes.Clone(data[:i]), inserted...), data[i+rapid.IntRange(0, 1).Draw(t, "over"):]...)
 		}
 		got, ok := decodeFast(data)
 		if !ok {
--- a/internal/placement/cache_test.go
+++ b/internal/placement/cache_test.go
@@ -10,7 +10,7 @@
 )
 
 // drawFunc draws a number from a range: with rapid, or from a seeded source where an injected fault has to be detected.
-type drawFunc func(name string, lo, hi int64) int64
+type drawFunc func(name string, minimum, maximum int64) int64
 
 // clock is that of a machine: its monotonic clock is right, its wall clock may be set at any time.
 type clock struct{ startedAt, offset int64 }
@@ -109,7 +109,9 @@
 // However the wall clocks of agent and sidecar are set, no directive lasts longer than it was approved.
 func TestDirectivesNeverOutliveApproval(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func(name string, lo, hi int64) int64 { return rapid.Int64Range(lo, hi).Draw(t, name) }
+		draw := func(name string, minimum, maximum int64) int64 {
+			return rapid.Int64Range(minimum, maximum).Draw(t, name)
+		}
 		if err := runScenario(draw, relayCorrectly); err != nil {
 			t.Fatal(err)
 		}
@@ -121,7 +123,7 @@
 	failures := 0
 	for seed := range uint64(600) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		draw := func(_ string, lo, hi int64) int64 { return lo + rng.Int64N(hi-lo+1) }
+		draw := func(_ string, minimum, maximum int64) int64 { return minimum + rng.Int64N(maximum-minimum+1) }
 		if runScenario(draw, relay) != nil {
 			failures++
 		}
--- a/internal/placement/fixtures_test.go
+++ b/internal/placement/fixtures_test.go
@@ -48,8 +48,8 @@
 	return stored
 }
 
-// play applies a stored operation, and returns a description of the result and the leader's time.
-func play(t *testing.T, table *Table, stored storedOperation) (description string, nowMS int64) {
+// applyStored applies a stored operation, and returns a description of the result and the leader's time.
+func applyStored(t *testing.T, table *Table, stored storedOperation) (description string, nowMS int64) {
 	t.Helper()
 	if stored.Epoch != 0 {
 		table.StartEpoch(stored.Index, stored.Epoch)
@@ -72,7 +72,7 @@
 	var epochs []uint64
 	after, epoch, nowMS := uint64(0), uint64(0), int64(0)
 	for _, stored := range operations {
-		description, leaderMS := play(t, table, stored)
+		description, leaderMS := applyStored(t, table, stored)
 		nowMS = max(nowMS, leaderMS)
 		fmt.Fprintln(&outcomes, description)
 		snapshot := encodeLine(t, table.Snapshot())
@@ -95,7 +95,7 @@
 			t.Fatalf("snapshot %d is written as\n%s\nnot\n%s", i+1, again, data)
 		}
 		for _, stored := range operations[i+1:] {
-			play(t, restored, stored)
+			applyStored(t, restored, stored)
 		}
 		if last := encodeLine(t, restored.Snapshot()); !bytes.Equal(last, saved[len(saved)-1]) {
 			t.Fatalf("restored after operation %d it ends as\n%s\nnot\n%s", i+1, last, saved[len(saved)-1])
@@ -157,29 +157,31 @@
 func TestFieldErrorTexts(t *testing.T) {
 	long := strings.Repeat("x", MaxIDLength+1)
 	var lines strings.Builder
-	entry := func(change func(*Directive)) {
+	writeDirectiveError := func(change func(*Directive)) {
 		changed := exclusion("window/a/t", 10, "s")
 		change(&changed)
 		fmt.Fprintln(&lines, changed.Validate())
 	}
-	entry(func(e *Directive) { e.ID = long })
-	entry(func(e *Directive) { e.Tenant = long })
-	entry(func(e *Directive) { e.Servers = make([]string, MaxServersPerDirective+1) })
-	entry(func(e *Directive) { e.Copies = make([]KeyCopy, MaxCopiesPerKey+1) })
-	entry(func(e *Directive) { e.Servers = []string{""} })
-	entry(func(e *Directive) { e.Copies = []KeyCopy{{"s", 2}} })
-	entry(func(e *Directive) { e.ID = "what/a" })
-	entry(func(e *Directive) { e.ID = "window//t" })
-	entry(func(e *Directive) { e.Kind = KindCohort })
-	entry(func(e *Directive) { e.ExpiresAtMS = 0 })
-	entry(func(e *Directive) { e.MinAvailable = math.NaN() })
-	entry(func(e *Directive) { e.Tenant = "" })
-	entry(func(e *Directive) { e.ID, e.Kind = "cohort/r", KindCohort })
-	entry(func(e *Directive) { e.Servers = nil })
-	entry(func(e *Directive) { e.ID, e.Kind = "spread/k", KindSpreadKey })
-	entry(func(e *Directive) { e.ID, e.Kind, e.KeyHash = "spread/k", KindSpreadKey, "0123456789abcdef" })
-	entry(func(e *Directive) { e.Servers = []string{"s", "s"} })
-	entry(func(e *Directive) { e.Copies = []KeyCopy{{"s", 0}, {"s", 1}} })
+	writeDirectiveError(func(directive *Directive) { directive.ID = long })
+	writeDirectiveError(func(directive *Directive) { directive.Tenant = long })
+	writeDirectiveError(func(directive *Directive) { directive.Servers = make([]string, MaxServersPerDirective+1) })
+	writeDirectiveError(func(directive *Directive) { directive.Copies = make([]KeyCopy, MaxCopiesPerKey+1) })
+	writeDirectiveError(func(directive *Directive) { directive.Servers = []string{""} })
+	writeDirectiveError(func(directive *Directive) { directive.Copies = []KeyCopy{{"s", 2}} })
+	writeDirectiveError(func(directive *Directive) { directive.ID = "what/a" })
+	writeDirectiveError(func(directive *Directive) { directive.ID = "window//t" })
+	writeDirectiveError(func(directive *Directive) { directive.Kind = KindCohort })
+	writeDirectiveError(func(directive *Directive) { directive.ExpiresAtMS = 0 })
+	writeDirectiveError(func(directive *Directive) { directive.MinAvailable = math.NaN() })
+	writeDirectiveError(func(directive *Directive) { directive.Tenant = "" })
+	writeDirectiveError(func(directive *Directive) { directive.ID, directive.Kind = "cohort/r", KindCohort })
+	writeDirectiveError(func(directive *Directive) { directive.Servers = nil })
+	writeDirectiveError(func(directive *Directive) { directive.ID, directive.Kind = "spread/k", KindSpreadKey })
+	writeDirectiveError(func(directive *Directive) {
+		directive.ID, directive.Kind, directive.KeyHash = "spread/k", KindSpreadKey, "0123456789abcdef"
+	})
+	writeDirectiveError(func(directive *Directive) { directive.Servers = []string{"s", "s"} })
+	writeDirectiveError(func(directive *Directive) { directive.Copies = []KeyCopy{{"s", 0}, {"s", 1}} })
 	valid := exclusion("window/a/t", 10, "s")
 	for _, op := range []Op{
 		{}, {Set: make([]Directive, MaxSetPerOp+1)}, {Delete: make([]string, MaxDirectives+1)}, {Set: []Directive{valid, valid}},
@@ -187,28 +189,28 @@
 	} {
 		fmt.Fprintln(&lines, op.Validate())
 	}
-	report := func(change func(*LoadReport)) {
+	writeReportError := func(change func(*LoadReport)) {
 		changed := LoadReport{Sidecar: "sidecar"}
 		change(&changed)
 		fmt.Fprintln(&lines, changed.Validate())
 	}
-	report(func(r *LoadReport) { r.Sidecar = "" })
-	report(func(r *LoadReport) { r.Zone = long })
-	report(func(r *LoadReport) { r.Version = long })
-	report(func(r *LoadReport) { r.IntervalMS = -1 })
-	report(func(r *LoadReport) { r.SuspendedDirectives = make([]string, MaxExclusions+1) })
-	report(func(r *LoadReport) { r.HotKeys = make([]KeyLoad, MaxHotKeys+1) })
-	report(func(r *LoadReport) { r.TotalKeyLoad = math.Inf(1) })
-	report(func(r *LoadReport) { r.ClassCounts = make([]ClassCount, MaxClassCounts+1) })
-	report(func(r *LoadReport) { r.ExcludedInFlight = map[string]int{"window/a": -1} })
-	report(func(r *LoadReport) { r.SuspendedDirectives = []string{""} })
-	report(func(r *LoadReport) { r.HotKeys = []KeyLoad{{KeyHash: "x", Load: 1, ErrorBound: 2}} })
-	report(func(r *LoadReport) { r.ClassCounts = []ClassCount{{Class: long}} })
-	report(func(r *LoadReport) { r.ClassCounts = []ClassCount{{Succeeded: 3, Late: -1}} })
-	report(func(r *LoadReport) {
+	writeReportError(func(r *LoadReport) { r.Sidecar = "" })
+	writeReportError(func(r *LoadReport) { r.Zone = long })
+	writeReportError(func(r *LoadReport) { r.Version = long })
+	writeReportError(func(r *LoadReport) { r.IntervalMS = -1 })
+	writeReportError(func(r *LoadReport) { r.SuspendedDirectives = make([]string, MaxExclusions+1) })
+	writeReportError(func(r *LoadReport) { r.HotKeys = make([]KeyLoad, MaxHotKeys+1) })
+	writeReportError(func(r *LoadReport) { r.TotalKeyLoad = math.Inf(1) })
+	writeReportError(func(r *LoadReport) { r.ClassCounts = make([]ClassCount, MaxClassCounts+1) })
+	writeReportError(func(r *LoadReport) { r.ExcludedInFlight = map[string]int{"window/a": -1} })
+	writeReportError(func(r *LoadReport) { r.SuspendedDirectives = []string{""} })
+	writeReportError(func(r *LoadReport) { r.HotKeys = []KeyLoad{{KeyHash: "x", Load: 1, ErrorBound: 2}} })
+	writeReportError(func(r *LoadReport) { r.ClassCounts = []ClassCount{{Class: long}} })
+	writeReportError(func(r *LoadReport) { r.ClassCounts = []ClassCount{{Succeeded: 3, Late: -1}} })
+	writeReportError(func(r *LoadReport) {
 		r.ClassCounts = []ClassCount{{LatencyHistogram: make([]uint32, len(LatencyBucketBounds)+2)}}
 	})
-	report(func(r *LoadReport) { r.ClassCounts = []ClassCount{{LatencyHistogram: []uint32{math.MaxUint32, 1}}} })
+	writeReportError(func(r *LoadReport) { r.ClassCounts = []ClassCount{{LatencyHistogram: []uint32{math.MaxUint32, 1}}} })
 	goldentest.Compare(t, "field-errors.txt", []byte(lines.String()))
 }
 
--- a/internal/placement/store.go
+++ b/internal/placement/store.go
@@ -10,9 +10,9 @@
 	// minHistory changes are retained at least, and up to twice as many, for watches that resume: from further back
 	// they get a complete update.
 	minHistory = 4096
-	// maxIncremental directives are told incrementally: the IDs of more removed ones could take more bytes than a
+	// maxIncrementalChanges directives are told incrementally: the IDs of more removed ones could take more bytes than a
 	// complete update.
-	maxIncremental = 1000
+	maxIncrementalChanges = 1000
 )
 
 // store is a set of directives at a revision, with the history of changes that led there. The slices of directives are
@@ -90,7 +90,7 @@
 	if s.historyCovers(after, epoch) {
 		ids = s.changedSince(after)
 	}
-	if update.Complete = !s.historyCovers(after, epoch) || len(ids) > maxIncremental; update.Complete {
+	if update.Complete = !s.historyCovers(after, epoch) || len(ids) > maxIncrementalChanges; update.Complete {
 		ids = slices.Sorted(maps.Keys(s.directives))
 	}
 	for _, id := range ids {
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -204,7 +204,7 @@
 		if err != nil || len(data) > MaxTotalBytes {
 			t.Errorf("the complete update takes %d bytes: %v", len(data), err)
 		}
-		if update := table.ChangesSince(1, 0, now); full <= maxIncremental || !update.Complete {
+		if update := table.ChangesSince(1, 0, now); full <= maxIncrementalChanges || !update.Complete {
 			t.Errorf("the update with %d changes is not complete", full)
 		}
 		if result := table.Apply(3, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{validExclusion()}, Delete: []string{"window/a/7"}}); result.Outcome != OutcomeApplied {
--- a/internal/supervisor/core/core_test.go
+++ b/internal/supervisor/core/core_test.go
@@ -27,11 +27,11 @@
 	if err := supervisor.ValidateBatch([]request{r}); err != nil {
 		t.Fatalf("%v", err)
 	}
-	a := c.Do(now, []request{r})
-	if len(a.Outcomes) != 1 {
-		t.Fatalf("%+v, want one outcome", a)
+	response := c.Do(now, []request{r})
+	if len(response.Outcomes) != 1 {
+		t.Fatalf("%+v, want one outcome", response)
 	}
-	return a.Outcomes[0]
+	return response.Outcomes[0]
 }
 
 func state(c *Core, unit string) supervisor.Unit {
@@ -57,50 +57,50 @@
 	return s
 }
 
-func expect(t *testing.T, what, got, expect string) {
+func want(t *testing.T, what, got, want string) {
 	t.Helper()
-	if got != expect {
-		t.Errorf("%s: %q, want %q", what, got, expect)
+	if got != want {
+		t.Errorf("%s: %q, want %q", what, got, want)
 	}
 }
 
 func TestUnitLifecycle(t *testing.T) {
 	c := New(Options{Versions: versions}, 1000)
 	first := executeOne(t, c, 1000, start(c, "a", "u", "1", 0))
-	expect(t, "start", drainEffects(c), "launch 1 u 1;")
-	expect(t, "start of a starting unit", string(executeOne(t, c, 1000, start(c, "b", "u", "1", first.Incarnation)).Rejected), "busy")
+	want(t, "start", drainEffects(c), "launch 1 u 1;")
+	want(t, "start of a starting unit", string(executeOne(t, c, 1000, start(c, "b", "u", "1", first.Incarnation)).Rejected), "busy")
 	c.ProcessReady(1100, 1)
-	expect(t, "ready", string(state(c, "u").State), "running")
+	want(t, "ready", string(state(c, "u").State), "running")
 	next := executeOne(t, c, 1200, request{
 		ID: "c", Op: supervisor.Restart, Epoch: c.epoch, Unit: "u", Incarnation: first.Incarnation, Kind: supervisor.Sidecar, Version: "2",
 		Listen: "127.0.0.1:1", GraceMS: 300,
 	})
-	expect(t, "restart", drainEffects(c), "term 1;")
+	want(t, "restart", drainEffects(c), "term 1;")
 	c.Tick(1499)
-	expect(t, "within the grace", drainEffects(c), "")
+	want(t, "within the grace", drainEffects(c), "")
 	c.Tick(1500)
-	expect(t, "the grace", drainEffects(c), "kill 1;")
+	want(t, "the grace", drainEffects(c), "kill 1;")
 	c.ProcessExited(1501, 1, "signal: killed")
-	expect(t, "the end", drainEffects(c), "launch 2 u 2;")
+	want(t, "the end", drainEffects(c), "launch 2 u 2;")
 	if u := state(c, "u"); u.Incarnation != next.Incarnation || u.Incarnation == first.Incarnation || u.Version != "2" {
 		t.Errorf("%+v, want incarnation %d of version 2", u, next.Incarnation)
 	}
-	expect(t, "a late stop of the one before", string(executeOne(t, c, 1600, stop(c, "d", "u", first.Incarnation)).Rejected), "stale")
+	want(t, "a late stop of the one before", string(executeOne(t, c, 1600, stop(c, "d", "u", first.Incarnation)).Rejected), "stale")
 	executeOne(t, c, 1600, stop(c, "e", "u", next.Incarnation))
 	c.Tick(2099)
-	expect(t, "the version's grace", drainEffects(c), "term 2;")
+	want(t, "the version's grace", drainEffects(c), "term 2;")
 	c.Tick(2100)
-	expect(t, "the version's grace", drainEffects(c), "kill 2;")
+	want(t, "the version's grace", drainEffects(c), "kill 2;")
 	c.ProcessExited(2100, 2, "signal: killed")
-	expect(t, "no version", string(executeOne(t, c, 1600, start(c, "f", "u", "9", next.Incarnation)).Rejected), "no_version")
+	want(t, "no version", string(executeOne(t, c, 1600, start(c, "f", "u", "9", next.Incarnation)).Rejected), "no_version")
 	executeOne(t, c, 3000, start(c, "g", "u", "crash", next.Incarnation))
 	for i, due := range []int64{3200, 3600} {
 		c.ProcessExited(due-200<<i, uint64(3+i), "exit status 1")
 		drainEffects(c)
 		c.Tick(due - 1)
-		expect(t, "before the restart", string(state(c, "u").State)+drainEffects(c), "exited")
+		want(t, "before the restart", string(state(c, "u").State)+drainEffects(c), "exited")
 		c.Tick(due)
-		expect(t, "the restart by the platform", drainEffects(c), fmt.Sprintf("launch %d u crash;", 4+i))
+		want(t, "the restart by the platform", drainEffects(c), fmt.Sprintf("launch %d u crash;", 4+i))
 	}
 	c.ProcessExited(4000, 5, "exit status 1")
 	c.Tick(1e6)
@@ -128,23 +128,23 @@
 	c := fresh()
 	set(c, Fault{Kind: FaultDuplicate})
 	executeOne(t, c, 1000, start(c, "x", "c", "1", 0))
-	expect(t, "twice", drainEffects(c), "launch 3 c 1;launch 4 c 1;")
+	want(t, "twice", drainEffects(c), "launch 3 c 1;launch 4 c 1;")
 
 	set(c, Fault{Kind: FaultWrongUnit})
 	executeOne(t, c, 1000, stop(c, "y", "a", 1))
-	expect(t, "wrong", drainEffects(c)+string(state(c, "a").State+state(c, "b").State), "term 2;runningstopping")
+	want(t, "wrong", drainEffects(c)+string(state(c, "a").State+state(c, "b").State), "term 2;runningstopping")
 
 	c = fresh()
 	set(c, Fault{Kind: FaultPartial, On: OnDo})
 	both := []request{stop(c, "s1", "a", 1), stop(c, "s2", "b", 2)}
-	if a := c.Do(1000, both); a.Failure == "" {
-		t.Errorf("%+v, want a failure", a)
+	if response := c.Do(1000, both); response.Failure == "" {
+		t.Errorf("%+v, want a failure", response)
 	}
-	expect(t, "half of two", drainEffects(c), "term 1;")
-	if a := c.Do(1000, both); a.Failure != "" || len(a.Outcomes) != 2 {
-		t.Errorf("%+v, want both done by the repeat", a)
+	want(t, "half of two", drainEffects(c), "term 1;")
+	if response := c.Do(1000, both); response.Failure != "" || len(response.Outcomes) != 2 {
+		t.Errorf("%+v, want both done by the repeat", response)
 	}
-	expect(t, "the other half", drainEffects(c), "term 2;")
+	want(t, "the other half", drainEffects(c), "term 2;")
 
 	c = fresh()
 	set(c, Fault{Kind: FaultPartial})
@@ -152,14 +152,14 @@
 		ID: "r", Op: supervisor.Restart, Epoch: c.epoch, Unit: "a", Incarnation: 1, Kind: supervisor.Sidecar, Version: "2", Listen: "127.0.0.1:1",
 	})
 	c.ProcessExited(1100, 1, "exit status 0")
-	expect(t, "half of a restart", drainEffects(c)+string(state(c, "a").State), "term 1;exited")
+	want(t, "half of a restart", drainEffects(c)+string(state(c, "a").State), "term 1;exited")
 
 	c = fresh()
 	set(c, Fault{Kind: FaultHang, DurationMS: 500})
-	a := c.Do(1000, []request{stop(c, "h", "a", 1)})
-	expect(t, "hangs", fmt.Sprint(a.DeferredTicket != 0)+drainEffects(c), "true")
+	response := c.Do(1000, []request{stop(c, "h", "a", 1)})
+	want(t, "hangs", fmt.Sprint(response.DeferredTicket != 0)+drainEffects(c), "true")
 	c.Tick(1500)
-	expect(t, "goes on", drainEffects(c), "term 1;core.DeferredResponse;")
+	want(t, "goes on", drainEffects(c), "term 1;core.DeferredResponse;")
 
 	c = fresh()
 	before := c.list(0)
@@ -168,7 +168,7 @@
 	if l := c.list(0); l.Epoch <= before.Epoch || l.Complete || len(l.Units) != 0 {
 		t.Errorf("%+v, want another epoch and no units", l)
 	}
-	expect(t, "a request of the epoch before", string(executeOne(t, c, 1000, late).Rejected), "forgotten")
+	want(t, "a request of the epoch before", string(executeOne(t, c, 1000, late).Rejected), "forgotten")
 	c.Tick(1500)
 	if l := c.list(0); !l.Complete || len(l.Units) != 2 || l.Units[0].State != supervisor.Running {
 		t.Errorf("%+v, want both units found again", l)
@@ -182,7 +182,7 @@
 	a := start(c, "a", "a", "1", 0)
 	executeOne(t, c, 1, a)
 	b := executeOne(t, c, 1, start(c, "b", "b", "1", 0))
-	expect(t, "a third unit", string(executeOne(t, c, 1, start(c, "c", "c", "1", 0)).Rejected), "full")
+	want(t, "a third unit", string(executeOne(t, c, 1, start(c, "c", "c", "1", 0)).Rejected), "full")
 	c.ProcessReady(2, 2)
 	executeOne(t, c, 3, stop(c, "d", "b", b.Incarnation))
 	c.ProcessExited(4, 2, "exit status 0")
@@ -190,7 +190,7 @@
 	if out := executeOne(t, c, 5, start(c, "e", "c", "1", 0)); out.Rejected != "" {
 		t.Errorf("%+v, want the exited unit evicted", out)
 	}
-	expect(t, "the one that has exited", drainEffects(c), "core.UnitRemoved;launch 3 c 1;")
+	want(t, "the one that has exited", drainEffects(c), "core.UnitRemoved;launch 3 c 1;")
 	if len(c.records) != 4 || len(c.recordOrder) != 4 || c.records["a"] == nil || c.records["b"] != nil {
 		t.Errorf("%d records, a %v, b %v, want a retained as it starts", len(c.records), c.records["a"], c.records["b"])
 	}
--- a/internal/supervisor/core/model_test.go
+++ b/internal/supervisor/core/model_test.go
@@ -30,17 +30,17 @@
 	alive   map[uint64]string
 }
 
-func newPlatformModel(b plantedBug) *platformModel {
+func newPlatformModel(bug plantedBug) *platformModel {
 	return &platformModel{
-		Core: New(Options{Versions: versions, MaxRequestIDs: 8}, 1), now: 1, bug: b,
+		Core: New(Options{Versions: versions, MaxRequestIDs: 8}, 1), now: 1, bug: bug,
 		started: map[string]int{}, alive: map[uint64]string{},
 	}
 }
 
 func (m *platformModel) settle() {
 	m.Tick(m.now)
-	for all := m.Effects(); len(all) > 0; all = m.Effects() {
-		for _, e := range all {
+	for effects := m.Effects(); len(effects) > 0; effects = m.Effects() {
+		for _, e := range effects {
 			switch e := e.(type) {
 			case Launch:
 				m.alive[e.Process] = e.Unit.Name
@@ -64,51 +64,51 @@
 	if m.bug == anyEpoch {
 		r.Epoch = m.epoch
 	}
-	a := m.Do(m.now, []request{r})
+	response := m.Do(m.now, []request{r})
 	m.settle()
-	if m.bug == evictsFailed && (a.Disconnect || a.Failure != "") {
+	if m.bug == evictsFailed && (response.Disconnect || response.Failure != "") {
 		delete(m.records, r.ID)
 	}
-	if a.Disconnect || a.Failure != "" || a.DeferredTicket != 0 {
+	if response.Disconnect || response.Failure != "" || response.DeferredTicket != 0 {
 		m.now += 10 // the caller's timeout
 		m.settle()
 		return nil
 	}
-	return &a.Outcomes[0]
+	return &response.Outcomes[0]
 }
 
 // reconcile brings a unit to a version, "" for stopped, as a careful caller does: it reads the list, calls, and repeats the
 // call with the same id; where the outcome is still unknown, it reads the list again. A request's id is also its
 // configuration's name, so that its processes can be counted.
-func (m *platformModel) reconcile(draw chooser, id, unit, version string) (all []request, err error) {
-	for try := range 30 {
-		l := m.list(m.now)
-		for ; !l.Complete; l = m.list(m.now) {
+func (m *platformModel) reconcile(draw chooser, id, unit, version string) (requests []request, err error) {
+	for attempt := range 30 {
+		list := m.list(m.now)
+		for ; !list.Complete; list = m.list(m.now) {
 			m.now += 100
 			m.settle()
 		}
-		u := l.Find(unit)
-		r := request{ID: fmt.Sprintf("%s.%d", id, try), Op: supervisor.Stop, Epoch: l.Epoch, Unit: unit}
-		up := u != nil && u.State != supervisor.Exited
+		u := list.Find(unit)
+		r := request{ID: fmt.Sprintf("%s.%d", id, attempt), Op: supervisor.Stop, Epoch: list.Epoch, Unit: unit}
+		running := u != nil && u.State != supervisor.Exited
 		if u != nil {
 			r.Incarnation = u.Incarnation
 		}
 		switch {
-		case version == "" && !up, up && u.Version == version:
-			return all, nil
+		case version == "" && !running, running && u.Version == version:
+			return requests, nil
 		case version != "":
 			r.Op, r.Kind, r.Version, r.Listen, r.ConfigName = supervisor.Start, supervisor.Sidecar, version, "127.0.0.1:1", r.ID
-			if up {
+			if running {
 				r.Op = supervisor.Restart
 			}
 		}
-		all = append(all, r)
+		requests = append(requests, r)
 		for range 1 + draw("tries", 3) {
-			out := m.call(r)
-			if out != nil && out.Rejected == supervisor.IncarnationMismatch && m.started[r.ID] > 0 {
-				return nil, fmt.Errorf("%s was executed, and its repeat is rejected: %s", r.ID, out.Detail)
+			outcome := m.call(r)
+			if outcome != nil && outcome.Rejected == supervisor.IncarnationMismatch && m.started[r.ID] > 0 {
+				return nil, fmt.Errorf("%s was executed, and its repeat is rejected: %s", r.ID, outcome.Detail)
 			}
-			if out != nil {
+			if outcome != nil {
 				break
 			}
 		}
@@ -121,49 +121,49 @@
 
 // playScenario brings units to drawn versions, once without faults, and once with them and with repeats of earlier
 // requests, some much later. Both have to end with the same versions, and no request may have started two processes.
-func playScenario(draw chooser, b plantedBug) error {
-	clean, rough := newPlatformModel(noBug), newPlatformModel(b)
+func playScenario(draw chooser, bug plantedBug) error {
+	faultless, faulty := newPlatformModel(noBug), newPlatformModel(bug)
 	never := func(string, int) int { return 0 }
-	var past []request
+	var earlier []request
 	for i := range 1 + draw("steps", 12) {
 		unit, version := []string{"a", "b", "c"}[draw("unit", 3)], []string{"", "1", "2"}[draw("version", 3)]
-		f := []Fault{
+		fault := []Fault{
 			{}, {Kind: FaultError}, {Kind: FaultHang, DurationMS: 50}, {Kind: FaultDelay, DelayMS: 10}, {Kind: FaultDropResponse}, {Kind: FaultLoseState, DurationMS: 200},
 		}[draw("fault", 6)]
-		if f.Kind != "" {
-			if err := rough.SetFault(rough.now, f); err != nil {
+		if fault.Kind != "" {
+			if err := faulty.SetFault(faulty.now, fault); err != nil {
 				return err
 			}
 		}
-		asked, err := rough.reconcile(draw, fmt.Sprint("step", i), unit, version)
+		requests, err := faulty.reconcile(draw, fmt.Sprint("step", i), unit, version)
 		if err != nil {
 			return err
 		}
-		past = append(past, asked...)
-		if _, err := clean.reconcile(never, fmt.Sprint("step", i), unit, version); err != nil {
+		earlier = append(earlier, requests...)
+		if _, err := faultless.reconcile(never, fmt.Sprint("step", i), unit, version); err != nil {
 			return err
 		}
-		rough.now += 20
-		rough.settle()
+		faulty.now += 20
+		faulty.settle()
 		for range draw("repeats", 4) {
-			if len(past) > 0 {
-				rough.call(past[draw("repeat", len(past))])
+			if len(earlier) > 0 {
+				faulty.call(earlier[draw("repeat", len(earlier))])
 			}
 		}
 	}
-	rough.ClearFaults(rough.now)
-	for id, n := range rough.started {
+	faulty.ClearFaults(faulty.now)
+	for id, n := range faulty.started {
 		if n != 1 {
 			return fmt.Errorf("%s has started %d processes", id, n)
 		}
 	}
 	alive := map[string]int{}
-	for _, unit := range rough.alive {
+	for _, unit := range faulty.alive {
 		if alive[unit]++; alive[unit] > 1 {
 			return fmt.Errorf("%s has two processes", unit)
 		}
 	}
-	if got, want := rough.finalVersions(), clean.finalVersions(); !maps.Equal(got, want) {
+	if got, want := faulty.finalVersions(), faultless.finalVersions(); !maps.Equal(got, want) {
 		return fmt.Errorf("units end as %v, without faults as %v", got, want)
 	}
 	return nil
@@ -193,8 +193,8 @@
 // All scenarios of two steps for one unit: with up to two attempts of each call, and with up to one late repeat after each
 // step.
 func TestAllTwoStepScenarios(t *testing.T) {
-	for _, c := range []struct{ tries, repeats int }{{2, 1}, {1, 2}} {
-		var picks, ways []int // of this scenario: each choice, and among how many
+	for _, c := range []struct{ attempts, repeats int }{{2, 1}, {1, 2}} {
+		var choices, alternatives []int // of this scenario: each choice, and among how many
 		plays := 0
 		for more := true; more; plays++ {
 			at := 0
@@ -205,28 +205,28 @@
 				case "unit":
 					return 0
 				case "tries":
-					n = c.tries
+					n = c.attempts
 				case "repeats":
 					n = c.repeats
 				}
-				if at == len(picks) {
-					picks, ways = append(picks, 0), append(ways, 0)
+				if at == len(choices) {
+					choices, alternatives = append(choices, 0), append(alternatives, 0)
 				}
-				ways[at] = n
+				alternatives[at] = n
 				at++
-				return picks[at-1]
+				return choices[at-1]
 			}, noBug)
 			if err != nil {
-				t.Fatalf("%v: %v", picks, err)
+				t.Fatalf("%v: %v", choices, err)
 			}
 			// The next scenario differs in the last choice that has an alternative left.
-			picks, ways = picks[:at], ways[:at]
-			for more = false; len(picks) > 0 && !more; {
-				last := len(picks) - 1
-				if picks[last]++; picks[last] < ways[last] {
+			choices, alternatives = choices[:at], alternatives[:at]
+			for more = false; len(choices) > 0 && !more; {
+				last := len(choices) - 1
+				if choices[last]++; choices[last] < alternatives[last] {
 					more = true
 				} else {
-					picks, ways = picks[:last], ways[:last]
+					choices, alternatives = choices[:last], alternatives[:last]
 				}
 			}
 		}
--- a/internal/supervisor/fake/fake_test.go
+++ b/internal/supervisor/fake/fake_test.go
@@ -30,11 +30,11 @@
 
 func list(t *testing.T, p *Platform) *supervisor.List {
 	t.Helper()
-	l, err := p.List(t.Context())
+	list, err := p.List(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return list
 }
 
 func TestProcessesFollowTheirBehavior(t *testing.T) {
@@ -85,20 +85,20 @@
 func TestFaults(t *testing.T) {
 	p := New(Options{Versions: versions(), TimeoutMS: 2000}, 1)
 	epoch := list(t, p).Epoch
-	for i, f := range []core.Fault{
+	for i, fault := range []core.Fault{
 		{Kind: core.FaultError}, {Kind: core.FaultHang}, {Kind: core.FaultDelay, DelayMS: 3000}, {Kind: core.FaultDropResponse},
 	} {
-		if err := p.SetFault(f); err != nil {
+		if err := p.SetFault(fault); err != nil {
 			t.Fatal(err)
 		}
-		q := start(epoch, fmt.Sprint("u", i), "good")
-		if _, err := p.Do(t.Context(), q); !errors.Is(err, supervisor.ErrOutcomeUnknown) {
-			t.Errorf("%s: %v", f.Kind, err)
+		request := start(epoch, fmt.Sprint("u", i), "good")
+		if _, err := p.Do(t.Context(), request); !errors.Is(err, supervisor.ErrOutcomeUnknown) {
+			t.Errorf("%s: %v", fault.Kind, err)
 		}
 		p.ClearFaults()
-		out, err := p.Do(t.Context(), q)
-		if err != nil || out[0].Rejected != "" || p.LiveProcesses(q.Unit) != 1 {
-			t.Errorf("%s: %+v, %v, %d alive", f.Kind, out, err, p.LiveProcesses(q.Unit))
+		outcomes, err := p.Do(t.Context(), request)
+		if err != nil || outcomes[0].Rejected != "" || p.LiveProcesses(request.Unit) != 1 {
+			t.Errorf("%s: %+v, %v, %d alive", fault.Kind, outcomes, err, p.LiveProcesses(request.Unit))
 		}
 	}
 }
--- a/internal/supervisor/standin/standin_test.go
+++ b/internal/supervisor/standin/standin_test.go
@@ -17,190 +17,190 @@
 )
 
 func TestSidecarLifecycle(t *testing.T) {
-	r := newTestPlatform(t)
-	r.startSidecars(1, 2)
-	reload := r.request(supervisor.Reload, 1, "")
+	platform := newTestPlatform(t)
+	platform.startSidecars(1, 2)
+	reload := platform.request(supervisor.Reload, 1, "")
 	reload.ConfigName, reload.ConfigText = "c2", strings.Replace(sidecarConfig, "127.0.0.1:1", "127.0.0.1:2", 1)
-	r.mustDo(reload)
-	r.eventually("reloaded", func() bool { return strings.Contains(r.readFile("u1.log"), "reloaded discovery=127.0.0.1:2") })
-	if u := r.waitState(1, supervisor.Running); u.ConfigName != "c2" {
+	platform.mustDo(reload)
+	platform.eventually("reloaded", func() bool { return strings.Contains(platform.readFile("u1.log"), "reloaded discovery=127.0.0.1:2") })
+	if u := platform.waitState(1, supervisor.Running); u.ConfigName != "c2" {
 		t.Errorf("%+v, want configuration c2", u)
 	}
-	was := r.waitState(1, supervisor.Running).Incarnation
-	if now := r.mustDo(r.request(supervisor.Restart, 1, "2"))[0].Incarnation; now == was {
-		t.Errorf("incarnation %d also after the restart", now)
+	before := platform.waitState(1, supervisor.Running).Incarnation
+	if after := platform.mustDo(platform.request(supervisor.Restart, 1, "2"))[0].Incarnation; after == before {
+		t.Errorf("incarnation %d also after the restart", after)
 	}
-	if u := r.waitState(1, supervisor.Running); u.Version != "2" || u.Restarts != 0 {
+	if u := platform.waitState(1, supervisor.Running); u.Version != "2" || u.Restarts != 0 {
 		t.Errorf("%+v, want version 2", u)
 	}
-	stop := r.request(supervisor.Stop, 1, "")
-	first := r.mustDo(stop)
-	if u := r.waitState(1, supervisor.Exited); u.Exit != "exit status 0" {
+	stop := platform.request(supervisor.Stop, 1, "")
+	first := platform.mustDo(stop)
+	if u := platform.waitState(1, supervisor.Exited); u.Exit != "exit status 0" {
 		t.Errorf("%+v, want status 0", u)
 	}
-	r.mustDo(r.request(supervisor.Start, 1, "1"))
-	r.waitState(1, supervisor.Running)
-	if again := r.mustDo(stop); again[0] != first[0] || r.waitState(1, supervisor.Running).State != supervisor.Running {
+	platform.mustDo(platform.request(supervisor.Start, 1, "1"))
+	platform.waitState(1, supervisor.Running)
+	if again := platform.mustDo(stop); again[0] != first[0] || platform.waitState(1, supervisor.Running).State != supervisor.Running {
 		t.Errorf("a late repeat got %+v, the first %+v", again, first)
 	}
 	other := stop
 	other.GraceMS = 1
-	if out, err := r.client.Do(r.ctx, other); err != nil || out[0].Rejected != supervisor.RequestIDReused {
-		t.Errorf("%+v, %v, want the id rejected", out, err)
+	if outcomes, err := platform.client.Do(platform.ctx, other); err != nil || outcomes[0].Rejected != supervisor.RequestIDReused {
+		t.Errorf("%+v, %v, want the id rejected", outcomes, err)
 	}
-	if err := r.process.Stop(r.ctx); err != nil {
-		t.Errorf("%v\n%s", err, r.process.Log())
+	if err := platform.process.Stop(platform.ctx); err != nil {
+		t.Errorf("%v\n%s", err, platform.process.Log())
 	}
-	if r.isListening(1) || r.isListening(2) {
+	if platform.isListening(1) || platform.isListening(2) {
 		t.Error("a sidecar outlived the platform")
 	}
-	if _, err := r.client.Do(r.ctx, stop); err == nil || errors.Is(err, supervisor.ErrOutcomeUnknown) || strings.Contains(err.Error(), "\n") {
+	if _, err := platform.client.Do(platform.ctx, stop); err == nil || errors.Is(err, supervisor.ErrOutcomeUnknown) || strings.Contains(err.Error(), "\n") {
 		t.Errorf("%v, want one line and a known outcome", err)
 	}
 }
 
 func TestMisbehavingServers(t *testing.T) {
-	r := newTestPlatform(t)
-	r.mustDo(r.request(supervisor.Start, 1, "deaf"), r.request(supervisor.Start, 2, "crash"), r.request(supervisor.Start, 3, "good"),
-		r.request(supervisor.Start, 4, "loud"))
+	platform := newTestPlatform(t)
+	platform.mustDo(platform.request(supervisor.Start, 1, "deaf"), platform.request(supervisor.Start, 2, "crash"), platform.request(supervisor.Start, 3, "good"),
+		platform.request(supervisor.Start, 4, "loud"))
 	for _, n := range []int{1, 3, 4} {
-		r.waitState(n, supervisor.Running)
+		platform.waitState(n, supervisor.Running)
 	}
-	stop := r.request(supervisor.Stop, 1, "")
+	stop := platform.request(supervisor.Stop, 1, "")
 	stop.GraceMS = 100
-	r.mustDo(stop, r.request(supervisor.Stop, 3, ""))
-	if u := r.waitState(1, supervisor.Exited); u.Exit != "signal: killed" {
+	platform.mustDo(stop, platform.request(supervisor.Stop, 3, ""))
+	if u := platform.waitState(1, supervisor.Exited); u.Exit != "signal: killed" {
 		t.Errorf("%+v, want it killed", u)
 	}
-	if u := r.waitState(3, supervisor.Exited); u.Exit != "signal: terminated" {
+	if u := platform.waitState(3, supervisor.Exited); u.Exit != "signal: terminated" {
 		t.Errorf("%+v, want it terminated", u)
 	}
-	r.eventually("two restarts", func() bool { return r.waitState(2, supervisor.Exited).Restarts == 2 })
-	if u := r.waitState(2, supervisor.Exited); u.Exit != "exit status 3 cannot go on" || r.startCount(2) != 3 {
-		t.Errorf("%+v after %d starts", u, r.startCount(2))
+	platform.eventually("two restarts", func() bool { return platform.waitState(2, supervisor.Exited).Restarts == 2 })
+	if u := platform.waitState(2, supervisor.Exited); u.Exit != "exit status 3 cannot go on" || platform.startCount(2) != 3 {
+		t.Errorf("%+v after %d starts", u, platform.startCount(2))
 	}
-	r.eventually("its log truncated", func() bool { return len(r.readFile("u4.log")) <= maxLogBytes })
-	r.process.Kill()
-	r.eventually("the end of what a killed platform ran", func() bool { return !r.isListening(4) })
+	platform.eventually("its log truncated", func() bool { return len(platform.readFile("u4.log")) <= maxLogBytes })
+	platform.process.Kill()
+	platform.eventually("the end of what a killed platform ran", func() bool { return !platform.isListening(4) })
 }
 
 func TestFaultsBetweenClientAndPlatform(t *testing.T) {
-	r := newTestPlatform(t)
-	r.startSidecars(1, 2)
-	short := func(t *testing.T) context.Context {
+	platform := newTestPlatform(t)
+	platform.startSidecars(1, 2)
+	shortContext := func(t *testing.T) context.Context {
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		t.Cleanup(cancel)
 		return ctx
 	}
-	for i, f := range []core.Fault{
+	for i, fault := range []core.Fault{
 		{Kind: core.FaultError, On: core.OnDo, Count: 2}, {Kind: core.FaultDropResponse, On: core.OnDo, Count: 2}, {Kind: core.FaultDelay, On: core.OnDo, DelayMS: 100},
 	} {
-		t.Run(string(f.Kind)+" and a retry", func(t *testing.T) {
+		t.Run(string(fault.Kind)+" and a retry", func(t *testing.T) {
 			n := 10 + i
-			q := r.request(supervisor.Start, n, "1")
-			r.setFault(f)
-			out := r.mustDo(q)
-			u := r.waitState(n, supervisor.Running)
-			if r.startCount(n) != 1 || u.Incarnation != out[0].Incarnation {
-				t.Errorf("started %d times, %+v, outcome %+v", r.startCount(n), u, out)
+			request := platform.request(supervisor.Start, n, "1")
+			platform.setFault(fault)
+			outcomes := platform.mustDo(request)
+			unit := platform.waitState(n, supervisor.Running)
+			if platform.startCount(n) != 1 || unit.Incarnation != outcomes[0].Incarnation {
+				t.Errorf("started %d times, %+v, outcome %+v", platform.startCount(n), unit, outcomes)
 			}
 		})
 	}
 	t.Run("fail without end", func(t *testing.T) {
-		q := r.request(supervisor.Start, 20, "1")
-		r.setFault(core.Fault{Kind: core.FaultError, DurationMS: 60_000})
-		if _, err := r.client.Do(short(t), q); !errors.Is(err, supervisor.ErrOutcomeUnknown) {
+		request := platform.request(supervisor.Start, 20, "1")
+		platform.setFault(core.Fault{Kind: core.FaultError, DurationMS: 60_000})
+		if _, err := platform.client.Do(shortContext(t), request); !errors.Is(err, supervisor.ErrOutcomeUnknown) {
 			t.Errorf("%v, want the outcome unknown", err)
 		}
-		if _, err := r.client.List(short(t)); err == nil {
+		if _, err := platform.client.List(shortContext(t)); err == nil {
 			t.Error("a list was returned")
 		}
-		if err := ClearFaults(r.ctx, r.addr); err != nil {
+		if err := ClearFaults(platform.ctx, platform.addr); err != nil {
 			t.Fatal(err)
 		}
-		if u := r.mustList().Find("u20"); u != nil {
-			t.Errorf("%+v was started", u)
+		if unit := platform.mustList().Find("u20"); unit != nil {
+			t.Errorf("%+v was started", unit)
 		}
 	})
 	t.Run("hang", func(t *testing.T) {
-		q := r.request(supervisor.Stop, 1, "")
-		r.setFault(core.Fault{Kind: core.FaultHang, On: core.OnDo})
-		if _, err := r.client.Do(short(t), q); !errors.Is(err, supervisor.ErrOutcomeUnknown) {
+		request := platform.request(supervisor.Stop, 1, "")
+		platform.setFault(core.Fault{Kind: core.FaultHang, On: core.OnDo})
+		if _, err := platform.client.Do(shortContext(t), request); !errors.Is(err, supervisor.ErrOutcomeUnknown) {
 			t.Errorf("%v, want the outcome unknown", err)
 		}
-		r.waitState(1, supervisor.Running)
-		restart := r.request(supervisor.Restart, 1, "2") // the caller has read the list and decides again
-		now := r.mustDo(restart)[0].Incarnation
-		r.waitState(1, supervisor.Running)
-		if err := ClearFaults(r.ctx, r.addr); err != nil {
+		platform.waitState(1, supervisor.Running)
+		restart := platform.request(supervisor.Restart, 1, "2") // the caller has read the list and decides again
+		now := platform.mustDo(restart)[0].Incarnation
+		platform.waitState(1, supervisor.Running)
+		if err := ClearFaults(platform.ctx, platform.addr); err != nil {
 			t.Fatal(err)
 		}
-		if out, err := r.client.Do(r.ctx, q); err != nil || out[0].Rejected != supervisor.IncarnationMismatch {
-			t.Errorf("%+v, %v, want the late stop rejected", out, err)
+		if outcomes, err := platform.client.Do(platform.ctx, request); err != nil || outcomes[0].Rejected != supervisor.IncarnationMismatch {
+			t.Errorf("%+v, %v, want the late stop rejected", outcomes, err)
 		}
-		if u := r.waitState(1, supervisor.Running); u.Incarnation != now || u.Version != "2" {
-			t.Errorf("%+v, want incarnation %d left alone", u, now)
+		if unit := platform.waitState(1, supervisor.Running); unit.Incarnation != now || unit.Version != "2" {
+			t.Errorf("%+v, want incarnation %d left alone", unit, now)
 		}
 	})
 	t.Run("half of two starts", func(t *testing.T) {
-		a, b := r.request(supervisor.Start, 30, "1"), r.request(supervisor.Start, 31, "1")
-		r.setFault(core.Fault{Kind: core.FaultPartial, On: core.OnDo})
-		r.mustDo(a, b)
-		r.waitState(30, supervisor.Running)
-		r.waitState(31, supervisor.Running)
-		if r.startCount(30) != 1 || r.startCount(31) != 1 {
-			t.Errorf("started %d and %d times", r.startCount(30), r.startCount(31))
+		a, b := platform.request(supervisor.Start, 30, "1"), platform.request(supervisor.Start, 31, "1")
+		platform.setFault(core.Fault{Kind: core.FaultPartial, On: core.OnDo})
+		platform.mustDo(a, b)
+		platform.waitState(30, supervisor.Running)
+		platform.waitState(31, supervisor.Running)
+		if platform.startCount(30) != 1 || platform.startCount(31) != 1 {
+			t.Errorf("started %d and %d times", platform.startCount(30), platform.startCount(31))
 		}
 	})
 	t.Run("half of a restart", func(t *testing.T) {
-		q := r.request(supervisor.Restart, 30, "2")
-		r.setFault(core.Fault{Kind: core.FaultPartial, Unit: "u30", On: core.OnDo})
-		r.mustDo(q)
-		if u := r.waitState(30, supervisor.Exited); u.Version != "1" || r.isListening(30) {
-			t.Errorf("%+v, want it stopped and not started", u)
+		request := platform.request(supervisor.Restart, 30, "2")
+		platform.setFault(core.Fault{Kind: core.FaultPartial, Unit: "u30", On: core.OnDo})
+		platform.mustDo(request)
+		if unit := platform.waitState(30, supervisor.Exited); unit.Version != "1" || platform.isListening(30) {
+			t.Errorf("%+v, want it stopped and not started", unit)
 		}
 	})
 	t.Run("twice", func(t *testing.T) {
-		q := r.request(supervisor.Start, 40, "1")
-		r.setFault(core.Fault{Kind: core.FaultDuplicate, On: core.OnDo})
-		r.mustDo(q)
+		request := platform.request(supervisor.Start, 40, "1")
+		platform.setFault(core.Fault{Kind: core.FaultDuplicate, On: core.OnDo})
+		platform.mustDo(request)
 		// One gets the address and the other ends: the listed one, or the one that the platform doesn't know.
-		r.eventually("one serves", func() bool { return r.isListening(40) })
-		if r.startCount(40) != 2 {
-			t.Errorf("started %d times", r.startCount(40))
+		platform.eventually("one serves", func() bool { return platform.isListening(40) })
+		if platform.startCount(40) != 2 {
+			t.Errorf("started %d times", platform.startCount(40))
 		}
 	})
 	t.Run("wrong", func(t *testing.T) {
-		q := r.request(supervisor.Stop, 1, "")
-		r.setFault(core.Fault{Kind: core.FaultWrongUnit, On: core.OnDo})
-		r.mustDo(q)
-		r.waitState(10, supervisor.Exited) // the next by name after u1
-		if u := r.waitState(1, supervisor.Running); !r.isListening(1) {
-			t.Errorf("%+v was stopped", u)
+		request := platform.request(supervisor.Stop, 1, "")
+		platform.setFault(core.Fault{Kind: core.FaultWrongUnit, On: core.OnDo})
+		platform.mustDo(request)
+		platform.waitState(10, supervisor.Exited) // the next by name after u1
+		if unit := platform.waitState(1, supervisor.Running); !platform.isListening(1) {
+			t.Errorf("%+v was stopped", unit)
 		}
 	})
 	t.Run("forget", func(t *testing.T) {
-		q, before := r.request(supervisor.Stop, 2, ""), r.mustList()
-		r.setFault(core.Fault{Kind: core.FaultLoseState, DurationMS: 1000})
-		if l := r.mustList(); l.Epoch <= before.Epoch || l.Complete || len(l.Units) != 0 || !r.isListening(2) {
-			t.Errorf("%+v, want no unit listed and u2 serving", l)
+		request, before := platform.request(supervisor.Stop, 2, ""), platform.mustList()
+		platform.setFault(core.Fault{Kind: core.FaultLoseState, DurationMS: 1000})
+		if list := platform.mustList(); list.Epoch <= before.Epoch || list.Complete || len(list.Units) != 0 || !platform.isListening(2) {
+			t.Errorf("%+v, want no unit listed and u2 serving", list)
 		}
-		if out, err := r.client.Do(r.ctx, q); err != nil || out[0].Rejected != supervisor.EpochMismatch {
-			t.Errorf("%+v, %v, want the stop rejected", out, err)
+		if outcomes, err := platform.client.Do(platform.ctx, request); err != nil || outcomes[0].Rejected != supervisor.EpochMismatch {
+			t.Errorf("%+v, %v, want the stop rejected", outcomes, err)
 		}
-		r.waitState(2, supervisor.Running)
-		if l := r.mustList(); !l.Complete {
-			t.Errorf("%+v, want all units found", l)
+		platform.waitState(2, supervisor.Running)
+		if list := platform.mustList(); !list.Complete {
+			t.Errorf("%+v, want all units found", list)
 		}
-		r.mustDo(r.request(supervisor.Stop, 2, ""))
-		r.waitState(2, supervisor.Exited)
+		platform.mustDo(platform.request(supervisor.Stop, 2, ""))
+		platform.waitState(2, supervisor.Exited)
 	})
 	// A platform that ends also stops what it has forgotten and what it didn't know.
-	if err := r.process.Stop(r.ctx); err != nil {
-		t.Errorf("%v\n%s", err, r.process.Log())
+	if err := platform.process.Stop(platform.ctx); err != nil {
+		t.Errorf("%v\n%s", err, platform.process.Log())
 	}
 	for _, n := range []int{1, 11, 12, 31, 40} {
-		if r.isListening(n) {
+		if platform.isListening(n) {
 			t.Errorf("u%d outlived the platform", n)
 		}
 	}
@@ -209,33 +209,33 @@
 // Serve in this process leaves no goroutines.
 func TestServeLeaksNothing(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
-	v, err := LoadVersions(writeVersionsFile(t))
+	versions, err := LoadVersions(writeVersionsFile(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	ended := make(chan error, 1)
-	go func() { ended <- Serve(ctx, ln, v, t.TempDir()) }()
-	client, err := supervisor.NewClient(ln.Addr().String())
+	go func() { ended <- Serve(ctx, listener, versions, t.TempDir()) }()
+	client, err := supervisor.NewClient(listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := client.List(ctx)
+	list, err := client.List(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	q := supervisor.Request{
-		ID: "a", Op: supervisor.Start, Epoch: l.Epoch, Unit: "a", Kind: supervisor.Server, Version: "good", Listen: ln.Addr().String(),
+	request := supervisor.Request{
+		ID: "a", Op: supervisor.Start, Epoch: list.Epoch, Unit: "a", Kind: supervisor.Server, Version: "good", Listen: listener.Addr().String(),
 	}
-	if out, err := client.Do(ctx, q); err != nil || out[0].Err() != nil {
-		t.Fatal(out, err)
+	if outcomes, err := client.Do(ctx, request); err != nil || outcomes[0].Err() != nil {
+		t.Fatal(outcomes, err)
 	}
-	if err := SetFault(ctx, ln.Addr().String(), core.Fault{Kind: core.FaultHang, DurationMS: 60_000}); err != nil {
+	if err := SetFault(ctx, listener.Addr().String(), core.Fault{Kind: core.FaultHang, DurationMS: 60_000}); err != nil {
 		t.Fatal(err)
 	}
 	hung := make(chan error, 1)
--- a/internal/supervisor/standin/test_platform_test.go
+++ b/internal/supervisor/standin/test_platform_test.go
@@ -87,138 +87,138 @@
 func newTestPlatform(t testing.TB) *testPlatform {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
-	r := &testPlatform{t: t, ctx: ctx, dir: t.TempDir()}
+	p := &testPlatform{t: t, ctx: ctx, dir: t.TempDir()}
 	var err error
-	if r.block, err = proc.TakeBlock(); err != nil {
+	if p.block, err = proc.TakeBlock(); err != nil {
 		t.Fatal(err)
 	}
-	r.process, err = proc.Start(proc.Spec{
-		Name: "stand-in", Path: proctest.Program(t, "milldeck"), Log: filepath.Join(r.dir, "standin-log"),
-		Args: []string{"supervisor", "stand-in", "--versions", writeVersionsFile(t), "--dir", r.dir},
+	p.process, err = proc.Start(proc.Spec{
+		Name: "stand-in", Path: proctest.Program(t, "milldeck"), Log: filepath.Join(p.dir, "standin-log"),
+		Args: []string{"supervisor", "stand-in", "--versions", writeVersionsFile(t), "--dir", p.dir},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		cancel()
-		if r.process.Running() {
-			r.process.Kill()
+		if p.process.Running() {
+			p.process.Kill()
 		}
-		r.block.Release()
+		p.block.Release()
 	})
-	line, err := r.process.WaitLog(ctx, "msg=serves")
+	line, err := p.process.WaitLog(ctx, "msg=serves")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, after, _ := strings.Cut(line, "listen=")
-	r.addr, _, _ = strings.Cut(after, " ")
-	if r.client, err = supervisor.NewClient(r.addr); err != nil {
+	p.addr, _, _ = strings.Cut(after, " ")
+	if p.client, err = supervisor.NewClient(p.addr); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.client.Close)
-	return r
+	t.Cleanup(p.client.Close)
+	return p
 }
 
-func (r *testPlatform) listenAddr(n int) string { return r.block.Addr(0, n, 9000) }
+func (p *testPlatform) listenAddr(n int) string { return p.block.Addr(0, n, 9000) }
 
-func (r *testPlatform) mustList() *supervisor.List {
-	r.t.Helper()
-	l, err := r.client.List(r.ctx)
+func (p *testPlatform) mustList() *supervisor.List {
+	p.t.Helper()
+	list, err := p.client.List(p.ctx)
 	if err != nil {
-		r.t.Fatalf("%v\n%s", err, r.process.Log())
+		p.t.Fatalf("%v\n%s", err, p.process.Log())
 	}
-	return l
+	return list
 }
 
 // request returns a request with the present epoch and incarnation.
-func (r *testPlatform) request(op supervisor.Op, n int, version string) supervisor.Request {
-	r.t.Helper()
-	r.lastRequest++
-	l := r.mustList()
-	q := supervisor.Request{ID: fmt.Sprint("r", r.lastRequest), Op: op, Epoch: l.Epoch, Unit: fmt.Sprint("u", n)}
-	if u := l.Find(q.Unit); u != nil {
-		q.Incarnation = u.Incarnation
+func (p *testPlatform) request(op supervisor.Op, n int, version string) supervisor.Request {
+	p.t.Helper()
+	p.lastRequest++
+	list := p.mustList()
+	request := supervisor.Request{ID: fmt.Sprint("r", p.lastRequest), Op: op, Epoch: list.Epoch, Unit: fmt.Sprint("u", n)}
+	if u := list.Find(request.Unit); u != nil {
+		request.Incarnation = u.Incarnation
 	}
 	if op == supervisor.Start || op == supervisor.Restart {
-		q.Version, q.Listen, q.Kind = version, r.listenAddr(n), supervisor.Server
+		request.Version, request.Listen, request.Kind = version, p.listenAddr(n), supervisor.Server
 		if version == "1" || version == "2" {
-			q.Kind, q.ConfigName, q.ConfigText = supervisor.Sidecar, "c1", sidecarConfig
+			request.Kind, request.ConfigName, request.ConfigText = supervisor.Sidecar, "c1", sidecarConfig
 		}
 	}
-	return q
+	return request
 }
 
-func (r *testPlatform) mustDo(requests ...supervisor.Request) []supervisor.Outcome {
-	r.t.Helper()
-	out, err := r.client.Do(r.ctx, requests...)
+func (p *testPlatform) mustDo(requests ...supervisor.Request) []supervisor.Outcome {
+	p.t.Helper()
+	outcomes, err := p.client.Do(p.ctx, requests...)
 	if err != nil {
-		r.t.Fatalf("%v\n%s", err, r.process.Log())
+		p.t.Fatalf("%v\n%s", err, p.process.Log())
 	}
-	for i := range out {
-		if err := out[i].Err(); err != nil {
-			r.t.Fatal(err)
+	for i := range outcomes {
+		if err := outcomes[i].Err(); err != nil {
+			p.t.Fatal(err)
 		}
 	}
-	return out
+	return outcomes
 }
 
 // waitState waits for a unit's state.
-func (r *testPlatform) waitState(n int, state supervisor.State) supervisor.Unit {
-	r.t.Helper()
-	var u *supervisor.Unit
-	r.eventually(fmt.Sprintf("u%d %s", n, state), func() bool {
-		u = r.mustList().Find(fmt.Sprint("u", n))
-		return u != nil && u.State == state
+func (p *testPlatform) waitState(n int, state supervisor.State) supervisor.Unit {
+	p.t.Helper()
+	var unit *supervisor.Unit
+	p.eventually(fmt.Sprintf("u%d %s", n, state), func() bool {
+		unit = p.mustList().Find(fmt.Sprint("u", n))
+		return unit != nil && unit.State == state
 	})
-	return *u
+	return *unit
 }
 
 // eventually waits for something that takes milliseconds.
-func (r *testPlatform) eventually(what string, done func() bool) {
-	r.t.Helper()
+func (p *testPlatform) eventually(what string, done func() bool) {
+	p.t.Helper()
 	for began := time.Now(); !done(); time.Sleep(2 * time.Millisecond) {
 		if time.Since(began) > waitTimeout {
-			r.t.Fatalf("not within %v: %s\n%s", waitTimeout, what, r.process.Log())
+			p.t.Fatalf("not within %v: %s\n%s", waitTimeout, what, p.process.Log())
 		}
 	}
 }
 
-func (r *testPlatform) startSidecars(ns ...int) {
-	r.t.Helper()
-	for _, n := range ns {
-		r.mustDo(r.request(supervisor.Start, n, "1"))
+func (p *testPlatform) startSidecars(numbers ...int) {
+	p.t.Helper()
+	for _, n := range numbers {
+		p.mustDo(p.request(supervisor.Start, n, "1"))
 	}
-	for _, n := range ns {
-		r.waitState(n, supervisor.Running)
+	for _, n := range numbers {
+		p.waitState(n, supervisor.Running)
 	}
 }
 
-func (r *testPlatform) setFault(f core.Fault) {
-	r.t.Helper()
-	if err := SetFault(r.ctx, r.addr, f); err != nil {
-		r.t.Fatal(err)
+func (p *testPlatform) setFault(fault core.Fault) {
+	p.t.Helper()
+	if err := SetFault(p.ctx, p.addr, fault); err != nil {
+		p.t.Fatal(err)
 	}
 }
 
 // startCount is how many processes of a unit were started.
-func (r *testPlatform) startCount(n int) int {
-	return strings.Count(r.readFile("standin-log"), fmt.Sprintf("msg=started unit=u%d ", n))
+func (p *testPlatform) startCount(n int) int {
+	return strings.Count(p.readFile("standin-log"), fmt.Sprintf("msg=started unit=u%d ", n))
 }
 
-func (r *testPlatform) readFile(name string) string {
-	r.t.Helper()
-	data, err := os.ReadFile(filepath.Join(r.dir, name))
+func (p *testPlatform) readFile(name string) string {
+	p.t.Helper()
+	data, err := os.ReadFile(filepath.Join(p.dir, name))
 	if err != nil {
-		r.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	return string(data)
 }
 
 // isListening reports whether something listens at a unit's address.
-func (r *testPlatform) isListening(n int) bool {
-	c, err := net.Dial("tcp4", r.listenAddr(n))
+func (p *testPlatform) isListening(n int) bool {
+	conn, err := net.Dial("tcp4", p.listenAddr(n))
 	if err == nil {
-		c.Close()
+		conn.Close()
 	}
 	return err == nil
 }
--- a/internal/supervisor/validate.go
+++ b/internal/supervisor/validate.go
@@ -149,12 +149,12 @@
 }
 
 // validate returns how a response doesn't fit the requests that it answers.
-func (a *BatchResponse) validate(requests []Request) error {
-	if len(a.Outcomes) != len(requests) {
-		return fmt.Errorf("response: %d outcomes of %d requests", len(a.Outcomes), len(requests))
+func (r *BatchResponse) validate(requests []Request) error {
+	if len(r.Outcomes) != len(requests) {
+		return fmt.Errorf("response: %d outcomes of %d requests", len(r.Outcomes), len(requests))
 	}
-	for i := range a.Outcomes {
-		outcome, request := &a.Outcomes[i], &requests[i]
+	for i := range r.Outcomes {
+		outcome, request := &r.Outcomes[i], &requests[i]
 		if outcome.ID != request.ID || outcome.Unit != request.Unit || outcome.Epoch == 0 {
 			return fmt.Errorf("response: outcome %d is not of request %s", i, request.ID)
 		}
