--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -47,11 +47,12 @@
 	lines map[string]int
 }
 
-// Load reads the file at path into v, a pointer to a struct with toml tags. Any error is an *Error; a key that v lacks is one.
+// Load reads the file at path into v, a pointer to a struct with toml tags. Any error is an *Error, also that of a
+// key that v has no field for.
 func Load(path string, v any) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &Error{File: path, Err: errors.Unwrap(err)}
+		return nil, &Error{File: path, Err: errors.Unwrap(err)} // the *fs.PathError around it names the path again
 	}
 	return Parse(path, data, v)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -18,19 +18,21 @@
 }
 
 func TestErrorsNameFileLineAndKey(t *testing.T) {
-	for _, c := range []struct{ name, text, want string }{
+	for _, test := range []struct{ name, text, want string }{
 		{"unknown key", "name = \"x\"\nrat = 3\n", "f.toml:2: rat: unknown key"},
 		{"unknown key in a table", "[inner]\ndepht = 3\n", "f.toml:2: inner.depht: unknown key"},
 		{"wrong type", "name = \"x\"\n\nrate = \"fast\"\n", "f.toml:3: "},
 		{"no TOML", "name = \n", "f.toml:1: "},
 	} {
-		_, err := Parse("f.toml", []byte(c.text), &sample{})
-		if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want one line that begins %q", c.name, err, c.want)
-		}
-		if !errors.As(err, new(*Error)) {
-			t.Errorf("%s: %T is no *Error", c.name, err)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			_, err := Parse("f.toml", []byte(test.text), &sample{})
+			if err == nil || !strings.HasPrefix(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want one line that begins %q", err, test.want)
+			}
+			if !errors.As(err, new(*Error)) {
+				t.Errorf("%T is no *Error", err)
+			}
+		})
 	}
 }
 
--- a/internal/disruption/apply.go
+++ b/internal/disruption/apply.go
@@ -75,10 +75,10 @@
 	return l.closedPermits[id]
 }
 
-// resultOfRepeat answers an operation about a closed permit: what it is for has come about, or cannot any more.
+// resultOfRepeat is the result of an operation about a closed permit: applied where the operation asks for what the
+// permit has come to, as a retry after a lost response does, and rejected where the permit can no longer come to it.
 func resultOfRepeat(op *Op, closed *Permit) Result {
-	switch {
-	case op.Kind == OpBegin, op.Kind == OpReturn, op.Kind == OpComplete && closed.Stage == StageCancelled:
+	if op.Kind == OpBegin || op.Kind == OpReturn || op.Kind == OpComplete && closed.Stage == StageCancelled {
 		return rejected("permit %s is %s", closed.ID, closed.Stage)
 	}
 	return applied()
@@ -127,7 +127,7 @@
 	unknownUnit := permit.pending.unknownUnit
 	if decision := l.evaluate(permit); decision.verdict == infeasible {
 		l.dequeue(permit)
-		l.queue = nil // it has never waited, so its end gives nobody room
+		l.queue = nil // it has blocked nobody, so its end admits nobody
 		if unknownUnit != "" {
 			return notFound("%s", decision.reason)
 		}
@@ -190,7 +190,7 @@
 	}
 }
 
-// applyForceComplete closes a permit without evidence, by an operator's word.
+// applyForceComplete closes a permit without evidence, as an operator has decided.
 func (l *Ledger) applyForceComplete(permit *permitState) Result {
 	stage := StageCompleted
 	if permit.Stage == StageRequested {
--- a/internal/disruption/constraint.go
+++ b/internal/disruption/constraint.go
@@ -33,8 +33,11 @@
 // unavailable are its unavailable ones. There is one slot for such a zone.
 func zoneSlotsKey(kind Kind) string { return "zones/" + string(kind) }
 
+// isMajority reports whether a number of units is more than half of all.
+func isMajority(units, total int) bool { return 2*units > total }
+
 // majorityUnavailable reports whether more than half of the units are unavailable.
-func (c *constraint) majorityUnavailable() bool { return 2*c.unavailable > c.total }
+func (c *constraint) majorityUnavailable() bool { return isMajority(c.unavailable, c.total) }
 
 // fractionOf is an amount of capacity as a fraction of the constraint's.
 func (c *constraint) fractionOf(milliCapacity int64) float64 {
--- a/internal/disruption/evaluation.go
+++ b/internal/disruption/evaluation.go
@@ -72,7 +72,7 @@
 		if current.verdict == infeasible {
 			return current
 		}
-		if c := d.constraint; c.zoneKind != "" && 2*d.serving > c.total {
+		if c := d.constraint; c.zoneKind != "" && isMajority(d.serving, c.total) {
 			if slices.Contains(majorityKinds, c.zoneKind) {
 				return infeasibleFor("two zones would be out by more than half")
 			}
@@ -135,7 +135,7 @@
 // taken. It notes that the permit needs the slot.
 func (l *Ledger) needsTakenSlot(pending *pendingPermit, d *demand) bool {
 	zone := d.constraint
-	if zone.zoneKind == "" || 2*(zone.unavailable+d.newlyUnavailable) <= zone.total {
+	if zone.zoneKind == "" || !isMajority(zone.unavailable+d.newlyUnavailable, zone.total) {
 		return false
 	}
 	slots := l.constraints[zoneSlotsKey(zone.zoneKind)]
--- a/internal/disruption/fixtures_test.go
+++ b/internal/disruption/fixtures_test.go
@@ -189,17 +189,19 @@
 	}{
 		{"kinds", []string{string(KindServer), string(KindSidecar)}, "server sidecar"},
 		{"conditions", []string{string(ConditionUp), string(ConditionWarmingUp), string(ConditionUnready), string(ConditionDraining), string(ConditionLost), string(ConditionUnknown)}, "up cold unready draining lost unseen"},
-		{"ranks", []string{fmt.Sprint(int(PriorityRollback)), fmt.Sprint(int(PriorityDeadline)), fmt.Sprint(int(PriorityDrain)), fmt.Sprint(int(PriorityRollout))}, "0 1 2 3"},
+		{"priorities", []string{fmt.Sprint(int(PriorityRollback)), fmt.Sprint(int(PriorityDeadline)), fmt.Sprint(int(PriorityDrain)), fmt.Sprint(int(PriorityRollout))}, "0 1 2 3"},
 		{"stages", []string{string(StageRequested), string(StageGranted), string(StageActive), string(StageReturning), string(StageCompleted), string(StageCancelled)}, "asked granted out returning settled cancelled"},
-		{"ends", []string{string(DispositionReturn), string(DispositionReplace), string(DispositionRetire)}, "back replace retire"},
+		{"dispositions", []string{string(DispositionReturn), string(DispositionReplace), string(DispositionRetire)}, "back replace retire"},
 		{"outcomes", []string{string(OutcomeApplied), string(OutcomeRejected), string(OutcomeNotFound), string(OutcomeLimitReached)}, "done refused not_found too_many"},
 		{"operations", []string{string(OpSetBudget), string(OpRequest), string(OpBegin), string(OpReturn), string(OpComplete), string(OpCancel),
 			string(OpHalt), string(OpResume), string(OpObserve), string(OpRemoveLost), string(OpForceComplete)},
 			"budget ask begin return settle cancel halt resume see forget release"},
 	} {
-		if got := strings.Join(test.got, " "); got != test.want {
-			t.Errorf("%s are %s, want %s", test.name, got, test.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if got := strings.Join(test.got, " "); got != test.want {
+				t.Errorf("they are %s, want %s", got, test.want)
+			}
+		})
 	}
 }
 
--- a/internal/disruption/halts.go
+++ b/internal/disruption/halts.go
@@ -92,7 +92,7 @@
 		return ""
 	}
 	if reason := l.uncertainty(); reason != "" {
-		return "doubt: " + reason
+		return uncertaintyIssuer + ": " + reason
 	}
 	for i := range l.halts {
 		if halt := &l.halts[i]; l.haltCovers(halt, permit) {
--- a/internal/disruption/ledger_test.go
+++ b/internal/disruption/ledger_test.go
@@ -363,9 +363,11 @@
 		"permit.instead":       {Kind: OpRequest, Owner: "release/r", Permit: &Permit{ID: "p", Owner: "release/r", Disposition: DispositionRetire, Units: []string{"a"}, Substitutes: map[string]string{"a": "a"}}},
 		"budget.max_out.share": {Kind: OpSetBudget, Owner: "operator/o", Budget: &Budget{Name: "b", MaxUnavailable: Limit{Fraction: floatPointer(2)}}},
 	} {
-		var invalid *validation.Error
-		if err := op.Validate(); !errors.As(err, &invalid) || invalid.Field != field {
-			t.Errorf("%s: %v", field, err)
-		}
+		t.Run(field, func(t *testing.T) {
+			var invalid *validation.Error
+			if err := op.Validate(); !errors.As(err, &invalid) || invalid.Field != field {
+				t.Errorf("the error is %v", err)
+			}
+		})
 	}
 }
--- a/internal/disruption/model_operations_test.go
+++ b/internal/disruption/model_operations_test.go
@@ -11,113 +11,143 @@
 	if op.Validate() != nil {
 		return OutcomeRejected
 	}
-	var permit Permit
 	switch op.Kind {
-	case OpRequest, OpBegin, OpReturn, OpCancel, OpComplete, OpForceComplete:
-		permit = m.permits[op.Permit.ID]
-		if op.Kind != OpRequest && permit.ID == "" {
-			return OutcomeNotFound
-		}
-		if op.Kind != OpRequest && op.Kind != OpForceComplete && op.Owner != permit.Owner {
+	case OpSetBudget:
+		return m.applySetBudget(op)
+	case OpRequest:
+		return m.applyRequest(op.Permit)
+	case OpHalt:
+		return m.applyHalt(op)
+	case OpResume:
+		m.halts = slices.DeleteFunc(m.halts, func(halt Halt) bool {
+			return halt.Scope == op.Halt.Scope && (IsOperator(op.Owner) || halt.IssuedBy == op.Owner)
+		})
+		return OutcomeApplied
+	case OpRemoveLost:
+		return m.applyRemoveLost(op.Units)
+	case OpObserve:
+		return OutcomeApplied // the model takes conditions from the ledger
+	default:
+		return m.applyToPermit(op)
+	}
+}
+
+func (m *model) applySetBudget(op *Op) Outcome {
+	_, exists := m.budgets[op.Budget.Name]
+	switch {
+	case !op.Delete:
+		m.budgets[op.Budget.Name] = *op.Budget
+	case !exists:
+		return OutcomeNotFound
+	default:
+		delete(m.budgets, op.Budget.Name)
+	}
+	return OutcomeApplied
+}
+
+func (m *model) applyRequest(request *Permit) Outcome {
+	if existing, exists := m.permits[request.ID]; exists {
+		if !sameRequest(&existing, request) {
 			return OutcomeRejected
 		}
+		return OutcomeApplied
 	}
-	closed := permit.closed()
-	begun := permit.Stage == StageActive || permit.Stage == StageReturning
-	switch op.Kind {
-	case OpSetBudget:
-		_, exists := m.budgets[op.Budget.Name]
-		if op.Delete {
-			delete(m.budgets, op.Budget.Name)
-		} else {
-			m.budgets[op.Budget.Name] = *op.Budget
-		}
-		if op.Delete && !exists {
+	requested := *request
+	requested.Stage, requested.RequestRevision = StageRequested, m.revision
+	for _, id := range requested.Units {
+		if _, exists := m.units[id]; !exists {
 			return OutcomeNotFound
 		}
-	case OpRequest:
-		if permit.ID != "" {
-			if !sameRequest(&permit, op.Permit) {
-				return OutcomeRejected
-			}
-			return OutcomeApplied
-		}
-		requested := *op.Permit
-		requested.Stage, requested.RequestRevision = StageRequested, m.revision
-		for _, id := range requested.Units {
-			if _, exists := m.units[id]; !exists {
-				return OutcomeNotFound
-			}
-		}
-		if _, feasible, _, _ := m.evaluate(requested); !feasible {
+	}
+	if !m.evaluate(requested).feasible {
+		return OutcomeRejected
+	}
+	m.permits[requested.ID] = requested
+	return OutcomeApplied
+}
+
+func (m *model) applyHalt(op *Op) Outcome {
+	if m.budgets["a"].Name == "" && op.Halt.Scope == "budget/a" {
+		return OutcomeNotFound
+	}
+	if !slices.ContainsFunc(m.halts, func(halt Halt) bool { return halt.Scope == op.Halt.Scope && halt.IssuedBy == op.Owner }) {
+		m.halts = append(m.halts, Halt{Scope: op.Halt.Scope, IssuedBy: op.Owner})
+	}
+	return OutcomeApplied
+}
+
+func (m *model) applyRemoveLost(ids []string) Outcome {
+	for _, id := range ids {
+		switch unit, exists := m.units[id]; {
+		case !exists:
+			return OutcomeNotFound
+		case unit.Condition != ConditionLost || m.permitOf(id) != nil:
 			return OutcomeRejected
 		}
-		m.permits[requested.ID] = requested
+	}
+	for _, id := range ids {
+		delete(m.units, id)
+	}
+	return OutcomeApplied
+}
+
+// applyToPermit applies an operation about a permit that was requested before.
+func (m *model) applyToPermit(op *Op) Outcome {
+	permit, exists := m.permits[op.Permit.ID]
+	if !exists {
+		return OutcomeNotFound
+	}
+	if op.Kind != OpForceComplete && op.Owner != permit.Owner {
+		return OutcomeRejected
+	}
+	if !m.advancePermit(&permit, op) {
+		return OutcomeRejected
+	}
+	m.permits[permit.ID] = permit
+	return OutcomeApplied
+}
+
+// advancePermit takes a permit to the stage that an operation asks for; it reports whether that is allowed.
+func (m *model) advancePermit(permit *Permit, op *Op) bool {
+	begun := permit.Stage == StageActive || permit.Stage == StageReturning
+	switch op.Kind {
 	case OpBegin:
-		if permit.Stage != StageGranted && permit.Stage != StageActive {
-			return OutcomeRejected
-		}
 		if permit.Stage == StageGranted {
 			permit.Stage, permit.BeginRevision = StageActive, m.revision
 		}
-	case OpReturn, OpCancel:
+		return permit.Stage == StageActive
+	case OpReturn:
+		if begun {
+			m.beginReturn(permit)
+		}
+		return begun
+	case OpCancel:
 		switch {
-		case closed && op.Kind == OpCancel:
-			return OutcomeApplied
-		case closed, !begun && op.Kind == OpReturn:
-			return OutcomeRejected
-		case !begun:
+		case begun:
+			m.beginReturn(permit)
+			permit.Aborted = true
+		case !permit.closed():
 			permit.Stage = StageCancelled
-		default:
-			if permit.Stage == StageActive {
-				permit.Stage, permit.ReturnRevision = StageReturning, m.revision
-			}
-			permit.Aborted = permit.Aborted || op.Kind == OpCancel
 		}
+		return true
 	case OpComplete:
-		if closed && permit.Stage == StageCompleted {
-			return OutcomeApplied
-		}
-		if !begun || !m.completeUnits(&permit, op) {
-			return OutcomeRejected
-		}
-	case OpForceComplete:
+		return permit.Stage == StageCompleted || begun && m.completeUnits(permit, op)
+	default: // OpForceComplete
 		switch {
-		case closed:
-			return OutcomeApplied
+		case permit.closed():
 		case permit.Stage == StageRequested:
 			permit.Stage = StageCancelled
 		default:
 			permit.Stage, permit.CompletedUnits = StageCompleted, permit.Units
 		}
-	case OpHalt:
-		if m.budgets["a"].Name == "" && op.Halt.Scope == "budget/a" {
-			return OutcomeNotFound
-		}
-		if !slices.ContainsFunc(m.halts, func(halt Halt) bool { return halt.Scope == op.Halt.Scope && halt.IssuedBy == op.Owner }) {
-			m.halts = append(m.halts, Halt{Scope: op.Halt.Scope, IssuedBy: op.Owner})
-		}
-	case OpResume:
-		m.halts = slices.DeleteFunc(m.halts, func(halt Halt) bool {
-			return halt.Scope == op.Halt.Scope && (IsOperator(op.Owner) || halt.IssuedBy == op.Owner)
-		})
-	case OpRemoveLost:
-		for _, id := range op.Units {
-			switch unit, exists := m.units[id]; {
-			case !exists:
-				return OutcomeNotFound
-			case unit.Condition != ConditionLost || m.permitOf(id) != nil:
-				return OutcomeRejected
-			}
-		}
-		for _, id := range op.Units {
-			delete(m.units, id)
-		}
+		return true
 	}
-	if permit.ID != "" {
-		m.permits[permit.ID] = permit
+}
+
+func (m *model) beginReturn(permit *Permit) {
+	if permit.Stage == StageActive {
+		permit.Stage, permit.ReturnRevision = StageReturning, m.revision
 	}
-	return OutcomeApplied
 }
 
 // completeUnits completes units of a permit; it reports whether there is evidence for all of them.
--- a/internal/disruption/model_test.go
+++ b/internal/disruption/model_test.go
@@ -102,21 +102,23 @@
 
 // evaluation is what the model knows of a pending permit.
 type evaluation struct {
-	fits     bool            // within all constraints as they stand
-	feasible bool            // within all constraints of the fleet as it is
-	needs    map[string]bool // constraints that the permit would use up some of
+	fits        bool            // within all constraints as they stand
+	feasible    bool            // within all constraints of the fleet as it is
+	blocksLater bool            // it waits for its constraints alone
+	needs       map[string]bool // constraints that the permit would use up some of
 }
 
-// evaluate reports whether a permit can be granted, but for earlier ones; whether it ever can; whether it waits for its
-// constraints alone, so that it blocks later ones; and which constraints it needs.
-func (m *model) evaluate(permit Permit) (admissibleNow, feasible, blocksLater bool, needs map[string]bool) {
+// admissible reports whether the permit can be granted, but for earlier ones.
+func (e *evaluation) admissible() bool { return e.blocksLater && e.fits }
+
+func (m *model) evaluate(permit Permit) *evaluation {
 	result := &evaluation{fits: true, feasible: true, needs: map[string]bool{}}
 	var units []Unit
 	available := true
 	for _, id := range permit.Units {
 		unit, known := m.units[id]
 		if !known {
-			return false, false, false, result.needs
+			return &evaluation{needs: result.needs}
 		}
 		units = append(units, unit)
 		protected := m.serving(unit) && m.usedAsSubstitute(id)
@@ -137,8 +139,8 @@
 		unit, known := m.units[substitute]
 		substitutesUp = substitutesUp && known && !m.unavailable(unit)
 	}
-	blocksLater = result.feasible && available && substitutesUp && !m.halted(permit)
-	return blocksLater && result.fits, result.feasible, blocksLater, result.needs
+	result.blocksLater = result.feasible && available && substitutesUp && !m.halted(permit)
+	return result
 }
 
 // countServing counts those of a permit's units that are selected and may still serve.
@@ -287,9 +289,10 @@
 	for {
 		var earlier []map[string]bool
 		for _, permit := range m.waiting() {
-			admissibleNow, _, blocksLater, needs := m.evaluate(permit)
+			result := m.evaluate(permit)
+			admissibleNow := result.admissible()
 			for _, needed := range earlier {
-				for key := range needs {
+				for key := range result.needs {
 					admissibleNow = admissibleNow && !needed[key]
 				}
 			}
@@ -298,8 +301,8 @@
 				m.permits[permit.ID] = permit
 				continue again
 			}
-			if blocksLater {
-				earlier = append(earlier, needs)
+			if result.blocksLater {
+				earlier = append(earlier, result.needs)
 			}
 		}
 		return
--- a/internal/disruption/operation.go
+++ b/internal/disruption/operation.go
@@ -26,7 +26,7 @@
 	OpResume        OpKind = "resume"  // lifts the halts of Halt.Scope
 	OpObserve       OpKind = "see"     // records Observed: what somebody found of units
 	OpRemoveLost    OpKind = "forget"  // removes Units that are lost and will not return, by an operator
-	OpForceComplete OpKind = "release" // closes Permit.ID by an operator's word, without evidence
+	OpForceComplete OpKind = "release" // closes Permit.ID without evidence, by an operator
 )
 
 // Op is one operation of the log.
--- a/internal/disruption/registration.go
+++ b/internal/disruption/registration.go
@@ -47,7 +47,7 @@
 }
 
 // MarkUnknown records that a unit's lease has run out while its expiry is held back. It defers all grants until the
-// last unknown unit was registered, marked lost or forgotten.
+// last unknown unit was registered, marked lost or removed.
 func (l *Ledger) MarkUnknown(revision uint64, id string) {
 	l.setCondition(revision, id, ConditionUnknown)
 }
--- a/internal/disruption/unit.go
+++ b/internal/disruption/unit.go
@@ -23,7 +23,7 @@
 	ConditionWarmingUp Condition = "cold"     // it serves, but with a part of its capacity only
 	ConditionUnready   Condition = "unready"  // registered, but it does not serve
 	ConditionDraining  Condition = "draining" // Terminating in the endpoint list, or a sidecar that shuts down
-	ConditionLost      Condition = "lost"     // its lease expired; it stays until it registers again, is replaced or forgotten
+	ConditionLost      Condition = "lost"     // its lease expired; it stays until it registers again, is replaced or removed
 	ConditionUnknown   Condition = "unseen"   // its lease expired, but the registry holds the expiry back: it may well serve
 )
 
--- a/internal/disruption/validation.go
+++ b/internal/disruption/validation.go
@@ -26,7 +26,7 @@
 )
 
 // IsOperator reports whether an owner is a person: operators need no lease, and may halt, resume, force the completion
-// of permits and forget units.
+// of permits and remove lost units.
 func IsOperator(owner string) bool { return strings.HasPrefix(owner, operatorPrefix) }
 
 // OperatorOwner is the owner of the operations of a person.
--- a/internal/placement/cache.go
+++ b/internal/placement/cache.go
@@ -12,8 +12,8 @@
 
 // Cache is a consumer's copy of the placement, kept current by the updates of a watch. It expires directives by itself,
 // at whichever comes first: the wall clock at ExpiresAtMS, or RemainingMS on the monotonic clock since the update was
-// received. An expired directive stays expired, also when the wall clock is set back or another replica tells it again
-// with more time remaining; only a newer revision of the directive revives it. It is not safe for concurrent use.
+// received. An expired directive stays expired, also when the wall clock is set back or another replica sends it again
+// with more time remaining; only a newer revision of the directive puts it in force again. It is not safe for concurrent use.
 type Cache struct {
 	store
 	synced   bool
@@ -48,7 +48,7 @@
 	if err := c.validate(update); err != nil {
 		return false, err
 	}
-	c.expire(wallMS, monotonicMS) // what has expired by now must not be revived by this update
+	c.expire(wallMS, monotonicMS) // what has expired by now stays expired, whatever time this update gives it
 	if !sameEpoch {
 		c.startHistory(update.Revision, update.Epoch)
 	}
@@ -146,7 +146,7 @@
 	return c.ChangesSince(0, 0, wallMS, monotonicMS)
 }
 
-// ChangesSince is what changed after a revision of an epoch, for watchers of this cache, as it is told at a time of both
+// ChangesSince is what changed after a revision of an epoch, for watchers of this cache, with the time that remains at a time of both
 // clocks; it is a complete update where the history does not go back so far.
 func (c *Cache) ChangesSince(after, epoch uint64, wallMS, monotonicMS int64) Update {
 	c.expire(wallMS, monotonicMS)
--- a/internal/placement/cache_test.go
+++ b/internal/placement/cache_test.go
@@ -49,7 +49,7 @@
 			}
 		case 3, 4: // the agent receives changes, or a complete update as from another replica
 			after := agent.Revision()
-			if draw("whole", 0, 1) == 0 {
+			if draw("complete", 0, 1) == 0 {
 				after = 0
 			}
 			update := table.ChangesSince(after, agent.Epoch(), now)
@@ -59,7 +59,7 @@
 			lastUpdate = &update
 		case 5: // the sidecar receives changes
 			after := sidecar.Revision()
-			if draw("whole", 0, 1) == 0 {
+			if draw("complete", 0, 1) == 0 {
 				after = 0
 			}
 			if agent.Synced() {
--- a/internal/placement/directive.go
+++ b/internal/placement/directive.go
@@ -111,7 +111,7 @@
 	return length
 }
 
-// sameContent reports whether two directives tell sidecars the same.
+// sameContent reports whether two directives have sidecars do the same, for as long.
 func sameContent(a, b *Directive) bool {
 	return a.Kind == b.Kind && a.Tenant == b.Tenant && a.MinAvailable == b.MinAvailable && a.KeyHash == b.KeyHash && a.Cohort == b.Cohort &&
 		a.ExpiresAtMS == b.ExpiresAtMS && slices.Equal(a.Servers, b.Servers) && slices.Equal(a.Copies, b.Copies)
--- a/internal/placement/store.go
+++ b/internal/placement/store.go
@@ -10,7 +10,7 @@
 	// minHistory changes are retained at least, and up to twice as many, for watches that resume: from further back
 	// they get a complete update.
 	minHistory = 4096
-	// maxIncrementalChanges directives are told incrementally: the IDs of more removed ones could take more bytes than a
+	// maxIncrementalChanges directives are sent in an incremental update: the IDs of more removed ones could take more bytes than a
 	// complete update.
 	maxIncrementalChanges = 1000
 )
@@ -83,7 +83,7 @@
 
 // changesSince is what changed after a revision of an epoch: the newest state of each directive, by ID. It is a complete
 // update where the history does not cover that. Remaining gives a directive's remaining time in ms; one that has none
-// left is told as removed, so that a reader that ignores RemainingMS does not revive it.
+// left is listed as removed, so that a reader that ignores RemainingMS does not follow it.
 func (s *store) changesSince(after, epoch uint64, remaining func(*Directive) int64) Update {
 	update := Update{Revision: s.revision, Epoch: s.epoch, Directives: []Directive{}}
 	var ids []string
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -126,7 +126,7 @@
 func (t *Table) set(index uint64, d Directive) {
 	existing, exists := t.directives[d.ID]
 	if exists && sameContent(&existing, &d) {
-		return // it tells sidecars nothing new
+		return // nothing changes for sidecars
 	}
 	if exists {
 		t.totalBytes -= existing.accountedBytes()
@@ -137,11 +137,11 @@
 	t.recordChange(index, d.ID)
 }
 
-// CompleteUpdate is the complete placement as it is told at a time (Unix ms): directives by ID, without those that have
+// CompleteUpdate is the complete placement as it is sent at a time (Unix ms): directives by ID, without those that have
 // expired.
 func (t *Table) CompleteUpdate(nowMS int64) Update { return t.ChangesSince(0, 0, nowMS) }
 
-// ChangesSince is what changed after a revision of an epoch, as it is told at a time (Unix ms); it is a complete update
+// ChangesSince is what changed after a revision of an epoch, as it is sent at a time (Unix ms); it is a complete update
 // where the history does not go back so far.
 func (t *Table) ChangesSince(after, epoch uint64, nowMS int64) Update {
 	return t.changesSince(after, epoch, func(d *Directive) int64 { return d.ExpiresAtMS - nowMS })
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -152,7 +152,7 @@
 		copies[i].ServerUID = fmt.Sprint("s", i)
 	}
 	modified := func(directive Directive, change func(*Directive)) Directive { change(&directive); return directive }
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, lease  string
 		writerTimeMS int64
 		directive    Directive
@@ -182,12 +182,18 @@
 		{"no key", "spread", now, modified(spread, func(directive *Directive) { directive.KeyHash = "0123456789ABCDEF" }), OutcomeRejected},
 		{"a fraction above one", "spread", now, modified(spread, func(directive *Directive) { directive.Copies = []KeyCopy{{"s", 1.5}} }), OutcomeRejected},
 	} {
-		table := NewTable()
-		table.StartEpoch(1, 7)
-		result := table.Apply(2, c.lease, &Op{LeaderTimeMS: now, WriterTimeMS: c.writerTimeMS, Set: []Directive{c.directive}})
-		if result.Outcome != c.want || result.Outcome == OutcomeApplied && table.Len() != 1 || result.Outcome != OutcomeApplied && table.Len() != 0 {
-			t.Errorf("%s: %s %s, %d entries, want %s", c.name, result.Outcome, result.Reason, table.Len(), c.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			table := NewTable()
+			table.StartEpoch(1, 7)
+			result := table.Apply(2, test.lease, &Op{LeaderTimeMS: now, WriterTimeMS: test.writerTimeMS, Set: []Directive{test.directive}})
+			directives := 0
+			if result.Outcome == OutcomeApplied {
+				directives = 1
+			}
+			if result.Outcome != test.want || table.Len() != directives {
+				t.Errorf("%s %s, %d directives, want %s", result.Outcome, result.Reason, table.Len(), test.want)
+			}
+		})
 	}
 	t.Run("full", func(t *testing.T) {
 		table := NewTable()
