--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -17,10 +17,7 @@
 func TestAgentServesWithoutRegistry(t *testing.T) {
 	block := proctest.Block(t)
 	replica := startReplica(t, block)
-	client, err := registry.NewClient([]string{replica.Addr()})
-	if err != nil {
-		t.Fatal(err)
-	}
+	client := newClient(t, replica.Addr())
 	if _, err := client.Register(t.Context(), registry.WriteOptions{}, readyInstances(5)...); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/placement_test.go
+++ b/internal/agent/placement_test.go
@@ -29,11 +29,7 @@
 
 func newLeaseOwner(t *testing.T, replica *registry.Replica) *leaseOwner {
 	t.Helper()
-	client, err := registry.NewClient([]string{replica.Addr()})
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(client.Close)
+	client := newClient(t, replica.Addr())
 	lease, err := client.UpdateLease(t.Context(), leasetable.Campaign, "window/w", registry.LeaseRequest{Candidate: "me", TTLMS: 3600_000})
 	if err != nil {
 		t.Fatal(err)
@@ -77,10 +73,7 @@
 
 func startPlacementWatcher(t *testing.T, addr string) *placementWatcher {
 	t.Helper()
-	client, err := registry.NewClient([]string{addr})
-	if err != nil {
-		t.Fatal(err)
-	}
+	client := newClient(t, addr)
 	watcher := &placementWatcher{cache: placement.NewCache(), startedAt: time.Now()}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -106,7 +99,7 @@
 			}
 		}
 	}()
-	t.Cleanup(func() { stop(); <-done; client.Close() })
+	t.Cleanup(func() { stop(); <-done })
 	return watcher
 }
 
--- a/internal/agent/replica_follower_test.go
+++ b/internal/agent/replica_follower_test.go
@@ -18,11 +18,7 @@
 	peakReconnects := func(fleetSize int) int {
 		block := proctest.Block(t)
 		replica := startReplica(t, block)
-		client, err := registry.NewClient([]string{replica.Addr()})
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer client.Close()
+		client := newClient(t, replica.Addr())
 		if _, err := client.Register(t.Context(), registry.WriteOptions{}, readyInstances(3)...); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -26,6 +26,17 @@
 	return replica
 }
 
+// newClient returns a client of a replica, or of an agent that serves like one, until the test ends.
+func newClient(t *testing.T, addr string) *registry.Client {
+	t.Helper()
+	client, err := registry.NewClient([]string{addr})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(client.Close)
+	return client
+}
+
 // waitFor waits until a condition holds.
 func waitFor(t *testing.T, description string, done func() bool) {
 	t.Helper()
--- a/internal/agent/sidecar_registration_test.go
+++ b/internal/agent/sidecar_registration_test.go
@@ -49,11 +49,7 @@
 func TestAgentRegistersItsSidecar(t *testing.T) {
 	block := proctest.Block(t)
 	replica := startReplica(t, block)
-	client, err := registry.NewClient([]string{replica.Addr()})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer client.Close()
+	client := newClient(t, replica.Addr())
 	address := block.Addr(203, 0, 8600)
 	serve := func() *http.Server {
 		return serveHTTP(t, address, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
--- a/internal/hotkey/config.go
+++ b/internal/hotkey/config.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Validate returns a *validation.Error, wrapped, for a setting that is out of its range. The names are those of flags and experiment
-// files where these have the setting.
+// Validate returns a wrapped *validation.Error for a setting that is out of its range. The names are those of flags and
+// experiment files where these have the setting.
 func (c *Config) Validate() error {
 	for _, setting := range []struct {
 		name                string
--- a/internal/hotkey/planner_test.go
+++ b/internal/hotkey/planner_test.go
@@ -293,7 +293,7 @@
 		cluster.corruptPlanner = func(p *Planner) {
 			for _, k := range p.keys {
 				for _, r := range k.replicas {
-					r.inheritedShare = 1
+					r.inheritedRampFactor = 1
 				}
 			}
 		}
--- a/internal/hotkey/process_test.go
+++ b/internal/hotkey/process_test.go
@@ -127,10 +127,10 @@
 		return 0, nil
 	}
 	for _, directive := range update.Directives {
-		for _, c := range directive.Copies {
-			if directive.ID == hotkey.DirectiveID(key) && c.LoadFraction > 0 {
-				share += c.LoadFraction
-				servers = append(servers, c.ServerUID)
+		for _, replica := range directive.Copies {
+			if directive.ID == hotkey.DirectiveID(key) && replica.LoadFraction > 0 {
+				share += replica.LoadFraction
+				servers = append(servers, replica.ServerUID)
 			}
 		}
 	}
@@ -204,8 +204,8 @@
 	cluster.incarnation.Add(1)
 	for _, uid := range servers[:2] {
 		cluster.waitUntil(uid+" is drained", func() bool {
-			var l hotkey.DrainStatus
-			return cluster.call(http.MethodPost, "http://"+cluster.controllerAddrs[0]+"/spread/leave?uid="+uid, &l) && l.Drained
+			var status hotkey.DrainStatus
+			return cluster.call(http.MethodPost, "http://"+cluster.controllerAddrs[0]+"/spread/leave?uid="+uid, &status) && status.Drained
 		})
 		if share, _ := cluster.replicatedShare(1); share < 0.4 {
 			cluster.Errorf("%s is drained, and replicas take %v", uid, share)
--- a/internal/hotkey/replica.go
+++ b/internal/hotkey/replica.go
@@ -26,14 +26,14 @@
 	startedAt float64 // s
 	retiredAt float64 // s
 
-	// inheritedShare is the ramp factor that a replica had when this leader took it over. It keeps it before it has
+	// inheritedRampFactor is the ramp factor that a replica had when this leader took it over. It keeps it before it has
 	// answered anything.
-	inheritedShare float64
+	inheritedRampFactor float64
 }
 
 // rampFactor is the fraction of its full share that a replica can take, 0 to 1.
 func (r *replica) rampFactor(config *Config, now float64) float64 {
-	factor := r.inheritedShare
+	factor := r.inheritedRampFactor
 	if r.responses >= config.WarmResponses {
 		factor = math.Max(factor, math.Min(r.responses/config.FullShareResponses, 1))
 	}
@@ -48,7 +48,7 @@
 
 // advance makes a replica active that has answered enough.
 func (r *replica) advance(config *Config) {
-	if r.state == Warming && (r.responses >= config.WarmResponses || r.inheritedShare > 0) {
+	if r.state == Warming && (r.responses >= config.WarmResponses || r.inheritedRampFactor > 0) {
 		r.state = Active
 	}
 }
--- a/internal/hotkey/replicated_key.go
+++ b/internal/hotkey/replicated_key.go
@@ -145,7 +145,7 @@
 		capacity := fleet.serverCapacity(fleet.index[r.serverUID])
 		total += capacity
 		if r.state == Active {
-			active += capacity * r.rampFactor(config, 0)
+			active += capacity * r.rampFactor(config, 0) // the time counts for retiring replicas alone
 		}
 	}
 	return active, total
--- a/internal/hotkey/restore.go
+++ b/internal/hotkey/restore.go
@@ -35,39 +35,46 @@
 		published:      *directive,
 		publishedUntil: float64(directive.ExpiresAtMS) / 1000,
 	}
-	totalShare, activeCount := 0.0, 0
 	warmupShare := perReplicaWarmupShare(&p.config, directive.Copies)
 	for _, published := range directive.Copies {
 		if !p.restorable(k, &published) {
 			continue
 		}
-		if totalShare += published.LoadFraction; published.LoadFraction > 0 {
-			activeCount++
-		}
 		k.replicas = append(k.replicas, &replica{
-			serverUID:      published.ServerUID,
-			revision:       directive.Revision,
-			loadShare:      max(published.LoadFraction, warmupShare),
-			startedAt:      now,
-			inheritedShare: published.LoadFraction,
+			serverUID:           published.ServerUID,
+			revision:            directive.Revision,
+			loadShare:           max(published.LoadFraction, warmupShare),
+			startedAt:           now,
+			inheritedRampFactor: published.LoadFraction, // until restoreRampFactors replaces it
 		})
 	}
+	p.restoreRampFactors(k)
+	return k
+}
+
+// restoreRampFactors makes the replicas that were published with a share active, and sets the ramp factors by which
+// directive computes these shares again. The replicas' inherited ramp factors hold the published shares before.
+func (p *Planner) restoreRampFactors(k *replicatedKey) {
+	totalShare, warming := 0.0, 0
+	for _, r := range k.replicas {
+		totalShare += r.inheritedRampFactor
+		if r.inheritedRampFactor == 0 {
+			warming++
+		}
+	}
 	homeCapacity := k.homeCapacity(&p.fleet)
-	warming := k.countIn(Warming) - activeCount
 	activeShare := 1 - math.Min(p.config.MaxWarmupShare, p.config.WarmupShare*float64(warming))
 	for _, r := range k.replicas {
-		if r.inheritedShare == 0 {
+		if r.inheritedRampFactor == 0 {
 			continue
 		}
-		share := r.inheritedShare
-		r.state, r.inheritedShare = Active, 1
-		// The ramp factor by which directive would compute this share.
+		share := r.inheritedRampFactor
+		r.state, r.inheritedRampFactor = Active, 1
 		if totalShare < activeShare && homeCapacity > 0 {
 			capacity := p.fleet.serverCapacity(p.fleet.index[r.serverUID])
-			r.inheritedShare = math.Min(share*homeCapacity/(activeShare-totalShare)/capacity, 1)
+			r.inheritedRampFactor = math.Min(share*homeCapacity/(activeShare-totalShare)/capacity, 1)
 		}
 	}
-	return k
 }
 
 // restorable reports whether a published replica is valid, new to the key, and on a server that may host it.
--- a/internal/hotkey/simulated_fleet_test.go
+++ b/internal/hotkey/simulated_fleet_test.go
@@ -97,8 +97,8 @@
 		}
 		c.actions = append(c.actions, actions...)
 	}
-	if report, ok := event.(balance.Request); ok && report.Key != 0 {
-		c.sketch.Add(now/1000, report.Key, report.ExpectedWork)
+	if request, ok := event.(balance.Request); ok && request.Key != 0 {
+		c.sketch.Add(now/1000, request.Key, request.ExpectedWork)
 	}
 	if now >= c.nextReportMS {
 		c.nextReportMS = now + 1000
--- a/internal/hotkey/topk/sketch_test.go
+++ b/internal/hotkey/topk/sketch_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// exactCounts counts as a Summary does, with all keys.
+// exactCounts counts as a Sketch does, with all keys.
 type exactCounts struct {
 	halfLife, updatedAt float64
 	byKey               map[uint64]float64
@@ -26,7 +26,7 @@
 	e.updatedAt = now
 }
 
-// boundsHold tells whether a part's bounds hold for each key of the exact counts.
+// boundsHold reports whether a snapshot's bounds hold for each key of the exact counts.
 func boundsHold(snapshot Snapshot, exact map[uint64]float64) bool {
 	listed, total := map[uint64]KeyLoad{}, 0.0
 	for _, bounds := range snapshot.Keys {
@@ -51,7 +51,7 @@
 	return true
 }
 
-// playRequests adds drawn requests to a Summary and to exact counts, and returns both as loads.
+// playRequests adds drawn requests to a Sketch and to exact counts, and returns both as loads.
 func playRequests(t *rapid.T, name string, now float64) (Snapshot, map[uint64]float64) {
 	halfLife := 2.0
 	sketch := New(rapid.IntRange(1, 8).Draw(t, name+" size"), halfLife)
--- a/internal/loadreport/decode_report.go
+++ b/internal/loadreport/decode_report.go
@@ -18,7 +18,7 @@
 	typicalReports    = 1
 	typicalDirectives = 1
 	typicalCounts     = 16 // classes × zones
-	typicalBuckets    = 33 // a whole latency histogram
+	typicalBuckets    = 33 // a complete latency histogram
 )
 
 // The fields of a batch, a report, a key's load and a class's counts, each numbered within its object.
--- a/internal/supervisor/client.go
+++ b/internal/supervisor/client.go
@@ -186,7 +186,8 @@
 
 // isPermanent reports whether a status says that the request itself is at fault.
 func isPermanent(status int) bool {
-	return status >= 400 && status < 500 && status != http.StatusConflict && status != http.StatusRequestTimeout
+	clientError := status >= http.StatusBadRequest && status < http.StatusInternalServerError
+	return clientError && status != http.StatusConflict && status != http.StatusRequestTimeout
 }
 
 // errorText is what a failed response says, on one line.
--- a/internal/supervisor/core/core.go
+++ b/internal/supervisor/core/core.go
@@ -96,7 +96,7 @@
 func (c *Core) Do(now int64, requests []request) Response {
 	fault := c.nextFault(now, OnDo, requests)
 	if fault == nil {
-		return c.executeAll(now, requests, "")
+		return c.executeAll(now, requests, noFault)
 	}
 	switch fault.Kind {
 	case FaultError:
--- a/internal/supervisor/core/execute.go
+++ b/internal/supervisor/core/execute.go
@@ -16,7 +16,7 @@
 	return &rejection{reason, fmt.Sprintf(format, args...)}
 }
 
-// executeAll executes the requests of a call, under a fault or none ("").
+// executeAll executes the requests of a call, under a fault or noFault.
 func (c *Core) executeAll(now int64, requests []request, fault FaultKind) Response {
 	if !c.reserveRecords(len(requests)) {
 		return Response{Failure: "too many requests are under way"}
--- a/internal/supervisor/core/faults.go
+++ b/internal/supervisor/core/faults.go
@@ -12,6 +12,7 @@
 
 // The kinds of faults. All but FaultLoseState act on calls.
 const (
+	noFault FaultKind = ""
 	// FaultError does nothing and responds with status 500.
 	FaultError FaultKind = "fail"
 	// FaultHang neither executes nor responds until the fault ends, then both.
@@ -39,7 +40,7 @@
 	if *k != kind {
 		return false
 	}
-	*k = ""
+	*k = noFault
 	return true
 }
 
@@ -203,7 +204,7 @@
 		case call.isList:
 			c.emit(DeferredResponse{call.ticket, Response{List: c.list(now)}})
 		default:
-			c.emit(DeferredResponse{call.ticket, c.executeAll(now, call.requests, "")})
+			c.emit(DeferredResponse{call.ticket, c.executeAll(now, call.requests, noFault)})
 		}
 	}
 }
--- a/internal/supervisor/core/model_test.go
+++ b/internal/supervisor/core/model_test.go
@@ -103,7 +103,7 @@
 			}
 		}
 		requests = append(requests, r)
-		for range 1 + draw("tries", 3) {
+		for range 1 + draw("attempts", 3) {
 			outcome := m.call(r)
 			if outcome != nil && outcome.Rejected == supervisor.IncarnationMismatch && m.started[r.ID] > 0 {
 				return nil, fmt.Errorf("%s was executed, and its repeat is rejected: %s", r.ID, outcome.Detail)
@@ -204,7 +204,7 @@
 					return 1
 				case "unit":
 					return 0
-				case "tries":
+				case "attempts":
 					n = c.attempts
 				case "repeats":
 					n = c.repeats
@@ -236,7 +236,7 @@
 
 // The model detects planted bugs, and nothing where there is none.
 func TestModelFindsPlantedBugs(t *testing.T) {
-	for b, name := range []string{noBug: "none", evictsFailed: "id forgotten on failure", anyIncarnation: "any incarnation", anyEpoch: "any memory"} {
+	for b, name := range []string{noBug: "none", evictsFailed: "id forgotten on failure", anyIncarnation: "any incarnation", anyEpoch: "any epoch"} {
 		var found error
 		seed := uint64(0)
 		for ; seed < 300 && found == nil; seed++ {
--- a/internal/supervisor/core/units.go
+++ b/internal/supervisor/core/units.go
@@ -29,7 +29,7 @@
 type pendingLaunch struct {
 	unit       supervisor.Unit
 	configText string
-	fault      FaultKind // FaultDuplicate or none
+	fault      FaultKind // FaultDuplicate or noFault
 }
 
 // changing reports whether a unit is starting or stopping.
@@ -233,7 +233,7 @@
 		c.lastIncarnation++
 		u.Incarnation, u.Restarts, u.Exit = c.lastIncarnation, 0, ""
 		if u.SinceMS = now; u.State == supervisor.Stopping {
-			u.State = supervisor.Running // that it was told to end is forgotten
+			u.State = supervisor.Running // that it was requested to stop is forgotten
 		}
 		c.units[u.Name] = u
 	}
--- a/internal/supervisor/standin/process.go
+++ b/internal/supervisor/standin/process.go
@@ -149,5 +149,5 @@
 // oneLine puts a text on one line of bounded length.
 func oneLine(text string) string {
 	text = strings.Join(strings.Fields(text), " ")
-	return cmp.Or(text[:min(len(text), maxExitTextBytes)], "no reason told")
+	return cmp.Or(text[:min(len(text), maxExitTextBytes)], "no reason given")
 }
