--- a/internal/disruption/evaluation.go
+++ b/internal/disruption/evaluation.go
@@ -104,10 +104,12 @@
 	}
 	if limit, bounded := c.budget.MaxWarmingUp.capacityLimit(c.milliCapacity, c.total); bounded {
 		if d.milliWarmingUp > limit {
-			return infeasibleFor("%s allows %.3f of the capacity cold, never %.3f", c.key, c.fractionOf(limit), c.fractionOf(d.milliWarmingUp))
+			return infeasibleFor("%s allows %.3f of the capacity cold, never %.3f",
+				c.key, c.fractionOf(limit), c.fractionOf(d.milliWarmingUp))
 		}
 		if c.milliWarmingUp+d.milliWarmingUp > limit {
-			return deferredFor("%s: %.3f of the capacity is cold or will be, %.3f allowed", c.key, c.fractionOf(c.milliWarmingUp), c.fractionOf(limit))
+			return deferredFor("%s: %.3f of the capacity is cold or will be, %.3f allowed",
+				c.key, c.fractionOf(c.milliWarmingUp), c.fractionOf(limit))
 		}
 	}
 	return decision{}
--- a/internal/disruption/evidence.go
+++ b/internal/disruption/evidence.go
@@ -107,7 +107,8 @@
 	}
 	successor = cmp.Or(named, unit.Successor)
 	if successor == "" {
-		return "", fmt.Errorf("%s is %s since revision %d, and nothing is named in its place", unit.ID, unit.Condition, unit.TransitionRevision)
+		return "", fmt.Errorf("%s is %s since revision %d, and nothing is named in its place",
+			unit.ID, unit.Condition, unit.TransitionRevision)
 	}
 	if err := l.checkSuccessor(permit, unit, successor); err != nil {
 		return "", err
--- a/internal/disruption/validation.go
+++ b/internal/disruption/validation.go
@@ -87,7 +87,11 @@
 	if op.Halt == nil {
 		return missing("halt")
 	}
-	return validation.First(validateName("owner", op.Owner), validateText("halt.scope", op.Halt.Scope), validateText("halt.why", op.Halt.Reason))
+	return validation.First(
+		validateName("owner", op.Owner),
+		validateText("halt.scope", op.Halt.Scope),
+		validateText("halt.why", op.Halt.Reason),
+	)
 }
 
 func (op *Op) validateObserved() error {
@@ -120,7 +124,8 @@
 	case p.Priority < PriorityRollback || p.Priority > PriorityRollout:
 		return validation.Errorf("permit.rank", "%d is not within %d to %d", p.Priority, PriorityRollback, PriorityRollout)
 	case !p.Disposition.valid():
-		return validation.Errorf("permit.end", "%q is not %s, %s or %s", p.Disposition, DispositionReturn, DispositionReplace, DispositionRetire)
+		return validation.Errorf("permit.end", "%q is not %s, %s or %s",
+			p.Disposition, DispositionReturn, DispositionReplace, DispositionRetire)
 	case p.WithoutSubstitute && !IsOperator(owner):
 		return validation.Errorf("permit.alone", "%q is no operator", owner)
 	}
--- a/internal/hotkey/controller.go
+++ b/internal/hotkey/controller.go
@@ -36,7 +36,8 @@
 type Store interface {
 	List(ctx context.Context, fresh bool) (registry.EndpointList, error)
 	PlacementView(ctx context.Context, fresh bool) (placement.Update, error)
-	SetPlacement(ctx context.Context, w registry.WriteOptions, atMS int64, set []placement.Directive, drop ...string) (registry.Result, error)
+	SetPlacement(ctx context.Context, options registry.WriteOptions, atMS int64, directives []placement.Directive,
+		removedIDs ...string) (registry.Result, error)
 }
 
 // ReportSource provides the sidecars' load reports; loadreport.Collector implements it.
--- a/internal/leaderelection/bench/contest.go
+++ b/internal/leaderelection/bench/contest.go
@@ -163,7 +163,8 @@
 
 // awaitHolder waits until a live candidate other than the excluded one holds the lease and works, and returns its name.
 func (c *contest) awaitHolder(ctx context.Context, excluded string) (string, error) {
-	ctx, cancel := context.WithTimeoutCause(ctx, holderTimeout, fmt.Errorf("%s has had no holder at work for %v", c.leaseName, holderTimeout))
+	ctx, cancel := context.WithTimeoutCause(ctx, holderTimeout,
+		fmt.Errorf("%s has had no holder at work for %v", c.leaseName, holderTimeout))
 	defer cancel()
 	for {
 		select {
--- a/internal/leaderelection/cluster_test.go
+++ b/internal/leaderelection/cluster_test.go
@@ -42,8 +42,8 @@
 }
 
 // startCandidate campaigns for leaseName until the test ends. It delivers the lease of each tenure, and the
-// cause with which its work was cancelled; the work does nothing but wait for that.
-func (tc *testCluster) startCandidate(client *registry.Client, candidate string) (acquired <-chan *leaderelection.Lease, stopCauses <-chan error) {
+// cause with which its work was cancelled; the work does nothing but wait for that. Nil for onEvent: it is not called.
+func (tc *testCluster) startCandidate(client *registry.Client, candidate string, onEvent func(leaderelection.Event)) (acquired <-chan *leaderelection.Lease, stopCauses <-chan error) {
 	ctx, cancel := context.WithCancel(tc.ctx)
 	leases, causes := make(chan *leaderelection.Lease, 16), make(chan error, 16)
 	var background sync.WaitGroup
@@ -55,12 +55,23 @@
 	}
 	background.Go(func() {
 		// Its error is that of ctx, or of a registry that the test has killed.
-		_ = leaderelection.Run(ctx, client, leaseName, leaderelection.Options{Candidate: candidate, TTL: candidateTTL}, work)
+		_ = leaderelection.Run(ctx, client, leaseName, leaderelection.Options{Candidate: candidate, TTL: candidateTTL, OnEvent: onEvent}, work)
 	})
 	tc.Cleanup(func() { cancel(); background.Wait() })
 	return leases, causes
 }
 
+// collectEvents returns a function for startCandidate that delivers the events of a type to a channel.
+func collectEvents(eventType leaderelection.EventType) (onEvent func(leaderelection.Event), events <-chan leaderelection.Event) {
+	collected := make(chan leaderelection.Event, 16)
+	onEvent = func(event leaderelection.Event) {
+		if event.Type == eventType {
+			collected <- event
+		}
+	}
+	return onEvent, collected
+}
+
 // receive waits for the next value of a channel.
 func receive[T any](tc *testCluster, what string, from <-chan T) T {
 	tc.Helper()
--- a/internal/leaderelection/faults_test.go
+++ b/internal/leaderelection/faults_test.go
@@ -35,20 +35,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, stopped := tc.startCandidate(partitioned, "first")
+	onLost, losses := collectEvents(leaderelection.Lost)
+	first, stopped := tc.startCandidate(partitioned, "first", onLost)
 	lease := receive(tc, "the first tenure", first)
-	second, _ := tc.startCandidate(tc.client, "second")
+	onAcquired, acquisitions := collectEvents(leaderelection.Acquired)
+	second, _ := tc.startCandidate(tc.client, "second", onAcquired)
 	for _, proxy := range proxies {
 		proxy.setPartitioned(true)
 	}
 	if err := receive(tc, "the stop", stopped); !errors.Is(err, leaderelection.ErrLeaseLost) {
 		t.Errorf("the work was cancelled with %v", err)
 	}
-	stoppedAt := time.Now()
 	next := receive(tc, "the second tenure", second)
-	if lease.Valid() || time.Since(stoppedAt) < 0 || next.Token <= lease.Token {
+	if lease.Valid() || next.Token <= lease.Token {
 		t.Errorf("tokens %d and %d, the first still valid: %v", lease.Token, next.Token, lease.Valid())
 	}
+	loss, acquisition := receive(tc, "the loss", losses), receive(tc, "the acquisition", acquisitions)
+	if loss.ValidUntil.IsZero() || acquisition.At.Before(loss.ValidUntil) {
+		t.Errorf("acquired at %v, though the first tenure was valid until %v", acquisition.At, loss.ValidUntil)
+	}
 	lateCall := registry.LeaseRequest{Candidate: lease.Holder, Token: lease.Token, Data: []byte("late")}
 	if _, err := tc.client.UpdateLease(tc.ctx, leasetable.Checkpoint, leaseName, lateCall); err == nil {
 		t.Error("a late write was accepted")
@@ -69,7 +74,7 @@
 // with its checkpoint.
 func TestAllReplicasKilled(t *testing.T) {
 	tc := startCluster(t)
-	acquired, stopped := tc.startCandidate(tc.client, "one")
+	acquired, stopped := tc.startCandidate(tc.client, "one", nil)
 	lease := receive(tc, "the first tenure", acquired)
 	if err := lease.SaveCheckpoint(tc.ctx, []byte("so far")); err != nil {
 		t.Fatal(err)
@@ -116,7 +121,7 @@
 		t.Errorf("%d of 20 candidates hold the lease", holders)
 	}
 
-	acquired, stopped := tc.startCandidate(tc.client, "one")
+	acquired, stopped := tc.startCandidate(tc.client, "one", nil)
 	lease := receive(tc, "the first tenure", acquired)
 	for _, candidate := range []string{"dead", "later"} { // neither of them ever renews
 		if _, err := tc.client.UpdateLease(tc.ctx, leasetable.Campaign, leaseName, registry.LeaseRequest{Candidate: candidate, TTLMS: 800}); err != nil {
--- a/internal/leaderelection/renewal_batch.go
+++ b/internal/leaderelection/renewal_batch.go
@@ -43,7 +43,8 @@
 
 // renewBatched renews one lease in a request with others of the candidate that are renewed within linger; with linger 0
 // it sends a request of its own at once. It reports whether the lease, or the place in its queue, is lost.
-func renewBatched(ctx context.Context, client *registry.Client, candidate string, renewal registry.LeaseRenewal, linger time.Duration) (lost bool, err error) {
+func renewBatched(ctx context.Context, client *registry.Client, candidate string, renewal registry.LeaseRenewal,
+	linger time.Duration) (lost bool, err error) {
 	if linger == 0 {
 		lostLeases, err := client.RenewLeases(ctx, candidate, []registry.LeaseRenewal{renewal})
 		return len(lostLeases) > 0, err
--- a/internal/placement/cache.go
+++ b/internal/placement/cache.go
@@ -126,7 +126,8 @@
 		}
 	}
 	if len(update.Directives) > MaxDirectives || count > MaxDirectives || totalBytes > MaxTotalBytes {
-		return fmt.Errorf("a placement of %d entries, %d bytes: at most %d, %d", max(len(update.Directives), count), totalBytes, MaxDirectives, MaxTotalBytes)
+		return fmt.Errorf("a placement of %d entries, %d bytes: at most %d, %d",
+			max(len(update.Directives), count), totalBytes, MaxDirectives, MaxTotalBytes)
 	}
 	return nil
 }
--- a/internal/placement/directive.go
+++ b/internal/placement/directive.go
@@ -127,7 +127,7 @@
 	switch {
 	case d.ID == "" || len(d.ID) > MaxIDLength:
 		return validation.Errorf("id", "%d bytes, wanted 1 to %d", len(d.ID), MaxIDLength)
-	case len(d.Kind) > MaxNameLength || len(d.Tenant) > MaxNameLength || len(d.KeyHash) > MaxNameLength || len(d.Cohort) > MaxNameLength:
+	case max(len(d.Kind), len(d.Tenant), len(d.KeyHash), len(d.Cohort)) > MaxNameLength:
 		return validation.Errorf(d.ID, "a name of over %d bytes", MaxNameLength)
 	case len(d.Servers) > MaxServersPerDirective:
 		return validation.Errorf(d.ID, "%d servers, at most %d", len(d.Servers), MaxServersPerDirective)
--- a/internal/supervisor/standin/server.go
+++ b/internal/supervisor/standin/server.go
@@ -126,7 +126,8 @@
 		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	slog.Info("fault injected", "kind", fault.Kind, "on", fault.On, "unit", fault.Unit, "count", fault.Count, "duration_ms", fault.DurationMS)
+	slog.Info("fault injected", "kind", fault.Kind, "on", fault.On, "unit", fault.Unit,
+		"count", fault.Count, "duration_ms", fault.DurationMS)
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
