--- a/internal/hotkey/demand.go
+++ b/internal/hotkey/demand.go
@@ -46,8 +46,7 @@
 func (p *Planner) updateDemand(k *replicatedKey) {
 	k.lower = p.scaleUpLoad(k.key)
 	k.maxHeadroom, k.minHeadroom = p.headroom(k.lower)
-	_, replicaCapacity := k.replicaCapacity(&p.fleet, &p.config)
-	capacity := k.homeCapacity(&p.fleet) + replicaCapacity
+	capacity := k.plannedCapacity(&p.fleet, &p.config)
 	k.requiredCapacity = k.capacityAtDrain
 	if k.minHeadroom >= p.config.MinHeadroom && k.lower > capacity*k.maxHeadroom {
 		required := math.Min(scaleUpMargin*k.lower/k.maxHeadroom, p.fleet.totalCapacity)
--- a/internal/hotkey/drain.go
+++ b/internal/hotkey/drain.go
@@ -16,8 +16,7 @@
 			r = nil
 		}
 		if r != nil && r.state == Active || p.isHomeServer(k, uid) {
-			activeCapacity, _ := k.replicaCapacity(&p.fleet, &p.config)
-			k.capacityAtDrain = max(k.capacityAtDrain, k.homeCapacity(&p.fleet)+activeCapacity)
+			k.capacityAtDrain = max(k.capacityAtDrain, k.activeCapacity(&p.fleet, &p.config))
 		}
 	}
 	p.fleet.draining[uid] = true
@@ -51,8 +50,7 @@
 
 // isReplaced reports whether the key's capacity without the draining servers is what it was with them.
 func (p *Planner) isReplaced(k *replicatedKey) bool {
-	activeCapacity, _ := k.replicaCapacity(&p.fleet, &p.config)
-	return k.homeCapacity(&p.fleet)+activeCapacity >= k.capacityAtDrain*almostOne
+	return k.activeCapacity(&p.fleet, &p.config) >= k.capacityAtDrain*almostOne
 }
 
 // drainReplicas retires replicas on draining servers, one after the other, as others become active in their place.
@@ -60,8 +58,7 @@
 	if k.capacityAtDrain == 0 {
 		return
 	}
-	activeCapacity, _ := k.replicaCapacity(&p.fleet, &p.config)
-	available := k.homeCapacity(&p.fleet) + activeCapacity
+	available := k.activeCapacity(&p.fleet, &p.config)
 	var draining []*replica // still active
 	affected := false       // by a drain
 	for _, r := range k.replicas {
--- a/internal/hotkey/replicated_key.go
+++ b/internal/hotkey/replicated_key.go
@@ -151,6 +151,19 @@
 	return active, total
 }
 
+// activeCapacity is the capacity that serves the key now: its home servers, and active replicas by the shares that they
+// can take already.
+func (k *replicatedKey) activeCapacity(fleet *fleetView, config *Config) float64 {
+	active, _ := k.replicaCapacity(fleet, config)
+	return k.homeCapacity(fleet) + active
+}
+
+// plannedCapacity is the capacity of the key's home servers and of all its replicas, once they are warmed up.
+func (k *replicatedKey) plannedCapacity(fleet *fleetView, config *Config) float64 {
+	_, total := k.replicaCapacity(fleet, config)
+	return k.homeCapacity(fleet) + total
+}
+
 // directive is the key's directive as it is to be published. A replica's share is its server's part of the capacity of
 // all that serve the key, times its ramp factor, of the load that replicas in warm-up leave.
 func (k *replicatedKey) directive(fleet *fleetView, config *Config, now float64) placement.Directive {
--- a/internal/hotkey/scale_down.go
+++ b/internal/hotkey/scale_down.go
@@ -52,8 +52,7 @@
 // fitsWithout reports whether a key's load fits the servers that remain without some replicas. Where only the bounds of
 // unlisted keys speak against it, that counts for uncertaintyPeriod.
 func (p *Planner) fitsWithout(k *replicatedKey, excess []*replica, now float64) bool {
-	activeCapacity, _ := k.replicaCapacity(&p.fleet, &p.config)
-	remaining := k.homeCapacity(&p.fleet) + activeCapacity
+	remaining := k.activeCapacity(&p.fleet, &p.config)
 	for _, r := range excess {
 		if r.state == Active {
 			remaining -= p.currentCapacity(r, now)
--- a/internal/hotkey/scale_up.go
+++ b/internal/hotkey/scale_up.go
@@ -54,8 +54,7 @@
 func (p *Planner) scaleUpCandidates(now float64) []*scaleUpCandidate {
 	var candidates []*scaleUpCandidate
 	for _, k := range p.sortedKeys() {
-		_, replicaCapacity := k.replicaCapacity(&p.fleet, &p.config)
-		candidate := &scaleUpCandidate{key: k, capacity: k.homeCapacity(&p.fleet) + replicaCapacity}
+		candidate := &scaleUpCandidate{key: k, capacity: k.plannedCapacity(&p.fleet, &p.config)}
 		if candidate.capacity >= k.requiredCapacity {
 			continue
 		}
--- a/internal/loadreport/bench_test.go
+++ b/internal/loadreport/bench_test.go
@@ -95,7 +95,9 @@
 	}
 }
 
-func benchmarkOverSockets(b *testing.B, requests [][]byte) {
+// startCollectorProcess runs the test binary as a collector until the benchmark ends, and returns its address.
+func startCollectorProcess(b *testing.B) string {
+	b.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), collectorProcessEnv+"=1")
 	cmd.Stderr = os.Stderr
@@ -110,67 +112,81 @@
 	if err := cmd.Start(); err != nil {
 		b.Fatal(err)
 	}
-	defer func() {
+	b.Cleanup(func() {
 		stdin.Close()
 		if err := cmd.Wait(); err != nil {
 			b.Error(err)
 		}
-	}()
+	})
 	addr, err := bufio.NewReader(stdout).ReadString('\n')
 	if err != nil {
 		b.Fatal(err)
 	}
-	addr = strings.TrimSpace(addr)
-	readUsage := func() (ns, accepted int64) {
-		response, err := http.Get("http://" + addr + "/cpu")
+	return strings.TrimSpace(addr)
+}
+
+// readUsage returns the CPU time of a collector process, and how many reports it has accepted.
+func readUsage(b *testing.B, addr string) (cpuTime time.Duration, accepted int64) {
+	b.Helper()
+	response, err := http.Get("http://" + addr + "/cpu")
+	if err != nil {
+		b.Fatal(err)
+	}
+	defer response.Body.Close()
+	ns := int64(0)
+	if _, err := fmt.Fscan(response.Body, &ns, &accepted); err != nil {
+		b.Fatal(err)
+	}
+	return time.Duration(ns), accepted
+}
+
+// postOverConn posts a request that is written out, and reads the answer into a buffer.
+func postOverConn(conn net.Conn, request, buffer []byte) error {
+	if _, err := conn.Write(request); err != nil {
+		return err
+	}
+	n, err := conn.Read(buffer)
+	if err != nil {
+		return err
+	}
+	if !bytes.HasPrefix(buffer[:n], []byte("HTTP/1.1 204")) {
+		return fmt.Errorf("answered with %s", buffer[:n])
+	}
+	return nil
+}
+
+func benchmarkOverSockets(b *testing.B, bodies [][]byte) {
+	addr := startCollectorProcess(b)
+	conns, requests := make([]net.Conn, len(bodies)), make([][]byte, len(bodies))
+	for i, body := range bodies {
+		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			b.Fatal(err)
 		}
-		defer response.Body.Close()
-		if _, err := fmt.Fscan(response.Body, &ns, &accepted); err != nil {
-			b.Fatal(err)
-		}
-		return ns, accepted
-	}
-	conns := make([]net.Conn, len(requests))
-	defer func() {
-		for _, conn := range conns {
-			if conn != nil {
-				conn.Close()
-			}
-		}
-	}()
-	for i, data := range requests {
-		if conns[i], err = net.Dial("tcp", addr); err != nil {
-			b.Fatal(err)
-		}
-		requests[i] = append(fmt.Appendf(nil, "POST /reports HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n", addr, len(data)), data...)
+		b.Cleanup(func() { conn.Close() })
+		conns[i] = conn
+		requests[i] = append(fmt.Appendf(nil, "POST /reports HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n", addr, len(body)), body...)
 	}
-	before, _ := readUsage()
+	before, _ := readUsage(b, addr)
 	for b.Loop() {
 		var workers sync.WaitGroup
 		const concurrency = 16 // connections at a time
 		for worker := range concurrency {
 			workers.Go(func() {
-				response := make([]byte, 4096)
+				buffer := make([]byte, 4096)
 				for i := worker; i < len(conns); i += concurrency {
-					if _, err := conns[i].Write(requests[i]); err != nil {
+					if err := postOverConn(conns[i], requests[i], buffer); err != nil {
 						b.Error(err)
 						return
 					}
-					n, err := conns[i].Read(response)
-					if err != nil || !bytes.HasPrefix(response[:n], []byte("HTTP/1.1 204")) {
-						b.Errorf("%v: %s", err, response[:n])
-						return
-					}
 				}
 			})
 		}
 		workers.Wait()
 	}
-	after, accepted := readUsage()
+	after, accepted := readUsage(b, addr)
 	if accepted != int64(b.N)*fleetSize {
-		b.Errorf("%d taken in %d rounds", accepted, b.N)
+		b.Errorf("%d accepted in %d rounds", accepted, b.N)
 	}
-	b.ReportMetric(time.Duration(after-before).Seconds()/float64(b.N), "core-s/fleet-s")
+	b.ReportMetric((after-before).Seconds()/float64(b.N), "core-s/fleet-s")
 }
--- a/internal/placement/cache_test.go
+++ b/internal/placement/cache_test.go
@@ -15,95 +15,151 @@
 // clock is that of a machine: its monotonic clock is right, its wall clock may be set at any time.
 type clock struct{ startedAt, offset int64 }
 
-func (c *clock) wall(now int64) int64 { return now + c.offset }
-func (c *clock) mono(now int64) int64 { return now - c.startedAt }
+func (c *clock) wall(now int64) int64      { return now + c.offset }
+func (c *clock) monotonic(now int64) int64 { return now - c.startedAt }
 
 // relayFunc is how an agent answers a sidecar that watches it; lastUpdate is the last one that the agent received.
 type relayFunc func(agent *Cache, lastUpdate *Update, after, epoch uint64, wallMS, monotonicMS int64) Update
 
-// runScenario simulates a registry whose clock is right, an agent that watches it and a sidecar that watches the agent,
-// both with wall clocks that are set to anything at any time, with lost lines and restarts of the agent. It returns an
-// error when one of them has a directive in force past the time to which it was approved.
+// scenario is a registry whose clock is right, an agent that watches it and a sidecar that watches the agent, both with
+// wall clocks that are set to anything at any time, with lost lines and restarts of the agent.
+type scenario struct {
+	draw  drawFunc
+	relay relayFunc
+
+	now                      int64
+	table                    *Table
+	approvedUntil            map[string]int64 // by ID: the latest time to which a directive was ever approved
+	agent, sidecar           *Cache
+	agentClock, sidecarClock clock
+	lastUpdate               *Update // that the agent received
+}
+
+// runScenario plays a scenario. It returns an error when the agent or the sidecar has a directive in force past the time
+// to which it was approved.
 func runScenario(draw drawFunc, relay relayFunc) error {
-	now := int64(1_000_000)
-	table := NewTable()
-	table.StartEpoch(1, 7)
-	approvedUntil := map[string]int64{}
-	agent, sidecar := NewCache(), NewCache()
-	agentClock, sidecarClock := &clock{}, &clock{startedAt: 500}
-	lastUpdate := &Update{}
+	s := &scenario{
+		draw:          draw,
+		relay:         relay,
+		now:           1_000_000,
+		table:         NewTable(),
+		approvedUntil: map[string]int64{},
+		agent:         NewCache(),
+		sidecar:       NewCache(),
+		sidecarClock:  clock{startedAt: 500},
+		lastUpdate:    &Update{},
+	}
+	s.table.StartEpoch(1, 7)
 	for index := uint64(2); index < 40; index++ {
-		now += draw("pass", 0, 400)
-		switch draw("what", 0, 8) {
-		case 0, 1: // a directive is approved or renewed
-			id := fmt.Sprint("window/a/", draw("id", 0, 2))
-			directive := exclusion(id, now+draw("length", 1, 1500), "s")
-			if result := table.Apply(index, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{directive}}); result.Outcome != OutcomeApplied {
-				return errors.New(result.Reason)
-			}
-			// A directive that was shortened lasts as approved before where the change is not received.
-			approvedUntil[id] = max(approvedUntil[id], directive.ExpiresAtMS)
-		case 2: // the leader removes expired ones, some time later
-			if expired := table.Expired(now-300, 5); expired != nil {
-				table.Apply(index, "", &Op{LeaderTimeMS: now, Expired: expired})
-			}
-		case 3, 4: // the agent receives changes, or a complete update as from another replica
-			after := agent.Revision()
-			if draw("complete", 0, 1) == 0 {
-				after = 0
-			}
-			update := table.ChangesSince(after, agent.Epoch(), now)
-			if _, err := agent.Apply(&update, agentClock.wall(now), agentClock.mono(now)); err != nil {
-				return err
-			}
-			lastUpdate = &update
-		case 5: // the sidecar receives changes
-			after := sidecar.Revision()
-			if draw("complete", 0, 1) == 0 {
-				after = 0
-			}
-			if agent.Synced() {
-				update := relay(agent, lastUpdate, after, sidecar.Epoch(), agentClock.wall(now), agentClock.mono(now))
-				if _, err := sidecar.Apply(&update, sidecarClock.wall(now), sidecarClock.mono(now)); err != nil && !errors.Is(err, ErrDiscontinuous) {
-					return err
-				}
-			}
-		case 6:
-			agentClock.offset = draw("agent's clock", -2000, 2000)
-		case 7:
-			sidecarClock.offset = draw("sidecar's clock", -2000, 2000)
-		case 8: // the agent restarts; its wall clock may have been set forward meanwhile
-			if !agent.Synced() {
-				continue
-			}
-			saved, savedMS := agent.Snapshot(agentClock.wall(now), agentClock.mono(now)), agentClock.wall(now)
-			now += draw("down", 0, 500)
-			agentClock.startedAt = now
-			agentClock.offset += draw("set forward", 0, 1) * draw("by", 0, 300)
-			agent = NewCache()
-			if err := agent.Restore(saved, savedMS, agentClock.wall(now), agentClock.mono(now)); err != nil {
-				return err
-			}
+		if err := s.step(index); err != nil {
+			return err
 		}
-		for consumer, update := range map[string]Update{
-			"agent":   agent.Active(agentClock.wall(now), agentClock.mono(now)),
-			"sidecar": sidecar.Active(sidecarClock.wall(now), sidecarClock.mono(now)),
-		} {
-			for _, directive := range update.Directives {
-				if now >= approvedUntil[directive.ID] {
-					return fmt.Errorf("the %s has %s at %d, approved to %d", consumer, directive.ID, now, approvedUntil[directive.ID])
-				}
-				if directive.RemainingMS <= 0 || directive.ExpiresAtMS > approvedUntil[directive.ID] {
-					return fmt.Errorf("the %s has %+v, approved to %d", consumer, directive, approvedUntil[directive.ID])
-				}
-			}
+		if err := s.checkApproved("agent", s.agent, &s.agentClock); err != nil {
+			return err
+		}
+		if err := s.checkApproved("sidecar", s.sidecar, &s.sidecarClock); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// step draws what happens next.
+func (s *scenario) step(index uint64) error {
+	s.now += s.draw("pass", 0, 400)
+	switch s.draw("what", 0, 8) {
+	case 0, 1:
+		return s.approve(index)
+	case 2: // the leader removes expired ones, some time later
+		if expired := s.table.Expired(s.now-300, 5); expired != nil {
+			s.table.Apply(index, "", &Op{LeaderTimeMS: s.now, Expired: expired})
+		}
+	case 3, 4:
+		return s.updateAgent()
+	case 5:
+		return s.updateSidecar()
+	case 6:
+		s.agentClock.offset = s.draw("agent's clock", -2000, 2000)
+	case 7:
+		s.sidecarClock.offset = s.draw("sidecar's clock", -2000, 2000)
+	case 8:
+		return s.restartAgent()
+	}
+	return nil
+}
+
+// approve sets or renews a directive.
+func (s *scenario) approve(index uint64) error {
+	id := fmt.Sprint("window/a/", s.draw("id", 0, 2))
+	directive := exclusion(id, s.now+s.draw("length", 1, 1500), "s")
+	result := s.table.Apply(index, "window/a", &Op{LeaderTimeMS: s.now, Set: []Directive{directive}})
+	if result.Outcome != OutcomeApplied {
+		return errors.New(result.Reason)
+	}
+	// A directive that was shortened lasts as approved before where the change is not received.
+	s.approvedUntil[id] = max(s.approvedUntil[id], directive.ExpiresAtMS)
+	return nil
+}
+
+// drawRevision is the revision of a cache, from which its watch continues, or 0 for a complete update, as after a
+// reconnect to another replica.
+func (s *scenario) drawRevision(cache *Cache) uint64 {
+	if s.draw("complete", 0, 1) == 0 {
+		return 0
+	}
+	return cache.Revision()
+}
+
+func (s *scenario) updateAgent() error {
+	update := s.table.ChangesSince(s.drawRevision(s.agent), s.agent.Epoch(), s.now)
+	s.lastUpdate = &update
+	_, err := s.agent.Apply(&update, s.agentClock.wall(s.now), s.agentClock.monotonic(s.now))
+	return err
+}
+
+func (s *scenario) updateSidecar() error {
+	after := s.drawRevision(s.sidecar)
+	if !s.agent.Synced() {
+		return nil
+	}
+	update := s.relay(s.agent, s.lastUpdate, after, s.sidecar.Epoch(), s.agentClock.wall(s.now), s.agentClock.monotonic(s.now))
+	_, err := s.sidecar.Apply(&update, s.sidecarClock.wall(s.now), s.sidecarClock.monotonic(s.now))
+	if errors.Is(err, ErrDiscontinuous) {
+		return nil
+	}
+	return err
+}
+
+// restartAgent restarts the agent from what it has saved. Its wall clock may be set forward meanwhile.
+func (s *scenario) restartAgent() error {
+	if !s.agent.Synced() {
+		return nil
+	}
+	savedMS := s.agentClock.wall(s.now)
+	saved := s.agent.Snapshot(savedMS, s.agentClock.monotonic(s.now))
+	s.now += s.draw("down", 0, 500)
+	s.agentClock.startedAt = s.now
+	s.agentClock.offset += s.draw("set forward", 0, 1) * s.draw("by", 0, 300)
+	s.agent = NewCache()
+	return s.agent.Restore(saved, savedMS, s.agentClock.wall(s.now), s.agentClock.monotonic(s.now))
+}
+
+// checkApproved checks that all directives in force at a consumer are approved.
+func (s *scenario) checkApproved(consumer string, cache *Cache, clock *clock) error {
+	for _, directive := range cache.Active(clock.wall(s.now), clock.monotonic(s.now)).Directives {
+		approvedUntil := s.approvedUntil[directive.ID]
+		if s.now >= approvedUntil {
+			return fmt.Errorf("the %s has %s at %d, approved to %d", consumer, directive.ID, s.now, approvedUntil)
+		}
+		if directive.RemainingMS <= 0 || directive.ExpiresAtMS > approvedUntil {
+			return fmt.Errorf("the %s has %+v, approved to %d", consumer, directive, approvedUntil)
 		}
 	}
 	return nil
 }
 
-func relayCorrectly(agent *Cache, _ *Update, after, epoch uint64, wallMS, monoMS int64) Update {
-	return agent.ChangesSince(after, epoch, wallMS, monoMS)
+func relayCorrectly(agent *Cache, _ *Update, after, epoch uint64, wallMS, monotonicMS int64) Update {
+	return agent.ChangesSince(after, epoch, wallMS, monotonicMS)
 }
 
 // However the wall clocks of agent and sidecar are set, no directive lasts longer than it was approved.
@@ -136,8 +192,8 @@
 	if failures := countFailures(relayCorrectly); failures != 0 {
 		t.Fatalf("%d scenarios fail without a fault", failures)
 	}
-	forwardRemainingUnchanged := func(agent *Cache, lastUpdate *Update, after, epoch uint64, wallMS, monoMS int64) Update {
-		update := agent.ChangesSince(after, epoch, wallMS, monoMS)
+	forwardRemainingUnchanged := func(agent *Cache, lastUpdate *Update, after, epoch uint64, wallMS, monotonicMS int64) Update {
+		update := agent.ChangesSince(after, epoch, wallMS, monotonicMS)
 		for i := range update.Directives {
 			for _, directive := range lastUpdate.Directives {
 				if directive.ID == update.Directives[i].ID && directive.Revision == update.Directives[i].Revision {
@@ -169,11 +225,11 @@
 		t.Fatal(err)
 	}
 	for _, step := range []struct {
-		wall, mono int64
-		want       int
+		wallMS, monotonicMS int64
+		want                int
 	}{{9_999, 400, 1}, {9_999, 400, 1}, {10_000, 500, 0}, {5_000, 600, 0}} { // set back, it stays expired
-		if got := cache.Active(step.wall, step.mono); len(got.Directives) != step.want {
-			t.Errorf("at %d, %d: %+v", step.wall, step.mono, got)
+		if got := cache.Active(step.wallMS, step.monotonicMS); len(got.Directives) != step.want {
+			t.Errorf("at %d, %d: %+v", step.wallMS, step.monotonicMS, got)
 		}
 	}
 	if _, err := cache.Apply(update, 5_000, 700); err != nil || len(cache.Active(5_000, 700).Directives) != 0 {
--- a/internal/supervisor/core/core_test.go
+++ b/internal/supervisor/core/core_test.go
@@ -57,50 +57,50 @@
 	return s
 }
 
-func want(t *testing.T, what, got, want string) {
+func requireText(t *testing.T, what, got, requireText string) {
 	t.Helper()
-	if got != want {
-		t.Errorf("%s: %q, want %q", what, got, want)
+	if got != requireText {
+		t.Errorf("%s: %q, want %q", what, got, requireText)
 	}
 }
 
 func TestUnitLifecycle(t *testing.T) {
 	c := New(Options{Versions: versions}, 1000)
 	first := executeOne(t, c, 1000, start(c, "a", "u", "1", 0))
-	want(t, "start", drainEffects(c), "launch 1 u 1;")
-	want(t, "start of a starting unit", string(executeOne(t, c, 1000, start(c, "b", "u", "1", first.Incarnation)).Rejected), "busy")
+	requireText(t, "start", drainEffects(c), "launch 1 u 1;")
+	requireText(t, "start of a starting unit", string(executeOne(t, c, 1000, start(c, "b", "u", "1", first.Incarnation)).Rejected), "busy")
 	c.ProcessReady(1100, 1)
-	want(t, "ready", string(state(c, "u").State), "running")
+	requireText(t, "ready", string(state(c, "u").State), "running")
 	next := executeOne(t, c, 1200, request{
 		ID: "c", Op: supervisor.Restart, Epoch: c.epoch, Unit: "u", Incarnation: first.Incarnation, Kind: supervisor.Sidecar, Version: "2",
 		Listen: "127.0.0.1:1", GraceMS: 300,
 	})
-	want(t, "restart", drainEffects(c), "term 1;")
+	requireText(t, "restart", drainEffects(c), "term 1;")
 	c.Tick(1499)
-	want(t, "within the grace", drainEffects(c), "")
+	requireText(t, "within the grace", drainEffects(c), "")
 	c.Tick(1500)
-	want(t, "the grace", drainEffects(c), "kill 1;")
+	requireText(t, "the grace", drainEffects(c), "kill 1;")
 	c.ProcessExited(1501, 1, "signal: killed")
-	want(t, "the end", drainEffects(c), "launch 2 u 2;")
+	requireText(t, "the end", drainEffects(c), "launch 2 u 2;")
 	if u := state(c, "u"); u.Incarnation != next.Incarnation || u.Incarnation == first.Incarnation || u.Version != "2" {
 		t.Errorf("%+v, want incarnation %d of version 2", u, next.Incarnation)
 	}
-	want(t, "a late stop of the one before", string(executeOne(t, c, 1600, stop(c, "d", "u", first.Incarnation)).Rejected), "stale")
+	requireText(t, "a late stop of the one before", string(executeOne(t, c, 1600, stop(c, "d", "u", first.Incarnation)).Rejected), "stale")
 	executeOne(t, c, 1600, stop(c, "e", "u", next.Incarnation))
 	c.Tick(2099)
-	want(t, "the version's grace", drainEffects(c), "term 2;")
+	requireText(t, "the version's grace", drainEffects(c), "term 2;")
 	c.Tick(2100)
-	want(t, "the version's grace", drainEffects(c), "kill 2;")
+	requireText(t, "the version's grace", drainEffects(c), "kill 2;")
 	c.ProcessExited(2100, 2, "signal: killed")
-	want(t, "no version", string(executeOne(t, c, 1600, start(c, "f", "u", "9", next.Incarnation)).Rejected), "no_version")
+	requireText(t, "no version", string(executeOne(t, c, 1600, start(c, "f", "u", "9", next.Incarnation)).Rejected), "no_version")
 	executeOne(t, c, 3000, start(c, "g", "u", "crash", next.Incarnation))
 	for i, due := range []int64{3200, 3600} {
 		c.ProcessExited(due-200<<i, uint64(3+i), "exit status 1")
 		drainEffects(c)
 		c.Tick(due - 1)
-		want(t, "before the restart", string(state(c, "u").State)+drainEffects(c), "exited")
+		requireText(t, "before the restart", string(state(c, "u").State)+drainEffects(c), "exited")
 		c.Tick(due)
-		want(t, "the restart by the platform", drainEffects(c), fmt.Sprintf("launch %d u crash;", 4+i))
+		requireText(t, "the restart by the platform", drainEffects(c), fmt.Sprintf("launch %d u crash;", 4+i))
 	}
 	c.ProcessExited(4000, 5, "exit status 1")
 	c.Tick(1e6)
@@ -109,70 +109,85 @@
 	}
 }
 
+// setFault injects a fault at 1000 ms.
+func setFault(t *testing.T, c *Core, fault Fault) {
+	t.Helper()
+	if err := c.SetFault(1000, fault); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// newCoreWithUnits returns a core whose units a and b are running, as processes 1 and 2.
+func newCoreWithUnits(t *testing.T) *Core {
+	t.Helper()
+	c := New(Options{Versions: versions}, 1000)
+	for i, unit := range []string{"a", "b"} {
+		executeOne(t, c, 1000, start(c, unit, unit, "1", 0))
+		c.ProcessReady(1000, uint64(1+i))
+	}
+	drainEffects(c)
+	return c
+}
+
 func TestFaults(t *testing.T) {
-	set := func(c *Core, f Fault) {
-		t.Helper()
-		if err := c.SetFault(1000, f); err != nil {
-			t.Fatal(err)
+	t.Run("duplicate, then wrong unit", func(t *testing.T) {
+		c := newCoreWithUnits(t)
+		setFault(t, c, Fault{Kind: FaultDuplicate})
+		executeOne(t, c, 1000, start(c, "x", "c", "1", 0))
+		requireText(t, "twice", drainEffects(c), "launch 3 c 1;launch 4 c 1;")
+
+		setFault(t, c, Fault{Kind: FaultWrongUnit})
+		executeOne(t, c, 1000, stop(c, "y", "a", 1))
+		requireText(t, "wrong", drainEffects(c)+string(state(c, "a").State+state(c, "b").State), "term 2;runningstopping")
+	})
+
+	t.Run("half of two stops", func(t *testing.T) {
+		c := newCoreWithUnits(t)
+		setFault(t, c, Fault{Kind: FaultPartial, On: OnDo})
+		both := []request{stop(c, "s1", "a", 1), stop(c, "s2", "b", 2)}
+		if response := c.Do(1000, both); response.Failure == "" {
+			t.Errorf("%+v, want a failure", response)
 		}
-	}
-	fresh := func() *Core {
-		c := New(Options{Versions: versions}, 1000)
-		for i, unit := range []string{"a", "b"} {
-			executeOne(t, c, 1000, start(c, unit, unit, "1", 0))
-			c.ProcessReady(1000, uint64(1+i))
+		requireText(t, "half of two", drainEffects(c), "term 1;")
+		if response := c.Do(1000, both); response.Failure != "" || len(response.Outcomes) != 2 {
+			t.Errorf("%+v, want both done by the repeat", response)
 		}
-		drainEffects(c)
-		return c
-	}
-	c := fresh()
-	set(c, Fault{Kind: FaultDuplicate})
-	executeOne(t, c, 1000, start(c, "x", "c", "1", 0))
-	want(t, "twice", drainEffects(c), "launch 3 c 1;launch 4 c 1;")
-
-	set(c, Fault{Kind: FaultWrongUnit})
-	executeOne(t, c, 1000, stop(c, "y", "a", 1))
-	want(t, "wrong", drainEffects(c)+string(state(c, "a").State+state(c, "b").State), "term 2;runningstopping")
-
-	c = fresh()
-	set(c, Fault{Kind: FaultPartial, On: OnDo})
-	both := []request{stop(c, "s1", "a", 1), stop(c, "s2", "b", 2)}
-	if response := c.Do(1000, both); response.Failure == "" {
-		t.Errorf("%+v, want a failure", response)
-	}
-	want(t, "half of two", drainEffects(c), "term 1;")
-	if response := c.Do(1000, both); response.Failure != "" || len(response.Outcomes) != 2 {
-		t.Errorf("%+v, want both done by the repeat", response)
-	}
-	want(t, "the other half", drainEffects(c), "term 2;")
+		requireText(t, "the other half", drainEffects(c), "term 2;")
+	})
 
-	c = fresh()
-	set(c, Fault{Kind: FaultPartial})
-	executeOne(t, c, 1000, request{
-		ID: "r", Op: supervisor.Restart, Epoch: c.epoch, Unit: "a", Incarnation: 1, Kind: supervisor.Sidecar, Version: "2", Listen: "127.0.0.1:1",
+	t.Run("half of a restart", func(t *testing.T) {
+		c := newCoreWithUnits(t)
+		setFault(t, c, Fault{Kind: FaultPartial})
+		executeOne(t, c, 1000, request{
+			ID: "r", Op: supervisor.Restart, Epoch: c.epoch, Unit: "a", Incarnation: 1, Kind: supervisor.Sidecar, Version: "2", Listen: "127.0.0.1:1",
+		})
+		c.ProcessExited(1100, 1, "exit status 0")
+		requireText(t, "half of a restart", drainEffects(c)+string(state(c, "a").State), "term 1;exited")
 	})
-	c.ProcessExited(1100, 1, "exit status 0")
-	want(t, "half of a restart", drainEffects(c)+string(state(c, "a").State), "term 1;exited")
 
-	c = fresh()
-	set(c, Fault{Kind: FaultHang, DurationMS: 500})
-	response := c.Do(1000, []request{stop(c, "h", "a", 1)})
-	want(t, "hangs", fmt.Sprint(response.DeferredTicket != 0)+drainEffects(c), "true")
-	c.Tick(1500)
-	want(t, "goes on", drainEffects(c), "term 1;core.DeferredResponse;")
-
-	c = fresh()
-	before := c.list(0)
-	late := stop(c, "l", "a", 1)
-	set(c, Fault{Kind: FaultLoseState, DurationMS: 500})
-	if l := c.list(0); l.Epoch <= before.Epoch || l.Complete || len(l.Units) != 0 {
-		t.Errorf("%+v, want another epoch and no units", l)
-	}
-	want(t, "a request of the epoch before", string(executeOne(t, c, 1000, late).Rejected), "forgotten")
-	c.Tick(1500)
-	if l := c.list(0); !l.Complete || len(l.Units) != 2 || l.Units[0].State != supervisor.Running {
-		t.Errorf("%+v, want both units found again", l)
-	}
+	t.Run("hang", func(t *testing.T) {
+		c := newCoreWithUnits(t)
+		setFault(t, c, Fault{Kind: FaultHang, DurationMS: 500})
+		response := c.Do(1000, []request{stop(c, "h", "a", 1)})
+		requireText(t, "hangs", fmt.Sprint(response.DeferredTicket != 0)+drainEffects(c), "true")
+		c.Tick(1500)
+		requireText(t, "goes on", drainEffects(c), "term 1;core.DeferredResponse;")
+	})
+
+	t.Run("lost state", func(t *testing.T) {
+		c := newCoreWithUnits(t)
+		before := c.list(0)
+		late := stop(c, "l", "a", 1)
+		setFault(t, c, Fault{Kind: FaultLoseState, DurationMS: 500})
+		if list := c.list(0); list.Epoch <= before.Epoch || list.Complete || len(list.Units) != 0 {
+			t.Errorf("%+v, want another epoch and no units", list)
+		}
+		requireText(t, "a request of the epoch before", string(executeOne(t, c, 1000, late).Rejected), "forgotten")
+		c.Tick(1500)
+		if list := c.list(0); !list.Complete || len(list.Units) != 2 || list.Units[0].State != supervisor.Running {
+			t.Errorf("%+v, want both units found again", list)
+		}
+	})
 }
 
 // Records and units are bounded. The oldest is evicted whose unit is neither starting nor stopping; a unit that lives never
@@ -182,7 +197,7 @@
 	a := start(c, "a", "a", "1", 0)
 	executeOne(t, c, 1, a)
 	b := executeOne(t, c, 1, start(c, "b", "b", "1", 0))
-	want(t, "a third unit", string(executeOne(t, c, 1, start(c, "c", "c", "1", 0)).Rejected), "full")
+	requireText(t, "a third unit", string(executeOne(t, c, 1, start(c, "c", "c", "1", 0)).Rejected), "full")
 	c.ProcessReady(2, 2)
 	executeOne(t, c, 3, stop(c, "d", "b", b.Incarnation))
 	c.ProcessExited(4, 2, "exit status 0")
@@ -190,7 +205,7 @@
 	if out := executeOne(t, c, 5, start(c, "e", "c", "1", 0)); out.Rejected != "" {
 		t.Errorf("%+v, want the exited unit evicted", out)
 	}
-	want(t, "the one that has exited", drainEffects(c), "core.UnitRemoved;launch 3 c 1;")
+	requireText(t, "the one that has exited", drainEffects(c), "core.UnitRemoved;launch 3 c 1;")
 	if len(c.records) != 4 || len(c.recordOrder) != 4 || c.records["a"] == nil || c.records["b"] != nil {
 		t.Errorf("%d records, a %v, b %v, want a retained as it starts", len(c.records), c.records["a"], c.records["b"])
 	}
