--- a/internal/agent/report_forwarder_test.go
+++ b/internal/agent/report_forwarder_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
+	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -13,41 +14,78 @@
 	"milldeck/internal/placement"
 )
 
+// collectorStub receives forwarded batches of reports, and answers that it accepts them or not.
+type collectorStub struct {
+	t       *testing.T
+	addr    string
+	reject  atomic.Bool
+	mu      sync.Mutex
+	reports []placement.LoadReport
+}
+
+func (c *collectorStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	var batch struct{ Reports []placement.LoadReport }
+	if err := json.NewDecoder(r.Body).Decode(&batch); err != nil || r.URL.Path != "/reports" {
+		c.t.Errorf("%s: %v", r.URL, err)
+	}
+	if c.reject.Load() {
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.reports = append(c.reports, batch.Reports...)
+}
+
+// received is all reports that were accepted, in order.
+func (c *collectorStub) received() []placement.LoadReport {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.reports)
+}
+
+// lastRevision is the placement revision of the last report that was accepted; 0: there is none.
+func (c *collectorStub) lastRevision() uint64 {
+	reports := c.received()
+	if len(reports) == 0 {
+		return 0
+	}
+	return reports[len(reports)-1].PlacementRevision
+}
+
+// requireMalformedRejected posts reports of which each is malformed in its own way.
+func requireMalformedRejected(t *testing.T, post func(body string) int) {
+	t.Helper()
+	hotKeys := strings.Repeat(`{"key":"0123456789abcdef","load":1},`, placement.MaxHotKeys) + `{"key":"0123456789abcdef","load":1}`
+	for _, test := range []struct{ name, body string }{
+		{"no JSON", "what"},
+		{"no name", `{"rev":9}`},
+		{"two", `{"name":"a","rev":9}{"name":"b","rev":9}`},
+		{"too long", `{"name":"` + strings.Repeat("a", placement.MaxReportBytes) + `"}`},
+		{"a load below 0", `{"name":"a","rev":9,"heat_all":-1}`},
+		{"a key that is none", `{"name":"a","rev":9,"heat":[{"key":"x","load":1}]}`},
+		{"too many keys", `{"name":"a","rev":9,"heat":[` + hotKeys + `]}`},
+		{"a count below 0", `{"name":"a","rev":9,"counts":[{"class":"c","served":-1}]}`},
+		{"an array of names", `{"name":["a"],"rev":9}`},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if status := post(test.body); status != http.StatusBadRequest {
+				t.Errorf("status %d", status)
+			}
+		})
+	}
+}
+
 // Each address that accepts reports gets the newest of each sidecar; malformed reports are rejected.
 func TestReportsAreForwarded(t *testing.T) {
 	block := proctest.Block(t)
-	type collector struct {
-		addr   string
-		reject atomic.Bool
-		mu     sync.Mutex
-		got    []placement.LoadReport
-	}
-	collectors := []*collector{{addr: block.Addr(203, 0, 8500)}, {addr: block.Addr(203, 1, 8500)}}
-	collectors[1].reject.Store(true)
-	lastRev := func(k int) (rev uint64) {
-		collectors[k].mu.Lock()
-		defer collectors[k].mu.Unlock()
-		for _, r := range collectors[k].got {
-			rev = r.PlacementRevision
-		}
-		return rev
-	}
+	first := &collectorStub{t: t, addr: block.Addr(203, 0, 8500)}
+	second := &collectorStub{t: t, addr: block.Addr(203, 1, 8500)}
+	second.reject.Store(true)
 	addresses := []string{block.Addr(203, 2, 8500)} // nothing listens there
-	for _, target := range collectors {
-		addresses = append(addresses, target.addr)
-		serveHTTP(t, target.addr, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			var in struct{ Reports []placement.LoadReport }
-			if err := json.NewDecoder(r.Body).Decode(&in); err != nil || r.URL.Path != "/reports" {
-				t.Errorf("%s: %v", r.URL, err)
-			}
-			if target.reject.Load() {
-				w.WriteHeader(http.StatusServiceUnavailable)
-				return
-			}
-			target.mu.Lock()
-			defer target.mu.Unlock()
-			target.got = append(target.got, in.Reports...)
-		}))
+	for _, collector := range []*collectorStub{first, second} {
+		addresses = append(addresses, collector.addr)
+		serveHTTP(t, collector.addr, collector)
 	}
 	agent := startAgent(t, Options{Listen: block.Addr(201, 0, 8500), Replicas: []string{block.Addr(200, 0, 8500)}, ReportAddresses: addresses})
 	post := func(body string) int {
@@ -58,37 +96,30 @@
 		defer response.Body.Close()
 		return response.StatusCode
 	}
-	for name, malformed := range map[string]string{
-		"no JSON": "what", "no name": `{"rev":9}`, "two": `{"name":"a","rev":9}{"name":"b","rev":9}`, "too long": `{"name":"` + strings.Repeat("a", placement.MaxReportBytes) + `"}`,
-		"a load below 0": `{"name":"a","rev":9,"heat_all":-1}`, "a key that is none": `{"name":"a","rev":9,"heat":[{"key":"x","load":1}]}`,
-		"too many keys":     `{"name":"a","rev":9,"heat":[` + strings.Repeat(`{"key":"0123456789abcdef","load":1},`, placement.MaxHotKeys) + `{"key":"0123456789abcdef","load":1}]}`,
-		"a count below 0":   `{"name":"a","rev":9,"counts":[{"class":"c","served":-1}]}`,
-		"an array of names": `{"name":["a"],"rev":9}`,
-	} {
-		if status := post(malformed); status != http.StatusBadRequest {
-			t.Errorf("%s: %d", name, status)
-		}
-	}
+	requireMalformedRejected(t, post)
+
 	if status := post(`{"name":"a","rev":1,"later":true}`); status != http.StatusNoContent {
 		t.Errorf("a valid report: status %d", status)
 	}
-	waitFor(t, "the first is accepted", func() bool { return lastRev(0) == 1 })
-	for rev := 2; rev < 6; rev++ {
-		post(fmt.Sprintf(`{"name":"a","rev":%d}`, rev))
+	waitFor(t, "the first is accepted", func() bool { return first.lastRevision() == 1 })
+	for revision := 2; revision < 6; revision++ {
+		post(fmt.Sprintf(`{"name":"a","rev":%d}`, revision))
 	}
-	waitFor(t, "the newest is accepted", func() bool { return lastRev(0) == 5 })
-	collectors[0].mu.Lock()
-	if n := len(collectors[0].got); n > 3 { // the first, what came while it was sent, and the newest
-		t.Errorf("%d of 5 reports within a moment were forwarded: %+v", n, collectors[0].got)
+	waitFor(t, "the newest is accepted", func() bool { return first.lastRevision() == 5 })
+	if reports := first.received(); len(reports) > 3 { // the first, what came while it was sent, and the newest
+		t.Errorf("%d of 5 reports within a moment were forwarded: %+v", len(reports), reports)
 	}
-	collectors[0].mu.Unlock()
-	if n := lastRev(1); n != 0 {
-		t.Errorf("the collector that accepts none has revision %d", n)
+	if revision := second.lastRevision(); revision != 0 {
+		t.Errorf("the collector that accepts none has revision %d", revision)
 	}
-	collectors[1].reject.Store(false)
-	waitFor(t, "the other accepts them, too", func() bool { post(`{"name":"a","rev":7}`); return lastRev(0) == 7 && lastRev(1) == 7 })
-	for k := range maxReportingSidecars - 1 {
-		post(fmt.Sprintf(`{"name":"more%d","rev":1}`, k))
+	second.reject.Store(false)
+	waitFor(t, "the other accepts them, too", func() bool {
+		post(`{"name":"a","rev":7}`)
+		return first.lastRevision() == 7 && second.lastRevision() == 7
+	})
+
+	for i := range maxReportingSidecars - 1 {
+		post(fmt.Sprintf(`{"name":"more%d","rev":1}`, i))
 	}
 	if status := post(`{"name":"one too many","rev":1}`); status != http.StatusServiceUnavailable {
 		t.Errorf("one sidecar too many: status %d", status)
--- a/internal/leaderelection/fixtures_test.go
+++ b/internal/leaderelection/fixtures_test.go
@@ -39,10 +39,12 @@
 	return state
 }
 
-// A backup's file name and bytes, the request that saves its revision as the lease's checkpoint, and the files that are pruned.
-func TestBackupFormat(t *testing.T) {
+// newFixtureRegistry serves fixtureState as a registry replica does, and writes down the checkpoints that it is sent.
+func newFixtureRegistry(t *testing.T) (client *registry.Client, checkpoint *bytes.Buffer) {
+	t.Helper()
+	checkpoint = &bytes.Buffer{}
 	state := fixtureState(t)
-	var snapshot, checkpoint bytes.Buffer
+	var snapshot bytes.Buffer
 	if err := state.WriteSnapshot(&snapshot); err != nil {
 		t.Fatal(err)
 	}
@@ -66,17 +68,22 @@
 		if err != nil {
 			t.Error(err)
 		}
-		fmt.Fprintf(&checkpoint, "%s %s\n%s\n", r.Method, r.URL, bytes.ReplaceAll(body, call["id"], []byte(`"call-1"`))) // it is drawn
+		fmt.Fprintf(checkpoint, "%s %s\n%s\n", r.Method, r.URL, bytes.ReplaceAll(body, call["id"], []byte(`"call-1"`))) // it is drawn
 		fmt.Fprintln(w, "{}")
 	})
 	server := httptest.NewServer(mux)
-	defer server.Close()
+	t.Cleanup(server.Close)
 	client, err := registry.NewClient([]string{strings.TrimPrefix(server.URL, "http://")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer client.Close()
+	t.Cleanup(client.Close)
+	return client, checkpoint
+}
 
+// A backup's file name and bytes, the request that saves its revision as the lease's checkpoint, and the files that are pruned.
+func TestBackupFormat(t *testing.T) {
+	client, checkpoint := newFixtureRegistry(t)
 	dir := t.TempDir()
 	for _, name := range []string{"registry-00000000000000000000.snapshot", "registry-00000000000000000001.snapshot", "notes"} {
 		if err := os.WriteFile(filepath.Join(dir, name), nil, 0o600); err != nil {
--- a/internal/leaderelection/lease_model_test.go
+++ b/internal/leaderelection/lease_model_test.go
@@ -162,7 +162,8 @@
 		in  leaseInput
 		out leaseOutput
 	}{
-		{leaseInput{operation: opCampaign, candidate: "a"}, leaseOutput{accepted: true}}, {leaseInput{operation: opCampaign, candidate: "b"}, leaseOutput{accepted: true}},
+		{leaseInput{operation: opCampaign, candidate: "a"}, leaseOutput{accepted: true}},
+		{leaseInput{operation: opCampaign, candidate: "b"}, leaseOutput{accepted: true}},
 		{leaseInput{operation: opRead}, leaseOutput{holder: "a", token: 5, queue: "b"}},
 		{leaseInput{operation: opCheckpoint, candidate: "a", token: 5, value: 1}, leaseOutput{accepted: true}},
 		{leaseInput{operation: opRead}, leaseOutput{holder: "b", token: 9, value: 1}}, // the lease of a has expired
@@ -170,7 +171,7 @@
 		prefix = appendOperation(prefix, step.in, step.out)
 	}
 	model := leaseModel.ToModel()
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		in   leaseInput
 		out  leaseOutput
 		want bool
@@ -185,8 +186,10 @@
 		"value never written":          {leaseInput{operation: opReadValue}, leaseOutput{value: 3}, false},
 		"holder that never campaigned": {leaseInput{operation: opRead}, leaseOutput{holder: "c", token: 11, value: 1}, false},
 	} {
-		if got := porcupine.CheckOperations(model, appendOperation(prefix, c.in, c.out)); got != c.want {
-			t.Errorf("%s: linearizable %v, want %v", name, got, c.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			if got := porcupine.CheckOperations(model, appendOperation(prefix, test.in, test.out)); got != test.want {
+				t.Errorf("linearizable %v, want %v", got, test.want)
+			}
+		})
 	}
 }
