--- /dev/null
+++ b/internal/lab/live/sidecar.go
@@ -0,0 +1,201 @@
+package live
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"os"
+	"path/filepath"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"milldeck/internal/lab/proc"
+)
+
+// sidecarProcess is one sidecar and, unless a supervisor starts it, its process.
+type sidecarProcess struct {
+	fleet   *fleet
+	number  int
+	address string
+	clients connectionPool
+
+	mu            sync.Mutex
+	process       *proc.Process
+	incarnation   int
+	stopRequested *atomic.Bool // an exit of the present process is expected
+}
+
+// newSidecarProcess returns a sidecar of the plan that has not been started.
+func (f *fleet) newSidecarProcess(number int) *sidecarProcess {
+	return &sidecarProcess{fleet: f, number: number, address: f.addresses.sidecar(number)}
+}
+
+// start starts the process with the endpoint list that its agent has.
+func (s *sidecarProcess) start() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	fleet := s.fleet
+	path := fleet.sidecarConfigPath(s)
+	if err := s.writeConfig(path); err != nil {
+		return err
+	}
+	process, err := proc.Start(proc.Spec{
+		Name: "sidecar " + fleet.plan.Sidecars[s.number].Name, Path: fleet.options.SidecarPath, Env: []string{"NODE_CONFIG=" + path},
+		Log: filepath.Join(fleet.options.Dir, fleet.plan.Sidecars[s.number].Name+".log"),
+	})
+	if err != nil {
+		return err
+	}
+	s.process, s.stopRequested = process, new(atomic.Bool)
+	s.incarnation++
+	fleet.checker.SidecarRestarted(s.number)
+	go s.watchExit(process, s.stopRequested)
+	return nil
+}
+
+// sidecarConfigPath is the path of a sidecar's configuration.
+func (f *fleet) sidecarConfigPath(sidecar *sidecarProcess) string {
+	return filepath.Join(f.options.Dir, f.plan.Sidecars[sidecar.number].Name+".json")
+}
+
+// watchExit reports a process that exits unexpectedly once the run has started. Before that awaitReady fails.
+func (s *sidecarProcess) watchExit(process *proc.Process, stopRequested *atomic.Bool) {
+	<-process.Done()
+	if !stopRequested.Load() && s.fleet.startOffset.Load() != 0 {
+		slog.Error("sidecar exited unexpectedly",
+			"sidecar", s.fleet.plan.Sidecars[s.number].Name, "error", process.Wait(), "log", process.Log())
+		s.fleet.checker.SidecarCrashed(s.fleet.now(), s.number, fmt.Sprint(process.Wait()))
+	}
+}
+
+// writeConfig writes the configuration file.
+func (s *sidecarProcess) writeConfig(path string) error {
+	data, err := s.config()
+	if err != nil {
+		return err
+	}
+	if err := os.WriteFile(path, data, 0o600); err != nil {
+		return fmt.Errorf("configuration of sidecar %d: %w", s.number, err)
+	}
+	return nil
+}
+
+// config is the configuration of the sidecar's next incarnation, in JSON.
+func (s *sidecarProcess) config() ([]byte, error) {
+	fleet, agent := s.fleet, s.fleet.agents[s.number]
+	agent.mu.Lock()
+	endpoints := agent.fullList()
+	discovery := agent.address()
+	agent.mu.Unlock()
+	spec := fleet.plan.Experiment.Sidecars
+	type object = map[string]any
+	config := object{
+		"name": fleet.plan.Sidecars[s.number].Name, "listen": s.address, "discovery": discovery,
+		"seed":   fmt.Sprintf("%016x", fleet.plan.IncarnationSeed(s.number, s.incarnation)),
+		"limits": object{"cores": spec.Cores, "memory_mb": spec.MemoryMB, "sockets": spec.Sockets},
+		"known":  endpoints, "settings": json.RawMessage(fleet.plan.Settings(s.number)),
+	}
+	if fleet.gossip != nil {
+		var gossipAddresses []string
+		for i := range fleet.sidecars {
+			gossipAddresses = append(gossipAddresses, fleet.addresses.gossipRelay(i))
+		}
+		config["peer_listen"], config["peers"] = fleet.addresses.gossipListen(s.number), gossipAddresses
+	}
+	if fleet.controlPlane != nil {
+		config["placement"], config["version"] = discovery, fleet.plan.Experiment.ControlPlane.SidecarVersion
+		if tenant := fleet.plan.Tenant(s.number); tenant != "" {
+			config["application"] = tenant
+		}
+	}
+	data, err := json.Marshal(config)
+	if err != nil {
+		return nil, fmt.Errorf("configuration of sidecar %d: %w", s.number, err)
+	}
+	return data, nil
+}
+
+// awaitReady waits until the sidecar's readiness check succeeds.
+func (s *sidecarProcess) awaitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
+	defer cancel()
+	s.mu.Lock()
+	process := s.process
+	s.mu.Unlock()
+	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	for {
+		response, err := client.Get("http://" + s.address + "/health/ready")
+		if err == nil {
+			response.Body.Close()
+			if response.StatusCode == http.StatusOK {
+				return nil
+			}
+		}
+		if !process.Running() {
+			return fmt.Errorf("%s exited before it was ready (%s); its log ends:\n%s",
+				process.Name, exitStatus(process.Wait()), process.Log())
+		}
+		if !sleep(ctx, readyPollInterval) {
+			if errors.Is(ctx.Err(), context.DeadlineExceeded) {
+				return fmt.Errorf("%s was not ready within %v; its log ends:\n%s", process.Name, readyTimeout, process.Log())
+			}
+			return ctx.Err()
+		}
+	}
+}
+
+// exitStatus describes how a process exited.
+func exitStatus(err error) string {
+	if err == nil {
+		return "exit status 0"
+	}
+	return err.Error()
+}
+
+// stop ends the process with SIGTERM, and with SIGKILL when ctx ends first, which is an error.
+func (s *sidecarProcess) stop(ctx context.Context) error {
+	s.mu.Lock()
+	process := s.process
+	if process == nil || !process.Running() {
+		s.mu.Unlock()
+		return nil
+	}
+	s.stopRequested.Store(true)
+	s.mu.Unlock()
+	return process.Stop(ctx)
+}
+
+// kill ends the process at once. The checker does not blame the sidecar for the requests in flight.
+func (s *sidecarProcess) kill() {
+	if s.fleet.controlPlane != nil {
+		s.fleet.controlPlane.signalUnit(s.fleet.plan.Sidecars[s.number].Name, syscall.SIGKILL)
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.process == nil || !s.process.Running() {
+		return
+	}
+	s.stopRequested.Store(true)
+	now := s.fleet.now()
+	s.fleet.checker.ExcuseSidecar(s.number, now-timeoutToleranceMS, now+timeoutToleranceMS)
+	s.process.Kill()
+}
+
+// signal sends a signal to the process, if there is one.
+func (s *sidecarProcess) signal(signal syscall.Signal) {
+	if s.fleet.controlPlane != nil {
+		s.fleet.controlPlane.signalUnit(s.fleet.plan.Sidecars[s.number].Name, signal)
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.process != nil {
+		_ = s.process.Signal(signal) // fails for a process that is not a child any more only: it needs no signal
+	}
+}
--- a/internal/lab/proc/block.go
+++ b/internal/lab/proc/block.go
@@ -7,38 +7,41 @@
 	"syscall"
 )
 
-// Blocks of 127.B.0.0/16, and the address within one that is held for as long as it is taken.
+// The blocks are 127.B.0.0/16 for B from firstBlock to lastBlock. A listener at a fixed address within a block holds its
+// reservation, so that the kernel releases it with the process.
 const (
-	firstBlock = 64
-	lastBlock  = 126
-	lockPort   = 9999
-	hostsInNet = 250
+	firstBlock      = 64
+	lastBlock       = 126
+	reservationPort = 9999
+	hostsPerNet     = 250
 )
 
-// Block is a part of the loopback range of one's own, so that runs and tests beside each other never meet.
+// Block is a reserved part of the loopback range. Runs and tests that run at the same time, also in different processes,
+// never share an address.
 type Block struct {
-	number int
-	lock   net.Listener
+	number      int
+	reservation net.Listener
 }
 
-// TakeBlock takes a free part of the loopback range.
-func TakeBlock() (*Block, error) {
-	for b := firstBlock; b <= lastBlock; b++ {
-		ln, err := net.Listen("tcp4", fmt.Sprintf("127.%d.255.254:%d", b, lockPort))
+// ReserveBlock reserves the first free block. The caller has to release it. It fails when all blocks are reserved.
+func ReserveBlock() (*Block, error) {
+	for number := firstBlock; number <= lastBlock; number++ {
+		reservation, err := net.Listen("tcp4", fmt.Sprintf("127.%d.255.254:%d", number, reservationPort))
 		if err == nil {
-			return &Block{b, ln}, nil
+			return &Block{number, reservation}, nil
 		}
 		if !errors.Is(err, syscall.EADDRINUSE) {
 			return nil, fmt.Errorf("loopback addresses: %w", err)
 		}
 	}
-	return nil, fmt.Errorf("loopback addresses: all of 127.%d.0.0 to 127.%d.0.0 are taken by other runs", firstBlock, lastBlock)
+	return nil, fmt.Errorf("loopback addresses: all of 127.%d.0.0 to 127.%d.0.0 are reserved by other runs", firstBlock, lastBlock)
 }
 
-// Release gives it back.
-func (b *Block) Release() { b.lock.Close() }
+// Release ends the reservation.
+func (b *Block) Release() { b.reservation.Close() }
 
-// Addr is an address in the block: the host-th of the nets from net on.
-func (b *Block) Addr(net, host, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", b.number, net+host/hostsInNet, 1+host%hostsInNet, port)
+// Addr returns an address in the block as host:port. Hosts are counted from the first address of the /24 subnet, and go
+// on in the subnets that follow it.
+func (b *Block) Addr(subnet, host, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", b.number, subnet+host/hostsPerNet, 1+host%hostsPerNet, port)
 }
--- a/internal/leaderelection/bench/bench.go
+++ b/internal/leaderelection/bench/bench.go
@@ -143,7 +143,7 @@
 }
 
 func runBench(ctx context.Context, opts Options) (*Result, error) {
-	addresses, err := proc.TakeBlock()
+	addresses, err := proc.ReserveBlock()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/leaderelection/fixtures_test.go
+++ b/internal/leaderelection/fixtures_test.go
@@ -50,7 +50,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", func(w http.ResponseWriter, _ *http.Request) {
-		if err := json.NewEncoder(w).Encode(state.FullList()); err != nil {
+		if err := json.NewEncoder(w).Encode(state.CompleteList()); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/supervisor/standin/test_platform_test.go
+++ b/internal/supervisor/standin/test_platform_test.go
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
 	p := &testPlatform{t: t, ctx: ctx, dir: t.TempDir()}
 	var err error
-	if p.block, err = proc.TakeBlock(); err != nil {
+	if p.block, err = proc.ReserveBlock(); err != nil {
 		t.Fatal(err)
 	}
 	p.process, err = proc.Start(proc.Spec{
