--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package config reads the TOML files of the operators' command. Reading is strict: an unknown key or a value of the wrong
-// type is an error that names file, line and key, and later checks of the values can report in the same way. It knows no
-// file's contents: each command defines its own.
+// type is an error that names file, line and key, and later checks of the values can report in the same way. It defines
+// no file's contents: each command has its own.
 package config
 
 import (
--- a/internal/disruption/demand.go
+++ b/internal/disruption/demand.go
@@ -13,9 +13,9 @@
 	demandOn      map[*constraint]demand
 	zoneSlots     []*constraint // of its units' kinds
 	unknownUnit   string        // a unit that the ledger does not know; "": none
-	blockedReason string        // why one of its units cannot be had now; "": all can
+	blockedReason string        // why one of its units cannot be taken out now; "": all can
 
-	blocksLater bool          // it keeps later permits from what it waits for
+	blocksLater bool          // later permits that need the same as it have to wait for it
 	neededSlots []*constraint // of countsZones, those of which it needs the one slot: it leaves a zone with most units unavailable
 }
 
--- a/internal/disruption/permit.go
+++ b/internal/disruption/permit.go
@@ -12,7 +12,7 @@
 
 // The priorities. Bringing a unit back takes nothing further out and needs no permit; a priority is about taking out.
 const (
-	PriorityRollback Priority = iota // a rollback that has to take a unit out to reinstall the earlier version; no halt holds it
+	PriorityRollback Priority = iota // a rollback that has to take a unit out to reinstall the earlier version; halts do not defer it
 	PriorityDeadline                 // a maintenance window that is about to close
 	PriorityDrain
 	PriorityRollout // steps of releases
--- a/internal/disruption/queue.go
+++ b/internal/disruption/queue.go
@@ -76,7 +76,7 @@
 	pending := permit.pending
 	if pending.stale {
 		l.computeDemands(permit)
-		l.queue.remove(permit) // that it left and joined constraints is no change to itself
+		l.queue.remove(permit) // leaving and joining its constraints has queued it again
 	}
 	wasBlocking, previousSlots := pending.blocksLater, pending.neededSlots
 	result := l.evaluate(permit)
--- a/internal/leaderelection/bench/judge.go
+++ b/internal/leaderelection/bench/judge.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// maxViolations bounds what is listed of all that was wrong; one would do.
+	// maxViolations bounds the violations that are listed; a single one makes a run a failure.
 	maxViolations = 20
 	// electionTime is how long after the kill of a raft leader a gap may be due to the election of another.
 	electionTime = 2 * time.Second
@@ -172,7 +172,7 @@
 	})
 }
 
-// quantiles of the gaps in which the registry had a raft leader: what an election adds is the registry's figure.
+// quantiles of the gaps in which the registry had a raft leader throughout: the others measure its elections.
 func quantiles(gaps []holderGap) (p50, p99 float64) {
 	var ms []float64
 	for _, gap := range gaps {
--- a/internal/supervisor/client.go
+++ b/internal/supervisor/client.go
@@ -51,7 +51,7 @@
 	Error    string    `json:"error,omitempty"`
 }
 
-// Client is a platform met over HTTP. It is safe for concurrent use.
+// Client is a Supervisor over HTTP. It is safe for concurrent use.
 type Client struct {
 	baseURL        string
 	httpClient     *http.Client
--- a/internal/supervisor/core/core.go
+++ b/internal/supervisor/core/core.go
@@ -1,4 +1,4 @@
-// Package core is a platform that starts and stops processes, apart from clocks, sockets and processes: calls and events
+// Package core is a platform that starts and stops processes, without clock, sockets and processes: calls and events
 // of processes go in with a time, responses and effects come out. Package standin drives it with real processes, package
 // fake with virtual ones. It owns the platform's state: units, remembered requests and injected faults. Nothing of it is
 // durable. Times are in ms.
--- a/internal/supervisor/fake/fake.go
+++ b/internal/supervisor/fake/fake.go
@@ -1,5 +1,5 @@
-// Package fake is a platform in virtual time for tests and simulations: the core of the stand-in platform, with processes
-// that are numbers. The time is given from outside; nothing runs by itself. Times are in ms.
+// Package fake is a platform in virtual time for tests and simulations: the core of the stand-in platform, with simulated
+// processes. The time is given from outside; nothing runs by itself. Times are in ms.
 package fake
 
 import (
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,5 +1,5 @@
-// Package supervisor is how milldeck meets the platform that starts and stops processes: a small interface, its types,
-// and a client of its HTTP form. Package standin beneath it is the lab's own platform, package fake one in virtual time.
+// Package supervisor is the interface to the platform that starts and stops processes, with its types and a client of
+// its HTTP form. Package standin beneath it is the lab's own platform, package fake one in virtual time.
 //
 // A caller reads List, decides, and calls Do. Each request names what the decision rests on, the platform's epoch and the
 // unit's incarnation. So one that arrives late, twice, or at a platform that has lost its state is rejected, and is not
