--- a/internal/disruption/evaluation.go
+++ b/internal/disruption/evaluation.go
@@ -72,7 +72,7 @@
 		if current.verdict == infeasible {
 			return current
 		}
-		if c := d.constraint; c.zoneKind != "" && 2*d.serving > c.total {
+		if c := d.constraint; c.zoneKind != "" && isMajority(d.serving, c.total) {
 			if slices.Contains(majorityKinds, c.zoneKind) {
 				return infeasibleFor("two zones would be out by more than half")
 			}
@@ -104,10 +104,12 @@
 	}
 	if limit, bounded := c.budget.MaxWarmingUp.capacityLimit(c.milliCapacity, c.total); bounded {
 		if d.milliWarmingUp > limit {
-			return infeasibleFor("%s allows %.3f of the capacity cold, never %.3f", c.key, c.fractionOf(limit), c.fractionOf(d.milliWarmingUp))
+			return infeasibleFor("%s allows %.3f of the capacity cold, never %.3f",
+				c.key, c.fractionOf(limit), c.fractionOf(d.milliWarmingUp))
 		}
 		if c.milliWarmingUp+d.milliWarmingUp > limit {
-			return deferredFor("%s: %.3f of the capacity is cold or will be, %.3f allowed", c.key, c.fractionOf(c.milliWarmingUp), c.fractionOf(limit))
+			return deferredFor("%s: %.3f of the capacity is cold or will be, %.3f allowed",
+				c.key, c.fractionOf(c.milliWarmingUp), c.fractionOf(limit))
 		}
 	}
 	return decision{}
@@ -135,7 +137,7 @@
 // taken. It notes that the permit needs the slot.
 func (l *Ledger) needsTakenSlot(pending *pendingPermit, d *demand) bool {
 	zone := d.constraint
-	if zone.zoneKind == "" || 2*(zone.unavailable+d.newlyUnavailable) <= zone.total {
+	if zone.zoneKind == "" || !isMajority(zone.unavailable+d.newlyUnavailable, zone.total) {
 		return false
 	}
 	slots := l.constraints[zoneSlotsKey(zone.zoneKind)]
--- a/internal/leaderelection/clock/clock.go
+++ b/internal/leaderelection/clock/clock.go
@@ -1,5 +1,6 @@
-// Package clock gives candidates of an election a clock with a known fault, for trials, and a reading that processes of
-// one machine can compare, so that a judge knows when each of them believed what. It owns no state and sets no clock.
+// Package clock gives candidates of an election a clock with a known fault, for fault injection, and a reading that all
+// processes of a machine can compare, so that package bench can order what each of them believed. It owns no state and
+// sets no clock.
 package clock
 
 import (
@@ -49,11 +50,11 @@
 func newClock(rate float64, jump, jumpInterval time.Duration) *Clock {
 	c := &Clock{rate: rate, jump: jump, jumpInterval: jumpInterval}
 	// Two clocks cannot be read at once: of several pairs of readings the one that took the shortest time is used.
-	closest := int64(math.MaxInt64)
+	shortest := int64(math.MaxInt64)
 	for range baseReadings {
 		before, wall := MonotonicNS(), time.Now()
-		if distance := MonotonicNS() - before; distance < closest {
-			closest, c.baseTime, c.baseMonotonicNS = distance, wall, before
+		if elapsed := MonotonicNS() - before; elapsed < shortest {
+			shortest, c.baseTime, c.baseMonotonicNS = elapsed, wall, before
 		}
 	}
 	return c
--- a/internal/placement/directive.go
+++ b/internal/placement/directive.go
@@ -111,7 +111,7 @@
 	return length
 }
 
-// sameContent reports whether two directives tell sidecars the same.
+// sameContent reports whether two directives have sidecars do the same, for as long.
 func sameContent(a, b *Directive) bool {
 	return a.Kind == b.Kind && a.Tenant == b.Tenant && a.MinAvailable == b.MinAvailable && a.KeyHash == b.KeyHash && a.Cohort == b.Cohort &&
 		a.ExpiresAtMS == b.ExpiresAtMS && slices.Equal(a.Servers, b.Servers) && slices.Equal(a.Copies, b.Copies)
@@ -127,7 +127,7 @@
 	switch {
 	case d.ID == "" || len(d.ID) > MaxIDLength:
 		return validation.Errorf("id", "%d bytes, wanted 1 to %d", len(d.ID), MaxIDLength)
-	case len(d.Kind) > MaxNameLength || len(d.Tenant) > MaxNameLength || len(d.KeyHash) > MaxNameLength || len(d.Cohort) > MaxNameLength:
+	case max(len(d.Kind), len(d.Tenant), len(d.KeyHash), len(d.Cohort)) > MaxNameLength:
 		return validation.Errorf(d.ID, "a name of over %d bytes", MaxNameLength)
 	case len(d.Servers) > MaxServersPerDirective:
 		return validation.Errorf(d.ID, "%d servers, at most %d", len(d.Servers), MaxServersPerDirective)
