--- a/internal/release/controller/process_test.go
+++ b/internal/release/controller/process_test.go
@@ -95,16 +95,14 @@
 	plan := filepath.Join(site.dir, "plan.toml")
 	text := "name = \"r\"\non_halt = \"back\"\ndeadline_s = 3600\n[what]\nserver = \"2\"\n[[wave]]\n"
 	site.must(os.WriteFile(plan, []byte(text), 0o600))
-	site.waitForSuccess(site.startCommand(80, "release", "check", plan, "--dry-run"))
-	number := 1
-	process := site.startCommand(number, "release", "start", plan)
+	site.waitForSuccess(site.startCommand("release", "check", plan, "--dry-run"))
+	process := site.startCommand("release", "start", plan)
 	site.waitUntil("the release begins", func() bool { return site.sequence("r") > 3 })
 	for range 2 {
 		before := site.sequence("r")
 		site.waitUntil("some changes are written", func() bool { return site.sequence("r") > before+3 })
 		process.Kill()
-		number++
-		process = site.startCommand(number, "release", "start", plan)
+		process = site.startCommand("release", "start", plan)
 	}
 	site.waitForSuccess(process)
 	stored, err := site.client.Release(site.ctx, "r", false, true)
@@ -120,8 +118,8 @@
 	if err != nil || len(list.Targets) != len(siteServers) {
 		t.Errorf("%d servers in the endpoint list, %v", len(list.Targets), err)
 	}
-	site.waitForSuccess(site.startCommand(90, "release", "finalize", "r"))
-	drain := site.startCommand(91, "fleet", "drain", "d", "--ids", "server/a2")
+	site.waitForSuccess(site.startCommand("release", "finalize", "r"))
+	drain := site.startCommand("fleet", "drain", "d", "--ids", "server/a2")
 	site.waitUntil("the drain begins", func() bool { return site.sequence("d") > 2 })
 	if leader, err := site.cluster.AwaitLeader(site.ctx); err == nil {
 		leader.Process.Kill()
--- a/internal/release/controller/site_test.go
+++ b/internal/release/controller/site_test.go
@@ -32,8 +32,15 @@
 	standIn         *proc.Process
 	program         string
 	dir             string
+	commandsStarted int // numbers their addresses and logs
 }
 
+// Groups of addresses in the site's block.
+const (
+	serverAddresses  = 10
+	commandAddresses = 20
+)
+
 func newSite(t *testing.T) *testSite {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Second)
@@ -127,7 +134,7 @@
 	for i, name := range siteServers {
 		_, err = s.platform.Do(s.ctx, supervisor.Request{
 			ID: "first-" + name, Op: supervisor.Start, Epoch: list.Epoch, Unit: name, Kind: supervisor.Server,
-			Version: "1", Listen: s.block.Addr(10, i+1, 9000), Zone: name[:1],
+			Version: "1", Listen: s.block.Addr(serverAddresses, i+1, 9000), Zone: name[:1],
 		})
 		s.must(err)
 	}
@@ -182,11 +189,13 @@
 	}
 }
 
-// startCommand starts a milldeck process. Its number is for its address and its log.
-func (s *testSite) startCommand(number int, args ...string) *proc.Process {
+// startCommand starts a milldeck process.
+func (s *testSite) startCommand(args ...string) *proc.Process {
 	s.t.Helper()
+	s.commandsStarted++
+	number := s.commandsStarted
 	if args[0] != "release" || args[1] == "start" {
-		args = append(args, "--platform", s.platformAddress, "--listen", s.block.Addr(20, number, 8530),
+		args = append(args, "--platform", s.platformAddress, "--listen", s.block.Addr(commandAddresses, number, 8530),
 			"--longest", "300ms", "--warm-after", "200ms")
 	}
 	args = append(args, "--replicas", strings.Join(s.cluster.HTTPAddrs(), ","))
--- a/internal/release/faults_test.go
+++ b/internal/release/faults_test.go
@@ -296,9 +296,16 @@
 	}
 }
 
+// One tick in so many, on average, has a fault of the platform, a unit that fails alone, and an operator's command.
+const (
+	ticksPerPlatformFault = 40
+	ticksPerUnitCrash     = 60
+	ticksPerCommand       = 80
+)
+
 // inject injects faults of the platform, of units and by operators, each with its own probability.
 func (f *randomFaults) inject() {
-	if f.rng.IntN(40) == 0 {
+	if f.rng.IntN(ticksPerPlatformFault) == 0 {
 		f.model.setFault([]core.Fault{
 			{Kind: core.FaultHang, DurationMS: 5000},
 			{Kind: core.FaultError, Count: 2},
@@ -308,14 +315,14 @@
 			{Kind: core.FaultDelay, DelayMS: 3000},
 		}[f.rng.IntN(6)])
 	}
-	if f.rng.IntN(60) == 0 {
+	if f.rng.IntN(ticksPerUnitCrash) == 0 {
 		i := f.rng.IntN(len(f.model.ids))
 		if !f.crashed[i] { // the platform restarts it, once
 			f.model.crashUnit(f.model.units[f.model.ids[i]].name())
 		}
 		f.crashed[i] = true
 	}
-	if f.rng.IntN(80) == 0 {
+	if f.rng.IntN(ticksPerCommand) == 0 {
 		sendCommand(f.model.t, f.model, []Action{CommandHalt, CommandResume}[f.rng.IntN(2)])
 	}
 }
--- a/internal/release/lifecycle_test.go
+++ b/internal/release/lifecycle_test.go
@@ -279,34 +279,17 @@
 	model.startRelease(planForUnits("r1", `"server/a0","server/a1","server/b0","server/b1"`))
 	model.startRelease(planForUnits("r2", `"server/a2","server/b2","server/b3"`))
 	model.startDrain("d", "server/a3")
-	window := &disruption.Permit{
-		ID: "window/1", Owner: "window/w", Purpose: "work", Units: []string{"server/a4"},
-		Priority: disruption.PriorityDeadline, Disposition: disruption.DispositionReturn,
-	}
-	windowOp := func(kind disruption.OpKind) {
-		model.applyLedgerOp(&disruption.Op{Kind: kind, Owner: window.Owner, Permit: window})
-	}
-	windowOp(disruption.OpRequest)
+	window := &windowPermit{model: model}
+	window.apply(disruption.OpRequest)
 	controllers := map[string]*fakeController{}
 	for _, name := range model.table.Names() {
 		controllers[name] = model.newController(name)
 	}
 	for tick := range 800 {
 		for _, name := range model.table.Names() {
-			controller := controllers[name]
-			controller.token = model.token // each holds a lease of its own
-			for _, effect := range controller.state.Reconcile(controller.view()) {
-				controller.execute(effect, false)
-			}
-		}
-		switch permit, _ := model.ledger.Permit(window.ID); {
-		case permit.Stage == disruption.StageGranted:
-			windowOp(disruption.OpBegin)
-		case permit.Stage == disruption.StageActive && tick > 60:
-			windowOp(disruption.OpReturn)
-		case permit.Stage == disruption.StageReturning:
-			windowOp(disruption.OpComplete)
+			controllers[name].reconcile()
 		}
+		window.advance(tick)
 		if tick == 30 {
 			model.crashUnit("b5")
 			model.crashUnit("a5")
@@ -325,11 +308,53 @@
 			t.Errorf("%s is %s: %+v", name, state.Status.Phase, state.Units)
 		}
 	}
-	if permit, _ := model.ledger.Permit(window.ID); permit.Stage != disruption.StageCompleted {
+	if permit := window.stored(); permit.Stage != disruption.StageCompleted {
 		t.Errorf("the window's permit is %s", permit.Stage)
 	}
 }
 
+// reconcile runs one step under the valid token, as each release's controller holds a lease of its own.
+func (c *fakeController) reconcile() {
+	c.token = c.model.token
+	for _, effect := range c.state.Reconcile(c.view()) {
+		c.execute(effect, false)
+	}
+}
+
+// windowPermit is a maintenance window's permit for one server, which is in use for the first 60 ticks at least.
+type windowPermit struct{ model *clusterModel }
+
+const (
+	windowPermitID   = "window/1"
+	windowBusyTicks  = 60
+	windowPermitUnit = "server/a4"
+)
+
+func (w *windowPermit) apply(kind disruption.OpKind) {
+	permit := &disruption.Permit{
+		ID: windowPermitID, Owner: "window/w", Purpose: "work", Units: []string{windowPermitUnit},
+		Priority: disruption.PriorityDeadline, Disposition: disruption.DispositionReturn,
+	}
+	w.model.applyLedgerOp(&disruption.Op{Kind: kind, Owner: permit.Owner, Permit: permit})
+}
+
+func (w *windowPermit) stored() disruption.Permit {
+	permit, _ := w.model.ledger.Permit(windowPermitID) // without one its stage is empty
+	return permit
+}
+
+// advance applies the next operation of the window, if it is time for it.
+func (w *windowPermit) advance(tick int) {
+	switch permit := w.stored(); {
+	case permit.Stage == disruption.StageGranted:
+		w.apply(disruption.OpBegin)
+	case permit.Stage == disruption.StageActive && tick > windowBusyTicks:
+		w.apply(disruption.OpReturn)
+	case permit.Stage == disruption.StageReturning:
+		w.apply(disruption.OpComplete)
+	}
+}
+
 // A halt between a permit's begin and the first action: nothing was done to the sidecar, so nothing about it changes
 // either. Its permit completes all the same.
 func TestHaltBeforeFirstActionSettlesPermit(t *testing.T) {
--- a/internal/sidecar/active_placement.go
+++ b/internal/sidecar/active_placement.go
@@ -67,7 +67,8 @@
 	next := &activePlacement{recorder: newReportRecorder(l.config, nowMS), numberByID: map[string]int{}}
 	generation := 0
 	if previous != nil {
-		*next, generation = *previous, previous.generation+1
+		*next = *previous
+		generation = previous.generation + 1
 	}
 	next.placementClient = newPlacementClient(address, generation, l.post, l.placement.timing)
 	ctx, cancel := context.WithCancel(l.ctx)
@@ -83,7 +84,8 @@
 	if active == nil || update.generation != active.generation {
 		return
 	}
-	active.revision, active.epoch = update.placement.Revision, update.placement.Epoch
+	active.revision = update.placement.Revision
+	active.epoch = update.placement.Epoch
 	takenAtMS := l.clock.unixMS(update.takenAt)
 	if !active.unchanged(takenAtMS, update.placement.Directives) {
 		l.replaceDirectives(nowMS, takenAtMS, update.placement.Directives)
@@ -109,7 +111,8 @@
 // is earlier.
 func (l *eventLoop) replaceDirectives(nowMS, takenAtMS float64, directives []placement.Directive) {
 	active := l.placement.active
-	previous, previousNumbers := active.directives, active.numberByID
+	previous := active.directives
+	previousNumbers := active.numberByID
 	active.directives = nil
 	active.numberByID = map[string]int{}
 	active.cohortByServer = map[balance.ServerID]string{}
--- a/internal/sidecar/attempt_outcome_test.go
+++ b/internal/sidecar/attempt_outcome_test.go
@@ -53,16 +53,18 @@
 
 const partialStatusLine = "HTTP/1.1 200 O"
 
+// outcomeCase is a way in which the first attempt of a request ends.
+type outcomeCase struct {
+	timeout  time.Duration
+	serve    serveFunc
+	statuses [3]int // of an idempotent request, one with an idempotency key and one that is not idempotent
+	attempts [3]int64
+	reusable bool // the connection may stay open, as the response is complete
+}
+
 // For each way in which an attempt may end and each kind of idempotency: there is a retry only where the rules allow
 // it, and not before the connection of the previous attempt is closed. An incomplete response is never passed on.
 func TestRetryAfterFailedAttempt(t *testing.T) {
-	type outcomeCase struct {
-		timeout  time.Duration
-		serve    serveFunc
-		statuses [3]int // of an idempotent request, one with an idempotency key and one that is not idempotent
-		attempts [3]int64
-		reusable bool // the connection may stay open, as the response is complete
-	}
 	// The server may have executed it: a non-idempotent request is not retried.
 	maybeExecuted := func(serve serveFunc) outcomeCase {
 		return outcomeCase{time.Second, serve, [3]int{200, 200, statusFailed}, [3]int64{2, 2, 1}, false}
@@ -112,33 +114,36 @@
 		"complete, then a reset":          {time.Second, respondAndReset("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"), [3]int{200, 200, 200}, [3]int64{1, 1, 1}, true},
 	} {
 		for i, class := range []string{"lookup", "reserve", "charge"} {
-			t.Run(name+"/"+class, func(t *testing.T) {
-				var attempts atomic.Int64
-				firstConn := make(chan net.Conn, 1)
-				serve := func(conn net.Conn, r *http.Request, body string) bool {
-					if attempts.Add(1) == 1 {
-						firstConn <- conn
-						return test.serve(conn, r, body)
-					}
-					if first := <-firstConn; !test.reusable && openAndEmpty(first) {
-						t.Error("the connection of the first attempt is open")
-					}
-					return serveOK(conn, r, body)
-				}
-				serverA, serverB := newBackend(t, "a", serve), newBackend(t, "b", serve)
-				sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), serverA.endpoint, serverB.endpoint))
-				memory := sidecar.loop.pool.bodyMemory.remaining.Load()
-				got := sidecar.do(sidecar.newRequest(class, test.timeout))
-				if got.status != test.statuses[i] || got.status == 200 && got.body != "done" {
-					t.Errorf("answer %d %q, want %d", got.status, got.body, test.statuses[i])
-				}
-				if attempted := attempts.Load(); attempted != test.attempts[i] {
-					t.Errorf("%d attempts, want %d", attempted, test.attempts[i])
-				}
-				waitUntil(t, "all body memory to be released", func() bool { return sidecar.loop.pool.bodyMemory.remaining.Load() == memory })
-			})
+			t.Run(name+"/"+class, func(t *testing.T) { test.run(t, class, test.statuses[i], test.attempts[i]) })
+		}
+	}
+}
+
+// run sends a request of a class to two servers, of which the one that gets the first attempt serves it as the case says.
+func (test outcomeCase) run(t *testing.T, class string, wantStatus int, wantAttempts int64) {
+	var attempts atomic.Int64
+	firstConn := make(chan net.Conn, 1)
+	serve := func(conn net.Conn, r *http.Request, body string) bool {
+		if attempts.Add(1) == 1 {
+			firstConn <- conn
+			return test.serve(conn, r, body)
+		}
+		if first := <-firstConn; !test.reusable && openAndEmpty(first) {
+			t.Error("the connection of the first attempt is open")
 		}
+		return serveOK(conn, r, body)
+	}
+	serverA, serverB := newBackend(t, "a", serve), newBackend(t, "b", serve)
+	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), serverA.endpoint, serverB.endpoint))
+	memory := sidecar.loop.pool.bodyMemory.remaining.Load()
+	got := sidecar.do(sidecar.newRequest(class, test.timeout))
+	if got.status != wantStatus || got.status == 200 && got.body != "done" {
+		t.Errorf("answer %d %q, want %d", got.status, got.body, wantStatus)
+	}
+	if attempted := attempts.Load(); attempted != wantAttempts {
+		t.Errorf("%d attempts, want %d", attempted, wantAttempts)
 	}
+	waitUntil(t, "all body memory to be released", func() bool { return sidecar.loop.pool.bodyMemory.remaining.Load() == memory })
 }
 
 // A response is complete at the moment when its call ends otherwise. Whichever event is handled first, there is one
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -105,9 +105,11 @@
 		listener.signalCapacity()
 		return 0, true, nil
 	}
-	c.readerWaiting, c.readErr = false, err
+	c.readerWaiting = false
+	c.readErr = err
 	if c.phase != phaseActive && !c.requestStarted {
-		c.requestStarted, c.phaseSince = true, time.Now()
+		c.requestStarted = true
+		c.phaseSince = time.Now()
 	}
 	return n, false, err
 }
@@ -122,7 +124,8 @@
 		}
 		c.readErr = err
 		if err == nil && len(c.pipelined)+n > maxPipelinedBytes {
-			c.readErr, c.pipelined = errPipelineTooLong, nil
+			c.readErr = errPipelineTooLong
+			c.pipelined = nil
 		}
 		if c.readErr != nil {
 			return 0, false, c.readErr
@@ -170,7 +173,9 @@
 
 // closeRead marks the connection as closing; nothing more is read from it. The caller holds the lock.
 func (c *clientConn) closeRead(now time.Time) {
-	c.readClosed, c.phase, c.phaseSince = true, phaseClosing, now
+	c.readClosed = true
+	c.phase = phaseClosing
+	c.phaseSince = now
 }
 
 // betweenRequests reports whether no request is active.
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -231,8 +231,10 @@
 // setPhase changes the phase of a connection.
 func (l *clientListener) setPhase(conn *clientConn, phase connPhase) {
 	l.mu.Lock()
-	conn.phase, conn.phaseSince = phase, time.Now()
-	conn.readerWaiting, conn.requestStarted = false, len(conn.pipelined) > 0
+	conn.phase = phase
+	conn.phaseSince = time.Now()
+	conn.readerWaiting = false
+	conn.requestStarted = len(conn.pipelined) > 0
 	if phase != phaseActive {
 		l.signalCapacity()
 	}
--- a/internal/sidecar/discovery_client.go
+++ b/internal/sidecar/discovery_client.go
@@ -113,7 +113,8 @@
 	}
 	d.cancel()
 	ctx, d.cancel = context.WithCancel(ctx)
-	watchDone, call := make(chan struct{}), d.newCall(ctx)
+	watchDone := make(chan struct{})
+	call := d.newCall(ctx)
 	d.watchDone = watchDone
 	d.spawn(func() {
 		err := call.watchUntilFailure()
@@ -223,7 +224,8 @@
 // readLists posts each list of a response until it ends, with errStreamEnded if that is in order. The timeouts bound the wait for
 // the first sign of life and for each later one.
 func (c *discoveryCall) readLists(url string, firstTimeout, nextTimeout time.Duration) error {
-	c.startedAt, c.received = time.Now(), false
+	c.startedAt = time.Now()
+	c.received = false
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	defer cancel(nil)
 	silenceTimer := time.AfterFunc(firstTimeout, func() { cancel(errWatchSilent) })
--- a/internal/sidecar/placement_client.go
+++ b/internal/sidecar/placement_client.go
@@ -87,14 +87,16 @@
 // runWatch keeps a watch open until ctx ends. Directives that are in force stay so while there is no watch.
 func (p *placementClient) runWatch(ctx context.Context) {
 	defer p.client.CloseIdleConnections()
-	backoff, lastMessage := placementInitialBackoff, ""
+	backoff := placementInitialBackoff
+	lastMessage := ""
 	for ctx.Err() == nil {
 		received, err := p.watchOnce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if received {
-			backoff, lastMessage = placementInitialBackoff, ""
+			backoff = placementInitialBackoff
+			lastMessage = ""
 		}
 		// One line for an agent that stays unreachable: each dial makes an error value of its own, with the same text.
 		if message := err.Error(); message != lastMessage {
--- a/internal/sidecar/report_recorder.go
+++ b/internal/sidecar/report_recorder.go
@@ -75,7 +75,8 @@
 		count.Failed++
 		return
 	}
-	latencyMS, objectiveMS := nowMS-attempt.decidedAtMS, r.config.settings.Classes[class].LatencyObjective
+	latencyMS := nowMS - attempt.decidedAtMS
+	objectiveMS := r.config.settings.Classes[class].LatencyObjective
 	count.Succeeded++
 	if latencyMS > objectiveMS {
 		count.Late++
--- a/internal/sidecar/request_ids.go
+++ b/internal/sidecar/request_ids.go
@@ -65,5 +65,6 @@
 	if age > 2*requestIDRetention {
 		ids.previous = nil
 	}
-	ids.current, ids.rotatedAt = map[uint64]struct{}{}, time.Now()
+	ids.current = map[uint64]struct{}{}
+	ids.rotatedAt = time.Now()
 }
--- a/internal/sidecar/upstream_exchange.go
+++ b/internal/sidecar/upstream_exchange.go
@@ -97,7 +97,8 @@
 			}
 			return exchangeResult{outcome: unsentResult(ctx, writeDeadline, err)}
 		}
-		idleTime, writtenAt := conn.idleTime, time.Now()
+		idleTime := conn.idleTime
+		writtenAt := time.Now()
 		result, reusable := p.readResponse(ctx, conn)
 		if reused {
 			p.learnIdleTimeLimit(upstream, idleTime, result.outcome, time.Since(writtenAt))
