--- a/internal/disruption/fixtures_test.go
+++ b/internal/disruption/fixtures_test.go
@@ -57,8 +57,8 @@
 	return steps
 }
 
-// play applies a step at a revision and describes the result.
-func play(t *testing.T, ledger *Ledger, revision uint64, step scriptStep) string {
+// applyStep applies a step at a revision and describes the result.
+func applyStep(t *testing.T, ledger *Ledger, revision uint64, step scriptStep) string {
 	t.Helper()
 	var unit Unit
 	if step.Unit != nil {
@@ -111,7 +111,7 @@
 	var snapshots [][]byte
 	for i, step := range steps {
 		revision := uint64(i + 1)
-		traces.WriteString(trace(ledger, revision, play(t, ledger, revision, step)))
+		traces.WriteString(trace(ledger, revision, applyStep(t, ledger, revision, step)))
 		snapshots = append(snapshots, encode(t, ledger.Snapshot()))
 	}
 	goldentest.Compare(t, "trace.txt", []byte(traces.String()))
@@ -137,7 +137,7 @@
 			t.Fatalf("snapshot %d is written as\n%s\nnot\n%s", i+1, again, data)
 		}
 		for k := i + 1; k < len(steps); k++ {
-			play(t, restored, uint64(k+1), steps[k])
+			applyStep(t, restored, uint64(k+1), steps[k])
 		}
 		if last := encode(t, restored.Snapshot()); !bytes.Equal(last, snapshots[len(snapshots)-1]) {
 			t.Fatalf("restored at step %d it ends as\n%s\nnot\n%s", i+1, last, snapshots[len(snapshots)-1])
@@ -189,17 +189,19 @@
 	}{
 		{"kinds", []string{string(KindServer), string(KindSidecar)}, "server sidecar"},
 		{"conditions", []string{string(ConditionUp), string(ConditionWarmingUp), string(ConditionUnready), string(ConditionDraining), string(ConditionLost), string(ConditionUnknown)}, "up cold unready draining lost unseen"},
-		{"ranks", []string{fmt.Sprint(int(PriorityRollback)), fmt.Sprint(int(PriorityDeadline)), fmt.Sprint(int(PriorityDrain)), fmt.Sprint(int(PriorityRollout))}, "0 1 2 3"},
+		{"priorities", []string{fmt.Sprint(int(PriorityRollback)), fmt.Sprint(int(PriorityDeadline)), fmt.Sprint(int(PriorityDrain)), fmt.Sprint(int(PriorityRollout))}, "0 1 2 3"},
 		{"stages", []string{string(StageRequested), string(StageGranted), string(StageActive), string(StageReturning), string(StageCompleted), string(StageCancelled)}, "asked granted out returning settled cancelled"},
-		{"ends", []string{string(DispositionReturn), string(DispositionReplace), string(DispositionRetire)}, "back replace retire"},
+		{"dispositions", []string{string(DispositionReturn), string(DispositionReplace), string(DispositionRetire)}, "back replace retire"},
 		{"outcomes", []string{string(OutcomeApplied), string(OutcomeRejected), string(OutcomeNotFound), string(OutcomeLimitReached)}, "done refused not_found too_many"},
 		{"operations", []string{string(OpSetBudget), string(OpRequest), string(OpBegin), string(OpReturn), string(OpComplete), string(OpCancel),
 			string(OpHalt), string(OpResume), string(OpObserve), string(OpRemoveLost), string(OpForceComplete)},
 			"budget ask begin return settle cancel halt resume see forget release"},
 	} {
-		if got := strings.Join(test.got, " "); got != test.want {
-			t.Errorf("%s are %s, want %s", test.name, got, test.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if got := strings.Join(test.got, " "); got != test.want {
+				t.Errorf("they are %s, want %s", got, test.want)
+			}
+		})
 	}
 }
 
--- a/internal/sidecar/placement_client.go
+++ b/internal/sidecar/placement_client.go
@@ -21,6 +21,7 @@
 	placementMaxBackoff         = 2 * time.Second
 	placementUnsupportedBackoff = 15 * time.Second // at an older agent, which serves no placement
 	placementDialTimeout        = time.Second
+	placementIdleTimeout        = 3 * reportInterval // of a connection between two reports
 )
 
 var (
@@ -75,9 +76,9 @@
 		placementTiming: timing,
 		client: &http.Client{Transport: &http.Transport{
 			DisableCompression:     true,
-			MaxResponseHeaderBytes: maxResponseHeader,
+			MaxResponseHeaderBytes: maxResponseHeaderBytes,
 			MaxIdleConnsPerHost:    1,
-			IdleConnTimeout:        3 * reportInterval,
+			IdleConnTimeout:        placementIdleTimeout,
 			DialContext:            (&net.Dialer{Timeout: placementDialTimeout, KeepAlive: -1}).DialContext,
 		}},
 	}
@@ -86,16 +87,19 @@
 // runWatch keeps a watch open until ctx ends. Directives that are in force stay so while there is no watch.
 func (p *placementClient) runWatch(ctx context.Context) {
 	defer p.client.CloseIdleConnections()
-	backoff, lastMessage := placementInitialBackoff, ""
+	backoff := placementInitialBackoff
+	lastMessage := ""
 	for ctx.Err() == nil {
 		received, err := p.watchOnce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if received {
-			backoff, lastMessage = placementInitialBackoff, ""
+			backoff = placementInitialBackoff
+			lastMessage = ""
 		}
-		if message := err.Error(); message != lastMessage { // one line for an agent that stays unreachable
+		// One line for an agent that stays unreachable: each dial makes an error value of its own, with the same text.
+		if message := err.Error(); message != lastMessage {
 			placementLog.Warn("placement watch failed", "error", err)
 			lastMessage = message
 		}
