--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -16,19 +16,84 @@
 	return Directive{ID: id, Kind: KindExclude, Tenant: "t", Servers: servers, MinAvailable: 0.5, ExpiresAtMS: expiresAtMS}
 }
 
+// watchPosition is a revision of an epoch, from which a watch continues.
+type watchPosition struct{ revision, epoch uint64 }
+
+// drawPlacementOp draws the directives that an operation sets or deletes.
+func drawPlacementOp(t *rapid.T, op *Op, deletes bool) {
+	if deletes {
+		ids := rapid.SampledFrom([]string{"window/a/x", "window/b/x", "window/b/y"})
+		op.Delete = rapid.SliceOfNDistinct(ids, 1, 2, rapid.ID[string]).Draw(t, "drop")
+		return
+	}
+	ids := rapid.SampledFrom([]string{"window/a/x", "window/b/x", "window/b/y", "window/ab/x"})
+	for _, id := range rapid.SliceOfNDistinct(ids, 1, 3, rapid.ID[string]).Draw(t, "set") {
+		op.Set = append(op.Set, exclusion(id, rapid.Int64Range(1000, 1020).Draw(t, "until"), "s1"))
+	}
+}
+
+// checkApplied checks that an operation was applied by the rules and completely, or not at all.
+func checkApplied(t *rapid.T, table *Table, before map[string]Directive, lease string, op *Op, result Result) {
+	t.Helper()
+	if result.Outcome != OutcomeApplied {
+		if !reflect.DeepEqual(before, table.directives) {
+			t.Fatalf("rejected (%s) and applied in part: %v, before %v", result.Reason, table.directives, before)
+		}
+		return
+	}
+	for _, directive := range op.Set {
+		owned := lease != "" && strings.HasPrefix(directive.ID, lease+"/")
+		stored := table.directives[directive.ID]
+		if !owned || directive.ExpiresAtMS <= op.LeaderTimeMS || stored.ExpiresAtMS != directive.ExpiresAtMS {
+			t.Fatalf("%+v under %q at %d: %+v", directive, lease, op.LeaderTimeMS, stored)
+		}
+	}
+}
+
+// checkTotalBytes checks that the table's bytes are those of its directives.
+func checkTotalBytes(t *rapid.T, table *Table) {
+	t.Helper()
+	totalBytes := 0
+	for _, directive := range table.directives {
+		totalBytes += directive.accountedBytes()
+	}
+	if totalBytes != table.totalBytes {
+		t.Fatalf("%d bytes counted, are %d", table.totalBytes, totalBytes)
+	}
+}
+
+// checkReplay checks that the changes since a position, applied to the state there, give the present state.
+func checkReplay(t *rapid.T, table *Table, position watchPosition, state map[string]Directive) {
+	t.Helper()
+	update := table.ChangesSince(position.revision, position.epoch, 0) // at this time none has expired
+	replayed := map[string]Directive{}
+	if !update.Complete {
+		replayed = maps.Clone(state)
+	}
+	for _, directive := range update.Directives {
+		directive.RemainingMS = 0
+		replayed[directive.ID] = directive
+	}
+	for _, id := range update.Removed {
+		delete(replayed, id)
+	}
+	if !reflect.DeepEqual(replayed, table.directives) || update.Revision != table.revision || update.Epoch != table.epoch {
+		t.Fatalf("since %v: %+v gives %v, want %v", position, update, replayed, table.directives)
+	}
+}
+
 // The changes since any revision, applied to the state at that revision, give the present state; and the table's rules
 // and bounds hold whatever is applied.
 func TestChangesSinceReproducesState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, epoch := NewTable(), uint64(7)
 		table.StartEpoch(1, epoch)
-		type cursor struct{ revision, epoch uint64 }
-		history := map[cursor]map[string]Directive{{1, epoch}: {}}
+		history := map[watchPosition]map[string]Directive{{1, epoch}: {}}
 		for index := uint64(2); index < 30; index++ {
-			lease := rapid.SampledFrom([]string{"window/a", "window/b", "window", ""}).Draw(t, "duty")
+			lease := rapid.SampledFrom([]string{"window/a", "window/b", "window", ""}).Draw(t, "lease")
 			op := &Op{LeaderTimeMS: rapid.Int64Range(1000, 1010).Draw(t, "now")}
 			before := maps.Clone(table.directives)
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch kind := rapid.IntRange(0, 9).Draw(t, "what"); kind {
 			case 0:
 				op.Expired, lease = table.Expired(op.LeaderTimeMS, 2), ""
 			case 1:
@@ -37,50 +102,20 @@
 			case 2:
 				epoch++
 				table.StartEpoch(index, epoch)
-				history[cursor{index, epoch}] = maps.Clone(table.directives)
+				history[watchPosition{index, epoch}] = maps.Clone(table.directives)
 				continue
-			case 3, 4:
-				op.Delete = rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"window/a/x", "window/b/x", "window/b/y"}), 1, 2, rapid.ID[string]).Draw(t, "drop")
 			default:
-				for _, id := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"window/a/x", "window/b/x", "window/b/y", "window/ab/x"}), 1, 3, rapid.ID[string]).Draw(t, "set") {
-					op.Set = append(op.Set, exclusion(id, rapid.Int64Range(1000, 1020).Draw(t, "until"), "s1"))
-				}
+				drawPlacementOp(t, op, kind <= 4)
 			}
 			result := table.Apply(index, lease, op)
-			if result.Outcome != OutcomeApplied && !reflect.DeepEqual(before, table.directives) {
-				t.Fatalf("rejected (%s) and applied in part: %v, before %v", result.Reason, table.directives, before)
+			checkApplied(t, table, before, lease, op, result)
+			checkTotalBytes(t, table)
+			if table.epoch != epoch {
+				t.Fatalf("the epoch is %d, want %d", table.epoch, epoch)
 			}
-			if result.Outcome == OutcomeApplied {
-				for _, directive := range op.Set {
-					if lease == "" || !strings.HasPrefix(directive.ID, lease+"/") || directive.ExpiresAtMS <= op.LeaderTimeMS || table.directives[directive.ID].ExpiresAtMS != directive.ExpiresAtMS {
-						t.Fatalf("%+v under %q at %d: %+v", directive, lease, op.LeaderTimeMS, table.directives[directive.ID])
-					}
-				}
-			}
-			totalBytes := 0
-			for _, directive := range table.directives {
-				totalBytes += directive.accountedBytes()
-			}
-			if totalBytes != table.totalBytes {
-				t.Fatalf("%d bytes counted, are %d", table.totalBytes, totalBytes)
-			}
-			history[cursor{table.revision, epoch}] = maps.Clone(table.directives)
+			history[watchPosition{table.revision, epoch}] = maps.Clone(table.directives)
 			for position, state := range history {
-				update := table.ChangesSince(position.revision, position.epoch, 0) // at this time none has expired
-				replayed := map[string]Directive{}
-				if !update.Complete {
-					replayed = maps.Clone(state)
-				}
-				for _, directive := range update.Directives {
-					directive.RemainingMS = 0
-					replayed[directive.ID] = directive
-				}
-				for _, id := range update.Removed {
-					delete(replayed, id)
-				}
-				if !reflect.DeepEqual(replayed, table.directives) || update.Revision != table.revision || update.Epoch != epoch {
-					t.Fatalf("since %v: %+v gives %v, want %v", position, update, replayed, table.directives)
-				}
+				checkReplay(t, table, position, state)
 			}
 		}
 	})
@@ -137,16 +172,21 @@
 	})
 }
 
+// manyServerUIDs returns the UIDs of a number of servers.
+func manyServerUIDs(count int) []string {
+	uids := make([]string, count)
+	for i := range uids {
+		uids[i] = fmt.Sprint("s", i)
+	}
+	return uids
+}
+
 // Apply rejects what its rules do not allow, and then changes nothing.
 func TestApplyRules(t *testing.T) {
 	const now = 1_000_000_000
 	validExclusion := func() Directive { return exclusion("window/a/t", now+1000, "s1", "s2") }
 	spread := Directive{ID: "spread/k", Kind: KindSpreadKey, KeyHash: "0123456789abcdef", Copies: []KeyCopy{{"s", 0.5}}, ExpiresAtMS: now + 1}
 	cohort := Directive{ID: "cohort/r/new", Kind: KindCohort, Cohort: "new", Servers: []string{"s"}, ExpiresAtMS: now + 1}
-	serverUIDs := make([]string, MaxServersPerDirective+1)
-	for i := range serverUIDs {
-		serverUIDs[i] = fmt.Sprint("s", i)
-	}
 	copies := make([]KeyCopy, MaxCopiesPerKey+1)
 	for i := range copies {
 		copies[i].ServerUID = fmt.Sprint("s", i)
@@ -177,7 +217,7 @@
 		{"unknown kind", "what", now, modified(validExclusion(), func(directive *Directive) { directive.ID = "what/a" }), OutcomeRejected},
 		{"no servers", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Servers = nil }), OutcomeRejected},
 		{"a server twice", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Servers = []string{"s", "s"} }), OutcomeRejected},
-		{"too many servers", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Servers = serverUIDs }), OutcomeRejected},
+		{"too many servers", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Servers = manyServerUIDs(MaxServersPerDirective + 1) }), OutcomeRejected},
 		{"too many copies", "spread", now, modified(spread, func(directive *Directive) { directive.Copies = copies }), OutcomeRejected},
 		{"no key", "spread", now, modified(spread, func(directive *Directive) { directive.KeyHash = "0123456789ABCDEF" }), OutcomeRejected},
 		{"a fraction above one", "spread", now, modified(spread, func(directive *Directive) { directive.Copies = []KeyCopy{{"s", 1.5}} }), OutcomeRejected},
@@ -195,39 +235,45 @@
 			}
 		})
 	}
-	t.Run("full", func(t *testing.T) {
-		table := NewTable()
-		full := 0
-		for ; full < MaxDirectives && table.totalBytes+300 <= MaxTotalBytes; full++ {
-			table.set(2, exclusion(fmt.Sprint("window/a/", full), now+1, "s"))
-		}
-		oversized := validExclusion()
-		oversized.Servers = serverUIDs[:100]
-		if result := table.Apply(2, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{oversized}}); result.Outcome != OutcomeLimitReached || table.Len() != full {
-			t.Errorf("above the limit: %s", result.Outcome)
-		}
-		data, err := json.Marshal(table.CompleteUpdate(now))
-		if err != nil || len(data) > MaxTotalBytes {
-			t.Errorf("the complete update takes %d bytes: %v", len(data), err)
-		}
-		if update := table.ChangesSince(1, 0, now); full <= maxIncrementalChanges || !update.Complete {
-			t.Errorf("the update with %d changes is not complete", full)
-		}
-		if result := table.Apply(3, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{validExclusion()}, Delete: []string{"window/a/7"}}); result.Outcome != OutcomeApplied {
-			t.Errorf("replacing one: %s %s", result.Outcome, result.Reason)
-		}
-	})
-	t.Run("expired", func(t *testing.T) {
-		table := NewTable()
-		table.Apply(2, "window", &Op{LeaderTimeMS: now, Set: []Directive{validExclusion(), exclusion("window/b/t", now+5, "s")}})
-		expired := table.Expired(now+1000, 10)
-		if len(expired) != 2 || expired[0].ID != "window/b/t" {
-			t.Fatalf("found %v", expired)
-		}
-		table.Apply(3, "window", &Op{LeaderTimeMS: now + 1, Set: []Directive{exclusion("window/a/t", now+5000, "s")}})
-		table.Apply(4, "", &Op{LeaderTimeMS: now + 1000, Expired: expired})
-		if remaining := slices.Collect(maps.Keys(table.directives)); len(remaining) != 1 || remaining[0] != "window/a/t" {
-			t.Errorf("%v remain, want the one that was renewed", remaining)
-		}
-	})
+}
+
+// A full table rejects what would exceed its bounds, and still accepts a replacement.
+func TestApplyToFullTable(t *testing.T) {
+	const now = 1_000_000_000
+	table := NewTable()
+	full := 0
+	for ; full < MaxDirectives && table.totalBytes+300 <= MaxTotalBytes; full++ {
+		table.set(2, exclusion(fmt.Sprint("window/a/", full), now+1, "s"))
+	}
+	oversized := exclusion("window/a/t", now+1000, "s1", "s2")
+	oversized.Servers = manyServerUIDs(100)
+	if result := table.Apply(2, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{oversized}}); result.Outcome != OutcomeLimitReached || table.Len() != full {
+		t.Errorf("above the limit: %s", result.Outcome)
+	}
+	data, err := json.Marshal(table.CompleteUpdate(now))
+	if err != nil || len(data) > MaxTotalBytes {
+		t.Errorf("the complete update takes %d bytes: %v", len(data), err)
+	}
+	if update := table.ChangesSince(1, 0, now); full <= maxIncrementalChanges || !update.Complete {
+		t.Errorf("the update with %d changes is not complete", full)
+	}
+	if result := table.Apply(3, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{exclusion("window/a/t", now+1000, "s1", "s2")}, Delete: []string{"window/a/7"}}); result.Outcome != OutcomeApplied {
+		t.Errorf("replacing one: %s %s", result.Outcome, result.Reason)
+	}
+}
+
+// Directives that have expired are found, the earliest first, and removed unless they were renewed since.
+func TestApplyExpired(t *testing.T) {
+	const now = 1_000_000_000
+	table := NewTable()
+	table.Apply(2, "window", &Op{LeaderTimeMS: now, Set: []Directive{exclusion("window/a/t", now+1000, "s1", "s2"), exclusion("window/b/t", now+5, "s")}})
+	expired := table.Expired(now+1000, 10)
+	if len(expired) != 2 || expired[0].ID != "window/b/t" {
+		t.Fatalf("found %v", expired)
+	}
+	table.Apply(3, "window", &Op{LeaderTimeMS: now + 1, Set: []Directive{exclusion("window/a/t", now+5000, "s")}})
+	table.Apply(4, "", &Op{LeaderTimeMS: now + 1000, Expired: expired})
+	if remaining := slices.Collect(maps.Keys(table.directives)); len(remaining) != 1 || remaining[0] != "window/a/t" {
+		t.Errorf("%v remain, want the one that was renewed", remaining)
+	}
 }
