--- a/internal/release/lifecycle_test.go
+++ b/internal/release/lifecycle_test.go
@@ -1,6 +1,7 @@
 package release
 
 import (
+	"fmt"
 	"strings"
 	"testing"
 
@@ -28,7 +29,7 @@
 	}
 }
 
-// checkEnd plays the release r to its end, and checks its phase and a part of the reason of its halt.
+// checkEnd runs the release r to its end, and checks its phase and a part of the reason of its halt.
 func checkEnd(t *testing.T, model *clusterModel, ticks int, phase Phase, reason string) *State {
 	t.Helper()
 	state, err := model.runToEnd(noCrash(), ticks, nil)
@@ -83,15 +84,15 @@
 		}
 	}
 	first := model.list().Find(state.Units[0].Name)
-	if reloaded != 1 || first.ConfigName != "c1" || model.maxOut > 0 {
+	if reloaded != 1 || first.ConfigName != "c1" || model.peakUnavailable > 0 {
 		t.Errorf("%d were reloaded, the first has %s, %d were out at once; want 1, c1, 0",
-			reloaded, first.ConfigName, model.maxOut)
+			reloaded, first.ConfigName, model.peakUnavailable)
 	}
 	sendCommand(t, model, CommandRollback)
 	checkEnd(t, model, 300, PhaseRolledBack, "")
 }
 
-// A halt at every moment, so also across each grant: no unit is taken out after it, those that are out return or finish,
+// A halt at every moment, so also across each grant: no further unit goes out after it, those that are out return or finish,
 // and a resumed release completes as if nothing had happened.
 func TestHaltAtEveryTick(t *testing.T) {
 	const haltTicks = 60
@@ -236,14 +237,19 @@
 
 func TestMissingOrSparseReportsHoldWave(t *testing.T) {
 	for _, outcome := range []judge.Outcome{judge.NoData, judge.Inconclusive, ""} {
-		model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
-		model.startRelease(serverPlan)
-		model.verdict = func(*State) judge.Verdict { return judge.Verdict{Outcome: outcome} }
-		state, _ := model.run(noCrash(), 400, nil)
-		if state.Status.Phase != PhaseRollout || state.Status.Wave != 0 {
-			t.Errorf("verdict %q: it is %s in wave %d, want to stay in the first", outcome, state.Status.Phase, state.Status.Wave)
-		}
+		t.Run(fmt.Sprintf("verdict %q", outcome), func(t *testing.T) {
+			model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
+			model.startRelease(serverPlan)
+			model.verdict = func(*State) judge.Verdict { return judge.Verdict{Outcome: outcome} }
+			state, _ := model.run(noCrash(), 400, nil)
+			if state.Status.Phase != PhaseRollout || state.Status.Wave != 0 {
+				t.Errorf("it is %s in wave %d, want to stay in the first", state.Status.Phase, state.Status.Wave)
+			}
+		})
 	}
+}
+
+func TestInconclusiveWaveIsExtended(t *testing.T) {
 	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
 	model.startRelease(strings.Replace(serverPlan, "bake_s = 5", "bake_s = 5\nwiden = 1", 1))
 	model.verdict = func(*State) judge.Verdict { return judge.Verdict{Outcome: judge.Inconclusive} }
@@ -268,39 +274,22 @@
 // Two releases, a maintenance window's permit and an operator's drain request permits at once in one zone; then servers
 // fail alone.
 func TestConcurrentPermitRequestsShareBudget(t *testing.T) {
-	const maxOut = 2
-	model := newClusterModel(t, disruption.KindServer, 2, 6, maxOut)
+	const maxUnavailable = 2
+	model := newClusterModel(t, disruption.KindServer, 2, 6, maxUnavailable)
 	model.startRelease(planForUnits("r1", `"server/a0","server/a1","server/b0","server/b1"`))
 	model.startRelease(planForUnits("r2", `"server/a2","server/b2","server/b3"`))
 	model.startDrain("d", "server/a3")
-	window := &disruption.Permit{
-		ID: "window/1", Owner: "window/w", Purpose: "work", Units: []string{"server/a4"},
-		Priority: disruption.PriorityDeadline, Disposition: disruption.DispositionReturn,
-	}
-	windowOp := func(kind disruption.OpKind) {
-		model.applyLedgerOp(&disruption.Op{Kind: kind, Owner: window.Owner, Permit: window})
-	}
-	windowOp(disruption.OpRequest)
+	window := &windowPermit{model: model}
+	window.apply(disruption.OpRequest)
 	controllers := map[string]*fakeController{}
 	for _, name := range model.table.Names() {
 		controllers[name] = model.newController(name)
 	}
 	for tick := range 800 {
 		for _, name := range model.table.Names() {
-			controller := controllers[name]
-			controller.token = model.token // each holds a lease of its own
-			for _, effect := range controller.state.Reconcile(controller.view()) {
-				controller.execute(effect, false)
-			}
-		}
-		switch permit, _ := model.ledger.Permit(window.ID); {
-		case permit.Stage == disruption.StageGranted:
-			windowOp(disruption.OpBegin)
-		case permit.Stage == disruption.StageActive && tick > 60:
-			windowOp(disruption.OpReturn)
-		case permit.Stage == disruption.StageReturning:
-			windowOp(disruption.OpComplete)
+			controllers[name].reconcile()
 		}
+		window.advance(tick)
 		if tick == 30 {
 			model.crashUnit("b5")
 			model.crashUnit("a5")
@@ -309,8 +298,8 @@
 		for _, id := range model.unitsOut() {
 			out[id] = true
 		}
-		if len(out) > maxOut {
-			t.Fatalf("tick %d: %d are out under permits, allowed are %d", tick, len(out), maxOut)
+		if len(out) > maxUnavailable {
+			t.Fatalf("tick %d: %d are out under permits, allowed are %d", tick, len(out), maxUnavailable)
 		}
 		model.advance()
 	}
@@ -319,11 +308,53 @@
 			t.Errorf("%s is %s: %+v", name, state.Status.Phase, state.Units)
 		}
 	}
-	if permit, _ := model.ledger.Permit(window.ID); permit.Stage != disruption.StageCompleted {
+	if permit := window.stored(); permit.Stage != disruption.StageCompleted {
 		t.Errorf("the window's permit is %s", permit.Stage)
 	}
 }
 
+// reconcile runs one step under the valid token, as each release's controller holds a lease of its own.
+func (c *fakeController) reconcile() {
+	c.token = c.model.token
+	for _, effect := range c.state.Reconcile(c.view()) {
+		c.execute(effect, false)
+	}
+}
+
+// windowPermit is a maintenance window's permit for one server, which is in use for the first 60 ticks at least.
+type windowPermit struct{ model *clusterModel }
+
+const (
+	windowPermitID   = "window/1"
+	windowBusyTicks  = 60
+	windowPermitUnit = "server/a4"
+)
+
+func (w *windowPermit) apply(kind disruption.OpKind) {
+	permit := &disruption.Permit{
+		ID: windowPermitID, Owner: "window/w", Purpose: "work", Units: []string{windowPermitUnit},
+		Priority: disruption.PriorityDeadline, Disposition: disruption.DispositionReturn,
+	}
+	w.model.applyLedgerOp(&disruption.Op{Kind: kind, Owner: permit.Owner, Permit: permit})
+}
+
+func (w *windowPermit) stored() disruption.Permit {
+	permit, _ := w.model.ledger.Permit(windowPermitID) // without one its stage is empty
+	return permit
+}
+
+// advance applies the next operation of the window, if it is time for it.
+func (w *windowPermit) advance(tick int) {
+	switch permit := w.stored(); {
+	case permit.Stage == disruption.StageGranted:
+		w.apply(disruption.OpBegin)
+	case permit.Stage == disruption.StageActive && tick > windowBusyTicks:
+		w.apply(disruption.OpReturn)
+	case permit.Stage == disruption.StageReturning:
+		w.apply(disruption.OpComplete)
+	}
+}
+
 // A halt between a permit's begin and the first action: nothing was done to the sidecar, so nothing about it changes
 // either. Its permit completes all the same.
 func TestHaltBeforeFirstActionSettlesPermit(t *testing.T) {
--- a/internal/sidecar/upstream_exchange.go
+++ b/internal/sidecar/upstream_exchange.go
@@ -14,7 +14,12 @@
 	"milldeck/balance"
 )
 
-const healthCheckTimeout = 250 * time.Millisecond
+const (
+	healthCheckTimeout = 250 * time.Millisecond
+
+	healthCheckPath   = "/health/live"
+	healthReportsPath = "/stats" // a health check that also returns a load report
+)
 
 // expiredDeadline makes all I/O on a connection fail at once.
 var expiredDeadline = time.Unix(1, 0)
@@ -92,7 +97,8 @@
 			}
 			return exchangeResult{outcome: unsentResult(ctx, writeDeadline, err)}
 		}
-		idleTime, writtenAt := conn.idleTime, time.Now()
+		idleTime := conn.idleTime
+		writtenAt := time.Now()
 		result, reusable := p.readResponse(ctx, conn)
 		if reused {
 			p.learnIdleTimeLimit(upstream, idleTime, result.outcome, time.Since(writtenAt))
@@ -147,7 +153,7 @@
 
 // encodeRequest encodes a request with the time that remains for it.
 func encodeRequest(req *http.Request, attempt *attempt, remaining time.Duration) (*bytes.Buffer, error) {
-	req.Header.Set("X-Timeout-Ms", strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
+	req.Header.Set(timeoutHeader, strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
 	req.Body = http.NoBody
 	if attempt != nil && len(attempt.call.outbound.body) > 0 {
 		// A new reader for each connection, as encoding consumes it.
