--- a/internal/release/judge/stratum.go
+++ b/internal/release/judge/stratum.go
@@ -5,23 +5,24 @@
 	"math"
 )
 
-// stratum is the evidence of one class of requests in a zone. The first comparison of each pair is over all intervals, the
-// second over those of high load.
+// stratum is the evidence of one class of requests in a zone: each comparison is made over all intervals, and once more
+// over those of high load.
 type stratum struct {
 	threshold        float64 // of the logarithm of the evidence of a regression
-	notInTime        [2]comparison
-	late             [2]comparison
-	failed           [2]comparison
-	slow             [2]comparison
-	meanRequests     float64      // of an interval, of both versions
-	baselineLatency  [2][]float64 // decaying histograms
+	notInTime        [intervalSets]comparison
+	late             [intervalSets]comparison
+	failed           [intervalSets]comparison
+	slow             [intervalSets]comparison
+	meanRequests     float64                 // of an interval, of both versions
+	baselineLatency  [intervalSets][]float64 // decaying histograms
 	baselineRequests int
 }
 
-// Indexes of a stratum's pairs.
+// The sets of intervals that a stratum's comparisons are over.
 const (
 	allIntervals = iota
 	highLoadIntervals
+	intervalSets // how many there are
 )
 
 func newStratum(settings *Settings, threshold float64) *stratum {
@@ -45,7 +46,7 @@
 	}
 }
 
-// addTraffic takes an interval's requests into their mean, and reports whether they were of high load by the mean before.
+// addTraffic adds an interval's requests to their decaying mean, and reports whether they were of high load by the mean before.
 func (s *stratum) addTraffic(requests float64) (highLoad bool) {
 	highLoad = s.meanRequests > 0 && requests > highLoadFactor*s.meanRequests
 	if s.meanRequests == 0 {
@@ -55,6 +56,7 @@
 	return highLoad
 }
 
+// compare adds an interval to the comparisons over a set of intervals.
 func (s *stratum) compare(i int, canary, baseline *Counts) {
 	canaryTotal, baselineTotal := canary.total(), baseline.total()
 	s.notInTime[i].add(canary.notInTime(), canaryTotal, baseline.notInTime(), baselineTotal)
--- a/internal/sidecar/conn_pool_test.go
+++ b/internal/sidecar/conn_pool_test.go
@@ -148,17 +148,17 @@
 // A request that a server rejected, or that could not connect, is retried at another server, even if it is not
 // idempotent.
 func TestUnexecutedAttemptIsRetriedElsewhere(t *testing.T) {
-	full := newBackend(t, "a", respondWith("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true))
-	refusing := newBackend(t, "c", serveOK)
-	refusing.Close()
-	good := newBackend(t, "b", serveOK)
-	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), full.endpoint, refusing.endpoint, good.endpoint))
+	overloaded := newBackend(t, "a", respondWith("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true))
+	unreachable := newBackend(t, "c", serveOK)
+	unreachable.Close()
+	healthy := newBackend(t, "b", serveOK)
+	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), overloaded.endpoint, unreachable.endpoint, healthy.endpoint))
 	for i := range 6 {
 		if got := sidecar.do(sidecar.newRequest("charge", time.Second)); got.status != 200 {
 			t.Errorf("request %d: %+v", i, got)
 		}
 	}
-	if served := good.requests.Load(); served != 6 {
+	if served := healthy.requests.Load(); served != 6 {
 		t.Errorf("%d requests served, want 6", served)
 	}
 }
--- a/internal/sidecar/frontend_test.go
+++ b/internal/sidecar/frontend_test.go
@@ -62,7 +62,7 @@
 	req := sidecar.newRequest("lookup", time.Second)
 	req.Header.Del("X-Timeout-Ms")
 	if got := sidecar.do(req); got.status != statusRejected || got.elapsed > 900*time.Millisecond {
-		t.Errorf("%+v, want a refusal after 100 ms", got)
+		t.Errorf("%+v, want a rejection after 100 ms", got)
 	}
 }
 
@@ -84,7 +84,7 @@
 	waitUntil(t, "five requests at the server", func() bool { return server.requests.Load() == 5 })
 	for range 3 {
 		if got := sidecar.do(sidecar.newRequest("charge", time.Second)); got.status != statusRejected || got.elapsed > 500*time.Millisecond {
-			t.Errorf("%+v, want a refusal at once", got)
+			t.Errorf("%+v, want a rejection at once", got)
 		}
 	}
 	close(release)
--- a/internal/sidecar/placement_rig_test.go
+++ b/internal/sidecar/placement_rig_test.go
@@ -81,19 +81,19 @@
 func startPlacementRig(t *testing.T, change func(configDocument), tweaks ...func(*Sidecar)) *placementRig {
 	t.Helper()
 	rig := &placementRig{agent: newFakeAgent(t), holding: make(chan bool, 1), release: make(chan bool)}
-	serveHeld := func(document net.Conn, req *http.Request, body string) bool {
+	serveHeld := func(conn net.Conn, req *http.Request, body string) bool {
 		if req.URL.RawQuery == "hold" {
 			rig.holding <- true
 			<-rig.release
 		}
-		return serveOK(document, req, body)
+		return serveOK(conn, req, body)
 	}
 	rig.serverA = newBackend(t, "a", serveHeld)
-	rig.serverB = newBackend(t, "b", func(document net.Conn, req *http.Request, body string) bool {
+	rig.serverB = newBackend(t, "b", func(conn net.Conn, req *http.Request, body string) bool {
 		if req.URL.RawQuery == "hold" {
-			return respondWith("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true)(document, req, body)
+			return respondWith("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true)(conn, req, body)
 		}
-		return serveOK(document, req, body)
+		return serveOK(conn, req, body)
 	})
 	document := newConfigDocument("127.0.0.1:1", rig.serverA.endpoint, rig.serverB.endpoint)
 	document["placement"], document["version"] = rig.agent.address(), "v7"
--- a/internal/sidecar/placement_test.go
+++ b/internal/sidecar/placement_test.go
@@ -216,7 +216,7 @@
 }
 
 // Requests for a hot key go to its replica.
-func TestSpreadReachesBalancer(t *testing.T) {
+func TestHotKeyReachesBalancer(t *testing.T) {
 	rig := startPlacementRig(t, func(document configDocument) {
 		document.replaceSetting(`"quantum_ms": 2,`, `"quantum_ms": 2, "family_info": {"warm_keys": true},`)
 	})
@@ -231,7 +231,7 @@
 		rig.do(req)
 	}
 	if reached := rig.serverA.requests.Load() - before; reached != 20 {
-		t.Errorf("the copy got %d of 20", reached)
+		t.Errorf("the replica got %d of 20", reached)
 	}
 }
 
--- a/internal/sidecar/sidecar_drain_test.go
+++ b/internal/sidecar/sidecar_drain_test.go
@@ -107,7 +107,7 @@
 // the process may be killed.
 func TestDrainWithIncompleteRequests(t *testing.T) {
 	server := newBackend(t, "a", func(net.Conn, *http.Request, string) bool { select {} })
-	server.Close() // nobody accepts: the request waits at the balancer
+	server.Close() // no connection is accepted: the request waits at the balancer
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
 	sidecar.serveWindow = time.Second
 	for _, text := range []string{"", "GET /api HTT"} {
@@ -139,24 +139,27 @@
 // before.
 func TestDrainEndsBeforeKill(t *testing.T) {
 	for _, test := range []struct {
-		deadline string
-		kill     time.Duration
+		deadlineMS string
+		kill       time.Duration
 	}{{"2000", 2700 * time.Millisecond}, {"3000", 3700 * time.Millisecond}, {"5000", 3700 * time.Millisecond}} {
-		document := newConfigDocument("127.0.0.1:1").replaceSetting(`"hard_limit_ms": 2500`, `"hard_limit_ms": `+test.deadline)
-		config, err := document.load(t)
-		if err != nil {
-			t.Fatal(err)
-		}
-		instance, err := New(config)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := instance.frontend.listener.Close(); err != nil {
-			t.Error(err)
-		}
-		if end := instance.serveWindow + finalResponseWindow; end > test.kill-shutdownMargin || end < test.kill-500*time.Millisecond {
-			t.Errorf("deadline %s ms: the last answer is due %v after SIGTERM, the kill %v", test.deadline, end, test.kill)
-		}
+		t.Run("deadline of "+test.deadlineMS+" ms", func(t *testing.T) {
+			document := newConfigDocument("127.0.0.1:1").replaceSetting(`"hard_limit_ms": 2500`, `"hard_limit_ms": `+test.deadlineMS)
+			config, err := document.load(t)
+			if err != nil {
+				t.Fatal(err)
+			}
+			instance, err := New(config)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := instance.frontend.listener.Close(); err != nil {
+				t.Error(err)
+			}
+			end := instance.serveWindow + finalResponseWindow
+			if end > test.kill-shutdownMargin || end < test.kill-500*time.Millisecond {
+				t.Errorf("the last answer is due %v after SIGTERM, the kill %v", end, test.kill)
+			}
+		})
 	}
 }
 
