--- a/internal/sidecar/conn_pool_test.go
+++ b/internal/sidecar/conn_pool_test.go
@@ -105,7 +105,7 @@
 		t.Errorf("%+v", conn)
 	}
 	if conn := pool.popIdle(upstream); conn != nil || len(upstream.idleConns) != 1 {
-		t.Errorf("%+v has not rested", conn)
+		t.Errorf("%+v is reused within the reuse delay", conn)
 	}
 }
 
@@ -145,20 +145,20 @@
 	}
 }
 
-// A request that a server turned away, or that could not connect, is retried at another server, even if it is not
+// A request that a server rejected, or that could not connect, is retried at another server, even if it is not
 // idempotent.
 func TestUnexecutedAttemptIsRetriedElsewhere(t *testing.T) {
-	full := newBackend(t, "a", respondWith("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true))
-	refusing := newBackend(t, "c", serveOK)
-	refusing.Close()
-	good := newBackend(t, "b", serveOK)
-	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), full.endpoint, refusing.endpoint, good.endpoint))
+	overloaded := newBackend(t, "a", respondWith("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true))
+	unreachable := newBackend(t, "c", serveOK)
+	unreachable.Close()
+	healthy := newBackend(t, "b", serveOK)
+	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), overloaded.endpoint, unreachable.endpoint, healthy.endpoint))
 	for i := range 6 {
 		if got := sidecar.do(sidecar.newRequest("charge", time.Second)); got.status != 200 {
 			t.Errorf("request %d: %+v", i, got)
 		}
 	}
-	if served := good.requests.Load(); served != 6 {
+	if served := healthy.requests.Load(); served != 6 {
 		t.Errorf("%d requests served, want 6", served)
 	}
 }
--- a/internal/sidecar/frontend_test.go
+++ b/internal/sidecar/frontend_test.go
@@ -62,7 +62,7 @@
 	req := sidecar.newRequest("lookup", time.Second)
 	req.Header.Del("X-Timeout-Ms")
 	if got := sidecar.do(req); got.status != statusRejected || got.elapsed > 900*time.Millisecond {
-		t.Errorf("%+v, want a refusal after 100 ms", got)
+		t.Errorf("%+v, want a rejection after 100 ms", got)
 	}
 }
 
@@ -84,7 +84,7 @@
 	waitUntil(t, "five requests at the server", func() bool { return server.requests.Load() == 5 })
 	for range 3 {
 		if got := sidecar.do(sidecar.newRequest("charge", time.Second)); got.status != statusRejected || got.elapsed > 500*time.Millisecond {
-			t.Errorf("%+v, want a refusal at once", got)
+			t.Errorf("%+v, want a rejection at once", got)
 		}
 	}
 	close(release)
@@ -97,7 +97,7 @@
 
 // A client that does not read its responses is disconnected.
 func TestClientThatDoesNotReadIsDisconnected(t *testing.T) {
-	body := strings.Repeat("x", maxBody)
+	body := strings.Repeat("x", maxBodyBytes)
 	server := newBackend(t, "a", respondWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
 	sidecar.frontend.writeTimeout = 100 * time.Millisecond
--- a/internal/sidecar/placement_report.go
+++ b/internal/sidecar/placement_report.go
@@ -17,8 +17,11 @@
 	"milldeck/internal/placement"
 )
 
-// reportInterval is the time between two load reports.
-const reportInterval = time.Second
+const (
+	reportInterval = time.Second // between two load reports
+	// minPauseDivisor: after a report that took long, the next one still waits for this part of the interval.
+	minPauseDivisor = 10
+)
 
 // buildReport describes the placement in force and the requests since the last report.
 func (l *eventLoop) buildReport(nowMS float64) *placement.LoadReport {
@@ -106,7 +109,7 @@
 		if p.synced() && !p.reportOnce(ctx) {
 			return
 		}
-		pause = max(p.reportInterval-time.Since(startedAt), p.reportInterval/10)
+		pause = max(p.reportInterval-time.Since(startedAt), p.reportInterval/minPauseDivisor)
 	}
 }
 
@@ -144,7 +147,7 @@
 	}
 	defer resp.Body.Close()
 	// The body is read so that the connection can be reused.
-	if _, err := io.CopyN(io.Discard, resp.Body, maxResponseHeader); err != nil && !errors.Is(err, io.EOF) {
+	if _, err := io.CopyN(io.Discard, resp.Body, maxResponseHeaderBytes); err != nil && !errors.Is(err, io.EOF) {
 		return err
 	}
 	if resp.StatusCode >= http.StatusMultipleChoices {
--- a/internal/sidecar/upstream_response.go
+++ b/internal/sidecar/upstream_response.go
@@ -17,9 +17,15 @@
 )
 
 const (
-	maxBody             = 64 << 10 // of requests and responses
-	maxResponseHeader   = 32 << 10
-	maxInterimResponses = 5 // 1xx responses before the final one
+	maxBodyBytes           = 64 << 10 // of requests and responses
+	maxResponseHeaderBytes = 32 << 10
+	maxInterimResponses    = 5 // 1xx responses before the final one
+)
+
+// Headers of a server's response, in the canonical form that net/textproto stores.
+const (
+	notProcessedHeader = "X-Not-Processed" // "1": the server did not execute the request
+	serverLoadHeader   = "X-Server-Load"   // a load report
 )
 
 var (
@@ -30,7 +36,7 @@
 // readResponse reads the response to a request that is completely written: if it fails, the server may have executed the
 // request. It also reports whether the connection can be reused.
 func (p *connPool) readResponse(ctx context.Context, conn *upstreamConn) (result exchangeResult, reusable bool) {
-	conn.limit.N = maxResponseHeader + 2*maxBody // an endless response must not fill the memory
+	conn.limit.N = maxResponseHeaderBytes + 2*maxBodyBytes // an endless response must not fill the memory
 	status, header, err := readHeader(conn.reader)
 	var body []byte
 	reservedBytes := 0
@@ -40,7 +46,7 @@
 	if err != nil {
 		return exchangeResult{outcome: brokenResult(ctx, err)}, false
 	}
-	if load := header["X-Server-Load"]; len(load) == 1 {
+	if load := header[serverLoadHeader]; len(load) == 1 {
 		result.loadReport = parseLoadReport(load[0], p.loadReportFields)
 	}
 	result.outcome = outcomeOf(status, header)
@@ -71,9 +77,9 @@
 }
 
 // outcomeOf is the outcome of a complete response. A 503 or 504 proves that the server did not execute the request only
-// with X-Not-Processed.
+// with notProcessedHeader.
 func outcomeOf(status int, header http.Header) balance.Result {
-	notProcessed := header.Get("X-Not-Processed") == "1"
+	notProcessed := header.Get(notProcessedHeader) == "1"
 	switch {
 	case status == http.StatusOK:
 		return balance.OK
@@ -159,10 +165,10 @@
 	case status == http.StatusNoContent || status == http.StatusNotModified: // the sidecar never asks for these
 		return 0, false, errMalformedResponse
 	case len(transferEncodings) == 1 && len(contentLengths) == 0 && strings.EqualFold(transferEncodings[0], "chunked"):
-		return maxBody, true, nil
+		return maxBodyBytes, true, nil
 	case len(transferEncodings) == 0 && len(contentLengths) == 1:
 		length, err := strconv.ParseUint(contentLengths[0], 10, 63)
-		if err != nil || length > maxBody {
+		if err != nil || length > maxBodyBytes {
 			return 0, false, errMalformedResponse
 		}
 		return int(length), false, nil
@@ -173,11 +179,11 @@
 
 // readChunked reads a chunked body and its trailer.
 func readChunked(reader *bufio.Reader) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(reader), maxBody+1))
+	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(reader), maxBodyBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxBody {
+	if len(body) > maxBodyBytes {
 		return nil, errMalformedResponse
 	}
 	_, err = textproto.NewReader(reader).ReadMIMEHeader()
