--- a/balance/admission.go
+++ b/balance/admission.go
@@ -12,6 +12,7 @@
 	initialLatencyRatio         = 0.33 // least latency that is assumed until there are answers
 	minLatencyDecay             = 6e4  // ms in which the least latency is forgotten: servers change
 	averagingSamples            = 50   // answers or load reports over which a mean is taken
+	maxLatencySamples           = 300  // answers over which the mean latency of a class is taken
 	immediateShedGain           = 1.5  // fraction to shed at once, per objective of excess latency
 	minShedStep                 = 0.04 // step of the sustained fraction per request and objective of excess
 	maxShedStep                 = 0.34 // the same of a request long after the one before
@@ -21,6 +22,7 @@
 	maxShedFraction             = 0.95 // answers are needed to see that the overload is over
 	maxLatencyRatio             = 2    // latencies count as at most this multiple of the objective
 	answerRateSpan              = 8    // span of the answer rate, in longest objectives
+	growthDeviations            = 2    // standard deviations by which recent answers must show a higher rate
 	assumedAnswers              = 3    // added to the answer rate; the load is averaged over as many
 	maxFairnessBoost            = 2    // bound of how far a tenant counts as under its quota
 	similarValueFactor          = 1.25 // values within this factor are shed alike
@@ -54,16 +56,16 @@
 // excessLatency is by how much the expected latency exceeds what is allowed, as a fraction of the objective.
 // Below 0 it is taken with the larger allowance, so that shedding ends as fast where the smaller one applies.
 func (b *Balancer) excessLatency(answerRate float64) float64 {
-	least, assumed := b.admission.minLatencyRatio, 1-b.answerRate(0)/answerRate
-	expected := b.admission.load.mean/answerRate + least*assumed // assumed answers take the least
+	minRatio, assumed := b.admission.minLatencyRatio, 1-b.answerRate(0)/answerRate
+	expected := b.admission.load.mean/answerRate + minRatio*assumed // assumed answers take the least
 	allowance := queueingAllowance
 	if b.lowTraffic() {
 		allowance = queueingAllowanceLowTraffic
 	}
-	threshold := least + allowance*(1-least)
+	threshold := minRatio + allowance*(1-minRatio)
 	excess := math.Min(expected, maxLatencyRatio) - threshold
 	if excess < 0 {
-		excess = expected - least - queueingAllowance*(1-least)
+		excess = expected - minRatio - queueingAllowance*(1-minRatio)
 	}
 	return excess
 }
--- a/cmd/milldeck/benchmark.go
+++ b/cmd/milldeck/benchmark.go
@@ -9,34 +9,34 @@
 	"github.com/spf13/cobra"
 )
 
-// outcome is what a benchmark found: its JSON is the result.
-type outcome interface {
-	table(io.Writer) error
-	verdict() error // what it found that must not be
+// benchmarkResult is what a benchmark measured. Its JSON is written as the result.
+type benchmarkResult interface {
+	writeTable(io.Writer) error
+	failure() error // the violations that were found, or nil
+}
+
+// benchmarkOptions are the options of one run of a benchmark.
+type benchmarkOptions struct {
+	full     bool
+	program  string       // the executable that the benchmark's processes run
+	dir      string       // a new directory for logs and data, which the caller removes
+	progress func(string) // called with a line for each step
 }
 
 // benchmark is a command that measures processes of this program.
 type benchmark struct {
-	short, long, full string
-	run               func(ctx context.Context, full bool, self, dir string, say func(string)) (outcome, error)
+	short, long string
+	fullHelp    string // help text of --full
+	run         func(context.Context, benchmarkOptions) (benchmarkResult, error)
 }
 
 func (b benchmark) command() *cobra.Command {
 	var path string
 	var full bool
 	command := &cobra.Command{
-		Use: "bench", Short: b.short, Long: b.long + "\n\n" + exitHelp, Args: exactly(0),
+		Use: "bench", Short: b.short, Long: b.long + "\n\n" + exitHelp, Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
-			program, err := os.Executable()
-			if err != nil {
-				return err
-			}
-			dir, err := os.MkdirTemp("", "milldeck-bench-")
-			if err != nil {
-				return err
-			}
-			defer func() { _ = os.RemoveAll(dir) }() // a temporary directory that stays is no failure of the benchmark
-			result, err := b.run(command.Context(), full, program, dir, func(line string) { fmt.Fprintln(command.ErrOrStderr(), line) })
+			result, err := b.runInTempDir(command, full)
 			if err != nil {
 				return err
 			}
@@ -46,14 +46,33 @@
 				}
 			}
 			if path != "-" {
-				if err := result.table(command.OutOrStdout()); err != nil {
+				if err := result.writeTable(command.OutOrStdout()); err != nil {
 					return err
 				}
 			}
-			return result.verdict()
+			return result.failure()
 		},
 	}
 	command.Flags().StringVar(&path, "json", "", "write the result to this file as JSON (- for standard output)")
-	command.Flags().BoolVar(&full, "full", false, b.full)
+	command.Flags().BoolVar(&full, "full", false, b.fullHelp)
 	return command
 }
+
+// runInTempDir runs the benchmark in a temporary directory and prints its progress on standard error.
+func (b benchmark) runInTempDir(command *cobra.Command, full bool) (benchmarkResult, error) {
+	program, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	dir, err := os.MkdirTemp("", "milldeck-bench-")
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = os.RemoveAll(dir) }() // a temporary directory that stays is no failure of the benchmark
+	return b.run(command.Context(), benchmarkOptions{
+		full:     full,
+		program:  program,
+		dir:      dir,
+		progress: func(line string) { fmt.Fprintln(command.ErrOrStderr(), line) },
+	})
+}
--- a/cmd/milldeck/lab_run.go
+++ b/cmd/milldeck/lab_run.go
@@ -52,29 +52,29 @@
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	result, err := live.Run(ctx, plan, live.Options{Sidecar: path, Milldeck: self, Dir: dir, Progress: progress})
+	result, err := live.Run(ctx, plan, live.Options{SidecarPath: path, MilldeckPath: self, Dir: dir, Progress: progress})
 	if err != nil {
 		return nil, fmt.Errorf("%w (logs in %s)", err, dir)
 	}
 	if f.logDir == "" && result.ViolationCount == 0 {
 		return result, os.RemoveAll(dir)
 	}
-	slog.Info("logs kept", "folder", dir)
+	slog.Info("logs retained", "component", "lab", "dir", dir)
 	return result, nil
 }
 
-// runProgress shows how a run goes: one line that changes on a terminal, plain lines when piped.
+// runProgress prints the progress of a run: one line that is overwritten on a terminal, plain lines otherwise.
 func runProgress(w io.Writer) func(live.Progress) {
 	terminal := isTerminal(w)
 	return func(progress live.Progress) {
 		faults := "no fault"
-		if len(progress.Faults) > 0 {
-			faults = strings.Join(progress.Faults, ", ")
+		if len(progress.ActiveFaults) > 0 {
+			faults = strings.Join(progress.ActiveFaults, ", ")
 		}
-		line := fmt.Sprintf("%5.1f s  %3.0f%%  %6d requests  %6.2f%% served in time  %s", progress.AtS, 100*progress.Done, progress.Requests, 100*progress.Served, faults)
+		line := fmt.Sprintf("%5.1f s  %3.0f%%  %6d requests  %6.2f%% served in time  %s", progress.AtSeconds, 100*progress.LoadShare, progress.Requests, 100*progress.ServedShare, faults)
 		if terminal {
 			fmt.Fprintf(w, "\r\x1b[K%s", line)
-			if progress.Done >= 1 {
+			if progress.LoadShare >= 1 {
 				fmt.Fprintln(w)
 			}
 			return
@@ -91,9 +91,9 @@
 		Use:   "run FILE",
 		Short: "Plays an experiment with real sidecar processes and sockets",
 		Long: "run plays an experiment with real sidecar processes on loopback addresses, in real time. It takes as long as\n" +
-			"the experiment says and a few seconds more. An interrupt ends all children and still writes the result.\n\n" + exitHelp,
+			"the experiment says and a few seconds more. An interrupt ends all child processes and still writes the result.\n\n" + exitHelp,
 		Example: "  milldeck lab run experiments/quickstart.toml --report out",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			plan, err := planning.plan(args[0])
 			if err != nil {
@@ -106,7 +106,7 @@
 			if err := output.write(command, result); err != nil {
 				return err
 			}
-			return verdict(result)
+			return violationError(result)
 		},
 	}
 	output.register(command)
@@ -121,9 +121,9 @@
 	var path string
 	command := &cobra.Command{
 		Use:   "compare FILE",
-		Short: "Plays an experiment both ways and tells how far apart they are",
+		Short: "Plays an experiment in sim and in run and prints the difference",
 		Long:  "compare plays an experiment in sim and in run, from the same plan, and prints both with their difference.\n\n" + exitHelp,
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			plan, err := planning.plan(args[0])
 			if err != nil {
@@ -142,15 +142,7 @@
 					return err
 				}
 			}
-			if err := report.WriteComparison(command.OutOrStdout(), []*lab.Result{simulated, measured}); err != nil {
-				return err
-			}
-			differences, pairs, err := report.Compare([]*lab.Result{simulated}, []*lab.Result{measured})
-			if err != nil {
-				return err
-			}
-			fmt.Fprintln(command.OutOrStdout(), "\nA is sim, B is run:")
-			return report.WriteDiff(command.OutOrStdout(), differences, pairs)
+			return writeModeComparison(command.OutOrStdout(), simulated, measured)
 		},
 	}
 	processes.register(command)
@@ -158,3 +150,16 @@
 	command.Flags().StringVar(&path, "json", "", "write both results to this file as a JSON array (- for standard output)")
 	return command
 }
+
+// writeModeComparison writes the results of sim and run side by side, with their difference.
+func writeModeComparison(out io.Writer, simulated, measured *lab.Result) error {
+	if err := report.WriteComparison(out, []*lab.Result{simulated, measured}); err != nil {
+		return err
+	}
+	differences, pairs, err := report.Compare([]*lab.Result{simulated}, []*lab.Result{measured})
+	if err != nil {
+		return err
+	}
+	fmt.Fprintln(out, "\nA is sim, B is run:")
+	return report.WriteDiff(out, differences, pairs)
+}
--- a/cmd/milldeck/lab_sweep.go
+++ b/cmd/milldeck/lab_sweep.go
@@ -31,14 +31,14 @@
 	f.hotKeyFlags.register(command)
 	command.Flags().StringVar(&f.seeds, "seeds", "1-10", "seeds, as 1-20 or 3,5,8")
 	command.Flags().StringVar(&f.mode, "mode", "sim", "sim or run")
-	command.Flags().StringVar(&f.policy, "policy", sim.Module, "in sim, what decides")
+	command.Flags().StringVar(&f.policy, "policy", sim.Module, "in sim, the policy that decides")
 }
 
 // player plays one plan.
 type player func(context.Context, *lab.Plan) (*lab.Result, error)
 
-// parse gives the experiment, the seeds and what plays them.
-func (f *seedFlags) parse(path string) (*lab.Experiment, []uint64, player, error) {
+// load returns the experiment, the seeds and the player of the mode.
+func (f *seedFlags) load(path string) (*lab.Experiment, []uint64, player, error) {
 	seeds, err := parseSeeds(f.seeds)
 	if err != nil {
 		return nil, nil, nil, usageError{err}
@@ -71,11 +71,11 @@
 		Use:   "sweep FILE",
 		Short: "Plays an experiment on many seeds",
 		Long: "sweep plays an experiment on many seeds and shows the worst one. Results go to a file, one JSON object a line;\n" +
-			"a sweep that was cut off goes on where the file ends.\n\n" + exitHelp,
+			"an interrupted sweep continues where the file ends.\n\n" + exitHelp,
 		Example: "  milldeck lab sweep experiments/fleet.toml --seeds 1-20 --json sweep.jsonl",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			experiment, seeds, play, err := flags.parse(args[0])
+			experiment, seeds, play, err := flags.load(args[0])
 			if err != nil {
 				return err
 			}
@@ -110,7 +110,8 @@
 	return seeds, nil
 }
 
-// seedSweep plays one experiment on many seeds.
+// seedSweep plays one experiment on many seeds. With a path it appends each result to that file, and takes the results
+// that are there already from it.
 type seedSweep struct {
 	experiment *lab.Experiment
 	path       string
@@ -119,56 +120,73 @@
 }
 
 func (s *seedSweep) run(ctx context.Context, seeds []uint64) error {
-	known := map[uint64]*lab.Result{}
+	earlier := map[uint64]*lab.Result{}
 	var resultFile *os.File
 	if s.path != "" {
 		var err error
-		if resultFile, err = s.resume(known); err != nil {
+		if resultFile, err = s.resume(earlier); err != nil {
 			return err
 		}
 		defer resultFile.Close()
 	}
 	var worst *lab.Result
-	broken, sum := 0, 0.0
+	violationCount, servedShareSum := 0, 0.0
 	for i, seed := range seeds {
-		result, reused := known[seed]
 		started := time.Now()
+		result, reused := earlier[seed]
+		note := "from the file"
 		if !reused {
 			var err error
-			if result, err = s.play(ctx, s.experiment.NewPlan(seed)); err != nil {
-				return fmt.Errorf("seed %d: %w", seed, err)
+			result, err = s.playSeed(ctx, seed, resultFile)
+			if errors.Is(err, errCutShort) {
+				return fmt.Errorf("cut short after %d of %d seeds; the same command continues from there", i, len(seeds))
 			}
-			if ctx.Err() != nil {
-				return fmt.Errorf("cut short after %d of %d seeds; the same command goes on from there", i, len(seeds))
-			}
-			if resultFile != nil {
-				if err := json.NewEncoder(resultFile).Encode(result); err != nil {
-					return err
-				}
+			if err != nil {
+				return err
 			}
-		}
-		note := fmt.Sprintf("%.1f s", time.Since(started).Seconds())
-		if reused {
-			note = "from the file"
+			note = fmt.Sprintf("%.1f s", time.Since(started).Seconds())
 		}
 		fmt.Fprintf(s.output, "%4d/%d  seed %-6d  worth %.4f  p99 %8.1f ms  lost %4d  rules broken %d  (%s)\n",
 			i+1, len(seeds), seed, result.WeightedServedShare, result.P99, result.Unanswered, result.ViolationCount, note)
-		if worst == nil || result.ViolationCount > worst.ViolationCount || result.ViolationCount == worst.ViolationCount && result.WeightedServedShare < worst.WeightedServedShare {
+		if worst == nil || isWorse(result, worst) {
 			worst = result
 		}
-		broken += result.ViolationCount
-		sum += result.WeightedServedShare
+		violationCount += result.ViolationCount
+		servedShareSum += result.WeightedServedShare
 	}
 	fmt.Fprintf(s.output, "worth served %.4f in the mean; worst seed %d: worth %.4f, %d rule(s) broken\n",
-		sum/float64(len(seeds)), worst.Seed, worst.WeightedServedShare, worst.ViolationCount)
-	if broken > 0 {
-		return fmt.Errorf("%s: %d rule(s) broken", s.experiment.Name, broken)
+		servedShareSum/float64(len(seeds)), worst.Seed, worst.WeightedServedShare, worst.ViolationCount)
+	if violationCount > 0 {
+		return fmt.Errorf("%s: %d rule(s) broken", s.experiment.Name, violationCount)
 	}
 	return nil
 }
 
-// resume reads what an earlier sweep found and opens the file for more. A torn last line is taken off.
-func (s *seedSweep) resume(known map[uint64]*lab.Result) (*os.File, error) {
+// playSeed plays one seed and appends the result to the file, which may be nil. The error is errCutShort where ctx has
+// ended.
+func (s *seedSweep) playSeed(ctx context.Context, seed uint64, resultFile *os.File) (*lab.Result, error) {
+	result, err := s.play(ctx, s.experiment.NewPlan(seed))
+	switch {
+	case err != nil:
+		return nil, fmt.Errorf("seed %d: %w", seed, err)
+	case ctx.Err() != nil:
+		return nil, errCutShort
+	case resultFile == nil:
+		return result, nil
+	}
+	return result, json.NewEncoder(resultFile).Encode(result)
+}
+
+// isWorse reports whether a result broke more rules than another, or as many and served less.
+func isWorse(result, other *lab.Result) bool {
+	if result.ViolationCount != other.ViolationCount {
+		return result.ViolationCount > other.ViolationCount
+	}
+	return result.WeightedServedShare < other.WeightedServedShare
+}
+
+// resume reads what an earlier sweep found and opens the file for more. An incomplete last line is removed.
+func (s *seedSweep) resume(earlier map[uint64]*lab.Result) (*os.File, error) {
 	resultFile, err := os.OpenFile(s.path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return nil, err
@@ -182,13 +200,13 @@
 		_, err = resultFile.Seek(complete, io.SeekStart)
 	}
 	if err == nil && complete > 0 {
-		var earlier []*lab.Result
-		if earlier, err = report.ReadResults(s.path); err == nil {
-			for _, result := range earlier {
+		var results []*lab.Result
+		if results, err = report.ReadResults(s.path); err == nil {
+			for _, result := range results {
 				if result.Name != s.experiment.Name {
 					err = usageError{fmt.Errorf("%s holds results of %s, not of %s", s.path, result.Name, s.experiment.Name)}
 				}
-				known[result.Seed] = result
+				earlier[result.Seed] = result
 			}
 		}
 	}
@@ -206,7 +224,7 @@
 		Short: "Compares two runs, or two sweeps seed by seed",
 		Long: "diff compares results that --json wrote. Runs with the same seed make a pair; over several pairs it gives the\n" +
 			"95% interval of the mean difference.\n\n" + exitHelp,
-		Args: exactly(2),
+		Args: exactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			before, err := report.ReadResults(args[0])
 			if err != nil {
@@ -238,9 +256,9 @@
 		Long: "faults plays an experiment once for each kind of fault that it has, with that kind alone, over some seeds, and\n" +
 			"prints kinds by rules broken.\n\n" + exitHelp,
 		Example: "  milldeck lab faults experiments/faults.toml --seeds 1-10",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			experiment, seeds, play, err := flags.parse(args[0])
+			experiment, seeds, play, err := flags.load(args[0])
 			if err != nil {
 				return err
 			}
@@ -262,37 +280,57 @@
 		fmt.Fprintf(w, " %s |", rule)
 	}
 	fmt.Fprintf(w, "\n| --- | --- | --- |%s\n", strings.Repeat(" --- |", len(experiment.ApplicableRules())))
-	broken := 0
+	violationCount := 0
 	for _, kind := range lab.FaultKinds() {
 		if len(byKind[kind]) == 0 {
 			continue
 		}
-		alone := *experiment
-		alone.Faults = byKind[kind]
-		counts, sum, worst := map[lab.Rule]int{}, 0.0, 1.0
-		for _, seed := range seeds {
-			result, err := play(ctx, alone.NewPlan(seed))
-			if err != nil {
-				return fmt.Errorf("%s, seed %d: %w", kind, seed, err)
-			}
-			if ctx.Err() != nil {
-				return errors.New("cut short")
-			}
-			sum += result.WeightedServedShare
-			worst = min(worst, result.WeightedServedShare)
-			for rule, n := range result.ViolationsByRule {
-				counts[rule] += n
-				broken += n
-			}
+		withKind := *experiment
+		withKind.Faults = byKind[kind]
+		summary, err := summarizeSeeds(ctx, &withKind, seeds, play)
+		if err != nil {
+			return fmt.Errorf("%s: %w", kind, err)
 		}
-		fmt.Fprintf(w, "| `%s` | %.4f | %.4f |", kind, sum/float64(len(seeds)), worst)
+		violationCount += summary.violationCount
+		fmt.Fprintf(w, "| `%s` | %.4f | %.4f |", kind, summary.meanServedShare, summary.worstServedShare)
 		for _, rule := range experiment.ApplicableRules() {
-			fmt.Fprintf(w, " %d |", counts[rule])
+			fmt.Fprintf(w, " %d |", summary.violationsByRule[rule])
 		}
 		fmt.Fprintln(w)
 	}
-	if broken > 0 {
-		return fmt.Errorf("%s: %d rule(s) broken", experiment.Name, broken)
+	if violationCount > 0 {
+		return fmt.Errorf("%s: %d rule(s) broken", experiment.Name, violationCount)
 	}
 	return nil
 }
+
+// seedSummary is what plays of one experiment on several seeds found. Shares are weighted by priority.
+type seedSummary struct {
+	meanServedShare  float64
+	worstServedShare float64
+	violationsByRule map[lab.Rule]int
+	violationCount   int
+}
+
+// summarizeSeeds plays an experiment on all seeds, and returns errCutShort where ctx ends before.
+func summarizeSeeds(ctx context.Context, experiment *lab.Experiment, seeds []uint64, play player) (*seedSummary, error) {
+	summary := &seedSummary{worstServedShare: 1, violationsByRule: map[lab.Rule]int{}}
+	servedShareSum := 0.0
+	for _, seed := range seeds {
+		result, err := play(ctx, experiment.NewPlan(seed))
+		if err != nil {
+			return nil, fmt.Errorf("seed %d: %w", seed, err)
+		}
+		if ctx.Err() != nil {
+			return nil, errCutShort
+		}
+		servedShareSum += result.WeightedServedShare
+		summary.worstServedShare = min(summary.worstServedShare, result.WeightedServedShare)
+		for rule, count := range result.ViolationsByRule {
+			summary.violationsByRule[rule] += count
+			summary.violationCount += count
+		}
+	}
+	summary.meanServedShare = servedShareSum / float64(len(seeds))
+	return summary, nil
+}
--- a/cmd/milldeck/release_check.go
+++ b/cmd/milldeck/release_check.go
@@ -32,40 +32,40 @@
 
 func newReleaseCheck() *cobra.Command {
 	flags := &checkFlags{}
-	a := &asking{}
-	c := &cobra.Command{
+	registryFlags := &clientFlags{}
+	command := &cobra.Command{
 		Use:   "check PLAN",
 		Short: "Checks a plan, and makes a dry run against a view of the fleet",
 		Long: "check validates a plan, and names what is wrong with it by file, line and key. With --dry-run it reads the fleet\n" +
 			"from the registry, with --view from a file (the ledger as the registry shows it, with all its units): it assigns\n" +
 			"the waves, says which capacity remains and which warms up, and rejects what budgets can never allow.\n\n" + exitHelp,
 		Example: "  milldeck release check plan.toml --dry-run\n  milldeck release check plan.toml --view ledger.json --json",
-		Args:    exactly(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		Args:    exactArgs(1),
+		RunE: func(command *cobra.Command, args []string) error {
 			path := args[0]
 			p, err := plan.Load(path)
 			if err != nil {
 				return err
 			}
 			if flags.viewPath == "" && !flags.dryRun {
-				_, err = fmt.Fprintf(c.OutOrStdout(), "%s: release %s, plan %s, %d waves\n", path, p.Name, p.Hash(), len(p.Waves))
+				_, err = fmt.Fprintf(command.OutOrStdout(), "%s: release %s, plan %s, %d waves\n", path, p.Name, p.Hash(), len(p.Waves))
 				return err
 			}
-			view, err := flags.readView(c, a)
+			view, err := flags.readView(command, registryFlags)
 			if err != nil {
 				return err
 			}
-			return showPreview(c.OutOrStdout(), a, plan.NewPreview(p, view.Units, view.Budgets))
+			return showPreview(command.OutOrStdout(), registryFlags, plan.NewPreview(p, view.Units, view.Budgets))
 		},
 	}
-	c.Flags().BoolVar(&flags.dryRun, "dry-run", false, "make a dry run against the fleet as it is")
-	c.Flags().StringVar(&flags.viewPath, "view", "", "file with the ledger's view (JSON), for a dry run without the registry")
-	a.flags(c)
-	return c
+	command.Flags().BoolVar(&flags.dryRun, "dry-run", false, "make a dry run against the fleet as it is")
+	command.Flags().StringVar(&flags.viewPath, "view", "", "file with the ledger's view (JSON), for a dry run without the registry")
+	registryFlags.addTo(command)
+	return command
 }
 
 // readView reads the ledger's view from a file, or else from the registry.
-func (f *checkFlags) readView(c *cobra.Command, a *asking) (*disruption.View, error) {
+func (f *checkFlags) readView(command *cobra.Command, flags *clientFlags) (*disruption.View, error) {
 	if f.viewPath != "" {
 		view, err := readViewFile(f.viewPath)
 		if err != nil {
@@ -74,7 +74,7 @@
 		return view, nil
 	}
 	view := &disruption.View{}
-	err := a.with(c, func(ctx context.Context, client *registry.Client) (err error) {
+	err := flags.withClient(command, func(ctx context.Context, client *registry.Client) (err error) {
 		*view, err = client.LedgerView(ctx, true, true)
 		return err
 	})
@@ -105,8 +105,8 @@
 }
 
 // showPreview prints a dry run as the flags say, and returns an error if the plan is infeasible.
-func showPreview(out io.Writer, a *asking, preview *plan.Preview) error {
-	err := a.show(out, preview, func(w io.Writer) error { return printPreview(w, preview) })
+func showPreview(out io.Writer, flags *clientFlags, preview *plan.Preview) error {
+	err := flags.print(out, preview, func(w io.Writer) error { return printPreview(w, preview) })
 	if err != nil {
 		return err
 	}
--- a/internal/agent/fixtures_test.go
+++ b/internal/agent/fixtures_test.go
@@ -25,26 +25,26 @@
 
 // The wall clock (Unix ms) and the monotonic clock (ms) of the fixtures.
 const (
-	fixtureWallMS = 1_764_633_600_000
-	fixtureMonoMS = 5_000
+	fixtureWallMS      = 1_764_633_600_000
+	fixtureMonotonicMS = 5_000
 )
 
-func fixtureClock() (wallMS, monoMS int64) { return fixtureWallMS, fixtureMonoMS }
+func fixtureClock() (wallMS, monotonicMS int64) { return fixtureWallMS, fixtureMonotonicMS }
 
 // fixtureInstanceList holds a list with every field of an instance set. The registry was restored once, so the revision that is
 // served differs from the registry's.
 func fixtureInstanceList(t *testing.T) *instanceList {
 	t.Helper()
 	list := &instanceList{maxLossFraction: defaultMaxLossFraction}
-	first := &registry.EndpointList{Revision: 41, Epoch: 7, Full: true, Targets: []registry.Target{{UID: "s1", Endpoint: "127.0.0.1:9001", State: registry.InstanceReady}}}
-	second := &registry.EndpointList{Revision: 12, Epoch: 8, Full: true, Targets: []registry.Target{
+	first := &registry.EndpointList{Revision: 41, Epoch: 7, Complete: true, Targets: []registry.Target{{UID: "s1", Endpoint: "127.0.0.1:9001", State: registry.InstanceReady}}}
+	second := &registry.EndpointList{Revision: 12, Epoch: 8, Complete: true, Targets: []registry.Target{
 		{UID: "s2", Endpoint: "127.0.0.1:9002", Zone: "zone-b", State: registry.InstanceTerminating, Capacity: 0.25},
 		{UID: "s1", Endpoint: "127.0.0.1:9001", Zone: "zone-a", Model: "m1", PodGroup: 3, State: registry.InstanceReady, Capacity: 1.5, BootMS: 1_764_633_500_125.5},
 		{UID: "s3 <ä>", Endpoint: "[::1]:9003", State: registry.InstanceReady, Capacity: 1},
 	}}
 	for _, received := range []*registry.EndpointList{first, second} {
 		if result, _ := list.merge(received, true); result != listApplied {
-			t.Fatalf("the list of revision %d: verdict %d", received.Revision, result)
+			t.Fatalf("the list of revision %d: result %d", received.Revision, result)
 		}
 	}
 	return list
@@ -88,7 +88,7 @@
 	}
 }
 
-// fixturePlacementCache holds an entry of each kind, and one that has ended.
+// fixturePlacementCache holds a directive of each kind, and one that has expired.
 func fixturePlacementCache(t *testing.T) *placementCache {
 	t.Helper()
 	cache := newPlacementCache("", fixtureClock, slog.Default())
@@ -115,7 +115,7 @@
 
 	read := newPlacementCache(goldentest.Path("placement.bin"), fixtureClock, slog.Default())
 	if rev, epoch := read.position(); rev != 9 || epoch != 8 || read.cache.Len() != 4 {
-		t.Errorf("read revision %d of epoch %d with %d entries", rev, epoch, read.cache.Len())
+		t.Errorf("read revision %d of epoch %d with %d directives", rev, epoch, read.cache.Len())
 	}
 	again, err := read.encode()
 	if err != nil {
--- /dev/null
+++ b/internal/lab/live/controlplane_faults.go
@@ -0,0 +1,245 @@
+package live
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"syscall"
+	"time"
+
+	"milldeck/internal/lab"
+	"milldeck/internal/lab/proc"
+	"milldeck/internal/supervisor"
+)
+
+const (
+	// supervisorFaultAftermathMS is how long after a fault of the supervisor its effects may still show.
+	supervisorFaultAftermathMS = 5000
+	// supervisorRequestTimeout bounds the requests that a fault makes: which replica leads, and to the supervisor.
+	supervisorRequestTimeout = 2 * time.Second
+	untilRunEndMS            = 1e12 // later than the end of any run
+)
+
+// beginFault begins a fault at processes of the control plane, and announces to the checker which units it affects.
+func (c *controlPlane) beginFault(ctx context.Context, fault *lab.Fault) {
+	c.announceFault(fault)
+	if fault.Leader {
+		c.resolveLeader(ctx, fault)
+	}
+	c.partitionReplicas(fault, true)
+	switch fault.Kind {
+	case lab.FaultKill:
+		for _, process := range c.affectedProcesses(fault) {
+			process.Kill()
+		}
+	case lab.FaultFreeze:
+		signalAll(syscall.SIGSTOP, c.affectedProcesses(fault)...)
+	case lab.FaultSupervisor:
+		c.recordFailure(fault.Label, c.injectSupervisorFault(ctx, fault))
+	}
+}
+
+// endFault ends it: what was killed is started again, what was stopped continues.
+func (c *controlPlane) endFault(ctx context.Context, fault *lab.Fault) {
+	c.partitionReplicas(fault, false)
+	switch {
+	case fault.Kind == lab.FaultFreeze:
+		signalAll(syscall.SIGCONT, c.affectedProcesses(fault)...)
+	case fault.Kind == lab.FaultKill && ctx.Err() == nil:
+		c.recordFailure(fault.Label, c.restartProcesses(ctx, fault))
+	}
+}
+
+// partitionReplicas partitions the replicas of a fault from the others, or ends that.
+func (c *controlPlane) partitionReplicas(fault *lab.Fault, partitioned bool) {
+	links := c.fleet.registryService.links
+	if fault.Kind != lab.FaultPartition || links == nil {
+		return
+	}
+	for _, replica := range fault.Replicas {
+		links.Partition(replica, lab.RegistryReplicas, partitioned)
+	}
+}
+
+// announceFault reports to the checker the units that the lab itself makes unavailable.
+func (c *controlPlane) announceFault(fault *lab.Fault) {
+	until := fault.EndMS + c.spec.DetectionMS
+	if fault.EndMS == 0 {
+		until = untilRunEndMS
+	}
+	switch fault.Kind {
+	case lab.FaultSupervisor:
+		c.checker.SupervisorFault(fault.Misbehaviour, fault.StartMS, max(fault.StartMS, fault.EndMS)+supervisorFaultAftermathMS)
+	case lab.FaultKill, lab.FaultFreeze, lab.FaultRestart, lab.FaultZoneOutage:
+		for _, i := range fault.Servers {
+			c.checker.FaultInjected(c.fleet.plan.Servers[i].UID, fault.StartMS, until)
+		}
+		for _, i := range fault.Sidecars {
+			c.checker.FaultInjected(c.fleet.plan.Sidecars[i].Name, fault.StartMS, until)
+		}
+	}
+}
+
+// beginServerFault begins a fault at a server that the supervisor has started.
+func (c *controlPlane) beginServerFault(ctx context.Context, server *server, fault *lab.Fault) {
+	switch fault.Kind {
+	case lab.FaultKill, lab.FaultZoneOutage:
+		c.signalUnit(server.plan.UID, syscall.SIGKILL)
+	case lab.FaultRestart:
+		c.recordFailure(fault.Label, c.restartUnit(ctx, server.plan.UID))
+	default:
+		server.setFault(fault, true) // its process receives it with each request
+	}
+}
+
+// endServerFault ends a fault at a server that the supervisor has started.
+func (c *controlPlane) endServerFault(ctx context.Context, server *server, fault *lab.Fault) {
+	switch fault.Kind {
+	case lab.FaultKill, lab.FaultZoneOutage:
+		if ctx.Err() == nil {
+			c.recordFailure(fault.Label, c.startUnit(ctx, server.plan.UID))
+		}
+	default:
+		server.setFault(fault, false)
+	}
+}
+
+// startUnit has the supervisor start a unit that a fault has killed, unless someone else has started it meanwhile.
+func (c *controlPlane) startUnit(ctx context.Context, unit string) error {
+	return c.changeUnit(ctx, unit, supervisor.Start)
+}
+
+// restartUnit has the supervisor restart a unit, as its planned restarts do.
+func (c *controlPlane) restartUnit(ctx context.Context, unit string) error {
+	return c.changeUnit(ctx, unit, supervisor.Restart)
+}
+
+// changeUnit has the supervisor perform an operation on a unit with its present version and configuration. A unit that
+// others have removed or started meanwhile is left alone, which is no error.
+func (c *controlPlane) changeUnit(ctx context.Context, unit string, op supervisor.Op) error {
+	inventory, err := c.supervisorClient.List(ctx)
+	if err != nil {
+		return err
+	}
+	known := inventory.Find(unit)
+	if known == nil || op == supervisor.Start && known.State != supervisor.Exited {
+		return nil
+	}
+	_, err = c.supervisorClient.Do(ctx, supervisor.Request{
+		ID: fmt.Sprintf("lab/%s/%s/%d", op, unit, known.Incarnation), Op: op, Epoch: inventory.Epoch,
+		Unit: unit, Incarnation: known.Incarnation,
+		Kind: known.Kind, Version: known.Version, Listen: known.Listen, Zone: known.Zone, ConfigName: known.ConfigName,
+	})
+	return err
+}
+
+// resolveLeader sets the replica that a fault of the leader affects: the leader at this time, replica 0 if there is none.
+func (c *controlPlane) resolveLeader(ctx context.Context, fault *lab.Fault) {
+	ctx, cancel := context.WithTimeout(ctx, supervisorRequestTimeout)
+	defer cancel()
+	leader, err := c.fleet.registryService.cluster.AwaitLeader(ctx)
+	if err != nil {
+		slog.Warn("no leader, the fault affects replica 0", "fault", fault.Label)
+		fault.Replicas = []int{0}
+		return
+	}
+	fault.Replicas = []int{leader.Index}
+}
+
+// affectedProcesses are the processes of the control plane that a fault affects.
+func (c *controlPlane) affectedProcesses(fault *lab.Fault) []*proc.Process {
+	var processes []*proc.Process
+	for _, index := range fault.Replicas {
+		processes = append(processes, c.fleet.registryService.cluster.Replicas[index].Process)
+	}
+	for _, index := range fault.Agents {
+		processes = append(processes, c.fleet.registryService.agents[index])
+	}
+	for _, controller := range c.affectedControllers(fault) {
+		if process := controller.runningProcess(); process != nil {
+			processes = append(processes, process)
+		}
+	}
+	if fault.Supervisor {
+		c.mu.Lock()
+		processes = append(processes, c.supervisor)
+		c.mu.Unlock()
+	}
+	return processes
+}
+
+// affectedControllers are the controllers that a fault names.
+func (c *controlPlane) affectedControllers(fault *lab.Fault) []*controller {
+	var controllers []*controller
+	for _, name := range fault.Controllers {
+		for _, controller := range c.controllers {
+			if controller.spec.Name == name {
+				controllers = append(controllers, controller)
+			}
+		}
+	}
+	return controllers
+}
+
+// restartProcesses starts what a fault has killed.
+func (c *controlPlane) restartProcesses(ctx context.Context, fault *lab.Fault) error {
+	ctx, cancel := context.WithTimeout(ctx, controllerReadyTimeout)
+	defer cancel()
+	for _, index := range fault.Replicas {
+		if err := c.fleet.registryService.cluster.Replicas[index].Start(); err != nil {
+			return err
+		}
+	}
+	for _, index := range fault.Agents {
+		if err := c.fleet.registryService.launchAgent(ctx, c.fleet.agents[index]); err != nil {
+			return err
+		}
+	}
+	for _, controller := range c.affectedControllers(fault) {
+		if err := controller.start(ctx); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// supervisorFault is the body of the stand-in supervisor's /faults.
+type supervisorFault struct {
+	Count      int    `json:"count"`
+	DelayMS    int64  `json:"delay_ms"`
+	DurationMS int64  `json:"for_ms"`
+	Kind       string `json:"kind"`
+	Operation  string `json:"on"`
+}
+
+// injectSupervisorFault has the stand-in supervisor misbehave.
+func (c *controlPlane) injectSupervisorFault(ctx context.Context, fault *lab.Fault) error {
+	body, err := json.Marshal(supervisorFault{
+		Kind: fault.Misbehaviour, Operation: fault.Operation, Count: fault.CallCount,
+		DurationMS: int64(max(0, fault.EndMS-fault.StartMS)), DelayMS: int64(fault.DelayMS),
+	})
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(ctx, supervisorRequestTimeout)
+	defer cancel()
+	url := "http://" + c.supervisorAddress() + "/faults"
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
+	if err != nil {
+		return err
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	output, err := io.ReadAll(io.LimitReader(response.Body, maxOutputBytes))
+	if err == nil && response.StatusCode/100 != 2 {
+		err = fmt.Errorf("the supervisor answered %s: %s", response.Status, outputTail(output))
+	}
+	return err
+}
--- a/internal/supervisor/standin/process.go
+++ b/internal/supervisor/standin/process.go
@@ -76,7 +76,7 @@
 
 // exitText says how a process has ended. Its last line of output says why, unless it was killed.
 func exitText(process *proc.Process) string {
-	err := process.Exit()
+	err := process.Wait()
 	if err == nil {
 		return "exit status 0"
 	}
@@ -149,5 +149,5 @@
 // oneLine puts a text on one line of bounded length.
 func oneLine(text string) string {
 	text = strings.Join(strings.Fields(text), " ")
-	return cmp.Or(text[:min(len(text), maxExitTextBytes)], "no reason told")
+	return cmp.Or(text[:min(len(text), maxExitTextBytes)], "no reason given")
 }
