--- a/internal/release/new.go
+++ b/internal/release/new.go
@@ -114,10 +114,6 @@
 	if listed == nil {
 		return Unit{}, fmt.Errorf("the platform does not list %s", ledgerUnit.ID)
 	}
-	capacity := ledgerUnit.Capacity
-	if capacity == 0 {
-		capacity = 1
-	}
 	return Unit{
 		ID:       ledgerUnit.ID,
 		Name:     name,
@@ -125,7 +121,7 @@
 		Previous: Image{Version: listed.Version, ConfigName: listed.ConfigName},
 		Listen:   listed.Listen,
 		Zone:     listed.Zone,
-		Capacity: capacity,
+		Capacity: plan.EffectiveCapacity(&ledgerUnit),
 		Stage:    StagePending,
 	}, nil
 }
--- a/internal/release/plan/preview.go
+++ b/internal/release/plan/preview.go
@@ -84,7 +84,7 @@
 		}
 		if b.plan.Kind() == disruption.KindServer {
 			for _, id := range ids {
-				wave.WarmUpCapacity += effectiveCapacity(byID[id])
+				wave.WarmUpCapacity += EffectiveCapacity(byID[id])
 			}
 		}
 		b.WarmUpCapacity += wave.WarmUpCapacity
@@ -127,7 +127,7 @@
 	for i := range b.units {
 		if budget.Selector.Matches(&b.units[i]) {
 			unitCount++
-			totalCapacity += effectiveCapacity(&b.units[i])
+			totalCapacity += EffectiveCapacity(&b.units[i])
 		}
 	}
 	b.checkUnavailable(budget, affected, unitCount)
@@ -158,7 +158,7 @@
 		return
 	}
 	for _, unit := range affected {
-		if capacity := effectiveCapacity(unit); capacity > allowed+roundingTolerance {
+		if capacity := EffectiveCapacity(unit); capacity > allowed+roundingTolerance {
 			b.addInfeasible("budget %q: max_cold allows a capacity of %.3g cold, and %s alone is %.3g",
 				budget.Name, allowed, unit.ID, capacity)
 			return
@@ -205,9 +205,9 @@
 		}
 		for _, zone := range []string{unit.Zone, ""} {
 			capacity := b.RemainingCapacity[zone]
-			capacity.Total += effectiveCapacity(unit)
+			capacity.Total += EffectiveCapacity(unit)
 			if unit.Condition == disruption.ConditionUp {
-				capacity.Remaining += effectiveCapacity(unit)
+				capacity.Remaining += EffectiveCapacity(unit)
 			}
 			b.RemainingCapacity[zone] = capacity
 		}
@@ -223,9 +223,9 @@
 		if unit.Condition != disruption.ConditionUp {
 			continue
 		}
-		capacities[unit.Zone] = append(capacities[unit.Zone], effectiveCapacity(unit))
+		capacities[unit.Zone] = append(capacities[unit.Zone], EffectiveCapacity(unit))
 		if unit.Zone != "" {
-			capacities[""] = append(capacities[""], effectiveCapacity(unit))
+			capacities[""] = append(capacities[""], EffectiveCapacity(unit))
 		}
 	}
 	for zone, ascending := range capacities {
--- a/internal/release/plan/waves.go
+++ b/internal/release/plan/waves.go
@@ -111,8 +111,8 @@
 	return bound, !math.IsInf(bound, 1)
 }
 
-// effectiveCapacity is a unit's relative capacity, 1 where it has none.
-func effectiveCapacity(unit *disruption.Unit) float64 {
+// EffectiveCapacity is a unit's relative capacity, 1 where it has none.
+func EffectiveCapacity(unit *disruption.Unit) float64 {
 	if unit.Capacity == 0 {
 		return 1
 	}
