--- a/cmd/simadapter/fixtures_test.go
+++ b/cmd/simadapter/fixtures_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// update has the fixture test write its golden files anew in place of comparing with them.
+// update makes the fixture test rewrite its golden files before it compares with them.
 var update = flag.Bool("update", false, "write the golden files under testdata")
 
 const sessionSettings = `{"classes": [
@@ -21,14 +21,14 @@
 	"rules": {"ask_within_ms": 10000, "cold_from": 0.2, "cold_ms": 20000, "fall_ms": 1000, "fall_multiple": 2.5, "drain_grace_ms": 2000},
 	"family_info": {"warm_keys": true}, "penalties": {"peer": 0.06}}`
 
-// sessionFrames builds a session with two instances: requests whose attempts end in many ways, timers, a message, a
-// changed server table, an instance that is killed and started again. The result of an attempt follows from its request, and
-// the outcomes of what a reply sends come in the next frame.
+// sessionFrames encodes a session of two instances: requests whose attempts have many results, timers, gossip messages,
+// failed endpoint updates, a changed server table, and an instance that is killed and restarted. The result of an attempt
+// depends only on its number and the request ID. Each frame has the outcomes of the attempts that the previous reply sent.
 func sessionFrames(t *testing.T) []byte {
 	var input []byte
 	results := []uint16{0, 0, 0, 0, 0, 0, 8, 13, 14, 10}
-	ended := map[[2]uint64]int{} // attempts of a request of an instance
-	var due [][]byte
+	ended := map[[2]uint64]int{} // attempts by instance and request ID
+	var due [][]byte             // outcome records for the next frame
 	send := func(clock float64, records ...[]byte) {
 		s := &frameScript{}
 		s.frame(clock, records...)
@@ -79,7 +79,7 @@
 	return input
 }
 
-// lastReply returns the actions of the last frame of replies.
+// lastReply returns the encoded actions of the last reply frame.
 func lastReply(replies []byte) (actions [][]byte) {
 	var last []byte
 	for len(replies) > 0 {
@@ -113,7 +113,7 @@
 	return actions
 }
 
-// A recorded session gets the recorded replies, byte for byte.
+// The replies to a recorded session equal the recorded replies byte for byte.
 func TestSessionFixture(t *testing.T) {
 	input, output := filepath.Join("testdata", "session.in"), filepath.Join("testdata", "session.out")
 	if *update {
@@ -142,6 +142,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(out.Bytes(), want) {
-		t.Errorf("%d bytes of replies differ from the %d recorded", out.Len(), len(want))
+		t.Errorf("replies of %d bytes differ from the %d recorded bytes", out.Len(), len(want))
 	}
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter hosts instances of the decision module for the simulator: frames come in on standard input, one
-// reply to each goes out on standard output. It ends with its input. A frame that is malformed, or an event of an
-// instance that was never started, ends it with status 1.
+// Command simadapter runs instances of the balancer for the simulator. It reads frames from standard input and writes
+// one reply frame for each to standard output, until the input ends. It exits with status 1 after a malformed frame or an
+// event for an instance that was not started or was killed.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	}
 }
 
-// run answers frames until the input ends.
+// run replies to frames until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	host := instanceHost{instances: map[uint16]*balance.Balancer{}}
 	reader := wire.NewReader(bufio.NewReaderSize(in, inputBufferBytes))
@@ -43,13 +43,13 @@
 	}
 }
 
-// instanceHost holds the instances of this process, which share nothing, and the reply to the current frame.
+// instanceHost holds the instances of this process, which share no state, and the reply to the current frame.
 type instanceHost struct {
-	instances map[uint16]*balance.Balancer // nil: one that could not start, whose events are ignored
+	instances map[uint16]*balance.Balancer // nil: could not start; its events are ignored
 	reply     wire.Reply
 }
 
-// handle adds the actions of a record to the reply. A panic of an instance is reported to the simulator as its fault.
+// handle adds the actions for a record to the reply. It reports a panic to the simulator as a fault of the instance.
 func (h *instanceHost) handle(clock float64, record wire.Record) (err error) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
@@ -87,7 +87,7 @@
 func (h *instanceHost) handleEvent(clock float64, instance uint16, event balance.Event) error {
 	balancer, started := h.instances[instance]
 	if !started {
-		return fmt.Errorf("event for instance %d, which was never started", instance)
+		return fmt.Errorf("event for instance %d, which was not started or was killed", instance)
 	}
 	if balancer == nil {
 		return nil
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -24,7 +24,7 @@
 	actionFault    = 1090
 )
 
-// frameScript builds the input of the process.
+// frameScript encodes frames as the simulator sends them.
 type frameScript struct{ bytes.Buffer }
 
 func (s *frameScript) frame(clock float64, records ...[]byte) {
@@ -33,12 +33,12 @@
 	s.Write(body)
 }
 
-// record packs its fields big-endian.
+// record encodes its fields big-endian.
 func record(fields ...any) []byte {
 	var b bytes.Buffer
 	for _, f := range fields {
 		if err := binary.Write(&b, binary.BigEndian, f); err != nil {
-			panic(err) // a field of a type without a fixed size
+			panic(err) // the type of the field has no fixed size
 		}
 	}
 	return b.Bytes()
@@ -76,7 +76,7 @@
 	return out.Bytes()
 }
 
-// countSends counts the sends by instance in replies that hold sends and timers only.
+// countSends returns the number of sends by instance. The replies must hold only sends and timers.
 func countSends(t *testing.T, replies []byte) map[uint16]int {
 	t.Helper()
 	n := map[uint16]int{}
@@ -117,15 +117,15 @@
 	for _, i := range []uint16{1, 2, 3} {
 		apart := play(i)
 		if n, m := countSends(t, together)[i], countSends(t, apart)[i]; n != 60 || m != 60 {
-			t.Fatalf("instance %d sent %d together, %d alone", i, n, m)
+			t.Fatalf("instance %d sent %d requests in a shared process, %d in a process of its own, want 60", i, n, m)
 		}
 		if !bytes.Equal(actionsOf(together, i), actionsOf(apart, i)) {
-			t.Fatalf("instance %d acts differently in one process and in three", i)
+			t.Fatalf("instance %d: its actions differ between a shared process and a process of its own", i)
 		}
 	}
 }
 
-// actionsOf picks one instance's sends and timers out of replies.
+// actionsOf returns the encoded actions of one instance. The replies must hold only sends and timers.
 func actionsOf(replies []byte, instance uint16) []byte {
 	var out []byte
 	for len(replies) > 0 {
@@ -149,7 +149,7 @@
 	s := &frameScript{}
 	s.frame(1000, startInstance(1, 7, settings), serverTable(3), cachedUpdate(1), request(1, 5),
 		record(recordInstanceKilled, uint16(1)), startInstance(1, 8, settings), cachedUpdate(1), request(1, 6))
-	s.frame(1001, record(recordTimerFired, uint16(1), uint64(5))) // a timer of the killed instance: ignored
+	s.frame(1001, record(recordTimerFired, uint16(1), uint64(5))) // a timer of the killed instance, to be ignored
 	if n := countSends(t, mustRun(t, s)); n[1] != 2 {
 		t.Fatalf("%d sends, want one before and one after the restart", n[1])
 	}
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -13,7 +13,7 @@
 	errUnknownEvent = errors.New("unknown")
 )
 
-// frameDecoder takes values off a frame, in order. A read past the end sets truncated and returns zero.
+// frameDecoder decodes the values of a frame in order. A read past the end sets truncated and returns a zero value.
 type frameDecoder struct {
 	data      []byte
 	pos       int
@@ -58,7 +58,7 @@
 	return 0
 }
 
-// float64 reads a number; one that is not finite counts as absent.
+// float64 decodes a number. NaN and infinities count as absent and yield 0.
 func (d *frameDecoder) float64() float64 {
 	v := math.Float64frombits(d.uint64())
 	if math.IsNaN(v) || math.IsInf(v, 0) {
@@ -67,7 +67,7 @@
 	return v
 }
 
-// float32 reads a number; one that is not finite counts as absent.
+// float32 decodes a number. NaN and infinities count as absent and yield 0.
 func (d *frameDecoder) float32() float32 {
 	v := math.Float32frombits(d.uint32())
 	if math.IsNaN(float64(v)) || math.IsInf(float64(v), 0) {
@@ -76,7 +76,7 @@
 	return v
 }
 
-// serverID packs an address of four bytes and a port.
+// serverID decodes an IPv4 address and a port.
 func (d *frameDecoder) serverID() balance.ServerID {
 	address := d.uint32()
 	return balance.ServerID(uint64(address)<<16 | uint64(d.uint16()))
--- a/internal/wire/fixtures_test.go
+++ b/internal/wire/fixtures_test.go
@@ -13,10 +13,10 @@
 	"milldeck/balance"
 )
 
-// update has the fixture tests write their golden files anew in place of comparing with them.
+// update makes the fixture tests rewrite their golden files before they compare with them.
 var update = flag.Bool("update", false, "write the golden files under testdata")
 
-// golden returns what a file of testdata holds. It stores data there first where the golden files are updated.
+// golden returns the contents of a file in testdata. With -update, it writes data to the file first.
 func golden(t *testing.T, name string, data []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -35,7 +35,7 @@
 	return stored
 }
 
-// frames builds frames as the simulator sends them.
+// frames encodes frames as the simulator sends them.
 type frames struct{ out []byte }
 
 func (f *frames) frame(clock float64, records ...[]byte) {
@@ -46,7 +46,7 @@
 	f.out = append(f.out, body...)
 }
 
-// packed writes values big-endian, a server as four bytes of address and two of port.
+// packed encodes values big-endian. A server ID has four bytes of address and two bytes of port.
 func packed(values ...any) []byte {
 	var b bytes.Buffer
 	for _, v := range values {
@@ -70,7 +70,7 @@
 	thirdServer  = balance.ServerID(0x0a9011f22355)
 )
 
-// eventFixtures has every kind of event that the simulator sends, with what it is read as.
+// eventFixtures returns frames with every kind of event that the simulator sends, and the records expected from them.
 func eventFixtures() ([]byte, []Record) {
 	listed := []balance.Server{
 		{ID: firstServer, RelativeCapacity: 1, Cell: 300, Zone: 2, Kind: 3},
@@ -131,19 +131,20 @@
 	return f.out, want
 }
 
-// The simulator's events are read from the bytes that it has always sent, each kind.
+// Guards the simulator's frame format, which must not change: the stored bytes of every kind of event decode to the
+// expected record.
 func TestEventFixtures(t *testing.T) {
 	built, want := eventFixtures()
 	stored := golden(t, "events.bin", built)
 	if !bytes.Equal(stored, built) {
-		t.Error("the events built here are not those stored")
+		t.Error("the built events differ from the stored ones")
 	}
 	i := 0
 	r := NewReader(bytes.NewReader(stored))
 	for {
 		err := r.Read(func(_ float64, rec Record) error {
 			if i >= len(want) || !reflect.DeepEqual(rec, want[i]) {
-				t.Errorf("record %d: %#v", i, rec)
+				t.Errorf("unexpected record %d: %#v", i, rec)
 			}
 			i++
 			return nil
@@ -157,7 +158,7 @@
 	}
 }
 
-// actionFixtures has every kind of action.
+// actionFixtures returns every kind of action.
 func actionFixtures() []balance.Action {
 	return []balance.Action{
 		{Kind: balance.Send, Request: 0x2978f5d3a91c4, Server: firstServer, Deadline: 8492},
@@ -176,7 +177,7 @@
 	}
 }
 
-// actionReader reads a reply frame as the simulator does.
+// actionReader decodes a reply frame as the simulator does.
 type actionReader struct {
 	frameDecoder
 	t *testing.T
@@ -209,7 +210,7 @@
 	case 1100:
 		a = balance.Action{Kind: balance.WatchEndpoints}
 		if n := r.uint8(); n != 1 {
-			r.t.Errorf("a subscription of %d", n)
+			r.t.Errorf("watch argument %d, want 1", n)
 		}
 	case 1110:
 		a = balance.Action{Kind: balance.FetchEndpoints}
@@ -219,7 +220,8 @@
 	return instance, a
 }
 
-// Every kind of action is written as the bytes that the simulator has always read, and read back as the same.
+// Guards the reply format, which must not change: every kind of action is encoded as the stored bytes, and these decode
+// to the same action.
 func TestActionFixtures(t *testing.T) {
 	var reply Reply
 	reply.Reset()
@@ -232,10 +234,10 @@
 	}
 	stored := golden(t, "actions.bin", out.Bytes())
 	if !bytes.Equal(stored, out.Bytes()) {
-		t.Errorf("written as\n%x, want\n%x", out.Bytes(), stored)
+		t.Errorf("encoded as\n%x, want\n%x", out.Bytes(), stored)
 	}
 	if n := binary.BigEndian.Uint32(stored); int(n) != len(stored) {
-		t.Fatalf("a frame of %d bytes says that it has %d", len(stored), n)
+		t.Fatalf("frame of %d bytes has the length field %d", len(stored), n)
 	}
 	r := actionReader{frameDecoder{data: stored[4:]}, t}
 	for i, want := range actionFixtures() {
@@ -244,11 +246,11 @@
 		}
 	}
 	if r.pos != len(r.data) {
-		t.Errorf("%d bytes are left", len(r.data)-r.pos)
+		t.Errorf("%d bytes after the last action", len(r.data)-r.pos)
 	}
 }
 
-// A fault has a code of its own and its text.
+// A fault is encoded as the stored bytes: its own action code and the text.
 func TestFaultFixture(t *testing.T) {
 	var reply Reply
 	reply.Reset()
@@ -258,7 +260,7 @@
 		t.Fatal(err)
 	}
 	if stored := golden(t, "fault.bin", out.Bytes()); !bytes.Equal(stored, out.Bytes()) {
-		t.Errorf("written as\n%x, want\n%x", out.Bytes(), stored)
+		t.Errorf("encoded as\n%x, want\n%x", out.Bytes(), stored)
 	}
 }
 
@@ -281,7 +283,7 @@
 }
 `
 
-// Every key of the settings reaches the field that it is for, and what is left out has its default.
+// Every key of the settings sets its own field of the Config, and absent keys have their defaults.
 func TestSettingsFixtures(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -322,7 +324,7 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(cfg, c.want) {
-			t.Errorf("%s: read as\n%+v, want\n%+v", name, cfg, c.want)
+			t.Errorf("%s: parsed as\n%+v, want\n%+v", name, cfg, c.want)
 		}
 	}
 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -13,9 +13,9 @@
 
 const (
 	headerSize     = 16      // bytes of a frame's header
-	tableEntrySize = 23      // bytes of a server in a table
-	maxFrameSize   = 1 << 28 // far above any batch of the simulator
-	maxTables      = 16      // server tables, numbered from 0
+	tableEntrySize = 23      // bytes of one server in a server table
+	maxFrameSize   = 1 << 28 // far larger than any frame of the simulator
+	maxTables      = 16      // server tables are numbered from 0
 )
 
 // Kinds of endpoint updates.
@@ -26,7 +26,7 @@
 	updateDelta  = 3
 )
 
-// Conditions of servers in a table.
+// Conditions of a server in a server table.
 const (
 	conditionReady    = 0
 	conditionRemoved  = 1
@@ -51,7 +51,7 @@
 	14: balance.ConnectFailed,
 }
 
-// Reader reads frames. Server tables persist across frames.
+// Reader decodes frames. It keeps each server table across frames until the simulator replaces the table.
 type Reader struct {
 	input        io.Reader
 	buffer       bytes.Buffer
@@ -60,11 +60,12 @@
 	reportBuffer []float32
 }
 
-// NewReader returns a reader of the frames of in, which should be buffered.
+// NewReader returns a Reader of the frames of in, which should be buffered.
 func NewReader(in io.Reader) *Reader { return &Reader{input: in} }
 
-// Read hands the records of the next frame to handle, in order, with the frame's clock. It returns io.EOF at an end of
-// input between frames, and the first error of handle. Slices in events are valid during the call of handle only.
+// Read decodes the next frame and calls handle for each record, in order, with the frame's clock. It returns io.EOF if
+// the input ends between two frames, and stops at the first error of handle. The slices in a record are valid only until
+// handle returns.
 func (r *Reader) Read(handle func(clock float64, record Record) error) error {
 	count, clock, err := r.readFrame()
 	if err != nil {
@@ -78,12 +79,12 @@
 		}
 	}
 	if d.pos != len(d.data) {
-		return fmt.Errorf("%d bytes after the last of %d records", len(d.data)-d.pos, count)
+		return fmt.Errorf("frame has %d bytes after the last of its %d records", len(d.data)-d.pos, count)
 	}
 	return nil
 }
 
-// readFrame reads the next frame into the buffer and returns the number of its records and its clock.
+// readFrame reads the body of the next frame into the buffer and returns the frame's record count and clock.
 func (r *Reader) readFrame() (count uint32, clock float64, err error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r.input, header[:]); errors.Is(err, io.EOF) {
@@ -98,13 +99,13 @@
 		return 0, 0, fmt.Errorf("frame length %d: want %d to %d", size, headerSize, maxFrameSize)
 	}
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
-		return 0, 0, fmt.Errorf("frame clock is %v", clock)
+		return 0, 0, fmt.Errorf("frame clock %v is not a finite number", clock)
 	}
 	r.buffer.Reset()
-	// The buffer grows with what arrives, not with what the header claims.
+	// The buffer grows with the bytes received, not with the length that the header claims.
 	if n, err := io.CopyN(&r.buffer, r.input, int64(size-headerSize)); err != nil {
 		if errors.Is(err, io.EOF) {
-			err = io.ErrUnexpectedEOF // io.EOF is for an end of input between frames
+			err = io.ErrUnexpectedEOF // io.EOF means that the input ends between frames
 		}
 		return 0, 0, fmt.Errorf("frame of %d bytes truncated after %d: %w", size, n+headerSize, err)
 	}
@@ -170,19 +171,19 @@
 	return nil, errUnknownEvent
 }
 
-// readServerTable replaces a server table, to which later endpoint updates refer.
+// readServerTable stores a server table. Later endpoint updates refer to the table by its number.
 func (r *Reader) readServerTable(d *frameDecoder, table uint16) error {
 	if table >= maxTables {
 		return fmt.Errorf("server table %d: want 0 to %d", table, maxTables-1)
 	}
 	count := d.uint32()
 	if uint64(count)*tableEntrySize > uint64(len(d.data)-d.pos) {
-		return fmt.Errorf("%d entries: %w", count, errTruncated)
+		return fmt.Errorf("server table with %d entries: %w", count, errTruncated)
 	}
 	servers := make([]balance.Server, count)
 	for i := range servers {
 		if err := readTableEntry(d, &servers[i]); err != nil {
-			return fmt.Errorf("entry %d: %w", i, err)
+			return fmt.Errorf("server table entry %d: %w", i, err)
 		}
 	}
 	r.tables[table], r.tableKnown[table] = servers, true
@@ -199,7 +200,7 @@
 	case conditionRemoved:
 		server.State = balance.Removed
 	default:
-		return fmt.Errorf("unknown condition %d", condition)
+		return fmt.Errorf("unknown server condition %d", condition)
 	}
 	server.ID = d.serverID()
 	server.RelativeCapacity = float64(d.float32())
@@ -208,7 +209,7 @@
 }
 
 func (r *Reader) readEndpointUpdate(d *frameDecoder) (balance.Event, error) {
-	kind, _, table := d.uint8(), d.uint32(), d.uint16() // the version of the list is not used
+	kind, _, table := d.uint8(), d.uint32(), d.uint16() // the version of the endpoint list is not used
 	if d.truncated {
 		return nil, errTruncated
 	}
@@ -263,16 +264,16 @@
 	return result, err
 }
 
-// resultOf translates the code of a result. Where the record was truncated the code means nothing.
+// resultOf returns the result with a code. It accepts any code of a truncated record: readRecord reports the truncation.
 func resultOf(code uint16, d *frameDecoder) (balance.Result, error) {
 	result, ok := resultsByCode[code]
 	if !ok && !d.truncated {
-		return 0, fmt.Errorf("unknown result %d", code)
+		return 0, fmt.Errorf("unknown result code %d", code)
 	}
 	return result, nil
 }
 
-// readLoadReport returns a slice that is valid until the next call.
+// readLoadReport returns a slice that the next call overwrites.
 func (r *Reader) readLoadReport(d *frameDecoder) []float32 {
 	r.reportBuffer = r.reportBuffer[:0]
 	for n := d.uint8(); n > 0; n-- {
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -10,16 +10,16 @@
 
 const (
 	allPeers = 0xffffffff
-	// watchSubscribe is the argument of actionWatchEndpoints that subscribes to the endpoint list.
+	// watchSubscribe is the argument of actionWatchEndpoints that requests a subscription to the endpoint list.
 	watchSubscribe = 1
-	maxText        = 0xffff // bytes; longer texts are cut
+	maxText        = 0xffff // longer texts are truncated
 )
 
-// Reply collects the actions that answer one frame. Reset has to be called before its first use.
+// Reply encodes the actions for one frame as a reply frame. Reset must be called before the first use.
 type Reply struct{ buffer []byte }
 
-// Reset empties the reply.
-func (r *Reply) Reset() { r.buffer = append(r.buffer[:0], 0, 0, 0, 0) } // the length is set by WriteTo
+// Reset removes all actions.
+func (r *Reply) Reset() { r.buffer = append(r.buffer[:0], 0, 0, 0, 0) } // WriteTo sets the length
 
 // WriteTo writes the reply as one frame.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// Fault reports that an instance cannot start, rejected an event or panicked.
+// Fault appends a report that an instance could not start, rejected an event or panicked.
 func (r *Reply) Fault(instance uint16, text string) {
 	r.appendHeader(actionFault, instance)
 	r.appendText([]byte(text))
@@ -98,7 +98,7 @@
 	r.buffer = binary.BigEndian.AppendUint16(r.buffer, uint16(id))
 }
 
-// appendPeer appends a sidecar's index; below 0: all of them.
+// appendPeer appends the index of a sidecar. A negative index stands for all peers.
 func (r *Reply) appendPeer(peer int) {
 	if peer < 0 {
 		r.buffer = binary.BigEndian.AppendUint32(r.buffer, allPeers)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,7 +9,7 @@
 	"milldeck/internal/validation"
 )
 
-// settings mirrors the JSON object of the settings. Keys that are not here are ignored.
+// settings is the JSON object with the settings of an instance. Unknown keys are ignored.
 type settings struct {
 	Classes         []classSettings   `json:"classes"`
 	Tenants         []tenantSettings  `json:"tenants"`
@@ -110,7 +110,7 @@
 	"pull":      balance.LoadReportHealthCheck,
 }
 
-// A name that is not here is balance.FieldUnknown, which is skipped.
+// loadReportFieldByName yields its zero value for an unknown name: balance.FieldUnknown, which the balancer skips.
 var loadReportFieldByName = map[string]balance.LoadReportField{
 	"rif":       balance.FieldInFlight,
 	"q":         balance.FieldQueueLength,
@@ -120,8 +120,9 @@
 	"fail_rate": balance.FieldErrorRate,
 }
 
-// ParseSettings turns the settings of an InstanceStarted into a Config. Its error wraps a *validation.Error that names the
-// key, or one of encoding/json. What it accepts may still be rejected by balance.New.
+// ParseSettings converts the JSON settings of an instance to a Config. For an invalid setting, the error wraps a
+// *validation.Error with the key; for malformed JSON, it wraps the error of encoding/json. balance.New may still reject
+// the Config.
 func ParseSettings(seed uint64, text []byte) (balance.Config, error) {
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -169,7 +170,7 @@
 	return config, nil
 }
 
-// scalars returns the settings that need no translation, with their defaults.
+// scalars returns a Config of the settings that need no translation. Absent keys have their defaults.
 func (s *settings) scalars(seed uint64) balance.Config {
 	return balance.Config{
 		Seed:            seed,
@@ -202,7 +203,8 @@
 	}
 }
 
-// checkNotNegative names the key of a setting that is negative, as the operator knows it; balance.New names the field.
+// checkNotNegative rejects negative settings. Its error names the JSON key, which the operator knows; balance.New would
+// name the field of Config.
 func (s *settings) checkNotNegative(config *balance.Config) error {
 	for _, setting := range []struct {
 		key   string
@@ -241,7 +243,7 @@
 	return nil
 }
 
-// class returns a class of requests. prefix is for its keys in errors.
+// class converts the settings of one class. Errors name a key with prefix in front of it.
 func (c *classSettings) class(prefix string) (balance.Class, error) {
 	idempotency, ok := idempotencyByName[c.Idempotency]
 	if !ok {
@@ -280,7 +282,7 @@
 	}, nil
 }
 
-// valueOr returns the value of a key that may be absent.
+// valueOr returns the value of an optional key, or absent if the key is missing.
 func valueOr[T any](value *T, absent T) T {
 	if value == nil {
 		return absent
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,13 +1,14 @@
-// Package wire translates the simulator's binary frames and settings to the types of package balance, and actions back
-// to frames. It takes no decisions and runs no instances: cmd/simadapter does.
+// Package wire decodes the simulator's binary frames and its JSON settings to the types of package balance, and encodes
+// actions as reply frames. It makes no balancing decisions and runs no instances: cmd/simadapter runs them.
 //
-// The simulator sends frames of records, numbers in big-endian order; each frame is answered by one reply frame. A frame
-// has a header of 16 bytes: the number of records, the length of the frame, and its clock in milliseconds.
+// The simulator sends frames of records and gets one reply frame for each frame. All numbers are big-endian. A frame
+// starts with a header of 16 bytes: the number of records (4 bytes), the length of the frame including the header
+// (4 bytes), and the simulator's clock in milliseconds (a float64).
 package wire
 
 import "milldeck/balance"
 
-// Codes of the records that the simulator sends. The comment is its own name for the record.
+// Codes of the records that the simulator sends. The comment beside a code is the simulator's name for the record.
 const (
 	eventServerTable        = 1000 // sheet
 	eventRequest            = 1010 // ask
@@ -38,20 +39,20 @@
 	actionFetchEndpoints       = 1110
 )
 
-// Record is what a frame says of one instance. Exactly one of Started, Killed and Event is set.
+// Record is a record for one instance. Exactly one of Started, Killed and Event is set.
 type Record struct {
 	Instance uint16
 	Started  *InstanceStarted
-	Killed   bool // its state is discarded
+	Killed   bool // the instance ends and loses its state
 	Event    balance.Event
 }
 
-// InstanceStarted says that an instance starts without any state. Settings is for ParseSettings and valid during the call
-// only.
+// InstanceStarted starts an instance without any earlier state. Settings is the JSON text for ParseSettings; it is valid
+// only until the function that Reader.Read passes the record to returns.
 type InstanceStarted struct {
 	Seed     uint64
 	Settings []byte
 }
 
-// empty reports whether a record is for no instance: a server table.
+// empty reports whether the record holds nothing for an instance, which is the case for a server table.
 func (r *Record) empty() bool { return r.Started == nil && !r.Killed && r.Event == nil }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"milldeck/balance"
 )
 
-// unhex joins hex text with spaces and line breaks.
+// unhex decodes hex text and ignores its white space.
 func unhex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
@@ -21,7 +21,7 @@
 	return b
 }
 
-// readAll reads the frames up to the end of the input and returns their records with the clock of the last one.
+// readAll reads all frames of the input. It returns their records and the clock of the last record.
 func readAll(r *Reader) (records []Record, clock float64, err error) {
 	for {
 		err := r.Read(func(at float64, record Record) error {
@@ -79,7 +79,7 @@
 	}
 	second := balance.Server{ID: 0x0a9011f22354, StartedAt: 6100, RelativeCapacity: 1.5, Zone: 1}
 	if update.Servers[0].ID != 0x0a124a07232b || update.Servers[1] != second {
-		t.Errorf("entries: %+v", update.Servers)
+		t.Errorf("servers of the endpoint update: %+v", update.Servers)
 	}
 	outcome := records[4].Event.(balance.Outcome)
 	if outcome.Request != 0x2978f5d3a91c4 || outcome.Server != 0x0a124a07232b || outcome.Elapsed != 18.5 ||
@@ -113,21 +113,21 @@
 
 func TestMalformedFramesAreErrors(t *testing.T) {
 	for name, frame := range map[string]string{
-		"truncated header":     "00000000 0000",
-		"length under header":  "00000000 0000000f 40c06e2000000000",
-		"length past the end":  "00000001 00000050 40c06e2000000000 03fc",
-		"huge length":          "00000001 ffffffff 40c06e2000000000",
-		"clock not a number":   "00000000 00000010 7ff8000000000000",
-		"unknown code":         "00000001 00000014 40c06e2000000000 ffff 0003",
-		"truncated record":     "00000001 00000016 40c06e2000000000 03fc 0003 0000",
-		"bytes left over":      "00000000 00000012 40c06e2000000000 0000",
-		"count past the end":   "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff",
-		"settings past end":    "00000001 00000020 40c06e2000000000 042e 0000 0000000000000001 7fffffff",
-		"table never sent":     "00000001 0000001b 40c06e2000000000 0410 0003 00 00000001 0003",
-		"table out of range":   "00000001 00000018 40c06e2000000000 03e8 0010 00000000",
-		"unknown update kind":  "00000001 0000001b 40c06e2000000000 0410 0003 07 00000001 0000",
-		"unknown result":       strings.Replace(endedFrame, "232b 0000", "232b 0055", 1),
-		"more records claimed": strings.Replace(endedFrame, "00000001", "00000002", 1),
+		"truncated header":    "00000000 0000",
+		"length under header": "00000000 0000000f 40c06e2000000000",
+		"length past the end": "00000001 00000050 40c06e2000000000 03fc",
+		"huge length":         "00000001 ffffffff 40c06e2000000000",
+		"clock not a number":  "00000000 00000010 7ff8000000000000",
+		"unknown code":        "00000001 00000014 40c06e2000000000 ffff 0003",
+		"truncated record":    "00000001 00000016 40c06e2000000000 03fc 0003 0000",
+		"trailing bytes":      "00000000 00000012 40c06e2000000000 0000",
+		"count past the end":  "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff",
+		"settings past end":   "00000001 00000020 40c06e2000000000 042e 0000 0000000000000001 7fffffff",
+		"table never sent":    "00000001 0000001b 40c06e2000000000 0410 0003 00 00000001 0003",
+		"table out of range":  "00000001 00000018 40c06e2000000000 03e8 0010 00000000",
+		"unknown update kind": "00000001 0000001b 40c06e2000000000 0410 0003 07 00000001 0000",
+		"unknown result":      strings.Replace(endedFrame, "232b 0000", "232b 0055", 1),
+		"missing record":      strings.Replace(endedFrame, "00000001", "00000002", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if records, _, err := readAll(NewReader(bytes.NewReader(unhex(t, frame)))); err == nil {
@@ -167,7 +167,7 @@
 	second := config.Classes[1]
 	if second.Idempotency != balance.IdempotentWithKey || second.DeduplicationScope != balance.ScopeCell ||
 		second.LatencyObjective != 600 || second.PriorityWeight != 1 {
-		t.Errorf("a class with keys left out: %+v", second)
+		t.Errorf("class with absent keys: %+v", second)
 	}
 	if config.LoadReports != balance.LoadReportHealthCheck || len(config.LoadReportFields) != 3 ||
 		config.LoadReportFields[1] != balance.FieldUnknown {
