--- a/cmd/simadapter/fixtures_test.go
+++ b/cmd/simadapter/fixtures_test.go
@@ -27,38 +27,38 @@
 func sessionFrames(t *testing.T) []byte {
 	var input []byte
 	results := []uint16{0, 0, 0, 0, 0, 0, 8, 13, 14, 10}
-	ended := map[[2]uint64]int{} // attempts by instance and request ID
-	var due [][]byte             // outcome records for the next frame
-	send := func(clock float64, records ...[]byte) {
-		s := &frameScript{}
-		s.frame(clock, records...)
+	attemptCounts := map[[2]uint64]int{} // attempts by instance and request ID
+	var outcomes [][]byte                // outcome records for the next frame
+	runFrame := func(clock float64, records ...[]byte) {
+		s := &frameBuilder{}
+		s.addFrame(clock, records...)
 		input = append(input, s.Bytes()...)
 		var out bytes.Buffer
 		if err := run(bytes.NewReader(input), &out); err != nil {
 			t.Fatal(err)
 		}
-		due = due[:0]
+		outcomes = outcomes[:0]
 		for _, a := range lastReply(out.Bytes()) {
 			if binary.BigEndian.Uint16(a) != actionSend {
 				continue
 			}
 			instance, id := binary.BigEndian.Uint16(a[2:]), binary.BigEndian.Uint64(a[4:])
-			attempt := ended[[2]uint64{uint64(instance), id}]
-			ended[[2]uint64{uint64(instance), id}]++
+			attempt := attemptCounts[[2]uint64{uint64(instance), id}]
+			attemptCounts[[2]uint64{uint64(instance), id}]++
 			result := results[(int(id)*7+attempt*3)%len(results)]
 			done := uint8(0)
 			if result == 0 {
 				done = 1
 			}
-			due = append(due, record(recordOutcome, instance, id, uint8(attempt), a[20:26], result, 10.5+float64(id%7),
+			outcomes = append(outcomes, record(recordOutcome, instance, id, uint8(attempt), a[20:26], result, 10.5+float64(id%7),
 				done, uint8(0)))
 		}
 	}
-	send(1000, startInstance(1, 7, sessionSettings), startInstance(2, 8, sessionSettings), serverTable(20),
+	runFrame(1000, startInstance(1, 7, sessionSettings), startInstance(2, 8, sessionSettings), serverTable(20),
 		cachedUpdate(1), cachedUpdate(2))
 	for id := uint64(1); id <= 150; id++ {
 		clock := 1000 + 12*float64(id)
-		records := append([][]byte(nil), due...)
+		records := append([][]byte(nil), outcomes...)
 		instance := uint16(1 + id%2)
 		records = append(records, record(recordRequest, instance, id, uint16(0), 0.0, uint16(0), id*7919%40, 1000.0,
 			uint16(id%3)))
@@ -73,9 +73,9 @@
 		case id == 90:
 			records = append(records, serverTable(25), record(recordEndpointUpdate, uint16(1), uint8(0), uint32(2), uint16(0)))
 		}
-		send(clock, records...)
+		runFrame(clock, records...)
 	}
-	send(3000, record(recordInstanceKilled, uint16(1)), startInstance(1, 9, sessionSettings), cachedUpdate(1), request(1, 1000))
+	runFrame(3000, record(recordInstanceKilled, uint16(1)), startInstance(1, 9, sessionSettings), cachedUpdate(1), request(1, 1000))
 	return input
 }
 
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -24,10 +24,10 @@
 	actionFault    = 1090
 )
 
-// frameScript encodes frames as the simulator sends them.
-type frameScript struct{ bytes.Buffer }
+// frameBuilder encodes frames as the simulator sends them.
+type frameBuilder struct{ bytes.Buffer }
 
-func (s *frameScript) frame(clock float64, records ...[]byte) {
+func (s *frameBuilder) addFrame(clock float64, records ...[]byte) {
 	body := bytes.Join(records, nil)
 	s.Write(record([]uint32{uint32(len(records)), uint32(16 + len(body))}, clock))
 	s.Write(body)
@@ -47,8 +47,8 @@
 const settings = `{"classes": [{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500}],
 	"limits": {"max_attempts": 3}}`
 
-func startInstance(instance uint16, seed uint64, profile string) []byte {
-	return record(recordInstanceStarted, instance, seed, uint32(len(profile)), []byte(profile))
+func startInstance(instance uint16, seed uint64, settingsJSON string) []byte {
+	return record(recordInstanceStarted, instance, seed, uint32(len(settingsJSON)), []byte(settingsJSON))
 }
 
 func serverTable(n int) []byte {
@@ -67,7 +67,7 @@
 	return record(recordRequest, instance, id, uint16(0), 0.0, uint16(0), uint64(0), 1500.0, uint16(0))
 }
 
-func mustRun(t *testing.T, s *frameScript) []byte {
+func mustRun(t *testing.T, s *frameBuilder) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	if err := run(&s.Buffer, &out); err != nil {
@@ -99,27 +99,27 @@
 }
 
 func TestSameActionsInOneProcessAndInThree(t *testing.T) {
-	play := func(instances ...uint16) []byte {
-		s := &frameScript{}
+	runInstances := func(instances ...uint16) []byte {
+		s := &frameBuilder{}
 		var first [][]byte
 		for _, i := range instances {
 			first = append(first, startInstance(i, uint64(i)*7, settings), serverTable(5), cachedUpdate(i))
 		}
-		s.frame(1000, first...)
+		s.addFrame(1000, first...)
 		for id := range uint64(60) {
 			for _, i := range instances {
-				s.frame(1001+float64(id), request(i, id))
+				s.addFrame(1001+float64(id), request(i, id))
 			}
 		}
 		return mustRun(t, s)
 	}
-	together := play(1, 2, 3)
+	shared := runInstances(1, 2, 3)
 	for _, i := range []uint16{1, 2, 3} {
-		apart := play(i)
-		if n, m := countSends(t, together)[i], countSends(t, apart)[i]; n != 60 || m != 60 {
+		alone := runInstances(i)
+		if n, m := countSends(t, shared)[i], countSends(t, alone)[i]; n != 60 || m != 60 {
 			t.Fatalf("instance %d sent %d requests in a shared process, %d in a process of its own, want 60", i, n, m)
 		}
-		if !bytes.Equal(actionsOf(together, i), actionsOf(apart, i)) {
+		if !bytes.Equal(actionsOf(shared, i), actionsOf(alone, i)) {
 			t.Fatalf("instance %d: its actions differ between a shared process and a process of its own", i)
 		}
 	}
@@ -146,18 +146,18 @@
 }
 
 func TestRestartWithinAFrame(t *testing.T) {
-	s := &frameScript{}
-	s.frame(1000, startInstance(1, 7, settings), serverTable(3), cachedUpdate(1), request(1, 5),
+	s := &frameBuilder{}
+	s.addFrame(1000, startInstance(1, 7, settings), serverTable(3), cachedUpdate(1), request(1, 5),
 		record(recordInstanceKilled, uint16(1)), startInstance(1, 8, settings), cachedUpdate(1), request(1, 6))
-	s.frame(1001, record(recordTimerFired, uint16(1), uint64(5))) // a timer of the killed instance, to be ignored
+	s.addFrame(1001, record(recordTimerFired, uint16(1), uint64(5))) // a timer of the killed instance, to be ignored
 	if n := countSends(t, mustRun(t, s)); n[1] != 2 {
 		t.Fatalf("%d sends, want one before and one after the restart", n[1])
 	}
 }
 
 func TestUnusableSettingsAreReported(t *testing.T) {
-	s := &frameScript{}
-	s.frame(1000, startInstance(1, 7, `{"classes": []}`), serverTable(1), cachedUpdate(1))
+	s := &frameBuilder{}
+	s.addFrame(1000, startInstance(1, 7, `{"classes": []}`), serverTable(1), cachedUpdate(1))
 	out := mustRun(t, s)
 	if len(out) < 8 || binary.BigEndian.Uint16(out[4:]) != actionFault || !strings.Contains(string(out), "no classes") {
 		t.Fatalf("reply %q", out)
@@ -165,12 +165,12 @@
 }
 
 func TestInvalidInputEndsTheProcess(t *testing.T) {
-	notStarted := &frameScript{}
-	notStarted.frame(1000, request(4, 1))
-	infiniteClock := &frameScript{}
-	infiniteClock.frame(math.Inf(1))
-	whole := &frameScript{}
-	whole.frame(1000, serverTable(1))
+	notStarted := &frameBuilder{}
+	notStarted.addFrame(1000, request(4, 1))
+	infiniteClock := &frameBuilder{}
+	infiniteClock.addFrame(math.Inf(1))
+	whole := &frameBuilder{}
+	whole.addFrame(1000, serverTable(1))
 	for name, input := range map[string][]byte{
 		"instance not started":   notStarted.Bytes(),
 		"infinite clock":         infiniteClock.Bytes(),
--- a/internal/wire/fixtures_test.go
+++ b/internal/wire/fixtures_test.go
@@ -16,8 +16,8 @@
 // update makes the fixture tests rewrite their golden files before they compare with them.
 var update = flag.Bool("update", false, "write the golden files under testdata")
 
-// golden returns the contents of a file in testdata. With -update, it writes data to the file first.
-func golden(t *testing.T, name string, data []byte) []byte {
+// goldenFile returns the contents of a file in testdata. With -update, it writes data to the file first.
+func goldenFile(t *testing.T, name string, data []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -35,10 +35,10 @@
 	return stored
 }
 
-// frames encodes frames as the simulator sends them.
-type frames struct{ out []byte }
+// frameBuilder encodes frames as the simulator sends them.
+type frameBuilder struct{ out []byte }
 
-func (f *frames) frame(clock float64, records ...[]byte) {
+func (f *frameBuilder) addFrame(clock float64, records ...[]byte) {
 	body := bytes.Join(records, nil)
 	f.out = binary.BigEndian.AppendUint32(f.out, uint32(len(records)))
 	f.out = binary.BigEndian.AppendUint32(f.out, uint32(16+len(body)))
@@ -46,8 +46,8 @@
 	f.out = append(f.out, body...)
 }
 
-// packed encodes values big-endian. A server ID has four bytes of address and two bytes of port.
-func packed(values ...any) []byte {
+// encodeValues encodes values big-endian. A server ID has four bytes of address and two bytes of port.
+func encodeValues(values ...any) []byte {
 	var b bytes.Buffer
 	for _, v := range values {
 		switch v := v.(type) {
@@ -72,42 +72,42 @@
 
 // eventFixtures returns frames with every kind of event that the simulator sends, and the records expected from them.
 func eventFixtures() ([]byte, []Record) {
-	listed := []balance.Server{
+	servers := []balance.Server{
 		{ID: firstServer, RelativeCapacity: 1, Cell: 300, Zone: 2, Kind: 3},
 		{ID: secondServer, StartedAt: 6100, State: balance.Draining, RelativeCapacity: 1.5, Zone: 1},
 		{ID: thirdServer, StartedAt: 0, State: balance.Removed, RelativeCapacity: 0.25},
 	}
 	var want []Record
-	f := &frames{}
-	add := func(clock float64, instance uint16, record []byte, event balance.Event) {
-		f.frame(clock, record)
+	f := &frameBuilder{}
+	addEvent := func(clock float64, instance uint16, record []byte, event balance.Event) {
+		f.addFrame(clock, record)
 		want = append(want, Record{Instance: instance, Event: event})
 	}
 	settings := `{"classes": []}`
-	f.frame(1000, packed(uint16(1070), uint16(3), uint64(0x8c1f30d27a5be964), uint32(len(settings)), settings))
+	f.addFrame(1000, encodeValues(uint16(1070), uint16(3), uint64(0x8c1f30d27a5be964), uint32(len(settings)), settings))
 	want = append(want, Record{Instance: 3, Started: &InstanceStarted{Seed: 0x8c1f30d27a5be964, Settings: []byte(settings)}})
-	f.frame(1000, packed(uint16(1000), uint16(2), uint32(3),
+	f.addFrame(1000, encodeValues(uint16(1000), uint16(2), uint32(3),
 		0.0, uint8(0), firstServer, float32(1), uint16(300), uint8(2), uint8(3),
 		6100.0, uint8(2), secondServer, float32(1.5), uint16(0), uint8(1), uint8(0),
 		math.Inf(1), uint8(1), thirdServer, float32(0.25), uint16(0), uint8(0), uint8(0)))
-	add(1001, 3, packed(uint16(1040), uint16(3), uint8(0), uint32(41), uint16(2)),
-		balance.EndpointUpdate{Kind: balance.UpdateFull, Servers: listed})
-	add(1001, 4, packed(uint16(1040), uint16(4), uint8(1), uint32(41), uint16(2)),
-		balance.EndpointUpdate{Kind: balance.UpdateCached, Servers: listed})
-	add(1002, 4, packed(uint16(1040), uint16(4), uint8(3), uint32(42), uint16(2)),
-		balance.EndpointUpdate{Kind: balance.UpdateDelta, Servers: listed})
-	add(1003, 4, packed(uint16(1040), uint16(4), uint8(2), uint32(0), uint16(9)),
+	addEvent(1001, 3, encodeValues(uint16(1040), uint16(3), uint8(0), uint32(41), uint16(2)),
+		balance.EndpointUpdate{Kind: balance.UpdateFull, Servers: servers})
+	addEvent(1001, 4, encodeValues(uint16(1040), uint16(4), uint8(1), uint32(41), uint16(2)),
+		balance.EndpointUpdate{Kind: balance.UpdateCached, Servers: servers})
+	addEvent(1002, 4, encodeValues(uint16(1040), uint16(4), uint8(3), uint32(42), uint16(2)),
+		balance.EndpointUpdate{Kind: balance.UpdateDelta, Servers: servers})
+	addEvent(1003, 4, encodeValues(uint16(1040), uint16(4), uint8(2), uint32(0), uint16(9)),
 		balance.EndpointUpdate{Kind: balance.UpdateFailed})
-	add(1004, 3, packed(uint16(1010), uint16(3), uint64(77), uint16(2), 12.5, uint16(7), uint64(0x91f03b7c55d20a64),
+	addEvent(1004, 3, encodeValues(uint16(1010), uint16(3), uint64(77), uint16(2), 12.5, uint16(7), uint64(0x91f03b7c55d20a64),
 		240.0, uint16(1)),
 		balance.Request{ID: 77, Class: 1, Tenant: 2, ExpectedWork: 12.5, Key: 0x91f03b7c55d20a64, Timeout: 240,
 			ClientRetry: true, Write: true})
-	add(1004, 3, packed(uint16(1010), uint16(3), uint64(78), uint16(0xffff), 12.5, uint16(0), uint64(0), math.NaN(), uint16(0)),
+	addEvent(1004, 3, encodeValues(uint16(1010), uint16(3), uint64(78), uint16(0xffff), 12.5, uint16(0), uint64(0), math.NaN(), uint16(0)),
 		balance.Request{ID: 78, Tenant: 0xffff})
-	add(1005, 3, packed(uint16(1020), uint16(3), uint64(1<<60)), balance.TimerFired{Token: 1 << 60})
-	add(1006, 3, packed(uint16(1030), uint16(3), uint64(77), uint8(2), firstServer, 18.5),
+	addEvent(1005, 3, encodeValues(uint16(1020), uint16(3), uint64(1<<60)), balance.TimerFired{Token: 1 << 60})
+	addEvent(1006, 3, encodeValues(uint16(1030), uint16(3), uint64(77), uint8(2), firstServer, 18.5),
 		balance.StreamStarted{Request: 77, Attempt: 2, Server: firstServer, Elapsed: 18.5})
-	add(1007, 3, packed(uint16(1050), uint16(3), uint16(12), uint16(4), "\x01\x02\x03\x04"),
+	addEvent(1007, 3, encodeValues(uint16(1050), uint16(3), uint16(12), uint16(4), "\x01\x02\x03\x04"),
 		balance.GossipMessage{From: 12, Data: []byte{1, 2, 3, 4}})
 	for i, r := range []struct {
 		code   uint16
@@ -116,17 +116,17 @@
 		{0, balance.OK}, {1, balance.Cancelled}, {4, balance.TimedOut}, {8, balance.Overloaded}, {9, balance.Obsolete},
 		{10, balance.Reset}, {13, balance.Failed}, {14, balance.ConnectFailed},
 	} {
-		add(1008, 3, packed(uint16(1090), uint16(3), uint64(100+i), uint8(i), secondServer, r.code, 7.25, uint8(i%2),
+		addEvent(1008, 3, encodeValues(uint16(1090), uint16(3), uint64(100+i), uint8(i), secondServer, r.code, 7.25, uint8(i%2),
 			uint8(2), float32(3), float32(0.5)),
 			balance.Outcome{
 				Request: balance.RequestID(100 + i), Attempt: i, Server: secondServer, Result: r.result, Elapsed: 7.25,
 				RequestDone: i%2 == 1, LoadReport: []float32{3, 0.5},
 			})
-		add(1009, 3, packed(uint16(1080), uint16(3), 2.5, r.code, firstServer, uint8(1), float32(math.NaN())),
+		addEvent(1009, 3, encodeValues(uint16(1080), uint16(3), 2.5, r.code, firstServer, uint8(1), float32(math.NaN())),
 			balance.HealthCheckResult{Server: firstServer, Result: r.result, Elapsed: 2.5, LoadReport: []float32{0}})
 	}
-	add(1010, 3, packed(uint16(1100), uint16(3), uint64(77)), balance.ClientDisconnected{Request: 77})
-	f.frame(1011, packed(uint16(1060), uint16(3)))
+	addEvent(1010, 3, encodeValues(uint16(1100), uint16(3), uint64(77)), balance.ClientDisconnected{Request: 77})
+	f.addFrame(1011, encodeValues(uint16(1060), uint16(3)))
 	want = append(want, Record{Instance: 3, Killed: true})
 	return f.out, want
 }
@@ -135,7 +135,7 @@
 // expected record.
 func TestEventFixtures(t *testing.T) {
 	built, want := eventFixtures()
-	stored := golden(t, "events.bin", built)
+	stored := goldenFile(t, "events.bin", built)
 	if !bytes.Equal(stored, built) {
 		t.Error("the built events differ from the stored ones")
 	}
@@ -232,7 +232,7 @@
 	if _, err := reply.WriteTo(&out); err != nil {
 		t.Fatal(err)
 	}
-	stored := golden(t, "actions.bin", out.Bytes())
+	stored := goldenFile(t, "actions.bin", out.Bytes())
 	if !bytes.Equal(stored, out.Bytes()) {
 		t.Errorf("encoded as\n%x, want\n%x", out.Bytes(), stored)
 	}
@@ -259,7 +259,7 @@
 	if _, err := reply.WriteTo(&out); err != nil {
 		t.Fatal(err)
 	}
-	if stored := golden(t, "fault.bin", out.Bytes()); !bytes.Equal(stored, out.Bytes()) {
+	if stored := goldenFile(t, "fault.bin", out.Bytes()); !bytes.Equal(stored, out.Bytes()) {
 		t.Errorf("encoded as\n%x, want\n%x", out.Bytes(), stored)
 	}
 }
@@ -319,7 +319,7 @@
 				LatencyObjective: 400, Deadline: 400, PriorityWeight: 1}},
 		}},
 	} {
-		cfg, err := ParseSettings(9, golden(t, name, []byte(c.text)))
+		cfg, err := ParseSettings(9, goldenFile(t, name, []byte(c.text)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -12,7 +12,7 @@
 	allPeers = 0xffffffff
 	// watchSubscribe is the argument of actionWatchEndpoints that requests a subscription to the endpoint list.
 	watchSubscribe = 1
-	maxText        = 0xffff // longer texts are truncated
+	maxTextBytes   = 0xffff // longer texts are truncated
 )
 
 // Reply encodes the actions for one frame as a reply frame. Reset must be called before the first use.
@@ -108,8 +108,8 @@
 }
 
 func (r *Reply) appendText(text []byte) {
-	if len(text) > maxText {
-		text = text[:maxText]
+	if len(text) > maxTextBytes {
+		text = text[:maxTextBytes]
 	}
 	r.buffer = binary.BigEndian.AppendUint16(r.buffer, uint16(len(text)))
 	r.buffer = append(r.buffer, text...)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -282,10 +282,10 @@
 	}, nil
 }
 
-// valueOr returns the value of an optional key, or absent if the key is missing.
-func valueOr[T any](value *T, absent T) T {
+// valueOr returns the value of an optional key, or defaultValue if the key is missing.
+func valueOr[T any](value *T, defaultValue T) T {
 	if value == nil {
-		return absent
+		return defaultValue
 	}
 	return *value
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -43,17 +43,17 @@
 		03f2 0003 0002978f5d3a91c4 0000 4028000000000000 0001 91f03b7c55d20a64 406e000000000000 0000
 		03fc 0003 000000000000004d
 		044c 0005 000b677a0e6f2b19`
-	listFrame = `00000002 00000051 40c06e2000000000
+	serverTableFrame = `00000002 00000051 40c06e2000000000
 		03e8 0000 00000002
 		0000000000000000 00 0a124a07 232b 3f800000 0000 00 00
 		40b7d40000000000 00 0a9011f2 2354 3fc00000 0000 01 00
 		0410 0003 01 00000029 0000`
-	endedFrame = `00000001 0000002f 40c06e2000000000
+	outcomeFrame = `00000001 0000002f 40c06e2000000000
 		0442 0003 0002978f5d3a91c4 00 0a124a07 232b 0000 4032800000000000 01 00`
 )
 
 func TestDecodesProtocolExamples(t *testing.T) {
-	in := unhex(t, emptyFrame+eventsFrame+listFrame+endedFrame)
+	in := unhex(t, emptyFrame+eventsFrame+serverTableFrame+outcomeFrame)
 	records, clock, err := readAll(NewReader(bytes.NewReader(in)))
 	if err != nil {
 		t.Fatal(err)
@@ -126,8 +126,8 @@
 		"table never sent":    "00000001 0000001b 40c06e2000000000 0410 0003 00 00000001 0003",
 		"table out of range":  "00000001 00000018 40c06e2000000000 03e8 0010 00000000",
 		"unknown update kind": "00000001 0000001b 40c06e2000000000 0410 0003 07 00000001 0000",
-		"unknown result":      strings.Replace(endedFrame, "232b 0000", "232b 0055", 1),
-		"missing record":      strings.Replace(endedFrame, "00000001", "00000002", 1),
+		"unknown result":      strings.Replace(outcomeFrame, "232b 0000", "232b 0055", 1),
+		"missing record":      strings.Replace(outcomeFrame, "00000001", "00000002", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if records, _, err := readAll(NewReader(bytes.NewReader(unhex(t, frame)))); err == nil {
@@ -216,7 +216,7 @@
 
 // The seed corpus runs in CI as an ordinary test.
 func FuzzReader(f *testing.F) {
-	for _, frame := range []string{emptyFrame, eventsFrame, listFrame, endedFrame, eventsFrame + listFrame} {
+	for _, frame := range []string{emptyFrame, eventsFrame, serverTableFrame, outcomeFrame, eventsFrame + serverTableFrame} {
 		f.Add(unhex(f, frame))
 	}
 	f.Add(unhex(f, "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff"))
