--- a/internal/wire/fixtures_test.go
+++ b/internal/wire/fixtures_test.go
@@ -46,8 +46,8 @@
 	f.out = append(f.out, body...)
 }
 
-// encodeValues encodes values big-endian. A server ID has four bytes of address and two bytes of port.
-func encodeValues(values ...any) []byte {
+// encode encodes values big-endian. A server ID has four bytes of address and two bytes of port.
+func encode(values ...any) []byte {
 	var b bytes.Buffer
 	for _, v := range values {
 		switch v := v.(type) {
@@ -84,30 +84,30 @@
 		want = append(want, Record{Instance: instance, Event: event})
 	}
 	settings := `{"classes": []}`
-	f.addFrame(1000, encodeValues(uint16(1070), uint16(3), uint64(0x8c1f30d27a5be964), uint32(len(settings)), settings))
+	f.addFrame(1000, encode(uint16(1070), uint16(3), uint64(0x8c1f30d27a5be964), uint32(len(settings)), settings))
 	want = append(want, Record{Instance: 3, Started: &InstanceStarted{Seed: 0x8c1f30d27a5be964, Settings: []byte(settings)}})
-	f.addFrame(1000, encodeValues(uint16(1000), uint16(2), uint32(3),
+	f.addFrame(1000, encode(uint16(1000), uint16(2), uint32(3),
 		0.0, uint8(0), firstServer, float32(1), uint16(300), uint8(2), uint8(3),
 		6100.0, uint8(2), secondServer, float32(1.5), uint16(0), uint8(1), uint8(0),
 		math.Inf(1), uint8(1), thirdServer, float32(0.25), uint16(0), uint8(0), uint8(0)))
-	addEvent(1001, 3, encodeValues(uint16(1040), uint16(3), uint8(0), uint32(41), uint16(2)),
+	addEvent(1001, 3, encode(uint16(1040), uint16(3), uint8(0), uint32(41), uint16(2)),
 		balance.EndpointUpdate{Kind: balance.UpdateFull, Servers: servers})
-	addEvent(1001, 4, encodeValues(uint16(1040), uint16(4), uint8(1), uint32(41), uint16(2)),
+	addEvent(1001, 4, encode(uint16(1040), uint16(4), uint8(1), uint32(41), uint16(2)),
 		balance.EndpointUpdate{Kind: balance.UpdateCached, Servers: servers})
-	addEvent(1002, 4, encodeValues(uint16(1040), uint16(4), uint8(3), uint32(42), uint16(2)),
+	addEvent(1002, 4, encode(uint16(1040), uint16(4), uint8(3), uint32(42), uint16(2)),
 		balance.EndpointUpdate{Kind: balance.UpdateDelta, Servers: servers})
-	addEvent(1003, 4, encodeValues(uint16(1040), uint16(4), uint8(2), uint32(0), uint16(9)),
+	addEvent(1003, 4, encode(uint16(1040), uint16(4), uint8(2), uint32(0), uint16(9)),
 		balance.EndpointUpdate{Kind: balance.UpdateFailed})
-	addEvent(1004, 3, encodeValues(uint16(1010), uint16(3), uint64(77), uint16(2), 12.5, uint16(7), uint64(0x91f03b7c55d20a64),
+	addEvent(1004, 3, encode(uint16(1010), uint16(3), uint64(77), uint16(2), 12.5, uint16(7), uint64(0x91f03b7c55d20a64),
 		240.0, uint16(1)),
 		balance.Request{ID: 77, Class: 1, Tenant: 2, ExpectedWork: 12.5, Key: 0x91f03b7c55d20a64, Timeout: 240,
 			ClientRetry: true, Write: true})
-	addEvent(1004, 3, encodeValues(uint16(1010), uint16(3), uint64(78), uint16(0xffff), 12.5, uint16(0), uint64(0), math.NaN(), uint16(0)),
+	addEvent(1004, 3, encode(uint16(1010), uint16(3), uint64(78), uint16(0xffff), 12.5, uint16(0), uint64(0), math.NaN(), uint16(0)),
 		balance.Request{ID: 78, Tenant: 0xffff})
-	addEvent(1005, 3, encodeValues(uint16(1020), uint16(3), uint64(1<<60)), balance.TimerFired{Token: 1 << 60})
-	addEvent(1006, 3, encodeValues(uint16(1030), uint16(3), uint64(77), uint8(2), firstServer, 18.5),
+	addEvent(1005, 3, encode(uint16(1020), uint16(3), uint64(1<<60)), balance.TimerFired{Token: 1 << 60})
+	addEvent(1006, 3, encode(uint16(1030), uint16(3), uint64(77), uint8(2), firstServer, 18.5),
 		balance.StreamStarted{Request: 77, Attempt: 2, Server: firstServer, Elapsed: 18.5})
-	addEvent(1007, 3, encodeValues(uint16(1050), uint16(3), uint16(12), uint16(4), "\x01\x02\x03\x04"),
+	addEvent(1007, 3, encode(uint16(1050), uint16(3), uint16(12), uint16(4), "\x01\x02\x03\x04"),
 		balance.GossipMessage{From: 12, Data: []byte{1, 2, 3, 4}})
 	for i, r := range []struct {
 		code   uint16
@@ -116,17 +116,17 @@
 		{0, balance.OK}, {1, balance.Cancelled}, {4, balance.TimedOut}, {8, balance.Overloaded}, {9, balance.Obsolete},
 		{10, balance.Reset}, {13, balance.Failed}, {14, balance.ConnectFailed},
 	} {
-		addEvent(1008, 3, encodeValues(uint16(1090), uint16(3), uint64(100+i), uint8(i), secondServer, r.code, 7.25, uint8(i%2),
+		addEvent(1008, 3, encode(uint16(1090), uint16(3), uint64(100+i), uint8(i), secondServer, r.code, 7.25, uint8(i%2),
 			uint8(2), float32(3), float32(0.5)),
 			balance.Outcome{
 				Request: balance.RequestID(100 + i), Attempt: i, Server: secondServer, Result: r.result, Elapsed: 7.25,
 				RequestDone: i%2 == 1, LoadReport: []float32{3, 0.5},
 			})
-		addEvent(1009, 3, encodeValues(uint16(1080), uint16(3), 2.5, r.code, firstServer, uint8(1), float32(math.NaN())),
+		addEvent(1009, 3, encode(uint16(1080), uint16(3), 2.5, r.code, firstServer, uint8(1), float32(math.NaN())),
 			balance.HealthCheckResult{Server: firstServer, Result: r.result, Elapsed: 2.5, LoadReport: []float32{0}})
 	}
-	addEvent(1010, 3, encodeValues(uint16(1100), uint16(3), uint64(77)), balance.ClientDisconnected{Request: 77})
-	f.addFrame(1011, encodeValues(uint16(1060), uint16(3)))
+	addEvent(1010, 3, encode(uint16(1100), uint16(3), uint64(77)), balance.ClientDisconnected{Request: 77})
+	f.addFrame(1011, encode(uint16(1060), uint16(3)))
 	want = append(want, Record{Instance: 3, Killed: true})
 	return f.out, want
 }
