--- a/cmd/sidecar/dependencies_test.go
+++ b/cmd/sidecar/dependencies_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// The sidecar's start-up time, memory and processor time are measured, so it links no library of the control plane.
+// The sidecar must not link libraries of the control plane, because its start-up time, memory and processor time are
+// measured.
 func TestNoControlPlaneLibraryIsLinked(t *testing.T) {
 	out, err := exec.CommandContext(t.Context(), "go", "list", "-deps", ".").Output()
 	if err != nil {
--- a/cmd/sidecar/discovery_test.go
+++ b/cmd/sidecar/discovery_test.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	testTimeout = 20 * time.Second // bounds every wait; none is expected to last that long
-	// notificationDeadline is when, after a silence began, a drain counts as known and requests to the server must have
-	// ended: PROTOCOL's 6 s and the grace period of the settings below.
+	testTimeout = 20 * time.Second // limit of every wait; no wait is expected to reach it
+	// notificationDeadline is the time from the beginning of a silence of discovery until requests to a draining server must
+	// have ended: the 6 s after which PROTOCOL counts the drain as known, plus the grace period of the settings below.
 	notificationDeadline = 6*time.Second + drainGracePeriod
-	// addressChangeDeadline is the same after SIGHUP with another discovery address.
+	// addressChangeDeadline is the same limit, counted from a SIGHUP that changes the discovery address.
 	addressChangeDeadline = 4*time.Second + drainGracePeriod
 	drainGracePeriod      = 750 * time.Millisecond // drain_grace_ms of the settings below
 
 	listHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
 )
 
-// fakeRegistry is a discovery service whose calls the test answers one by one.
+// fakeRegistry is a discovery service. The test answers its calls one by one.
 type fakeRegistry struct {
 	net.Listener
-	calls chan net.Conn // each with its request read
+	calls chan net.Conn // connections whose request has been read
 }
 
 func newFakeRegistry(t *testing.T) *fakeRegistry {
@@ -64,19 +64,19 @@
 	case conn := <-registry.calls:
 		return conn
 	case <-time.After(testTimeout):
-		t.Fatal("discovery is not called")
+		t.Fatal("the sidecar did not call discovery")
 		return nil
 	}
 }
 
-// sidecarRig is a sidecar process with two servers, of which one is to drain.
+// sidecarRig is a sidecar process with two servers. The test changes the state of one of them.
 type sidecarRig struct {
 	t               *testing.T
 	registry        *fakeRegistry
 	address         string
 	reloadDiscovery func(discovery string) // writes the configuration with another discovery address and sends SIGHUP
-	drainingIndex   int                    // of the server that is to drain
-	terminate       func()                 // ends the program with SIGTERM and checks its status
+	drainingIndex   int                    // index of the server whose state the test changes
+	terminate       func()                 // stops the program with SIGTERM and checks its exit status
 	servers         []*httptest.Server
 	client          *http.Client
 	pid             int
@@ -87,11 +87,11 @@
 	return startRigWith(t, rigOptions{discoveryMode: "automatic", sidecars: 1})
 }
 
-// rigOptions are what a rig's configuration says.
+// rigOptions are the variable parts of a rig's configuration.
 type rigOptions struct {
-	discoveryMode string // how lists are delivered
-	sidecars      int    // how many the settings count
-	sockets       int    // descriptors that the system and the configuration allow; 0: as usual
+	discoveryMode string // "automatic" or "subscribe"
+	sidecars      int    // number of sidecars according to the settings
+	sockets       int    // limit on descriptors in the configuration and by ulimit; 0: the defaults
 }
 
 func startRigWith(t *testing.T, options rigOptions) *sidecarRig {
@@ -132,7 +132,7 @@
 	return rig
 }
 
-// listJSON is a list of the two servers; indent spreads it over several lines.
+// listJSON returns a list of the two servers, with the given state for one of them. An indent spreads it over several lines.
 func (rig *sidecarRig) listJSON(revision int, complete bool, state string, indent string) string {
 	var targets []map[string]any
 	for i, server := range rig.servers {
@@ -153,7 +153,7 @@
 	return string(data) + "\n"
 }
 
-// request sends a request and returns the number of the server that answered it, "" for none.
+// request sends a request and returns the index of the server that answered, or "" if no server did.
 func (rig *sidecarRig) request() string {
 	rig.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+rig.address+"/api", nil)
@@ -175,7 +175,7 @@
 	return string(body)
 }
 
-// awaitAnswers sends requests until enough answers in a row match, and fails after a deadline.
+// awaitAnswers sends requests until ten consecutive answers match. It fails the test after the deadline.
 func (rig *sidecarRig) awaitAnswers(description string, deadline time.Time, matches func(answer string) bool) {
 	rig.t.Helper()
 	for inARow := 0; inARow < 10; {
@@ -183,12 +183,12 @@
 			inARow = 0
 		}
 		if time.Now().After(deadline) {
-			rig.t.Fatalf("%s: not by then", description)
+			rig.t.Fatalf("%s: the answers do not match by the deadline", description)
 		}
 	}
 }
 
-// Lists may be indented, as the first object of a watch and as a change.
+// Discovery may indent a list, both the first one of a watch and a later change.
 func TestIndentedLists(t *testing.T) {
 	rig := startRig(t)
 	defer rig.terminate()
@@ -199,7 +199,7 @@
 	rig.awaitAnswers("the change", time.Now().Add(testTimeout), func(answer string) bool { return answer == "1" })
 	tryWrite(watch, rig.listJSON(3, true, "Ready", " "))
 	rig.awaitAnswers("the full list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
-	// Each server is used in time; how often depends on how fast it has answered so far.
+	// A server that has answered slowly so far gets few requests, so the test sends requests until each server has answered.
 	answeredBy := map[string]bool{}
 	for deadline := time.Now().Add(testTimeout); !answeredBy["0"] || !answeredBy["1"]; answeredBy[rig.request()] = true {
 		if time.Now().After(deadline) {
@@ -207,17 +207,17 @@
 		}
 	}
 	if calls := len(rig.registry.calls); calls > 0 {
-		t.Errorf("%d more calls: a list was rejected", calls)
+		t.Errorf("%d more calls to discovery: the sidecar rejected a list", calls)
 	}
 }
 
-// Wherever discovery falls silent while a server begins to drain, and although the next call is silent as well, no
-// request is sent there once PROTOCOL counts the drain as known.
+// Discovery falls silent while a server begins to drain, at any point of its stream, and the next call is silent as well.
+// Once PROTOCOL counts the drain as known, the sidecar must send no request to the server.
 func TestDrainAnnouncedAfterSilence(t *testing.T) {
 	for name, partialLine := range map[string]string{
 		"between lines":             "",
 		"in the middle of a line":   `{"rev":2,"all":false,"tar`,
-		"inside of an indented one": "{\n \"rev\": 2,\n",
+		"inside an indented object": "{\n \"rev\": 2,\n",
 	} {
 		for _, secondResponse := range []string{"", listHead} {
 			t.Run(fmt.Sprintf("%s, then after %d bytes", name, len(secondResponse)), func(t *testing.T) {
@@ -238,7 +238,8 @@
 	}
 }
 
-// After SIGHUP the new service may be silent at first, and the old one sends nothing more.
+// After a SIGHUP that changes the discovery address, the first call to the new address is silent and the old address sends
+// nothing more. The sidecar must still learn of a drain in time.
 func TestDrainAnnouncedAfterSilentAddressChange(t *testing.T) {
 	rig := startRig(t)
 	defer rig.terminate()
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,8 +1,8 @@
 // Command sidecar is a client-side load-balancing sidecar: it accepts the requests of one application and forwards each to
 // one of the servers that discovery lists.
 //
-// NODE_CONFIG names its configuration file. SIGHUP reloads it, SIGTERM and SIGINT drain. The exit status is 1 if the
-// sidecar cannot start or serve.
+// The environment variable NODE_CONFIG names the configuration file. SIGHUP reloads the file. SIGTERM and SIGINT drain
+// the sidecar, which then exits. The exit status is 1 if the sidecar cannot start or serve.
 package main
 
 import (
@@ -23,10 +23,10 @@
 	}
 }
 
-// logLevelVariable names the environment variable for the least level that is logged: debug, info, warn or error.
+// logLevelVariable is the environment variable with the minimum level of the log: debug, info, warn or error.
 const logLevelVariable = "NODE_LOG_LEVEL"
 
-// setLogLevel sets the level that the environment names, info where it names none.
+// setLogLevel applies the log level that the environment sets. The default is info.
 func setLogLevel() error {
 	text := os.Getenv(logLevelVariable)
 	if text == "" {
@@ -41,7 +41,7 @@
 }
 
 func run() error {
-	// Signals are caught from the beginning to the end of the process: SIGHUP never ends it, and a second SIGTERM does not
+	// The process handles these signals from its start to its exit: SIGHUP never ends it, and a second SIGTERM does not
 	// interrupt a drain.
 	reloadSignals, stopSignals := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
@@ -68,7 +68,8 @@
 	return instance.Run(ctx)
 }
 
-// reload reads the configuration again at each SIGHUP, until ctx ends. An invalid one changes nothing.
+// reload applies the configuration file at each SIGHUP until ctx ends. It logs an invalid configuration and keeps the
+// previous one.
 func reload(ctx context.Context, reloadSignals <-chan os.Signal, instance *sidecar.Sidecar) {
 	for {
 		select {
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -17,10 +17,10 @@
 	"milldeck/internal/faultsoak/shim"
 )
 
-// The test binary runs as the program where the first variable is set. The second makes it send itself signals at its end.
+// Environment variables that change what the test binary does if they are set.
 const (
-	runAsProgram = "SIDECAR_TEST_AS_PROGRAM"
-	lastSignals  = "SIDECAR_TEST_LAST_SIGNALS"
+	runAsProgram = "SIDECAR_TEST_AS_PROGRAM"   // run as the sidecar
+	lastSignals  = "SIDECAR_TEST_LAST_SIGNALS" // as the sidecar: signal itself after main has returned
 )
 
 func TestMain(m *testing.M) {
@@ -33,7 +33,7 @@
 	if os.Getenv(runAsProgram) != "" {
 		main()
 		if os.Getenv(lastSignals) != "" {
-			runtime.LockOSThread() // signals to this thread arrive at once
+			runtime.LockOSThread() // a signal to the calling thread arrives at once
 			for _, sig := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
 				_, _, errno := syscall.RawSyscall(syscall.SYS_TGKILL, uintptr(os.Getpid()), uintptr(syscall.Gettid()), uintptr(sig))
 				if errno != 0 {
@@ -54,7 +54,7 @@
 	}
 	command := exec.CommandContext(t.Context(), os.Args[0])
 	command.Env = append(os.Environ(), runAsProgram+"=1",
-		"GORACE=atexit_sleep_ms=0", // without the race detector's pause of 1 s at the exit
+		"GORACE=atexit_sleep_ms=0", // no 1 s pause of the race detector at the exit
 		"NODE_CONFIG="+path)
 	log := &bytes.Buffer{}
 	command.Stderr = log
@@ -76,7 +76,7 @@
 	err := command.Run()
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.ExitCode() != 1 {
-		t.Errorf("ended with %v, want status 1", err)
+		t.Errorf("exited with %v, want status 1", err)
 	}
 	if text := log.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, "no classes") {
 		t.Errorf("logged %q, want one line that names the classes", text)
@@ -96,14 +96,14 @@
 	}
 }
 
-// startProgram runs the program until its log names the address where it listens.
+// startProgram starts the program and waits until its log names the listen address.
 func startProgram(t *testing.T, config string) (command *exec.Cmd, lines *bufio.Scanner, address string) {
 	t.Helper()
 	command, _ = newProgram(t, config)
 	return awaitListening(t, command)
 }
 
-// awaitListening is startProgram for a program that the test has prepared.
+// awaitListening starts a prepared command and waits until its log names the listen address.
 func awaitListening(t *testing.T, command *exec.Cmd) (_ *exec.Cmd, lines *bufio.Scanner, address string) {
 	t.Helper()
 	lines = startWithLog(t, command)
@@ -113,7 +113,7 @@
 	return command, lines, address
 }
 
-// startWithLog starts a program and returns its log.
+// startWithLog starts a program and returns the lines of its log.
 func startWithLog(t *testing.T, command *exec.Cmd) *bufio.Scanner {
 	t.Helper()
 	command.Stderr = nil
@@ -127,7 +127,7 @@
 	return bufio.NewScanner(log)
 }
 
-// awaitLogLine reads the log up to a line with a marker, and returns that line and what follows the marker in it.
+// awaitLogLine reads the log up to a line that contains marker. It returns the line and its text after the marker.
 func awaitLogLine(t *testing.T, lines *bufio.Scanner, marker string) (line, after string) {
 	t.Helper()
 	for lines.Scan() {
@@ -139,17 +139,17 @@
 	return "", ""
 }
 
-// terminate ends the program in order. It must not have run out of descriptors.
+// terminate stops the program and fails the test if the log says that the program ran out of descriptors.
 func terminate(t *testing.T, command *exec.Cmd, lines *bufio.Scanner) {
 	t.Helper()
 	stop(t, command, lines, func(line string) {
 		if strings.Contains(line, "too many open files") {
-			t.Error("it ran out of descriptors")
+			t.Error("the sidecar ran out of descriptors")
 		}
 	})
 }
 
-// stop ends the program in order and hands the rest of its log to a check.
+// stop sends SIGTERM, passes the remaining lines of the log to check, and requires exit status 0.
 func stop(t *testing.T, command *exec.Cmd, lines *bufio.Scanner, check func(line string)) {
 	t.Helper()
 	if err := command.Process.Signal(syscall.SIGTERM); err != nil {
@@ -160,7 +160,7 @@
 		check(lines.Text())
 	}
 	if err := command.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("exited with %v", err)
 	}
 }
 
@@ -181,8 +181,8 @@
 	terminate(t, command, lines)
 }
 
-// SIGHUP applies the file's discovery address, even if the environment named another at the start. An invalid file is
-// reported in one line and changes nothing.
+// SIGHUP applies the discovery address of the file, even if the environment set another one at the start. The sidecar
+// logs an invalid file in one line and keeps its configuration.
 func TestReloadOnSIGHUP(t *testing.T) {
 	t.Setenv("NODE_DISCOVERY", "127.0.0.1:2")
 	command, lines, _ := startProgram(t, config)
--- a/cmd/sidecar/outage_test.go
+++ b/cmd/sidecar/outage_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// resetConn resets a connection, as the end of its process does.
+// resetConn resets a connection, as if the process at this end had exited.
 func resetConn(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.(*net.TCPConn).SetLinger(0); err != nil {
@@ -24,7 +24,7 @@
 	conn.Close()
 }
 
-// answerAll answers every call from now on with the same text, also those that wait already.
+// answerAll answers all later calls, and those that are waiting, with the same text.
 func (registry *fakeRegistry) answerAll(t *testing.T, text string) {
 	done := make(chan struct{})
 	var work sync.WaitGroup
@@ -41,8 +41,8 @@
 	t.Cleanup(func() { close(done); work.Wait() })
 }
 
-// fillWithClients connects more clients than the sidecar has capacity for: every other one sends a request, gets its
-// response and stays idle, the others send nothing.
+// fillWithClients connects more clients than the sidecar has capacity for. Every other client sends a request, reads the
+// response and stays idle; the others send nothing.
 func (rig *sidecarRig) fillWithClients() {
 	rig.t.Helper()
 	for i := range 300 {
@@ -70,20 +70,20 @@
 	rig.t.Logf("%d descriptors are open", len(open))
 }
 
-// Discovery resets the watch, resets calls for a while, and is back with a drain: requests to that server end within
-// the grace period after PROTOCOL counts the drain as known, also in a large fleet, and also while idle clients use
-// all descriptors. Then SIGHUP is followed, and SIGTERM ends the program in time.
+// Discovery resets the watch and the next calls, and then reports a drain. Requests to the draining server must end within
+// the grace period after PROTOCOL counts the drain as known, in a large fleet and even while idle clients use all
+// descriptors. Afterwards the sidecar must apply a SIGHUP, and exit in time after SIGTERM.
 func TestDiscoveryOutage(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
 		for _, crowded := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, crowded %v", mode, crowded), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, many clients %v", mode, crowded), func(t *testing.T) {
 				t.Parallel()
 				fillWithClients, sockets := func() {}, 0
 				if crowded {
 					sockets = 128
 				}
 				rig := startRigWith(t, rigOptions{discoveryMode: mode, sidecars: 80, sockets: sockets})
-				rig.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}} // each request is from a new client
+				rig.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}} // a new connection for each request
 				if crowded {
 					fillWithClients = rig.fillWithClients
 				}
@@ -109,15 +109,15 @@
 				fillWithClients()
 				terminatedAt := time.Now()
 				rig.terminate()
-				if elapsed := time.Since(terminatedAt); elapsed >= 3700*time.Millisecond { // when SIGKILL may come
-					t.Errorf("it ends %v after SIGTERM", elapsed)
+				if elapsed := time.Since(terminatedAt); elapsed >= 3700*time.Millisecond { // SIGKILL may follow then
+					t.Errorf("the sidecar exited %v after SIGTERM", elapsed)
 				}
 			})
 		}
 	}
 }
 
-// Readiness does not wait for discovery.
+// The sidecar becomes ready without an answer from discovery.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	silent := newFakeRegistry(t)
 	for _, address := range []string{"127.0.0.1:1", silent.Addr().String()} {
@@ -140,7 +140,8 @@
 	}
 }
 
-// A signal that arrives while the configuration is read, here from a pipe, is obeyed once the sidecar is ready.
+// A signal that arrives while the sidecar reads its configuration, here from a pipe, takes effect once the sidecar is
+// ready.
 func TestSignalsDuringStart(t *testing.T) {
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP} {
 		t.Run(sig.String(), func(t *testing.T) {
@@ -167,7 +168,7 @@
 			}
 			awaitLogLine(t, lines, "drained")
 			if err := command.Wait(); err != nil {
-				t.Errorf("ended with %v", err)
+				t.Errorf("exited with %v", err)
 			}
 		})
 	}
@@ -176,7 +177,7 @@
 // configPipe is a named pipe in place of a program's configuration file.
 type configPipe struct {
 	path    string
-	written chan error // one for each write
+	written chan error // the result of each write
 }
 
 func newConfigPipe(t *testing.T, command *exec.Cmd) *configPipe {
@@ -191,7 +192,7 @@
 	return &configPipe{path: path, written: make(chan error, 1)}
 }
 
-// write blocks until the program reads, calls before, and writes a configuration.
+// write waits until the program opens the pipe, calls before, and then writes a configuration.
 func (pipe *configPipe) write(text string, before func() error) {
 	file, err := os.OpenFile(pipe.path, os.O_WRONLY, 0)
 	if err == nil {
@@ -202,8 +203,8 @@
 	pipe.written <- err
 }
 
-// A further signal during the drain, or at the last moment of the process, has no effect: the request in flight is
-// answered, and the program ends with status 0.
+// Another signal during the drain, or just before the process exits, has no effect: the sidecar answers the request in
+// flight and exits with status 0.
 func TestSignalsDuringDrain(t *testing.T) {
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP} {
 		t.Run(sig.String(), func(t *testing.T) {
@@ -236,7 +237,7 @@
 			}
 			awaitLogLine(t, lines, "drained")
 			if err := command.Wait(); err != nil {
-				t.Errorf("ended with %v", err)
+				t.Errorf("exited with %v", err)
 			}
 		})
 	}
--- a/cmd/sidecar/system_call_test.go
+++ b/cmd/sidecar/system_call_test.go
@@ -17,11 +17,12 @@
 	"milldeck/internal/faultsoak/shim"
 )
 
-// launchVariable makes the test binary execute itself as the program under the shim.
+// launchVariable is an environment variable that makes the test binary execute itself as the sidecar under the shim.
 const launchVariable = "SIDECAR_TEST_UNDER_SHIM"
 
-// startUnderShim runs the program, whose system calls the test can fail, until its log names the address where it listens.
-// Rules that are in force from its first call on may be given. The returned function ends it in order.
+// startUnderShim starts the program under the shim, which lets the test fail the program's system calls, and waits until
+// its log names the listen address. The given rules apply from the first system call. The returned function stops the
+// program and fails the test if the log reports a violated invariant.
 func startUnderShim(t *testing.T, rig *shimRig, rules ...shim.Rule) (end func()) {
 	t.Helper()
 	pipes, err := shim.NewPipes()
@@ -67,10 +68,10 @@
 		t.Fatal(err)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(w, "done") // fails only if the sidecar has gone
+		_, _ = io.WriteString(w, "done") // fails only if the sidecar has closed the connection
 	})}
-	go func() { _ = server.Serve(listener) }() // ends with the test
-	t.Cleanup(func() { _ = server.Close() })   // the test is over
+	go func() { _ = server.Serve(listener) }() // returns at the end of the test
+	t.Cleanup(func() { _ = server.Close() })   // an error no longer matters
 	return &shimRig{config: fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
 		"known":{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":%q,"state":"Ready","capacity_hint":1}]},
 		"settings":{"classes":[{"name":"c","effect":"non_idempotent","on_time_ms":500,"hard_limit_ms":1500}],
@@ -107,13 +108,15 @@
 	return conn
 }
 
-// The errors that accept(2) and socket(2) document as passing, with those of the network that accept passes on.
+// The errors that accept(2) and socket(2) document as transient, and the network errors that accept reports for a new
+// connection.
 var passingAcceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM,
 	syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH,
 }
 
-// An error of a system call that passes ends neither the process nor a request: those that wait are served when it is over.
+// A transient error of a system call ends neither the process nor a request: the sidecar serves waiting requests once the
+// error is over.
 func TestPassingErrorsOfSystemCalls(t *testing.T) {
 	const failsFor = 300 * time.Millisecond
 	for _, errno := range passingAcceptErrors {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads the TOML files of the operators' command. Reading is strict: an unknown key or a value of the wrong
-// type is an error that names file, line and key, and later checks of the values can report in the same way. It defines
-// no file's contents: each command has its own.
+// Package config reads the TOML files of command milldeck. Decoding is strict: an unknown key or a value of the wrong type
+// is an error that names the file, the line and the key. Callers report an invalid value in the same form with File.Errorf.
+// The package does not define the keys of any file; each caller passes a struct of its own.
 package config
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxFileBytes bounds what is read; a file that is written by hand is far smaller.
+// maxFileBytes limits the size of a file. Files that are written by hand are far smaller.
 const maxFileBytes = 4 << 20
 
-// Error is an error in a file.
+// Error is an error in a configuration file.
 type Error struct {
-	File string // its path
-	Line int    // from 1; 0 if it is not known
-	Key  string // dotted, as "class[1].aim_ms"; "" if the error is not of a key
+	File string // path
+	Line int    // counted from 1; 0 if unknown
+	Key  string // dotted, such as "class[1].aim_ms"; "" if the error concerns no key
 	Err  error
 }
 
@@ -41,26 +41,26 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// File is a file that was read. It remembers the lines of its keys, so that later checks can name them.
+// File holds the lines of the keys of a parsed file, so that later checks can name a line in their errors.
 type File struct {
 	Path  string
 	lines map[string]int
 }
 
-// Load reads the file at path into v, a pointer to a struct with toml tags. Any error is an *Error, also that of a
-// key that v has no field for.
+// Load decodes the file at path into v, a pointer to a struct with toml tags. A key without a field in v is an error. Every
+// error is an *Error.
 func Load(path string, v any) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &Error{File: path, Err: errors.Unwrap(err)} // the *fs.PathError around it names the path again
+		return nil, &Error{File: path, Err: errors.Unwrap(err)} // the outer *fs.PathError would repeat the path
 	}
 	return Parse(path, data, v)
 }
 
-// Parse is Load for data that has been read already; path names it in errors.
+// Parse is Load for the contents of a file. Errors name path as the file.
 func Parse(path string, data []byte, v any) (*File, error) {
 	if len(data) > maxFileBytes {
-		return nil, &Error{File: path, Err: fmt.Errorf("%d bytes, at most %d are read", len(data), maxFileBytes)}
+		return nil, &Error{File: path, Err: fmt.Errorf("file has %d bytes; the limit is %d", len(data), maxFileBytes)}
 	}
 	f := &File{Path: path, lines: keyLines(data)}
 	err := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().EnableUnmarshalerInterface().Decode(v)
@@ -75,7 +75,7 @@
 		return nil, &Error{path, line, strings.Join(first.Key(), "."), errors.New("unknown key")}
 	case errors.As(err, &decodeErr):
 		line, _ := decodeErr.Position()
-		// The prefix says nothing beside file and line.
+		// The prefix adds nothing to the file name and line.
 		message := strings.TrimPrefix(decodeErr.Error(), "toml: ")
 		return nil, &Error{path, line, strings.Join(decodeErr.Key(), "."), errors.New(message)}
 	default:
@@ -83,8 +83,8 @@
 	}
 }
 
-// Errorf returns an *Error at a key as written in the file, such as "rate", "class[1].aim_ms" or "fault[0]". If the key is
-// absent, the line is that of the table that lacks it.
+// Errorf returns an *Error for a key in the form "rate", "class[1].aim_ms" or "fault[0]". If the key is absent, the line is
+// that of the enclosing table.
 func (f *File) Errorf(key, format string, args ...any) error {
 	known := key
 	for known != "" && f.lines[known] == 0 {
@@ -94,8 +94,8 @@
 	return &Error{f.Path, f.lines[known], key, fmt.Errorf(format, args...)}
 }
 
-// keyLines maps each key and table of a document to its line. Array tables carry their index. What cannot be parsed has
-// no lines; decoding reports it.
+// keyLines maps each key and table of a document to its line. The name of an array table ends with its index. keyLines
+// stops at the first expression that it cannot parse, because decoding reports the error.
 func keyLines(data []byte) map[string]int {
 	lines := map[string]int{}
 	counts := map[string]int{}
@@ -123,7 +123,7 @@
 	return lines
 }
 
-// keyOf returns the dotted key of an expression and the line on which it begins.
+// keyOf returns the dotted key of an expression and the line on which the key begins.
 func keyOf(parser *unstable.Parser, expression *unstable.Node) (name string, line int) {
 	var parts []string
 	for key := expression.Key(); key.Next(); {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -22,7 +22,7 @@
 		{"unknown key", "name = \"x\"\nrat = 3\n", "f.toml:2: rat: unknown key"},
 		{"unknown key in a table", "[inner]\ndepht = 3\n", "f.toml:2: inner.depht: unknown key"},
 		{"wrong type", "name = \"x\"\n\nrate = \"fast\"\n", "f.toml:3: "},
-		{"no TOML", "name = \n", "f.toml:1: "},
+		{"not TOML", "name = \n", "f.toml:1: "},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := Parse("f.toml", []byte(test.text), &sample{})
@@ -45,7 +45,7 @@
 	for key, want := range map[string]string{
 		"inner.depth":  "f.toml:4: inner.depth: bad",
 		"part[1].kind": "f.toml:10: part[1].kind: bad",
-		"part[1].size": "f.toml:9: part[1].size: bad", // absent: its table's line
+		"part[1].size": "f.toml:9: part[1].size: bad", // absent key: the line of its table
 		"rate":         "f.toml: rate: bad",
 	} {
 		if got := f.Errorf(key, "bad").Error(); got != want {
--- a/internal/validation/validation.go
+++ b/internal/validation/validation.go
@@ -1,12 +1,12 @@
-// Package validation holds the error that says which field of a request or a configuration is invalid. It owns the
-// form of that error, not the rules: each package validates its own types.
+// Package validation provides the error for an invalid field of a request or a configuration. It defines only the form
+// of the error; each package validates its own types.
 package validation
 
 import "fmt"
 
-// Error says which field is invalid and why. Its text is one line, "field: reason".
+// Error reports an invalid field and the reason. Its text is one line, "field: reason".
 type Error struct {
-	Field  string // as a client or an operator writes it, "budget.max_out.share"
+	Field  string // as a client or an operator writes it, such as "budget.max_out.share"
 	Reason string
 }
 
