--- a/cmd/sidecar/discovery_test.go
+++ b/cmd/sidecar/discovery_test.go
@@ -25,7 +25,7 @@
 	addressChangeDeadline = 4*time.Second + drainGracePeriod
 	drainGracePeriod      = 750 * time.Millisecond // drain_grace_ms of the settings below
 
-	listHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
+	listResponseHeader = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
 )
 
 // fakeRegistry is a discovery service. The test answers its calls one by one.
@@ -41,8 +41,8 @@
 		t.Fatal(err)
 	}
 	registry := &fakeRegistry{listener, make(chan net.Conn, 64)}
-	var work sync.WaitGroup
-	work.Go(func() {
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
@@ -54,7 +54,7 @@
 			}
 		}
 	})
-	t.Cleanup(func() { listener.Close(); work.Wait() })
+	t.Cleanup(func() { listener.Close(); goroutines.Wait() })
 	return registry
 }
 
@@ -178,9 +178,9 @@
 // awaitAnswers sends requests until ten consecutive answers match. It fails the test after the deadline.
 func (rig *sidecarRig) awaitAnswers(description string, deadline time.Time, matches func(answer string) bool) {
 	rig.t.Helper()
-	for inARow := 0; inARow < 10; {
-		if inARow++; !matches(rig.request()) {
-			inARow = 0
+	for consecutive := 0; consecutive < 10; {
+		if consecutive++; !matches(rig.request()) {
+			consecutive = 0
 		}
 		if time.Now().After(deadline) {
 			rig.t.Fatalf("%s: the answers do not match by the deadline", description)
@@ -193,7 +193,7 @@
 	rig := startRig(t)
 	defer rig.terminate()
 	watch := rig.registry.nextCall(t)
-	tryWrite(watch, listHead+rig.listJSON(1, true, "Ready", "  "))
+	tryWrite(watch, listResponseHeader+rig.listJSON(1, true, "Ready", "  "))
 	rig.awaitAnswers("the list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
 	tryWrite(watch, "\n"+rig.listJSON(2, false, "Terminating", "\t")+"\n")
 	rig.awaitAnswers("the change", time.Now().Add(testTimeout), func(answer string) bool { return answer == "1" })
@@ -219,19 +219,19 @@
 		"in the middle of a line":   `{"rev":2,"all":false,"tar`,
 		"inside an indented object": "{\n \"rev\": 2,\n",
 	} {
-		for _, secondResponse := range []string{"", listHead} {
+		for _, secondResponse := range []string{"", listResponseHeader} {
 			t.Run(fmt.Sprintf("%s, then after %d bytes", name, len(secondResponse)), func(t *testing.T) {
 				t.Parallel()
 				rig := startRig(t)
 				defer rig.terminate()
 				watch := rig.registry.nextCall(t)
-				tryWrite(watch, listHead+rig.listJSON(1, true, "Ready", ""))
+				tryWrite(watch, listResponseHeader+rig.listJSON(1, true, "Ready", ""))
 				rig.awaitAnswers("the list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
 				tryWrite(watch, "\n")
 				silentFrom := time.Now()
 				tryWrite(watch, partialLine)
 				tryWrite(rig.registry.nextCall(t), secondResponse)
-				tryWrite(rig.registry.nextCall(t), listHead+rig.listJSON(2, false, "Terminating", ""))
+				tryWrite(rig.registry.nextCall(t), listResponseHeader+rig.listJSON(2, false, "Terminating", ""))
 				rig.awaitAnswers("the drain", silentFrom.Add(notificationDeadline), func(answer string) bool { return answer == "1" })
 			})
 		}
@@ -243,12 +243,12 @@
 func TestDrainAnnouncedAfterSilentAddressChange(t *testing.T) {
 	rig := startRig(t)
 	defer rig.terminate()
-	tryWrite(rig.registry.nextCall(t), listHead+rig.listJSON(1, true, "Ready", ""))
+	tryWrite(rig.registry.nextCall(t), listResponseHeader+rig.listJSON(1, true, "Ready", ""))
 	rig.awaitAnswers("the list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
 	next := newFakeRegistry(t)
 	rig.reloadDiscovery(next.Addr().String())
 	changedAt := time.Now()
 	next.nextCall(t)
-	tryWrite(next.nextCall(t), listHead+rig.listJSON(1, true, "Terminating", strings.Repeat(" ", 2)))
+	tryWrite(next.nextCall(t), listResponseHeader+rig.listJSON(1, true, "Terminating", strings.Repeat(" ", 2)))
 	rig.awaitAnswers("the drain", changedAt.Add(addressChangeDeadline), func(answer string) bool { return answer == "1" })
 }
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -19,20 +19,20 @@
 
 // Environment variables that change what the test binary does if they are set.
 const (
-	runAsProgram = "SIDECAR_TEST_AS_PROGRAM"   // run as the sidecar
-	lastSignals  = "SIDECAR_TEST_LAST_SIGNALS" // as the sidecar: signal itself after main has returned
+	runAsSidecarVariable = "SIDECAR_TEST_AS_PROGRAM"   // run as the sidecar
+	signalAtExitVariable = "SIDECAR_TEST_LAST_SIGNALS" // as the sidecar: signal itself after main has returned
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(launchVariable) != "" {
-		if err := os.Unsetenv(launchVariable); err != nil {
+	if os.Getenv(underShimVariable) != "" {
+		if err := os.Unsetenv(underShimVariable); err != nil {
 			panic(err)
 		}
 		panic(shim.Exec(os.Args[0], nil, os.Environ(), shim.NotifyDescriptor, shim.ReleaseDescriptor))
 	}
-	if os.Getenv(runAsProgram) != "" {
+	if os.Getenv(runAsSidecarVariable) != "" {
 		main()
-		if os.Getenv(lastSignals) != "" {
+		if os.Getenv(signalAtExitVariable) != "" {
 			runtime.LockOSThread() // a signal to the calling thread arrives at once
 			for _, sig := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
 				_, _, errno := syscall.RawSyscall(syscall.SYS_TGKILL, uintptr(os.Getpid()), uintptr(syscall.Gettid()), uintptr(sig))
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	command := exec.CommandContext(t.Context(), os.Args[0])
-	command.Env = append(os.Environ(), runAsProgram+"=1",
+	command.Env = append(os.Environ(), runAsSidecarVariable+"=1",
 		"GORACE=atexit_sleep_ms=0", // no 1 s pause of the race detector at the exit
 		"NODE_CONFIG="+path)
 	log := &bytes.Buffer{}
--- a/cmd/sidecar/outage_test.go
+++ b/cmd/sidecar/outage_test.go
@@ -27,8 +27,8 @@
 // answerAll answers all later calls, and those that are waiting, with the same text.
 func (registry *fakeRegistry) answerAll(t *testing.T, text string) {
 	done := make(chan struct{})
-	var work sync.WaitGroup
-	work.Go(func() {
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() {
 		for {
 			select {
 			case conn := <-registry.calls:
@@ -38,7 +38,7 @@
 			}
 		}
 	})
-	t.Cleanup(func() { close(done); work.Wait() })
+	t.Cleanup(func() { close(done); goroutines.Wait() })
 }
 
 // fillWithClients connects more clients than the sidecar has capacity for. Every other client sends a request, reads the
@@ -75,27 +75,27 @@
 // descriptors. Afterwards the sidecar must apply a SIGHUP, and exit in time after SIGTERM.
 func TestDiscoveryOutage(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
-		for _, crowded := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, many clients %v", mode, crowded), func(t *testing.T) {
+		for _, manyClients := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, many clients %v", mode, manyClients), func(t *testing.T) {
 				t.Parallel()
 				fillWithClients, sockets := func() {}, 0
-				if crowded {
+				if manyClients {
 					sockets = 128
 				}
 				rig := startRigWith(t, rigOptions{discoveryMode: mode, sidecars: 80, sockets: sockets})
 				rig.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}} // a new connection for each request
-				if crowded {
+				if manyClients {
 					fillWithClients = rig.fillWithClients
 				}
 				watch := rig.registry.nextCall(t)
-				tryWrite(watch, listHead+rig.listJSON(1, true, "Ready", ""))
+				tryWrite(watch, listResponseHeader+rig.listJSON(1, true, "Ready", ""))
 				rig.awaitAnswers("the list", time.Now().Add(testTimeout), func(answer string) bool { return answer != "" })
 				resetConn(t, watch)
 				fillWithClients()
 				resetConn(t, rig.registry.nextCall(t))
 				resetConn(t, rig.registry.nextCall(t))
 				availableFrom := time.Now()
-				rig.registry.answerAll(t, listHead+rig.listJSON(2, false, "Terminating", ""))
+				rig.registry.answerAll(t, listResponseHeader+rig.listJSON(2, false, "Terminating", ""))
 				rig.awaitAnswers("the drain", availableFrom.Add(notificationDeadline), func(answer string) bool { return answer == "1" })
 
 				fillWithClients()
@@ -103,7 +103,7 @@
 				rig.drainingIndex = 1
 				rig.reloadDiscovery(next.Addr().String())
 				reloadedAt := time.Now()
-				next.answerAll(t, listHead+rig.listJSON(1, true, "Terminating", ""))
+				next.answerAll(t, listResponseHeader+rig.listJSON(1, true, "Terminating", ""))
 				rig.awaitAnswers("the address change", reloadedAt.Add(addressChangeDeadline), func(answer string) bool { return answer == "0" })
 
 				fillWithClients()
@@ -192,11 +192,11 @@
 	return &configPipe{path: path, written: make(chan error, 1)}
 }
 
-// write waits until the program opens the pipe, calls before, and then writes a configuration.
-func (pipe *configPipe) write(text string, before func() error) {
+// write waits until the program opens the pipe, calls beforeWrite, and then writes a configuration.
+func (pipe *configPipe) write(text string, beforeWrite func() error) {
 	file, err := os.OpenFile(pipe.path, os.O_WRONLY, 0)
 	if err == nil {
-		err = before()
+		err = beforeWrite()
 		tryWrite(file, text)
 		file.Close()
 	}
@@ -218,7 +218,7 @@
 			command, _ := newProgram(t, strings.NewReplacer(`"seed"`, fmt.Sprintf(`"known":{"rev":1,"all":true,"targets":[
 				{"uid":"s0","endpoint":%q,"state":"Ready","capacity_hint":1}]},"seed"`, server.Listener.Addr()),
 				"50", "1500", "100", "2000").Replace(config))
-			command.Env = append(command.Env, lastSignals+"=1")
+			command.Env = append(command.Env, signalAtExitVariable+"=1")
 			command, lines, address := awaitListening(t, command)
 			rig := &sidecarRig{t: t, address: address, client: &http.Client{}}
 			answer := make(chan string, 1)
--- a/cmd/sidecar/system_call_test.go
+++ b/cmd/sidecar/system_call_test.go
@@ -17,8 +17,8 @@
 	"milldeck/internal/faultsoak/shim"
 )
 
-// launchVariable is an environment variable that makes the test binary execute itself as the sidecar under the shim.
-const launchVariable = "SIDECAR_TEST_UNDER_SHIM"
+// underShimVariable is an environment variable that makes the test binary execute itself as the sidecar under the shim.
+const underShimVariable = "SIDECAR_TEST_UNDER_SHIM"
 
 // startUnderShim starts the program under the shim, which lets the test fail the program's system calls, and waits until
 // its log names the listen address. The given rules apply from the first system call. The returned function stops the
@@ -31,7 +31,7 @@
 	}
 	defer pipes.Close()
 	command, _ := newProgram(t, rig.config)
-	command.Env = append(command.Env, launchVariable+"=1")
+	command.Env = append(command.Env, underShimVariable+"=1")
 	command.ExtraFiles = []*os.File{pipes.ChildNotify, pipes.ChildRelease}
 	rig.lines = startWithLog(t, command)
 	pipes.ChildNotify.Close()
@@ -110,7 +110,7 @@
 
 // The errors that accept(2) and socket(2) document as transient, and the network errors that accept reports for a new
 // connection.
-var passingAcceptErrors = []syscall.Errno{
+var transientAcceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM,
 	syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH,
 }
@@ -119,13 +119,13 @@
 // error is over.
 func TestPassingErrorsOfSystemCalls(t *testing.T) {
 	const failsFor = 300 * time.Millisecond
-	for _, errno := range passingAcceptErrors {
+	for _, errno := range transientAcceptErrors {
 		t.Run("accept "+unix.ErrnoName(errno), func(t *testing.T) {
 			t.Parallel()
 			rig := newShimRig(t)
 			defer startUnderShim(t, rig)()
-			open := rig.dial(t)
-			if got := rig.request(t, open); got != http.StatusOK {
+			openConn := rig.dial(t)
+			if got := rig.request(t, openConn); got != http.StatusOK {
 				t.Fatalf("before the fault: %d", got)
 			}
 			begin := time.Now()
@@ -136,7 +136,7 @@
 			if elapsed := time.Since(begin); elapsed > 2*failsFor {
 				t.Errorf("answered after %v, though accept failed for %v only", elapsed, failsFor)
 			}
-			if got := rig.request(t, open); got != http.StatusOK {
+			if got := rig.request(t, openConn); got != http.StatusOK {
 				t.Errorf("on an open connection: %d", got)
 			}
 		})
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -169,14 +169,14 @@
 	notStarted.addFrame(1000, request(4, 1))
 	infiniteClock := &frameBuilder{}
 	infiniteClock.addFrame(math.Inf(1))
-	whole := &frameBuilder{}
-	whole.addFrame(1000, serverTable(1))
+	validFrame := &frameBuilder{}
+	validFrame.addFrame(1000, serverTable(1))
 	for name, input := range map[string][]byte{
 		"instance not started":   notStarted.Bytes(),
 		"infinite clock":         infiniteClock.Bytes(),
-		"truncated header":       whole.Bytes()[:7],
-		"frame without its body": whole.Bytes()[:16],
-		"truncated frame":        whole.Bytes()[:20],
+		"truncated header":       validFrame.Bytes()[:7],
+		"frame without its body": validFrame.Bytes()[:16],
+		"truncated frame":        validFrame.Bytes()[:20],
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -86,12 +86,12 @@
 // Errorf returns an *Error for a key in the form "rate", "class[1].aim_ms" or "fault[0]". If the key is absent, the line is
 // that of the enclosing table.
 func (f *File) Errorf(key, format string, args ...any) error {
-	known := key
-	for known != "" && f.lines[known] == 0 {
-		parent := strings.LastIndexAny(known, ".[")
-		known = known[:max(parent, 0)]
+	nearest := key
+	for nearest != "" && f.lines[nearest] == 0 {
+		separator := strings.LastIndexAny(nearest, ".[")
+		nearest = nearest[:max(separator, 0)]
 	}
-	return &Error{f.Path, f.lines[known], key, fmt.Errorf(format, args...)}
+	return &Error{f.Path, f.lines[nearest], key, fmt.Errorf(format, args...)}
 }
 
 // keyLines maps each key and table of a document to its line. The name of an array table ends with its index. keyLines
