--- a/cmd/simadapter/fixtures_test.go
+++ b/cmd/simadapter/fixtures_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// update has the fixture test write its golden files anew in place of comparing with them.
+// update makes the fixture test rewrite its golden files before it compares with them.
 var update = flag.Bool("update", false, "write the golden files under testdata")
 
 const sessionSettings = `{"classes": [
@@ -21,44 +21,44 @@
 	"rules": {"ask_within_ms": 10000, "cold_from": 0.2, "cold_ms": 20000, "fall_ms": 1000, "fall_multiple": 2.5, "drain_grace_ms": 2000},
 	"family_info": {"warm_keys": true}, "penalties": {"peer": 0.06}}`
 
-// sessionFrames builds a session with two instances: requests whose attempts end in many ways, timers, a message, a
-// changed server table, an instance that is killed and started again. The result of an attempt follows from its request, and
-// the outcomes of what a reply sends come in the next frame.
+// sessionFrames encodes a session of two instances: requests whose attempts have many results, timers, gossip messages,
+// failed endpoint updates, a changed server table, and an instance that is killed and restarted. The result of an attempt
+// depends only on its number and the request ID. Each frame has the outcomes of the attempts that the previous reply sent.
 func sessionFrames(t *testing.T) []byte {
 	var input []byte
 	results := []uint16{0, 0, 0, 0, 0, 0, 8, 13, 14, 10}
-	ended := map[[2]uint64]int{} // attempts of a request of an instance
-	var due [][]byte
-	send := func(clock float64, records ...[]byte) {
-		s := &frameScript{}
-		s.frame(clock, records...)
+	attemptCounts := map[[2]uint64]int{} // attempts by instance and request ID
+	var outcomes [][]byte                // outcome records for the next frame
+	runFrame := func(clock float64, records ...[]byte) {
+		s := &frameBuilder{}
+		s.addFrame(clock, records...)
 		input = append(input, s.Bytes()...)
 		var out bytes.Buffer
 		if err := run(bytes.NewReader(input), &out); err != nil {
 			t.Fatal(err)
 		}
-		due = due[:0]
+		outcomes = outcomes[:0]
 		for _, a := range lastReply(out.Bytes()) {
 			if binary.BigEndian.Uint16(a) != actionSend {
 				continue
 			}
 			instance, id := binary.BigEndian.Uint16(a[2:]), binary.BigEndian.Uint64(a[4:])
-			attempt := ended[[2]uint64{uint64(instance), id}]
-			ended[[2]uint64{uint64(instance), id}]++
+			attempt := attemptCounts[[2]uint64{uint64(instance), id}]
+			attemptCounts[[2]uint64{uint64(instance), id}]++
 			result := results[(int(id)*7+attempt*3)%len(results)]
 			done := uint8(0)
 			if result == 0 {
 				done = 1
 			}
-			due = append(due, record(recordOutcome, instance, id, uint8(attempt), a[20:26], result, 10.5+float64(id%7),
+			outcomes = append(outcomes, record(recordOutcome, instance, id, uint8(attempt), a[20:26], result, 10.5+float64(id%7),
 				done, uint8(0)))
 		}
 	}
-	send(1000, startInstance(1, 7, sessionSettings), startInstance(2, 8, sessionSettings), serverTable(20),
+	runFrame(1000, startInstance(1, 7, sessionSettings), startInstance(2, 8, sessionSettings), serverTable(20),
 		cachedUpdate(1), cachedUpdate(2))
 	for id := uint64(1); id <= 150; id++ {
 		clock := 1000 + 12*float64(id)
-		records := append([][]byte(nil), due...)
+		records := append([][]byte(nil), outcomes...)
 		instance := uint16(1 + id%2)
 		records = append(records, record(recordRequest, instance, id, uint16(0), 0.0, uint16(0), id*7919%40, 1000.0,
 			uint16(id%3)))
@@ -73,13 +73,13 @@
 		case id == 90:
 			records = append(records, serverTable(25), record(recordEndpointUpdate, uint16(1), uint8(0), uint32(2), uint16(0)))
 		}
-		send(clock, records...)
+		runFrame(clock, records...)
 	}
-	send(3000, record(recordInstanceKilled, uint16(1)), startInstance(1, 9, sessionSettings), cachedUpdate(1), request(1, 1000))
+	runFrame(3000, record(recordInstanceKilled, uint16(1)), startInstance(1, 9, sessionSettings), cachedUpdate(1), request(1, 1000))
 	return input
 }
 
-// lastReply returns the actions of the last frame of replies.
+// lastReply returns the encoded actions of the last reply frame.
 func lastReply(replies []byte) (actions [][]byte) {
 	var last []byte
 	for len(replies) > 0 {
@@ -113,7 +113,7 @@
 	return actions
 }
 
-// A recorded session gets the recorded replies, byte for byte.
+// The replies to a recorded session equal the recorded replies byte for byte.
 func TestSessionFixture(t *testing.T) {
 	input, output := filepath.Join("testdata", "session.in"), filepath.Join("testdata", "session.out")
 	if *update {
@@ -142,6 +142,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(out.Bytes(), want) {
-		t.Errorf("%d bytes of replies differ from the %d recorded", out.Len(), len(want))
+		t.Errorf("replies of %d bytes differ from the %d recorded bytes", out.Len(), len(want))
 	}
 }
--- a/internal/wire/fixtures_test.go
+++ b/internal/wire/fixtures_test.go
@@ -13,11 +13,11 @@
 	"milldeck/balance"
 )
 
-// update has the fixture tests write their golden files anew in place of comparing with them.
+// update makes the fixture tests rewrite their golden files before they compare with them.
 var update = flag.Bool("update", false, "write the golden files under testdata")
 
-// golden returns what a file of testdata holds. It stores data there first where the golden files are updated.
-func golden(t *testing.T, name string, data []byte) []byte {
+// goldenFile returns the contents of a file in testdata. With -update, it writes data to the file first.
+func goldenFile(t *testing.T, name string, data []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -35,10 +35,10 @@
 	return stored
 }
 
-// frames builds frames as the simulator sends them.
-type frames struct{ out []byte }
+// frameBuilder encodes frames as the simulator sends them.
+type frameBuilder struct{ out []byte }
 
-func (f *frames) frame(clock float64, records ...[]byte) {
+func (f *frameBuilder) addFrame(clock float64, records ...[]byte) {
 	body := bytes.Join(records, nil)
 	f.out = binary.BigEndian.AppendUint32(f.out, uint32(len(records)))
 	f.out = binary.BigEndian.AppendUint32(f.out, uint32(16+len(body)))
@@ -46,8 +46,8 @@
 	f.out = append(f.out, body...)
 }
 
-// packed writes values big-endian, a server as four bytes of address and two of port.
-func packed(values ...any) []byte {
+// encode encodes values big-endian. A server ID has four bytes of address and two bytes of port.
+func encode(values ...any) []byte {
 	var b bytes.Buffer
 	for _, v := range values {
 		switch v := v.(type) {
@@ -70,44 +70,44 @@
 	thirdServer  = balance.ServerID(0x0a9011f22355)
 )
 
-// eventFixtures has every kind of event that the simulator sends, with what it is read as.
+// eventFixtures returns frames with every kind of event that the simulator sends, and the records expected from them.
 func eventFixtures() ([]byte, []Record) {
-	listed := []balance.Server{
+	servers := []balance.Server{
 		{ID: firstServer, RelativeCapacity: 1, Cell: 300, Zone: 2, Kind: 3},
 		{ID: secondServer, StartedAt: 6100, State: balance.Draining, RelativeCapacity: 1.5, Zone: 1},
 		{ID: thirdServer, StartedAt: 0, State: balance.Removed, RelativeCapacity: 0.25},
 	}
 	var want []Record
-	f := &frames{}
-	add := func(clock float64, instance uint16, record []byte, event balance.Event) {
-		f.frame(clock, record)
+	f := &frameBuilder{}
+	addEvent := func(clock float64, instance uint16, record []byte, event balance.Event) {
+		f.addFrame(clock, record)
 		want = append(want, Record{Instance: instance, Event: event})
 	}
 	settings := `{"classes": []}`
-	f.frame(1000, packed(uint16(1070), uint16(3), uint64(0x8c1f30d27a5be964), uint32(len(settings)), settings))
+	f.addFrame(1000, encode(uint16(1070), uint16(3), uint64(0x8c1f30d27a5be964), uint32(len(settings)), settings))
 	want = append(want, Record{Instance: 3, Started: &InstanceStarted{Seed: 0x8c1f30d27a5be964, Settings: []byte(settings)}})
-	f.frame(1000, packed(uint16(1000), uint16(2), uint32(3),
+	f.addFrame(1000, encode(uint16(1000), uint16(2), uint32(3),
 		0.0, uint8(0), firstServer, float32(1), uint16(300), uint8(2), uint8(3),
 		6100.0, uint8(2), secondServer, float32(1.5), uint16(0), uint8(1), uint8(0),
 		math.Inf(1), uint8(1), thirdServer, float32(0.25), uint16(0), uint8(0), uint8(0)))
-	add(1001, 3, packed(uint16(1040), uint16(3), uint8(0), uint32(41), uint16(2)),
-		balance.EndpointUpdate{Kind: balance.UpdateFull, Servers: listed})
-	add(1001, 4, packed(uint16(1040), uint16(4), uint8(1), uint32(41), uint16(2)),
-		balance.EndpointUpdate{Kind: balance.UpdateCached, Servers: listed})
-	add(1002, 4, packed(uint16(1040), uint16(4), uint8(3), uint32(42), uint16(2)),
-		balance.EndpointUpdate{Kind: balance.UpdateDelta, Servers: listed})
-	add(1003, 4, packed(uint16(1040), uint16(4), uint8(2), uint32(0), uint16(9)),
+	addEvent(1001, 3, encode(uint16(1040), uint16(3), uint8(0), uint32(41), uint16(2)),
+		balance.EndpointUpdate{Kind: balance.UpdateFull, Servers: servers})
+	addEvent(1001, 4, encode(uint16(1040), uint16(4), uint8(1), uint32(41), uint16(2)),
+		balance.EndpointUpdate{Kind: balance.UpdateCached, Servers: servers})
+	addEvent(1002, 4, encode(uint16(1040), uint16(4), uint8(3), uint32(42), uint16(2)),
+		balance.EndpointUpdate{Kind: balance.UpdateDelta, Servers: servers})
+	addEvent(1003, 4, encode(uint16(1040), uint16(4), uint8(2), uint32(0), uint16(9)),
 		balance.EndpointUpdate{Kind: balance.UpdateFailed})
-	add(1004, 3, packed(uint16(1010), uint16(3), uint64(77), uint16(2), 12.5, uint16(7), uint64(0x91f03b7c55d20a64),
+	addEvent(1004, 3, encode(uint16(1010), uint16(3), uint64(77), uint16(2), 12.5, uint16(7), uint64(0x91f03b7c55d20a64),
 		240.0, uint16(1)),
 		balance.Request{ID: 77, Class: 1, Tenant: 2, ExpectedWork: 12.5, Key: 0x91f03b7c55d20a64, Timeout: 240,
 			ClientRetry: true, Write: true})
-	add(1004, 3, packed(uint16(1010), uint16(3), uint64(78), uint16(0xffff), 12.5, uint16(0), uint64(0), math.NaN(), uint16(0)),
+	addEvent(1004, 3, encode(uint16(1010), uint16(3), uint64(78), uint16(0xffff), 12.5, uint16(0), uint64(0), math.NaN(), uint16(0)),
 		balance.Request{ID: 78, Tenant: 0xffff})
-	add(1005, 3, packed(uint16(1020), uint16(3), uint64(1<<60)), balance.TimerFired{Token: 1 << 60})
-	add(1006, 3, packed(uint16(1030), uint16(3), uint64(77), uint8(2), firstServer, 18.5),
+	addEvent(1005, 3, encode(uint16(1020), uint16(3), uint64(1<<60)), balance.TimerFired{Token: 1 << 60})
+	addEvent(1006, 3, encode(uint16(1030), uint16(3), uint64(77), uint8(2), firstServer, 18.5),
 		balance.StreamStarted{Request: 77, Attempt: 2, Server: firstServer, Elapsed: 18.5})
-	add(1007, 3, packed(uint16(1050), uint16(3), uint16(12), uint16(4), "\x01\x02\x03\x04"),
+	addEvent(1007, 3, encode(uint16(1050), uint16(3), uint16(12), uint16(4), "\x01\x02\x03\x04"),
 		balance.GossipMessage{From: 12, Data: []byte{1, 2, 3, 4}})
 	for i, r := range []struct {
 		code   uint16
@@ -116,34 +116,35 @@
 		{0, balance.OK}, {1, balance.Cancelled}, {4, balance.TimedOut}, {8, balance.Overloaded}, {9, balance.Obsolete},
 		{10, balance.Reset}, {13, balance.Failed}, {14, balance.ConnectFailed},
 	} {
-		add(1008, 3, packed(uint16(1090), uint16(3), uint64(100+i), uint8(i), secondServer, r.code, 7.25, uint8(i%2),
+		addEvent(1008, 3, encode(uint16(1090), uint16(3), uint64(100+i), uint8(i), secondServer, r.code, 7.25, uint8(i%2),
 			uint8(2), float32(3), float32(0.5)),
 			balance.Outcome{
 				Request: balance.RequestID(100 + i), Attempt: i, Server: secondServer, Result: r.result, Elapsed: 7.25,
 				RequestDone: i%2 == 1, LoadReport: []float32{3, 0.5},
 			})
-		add(1009, 3, packed(uint16(1080), uint16(3), 2.5, r.code, firstServer, uint8(1), float32(math.NaN())),
+		addEvent(1009, 3, encode(uint16(1080), uint16(3), 2.5, r.code, firstServer, uint8(1), float32(math.NaN())),
 			balance.HealthCheckResult{Server: firstServer, Result: r.result, Elapsed: 2.5, LoadReport: []float32{0}})
 	}
-	add(1010, 3, packed(uint16(1100), uint16(3), uint64(77)), balance.ClientDisconnected{Request: 77})
-	f.frame(1011, packed(uint16(1060), uint16(3)))
+	addEvent(1010, 3, encode(uint16(1100), uint16(3), uint64(77)), balance.ClientDisconnected{Request: 77})
+	f.addFrame(1011, encode(uint16(1060), uint16(3)))
 	want = append(want, Record{Instance: 3, Killed: true})
 	return f.out, want
 }
 
-// The simulator's events are read from the bytes that it has always sent, each kind.
+// Guards the simulator's frame format, which must not change: the stored bytes of every kind of event decode to the
+// expected record.
 func TestEventFixtures(t *testing.T) {
 	built, want := eventFixtures()
-	stored := golden(t, "events.bin", built)
+	stored := goldenFile(t, "events.bin", built)
 	if !bytes.Equal(stored, built) {
-		t.Error("the events built here are not those stored")
+		t.Error("the built events differ from the stored ones")
 	}
 	i := 0
 	r := NewReader(bytes.NewReader(stored))
 	for {
 		err := r.Read(func(_ float64, rec Record) error {
 			if i >= len(want) || !reflect.DeepEqual(rec, want[i]) {
-				t.Errorf("record %d: %#v", i, rec)
+				t.Errorf("unexpected record %d: %#v", i, rec)
 			}
 			i++
 			return nil
@@ -157,7 +158,7 @@
 	}
 }
 
-// actionFixtures has every kind of action.
+// actionFixtures returns every kind of action.
 func actionFixtures() []balance.Action {
 	return []balance.Action{
 		{Kind: balance.Send, Request: 0x2978f5d3a91c4, Server: firstServer, Deadline: 8492},
@@ -176,7 +177,7 @@
 	}
 }
 
-// actionReader reads a reply frame as the simulator does.
+// actionReader decodes a reply frame as the simulator does.
 type actionReader struct {
 	frameDecoder
 	t *testing.T
@@ -209,7 +210,7 @@
 	case 1100:
 		a = balance.Action{Kind: balance.WatchEndpoints}
 		if n := r.uint8(); n != 1 {
-			r.t.Errorf("a subscription of %d", n)
+			r.t.Errorf("watch argument %d, want 1", n)
 		}
 	case 1110:
 		a = balance.Action{Kind: balance.FetchEndpoints}
@@ -219,7 +220,8 @@
 	return instance, a
 }
 
-// Every kind of action is written as the bytes that the simulator has always read, and read back as the same.
+// Guards the reply format, which must not change: every kind of action is encoded as the stored bytes, and these decode
+// to the same action.
 func TestActionFixtures(t *testing.T) {
 	var reply Reply
 	reply.Reset()
@@ -230,12 +232,12 @@
 	if _, err := reply.WriteTo(&out); err != nil {
 		t.Fatal(err)
 	}
-	stored := golden(t, "actions.bin", out.Bytes())
+	stored := goldenFile(t, "actions.bin", out.Bytes())
 	if !bytes.Equal(stored, out.Bytes()) {
-		t.Errorf("written as\n%x, want\n%x", out.Bytes(), stored)
+		t.Errorf("encoded as\n%x, want\n%x", out.Bytes(), stored)
 	}
 	if n := binary.BigEndian.Uint32(stored); int(n) != len(stored) {
-		t.Fatalf("a frame of %d bytes says that it has %d", len(stored), n)
+		t.Fatalf("frame of %d bytes has the length field %d", len(stored), n)
 	}
 	r := actionReader{frameDecoder{data: stored[4:]}, t}
 	for i, want := range actionFixtures() {
@@ -244,11 +246,11 @@
 		}
 	}
 	if r.pos != len(r.data) {
-		t.Errorf("%d bytes are left", len(r.data)-r.pos)
+		t.Errorf("%d bytes after the last action", len(r.data)-r.pos)
 	}
 }
 
-// A fault has a code of its own and its text.
+// A fault is encoded as the stored bytes: its own action code and the text.
 func TestFaultFixture(t *testing.T) {
 	var reply Reply
 	reply.Reset()
@@ -257,8 +259,8 @@
 	if _, err := reply.WriteTo(&out); err != nil {
 		t.Fatal(err)
 	}
-	if stored := golden(t, "fault.bin", out.Bytes()); !bytes.Equal(stored, out.Bytes()) {
-		t.Errorf("written as\n%x, want\n%x", out.Bytes(), stored)
+	if stored := goldenFile(t, "fault.bin", out.Bytes()); !bytes.Equal(stored, out.Bytes()) {
+		t.Errorf("encoded as\n%x, want\n%x", out.Bytes(), stored)
 	}
 }
 
@@ -281,7 +283,7 @@
 }
 `
 
-// Every key of the settings reaches the field that it is for, and what is left out has its default.
+// Every key of the settings sets its own field of the Config, and absent keys have their defaults.
 func TestSettingsFixtures(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -317,12 +319,12 @@
 				LatencyObjective: 400, Deadline: 400, PriorityWeight: 1}},
 		}},
 	} {
-		cfg, err := ParseSettings(9, golden(t, name, []byte(c.text)))
+		cfg, err := ParseSettings(9, goldenFile(t, name, []byte(c.text)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(cfg, c.want) {
-			t.Errorf("%s: read as\n%+v, want\n%+v", name, cfg, c.want)
+			t.Errorf("%s: parsed as\n%+v, want\n%+v", name, cfg, c.want)
 		}
 	}
 }
