--- a/internal/disruption/constraint.go
+++ b/internal/disruption/constraint.go
@@ -13,7 +13,7 @@
 	budget      *Budget // nil for a built-in rule
 	neverEmpty  bool    // of a pod group or a zone of servers: one unit has to serve at any moment
 	zoneKind    Kind    // of a zone: the kind of its units; else ""
-	countsZones bool    // it counts the zones of a kind, see zoneSlotsKey
+	isZoneLimit bool    // it counts the zones of a kind, see zoneLimitKey
 
 	total          int // units
 	unavailable    int
@@ -29,9 +29,9 @@
 
 func podGroupKey(group int) string { return fmt.Sprintf("pod/%d", group) }
 
-// zoneSlotsKey is the key of the constraint that counts the zones of a kind: those that have most of their units
+// zoneLimitKey is the key of the constraint that counts the zones of a kind: those that have most of their units
 // unavailable are its unavailable ones. There is one slot for such a zone.
-func zoneSlotsKey(kind Kind) string { return "zones/" + string(kind) }
+func zoneLimitKey(kind Kind) string { return "zones/" + string(kind) }
 
 // isMajority reports whether a number of units is more than half of all.
 func isMajority(units, total int) bool { return 2*units > total }
@@ -59,7 +59,7 @@
 func (l *Ledger) constraintsOf(unit *Unit) []*constraint {
 	server := unit.Kind == KindServer
 	zone := l.getOrAddConstraint(constraint{key: zoneKey(unit.Kind, unit.Zone), zoneKind: unit.Kind, neverEmpty: server})
-	l.getOrAddConstraint(constraint{key: zoneSlotsKey(unit.Kind), countsZones: true})
+	l.getOrAddConstraint(constraint{key: zoneLimitKey(unit.Kind), isZoneLimit: true})
 	constraints := []*constraint{zone}
 	if server {
 		constraints = append(constraints, l.getOrAddConstraint(constraint{key: podGroupKey(unit.PodGroup), neverEmpty: true}))
@@ -103,19 +103,19 @@
 
 // countZone updates the zone slots after a zone came to have most of its units unavailable, or no longer has.
 func (l *Ledger) countZone(zone *constraint) {
-	slots := l.constraints[zoneSlotsKey(zone.zoneKind)]
+	zoneLimit := l.constraints[zoneLimitKey(zone.zoneKind)]
 	if zone.majorityUnavailable() {
-		slots.unavailable++
+		zoneLimit.unavailable++
 	} else {
-		slots.unavailable--
+		zoneLimit.unavailable--
 	}
-	l.requeueWaiters(slots)
+	l.requeueWaiters(zoneLimit)
 }
 
 // pruneConstraints removes those built-in constraints that have neither units nor waiters.
 func (l *Ledger) pruneConstraints(constraints []*constraint) {
 	for _, c := range constraints {
-		if c.budget == nil && !c.countsZones && c.total == 0 && len(c.waiters) == 0 {
+		if c.budget == nil && !c.isZoneLimit && c.total == 0 && len(c.waiters) == 0 {
 			delete(l.constraints, c.key)
 		}
 	}
--- a/internal/disruption/demand.go
+++ b/internal/disruption/demand.go
@@ -8,20 +8,20 @@
 // pendingPermit is what the queue knows of a permit that waits. All of it follows from the rest of the ledger: it is
 // computed again after a restore, and is not saved.
 type pendingPermit struct {
-	stale         bool     // one of its units has changed: all but the last two fields are out of date
-	demands       []demand // one for each constraint of its units
-	demandOn      map[*constraint]demand
-	zoneSlots     []*constraint // of its units' kinds
-	unknownUnit   string        // a unit that the ledger does not know; "": none
-	blockedReason string        // why one of its units cannot be taken out now; "": all can
+	stale              bool     // one of its units has changed: all but the last two fields are out of date
+	demands            []demand // one for each constraint of its units
+	demandByConstraint map[*constraint]demand
+	zoneLimits         []*constraint // of its units' kinds
+	unknownUnit        string        // a unit that the ledger does not know; "": none
+	blockedReason      string        // why one of its units cannot be taken out now; "": all can
 
-	blocksLater bool          // later permits that need the same as it have to wait for it
-	neededSlots []*constraint // of countsZones, those of which it needs the one slot: it leaves a zone with most units unavailable
+	blocksLater      bool          // later permits that need the same as it have to wait for it
+	neededZoneLimits []*constraint // zone limits that a grant would use, as it leaves a zone with most units unavailable
 }
 
 // needs reports whether the permit would use up some of what a constraint allows.
 func (p *pendingPermit) needs(c *constraint) bool {
-	return slices.Contains(p.neededSlots, c) || p.demandOn[c].serving > 0
+	return slices.Contains(p.neededZoneLimits, c) || p.demandByConstraint[c].serving > 0
 }
 
 // demand is what a permit takes of one constraint.
@@ -49,7 +49,7 @@
 
 // computeDemands finds what a pending permit takes of each constraint, and has it wait for these.
 func (l *Ledger) computeDemands(permit *permitState) {
-	previous := l.leaveConstraints(permit)
+	previous := l.removeWaiterFromConstraints(permit)
 	pending := permit.pending
 	pending.stale, pending.unknownUnit, pending.blockedReason = false, "", ""
 	indexes := map[*constraint]int{} // of demands
@@ -62,8 +62,8 @@
 		if reason := l.unitBlockedReason(unit); reason != "" {
 			pending.blockedReason = reason
 		}
-		if slots := l.constraints[zoneSlotsKey(unit.Kind)]; !slices.Contains(pending.zoneSlots, slots) {
-			pending.zoneSlots = append(pending.zoneSlots, slots)
+		if zoneLimit := l.constraints[zoneLimitKey(unit.Kind)]; !slices.Contains(pending.zoneLimits, zoneLimit) {
+			pending.zoneLimits = append(pending.zoneLimits, zoneLimit)
 		}
 		for _, c := range unit.constraints {
 			index, known := indexes[c]
@@ -75,7 +75,7 @@
 			pending.demands[index].addUnit(unit, permit.Disposition)
 		}
 	}
-	l.joinConstraints(permit)
+	l.addWaiterToConstraints(permit)
 	l.pruneConstraints(previous)
 }
 
@@ -90,21 +90,21 @@
 	return ""
 }
 
-// joinConstraints has a permit wait for the constraints that it has demands on.
-func (l *Ledger) joinConstraints(permit *permitState) {
+// addWaiterToConstraints has a permit wait for the constraints that it has demands on.
+func (l *Ledger) addWaiterToConstraints(permit *permitState) {
 	for _, d := range permit.pending.demands {
-		permit.pending.demandOn[d.constraint] = d
+		permit.pending.demandByConstraint[d.constraint] = d
 		d.constraint.addWaiter(permit)
 	}
-	for _, slots := range permit.pending.zoneSlots {
-		slots.addWaiter(permit)
+	for _, zoneLimit := range permit.pending.zoneLimits {
+		zoneLimit.addWaiter(permit)
 	}
 }
 
-// leaveConstraints is the reverse of joinConstraints; it returns the constraints.
-func (l *Ledger) leaveConstraints(permit *permitState) []*constraint {
+// removeWaiterFromConstraints is the reverse of addWaiterToConstraints; it returns the constraints.
+func (l *Ledger) removeWaiterFromConstraints(permit *permitState) []*constraint {
 	pending := permit.pending
-	constraints := slices.Clone(pending.zoneSlots)
+	constraints := slices.Clone(pending.zoneLimits)
 	for _, d := range pending.demands {
 		constraints = append(constraints, d.constraint)
 	}
@@ -112,7 +112,7 @@
 		c.removeWaiter(permit)
 		l.requeueWaiters(c)
 	}
-	pending.demands, pending.zoneSlots, pending.demandOn = nil, nil, map[*constraint]demand{}
+	pending.demands, pending.zoneLimits, pending.demandByConstraint = nil, nil, map[*constraint]demand{}
 	return constraints
 }
 
--- a/internal/disruption/evaluation.go
+++ b/internal/disruption/evaluation.go
@@ -33,7 +33,7 @@
 // infeasible, or waits for a unit under another permit blocks nobody: it might do so for ever.
 func (l *Ledger) evaluate(permit *permitState) decision {
 	pending := permit.pending
-	pending.blocksLater, pending.neededSlots = false, nil
+	pending.blocksLater, pending.neededZoneLimits = false, nil
 	if pending.unknownUnit != "" {
 		return infeasibleFor("%s is not known", pending.unknownUnit)
 	}
@@ -47,11 +47,11 @@
 	if pending.blockedReason != "" {
 		return decision{deferred, pending.blockedReason}
 	}
-	if reason := l.missingSubstitute(permit); reason != "" {
+	if reason := l.substituteUnavailableReason(permit); reason != "" {
 		return decision{deferred, reason}
 	}
 	pending.blocksLater = true
-	if reason := blockedByEarlier(permit); reason != "" {
+	if reason := blockedByEarlierReason(permit); reason != "" {
 		return decision{deferred, reason}
 	}
 	return result
@@ -78,7 +78,7 @@
 			}
 			majorityKinds = append(majorityKinds, c.zoneKind)
 		}
-		if l.needsTakenSlot(pending, d) {
+		if l.exceedsZoneLimit(pending, d) {
 			current = deferredFor("%s would be out by more than half, as another zone is", d.constraint.key)
 		}
 		if result.verdict == admissible {
@@ -133,23 +133,23 @@
 	return decision{}
 }
 
-// needsTakenSlot reports whether a demand leaves its zone with most units unavailable while the slot for such a zone is
+// exceedsZoneLimit reports whether a demand leaves its zone with most units unavailable while the slot for such a zone is
 // taken. It notes that the permit needs the slot.
-func (l *Ledger) needsTakenSlot(pending *pendingPermit, d *demand) bool {
+func (l *Ledger) exceedsZoneLimit(pending *pendingPermit, d *demand) bool {
 	zone := d.constraint
 	if zone.zoneKind == "" || !isMajority(zone.unavailable+d.newlyUnavailable, zone.total) {
 		return false
 	}
-	slots := l.constraints[zoneSlotsKey(zone.zoneKind)]
-	if slices.Contains(pending.neededSlots, slots) {
+	zoneLimit := l.constraints[zoneLimitKey(zone.zoneKind)]
+	if slices.Contains(pending.neededZoneLimits, zoneLimit) {
 		return true // by another zone of the same permit
 	}
-	pending.neededSlots = append(pending.neededSlots, slots)
-	return slots.unavailable > 1 || slots.unavailable == 1 && !zone.majorityUnavailable()
+	pending.neededZoneLimits = append(pending.neededZoneLimits, zoneLimit)
+	return zoneLimit.unavailable > 1 || zoneLimit.unavailable == 1 && !zone.majorityUnavailable()
 }
 
-// missingSubstitute is why a substitute cannot take over; "" if all can.
-func (l *Ledger) missingSubstitute(permit *permitState) string {
+// substituteUnavailableReason is why a substitute cannot take over; "" if all can.
+func (l *Ledger) substituteUnavailableReason(permit *permitState) string {
 	for _, id := range permit.Units {
 		substitute := permit.Substitutes[id]
 		if substitute == "" {
@@ -162,25 +162,25 @@
 	return ""
 }
 
-// blockedByEarlier names an earlier permit that waits for what this one would use up; "" if there is none.
-func blockedByEarlier(permit *permitState) string {
+// blockedByEarlierReason names an earlier permit that waits for what this one would use up; "" if there is none.
+func blockedByEarlierReason(permit *permitState) string {
 	for _, d := range permit.pending.demands {
 		if d.serving == 0 {
 			continue
 		}
-		if reason := blockedAt(permit, d.constraint); reason != "" {
+		if reason := blockedAtConstraintReason(permit, d.constraint); reason != "" {
 			return reason
 		}
 	}
-	for _, slots := range permit.pending.neededSlots {
-		if reason := blockedAt(permit, slots); reason != "" {
+	for _, zoneLimit := range permit.pending.neededZoneLimits {
+		if reason := blockedAtConstraintReason(permit, zoneLimit); reason != "" {
 			return reason
 		}
 	}
 	return ""
 }
 
-func blockedAt(permit *permitState, c *constraint) string {
+func blockedAtConstraintReason(permit *permitState, c *constraint) string {
 	for _, earlier := range c.waiters {
 		if earlier == permit {
 			break
--- a/internal/disruption/evidence.go
+++ b/internal/disruption/evidence.go
@@ -95,7 +95,7 @@
 
 // completionEvidence checks whether what is known of a unit completes it under its permit, and returns the successor
 // that has replaced it, "" where none was needed. The error says which evidence is missing.
-func (l *Ledger) completionEvidence(permit *permitState, unit *unitState, named string) (successor string, err error) {
+func (l *Ledger) completionEvidence(permit *permitState, unit *unitState, namedSuccessor string) (successor string, err error) {
 	if unit.returned(permit) && (permit.Disposition == DispositionReturn || permit.Aborted) {
 		return "", nil
 	}
@@ -105,7 +105,7 @@
 		}
 		return "", nil
 	}
-	successor = cmp.Or(named, unit.Successor)
+	successor = cmp.Or(namedSuccessor, unit.Successor)
 	if successor == "" {
 		return "", fmt.Errorf("%s is %s since revision %d, and nothing is named in its place",
 			unit.ID, unit.Condition, unit.TransitionRevision)
--- a/internal/disruption/fixtures_test.go
+++ b/internal/disruption/fixtures_test.go
@@ -133,8 +133,8 @@
 		if err != nil {
 			t.Fatalf("snapshot %d: %v", i+1, err)
 		}
-		if again := encode(t, restored.Snapshot()); !bytes.Equal(again, data) {
-			t.Fatalf("snapshot %d is written as\n%s\nnot\n%s", i+1, again, data)
+		if reencoded := encode(t, restored.Snapshot()); !bytes.Equal(reencoded, data) {
+			t.Fatalf("snapshot %d is written as\n%s\nnot\n%s", i+1, reencoded, data)
 		}
 		for k := i + 1; k < len(steps); k++ {
 			applyStep(t, restored, uint64(k+1), steps[k])
@@ -151,8 +151,8 @@
 		data := goldentest.Read(t, name)
 		var view View
 		goldentest.DecodeStrictly(t, data, &view)
-		if again := append(encode(t, view), '\n'); !bytes.Equal(again, data) {
-			t.Errorf("%s is written as\n%s\nnot\n%s", name, again, data)
+		if reencoded := append(encode(t, view), '\n'); !bytes.Equal(reencoded, data) {
+			t.Errorf("%s is written as\n%s\nnot\n%s", name, reencoded, data)
 		}
 	}
 }
--- a/internal/disruption/harness_test.go
+++ b/internal/disruption/harness_test.go
@@ -36,18 +36,18 @@
 }
 
 // step applies one step to all three and reports where they differ.
-func (h *harness) step(act func(l *Ledger) Outcome, expect func(model *model) Outcome, lostUnit string) error {
+func (h *harness) step(applyToLedger func(l *Ledger) Outcome, applyToModel func(model *model) Outcome, lostUnit string) error {
 	h.model.revision++
 	before := slices.Clone(h.ledger.OpenPermits())
-	outcome := act(h.ledger)
+	outcome := applyToLedger(h.ledger)
 	if h.restored != nil {
-		act(h.restored)
+		applyToLedger(h.restored)
 	}
 	if h.injectFault != nil {
 		h.injectFault(h.ledger, lostUnit)
 		h.injectFault(h.restored, lostUnit)
 	}
-	if expected := expect(h.model); outcome != expected {
+	if expected := applyToModel(h.model); outcome != expected {
 		return fmt.Errorf("outcome %s, not %s", outcome, expected)
 	}
 	h.model.grantAdmissible()
@@ -87,14 +87,14 @@
 }
 
 func (h *harness) apply(op *Op) error {
-	act := func(l *Ledger) Outcome { return l.Apply(h.model.revision, op).Outcome }
-	return h.step(act, func(model *model) Outcome { return model.apply(op) }, "")
+	applyToLedger := func(l *Ledger) Outcome { return l.Apply(h.model.revision, op).Outcome }
+	return h.step(applyToLedger, func(model *model) Outcome { return model.apply(op) }, "")
 }
 
 // observe records what became of a unit. The model takes its condition from the ledger unless updateModel is given:
 // TestNewServersWarmUp is about the condition after a registration.
-func (h *harness) observe(act func(l *Ledger), id, lostUnit string, updateModel func(model *model)) error {
-	follow := func(model *model) Outcome {
+func (h *harness) observe(updateLedger func(l *Ledger), id, lostUnit string, updateModel func(model *model)) error {
+	applyToModel := func(model *model) Outcome {
 		if updateModel != nil {
 			updateModel(model)
 		} else if unit, known := h.ledger.Unit(id); known {
@@ -102,7 +102,7 @@
 		}
 		return OutcomeApplied
 	}
-	return h.step(func(l *Ledger) Outcome { act(l); return OutcomeApplied }, follow, lostUnit)
+	return h.step(func(l *Ledger) Outcome { updateLedger(l); return OutcomeApplied }, applyToModel, lostUnit)
 }
 
 // restoreCopy replaces the copy by one that is restored from the ledger's snapshot.
--- a/internal/disruption/ledger.go
+++ b/internal/disruption/ledger.go
@@ -23,9 +23,9 @@
 	closedOrder    []string       // ids of closed permits, the oldest first
 	substituteUses map[string]int // by unit: granted permits under which it substitutes for others
 
-	halts                []Halt // by scope and issuer
-	freezeReason         string // "" unless frozen
-	uncertainAtLastGrant bool   // as uncertainty was when the queue was last processed
+	halts                      []Halt // by scope and issuer
+	freezeReason               string // "" unless frozen
+	uncertainWhenLastProcessed bool   // as uncertainty was when the queue was last processed
 
 	queue         grantQueue                         // permits to evaluate
 	waitersByUnit map[string]map[string]*permitState // pending permits, by each unit that they refer to and their id
@@ -62,7 +62,7 @@
 	l.countUnit(unit, -1)
 	previous, previousConstraints := unit.Unit, unit.constraints
 	update(unit)
-	if !sameMembership(&previous, &unit.Unit) {
+	if !sameConstraints(&previous, &unit.Unit) {
 		unit.constraints = l.constraintsOf(&unit.Unit)
 	}
 	l.countUnit(unit, +1)
--- a/internal/disruption/ledger_test.go
+++ b/internal/disruption/ledger_test.go
@@ -29,7 +29,7 @@
 
 // The comparison with the reference model detects faults that are injected into the ledger.
 func TestReferenceModelDetectsInjectedFaults(t *testing.T) {
-	force := func(l *Ledger, eligible func(permit *permitState) bool) {
+	forceGrant := func(l *Ledger, eligible func(permit *permitState) bool) {
 		for _, permit := range l.sortedOpenPermits() {
 			if permit.pending != nil && permit.pending.unknownUnit == "" && permit.pending.blockedReason == "" && eligible(permit) {
 				l.grant(permit)
@@ -40,7 +40,7 @@
 	}
 	faults := map[string]func(l *Ledger, lostUnit string){
 		"a grant that checks the first budget alone": func(l *Ledger, _ string) {
-			force(l, func(permit *permitState) bool {
+			forceGrant(l, func(permit *permitState) bool {
 				for _, d := range permit.pending.demands {
 					if d.constraint.budget != nil {
 						result := evaluateDemand(&permitState{Permit: permit.Permit}, &d)
@@ -63,7 +63,7 @@
 			}
 		},
 		"a permit that blocks nobody": func(l *Ledger, _ string) {
-			force(l, func(permit *permitState) bool {
+			forceGrant(l, func(permit *permitState) bool {
 				blocking := map[*permitState]bool{}
 				for _, waiter := range l.openPermits {
 					if waiter != permit && waiter.pending != nil {
@@ -260,34 +260,37 @@
 			t.Fatal(err)
 		}
 	}
-	type op func(h *harness) error
-	act := func(operation Op) op { return func(h *harness) error { return h.apply(&operation) } }
-	var ops []op
+	type testStep func(h *harness) error
+	applyOp := func(operation Op) testStep { return func(h *harness) error { return h.apply(&operation) } }
+	var testSteps []testStep
 	for i, units := range [][]string{{"server/a", "server/b"}, {"server/b", "server/c"}} {
 		id, owner := fmt.Sprint("p", i), fmt.Sprint("release/", i)
 		permit := &Permit{ID: id, Owner: owner, Units: units, Priority: PriorityRollout, Disposition: []Disposition{DispositionReturn, DispositionRetire}[i]}
-		ops = append(ops, act(Op{Kind: OpRequest, Owner: owner, Permit: permit}), act(Op{Kind: OpBegin, Owner: owner, Permit: permit}),
-			act(Op{Kind: OpComplete, Owner: owner, Permit: permit}), act(Op{Kind: OpCancel, Owner: owner, Permit: permit}))
+		testSteps = append(testSteps,
+			applyOp(Op{Kind: OpRequest, Owner: owner, Permit: permit}), applyOp(Op{Kind: OpBegin, Owner: owner, Permit: permit}),
+			applyOp(Op{Kind: OpComplete, Owner: owner, Permit: permit}), applyOp(Op{Kind: OpCancel, Owner: owner, Permit: permit}))
 	}
 	for _, name := range []string{"a", "b", "c"} {
 		unit := unit(name)
-		ops = append(ops, func(h *harness) error { return h.markLost(unit.ID) },
+		testSteps = append(testSteps, func(h *harness) error { return h.markLost(unit.ID) },
 			func(h *harness) error {
 				return h.observe(func(l *Ledger) { l.Register(h.model.revision, unit) }, unit.ID, "", nil)
 			})
 	}
-	ops = append(ops, act(Op{Kind: OpHalt, Owner: "operator/o", Halt: &Halt{Reason: "test"}}), act(Op{Kind: OpResume, Owner: "operator/o", Halt: &Halt{}}))
-	visited, level, steps := map[string]bool{}, []*harness{start}, 0
+	testSteps = append(testSteps,
+		applyOp(Op{Kind: OpHalt, Owner: "operator/o", Halt: &Halt{Reason: "test"}}),
+		applyOp(Op{Kind: OpResume, Owner: "operator/o", Halt: &Halt{}}))
+	visited, level, stepCount := map[string]bool{}, []*harness{start}, 0
 	for range depth {
 		var next []*harness
 		for _, h := range level {
-			for _, act := range ops {
+			for _, runStep := range testSteps {
 				branch := h.branch(t)
-				if err := act(branch); err != nil {
+				if err := runStep(branch); err != nil {
 					t.Fatal(err)
 				}
-				steps++
-				if key := normalize(branch.ledger.Snapshot()); !visited[key] {
+				stepCount++
+				if key := normalizeRevisions(branch.ledger.Snapshot()); !visited[key] {
 					visited[key] = true
 					next = append(next, branch)
 				}
@@ -295,7 +298,7 @@
 		}
 		level = next
 	}
-	t.Logf("%d steps, %d states", steps, len(visited))
+	t.Logf("%d steps, %d states", stepCount, len(visited))
 }
 
 // branch is a harness in the same state, without a restored copy.
@@ -316,8 +319,8 @@
 	return &harness{ledger: ledger, model: h.model.clone()}
 }
 
-// normalize is a snapshot with its revisions replaced by their ranks.
-func normalize(snapshot Snapshot) string {
+// normalizeRevisions is a snapshot with its revisions replaced by their ranks.
+func normalizeRevisions(snapshot Snapshot) string {
 	var revisions []*uint64
 	snapshot.Units, snapshot.Halts = slices.Clone(snapshot.Units), slices.Clone(snapshot.Halts)
 	for i := range snapshot.Units {
--- a/internal/disruption/model_test.go
+++ b/internal/disruption/model_test.go
@@ -124,13 +124,13 @@
 		protected := m.serving(unit) && m.usedAsSubstitute(id)
 		available = available && m.permitOf(id) == nil && !protected
 	}
-	granted := m.withCandidate(permit)
+	afterGrant := m.withCandidate(permit)
 	for name, budget := range m.budgets {
-		m.evaluateBudget(result, granted, units, name, &budget)
+		m.evaluateBudget(result, afterGrant, units, name, &budget)
 	}
 	for _, unit := range units {
 		if m.serving(unit) {
-			m.evaluateBuiltIn(result, granted, permit, unit)
+			m.evaluateBuiltIn(result, afterGrant, permit, unit)
 		}
 	}
 	result.feasible = result.feasible && !m.takesTwoMajorities(units)
@@ -154,7 +154,7 @@
 	return count
 }
 
-func (m *model) evaluateBudget(result *evaluation, granted *model, units []Unit, name string, budget *Budget) {
+func (m *model) evaluateBudget(result *evaluation, afterGrant *model, units []Unit, name string, budget *Budget) {
 	count := m.countServing(units, budget.Selector.Matches)
 	if count == 0 {
 		return
@@ -163,26 +163,26 @@
 	selected := m.unitsWhere(budget.Selector.Matches)
 	if limit, bounded := budget.MaxUnavailable.unitLimit(len(selected)); bounded {
 		result.feasible = result.feasible && count <= limit
-		result.fits = result.fits && granted.countUnavailable(selected) <= limit
+		result.fits = result.fits && afterGrant.countUnavailable(selected) <= limit
 	}
-	milliCapacity, warmingUpNow, warmingUpThen := int64(0), int64(0), int64(0)
+	milliCapacity, warmingUpBefore, warmingUpAfter := int64(0), int64(0), int64(0)
 	for _, unit := range selected {
 		milliCapacity += unit.milliCapacity()
 		if m.countsAsWarmingUp(unit) {
-			warmingUpNow += unit.milliCapacity()
+			warmingUpBefore += unit.milliCapacity()
 		}
-		if granted.countsAsWarmingUp(unit) {
-			warmingUpThen += unit.milliCapacity()
+		if afterGrant.countsAsWarmingUp(unit) {
+			warmingUpAfter += unit.milliCapacity()
 		}
 	}
 	if limit, bounded := budget.MaxWarmingUp.capacityLimit(milliCapacity, len(selected)); bounded {
-		result.feasible = result.feasible && warmingUpThen-warmingUpNow <= limit
-		result.fits = result.fits && warmingUpThen <= limit
+		result.feasible = result.feasible && warmingUpAfter-warmingUpBefore <= limit
+		result.fits = result.fits && warmingUpAfter <= limit
 	}
 }
 
 // evaluateBuiltIn evaluates the zone and the pod group of a unit that serves.
-func (m *model) evaluateBuiltIn(result *evaluation, granted *model, permit Permit, unit Unit) {
+func (m *model) evaluateBuiltIn(result *evaluation, afterGrant *model, permit Permit, unit Unit) {
 	zone := m.unitsInZoneOf(&unit)
 	result.needs["zone "+string(unit.Kind)+" "+unit.Zone] = true
 	if unit.Kind == KindServer {
@@ -196,11 +196,11 @@
 			case taken == len(members):
 				result.feasible = false
 			default:
-				result.fits = result.fits && granted.countUnavailable(members) < len(members)
+				result.fits = result.fits && afterGrant.countUnavailable(members) < len(members)
 			}
 		}
 	}
-	if 2*granted.countUnavailable(zone) <= len(zone) {
+	if 2*afterGrant.countUnavailable(zone) <= len(zone) {
 		return
 	}
 	result.needs["zones "+string(unit.Kind)] = true
@@ -208,7 +208,7 @@
 		if other.Kind != unit.Kind || other.Zone == unit.Zone {
 			continue
 		}
-		if otherZone := m.unitsInZoneOf(&other); 2*granted.countUnavailable(otherZone) > len(otherZone) {
+		if otherZone := m.unitsInZoneOf(&other); 2*afterGrant.countUnavailable(otherZone) > len(otherZone) {
 			result.fits = false
 		}
 	}
--- a/internal/disruption/queue.go
+++ b/internal/disruption/queue.go
@@ -31,7 +31,7 @@
 
 // dequeue ends a permit's wait; permits that it blocked are evaluated again.
 func (l *Ledger) dequeue(permit *permitState) {
-	constraints := l.leaveConstraints(permit)
+	constraints := l.removeWaiterFromConstraints(permit)
 	for _, id := range permit.referencedUnits() {
 		delete(l.waitersByUnit[id], permit.ID)
 		if len(l.waitersByUnit[id]) == 0 {
@@ -60,8 +60,8 @@
 
 // processQueue evaluates the queued permits in the order of grants, and grants those that are admissible.
 func (l *Ledger) processQueue() {
-	if uncertain := l.uncertainty() != ""; uncertain != l.uncertainAtLastGrant {
-		l.uncertainAtLastGrant = uncertain
+	if uncertain := l.uncertainty() != ""; uncertain != l.uncertainWhenLastProcessed {
+		l.uncertainWhenLastProcessed = uncertain
 		l.reevaluate(func(*permitState) bool { return true })
 	}
 	for len(l.queue) > 0 {
@@ -78,15 +78,15 @@
 		l.computeDemands(permit)
 		l.queue.remove(permit) // leaving and joining its constraints has queued it again
 	}
-	wasBlocking, previousSlots := pending.blocksLater, pending.neededSlots
+	wasBlocking, previousZoneLimits := pending.blocksLater, pending.neededZoneLimits
 	result := l.evaluate(permit)
 	permit.WaitReason = result.reason
 	if result.verdict == admissible {
 		l.grant(permit)
 		return
 	}
-	released := func(slots *constraint) bool { return !slices.Contains(pending.neededSlots, slots) }
-	if wasBlocking && (!pending.blocksLater || slices.ContainsFunc(previousSlots, released)) {
+	noLongerNeeded := func(zoneLimit *constraint) bool { return !slices.Contains(pending.neededZoneLimits, zoneLimit) }
+	if wasBlocking && (!pending.blocksLater || slices.ContainsFunc(previousZoneLimits, noLongerNeeded)) {
 		l.requeueBlockedBy(permit)
 	}
 }
@@ -96,8 +96,8 @@
 	for _, d := range permit.pending.demands {
 		l.requeueWaitersAfter(d.constraint, permit)
 	}
-	for _, slots := range permit.pending.zoneSlots {
-		l.requeueWaitersAfter(slots, permit)
+	for _, zoneLimit := range permit.pending.zoneLimits {
+		l.requeueWaitersAfter(zoneLimit, permit)
 	}
 }
 
--- a/internal/disruption/snapshot.go
+++ b/internal/disruption/snapshot.go
@@ -103,5 +103,5 @@
 			l.evaluate(permit)
 		}
 	}
-	l.queue, l.uncertainAtLastGrant = nil, l.uncertainty() != ""
+	l.queue, l.uncertainWhenLastProcessed = nil, l.uncertainty() != ""
 }
--- a/internal/disruption/unit.go
+++ b/internal/disruption/unit.go
@@ -71,8 +71,8 @@
 		a.WarmedUp == b.WarmedUp && a.Predecessor == b.Predecessor && a.Successor == b.Successor && slices.Equal(a.Tenants, b.Tenants)
 }
 
-// sameMembership reports whether two states of a unit belong to the same constraints.
-func sameMembership(a, b *Unit) bool {
+// sameConstraints reports whether two states of a unit belong to the same constraints.
+func sameConstraints(a, b *Unit) bool {
 	return a.Zone == b.Zone && a.PodGroup == b.PodGroup && a.Version == b.Version && a.Model == b.Model &&
 		slices.Equal(a.Tenants, b.Tenants)
 }
--- a/internal/disruption/validation.go
+++ b/internal/disruption/validation.go
@@ -40,7 +40,7 @@
 		return op.validateBudget()
 	case OpRequest:
 		if op.Permit == nil {
-			return missing("permit")
+			return missingField("permit")
 		}
 		return op.Permit.validate(op.Owner)
 	case OpBegin, OpReturn, OpCancel, OpComplete, OpForceComplete:
@@ -58,14 +58,14 @@
 
 func (op *Op) validateBudget() error {
 	if op.Budget == nil {
-		return missing("budget")
+		return missingField("budget")
 	}
 	return validation.First(validateOperator(op.Owner), op.Budget.Validate())
 }
 
 func (op *Op) validatePermitReference() error {
 	if op.Permit == nil {
-		return missing("permit")
+		return missingField("permit")
 	}
 	if err := validateName("permit.id", op.Permit.ID); err != nil {
 		return err
@@ -85,7 +85,7 @@
 
 func (op *Op) validateHalt() error {
 	if op.Halt == nil {
-		return missing("halt")
+		return missingField("halt")
 	}
 	return validation.First(
 		validateName("owner", op.Owner),
@@ -179,7 +179,7 @@
 	return nil
 }
 
-func missing(field string) error { return validation.Errorf(field, "it is missing") }
+func missingField(field string) error { return validation.Errorf(field, "it is missing") }
 
 func validateOperator(owner string) error {
 	if !IsOperator(owner) {
