--- a/internal/disruption/demand.go
+++ b/internal/disruption/demand.go
@@ -5,33 +5,33 @@
 	"slices"
 )
 
-// pendingPermit is what the queue knows of a permit that waits. All of it follows from the rest of the ledger: it is
-// computed again after a restore, and is not saved.
+// pendingPermit is the state of a permit that waits for its grant. It is not saved: it follows from the rest of the
+// ledger, and is computed again after a restore.
 type pendingPermit struct {
-	stale              bool     // one of its units has changed: all but the last two fields are out of date
-	demands            []demand // one for each constraint of its units
+	stale              bool     // a unit, substitute or budget has changed: all fields but the last two are out of date
+	demands            []demand // one for each constraint of the permit's units
 	demandByConstraint map[*constraint]demand
-	zoneLimits         []*constraint // of its units' kinds
-	unknownUnit        string        // a unit that the ledger does not know; "": none
-	blockedReason      string        // why one of its units cannot be taken out now; "": all can
+	zoneLimits         []*constraint // of the kinds of the permit's units
+	unknownUnit        string        // a unit of the permit that the ledger does not hold; "": none
+	blockedReason      string        // why a unit of the permit cannot be taken out now; "": all can
 
-	blocksLater      bool          // later permits that need the same as it have to wait for it
-	neededZoneLimits []*constraint // zone limits that a grant would use, as it leaves a zone with most units unavailable
+	blocksLater      bool          // later permits that need the same constraints have to wait
+	neededZoneLimits []*constraint // zone limits that a grant would use up: it leaves a zone with most units unavailable
 }
 
-// needs reports whether the permit would use up some of what a constraint allows.
+// needs reports whether a grant would use up some of what a constraint allows.
 func (p *pendingPermit) needs(c *constraint) bool {
 	return slices.Contains(p.neededZoneLimits, c) || p.demandByConstraint[c].serving > 0
 }
 
-// demand is what a permit takes of one constraint.
+// demand is what a grant of a permit would take of one constraint.
 type demand struct {
 	constraint       *constraint
-	total            int // its units there
-	serving          int // of these, those that may still serve
-	newlyUnavailable int // of these, those that do not count as unavailable yet
+	total            int // the permit's units that belong to the constraint
+	serving          int // part of total that may still serve
+	newlyUnavailable int // part of serving that does not count as unavailable yet
 	milliWarmingUp   int64
-	firstUnit        string // one of its units there
+	firstUnit        string // one of the total units
 }
 
 func (d *demand) addUnit(unit *unitState, disposition Disposition) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// computeDemands finds what a pending permit takes of each constraint, and has it wait for these.
+// computeDemands computes the demands of a pending permit, and adds the permit to the waiters of the constraints.
 func (l *Ledger) computeDemands(permit *permitState) {
 	previous := l.removeWaiterFromConstraints(permit)
 	pending := permit.pending
@@ -79,7 +79,7 @@
 	l.pruneConstraints(previous)
 }
 
-// unitBlockedReason is why a unit cannot be taken out now, whatever the budgets allow; "" if it can.
+// unitBlockedReason returns why a unit cannot be taken out now, whatever the budgets allow; "" if it can.
 func (l *Ledger) unitBlockedReason(unit *unitState) string {
 	switch {
 	case unit.permit != nil:
@@ -90,7 +90,7 @@
 	return ""
 }
 
-// addWaiterToConstraints has a permit wait for the constraints that it has demands on.
+// addWaiterToConstraints adds a permit to the waiters of the constraints that it has demands on.
 func (l *Ledger) addWaiterToConstraints(permit *permitState) {
 	for _, d := range permit.pending.demands {
 		permit.pending.demandByConstraint[d.constraint] = d
@@ -101,7 +101,7 @@
 	}
 }
 
-// removeWaiterFromConstraints is the reverse of addWaiterToConstraints; it returns the constraints.
+// removeWaiterFromConstraints reverses addWaiterToConstraints and returns the constraints.
 func (l *Ledger) removeWaiterFromConstraints(permit *permitState) []*constraint {
 	pending := permit.pending
 	constraints := slices.Clone(pending.zoneLimits)
--- a/internal/disruption/evaluation.go
+++ b/internal/disruption/evaluation.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// verdict says whether a pending permit can be granted.
+// verdict is the result of an evaluation: whether a pending permit can be granted.
 type verdict int
 
 const (
 	admissible verdict = iota
-	deferred           // other permits or units have to return, complete or end first
-	infeasible         // not as the fleet and the budgets are
+	deferred           // another permit has to end or a unit has to return first
+	infeasible         // impossible with the current fleet and budgets
 )
 
-// decision is the verdict on a pending permit, or on one of its demands.
+// decision is the verdict on a pending permit, or on one of its demands, with its reason.
 type decision struct {
 	verdict verdict
 	reason  string // "" if admissible
@@ -28,9 +28,10 @@
 	return decision{infeasible, fmt.Sprintf(format, args...)}
 }
 
-// evaluate decides whether a pending permit can be granted now. A permit that only waits for what its constraints allow
-// blocks later ones that need the same, so that small permits do not starve a large one. One that is halted, is
-// infeasible, or waits for a unit under another permit blocks nobody: it might do so for ever.
+// evaluate decides whether a pending permit can be granted now. A permit that waits for its constraints alone blocks
+// later permits that need the same constraints, so that small permits do not starve a large one. A permit that is
+// infeasible or halted, or that waits for a unit under another permit or for a substitute, blocks no other permit,
+// because its own wait might never end.
 func (l *Ledger) evaluate(permit *permitState) decision {
 	pending := permit.pending
 	pending.blocksLater, pending.neededZoneLimits = false, nil
@@ -57,12 +58,12 @@
 	return result
 }
 
-// evaluateDemands decides by the constraints alone, and notes which zone slots the permit needs. Of several demands
-// that are deferred the first gives the reason.
+// evaluateDemands decides by the constraints alone, and records which zone limits the permit needs. If several demands
+// are deferred, the first one gives the reason.
 func (l *Ledger) evaluateDemands(permit *permitState) decision {
 	pending := permit.pending
 	var result decision
-	var majorityKinds []Kind // of zones more than half of which the permit takes
+	var majorityKinds []Kind // kinds of which the permit takes more than half of the units in some zone
 	for i := range pending.demands {
 		d := &pending.demands[i]
 		if d.serving == 0 {
@@ -115,8 +116,9 @@
 	return decision{}
 }
 
-// evaluateBuiltIn decides whether a demand leaves a pod group, or the servers of a zone, without any that serves. The
-// only unit of one may be taken out once a substitute elsewhere carries what only that unit had.
+// evaluateBuiltIn decides whether a demand would leave a pod group, or the servers of a zone, without a serving unit. The
+// only unit of a group or zone may be taken out if a substitute elsewhere carries what only that unit had, or if an
+// operator has waived the substitute.
 func evaluateBuiltIn(permit *permitState, d *demand) decision {
 	c := d.constraint
 	switch {
@@ -133,8 +135,8 @@
 	return decision{}
 }
 
-// exceedsZoneLimit reports whether a demand leaves its zone with most units unavailable while the slot for such a zone is
-// taken. It notes that the permit needs the slot.
+// exceedsZoneLimit reports whether a demand would make its zone the second one of a kind with most units unavailable. It
+// records the zone limit as needed if the demand leaves most units of its zone unavailable.
 func (l *Ledger) exceedsZoneLimit(pending *pendingPermit, d *demand) bool {
 	zone := d.constraint
 	if zone.zoneKind == "" || !isMajority(zone.unavailable+d.newlyUnavailable, zone.total) {
@@ -142,13 +144,13 @@
 	}
 	zoneLimit := l.constraints[zoneLimitKey(zone.zoneKind)]
 	if slices.Contains(pending.neededZoneLimits, zoneLimit) {
-		return true // by another zone of the same permit
+		return true // another zone of the same permit uses up the limit
 	}
 	pending.neededZoneLimits = append(pending.neededZoneLimits, zoneLimit)
 	return zoneLimit.unavailable > 1 || zoneLimit.unavailable == 1 && !zone.majorityUnavailable()
 }
 
-// substituteUnavailableReason is why a substitute cannot take over; "" if all can.
+// substituteUnavailableReason returns why a substitute cannot take over; "" if all can.
 func (l *Ledger) substituteUnavailableReason(permit *permitState) string {
 	for _, id := range permit.Units {
 		substitute := permit.Substitutes[id]
@@ -162,7 +164,7 @@
 	return ""
 }
 
-// blockedByEarlierReason names an earlier permit that waits for what this one would use up; "" if there is none.
+// blockedByEarlierReason names an earlier permit that waits for a constraint that this permit needs; "" if there is none.
 func blockedByEarlierReason(permit *permitState) string {
 	for _, d := range permit.pending.demands {
 		if d.serving == 0 {
--- a/internal/disruption/evidence.go
+++ b/internal/disruption/evidence.go
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// observable reports whether an observation may set or change the condition: the others follow from the registry's
-// list, which no observation overrides.
+// observable reports whether an observation may set or change the condition. The other conditions follow from the
+// registry's list, which no observation overrides.
 func (c Condition) observable() bool {
 	return c == ConditionUp || c == ConditionWarmingUp || c == ConditionUnready
 }
 
-// applyObserve records what somebody observed of registered units. An observation that names a TransitionRevision holds
-// for that transition only: what was seen of an earlier incarnation says nothing about this one.
+// applyObserve records the observed conditions of registered units. An observation that names a TransitionRevision is
+// valid only until the unit's next transition: an observation of an earlier incarnation says nothing about the current one.
 func (l *Ledger) applyObserve(observations []Unit) Result {
 	ignored := 0
 	for i := range observations {
@@ -24,12 +24,13 @@
 	}
 	result := applied()
 	if ignored > 0 {
-		result.Reason = fmt.Sprintf("%d of %d were left as they are: unknown, changed since, or out by the list", ignored, len(observations))
+		result.Reason = fmt.Sprintf("%d of %d were left as they are: unknown, changed since, or out by the list",
+			ignored, len(observations))
 	}
 	return result
 }
 
-// observe records one observation; it reports whether that still holds.
+// observe records one observation, and reports whether it was still valid.
 func (l *Ledger) observe(observed *Unit) bool {
 	unit := l.units[observed.ID]
 	if unit == nil || !unit.Condition.observable() {
@@ -45,8 +46,8 @@
 	return true
 }
 
-// applyComplete completes units of a permit for which there is evidence: all of those named or none. With none named
-// it is about all that remain.
+// applyComplete completes units of a permit if there is evidence for each of them; otherwise it completes none. Without
+// named units it completes all remaining ones.
 func (l *Ledger) applyComplete(permit *permitState, op *Op) Result {
 	if permit.Stage == StageRequested || permit.Stage == StageGranted {
 		return rejected("permit %s has not begun: cancel it", permit.ID)
@@ -80,7 +81,7 @@
 	return applied()
 }
 
-// completeUnits ends units of a permit. Those that are lost were retired or replaced, and are removed.
+// completeUnits ends units of a permit. Lost units among them were retired or replaced, and are removed from the ledger.
 func (l *Ledger) completeUnits(permit *permitState, ids []string, predecessors map[string]string) {
 	for _, successor := range slices.Sorted(maps.Keys(predecessors)) {
 		l.updateUnit(l.units[successor], func(unit *unitState) { unit.Predecessor = predecessors[successor] })
@@ -93,8 +94,8 @@
 	}
 }
 
-// completionEvidence checks whether what is known of a unit completes it under its permit, and returns the successor
-// that has replaced it, "" where none was needed. The error says which evidence is missing.
+// completionEvidence checks whether the state of a unit is evidence that completes it under its permit. It returns the
+// successor that has replaced the unit, or "" if none is needed. The error says which evidence is missing.
 func (l *Ledger) completionEvidence(permit *permitState, unit *unitState, namedSuccessor string) (successor string, err error) {
 	if unit.returned(permit) && (permit.Disposition == DispositionReturn || permit.Aborted) {
 		return "", nil
@@ -125,7 +126,7 @@
 		permit.Stage == StageReturning && u.ObservedRevision > permit.ReturnRevision
 }
 
-// checkSuccessor checks whether a successor has taken a unit's place.
+// checkSuccessor checks whether a successor has replaced a lost unit.
 func (l *Ledger) checkSuccessor(permit *permitState, unit *unitState, successor string) error {
 	replacement := l.units[successor]
 	switch {
--- a/internal/disruption/halts.go
+++ b/internal/disruption/halts.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// uncertaintyIssuer issues the halts that the ledger sets by itself, when its state may not be that of the fleet.
+// uncertaintyIssuer is the issuer of the halts that the ledger sets itself, because its state may differ from the fleet's.
 const uncertaintyIssuer = "doubt"
 
 // compareHalts orders halts by scope and issuer.
@@ -15,7 +15,7 @@
 	return cmp.Or(strings.Compare(a.Scope, b.Scope), strings.Compare(a.IssuedBy, b.IssuedBy))
 }
 
-// applyHalt defers grants, and revokes those that were not begun.
+// applyHalt defers grants, and revokes grants whose permits have not begun.
 func (l *Ledger) applyHalt(op *Op) Result {
 	if name, ok := strings.CutPrefix(op.Halt.Scope, budgetScopePrefix); ok && l.budgetConstraints[name] == nil {
 		return notFound("there is no budget %s", name)
@@ -23,7 +23,7 @@
 	return l.addHalt(Halt{Scope: op.Halt.Scope, IssuedBy: op.Owner, Reason: op.Halt.Reason, Revision: l.revision})
 }
 
-// addHalt adds a halt. Where its issuer has halted the scope already, the first reason stays.
+// addHalt adds a halt. If its issuer has already halted the scope, the first halt stays with its reason.
 func (l *Ledger) addHalt(halt Halt) Result {
 	index, found := slices.BinarySearchFunc(l.halts, halt, compareHalts)
 	if found {
@@ -37,13 +37,13 @@
 	return applied()
 }
 
-// haltFleet halts all grants until an operator resumes them.
+// haltFleet halts all grants until an operator resumes the fleet.
 func (l *Ledger) haltFleet(format string, args ...any) {
-	// With MaxHalts halts in force this one is not added. That many are a matter for an operator already.
+	// With MaxHalts halts in force this halt is not added. So many halts need an operator in any case.
 	l.addHalt(Halt{Scope: "", IssuedBy: uncertaintyIssuer, Reason: fmt.Sprintf(format, args...), Revision: l.revision})
 }
 
-// applyResume lifts the halts of a scope: an operator lifts all of them, others their own.
+// applyResume lifts the halts of a scope: an operator lifts all of them, any other owner only its own.
 func (l *Ledger) applyResume(op *Op) Result {
 	before := len(l.halts)
 	l.halts = slices.DeleteFunc(l.halts, func(halt Halt) bool {
@@ -55,15 +55,15 @@
 	return applied()
 }
 
-// HaltForUncertainty halts the fleet until an operator resumes it: the ledger may not say what is unavailable.
+// HaltForUncertainty halts the fleet until an operator resumes it, because the ledger may not hold all that is unavailable.
 func (l *Ledger) HaltForUncertainty(revision uint64, reason string) {
 	l.revision = revision
 	l.haltFleet("%s", reason)
 	l.processQueue()
 }
 
-// Freeze defers all grants while the state of the fleet is uncertain, until Unfreeze. Units of ConditionUnknown have
-// the same effect by themselves.
+// Freeze defers all grants until Unfreeze, while the state of the fleet is uncertain. A unit of ConditionUnknown has the
+// same effect without a freeze.
 func (l *Ledger) Freeze(revision uint64, reason string) {
 	l.revision, l.freezeReason = revision, cmp.Or(reason, "frozen")
 	l.processQueue()
@@ -75,7 +75,7 @@
 	l.processQueue()
 }
 
-// uncertainty is why the state of the fleet is too uncertain to take anything out; "" if it is not.
+// uncertainty returns why the state of the fleet is too uncertain to take units out; "" if it is not.
 func (l *Ledger) uncertainty() string {
 	if l.freezeReason != "" {
 		return l.freezeReason
@@ -86,7 +86,8 @@
 	return ""
 }
 
-// haltReason is what defers a permit whatever its budgets allow; "" if nothing does. Rollbacks are not halted.
+// haltReason returns which halt or uncertainty defers a permit, whatever its budgets allow; "" if none does. Permits of
+// PriorityRollback are not halted.
 func (l *Ledger) haltReason(permit *permitState) string {
 	if permit.Priority == PriorityRollback {
 		return ""
@@ -102,7 +103,8 @@
 	return ""
 }
 
-// haltCovers reports whether a halt's scope is the fleet, the permit's owner, or a budget that selects one of its units.
+// haltCovers reports whether a halt's scope is the fleet, the permit's owner, or a budget that selects a unit of the
+// permit.
 func (l *Ledger) haltCovers(halt *Halt, permit *permitState) bool {
 	if halt.Scope == "" || halt.Scope == permit.Owner {
 		return true
@@ -117,8 +119,8 @@
 	})
 }
 
-// reevaluate queues the pending permits among those affected for another evaluation, and revokes grants that were not
-// begun and are halted now: the owner has not acted under such a grant, and its begin will be rejected.
+// reevaluate queues the affected pending permits for another evaluation, and revokes the affected grants that are halted
+// now and whose permits have not begun. The owner has not acted under a revoked grant, and its OpBegin will be rejected.
 func (l *Ledger) reevaluate(affected func(*permitState) bool) {
 	for _, permit := range l.sortedOpenPermits() {
 		switch {
@@ -131,7 +133,7 @@
 	}
 }
 
-// revoke has a granted permit wait again. It keeps its place among those that wait.
+// revoke withdraws a grant. The permit waits again, and keeps its place in the order of grants.
 func (l *Ledger) revoke(permit *permitState) {
 	l.countSubstitutes(permit, -1)
 	l.releaseUnits(permit, permit.Units)
--- a/internal/disruption/queue.go
+++ b/internal/disruption/queue.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// grantQueue is the permits to evaluate, in the order of grants, each once.
+// grantQueue holds the permits to evaluate, in the order of grants, each once.
 type grantQueue []*permitState
 
 func (q *grantQueue) add(permit *permitState) {
@@ -17,7 +17,7 @@
 	}
 }
 
-// enqueue has a permit wait for its grant; it is evaluated when the queue is next processed.
+// enqueue makes a permit wait for its grant. It is evaluated when the queue is next processed.
 func (l *Ledger) enqueue(permit *permitState) {
 	permit.pending = &pendingPermit{stale: true}
 	for _, id := range permit.referencedUnits() {
@@ -29,7 +29,7 @@
 	l.queue.add(permit)
 }
 
-// dequeue ends a permit's wait; permits that it blocked are evaluated again.
+// dequeue ends a permit's wait, and queues the permits that it may have blocked for another evaluation.
 func (l *Ledger) dequeue(permit *permitState) {
 	constraints := l.removeWaiterFromConstraints(permit)
 	for _, id := range permit.referencedUnits() {
@@ -43,7 +43,8 @@
 	l.pruneConstraints(constraints)
 }
 
-// markWaitersStale queues the permits that wait for a unit, which has changed, for another evaluation.
+// markWaitersStale marks the pending permits that refer to a changed unit as stale, and queues them for another
+// evaluation.
 func (l *Ledger) markWaitersStale(id string) {
 	for _, permit := range l.waitersByUnit[id] {
 		permit.pending.stale = true
@@ -51,7 +52,7 @@
 	}
 }
 
-// requeueWaiters queues the permits that wait for a constraint, whose sums have changed, for another evaluation.
+// requeueWaiters queues the waiters of a constraint for another evaluation, after its sums or waiters have changed.
 func (l *Ledger) requeueWaiters(c *constraint) {
 	for _, permit := range c.waiters {
 		l.queue.add(permit)
@@ -76,7 +77,7 @@
 	pending := permit.pending
 	if pending.stale {
 		l.computeDemands(permit)
-		l.queue.remove(permit) // leaving and joining its constraints has queued it again
+		l.queue.remove(permit) // it is evaluated now, whatever computeDemands has queued
 	}
 	wasBlocking, previousZoneLimits := pending.blocksLater, pending.neededZoneLimits
 	result := l.evaluate(permit)
@@ -91,7 +92,7 @@
 	}
 }
 
-// requeueBlockedBy queues the later permits that a permit may have blocked up to now.
+// requeueBlockedBy queues the later permits that a permit may have blocked so far.
 func (l *Ledger) requeueBlockedBy(permit *permitState) {
 	for _, d := range permit.pending.demands {
 		l.requeueWaitersAfter(d.constraint, permit)
@@ -109,7 +110,7 @@
 	}
 }
 
-// grant takes a permit's units out, all of them at once.
+// grant grants a permit and places all its units under it at once.
 func (l *Ledger) grant(permit *permitState) {
 	l.dequeue(permit)
 	permit.Stage, permit.GrantRevision, permit.WaitReason = StageGranted, l.revision, ""
@@ -119,7 +120,7 @@
 	l.countSubstitutes(permit, +1)
 }
 
-// releaseUnits gives units of a granted permit back.
+// releaseUnits detaches units from a granted permit.
 func (l *Ledger) releaseUnits(permit *permitState, ids []string) {
 	for _, id := range ids {
 		if unit := l.units[id]; unit != nil && unit.permit == permit {
@@ -128,7 +129,7 @@
 	}
 }
 
-// countSubstitutes protects a permit's substitutes from being taken out (sign +1), or no longer (-1).
+// countSubstitutes protects a permit's substitutes from being taken out (sign +1), or ends that protection (sign -1).
 func (l *Ledger) countSubstitutes(permit *permitState, sign int) {
 	for _, substitute := range permit.Substitutes {
 		l.substituteUses[substitute] += sign
