--- a/internal/disruption/apply.go
+++ b/internal/disruption/apply.go
@@ -1,7 +1,7 @@
 package disruption
 
-// Apply applies one operation. Revision is its index in the log, which only grows. The owner's lease and token have
-// been checked; the rest is checked here, on every replica alike.
+// Apply applies one operation. The revision is the operation's log index and only grows. The caller has checked the
+// owner's lease and fencing token. Apply checks everything else, with the same result on every replica.
 func (l *Ledger) Apply(revision uint64, op *Op) Result {
 	if op == nil {
 		return rejected("no operation")
@@ -39,7 +39,7 @@
 	}
 }
 
-// dispatchPermit applies an operation about a permit that was requested before.
+// dispatchPermit applies an operation on a permit that was requested before.
 func (l *Ledger) dispatchPermit(op *Op) Result {
 	id := op.Permit.ID
 	existing := l.findPermit(id)
@@ -62,12 +62,12 @@
 		return l.applyCancel(permit)
 	case OpComplete:
 		return l.applyComplete(permit, op)
-	default: // OpForceComplete, as Validate lets no other through
+	default: // OpForceComplete: Validate rejects every other kind
 		return l.applyForceComplete(permit)
 	}
 }
 
-// findPermit finds a permit that is open, or closed and still retained.
+// findPermit returns a permit that is open, or closed and still retained.
 func (l *Ledger) findPermit(id string) *Permit {
 	if permit := l.openPermits[id]; permit != nil {
 		return &permit.Permit
@@ -75,8 +75,9 @@
 	return l.closedPermits[id]
 }
 
-// resultOfRepeat is the result of an operation about a closed permit: applied where the operation asks for what the
-// permit has come to, as a retry after a lost response does, and rejected where the permit can no longer come to it.
+// resultOfRepeat returns the result of an operation on a closed permit. The operation is applied if the permit has
+// already reached what the operation requests, as in a retry after a lost response, and rejected if the permit can no
+// longer reach it.
 func resultOfRepeat(op *Op, closed *Permit) Result {
 	if op.Kind == OpBegin || op.Kind == OpReturn || op.Kind == OpComplete && closed.Stage == StageCancelled {
 		return rejected("permit %s is %s", closed.ID, closed.Stage)
@@ -106,11 +107,11 @@
 			l.queue.add(permit)
 		}
 	}
-	l.reevaluate(func(*permitState) bool { return true }) // a halt of that budget may cover others now
+	l.reevaluate(func(*permitState) bool { return true }) // a halt of this budget may now cover other permits
 	return applied()
 }
 
-// applyRequest adds a permit. It is idempotent; a permit that can never be granted is rejected.
+// applyRequest adds a permit. It is idempotent, and rejects a permit that can never be granted.
 func (l *Ledger) applyRequest(request *Permit) Result {
 	if existing := l.findPermit(request.ID); existing != nil {
 		if !sameRequest(existing, request) {
@@ -127,7 +128,7 @@
 	unknownUnit := permit.pending.unknownUnit
 	if decision := l.evaluate(permit); decision.verdict == infeasible {
 		l.dequeue(permit)
-		l.queue = nil // it has blocked nobody, so its end admits nobody
+		l.queue = nil // an infeasible permit blocks no other, so its removal makes no other admissible
 		if unknownUnit != "" {
 			return notFound("%s", decision.reason)
 		}
@@ -137,7 +138,8 @@
 	return applied()
 }
 
-// applyBegin is written before the first act under a permit. A grant that a halt has revoked is rejected here.
+// applyBegin records that the owner is about to take the units out. The owner writes the operation before its first
+// action; if a halt has revoked the grant, the operation is rejected.
 func (l *Ledger) applyBegin(permit *permitState) Result {
 	switch permit.Stage {
 	case StageRequested:
@@ -164,7 +166,8 @@
 	permit.Stage, permit.ReturnRevision = StageReturning, l.revision
 }
 
-// applyCancel closes a permit under which nothing was taken out. One that has begun returns: only evidence closes it.
+// applyCancel closes a permit that has not begun. A permit that has begun is returning from then on: only evidence
+// closes it.
 func (l *Ledger) applyCancel(permit *permitState) Result {
 	switch permit.Stage {
 	case StageRequested, StageGranted:
@@ -177,8 +180,8 @@
 	return applied()
 }
 
-// abort notes that a permit has lost its purpose. Its units count as warming up from then on, whatever its disposition,
-// since they will be once they return.
+// abort marks a permit as cancelled after its begin. From then on its units count as warming up, whatever its
+// disposition, because they will warm up when they return.
 func (l *Ledger) abort(permit *permitState) {
 	ids := permit.remainingUnits()
 	for _, id := range ids {
@@ -190,7 +193,7 @@
 	}
 }
 
-// applyForceComplete closes a permit without evidence, as an operator has decided.
+// applyForceComplete closes a permit without evidence, at an operator's request.
 func (l *Ledger) applyForceComplete(permit *permitState) Result {
 	stage := StageCompleted
 	if permit.Stage == StageRequested {
@@ -200,7 +203,7 @@
 	return applied()
 }
 
-// endUnits ends some units of a permit, and closes it with the last of them.
+// endUnits marks units of a permit as ended and releases them. It closes the permit with the last of its units.
 func (l *Ledger) endUnits(permit *permitState, ids []string, stage Stage) {
 	if permit.pending != nil {
 		l.dequeue(permit)
@@ -231,13 +234,13 @@
 	}
 }
 
-// retainClosed retains a closed permit, so that a repeat of an operation about it is answered like the first.
+// retainClosed retains a closed permit, so that a repeated operation on it has the same result as the first.
 func (l *Ledger) retainClosed(closed *Permit) {
 	l.closedPermits[closed.ID] = closed
 	l.closedOrder = append(l.closedOrder, closed.ID)
 }
 
-// applyRemoveLost removes lost units that no permit has taken out; all of those named or none.
+// applyRemoveLost removes lost units that are not under a permit: all of the named units or none.
 func (l *Ledger) applyRemoveLost(ids []string) Result {
 	for _, id := range ids {
 		switch unit := l.units[id]; {
--- a/internal/disruption/budget.go
+++ b/internal/disruption/budget.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Selector says which units a budget or a drain is about. An empty field selects all.
+// Selector selects the units of a budget or a drain. An empty field selects all units.
 type Selector struct {
 	Kind     Kind     `json:"kind,omitempty" toml:"kind"`
 	Zone     string   `json:"zone,omitempty" toml:"zone"`
@@ -16,7 +16,7 @@
 	IDs      []string `json:"ids,omitempty" toml:"ids"`
 }
 
-// Matches reports whether the selector selects a unit. A unit that names no tenants serves them all.
+// Matches reports whether the selector selects a unit. A unit that names no tenants serves all of them.
 func (s *Selector) Matches(unit *Unit) bool {
 	switch {
 	case s.Kind != "" && s.Kind != unit.Kind:
@@ -31,18 +31,18 @@
 	return false
 }
 
-// Limit bounds a number of units: a count, a fraction of the selected units rounded down, or the smaller of the two
-// where both are given. With neither there is no bound.
+// Limit bounds a number of units: by a count, by a fraction of the selected units rounded down, or by the smaller of the
+// two if both are given. Without either there is no bound.
 type Limit struct {
 	Count    *int     `json:"count,omitempty" toml:"count"`
 	Fraction *float64 `json:"share,omitempty" toml:"share"` // 0 to 1
 }
 
-// roundingTolerance keeps a fraction that is meant to give a whole number from being rounded down to the one below,
-// as 0.29 of 100 would be.
+// roundingTolerance prevents a fraction that is meant to give a whole number from being rounded down to the next lower
+// one because of floating-point error, as 0.29 of 100 would be.
 const roundingTolerance = 1e-9
 
-// unitLimit is how many of total units the limit allows; without a bound it is not bounded.
+// unitLimit returns how many of total units the limit allows, and whether there is a bound.
 func (l Limit) unitLimit(total int) (limit int, bounded bool) {
 	limit = math.MaxInt
 	if l.Count != nil {
@@ -54,8 +54,8 @@
 	return limit, bounded
 }
 
-// capacityLimit is how much of the capacity of total units the limit allows, in thousandths. A count is in units of
-// the mean capacity.
+// capacityLimit returns how much of the capacity of total units the limit allows, in thousandths, and whether there is a
+// bound. A count is a multiple of the mean capacity of a unit.
 func (l Limit) capacityLimit(milliCapacity int64, total int) (limit int64, bounded bool) {
 	limit = math.MaxInt64
 	if l.Count != nil && total > 0 {
@@ -67,10 +67,10 @@
 	return limit, bounded
 }
 
-// Budget bounds how much of the units that it selects is unavailable.
+// Budget bounds how many of the units that it selects are unavailable, and how much of their capacity is warming up.
 type Budget struct {
 	Name           string   `json:"name" toml:"name"`
 	Selector       Selector `json:"select" toml:"select"`
 	MaxUnavailable Limit    `json:"max_out" toml:"max_out"`
-	MaxWarmingUp   Limit    `json:"max_cold" toml:"max_cold"` // of capacity; a count is in units of the mean capacity
+	MaxWarmingUp   Limit    `json:"max_cold" toml:"max_cold"` // of capacity; a count is a multiple of the mean capacity
 }
--- a/internal/disruption/constraint.go
+++ b/internal/disruption/constraint.go
@@ -6,45 +6,44 @@
 	"slices"
 )
 
-// constraint is a budget or a built-in rule, with the sums over its units. Sums are whole numbers, so they do not
-// depend on the order in which units were added.
+// constraint is a budget or a built-in rule, with the sums over its units. The sums are integers, so they do not depend
+// on the order in which units were added.
 type constraint struct {
 	key         string
 	budget      *Budget // nil for a built-in rule
-	neverEmpty  bool    // of a pod group or a zone of servers: one unit has to serve at any moment
-	zoneKind    Kind    // of a zone: the kind of its units; else ""
-	isZoneLimit bool    // it counts the zones of a kind, see zoneLimitKey
+	neverEmpty  bool    // rule of a pod group or a zone of servers: at least one unit has to serve
+	zoneKind    Kind    // rule of a zone: the kind of its units; otherwise ""
+	isZoneLimit bool    // rule that counts zones of a kind, see zoneLimitKey
 
-	total          int // units
+	total          int // number of units
 	unavailable    int
 	milliCapacity  int64
-	milliWarmingUp int64          // of the capacity, what is warming up or will be when its unit returns
-	waiters        []*permitState // pending permits whose evaluation depends on it, in the order of grants
+	milliWarmingUp int64          // part of milliCapacity that warms up, or will when its unit returns
+	waiters        []*permitState // pending permits whose evaluation depends on the constraint, in the order of grants
 }
 
-// budgetScopePrefix begins the key of a budget's constraint and the scope of its halts.
+// budgetScopePrefix is the prefix of the key of a budget's constraint and of the scope of its halts.
 const budgetScopePrefix = "budget/"
 
 func zoneKey(kind Kind, zone string) string { return "zone/" + string(kind) + "/" + zone }
 
 func podGroupKey(group int) string { return fmt.Sprintf("pod/%d", group) }
 
-// zoneLimitKey is the key of the constraint that counts the zones of a kind: those that have most of their units
-// unavailable are its unavailable ones. There is one slot for such a zone.
+// zoneLimitKey returns the key of the zone limit of a kind of units. The zone limit allows at most one zone to have most
+// of its units, more than half, unavailable. Its field unavailable counts these zones.
 func zoneLimitKey(kind Kind) string { return "zones/" + string(kind) }
 
-// isMajority reports whether a number of units is more than half of all.
+// isMajority reports whether a number of units is more than half of the total.
 func isMajority(units, total int) bool { return 2*units > total }
 
-// majorityUnavailable reports whether more than half of the units are unavailable.
 func (c *constraint) majorityUnavailable() bool { return isMajority(c.unavailable, c.total) }
 
-// fractionOf is an amount of capacity as a fraction of the constraint's.
+// fractionOf returns an amount of capacity as a fraction of the constraint's capacity.
 func (c *constraint) fractionOf(milliCapacity int64) float64 {
 	return float64(milliCapacity) / float64(max(c.milliCapacity, 1))
 }
 
-// getOrAddConstraint finds a built-in constraint, or adds it as it is given.
+// getOrAddConstraint returns the constraint with the key of the given one, and adds the given one if there is none.
 func (l *Ledger) getOrAddConstraint(added constraint) *constraint {
 	if existing := l.constraints[added.key]; existing != nil {
 		return existing
@@ -54,8 +53,8 @@
 	return &c
 }
 
-// constraintsOf finds the constraints that a unit belongs to, in a fixed order. Its kind's zone slots are not among
-// them, as they count zones, but exist from then on.
+// constraintsOf returns the constraints that a unit belongs to, in a fixed order, and adds missing built-in ones. It also
+// adds the zone limit of the unit's kind, but does not return it, because the zone limit counts zones instead of units.
 func (l *Ledger) constraintsOf(unit *Unit) []*constraint {
 	server := unit.Kind == KindServer
 	zone := l.getOrAddConstraint(constraint{key: zoneKey(unit.Kind, unit.Zone), zoneKind: unit.Kind, neverEmpty: server})
@@ -72,7 +71,7 @@
 	return constraints
 }
 
-// countUnit adds a unit to the sums of its constraints (sign +1) or subtracts it (-1).
+// countUnit adds a unit to the sums of its constraints (sign +1) or subtracts it (sign -1).
 func (l *Ledger) countUnit(unit *unitState, sign int) {
 	switch unit.Condition {
 	case ConditionLost:
@@ -101,7 +100,7 @@
 	l.requeueWaiters(c)
 }
 
-// countZone updates the zone slots after a zone came to have most of its units unavailable, or no longer has.
+// countZone updates the zone limit after most units of a zone have become unavailable, or no longer are.
 func (l *Ledger) countZone(zone *constraint) {
 	zoneLimit := l.constraints[zoneLimitKey(zone.zoneKind)]
 	if zone.majorityUnavailable() {
@@ -112,7 +111,7 @@
 	l.requeueWaiters(zoneLimit)
 }
 
-// pruneConstraints removes those built-in constraints that have neither units nor waiters.
+// pruneConstraints removes those of the built-in constraints that have neither units nor waiters.
 func (l *Ledger) pruneConstraints(constraints []*constraint) {
 	for _, c := range constraints {
 		if c.budget == nil && !c.isZoneLimit && c.total == 0 && len(c.waiters) == 0 {
@@ -121,7 +120,7 @@
 	}
 }
 
-// recountUnits assigns all units to their constraints again, after a budget was set or deleted.
+// recountUnits assigns all units to constraints again after a budget was set or deleted.
 func (l *Ledger) recountUnits() {
 	for _, id := range slices.Sorted(maps.Keys(l.units)) {
 		unit := l.units[id]
--- a/internal/disruption/ledger.go
+++ b/internal/disruption/ledger.go
@@ -5,30 +5,30 @@
 	"slices"
 )
 
-// Ledger is the replicated state: units, budgets, permits and halts, with the sums and indexes that follow from them.
+// Ledger is the replicated state: units, budgets, permits and halts, with the sums and indexes derived from them.
 // It is not safe for concurrent use.
 type Ledger struct {
-	revision uint64 // of the last change
+	revision uint64 // log revision of the last change
 
 	units          map[string]*unitState
-	lostByEndpoint map[string][]string // ids of lost servers, sorted
+	lostByEndpoint map[string][]string // sorted IDs of lost servers
 	lostCount      int
 	unknownCount   int
 
 	constraints       map[string]*constraint // budgets and built-in rules, by key
-	budgetConstraints map[string]*constraint // of these the budgets, by name
+	budgetConstraints map[string]*constraint // the budgets among constraints, by budget name
 
 	openPermits    map[string]*permitState
 	closedPermits  map[string]*Permit
-	closedOrder    []string       // ids of closed permits, the oldest first
-	substituteUses map[string]int // by unit: granted permits under which it substitutes for others
+	closedOrder    []string       // IDs of closed permits, oldest first
+	substituteUses map[string]int // by unit: number of granted permits that name it as a substitute
 
-	halts                      []Halt // by scope and issuer
-	freezeReason               string // "" unless frozen
-	uncertainWhenLastProcessed bool   // as uncertainty was when the queue was last processed
+	halts                      []Halt // sorted by scope and issuer
+	freezeReason               string // "": not frozen
+	uncertainWhenLastProcessed bool   // whether the state of the fleet was uncertain when the queue was last processed
 
 	queue         grantQueue                         // permits to evaluate
-	waitersByUnit map[string]map[string]*permitState // pending permits, by each unit that they refer to and their id
+	waitersByUnit map[string]map[string]*permitState // pending permits, by each unit or substitute of theirs and by permit ID
 }
 
 // NewLedger returns an empty ledger.
@@ -45,7 +45,7 @@
 	}
 }
 
-// addUnit adds a unit that the ledger does not have.
+// addUnit adds a unit that the ledger does not hold yet.
 func (l *Ledger) addUnit(added Unit) {
 	unit := &unitState{Unit: added}
 	unit.constraints = l.constraintsOf(&unit.Unit)
@@ -57,7 +57,7 @@
 	l.markWaitersStale(unit.ID)
 }
 
-// updateUnit changes a unit and keeps sums and indexes right.
+// updateUnit changes a unit and updates the sums and indexes.
 func (l *Ledger) updateUnit(unit *unitState, update func(unit *unitState)) {
 	l.countUnit(unit, -1)
 	previous, previousConstraints := unit.Unit, unit.constraints
@@ -77,7 +77,7 @@
 	l.pruneConstraints(previousConstraints)
 }
 
-// removeUnit removes a unit that no permit has taken out.
+// removeUnit removes a unit that is not under a permit.
 func (l *Ledger) removeUnit(unit *unitState) {
 	l.countUnit(unit, -1)
 	if unit.Condition == ConditionLost {
@@ -88,7 +88,7 @@
 	l.pruneConstraints(unit.constraints)
 }
 
-// indexLost notes at which endpoint a lost unit was, if at any, so that its successor is found.
+// indexLost records the endpoint of a lost unit, if it has one, so that a server that registers there replaces the unit.
 func (l *Ledger) indexLost(endpoint, id string) {
 	if endpoint == "" {
 		return
@@ -106,7 +106,7 @@
 	l.lostByEndpoint[endpoint] = ids
 }
 
-// sortedOpenPermits are the open permits in the order of grants.
+// sortedOpenPermits returns the open permits in the order of grants.
 func (l *Ledger) sortedOpenPermits() []*permitState {
 	return slices.SortedFunc(maps.Values(l.openPermits), compareGrantOrder)
 }
--- a/internal/disruption/operation.go
+++ b/internal/disruption/operation.go
@@ -2,61 +2,62 @@
 
 import "fmt"
 
-// Halt defers grants. Its scope is "" for the fleet, "budget/NAME", or an owner ("release/NAME").
+// Halt defers the grants in its scope: "" is the fleet, "budget/NAME" the permits for units of a budget, and an owner
+// ("release/NAME") the permits of that owner.
 type Halt struct {
 	Scope    string `json:"scope"`
-	IssuedBy string `json:"by"` // an operator, a controller, or "doubt" for the ledger itself
+	IssuedBy string `json:"by"` // an operator, a controller, or "doubt" for a halt by the ledger itself
 	Reason   string `json:"why"`
 	Revision uint64 `json:"rev"`
 }
 
-// OpKind is what an operation does.
+// OpKind is the kind of an operation.
 type OpKind string
 
-// The operations. All but OpObserve, and those of operators, need the owner's lease and token, which the state machine
-// that holds the ledger has checked before it applies one.
+// The kinds of operations. All operations except OpObserve and those of operators need the owner's lease and fencing
+// token. The state machine that holds the ledger checks both before it calls Apply.
 const (
-	OpSetBudget     OpKind = "budget"  // sets Budget, or deletes the one of that name where Delete is set
+	OpSetBudget     OpKind = "budget"  // sets Budget, or deletes the budget of that name if Delete is set
 	OpRequest       OpKind = "ask"     // requests Permit
-	OpBegin         OpKind = "begin"   // Permit.ID is being taken out from now on: written before the first act
-	OpReturn        OpKind = "return"  // Permit.ID is being brought back
-	OpComplete      OpKind = "settle"  // completes Units of Permit.ID, by Successors where they are replaced; rejected without evidence
-	OpCancel        OpKind = "cancel"  // Permit.ID is not needed: closed, or where it has begun aborted and completed by evidence
+	OpBegin         OpKind = "begin"   // marks the units of Permit.ID as being taken out; written before the first action
+	OpReturn        OpKind = "return"  // marks the units of Permit.ID as being brought back
+	OpComplete      OpKind = "settle"  // completes Units of Permit.ID, with Successors for replaced ones; rejected without evidence
+	OpCancel        OpKind = "cancel"  // closes Permit.ID, or aborts it after its begin: then evidence completes it
 	OpHalt          OpKind = "halt"    // sets Halt
 	OpResume        OpKind = "resume"  // lifts the halts of Halt.Scope
-	OpObserve       OpKind = "see"     // records Observed: what somebody found of units
-	OpRemoveLost    OpKind = "forget"  // removes Units that are lost and will not return, by an operator
-	OpForceComplete OpKind = "release" // closes Permit.ID without evidence, by an operator
+	OpObserve       OpKind = "see"     // records Observed, the conditions that an observer found
+	OpRemoveLost    OpKind = "forget"  // removes lost Units that will not return; operators only
+	OpForceComplete OpKind = "release" // closes Permit.ID without evidence; operators only
 )
 
-// Op is one operation of the log.
+// Op is an operation in the log.
 type Op struct {
 	Kind       OpKind            `json:"kind"`
 	Budget     *Budget           `json:"budget,omitempty"`
 	Delete     bool              `json:"drop,omitempty"`
 	Permit     *Permit           `json:"permit,omitempty"`
 	Units      []string          `json:"units,omitempty"`
-	Successors map[string]string `json:"successors,omitempty"` // from a unit to the unit in its place
+	Successors map[string]string `json:"successors,omitempty"` // from a replaced unit to its replacement
 	Halt       *Halt             `json:"halt,omitempty"`
 	Observed   []Unit            `json:"seen,omitempty"`
-	Owner      string            `json:"owner,omitempty"` // the lease of who requests it; "operator/NAME" for people
+	Owner      string            `json:"owner,omitempty"` // the requester's lease, or "operator/NAME" for a person
 }
 
-// Outcome says what became of an operation.
+// Outcome says whether an operation was applied, or for what kind of reason it was not.
 type Outcome string
 
 // The outcomes.
 const (
 	OutcomeApplied      Outcome = "done"
-	OutcomeRejected     Outcome = "refused"   // the ledger's state forbids it, or its fields are invalid
-	OutcomeNotFound     Outcome = "not_found" // there is no such permit, budget or unit
-	OutcomeLimitReached Outcome = "too_many"  // a bound of the ledger is reached
+	OutcomeRejected     Outcome = "refused"   // the ledger's state forbids it, or a field is invalid
+	OutcomeNotFound     Outcome = "not_found" // the permit, budget or unit does not exist
+	OutcomeLimitReached Outcome = "too_many"  // a size limit of the ledger is reached
 )
 
-// Result is the outcome of an operation. An operation that was not applied has changed nothing.
+// Result is the result of an operation. An operation that was not applied has changed nothing.
 type Result struct {
 	Outcome Outcome
-	Reason  string // why it was not applied, or a remark where it was; may be empty where it was
+	Reason  string // why it was not applied; for an applied operation a remark or ""
 }
 
 func applied() Result { return Result{Outcome: OutcomeApplied} }
--- a/internal/disruption/permit.go
+++ b/internal/disruption/permit.go
@@ -7,67 +7,68 @@
 	"strings"
 )
 
-// Priority orders grants: the lower value first, and within a priority the older permit.
+// Priority orders grants: the lower value first, and within a priority the older permit first.
 type Priority int
 
-// The priorities. Bringing a unit back takes nothing further out and needs no permit; a priority is about taking out.
+// The priorities. They apply to taking units out only: bringing a unit back takes no further unit out and needs no permit.
 const (
-	PriorityRollback Priority = iota // a rollback that has to take a unit out to reinstall the earlier version; halts do not defer it
+	PriorityRollback Priority = iota // a rollback that has to take a unit out to reinstall the earlier version; no halt defers it
 	PriorityDeadline                 // a maintenance window that is about to close
 	PriorityDrain
 	PriorityRollout // steps of releases
 )
 
-// Stage is how far a permit has come.
+// Stage is the stage of a permit's life cycle.
 type Stage string
 
-// The stages, in order. Completed and cancelled permits are closed: the ledger retains the last MaxClosedPermits.
+// The stages, in order. Completed and cancelled permits are closed; the ledger retains the last MaxClosedPermits of them.
 const (
 	StageRequested Stage = "asked"
-	StageGranted   Stage = "granted"   // its units count as unavailable from here on
+	StageGranted   Stage = "granted"   // its units count as unavailable from the grant on
 	StageActive    Stage = "out"       // its owner has begun to take the units out
-	StageReturning Stage = "returning" // its owner has begun to bring them back
+	StageReturning Stage = "returning" // its owner has begun to bring the units back
 	StageCompleted Stage = "settled"   // evidence shows that all units are back, replaced or retired
-	StageCancelled Stage = "cancelled" // it was never granted, or nothing was taken out under it
+	StageCancelled Stage = "cancelled" // closed before its begin: no unit was taken out
 )
 
-// Disposition is what becomes of a permit's units.
+// Disposition is what happens to the units of a permit after they were taken out.
 type Disposition string
 
 // The dispositions.
 const (
 	DispositionReturn  Disposition = "back"    // the same unit returns: up again after a transition later than the permit's begin
-	DispositionReplace Disposition = "replace" // another unit is up in its place
-	DispositionRetire  Disposition = "retire"  // it leaves for good: completed once it is out of the endpoint list
+	DispositionReplace Disposition = "replace" // another unit replaces it, and is up
+	DispositionRetire  Disposition = "retire"  // it is removed for good: completed once it is out of the endpoint list
 )
 
 // Permit allows its owner to take units out of service.
 type Permit struct {
-	ID             string      `json:"id"`    // chosen by the owner: a request is idempotent by it
-	Owner          string      `json:"owner"` // the lease under whose token everything about it is written, or "operator/NAME"
+	ID             string      `json:"id"`    // chosen by the owner; makes the request idempotent
+	Owner          string      `json:"owner"` // the lease whose token is needed for operations on the permit, or "operator/NAME"
 	Purpose        string      `json:"purpose"`
 	Units          []string    `json:"units"`
 	Priority       Priority    `json:"rank"`
 	Disposition    Disposition `json:"end"`
 	Stage          Stage       `json:"stage"`
-	CompletedUnits []string    `json:"settled,omitempty"` // of Units, those for which evidence has been accepted
+	CompletedUnits []string    `json:"settled,omitempty"` // the part of Units with accepted evidence
 
-	RequestRevision uint64 `json:"asked_at"` // revisions of the log
+	RequestRevision uint64 `json:"asked_at"` // this and the other revisions are log revisions
 	GrantRevision   uint64 `json:"got_at,omitempty"`
-	WaitReason      string `json:"why,omitempty"` // why it is not granted yet: the budget or halt that defers it
+	WaitReason      string `json:"why,omitempty"` // why it is not granted yet, such as the budget or halt that defers it
 
-	// Substitutes names, for a unit that is the only one of its pod group or zone, a unit elsewhere that is up and
-	// carries what only that one had. It is not taken out while the permit is open. WithoutSubstitute, which operators
-	// alone may set, does without.
+	// Substitutes maps a unit that is the only one of its pod group or zone to its substitute: a unit elsewhere that is
+	// up and carries what only the first unit had. A substitute is not taken out from the permit's grant until its end.
+	// WithoutSubstitute, which only operators may set, waives the substitutes.
 	Substitutes       map[string]string `json:"instead,omitempty"`
 	WithoutSubstitute bool              `json:"alone,omitempty"`
 	BeginRevision     uint64            `json:"out_at,omitempty"`
 	ReturnRevision    uint64            `json:"back_at,omitempty"`
-	// Aborted: it was cancelled after its begin. A unit that is up again completes it, whatever its disposition.
+	// Aborted says that the permit was cancelled after its begin. A unit that is up again is then completed, whatever the
+	// disposition.
 	Aborted bool `json:"undone,omitempty"`
 }
 
-// closed reports whether the permit's stage is a final one.
+// closed reports whether the permit's stage is final.
 func (p *Permit) closed() bool { return p.Stage == StageCompleted || p.Stage == StageCancelled }
 
 // clonePermit copies a permit with its slices and maps.
@@ -79,7 +80,7 @@
 	return &copied
 }
 
-// newPermit is a requested permit: only what a requester may choose is taken over.
+// newPermit returns a permit in StageRequested, with the fields of the request that a requester may choose.
 func newPermit(request *Permit, revision uint64) *Permit {
 	permit := clonePermit(request)
 	permit.Stage, permit.RequestRevision = StageRequested, revision
@@ -88,17 +89,17 @@
 	return permit
 }
 
-// sameRequest reports whether two permits were requested alike, so that one is a repeat of the other.
+// sameRequest reports whether two permits have equal request fields, so that one is a repeat of the other.
 func sameRequest(a, b *Permit) bool {
 	return a.Owner == b.Owner && a.Purpose == b.Purpose && a.Priority == b.Priority && a.Disposition == b.Disposition &&
 		a.WithoutSubstitute == b.WithoutSubstitute && slices.Equal(a.Units, b.Units) && maps.Equal(a.Substitutes, b.Substitutes)
 }
 
-// permitState is an open permit with what the ledger tracks about it.
+// permitState is an open permit with its derived state, which is not saved with it.
 type permitState struct {
 	Permit
 	completed map[string]bool
-	pending   *pendingPermit // nil unless it waits for its grant
+	pending   *pendingPermit // nil unless the permit waits for its grant
 }
 
 func newPermitState(permit *Permit) *permitState {
@@ -109,7 +110,7 @@
 	return state
 }
 
-// remainingUnits are the permit's units that nothing has completed yet.
+// remainingUnits returns the permit's units that are not completed yet.
 func (p *permitState) remainingUnits() []string {
 	var remaining []string
 	for _, id := range p.Units {
@@ -120,7 +121,7 @@
 	return remaining
 }
 
-// referencedUnits are the permit's units and their substitutes.
+// referencedUnits returns the permit's units and their substitutes.
 func (p *permitState) referencedUnits() []string {
 	ids := slices.Clone(p.Units)
 	for _, substitute := range p.Substitutes {
@@ -129,7 +130,8 @@
 	return ids
 }
 
-// compareGrantOrder orders permits as they are considered for a grant.
+// compareGrantOrder orders permits as they are considered for a grant: by priority, then by age.
 func compareGrantOrder(a, b *permitState) int {
-	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.RequestRevision, b.RequestRevision), strings.Compare(a.ID, b.ID))
+	return cmp.Or(
+		cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.RequestRevision, b.RequestRevision), strings.Compare(a.ID, b.ID))
 }
--- a/internal/disruption/registration.go
+++ b/internal/disruption/registration.go
@@ -7,9 +7,9 @@
 )
 
 // Register records a unit as the registry lists it: ConditionUp, ConditionUnready, ConditionDraining, or
-// ConditionUnknown where its expiry is held back. The registry does not know whether a server is warmed up: one that is
-// new or has restarted is ConditionWarmingUp until it is observed up, as long as there is any budget. A server whose
-// start is not known (BootMS 0) counts as warmed up.
+// ConditionUnknown while its expiry is held back. The registry does not know whether a server has warmed up. If any
+// budget exists, a new or restarted server is therefore ConditionWarmingUp until an observation reports it up. A server
+// whose start time is not known (BootMS 0) counts as warmed up.
 func (l *Ledger) Register(revision uint64, unit Unit) {
 	l.revision = revision
 	existing := l.units[unit.ID]
@@ -25,7 +25,7 @@
 	if unit.Kind == KindServer && unit.Condition == ConditionUp {
 		switch {
 		case sameIncarnation && existing.Condition.observable():
-			unit.Condition = existing.Condition // as it was observed: the registry cannot tell
+			unit.Condition = existing.Condition // as last observed: the registry's list does not tell these conditions apart
 		case !unit.WarmedUp:
 			unit.Condition = ConditionWarmingUp
 		}
@@ -34,7 +34,8 @@
 	l.processQueue()
 }
 
-// SetUnit records a unit exactly as given, for callers that know all of it.
+// SetUnit records a unit as given, except for its revisions, predecessor and successor. It is for callers that know the
+// full state of the unit.
 func (l *Ledger) SetUnit(revision uint64, unit Unit) {
 	l.revision = revision
 	unit.ObservedRevision, unit.TransitionRevision = revision, revision
@@ -46,13 +47,13 @@
 	l.processQueue()
 }
 
-// MarkUnknown records that a unit's lease has run out while its expiry is held back. It defers all grants until the
-// last unknown unit was registered, marked lost or removed.
+// MarkUnknown records that a unit's lease has expired while the registry holds the expiry back. The ledger defers all
+// grants until each unknown unit has registered, is marked lost or is removed.
 func (l *Ledger) MarkUnknown(revision uint64, id string) {
 	l.setCondition(revision, id, ConditionUnknown)
 }
 
-// MarkLost records that a unit's lease has expired. The unit stays, and counts as unavailable.
+// MarkLost records that a unit's lease has expired. The unit stays in the ledger and counts as unavailable.
 func (l *Ledger) MarkLost(revision uint64, id string) {
 	l.setCondition(revision, id, ConditionLost)
 	if l.lostCount > MaxLostUnits {
@@ -60,7 +61,8 @@
 	}
 }
 
-// Deregister removes a unit that has deregistered itself. Under a permit it stays as lost until the permit ends.
+// Deregister removes a unit that has deregistered itself. A unit under a permit is marked lost instead, and stays until
+// the permit ends.
 func (l *Ledger) Deregister(revision uint64, id string) {
 	unit := l.units[id]
 	switch {
@@ -74,8 +76,8 @@
 	}
 }
 
-// replaceUnit sets a unit. Its TransitionRevision rises only where its condition, incarnation or version changes: its
-// zone or capacity says nothing of whether it is available.
+// replaceUnit sets a unit. TransitionRevision rises only if the condition, incarnation or version changes: a change of
+// zone or capacity says nothing about availability.
 func (l *Ledger) replaceUnit(existing *unitState, updated Unit) {
 	if existing == nil {
 		l.addNewUnit(updated)
@@ -92,8 +94,8 @@
 	l.updateUnit(existing, func(unit *unitState) { unit.Unit = updated })
 }
 
-// addNewUnit adds a unit that is not known. A lost server at the same endpoint will not return: the new one is in its
-// place.
+// addNewUnit adds a unit that the ledger does not hold yet. The unit replaces a lost server at the same endpoint, since
+// the lost server will not return.
 func (l *Ledger) addNewUnit(added Unit) {
 	if len(l.units) >= MaxUnits {
 		l.haltFleet("%s is not counted: there are %d units", added.ID, len(l.units))
@@ -105,7 +107,7 @@
 	l.addUnit(added)
 }
 
-// replaceLostAt removes the lost servers of an endpoint, or names their successor while a permit needs them.
+// replaceLostAt removes the lost servers at an endpoint. A lost server under a permit stays, with its successor recorded.
 func (l *Ledger) replaceLostAt(endpoint, successor string) {
 	for _, id := range slices.Clone(l.lostByEndpoint[endpoint]) {
 		if lost := l.units[id]; lost.permit != nil {
@@ -128,8 +130,8 @@
 	l.processQueue()
 }
 
-// dropOldestLost removes the unit that has been lost for longest, of those that no permit has taken out. From then on
-// not all that is unavailable is counted, so the fleet is halted.
+// dropOldestLost removes the unit that has been lost longest among those that are not under a permit. The ledger then no
+// longer counts every unavailable unit, so it halts the fleet.
 func (l *Ledger) dropOldestLost() {
 	var oldest *unitState
 	for _, unit := range l.units {
@@ -141,14 +143,14 @@
 		}
 	}
 	if oldest == nil {
-		return // all are under permits, which bound them
+		return // all lost units are under permits, and the limits on permits bound their number
 	}
 	l.haltFleet("over %d units are lost: forget or replace them", MaxLostUnits)
 	l.removeUnit(oldest)
 	l.processQueue()
 }
 
-// compareLost orders lost units by how long they have been lost, the longest first.
+// compareLost orders lost units by how long they have been lost, longest first.
 func compareLost(a, b *unitState) int {
 	return cmp.Or(cmp.Compare(a.TransitionRevision, b.TransitionRevision), strings.Compare(a.ID, b.ID))
 }
--- a/internal/disruption/snapshot.go
+++ b/internal/disruption/snapshot.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// Snapshot is the ledger as a snapshot of the replicated state holds it.
+// Snapshot is the stored form of the ledger in a snapshot of the replicated state.
 type Snapshot struct {
 	Revision uint64    `json:"rev"`
 	Units    []Unit    `json:"units"`
 	Budgets  []Budget  `json:"budgets"`
-	Permits  []*Permit `json:"permits"` // closed ones first, the oldest first; then open ones in the order of grants
+	Permits  []*Permit `json:"permits"` // closed ones, oldest first, then open ones in the order of grants
 	Halts    []Halt    `json:"halts,omitempty"`
-	Frozen   string    `json:"frozen,omitempty"` // why it is frozen; "": it is not
+	Frozen   string    `json:"frozen,omitempty"` // why the ledger is frozen; "": it is not
 }
 
-// Snapshot returns the complete ledger, in a fixed order. What it refers to is shared with the ledger until that is
-// next changed.
+// Snapshot returns the complete ledger, in a fixed order. The snapshot shares memory with the ledger, so it is valid only
+// until the ledger's next change.
 func (l *Ledger) Snapshot() Snapshot {
 	snapshot := Snapshot{
 		Revision: l.revision,
@@ -35,7 +35,7 @@
 	return snapshot
 }
 
-// Restore makes a ledger from a snapshot, or reports what is invalid in it. It grants nothing.
+// Restore returns the ledger of a snapshot, or an error that names the invalid entry of the snapshot. It grants nothing.
 func Restore(snapshot Snapshot) (*Ledger, error) {
 	l := NewLedger()
 	l.revision, l.freezeReason, l.halts = snapshot.Revision, snapshot.Frozen, slices.Clone(snapshot.Halts)
@@ -49,13 +49,13 @@
 	}
 	for i, unit := range snapshot.Units {
 		if unit.ID == "" || l.units[unit.ID] != nil {
-			return nil, fmt.Errorf("units[%d]: %q is empty or a duplicate", i, unit.ID)
+			return nil, fmt.Errorf("units[%d]: ID %q is empty or a duplicate", i, unit.ID)
 		}
 		l.addUnit(unit)
 	}
 	for i, permit := range snapshot.Permits {
 		if permit == nil || permit.ID == "" || l.openPermits[permit.ID] != nil || l.closedPermits[permit.ID] != nil {
-			return nil, fmt.Errorf("permits[%d]: it is empty or a duplicate", i)
+			return nil, fmt.Errorf("permits[%d]: the permit is null, or its ID is empty or a duplicate", i)
 		}
 		if err := l.restorePermit(clonePermit(permit)); err != nil {
 			return nil, fmt.Errorf("permits[%d]: %w", i, err)
@@ -76,18 +76,18 @@
 	case StageGranted, StageActive, StageReturning:
 		return l.restoreGranted(newPermitState(restored))
 	default:
-		return fmt.Errorf("%q is not a stage", restored.Stage)
+		return fmt.Errorf("unknown stage %q", restored.Stage)
 	}
 	return nil
 }
 
-// restoreGranted adds a permit that has its units out.
+// restoreGranted adds a permit that is granted but not closed, and assigns its remaining units to it.
 func (l *Ledger) restoreGranted(permit *permitState) error {
 	l.openPermits[permit.ID] = permit
 	for _, id := range permit.remainingUnits() {
 		unit := l.units[id]
 		if unit == nil || unit.permit != nil {
-			return fmt.Errorf("%s is unknown, or under two permits", id)
+			return fmt.Errorf("unit %s is unknown or under two permits", id)
 		}
 		l.updateUnit(unit, func(unit *unitState) { unit.permit = permit })
 	}
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// restoreQueue finds what is not saved, as it follows from the rest: the state of pending permits.
+// restoreQueue computes the state of the pending permits, which is not saved because it follows from the rest.
 func (l *Ledger) restoreQueue() {
 	for _, permit := range l.sortedOpenPermits() {
 		if permit.pending != nil {
--- a/internal/disruption/unit.go
+++ b/internal/disruption/unit.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Kind says what a unit is.
+// Kind is the kind of a unit.
 type Kind string
 
 // The kinds of units.
@@ -14,49 +14,49 @@
 	KindSidecar Kind = "sidecar"
 )
 
-// Condition is what is known of a unit. A unit in any condition but ConditionUp counts as unavailable.
+// Condition is the last known condition of a unit. Units in all conditions except ConditionUp count as unavailable.
 type Condition string
 
 // The conditions.
 const (
-	ConditionUp        Condition = "up"       // registered, ready and warmed up; a sidecar answers and has the endpoint list
-	ConditionWarmingUp Condition = "cold"     // it serves, but with a part of its capacity only
-	ConditionUnready   Condition = "unready"  // registered, but it does not serve
-	ConditionDraining  Condition = "draining" // Terminating in the endpoint list, or a sidecar that shuts down
-	ConditionLost      Condition = "lost"     // its lease expired; it stays until it registers again, is replaced or removed
-	ConditionUnknown   Condition = "unseen"   // its lease expired, but the registry holds the expiry back: it may well serve
+	ConditionUp        Condition = "up"       // registered, ready and warmed up; a sidecar: it answers and has the endpoint list
+	ConditionWarmingUp Condition = "cold"     // serves with a part of its capacity
+	ConditionUnready   Condition = "unready"  // registered, but does not serve
+	ConditionDraining  Condition = "draining" // Terminating in the endpoint list; a sidecar: it shuts down
+	ConditionLost      Condition = "lost"     // its lease expired; it stays until it registers again, is replaced or is removed
+	ConditionUnknown   Condition = "unseen"   // its lease expired, but the registry holds the expiry back: it may still serve
 )
 
 // Unit is a server or a sidecar of the fleet.
 type Unit struct {
-	ID        string    `json:"id"` // as UnitID gives it
+	ID        string    `json:"id"` // as returned by UnitID
 	Kind      Kind      `json:"kind"`
 	Zone      string    `json:"zone,omitempty"`
 	Model     string    `json:"model,omitempty"`   // machine model
-	PodGroup  int       `json:"pod,omitempty"`     // of a server
-	Tenants   []string  `json:"tenants,omitempty"` // that it serves; none: all
+	PodGroup  int       `json:"pod,omitempty"`     // servers only
+	Tenants   []string  `json:"tenants,omitempty"` // tenants that it serves; empty: all
 	Version   string    `json:"version,omitempty"`
 	Capacity  float64   `json:"capacity"` // relative to other units; 0 counts as 1
 	Condition Condition `json:"condition"`
-	// TransitionRevision is the log revision at which its condition, incarnation or version last changed.
+	// TransitionRevision is the log revision of the last change of the condition, incarnation or version.
 	TransitionRevision uint64 `json:"rev"`
 
-	Endpoint         string  `json:"endpoint,omitempty"` // of a server: a new server at a lost one's endpoint replaces it
-	BootMS           float64 `json:"boot_ms,omitempty"`  // its last start, Unix ms; another value is another incarnation
-	WarmedUp         bool    `json:"warm,omitempty"`     // it was ConditionUp before in this incarnation
-	ObservedRevision uint64  `json:"seen,omitempty"`     // log revision at which it last registered or was observed
-	Predecessor      string  `json:"for,omitempty"`      // the unit that it has replaced; it can replace one only
-	Successor        string  `json:"next,omitempty"`     // of a lost unit under a permit: who registered at its endpoint since
+	Endpoint         string  `json:"endpoint,omitempty"` // servers only; a new server at the endpoint of a lost one replaces it
+	BootMS           float64 `json:"boot_ms,omitempty"`  // start time, Unix ms; another value is another incarnation
+	WarmedUp         bool    `json:"warm,omitempty"`     // was last observed up in this incarnation, or needs no warm-up
+	ObservedRevision uint64  `json:"seen,omitempty"`     // log revision of the last registration or observation
+	Predecessor      string  `json:"for,omitempty"`      // unit that it has replaced; a unit can replace only one
+	Successor        string  `json:"next,omitempty"`     // of a lost unit under a permit: server registered at its endpoint since
 }
 
-// UnitID is the name of a unit in the ledger: its kind and its name among those of that kind.
+// UnitID returns the ID of a unit in the ledger, which consists of its kind and its name within that kind.
 func UnitID(kind Kind, name string) string { return string(kind) + "/" + name }
 
-// capacityScale is the number of thousandths in one. Capacities are summed as whole thousandths, so that a sum does
-// not depend on the order of its terms: a replica that was restored from a snapshot decides like one that was not.
+// capacityScale is the number of thousandths in one. The ledger sums capacities as whole thousandths, because an integer
+// sum does not depend on the order of its terms: a replica restored from a snapshot decides like the other replicas.
 const capacityScale = 1000
 
-// milliCapacity is the unit's capacity in thousandths, at least one.
+// milliCapacity returns the unit's capacity in thousandths, at least one.
 func (u *Unit) milliCapacity() int64 {
 	capacity := u.Capacity
 	if !(capacity > 0) { // NaN as well
@@ -65,10 +65,11 @@
 	return max(int64(math.Round(capacityScale*min(capacity, maxUnitCapacity))), 1)
 }
 
-// sameAttributes reports whether two units agree in everything but condition, incarnation, version and revisions.
+// sameAttributes reports whether two units are equal except for condition, incarnation, version and revisions.
 func sameAttributes(a, b *Unit) bool {
-	return a.Zone == b.Zone && a.Model == b.Model && a.PodGroup == b.PodGroup && a.Capacity == b.Capacity && a.Endpoint == b.Endpoint &&
-		a.WarmedUp == b.WarmedUp && a.Predecessor == b.Predecessor && a.Successor == b.Successor && slices.Equal(a.Tenants, b.Tenants)
+	return a.Zone == b.Zone && a.Model == b.Model && a.PodGroup == b.PodGroup && a.Capacity == b.Capacity &&
+		a.Endpoint == b.Endpoint && a.WarmedUp == b.WarmedUp &&
+		a.Predecessor == b.Predecessor && a.Successor == b.Successor && slices.Equal(a.Tenants, b.Tenants)
 }
 
 // sameConstraints reports whether two states of a unit belong to the same constraints.
@@ -77,18 +78,17 @@
 		slices.Equal(a.Tenants, b.Tenants)
 }
 
-// unitState is a unit with what the ledger tracks about it.
+// unitState is a unit with its derived state, which is not saved with it.
 type unitState struct {
 	Unit
 	constraints []*constraint
-	permit      *permitState // that has taken it out; nil: none
+	permit      *permitState // granted permit that the unit is under, from the grant to the unit's completion; nil: none
 }
 
-// unavailable reports whether the unit counts as unavailable.
 func (u *unitState) unavailable() bool { return u.Condition != ConditionUp || u.permit != nil }
 
-// countsAsWarmingUp reports whether the unit's capacity counts as warming up: it is, or it is out under a permit and
-// will be once it returns.
+// countsAsWarmingUp reports whether the unit's capacity counts as warming up: the unit warms up now, or it is under a
+// permit and will warm up when it returns.
 func (u *unitState) countsAsWarmingUp() bool {
 	if u.Condition == ConditionWarmingUp {
 		return true
@@ -96,7 +96,7 @@
 	return u.permit != nil && (u.permit.Disposition != DispositionRetire || u.permit.Aborted)
 }
 
-// serving reports whether a permit for the unit would take capacity away that may still serve.
+// serving reports whether the unit may still serve, so that a permit for it would take capacity away.
 func (u *unitState) serving() bool {
 	if u.permit != nil {
 		return false
--- a/internal/disruption/validation.go
+++ b/internal/disruption/validation.go
@@ -7,33 +7,33 @@
 	"milldeck/internal/validation"
 )
 
-// Bounds of what the ledger holds. An operation that would exceed one is not applied; nothing that counts as
-// unavailable is dropped to make room, but see MaxLostUnits.
+// Size limits of the ledger. An operation that would exceed a limit is not applied. No unit that counts as unavailable is
+// dropped to make room, except for the oldest lost one beyond MaxLostUnits.
 const (
-	MaxUnits         = 250_000 // the registry lists at most 100,000 servers and as many sidecars, the rest are lost ones
-	MaxLostUnits     = 10_000  // beyond it the oldest is dropped, and the fleet is halted until an operator resumes it
-	MaxBudgets       = 256     // each new unit is matched against all of them
+	MaxUnits         = 250_000 // the registry lists at most 100,000 servers and as many sidecars; the rest are lost units
+	MaxLostUnits     = 10_000  // beyond it the oldest lost unit is dropped, and the fleet is halted until an operator resumes it
+	MaxBudgets       = 256     // each new unit is matched against all budgets
 	MaxOpenPermits   = 4096
-	MaxClosedPermits = 4096 // retained, so that a repeat of an operation is answered like the first
+	MaxClosedPermits = 4096 // retained, so that a repeated operation has the same result as the first
 	MaxPermitUnits   = 1000
 	MaxHalts         = 1024
-	MaxObservations  = 10_000 // in one operation
-	MaxNameLength    = 160    // bytes: a name of the registry and its kind
+	MaxObservations  = 10_000 // per operation
+	MaxNameLength    = 160    // bytes; a name in the registry with its kind
 	MaxTextLength    = 512    // bytes of a purpose or a reason
 
-	maxUnitCapacity = 1000 // as in the registry
+	maxUnitCapacity = 1000 // the registry's limit
 	operatorPrefix  = "operator/"
 )
 
-// IsOperator reports whether an owner is a person: operators need no lease, and may halt, resume, force the completion
-// of permits and remove lost units.
+// IsOperator reports whether an owner is a person. Operators need no lease, and may set budgets, halt, resume, force the
+// completion of permits and remove lost units.
 func IsOperator(owner string) bool { return strings.HasPrefix(owner, operatorPrefix) }
 
-// OperatorOwner is the owner of the operations of a person.
+// OperatorOwner returns the owner of a person's operations.
 func OperatorOwner(name string) string { return operatorPrefix + name }
 
-// Validate reports, as a *validation.Error, which field of an operation is invalid whatever the ledger holds. It is
-// meant for before the log: what it rejects Apply rejects as well.
+// Validate returns a *validation.Error that names the first field of an operation that is invalid, whatever the ledger
+// holds. Callers use it before they append the operation to the log; Apply rejects what Validate rejects.
 func (op *Op) Validate() error {
 	switch op.Kind {
 	case OpSetBudget:
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// Validate reports, as a *validation.Error, which field of a budget is invalid.
+// Validate returns a *validation.Error that names the first invalid field of a budget.
 func (b *Budget) Validate() error {
 	selector := &b.Selector
 	err := validation.First(
@@ -202,7 +202,7 @@
 	return nil
 }
 
-// validateNames checks that there are minimum to MaxPermitUnits names, each valid and named once.
+// validateNames checks that there are minimum to MaxPermitUnits names, each valid and unique.
 func validateNames(field string, names []string, minimum int) error {
 	if len(names) < minimum || len(names) > MaxPermitUnits {
 		return validation.Errorf(field, "%d entries, wanted %d to %d", len(names), minimum, MaxPermitUnits)
--- a/internal/disruption/view.go
+++ b/internal/disruption/view.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// Revision is the log revision of the last change.
+// Revision returns the log revision of the last change.
 func (l *Ledger) Revision() uint64 { return l.revision }
 
-// Permit returns a copy of a permit, as long as it is open or still retained.
+// Permit returns a copy of a permit that is open, or closed and still retained.
 func (l *Ledger) Permit(id string) (Permit, bool) {
 	permit := l.findPermit(id)
 	if permit == nil {
@@ -35,7 +35,7 @@
 	return Unit{}, false
 }
 
-// Units returns all units, lost ones too, by id.
+// Units returns all units, including lost ones, sorted by ID.
 func (l *Ledger) Units() []Unit {
 	units := make([]Unit, 0, len(l.units))
 	for _, id := range slices.Sorted(maps.Keys(l.units)) {
@@ -44,7 +44,7 @@
 	return units
 }
 
-// UnitsIn returns the units of a condition, by id.
+// UnitsIn returns the units in a condition, sorted by ID.
 func (l *Ledger) UnitsIn(condition Condition) []Unit {
 	var units []Unit
 	for _, unit := range l.units {
@@ -56,7 +56,7 @@
 	return units
 }
 
-// Budgets returns the budgets, by name.
+// Budgets returns the budgets, sorted by name.
 func (l *Ledger) Budgets() []Budget {
 	budgets := make([]Budget, 0, len(l.budgetConstraints))
 	for _, name := range slices.Sorted(maps.Keys(l.budgetConstraints)) {
@@ -65,21 +65,21 @@
 	return budgets
 }
 
-// Halts returns the halts in force, by scope and issuer.
+// Halts returns the halts in force, sorted by scope and issuer.
 func (l *Ledger) Halts() []Halt { return slices.Clone(l.halts) }
 
-// ConstraintStatus is how much of a budget, or of a built-in rule, is used up.
+// ConstraintStatus says how much of a budget, or of a built-in rule, is used up.
 type ConstraintStatus struct {
-	Name           string  `json:"name"` // "budget/NAME", or of a built-in rule "pod/N", "zone/KIND/ZONE"
-	Total          int     `json:"all"`  // units
+	Name           string  `json:"name"` // "budget/NAME"; for a built-in rule "pod/N" or "zone/KIND/ZONE"
+	Total          int     `json:"all"`  // number of units
 	Unavailable    int     `json:"out"`
 	MaxUnavailable int     `json:"allowed"`
-	WarmingUp      float64 `json:"cold"`         // capacity that is warming up, or will be when its units return
+	WarmingUp      float64 `json:"cold"`         // capacity that warms up, or will when its units return
 	MaxWarmingUp   float64 `json:"cold_allowed"` // -1: no bound
 	Capacity       float64 `json:"capacity"`
 }
 
-// View is the ledger as clients are shown it.
+// View is the form of the ledger that clients receive.
 type View struct {
 	Revision    uint64             `json:"rev"`
 	Uncertainty string             `json:"doubt,omitempty"` // why the state of the fleet is too uncertain to grant anything
@@ -88,10 +88,10 @@
 	Budgets     []Budget           `json:"budgets"`
 	Permits     []Permit           `json:"permits"` // open ones, in the order of grants
 	Halts       []Halt             `json:"halts"`
-	Units       []Unit             `json:"units"` // the unavailable ones, or all where all were requested
+	Units       []Unit             `json:"units"` // the unavailable ones, or all if requested
 }
 
-// View shows the ledger, with all of its units or with the unavailable ones alone.
+// View returns the form of the ledger that clients receive, with all units or only the unavailable ones.
 func (l *Ledger) View(allUnits bool) View {
 	view := View{
 		Revision:    l.revision,
