--- a/internal/disruption/fixtures_test.go
+++ b/internal/disruption/fixtures_test.go
@@ -12,7 +12,7 @@
 	"milldeck/internal/goldentest"
 )
 
-// scriptStep is a line of testdata/script.jsonl: an event of the fleet, or an operation as the log stores it.
+// scriptStep is a line of testdata/script.jsonl: an event in the fleet, or an operation as the log stores it.
 type scriptStep struct {
 	Event  string          `json:"event"`
 	Unit   json.RawMessage `json:"unit,omitempty"`
@@ -30,7 +30,7 @@
 	return data
 }
 
-// readScript reads the script and shows that each of its lines is written again as it was.
+// readScript reads the script and checks that each line is encoded as it was read.
 func readScript(t *testing.T) []scriptStep {
 	t.Helper()
 	data := goldentest.Read(t, "script.jsonl")
@@ -87,12 +87,12 @@
 		result := ledger.Apply(revision, &op)
 		return fmt.Sprintf("%s %s: %s", op.Kind, result.Outcome, result.Reason)
 	default:
-		t.Fatalf("no event %q", step.Event)
+		t.Fatalf("unknown event %q", step.Event)
 	}
 	return step.Event
 }
 
-// trace is the result of a step, and how each open permit stands then.
+// trace returns the result of a step, and the stage and wait reason of each open permit after it.
 func trace(ledger *Ledger, revision uint64, result string) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%d %s\n", revision, result)
@@ -102,8 +102,8 @@
 	return out.String()
 }
 
-// The script's operations are read and written as they were stored. Played, they have the same outcomes, reasons,
-// snapshot and view; a ledger restored from the snapshot at any step arrives at the same last snapshot.
+// Stored operations are decoded and encoded without a change. Applying the script gives the stored outcomes, reasons,
+// snapshots and views. A ledger that is restored from the snapshot of any step ends with the same last snapshot.
 func TestStoredLedgerIsCompatible(t *testing.T) {
 	steps := readScript(t)
 	ledger := NewLedger()
@@ -134,30 +134,30 @@
 			t.Fatalf("snapshot %d: %v", i+1, err)
 		}
 		if reencoded := encode(t, restored.Snapshot()); !bytes.Equal(reencoded, data) {
-			t.Fatalf("snapshot %d is written as\n%s\nnot\n%s", i+1, reencoded, data)
+			t.Fatalf("snapshot %d is encoded as\n%s\nwant\n%s", i+1, reencoded, data)
 		}
 		for k := i + 1; k < len(steps); k++ {
 			applyStep(t, restored, uint64(k+1), steps[k])
 		}
 		if last := encode(t, restored.Snapshot()); !bytes.Equal(last, snapshots[len(snapshots)-1]) {
-			t.Fatalf("restored at step %d it ends as\n%s\nnot\n%s", i+1, last, snapshots[len(snapshots)-1])
+			t.Fatalf("the ledger restored at step %d ends as\n%s\nwant\n%s", i+1, last, snapshots[len(snapshots)-1])
 		}
 	}
 }
 
-// A view that clients read is written again as it was.
+// The JSON form of a view that clients receive is decoded and encoded without a change.
 func TestViewIsCompatible(t *testing.T) {
 	for _, name := range []string{"view.json", "view-unavailable.json"} {
 		data := goldentest.Read(t, name)
 		var view View
 		goldentest.DecodeStrictly(t, data, &view)
 		if reencoded := append(encode(t, view), '\n'); !bytes.Equal(reencoded, data) {
-			t.Errorf("%s is written as\n%s\nnot\n%s", name, reencoded, data)
+			t.Errorf("%s is encoded as\n%s\nwant\n%s", name, reencoded, data)
 		}
 	}
 }
 
-// Budgets are read from TOML by the keys that operators' files have.
+// Budgets are decoded from TOML with the keys that operators' files use.
 func TestBudgetKeysAreCompatible(t *testing.T) {
 	data := goldentest.Read(t, "budgets.toml")
 	var file struct {
@@ -180,7 +180,7 @@
 	goldentest.Compare(t, "budgets-written.toml", rewritten)
 }
 
-// Constants that are stored or sent have the values that earlier versions have written.
+// Constants that are stored or sent keep the values that earlier versions have written.
 func TestStoredConstants(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -199,13 +199,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := strings.Join(test.got, " "); got != test.want {
-				t.Errorf("they are %s, want %s", got, test.want)
+				t.Errorf("values are %s, want %s", got, test.want)
 			}
 		})
 	}
 }
 
-// Validation reports the same fields and reasons, which clients are answered with.
+// Validation errors keep the fields and reasons that clients receive.
 func TestFieldErrorTexts(t *testing.T) {
 	long := strings.Repeat("x", MaxNameLength+1)
 	valid := Permit{ID: "p", Owner: "release/r", Units: []string{"server/a"}, Disposition: DispositionReturn}
--- a/internal/disruption/harness_test.go
+++ b/internal/disruption/harness_test.go
@@ -11,10 +11,10 @@
 
 func floatPointer(value float64) *float64 { return &value }
 
-// harness applies the same steps to a ledger, to a copy that was restored from a snapshot, and to the reference model.
+// harness applies the same steps to a ledger, to a copy restored from a snapshot, and to the reference model.
 type harness struct {
 	ledger      *Ledger
-	restored    *Ledger // nil where a test does without
+	restored    *Ledger // nil: the test uses no copy
 	model       *model
 	injectFault func(ledger *Ledger, lostUnit string) // called after each step; nil: none
 }
@@ -23,7 +23,7 @@
 	return &harness{ledger: NewLedger(), restored: NewLedger(), model: newModel()}
 }
 
-// newFleetHarness is a harness in which all testUnits are up.
+// newFleetHarness returns a harness in which all testUnits are up.
 func newFleetHarness() (*harness, error) {
 	h := newHarness()
 	for _, unit := range testUnits {
@@ -35,7 +35,7 @@
 	return h, nil
 }
 
-// step applies one step to all three and reports where they differ.
+// step applies one step to the ledger, the copy and the model, and returns an error if they differ.
 func (h *harness) step(applyToLedger func(l *Ledger) Outcome, applyToModel func(model *model) Outcome, lostUnit string) error {
 	h.model.revision++
 	before := slices.Clone(h.ledger.OpenPermits())
@@ -48,7 +48,7 @@
 		h.injectFault(h.restored, lostUnit)
 	}
 	if expected := applyToModel(h.model); outcome != expected {
-		return fmt.Errorf("outcome %s, not %s", outcome, expected)
+		return fmt.Errorf("outcome is %s, want %s", outcome, expected)
 	}
 	h.model.grantAdmissible()
 	if err := h.model.compare(h.ledger); err != nil {
@@ -62,7 +62,8 @@
 	return h.checkNewGrants(before)
 }
 
-// checkNewGrants checks each new grant against all budgets: what is unavailable, for whatever reason, is within them.
+// checkNewGrants checks each new grant against all budgets: the number of units that are unavailable for any reason is
+// within them.
 func (h *harness) checkNewGrants(before []Permit) error {
 	previousStages := map[string]Stage{}
 	for _, permit := range before {
@@ -91,8 +92,8 @@
 	return h.step(applyToLedger, func(model *model) Outcome { return model.apply(op) }, "")
 }
 
-// observe records what became of a unit. The model takes its condition from the ledger unless updateModel is given:
-// TestNewServersWarmUp is about the condition after a registration.
+// observe records a change of a unit. The model takes the unit's condition from the ledger unless updateModel is given;
+// TestNewServersWarmUp checks the condition after a registration.
 func (h *harness) observe(updateLedger func(l *Ledger), id, lostUnit string, updateModel func(model *model)) error {
 	applyToModel := func(model *model) Outcome {
 		if updateModel != nil {
@@ -105,7 +106,7 @@
 	return h.step(func(l *Ledger) Outcome { updateLedger(l); return OutcomeApplied }, applyToModel, lostUnit)
 }
 
-// restoreCopy replaces the copy by one that is restored from the ledger's snapshot.
+// restoreCopy replaces the copy with one restored from the ledger's snapshot.
 func (h *harness) restoreCopy() error {
 	data, err := json.Marshal(h.ledger.Snapshot())
 	if err != nil {
@@ -144,7 +145,7 @@
 	{ID: "sidecar/x", Kind: KindSidecar, Zone: "1"}, {ID: "sidecar/y", Kind: KindSidecar, Zone: "2"},
 }
 
-// randomStep applies one random step; draw returns a number below n.
+// randomStep applies one random step; draw returns a number from 0 to n-1.
 func (h *harness) randomStep(draw func(n int) int) error {
 	unit := testUnits[draw(len(testUnits))]
 	owner := []string{"release/r", "window/w", "operator/o"}[draw(3)]
@@ -229,7 +230,8 @@
 	return permit
 }
 
-// runSeeds applies random steps of many seeds, with a fault injected after each, and returns the first difference.
+// runSeeds applies random steps for a number of seeds, with injectFault called after each step, and returns the first
+// difference.
 func runSeeds(seeds int, injectFault func(*Ledger, string)) error {
 	for seed := range seeds {
 		rng := rand.New(rand.NewPCG(uint64(seed), 1))
--- a/internal/disruption/ledger_test.go
+++ b/internal/disruption/ledger_test.go
@@ -12,7 +12,7 @@
 	"milldeck/internal/validation"
 )
 
-// Whatever is applied, the ledger, its restored copy and the reference model agree.
+// After any sequence of steps the ledger, its restored copy and the reference model agree.
 func TestLedgerMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, err := newFleetHarness()
@@ -93,7 +93,8 @@
 	}
 }
 
-// A large permit is granted in the end though small ones that are admissible are requested all the time: it blocks them.
+// A large permit is granted eventually although small admissible permits are requested continually: the large permit
+// blocks them.
 func TestLargePermitIsNotStarved(t *testing.T) {
 	l, revision := NewLedger(), uint64(0)
 	apply := func(op Op) {
@@ -116,7 +117,7 @@
 	for i := 4; i < 9; i++ {
 		apply(request(fmt.Sprint("s", i), PriorityRollout, fmt.Sprint("sidecar/", i)))
 	}
-	apply(request("first", PriorityDeadline, "sidecar/8")) // a better priority is not blocked
+	apply(request("first", PriorityDeadline, "sidecar/8")) // a permit of a better priority is not blocked
 	stage := func(id string) Stage { p, _ := l.Permit(id); return p.Stage }
 	if stage("first") != StageGranted || stage("s4") != StageRequested || stage("large") != StageRequested {
 		t.Fatalf("first %s, s4 %s, large %s: %+v", stage("first"), stage("s4"), stage("large"), l.OpenPermits())
@@ -133,15 +134,15 @@
 	}
 }
 
-// A server of a new incarnation is warming up until it is observed up, as long as there is any budget; one that was only
-// lost for a while is not.
+// If any budget exists, a server of a new incarnation is warming up until it is observed up. A warmed-up server that was
+// lost and registers again in the same incarnation is not.
 func TestNewServersWarmUp(t *testing.T) {
 	l := NewLedger()
 	unit := Unit{ID: "server/a", Kind: KindServer, BootMS: 5, Condition: ConditionUp, Endpoint: "127.0.0.1:1"}
 	requireCondition := func(id string, want Condition) {
 		t.Helper()
 		if got, _ := l.Unit(id); got.Condition != want {
-			t.Fatalf("%s is %q, not %q", id, got.Condition, want)
+			t.Fatalf("%s is %q, want %q", id, got.Condition, want)
 		}
 	}
 	l.Register(1, unit)
@@ -154,12 +155,12 @@
 		l.Apply(revision, &Op{Kind: OpObserve, Observed: []Unit{observed}})
 	}
 	observe(4, Unit{ID: unit.ID, Condition: ConditionUp, TransitionRevision: 1})
-	requireCondition(unit.ID, ConditionWarmingUp) // observed of an earlier incarnation
+	requireCondition(unit.ID, ConditionWarmingUp) // the observation is of an earlier incarnation
 	observe(5, Unit{ID: unit.ID, Condition: ConditionUp, TransitionRevision: 3})
 	requireCondition(unit.ID, ConditionUp)
 	l.MarkLost(6, unit.ID)
 	observe(7, Unit{ID: unit.ID, Condition: ConditionUp})
-	requireCondition(unit.ID, ConditionLost) // the registry's list is not overridden
+	requireCondition(unit.ID, ConditionLost) // an observation does not override the registry's list
 	l.Register(8, unit)
 	requireCondition(unit.ID, ConditionUp)
 	l.MarkUnknown(9, unit.ID)
@@ -172,7 +173,7 @@
 	requireCondition(unit.ID, "") // replaced
 }
 
-// A server that registers at the endpoint of one that is lost under a permit completes that, once it is up.
+// A server that registers at the endpoint of a lost unit under a permit completes the unit once the server is up.
 func TestSuccessorAtSameEndpointCompletesPermit(t *testing.T) {
 	l, op := NewLedger(), Op{Owner: "operator/o", Permit: &Permit{ID: "p", Owner: "operator/o", Units: []string{"server/a"}, Disposition: DispositionReturn}}
 	apply := func(revision uint64, kind OpKind, want Outcome) {
@@ -186,9 +187,9 @@
 		l.Register(uint64(1+i), Unit{ID: id, Kind: KindServer, Endpoint: id, Condition: ConditionUp})
 	}
 	apply(3, OpRequest, OutcomeApplied)
-	apply(4, OpComplete, OutcomeRejected) // it has not begun
+	apply(4, OpComplete, OutcomeRejected) // the permit has not begun
 	apply(5, OpBegin, OutcomeApplied)
-	apply(6, OpComplete, OutcomeRejected) // no transition since its begin
+	apply(6, OpComplete, OutcomeRejected) // no transition since the permit's begin
 	l.Deregister(7, "server/a")
 	apply(8, OpComplete, OutcomeRejected)
 	successor := Unit{ID: "server/a2", Kind: KindServer, Endpoint: "server/a", Condition: ConditionDraining}
@@ -202,7 +203,8 @@
 	}
 }
 
-// Apply does not cost more with more units: a permit from its request to its end, with 100 and with 10,000 units.
+// The cost of Apply does not grow with the number of units: a permit from its request to its end, with 100 and with
+// 10,000 units.
 func BenchmarkApply(b *testing.B) {
 	for _, units := range []int{100, 10_000} {
 		b.Run(fmt.Sprint(units), func(b *testing.B) {
@@ -220,7 +222,7 @@
 			for i := range 16 {
 				apply(Op{Kind: OpSetBudget, Owner: "operator/o", Budget: &Budget{Name: fmt.Sprint(i), MaxUnavailable: Limit{Count: intPointer(3)}}})
 			}
-			for i := range 20 { // pending ones
+			for i := range 20 { // pending permits
 				id := fmt.Sprint("server/", i)
 				apply(Op{Kind: OpRequest, Owner: "r", Permit: &Permit{ID: fmt.Sprint("w", i), Owner: "r", Units: []string{id}, Priority: PriorityRollout, Disposition: DispositionReturn}})
 			}
@@ -238,11 +240,12 @@
 	}
 }
 
-// All sequences of sixteen operations on three units, two budgets and two permits that share a unit, up to a depth. A
-// state that differs from an earlier one in the values of its revisions alone is not pursued.
+// The ledger and the model agree after all sequences, up to a depth, of sixteen operations on three units, two budgets
+// and two permits that share a unit. A state that differs from an earlier one only in the values of its revisions is not
+// explored further.
 func TestExhaustiveShortSequences(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a few seconds")
+		t.Skip("takes a few seconds")
 	}
 	const depth = 4
 	unit := func(name string) Unit {
@@ -301,7 +304,7 @@
 	t.Logf("%d steps, %d states", stepCount, len(visited))
 }
 
-// branch is a harness in the same state, without a restored copy.
+// branch returns a harness in the same state, without a restored copy.
 func (h *harness) branch(t *testing.T) *harness {
 	t.Helper()
 	data, err := json.Marshal(h.ledger.Snapshot())
@@ -319,7 +322,7 @@
 	return &harness{ledger: ledger, model: h.model.clone()}
 }
 
-// normalizeRevisions is a snapshot with its revisions replaced by their ranks.
+// normalizeRevisions returns the JSON form of a snapshot whose revisions are replaced by their ranks.
 func normalizeRevisions(snapshot Snapshot) string {
 	var revisions []*uint64
 	snapshot.Units, snapshot.Halts = slices.Clone(snapshot.Units), slices.Clone(snapshot.Halts)
@@ -349,7 +352,7 @@
 	return asJSON(snapshot)
 }
 
-// Validate names the invalid field.
+// The error of Validate names the invalid field.
 func TestOpValidate(t *testing.T) {
 	valid := Permit{ID: "p", Owner: "release/r", Units: []string{"server/a"}, Disposition: DispositionReturn}
 	for field, op := range map[string]Op{
@@ -369,7 +372,7 @@
 		t.Run(field, func(t *testing.T) {
 			var invalid *validation.Error
 			if err := op.Validate(); !errors.As(err, &invalid) || invalid.Field != field {
-				t.Errorf("the error is %v", err)
+				t.Errorf("Validate returned %v", err)
 			}
 		})
 	}
--- a/internal/disruption/model_operations_test.go
+++ b/internal/disruption/model_operations_test.go
@@ -91,7 +91,7 @@
 	return OutcomeApplied
 }
 
-// applyToPermit applies an operation about a permit that was requested before.
+// applyToPermit applies an operation on a permit that was requested before.
 func (m *model) applyToPermit(op *Op) Outcome {
 	permit, exists := m.permits[op.Permit.ID]
 	if !exists {
@@ -107,7 +107,7 @@
 	return OutcomeApplied
 }
 
-// advancePermit takes a permit to the stage that an operation asks for; it reports whether that is allowed.
+// advancePermit advances a permit to the stage that an operation requests, and reports whether that is allowed.
 func (m *model) advancePermit(permit *Permit, op *Op) bool {
 	begun := permit.Stage == StageActive || permit.Stage == StageReturning
 	switch op.Kind {
@@ -150,7 +150,7 @@
 	}
 }
 
-// completeUnits completes units of a permit; it reports whether there is evidence for all of them.
+// completeUnits completes units of a permit, and reports whether there is evidence for all of them.
 func (m *model) completeUnits(permit *Permit, op *Op) bool {
 	ids, predecessors := op.Units, map[string]string{}
 	if len(ids) == 0 {
@@ -197,17 +197,17 @@
 	return true
 }
 
-// compare reports where the ledger differs from the model.
+// compare returns an error if the ledger differs from the model.
 func (m *model) compare(l *Ledger) error {
 	if got, want := l.Units(), m.unitsWhere(func(*Unit) bool { return true }); !sameJSON(got, append([]Unit{}, want...)) {
-		return fmt.Errorf("units are %s, not %s", asJSON(got), asJSON(want))
+		return fmt.Errorf("units are %s, want %s", asJSON(got), asJSON(want))
 	}
 	for id, want := range m.permits {
 		got, found := l.Permit(id)
 		if !found || got.Stage != want.Stage || !slices.Equal(got.CompletedUnits, want.CompletedUnits) {
-			return fmt.Errorf("permit %s is %s, not %s", id, asJSON(got), asJSON(want))
+			return fmt.Errorf("permit %s is %s, want %s", id, asJSON(got), asJSON(want))
 		}
-		for _, unitID := range want.Units { // no other permit has taken it out
+		for _, unitID := range want.Units { // the unit is under this permit, not under another
 			if !want.holdsUnits() || slices.Contains(want.CompletedUnits, unitID) {
 				continue
 			}
@@ -221,7 +221,7 @@
 			budget := m.budgets[c.budget.Name]
 			selected := m.unitsWhere(budget.Selector.Matches)
 			if status.Total != len(selected) || status.Unavailable != m.countUnavailable(selected) {
-				return fmt.Errorf("%s: %d of %d unavailable, not %d of %d", status.Name, status.Unavailable, status.Total, m.countUnavailable(selected), len(selected))
+				return fmt.Errorf("%s: %d of %d unavailable, want %d of %d", status.Name, status.Unavailable, status.Total, m.countUnavailable(selected), len(selected))
 			}
 		}
 	}
--- a/internal/disruption/model_test.go
+++ b/internal/disruption/model_test.go
@@ -7,8 +7,8 @@
 	"sort"
 )
 
-// model is the reference model: the ledger's rules written down as simply as possible. Sums are counted again for each
-// question, and after each operation all pending permits are evaluated from the first until nothing more is granted.
+// model is the reference model: the ledger's rules, implemented as simply as possible. It computes each sum when it needs
+// the sum. After each operation it evaluates all pending permits, and starts again from the first after each grant.
 type model struct {
 	revision  uint64
 	units     map[string]Unit
@@ -16,7 +16,7 @@
 	budgets   map[string]Budget
 	halts     []Halt
 	frozen    bool
-	candidate *Permit // a permit whose units count as taken out by it
+	candidate *Permit // a permit whose units count as under it, as if it were granted
 }
 
 func newModel() *model {
@@ -30,12 +30,12 @@
 	return &copied
 }
 
-// holdsUnits reports whether the permit has taken its units out.
+// holdsUnits reports whether the permit's units are under it.
 func (p *Permit) holdsUnits() bool {
 	return p.Stage == StageGranted || p.Stage == StageActive || p.Stage == StageReturning
 }
 
-// permitOf is the permit that has taken a unit out; nil: none.
+// permitOf returns the permit that a unit is under; nil: none.
 func (m *model) permitOf(id string) *Permit {
 	if permit := m.candidate; permit != nil && slices.Contains(permit.Units, id) {
 		return permit
@@ -68,7 +68,7 @@
 	}
 }
 
-// unitsWhere returns the selected units by id.
+// unitsWhere returns the selected units, sorted by ID.
 func (m *model) unitsWhere(selects func(unit *Unit) bool) []Unit {
 	var selected []Unit
 	for _, id := range slices.Sorted(maps.Keys(m.units)) {
@@ -93,22 +93,22 @@
 	return m.unitsWhere(func(other *Unit) bool { return other.Kind == unit.Kind && other.Zone == unit.Zone })
 }
 
-// withCandidate is the model as it would be with a permit granted.
+// withCandidate returns the model as it would be with a permit granted.
 func (m *model) withCandidate(permit Permit) *model {
 	copied := m.clone()
 	copied.candidate = &permit
 	return copied
 }
 
-// evaluation is what the model knows of a pending permit.
+// evaluation is the model's evaluation of a pending permit.
 type evaluation struct {
-	fits        bool            // within all constraints as they stand
-	feasible    bool            // within all constraints of the fleet as it is
-	blocksLater bool            // it waits for its constraints alone
-	needs       map[string]bool // constraints that the permit would use up some of
+	fits        bool            // within all constraints, with what is unavailable or warming up now
+	feasible    bool            // within all constraints, if nothing else were unavailable or warming up
+	blocksLater bool            // the permit waits for its constraints alone
+	needs       map[string]bool // constraints that a grant would use up some of
 }
 
-// admissible reports whether the permit can be granted, but for earlier ones.
+// admissible reports whether the permit can be granted unless an earlier permit blocks it.
 func (e *evaluation) admissible() bool { return e.blocksLater && e.fits }
 
 func (m *model) evaluate(permit Permit) *evaluation {
@@ -143,7 +143,7 @@
 	return result
 }
 
-// countServing counts those of a permit's units that are selected and may still serve.
+// countServing counts the units of a permit that are selected and may still serve.
 func (m *model) countServing(units []Unit, selects func(*Unit) bool) int {
 	count := 0
 	for _, unit := range units {
@@ -181,7 +181,7 @@
 	}
 }
 
-// evaluateBuiltIn evaluates the zone and the pod group of a unit that serves.
+// evaluateBuiltIn evaluates the built-in rules of the zone and the pod group of a unit that serves.
 func (m *model) evaluateBuiltIn(result *evaluation, afterGrant *model, permit Permit, unit Unit) {
 	zone := m.unitsInZoneOf(&unit)
 	result.needs["zone "+string(unit.Kind)+" "+unit.Zone] = true
@@ -277,7 +277,7 @@
 	return waiting
 }
 
-// grantAdmissible revokes the grants that are halted, and grants until nothing more is admissible.
+// grantAdmissible revokes the grants that are halted, and then grants permits until none is admissible.
 func (m *model) grantAdmissible() {
 	for id, permit := range m.permits {
 		if permit.Stage == StageGranted && m.halted(permit) {
