--- a/internal/disruption/constraint.go
+++ b/internal/disruption/constraint.go
@@ -11,7 +11,7 @@
 type constraint struct {
 	key         string
 	budget      *Budget // nil for a built-in rule
-	neverEmpty  bool    // rule of a pod group or a zone of servers: at least one unit has to serve
+	neverEmpty  bool    // rule of a pod group or a zone of servers: at least one unit has to serve at any time
 	zoneKind    Kind    // rule of a zone: the kind of its units; otherwise ""
 	isZoneLimit bool    // rule that counts zones of a kind, see zoneLimitKey
 
@@ -111,7 +111,7 @@
 	l.requeueWaiters(zoneLimit)
 }
 
-// pruneConstraints removes those of the built-in constraints that have neither units nor waiters.
+// pruneConstraints removes the built-in ones among the given constraints that have neither units nor waiters.
 func (l *Ledger) pruneConstraints(constraints []*constraint) {
 	for _, c := range constraints {
 		if c.budget == nil && !c.isZoneLimit && c.total == 0 && len(c.waiters) == 0 {
--- a/internal/disruption/demand.go
+++ b/internal/disruption/demand.go
@@ -27,11 +27,11 @@
 // demand is what a grant of a permit would take of one constraint.
 type demand struct {
 	constraint       *constraint
-	total            int // the permit's units that belong to the constraint
-	serving          int // part of total that may still serve
-	newlyUnavailable int // part of serving that does not count as unavailable yet
-	milliWarmingUp   int64
-	firstUnit        string // one of the total units
+	total            int    // the permit's units that belong to the constraint
+	serving          int    // part of total that may still serve
+	newlyUnavailable int    // part of serving that does not count as unavailable yet
+	milliWarmingUp   int64  // capacity that does not count as warming up yet, and would after the grant
+	firstUnit        string // ID of one of the units in total
 }
 
 func (d *demand) addUnit(unit *unitState, disposition Disposition) {
--- a/internal/disruption/evaluation.go
+++ b/internal/disruption/evaluation.go
@@ -10,7 +10,7 @@
 
 const (
 	admissible verdict = iota
-	deferred           // another permit has to end or a unit has to return first
+	deferred           // possible once other permits have ended, units have returned or halts are lifted
 	infeasible         // impossible with the current fleet and budgets
 )
 
--- a/internal/disruption/halts.go
+++ b/internal/disruption/halts.go
@@ -55,15 +55,15 @@
 	return applied()
 }
 
-// HaltForUncertainty halts the fleet until an operator resumes it, because the ledger may not hold all that is unavailable.
+// HaltForUncertainty halts the fleet until an operator resumes it, because the ledger may not know all unavailable units.
 func (l *Ledger) HaltForUncertainty(revision uint64, reason string) {
 	l.revision = revision
 	l.haltFleet("%s", reason)
 	l.processQueue()
 }
 
-// Freeze defers all grants until Unfreeze, while the state of the fleet is uncertain. A unit of ConditionUnknown has the
-// same effect without a freeze.
+// Freeze defers all grants until Unfreeze. It is for times when the state of the fleet is uncertain. A unit of
+// ConditionUnknown has the same effect without a freeze.
 func (l *Ledger) Freeze(revision uint64, reason string) {
 	l.revision, l.freezeReason = revision, cmp.Or(reason, "frozen")
 	l.processQueue()
