--- a/internal/disruption/evaluation.go
+++ b/internal/disruption/evaluation.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// verdict says whether a pending permit can be granted.
+// verdict is the result of an evaluation: whether a pending permit can be granted.
 type verdict int
 
 const (
 	admissible verdict = iota
-	deferred           // other permits or units have to return, complete or end first
-	infeasible         // not as the fleet and the budgets are
+	deferred           // possible once other permits have ended, units have returned or halts are lifted
+	infeasible         // impossible with the current fleet and budgets
 )
 
-// decision is the verdict on a pending permit, or on one of its demands.
+// decision is the verdict on a pending permit, or on one of its demands, with its reason.
 type decision struct {
 	verdict verdict
 	reason  string // "" if admissible
@@ -28,12 +28,13 @@
 	return decision{infeasible, fmt.Sprintf(format, args...)}
 }
 
-// evaluate decides whether a pending permit can be granted now. A permit that only waits for what its constraints allow
-// blocks later ones that need the same, so that small permits do not starve a large one. One that is halted, is
-// infeasible, or waits for a unit under another permit blocks nobody: it might do so for ever.
+// evaluate decides whether a pending permit can be granted now. A permit that waits for its constraints alone blocks
+// later permits that need the same constraints, so that small permits do not starve a large one. A permit that is
+// infeasible or halted, or that waits for a unit under another permit or for a substitute, blocks no other permit,
+// because its own wait might never end.
 func (l *Ledger) evaluate(permit *permitState) decision {
 	pending := permit.pending
-	pending.blocksLater, pending.neededSlots = false, nil
+	pending.blocksLater, pending.neededZoneLimits = false, nil
 	if pending.unknownUnit != "" {
 		return infeasibleFor("%s is not known", pending.unknownUnit)
 	}
@@ -47,22 +48,22 @@
 	if pending.blockedReason != "" {
 		return decision{deferred, pending.blockedReason}
 	}
-	if reason := l.missingSubstitute(permit); reason != "" {
+	if reason := l.substituteUnavailableReason(permit); reason != "" {
 		return decision{deferred, reason}
 	}
 	pending.blocksLater = true
-	if reason := blockedByEarlier(permit); reason != "" {
+	if reason := blockedByEarlierReason(permit); reason != "" {
 		return decision{deferred, reason}
 	}
 	return result
 }
 
-// evaluateDemands decides by the constraints alone, and notes which zone slots the permit needs. Of several demands
-// that are deferred the first gives the reason.
+// evaluateDemands decides by the constraints alone, and records which zone limits the permit needs. If several demands
+// are deferred, the first one gives the reason.
 func (l *Ledger) evaluateDemands(permit *permitState) decision {
 	pending := permit.pending
 	var result decision
-	var majorityKinds []Kind // of zones more than half of which the permit takes
+	var majorityKinds []Kind // kinds of which the permit takes more than half of the units in some zone
 	for i := range pending.demands {
 		d := &pending.demands[i]
 		if d.serving == 0 {
@@ -78,7 +79,7 @@
 			}
 			majorityKinds = append(majorityKinds, c.zoneKind)
 		}
-		if l.needsTakenSlot(pending, d) {
+		if l.exceedsZoneLimit(pending, d) {
 			current = deferredFor("%s would be out by more than half, as another zone is", d.constraint.key)
 		}
 		if result.verdict == admissible {
@@ -115,8 +116,9 @@
 	return decision{}
 }
 
-// evaluateBuiltIn decides whether a demand leaves a pod group, or the servers of a zone, without any that serves. The
-// only unit of one may be taken out once a substitute elsewhere carries what only that unit had.
+// evaluateBuiltIn decides whether a demand would leave a pod group, or the servers of a zone, without a serving unit. The
+// only unit of a group or zone may be taken out if a substitute elsewhere carries what only that unit had, or if an
+// operator has waived the substitute.
 func evaluateBuiltIn(permit *permitState, d *demand) decision {
 	c := d.constraint
 	switch {
@@ -133,23 +135,23 @@
 	return decision{}
 }
 
-// needsTakenSlot reports whether a demand leaves its zone with most units unavailable while the slot for such a zone is
-// taken. It notes that the permit needs the slot.
-func (l *Ledger) needsTakenSlot(pending *pendingPermit, d *demand) bool {
+// exceedsZoneLimit reports whether a demand would make its zone the second one of a kind with most units unavailable. It
+// records the zone limit as needed if the demand leaves most units of its zone unavailable.
+func (l *Ledger) exceedsZoneLimit(pending *pendingPermit, d *demand) bool {
 	zone := d.constraint
 	if zone.zoneKind == "" || !isMajority(zone.unavailable+d.newlyUnavailable, zone.total) {
 		return false
 	}
-	slots := l.constraints[zoneSlotsKey(zone.zoneKind)]
-	if slices.Contains(pending.neededSlots, slots) {
-		return true // by another zone of the same permit
+	zoneLimit := l.constraints[zoneLimitKey(zone.zoneKind)]
+	if slices.Contains(pending.neededZoneLimits, zoneLimit) {
+		return true // another zone of the same permit uses up the limit
 	}
-	pending.neededSlots = append(pending.neededSlots, slots)
-	return slots.unavailable > 1 || slots.unavailable == 1 && !zone.majorityUnavailable()
+	pending.neededZoneLimits = append(pending.neededZoneLimits, zoneLimit)
+	return zoneLimit.unavailable > 1 || zoneLimit.unavailable == 1 && !zone.majorityUnavailable()
 }
 
-// missingSubstitute is why a substitute cannot take over; "" if all can.
-func (l *Ledger) missingSubstitute(permit *permitState) string {
+// substituteUnavailableReason returns why a substitute cannot take over; "" if all can.
+func (l *Ledger) substituteUnavailableReason(permit *permitState) string {
 	for _, id := range permit.Units {
 		substitute := permit.Substitutes[id]
 		if substitute == "" {
@@ -162,25 +164,25 @@
 	return ""
 }
 
-// blockedByEarlier names an earlier permit that waits for what this one would use up; "" if there is none.
-func blockedByEarlier(permit *permitState) string {
+// blockedByEarlierReason names an earlier permit that waits for a constraint that this permit needs; "" if there is none.
+func blockedByEarlierReason(permit *permitState) string {
 	for _, d := range permit.pending.demands {
 		if d.serving == 0 {
 			continue
 		}
-		if reason := blockedAt(permit, d.constraint); reason != "" {
+		if reason := blockedAtConstraintReason(permit, d.constraint); reason != "" {
 			return reason
 		}
 	}
-	for _, slots := range permit.pending.neededSlots {
-		if reason := blockedAt(permit, slots); reason != "" {
+	for _, zoneLimit := range permit.pending.neededZoneLimits {
+		if reason := blockedAtConstraintReason(permit, zoneLimit); reason != "" {
 			return reason
 		}
 	}
 	return ""
 }
 
-func blockedAt(permit *permitState, c *constraint) string {
+func blockedAtConstraintReason(permit *permitState, c *constraint) string {
 	for _, earlier := range c.waiters {
 		if earlier == permit {
 			break
--- a/internal/disruption/model_test.go
+++ b/internal/disruption/model_test.go
@@ -7,8 +7,8 @@
 	"sort"
 )
 
-// model is the reference model: the ledger's rules written down as simply as possible. Sums are counted again for each
-// question, and after each operation all pending permits are evaluated from the first until nothing more is granted.
+// model is the reference model: the ledger's rules, implemented as simply as possible. It computes each sum when it needs
+// the sum. After each operation it evaluates all pending permits, and starts again from the first after each grant.
 type model struct {
 	revision  uint64
 	units     map[string]Unit
@@ -16,7 +16,7 @@
 	budgets   map[string]Budget
 	halts     []Halt
 	frozen    bool
-	candidate *Permit // a permit whose units count as taken out by it
+	candidate *Permit // a permit whose units count as under it, as if it were granted
 }
 
 func newModel() *model {
@@ -30,12 +30,12 @@
 	return &copied
 }
 
-// holdsUnits reports whether the permit has taken its units out.
+// holdsUnits reports whether the permit's units are under it.
 func (p *Permit) holdsUnits() bool {
 	return p.Stage == StageGranted || p.Stage == StageActive || p.Stage == StageReturning
 }
 
-// permitOf is the permit that has taken a unit out; nil: none.
+// permitOf returns the permit that a unit is under; nil: none.
 func (m *model) permitOf(id string) *Permit {
 	if permit := m.candidate; permit != nil && slices.Contains(permit.Units, id) {
 		return permit
@@ -68,7 +68,7 @@
 	}
 }
 
-// unitsWhere returns the selected units by id.
+// unitsWhere returns the selected units, sorted by ID.
 func (m *model) unitsWhere(selects func(unit *Unit) bool) []Unit {
 	var selected []Unit
 	for _, id := range slices.Sorted(maps.Keys(m.units)) {
@@ -93,22 +93,22 @@
 	return m.unitsWhere(func(other *Unit) bool { return other.Kind == unit.Kind && other.Zone == unit.Zone })
 }
 
-// withCandidate is the model as it would be with a permit granted.
+// withCandidate returns the model as it would be with a permit granted.
 func (m *model) withCandidate(permit Permit) *model {
 	copied := m.clone()
 	copied.candidate = &permit
 	return copied
 }
 
-// evaluation is what the model knows of a pending permit.
+// evaluation is the model's evaluation of a pending permit.
 type evaluation struct {
-	fits        bool            // within all constraints as they stand
-	feasible    bool            // within all constraints of the fleet as it is
-	blocksLater bool            // it waits for its constraints alone
-	needs       map[string]bool // constraints that the permit would use up some of
+	fits        bool            // within all constraints, with what is unavailable or warming up now
+	feasible    bool            // within all constraints, if nothing else were unavailable or warming up
+	blocksLater bool            // the permit waits for its constraints alone
+	needs       map[string]bool // constraints that a grant would use up some of
 }
 
-// admissible reports whether the permit can be granted, but for earlier ones.
+// admissible reports whether the permit can be granted unless an earlier permit blocks it.
 func (e *evaluation) admissible() bool { return e.blocksLater && e.fits }
 
 func (m *model) evaluate(permit Permit) *evaluation {
@@ -124,13 +124,13 @@
 		protected := m.serving(unit) && m.usedAsSubstitute(id)
 		available = available && m.permitOf(id) == nil && !protected
 	}
-	granted := m.withCandidate(permit)
+	afterGrant := m.withCandidate(permit)
 	for name, budget := range m.budgets {
-		m.evaluateBudget(result, granted, units, name, &budget)
+		m.evaluateBudget(result, afterGrant, units, name, &budget)
 	}
 	for _, unit := range units {
 		if m.serving(unit) {
-			m.evaluateBuiltIn(result, granted, permit, unit)
+			m.evaluateBuiltIn(result, afterGrant, permit, unit)
 		}
 	}
 	result.feasible = result.feasible && !m.takesTwoMajorities(units)
@@ -143,7 +143,7 @@
 	return result
 }
 
-// countServing counts those of a permit's units that are selected and may still serve.
+// countServing counts the units of a permit that are selected and may still serve.
 func (m *model) countServing(units []Unit, selects func(*Unit) bool) int {
 	count := 0
 	for _, unit := range units {
@@ -154,7 +154,7 @@
 	return count
 }
 
-func (m *model) evaluateBudget(result *evaluation, granted *model, units []Unit, name string, budget *Budget) {
+func (m *model) evaluateBudget(result *evaluation, afterGrant *model, units []Unit, name string, budget *Budget) {
 	count := m.countServing(units, budget.Selector.Matches)
 	if count == 0 {
 		return
@@ -163,26 +163,26 @@
 	selected := m.unitsWhere(budget.Selector.Matches)
 	if limit, bounded := budget.MaxUnavailable.unitLimit(len(selected)); bounded {
 		result.feasible = result.feasible && count <= limit
-		result.fits = result.fits && granted.countUnavailable(selected) <= limit
+		result.fits = result.fits && afterGrant.countUnavailable(selected) <= limit
 	}
-	milliCapacity, warmingUpNow, warmingUpThen := int64(0), int64(0), int64(0)
+	milliCapacity, warmingUpBefore, warmingUpAfter := int64(0), int64(0), int64(0)
 	for _, unit := range selected {
 		milliCapacity += unit.milliCapacity()
 		if m.countsAsWarmingUp(unit) {
-			warmingUpNow += unit.milliCapacity()
+			warmingUpBefore += unit.milliCapacity()
 		}
-		if granted.countsAsWarmingUp(unit) {
-			warmingUpThen += unit.milliCapacity()
+		if afterGrant.countsAsWarmingUp(unit) {
+			warmingUpAfter += unit.milliCapacity()
 		}
 	}
 	if limit, bounded := budget.MaxWarmingUp.capacityLimit(milliCapacity, len(selected)); bounded {
-		result.feasible = result.feasible && warmingUpThen-warmingUpNow <= limit
-		result.fits = result.fits && warmingUpThen <= limit
+		result.feasible = result.feasible && warmingUpAfter-warmingUpBefore <= limit
+		result.fits = result.fits && warmingUpAfter <= limit
 	}
 }
 
-// evaluateBuiltIn evaluates the zone and the pod group of a unit that serves.
-func (m *model) evaluateBuiltIn(result *evaluation, granted *model, permit Permit, unit Unit) {
+// evaluateBuiltIn evaluates the built-in rules of the zone and the pod group of a unit that serves.
+func (m *model) evaluateBuiltIn(result *evaluation, afterGrant *model, permit Permit, unit Unit) {
 	zone := m.unitsInZoneOf(&unit)
 	result.needs["zone "+string(unit.Kind)+" "+unit.Zone] = true
 	if unit.Kind == KindServer {
@@ -196,11 +196,11 @@
 			case taken == len(members):
 				result.feasible = false
 			default:
-				result.fits = result.fits && granted.countUnavailable(members) < len(members)
+				result.fits = result.fits && afterGrant.countUnavailable(members) < len(members)
 			}
 		}
 	}
-	if 2*granted.countUnavailable(zone) <= len(zone) {
+	if 2*afterGrant.countUnavailable(zone) <= len(zone) {
 		return
 	}
 	result.needs["zones "+string(unit.Kind)] = true
@@ -208,7 +208,7 @@
 		if other.Kind != unit.Kind || other.Zone == unit.Zone {
 			continue
 		}
-		if otherZone := m.unitsInZoneOf(&other); 2*granted.countUnavailable(otherZone) > len(otherZone) {
+		if otherZone := m.unitsInZoneOf(&other); 2*afterGrant.countUnavailable(otherZone) > len(otherZone) {
 			result.fits = false
 		}
 	}
@@ -277,7 +277,7 @@
 	return waiting
 }
 
-// grantAdmissible revokes the grants that are halted, and grants until nothing more is admissible.
+// grantAdmissible revokes the grants that are halted, and then grants permits until none is admissible.
 func (m *model) grantAdmissible() {
 	for id, permit := range m.permits {
 		if permit.Stage == StageGranted && m.halted(permit) {
