--- a/balance/admission.go
+++ b/balance/admission.go
@@ -2,35 +2,36 @@
 
 import "math"
 
-// This file decides how much load is shed, and of which classes and tenants.
+// This file decides how much load is shed, and from which classes and tenants.
 
 const (
-	// Fractions of the objective, beyond the least latency, that queueing may take before load is shed. With
-	// little traffic a sidecar sees a queue late, and in most servers at once.
+	// Fractions of the latency objective, beyond the minimum latency, that queueing may take before load is
+	// shed. A sidecar with little traffic detects queueing late, and then at most servers at once.
 	queueingAllowance           = 0.25
 	queueingAllowanceLowTraffic = 0.08
-	initialLatencyRatio         = 0.33 // least latency that is assumed until there are answers
-	minLatencyDecay             = 6e4  // ms in which the least latency is forgotten: servers change
-	averagingSamples            = 50   // answers or load reports over which a mean is taken
-	maxLatencySamples           = 300  // answers over which the mean latency of a class is taken
+	initialLatencyRatio         = 0.33 // minimum latency that is assumed until answers arrive
+	minLatencyDecay             = 6e4  // ms, time constant for forgetting the minimum latency: servers change
+	averagingSamples            = 50   // answers or load reports in a moving average
+	maxLatencySamples           = 300  // answers in the moving average of a class's latency
 	immediateShedGain           = 1.5  // fraction to shed at once, per objective of excess latency
 	minShedStep                 = 0.04 // step of the sustained fraction per request and objective of excess
-	maxShedStep                 = 0.34 // the same of a request long after the one before
+	maxShedStep                 = 0.34 // the same for a request long after the previous one
 	shedStepTime                = 400  // ms without a request for a step of 1
-	shedDecayTime               = 2500 // ms in which sustained shedding decays: idle servers look slow
+	shedDecayTime               = 2500 // ms, time constant of sustained shedding: idle servers look slow
 	shedDeadband                = 0.1  // sustained fraction not shed: small sidecars reach it by chance
-	maxShedFraction             = 0.95 // answers are needed to see that the overload is over
+	maxShedFraction             = 0.95 // answers are needed to detect the end of the overload
 	maxLatencyRatio             = 2    // latencies count as at most this multiple of the objective
-	answerRateSpan              = 8    // span of the answer rate, in longest objectives
-	growthDeviations            = 2    // standard deviations by which recent answers must show a higher rate
+	answerRateSpan              = 8    // time constant of the answer rate, in longest objectives
+	growthDeviations            = 2    // standard deviations by which recent answers must exceed the rate
 	assumedAnswers              = 3    // added to the answer rate; the load is averaged over as many
-	maxFairnessBoost            = 2    // bound of how far a tenant counts as under its quota
-	similarValueFactor          = 1.25 // values within this factor are shed alike
+	maxFairnessBoost            = 2    // maximum factor by which a tenant counts as under its quota
+	similarValueFactor          = 1.25 // values that differ by less than this factor are shed alike
 )
 
-// admit sheds load that the fleet cannot answer within the latency objectives. What is in flight over the
-// answer rate is the latency to expect (Little's law), before answers show it. The sustained fraction moves
-// with each request, at sidecars with little traffic by time: they would react to a loss of servers too late.
+// admit decides whether a request is admitted. It sheds load that the fleet cannot answer within the
+// latency objectives. The expected latency is the load in flight over the answer rate (Little's law), which
+// rises before answers show an overload. The sustained fraction changes with each request. At sidecars with
+// little traffic it changes with time, as they would otherwise react too late to a loss of servers.
 func (b *Balancer) admit(r *request) bool {
 	state := &b.admission
 	answerRate := b.answerRate(assumedAnswers)
@@ -39,7 +40,7 @@
 		state.firstRequestAt = b.now
 	}
 	if b.now < state.firstRequestAt+b.longestObjective {
-		// The first requests have had no time to be answered, so the answer rate means nothing yet.
+		// The first requests cannot have been answered yet, so the answer rate is not meaningful.
 		state.updatedAt = b.now
 		return true
 	}
@@ -53,11 +54,12 @@
 	return fraction == 0 || b.random() >= b.shedProbability(r, fraction)
 }
 
-// excessLatency is by how much the expected latency exceeds what is allowed, as a fraction of the objective.
-// Below 0 it is taken with the larger allowance, so that shedding ends as fast where the smaller one applies.
+// excessLatency returns by how much the expected latency exceeds the allowed latency, as a fraction of the
+// objective. A negative excess is computed with the larger allowance, so that shedding ends equally fast
+// where the smaller allowance applies.
 func (b *Balancer) excessLatency(answerRate float64) float64 {
 	minRatio, assumed := b.admission.minLatencyRatio, 1-b.answerRate(0)/answerRate
-	expected := b.admission.load.mean/answerRate + minRatio*assumed // assumed answers take the least
+	expected := b.admission.load.mean/answerRate + minRatio*assumed // assumed answers take the minimum
 	allowance := queueingAllowance
 	if b.lowTraffic() {
 		allowance = queueingAllowanceLowTraffic
@@ -73,8 +75,9 @@
 // shedding reports whether any load is shed.
 func (b *Balancer) shedding() bool { return b.admission.sustainedShed > shedDeadband }
 
-// shedProbability distributes the fraction of the load to shed over classes and tenants: those are shed first
-// whose answers add least to the objective for their work.
+// shedProbability returns the probability that a request is shed. It distributes the fraction of the load
+// to shed over classes and tenants. Requests whose answers add least to the objective per unit of work are
+// shed first.
 func (b *Balancer) shedProbability(r *request, fraction float64) float64 {
 	totals := b.sumDemand()
 	totalWork, lessValuable, similar, own := 0.0, 0.0, 1e-3, b.valuePerWork(&totals, r.stats, r.tenant)
@@ -94,8 +97,8 @@
 	return (fraction*totalWork - lessValuable) / similar
 }
 
-// valuePerWork is what an answer to a class and tenant adds to the objective, for its work. Those that are
-// served worst have a weight of their own. Of a tenant counts what is within its quota.
+// valuePerWork returns what an answer to a class and tenant adds to the objective, per unit of work. The
+// worst-served class and tenant have additional weights. Requests beyond a tenant's quota count less.
 func (b *Balancer) valuePerWork(totals *demandTotals, class *classStats, tenant *requestCounts) float64 {
 	objective := &b.config.Objective
 	value := (objective.Overall + objective.WorstWindow) * class.priorityWeight / totals.priorityWeight
--- a/balance/affinity.go
+++ b/balance/affinity.go
@@ -5,20 +5,21 @@
 	"slices"
 )
 
-// This file decides which servers a key's requests go to.
+// This file decides which servers receive the requests of a key.
 
 const (
-	minServersPerKey  = 2    // enough choice to even out the load, few enough to stay warm
-	fleetPerKeyServer = 15   // in a large fleet a key has one of so many servers
-	maxKeyFraction    = 0.5  // a frequent key is at most this part of what each of its servers receives
-	keyLoadHeadroom   = 1.25 // loadHeadroom for a key's servers: a wait costs less than a cold cache
+	minServersPerKey  = 2    // enough servers to balance the load, few enough to keep their caches warm
+	fleetPerKeyServer = 15   // servers of a large fleet per server of a key
+	maxKeyFraction    = 0.5  // maximum fraction of a server's requests that a frequent key causes
+	keyLoadHeadroom   = 1.25 // loadHeadroom for a key's servers: waiting costs less than a cold cache
 )
 
-// keySubset returns the servers to choose from for a key: the first in the key's order by rendezvous hashing,
-// the same at all sidecars. They are few, so that a key is still warm when it comes again, though each
-// sidecar meets it seldom. In a large fleet a sidecar with little traffic keeps to the first of them in its
-// own order: it needs few connections and soon knows the servers that it uses, and the orders of all sidecars
-// even out the load. While none of them has capacity the subset grows (bounded load).
+// keySubset returns the servers to choose from for a key: the first in the key's order by rendezvous
+// hashing, which is the same at all sidecars. They are few, so that they are still warm for the key at its
+// next request, even if each sidecar receives the key rarely. In a large fleet a sidecar with little
+// traffic uses only the first of them in its own order: it needs few connections and soon knows the servers
+// that it uses, and the orders of all sidecars together balance the load. While no server of the subset has
+// capacity, the subset grows (bounded load).
 func (b *Balancer) keySubset(key uint64) []*server {
 	count := b.candidateCount()
 	size := min(max(minServersPerKey, count/fleetPerKeyServer, b.frequencySubsetSize(key, count)), count)
@@ -43,8 +44,9 @@
 	}
 }
 
-// narrowCandidates orders the candidates by this sidecar's own order, weighted once more so that errors and
-// slow start take keys off a server. If the first has capacity it returns true, with only that one in place.
+// narrowCandidates sorts the candidates by this sidecar's own order, weighted once more so that errors and
+// slow start move keys away from a server. If the first candidate has capacity, narrowCandidates moves only
+// that one to its place and returns true.
 func (b *Balancer) narrowCandidates() bool {
 	candidates, first := b.selection.candidates, 0
 	for i, s := range candidates {
@@ -61,13 +63,13 @@
 	return false
 }
 
-// frequencySubsetSize is over how many of count servers a key is distributed for its frequency at this
-// sidecar.
+// frequencySubsetSize returns the number of servers, out of count, over which a key is distributed because
+// of its frequency at this sidecar.
 func (b *Balancer) frequencySubsetSize(key uint64, count int) int {
 	return int(math.Ceil(b.keys.fraction(key) * float64(count) / maxKeyFraction))
 }
 
-// candidateCount is how many servers a first attempt by key chooses from.
+// candidateCount returns the number of servers that a first attempt by key can choose from.
 func (b *Balancer) candidateCount() int {
 	if b.selection.allEjected {
 		return len(b.selection.candidates)
@@ -75,7 +77,7 @@
 	return b.rotation.size - b.selection.excluded.inRotation
 }
 
-// narrowsToOwnOrder reports whether only the first of a key's servers in this sidecar's own order are used.
+// narrowsToOwnOrder reports whether this sidecar uses only the first of a key's servers in its own order.
 func (b *Balancer) narrowsToOwnOrder() bool {
 	return b.candidateCount()/fleetPerKeyServer > minServersPerKey && b.lowTraffic()
 }
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -3,19 +3,19 @@
 import "math"
 
 // This file decides what the outcomes of attempts mean, when an attempt is overdue and when health checks
-// precede it.
+// precede an attempt.
 
 const (
 	overdueDeviations  = 4    // mean deviations above the mean latency at which an attempt is overdue
-	overdueMinSamples  = 5    // answers of a class before its latency is known
-	overdueLatency     = 3    // relative latency that an overdue attempt is taken to have
+	overdueMinSamples  = 5    // answers of a class before its latency counts as known
+	overdueLatency     = 3    // relative latency that is recorded for an overdue attempt
 	healthCheckBudget  = 0.03 // fraction of the result that health checks may cost
-	reportLifetime     = 0.05 // of the objective: what health checks may take, and load reports hold
-	allBusyProbability = 0.01 // that all servers checked are busy, at which no more are checked
+	reportLifetime     = 0.05 // of the objective: time limit of health checks, lifetime of load reports
+	allBusyProbability = 0.01 // probability that all checked servers are busy, at which no more are checked
 )
 
-// healthCheckBeforeSend sends health checks to the servers next in turn, where servers report their load in
-// no other way: so many that hardly ever all are busy, as far as the budget goes.
+// healthCheckBeforeSend sends health checks to the servers next in turn, if servers report their load in no
+// other way. It checks so many servers that almost never all of them are busy, within the cost budget.
 func (b *Balancer) healthCheckBeforeSend(r *request) {
 	if !b.config.AllowHealthChecks || b.config.LoadReports != LoadReportHealthCheck {
 		return
@@ -46,8 +46,9 @@
 	return next
 }
 
-// checkAttempts counts an overdue attempt as an error, as a hung server would show late otherwise, and takes
-// an attempt off the load once its objective is over. It returns when to look again.
+// checkAttempts records an overdue attempt as an error, since a hung server would be detected late
+// otherwise. It removes an attempt from the load once its objective is over. It returns the time of the
+// next check.
 func (b *Balancer) checkAttempts(r *request) float64 {
 	next := r.deadline
 	for i := range r.attempts {
@@ -71,7 +72,8 @@
 	return next
 }
 
-// overdueAfter follows the latency of the class: in an overloaded fleet all answers are late.
+// overdueAfter returns the latency at which an attempt is overdue. It follows the latency of the class,
+// since in an overloaded fleet all answers are late.
 func (b *Balancer) overdueAfter(r *request) float64 {
 	if r.stats.samples < overdueMinSamples {
 		return r.class.LatencyObjective / 2
@@ -79,12 +81,12 @@
 	return r.stats.meanLatency + overdueDeviations*r.stats.meanDeviation
 }
 
-// recordOutcome records what an outcome says of the server, the class and the fleet.
+// recordOutcome records what an outcome says about the server, the class and the fleet.
 func (b *Balancer) recordOutcome(r *request, a *attempt, ev *Outcome) {
 	switch ev.Result {
 	case OK:
 		b.recordAnswer(r, a, ev)
-	case Cancelled, Obsolete: // nothing is known of the server
+	case Cancelled, Obsolete: // the result says nothing about the server
 	default:
 		b.recordFailure(a, ev.Result)
 	}
@@ -93,7 +95,7 @@
 func (b *Balancer) recordAnswer(r *request, a *attempt, ev *Outcome) {
 	s := a.server
 	if s.errors.unreachable >= errorsBeforeEjection && !b.inSlowStart(s) {
-		b.beginSlowStart(s, b.now) // it has restarted, and the endpoint list does not say so yet
+		b.beginSlowStart(s, b.now) // the server has restarted, and the endpoint list does not show it yet
 	}
 	if !a.overdue || !b.lowTraffic() {
 		s.clearFaults()
@@ -104,7 +106,7 @@
 	b.scheduleRefresh(s)
 	b.zoneAnswered(s.zoneHealth)
 	if b.recordLoadReport(s, ev.LoadReport) > r.class.LatencyObjective {
-		// Some overloaded servers stay slow until they are idle: it is passed over for one round.
+		// Some overloaded servers stay slow until they are idle: the server is ejected for one round.
 		s.ejection.until = b.now + math.Min(b.longestObjective, float64(len(b.servers))/b.requestRate())
 	}
 	b.recordLatency(r, s, ev.Elapsed)
@@ -115,7 +117,7 @@
 		b.retries.lastOverloadedAt = b.now
 	}
 	unreachable := result == ConnectFailed
-	counted := a.overdue || a.endsAtObjective && result == TimedOut // the error was counted, or it is none
+	counted := a.overdue || a.endsAtObjective && result == TimedOut // recorded already, or no error
 	if unreachable || !counted {
 		b.recordError(a.server, unreachable)
 	}
@@ -124,7 +126,7 @@
 	}
 }
 
-// scheduleTimer sets a request's timer to when it has to be looked at next.
+// scheduleTimer sets a request's timer to the time of its next check.
 func (b *Balancer) scheduleTimer(r *request) {
 	next := b.checkAttempts(r)
 	if r.healthChecks.waitUntil > b.now {
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -2,15 +2,16 @@
 
 import "math"
 
-// This file decides the course of a request: when it is sent, when it is retried and how it ends unserved.
+// This file decides the lifecycle of a request: when an attempt is sent, when the request is retried and
+// which final answer ends a request that was not served.
 
 const (
-	retryBudgetRatio = 0.2 // retries per first attempt while servers are overloaded
-	retryBudgetMax   = 20  // retries that may be saved up: what an unreachable server held
-	maxRetries       = 1   // of a request: more of them multiply a load that is too high already
+	retryBudgetRatio = 0.2 // retries allowed per first attempt while the fleet is overloaded
+	retryBudgetMax   = 20  // bound of the budget: what one unreachable server held
+	maxRetries       = 1   // per request: more retries multiply a load that is already too high
 )
 
-// advance takes the next step of a request: it sends an attempt, gives the final answer or sets a timer.
+// advance performs the next step of a request: it sends an attempt, gives the final answer or sets a timer.
 func (b *Balancer) advance(r *request) {
 	if r.finished || r.streaming {
 		return
@@ -23,15 +24,16 @@
 	if r.inFlight == 0 && !b.awaitsHealthChecks(r) {
 		if s := b.selectUnderPlacement(r, len(r.attempts) > 0); s != nil {
 			b.updateRetryBudget(len(r.attempts) > 0)
-			// While load is shed an attempt that must not be repeated is given up at its objective: in full
-			// queues all that is served is late. Clients would retry the others, which is more load.
+			// While load is shed, a non-idempotent attempt is given up at its latency objective: in full
+			// queues every answer is late. Clients would retry other requests, which adds load.
 			b.sendAttempt(r, s, r.class.Idempotency == NonIdempotent && b.shedding())
 		}
 	}
 	b.scheduleTimer(r)
 }
 
-// exhausted reports whether nothing more can be sent for a request, or waiting for a server is of no use.
+// exhausted reports whether a request must end now: no further attempt is allowed, or waiting for a server
+// does not help.
 func (b *Balancer) exhausted(r *request) bool {
 	executed := 0 // attempts that may have been executed
 	for i := range r.attempts {
@@ -45,8 +47,8 @@
 			return true
 		}
 	}
-	// An attempt that was never executed is not a retry: after a crash two failed connects would reject a
-	// request.
+	// An attempt that was never executed does not count as a retry: otherwise two failed connects after a
+	// crash would cause a rejection.
 	retried := len(r.attempts) > 0
 	if len(r.attempts) >= b.config.MaxAttempts || executed > maxRetries || retried && !b.retryAllowed() {
 		return true
@@ -54,17 +56,19 @@
 	return b.now >= r.arrivedAt+r.class.LatencyObjective && b.safeToReject(r)
 }
 
-// retryAllowed is the retry budget, a token bucket that first attempts fill. It applies while the fleet is
-// overloaded: there a retry takes the place of a first attempt, and no other server is better.
+// retryAllowed applies the retry budget, a token bucket that first attempts refill. The budget limits
+// retries only while the fleet is overloaded: a retry then displaces a first attempt, and no other server
+// is better.
 func (b *Balancer) retryAllowed() bool { return b.retries.tokens >= 1 || !b.overloaded() }
 
-// overloaded reports whether load is shed, or a server rejected an attempt within the last longest objective.
+// overloaded reports whether this sidecar sheds load, or a server rejected an attempt within the last
+// longest latency objective.
 func (b *Balancer) overloaded() bool {
 	return b.shedding() || b.now < b.retries.lastOverloadedAt+b.longestObjective
 }
 
-// rejectOrFail gives a request its final answer without having served it. A client that may retry is told
-// when.
+// rejectOrFail gives the final answer to a request that was not served. A client that may retry receives a
+// Retry-After.
 func (b *Balancer) rejectOrFail(r *request) {
 	action := Action{Kind: Fail, Request: r.ID}
 	if b.safeToReject(r) {
@@ -74,9 +78,9 @@
 	b.finish(r)
 }
 
-// retryAfter is how long a client should wait before it retries: the least time that an answer takes, as
-// nothing changes sooner, and the time in which the present shedding decays. Jitter keeps clients that were
-// rejected together from returning together.
+// retryAfter returns how long a client should wait before it retries: the minimum latency of an answer,
+// since the load does not change sooner, plus the time in which the current shedding decays. Jitter
+// prevents clients that were rejected together from retrying together.
 func (b *Balancer) retryAfter(r *request) float64 {
 	if !b.config.SendRetryAfter {
 		return 0
--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -2,34 +2,35 @@
 
 import "math"
 
-// This file decides how much load each server receives: its weight, and what it may receive in slow start.
+// This file decides how much load each server receives: its weight, and its attempt budget during slow
+// start.
 
 const (
 	baseWeight           = 100
 	minWeight            = 1e-6
 	errorHalfLife        = 5000 // ms in which errors lose half their effect: faults last seconds, not minutes
-	errorPenalty         = 0.2  // health lost for each consecutive error
-	minHealth            = 0.25 // so that a server that recovers is noticed
-	capacityLearningRate = 0.01 // step of a log capacity for each answer; kind and zone move by half of it
-	driftSamples         = 200  // answers over which the mean step is taken
-	initialLearningBoost = 24   // factor of the first steps: a sidecar that restarted knows no capacity
-	maxLogCapacity       = 2.5  // bound of each learned logarithm
-	utilizationGain      = 2    // effect of a utilization below the mean, beside that of latency
-	recentPoolMargin     = 1.15 // how far the budget of slow start may exceed what the recent pool gives
+	errorPenalty         = 0.2  // health lost per consecutive error
+	minHealth            = 0.25 // above 0, so that the recovery of a server is detected
+	capacityLearningRate = 0.01 // step of a log capacity per answer; kind and zone move by half of it
+	driftSamples         = 200  // answers in the moving average of the step
+	initialLearningBoost = 24   // extra factor of the first steps: a restarted sidecar knows no capacity
+	maxLogCapacity       = 2.5  // bound of each learned log capacity, in both directions
+	utilizationGain      = 2    // weight of a utilization below the mean, relative to that of latency
+	recentPoolMargin     = 1.15 // factor by which the slow start budget may exceed the recent pool's
 )
 
-// weight is capacity × health, lowered in slow start.
+// weight returns capacity × health, reduced during slow start.
 func (b *Balancer) weight(s *server) float64 {
 	return math.Max(b.capacityWeight(s)*b.health(s)*b.slowStartFactor(s), minWeight)
 }
 
-// capacityWeight is the weight of a server in good health after its slow start.
+// capacityWeight returns the weight of a healthy server after its slow start.
 func (b *Balancer) capacityWeight(s *server) float64 {
 	logCapacity := s.logCapacity + b.capacity.byKind[s.Kind] + b.capacity.byZone[s.Zone]
 	return baseWeight * s.RelativeCapacity * math.Exp(logCapacity)
 }
 
-// groupFactor is what the weights of the servers of one kind and zone have in common.
+// groupFactor returns the weight factor that the servers of one kind and zone share.
 func (b *Balancer) groupFactor(kind, zone int) float64 {
 	factor := math.Exp(b.capacity.byKind[kind] + b.capacity.byZone[zone])
 	if zone == b.config.Zone {
@@ -38,7 +39,8 @@
 	return factor
 }
 
-// health is a multiplier from minHealth to 1 that falls with consecutive errors and recovers as they decay.
+// health returns a multiplier from minHealth to 1, which falls with consecutive errors and recovers as they
+// decay.
 func (b *Balancer) health(s *server) float64 {
 	errors := float64(s.errors.consecutive) * math.Exp(-math.Ln2*(b.now-s.errors.lastAt)/errorHalfLife)
 	return clamp(1-errorPenalty*errors, minHealth, 1)
@@ -48,7 +50,7 @@
 	return b.now < s.slowStart.since+b.config.SlowStartDuration
 }
 
-// slowStartFactor is the least fraction of its capacity that a server has by now.
+// slowStartFactor returns the minimum fraction of its capacity that a server has by now.
 func (b *Balancer) slowStartFactor(s *server) float64 {
 	if !b.inSlowStart(s) {
 		return 1
@@ -57,12 +59,13 @@
 	return minFactor + (1-minFactor)*math.Max(0, b.now-s.slowStart.since)/b.config.SlowStartDuration
 }
 
-// hasSlowStartBudget limits the attempts at a server in slow start, retries included: to half of the allowed
-// multiple of the answers that a server of its size gives to this sidecar, lowered by its slow start factor,
-// so that all sidecars together stay below the allowed multiple. Answers count, not requests, which clients
-// repeat, and few are assumed; but answers lag behind traffic that falls. Where many servers are in slow
-// start the pool falls sooner than the answers, so what it was of late bounds it. Tokens are not saved up for
-// long: what all sidecars had saved in a quiet time would come in one burst.
+// hasSlowStartBudget limits the attempts at a server in slow start, retries included. The limit is half of
+// the allowed multiple of the answers that a server of this size gives to this sidecar, reduced by its slow
+// start factor, so that all sidecars together stay below the allowed multiple. It counts answers, as
+// clients repeat requests, and assumes few of them. The request rate bounds the answer rate, as answers lag
+// behind falling traffic. If many servers are in slow start, the pool shrinks before the answers do, so the
+// recent pool bounds the budget. Tokens do not accumulate for long: all sidecars would spend them in one
+// burst after a quiet period.
 func (b *Balancer) hasSlowStartBudget(s *server) bool {
 	pool := &b.pool.slowStart
 	if b.config.KeyAffinity {
@@ -72,7 +75,7 @@
 	servedRate := math.Min(b.answerRate(1), b.requestRate())
 	refillRate := servedRate * s.weight / poolWeight * math.Max(1, b.config.OverloadMultiple/2)
 	budget := refillRate * b.config.OverloadDuration / 2
-	scarce := budget < 0.5 // a token at each sidecar would be too many
+	scarce := budget < 0.5 // one token per sidecar would be too many
 	maxTokens := math.Max(1, budget/2)
 	if scarce {
 		maxTokens = 1 + budget
@@ -86,8 +89,8 @@
 	return state.tokens >= 1
 }
 
-// tokensSince is from when a server in slow start has earned tokens: a rotation that it enters did not count
-// it before.
+// tokensSince returns the time from which a server in slow start has earned tokens. The rotation did not
+// count a server before the server entered it.
 func (b *Balancer) tokensSince(s *server) float64 {
 	if b.config.KeyAffinity {
 		return s.slowStart.tokensAt
@@ -95,14 +98,14 @@
 	return math.Max(s.slowStart.tokensAt, b.pool.slowStart.lastPickedAt)
 }
 
-// beginSlowStart begins with a random budget, so that the first attempts of all sidecars do not coincide.
+// beginSlowStart starts with a random budget, so that the first attempts of all sidecars do not coincide.
 func (b *Balancer) beginSlowStart(s *server, since float64) {
 	s.slowStart = slowStartState{since: since, tokens: b.random(), tokensAt: b.now}
 }
 
-// learnCapacity moves capacities until answers take equally long everywhere. What all servers have in common
-// is load, not capacity. A reported utilization counts as well: while load is shed answers are quick, and
-// slow servers would be idle beside fast ones that are full.
+// learnCapacity adjusts the learned capacities until answers take equally long at all servers. A change
+// that all servers have in common is due to load, not capacity. A reported utilization counts as well:
+// while load is shed, answers are fast, and slow servers would be idle beside fast servers that are full.
 func (b *Balancer) learnCapacity(s *server, relativeLatency float64) {
 	if b.inSlowStart(s) {
 		return
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -2,15 +2,16 @@
 
 import "math"
 
-// This file decides what an endpoint update means, and when discovery is polled.
+// This file decides how an endpoint update is applied, and when discovery is polled.
 
 const (
-	// pollBackoffPerSidecar is the first backoff, in ms for each sidecar of the fleet.
+	// pollBackoffPerSidecar is the initial backoff, in ms per sidecar of the fleet.
 	pollBackoffPerSidecar = 50
-	maxPollDoublings      = 4 // of the backoff, one for each failure in a row
-	// maxPromptPollBackoff bounds the backoff, in ms, where discovery has time for all sidecars. A sidecar
-	// counts as informed 6 s after discovery can be reached (PROTOCOL), which leaves time for a poll without
-	// an answer and one with it. Where polls wait in a queue, many that come so soon would not be answered.
+	maxPollDoublings      = 4 // of the backoff, one per consecutive failure
+	// maxPromptPollBackoff bounds the backoff, in ms, if discovery can answer all sidecars in time. A
+	// sidecar counts as informed 6 s after discovery becomes reachable (PROTOCOL), which leaves time for
+	// one unanswered and one answered poll. The bound does not apply if polls wait in a queue: many polls
+	// that soon would not be answered.
 	maxPromptPollBackoff = 3000
 )
 
@@ -18,7 +19,7 @@
 	switch ev.Kind {
 	case UpdateFailed:
 		b.discovery.failedPolls++
-		b.schedulePoll(0.5, b.config.PollInterval, ev.DiscoveryUnreachable) // from half of the backoff on
+		b.schedulePoll(0.5, b.config.PollInterval, ev.DiscoveryUnreachable) // at least half of the backoff
 		return
 	case UpdateFull, UpdateCached:
 		b.removeUnlisted(ev.Servers)
@@ -37,7 +38,8 @@
 	}
 }
 
-// updateServer applies one entry. A restart clears what is held against a server and begins its slow start.
+// updateServer applies one entry of an update. A restart clears the recorded faults of a server and begins
+// its slow start.
 func (b *Balancer) updateServer(entry *Server) {
 	s := b.serversByID[entry.ID]
 	switch {
@@ -58,14 +60,14 @@
 	b.scheduleRefresh(s)
 }
 
-// schedulePoll polls discovery after a backoff with jitter, from minFraction of it to all, within maxBackoff
-// if that is not 0. The backoff leaves discovery time for the polls of all sidecars: what they send at once,
-// after a mass restart or an outage of discovery, waits in its queue until most is given up. prompt says that
-// there is no queue.
+// schedulePoll schedules the next poll of discovery after a backoff with jitter, at least minFraction of
+// the backoff and at most maxBackoff if that is not 0. The backoff leaves discovery time for the polls of
+// all sidecars: polls that all sidecars send at once, after a mass restart or an outage of discovery, wait
+// in its queue until most have timed out. prompt states that discovery has no queue.
 func (b *Balancer) schedulePoll(minFraction, maxBackoff float64, prompt bool) {
 	fleetBackoff := pollBackoffPerSidecar * float64(max(b.config.SidecarCount, 1))
 	backoff := fleetBackoff * float64(int(1)<<min(b.discovery.failedPolls, maxPollDoublings))
-	fewSidecars := 2*fleetBackoff <= maxPromptPollBackoff // their polls all pass in time
+	fewSidecars := 2*fleetBackoff <= maxPromptPollBackoff // discovery answers all their polls in time
 	if backoff > maxPromptPollBackoff && (prompt || fewSidecars) {
 		backoff, minFraction = maxPromptPollBackoff, 0
 	}
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -2,24 +2,25 @@
 
 import "math"
 
-// This file decides what sidecars publish to each other and what they believe. Each visits a server seldom,
-// and others know of its faults before. A finding is a hint, never a fact: for a short time and for few
-// servers it puts off the next attempt at one that this sidecar has had errors from and no newer answer of.
-// So an overloaded server becomes idle at last, though hundreds of sidecars try it now and then.
+// This file decides which findings a sidecar publishes to other sidecars and which of theirs it accepts. A
+// sidecar visits each server rarely, so other sidecars detect faults of a server earlier. A finding is a
+// hint, never a fact: for a short time and for few servers, it delays the next attempt at a server that has
+// returned errors to this sidecar and no newer answer. An overloaded server can thus become idle although
+// hundreds of sidecars try it occasionally.
 
 const (
 	gossipBudget             = 5e-4 // fraction of the result that the gossip for each request may cost
-	gossipCostUnit           = 256  // bytes that Costs.Gossip is for
+	gossipCostUnit           = 256  // bytes that Costs.Gossip refers to
 	minGossipCost            = 0.01
-	gossipBurstBytes         = 400  // that may be sent at once, over all receivers
-	gossipFanout             = 8    // receivers of a message; the rest hear of it by others' findings
-	bootstrapFanout          = 3    // sidecars that are queried at the start: one of them will know
-	gossipBatchDelay         = 25   // ms over which findings are gathered
-	gossipLifetimeObjectives = 4    // longest objectives that a finding holds: a server can become idle
-	maxGossipLifetime        = 5000 // ms that it holds at most: what the age of a finding can express
-	maxGossipEjectedFraction = 0.1  // of the servers, and at most half of those of a zone
-	sufficientConfirmations  = 3    // times that a finding was received before it is not published again
-	gossipContactLimit       = 4    // visits of a server in a finding's lifetime that show as much
+	gossipBurstBytes         = 400  // bytes that may be sent at once, over all receivers
+	gossipFanout             = 8    // receivers of a message; the rest learn of a fault from other senders
+	bootstrapFanout          = 3    // sidecars queried at the start: one of them will know the faults
+	gossipBatchDelay         = 25   // ms over which findings are batched
+	gossipLifetimeObjectives = 4    // lifetime of a finding in longest objectives: a server can become idle
+	maxGossipLifetime        = 5000 // ms, bound of the lifetime: the maximum age that a finding can express
+	maxGossipEjectedFraction = 0.1  // of the servers, and at most half of the servers of a zone
+	sufficientConfirmations  = 3    // receptions of a finding after which it is not published again
+	gossipContactLimit       = 4    // visits per server in a finding's lifetime that reveal as much as gossip
 	maxContradictions        = 2.5  // recent contradictions after which a sender is ignored
 )
 
@@ -27,8 +28,9 @@
 	return math.Min(gossipLifetimeObjectives*b.longestObjective, maxGossipLifetime)
 }
 
-// gossipEnabled reports whether gossip is allowed, there is a receiver, and this sidecar visits a server so
-// seldom that others know more. Sidecars that visit servers often would drive each other to the same ones.
+// gossipEnabled reports whether gossip is allowed, there is a receiver, and this sidecar visits servers so
+// rarely that other sidecars know more. Sidecars that visit servers often would drive each other to the
+// same servers.
 func (b *Balancer) gossipEnabled() bool {
 	if !b.config.AllowGossip || b.config.SidecarCount <= 1 {
 		return false
@@ -36,14 +38,14 @@
 	return b.requestRate()*b.gossipLifetime() < gossipContactLimit*float64(len(b.servers))
 }
 
-// earnGossipBudget has each request pay for some bytes, so that all gossip costs the same fraction of the
-// result in a fleet of any size.
+// earnGossipBudget adds some bytes to the gossip budget for each request, so that all gossip costs the same
+// fraction of the result in a fleet of any size.
 func (b *Balancer) earnGossipBudget() {
 	earned := gossipBudget * gossipCostUnit / math.Max(b.config.Costs.Gossip, minGossipCost)
 	b.gossip.budgetBytes = math.Min(b.gossip.budgetBytes+earned, gossipBurstBytes)
 }
 
-// publishFault publishes the ejection of a server, unless it was published or received often of late.
+// publishFault publishes the ejection of a server, unless it was recently published or often received.
 func (b *Balancer) publishFault(s *server) {
 	known := s.gossip.confirmations >= sufficientConfirmations && b.now < s.gossip.ejectedUntil
 	if b.now < s.gossip.publishedUntil || known {
@@ -54,8 +56,8 @@
 	}
 }
 
-// publishRecovery takes back what was published of a server that answers in time, and counts against the
-// sender of a finding that says otherwise.
+// publishRecovery retracts the published fault of a server that answers in time. It counts a contradiction
+// for the sender of a finding that claims a fault.
 func (b *Balancer) publishRecovery(s *server) {
 	s.timelyAnswerAt = b.now
 	if s.gossip.publishedUntil > 0 {
@@ -72,7 +74,7 @@
 	b.clearGossipEjection(s)
 }
 
-// sendFindings sends the queued findings to a few sidecars, as far as the budget goes. The rest is dropped.
+// sendFindings sends the pending findings to a few sidecars, within the budget. It drops the rest.
 func (b *Balancer) sendFindings() {
 	state := &b.gossip
 	state.timerSet = false
@@ -89,7 +91,8 @@
 	state.pending = state.pending[:0]
 }
 
-// sendToPeers sends a message to fanout sidecars: a random one and those that follow it by a random stride.
+// sendToPeers sends a message to fanout sidecars: a random one and those at multiples of a random stride
+// from it.
 func (b *Balancer) sendToPeers(data []byte, fanout int) {
 	count := b.config.SidecarCount
 	first := int(float64(count) * b.random())
@@ -102,8 +105,8 @@
 	}
 }
 
-// onGossip handles a message of another sidecar. Stale, repeated and malformed messages are dropped, and
-// those of a sender that this sidecar's own answers contradict.
+// onGossip handles a message of another sidecar. It drops stale, repeated and malformed messages, and those
+// of a sender that this sidecar's own answers contradict.
 func (b *Balancer) onGossip(ev *GossipMessage) {
 	state := &b.gossip
 	otherSidecar := ev.From >= 0 && ev.From < b.config.SidecarCount && ev.From != b.config.SidecarIndex
@@ -112,7 +115,7 @@
 	}
 	timestamp, findings, err := decodeGossip(ev.Data, b.now, state.readBuffer[:0])
 	if err != nil {
-		return // anything may arrive on a datagram socket
+		return // a datagram socket can receive anything
 	}
 	state.readBuffer = findings
 	source := state.acceptSender(ev.From, timestamp)
@@ -132,7 +135,7 @@
 	s := b.gossip.serversByTag[f.subject]
 	if s == nil || b.now-f.observedAt >= b.gossipLifetime() ||
 		f.observedAt <= math.Max(s.timelyAnswerAt, s.gossip.observedAt) {
-		return // of no listed server, or older than what is known
+		return // the server is not listed, or the finding is older than what is known
 	}
 	switch {
 	case f.kind == findingRecovery:
@@ -157,7 +160,7 @@
 	b.scheduleRefresh(s)
 }
 
-// mayEjectByGossip bounds what all findings together can do, this one included.
+// mayEjectByGossip bounds the number of servers that all findings together eject, this one included.
 func (b *Balancer) mayEjectByGossip(s *server) bool {
 	ejected, ejectedInZone, readyInZone := 1, 1, 0
 	for _, other := range b.servers {
@@ -176,7 +179,7 @@
 	return few && 2*ejectedInZone <= readyInZone
 }
 
-// replyToQuery sends a sidecar that has just started the faults that hold here now.
+// replyToQuery sends the faults that currently hold at this sidecar to a sidecar that has just started.
 func (b *Balancer) replyToQuery(peer int) {
 	var findings []finding
 	for _, s := range b.servers {
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -6,20 +6,21 @@
 	"slices"
 )
 
-// This file decides which servers are ejected: those that fail, hang or are unreachable, and all of a zone
-// that is lost. Attempts in flight there are retried elsewhere while they can still be in time.
+// This file decides which servers are ejected: servers that fail, hang or are unreachable, and all servers
+// of a lost zone. Requests in flight at them are retried elsewhere while they can still be answered in
+// time.
 
 const (
-	errorsBeforeEjection          = 2    // consecutive errors of a server
+	errorsBeforeEjection          = 2    // consecutive errors that eject a server
 	unreachableBeforeZoneEjection = 3    // servers of a zone, without an answer from the zone in between
-	maxEjectionDoublings          = 3    // of the ejection time
+	maxEjectionDoublings          = 3    // bound of the doublings of the ejection time
 	lateEjectionPerSidecar        = 100  // ms; all sidecars together try a late server ten times a second
-	maxLateEjectedFraction        = 0.15 // of the servers; if more are late the load is too high
+	maxLateEjectedFraction        = 0.15 // fraction of the servers; if more are late, the load is too high
 )
 
-// recordError counts an error. A server is ejected after several in a row; with little traffic one late
-// answer has to do, as a second would come after seconds in which all other sidecars sent requests there as
-// well.
+// recordError records an error of a server. Several consecutive errors eject the server. With little
+// traffic one late answer suffices: a second one would come seconds later, while all other sidecars keep
+// sending requests to the server.
 func (b *Balancer) recordError(s *server, unreachable bool) {
 	s.errors.consecutive++
 	s.errors.lastAt = b.now
@@ -31,7 +32,7 @@
 	case late && b.mayEjectLate():
 		b.eject(s)
 		b.publishFault(s)
-		// An overloaded server recovers only when it is mostly idle, and each sidecar tries it again.
+		// An overloaded server recovers only when it is mostly idle, but each sidecar tries it again.
 		extension := math.Max(lateEjectionPerSidecar*float64(b.config.SidecarCount)-b.longestObjective, 0)
 		doublings := min(s.ejection.count-1, maxEjectionDoublings)
 		s.ejection.until += extension * float64(int(1)<<doublings) * (0.75 + b.random()/2)
@@ -41,7 +42,7 @@
 	}
 }
 
-// lowTraffic reports whether this sidecar visits the servers of its rotation less than once in
+// lowTraffic reports whether this sidecar visits the servers of its rotation less than once per
 // rotationPeriod.
 func (b *Balancer) lowTraffic() bool {
 	return b.requestRate()*rotationPeriod < float64(min(b.rotationSize(), len(b.servers)))
@@ -57,7 +58,7 @@
 	return ejected < maxLateEjectedFraction*float64(len(b.servers))
 }
 
-// eject keeps a server out of picks for a time that doubles until it answers.
+// eject keeps a server out of picks for a time that doubles with each ejection until the server answers.
 func (b *Balancer) eject(s *server) {
 	s.ejection.until = b.now + b.ejectionTime(s.ejection.count)
 	s.ejection.count++
@@ -70,8 +71,9 @@
 
 func (b *Balancer) isEjected(s *server) bool { return b.ejectionEnd(s) > b.now }
 
-// ejectionEnd is when the ejection of a server ends, by itself, by gossip or with its zone; it is past for
-// one that is not ejected. A server that started after its zone was lost is not ejected with it.
+// ejectionEnd returns the time at which the ejection of a server ends, by this sidecar, by gossip or with
+// its zone. The time is in the past if the server is not ejected. A server that started after its zone was
+// lost is not ejected with the zone.
 func (b *Balancer) ejectionEnd(s *server) float64 {
 	until := math.Max(s.ejection.until, s.gossip.ejectedUntil)
 	if b.lostWithZone(s) {
@@ -84,8 +86,8 @@
 	return s.zoneHealth.lost && s.slowStart.since < s.zoneHealth.unreachableSince
 }
 
-// recordUnreachable records a failed connect. If several servers of a zone are unreachable and no other
-// answers, while another zone does, the zone is lost.
+// recordUnreachable records a failed connect. A zone is lost if several of its servers are unreachable and
+// none of its servers has answered since, while another zone has.
 func (b *Balancer) recordUnreachable(s *server) {
 	b.cancelStranded(s)
 	zone := s.zoneHealth
@@ -95,7 +97,7 @@
 	if len(zone.unreachable) < len(b.servers) && !slices.Contains(zone.unreachable, s) {
 		zone.unreachable = append(zone.unreachable, s)
 	}
-	// Attempts that were sent before the zone was ejected still fail, and mean nothing new.
+	// Attempts that were sent before the zone was ejected still fail and carry no new information.
 	sentBefore := zone.lost && s != zone.trialServer
 	few := len(zone.unreachable) < unreachableBeforeZoneEjection
 	if few || sentBefore || !b.otherZoneAnswered(s.Zone, zone.unreachableSince) {
@@ -118,9 +120,9 @@
 	}
 }
 
-// shedLostZone sheds at once the part of the load that a lost zone served. The other servers receive its keys
-// without a warm cache and would be overloaded before answers show it. The shedding soon decays if they are
-// not.
+// shedLostZone immediately sheds the part of the load that a lost zone served. The other servers receive
+// the zone's keys with cold caches and would be overloaded before answers show it. If they are not
+// overloaded, the shedding soon decays.
 func (b *Balancer) shedLostZone(id int) {
 	lost, total := 0.0, 0.0
 	for _, s := range b.servers {
@@ -132,7 +134,7 @@
 	b.admission.sustainedShed = math.Max(b.admission.sustainedShed, shedDeadband+lost/total)
 }
 
-// beginZoneTrial has one server of a lost zone tried at a time.
+// beginZoneTrial allows one server of a lost zone to be tried at a time.
 func (b *Balancer) beginZoneTrial(s *server) {
 	if b.lostWithZone(s) {
 		s.zoneHealth.trialServer, s.zoneHealth.ejectedUntil = s, b.now+b.longestObjective
@@ -140,8 +142,9 @@
 	}
 }
 
-// cancelStranded cancels what is in flight at an unreachable server, so that it can be answered in time
-// elsewhere: a server that is cut off keeps its connections open and is silent until the client's deadline.
+// cancelStranded cancels the attempts in flight at an unreachable server, so that their requests can be
+// answered elsewhere in time: a server that is cut off keeps its connections open and is silent until the
+// client's deadline.
 func (b *Balancer) cancelStranded(s *server) {
 	if !b.config.AllowCancel || s.inFlight == 0 {
 		return
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -5,16 +5,17 @@
 // This file decides which server a request is sent to.
 
 const (
-	loadHeadroom    = 0.4                // a server above this multiple of its share of load is passed over
-	maxRoundsBehind = 4                  // rounds that a server owes at most, after more than its share
+	loadHeadroom    = 0.4                // a server above this multiple of its load share is passed over
+	maxRoundsBehind = 4                  // rounds by which a server's running weight may be negative
 	rotationPeriod  = 1000               // ms in which each server of the rotation should receive a request
-	trafficSpan     = 2 * rotationPeriod // over which the request rate is taken
-	minRotationSize = 4                  // servers in the rotation of a sidecar with hardly any traffic
-	zonePreference  = 200                // added to the weight factor of the own zone, times Costs.CrossZone
+	trafficSpan     = 2 * rotationPeriod // time constant of the request rate
+	minRotationSize = 4                  // servers in the rotation of a sidecar with almost no traffic
+	zonePreference  = 200                // the weight factor of the own zone is 1 + this × Costs.CrossZone
 )
 
-// pick selects the server of an attempt by smooth weighted round robin, over the servers of the request's key
-// or over all. A retry goes to the healthiest server that was not tried. It returns nil if there is none.
+// pick selects the server of an attempt by smooth weighted round robin, over the servers of the request's
+// key or over all servers. A retry goes to the healthiest server that the request has not tried. pick
+// returns nil if no server may receive the attempt.
 func (b *Balancer) pick(r *request, retry bool) *server {
 	byKey := !retry && b.config.KeyAffinity && r.Key != 0
 	totalWeight, ok := b.prepareSelection(r, byKey)
@@ -44,8 +45,9 @@
 	return best
 }
 
-// prepareSelection sets up the current pick and returns the sum of the weights to choose from. If all servers
-// are ejected the cause is hardly theirs, and all are candidates; false if the placement excludes others.
+// prepareSelection sets up the current pick and returns the total weight to choose from. If all servers are
+// ejected, the cause is hardly theirs and all become candidates; if the placement excludes further servers,
+// ok is false instead.
 func (b *Balancer) prepareSelection(r *request, byKey bool) (totalWeight float64, ok bool) {
 	selection := &b.selection
 	if b.config.KeyAffinity {
@@ -69,7 +71,8 @@
 	return b.collectCandidates(r, true), true
 }
 
-// best selects among servers: first those within the load bound, then by preferred.
+// best returns the best of several servers, nil if none may receive an attempt. Servers within the load
+// bound come first, then the order is by preferred.
 func (b *Balancer) best(choices []*server, retry bool) (best *server) {
 	bestOverBound := false
 	for _, s := range choices {
@@ -87,16 +90,18 @@
 
 func (b *Balancer) mayReceive(s *server) bool { return !b.inSlowStart(s) || b.hasSlowStartBudget(s) }
 
-// exceedsLoadBound is bounded load: a server that holds more than its share is slow, hung or loaded by other
-// sidecars, whatever its errors say. It is passed over and retains its running weight for later.
+// exceedsLoadBound implements bounded load: a server that holds more than its share is slow, hung or loaded
+// by other sidecars, even if it returns no errors. It is passed over and keeps its running weight for later
+// picks.
 func (b *Balancer) exceedsLoadBound(s *server) bool {
 	limit := b.selection.headroom * b.selection.load * s.weight / b.selection.weight
-	return !s.loadKnown || b.serverLoad(s)+1 > math.Ceil(limit-1e-9) // a rounding error allows no more
+	return !s.loadKnown || b.serverLoad(s)+1 > math.Ceil(limit-1e-9) // rounding must not raise the limit
 }
 
-// rotationSize is over how many servers the sidecar rotates, the first in its own order: as many as it can
-// visit often. A thousand sidecars that used all would fill all connection tables and know no server. With
-// key affinity all are used: rotations of their own would have the sidecars warm a key at many servers.
+// rotationSize returns the number of servers that this sidecar rotates over: the first in its own order, as
+// many as it can visit often. If a thousand sidecars used all servers, connection tables would be full and
+// no sidecar would know any server. With key affinity all servers are used: with separate rotations the
+// sidecars would warm a key at many servers.
 func (b *Balancer) rotationSize() int {
 	if b.config.KeyAffinity {
 		return len(b.servers)
@@ -104,10 +109,11 @@
 	return max(minRotationSize, int(rotationPeriod*b.requestRate()))
 }
 
-// collectCandidates lists the candidates of this pick with their weights, and returns the sum of the weights.
+// collectCandidates collects the candidates of this pick with their weights, and returns the sum of the
+// weights.
 func (b *Balancer) collectCandidates(r *request, includeEjected bool) float64 {
 	totalWeight, anyReport, remaining := 0.0, false, b.rotationSize()
-	// The own zone is preferred by the order, or by weight where all servers are used.
+	// The own zone is preferred by rank, or by weight if all servers are in the rotation.
 	zoneFactor := 1 + (b.ownZoneFactor()-1)*math.Min(1, float64(remaining)/float64(len(b.servers)))
 	b.selection.candidates, b.selection.pool = b.selection.candidates[:0], poolSums{}
 	for _, s := range b.servers {
@@ -135,11 +141,11 @@
 	return totalWeight
 }
 
-// ownZoneFactor is the preference of the own zone, by the cost of crossing zones.
+// ownZoneFactor returns the weight factor of the own zone, which grows with the cost of crossing zones.
 func (b *Balancer) ownZoneFactor() float64 { return 1 + zonePreference*b.config.Costs.CrossZone }
 
-// preferred reports whether s comes before best: by running weight, for a retry by health. Where all exceed
-// the load bound the one with the least load for its weight comes first.
+// preferred reports whether s is a better choice than best: by running weight, for a retry by health. If
+// both exceed the load bound, a first attempt prefers the least load for the weight.
 func (b *Balancer) preferred(s, best *server, retry, overBound bool) bool {
 	if overBound && !retry {
 		return (b.serverLoad(s)+1)*best.weight < (b.serverLoad(best)+1)*s.weight
@@ -150,8 +156,8 @@
 	return retry && health > bestHealth || (!retry || health == bestHealth) && ahead
 }
 
-// permitted reports whether the rules let the request go to a server now. A request that may have been
-// executed goes only where its idempotency key is known.
+// permitted reports whether the rules allow sending the request to a server now. A request that may have
+// been executed may only go to servers that know its idempotency key.
 func (b *Balancer) permitted(r *request, s *server) bool {
 	if s.State != Ready || s.excluded {
 		return false
@@ -173,15 +179,15 @@
 	return true
 }
 
-// idempotencyWindowOver reports whether a retry could reach a server that no longer knows the key; it may
-// have to connect first.
+// idempotencyWindowOver reports whether a retry could reach a server that no longer knows the key. The
+// retry may have to connect first.
 func (b *Balancer) idempotencyWindowOver(r *request, a *attempt) bool {
 	return b.now+b.config.ConnectTimeout >= a.sentAt+r.class.IdempotencyWindow
 }
 
-// ownOrderRank is a server's position in this sidecar's own order, by weighted rendezvous hashing: a server
-// that comes or goes moves no other, nor does a restart of the sidecar. With key affinity the weights prefer
-// the own zone.
+// ownOrderRank returns a server's position in this sidecar's own order, by weighted rendezvous hashing.
+// Adding or removing a server changes no other rank, nor does a restart of the sidecar. The rank prefers
+// the own zone; with key affinity the weights do so instead.
 func (b *Balancer) ownOrderRank(s *server) float64 {
 	hash := splitmix64(splitmix64(uint64(b.config.SidecarIndex)+1) ^ uint64(s.ID))
 	rank := -math.Log(float64(hash>>11+1) / (1 << 53))
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -3,23 +3,25 @@
 import "math"
 
 // This file decides what a placement changes: which servers a tenant's requests avoid, as long as enough
-// remain, and how much of a hot key's load its replicas carry. Without a placement none of it applies.
+// servers remain, and which part of a hot key's load its replicas receive. Without a placement nothing of
+// it applies.
 
 const (
-	// A replica without a load fraction receives a trickle of its key's load: a new one warms up by it, and
-	// one that is drained stays warm in case it is needed again.
+	// A replica without a load fraction receives a trickle of its key's load. The trickle warms up a new
+	// replica, and keeps a drained replica warm in case it is needed again.
 	trickleFraction = 0.05
-	maxTrickleTotal = 0.5 // of all trickles together
-	// Steps of the golden section meet each part of an interval as often as its length says, however few they
-	// are. The first picks of a weighted round robin do not follow the weights, and here there are few.
+	maxTrickleTotal = 0.5 // bound of the sum of all trickles
+	// Steps of the golden section hit each part of an interval in proportion to its length, even if the
+	// steps are few. Weighted round robin does not: its first picks do not follow the weights, and a hot
+	// key has few picks.
 	goldenSection    = 0.6180339887498949
-	fractionRounding = 1e-9 // no fraction is missed by a rounding error
+	fractionRounding = 1e-9 // tolerance, so that a rounding error does not suspend an exclusion
 )
 
-// selectUnderPlacement selects a server under the placement: an attempt avoids the servers that its tenant is
-// excluded from. Where all others are ejected or have no slow start budget, serving comes first: all servers
-// are tried, and the exclusions are suspended. A retry within its deduplication scope may have no other
-// server; that suspends nothing.
+// selectUnderPlacement selects a server under the placement: an attempt avoids the servers that its tenant
+// is excluded from. If all other servers are ejected or have no slow start budget, serving the request
+// takes precedence: the exclusions are suspended and all servers are tried. A retry within its
+// deduplication scope may have no other server; it suspends nothing.
 func (b *Balancer) selectUnderPlacement(r *request, retry bool) *server {
 	active := b.placement
 	if active == nil {
@@ -47,9 +49,9 @@
 	return s
 }
 
-// exclusionSetFor returns what a tenant is excluded from now. Exclusions are applied in the order given, each
-// where it leaves its own fraction of the tenant's ready servers, by capacity, and those of the exclusions
-// before it.
+// exclusionSetFor returns the servers that a tenant is currently excluded from. Exclusions are applied in
+// the given order. Each is applied only if the remaining servers satisfy its own minimum fraction of the
+// tenant's ready capacity, and those of the exclusions applied before it.
 func (b *Balancer) exclusionSetFor(tenant int) *exclusionSet {
 	active := b.placement
 	if tenant < 0 || tenant >= len(b.config.Tenants) {
@@ -67,7 +69,7 @@
 		}
 		start := len(set.servers)
 		remainder := b.markExcluded(set, exclusion, remaining)
-		required := math.Max(minAvailable, exclusion.MinAvailable) // NaN: never enough
+		required := math.Max(minAvailable, exclusion.MinAvailable) // NaN: never satisfied
 		if remainder >= (required-fractionRounding)*total {
 			remaining, minAvailable = remainder, required
 			set.applied = append(set.applied, exclusion.ID)
@@ -82,9 +84,9 @@
 	return set
 }
 
-// hotKeyReplica returns the replica of a hot key that receives this attempt, nil if the key's own servers do.
-// The turns of a replica that drains, is ejected, excluded, above its load bound or without slow start budget
-// are theirs, whatever its load fraction.
+// hotKeyReplica returns the replica of a hot key that receives this attempt, nil if the key's own servers
+// receive it. The key's own servers also receive the turns of a replica that is draining, ejected,
+// excluded, above its load bound or without slow start budget, whatever its load fraction.
 func (b *Balancer) hotKeyReplica(key uint64) []*server {
 	s := b.nextReplica(key)
 	if s == nil || !s.inRotation || s.excluded {
@@ -98,8 +100,8 @@
 	return b.selection.candidates
 }
 
-// normalizeLoadFractions turns the fractions of a placement into those that apply: at most 1 in all, with
-// trickles.
+// normalizeLoadFractions converts the load fractions of a placement into those that apply: their sum is at
+// most 1, and replicas without a fraction receive a trickle.
 func normalizeLoadFractions(replicas []Replica) {
 	total, trickles := 0.0, 0.0
 	for i := range replicas {
@@ -121,9 +123,9 @@
 	}
 }
 
-// nextReplica advances a hot key by one turn and returns the replica whose turn it is by the load fractions.
-// Where this sidecar's own traffic distributes the key over more servers than the replicas add, it returns
-// nil: they would narrow it.
+// nextReplica advances a hot key by one turn and returns the replica whose turn it is by the load
+// fractions. If this sidecar's own traffic distributes the key over more servers than the replicas add, it
+// returns nil, since the replicas would narrow the distribution.
 func (b *Balancer) nextReplica(key uint64) *server {
 	if b.placement == nil || len(b.placement.hotKeys) == 0 {
 		return nil
