--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// Balancer takes the decisions of one sidecar. It is not safe for concurrent use.
+// Balancer makes the decisions of one sidecar. It is not safe for concurrent use.
 type Balancer struct {
 	config           Config
 	now              float64 // time of the current event
 	startedAt        float64
-	longestObjective float64  // of all classes
-	randomState      uint64   // of random
-	actions          []Action // of the current event
+	longestObjective float64  // of all classes, at least 1
+	randomState      uint64   // state of the generator that random uses
+	actions          []Action // returned for the current event
 
-	servers     []*server // those listed, in this sidecar's own order; see ownOrderRank
+	servers     []*server // the listed servers, in this sidecar's own order; see ownOrderRank
 	serversByID map[ServerID]*server
 	zones       map[int]*zoneHealth
 
@@ -23,7 +23,7 @@
 	capacity  capacityModel
 
 	requests  requestTable
-	traffic   rateMeter // requests; see requestRate
+	traffic   rateMeter // rate of requests; see requestRate
 	admission admissionState
 	retries   retryBudget
 	reports   reportStats
@@ -33,24 +33,24 @@
 
 	violations Violations
 
-	selectServer func(r *request, retry bool) *server // pick, unless a test compares it with another implementation
+	selectServer func(r *request, retry bool) *server // pick, unless a test substitutes another implementation
 }
 
-// capacityModel is what was learned of the capacity of groups of servers, in logarithms; see learnCapacity.
+// capacityModel holds the learned log capacities of groups of servers; see learnCapacity.
 type capacityModel struct {
 	byKind  map[int]float64
 	byZone  map[int]float64
 	samples float64 // answers learned from
-	drift   float64 // mean step: what all servers have in common
+	drift   float64 // mean step, which all servers have in common
 }
 
-// discoveryState is what the backoff of polls goes by; see schedulePoll.
+// discoveryState determines the backoff of polls; see schedulePoll.
 type discoveryState struct {
-	failedPolls int // in a row
+	failedPolls int // consecutive
 }
 
-// New returns a balancer with the given settings, or a ConfigError. It retains the slices of config, which must not change
-// afterwards. Start has to be called before the first event.
+// New returns a balancer with the given settings, or a ConfigError. The balancer keeps references to the slices of
+// config, which must not change afterwards. Start must be called before the first event is handled.
 func New(config Config) (*Balancer, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
--- a/balance/config.go
+++ b/balance/config.go
@@ -6,14 +6,14 @@
 // The kinds of idempotency that a class of requests can have.
 const (
 	Idempotent        Idempotency = iota // may be executed any number of times
-	IdempotentWithKey                    // servers of one scope discard a repeat within a window
+	IdempotentWithKey                    // servers in the deduplication scope discard a repeat within a window
 	NonIdempotent                        // must never be executed twice
 )
 
-// DeduplicationScope says which servers recognise a repeat of a request with an idempotency key.
+// DeduplicationScope is the set of servers that recognise a repeated request by its idempotency key.
 type DeduplicationScope uint8
 
-// The scopes in which an idempotency key is known.
+// The deduplication scopes.
 const (
 	ScopeAll  DeduplicationScope = iota // all servers
 	ScopeZone                           // the servers of a zone
@@ -24,29 +24,30 @@
 type Class struct {
 	Idempotency        Idempotency
 	DeduplicationScope DeduplicationScope
-	// IdempotencyWindow is how long a scope remembers a key, from the first attempt that may have been executed.
+	// IdempotencyWindow is how long the servers of the scope remember a key, from the first attempt that may have
+	// been executed.
 	IdempotencyWindow float64
 	// LatencyObjective is the latency within which an answer earns the full PriorityWeight.
 	LatencyObjective float64
 	// LatencyObjectivePerWork extends the objective by this multiple of the request's own work.
 	LatencyObjectivePerWork float64
-	// Deadline is the longest that a client waits, over all its attempts.
+	// Deadline is the longest time that a client waits, over all attempts of a request.
 	Deadline float64
-	// PriorityWeight is what a request that is served in time is worth, relative to other classes.
+	// PriorityWeight is the value of a request that is served in time, relative to other classes.
 	PriorityWeight float64
 	// LateWeight is the fraction of PriorityWeight that an answer after the objective still earns.
 	LateWeight float64
-	// Streaming classes answer with a stream: once it has started the client owns the attempt.
+	// Streaming classes answer with a stream. Once the stream has started, the client owns the attempt.
 	Streaming bool
 }
 
 // Tenant is one customer of the service.
 type Tenant struct {
 	QuotaRate float64 // requests a second within its quota, over all sidecars
-	Quota     float64 // its fraction of the service, 0 to 1; 0: it has none
+	Quota     float64 // its fraction of the service, 0 to 1; 0: no quota
 }
 
-// LoadReportMode says how the load reports of servers reach a sidecar.
+// LoadReportMode is the way in which the load reports of servers reach a sidecar.
 type LoadReportMode uint8
 
 // The modes of load reports.
@@ -56,10 +57,10 @@
 	LoadReportHealthCheck                       // with the answer to a health check only
 )
 
-// LoadReportField is one figure of a load report.
+// LoadReportField is the meaning of one figure in a load report.
 type LoadReportField uint8
 
-// The figures that a load report can hold; FieldUnknown is skipped.
+// The fields of a load report. The balancer skips FieldUnknown.
 const (
 	FieldUnknown     LoadReportField = iota
 	FieldInFlight                    // requests being handled
@@ -70,58 +71,58 @@
 	FieldErrorRate                   // errors a second
 )
 
-// Config holds the settings that one sidecar starts with. New checks them.
+// Config holds the settings of one sidecar. New validates them.
 type Config struct {
 	Seed         uint64 // of the sidecar's pseudo-random numbers
-	SidecarIndex int    // this sidecar's, from 0
-	SidecarCount int    // of the fleet, this one included
-	Zone         int    // this sidecar's
+	SidecarIndex int    // index of this sidecar, from 0
+	SidecarCount int    // number of sidecars in the fleet, including this one
+	Zone         int    // zone of this sidecar
 
 	Classes         []Class
 	Tenants         []Tenant
 	OverQuotaWeight float64 // value of a request beyond its tenant's quota, as a fraction of one within it
-	EventInterval   float64 // least time between two batches of events
+	EventInterval   float64 // minimum time between two batches of events
 
-	KeyAffinity      bool // a server that lately served a key serves it again with less work
-	Subscribe        bool // the endpoint list must be subscribed to
+	KeyAffinity      bool // a server that recently served a key serves it again with less work
+	Subscribe        bool // the sidecar must subscribe to the endpoint list
 	LoadReports      LoadReportMode
-	LoadReportFields []LoadReportField // what a load report holds, in order
+	LoadReportFields []LoadReportField // contents of a load report, in order
 
 	MaxAttempts           int     // of a request
-	AllowParallelAttempts bool    // two attempts of a request may be in flight together
+	AllowParallelAttempts bool    // two attempts of a request may be in flight at the same time
 	AllowCancel           bool    // attempts may be cancelled
 	AllowHealthChecks     bool    // servers may be sent health checks
 	AllowGossip           bool    // sidecars may send each other messages
-	SendRetryAfter        bool    // rejected clients get a Retry-After
-	MaxRetryAfter         float64 // the longest Retry-After that a client obeys
+	SendRetryAfter        bool    // rejected clients receive a Retry-After
+	MaxRetryAfter         float64 // the longest Retry-After that clients honour
 	ConnectTimeout        float64 // of an attempt
 
-	DrainGracePeriod     float64 // attempts at a draining or removed server must stop within this
-	SlowStartMinCapacity float64 // fraction of its capacity that a server has at least when it starts
+	DrainGracePeriod     float64 // attempts at a draining or removed server must end within this time
+	SlowStartMinCapacity float64 // minimum fraction of its capacity that a server has when it starts
 	SlowStartDuration    float64 // time after which a server has its full capacity
 	OverloadMultiple     float64 // a server in slow start that receives more than this multiple of its capacity ...
 	OverloadDuration     float64 // ... for this long fails
-	PollInterval         float64 // without a subscription the endpoint list must be polled this often; 0: no limit
-	AnswerGracePeriod    float64 // an answer this long after the client's deadline still counts
+	PollInterval         float64 // without a subscription, the maximum time between polls of the endpoint list; 0: no limit
+	AnswerGracePeriod    float64 // an answer up to this long after the client's deadline still counts
 
 	Objective Objective
 	Costs     Costs
 }
 
-// Objective weighs the parts of the result by which a deployment is judged. Load shedding follows it.
+// Objective holds the weights of the parts of the result by which a deployment is judged. Load shedding uses them.
 type Objective struct {
 	Overall     float64 // of all requests
-	WorstWindow float64 // of the worst span of time
-	WorstClass  float64 // of the class served worst
-	WorstTenant float64 // of the tenant served worst
+	WorstWindow float64 // of the worst window of time
+	WorstClass  float64 // of the worst-served class
+	WorstTenant float64 // of the worst-served tenant
 }
 
 // Costs are subtracted from the result.
 type Costs struct {
 	CrossZone   float64 // of attempts in other zones, as a fraction of first attempts
-	WastedWork  float64 // of servers' work that served no answer, as a fraction of the work offered
+	WastedWork  float64 // of server work that led to no answer, as a fraction of the offered work
 	Handshake   float64 // of a new connection, per first attempt
 	HealthCheck float64 // of a health check, per first attempt
 	Gossip      float64 // of 256 bytes of gossip delivered, per first attempt
-	LateFailure float64 // of priority weight that is still unserved after its objective
+	LateFailure float64 // of the priority weight that is still unserved after its objective
 }
--- a/balance/gossip_codec.go
+++ b/balance/gossip_codec.go
@@ -18,11 +18,11 @@
 	gossipVersion    = 1
 	gossipHeaderSize = 7
 	findingSize      = 6
-	maxFindings      = 24 // of one message: 151 bytes, of the 256 that are allowed
-	findingAgeUnit   = 20 // ms; a byte reaches 5.1 s, by when a finding no longer holds
+	maxFindings      = 24 // per message: 151 bytes, of the 256 that are allowed
+	findingAgeUnit   = 20 // ms; one byte covers 5.1 s, after which a finding no longer holds
 )
 
-// findingKind says what a sidecar has found, or that the message is a query.
+// findingKind is the kind of a finding. A query is encoded as a finding as well.
 type findingKind uint8
 
 const (
@@ -32,7 +32,7 @@
 	findingKindEnd
 )
 
-// finding is one entry of a message.
+// finding is one entry of a gossip message.
 type finding struct {
 	kind       findingKind
 	subject    uint32  // tag of the server
@@ -41,11 +41,11 @@
 
 var errMalformedGossip = errors.New("malformed gossip message")
 
-// serverTag names a server in a message. Two servers of a fleet hardly ever share a tag; if they do, a finding may be taken
-// for the other server, which does no more harm than a wrong finding.
+// serverTag identifies a server in a message. Two servers of a fleet almost never share a tag. If they do, a finding
+// may be applied to the other server, which does no more harm than a wrong finding.
 func serverTag(id ServerID) uint32 { return uint32(splitmix64(uint64(id)) >> 32) }
 
-// encodeGossip returns a message of findings, sent now.
+// encodeGossip returns a message with the given findings, sent at now.
 func encodeGossip(now float64, findings []finding) []byte {
 	data := []byte{gossipVersion, 0, 0}
 	data = binary.LittleEndian.AppendUint32(data, gossipTimestamp(now))
@@ -58,8 +58,8 @@
 	return data
 }
 
-// decodeGossip appends the findings of a message and returns them with the sender's clock. It returns errMalformedGossip for
-// whatever encodeGossip cannot write.
+// decodeGossip appends the findings of a message to findings, and returns them with the timestamp of the sender. It
+// returns errMalformedGossip for any message that encodeGossip cannot produce.
 func decodeGossip(data []byte, now float64, findings []finding) (uint32, []finding, error) {
 	count := (len(data) - gossipHeaderSize) / findingSize
 	if count < 1 || count > maxFindings || len(data) != gossipHeaderSize+count*findingSize || data[0] != gossipVersion ||
@@ -80,7 +80,7 @@
 	return binary.LittleEndian.Uint32(data[3:]), findings, nil
 }
 
-// gossipTimestamp is the clock as messages carry it; it wraps after seven weeks.
+// gossipTimestamp returns the clock as messages carry it. It wraps after seven weeks.
 func gossipTimestamp(now float64) uint32 { return uint32(uint64(int64(now))) }
 
 // checksum detects messages that were damaged in transit or do not come from a sidecar. It does not authenticate.
--- a/balance/gossip_state.go
+++ b/balance/gossip_state.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// gossipState is what this sidecar publishes and has received.
+// gossipState holds the findings that this sidecar publishes, and the state of the sidecars that send findings.
 type gossipState struct {
-	pending      []finding // for the next message
+	pending      []finding // findings for the next message
 	timerSet     bool
-	budgetBytes  float64 // that may be sent
-	bootstrapped bool    // the query of the start was sent
+	budgetBytes  float64 // bytes that may be sent
+	bootstrapped bool    // the bootstrap query was sent
 	senders      map[int]*gossipSender
 	serversByTag map[uint32]*server
-	readBuffer   []finding // of the last message, for reuse
+	readBuffer   []finding // findings of the last message, for reuse
 }
 
-// gossipSender is what is known of another sidecar that has sent messages.
+// gossipSender is the state of another sidecar that has sent messages.
 type gossipSender struct {
 	lastTimestamp  uint32  // of its last message
-	contradictions float64 // by this sidecar's own answers; see recentContradictions
+	contradictions float64 // of its findings by this sidecar's own answers; see recentContradictions
 	contradictedAt float64
 }
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// queueFinding queues a finding for the next message. It returns false if it will not be sent.
+// queueFinding queues a finding for the next message. It returns false if the finding will not be sent.
 func (b *Balancer) queueFinding(kind findingKind, subject uint32) bool {
 	state := &b.gossip
 	queued := slices.ContainsFunc(state.pending, func(f finding) bool { return f.kind == kind && f.subject == subject })
@@ -56,12 +56,12 @@
 	return true
 }
 
-// recentContradictions halves with each gossip lifetime.
+// recentContradictions returns the contradictions of a sender, halved per gossip lifetime since the last one.
 func (b *Balancer) recentContradictions(source *gossipSender) float64 {
 	return source.contradictions * math.Exp2((source.contradictedAt-b.now)/b.gossipLifetime())
 }
 
-// acceptSender returns what is known of the sender of a message, nil if the message is not newer than its last one.
+// acceptSender returns the state of the sender of a message, nil if the message is not newer than its last one.
 func (g *gossipState) acceptSender(from int, timestamp uint32) *gossipSender {
 	sender := g.senders[from]
 	if sender == nil {
--- a/balance/handle.go
+++ b/balance/handle.go
@@ -6,19 +6,19 @@
 	"math"
 )
 
-// Errors of Handle: the event is invalid, and the balancer has not changed.
+// Errors of Handle: the event is invalid, and the state of the balancer is unchanged.
 var (
 	ErrUnknownClass       = errors.New("unknown class")
 	ErrAttemptNotInFlight = errors.New("attempt is not in flight")
 )
 
-// Tokens of timers. A request's timer has its ID, which is below 2^52.
+// Tokens of timers. The token of a request's timer is the RequestID, which is below 2^52.
 const (
 	discoveryTimer = 1 << 60
 	gossipTimer    = 1<<60 + 1
 )
 
-// Start begins the balancer's work. The actions are valid until the next call.
+// Start starts the balancer. The actions are valid until the next call.
 func (b *Balancer) Start(now float64) []Action {
 	b.now, b.startedAt, b.actions = now, now, b.actions[:0]
 	if b.config.Subscribe {
@@ -27,8 +27,8 @@
 	return b.actions
 }
 
-// Handle takes one event and returns what the caller is to do. The actions are valid until the next call. now never
-// decreases from call to call. The error is ErrUnknownClass or ErrAttemptNotInFlight, wrapped.
+// Handle processes one event and returns the actions that the caller must execute. The actions are valid until the
+// next call. now must not decrease between calls. The error is ErrUnknownClass or ErrAttemptNotInFlight, wrapped.
 func (b *Balancer) Handle(now float64, ev Event) ([]Action, error) {
 	b.now, b.actions = now, b.actions[:0]
 	var err error
@@ -74,7 +74,7 @@
 	b.traffic.add(b.now, trafficSpan)
 	b.earnGossipBudget()
 	b.keys.record(ev.Key)
-	r.stats.received++ // after admit: its own class would look a little worse served otherwise
+	r.stats.received++ // after admit, so that the request does not make its own class look worse served
 	r.tenant.received++
 	if !admitted {
 		b.rejectOrFail(r)
@@ -111,7 +111,7 @@
 	s.healthCheckPending = false
 	b.scheduleRefresh(s)
 	switch ev.Result {
-	case Obsolete, Cancelled: // it was not sent, or nobody waited for it: nothing is known of the server
+	case Obsolete, Cancelled: // the check was not sent, or nothing waited for it: the result says nothing about the server
 	case OK:
 		b.recordLoadReport(s, ev.LoadReport)
 		if s.errors.healthCheckFailed {
@@ -132,7 +132,7 @@
 		b.sendFindings()
 	default:
 		if r := b.requests.open[RequestID(ev.Token)]; r != nil {
-			r.timerAt = math.Inf(1) // without comparing it with the clock: a timer may fire a rounding error early
+			r.timerAt = math.Inf(1) // not compared with the clock: a timer may fire a rounding error early
 			b.advance(r)
 		}
 	}
@@ -140,7 +140,7 @@
 
 func (b *Balancer) onStreamStarted(ev StreamStarted) {
 	if r := b.requests.open[ev.Request]; r != nil && !r.finished && !r.streaming {
-		r.streaming = true // the client owns the attempt from now on: no deadline, no retry
+		r.streaming = true // from now on the client owns the attempt: no deadline, no retry
 		b.cancelAttemptsExcept(r, ev.Attempt)
 	}
 }
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -1,6 +1,6 @@
 package balance
 
-// healthCheckWait is what a request waits for before its first attempt.
+// healthCheckWait is the wait of a request for health checks before its first attempt.
 type healthCheckWait struct {
 	sentTo    []*server
 	waitUntil float64
@@ -23,7 +23,7 @@
 	}
 }
 
-// awaitsHealthChecks reports whether a request still waits, which it never does for long.
+// awaitsHealthChecks reports whether a request still waits for health checks, which it does briefly at most.
 func (b *Balancer) awaitsHealthChecks(r *request) bool {
 	for _, s := range r.healthChecks.sentTo {
 		if s.healthCheckPending && b.now < r.healthChecks.waitUntil {
@@ -34,7 +34,7 @@
 	return false
 }
 
-// resumeAwaiting advances the requests that wait for health checks and retains those that still do.
+// resumeAwaiting advances the requests that wait for health checks and keeps those that still wait.
 func (b *Balancer) resumeAwaiting() {
 	awaiting := b.requests.awaitingHealthChecks
 	b.requests.awaitingHealthChecks = awaiting[:0]
--- a/balance/invariants.go
+++ b/balance/invariants.go
@@ -1,18 +1,18 @@
 package balance
 
-// Violations counts actions that broke a rule of the balancer's own. Each is a bug: the policy files must never decide so.
-// The rules are checked here a second time, by other code than decides.
+// Violations counts actions that violate a rule of the balancer itself. Each violation is a bug of the policy files.
+// The rules are checked by separate code from the code that decides.
 type Violations struct {
-	SecondAttempt     int // sent while another attempt of the request was in flight
-	Repeated          int // sent, though it may have been executed and its class forbids the repeat
-	NotReady          int // sent to a server that is draining or removed
-	SlowStartOverdraw int // sent to a server in slow start without a token
+	SecondAttempt     int // attempts sent while another attempt of the request was in flight
+	Repeated          int // attempts sent though an earlier one may have been executed and the class forbids a repeat
+	NotReady          int // attempts sent to a server that is draining or removed
+	SlowStartOverdraw int // attempts sent to a server in slow start without a token
 }
 
 // Violations returns the counts since New.
 func (b *Balancer) Violations() Violations { return b.violations }
 
-// checkSend counts the rules that sending a request to a server now would break.
+// checkSend counts the rules that sending a request to a server now would violate.
 func (b *Balancer) checkSend(r *request, s *server) {
 	if r.inFlight > 0 && (!b.config.AllowParallelAttempts || r.class.Idempotency == NonIdempotent) {
 		b.violations.SecondAttempt++
@@ -31,7 +31,7 @@
 	}
 }
 
-// mayRepeat reports whether a request may go to a server although an earlier attempt may have been executed.
+// mayRepeat reports whether a request may be sent to a server although an earlier attempt may have been executed.
 func (b *Balancer) mayRepeat(r *request, earlier *attempt, s *server) bool {
 	switch r.class.Idempotency {
 	case Idempotent:
--- a/balance/key_frequency.go
+++ b/balance/key_frequency.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// keyFrequencySpan is the number of requests over which a key's frequency is taken: seconds for a small sidecar.
+// keyFrequencySpan is the number of requests over which a key's frequency is measured: seconds at a small sidecar.
 const keyFrequencySpan = 256
 
-// keyFrequencies counts the requests for each key and halves the counts from time to time, so that it stays small.
+// keyFrequencies counts the requests per key. It halves the counts from time to time, so that the map stays small.
 type keyFrequencies struct {
 	counts map[uint64]float64
 	total  float64
 }
 
-// record counts a request for a key; 0: it has none.
+// record counts a request for a key; 0: the request has no key.
 func (f *keyFrequencies) record(key uint64) {
 	f.total++
 	if f.total >= keyFrequencySpan {
@@ -33,7 +33,7 @@
 	}
 }
 
-// fraction is the part of all requests that are for a key. A key that came once counts as 0.
+// fraction returns the fraction of all requests that are for a key. A key with a single request counts as 0.
 func (f *keyFrequencies) fraction(key uint64) float64 {
 	return math.Max(f.counts[key]-1, 0) / math.Max(f.total, keyFrequencySpan/4)
 }
--- a/balance/key_order.go
+++ b/balance/key_order.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// maxCachedOrderEntries bounds the servers in all cached orders: 2 MB of pointers, which is the complete order of 1,300
-	// keys at 200 servers, or the first 170 servers for 1,500 keys at 2,000.
+	// maxCachedOrderEntries bounds the total number of servers in all cached orders. It is 2 MB of pointers: the
+	// complete order of 1,300 keys at 200 servers, or the first 170 servers for 1,500 keys at 2,000 servers.
 	maxCachedOrderEntries = 1 << 18
-	// maxMissedChanges is how many changes of the server list an order may have missed and still be updated one by one.
+	// maxMissedChanges is the number of server list changes that an order may miss and still be updated one by one.
 	maxMissedChanges = 256
 )
 
-// keyOrder is the head of a key's order of the servers: those whose position is at most coveredUpTo.
+// keyOrder is the beginning of a key's order of the servers: the servers with a position of at most coveredUpTo.
 type keyOrder struct {
 	key         uint64
 	servers     []*server
@@ -23,12 +23,12 @@
 	version     int     // of the server list that it reflects
 }
 
-// keyOrderCache caches the orders of the keys that were requested last.
+// keyOrderCache caches the orders of the most recently requested keys.
 type keyOrderCache struct {
 	byKey   map[uint64]*list.Element
 	recent  *list.List // of *keyOrder, most recently used first
-	entries int        // servers in all of them
-	changes []*server  // that were added or removed or changed their capacity, the latest last
+	entries int        // in all cached orders
+	changes []*server  // servers that were added, removed or changed in capacity, the latest last
 	version int        // number of changes since the start
 	scratch []keyPosition
 }
@@ -46,7 +46,7 @@
 	return RendezvousPosition(key, s.ID, s.RelativeCapacity)
 }
 
-// recordChange notes that a server was added or removed or changed its capacity.
+// recordChange records that a server was added or removed, or changed its capacity.
 func (c *keyOrderCache) recordChange(s *server) {
 	c.version++
 	if len(c.changes) == 2*maxMissedChanges {
@@ -64,7 +64,7 @@
 	}
 }
 
-// keyOrderFor returns a key's order with at least the first length servers, or with all where they are fewer.
+// keyOrderFor returns a key's order with at least the first length servers, or all servers if they are fewer.
 func (b *Balancer) keyOrderFor(key uint64, length int) *keyOrder {
 	cache := &b.keyOrders
 	var order *keyOrder
@@ -82,7 +82,7 @@
 	return order
 }
 
-// applyMissedChanges applies the changes of the server list that an order has missed, or empties it where they are many.
+// applyMissedChanges applies the server list changes that an order has missed. It empties the order if they are many.
 func (b *Balancer) applyMissedChanges(order *keyOrder) {
 	cache := &b.keyOrders
 	missed := cache.version - order.version
@@ -110,7 +110,7 @@
 	cache.entries += len(order.servers)
 }
 
-// extendKeyOrder makes an order at least length servers long, and somewhat longer. It sorts only what it retains.
+// extendKeyOrder extends an order to somewhat more than length servers. It sorts only the servers that it keeps.
 func (b *Balancer) extendKeyOrder(order *keyOrder, length int) {
 	cache := &b.keyOrders
 	cache.entries -= len(order.servers)
@@ -124,7 +124,7 @@
 	for len(cache.scratch) < min(length, len(b.servers)) {
 		if float64(length) > serverCount/2 {
 			order.coveredUpTo = math.Inf(1)
-		} else { // positions are distributed exponentially
+		} else { // positions are exponentially distributed
 			expected := -math.Log1p(-float64(length)/serverCount) * serverCount / totalCapacity
 			order.coveredUpTo = math.Max(2*order.coveredUpTo, expected)
 		}
@@ -139,7 +139,7 @@
 	cache.evict()
 }
 
-// appendPositions appends the servers whose position an order covers.
+// appendPositions appends the servers whose position the order covers.
 func (b *Balancer) appendPositions(to []keyPosition, order *keyOrder) []keyPosition {
 	for _, s := range b.servers {
 		if position := positionForKey(order.key, s); position <= order.coveredUpTo {
@@ -149,8 +149,8 @@
 	return to
 }
 
-// collectKeyCandidates goes on through a key's order, from the index next, until count candidates are listed, and returns
-// the index after them.
+// collectKeyCandidates walks a key's order from the index next until count candidates are collected, and returns the
+// index after them.
 func (b *Balancer) collectKeyCandidates(order *keyOrder, next, count int) int {
 	for ; len(b.selection.candidates) < count; next++ {
 		if next == len(order.servers) {
@@ -173,7 +173,7 @@
 	return next
 }
 
-// prepareCandidate sets what the current pick by key needs of a server of the rotation.
+// prepareCandidate sets the fields of a server in the rotation that the current pick by key needs.
 func (b *Balancer) prepareCandidate(s *server) {
 	s.weight = b.currentWeight(s)
 	s.loadKnown = !b.selection.loadReported || b.hasFreshReport(s)
--- a/balance/load_report.go
+++ b/balance/load_report.go
@@ -2,17 +2,16 @@
 
 import "math"
 
-// maxUtilization bounds what a server may report of itself.
+// maxUtilization bounds the utilization that a server may report.
 const maxUtilization = 1.5
 
 // reportStats summarises the load reports of all servers.
 type reportStats struct {
-	busyFraction    float64 // recent fraction of reports of a server with anything in flight
+	busyFraction    float64 // recent fraction of load reports with requests in flight
 	meanUtilization float64 // recent mean
 }
 
-// recordLoadReport records a server's load report and returns the wait that it implies: the queue length times the service
-// time.
+// recordLoadReport records a server's load report and returns the wait that it implies: queue length × service time.
 func (b *Balancer) recordLoadReport(s *server, report []float32) float64 {
 	queueLength, serviceTime := 0.0, 0.0
 	for i, field := range b.config.LoadReportFields {
@@ -51,7 +50,8 @@
 	s.report.utilization += (utilization - s.report.utilization) / assumedAnswers
 }
 
-// freshReporters lists the servers of the rotation whose load report is fresh. They are few: a report is soon old.
+// freshReporters returns the servers of the rotation with a fresh load report. They are few, because a report is
+// fresh only briefly.
 func (b *Balancer) freshReporters() []*server {
 	fresh := b.rotation.reporters[:0]
 	for _, s := range b.rotation.reporters {
--- a/balance/placement_state.go
+++ b/balance/placement_state.go
@@ -5,30 +5,31 @@
 	"slices"
 )
 
-// activePlacement is the placement that applies. There is none before the first event that brings one.
+// activePlacement is the placement in force. Balancer.placement is nil before the first Placement event.
 type activePlacement struct {
 	exclusions    []Exclusion
 	hotKeys       map[uint64]*hotKeyState
-	nextExpiry    float64               // of any entry
-	exclusionSets map[int]*exclusionSet // by tenant, until the endpoint list or the placement changes
-	suspended     map[int]bool          // exclusions that were not applied since the last SuspendedExclusions
+	nextExpiry    float64               // the earliest expiry of an entry
+	exclusionSets map[int]*exclusionSet // by tenant; cached until the endpoint list or the placement changes
+	suspended     map[int]bool          // IDs of exclusions that were not applied since the last call of SuspendedExclusions
 }
 
-// exclusionSet is what the requests of a tenant avoid.
+// exclusionSet is the set of servers that the requests of a tenant avoid.
 type exclusionSet struct {
 	servers   []*server
-	applied   []int // exclusions, by ID
-	suspended []int // exclusions that would leave too little
+	applied   []int // IDs of the applied exclusions
+	suspended []int // IDs of the exclusions that would leave too few servers
 }
 
-// hotKeyState is a hot key with the load fractions that apply.
+// hotKeyState is a hot key with its normalized load fractions.
 type hotKeyState struct {
 	replicas  []Replica
-	phase     float64 // of its turns, 0 to 1; see nextReplica
+	phase     float64 // of the turns of its replicas, 0 to 1; see nextReplica
 	expiresAt float64
 }
 
-// onPlacement replaces the placement. Expired and invalid entries are left out; a hot key that stays retains its phase.
+// onPlacement replaces the placement. It omits expired and invalid entries. A hot key that was active keeps its
+// phase.
 func (b *Balancer) onPlacement(ev *Placement) {
 	old := b.placement
 	active := &activePlacement{
@@ -56,7 +57,7 @@
 		if old != nil && old.hotKeys[hotKey.Key] != nil {
 			state.phase = old.hotKeys[hotKey.Key].phase
 		} else {
-			state.phase = b.random() // sidecars that are notified together must not choose in step
+			state.phase = b.random() // sidecars that receive a placement together must not choose in step
 		}
 		active.hotKeys[hotKey.Key] = state
 	}
@@ -64,7 +65,7 @@
 	active.removeExpired(b.now)
 }
 
-// expire removes the entries that have expired, if any has.
+// expire removes the entries that have expired, if there are any.
 func (p *activePlacement) expire(now float64) {
 	if now >= p.nextExpiry {
 		p.removeExpired(now)
@@ -93,15 +94,15 @@
 	}
 }
 
-// invalidateExclusionSets has them computed again: the endpoint list has changed.
+// invalidateExclusionSets drops the cached exclusion sets after a change of the endpoint list.
 func (b *Balancer) invalidateExclusionSets() {
 	if b.placement != nil {
 		clear(b.placement.exclusionSets)
 	}
 }
 
-// SuspendedExclusions lists the exclusions, by ID in ascending order, that a pick since the last call did not apply: too
-// little would have remained.
+// SuspendedExclusions returns the IDs, in ascending order, of the exclusions that a pick since the last call did not
+// apply because too few servers would have remained.
 func (b *Balancer) SuspendedExclusions() []int {
 	if b.placement == nil || len(b.placement.suspended) == 0 {
 		return nil
@@ -115,7 +116,7 @@
 	return ids
 }
 
-// readyCapacity is the capacity of all ready servers.
+// readyCapacity returns the total capacity of the ready servers.
 func (b *Balancer) readyCapacity() float64 {
 	total := 0.0
 	for _, s := range b.servers {
@@ -126,7 +127,8 @@
 	return total
 }
 
-// markExcluded adds the ready servers of an exclusion to a set and marks them. It returns what remains of a capacity.
+// markExcluded adds the ready servers of an exclusion to a set and marks them as excluded. It returns remaining,
+// reduced by their capacity.
 func (b *Balancer) markExcluded(set *exclusionSet, exclusion *Exclusion, remaining float64) float64 {
 	for _, id := range exclusion.Servers {
 		if s := b.serversByID[id]; s != nil && s.State == Ready && !s.excluded {
@@ -144,12 +146,12 @@
 	}
 }
 
-// excludedServers is what the current pick avoids.
+// excludedServers is the set of servers that the current pick avoids.
 type excludedServers struct {
 	servers    []*server
-	inRotation int     // those in the rotation
-	inFlight   int     // attempts of this sidecar at them
-	weight     float64 // of those in the rotation; without key affinity of those that are not ejected
+	inRotation int     // number of them in the rotation
+	inFlight   int     // attempts of this sidecar at those in the rotation
+	weight     float64 // of those in the rotation; without key affinity, of those that are not ejected
 }
 
 // exclude keeps servers out of picks until endExclusion.
@@ -165,7 +167,7 @@
 	b.selection.excluded = excludedServers{}
 }
 
-// subtractExcluded sums up the excluded servers and returns what remains of the sum of the weights.
+// subtractExcluded sums up the excluded servers and returns the total weight without them.
 func (b *Balancer) subtractExcluded(totalWeight float64) float64 {
 	excluded := &b.selection.excluded
 	for _, s := range excluded.servers {
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -2,38 +2,39 @@
 
 import "math"
 
-// With key affinity the slow start pool is all servers, and requests come hundreds of times a second: its sums are cached for
-// so long, in ms.
+// With key affinity the slow start pool consists of all servers, and requests arrive hundreds of times a second. The
+// sums of the pool are therefore cached, for these times in ms.
 const (
-	poolTTL       = 1000 // for the usable fraction, which is a mean over seconds
-	poolBudgetTTL = 100  // for the budget of a server
+	poolTTL       = 1000 // for the usable fraction, which is averaged over seconds
+	poolBudgetTTL = 100  // for the slow start budget of a server
 )
 
-// poolWeights are sums of the weights that a first attempt chooses from.
+// poolWeights are sums of the weights of the servers that a first attempt chooses from.
 type poolWeights struct {
 	current   float64 // at the last first attempt
 	slowStart slowStartPool
 }
 
-// slowStartPool is what a server's share of the answers is taken of for its budget in slow start: without key affinity the
-// servers of this sidecar's own order up to the last of its rotation, ejected and excluded ones included, else all ready
-// servers. A sidecar that passes over a server uses one more behind it, so each of those is in the rotation of more sidecars.
-// Health does not count: the answers of overloaded servers do not fall as far as their health.
+// slowStartPool is the set of servers that share the answers of this sidecar. The slow start budget of a server follows
+// its share. With key affinity the pool consists of all ready servers. Without key affinity it consists of the servers
+// in this sidecar's own order up to the last one of its rotation, including ejected and excluded servers: a sidecar that
+// passes over a server uses one more server behind it, so each of those is in the rotation of more sidecars. Health does
+// not count, because the answers of overloaded servers do not fall as far as their health.
 type slowStartPool struct {
 	poolSums
 	updatedAt      float64
-	usableFraction ewma    // over the span of the answer rate
-	pickedAt       float64 // the last first attempt
-	lastPickedAt   float64 // the one before
+	usableFraction ewma    // averaged over the span of the answer rate
+	pickedAt       float64 // time of the last first attempt
+	lastPickedAt   float64 // time of the first attempt before it
 }
 
-// poolSums are sums of weights of servers in good health.
+// poolSums are sums of weights, as if all servers were healthy.
 type poolSums struct {
-	full   float64 // as if none were in slow start
-	usable float64 // what is neither ejected nor missing because of a slow start
+	full   float64 // as if no server were in slow start
+	usable float64 // without ejected servers, and reduced by slow start
 }
 
-// addToPool counts a server, unless it is draining; zoneFactor is the preference of the own zone.
+// addToPool adds a server to the sums unless it is draining. zoneFactor is the weight factor of the own zone.
 func (b *Balancer) addToPool(sums *poolSums, s *server, zoneFactor float64) {
 	if s.State != Ready {
 		return
@@ -48,7 +49,7 @@
 	}
 }
 
-// recordPool records what a first attempt chooses from; totalWeight is without excluded servers.
+// recordPool records the servers that a first attempt chooses from. totalWeight does not include excluded servers.
 func (b *Balancer) recordPool(totalWeight float64) {
 	b.pool.current = totalWeight + b.selection.excluded.weight
 	pool := &b.pool.slowStart
@@ -61,7 +62,7 @@
 	pool.usableFraction.add(b.now, answerRateSpan*b.longestObjective, pool.usable/math.Max(pool.full, minWeight))
 }
 
-// refreshPool sums up all servers, unless that was done within a time.
+// refreshPool sums up all servers, unless the sums are newer than ttl.
 func (b *Balancer) refreshPool(ttl float64) {
 	pool := &b.pool.slowStart
 	if pool.full > 0 && b.now < pool.updatedAt+ttl {
@@ -74,6 +75,7 @@
 	}
 }
 
-// answeringWeight is the part of the pool that gave the answers of the answer rate, by the present scale of weights. Over time
-// only fractions compare: the learned capacities of all servers rise and fall together.
+// answeringWeight returns the weight of the part of the pool that gave the answers of the answer rate, in the current
+// scale of weights. Only fractions can be compared over time, because the learned capacities of all servers rise and
+// fall together.
 func (p *slowStartPool) answeringWeight() float64 { return p.full * p.usableFraction.mean }
--- a/balance/random.go
+++ b/balance/random.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// random returns the next pseudo-random number from 0 to below 1, by splitmix64 from the seed.
+// random returns a pseudo-random number in [0, 1), by splitmix64 from the seed.
 func (b *Balancer) random() float64 {
 	b.randomState += 0x9e3779b97f4a7c15
 	return float64(splitmix64(b.randomState)>>11) / (1 << 53)
--- a/balance/request.go
+++ b/balance/request.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// maxFreeRequests bounds the requests that are retained for reuse: as many as one sidecar hardly ever has open.
+// maxFreeRequests bounds the requests that are kept for reuse. A sidecar rarely has more requests open.
 const maxFreeRequests = 256
 
-// request is a client's request that is owed a final answer, or whose attempts have not all ended.
+// request is a client's request that needs a final answer, or whose attempts have not all ended.
 type request struct {
 	Request
 	class        *Class
@@ -14,10 +14,10 @@
 	arrivedAt    float64
 	deadline     float64
 	attempts     []attempt
-	inFlight     int     // attempts
+	inFlight     int     // attempts in flight
 	finished     bool    // it has its final answer, or needs none
 	streaming    bool    // its answer has started to stream
-	timerAt      float64 // when its next timer fires; infinite: none is set
+	timerAt      float64 // when its next timer fires; infinite: no timer is set
 	healthChecks healthCheckWait
 }
 
@@ -26,8 +26,8 @@
 	server          *server
 	sentAt          float64
 	inFlight        bool
-	neverExecuted   bool // its result proves that
-	overdue         bool // it has taken so long that it counts as an error
+	neverExecuted   bool // its result proves that it was not executed
+	overdue         bool // it has taken so long that it was recorded as an error
 	endsAtObjective bool // it is given up at the latency objective
 	loadReleased    bool // it no longer counts in admission.load
 }
@@ -36,14 +36,14 @@
 type requestTable struct {
 	open                 map[RequestID]*request
 	awaitingHealthChecks []*request
-	finished             []*request // by the current event
+	finished             []*request // finished by the current event
 	free                 []*request // for reuse
 }
 
-// retryBudget is a token bucket that first attempts fill; see retryAllowed.
+// retryBudget is a token bucket that first attempts refill; see retryAllowed.
 type retryBudget struct {
 	tokens           float64
-	lastOverloadedAt float64 // when a server last rejected an attempt
+	lastOverloadedAt float64 // time at which a server last rejected an attempt
 }
 
 func (t *requestTable) add(ev *Request) *request {
@@ -58,8 +58,8 @@
 	return r
 }
 
-// recycleFinished retains the requests that the event finished for reuse. Those that waited for health checks may still be
-// listed in awaitingHealthChecks.
+// recycleFinished keeps the requests that the event finished for reuse, except those that waited for health checks:
+// awaitingHealthChecks may still list them.
 func (t *requestTable) recycleFinished() {
 	for _, r := range t.finished {
 		if len(t.free) < maxFreeRequests && r.healthChecks.sentTo == nil {
@@ -70,8 +70,8 @@
 	t.finished = t.finished[:0]
 }
 
-// sendAttempt sends a request to a server; where endsAtObjective is set the attempt is given up at the request's latency
-// objective.
+// sendAttempt sends an attempt of a request to a server. If endsAtObjective is set, the attempt is given up at the
+// request's latency objective.
 func (b *Balancer) sendAttempt(r *request, s *server, endsAtObjective bool) {
 	b.checkSend(r, s)
 	s.slowStart.tokens--
@@ -87,7 +87,7 @@
 	b.emit(action)
 }
 
-// releaseLoad takes an attempt off the load in flight, once.
+// releaseLoad subtracts an attempt from the load in flight, once.
 func (b *Balancer) releaseLoad(r *request, a *attempt) {
 	if !a.loadReleased {
 		a.loadReleased = true
@@ -95,7 +95,7 @@
 	}
 }
 
-// finish marks a request as answered and cancels what is in flight for it.
+// finish marks a request as finished and cancels its attempts in flight.
 func (b *Balancer) finish(r *request) {
 	r.finished = true
 	b.cancelAttemptsExcept(r, -1)
@@ -105,7 +105,7 @@
 	}
 }
 
-// cancelAttemptsExcept cancels all attempts in flight but one; -1: all.
+// cancelAttemptsExcept cancels all attempts in flight except one; -1: all.
 func (b *Balancer) cancelAttemptsExcept(r *request, except int) {
 	for i := range r.attempts {
 		if r.attempts[i].inFlight && i != except && b.config.AllowCancel {
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -5,24 +5,24 @@
 	"math"
 )
 
-// refreshesBeforeRebuild is after how many refreshes, beside one for each server, the sums are computed again: rounding
-// errors stay far below what could decide anything.
+// refreshesBeforeRebuild is the number of refreshes, in addition to one per server, after which the sums are computed
+// again. This keeps rounding errors far below what could affect a decision.
 const refreshesBeforeRebuild = 1000
 
-// rotation is the servers that a first attempt may choose from with key affinity. It keeps their number, the sums of their
-// weights by group and their attempts in flight up to date, so that the cost of a pick does not grow with the fleet. It
-// decides nothing: what a weight is and which servers are ejected is decided in the policy files.
+// rotation is the set of servers that a first attempt may choose from with key affinity. It maintains their number,
+// the sums of their weights by group and their attempts in flight, so that the cost of a pick does not grow with the
+// fleet. It makes no decisions: the policy files decide what a weight is and which servers are ejected.
 type rotation struct {
 	size                  int
-	inFlight              int // attempts of this sidecar
+	inFlight              int // attempts of this sidecar at these servers
 	groups                []*weightGroup
-	changed               []*server   // to be refreshed before the next pick
-	refreshQueue          refreshHeap // servers that change by themselves
+	changed               []*server   // servers to refresh before the next pick
+	refreshQueue          refreshHeap // servers that change by themselves with time
 	refreshesSinceRebuild int
-	reporters             []*server // with a load report that was lately fresh
+	reporters             []*server // servers with a load report that was recently fresh
 }
 
-// scheduleRefresh has a server refreshed before the next pick: something about it has changed.
+// scheduleRefresh marks a server that has changed for a refresh before the next pick.
 func (b *Balancer) scheduleRefresh(s *server) {
 	if b.config.KeyAffinity && !s.refreshPending {
 		s.refreshPending = true
@@ -30,7 +30,7 @@
 	}
 }
 
-// scheduleZoneRefresh does so for all servers of a zone.
+// scheduleZoneRefresh marks all servers of a zone for a refresh before the next pick.
 func (b *Balancer) scheduleZoneRefresh(zone *zoneHealth) {
 	for _, s := range b.servers {
 		if s.zoneHealth == zone {
@@ -39,8 +39,7 @@
 	}
 }
 
-// refreshRotation brings the rotation up to date with what changed by an event or by itself. It returns the sum of all
-// weights.
+// refreshRotation applies all changes since the last pick, by events or with time. It returns the sum of all weights.
 func (b *Balancer) refreshRotation() float64 {
 	rotation := &b.rotation
 	for len(rotation.refreshQueue) > 0 && rotation.refreshQueue[0].refreshAt <= b.now {
@@ -82,7 +81,7 @@
 	s.weightGroup.sum.add(&s.contribution, sign)
 }
 
-// refreshServer takes a server out of the sums and adds it as it is now, if it belongs to the rotation.
+// refreshServer removes a server from the sums and adds its current state, if it belongs to the rotation.
 func (b *Balancer) refreshServer(s *server) {
 	b.rotation.refreshesSinceRebuild++
 	wasInRotation := s.inRotation
@@ -111,7 +110,8 @@
 	b.rotation.inFlight -= s.inFlight
 }
 
-// enterRotation returns the time at which the server's contribution changes by itself.
+// enterRotation adds a server to the rotation. It returns the time at which the server's contribution changes by
+// itself.
 func (b *Balancer) enterRotation(s *server) float64 {
 	s.inRotation = true
 	contribution, changesAt := b.trendOf(s)
@@ -122,10 +122,10 @@
 	return changesAt
 }
 
-// scheduleNextRefresh queues a server for the time at which it changes; infinite: it does not.
+// scheduleNextRefresh queues a server for a refresh at the time at which it changes; infinite: it does not change.
 func (b *Balancer) scheduleNextRefresh(s *server, changesAt float64) {
 	queue := &b.rotation.refreshQueue
-	// Strictly after now: a rounding error could have it refreshed for ever otherwise.
+	// Strictly after now: otherwise a rounding error could cause endless refreshes.
 	s.refreshAt = math.Max(changesAt, math.Nextafter(b.now, math.Inf(1)))
 	switch scheduled := s.refreshHeapIndex > 0; {
 	case !scheduled && !math.IsInf(changesAt, 1):
@@ -137,7 +137,8 @@
 	}
 }
 
-// sumRotation does for the whole rotation what collectCandidates does for a pick that lists its servers.
+// sumRotation sets the load bound of a pick from the whole rotation, as collectCandidates does from the listed
+// servers.
 func (b *Balancer) sumRotation(totalWeight float64) {
 	selection := &b.selection
 	selection.load, selection.weight = 1, 0
@@ -154,7 +155,7 @@
 	}
 }
 
-// refreshHeap orders servers by the time at which they change by themselves. It implements heap.Interface.
+// refreshHeap orders servers by refreshAt. It implements heap.Interface.
 type refreshHeap []*server
 
 func (h refreshHeap) Len() int           { return len(h) }
--- a/balance/round.go
+++ b/balance/round.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// creditRounds adds the weights of the rounds so far to the running weights that the current pick compares. A sidecar that
-// keeps to few servers of each key does not compare them by running weight: there they are brought up to date for a retry
-// only.
+// creditRounds adds the weights of past rounds to the running weights that the current pick compares. A sidecar that
+// uses only few servers of each key does not compare them by running weight, so it updates their running weights only
+// for a retry.
 func (b *Balancer) creditRounds(byKey, retry bool) {
 	switch {
 	case b.selection.allEjected || !b.config.KeyAffinity: // servers that are not candidates get no credit
@@ -28,14 +28,15 @@
 	}
 }
 
-// creditServer adds a server's current weight for each round since it was last credited, or returned.
+// creditServer adds a server's current weight for each round since the server was last credited, or returned.
 func (b *Balancer) creditServer(s *server) {
 	rounds := b.selection.round - s.round.creditedUpTo
 	s.round.runningWeight = math.Min(s.round.runningWeight+s.weight*rounds, b.pool.current)
 	s.round.creditedUpTo = b.selection.round
 }
 
-// beginRound begins a round of the weighted round robin: a first attempt. Excluded servers get no credit for it.
+// beginRound begins a round of the weighted round robin, which is one first attempt. Excluded servers get no credit
+// for it.
 func (b *Balancer) beginRound(totalWeight float64) {
 	b.recordPool(totalWeight)
 	b.selection.round++
--- a/balance/server.go
+++ b/balance/server.go
@@ -2,24 +2,24 @@
 
 import "math"
 
-// server is what this sidecar knows of one server. What a pick reads of many servers comes first.
+// server is the state that this sidecar keeps of one server. Fields that a pick reads for many servers come first.
 type server struct {
 	Server
 	inRotation       bool         // a first attempt may choose it; with key affinity only
-	refreshPending   bool         // in rotation.changed
+	refreshPending   bool         // listed in rotation.changed
 	excluded         bool         // from the current pick, by the placement
-	weightGroup      *weightGroup // whose sum it counts in
-	contribution     weightTrend  // to that sum
+	weightGroup      *weightGroup // the group whose sum includes the contribution
+	contribution     weightTrend  // to the sum of weightGroup
 	refreshAt        float64      // when the contribution changes by itself
-	refreshHeapIndex int          // in rotation.refreshQueue, from 1; 0: it is not there
+	refreshHeapIndex int          // index in rotation.refreshQueue, from 1; 0: not queued
 
 	rank        float64 // position in this sidecar's own order
 	zoneHealth  *zoneHealth
 	round       roundRobinState
 	weight      float64 // in the current pick
-	keyPosition float64 // in the order of the current key; see keySubset
+	keyPosition float64 // in the order of the current key; see narrowCandidates
 	loadKnown   bool    // in the current pick: its load counts in selection.load
-	logCapacity float64 // learned, beyond that of its kind and zone
+	logCapacity float64 // learned, in addition to that of its kind and zone
 	inFlight    int     // attempts of this sidecar
 
 	errors    errorHistory
@@ -29,61 +29,62 @@
 	gossip    gossipFindings
 
 	healthCheckPending bool
-	timelyAnswerAt     float64 // its last answer that was not overdue
+	timelyAnswerAt     float64 // time of its last answer that was not overdue
 }
 
-// roundRobinState is a server's part of the smooth weighted round robin.
+// roundRobinState is the state of a server in the smooth weighted round robin.
 type roundRobinState struct {
 	runningWeight float64
-	creditedUpTo  float64 // the round up to which its weight was added
+	creditedUpTo  float64 // the last round for which its weight was added
 }
 
-// errorHistory is what is held against a server; see recordError.
+// errorHistory records the recent errors of a server; see recordError.
 type errorHistory struct {
 	consecutive       int
 	lastAt            float64
-	unreachable       int  // consecutive times that it could not be reached
-	healthCheckFailed bool // the last one
+	unreachable       int  // consecutive times that it was unreachable
+	healthCheckFailed bool // the last health check failed
 }
 
 // ejectionState keeps a server out of picks; see eject.
 type ejectionState struct {
-	until float64 // 0: it is not ejected
-	count int     // since its last answer
+	until float64 // 0: not ejected
+	count int     // ejections since its last answer
 }
 
-// slowStartState limits the attempts at a server that has just started; see hasSlowStartBudget.
+// slowStartState limits the attempts at a server that has recently started; see hasSlowStartBudget.
 type slowStartState struct {
 	since    float64
-	tokens   float64 // attempts that it may be sent
-	tokensAt float64 // when they were last refilled
+	tokens   float64 // attempts that it may receive
+	tokensAt float64 // time of the last refill
 }
 
-// loadReport is what a server last reported of itself.
+// loadReport is the last load report of a server.
 type loadReport struct {
 	inFlight    float64
 	receivedAt  float64
-	sentSince   float64 // attempts of this sidecar
+	sentSince   float64 // attempts that this sidecar has sent since
 	utilization float64 // smoothed; 0: it was never reported
 	listed      bool    // in rotation.reporters
 }
 
-// gossipFindings is what was received from other sidecars about a server, and what was published to them.
+// gossipFindings holds the findings about a server that this sidecar received from others or published.
 type gossipFindings struct {
-	ejectedUntil   float64 // by what was received; 0: it is not
-	observedAt     float64 // when the latest finding was made
-	source         int     // the sidecar that published it first; -1: none
-	confirmations  int     // times that it was received
-	publishedUntil float64 // this sidecar's own finding was published and holds until then
+	ejectedUntil   float64 // by received findings; 0: not ejected
+	observedAt     float64 // time of the latest finding
+	source         int     // the sidecar that sent the finding first; -1: none
+	confirmations  int     // times that the finding was received
+	publishedUntil float64 // until when this sidecar's own published finding holds
 }
 
-// clearFaults clears what is held against a server.
+// clearFaults clears the recorded errors and the ejection of a server.
 func (s *server) clearFaults() {
 	s.ejection = ejectionState{}
 	s.errors.consecutive, s.errors.unreachable, s.errors.healthCheckFailed = 0, 0, false
 }
 
-// serverLoad is what a server holds: by a fresh load report and what was sent since, else this sidecar's own attempts.
+// serverLoad returns the load of a server: by a fresh load report and the attempts sent since, else by this sidecar's
+// own attempts.
 func (b *Balancer) serverLoad(s *server) float64 {
 	if b.hasFreshReport(s) {
 		return s.report.inFlight + s.report.sentSince
@@ -97,7 +98,7 @@
 
 func (b *Balancer) inOwnZone(s *server) bool { return s.Zone == b.config.Zone }
 
-// addInFlight counts attempts that a server received, or that ended.
+// addInFlight adjusts the number of attempts in flight at a server.
 func (b *Balancer) addInFlight(s *server, delta int) {
 	s.inFlight += delta
 	if s.inRotation {
@@ -105,16 +106,16 @@
 	}
 }
 
-// zoneHealth is what this sidecar knows of the servers of a zone together. A sidecar with little traffic meets each server
-// seldom: one by one it would take many seconds to find the servers of a lost zone unreachable.
+// zoneHealth is the state of the servers of a zone together. A sidecar with little traffic visits each server rarely:
+// it would need many seconds to find the servers of a lost zone unreachable one by one.
 type zoneHealth struct {
-	unreachable      []*server // since the last answer from the zone
-	unreachableSince float64   // the first of them
+	unreachable      []*server // servers that were unreachable since the last answer from the zone
+	unreachableSince float64   // time of the first of them
 	lastAnswerAt     float64
-	lost             bool // all of it is taken to be unreachable
+	lost             bool // the whole zone counts as unreachable
 	ejectedUntil     float64
 	ejections        int
-	trialServer      *server // the one that may be tried since the last ejection
+	trialServer      *server // the server that may be tried since the last ejection
 }
 
 func (b *Balancer) healthOfZone(zone int) *zoneHealth {
@@ -126,7 +127,8 @@
 	return health
 }
 
-// newServer begins with a random running weight: sidecars that start together would choose in step otherwise.
+// newServer returns a server with a random running weight: otherwise sidecars that start together would choose in
+// step.
 func (b *Balancer) newServer() *server {
 	return &server{
 		round:     roundRobinState{runningWeight: baseWeight * b.random(), creditedUpTo: b.selection.round},
@@ -135,7 +137,7 @@
 	}
 }
 
-// zoneAnswered clears what is held against a zone, and the ejections that followed from it.
+// zoneAnswered clears the recorded faults of a zone, and the ejections that its loss has caused.
 func (b *Balancer) zoneAnswered(zone *zoneHealth) {
 	if zone.lost {
 		for _, s := range zone.unreachable {
--- a/balance/server_list.go
+++ b/balance/server_list.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// insertServer enters a new or changed entry of the endpoint list, at its position in this sidecar's own order.
+// insertServer applies a new or changed entry of the endpoint list, and inserts the server at its position in this
+// sidecar's own order.
 func (b *Balancer) insertServer(s *server, entry *Server) {
 	oldRank, oldCapacity, i := s.rank, s.RelativeCapacity, b.indexByRank(s, s.rank)
 	s.Server = *entry
@@ -26,7 +27,7 @@
 	}
 }
 
-// indexByRank finds a server that was inserted with a rank; -1: it was not.
+// indexByRank returns the index of a server that was inserted with a rank, -1 if it was not inserted.
 func (b *Balancer) indexByRank(s *server, rank float64) int {
 	i, _ := slices.BinarySearchFunc(b.servers, rank, compareRank)
 	for ; i < len(b.servers) && b.servers[i].rank == rank; i++ {
@@ -39,7 +40,7 @@
 
 func compareRank(s *server, rank float64) int { return cmp.Compare(s.rank, rank) }
 
-// removeUnlisted marks the servers that a complete list does not name as removed.
+// removeUnlisted marks the servers that a complete list does not contain as removed.
 func (b *Balancer) removeUnlisted(entries []Server) {
 	listed := make(map[ServerID]bool, len(entries))
 	for i := range entries {
@@ -53,7 +54,7 @@
 	}
 }
 
-// dropRemoved releases the servers that were removed and retains the order of the others.
+// dropRemoved drops the removed servers and keeps the order of the others.
 func (b *Balancer) dropRemoved() {
 	remaining := b.servers[:0]
 	for _, s := range b.servers {
--- a/balance/stats.go
+++ b/balance/stats.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// requestCounts counts the requests of a class or tenant, and those answered within their objective. Both start at 1, so
-// that neither is ever 0.
+// requestCounts counts the requests of a class or tenant, and those that were answered within their objective. Both
+// counts start at 1, so that neither is ever 0.
 type requestCounts struct{ received, servedInTime, quota float64 }
 
-// servedLessThan compares the fractions that were served in time.
+// servedLessThan reports whether a smaller fraction was served in time than of other.
 func (c *requestCounts) servedLessThan(other *requestCounts) bool {
 	return c.servedInTime*other.received < other.servedInTime*c.received
 }
 
-// classStats follows the requests and latencies of a class.
+// classStats tracks the requests and latencies of a class.
 type classStats struct {
 	requestCounts
 	samples        float64
@@ -32,7 +32,7 @@
 	c.meanDeviation += (math.Abs(latency-c.meanLatency) - c.meanDeviation) / c.samples
 }
 
-// tenantCounts returns the counts of a tenant; the last are for requests without one.
+// tenantCounts returns the counts of a tenant. The last entry counts requests without a tenant.
 func (b *Balancer) tenantCounts(index int) *requestCounts {
 	if index < 0 || index >= len(b.config.Tenants) {
 		index = len(b.config.Tenants)
@@ -40,7 +40,7 @@
 	return &b.admission.tenants[index]
 }
 
-// demandTotals is what all requests of this sidecar ask for, and the class and tenant that are served worst.
+// demandTotals holds the sums over all requests of this sidecar, and the worst-served class and tenant.
 type demandTotals struct {
 	received       float64
 	priorityWeight float64
@@ -66,23 +66,23 @@
 	return totals
 }
 
-// rateMeter counts events and forgets them exponentially.
+// rateMeter counts events with exponential decay.
 type rateMeter struct{ count, updatedAt float64 }
 
 func (m *rateMeter) add(now, span float64) {
 	m.count, m.updatedAt = m.count*math.Exp((m.updatedAt-now)/span)+1, now
 }
 
-// minSpanFraction bounds the correction for a count that has not run for its whole span.
+// minSpanFraction bounds the correction for a count that covers only a part of its span.
 const minSpanFraction = 0.05
 
-// rate is the number of events per millisecond since a time, with some assumed ones added.
+// rate returns the number of events per millisecond since a time, plus some assumed events.
 func (m *rateMeter) rate(now, since, span, assumed float64) float64 {
 	counted := math.Max(-math.Expm1((since-now)/span), minSpanFraction)
 	return (m.count*math.Exp((m.updatedAt-now)/span)/counted + assumed) / span
 }
 
-// ewma is an exponentially weighted moving average over time. The time before the first value does not count.
+// ewma is an exponentially weighted moving average over time. The time before the first value has no weight.
 type ewma struct{ mean, startedAt, updatedAt float64 }
 
 func (e *ewma) add(now, span, value float64) {
--- a/balance/validate.go
+++ b/balance/validate.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// ConfigError says which field of a Config is invalid, and why. It has the form of internal/validation.Error, which the
+// ConfigError names an invalid field of a Config and the reason. It has the form of internal/validation.Error, which
 // users of this package outside of the module could not match.
 type ConfigError struct {
 	Field  string // with the index of a class or tenant, as in "Classes[1].Deadline"
@@ -14,7 +14,7 @@
 
 func (e *ConfigError) Error() string { return e.Field + ": " + e.Reason }
 
-// numericField is a setting that must be finite and not negative.
+// numericField is a setting that must be finite and at least 0.
 type numericField struct {
 	name  string
 	value float64
@@ -23,7 +23,7 @@
 // validate returns a ConfigError for the first field that is invalid.
 func (c *Config) validate() error {
 	if len(c.Classes) == 0 {
-		return &ConfigError{"Classes", "there are none"}
+		return &ConfigError{"Classes", "at least one class is required"}
 	}
 	fields := c.numericFields()
 	for i := range c.Classes {
@@ -91,6 +91,6 @@
 		{prefix + "PriorityWeight", c.PriorityWeight},
 		{prefix + "LateWeight", c.LateWeight},
 		{prefix + "LatencyObjectivePerWork", c.LatencyObjectivePerWork},
-		{prefix + "IdempotencyWindow", math.Min(c.IdempotencyWindow, math.MaxFloat64)}, // it may be infinite
+		{prefix + "IdempotencyWindow", math.Min(c.IdempotencyWindow, math.MaxFloat64)}, // the window may be infinite
 	}
 }
--- a/balance/weight_trend.go
+++ b/balance/weight_trend.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// weightTrend is a weight, or a sum of weights, that changes with time by itself. elapsed milliseconds after updatedAt it is
+// weightTrend is a weight, or a sum of weights, as a function of time. At elapsed milliseconds after updatedAt it is
 //
 //	level + slope·elapsed + (penalty + penaltySlope·elapsed)·2^(-elapsed/errorHalfLife)
 //
-// The slopes come from servers in slow start, the penalties from errors that decay. A penalty is negative.
+// The slopes come from servers in slow start, the penalties from decaying errors. Penalties are negative.
 type weightTrend struct{ level, slope, penalty, penaltySlope, updatedAt float64 }
 
 func (t *weightTrend) advanceTo(now float64) {
@@ -19,7 +19,7 @@
 	}
 }
 
-// add adds sign × other, which has to be of the same time.
+// add adds sign × other. Both must have the same updatedAt.
 func (t *weightTrend) add(other *weightTrend, sign float64) {
 	t.level += sign * other.level
 	t.slope += sign * other.slope
@@ -30,7 +30,8 @@
 // constant reports whether the value does not change with time.
 func (t *weightTrend) constant() bool { return t.slope == 0 && t.penalty == 0 && t.penaltySlope == 0 }
 
-// weightGroup is the servers of one kind in one zone. They share a factor of their weights, which moves with each answer.
+// weightGroup is the set of servers of one kind in one zone. They share a weight factor, which changes with each
+// answer.
 type weightGroup struct {
 	kind, zone int
 	factor     float64
@@ -48,7 +49,7 @@
 	return g
 }
 
-// trendOf returns a server's weight without the factor of its group, and the time until which that trend holds.
+// trendOf returns the trend of a server's weight without the factor of its group, and the time until which it holds.
 func (b *Balancer) trendOf(s *server) (weightTrend, float64) {
 	slowStart, rise, until := b.slowStartFactor(s), 0.0, math.Inf(1)
 	if b.now < s.slowStart.since {
@@ -74,8 +75,8 @@
 	}, until
 }
 
-// currentWeight is the weight of a server of the rotation, the preference of the own zone included. refreshRotation must
-// have been called at this time.
+// currentWeight returns the weight of a server in the rotation, including the preference of the own zone.
+// refreshRotation must have been called at this time.
 func (b *Balancer) currentWeight(s *server) float64 {
 	if s.contribution.constant() {
 		return max(s.contribution.level*s.weightGroup.factor, minWeight)
