--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -84,43 +84,43 @@
 
 // setLoad sets the sustained fraction to shed and the load at which answers take a fraction of the objective longer than is
 // allowed.
-func (h *harness) setLoad(lasting, over float64) {
-	full := h.balancer.admission.minLatencyRatio + queueingAllowance*(1-h.balancer.admission.minLatencyRatio)
-	if h.balancer.admission.sustainedShed = lasting; lasting > 0 {
+func (h *harness) setLoad(sustained, excess float64) {
+	threshold := h.balancer.admission.minLatencyRatio + queueingAllowance*(1-h.balancer.admission.minLatencyRatio)
+	if h.balancer.admission.sustainedShed = sustained; sustained > 0 {
 		h.balancer.admission.sustainedShed += shedDeadband
 	}
 	rate := h.balancer.answerRate(assumedAnswers)
 	assumed := h.balancer.admission.minLatencyRatio * (1 - h.balancer.answerRate(0)/rate)
-	h.balancer.admission.load.current, h.balancer.admission.load.updatedAt = (full+over-assumed)*rate, h.now
+	h.balancer.admission.load.current, h.balancer.admission.load.updatedAt = (threshold+excess-assumed)*rate, h.now
 	h.balancer.admission.load.mean = h.balancer.admission.load.current
 }
 
 // measureShedding delivers 4000 requests, drawn from pairs of a class and a tenant, of which 0.4 of the work is to be shed,
 // and returns the fraction rejected of each class and of each tenant.
-func measureShedding(t *testing.T, cfg Config, turns ...[2]int) (byClass, byTenant [5]float64) {
+func measureShedding(t *testing.T, cfg Config, pairs ...[2]int) (byClass, byTenant [5]float64) {
 	t.Helper()
 	h := newHarness(t, cfg, testServers(4)...)
 	h.balancer.admission.firstRequestAt = 1 // it started long ago
-	var asked [2][5]float64
-	draw := rand.New(rand.NewPCG(1, 2))
+	var requested [2][5]float64
+	random := rand.New(rand.NewPCG(1, 2))
 	for i := range 4000 {
-		turn := turns[draw.IntN(len(turns))]
+		pair := pairs[random.IntN(len(pairs))]
 		h.now++
 		h.setLoad(0.4, 0)
-		asked[0][turn[0]]++
-		asked[1][turn[1]]++
+		requested[0][pair[0]]++
+		requested[1][pair[1]]++
 		id := RequestID(i + 1)
-		actions := h.handle(Request{ID: id, Class: turn[0], Tenant: turn[1], Timeout: cfg.Classes[turn[0]].Deadline})
+		actions := h.handle(Request{ID: id, Class: pair[0], Tenant: pair[1], Timeout: cfg.Classes[pair[0]].Deadline})
 		if hasAction(actions, Reject) {
-			byClass[turn[0]]++
-			byTenant[turn[1]]++
+			byClass[pair[0]]++
+			byTenant[pair[1]]++
 		} else {
 			h.finishAttempt(id, 0, OK, 50)
 		}
 	}
 	for i := range 5 {
-		byClass[i] /= max(1, asked[0][i])
-		byTenant[i] /= max(1, asked[1][i])
+		byClass[i] /= max(1, requested[0][i])
+		byTenant[i] /= max(1, requested[1][i])
 	}
 	return byClass, byTenant
 }
@@ -129,8 +129,8 @@
 // seconds. A sidecar that has not shed lately rejects nothing, as its few requests may coincide by chance.
 func TestSheddingFollowsLoadAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		lasting, over float64 // over: fraction of the objective beyond what answers may take
-		least, most   float64 // fraction rejected
+		sustained, excess        float64 // over: fraction of the objective beyond what answers may take
+		minRejected, maxRejected float64 // fraction rejected
 	}{{0, 0.5, 0, 0.05}, {0.4, 0, 0.3, 0.5}, {0.4, 0.5, 0.7, 0.9}, {0.4, -0.3, 0, 0}} {
 		h := newHarness(t, baseConfig(), testServers(4)...)
 		for range 100 {
@@ -140,12 +140,12 @@
 		}
 		rejected := 0.0
 		for range 200 {
-			h.setLoad(c.lasting, c.over)
+			h.setLoad(c.sustained, c.excess)
 			if _, actions := h.request(idempotentClass); hasAction(actions, Reject) {
 				rejected++
 			}
 		}
-		if rejected /= 200; rejected < c.least || rejected > c.most {
+		if rejected /= 200; rejected < c.minRejected || rejected > c.maxRejected {
 			t.Errorf("%+v: %.2f were rejected", c, rejected)
 		}
 	}
@@ -170,13 +170,13 @@
 // priority is shed first.
 func TestWorstClassObjectiveKeepsItServed(t *testing.T) {
 	cfg := baseConfig()
-	turns := [][2]int{{idempotentClass, 0}, {nonIdempotentClass, 0}}
+	pairs := [][2]int{{idempotentClass, 0}, {nonIdempotentClass, 0}}
 	cfg.Objective = Objective{Overall: 1}
-	if rejected, _ := measureShedding(t, cfg, turns...); rejected[idempotentClass] < 0.7 || rejected[nonIdempotentClass] > 0.1 {
+	if rejected, _ := measureShedding(t, cfg, pairs...); rejected[idempotentClass] < 0.7 || rejected[nonIdempotentClass] > 0.1 {
 		t.Fatalf("without the weight %.2f and %.2f are rejected", rejected[idempotentClass], rejected[nonIdempotentClass])
 	}
 	cfg.Objective = Objective{Overall: 0.3, WorstClass: 0.7}
-	if rejected, _ := measureShedding(t, cfg, turns...); rejected[idempotentClass] > 0.5 || rejected[nonIdempotentClass] < 0.3 {
+	if rejected, _ := measureShedding(t, cfg, pairs...); rejected[idempotentClass] > 0.5 || rejected[nonIdempotentClass] < 0.3 {
 		t.Fatalf("with the weight %.2f and %.2f are rejected", rejected[idempotentClass], rejected[nonIdempotentClass])
 	}
 }
@@ -185,13 +185,13 @@
 func TestWorstTenantObjectiveKeepsItServed(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Quota: 0.8}, {Quota: 0.2}}
-	turns := [][2]int{{0, 0}, {0, 1}}
+	pairs := [][2]int{{0, 0}, {0, 1}}
 	cfg.Objective = Objective{Overall: 1}
-	if _, rejected := measureShedding(t, cfg, turns...); rejected[0] > 0.1 || rejected[1] < 0.7 {
+	if _, rejected := measureShedding(t, cfg, pairs...); rejected[0] > 0.1 || rejected[1] < 0.7 {
 		t.Fatalf("without the weight %.2f and %.2f are rejected", rejected[0], rejected[1])
 	}
 	cfg.Objective = Objective{Overall: 0.3, WorstTenant: 0.7}
-	if _, rejected := measureShedding(t, cfg, turns...); math.Abs(rejected[0]-rejected[1]) > 0.15 {
+	if _, rejected := measureShedding(t, cfg, pairs...); math.Abs(rejected[0]-rejected[1]) > 0.15 {
 		t.Fatalf("with the weight %.2f and %.2f are rejected", rejected[0], rejected[1])
 	}
 }
@@ -289,35 +289,35 @@
 // A rejection carries Retry-After: longer while much is shed, with jitter, and never longer than clients obey. Where clients
 // are told none it is 0.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
-	advice := func(cfg Config, steady float64) []float64 {
-		var all []float64
+	retryAfters := func(cfg Config, sustained float64) []float64 {
+		var delays []float64
 		h := newHarness(t, cfg) // no server: everything is rejected
 		for range 50 {
-			h.balancer.admission.sustainedShed = steady
+			h.balancer.admission.sustainedShed = sustained
 			id, _ := h.request(idempotentClass)
 			h.now += cfg.Classes[idempotentClass].LatencyObjective
 			for _, a := range h.handle(TimerFired{Token: uint64(id)}) {
 				if a.Kind == Reject {
-					all = append(all, a.RetryAfter)
+					delays = append(delays, a.RetryAfter)
 				}
 			}
 		}
-		if len(all) != 50 {
-			t.Fatalf("%d of 50 were rejected", len(all))
+		if len(delays) != 50 {
+			t.Fatalf("%d of 50 were rejected", len(delays))
 		}
-		slices.Sort(all)
-		return all
+		slices.Sort(delays)
+		return delays
 	}
 	cfg := baseConfig()
-	calm, crowded := advice(cfg, 0), advice(cfg, maxShedFraction)
-	if calm[0] <= 0 || crowded[25] < 2*calm[25] {
-		t.Errorf("the Retry-After is %v while nothing is shed, %v while most is", calm, crowded)
+	idle, overloaded := retryAfters(cfg, 0), retryAfters(cfg, maxShedFraction)
+	if idle[0] <= 0 || overloaded[25] < 2*idle[25] {
+		t.Errorf("the Retry-After is %v while nothing is shed, %v while most is", idle, overloaded)
 	}
-	if crowded[49] > cfg.MaxRetryAfter || calm[49] < 1.5*calm[0] {
-		t.Errorf("the Retry-After is %v and %v, at most %v is obeyed", calm, crowded, cfg.MaxRetryAfter)
+	if overloaded[49] > cfg.MaxRetryAfter || idle[49] < 1.5*idle[0] {
+		t.Errorf("the Retry-After is %v and %v, at most %v is obeyed", idle, overloaded, cfg.MaxRetryAfter)
 	}
 	cfg.SendRetryAfter = false
-	if none := advice(cfg, maxShedFraction); none[49] != 0 {
+	if none := retryAfters(cfg, maxShedFraction); none[49] != 0 {
 		t.Errorf("clients that are told none got %v", none)
 	}
 }
--- a/balance/affinity_test.go
+++ b/balance/affinity_test.go
@@ -7,14 +7,14 @@
 
 // zipfKeys returns a function that draws one of n keys: the k-th is requested in proportion to 1/k^0.7.
 func zipfKeys(n int) func(u float64) uint64 {
-	sums, all := make([]float64, n), 0.0
-	for k := range sums {
-		all += math.Pow(float64(k+1), -0.7)
-		sums[k] = all
+	cumulative, total := make([]float64, n), 0.0
+	for k := range cumulative {
+		total += math.Pow(float64(k+1), -0.7)
+		cumulative[k] = total
 	}
 	return func(u float64) uint64 {
-		for k, sum := range sums {
-			if u*all < sum {
+		for k, sum := range cumulative {
+			if u*total < sum {
 				return uint64(k + 1)
 			}
 		}
@@ -24,66 +24,68 @@
 
 // measureAffinity simulates requests with keys. It returns how many servers a key reached in the mean over the requests,
 // how much more than the mean the busiest server received, and how many servers a sidecar used.
-func measureAffinity(t *testing.T, warm bool, balancers, fleetSize int) (servers, fullest, used float64) {
+func measureAffinity(
+	t *testing.T, keyAffinity bool, balancers, fleetSize int,
+) (serversPerKey, maxRelativeLoad, serversPerSidecar float64) {
 	const requests = 20000
 	cfg := baseConfig()
-	cfg.KeyAffinity = warm
+	cfg.KeyAffinity = keyAffinity
 	fleet := newSimulatedFleet(t, cfg, balancers, testServers(fleetSize))
-	met, got := map[uint64]map[ServerID]int{}, map[ServerID]int{}
-	pairs := map[[2]uint64]bool{}
+	sendsByKey, sendsByServer := map[uint64]map[ServerID]int{}, map[ServerID]int{}
+	connections := map[[2]uint64]bool{}
 	key := uint64(0)
 	fleet.onAction = func(from int, a Action) {
 		if a.Kind == Send {
-			if met[key] == nil {
-				met[key] = map[ServerID]int{}
+			if sendsByKey[key] == nil {
+				sendsByKey[key] = map[ServerID]int{}
 			}
-			met[key][a.Server]++
-			got[a.Server]++
-			pairs[[2]uint64{uint64(from), uint64(a.Server)}] = true
+			sendsByKey[key][a.Server]++
+			sendsByServer[a.Server]++
+			connections[[2]uint64{uint64(from), uint64(a.Server)}] = true
 		}
 	}
-	draw, rng := zipfKeys(800), &Balancer{randomState: 7}
+	drawKey, rng := zipfKeys(800), &Balancer{randomState: 7}
 	for i := range requests {
 		fleet.run(fleet.now + 1)
-		key = draw(rng.random())
+		key = drawKey(rng.random())
 		fleet.request(i%balancers, key)
 	}
-	for _, of := range met {
-		all := 0
-		for _, n := range of {
-			all += n
+	for _, sends := range sendsByKey {
+		total := 0
+		for _, n := range sends {
+			total += n
 		}
-		servers += float64(len(of)) * float64(all) / requests
+		serversPerKey += float64(len(sends)) * float64(total) / requests
 	}
-	for _, n := range got {
-		fullest = math.Max(fullest, float64(n*fleetSize)/requests)
+	for _, n := range sendsByServer {
+		maxRelativeLoad = math.Max(maxRelativeLoad, float64(n*fleetSize)/requests)
 	}
-	return servers, fullest, float64(len(pairs)) / float64(balancers)
+	return serversPerKey, maxRelativeLoad, float64(len(connections)) / float64(balancers)
 }
 
 func TestKeyAffinityAcrossSidecars(t *testing.T) {
-	servers, fullest, _ := measureAffinity(t, true, 60, 40)
+	serversPerKey, maxRelativeLoad, _ := measureAffinity(t, true, 60, 40)
 	without, _, _ := measureAffinity(t, false, 60, 40)
-	if servers > without/3 {
-		t.Errorf("a key reached %.1f servers, and %.1f where keys do not matter", servers, without)
+	if serversPerKey > without/3 {
+		t.Errorf("a key reached %.1f servers, and %.1f where keys do not matter", serversPerKey, without)
 	}
-	if fullest > 1.4 {
-		t.Errorf("the fullest server got %.2f times the mean", fullest)
+	if maxRelativeLoad > 1.4 {
+		t.Errorf("the fullest server got %.2f times the mean", maxRelativeLoad)
 	}
 }
 
 // In a large fleet each sidecar uses few servers, though all together use all of them evenly. If it used all servers of
 // its keys, each of these sidecars would use 99 of 160 for its 100 requests.
 func TestSidecarUsesSmallSubsetOfLargeFleet(t *testing.T) {
-	servers, fullest, used := measureAffinity(t, true, 200, 160)
-	if used > 50 {
-		t.Errorf("a sidecar used %.1f of 160 servers for 100 requests", used)
+	serversPerKey, maxRelativeLoad, serversPerSidecar := measureAffinity(t, true, 200, 160)
+	if serversPerSidecar > 50 {
+		t.Errorf("a sidecar used %.1f of 160 servers for 100 requests", serversPerSidecar)
 	}
-	if fullest > 3 {
-		t.Errorf("the fullest server got %.2f times the mean", fullest)
+	if maxRelativeLoad > 3 {
+		t.Errorf("the fullest server got %.2f times the mean", maxRelativeLoad)
 	}
-	if servers > 30 {
-		t.Errorf("a key reached %.1f servers", servers)
+	if serversPerKey > 30 {
+		t.Errorf("a key reached %.1f servers", serversPerKey)
 	}
 }
 
@@ -92,24 +94,24 @@
 	cfg := baseConfig()
 	cfg.KeyAffinity = true
 	h := newHarness(t, cfg, testServers(90)...)
-	const bad = ServerID(10) // the tenth in this sidecar's order
-	keys := func(errs int) (got int) {
+	const failing = ServerID(10) // the tenth in this sidecar's order
+	countSends := func(errorCount int) (sends int) {
 		for key := range uint64(900) {
 			h.now += 100
 			h.lastID++
-			h.balancer.serversByID[bad].errors.consecutive, h.balancer.serversByID[bad].errors.lastAt = errs, h.now
+			h.balancer.serversByID[failing].errors.consecutive, h.balancer.serversByID[failing].errors.lastAt = errorCount, h.now
 			s, ok := sentServer(h.handle(Request{ID: h.lastID, Class: idempotentClass, Key: key + 1, Timeout: 1500}))
 			if !ok {
 				t.Fatal("nothing was sent")
 			}
-			if s == bad {
-				got++
+			if s == failing {
+				sends++
 			}
 			h.finishAttempt(h.lastID, 0, OK, 10)
 		}
-		return got
+		return sends
 	}
-	if before, after := keys(0), keys(4); before < 20 || after > before/2 || after == 0 {
+	if before, after := countSends(0), countSends(4); before < 20 || after > before/2 || after == 0 {
 		t.Errorf("a failing server got %d of the keys, %d before", after, before)
 	}
 }
@@ -126,21 +128,21 @@
 		}
 		return s
 	}
-	first := map[ServerID]bool{}
+	used := map[ServerID]bool{}
 	for range minServersPerKey + 1 { // it is rare yet
 		s := send()
 		h.finishAttempt(h.lastID, 0, OK, 10)
-		first[s] = true
+		used[s] = true
 	}
-	if len(first) != minServersPerKey {
-		t.Fatalf("a key that comes alone went to servers %v, want %d", first, minServersPerKey)
+	if len(used) != minServersPerKey {
+		t.Fatalf("a key that comes alone went to servers %v, want %d", used, minServersPerKey)
 	}
-	all := map[ServerID]bool{}
+	usedWhenFull := map[ServerID]bool{}
 	for range 16 { // none is answered: the first ones fill up
-		all[send()] = true
+		usedWhenFull[send()] = true
 	}
-	if len(all) <= minServersPerKey {
-		t.Fatalf("with its servers full a key still went to %v alone", all)
+	if len(usedWhenFull) <= minServersPerKey {
+		t.Fatalf("with its servers full a key still went to %v alone", usedWhenFull)
 	}
 }
 
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -23,7 +23,7 @@
 	fanout := math.Ceil(math.Log(allBusyProbability) / math.Log(clamp(b.reports.busyFraction, 0.01, 0.99)))
 	fanout = math.Min(fanout, healthCheckBudget/math.Max(b.config.Costs.HealthCheck, 1e-3))
 	for len(r.healthChecks.sentTo) < int(fanout) {
-		next := b.nextToCheck(r)
+		next := b.nextHealthCheckTarget(r)
 		if next == nil {
 			break
 		}
@@ -36,7 +36,7 @@
 	}
 }
 
-func (b *Balancer) nextToCheck(r *request) (next *server) {
+func (b *Balancer) nextHealthCheckTarget(r *request) (next *server) {
 	for _, s := range b.servers {
 		usable := b.permitted(r, s) && !b.isEjected(s) && !r.healthChecks.includes(s)
 		if usable && (next == nil || s.round.runningWeight > next.round.runningWeight) {
@@ -104,7 +104,7 @@
 		b.publishRecovery(s)
 	}
 	b.scheduleRefresh(s)
-	b.zoneAnswered(s.zoneHealth)
+	b.recordZoneAnswer(s.zoneHealth)
 	if b.recordLoadReport(s, ev.LoadReport) > r.class.LatencyObjective {
 		// Some overloaded servers stay slow until they are idle: the server is ejected for one round.
 		s.ejection.until = b.now + math.Min(b.longestObjective, float64(len(b.servers))/b.requestRate())
--- a/balance/capacity_test.go
+++ b/balance/capacity_test.go
@@ -25,9 +25,9 @@
 
 // Where crossing zones has a cost the own zone receives more, and the others still receive something.
 func TestOwnZoneIsPreferredWhenCrossingCosts(t *testing.T) {
-	for price, least := range map[float64]int{0: 10, 0.05: 25} {
+	for cost, minimum := range map[float64]int{0: 10, 0.05: 25} {
 		cfg := baseConfig()
-		cfg.Costs.CrossZone, cfg.Zone = price, 1
+		cfg.Costs.CrossZone, cfg.Zone = cost, 1
 		h := newHarness(t, cfg, testServers(8)...)
 		own := 0
 		for _, s := range sendSequence(h, 40) {
@@ -35,8 +35,8 @@
 				own++
 			}
 		}
-		if own < least || own > 38 || price == 0 && own > 20 {
-			t.Errorf("cost %v: %d of 40 in the own zone", price, own)
+		if own < minimum || own > 38 || cost == 0 && own > 20 {
+			t.Errorf("cost %v: %d of 40 in the own zone", cost, own)
 		}
 	}
 }
@@ -102,11 +102,13 @@
 		h.now += 5
 		id, actions := h.request(idempotentClass)
 		s, _ := sentServer(actions)
-		took, util := 40.0, float32(1)
+		took, utilization := 40.0, float32(1)
 		if s == 1 {
-			took, util = 56, 0.3
+			took, utilization = 56, 0.3
 		}
-		h.handle(Outcome{Request: id, Server: s, Result: OK, Elapsed: took, RequestDone: true, LoadReport: []float32{util}})
+		h.handle(Outcome{
+			Request: id, Server: s, Result: OK, Elapsed: took, RequestDone: true, LoadReport: []float32{utilization},
+		})
 		if i >= 3000 {
 			sent[s]++
 		}
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -8,11 +8,11 @@
 	// pollBackoffPerSidecar is the initial backoff, in ms per sidecar of the fleet.
 	pollBackoffPerSidecar = 50
 	maxPollDoublings      = 4 // of the backoff, one per consecutive failure
-	// maxPromptPollBackoff bounds the backoff, in ms, if discovery can answer all sidecars in time. A
+	// maxUnqueuedPollBackoff bounds the backoff, in ms, if discovery can answer all sidecars in time. A
 	// sidecar counts as informed 6 s after discovery becomes reachable (PROTOCOL), which leaves time for
 	// one unanswered and one answered poll. The bound does not apply if polls wait in a queue: many polls
 	// that soon would not be answered.
-	maxPromptPollBackoff = 3000
+	maxUnqueuedPollBackoff = 3000
 )
 
 func (b *Balancer) onEndpointUpdate(ev EndpointUpdate) {
@@ -63,13 +63,13 @@
 // schedulePoll schedules the next poll of discovery after a backoff with jitter, at least minFraction of
 // the backoff and at most maxBackoff if that is not 0. The backoff leaves discovery time for the polls of
 // all sidecars: polls that all sidecars send at once, after a mass restart or an outage of discovery, wait
-// in its queue until most have timed out. prompt states that discovery has no queue.
-func (b *Balancer) schedulePoll(minFraction, maxBackoff float64, prompt bool) {
+// in its queue until most have timed out. unqueued states that discovery has no queue.
+func (b *Balancer) schedulePoll(minFraction, maxBackoff float64, unqueued bool) {
 	fleetBackoff := pollBackoffPerSidecar * float64(max(b.config.SidecarCount, 1))
 	backoff := fleetBackoff * float64(int(1)<<min(b.discovery.failedPolls, maxPollDoublings))
-	fewSidecars := 2*fleetBackoff <= maxPromptPollBackoff // discovery answers all their polls in time
-	if backoff > maxPromptPollBackoff && (prompt || fewSidecars) {
-		backoff, minFraction = maxPromptPollBackoff, 0
+	fewSidecars := 2*fleetBackoff <= maxUnqueuedPollBackoff // discovery answers all their polls in time
+	if backoff > maxUnqueuedPollBackoff && (unqueued || fewSidecars) {
+		backoff, minFraction = maxUnqueuedPollBackoff, 0
 	}
 	if maxBackoff > 0 {
 		backoff = math.Min(backoff, maxBackoff)
--- a/balance/discovery_test.go
+++ b/balance/discovery_test.go
@@ -5,39 +5,39 @@
 // Discovery answers polls in order at a fixed rate, also those that were given up meanwhile, and fails those that waited
 // too long. Polled by all at once, and again by all soon after, it would never catch up.
 func TestMassRestartDoesNotOverloadDiscovery(t *testing.T) {
-	const balancers, work, patience, until = 80, 90.0, 2000.0, 20000.0 // ms a poll, ms waited, ms in all
+	const balancers, pollDuration, pollTimeout, duration = 80, 90.0, 2000.0, 20000.0 // ms a poll, ms waited, ms in all
 	cfg := baseConfig()
 	cfg.Subscribe = true
-	subscribed, calls, last, free := 0, 0, 0.0, 0.0
+	answered, polls, lastAnswerAt, idleAt := 0, 0, 0.0, 0.0
 	fleet := &simulatedFleet{t: t, now: 1000, onOutcome: func(int, Outcome) {}}
 	fleet.onAction = func(from int, a Action) {
 		if a.Kind != WatchEndpoints {
 			return
 		}
-		calls++
-		free = max(free, fleet.now) + work
-		if free > fleet.now+patience {
-			fleet.schedule(fleet.now+patience, from, EndpointUpdate{Kind: UpdateFailed})
+		polls++
+		idleAt = max(idleAt, fleet.now) + pollDuration
+		if idleAt > fleet.now+pollTimeout {
+			fleet.schedule(fleet.now+pollTimeout, from, EndpointUpdate{Kind: UpdateFailed})
 			return
 		}
-		fleet.schedule(free, from, EndpointUpdate{Kind: UpdateFull, Servers: testServers(4)})
-		subscribed++
-		last = free
+		fleet.schedule(idleAt, from, EndpointUpdate{Kind: UpdateFull, Servers: testServers(4)})
+		answered++
+		lastAnswerAt = idleAt
 	}
 	for i := range balancers {
 		cfg.Seed, cfg.SidecarIndex, cfg.SidecarCount = splitmix64(uint64(i)+1), i, balancers
 		fleet.balancers = append(fleet.balancers, mustNew(t, cfg))
 		fleet.execute(i, fleet.balancers[i].Start(fleet.now))
 	}
-	fleet.run(fleet.now + until)
-	if subscribed != balancers {
-		t.Errorf("%d of %d are subscribed after %v ms", subscribed, balancers, until)
+	fleet.run(fleet.now + duration)
+	if answered != balancers {
+		t.Errorf("%d of %d are subscribed after %v ms", answered, balancers, duration)
 	}
-	if least := balancers * work; last-1000 > 2*least {
-		t.Errorf("the last was informed after %.0f ms, by a service that can inform all in %.0f", last-1000, least)
+	if minimum := balancers * pollDuration; lastAnswerAt-1000 > 2*minimum {
+		t.Errorf("the last was informed after %.0f ms, by a service that can inform all in %.0f", lastAnswerAt-1000, minimum)
 	}
-	if calls > 2*balancers {
-		t.Errorf("%d polls of %d sidecars", calls, balancers)
+	if polls > 2*balancers {
+		t.Errorf("%d polls of %d sidecars", polls, balancers)
 	}
 }
 
@@ -52,20 +52,20 @@
 	if !hasAction(h.handle(TimerFired{Token: discoveryTimer}), WatchEndpoints) {
 		t.Fatal("not subscribed soon")
 	}
-	var pauses []float64
+	var backoffs []float64
 	for range 6 {
 		actions := h.handle(EndpointUpdate{Kind: UpdateFailed})
 		if len(actions) != 1 || actions[0].Token != discoveryTimer || actions[0].Delay > cfg.PollInterval {
 			t.Fatalf("after a failed poll: %+v", actions)
 		}
-		pauses = append(pauses, actions[0].Delay)
+		backoffs = append(backoffs, actions[0].Delay)
 		h.now += actions[0].Delay
 		if !hasAction(h.handle(TimerFired{Token: discoveryTimer}), WatchEndpoints) {
 			t.Fatal("not polled again")
 		}
 	}
-	if pauses[5] < 2*pauses[0] || len(h.balancer.servers) != 3 {
-		t.Fatalf("pauses %v, %d servers", pauses, len(h.balancer.servers))
+	if backoffs[5] < 2*backoffs[0] || len(h.balancer.servers) != 3 {
+		t.Fatalf("pauses %v, %d servers", backoffs, len(h.balancer.servers))
 	}
 }
 
@@ -73,29 +73,29 @@
 // whatever the size of the fleet and however many failed before; so is the first poll. Many sidecars do not poll in step;
 // few of them poll as soon after a poll that waited in a queue.
 func TestDiscoveryPollsResumeInTime(t *testing.T) {
-	for _, peers := range []int{1, 5, 30, 31, 80, 1000} {
+	for _, sidecars := range []int{1, 5, 30, 31, 80, 1000} {
 		for _, unqueued := range []bool{true, false} {
-			worst, lows := 0.0, 0
+			longest, short := 0.0, 0
 			for seed := range uint64(50) {
 				cfg := baseConfig()
-				cfg.Subscribe, cfg.SidecarCount, cfg.Seed = true, peers, splitmix64(seed+1)
+				cfg.Subscribe, cfg.SidecarCount, cfg.Seed = true, sidecars, splitmix64(seed+1)
 				h := newHarness(t, cfg, testServers(3)...)
-				if h.actions[0].Delay > maxPromptPollBackoff {
-					t.Errorf("%d peers: the first poll after %v ms", peers, h.actions[0].Delay)
+				if h.actions[0].Delay > maxUnqueuedPollBackoff {
+					t.Errorf("%d peers: the first poll after %v ms", sidecars, h.actions[0].Delay)
 				}
 				for range 8 {
 					h.handle(TimerFired{Token: discoveryTimer})
-					pause := h.handle(EndpointUpdate{Kind: UpdateFailed, DiscoveryUnreachable: unqueued})[0].Delay
-					if worst = max(worst, pause); pause < maxPromptPollBackoff/3 {
-						lows++
+					backoff := h.handle(EndpointUpdate{Kind: UpdateFailed, DiscoveryUnreachable: unqueued})[0].Delay
+					if longest = max(longest, backoff); backoff < maxUnqueuedPollBackoff/3 {
+						short++
 					}
 				}
 			}
-			if late := worst > maxPromptPollBackoff; late != (peers > 30 && !unqueued) {
-				t.Errorf("%d peers, unqueued %v: a pause of %v ms", peers, unqueued, worst)
+			if overBound := longest > maxUnqueuedPollBackoff; overBound != (sidecars > 30 && !unqueued) {
+				t.Errorf("%d peers, unqueued %v: a pause of %v ms", sidecars, unqueued, longest)
 			}
-			if unqueued && peers > 30 && (lows < 50*8/5 || worst < maxPromptPollBackoff*0.9) {
-				t.Errorf("%d peers: %d of 400 pauses in the first third, the longest %v ms", peers, lows, worst)
+			if unqueued && sidecars > 30 && (short < 50*8/5 || longest < maxUnqueuedPollBackoff*0.9) {
+				t.Errorf("%d peers: %d of 400 pauses in the first third, the longest %v ms", sidecars, short, longest)
 			}
 		}
 	}
--- a/balance/fixtures_test.go
+++ b/balance/fixtures_test.go
@@ -51,16 +51,16 @@
 
 // gossipFixture is one message between sidecars: what it says and the clock of its sender.
 type gossipFixture struct {
-	name    string
-	now     float64
-	entries []finding
+	name     string
+	now      float64
+	findings []finding
 }
 
 func gossipFixtures() []gossipFixture {
 	const now = 5000160.0
 	full := gossipFixture{name: "as many entries as a message holds", now: now}
 	for i := range maxFindings {
-		full.entries = append(full.entries, finding{findingFault, serverTag(ServerID(1000 + i)), now - 20*float64(i)})
+		full.findings = append(full.findings, finding{findingFault, serverTag(ServerID(1000 + i)), now - 20*float64(i)})
 	}
 	return []gossipFixture{
 		{"question of a sidecar that starts", 1000, []finding{{findingQuery, 0, 1000}}},
@@ -77,7 +77,7 @@
 func TestGossipFixtures(t *testing.T) {
 	var text strings.Builder
 	for _, f := range gossipFixtures() {
-		fmt.Fprintf(&text, "%s: %x\n", f.name, encodeGossip(f.now, f.entries))
+		fmt.Fprintf(&text, "%s: %x\n", f.name, encodeGossip(f.now, f.findings))
 	}
 	checkGolden(t, "gossip.golden", text.String())
 	stored, err := os.ReadFile(filepath.Join("testdata", "gossip.golden"))
@@ -94,12 +94,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sent, entries, err := decodeGossip(data, f.now, nil)
-		if err != nil || sent != gossipTimestamp(f.now) || !slices.Equal(entries, f.entries) {
-			t.Errorf("%s: read as %+v of %d, error %v", f.name, entries, sent, err)
+		timestamp, findings, err := decodeGossip(data, f.now, nil)
+		if err != nil || timestamp != gossipTimestamp(f.now) || !slices.Equal(findings, f.findings) {
+			t.Errorf("%s: read as %+v of %d, error %v", f.name, findings, timestamp, err)
 		}
-		if again := encodeGossip(f.now, entries); !slices.Equal(again, data) {
-			t.Errorf("%s: written again as %x", f.name, again)
+		if encoded := encodeGossip(f.now, findings); !slices.Equal(encoded, data) {
+			t.Errorf("%s: written again as %x", f.name, encoded)
 		}
 	}
 }
--- a/balance/fleet_simulation_test.go
+++ b/balance/fleet_simulation_test.go
@@ -85,8 +85,8 @@
 		case Send:
 			r := fleet.balancers[from].requests.open[a.Request]
 			result, took := fleet.serve(a.Server)
-			if left := r.deadline - fleet.now; took > left {
-				result, took = TimedOut, left
+			if remaining := r.deadline - fleet.now; took > remaining {
+				result, took = TimedOut, remaining
 			}
 			fleet.schedule(fleet.now+took, from, Outcome{
 				Request: a.Request, Attempt: len(r.attempts) - 1, Server: a.Server, Result: result, Elapsed: took, RequestDone: result == OK,
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -38,9 +38,9 @@
 	return b.requestRate()*b.gossipLifetime() < gossipContactLimit*float64(len(b.servers))
 }
 
-// earnGossipBudget adds some bytes to the gossip budget for each request, so that all gossip costs the same
+// refillGossipBudget adds some bytes to the gossip budget for each request, so that all gossip costs the same
 // fraction of the result in a fleet of any size.
-func (b *Balancer) earnGossipBudget() {
+func (b *Balancer) refillGossipBudget() {
 	earned := gossipBudget * gossipCostUnit / math.Max(b.config.Costs.Gossip, minGossipCost)
 	b.gossip.budgetBytes = math.Min(b.gossip.budgetBytes+earned, gossipBurstBytes)
 }
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -49,24 +49,24 @@
 // Whatever others say, true or not: few servers are ejected, for a short time, no zone is emptied and memory is bounded.
 func TestHostileGossipHasBoundedEffect(t *testing.T) {
 	h, random := newGossipHarness(t), rand.New(rand.NewSource(1))
-	life := h.balancer.gossipLifetime()
-	most := int(maxGossipEjectedFraction * float64(len(h.balancer.servers)))
-	last := []byte{}
+	lifetime := h.balancer.gossipLifetime()
+	limit := int(maxGossipEjectedFraction * float64(len(h.balancer.servers)))
+	lastMessage := []byte{}
 	for _, s := range h.balancer.servers {
 		s.errors.consecutive = 1 // without an own error no finding is believed
 	}
 	for range 20000 {
 		h.now += 1
-		var lies []finding
+		var findings []finding
 		for range 1 + random.Intn(maxFindings) {
-			whom := serverTag(ServerID(1 + random.Intn(60)))
+			tag := serverTag(ServerID(1 + random.Intn(60)))
 			if random.Intn(3) == 0 {
-				whom = uint32(random.Intn(4))
+				tag = uint32(random.Intn(4))
 			}
-			lies = append(lies, finding{findingKind(1 + random.Intn(int(findingKindEnd)-1)), whom,
+			findings = append(findings, finding{findingKind(1 + random.Intn(int(findingKindEnd)-1)), tag,
 				h.now - random.Float64()*1000})
 		}
-		data := encodeGossip(h.now+float64(random.Intn(100)), lies)
+		data := encodeGossip(h.now+float64(random.Intn(100)), findings)
 		switch random.Intn(6) {
 		case 0:
 			data[random.Intn(len(data))] ^= 1 << random.Intn(8) // damaged
@@ -75,34 +75,34 @@
 		case 2:
 			data = append(data, make([]byte, random.Intn(400))...)
 		case 3:
-			data = last // repeated
+			data = lastMessage // repeated
 		}
 		h.handle(GossipMessage{From: random.Intn(60) - 5, Data: data}) // some from outside of the fleet, or from itself
-		last = data
+		lastMessage = data
 		n, ofZone := h.ejected()
 		for zone, k := range ofZone {
 			if 2*k > 20 {
 				t.Fatalf("%d of the 20 servers of zone %d are ejected by gossip", k, zone)
 			}
 		}
-		if n > most {
-			t.Fatalf("%d servers are ejected by gossip, at most %d may", n, most)
+		if n > limit {
+			t.Fatalf("%d servers are ejected by gossip, at most %d may", n, limit)
 		}
 	}
 	if len(h.balancer.gossip.senders) > h.balancer.config.SidecarCount || len(h.balancer.requests.open) > 0 {
 		t.Fatalf("%d senders are retained of %d", len(h.balancer.gossip.senders), h.balancer.config.SidecarCount)
 	}
-	h.now += life + 1
+	h.now += lifetime + 1
 	if n, _ := h.ejected(); n > 0 {
-		t.Fatalf("%d servers are still ejected %v ms after the last message", n, life)
+		t.Fatalf("%d servers are still ejected %v ms after the last message", n, lifetime)
 	}
 }
 
 // A repeated message, one overtaken by a later one and one of stale findings have no effect.
 func TestStaleGossipIsIgnored(t *testing.T) {
 	h := newGossipHarness(t)
-	late := func(id ServerID) finding { return finding{findingFault, serverTag(id), h.now} }
-	first := GossipMessage{From: 1, Data: encodeGossip(h.now, []finding{late(1)})}
+	fault := func(id ServerID) finding { return finding{findingFault, serverTag(id), h.now} }
+	first := GossipMessage{From: 1, Data: encodeGossip(h.now, []finding{fault(1)})}
 	h.handle(first)
 	h.gossip(1, finding{findingRecovery, serverTag(1), h.now})
 	h.handle(first)
@@ -123,31 +123,31 @@
 // A sender that reports faults of servers that answer in time is soon ignored, and is believed again after a while.
 func TestContradictedGossipSenderIsIgnored(t *testing.T) {
 	h := newGossipHarness(t)
-	lie := func() bool {
+	reportFalseFault := func() bool {
 		id, actions := h.request(idempotentClass)
 		to, _ := sentServer(actions)
 		h.balancer.serversByID[to].errors.consecutive = 1
 		h.gossip(5, finding{findingFault, serverTag(to), h.now})
-		believed := h.balancer.isEjected(h.balancer.serversByID[to])
+		accepted := h.balancer.isEjected(h.balancer.serversByID[to])
 		h.now += 10
 		h.finishAttempt(id, 0, OK, 10)
-		return believed
+		return accepted
 	}
-	believed := 0
+	accepted := 0
 	for range 20 {
-		if lie() {
-			believed++
+		if reportFalseFault() {
+			accepted++
 		}
 	}
-	if believed < 1 || believed > 4 {
-		t.Errorf("of 20 false findings %d were believed", believed)
+	if accepted < 1 || accepted > 4 {
+		t.Errorf("of 20 false findings %d were believed", accepted)
 	}
 	h.balancer.serversByID[9].errors.consecutive = 1
 	if h.gossip(6, finding{findingFault, serverTag(9), h.now}); !h.balancer.isEjected(h.balancer.serversByID[9]) {
 		t.Error("another sender is not believed")
 	}
 	h.now += 10 * h.balancer.gossipLifetime()
-	if !lie() {
+	if !reportFalseFault() {
 		t.Error("a sender is never believed again")
 	}
 }
@@ -155,14 +155,14 @@
 // Gossip costs a fixed number of bytes per request, whatever there is to publish and to how many; a sidecar queries a few
 // others once, at its start.
 func TestGossipKeepsToItsBudget(t *testing.T) {
-	for _, peers := range []int{2, 50, 1000} {
+	for _, sidecars := range []int{2, 50, 1000} {
 		cfg := gossipConfig()
-		cfg.SidecarCount, cfg.SidecarIndex = peers, 1
+		cfg.SidecarCount, cfg.SidecarIndex = sidecars, 1
 		h := newHarness(t, cfg, testServers(60)...)
 		count := func(actions []Action) (posts, bytes int) {
 			for _, a := range actions {
 				if a.Kind == SendGossip {
-					if a.Peer == cfg.SidecarIndex || a.Peer < 0 || a.Peer >= peers || len(a.Data) > 256 {
+					if a.Peer == cfg.SidecarIndex || a.Peer < 0 || a.Peer >= sidecars || len(a.Data) > 256 {
 						t.Fatalf("sends %d bytes to %d", len(a.Data), a.Peer)
 					}
 					posts, bytes = posts+1, bytes+len(a.Data)
@@ -170,42 +170,42 @@
 			}
 			return posts, bytes
 		}
-		if posts, _ := count(h.handle(TimerFired{Token: gossipTimer})); posts != min(bootstrapFanout, peers-1) {
-			t.Fatalf("queries %d of %d", posts, peers)
+		if posts, _ := count(h.handle(TimerFired{Token: gossipTimer})); posts != min(bootstrapFanout, sidecars-1) {
+			t.Fatalf("queries %d of %d", posts, sidecars)
 		}
-		all := 0
+		total := 0
 		for range 3000 {
 			h.now += 20
 			id, _ := h.request(idempotentClass)
 			h.finishAttempt(id, 0, ConnectFailed, 5)
 			h.handle(ClientDisconnected{Request: id})
 			_, n := count(h.handle(TimerFired{Token: gossipTimer}))
-			all += n
+			total += n
 		}
-		if most := 3000*gossipBudget*256/0.06 + gossipBurstBytes; all == 0 || float64(all) > most {
-			t.Errorf("%d peers: sent %d bytes, at most %.0f", peers, all, most)
+		if limit := 3000*gossipBudget*256/0.06 + gossipBurstBytes; total == 0 || float64(total) > limit {
+			t.Errorf("%d peers: sent %d bytes, at most %.0f", sidecars, total, limit)
 		}
 	}
 }
 
 // A sidecar that has just started receives the faults that others know.
 func TestRestartedSidecarBootstrapsFromGossip(t *testing.T) {
-	knows, starts := newGossipHarness(t), newHarness(t, gossipConfig(), testServers(60)...)
-	starts.now = knows.now
-	starts.balancer.startedAt = knows.now
+	informed, started := newGossipHarness(t), newHarness(t, gossipConfig(), testServers(60)...)
+	started.now = informed.now
+	started.balancer.startedAt = informed.now
 	for _, id := range []ServerID{4, 9} {
-		knows.balancer.now = knows.now
-		knows.balancer.serversByID[id].errors.consecutive = errorsBeforeEjection
-		knows.balancer.recordError(knows.balancer.serversByID[id], false)
+		informed.balancer.now = informed.now
+		informed.balancer.serversByID[id].errors.consecutive = errorsBeforeEjection
+		informed.balancer.recordError(informed.balancer.serversByID[id], false)
 	}
-	question := starts.handle(TimerFired{Token: gossipTimer})
-	knows.now++
-	for _, a := range knows.handle(GossipMessage{From: 3, Data: question[0].Data}) {
+	query := started.handle(TimerFired{Token: gossipTimer})
+	informed.now++
+	for _, a := range informed.handle(GossipMessage{From: 3, Data: query[0].Data}) {
 		if a.Kind == SendGossip && a.Peer == 3 {
-			starts.handle(GossipMessage{From: 7 + 1, Data: a.Data})
+			started.handle(GossipMessage{From: 7 + 1, Data: a.Data})
 		}
 	}
-	if n, _ := starts.ejected(); n != 2 || !starts.balancer.isEjected(starts.balancer.serversByID[9]) {
+	if n, _ := started.ejected(); n != 2 || !started.balancer.isEjected(started.balancer.serversByID[9]) {
 		t.Errorf("%d servers are ejected after the reply, want 2", n)
 	}
 }
@@ -217,14 +217,14 @@
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		const now = 1 << 33 // with the low half of the clock at 0
-		sent, hints, err := decodeGossip(data, now, nil)
+		timestamp, findings, err := decodeGossip(data, now, nil)
 		if err != nil {
 			return
 		}
-		again := encodeGossip(now, hints)
-		copy(again[3:gossipHeaderSize], data[3:gossipHeaderSize]) // the sender's clock
-		if !bytes.Equal(again[3:], data[3:]) || len(hints) > maxFindings || len(data) > 256 {
-			t.Fatalf("%x is read as %+v at %d, which is written %x", data, hints, sent, again)
+		encoded := encodeGossip(now, findings)
+		copy(encoded[3:gossipHeaderSize], data[3:gossipHeaderSize]) // the sender's clock
+		if !bytes.Equal(encoded[3:], data[3:]) || len(findings) > maxFindings || len(data) > 256 {
+			t.Fatalf("%x is read as %+v at %d, which is written %x", data, findings, timestamp, encoded)
 		}
 	})
 }
--- a/balance/handle.go
+++ b/balance/handle.go
@@ -72,7 +72,7 @@
 	r.arrivedAt, r.deadline, r.timerAt = b.now, b.now+ev.Timeout, math.Inf(1)
 	admitted := b.admit(r)
 	b.traffic.add(b.now, trafficSpan)
-	b.earnGossipBudget()
+	b.refillGossipBudget()
 	b.keys.record(ev.Key)
 	r.stats.received++ // after admit, so that the request does not make its own class look worse served
 	r.tenant.received++
@@ -121,7 +121,7 @@
 		b.eject(s)
 		s.errors.healthCheckFailed = true
 	}
-	b.resumeAwaiting()
+	b.resumeWaitingRequests()
 }
 
 func (b *Balancer) onTimer(ev TimerFired) {
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -34,8 +34,8 @@
 	return false
 }
 
-// resumeAwaiting advances the requests that wait for health checks and keeps those that still wait.
-func (b *Balancer) resumeAwaiting() {
+// resumeWaitingRequests advances the requests that wait for health checks and keeps those that still wait.
+func (b *Balancer) resumeWaitingRequests() {
 	awaiting := b.requests.awaitingHealthChecks
 	b.requests.awaitingHealthChecks = awaiting[:0]
 	for _, r := range awaiting {
--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -30,8 +30,8 @@
 	unreachable := map[ServerID]bool{1: true, 2: true}
 	for i := range 4 {
 		id, actions := h.request(idempotentClass)
-		if asked := len(actions) - 1; i > 0 && asked > 1 {
-			t.Fatalf("request %d: %d servers checked though two are unreachable", id, asked)
+		if checked := len(actions) - 1; i > 0 && checked > 1 {
+			t.Fatalf("request %d: %d servers checked though two are unreachable", id, checked)
 		}
 		if s, ok := sentServer(h.answerHealthChecks(actions, 0, unreachable)); !ok || s != 3 {
 			t.Fatalf("request %d went to %d", id, s)
@@ -78,7 +78,7 @@
 // Health checks have a cost: a few find an idle server in quiet hours, in busy ones all servers are checked.
 func TestHealthChecksFollowBusyFraction(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), testServers(12)...)
-	asked := func(holds float32) int {
+	countChecked := func(inFlight float32) int {
 		n := 0
 		for range 60 {
 			h.now += 10
@@ -89,13 +89,13 @@
 					n++
 				}
 			}
-			h.answerHealthChecks(actions, holds, nil)
+			h.answerHealthChecks(actions, inFlight, nil)
 			h.finishAttempt(id, 0, OK, 10)
 		}
 		return n
 	}
-	idle := asked(0)
-	if busy := asked(1); idle > 3 || busy != 12 {
+	idle := countChecked(0)
+	if busy := countChecked(1); idle > 3 || busy != 12 {
 		t.Fatalf("%d servers checked when all are idle, %d when all are busy", idle, busy)
 	}
 }
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -76,20 +76,20 @@
 // lost is not ejected with the zone.
 func (b *Balancer) ejectionEnd(s *server) float64 {
 	until := math.Max(s.ejection.until, s.gossip.ejectedUntil)
-	if b.lostWithZone(s) {
+	if b.ejectedWithZone(s) {
 		return math.Max(until, s.zoneHealth.ejectedUntil)
 	}
 	return until
 }
 
-func (b *Balancer) lostWithZone(s *server) bool {
+func (b *Balancer) ejectedWithZone(s *server) bool {
 	return s.zoneHealth.lost && s.slowStart.since < s.zoneHealth.unreachableSince
 }
 
 // recordUnreachable records a failed connect. A zone is lost if several of its servers are unreachable and
 // none of its servers has answered since, while another zone has.
 func (b *Balancer) recordUnreachable(s *server) {
-	b.cancelStranded(s)
+	b.cancelAttemptsAt(s)
 	zone := s.zoneHealth
 	if len(zone.unreachable) == 0 {
 		zone.unreachableSince = b.now
@@ -108,22 +108,22 @@
 
 func (b *Balancer) ejectZone(id int, zone *zoneHealth) {
 	if !zone.lost {
-		b.shedLostZone(id)
+		b.shedLoadOfLostZone(id)
 	}
 	zone.lost, zone.trialServer, zone.ejectedUntil = true, nil, b.now+b.ejectionTime(zone.ejections)
 	zone.ejections++
 	b.scheduleZoneRefresh(zone)
 	for _, s := range b.servers {
 		if s.Zone == id && b.isEjected(s) {
-			b.cancelStranded(s)
+			b.cancelAttemptsAt(s)
 		}
 	}
 }
 
-// shedLostZone immediately sheds the part of the load that a lost zone served. The other servers receive
-// the zone's keys with cold caches and would be overloaded before answers show it. If they are not
+// shedLoadOfLostZone immediately sheds the part of the load that a lost zone served. The other servers
+// receive the zone's keys with cold caches and would be overloaded before answers show it. If they are not
 // overloaded, the shedding soon decays.
-func (b *Balancer) shedLostZone(id int) {
+func (b *Balancer) shedLoadOfLostZone(id int) {
 	lost, total := 0.0, 0.0
 	for _, s := range b.servers {
 		weight := b.weight(s)
@@ -136,16 +136,16 @@
 
 // beginZoneTrial allows one server of a lost zone to be tried at a time.
 func (b *Balancer) beginZoneTrial(s *server) {
-	if b.lostWithZone(s) {
+	if b.ejectedWithZone(s) {
 		s.zoneHealth.trialServer, s.zoneHealth.ejectedUntil = s, b.now+b.longestObjective
 		b.scheduleZoneRefresh(s.zoneHealth)
 	}
 }
 
-// cancelStranded cancels the attempts in flight at an unreachable server, so that their requests can be
+// cancelAttemptsAt cancels the attempts in flight at an unreachable server, so that their requests can be
 // answered elsewhere in time: a server that is cut off keeps its connections open and is silent until the
 // client's deadline.
-func (b *Balancer) cancelStranded(s *server) {
+func (b *Balancer) cancelAttemptsAt(s *server) {
 	if !b.config.AllowCancel || s.inFlight == 0 {
 		return
 	}
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -4,28 +4,28 @@
 
 // simulateLostZone has half of the servers become unreachable, which are a zone or not, and returns the failed connects and
 // the requests that were not served from then on.
-func simulateLostZone(t *testing.T, zones bool) (connects, unserved int) {
+func simulateLostZone(t *testing.T, separateZone bool) (failedConnects, unserved int) {
 	const balancers, lost = 40, 0
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 250
 	servers := testServers(40)
 	for i := range servers {
 		servers[i].Zone = 0
-		if zones {
+		if separateZone {
 			servers[i].Zone = i % 2
 		}
 	}
 	fleet := newSimulatedFleet(t, cfg, balancers, servers)
-	silent := false
+	unreachable := false
 	fleet.serve = func(s ServerID) (Result, float64) {
-		if int(s-1)%2 == lost && silent {
+		if int(s-1)%2 == lost && unreachable {
 			return ConnectFailed, cfg.ConnectTimeout
 		}
 		return OK, 20
 	}
 	fleet.onOutcome = func(_ int, o Outcome) {
 		if o.Result == ConnectFailed {
-			connects++
+			failedConnects++
 		}
 	}
 	fleet.onAction = func(_ int, a Action) {
@@ -35,23 +35,23 @@
 	}
 	for i := range 16000 {
 		if fleet.now > 5000 {
-			silent = true
+			unreachable = true
 		}
 		fleet.run(fleet.now + 1)
 		fleet.request(i%balancers, uint64(i)*7919%400)
 	}
-	return connects, unserved
+	return failedConnects, unserved
 }
 
 // Each sidecar visits a server once in two seconds: one by one it would take many to find the servers of a zone.
 func TestLostZoneIsEjectedTogether(t *testing.T) {
-	connects, unserved := simulateLostZone(t, true)
-	alike, more := simulateLostZone(t, false)
-	if connects > alike/2 {
-		t.Errorf("%d failed connects, and %d where all servers are in one zone", connects, alike)
+	failedConnects, unserved := simulateLostZone(t, true)
+	connectsOneZone, unservedOneZone := simulateLostZone(t, false)
+	if failedConnects > connectsOneZone/2 {
+		t.Errorf("%d failed connects, and %d where all servers are in one zone", failedConnects, connectsOneZone)
 	}
-	if unserved > more/2 {
-		t.Errorf("%d requests went unserved, and %d where all servers are in one zone", unserved, more)
+	if unserved > unservedOneZone/2 {
+		t.Errorf("%d requests went unserved, and %d where all servers are in one zone", unserved, unservedOneZone)
 	}
 }
 
@@ -89,20 +89,20 @@
 
 func TestLostZoneRecovers(t *testing.T) {
 	h := newTwoZoneHarness(t)
-	attempts := func(zoneLost bool) (inZone int) {
+	countAttempts := func(zoneLost bool) (inZone int) {
 		for range 400 {
 			inZone += h.requestWithRetries(zoneLost)
 		}
 		return inZone
 	}
-	lost := attempts(true)
-	if lost > 24 {
-		t.Errorf("%d sends to a lost zone in 8 s", lost)
+	whileLost := countAttempts(true)
+	if whileLost > 24 {
+		t.Errorf("%d sends to a lost zone in 8 s", whileLost)
 	}
-	if lost == 0 || !h.balancer.healthOfZone(0).lost {
+	if whileLost == 0 || !h.balancer.healthOfZone(0).lost {
 		t.Fatal("the zone is not taken to be lost")
 	}
-	if recovered := attempts(false); recovered < 100 {
+	if recovered := countAttempts(false); recovered < 100 {
 		t.Errorf("%d of 400 requests go to a zone that has recovered", recovered)
 	}
 }
@@ -110,16 +110,16 @@
 // A server that is cut off keeps its connections open: attempts that were sent before would wait in vain.
 func TestAttemptsAtUnreachableServerAreRetriedElsewhere(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(4)...)
-	waiting := map[RequestID]ServerID{}
+	serverOf := map[RequestID]ServerID{}
 	for range 8 {
 		id, actions := h.request(idempotentClass)
-		waiting[id], _ = sentServer(actions)
+		serverOf[id], _ = sentServer(actions)
 	}
-	unsafe, actions := h.request(nonIdempotentClass)
+	nonIdempotent, actions := h.request(nonIdempotentClass)
 	s, _ := sentServer(actions)
 	first := RequestID(0)
-	for id := RequestID(1); id < unsafe; id++ {
-		if waiting[id] == s {
+	for id := RequestID(1); id < nonIdempotent; id++ {
+		if serverOf[id] == s {
 			first = id
 			break
 		}
@@ -130,13 +130,13 @@
 			cancelled[a.Request] = true
 		}
 	}
-	for id, at := range waiting {
+	for id, at := range serverOf {
 		if id != first && cancelled[id] != (at == s) {
 			t.Errorf("request %d at server %d, server %d is unreachable: cancelled %v", id, at, s, cancelled[id])
 		}
 	}
-	if cancelled[unsafe] || len(cancelled) == 0 {
-		t.Errorf("cancelled %v; %d must never run twice", cancelled, unsafe)
+	if cancelled[nonIdempotent] || len(cancelled) == 0 {
+		t.Errorf("cancelled %v; %d must never run twice", cancelled, nonIdempotent)
 	}
 	for id := range cancelled {
 		if to, sent := sentServer(h.finishAttempt(id, 0, Cancelled, 250)); !sent || to == s {
@@ -147,13 +147,13 @@
 
 // simulateLateServers has some servers, each visited by a sidecar once in three seconds, become so slow that they are late.
 // It returns the attempts per second at each of these after a while, and at each of the others.
-func simulateLateServers(t *testing.T, late int) (toLate, toOthers float64) {
+func simulateLateServers(t *testing.T, lateServers int) (toLate, toOthers float64) {
 	const balancers, servers, warmUp, settle, span = 60, 50, 4000.0, 1000.0, 5000.0
 	cfg := baseConfig()
 	cfg.KeyAffinity = true // all servers are in the rotation
 	fleet := newSimulatedFleet(t, cfg, balancers, testServers(servers))
 	fleet.serve = func(s ServerID) (Result, float64) {
-		if int(s) <= late && fleet.now > warmUp {
+		if int(s) <= lateServers && fleet.now > warmUp {
 			return OK, 2 * cfg.Classes[idempotentClass].LatencyObjective
 		}
 		return OK, 20
@@ -161,10 +161,10 @@
 	fleet.onAction = func(_ int, a Action) {
 		switch {
 		case a.Kind != Send || fleet.now < warmUp+settle:
-		case int(a.Server) <= late:
-			toLate += 1e3 / (span - settle) / float64(late)
+		case int(a.Server) <= lateServers:
+			toLate += 1e3 / (span - settle) / float64(lateServers)
 		default:
-			toOthers += 1e3 / (span - settle) / float64(servers-late)
+			toOthers += 1e3 / (span - settle) / float64(servers-lateServers)
 		}
 	}
 	for i := 0; fleet.now < warmUp+span; i++ {
@@ -197,8 +197,8 @@
 			ejected++
 		}
 	}
-	if most := int(maxLateEjectedFraction*40 + 1); ejected == 0 || ejected > most {
-		t.Errorf("%d of 40 servers are ejected, want 1 to %d", ejected, most)
+	if limit := int(maxLateEjectedFraction*40 + 1); ejected == 0 || ejected > limit {
+		t.Errorf("%d of 40 servers are ejected, want 1 to %d", ejected, limit)
 	}
 }
 
@@ -239,8 +239,8 @@
 			h.finishAttempt(id, 0, OK, took)
 		}
 	}
-	if ended := h.now - start; ended > 6000 {
-		t.Errorf("shedding went on for %.0f ms", ended)
+	if duration := h.now - start; duration > 6000 {
+		t.Errorf("shedding went on for %.0f ms", duration)
 	}
 }
 
--- a/balance/placement_test.go
+++ b/balance/placement_test.go
@@ -8,14 +8,14 @@
 )
 
 // testExclusion is an exclusion of all tenants that does not expire.
-func testExclusion(id int, least float64, servers ...ServerID) Exclusion {
-	return Exclusion{ID: id, Tenant: AllTenants, Servers: servers, MinAvailable: least, ExpiresAt: math.Inf(1)}
+func testExclusion(id int, minAvailable float64, servers ...ServerID) Exclusion {
+	return Exclusion{ID: id, Tenant: AllTenants, Servers: servers, MinAvailable: minAvailable, ExpiresAt: math.Inf(1)}
 }
 
 // serveCounting serves n requests one by one and counts them by server.
 func (h *harness) serveCounting(n int, key uint64) map[ServerID]int {
 	h.t.Helper()
-	got := map[ServerID]int{}
+	sends := map[ServerID]int{}
 	for range n {
 		h.now += 10
 		h.lastID++
@@ -23,29 +23,29 @@
 		if !sent {
 			h.t.Fatal("nothing was sent")
 		}
-		got[to]++
+		sends[to]++
 		h.finishAttempt(h.lastID, 0, OK, 5)
 	}
-	return got
+	return sends
 }
 
 func TestFirstAttemptsAvoidExcludedServers(t *testing.T) {
-	for _, warm := range []bool{false, true} {
+	for _, keyAffinity := range []bool{false, true} {
 		cfg := baseConfig()
-		cfg.KeyAffinity = warm
+		cfg.KeyAffinity = keyAffinity
 		h := newHarness(t, cfg, testServers(4)...)
 		h.handle(Placement{Exclusions: []Exclusion{testExclusion(7, 0.5, 1, 2)}})
-		got := h.serveCounting(100, 0)
-		if got[1]+got[2] > 0 || got[3] < 45 || got[4] < 45 {
-			t.Errorf("warm %v: sent %v, want the load evenly on 3 and 4", warm, got)
+		sends := h.serveCounting(100, 0)
+		if sends[1]+sends[2] > 0 || sends[3] < 45 || sends[4] < 45 {
+			t.Errorf("warm %v: sent %v, want the load evenly on 3 and 4", keyAffinity, sends)
 		}
 		if ids := h.balancer.SuspendedExclusions(); ids != nil {
-			t.Errorf("warm %v: suspended %v", warm, ids)
+			t.Errorf("warm %v: suspended %v", keyAffinity, ids)
 		}
 		h.handle(Placement{})
-		got = h.serveCounting(100, 0)
-		if least := min(got[1], got[2], got[3], got[4]); least < 15 || len(got) != 4 {
-			t.Errorf("warm %v: afterwards sent %v, want it on all", warm, got)
+		sends = h.serveCounting(100, 0)
+		if minimum := min(sends[1], sends[2], sends[3], sends[4]); minimum < 15 || len(sends) != 4 {
+			t.Errorf("warm %v: afterwards sent %v, want it on all", keyAffinity, sends)
 		}
 	}
 }
@@ -55,31 +55,31 @@
 	cfg.Tenants = []Tenant{{Quota: 0.5}, {Quota: 0.5}}
 	h := newHarness(t, cfg, testServers(4)...)
 	h.handle(Placement{Exclusions: []Exclusion{{ID: 1, Tenant: 1, Servers: []ServerID{1, 2, 3}, ExpiresAt: 1e9}}})
-	var got [2]map[ServerID]int
-	for tenant := range got {
-		got[tenant] = map[ServerID]int{}
+	var sends [2]map[ServerID]int
+	for tenant := range sends {
+		sends[tenant] = map[ServerID]int{}
 		for range 40 {
 			h.now += 10
 			h.lastID++
 			to, _ := sentServer(h.handle(Request{ID: h.lastID, Tenant: tenant, Timeout: 1000}))
-			got[tenant][to]++
+			sends[tenant][to]++
 			h.finishAttempt(h.lastID, 0, OK, 5)
 		}
 	}
-	if len(got[0]) != 4 || got[1][4] != 40 {
-		t.Errorf("sent %v, want those of tenant 1 on 4 alone", got)
+	if len(sends[0]) != 4 || sends[1][4] != 40 {
+		t.Errorf("sent %v, want those of tenant 1 on 4 alone", sends)
 	}
 }
 
 func TestExclusionExpires(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(2)...)
-	k := testExclusion(1, 0, 1)
-	k.ExpiresAt = h.now + 1000
-	h.handle(Placement{Exclusions: []Exclusion{k}})
+	exclusion := testExclusion(1, 0, 1)
+	exclusion.ExpiresAt = h.now + 1000
+	h.handle(Placement{Exclusions: []Exclusion{exclusion}})
 	if got := h.serveCounting(50, 0); got[1] > 0 {
 		t.Errorf("sent %v before its expiry", got)
 	}
-	h.now = k.ExpiresAt
+	h.now = exclusion.ExpiresAt
 	if got := h.serveCounting(50, 0); got[1] < 20 {
 		t.Errorf("sent %v after its expiry", got)
 	}
@@ -153,21 +153,21 @@
 	}
 }
 
-// hotTestKey is the hot key of these tests.
-const hotTestKey = 9
+// testHotKey is the hot key of these tests.
+const testHotKey = 9
 
 func newHotKeyHarness(t *testing.T, replicas ...Replica) *harness {
 	cfg := baseConfig()
 	cfg.KeyAffinity = true
 	h := newHarness(t, cfg, testServers(40)...)
-	h.handle(Placement{HotKeys: []HotKey{{Key: hotTestKey, Replicas: replicas, ExpiresAt: 1e9}}})
+	h.handle(Placement{HotKeys: []HotKey{{Key: testHotKey, Replicas: replicas, ExpiresAt: 1e9}}})
 	return h
 }
 
-// serversOutsideSubset returns servers late in the order of hotTestKey: the key by itself is never sent there.
+// serversOutsideSubset returns servers late in the order of testHotKey: the key by itself is never sent there.
 func serversOutsideSubset(t *testing.T) (ids []ServerID) {
 	h := newHotKeyHarness(t)
-	for _, s := range h.balancer.keyOrderFor(hotTestKey, 40).servers[25:] {
+	for _, s := range h.balancer.keyOrderFor(testHotKey, 40).servers[25:] {
 		ids = append(ids, s.ID)
 	}
 	return ids
@@ -189,34 +189,34 @@
 }
 
 func TestHotKeyFollowsLoadFractions(t *testing.T) {
-	far := serversOutsideSubset(t)
-	h := newHotKeyHarness(t, Replica{far[0], 0.5}, Replica{far[1], 0.25}, Replica{far[2], 0}, Replica{999, 0.1},
-		Replica{far[3], math.NaN()})
-	got := h.serveAmongOtherKeys(1000, hotTestKey)
+	outside := serversOutsideSubset(t)
+	h := newHotKeyHarness(t, Replica{outside[0], 0.5}, Replica{outside[1], 0.25}, Replica{outside[2], 0}, Replica{999, 0.1},
+		Replica{outside[3], math.NaN()})
+	got := h.serveAmongOtherKeys(1000, testHotKey)
 	for i, want := range []int{500, 250, 50} {
-		if n := got[far[i]]; math.Abs(float64(n-want)) > 15 {
+		if n := got[outside[i]]; math.Abs(float64(n-want)) > 15 {
 			t.Errorf("replica %d got %d of 1000, want %d", i, n, want)
 		}
 	}
-	if n := got[far[3]]; n > 65 {
+	if n := got[outside[3]]; n > 65 {
 		t.Errorf("a replica without a load fraction got %d", n)
 	}
-	if other := h.serveAmongOtherKeys(100, 10); other[far[0]]+other[far[1]] > 20 {
+	if other := h.serveAmongOtherKeys(100, 10); other[outside[0]]+other[outside[1]] > 20 {
 		t.Errorf("another key went to its replicas: %v", other)
 	}
 }
 
 func TestLoadFractionsSumToOneAtMost(t *testing.T) {
-	far := serversOutsideSubset(t)
-	h := newHotKeyHarness(t, Replica{far[0], 1e300}, Replica{far[1], 1}, Replica{far[2], -4})
-	got := h.serveAmongOtherKeys(400, hotTestKey)
-	if got[far[0]] < 180 || got[far[1]] < 180 {
+	outside := serversOutsideSubset(t)
+	h := newHotKeyHarness(t, Replica{outside[0], 1e300}, Replica{outside[1], 1}, Replica{outside[2], -4})
+	got := h.serveAmongOtherKeys(400, testHotKey)
+	if got[outside[0]] < 180 || got[outside[1]] < 180 {
 		t.Errorf("sent %v, want half on each of the two", got)
 	}
 }
 
 func TestUnavailableReplicaReceivesNothing(t *testing.T) {
-	far := serversOutsideSubset(t)
+	outside := serversOutsideSubset(t)
 	for name, impair := range map[string]func(*harness, *server){
 		"draining": func(h *harness, s *server) {
 			entry := s.Server
@@ -230,29 +230,29 @@
 		},
 		"excluded": func(h *harness, s *server) {
 			h.handle(Placement{Exclusions: []Exclusion{testExclusion(1, 0, s.ID)},
-				HotKeys: []HotKey{{Key: hotTestKey, Replicas: []Replica{{s.ID, 0.5}}, ExpiresAt: 1e9}}})
+				HotKeys: []HotKey{{Key: testHotKey, Replicas: []Replica{{s.ID, 0.5}}, ExpiresAt: 1e9}}})
 		},
 		"over its load bound": func(h *harness, s *server) { h.balancer.addInFlight(s, 50) },
 	} {
-		h := newHotKeyHarness(t, Replica{far[0], 0.5})
-		impair(h, h.balancer.serversByID[far[0]])
-		if got := h.serveAmongOtherKeys(25, hotTestKey); got[far[0]] > 0 { // too few to end the slow start
-			t.Errorf("%s: the replica got %d of 25", name, got[far[0]])
+		h := newHotKeyHarness(t, Replica{outside[0], 0.5})
+		impair(h, h.balancer.serversByID[outside[0]])
+		if got := h.serveAmongOtherKeys(25, testHotKey); got[outside[0]] > 0 { // too few to end the slow start
+			t.Errorf("%s: the replica got %d of 25", name, got[outside[0]])
 		}
 	}
 }
 
 func TestHotKeyExpiresAndKeepsItsPhase(t *testing.T) {
-	far := serversOutsideSubset(t)
-	h := newHotKeyHarness(t, Replica{far[0], 0.5})
-	h.serveAmongOtherKeys(3, hotTestKey)
-	at := h.balancer.placement.hotKeys[hotTestKey].phase
-	h.handle(Placement{HotKeys: []HotKey{{Key: hotTestKey, Replicas: []Replica{{far[0], 0.5}}, ExpiresAt: h.now + 500}}})
-	if h.balancer.placement.hotKeys[hotTestKey].phase != at {
+	outside := serversOutsideSubset(t)
+	h := newHotKeyHarness(t, Replica{outside[0], 0.5})
+	h.serveAmongOtherKeys(3, testHotKey)
+	phase := h.balancer.placement.hotKeys[testHotKey].phase
+	h.handle(Placement{HotKeys: []HotKey{{Key: testHotKey, Replicas: []Replica{{outside[0], 0.5}}, ExpiresAt: h.now + 500}}})
+	if h.balancer.placement.hotKeys[testHotKey].phase != phase {
 		t.Error("a repeated placement resets the key's phase")
 	}
 	h.now += 500
-	if got := h.serveAmongOtherKeys(50, hotTestKey); got[far[0]] > 0 {
+	if got := h.serveAmongOtherKeys(50, testHotKey); got[outside[0]] > 0 {
 		t.Errorf("sent %v after its expiry", got)
 	}
 }
@@ -297,10 +297,11 @@
 				continue
 			}
 			suspended := checker.balancer.SuspendedExclusions()
-			for _, k := range exclusions { // all requests are of tenant 0
-				if k.Tenant <= 0 && k.ExpiresAt > checker.now && slices.Contains(k.Servers, o.attempts[0].server.ID) &&
-					!slices.Contains(suspended, k.ID) {
-					t.Fatalf("seed %d: request %d went to %d, from which %+v excludes it", seed, id, o.attempts[0].server.ID, k)
+			for _, exclusion := range exclusions { // all requests are of tenant 0
+				if exclusion.Tenant <= 0 && exclusion.ExpiresAt > checker.now &&
+					slices.Contains(exclusion.Servers, o.attempts[0].server.ID) && !slices.Contains(suspended, exclusion.ID) {
+					t.Fatalf("seed %d: request %d went to %d, from which %+v excludes it",
+						seed, id, o.attempts[0].server.ID, exclusion)
 				}
 			}
 		}
@@ -314,12 +315,12 @@
 }
 
 func (checker *ruleChecker) randomPlacement() []Exclusion {
-	odd := []float64{0, 0.3, 0.7, 1, -1, 5, math.NaN(), math.Inf(1)}
-	number := func() float64 { return odd[checker.random.Intn(len(odd))] }
-	until := func() float64 {
+	values := []float64{0, 0.3, 0.7, 1, -1, 5, math.NaN(), math.Inf(1)}
+	randomFraction := func() float64 { return values[checker.random.Intn(len(values))] }
+	randomExpiry := func() float64 {
 		return checker.now + []float64{500, 2000, -1, math.NaN(), math.Inf(1)}[checker.random.Intn(5)]
 	}
-	servers := func() (ids []ServerID) {
+	randomServers := func() (ids []ServerID) {
 		for range checker.random.Intn(10) {
 			ids = append(ids, ServerID(checker.random.Intn(14)))
 		}
@@ -327,13 +328,13 @@
 	}
 	var p Placement
 	for id := range checker.random.Intn(4) {
-		p.Exclusions = append(p.Exclusions, Exclusion{ID: id, Tenant: checker.random.Intn(4) - 1, Servers: servers(),
-			MinAvailable: number(), ExpiresAt: until()})
+		p.Exclusions = append(p.Exclusions, Exclusion{ID: id, Tenant: checker.random.Intn(4) - 1, Servers: randomServers(),
+			MinAvailable: randomFraction(), ExpiresAt: randomExpiry()})
 	}
 	for range checker.random.Intn(4) {
-		s := HotKey{Key: uint64(checker.random.Intn(4)), ExpiresAt: until()}
-		for _, id := range servers() {
-			s.Replicas = append(s.Replicas, Replica{id, number()})
+		s := HotKey{Key: uint64(checker.random.Intn(4)), ExpiresAt: randomExpiry()}
+		for _, id := range randomServers() {
+			s.Replicas = append(s.Replicas, Replica{id, randomFraction()})
 		}
 		p.HotKeys = append(p.HotKeys, s)
 	}
@@ -343,15 +344,15 @@
 
 // A sidecar whose own traffic distributes a key over more servers than there are replicas is not narrowed by them.
 func TestReplicasDoNotNarrowAKey(t *testing.T) {
-	far := serversOutsideSubset(t)
-	h := newHotKeyHarness(t, Replica{far[0], 0.9})
+	outside := serversOutsideSubset(t)
+	h := newHotKeyHarness(t, Replica{outside[0], 0.9})
 	got := map[ServerID]int{}
 	for range 400 {
-		for to := range h.serveCounting(1, hotTestKey) {
+		for to := range h.serveCounting(1, testHotKey) {
 			got[to]++
 		}
 	}
-	if n := got[far[0]]; n > 100 {
+	if n := got[outside[0]]; n > 100 {
 		t.Errorf("the replica got %d of 400: %v", n, got)
 	}
 }
--- a/balance/policy_size_test.go
+++ b/balance/policy_size_test.go
@@ -11,7 +11,7 @@
 const (
 	maxPolicyLines   = 200 // of a file
 	maxPolicyColumns = 110
-	policyMark       = "// This file decides "
+	policyHeader     = "// This file decides "
 )
 
 // Decisions stand only in the files that deploy/balancer.toml lists as policy, and these can be read one by one: each says
@@ -29,7 +29,7 @@
 				t.Errorf("%s: line %d is %d columns wide", name, i+1, width)
 			}
 		}
-		if !strings.Contains(text, "\n"+policyMark) {
+		if !strings.Contains(text, "\n"+policyHeader) {
 			t.Errorf("%s does not say what it decides", name)
 		}
 	}
@@ -39,7 +39,7 @@
 	}
 	for _, name := range others {
 		listedHere := slices.Contains(listed, filepath.Join("..", "balance", name))
-		if !listedHere && strings.Contains(readText(t, name), "\n"+policyMark) {
+		if !listedHere && strings.Contains(readText(t, name), "\n"+policyHeader) {
 			t.Errorf("%s decides, and the deploy file does not list it", name)
 		}
 	}
--- a/balance/races_test.go
+++ b/balance/races_test.go
@@ -72,56 +72,56 @@
 // Nothing is sent for a client that has disconnected: not if its request waits for its first attempt, not between two, not
 // while one is in flight, and not if the outcome comes first.
 func TestNothingIsSentAfterClientDisconnects(t *testing.T) {
-	wake := func(h *harness, id RequestID) {
+	fireTimer := func(h *harness, id RequestID) {
 		for range 20 {
 			h.now += 40
 			h.handle(TimerFired{Token: uint64(id)})
 		}
 	}
-	back := func(h *harness, id RequestID) {
+	addServers := func(h *harness, id RequestID) {
 		h.handle(EndpointUpdate{Kind: UpdateFull, Servers: testServers(4)})
-		wake(h, id)
+		fireTimer(h, id)
 	}
 	for name, c := range map[string]struct {
-		servers int
-		probes  bool
-		before  func(h *harness, id RequestID) // the client disconnects
-		after   func(h *harness, id RequestID)
+		servers      int
+		healthChecks bool
+		before       func(h *harness, id RequestID) // the client disconnects
+		after        func(h *harness, id RequestID)
 	}{
-		"waits for its first attempt": {0, false, func(*harness, RequestID) {}, back},
+		"waits for its first attempt": {0, false, func(*harness, RequestID) {}, addServers},
 		"waits for a probe": {1, true, func(*harness, RequestID) {}, func(h *harness, id RequestID) {
 			h.handle(HealthCheckResult{Server: 1, Elapsed: 1, LoadReport: []float32{0}})
-			wake(h, id)
+			fireTimer(h, id)
 		}},
 		"waits between two attempts": {1, false, func(h *harness, id RequestID) {
 			h.finishAttempt(id, 0, Overloaded, 1)
-		}, back},
+		}, addServers},
 		"its server drained": {1, false, func(h *harness, id RequestID) {
 			h.drain(1)
 			h.finishAttempt(id, 0, ConnectFailed, 1)
-		}, back},
+		}, addServers},
 		"an attempt is out": {4, false, func(*harness, RequestID) {}, func(h *harness, id RequestID) {
 			h.finishAttempt(id, 0, Failed, 50)
-			wake(h, id)
+			fireTimer(h, id)
 		}},
 		"an attempt is out, given up": {4, false, func(*harness, RequestID) {}, func(h *harness, id RequestID) {
-			wake(h, id)
+			fireTimer(h, id)
 			h.finishAttempt(id, 0, Cancelled, 800)
-			wake(h, id)
+			fireTimer(h, id)
 		}},
-		"it was answered": {4, false, func(h *harness, id RequestID) { h.finishAttempt(id, 0, OK, 50) }, wake},
+		"it was answered": {4, false, func(h *harness, id RequestID) { h.finishAttempt(id, 0, OK, 50) }, fireTimer},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := baseConfig()
-			if c.probes {
+			if c.healthChecks {
 				cfg = healthCheckConfig()
 			}
 			h := newHarness(t, cfg, testServers(c.servers)...)
 			id, _ := h.request(idempotentClass)
 			c.before(h, id)
-			out := h.balancer.requests.open[id] != nil && h.balancer.requests.open[id].inFlight > 0
-			if actions := h.handle(ClientDisconnected{Request: id}); hasAction(actions, Cancel) != out {
-				t.Fatalf("attempt in flight: %v, got %+v", out, actions)
+			inFlight := h.balancer.requests.open[id] != nil && h.balancer.requests.open[id].inFlight > 0
+			if actions := h.handle(ClientDisconnected{Request: id}); hasAction(actions, Cancel) != inFlight {
+				t.Fatalf("attempt in flight: %v, got %+v", inFlight, actions)
 			}
 			from := len(h.actions)
 			c.after(h, id)
@@ -211,18 +211,18 @@
 				to, _ := sentServer(actions)
 				ids[to] = append(ids[to], id)
 			}
-			down, up := ids[1][0], ids[1][1]
-			cancelled := func(a Action) bool { return a.Kind == Cancel && a.Request == up }
-			if actions := h.finishAttempt(down, 0, ConnectFailed, 100); !slices.ContainsFunc(actions, cancelled) {
+			failed, cancelledID := ids[1][0], ids[1][1]
+			cancelled := func(a Action) bool { return a.Kind == Cancel && a.Request == cancelledID }
+			if actions := h.finishAttempt(failed, 0, ConnectFailed, 100); !slices.ContainsFunc(actions, cancelled) {
 				t.Fatalf("class %d: not cancelled: %+v", class, actions)
 			}
-			actions := h.finishAttempt(up, 0, result, 100)
+			actions := h.finishAttempt(cancelledID, 0, result, 100)
 			if to, sent := sentServer(actions); sent != (result != OK) || sent && to != 2 || hasAction(actions, Reject) ||
 				hasAction(actions, Fail) {
 				t.Errorf("class %d, result %d: sent again is %v, %+v", class, result, sent, actions)
 			}
-			if left := h.balancer.requests.open[up] != nil; left != (result != OK) {
-				t.Errorf("class %d, result %d: retained is %v", class, result, left)
+			if retained := h.balancer.requests.open[cancelledID] != nil; retained != (result != OK) {
+				t.Errorf("class %d, result %d: retained is %v", class, result, retained)
 			}
 		}
 	}
@@ -238,7 +238,7 @@
 			t.Fatal("no health check is pending")
 		}
 		h.handle(HealthCheckResult{Server: 1, Result: result})
-		if blamed := s.errors.healthCheckFailed || h.balancer.isEjected(s); blamed != (result == ConnectFailed) ||
+		if faultRecorded := s.errors.healthCheckFailed || h.balancer.isEjected(s); faultRecorded != (result == ConnectFailed) ||
 			s.healthCheckPending {
 			t.Errorf("result %d: failed %v, ejected %v, pending %v", result, s.errors.healthCheckFailed,
 				h.balancer.isEjected(s), s.healthCheckPending)
--- a/balance/reference_pick_test.go
+++ b/balance/reference_pick_test.go
@@ -98,21 +98,21 @@
 		s.slowStart.since < z.unreachableSince
 }
 
-func (b *Balancer) referenceCandidates(r *request, all bool) float64 {
-	totalWeight, fresh := 0.0, false
+func (b *Balancer) referenceCandidates(r *request, includeEjected bool) float64 {
+	totalWeight, anyReport := 0.0, false
 	b.selection.candidates = b.selection.candidates[:0]
 	for _, s := range b.servers {
-		if !b.permitted(r, s) || !all && b.referenceEjected(s) {
+		if !b.permitted(r, s) || !includeEjected && b.referenceEjected(s) {
 			continue
 		}
 		s.weight = b.referenceWeight(s)
 		totalWeight += s.weight
 		s.loadKnown = b.hasFreshReport(s)
-		fresh = fresh || s.loadKnown
+		anyReport = anyReport || s.loadKnown
 		b.selection.candidates = append(b.selection.candidates, s)
 	}
 	for _, s := range b.selection.candidates {
-		s.loadKnown = s.loadKnown || !fresh
+		s.loadKnown = s.loadKnown || !anyReport
 	}
 	return totalWeight
 }
@@ -125,30 +125,30 @@
 }
 
 func (b *Balancer) referenceSubset(key uint64) []*server {
-	all := b.selection.candidates
-	for _, s := range all {
+	candidates := b.selection.candidates
+	for _, s := range candidates {
 		u := float64(splitmix64(splitmix64(key)^uint64(s.ID))>>11+1) / (1 << 53)
 		s.keyPosition = -math.Log(u) / s.RelativeCapacity
 	}
-	slices.SortFunc(all, compareKeyPosition)
-	most := len(all) / fleetPerKeyServer
-	n := max(minServersPerKey, most, int(math.Ceil(b.keys.fraction(key)*float64(len(all))/maxKeyFraction)))
-	n = min(n, len(all))
-	if most > minServersPerKey && b.lowTraffic() {
-		for _, s := range all[:n] {
+	slices.SortFunc(candidates, compareKeyPosition)
+	subsetSize := len(candidates) / fleetPerKeyServer
+	n := max(minServersPerKey, subsetSize, int(math.Ceil(b.keys.fraction(key)*float64(len(candidates))/maxKeyFraction)))
+	n = min(n, len(candidates))
+	if subsetSize > minServersPerKey && b.lowTraffic() {
+		for _, s := range candidates[:n] {
 			s.keyPosition = s.rank * s.RelativeCapacity / s.weight
 		}
-		slices.SortFunc(all[:n], compareKeyPosition)
+		slices.SortFunc(candidates[:n], compareKeyPosition)
 		n = 1
 	}
-	if !slices.ContainsFunc(all[:n], b.hasCapacity) {
-		if more := slices.IndexFunc(all[n:], b.hasCapacity); more >= 0 {
+	if !slices.ContainsFunc(candidates[:n], b.hasCapacity) {
+		if more := slices.IndexFunc(candidates[n:], b.hasCapacity); more >= 0 {
 			n += more + 1
 		} else {
-			n = len(all)
+			n = len(candidates)
 		}
 	}
-	return all[:n]
+	return candidates[:n]
 }
 
 // differentialPair is two balancers that handle the same events, one with pick and one with referencePick.
@@ -221,10 +221,10 @@
 	pair.t.Helper()
 	actions, err := pair.balancers[0].Handle(pair.now, ev)
 	actions = slices.Clone(actions)
-	plain, plainErr := pair.balancers[1].Handle(pair.now, ev)
-	if !slices.EqualFunc(actions, plain, func(a, p Action) bool { return reflect.DeepEqual(a, p) }) || err != nil ||
-		plainErr != nil {
-		pair.t.Fatalf("at %v, %T %+v: %v %+v, the reference %v %+v", pair.now, ev, ev, err, actions, plainErr, plain)
+	reference, referenceErr := pair.balancers[1].Handle(pair.now, ev)
+	if !slices.EqualFunc(actions, reference, func(a, p Action) bool { return reflect.DeepEqual(a, p) }) || err != nil ||
+		referenceErr != nil {
+		pair.t.Fatalf("at %v, %T %+v: %v %+v, the reference %v %+v", pair.now, ev, ev, err, actions, referenceErr, reference)
 	}
 	for _, a := range actions {
 		switch a.Kind {
@@ -264,9 +264,9 @@
 	case n < 184: // time in which ejections, load reports and slow starts end
 		pair.now += 3000 * pair.random.Float64()
 	case n < 186:
-		hints := []finding{{findingFault, serverTag(ServerID(1 + pair.random.Intn(60))), pair.now},
+		findings := []finding{{findingFault, serverTag(ServerID(1 + pair.random.Intn(60))), pair.now},
 			{findingRecovery, serverTag(1), pair.now}}
-		pair.handle(GossipMessage{From: pair.random.Intn(30), Data: encodeGossip(pair.now, hints)})
+		pair.handle(GossipMessage{From: pair.random.Intn(30), Data: encodeGossip(pair.now, findings)})
 	case n < 192: // one server changes, is added or removed
 		id := ServerID(1 + pair.random.Intn(len(pair.servers)+2))
 		s, known := pair.servers[id]
@@ -291,12 +291,12 @@
 	if int(a.Server)%3 == pair.lostZone {
 		result = ConnectFailed
 	}
-	out := Outcome{Request: a.Request, Attempt: a.Attempt, Server: a.Server, Result: result, RequestDone: result == OK}
-	if out.Elapsed = 5 + pair.random.Float64()*40*float64(1+a.Server%3); result == OK &&
+	outcome := Outcome{Request: a.Request, Attempt: a.Attempt, Server: a.Server, Result: result, RequestDone: result == OK}
+	if outcome.Elapsed = 5 + pair.random.Float64()*40*float64(1+a.Server%3); result == OK &&
 		pair.config.LoadReports == LoadReportPiggyback {
-		out.LoadReport = []float32{float32(pair.random.Intn(9)), pair.random.Float32(), float32(pair.random.Intn(3)), 20}
+		outcome.LoadReport = []float32{float32(pair.random.Intn(9)), pair.random.Float32(), float32(pair.random.Intn(3)), 20}
 	}
-	pair.handle(out)
+	pair.handle(outcome)
 }
 
 // randomPlacement delivers a random placement, in part expired, of servers that are not listed or invalid.
--- a/balance/retry_rules_test.go
+++ b/balance/retry_rules_test.go
@@ -36,21 +36,22 @@
 	}
 	actions = h.finishAttempt(id, 0, result, 100)
 	c := cfg.Classes[class]
-	mayResend := c.Idempotency == Idempotent || result.NeverExecuted() || c.Idempotency == IdempotentWithKey && !late
+	mayRetry := c.Idempotency == Idempotent || result.NeverExecuted() || c.Idempotency == IdempotentWithKey && !late
 	second, sent := sentServer(actions)
-	if sent != mayResend {
-		t.Fatalf("sent again: %v, want %v (%+v)", sent, mayResend, actions)
+	if sent != mayRetry {
+		t.Fatalf("sent again: %v, want %v (%+v)", sent, mayRetry, actions)
 	}
 	if !sent {
-		mayRefuse := c.Idempotency == IdempotentWithKey && c.DeduplicationScope == ScopeAll
-		if hasAction(actions, Reject) != mayRefuse || hasAction(actions, Fail) == mayRefuse {
-			t.Fatalf("rejection allowed: %v, got %+v", mayRefuse, actions)
+		mayReject := c.Idempotency == IdempotentWithKey && c.DeduplicationScope == ScopeAll
+		if hasAction(actions, Reject) != mayReject || hasAction(actions, Fail) == mayReject {
+			t.Fatalf("rejection allowed: %v, got %+v", mayReject, actions)
 		}
 		return
 	}
 	a, b := h.balancer.serversByID[first], h.balancer.serversByID[second]
-	dirty := !result.NeverExecuted()
-	if a == b || dirty && class == cellScopeClass && a.Cell != b.Cell || dirty && class == zoneScopeClass && a.Zone != b.Zone {
+	mayHaveExecuted := !result.NeverExecuted()
+	if a == b || mayHaveExecuted && class == cellScopeClass && a.Cell != b.Cell ||
+		mayHaveExecuted && class == zoneScopeClass && a.Zone != b.Zone {
 		t.Fatalf("sent to %+v after %+v", b.Server, a.Server)
 	}
 }
@@ -86,22 +87,22 @@
 		if hasAction(actions, Send) || !hasAction(actions, SetTimer) {
 			t.Fatalf("%s: %+v", name, actions)
 		}
-		refused := false
+		rejected := false
 		for h.now < 1000+baseConfig().Classes[nonIdempotentClass].Deadline {
 			h.now += 10
-			refused = refused || hasAction(h.handle(TimerFired{Token: uint64(id)}), Reject)
+			rejected = rejected || hasAction(h.handle(TimerFired{Token: uint64(id)}), Reject)
 		}
-		if !refused || len(h.balancer.requests.open) != 0 {
-			t.Fatalf("%s: rejected %v, %d requests left", name, refused, len(h.balancer.requests.open))
+		if !rejected || len(h.balancer.requests.open) != 0 {
+			t.Fatalf("%s: rejected %v, %d requests left", name, rejected, len(h.balancer.requests.open))
 		}
 	}
 }
 
 func TestDrainingServerReceivesNothingNew(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(2)...)
-	gone := testServers(1)[0]
-	gone.State = Draining
-	h.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{gone}})
+	entry := testServers(1)[0]
+	entry.State = Draining
+	h.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{entry}})
 	for range 20 {
 		id, actions := h.request(idempotentClass)
 		if s, _ := sentServer(actions); s != 2 {
@@ -109,8 +110,8 @@
 		}
 		h.finishAttempt(id, 0, OK, 10)
 	}
-	gone.State = Ready
-	h.handle(EndpointUpdate{Kind: UpdateFull, Servers: []Server{gone}}) // the other server is not listed: it was removed
+	entry.State = Ready
+	h.handle(EndpointUpdate{Kind: UpdateFull, Servers: []Server{entry}}) // the other server is not listed: it was removed
 	id, actions := h.request(idempotentClass)
 	if s, _ := sentServer(actions); s != 1 {
 		t.Fatalf("sent to %d of request %d", s, id)
@@ -189,11 +190,11 @@
 // In full queues everything that is served is late. While load is shed a request that is not idempotent is given up at its
 // objective, which is no error of the server; others are not, as their clients would retry.
 func TestNonIdempotentAttemptsEndAtObjectiveWhileShedding(t *testing.T) {
-	for class, cuts := range map[int]bool{nonIdempotentClass: true, idempotentClass: false, cellScopeClass: false} {
-		for _, lasting := range []float64{0, 0.2} {
+	for class, endsAtObjective := range map[int]bool{nonIdempotentClass: true, idempotentClass: false, cellScopeClass: false} {
+		for _, sustained := range []float64{0, 0.2} {
 			h := newHarness(t, baseConfig(), testServers(4)...)
-			h.balancer.admission.sustainedShed = lasting
-			if lasting > 0 {
+			h.balancer.admission.sustainedShed = sustained
+			if sustained > 0 {
 				h.balancer.admission.sustainedShed += shedDeadband
 			}
 			id, actions := h.request(class)
@@ -203,12 +204,12 @@
 				s, ok = sentServer(actions)
 			}
 			want := 0.0
-			if cuts && lasting > 0 {
+			if endsAtObjective && sustained > 0 {
 				want = h.now + h.balancer.config.Classes[class].LatencyObjective
 			}
 			for _, a := range actions {
 				if a.Kind == Send && a.Deadline != want {
-					t.Errorf("class %d, %v shed: ends at %v, want %v", class, lasting, a.Deadline, want)
+					t.Errorf("class %d, %v shed: ends at %v, want %v", class, sustained, a.Deadline, want)
 				}
 			}
 			if want > 0 {
@@ -225,7 +226,7 @@
 // budget each request would be sent as often as is allowed.
 func TestRetriesAreBoundedByTheBudget(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(10)...)
-	first, repeats := 0, 0
+	first, retries := 0, 0
 	for range 2000 {
 		h.now += 5
 		id, actions := h.request(idempotentClass)
@@ -236,7 +237,7 @@
 			if n == 0 {
 				first++
 			} else {
-				repeats++
+				retries++
 			}
 			actions = h.finishAttempt(id, n, Overloaded, 1)
 		}
@@ -244,7 +245,7 @@
 			t.Fatal("a request waits though all servers are full and its budget is spent")
 		}
 	}
-	if most := retryBudgetMax + retryBudgetRatio*float64(first); float64(repeats) > most || repeats < first/10 {
-		t.Errorf("%d retries of %d first attempts, at most %.0f", repeats, first, most)
+	if limit := retryBudgetMax + retryBudgetRatio*float64(first); float64(retries) > limit || retries < first/10 {
+		t.Errorf("%d retries of %d first attempts, at most %.0f", retries, first, limit)
 	}
 }
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -100,28 +100,28 @@
 // still goes by health. While one is within its bound, the running weight decides.
 func TestFirstAttemptGoesToLeastLoadedWhenAllExceedBound(t *testing.T) {
 	for _, c := range []struct {
-		holds [4]int
-		want  ServerID
+		inFlight [4]int
+		want     ServerID
 	}{
 		{[4]int{4, 3, 4, 4}, 2}, // all exceed the bound
 		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are within the bound, and 3 is next
 	} {
 		h := newHarness(t, baseConfig(), testServers(4)...)
 		for i, s := range h.balancer.servers {
-			s.inFlight, s.round.runningWeight = c.holds[i], float64(10*(4-i))
+			s.inFlight, s.round.runningWeight = c.inFlight[i], float64(10*(4-i))
 		}
 		h.balancer.servers[1].errors.consecutive, h.balancer.servers[1].errors.lastAt = 1, h.now-5000
 		r := &request{Request: Request{}, class: &h.balancer.config.Classes[idempotentClass]}
 		if c.want == 2 {
 			if s := h.balancer.pick(r, true); s.ID == 2 {
-				t.Errorf("%v: the retry went to the least healthy server", c.holds)
+				t.Errorf("%v: the retry went to the least healthy server", c.inFlight)
 			}
 			for i, s := range h.balancer.servers {
 				s.round.runningWeight = float64(10 * (4 - i))
 			}
 		}
 		if s := h.balancer.pick(r, false); s.ID != c.want {
-			t.Errorf("%v: sent to %d, not %d", c.holds, s.ID, c.want)
+			t.Errorf("%v: sent to %d, not %d", c.inFlight, s.ID, c.want)
 		}
 	}
 }
@@ -129,10 +129,10 @@
 // Each sidecar with little traffic uses few servers, all together use all evenly, and a restarted one uses the same again.
 func TestLowTrafficSidecarUsesSmallRotation(t *testing.T) {
 	sidecars, servers := 400, 60
-	all := map[ServerID]int{}
-	used := func(number, seed int) map[ServerID]int {
+	total := map[ServerID]int{}
+	used := func(index, seed int) map[ServerID]int {
 		cfg := baseConfig()
-		cfg.SidecarIndex, cfg.SidecarCount, cfg.Seed = number, sidecars, uint64(seed)
+		cfg.SidecarIndex, cfg.SidecarCount, cfg.Seed = index, sidecars, uint64(seed)
 		h := newHarness(t, cfg, testServers(servers)...)
 		for _, s := range h.balancer.servers {
 			s.rank = h.balancer.ownOrderRank(s)
@@ -154,13 +154,13 @@
 			t.Fatalf("sidecar %d uses %d servers", n, len(hits))
 		}
 		for s, k := range hits {
-			all[s] += k
+			total[s] += k
 		}
 		if n == 0 && !maps.Equal(hits, used(0, 77)) {
 			t.Fatal("a restarted sidecar uses other servers")
 		}
 	}
-	for s, k := range all {
+	for s, k := range total {
 		if mean := 60 * sidecars / servers; k < mean/2 || k > 2*mean {
 			t.Errorf("server %d got %d of a mean of %d", s, k, mean)
 		}
--- a/balance/server.go
+++ b/balance/server.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// zoneAnswered clears the recorded faults of a zone, and the ejections that its loss has caused.
-func (b *Balancer) zoneAnswered(zone *zoneHealth) {
+// recordZoneAnswer clears the recorded faults of a zone, and the ejections that its loss has caused.
+func (b *Balancer) recordZoneAnswer(zone *zoneHealth) {
 	if zone.lost {
 		for _, s := range zone.unreachable {
 			s.ejection.until = b.now
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -141,7 +141,7 @@
 
 // Invalid settings are a ConfigError that names the field, never a balancer that misbehaves later.
 func TestInvalidConfig(t *testing.T) {
-	for field, spoil := range map[string]func(*Config){
+	for field, invalidate := range map[string]func(*Config){
 		"Classes":                       func(c *Config) { c.Classes = nil },
 		"Classes[1].Idempotency":        func(c *Config) { c.Classes[1].Idempotency = 9 },
 		"Classes[1].DeduplicationScope": func(c *Config) { c.Classes[1].DeduplicationScope = 9 },
@@ -156,7 +156,7 @@
 		"Tenants[0].QuotaRate":          func(c *Config) { c.Tenants = []Tenant{{QuotaRate: -1}} },
 	} {
 		cfg := baseConfig()
-		spoil(&cfg)
+		invalidate(&cfg)
 		b, err := New(cfg)
 		var invalid *ConfigError
 		if b != nil || !errors.As(err, &invalid) || invalid.Field != field {
--- a/balance/slow_start_budget_test.go
+++ b/balance/slow_start_budget_test.go
@@ -10,7 +10,7 @@
 func TestSlowStartBudgetHoldsForAllSidecars(t *testing.T) {
 	const sidecars, perSecond, seconds = 4, 150, 6
 	cfg := baseConfig()
-	toCold := 0
+	sends := 0
 	for n := range sidecars {
 		cfg.Seed, cfg.SidecarIndex = uint64(n+1), n
 		servers := testServers(5)
@@ -26,7 +26,7 @@
 				t.Fatal("nothing sent")
 			}
 			if s == 1 && i >= perSecond*3 && i < perSecond*4 {
-				toCold++
+				sends++
 			}
 			h.finishAttempt(id, 0, OK, 10)
 			h.now += 1000 / perSecond
@@ -35,8 +35,8 @@
 	// A server receives a fifth of the traffic; in slow start it can serve SlowStartMinCapacity of that and a little
 	// more as it warms up, and it fails at OverloadMultiple times what it can serve.
 	limit := float64(sidecars*perSecond) / 5 * cfg.OverloadMultiple * (cfg.SlowStartMinCapacity + 0.05)
-	if toCold == 0 || float64(toCold) > limit {
-		t.Fatalf("%d sends to a server in slow start in its first second, want 1 to %.0f", toCold, limit)
+	if sends == 0 || float64(sends) > limit {
+		t.Fatalf("%d sends to a server in slow start in its first second, want 1 to %.0f", sends, limit)
 	}
 }
 
@@ -100,26 +100,26 @@
 	for _, c := range []struct{ sidecars, servers int }{{3, 6}, {200, 20}, {600, 60}} {
 		cfg := baseConfig()
 		random := rand.New(rand.NewSource(5))
-		rigs := make([]*harness, c.sidecars)
-		for i := range rigs {
+		harnesses := make([]*harness, c.sidecars)
+		for i := range harnesses {
 			cfg.SidecarIndex, cfg.SidecarCount, cfg.Seed = i, c.sidecars, uint64(i)
-			rigs[i] = newHarness(t, cfg, testServers(c.servers)...)
-			for _, s := range rigs[i].balancer.servers {
-				s.rank = rigs[i].balancer.ownOrderRank(s)
+			harnesses[i] = newHarness(t, cfg, testServers(c.servers)...)
+			for _, s := range harnesses[i].balancer.servers {
+				s.rank = harnesses[i].balancer.ownOrderRank(s)
 			}
-			rigs[i].balancer.dropRemoved()
+			harnesses[i].balancer.dropRemoved()
 		}
-		const warm, end, perServer = 11000.0, 16000.0, 20.0 // perServer: requests a second
+		const restartAt, end, perServer = 11000.0, 16000.0, 20.0 // perServer: requests a second
 		gap := 1000 / perServer / float64(c.servers)
-		var cold []float64
+		var slowStartSends []float64
 		before := 0.0
 		restarted := testServers(1)[0]
-		restarted.StartedAt = warm
+		restarted.StartedAt = restartAt
 		for now := 1000.0; now < end; now += gap {
-			h := rigs[random.Intn(len(rigs))]
+			h := harnesses[random.Intn(len(harnesses))]
 			h.now = now
 			h.actions = h.actions[:0]
-			if s := h.balancer.serversByID[1]; now >= warm && s.StartedAt != warm {
+			if s := h.balancer.serversByID[1]; now >= restartAt && s.StartedAt != restartAt {
 				h.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{restarted}})
 			}
 			id, actions := h.request(idempotentClass)
@@ -127,24 +127,24 @@
 			if !ok {
 				continue
 			}
-			if to == 1 && now >= warm {
-				cold = append(cold, now)
+			if to == 1 && now >= restartAt {
+				slowStartSends = append(slowStartSends, now)
 			} else if to == 1 {
-				before += 1000 / (warm - 1000)
+				before += 1000 / (restartAt - 1000)
 			}
 			h.finishAttempt(id, 0, OK, 5)
 		}
-		for i, from := range cold {
+		for i, from := range slowStartSends {
 			n := 0
-			for n < len(cold)-i && cold[i+n] < from+cfg.OverloadDuration {
+			for n < len(slowStartSends)-i && slowStartSends[i+n] < from+cfg.OverloadDuration {
 				n++
 			}
-			capacity := before * (cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*(from-warm)/cfg.SlowStartDuration)
+			capacity := before * (cfg.SlowStartMinCapacity + (1-cfg.SlowStartMinCapacity)*(from-restartAt)/cfg.SlowStartDuration)
 			if limit := cfg.OverloadMultiple * capacity * cfg.OverloadDuration / 1000; float64(n) > limit+math.Sqrt(limit) {
 				t.Fatalf("%d sidecars, %d servers: %d sends in a window, %.1f allowed", c.sidecars, c.servers, n, limit)
 			}
 		}
-		if len(cold) == 0 {
+		if len(slowStartSends) == 0 {
 			t.Errorf("%d sidecars, %d servers: the server in slow start gets nothing", c.sidecars, c.servers)
 		}
 	}
@@ -180,8 +180,8 @@
 		h.balancer.hasSlowStartBudget(s)
 		return s.slowStart.tokens
 	}
-	usual, slow := refill(0), refill(-2)
-	if usual == 0 || slow > 1.01*usual {
-		t.Errorf("in 5 ms it earns %.5f tokens, and %.5f where the others are learned to be slow", usual, slow)
+	baseline, withSlowOthers := refill(0), refill(-2)
+	if baseline == 0 || withSlowOthers > 1.01*baseline {
+		t.Errorf("in 5 ms it earns %.5f tokens, and %.5f where the others are learned to be slow", baseline, withSlowOthers)
 	}
 }
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -42,11 +42,11 @@
 	f.simulatedFleet = newSimulatedFleet(t, cfg, sidecars, f.servers)
 	sum := 0.0
 	for i := range sidecars {
-		part := 1.0
+		share := 1.0
 		if i%6 == 0 {
-			part = 4
+			share = 4
 		}
-		sum += part
+		sum += share
 		f.cumulativeTraffic = append(f.cumulativeTraffic, sum)
 	}
 	for _, s := range f.servers {
@@ -72,21 +72,21 @@
 
 // processAttempt queues an attempt for 200 ms at most.
 func (f *slowStartFleet) processAttempt(s ServerID) (Result, float64) {
-	q, present := f.queues[s], f.currentCapacity(s)
-	if present < 1 {
+	q, fraction := f.queues[s], f.currentCapacity(s)
+	if fraction < 1 {
 		q.arrivals = append(q.arrivals, f.now)
 	}
 	if q.busyUntil = math.Max(q.busyUntil, f.now); q.busyUntil > f.now+200 {
 		return Overloaded, 1
 	}
-	q.busyUntil += 1 / (f.capacity * present)
+	q.busyUntil += 1 / (f.capacity * fraction)
 	return OK, q.busyUntil - f.now + 5
 }
 
-// simulate sends requests at times the usual rate until a time.
-func (f *slowStartFleet) simulate(times, until float64) {
+// simulate sends requests at rateFactor times the usual rate until a time.
+func (f *slowStartFleet) simulate(rateFactor, until float64) {
 	for {
-		next := f.now + f.random.ExpFloat64()/(f.rate*times)
+		next := f.now + f.random.ExpFloat64()/(f.rate*rateFactor)
 		if next >= until {
 			f.run(until)
 			return
@@ -103,8 +103,8 @@
 	}
 }
 
-// replace restarts the first n servers and updates all sidecars.
-func (f *slowStartFleet) replace(n int) {
+// restartServers restarts the first n servers and updates all sidecars.
+func (f *slowStartFleet) restartServers(n int) {
 	for i := range n {
 		f.servers[i].StartedAt = f.now
 		f.queues[f.servers[i].ID] = &slowStartQueue{}
@@ -114,8 +114,8 @@
 	}
 }
 
-// restart restarts the first n sidecars, with nothing but the endpoint list.
-func (f *slowStartFleet) restart(n int) {
+// restartSidecars restarts the first n sidecars, with nothing but the endpoint list.
+func (f *slowStartFleet) restartSidecars(n int) {
 	f.pending = slices.DeleteFunc(f.pending, func(e fleetEvent) bool { return e.to < n })
 	heap.Init(&f.pending)
 	for i := range n {
@@ -131,8 +131,8 @@
 	return f.worstOverloadWith(func(allowed float64) float64 { return 2*math.Sqrt(allowed) + 2 })
 }
 
-// standingTestSlack is what the standing test puts down to chance.
-func standingTestSlack(allowed float64) float64 {
+// soakSlack is the excess that the fault soak attributes to chance.
+func soakSlack(allowed float64) float64 {
 	if allowed < 30 {
 		return 3*math.Sqrt(allowed) + 3
 	}
@@ -169,20 +169,20 @@
 
 // Scenarios in which many servers are in slow start, or sidecars have saved up budget; see checkSlowStartBudget.
 var slowStartScenarios = map[string]func(f *slowStartFleet){
-	"six in ten": func(f *slowStartFleet) { f.replace(len(f.servers) * 6 / 10) },
-	"all":        func(f *slowStartFleet) { f.replace(len(f.servers)) },
+	"six in ten": func(f *slowStartFleet) { f.restartServers(len(f.servers) * 6 / 10) },
+	"all":        func(f *slowStartFleet) { f.restartServers(len(f.servers)) },
 	"killed sidecars": func(f *slowStartFleet) {
-		f.restart(len(f.balancers) * 7 / 10)
-		f.replace(len(f.servers) * 6 / 10)
+		f.restartSidecars(len(f.balancers) * 7 / 10)
+		f.restartServers(len(f.servers) * 6 / 10)
 	},
 	"little traffic": func(f *slowStartFleet) {
 		f.rate, f.capacity = f.rate/8, f.capacity/8
 		f.simulate(1, f.now+10000)
-		f.replace(len(f.servers))
+		f.restartServers(len(f.servers))
 	},
 	"all new": func(f *slowStartFleet) {
-		f.restart(len(f.balancers))
-		f.replace(len(f.servers))
+		f.restartSidecars(len(f.balancers))
+		f.restartServers(len(f.servers))
 	},
 	"burst after quiet": burstAfterLowTraffic,
 }
@@ -193,13 +193,13 @@
 // have saved up budget.
 func TestSlowStartBudgetHoldsInRareScenarios(t *testing.T) {
 	for _, size := range [][2]int{{20, 12}, {30, 20}} {
-		for name, play := range slowStartScenarios {
-			checkSlowStartBudget(t, name, size, 200, play)
+		for name, scenario := range slowStartScenarios {
+			checkSlowStartBudget(t, name, size, 200, scenario)
 		}
 		for _, keys := range []int{0, 200} {
-			checkSlowStartBudget(t, "one", size, keys, func(f *slowStartFleet) { f.replace(1) })
+			checkSlowStartBudget(t, "one", size, keys, func(f *slowStartFleet) { f.restartServers(1) })
 			checkSlowStartBudget(t, "re-routes", size, keys, func(f *slowStartFleet) {
-				f.replace(1)
+				f.restartServers(1)
 				f.simulate(0.2, f.now+1000)
 				f.failThird(Overloaded)
 			})
@@ -232,16 +232,16 @@
 // attempts in a window, the worst of hundreds of servers is further from the mean.
 func TestSlowStartBudgetHoldsOnOtherDraws(t *testing.T) {
 	for _, size := range [][2]int{{4, 8}, {12, 8}, {60, 40}, {120, 200}} {
-		for name, play := range slowStartScenarios {
+		for name, scenario := range slowStartScenarios {
 			for seed := int64(2); seed <= 4; seed++ {
 				t.Run(fmt.Sprintf("%s/%d sidecars/seed %d", name, size[0], seed), func(t *testing.T) {
 					cfg := baseConfig()
 					cfg.OverloadMultiple, cfg.OverloadDuration, cfg.SlowStartMinCapacity = 4, 2000, 0.12
 					f := newSlowStartFleet(t, cfg, seed, size[0], size[1])
 					f.simulate(1, 5000)
-					play(f)
+					scenario(f)
 					f.simulate(1, f.now+3000)
-					if worst, sends := f.worstOverloadWith(standingTestSlack); worst > 1 || sends == 0 {
+					if worst, sends := f.worstOverloadWith(soakSlack); worst > 1 || sends == 0 {
 						t.Errorf("%d sends to servers in slow start, in a window %.2f times those allowed", sends, worst)
 					}
 				})
@@ -251,22 +251,22 @@
 }
 
 func burstAfterLowTraffic(f *slowStartFleet) {
-	f.replace(len(f.servers) / 3)
+	f.restartServers(len(f.servers) / 3)
 	f.simulate(0.1, f.now+4000)
 	f.simulate(2.2, f.now+1000)
 }
 
 // checkSlowStartBudget simulates a scenario with two sets of rules; size is the number of sidecars and of servers.
-func checkSlowStartBudget(t *testing.T, name string, size [2]int, keys int, play func(f *slowStartFleet)) {
-	for k, fall := range []struct{ multiple, time, from, aim float64 }{{4, 2000, 0.12, 300}, {2.5, 1000, 0.2, 1000}} {
+func checkSlowStartBudget(t *testing.T, name string, size [2]int, keys int, scenario func(f *slowStartFleet)) {
+	for k, rules := range []struct{ multiple, time, from, aim float64 }{{4, 2000, 0.12, 300}, {2.5, 1000, 0.2, 1000}} {
 		t.Run(fmt.Sprintf("%s/%d sidecars/%d keys/%d", name, size[0], keys, k), func(t *testing.T) {
 			cfg := baseConfig()
-			cfg.OverloadMultiple, cfg.OverloadDuration, cfg.SlowStartMinCapacity = fall.multiple, fall.time, fall.from
-			cfg.KeyAffinity, cfg.Classes[idempotentClass].LatencyObjective = keys > 0, fall.aim
+			cfg.OverloadMultiple, cfg.OverloadDuration, cfg.SlowStartMinCapacity = rules.multiple, rules.time, rules.from
+			cfg.KeyAffinity, cfg.Classes[idempotentClass].LatencyObjective = keys > 0, rules.aim
 			f := newSlowStartFleet(t, cfg, 1, size[0], size[1])
 			f.keys = keys
 			f.simulate(1, 5000)
-			play(f)
+			scenario(f)
 			f.simulate(1, f.now+3000)
 			if worst, sends := f.worstOverload(); worst > 1 || sends == 0 {
 				t.Errorf("%d sends to server in slow starts, in a window %.2f times those allowed", sends, worst)
@@ -278,13 +278,13 @@
 // Where all servers are in slow start they serve what they can, the rest is rejected in time, and the fraction served rises
 // until all is.
 func TestFleetInSlowStartRampsUp(t *testing.T) {
-	for _, killed := range []bool{false, true} {
+	for _, sidecarsRestart := range []bool{false, true} {
 		f := newSlowStartFleet(t, baseConfig(), 1, 30, 20)
 		f.simulate(1, 5000)
-		if killed {
-			f.restart(30)
+		if sidecarsRestart {
+			f.restartSidecars(30)
 		}
-		f.replace(20)
+		f.restartServers(20)
 		class := f.balancers[0].config.Classes[idempotentClass]
 		late := 0
 		f.onAction = func(_ int, a Action) {
@@ -292,19 +292,20 @@
 			case Send:
 				delete(f.arrivedAt, a.Request)
 			case Reject, Fail: // a waiting request looks again each twentieth of its objective
-				if came, unsent := f.arrivedAt[a.Request]; unsent && f.now > came+class.LatencyObjective*1.05 {
+				if arrivedAt, unsent := f.arrivedAt[a.Request]; unsent && f.now > arrivedAt+class.LatencyObjective*1.05 {
 					late++
 				}
 			}
 		}
-		var shares []float64
+		var servedFractions []float64
 		for range 6 {
 			f.requested, f.served = 0, 0
 			f.simulate(1, f.now+4000)
-			shares = append(shares, float64(f.served)/float64(f.requested))
+			servedFractions = append(servedFractions, float64(f.served)/float64(f.requested))
 		}
-		if shares[0] < 0.2 || shares[2] < 0.5 || shares[5] < 0.95 || !slices.IsSorted(shares) || late > 0 {
-			t.Errorf("killed %v: shares %.2f in turns of 4 s, %d answered late", killed, shares, late)
+		if servedFractions[0] < 0.2 || servedFractions[2] < 0.5 || servedFractions[5] < 0.95 ||
+			!slices.IsSorted(servedFractions) || late > 0 {
+			t.Errorf("killed %v: shares %.2f in turns of 4 s, %d answered late", sidecarsRestart, servedFractions, late)
 		}
 	}
 }
