--- a/balance/affinity.go
+++ b/balance/affinity.go
@@ -45,8 +45,8 @@
 }
 
 // narrowCandidates sorts the candidates by this sidecar's own order, weighted once more so that errors and
-// slow start move keys away from a server. If the first candidate has capacity, narrowCandidates moves only
-// that one to its place and returns true.
+// slow start move keys away from a server. If the first candidate of that order has capacity,
+// narrowCandidates only stores that one at index 0, without sorting, and returns true.
 func (b *Balancer) narrowCandidates() bool {
 	candidates, first := b.selection.candidates, 0
 	for i, s := range candidates {
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -7,7 +7,7 @@
 
 const (
 	retryBudgetRatio = 0.2 // retries allowed per first attempt while the fleet is overloaded
-	retryBudgetMax   = 20  // bound of the budget: what one unreachable server held
+	retryBudgetMax   = 20  // bound of the budget: the attempts of one unreachable server
 	maxRetries       = 1   // per request: more retries multiply a load that is already too high
 )
 
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -4,7 +4,7 @@
 // The module is a pure state machine. The caller passes one Event at a time to Balancer.Handle, with the time at which the
 // event happened, and executes the Actions that Handle returns. The module opens no sockets, starts no goroutines, reads no
 // clock and derives its random numbers from Config.Seed: the same settings and events always yield the same actions. It
-// parses no settings and knows no protocol. Package sidecar drives the module in production; package wire and
+// parses no settings and implements no protocol. Package sidecar drives the module in production; package wire and
 // cmd/simadapter drive it from a simulator. Each sidecar has one Balancer. Sidecars share only the gossip that they
 // exchange.
 //
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -47,8 +47,8 @@
 
 // publishFault publishes the ejection of a server, unless it was recently published or often received.
 func (b *Balancer) publishFault(s *server) {
-	known := s.gossip.confirmations >= sufficientConfirmations && b.now < s.gossip.ejectedUntil
-	if b.now < s.gossip.publishedUntil || known {
+	confirmed := s.gossip.confirmations >= sufficientConfirmations && b.now < s.gossip.ejectedUntil
+	if b.now < s.gossip.publishedUntil || confirmed {
 		return
 	}
 	if b.queueFinding(findingFault, serverTag(s.ID)) {
@@ -175,8 +175,8 @@
 			}
 		}
 	}
-	few := float64(ejected) <= maxGossipEjectedFraction*float64(len(b.servers))
-	return few && 2*ejectedInZone <= readyInZone
+	withinFleetLimit := float64(ejected) <= maxGossipEjectedFraction*float64(len(b.servers))
+	return withinFleetLimit && 2*ejectedInZone <= readyInZone
 }
 
 // replyToQuery sends the faults that currently hold at this sidecar to a sidecar that has just started.
--- a/balance/invariants.go
+++ b/balance/invariants.go
@@ -1,7 +1,7 @@
 package balance
 
 // Violations counts actions that violate a rule of the balancer itself. Each violation is a bug of the policy files.
-// The rules are checked by separate code from the code that decides.
+// checkSend checks the rules with code of its own, separate from the code that decides.
 type Violations struct {
 	SecondAttempt     int // attempts sent while another attempt of the request was in flight
 	Repeated          int // attempts sent though an earlier one may have been executed and the class forbids a repeat
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -99,8 +99,8 @@
 	}
 	// Attempts that were sent before the zone was ejected still fail and carry no new information.
 	sentBefore := zone.lost && s != zone.trialServer
-	few := len(zone.unreachable) < unreachableBeforeZoneEjection
-	if few || sentBefore || !b.otherZoneAnswered(s.Zone, zone.unreachableSince) {
+	belowThreshold := len(zone.unreachable) < unreachableBeforeZoneEjection
+	if belowThreshold || sentBefore || !b.otherZoneAnswered(s.Zone, zone.unreachableSince) {
 		return
 	}
 	b.ejectZone(s.Zone, zone)
