--- a/balance/capacity_test.go
+++ b/balance/capacity_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A server that is twice as fast is learned to have more capacity, and its kind with it.
+// The learned capacity of a server that is twice as fast, and of its kind, must be higher.
 func TestCapacityIsLearned(t *testing.T) {
 	servers := testServers(4)
 	servers[2].Kind, servers[3].Kind = 1, 1
@@ -23,11 +23,11 @@
 	}
 }
 
-// Where crossing zones has a cost the own zone receives more, and the others still receive something.
+// If crossing zones has a cost, the own zone receives more requests, and the other zones still receive some.
 func TestOwnZoneIsPreferredWhenCrossingCosts(t *testing.T) {
-	for price, least := range map[float64]int{0: 10, 0.05: 25} {
+	for cost, minimum := range map[float64]int{0: 10, 0.05: 25} {
 		cfg := baseConfig()
-		cfg.Costs.CrossZone, cfg.Zone = price, 1
+		cfg.Costs.CrossZone, cfg.Zone = cost, 1
 		h := newHarness(t, cfg, testServers(8)...)
 		own := 0
 		for _, s := range sendSequence(h, 40) {
@@ -35,13 +35,13 @@
 				own++
 			}
 		}
-		if own < least || own > 38 || price == 0 && own > 20 {
-			t.Errorf("cost %v: %d of 40 in the own zone", price, own)
+		if own < minimum || own > 38 || cost == 0 && own > 20 {
+			t.Errorf("cost %v: %d of 40 in the own zone", cost, own)
 		}
 	}
 }
 
-// A restarted sidecar with few requests must not use slow servers as much as fast ones for a minute.
+// A restarted sidecar with few requests must not use slow servers as much as fast servers for a minute.
 func TestCapacityIsLearnedFastAtFirst(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(2)...)
 	fast, slow := h.balancer.servers[0], h.balancer.servers[1]
@@ -50,7 +50,7 @@
 		h.balancer.learnCapacity(slow, 1.5)
 	}
 	early := fast.logCapacity - slow.logCapacity
-	for range 2000 { // much later, of two equal servers, one becomes fast
+	for range 2000 { // much later, one of two equal servers becomes fast
 		h.balancer.learnCapacity(fast, 1)
 		h.balancer.learnCapacity(slow, 1)
 	}
@@ -64,8 +64,8 @@
 	}
 }
 
-// Where connections break, healthy servers must not be learned to have little capacity, be ejected after one failed connect,
-// or be in slow start after the next answer.
+// If some connections of a healthy server break, its learned capacity must not fall, one failed connect must not
+// eject it, and the next answer must not put it into slow start.
 func TestBrokenConnectionsDoNotLowerCapacity(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(4)...)
 	sends := 0
@@ -92,7 +92,8 @@
 	}
 }
 
-// While load is shed answers are quick everywhere; slow servers must not be idle beside fast ones that are full.
+// While load is shed, answers are fast at all servers. Slow servers must not be idle beside fast servers that are
+// full.
 func TestIdleServersGainCapacity(t *testing.T) {
 	cfg := baseConfig()
 	cfg.LoadReports, cfg.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldUtilization}
@@ -102,11 +103,13 @@
 		h.now += 5
 		id, actions := h.request(idempotentClass)
 		s, _ := sentServer(actions)
-		took, util := 40.0, float32(1)
+		took, utilization := 40.0, float32(1)
 		if s == 1 {
-			took, util = 56, 0.3
+			took, utilization = 56, 0.3
 		}
-		h.handle(Outcome{Request: id, Server: s, Result: OK, Elapsed: took, RequestDone: true, LoadReport: []float32{util}})
+		h.handle(Outcome{
+			Request: id, Server: s, Result: OK, Elapsed: took, RequestDone: true, LoadReport: []float32{utilization},
+		})
 		if i >= 3000 {
 			sent[s]++
 		}
--- a/balance/races_test.go
+++ b/balance/races_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// A request that must not be executed twice is neither retried nor rejected, whatever ends its attempt and whatever else
-// happens. If the attempt was surely not executed it is retried while there is time and a server, and rejected otherwise.
+// A request that must not be executed twice is neither retried nor rejected after an attempt that may have been
+// executed, whatever ends the attempt and whatever else happens. If the attempt was certainly not executed, the
+// request is retried while there is time and a server, and rejected otherwise.
 func TestNoRetryAfterPossibleExecution(t *testing.T) {
 	for name, meanwhile := range map[string]func(h *harness, id RequestID){
 		"quiet":          func(*harness, RequestID) {},
@@ -20,7 +21,8 @@
 			for result := OK; result <= Obsolete; result++ {
 				t.Run(fmt.Sprintf("%s/class%d/result%d", name, class, result), func(t *testing.T) {
 					cfg := baseConfig()
-					cfg.Classes[cellScopeClass].LatencyObjective, cfg.Classes[cellScopeClass].IdempotencyWindow = 300, 0 // its key is forgotten at once
+					// The idempotency key is forgotten at once.
+					cfg.Classes[cellScopeClass].LatencyObjective, cfg.Classes[cellScopeClass].IdempotencyWindow = 300, 0
 					h := newHarness(t, cfg, testServers(8)...)
 					id, _ := h.request(class)
 					meanwhile(h, id)
@@ -34,11 +36,11 @@
 					case result == OK && (final || resent):
 						t.Fatalf("after the answer: %+v", actions)
 					case result != OK && !neverExecuted && (resent || !hasAction(actions, Fail) || hasAction(actions, Reject)):
-						t.Fatalf("it may have been executed: %+v", actions)
+						t.Fatalf("the request may have been executed: %+v", actions)
 					case neverExecuted && (hasAction(actions, Fail) || final == resent):
-						t.Fatalf("it was not executed, sent again is %v: %+v", resent, actions)
+						t.Fatalf("the request was not executed; retried %v: %+v", resent, actions)
 					case neverExecuted && resent != (name == "quiet" || name == "draining" || name == "shedding"):
-						t.Fatalf("sent again is %v", resent)
+						t.Fatalf("retried: %v", resent)
 					}
 				})
 			}
@@ -46,7 +48,7 @@
 	}
 }
 
-// runTimers fires a request's timers until it is answered or sent.
+// runTimers fires a request's timers until the request is answered or sent.
 func (h *harness) runTimers(id RequestID) {
 	for range 200 {
 		r := h.balancer.requests.open[id]
@@ -56,7 +58,7 @@
 		h.now = r.timerAt
 		h.handle(TimerFired{Token: uint64(id)})
 	}
-	h.t.Fatal("no end")
+	h.t.Fatal("the request has not ended after 200 timers")
 }
 
 func (h *harness) drain(ids ...ServerID) {
@@ -69,59 +71,59 @@
 	h.handle(EndpointUpdate{Kind: UpdateDelta, Servers: entries})
 }
 
-// Nothing is sent for a client that has disconnected: not if its request waits for its first attempt, not between two, not
-// while one is in flight, and not if the outcome comes first.
+// Nothing may be sent for a client that has disconnected, whether its request waits for the first attempt, waits
+// between two attempts or has an attempt in flight, and also if the outcome arrives first.
 func TestNothingIsSentAfterClientDisconnects(t *testing.T) {
-	wake := func(h *harness, id RequestID) {
+	fireTimer := func(h *harness, id RequestID) {
 		for range 20 {
 			h.now += 40
 			h.handle(TimerFired{Token: uint64(id)})
 		}
 	}
-	back := func(h *harness, id RequestID) {
+	addServers := func(h *harness, id RequestID) {
 		h.handle(EndpointUpdate{Kind: UpdateFull, Servers: testServers(4)})
-		wake(h, id)
+		fireTimer(h, id)
 	}
 	for name, c := range map[string]struct {
-		servers int
-		probes  bool
-		before  func(h *harness, id RequestID) // the client disconnects
-		after   func(h *harness, id RequestID)
+		servers      int
+		healthChecks bool
+		before       func(h *harness, id RequestID) // before the client disconnects
+		after        func(h *harness, id RequestID)
 	}{
-		"waits for its first attempt": {0, false, func(*harness, RequestID) {}, back},
-		"waits for a probe": {1, true, func(*harness, RequestID) {}, func(h *harness, id RequestID) {
+		"waits for its first attempt": {0, false, func(*harness, RequestID) {}, addServers},
+		"waits for a health check": {1, true, func(*harness, RequestID) {}, func(h *harness, id RequestID) {
 			h.handle(HealthCheckResult{Server: 1, Elapsed: 1, LoadReport: []float32{0}})
-			wake(h, id)
+			fireTimer(h, id)
 		}},
 		"waits between two attempts": {1, false, func(h *harness, id RequestID) {
 			h.finishAttempt(id, 0, Overloaded, 1)
-		}, back},
+		}, addServers},
 		"its server drained": {1, false, func(h *harness, id RequestID) {
 			h.drain(1)
 			h.finishAttempt(id, 0, ConnectFailed, 1)
-		}, back},
-		"an attempt is out": {4, false, func(*harness, RequestID) {}, func(h *harness, id RequestID) {
+		}, addServers},
+		"an attempt is in flight": {4, false, func(*harness, RequestID) {}, func(h *harness, id RequestID) {
 			h.finishAttempt(id, 0, Failed, 50)
-			wake(h, id)
+			fireTimer(h, id)
 		}},
-		"an attempt is out, given up": {4, false, func(*harness, RequestID) {}, func(h *harness, id RequestID) {
-			wake(h, id)
+		"an attempt is in flight and cancelled": {4, false, func(*harness, RequestID) {}, func(h *harness, id RequestID) {
+			fireTimer(h, id)
 			h.finishAttempt(id, 0, Cancelled, 800)
-			wake(h, id)
+			fireTimer(h, id)
 		}},
-		"it was answered": {4, false, func(h *harness, id RequestID) { h.finishAttempt(id, 0, OK, 50) }, wake},
+		"it was answered": {4, false, func(h *harness, id RequestID) { h.finishAttempt(id, 0, OK, 50) }, fireTimer},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := baseConfig()
-			if c.probes {
+			if c.healthChecks {
 				cfg = healthCheckConfig()
 			}
 			h := newHarness(t, cfg, testServers(c.servers)...)
 			id, _ := h.request(idempotentClass)
 			c.before(h, id)
-			out := h.balancer.requests.open[id] != nil && h.balancer.requests.open[id].inFlight > 0
-			if actions := h.handle(ClientDisconnected{Request: id}); hasAction(actions, Cancel) != out {
-				t.Fatalf("attempt in flight: %v, got %+v", out, actions)
+			inFlight := h.balancer.requests.open[id] != nil && h.balancer.requests.open[id].inFlight > 0
+			if actions := h.handle(ClientDisconnected{Request: id}); hasAction(actions, Cancel) != inFlight {
+				t.Fatalf("attempt in flight: %v, got %+v", inFlight, actions)
 			}
 			from := len(h.actions)
 			c.after(h, id)
@@ -133,8 +135,8 @@
 	}
 }
 
-// A final answer stays the only one if the outcome of the attempt that it cancels crosses it, whatever that outcome is, and
-// the outcome is still recorded: nothing of the request remains.
+// A final answer cancels the attempt in flight. If the attempt's outcome crosses the cancel, the final answer must
+// stay the only one, whatever the outcome. The outcome is still recorded, and nothing of the request remains.
 func TestOutcomeThatCrossesTheFinalAnswer(t *testing.T) {
 	for _, class := range []int{idempotentClass, nonIdempotentClass, cellScopeClass} {
 		for result := OK; result <= Obsolete; result++ {
@@ -159,27 +161,27 @@
 	}
 }
 
-// A server that drains receives nothing that waits for it: neither a retry that is due after the update nor a request that
-// waits for its health check. If no other server is left the request is rejected in time.
+// A draining server must not receive what was waiting for it: neither a retry that is due after the update nor a
+// request that waits for the server's health check. If no other server is left, the request is rejected in time.
 func TestDrainBeforeSend(t *testing.T) {
-	t.Run("repeat", func(t *testing.T) {
+	t.Run("retry", func(t *testing.T) {
 		h := newHarness(t, baseConfig(), testServers(2)...)
 		id, actions := h.request(nonIdempotentClass)
 		first, _ := sentServer(actions)
 		h.drain(3 - first)
 		if actions = h.finishAttempt(id, 0, Overloaded, 1); hasAction(actions, Send) {
-			t.Fatalf("%+v", actions)
+			t.Fatalf("retried while the other server is draining: %+v", actions)
 		}
 		h.runTimers(id)
 		if !hasAction(h.actions, Reject) || len(h.balancer.requests.open) != 0 {
 			t.Fatalf("not rejected: %+v", h.actions)
 		}
 	})
-	t.Run("probe", func(t *testing.T) {
+	t.Run("health check", func(t *testing.T) {
 		h := newHarness(t, healthCheckConfig(), testServers(1)...)
 		id, actions := h.request(idempotentClass)
 		if !hasAction(actions, HealthCheck) || hasAction(actions, Send) {
-			t.Fatalf("it does not wait for its health check: %+v", actions)
+			t.Fatalf("the request does not wait for its health check: %+v", actions)
 		}
 		h.drain(1)
 		h.handle(HealthCheckResult{Server: 1, Elapsed: 1, LoadReport: []float32{0}})
@@ -188,7 +190,7 @@
 			t.Fatalf("not rejected: %+v", h.actions)
 		}
 	})
-	t.Run("back in time", func(t *testing.T) { // a waiting request is sent once there is a server
+	t.Run("server returns in time", func(t *testing.T) { // a waiting request is sent once a server is available
 		h := newHarness(t, baseConfig(), testServers(1)...)
 		h.drain(1)
 		id, _ := h.request(idempotentClass)
@@ -200,7 +202,8 @@
 	})
 }
 
-// An attempt is cancelled as its server is unreachable, and its answer is on the way: whichever wins, there is one answer.
+// An attempt is cancelled because its server is unreachable, while its answer is on the way. Whichever arrives first,
+// the request must get one answer.
 func TestAnswerThatCrossesACancel(t *testing.T) {
 	for _, class := range []int{idempotentClass, cellScopeClass, allScopeClass} {
 		for _, result := range []Result{OK, Failed, Reset, TimedOut, Cancelled} {
@@ -211,24 +214,24 @@
 				to, _ := sentServer(actions)
 				ids[to] = append(ids[to], id)
 			}
-			down, up := ids[1][0], ids[1][1]
-			cancelled := func(a Action) bool { return a.Kind == Cancel && a.Request == up }
-			if actions := h.finishAttempt(down, 0, ConnectFailed, 100); !slices.ContainsFunc(actions, cancelled) {
+			failed, cancelledID := ids[1][0], ids[1][1]
+			cancelled := func(a Action) bool { return a.Kind == Cancel && a.Request == cancelledID }
+			if actions := h.finishAttempt(failed, 0, ConnectFailed, 100); !slices.ContainsFunc(actions, cancelled) {
 				t.Fatalf("class %d: not cancelled: %+v", class, actions)
 			}
-			actions := h.finishAttempt(up, 0, result, 100)
+			actions := h.finishAttempt(cancelledID, 0, result, 100)
 			if to, sent := sentServer(actions); sent != (result != OK) || sent && to != 2 || hasAction(actions, Reject) ||
 				hasAction(actions, Fail) {
-				t.Errorf("class %d, result %d: sent again is %v, %+v", class, result, sent, actions)
+				t.Errorf("class %d, result %d: retried %v, %+v", class, result, sent, actions)
 			}
-			if left := h.balancer.requests.open[up] != nil; left != (result != OK) {
-				t.Errorf("class %d, result %d: retained is %v", class, result, left)
+			if retained := h.balancer.requests.open[cancelledID] != nil; retained != (result != OK) {
+				t.Errorf("class %d, result %d: retained %v", class, result, retained)
 			}
 		}
 	}
 }
 
-// A health check that was never sent, as no descriptor was free for example, says nothing of the server.
+// A health check that was never sent, for example because no file descriptor was free, says nothing about the server.
 func TestHealthCheckThatWasNeverSent(t *testing.T) {
 	for _, result := range []Result{Obsolete, Cancelled, ConnectFailed} {
 		h := newHarness(t, healthCheckConfig(), testServers(2)...)
@@ -238,7 +241,7 @@
 			t.Fatal("no health check is pending")
 		}
 		h.handle(HealthCheckResult{Server: 1, Result: result})
-		if blamed := s.errors.healthCheckFailed || h.balancer.isEjected(s); blamed != (result == ConnectFailed) ||
+		if faultRecorded := s.errors.healthCheckFailed || h.balancer.isEjected(s); faultRecorded != (result == ConnectFailed) ||
 			s.healthCheckPending {
 			t.Errorf("result %d: failed %v, ejected %v, pending %v", result, s.errors.healthCheckFailed,
 				h.balancer.isEjected(s), s.healthCheckPending)
--- a/balance/reference_pick_test.go
+++ b/balance/reference_pick_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// referencePick is pick without the indices of rotation.go and key_order.go: it goes over all servers, hashes the key
-// against each and sorts them. In a sidecar that narrows to its own order it credits a server when it is next looked at,
-// as pick does.
+// referencePick is pick without the indices of rotation.go and key_order.go: it visits all servers, hashes the key
+// against each and sorts them. Like pick, in a sidecar that narrows to its own order it credits a server only when
+// the server is next considered.
 func (b *Balancer) referencePick(r *request, retry bool) *server {
 	for _, s := range b.servers {
 		in := s.State == Ready && !b.referenceEjected(s)
@@ -98,21 +98,21 @@
 		s.slowStart.since < z.unreachableSince
 }
 
-func (b *Balancer) referenceCandidates(r *request, all bool) float64 {
-	totalWeight, fresh := 0.0, false
+func (b *Balancer) referenceCandidates(r *request, includeEjected bool) float64 {
+	totalWeight, anyReport := 0.0, false
 	b.selection.candidates = b.selection.candidates[:0]
 	for _, s := range b.servers {
-		if !b.permitted(r, s) || !all && b.referenceEjected(s) {
+		if !b.permitted(r, s) || !includeEjected && b.referenceEjected(s) {
 			continue
 		}
 		s.weight = b.referenceWeight(s)
 		totalWeight += s.weight
 		s.loadKnown = b.hasFreshReport(s)
-		fresh = fresh || s.loadKnown
+		anyReport = anyReport || s.loadKnown
 		b.selection.candidates = append(b.selection.candidates, s)
 	}
 	for _, s := range b.selection.candidates {
-		s.loadKnown = s.loadKnown || !fresh
+		s.loadKnown = s.loadKnown || !anyReport
 	}
 	return totalWeight
 }
@@ -125,30 +125,30 @@
 }
 
 func (b *Balancer) referenceSubset(key uint64) []*server {
-	all := b.selection.candidates
-	for _, s := range all {
+	candidates := b.selection.candidates
+	for _, s := range candidates {
 		u := float64(splitmix64(splitmix64(key)^uint64(s.ID))>>11+1) / (1 << 53)
 		s.keyPosition = -math.Log(u) / s.RelativeCapacity
 	}
-	slices.SortFunc(all, compareKeyPosition)
-	most := len(all) / fleetPerKeyServer
-	n := max(minServersPerKey, most, int(math.Ceil(b.keys.fraction(key)*float64(len(all))/maxKeyFraction)))
-	n = min(n, len(all))
-	if most > minServersPerKey && b.lowTraffic() {
-		for _, s := range all[:n] {
+	slices.SortFunc(candidates, compareKeyPosition)
+	subsetSize := len(candidates) / fleetPerKeyServer
+	n := max(minServersPerKey, subsetSize, int(math.Ceil(b.keys.fraction(key)*float64(len(candidates))/maxKeyFraction)))
+	n = min(n, len(candidates))
+	if subsetSize > minServersPerKey && b.lowTraffic() {
+		for _, s := range candidates[:n] {
 			s.keyPosition = s.rank * s.RelativeCapacity / s.weight
 		}
-		slices.SortFunc(all[:n], compareKeyPosition)
+		slices.SortFunc(candidates[:n], compareKeyPosition)
 		n = 1
 	}
-	if !slices.ContainsFunc(all[:n], b.hasCapacity) {
-		if more := slices.IndexFunc(all[n:], b.hasCapacity); more >= 0 {
+	if !slices.ContainsFunc(candidates[:n], b.hasCapacity) {
+		if more := slices.IndexFunc(candidates[n:], b.hasCapacity); more >= 0 {
 			n += more + 1
 		} else {
-			n = len(all)
+			n = len(candidates)
 		}
 	}
-	return all[:n]
+	return candidates[:n]
 }
 
 // differentialPair is two balancers that handle the same events, one with pick and one with referencePick.
@@ -160,7 +160,7 @@
 	now       float64
 	servers   map[ServerID]Server
 	lastID    RequestID
-	inFlight  []Action // attempts, as Send gave them
+	inFlight  []Action // attempts, as returned in Send actions
 	attempts  map[RequestID]int
 	timers    []pendingTimer
 	lostZone  int // the zone that is unreachable; -1: none
@@ -216,15 +216,15 @@
 	pair.handle(EndpointUpdate{Kind: kind, Servers: entries})
 }
 
-// handle has both handle an event and compares their actions.
+// handle lets both balancers handle an event and compares their actions.
 func (pair *differentialPair) handle(ev Event) {
 	pair.t.Helper()
 	actions, err := pair.balancers[0].Handle(pair.now, ev)
 	actions = slices.Clone(actions)
-	plain, plainErr := pair.balancers[1].Handle(pair.now, ev)
-	if !slices.EqualFunc(actions, plain, func(a, p Action) bool { return reflect.DeepEqual(a, p) }) || err != nil ||
-		plainErr != nil {
-		pair.t.Fatalf("at %v, %T %+v: %v %+v, the reference %v %+v", pair.now, ev, ev, err, actions, plainErr, plain)
+	reference, referenceErr := pair.balancers[1].Handle(pair.now, ev)
+	if !slices.EqualFunc(actions, reference, func(a, p Action) bool { return reflect.DeepEqual(a, p) }) || err != nil ||
+		referenceErr != nil {
+		pair.t.Fatalf("at %v, %T %+v: %v %+v, the reference %v %+v", pair.now, ev, ev, err, actions, referenceErr, reference)
 	}
 	for _, a := range actions {
 		switch a.Kind {
@@ -255,18 +255,18 @@
 	case n < 80:
 		pair.lastID++
 		class := pair.random.Intn(len(pair.config.Classes))
-		key := uint64(pair.random.Intn(40) * pair.random.Intn(10)) // some frequent, some rare, some requests without
+		key := uint64(pair.random.Intn(40) * pair.random.Intn(10)) // frequent keys, rare keys and requests without a key
 		pair.handle(Request{ID: pair.lastID, Class: class, Key: key, Timeout: pair.config.Classes[class].Deadline})
 	case n < 180 && len(pair.inFlight) > 0:
 		pair.endAttempt(pair.random.Intn(len(pair.inFlight)))
 	case n < 182:
 		pair.lostZone = pair.random.Intn(5) - 1
-	case n < 184: // time in which ejections, load reports and slow starts end
+	case n < 184: // time for ejections, load reports and slow starts to end
 		pair.now += 3000 * pair.random.Float64()
 	case n < 186:
-		hints := []finding{{findingFault, serverTag(ServerID(1 + pair.random.Intn(60))), pair.now},
+		findings := []finding{{findingFault, serverTag(ServerID(1 + pair.random.Intn(60))), pair.now},
 			{findingRecovery, serverTag(1), pair.now}}
-		pair.handle(GossipMessage{From: pair.random.Intn(30), Data: encodeGossip(pair.now, hints)})
+		pair.handle(GossipMessage{From: pair.random.Intn(30), Data: encodeGossip(pair.now, findings)})
 	case n < 192: // one server changes, is added or removed
 		id := ServerID(1 + pair.random.Intn(len(pair.servers)+2))
 		s, known := pair.servers[id]
@@ -283,7 +283,7 @@
 	}
 }
 
-// endAttempt ends an attempt with a random result, or as unreachable if its zone is lost.
+// endAttempt ends an attempt with a random result, or with ConnectFailed if its zone is lost.
 func (pair *differentialPair) endAttempt(i int) {
 	a := pair.inFlight[i]
 	pair.inFlight = slices.Delete(pair.inFlight, i, i+1)
@@ -291,15 +291,15 @@
 	if int(a.Server)%3 == pair.lostZone {
 		result = ConnectFailed
 	}
-	out := Outcome{Request: a.Request, Attempt: a.Attempt, Server: a.Server, Result: result, RequestDone: result == OK}
-	if out.Elapsed = 5 + pair.random.Float64()*40*float64(1+a.Server%3); result == OK &&
+	outcome := Outcome{Request: a.Request, Attempt: a.Attempt, Server: a.Server, Result: result, RequestDone: result == OK}
+	if outcome.Elapsed = 5 + pair.random.Float64()*40*float64(1+a.Server%3); result == OK &&
 		pair.config.LoadReports == LoadReportPiggyback {
-		out.LoadReport = []float32{float32(pair.random.Intn(9)), pair.random.Float32(), float32(pair.random.Intn(3)), 20}
+		outcome.LoadReport = []float32{float32(pair.random.Intn(9)), pair.random.Float32(), float32(pair.random.Intn(3)), 20}
 	}
-	pair.handle(out)
+	pair.handle(outcome)
 }
 
-// randomPlacement delivers a random placement, in part expired, of servers that are not listed or invalid.
+// randomPlacement delivers a random placement. Some of its entries are expired, invalid or name unlisted servers.
 func (pair *differentialPair) randomPlacement() {
 	servers := func() (ids []ServerID) {
 		for range pair.random.Intn(1 + len(pair.servers)/2) {
@@ -310,7 +310,8 @@
 	var p Placement
 	for id := range pair.random.Intn(4) {
 		p.Exclusions = append(p.Exclusions, Exclusion{
-			ID: id, Tenant: pair.random.Intn(2) - 1, Servers: servers(), MinAvailable: pair.random.Float64() * 0.8, ExpiresAt: pair.now + 2000*pair.random.Float64() - 100,
+			ID: id, Tenant: pair.random.Intn(2) - 1, Servers: servers(),
+			MinAvailable: pair.random.Float64() * 0.8, ExpiresAt: pair.now + 2000*pair.random.Float64() - 100,
 		})
 	}
 	for key := range uint64(pair.random.Intn(5)) {
@@ -323,8 +324,8 @@
 	pair.handle(p)
 }
 
-// The indices make a pick cheaper and change none: on random events, with lost zones, restarts and list updates, every
-// action is that of the reference.
+// The indices reduce the cost of a pick but must not change its result: on random events, with lost zones, restarts
+// and list updates, every action must equal that of the reference.
 func TestIndexedPickMatchesReference(t *testing.T) {
 	for seed := range int64(21) {
 		pair := newDifferentialPair(t, seed)
@@ -337,7 +338,8 @@
 		total, sum := pair.balancers[0].refreshRotation(), 0.0
 		for _, s := range pair.balancers[0].servers {
 			if s.inRotation {
-				sum += pair.balancers[0].weight(s) * s.weightGroup.factor / math.Exp(pair.balancers[0].capacity.byKind[s.Kind]+pair.balancers[0].capacity.byZone[s.Zone])
+				sum += pair.balancers[0].weight(s) * s.weightGroup.factor /
+					math.Exp(pair.balancers[0].capacity.byKind[s.Kind]+pair.balancers[0].capacity.byZone[s.Zone])
 			}
 		}
 		if sum = math.Max(sum, 1e-6); math.Abs(total-sum) > 1e-9*sum+1e-5 {
--- a/balance/retry_rules_test.go
+++ b/balance/retry_rules_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestWhatMayFollowAnAttempt checks what follows a first attempt for each idempotency, deduplication scope and result, within
-// the idempotency window and after it: a retry, a rejection or a failure.
+// TestWhatMayFollowAnAttempt checks the reaction to the end of a first attempt for each idempotency, deduplication
+// scope and result, within the idempotency window and after it: a retry, a rejection or a failure.
 func TestWhatMayFollowAnAttempt(t *testing.T) {
 	for _, class := range []int{idempotentClass, nonIdempotentClass, cellScopeClass, allScopeClass, zoneScopeClass} {
 		for _, result := range []Result{Failed, Overloaded, TimedOut, ConnectFailed, Reset, Cancelled} {
@@ -22,7 +22,7 @@
 func checkFollowUp(t *testing.T, class int, result Result, late bool) {
 	cfg := baseConfig()
 	for i := range cfg.Classes {
-		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // a retry is of use until the end
+		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // a retry is useful until the deadline
 		cfg.Classes[i].IdempotencyWindow = 200
 	}
 	h := newHarness(t, cfg, testServers(8)...)
@@ -36,21 +36,22 @@
 	}
 	actions = h.finishAttempt(id, 0, result, 100)
 	c := cfg.Classes[class]
-	mayResend := c.Idempotency == Idempotent || result.NeverExecuted() || c.Idempotency == IdempotentWithKey && !late
+	mayRetry := c.Idempotency == Idempotent || result.NeverExecuted() || c.Idempotency == IdempotentWithKey && !late
 	second, sent := sentServer(actions)
-	if sent != mayResend {
-		t.Fatalf("sent again: %v, want %v (%+v)", sent, mayResend, actions)
+	if sent != mayRetry {
+		t.Fatalf("sent again: %v, want %v (%+v)", sent, mayRetry, actions)
 	}
 	if !sent {
-		mayRefuse := c.Idempotency == IdempotentWithKey && c.DeduplicationScope == ScopeAll
-		if hasAction(actions, Reject) != mayRefuse || hasAction(actions, Fail) == mayRefuse {
-			t.Fatalf("rejection allowed: %v, got %+v", mayRefuse, actions)
+		mayReject := c.Idempotency == IdempotentWithKey && c.DeduplicationScope == ScopeAll
+		if hasAction(actions, Reject) != mayReject || hasAction(actions, Fail) == mayReject {
+			t.Fatalf("rejection allowed: %v, got %+v", mayReject, actions)
 		}
 		return
 	}
 	a, b := h.balancer.serversByID[first], h.balancer.serversByID[second]
-	dirty := !result.NeverExecuted()
-	if a == b || dirty && class == cellScopeClass && a.Cell != b.Cell || dirty && class == zoneScopeClass && a.Zone != b.Zone {
+	mayHaveExecuted := !result.NeverExecuted()
+	if a == b || mayHaveExecuted && class == cellScopeClass && a.Cell != b.Cell ||
+		mayHaveExecuted && class == zoneScopeClass && a.Zone != b.Zone {
 		t.Fatalf("sent to %+v after %+v", b.Server, a.Server)
 	}
 }
@@ -86,22 +87,22 @@
 		if hasAction(actions, Send) || !hasAction(actions, SetTimer) {
 			t.Fatalf("%s: %+v", name, actions)
 		}
-		refused := false
+		rejected := false
 		for h.now < 1000+baseConfig().Classes[nonIdempotentClass].Deadline {
 			h.now += 10
-			refused = refused || hasAction(h.handle(TimerFired{Token: uint64(id)}), Reject)
+			rejected = rejected || hasAction(h.handle(TimerFired{Token: uint64(id)}), Reject)
 		}
-		if !refused || len(h.balancer.requests.open) != 0 {
-			t.Fatalf("%s: rejected %v, %d requests left", name, refused, len(h.balancer.requests.open))
+		if !rejected || len(h.balancer.requests.open) != 0 {
+			t.Fatalf("%s: rejected %v, %d requests left", name, rejected, len(h.balancer.requests.open))
 		}
 	}
 }
 
 func TestDrainingServerReceivesNothingNew(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(2)...)
-	gone := testServers(1)[0]
-	gone.State = Draining
-	h.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{gone}})
+	entry := testServers(1)[0]
+	entry.State = Draining
+	h.handle(EndpointUpdate{Kind: UpdateDelta, Servers: []Server{entry}})
 	for range 20 {
 		id, actions := h.request(idempotentClass)
 		if s, _ := sentServer(actions); s != 2 {
@@ -109,8 +110,8 @@
 		}
 		h.finishAttempt(id, 0, OK, 10)
 	}
-	gone.State = Ready
-	h.handle(EndpointUpdate{Kind: UpdateFull, Servers: []Server{gone}}) // the other server is not listed: it was removed
+	entry.State = Ready
+	h.handle(EndpointUpdate{Kind: UpdateFull, Servers: []Server{entry}}) // the other server is not listed and thus removed
 	id, actions := h.request(idempotentClass)
 	if s, _ := sentServer(actions); s != 1 {
 		t.Fatalf("sent to %d of request %d", s, id)
@@ -127,17 +128,17 @@
 	}
 }
 
-// A timer that fires a rounding error early is set again, else the request would get no answer at its deadline.
+// A timer that fires early by a rounding error must be set again, or the request would get no answer at its deadline.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(4)...)
 	id, _ := h.request(nonIdempotentClass)
 	h.now = h.balancer.requests.open[id].timerAt - 1e-4
 	if actions := h.handle(TimerFired{Token: uint64(id)}); !hasAction(actions, SetTimer) {
-		t.Fatalf("no timer after an early alarm: %+v", actions)
+		t.Fatalf("no timer was set after an early one: %+v", actions)
 	}
 }
 
-// Once a streamed answer has started the client owns it: no deadline, no retry, no final answer.
+// Once a streamed answer has started, the client owns it: no deadline, no retry and no final answer apply.
 func TestStartedStreamIsNotInterrupted(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[idempotentClass].Streaming = true
@@ -156,8 +157,8 @@
 	}
 }
 
-// Failed connects after a crash are not retries: the request has attempts and time left. What may have been executed is
-// retried once at most.
+// Failed connects after a crash do not count as retries: the request has attempts and time left. A request that may have
+// been executed is retried once at most.
 func TestUnexecutedAttemptsDoNotCountAsRetries(t *testing.T) {
 	for result, sends := range map[Result]int{ConnectFailed: 4, Overloaded: 4, Failed: 2} {
 		h := newHarness(t, baseConfig(), testServers(8)...)
@@ -171,7 +172,8 @@
 	}
 }
 
-// A retry shortly before its key is forgotten could reach the server after that, as it may have to connect first.
+// A retry shortly before the idempotency window ends could reach a server after it, because it may have to connect
+// first.
 func TestRetryLeavesTimeToConnect(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 100
@@ -181,19 +183,19 @@
 		h.now += wait
 		actions := h.finishAttempt(id, 0, Reset, wait)
 		if _, sent := sentServer(actions); sent != want {
-			t.Errorf("after %v ms: sent again is %v", wait, sent)
+			t.Errorf("after %v ms: retried %v", wait, sent)
 		}
 	}
 }
 
-// In full queues everything that is served is late. While load is shed a request that is not idempotent is given up at its
-// objective, which is no error of the server; others are not, as their clients would retry.
+// In full queues every answer is late. While load is shed, a non-idempotent request is given up at its objective,
+// which is no error of the server. Other requests are not given up, because their clients would retry.
 func TestNonIdempotentAttemptsEndAtObjectiveWhileShedding(t *testing.T) {
-	for class, cuts := range map[int]bool{nonIdempotentClass: true, idempotentClass: false, cellScopeClass: false} {
-		for _, lasting := range []float64{0, 0.2} {
+	for class, endsAtObjective := range map[int]bool{nonIdempotentClass: true, idempotentClass: false, cellScopeClass: false} {
+		for _, sustained := range []float64{0, 0.2} {
 			h := newHarness(t, baseConfig(), testServers(4)...)
-			h.balancer.admission.sustainedShed = lasting
-			if lasting > 0 {
+			h.balancer.admission.sustainedShed = sustained
+			if sustained > 0 {
 				h.balancer.admission.sustainedShed += shedDeadband
 			}
 			id, actions := h.request(class)
@@ -203,29 +205,29 @@
 				s, ok = sentServer(actions)
 			}
 			want := 0.0
-			if cuts && lasting > 0 {
+			if endsAtObjective && sustained > 0 {
 				want = h.now + h.balancer.config.Classes[class].LatencyObjective
 			}
 			for _, a := range actions {
 				if a.Kind == Send && a.Deadline != want {
-					t.Errorf("class %d, %v shed: ends at %v, want %v", class, lasting, a.Deadline, want)
+					t.Errorf("class %d, %v shed: ends at %v, want %v", class, sustained, a.Deadline, want)
 				}
 			}
 			if want > 0 {
 				h.now += 200
 				if h.finishAttempt(id, 0, TimedOut, 200); h.balancer.serversByID[s].errors.consecutive != 0 {
-					t.Error("an attempt that ended at its objective is held against its server")
+					t.Error("an attempt that ended at its objective is recorded as an error of its server")
 				}
 			}
 		}
 	}
 }
 
-// Where all servers are full, retries stay a fraction of first attempts, and everything else is rejected at once. Without a
-// budget each request would be sent as often as is allowed.
+// If all servers are full, retries must stay a fraction of first attempts, and all other requests are rejected at
+// once. Without a budget, each request would use all of its allowed attempts.
 func TestRetriesAreBoundedByTheBudget(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(10)...)
-	first, repeats := 0, 0
+	first, retries := 0, 0
 	for range 2000 {
 		h.now += 5
 		id, actions := h.request(idempotentClass)
@@ -236,7 +238,7 @@
 			if n == 0 {
 				first++
 			} else {
-				repeats++
+				retries++
 			}
 			actions = h.finishAttempt(id, n, Overloaded, 1)
 		}
@@ -244,7 +246,7 @@
 			t.Fatal("a request waits though all servers are full and its budget is spent")
 		}
 	}
-	if most := retryBudgetMax + retryBudgetRatio*float64(first); float64(repeats) > most || repeats < first/10 {
-		t.Errorf("%d retries of %d first attempts, at most %.0f", repeats, first, most)
+	if limit := retryBudgetMax + retryBudgetRatio*float64(first); float64(retries) > limit || retries < first/10 {
+		t.Errorf("%d retries of %d first attempts, at most %.0f", retries, first, limit)
 	}
 }
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// sendSequence sends n idempotent requests, each answered before the next.
+// sendSequence sends n idempotent requests, each of which is answered before the next.
 func sendSequence(h *harness, n int) []ServerID {
 	var ids []ServerID
 	for range n {
@@ -50,7 +50,7 @@
 	}
 	s.errors.consecutive = 1000
 	if m := h.balancer.health(s); m != minHealth {
-		t.Fatalf("health after very many errors is %v, want the least", m)
+		t.Fatalf("health after very many errors is %v, want minHealth", m)
 	}
 	if m := h.balancer.health(h.balancer.servers[1]); m != 1 {
 		t.Fatalf("another server's errors changed health to %v", m)
@@ -75,7 +75,7 @@
 		}
 	}
 	if hits == 0 || hits >= 10 {
-		t.Fatalf("the server at the least health got %d of 40", hits)
+		t.Fatalf("the server at minHealth got %d of 40", hits)
 	}
 }
 
@@ -85,54 +85,55 @@
 		s.errors.consecutive, s.errors.lastAt = 2, h.now
 	}
 	h.balancer.servers[2].errors.consecutive = 1
-	h.balancer.servers[1].round.runningWeight = 1000 // it is next, though it is not the healthiest
+	h.balancer.servers[1].round.runningWeight = 1000 // next in turn, though not the healthiest
 	id, actions := h.request(idempotentClass)
 	if s, _ := sentServer(actions); s != 2 {
 		t.Fatalf("first sent to %d, want 2", s)
 	}
-	h.balancer.servers[3].round.runningWeight = 1000 // it is next, which must not count for a retry
+	h.balancer.servers[3].round.runningWeight = 1000 // next in turn, which must not matter for a retry
 	if s, ok := sentServer(h.finishAttempt(id, 0, Overloaded, 1)); !ok || s != 3 {
 		t.Fatalf("retried at %d, want 3", s)
 	}
 }
 
-// Where every server exceeds its load bound a first attempt goes to the one with the least load for its weight; a retry
-// still goes by health. While one is within its bound, the running weight decides.
+// If every server exceeds its load bound, a first attempt goes to the server with the least load for its weight, and
+// a retry still goes by health. While one server is within its bound, the running weight decides.
 func TestFirstAttemptGoesToLeastLoadedWhenAllExceedBound(t *testing.T) {
 	for _, c := range []struct {
-		holds [4]int
-		want  ServerID
+		inFlight [4]int
+		want     ServerID
 	}{
 		{[4]int{4, 3, 4, 4}, 2}, // all exceed the bound
 		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are within the bound, and 3 is next
 	} {
 		h := newHarness(t, baseConfig(), testServers(4)...)
 		for i, s := range h.balancer.servers {
-			s.inFlight, s.round.runningWeight = c.holds[i], float64(10*(4-i))
+			s.inFlight, s.round.runningWeight = c.inFlight[i], float64(10*(4-i))
 		}
 		h.balancer.servers[1].errors.consecutive, h.balancer.servers[1].errors.lastAt = 1, h.now-5000
 		r := &request{Request: Request{}, class: &h.balancer.config.Classes[idempotentClass]}
 		if c.want == 2 {
 			if s := h.balancer.pick(r, true); s.ID == 2 {
-				t.Errorf("%v: the retry went to the least healthy server", c.holds)
+				t.Errorf("%v: the retry went to the least healthy server", c.inFlight)
 			}
 			for i, s := range h.balancer.servers {
 				s.round.runningWeight = float64(10 * (4 - i))
 			}
 		}
 		if s := h.balancer.pick(r, false); s.ID != c.want {
-			t.Errorf("%v: sent to %d, not %d", c.holds, s.ID, c.want)
+			t.Errorf("%v: sent to %d, not %d", c.inFlight, s.ID, c.want)
 		}
 	}
 }
 
-// Each sidecar with little traffic uses few servers, all together use all evenly, and a restarted one uses the same again.
+// Each sidecar with little traffic uses few servers, all sidecars together use all servers evenly, and a restarted
+// sidecar uses the same servers again.
 func TestLowTrafficSidecarUsesSmallRotation(t *testing.T) {
 	sidecars, servers := 400, 60
-	all := map[ServerID]int{}
-	used := func(number, seed int) map[ServerID]int {
+	total := map[ServerID]int{}
+	used := func(index, seed int) map[ServerID]int {
 		cfg := baseConfig()
-		cfg.SidecarIndex, cfg.SidecarCount, cfg.Seed = number, sidecars, uint64(seed)
+		cfg.SidecarIndex, cfg.SidecarCount, cfg.Seed = index, sidecars, uint64(seed)
 		h := newHarness(t, cfg, testServers(servers)...)
 		for _, s := range h.balancer.servers {
 			s.rank = h.balancer.ownOrderRank(s)
@@ -154,20 +155,20 @@
 			t.Fatalf("sidecar %d uses %d servers", n, len(hits))
 		}
 		for s, k := range hits {
-			all[s] += k
+			total[s] += k
 		}
 		if n == 0 && !maps.Equal(hits, used(0, 77)) {
 			t.Fatal("a restarted sidecar uses other servers")
 		}
 	}
-	for s, k := range all {
+	for s, k := range total {
 		if mean := 60 * sidecars / servers; k < mean/2 || k > 2*mean {
 			t.Errorf("server %d got %d of a mean of %d", s, k, mean)
 		}
 	}
 }
 
-// A sidecar uses as many servers as it can visit often, and others when some of its own fail.
+// A sidecar uses as many servers as it can visit often, and other servers if some of its own fail.
 func TestRotationGrowsWithTrafficAndWithFailures(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(60)...)
 	count := func(gap float64, n int) int {
