--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -51,7 +51,7 @@
 	unanswered     bool      // a request is read completely and its response is not written
 	writing        bool      // the response is being written
 	writeErr       error     // of the latest response
-	closeChecked   bool      // checkClose has run
+	closeChecked   bool      // recordClose has run
 	handled        bool      // the request that was read last has reached the frontend
 	malformed      bool      // what follows on the connection cannot be told from the request before
 	readClosed     bool      // set when this side closes: nothing more is read
@@ -145,9 +145,9 @@
 	c.malformed = true
 }
 
-// checkClose counts a close over a request that was read and not answered, while its client waits. The caller holds the
+// recordClose counts a close over a request that was read and not answered, while its client waits. The caller holds the
 // lock.
-func (c *clientConn) checkClose(reason countedEvent) {
+func (c *clientConn) recordClose(reason countedEvent) {
 	c.listener.monitor.count(reason)
 	traceClientClosed(c, reason)
 	if c.readErr != nil || c.writeErr != nil || c.writing || c.closeChecked {
@@ -157,15 +157,15 @@
 	if err := peekRead(c.rawConn); err != nil && !errors.Is(err, syscall.EAGAIN) {
 		return // the client has gone, and nobody has noticed yet
 	}
-	unservedBehind := c.readAhead.size > 0 && c.handled && !c.malformed
-	if c.unanswered || unservedBehind {
-		c.listener.monitor.violated(invariantEveryRequestAnswered, "client", c.RemoteAddr().String(), "reason", reason.String(),
+	unservedReadAhead := c.readAhead.size > 0 && c.handled && !c.malformed
+	if c.unanswered || unservedReadAhead {
+		c.listener.monitor.recordViolation(invariantEveryRequestAnswered, "client", c.RemoteAddr().String(), "reason", reason.String(),
 			"unanswered", c.unanswered, "read_ahead_bytes", c.readAhead.size)
 	}
 }
 
-// closeRead marks the connection as closing; nothing more is read from it. The caller holds the lock.
-func (c *clientConn) closeRead(now time.Time) {
+// markClosing marks the connection as closing; nothing more is read from it. The caller holds the lock.
+func (c *clientConn) markClosing(now time.Time) {
 	c.readClosed = true
 	c.phase = phaseClosing
 	c.phaseSince = now
@@ -193,7 +193,7 @@
 		return c.readErr
 	}
 	// Control, as Read would wait for the goroutine that reads the connection. If it fails the connection is closed.
-	if err := c.rawConn.Control(func(fd uintptr) { _, _, _ = c.readBehind(int(fd)) }); err != nil {
+	if err := c.rawConn.Control(func(fd uintptr) { _, _, _ = c.fillReadAhead(int(fd)) }); err != nil {
 		return err
 	}
 	return c.readErr
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -37,7 +37,7 @@
 	acceptErrorLoggedAt time.Time // the goroutine that accepts alone uses it
 
 	mu sync.Mutex
-	// readAheadEnded: nothing is read behind active requests any more; see clientConn.readBehind.
+	// readAheadEnded: nothing is read behind active requests any more; see clientConn.fillReadAhead.
 	readAheadEnded bool
 	drainDeadline  time.Time // no connection lingers longer; zero: no drain yet
 	conns          map[*clientConn]struct{}
@@ -252,7 +252,7 @@
 
 // remove takes a connection out of the table; nothing more is read from it. The caller holds the lock.
 func (l *clientListener) remove(conn *clientConn, reason countedEvent) {
-	conn.checkClose(reason)
+	conn.recordClose(reason)
 	delete(l.conns, conn)
 	conn.readClosed = true
 }
@@ -267,8 +267,8 @@
 	if !l.drainDeadline.IsZero() && l.drainDeadline.Before(until) {
 		until = l.drainDeadline
 	}
-	conn.checkClose(clientConnClosed)
-	conn.closeRead(now)
+	conn.recordClose(clientConnClosed)
+	conn.markClosing(now)
 	l.signalCapacity()
 	clientMayRead := conn.readErr == nil || errors.Is(conn.readErr, errPipelineTooLong)
 	return until, clientMayRead && now.Before(until)
@@ -286,7 +286,7 @@
 			continue
 		}
 		l.monitor.count(clientConnShutByDrain)
-		conn.closeRead(now)
+		conn.markClosing(now)
 		_ = conn.TCPConn.CloseWrite() // fails only if the connection is broken, which its reader sees
 		_ = conn.SetReadDeadline(now) // wakes its reader
 	}
--- a/internal/sidecar/client_read.go
+++ b/internal/sidecar/client_read.go
@@ -59,7 +59,7 @@
 	// While a request is active net/http reads a single byte, to notice that the client disconnects, and stops reading
 	// when it gets one.
 	if c.phase == phaseActive && len(p) == 1 && c.bodyRemaining == 0 {
-		return c.readBehind(fd)
+		return c.fillReadAhead(fd)
 	}
 	if c.readErr != nil {
 		return 0, false, c.readErr
@@ -118,10 +118,10 @@
 	return copy(p, data)
 }
 
-// readBehind reads ahead behind the active request until the client disconnects, which would go unnoticed otherwise. In the
+// fillReadAhead reads ahead behind the active request until the client disconnects, which would go unnoticed otherwise. In the
 // last phase of a drain nothing more is read: a request that stays unread is sent again elsewhere. The caller holds the
 // lock.
-func (c *clientConn) readBehind(fd int) (n int, wouldBlock bool, err error) {
+func (c *clientConn) fillReadAhead(fd int) (n int, wouldBlock bool, err error) {
 	for c.readErr == nil {
 		if c.listener.readAheadEnded {
 			err := peekDescriptor(fd)
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -74,9 +74,9 @@
 	Version     string `json:"version"`
 }
 
-// settingsNames is the part of the settings that the sidecar reads itself: the names of what the balancer numbers, and
+// sidecarOptions is the part of the settings that the sidecar reads itself: the names of what the balancer numbers, and
 // limits on connections and requests.
-type settingsNames struct {
+type sidecarOptions struct {
 	Classes []namedEntry `json:"classes"`
 	Tenants []namedEntry `json:"tenants"`
 	Zones   []string     `json:"zones"`
@@ -143,11 +143,11 @@
 	if err := f.checkAddresses(); err != nil {
 		return nil, err
 	}
-	settings, names, err := f.parseSettings()
+	settings, options, err := f.parseSettings()
 	if err != nil {
 		return nil, err
 	}
-	config := f.newConfig(settings, &names)
+	config := f.newConfig(settings, &options)
 	if config.Sockets < minSockets || config.MemoryMB < 0 || config.Cores < 0 {
 		return nil, fmt.Errorf("invalid limits: %+v (at least %d sockets)", f.Limits, minSockets)
 	}
@@ -162,17 +162,17 @@
 		}
 	}
 	config.settings.AllowGossip = config.peers != nil
-	if config.classNumbers, err = numberByUniqueName("classes", names.Classes); err != nil {
+	if config.classNumbers, err = numberByUniqueName("classes", options.Classes); err != nil {
 		return nil, err
 	}
-	if config.tenantNumbers, err = numberByUniqueName("tenants", names.Tenants); err != nil {
+	if config.tenantNumbers, err = numberByUniqueName("tenants", options.Tenants); err != nil {
 		return nil, err
 	}
 	return config, nil
 }
 
 // newConfig copies what needs no further check, and sets defaults.
-func (f *configFile) newConfig(settings balance.Config, names *settingsNames) *Config {
+func (f *configFile) newConfig(settings balance.Config, options *sidecarOptions) *Config {
 	return &Config{
 		Name:             f.Name,
 		ListenAddress:    f.Listen,
@@ -184,11 +184,11 @@
 		MemoryMB:         f.Limits.MemoryMB,
 		Sockets:          cmp.Or(f.Limits.Sockets, defaultSockets),
 		settings:         settings,
-		zoneNumbers:      numberByName(names.Zones),
-		kindNumbers:      numberByName(names.Kinds),
-		loadReportFields: names.Report.Fields,
-		connIdleTimeout:  durationFromMS(names.Limits.ConnIdle),
-		maxOpenRequests:  names.Limits.MaxOpen,
+		zoneNumbers:      numberByName(options.Zones),
+		kindNumbers:      numberByName(options.Kinds),
+		loadReportFields: options.Report.Fields,
+		connIdleTimeout:  durationFromMS(options.Limits.ConnIdle),
+		maxOpenRequests:  options.Limits.MaxOpen,
 		knownEndpoints:   f.Known,
 	}
 }
@@ -223,22 +223,22 @@
 }
 
 // parseSettings parses the settings for the balancer, and the part of them that the sidecar uses itself.
-func (f *configFile) parseSettings() (settings balance.Config, names settingsNames, err error) {
+func (f *configFile) parseSettings() (settings balance.Config, options sidecarOptions, err error) {
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
-		return settings, names, fmt.Errorf("seed: %w", err)
+		return settings, options, fmt.Errorf("seed: %w", err)
 	}
 	if len(f.Settings) == 0 {
-		return settings, names, errors.New("no settings")
+		return settings, options, errors.New("no settings")
 	}
 	settings, err = wire.ParseSettings(seed, f.Settings)
 	if err != nil {
-		return settings, names, err
+		return settings, options, err
 	}
-	if err := json.Unmarshal(f.Settings, &names); err != nil {
-		return settings, names, fmt.Errorf("settings: %w", err)
+	if err := json.Unmarshal(f.Settings, &options); err != nil {
+		return settings, options, fmt.Errorf("settings: %w", err)
 	}
-	return settings, names, nil
+	return settings, options, nil
 }
 
 func numberByName(names []string) map[string]int {
--- a/internal/sidecar/event_loop.go
+++ b/internal/sidecar/event_loop.go
@@ -11,8 +11,8 @@
 // eventQueueSize lets other goroutines hand over their events while the loop is busy.
 const eventQueueSize = 1024
 
-// noTimerWakeup is how long the loop sleeps at first if neither a timer is set nor an event arrives.
-const noTimerWakeup = time.Hour
+// initialWakeupDelay is how long the loop sleeps at first if neither a timer is set nor an event arrives.
+const initialWakeupDelay = time.Hour
 
 // eventLoop owns the balancer and all state that belongs to it: calls, timers, ready upstreams, the placement in force.
 // It runs on one goroutine, which never blocks on I/O. Other goroutines reach it through post.
@@ -69,7 +69,7 @@
 	defer close(l.stopped)
 	l.ctx = ctx
 	l.start()
-	wakeup := time.NewTimer(noTimerWakeup)
+	wakeup := time.NewTimer(initialWakeupDelay)
 	defer wakeup.Stop()
 	for l.runBatch(ctx, wakeup) {
 	}
@@ -108,7 +108,7 @@
 		l.dispatch(nowMS, message)
 	case <-wakeup.C:
 		nowMS := l.clock.unixMS(time.Now())
-		l.timers.lastRunMS = nowMS
+		l.timers.lastWakeupMS = nowMS
 		l.runDueTimers(nowMS)
 	}
 	return true
@@ -207,7 +207,7 @@
 	before := l.balancer.Violations()
 	actions, err := l.balancer.Handle(nowMS, event)
 	if found := l.balancer.Violations(); found != before {
-		l.pool.guard.monitor.reportBalancer(before, found)
+		l.pool.guard.monitor.recordBalancerViolations(before, found)
 	}
 	if err != nil {
 		loopLog.Error("balancer rejected an event", "error", err)
--- a/internal/sidecar/invariants.go
+++ b/internal/sidecar/invariants.go
@@ -11,7 +11,7 @@
 	invariantNoRepeat                                // what may have been executed is sent again only as its class allows
 	invariantNothingAfterAnswer                      // an answered request is not sent
 	invariantNothingAfterDisconnect                  // nothing is sent for a client that has gone
-	invariantTimeoutPassed                           // a server is told no more time than the client has left
+	invariantTimeoutPassedOn                         // a server is told no more time than the client has left
 	invariantNothingAfterDrain                       // nothing is sent to a server that discovery has withdrawn
 	invariantSlowStartBudget                         // a server in slow start gets no attempt without a token
 	invariantEveryRequestAnswered                    // a connection is not closed over a request that was read
@@ -26,9 +26,9 @@
 // String returns the name under which a violation is logged.
 func (i invariant) String() string { return invariantNames[i] }
 
-// reportBalancer counts the violations that the balancer has found in its own actions since the previous call, whose
+// recordBalancerViolations counts the violations that the balancer has found in its own actions since the previous call, whose
 // counts are given.
-func (m *monitor) reportBalancer(previous, current balance.Violations) {
+func (m *monitor) recordBalancerViolations(previous, current balance.Violations) {
 	for _, found := range []struct {
 		rule  invariant
 		count int
@@ -39,7 +39,7 @@
 		{invariantSlowStartBudget, current.SlowStartOverdraw - previous.SlowStartOverdraw},
 	} {
 		for range found.count {
-			m.violated(found.rule, "found_by", "balancer")
+			m.recordViolation(found.rule, "found_by", "balancer")
 		}
 	}
 }
--- a/internal/sidecar/monitor.go
+++ b/internal/sidecar/monitor.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// violated counts a violation and logs it with attributes that identify the request or connection.
-func (m *monitor) violated(rule invariant, attributes ...any) {
+// recordViolation counts a violation and logs it with attributes that identify the request or connection.
+func (m *monitor) recordViolation(rule invariant, attributes ...any) {
 	if m == nil {
 		return
 	}
--- a/internal/sidecar/pipelining_test.go
+++ b/internal/sidecar/pipelining_test.go
@@ -13,16 +13,16 @@
 
 // Requests that are sent at once on a connection are owed what others are: their time runs from their arrival, and those
 // that were read are answered, however many they are and whatever ends the connection.
-func TestPipelinedRequestsAreOwedLikeOthers(t *testing.T) {
+func TestPipelinedRequestsAreServedLikeOthers(t *testing.T) {
 	t.Run("their time runs from their arrival", func(t *testing.T) {
 		const wait = 400 * time.Millisecond
-		told := make(chan time.Duration, 10)
+		forwardedTimeouts := make(chan time.Duration, 10)
 		server := newBlockingBackend(t, func(conn net.Conn, r *http.Request, body string) bool {
 			ms, err := strconv.Atoi(r.Header.Get(timeoutHeader))
 			if err != nil {
 				t.Error(err)
 			}
-			told <- time.Duration(ms) * time.Millisecond
+			forwardedTimeouts <- time.Duration(ms) * time.Millisecond
 			return serveOK(conn, r, body)
 		})
 		sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -33,8 +33,8 @@
 		time.Sleep(wait)
 		server.release <- struct{}{}
 		server.release <- struct{}{}
-		receiveWithin(t, "the first timeout", told)
-		if got := receiveWithin(t, "the second timeout", told); got > time.Second-wait {
+		receiveWithin(t, "the first timeout", forwardedTimeouts)
+		if got := receiveWithin(t, "the second timeout", forwardedTimeouts); got > time.Second-wait {
 			t.Errorf("after %v the second request's server is told %v of a second", wait, got)
 		}
 		reader := bufio.NewReader(conn)
--- a/internal/sidecar/send_guard.go
+++ b/internal/sidecar/send_guard.go
@@ -10,11 +10,11 @@
 
 // Reasons why an attempt is not begun after all. Each wraps errObsolete: the server is not to blame.
 var (
-	errCallAnswered       = fmt.Errorf("%w: the call is answered", errObsolete)
-	errWriteTimePassed    = fmt.Errorf("%w: its time to be written is over", errObsolete)
-	errClientDisconnected = fmt.Errorf("%w: the client has gone", errObsolete)
-	errUpstreamRetired    = fmt.Errorf("%w: the server is withdrawn", errObsolete)
-	errForbidden          = fmt.Errorf("%w: an invariant forbids it", errObsolete)
+	errCallAnswered        = fmt.Errorf("%w: the call is answered", errObsolete)
+	errWriteDeadlinePassed = fmt.Errorf("%w: its time to be written is over", errObsolete)
+	errClientDisconnected  = fmt.Errorf("%w: the client has gone", errObsolete)
+	errUpstreamRetired     = fmt.Errorf("%w: the server is withdrawn", errObsolete)
+	errInvariantViolation  = fmt.Errorf("%w: an invariant forbids it", errObsolete)
 )
 
 const (
@@ -40,7 +40,7 @@
 	case call.answered.Load():
 		return errCallAnswered
 	case !now.Before(a.writeDeadline()):
-		return errWriteTimePassed
+		return errWriteDeadlinePassed
 	case a.upstream.retired.Load():
 		return errUpstreamRetired
 	case call.client != nil && call.client.disconnectErr() != nil:
@@ -51,12 +51,12 @@
 			continue
 		}
 		if !earlier.ended && earlier.fullyWritten.Load() {
-			g.monitor.violated(invariantOneAttempt, "request", call.clientID, "attempt", a.number, "in_flight", earlier.number)
-			return errForbidden
+			g.monitor.recordViolation(invariantOneAttempt, "request", call.clientID, "attempt", a.number, "in_flight", earlier.number)
+			return errInvariantViolation
 		}
 		if earlier.mayHaveExecuted && !mayRepeat(call, earlier, a) {
-			g.monitor.violated(invariantNoRepeat, "request", call.clientID, "attempt", a.number, "earlier", earlier.number)
-			return errForbidden
+			g.monitor.recordViolation(invariantNoRepeat, "request", call.clientID, "attempt", a.number, "earlier", earlier.number)
+			return errInvariantViolation
 		}
 	}
 	if len(call.startedAttempts) == 0 || call.startedAttempts[len(call.startedAttempts)-1] != a {
@@ -85,23 +85,23 @@
 	return true
 }
 
-// written checks, once a request is completely written, that nothing has changed meanwhile which forbade it. timeout is
+// checkWritten checks, once a request is completely written, that nothing has changed meanwhile which forbade it. timeout is
 // what the server was given.
-func (g sendGuard) written(a *attempt, timeout time.Duration, now time.Time) {
+func (g sendGuard) checkWritten(a *attempt, timeout time.Duration, now time.Time) {
 	call := a.call
 	if call.responded.Load() {
-		g.monitor.violated(invariantNothingAfterAnswer, "request", call.clientID, "attempt", a.number)
+		g.monitor.recordViolation(invariantNothingAfterAnswer, "request", call.clientID, "attempt", a.number)
 	}
 	if remaining := call.deadline.Sub(now); timeout > remaining+timeoutSlack {
-		g.monitor.violated(invariantTimeoutPassed, "request", call.clientID, "attempt", a.number, "timeout", timeout, "remaining", remaining)
+		g.monitor.recordViolation(invariantTimeoutPassedOn, "request", call.clientID, "attempt", a.number, "timeout", timeout, "remaining", remaining)
 	}
 	if since, disconnected := call.clientDisconnectedSince(); disconnected && a.startedAt.Sub(since) > disconnectGrace {
-		g.monitor.violated(invariantNothingAfterDisconnect, "request", call.clientID, "attempt", a.number, "after", a.startedAt.Sub(since))
+		g.monitor.recordViolation(invariantNothingAfterDisconnect, "request", call.clientID, "attempt", a.number, "after", a.startedAt.Sub(since))
 	}
 }
 
-// ended records that an attempt is over: its connection is closed, or has carried the complete response.
-func (g sendGuard) ended(a *attempt, result balance.Result) {
+// recordEnd records that an attempt is over: its connection is closed, or has carried the complete response.
+func (g sendGuard) recordEnd(a *attempt, result balance.Result) {
 	a.call.writeMu.Lock()
 	defer a.call.writeMu.Unlock()
 	a.ended = true
--- a/internal/sidecar/send_guard_test.go
+++ b/internal/sidecar/send_guard_test.go
@@ -9,7 +9,7 @@
 )
 
 // What must never be decided is neither sent nor unnoticed: the guard stands behind the balancer.
-func TestGuardForbidsWhatBreaksAnInvariant(t *testing.T) {
+func TestGuardRejectsInvariantViolations(t *testing.T) {
 	for name, test := range map[string]struct {
 		idempotency balance.Idempotency
 		scope       balance.DeduplicationScope
@@ -20,10 +20,10 @@
 		"another attempt is out": {balance.Idempotent, balance.ScopeAll, func(earlier *attempt) {
 			earlier.ended = false
 			earlier.fullyWritten.Store(true)
-		}, errForbidden, invariantOneAttempt},
-		"a non-idempotent request may have been executed": {balance.NonIdempotent, balance.ScopeAll, func(*attempt) {}, errForbidden, invariantNoRepeat},
-		"the key is not known in another zone":            {balance.IdempotentWithKey, balance.ScopeZone, func(earlier *attempt) { earlier.upstream.zone = "b" }, errForbidden, invariantNoRepeat},
-		"the key is not known in another cell":            {balance.IdempotentWithKey, balance.ScopeCell, func(earlier *attempt) { earlier.upstream.cell = 2 }, errForbidden, invariantNoRepeat},
+		}, errInvariantViolation, invariantOneAttempt},
+		"a non-idempotent request may have been executed": {balance.NonIdempotent, balance.ScopeAll, func(*attempt) {}, errInvariantViolation, invariantNoRepeat},
+		"the key is not known in another zone":            {balance.IdempotentWithKey, balance.ScopeZone, func(earlier *attempt) { earlier.upstream.zone = "b" }, errInvariantViolation, invariantNoRepeat},
+		"the key is not known in another cell":            {balance.IdempotentWithKey, balance.ScopeCell, func(earlier *attempt) { earlier.upstream.cell = 2 }, errInvariantViolation, invariantNoRepeat},
 		"the key is known in the zone":                    {balance.IdempotentWithKey, balance.ScopeZone, func(earlier *attempt) { earlier.upstream.cell = 2 }, nil, 0},
 		"the key is known to all":                         {balance.IdempotentWithKey, balance.ScopeAll, func(earlier *attempt) { earlier.upstream.zone = "b" }, nil, 0},
 		"an idempotent request":                           {balance.Idempotent, balance.ScopeAll, func(earlier *attempt) { earlier.upstream.zone = "b" }, nil, 0},
@@ -49,18 +49,18 @@
 }
 
 // A request that is told too much time, or written after its answer, is counted once it is written.
-func TestGuardCountsWhatWasWrittenWrongly(t *testing.T) {
+func TestGuardCountsViolationsAfterWrite(t *testing.T) {
 	guard := sendGuard{&monitor{}}
 	request := &call{deadline: time.Now().Add(time.Second)}
-	late := &attempt{call: request, startedAt: time.Now()}
-	guard.written(late, time.Second, time.Now())
+	written := &attempt{call: request, startedAt: time.Now()}
+	guard.checkWritten(written, time.Second, time.Now())
 	if got := guard.monitor.totalViolations(); got != 0 {
 		t.Fatalf("%d violations of an attempt that broke nothing", got)
 	}
-	guard.written(late, time.Second+2*timeoutSlack, time.Now())
+	guard.checkWritten(written, time.Second+2*timeoutSlack, time.Now())
 	request.responded.Store(true)
-	guard.written(late, 0, time.Now())
-	for _, rule := range []invariant{invariantTimeoutPassed, invariantNothingAfterAnswer} {
+	guard.checkWritten(written, 0, time.Now())
+	for _, rule := range []invariant{invariantTimeoutPassedOn, invariantNothingAfterAnswer} {
 		if got := guard.monitor.violations[rule].Load(); got != 1 {
 			t.Errorf("%d violations of %v, want 1", got, rule)
 		}
--- a/internal/sidecar/timers.go
+++ b/internal/sidecar/timers.go
@@ -23,9 +23,9 @@
 
 // timerQueue holds the timers of the balancer.
 type timerQueue struct {
-	heap      timerHeap
-	due       []timer // of the latest popDue, reused
-	lastRunMS float64 // when timers last woke the event loop
+	heap         timerHeap
+	due          []timer // of the latest popDue, reused
+	lastWakeupMS float64 // when timers last woke the event loop
 }
 
 func (q *timerQueue) set(dueMS float64, token uint64) {
@@ -47,5 +47,5 @@
 	if len(q.heap) == 0 {
 		return 0, false
 	}
-	return max(q.heap[0].dueMS, q.lastRunMS+intervalMS), true
+	return max(q.heap[0].dueMS, q.lastWakeupMS+intervalMS), true
 }
--- a/internal/sidecar/upstream_exchange.go
+++ b/internal/sidecar/upstream_exchange.go
@@ -56,7 +56,7 @@
 		ContentLength: int64(len(outbound.body)),
 	}
 	result := p.exchange(attempt.ctx, attempt.upstream, attempt.deadline, req, attempt)
-	p.guard.ended(attempt, result.outcome)
+	p.guard.recordEnd(attempt, result.outcome)
 	return result
 }
 
@@ -161,7 +161,7 @@
 	complete = written == buffer.Len()
 	if complete && attempt != nil {
 		attempt.fullyWritten.Store(true)
-		guard.written(attempt, remaining, time.Now())
+		guard.checkWritten(attempt, remaining, time.Now())
 		traceWritten(attempt, remaining, conn.idleTime > 0)
 	}
 	return complete, err
