--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -8,7 +8,7 @@
 	"milldeck/balance"
 )
 
-// execute carries out actions of the balancer, in order.
+// execute executes actions of the balancer in order.
 func (l *eventLoop) execute(nowMS float64, actions []balance.Action) {
 	for i := range actions {
 		action := &actions[i]
@@ -41,11 +41,11 @@
 	}
 }
 
-// schedulingAllowance is how long the process may be held up between a look at its clock and the write that follows; see the
-// standing test.
+// schedulingAllowance is the longest time for which the process may be suspended between reading its clock and the write
+// that follows. The standing test suspends a process for up to this time; see maxHold of package faultsoak.
 const schedulingAllowance = 150 * time.Millisecond
 
-// startAttempt sends a call to a server, on a goroutine of its own.
+// startAttempt starts an attempt of a call. A new goroutine sends it and posts its outcome.
 func (l *eventLoop) startAttempt(nowMS float64, action *balance.Action) {
 	call := l.calls.byID[action.Request]
 	if call == nil {
@@ -71,7 +71,8 @@
 	l.workers.Go(func() { l.post(attemptCompleted{started, l.pool.sendAttempt(started)}) })
 }
 
-// attemptDeadline is the call's deadline, or the time at which the balancer wants the attempt dropped if that is earlier.
+// attemptDeadline returns the deadline of the call or, if it is earlier, the time at which the balancer wants the attempt
+// dropped.
 func (l *eventLoop) attemptDeadline(call *call, action *balance.Action) time.Time {
 	if action.Deadline > 0 {
 		if dropAt := l.clock.timeAt(action.Deadline); dropAt.Before(call.deadline) {
@@ -81,9 +82,10 @@
 	return call.deadline
 }
 
-// idempotencyWindowEnd is when servers may forget the idempotency key of a call; the window starts with the earliest
-// attempt that may have been executed. Zero means no bound. The balancer leaves time to connect, but a write may block,
-// or move to a second connection, and the process may be held up before it: schedulingAllowance is taken off.
+// idempotencyWindowEnd returns the time after which servers may have forgotten the idempotency key of a call, less
+// schedulingAllowance. The window starts with the decision for the earliest attempt that may have been executed. Zero means
+// no bound. The balancer leaves time to connect, but a write may block or move to a second connection, and the process may
+// be suspended before the write: hence the allowance.
 func (l *eventLoop) idempotencyWindowEnd(call *call) (end time.Time) {
 	class := &l.config.settings.Classes[call.request.Class]
 	if class.Idempotency != balance.IdempotentWithKey {
@@ -95,7 +97,7 @@
 			continue
 		}
 		endMS := attempt.decidedAtMS + class.IdempotencyWindow
-		if !(endMS < deadlineMS) { // no bound; it may not even fit into a time.Duration
+		if !(endMS < deadlineMS) { // no bound: endMS may be too large for a time.Duration
 			continue
 		}
 		if windowEnd := l.clock.timeAt(endMS).Add(-schedulingAllowance); end.IsZero() || windowEnd.Before(end) {
@@ -105,8 +107,8 @@
 	return end
 }
 
-// upstreamFor returns a ready upstream. The balancer only names servers of the list that it was sent, so any other is
-// rare; a retired stand-in for it makes the attempt end as obsolete.
+// upstreamFor returns the ready upstream of a server. The balancer chooses only servers of the list that it has received,
+// so an unknown server is rare. For one, upstreamFor returns a retired placeholder, so that the attempt ends as obsolete.
 func (l *eventLoop) upstreamFor(serverID balance.ServerID) *upstreamHost {
 	if upstream := l.readyUpstreams[serverID]; upstream != nil {
 		return upstream
@@ -116,7 +118,7 @@
 	return unknown
 }
 
-// startHealthCheck checks a server, on a goroutine of its own.
+// startHealthCheck starts a health check of a server. A new goroutine sends it and posts its result.
 func (l *eventLoop) startHealthCheck(nowMS float64, serverID balance.ServerID) {
 	upstream := l.upstreamFor(serverID)
 	l.workers.Go(func() { l.post(healthCheckDone{upstream, nowMS, l.pool.checkHealth(l.ctx, upstream)}) })
@@ -128,8 +130,8 @@
 	}
 }
 
-// rejectOrFail answers a call without a server's response: rejected, which tells the client that a retry is harmless, or
-// failed.
+// rejectOrFail answers a call without a server's response. A rejection tells the client that a retry is safe; a failure
+// does not.
 func (l *eventLoop) rejectOrFail(nowMS float64, action *balance.Action) {
 	call := l.calls.byID[action.Request]
 	if call == nil || !call.markAnswered() {
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -9,34 +9,35 @@
 	"milldeck/balance"
 )
 
-// call is one request of the client and everything that the sidecar does for it. Whoever marks it as answered owes
-// the client the one response.
+// call is one request of a client, with its attempts and its response. The goroutine that marks it as answered provides the
+// only response to the client.
 type call struct {
 	request  balance.Request // as the balancer gets it
 	clientID string          // the X-Request-ID, for logs
-	class    *balance.Class  // set on arrival at the event loop
+	class    *balance.Class  // set when the call arrives at the event loop
 	client   *clientConn     // nil outside of the HTTP server
 	outbound *outboundRequest
 	deadline time.Time     // when the client stops waiting
-	response chan response // buffered: the event loop hands over its response without blocking
+	response chan response // buffered, so that the event loop sends its response without blocking
 
-	answered  atomic.Bool
-	responded atomic.Bool // the frontend writes the response, or has given it up
+	answered  atomic.Bool // a goroutine has taken on the response; see markAnswered
+	responded atomic.Bool // the frontend writes the response, or has abandoned it
 	// writeMu is held from the final check before the first byte of an attempt until its last byte is written. The
 	// frontend acquires it before it responds, so that nothing is written to a server after the response.
 	writeMu sync.Mutex
-	// startedAttempts are the attempts that have passed the final check, in order. writeMu guards it.
+	// startedAttempts holds the attempts that have passed the final check, in order. writeMu guards it.
 	startedAttempts []*attempt
 
-	// The event loop alone uses the fields below.
+	// Only the event loop uses the fields below.
 	attempts []*attempt
 	inFlight int // attempts without an outcome
 }
 
-// markAnswered reports whether the caller is the one to respond.
+// markAnswered marks the call as answered. It reports whether the caller must provide the response, because no other
+// goroutine has marked the call before.
 func (c *call) markAnswered() bool { return c.answered.CompareAndSwap(false, true) }
 
-// clientDisconnectedSince returns when the client was seen to have gone.
+// clientDisconnectedSince returns when the sidecar noticed that the client had disconnected.
 func (c *call) clientDisconnectedSince() (since time.Time, disconnected bool) {
 	if c.client == nil {
 		return since, false
@@ -44,43 +45,44 @@
 	return c.client.disconnectedSince()
 }
 
-// response is what the client gets.
+// response is the response to a client.
 type response struct {
 	status        int
 	retryAfterMS  float64 // 0: no Retry-After
 	contentType   string
 	body          []byte
-	reservedBytes int // of the body memory, until the response is written or dropped
+	reservedBytes int // reserved from the body memory until the response is written or dropped
 	reason        countedEvent
 }
 
-// attempt is one send of a call to one server.
+// attempt is one attempt to send a call to a server.
 type attempt struct {
 	call        *call
-	number      int // its index in call.attempts, by which the balancer names it
+	number      int // the index in call.attempts, which identifies the attempt to the balancer
 	upstream    *upstreamHost
-	decidedAtMS float64 // when the balancer decided to send it
+	decidedAtMS float64 // when the balancer decided to send the attempt
 
 	deadline time.Time // for the whole exchange
-	// idempotencyWindowEnd is when servers may have forgotten the idempotency key of an earlier attempt; zero: no bound.
+	// idempotencyWindowEnd is the time after which servers may have forgotten the idempotency key of an earlier attempt.
+	// Zero means no bound.
 	idempotencyWindowEnd time.Time
 
 	ctx          context.Context
 	cancel       context.CancelFunc
-	fullyWritten atomic.Bool // the last byte is written: the server may execute it
+	fullyWritten atomic.Bool // the last byte is written: the server may execute the request
 
-	// The write lock of the call guards the fields below; see sendGuard.
-	startedAt       time.Time // the final check before the first byte
-	ended           bool      // its connection is closed, or has carried the complete response
-	mayHaveExecuted bool      // valid once it has ended
+	// call.writeMu guards the fields below; see sendGuard.
+	startedAt       time.Time // the time of the final check before the first byte
+	ended           bool      // the connection is closed, or has carried the complete response
+	mayHaveExecuted bool      // valid once ended is true
 
-	// The event loop alone uses the fields below.
-	completed     bool // its outcome is known
+	// Only the event loop uses the fields below.
+	completed     bool // the outcome is known
 	result        balance.Result
-	neverExecuted bool // the outcome proves that the server did not execute it
+	neverExecuted bool // the outcome proves that the server did not execute the request
 }
 
-// writeDeadline is when the last byte has to be written at the latest.
+// writeDeadline returns the time by which the last byte must be written.
 func (a *attempt) writeDeadline() time.Time {
 	if !a.idempotencyWindowEnd.IsZero() && a.idempotencyWindowEnd.Before(a.deadline) {
 		return a.idempotencyWindowEnd
@@ -88,13 +90,13 @@
 	return a.deadline
 }
 
-// callTable holds the calls that are not answered or have attempts in flight.
+// callTable holds the calls that are unanswered or have attempts in flight.
 type callTable struct {
 	byID   map[balance.RequestID]*call
 	lastID balance.RequestID
 }
 
-// add assigns the next request ID to a call and enters it.
+// add assigns the next request ID to a call and adds the call to the table.
 func (t *callTable) add(added *call) {
 	t.lastID++
 	added.request.ID = t.lastID
--- a/internal/sidecar/clock.go
+++ b/internal/sidecar/clock.go
@@ -9,8 +9,9 @@
 	nanosPerMS  = 1e6
 )
 
-// clock is the only clock of a sidecar. It reads Unix milliseconds once, when it is created, and advances
-// monotonically from there, so that the boot_ms of a server converts to the same value each time it is listed.
+// clock converts between times and Unix milliseconds, and is the only clock of a sidecar. It reads the wall clock once, when
+// it is created, and advances monotonically from then on. So the boot_ms of a server converts to the same value in each
+// endpoint list.
 type clock struct {
 	start       time.Time
 	startUnixMS float64
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -18,39 +18,39 @@
 )
 
 const (
-	defaultSockets = 1024 // where the configuration sets no limit
-	// minSockets leaves enough beside the reserve for clients to use a third of them.
+	defaultSockets = 1024 // used if the configuration sets no limit
+	// minSockets leaves enough unreserved descriptors for clients to use a third of all.
 	minSockets = 5 * reservedDescriptors
 )
 
-// Config is the checked configuration of a sidecar. LoadConfig makes it; it must not be changed afterwards.
+// Config is the validated configuration of a sidecar. LoadConfig creates it. It must not be modified afterwards.
 type Config struct {
 	Name             string
-	ListenAddress    string // where the application connects
+	ListenAddress    string // the address that the application connects to
 	DiscoveryAddress string
 	PlacementAddress string // of the agent that serves the placement and accepts load reports; "": none
-	// Application is the calling application. It is the tenant of all requests where the settings name no tenants.
+	// Application is the calling application. If the settings name no tenants, it is the tenant of all requests.
 	Application string
-	Version     string  // a label for load reports
+	Version     string  // a label in load reports
 	Cores       float64 // processor cores; 0: no limit
 	MemoryMB    int     // 0: no limit
-	Sockets     int     // file descriptors of the process
+	Sockets     int     // limit of file descriptors of the process
 
 	settings balance.Config
-	// Numbers by which the balancer knows what the settings name.
+	// The numbers that the balancer uses instead of names, by name.
 	classNumbers  map[string]int
-	tenantNumbers map[string]int // empty: the settings name no tenants
+	tenantNumbers map[string]int // empty if the settings name no tenants
 	zoneNumbers   map[string]int
 	kindNumbers   map[string]int
 
-	loadReportFields []string // of servers' load reports, in the order of balance.Config's load report fields
+	loadReportFields []string // the fields of servers' load reports, in the order of balance.Config.LoadReportFields
 	connIdleTimeout  time.Duration
 	maxOpenRequests  int // 0: no limit
 	knownEndpoints   endpointList
 	peers            *peerConfig // nil: no gossip
 }
 
-// configFile is the configuration file's JSON form.
+// configFile is the JSON form of the configuration file.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -67,15 +67,15 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// placementConfigFile is the part of the configuration file about the placement.
+// placementConfigFile is the part of the configuration file that concerns the placement.
 type placementConfigFile struct {
 	Placement   string `json:"placement"`
 	Application string `json:"application"`
 	Version     string `json:"version"`
 }
 
-// sidecarOptions is the part of the settings that the sidecar reads itself: the names of what the balancer numbers, and
-// limits on connections and requests.
+// sidecarOptions is the part of the settings that the sidecar itself uses: names that the balancer replaces by numbers,
+// and limits on connections and requests.
 type sidecarOptions struct {
 	Classes []namedEntry `json:"classes"`
 	Tenants []namedEntry `json:"tenants"`
@@ -94,8 +94,8 @@
 	Name string `json:"name"`
 }
 
-// LoadConfig reads the configuration file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN and NODE_DISCOVERY override the
-// file where they are set. Errors name the file and the key.
+// LoadConfig reads the configuration file whose path is in the environment variable NODE_CONFIG. The variables NODE_NAME,
+// NODE_LISTEN and NODE_DISCOVERY override the file if they are set. Errors name the file and the key.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -127,8 +127,8 @@
 	return config, nil
 }
 
-// ReloadConfig is LoadConfig while the sidecar runs. NODE_DISCOVERY is ignored, as the environment is as old as the
-// process.
+// ReloadConfig is LoadConfig for a running sidecar. It ignores NODE_DISCOVERY, because the environment of a process does
+// not change after its start.
 func ReloadConfig(getenv func(string) string) (*Config, error) {
 	return LoadConfig(func(name string) string {
 		if name == "NODE_DISCOVERY" {
@@ -138,7 +138,7 @@
 	})
 }
 
-// resolve checks the file and converts it to a Config.
+// resolve validates the file and converts it to a Config.
 func (f *configFile) resolve() (*Config, error) {
 	if err := f.checkAddresses(); err != nil {
 		return nil, err
@@ -171,7 +171,7 @@
 	return config, nil
 }
 
-// newConfig copies what needs no further check, and sets defaults.
+// newConfig copies the values that need no further validation, and sets defaults.
 func (f *configFile) newConfig(settings balance.Config, options *sidecarOptions) *Config {
 	return &Config{
 		Name:             f.Name,
@@ -202,11 +202,11 @@
 	return f.validatePlacement()
 }
 
-// validatePlacement checks the address, and the length of the names that load reports carry.
+// validatePlacement checks the address, and the length of the names that load reports contain.
 func (f *placementConfigFile) validatePlacement() error {
 	for key, name := range map[string]string{"application": f.Application, "version": f.Version} {
 		if len(name) > placement.MaxNameLength {
-			return fmt.Errorf("%s: %d bytes, at most %d", key, len(name), placement.MaxNameLength)
+			return fmt.Errorf("%s: name has %d bytes, the limit is %d", key, len(name), placement.MaxNameLength)
 		}
 	}
 	if f.Placement == "" {
@@ -214,7 +214,7 @@
 	}
 	addrPort, err := netip.ParseAddrPort(f.Placement)
 	if err == nil && addrPort.Port() == 0 {
-		err = errors.New("no port")
+		err = errors.New("port must not be 0")
 	}
 	if err != nil {
 		return fmt.Errorf("placement: %w", err)
@@ -222,7 +222,7 @@
 	return nil
 }
 
-// parseSettings parses the settings for the balancer, and the part of them that the sidecar uses itself.
+// parseSettings parses the settings of the balancer, and the part of them that the sidecar itself uses.
 func (f *configFile) parseSettings() (settings balance.Config, options sidecarOptions, err error) {
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
@@ -249,12 +249,12 @@
 	return numbers
 }
 
-// numberByUniqueName is numberByName for entries that requests name. Missing and doubled names are an error.
+// numberByUniqueName is numberByName for entries that requests refer to. A missing or duplicate name is an error.
 func numberByUniqueName(section string, entries []namedEntry) (map[string]int, error) {
 	numbers := make(map[string]int, len(entries))
 	for i, entry := range entries {
 		if _, duplicate := numbers[entry.Name]; duplicate || entry.Name == "" {
-			return nil, fmt.Errorf("settings: %s: entry %d has no unique name: %q", section, i, entry.Name)
+			return nil, fmt.Errorf("settings: %s: entry %d has a missing or duplicate name: %q", section, i, entry.Name)
 		}
 		numbers[entry.Name] = i
 	}
--- a/internal/sidecar/event_loop.go
+++ b/internal/sidecar/event_loop.go
@@ -8,25 +8,25 @@
 	"milldeck/balance"
 )
 
-// eventQueueSize lets other goroutines hand over their events while the loop is busy.
+// eventQueueSize is the number of events that other goroutines can post without blocking while the loop is busy.
 const eventQueueSize = 1024
 
-// initialWakeupDelay is how long the loop sleeps at first if neither a timer is set nor an event arrives.
+// initialWakeupDelay is how long the loop sleeps after its start if no timer is set and no event arrives.
 const initialWakeupDelay = time.Hour
 
-// eventLoop owns the balancer and all state that belongs to it: calls, timers, ready upstreams, the placement in force.
-// It runs on one goroutine, which never blocks on I/O. Other goroutines reach it through post.
+// eventLoop owns the balancer and its state: calls, timers, ready upstreams and the placement in force. It runs on one
+// goroutine, which never blocks on I/O. Other goroutines send it events with post.
 type eventLoop struct {
 	config   *Config
 	clock    clock
-	wallNow  func() time.Time // the machine's wall clock, which may be stepped
+	wallNow  func() time.Time // the wall clock of the machine, which may jump
 	boots    bootTimes
 	balancer *balance.Balancer
 
 	events  chan loopEvent
-	stopped chan struct{} // closed when run has ended
+	stopped chan struct{} // closed when run ends
 
-	ctx     context.Context // of run: ends attempts, health checks and watches
+	ctx     context.Context // the context of run; its end cancels attempts, health checks and watches
 	workers sync.WaitGroup
 
 	pool      *connPool
@@ -55,7 +55,7 @@
 	}
 }
 
-// post hands an event to the loop. After the end of the loop the event is dropped.
+// post queues an event for the loop. After the loop has stopped, it drops the event.
 func (l *eventLoop) post(event loopEvent) {
 	select {
 	case l.events <- event:
@@ -63,7 +63,7 @@
 	}
 }
 
-// run works until ctx ends and returns when all workers have ended.
+// run processes events until ctx ends, and returns when all workers have ended.
 func (l *eventLoop) run(ctx context.Context) {
 	defer l.workers.Wait()
 	defer close(l.stopped)
@@ -75,7 +75,7 @@
 	}
 }
 
-// start notifies the balancer of the configured endpoints and begins to follow discovery and the placement.
+// start notifies the balancer of the configured endpoints and starts to follow discovery and the placement.
 func (l *eventLoop) start() {
 	nowMS := l.clock.unixMS(time.Now())
 	l.execute(nowMS, l.balancer.Start(nowMS))
@@ -86,8 +86,8 @@
 	l.followPlacement(nowMS, l.config.PlacementAddress)
 }
 
-// runBatch waits for events and handles all that are queued as one batch with one reading of the clock. Timers wake the
-// loop no more often than the event interval; other events are never delayed for it. It returns false when ctx ends.
+// runBatch waits for an event and handles all queued events as one batch, with one reading of the clock. Timers wake the
+// loop at most once per event interval; other events are not delayed. It returns false when ctx ends.
 func (l *eventLoop) runBatch(ctx context.Context, wakeup *time.Timer) bool {
 	if wakeupMS, ok := l.timers.nextWakeupMS(l.config.settings.EventInterval); ok {
 		wakeup.Reset(durationFromMS(wakeupMS - l.clock.unixMS(time.Now())))
@@ -114,14 +114,14 @@
 	return true
 }
 
-// runDueTimers dispatches the timers that are due. One that is set meanwhile waits for the next batch.
+// runDueTimers dispatches the timers that are due. A timer that is set during the dispatch waits for the next batch.
 func (l *eventLoop) runDueTimers(nowMS float64) {
 	for _, due := range l.timers.popDue(nowMS) {
 		l.dispatch(nowMS, balance.TimerFired{Token: due.token})
 	}
 }
 
-// handleEvent updates the state of the loop and dispatches the event to the balancer.
+// handleEvent updates the state of the loop and dispatches the event to the balancer if the balancer needs it.
 func (l *eventLoop) handleEvent(nowMS float64, event loopEvent) {
 	switch event := event.(type) {
 	case requestArrived:
@@ -162,7 +162,8 @@
 	l.dispatch(nowMS, request)
 }
 
-// handleAttemptCompleted passes on the outcome of an attempt. The first attempt that is served gives the response.
+// handleAttemptCompleted dispatches the outcome of an attempt. The first successful attempt provides the response to the
+// client.
 func (l *eventLoop) handleAttemptCompleted(nowMS float64, attempt *attempt, exchange exchangeResult) {
 	attempt.cancel()
 	attempt.completed = true
@@ -193,7 +194,7 @@
 	l.calls.releaseIfDone(call)
 }
 
-// cancelUnsentAttempts stops the attempts that are not fully written: once a call is answered nothing more is sent.
+// cancelUnsentAttempts cancels the attempts that are not fully written, because nothing may be sent for an answered call.
 func (l *eventLoop) cancelUnsentAttempts(call *call) {
 	for _, attempt := range call.attempts {
 		if !attempt.fullyWritten.Load() {
--- a/internal/sidecar/invariants.go
+++ b/internal/sidecar/invariants.go
@@ -2,19 +2,19 @@
 
 import "milldeck/balance"
 
-// invariant is a rule that must hold whatever events meet. It is checked at run time, apart from the code that is meant to
-// keep it: a violation is a bug. docs/promises.md names the promise behind each.
+// invariant is a rule that must hold for any order of events. Checks at run time are separate from the code that ensures
+// the rule, so a violation is a bug. docs/promises.md lists the promise behind each invariant.
 type invariant uint8
 
 const (
-	invariantOneAttempt             invariant = iota // two attempts of a request are never out at once
-	invariantNoRepeat                                // what may have been executed is sent again only as its class allows
+	invariantOneAttempt             invariant = iota // a request never has two attempts in flight
+	invariantNoRepeat                                // a request that may have been executed is retried only as its class allows
 	invariantNothingAfterAnswer                      // an answered request is not sent
-	invariantNothingAfterDisconnect                  // nothing is sent for a client that has gone
-	invariantTimeoutPassedOn                         // a server is told no more time than the client has left
+	invariantNothingAfterDisconnect                  // no request of a disconnected client is sent
+	invariantTimeoutPassedOn                         // the timeout sent to a server does not exceed the client's remaining time
 	invariantNothingAfterDrain                       // nothing is sent to a server that discovery has withdrawn
 	invariantSlowStartBudget                         // a server in slow start gets no attempt without a token
-	invariantEveryRequestAnswered                    // a connection is not closed over a request that was read
+	invariantEveryRequestAnswered                    // a connection is not closed before a request that was read is answered
 	invariantCount
 )
 
@@ -23,11 +23,11 @@
 	"slow_start_budget", "every_request_answered",
 }
 
-// String returns the name under which a violation is logged.
+// String returns the name of the invariant in logs.
 func (i invariant) String() string { return invariantNames[i] }
 
-// recordBalancerViolations counts the violations that the balancer has found in its own actions since the previous call, whose
-// counts are given.
+// recordBalancerViolations records the violations that the balancer has found in its own actions, by the difference between
+// two readings of its counts.
 func (m *monitor) recordBalancerViolations(previous, current balance.Violations) {
 	for _, found := range []struct {
 		rule  invariant
--- a/internal/sidecar/logging.go
+++ b/internal/sidecar/logging.go
@@ -2,8 +2,8 @@
 
 import "log/slog"
 
-// One logger for each component. The lines of the life cycle (ready, reloaded, draining, drained) go to the default
-// logger without a component, as other programs read them.
+// One logger for each component. Life-cycle messages (ready, reloaded, draining, drained) use the default logger, without a
+// component, because other programs read them.
 var (
 	configLog    = slog.With("component", "config")
 	loopLog      = slog.With("component", "event-loop")
--- a/internal/sidecar/loop_events.go
+++ b/internal/sidecar/loop_events.go
@@ -7,17 +7,17 @@
 	"milldeck/internal/placement"
 )
 
-// loopEvent is anything that other goroutines post to the event loop: one of the types below.
+// loopEvent is an event that other goroutines post to the event loop. The types below implement it.
 type loopEvent interface{ loopEventMarker() }
 
 // requestArrived: the frontend has read a request.
 type requestArrived struct{ call *call }
 
-// clientDisconnected: the client has closed its connection, or its response is overdue. The call is already marked as
-// answered.
+// clientDisconnected: the client has closed its connection, the drain deadline has passed, or the response is overdue. The
+// call is already marked as answered.
 type clientDisconnected struct{ call *call }
 
-// attemptCompleted: an attempt has its outcome. Each attempt gets exactly one.
+// attemptCompleted: an attempt has its outcome. Each attempt posts this event exactly once.
 type attemptCompleted struct {
 	attempt  *attempt
 	exchange exchangeResult
@@ -32,26 +32,26 @@
 
 // endpointUpdate: discovery has sent a list, or a call or watch has failed.
 type endpointUpdate struct {
-	generation int // of the discovery address; one of an earlier address is ignored
+	generation int // of the discovery address; updates of earlier generations are ignored
 	kind       balance.UpdateKind
 	endpoints  endpointList
-	// discoveryUnreachable goes with UpdateFailed: see balance.EndpointUpdate.
+	// discoveryUnreachable is used with UpdateFailed only; see balance.EndpointUpdate.
 	discoveryUnreachable bool
 }
 
 // discoveryAddressChanged: a reloaded configuration names another discovery address.
 type discoveryAddressChanged struct{ address string }
 
-// placementUpdate: all placement directives in force at a time. Where a report is due, the event loop sends it on
-// reportDue.
+// placementUpdate holds all placement directives that are in force at takenAt. If a load report is due, the event loop
+// sends it on reportDue.
 type placementUpdate struct {
-	generation int // of the placement address; one of an earlier address is ignored
+	generation int // of the placement address; updates of earlier generations are ignored
 	takenAt    time.Time
 	placement  placement.Update
 	reportDue  chan<- *placement.LoadReport
 }
 
-// configReloaded holds what a reload may change beside the discovery address.
+// configReloaded holds the settings, other than the discovery address, that a reload may change.
 type configReloaded struct{ placementAddress, version string }
 
 func (requestArrived) loopEventMarker()          {}
--- a/internal/sidecar/monitor.go
+++ b/internal/sidecar/monitor.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// countedEvent is something that happens to requests, attempts and connections, with its reason.
+// countedEvent is a kind of event of requests, attempts or connections, including its cause.
 type countedEvent uint8
 
 const (
-	answeredServed          countedEvent = iota // by a server's response
-	answeredRejected                            // by the balancer: a retry is harmless
+	answeredServed          countedEvent = iota // with a server's response
+	answeredRejected                            // by the balancer, with the promise that a retry is safe
 	answeredFailed                              // by the balancer
-	answeredTimedOut                            // at the client's deadline
-	answeredOverdue                             // the balancer did not answer in time
-	answeredAtDrainEnd                          // the process is about to end
-	abandonedByClient                           // no answer is due
-	rejectedMalformed                           // 4xx
-	rejectedBodyMemory                          // no memory for the body
+	answeredTimedOut                            // by the balancer, at the client's deadline
+	answeredOverdue                             // by the frontend, because the balancer did not answer in time
+	answeredAtDrainEnd                          // by the frontend, because the process is about to end
+	abandonedByClient                           // the client disconnected before the answer
+	rejectedMalformed                           // with a 4xx status
+	rejectedBodyMemory                          // too little memory for the body
 	rejectedInFlight                            // too many requests in flight
 	attemptFirst                                // decided
 	attemptRetry                                // decided, after an attempt that ended without an answer
-	attemptNotSent                              // its first or last byte was not written
+	attemptNotSent                              // the first or the last byte was not written
 	clientConnAccepted                          //
 	clientConnEvictedForNew                     // the table is full
-	clientConnEvictedIdle                       // too many have carried a request
-	clientConnShutByDrain                       // without a request
-	clientConnClosed                            // by net/http: the client has gone, a timeout, the last response
+	clientConnEvictedIdle                       // too many connections have carried a request
+	clientConnShutByDrain                       // no request was active
+	clientConnClosed                            // by net/http: disconnect of the client, timeout, or last response
 	upstreamConnDialed                          //
 	upstreamConnDialFailed                      //
 	upstreamConnUnusable                        // the server has closed it, or has sent more than its response
 	upstreamConnExpired                         // idle for too long
-	upstreamConnEvicted                         // to make room for another
+	upstreamConnEvicted                         // to free a descriptor for another connection
 	upstreamConnWithdrawn                       // the server is draining, removed or restarted
-	upstreamConnEnded                           // by an exchange that ended otherwise than with a complete response
+	upstreamConnEnded                           // the exchange did not end with a complete response
 	acceptFailed                                //
 	watchFailed                                 // of discovery
 	reloadFailed                                //
@@ -52,24 +52,23 @@
 	"accept_failed", "watch_failed", "reload_failed",
 }
 
-// String returns the name under which the event is logged.
+// String returns the name of the event in logs.
 func (e countedEvent) String() string { return countedEventNames[e] }
 
 const (
-	// maxLoggedViolations bounds the log lines for each invariant; all violations are counted.
+	// maxLoggedViolations limits the log lines for each invariant. All violations are counted.
 	maxLoggedViolations = 20
-	// counterLogInterval is how often the counts are logged, if they have changed.
+	// counterLogInterval is the interval at which the counts are logged, if new requests have arrived.
 	counterLogInterval = time.Minute
 )
 
-// monitor counts what happens and why, and the violations of invariants. Its methods are safe for concurrent use. A nil
-// monitor counts nothing.
+// monitor counts events and violations of invariants. Its methods are safe for concurrent use. count and recordViolation do
+// nothing on a nil monitor.
 type monitor struct {
 	violations [invariantCount]atomic.Int64
 	events     [countedEventCount]atomic.Int64
 }
 
-// count counts an event.
 func (m *monitor) count(event countedEvent) {
 	if m != nil {
 		m.events[event].Add(1)
@@ -86,7 +85,7 @@
 	}
 }
 
-// totalViolations is the number of violations of all invariants.
+// totalViolations returns the number of violations of all invariants.
 func (m *monitor) totalViolations() (sum int64) {
 	for i := range m.violations {
 		sum += m.violations[i].Load()
@@ -94,7 +93,7 @@
 	return sum
 }
 
-// logCounters logs all counts that are not 0, and the number of violations.
+// logCounters logs the number of violations and all nonzero event counts.
 func (m *monitor) logCounters() {
 	attributes := []any{"violations", m.totalViolations()}
 	for i := range m.events {
@@ -105,7 +104,7 @@
 	slog.Info("counters", attributes...)
 }
 
-// logPeriodically logs the counts each interval in which requests came, until ctx ends.
+// logPeriodically logs the counts after each interval in which requests arrived, until ctx ends.
 func (m *monitor) logPeriodically(ctx context.Context) {
 	ticker := time.NewTicker(counterLogInterval)
 	defer ticker.Stop()
--- a/internal/sidecar/send_guard.go
+++ b/internal/sidecar/send_guard.go
@@ -8,32 +8,32 @@
 	"milldeck/balance"
 )
 
-// Reasons why an attempt is not begun after all. Each wraps errObsolete: the server is not to blame.
+// Reasons why a decided attempt is not sent. Each wraps errObsolete, because the server did not fail.
 var (
-	errCallAnswered        = fmt.Errorf("%w: the call is answered", errObsolete)
-	errWriteDeadlinePassed = fmt.Errorf("%w: its time to be written is over", errObsolete)
-	errClientDisconnected  = fmt.Errorf("%w: the client has gone", errObsolete)
-	errUpstreamRetired     = fmt.Errorf("%w: the server is withdrawn", errObsolete)
-	errInvariantViolation  = fmt.Errorf("%w: an invariant forbids it", errObsolete)
+	errCallAnswered        = fmt.Errorf("%w: call is already answered", errObsolete)
+	errWriteDeadlinePassed = fmt.Errorf("%w: write deadline has passed", errObsolete)
+	errClientDisconnected  = fmt.Errorf("%w: client has disconnected", errObsolete)
+	errUpstreamRetired     = fmt.Errorf("%w: server is withdrawn", errObsolete)
+	errInvariantViolation  = fmt.Errorf("%w: attempt would violate an invariant", errObsolete)
 )
 
 const (
-	// timeoutSlack is by how much the timeout that a server gets may exceed what the client has left: the process may be
-	// held up between reading its clock and writing.
+	// timeoutSlack is the most by which the timeout sent to a server may exceed the client's remaining time: the process may
+	// be suspended between reading its clock and writing the request.
 	timeoutSlack = schedulingAllowance
-	// disconnectGrace is how long after a client has gone an attempt may still begin.
+	// disconnectGrace is how long after the disconnect of a client an attempt may still start.
 	disconnectGrace = 100 * time.Millisecond
 )
 
-// sendGuard decides at the last moment whether an attempt may begin: every first byte to a server passes it, of a first
-// attempt, a retry and a move to another connection alike. The event loop and the balancer decide earlier, by what they
-// knew then. What they must never decide the guard prevents and counts as a violation.
+// sendGuard makes the final check before the first byte of an attempt is written: of first attempts, of retries, and of
+// attempts that move to another connection. The event loop and the balancer decide earlier, on older information. The guard
+// rejects a decision that violates an invariant, and records the violation.
 type sendGuard struct {
 	monitor *monitor
 }
 
-// admit returns nil if the attempt may begin now, else an error that wraps errObsolete. The caller holds the write lock of
-// the call until the request is written.
+// admit returns nil if the attempt may start now, otherwise an error that wraps errObsolete. The caller holds call.writeMu
+// until the request is written.
 func (g sendGuard) admit(a *attempt, now time.Time) error {
 	call := a.call
 	switch {
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// mayRepeat reports whether a call may go to a server although an earlier attempt may have been executed. Time is no
-// matter here: the attempt's write deadline bounds it.
+// mayRepeat reports whether a call may be sent to another server although an earlier attempt may have been executed. The end
+// of the idempotency window is not checked here, because the write deadline of the attempt ensures it.
 func mayRepeat(call *call, earlier, next *attempt) bool {
 	switch call.class.Idempotency {
 	case balance.Idempotent:
@@ -85,22 +85,24 @@
 	return true
 }
 
-// checkWritten checks, once a request is completely written, that nothing has changed meanwhile which forbade it. timeout is
-// what the server was given.
+// checkWritten checks a completely written request against the invariants that may have been violated during the write.
+// timeout is the timeout that was sent to the server.
 func (g sendGuard) checkWritten(a *attempt, timeout time.Duration, now time.Time) {
 	call := a.call
 	if call.responded.Load() {
 		g.monitor.recordViolation(invariantNothingAfterAnswer, "request", call.clientID, "attempt", a.number)
 	}
 	if remaining := call.deadline.Sub(now); timeout > remaining+timeoutSlack {
-		g.monitor.recordViolation(invariantTimeoutPassedOn, "request", call.clientID, "attempt", a.number, "timeout", timeout, "remaining", remaining)
+		g.monitor.recordViolation(invariantTimeoutPassedOn, "request", call.clientID, "attempt", a.number,
+			"timeout", timeout, "remaining", remaining)
 	}
 	if since, disconnected := call.clientDisconnectedSince(); disconnected && a.startedAt.Sub(since) > disconnectGrace {
-		g.monitor.recordViolation(invariantNothingAfterDisconnect, "request", call.clientID, "attempt", a.number, "after", a.startedAt.Sub(since))
+		g.monitor.recordViolation(invariantNothingAfterDisconnect, "request", call.clientID, "attempt", a.number,
+			"after", a.startedAt.Sub(since))
 	}
 }
 
-// recordEnd records that an attempt is over: its connection is closed, or has carried the complete response.
+// recordEnd records that an attempt has ended: its connection is closed, or has carried the complete response.
 func (g sendGuard) recordEnd(a *attempt, result balance.Result) {
 	a.call.writeMu.Lock()
 	defer a.call.writeMu.Unlock()
@@ -108,7 +110,7 @@
 	a.mayHaveExecuted = a.fullyWritten.Load() && !result.NeverExecuted()
 }
 
-// notSentReason is the text of the reason why an attempt was not sent, for logs.
+// notSentReason returns the reason for logs why an attempt was not sent.
 func notSentReason(err error) string {
 	if err == nil {
 		return ""
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -16,49 +16,49 @@
 )
 
 const (
-	// reservedDescriptors are for the listener, two watches, the log, the file of a reload and the runtime, with some to
-	// spare for connections that are being closed.
+	// reservedDescriptors covers the listener, two watches, the log, the configuration file during a reload and the
+	// runtime, with a margin for connections that are being closed.
 	reservedDescriptors    = 24
-	clientSocketFraction   = 0.5  // of the other descriptors; connections to servers use the rest
-	persistentConnFraction = 0.25 // of all; the application uses a third for its requests, and some of that stays free
-
-	memoryLimitFraction = 0.7   // of the limit; the runtime does not count the rest
-	gcPercent           = 300   // there is little garbage compared with the limit, and one core
-	bodyMemoryFraction  = 0.125 // of the limit, for bodies of requests and responses
-	// readAheadMemoryFraction is of the limit too, for what is read behind active requests: apart from the bodies, so that
-	// clients that send too much cannot take their memory.
+	clientSocketFraction   = 0.5  // of the descriptors that are not reserved; connections to servers use the rest
+	persistentConnFraction = 0.25 // of all descriptors: the application uses a third for its requests, some of which must stay free
+
+	memoryLimitFraction = 0.7   // of the memory limit; the Go runtime does not account for all memory of the process
+	gcPercent           = 300   // the sidecar makes little garbage compared with the memory limit, and has one core
+	bodyMemoryFraction  = 0.125 // of the memory limit, for the bodies of requests and responses
+	// readAheadMemoryFraction is the share of the memory limit for the bytes that are read ahead behind active requests.
+	// It is separate from the memory for bodies, so that clients that send too much cannot use that up.
 	readAheadMemoryFraction = 0.05
-	defaultMemoryMB         = 256 // assumed where there is no limit
+	defaultMemoryMB         = 256 // used if the configuration sets no memory limit
 	bytesPerMB              = 1 << 20
 
-	// After SIGTERM new connections arrive for up to 0.4 s, and the application uses those it has while they are open.
-	// SIGKILL comes no sooner than the longest deadline, of which at most maxDrainDeadline counts, and killGracePeriod
-	// later.
+	// After SIGTERM new connections arrive for up to 0.4 s, and the application goes on using its open connections.
+	// SIGKILL follows SIGTERM after at least the longest deadline of all classes, counted up to maxDrainDeadline, plus
+	// killGracePeriod.
 	drainAcceptWindow   = 500 * time.Millisecond
 	maxDrainDeadline    = 3 * time.Second
 	killGracePeriod     = 700 * time.Millisecond
 	shutdownMargin      = 200 * time.Millisecond // between the last response and SIGKILL
-	finalResponseWindow = 150 * time.Millisecond // before the last response; connections end with each response in it
+	finalResponseWindow = 150 * time.Millisecond // the end of a drain, in which each response closes its connection
 
 	drainPollInterval = 20 * time.Millisecond
 	reapInterval      = time.Second
 )
 
-// Sidecar is one sidecar. New makes it, Run serves, Reload changes its configuration meanwhile.
+// Sidecar is one sidecar. New creates it, Run serves requests, and Reload changes its configuration while it runs.
 type Sidecar struct {
 	config   *Config
 	loop     *eventLoop
 	frontend *frontend
 
-	// Reload alone uses these: what is in force.
+	// The configuration in force. Only Reload uses these fields.
 	discoveryAddress string
 	reloadable       configReloaded
 
-	// How long after SIGTERM new connections are accepted at least, and requests are served at most.
+	// After SIGTERM, new connections are accepted for at least acceptWindow and requests are served for at most serveWindow.
 	acceptWindow, serveWindow time.Duration
 }
 
-// New makes a sidecar and binds its listen address. Errors name the setting or the address.
+// New creates a sidecar and binds its listen address. Errors name the setting or the address.
 func New(config *Config) (*Sidecar, error) {
 	balancer, err := balance.New(config.settings)
 	if err != nil {
@@ -105,7 +105,7 @@
 	}, nil
 }
 
-// drainPeriod is how long after SIGTERM the last response is due.
+// drainPeriod returns the time between SIGTERM and the latest time of the last response.
 func drainPeriod(config *Config) time.Duration {
 	longestDeadline := time.Duration(0)
 	for i := range config.settings.Classes {
@@ -114,7 +114,7 @@
 	return min(longestDeadline, maxDrainDeadline) + killGracePeriod - shutdownMargin
 }
 
-// ApplyRuntimeLimits sets the Go runtime's limits on memory and threads for the whole process.
+// ApplyRuntimeLimits sets the Go runtime's limits on memory and running threads for the whole process.
 func ApplyRuntimeLimits(config *Config) {
 	debug.SetGCPercent(gcPercent)
 	if config.MemoryMB > 0 {
@@ -125,11 +125,11 @@
 	}
 }
 
-// Addr is the address where clients connect.
+// Addr returns the address that clients connect to.
 func (s *Sidecar) Addr() string { return s.frontend.listener.Addr().String() }
 
-// Reload applies what may change while the sidecar runs: the addresses of discovery and of the placement, and the version
-// label. Everything else takes effect at the next start. Calls must not overlap.
+// Reload applies the settings that may change while the sidecar runs: the addresses of discovery and of the placement, and
+// the version label. All other settings take effect at the next start. Calls must not overlap.
 func (s *Sidecar) Reload(config *Config) {
 	if reloaded := (configReloaded{config.PlacementAddress, config.Version}); reloaded != s.reloadable {
 		s.reloadable = reloaded
@@ -145,8 +145,8 @@
 	s.loop.post(discoveryAddressChanged{config.DiscoveryAddress})
 }
 
-// Run serves until ctx ends, then drains: it serves while clients still come, responds to all requests and returns. An
-// error means that serving failed.
+// Run serves requests until ctx ends. Then it drains: it continues to serve while clients still send, responds to all
+// requests and returns. An error means that serving failed.
 func (s *Sidecar) Run(ctx context.Context) error {
 	stop := s.startLoop()
 	defer stop()
@@ -162,7 +162,8 @@
 	return s.drain(server, serveErr)
 }
 
-// startLoop starts the event loop and its helpers. The returned function stops them and waits for their end.
+// startLoop starts the event loop and its helper goroutines. The returned function stops them and waits until they have
+// ended.
 func (s *Sidecar) startLoop() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -183,7 +184,7 @@
 	}
 }
 
-// reapIdle closes connections to servers that are idle for too long, until ctx ends.
+// reapIdle periodically closes connections to servers that have been idle for too long, until ctx ends.
 func (s *Sidecar) reapIdle(ctx context.Context) {
 	ticker := time.NewTicker(reapInterval)
 	defer ticker.Stop()
@@ -197,8 +198,9 @@
 	}
 }
 
-// drain serves while the application uses its connections, until shortly before the process may be killed, and then ends
-// them with their responses. Connections without a request delay the end no longer than new ones may arrive.
+// drain serves requests as long as the application uses its connections, at most until finalResponseWindow before the
+// drain deadline. Then it closes each connection after its response. Connections that have carried no request delay the
+// drain only while new connections may still arrive.
 func (s *Sidecar) drain(server *http.Server, serveErr <-chan error) error {
 	slog.Info("draining")
 	deadline := time.Now().Add(s.serveWindow + finalResponseWindow)
--- a/internal/sidecar/timers.go
+++ b/internal/sidecar/timers.go
@@ -8,7 +8,7 @@
 	token uint64
 }
 
-// timerHeap implements heap.Interface; the timer that is due first is at index 0.
+// timerHeap implements heap.Interface. The timer that is due first is at index 0.
 type timerHeap []timer
 
 func (t timerHeap) Len() int           { return len(t) }
@@ -24,15 +24,16 @@
 // timerQueue holds the timers of the balancer.
 type timerQueue struct {
 	heap         timerHeap
-	due          []timer // of the latest popDue, reused
-	lastWakeupMS float64 // when timers last woke the event loop
+	due          []timer // the result of the latest popDue; its memory is reused
+	lastWakeupMS float64 // the last time at which a timer woke the event loop
 }
 
 func (q *timerQueue) set(dueMS float64, token uint64) {
 	heap.Push(&q.heap, timer{dueMS: dueMS, token: token})
 }
 
-// popDue removes the timers that are due and returns them in order. The slice is valid until the next call.
+// popDue removes the timers that are due and returns them in the order of their due times. The slice is valid until the
+// next call.
 func (q *timerQueue) popDue(nowMS float64) []timer {
 	q.due = q.due[:0]
 	for len(q.heap) > 0 && q.heap[0].dueMS <= nowMS {
@@ -41,8 +42,8 @@
 	return q.due
 }
 
-// nextWakeupMS is when the event loop has to wake up for the first timer: no sooner than an interval after it last did.
-// ok is false if no timer is set.
+// nextWakeupMS returns when the event loop must wake up for the earliest timer, at least intervalMS after the previous
+// wakeup for timers. ok is false if no timer is set.
 func (q *timerQueue) nextWakeupMS(intervalMS float64) (wakeupMS float64, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
--- a/internal/sidecar/trace.go
+++ b/internal/sidecar/trace.go
@@ -8,12 +8,13 @@
 	"milldeck/balance"
 )
 
-// The trace is the history of each request by its X-Request-ID, at the level debug: NODE_LOG_LEVEL=debug turns it on.
+// The trace logs the history of each request, identified by its X-Request-ID, at level debug. NODE_LOG_LEVEL=debug enables
+// it.
 
-// traceEnabled reports whether the trace is on; where it is off a request costs nothing for it.
+// traceEnabled reports whether the trace is enabled. Callers check it first, so that a disabled trace costs nothing.
 func traceEnabled() bool { return traceLog.Enabled(context.Background(), slog.LevelDebug) }
 
-// traceRequest logs a request that was read; waited is how long ago its last byte arrived.
+// traceRequest logs a request that was read. waited is the time since its last byte arrived.
 func traceRequest(call *call, waited time.Duration) {
 	if traceEnabled() {
 		traceLog.Debug("request received", "request", call.clientID, "class", call.request.Class,
@@ -21,7 +22,7 @@
 	}
 }
 
-// traceDecision logs the decision for an attempt; a retry has the result of the attempt before as its reason.
+// traceDecision logs the decision for an attempt. The reason for a retry is the result of the previous attempt.
 func traceDecision(decided *attempt) {
 	if !traceEnabled() {
 		return
@@ -68,7 +69,7 @@
 	}
 }
 
-// resultNames are the results of attempts as the trace has them.
+// resultNames are the names of attempt results in the trace.
 var resultNames = map[balance.Result]string{
 	balance.OK: "ok", balance.Failed: "failed", balance.Overloaded: "overloaded", balance.TimedOut: "timed_out",
 	balance.ConnectFailed: "connect_failed", balance.Reset: "reset", balance.Cancelled: "cancelled", balance.Obsolete: "obsolete",
