--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -7,29 +7,30 @@
 	"time"
 )
 
-// connPhase is what a client connection is doing, ordered by which is evicted first.
+// connPhase is the phase of a client connection. Connections in lower phases are evicted first.
 type connPhase uint8
 
 const (
-	phaseClosing connPhase = iota // its last response is written
-	phaseNew                      // has not carried a request yet
+	phaseClosing connPhase = iota // the last response is written
+	phaseNew                      // no request yet
 	phaseIdle                     // between requests
-	phaseActive                   // has a request; never evicted
+	phaseActive                   // serves a request; never evicted
 )
 
-// partialRequestGrace is how long the rest of a request may take after its first bytes, on a busy machine. Until then its
-// connection is not evicted, and neither are idle ones that have carried requests.
+// partialRequestGrace is how long the rest of a request may take after its first bytes, on a busy machine. During this time
+// the connection is not evicted, and idle connections that have carried requests are not evicted either.
 const partialRequestGrace = 50 * time.Millisecond
 
-// lingerTimeout is how long a connection stays open after its last response for the client to close it. If it were closed
-// over unread bytes, it would be reset, and the client could lose the response.
+// lingerTimeout is how long a connection stays open after its last response, so that the client closes it. Closing a
+// connection that holds unread bytes resets it, and the client can lose the response.
 const lingerTimeout = shutdownMargin / 2
 
-// errPipelineTooLong ends the connection of a client that sends more behind an active request than is read ahead.
+// errPipelineTooLong ends the connection of a client that sends more bytes behind an active request than the sidecar reads
+// ahead.
 var errPipelineTooLong = errors.New("too many bytes behind an active request")
 
-// clientConn is a connection of a client. Reading from it and evicting it exclude each other under the lock of the
-// listener: a request that is read gets its response, and from a connection that is evicted nothing is read.
+// clientConn is a connection of a client. The lock of the listener makes reading and eviction mutually exclusive: a request
+// that was read gets its response, and nothing is read from an evicted connection.
 type clientConn struct {
 	*net.TCPConn
 	rawConn  syscall.RawConn
@@ -37,32 +38,32 @@
 
 	// The lock of the listener guards the fields below.
 	phase      connPhase
-	phaseSince time.Time // when the phase began, or the first byte of the next request arrived
-	// readerWaiting: the server has processed all it has read and waits for more. While it is false, what was read last
-	// may be a request.
+	phaseSince time.Time // when the phase began or, if later, when the first byte of the next request was read
+	// readerWaiting: net/http has processed all bytes that it has read, and waits for more. While it is false, the bytes
+	// that were read last may be a request.
 	readerWaiting  bool
 	requestStarted bool // a part of the next request is read
 	readAhead      readAheadBuffer
 	head           headScanner
-	bodyRemaining  int       // bytes of the active request's body that are not read
-	arrivedAt      time.Time // when the bytes arrived that were read last
-	readErr        error     // set when the client has closed its side: nothing more arrives
+	bodyRemaining  int       // unread bytes of the active request's body
+	arrivedAt      time.Time // when the bytes that were read last arrived
+	readErr        error     // set when reading has failed, such as when the client has closed its side: nothing more is read
 	disconnectedAt time.Time // when readErr was set
 	unanswered     bool      // a request is read completely and its response is not written
 	writing        bool      // the response is being written
 	writeErr       error     // of the latest response
-	closeChecked   bool      // recordClose has run
+	closeChecked   bool      // recordClose has checked that no request is left unanswered
 	handled        bool      // the request that was read last has reached the frontend
-	malformed      bool      // what follows on the connection cannot be told from the request before
+	malformed      bool      // a malformed request was read: the bytes that follow may be a part of it
 	readClosed     bool      // set when this side closes: nothing more is read
 }
 
-// Close implements net.Conn. It closes the sending side first and lingers, so that the client gets its last response
-// whatever it has sent meanwhile, which is discarded. net/http calls it on the goroutine that reads.
+// Close implements net.Conn. It closes the sending side first and lingers, so that the client gets its last response even
+// if it has sent more bytes, which are discarded. net/http calls Close on the goroutine that reads.
 func (c *clientConn) Close() error {
 	lingerDeadline, lingers := c.listener.beginClose(c)
 	if lingers && c.TCPConn.CloseWrite() == nil && c.SetReadDeadline(lingerDeadline) == nil {
-		// Returns when the client closes its side, or at the deadline; either way the connection is closed next.
+		// Read returns when the client closes its side or at the deadline. In both cases the connection is closed next.
 		_ = c.rawConn.Read(func(uintptr) bool {
 			err := peekRead(c.rawConn)
 			return err != nil && !errors.Is(err, syscall.EAGAIN)
@@ -71,13 +72,14 @@
 	return c.TCPConn.Close()
 }
 
-// CloseWrite is called by net/http after the last response, half a second before Close.
+// CloseWrite closes the sending side. net/http calls it after the last response, half a second before Close.
 func (c *clientConn) CloseWrite() error {
 	c.listener.setPhase(c, phaseClosing)
 	return c.TCPConn.CloseWrite()
 }
 
-// setReadErr records that nothing more arrives, and since when; nil changes nothing. The caller holds the lock.
+// setReadErr records the first read error and its time. It does nothing if err is nil. The caller holds the lock of the
+// listener.
 func (c *clientConn) setReadErr(err error) {
 	if err == nil || c.readErr != nil {
 		return
@@ -86,14 +88,14 @@
 	c.disconnectedAt = time.Now()
 }
 
-// disconnectedSince returns when the client was seen to have closed its side.
+// disconnectedSince returns when the sidecar noticed that the client had closed its side.
 func (c *clientConn) disconnectedSince() (since time.Time, disconnected bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	return c.disconnectedAt, c.readErr != nil
 }
 
-// setUnanswered records that the connection has a request that is read completely and not answered.
+// setUnanswered records that a request is read completely and not answered.
 func (c *clientConn) setUnanswered() {
 	if c == nil {
 		return
@@ -103,7 +105,7 @@
 	c.unanswered = true
 }
 
-// setHandled records that a request has reached the frontend, and was not rejected by net/http.
+// setHandled records that the request has reached the frontend: net/http has not rejected it.
 func (c *clientConn) setHandled() {
 	if c == nil {
 		return
@@ -113,7 +115,7 @@
 	c.handled = true
 }
 
-// setWriting records that the response is being written; it blocks only while the client does not read.
+// setWriting records that the response is being written. The write blocks only while the client does not read.
 func (c *clientConn) setWriting() {
 	if c == nil {
 		return
@@ -123,8 +125,7 @@
 	c.unanswered, c.writing = false, true
 }
 
-// setAnswered records that the response is written, or the error with which that failed: the client has gone or does not
-// read.
+// setAnswered records that the response is written, or the write error: the client has disconnected or does not read.
 func (c *clientConn) setAnswered(err error) {
 	if c == nil {
 		return
@@ -135,7 +136,7 @@
 	c.writeErr = err
 }
 
-// setMalformed records that what follows on the connection is no request of its own.
+// setMalformed records that a malformed request was read, so that the bytes after it are not taken as a request.
 func (c *clientConn) setMalformed() {
 	if c == nil {
 		return
@@ -145,8 +146,8 @@
 	c.malformed = true
 }
 
-// recordClose counts a close over a request that was read and not answered, while its client waits. The caller holds the
-// lock.
+// recordClose counts the end of a connection by its reason. It records a violation if a request was read and not answered
+// while the client still waits. The caller holds the lock of the listener.
 func (c *clientConn) recordClose(reason countedEvent) {
 	c.listener.monitor.count(reason)
 	traceClientClosed(c, reason)
@@ -155,7 +156,7 @@
 	}
 	c.closeChecked = true
 	if err := peekRead(c.rawConn); err != nil && !errors.Is(err, syscall.EAGAIN) {
-		return // the client has gone, and nobody has noticed yet
+		return // the client has disconnected, which was not noticed before
 	}
 	unservedReadAhead := c.readAhead.size > 0 && c.handled && !c.malformed
 	if c.unanswered || unservedReadAhead {
@@ -164,7 +165,7 @@
 	}
 }
 
-// markClosing marks the connection as closing; nothing more is read from it. The caller holds the lock.
+// markClosing marks the connection as closing. Nothing more is read from it. The caller holds the lock of the listener.
 func (c *clientConn) markClosing(now time.Time) {
 	c.readClosed = true
 	c.phase = phaseClosing
@@ -178,28 +179,29 @@
 	return c.phase != phaseActive
 }
 
-// evictable reports whether nothing of a request is read, or a part of one whose grace is over. The caller holds the
-// lock, and checks in addition whether the socket holds unread bytes.
+// evictable reports whether the connection may be evicted: no part of a request is read, or the grace period of a partial
+// request is over. The caller holds the lock of the listener and also checks that the socket holds no unread bytes.
 func (c *clientConn) evictable(now time.Time) bool {
 	return c.phase != phaseActive && c.readerWaiting && (!c.requestStarted || now.Sub(c.phaseSince) >= partialRequestGrace)
 }
 
-// disconnectErr returns the error with which the client has closed its side, nil if it is connected. The connection has an
-// active request. The socket is asked, as nobody may have noticed yet; what stands before the end is read ahead.
+// disconnectErr returns the read error if the client of an active request has disconnected, and nil if not. It checks the
+// socket, because the disconnect may not have been noticed yet. Bytes that arrived before the disconnect are read ahead.
 func (c *clientConn) disconnectErr() error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	if c.readErr != nil || c.readClosed || c.phase != phaseActive {
 		return c.readErr
 	}
-	// Control, as Read would wait for the goroutine that reads the connection. If it fails the connection is closed.
+	// Control is used because Read would wait for the goroutine that reads the connection. Control fails only if the
+	// connection is closed.
 	if err := c.rawConn.Control(func(fd uintptr) { _, _, _ = c.fillReadAhead(int(fd)) }); err != nil {
 		return err
 	}
 	return c.readErr
 }
 
-// expectBody announces the body of the active request, of which nothing has been read.
+// expectBody sets the size of the active request's body, before any of it is read.
 func (c *clientConn) expectBody(size int) {
 	if c == nil {
 		return
@@ -209,7 +211,7 @@
 	c.bodyRemaining = size
 }
 
-// lastArrival is when the last byte that was read arrived: once a request is read completely, its last byte.
+// lastArrival returns when the last byte that was read arrived. After a request is read completely, that is its last byte.
 func (c *clientConn) lastArrival() time.Time {
 	if c == nil {
 		return time.Now()
@@ -219,7 +221,7 @@
 	return c.arrivedAt
 }
 
-// readAheadPending reports whether anything was read behind the active request.
+// readAheadPending reports whether bytes behind the active request were read ahead.
 func (c *clientConn) readAheadPending() bool {
 	if c == nil {
 		return false
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -14,35 +14,34 @@
 	"milldeck/internal/sockets"
 )
 
-// capacityPollInterval is how soon Accept looks again for a connection to evict, and drain for one to close.
+// capacityPollInterval is the interval at which Accept looks for a connection to evict, and drain for connections to close.
 const capacityPollInterval = 5 * time.Millisecond
 
-// readBufferBytes is how much is read ahead at a time behind an active request.
+// readBufferBytes is the maximum number of bytes that one read takes from a client socket.
 const readBufferBytes = 4 << 10
 
-// clientListener accepts client connections and holds the table of those that are open. A plain listener with a limit
-// stops accepting when it is full, so that silent clients shut all others out; this one evicts the connection that is
-// idle for longest.
+// clientListener accepts client connections and holds the table of open ones. A plain listener with a limit stops accepting
+// when it is full, so that silent clients lock out all others. This listener evicts the longest idle connection instead.
 type clientListener struct {
 	*net.TCPListener
 	maxConns      int
-	maxPersistent int           // of connections that have carried a request; beyond it the longest idle one is evicted
-	capacityFreed chan struct{} // signals that a connection has ended, or may now be evicted
+	maxPersistent int           // limit of connections that have carried a request; above it the longest idle one is evicted
+	capacityFreed chan struct{} // signals that a connection has ended or has become evictable
 	closed        chan struct{}
 	closeOnce     sync.Once
 
 	lingerTimeout time.Duration
 	monitor       *monitor
 
-	acceptErrorLoggedAt time.Time // the goroutine that accepts alone uses it
+	acceptErrorLoggedAt time.Time // used only by the goroutine that accepts
 
 	mu sync.Mutex
-	// readAheadEnded: nothing is read behind active requests any more; see clientConn.fillReadAhead.
+	// readAheadEnded: no more bytes are read behind active requests; see clientConn.fillReadAhead.
 	readAheadEnded bool
-	drainDeadline  time.Time // no connection lingers longer; zero: no drain yet
+	drainDeadline  time.Time // no connection lingers beyond it; zero: no drain has begun
 	conns          map[*clientConn]struct{}
-	readBuffer     [readBufferBytes]byte // for one read under the lock
-	memory         *byteBudget           // of what is read ahead; nil: no bound
+	readBuffer     [readBufferBytes]byte // for one read while the lock is held
+	memory         *byteBudget           // for bytes that are read ahead; nil: no limit
 }
 
 func newClientListener(listener net.Listener, maxConns, maxPersistent int) *clientListener {
@@ -57,7 +56,8 @@
 	}
 }
 
-// Accept implements net.Listener. It waits until the table has capacity for the connection, evicting another if it can.
+// Accept implements net.Listener. It waits until the table has capacity for the connection, and evicts another connection if
+// necessary and possible.
 func (l *clientListener) Accept() (net.Conn, error) {
 	tcpConn, err := l.acceptTCP()
 	if err != nil {
@@ -80,8 +80,9 @@
 	return conn, nil
 }
 
-// acceptTCP accepts a connection. It outlives every error that passes: net/http would end the server with some of them, and
-// have clients wait for up to a second after the others. net.ErrClosed means that stopAccepting has ended accepting.
+// acceptTCP accepts a connection. It retries after every temporary error: net/http stops the server on some of these
+// errors, and after the others it waits for up to a second while clients wait. net.ErrClosed means that stopAccepting or
+// Close has ended accepting.
 func (l *clientListener) acceptTCP() (*net.TCPConn, error) {
 	var pause sockets.Pause
 	for failed := false; ; {
@@ -93,7 +94,7 @@
 			if !failed && !l.connectionQueued() {
 				return nil, net.ErrClosed // net/http would retry after a timeout
 			}
-			// The time was over before the queue was empty.
+			// The deadline passed before all queued connections were accepted.
 			failed = false
 			if err := l.stopAccepting(); err != nil {
 				return nil, err
@@ -110,7 +111,7 @@
 	}
 }
 
-// connectionQueued reports whether a connection waits to be accepted.
+// connectionQueued reports whether a connection is waiting to be accepted.
 func (l *clientListener) connectionQueued() bool {
 	rawListener, err := l.SyscallConn()
 	if err != nil {
@@ -125,7 +126,7 @@
 	return controlErr == nil && queued
 }
 
-// logAcceptError logs an error of accept, at most one a second, and counts it.
+// logAcceptError counts an accept error, and logs at most one a second.
 func (l *clientListener) logAcceptError(err error) {
 	l.monitor.count(acceptFailed)
 	if now := time.Now(); now.Sub(l.acceptErrorLoggedAt) >= time.Second {
@@ -134,7 +135,7 @@
 	}
 }
 
-// sleep waits; it reports false if the listener is closed meanwhile.
+// sleep waits for a duration. It returns early and reports false if the listener is closed.
 func (l *clientListener) sleep(pause time.Duration) bool {
 	select {
 	case <-time.After(pause):
@@ -144,7 +145,7 @@
 	}
 }
 
-// Close implements net.Listener. It also ends an Accept that waits for capacity.
+// Close implements net.Listener. It also ends an Accept call that waits for capacity.
 func (l *clientListener) Close() error {
 	var err error
 	l.closeOnce.Do(func() {
@@ -154,7 +155,8 @@
 	return err
 }
 
-// register enters a connection into the table and reports whether there was capacity.
+// register adds a connection to the table, after evicting another if the table is full. It reports false if the table is
+// full and no connection can be evicted.
 func (l *clientListener) register(conn *clientConn) bool {
 	l.mu.Lock()
 	var evicted *clientConn
@@ -170,13 +172,13 @@
 	}
 	l.mu.Unlock()
 	if evicted != nil {
-		_ = evicted.TCPConn.Close() // closed for good, whatever it returns
+		_ = evicted.TCPConn.Close() // the connection is closed even if Close returns an error
 	}
 	return admitted
 }
 
-// evictOne removes a connection without a request from the table, nil if there is none. The caller holds the lock and
-// closes the connection after it has released the lock: closing waits for a reader, which may wait for the lock.
+// evictOne removes a connection without a request from the table and returns it, or nil if there is none. The caller holds
+// the lock, and closes the connection only after releasing it: closing waits for a reader, which may wait for the lock.
 func (l *clientListener) evictOne() *clientConn {
 	now := time.Now()
 	for {
@@ -188,14 +190,14 @@
 			l.remove(candidate, clientConnEvictedForNew)
 			return candidate
 		}
-		candidate.readerWaiting = false // bytes have arrived, and its reader is about to get them
+		candidate.readerWaiting = false // bytes have arrived that the reader has not read yet
 	}
 }
 
-// evictionCandidate returns the evictable connection of the earliest phase that is in it for longest. It also reports
-// whether a new connection may have its first request, or a part of it, unread. One whose last response is still on its way
-// is no candidate: bytes that its client has sent, or sends next, would have the close reset it and take the rest of the
-// response with it. The caller holds the lock.
+// evictionCandidate returns the evictable connection of the lowest phase that has been in its phase for longest. It also
+// reports whether a new connection may have sent its first request, or a part of it, that is not processed yet. A connection
+// whose last response is not delivered yet is no candidate: if the client has sent bytes, or sends more, closing resets the
+// connection and the client loses the rest of the response. The caller holds the lock.
 func (l *clientListener) evictionCandidate(now time.Time) (candidate *clientConn, firstRequestExpected bool) {
 	for conn := range l.conns {
 		if conn.phase != phaseClosing && !conn.evictable(now) {
@@ -212,8 +214,8 @@
 	return candidate, firstRequestExpected
 }
 
-// awaitsDelivery reports whether a response is still on its way to the client, and the client has had less time to read it than a
-// connection lingers for. A closing connection is bounded by its own deadline.
+// awaitsDelivery reports whether the client has not acknowledged all of the last response, and has had less than the linger
+// timeout to read it. For a closing connection the deadline of its Close is the limit.
 func (l *clientListener) awaitsDelivery(conn *clientConn, now time.Time) bool {
 	switch conn.phase {
 	case phaseClosing:
@@ -227,10 +229,10 @@
 	return unacknowledgedBytes(conn.rawConn) > 0
 }
 
-// evictExcessPersistent removes the longest idle connection if more than maxPersistent have carried a request, nil if
-// not. The caller holds the lock and closes the connection after it has released the lock. The application may use a
-// third of the descriptors for its requests: if it fills them with connections that it used once, it has none left for
-// its next request long before this side reaches its own limit.
+// evictExcessPersistent removes the longest idle connection from the table and returns it, if more than maxPersistent
+// connections have carried a request. Otherwise it returns nil. The caller holds the lock, and closes the connection only
+// after releasing it. The application may use a third of the descriptors for its requests: if it keeps connections open
+// that it used once, it has no descriptor left for its next request long before the sidecar reaches its own limit.
 func (l *clientListener) evictExcessPersistent() *clientConn {
 	persistent := 0
 	var longestIdle *clientConn
@@ -250,15 +252,15 @@
 	return longestIdle
 }
 
-// remove takes a connection out of the table; nothing more is read from it. The caller holds the lock.
+// remove deletes a connection from the table. Nothing more is read from it. The caller holds the lock.
 func (l *clientListener) remove(conn *clientConn, reason countedEvent) {
 	conn.recordClose(reason)
 	delete(l.conns, conn)
 	conn.readClosed = true
 }
 
-// beginClose marks a connection as closing. It returns whether the connection lingers, so that its client gets the last
-// response, and until when.
+// beginClose marks a connection as closing. It returns whether the connection lingers, so that the client gets the last
+// response, and the deadline for that.
 func (l *clientListener) beginClose(conn *clientConn) (until time.Time, lingers bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -274,8 +276,8 @@
 	return until, clientMayRead && now.Before(until)
 }
 
-// shutdownIdle ends all connections without a request, during a drain. Their readers close them. A new connection is
-// left alone for a moment, as its first request may be on its way.
+// shutdownIdle shuts down all connections without a request, during a drain. Their readers then close them. New connections
+// are exempt for partialRequestGrace, because their first request may be in transit.
 func (l *clientListener) shutdownIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -287,12 +289,12 @@
 		}
 		l.monitor.count(clientConnShutByDrain)
 		conn.markClosing(now)
-		_ = conn.TCPConn.CloseWrite() // fails only if the connection is broken, which its reader sees
-		_ = conn.SetReadDeadline(now) // wakes its reader
+		_ = conn.TCPConn.CloseWrite() // fails only if the connection is broken, which the reader notices
+		_ = conn.SetReadDeadline(now) // wakes the reader
 	}
 }
 
-// drain ends each connection as soon as it has no request, and reports whether all have ended by the deadline.
+// drain closes each connection as soon as it has no request. It reports whether all were closed by the deadline.
 func (l *clientListener) drain(deadline time.Time) bool {
 	l.mu.Lock()
 	l.drainDeadline = deadline
@@ -306,19 +308,19 @@
 	return true
 }
 
-// stopAccepting lets Accept take the connections that are queued and then end.
+// stopAccepting makes Accept return net.ErrClosed after it has accepted all queued connections.
 func (l *clientListener) stopAccepting() error {
 	return l.SetDeadline(time.Now().Add(capacityPollInterval))
 }
 
-// endReadAhead has nothing more read behind active requests.
+// endReadAhead stops reading ahead behind active requests.
 func (l *clientListener) endReadAhead() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.readAheadEnded = true
 }
 
-// anyPersistent reports whether a connection that has carried a request may carry another.
+// anyPersistent reports whether any open connection has carried a request and may carry another.
 func (l *clientListener) anyPersistent() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -330,7 +332,7 @@
 	return false
 }
 
-// setPhase changes the phase of a connection.
+// setPhase changes the phase of a connection, and evicts an idle connection if there are too many.
 func (l *clientListener) setPhase(conn *clientConn, phase connPhase) {
 	l.mu.Lock()
 	conn.phase = phase
@@ -344,7 +346,7 @@
 	evicted := l.evictExcessPersistent()
 	l.mu.Unlock()
 	if evicted != nil {
-		_ = evicted.TCPConn.Close() // closed for good, whatever it returns
+		_ = evicted.TCPConn.Close() // the connection is closed even if Close returns an error
 	}
 }
 
@@ -355,7 +357,7 @@
 	}
 }
 
-// onConnState is the ConnState hook of the HTTP server. A connection becomes active before its handler is called.
+// onConnState is the ConnState hook of the HTTP server. net/http reports a connection as active before it calls the handler.
 func (l *clientListener) onConnState(netConn net.Conn, state http.ConnState) {
 	conn := netConn.(*clientConn)
 	switch state {
@@ -369,7 +371,7 @@
 		conn.readAhead.clear()
 		l.signalCapacity()
 		l.mu.Unlock()
-	case http.StateNew: // Accept has entered it
+	case http.StateNew: // Accept has added it to the table
 	}
 }
 
@@ -381,12 +383,12 @@
 
 type clientConnKey struct{}
 
-// withClientConn is the ConnContext hook of the HTTP server: it stores the connection for the handler.
+// withClientConn is the ConnContext hook of the HTTP server. It stores the connection in the context for the handler.
 func withClientConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, clientConnKey{}, conn)
 }
 
-// clientConnOf returns the connection of a request, nil outside of the server.
+// clientConnOf returns the connection of a request, or nil outside of the HTTP server.
 func clientConnOf(r *http.Request) *clientConn {
 	conn, _ := r.Context().Value(clientConnKey{}).(*clientConn)
 	return conn
--- a/internal/sidecar/client_read.go
+++ b/internal/sidecar/client_read.go
@@ -12,14 +12,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// kernelTick is by how much the system may overstate how long bytes have waited: it counts in ticks. It is taken off, so that
-// no request ends before its time.
+// kernelTick is the most by which the kernel overstates how long bytes have waited, because it counts in ticks.
+// arrivalTime subtracts it, so that no request expires before its deadline.
 const kernelTick = 10 * time.Millisecond
 
-// maxArrivalAge is longer than any request waits to be read: the system does not mean what it tells.
+// maxArrivalAge is longer than any request waits to be read. A longer waiting time from the kernel is invalid.
 const maxArrivalAge = time.Minute
 
-// Read implements net.Conn for net/http, which reads on one goroutine at a time.
+// Read implements net.Conn. net/http reads on one goroutine at a time.
 func (c *clientConn) Read(p []byte) (int, error) {
 	var n int
 	var err error
@@ -30,8 +30,8 @@
 	}
 	waitErr := c.rawConn.Read(readReady)
 	if errors.Is(waitErr, os.ErrDeadlineExceeded) && c.betweenRequests() {
-		// A request may have arrived at the last moment, before this goroutine was scheduled. If Control fails, the
-		// deadline error stands.
+		// A request may have arrived just before the deadline, while this goroutine was not scheduled. If Control fails,
+		// Read returns the deadline error.
 		_ = c.rawConn.Control(func(fd uintptr) {
 			if readReady(fd) {
 				waitErr = nil
@@ -41,14 +41,14 @@
 	if waitErr != nil {
 		err = waitErr
 	}
-	if err != nil && err != io.EOF { //nolint:errorlint // io.Reader asks for a bare io.EOF
+	if err != nil && err != io.EOF { //nolint:errorlint // io.Reader requires an unwrapped io.EOF
 		err = &net.OpError{Op: "read", Net: "tcp", Err: err} // the type that net/http expects
 	}
 	return n, err
 }
 
-// readAvailable reads without blocking; wouldBlock reports that nothing is there. net/http gets one request at a time: no
-// byte beyond a head, and none beyond the body that the frontend has announced.
+// readAvailable reads without blocking. wouldBlock is true if no bytes are available. net/http gets one request at a time:
+// no byte beyond a request's head, and none beyond the body whose size the frontend has set with expectBody.
 func (c *clientConn) readAvailable(fd int, p []byte) (n int, wouldBlock bool, err error) {
 	listener := c.listener
 	listener.mu.Lock()
@@ -56,8 +56,8 @@
 	if c.readClosed {
 		return 0, false, net.ErrClosed
 	}
-	// While a request is active net/http reads a single byte, to notice that the client disconnects, and stops reading
-	// when it gets one.
+	// While a request is active, net/http reads a single byte to detect that the client disconnects. It stops reading when
+	// it gets that byte.
 	if c.phase == phaseActive && len(p) == 1 && c.bodyRemaining == 0 {
 		return c.fillReadAhead(fd)
 	}
@@ -73,7 +73,8 @@
 	return c.readSocket(fd, p)
 }
 
-// readSocket reads once from the socket. What net/http must not have yet is read ahead. The caller holds the lock.
+// readSocket reads once from the socket. Bytes that net/http must not get yet go to the read-ahead buffer. The caller holds
+// the lock of the listener.
 func (c *clientConn) readSocket(fd int, p []byte) (n int, wouldBlock bool, err error) {
 	size, err := readNonblocking(fd, c.listener.readBuffer[:])
 	if errors.Is(err, syscall.EAGAIN) {
@@ -90,12 +91,13 @@
 	arrivedAt := arrivalTime(fd)
 	n = c.deliver(p, data, arrivedAt)
 	if !c.readAhead.append(data[n:], arrivedAt) {
-		c.setReadErr(errPipelineTooLong) // no memory is left for it
+		c.setReadErr(errPipelineTooLong) // the read-ahead memory is exhausted
 	}
 	return n, false, nil
 }
 
-// deliver copies bytes to net/http, no more than it may have, and returns how many. The caller holds the lock.
+// deliver copies bytes to net/http, up to the end of the request's head or body, and returns their number. The caller holds
+// the lock of the listener.
 func (c *clientConn) deliver(p, data []byte, arrivedAt time.Time) int {
 	data = data[:min(len(data), len(p))]
 	switch {
@@ -118,9 +120,10 @@
 	return copy(p, data)
 }
 
-// fillReadAhead reads ahead behind the active request until the client disconnects, which would go unnoticed otherwise. In the
-// last phase of a drain nothing more is read: a request that stays unread is sent again elsewhere. The caller holds the
-// lock.
+// fillReadAhead reads the bytes behind the active request into the read-ahead buffer, until no more are available or the
+// client has disconnected. Without reading, the disconnect would go unnoticed. In the last phase of a drain it reads
+// nothing more, because the client sends an unread request again on another connection. The caller holds the lock of the
+// listener.
 func (c *clientConn) fillReadAhead(fd int) (n int, wouldBlock bool, err error) {
 	for c.readErr == nil {
 		if c.listener.readAheadEnded {
@@ -144,8 +147,9 @@
 	return 0, false, c.readErr
 }
 
-// arrivalTime is when the bytes that were just read from a socket arrived at this machine: they may have waited there, if
-// the process was held up or could not accept the connection. Where the system does not tell, they have arrived now.
+// arrivalTime returns when the bytes that were just read from a socket arrived at this machine. They may have waited in the
+// kernel, if the process was suspended or could not accept the connection. If the kernel does not report the waiting time,
+// arrivalTime returns the present time.
 func arrivalTime(fd int) time.Time {
 	now := time.Now()
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
@@ -159,8 +163,8 @@
 	return now.Add(kernelTick - waited)
 }
 
-// readNonblocking reads once. The error is io.EOF when the client has closed its side, syscall.EAGAIN when nothing is
-// there.
+// readNonblocking reads once. The error is io.EOF if the client has closed its side, and syscall.EAGAIN if no bytes are
+// available.
 func readNonblocking(fd int, p []byte) (int, error) {
 	for {
 		n, err := syscall.Read(fd, p)
@@ -176,16 +180,16 @@
 	}
 }
 
-// openAndEmpty reports whether a connection is open and holds no unread bytes.
+// openAndEmpty reports whether the peer has not closed a connection and its socket holds no unread bytes.
 func openAndEmpty(conn net.Conn) bool {
 	rawConn, err := conn.(*net.TCPConn).SyscallConn()
 	return err == nil && errors.Is(peekRead(rawConn), syscall.EAGAIN)
 }
 
-// peekRead returns the error that the next read would return, nil if there are bytes. It consumes nothing.
+// peekRead returns the error that the next read would return, or nil if bytes are available. It consumes no bytes.
 func peekRead(rawConn syscall.RawConn) error {
 	var err error
-	// Control, as Read would wait for the goroutine that reads the connection.
+	// Control is used because Read would wait for the goroutine that reads the connection.
 	controlErr := rawConn.Control(func(fd uintptr) { err = peekDescriptor(int(fd)) })
 	return cmp.Or(controlErr, err)
 }
@@ -205,8 +209,8 @@
 	}
 }
 
-// unacknowledgedBytes returns how many bytes were written to a connection that its peer's machine has not acknowledged; 0 if the
-// system does not tell.
+// unacknowledgedBytes returns how many written bytes the machine of the peer has not acknowledged, or 0 if the kernel does
+// not report that.
 func unacknowledgedBytes(rawConn syscall.RawConn) int {
 	count := 0
 	controlErr := rawConn.Control(func(fd uintptr) {
@@ -215,7 +219,7 @@
 		}
 	})
 	if controlErr != nil {
-		return 0 // closed already
+		return 0 // the connection is already closed
 	}
 	return count
 }
--- a/internal/sidecar/frontend.go
+++ b/internal/sidecar/frontend.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Statuses of the responses that the sidecar makes itself. 429 and 503 tell the client that a retry is harmless, so only
+// Statuses of the responses that the sidecar itself generates. 429 and 503 tell the client that a retry is safe, so only
 // rejections use them.
 const (
 	statusRejected = http.StatusServiceUnavailable
@@ -20,18 +20,18 @@
 )
 
 const (
-	// overdueGrace is how long after deadline and answer slack the frontend waits for the balancer; PROTOCOL allows sockets
-	// 50 ms.
+	// overdueGrace is how long the frontend waits for the balancer after the deadline and AnswerGracePeriod. PROTOCOL allows
+	// 50 ms for sockets.
 	overdueGrace = 25 * time.Millisecond
 	writeTimeout = 5 * time.Second
 
-	// headerTimeout and bodyTimeout together stay below the 3 s within which a bad client must be disconnected.
+	// headerTimeout plus bodyTimeout is less than the 3 s within which a faulty client must be disconnected.
 	headerTimeout = 1500 * time.Millisecond
-	// idleTimeout is short, as clients need few connections and each costs memory.
+	// idleTimeout is short, because clients need few connections and each connection uses memory.
 	idleTimeout = 2500 * time.Millisecond
 )
 
-// frontend serves the application: it reads requests, posts them to the event loop and writes their responses.
+// frontend serves the application: it reads requests, posts them to the event loop and writes the responses.
 type frontend struct {
 	config     *Config
 	post       func(loopEvent)
@@ -44,9 +44,9 @@
 	maxInFlight  int64
 	writeTimeout time.Duration
 
-	drainDeadline      atomic.Pointer[time.Time] // when the last response is due; nil: not draining
+	drainDeadline      atomic.Pointer[time.Time] // the time by which the last response must be written; nil: not draining
 	drainExpired       chan struct{}             // closed at the drain deadline
-	closeAfterResponse atomic.Bool               // connections end with their next response
+	closeAfterResponse atomic.Bool               // each connection is closed after its next response
 }
 
 func (f *frontend) httpServer() *http.Server {
@@ -62,23 +62,24 @@
 	}
 }
 
-// closeConnections ends all connections after their responses, and stops accepting once none is left: a client whose
-// request crosses the end of its connection sends it again on a new one. serveErr signals that the server has stopped
-// accepting. Shutdown of net/http is not used, as it also closes connections on which a request is being read.
+// closeConnections closes all connections after their responses. It stops accepting only when no connection is left: a client
+// that sends a request while its connection is being closed sends the request again on a new connection. serveErr signals
+// that the server has stopped accepting. http.Server.Shutdown is not used, because it also closes connections on which a
+// request is being read.
 func (f *frontend) closeConnections(server *http.Server, serveErr <-chan error, deadline time.Time) error {
-	f.listener.endReadAhead() // first: see announceClose
+	f.listener.endReadAhead() // before closeAfterResponse is set: announceClose depends on it
 	f.closeAfterResponse.Store(true)
 	if f.listener.drain(deadline) {
 		if err := f.listener.stopAccepting(); err != nil {
 			return err
 		}
 		select {
-		case <-serveErr: //nolint:errcheck // it is net.ErrClosed of stopAccepting
+		case <-serveErr: //nolint:errcheck // always net.ErrClosed, because of stopAccepting
 		case <-time.After(time.Until(deadline)):
 		}
 		f.listener.drain(deadline)
 	}
-	return server.Close() // clients that do not read their response
+	return server.Close() // closes the connections of clients that do not read their responses
 }
 
 // ServeHTTP serves the ready check and the requests of the application.
@@ -95,8 +96,8 @@
 		f.rejectMalformed(w, r, err)
 		return
 	}
-	// Both limits bound memory, goroutines and connections to servers. Nothing is sent yet, so a rejection is safe. A
-	// request that is not read completely ends its connection.
+	// The limits on body memory and on requests in flight bound memory, goroutines and connections to servers. The request
+	// has not been sent to a server, so a rejection is safe. A request that is not read completely ends its connection.
 	size := int(r.ContentLength)
 	if !f.bodyMemory.reserve(size) {
 		f.monitor.count(rejectedBodyMemory)
@@ -125,16 +126,16 @@
 	f.serveCall(w, r, call)
 }
 
-// announceClose has the connection end with this response, in the last phase of a drain. If more requests were read from it
-// they are answered first.
+// announceClose makes this response close the connection, in the last phase of a drain. If more requests were read from the
+// connection, it stays open until they are answered.
 func (f *frontend) announceClose(w http.ResponseWriter, r *http.Request) {
 	if f.closeAfterResponse.Load() && !clientConnOf(r).readAheadPending() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// rejectMalformed responds to a malformed request and ends its connection: what follows on it may be a part of the
-// request.
+// rejectMalformed responds to a malformed request and closes the connection, because the bytes that follow may be a part of
+// the request.
 func (f *frontend) rejectMalformed(w http.ResponseWriter, r *http.Request, err error) {
 	status := http.StatusBadRequest
 	var malformed *malformedError
@@ -152,16 +153,16 @@
 	}
 }
 
-// serveReady responds to the ready check: 503 while draining.
+// serveReady responds to the readiness check, with status 503 while the sidecar drains.
 func (f *frontend) serveReady(w http.ResponseWriter) {
 	if f.drainDeadline.Load() != nil {
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = io.WriteString(w, "ready\n") // fails only if the client has gone
+	_, _ = io.WriteString(w, "ready\n") // fails only if the client has disconnected
 }
 
-// serveCall hands a call to the event loop and writes its response.
+// serveCall posts a call to the event loop and writes the response.
 func (f *frontend) serveCall(w http.ResponseWriter, r *http.Request, call *call) {
 	// The client may have disconnected while net/http had this request buffered.
 	if err := clientConnOf(r).disconnectErr(); err != nil {
@@ -181,8 +182,8 @@
 	f.bodyMemory.release(resp.reservedBytes)
 }
 
-// awaitResponse waits for the response of the event loop, or ends the call itself: when the client disconnects, when the
-// process is about to end, or when the response is overdue.
+// awaitResponse waits for the response of the event loop. It ends the call itself if the client disconnects, the drain
+// deadline passes, or the response is overdue.
 func (f *frontend) awaitResponse(w http.ResponseWriter, r *http.Request, call *call) response {
 	overdueAfter := max(time.Until(call.deadline), 0) + durationFromMS(f.config.settings.AnswerGracePeriod) + overdueGrace
 	overdue := time.NewTimer(overdueAfter)
@@ -203,7 +204,7 @@
 		resp, _ := f.concludeCall(call, answeredAtDrainEnd)
 		return resp
 	case <-overdue.C:
-		// The balancer owes each request an answer by now, so this is a bug.
+		// The balancer must have answered by now, so this is a bug.
 		resp, ended := f.concludeCall(call, answeredOverdue)
 		if ended {
 			frontendLog.Error("balancer did not answer in time", "request", r.Header.Get(requestIDHeader))
@@ -212,15 +213,16 @@
 	}
 }
 
-// waitForWriter waits until no attempt of a call is being written. One that passed its final check before the call was
-// answered may still be.
+// waitForWriter waits until no attempt of a call is being written. An attempt that passed its final check before the call
+// was answered may still be in progress.
 func waitForWriter(writeMu *sync.Mutex) {
 	writeMu.Lock()
-	writeMu.Unlock() //nolint:staticcheck,gocritic // the section is empty, as this only waits
+	writeMu.Unlock() //nolint:staticcheck,gocritic // the critical section is empty: only the wait matters
 }
 
-// disconnectedResponse is the response to a client that has disconnected: it aborts the handler, as returning would send
-// an empty 200 that no server made. A client that sent too much behind its request gets status 400.
+// disconnectedResponse handles a client that has disconnected. It aborts the handler with a panic, because a return would
+// send an empty response with status 200 that no server sent. It returns a response only for a client that sent too much
+// behind its request, which gets status 400.
 func disconnectedResponse(w http.ResponseWriter, disconnectErr error) response {
 	if !errors.Is(disconnectErr, errPipelineTooLong) {
 		panic(http.ErrAbortHandler)
@@ -229,8 +231,8 @@
 	return response{status: http.StatusBadRequest}
 }
 
-// concludeCall ends a call without a response of the event loop; ended reports that it did. If the event loop has answered
-// at the same time, its response is returned instead.
+// concludeCall ends a call without a response of the event loop. If the event loop has already answered the call,
+// concludeCall waits for that response, returns it, and reports false in ended.
 func (f *frontend) concludeCall(call *call, reason countedEvent) (resp response, ended bool) {
 	if !call.markAnswered() {
 		return <-call.response, false
@@ -239,18 +241,18 @@
 	return response{status: statusTimedOut, reason: reason}, true
 }
 
-// extendWriteDeadline bounds the time for writing a response from now on, so that a client that does not read cannot
-// occupy a place forever.
+// extendWriteDeadline sets the write deadline to writeTimeout from now, so that a client that does not read cannot occupy
+// a connection forever.
 func (f *frontend) extendWriteDeadline(w http.ResponseWriter) {
 	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(f.writeTimeout)); err != nil {
 		frontendLog.Error("cannot set the write deadline", "error", err)
 	}
 }
 
-// writeResponse writes a response to the socket. If that fails the client has gone or does not read.
+// writeResponse writes a response to the socket. The write fails if the client has disconnected or does not read.
 func writeResponse(w http.ResponseWriter, r *http.Request, resp response) {
 	header := w.Header()
-	header["Content-Type"] = nil // net/http would guess one
+	header["Content-Type"] = nil // otherwise net/http guesses one
 	if resp.contentType != "" {
 		header.Set("Content-Type", resp.contentType)
 	}
@@ -263,7 +265,7 @@
 	w.WriteHeader(resp.status)
 	_, err := w.Write(resp.body)
 	if err == nil {
-		// Now, not when the handler has returned: an error must be known before the connection is closed for it.
+		// Flush before the handler returns, so that a write error is recorded before net/http closes the connection for it.
 		err = http.NewResponseController(w).Flush()
 	}
 	conn.setAnswered(err)
--- a/internal/sidecar/read_ahead.go
+++ b/internal/sidecar/read_ahead.go
@@ -5,29 +5,29 @@
 )
 
 const (
-	// maxReadAheadBytes bounds what is read ahead on a connection behind the request that is being served: several requests
-	// of the largest size, or hundreds of the usual one. A client that sends more is disconnected.
+	// maxReadAheadBytes limits the bytes that are read ahead on a connection behind the active request: several requests of
+	// the largest size, or hundreds of the usual size. A client that sends more is disconnected.
 	maxReadAheadBytes = 256 << 10
-	// arrivalResolution: bytes that arrive within it of each other count as arrived with the first, so that a client that
-	// sends byte by byte does not take a segment for each.
+	// arrivalResolution is the time within which later bytes join the segment of earlier ones and count as arrived with
+	// them. Otherwise a client that sends byte by byte would need a segment for each byte.
 	arrivalResolution = 5 * time.Millisecond
 )
 
-// segment is a run of bytes that arrived together.
+// segment is a sequence of bytes that arrived together.
 type segment struct {
 	data      []byte
 	arrivedAt time.Time
 }
 
-// readAheadBuffer holds what has been read from a connection behind the request that is being served, with the time at which it
-// arrived: a request's time runs from its last byte, however long others before it take.
+// readAheadBuffer holds the bytes that were read from a connection behind the active request, with their arrival times. The
+// timeout of a request starts when its last byte arrives, however long the requests before it take.
 type readAheadBuffer struct {
 	segments []segment
 	size     int
-	memory   *byteBudget // of all connections; nil: no bound
+	memory   *byteBudget // shared by all connections; nil: no limit
 }
 
-// append adds bytes; it reports false, and adds nothing, if there is no room for them.
+// append adds bytes. If they do not fit, it adds nothing and reports false.
 func (b *readAheadBuffer) append(data []byte, arrivedAt time.Time) bool {
 	if len(data) == 0 {
 		return true
@@ -44,13 +44,13 @@
 	return true
 }
 
-// first returns the bytes that arrived first, at most limit of them; they stay in the buffer. It must not be empty.
+// first returns the oldest bytes, at most limit of them, without removing them. The buffer must not be empty.
 func (b *readAheadBuffer) first(limit int) (data []byte, arrivedAt time.Time) {
 	oldest := &b.segments[0]
 	return oldest.data[:min(limit, len(oldest.data))], oldest.arrivedAt
 }
 
-// discard removes the first bytes.
+// discard removes the oldest bytes, which first has returned.
 func (b *readAheadBuffer) discard(count int) {
 	b.size -= count
 	b.releaseMemory(count)
@@ -64,7 +64,7 @@
 	}
 }
 
-// clear removes all.
+// clear removes all bytes.
 func (b *readAheadBuffer) clear() {
 	b.releaseMemory(b.size)
 	b.segments = nil
@@ -77,13 +77,13 @@
 	}
 }
 
-// headScanner finds the end of a request's head: its first empty line. net/http gets no byte beyond it, so that what it has
-// read is one request, and what follows is known to be unread by it.
+// headScanner finds the end of a request's head: its first empty line. net/http gets no byte beyond the head, so it has read
+// one request at most, and has not read any byte that follows.
 type headScanner struct {
-	lineLength int // of the current line, without the characters that end it
+	lineLength int // of the current line, without the line terminator
 }
 
-// scan returns how many of the bytes belong to the head, and whether it ends with them.
+// scan returns how many of the bytes belong to the head, and whether the head ends with them.
 func (s *headScanner) scan(data []byte) (length int, ended bool) {
 	for i, char := range data {
 		switch {
--- a/internal/sidecar/request_ids.go
+++ b/internal/sidecar/request_ids.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// requestIDRetention is the least time for which an ID is remembered after its response. Whoever copies an ID may send it
-// a moment after the original is answered.
+// requestIDRetention is the minimum time for which an ID is kept after its response. A client that reuses an ID may send the
+// duplicate just after the original is answered.
 const requestIDRetention = 3 * time.Second
 
-// recentRequestIDs remembers the request IDs in flight and those answered recently, as an ID names one request only. It
-// stores hashes: IDs may be long, and there is no end to them.
+// recentRequestIDs holds the request IDs that are in flight or were answered recently, because an ID must identify one
+// request only. It stores hashes, because IDs may be long and their number is not limited.
 type recentRequestIDs struct {
 	seed maphash.Seed
 
 	mu                sync.Mutex
 	inFlight          map[uint64]struct{}
-	current, previous map[uint64]struct{} // answered in this retention period and in the one before
+	current, previous map[uint64]struct{} // answered in the current and in the previous retention period
 	rotatedAt         time.Time           // when the current period began
 }
 
@@ -31,7 +31,7 @@
 	}
 }
 
-// claim marks an ID as in flight and returns its hash; ok is false if the ID is known already.
+// claim marks an ID as in flight and returns its hash. ok is false if the ID is already in flight or recently answered.
 func (ids *recentRequestIDs) claim(id string) (hash uint64, ok bool) {
 	hash = maphash.String(ids.seed, id)
 	ids.mu.Lock()
@@ -55,7 +55,7 @@
 	ids.current[hash] = struct{}{}
 }
 
-// rotate forgets the previous period when the current one is over. The caller holds the lock.
+// rotate discards the IDs of the previous period when the current one is over. The caller holds the lock.
 func (ids *recentRequestIDs) rotate() {
 	age := time.Since(ids.rotatedAt)
 	if age < requestIDRetention {
--- a/internal/sidecar/request_parsing.go
+++ b/internal/sidecar/request_parsing.go
@@ -20,11 +20,12 @@
 	maxRequestHeaderBytes = 8 << 10
 	maxRequestIDBytes     = 128
 	maxCostMicros         = 1e12 // of X-Cost
-	// bodyTimeout: the application runs beside the sidecar, so what it sends is there at once.
+	// bodyTimeout limits the time to receive a body. The application runs on the same machine, so a body arrives at once.
 	bodyTimeout = 1200 * time.Millisecond
 )
 
-// malformedError is what is wrong with a request. Its status is never 429 or 503, as these invite the client to retry.
+// malformedError describes why a request is malformed. Its status is never 429 or 503, because these invite the client to
+// retry.
 type malformedError struct {
 	status  int
 	message string
@@ -32,30 +33,30 @@
 
 func (e *malformedError) Error() string { return e.message }
 
-// badRequest is a malformedError with status 400.
+// badRequest returns a malformedError with status 400.
 func badRequest(message string) error { return &malformedError{http.StatusBadRequest, message} }
 
-// Headers of a request, in the canonical form that net/http stores.
+// Request headers, in the canonical form that net/http stores.
 const (
 	requestIDHeader      = "X-Request-Id"
 	priorityClassHeader  = "X-Priority-Class"
 	tenantHeader         = "X-Tenant-Id"
 	timeoutHeader        = "X-Timeout-Ms" // milliseconds
 	idempotencyKeyHeader = "Idempotency-Key"
-	retriedHeader        = "X-Retried" // "1": the client sends the request again
+	retriedHeader        = "X-Retried" // "1": a retry by the client
 	costHeader           = "X-Cost"    // expected work in microseconds
 )
 
-// keyCookie names what a request is about.
+// keyCookie is the cookie with the key of a request: the subject that it concerns.
 const keyCookie = "k"
 
-// singleValueHeaders may occur once only, as two values could be read in two ways.
+// singleValueHeaders may occur only once: of two values, the sidecar and a server could each use a different one.
 var singleValueHeaders = []string{
 	requestIDHeader, priorityClassHeader, tenantHeader, timeoutHeader, idempotencyKeyHeader, retriedHeader, costHeader,
 }
 
-// parseRequest checks the head of a request. It returns the call and how long the client waits, or a malformedError. The
-// body is read afterwards, so that none is read in vain.
+// parseRequest validates the head of a request. It returns the call and its timeout, or a malformedError. The body is read
+// later, so that the body of a malformed request is never read.
 func (f *frontend) parseRequest(w http.ResponseWriter, r *http.Request) (*call, time.Duration, error) {
 	if r.URL.Path != apiPath {
 		return nil, 0, &malformedError{http.StatusNotFound, "not found"}
@@ -70,8 +71,9 @@
 	return f.newCall(r)
 }
 
-// checkFraming rejects requests whose length two readers could understand differently. net/http ignores Content-Length
-// beside Transfer-Encoding, and Transfer-Encoding in HTTP/1.0, so neither is accepted: bodies come with their length.
+// checkFraming rejects requests whose length two HTTP implementations could interpret differently. net/http ignores
+// Content-Length beside Transfer-Encoding, and ignores Transfer-Encoding in HTTP/1.0. So both Transfer-Encoding and HTTP/1.0
+// are rejected, and a body requires Content-Length.
 func checkFraming(r *http.Request) error {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
@@ -86,7 +88,7 @@
 	return nil
 }
 
-// newCall makes a call from the headers of a request, and returns how long the client waits.
+// newCall creates a call from the headers of a request, and returns the timeout of the request.
 func (f *frontend) newCall(r *http.Request) (*call, time.Duration, error) {
 	for _, name := range singleValueHeaders {
 		if len(r.Header[name]) > 1 {
@@ -126,8 +128,8 @@
 	}, timeout, nil
 }
 
-// checkMethod checks that the method and the idempotency key fit the class. A request of a class with idempotency keys
-// could be executed twice without its key.
+// checkMethod checks that the class of the request permits the method and the presence or absence of an idempotency key.
+// Without its key, a request of a class with idempotency keys could be executed twice.
 func checkMethod(idempotency balance.Idempotency, r *http.Request) error {
 	keyPresent := r.Header.Get(idempotencyKeyHeader) != ""
 	switch {
@@ -143,7 +145,7 @@
 	return nil
 }
 
-// parseTimeout parses X-Timeout-Ms; without it the class's deadline is the timeout.
+// parseTimeout parses X-Timeout-Ms. Without the header the deadline of the class is the timeout.
 func parseTimeout(value string, classDeadline time.Duration) (time.Duration, error) {
 	if value == "" {
 		return classDeadline, nil
@@ -156,7 +158,7 @@
 	return timeout, nil
 }
 
-// parseCost converts X-Cost, in microseconds, to milliseconds of expected work; without it these are 0.
+// parseCost converts X-Cost, in microseconds, to milliseconds of expected work. Without the header it returns 0.
 func parseCost(value string) (workMS float64, err error) {
 	if value == "" {
 		return 0, nil
@@ -168,7 +170,7 @@
 	return micros / microsPerMS, nil
 }
 
-// requestKey hashes keyCookie; without it the key is 0.
+// requestKey returns the hash of keyCookie, or 0 if the request has no such cookie.
 func requestKey(r *http.Request) uint64 {
 	cookie, err := r.Cookie(keyCookie)
 	if err != nil {
@@ -179,8 +181,8 @@
 	return hash.Sum64()
 }
 
-// readBody reads a body whose length checkFraming has accepted. Memory is taken as bytes arrive, not as announced. The
-// client's timeout starts at the last byte.
+// readBody reads a body whose length checkFraming has accepted. It allocates memory as bytes arrive, not for the announced
+// length. The timeout starts when the last byte of the request arrives.
 func (f *frontend) readBody(w http.ResponseWriter, r *http.Request, call *call, timeout time.Duration) error {
 	var body []byte
 	if r.ContentLength > 0 {
@@ -199,19 +201,19 @@
 	}
 	call.deadline = clientConnOf(r).lastArrival().Add(timeout)
 	if drainDeadline := f.drainDeadline.Load(); drainDeadline != nil && drainDeadline.Before(call.deadline) {
-		call.deadline = *drainDeadline // the process may be killed then
+		call.deadline = *drainDeadline // the process may be killed soon after
 	}
 	call.outbound = &outboundRequest{method: r.Method, url: r.URL, host: r.Host, header: endToEndHeaders(r.Header), body: body}
 	return nil
 }
 
-// hopByHopHeaders concern one connection only.
+// hopByHopHeaders apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Expect", "Content-Length",
 }
 
-// endToEndHeaders is a copy of the headers without those that concern the client's connection only.
+// endToEndHeaders returns a copy of the headers without those that apply to the client's connection only.
 func endToEndHeaders(header http.Header) http.Header {
 	forwarded := header.Clone()
 	for _, line := range header["Connection"] {
