--- a/internal/sidecar/attempt_start_test.go
+++ b/internal/sidecar/attempt_start_test.go
@@ -13,7 +13,7 @@
 	"milldeck/balance"
 )
 
-// blockedDial is a dialer hook that blocks a connection before it is established.
+// blockedDial is a dialer hook that blocks each dial before the connection is established.
 type blockedDial struct{ started, release chan struct{} }
 
 func blockDials(pool *connPool) blockedDial {
@@ -26,7 +26,8 @@
 	return blocked
 }
 
-// endpointRemovals is what discovery may report of a server between the decision for an attempt and its first byte.
+// endpointRemovals returns the updates with which discovery can withdraw a server between the decision for an attempt and
+// its first byte.
 func endpointRemovals(server *backend) map[string]endpointUpdate {
 	updateWith := func(kind balance.UpdateKind, change func(*endpoint)) endpointUpdate {
 		changed := server.endpoint
@@ -42,9 +43,9 @@
 	}
 }
 
-// A server that drains, is removed or restarts between the decision for an attempt and its first byte gets nothing,
-// neither on a reused connection nor on one that is being dialed. The attempt was never executed, and even a
-// non-idempotent request is retried elsewhere.
+// A server that drains, is removed or restarts between the decision for an attempt and its first byte gets no bytes, neither
+// on a reused connection nor on a connection that is being dialed. The attempt counts as never executed, and even a
+// non-idempotent request is retried at another server.
 func TestEndpointRemovedBeforeFirstByte(t *testing.T) {
 	for _, reused := range []bool{true, false} {
 		server := newBackend(t, "a", serveOK)
@@ -85,7 +86,7 @@
 				if event.exchange.outcome != balance.Obsolete {
 					t.Fatalf("result %v, want obsolete", event.exchange.outcome)
 				}
-				if name == "unlisted" { // the full list named only a server that answers nowhere
+				if name == "unlisted" { // the full list named only z, at the address of the removed server
 					loop.applyEndpointUpdate(loop.nowMS(), fullUpdate(3, other.endpoint))
 				}
 				loop.handleEvent(loop.nowMS(), event)
@@ -102,15 +103,15 @@
 	}
 }
 
-// A call that ends while its connection is dialed, or at the final check, is not written, and its connection is
+// A call that ends while its connection is being dialed, or just before the final check, is not written. Its connection is
 // closed.
 func TestCallEndedBeforeFirstByte(t *testing.T) {
 	endings := map[string]func(loop *steppedLoop, call *call){
 		"disconnect": func(loop *steppedLoop, call *call) { loop.disconnect(call) },
 		"timeout": func(loop *steppedLoop, call *call) {
 			loop.runDueTimers(loop.clock.unixMS(call.deadline) + 1)
-			if resp := loop.takeResponse(call); resp.status != statusTimedOut { // at once, although the attempt has not ended
-				loop.t.Errorf("%+v", resp)
+			if resp := loop.takeResponse(call); resp.status != statusTimedOut { // answered at once, although the attempt has not ended
+				loop.t.Errorf("call got response %+v", resp)
 			}
 		},
 	}
@@ -131,13 +132,13 @@
 					close(dials.release)
 				} else {
 					close(dials.release)
-					waitUntil(t, "the connection to come up", func() bool { return server.conns.Load() == 1 })
+					waitUntil(t, "the connection to be established", func() bool { return server.conns.Load() == 1 })
 					end(loop, call)
 					call.writeMu.Unlock()
 				}
 				event := loop.nextCompleted()
 				if event.exchange.outcome != balance.Obsolete || event.attempt.fullyWritten.Load() {
-					t.Errorf("%+v, sent %v", event.exchange, event.attempt.fullyWritten.Load())
+					t.Errorf("%+v, fully written %v", event.exchange, event.attempt.fullyWritten.Load())
 				}
 				loop.handleEvent(loop.nowMS(), event)
 				loop.assertReleased(call)
@@ -149,8 +150,8 @@
 	}
 }
 
-// newFullListener listens with a full accept queue: further connections are established once the fillers are
-// accepted.
+// newFullListener returns a listener whose accept queue is full. Further connections are established only after the test
+// has accepted the connections that fill the queue.
 func newFullListener(t *testing.T) (listener net.Listener, fillers int) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -178,8 +179,7 @@
 	}
 }
 
-// A connection that is established after the connect timeout, or after its call has ended, carries nothing and is
-// closed.
+// A connection that is established after the connect timeout, or after the end of its call, carries no bytes and is closed.
 func TestLateConnectionCarriesNothing(t *testing.T) {
 	for name, test := range map[string]struct {
 		setting string
@@ -194,9 +194,9 @@
 			document := newConfigDocument(newFakeRegistry(t).address(), readyEndpoint("a", listener.Addr().String())).replaceSetting(`"connect_timeout_ms": 100`, test.setting)
 			sidecar := startSidecar(t, document)
 			if got := sidecar.do(sidecar.newRequest("charge", test.timeout)); got.status != test.status {
-				t.Errorf("%+v, want %d", got, test.status)
+				t.Errorf("client got %+v, want status %d", got, test.status)
 			}
-			waitUntil(t, "the descriptor to be free", func() bool {
+			waitUntil(t, "the descriptor to be released", func() bool {
 				sidecar.loop.pool.mu.Lock()
 				defer sidecar.loop.pool.mu.Unlock()
 				return sidecar.loop.pool.openConns == 0
@@ -210,23 +210,23 @@
 				return conn
 			}
 			for range fillers {
-				accept() // the queue is free again: the next connection is that of the next request
+				accept() // empties the queue, so that the next connection is for the next request
 			}
 			answered := sidecar.doAsync(sidecar.newRequest("charge", 2*time.Second))
 			conn := accept()
 			if !readsCompleteRequest(t, conn) {
-				t.Error("the first connection to come up carries no complete request")
+				t.Error("the first established connection carries no complete request")
 			}
 			serveOK(conn, nil, "")
-			if got := receiveWithin(t, "the answer", answered); got.status != 200 {
-				t.Errorf("%+v", got)
+			if got := receiveWithin(t, "the response", answered); got.status != 200 {
+				t.Errorf("client got %+v", got)
 			}
 		})
 	}
 }
 
-// When this machine has no socket left, servers are not blamed: the request is rejected unsent, and the server is
-// used again when sockets are available.
+// If this machine has no socket left, that does not count as a failure of the server: the request is rejected unsent, and
+// the server gets requests again when sockets are available.
 func TestSocketExhaustionIsNotBlamedOnServer(t *testing.T) {
 	for name, exhaust := range map[string]func(pool *connPool, full bool){
 		"own limit": func(pool *connPool, full bool) {
@@ -257,24 +257,24 @@
 			second := loop.submit("charge")
 			event := loop.nextCompleted()
 			if event.attempt.call != second || event.exchange.outcome != balance.Obsolete {
-				t.Errorf("%+v, want the second obsolete", event.exchange)
+				t.Errorf("%+v, want the second request to be obsolete", event.exchange)
 			}
 			loop.handleEvent(loop.nowMS(), event)
 			serve()
 			loop.handleEvent(loop.nowMS(), loop.nextCompleted())
 			if resp := loop.takeResponse(first); resp.status != 200 {
-				t.Errorf("%+v", resp)
+				t.Errorf("call got response %+v", resp)
 			}
 			exhaust(loop.pool, false)
 			loop.pool.closeIdle(loop.readyUpstreams[first.attempts[0].upstream.id])
 			third := loop.submit("charge")
 			loop.handleEvent(loop.nowMS(), loop.nextCompleted())
 			if resp := loop.takeResponse(third); resp.status != 200 {
-				t.Errorf("%+v", resp)
+				t.Errorf("call got response %+v", resp)
 			}
 			loop.runDueTimers(loop.nowMS() + loop.config.settings.Classes[second.request.Class].LatencyObjective) // no other server is available for it
 			if resp := loop.takeResponse(second); resp.status != statusRejected {
-				t.Errorf("%+v", resp)
+				t.Errorf("call got response %+v", resp)
 			}
 			loop.assertReleased(second)
 		})
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -15,7 +15,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A client that has disconnected, or has only closed its sending side, gets no response that no server made.
+// A client that has disconnected, or has only closed its sending side, gets no response: no server has sent one, and the
+// empty response with status 200 that net/http sends by default is suppressed.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	server := newBlockingBackend(t, serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -28,8 +29,8 @@
 	}
 }
 
-// A request that net/http has read at the moment when idle connections are shut down is answered: the shutdown comes
-// between the read and the handler.
+// A request is answered if the shutdown of idle connections happens after net/http has read the request and before it calls
+// the handler.
 func TestRequestReadDuringCloseIsAnswered(t *testing.T) {
 	front := newTestFrontend(t, 10, 10, func(event loopEvent) {
 		if arrived, ok := event.(requestArrived); ok && arrived.call.markAnswered() {
@@ -51,12 +52,12 @@
 	for i := range 2 { // on a new connection, and on an idle one
 		writeTo(t, conn, sidecar.wireText(sidecar.newRequest("charge", time.Second)))
 		if got := readStatus(t, reader); got != 200 {
-			t.Fatalf("request %d: %d", i, got)
+			t.Fatalf("request %d: status %d", i, got)
 		}
 	}
 }
 
-// Nothing is read from a connection that was shut down, although its reader runs only when a request is there.
+// Nothing is read from an idle connection that was shut down, even if a request has arrived before its reader runs.
 func TestNoReadAfterShutdownOfIdle(t *testing.T) {
 	listener := newTestFrontend(t, 10, 10, nil).listener
 	client, conn := listener.dialAndAccept(t)
@@ -69,7 +70,7 @@
 	}
 }
 
-// A request that arrives just before the idle timeout is read, although the timeout is over when the reader runs.
+// A request that arrives just before the idle timeout is read, even if the timeout has passed when the reader runs.
 func TestRequestAtIdleTimeoutIsRead(t *testing.T) {
 	listener := newTestFrontend(t, 10, 10, nil).listener
 	client, conn := listener.dialAndAccept(t)
@@ -84,12 +85,12 @@
 	}
 	var netErr net.Error
 	if n, err := conn.Read(got); n != 0 || !errors.As(err, &netErr) || !netErr.Timeout() {
-		t.Errorf("with nothing there: %d bytes, %v", n, err)
+		t.Errorf("without unread bytes: %d bytes, %v", n, err)
 	}
 }
 
-// The disconnect of a client is also noticed behind bytes that it has pipelined: its request ends at once, not at its
-// deadline. A client that pipelines too much gets status 400.
+// The disconnect of a client is noticed even if the client has pipelined bytes before it: its request ends at once, not at
+// its deadline. A client that pipelines too much gets status 400.
 func TestPipeliningClientDisconnects(t *testing.T) {
 	server := newBlockingBackend(t, serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -102,17 +103,17 @@
 			conn := sidecar.dial()
 			writeTo(t, conn, sidecar.wireText(sidecar.newRequest("lookup", time.Minute)))
 			receiveWithin(t, "the request", server.arrivals)
-			tryWrite(conn, pipelined) // it may be disconnected while it sends
+			tryWrite(conn, pipelined) // the sidecar may close the connection during the write
 			if len(pipelined) > maxReadAheadBytes {
 				if got := readStatus(t, bufio.NewReader(conn)); got != 400 {
-					t.Errorf("answered %d", got)
+					t.Errorf("got status %d", got)
 				}
 			}
 			conn.Close()
-			waitUntil(t, "the request to be over", func() bool {
+			waitUntil(t, "the request to end", func() bool {
 				return sidecar.frontend.inFlight.Load() == 0 && sidecar.frontend.listener.openCount() == 0
 			})
-			server.release <- struct{}{} // the client has gone
+			server.release <- struct{}{} // the client has already disconnected
 			if forwarded := server.requests.Load() - before; forwarded != 1 {
 				t.Errorf("%d requests were forwarded", forwarded)
 			}
@@ -134,12 +135,13 @@
 	for i := range 3 {
 		server.release <- struct{}{}
 		if got := readStatus(t, reader); got != 200 {
-			t.Errorf("answer %d: %d", i, got)
+			t.Errorf("response %d: status %d", i, got)
 		}
 	}
 }
 
-// A request that net/http has buffered is not forwarded if its client disconnects after the previous response.
+// A pipelined request that net/http has started to read is not forwarded if its client disconnects after the previous
+// response.
 func TestBufferedRequestOfDisconnectedClient(t *testing.T) {
 	arrived := make(chan struct{}, 10)
 	front := newTestFrontend(t, 10, 10, func(event loopEvent) {
@@ -159,7 +161,7 @@
 		case http.StateActive:
 			if activations++; activations == 2 {
 				closeWrite(t, client)
-				waitUntil(t, "its end", func() bool { return errors.Is(peekRead(netConn.(*clientConn).rawConn), io.EOF) })
+				waitUntil(t, "the disconnect", func() bool { return errors.Is(peekRead(netConn.(*clientConn).rawConn), io.EOF) })
 			}
 		case http.StateClosed:
 			close(closed)
@@ -169,14 +171,14 @@
 	sidecar := &testSidecar{t: t, Sidecar: &Sidecar{frontend: front}}
 	client = sidecar.dial()
 	writeTo(t, client, sidecar.wireText(sidecar.newRequest("lookup", time.Second))+sidecar.wireText(sidecar.newRequest("lookup", time.Second)))
-	receiveWithin(t, "the end", closed)
+	receiveWithin(t, "the end of the connection", closed)
 	if activations != 2 || len(arrived) != 1 {
 		t.Errorf("%d requests were read, %d forwarded", activations, len(arrived))
 	}
 }
 
-// For a client that disconnects before its first attempt, or between two, no further attempt is made, whatever
-// happens afterwards.
+// After a client disconnects, before the first attempt or between two attempts, no further attempt is made, whatever events
+// follow.
 func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	for name, beforeFirstAttempt := range map[string]bool{"waiting for its first attempt": true, "between two attempts": false} {
 		t.Run(name, func(t *testing.T) {
@@ -206,16 +208,16 @@
 				receiveWithin(t, "the request", arrivals)
 			}
 			conn.Close()
-			waitUntil(t, "the request to be over", func() bool { return sidecar.frontend.inFlight.Load() == 0 })
+			waitUntil(t, "the request to end", func() bool { return sidecar.frontend.inFlight.Load() == 0 })
 			watch := receiveWithin(t, "the watch", registry.calls)
 			watch.sendList(t, endpointList{Revision: 2, Complete: true, Endpoints: []endpoint{firstServer.endpoint, secondServer.endpoint}})
 			serveOne := func() bool {
 				sidecar.do(sidecar.newRequest("charge", 2*time.Second))
 				return secondServer.requests.Load() > attempts.Load()
 			}
-			waitUntil(t, "a request on the new list", serveOne)
+			waitUntil(t, "a request to a server of the new list", serveOne)
 			close(release)
-			for range 20 { // in this time the outcome would lead to another attempt
+			for range 20 { // long enough for the outcome to cause another attempt
 				serveOne()
 			}
 			if attempted := attempts.Load(); attempted != want {
@@ -225,7 +227,7 @@
 	}
 }
 
-// Small writes are sent at once, also where the peer acknowledges late.
+// Small writes are sent at once, even if the peer delays its acknowledgements.
 func TestNagleIsDisabled(t *testing.T) {
 	_, conn := newTestFrontend(t, 10, 10, nil).listener.dialAndAccept(t)
 	noDelay := 0
@@ -243,8 +245,8 @@
 	}
 }
 
-// A request is not forwarded if its client has left behind further bytes that nobody has read: the end of the connection
-// stands behind them.
+// A request is not forwarded if its client has sent further bytes and disconnected: the end of the connection is found even
+// though the bytes before it are unread.
 func TestDisconnectBehindUnreadBytes(t *testing.T) {
 	arrived := make(chan struct{}, 10)
 	front := newTestFrontend(t, 10, 10, func(event loopEvent) {
@@ -267,15 +269,15 @@
 	request.Header.Set("X-Padding", strings.Repeat("p", 3000)) // more than one read holds
 	writeTo(t, client, sidecar.wireText(request)+strings.Repeat(sidecar.wireText(sidecar.newRequest("lookup", time.Minute)), 20))
 	client.Close()
-	serveUntilCleanup(t, httpServer, front.listener) // only now is the connection accepted
-	receiveWithin(t, "the end", closed)
+	serveUntilCleanup(t, httpServer, front.listener) // accepts the connection after the client has closed it
+	receiveWithin(t, "the end of the connection", closed)
 	if len(arrived) != 0 {
-		t.Errorf("%d requests of a client that had gone were forwarded", len(arrived))
+		t.Errorf("%d requests of a disconnected client were forwarded", len(arrived))
 	}
 }
 
-// An attempt that ends while its client leaves is not followed by another, also if nobody has noticed yet that the client has
-// left: goroutines run in any order after the process was held up.
+// If an attempt ends while its client disconnects, no further attempt follows, even if the disconnect has not been noticed
+// yet: after the process was suspended, goroutines run in any order.
 func TestNoRetryAfterUnnoticedDisconnect(t *testing.T) {
 	serve := respondWith("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true)
 	for name, behind := range map[string]string{"at once": "", "behind further bytes": "GET /api HTTP/1.1\r\nHost: b\r\n\r\n"} {
@@ -297,7 +299,7 @@
 				loop.handleEvent(loop.nowMS(), loop.nextCompleted())
 			}
 			if got := serverA.requests.Load() + serverB.requests.Load(); got != 1 {
-				t.Errorf("%d attempts, want the one before the client left", got)
+				t.Errorf("%d attempts, want only the one before the disconnect", got)
 			}
 			if call.markAnswered() {
 				loop.handleEvent(loop.nowMS(), clientDisconnected{call})
@@ -306,7 +308,7 @@
 	}
 }
 
-// peerHasClosed reports whether the peer of a connection has closed it, also behind unread bytes.
+// peerHasClosed reports whether the peer of a connection has closed it, even if unread bytes precede the end.
 func peerHasClosed(t *testing.T, conn *clientConn) bool {
 	t.Helper()
 	closed := false
--- a/internal/sidecar/client_listener_test.go
+++ b/internal/sidecar/client_listener_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// Many clients that send nothing, or a part of a request, shut no other client out, and are disconnected.
+// Many clients that send nothing, or a part of a request, do not prevent other clients from connecting, and are
+// disconnected.
 func TestSilentClientsAreEvicted(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
@@ -40,7 +41,7 @@
 		silent = append(silent, conn)
 		if i%50 == 0 {
 			if status := requestOnPersistent(); status != 200 {
-				t.Errorf("beside %d silent ones: %d", i, status)
+				t.Errorf("with %d silent connections: status %d", i, status)
 			}
 		}
 	}
@@ -55,13 +56,13 @@
 			t.Fatal("a silent connection stays open")
 		}
 	}
-	if elapsed := time.Since(startedAt); elapsed > 6*time.Second { // headerTimeout on a busy machine; the idle timeout is much longer
-		t.Errorf("the last of the silent ones was closed after %v", elapsed)
+	if elapsed := time.Since(startedAt); elapsed > 6*time.Second { // allows for headerTimeout on a busy machine
+		t.Errorf("the last silent connection was closed after %v", elapsed)
 	}
 }
 
-// Clients that use a connection once and keep it open would use up the sockets of the application. The longest idle
-// connections are closed long before their timeout; those in use stay open.
+// If clients use each connection once and keep it open, the application runs out of sockets. So the longest idle connections
+// are closed long before their timeout. Connections in use stay open.
 func TestConnectionsUsedOnceAreEvicted(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
@@ -90,7 +91,7 @@
 	if open := sidecar.frontend.listener.openCount(); open >= third {
 		t.Errorf("%d connections are open", open)
 	}
-	for _, conn := range usedOnce[:2*third] { // an end of the connection, not a timeout
+	for _, conn := range usedOnce[:2*third] { // each read must return the end of the connection, not a timeout
 		if _, err := conn.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatal("a connection used once stays open")
 		}
@@ -98,7 +99,7 @@
 	requestOn(busy)
 }
 
-// Where there are many client connections the idle ones are closed, so that they never shut others out.
+// If there are many client connections, the idle ones are closed, so that new clients can always connect.
 func TestManyClientConnectionsAreNotRetained(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
@@ -126,8 +127,8 @@
 	}
 }
 
-// A connection from which a request was read, or a part of one within its grace, is not evicted. One whose part is
-// overdue, or that is idle, is. Nothing is read from an evicted connection.
+// A connection is not evicted if a complete request was read from it, or a partial one whose grace period is not over. An
+// idle connection, or one with an overdue partial request, is evicted. Nothing is read from an evicted connection.
 func TestReadAndEvictionAreMutuallyExclusive(t *testing.T) {
 	const partial = "GET /api HTT"
 	for name, test := range map[string]evictionCase{
@@ -146,11 +147,11 @@
 	}
 }
 
-// evictionCase is a connection at the moment when one is to be evicted.
+// evictionCase is the state of a connection when the listener looks for one to evict, and whether it must be evicted.
 type evictionCase struct {
 	phase   connPhase
-	read    string // before the reader waits again
-	wait    bool   // the reader waits for more
+	read    string // the bytes that were read
+	wait    bool   // the reader waits for more bytes
 	age     time.Duration
 	evicted bool
 }
@@ -174,7 +175,7 @@
 		}
 	}
 	if evicted := test.evict(t, listener, conn); (evicted == conn) != test.evicted {
-		t.Errorf("evicted: %v", evicted == conn)
+		t.Errorf("connection evicted: %v", evicted == conn)
 	}
 	if !test.evicted {
 		listener.shutdownIdle()
@@ -182,7 +183,7 @@
 			t.Error("closed during a drain:", err)
 		}
 	}
-	writeTo(t, client, "x") // before the connection is closed
+	writeTo(t, client, "x") // arrives before the connection is closed
 	if !test.wait {
 		read = readAsync(conn)
 	}
@@ -191,23 +192,23 @@
 	}
 }
 
-// evict lets the connection's phase have the age of the case, and returns the connection that is evicted.
+// evict sets the age of the connection's phase and returns the connection that is evicted, if any.
 func (test evictionCase) evict(t *testing.T, listener *clientListener, conn *clientConn) (evicted *clientConn) {
 	t.Helper()
 	listener.locked(func() {
-		conn.phaseSince = time.Now().Add(time.Hour) // however long the test takes, the grace of a partial request is not over
+		conn.phaseSince = time.Now().Add(time.Hour) // the grace period of a partial request is not over, however long the test takes
 		if test.age > 0 {
 			conn.phaseSince = time.Now().Add(-test.age)
 		}
 		evicted = listener.evictOne()
 		if evicted == nil && listener.evictExcessPersistent() != nil {
-			t.Error("evicted as in excess of the persistent ones")
+			t.Error("evicted as an excess persistent connection")
 		}
 	})
 	return evicted
 }
 
-// readAsync reads once on a goroutine of its own.
+// readAsync reads once on a new goroutine.
 func readAsync(conn *clientConn) <-chan error {
 	read := make(chan error, 1)
 	go func() {
@@ -217,20 +218,20 @@
 	return read
 }
 
-// A connection with an oversized header is evictable once its response is written, although net/http keeps it open
-// for a while.
+// A connection with an oversized header is evictable after its response is written, although net/http keeps it open for some
+// time.
 func TestOversizedHeaderConnectionIsEvictable(t *testing.T) {
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address()), func(sidecar *Sidecar) { sidecar.frontend.listener.lingerTimeout = 0 })
 	conn := sidecar.dial()
 	writeTo(t, conn, "GET /api HTTP/1.1\r\nHost: b\r\nX: "+strings.Repeat("x", 2*maxRequestHeaderBytes))
 	if got := readStatus(t, bufio.NewReader(conn)); got != 431 {
-		t.Errorf("answered %d", got)
+		t.Errorf("got status %d", got)
 	}
 	waitUntil(t, "an evictable connection", func() bool {
 		evicted := false
 		sidecar.frontend.listener.locked(func() {
 			if len(sidecar.frontend.listener.conns) == 0 {
-				t.Fatal("it was closed without being evictable before")
+				t.Fatal("the connection was closed before it became evictable")
 			}
 			evicted = sidecar.frontend.listener.evictOne() != nil
 		})
--- a/internal/sidecar/clock_step_test.go
+++ b/internal/sidecar/clock_step_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Slow start is a span of real time: a server that restarts after a step of the wall clock, or just before one, is in slow
-// start from its restart on, whatever its boot time reads.
+// The duration of slow start does not depend on the wall clock: a server that restarts shortly before or after a step of the
+// wall clock is in slow start from its restart on, whatever boot time is listed.
 func TestSlowStartSurvivesClockSteps(t *testing.T) {
 	const toleranceMS = 1500
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		for _, known := range []struct {
 			name   string
-			bootMS func(nowMS float64) float64 // of the process before, by the clock before the step
+			bootMS func(nowMS float64) float64 // of the previous process, by the clock before the step
 		}{
 			{"long ago", func(float64) float64 { return 0 }},
 			{"ten minutes ago", func(nowMS float64) float64 { return nowMS - 10*60e3 }},
@@ -36,13 +36,13 @@
 						listed.BootMS += float64(step.Milliseconds())
 					}
 					loop.handleEvent(loop.nowMS(), deltaUpdate(2, listed))
-					loop.handleEvent(loop.nowMS(), deltaUpdate(3, listed)) // listed again, it is the same process
+					loop.handleEvent(loop.nowMS(), deltaUpdate(3, listed)) // the same process, listed again
 					upstream := loop.readyUpstreams[loop.config.serverID("a")]
 					if upstream == nil {
 						t.Fatal("the server is not used")
 					}
 					if off := upstream.startedAtMS - restartedAtMS; math.Abs(off) > toleranceMS {
-						t.Errorf("the restart counts as %v off", time.Duration(off)*time.Millisecond)
+						t.Errorf("the start time of the server is off by %v", time.Duration(off)*time.Millisecond)
 					}
 				})
 			}
@@ -50,7 +50,7 @@
 	}
 }
 
-// What started long before a step has not started with it.
+// A server that started long before a step of the wall clock does not count as restarted after the step.
 func TestClockStepRestartsNothing(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		loop := newSteppedLoop(t, newConfigDocument("127.0.0.1:1"))
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -32,11 +32,10 @@
 		})
 	}
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
-		t.Error("no error without NODE_CONFIG")
+		t.Error("no error although NODE_CONFIG is not set")
 	}
 }
 
-// The environment overrides the file.
 func TestEnvironmentOverridesFile(t *testing.T) {
 	path := newConfigDocument("127.0.0.1:1").writeFile(t)
 	env := map[string]string{"NODE_CONFIG": path, "NODE_NAME": "n7", "NODE_LISTEN": "127.0.0.1:2", "NODE_DISCOVERY": "127.0.0.1:3"}
@@ -45,6 +44,6 @@
 		t.Fatal(err)
 	}
 	if config.Name != "n7" || config.ListenAddress != "127.0.0.1:2" || config.DiscoveryAddress != "127.0.0.1:3" {
-		t.Errorf("%+v", config)
+		t.Errorf("configuration is %+v", config)
 	}
 }
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -17,9 +17,9 @@
 	"time"
 )
 
-// A request that crosses the shutdown of its idle connection, or a part of one, is not read and causes no reset: the
-// client sees the end of the connection and is served on a new one. Connections that wait to be accepted are served
-// too, one by one if there is capacity for one, and each response ends its connection.
+// A request, or a part of one, that arrives while its idle connection is being shut down is not read and causes no reset: the
+// client gets the end of the connection and is served on a new connection. Connections that wait to be accepted are served
+// too, one by one if the table has capacity for only one, and each response ends its connection.
 func TestDrainClosesIdleAndServesQueued(t *testing.T) {
 	calls := make(chan *call, 10)
 	front := newTestFrontend(t, 1, 1, func(event loopEvent) {
@@ -37,7 +37,7 @@
 		call.markAnswered()
 		call.response <- response{status: 200}
 		if got := readStatus(t, reader); got != 200 {
-			t.Errorf("answered %d", got)
+			t.Errorf("got status %d", got)
 		}
 	}
 	conn := sidecar.dial()
@@ -47,12 +47,12 @@
 	respondNext(reader)
 	front.listener.awaitIdle(t)
 	front.listener.shutdownIdle()
-	writeTo(t, conn, requestText) // after the shutdown, before the client closes
+	writeTo(t, conn, requestText) // after the shutdown and before the client closes the connection
 	if _, err := reader.ReadByte(); err != io.EOF {
-		t.Errorf("the end: %v", err)
+		t.Errorf("end of the connection: %v", err)
 	}
 	if len(calls) > 0 {
-		t.Error("a request after the shutdown was forwarded")
+		t.Error("a request that was sent after the shutdown was forwarded")
 	}
 	conn.Close()
 
@@ -62,25 +62,25 @@
 		writeTo(t, conn, sidecar.wireText(sidecar.newRequest("lookup", testTimeout)))
 		waiting = append(waiting, bufio.NewReader(conn))
 	}
-	call := receiveWithin(t, "the first", calls)
+	call := receiveWithin(t, "the first request", calls)
 	go func() { drainErr <- front.closeConnections(httpServer, serveErr, time.Now().Add(testTimeout)) }()
-	waitUntil(t, "the end", front.closeAfterResponse.Load)
+	waitUntil(t, "the last phase of the drain", front.closeAfterResponse.Load)
 	calls <- call
 	for _, reader := range waiting {
 		respondNext(reader)
 		if _, err := reader.ReadByte(); err != io.EOF {
-			t.Errorf("after the answer: %v", err)
+			t.Errorf("after the response: %v", err)
 		}
 	}
-	if err := receiveWithin(t, "the end", drainErr); err != nil {
+	if err := receiveWithin(t, "the end of the drain", drainErr); err != nil {
 		t.Error(err)
 	}
 	if _, err := net.Dial("tcp", front.listener.Addr().String()); err == nil {
-		t.Error("connects after the end")
+		t.Error("the listener accepts connections after the drain")
 	}
 }
 
-// delayedConn delays what it has read until the test releases it.
+// delayedConn delays the return of each read of more than one byte until the test releases it.
 type delayedConn struct {
 	*clientConn
 	read    chan struct{}
@@ -96,7 +96,7 @@
 	return n, err
 }
 
-// delayedListener makes each connection a delayedConn.
+// delayedListener wraps each accepted connection in a delayedConn.
 type delayedListener struct {
 	*clientListener
 	read, release chan struct{}
@@ -110,8 +110,8 @@
 	return &delayedConn{conn.(*clientConn), l.read, l.release}, nil
 }
 
-// A request that was read when the drain ends is answered, although net/http still counts its connection as idle. An
-// idle connection is closed.
+// A request that is read before the drain closes its connection is answered, even if net/http still counts the connection as
+// idle. An idle connection is closed.
 func TestRequestReadDuringDrainIsAnswered(t *testing.T) {
 	front := newTestFrontend(t, 10, 10, func(event loopEvent) {
 		if arrived, ok := event.(requestArrived); ok && arrived.call.markAnswered() {
@@ -144,32 +144,32 @@
 	receiveWithin(t, "the next request", delayed.read)
 	go func() { drainErr <- front.closeConnections(httpServer, serveErr, time.Now().Add(testTimeout)) }()
 	if got := readStatus(t, readers[1]); got != 0 {
-		t.Errorf("the idle connection: %d", got)
+		t.Errorf("idle connection: status %d", got)
 	}
 	delayed.release <- struct{}{}
 	if got := readStatus(t, readers[0]); got != 200 {
-		t.Errorf("the request that was read: %d", got)
+		t.Errorf("connection whose request was read: status %d", got)
 	}
 	conns[0].Close()
 	conns[1].Close()
-	if err := receiveWithin(t, "the end", drainErr); err != nil {
+	if err := receiveWithin(t, "the end of the drain", drainErr); err != nil {
 		t.Error(err)
 	}
 }
 
-// allStacks is the stacks of all goroutines.
+// allStacks returns the stacks of all goroutines.
 func allStacks() string {
 	buffer := make([]byte, 1<<20)
 	return string(buffer[:runtime.Stack(buffer, true)])
 }
 
-// stackEntry is a function's entry in allStacks.
+// stackEntry returns the text by which a function appears in allStacks.
 func stackEntry(function any) string {
 	return runtime.FuncForPC(reflect.ValueOf(function).Pointer()).Name() + "("
 }
 
-// A timeout, a disconnect or the end of the process at the same time as the response of the event loop leaves one
-// response, that of the loop.
+// If a timeout, a disconnect or the end of the process coincides with the response of the event loop, the client gets that
+// response and no other.
 func TestTerminationRacingResponse(t *testing.T) {
 	for name, terminate := range map[string]func(front *frontend, conn net.Conn){
 		"timeout":            func(*frontend, net.Conn) {},
@@ -191,22 +191,22 @@
 			call := receiveWithin(t, "the request", posted).(requestArrived).call
 			call.markAnswered() // the event loop has answered it
 			terminate(front, conn)
-			waitUntil(t, "the handler to see the end", func() bool { return strings.Contains(allStacks(), stackEntry((*frontend).concludeCall)) })
+			waitUntil(t, "the handler to end the call", func() bool { return strings.Contains(allStacks(), stackEntry((*frontend).concludeCall)) })
 			call.response <- response{status: 200}
 			if got := readStatus(t, bufio.NewReader(conn)); got != 200 {
-				t.Errorf("answered %d", got)
+				t.Errorf("got status %d", got)
 			}
 			if len(posted) > 0 {
-				t.Error("the event loop is notified of an end")
+				t.Error("the event loop is notified of the end of a call that it has answered")
 			}
 		})
 	}
 }
 
-// Some clients send requests for as long as their connection is open, others are idle until it is closed. Each
-// request that was forwarded is answered, and no connection is open after the drain.
+// Some clients send requests until their connection is closed, others are idle. Each request that was forwarded is answered,
+// and no connection is open after the drain.
 func TestDrainUnderContinuousRequests(t *testing.T) {
-	var answered sync.Map // IDs that were forwarded, and whether their clients have a response
+	var answered sync.Map // by forwarded request ID: whether the client has a response
 	var sent atomic.Int64
 	front := newTestFrontend(t, 20, 20, func(event loopEvent) {
 		if arrived, ok := event.(requestArrived); ok && arrived.call.markAnswered() {
@@ -232,10 +232,10 @@
 				}
 				got := readStatus(t, reader)
 				if got == 0 {
-					return // it crossed the end of the connection
+					return // the connection was closed before the request was read
 				}
 				if got != 200 {
-					t.Errorf("answered %d", got)
+					t.Errorf("got status %d", got)
 				}
 				answered.Store(req.Header.Get("X-Request-ID"), true)
 				if i%3 == 0 { // idle after its first response
@@ -263,7 +263,7 @@
 	})
 }
 
-// A client that does not read its response delays a drain no longer than the process may live.
+// A client that does not read its response does not delay a drain beyond the time at which the process may be killed.
 func TestDrainWithClientThatDoesNotRead(t *testing.T) {
 	body := strings.Repeat("x", maxBodyBytes)
 	server := newBackend(t, "a", respondWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
@@ -280,7 +280,7 @@
 		return false
 	}
 	requested := int64(0)
-	waitUntil(t, "an answer that is not taken", func() bool {
+	waitUntil(t, "a response that the client does not read", func() bool {
 		if server.requests.Load() == requested {
 			writeTo(t, conn, sidecar.wireText(sidecar.newRequest("lookup", testTimeout)))
 			requested++
@@ -288,20 +288,20 @@
 		return stuck()
 	})
 	sidecar.terminate()
-	if err := receiveWithin(t, "the end", sidecar.done); err != nil {
+	if err := receiveWithin(t, "the end of the sidecar", sidecar.done); err != nil {
 		t.Error(err)
 	}
 	sidecar.done <- nil
 }
 
-// Many faulty clients, which disconnect in every way, shut no other client out and leave no state behind.
+// Many faulty clients that disconnect in every way do not prevent other clients from being served, and leave no state behind.
 func TestFloodOfDisconnectingClients(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
 	document["limits"] = map[string]any{"sockets": minSockets, "memory_mb": 64}
 	sidecar := startSidecar(t, document)
 	memory := sidecar.frontend.bodyMemory.remaining.Load()
-	requestText := sidecar.wireText(sidecar.newRequest("lookup", time.Minute)) // one ID: all but the first are rejected
+	requestText := sidecar.wireText(sidecar.newRequest("lookup", time.Minute)) // all have the same ID, so all but the first are rejected
 	payloads := []string{
 		"", "GET /api HT", requestText[:len(requestText)-2], "POST /api HTTP/1.1\r\nHost: b\r\nContent-Length: 60000\r\n\r\nhalf",
 		requestText, requestText + requestText, requestText + strings.Repeat("x", 5000), requestText + strings.Repeat("x", 1<<18), strings.Repeat("x", 1<<18),
@@ -326,19 +326,19 @@
 		})
 	}
 	for range 20 {
-		if got := sidecar.do(sidecar.newRequest("lookup", testTimeout)); got.status != 200 { // the client library repeats a GET that crosses the end of a connection
-			t.Errorf("beside the flood: %+v", got)
+		if got := sidecar.do(sidecar.newRequest("lookup", testTimeout)); got.status != 200 { // the client library retries a GET whose connection is closed
+			t.Errorf("during the flood: %+v", got)
 		}
 	}
 	flood.Wait()
 	sidecar.client.CloseIdleConnections()
-	waitUntil(t, "all to be over", func() bool {
+	waitUntil(t, "all connections, requests and memory to be released", func() bool {
 		return sidecar.frontend.listener.openCount() == 0 && sidecar.frontend.inFlight.Load() == 0 && sidecar.frontend.bodyMemory.remaining.Load() == memory
 	})
 }
 
-// While idle clients use all descriptors for clients, a reload is followed, servers are reached, and an idle client
-// gives way to one with a request. After the drain all connections are closed.
+// While idle clients hold all descriptors for clients, a reload takes effect, servers can be reached, and an idle client is
+// evicted for a client with a request. After the drain all connections are closed.
 func TestIdleClientsHoldingAllDescriptors(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	secondServer := newBackend(t, "b", serveOK)
@@ -351,7 +351,7 @@
 		t.Helper()
 		writeTo(t, conn, sidecar.wireText(sidecar.newRequest("charge", testTimeout)))
 		if got := readStatus(t, bufio.NewReader(conn)); got != 200 {
-			t.Fatalf("answered %d", got)
+			t.Fatalf("got status %d", got)
 		}
 	}
 	startedAt := time.Now()
@@ -364,11 +364,11 @@
 		t.Fatalf("%d connections are open, want %d", open, maxConns)
 	}
 	requestOn(sidecar.dial())
-	if elapsed := time.Since(startedAt); elapsed >= idleTimeout { // when the first of them times out
-		t.Errorf("a client with a request is served after %v", elapsed)
+	if elapsed := time.Since(startedAt); elapsed >= idleTimeout { // the first idle connection times out then
+		t.Errorf("a client with a request is served only after %v", elapsed)
 	}
-	receiveWithin(t, "the watch", registry.calls).failWith <- http.StatusInternalServerError // an outage; the sidecar calls again
-	receiveWithin(t, "the watch that comes back", registry.calls)
+	receiveWithin(t, "the watch", registry.calls).failWith <- http.StatusInternalServerError // an outage: the sidecar retries
+	receiveWithin(t, "the retried watch", registry.calls)
 	document["discovery"] = secondRegistry.address()
 	config, err := document.load(t)
 	if err != nil {
@@ -384,13 +384,13 @@
 		t.Errorf("%d connections are open, of %d", open, maxConns)
 	}
 	sidecar.terminate()
-	if err := receiveWithin(t, "the end", sidecar.done); err != nil {
+	if err := receiveWithin(t, "the end of the sidecar", sidecar.done); err != nil {
 		t.Error(err)
 	}
 	sidecar.done <- nil
 	for _, conn := range idleConns {
 		if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-			t.Fatalf("an idle connection: %v", err)
+			t.Fatalf("read from an idle connection: %v", err)
 		}
 	}
 }
--- a/internal/sidecar/fixtures_test.go
+++ b/internal/sidecar/fixtures_test.go
@@ -19,9 +19,9 @@
 	"milldeck/internal/placement"
 )
 
-// The tests of this file compare what the sidecar reads and writes with golden files, byte by byte.
+// The tests in this file compare the input and output of the sidecar with golden files, byte by byte.
 
-// The configuration file is read with the same values.
+// The values that are read from a configuration file match the golden file.
 func TestConfigurationFixture(t *testing.T) {
 	environment := map[string]string{"NODE_CONFIG": goldentest.Path("config.json")}
 	config, err := LoadConfig(func(name string) string { return environment[name] })
@@ -47,7 +47,7 @@
 	goldentest.Compare(t, "config.golden.json", append(got, '\n'))
 }
 
-// settingsAsRead names the balancer's settings by their keys in the configuration.
+// settingsAsRead returns the balancer's settings by their keys in the configuration file.
 func settingsAsRead(config *balance.Config) map[string]any {
 	var classes, tenants []map[string]any
 	for i := range config.Classes {
@@ -74,7 +74,7 @@
 	}
 }
 
-// Requests to discovery are the same bytes, and lists are read with the same values and written with the same keys.
+// The bytes of requests to discovery, and the values and keys of endpoint lists, match the golden file.
 func TestDiscoveryFixture(t *testing.T) {
 	stream := goldentest.Read(t, "watch.txt")
 	address, requests := newRecorder(t, endedStream+string(stream), endedStream+string(stream), endedStream+string(stream))
@@ -113,7 +113,7 @@
 	return fmt.Sprintf("kind %d %s", update.kind, data)
 }
 
-// Requests for the placement and posted load reports are the same bytes.
+// The bytes of requests for the placement and of posted load reports match the golden file.
 func TestPlacementFixture(t *testing.T) {
 	loop, start := newFixtureLoop(t)
 	address, requests := newRecorder(t,
@@ -136,8 +136,7 @@
 	goldentest.Compare(t, "placement.golden.txt", got.Bytes())
 }
 
-// newFixtureLoop makes an event loop with a clock in the past, so that none of its attempts is sent. It knows the
-// servers a and b.
+// newFixtureLoop creates an event loop with the servers a and b. Its clock is in the past, so that no attempt is sent.
 func newFixtureLoop(t *testing.T) (loop *eventLoop, startMS float64) {
 	t.Helper()
 	document := newConfigDocument("127.0.0.1:1", readyEndpoint("a", "127.0.0.1:7"), readyEndpoint("b", "127.0.0.1:8"))
@@ -163,8 +162,8 @@
 	return loop, loop.clock.startUnixMS
 }
 
-// fixtureReport is the report of an event loop with each kind of directive in force and requests that ended in each
-// way.
+// fixtureReport returns the load report of an event loop with each kind of directive in force and with requests of each
+// outcome.
 func fixtureReport(loop *eventLoop, client *placementClient, startMS float64) *placement.LoadReport {
 	loop.placement.active = &activePlacement{placementClient: client, recorder: newReportRecorder(loop.config, startMS), numberByID: map[string]int{}}
 	list := placement.Update{Revision: 12, Epoch: 5, Directives: reportDirectives()}
@@ -199,8 +198,8 @@
 	return <-reportDue
 }
 
-// localResponses is a frontend before an event loop whose balancer the test replaces: the query of a request says how it
-// is answered. It records the bytes of each response.
+// localResponses runs a frontend with an event loop whose balancer the test replaces: the query of a request determines the
+// response. It records the bytes of each response.
 type localResponses struct {
 	t      *testing.T
 	front  *frontend
@@ -218,7 +217,7 @@
 	return exchanges
 }
 
-// answer answers a request as its query says, or not at all.
+// answer answers a request as its query specifies. It does not answer other queries.
 func (exchanges *localResponses) answer(event loopEvent) {
 	arrived, ok := event.(requestArrived)
 	if !ok {
@@ -249,7 +248,7 @@
 	loop.execute(nowMS, []balance.Action{action})
 }
 
-// add sends a request on a connection of its own, and records the response.
+// add sends a request on a new connection and records the response.
 func (exchanges *localResponses) add(name, line, headers, body string) {
 	t := exchanges.t
 	t.Helper()
@@ -272,12 +271,12 @@
 	var raw bytes.Buffer
 	reader := bufio.NewReader(io.TeeReader(conn, &raw))
 	if readStatus(t, reader) == 0 {
-		t.Errorf("%s: no answer", name)
+		t.Errorf("%s: no response", name)
 	}
 	exchanges.got.add(name, withoutVolatile(raw.String(), address))
 }
 
-// The sidecar's own responses are the same bytes, except for the date.
+// The bytes, except for the date, of the responses that the sidecar itself generates match the golden file.
 func TestLocalResponsesFixture(t *testing.T) {
 	exchanges := newLocalResponses(t)
 	front := exchanges.front
@@ -320,7 +319,7 @@
 	goldentest.Compare(t, "answers.golden.txt", exchanges.got.Bytes())
 }
 
-// The requests that servers get, attempts and health checks, are the same bytes, except for the remaining time.
+// The bytes, except for the timeout, of the attempts and health checks that servers get match the golden file.
 func TestUpstreamRequestsFixture(t *testing.T) {
 	const response = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 15\r\n\r\nbusy=0.5,rate=7"
 	config, err := newConfigDocument("127.0.0.1:1").load(t)
--- a/internal/sidecar/frontend_helpers_test.go
+++ b/internal/sidecar/frontend_helpers_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// wireText is a request as it is written to a connection.
+// wireText returns a request as it is written to a connection.
 func (sidecar *testSidecar) wireText(req *http.Request) string {
 	sidecar.t.Helper()
 	var buffer bytes.Buffer
@@ -19,7 +19,6 @@
 	return buffer.String()
 }
 
-// writeTo writes text to a connection.
 func writeTo(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -27,7 +26,7 @@
 	}
 }
 
-// readStatus reads one response and returns its status; 0: the connection ended without a response.
+// readStatus reads one response and returns its status, or 0 if the connection ended without a response.
 func readStatus(t *testing.T, reader *bufio.Reader) int {
 	t.Helper()
 	resp, err := http.ReadResponse(reader, nil)
@@ -35,16 +34,16 @@
 		return 0
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		t.Errorf("the response is incomplete: %v", err)
+		t.Errorf("incomplete response: %v", err)
 	}
 	return resp.StatusCode
 }
 
-// blockingBackend is a server that reports each request and responds when the test releases it.
+// blockingBackend is a server that reports each request on arrivals and responds when the test sends on release.
 type blockingBackend struct {
 	*backend
 	arrivals chan string   // the query of each request
-	release  chan struct{} // one for each response
+	release  chan struct{} // one value for each response
 }
 
 func newBlockingBackend(t *testing.T, serve serveFunc) *blockingBackend {
@@ -63,7 +62,7 @@
 	return server
 }
 
-// newTestFrontend makes a frontend whose events the test handles.
+// newTestFrontend creates a frontend that posts its events to a function of the test.
 func newTestFrontend(t *testing.T, maxConns, maxPersistent int, post func(loopEvent)) *frontend {
 	t.Helper()
 	config, err := newConfigDocument("127.0.0.1:1").load(t)
@@ -100,14 +99,14 @@
 	return client, accepted.(*clientConn)
 }
 
-// locked calls a function under the lock of the listener.
+// locked calls a function while it holds the lock of the listener.
 func (l *clientListener) locked(critical func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	critical()
 }
 
-// awaitIdle waits until the only connection is between requests and its reader waits for more.
+// awaitIdle waits until the only connection is between requests and its reader waits for more bytes.
 func (l *clientListener) awaitIdle(t *testing.T) {
 	t.Helper()
 	waitUntil(t, "an idle connection", func() bool {
--- a/internal/sidecar/frontend_test.go
+++ b/internal/sidecar/frontend_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// A client that sends a part of a request is disconnected in time, and so is one that sends a request and nothing
+// A client that sends a part of a request is disconnected in time, and so is a client that sends one request and nothing
 // more.
 func TestSlowClientsAreDisconnected(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
@@ -46,16 +46,16 @@
 			got, err := io.ReadAll(conn)
 			elapsed := time.Since(startedAt)
 			if err != nil || elapsed > 3*time.Second {
-				t.Errorf("ended after %v with %v", elapsed, err)
+				t.Errorf("connection ended after %v with %v", elapsed, err)
 			}
 			if answered := bytes.HasPrefix(got, []byte("HTTP/1.1 200")); answered != (text == requestText) {
-				t.Errorf("answered %q", got)
+				t.Errorf("got response %q", got)
 			}
 		})
 	}
 }
 
-// Without X-Timeout-Ms the timeout is the class's deadline.
+// Without X-Timeout-Ms the timeout is the deadline of the class.
 func TestDefaultTimeoutIsClassDeadline(t *testing.T) {
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address()).replaceSetting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 100`).
 		replaceSetting(`"on_time_ms": 750`, `"on_time_ms": 100`))
@@ -66,7 +66,7 @@
 	}
 }
 
-// Requests beyond the limit in flight are rejected at once; those within it are served.
+// Requests above the limit of requests in flight are rejected at once. Requests within the limit are served.
 func TestOverloadIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, body string) bool {
@@ -89,8 +89,8 @@
 	}
 	close(release)
 	for _, response := range pending {
-		if got := receiveWithin(t, "an answer", response); got.status != 200 {
-			t.Errorf("%+v", got)
+		if got := receiveWithin(t, "a response", response); got.status != 200 {
+			t.Errorf("client got %+v", got)
 		}
 	}
 }
@@ -108,11 +108,11 @@
 	defer conn.Close()
 	setReadBuffer(t, conn, 4096)
 	setTestDeadline(t, conn)
-	for i := range int64(1000) { // more responses than the socket buffers hold, each requested after the previous one is made
+	for i := range int64(1000) { // more responses than the socket buffers hold, requested one after the other
 		if err := sidecar.newRequest("lookup", time.Second).Write(conn); err != nil {
 			break
 		}
-		waitUntil(t, "the request at the server, or an end", func() bool {
+		waitUntil(t, "the request at the server, or the end of the connection", func() bool {
 			return server.requests.Load() > i || sidecar.frontend.listener.openCount() == 0
 		})
 	}
@@ -121,7 +121,7 @@
 	})
 }
 
-// A balancer that never answers is a bug, but the client gets a failure in time.
+// If the balancer never answers, which is a bug, the client still gets a failure in time.
 func TestBalancerThatNeverAnswers(t *testing.T) {
 	config, err := newConfigDocument("127.0.0.1:1").load(t)
 	if err != nil {
@@ -152,7 +152,7 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != statusTimedOut {
-		t.Errorf("%s", resp.Status)
+		t.Errorf("got status %s", resp.Status)
 	}
 	arrived := (<-posted).(requestArrived).call
 	if disconnected, ok := (<-posted).(clientDisconnected); !ok || disconnected.call != arrived || arrived.markAnswered() {
@@ -161,7 +161,6 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// Retry-After is in seconds.
 func TestRetryAfterIsInSeconds(t *testing.T) {
 	recorder := httptest.NewRecorder()
 	writeResponse(recorder, httptest.NewRequest(http.MethodGet, apiPath, http.NoBody), response{status: statusRejected, retryAfterMS: 1250})
@@ -189,13 +188,13 @@
 		pending = append(pending, sidecar.doAsync(req))
 	}
 	for _, response := range pending {
-		if got := receiveWithin(t, "an answer", response); got.status != 200 && got.status != statusRejected {
-			t.Errorf("%+v", got)
+		if got := receiveWithin(t, "a response", response); got.status != 200 && got.status != statusRejected {
+			t.Errorf("client got %+v", got)
 		}
 	}
-	waitUntil(t, "all requests to be over", func() bool { return sidecar.frontend.inFlight.Load() == 0 })
+	waitUntil(t, "all requests to end", func() bool { return sidecar.frontend.inFlight.Load() == 0 })
 	sidecar.terminate()
-	if err := receiveWithin(t, "the end", sidecar.done); err != nil {
+	if err := receiveWithin(t, "the end of the sidecar", sidecar.done); err != nil {
 		t.Error(err)
 	}
 	sidecar.done <- nil
@@ -207,7 +206,7 @@
 	}
 }
 
-// New fails with an error that names the address if that is in use.
+// If the listen address is in use, New returns an error that names the setting.
 func TestAddressInUse(t *testing.T) {
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address()))
 	document := newConfigDocument("127.0.0.1:1")
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// tryWrite writes text to a peer that may have closed the connection; a test sees that by what it reads.
+// tryWrite writes text to a peer that may have closed the connection. It ignores errors: the test checks what it reads.
 func tryWrite(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// discard reads until the end; how it ends is no concern of the caller.
+// discard reads until the end of the input or an error, which it ignores.
 func discard(r io.Reader) { _, _ = io.Copy(io.Discard, r) }
 
-// deadliner is a connection or a listener with a deadline.
+// deadliner is a connection or a listener whose deadline can be set.
 type deadliner interface{ SetDeadline(time.Time) error }
 
-// setTestDeadline bounds all I/O on a connection by testTimeout.
+// setTestDeadline limits all I/O on a connection to testTimeout from now.
 func setTestDeadline(t *testing.T, conn deadliner) {
 	t.Helper()
 	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -34,7 +34,6 @@
 	}
 }
 
-// closeWrite closes the sending side of a connection.
 func closeWrite(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
@@ -52,7 +51,7 @@
 			t.Error(err)
 		}
 		if err := <-done; !errors.Is(err, http.ErrServerClosed) {
-			t.Errorf("the server ended with %v", err)
+			t.Errorf("server ended with %v", err)
 		}
 	})
 }
--- a/internal/sidecar/idempotency_window_test.go
+++ b/internal/sidecar/idempotency_window_test.go
@@ -14,7 +14,8 @@
 	"milldeck/balance"
 )
 
-// smallSocketBuffers makes sockets buffer little of a request that the other side does not read.
+// smallSocketBuffers returns a socket hook that makes one socket buffer small, so that little of an unread request is
+// buffered.
 func smallSocketBuffers(option int) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, rawConn syscall.RawConn) error {
 		var set error
@@ -25,8 +26,8 @@
 	}
 }
 
-// newUnreadListener accepts connections and hands them over unread; little of what is written to one leaves the
-// sender.
+// newUnreadListener returns a listener and a channel of its accepted connections, from which nothing is read. Only few bytes
+// that are written to such a connection leave the sender.
 func newUnreadListener(t *testing.T) (net.Listener, <-chan net.Conn) {
 	t.Helper()
 	listener, err := (&net.ListenConfig{Control: smallSocketBuffers(syscall.SO_RCVBUF)}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -60,8 +61,8 @@
 	return err == nil && int64(len(body)) == r.ContentLength
 }
 
-// The idempotency window of a retry ends while the server does not read it: the last byte must not arrive when the
-// key may be forgotten. The attempt was never executed, and the request is answered before its deadline.
+// The idempotency window ends while a server does not read a retry. The last byte must not arrive after the server may have
+// forgotten the key. So the retry counts as never executed, and the request is answered before its deadline.
 func TestRetryEndsWithIdempotencyWindow(t *testing.T) {
 	const window = 600 * time.Millisecond
 	first, firstConns := newUnreadListener(t)
@@ -83,25 +84,25 @@
 	if !readsCompleteRequest(t, firstConn) {
 		t.Fatal("the first attempt is incomplete")
 	}
-	ended := time.Now() // the window began earlier
+	ended := time.Now() // the window started earlier
 	resetConn(firstConn)
 	firstConn.Close()
 	retry := receiveWithin(t, "the retry", other)
 	select {
 	case got := <-answered:
 		if got.status != statusFailed {
-			t.Errorf("answer %d, want %d: the first attempt may have run", got.status, statusFailed)
+			t.Errorf("status %d, want %d: the first attempt may have been executed", got.status, statusFailed)
 		}
-	case <-time.After(time.Until(ended.Add(window + 2*time.Second))): // long after the window: now it is read
-		t.Error("not answered at the end of the window")
+	case <-time.After(time.Until(ended.Add(window + 2*time.Second))): // long after the window; the retry is read now
+		t.Error("the request is not answered at the end of the window")
 	}
 	if readsCompleteRequest(t, retry) {
-		t.Error("the retry was complete after the end of the window")
+		t.Error("the complete retry arrived after the end of the window")
 	}
 }
 
-// The idempotency window starts with the first attempt that may have been executed, and exists only for classes with
-// idempotency keys.
+// The idempotency window starts at the first attempt that may have been executed. Only classes with idempotency keys have
+// one.
 func TestIdempotencyWindowStartsAtFirstPossibleExecution(t *testing.T) {
 	config, err := newConfigDocument("127.0.0.1:1").load(t)
 	if err != nil {
@@ -109,7 +110,7 @@
 	}
 	loop := newEventLoop(config, nil, nil)
 	at := func(ms float64) time.Time { return loop.clock.timeAt(loop.clock.startUnixMS + ms) }
-	// The window less the time for which the process may be held up.
+	// The end of the window, less the time for which the process may be suspended.
 	endOf := func(ms float64) time.Time { return at(ms).Add(-schedulingAllowance) }
 	attempts := func(neverExecuted ...bool) (list []*attempt) { // 100 ms apart
 		for i, unexecuted := range neverExecuted {
@@ -137,6 +138,6 @@
 	}
 	config.settings.Classes[config.classNumbers["reserve"]].IdempotencyWindow = math.MaxFloat64
 	if got := loop.idempotencyWindowEnd(&call{request: balance.Request{Class: config.classNumbers["reserve"]}, deadline: at(5000), attempts: attempts(false)}); !got.IsZero() {
-		t.Errorf("an endless window ends at %v", got)
+		t.Errorf("an unlimited window ends at %v", got)
 	}
 }
--- a/internal/sidecar/pipelining_test.go
+++ b/internal/sidecar/pipelining_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// Requests that are sent at once on a connection are owed what others are: their time runs from their arrival, and those
-// that were read are answered, however many they are and whatever ends the connection.
+// Pipelined requests are treated like others: the timeout of each starts at its arrival, and each request that was read is
+// answered, however many there are and whatever ends the connection.
 func TestPipelinedRequestsAreServedLikeOthers(t *testing.T) {
-	t.Run("their time runs from their arrival", func(t *testing.T) {
+	t.Run("timeouts start at arrival", func(t *testing.T) {
 		const wait = 400 * time.Millisecond
 		forwardedTimeouts := make(chan time.Duration, 10)
 		server := newBlockingBackend(t, func(conn net.Conn, r *http.Request, body string) bool {
@@ -33,18 +33,18 @@
 		time.Sleep(wait)
 		server.release <- struct{}{}
 		server.release <- struct{}{}
-		receiveWithin(t, "the first timeout", forwardedTimeouts)
-		if got := receiveWithin(t, "the second timeout", forwardedTimeouts); got > time.Second-wait {
-			t.Errorf("after %v the second request's server is told %v of a second", wait, got)
+		receiveWithin(t, "the timeout of the first request", forwardedTimeouts)
+		if got := receiveWithin(t, "the timeout of the second request", forwardedTimeouts); got > time.Second-wait {
+			t.Errorf("after a wait of %v the second request is sent with a timeout of %v, of one second", wait, got)
 		}
 		reader := bufio.NewReader(conn)
 		for i := range 2 {
 			if got := readStatus(t, reader); got != 200 {
-				t.Errorf("answer %d: %d", i, got)
+				t.Errorf("response %d: status %d", i, got)
 			}
 		}
 	})
-	t.Run("an overdue one is answered at its turn", func(t *testing.T) {
+	t.Run("an overdue request is answered in turn", func(t *testing.T) {
 		server := newBlockingBackend(t, serveOK)
 		sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
 		conn := sidecar.dial()
@@ -54,10 +54,10 @@
 		server.release <- struct{}{}
 		reader := bufio.NewReader(conn)
 		if got := readStatus(t, reader); got != 200 {
-			t.Errorf("the first answer: %d", got)
+			t.Errorf("first response: status %d", got)
 		}
 		if got := readStatus(t, reader); got != statusRejected && got != statusTimedOut {
-			t.Errorf("the second answer: %d", got)
+			t.Errorf("second response: status %d", got)
 		}
 		if got := server.requests.Load(); got != 1 {
 			t.Errorf("the server got %d requests, one of them for a client that no longer waits", got)
@@ -91,7 +91,7 @@
 			reader := bufio.NewReader(conn)
 			for i := range requests {
 				if got := readStatus(t, reader); got != 200 {
-					t.Fatalf("answer %d of %d: %d", i, len(requests), got)
+					t.Fatalf("response %d of %d: status %d", i, len(requests), got)
 				}
 			}
 		})
@@ -114,11 +114,11 @@
 		reader := bufio.NewReader(conn)
 		for i := range count {
 			if got := readStatus(t, reader); got != 200 {
-				t.Fatalf("answer %d of %d: %d", i, count, got)
+				t.Fatalf("response %d of %d: status %d", i, count, got)
 			}
 		}
 		if _, err := reader.ReadByte(); err == nil {
-			t.Error("the connection goes on")
+			t.Error("the connection stays open after the last response")
 		}
 	})
 }
--- a/internal/sidecar/read_ahead_test.go
+++ b/internal/sidecar/read_ahead_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The head of a request ends with its first empty line, wherever reads cut it.
+// The head of a request ends with its first empty line, at whatever bytes the reads divide it.
 func TestHeadScannerFindsTheEmptyLine(t *testing.T) {
 	for _, text := range []string{
 		"GET / HTTP/1.1\r\nHost: b\r\n\r\n", "GET / HTTP/1.1\nHost: b\n\n", "GET / HTTP/1.1\r\n\r\n", "\r\n", "\n", "a\r\n\r\r\n",
@@ -28,7 +28,7 @@
 	}
 }
 
-// Bytes come out in order, with the time at which they arrived, and their memory is given back.
+// The buffer returns bytes in order, with their arrival times, and releases their memory.
 func TestReadAheadBuffer(t *testing.T) {
 	memory := &byteBudget{}
 	memory.release(2 * maxReadAheadBytes)
@@ -40,7 +40,7 @@
 		at   time.Time
 	}{{"abc", start}, {"", start}, {"de", start.Add(arrivalResolution / 2)}, {"fg", late}} {
 		if !buffer.append([]byte(added.text), added.at) {
-			t.Fatal("no room")
+			t.Fatal("the buffer does not accept bytes within its limit")
 		}
 	}
 	for _, want := range []struct {
@@ -55,15 +55,15 @@
 		buffer.discard(len(data))
 	}
 	if buffer.size != 0 || buffer.segments != nil || memory.remaining.Load() != 2*maxReadAheadBytes {
-		t.Errorf("%d bytes are left, %d of the memory", buffer.size, memory.remaining.Load())
+		t.Errorf("%d bytes are left, %d bytes of the memory are free", buffer.size, memory.remaining.Load())
 	}
 	full := []byte(strings.Repeat("x", maxReadAheadBytes))
 	if !buffer.append(full, start) || buffer.append([]byte("x"), start) {
-		t.Error("the bound does not hold")
+		t.Error("the buffer does not hold exactly maxReadAheadBytes")
 	}
 	buffer.clear()
 	memory.reserve(int(memory.remaining.Load()))
 	if buffer.append([]byte("x"), start) {
-		t.Error("added without memory")
+		t.Error("bytes were added although the memory is exhausted")
 	}
 }
--- a/internal/sidecar/recorder_test.go
+++ b/internal/sidecar/recorder_test.go
@@ -14,7 +14,7 @@
 	"testing"
 )
 
-// transcript collects named messages, one quoted line for each line of a message.
+// transcript collects named messages. It quotes each line of a message on a line of its own.
 type transcript struct{ bytes.Buffer }
 
 func (record *transcript) add(name, message string) {
@@ -24,17 +24,18 @@
 	}
 }
 
-// volatileHeaders have values that follow the clock.
+// volatileHeaders matches headers whose values depend on the clock.
 var volatileHeaders = regexp.MustCompile(`(?m)^(Date|X-Timeout-Ms): .*\r$`)
 
-// withoutVolatile replaces what differs from run to run: an address, and values that follow the clock.
+// withoutVolatile replaces the parts of a message that differ from run to run: an address, and values that depend on the
+// clock.
 func withoutVolatile(message, address string) string {
 	message = strings.ReplaceAll(message, address, "ADDRESS")
 	return volatileHeaders.ReplaceAllString(message, "$1: VOLATILE\r")
 }
 
-// newRecorder listens and records each request as it came. It answers them with the responses in turn and closes each
-// connection after one.
+// newRecorder starts a server that records the bytes of each request. It sends the responses in order, one for each
+// connection, and then closes the connection.
 func newRecorder(t *testing.T, responses ...string) (address string, requests <-chan string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/sidecar/request_ids_test.go
+++ b/internal/sidecar/request_ids_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A request with the ID of another that is in flight, or was answered recently, is rejected as a conflict.
+// A request with the ID of another request that is in flight, or was answered recently, gets status 409.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, body string) bool {
@@ -20,23 +20,23 @@
 	pending := sidecar.doAsync(first)
 	waitUntil(t, "the request at the server", func() bool { return server.requests.Load() == 1 })
 	if got := sidecar.do(second); got.status != http.StatusConflict || !got.connClosed {
-		t.Errorf("while the other is open: %+v", got)
+		t.Errorf("while the first request is in flight: %+v", got)
 	}
 	close(release)
-	if got := receiveWithin(t, "the answer", pending); got.status != 200 {
-		t.Errorf("%+v", got)
+	if got := receiveWithin(t, "the response", pending); got.status != 200 {
+		t.Errorf("client got %+v", got)
 	}
 	again := sidecar.newRequest("charge", 2*time.Second)
 	again.Header.Set("X-Request-ID", first.Header.Get("X-Request-ID"))
 	if got := sidecar.do(again); got.status != http.StatusConflict {
-		t.Errorf("right after: %+v", got)
+		t.Errorf("just after the response: %+v", got)
 	}
 	if requests := server.requests.Load(); requests != 1 {
 		t.Errorf("%d requests reached the server", requests)
 	}
 }
 
-// Request IDs are forgotten some time after their responses, so that they do not fill the memory.
+// Request IDs are discarded some time after their responses, so that they do not exhaust the memory.
 func TestRequestIDsExpire(t *testing.T) {
 	ids := newRecentRequestIDs()
 	claim := func(id string, want bool) uint64 {
--- a/internal/sidecar/request_parsing_test.go
+++ b/internal/sidecar/request_parsing_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// A malformed request gets a status that is no rejection, its connection ends, and no server gets it.
+// A malformed request gets a status that does not invite a retry, its connection is closed, and no server gets the request.
 func TestMalformedRequests(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -65,14 +65,14 @@
 	req := sidecar.newRequest("charge", time.Second)
 	req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, maxBodyBytes))), maxBodyBytes
 	if got := sidecar.do(req); got.status != 200 {
-		t.Errorf("the largest body: %+v", got)
+		t.Errorf("a request with the largest body: %+v", got)
 	}
 	if got := sidecar.do(sidecar.newRequest("reserve", time.Second)); got.status != 200 {
 		t.Errorf("a request with an idempotency key: %+v", got)
 	}
 }
 
-// dial opens a connection for requests that no client library sends.
+// dial opens a connection for requests that http.Client cannot send.
 func (sidecar *testSidecar) dial() net.Conn {
 	sidecar.t.Helper()
 	conn, err := net.Dial("tcp", sidecar.Addr())
@@ -84,8 +84,8 @@
 	return conn
 }
 
-// A request whose length can be read in two ways may hide another in its body. Neither is forwarded: there is one
-// response, which never invites a retry, and the connection ends.
+// A request whose length can be interpreted in two ways may hide another request in its body. Neither is forwarded: the
+// client gets one response, which never invites a retry, and the connection is closed.
 func TestRequestSmugglingIsRejected(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -122,10 +122,10 @@
 			}
 			discard(resp.Body)
 			if resp.StatusCode < 400 || resp.StatusCode == 429 || resp.StatusCode == 503 {
-				t.Errorf("answered %s", resp.Status)
+				t.Errorf("status %s invites a retry or is no error", resp.Status)
 			}
 			if more, _ := io.ReadAll(reader); len(more) > 0 {
-				t.Errorf("what followed was answered as well: %q", more)
+				t.Errorf("the bytes that followed got a response: %q", more)
 			}
 		})
 	}
--- a/internal/sidecar/send_guard_test.go
+++ b/internal/sidecar/send_guard_test.go
@@ -8,7 +8,7 @@
 	"milldeck/balance"
 )
 
-// What must never be decided is neither sent nor unnoticed: the guard stands behind the balancer.
+// The guard rejects a decision that violates an invariant, and records the violation, whatever the balancer has decided.
 func TestGuardRejectsInvariantViolations(t *testing.T) {
 	for name, test := range map[string]struct {
 		idempotency balance.Idempotency
@@ -48,14 +48,14 @@
 	}
 }
 
-// A request that is told too much time, or written after its answer, is counted once it is written.
+// A request that was written with too long a timeout, or after its response, is recorded as a violation.
 func TestGuardCountsViolationsAfterWrite(t *testing.T) {
 	guard := sendGuard{&monitor{}}
 	request := &call{deadline: time.Now().Add(time.Second)}
 	written := &attempt{call: request, startedAt: time.Now()}
 	guard.checkWritten(written, time.Second, time.Now())
 	if got := guard.monitor.totalViolations(); got != 0 {
-		t.Fatalf("%d violations of an attempt that broke nothing", got)
+		t.Fatalf("%d violations of an attempt that violates nothing", got)
 	}
 	guard.checkWritten(written, time.Second+2*timeoutSlack, time.Now())
 	request.responded.Store(true)
--- a/internal/sidecar/sidecar_drain_test.go
+++ b/internal/sidecar/sidecar_drain_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// After SIGTERM requests are served on open and new connections until the drain deadline, as the application goes on
-// using what is open. Then connections end with their responses, and the address can be bound again.
+// After SIGTERM requests are served on open and new connections until the drain deadline, because the application continues
+// to use its open connections. Then each connection is closed after its response, and the address can be bound again.
 func TestDrainServesUntilDeadline(t *testing.T) {
 	release, arrived := make(chan struct{}), make(chan struct{}, 1)
 	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, body string) bool {
@@ -46,10 +46,10 @@
 	newClient.CloseIdleConnections()
 	waitUntil(t, "connections to be closed", sidecar.frontend.closeAfterResponse.Load)
 	close(release)
-	if r := receiveWithin(t, "the slow answer", pending); r.status != 200 {
-		t.Errorf("%+v", r)
+	if r := receiveWithin(t, "the slow response", pending); r.status != 200 {
+		t.Errorf("client got %+v", r)
 	}
-	if err := receiveWithin(t, "the end", sidecar.done); err != nil {
+	if err := receiveWithin(t, "the end of the sidecar", sidecar.done); err != nil {
 		t.Error(err)
 	}
 	sidecar.done <- nil
@@ -57,11 +57,11 @@
 	document["listen"] = sidecar.Addr()
 	again := startSidecar(t, document)
 	if r := again.do(again.newRequest("charge", time.Second)); r.status != 200 {
-		t.Errorf("after a restart: %+v", r)
+		t.Errorf("after the restart: %+v", r)
 	}
 }
 
-// Clients that go on sending for a while after SIGTERM lose no request.
+// Clients that continue to send for some time after SIGTERM lose no request.
 func TestDrainUnderLoad(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -79,7 +79,7 @@
 				default:
 				}
 				if got := sidecar.do(sidecar.newRequest("charge", time.Second)); got.status != 200 {
-					t.Errorf("%+v", got)
+					t.Errorf("client got %+v", got)
 				}
 				count++
 			}
@@ -92,22 +92,22 @@
 	waitUntil(t, "requests during the drain", func() bool { return server.requests.Load() > before+50 })
 	close(stop)
 	for range 8 {
-		if count := receiveWithin(t, "a client", served); count == 0 {
-			t.Error("a client was served nothing")
+		if count := receiveWithin(t, "the count of a client", served); count == 0 {
+			t.Error("a client got no response")
 		}
 	}
-	sidecar.client.CloseIdleConnections() // without connections the drain need not wait
-	if err := receiveWithin(t, "the end", sidecar.done); err != nil {
+	sidecar.client.CloseIdleConnections() // without connections the drain does not wait
+	if err := receiveWithin(t, "the end of the sidecar", sidecar.done); err != nil {
 		t.Error(err)
 	}
 	sidecar.done <- nil
 }
 
-// Connections without a request, or with a part of one, do not delay a drain. A request in flight is answered before
-// the process may be killed.
+// Connections without a request, or with a partial request, do not delay a drain. A request in flight is answered before the
+// process may be killed.
 func TestDrainWithIncompleteRequests(t *testing.T) {
 	server := newBackend(t, "a", func(net.Conn, *http.Request, string) bool { select {} })
-	server.Close() // no connection is accepted: the request waits at the balancer
+	server.Close() // refuses connections, so that the request waits in the balancer
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
 	sidecar.serveWindow = time.Second
 	for _, text := range []string{"", "GET /api HTT"} {
@@ -125,18 +125,17 @@
 	startedAt := time.Now()
 	sidecar.terminate()
 	waitUntil(t, "the drain", func() bool { return sidecar.frontend.drainDeadline.Load() != nil })
-	if got := receiveWithin(t, "the answer", pending); got.status == 0 {
+	if got := receiveWithin(t, "the response", pending); got.status == 0 {
 		t.Error("the request was dropped")
 	}
-	err := receiveWithin(t, "the end", sidecar.done)
+	err := receiveWithin(t, "the end of the sidecar", sidecar.done)
 	if elapsed := time.Since(startedAt); err != nil || elapsed > 2500*time.Millisecond {
-		t.Errorf("%v after %v", err, elapsed)
+		t.Errorf("drain ended with %v after %v", err, elapsed)
 	}
 	sidecar.done <- nil
 }
 
-// SIGKILL comes 3.7 s after SIGTERM at the latest, however long a class's deadline is, and the last response is due
-// before.
+// SIGKILL follows SIGTERM after at most 3.7 s, however long the deadline of a class is. The last response is due earlier.
 func TestDrainEndsBeforeKill(t *testing.T) {
 	for _, test := range []struct {
 		deadlineMS string
@@ -157,13 +156,13 @@
 			}
 			end := instance.serveWindow + finalResponseWindow
 			if end > test.kill-shutdownMargin || end < test.kill-500*time.Millisecond {
-				t.Errorf("the last answer is due %v after SIGTERM, the kill %v", end, test.kill)
+				t.Errorf("the last response is due %v after SIGTERM, SIGKILL after %v", end, test.kill)
 			}
 		})
 	}
 }
 
-// A request that came before SIGTERM and has more time left than the process is answered before the end.
+// A request that arrived before SIGTERM, and whose deadline is after the end of the process, is answered before that end.
 func TestDrainAnswersLongRequests(t *testing.T) {
 	arrived := make(chan struct{}, 1)
 	server := newBackend(t, "a", func(conn net.Conn, _ *http.Request, _ string) bool {
@@ -176,10 +175,10 @@
 	pending := sidecar.doAsync(sidecar.newRequest("charge", testTimeout))
 	receiveWithin(t, "the request", arrived)
 	sidecar.terminate()
-	if response := receiveWithin(t, "its answer", pending); response.status != statusTimedOut {
-		t.Errorf("%+v, want %d", response, statusTimedOut)
+	if response := receiveWithin(t, "its response", pending); response.status != statusTimedOut {
+		t.Errorf("client got %+v, want status %d", response, statusTimedOut)
 	}
-	if err := receiveWithin(t, "the end", sidecar.done); err != nil {
+	if err := receiveWithin(t, "the end of the sidecar", sidecar.done); err != nil {
 		t.Error(err)
 	}
 	sidecar.done <- nil
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// testTimeout bounds every wait of the tests; none is expected to last that long.
+// testTimeout limits every wait of the tests. No wait is expected to last that long.
 const testTimeout = 10 * time.Second
 
 const testSettings = `{
@@ -37,7 +37,7 @@
 	os.Exit(m.Run())
 }
 
-// configDocument is the content of a configuration file that a test changes.
+// configDocument is the content of a configuration file, which a test can change.
 type configDocument map[string]any
 
 func newConfigDocument(discovery string, known ...endpoint) configDocument {
@@ -49,11 +49,11 @@
 	}
 }
 
-// replaceSetting replaces text in the settings.
+// replaceSetting replaces the first occurrence of a text in the settings.
 func (document configDocument) replaceSetting(old, new string) configDocument {
 	text := string(document["settings"].(json.RawMessage))
 	if !strings.Contains(text, old) {
-		panic("the settings lack " + old)
+		panic("settings do not contain " + old)
 	}
 	document["settings"] = json.RawMessage(strings.Replace(text, old, new, 1))
 	return document
@@ -89,11 +89,11 @@
 	client             *http.Client
 	terminate          context.CancelFunc
 	done               chan error
-	expectedViolations int64 // of invariants, until the test ends
+	expectedViolations int64 // of invariants, by the end of the test
 }
 
-// startSidecar runs a sidecar until the test ends; tweaks change it before. Unless a test says otherwise, connections
-// to servers are reused without delay.
+// startSidecar runs a sidecar until the test ends. tweaks change it before the start. Unless a tweak sets other values,
+// connections to servers are reused without delay, and a drain closes connections at once.
 func startSidecar(t *testing.T, document configDocument, tweaks ...func(*Sidecar)) *testSidecar {
 	t.Helper()
 	goroutinesBefore := runtime.NumGoroutine()
@@ -128,13 +128,13 @@
 	return sidecar
 }
 
-// waitForGoroutines waits until no goroutines are left but those from before and a few of the test's own servers.
+// waitForGoroutines waits until only the goroutines from before and a few of the test's own servers are left.
 func waitForGoroutines(t *testing.T, before int) {
 	t.Helper()
 	waitUntil(t, "goroutines to end", func() bool { return runtime.NumGoroutine() <= before+3 })
 }
 
-// waitUntil polls a condition that has no event of its own.
+// waitUntil polls a condition that no event signals, and fails the test after testTimeout.
 func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
@@ -147,7 +147,7 @@
 
 var lastRequestID atomic.Int64
 
-// newRequest makes a valid request of a class.
+// newRequest creates a valid request of a class.
 func (sidecar *testSidecar) newRequest(class string, timeout time.Duration) *http.Request {
 	sidecar.t.Helper()
 	method, body := http.MethodPost, io.Reader(strings.NewReader("plate 12-34"))
@@ -192,7 +192,7 @@
 	return clientResult{resp.StatusCode, resp.Header, string(body), time.Since(startedAt), resp.Close}
 }
 
-// doAsync sends a request on a goroutine of its own.
+// doAsync sends a request on a new goroutine.
 func (sidecar *testSidecar) doAsync(req *http.Request) <-chan clientResult {
 	done := make(chan clientResult, 1)
 	go func() { done <- sidecar.do(req) }()
--- a/internal/sidecar/stepped_loop_test.go
+++ b/internal/sidecar/stepped_loop_test.go
@@ -10,8 +10,8 @@
 	"milldeck/balance"
 )
 
-// steppedLoop is an event loop whose events the test handles one by one, in an order that it chooses. Its attempts
-// are real.
+// steppedLoop is an event loop whose events the test handles one by one, in an order that the test chooses. Its attempts
+// are sent on real connections.
 type steppedLoop struct {
 	*eventLoop
 	t      *testing.T
@@ -44,7 +44,7 @@
 		loop.workers.Wait()
 		loop.pool.closeAll()
 		if loop.pool.openConns != 0 {
-			t.Errorf("%d connections are still counted", loop.pool.openConns)
+			t.Errorf("%d connections are still counted as open", loop.pool.openConns)
 		}
 		if violations := loop.pool.guard.monitor.totalViolations(); violations != 0 {
 			t.Errorf("%d violations of invariants", violations)
@@ -75,22 +75,22 @@
 	return created
 }
 
-// nextCompleted waits for an attempt to end; the event is not handled yet.
+// nextCompleted waits for the end of an attempt and returns the event without handling it.
 func (loop *steppedLoop) nextCompleted() attemptCompleted {
 	loop.t.Helper()
 	return receiveWithin(loop.t, "the end of an attempt", loop.events).(attemptCompleted)
 }
 
-// disconnect does what the frontend does when the client disconnects.
+// disconnect ends a call as the frontend does when the client disconnects.
 func (loop *steppedLoop) disconnect(call *call) {
 	loop.t.Helper()
 	if !call.markAnswered() {
-		loop.t.Fatal("already answered")
+		loop.t.Fatal("call is already answered")
 	}
 	loop.handleEvent(loop.nowMS(), clientDisconnected{call})
 }
 
-// takeResponse takes the response as the frontend does.
+// takeResponse receives the response of a call as the frontend does. It fails if there is none.
 func (loop *steppedLoop) takeResponse(call *call) response {
 	loop.t.Helper()
 	select {
@@ -98,25 +98,25 @@
 		loop.pool.bodyMemory.release(resp.reservedBytes)
 		return resp
 	default:
-		loop.t.Fatal("not answered")
+		loop.t.Fatal("call is not answered")
 		panic("unreachable")
 	}
 }
 
-// assertReleased checks that no state of a call is left.
+// assertReleased checks that a call is answered and that no state of it is left.
 func (loop *steppedLoop) assertReleased(call *call) {
 	loop.t.Helper()
 	if len(call.response) != 0 || len(loop.calls.byID) != 0 || !call.answered.Load() {
-		loop.t.Errorf("%d further answers, %d requests open, answered %v", len(call.response), len(loop.calls.byID), call.answered.Load())
+		loop.t.Errorf("%d unread responses, %d calls in the table, answered %v", len(call.response), len(loop.calls.byID), call.answered.Load())
 	}
 }
 
-// deltaUpdate is a change of the endpoint list.
+// deltaUpdate returns an update with changed endpoints.
 func deltaUpdate(revision int64, changed ...endpoint) endpointUpdate {
 	return endpointUpdate{kind: balance.UpdateDelta, endpoints: endpointList{Revision: revision, Endpoints: changed}}
 }
 
-// fullUpdate is a complete endpoint list.
+// fullUpdate returns an update with a complete endpoint list.
 func fullUpdate(revision int64, listed ...endpoint) endpointUpdate {
 	return endpointUpdate{kind: balance.UpdateFull, endpoints: endpointList{Revision: revision, Endpoints: listed}}
 }
--- a/internal/sidecar/withdrawal_test.go
+++ b/internal/sidecar/withdrawal_test.go
@@ -6,7 +6,7 @@
 	"milldeck/balance"
 )
 
-// A server is withdrawn by its name: an entry that says so needs no address that could be dialed.
+// A withdrawal identifies a server by its UID, so an entry that withdraws a server needs no valid address.
 func TestWithdrawalNeedsNoAddress(t *testing.T) {
 	for _, state := range []string{"Terminating", "Gone", "Unheard-of"} {
 		for _, address := range []string{"", "host:1", "127.0.0.1"} {
@@ -17,7 +17,7 @@
 				withdrawn.State, withdrawn.Address = state, address
 				list := endpointList{Revision: 2, Endpoints: []endpoint{withdrawn}}
 				if err := list.sanitize(); err != nil {
-					t.Fatalf("the list is refused: %v", err)
+					t.Fatalf("the list is rejected: %v", err)
 				}
 				loop.handleEvent(loop.nowMS(), deltaUpdate(list.Revision, list.Endpoints...))
 				if loop.readyUpstreams[loop.config.serverID("a")] != nil {
@@ -28,7 +28,8 @@
 	}
 }
 
-// Servers in two zones that the settings do not name are not in one zone: a key that one has met is unknown to the other.
+// Two zones that the settings do not name are distinct: servers in one do not know an idempotency key that was sent to the
+// other.
 func TestUnknownZonesAreDistinct(t *testing.T) {
 	document := newConfigDocument("127.0.0.1:1").replaceSetting(`"group": "cell"`, `"group": "zone"`)
 	for _, zones := range [][2]string{{"x", "y"}, {"", "x"}, {"z", "x"}} {
