--- a/internal/sidecar/fixtures_test.go
+++ b/internal/sidecar/fixtures_test.go
@@ -39,7 +39,7 @@
 		"classes": config.classNumbers, "tenants": config.tenantNumbers, "zones": config.zoneNumbers, "kinds": config.kindNumbers,
 		"report_fields": config.loadReportFields, "conn_idle": config.connIdleTimeout.String(), "open_cap": config.maxOpenRequests,
 		"known": config.knownEndpoints, "peer_listen": config.peers.listen.String(), "peers": peers, "peers_all": config.peers.broadcast.String(),
-		"settings": settingsAsRead(&config.settings),
+		"settings": settingsByKey(&config.settings),
 	}, "", "  ")
 	if err != nil {
 		t.Fatal(err)
@@ -47,8 +47,8 @@
 	goldentest.Compare(t, "config.golden.json", append(got, '\n'))
 }
 
-// settingsAsRead returns the balancer's settings by their keys in the configuration file.
-func settingsAsRead(config *balance.Config) map[string]any {
+// settingsByKey returns the balancer's settings by their keys in the configuration file.
+func settingsByKey(config *balance.Config) map[string]any {
 	var classes, tenants []map[string]any
 	for i := range config.Classes {
 		class := &config.Classes[i]
@@ -210,20 +210,20 @@
 
 func newLocalResponses(t *testing.T) *localResponses {
 	t.Helper()
-	exchanges := &localResponses{t: t}
-	exchanges.front = newTestFrontend(t, 10, 10, exchanges.answer)
-	exchanges.loop = newEventLoop(exchanges.front.config, nil, nil)
-	serveUntilCleanup(t, exchanges.front.httpServer(), exchanges.front.listener)
-	return exchanges
+	responses := &localResponses{t: t}
+	responses.front = newTestFrontend(t, 10, 10, responses.answer)
+	responses.loop = newEventLoop(responses.front.config, nil, nil)
+	serveUntilCleanup(t, responses.front.httpServer(), responses.front.listener)
+	return responses
 }
 
 // answer answers a request as its query specifies. It does not answer other queries.
-func (exchanges *localResponses) answer(event loopEvent) {
+func (responses *localResponses) answer(event loopEvent) {
 	arrived, ok := event.(requestArrived)
 	if !ok {
 		return
 	}
-	loop := exchanges.loop
+	loop := responses.loop
 	nowMS := loop.clock.unixMS(time.Now())
 	var action balance.Action
 	switch arrived.call.outbound.url.RawQuery {
@@ -249,11 +249,11 @@
 }
 
 // add sends a request on a new connection and records the response.
-func (exchanges *localResponses) add(name, line, headers, body string) {
-	t := exchanges.t
+func (responses *localResponses) add(name, line, headers, body string) {
+	t := responses.t
 	t.Helper()
-	exchanges.lastID++
-	address := exchanges.front.listener.Addr().String()
+	responses.lastID++
+	address := responses.front.listener.Addr().String()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -262,7 +262,7 @@
 	setTestDeadline(t, conn)
 	text := line + " HTTP/1.1\r\nHost: b\r\nX-Tenant-Id: kita\r\n" + headers
 	if !strings.Contains(headers, "X-Request-ID") {
-		text += fmt.Sprintf("X-Request-ID: %d\r\n", exchanges.lastID)
+		text += fmt.Sprintf("X-Request-ID: %d\r\n", responses.lastID)
 	}
 	if body != "" {
 		text += fmt.Sprintf("Content-Length: %d\r\n", len(body))
@@ -273,50 +273,50 @@
 	if readStatus(t, reader) == 0 {
 		t.Errorf("%s: no response", name)
 	}
-	exchanges.got.add(name, withoutVolatile(raw.String(), address))
+	responses.got.add(name, withoutVolatile(raw.String(), address))
 }
 
 // The bytes, except for the date, of the responses that the sidecar itself generates match the golden file.
 func TestLocalResponsesFixture(t *testing.T) {
-	exchanges := newLocalResponses(t)
-	front := exchanges.front
+	responses := newLocalResponses(t)
+	front := responses.front
 	const lookup = "X-Priority-Class: lookup\r\n"
 	const charge = "X-Priority-Class: charge\r\n"
 	const reserve = "X-Priority-Class: reserve\r\n"
-	exchanges.add("ready", "GET /health/ready", "", "")
-	exchanges.add("served", "GET /api?serve", lookup, "")
-	exchanges.add("rejected with Retry-After", "GET /api?hold-off=1", lookup, "")
-	exchanges.add("rejected without Retry-After", "GET /api?hold-off=0", lookup, "")
-	exchanges.add("failed", "POST /api?fail", charge, "body")
-	exchanges.add("timed out", "GET /api?late", lookup, "")
-	exchanges.add("no request ID", "GET /api", "X-Request-ID: \r\n"+lookup, "")
-	exchanges.add("two request IDs", "GET /api", "X-Request-ID: 1\r\nX-Request-ID: 2\r\n"+lookup, "")
-	exchanges.add("request ID in use", "GET /api?serve", "X-Request-ID: 2\r\n"+lookup, "")
-	exchanges.add("unknown class", "GET /api", "X-Priority-Class: none\r\n", "")
-	exchanges.add("invalid timeout", "GET /api", "X-Timeout-Ms: soon\r\n"+lookup, "")
-	exchanges.add("invalid cost", "GET /api", "X-Cost: NaN\r\n"+lookup, "")
-	exchanges.add("GET class by POST", "POST /api", lookup, "")
-	exchanges.add("POST class by GET", "GET /api", charge, "")
-	exchanges.add("no idempotency key", "POST /api", reserve, "")
-	exchanges.add("non-idempotent class with a key", "POST /api", charge+"Idempotency-Key: 1\r\n", "")
-	exchanges.add("GET with a body", "GET /api", lookup, "body")
-	exchanges.add("chunked", "POST /api", charge+"Transfer-Encoding: chunked\r\n", "")
-	exchanges.add("body too large", "POST /api", charge, strings.Repeat("x", maxBodyBytes+1))
-	exchanges.add("other path", "GET /other", lookup, "")
-	exchanges.add("other method", "PUT /api", lookup, "")
+	responses.add("ready", "GET /health/ready", "", "")
+	responses.add("served", "GET /api?serve", lookup, "")
+	responses.add("rejected with Retry-After", "GET /api?hold-off=1", lookup, "")
+	responses.add("rejected without Retry-After", "GET /api?hold-off=0", lookup, "")
+	responses.add("failed", "POST /api?fail", charge, "body")
+	responses.add("timed out", "GET /api?late", lookup, "")
+	responses.add("no request ID", "GET /api", "X-Request-ID: \r\n"+lookup, "")
+	responses.add("two request IDs", "GET /api", "X-Request-ID: 1\r\nX-Request-ID: 2\r\n"+lookup, "")
+	responses.add("request ID in use", "GET /api?serve", "X-Request-ID: 2\r\n"+lookup, "")
+	responses.add("unknown class", "GET /api", "X-Priority-Class: none\r\n", "")
+	responses.add("invalid timeout", "GET /api", "X-Timeout-Ms: soon\r\n"+lookup, "")
+	responses.add("invalid cost", "GET /api", "X-Cost: NaN\r\n"+lookup, "")
+	responses.add("GET class by POST", "POST /api", lookup, "")
+	responses.add("POST class by GET", "GET /api", charge, "")
+	responses.add("no idempotency key", "POST /api", reserve, "")
+	responses.add("non-idempotent class with a key", "POST /api", charge+"Idempotency-Key: 1\r\n", "")
+	responses.add("GET with a body", "GET /api", lookup, "body")
+	responses.add("chunked", "POST /api", charge+"Transfer-Encoding: chunked\r\n", "")
+	responses.add("body too large", "POST /api", charge, strings.Repeat("x", maxBodyBytes+1))
+	responses.add("other path", "GET /other", lookup, "")
+	responses.add("other method", "PUT /api", lookup, "")
 	front.maxInFlight = 0
-	exchanges.add("too many requests", "GET /api", lookup, "")
+	responses.add("too many requests", "GET /api", lookup, "")
 	front.bodyMemory.remaining.Store(0)
-	exchanges.add("body memory exhausted", "POST /api", charge, "body")
+	responses.add("body memory exhausted", "POST /api", charge, "body")
 	front.maxInFlight = 10
 	drainEnd := time.Now().Add(testTimeout)
 	front.drainDeadline.Store(&drainEnd)
-	exchanges.add("not ready while draining", "GET /health/ready", "", "")
+	responses.add("not ready while draining", "GET /health/ready", "", "")
 	front.closeAfterResponse.Store(true)
-	exchanges.add("served while connections close", "GET /api?serve", lookup, "")
+	responses.add("served while connections close", "GET /api?serve", lookup, "")
 	close(front.drainExpired)
-	exchanges.add("drain deadline", "GET /api?never", lookup, "")
-	goldentest.Compare(t, "answers.golden.txt", exchanges.got.Bytes())
+	responses.add("drain deadline", "GET /api?never", lookup, "")
+	goldentest.Compare(t, "answers.golden.txt", responses.got.Bytes())
 }
 
 // The bytes, except for the timeout, of the attempts and health checks that servers get match the golden file.
