--- a/cmd/milldeck/release_start.go
+++ b/cmd/milldeck/release_start.go
@@ -158,7 +158,7 @@
 		IdleTimeout:       reportsIdleTimeout,
 	}
 	served := make(chan error, 1)
-	go func() { served <- server.Serve(sockets.Lasting(listener)) }()
+	go func() { served <- server.Serve(sockets.RetryAccept(listener)) }()
 	return func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, reportsTimeout)
 		defer cancel()
--- a/cmd/milldeck/serve_lease.go
+++ b/cmd/milldeck/serve_lease.go
@@ -32,7 +32,7 @@
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: leaseServerTimeout, WriteTimeout: 2 * leaseServerTimeout, IdleTimeout: time.Minute}
 	failed := make(chan error, 1)
-	go func() { failed <- server.Serve(sockets.Lasting(listener)) }()
+	go func() { failed <- server.Serve(sockets.RetryAccept(listener)) }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	electionEnded := make(chan struct{})
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -99,7 +99,7 @@
 		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 	a.background.Go(func() {
-		if err := a.server.Serve(sockets.Lasting(a.listener)); !errors.Is(err, http.ErrServerClosed) {
+		if err := a.server.Serve(sockets.RetryAccept(a.listener)); !errors.Is(err, http.ErrServerClosed) {
 			a.logger.Error("HTTP server failed", "error", err)
 		}
 	})
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -125,7 +125,7 @@
 	}
 	replica.httpServer = replica.newHTTPServer()
 	replica.goroutines.Go(func() {
-		if err := replica.httpServer.Serve(sockets.Lasting(listener)); !errors.Is(err, http.ErrServerClosed) {
+		if err := replica.httpServer.Serve(sockets.RetryAccept(listener)); !errors.Is(err, http.ErrServerClosed) {
 			replica.fail(fmt.Errorf("http: %w", err))
 		}
 	})
--- a/internal/sidecar/active_placement.go
+++ b/internal/sidecar/active_placement.go
@@ -33,8 +33,8 @@
 	directives      []activeDirective // ordered by ID
 	cohortByServer  map[balance.ServerID]string
 
-	numberByID map[string]int // of exclusions, by which the balancer names them
-	lastNumber int
+	balancerIDs    map[string]int // of exclusions, by which the balancer names them
+	lastBalancerID int
 }
 
 // activeDirective is a directive in force and what it means for this sidecar.
@@ -47,9 +47,9 @@
 	excluded map[balance.ServerID]bool
 }
 
-// followPlacement follows the placement at another address. The directives in force stay until the new address has sent
+// setPlacementAddress follows the placement at another address. The directives in force stay until the new address has sent
 // its own, or until they end. Without an address all end now.
-func (l *eventLoop) followPlacement(nowMS float64, address string) {
+func (l *eventLoop) setPlacementAddress(nowMS float64, address string) {
 	previous := l.placement.active
 	if previous != nil && previous.address == address {
 		return
@@ -64,7 +64,7 @@
 		}
 		return
 	}
-	next := &activePlacement{recorder: newReportRecorder(l.config, nowMS), numberByID: map[string]int{}}
+	next := &activePlacement{recorder: newReportRecorder(l.config, nowMS), balancerIDs: map[string]int{}}
 	generation := 0
 	if previous != nil {
 		*next = *previous
@@ -112,9 +112,9 @@
 func (l *eventLoop) replaceDirectives(nowMS, takenAtMS float64, directives []placement.Directive) {
 	active := l.placement.active
 	previous := active.directives
-	previousNumbers := active.numberByID
+	previousIDs := active.balancerIDs
 	active.directives = nil
-	active.numberByID = map[string]int{}
+	active.balancerIDs = map[string]int{}
 	active.cohortByServer = map[balance.ServerID]string{}
 	var update balance.Placement
 	for i := range directives {
@@ -123,11 +123,11 @@
 		switch directive.Kind {
 		case placement.KindExclude:
 			if l.resolveExclusion(&directive) {
-				number := active.assignNumber(directive.ID, previousNumbers)
-				update.Exclusions = append(update.Exclusions, l.exclusion(&directive, number))
+				balancerID := active.assignBalancerID(directive.ID, previousIDs)
+				update.Exclusions = append(update.Exclusions, l.toExclusion(&directive, balancerID))
 			}
 		case placement.KindSpreadKey:
-			if hotKey, err := l.hotKey(&directive); err != nil {
+			if hotKey, err := l.toHotKey(&directive); err != nil {
 				placementLog.Warn("hot key directive ignored: invalid key", "id", directive.ID, "error", err)
 			} else {
 				update.HotKeys = append(update.HotKeys, hotKey)
@@ -150,15 +150,15 @@
 	}
 }
 
-// assignNumber gives an exclusion the number that it had before, or else a new one.
-func (p *activePlacement) assignNumber(id string, previous map[string]int) int {
-	number, known := previous[id]
+// assignBalancerID gives an exclusion the number that it had before, or else a new one.
+func (p *activePlacement) assignBalancerID(id string, previousIDs map[string]int) int {
+	balancerID, known := previousIDs[id]
 	if !known {
-		p.lastNumber++
-		number = p.lastNumber
+		p.lastBalancerID++
+		balancerID = p.lastBalancerID
 	}
-	p.numberByID[id] = number
-	return number
+	p.balancerIDs[id] = balancerID
+	return balancerID
 }
 
 // resolveExclusion fills in the tenant and the servers of an exclusion. It returns false if the exclusion concerns none
@@ -179,10 +179,10 @@
 	return true
 }
 
-// exclusion is an exclusion as the balancer gets it.
-func (l *eventLoop) exclusion(directive *activeDirective, number int) balance.Exclusion {
+// toExclusion is an exclusion as the balancer gets it.
+func (l *eventLoop) toExclusion(directive *activeDirective, balancerID int) balance.Exclusion {
 	exclusion := balance.Exclusion{
-		ID:           number,
+		ID:           balancerID,
 		Tenant:       directive.tenant,
 		MinAvailable: directive.MinAvailable,
 		ExpiresAt:    directive.endsAtMS,
@@ -193,8 +193,8 @@
 	return exclusion
 }
 
-// hotKey is a hot key as the balancer gets it.
-func (l *eventLoop) hotKey(directive *activeDirective) (balance.HotKey, error) {
+// toHotKey is a hot key as the balancer gets it.
+func (l *eventLoop) toHotKey(directive *activeDirective) (balance.HotKey, error) {
 	key, err := strconv.ParseUint(directive.KeyHash, 16, 64)
 	if err != nil {
 		return balance.HotKey{}, err
--- a/internal/sidecar/attempt_outcome_test.go
+++ b/internal/sidecar/attempt_outcome_test.go
@@ -235,7 +235,7 @@
 			pool, attempt, conn, _ := newExchange(t, server)
 			attempt.call.outbound = &outboundRequest{method: "GET", url: &url.URL{Path: "/api"}, host: "b", header: http.Header{}}
 			memory := pool.bodyMemory.remaining.Load()
-			conn.limit.R = hookedConn{conn.Conn, func() { test.interrupt(attempt, conn) }}
+			conn.responseLimit.R = hookedConn{conn.Conn, func() { test.interrupt(attempt, conn) }}
 			pool.returnIdle(conn)
 			result := pool.sendAttempt(attempt)
 			if result.outcome != test.want || result.outcome == balance.OK && string(result.response.body) != "done" {
--- a/internal/sidecar/attempt_start_test.go
+++ b/internal/sidecar/attempt_start_test.go
@@ -72,7 +72,7 @@
 					waitUntil(t, "the idle connection to be acquired", func() bool {
 						loop.pool.mu.Lock()
 						defer loop.pool.mu.Unlock()
-						return len(loop.pool.withIdle) == 0
+						return len(loop.pool.hostsWithIdleConns) == 0
 					})
 				}
 				loop.applyEndpointUpdate(loop.nowMS(), deltaUpdate(2, other.endpoint))
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -83,7 +83,7 @@
 // acceptTCP accepts a connection. It outlives every error that passes: net/http would end the server with some of them, and
 // have clients wait for up to a second after the others. net.ErrClosed means that stopAccepting has ended accepting.
 func (l *clientListener) acceptTCP() (*net.TCPConn, error) {
-	var pause sockets.Pause
+	var pause sockets.Backoff
 	for failed := false; ; {
 		tcpConn, err := l.AcceptTCP()
 		switch {
@@ -98,7 +98,7 @@
 			if err := l.stopAccepting(); err != nil {
 				return nil, err
 			}
-		case sockets.AcceptErrorLasts(err):
+		case sockets.IsPermanentAcceptError(err):
 			return nil, err
 		default:
 			failed = true
--- a/internal/sidecar/conn_pool.go
+++ b/internal/sidecar/conn_pool.go
@@ -56,9 +56,9 @@
 // upstreamConn is a connection to a server. It carries one request at a time.
 type upstreamConn struct {
 	net.Conn
-	reader   *bufio.Reader
-	limit    *io.LimitedReader // under reader: bounds a response, headers included
-	upstream *upstreamHost
+	reader        *bufio.Reader
+	responseLimit *io.LimitedReader // under reader: bounds a response, headers included
+	upstream      *upstreamHost
 
 	readDeadline time.Time // of the present exchange
 
@@ -91,23 +91,23 @@
 	bodyMemory       *byteBudget
 	guard            sendGuard
 
-	mu        sync.Mutex
-	withIdle  map[*upstreamHost]struct{} // those with idle connections
-	openConns int
-	maxConns  int
+	mu                 sync.Mutex
+	hostsWithIdleConns map[*upstreamHost]struct{} // those with idle connections
+	openConns          int
+	maxConns           int
 }
 
 func newConnPool(config *Config, maxConns int, bodyMemory *byteBudget) *connPool {
 	pool := &connPool{
-		dialer:           net.Dialer{Timeout: durationFromMS(config.settings.ConnectTimeout), KeepAlive: -1},
-		maxIdleTime:      time.Duration(float64(config.connIdleTimeout) * idleTimeoutFraction),
-		reuseDelay:       reuseDelay,
-		loadReportFields: config.loadReportFields,
-		healthCheckPath:  healthCheckPath,
-		bodyMemory:       bodyMemory,
-		guard:            sendGuard{&monitor{}},
-		withIdle:         map[*upstreamHost]struct{}{},
-		maxConns:         maxConns,
+		dialer:             net.Dialer{Timeout: durationFromMS(config.settings.ConnectTimeout), KeepAlive: -1},
+		maxIdleTime:        time.Duration(float64(config.connIdleTimeout) * idleTimeoutFraction),
+		reuseDelay:         reuseDelay,
+		loadReportFields:   config.loadReportFields,
+		healthCheckPath:    healthCheckPath,
+		bodyMemory:         bodyMemory,
+		guard:              sendGuard{&monitor{}},
+		hostsWithIdleConns: map[*upstreamHost]struct{}{},
+		maxConns:           maxConns,
 	}
 	if config.settings.LoadReports != balance.LoadReportNone {
 		pool.healthCheckPath = healthReportsPath
@@ -154,14 +154,14 @@
 	if err != nil {
 		p.releaseConn()
 		p.guard.monitor.count(upstreamConnDialFailed)
-		if sockets.LocalError(err) {
+		if sockets.IsTemporaryLocalError(err) {
 			err = errNoSocketAvailable // this machine's fault, not the server's
 		}
 		return nil, err
 	}
 	p.guard.monitor.count(upstreamConnDialed)
-	limit := &io.LimitedReader{R: netConn}
-	return &upstreamConn{Conn: netConn, reader: bufio.NewReader(limit), limit: limit, upstream: upstream}, nil
+	responseLimit := &io.LimitedReader{R: netConn}
+	return &upstreamConn{Conn: netConn, reader: bufio.NewReader(responseLimit), responseLimit: responseLimit, upstream: upstream}, nil
 }
 
 // idleTimeLimit is how long a connection to a server may be idle and still be reused.
@@ -197,7 +197,7 @@
 		}
 		upstream.idleConns = slices.Delete(upstream.idleConns, i, i+1)
 		if len(upstream.idleConns) == 0 {
-			delete(p.withIdle, upstream)
+			delete(p.hostsWithIdleConns, upstream)
 		}
 		return conn
 	}
@@ -225,7 +225,7 @@
 // evictOldestIdle closes the longest idle connection; it reports false if there is none. The caller holds the lock.
 func (p *connPool) evictOldestIdle() bool {
 	var oldest *upstreamHost
-	for upstream := range p.withIdle {
+	for upstream := range p.hostsWithIdleConns {
 		if oldest == nil || upstream.idleConns[0].idleSince.Before(oldest.idleConns[0].idleSince) {
 			oldest = upstream
 		}
@@ -246,7 +246,7 @@
 	p.openConns -= count
 	upstream.idleConns = append(upstream.idleConns[:0], upstream.idleConns[count:]...)
 	if len(upstream.idleConns) == 0 {
-		delete(p.withIdle, upstream)
+		delete(p.hostsWithIdleConns, upstream)
 	}
 }
 
@@ -263,7 +263,7 @@
 		return
 	}
 	conn.upstream.idleConns = append(conn.upstream.idleConns, conn)
-	p.withIdle[conn.upstream] = struct{}{}
+	p.hostsWithIdleConns[conn.upstream] = struct{}{}
 }
 
 // discard closes a connection that is not in the pool.
@@ -289,7 +289,7 @@
 func (p *connPool) reap(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for upstream := range p.withIdle {
+	for upstream := range p.hostsWithIdleConns {
 		expired := 0
 		for expired < len(upstream.idleConns) && now.Sub(upstream.idleConns[expired].idleSince) >= p.maxIdleTime {
 			expired++
@@ -302,7 +302,7 @@
 func (p *connPool) closeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for upstream := range p.withIdle {
+	for upstream := range p.hostsWithIdleConns {
 		p.closeOldestIdle(upstream, len(upstream.idleConns), upstreamConnWithdrawn)
 	}
 }
--- a/internal/sidecar/conn_pool_test.go
+++ b/internal/sidecar/conn_pool_test.go
@@ -193,7 +193,7 @@
 		t.Error("reaped early")
 	}
 	pool.reap(time.Now().Add(9 * time.Second))
-	if pool.openConns != 0 || len(pool.withIdle) != 0 {
+	if pool.openConns != 0 || len(pool.hostsWithIdleConns) != 0 {
 		t.Error("not reaped in time")
 	}
 }
--- a/internal/sidecar/discovery_client.go
+++ b/internal/sidecar/discovery_client.go
@@ -19,10 +19,10 @@
 // PROTOCOL counts whatever discovery has to announce as known to the sidecar 6 s after it can be reached. The timeouts keep
 // below that with two silent calls in a row.
 const (
-	// watchSilenceTimeout: an empty line arrives every 2 s. A watch without one for a quarter longer has ended, whatever
+	// watchHeartbeatTimeout: an empty line arrives every 2 s. A watch without one for a quarter longer has ended, whatever
 	// its connection says, as a machine that is cut off closes nothing. To end a watch too early costs one call at the
 	// agent on this machine; too late, and no time is left for a second and third call.
-	watchSilenceTimeout = 2500 * time.Millisecond
+	watchHeartbeatTimeout = 2500 * time.Millisecond
 	// agentTimeout: where lists are pushed, the agent on this machine responds at once, or discovery is down.
 	agentTimeout = 1200 * time.Millisecond
 	// callTimeout: where lists are polled, a call may wait in discovery's queue, which looks like being cut off.
@@ -40,8 +40,8 @@
 )
 
 var (
-	errWatchSilent = errors.New("endpoint watch is silent")
-	errStreamEnded = errors.New("endpoint stream ended")
+	errDiscoveryTimeout = errors.New("endpoint watch is silent")
+	errStreamEnded      = errors.New("endpoint stream ended")
 )
 
 // unexpectedStatusError is an HTTP response with a status that the caller cannot use.
@@ -63,7 +63,7 @@
 	post     func(loopEvent)
 	spawn    func(task func())
 
-	callTimeout, queuedCallTimeout, agentTimeout, silenceTimeout time.Duration
+	callTimeout, queuedCallTimeout, agentTimeout, heartbeatTimeout time.Duration
 }
 
 func newDiscoveryClient(address string, post func(loopEvent), spawn func(func())) *discoveryClient {
@@ -74,7 +74,7 @@
 		callTimeout:       callTimeout,
 		queuedCallTimeout: queuedCallTimeout,
 		agentTimeout:      agentTimeout,
-		silenceTimeout:    watchSilenceTimeout,
+		heartbeatTimeout:  watchHeartbeatTimeout,
 		// Connections are not reused: on a broken one the transport would retry by itself.
 		client: &http.Client{Transport: &http.Transport{
 			DisableKeepAlives:      true,
@@ -138,9 +138,9 @@
 	})
 }
 
-// subscribe keeps a watch open where lists are pushed and the balancer does not ask for them. Only calls that fail at
+// maintainWatch keeps a watch open where lists are pushed and the balancer does not ask for them. Only calls that fail at
 // once back off: a silent one has taken its time already.
-func (d *discoveryClient) subscribe(ctx context.Context) {
+func (d *discoveryClient) maintainWatch(ctx context.Context) {
 	ctx, d.cancel = context.WithCancel(ctx)
 	call := d.newCall(ctx)
 	d.spawn(func() {
@@ -161,10 +161,10 @@
 
 // sleepJittered waits between half of a time and all of it, so that sidecars whose watches ended together do not call
 // together.
-func sleepJittered(ctx context.Context, longest time.Duration) {
+func sleepJittered(ctx context.Context, maxDelay time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(longest/2 + rand.N(longest)/2):
+	case <-time.After(maxDelay/2 + rand.N(maxDelay)/2):
 	}
 }
 
@@ -189,14 +189,14 @@
 // watchUntilFailure opens a watch, and again each time that it falls silent.
 func (c *discoveryCall) watchUntilFailure() error {
 	err := c.openWatch(c.callTimeout)
-	for silentCalls := 0; errors.Is(err, errWatchSilent) && c.ctx.Err() == nil; {
+	for unansweredCalls := 0; errors.Is(err, errDiscoveryTimeout) && c.ctx.Err() == nil; {
 		discoveryLog.Warn("endpoint watch reopened", "error", err, "revision", c.revision.Load())
 		sleepJittered(c.ctx, initialBackoff)
-		if silentCalls++; c.received {
-			silentCalls = 0
+		if unansweredCalls++; c.received {
+			unansweredCalls = 0
 		}
 		timeout := c.callTimeout
-		if silentCalls > 1 {
+		if unansweredCalls > 1 {
 			timeout = c.queuedCallTimeout
 		}
 		err = c.openWatch(timeout)
@@ -218,7 +218,7 @@
 	if revision := c.revision.Load(); revision > 0 {
 		url += fmt.Sprintf("&after=%d", revision)
 	}
-	return c.readLists(url, firstTimeout, c.silenceTimeout)
+	return c.readLists(url, firstTimeout, c.heartbeatTimeout)
 }
 
 // readLists posts each list of a response until it ends, with errStreamEnded if that is in order. The timeouts bound the wait for
@@ -228,8 +228,8 @@
 	c.received = false
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	defer cancel(nil)
-	silenceTimer := time.AfterFunc(firstTimeout, func() { cancel(errWatchSilent) })
-	defer silenceTimer.Stop()
+	timeoutTimer := time.AfterFunc(firstTimeout, func() { cancel(errDiscoveryTimeout) })
+	defer timeoutTimer.Stop()
 	resp, err := c.get(ctx, url)
 	if err != nil {
 		return err
@@ -237,7 +237,7 @@
 	defer resp.Body.Close()
 	onHeartbeat := func() {
 		c.received = true
-		silenceTimer.Reset(nextTimeout)
+		timeoutTimer.Reset(nextTimeout)
 	}
 	return c.decodeLists(ctx, &heartbeatReader{source: resp.Body, onHeartbeat: onHeartbeat})
 }
@@ -250,7 +250,7 @@
 	}
 	resp, err := c.client.Do(req)
 	if netErr := net.Error(nil); errors.As(err, &netErr) && netErr.Timeout() {
-		err = errWatchSilent // the connection was not established in time
+		err = errDiscoveryTimeout // the connection was not established in time
 	}
 	if err != nil {
 		return nil, cmp.Or(context.Cause(ctx), err)
--- a/internal/sidecar/discovery_failure_test.go
+++ b/internal/sidecar/discovery_failure_test.go
@@ -73,7 +73,7 @@
 // runAgainstScript runs an event loop on a fake clock against a discovery that treats each call as the script says,
 // and answers the one after it with revision 9. Before that, the loop may have had a watch that was closed, or have
 // changed from another address. It returns when each call of the script was made and when revision 9 was received.
-func runAgainstScript(t *testing.T, mode, before string, seed int, script []callScript) (calls []time.Time, receivedAt time.Time) {
+func runAgainstScript(t *testing.T, mode, scenario string, seed int, script []callScript) (calls []time.Time, receivedAt time.Time) {
 	t.Helper()
 	config := loadScriptedConfig(t, mode, seed)
 	balancer, err := balance.New(config.settings)
@@ -83,7 +83,7 @@
 	discovery := &scriptedDiscovery{}
 	synctest.Test(t, func(t *testing.T) {
 		established := make(chan net.Conn, 1)
-		if before != "start" {
+		if scenario != "start" {
 			discovery.addCalls(func(remote net.Conn) {
 				tryWrite(remote, streamHeader+firstList)
 				established <- remote
@@ -100,10 +100,10 @@
 		loop.discovery.client.Transport.(*http.Transport).DialContext = discovery.dial
 		ctx, cancel := context.WithCancel(t.Context())
 		discovery.workers.Go(func() { loop.run(ctx) })
-		if before != "start" {
+		if scenario != "start" {
 			watch := <-established
 			synctest.Wait()
-			if before == "address changed" {
+			if scenario == "address changed" {
 				loop.post(discoveryAddressChanged{"127.0.0.1:2"})
 			} else {
 				watch.Close()
@@ -120,7 +120,7 @@
 		cancel()
 		discovery.workers.Wait()
 	})
-	if before != "start" {
+	if scenario != "start" {
 		return discovery.calls[1:], receivedAt
 	}
 	return discovery.calls, receivedAt
@@ -131,7 +131,7 @@
 // discovery may be back right after it, and the start of one that was silent.
 func TestFailedCallsEndBeforeNotificationDeadline(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
-		for _, before := range []string{"start", "closed", "address changed"} {
+		for _, scenario := range []string{"start", "closed", "address changed"} {
 			for _, outage := range []int{0, 6} { // refused calls before
 				worst := map[string]time.Duration{}
 				for lastIndex, last := range failureScripts {
@@ -148,16 +148,16 @@
 							}
 						}
 						script = append(script, last)
-						calls, receivedAt := runAgainstScript(t, mode, before, 10*lastIndex+otherIndex+1, script)
+						calls, receivedAt := runAgainstScript(t, mode, scenario, 10*lastIndex+otherIndex+1, script)
 						elapsed := receivedAt.Sub(calls[firstFailure])
 						if elapsed >= notificationDeadline {
-							t.Errorf("%s, %s, %d refused, then %q, then %q: %v", mode, before, outage, other.name, last.name, elapsed)
+							t.Errorf("%s, %s, %d refused, then %q, then %q: %v", mode, scenario, outage, other.name, last.name, elapsed)
 						}
 						kind := fmt.Sprintf("%d in a row, silent %v", len(script)-firstFailure, other.silent || last.silent)
 						worst[kind] = max(worst[kind], elapsed)
 					}
 				}
-				t.Logf("worst, %s, %s, %d refused before: %v", mode, before, outage, worst)
+				t.Logf("worst, %s, %s, %d refused before: %v", mode, scenario, outage, worst)
 			}
 		}
 	}
--- a/internal/sidecar/discovery_silence_test.go
+++ b/internal/sidecar/discovery_silence_test.go
@@ -102,9 +102,9 @@
 	},
 }
 
-// measureSilence runs a script, further calls that are silent from their start, and then a discovery that answers at
+// measureRecovery runs a script, further calls that are silent from their start, and then a discovery that answers at
 // once. It returns the time from the start of the first silence to the next list.
-func measureSilence(t *testing.T, script func(net.Conn, func()), silentCalls int, follow func(*discoveryClient, context.Context)) time.Duration {
+func measureRecovery(t *testing.T, script func(net.Conn, func()), silentCalls int, startWatch func(*discoveryClient, context.Context)) time.Duration {
 	var silentFrom, receivedAt time.Time
 	synctest.Test(t, func(t *testing.T) {
 		scripted := &scriptedDiscovery{}
@@ -127,7 +127,7 @@
 			}
 		}, func(task func()) { work.Go(task) })
 		client.client.Transport.(*http.Transport).DialContext = scripted.dial
-		follow(client, ctx)
+		startWatch(client, ctx)
 		select {
 		case <-received:
 		case <-time.After(time.Minute):
@@ -146,7 +146,7 @@
 	worst := map[string]time.Duration{}
 	for name, script := range silenceScripts {
 		for silentCalls := 1; silentCalls <= 3; silentCalls++ {
-			elapsed := measureSilence(t, script, silentCalls, (*discoveryClient).subscribe)
+			elapsed := measureRecovery(t, script, silentCalls, (*discoveryClient).maintainWatch)
 			if elapsed >= notificationDeadline {
 				t.Errorf("pushed, silent %s, %d times in a row: %v", name, silentCalls, elapsed)
 			}
@@ -154,7 +154,7 @@
 			worst[key] = max(worst[key], elapsed)
 		}
 		for silentCalls := 1; silentCalls <= 2; silentCalls++ { // where lists are polled a call may wait in a queue, and has a longer timeout
-			elapsed := measureSilence(t, script, silentCalls, (*discoveryClient).watch)
+			elapsed := measureRecovery(t, script, silentCalls, (*discoveryClient).watch)
 			if elapsed >= notificationDeadline {
 				t.Errorf("polled, silent %s, %d times in a row: %v", name, silentCalls, elapsed)
 			}
@@ -169,9 +169,9 @@
 // change.
 func TestAddressChangeToSilentService(t *testing.T) {
 	for _, name := range []string{"before the first byte", "in the header", "after the header"} { // later ones have sent a list already
-		elapsed := measureSilence(t, silenceScripts[name], 2, func(client *discoveryClient, ctx context.Context) {
+		elapsed := measureRecovery(t, silenceScripts[name], 2, func(client *discoveryClient, ctx context.Context) {
 			client.switchAddress("127.0.0.1:2")
-			client.subscribe(ctx)
+			client.maintainWatch(ctx)
 		})
 		if elapsed >= 4*time.Second {
 			t.Errorf("silent %s: %v", name, elapsed)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -93,7 +93,7 @@
 func TestSilentWatchIsReopened(t *testing.T) {
 	registry := newFakeRegistry(t)
 	client, updates := newRecordingClient(t, registry.address())
-	client.silenceTimeout = 50 * time.Millisecond
+	client.heartbeatTimeout = 50 * time.Millisecond
 	client.watch(t.Context())
 	call := receiveWithin(t, "the call", registry.calls)
 	call.sendList(t, endpointList{Revision: 1})
--- a/internal/sidecar/endpoint_updates.go
+++ b/internal/sidecar/endpoint_updates.go
@@ -13,7 +13,7 @@
 	if l.config.settings.Subscribe {
 		l.discovery.watch(l.ctx)
 	} else {
-		l.discovery.subscribe(l.ctx)
+		l.discovery.maintainWatch(l.ctx)
 	}
 }
 
@@ -24,7 +24,7 @@
 		l.dispatch(nowMS, balance.EndpointUpdate{Kind: update.kind, DiscoveryUnreachable: update.discoveryUnreachable})
 		return
 	}
-	l.boots.observe(l.wallNow(), l.clock.unixMS(time.Now()))
+	l.boots.observeWallClock(l.wallNow(), l.clock.unixMS(time.Now()))
 	endpoints := update.endpoints.Endpoints
 	l.discovery.revision.Store(update.endpoints.Revision)
 	servers := make([]balance.Server, 0, len(endpoints))
--- a/internal/sidecar/event_loop.go
+++ b/internal/sidecar/event_loop.go
@@ -81,9 +81,9 @@
 	l.execute(nowMS, l.balancer.Start(nowMS))
 	l.applyEndpointUpdate(nowMS, endpointUpdate{kind: balance.UpdateCached, endpoints: l.config.knownEndpoints})
 	if !l.config.settings.Subscribe {
-		l.discovery.subscribe(l.ctx)
+		l.discovery.maintainWatch(l.ctx)
 	}
-	l.followPlacement(nowMS, l.config.PlacementAddress)
+	l.setPlacementAddress(nowMS, l.config.PlacementAddress)
 }
 
 // runBatch waits for events and handles all that are queued as one batch with one reading of the clock. Timers wake the
@@ -149,7 +149,7 @@
 		l.applyPlacementUpdate(nowMS, event)
 	case configReloaded:
 		l.placement.version = event.version
-		l.followPlacement(nowMS, event.placementAddress)
+		l.setPlacementAddress(nowMS, event.placementAddress)
 	}
 }
 
--- a/internal/sidecar/fixtures_test.go
+++ b/internal/sidecar/fixtures_test.go
@@ -166,7 +166,7 @@
 // fixtureReport is the report of an event loop with each kind of directive in force and requests that ended in each
 // way.
 func fixtureReport(loop *eventLoop, client *placementClient, startMS float64) *placement.LoadReport {
-	loop.placement.active = &activePlacement{placementClient: client, recorder: newReportRecorder(loop.config, startMS), numberByID: map[string]int{}}
+	loop.placement.active = &activePlacement{placementClient: client, recorder: newReportRecorder(loop.config, startMS), balancerIDs: map[string]int{}}
 	list := placement.Update{Revision: 12, Epoch: 5, Directives: reportDirectives()}
 	for i := range list.Directives {
 		list.Directives[i].ExpiresAtMS, list.Directives[i].RemainingMS = 1_700_000_600_000, 600_000
--- a/internal/sidecar/placement_client.go
+++ b/internal/sidecar/placement_client.go
@@ -16,7 +16,7 @@
 
 const (
 	// An empty line arrives every 2 s. Directives end by themselves, so a silent watch only delays changes.
-	placementSilenceTimeout     = 5 * time.Second
+	placementHeartbeatTimeout   = 5 * time.Second
 	placementInitialBackoff     = 200 * time.Millisecond
 	placementMaxBackoff         = 2 * time.Second
 	placementUnsupportedBackoff = 15 * time.Second // at an older agent, which serves no placement
@@ -26,7 +26,7 @@
 
 var (
 	errPlacementUnsupported  = errors.New("agent serves no placement")
-	errPlacementSilent       = errors.New("placement watch is silent")
+	errPlacementTimeout      = errors.New("placement watch is silent")
 	errPlacementNoDirectives = errors.New("complete placement without directives")
 )
 
@@ -48,18 +48,18 @@
 
 // placementTiming holds the intervals and the clock of a placementClient, which tests replace.
 type placementTiming struct {
-	silenceTimeout time.Duration // without a sign of life a watch has ended
-	reportInterval time.Duration
-	maxBackoff     time.Duration // between two watches
-	wallClockMS    func() int64  // Unix milliseconds
+	heartbeatTimeout time.Duration // without a sign of life a watch has ended
+	reportInterval   time.Duration
+	maxBackoff       time.Duration // between two watches
+	wallClockMS      func() int64  // Unix milliseconds
 }
 
 func defaultPlacementTiming() placementTiming {
 	return placementTiming{
-		silenceTimeout: placementSilenceTimeout,
-		reportInterval: reportInterval,
-		maxBackoff:     placementMaxBackoff,
-		wallClockMS:    nowUnixMS,
+		heartbeatTimeout: placementHeartbeatTimeout,
+		reportInterval:   reportInterval,
+		maxBackoff:       placementMaxBackoff,
+		wallClockMS:      nowUnixMS,
 	}
 }
 
@@ -103,11 +103,11 @@
 			placementLog.Warn("placement watch failed", "error", err)
 			lastMessage = message
 		}
-		pause := backoff
+		delay := backoff
 		if errors.Is(err, errPlacementUnsupported) {
-			pause = placementUnsupportedBackoff
+			delay = placementUnsupportedBackoff
 		}
-		sleepJittered(ctx, pause)
+		sleepJittered(ctx, delay)
 		backoff = min(2*backoff, p.maxBackoff)
 	}
 }
@@ -117,8 +117,8 @@
 func (p *placementClient) watchOnce(ctx context.Context) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silenceTimer := time.AfterFunc(p.silenceTimeout, func() { cancel(errPlacementSilent) })
-	defer silenceTimer.Stop()
+	timeoutTimer := time.AfterFunc(p.heartbeatTimeout, func() { cancel(errPlacementTimeout) })
+	defer timeoutTimer.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.watchURL(), nil)
 	if err != nil {
 		return false, err
@@ -138,7 +138,7 @@
 	reader := bufio.NewReader(resp.Body)
 	onHeartbeat := func() {
 		received = true
-		silenceTimer.Reset(p.silenceTimeout)
+		timeoutTimer.Reset(p.heartbeatTimeout)
 	}
 	for {
 		object, err := readObject(reader, onHeartbeat)
--- a/internal/sidecar/placement_report.go
+++ b/internal/sidecar/placement_report.go
@@ -19,8 +19,8 @@
 
 const (
 	reportInterval = time.Second // between two load reports
-	// minPauseDivisor: after a report that took long, the next one still waits for this part of the interval.
-	minPauseDivisor = 10
+	// minDelayDivisor: after a report that took long, the next one still waits for this part of the interval.
+	minDelayDivisor = 10
 )
 
 // buildReport describes the placement in force and the requests since the last report.
@@ -38,8 +38,8 @@
 	suspended := l.balancer.SuspendedExclusions()
 	for i := range active.directives {
 		id := active.directives[i].ID
-		number, ok := active.numberByID[id]
-		if ok && slices.Contains(suspended, number) && len(report.SuspendedDirectives) < placement.MaxExclusions {
+		balancerID, ok := active.balancerIDs[id]
+		if ok && slices.Contains(suspended, balancerID) && len(report.SuspendedDirectives) < placement.MaxExclusions {
 			report.SuspendedDirectives = append(report.SuspendedDirectives, id)
 		}
 	}
@@ -98,18 +98,18 @@
 // none, accepts no reports. A report that is not accepted is dropped with its counts, as a second post might count them
 // twice.
 func (p *placementClient) runReporter(ctx context.Context) {
-	pause := rand.N(p.reportInterval) // so that sidecars that start together do not report together
+	delay := rand.N(p.reportInterval) // so that sidecars that start together do not report together
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 		startedAt := time.Now()
 		if p.synced() && !p.reportOnce(ctx) {
 			return
 		}
-		pause = max(p.reportInterval-time.Since(startedAt), p.reportInterval/minPauseDivisor)
+		delay = max(p.reportInterval-time.Since(startedAt), p.reportInterval/minDelayDivisor)
 	}
 }
 
--- a/internal/sidecar/placement_rig_test.go
+++ b/internal/sidecar/placement_rig_test.go
@@ -104,8 +104,8 @@
 	return rig
 }
 
-// countLookups sends requests and returns how many of them reached server A.
-func (rig *placementRig) countLookups(count int) int {
+// lookupsReachingA sends requests and returns how many of them reached server A.
+func (rig *placementRig) lookupsReachingA(count int) int {
 	rig.t.Helper()
 	before := rig.serverA.requests.Load()
 	for range count {
--- a/internal/sidecar/placement_test.go
+++ b/internal/sidecar/placement_test.go
@@ -24,12 +24,12 @@
 	if open, ok := report.ExcludedInFlight["window/w/kita"]; report.Sidecar != "n0" || report.Version != "v7" || report.Zone != "z" || report.PlacementEpoch != 5 || report.EndpointRevision != 1 || !ok || open != 0 || report.SuspendedDirectives != nil {
 		t.Errorf("reported %+v", report)
 	}
-	if reached := rig.countLookups(10); reached > 0 && time.Since(notifiedAt) < 700*time.Millisecond {
+	if reached := rig.lookupsReachingA(10); reached > 0 && time.Since(notifiedAt) < 700*time.Millisecond {
 		t.Errorf("%d requests reached the excluded server", reached)
 	}
 	rig.agent.CloseClientConnections()
 	rig.agent.Listener.Close()
-	waitUntil(t, "the end of the directive", func() bool { return rig.countLookups(2) > 0 })
+	waitUntil(t, "the end of the directive", func() bool { return rig.lookupsReachingA(2) > 0 })
 	if time.Since(notifiedAt) < 690*time.Millisecond {
 		t.Errorf("it ended after %v", time.Since(notifiedAt))
 	}
@@ -48,7 +48,7 @@
 			change(&directive)
 			receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, directive)
 			rig.awaitRevision(1)
-			waitUntil(t, "the end of the directive", func() bool { return rig.countLookups(2) > 0 })
+			waitUntil(t, "the end of the directive", func() bool { return rig.lookupsReachingA(2) > 0 })
 		})
 	}
 	var ahead atomic.Int64
@@ -57,14 +57,14 @@
 	})
 	receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, excludeDirective(time.Hour, "a"))
 	rig.awaitRevision(1)
-	if reached := rig.countLookups(10); reached > 0 {
+	if reached := rig.lookupsReachingA(10); reached > 0 {
 		t.Errorf("%d requests reached the excluded server", reached)
 	}
 	ahead.Store(2 * time.Hour.Milliseconds())
-	waitUntil(t, "the end of the directive", func() bool { return rig.countLookups(2) > 0 })
+	waitUntil(t, "the end of the directive", func() bool { return rig.lookupsReachingA(2) > 0 })
 	ahead.Store(0)
 	rig.agent.nextReport(t, &[]placement.LoadReport{})
-	if rig.countLookups(20) == 0 {
+	if rig.lookupsReachingA(20) == 0 {
 		t.Error("the directive is in force again after the clock was set back")
 	}
 }
@@ -73,7 +73,7 @@
 // it.
 func TestInvalidPlacementKeepsLastValid(t *testing.T) {
 	rig := startPlacementRig(t, nil, func(instance *Sidecar) {
-		instance.loop.placement.timing.silenceTimeout, instance.loop.placement.timing.maxBackoff = 300*time.Millisecond, 50*time.Millisecond
+		instance.loop.placement.timing.heartbeatTimeout, instance.loop.placement.timing.maxBackoff = 300*time.Millisecond, 50*time.Millisecond
 	})
 	call := receiveWithin(t, "the watch", rig.agent.calls)
 	indented, _ := json.MarshalIndent(placement.Update{Revision: 1, Complete: true, Epoch: 5, Directives: []placement.Directive{excludeDirective(time.Hour, "a")}}, "", "  ")
@@ -98,7 +98,7 @@
 		if call.query != "watch=1&after=1&epoch=5" {
 			t.Errorf("%s: requested %q", name, call.query)
 		}
-		if reached := rig.countLookups(4); reached > 0 {
+		if reached := rig.lookupsReachingA(4); reached > 0 {
 			t.Errorf("%s: %d requests reached the excluded server", name, reached)
 		}
 	}
@@ -110,7 +110,7 @@
 	}
 	call.sendLine(t, `{"rev":2,"epoch":6,"all":true,"entries":[]}`)
 	rig.awaitRevision(2)
-	if rig.countLookups(10) == 0 {
+	if rig.lookupsReachingA(10) == 0 {
 		t.Error("the directive is still in force")
 	}
 }
@@ -208,7 +208,7 @@
 			if open, ok := report.ExcludedInFlight["window/w/kita"]; !ok || open != 0 {
 				t.Errorf("open %d, in force %v", open, ok)
 			}
-			if excluded := rig.countLookups(10) == 0; excluded != want {
+			if excluded := rig.lookupsReachingA(10) == 0; excluded != want {
 				t.Errorf("excluded %v, want %v", excluded, want)
 			}
 		})
@@ -248,7 +248,7 @@
 	rig.Reload(&config)
 	receiveWithin(t, "the old watch to end", previous.disconnected)
 	call := receiveWithin(t, "the new watch", secondAgent.calls)
-	if call.query != "watch=1" || rig.countLookups(10) > 0 {
+	if call.query != "watch=1" || rig.lookupsReachingA(10) > 0 {
 		t.Errorf("requested %q; the directive must stay in force", call.query)
 	}
 	call.sendPlacement(t, 1)
@@ -256,25 +256,25 @@
 		t.Errorf("reported %+v", report)
 	}
 	rig.loop.post(placementUpdate{generation: 0, takenAt: time.Now(), placement: placement.Update{Directives: []placement.Directive{excludeDirective(time.Hour, "a")}}})
-	if rig.countLookups(10) == 0 {
+	if rig.lookupsReachingA(10) == 0 {
 		t.Error("the directive stays in force")
 	}
 	call.sendPlacement(t, 2, excludeDirective(time.Hour, "a"))
 	rig.agent = secondAgent
 	rig.awaitRevision(2)
-	if rig.countLookups(10) > 0 {
+	if rig.lookupsReachingA(10) > 0 {
 		t.Error("the new directive is not in force")
 	}
 	config.PlacementAddress = ""
 	rig.Reload(&config)
 	receiveWithin(t, "the new watch to end", call.disconnected)
-	waitUntil(t, "the end of the directive", func() bool { return rig.countLookups(2) > 0 })
+	waitUntil(t, "the end of the directive", func() bool { return rig.lookupsReachingA(2) > 0 })
 	waitUntil(t, "nothing left running", func() bool { return countPlacementGoroutines() == 0 })
 }
 
 func TestNoPlacementGoroutinesWhenDisabled(t *testing.T) {
 	rig := startPlacementRig(t, func(document configDocument) { delete(document, "placement") })
-	if reached := rig.countLookups(10); reached == 0 || countPlacementGoroutines() > 0 || len(rig.agent.calls)+len(rig.agent.reports) > 0 {
+	if reached := rig.lookupsReachingA(10); reached == 0 || countPlacementGoroutines() > 0 || len(rig.agent.calls)+len(rig.agent.reports) > 0 {
 		t.Errorf("%d requests on a, %d goroutines, %d calls", reached, countPlacementGoroutines(), len(rig.agent.calls))
 	}
 	receiveWithin(t, "the watch", startPlacementRig(t, nil).agent.calls)
--- a/internal/sidecar/report_recorder.go
+++ b/internal/sidecar/report_recorder.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// trackedKeys are counted at a time. The hotter half is reported; the next hot key comes from the other.
-	trackedKeys            = 64
+	// maxTrackedKeys are counted at a time. The hotter half is reported; the next hot key comes from the other.
+	maxTrackedKeys         = 64
 	keyLoadHalfLifeSeconds = 0.7 // short enough to show a new hot key within a second
-	meanWorkSamples        = 50  // responses that the mean work of a class is taken over
+	maxMeanWorkSamples     = 50  // responses that the mean work of a class is taken over
 )
 
 // reportRecorder counts what the next load report says. The event loop owns it.
 type reportRecorder struct {
-	config      *Config
-	keyLoad     *topk.Sketch
-	workByClass []meanWork
-	counts      map[countKey]*placement.ClassCount
-	spanStartMS float64 // when counting began
+	config          *Config
+	keyLoad         *topk.Sketch
+	workByClass     []meanWork
+	counts          map[countKey]*placement.ClassCount
+	intervalStartMS float64 // when counting began
 }
 
 // meanWork is the mean time that recent responses of a class took, in ms, each up to the latency objective: what takes
@@ -40,11 +40,11 @@
 
 func newReportRecorder(config *Config, nowMS float64) *reportRecorder {
 	return &reportRecorder{
-		config:      config,
-		keyLoad:     topk.New(trackedKeys, keyLoadHalfLifeSeconds),
-		workByClass: make([]meanWork, len(config.settings.Classes)),
-		counts:      map[countKey]*placement.ClassCount{},
-		spanStartMS: nowMS,
+		config:          config,
+		keyLoad:         topk.New(maxTrackedKeys, keyLoadHalfLifeSeconds),
+		workByClass:     make([]meanWork, len(config.settings.Classes)),
+		counts:          map[countKey]*placement.ClassCount{},
+		intervalStartMS: nowMS,
 	}
 }
 
@@ -83,7 +83,7 @@
 	}
 	count.LatencyHistogram[sort.SearchFloat64s(placement.LatencyBucketBounds, latencyMS)]++
 	work := &r.workByClass[class]
-	work.samples = math.Min(work.samples+1, meanWorkSamples)
+	work.samples = math.Min(work.samples+1, maxMeanWorkSamples)
 	work.meanMS += (math.Min(latencyMS, objectiveMS) - work.meanMS) / work.samples
 }
 
@@ -103,8 +103,8 @@
 
 // flushInto writes what was counted since the last flush into a report and starts again.
 func (r *reportRecorder) flushInto(report *placement.LoadReport, nowMS float64) {
-	report.IntervalMS = math.Max(nowMS-r.spanStartMS, 0)
-	r.spanStartMS = nowMS
+	report.IntervalMS = math.Max(nowMS-r.intervalStartMS, 0)
+	r.intervalStartMS = nowMS
 	top := r.keyLoad.Top(nowMS/msPerSecond, placement.MaxHotKeys)
 	report.TotalKeyLoad = top.Total
 	for _, key := range top.Keys {
--- a/internal/sidecar/response_length_test.go
+++ b/internal/sidecar/response_length_test.go
@@ -28,7 +28,7 @@
 		"in pieces": {func(conn net.Conn, _ *http.Request, _ string) bool {
 			for _, piece := range []string{"HTTP/1.1 200 OK\r\n\r\n", "do", "ne"} {
 				tryWrite(conn, piece)
-				time.Sleep(responseEndTimeout / 4)
+				time.Sleep(closeDelimitedReadTimeout / 4)
 			}
 			return false
 		}, 200, "done"},
@@ -55,12 +55,12 @@
 // A retry that relies on servers to know its key leaves them the time for which the process may be held up between its
 // last look at the clock and the write.
 func TestRetryLeavesTimeToBeHeldUp(t *testing.T) {
-	const heldUp = 150 * time.Millisecond
+	const allowance = 150 * time.Millisecond
 	server := newBackend(t, "a", serveOK)
 	for _, test := range []struct {
 		left     time.Duration // of the window, at the last look
 		admitted bool
-	}{{heldUp / 2, false}, {heldUp - 10*time.Millisecond, false}, {2 * heldUp, true}} {
+	}{{allowance / 2, false}, {allowance - 10*time.Millisecond, false}, {2 * allowance, true}} {
 		t.Run(fmt.Sprint(test.left), func(t *testing.T) {
 			loop := newSteppedLoop(t, newConfigDocument("127.0.0.1:1", server.endpoint))
 			request := loop.newCall("reserve")
--- a/internal/sidecar/streams.go
+++ b/internal/sidecar/streams.go
@@ -28,7 +28,7 @@
 type heartbeatReader struct {
 	source         io.Reader
 	onHeartbeat    func()
-	insideList     bool // a list has begun
+	listStarted    bool // a list has begun
 	bytesSinceList int  // since the last list ended
 }
 
@@ -39,8 +39,8 @@
 	if r.bytesSinceList > maxListBytes {
 		return 0, errListTooLong
 	}
-	r.insideList = r.insideList || len(bytes.TrimSpace(buffer[:n])) > 0
-	if !r.insideList && n > 0 {
+	r.listStarted = r.listStarted || len(bytes.TrimSpace(buffer[:n])) > 0
+	if !r.listStarted && n > 0 {
 		r.bytesSinceList = 0
 		r.onHeartbeat()
 	}
@@ -50,7 +50,7 @@
 // listEnded notes that a list has been decoded; buffered is what was read after it.
 func (r *heartbeatReader) listEnded(buffered []byte) {
 	r.bytesSinceList = len(buffered)
-	r.insideList = len(bytes.TrimSpace(buffered)) > 0
+	r.listStarted = len(bytes.TrimSpace(buffered)) > 0
 }
 
 // readObject reads one JSON object, over one line or several, and calls onHeartbeat for each empty line before it.
--- a/internal/sidecar/upstream_response.go
+++ b/internal/sidecar/upstream_response.go
@@ -24,9 +24,9 @@
 	maxInterimResponses    = 5 // 1xx responses before the final one
 	minBodyRead            = 512
 
-	// responseEndTimeout is how long a server may take between two reads of a body without a length, and before it closes the
+	// closeDelimitedReadTimeout is how long a server may take between two reads of a body without a length, and before it closes the
 	// connection behind it. Some never do; others are asked while there is time.
-	responseEndTimeout = 100 * time.Millisecond
+	closeDelimitedReadTimeout = 100 * time.Millisecond
 )
 
 // Headers of a server's response, in the canonical form that net/textproto stores.
@@ -38,13 +38,13 @@
 var (
 	errMalformedResponse   = errors.New("malformed response")
 	errBodyMemoryExhausted = errors.New("body memory is exhausted")
-	errResponseNotEnded    = errors.New("response without a length does not end")
+	errConnectionNotClosed = errors.New("response without a length does not end")
 )
 
 // readResponse reads the response to a request that is completely written: if it fails, the server may have executed the
 // request. It also reports whether the connection can be reused.
 func (p *connPool) readResponse(ctx context.Context, conn *upstreamConn) (result exchangeResult, reusable bool) {
-	conn.limit.N = maxResponseHeaderBytes + 2*maxBodyBytes // an endless response must not fill the memory
+	conn.responseLimit.N = maxResponseHeaderBytes + 2*maxBodyBytes // an endless response must not fill the memory
 	status, header, err := readHeader(conn.reader)
 	var body []byte
 	reservedBytes := 0
@@ -52,7 +52,7 @@
 		body, reservedBytes, err = p.readBody(ctx, conn, status, header)
 	}
 	if err != nil {
-		return exchangeResult{outcome: brokenResult(ctx, err)}, false
+		return exchangeResult{outcome: incompleteResponseResult(ctx, err)}, false
 	}
 	if load := header[serverLoadHeader]; len(load) == 1 {
 		result.loadReport = parseLoadReport(load[0], p.loadReportFields)
@@ -68,11 +68,11 @@
 	} else {
 		p.bodyMemory.release(reservedBytes)
 	}
-	return result, !endsWithConnection(header) && !closesConnection(header) && conn.reader.Buffered() == 0
+	return result, !isCloseDelimited(header) && !closesConnection(header) && conn.reader.Buffered() == 0
 }
 
-// brokenResult is the result of an exchange whose response is incomplete.
-func brokenResult(ctx context.Context, err error) balance.Result {
+// incompleteResponseResult is the result of an exchange whose response is incomplete.
+func incompleteResponseResult(ctx context.Context, err error) balance.Result {
 	var netErr net.Error
 	switch {
 	case ctx.Err() != nil:
@@ -149,7 +149,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	if framing.untilClose && status != http.StatusOK {
+	if framing.closeDelimited && status != http.StatusOK {
 		return nil, 0, nil // only the status matters, and the body may have no end
 	}
 	if !p.bodyMemory.reserve(framing.length) {
@@ -158,7 +158,7 @@
 	switch {
 	case framing.chunked:
 		body, err = readChunked(conn.reader)
-	case framing.untilClose:
+	case framing.closeDelimited:
 		body, err = readUntilClose(ctx, conn)
 	default:
 		body, err = readExactly(conn.reader, framing.length)
@@ -173,9 +173,9 @@
 
 // framing is how the end of a body is found.
 type framing struct {
-	length     int // in bytes, at most if it is chunked or ends with the connection
-	chunked    bool
-	untilClose bool
+	length         int // in bytes, at most if it is chunked or ends with the connection
+	chunked        bool
+	closeDelimited bool
 }
 
 // bodyFraming is the framing of a body. Lengths that contradict each other, or that are given twice, are an error.
@@ -184,8 +184,8 @@
 	switch {
 	case status == http.StatusNoContent || status == http.StatusNotModified: // the sidecar never asks for these
 		return framing{}, errMalformedResponse
-	case endsWithConnection(header):
-		return framing{length: maxBodyBytes, untilClose: true}, nil
+	case isCloseDelimited(header):
+		return framing{length: maxBodyBytes, closeDelimited: true}, nil
 	case len(transferEncodings) == 1 && len(contentLengths) == 0 && strings.EqualFold(transferEncodings[0], "chunked"):
 		return framing{length: maxBodyBytes, chunked: true}, nil
 	case len(transferEncodings) == 0 && len(contentLengths) == 1:
@@ -199,8 +199,8 @@
 	}
 }
 
-// endsWithConnection reports whether a response has no length, so that the end of its connection is its end.
-func endsWithConnection(header http.Header) bool {
+// isCloseDelimited reports whether a response has no length, so that the end of its connection is its end.
+func isCloseDelimited(header http.Header) bool {
 	return len(header["Transfer-Encoding"]) == 0 && len(header["Content-Length"]) == 0
 }
 
@@ -210,15 +210,15 @@
 func readUntilClose(ctx context.Context, conn *upstreamConn) ([]byte, error) {
 	var body []byte
 	for len(body) <= maxBodyBytes {
-		setReadDeadline(ctx, conn, time.Now().Add(responseEndTimeout))
+		setReadDeadline(ctx, conn, time.Now().Add(closeDelimitedReadTimeout))
 		body = slices.Grow(body, minBodyRead)
 		n, err := conn.reader.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
 		switch {
-		case errors.Is(err, io.EOF) && conn.limit.N > 0 && len(body) <= maxBodyBytes:
+		case errors.Is(err, io.EOF) && conn.responseLimit.N > 0 && len(body) <= maxBodyBytes:
 			return body, nil
 		case errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(conn.readDeadline) && ctx.Err() == nil:
-			return nil, errResponseNotEnded
+			return nil, errConnectionNotClosed
 		case errors.Is(err, io.EOF): // of the limit of a response
 			return nil, errMalformedResponse
 		case err != nil:
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -13,56 +13,56 @@
 	"time"
 )
 
-// lastingAcceptErrors are the errors of accept(2) that mean that the listener cannot be used. All others pass: the system
+// permanentAcceptErrors are the errors of accept(2) that mean that the listener cannot be used. All others pass: the system
 // lacks something for a moment, or passes on what went wrong with the connection that it was about to return.
-var lastingAcceptErrors = []syscall.Errno{syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK, syscall.ENOSYS}
+var permanentAcceptErrors = []syscall.Errno{syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK, syscall.ENOSYS}
 
-// localErrors are errors by which this machine could not open a socket, a connection or a file for a moment. No peer is to
+// temporaryLocalErrors are errors by which this machine could not open a socket, a connection or a file for a moment. No peer is to
 // blame.
-var localErrors = []syscall.Errno{
+var temporaryLocalErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN,
 	syscall.EAGAIN, syscall.EINTR, syscall.EPERM,
 }
 
 const (
-	minPause = time.Millisecond
-	// maxPause is short, as clients wait whose deadlines may be short.
-	maxPause = 20 * time.Millisecond
-	// retryTime is for how long Retry tries again.
-	retryTime = 5 * time.Second
+	minBackoff = time.Millisecond
+	// maxBackoff is short, as clients wait whose deadlines may be short.
+	maxBackoff = 20 * time.Millisecond
+	// retryTimeout is for how long Retry tries again.
+	retryTimeout = 5 * time.Second
 	// logInterval is the least time between two log lines of a listener.
 	logInterval = time.Second
 )
 
-// AcceptErrorLasts reports whether a listener that has returned an error cannot be used any more.
-func AcceptErrorLasts(err error) bool {
-	return errors.Is(err, net.ErrClosed) || !errors.As(err, new(syscall.Errno)) || matchesErrno(err, lastingAcceptErrors)
+// IsPermanentAcceptError reports whether a listener that has returned an error cannot be used any more.
+func IsPermanentAcceptError(err error) bool {
+	return errors.Is(err, net.ErrClosed) || !errors.As(err, new(syscall.Errno)) || matchesErrno(err, permanentAcceptErrors)
 }
 
-// LocalError reports whether an error means that this machine lacked something for a moment.
-func LocalError(err error) bool { return matchesErrno(err, localErrors) }
+// IsTemporaryLocalError reports whether an error means that this machine lacked something for a moment.
+func IsTemporaryLocalError(err error) bool { return matchesErrno(err, temporaryLocalErrors) }
 
 func matchesErrno(err error, errnos []syscall.Errno) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(errnos, errno)
 }
 
-// Pause is the pause between two tries of a system call: it doubles with each, up to 20 ms, with jitter. The zero value is
+// Backoff is the pause between two tries of a system call: it doubles with each, up to 20 ms, with jitter. The zero value is
 // ready for use.
-type Pause struct{ longest time.Duration }
+type Backoff struct{ delayCap time.Duration }
 
 // Next returns the next pause.
-func (p *Pause) Next() time.Duration {
-	p.longest = min(max(2*p.longest, minPause), maxPause)
-	return p.longest/2 + rand.N(p.longest/2)
+func (b *Backoff) Next() time.Duration {
+	b.delayCap = min(max(2*b.delayCap, minBackoff), maxBackoff)
+	return b.delayCap/2 + rand.N(b.delayCap/2)
 }
 
 // Retry calls a function until it does not fail by an error of this machine that passes, for at most 5 s.
-func Retry(call func() error) error {
-	var pause Pause
-	for deadline := time.Now().Add(retryTime); ; time.Sleep(pause.Next()) {
-		err := call()
-		if err == nil || !LocalError(err) || time.Now().After(deadline) {
+func Retry(operation func() error) error {
+	var backoff Backoff
+	for deadline := time.Now().Add(retryTimeout); ; time.Sleep(backoff.Next()) {
+		err := operation()
+		if err == nil || !IsTemporaryLocalError(err) || time.Now().After(deadline) {
 			return err
 		}
 	}
@@ -77,13 +77,13 @@
 	return listener, err
 }
 
-// Lasting returns a listener that outlives every error of accept that passes: net/http would end the server with some of them.
-func Lasting(listener net.Listener) net.Listener {
-	return &lastingListener{Listener: listener, closed: make(chan struct{})}
+// RetryAccept returns a listener that outlives every error of accept that passes: net/http would end the server with some of them.
+func RetryAccept(listener net.Listener) net.Listener {
+	return &retryingListener{Listener: listener, closed: make(chan struct{})}
 }
 
-// lastingListener implements net.Listener.
-type lastingListener struct {
+// retryingListener implements net.Listener.
+type retryingListener struct {
 	net.Listener
 	closed    chan struct{}
 	closeOnce sync.Once
@@ -93,16 +93,16 @@
 }
 
 // Accept waits for a connection. It returns only errors that last.
-func (l *lastingListener) Accept() (net.Conn, error) {
-	var pause Pause
+func (l *retryingListener) Accept() (net.Conn, error) {
+	var backoff Backoff
 	for {
 		conn, err := l.Listener.Accept()
-		if err == nil || AcceptErrorLasts(err) {
+		if err == nil || IsPermanentAcceptError(err) {
 			return conn, err
 		}
 		l.log(err)
 		select {
-		case <-time.After(pause.Next()):
+		case <-time.After(backoff.Next()):
 		case <-l.closed:
 			return nil, net.ErrClosed
 		}
@@ -110,7 +110,7 @@
 }
 
 // log logs an error, at most one a second.
-func (l *lastingListener) log(err error) {
+func (l *retryingListener) log(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now := time.Now(); now.Sub(l.loggedAt) >= logInterval {
@@ -120,7 +120,7 @@
 }
 
 // Close closes the listener and ends a pause of Accept.
-func (l *lastingListener) Close() error {
+func (l *retryingListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -43,7 +43,7 @@
 }
 
 // Accept goes on after every error that passes.
-func TestLastingListenerOutlivesPassingErrors(t *testing.T) {
+func TestRetryAcceptContinuesAfterTemporaryErrors(t *testing.T) {
 	failing := &failingListener{Listener: listen(t)}
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EINTR, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	conn, err := Lasting(failing).Accept()
+	conn, err := RetryAccept(failing).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,26 +65,26 @@
 }
 
 // Accept ends with an error that lasts.
-func TestLastingListenerEndsWithLastingErrors(t *testing.T) {
+func TestRetryAcceptReturnsPermanentErrors(t *testing.T) {
 	other := errors.New("something else")
-	for _, lasting := range []error{
+	for _, permanent := range []error{
 		acceptError(syscall.EBADF), acceptError(syscall.EINVAL), acceptError(syscall.ENOTSOCK), fmt.Errorf("wrapped: %w", net.ErrClosed), other,
 	} {
-		failing := &failingListener{Listener: listen(t), errors: []error{lasting}}
-		if _, err := Lasting(failing).Accept(); !errors.Is(err, lasting) {
-			t.Errorf("%v in place of %v", err, lasting)
+		failing := &failingListener{Listener: listen(t), errors: []error{permanent}}
+		if _, err := RetryAccept(failing).Accept(); !errors.Is(err, permanent) {
+			t.Errorf("%v in place of %v", err, permanent)
 		}
 	}
 }
 
-// endlessListener fails with every call until it is closed.
-type endlessListener struct{ net.Listener }
+// alwaysFailingListener fails with every call until it is closed.
+type alwaysFailingListener struct{ net.Listener }
 
-func (endlessListener) Accept() (net.Conn, error) { return nil, acceptError(syscall.ENFILE) }
+func (alwaysFailingListener) Accept() (net.Conn, error) { return nil, acceptError(syscall.ENFILE) }
 
 // Close ends Accept while it tries again.
-func TestLastingListenerCanBeClosed(t *testing.T) {
-	listener := Lasting(endlessListener{listen(t)})
+func TestRetryAcceptEndsOnClose(t *testing.T) {
+	listener := RetryAccept(alwaysFailingListener{listen(t)})
 	ended := make(chan error, 1)
 	go func() {
 		_, err := listener.Accept()
--- a/internal/supervisor/standin/server.go
+++ b/internal/supervisor/standin/server.go
@@ -51,7 +51,7 @@
 	}
 	slog.Info("serves", "listen", listener.Addr().String(), "versions", len(versions.Versions))
 	failed := make(chan error, 1)
-	go func() { failed <- httpServer.Serve(sockets.Lasting(listener)) }()
+	go func() { failed <- httpServer.Serve(sockets.RetryAccept(listener)) }()
 	select {
 	case err := <-failed:
 		return fmt.Errorf("supervisor: %w", err)
