--- a/internal/sidecar/active_placement.go
+++ b/internal/sidecar/active_placement.go
@@ -11,44 +11,45 @@
 	"milldeck/internal/placement"
 )
 
-// clockJumpToleranceMS: the balancer is notified again of a directive that ends earlier than before by more than this. A
-// smaller difference comes from rounding on two clocks; a larger one means that the wall clock was set forward.
+// clockJumpToleranceMS is how much earlier than before an unchanged directive may end without the balancer being notified
+// again. A smaller difference comes from rounding on two clocks; a larger one means that the wall clock was set forward.
 const clockJumpToleranceMS = 50
 
-// placementState is what the event loop knows of the placement.
+// placementState is the part of the event loop's state that concerns the placement.
 type placementState struct {
-	active  *activePlacement // nil: none is configured
-	timing  placementTiming  // of the next client
-	version string           // the sidecar's version label, for reports
+	active  *activePlacement // nil: no placement address is configured
+	timing  placementTiming  // for the next placementClient
+	version string           // the sidecar's version label, for load reports
 }
 
-// activePlacement is the placement in force and the client that follows it. The event loop owns it; its goroutines only
-// use the client.
+// activePlacement is the placement in force and the client that watches for changes. Only the event loop uses it; the
+// client's goroutines use the placementClient alone.
 type activePlacement struct {
 	*placementClient
-	cancel   context.CancelFunc // of the client's goroutines
+	cancel   context.CancelFunc // ends the client's goroutines
 	recorder *reportRecorder
 
 	revision, epoch uint64
 	directives      []activeDirective // ordered by ID
 	cohortByServer  map[balance.ServerID]string
 
-	balancerIDs    map[string]int // of exclusions, by which the balancer names them
+	balancerIDs    map[string]int // the balancer's IDs of exclusions, by directive ID
 	lastBalancerID int
 }
 
-// activeDirective is a directive in force and what it means for this sidecar.
+// activeDirective is a directive in force, resolved to the tenant and server IDs of this sidecar.
 type activeDirective struct {
 	placement.Directive
 	endsAtMS float64 // by the event loop's clock
-	// For an exclusion that concerns this sidecar: the tenant, or balance.AllTenants, and the servers that its requests
-	// avoid. Otherwise excluded is nil.
+	// Of an exclusion that applies to requests of this sidecar: its tenant, or balance.AllTenants, and the excluded servers.
+	// For all other directives excluded is nil.
 	tenant   int
 	excluded map[balance.ServerID]bool
 }
 
-// setPlacementAddress follows the placement at another address. The directives in force stay until the new address has sent
-// its own, or until they end. Without an address all end now.
+// setPlacementAddress starts to watch the placement at an address and stops the client of the previous address. The
+// directives in force stay until the new address sends a placement, or until they expire. An empty address ends all of
+// them now.
 func (l *eventLoop) setPlacementAddress(nowMS float64, address string) {
 	previous := l.placement.active
 	if previous != nil && previous.address == address {
@@ -78,7 +79,7 @@
 	l.workers.Go(func() { next.runReporter(ctx) })
 }
 
-// applyPlacementUpdate notifies the balancer of changed directives, and builds a report where one is due.
+// applyPlacementUpdate notifies the balancer of changed directives, and builds a load report if the update asks for one.
 func (l *eventLoop) applyPlacementUpdate(nowMS float64, update placementUpdate) {
 	active := l.placement.active
 	if active == nil || update.generation != active.generation {
@@ -95,20 +96,19 @@
 	}
 }
 
-// unchanged reports whether directives are those that the balancer knows, with the same ends.
+// unchanged reports whether the balancer already has these directives, with the same ends within clockJumpToleranceMS.
 func (p *activePlacement) unchanged(takenAtMS float64, directives []placement.Directive) bool {
 	return slices.EqualFunc(p.directives, directives, func(active activeDirective, directive placement.Directive) bool {
 		return active.sameVersion(&directive) && takenAtMS+float64(directive.RemainingMS) > active.endsAtMS-clockJumpToleranceMS
 	})
 }
 
-// sameVersion reports whether a directive is this one, unchanged.
+// sameVersion reports whether a received directive is this one, at the same revision and with the same expiry.
 func (d *activeDirective) sameVersion(directive *placement.Directive) bool {
 	return d.ID == directive.ID && d.Revision == directive.Revision && d.ExpiresAtMS == directive.ExpiresAtMS
 }
 
-// replaceDirectives puts directives in force and notifies the balancer. One that was in force before keeps its end if that
-// is earlier.
+// replaceDirectives puts directives in force and notifies the balancer. An unchanged directive never ends later than before.
 func (l *eventLoop) replaceDirectives(nowMS, takenAtMS float64, directives []placement.Directive) {
 	active := l.placement.active
 	previous := active.directives
@@ -140,7 +140,7 @@
 	l.dispatch(nowMS, update)
 }
 
-// retainEarlierEnd moves the end of a directive to that which it had before, if that is earlier.
+// retainEarlierEnd restores the previous end of an unchanged directive if the previous end is earlier.
 func retainEarlierEnd(directive *activeDirective, previous []activeDirective) {
 	position, found := slices.BinarySearchFunc(previous, directive.ID, func(candidate activeDirective, id string) int {
 		return cmp.Compare(candidate.ID, id)
@@ -150,7 +150,7 @@
 	}
 }
 
-// assignBalancerID gives an exclusion the number that it had before, or else a new one.
+// assignBalancerID returns the balancer's ID for an exclusion: its previous ID, or a new one.
 func (p *activePlacement) assignBalancerID(id string, previousIDs map[string]int) int {
 	balancerID, known := previousIDs[id]
 	if !known {
@@ -161,8 +161,8 @@
 	return balancerID
 }
 
-// resolveExclusion fills in the tenant and the servers of an exclusion. It returns false if the exclusion concerns none
-// of this sidecar's requests. Where the settings name no tenants, the only tenant is the calling application.
+// resolveExclusion sets the tenant and the servers of an exclusion. It returns false if the exclusion applies to no request
+// of this sidecar. If the settings name no tenants, the calling application is the only tenant.
 func (l *eventLoop) resolveExclusion(directive *activeDirective) bool {
 	tenant, ok := l.config.tenantNumbers[directive.Tenant]
 	if !ok {
@@ -179,7 +179,7 @@
 	return true
 }
 
-// toExclusion is an exclusion as the balancer gets it.
+// toExclusion converts a directive to an exclusion of the balancer.
 func (l *eventLoop) toExclusion(directive *activeDirective, balancerID int) balance.Exclusion {
 	exclusion := balance.Exclusion{
 		ID:           balancerID,
@@ -193,7 +193,7 @@
 	return exclusion
 }
 
-// toHotKey is a hot key as the balancer gets it.
+// toHotKey converts a directive to a hot key of the balancer.
 func (l *eventLoop) toHotKey(directive *activeDirective) (balance.HotKey, error) {
 	key, err := strconv.ParseUint(directive.KeyHash, 16, 64)
 	if err != nil {
@@ -209,7 +209,8 @@
 	return hotKey, nil
 }
 
-// recordCohort notes whose servers belong to a cohort. A server of several cohorts belongs to the first by ID.
+// recordCohort assigns the servers of a directive to its cohort. A server that several directives name belongs to the
+// cohort of the first directive by ID.
 func (l *eventLoop) recordCohort(directive *activeDirective) {
 	cohorts := l.placement.active.cohortByServer
 	for _, uid := range directive.Servers {
@@ -219,14 +220,15 @@
 	}
 }
 
-// recordRequest counts a request for the next report. Without a placement there are no reports.
+// recordRequest counts a request for the next load report. A nil receiver means that no placement is configured: there are
+// no load reports.
 func (p *activePlacement) recordRequest(nowMS float64, request *balance.Request) {
 	if p != nil {
 		p.recorder.recordRequest(nowMS, request)
 	}
 }
 
-// recordOutcome counts the outcome of an attempt for the next report.
+// recordOutcome counts the outcome of an attempt for the next load report. It accepts a nil receiver.
 func (p *activePlacement) recordOutcome(nowMS float64, attempt *attempt, result balance.Result) {
 	if p != nil {
 		p.recorder.recordOutcome(nowMS, attempt, result, p.cohortByServer[attempt.upstream.id])
--- a/internal/sidecar/boot_times.go
+++ b/internal/sidecar/boot_times.go
@@ -6,26 +6,28 @@
 )
 
 const (
-	// minClockStepMS: a wall clock that differs by more from where it was expected was stepped; by less, it is adjusted, or
-	// was read a moment later.
+	// minClockStepMS is the smallest change of the wall clock's offset that counts as a step. A smaller change comes from a
+	// gradual adjustment of the clock, or from a delay between the readings of the two clocks.
 	minClockStepMS = 100
-	// maxBootSkewMS is how far ahead of this machine's wall clock a boot time may be that has just been written.
+	// maxBootSkewMS is how far the boot time of a server that has just started may be ahead of this machine's wall clock.
 	maxBootSkewMS = 1000
-	// maxWallOffsets bounds the steps that are remembered; the oldest are forgotten.
+	// maxWallOffsets bounds the offsets that are kept; the oldest is dropped.
 	maxWallOffsets = 16
 )
 
 // bootTimes converts the boot times of servers, which are readings of the wall clock, to the clock of the event loop, which
-// is never stepped. A server may have been started before a step of the wall clock or after it: of all times that its
-// boot time may mean, the latest counts, so that no server in slow start is taken for a warm one.
+// is never stepped. A server may have started before or after a step of the wall clock, so its boot time may stand for
+// several times. The latest of them counts: no server in slow start is treated as warm.
 type bootTimes struct {
-	// wallOffsetsMS are by how much the wall clock was ahead of the event loop's clock, in order; the first is 0.
+	// wallOffsetsMS are the offsets of the wall clock from the event loop's clock, one for each step, oldest first. The
+	// first is 0 at the start.
 	wallOffsetsMS []float64
 }
 
 func newBootTimes() bootTimes { return bootTimes{wallOffsetsMS: []float64{0}} }
 
-// observeWallClock notes a reading of the wall clock, at a time of the event loop's clock.
+// observeWallClock compares a reading of the wall clock with the event loop's clock, and records a new offset if the wall
+// clock was stepped.
 func (b *bootTimes) observeWallClock(wall time.Time, nowMS float64) {
 	offsetMS := float64(wall.UnixMicro())/microsPerMS - nowMS
 	latest := b.wallOffsetsMS[len(b.wallOffsetsMS)-1]
@@ -39,7 +41,7 @@
 	b.wallOffsetsMS = append(b.wallOffsetsMS, offsetMS)
 }
 
-// startedAtMS is when a server with a boot time started; 0 is long ago.
+// startedAtMS returns the start time of a server by the event loop's clock; 0 means long ago.
 func (b *bootTimes) startedAtMS(bootMS, nowMS float64) float64 {
 	if bootMS <= 0 {
 		return 0
@@ -51,7 +53,7 @@
 		}
 	}
 	if math.IsInf(latest, -1) {
-		return nowMS // the server's clock is ahead of this one
+		return nowMS // the server's clock is ahead of this machine's
 	}
 	return math.Min(latest, nowMS)
 }
--- a/internal/sidecar/conn_pool.go
+++ b/internal/sidecar/conn_pool.go
@@ -17,59 +17,59 @@
 )
 
 const (
-	// idleTimeoutFraction: connections are closed after this fraction of the time after which servers close them.
+	// idleTimeoutFraction is the part of the servers' configured idle timeout after which the pool closes an idle connection.
 	idleTimeoutFraction = 0.85
-	// reuseDelay is how long a connection is idle before it is reused. By then any bytes that a server sends after its
-	// response have arrived and are noticed; otherwise the next request would take them as its response.
+	// reuseDelay is the minimum idle time before a connection is reused. Within it, surplus bytes that a server sends after
+	// its response arrive and are detected; otherwise they would be read as the response to the next request.
 	reuseDelay = 3 * time.Millisecond
 )
 
-// Some servers close idle connections much sooner than the settings say, and reset a request that arrives just then. The
-// request may have been executed, so it is better not to write it: each server's idle time limit falls with such a reset
-// and rises slowly with successful reuses near it.
+// Some servers close idle connections much sooner than the settings say, and reset the connection if a request arrives at
+// that moment. After the reset the request counts as possibly executed, so the pool avoids writing it: a reset soon after
+// the write lowers the idle time limit of the server, and successful reuses near the limit raise it slowly.
 const (
 	staleResetWindow = 10 * time.Millisecond // after the last byte written; a later reset has other causes
-	minIdleTime      = 20 * time.Millisecond
-	idleTimeDecrease = 0.7 // of the idle time that was too long
-	idleTimeIncrease = 1.02
+	minIdleTime      = 20 * time.Millisecond // lower bound of the limit
+	idleTimeDecrease = 0.7                   // factor of the idle time before a reset
+	idleTimeIncrease = 1.02                  // factor of the limit after a successful reuse
 )
 
 var errNoSocketAvailable = errors.New("no socket is available")
 
-// upstreamHost is one incarnation of a server's process, as discovery lists it. A restart or another address makes a new
-// one, so that no connection or decision outlives the process that it was made for.
+// upstreamHost is one incarnation of a server's process, as discovery lists it. A restart or a new address creates a new
+// upstreamHost, so that no connection or decision is used for another process than its own.
 type upstreamHost struct {
 	id          balance.ServerID
 	address     string
-	bootMS      float64 // as discovery lists it
+	bootMS      float64 // boot time as discovery lists it
 	zone        string
 	cell        int
-	startedAtMS float64 // as the balancer knows it
+	startedAtMS float64 // start time that the balancer uses
 
-	retired atomic.Bool // draining, removed or restarted: nothing new is sent there
+	retired atomic.Bool // draining, removed or restarted: no new request is sent to it
 
-	// The lock of the pool guards the fields below.
+	// The pool's mutex guards the fields below.
 	idleConns          []*upstreamConn // longest idle first
-	learnedIdleTimeout time.Duration   // 0: as the settings say
+	learnedIdleTimeout time.Duration   // 0: the limit from the settings applies
 }
 
 // upstreamConn is a connection to a server. It carries one request at a time.
 type upstreamConn struct {
 	net.Conn
 	reader        *bufio.Reader
-	responseLimit *io.LimitedReader // under reader: bounds a response, headers included
+	responseLimit *io.LimitedReader // source of reader; bounds the size of a response, headers included
 	upstream      *upstreamHost
 
-	readDeadline time.Time // of the present exchange
+	readDeadline time.Time // of the current exchange
 
 	idleSince time.Time
-	idleTime  time.Duration // before its present use
+	idleTime  time.Duration // before the current exchange
 }
 
-// byteBudget bounds a number of bytes, here of all bodies in memory.
+// byteBudget limits how many bytes are reserved at a time, for example for all bodies in memory.
 type byteBudget struct{ remaining atomic.Int64 }
 
-// reserve takes bytes from the budget; it reports false if there are too few.
+// reserve takes bytes from the budget. It takes none and returns false if too few remain.
 func (b *byteBudget) reserve(size int) bool {
 	if b.remaining.Add(-int64(size)) >= 0 {
 		return true
@@ -81,7 +81,7 @@
 // release returns bytes to the budget.
 func (b *byteBudget) release(size int) { b.remaining.Add(int64(size)) }
 
-// connPool holds the idle connections to all servers and bounds how many connections are open.
+// connPool holds the idle connections to all servers and limits the number of open connections.
 type connPool struct {
 	dialer           net.Dialer
 	maxIdleTime      time.Duration
@@ -92,7 +92,7 @@
 	guard            sendGuard
 
 	mu                 sync.Mutex
-	hostsWithIdleConns map[*upstreamHost]struct{} // those with idle connections
+	hostsWithIdleConns map[*upstreamHost]struct{}
 	openConns          int
 	maxConns           int
 }
@@ -115,8 +115,8 @@
 	return pool
 }
 
-// acquire returns the usable connection that is idle for the shortest time, or dials. The connect timeout of the settings
-// and the deadline bound dialing. reused tells whether the connection has carried a request.
+// acquire returns the most recently used idle connection that is usable, or dials a new one within the connect timeout of
+// the settings and the deadline. reused reports whether the connection has carried a request before.
 func (p *connPool) acquire(ctx context.Context, upstream *upstreamHost, deadline time.Time) (conn *upstreamConn, reused bool, err error) {
 	if upstream.retired.Load() || !time.Now().Before(deadline) {
 		return nil, false, errObsolete
@@ -137,13 +137,13 @@
 	return conn, false, err
 }
 
-// usable reports whether an idle connection can carry a request. The server may have closed it: the request would be
-// reset. Or the server may have sent more than its last response: the request would get that as its own.
+// usable reports whether an idle connection can carry a request. If the server has closed it, the request would be reset. If
+// the server has sent surplus bytes after its last response, they would be read as the response to the request.
 func (p *connPool) usable(conn *upstreamConn) bool {
 	return conn.idleTime < p.idleTimeLimit(conn.upstream) && conn.reader.Buffered() == 0 && openAndEmpty(conn.Conn)
 }
 
-// dial opens a connection, within the bound on open connections.
+// dial opens a connection, within the limit on open connections.
 func (p *connPool) dial(ctx context.Context, upstream *upstreamHost, deadline time.Time) (*upstreamConn, error) {
 	if !p.reserveConn() {
 		return nil, errNoSocketAvailable
@@ -155,24 +155,24 @@
 		p.releaseConn()
 		p.guard.monitor.count(upstreamConnDialFailed)
 		if sockets.IsTemporaryLocalError(err) {
-			err = errNoSocketAvailable // this machine's fault, not the server's
+			err = errNoSocketAvailable // the failure is local and does not count against the server
 		}
 		return nil, err
 	}
 	p.guard.monitor.count(upstreamConnDialed)
-	responseLimit := &io.LimitedReader{R: netConn}
-	return &upstreamConn{Conn: netConn, reader: bufio.NewReader(responseLimit), responseLimit: responseLimit, upstream: upstream}, nil
+	limited := &io.LimitedReader{R: netConn}
+	return &upstreamConn{Conn: netConn, reader: bufio.NewReader(limited), responseLimit: limited, upstream: upstream}, nil
 }
 
-// idleTimeLimit is how long a connection to a server may be idle and still be reused.
+// idleTimeLimit returns how long a connection to a server may be idle and still be reused.
 func (p *connPool) idleTimeLimit(upstream *upstreamHost) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return cmp.Or(upstream.learnedIdleTimeout, p.maxIdleTime)
 }
 
-// learnIdleTimeLimit adjusts the idle time limit of a server after the reuse of a connection: idleTime is how long that
-// was idle, elapsed the time from its last byte written to the result.
+// learnIdleTimeLimit adjusts the idle time limit of a server by the result of an exchange on a reused connection. idleTime
+// is how long the connection was idle before, elapsed is the time from the last byte of the request to the result.
 func (p *connPool) learnIdleTimeLimit(upstream *upstreamHost, idleTime time.Duration, result balance.Result, elapsed time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -185,8 +185,7 @@
 	}
 }
 
-// popIdle removes the connection from the pool that is idle for the shortest time, but for at least reuseDelay; nil if
-// there is none.
+// popIdle removes and returns the most recently used connection that has been idle for at least reuseDelay, or nil.
 func (p *connPool) popIdle(upstream *upstreamHost) *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -204,7 +203,8 @@
 	return nil
 }
 
-// reserveConn counts a connection as open. At the bound it closes the longest idle one; it reports false if there is none.
+// reserveConn counts a connection as open. At the limit it evicts the longest idle connection; it returns false if no
+// connection is idle.
 func (p *connPool) reserveConn() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -215,14 +215,14 @@
 	return true
 }
 
-// releaseConn counts a connection as closed.
+// releaseConn counts an open connection as closed.
 func (p *connPool) releaseConn() {
 	p.mu.Lock()
 	p.openConns--
 	p.mu.Unlock()
 }
 
-// evictOldestIdle closes the longest idle connection; it reports false if there is none. The caller holds the lock.
+// evictOldestIdle closes the longest idle connection; it returns false if no connection is idle. The caller holds the mutex.
 func (p *connPool) evictOldestIdle() bool {
 	var oldest *upstreamHost
 	for upstream := range p.hostsWithIdleConns {
@@ -237,7 +237,7 @@
 	return true
 }
 
-// closeOldestIdle closes the longest idle connections to a server. The caller holds the lock.
+// closeOldestIdle closes the longest idle connections to a server, as many as count. The caller holds the mutex.
 func (p *connPool) closeOldestIdle(upstream *upstreamHost, count int, reason countedEvent) {
 	for _, conn := range upstream.idleConns[:count] {
 		conn.Close()
@@ -252,11 +252,11 @@
 
 // returnIdle puts a connection back into the pool.
 func (p *connPool) returnIdle(conn *upstreamConn) {
-	_ = conn.SetDeadline(time.Time{}) // fails only if the connection is closed, which its next use notices
+	_ = conn.SetDeadline(time.Time{}) // fails only if the connection is closed, which usable detects
 	conn.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if conn.upstream.retired.Load() { // checked under the lock, as retire closes the idle connections under it
+	if conn.upstream.retired.Load() { // checked under the mutex, as retire closes the idle connections under it
 		conn.Close()
 		p.openConns--
 		p.guard.monitor.count(upstreamConnWithdrawn)
@@ -266,13 +266,14 @@
 	p.hostsWithIdleConns[conn.upstream] = struct{}{}
 }
 
-// discard closes a connection that is not in the pool.
+// discard closes a connection that is not idle in the pool.
 func (p *connPool) discard(conn *upstreamConn) {
 	conn.Close()
 	p.releaseConn()
 }
 
-// retire ends the use of a server's process: its idle connections are closed now, the others after their exchanges.
+// retire stops the use of a server's process. It closes the idle connections; connections in use are closed after their
+// exchanges.
 func (p *connPool) retire(upstream *upstreamHost) {
 	upstream.retired.Store(true)
 	p.closeIdle(upstream)
@@ -285,7 +286,7 @@
 	p.closeOldestIdle(upstream, len(upstream.idleConns), upstreamConnWithdrawn)
 }
 
-// reap closes connections that have been idle for too long, before their servers do.
+// reap closes connections that have been idle for maxIdleTime, before their servers close them.
 func (p *connPool) reap(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/sidecar/discovery_client.go
+++ b/internal/sidecar/discovery_client.go
@@ -16,50 +16,53 @@
 	"milldeck/balance"
 )
 
-// PROTOCOL counts whatever discovery has to announce as known to the sidecar 6 s after it can be reached. The timeouts keep
-// below that with two silent calls in a row.
+// PROTOCOL counts a change of the endpoint list as known to the sidecar 6 s after the sidecar can reach discovery. With
+// these timeouts the sidecar stays below 6 s even if two calls in a row are not answered.
 const (
-	// watchHeartbeatTimeout: an empty line arrives every 2 s. A watch without one for a quarter longer has ended, whatever
-	// its connection says, as a machine that is cut off closes nothing. To end a watch too early costs one call at the
-	// agent on this machine; too late, and no time is left for a second and third call.
+	// watchHeartbeatTimeout ends a watch that sends no data. Discovery sends an empty line every 2 s; the timeout is a quarter
+	// longer. It applies although the connection is open, as a partitioned machine does not close its connections. A
+	// timeout that is too short costs one call to the agent on this machine; one that is too long leaves no time for a
+	// second and third call.
 	watchHeartbeatTimeout = 2500 * time.Millisecond
-	// agentTimeout: where lists are pushed, the agent on this machine responds at once, or discovery is down.
+	// agentTimeout applies where lists are pushed: the agent on this machine responds immediately unless discovery is down.
 	agentTimeout = 1200 * time.Millisecond
-	// callTimeout: where lists are polled, a call may wait in discovery's queue, which looks like being cut off.
+	// callTimeout applies where lists are polled: a call may wait in discovery's queue, which looks like a partition.
 	callTimeout = 2500 * time.Millisecond
-	// queuedCallTimeout: from the third silent call on, as a call that is given up goes to the end of the queue.
+	// queuedCallTimeout applies from the third unanswered call in a row, as a call that is repeated goes to the end of the
+	// queue.
 	queuedCallTimeout = 5 * time.Second
-	// minQueuedTime: a call that is rejected sooner has not waited in a queue.
+	// minQueuedTime is the time after which a rejected call counts as one that has waited in a queue.
 	minQueuedTime = time.Second
 	dialTimeout   = time.Second
 
-	// initialBackoff is the longest pause before a call that follows a silent one, or after the first that failed.
+	// initialBackoff is the maximum delay after an unanswered call and after the first failed call.
 	initialBackoff = 100 * time.Millisecond
-	// maxBackoff is short, as an agent may come back with a drain, and sends to that server must end within its grace.
+	// maxBackoff is short: an agent that becomes reachable again may announce a drain, and no request may be sent to the
+	// draining server after its grace period.
 	maxBackoff = 400 * time.Millisecond
 )
 
 var (
-	errDiscoveryTimeout = errors.New("endpoint watch is silent")
+	errDiscoveryTimeout = errors.New("no data from discovery within the timeout")
 	errStreamEnded      = errors.New("endpoint stream ended")
 )
 
-// unexpectedStatusError is an HTTP response with a status that the caller cannot use.
+// unexpectedStatusError reports an HTTP response whose status is not the expected one.
 type unexpectedStatusError struct{ status string }
 
 func (e *unexpectedStatusError) Error() string { return "unexpected status " + e.status }
 
-// discoveryClient makes the balancer's calls for the endpoint list. It reports each call or watch that fails, or ends
-// other than by silence, once; when to call again is the balancer's decision.
+// discoveryClient requests the endpoint list for the balancer. It reports each failed call, and each watch that ends
+// otherwise than by a timeout, exactly once; the balancer decides when to call again.
 type discoveryClient struct {
-	// The event loop alone uses these fields.
+	// Only the event loop uses these fields.
 	baseURL    string
-	generation int                // counts the addresses; updates of an earlier one are ignored
-	cancel     context.CancelFunc // of all calls under way
+	generation int                // number of address changes; updates of an earlier generation are ignored
+	cancel     context.CancelFunc // cancels the calls in flight
 	watchDone  chan struct{}      // closed when the watch has ended
 
 	client   *http.Client
-	revision atomic.Int64 // of the endpoint list in force; 0: none from this address
+	revision atomic.Int64 // of the endpoint list in force; 0: no list from this address yet
 	post     func(loopEvent)
 	spawn    func(task func())
 
@@ -75,7 +78,7 @@
 		queuedCallTimeout: queuedCallTimeout,
 		agentTimeout:      agentTimeout,
 		heartbeatTimeout:  watchHeartbeatTimeout,
-		// Connections are not reused: on a broken one the transport would retry by itself.
+		// Connections are not reused, as the transport retries by itself if a reused connection breaks.
 		client: &http.Client{Transport: &http.Transport{
 			DisableKeepAlives:      true,
 			DisableCompression:     true,
@@ -93,8 +96,8 @@
 	close(d.watchDone)
 }
 
-// switchAddress leaves one service for another. What the old one still sends or fails to send no longer counts, and its
-// revision means nothing to the new one. The caller opens the new watch.
+// switchAddress switches to another discovery service. Updates and failures of the previous service are ignored from now
+// on, and its revision is not valid for the new service. The caller opens the new watch.
 func (d *discoveryClient) switchAddress(address string) {
 	d.cancel()
 	d.generation++
@@ -102,9 +105,9 @@
 	d.setAddress(address)
 }
 
-// watch follows the list. It does nothing while a watch is open: after an address change the balancer may still react to
-// the end of the previous one. A watch that falls silent is reopened at once, without the balancer: what it misses counts
-// as known soon, whatever backoff the balancer applies to failed calls.
+// watch opens a watch of the endpoint list at the balancer's request. It does nothing if a watch is open, as the balancer
+// may still react to the end of the previous watch after an address change. A watch that times out is reopened without
+// the balancer and its backoff for failed calls, as PROTOCOL counts the missed changes as known soon.
 func (d *discoveryClient) watch(ctx context.Context) {
 	select {
 	case <-d.watchDone:
@@ -126,7 +129,7 @@
 	})
 }
 
-// fetchList polls the complete list once.
+// fetchList requests the complete list once.
 func (d *discoveryClient) fetchList(ctx context.Context) {
 	call := d.newCall(ctx)
 	d.spawn(func() {
@@ -138,8 +141,8 @@
 	})
 }
 
-// maintainWatch keeps a watch open where lists are pushed and the balancer does not ask for them. Only calls that fail at
-// once back off: a silent one has taken its time already.
+// maintainWatch keeps a watch open where lists are pushed and the balancer does not request them. The backoff grows only
+// while calls fail immediately; a call that timed out has already waited long enough.
 func (d *discoveryClient) maintainWatch(ctx context.Context) {
 	ctx, d.cancel = context.WithCancel(ctx)
 	call := d.newCall(ctx)
@@ -159,8 +162,8 @@
 	})
 }
 
-// sleepJittered waits between half of a time and all of it, so that sidecars whose watches ended together do not call
-// together.
+// sleepJittered waits for a random time between half of maxDelay and maxDelay, so that sidecars whose watches ended at the
+// same time do not reconnect at the same time.
 func sleepJittered(ctx context.Context, maxDelay time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -168,16 +171,16 @@
 	}
 }
 
-// discoveryCall is one call to discovery, or a series of them, on a goroutine of its own.
+// discoveryCall makes one call to discovery, or a series of calls, on its own goroutine.
 type discoveryCall struct {
 	*discoveryClient
 	ctx context.Context
 
-	// Copies from when the call began. They hide the client's fields, which the event loop may change meanwhile.
+	// Copies made when the call started. They shadow the client's fields, which the event loop may change during the call.
 	baseURL    string
 	generation int
 
-	// Of the latest call.
+	// State of the latest call.
 	startedAt time.Time
 	received  bool // a list or a heartbeat has arrived
 }
@@ -186,7 +189,7 @@
 	return &discoveryCall{discoveryClient: d, ctx: ctx, baseURL: d.baseURL, generation: d.generation}
 }
 
-// watchUntilFailure opens a watch, and again each time that it falls silent.
+// watchUntilFailure opens a watch and reopens it after each timeout. It returns any other error.
 func (c *discoveryCall) watchUntilFailure() error {
 	err := c.openWatch(c.callTimeout)
 	for unansweredCalls := 0; errors.Is(err, errDiscoveryTimeout) && c.ctx.Err() == nil; {
@@ -204,15 +207,15 @@
 	return err
 }
 
-// reportFailure reports the end of a call or watch. Only a call that is rejected after a while has waited in a queue: an
-// unreachable service refuses connections at once, or breaks them at any time.
+// reportFailure reports the end of a call or watch. Only a call that is rejected after minQueuedTime counts as queued: an
+// unreachable service refuses connections immediately, or breaks them at any time.
 func (c *discoveryCall) reportFailure(err error) {
 	var rejected *unexpectedStatusError
 	queued := !c.received && errors.As(err, &rejected) && time.Since(c.startedAt) >= minQueuedTime
 	c.post(endpointUpdate{generation: c.generation, kind: balance.UpdateFailed, discoveryUnreachable: !queued})
 }
 
-// openWatch follows the changes after the current revision until the watch ends, always with an error.
+// openWatch watches the changes after the current revision until the watch ends. The error is never nil.
 func (c *discoveryCall) openWatch(firstTimeout time.Duration) error {
 	url := c.baseURL + "?watch=1"
 	if revision := c.revision.Load(); revision > 0 {
@@ -221,8 +224,8 @@
 	return c.readLists(url, firstTimeout, c.heartbeatTimeout)
 }
 
-// readLists posts each list of a response until it ends, with errStreamEnded if that is in order. The timeouts bound the wait for
-// the first sign of life and for each later one.
+// readLists posts each list of a response to the event loop until the response ends. It returns errStreamEnded if the
+// response is complete. The timeouts bound the wait for the first list or heartbeat and for each later one.
 func (c *discoveryCall) readLists(url string, firstTimeout, nextTimeout time.Duration) error {
 	c.startedAt = time.Now()
 	c.received = false
@@ -242,7 +245,7 @@
 	return c.decodeLists(ctx, &heartbeatReader{source: resp.Body, onHeartbeat: onHeartbeat})
 }
 
-// get returns a response with status 200.
+// get returns the response to a GET request; any status other than 200 is an error.
 func (c *discoveryCall) get(ctx context.Context, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -250,7 +253,7 @@
 	}
 	resp, err := c.client.Do(req)
 	if netErr := net.Error(nil); errors.As(err, &netErr) && netErr.Timeout() {
-		err = errDiscoveryTimeout // the connection was not established in time
+		err = errDiscoveryTimeout // the dialer's timeout
 	}
 	if err != nil {
 		return nil, cmp.Or(context.Cause(ctx), err)
@@ -278,13 +281,13 @@
 		}
 		c.post(endpointUpdate{generation: c.generation, kind: kind, endpoints: list})
 		reader.onHeartbeat()
-		buffered, _ := io.ReadAll(decoder.Buffered()) // in memory: it cannot fail
+		buffered, _ := io.ReadAll(decoder.Buffered()) // reads from memory and cannot fail
 		reader.listEnded(buffered)
 	}
 }
 
-// decodeError is why a response has ended: what has cancelled ctx, or else errStreamEnded after at least one list, or else the
-// decoder's error.
+// decodeError returns the reason why a response ended: the cause of the cancellation of ctx; otherwise errStreamEnded if
+// the response ended after at least one list; otherwise the decoder's error.
 func decodeError(ctx context.Context, err error, receivedList bool) error {
 	cause := context.Cause(ctx)
 	atEnd := errors.Is(err, io.EOF)
--- a/internal/sidecar/endpoint_list.go
+++ b/internal/sidecar/endpoint_list.go
@@ -10,28 +10,28 @@
 	"milldeck/balance"
 )
 
-// maxCapacityHint is the largest capacity_hint that is taken as a size.
+// maxCapacityHint is the largest valid capacity_hint.
 const maxCapacityHint = 1000
 
-// States of an endpoint, as discovery writes them. A state that is not known here counts as Terminating.
+// States of an endpoint, as discovery sends them. Any other state counts as Terminating.
 const (
 	stateReady   = "Ready"
 	stateRemoved = "Gone"
 )
 
 var (
-	errListWithoutTargets = errors.New("complete list without targets")
-	errListUnusable       = errors.New("list without a usable endpoint")
+	errListWithoutTargets = errors.New("complete endpoint list has no targets")
+	errListUnusable       = errors.New("endpoint list has no usable endpoint")
 )
 
-// endpointList is one JSON object of discovery: the complete list, or a change of it.
+// endpointList is one JSON object that discovery sends: the complete list, or the changed endpoints.
 type endpointList struct {
 	Revision  int64      `json:"rev"`
 	Complete  bool       `json:"all"`
 	Endpoints []endpoint `json:"targets"`
 }
 
-// endpoint is an entry of an endpointList: one server.
+// endpoint is one server in an endpointList.
 type endpoint struct {
 	UID          string  `json:"uid"`
 	Address      string  `json:"endpoint"` // IP address and port
@@ -39,12 +39,12 @@
 	Model        string  `json:"model"`
 	PodGroup     int     `json:"pod_group"`
 	State        string  `json:"state"`
-	CapacityHint float64 `json:"capacity_hint"` // 1: the usual size
+	CapacityHint float64 `json:"capacity_hint"` // relative capacity; 1: the usual one
 	BootMS       float64 `json:"boot_ms"`       // last start in Unix milliseconds; 0: long ago
 }
 
-// sanitize drops unusable entries and corrects invalid numbers. A list that would remove servers by mistake is an error:
-// one without targets, or without any usable entry.
+// sanitize drops unusable entries and corrects invalid numbers. A complete list without targets, and a list whose entries
+// are all unusable, are errors, as they would remove servers by mistake.
 func (l *endpointList) sanitize() error {
 	if l.Complete && l.Endpoints == nil {
 		return errListWithoutTargets
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// dropUnusable removes the entries without a UID, and those without a usable address unless they withdraw a server, which
-// is done by its name. Of several with the same UID the last stays.
+// dropUnusable removes entries without a UID, and entries without a usable address. An entry that withdraws a server needs
+// no address, as the UID identifies the server. Of several entries with the same UID, the last stays.
 func (l *endpointList) dropUnusable() {
 	occurrences := make(map[string]int, len(l.Endpoints))
 	for i := range l.Endpoints {
@@ -82,17 +82,17 @@
 	})
 }
 
-// usableAddress reports whether an address is an IP address and a port; there is no DNS.
+// usableAddress reports whether an address is a usable IP address and port. Host names are not resolved.
 func usableAddress(address string) bool {
 	addrPort, err := netip.ParseAddrPort(address)
 	return err == nil && addrPort.Port() > 0 && !addrPort.Addr().IsUnspecified() && !addrPort.Addr().IsMulticast()
 }
 
-// toServer converts an endpoint to a server of the balancer. A server's ID follows from its UID alone, so that a
+// toServer converts an endpoint to a server of the balancer. The server's ID is a hash of the UID alone, so that a
 // restarted sidecar ranks the servers as before.
 func (cfg *Config) toServer(listed *endpoint) balance.Server {
 	hash := fnv.New64a()
-	_, _ = io.WriteString(hash, listed.UID) // a hash accepts any input
+	_, _ = io.WriteString(hash, listed.UID) // a hash.Hash never returns an error
 	server := balance.Server{
 		ID:               balance.ServerID(hash.Sum64()),
 		StartedAt:        listed.BootMS,
@@ -112,25 +112,25 @@
 	return server
 }
 
-// serverID is the ID of the server with a UID, whether it is listed or not.
+// serverID returns the ID of the server with a UID, whether it is listed or not.
 func (cfg *Config) serverID(uid string) balance.ServerID { return cfg.toServer(&endpoint{UID: uid}).ID }
 
-// zoneNumber is the number of a zone. Zones that the settings do not name have numbers below unknownNumber, each its own:
-// servers of two of them are not in one zone.
+// zoneNumber returns the number of a zone. Each zone that the settings do not name gets its own number below
+// unknownNumber, so that servers of two such zones do not count as being in the same zone.
 func (cfg *Config) zoneNumber(name string) int {
 	number := numberOrUnknown(cfg.zoneNumbers, name)
 	if number != unknownNumber || name == "" {
 		return number
 	}
 	hash := fnv.New32a()
-	_, _ = io.WriteString(hash, name) // a hash accepts any input
+	_, _ = io.WriteString(hash, name) // a hash.Hash never returns an error
 	return unknownNumber - 1 - int(hash.Sum32())
 }
 
-// unknownNumber is the number of a zone or kind that the settings lack.
+// unknownNumber is the number of a zone without a name, and of a kind that the settings do not name.
 const unknownNumber = -1
 
-// numberOrUnknown is the number of a name, or unknownNumber.
+// numberOrUnknown returns the number of a name, or unknownNumber if the settings do not have the name.
 func numberOrUnknown(numbers map[string]int, name string) int {
 	if number, ok := numbers[name]; ok {
 		return number
--- a/internal/sidecar/endpoint_updates.go
+++ b/internal/sidecar/endpoint_updates.go
@@ -6,8 +6,8 @@
 	"milldeck/balance"
 )
 
-// switchDiscovery follows discovery at another address from now on. It calls there at once, as PROTOCOL counts what that
-// service has to announce as known soon after. The upstreams stay as they are until its first list arrives.
+// switchDiscovery switches to discovery at another address. It opens a watch there immediately, as PROTOCOL counts the new
+// service's list as known soon after the switch. The upstreams stay unchanged until the first list arrives.
 func (l *eventLoop) switchDiscovery(address string) {
 	l.discovery.switchAddress(address)
 	if l.config.settings.Subscribe {
@@ -17,8 +17,8 @@
 	}
 }
 
-// applyEndpointUpdate updates the ready upstreams before the balancer sees the list, so that an attempt under way finds at
-// its first byte what the balancer knows.
+// applyEndpointUpdate applies a list to the ready upstreams before it notifies the balancer. An attempt that is about to
+// write its first byte then checks against a list that is at least as new as the balancer's.
 func (l *eventLoop) applyEndpointUpdate(nowMS float64, update endpointUpdate) {
 	if update.kind == balance.UpdateFailed {
 		l.dispatch(nowMS, balance.EndpointUpdate{Kind: update.kind, DiscoveryUnreachable: update.discoveryUnreachable})
@@ -40,8 +40,8 @@
 	l.dispatch(nowMS, balance.EndpointUpdate{Kind: update.kind, Servers: servers})
 }
 
-// applyEndpoint replaces the upstream of an endpoint if its state, address or process has changed, and returns the
-// endpoint as the balancer gets it.
+// applyEndpoint replaces the upstream of an endpoint if the state, address or process has changed. It returns the endpoint
+// as a server of the balancer.
 func (l *eventLoop) applyEndpoint(nowMS float64, listed *endpoint) balance.Server {
 	server := l.config.toServer(listed)
 	known := l.readyUpstreams[server.ID]
@@ -69,7 +69,7 @@
 	return server
 }
 
-// retireUnlisted retires the upstreams that a full list does not name.
+// retireUnlisted retires the upstreams that are missing from a full list.
 func (l *eventLoop) retireUnlisted(listed map[balance.ServerID]bool) {
 	for id, upstream := range l.readyUpstreams {
 		if !listed[id] {
@@ -78,8 +78,8 @@
 	}
 }
 
-// retireUpstream ends the use of a server's process: nothing new is sent to it, and its connections are closed. Nil is
-// no upstream.
+// retireUpstream stops the use of a server's process: no new request is sent to it, and its connections are closed. It
+// ignores a nil upstream.
 func (l *eventLoop) retireUpstream(upstream *upstreamHost) {
 	if upstream != nil {
 		traceUpstream("server withdrawn", upstream)
--- a/internal/sidecar/load_report.go
+++ b/internal/sidecar/load_report.go
@@ -9,8 +9,9 @@
 // maxReportValue is larger than any valid value of a load report.
 const maxReportValue = 1e9
 
-// parseLoadReport parses a load report, "name=value,name=value", into the order of names. It returns nil if a value is
-// missing, doubled or invalid: the balancer keeps means of these values, in which a NaN would stay forever.
+// parseLoadReport parses a load report, "name=value,name=value", and returns the values in the order of names. It returns
+// nil if a value is missing, duplicated or invalid: the balancer keeps means of these values, and a NaN would never leave
+// them.
 func parseLoadReport(text string, names []string) []float32 {
 	if text == "" || len(names) == 0 {
 		return nil
--- a/internal/sidecar/peer_transport.go
+++ b/internal/sidecar/peer_transport.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	maxDatagramBytes = 256 // PROTOCOL; a longer one cannot come from a sidecar of this tier
-	// peerQueueSize bounds what waits for the event loop and for the socket. More is dropped: gossip that waited is
-	// worthless, and a flood must not delay requests.
+	maxDatagramBytes = 256 // limit in PROTOCOL; a longer datagram cannot come from a sidecar of this tier
+	// peerQueueSize is the length of the queues to the event loop and to the socket. Further datagrams are dropped: delayed
+	// gossip is worthless, and a flood must not delay requests.
 	peerQueueSize = 64
 )
 
-// peerTransport carries gossip datagrams between this sidecar and the others of its tier. What is sent to whom is the
-// balancer's decision. It is nil where the settings allow no gossip; its methods accept that where the event loop calls
-// them.
+// peerTransport sends and receives gossip datagrams between this sidecar and the others of its tier. The balancer decides
+// what is sent to which peer. The transport is nil if gossip is disabled; the methods that the event loop calls accept a
+// nil receiver.
 type peerTransport struct {
 	conn            *net.UDPConn
 	addresses       []netip.AddrPort // by sidecar number
 	numberByAddress map[netip.AddrPort]int
-	broadcast       netip.AddrPort // reaches all; invalid: there is none
+	broadcast       netip.AddrPort // reaches all peers; invalid: none is configured
 
 	inbound  chan balance.GossipMessage
 	outbound chan datagram
@@ -35,22 +35,22 @@
 	data []byte
 }
 
-// peerConfigFile is the part of the configuration file about peers.
+// peerConfigFile is the section of the configuration file on peers.
 type peerConfigFile struct {
 	Listen    string   `json:"peer_listen"`
 	Peers     []string `json:"peers"`
 	Broadcast string   `json:"peers_all"`
 }
 
-// peerConfig holds the checked addresses of a peerConfigFile.
+// peerConfig holds the parsed addresses of a peerConfigFile.
 type peerConfig struct {
 	listen    netip.AddrPort
 	addresses []netip.AddrPort
 	broadcast netip.AddrPort
 }
 
-// resolvePeers checks the addresses; nil means that there are no peers. The socket must be on the host of the frontend, so that
-// nobody outside of the tier reaches it.
+// resolvePeers parses and checks the addresses. It returns nil if no peers are configured. The socket must be on the host of
+// the frontend, so that nobody outside of the tier can reach it.
 func (f *peerConfigFile) resolvePeers(frontendAddress string, number, total int) (*peerConfig, error) {
 	if f.Listen == "" && len(f.Peers) == 0 {
 		return nil, nil
@@ -60,7 +60,7 @@
 	if config.listen, err = netip.ParseAddrPort(f.Listen); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	// An address without a host fails the comparison.
+	// A frontend address without a host never equals the peer address.
 	if host, _, _ := net.SplitHostPort(frontendAddress); host != config.listen.Addr().String() {
 		return nil, fmt.Errorf("peer_listen: %s is not on the host of listen, %s", f.Listen, frontendAddress)
 	}
@@ -82,7 +82,8 @@
 	return config, nil
 }
 
-// listenPeers binds the socket for gossip. If that fails the sidecar works without: gossip only improves decisions.
+// listenPeers binds the socket for gossip. If that fails, it logs the error and returns nil: the sidecar works without
+// gossip, which only improves its decisions.
 func listenPeers(config *peerConfig) *peerTransport {
 	if config == nil {
 		return nil
@@ -106,7 +107,7 @@
 	return transport
 }
 
-// receive returns the channel of inbound messages; nil, which blocks forever, without gossip.
+// receive returns the channel of inbound messages. Without gossip the channel is nil and blocks forever.
 func (p *peerTransport) receive() <-chan balance.GossipMessage {
 	if p == nil {
 		return nil
@@ -114,8 +115,8 @@
 	return p.inbound
 }
 
-// send queues a datagram for a peer, or for all if the peer's number is negative, and never blocks. It drops what cannot
-// be sent.
+// send queues a datagram for a peer, or for all peers if the number is negative. It never blocks: a datagram that cannot be
+// sent or queued is dropped.
 func (p *peerTransport) send(peer int, data []byte) {
 	if p == nil || len(data) > maxDatagramBytes || peer >= len(p.addresses) {
 		return
@@ -133,22 +134,22 @@
 	}
 }
 
-// runWriter sends queued datagrams until ctx ends. It then closes the socket, which ends runReader.
+// runWriter sends queued datagrams until ctx ends. It then closes the socket, and runReader returns.
 func (p *peerTransport) runWriter(ctx context.Context) {
-	defer func() { _ = p.conn.Close() }() // nothing is buffered that could be lost
+	defer func() { _ = p.conn.Close() }() // a UDP socket buffers nothing that an error could lose
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case datagram := <-p.outbound:
-			// A datagram that cannot be sent is lost, as it may be on its way.
+			// Gossip tolerates lost datagrams, so a failed send is ignored.
 			_, _ = p.conn.WriteToUDPAddrPort(datagram.data, datagram.to)
 		}
 	}
 }
 
-// runReader queues datagrams of the tier until the socket is closed. It drops those of other senders, those that are too
-// long, and those beyond the queue.
+// runReader queues datagrams from peers of the tier until the socket is closed. It drops datagrams from other senders,
+// datagrams that are too long, and all datagrams while the queue is full.
 func (p *peerTransport) runReader() {
 	buffer := make([]byte, maxDatagramBytes+1)
 	for {
--- a/internal/sidecar/placement_client.go
+++ b/internal/sidecar/placement_client.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// An empty line arrives every 2 s. Directives end by themselves, so a silent watch only delays changes.
+	// The agent sends an empty line every 2 s. Directives expire without a message, so a silent watch only delays changes.
 	placementHeartbeatTimeout   = 5 * time.Second
 	placementInitialBackoff     = 200 * time.Millisecond
 	placementMaxBackoff         = 2 * time.Second
-	placementUnsupportedBackoff = 15 * time.Second // at an older agent, which serves no placement
+	placementUnsupportedBackoff = 15 * time.Second // for an older agent, which does not serve a placement
 	placementDialTimeout        = time.Second
-	placementIdleTimeout        = 3 * reportInterval // of a connection between two reports
+	placementIdleTimeout        = 3 * reportInterval // of a connection between two load reports
 )
 
 var (
-	errPlacementUnsupported  = errors.New("agent serves no placement")
-	errPlacementTimeout      = errors.New("placement watch is silent")
-	errPlacementNoDirectives = errors.New("complete placement without directives")
+	errPlacementUnsupported  = errors.New("agent does not serve a placement")
+	errPlacementTimeout      = errors.New("no data from the agent within the timeout")
+	errPlacementNoDirectives = errors.New("complete placement has no list of directives")
 )
 
-// placementClient follows the placement at one address and posts load reports there. It makes no decisions: the event
-// loop gets all directives in force each time something changes.
+// placementClient watches the placement at one address and posts load reports to that address. It makes no decisions: after
+// each change it sends all directives in force to the event loop.
 type placementClient struct {
 	address    string
 	baseURL    string
-	generation int // counts the addresses; updates of an earlier one are ignored
+	generation int // number of address changes; updates of an earlier generation are ignored
 	client     *http.Client
 	post       func(loopEvent)
 	startedAt  time.Time // origin of the monotonic clock
@@ -43,12 +43,12 @@
 
 	mu           sync.Mutex
 	cache        *placement.Cache
-	resyncNeeded bool // the next watch asks for the complete placement
+	resyncNeeded bool // the next watch requests the complete placement
 }
 
-// placementTiming holds the intervals and the clock of a placementClient, which tests replace.
+// placementTiming holds the intervals and the clock of a placementClient. Tests replace them.
 type placementTiming struct {
-	heartbeatTimeout time.Duration // without a sign of life a watch has ended
+	heartbeatTimeout time.Duration // a watch ends after this time without data
 	reportInterval   time.Duration
 	maxBackoff       time.Duration // between two watches
 	wallClockMS      func() int64  // Unix milliseconds
@@ -84,7 +84,7 @@
 	}
 }
 
-// runWatch keeps a watch open until ctx ends. Directives that are in force stay so while there is no watch.
+// runWatch keeps a watch open until ctx ends. Without a watch, directives stay in force until they expire.
 func (p *placementClient) runWatch(ctx context.Context) {
 	defer p.client.CloseIdleConnections()
 	backoff := placementInitialBackoff
@@ -98,7 +98,8 @@
 			backoff = placementInitialBackoff
 			lastMessage = ""
 		}
-		// One line for an agent that stays unreachable: each dial makes an error value of its own, with the same text.
+		// Log only one line for an agent that stays unreachable. The messages are compared, as each failed dial returns
+		// another error value with the same text.
 		if message := err.Error(); message != lastMessage {
 			placementLog.Warn("placement watch failed", "error", err)
 			lastMessage = message
@@ -112,8 +113,8 @@
 	}
 }
 
-// watchOnce follows the changes after the cached placement until the watch ends, always with an error. It also reports
-// whether anything was received.
+// watchOnce watches the changes after the cached placement until the watch ends. The error is never nil. received reports
+// whether a placement or a heartbeat arrived.
 func (p *placementClient) watchOnce(ctx context.Context) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -165,8 +166,8 @@
 	return url
 }
 
-// applyUpdate applies one object of the watch. If it does not continue the cached placement, the next watch asks for the
-// complete one; the cached one stays in force until then.
+// applyUpdate applies one object of the watch to the cached placement. If the object does not continue the cached
+// placement, the next watch requests the complete placement, and the cached one stays in force until then.
 func (p *placementClient) applyUpdate(object []byte) error {
 	var update placement.Update
 	if err := json.Unmarshal(object, &update); err != nil {
@@ -186,12 +187,12 @@
 	return err
 }
 
-// readClocks returns the clocks by which directives end, in milliseconds.
+// readClocks returns the readings of the two clocks by which directives expire, in milliseconds.
 func (p *placementClient) readClocks() (wallMS, monotonicMS int64) {
 	return p.wallClockMS(), time.Since(p.startedAt).Milliseconds()
 }
 
-// snapshot is all that is in force now.
+// snapshot returns an update with all directives in force now. reportDue is nil unless a load report is requested.
 func (p *placementClient) snapshot(reportDue chan<- *placement.LoadReport) placementUpdate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/sidecar/placement_report.go
+++ b/internal/sidecar/placement_report.go
@@ -19,11 +19,12 @@
 
 const (
 	reportInterval = time.Second // between two load reports
-	// minDelayDivisor: after a report that took long, the next one still waits for this part of the interval.
+	// minDelayDivisor sets the minimum delay between two reports, reportInterval / minDelayDivisor, if posting a report takes
+	// long.
 	minDelayDivisor = 10
 )
 
-// buildReport describes the placement in force and the requests since the last report.
+// buildReport builds a load report on the placement in force and on the requests since the last report.
 func (l *eventLoop) buildReport(nowMS float64) *placement.LoadReport {
 	active := l.placement.active
 	report := &placement.LoadReport{
@@ -47,7 +48,7 @@
 	return report
 }
 
-// zoneName is the name of the sidecar's zone, "" if the settings name none.
+// zoneName returns the name of the sidecar's zone, or "" if the settings do not name it.
 func (cfg *Config) zoneName() string {
 	for name, number := range cfg.zoneNumbers {
 		if number == cfg.settings.Zone {
@@ -57,9 +58,9 @@
 	return ""
 }
 
-// excludedInFlight counts, for each exclusion in force, the attempts in flight on the servers that it excludes. Also an
-// exclusion of another tenant is in force here and counts 0, as its owner waits for that. Where there are too many to
-// report, those without attempts are left out, which means the same.
+// excludedInFlight counts, for each exclusion in force, the attempts in flight on the excluded servers. An exclusion of a
+// tenant that this sidecar does not serve counts as in force with 0 attempts, as its owner waits for that. If there are
+// too many exclusions to report, those with 0 are left out: a missing exclusion means 0 as well.
 func (l *eventLoop) excludedInFlight() map[string]int {
 	counts := map[string]int{}
 	directives := l.placement.active.directives
@@ -78,7 +79,7 @@
 	return counts
 }
 
-// countInFlightAt counts the attempts of an exclusion's tenant that are in flight on the servers that it excludes.
+// countInFlightAt counts the attempts of the exclusion's tenant that are in flight on the excluded servers.
 func (l *eventLoop) countInFlightAt(directive *activeDirective) int {
 	count := 0
 	for _, call := range l.calls.byID {
@@ -94,11 +95,11 @@
 	return count
 }
 
-// runReporter posts a report each interval until ctx ends, once a placement has arrived: an older agent, which serves
-// none, accepts no reports. A report that is not accepted is dropped with its counts, as a second post might count them
-// twice.
+// runReporter posts a report in each interval until ctx ends. It starts when a placement has arrived, as an older agent that
+// does not serve a placement accepts no reports either. A report that is not accepted is dropped with its counts, as a
+// second post could count them twice.
 func (p *placementClient) runReporter(ctx context.Context) {
-	delay := rand.N(p.reportInterval) // so that sidecars that start together do not report together
+	delay := rand.N(p.reportInterval) // random, so that sidecars that start at the same time do not report at the same time
 	for {
 		select {
 		case <-ctx.Done():
@@ -113,7 +114,7 @@
 	}
 }
 
-// reportOnce asks the event loop for a report and posts it. It returns false if ctx ends before the report is built.
+// reportOnce requests a report from the event loop and posts it. It returns false if ctx ends before the report is built.
 func (p *placementClient) reportOnce(ctx context.Context) bool {
 	reportDue := make(chan *placement.LoadReport, 1)
 	p.post(p.snapshot(reportDue))
@@ -128,7 +129,7 @@
 	}
 }
 
-// postReport posts a report within the time to the next one.
+// postReport posts a report. It gives up after one report interval, when the next report is due.
 func (p *placementClient) postReport(ctx context.Context, report *placement.LoadReport) error {
 	data, err := encodeReport(report)
 	if err != nil {
@@ -146,7 +147,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	// The body is read so that the connection can be reused.
+	// The transport reuses the connection only after the body has been read.
 	if _, err := io.CopyN(io.Discard, resp.Body, maxResponseHeaderBytes); err != nil && !errors.Is(err, io.EOF) {
 		return err
 	}
@@ -156,8 +157,8 @@
 	return nil
 }
 
-// encodeReport encodes a report as JSON. One that is too large goes without its counts, and then without its hot keys.
-// Exclusions are never left out one by one, as a missing one means that nothing is in flight.
+// encodeReport encodes a report as JSON. If the report is too large, it drops the class counts and then the hot keys. It
+// never drops single exclusions, as a missing exclusion means that no attempts are in flight.
 func encodeReport(report *placement.LoadReport) ([]byte, error) {
 	data, err := json.Marshal(report)
 	for _, shrink := range []func(){
@@ -173,7 +174,7 @@
 		return nil, err
 	}
 	if len(data) > placement.MaxReportBytes {
-		return nil, fmt.Errorf("load report of %d bytes, at most %d", len(data), placement.MaxReportBytes)
+		return nil, fmt.Errorf("load report has %d bytes, the limit is %d", len(data), placement.MaxReportBytes)
 	}
 	return data, nil
 }
--- a/internal/sidecar/report_recorder.go
+++ b/internal/sidecar/report_recorder.go
@@ -13,26 +13,27 @@
 )
 
 const (
-	// maxTrackedKeys are counted at a time. The hotter half is reported; the next hot key comes from the other.
+	// maxTrackedKeys is the number of keys whose load is counted. Only the hotter half is reported; the other half holds the
+	// keys that may become hot next.
 	maxTrackedKeys         = 64
 	keyLoadHalfLifeSeconds = 0.7 // short enough to show a new hot key within a second
-	maxMeanWorkSamples     = 50  // responses that the mean work of a class is taken over
+	maxMeanWorkSamples     = 50  // window of the mean work of a class, in responses
 )
 
-// reportRecorder counts what the next load report says. The event loop owns it.
+// reportRecorder collects the counts for the next load report. Only the event loop uses it.
 type reportRecorder struct {
 	config          *Config
 	keyLoad         *topk.Sketch
 	workByClass     []meanWork
 	counts          map[countKey]*placement.ClassCount
-	intervalStartMS float64 // when counting began
+	intervalStartMS float64 // when the current counts started
 }
 
-// meanWork is the mean time that recent responses of a class took, in ms, each up to the latency objective: what takes
-// longer was queued.
+// meanWork is the mean latency of recent responses of a class in ms. Each latency counts at most as the latency objective,
+// as the time beyond it was spent in a queue.
 type meanWork struct{ samples, meanMS float64 }
 
-// countKey is what outcomes are counted by.
+// countKey identifies a count of outcomes.
 type countKey struct {
 	class        int
 	zone, cohort string // of the server
@@ -48,8 +49,8 @@
 	}
 }
 
-// recordRequest adds a request to the load of its key, also if it is rejected later. Its work is the client's estimate,
-// or else the mean of its class.
+// recordRequest adds a request to the load of its key, even if the request is rejected later. The work of the request is
+// the client's estimate, or the mean work of its class if there is no estimate.
 func (r *reportRecorder) recordRequest(nowMS float64, request *balance.Request) {
 	if request.Key == 0 {
 		return
@@ -61,7 +62,8 @@
 	r.keyLoad.Add(nowMS/msPerSecond, request.Key, workMS)
 }
 
-// recordOutcome counts the outcome of an attempt. One that was cancelled or not sent says nothing about the server.
+// recordOutcome counts the outcome of an attempt. It ignores an attempt that was cancelled or not sent, as such an outcome
+// does not depend on the server.
 func (r *reportRecorder) recordOutcome(nowMS float64, attempt *attempt, result balance.Result, cohort string) {
 	if result == balance.Cancelled || result == balance.Obsolete {
 		return
@@ -87,7 +89,7 @@
 	work.meanMS += (math.Min(latencyMS, objectiveMS) - work.meanMS) / work.samples
 }
 
-// countFor returns the count of a key, nil if the report has no room for another.
+// countFor returns the count of a key, or nil if the report already has the maximum number of counts.
 func (r *reportRecorder) countFor(key countKey) *placement.ClassCount {
 	count := r.counts[key]
 	if count == nil && len(r.counts) < placement.MaxClassCounts {
@@ -101,7 +103,7 @@
 	return count
 }
 
-// flushInto writes what was counted since the last flush into a report and starts again.
+// flushInto writes the counts since the last flush into a report and resets them.
 func (r *reportRecorder) flushInto(report *placement.LoadReport, nowMS float64) {
 	report.IntervalMS = math.Max(nowMS-r.intervalStartMS, 0)
 	r.intervalStartMS = nowMS
@@ -125,7 +127,7 @@
 	clear(r.counts)
 }
 
-// className is the name of a class, "" if there is none with that number.
+// className returns the name of a class, or "" if no class has the number.
 func (cfg *Config) className(number int) string {
 	for name, i := range cfg.classNumbers {
 		if i == number {
--- a/internal/sidecar/streams.go
+++ b/internal/sidecar/streams.go
@@ -8,14 +8,16 @@
 	"io"
 )
 
-// Two readers of JSON streams stand here. Both take empty lines between objects as heartbeats, and ignore what arrives
-// inside an object, as a trickle of bytes could otherwise hold up a watch forever. They are two because the streams
-// differ in what they accept: the endpoint list is decoded by encoding/json as it arrives, so that malformed input fails
-// at its first bad byte and any white space is a heartbeat; a placement is read as a balanced object first, must begin
-// with a brace, and only a newline is a heartbeat.
+// This file has two readers of JSON streams. Both treat empty lines between objects as heartbeats. Bytes inside an object
+// are no heartbeats, as a server that sends single bytes could otherwise keep a watch open forever. The streams accept
+// different input, so each has its own reader:
+//   - encoding/json decodes an endpoint list while it arrives. Malformed input fails at its first invalid byte, and any
+//     white space between lists is a heartbeat.
+//   - A placement is read up to its closing brace before it is decoded. It must start with a brace, and only a newline
+//     between placements is a heartbeat.
 
 const (
-	maxListBytes      = 1 << 20 // thousands of servers; a process may have no more than 32 MB
+	maxListBytes      = 1 << 20 // enough for thousands of servers; a process may have only 32 MB of memory
 	maxPlacementBytes = 2 << 20 // of one object
 )
 
@@ -24,15 +26,15 @@
 	errPlacementTooLarge = fmt.Errorf("placement is larger than %d bytes", maxPlacementBytes)
 )
 
-// heartbeatReader reads a stream of endpoint lists and calls onHeartbeat for white space between two of them.
+// heartbeatReader reads a stream of endpoint lists and calls onHeartbeat for white space between two lists.
 type heartbeatReader struct {
 	source         io.Reader
 	onHeartbeat    func()
-	listStarted    bool // a list has begun
-	bytesSinceList int  // since the last list ended
+	listStarted    bool // the first byte of the next list has been read
+	bytesSinceList int  // bytes read after the end of the last list
 }
 
-// Read implements io.Reader. A list that is longer than maxListBytes is an error.
+// Read implements io.Reader. A list of more than maxListBytes is an error.
 func (r *heartbeatReader) Read(buffer []byte) (int, error) {
 	n, err := r.source.Read(buffer)
 	r.bytesSinceList += n
@@ -47,13 +49,13 @@
 	return n, err
 }
 
-// listEnded notes that a list has been decoded; buffered is what was read after it.
+// listEnded resets the reader after a list was decoded. buffered are the bytes that were read after the list.
 func (r *heartbeatReader) listEnded(buffered []byte) {
 	r.bytesSinceList = len(buffered)
 	r.listStarted = len(bytes.TrimSpace(buffered)) > 0
 }
 
-// readObject reads one JSON object, over one line or several, and calls onHeartbeat for each empty line before it.
+// readObject reads one JSON object, which may span several lines, and calls onHeartbeat for each empty line before it.
 func readObject(reader *bufio.Reader, onHeartbeat func()) ([]byte, error) {
 	var object []byte
 	var nesting jsonNesting
@@ -72,7 +74,7 @@
 		case object == nil && (char == ' ' || char == '\t' || char == '\r'):
 			continue
 		case object == nil && char != '{':
-			return nil, fmt.Errorf("%q begins no placement", char)
+			return nil, fmt.Errorf("placement starts with %q in place of a brace", char)
 		case len(object) == maxPlacementBytes:
 			return nil, errPlacementTooLarge
 		}
@@ -83,13 +85,13 @@
 	}
 }
 
-// jsonNesting follows the braces and brackets of a JSON value.
+// jsonNesting tracks the nesting of braces and brackets in a JSON value.
 type jsonNesting struct {
 	depth             int
 	inString, escaped bool
 }
 
-// add takes the next byte and reports whether it closes the outermost brace or bracket.
+// add processes the next byte and reports whether it closes the outermost brace or bracket.
 func (j *jsonNesting) add(char byte) (closed bool) {
 	switch {
 	case j.escaped:
--- a/internal/sidecar/streams_test.go
+++ b/internal/sidecar/streams_test.go
@@ -12,7 +12,7 @@
 		"\n \t\r\n{\n \"a\": 1\n}\n\n":           "{\n \"a\": 1\n} EOF",
 		`{"a":"`:                                 "unexpected EOF",
 		`{"a":"\`:                                "unexpected EOF",
-		`null`:                                   `'n' begins no placement`,
+		`null`:                                   `placement starts with 'n' in place of a brace`,
 		"":                                       "EOF",
 		strings.Repeat("{", maxPlacementBytes+1): errPlacementTooLarge.Error(),
 	} {
--- a/internal/sidecar/upstream_exchange.go
+++ b/internal/sidecar/upstream_exchange.go
@@ -18,17 +18,17 @@
 	healthCheckTimeout = 250 * time.Millisecond
 
 	healthCheckPath   = "/health/live"
-	healthReportsPath = "/stats" // a health check that also returns a load report
+	healthReportsPath = "/stats" // a health check whose response has a load report
 )
 
-// expiredDeadline makes all I/O on a connection fail at once.
+// expiredDeadline makes all I/O on a connection fail immediately.
 var expiredDeadline = time.Unix(1, 0)
 
-// errObsolete: between the decision for an attempt and its first byte the call was answered, a deadline passed, or the
-// server was retired.
+// errObsolete means that, between the decision for an attempt and its first byte, the call was answered, a deadline passed,
+// or the server was retired.
 var errObsolete = errors.New("request is obsolete")
 
-// outboundRequest is a client's request as servers get it.
+// outboundRequest is a client's request in the form in which it is sent to servers.
 type outboundRequest struct {
 	method string
 	url    *url.URL
@@ -37,15 +37,15 @@
 	body   []byte
 }
 
-// exchangeResult is how an attempt or a health check ended.
+// exchangeResult is the result of an attempt or a health check.
 type exchangeResult struct {
 	outcome    balance.Result
-	unsent     error    // why the request was not completely written; nil: it was
-	response   response // if the outcome is balance.OK
+	unsent     error    // why the request was not completely written; nil if it was
+	response   response // set if the outcome is balance.OK
 	loadReport []float32
 }
 
-// sendAttempt sends an attempt and waits for its end.
+// sendAttempt sends an attempt and waits for its result.
 func (p *connPool) sendAttempt(attempt *attempt) exchangeResult {
 	outbound := attempt.call.outbound
 	req := &http.Request{
@@ -60,7 +60,7 @@
 	return result
 }
 
-// checkHealth sends a health check. Its load report comes in a header or in the body.
+// checkHealth sends a health check. The server returns its load report in a header or in the body.
 func (p *connPool) checkHealth(ctx context.Context, upstream *upstreamHost) exchangeResult {
 	req := &http.Request{
 		Method: http.MethodGet,
@@ -76,9 +76,9 @@
 	return result
 }
 
-// exchange writes a request once and reads its response; attempt is nil for a health check. The request moves to another
-// connection only while its last byte is not written: net/http's Transport is not used, as it would send the request again
-// by itself when a reused connection breaks, which is one more attempt.
+// exchange writes a request and reads its response; attempt is nil for a health check. If a reused connection breaks before
+// the last byte of the request is written, exchange moves to another connection. net/http's Transport is not used, as it
+// resends a request by itself when a reused connection breaks, which is one more attempt.
 func (p *connPool) exchange(ctx context.Context, upstream *upstreamHost, deadline time.Time, req *http.Request, attempt *attempt) exchangeResult {
 	writeDeadline := deadline
 	if attempt != nil {
@@ -116,9 +116,9 @@
 	}
 }
 
-// cancelWithContext sets the deadlines of a connection, and lets them expire when ctx ends. The returned function undoes
-// the latter; it reports false if ctx has ended. Setting a deadline fails only on a closed connection, which the next
-// read or write reports.
+// cancelWithContext sets the deadlines of a connection and makes them expire when ctx ends. The returned function stops
+// watching ctx; it returns false if ctx has ended. Setting a deadline fails only on a closed connection, and the next read
+// or write reports that.
 func cancelWithContext(ctx context.Context, conn *upstreamConn, readDeadline, writeDeadline time.Time) (stop func() bool) {
 	stop = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(expiredDeadline) })
 	conn.readDeadline = readDeadline
@@ -127,19 +127,20 @@
 	return stop
 }
 
-// setReadDeadline sets the deadline of the next reads, within that of the exchange and unless ctx has ended.
+// setReadDeadline sets the deadline of the next reads, at most the read deadline of the exchange. If ctx has ended, the
+// deadline is expired.
 func setReadDeadline(ctx context.Context, conn *upstreamConn, deadline time.Time) {
 	if conn.readDeadline.Before(deadline) {
 		deadline = conn.readDeadline
 	}
 	_ = conn.SetReadDeadline(deadline)
 	if ctx.Err() != nil {
-		_ = conn.SetDeadline(expiredDeadline) // what was set may have undone it
+		_ = conn.SetDeadline(expiredDeadline) // the deadline above may have overwritten the expired one
 	}
 }
 
-// writeRequest writes a request, and reports whether it is completely written: only then may a server execute it. The
-// final check whether it is still to be sent is made here, as the endpoint list may change while a connection is dialed.
+// writeRequest writes a request and reports whether it is completely written; a server executes only a complete request.
+// The final check whether the request may still be sent is made here, as the endpoint list may change during a dial.
 func writeRequest(guard sendGuard, conn *upstreamConn, deadline time.Time, req *http.Request, attempt *attempt) (complete bool, err error) {
 	if attempt != nil {
 		attempt.call.writeMu.Lock()
@@ -167,29 +168,29 @@
 	return complete, err
 }
 
-// encodeRequest encodes a request with the time that remains for it.
+// encodeRequest encodes a request with the remaining time in timeoutHeader.
 func encodeRequest(req *http.Request, attempt *attempt, remaining time.Duration) (*bytes.Buffer, error) {
 	req.Header.Set(timeoutHeader, strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
 	req.Body = http.NoBody
 	if attempt != nil && len(attempt.call.outbound.body) > 0 {
-		// A new reader for each connection, as encoding consumes it.
+		// Each connection needs a new reader, as encoding consumes it.
 		req.Body = io.NopCloser(bytes.NewReader(attempt.call.outbound.body))
 	}
 	if _, ok := req.Header["User-Agent"]; !ok {
-		req.Header["User-Agent"] = nil // net/http would add its own
+		req.Header["User-Agent"] = nil // stops net/http from adding its own
 	}
 	buffer := &bytes.Buffer{}
 	return buffer, req.Write(buffer)
 }
 
-// unsentResult is the result of an exchange whose request was not completely written.
+// unsentResult returns the result of an exchange whose request was not completely written.
 func unsentResult(ctx context.Context, writeDeadline time.Time, err error) balance.Result {
 	switch {
 	case ctx.Err() != nil,
 		errors.Is(err, errObsolete),
 		errors.Is(err, errNoSocketAvailable),
 		!time.Now().Before(writeDeadline):
-		return balance.Obsolete // not the server's fault
+		return balance.Obsolete // does not count against the server
 	default:
 		return balance.ConnectFailed
 	}
--- a/internal/sidecar/upstream_response.go
+++ b/internal/sidecar/upstream_response.go
@@ -24,8 +24,8 @@
 	maxInterimResponses    = 5 // 1xx responses before the final one
 	minBodyRead            = 512
 
-	// closeDelimitedReadTimeout is how long a server may take between two reads of a body without a length, and before it closes the
-	// connection behind it. Some never do; others are asked while there is time.
+	// closeDelimitedReadTimeout bounds each read of a body without a length, including the read that waits for the end of
+	// the connection. Some servers never close it; the timeout leaves time to retry at another server.
 	closeDelimitedReadTimeout = 100 * time.Millisecond
 )
 
@@ -38,13 +38,13 @@
 var (
 	errMalformedResponse   = errors.New("malformed response")
 	errBodyMemoryExhausted = errors.New("body memory is exhausted")
-	errConnectionNotClosed = errors.New("response without a length does not end")
+	errConnectionNotClosed = errors.New("server did not close the connection after a response without a length")
 )
 
-// readResponse reads the response to a request that is completely written: if it fails, the server may have executed the
-// request. It also reports whether the connection can be reused.
+// readResponse reads the response to a completely written request. If the read fails, the server may have executed the
+// request. reusable reports whether the connection can be reused.
 func (p *connPool) readResponse(ctx context.Context, conn *upstreamConn) (result exchangeResult, reusable bool) {
-	conn.responseLimit.N = maxResponseHeaderBytes + 2*maxBodyBytes // an endless response must not fill the memory
+	conn.responseLimit.N = maxResponseHeaderBytes + 2*maxBodyBytes // bounds the memory for an endless response
 	status, header, err := readHeader(conn.reader)
 	var body []byte
 	reservedBytes := 0
@@ -71,7 +71,7 @@
 	return result, !isCloseDelimited(header) && !closesConnection(header) && conn.reader.Buffered() == 0
 }
 
-// incompleteResponseResult is the result of an exchange whose response is incomplete.
+// incompleteResponseResult returns the result of an exchange whose response is incomplete.
 func incompleteResponseResult(ctx context.Context, err error) balance.Result {
 	var netErr net.Error
 	switch {
@@ -84,8 +84,8 @@
 	}
 }
 
-// outcomeOf is the outcome of a complete response. A 503 or 504 proves that the server did not execute the request only
-// with notProcessedHeader.
+// outcomeOf returns the outcome of a complete response. A 503 or 504 proves that the server did not execute the request
+// only if it has notProcessedHeader.
 func outcomeOf(status int, header http.Header) balance.Result {
 	notProcessed := header.Get(notProcessedHeader) == "1"
 	switch {
@@ -104,8 +104,8 @@
 	})
 }
 
-// readHeader reads the status and headers of a response and skips interim responses. net/http's reader is not used, as it
-// would ignore a Content-Length beside Transfer-Encoding.
+// readHeader reads the status and headers of a response and skips interim responses. http.ReadResponse is not used, as it
+// ignores a Content-Length next to a Transfer-Encoding.
 func readHeader(reader *bufio.Reader) (int, http.Header, error) {
 	lines := textproto.NewReader(reader)
 	for range maxInterimResponses {
@@ -123,7 +123,7 @@
 			return 0, nil, io.ErrUnexpectedEOF
 		case err != nil:
 			return 0, nil, err
-		case status == http.StatusSwitchingProtocols: // the sidecar never asks for it
+		case status == http.StatusSwitchingProtocols: // the sidecar never requests an upgrade
 			return 0, nil, errMalformedResponse
 		case status >= http.StatusOK:
 			return status, http.Header(header), nil
@@ -142,15 +142,15 @@
 	return int(number), nil
 }
 
-// readBody reads a complete body. One that is cut short, or whose length could be read in two ways, is an error, so that it
-// is never passed on. It also returns how much of the body memory it has reserved, 0 on error.
+// readBody reads a complete body. A truncated body, or one whose length is ambiguous, is an error and is never forwarded.
+// reservedBytes is the reserved part of the body memory, 0 on error.
 func (p *connPool) readBody(ctx context.Context, conn *upstreamConn, status int, header http.Header) (body []byte, reservedBytes int, err error) {
 	framing, err := bodyFraming(status, header)
 	if err != nil {
 		return nil, 0, err
 	}
 	if framing.closeDelimited && status != http.StatusOK {
-		return nil, 0, nil // only the status matters, and the body may have no end
+		return nil, 0, nil // only the status is used, and the server may never close the connection
 	}
 	if !p.bodyMemory.reserve(framing.length) {
 		return nil, 0, errBodyMemoryExhausted
@@ -171,18 +171,18 @@
 	return body, len(body), nil
 }
 
-// framing is how the end of a body is found.
+// framing determines the end of a body.
 type framing struct {
-	length         int // in bytes, at most if it is chunked or ends with the connection
+	length         int // in bytes; an upper bound if the body is chunked or close-delimited
 	chunked        bool
 	closeDelimited bool
 }
 
-// bodyFraming is the framing of a body. Lengths that contradict each other, or that are given twice, are an error.
+// bodyFraming returns the framing of a body. Conflicting or repeated lengths are an error.
 func bodyFraming(status int, header http.Header) (framing, error) {
 	transferEncodings, contentLengths := header["Transfer-Encoding"], header["Content-Length"]
 	switch {
-	case status == http.StatusNoContent || status == http.StatusNotModified: // the sidecar never asks for these
+	case status == http.StatusNoContent || status == http.StatusNotModified: // no request of the sidecar allows these
 		return framing{}, errMalformedResponse
 	case isCloseDelimited(header):
 		return framing{length: maxBodyBytes, closeDelimited: true}, nil
@@ -199,14 +199,14 @@
 	}
 }
 
-// isCloseDelimited reports whether a response has no length, so that the end of its connection is its end.
+// isCloseDelimited reports whether a response has no length and therefore ends with its connection.
 func isCloseDelimited(header http.Header) bool {
 	return len(header["Transfer-Encoding"]) == 0 && len(header["Content-Length"]) == 0
 }
 
-// readUntilClose reads a body up to the end of the connection: a server that closes it has sent all. A reset is an error,
-// as the process has died or the connection was cut, and so is a connection that stays open: the server does not mean its
-// end to end the body.
+// readUntilClose reads a body up to the end of the connection. The body is complete if the server closes the connection. A
+// reset is an error, as the process has died or the connection was cut. A connection that stays open is an error too, as
+// the server does not use the end of the connection to end the body.
 func readUntilClose(ctx context.Context, conn *upstreamConn) ([]byte, error) {
 	var body []byte
 	for len(body) <= maxBodyBytes {
@@ -219,7 +219,7 @@
 			return body, nil
 		case errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(conn.readDeadline) && ctx.Err() == nil:
 			return nil, errConnectionNotClosed
-		case errors.Is(err, io.EOF): // of the limit of a response
+		case errors.Is(err, io.EOF): // the size limit of a response is reached
 			return nil, errMalformedResponse
 		case err != nil:
 			return nil, err
@@ -241,7 +241,7 @@
 	return body, err
 }
 
-// readExactly reads a body of a known length. Its memory grows with what arrives, not with what is announced.
+// readExactly reads a body of a known length. Its buffer grows with the bytes that arrive, not with the announced length.
 func readExactly(reader *bufio.Reader, length int) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(reader, int64(length)))
 	if err == nil && len(body) < length {
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,5 +1,5 @@
-// Package sockets says what errors of system calls on sockets and files mean, and keeps listeners alive through those that
-// pass. The errors are those that accept(2), socket(2), connect(2) and open(2) document.
+// Package sockets classifies errors of system calls on sockets and files, and retries calls that fail temporarily. The
+// errors are those that accept(2), socket(2), connect(2) and open(2) document.
 package sockets
 
 import (
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// permanentAcceptErrors are the errors of accept(2) that mean that the listener cannot be used. All others pass: the system
-// lacks something for a moment, or passes on what went wrong with the connection that it was about to return.
+// permanentAcceptErrors are the errors of accept(2) after which a listener cannot be used. All other errors are temporary:
+// the system lacks a resource, or reports an error of the connection that accept was about to return.
 var permanentAcceptErrors = []syscall.Errno{syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK, syscall.ENOSYS}
 
-// temporaryLocalErrors are errors by which this machine could not open a socket, a connection or a file for a moment. No peer is to
-// blame.
+// temporaryLocalErrors mean that this machine temporarily cannot open a socket, a connection or a file. No peer causes
+// them.
 var temporaryLocalErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN,
 	syscall.EAGAIN, syscall.EINTR, syscall.EPERM,
@@ -26,20 +26,20 @@
 
 const (
 	minBackoff = time.Millisecond
-	// maxBackoff is short, as clients wait whose deadlines may be short.
+	// maxBackoff is short, as the waiting clients may have short deadlines.
 	maxBackoff = 20 * time.Millisecond
-	// retryTimeout is for how long Retry tries again.
+	// retryTimeout is the time after which Retry gives up.
 	retryTimeout = 5 * time.Second
-	// logInterval is the least time between two log lines of a listener.
+	// logInterval is the minimum time between two log lines of a listener.
 	logInterval = time.Second
 )
 
-// IsPermanentAcceptError reports whether a listener that has returned an error cannot be used any more.
+// IsPermanentAcceptError reports whether a listener cannot be used after an error of Accept.
 func IsPermanentAcceptError(err error) bool {
 	return errors.Is(err, net.ErrClosed) || !errors.As(err, new(syscall.Errno)) || matchesErrno(err, permanentAcceptErrors)
 }
 
-// IsTemporaryLocalError reports whether an error means that this machine lacked something for a moment.
+// IsTemporaryLocalError reports whether an error means that this machine temporarily lacks a resource.
 func IsTemporaryLocalError(err error) bool { return matchesErrno(err, temporaryLocalErrors) }
 
 func matchesErrno(err error, errnos []syscall.Errno) bool {
@@ -47,17 +47,17 @@
 	return errors.As(err, &errno) && slices.Contains(errnos, errno)
 }
 
-// Backoff is the pause between two tries of a system call: it doubles with each, up to 20 ms, with jitter. The zero value is
+// Backoff is an exponential backoff with jitter between calls of a failing system call, at most 20 ms. The zero value is
 // ready for use.
 type Backoff struct{ delayCap time.Duration }
 
-// Next returns the next pause.
+// Next returns the next delay.
 func (b *Backoff) Next() time.Duration {
 	b.delayCap = min(max(2*b.delayCap, minBackoff), maxBackoff)
 	return b.delayCap/2 + rand.N(b.delayCap/2)
 }
 
-// Retry calls a function until it does not fail by an error of this machine that passes, for at most 5 s.
+// Retry calls an operation, and retries it for at most 5 s while it fails with temporary local errors.
 func Retry(operation func() error) error {
 	var backoff Backoff
 	for deadline := time.Now().Add(retryTimeout); ; time.Sleep(backoff.Next()) {
@@ -68,7 +68,7 @@
 	}
 }
 
-// Listen announces on a TCP address, with Retry.
+// Listen opens a listener on a TCP address, with Retry.
 func Listen(network, address string) (listener net.Listener, err error) {
 	err = Retry(func() error {
 		listener, err = net.Listen(network, address)
@@ -77,7 +77,8 @@
 	return listener, err
 }
 
-// RetryAccept returns a listener that outlives every error of accept that passes: net/http would end the server with some of them.
+// RetryAccept returns a listener whose Accept retries after temporary errors. Without it, net/http ends its server after
+// some of them.
 func RetryAccept(listener net.Listener) net.Listener {
 	return &retryingListener{Listener: listener, closed: make(chan struct{})}
 }
@@ -92,7 +93,7 @@
 	loggedAt time.Time
 }
 
-// Accept waits for a connection. It returns only errors that last.
+// Accept waits for a connection. It returns only permanent errors.
 func (l *retryingListener) Accept() (net.Conn, error) {
 	var backoff Backoff
 	for {
@@ -109,7 +110,7 @@
 	}
 }
 
-// log logs an error, at most one a second.
+// log logs an error, at most once a second.
 func (l *retryingListener) log(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,7 +120,7 @@
 	}
 }
 
-// Close closes the listener and ends a pause of Accept.
+// Close closes the listener and ends a waiting Accept.
 func (l *retryingListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
