--- a/internal/sidecar/attempt_outcome_test.go
+++ b/internal/sidecar/attempt_outcome_test.go
@@ -16,13 +16,14 @@
 	"milldeck/balance"
 )
 
-// resetConn makes the close of a connection a reset, as the end of a process does.
+// resetConn makes the later close of a connection send a reset, as the end of a process does. It returns false so that a
+// serveFunc can return its result.
 func resetConn(conn net.Conn) bool {
-	_ = conn.(*net.TCPConn).SetLinger(0) // fails only if the connection is closed already
+	_ = conn.(*net.TCPConn).SetLinger(0) // fails only if the connection is already closed
 	return false
 }
 
-// respondAndStall writes text and leaves the connection open until the sidecar closes it.
+// respondAndStall writes text and keeps the connection open until the sidecar closes it.
 func respondAndStall(text string) serveFunc {
 	return func(conn net.Conn, _ *http.Request, _ string) bool {
 		tryWrite(conn, text)
@@ -31,7 +32,8 @@
 	}
 }
 
-// respondForever writes text and then repeats another, many times at once, until the sidecar closes the connection.
+// respondForever writes text and then another text again and again, 100 copies in each write, until the sidecar closes the
+// connection.
 func respondForever(text, repeated string) serveFunc {
 	return func(conn net.Conn, _ *http.Request, _ string) bool {
 		_, err := io.WriteString(conn, text)
@@ -43,7 +45,7 @@
 	}
 }
 
-// respondAndReset writes text and resets the connection once the sidecar's machine has the text.
+// respondAndReset writes text and resets the connection after the sidecar's machine has received the text.
 func respondAndReset(text string) serveFunc {
 	return func(conn net.Conn, _ *http.Request, _ string) bool {
 		tryWrite(conn, text)
@@ -53,23 +55,24 @@
 
 const partialStatusLine = "HTTP/1.1 200 O"
 
-// outcomeCase is a way in which the first attempt of a request ends.
+// outcomeCase is one way in which the first attempt of a request ends. The arrays hold the expected values for an idempotent
+// request, a request with an idempotency key and a non-idempotent request.
 type outcomeCase struct {
 	timeout  time.Duration
 	serve    serveFunc
-	statuses [3]int // of an idempotent request, one with an idempotency key and one that is not idempotent
+	statuses [3]int
 	attempts [3]int64
 	reusable bool // the connection may stay open, as the response is complete
 }
 
-// For each way in which an attempt may end and each kind of idempotency: there is a retry only where the rules allow
-// it, and not before the connection of the previous attempt is closed. An incomplete response is never passed on.
+// For each outcome of an attempt and each kind of idempotency: the sidecar retries only if the rules allow it, and only
+// after the connection of the previous attempt is closed. It never forwards an incomplete response.
 func TestRetryAfterFailedAttempt(t *testing.T) {
-	// The server may have executed it: a non-idempotent request is not retried.
+	// The server may have executed the request: a non-idempotent request is not retried.
 	maybeExecuted := func(serve serveFunc) outcomeCase {
 		return outcomeCase{time.Second, serve, [3]int{200, 200, statusFailed}, [3]int64{2, 2, 1}, false}
 	}
-	// There is no outcome before the deadline, and only one attempt is in flight at a time.
+	// The attempt has no outcome before the deadline, and only one attempt is in flight at a time: there is no retry.
 	silent := func(serve serveFunc) outcomeCase {
 		return outcomeCase{200 * time.Millisecond, serve, [3]int{statusRejected, statusTimedOut, statusTimedOut}, [3]int64{1, 1, 1}, false}
 	}
@@ -119,7 +122,8 @@
 	}
 }
 
-// run sends a request of a class to two servers, of which the one that gets the first attempt serves it as the case says.
+// run sends a request of a class to two servers. The server that gets the first attempt responds with test.serve; further
+// attempts succeed.
 func (test outcomeCase) run(t *testing.T, class string, wantStatus int, wantAttempts int64) {
 	var attempts atomic.Int64
 	firstConn := make(chan net.Conn, 1)
@@ -129,7 +133,7 @@
 			return test.serve(conn, r, body)
 		}
 		if first := <-firstConn; !test.reusable && openAndEmpty(first) {
-			t.Error("the connection of the first attempt is open")
+			t.Error("the connection of the first attempt is still open during the retry")
 		}
 		return serveOK(conn, r, body)
 	}
@@ -146,8 +150,8 @@
 	waitUntil(t, "all body memory to be released", func() bool { return sidecar.loop.pool.bodyMemory.remaining.Load() == memory })
 }
 
-// A response is complete at the moment when its call ends otherwise. Whichever event is handled first, there is one
-// response, one outcome, and no body memory stays reserved.
+// A server's response completes at the same moment as its call ends for another reason. Whichever event is handled first,
+// the client gets one response, the attempt has one outcome, and no body memory stays reserved.
 func TestResponseRacingTermination(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	for name, terminate := range map[string]func(loop *steppedLoop, call *call, event attemptCompleted){
@@ -158,7 +162,7 @@
 		"answer first": func(loop *steppedLoop, call *call, event attemptCompleted) {
 			loop.handleEvent(loop.nowMS(), event)
 			if call.markAnswered() {
-				loop.t.Error("a second answer could be given")
+				loop.t.Error("the call can be answered a second time")
 			}
 			if resp := loop.takeResponse(call); resp.status != 200 || string(resp.body) != "done" {
 				loop.t.Errorf("%+v", resp)
@@ -174,16 +178,16 @@
 		"overdue first": func(loop *steppedLoop, call *call, event attemptCompleted) {
 			front := &frontend{post: func(posted loopEvent) { loop.handleEvent(loop.nowMS(), posted) }}
 			if resp, claimed := front.concludeCall(call, answeredOverdue); !claimed || resp.status != statusTimedOut {
-				loop.t.Errorf("%+v, ended %v", resp, claimed)
+				loop.t.Errorf("%+v, claimed %v", resp, claimed)
 			}
 			loop.handleEvent(loop.nowMS(), event)
 		},
 		"answer before overdue": func(loop *steppedLoop, call *call, event attemptCompleted) {
 			loop.handleEvent(loop.nowMS(), event)
-			front := &frontend{post: func(loopEvent) { loop.t.Error("the event loop is notified of a second end") }}
+			front := &frontend{post: func(loopEvent) { loop.t.Error("the event loop is notified although the call is answered") }}
 			resp, claimed := front.concludeCall(call, answeredOverdue)
 			if claimed || resp.status != 200 {
-				loop.t.Errorf("%+v, ended %v", resp, claimed)
+				loop.t.Errorf("%+v, claimed %v", resp, claimed)
 			}
 			loop.pool.bodyMemory.release(resp.reservedBytes)
 		},
@@ -213,8 +217,8 @@
 	return n, err
 }
 
-// An attempt ends while its response is read: what is complete by then is the response, anything else is none, and
-// the connection is closed in any case.
+// An attempt is cancelled or times out while its response is read. A response that is complete by then counts, an incomplete
+// one does not. The connection is closed in both cases.
 func TestCancelWhileReading(t *testing.T) {
 	complete := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 	for name, test := range map[string]struct {
@@ -242,7 +246,7 @@
 				t.Errorf("%+v, want %v", result, test.want)
 			}
 			if remaining := pool.bodyMemory.remaining.Load(); remaining != memory-int64(result.response.reservedBytes) {
-				t.Errorf("%d bytes reserved for a response of %d", memory-remaining, result.response.reservedBytes)
+				t.Errorf("%d bytes of body memory are reserved, want %d", memory-remaining, result.response.reservedBytes)
 			}
 			if pool.openConns != 0 {
 				t.Error("the connection is not closed")
@@ -251,8 +255,8 @@
 	}
 }
 
-// A second response on a connection, before or after the connection returned to the pool, is never taken for that of
-// the next request.
+// A server sends a second response on a connection, before or after the connection returns to the pool. The sidecar never
+// takes it for the response to the next request.
 func TestSecondResponseIsNotReused(t *testing.T) {
 	const responseFormat = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d"
 	for _, atOnce := range []bool{true, false} {
@@ -278,12 +282,12 @@
 				upstream, conn := call.attempts[0].upstream, <-conns
 				if atOnce {
 					if len(upstream.idleConns) != 0 {
-						t.Error("the connection is pooled")
+						t.Error("the connection returned to the pool")
 					}
 					continue
 				}
 				fmt.Fprintf(conn, responseFormat, i)
-				waitUntil(t, "the second answer", func() bool { return !openAndEmpty(upstream.idleConns[0].Conn) })
+				waitUntil(t, "the second response", func() bool { return !openAndEmpty(upstream.idleConns[0].Conn) })
 			}
 			if conns := server.conns.Load(); conns != 2 {
 				t.Errorf("%d connections, want one for each request", conns)
@@ -292,8 +296,8 @@
 	}
 }
 
-// A second response may arrive only when the next request is written: that request is on another connection, due to
-// the reuse delay.
+// A server sends a second response only while the next request is written. Due to the reuse delay, the next request uses
+// another connection.
 func TestSecondResponseDuringNextRequest(t *testing.T) {
 	const responseFormat = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d"
 	var first net.Conn
@@ -321,15 +325,15 @@
 	}
 }
 
-// A reset long after the request was written, past its latency objective: the server may have executed the request,
-// so its idempotency decides.
+// The connection is reset after the latency objective of a completely written request. The server may have executed the
+// request, so its idempotency decides whether it is retried.
 func TestResetAfterLatencyObjective(t *testing.T) {
 	for class, test := range map[string]struct {
 		status  int
 		retried bool
 	}{
-		"lookup":  {statusRejected, false}, // past its latency objective it is not worth a retry
-		"reserve": {200, true},             // within its idempotency window, in the cell
+		"lookup":  {statusRejected, false}, // a retry past its latency objective is not worthwhile
+		"reserve": {200, true},             // within its idempotency window, and in the same cell
 		"charge":  {statusFailed, false},
 	} {
 		t.Run(class, func(t *testing.T) {
@@ -367,8 +371,8 @@
 	}
 }
 
-// A server that resets before it has read a complete request did not execute it: even a non-idempotent request is
-// retried elsewhere, completely and once.
+// A server that resets the connection before it has received the complete request did not execute the request. Even a
+// non-idempotent request is then retried, once and completely, at another server.
 func TestResetDuringWrite(t *testing.T) {
 	listener, conns := newUnreadListener(t)
 	healthyServer := newBackend(t, "b", func(conn net.Conn, r *http.Request, body string) bool {
@@ -381,14 +385,14 @@
 	call.outbound.body = make([]byte, maxBodyBytes)
 	loop.handleEvent(loop.nowMS(), requestArrived{call})
 	conn := receiveWithin(t, "the connection", conns)
-	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil { // a part of it has arrived
+	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil { // waits until a part of the request has arrived
 		t.Fatal(err)
 	}
 	resetConn(conn)
 	conn.Close()
 	event := loop.nextCompleted()
 	if event.exchange.outcome != balance.ConnectFailed || event.attempt.fullyWritten.Load() {
-		t.Errorf("%+v, sent %v", event.exchange, event.attempt.fullyWritten.Load())
+		t.Errorf("%+v, fully written %v", event.exchange, event.attempt.fullyWritten.Load())
 	}
 	loop.applyEndpointUpdate(loop.nowMS(), deltaUpdate(2, healthyServer.endpoint))
 	loop.handleEvent(loop.nowMS(), event)
--- a/internal/sidecar/backend_test.go
+++ b/internal/sidecar/backend_test.go
@@ -21,7 +21,7 @@
 	open map[net.Conn]bool
 }
 
-// serveFunc handles one request that was read completely; false closes the connection.
+// serveFunc responds to one completely read request. If it returns false, the connection is closed.
 type serveFunc func(conn net.Conn, req *http.Request, body string) bool
 
 func newBackend(t *testing.T, uid string, serve serveFunc) *backend {
@@ -72,7 +72,7 @@
 	}
 }
 
-// closeConns closes all connections, as the end of the process would.
+// closeConns closes all connections, as the end of the server's process does.
 func (server *backend) closeConns() {
 	server.mu.Lock()
 	defer server.mu.Unlock()
@@ -91,7 +91,7 @@
 	return err == nil
 }
 
-// respondWith responds with fixed text and then keeps the connection open or closes it.
+// respondWith responds with a fixed text and then keeps the connection open or closes it.
 func respondWith(text string, keepOpen bool) serveFunc {
 	return func(conn net.Conn, _ *http.Request, _ string) bool {
 		_, err := io.WriteString(conn, text)
--- a/internal/sidecar/conn_pool_test.go
+++ b/internal/sidecar/conn_pool_test.go
@@ -15,8 +15,8 @@
 	"milldeck/balance"
 )
 
-// A reused connection that breaks after the request ends the attempt: a non-idempotent request is not retried and
-// fails, as the server may have executed it.
+// A reused connection that breaks after the request was written ends the attempt. A non-idempotent request then fails and is
+// not retried, as the server may have executed it.
 func TestBrokenReusedConnectionIsNotResent(t *testing.T) {
 	served := 0
 	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, body string) bool {
@@ -35,7 +35,7 @@
 	}
 }
 
-// A connection that the server closed while it was idle is noticed before a request is written to it.
+// The sidecar detects that a server has closed an idle connection before it writes a request to the connection.
 func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -61,8 +61,8 @@
 	}
 }
 
-// Bytes after a response never become the response of the next request, even if they arrive a moment later: they are
-// noticed after the reuse delay.
+// Surplus bytes after a response are never read as the response to the next request, even if they arrive a moment later. The
+// pool detects them after the reuse delay.
 func TestBytesAfterResponseAreNotReused(t *testing.T) {
 	trailing := make(chan error, 1)
 	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, _ string) bool {
@@ -71,7 +71,7 @@
 		if _, err := io.WriteString(conn, text); err != nil {
 			return false
 		}
-		time.Sleep(500 * time.Microsecond) // so that the response is read alone
+		time.Sleep(500 * time.Microsecond) // so that the sidecar reads the response without the surplus bytes
 		_, err := io.WriteString(conn, text)
 		trailing <- err
 		return err == nil
@@ -82,8 +82,8 @@
 		if got := sidecar.do(req); got.status != 200 || got.body != req.Header.Get("X-Request-ID") {
 			t.Errorf("%+v, request ID %s", got, req.Header.Get("X-Request-ID"))
 		}
-		if err := receiveWithin(t, "the bytes behind", trailing); err != nil {
-			t.Log("written to a closed connection:", err)
+		if err := receiveWithin(t, "the surplus bytes to be written", trailing); err != nil {
+			t.Log("surplus bytes written to a closed connection:", err)
 		}
 	}
 	if requests := server.requests.Load(); requests != 60 {
@@ -91,7 +91,7 @@
 	}
 }
 
-// A connection is reused only after the reuse delay, and of several the one that is idle for the shortest time.
+// Only connections whose reuse delay is over are reused, the most recently used one first.
 func TestReuseDelay(t *testing.T) {
 	pool := newConnPool(&Config{}, 8, &byteBudget{})
 	upstream, now := &upstreamHost{}, time.Now()
@@ -109,7 +109,7 @@
 	}
 }
 
-// The memory for the bodies of all requests is bounded, and requests that have ended reserve none.
+// The memory for the bodies of all requests is bounded, and completed requests release theirs.
 func TestBodyMemoryIsBounded(t *testing.T) {
 	release := make(chan struct{})
 	large, half := strings.Repeat("x", 40<<10), strings.Repeat("y", 20<<10)
@@ -128,10 +128,10 @@
 	first, second := sidecar.doAsync(newLargeRequest()), sidecar.doAsync(newLargeRequest())
 	waitUntil(t, "two requests at the server", func() bool { return server.requests.Load() == 2 })
 	if got := sidecar.do(newLargeRequest()); got.status != statusRejected {
-		t.Errorf("a third: %+v", got)
+		t.Errorf("third request: %+v, want a rejection", got)
 	}
 	close(release)
-	served := 0 // there is memory for one response at least
+	served := 0 // at least 1, as the remaining memory is enough for one response
 	for _, r := range []<-chan clientResult{first, second} {
 		if got := receiveWithin(t, "a response", r); got.status == 200 && got.body == half {
 			served++
@@ -139,13 +139,13 @@
 			t.Errorf("%d", got.status)
 		}
 	}
-	waitUntil(t, "the memory to be free", func() bool { return sidecar.loop.pool.bodyMemory.remaining.Load() == limit })
+	waitUntil(t, "all body memory to be released", func() bool { return sidecar.loop.pool.bodyMemory.remaining.Load() == limit })
 	if got := sidecar.do(newLargeRequest()); got.status != 200 || served == 0 {
 		t.Errorf("%d served, afterwards %d", served, got.status)
 	}
 }
 
-// A request that a server rejected, or that could not connect, is retried at another server, even if it is not
+// A request is retried at another server if a server rejects it or refuses the connection, even if the request is not
 // idempotent.
 func TestUnexecutedAttemptIsRetriedElsewhere(t *testing.T) {
 	overloaded := newBackend(t, "a", respondWith("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true))
@@ -163,43 +163,44 @@
 	}
 }
 
-// The number of connections to all servers is bounded; an idle one of another server is closed for a new one.
+// The number of connections to all servers is bounded. At the limit, the pool closes an idle connection to another server in
+// order to open a new one.
 func TestConnectionsAreBounded(t *testing.T) {
 	server, secondServer := newBackend(t, "a", serveOK), newBackend(t, "b", serveOK)
 	pool, attempt, conn, _ := newExchange(t, server)
 	pool.maxConns = 1
 	secondHost := &upstreamHost{id: 2, address: secondServer.endpoint.Address}
 	if _, _, err := pool.acquire(attempt.ctx, secondHost, attempt.deadline); !errors.Is(err, errNoSocketAvailable) || unsentResult(attempt.ctx, attempt.deadline, err) != balance.Obsolete {
-		t.Fatalf("a second connection: %v", err)
+		t.Fatalf("a second connection above the limit: %v", err)
 	}
 	pool.returnIdle(conn)
 	second, reused, err := pool.acquire(attempt.ctx, secondHost, attempt.deadline)
 	if err != nil || reused {
-		t.Fatalf("with an idle one to close: %v", err)
+		t.Fatalf("a new connection in place of an idle one: %v", err)
 	}
 	pool.returnIdle(second)
 	if pool.openConns != 1 {
-		t.Errorf("%d connections are counted", pool.openConns)
+		t.Errorf("%d connections are counted as open, want 1", pool.openConns)
 	}
 }
 
-// Idle connections are closed before the server closes them.
+// The pool closes idle connections before the server does.
 func TestIdleConnectionsAreReaped(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	pool, _, conn, _ := newExchange(t, server)
 	pool.returnIdle(conn)
 	pool.reap(time.Now().Add(8 * time.Second))
 	if pool.openConns != 1 {
-		t.Error("reaped early")
+		t.Error("the idle connection was closed too early")
 	}
 	pool.reap(time.Now().Add(9 * time.Second))
 	if pool.openConns != 0 || len(pool.hostsWithIdleConns) != 0 {
-		t.Error("not reaped in time")
+		t.Error("the idle connection was not closed in time")
 	}
 }
 
-// A server that closes idle connections sooner than the settings say resets the next request on one. After the first
-// reset the idle time limit is below that time; successful reuses let it rise again.
+// A server that closes idle connections sooner than the settings say resets the connection when the next request arrives.
+// The first reset lowers the server's idle time limit below that idle time; successful reuses raise it again.
 func TestServerIdleTimeoutIsLearned(t *testing.T) {
 	var resetIdle atomic.Bool
 	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, body string) bool {
@@ -231,7 +232,7 @@
 	resetIdle.Store(false)
 	sendAfterIdle(0)
 	if r, reused := sendAfterIdle(time.Second); r != balance.OK || reused {
-		t.Errorf("idle as long again: result %v, on the reused connection: %v", r, reused)
+		t.Errorf("idle for the same time again: result %v, on the reused connection: %v", r, reused)
 	}
 	limit := pool.idleTimeLimit(attempt.upstream)
 	if r, reused := sendAfterIdle(500 * time.Millisecond); r != balance.OK || !reused {
--- a/internal/sidecar/discovery_failure_test.go
+++ b/internal/sidecar/discovery_failure_test.go
@@ -18,13 +18,14 @@
 	"milldeck/balance"
 )
 
-// callScript is how discovery treats one call: the connection is established or not, and then handled.
+// callScript defines how discovery treats one call. If dial is set, it replaces the dialer and no connection is established;
+// otherwise handle serves the connection.
 type callScript struct {
 	name   string
 	dial   func(ctx context.Context) error
 	handle func(remote net.Conn)
-	resets bool // it ends with a reset
-	silent bool // discovery may be back while the call lasts; otherwise it is back right after the call
+	resets bool // the connection ends with a reset
+	silent bool // the call is not answered: discovery may become reachable during the call, otherwise right after it
 }
 
 func closeImmediately(remote net.Conn) { remote.Close() }
@@ -38,7 +39,7 @@
 	{name: "closed at once", handle: closeImmediately},
 	{name: "silent", handle: func(net.Conn) {}, silent: true},
 	{name: "not coming up", silent: true, dial: func(ctx context.Context) error {
-		select { // as the dialer does, which this replaces
+		select { // the same as the replaced dialer
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(dialTimeout):
@@ -47,7 +48,7 @@
 	}},
 }
 
-// resetConnReader reads a reset where its peer has closed.
+// resetConnReader is a connection that returns a reset error from Read after its peer has closed.
 type resetConnReader struct{ net.Conn }
 
 func (r resetConnReader) Read(buffer []byte) (int, error) {
@@ -58,7 +59,7 @@
 	return n, err
 }
 
-// loadScriptedConfig is a configuration of a large fleet whose lists are delivered in a mode.
+// loadScriptedConfig returns a configuration for a large fleet with a mode of delivering endpoint lists.
 func loadScriptedConfig(t *testing.T, mode string, seed int) *Config {
 	t.Helper()
 	document := newConfigDocument("127.0.0.1:1").replaceSetting(`"subscribe"`, fmt.Sprintf(`%q, "peers_total": 80`, mode))
@@ -70,9 +71,10 @@
 	return config
 }
 
-// runAgainstScript runs an event loop on a fake clock against a discovery that treats each call as the script says,
-// and answers the one after it with revision 9. Before that, the loop may have had a watch that was closed, or have
-// changed from another address. It returns when each call of the script was made and when revision 9 was received.
+// runAgainstScript runs an event loop on a fake clock against a scripted discovery service, which answers the call after the
+// script with revision 9. In the scenario "start" the script begins with the first call; in "closed" and "address changed"
+// the loop first has a watch, which is closed or whose address changes. It returns when each call of the script was made
+// and when revision 9 was received.
 func runAgainstScript(t *testing.T, mode, scenario string, seed int, script []callScript) (calls []time.Time, receivedAt time.Time) {
 	t.Helper()
 	config := loadScriptedConfig(t, mode, seed)
@@ -126,13 +128,13 @@
 	return discovery.calls, receivedAt
 }
 
-// However the last one or two calls fail, and after however many failures, the list is received before PROTOCOL
-// counts it as known: 6 s after discovery can be reached. That is the moment of a call that failed at once, as
-// discovery may be back right after it, and the start of one that was silent.
+// For all combinations of the last one or two failed calls, with and without earlier failures, the list is received before
+// PROTOCOL counts it as known: 6 s after discovery can be reached. Discovery may become reachable right after a call that
+// fails immediately, and at the start of a call that is not answered, so the 6 s start then.
 func TestFailedCallsEndBeforeNotificationDeadline(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
 		for _, scenario := range []string{"start", "closed", "address changed"} {
-			for _, outage := range []int{0, 6} { // refused calls before
+			for _, outage := range []int{0, 6} { // number of refused calls at the start of the script
 				worst := map[string]time.Duration{}
 				for lastIndex, last := range failureScripts {
 					for otherIndex, other := range append([]callScript{{name: ""}}, failureScripts...) {
@@ -151,7 +153,7 @@
 						calls, receivedAt := runAgainstScript(t, mode, scenario, 10*lastIndex+otherIndex+1, script)
 						elapsed := receivedAt.Sub(calls[firstFailure])
 						if elapsed >= notificationDeadline {
-							t.Errorf("%s, %s, %d refused, then %q, then %q: %v", mode, scenario, outage, other.name, last.name, elapsed)
+							t.Errorf("%s, %s, %d refused, then %q, then %q: after %v", mode, scenario, outage, other.name, last.name, elapsed)
 						}
 						kind := fmt.Sprintf("%d in a row, silent %v", len(script)-firstFailure, other.silent || last.silent)
 						worst[kind] = max(worst[kind], elapsed)
@@ -163,9 +165,9 @@
 	}
 }
 
-// Only a call that is rejected after a while is reported as queued at discovery. The third silent call in a row has a
-// longer timeout, as a call that is given up goes to the end of the queue; after a sign of life counting starts
-// again.
+// Only a call that is rejected after minQueuedTime is reported as queued at discovery. The third unanswered call in a row has
+// a longer timeout, as a call that is repeated goes to the end of the queue. A heartbeat resets the number of unanswered
+// calls.
 func TestQueuedCallsAreReported(t *testing.T) {
 	rejectCall, queueTime := failureScripts[2].handle, 4*time.Second
 	after := func(wait time.Duration, handle func(net.Conn)) func(net.Conn) {
@@ -205,7 +207,7 @@
 						t.Errorf("%+v after %d calls", update, len(scripted.calls))
 					}
 				case <-time.After(5 * time.Minute):
-					t.Error("no report in five minutes")
+					t.Error("no failure reported within five minutes")
 				}
 				client.cancel()
 				work.Wait()
@@ -215,8 +217,8 @@
 	}
 }
 
-// A list that arrives before the first connection is accepted is in force at once, whether the configured list's
-// revision is older or newer, and the first request avoids a server that drains.
+// A list arrives before the first client connection is accepted. It is in force for the first request, which avoids a
+// draining server, whether the revision of the configured list is older or newer.
 func TestListBeforeFirstRequest(t *testing.T) {
 	for _, known := range []int64{1, 5, 900} {
 		for _, complete := range []bool{true, false} {
@@ -241,14 +243,14 @@
 			waitUntil(t, "the list", func() bool { return sidecar.loop.discovery.revision.Load() == 6 })
 			serve()
 			if got := <-answers; got.status != 200 || serverA.requests.Load() != 0 || serverB.requests.Load() != 1 {
-				t.Errorf("known %d, complete %v: %+v, %d sent to the draining server", known, complete, got, serverA.requests.Load())
+				t.Errorf("known revision %d, complete %v: %+v, %d reached the draining server", known, complete, got, serverA.requests.Load())
 			}
 		}
 	}
 }
 
-// A list and the first request are handled in one batch, in either order: the request is answered even if no server
-// was known, and after the list nothing is sent to a server that drains.
+// The event loop handles a list and the first request in one batch, in either order. The request is answered even if no
+// server was known before. If the list is first, no request is sent to a draining server.
 func TestListInSameBatchAsFirstRequest(t *testing.T) {
 	for _, first := range []string{"list", "request"} {
 		for _, known := range []bool{false, true} {
@@ -279,15 +281,15 @@
 			}
 			resume()
 			if got := <-answers; got.status != 200 || first == "list" && serverA.requests.Load() > 0 {
-				t.Errorf("%s first, known %v: %+v, %d sent to the draining server", first, known, got, serverA.requests.Load())
+				t.Errorf("%s first, known %v: %+v, %d reached the draining server", first, known, got, serverA.requests.Load())
 			}
 		}
 	}
 }
 
-// Reloads change to another address and back, with and without a call there, and then name the same address again:
-// the first service is watched from the beginning, late updates of the other are ignored, and an open watch stays
-// open.
+// Reloads switch to another discovery address and back, with and without a call to the other service, and then name the same
+// address again. The first service is watched from the start again, late updates of the other service are ignored, and the
+// last reload leaves the watch open.
 func TestAddressChangedThereAndBack(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		for _, called := range []bool{true, false} {
--- a/internal/sidecar/discovery_silence_test.go
+++ b/internal/sidecar/discovery_silence_test.go
@@ -17,7 +17,7 @@
 	"milldeck/balance"
 )
 
-// notificationDeadline is when PROTOCOL counts as known what a silent watch misses.
+// notificationDeadline is the time after which PROTOCOL counts a change as known that was missed during a silence.
 const notificationDeadline = 6 * time.Second
 
 const (
@@ -25,11 +25,11 @@
 	firstList    = `{"rev":1,"all":true,"targets":[]}` + "\n"
 )
 
-// scriptedDiscovery is a discovery service that treats each call as a script says. A discovery client reaches it through
+// scriptedDiscovery is a discovery service that follows a script for each call. The discovery client is connected through
 // pipes in place of sockets.
 type scriptedDiscovery struct {
 	script  []callScript
-	calls   []time.Time // when each was made
+	calls   []time.Time // start of each call
 	workers sync.WaitGroup
 }
 
@@ -45,7 +45,7 @@
 		defer remote.Close()
 		if _, err := http.ReadRequest(bufio.NewReader(remote)); err == nil {
 			step.handle(remote)
-			discard(remote) // silent until the sidecar gives the call up
+			discard(remote) // sends nothing more until the sidecar closes the connection
 		}
 	})
 	if step.resets {
@@ -54,14 +54,14 @@
 	return local, nil
 }
 
-// addCalls adds calls whose connections are established, and then handled.
+// addCalls adds calls with an established connection and a handler each.
 func (d *scriptedDiscovery) addCalls(handlers ...func(remote net.Conn)) {
 	for _, handle := range handlers {
 		d.script = append(d.script, callScript{handle: handle})
 	}
 }
 
-// silenceScripts are the points where a watch may fall silent; each calls silenceBegins then.
+// silenceScripts serve a watch that stops sending lists and heartbeats at different points, and call silenceBegins then.
 var silenceScripts = map[string]func(conn net.Conn, silenceBegins func()){
 	"before the first byte": func(conn net.Conn, silenceBegins func()) { silenceBegins() },
 	"in the header":         func(conn net.Conn, silenceBegins func()) { silenceBegins(); tryWrite(conn, streamHeader[:20]) },
@@ -102,8 +102,8 @@
 	},
 }
 
-// measureRecovery runs a script, further calls that are silent from their start, and then a discovery that answers at
-// once. It returns the time from the start of the first silence to the next list.
+// measureRecovery runs a script, then calls that are not answered at all, and then a call that is answered immediately. It
+// returns the time from the start of the first silence to the next list.
 func measureRecovery(t *testing.T, script func(net.Conn, func()), silentCalls int, startWatch func(*discoveryClient, context.Context)) time.Duration {
 	var silentFrom, receivedAt time.Time
 	synctest.Test(t, func(t *testing.T) {
@@ -140,8 +140,8 @@
 	return receivedAt.Sub(silentFrom)
 }
 
-// Wherever a watch falls silent, and although the next calls are silent as well, the list is received before PROTOCOL
-// counts it as known.
+// A watch stops sending data at any point, and the next calls are not answered either. The list is still received before
+// PROTOCOL counts it as known.
 func TestSilenceEndsBeforeNotificationDeadline(t *testing.T) {
 	worst := map[string]time.Duration{}
 	for name, script := range silenceScripts {
@@ -153,7 +153,7 @@
 			key := fmt.Sprintf("pushed, %d in a row", silentCalls)
 			worst[key] = max(worst[key], elapsed)
 		}
-		for silentCalls := 1; silentCalls <= 2; silentCalls++ { // where lists are polled a call may wait in a queue, and has a longer timeout
+		for silentCalls := 1; silentCalls <= 2; silentCalls++ { // polled calls may wait in a queue and have a longer timeout
 			elapsed := measureRecovery(t, script, silentCalls, (*discoveryClient).watch)
 			if elapsed >= notificationDeadline {
 				t.Errorf("polled, silent %s, %d times in a row: %v", name, silentCalls, elapsed)
@@ -165,10 +165,9 @@
 	t.Log("worst:", worst)
 }
 
-// After an address change the new service may be silent as well; what it has to announce counts as known 4 s after the
-// change.
+// After an address change the new service does not answer at first. PROTOCOL counts its list as known 4 s after the change.
 func TestAddressChangeToSilentService(t *testing.T) {
-	for _, name := range []string{"before the first byte", "in the header", "after the header"} { // later ones have sent a list already
+	for _, name := range []string{"before the first byte", "in the header", "after the header"} { // others send a list first
 		elapsed := measureRecovery(t, silenceScripts[name], 2, func(client *discoveryClient, ctx context.Context) {
 			client.switchAddress("127.0.0.1:2")
 			client.maintainWatch(ctx)
@@ -179,8 +178,8 @@
 	}
 }
 
-// Lists may be indented, in a list call, as the first of a watch and as a change. Empty lines between them are
-// heartbeats.
+// Lists may be indented: the response to a list call, the first list of a watch and later changes. Empty lines between them
+// are heartbeats.
 func TestIndentedLists(t *testing.T) {
 	indented := func(revision int64, all bool) string {
 		data, err := json.MarshalIndent(endpointList{Revision: revision, Complete: all, Endpoints: []endpoint{readyEndpoint("a", "127.0.0.1:7")}}, "", "\t")
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -12,7 +12,7 @@
 	"milldeck/balance"
 )
 
-// newRecordingClient makes a discovery client whose updates the test receives.
+// newRecordingClient returns a discovery client and the channel to which it posts its updates.
 func newRecordingClient(t *testing.T, address string) (*discoveryClient, chan endpointUpdate) {
 	updates := make(chan endpointUpdate, 16)
 	var work sync.WaitGroup
@@ -47,7 +47,7 @@
 		t.Errorf("%+v", update)
 	}
 	if len(updates)+len(registry.calls) > 0 {
-		t.Error("more than one report of the end, or a call by itself")
+		t.Error("the end was reported more than once, or the client called again by itself")
 	}
 }
 
@@ -69,7 +69,7 @@
 		t.Errorf("%+v", update)
 	}
 	if len(updates)+len(registry.calls) > 0 {
-		t.Error("more than one report of a failure, or a call by itself")
+		t.Error("a failure was reported more than once, or the client called again by itself")
 	}
 }
 
@@ -88,8 +88,7 @@
 	}
 }
 
-// A watch without a line for longer than the heartbeat interval has ended, although its connection is open. It is
-// reopened.
+// A watch without data for longer than the heartbeat timeout ends, although its connection is open. The client reopens it.
 func TestSilentWatchIsReopened(t *testing.T) {
 	registry := newFakeRegistry(t)
 	client, updates := newRecordingClient(t, registry.address())
@@ -102,7 +101,7 @@
 	select {
 	case <-call.disconnected:
 	case <-time.After(testTimeout):
-		t.Error("the silent connection is still open")
+		t.Error("the connection of the silent watch is still open")
 	}
 	close(nextCall.lines)
 	if update := receiveWithin(t, "the end", updates); update.kind != balance.UpdateFailed || len(updates) > 0 {
@@ -110,7 +109,7 @@
 	}
 }
 
-// A call that discovery accepts and never answers fails as well.
+// A call fails if discovery accepts the connection and never responds.
 func TestUnansweredCallFails(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,8 +124,8 @@
 	}
 }
 
-// A second watch changes nothing while one is open. After an address change the previous service is ignored, the end
-// of its watch is no failure, and the first request to the new service does not name the previous revision.
+// A call of watch has no effect while a watch is open. After an address change the previous service is ignored, the end of
+// its watch is not reported as a failure, and the first request to the new service does not name the previous revision.
 func TestWatchAfterAddressChange(t *testing.T) {
 	previous, registry := newFakeRegistry(t), newFakeRegistry(t)
 	client, updates := newRecordingClient(t, previous.address())
@@ -147,7 +146,7 @@
 		t.Errorf("%+v", update)
 	}
 	if len(previous.calls)+len(registry.calls) > 0 {
-		t.Error("a watch was opened twice")
+		t.Error("a second watch was opened")
 	}
 }
 
@@ -160,9 +159,9 @@
 	sidecar.Reload(config)
 }
 
-// Reloads change the discovery address several times, once to a service that is down, with lists that are pushed and
-// polled. Servers that stay listed keep their connections, requests are served, and queued updates of the old service
-// do not override those of the new one.
+// Reloads change the discovery address several times, each time first to an address where nobody listens, with pushed and
+// polled lists. Servers that stay listed keep their connections, requests are served, and queued updates of the previous
+// service do not override those of the new one.
 func TestReloadsSwitchDiscovery(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
@@ -172,10 +171,13 @@
 			watch := receiveWithin(t, "the watch", registry.calls)
 			for revision := int64(101); revision < 104; revision++ { // revisions that the next service does not know
 				next := newFakeRegistry(t)
-				sidecar.loop.post(endpointUpdate{generation: int(revision-101) * 2, endpoints: listWithState(900, serverA, serverB, "Ready")}) // of the present generation: in force
-				sidecar.reloadDiscovery("127.0.0.1:1")                                                                                         // nobody listens there: calls fail
+				// This update is of the current generation and is applied.
+				sidecar.loop.post(endpointUpdate{generation: int(revision-101) * 2, endpoints: listWithState(900, serverA, serverB, "Ready")})
+				// Nobody listens at this address, so calls fail.
+				sidecar.reloadDiscovery("127.0.0.1:1")
 				sidecar.reloadDiscovery(next.address())
-				sidecar.loop.post(endpointUpdate{generation: int(revision-101) * 2, endpoints: listWithState(901, serverA, serverB, "Gone")}) // of a previous generation: ignored
+				// This update is of an earlier generation and is ignored.
+				sidecar.loop.post(endpointUpdate{generation: int(revision-101) * 2, endpoints: listWithState(901, serverA, serverB, "Gone")})
 				receiveWithin(t, "the old watch to end", watch.disconnected)
 				watch = receiveWithin(t, "the new watch", next.calls)
 				if watch.query != "watch=1" {
@@ -192,19 +194,19 @@
 					}
 				}
 				if serverA.requests.Load() == before {
-					t.Error("server A is not used: an old update overrode the new one")
+					t.Error("server A is not used: an update of the previous service overrode the new list")
 				}
 			}
 			if conns := serverA.conns.Load(); conns != 1 {
-				t.Errorf("%d connections to a server that was there all the time", conns)
+				t.Errorf("%d connections to a server that stayed listed, want 1", conns)
 			}
-			sidecar.reloadDiscovery(newFakeRegistry(t).address()) // the test ends with a watch that was just opened
+			sidecar.reloadDiscovery(newFakeRegistry(t).address()) // so that the test ends while a watch is being opened
 		})
 	}
 }
 
-// While the new service is unavailable after a reload, the known servers are used, and it is called until it is
-// available.
+// While the new discovery service is unavailable after a reload, the sidecar uses the known servers and retries its calls to
+// the service.
 func TestReloadWhileDiscoveryIsUnavailable(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	registry := newFakeRegistry(t)
@@ -230,7 +232,8 @@
 	}
 }
 
-// The list of the configuration is used until discovery answers. The first call asks for the changes after it.
+// The sidecar uses the endpoint list of its configuration until discovery answers. Its first call watches the changes after
+// that list.
 func TestConfiguredListServesImmediately(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	registry := newFakeRegistry(t)
@@ -243,7 +246,7 @@
 	}
 }
 
-// Where lists are pushed the balancer asks for nothing: the sidecar keeps a watch open by itself.
+// Where lists are pushed, the balancer requests none: the sidecar keeps a watch open by itself.
 func TestPushedListsAreWatched(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	registry := newFakeRegistry(t)
@@ -251,7 +254,7 @@
 	close(receiveWithin(t, "the watch", registry.calls).lines)
 	nextWatch := receiveWithin(t, "the next watch", registry.calls)
 	nextWatch.sendList(t, endpointList{Revision: 5, Complete: true, Endpoints: []endpoint{server.endpoint}})
-	waitUntil(t, "the list to be taken", func() bool { return sidecar.loop.discovery.revision.Load() == 5 })
+	waitUntil(t, "the list to be applied", func() bool { return sidecar.loop.discovery.revision.Load() == 5 })
 	if got := sidecar.do(sidecar.newRequest("lookup", time.Second)); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
--- a/internal/sidecar/endpoint_list_test.go
+++ b/internal/sidecar/endpoint_list_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Unusable entries are dropped, invalid numbers count as unknown, and a list that would remove all servers by mistake
-// is an error.
+// Unusable entries are dropped, invalid numbers get their defaults, and a list that would remove all servers by mistake is
+// an error.
 func TestInvalidListsAreSanitized(t *testing.T) {
 	valid := readyEndpoint("a", "127.0.0.1:7")
 	with := func(change func(*endpoint)) endpoint {
@@ -16,7 +16,7 @@
 		return changed
 	}
 	list := endpointList{Complete: true, Endpoints: []endpoint{
-		with(func(t *endpoint) { t.Address = "127.0.0.1:8" }), // doubled: the later one counts
+		with(func(t *endpoint) { t.Address = "127.0.0.1:8" }), // duplicate UID: the later entry counts
 		with(func(t *endpoint) { t.UID = "" }),
 		with(func(t *endpoint) { t.UID, t.Address = "b", "127.0.0.1:0" }),
 		with(func(t *endpoint) { t.UID, t.Address = "c", "host.local:80" }),
@@ -44,12 +44,12 @@
 		"nothing usable": {Complete: true, Endpoints: []endpoint{{UID: "a"}, {Address: "127.0.0.1:1"}}},
 	} {
 		if list.sanitize() == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: the list was accepted", name)
 		}
 	}
 }
 
-// A line that is no list, or never ends, ends the watch; the known servers stay in use.
+// A line that is not a list, or is too long, ends the watch. The known servers stay in use.
 func TestUnreadableListEndsWatch(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	registry := newFakeRegistry(t)
--- a/internal/sidecar/endpoint_updates_test.go
+++ b/internal/sidecar/endpoint_updates_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// listWithState is a list of two servers, the first in a given state.
+// listWithState returns an incremental list of two servers, the first in the given state.
 func listWithState(revision int64, serverA, serverB *backend, state string) endpointList {
 	first := serverA.endpoint
 	first.State = state
 	return endpointList{Revision: revision, Endpoints: []endpoint{first, serverB.endpoint}}
 }
 
-// A server that drains or is removed gets nothing new, and one that is added is used.
+// A draining or removed server gets no new requests, and an added server is used.
 func TestListChangesMoveTraffic(t *testing.T) {
 	serverA, serverB := newBackend(t, "a", serveOK), newBackend(t, "b", serveOK)
 	registry := newFakeRegistry(t)
@@ -26,8 +26,8 @@
 	for _, state := range []string{"Terminating", "Ready", "Gone"} {
 		revision++
 		watch.sendList(t, listWithState(revision, serverA, serverB, state))
-		watch.sendLine(t, "") // accepted only after the line before was written
-		waitUntil(t, "the list to be taken", func() bool { return sidecar.loop.discovery.revision.Load() == revision })
+		watch.sendLine(t, "") // returns only after the previous line was written
+		waitUntil(t, "the list to be applied", func() bool { return sidecar.loop.discovery.revision.Load() == revision })
 		before := serverA.requests.Load()
 		for i := range 8 {
 			if got := sidecar.do(sidecar.newRequest("charge", time.Second)); got.status != 200 {
@@ -35,7 +35,7 @@
 			}
 		}
 		if used := serverA.requests.Load() > before; used != (state == "Ready") {
-			t.Errorf("%s: used is %v", state, used)
+			t.Errorf("%s: the server is used: %v", state, used)
 		}
 	}
 	if serverB.requests.Load() == 0 {
@@ -43,7 +43,8 @@
 	}
 }
 
-// Connections to a process that has ended are closed when discovery reports it, not when they are idle for too long.
+// When discovery reports a server as restarted, withdrawn or moved to another address, the sidecar closes its connections to
+// the previous process immediately, not after their idle timeout.
 func TestConnectionsOfReplacedProcessAreClosed(t *testing.T) {
 	for name, listAfter := range map[string]func(endpoint) endpointList{
 		"restarted": func(listed endpoint) endpointList {
@@ -84,13 +85,13 @@
 			watch.sendList(t, listAfter(server.endpoint))
 			receiveWithin(t, "the old connection to close", closed)
 			if elapsed := time.Since(notifiedAt); elapsed > 5*time.Second {
-				t.Errorf("it closed after %v, by its age", elapsed)
+				t.Errorf("the connection was closed after %v, by its idle timeout", elapsed)
 			}
 		})
 	}
 }
 
-// A server whose clock is ahead is in slow start from when it is first listed, not from a time in the future, and
+// The slow start of a server whose clock is ahead begins when the server is first listed, not in the future, and it begins
 // only once.
 func TestFutureStartTimeIsCapped(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
@@ -103,7 +104,7 @@
 		watch.sendList(t, endpointList{Revision: revision, Complete: true, Endpoints: []endpoint{ahead}})
 		waitUntil(t, "the list", func() bool { return sidecar.loop.discovery.revision.Load() == revision })
 	}
-	sidecar.do(sidecar.newRequest("lookup", time.Second)) // the event loop has handled both lists
+	sidecar.do(sidecar.newRequest("lookup", time.Second)) // its response proves that the event loop has handled both lists
 	sidecar.terminate()
 	if err := receiveWithin(t, "the end", sidecar.done); err != nil {
 		t.Error(err)
@@ -111,7 +112,7 @@
 	sidecar.done <- nil
 	for _, upstream := range sidecar.loop.readyUpstreams {
 		if now := sidecar.loop.clock.unixMS(time.Now()); upstream.startedAtMS <= 0 || upstream.startedAtMS > now {
-			t.Errorf("started at %v, now is %v", upstream.startedAtMS, now)
+			t.Errorf("start time %v, current time %v", upstream.startedAtMS, now)
 		}
 	}
 	if len(sidecar.loop.readyUpstreams) != 1 {
--- a/internal/sidecar/load_report_test.go
+++ b/internal/sidecar/load_report_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A load report counts only if each value occurs once and is valid.
+// A load report is used only if each value is valid and occurs exactly once.
 func TestInvalidLoadReportsAreIgnored(t *testing.T) {
 	names := []string{"busy", "rate"}
 	for _, text := range []string{
--- a/internal/sidecar/placement_rig_test.go
+++ b/internal/sidecar/placement_rig_test.go
@@ -13,7 +13,7 @@
 	"milldeck/internal/placement"
 )
 
-// fakeAgent serves a placement as the test says and accepts load reports.
+// fakeAgent is an agent that serves the placement that the test sends, and collects load reports.
 type fakeAgent struct {
 	*fakeRegistry
 	reports chan placement.LoadReport
@@ -37,13 +37,14 @@
 	return agent
 }
 
-// nextReport is a report that began after this call. The reports until then, and this one, are appended to reports.
+// nextReport returns a report that was started after the call of nextReport. It appends this report and all earlier ones to
+// reports.
 func (agent *fakeAgent) nextReport(t *testing.T, reports *[]placement.LoadReport) placement.LoadReport {
 	t.Helper()
 	for len(agent.reports) > 0 {
 		*reports = append(*reports, <-agent.reports)
 	}
-	*reports = append(*reports, receiveWithin(t, "a report", agent.reports)) // may have begun before the call
+	*reports = append(*reports, receiveWithin(t, "a report", agent.reports)) // may have been started before the call
 	last := receiveWithin(t, "another report", agent.reports)
 	*reports = append(*reports, last)
 	return last
@@ -61,7 +62,8 @@
 	call.sendLine(t, string(data))
 }
 
-// excludeDirective excludes servers from requests of the tenant kita for some time by both clocks.
+// excludeDirective returns a directive that excludes servers from the requests of the tenant kita. It expires after the
+// remaining time, by the wall clock and by the monotonic clock.
 func excludeDirective(remaining time.Duration, uids ...string) placement.Directive {
 	return placement.Directive{
 		ID: "window/w/kita", Kind: placement.KindExclude, Tenant: "kita", Servers: uids,
@@ -69,15 +71,17 @@
 	}
 }
 
+// placementRig is a sidecar with two servers and an agent that serves its placement. A request with the query "hold" fails
+// at server B; server A holds it until the test sends on release.
 type placementRig struct {
 	*testSidecar
 	agent            *fakeAgent
 	serverA, serverB *backend
-	holding          chan bool // server A got a request with the query hold, which server B fails
-	release          chan bool // ... and responds to it then
+	holding          chan bool // receives when server A holds a request
+	release          chan bool // lets server A respond
 }
 
-// startPlacementRig runs a sidecar with two servers that follows an agent's placement.
+// startPlacementRig runs a sidecar with two servers that watches an agent's placement.
 func startPlacementRig(t *testing.T, change func(configDocument), tweaks ...func(*Sidecar)) *placementRig {
 	t.Helper()
 	rig := &placementRig{agent: newFakeAgent(t), holding: make(chan bool, 1), release: make(chan bool)}
@@ -104,7 +108,7 @@
 	return rig
 }
 
-// lookupsReachingA sends requests and returns how many of them reached server A.
+// lookupsReachingA sends a number of requests and returns how many of them reached server A.
 func (rig *placementRig) lookupsReachingA(count int) int {
 	rig.t.Helper()
 	before := rig.serverA.requests.Load()
@@ -116,7 +120,7 @@
 	return int(rig.serverA.requests.Load() - before)
 }
 
-// awaitRevision waits for a report with a revision in force.
+// awaitRevision waits for a load report that names a placement revision as in force.
 func (rig *placementRig) awaitRevision(revision uint64) placement.LoadReport {
 	rig.t.Helper()
 	for {
@@ -126,7 +130,7 @@
 	}
 }
 
-// countPlacementGoroutines counts the goroutines of placement clients.
+// countPlacementGoroutines counts the running goroutines of placement clients.
 func countPlacementGoroutines() int {
 	buffer := make([]byte, 1<<20)
 	return strings.Count(string(buffer[:runtime.Stack(buffer, true)]), "sidecar.(*"+reflect.TypeFor[placementClient]().Name()+")")
--- a/internal/sidecar/placement_test.go
+++ b/internal/sidecar/placement_test.go
@@ -31,16 +31,17 @@
 	rig.agent.Listener.Close()
 	waitUntil(t, "the end of the directive", func() bool { return rig.lookupsReachingA(2) > 0 })
 	if time.Since(notifiedAt) < 690*time.Millisecond {
-		t.Errorf("it ended after %v", time.Since(notifiedAt))
+		t.Errorf("the directive ended after %v", time.Since(notifiedAt))
 	}
 }
 
-// A wrong clock ends a directive early, never late; also one that is set while the directive is in force.
+// A directive expires by the wall clock or by the monotonic clock, whichever is earlier: a wrong clock ends it early, never
+// late. This also holds for a wall clock that is set while the directive is in force.
 func TestEitherClockExpiresDirective(t *testing.T) {
 	for name, change := range map[string]func(*placement.Directive){
-		"little left":                func(directive *placement.Directive) { directive.RemainingMS = 200 },
+		"short remaining time":       func(directive *placement.Directive) { directive.RemainingMS = 200 },
 		"the writer's clock is late": func(directive *placement.Directive) { directive.ExpiresAtMS = time.Now().UnixMilli() + 200 },
-		"it was over by then":        func(directive *placement.Directive) { directive.ExpiresAtMS = 1 },
+		"already expired":            func(directive *placement.Directive) { directive.ExpiresAtMS = 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			rig := startPlacementRig(t, nil)
@@ -69,8 +70,8 @@
 	}
 }
 
-// An invalid line ends its watch, and the placement before stays in force; the next watch asks for the changes after
-// it.
+// Invalid data or a timeout ends the watch. The last valid placement stays in force, and the next watch requests the changes
+// after its revision.
 func TestInvalidPlacementKeepsLastValid(t *testing.T) {
 	rig := startPlacementRig(t, nil, func(instance *Sidecar) {
 		instance.loop.placement.timing.heartbeatTimeout, instance.loop.placement.timing.maxBackoff = 300*time.Millisecond, 50*time.Millisecond
@@ -102,7 +103,7 @@
 			t.Errorf("%s: %d requests reached the excluded server", name, reached)
 		}
 	}
-	// A change of another epoch makes the client ask for the complete placement, which is then in force.
+	// After a change of another epoch the client requests the complete placement, which is then in force.
 	call.sendLine(t, `{"rev":2,"epoch":6,"entries":[]}`)
 	call = receiveWithin(t, "the next watch", rig.agent.calls)
 	if call.query != "watch=1" {
@@ -115,20 +116,21 @@
 	}
 }
 
-// A directive that is repeated with the same end is no change; one that ends earlier is.
+// A directive that is sent again counts as changed only if it ends earlier than before by more than clockJumpToleranceMS.
 func TestEarlierExpiryIsApplied(t *testing.T) {
 	directive := excludeDirective(time.Second, "a")
 	active := activePlacement{directives: []activeDirective{{Directive: directive, endsAtMS: 6000}}}
 	for remaining, want := range map[int64]bool{1000: true, 980: true, 5000: true, 900: false} {
 		directive.RemainingMS = remaining
 		if active.unchanged(5000, []placement.Directive{directive}) != want {
-			t.Errorf("%d ms left: same %v, want %v", remaining, !want, want)
+			t.Errorf("%d ms remaining: unchanged is %v, want %v", remaining, !want, want)
 		}
 	}
 }
 
 func TestReportCountsRequestOutcomes(t *testing.T) {
-	rig := startPlacementRig(t, func(document configDocument) { document["application"] = "other" }) // no tenant, as the settings name tenants
+	// The settings name tenants, so the application is not a tenant.
+	rig := startPlacementRig(t, func(document configDocument) { document["application"] = "other" })
 	receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, reportDirectives()...)
 	rig.awaitRevision(1)
 	lookupAsync := func(query, key string) <-chan clientResult {
@@ -144,18 +146,18 @@
 		<-lookupAsync("", "hot")
 		<-lookupAsync("", "")
 	}
-	pending := lookupAsync("hold", "") // fails at server B, which gets the first attempt, and is in flight at server A
+	pending := lookupAsync("hold", "") // its first attempt fails at server B, its retry is in flight at server A
 	receiveWithin(t, "the held request", rig.holding)
 	var reports []placement.LoadReport
 	last := rig.agent.nextReport(t, &reports)
 	if v, w := last.ExcludedInFlight["window/v/kita"], last.ExcludedInFlight["window/w/kita"]; v != 1 || w != 1 || len(last.ExcludedInFlight) != 3 {
-		t.Errorf("open %v, want the held request at a, which both exclude, and none of another tenant", last.ExcludedInFlight)
+		t.Errorf("in flight %v, want the held request at server A in both exclusions, 0 for the other tenant", last.ExcludedInFlight)
 	}
 	rig.release <- true
 	<-pending
 	last = rig.agent.nextReport(t, &reports)
 	if last.ExcludedInFlight["window/w/kita"] != 0 {
-		t.Errorf("open %v after its end", last.ExcludedInFlight)
+		t.Errorf("in flight %v after the held request ended", last.ExcludedInFlight)
 	}
 	if len(last.HotKeys) != 1 || last.HotKeys[0].KeyHash != "335f24192ff5d0d4" || !(last.HotKeys[0].Load > 0) || last.HotKeys[0].ErrorBound != 0 || last.HotKeys[0].Load != last.TotalKeyLoad {
 		t.Errorf("key load %+v of %v", last.HotKeys, last.TotalKeyLoad)
@@ -172,7 +174,7 @@
 				sum += int(latencyCount)
 			}
 			if sum != count.Succeeded {
-				t.Errorf("%d latencies of %d served", sum, count.Succeeded)
+				t.Errorf("%d latencies in the histogram, %d successes", sum, count.Succeeded)
 			}
 			got[name] = [3]int{got[name][0] + count.Succeeded, got[name][1] + count.Late, got[name][2] + count.Failed}
 		}
@@ -185,8 +187,8 @@
 	}
 }
 
-// reportDirectives exclude server a for kita, then both servers, which leaves too few, then one for a tenant that
-// this sidecar does not serve, and put b into a cohort.
+// reportDirectives returns four directives: exclusions of server A and of both servers for kita, the second of which leaves
+// too few servers and is suspended; an exclusion for a tenant that this sidecar does not serve; and a cohort with server B.
 func reportDirectives() []placement.Directive {
 	first, both, other, cohort := excludeDirective(time.Hour, "a"), excludeDirective(time.Hour, "a", "b"), excludeDirective(time.Hour, "b"), excludeDirective(time.Hour, "b")
 	first.ID, both.MinAvailable = "window/v/kita", 0.5
@@ -195,7 +197,7 @@
 	return []placement.Directive{first, both, other, cohort}
 }
 
-// Where the settings name no tenants, all requests belong to the calling application.
+// If the settings name no tenants, all requests belong to the calling application as the tenant.
 func TestApplicationIsDefaultTenant(t *testing.T) {
 	for application, want := range map[string]bool{"kita": true, "portal": false, "": false} {
 		t.Run("application "+application, func(t *testing.T) {
@@ -206,7 +208,7 @@
 			receiveWithin(t, "the watch", rig.agent.calls).sendPlacement(t, 1, excludeDirective(time.Hour, "a"))
 			report := rig.awaitRevision(1)
 			if open, ok := report.ExcludedInFlight["window/w/kita"]; !ok || open != 0 {
-				t.Errorf("open %d, in force %v", open, ok)
+				t.Errorf("%d attempts in flight, in force %v", open, ok)
 			}
 			if excluded := rig.lookupsReachingA(10) == 0; excluded != want {
 				t.Errorf("excluded %v, want %v", excluded, want)
@@ -215,7 +217,7 @@
 	}
 }
 
-// Requests for a hot key go to its replica.
+// Requests for a hot key are sent to its replica.
 func TestHotKeyReachesBalancer(t *testing.T) {
 	rig := startPlacementRig(t, func(document configDocument) {
 		document.replaceSetting(`"quantum_ms": 2,`, `"quantum_ms": 2, "family_info": {"warm_keys": true},`)
@@ -231,12 +233,12 @@
 		rig.do(req)
 	}
 	if reached := rig.serverA.requests.Load() - before; reached != 20 {
-		t.Errorf("the replica got %d of 20", reached)
+		t.Errorf("the replica got %d of 20 requests", reached)
 	}
 }
 
-// A reload follows the placement at another address. The directives of the old one stay in force until the new one
-// sends its own; without an address they end at once, and no goroutine is left.
+// A reload switches to the placement at another address. The directives of the old address stay in force until the new one
+// sends a placement. A reload without an address ends all directives at once, and no goroutine is left.
 func TestReloadSwitchesPlacement(t *testing.T) {
 	rig := startPlacementRig(t, nil)
 	previous := receiveWithin(t, "the watch", rig.agent.calls)
@@ -249,7 +251,7 @@
 	receiveWithin(t, "the old watch to end", previous.disconnected)
 	call := receiveWithin(t, "the new watch", secondAgent.calls)
 	if call.query != "watch=1" || rig.lookupsReachingA(10) > 0 {
-		t.Errorf("requested %q; the directive must stay in force", call.query)
+		t.Errorf("requested %q, or the directive is not in force any more", call.query)
 	}
 	call.sendPlacement(t, 1)
 	if report := receiveWithin(t, "a report", secondAgent.reports); report.PlacementRevision != 1 || report.Version != "v8" {
@@ -257,7 +259,7 @@
 	}
 	rig.loop.post(placementUpdate{generation: 0, takenAt: time.Now(), placement: placement.Update{Directives: []placement.Directive{excludeDirective(time.Hour, "a")}}})
 	if rig.lookupsReachingA(10) == 0 {
-		t.Error("the directive stays in force")
+		t.Error("the directive is still in force")
 	}
 	call.sendPlacement(t, 2, excludeDirective(time.Hour, "a"))
 	rig.agent = secondAgent
@@ -269,13 +271,13 @@
 	rig.Reload(&config)
 	receiveWithin(t, "the new watch to end", call.disconnected)
 	waitUntil(t, "the end of the directive", func() bool { return rig.lookupsReachingA(2) > 0 })
-	waitUntil(t, "nothing left running", func() bool { return countPlacementGoroutines() == 0 })
+	waitUntil(t, "the goroutines of placement clients to end", func() bool { return countPlacementGoroutines() == 0 })
 }
 
 func TestNoPlacementGoroutinesWhenDisabled(t *testing.T) {
 	rig := startPlacementRig(t, func(document configDocument) { delete(document, "placement") })
 	if reached := rig.lookupsReachingA(10); reached == 0 || countPlacementGoroutines() > 0 || len(rig.agent.calls)+len(rig.agent.reports) > 0 {
-		t.Errorf("%d requests on a, %d goroutines, %d calls", reached, countPlacementGoroutines(), len(rig.agent.calls))
+		t.Errorf("%d requests reached server A, %d goroutines, %d calls", reached, countPlacementGoroutines(), len(rig.agent.calls))
 	}
 	receiveWithin(t, "the watch", startPlacementRig(t, nil).agent.calls)
 	if countPlacementGoroutines() == 0 {
--- a/internal/sidecar/registry_test.go
+++ b/internal/sidecar/registry_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// fakeRegistry is a discovery service. The test decides how each call is answered.
+// fakeRegistry is a discovery service. The test receives each call and decides how it is answered.
 type fakeRegistry struct {
 	*httptest.Server
 	calls chan registryCall
@@ -16,8 +16,8 @@
 
 type registryCall struct {
 	query        string
-	lines        chan string // closed: the response ends
-	failWith     chan int    // a status in place of lines
+	lines        chan string // lines of the response, which ends when the channel is closed
+	failWith     chan int    // an HTTP status to respond with in place of lines
 	disconnected <-chan struct{}
 }
 
@@ -64,6 +64,6 @@
 	select {
 	case call.lines <- text:
 	case <-time.After(testTimeout):
-		t.Fatal("the line is not read")
+		t.Fatal("the line is not sent: the call has ended or is blocked")
 	}
 }
--- a/internal/sidecar/response_length_test.go
+++ b/internal/sidecar/response_length_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A response without a length ends with its connection. It is complete if the server closes that; a reset, or a connection
-// that stays open, is no end.
+// A response without a length ends with its connection. It is complete if the server closes the connection, and incomplete
+// if the connection is reset or stays open.
 func TestResponsesWithoutLengthAreForwarded(t *testing.T) {
 	large := strings.Repeat("x", maxBodyBytes)
 	for name, test := range map[string]struct {
@@ -52,13 +52,13 @@
 	}
 }
 
-// A retry that relies on servers to know its key leaves them the time for which the process may be held up between its
-// last look at the clock and the write.
+// A retry that relies on the servers' idempotency window is sent only if the rest of the window exceeds the time for which
+// the process may be held up between its last reading of the clock and the write.
 func TestRetryLeavesTimeToBeHeldUp(t *testing.T) {
 	const allowance = 150 * time.Millisecond
 	server := newBackend(t, "a", serveOK)
 	for _, test := range []struct {
-		left     time.Duration // of the window, at the last look
+		left     time.Duration // rest of the window at the last reading of the clock
 		admitted bool
 	}{{allowance / 2, false}, {allowance - 10*time.Millisecond, false}, {2 * allowance, true}} {
 		t.Run(fmt.Sprint(test.left), func(t *testing.T) {
@@ -70,7 +70,7 @@
 			request.attempts = []*attempt{{decidedAtMS: loop.clock.unixMS(firstSentAt)}}
 			retry := &attempt{call: request, upstream: &upstreamHost{}, deadline: request.deadline, idempotencyWindowEnd: loop.idempotencyWindowEnd(request)}
 			if err := loop.pool.guard.admit(retry, now); (err == nil) != test.admitted {
-				t.Errorf("with %v left: %v", test.left, err)
+				t.Errorf("with %v left of the window: %v", test.left, err)
 			}
 		})
 	}
--- a/internal/sidecar/upstream_exchange_test.go
+++ b/internal/sidecar/upstream_exchange_test.go
@@ -14,7 +14,7 @@
 	"milldeck/balance"
 )
 
-// A request is forwarded as it came, with the time that remains for it.
+// A request is forwarded unchanged, except for hop-by-hop headers and the remaining time in X-Timeout-Ms.
 func TestForwardedRequest(t *testing.T) {
 	type received struct {
 		req  *http.Request
@@ -45,8 +45,8 @@
 	}
 }
 
-// With a silent server the client gets one response at its deadline, which is no rejection, and the connection is
-// closed.
+// If a server does not respond, the client gets one response at its deadline, which is not a rejection, and the connection
+// to the server is closed.
 func TestSilentServer(t *testing.T) {
 	closed := make(chan struct{})
 	server := newBackend(t, "a", func(conn net.Conn, _ *http.Request, _ string) bool {
@@ -62,7 +62,8 @@
 	receiveWithin(t, "the connection to close", closed)
 }
 
-// newUnansweringListener listens with a full accept queue: further connections are never established.
+// newUnansweringListener returns the address of a listener with a full accept queue: further connections are never
+// established.
 func newUnansweringListener(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -94,7 +95,7 @@
 	}
 }
 
-// The connect timeout of the settings and the deadline of the request bound dialing.
+// The connect timeout of the settings and the deadline of the request both bound the time for a dial.
 func TestConnectTimeout(t *testing.T) {
 	address := newUnansweringListener(t)
 	t.Run("settings", func(t *testing.T) {
@@ -112,12 +113,12 @@
 		sidecar := startSidecar(t, document)
 		got := sidecar.do(sidecar.newRequest("charge", 100*time.Millisecond))
 		if got.status != statusRejected && got.status != statusTimedOut || got.elapsed > time.Second {
-			t.Errorf("%+v, want an answer at the deadline", got)
+			t.Errorf("%+v, want a response at the deadline", got)
 		}
 	})
 }
 
-// A client that disconnects ends its attempt.
+// If the client disconnects, its attempt is cancelled.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	got, closed := make(chan struct{}), make(chan struct{})
 	server := newBackend(t, "a", func(conn net.Conn, _ *http.Request, _ string) bool {
@@ -139,14 +140,14 @@
 	disconnectedAt := time.Now()
 	receiveWithin(t, "the connection to close", closed)
 	if elapsed := time.Since(disconnectedAt); elapsed > time.Second {
-		t.Errorf("the attempt went on for %v", elapsed)
+		t.Errorf("the attempt continued for %v", elapsed)
 	}
 	if receiveWithin(t, "the client", done) == nil {
 		t.Error("a client that disconnected got a response")
 	}
 }
 
-// newExchange prepares an attempt on an open connection, just before its first byte.
+// newExchange returns an attempt on an open connection, before its first byte is written.
 func newExchange(t *testing.T, server *backend) (*connPool, *attempt, *upstreamConn, *http.Request) {
 	t.Helper()
 	config, err := newConfigDocument("127.0.0.1:1").load(t)
@@ -172,8 +173,8 @@
 	return pool, started, conn, req
 }
 
-// The list may change or the call may be answered between the decision for an attempt and its first byte: nothing is
-// sent then, and the server is not blamed.
+// Between the decision for an attempt and its first byte, the server is retired, the call is answered or the time is over.
+// The request is then not sent, and the result does not count against the server.
 func TestFinalCheckBeforeFirstByte(t *testing.T) {
 	for name, change := range map[string]func(*connPool, *attempt){
 		"server retired":          func(pool *connPool, attempt *attempt) { pool.retire(attempt.upstream) },
@@ -207,25 +208,25 @@
 		t.Errorf("written %v, %v, result %v", complete, err, got)
 	}
 	if attempt.fullyWritten.Load() {
-		t.Error("counted as sent")
+		t.Error("the attempt counts as fully written")
 	}
 }
 
-// A reused connection that breaks during the write moves the request to a new one: the server did not execute it and
-// is not blamed.
+// If a reused connection breaks during the write, the request moves to a new connection. The server did not execute the
+// request, and the failure does not count against the server.
 func TestWriteFailureOnReusedConnectionIsRetried(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	pool, attempt, conn, _ := newExchange(t, server)
 	attempt.call.outbound = &outboundRequest{
 		method: "POST", url: &url.URL{Path: "/api"}, host: "b", header: http.Header{}, body: []byte("plate 12-34"),
 	}
-	closeWrite(t, conn.Conn) // it still seems open for reading
+	closeWrite(t, conn.Conn) // the connection still passes the check for reading
 	pool.returnIdle(conn)
 	if result := pool.sendAttempt(attempt); result.outcome != balance.OK {
 		t.Errorf("result %v", result.outcome)
 	}
 	if requests := server.requests.Load(); requests != 1 {
-		t.Errorf("%d sends, want 1", requests)
+		t.Errorf("%d requests reached the server, want 1", requests)
 	}
 }
 
--- a/internal/sidecar/upstream_response_test.go
+++ b/internal/sidecar/upstream_response_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Which responses prove that a server did not execute a request, and which do not.
+// Only a complete 503 or 504 with X-Not-Processed proves that a server did not execute a request: a non-idempotent request
+// is then rejected. After any other error response, or an incomplete response, it fails.
 func TestOutcomesOfNonIdempotentRequest(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer string
@@ -51,7 +52,7 @@
 				t.Errorf("answer %d %q, want %d", got.status, got.body, test.want)
 			}
 			if attempts := server.requests.Load(); attempts != 1 {
-				t.Errorf("%d sends, want 1", attempts)
+				t.Errorf("%d requests reached the server, want 1", attempts)
 			}
 		})
 	}
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -12,7 +12,7 @@
 
 const testTimeout = 10 * time.Second
 
-// failingListener returns errors, one by one, and then the connections of the listener.
+// failingListener returns its errors from Accept, one for each call, and then the connections of the listener.
 type failingListener struct {
 	net.Listener
 	errors []error
@@ -27,7 +27,7 @@
 	return nil, err
 }
 
-// acceptError is an error as package net returns it.
+// acceptError returns an error of accept(2) in the form in which package net returns it.
 func acceptError(errno syscall.Errno) error {
 	return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 }
@@ -42,7 +42,7 @@
 	return listener
 }
 
-// Accept goes on after every error that passes.
+// Accept retries after every temporary error.
 func TestRetryAcceptContinuesAfterTemporaryErrors(t *testing.T) {
 	failing := &failingListener{Listener: listen(t)}
 	for _, errno := range []syscall.Errno{
@@ -64,7 +64,7 @@
 	conn.Close()
 }
 
-// Accept ends with an error that lasts.
+// Accept returns a permanent error.
 func TestRetryAcceptReturnsPermanentErrors(t *testing.T) {
 	other := errors.New("something else")
 	for _, permanent := range []error{
@@ -72,17 +72,17 @@
 	} {
 		failing := &failingListener{Listener: listen(t), errors: []error{permanent}}
 		if _, err := RetryAccept(failing).Accept(); !errors.Is(err, permanent) {
-			t.Errorf("%v in place of %v", err, permanent)
+			t.Errorf("Accept returned %v, want %v", err, permanent)
 		}
 	}
 }
 
-// alwaysFailingListener fails with every call until it is closed.
+// alwaysFailingListener returns a temporary error from every call of Accept.
 type alwaysFailingListener struct{ net.Listener }
 
 func (alwaysFailingListener) Accept() (net.Conn, error) { return nil, acceptError(syscall.ENFILE) }
 
-// Close ends Accept while it tries again.
+// Close ends an Accept that is retrying.
 func TestRetryAcceptEndsOnClose(t *testing.T) {
 	listener := RetryAccept(alwaysFailingListener{listen(t)})
 	ended := make(chan error, 1)
@@ -96,14 +96,14 @@
 	select {
 	case err := <-ended:
 		if !errors.Is(err, net.ErrClosed) {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Accept returned %v after Close", err)
 		}
 	case <-time.After(testTimeout):
-		t.Error("Accept goes on")
+		t.Error("Accept did not return after Close")
 	}
 }
 
-// Retry tries again only what passes.
+// Retry retries only after temporary local errors.
 func TestRetry(t *testing.T) {
 	for _, test := range []struct {
 		err  error
