--- a/internal/sidecar/active_placement.go
+++ b/internal/sidecar/active_placement.go
@@ -22,8 +22,8 @@
 	version string           // the sidecar's version label, for load reports
 }
 
-// activePlacement is the placement in force and the client that watches for changes. Only the event loop uses it; the
-// client's goroutines use the placementClient alone.
+// activePlacement is the placement in force and the client that watches for changes. Only the event loop uses its fields;
+// the client's goroutines use only the placementClient.
 type activePlacement struct {
 	*placementClient
 	cancel   context.CancelFunc // ends the client's goroutines
--- a/internal/sidecar/boot_times.go
+++ b/internal/sidecar/boot_times.go
@@ -19,8 +19,8 @@
 // is never stepped. A server may have started before or after a step of the wall clock, so its boot time may stand for
 // several times. The latest of them counts: no server in slow start is treated as warm.
 type bootTimes struct {
-	// wallOffsetsMS are the offsets of the wall clock from the event loop's clock, one for each step, oldest first. The
-	// first is 0 at the start.
+	// wallOffsetsMS holds the offset of the wall clock from the event loop's clock at the start, which is 0, and after each
+	// step, oldest first.
 	wallOffsetsMS []float64
 }
 
--- a/internal/sidecar/conn_pool.go
+++ b/internal/sidecar/conn_pool.go
@@ -37,7 +37,7 @@
 var errNoSocketAvailable = errors.New("no socket is available")
 
 // upstreamHost is one incarnation of a server's process, as discovery lists it. A restart or a new address creates a new
-// upstreamHost, so that no connection or decision is used for another process than its own.
+// upstreamHost, so that connections and decisions of the old process are never used for the new one.
 type upstreamHost struct {
 	id          balance.ServerID
 	address     string
--- a/internal/sidecar/discovery_failure_test.go
+++ b/internal/sidecar/discovery_failure_test.go
@@ -134,15 +134,15 @@
 func TestFailedCallsEndBeforeNotificationDeadline(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
 		for _, scenario := range []string{"start", "closed", "address changed"} {
-			for _, outage := range []int{0, 6} { // number of refused calls at the start of the script
+			for _, refusedCalls := range []int{0, 6} { // number of refused calls at the start of the script
 				worst := map[string]time.Duration{}
 				for lastIndex, last := range failureScripts {
 					for otherIndex, other := range append([]callScript{{name: ""}}, failureScripts...) {
-						script := make([]callScript, outage, outage+3)
+						script := make([]callScript, refusedCalls, refusedCalls+3)
 						for i := range script {
 							script[i] = failureScripts[0]
 						}
-						firstFailure := outage
+						firstFailure := refusedCalls
 						if other.name != "" {
 							script = append(script, other)
 							if !other.silent && !last.silent {
@@ -153,13 +153,13 @@
 						calls, receivedAt := runAgainstScript(t, mode, scenario, 10*lastIndex+otherIndex+1, script)
 						elapsed := receivedAt.Sub(calls[firstFailure])
 						if elapsed >= notificationDeadline {
-							t.Errorf("%s, %s, %d refused, then %q, then %q: after %v", mode, scenario, outage, other.name, last.name, elapsed)
+							t.Errorf("%s, %s, %d refused, then %q, then %q: after %v", mode, scenario, refusedCalls, other.name, last.name, elapsed)
 						}
 						kind := fmt.Sprintf("%d in a row, silent %v", len(script)-firstFailure, other.silent || last.silent)
 						worst[kind] = max(worst[kind], elapsed)
 					}
 				}
-				t.Logf("worst, %s, %s, %d refused before: %v", mode, scenario, outage, worst)
+				t.Logf("worst, %s, %s, %d refused before: %v", mode, scenario, refusedCalls, worst)
 			}
 		}
 	}
--- a/internal/sidecar/placement_client.go
+++ b/internal/sidecar/placement_client.go
@@ -192,7 +192,8 @@
 	return p.wallClockMS(), time.Since(p.startedAt).Milliseconds()
 }
 
-// snapshot returns an update with all directives in force now. reportDue is nil unless a load report is requested.
+// snapshot returns an update with all directives in force now. If reportDue is not nil, the event loop answers the update
+// with a load report.
 func (p *placementClient) snapshot(reportDue chan<- *placement.LoadReport) placementUpdate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
