--- a/internal/sidecar/placement_test.go
+++ b/internal/sidecar/placement_test.go
@@ -89,7 +89,7 @@
 		"silent":       func(call registryCall) { call.sendLine(t, ""); <-call.disconnected },
 		"trickling":    func(call registryCall) { call.sendLine(t, `{"rev":`); <-call.disconnected },
 		"refused":      func(call registryCall) { call.failWith <- http.StatusServiceUnavailable },
-		"too large": func(call registryCall) {
+		"invalid entry": func(call registryCall) {
 			call.sendLine(t, `{"rev":2,"epoch":5,"entries":[{"id":""}]}`)
 			<-call.disconnected
 		},
