--- a/internal/sidecar/active_placement.go
+++ b/internal/sidecar/active_placement.go
@@ -11,45 +11,46 @@
 	"milldeck/internal/placement"
 )
 
-// clockJumpToleranceMS: the balancer is notified again of a directive that ends earlier than before by more than this. A
-// smaller difference comes from rounding on two clocks; a larger one means that the wall clock was set forward.
+// clockJumpToleranceMS is how much earlier than before an unchanged directive may end without the balancer being notified
+// again. A smaller difference comes from rounding on two clocks; a larger one means that the wall clock was set forward.
 const clockJumpToleranceMS = 50
 
-// placementState is what the event loop knows of the placement.
+// placementState is the part of the event loop's state that concerns the placement.
 type placementState struct {
-	active  *activePlacement // nil: none is configured
-	timing  placementTiming  // of the next client
-	version string           // the sidecar's version label, for reports
+	active  *activePlacement // nil: no placement address is configured
+	timing  placementTiming  // for the next placementClient
+	version string           // the sidecar's version label, for load reports
 }
 
-// activePlacement is the placement in force and the client that follows it. The event loop owns it; its goroutines only
-// use the client.
+// activePlacement is the placement in force and the client that watches for changes. Only the event loop uses its fields;
+// the client's goroutines use only the placementClient.
 type activePlacement struct {
 	*placementClient
-	cancel   context.CancelFunc // of the client's goroutines
+	cancel   context.CancelFunc // ends the client's goroutines
 	recorder *reportRecorder
 
 	revision, epoch uint64
 	directives      []activeDirective // ordered by ID
 	cohortByServer  map[balance.ServerID]string
 
-	numberByID map[string]int // of exclusions, by which the balancer names them
-	lastNumber int
+	balancerIDs    map[string]int // the balancer's IDs of exclusions, by directive ID
+	lastBalancerID int
 }
 
-// activeDirective is a directive in force and what it means for this sidecar.
+// activeDirective is a directive in force, resolved to the tenant and server IDs of this sidecar.
 type activeDirective struct {
 	placement.Directive
 	endsAtMS float64 // by the event loop's clock
-	// For an exclusion that concerns this sidecar: the tenant, or balance.AllTenants, and the servers that its requests
-	// avoid. Otherwise excluded is nil.
+	// Of an exclusion that applies to requests of this sidecar: its tenant, or balance.AllTenants, and the excluded servers.
+	// For all other directives excluded is nil.
 	tenant   int
 	excluded map[balance.ServerID]bool
 }
 
-// followPlacement follows the placement at another address. The directives in force stay until the new address has sent
-// its own, or until they end. Without an address all end now.
-func (l *eventLoop) followPlacement(nowMS float64, address string) {
+// setPlacementAddress starts to watch the placement at an address and stops the client of the previous address. The
+// directives in force stay until the new address sends a placement, or until they expire. An empty address ends all of
+// them now.
+func (l *eventLoop) setPlacementAddress(nowMS float64, address string) {
 	previous := l.placement.active
 	if previous != nil && previous.address == address {
 		return
@@ -64,7 +65,7 @@
 		}
 		return
 	}
-	next := &activePlacement{recorder: newReportRecorder(l.config, nowMS), numberByID: map[string]int{}}
+	next := &activePlacement{recorder: newReportRecorder(l.config, nowMS), balancerIDs: map[string]int{}}
 	generation := 0
 	if previous != nil {
 		*next = *previous
@@ -78,7 +79,7 @@
 	l.workers.Go(func() { next.runReporter(ctx) })
 }
 
-// applyPlacementUpdate notifies the balancer of changed directives, and builds a report where one is due.
+// applyPlacementUpdate notifies the balancer of changed directives, and builds a load report if the update asks for one.
 func (l *eventLoop) applyPlacementUpdate(nowMS float64, update placementUpdate) {
 	active := l.placement.active
 	if active == nil || update.generation != active.generation {
@@ -95,26 +96,25 @@
 	}
 }
 
-// unchanged reports whether directives are those that the balancer knows, with the same ends.
+// unchanged reports whether the balancer already has these directives, with the same ends within clockJumpToleranceMS.
 func (p *activePlacement) unchanged(takenAtMS float64, directives []placement.Directive) bool {
 	return slices.EqualFunc(p.directives, directives, func(active activeDirective, directive placement.Directive) bool {
 		return active.sameVersion(&directive) && takenAtMS+float64(directive.RemainingMS) > active.endsAtMS-clockJumpToleranceMS
 	})
 }
 
-// sameVersion reports whether a directive is this one, unchanged.
+// sameVersion reports whether a received directive is this one, at the same revision and with the same expiry.
 func (d *activeDirective) sameVersion(directive *placement.Directive) bool {
 	return d.ID == directive.ID && d.Revision == directive.Revision && d.ExpiresAtMS == directive.ExpiresAtMS
 }
 
-// replaceDirectives puts directives in force and notifies the balancer. One that was in force before keeps its end if that
-// is earlier.
+// replaceDirectives puts directives in force and notifies the balancer. An unchanged directive never ends later than before.
 func (l *eventLoop) replaceDirectives(nowMS, takenAtMS float64, directives []placement.Directive) {
 	active := l.placement.active
 	previous := active.directives
-	previousNumbers := active.numberByID
+	previousIDs := active.balancerIDs
 	active.directives = nil
-	active.numberByID = map[string]int{}
+	active.balancerIDs = map[string]int{}
 	active.cohortByServer = map[balance.ServerID]string{}
 	var update balance.Placement
 	for i := range directives {
@@ -123,11 +123,11 @@
 		switch directive.Kind {
 		case placement.KindExclude:
 			if l.resolveExclusion(&directive) {
-				number := active.assignNumber(directive.ID, previousNumbers)
-				update.Exclusions = append(update.Exclusions, l.exclusion(&directive, number))
+				balancerID := active.assignBalancerID(directive.ID, previousIDs)
+				update.Exclusions = append(update.Exclusions, l.toExclusion(&directive, balancerID))
 			}
 		case placement.KindSpreadKey:
-			if hotKey, err := l.hotKey(&directive); err != nil {
+			if hotKey, err := l.toHotKey(&directive); err != nil {
 				placementLog.Warn("hot key directive ignored: invalid key", "id", directive.ID, "error", err)
 			} else {
 				update.HotKeys = append(update.HotKeys, hotKey)
@@ -140,7 +140,7 @@
 	l.dispatch(nowMS, update)
 }
 
-// retainEarlierEnd moves the end of a directive to that which it had before, if that is earlier.
+// retainEarlierEnd restores the previous end of an unchanged directive if the previous end is earlier.
 func retainEarlierEnd(directive *activeDirective, previous []activeDirective) {
 	position, found := slices.BinarySearchFunc(previous, directive.ID, func(candidate activeDirective, id string) int {
 		return cmp.Compare(candidate.ID, id)
@@ -150,19 +150,19 @@
 	}
 }
 
-// assignNumber gives an exclusion the number that it had before, or else a new one.
-func (p *activePlacement) assignNumber(id string, previous map[string]int) int {
-	number, known := previous[id]
+// assignBalancerID returns the balancer's ID for an exclusion: its previous ID, or a new one.
+func (p *activePlacement) assignBalancerID(id string, previousIDs map[string]int) int {
+	balancerID, known := previousIDs[id]
 	if !known {
-		p.lastNumber++
-		number = p.lastNumber
+		p.lastBalancerID++
+		balancerID = p.lastBalancerID
 	}
-	p.numberByID[id] = number
-	return number
+	p.balancerIDs[id] = balancerID
+	return balancerID
 }
 
-// resolveExclusion fills in the tenant and the servers of an exclusion. It returns false if the exclusion concerns none
-// of this sidecar's requests. Where the settings name no tenants, the only tenant is the calling application.
+// resolveExclusion sets the tenant and the servers of an exclusion. It returns false if the exclusion applies to no request
+// of this sidecar. If the settings name no tenants, the calling application is the only tenant.
 func (l *eventLoop) resolveExclusion(directive *activeDirective) bool {
 	tenant, ok := l.config.tenantNumbers[directive.Tenant]
 	if !ok {
@@ -179,10 +179,10 @@
 	return true
 }
 
-// exclusion is an exclusion as the balancer gets it.
-func (l *eventLoop) exclusion(directive *activeDirective, number int) balance.Exclusion {
+// toExclusion converts a directive to an exclusion of the balancer.
+func (l *eventLoop) toExclusion(directive *activeDirective, balancerID int) balance.Exclusion {
 	exclusion := balance.Exclusion{
-		ID:           number,
+		ID:           balancerID,
 		Tenant:       directive.tenant,
 		MinAvailable: directive.MinAvailable,
 		ExpiresAt:    directive.endsAtMS,
@@ -193,8 +193,8 @@
 	return exclusion
 }
 
-// hotKey is a hot key as the balancer gets it.
-func (l *eventLoop) hotKey(directive *activeDirective) (balance.HotKey, error) {
+// toHotKey converts a directive to a hot key of the balancer.
+func (l *eventLoop) toHotKey(directive *activeDirective) (balance.HotKey, error) {
 	key, err := strconv.ParseUint(directive.KeyHash, 16, 64)
 	if err != nil {
 		return balance.HotKey{}, err
@@ -209,7 +209,8 @@
 	return hotKey, nil
 }
 
-// recordCohort notes whose servers belong to a cohort. A server of several cohorts belongs to the first by ID.
+// recordCohort assigns the servers of a directive to its cohort. A server that several directives name belongs to the
+// cohort of the first directive by ID.
 func (l *eventLoop) recordCohort(directive *activeDirective) {
 	cohorts := l.placement.active.cohortByServer
 	for _, uid := range directive.Servers {
@@ -219,14 +220,15 @@
 	}
 }
 
-// recordRequest counts a request for the next report. Without a placement there are no reports.
+// recordRequest counts a request for the next load report. A nil receiver means that no placement is configured: there are
+// no load reports.
 func (p *activePlacement) recordRequest(nowMS float64, request *balance.Request) {
 	if p != nil {
 		p.recorder.recordRequest(nowMS, request)
 	}
 }
 
-// recordOutcome counts the outcome of an attempt for the next report.
+// recordOutcome counts the outcome of an attempt for the next load report. It accepts a nil receiver.
 func (p *activePlacement) recordOutcome(nowMS float64, attempt *attempt, result balance.Result) {
 	if p != nil {
 		p.recorder.recordOutcome(nowMS, attempt, result, p.cohortByServer[attempt.upstream.id])
--- a/internal/sidecar/boot_times.go
+++ b/internal/sidecar/boot_times.go
@@ -6,52 +6,54 @@
 )
 
 const (
-	// minClockStepMS: a wall clock that differs by more from where it was expected was stepped; by less, it is adjusted, or
-	// was read a moment later.
+	// minClockStepMS is the smallest change of the wall clock's offset that counts as a step. A smaller change comes from a
+	// gradual adjustment of the clock, or from a delay between the readings of the two clocks.
 	minClockStepMS = 100
-	// maxBootLeadMS is how far ahead of this machine's wall clock a boot time may be that has just been written.
-	maxBootLeadMS = 1000
-	// maxClockSteps bounds the steps that are remembered; the oldest are forgotten.
-	maxClockSteps = 16
+	// maxBootSkewMS is how far the boot time of a server that has just started may be ahead of this machine's wall clock.
+	maxBootSkewMS = 1000
+	// maxWallOffsets bounds the offsets that are kept; the oldest is dropped.
+	maxWallOffsets = 16
 )
 
 // bootTimes converts the boot times of servers, which are readings of the wall clock, to the clock of the event loop, which
-// is never stepped. A server may have been started before a step of the wall clock or after it: of all times that its
-// boot time may mean, the latest counts, so that no server in slow start is taken for a warm one.
+// is never stepped. A server may have started before or after a step of the wall clock, so its boot time may stand for
+// several times. The latest of them counts: no server in slow start is treated as warm.
 type bootTimes struct {
-	// offsetsMS are by how much the wall clock was ahead of the event loop's clock, in order; the first is 0.
-	offsetsMS []float64
+	// wallOffsetsMS holds the offset of the wall clock from the event loop's clock at the start, which is 0, and after each
+	// step, oldest first.
+	wallOffsetsMS []float64
 }
 
-func newBootTimes() bootTimes { return bootTimes{offsetsMS: []float64{0}} }
+func newBootTimes() bootTimes { return bootTimes{wallOffsetsMS: []float64{0}} }
 
-// observe notes a reading of the wall clock, at a time of the event loop's clock.
-func (b *bootTimes) observe(wall time.Time, nowMS float64) {
+// observeWallClock compares a reading of the wall clock with the event loop's clock, and records a new offset if the wall
+// clock was stepped.
+func (b *bootTimes) observeWallClock(wall time.Time, nowMS float64) {
 	offsetMS := float64(wall.UnixMicro())/microsPerMS - nowMS
-	latest := b.offsetsMS[len(b.offsetsMS)-1]
+	latest := b.wallOffsetsMS[len(b.wallOffsetsMS)-1]
 	if math.Abs(offsetMS-latest) < minClockStepMS {
 		return
 	}
 	loopLog.Warn("the wall clock was stepped", "by", durationFromMS(offsetMS-latest))
-	if len(b.offsetsMS) == maxClockSteps {
-		b.offsetsMS = b.offsetsMS[1:]
+	if len(b.wallOffsetsMS) == maxWallOffsets {
+		b.wallOffsetsMS = b.wallOffsetsMS[1:]
 	}
-	b.offsetsMS = append(b.offsetsMS, offsetMS)
+	b.wallOffsetsMS = append(b.wallOffsetsMS, offsetMS)
 }
 
-// startedAtMS is when a server with a boot time started; 0 is long ago.
+// startedAtMS returns the start time of a server by the event loop's clock; 0 means long ago.
 func (b *bootTimes) startedAtMS(bootMS, nowMS float64) float64 {
 	if bootMS <= 0 {
 		return 0
 	}
 	latest := math.Inf(-1)
-	for _, offsetMS := range b.offsetsMS {
-		if startedAtMS := bootMS - offsetMS; startedAtMS <= nowMS+maxBootLeadMS {
+	for _, offsetMS := range b.wallOffsetsMS {
+		if startedAtMS := bootMS - offsetMS; startedAtMS <= nowMS+maxBootSkewMS {
 			latest = math.Max(latest, startedAtMS)
 		}
 	}
 	if math.IsInf(latest, -1) {
-		return nowMS // the server's clock is ahead of this one
+		return nowMS // the server's clock is ahead of this machine's
 	}
 	return math.Min(latest, nowMS)
 }
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -84,7 +84,7 @@
 // errors, and after the others it waits for up to a second while clients wait. net.ErrClosed means that stopAccepting or
 // Close has ended accepting.
 func (l *clientListener) acceptTCP() (*net.TCPConn, error) {
-	var pause sockets.Pause
+	var pause sockets.Backoff
 	for failed := false; ; {
 		tcpConn, err := l.AcceptTCP()
 		switch {
@@ -99,7 +99,7 @@
 			if err := l.stopAccepting(); err != nil {
 				return nil, err
 			}
-		case sockets.AcceptErrorLasts(err):
+		case sockets.IsPermanentAcceptError(err):
 			return nil, err
 		default:
 			failed = true
--- a/internal/sidecar/fixtures_test.go
+++ b/internal/sidecar/fixtures_test.go
@@ -165,7 +165,7 @@
 // fixtureReport returns the load report of an event loop with each kind of directive in force and with requests of each
 // outcome.
 func fixtureReport(loop *eventLoop, client *placementClient, startMS float64) *placement.LoadReport {
-	loop.placement.active = &activePlacement{placementClient: client, recorder: newReportRecorder(loop.config, startMS), numberByID: map[string]int{}}
+	loop.placement.active = &activePlacement{placementClient: client, recorder: newReportRecorder(loop.config, startMS), balancerIDs: map[string]int{}}
 	list := placement.Update{Revision: 12, Epoch: 5, Directives: reportDirectives()}
 	for i := range list.Directives {
 		list.Directives[i].ExpiresAtMS, list.Directives[i].RemainingMS = 1_700_000_600_000, 600_000
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -12,7 +12,7 @@
 
 const testTimeout = 10 * time.Second
 
-// failingListener returns errors, one by one, and then the connections of the listener.
+// failingListener returns its errors from Accept, one for each call, and then the connections of the listener.
 type failingListener struct {
 	net.Listener
 	errors []error
@@ -27,7 +27,7 @@
 	return nil, err
 }
 
-// acceptError is an error as package net returns it.
+// acceptError returns an error of accept(2) in the form in which package net returns it.
 func acceptError(errno syscall.Errno) error {
 	return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 }
@@ -42,8 +42,8 @@
 	return listener
 }
 
-// Accept goes on after every error that passes.
-func TestLastingListenerOutlivesPassingErrors(t *testing.T) {
+// Accept retries after every temporary error.
+func TestRetryAcceptContinuesAfterTemporaryErrors(t *testing.T) {
 	failing := &failingListener{Listener: listen(t)}
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EINTR, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
@@ -57,34 +57,34 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	conn, err := Lasting(failing).Accept()
+	conn, err := RetryAccept(failing).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	conn.Close()
 }
 
-// Accept ends with an error that lasts.
-func TestLastingListenerEndsWithLastingErrors(t *testing.T) {
+// Accept returns a permanent error.
+func TestRetryAcceptReturnsPermanentErrors(t *testing.T) {
 	other := errors.New("something else")
-	for _, lasting := range []error{
+	for _, permanent := range []error{
 		acceptError(syscall.EBADF), acceptError(syscall.EINVAL), acceptError(syscall.ENOTSOCK), fmt.Errorf("wrapped: %w", net.ErrClosed), other,
 	} {
-		failing := &failingListener{Listener: listen(t), errors: []error{lasting}}
-		if _, err := Lasting(failing).Accept(); !errors.Is(err, lasting) {
-			t.Errorf("%v in place of %v", err, lasting)
+		failing := &failingListener{Listener: listen(t), errors: []error{permanent}}
+		if _, err := RetryAccept(failing).Accept(); !errors.Is(err, permanent) {
+			t.Errorf("Accept returned %v, want %v", err, permanent)
 		}
 	}
 }
 
-// endlessListener fails with every call until it is closed.
-type endlessListener struct{ net.Listener }
+// alwaysFailingListener returns a temporary error from every call of Accept.
+type alwaysFailingListener struct{ net.Listener }
 
-func (endlessListener) Accept() (net.Conn, error) { return nil, acceptError(syscall.ENFILE) }
+func (alwaysFailingListener) Accept() (net.Conn, error) { return nil, acceptError(syscall.ENFILE) }
 
-// Close ends Accept while it tries again.
-func TestLastingListenerCanBeClosed(t *testing.T) {
-	listener := Lasting(endlessListener{listen(t)})
+// Close ends an Accept that is retrying.
+func TestRetryAcceptEndsOnClose(t *testing.T) {
+	listener := RetryAccept(alwaysFailingListener{listen(t)})
 	ended := make(chan error, 1)
 	go func() {
 		_, err := listener.Accept()
@@ -96,14 +96,14 @@
 	select {
 	case err := <-ended:
 		if !errors.Is(err, net.ErrClosed) {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Accept returned %v after Close", err)
 		}
 	case <-time.After(testTimeout):
-		t.Error("Accept goes on")
+		t.Error("Accept did not return after Close")
 	}
 }
 
-// Retry tries again only what passes.
+// Retry retries only after temporary local errors.
 func TestRetry(t *testing.T) {
 	for _, test := range []struct {
 		err  error
