--- a/internal/lab/controlplane/release_controller.go
+++ b/internal/lab/controlplane/release_controller.go
@@ -131,7 +131,7 @@
 		Permit:          func(id string) (disruption.Permit, bool) { return c.permit(state, id) },
 		Prepared:        func(string) bool { return true },
 		Drained:         func(id string) bool { return c.drainTracker.Drained(c.monotonicMS(), id) },
-		Running:         func(string) (release.Image, bool) { return release.Image{}, false },
+		ReportedImage:   func(string) (release.Image, bool) { return release.Image{}, false },
 		ConfigRejection: func(string, string) string { return "" },
 		Verdict:         c.verdict(),
 	}
--- a/internal/release/canary_test.go
+++ b/internal/release/canary_test.go
@@ -65,14 +65,14 @@
 	model      *clusterModel
 	regression regression
 	analysis   *WaveAnalysis
-	calls      int
+	ticks      int
 }
 
 func (m *trafficModel) verdict(state *State) judge.Verdict {
 	if m.analysis == nil {
 		m.analysis = NewWaveAnalysis(8)
 	}
-	if m.calls++; m.calls%2 == 1 { // a tick is half a second, an interval a second
+	if m.ticks++; m.ticks%2 == 1 { // a tick is half a second, an interval a second
 		m.analysis.Add(state, m.interval())
 	}
 	return m.analysis.Verdict(state)
--- a/internal/release/clustermodel_test.go
+++ b/internal/release/clustermodel_test.go
@@ -344,8 +344,8 @@
 	return started
 }
 
-// unitsOut are the units under an active permit.
-func (m *clusterModel) unitsOut() (ids []string) {
+// disruptedUnits are the units under an active permit.
+func (m *clusterModel) disruptedUnits() (ids []string) {
 	for _, permit := range m.ledger.OpenPermits() {
 		if permit.Stage == disruption.StageActive || permit.Stage == disruption.StageReturning {
 			ids = append(ids, permit.Units...)
--- a/internal/release/command.go
+++ b/internal/release/command.go
@@ -8,11 +8,11 @@
 	"milldeck/internal/release/plan"
 )
 
-// guardOperator is who halts a release where no operator does. It is stored in Status.HaltedBy.
-const guardOperator = "guard"
+// haltedByGuard is who halts a release where no operator does. It is stored in Status.HaltedBy.
+const haltedByGuard = "guard"
 
-// reasonByHand is stored where an operator gave no reason.
-const reasonByHand = "by hand"
+// defaultCommandReason is stored where an operator gave no reason.
+const defaultCommandReason = "by hand"
 
 // handleCommands handles the operators' commands that are new, in their order. One that does not fit the phase is ignored.
 func (r *reconciler) handleCommands() {
@@ -22,7 +22,7 @@
 }
 
 func (r *reconciler) handleCommand(command Command) {
-	reason := cmp.Or(command.Reason, reasonByHand)
+	reason := cmp.Or(command.Reason, defaultCommandReason)
 	switch command.Action {
 	case CommandHalt:
 		if r.status.Phase == PhaseRollout {
@@ -57,12 +57,12 @@
 	}
 	policy := r.release.Plan.OnHalt
 	if r.view.Verdict.Outcome == judge.Regression && !r.release.DrainOnly {
-		r.halt(guardOperator, r.view.Verdict.Reason, policy)
+		r.halt(haltedByGuard, r.view.Verdict.Reason, policy)
 		return
 	}
 	deadline := r.release.Plan.DeadlineSeconds
 	if float64(r.view.NowMS-r.release.StartedAtMS) > msPerSecond*deadline {
-		r.halt(guardOperator, fmt.Sprintf("the deadline of %v s is over", deadline), policy)
+		r.halt(haltedByGuard, fmt.Sprintf("the deadline of %v s is over", deadline), policy)
 	}
 }
 
@@ -110,7 +110,7 @@
 	case StageConverged, StageFailed:
 		unit.Stage = StagePending // it returns under a permit of its own
 	default:
-		unit.Stage = r.release.replacementStage() // it is out, and returns under the permit that it has
+		unit.Stage = r.release.firstUpdateStage() // it is out, and returns under the permit that it has
 	}
 	unit.Rollback = true
 	unit.FailedStarts = 0
--- a/internal/release/controller/observe.go
+++ b/internal/release/controller/observe.go
@@ -85,7 +85,7 @@
 		Drained:       func(id string) bool { return t.drains.Drained(nowMS, id) },
 		// No sidecar reports yet which configuration it has read, so a release of a configuration alone halts at its
 		// first unit for lack of evidence.
-		Running:         func(string) (release.Image, bool) { return release.Image{}, false },
+		ReportedImage:   func(string) (release.Image, bool) { return release.Image{}, false },
 		ConfigRejection: func(string, string) string { return "" },
 	}, nil
 }
--- a/internal/release/crash_test.go
+++ b/internal/release/crash_test.go
@@ -94,8 +94,8 @@
 // run runs a scenario with a planned crash, and returns the number of effects and what went wrong.
 func (s *scenario) run(t testing.TB, planned *crash, bugs plantedBugs) (effects int, err error) {
 	t.Helper()
-	const zones, unitsPerZone, maxOut = 2, 3, 2
-	model := newClusterModel(t, s.kind, zones, unitsPerZone, maxOut)
+	const zones, unitsPerZone, maxUnavailable = 2, 3, 2
+	model := newClusterModel(t, s.kind, zones, unitsPerZone, maxUnavailable)
 	model.bugs = bugs
 	model.hidesEndedPermits = planned.effectIndex%2 == 0
 	if s.plan == "" {
@@ -114,10 +114,10 @@
 	case state.Status.Phase != s.wantPhase:
 		return effects, fmt.Errorf("it ended %s (%s), want %s", state.Status.Phase, state.Status.HaltReason, s.wantPhase)
 	}
-	if model.peakUnavailable > maxOut {
-		return effects, fmt.Errorf("budget: %d units were out at once, allowed are %d", model.peakUnavailable, maxOut)
+	if model.peakUnavailable > maxUnavailable {
+		return effects, fmt.Errorf("budget: %d units were out at once, allowed are %d", model.peakUnavailable, maxUnavailable)
 	}
-	if err := s.checkOnce(model); err != nil {
+	if err := s.checkNoRepeats(model); err != nil {
 		return effects, err
 	}
 	for _, permit := range model.ledger.OpenPermits() {
@@ -129,8 +129,8 @@
 	return effects, model.checkAllRun(state, s.wantImage)
 }
 
-// checkOnce returns an error if a unit was started or reloaded more often than it has to be.
-func (s *scenario) checkOnce(model *clusterModel) error {
+// checkNoRepeats returns an error if a unit was started or reloaded more often than it has to be.
+func (s *scenario) checkNoRepeats(model *clusterModel) error {
 	for launch, count := range model.launches {
 		if count > s.maxLaunches {
 			return fmt.Errorf("once: %s was started %d times", launch, count)
--- a/internal/release/fakecontroller_test.go
+++ b/internal/release/fakecontroller_test.go
@@ -63,7 +63,7 @@
 			unit := model.units[id]
 			return unit.terminating && model.nowMS-unit.drainingSinceMS >= drainMS
 		},
-		Running: func(id string) (Image, bool) {
+		ReportedImage: func(id string) (Image, bool) {
 			unit := model.units[id]
 			return Image{unit.version, unit.config}, model.serves(unit)
 		},
@@ -186,19 +186,19 @@
 
 // crash is a planned crash of the controller, at an effect by its number in the whole run.
 type crash struct {
-	effectIndex  int // from 0; below 0: never
-	mode         crashMode
-	effectsDone  int // counts the effects of the run
-	happened     bool
-	resumeFrozen func()
-	ticksToThaw  int // 0: no controller is frozen
+	effectIndex      int // from 0; below 0: never
+	mode             crashMode
+	effectsDone      int // counts the effects of the run
+	happened         bool
+	resumeFrozen     func()
+	ticksUntilResume int // 0: no controller is frozen
 }
 
 // noCrash plans no crash.
 func noCrash() *crash { return &crash{effectIndex: -1} }
 
-// hits reports whether the crash happens at the next effect, and counts that.
-func (p *crash) hits() bool {
+// firesAtNextEffect reports whether the crash happens at the next effect, and counts that.
+func (p *crash) firesAtNextEffect() bool {
 	index := p.effectsDone
 	p.effectsDone++
 	if index != p.effectIndex || p.happened {
@@ -208,29 +208,29 @@
 	return true
 }
 
-// at executes what the crash leaves of a controller's effects, of which rest begins with the one at which it happens.
-func (p *crash) at(controller *fakeController, rest []Effect) {
+// interrupt executes what the crash leaves of a controller's effects, of which rest begins with the one at which it happens.
+func (p *crash) interrupt(controller *fakeController, remaining []Effect) {
 	switch p.mode {
 	case crashBefore:
 	case crashAfter:
-		controller.execute(rest[0], true)
+		controller.execute(remaining[0], true)
 	case crashFrozen:
-		p.ticksToThaw = frozenTicks
+		p.ticksUntilResume = frozenTicks
 		p.resumeFrozen = func() {
-			for _, effect := range rest {
+			for _, effect := range remaining {
 				controller.execute(effect, false)
 			}
 		}
 	}
 }
 
-// tick lets a tick pass for a frozen controller.
-func (p *crash) tick() {
-	if p.ticksToThaw == 0 {
+// advanceTick lets a tick pass for a frozen controller.
+func (p *crash) advanceTick() {
+	if p.ticksUntilResume == 0 {
 		return
 	}
-	p.ticksToThaw--
-	if p.ticksToThaw == 0 {
+	p.ticksUntilResume--
+	if p.ticksUntilResume == 0 {
 		p.resumeFrozen()
 	}
 }
@@ -247,7 +247,7 @@
 		}
 		state, commands := m.table.Get(name)
 		handled := state.Status.HandledCommands == len(commands)
-		if state.Status.Phase.Finished() && handled && planned.ticksToThaw == 0 {
+		if state.Status.Phase.Finished() && handled && planned.ticksUntilResume == 0 {
 			return state, planned.effectsDone
 		}
 		effects := current.state.Reconcile(current.view())
@@ -255,14 +255,14 @@
 			current.writePending()
 		}
 		for i, effect := range effects {
-			if planned.hits() {
-				planned.at(current, effects[i:])
+			if planned.firesAtNextEffect() {
+				planned.interrupt(current, effects[i:])
 				current = m.newController(name)
 				break
 			}
 			current.execute(effect, false)
 		}
-		planned.tick()
+		planned.advanceTick()
 		m.advance()
 	}
 	state, _ := m.table.Get(name)
--- a/internal/release/faults_test.go
+++ b/internal/release/faults_test.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// findByCrashes crashes the controller at each effect of a scenario until a planted bug shows, which it must not without
+// detectByCrashes crashes the controller at each effect of a scenario until a planted bug shows, which it must not without
 // a crash.
-func findByCrashes(t *testing.T, tested *scenario, planted plantedBugs) error {
+func detectByCrashes(t *testing.T, tested *scenario, planted plantedBugs) error {
 	t.Helper()
 	if _, err := tested.run(t, noCrash(), planted); err != nil {
 		t.Errorf("%+v shows without a crash: %v", planted, err)
@@ -142,14 +142,14 @@
 // Each planted bug is detected by the tests that are meant for it.
 func TestPlantedBugsAreDetected(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		find func(t *testing.T) error
+		name   string
+		detect func(t *testing.T) error
 	}{
 		{"state written after its effects", func(t *testing.T) error {
-			return findByCrashes(t, &scenarios[0], plantedBugs{writesAfterEffects: true})
+			return detectByCrashes(t, &scenarios[0], plantedBugs{writesAfterEffects: true})
 		}},
 		{"request IDs that depend on the controller", func(t *testing.T) error {
-			return findByCrashes(t, scenarioNamed(t, "configuration"), plantedBugs{requestIDsPerController: true})
+			return detectByCrashes(t, scenarioNamed(t, "configuration"), plantedBugs{requestIDsPerController: true})
 		}},
 		{"rollbacks at the priority of rollouts", func(t *testing.T) error {
 			return runRollbackUnderFleetHalt(t, plantedBugs{rollbackAtRolloutPriority: true})
@@ -163,7 +163,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			err := c.find(t)
+			err := c.detect(t)
 			if err == nil {
 				t.Fatal("not detected")
 			}
@@ -277,7 +277,7 @@
 
 func (f *randomFaults) beforeTick(tick int, state *State) {
 	f.currentTick = tick
-	if f.planned.happened && f.planned.ticksToThaw == 0 && f.rng.IntN(20) == 0 {
+	if f.planned.happened && f.planned.ticksUntilResume == 0 && f.rng.IntN(20) == 0 {
 		f.planned.happened = false
 		f.planned.effectIndex = f.planned.effectsDone + f.rng.IntN(60)
 		f.planned.mode = crashModes[f.rng.IntN(3)]
@@ -291,7 +291,7 @@
 	if tick > faultTicks && state.Status.Phase == PhaseHalted && tick%50 == 0 {
 		sendCommand(f.model.t, f.model, CommandRollback)
 	}
-	if out := f.model.plannedOut(state, f.crashed); out > f.maxUnavailable && f.budgetErr == nil {
+	if out := f.model.plannedUnavailable(state, f.crashed); out > f.maxUnavailable && f.budgetErr == nil {
 		f.budgetErr = fmt.Errorf("budget: %d units are out for planned reasons at tick %d, allowed are %d", out, tick, f.maxUnavailable)
 	}
 }
@@ -345,9 +345,9 @@
 	}
 }
 
-// plannedOut counts the units that are truly out under an active permit, without those that have failed alone: a permit
+// plannedUnavailable counts the units that are truly out under an active permit, without those that have failed alone: a permit
 // for one that is out anyway takes no budget.
-func (m *clusterModel) plannedOut(state *State, crashed map[int]bool) int {
+func (m *clusterModel) plannedUnavailable(state *State, crashed map[int]bool) int {
 	out := 0
 	for i := range state.Units {
 		unit := &state.Units[i]
--- a/internal/release/fixtures_test.go
+++ b/internal/release/fixtures_test.go
@@ -57,8 +57,8 @@
 	Op       json.RawMessage `json:"op"`
 }
 
-// playFixture runs a scenario and returns the log that it wrote, and a snapshot after each change of phase or wave.
-func playFixture(t *testing.T, scenario *fixtureScenario) (log, snapshots []byte) {
+// runFixture runs a scenario and returns the log that it wrote, and a snapshot after each change of phase or wave.
+func runFixture(t *testing.T, scenario *fixtureScenario) (log, snapshots []byte) {
 	t.Helper()
 	model := newClusterModel(t, scenario.kind, 2, 3, 2)
 	var logLines, snapshotLines bytes.Buffer
@@ -109,7 +109,7 @@
 	for i := range fixtureScenarios {
 		scenario := &fixtureScenarios[i]
 		t.Run(scenario.name, func(t *testing.T) {
-			log, snapshots := playFixture(t, scenario)
+			log, snapshots := runFixture(t, scenario)
 			goldentest.Compare(t, scenario.name+".log.jsonl", log)
 			goldentest.Compare(t, scenario.name+".snapshots.jsonl", snapshots)
 		})
--- a/internal/release/identifiers.go
+++ b/internal/release/identifiers.go
@@ -8,8 +8,8 @@
 	"milldeck/internal/supervisor"
 )
 
-// requestIDBytes is how much of a hash a platform request's ID carries.
-const requestIDBytes = 12
+// requestIDHashBytes is how much of a hash a platform request's ID carries.
+const requestIDHashBytes = 12
 
 // Owner is the name of the lease under whose token a release is written. It also owns the release's permits.
 func Owner(name string) string { return "release/" + name }
@@ -31,7 +31,7 @@
 // recognizes a repetition, whoever sends it.
 func (s *State) RequestID(unit *Unit) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s\x00%d\x00%s\x00%d", s.Name, s.StartRevision, unit.ID, unit.Request.Sequence))
-	return "rel-" + hex.EncodeToString(sum[:requestIDBytes])
+	return "rel-" + hex.EncodeToString(sum[:requestIDHashBytes])
 }
 
 // platformRequest is a unit's present request in the platform's form, without the text of its configuration: the sender
--- a/internal/release/interval.go
+++ b/internal/release/interval.go
@@ -27,14 +27,14 @@
 // most), the number of live sidecars, which are expected to report, and the platform's lists before and after it. Either
 // list may be nil.
 func (s *State) Interval(
-	reports []placement.LoadReport, expected int, previousList, currentList *supervisor.List,
+	reports []placement.LoadReport, expectedReports int, previousList, currentList *supervisor.List,
 ) judge.Interval {
 	updated := map[string]bool{}
 	for _, name := range s.UpdatedUnits() {
 		updated[name] = true
 	}
 	return judge.Interval{
-		ExpectedReports: expected,
+		ExpectedReports: expectedReports,
 		ReceivedReports: len(reports),
 		Classes:         s.classSamples(reports, updated),
 		Zones:           s.zoneSamples(updated, previousList, currentList),
@@ -50,7 +50,7 @@
 	for i := range reports {
 		for j := range reports[i].ClassCounts {
 			count := &reports[i].ClassCounts[j]
-			zone, canary, ok := s.attribute(&reports[i], count, updated)
+			zone, canary, ok := s.classifyCount(&reports[i], count, updated)
 			if !ok {
 				continue
 			}
@@ -77,10 +77,10 @@
 	return sorted
 }
 
-// attribute says in which zone a count is compared, and whether it is of an updated unit. In a release of servers the
+// classifyCount says in which zone a count is compared, and whether it is of an updated unit. In a release of servers the
 // count's cohort says so, and counts of another release's cohort are not ok. In a release of sidecars the reporter does,
 // and is compared with the sidecars of its own zone.
-func (s *State) attribute(
+func (s *State) classifyCount(
 	report *placement.LoadReport, count *placement.ClassCount, updated map[string]bool,
 ) (zone string, canary, ok bool) {
 	if s.unitKind() != disruption.KindServer {
--- a/internal/release/lifecycle_test.go
+++ b/internal/release/lifecycle_test.go
@@ -10,8 +10,8 @@
 	"milldeck/internal/release/plan"
 )
 
-// heldServerPlan is serverPlan, but a halt holds the updated units.
-var heldServerPlan = strings.Replace(serverPlan, `"back"`, `"hold"`, 1)
+// holdOnHaltPlan is serverPlan, but a halt holds the updated units.
+var holdOnHaltPlan = strings.Replace(serverPlan, `"back"`, `"hold"`, 1)
 
 const configPlan = `name = "r"
 on_halt = "hold"
@@ -98,21 +98,21 @@
 	const haltTicks = 60
 	for haltTick := range 80 {
 		model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
-		model.startRelease(heldServerPlan)
-		takenOut := map[string]bool{}
+		model.startRelease(holdOnHaltPlan)
+		disrupted := map[string]bool{}
 		outAtHalt := 0
 		state, err := model.runToEnd(noCrash(), 1000, func(tick int, state *State) {
 			if tick == haltTick && !state.Status.Phase.Finished() {
 				sendCommand(t, model, CommandHalt)
-				outAtHalt = len(model.unitsOut())
+				outAtHalt = len(model.disruptedUnits())
 			}
 			if tick >= haltTick && tick < haltTick+haltTicks {
-				for _, id := range model.unitsOut() {
-					takenOut[id] = true
+				for _, id := range model.disruptedUnits() {
+					disrupted[id] = true
 				}
 			}
 			if state.Status.Phase == PhaseHalted && tick == haltTick+haltTicks {
-				if out := len(model.unitsOut()); out > 0 {
+				if out := len(model.disruptedUnits()); out > 0 {
 					t.Errorf("halted at tick %d: %d are out half a minute later", haltTick, out)
 				}
 				sendCommand(t, model, CommandResume)
@@ -121,8 +121,8 @@
 		if err != nil || state.Status.Phase != PhaseCompleted {
 			t.Errorf("halted at tick %d and resumed: %s, %v", haltTick, state.Status.Phase, err)
 		}
-		if state.Status.Phase == PhaseCompleted && len(takenOut) > outAtHalt && haltTick < haltTicks {
-			t.Errorf("halted at tick %d with %d out, and %d were out after", haltTick, outAtHalt, len(takenOut))
+		if state.Status.Phase == PhaseCompleted && len(disrupted) > outAtHalt && haltTick < haltTicks {
+			t.Errorf("halted at tick %d with %d out, and %d were out after", haltTick, outAtHalt, len(disrupted))
 		}
 	}
 }
@@ -295,7 +295,7 @@
 			model.crashUnit("a5")
 		}
 		out := map[string]bool{}
-		for _, id := range model.unitsOut() {
+		for _, id := range model.disruptedUnits() {
 			out[id] = true
 		}
 		if len(out) > maxUnavailable {
@@ -361,7 +361,7 @@
 	for haltTick := range 12 {
 		model := newClusterModel(t, disruption.KindSidecar, 2, 3, 2)
 		model.reportsChangesOnly = true
-		model.startRelease(strings.Replace(heldServerPlan, "server =", "sidecar =", 1))
+		model.startRelease(strings.Replace(holdOnHaltPlan, "server =", "sidecar =", 1))
 		state, _ := model.run(noCrash(), 400, func(tick int, state *State) {
 			if tick == haltTick {
 				sendCommand(t, model, CommandHalt)
--- a/internal/release/permit.go
+++ b/internal/release/permit.go
@@ -30,7 +30,7 @@
 	switch {
 	case !permitKnown:
 		r.requestPermit(unit)
-		r.checkDenied(unit)
+		r.handleDeniedPermit(unit)
 	case !granted:
 		unit.Reason = permit.WaitReason
 	case r.release.unitKind() == disruption.KindServer:
@@ -61,10 +61,10 @@
 	r.emit(ApplyLedgerOp{disruption.Op{Kind: disruption.OpRequest, Owner: permit.Owner, Permit: permit}})
 }
 
-// checkDenied fails a unit whose permit the ledger keeps denying.
-func (r *reconciler) checkDenied(unit *Unit) {
+// handleDeniedPermit fails a unit whose permit the ledger keeps denying.
+func (r *reconciler) handleDeniedPermit(unit *Unit) {
 	reason := r.view.DeniedPermits[r.release.PermitID(unit)]
-	if reason == "" || !r.inStageFor(unit, requestEffectTimeoutMS) {
+	if reason == "" || !r.inStageLongerThan(unit, requestEffectTimeoutMS) {
 		return
 	}
 	r.failures = append(r.failures, unit.ID+": "+reasonPermitDeniedPrefix+reason)
@@ -92,7 +92,7 @@
 	case r.release.unitKind() == disruption.KindServer:
 		r.enterStage(unit, StageDraining)
 	default:
-		r.enterStage(unit, r.release.replacementStage())
+		r.enterStage(unit, r.release.firstUpdateStage())
 	}
 }
 
--- a/internal/release/process.go
+++ b/internal/release/process.go
@@ -70,7 +70,7 @@
 		timeoutMS = stopTimeoutMS
 	}
 	if platform.AtMS-listed.SinceMS > timeoutMS {
-		r.repeatWithoutEffect(unit, timeoutMS)
+		r.dropRequestWithoutEffect(unit, timeoutMS)
 	}
 }
 
@@ -86,10 +86,10 @@
 	case listed == nil:
 		r.requestStart(unit, platform, 0)
 	case listed.State != supervisor.Exited:
-		r.followStart(unit, platform, listed)
+		r.monitorStart(unit, platform, listed)
 	case exitedSinceRequest(unit, platform, listed):
 		if platform.AtMS-listed.SinceMS > exitConfirmationMS && listed.Version == unit.desiredImage().Version {
-			r.recordFailedStart(unit, cmp.Or(listed.Exit, reasonEnded))
+			r.recordFailedStart(unit, cmp.Or(listed.Exit, reasonExited))
 		}
 	default:
 		r.requestStart(unit, platform, listed.Incarnation)
@@ -101,11 +101,11 @@
 	if r.awaitAcceptance(unit, platform, supervisor.Start, incarnation) {
 		return
 	}
-	r.repeatWithoutEffect(unit, requestEffectTimeoutMS)
+	r.dropRequestWithoutEffect(unit, requestEffectTimeoutMS)
 }
 
-// followStart handles a unit that the platform lists as alive while it is to be started.
-func (r *reconciler) followStart(unit *Unit, platform *supervisor.List, listed *supervisor.Unit) {
+// monitorStart handles a unit that the platform lists as alive while it is to be started.
+func (r *reconciler) monitorStart(unit *Unit, platform *supervisor.List, listed *supervisor.Unit) {
 	if !runsImage(listed, unit.desiredImage()) {
 		r.enterStage(unit, StageStopping) // something else was started in its place
 		return
@@ -114,7 +114,7 @@
 	case supervisor.Running:
 		r.enterStage(unit, StageWarmingUp)
 	case supervisor.Starting:
-		if r.inStageFor(unit, startTimeoutMS) && platform.AtMS-listed.SinceMS > startTimeoutMS {
+		if r.inStageLongerThan(unit, startTimeoutMS) && platform.AtMS-listed.SinceMS > startTimeoutMS {
 			r.recordFailedStart(unit, reasonNotReady)
 		}
 	case supervisor.Stopping:
@@ -146,7 +146,7 @@
 		return
 	}
 	if listed == nil || listed.State != supervisor.Running {
-		if r.inStageFor(unit, startTimeoutMS) {
+		if r.inStageLongerThan(unit, startTimeoutMS) {
 			r.recordFailedStart(unit, reasonNotRunning)
 		}
 		return
@@ -154,7 +154,7 @@
 	if r.awaitAcceptance(unit, platform, supervisor.Reload, listed.Incarnation) {
 		return
 	}
-	if r.acceptedFor(unit, requestEffectTimeoutMS) {
+	if r.acceptedRequestOlderThan(unit, requestEffectTimeoutMS) {
 		r.recordFailedStart(unit, reasonNotReloaded)
 	}
 }
@@ -163,7 +163,7 @@
 // the unit's own report and the platform's list: a unit serves on with the old configuration until it has read the new
 // one, and one that rejected the new one would read it at its next start.
 func (r *reconciler) confirmedReloaded(unit *Unit, listed *supervisor.Unit) bool {
-	running, known := r.view.Running(unit.ID)
+	running, known := r.view.ReportedImage(unit.ID)
 	if !known || listed == nil {
 		return false
 	}
@@ -175,7 +175,7 @@
 // reports whether the unit still waits; otherwise the request was accepted, and the list shows its effect.
 func (r *reconciler) awaitAcceptance(unit *Unit, platform *supervisor.List, op supervisor.Op, incarnation uint64) bool {
 	if unit.Request == nil || unit.Request.Op != op || unit.Request.Epoch != platform.Epoch {
-		r.decideRequest(unit, platform, op, incarnation)
+		r.createRequest(unit, platform, op, incarnation)
 		return true
 	}
 	outcome, answered := r.view.Outcomes[r.release.RequestID(unit)]
@@ -197,8 +197,8 @@
 	return true
 }
 
-// decideRequest decides the unit's next request, unless it has had too many.
-func (r *reconciler) decideRequest(unit *Unit, platform *supervisor.List, op supervisor.Op, incarnation uint64) {
+// createRequest decides the unit's next request, unless it has had too many.
+func (r *reconciler) createRequest(unit *Unit, platform *supervisor.List, op supervisor.Op, incarnation uint64) {
 	if unit.RequestCount >= maxRequestsPerUnit {
 		r.recordFailedStart(unit, reasonNoEffect)
 		return
@@ -209,7 +209,7 @@
 		Op:          op,
 		Epoch:       platform.Epoch,
 		Incarnation: incarnation,
-		DecidedAtMS: r.view.NowMS,
+		CreatedAtMS: r.view.NowMS,
 	}
 }
 
@@ -224,17 +224,17 @@
 
 // requestOlderThan reports whether a unit's present request was decided longer ago than a timeout.
 func (r *reconciler) requestOlderThan(unit *Unit, timeoutMS int64) bool {
-	return r.view.NowMS-unit.Request.DecidedAtMS > timeoutMS
+	return r.view.NowMS-unit.Request.CreatedAtMS > timeoutMS
 }
 
-// acceptedFor reports whether the platform accepted a unit's present request, and it was decided longer ago than a timeout.
-func (r *reconciler) acceptedFor(unit *Unit, timeoutMS int64) bool {
+// acceptedRequestOlderThan reports whether the platform accepted a unit's present request, and it was decided longer ago than a timeout.
+func (r *reconciler) acceptedRequestOlderThan(unit *Unit, timeoutMS int64) bool {
 	return r.requestAccepted(unit) && r.requestOlderThan(unit, timeoutMS)
 }
 
-// repeatWithoutEffect drops an accepted request that has shown no effect within a timeout, so that it is decided again.
-func (r *reconciler) repeatWithoutEffect(unit *Unit, timeoutMS int64) {
-	if r.acceptedFor(unit, timeoutMS) {
+// dropRequestWithoutEffect drops an accepted request that has shown no effect within a timeout, so that it is decided again.
+func (r *reconciler) dropRequestWithoutEffect(unit *Unit, timeoutMS int64) {
+	if r.acceptedRequestOlderThan(unit, timeoutMS) {
 		unit.Request = nil
 	}
 }
--- a/internal/release/reconciler.go
+++ b/internal/release/reconciler.go
@@ -48,7 +48,7 @@
 		}
 	}
 	if len(r.failures) > 0 && r.status.Phase == PhaseRollout {
-		r.halt(guardOperator, r.failures[0], s.Plan.OnHalt)
+		r.halt(haltedByGuard, r.failures[0], s.Plan.OnHalt)
 	}
 	r.advancePhase()
 	if delta := r.buildDelta(); delta != nil {
--- a/internal/release/state.go
+++ b/internal/release/state.go
@@ -61,7 +61,7 @@
 	Op          supervisor.Op `json:"op"`
 	Epoch       uint64        `json:"memory"` // the platform's, as listed when the request was decided
 	Incarnation uint64        `json:"incarnation"`
-	DecidedAtMS int64         `json:"at_ms"` // by the controller's clock
+	CreatedAtMS int64         `json:"at_ms"` // by the controller's clock
 }
 
 // Unit is the stored state of one unit of a release.
@@ -186,8 +186,8 @@
 	return supervisor.Server
 }
 
-// replacementStage is the first stage that changes a unit once it is out and drained.
-func (s *State) replacementStage() Stage {
+// firstUpdateStage is the first stage that changes a unit once it is out and drained.
+func (s *State) firstUpdateStage() Stage {
 	if s.reloadsInPlace() {
 		return StageReloading
 	}
--- a/internal/release/table.go
+++ b/internal/release/table.go
@@ -124,15 +124,15 @@
 		return fmt.Errorf("release %s is under way with another plan (%s, not %s): roll it back or let it finish first",
 			state.Name, existing.PlanHash, state.PlanHash)
 	}
-	if !existing.claimsReleased() {
+	if !existing.canDropClaims() {
 		return fmt.Errorf("release %s is %s and may still be rolled back: finalize it first",
 			state.Name, existing.Status.Phase)
 	}
 	return nil
 }
 
-// claimsReleased reports whether a release no longer needs its units: it has rolled back, or is finished and final.
-func (s *State) claimsReleased() bool {
+// canDropClaims reports whether a release no longer needs its units: it has rolled back, or is finished and final.
+func (s *State) canDropClaims() bool {
 	return s.Status.Phase == PhaseRolledBack || s.Status.Phase.Finished() && s.Status.Finalized
 }
 
@@ -197,7 +197,7 @@
 
 // claimUnits claims a release's units, unless it no longer needs them.
 func (t *Table) claimUnits(state *State) {
-	if state.claimsReleased() {
+	if state.canDropClaims() {
 		return
 	}
 	for i := range state.Units {
@@ -207,7 +207,7 @@
 
 // dropClaimsIfDone frees the units of a release that no longer needs them.
 func (t *Table) dropClaimsIfDone(state *State) {
-	if state.claimsReleased() {
+	if state.canDropClaims() {
 		maps.DeleteFunc(t.claims, func(_, claimant string) bool { return claimant == state.Name })
 	}
 }
@@ -223,7 +223,7 @@
 	var oldest *State
 	for _, name := range t.Names() {
 		state := t.releases[name]
-		if state.claimsReleased() && (oldest == nil || state.StartRevision < oldest.StartRevision) {
+		if state.canDropClaims() && (oldest == nil || state.StartRevision < oldest.StartRevision) {
 			oldest = state
 		}
 	}
--- a/internal/release/unit.go
+++ b/internal/release/unit.go
@@ -10,7 +10,7 @@
 // Reasons of a unit's state, as far as they do not quote the platform, the ledger or a sidecar. They are stored.
 const (
 	reasonNotReady             = "it was started and is not ready"
-	reasonEnded                = "it ended"
+	reasonExited               = "it ended"
 	reasonNotRunning           = "it does not run"
 	reasonNotReloaded          = "it does not take the configuration up"
 	reasonNoEffect             = "the platform does not do what it says"
@@ -84,8 +84,8 @@
 	unit.Request = nil
 }
 
-// inStageFor reports whether a unit has been in its stage for longer than a timeout.
-func (r *reconciler) inStageFor(unit *Unit, timeoutMS int64) bool {
+// inStageLongerThan reports whether a unit has been in its stage for longer than a timeout.
+func (r *reconciler) inStageLongerThan(unit *Unit, timeoutMS int64) bool {
 	return r.view.NowMS-unit.StageSinceMS > timeoutMS
 }
 
@@ -94,7 +94,7 @@
 	unit.FailedStarts++
 	if unit.FailedStarts < maxFailedStarts && unit.RequestCount < maxRequestsPerUnit {
 		unit.Reason = reason
-		r.enterStage(unit, r.release.replacementStage())
+		r.enterStage(unit, r.release.firstUpdateStage())
 		return
 	}
 	r.failUnit(unit, reason)
--- a/internal/release/view.go
+++ b/internal/release/view.go
@@ -26,8 +26,8 @@
 	Prepared func(id string) bool
 	// Drained reports whether a server is proved to have no open request.
 	Drained func(id string) bool
-	// Running is what a sidecar itself reports to run.
-	Running func(id string) (Image, bool)
+	// ReportedImage is what a sidecar itself reports to run.
+	ReportedImage func(id string) (Image, bool)
 	// ConfigRejection is why a sidecar rejected a configuration, empty where it did not.
 	ConfigRejection func(id, config string) string
 }
--- a/internal/release/warmup.go
+++ b/internal/release/warmup.go
@@ -49,7 +49,7 @@
 		r.completePermit(unit, permitKnown)
 		return
 	}
-	if r.endedWhileWarmingUp(unit) || !r.inStageFor(unit, warmUpTimeoutMS) {
+	if r.handleExitDuringWarmUp(unit) || !r.inStageLongerThan(unit, warmUpTimeoutMS) {
 		return
 	}
 	condition := conditionUnregistered
@@ -73,8 +73,8 @@
 	r.enterStage(unit, StageConverged)
 }
 
-// endedWhileWarmingUp handles a unit that has ended or disappeared while it warmed up, and reports whether it has.
-func (r *reconciler) endedWhileWarmingUp(unit *Unit) bool {
+// handleExitDuringWarmUp handles a unit that has ended or disappeared while it warmed up, and reports whether it has.
+func (r *reconciler) handleExitDuringWarmUp(unit *Unit) bool {
 	platform := r.view.Platform
 	if platform == nil {
 		return false
@@ -85,7 +85,7 @@
 		r.enterStage(unit, StageStarting)
 		return true
 	case listed != nil && listed.State == supervisor.Exited && platform.AtMS-listed.SinceMS > exitConfirmationMS:
-		r.recordFailedStart(unit, cmp.Or(listed.Exit, reasonEnded))
+		r.recordFailedStart(unit, cmp.Or(listed.Exit, reasonExited))
 		return true
 	}
 	return false
