--- a/internal/release/analysis.go
+++ b/internal/release/analysis.go
@@ -5,8 +5,9 @@
 	"milldeck/internal/release/plan"
 )
 
-// Tolerances where a plan sets none: shares of requests, restarts of a unit in a second, memory relative to the previous
-// version. With them a wave of a few units passes within a minute or two at some ten requests a second each.
+// Defaults for guards that a plan does not set. The first four tolerances are shares of requests, restarts are per unit and
+// second, memory is relative to the previous version, and the false-alarm rate is a probability per release. With these
+// defaults a wave of a few units passes within one or two minutes at about ten requests per second and unit.
 const (
 	defaultServedTolerance  = 0.02
 	defaultLateTolerance    = 0.02
@@ -17,12 +18,12 @@
 	defaultFalseAlarmRate   = 0.01
 )
 
-// analysesPerWave is how many analyses a wave has, besides one more for each unit that extends it: one while its units are
-// updated, one while it bakes.
+// analysesPerWave is the number of analyses in a wave: one during the update of its units and one during the bake. Each
+// unit that extends the wave adds another.
 const analysesPerWave = 2
 
-// judgeSettings are the settings of one of a release's analyses, over so many strata (classes × zones). The plan's
-// false-alarm rate is shared evenly among all of the release's analyses.
+// judgeSettings returns the settings of a single analysis over a number of strata (classes × zones). It divides the plan's
+// false-alarm rate evenly among all analyses of the release.
 func judgeSettings(releasePlan *plan.Plan, strata int) judge.Settings {
 	analyses := 0
 	for _, wave := range releasePlan.Waves {
@@ -48,8 +49,9 @@
 	return *value
 }
 
-// WaveAnalysis is a controller's analysis of the wave that a release is in. It starts over with each wave, and again when
-// the wave's bake begins, so that a pass rests on the traffic of all its units. It is not stored: a successor starts over.
+// WaveAnalysis is a controller's analysis of the present wave of a release. It restarts with each wave, and again when the
+// wave's bake begins, so that a pass is based on the traffic of all units of the wave. It is not stored, so a succeeding
+// controller restarts it too.
 type WaveAnalysis struct {
 	strata      int
 	judge       *judge.Judge
@@ -58,10 +60,10 @@
 	last        judge.Verdict
 }
 
-// NewWaveAnalysis makes an analysis over so many strata (classes × zones).
+// NewWaveAnalysis returns an analysis over a number of strata (classes × zones).
 func NewWaveAnalysis(strata int) *WaveAnalysis { return &WaveAnalysis{strata: strata} }
 
-// Add takes an interval and returns the verdict on the wave so far.
+// Add adds the observations of an interval and returns the verdict on the wave so far.
 func (a *WaveAnalysis) Add(state *State, interval judge.Interval) judge.Verdict {
 	if !a.covers(state) {
 		a.judge = judge.New(judgeSettings(state.Plan, a.strata))
@@ -72,8 +74,8 @@
 	return a.last
 }
 
-// Verdict is the latest verdict, without an outcome if the release has entered another wave or bake since. A wave passes
-// only in its bake.
+// Verdict returns the latest verdict, or an empty one if the release has entered another wave or bake since. Outside the
+// bake it returns judge.Inconclusive in place of judge.Pass, because a wave can pass only in its bake.
 func (a *WaveAnalysis) Verdict(state *State) judge.Verdict {
 	if !a.covers(state) {
 		return judge.Verdict{}
@@ -84,7 +86,7 @@
 	return a.last
 }
 
-// covers reports whether the analysis is of the wave and bake that the release is in.
+// covers reports whether the analysis belongs to the present wave and bake of the release.
 func (a *WaveAnalysis) covers(state *State) bool {
 	return a.judge != nil && a.wave == state.Status.Wave && a.bakeStartMS == state.Status.BakeStartMS
 }
--- a/internal/release/command.go
+++ b/internal/release/command.go
@@ -8,13 +8,13 @@
 	"milldeck/internal/release/plan"
 )
 
-// haltedByGuard is who halts a release where no operator does. It is stored in Status.HaltedBy.
+// haltedByGuard is stored in Status.HaltedBy when a guard, not an operator, halts a release.
 const haltedByGuard = "guard"
 
-// defaultCommandReason is stored where an operator gave no reason.
+// defaultCommandReason is stored in Status.HaltReason when an operator gives no reason.
 const defaultCommandReason = "by hand"
 
-// handleCommands handles the operators' commands that are new, in their order. One that does not fit the phase is ignored.
+// handleCommands handles the operators' new commands in order. It ignores a command that the present phase does not allow.
 func (r *reconciler) handleCommands() {
 	for ; r.status.HandledCommands < len(r.view.Commands); r.status.HandledCommands++ {
 		r.handleCommand(r.view.Commands[r.status.HandledCommands])
@@ -50,7 +50,7 @@
 	return phase == PhaseRollout || phase == PhaseHalted || phase == PhaseCompleted
 }
 
-// checkGuards halts a rollout whose new version regresses, or whose deadline is over.
+// checkGuards halts a rollout if the new version regresses or the deadline has passed.
 func (r *reconciler) checkGuards() {
 	if r.status.Phase != PhaseRollout {
 		return
@@ -66,8 +66,9 @@
 	}
 }
 
-// halt ends the rollout at once. Under plan.OnHaltRollback every unit returns to its previous image. Otherwise a unit that
-// has not been stopped yet returns, and one that is being started or reloaded finishes.
+// halt stops the rollout at once. Under plan.OnHaltRollback every unit returns to its previous image. Otherwise only units
+// in progress are affected: a unit that is already being started or reloaded finishes, and any other returns to its
+// previous image.
 func (r *reconciler) halt(haltedBy, reason string, policy plan.HaltPolicy) {
 	r.status.HaltedBy = haltedBy
 	r.status.HaltReason = reason
@@ -85,7 +86,8 @@
 	}
 }
 
-// finishesUnderHalt reports whether a unit at this stage goes on while the release is halted: it has been changed already.
+// finishesUnderHalt reports whether a unit at this stage continues while the release is halted, because the unit has
+// already been changed.
 func (r *reconciler) finishesUnderHalt(stage Stage) bool {
 	switch stage {
 	case StageStarting, StageReloading, StageWarmingUp:
@@ -96,7 +98,7 @@
 	return false
 }
 
-// rollbackUnit turns a unit towards its previous image, at whatever stage it is.
+// rollbackUnit returns a unit with its direction changed to the previous image. The unit may be at any stage.
 func (r *reconciler) rollbackUnit(unit Unit) Unit {
 	if unit.Rollback {
 		return unit
@@ -105,12 +107,12 @@
 	case StagePending:
 		return unit
 	case StageRequestingPermit, StagePreparing, StageBeginningDisruption, StageDraining, StageCancelling:
-		unit.Stage = StageCancelling // it has not been changed: its permit is cancelled
+		unit.Stage = StageCancelling // the unit is unchanged, so cancelling its permit is enough
 		return unit
 	case StageConverged, StageFailed:
-		unit.Stage = StagePending // it returns under a permit of its own
+		unit.Stage = StagePending // the rollback requests another permit
 	default:
-		unit.Stage = r.release.firstUpdateStage() // it is out, and returns under the permit that it has
+		unit.Stage = r.release.firstUpdateStage() // the unit is out, so the present permit covers the rollback
 	}
 	unit.Rollback = true
 	unit.FailedStarts = 0
--- a/internal/release/drain_tracker.go
+++ b/internal/release/drain_tracker.go
@@ -1,30 +1,31 @@
 package release
 
-// DrainTracker proves that draining servers have no open request. A sidecar with an endpoint list in which a server is
-// Terminating sends it no further request, and those that it sent before end within the longest duration of a request. So a
-// server is drained once every live sidecar has reported, without a break for that long, that it has such a list. A
-// sidecar that reports nothing proves nothing. The tracker is not stored: a successor starts over.
+// DrainTracker proves that draining servers have no open request. A sidecar whose endpoint list has a server as
+// Terminating sends the server no further request, and its earlier requests end within the maximum duration of a request.
+// A server is therefore drained once every live sidecar has confirmed such a list continuously for that duration. A
+// sidecar that reports no list revision confirms nothing. The tracker is not stored, so a succeeding controller starts
+// with an empty one.
 type DrainTracker struct {
-	maxRequestMS int64 // the longest that a request may take, from when it is sent until it ends
+	maxRequestMS int64 // maximum time from sending a request until it ends
 	proofs       map[string]*drainProof
 }
 
-// drainProof is what is known of one draining server.
+// drainProof is the evidence about one draining server.
 type drainProof struct {
-	listRevision     uint64 // of the first list in which it is Terminating
-	confirmedSinceMS int64  // since when all live sidecars have such a list; 0: not all do
+	listRevision     uint64 // revision of the first endpoint list that has the server as Terminating
+	confirmedSinceMS int64  // since when all live sidecars have that list or a newer one; 0: not all do
 }
 
-// maxTrackedServers bounds the servers that are tracked at a time.
+// maxTrackedServers limits the number of servers that are tracked at a time.
 const maxTrackedServers = 10_000
 
-// NewDrainTracker makes a tracker for requests that take at most maxRequestMS.
+// NewDrainTracker returns a tracker for requests that take at most maxRequestMS.
 func NewDrainTracker(maxRequestMS int64) *DrainTracker {
 	return &DrainTracker{maxRequestMS: maxRequestMS, proofs: map[string]*drainProof{}}
 }
 
-// Update takes an observation: the servers that are Terminating in the endpoint list of a revision, the live sidecars, and
-// the revision of the list that each sidecar reported to have. The time is monotonic and above 0.
+// Update adds an observation: the servers that are Terminating in the endpoint list of listRevision, the live sidecars,
+// and the revision of the endpoint list that each sidecar reported. nowMS is monotonic and greater than 0.
 func (t *DrainTracker) Update(
 	nowMS int64, terminating []string, listRevision uint64, liveSidecars []string, sidecarRevisions map[string]uint64,
 ) {
@@ -39,7 +40,7 @@
 	for id, proof := range t.proofs {
 		switch {
 		case !stillTerminating[id]:
-			delete(t.proofs, id) // it is ready again or removed: its next drain needs a proof of its own
+			delete(t.proofs, id) // the server is ready again or removed: another drain needs another proof
 		case len(liveSidecars) > 0 && oldest < proof.listRevision:
 			proof.confirmedSinceMS = 0
 		case proof.confirmedSinceMS == 0:
@@ -48,7 +49,8 @@
 	}
 }
 
-// oldestRevision is the oldest list that a live sidecar has, 0 where one has reported none or there is none.
+// oldestRevision returns the oldest revision of the endpoint list among the live sidecars. It is 0 if there is no live
+// sidecar or one of them has reported no revision.
 func oldestRevision(liveSidecars []string, sidecarRevisions map[string]uint64) uint64 {
 	oldest := uint64(0)
 	for i, name := range liveSidecars {
@@ -59,7 +61,8 @@
 	return oldest
 }
 
-// Drained reports whether a server is proved to have no open request. Without live sidecars no request is sent to it.
+// Drained reports whether a server is proved to have no open request. Time without live sidecars counts as confirmed,
+// because no sidecar sends requests to the server then.
 func (t *DrainTracker) Drained(nowMS int64, id string) bool {
 	proof := t.proofs[id]
 	return proof != nil && proof.confirmedSinceMS != 0 && nowMS-proof.confirmedSinceMS >= t.maxRequestMS
--- a/internal/release/identifiers.go
+++ b/internal/release/identifiers.go
@@ -8,17 +8,18 @@
 	"milldeck/internal/supervisor"
 )
 
-// requestIDHashBytes is how much of a hash a platform request's ID carries.
+// requestIDHashBytes is the number of hash bytes in the ID of a platform request.
 const requestIDHashBytes = 12
 
-// Owner is the name of the lease under whose token a release is written. It also owns the release's permits.
+// Owner returns the name of a release's lease. The release is written under the lease's fencing token, and the lease owns
+// the release's permits.
 func Owner(name string) string { return "release/" + name }
 
-// CohortID is the placement directive that has sidecars count requests to updated servers separately.
+// CohortID returns the ID of the placement directive that makes sidecars count requests to updated servers separately.
 func (s *State) CohortID() string { return "cohort/" + s.Name }
 
-// PermitID is the ID of a unit's present permit. It follows from the written state, so that a repeated request of it is
-// the same permit.
+// PermitID returns the ID of a unit's present permit. The ID is derived from the written state, so that a repeated
+// request refers to the same permit.
 func (s *State) PermitID(unit *Unit) string {
 	direction := "to"
 	if unit.RollbackPermit {
@@ -27,15 +28,15 @@
 	return fmt.Sprintf("%s@%d/%s/%d/%s", Owner(s.Name), s.StartRevision, direction, unit.PermitAttempt, unit.ID)
 }
 
-// RequestID is the ID of a unit's present platform request. It follows from the written state, so that the platform
-// recognizes a repetition, whoever sends it.
+// RequestID returns the ID of a unit's present platform request. The ID is derived from the written state, so that the
+// platform recognizes a repeated request whichever controller sends it.
 func (s *State) RequestID(unit *Unit) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s\x00%d\x00%s\x00%d", s.Name, s.StartRevision, unit.ID, unit.Request.Sequence))
 	return "rel-" + hex.EncodeToString(sum[:requestIDHashBytes])
 }
 
-// platformRequest is a unit's present request in the platform's form, without the text of its configuration: the sender
-// adds it, by the unit's name and the configuration's.
+// platformRequest returns a unit's present request in the platform's form. It lacks the text of the configuration, which
+// the sender adds; it looks the text up by the names of the unit and the configuration.
 func (s *State) platformRequest(unit *Unit) supervisor.Request {
 	request := supervisor.Request{
 		ID:          s.RequestID(unit),
--- a/internal/release/interval.go
+++ b/internal/release/interval.go
@@ -10,7 +10,7 @@
 	"milldeck/internal/supervisor"
 )
 
-// UpdatedUnits are the names of the units that run the target image or are warming up on it, sorted.
+// UpdatedUnits returns the sorted names of the units that run the target image or are warming up with it.
 func (s *State) UpdatedUnits() []string {
 	var names []string
 	for i := range s.Units {
@@ -23,9 +23,9 @@
 	return names
 }
 
-// Interval makes the judge's observation of one interval, from the load reports that arrived in it (one of each sidecar at
-// most), the number of live sidecars, which are expected to report, and the platform's lists before and after it. Either
-// list may be nil.
+// Interval returns the observations of one interval for the judge. reports are the load reports that arrived in the
+// interval, at most one per sidecar. expectedReports is the number of live sidecars. previousList and currentList are the
+// platform's lists before and after the interval; either may be nil.
 func (s *State) Interval(
 	reports []placement.LoadReport, expectedReports int, previousList, currentList *supervisor.List,
 ) judge.Interval {
@@ -44,7 +44,7 @@
 // stratum is a class of requests in a zone.
 type stratum struct{ zone, class string }
 
-// classSamples sums the reports' counts by zone and class, updated units against the others, sorted.
+// classSamples sums the reports' counts by zone and class, separately for updated and other units. The samples are sorted.
 func (s *State) classSamples(reports []placement.LoadReport, updated map[string]bool) []judge.ClassSample {
 	samples := map[stratum]*judge.ClassSample{}
 	for i := range reports {
@@ -77,9 +77,9 @@
 	return sorted
 }
 
-// classifyCount says in which zone a count is compared, and whether it is of an updated unit. In a release of servers the
-// count's cohort says so, and counts of another release's cohort are not ok. In a release of sidecars the reporter does,
-// and is compared with the sidecars of its own zone.
+// classifyCount returns the zone in which a count is compared and whether the count belongs to an updated unit (canary).
+// In a release of servers the count's cohort decides; for a count of another release's cohort ok is false. In a release of
+// sidecars the reporting sidecar decides, and it is compared with the sidecars of its own zone.
 func (s *State) classifyCount(
 	report *placement.LoadReport, count *placement.ClassCount, updated map[string]bool,
 ) (zone string, canary, ok bool) {
@@ -104,8 +104,8 @@
 	}
 }
 
-// zoneSamples counts the live units of the release's kind and their restarts by zone, updated units against the others,
-// sorted. Memory is not known here.
+// zoneSamples counts the live units of the release's kind and their restarts by zone, separately for updated and other
+// units. The samples are sorted. They lack memory, which the platform's list does not have.
 func (s *State) zoneSamples(updated map[string]bool, previousList, currentList *supervisor.List) []judge.ZoneSample {
 	if currentList == nil {
 		return nil
@@ -136,7 +136,8 @@
 	return sorted
 }
 
-// restartsSince is how often the platform restarted a unit between two lists, 0 where that is not known.
+// restartsSince returns how often the platform itself restarted a unit between two lists. It returns 0 if this is unknown:
+// the earlier list is missing or lacks the unit, or the epoch or the unit's incarnation has changed.
 func restartsSince(previousList, currentList *supervisor.List, unit *supervisor.Unit) int {
 	if previousList == nil || previousList.Epoch != currentList.Epoch {
 		return 0
--- a/internal/release/new.go
+++ b/internal/release/new.go
@@ -9,9 +9,9 @@
 	"milldeck/internal/supervisor"
 )
 
-// New makes the initial state of a release from its plan and from the fleet and the platform as they are. Units that run
-// the target image already are left out. It is an error if the plan is infeasible, if the platform does not list a unit,
-// which could not be stopped then, or if nothing is left to do.
+// New returns the initial state of a release, computed from its plan and the present state of the fleet and the platform.
+// It leaves out units that already run the target image. It returns an error if the plan is infeasible, if no unit needs
+// an update, or if the platform does not list a unit, because such a unit cannot be stopped.
 func New(
 	releasePlan *plan.Plan, nowMS int64, units []disruption.Unit, budgets []disruption.Budget, platform *supervisor.List,
 ) (*State, error) {
@@ -37,13 +37,13 @@
 		}
 	}
 	if len(state.Units) == 0 {
-		return nil, fmt.Errorf("release %s: all its units are on the new version", releasePlan.Name)
+		return nil, fmt.Errorf("release %s: all selected units already run the target version and configuration", releasePlan.Name)
 	}
 	return state, nil
 }
 
-// DrainPlan is the plan of a drain: the units of a selector, servers unless it names a kind, in one wave that only the
-// fleet's budgets bound.
+// DrainPlan returns the plan of a drain. It selects the units of a selector, or only servers if the selector names no
+// kind, in a single wave that only the fleet's budgets limit.
 func DrainPlan(name string, selector disruption.Selector, deadlineSeconds float64) *plan.Plan {
 	if selector.Kind == "" {
 		selector.Kind = disruption.KindServer
@@ -59,8 +59,8 @@
 	}
 }
 
-// NewDrain makes the initial state of a drain, whose units are drained, stopped, and stay out for good. It is an error if
-// the platform does not list a unit, or if nothing is selected.
+// NewDrain returns the initial state of a drain, which drains and stops its units permanently. It returns an error if the
+// plan selects no unit or if the platform does not list a unit.
 func NewDrain(
 	drainPlan *plan.Plan, nowMS int64, units []disruption.Unit, platform *supervisor.List,
 ) (*State, error) {
@@ -77,7 +77,7 @@
 		state.Units = append(state.Units, unit)
 	}
 	if len(state.Units) == 0 {
-		return nil, fmt.Errorf("drain %s: nothing is selected", drainPlan.Name)
+		return nil, fmt.Errorf("drain %s: no unit matches the selector", drainPlan.Name)
 	}
 	return state, nil
 }
@@ -92,7 +92,7 @@
 	}
 }
 
-// targetImage is what a unit runs after the plan's change.
+// targetImage returns the image that a unit runs after the plan's change.
 func targetImage(releasePlan *plan.Plan, previous Image) Image {
 	target := previous
 	if version := releasePlan.Change.Version(); version != "" {
@@ -104,10 +104,10 @@
 	return target
 }
 
-// newUnit is a pending unit of a wave, with the image that the platform lists as its previous one.
+// newUnit returns a pending unit of a wave. Its previous image is the one that the platform lists.
 func newUnit(platform *supervisor.List, ledgerUnit disruption.Unit, wave int) (Unit, error) {
 	if platform == nil || !platform.Complete {
-		return Unit{}, errors.New("the platform does not know all that it runs")
+		return Unit{}, errors.New("the platform has no complete list of its units")
 	}
 	name := ledgerUnit.ID[len(ledgerUnit.Kind)+1:]
 	listed := platform.Find(name)
--- a/internal/release/permit.go
+++ b/internal/release/permit.go
@@ -5,11 +5,11 @@
 	"milldeck/internal/supervisor"
 )
 
-// reconcilePermit follows a permit from its request to the beginning of the disruption.
+// reconcilePermit handles the stages from the permit's request to the begin of the disruption.
 func (r *reconciler) reconcilePermit(unit *Unit, permit disruption.Permit, permitKnown bool) {
 	granted := permitKnown && permit.Stage != disruption.StageRequested
 	switch {
-	case permitKnown && permitEnded(permit): // by an operator
+	case permitKnown && permitEnded(permit): // an operator has ended the permit
 		r.enterStage(unit, StagePending)
 	case unit.Stage == StageRequestingPermit:
 		r.awaitGrant(unit, permit, permitKnown, granted)
@@ -25,7 +25,7 @@
 	}
 }
 
-// awaitGrant requests a permit that the ledger does not have, and waits until it is granted.
+// awaitGrant requests the permit if the ledger does not have it, and waits until it is granted.
 func (r *reconciler) awaitGrant(unit *Unit, permit disruption.Permit, permitKnown, granted bool) {
 	switch {
 	case !permitKnown:
@@ -35,12 +35,12 @@
 		unit.Reason = permit.WaitReason
 	case r.release.unitKind() == disruption.KindServer:
 		r.enterStage(unit, StagePreparing)
-	default: // nothing is served by one sidecar alone
+	default: // a sidecar needs no preparation: it serves nothing that other sidecars do not
 		r.enterStage(unit, StageBeginningDisruption)
 	}
 }
 
-// requestPermit requests a unit's permit. The ledger recognizes a repetition by the permit's ID.
+// requestPermit requests a unit's permit. The ledger recognizes a repeated request by the permit's ID.
 func (r *reconciler) requestPermit(unit *Unit) {
 	permit := &disruption.Permit{
 		ID:          r.release.PermitID(unit),
@@ -61,7 +61,8 @@
 	r.emit(ApplyLedgerOp{disruption.Op{Kind: disruption.OpRequest, Owner: permit.Owner, Permit: permit}})
 }
 
-// handleDeniedPermit fails a unit whose permit the ledger keeps denying.
+// handleDeniedPermit records a failure if the ledger still denies a unit's permit after requestEffectTimeoutMS. In a
+// rollback the unit then fails; in a rollout it becomes pending again.
 func (r *reconciler) handleDeniedPermit(unit *Unit) {
 	reason := r.view.DeniedPermits[r.release.PermitID(unit)]
 	if reason == "" || !r.inStageLongerThan(unit, requestEffectTimeoutMS) {
@@ -75,7 +76,7 @@
 	r.enterStage(unit, StagePending)
 }
 
-// awaitPreparation waits until what only this unit serves is available elsewhere.
+// awaitPreparation prepares a unit until everything that only this unit serves is available on other units.
 func (r *reconciler) awaitPreparation(unit *Unit) {
 	if r.view.Prepared(unit.ID) || r.exitedOrLost(unit) {
 		r.enterStage(unit, StageBeginningDisruption)
@@ -84,7 +85,7 @@
 	r.emit(PrepareUnit{unit.ID})
 }
 
-// beginDisruption tells the ledger that the unit goes out, and goes on once the ledger has it.
+// beginDisruption records the begin of the disruption in the ledger, and enters the next stage once it is recorded.
 func (r *reconciler) beginDisruption(unit *Unit, permit disruption.Permit) {
 	switch {
 	case permit.Stage == disruption.StageGranted:
@@ -96,7 +97,7 @@
 	}
 }
 
-// reconcileCancel cancels a permit before its unit was changed, and returns a draining server to the endpoint list.
+// reconcileCancel cancels the permit of a unit that has not been changed, and marks a draining server Ready again.
 func (r *reconciler) reconcileCancel(unit *Unit, permit disruption.Permit, permitKnown bool) {
 	if !permitKnown || permitEnded(permit) {
 		unit.Reason = ""
@@ -104,7 +105,7 @@
 		return
 	}
 	if r.release.unitKind() == disruption.KindServer {
-		// Whether it is draining cannot be seen: it may have been marked a moment ago.
+		// The view does not show reliably whether the server is draining: it may have been marked only a moment ago.
 		r.emit(MarkReady{unit.ID})
 	}
 	if !permit.Aborted {
@@ -121,8 +122,8 @@
 	r.emitPermitOp(disruption.OpComplete, unit)
 }
 
-// reportSidecarUp reports to the ledger that a sidecar runs on unchanged under a cancelled permit. The registry reports
-// changes only, and here there is none, so no other evidence would ever come.
+// reportSidecarUp reports to the ledger that a sidecar with a cancelled permit is still running. The registry reports only
+// changes, and an unchanged sidecar has none, so the ledger would never receive other evidence.
 func (r *reconciler) reportSidecarUp(unit *Unit, ledgerUnit disruption.Unit) {
 	listed := r.listedUnit(unit)
 	if listed == nil || listed.State != supervisor.Running {
--- a/internal/release/process.go
+++ b/internal/release/process.go
@@ -7,7 +7,8 @@
 	"milldeck/internal/supervisor"
 )
 
-// listedUnit is a unit as the platform lists it, nil where the platform did not answer or does not list it.
+// listedUnit returns a unit's entry in the platform's list, or nil if the platform did not answer or does not list the
+// unit.
 func (r *reconciler) listedUnit(unit *Unit) *supervisor.Unit {
 	if r.view.Platform == nil {
 		return nil
@@ -15,7 +16,7 @@
 	return r.view.Platform.Find(unit.Name)
 }
 
-// exitedOrLost reports whether a unit has ended by itself, so that no request can be open on it.
+// exitedOrLost reports whether a unit has exited or its lease has expired, so that no request can be open on it.
 func (r *reconciler) exitedOrLost(unit *Unit) bool {
 	ledgerUnit, registered := r.view.Unit(unit.ID)
 	if registered && ledgerUnit.Condition == disruption.ConditionLost {
@@ -25,8 +26,8 @@
 	return listed != nil && listed.State == supervisor.Exited
 }
 
-// confirmedStopped reports whether there is evidence that a unit has no process. That it is not listed is evidence only
-// where the list is complete: a platform that has lost its state lists nothing, while everything runs on.
+// confirmedStopped reports whether there is evidence that a unit has no process. Absence from the list is evidence only if
+// the list is complete: a platform that has lost its state lists nothing although all processes are still running.
 func confirmedStopped(platform *supervisor.List, name string) bool {
 	listed := platform.Find(name)
 	if listed == nil {
@@ -35,7 +36,7 @@
 	return listed.State == supervisor.Exited
 }
 
-// reconcileDrain keeps a server Terminating until it is proved to have no open request.
+// reconcileDrain keeps a server Terminating until no request can be open on it.
 func (r *reconciler) reconcileDrain(unit *Unit) {
 	if r.view.Drained(unit.ID) || r.exitedOrLost(unit) {
 		r.enterStage(unit, StageStopping)
@@ -44,7 +45,7 @@
 	r.emit(MarkTerminating{unit.ID})
 }
 
-// reconcileStop has the platform stop a unit until it is confirmed to be stopped.
+// reconcileStop requests that the platform stop a unit, until the stop is confirmed.
 func (r *reconciler) reconcileStop(unit *Unit) {
 	platform := r.view.Platform
 	if platform == nil {
@@ -60,7 +61,7 @@
 	}
 	listed := platform.Find(unit.Name)
 	if listed == nil {
-		return // it may run: the platform has lost its state and has not found all units again
+		return // the unit may be running: the platform has lost its state and has not rediscovered all units
 	}
 	if r.awaitAcceptance(unit, platform, supervisor.Stop, listed.Incarnation) {
 		return
@@ -74,7 +75,8 @@
 	}
 }
 
-// reconcileStart has the platform start a unit with its desired image until the unit was ready once.
+// reconcileStart requests that the platform start a unit with its desired image, until the platform lists the unit as
+// running, which means that it has been ready once.
 func (r *reconciler) reconcileStart(unit *Unit) {
 	platform := r.view.Platform
 	if platform == nil {
@@ -82,7 +84,7 @@
 	}
 	listed := platform.Find(unit.Name)
 	switch {
-	case listed == nil && !platform.Complete: // it may run already
+	case listed == nil && !platform.Complete: // the unit may already be running
 	case listed == nil:
 		r.requestStart(unit, platform, 0)
 	case listed.State != supervisor.Exited:
@@ -96,7 +98,7 @@
 	}
 }
 
-// requestStart requests a start, and again where the accepted request shows no effect.
+// requestStart requests a start, and requests it again if an accepted request shows no effect.
 func (r *reconciler) requestStart(unit *Unit, platform *supervisor.List, incarnation uint64) {
 	if r.awaitAcceptance(unit, platform, supervisor.Start, incarnation) {
 		return
@@ -104,10 +106,10 @@
 	r.dropRequestWithoutEffect(unit, requestEffectTimeoutMS)
 }
 
-// monitorStart handles a unit that the platform lists as alive while it is to be started.
+// monitorStart handles a unit at StageStarting that the platform lists in a state other than exited.
 func (r *reconciler) monitorStart(unit *Unit, platform *supervisor.List, listed *supervisor.Unit) {
 	if !runsImage(listed, unit.desiredImage()) {
-		r.enterStage(unit, StageStopping) // something else was started in its place
+		r.enterStage(unit, StageStopping) // the unit was started with another image
 		return
 	}
 	switch listed.State {
@@ -122,14 +124,15 @@
 	}
 }
 
-// exitedSinceRequest reports whether an exited unit was started by its present request and ended by itself, rather than
-// having exited before the request.
+// exitedSinceRequest reports whether an exited unit was started by its present request and then exited by itself. If not,
+// it exited before the request.
 func exitedSinceRequest(unit *Unit, platform *supervisor.List, listed *supervisor.Unit) bool {
 	request := unit.Request
 	return request != nil && request.Epoch == platform.Epoch && request.Incarnation != listed.Incarnation
 }
 
-// reconcileReload has the platform reload a unit's configuration until the unit itself reports that it runs by it.
+// reconcileReload requests that the platform reload a unit's configuration, until the unit itself reports that it uses the
+// configuration.
 func (r *reconciler) reconcileReload(unit *Unit) {
 	desired := unit.desiredImage()
 	if reason := r.view.ConfigRejection(unit.ID, desired.ConfigName); reason != "" && r.requestAccepted(unit) {
@@ -159,9 +162,10 @@
 	}
 }
 
-// confirmedReloaded reports whether a unit runs by its desired configuration and would start with it again. It takes both
-// the unit's own report and the platform's list: a unit serves on with the old configuration until it has read the new
-// one, and one that rejected the new one would read it at its next start.
+// confirmedReloaded reports whether a unit uses its desired configuration and would use it again after a restart. Both the
+// unit's own report and the platform's list are needed. The list alone is not enough because a unit keeps serving with the
+// old configuration until it has read the new one. The report alone is not enough because a unit that rejected the new
+// configuration would read it at its next start.
 func (r *reconciler) confirmedReloaded(unit *Unit, listed *supervisor.Unit) bool {
 	running, known := r.view.ReportedImage(unit.ID)
 	if !known || listed == nil {
@@ -171,8 +175,9 @@
 	return running == desired && listed.ConfigName == desired.ConfigName
 }
 
-// awaitAcceptance decides a request, which is written before it is sent, or sends the written one until it is answered. It
-// reports whether the unit still waits; otherwise the request was accepted, and the list shows its effect.
+// awaitAcceptance creates a request, which has to be written before it is sent, or sends the written request until the
+// platform answers. It returns false once the platform has accepted the request, so that its effect can be expected in the
+// platform's list, and true otherwise.
 func (r *reconciler) awaitAcceptance(unit *Unit, platform *supervisor.List, op supervisor.Op, incarnation uint64) bool {
 	if unit.Request == nil || unit.Request.Op != op || unit.Request.Epoch != platform.Epoch {
 		r.createRequest(unit, platform, op, incarnation)
@@ -190,14 +195,15 @@
 		r.failUnit(unit, cmp.Or(outcome.Detail, reasonUnknownVersion))
 		return true
 	}
-	// A rejection has changed nothing, and a repetition would be rejected too. The list shows what to request instead.
+	// The rejected request changed nothing, and a repetition would be rejected too. After a while it is dropped, and the
+	// next request is created from the platform's current list.
 	if r.requestOlderThan(unit, requestEffectTimeoutMS) {
 		unit.Request = nil
 	}
 	return true
 }
 
-// createRequest decides the unit's next request, unless it has had too many.
+// createRequest creates a unit's next request, or records a failed start if the unit has reached maxRequestsPerUnit.
 func (r *reconciler) createRequest(unit *Unit, platform *supervisor.List, op supervisor.Op, incarnation uint64) {
 	if unit.RequestCount >= maxRequestsPerUnit {
 		r.recordFailedStart(unit, reasonNoEffect)
@@ -213,7 +219,6 @@
 	}
 }
 
-// requestAccepted reports whether the platform has accepted a unit's present request.
 func (r *reconciler) requestAccepted(unit *Unit) bool {
 	if unit.Request == nil {
 		return false
@@ -222,17 +227,19 @@
 	return answered && outcome.Rejected == ""
 }
 
-// requestOlderThan reports whether a unit's present request was decided longer ago than a timeout.
+// requestOlderThan reports whether a unit's present request was created longer ago than a timeout.
 func (r *reconciler) requestOlderThan(unit *Unit, timeoutMS int64) bool {
 	return r.view.NowMS-unit.Request.CreatedAtMS > timeoutMS
 }
 
-// acceptedRequestOlderThan reports whether the platform accepted a unit's present request, and it was decided longer ago than a timeout.
+// acceptedRequestOlderThan reports whether the platform has accepted a unit's present request and the request was created
+// longer ago than a timeout.
 func (r *reconciler) acceptedRequestOlderThan(unit *Unit, timeoutMS int64) bool {
 	return r.requestAccepted(unit) && r.requestOlderThan(unit, timeoutMS)
 }
 
-// dropRequestWithoutEffect drops an accepted request that has shown no effect within a timeout, so that it is decided again.
+// dropRequestWithoutEffect drops an accepted request that has shown no effect within a timeout, so that a new request
+// replaces it.
 func (r *reconciler) dropRequestWithoutEffect(unit *Unit, timeoutMS int64) {
 	if r.acceptedRequestOlderThan(unit, timeoutMS) {
 		unit.Request = nil
--- a/internal/release/reconciler.go
+++ b/internal/release/reconciler.go
@@ -6,35 +6,36 @@
 	"milldeck/internal/disruption"
 )
 
-// Timeouts, in ms. All are far above what a healthy unit or platform takes. What exceeds one is tried again or counts as
-// failed; it never counts as done.
+// Timeouts in ms, all far above the time that a healthy unit or platform takes. An action that exceeds its timeout is
+// retried or counts as failed; it never counts as done.
 const (
-	requestEffectTimeoutMS = 5_000   // from an accepted request until the platform's list shows an effect
-	stopTimeoutMS          = 15_000  // from SIGTERM until the stop is requested again: above the platform's usual grace of 10 s
-	startTimeoutMS         = 60_000  // from the start request until the unit was ready once
-	warmUpTimeoutMS        = 180_000 // from then until it is registered, ready and warm
-	exitConfirmationMS     = 3_000   // for which a started unit may be listed as exited: the platform may restart it
-	rollbackStallTimeoutMS = 120_000 // without a grant in a rollback that has a failed unit
+	requestEffectTimeoutMS = 5_000   // from an accepted request until the platform's list shows its effect
+	stopTimeoutMS          = 15_000  // from SIGTERM until the stop is requested again; above the platform's usual grace of 10 s
+	startTimeoutMS         = 60_000  // from the start request until the unit has been ready once
+	warmUpTimeoutMS        = 180_000 // from the first readiness until the unit is registered, ready and warm
+	exitConfirmationMS     = 3_000   // how long a started unit may be listed as exited, because the platform may restart it
+	rollbackStallTimeoutMS = 120_000 // how long a rollback with a failed unit may wait without a grant
 )
 
 // msPerSecond converts the seconds of plans to the controller's milliseconds.
 const msPerSecond = 1000
 
-// Bounds on attempts.
+// Limits on attempts.
 const (
-	// maxFailedStarts is how many starts may fail before the unit does: the first may be the platform's fault.
+	// maxFailedStarts is the number of failed starts after which a unit fails. One failure is tolerated because it may be
+	// the platform's fault.
 	maxFailedStarts = 2
-	// maxFailedRollbacks is how many units may fail in a rollback before it takes no further unit out. The previous
-	// version is broken too then, and what still serves on the new one stays.
+	// maxFailedRollbacks is the number of failed units after which a rollback takes no further unit out. The previous
+	// version is then assumed to be broken too, so units that still serve on the new version keep it.
 	maxFailedRollbacks = 2
-	// maxRequestsPerUnit bounds the platform requests for one unit.
+	// maxRequestsPerUnit limits the platform requests for one unit.
 	maxRequestsPerUnit = 40
-	// maxPermitAttempts bounds how often a unit that has drifted is updated again.
+	// maxPermitAttempts limits how often a unit is updated again after it has drifted.
 	maxPermitAttempts = 8
 )
 
-// Reconcile returns what has to be done now, in order, the write of the next state last. It changes nothing. Nothing to do
-// gives no effects.
+// Reconcile returns the effects to execute now, in order. The last one writes the next state. Reconcile does not change s,
+// and returns no effects if there is nothing to do.
 func (s *State) Reconcile(view *View) []Effect {
 	r := &reconciler{release: s, view: view, status: s.Status}
 	if s.Status.Token != view.Token {
@@ -57,18 +58,18 @@
 	return r.effects
 }
 
-// reconciler is one run of Reconcile. What it does follows from release, the written state; what it decides goes into
-// status and changed, and is written before anything is done about it.
+// reconciler is one run of Reconcile. It derives effects only from release, which is the written state. It records
+// decisions in status and changed; a later run acts on them, after they have been written.
 type reconciler struct {
 	release  *State
 	view     *View
-	status   Status       // as it will be written
-	changed  map[int]Unit // by index, as they will be written
-	failures []string     // of units that did not come up on the target image
+	status   Status       // to be written
+	changed  map[int]Unit // units to be written, by index
+	failures []string     // reasons why units failed in this run
 	effects  []Effect
 }
 
-// unit is a unit as it will be written.
+// unit returns a unit with the changes of this run.
 func (r *reconciler) unit(i int) Unit {
 	if unit, ok := r.changed[i]; ok {
 		return unit
@@ -85,7 +86,7 @@
 
 func (r *reconciler) emit(effect Effect) { r.effects = append(r.effects, effect) }
 
-// emitPermitOp applies an operation on a unit's present permit.
+// emitPermitOp emits a ledger operation on a unit's present permit.
 func (r *reconciler) emitPermitOp(kind disruption.OpKind, unit *Unit) {
 	r.emit(ApplyLedgerOp{disruption.Op{
 		Kind:   kind,
@@ -94,7 +95,8 @@
 	}})
 }
 
-// restartTimers restarts the units' timers under a new token: another controller wrote the times, by its own clock.
+// restartTimers restarts the units' timers under a new fencing token, because another controller wrote the times by its
+// own clock.
 func (r *reconciler) restartTimers() {
 	for i := range r.release.Units {
 		if unit := r.release.Units[i]; unit.inProgress() {
@@ -104,7 +106,7 @@
 	}
 }
 
-// buildDelta is the difference between the written state and the decisions, nil where there is none.
+// buildDelta returns the difference between the written state and the decisions, or nil if there is none.
 func (r *reconciler) buildDelta() *Delta {
 	delta := &Delta{Sequence: r.release.Sequence}
 	for i := range r.release.Units {
--- a/internal/release/rollback.go
+++ b/internal/release/rollback.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// rollbackProgress counts the units of a rollback by where they are.
+// rollbackProgress counts the units of a rollback by their progress.
 type rollbackProgress struct {
-	pending        []int // indexes of those that still have to return
+	pending        []int // indexes of the units that still have to be rolled back
 	failed         int
-	inProgress     int
-	awaitingPermit int // of those in progress
+	inProgress     int // includes awaitingPermit
+	awaitingPermit int
 }
 
-// stalled reports whether, after a failure, everything that is in progress waits for a permit.
+// stalled reports whether a unit has failed and all units in progress are waiting for a permit.
 func (p *rollbackProgress) stalled() bool {
 	return p.failed > 0 && p.awaitingPermit > 0 && p.inProgress == p.awaitingPermit
 }
 
-// advanceRollback returns the changed units to their previous images, and ends when none is pending or in progress. Where
-// units fail, the previous version may be broken too: after maxFailedRollbacks of them, or where the others get no permit
-// any more, no further unit is taken out.
+// advanceRollback starts the rollback of changed units, and ends the rollback when no unit is pending or in progress. If
+// units fail, the previous version may be broken too. It therefore takes no further unit out once maxFailedRollbacks units
+// have failed, or once one has failed and the others get no permit for rollbackStallTimeoutMS.
 func (r *reconciler) advanceRollback() {
 	progress, requeued := r.collectRollback()
 	if requeued {
@@ -30,7 +30,7 @@
 	if r.status.RollbackAbandoned {
 		r.cancelPermitRequests()
 	} else {
-		slices.Reverse(progress.pending) // the last to be updated returns first
+		slices.Reverse(progress.pending) // the unit that was updated last is rolled back first
 		r.requestPermits(progress.pending)
 	}
 	if progress.inProgress > 0 {
@@ -46,8 +46,8 @@
 	}
 }
 
-// collectRollback counts the units of a rollback. It stops at a unit that has drifted from its previous image, makes that
-// one pending, and reports so.
+// collectRollback counts the units of a rollback. If it finds a unit that has drifted from its previous image, it makes
+// that unit pending, stops counting and returns requeued as true.
 func (r *reconciler) collectRollback() (progress rollbackProgress, requeued bool) {
 	for i := range r.release.Units {
 		unit := r.unit(i)
@@ -62,7 +62,7 @@
 		case unit.inProgress():
 			progress.inProgress++
 		default:
-			unit.Rollback = true // also of a unit that was not updated: it has to run its previous image as well
+			unit.Rollback = true // a unit that was never updated has to run its previous image too
 			if r.drifted(unit) {
 				r.requeueUnit(i, unit)
 				return progress, true
@@ -72,7 +72,7 @@
 	return progress, false
 }
 
-// updateAbandoned abandons the rollback where too many units have failed, or a stall has lasted too long.
+// updateAbandoned abandons the rollback if too many units have failed or a stall has lasted too long.
 func (r *reconciler) updateAbandoned(progress *rollbackProgress) {
 	stalled := progress.stalled()
 	since := r.status.StalledSinceMS
@@ -88,7 +88,7 @@
 	}
 }
 
-// cancelPermitRequests cancels the permits that units of an abandoned rollback still wait for.
+// cancelPermitRequests cancels the permits for which units of an abandoned rollback still wait.
 func (r *reconciler) cancelPermitRequests() {
 	for i := range r.release.Units {
 		if unit := r.unit(i); unit.Stage == StageRequestingPermit {
@@ -99,7 +99,7 @@
 	}
 }
 
-// strandedUnits describes the units that are not known to run their previous image, one line each, for the operator.
+// strandedUnits describes for the operator, in one line each, the units that are not known to run their previous image.
 func (r *reconciler) strandedUnits() []string {
 	var lines []string
 	for i := range r.release.Units {
--- a/internal/release/rollout.go
+++ b/internal/release/rollout.go
@@ -10,17 +10,17 @@
 	"milldeck/internal/supervisor"
 )
 
-// rollbackLimitFactor is how many times the limits of the rollout a rollback may use. The fleet's budgets bound it too,
-// and the version that it returns to is known.
+// rollbackLimitFactor multiplies the plan's limits in a rollback. A rollback may exceed the limits of the rollout because
+// the fleet's budgets limit it too and the previous version is known.
 const rollbackLimitFactor = 2
 
-// capacityTolerance absorbs rounding where sums of capacities are compared.
+// capacityTolerance absorbs rounding errors in comparisons of summed capacities.
 const capacityTolerance = 1e-9
 
-// advancePhase decides which units are updated next, and whether a wave or the release is over.
+// advancePhase decides which units are updated or rolled back next, and whether a wave or the release is complete.
 func (r *reconciler) advancePhase() {
 	if r.status.Phase != r.release.Status.Phase {
-		return // the new phase is written first
+		return // the new phase must be written before any action in it
 	}
 	switch r.status.Phase {
 	case PhaseRollout:
@@ -30,16 +30,16 @@
 	}
 }
 
-// advanceRollout updates the units of the wave within the limits, and goes on to the next wave once all of this one's
-// units have converged, have baked, and are judged to be no worse than the others.
+// advanceRollout starts the update of the wave's units within the limits. It finishes the wave once all its units have
+// converged and the bake time is over.
 func (r *reconciler) advanceRollout() {
 	if r.status.Token != r.view.Token {
-		r.status.BakeStartMS = 0 // the analysis of the controller before was not stored
+		r.status.BakeStartMS = 0 // the bake restarts because the previous controller's analysis is not stored
 	}
 	pending, converged := r.collectWave()
 	wave := r.currentWave()
 	if r.view.Verdict.Outcome == judge.NoData && wave.BakeSeconds > 0 {
-		return // without reports no further unit is updated
+		return // no further unit is updated while reports are missing
 	}
 	r.requestPermits(pending)
 	if !converged {
@@ -55,8 +55,8 @@
 	r.finishWave(wave)
 }
 
-// collectWave returns the indexes of the units that are pending in this wave or an earlier one, and whether all of these
-// waves' units have converged. Units that a halt returned, and converged ones that have drifted, become pending again.
+// collectWave returns the indexes of the pending units of the present and earlier waves, and whether all units of these
+// waves have converged. It makes units pending again that a halt rolled back or that have drifted since they converged.
 func (r *reconciler) collectWave() (pending []int, converged bool) {
 	converged = true
 	for i := range r.release.Units {
@@ -81,7 +81,7 @@
 	return pending, converged
 }
 
-// currentWave is the plan's wave that the release is in; past the last one it is a wave without a bake.
+// currentWave returns the present wave of the plan, or a wave without a bake if the release is past the last one.
 func (r *reconciler) currentWave() plan.Wave {
 	if r.status.Wave < len(r.release.Plan.Waves) {
 		return r.release.Plan.Waves[r.status.Wave]
@@ -89,12 +89,14 @@
 	return plan.Wave{}
 }
 
-// finishWave decides what follows a wave that has converged and baked.
+// finishWave decides what follows a wave that has converged and baked: completion, the next wave, an extension of this
+// wave, or a longer wait for a verdict.
 func (r *reconciler) finishWave(wave plan.Wave) {
 	unitsRemain := slices.ContainsFunc(r.release.Units, func(unit Unit) bool { return unit.Wave > r.status.Wave })
 	switch {
 	case !unitsRemain:
-		// Nothing runs the previous version any more, so there is no pass to wait for; a regression would have halted it.
+		// No unit runs the previous version any more, so no further comparison can yield a pass. A regression found so far
+		// has already halted the release.
 		r.status.Phase = PhaseCompleted
 		r.status.BakeStartMS = 0
 	case r.release.DrainOnly || wave.BakeSeconds == 0 || r.view.Verdict.Outcome == judge.Pass:
@@ -105,7 +107,7 @@
 	}
 }
 
-// extendWave moves one unit of a later wave into a wave that met too little traffic for a verdict.
+// extendWave moves one unit of a later wave into the present wave, which had too little traffic for a verdict.
 func (r *reconciler) extendWave(wave plan.Wave) {
 	extraUnits := 0
 	for i := range r.release.Units {
@@ -132,7 +134,7 @@
 	}
 }
 
-// requestPermits has pending units request their permits, in order, as far as the release's own limits allow.
+// requestPermits moves pending units to StageRequestingPermit, in order, as far as the release's own limits allow.
 func (r *reconciler) requestPermits(pending []int) {
 	remainingUnits := r.release.Plan.MaxUnavailable(len(r.release.Units))
 	remainingCapacity := r.release.maxWarmingUpCapacity()
@@ -161,7 +163,8 @@
 	}
 }
 
-// maxWarmingUpCapacity is how much capacity the release itself lets be out or warming up at once. Only servers warm up.
+// maxWarmingUpCapacity returns how much capacity the plan allows to be out or warming up at once. It is infinite for
+// sidecars because only servers warm up.
 func (s *State) maxWarmingUpCapacity() float64 {
 	allowed := math.Inf(1)
 	if s.unitKind() != disruption.KindServer {
@@ -181,8 +184,8 @@
 	return allowed
 }
 
-// drifted reports whether a converged unit no longer runs its desired image: the platform has stopped the wrong one, or
-// somebody else has started it with another image.
+// drifted reports whether a converged unit no longer runs its desired image. This happens if the platform stops the wrong
+// unit, or if somebody else starts the unit with another image.
 func (r *reconciler) drifted(unit Unit) bool {
 	platform := r.view.Platform
 	if platform == nil || !platform.Complete {
@@ -204,7 +207,6 @@
 	return !runsImage(listed, unit.desiredImage())
 }
 
-// requeueUnit makes a unit pending again.
 func (r *reconciler) requeueUnit(i int, unit Unit) {
 	unit.Stage = StagePending
 	unit.FailedStarts = 0
--- a/internal/release/state.go
+++ b/internal/release/state.go
@@ -9,57 +9,58 @@
 	"milldeck/internal/supervisor"
 )
 
-// Phase is the progress of a release as a whole. Its values are stored.
+// Phase is the progress of a release as a whole. The values are stored.
 type Phase string
 
-// The phases. The last three are final: the controller has nothing left to do.
+// The phases. The last three are final.
 const (
 	PhaseRollout    Phase = "forward"
-	PhaseHalted     Phase = "held"     // no unit is taken out; those that are out finish or return
-	PhaseRollback   Phase = "back"     // every unit that was changed returns to its previous image
+	PhaseHalted     Phase = "held"     // no further unit is taken out; a unit that is out finishes its update or returns
+	PhaseRollback   Phase = "back"     // every changed unit returns to its previous image
 	PhaseCompleted  Phase = "done"     // every unit runs the target image
 	PhaseRolledBack Phase = "backed"   // every unit runs its previous image
-	PhaseStranded   Phase = "stranded" // the rollback is over, and Status.Stranded lists the units it could not return
+	PhaseStranded   Phase = "stranded" // the rollback ended without the units that Status.Stranded lists
 )
 
-// Finished reports whether the controller has nothing left to do in this phase.
+// Finished reports whether the phase is final: the controller has nothing left to do.
 func (p Phase) Finished() bool {
 	return p == PhaseCompleted || p == PhaseRolledBack || p == PhaseStranded
 }
 
-// Image is what a unit runs: the version of its program and the name of its configuration.
+// Image is what a unit runs: a program version and the name of a configuration.
 type Image struct {
 	Version    string `json:"version"`
 	ConfigName string `json:"config,omitempty"`
 }
 
-// String is the version and the configuration's name, as permits and reasons quote them.
+// String returns the version and the configuration name as the stored permits and reasons contain them.
 func (i Image) String() string { return strings.TrimSpace(i.Version + " " + i.ConfigName) }
 
-// Stage is the progress of one unit. Its values are stored.
+// Stage is the progress of one unit. The values are stored.
 type Stage string
 
-// The stages, in order. A unit passes through them towards its target image or, in a rollback, its previous one.
+// The stages, in order. A unit passes through them on the way to its target image or, in a rollback, to its previous one.
 const (
-	StagePending             Stage = "todo"   // not started in this direction
-	StageRequestingPermit    Stage = "ask"    // waiting for the ledger to grant its permit
-	StagePreparing           Stage = "make"   // granted; what only this unit serves is being made available elsewhere
+	StagePending             Stage = "todo"   // not started in this direction (rollout or rollback)
+	StageRequestingPermit    Stage = "ask"    // the unit waits until the ledger grants its permit
+	StagePreparing           Stage = "make"   // everything that only this unit serves is being made available on other units
 	StageBeginningDisruption Stage = "begin"  // the ledger records that the disruption begins
-	StageDraining            Stage = "drain"  // Terminating in the endpoint list, until it is proved to have no open request
-	StageStopping            Stage = "stop"   // the platform is asked to stop it
-	StageStarting            Stage = "start"  // the platform is asked to start it with the desired image
-	StageReloading           Stage = "reload" // a sidecar is given another configuration while it keeps serving
-	StageWarmingUp           Stage = "rise"   // it runs, but is not registered, ready and warm yet
-	StageCancelling          Stage = "cancel" // its permit is cancelled before the unit was changed; a drain is undone
-	StageConverged           Stage = "rest"   // it runs the desired image
-	StageFailed              Stage = "lost"   // it could not be returned; an operator has to complete its permit
+	StageDraining            Stage = "drain"  // Terminating in the endpoint list, until no request can be open on the unit
+	StageStopping            Stage = "stop"   // the platform stops the unit
+	StageStarting            Stage = "start"  // the platform starts the unit with the desired image
+	StageReloading           Stage = "reload" // a sidecar reloads its configuration while it keeps serving
+	StageWarmingUp           Stage = "rise"   // the unit runs, but is not yet registered, ready and warm
+	StageCancelling          Stage = "cancel" // the permit is cancelled before the unit was changed; a drain is undone
+	StageConverged           Stage = "rest"   // the unit runs the desired image
+	StageFailed              Stage = "lost"   // the unit could not be rolled back; an operator has to complete its permit
 )
 
-// PlatformRequest is a request to the platform. It is written before it is first sent, so that a successor sends the same.
+// PlatformRequest is a request to the platform. It is written to the log before it is first sent, so that a succeeding
+// controller sends the same request.
 type PlatformRequest struct {
-	Sequence    int           `json:"n"` // counts this unit's requests in this release, from 1
+	Sequence    int           `json:"n"` // number of the request among this unit's requests in this release, from 1
 	Op          supervisor.Op `json:"op"`
-	Epoch       uint64        `json:"memory"` // the platform's, as listed when the request was decided
+	Epoch       uint64        `json:"memory"` // the platform's epoch in the list from which the request was created
 	Incarnation uint64        `json:"incarnation"`
 	CreatedAtMS int64         `json:"at_ms"` // by the controller's clock
 }
@@ -67,7 +68,7 @@
 // Unit is the stored state of one unit of a release.
 type Unit struct {
 	ID       string  `json:"id"`   // in the ledger
-	Name     string  `json:"name"` // in the endpoint list and at the platform
+	Name     string  `json:"name"` // in the endpoint list and on the platform
 	Wave     int     `json:"wave"`
 	Previous Image   `json:"was"`
 	Target   Image   `json:"to"`
@@ -75,21 +76,21 @@
 	Zone     string  `json:"zone,omitempty"`
 	Capacity float64 `json:"capacity"`
 
-	Rollback      bool  `json:"back,omitempty"` // its desired image is Previous, not Target
+	Rollback      bool  `json:"back,omitempty"` // the desired image is Previous, not Target
 	Stage         Stage `json:"stage"`
-	FromLaterWave bool  `json:"widened,omitempty"` // it was moved into its wave because the wave met too little traffic
-	PermitAttempt int   `json:"try,omitempty"`     // counts its permits, from 1
-	// RollbackPermit says that the permit was requested by a rollback. A unit that is rolled back while it is out keeps
-	// the permit of the rollout.
+	FromLaterWave bool  `json:"widened,omitempty"` // moved from a later wave, because Wave had too little traffic
+	PermitAttempt int   `json:"try,omitempty"`     // number of the unit's latest permit, from 1
+	// RollbackPermit says that a rollback requested the permit. A unit that is rolled back while it is out keeps the
+	// permit of the rollout.
 	RollbackPermit bool             `json:"asked_back,omitempty"`
-	FailedStarts   int              `json:"fails,omitempty"` // in this direction
-	RequestCount   int              `json:"calls,omitempty"` // to the platform
-	Request        *PlatformRequest `json:"call,omitempty"`  // the latest of this stage
+	FailedStarts   int              `json:"fails,omitempty"` // in the present direction
+	RequestCount   int              `json:"calls,omitempty"` // requests to the platform, in this release
+	Request        *PlatformRequest `json:"call,omitempty"`  // the latest request of the present stage
 	StageSinceMS   int64            `json:"since_ms,omitempty"`
-	Reason         string           `json:"why,omitempty"` // why it waits or failed
+	Reason         string           `json:"why,omitempty"` // why the unit waits or has failed
 }
 
-// desiredImage is the image that the unit is to run in its present direction.
+// desiredImage returns the image that the unit has to run: Previous in a rollback, otherwise Target.
 func (u *Unit) desiredImage() Image {
 	if u.Rollback {
 		return u.Previous
@@ -108,37 +109,37 @@
 	Wave              int      `json:"wave"`
 	BakeStartMS       int64    `json:"bake_ms,omitempty"`  // when the last unit of the wave converged; 0: not all have
 	Token             uint64   `json:"token"`              // fencing token of the last writer
-	HandledCommands   int      `json:"commands"`           // how many of the operators' commands have been handled
+	HandledCommands   int      `json:"commands"`           // number of operators' commands that have been handled
 	HaltedBy          string   `json:"by,omitempty"`       // who halted the release or rolled it back
-	HaltReason        string   `json:"why,omitempty"`      // why
-	Finalized         bool     `json:"final,omitempty"`    // it can no longer be rolled back
-	StalledSinceMS    int64    `json:"stuck_ms,omitempty"` // since when a rollback gets no permit after a failure
-	RollbackAbandoned bool     `json:"gave_up,omitempty"`  // no further unit is taken out for the rollback
+	HaltReason        string   `json:"why,omitempty"`      // why the release was halted or rolled back
+	Finalized         bool     `json:"final,omitempty"`    // the release can no longer be rolled back
+	StalledSinceMS    int64    `json:"stuck_ms,omitempty"` // since when a rollback with a failed unit only waits for permits
+	RollbackAbandoned bool     `json:"gave_up,omitempty"`  // the rollback takes no further unit out
 	Stranded          []string `json:"stranded,omitempty"` // units that did not return to their previous image, one line each
 }
 
-// State is a release as it stands in the log.
+// State is a release as stored in the replicated log.
 type State struct {
 	Name          string     `json:"name"`
-	StartRevision uint64     `json:"run"` // of the log; tells two releases of one name apart
+	StartRevision uint64     `json:"run"` // log revision of the start; distinguishes two releases of the same name
 	Plan          *plan.Plan `json:"plan,omitempty"`
 	PlanHash      string     `json:"hash"`
 	DrainOnly     bool       `json:"drain,omitempty"` // units are drained and stopped, not updated
 	StartedAtMS   int64      `json:"start_ms"`
 	Status        Status     `json:"head"`
 	Units         []Unit     `json:"units"` // in the order in which they are updated
-	Sequence      uint64     `json:"seq"`   // counts the changes that were applied
+	Sequence      uint64     `json:"seq"`   // number of changes applied so far
 }
 
-// Delta is one change of a release's state. It applies only to the state that it was computed from.
+// Delta is one change of a release's state. It applies only to the state from which it was computed.
 type Delta struct {
-	Sequence uint64  `json:"seq"` // of the state that it was computed from
+	Sequence uint64  `json:"seq"` // State.Sequence of the state from which it was computed
 	Status   *Status `json:"head,omitempty"`
-	Units    []Unit  `json:"units,omitempty"` // those that changed, complete
+	Units    []Unit  `json:"units,omitempty"` // the changed units, with all their fields
 }
 
-// Apply applies a change. It changes nothing and returns an error if the change was computed from another state or names
-// an unknown unit.
+// Apply applies a change. If the change was computed from another state or names an unknown unit, Apply returns an error
+// and leaves the state unchanged.
 func (s *State) Apply(delta Delta) error {
 	if delta.Sequence != s.Sequence {
 		return fmt.Errorf("release %s: delta for sequence %d does not apply at %d", s.Name, delta.Sequence, s.Sequence)
@@ -170,7 +171,7 @@
 	return 0, false
 }
 
-// unitKind is the kind of the release's units, by the plan's selector or else by what the plan changes.
+// unitKind returns the kind of the release's units: the selector's kind or, without one, the kind that the plan changes.
 func (s *State) unitKind() disruption.Kind {
 	if s.Plan.Selector.Kind != "" {
 		return s.Plan.Selector.Kind
@@ -178,7 +179,7 @@
 	return s.Plan.Kind()
 }
 
-// platformKind is unitKind in the platform's terms.
+// platformKind returns unitKind as the platform names it.
 func (s *State) platformKind() supervisor.Kind {
 	if s.unitKind() == disruption.KindSidecar {
 		return supervisor.Sidecar
@@ -186,7 +187,8 @@
 	return supervisor.Server
 }
 
-// firstUpdateStage is the first stage that changes a unit once it is out and drained.
+// firstUpdateStage returns the first stage that changes a unit. It follows the begin of the disruption and, for a server,
+// the drain.
 func (s *State) firstUpdateStage() Stage {
 	if s.reloadsInPlace() {
 		return StageReloading
@@ -194,12 +196,12 @@
 	return StageStopping
 }
 
-// reloadsInPlace reports whether units keep serving while they are updated: only their configuration changes.
+// reloadsInPlace reports whether units keep serving during their update, because only their configuration changes.
 func (s *State) reloadsInPlace() bool {
 	return !s.DrainOnly && !s.Plan.RestartsUnits()
 }
 
-// retires reports whether the unit leaves the fleet for good: it is drained, and not being returned.
+// retires reports whether the unit leaves the fleet permanently: the release is a drain and does not roll the unit back.
 func (s *State) retires(unit *Unit) bool {
 	return s.DrainOnly && !unit.Rollback
 }
--- a/internal/release/table.go
+++ b/internal/release/table.go
@@ -7,17 +7,17 @@
 	"slices"
 )
 
-// Bounds of the table.
+// Limits of the table.
 const (
-	maxReleases  = 64     // kept at a time, finished ones included
-	maxUnits     = 10_000 // of one release
-	maxCommands  = 1000   // of operators, to one release
-	maxNameBytes = 64     // of a release's name
+	maxReleases  = 64     // stored at a time, including finished ones
+	maxUnits     = 10_000 // per release
+	maxCommands  = 1000   // operators' commands per release
+	maxNameBytes = 64     // length of a release's name
 )
 
 var errNoOperation = errors.New("no operation")
 
-// Action is what an operator wants of a release. Its values are stored.
+// Action is what an operator commands a release to do. The values are stored.
 type Action string
 
 // The actions.
@@ -35,35 +35,36 @@
 	Reason   string `json:"why,omitempty"`
 }
 
-// Table is all releases as they stand in the replicated state. It is deterministic: the same operations in the same order
-// give the same table on every replica. Whoever applies an operation has checked its fencing token.
+// Table is all releases in the replicated state. It is deterministic: the same operations in the same order result in the
+// same table on every replica. It does not check fencing tokens; its caller does.
 //
-// Two releases never have the same unit: a release claims its units from its start until it has rolled back, or is
-// finalized, and the start of another that needs one of them is rejected.
+// No two releases claim the same unit. A release claims its units from its start until it has rolled back or is finalized.
+// Starting another release with one of these units is rejected.
 type Table struct {
 	releases map[string]*State
 	commands map[string][]Command
 	claims   map[string]string // unit ID to release name
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{releases: map[string]*State{}, commands: map[string][]Command{}, claims: map[string]string{}}
 }
 
-// Operation is one operation on the table. One of Start, Delta and Command is set; the latter two are about Name.
+// Operation is one operation on the table. Exactly one of Start, Delta and Command is set. Delta and Command apply to the
+// release called Name.
 type Operation struct {
 	Name    string   `json:"name"`
 	Start   *State   `json:"start,omitempty"`
-	Delta   *Delta   `json:"step,omitempty"` // under the token of the lease Owner(Name)
+	Delta   *Delta   `json:"step,omitempty"` // requires the fencing token of the lease Owner(Name)
 	Command *Command `json:"tell,omitempty"`
 }
 
-// RequiresToken reports whether the operation is valid only under the token of the release's lease.
+// RequiresToken reports whether the operation is valid only with the fencing token of the release's lease.
 func (op *Operation) RequiresToken() bool { return op.Delta != nil }
 
-// Apply applies one operation. Revision is its place in the log. An error says why the operation was rejected; no release
-// under way has changed then, though a start at a full table may have evicted a finished one.
+// Apply applies one operation, whose log index is revision. An error says why the operation was rejected. A rejected
+// operation changes no unfinished release, but a rejected start may have evicted a finished release from a full table.
 func (t *Table) Apply(revision uint64, op *Operation) error {
 	switch {
 	case op == nil:
@@ -78,8 +79,8 @@
 	return errNoOperation
 }
 
-// start adds a release and claims its units. The same start again changes nothing. A finished release that holds no claims
-// is replaced by a new one of its name.
+// start adds a release and claims its units. Repeating the start of an unfinished release changes nothing. A new release
+// replaces a finished one of the same name that holds no claims.
 func (t *Table) start(revision uint64, state *State) error {
 	if state.Plan == nil || !validName(state.Name) || state.PlanHash != state.Plan.Hash() {
 		return errors.New("a release has a name of 1 to 64 characters, a plan, and that plan's hash")
@@ -111,8 +112,8 @@
 	return nil
 }
 
-// admit reports why there is no place for a release: one of its name is under way, or the table is full. A full table
-// evicts its oldest release without claims.
+// admit returns an error if a release cannot be added: another one of its name is unfinished or still holds claims, or the
+// table is full. In a full table admit first tries to evict the oldest release without claims.
 func (t *Table) admit(state, existing *State) error {
 	if existing == nil {
 		if len(t.releases) >= maxReleases && !t.evictOldest() {
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// canDropClaims reports whether a release no longer needs its units: it has rolled back, or is finished and final.
+// canDropClaims reports whether a release no longer needs its units: it has rolled back, or is finished and finalized.
 func (s *State) canDropClaims() bool {
 	return s.Status.Phase == PhaseRolledBack || s.Status.Phase.Finished() && s.Status.Finalized
 }
@@ -149,8 +150,8 @@
 	return nil
 }
 
-// addCommand records an operator's command for the release's controller. Finalizing takes effect here and at once, as no
-// controller works on a finished release.
+// addCommand records an operator's command for the release's controller. CommandFinalize takes effect immediately, because
+// no controller works on a finished release.
 func (t *Table) addCommand(name string, command Command) error {
 	state := t.releases[name]
 	if state == nil {
@@ -164,7 +165,7 @@
 	}
 	if command.Action == CommandFinalize {
 		state.Status.Finalized = true
-		state.Sequence++ // a delta that was computed before no longer applies
+		state.Sequence++ // invalidates deltas that were computed from the earlier state
 		t.dropClaimsIfDone(state)
 		return nil
 	}
@@ -172,7 +173,7 @@
 	return nil
 }
 
-// checkCommand reports why an action is not possible as the release stands.
+// checkCommand returns an error if the state of the release does not allow an action.
 func (s *State) checkCommand(action Action) error {
 	switch action {
 	case CommandHalt, CommandResume:
@@ -195,7 +196,7 @@
 
 func unknownRelease(name string) error { return fmt.Errorf("there is no release %s", name) }
 
-// claimUnits claims a release's units, unless it no longer needs them.
+// claimUnits claims a release's units unless the release no longer needs them.
 func (t *Table) claimUnits(state *State) {
 	if state.canDropClaims() {
 		return
@@ -205,20 +206,21 @@
 	}
 }
 
-// dropClaimsIfDone frees the units of a release that no longer needs them.
+// dropClaimsIfDone drops a release's claims if the release no longer needs its units.
 func (t *Table) dropClaimsIfDone(state *State) {
 	if state.canDropClaims() {
 		maps.DeleteFunc(t.claims, func(_, claimant string) bool { return claimant == state.Name })
 	}
 }
 
-// Get is a release, nil where there is none, and the commands to it, oldest first. The caller must not change either.
+// Get returns a release and its commands, oldest first. It returns nil if there is no such release. The caller must not
+// modify the results.
 func (t *Table) Get(name string) (*State, []Command) { return t.releases[name], t.commands[name] }
 
-// Names are the names of all releases, sorted.
+// Names returns the names of all releases, sorted.
 func (t *Table) Names() []string { return slices.Sorted(maps.Keys(t.releases)) }
 
-// evictOldest removes the oldest release that holds no claims, and reports whether there was one.
+// evictOldest removes the oldest release that holds no claims. It returns false if there is none.
 func (t *Table) evictOldest() bool {
 	var oldest *State
 	for _, name := range t.Names() {
@@ -235,13 +237,14 @@
 	return true
 }
 
-// Snapshot is the table as it is stored.
+// Snapshot is the stored form of the table.
 type Snapshot struct {
-	Releases []*State             `json:"releases"` // by name
+	Releases []*State             `json:"releases"` // sorted by name
 	Commands map[string][]Command `json:"commands,omitempty"`
 }
 
-// Snapshot returns the whole table, sorted. It shares memory with the table, so it is valid until the next operation.
+// Snapshot returns the stored form of the whole table. It shares memory with the table, so it is valid only until the next
+// operation.
 func (t *Table) Snapshot() *Snapshot {
 	snapshot := &Snapshot{Releases: []*State{}, Commands: t.commands}
 	for _, name := range t.Names() {
@@ -250,7 +253,7 @@
 	return snapshot
 }
 
-// Restore makes a table of a snapshot, an empty one of nil. The claims follow from the releases.
+// Restore returns the table of a snapshot, or an empty table for nil. It derives the claims from the releases.
 func Restore(snapshot *Snapshot) *Table {
 	table := NewTable()
 	if snapshot == nil {
--- a/internal/release/unit.go
+++ b/internal/release/unit.go
@@ -7,7 +7,7 @@
 	"milldeck/internal/supervisor"
 )
 
-// Reasons of a unit's state, as far as they do not quote the platform, the ledger or a sidecar. They are stored.
+// Values of Unit.Reason that do not come from the platform, the ledger or a sidecar. They are stored.
 const (
 	reasonNotReady             = "it was started and is not ready"
 	reasonExited               = "it ended"
@@ -25,14 +25,15 @@
 	purposeReleasePrefix = "to " // before the desired image
 )
 
-// conditionUnregistered stands in reasons for the condition of a unit that the ledger does not have.
+// conditionUnregistered is the condition that stored reasons give for a unit that is not in the ledger.
 const conditionUnregistered = disruption.Condition("not registered")
 
-// reconcileUnit does what a unit's written stage requires, and moves it to the next stage once there is evidence.
+// reconcileUnit emits the effects that a unit's written stage requires, and moves the unit to the next stage once the
+// view has the evidence for it.
 func (r *reconciler) reconcileUnit(i int) {
 	written := r.release.Units[i]
 	if changed, ok := r.changed[i]; ok && changed.Stage != written.Stage {
-		return // a halt has just moved it: that is written first
+		return // a halt has changed the stage in this run: the change must be written before its effects
 	}
 	if !written.inProgress() {
 		return
@@ -43,7 +44,7 @@
 	r.setUnit(i, unit)
 }
 
-// reconcileStage calls the function of the unit's stage. Known says whether the ledger has the unit's permit.
+// reconcileStage calls the function for the unit's stage. permitKnown says whether the view has the unit's permit.
 func (r *reconciler) reconcileStage(unit *Unit, permit disruption.Permit, permitKnown bool) {
 	switch unit.Stage {
 	case StageRequestingPermit, StagePreparing, StageBeginningDisruption:
@@ -67,8 +68,9 @@
 	}
 }
 
-// requireActivePermit reports whether the unit's permit lets it be changed, and otherwise makes it start over: evidence
-// completed the permit before the unit was rolled back, or an operator completed it.
+// requireActivePermit reports whether the unit's permit allows changing the unit. If it does not, requireActivePermit
+// makes the unit pending again. A permit has ended early if evidence completed it before the unit was rolled back, or if
+// an operator completed it.
 func (r *reconciler) requireActivePermit(unit *Unit, permit disruption.Permit, permitKnown bool) bool {
 	if permitKnown && (permit.Stage == disruption.StageActive || permit.Stage == disruption.StageReturning) {
 		return true
@@ -77,19 +79,18 @@
 	return false
 }
 
-// enterStage moves a unit to a stage.
+// enterStage moves a unit to a stage and drops the platform request of the previous stage.
 func (r *reconciler) enterStage(unit *Unit, stage Stage) {
 	unit.Stage = stage
 	unit.StageSinceMS = r.view.NowMS
 	unit.Request = nil
 }
 
-// inStageLongerThan reports whether a unit has been in its stage for longer than a timeout.
 func (r *reconciler) inStageLongerThan(unit *Unit, timeoutMS int64) bool {
 	return r.view.NowMS-unit.StageSinceMS > timeoutMS
 }
 
-// recordFailedStart records a start that failed. It is tried again once; then the unit fails.
+// recordFailedStart records a failed start. The start is retried once; after a second failure the unit fails.
 func (r *reconciler) recordFailedStart(unit *Unit, reason string) {
 	unit.FailedStarts++
 	if unit.FailedStarts < maxFailedStarts && unit.RequestCount < maxRequestsPerUnit {
@@ -100,8 +101,8 @@
 	r.failUnit(unit, reason)
 }
 
-// failUnit records that a unit cannot run its desired image. In a rollout that halts the release and returns the unit at
-// once; in a rollback the unit has failed.
+// failUnit records that a unit cannot run its desired image. In a rollout this halts the release and rolls the unit back
+// at once. In a rollback the unit enters StageFailed.
 func (r *reconciler) failUnit(unit *Unit, reason string) {
 	reason = fmt.Sprintf("%s on %s: %s", unit.ID, unit.desiredImage(), reason)
 	if unit.Rollback {
@@ -115,12 +116,11 @@
 	r.failures = append(r.failures, reason)
 }
 
-// permitEnded reports whether evidence or an operator has ended a permit.
+// permitEnded reports whether a permit is closed: completed, by evidence or by an operator, or cancelled.
 func permitEnded(permit disruption.Permit) bool {
 	return permit.Stage == disruption.StageCompleted || permit.Stage == disruption.StageCancelled
 }
 
-// runsImage reports whether a listed unit runs an image.
 func runsImage(listed *supervisor.Unit, image Image) bool {
 	return listed.Version == image.Version && listed.ConfigName == image.ConfigName
 }
--- a/internal/release/warmup.go
+++ b/internal/release/warmup.go
@@ -8,8 +8,8 @@
 	"milldeck/internal/supervisor"
 )
 
-// reconcileWarmUp waits for the evidence that completes a unit's permit. That the platform runs the unit is not enough: it
-// has to be registered, ready and warm.
+// reconcileWarmUp waits for the evidence that completes a unit's permit. A running process is not enough: the unit has to
+// be registered, ready and warm.
 func (r *reconciler) reconcileWarmUp(unit *Unit, permit disruption.Permit, permitKnown bool) {
 	switch {
 	case permitKnown && permitEnded(permit):
@@ -23,23 +23,23 @@
 	}
 }
 
-// awaitRetirement waits until a drained unit has left the fleet for good.
+// awaitRetirement waits until a drained unit has left the fleet permanently.
 func (r *reconciler) awaitRetirement(unit *Unit, permitKnown bool) {
 	listed := r.listedUnit(unit)
 	if listed != nil && listed.State != supervisor.Exited {
-		r.enterStage(unit, StageStopping) // it had ended by itself, and the platform has restarted it
+		r.enterStage(unit, StageStopping) // the unit had exited by itself, and the platform has restarted it
 		return
 	}
 	ledgerUnit, registered := r.view.Unit(unit.ID)
 	switch {
-	case !registered && !permitKnown: // its permit is complete and no longer in the ledger
+	case !registered && !permitKnown: // the permit is completed and no longer in the ledger
 		r.enterStage(unit, StageConverged)
 	case registered && r.permitCompletes(ledgerUnit.Condition):
 		r.completePermit(unit, permitKnown)
 	}
 }
 
-// awaitReturn waits until an updated unit is up, and restarts or fails it where it does not come up.
+// awaitReturn waits until an updated unit is up. It retries or fails a unit that does not come up in time.
 func (r *reconciler) awaitReturn(unit *Unit, permit disruption.Permit, permitKnown bool) {
 	if permitKnown && permit.Stage == disruption.StageActive {
 		r.emitPermitOp(disruption.OpReturn, unit)
@@ -59,12 +59,12 @@
 	r.recordFailedStart(unit, fmt.Sprintf("it runs, but is %s after %d s", condition, warmUpTimeoutMS/1000))
 }
 
-// permitCompletes reports whether a unit in this condition completes its permit.
+// permitCompletes reports whether a unit's condition is the evidence that completes its permit.
 func (r *reconciler) permitCompletes(condition disruption.Condition) bool {
 	return condition == disruption.ConditionUp || r.release.DrainOnly && condition == disruption.ConditionLost
 }
 
-// completePermit completes a unit's permit. One that the ledger no longer has was completed before.
+// completePermit completes a unit's permit. If the permit is no longer in the view, it has already been completed.
 func (r *reconciler) completePermit(unit *Unit, permitKnown bool) {
 	if permitKnown {
 		r.emitPermitOp(disruption.OpComplete, unit)
@@ -73,7 +73,8 @@
 	r.enterStage(unit, StageConverged)
 }
 
-// handleExitDuringWarmUp handles a unit that has ended or disappeared while it warmed up, and reports whether it has.
+// handleExitDuringWarmUp handles a unit that exited or disappeared while it was warming up. It reports whether that
+// happened.
 func (r *reconciler) handleExitDuringWarmUp(unit *Unit) bool {
 	platform := r.view.Platform
 	if platform == nil {
