--- a/internal/release/canary_test.go
+++ b/internal/release/canary_test.go
@@ -30,13 +30,13 @@
 max_out = { count = 4 }
 `
 
-// regression is how a version is worse than the one before.
+// regression describes how a version is worse than the previous one.
 type regression struct {
 	name          string
 	addedFailures [2]float64 // added share of failed requests, by class
-	slowUnderLoad bool       // while the load is high, twice as many answers are slow
-	memoryGrowth  float64    // share of memory in a second
-	restartRate   float64    // share of its units that restart in a second
+	slowUnderLoad bool       // while the load is high, twice as many responses are slow
+	memoryGrowth  float64    // per second, relative to the previous version's memory
+	restartRate   float64    // share of the version's units that restart per second
 }
 
 var regressions = []regression{
@@ -53,13 +53,13 @@
 	canarySide
 )
 
-// The classes of requests of the model, and their requests in a second at a unit.
+// The model's classes of requests, and their requests per second and unit.
 var (
 	modelClasses    = [2]string{"lookup", "simulate"}
 	modelClassRates = [2]float64{40, 10}
 )
 
-// trafficModel makes the counts of a fleet whose units run as the cluster model says.
+// trafficModel generates the counts that a fleet reports, from the state of the units in a cluster model.
 type trafficModel struct {
 	rng        *rand.Rand
 	model      *clusterModel
@@ -72,20 +72,21 @@
 	if m.analysis == nil {
 		m.analysis = NewWaveAnalysis(8)
 	}
-	if m.ticks++; m.ticks%2 == 1 { // a tick is half a second, an interval a second
+	if m.ticks++; m.ticks%2 == 1 { // a tick is half a second, an interval one second
 		m.analysis.Add(state, m.interval())
 	}
 	return m.analysis.Verdict(state)
 }
 
-// conditions are what requests meet in an interval, whichever version they go to.
+// conditions affect the requests of an interval, whichever version they go to.
 type conditions struct {
-	load        float64 // factor
+	load        float64 // multiplies the rate of requests
 	failureRate float64
 	slowRate    float64
 }
 
-// conditions have a period of high load, and now and then an ordinary fault that both versions meet.
+// conditions returns the present conditions: periods of high load, and from time to time a fault that affects both
+// versions alike.
 func (m *trafficModel) conditions() conditions {
 	seconds := m.model.nowMS / 1000
 	now := conditions{load: 1, failureRate: 0.003, slowRate: 0.18}
@@ -119,7 +120,7 @@
 	return interval
 }
 
-// servingUnits are the units that truly serve, by zone and side.
+// servingUnits returns the units that actually serve, by zone and side.
 func (m *trafficModel) servingUnits() map[string]*[2][]*unitModel {
 	zones := map[string]*[2][]*unitModel{}
 	for _, id := range m.model.ids {
@@ -173,7 +174,8 @@
 	}
 }
 
-// binomial draws a binomial number: exactly where few hits are expected, else by the normal approximation.
+// binomial draws a number from a binomial distribution: exactly if few hits are expected, otherwise by the normal
+// approximation.
 func (m *trafficModel) binomial(trials int, probability float64) int {
 	mean := float64(trials) * probability
 	if trials < 60 || mean < 15 {
@@ -188,8 +190,8 @@
 	return min(max(int(math.Round(mean+math.Sqrt(mean*(1-probability))*m.rng.NormFloat64())), 0), trials)
 }
 
-// How much of the fleet a regression affects, and how long its rollback takes: 100 units in four zones. docs/release.md has
-// figures of -seeds 200.
+// Guards against a regression that spreads over the fleet before the release halts, and against a slow rollback. The fleet
+// has 100 units in four zones. docs/release.md has figures of -seeds 200.
 func TestRegressionsAreStoppedEarly(t *testing.T) {
 	seeds := *seedsFlag
 	early := uint64(0)
@@ -223,13 +225,13 @@
 	}
 	slices.Sort(shares)
 	slices.Sort(ratios)
-	t.Logf("%d of %d stopped under a tenth of the fleet (most %.2f); rollback against rollout: median %.2f, worst %.2f",
+	t.Logf("%d of %d rolled back under a tenth of the fleet (maximum %.2f); duration of rollback / rollout: median %.2f, worst %.2f",
 		early, seeds, shares[len(shares)-1], ratios[len(ratios)/2], ratios[len(ratios)-1])
 	if float64(early) < 0.95*float64(seeds) {
-		t.Errorf("%d of %d stopped under a tenth of the fleet", early, seeds)
+		t.Errorf("%d of %d regressions were rolled back under a tenth of the fleet, want 95%%", early, seeds)
 	}
 	if worst := ratios[len(ratios)-1]; worst > 0.5 {
-		t.Errorf("a rollback took %.2f of the time of its rollout", worst)
+		t.Errorf("a rollback took %.2f of the time of its rollout, want at most 0.5", worst)
 	}
 }
 
@@ -255,7 +257,8 @@
 	t.Logf("%d of %d healthy releases completed", completed, seeds)
 }
 
-// A rollback from the middle of a release without a bake, the least favourable moment.
+// Guards against a slow rollback from the least favourable moment: half of the units are updated, and no bake has extended
+// the rollout.
 func TestRollbackFromTheMiddle(t *testing.T) {
 	model := newClusterModel(t, disruption.KindServer, 4, 25, 8)
 	model.startRelease(serverPlan)
@@ -267,8 +270,8 @@
 		}
 	})
 	ratio := float64(model.nowMS-settleTicks*tickMS-rollbackMS) / float64(rollbackMS-startedMS)
-	t.Logf("%d s of rollout, %.2f of it back", (rollbackMS-startedMS)/1000, ratio)
+	t.Logf("rollout took %d s, rollback %.2f of that", (rollbackMS-startedMS)/1000, ratio)
 	if err != nil || state.Status.Phase != PhaseRolledBack || ratio > 0.6 {
-		t.Errorf("%s, %v, %.2f", state.Status.Phase, err, ratio)
+		t.Errorf("phase %s, error %v, rollback took %.2f of the rollout; want at most 0.6", state.Status.Phase, err, ratio)
 	}
 }
--- a/internal/release/clustermodel_test.go
+++ b/internal/release/clustermodel_test.go
@@ -14,37 +14,37 @@
 	"milldeck/internal/supervisor/fake"
 )
 
-// Times of the model, in ms.
+// Parameters of the model. Names that end in MS are in ms.
 const (
 	tickMS         = 500
-	readyAfterMS   = 800  // from a process's start until it is ready
-	stopMS         = 700  // from SIGTERM until it ends
-	leaseMS        = 1000 // from its end until its registration expires
-	serverWarmUpMS = 3000 // from a restarted server's registration until it is warm
-	drainMS        = 1000 // from Terminating until it is proved to have no open request
-	settleTicks    = 60   // after a release, for units that failed alone at its very end to come up again
+	readyAfterMS   = 800  // from the start of a process until it is ready
+	stopMS         = 700  // from SIGTERM until the process exits
+	leaseMS        = 1000 // from the exit of a process until its registration expires
+	serverWarmUpMS = 3000 // from the registration of a restarted server until it is warm
+	drainMS        = 1000 // from Terminating until the server is proved to have no open request
+	settleTicks    = 60   // after a release, so that units that crashed at its very end come up again
 	operatorName   = "operator/eva"
 )
 
-// unitModel is the truth about one unit, whatever anybody has observed of it.
+// unitModel is the actual state of one unit, which may differ from what has been observed.
 type unitModel struct {
 	unit             disruption.Unit // as it registers
-	version          string          // of the process that was started last
-	config           string          // that this process runs by
-	bootMS           int64           // when it was started
-	readyMS          int64           // when it is ready; -1: never
+	version          string          // of the latest process
+	config           string          // that the latest process uses
+	bootMS           int64           // when the latest process was started
+	readyMS          int64           // when the latest process is ready; -1: never
 	terminating      bool            // in the endpoint list
 	drainingSinceMS  int64
-	leaseEndMS       int64 // when its registration expires; 0: it is renewed
-	warmingUpUntilMS int64 // when it is warm
+	leaseEndMS       int64 // when the registration expires; 0: it is being renewed
+	warmingUpUntilMS int64 // when the unit is warm
 	rejectedConfig   string
 }
 
-// name is the unit's name at the platform.
+// name returns the unit's name on the platform.
 func (u *unitModel) name() string { return u.unit.ID[strings.Index(u.unit.ID, "/")+1:] }
 
-// clusterModel is a cluster in virtual time. The ledger, the platform's core and the table of releases are the real ones;
-// processes, registrations and readiness are modelled.
+// clusterModel is a cluster in virtual time. It uses the real ledger, platform core and table of releases, and models
+// processes, registrations and readiness.
 type clusterModel struct {
 	t                  testing.TB
 	nowMS              int64
@@ -57,29 +57,29 @@
 	ids                []string
 	launches           map[string]int  // by unit ID and version
 	reloads            map[string]int  // by unit ID and configuration
-	broken             map[string]bool // versions that fail at their start
+	broken             map[string]bool // versions whose processes exit right after their start
 	neverReady         map[string]bool // versions that never become ready in the endpoint list
 	rejectedConfigs    map[string]bool // configurations that sidecars reject
 	verdict            func(*State) judge.Verdict
-	peakUnavailable    int  // the most units that were out at once
+	peakUnavailable    int  // the largest number of units that did not serve at the same time
 	hidesEndedPermits  bool // views of the ledger lack permits that have ended
 	reportsChangesOnly bool // units register in the ledger only when they change, as in the registry
 	bugs               plantedBugs
 
-	// applied, where set, is called with each operation that the table of releases has applied.
+	// applied, if not nil, is called with each operation that the table of releases has applied.
 	applied func(revision uint64, op *Operation)
 }
 
-// plantedBugs are faults of the code under test that the tests have to detect.
+// plantedBugs are bugs that the fake controller imitates, and that the tests have to detect.
 type plantedBugs struct {
-	writesAfterEffects        bool // a state is written after its effects were executed
-	requestIDsPerController   bool // request IDs depend on the controller, not on the written state
+	writesAfterEffects        bool // a state is written only after its effects were executed
+	requestIDsPerController   bool // request IDs depend on the controller, not only on the written state
 	rollbackAtRolloutPriority bool // rollbacks request permits at the priority of rollouts
-	trustsIncompleteList      bool // a unit that an incomplete list lacks counts as stopped
+	trustsIncompleteList      bool // a unit that is missing from an incomplete list counts as stopped
 }
 
-// newClusterModel makes a cluster of units that all run version 1 with configuration c1 and are up, of which the ledger
-// lets maxUnavailable be out.
+// newClusterModel returns a cluster whose units are all up and run version 1 with configuration c1. The ledger's budget
+// allows maxUnavailable units to be out.
 func newClusterModel(t testing.TB, kind disruption.Kind, zones, unitsPerZone, maxUnavailable int) *clusterModel {
 	t.Helper()
 	model := &clusterModel{
@@ -145,7 +145,7 @@
 	return m.platform.Do(context.Background(), request)
 }
 
-// list is the platform's list, which has to answer.
+// list returns the platform's list, and fails the test if the platform does not answer.
 func (m *clusterModel) list() *supervisor.List {
 	m.t.Helper()
 	list, err := m.platform.List(context.Background())
@@ -162,7 +162,7 @@
 	}
 }
 
-// crashUnit ends a unit's process, as if it had failed by itself.
+// crashUnit makes a unit's process exit by itself.
 func (m *clusterModel) crashUnit(name string) { m.platform.Crash(name, "signal: killed") }
 
 func (m *clusterModel) applyLedgerOp(op *disruption.Op) disruption.Result {
@@ -170,13 +170,12 @@
 	return m.ledger.Apply(m.revision, op)
 }
 
-// observeUnit reports a unit's condition to the ledger, as health checks do.
+// observeUnit reports a unit's condition to the ledger in the manner of a health check.
 func (m *clusterModel) observeUnit(id string, condition disruption.Condition) {
 	observed := []disruption.Unit{{ID: id, Condition: condition}}
 	m.applyLedgerOp(&disruption.Op{Kind: disruption.OpObserve, Owner: "prober", Observed: observed})
 }
 
-// apply applies an operation to the table of releases.
 func (m *clusterModel) apply(op *Operation) error {
 	m.revision++
 	err := m.table.Apply(m.revision, op)
@@ -186,7 +185,7 @@
 	return err
 }
 
-// command gives an operator's command to the release r.
+// command sends an operator's command to the release r.
 func (m *clusterModel) command(action Action) error {
 	return m.apply(&Operation{Name: "r", Command: &Command{Action: action, Operator: operatorName}})
 }
@@ -200,7 +199,7 @@
 	return ""
 }
 
-// startProcess is called by the platform with each unit that it starts.
+// startProcess is called by the platform for each process that it starts.
 func (m *clusterModel) startProcess(listed supervisor.Unit) fake.Behavior {
 	unit := m.units[m.unitID(listed.Name)]
 	m.launches[unit.unit.ID+" "+listed.Version]++
@@ -224,20 +223,20 @@
 		behavior.ExitText = "exit status 1"
 	}
 	if m.neverReady[listed.Version] {
-		unit.readyMS = -1 // the platform's own ready check passes, the registry's does not
+		unit.readyMS = -1 // the platform's own readiness check passes, but the registry's does not
 	}
 	return behavior
 }
 
 func (m *clusterModel) alive(unit *unitModel) bool { return m.platform.LiveProcesses(unit.name()) > 0 }
 
-// serves reports whether a unit truly serves, at its full capacity.
+// serves reports whether a unit actually serves at full capacity.
 func (m *clusterModel) serves(unit *unitModel) bool {
 	ready := unit.readyMS >= 0 && unit.readyMS <= m.nowMS
 	return m.alive(unit) && ready && !unit.terminating && unit.warmingUpUntilMS <= m.nowMS
 }
 
-// advance lets a tick pass: processes go on, units register, leases expire, health checks report.
+// advance simulates one tick: processes make progress, units register, leases expire and health checks report.
 func (m *clusterModel) advance() {
 	m.nowMS += tickMS
 	m.platform.Advance(m.nowMS)
@@ -257,7 +256,7 @@
 	m.peakUnavailable = max(m.peakUnavailable, out)
 }
 
-// expire ends the registration of a unit without a process once its lease is over.
+// expire ends the registration of a unit without a process once its lease has expired.
 func (m *clusterModel) expire(unit *unitModel) {
 	if unit.leaseEndMS == 0 {
 		unit.leaseEndMS = m.nowMS + leaseMS
@@ -267,7 +266,7 @@
 	}
 }
 
-// register registers a unit that has a process, and reports what health checks find.
+// register registers a unit that has a process, and reports the result of its health check.
 func (m *clusterModel) register(unit *unitModel) {
 	id := unit.unit.ID
 	known, registered := m.ledger.Unit(id)
@@ -310,7 +309,7 @@
 	return knownTerminating != terminating
 }
 
-// startRelease starts a release of a plan's text.
+// startRelease starts a release whose plan is given as TOML.
 func (m *clusterModel) startRelease(text string) *State {
 	m.t.Helper()
 	releasePlan, err := plan.Parse("plan.toml", []byte(text))
@@ -324,7 +323,7 @@
 	return m.startState(state)
 }
 
-// startDrain starts a drain of units, by their IDs.
+// startDrain starts a drain of the units with the given IDs.
 func (m *clusterModel) startDrain(name string, ids ...string) {
 	m.t.Helper()
 	drainPlan := DrainPlan(name, disruption.Selector{IDs: ids}, 3600)
@@ -344,7 +343,7 @@
 	return started
 }
 
-// disruptedUnits are the units under an active permit.
+// disruptedUnits returns the units whose disruption has begun and whose permit is not completed.
 func (m *clusterModel) disruptedUnits() (ids []string) {
 	for _, permit := range m.ledger.OpenPermits() {
 		if permit.Stage == disruption.StageActive || permit.Stage == disruption.StageReturning {
@@ -354,7 +353,7 @@
 	return ids
 }
 
-// launchesOf counts the starts of a version, of all units.
+// launchesOf counts the units on which a version was started.
 func (m *clusterModel) launchesOf(version string) int {
 	count := 0
 	for launch := range m.launches {
@@ -365,7 +364,7 @@
 	return count
 }
 
-// unitsAt counts a release's units at a stage.
+// unitsAt counts the units of a release that are at a stage.
 func unitsAt(state *State, stage Stage) int {
 	count := 0
 	for i := range state.Units {
@@ -376,7 +375,7 @@
 	return count
 }
 
-// checkAllRun returns an error unless every unit of a release truly runs an image, in one process, and serves.
+// checkAllRun returns an error unless every unit of a release actually serves and runs an image in exactly one process.
 func (m *clusterModel) checkAllRun(state *State, image Image) error {
 	for i := range state.Units {
 		unit := m.units[state.Units[i].ID]
--- a/internal/release/crash_test.go
+++ b/internal/release/crash_test.go
@@ -47,11 +47,11 @@
 type scenario struct {
 	name         string
 	kind         disruption.Kind
-	plan         string // empty: a drain
-	rollbackTick int    // at which an operator rolls it back; 0: never
+	plan         string // TOML; empty: the release is a drain
+	rollbackTick int    // tick at which an operator rolls the release back; 0: never
 	wantPhase    Phase
 	wantImage    Image
-	maxLaunches  int // of one unit and version
+	maxLaunches  int // allowed starts of one version on one unit
 }
 
 var scenarios = []scenario{
@@ -88,10 +88,11 @@
 	},
 }
 
-// errCompletedEarly says that a release was completed before it was to be rolled back.
+// errCompletedEarly says that a release was completed before its scenario rolled it back.
 var errCompletedEarly = errors.New("the release was completed before it was rolled back")
 
-// run runs a scenario with a planned crash, and returns the number of effects and what went wrong.
+// run runs a scenario with a planned crash. It returns the number of executed effects, and an error if the release does
+// not end as expected.
 func (s *scenario) run(t testing.TB, planned *crash, bugs plantedBugs) (effects int, err error) {
 	t.Helper()
 	const zones, unitsPerZone, maxUnavailable = 2, 3, 2
@@ -112,16 +113,16 @@
 	case state.Status.Phase == PhaseCompleted && s.wantPhase == PhaseRolledBack:
 		return effects, errCompletedEarly
 	case state.Status.Phase != s.wantPhase:
-		return effects, fmt.Errorf("it ended %s (%s), want %s", state.Status.Phase, state.Status.HaltReason, s.wantPhase)
+		return effects, fmt.Errorf("release ended in phase %s (%s), want %s", state.Status.Phase, state.Status.HaltReason, s.wantPhase)
 	}
 	if model.peakUnavailable > maxUnavailable {
-		return effects, fmt.Errorf("budget: %d units were out at once, allowed are %d", model.peakUnavailable, maxUnavailable)
+		return effects, fmt.Errorf("budget exceeded: %d units were out at once, limit is %d", model.peakUnavailable, maxUnavailable)
 	}
 	if err := s.checkNoRepeats(model); err != nil {
 		return effects, err
 	}
 	for _, permit := range model.ledger.OpenPermits() {
-		return effects, fmt.Errorf("permit %s is %s at the end", permit.ID, permit.Stage)
+		return effects, fmt.Errorf("permit %s is still open at the end, at stage %s", permit.ID, permit.Stage)
 	}
 	if s.plan == "" {
 		return effects, model.checkAllStopped(state)
@@ -129,16 +130,16 @@
 	return effects, model.checkAllRun(state, s.wantImage)
 }
 
-// checkNoRepeats returns an error if a unit was started or reloaded more often than it has to be.
+// checkNoRepeats returns an error if a unit was started or reloaded more often than necessary.
 func (s *scenario) checkNoRepeats(model *clusterModel) error {
 	for launch, count := range model.launches {
 		if count > s.maxLaunches {
-			return fmt.Errorf("once: %s was started %d times", launch, count)
+			return fmt.Errorf("repeated start: %s was started %d times", launch, count)
 		}
 	}
 	for reload, count := range model.reloads {
 		if count > 1 {
-			return fmt.Errorf("once: %s was reloaded %d times", reload, count)
+			return fmt.Errorf("repeated reload: %s was reloaded %d times, want at most 1", reload, count)
 		}
 	}
 	return nil
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// A rollback from any moment of a rollout ends with every unit on its previous image.
+// Guards against a rollback that leaves units on the target image, whichever tick of the rollout it begins at.
 func TestRollbackFromEveryTick(t *testing.T) {
 	for _, tested := range scenarios {
 		if tested.plan == "" || tested.rollbackTick > 0 {
@@ -175,8 +176,8 @@
 	}
 }
 
-// The controller crashes at every single effect, in every mode, and its successor completes the release with nothing done
-// twice.
+// Guards against effects that are lost or done twice when a controller crashes. Each run crashes the controller at another
+// effect and in another mode, and its successor has to complete the release.
 func TestControllerKilledAtEveryEffect(t *testing.T) {
 	for _, tested := range scenarios {
 		if _, err := tested.run(t, &crash{effectIndex: -2}, plantedBugs{}); err != nil {
--- a/internal/release/doc.go
+++ b/internal/release/doc.go
@@ -1,5 +1,5 @@
-// Package release updates the units of a fleet to another version or configuration in waves, or drains them permanently.
-// It takes units out of service only within the budgets of the disruption ledger.
+// Package release updates the units of a fleet to another version or configuration in waves, or drains and stops them
+// permanently. It takes units out of service only within the budgets of the disruption ledger.
 //
 // The package makes the decisions of a release and defines its replicated state. A State is one release as stored in the
 // replicated log. A Table is all releases, and each registry replica has a copy. State.Reconcile is a pure function: it
--- a/internal/release/drain_test.go
+++ b/internal/release/drain_test.go
@@ -6,7 +6,8 @@
 	"milldeck/internal/disruption"
 )
 
-// A drained unit whose permit has ended, and that has left the ledger, while no controller was alive has converged.
+// Guards against a drain that never ends: while no controller runs, the permit of a drained unit ends, and the ledger
+// removes both the unit and the permit. The next controller has to count the unit as converged.
 func TestDrainedUnitRemovedWhileUnobserved(t *testing.T) {
 	drainPlan := DrainPlan("d", disruption.Selector{IDs: []string{"server/a"}}, 3600)
 	state := &State{
@@ -31,12 +32,12 @@
 		}
 	}
 	if state.Units[0].Stage != StageConverged || state.Status.Phase != PhaseCompleted {
-		t.Errorf("the unit is at %s, the drain %s", state.Units[0].Stage, state.Status.Phase)
+		t.Errorf("the unit is at stage %s, the drain in phase %s", state.Units[0].Stage, state.Status.Phase)
 	}
 }
 
-// A server that is being drained ends by itself at any moment, and the platform restarts it by its policy: it is stopped
-// all the same.
+// Guards against a drained server that keeps running: the server exits by itself during the drain, and the platform
+// restarts it by its restart policy. The drain has to stop it again.
 func TestDrainedServerRestartedByPlatformIsStopped(t *testing.T) {
 	for crashTick := range 16 {
 		model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
@@ -48,7 +49,7 @@
 		})
 		processes := model.platform.LiveProcesses("a0")
 		if state.Status.Phase != PhaseCompleted || processes != 0 {
-			t.Errorf("ended by itself at tick %d: %s, %d processes, %+v", crashTick, state.Status.Phase, processes, state.Units[0])
+			t.Errorf("server exited at tick %d: phase %s, %d processes, %+v", crashTick, state.Status.Phase, processes, state.Units[0])
 		}
 	}
 }
--- a/internal/release/fakecontroller_test.go
+++ b/internal/release/fakecontroller_test.go
@@ -9,7 +9,7 @@
 	"milldeck/internal/supervisor"
 )
 
-// fakeController is a process that holds the release's lease, or believes that it does.
+// fakeController is a controller that holds the release's lease, or wrongly believes that it does.
 type fakeController struct {
 	model         *clusterModel
 	name          string
@@ -18,10 +18,10 @@
 	outcomes      map[string]supervisor.Outcome
 	deniedPermits map[string]string
 
-	pendingDeltas []Delta // not written yet, by a planted bug
+	pendingDeltas []Delta // deltas whose write a planted bug delays
 }
 
-// newController makes a controller under the next token, which reads the release from the log.
+// newController returns a controller under the next fencing token. It starts with the release's state in the log.
 func (m *clusterModel) newController(name string) *fakeController {
 	m.token++
 	state, _ := m.table.Get(name)
@@ -37,7 +37,7 @@
 	}
 }
 
-// view is what the controller observes of the model.
+// view returns the controller's present observation of the model.
 func (c *fakeController) view() *View {
 	model := c.model
 	list, err := model.platform.List(context.Background())
@@ -76,7 +76,7 @@
 	}
 }
 
-// visiblePermit is a permit as a view of the ledger has it: not every view has those that have ended.
+// visiblePermit looks up a permit in a view of the ledger. Some views lack permits that have ended.
 func (m *clusterModel) visiblePermit(id string) (disruption.Permit, bool) {
 	permit, known := m.ledger.Permit(id)
 	if m.hidesEndedPermits && known && permitEnded(permit) {
@@ -85,8 +85,8 @@
 	return permit, known
 }
 
-// execute executes one effect. With answerLost the controller does not learn its outcome. Writes to the log and the
-// ledger need the valid token; the platform knows no tokens.
+// execute executes one effect. With answerLost the controller does not receive the outcome. Writes to the log and the
+// ledger need the valid fencing token; the platform does not check tokens.
 func (c *fakeController) execute(effect Effect, answerLost bool) {
 	model := c.model
 	valid := c.token == model.token
@@ -149,55 +149,54 @@
 	}
 	c.applyToState(delta)
 	if written, _ := c.model.table.Get(c.name); c.state.Sequence != written.Sequence {
-		c.model.t.Fatal("the controller's state is not that of the log")
+		c.model.t.Fatal("the controller's state differs from the state in the log")
 	}
 }
 
-// applyToState applies a delta to the controller's own state, which it was computed from.
+// applyToState applies a delta to the controller's own state, from which the delta was computed.
 func (c *fakeController) applyToState(delta Delta) {
 	if err := c.state.Apply(delta); err != nil {
 		c.model.t.Fatal(err)
 	}
 }
 
-// writePending writes what a planted bug has delayed. The log may reject it by now.
+// writePending writes the deltas that a planted bug has delayed. The log may reject them by now.
 func (c *fakeController) writePending() {
 	for _, delta := range c.pendingDeltas {
 		if c.token == c.model.token {
-			_ = c.model.apply(&Operation{Name: c.name, Delta: &delta}) // a rejection is a part of the bug
+			_ = c.model.apply(&Operation{Name: c.name, Delta: &delta}) // a rejection is an expected result of the bug
 		}
 	}
 	c.pendingDeltas = nil
 }
 
-// crashMode is what a crash does to the effect at which it happens.
+// crashMode is how a crash affects the effect at which it happens.
 type crashMode string
 
 const (
-	crashBefore crashMode = "before" // the controller dies before it
-	crashAfter  crashMode = "after"  // it dies after it, before it learns the outcome
-	crashFrozen crashMode = "frozen" // it is frozen, and executes this effect and the rest under a stale token
+	crashBefore crashMode = "before" // the controller crashes before the effect
+	crashAfter  crashMode = "after"  // the controller crashes after the effect, before it receives the outcome
+	crashFrozen crashMode = "frozen" // the controller freezes, and later executes this and the remaining effects under a stale token
 )
 
 var crashModes = []crashMode{crashBefore, crashAfter, crashFrozen}
 
-// frozenTicks is for how many ticks a frozen controller is frozen.
+// frozenTicks is the number of ticks for which a controller freezes.
 const frozenTicks = 12
 
-// crash is a planned crash of the controller, at an effect by its number in the whole run.
+// crash is a planned crash of the controller at one effect.
 type crash struct {
-	effectIndex      int // from 0; below 0: never
+	effectIndex      int // number of the effect in the whole run, from 0; below 0: no crash
 	mode             crashMode
-	effectsDone      int // counts the effects of the run
+	effectsDone      int // number of effects so far in the run
 	happened         bool
 	resumeFrozen     func()
 	ticksUntilResume int // 0: no controller is frozen
 }
 
-// noCrash plans no crash.
 func noCrash() *crash { return &crash{effectIndex: -1} }
 
-// firesAtNextEffect reports whether the crash happens at the next effect, and counts that.
+// firesAtNextEffect counts the next effect and reports whether the crash happens at it.
 func (p *crash) firesAtNextEffect() bool {
 	index := p.effectsDone
 	p.effectsDone++
@@ -208,7 +207,8 @@
 	return true
 }
 
-// interrupt executes what the crash leaves of a controller's effects, of which rest begins with the one at which it happens.
+// interrupt crashes a controller according to the mode. remaining are the controller's effects from the one at which the
+// crash happens.
 func (p *crash) interrupt(controller *fakeController, remaining []Effect) {
 	switch p.mode {
 	case crashBefore:
@@ -224,7 +224,7 @@
 	}
 }
 
-// advanceTick lets a tick pass for a frozen controller.
+// advanceTick counts a tick of a frozen controller and resumes the controller after the last one.
 func (p *crash) advanceTick() {
 	if p.ticksUntilResume == 0 {
 		return
@@ -235,8 +235,8 @@
 	}
 }
 
-// run runs the release r until it is finished and its commands are handled, for a number of ticks at most, with a hook
-// before each tick. It returns the release and the number of effects.
+// run runs the release r until it is finished and its commands are handled, or until the ticks are over. It calls
+// beforeTick before each tick, and returns the release and the number of effects.
 func (m *clusterModel) run(planned *crash, ticks int, beforeTick func(tick int, state *State)) (*State, int) {
 	const name = "r"
 	current := m.newController(name)
--- a/internal/release/faults_test.go
+++ b/internal/release/faults_test.go
@@ -14,10 +14,11 @@
 	"milldeck/internal/supervisor/core"
 )
 
-// seedsFlag is how many seeds of random faults are run. docs/release.md has figures of 300.
-var seedsFlag = flag.Uint64("seeds", 6, "seeds of random faults")
+// seedsFlag is the number of seeds that the randomized tests run. docs/release.md has figures of 300.
+var seedsFlag = flag.Uint64("seeds", 6, "number of seeds of the randomized tests")
 
-// runToEnd runs the release r to its end, and returns an error unless all its units are as its phase says.
+// runToEnd runs the release r to its end. It returns an error unless the actual state of all its units matches the final
+// phase.
 func (m *clusterModel) runToEnd(planned *crash, ticks int, beforeTick func(int, *State)) (*State, error) {
 	state, _ := m.run(planned, ticks, beforeTick)
 	for range settleTicks {
@@ -31,7 +32,7 @@
 	case PhaseStranded:
 		return state, m.checkStranded(state)
 	}
-	return state, fmt.Errorf("it is still %s: %s", state.Status.Phase, state.Status.HaltReason)
+	return state, fmt.Errorf("release did not finish; it is in phase %s: %s", state.Status.Phase, state.Status.HaltReason)
 }
 
 // checkStranded returns an error unless the stranded units are exactly those that do not run their previous image.
@@ -44,13 +45,14 @@
 		})
 		returned := m.serves(unit) && unit.version == previous.Version && unit.config == previous.ConfigName
 		if returned == listed {
-			return fmt.Errorf("%s runs %s, serves %v, and is listed as stranded: %v", id, unit.version, m.serves(unit), listed)
+			return fmt.Errorf("%s runs version %s and serves %v; listed as stranded: %v", id, unit.version, m.serves(unit), listed)
 		}
 	}
 	return nil
 }
 
-// runRollbackUnderFleetHalt runs a release that a guard rolls back while an operator has halted the whole fleet.
+// runRollbackUnderFleetHalt runs a release that a guard rolls back while an operator's halt defers grants for the whole
+// fleet.
 func runRollbackUnderFleetHalt(t testing.TB, planted plantedBugs) error {
 	t.Helper()
 	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
@@ -69,12 +71,13 @@
 		}
 	})
 	if err == nil && state.Status.Phase != PhaseRolledBack {
-		err = fmt.Errorf("it ended %s", state.Status.Phase)
+		err = fmt.Errorf("release ended in phase %s", state.Status.Phase)
 	}
 	return err
 }
 
-// runWithPlatformStateLoss runs a release in which the platform loses its state at a tick, and finds all units again 8 s later.
+// runWithPlatformStateLoss runs a release in which the platform loses its state at a tick and rediscovers all units 8 s
+// later.
 func runWithPlatformStateLoss(t testing.TB, planted plantedBugs, lossTick int) error {
 	t.Helper()
 	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
@@ -90,7 +93,7 @@
 		}
 	})
 	if maxProcesses > 1 {
-		err = fmt.Errorf("once: a unit had %d processes", maxProcesses)
+		err = fmt.Errorf("a unit had %d processes at the same time", maxProcesses)
 	}
 	return err
 }
@@ -101,6 +104,8 @@
 	}
 }
 
+// Guards against a second process for a running unit: a platform that has lost its state does not list the unit, and that
+// must not count as evidence that the unit is stopped.
 func TestPlatformStateLossIsNotEvidence(t *testing.T) {
 	for lossTick := range 60 {
 		if err := runWithPlatformStateLoss(t, plantedBugs{}, lossTick); err != nil {
@@ -109,12 +114,12 @@
 	}
 }
 
-// detectByCrashes crashes the controller at each effect of a scenario until a planted bug shows, which it must not without
-// a crash.
+// detectByCrashes runs a scenario with a planted bug, each time with a crash at another effect, until a run detects the
+// bug. It fails the test if a run without a crash detects the bug.
 func detectByCrashes(t *testing.T, tested *scenario, planted plantedBugs) error {
 	t.Helper()
 	if _, err := tested.run(t, noCrash(), planted); err != nil {
-		t.Errorf("%+v shows without a crash: %v", planted, err)
+		t.Errorf("%+v is detected without a crash: %v", planted, err)
 	}
 	var found error
 	for index := 0; index < 120 && found == nil; index++ {
@@ -127,7 +132,7 @@
 	return found
 }
 
-// scenarioNamed is a scenario by its name.
+// scenarioNamed returns the scenario of a name.
 func scenarioNamed(t *testing.T, name string) *scenario {
 	t.Helper()
 	for i := range scenarios {
@@ -139,7 +144,7 @@
 	return nil
 }
 
-// Each planted bug is detected by the tests that are meant for it.
+// Guards against tests that detect nothing: each planted bug has to be detected by the test meant for it.
 func TestPlantedBugsAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -154,7 +159,7 @@
 		{"rollbacks at the priority of rollouts", func(t *testing.T) error {
 			return runRollbackUnderFleetHalt(t, plantedBugs{rollbackAtRolloutPriority: true})
 		}},
-		{"absence from an incomplete list taken for an end", func(t *testing.T) error {
+		{"absence from an incomplete list taken for a stop", func(t *testing.T) error {
 			var found error
 			for lossTick := 0; lossTick < 60 && found == nil; lossTick++ {
 				found = runWithPlatformStateLoss(t, plantedBugs{trustsIncompleteList: true}, lossTick)
@@ -172,8 +177,8 @@
 	}
 }
 
-// Each fault of the platform, at every moment of a rollout and of a rollback: it hangs, fails, does half of a call, loses
-// answers, acts on the wrong unit, loses its state.
+// Guards against releases that do not survive a fault of the platform during a rollout or a rollback. The platform hangs,
+// fails, executes only half of a call, loses responses, acts on the wrong unit or loses its state.
 func TestPlatformFaults(t *testing.T) {
 	faults := []core.Fault{
 		{Kind: core.FaultHang, DurationMS: 20_000},
@@ -192,10 +197,10 @@
 	}
 }
 
-// runPlatformFault runs a release with one fault. RollbackTick is 0 where it is not rolled back.
+// runPlatformFault runs a release with one fault. With a rollbackTick of 0 the release is not rolled back.
 func runPlatformFault(t *testing.T, fault core.Fault, faultTick, rollbackTick int) {
 	t.Helper()
-	const maxLaunches = 2 // a start that was done by half, or a unit that was stopped wrongly, is started again
+	const maxLaunches = 2 // a unit is started again after a half-executed start or after it was stopped by mistake
 	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
 	model.startRelease(serverPlan)
 	_, err := model.runToEnd(noCrash(), 3000, func(tick int, _ *State) {
@@ -216,8 +221,9 @@
 	}
 }
 
-// 200 units with random faults: units that fail alone, platform faults, controllers that crash and freeze, halts and
-// resumes by operators, regressions. A release ends with every unit on one image, or exactly listed, never over budget.
+// Guards against combinations of faults that leave units in the wrong state or exceed the budget. 200 units meet unit
+// crashes, platform faults, crashing and freezing controllers, operators' halts and resumes, and regressions. Every release
+// has to end with all units on one image, or with an exact list of the stranded ones.
 func TestRandomFaults(t *testing.T) {
 	seeds := *seedsFlag
 	outcomes := map[Phase]int{}
@@ -237,12 +243,12 @@
 	model          *clusterModel
 	planned        *crash
 	maxUnavailable int
-	crashed        map[int]bool // indexes of the units that have failed alone
+	crashed        map[int]bool // indexes of the units that have crashed
 	currentTick    int
-	budgetErr      error // the first time that too many units were out
+	budgetErr      error // the first violation of the budget
 }
 
-// faultTicks is how long faults are injected. After that a halted release is rolled back.
+// faultTicks is the number of ticks during which faults are injected. After that a halted release is rolled back.
 const faultTicks = 400
 
 func runRandomFaults(t testing.TB, seed uint64) (Phase, error) {
@@ -282,7 +288,7 @@
 		f.planned.effectIndex = f.planned.effectsDone + f.rng.IntN(60)
 		f.planned.mode = crashModes[f.rng.IntN(3)]
 	}
-	if tick%50 == 49 { // a replica that was restored from a snapshot behaves the same
+	if tick%50 == 49 { // a replica that was restored from a snapshot has to behave the same
 		f.model.restoreSnapshot()
 	}
 	if tick < faultTicks {
@@ -292,18 +298,18 @@
 		sendCommand(f.model.t, f.model, CommandRollback)
 	}
 	if out := f.model.plannedUnavailable(state, f.crashed); out > f.maxUnavailable && f.budgetErr == nil {
-		f.budgetErr = fmt.Errorf("budget: %d units are out for planned reasons at tick %d, allowed are %d", out, tick, f.maxUnavailable)
+		f.budgetErr = fmt.Errorf("budget exceeded: %d units are out under permits at tick %d, limit is %d", out, tick, f.maxUnavailable)
 	}
 }
 
-// One tick in so many, on average, has a fault of the platform, a unit that fails alone, and an operator's command.
+// Average number of ticks between two platform faults, unit crashes and operators' commands.
 const (
 	ticksPerPlatformFault = 40
 	ticksPerUnitCrash     = 60
 	ticksPerCommand       = 80
 )
 
-// inject injects faults of the platform, of units and by operators, each with its own probability.
+// inject injects platform faults, unit crashes and operators' commands, each with its own probability.
 func (f *randomFaults) inject() {
 	if f.rng.IntN(ticksPerPlatformFault) == 0 {
 		f.model.setFault([]core.Fault{
@@ -317,7 +323,7 @@
 	}
 	if f.rng.IntN(ticksPerUnitCrash) == 0 {
 		i := f.rng.IntN(len(f.model.ids))
-		if !f.crashed[i] { // the platform restarts it, once
+		if !f.crashed[i] { // each unit crashes at most once, because the platform restarts it only once
 			f.model.crashUnit(f.model.units[f.model.ids[i]].name())
 		}
 		f.crashed[i] = true
@@ -327,7 +333,7 @@
 	}
 }
 
-// restoreSnapshot replaces the table by one that is restored from its snapshot.
+// restoreSnapshot replaces the table with one that is restored from its snapshot.
 func (m *clusterModel) restoreSnapshot() {
 	m.t.Helper()
 	data, err := json.Marshal(m.table.Snapshot())
@@ -341,12 +347,12 @@
 	claims := len(m.table.claims)
 	m.table = Restore(&snapshot)
 	if len(m.table.claims) != claims {
-		m.t.Fatalf("%d claims after a restore, %d before", len(m.table.claims), claims)
+		m.t.Fatalf("%d claims after restoring the snapshot, %d before", len(m.table.claims), claims)
 	}
 }
 
-// plannedUnavailable counts the units that are truly out under an active permit, without those that have failed alone: a permit
-// for one that is out anyway takes no budget.
+// plannedUnavailable counts the units that do not serve and are under an active permit. It leaves out crashed units, because
+// a permit for a unit that is unavailable anyway uses no budget.
 func (m *clusterModel) plannedUnavailable(state *State, crashed map[int]bool) int {
 	out := 0
 	for i := range state.Units {
--- a/internal/release/fixtures_test.go
+++ b/internal/release/fixtures_test.go
@@ -10,14 +10,14 @@
 	"milldeck/internal/goldentest"
 )
 
-// fixtureScenario is a scripted release. Its log and its snapshots are compared with golden files byte by byte.
+// fixtureScenario is a scripted release whose log and snapshots are compared with golden files byte by byte.
 type fixtureScenario struct {
 	name      string
 	kind      disruption.Kind
-	plan      string // empty: a drain
+	plan      string // TOML; empty: the release is a drain
 	wantPhase Phase  // at the end
 
-	// script, where set, is called before each tick.
+	// script, if not nil, is called before each tick.
 	script func(t *testing.T, model *clusterModel, tick int, state *State)
 }
 
@@ -57,7 +57,7 @@
 	Op       json.RawMessage `json:"op"`
 }
 
-// runFixture runs a scenario and returns the log that it wrote, and a snapshot after each change of phase or wave.
+// runFixture runs a scenario and returns the log that it writes, with a snapshot after each change of phase or wave.
 func runFixture(t *testing.T, scenario *fixtureScenario) (log, snapshots []byte) {
 	t.Helper()
 	model := newClusterModel(t, scenario.kind, 2, 3, 2)
@@ -94,7 +94,7 @@
 	return logLines.Bytes(), snapshotLines.Bytes()
 }
 
-// jsonLine is a value as one line of JSON.
+// jsonLine encodes a value as one line of JSON.
 func jsonLine(t *testing.T, value any) []byte {
 	t.Helper()
 	line, err := json.Marshal(value)
@@ -104,7 +104,8 @@
 	return append(line, '\n')
 }
 
-// The scripted releases write the stored bytes: the same decisions, in the same order, in the same format.
+// Guards against changes to the decisions of a release, their order or their stored format: replicas of two builds must
+// store the same bytes.
 func TestScriptedReleasesWriteTheStoredBytes(t *testing.T) {
 	for i := range fixtureScenarios {
 		scenario := &fixtureScenarios[i]
@@ -116,8 +117,9 @@
 	}
 }
 
-// Stored operations are read without an unknown field, and written again as the same bytes. Replayed, they give a table
-// whose snapshots are the stored ones. Together the fixtures have every stage and every phase.
+// Guards against a build that cannot read the log of an earlier build. Stored operations must decode without an unknown
+// field and encode to the same bytes, and replaying them must reproduce the stored snapshots. Together the fixtures must
+// contain every stage and every phase.
 func TestStoredLogsAreReplayed(t *testing.T) {
 	stages, phases := map[Stage]bool{}, map[Phase]bool{}
 	for i := range fixtureScenarios {
@@ -131,7 +133,7 @@
 				var op Operation
 				goldentest.DecodeStrictly(t, logged.Op, &op)
 				if again := bytes.TrimSpace(jsonLine(t, &op)); !bytes.Equal(again, logged.Op) {
-					t.Fatalf("read and written again:\n got %s\nwant %s", again, logged.Op)
+					t.Fatalf("decoded and encoded again:\n got %s\nwant %s", again, logged.Op)
 				}
 				if err := table.Apply(logged.Revision, &op); err != nil {
 					t.Fatalf("revision %d: %v", logged.Revision, err)
@@ -165,8 +167,9 @@
 	}
 }
 
-// Stored snapshots are read without an unknown field, and written again as the same bytes; the claims that follow from
-// them are those of the units that a release may still need.
+// Guards against a build that cannot restore the snapshot of an earlier build. Stored snapshots must decode without an
+// unknown field and encode to the same bytes. The restored claims must cover exactly the units that a release may still
+// need.
 func TestStoredSnapshotsAreRestored(t *testing.T) {
 	for i := range fixtureScenarios {
 		scenario := &fixtureScenarios[i]
@@ -176,7 +179,7 @@
 				goldentest.DecodeStrictly(t, line, &saved)
 				table := Restore(&saved)
 				if again := jsonLine(t, table.Snapshot()); !bytes.Equal(again, line) {
-					t.Fatalf("restored and saved again:\n got %s\nwant %s", again, line)
+					t.Fatalf("restored and encoded again:\n got %s\nwant %s", again, line)
 				}
 				s, _ := table.Get("r")
 				claims := len(s.Units)
@@ -191,8 +194,8 @@
 	}
 }
 
-// The platform and the ledger remember requests and permits by these names: a successor of another version has to form
-// the same ones.
+// Guards against repeated requests and permits after a takeover by a controller of another build. The platform and the
+// ledger recognize repetitions by their IDs, so both builds must derive the same IDs.
 func TestStoredNamesOfRequestsAndPermits(t *testing.T) {
 	var names bytes.Buffer
 	for i := range fixtureScenarios {
--- a/internal/release/interval_test.go
+++ b/internal/release/interval_test.go
@@ -10,7 +10,8 @@
 	"milldeck/internal/supervisor"
 )
 
-// The counts of a release's cohort are the canary's; those of another release's cohort are left out.
+// Guards against counts on the wrong side of the comparison: the counts of the release's cohort belong to the canary, and
+// the counts of another release's cohort are left out.
 func TestIntervalFromReports(t *testing.T) {
 	state := &State{Name: "r", Plan: &plan.Plan{Change: plan.Change{ServerVersion: "2"}}, Units: []Unit{
 		{ID: "server/n", Name: "n", Stage: StageConverged}, {ID: "server/o", Name: "o", Stage: StagePending}}}
--- a/internal/release/lifecycle_test.go
+++ b/internal/release/lifecycle_test.go
@@ -10,7 +10,7 @@
 	"milldeck/internal/release/plan"
 )
 
-// holdOnHaltPlan is serverPlan, but a halt holds the updated units.
+// holdOnHaltPlan is serverPlan, except that updated units stay updated after a halt.
 var holdOnHaltPlan = strings.Replace(serverPlan, `"back"`, `"hold"`, 1)
 
 const configPlan = `name = "r"
@@ -29,18 +29,18 @@
 	}
 }
 
-// checkEnd runs the release r to its end, and checks its phase and a part of the reason of its halt.
+// checkEnd runs the release r to its end, and checks its final phase and that its halt reason contains a text.
 func checkEnd(t *testing.T, model *clusterModel, ticks int, phase Phase, reason string) *State {
 	t.Helper()
 	state, err := model.runToEnd(noCrash(), ticks, nil)
 	status := &state.Status
 	if err != nil || status.Phase != phase || !strings.Contains(status.HaltReason, reason) {
-		t.Fatalf("ended %s, %v, reason %q; want %s for %q", status.Phase, err, status.HaltReason, phase, reason)
+		t.Fatalf("ended in phase %s, error %v, reason %q; want %s, reason %q", status.Phase, err, status.HaltReason, phase, reason)
 	}
 	return state
 }
 
-// A version that cannot come up affects the units of one wave at most, and is rolled back by itself.
+// Guards against a broken version that spreads beyond one wave or is not rolled back automatically.
 func TestFailedStartRollsBack(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -56,7 +56,7 @@
 			c.inject(model)
 			checkEnd(t, model, 4000, PhaseRolledBack, c.reason)
 			if started := model.launchesOf("2"); started > 2 {
-				t.Errorf("%d of 20 units were started on it", started)
+				t.Errorf("%d of 20 units were started with the broken version, want at most 2", started)
 			}
 		})
 	}
@@ -68,14 +68,15 @@
 	checkEnd(t, model, 1000, PhaseRolledBack, "no server of version 9")
 }
 
-// A configuration that a sidecar rejects at SIGHUP halts the wave there, and is replaced by the previous one.
+// Guards against a rejected configuration that spreads or stays in place: if a sidecar rejects the configuration at SIGHUP,
+// the release halts at that sidecar and gives it the previous configuration again.
 func TestRejectedConfigurationHalts(t *testing.T) {
 	model := newClusterModel(t, disruption.KindSidecar, 2, 3, 2)
 	model.startRelease(configPlan)
 	model.rejectedConfigs["c2"] = true
 	state, _ := model.run(noCrash(), 300, nil)
 	if state.Status.Phase != PhaseHalted || !strings.Contains(state.Status.HaltReason, "refuses the configuration") {
-		t.Fatalf("it is %s: %s", state.Status.Phase, state.Status.HaltReason)
+		t.Fatalf("release is in phase %s: %s", state.Status.Phase, state.Status.HaltReason)
 	}
 	reloaded := 0
 	for reload := range model.reloads {
@@ -85,15 +86,15 @@
 	}
 	first := model.list().Find(state.Units[0].Name)
 	if reloaded != 1 || first.ConfigName != "c1" || model.peakUnavailable > 0 {
-		t.Errorf("%d were reloaded, the first has %s, %d were out at once; want 1, c1, 0",
+		t.Errorf("%d units were reloaded, the first has configuration %s, %d were unavailable at once; want 1, c1, 0",
 			reloaded, first.ConfigName, model.peakUnavailable)
 	}
 	sendCommand(t, model, CommandRollback)
 	checkEnd(t, model, 300, PhaseRolledBack, "")
 }
 
-// A halt at every moment, so also across each grant: no further unit goes out after it, those that are out return or finish,
-// and a resumed release completes as if nothing had happened.
+// Guards against units that go out after a halt or stay out under it. The halt comes at every tick, so it also crosses each
+// grant. A unit that is out has to return or finish, and the release has to complete after a resume.
 func TestHaltAtEveryTick(t *testing.T) {
 	const haltTicks = 60
 	for haltTick := range 80 {
@@ -113,21 +114,21 @@
 			}
 			if state.Status.Phase == PhaseHalted && tick == haltTick+haltTicks {
 				if out := len(model.disruptedUnits()); out > 0 {
-					t.Errorf("halted at tick %d: %d are out half a minute later", haltTick, out)
+					t.Errorf("halted at tick %d: %d units are still out half a minute later", haltTick, out)
 				}
 				sendCommand(t, model, CommandResume)
 			}
 		})
 		if err != nil || state.Status.Phase != PhaseCompleted {
-			t.Errorf("halted at tick %d and resumed: %s, %v", haltTick, state.Status.Phase, err)
+			t.Errorf("halted at tick %d and resumed: phase %s, error %v", haltTick, state.Status.Phase, err)
 		}
 		if state.Status.Phase == PhaseCompleted && len(disrupted) > outAtHalt && haltTick < haltTicks {
-			t.Errorf("halted at tick %d with %d out, and %d were out after", haltTick, outAtHalt, len(disrupted))
+			t.Errorf("halted at tick %d with %d units out, but %d were out afterwards", haltTick, outAtHalt, len(disrupted))
 		}
 	}
 }
 
-// A rollback is not stopped by a resume or a halt that crosses it.
+// Guards against a rollback that another command stops: a halt or a resume may arrive just before or after it.
 func TestCommandsDuringRollback(t *testing.T) {
 	for commandTick := 20; commandTick < 70; commandTick += 3 {
 		model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
@@ -144,7 +145,7 @@
 			}
 		})
 		if err != nil || state.Status.Phase != PhaseRolledBack {
-			t.Errorf("commands at tick %d: %s, %v", commandTick, state.Status.Phase, err)
+			t.Errorf("commands at tick %d: phase %s, error %v", commandTick, state.Status.Phase, err)
 		}
 		for launch, count := range model.launches {
 			if count > 1 {
@@ -154,7 +155,8 @@
 	}
 }
 
-// A rollback to a version that is broken too ends with the exact list of stranded units, and leaves what still serves.
+// Guards against a rollback to a broken version that takes down the units that still serve. The rollback has to end with an
+// exact list of the stranded units.
 func TestRollbackToBrokenVersion(t *testing.T) {
 	model := newClusterModel(t, disruption.KindServer, 2, 10, 4)
 	model.startRelease(serverPlan)
@@ -167,7 +169,7 @@
 		}
 	})
 	if err != nil || state.Status.Phase != PhaseStranded {
-		t.Fatalf("%s, %v", state.Status.Phase, err)
+		t.Fatalf("phase %s, error %v", state.Status.Phase, err)
 	}
 	serving := 0
 	for _, id := range model.ids {
@@ -176,9 +178,10 @@
 		}
 	}
 	if len(state.Status.Stranded) < 8 || serving < 16 {
-		t.Errorf("%d are stranded and %d of 20 serve: %q", len(state.Status.Stranded), serving, state.Status.Stranded)
+		t.Errorf("%d units are stranded, %d of 20 serve; want at least 8, 16: %q",
+			len(state.Status.Stranded), serving, state.Status.Stranded)
 	}
-	t.Logf("%d serve, stranded: %q", serving, state.Status.Stranded)
+	t.Logf("%d units serve, stranded: %q", serving, state.Status.Stranded)
 }
 
 func TestCompletedReleaseRollsBackUntilFinalized(t *testing.T) {
@@ -188,12 +191,12 @@
 	other := *first
 	other.Name = "other"
 	if err := model.apply(&Operation{Start: &other}); err == nil || !strings.Contains(err.Error(), "claimed by release r") {
-		t.Errorf("another release starts with units of one that is not final: %v", err)
+		t.Errorf("starting another release with units of one that is not finalized: error %v, want a claim conflict", err)
 	}
 	sendCommand(t, model, CommandRollback)
 	checkEnd(t, model, 1000, PhaseRolledBack, "")
 	if err := model.apply(&Operation{Start: &other}); err != nil {
-		t.Errorf("another release cannot start with units that were rolled back: %v", err)
+		t.Errorf("starting another release with units that were rolled back: %v", err)
 	}
 }
 
@@ -201,17 +204,17 @@
 	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
 	first := model.startRelease(serverPlan)
 	if err := model.command(CommandFinalize); err == nil {
-		t.Error("a release under way is finalized")
+		t.Error("an unfinished release could be finalized")
 	}
 	checkEnd(t, model, 1000, PhaseCompleted, "")
 	sendCommand(t, model, CommandFinalize)
 	if err := model.command(CommandRollback); err == nil {
-		t.Error("a finalized release is rolled back")
+		t.Error("a finalized release accepted a rollback command")
 	}
 	other := *first
 	other.Name = "other"
 	if err := model.apply(&Operation{Start: &other}); err != nil {
-		t.Errorf("another release cannot start with units of a finalized one: %v", err)
+		t.Errorf("starting another release with units of a finalized one: %v", err)
 	}
 }
 
@@ -219,7 +222,7 @@
 	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
 	state := model.startRelease(serverPlan)
 	if err := model.apply(&Operation{Start: state}); err != nil {
-		t.Errorf("the same start again: %v", err)
+		t.Errorf("repeating the same start: %v", err)
 	}
 	editedPlan, err := plan.Parse("plan.toml", []byte(strings.Replace(serverPlan, `server = "2"`, `server = "3"`, 1)))
 	if err != nil {
@@ -231,7 +234,7 @@
 	}
 	err = model.apply(&Operation{Start: edited})
 	if err == nil || !strings.Contains(err.Error(), "under way with another plan") {
-		t.Errorf("an edited plan starts while the other is under way: %v", err)
+		t.Errorf("starting an edited plan while the release is unfinished: error %v, want a rejection", err)
 	}
 }
 
@@ -243,7 +246,7 @@
 			model.verdict = func(*State) judge.Verdict { return judge.Verdict{Outcome: outcome} }
 			state, _ := model.run(noCrash(), 400, nil)
 			if state.Status.Phase != PhaseRollout || state.Status.Wave != 0 {
-				t.Errorf("it is %s in wave %d, want to stay in the first", state.Status.Phase, state.Status.Wave)
+				t.Errorf("release is in phase %s, wave %d; want it to stay in wave 0", state.Status.Phase, state.Status.Wave)
 			}
 		})
 	}
@@ -255,7 +258,7 @@
 	model.verdict = func(*State) judge.Verdict { return judge.Verdict{Outcome: judge.Inconclusive} }
 	state, _ := model.run(noCrash(), 400, nil)
 	if converged := unitsAt(state, StageConverged); state.Status.Wave != 0 || converged != 3 {
-		t.Errorf("a wave of 2 that may be extended by 1 has %d units, in wave %d", converged, state.Status.Wave)
+		t.Errorf("a wave of 2 that may be extended by 1 has %d units, and the release is in wave %d", converged, state.Status.Wave)
 	}
 }
 
@@ -265,14 +268,14 @@
 	checkEnd(t, model, 1000, PhaseRolledBack, "deadline")
 }
 
-// planForUnits is serverPlan under another name, for some units.
+// planForUnits returns serverPlan with another name and a selector for the given units.
 func planForUnits(name, ids string) string {
 	named := strings.Replace(serverPlan, `name = "r"`, `name = "`+name+`"`, 1)
 	return strings.Replace(named, "[[wave]]", "[select]\nids = ["+ids+"]\n[[wave]]", 1)
 }
 
-// Two releases, a maintenance window's permit and an operator's drain request permits at once in one zone; then servers
-// fail alone.
+// Guards against concurrent actors that together exceed the budget. Two releases, a maintenance window and an operator's
+// drain request permits for servers of one zone at the same time. Later two servers crash.
 func TestConcurrentPermitRequestsShareBudget(t *testing.T) {
 	const maxUnavailable = 2
 	model := newClusterModel(t, disruption.KindServer, 2, 6, maxUnavailable)
@@ -299,21 +302,22 @@
 			out[id] = true
 		}
 		if len(out) > maxUnavailable {
-			t.Fatalf("tick %d: %d are out under permits, allowed are %d", tick, len(out), maxUnavailable)
+			t.Fatalf("tick %d: %d units are out under permits, limit is %d", tick, len(out), maxUnavailable)
 		}
 		model.advance()
 	}
 	for _, name := range model.table.Names() {
 		if state, _ := model.table.Get(name); state.Status.Phase != PhaseCompleted {
-			t.Errorf("%s is %s: %+v", name, state.Status.Phase, state.Units)
+			t.Errorf("%s is in phase %s: %+v", name, state.Status.Phase, state.Units)
 		}
 	}
 	if permit := window.stored(); permit.Stage != disruption.StageCompleted {
-		t.Errorf("the window's permit is %s", permit.Stage)
+		t.Errorf("the window's permit is at stage %s", permit.Stage)
 	}
 }
 
-// reconcile runs one step under the valid token, as each release's controller holds a lease of its own.
+// reconcile runs one step of the controller. It always uses the valid token of the model, because each release's controller
+// has its own lease, while the model has a single token.
 func (c *fakeController) reconcile() {
 	c.token = c.model.token
 	for _, effect := range c.state.Reconcile(c.view()) {
@@ -321,7 +325,8 @@
 	}
 }
 
-// windowPermit is a maintenance window's permit for one server, which is in use for the first 60 ticks at least.
+// windowPermit is a maintenance window's permit for one server. The window uses the server until after tick
+// windowBusyTicks.
 type windowPermit struct{ model *clusterModel }
 
 const (
@@ -339,11 +344,11 @@
 }
 
 func (w *windowPermit) stored() disruption.Permit {
-	permit, _ := w.model.ledger.Permit(windowPermitID) // without one its stage is empty
+	permit, _ := w.model.ledger.Permit(windowPermitID) // if there is none, the stage is empty
 	return permit
 }
 
-// advance applies the next operation of the window, if it is time for it.
+// advance applies the next operation of the window if it is due.
 func (w *windowPermit) advance(tick int) {
 	switch permit := w.stored(); {
 	case permit.Stage == disruption.StageGranted:
@@ -355,8 +360,8 @@
 	}
 }
 
-// A halt between a permit's begin and the first action: nothing was done to the sidecar, so nothing about it changes
-// either. Its permit completes all the same.
+// Guards against a permit that stays open forever: a halt comes after the begin of the permit and before the first action.
+// The sidecar does not change, so the registry reports nothing, but the permit still has to complete.
 func TestHaltBeforeFirstActionSettlesPermit(t *testing.T) {
 	for haltTick := range 12 {
 		model := newClusterModel(t, disruption.KindSidecar, 2, 3, 2)
@@ -371,7 +376,7 @@
 			}
 		})
 		if state.Status.Phase != PhaseCompleted {
-			t.Errorf("halted at tick %d and resumed: %s, %+v", haltTick, state.Status.Phase, state.Units[0])
+			t.Errorf("halted at tick %d and resumed: phase %s, %+v", haltTick, state.Status.Phase, state.Units[0])
 		}
 	}
 }
--- a/internal/release/reconciler.go
+++ b/internal/release/reconciler.go
@@ -34,8 +34,8 @@
 	maxPermitAttempts = 8
 )
 
-// Reconcile returns the effects to execute now, in order. The last one writes the next state. Reconcile does not change s,
-// and returns no effects if there is nothing to do.
+// Reconcile returns the effects to execute now, in order. The write of the next state, if it differs, comes last.
+// Reconcile does not change s, and returns no effects if there is nothing to do.
 func (s *State) Reconcile(view *View) []Effect {
 	r := &reconciler{release: s, view: view, status: s.Status}
 	if s.Status.Token != view.Token {
