--- a/internal/release/plan/fixtures_test.go
+++ b/internal/release/plan/fixtures_test.go
@@ -10,7 +10,7 @@
 	"milldeck/internal/goldentest"
 )
 
-// fixturePlans are the plan files in testdata, without their extension.
+// fixturePlans names the plan files in testdata, without their extension.
 var fixturePlans = []string{"complete", "minimal", "sidecar"}
 
 func encode(t *testing.T, value any) []byte {
@@ -22,7 +22,7 @@
 	return append(data, '\n')
 }
 
-// A plan file is stored as the same JSON, under the same hash.
+// The stored JSON of a plan file and its hash must not change between builds.
 func TestPlansAreStoredAsBefore(t *testing.T) {
 	for _, name := range fixturePlans {
 		t.Run(name, func(t *testing.T) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// A stored plan is read without an unknown field, is written again as the same bytes, and keeps its hash.
+// A plan that an earlier build has stored decodes without unknown fields, encodes to the same bytes and keeps its hash.
 func TestStoredPlansAreRead(t *testing.T) {
 	for _, name := range fixturePlans {
 		t.Run(name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 			var p Plan
 			goldentest.DecodeStrictly(t, stored, &p)
 			if again := encode(t, &p); !bytes.Equal(again, stored) {
-				t.Errorf("read and written again:\n got %s\nwant %s", again, stored)
+				t.Errorf("plan encoded again:\n got %s\nwant %s", again, stored)
 			}
 			if hash := fmt.Appendln(nil, p.Hash()); !bytes.Equal(hash, goldentest.Read(t, name+".hash")) {
 				t.Errorf("hash %s, want %s", hash, goldentest.Read(t, name+".hash"))
@@ -53,8 +53,8 @@
 	}
 }
 
-// The dry run's JSON, which `release check --json` prints, is as before: for a fleet that the plan fits, and for one whose
-// budgets can never allow it.
+// The JSON that `release check --json` prints must not change, whether the plan is feasible, is never allowed by the budgets,
+// or selects no units.
 func TestDryRunsArePrintedAsBefore(t *testing.T) {
 	count, none, share := 1, 0, 0.25
 	large := disruption.Unit{
--- a/internal/release/plan/plan_test.go
+++ b/internal/release/plan/plan_test.go
@@ -58,16 +58,16 @@
 	for _, c := range []struct{ name, from, to, want string }{
 		{"unknown key", "bake_s = 30", "bake = 30", "p.toml:14: wave.bake: unknown key"},
 		{"no name", `name = "server-3"`, ``, "p.toml: name: "},
-		{"a name that is no path", "server-3", "../x", "p.toml:1: name: "},
+		{"name that is a path", "server-3", "../x", "p.toml:1: name: "},
 		{"nothing to release", `server = "3"`, ``, "p.toml:5: what: nothing to release"},
 		{"servers and sidecars", `server = "3"`, "server = \"3\"\nsidecar = \"4\"", "p.toml:6: what.server: "},
 		{"kind", `model = "loan"`, `kind = "sidecar"`, "p.toml:9: select.kind: "},
-		{"by version", `model = "loan"`, `version = "2"`, "p.toml:9: select.version: "},
+		{"select by version", `model = "loan"`, `version = "2"`, "p.toml:9: select.version: "},
 		{"count and share", "count = 1", "count = 1\nshare = 0.5", "p.toml:13: wave[0].share: "},
 		{"share", "share = 0.25", "share = 1.25", "p.toml:18: wave[1].share: 1.25"},
 		{"on_halt", `"back"`, `"forth"`, "p.toml:2: on_halt: "},
 		{"no deadline", "deadline_s = 1800", "", "p.toml: deadline_s: "},
-		{"deadline within the bakes", "1800", "150", "p.toml:3: deadline_s: 150 s, but the waves alone"},
+		{"deadline shorter than the bakes", "1800", "150", "p.toml:3: deadline_s: 150 s, but the waves alone"},
 		{"nan", "1800", "nan", "p.toml:3: deadline_s: "},
 		{"limit", "share = 0.1 }", "count = 0 }", "p.toml:25: limits.max_out.count: "},
 		{"guard", "failed = 0.01", "failed = -0.01", "p.toml:28: guards.failed: "},
@@ -78,7 +78,7 @@
 			}
 			_, err := Parse("p.toml", []byte(strings.Replace(validPlan, c.from, c.to, 1)))
 			if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want one line that begins %q", err, c.want)
+				t.Errorf("error %v, want one line with the prefix %q", err, c.want)
 			}
 		})
 	}
@@ -109,7 +109,7 @@
 	budget := disruption.Budget{Name: "all", MaxUnavailable: disruption.Limit{Fraction: &share}}
 	preview := NewPreview(p, testUnits(2, 20), []disruption.Budget{budget})
 	if len(preview.Infeasible) > 0 || preview.MaxUnavailable != 4 || preview.WarmUpCapacity != 40 {
-		t.Errorf("infeasible %q, at most %d unavailable, %v warming up; want none, 4, 40",
+		t.Errorf("infeasible %q, MaxUnavailable %d, WarmUpCapacity %v; want none, 4, 40",
 			preview.Infeasible, preview.MaxUnavailable, preview.WarmUpCapacity)
 	}
 	var sizes []int
@@ -117,10 +117,10 @@
 		sizes = append(sizes, len(preview.Waves[i].Units))
 	}
 	if !reflect.DeepEqual(sizes, []int{1, 10, 29}) {
-		t.Errorf("waves of %v, want 1, 10, 29", sizes)
+		t.Errorf("waves of %v units, want 1, 10, 29", sizes)
 	}
 	if remaining := preview.RemainingCapacity[""]; remaining != (Capacity{36, 40}) {
-		t.Errorf("%+v remains, want 36 of 40", remaining)
+		t.Errorf("remaining capacity %+v, want 36 of 40", remaining)
 	}
 }
 
@@ -151,13 +151,13 @@
 			preview := NewPreview(p, c.units, []disruption.Budget{c.budget})
 			contains := func(line string) bool { return strings.Contains(line, c.want) }
 			if !slices.ContainsFunc(preview.Infeasible, contains) {
-				t.Errorf("infeasible %q, want one with %q", preview.Infeasible, c.want)
+				t.Errorf("infeasible %q, want an entry that contains %q", preview.Infeasible, c.want)
 			}
 		})
 	}
 }
 
-// Whatever the fleet, and in whatever order: each unit is in exactly one wave, and the waves are the same.
+// For any fleet, each unit is in exactly one wave, and the waves do not depend on the order of the units.
 func TestWavesPartitionUnits(t *testing.T) {
 	p := mustParse(t, validPlan)
 	rapid.Check(t, func(t *rapid.T) {
@@ -165,7 +165,7 @@
 		waves := AssignWaves(p, SelectUnits(p, units))
 		again := AssignWaves(p, SelectUnits(p, rapid.Permutation(units).Draw(t, "order")))
 		if !reflect.DeepEqual(waves, again) {
-			t.Fatal("another order of the units gives other waves")
+			t.Fatal("the waves depend on the order of the units")
 		}
 		seen := map[string]bool{}
 		for _, ids := range waves {
--- a/internal/release/plan/preview.go
+++ b/internal/release/plan/preview.go
@@ -8,43 +8,43 @@
 	"milldeck/internal/disruption"
 )
 
-// Preview is a dry run of a plan: what it would change, which capacity remains meanwhile, and what makes it infeasible.
+// Preview is the result of a dry run: the waves, the capacity that remains during the release, and what makes it infeasible.
 type Preview struct {
 	Name           string        `json:"name"`
 	Hash           string        `json:"hash"`
 	Waves          []PreviewWave `json:"waves"`
-	MaxUnavailable int           `json:"max_out"` // units of the release out at once, by its limits and the budgets
-	// RemainingCapacity is the capacity while that many units are out, by zone, and of the fleet under "".
+	MaxUnavailable int           `json:"max_out"` // units that may be unavailable at once, by limits and budgets
+	// RemainingCapacity is the capacity by zone, and of the fleet under "", while MaxUnavailable units are unavailable.
 	RemainingCapacity map[string]Capacity `json:"stays"`
-	WarmUpCapacity    float64             `json:"cold"` // capacity that warms up in the course of the release
-	// Infeasible says, one line each, what budgets, pod groups or zones can never allow. Empty: the plan is feasible.
+	WarmUpCapacity    float64             `json:"cold"` // total capacity that warms up during the release
+	// Infeasible lists, one line each, what budgets, pod groups or zones never allow. Empty: the plan is feasible.
 	Infeasible []string `json:"refused,omitempty"`
 }
 
 // PreviewWave is one wave of a dry run.
 type PreviewWave struct {
-	Units          []string `json:"units"` // IDs, in the order in which they are changed
+	Units          []string `json:"units"` // IDs, in the order of their updates
 	BakeSeconds    float64  `json:"bake_s"`
 	WarmUpCapacity float64  `json:"cold"`
-	UpdatedShare   float64  `json:"share"` // of the release's units, once the wave is over
+	UpdatedShare   float64  `json:"share"` // share of the release's units that is updated after the wave
 }
 
-// Capacity is relative capacity that remains in service, of a total.
+// Capacity is the relative capacity that remains in service, and the total.
 type Capacity struct {
 	Remaining float64 `json:"stays"`
 	Total     float64 `json:"all"`
 }
 
-// previewBuilder is a dry run under way, with what it is made of.
+// previewBuilder holds the inputs and the unfinished result of a dry run.
 type previewBuilder struct {
 	*Preview
 	plan     *Plan
-	units    []disruption.Unit // of the fleet
-	selected []disruption.Unit // of the release, in order
+	units    []disruption.Unit // of the whole fleet
+	selected []disruption.Unit // by the plan, in the order of their updates
 }
 
-// NewPreview makes a dry run of a plan for a fleet and its budgets, which may be in any order. What budgets merely delay is
-// not infeasible.
+// NewPreview makes a dry run of a plan for a fleet and its budgets. The order of units and budgets does not matter. A budget
+// that only delays the release does not make it infeasible.
 func NewPreview(p *Plan, units []disruption.Unit, budgets []disruption.Budget) *Preview {
 	result := &Preview{Name: p.Name, Hash: p.Hash(), RemainingCapacity: map[string]Capacity{}}
 	builder := &previewBuilder{Preview: result, plan: p, units: units, selected: SelectUnits(p, units)}
@@ -68,7 +68,7 @@
 	b.Infeasible = append(b.Infeasible, fmt.Sprintf(format, args...))
 }
 
-// previewWaves divides the units into waves. Each unit has to be in one, and each wave has to have one.
+// previewWaves assigns the units to waves. The plan is infeasible if a unit is in no wave or if a wave has no units.
 func (b *previewBuilder) previewWaves() {
 	byID := make(map[string]*disruption.Unit, len(b.selected))
 	for i := range b.selected {
@@ -99,8 +99,8 @@
 	}
 }
 
-// checkBudgets finds the budgets that do not allow a single unit of the release, even when nothing else is out. The limits
-// of the plan itself are checked as one more budget.
+// checkBudgets reports the budgets that do not allow even one unit to be updated while all others are up. The plan's own
+// limit on warming capacity is checked as one more budget.
 func (b *previewBuilder) checkBudgets(budgets []disruption.Budget) {
 	sorted := slices.Clone(budgets)
 	slices.SortFunc(sorted, func(a, b disruption.Budget) int { return strings.Compare(a.Name, b.Name) })
@@ -136,7 +136,8 @@
 	}
 }
 
-// checkUnavailable checks a budget's bound on unavailable units.
+// checkUnavailable checks a budget's limit on unavailable units. A budget that covers the whole release also limits
+// b.MaxUnavailable.
 func (b *previewBuilder) checkUnavailable(budget *disruption.Budget, affected []*disruption.Unit, unitCount int) {
 	allowed, limited := unitsAllowed(budget.MaxUnavailable, unitCount)
 	if !limited {
@@ -151,7 +152,7 @@
 	}
 }
 
-// checkWarmingUp checks a budget's bound on warming capacity.
+// checkWarmingUp checks a budget's limit on warming capacity.
 func (b *previewBuilder) checkWarmingUp(budget *disruption.Budget, affected []*disruption.Unit, unitCount int, meanCapacity float64) {
 	allowed, limited := warmingUpAllowed(budget.MaxWarmingUp, unitCount, meanCapacity)
 	if !limited {
@@ -166,8 +167,8 @@
 	}
 }
 
-// checkGroups finds the pod groups and zones that have only one server, which the release would take out: the ledger never
-// lets one be out as a whole.
+// checkGroups reports the pod groups and zones whose only server belongs to the release. The ledger always keeps at least
+// one server of each pod group and zone in service.
 func (b *previewBuilder) checkGroups() {
 	if b.plan.Kind() != disruption.KindServer {
 		return
@@ -190,12 +191,13 @@
 	}
 }
 
-// groupsOf names the groups of a server that must not be out as a whole.
+// groupsOf names the pod group and the zone of a server, as shown in Infeasible.
 func groupsOf(unit *disruption.Unit) []string {
 	return []string{fmt.Sprintf("pod group %d", unit.PodGroup), fmt.Sprintf("zone %q", unit.Zone)}
 }
 
-// computeTotals sums the capacity of the release's kind of units by zone, and that of the units that are up.
+// computeTotals sums, by zone and for the fleet, the capacity of all units of the release's kind, and that of the units that
+// are up.
 func (b *previewBuilder) computeTotals() {
 	kind := b.selected[0].Kind
 	for i := range b.units {
@@ -214,8 +216,8 @@
 	}
 }
 
-// subtractUnavailable takes the worst case off the remaining capacity: that in each zone, and in the fleet, the largest
-// MaxUnavailable units of the release are out.
+// subtractUnavailable subtracts the worst case from the remaining capacity: the MaxUnavailable largest units of the release
+// are unavailable, in each zone and in the fleet.
 func (b *previewBuilder) subtractUnavailable() {
 	capacities := map[string][]float64{} // by zone, of the release's units that are up
 	for i := range b.selected {
--- a/internal/release/plan/validate.go
+++ b/internal/release/plan/validate.go
@@ -8,7 +8,7 @@
 	"milldeck/internal/disruption"
 )
 
-// Bounds of a plan. They are far beyond what people write, and keep the release's record in the log small.
+// Bounds of a plan. They are far above practical values and keep the release's record in the log small.
 const (
 	maxWaves     = 64
 	maxSeconds   = 30 * 24 * 3600
@@ -34,7 +34,7 @@
 		return file.Errorf("wave", "%d waves, wanted 1 to %d", len(p.Waves), maxWaves)
 	case p.OnHalt != OnHaltHold && p.OnHalt != OnHaltRollback:
 		return file.Errorf("on_halt", "%q is not %q or %q", p.OnHalt, OnHaltHold, OnHaltRollback)
-	case !(p.DeadlineSeconds > 0 && p.DeadlineSeconds <= maxSeconds): // also of NaN
+	case !(p.DeadlineSeconds > 0 && p.DeadlineSeconds <= maxSeconds): // the negation also rejects NaN
 		return file.Errorf("deadline_s", "%v is not above 0 and at most %d", p.DeadlineSeconds, maxSeconds)
 	}
 	if err := p.validateWaves(file); err != nil {
@@ -49,7 +49,7 @@
 	return p.Guards.validate(file)
 }
 
-// validateChange validates the plan's name, its change, and what it selects.
+// validateChange validates the plan's name, change and selector.
 func (p *Plan) validateChange(file *config.File) error {
 	change := &p.Change
 	switch {
@@ -59,11 +59,11 @@
 	case *change == Change{}:
 		return file.Errorf("what", "nothing to release: server, sidecar or sidecar_config is needed")
 	case change.ServerVersion != "" && (change.SidecarVersion != "" || change.SidecarConfig != ""):
-		return file.Errorf("what.server", "servers and sidecars in one release: a regression could not be attributed, make two")
+		return file.Errorf("what.server", "servers and sidecars need separate releases, because a regression could not be attributed")
 	case p.Selector.Kind != "" && p.Selector.Kind != p.Kind():
-		return file.Errorf("select.kind", "%q, but the release is of a %s", p.Selector.Kind, p.Kind())
+		return file.Errorf("select.kind", "%q, but the release changes units of kind %s", p.Selector.Kind, p.Kind())
 	case p.Selector.Version != "":
-		return file.Errorf("select.version", "a release changes versions: its selection must not depend on them")
+		return file.Errorf("select.version", "a release changes versions, so its selector must not depend on them")
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 func (w *Wave) validate(file *config.File, prefix string) error {
 	switch {
 	case w.Count != nil && w.Share != nil:
-		return file.Errorf(prefix+"share", "count and share: give only one of them")
+		return file.Errorf(prefix+"share", "only one of count and share may be set")
 	case w.Count != nil && *w.Count < 1:
 		return file.Errorf(prefix+"count", "%d is less than 1", *w.Count)
 	case w.Share != nil && !(*w.Share > 0 && *w.Share <= 1):
@@ -100,7 +100,7 @@
 
 func validateLimit(file *config.File, key string, limit disruption.Limit) error {
 	if limit.Count != nil && *limit.Count < 1 {
-		return file.Errorf(key+".count", "%d would allow no unit at all", *limit.Count)
+		return file.Errorf(key+".count", "%d is less than 1 and would allow no unit", *limit.Count)
 	}
 	if limit.Fraction != nil && !(*limit.Fraction > 0 && *limit.Fraction <= 1) {
 		return file.Errorf(key+".share", "%v is not above 0 and at most 1", *limit.Fraction)
--- a/internal/release/plan/waves.go
+++ b/internal/release/plan/waves.go
@@ -11,11 +11,11 @@
 	"milldeck/internal/disruption"
 )
 
-// roundingTolerance absorbs rounding in products of shares and counts, and in sums of capacities.
+// roundingTolerance compensates for rounding errors in products of shares and counts, and in sums of capacities.
 const roundingTolerance = 1e-9
 
-// SelectUnits are the units that a plan changes, in the order in which it changes them: by a hash of their IDs, so that
-// neighbours in a rack or pod group are spread over the waves.
+// SelectUnits returns the units that a plan changes, in the order of their updates. The order is that of a hash of their
+// IDs, which spreads neighbours in a rack or pod group over the waves.
 func SelectUnits(p *Plan, units []disruption.Unit) []disruption.Unit {
 	selector := p.Selector
 	selector.Kind = p.Kind()
@@ -32,8 +32,8 @@
 	return selected
 }
 
-// AssignWaves divides selected units, in their order, among the plan's waves, and returns the units' IDs by wave. Within a
-// wave one zone follows the other, as units of two zones are never out together for planned reasons.
+// AssignWaves divides the selected units, in their order, among the plan's waves, and returns the units' IDs by wave. Within
+// a wave the units are grouped by zone, because planned disruptions never affect two zones at once.
 func AssignWaves(p *Plan, selected []disruption.Unit) [][]string {
 	remaining, zones := map[string][]string{}, []string{}
 	for i := range selected {
@@ -63,7 +63,8 @@
 	return assigned
 }
 
-// unitsOf is how many units the wave takes of a zone of that size, as far as earlier waves have left them.
+// unitsOf returns how many units the wave takes from a zone with zoneSize units of the release, if earlier waves have left
+// that many.
 func (w *Wave) unitsOf(zoneSize int) int {
 	switch {
 	case w.Count != nil:
@@ -74,7 +75,8 @@
 	return zoneSize
 }
 
-// MaxUnavailable is how many of its units the release itself lets be out at once, at least one.
+// MaxUnavailable returns how many of its unitCount units the release's own limit allows to be unavailable at once, at least
+// one.
 func (p *Plan) MaxUnavailable(unitCount int) int {
 	maxUnavailable, limited := unitsAllowed(p.Limits.MaxUnavailable, unitCount)
 	if !limited {
@@ -83,7 +85,7 @@
 	return max(maxUnavailable, 1)
 }
 
-// unitsAllowed is how many of a number of units a limit allows, and whether it limits them at all.
+// unitsAllowed returns how many of unitCount units a limit allows, and whether the limit is set.
 func unitsAllowed(limit disruption.Limit, unitCount int) (allowed int, limited bool) {
 	bound := math.Inf(1)
 	if limit.Count != nil {
@@ -98,8 +100,8 @@
 	return int(bound), true
 }
 
-// warmingUpAllowed is how much of the capacity of a number of units a limit allows to be warming up, and whether it limits
-// it at all. A count stands for units of mean capacity.
+// warmingUpAllowed returns how much of the capacity of unitCount units a limit allows to warm up at once, and whether the
+// limit is set. A count stands for that many units of mean capacity.
 func warmingUpAllowed(limit disruption.Limit, unitCount int, meanCapacity float64) (allowed float64, limited bool) {
 	bound := math.Inf(1)
 	if limit.Count != nil {
@@ -111,7 +113,7 @@
 	return bound, !math.IsInf(bound, 1)
 }
 
-// EffectiveCapacity is a unit's relative capacity, 1 where it has none.
+// EffectiveCapacity returns a unit's relative capacity, 1 if it is not set.
 func EffectiveCapacity(unit *disruption.Unit) float64 {
 	if unit.Capacity == 0 {
 		return 1
