--- a/internal/release/judge/fixtures_test.go
+++ b/internal/release/judge/fixtures_test.go
@@ -8,8 +8,8 @@
 	"milldeck/internal/goldentest"
 )
 
-// fixtureInterval is one interval of made-up counts: zone a carries a common and a rare class, zone b a common one.
-// Nothing in it is random, so that the verdicts follow from the comparisons alone.
+// fixtureInterval returns one interval of synthetic counts: zone a has a common and a rare class, zone b a common one. No
+// count is random, so the verdicts depend only on the comparisons.
 func fixtureInterval(second int, failing, late, slow, restarts int, memory float64) Interval {
 	counts := func(requests, failed, late, slow int) Counts {
 		served := requests - failed
@@ -46,8 +46,8 @@
 	return interval
 }
 
-// Each change of a verdict, its reason included, is as before: operators and logs read the reason, and a halt follows from
-// the verdict.
+// Verdicts and their reasons must not change between builds: operators and logs show the reasons, and halts follow from the
+// verdicts.
 func TestVerdictsAreAsBefore(t *testing.T) {
 	var lines bytes.Buffer
 	for _, c := range []struct {
--- a/internal/release/judge/histogram.go
+++ b/internal/release/judge/histogram.go
@@ -1,9 +1,9 @@
 package judge
 
-// maxLatencyBuckets bounds a histogram that is kept.
+// maxLatencyBuckets bounds the size of the histogram that a stratum keeps.
 const maxLatencyBuckets = 64
 
-// tailBoundary is the first bucket beyond which at most tailShare of a histogram lies, -1 for an empty histogram.
+// tailBoundary returns the first bucket beyond which at most tailShare of a histogram lies, or -1 for an empty histogram.
 func tailBoundary(histogram []float64) int {
 	total := 0.0
 	for _, count := range histogram {
@@ -21,7 +21,7 @@
 	return len(histogram) - 1
 }
 
-// countBeyond counts what lies beyond a bucket, and all.
+// countBeyond returns how many counts of a histogram lie beyond the boundary bucket, and their total.
 func countBeyond(histogram []uint32, boundary int) (beyond, total int) {
 	for i, count := range histogram {
 		total += int(count)
--- a/internal/release/judge/judge.go
+++ b/internal/release/judge/judge.go
@@ -1,47 +1,48 @@
 // Package judge compares a release's new version (the canary) with the old one (the baseline) at the same time, in the same
-// zone and class of requests, and decides whether the new one regresses.
+// zone and class of requests, and decides whether the new version is a regression.
 //
-// It is pure and sequential: a verdict may be taken after every interval, and the bound on false alarms holds for all of
-// them together. It owns the statistics and their evidence; package release turns reports into intervals and acts on
-// verdicts.
+// It does no I/O and reads no clock. The analysis is sequential: a verdict may be read after every interval, and the bound on
+// false alarms holds over all intervals together. The package owns the statistics and their evidence; package release turns
+// load reports into intervals and acts on the verdicts.
 //
-// Shares of requests (not answered in time, late, failed, slow) and restarts are tested against each other, so a fault that
-// both versions meet is no difference. Memory is no random draw and is compared by its level. Over the whole life of one
-// Judge, a version that is no worse than tolerated is found to regress by the tests of shares with a probability of at most
-// Settings.FalseAlarmRate, and one that is worse by more than tolerated in a stratum that counts passes with a probability
-// of at most falsePassRate. Restarts are too rare for such a proof within a wave: they can show a regression, and on
-// suspicion they withhold a pass.
+// Statistical tests compare the versions' shares of requests (not answered in time, late, failed, slow) and their restarts.
+// A fault that affects both versions alike is therefore no regression. Memory is not a random sample, so its level is compared
+// directly. Two bounds hold over the lifetime of a Judge: the tests of shares report a version within its tolerances as a
+// regression with a probability of at most Settings.FalseAlarmRate, and a version beyond a tolerance, in a stratum that a pass
+// requires, passes with a probability of at most falsePassRate. Restarts are too rare for the second bound within a wave: they
+// can show a regression, and weaker evidence of too many restarts withholds a pass.
 package judge
 
 import "fmt"
 
 const (
-	// falsePassRate bounds the probability that a version beyond its tolerances passes. A pass takes every comparison, so
-	// it is not divided among them.
+	// falsePassRate bounds the probability that a version beyond its tolerances passes. A pass requires every comparison to
+	// pass, so the rate is not divided among them.
 	falsePassRate = 0.01
-	// comparisonsPerStratum is how many comparisons a stratum has at most: four shares, each over all intervals and over
+	// comparisonsPerStratum is the maximum number of comparisons of a stratum: four shares, each over all intervals and over
 	// those of high load, and its part of the zone's restarts.
 	comparisonsPerStratum = 9
-	// minClassShare is the share of a zone's baseline requests from which a class has to pass. A rarer one can only show a
-	// regression.
+	// minClassShare is the smallest share of a zone's baseline requests at which a class has to pass. A rarer class can only
+	// show a regression.
 	minClassShare = 0.01
-	// memoryRegressionIntervals is for how many intervals in a row the memory has to be above its tolerance.
+	// memoryRegressionIntervals is how many consecutive intervals with memory above its tolerance show a regression.
 	memoryRegressionIntervals = 10
-	// restartSuspicion is the logarithm of the evidence of too many restarts that withholds a pass.
+	// restartSuspicion is the logarithm of the evidence of too many restarts above which a pass is withheld.
 	restartSuspicion = 1
-	// noDataIntervals is how many intervals in a row without half of the reports count as no data.
+	// noDataIntervals is how many consecutive intervals with less than half of the reports give the outcome NoData.
 	noDataIntervals = 5
-	// highLoadFactor is how far an interval's traffic has to be above its mean so far to count as high load.
+	// highLoadFactor is the ratio of an interval's traffic to the mean of earlier intervals above which its load is high.
 	highLoadFactor = 1.2
-	// decayPerInterval is what the mean traffic and the baseline's latencies keep of their weight in each interval: about a minute.
+	// decayPerInterval is the factor by which the weight of older data decays in each interval, in the mean traffic and the
+	// baseline's latencies. With intervals of a second they cover about a minute.
 	decayPerInterval = 0.98
-	// tailShare is the share of the baseline's answers beyond the bound of latency that both are compared by.
+	// tailShare is the largest share of the baseline's answers beyond the latency bound by which both versions are compared.
 	tailShare = 0.25
-	// maxStrata bounds memory: classes × zones beyond it are not judged, and a pass is withheld.
+	// maxStrata bounds memory. Further strata (classes × zones) are not judged, and a pass is withheld.
 	maxStrata = 4096
 )
 
-// Settings are the tolerances, in the terms of plan.Guards, and the rate of false alarms.
+// Settings are the tolerances, defined as in plan.Guards, and the false-alarm rate.
 type Settings struct {
 	ServedTolerance  float64
 	LateTolerance    float64
@@ -51,13 +52,13 @@
 	MemoryTolerance  float64
 
 	FalseAlarmRate float64 // over all comparisons and verdicts of one Judge, 0 to 1
-	Strata         int     // classes × zones that are expected; more share ever less of the false-alarm rate
+	Strata         int     // expected classes × zones; each further one gets a smaller part of the false-alarm rate
 }
 
-// Counts are the outcomes of requests in an interval.
+// Counts are the outcomes of an interval's requests.
 type Counts struct {
-	Served, Late, Failed int      // Late are among Served
-	LatencyHistogram     []uint32 // served requests by rising bounds, the same for both versions
+	Served, Late, Failed int      // Served includes Late
+	LatencyHistogram     []uint32 // served requests by ascending bounds, the same for both versions
 }
 
 func (c *Counts) total() int { return c.Served + c.Failed }
@@ -65,27 +66,27 @@
 // notInTime counts the requests that failed or were answered late.
 func (c *Counts) notInTime() int { return c.Failed + c.Late }
 
-// ClassSample is a class of requests in a zone.
+// ClassSample holds the outcomes of one class of requests in a zone.
 type ClassSample struct {
 	Class, Zone      string
 	Canary, Baseline Counts
 }
 
-// UnitStats are the units of one version in a zone.
+// UnitStats describes the units of one version in a zone.
 type UnitStats struct {
 	Units      int
-	Restarts   int     // in the interval, unrequested
-	MeanMemory float64 // of a unit, in any measure that is the same for both versions; 0: unknown
+	Restarts   int     // unrequested restarts in the interval
+	MeanMemory float64 // per unit, in any measure that is the same for both versions; 0: unknown
 }
 
-// ZoneSample is the units of a zone.
+// ZoneSample describes the units of both versions in a zone.
 type ZoneSample struct {
 	Zone             string
 	Canary, Baseline UnitStats
 }
 
-// Interval is what was observed of both versions in a second or more. The counts of reports tell missing reports from
-// missing traffic.
+// Interval is what was observed of both versions in a second or more. The numbers of reports distinguish missing reports
+// from missing traffic.
 type Interval struct {
 	ExpectedReports, ReceivedReports int
 	Classes                          []ClassSample
@@ -97,18 +98,18 @@
 	return i.ExpectedReports > 0 && 2*i.ReceivedReports >= i.ExpectedReports
 }
 
-// Outcome is the result of an analysis. Its values are stored.
+// Outcome is the result of an analysis. Its values are stored in releases.
 type Outcome string
 
 // The outcomes.
 const (
-	Pass         Outcome = "pass"   // there is enough evidence that nothing is worse than tolerated
-	Regression   Outcome = "harm"   // there is enough evidence that something is
-	Inconclusive Outcome = "wait"   // there is too little traffic for either
+	Pass         Outcome = "pass"   // enough evidence that nothing is worse than tolerated
+	Regression   Outcome = "harm"   // enough evidence that something is worse than tolerated
+	Inconclusive Outcome = "wait"   // too little evidence for either
 	NoData       Outcome = "silent" // reports are missing
 )
 
-// Verdict is an outcome and, in one line, what it rests on.
+// Verdict is an outcome and the reason for it, in one line.
 type Verdict struct {
 	Outcome Outcome `json:"kind"`
 	Reason  string  `json:"why,omitempty"`
@@ -117,7 +118,7 @@
 // stratumKey is a class of requests in a zone.
 type stratumKey struct{ zone, class string }
 
-// Judge is the analysis of one wave.
+// Judge is one analysis of a wave.
 type Judge struct {
 	settings             Settings
 	strata               map[stratumKey]*stratum
@@ -125,16 +126,16 @@
 	thresholdsIssued     int
 	intervalsWithoutData int // in a row
 	strataLimitReached   bool
-	regression           string // the first that was found; empty: none
+	regression           string // description of the first regression; empty: none
 }
 
-// New begins an analysis.
+// New starts an analysis.
 func New(settings Settings) *Judge {
 	settings.Strata = max(settings.Strata, 1)
 	return &Judge{settings: settings, strata: map[stratumKey]*stratum{}, zones: map[string]*zone{}}
 }
 
-// Add takes an interval and returns the verdict after it.
+// Add adds an interval and returns the verdict after it.
 func (j *Judge) Add(interval Interval) Verdict {
 	if !interval.sufficientReports() {
 		j.intervalsWithoutData++
@@ -179,7 +180,7 @@
 	}
 }
 
-// verdict is the verdict after the latest interval.
+// verdict returns the verdict after the latest interval.
 func (j *Judge) verdict() Verdict {
 	if j.regression != "" {
 		return Verdict{Outcome: Regression, Reason: j.regression}
--- a/internal/release/judge/judge_test.go
+++ b/internal/release/judge/judge_test.go
@@ -17,7 +17,7 @@
 	Strata:           4,
 }
 
-// Healthy versions seldom regress by mistake while both versions meet ordinary faults.
+// Less than 1% of healthy versions are reported as regressions while ordinary faults affect both versions.
 func TestFalseAlarmRate(t *testing.T) {
 	const runs, seconds = 2000, 40
 	alarms := 0
@@ -32,13 +32,14 @@
 			t.Logf("seed %d, %d s: %s", seed, second, verdict.Reason)
 		}
 	}
-	t.Logf("%d of %d healthy versions found to regress", alarms, runs)
+	t.Logf("%d of %d healthy versions reported as regressions", alarms, runs)
 	if alarms >= runs/100 {
-		t.Errorf("%d false alarms of %d, wanted less than 1%%", alarms, runs)
+		t.Errorf("%d false alarms in %d runs, want less than 1%%", alarms, runs)
 	}
 }
 
-// A planted bug: a judge that compares with the past finds regressions in faults that both versions meet.
+// The modelled faults reveal a planted bug: if the baseline predates a fault that affects both versions, the judge reports
+// regressions.
 func TestStaleBaselineIsDetected(t *testing.T) {
 	alarms := 0
 	for seed := range uint64(100) {
@@ -50,7 +51,7 @@
 		}
 	}
 	if alarms < 10 {
-		t.Errorf("%d of 100 found to regress: the modelled faults would not show a judge that compares with the past", alarms)
+		t.Errorf("%d of 100 reported as regressions, want 10 or more: the modelled faults do not reveal a stale baseline", alarms)
 	}
 }
 
@@ -65,7 +66,7 @@
 			latest = max(latest, second)
 		}
 	}
-	t.Logf("%d of %d pass within %d s, after %d requests in the mean at 8 canaries",
+	t.Logf("%d of %d pass within %d s, after a mean of %d requests to 8 canary units",
 		passed, runs, latest, requests/max(passed, 1))
 	if passed < runs*95/100 {
 		t.Errorf("%d of %d healthy versions passed within %d s", passed, runs, seconds)
@@ -119,10 +120,10 @@
 					requests += met
 				}
 			}
-			t.Logf("%d of %d found within %d s, after %d requests in the mean at 4 canaries",
+			t.Logf("%d of %d detected within %d s, after a mean of %d requests to 4 canary units",
 				found, runs, latest, requests/max(found, 1))
 			if found < runs*95/100 {
-				t.Errorf("%d of %d found within %d s", found, runs, c.seconds)
+				t.Errorf("%d of %d detected within %d s", found, runs, c.seconds)
 			}
 		})
 	}
@@ -138,7 +139,7 @@
 		}
 	}
 	if passed > 2 {
-		t.Errorf("%d of 200 versions that fail 2%% passed, tolerated is 1%%", passed)
+		t.Errorf("%d of 200 versions that fail 2%% of requests passed, want at most 1%%", passed)
 	}
 }
 
@@ -161,7 +162,7 @@
 		interval.ReceivedReports = 4
 		verdict = watched.Add(interval)
 		if verdict.Outcome == Pass {
-			t.Errorf("passes with %d of 10 reports", interval.ReceivedReports)
+			t.Errorf("pass with %d of 10 reports", interval.ReceivedReports)
 		}
 	}
 	if verdict.Outcome != NoData {
@@ -172,7 +173,7 @@
 	}
 }
 
-// No single interval shows a regression, however bad: it may be chance which servers its requests met.
+// No single interval shows a regression, however bad its counts: chance may decide which servers its requests reach.
 func TestOneIntervalIsNoRegression(t *testing.T) {
 	watched := New(testSettings)
 	bad := ClassSample{
@@ -183,7 +184,7 @@
 	for i := range 4 {
 		verdict := watched.Add(Interval{ExpectedReports: 1, ReceivedReports: 1, Classes: []ClassSample{bad}})
 		if verdict.Outcome == Regression {
-			t.Errorf("a regression after %d intervals", i+1)
+			t.Errorf("regression reported after %d intervals", i+1)
 		}
 	}
 }
--- a/internal/release/judge/pass.go
+++ b/internal/release/judge/pass.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// nextThreshold is the logarithm of the evidence that shows a regression in the next stratum or zone. Half of the
-// false-alarm rate is shared evenly among the strata that are expected; each one beyond takes ever less of the other half.
+// nextThreshold returns the threshold of the next stratum or zone: the logarithm of the evidence that shows a regression. Half
+// of the false-alarm rate is divided evenly among the expected strata; each further one gets a decreasing part of the other half.
 func (j *Judge) nextThreshold() float64 {
 	j.thresholdsIssued++
 	alpha := j.settings.FalseAlarmRate / 2 / comparisonsPerStratum
@@ -23,7 +23,7 @@
 	return -math.Log(alpha)
 }
 
-// missingEvidence says what a pass still lacks, empty where it lacks nothing. It does not depend on the order of samples.
+// missingEvidence returns why a pass is withheld, or "" if nothing withholds it. It does not depend on the order of samples.
 func (j *Judge) missingEvidence() string {
 	if j.intervalsWithoutData > 0 {
 		return "the last reports are missing"
@@ -37,8 +37,8 @@
 	return j.suspectZone()
 }
 
-// missingInStrata says which comparison of a stratum lacks traffic. Every stratum that both versions meet has to pass, but
-// for classes that are rare in their zone.
+// missingInStrata names the first comparison of a stratum that lacks traffic, or returns "". Every stratum that both versions
+// serve has to pass, except classes that are rare in their zone.
 func (j *Judge) missingInStrata() string {
 	baselineByZone := map[string]int{}
 	for key, evidence := range j.strata {
@@ -75,7 +75,7 @@
 	return evidence != nil && evidence.canaryUnits > 0
 }
 
-// suspectZone says which zone's restarts or memory withhold a pass.
+// suspectZone returns why the restarts or the memory of a zone withhold a pass, or "" if they do not.
 func (j *Judge) suspectZone() string {
 	for _, zoneName := range slices.Sorted(maps.Keys(j.zones)) {
 		if reason := j.zones[zoneName].suspicion(zoneName); reason != "" {
--- a/internal/release/judge/stratum.go
+++ b/internal/release/judge/stratum.go
@@ -5,24 +5,24 @@
 	"math"
 )
 
-// stratum is the evidence of one class of requests in a zone: each comparison is made over all intervals, and once more
-// over those of high load.
+// stratum holds the evidence of one class of requests in a zone. Each comparison is made over all intervals, and again over
+// those of high load.
 type stratum struct {
-	threshold        float64 // of the logarithm of the evidence of a regression
+	threshold        float64 // logarithm of the evidence that shows a regression
 	notInTime        [intervalSets]comparison
 	late             [intervalSets]comparison
 	failed           [intervalSets]comparison
 	slow             [intervalSets]comparison
-	meanRequests     float64                 // of an interval, of both versions
+	meanRequests     float64                 // decaying mean per interval, of both versions
 	baselineLatency  [intervalSets][]float64 // decaying histograms
 	baselineRequests int
 }
 
-// The sets of intervals that a stratum's comparisons are over.
+// The sets of intervals over which a stratum is compared.
 const (
 	allIntervals = iota
 	highLoadIntervals
-	intervalSets // how many there are
+	intervalSets
 )
 
 func newStratum(settings *Settings, threshold float64) *stratum {
@@ -46,7 +46,8 @@
 	}
 }
 
-// addTraffic adds an interval's requests to their decaying mean, and reports whether they were of high load by the mean before.
+// addTraffic adds an interval's requests to their decaying mean, and reports whether the load was high relative to the mean
+// of earlier intervals.
 func (s *stratum) addTraffic(requests float64) (highLoad bool) {
 	highLoad = s.meanRequests > 0 && requests > highLoadFactor*s.meanRequests
 	if s.meanRequests == 0 {
@@ -56,13 +57,13 @@
 	return highLoad
 }
 
-// compare adds an interval to the comparisons over a set of intervals.
+// compare adds an interval to the comparisons over one set of intervals.
 func (s *stratum) compare(i int, canary, baseline *Counts) {
 	canaryTotal, baselineTotal := canary.total(), baseline.total()
 	s.notInTime[i].add(canary.notInTime(), canaryTotal, baseline.notInTime(), baselineTotal)
 	s.late[i].add(canary.Late, canaryTotal, baseline.Late, baselineTotal)
 	s.failed[i].add(canary.Failed, canaryTotal, baseline.Failed, baselineTotal)
-	// The boundary is that of earlier intervals, so that it does not depend on what is compared by it.
+	// The boundary comes from earlier intervals, so that it does not depend on the requests that it divides.
 	if boundary := tailBoundary(s.baselineLatency[i]); boundary >= 0 {
 		canarySlow, canaryAnswers := countBeyond(canary.LatencyHistogram, boundary)
 		baselineSlow, baselineAnswers := countBeyond(baseline.LatencyHistogram, boundary)
@@ -71,7 +72,7 @@
 	s.baselineLatency[i] = decayAndAdd(s.baselineLatency[i], baseline.LatencyHistogram)
 }
 
-// regression describes the first regression that there is enough evidence of, empty where there is none.
+// regression describes the first regression with enough evidence, or returns "" if there is none.
 func (s *stratum) regression(key stratumKey) string {
 	for i, condition := range []string{allIntervals: "", highLoadIntervals: " under load"} {
 		for _, candidate := range []struct {
@@ -93,7 +94,7 @@
 	return ""
 }
 
-// missingTraffic names the first comparison that has too little traffic to pass, empty where all pass.
+// missingTraffic names the first comparison with too little traffic to pass, or returns "" if all pass.
 func (s *stratum) missingTraffic(key stratumKey) string {
 	passThreshold := -math.Log(falsePassRate)
 	for _, candidate := range []struct {
--- a/internal/release/judge/trafficmodel_test.go
+++ b/internal/release/judge/trafficmodel_test.go
@@ -5,40 +5,39 @@
 	"math/rand/v2"
 )
 
-// Shares of what the model draws, by default.
+// Parameters of the model.
 const (
 	baseFailureRate   = 0.003
 	baseRestartRate   = 0.0002
 	medianLatencyMS   = 20
-	lateMS            = 65 // beyond the bucket of 64 ms
-	latencyBuckets    = 33 // of rising bounds, by a factor of √2 from 0.5 ms
+	lateMS            = 65 // above the bucket bound of 64 ms
+	latencyBuckets    = 33 // with bounds that rise by a factor of √2 from 0.5 ms
 	firstBoundMS      = 0.5
 	latencySigma      = 0.5
 	memoryNoise       = 0.02
 	baselineMeanBytes = 100
 )
 
-// effect is what requests meet: a factor of load, an added share of failures, and a factor of latency.
+// effect is how a fault or a regression changes requests: a load factor, an added failure rate and a latency factor.
 type effect struct{ load, failures, latency float64 }
 
-// noEffect is how requests fare ordinarily.
 var noEffect = effect{load: 1, failures: 0, latency: 1}
 
-// trafficModel makes intervals of a second: zones a and b, a common class and a rarer one, units that each get rate
-// requests a second, log-normal latencies.
+// trafficModel generates intervals of a second for zones a and b, with a common and a rarer class. Each unit gets rate
+// requests a second, with log-normal latencies.
 type trafficModel struct {
 	rng           *rand.Rand
-	canaryUnits   int // in a zone
+	canaryUnits   int // per zone
 	baselineUnits int
 	rate          float64
-	memoryGrowth  float64 // of the canary, in a second
-	restartRate   float64 // share of the canary's units that restart in a second
-	noise         float64 // spread of each version's own failures from second to second
-	staleBaseline bool    // planted bug: the baseline is as it was without the fault
+	memoryGrowth  float64 // of the canary, per second
+	restartRate   float64 // additional share of the canary's units that restart per second
+	noise         float64 // relative spread of each version's failure rate from second to second
+	staleBaseline bool    // planted bug: the fault does not affect the baseline
 
-	// fault, where set, is what both versions meet.
+	// fault, if set, affects both versions.
 	fault func(second, zoneIndex int) effect
-	// regression, where set, is what the canary adds to that.
+	// regression, if set, affects the canary in addition to the fault.
 	regression func(second int, class string, load float64) effect
 }
 
@@ -69,12 +68,12 @@
 	}
 }
 
-// shareBelow is the share of log-normal latencies below a bound.
+// shareBelow returns the share of log-normal latencies below a bound.
 func shareBelow(boundMS, medianMS float64) float64 {
 	return 0.5 * math.Erfc(-math.Log(boundMS/medianMS)/latencySigma/math.Sqrt2)
 }
 
-// counts draws an interval's requests of a class, whose share of the traffic is given, at a number of units.
+// counts draws the outcomes of an interval's requests to a number of units, for a class with the given share of the traffic.
 func (m *trafficModel) counts(units int, share, load, failures, slowdown float64) Counts {
 	requests := m.binomial(int(2*float64(units)*m.rate*share*load)+2, 0.5)
 	failureRate := failures * max(0, 1+m.noise*m.rng.NormFloat64())
@@ -146,7 +145,7 @@
 	return ZoneSample{Zone: zone, Canary: canary, Baseline: baseline}
 }
 
-// run runs up to a number of seconds, until the first regression, or until a pass where stopAtPass says so.
+// run adds up to maxSeconds intervals to a Judge, until the first regression or, with stopAtPass, the first pass.
 func (m *trafficModel) run(maxSeconds int, stopAtPass bool) (verdict Verdict, seconds, requests int) {
 	watched := New(testSettings)
 	for seconds = 1; seconds <= maxSeconds; seconds++ {
@@ -162,8 +161,8 @@
 	return verdict, maxSeconds, requests
 }
 
-// ordinaryFault is a fault that both versions meet, of a random kind at a random time: a zone loses servers, a burst of
-// traffic, overloaded servers, or none.
+// ordinaryFault returns a fault of a random kind at a random time that affects both versions: servers of a zone are lost,
+// traffic bursts, servers are overloaded, or none.
 func ordinaryFault(rng *rand.Rand) func(second, zoneIndex int) effect {
 	kind, from, zone, severity := rng.IntN(4), 5+rng.IntN(15), rng.IntN(2), 0.2+0.6*rng.Float64()
 	until := from + 5 + rng.IntN(20)
@@ -172,9 +171,9 @@
 			return noEffect
 		}
 		switch {
-		case kind == 0 && zoneIndex == zone: // half of the zone is lost, which is noticed late
+		case kind == 0 && zoneIndex == zone: // half of the zone's servers are lost, which is detected late
 			return effect{load: 0.6, failures: severity * 0.5, latency: 1.2}
-		case kind == 0: // the other zone has its load
+		case kind == 0: // the other zone takes over the load
 			return effect{load: 1.4, failures: 0.02, latency: 1.3}
 		case kind == 1: // burst
 			return effect{load: 1 + 2*severity, failures: 0.1 * severity, latency: 1 + severity}
--- a/internal/release/judge/zone.go
+++ b/internal/release/judge/zone.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// zone is the evidence of the units of one zone.
+// zone holds the evidence of the units of one zone.
 type zone struct {
-	threshold       float64 // of the logarithm of the evidence of too many restarts
+	threshold       float64 // logarithm of the evidence that shows too many restarts
 	restarts        comparison
 	memoryTolerance float64
-	intervalsAbove  int // in a row, in which the memory was above its tolerance
-	memorySamples   int // intervals in which the memory was known
+	intervalsAbove  int // consecutive intervals with memory above its tolerance
+	memorySamples   int // intervals with known memory
 	memoryRatio     float64
 	canaryUnits     int // in the latest interval
 }
@@ -37,7 +37,7 @@
 	}
 }
 
-// regression describes the regression that there is enough evidence of, empty where there is none.
+// regression describes a regression with enough evidence, or returns "" if there is none.
 func (z *zone) regression(zoneName string) string {
 	if z.restarts.regression.logEvidence() >= z.threshold {
 		return fmt.Sprintf("restarts in zone %q: %d in %d unit-intervals, more than the old and the tolerated %v",
@@ -49,7 +49,7 @@
 	return ""
 }
 
-// suspicion says why the zone's restarts or memory withhold a pass, empty where they do not.
+// suspicion returns why the zone's restarts or memory withhold a pass, or "" if they do not.
 func (z *zone) suspicion(zoneName string) string {
 	if z.canaryUnits == 0 {
 		return ""
