--- a/internal/release/controller/controller.go
+++ b/internal/release/controller/controller.go
@@ -1,8 +1,9 @@
-// Package controller carries a release out while it holds the release's lease. It observes the registry, the platform and
-// the sidecars' load reports, has package release decide, executes the effects, and writes the next state to the log.
+// Package controller executes a release while it holds the release's lease. In each step it observes the registry, the
+// platform and the sidecars' load reports, has package release decide, executes the resulting effects, and writes the next
+// state to the registry's log.
 //
-// It owns no state that lasts: what a lease holder keeps between two steps is observations and evidence, which its
-// successor collects anew. It decides nothing; all decisions are those of release.State.Reconcile.
+// It owns no lasting state: between two steps a lease holder keeps only observations and evidence, which its successor
+// collects anew. It makes no decisions; release.State.Reconcile makes all of them.
 package controller
 
 import (
@@ -21,20 +22,20 @@
 )
 
 const (
-	reconcileInterval = 500 * time.Millisecond // between two steps while nothing is written
-	writtenStepDelay  = 50 * time.Millisecond  // after a step that was written: updating a unit takes some ten of them
-	callTimeout       = 3 * time.Second        // of one observation or write; a registry election takes about two
+	reconcileInterval = 500 * time.Millisecond // between two steps if the first wrote no state
+	writtenStepDelay  = 50 * time.Millisecond  // after a step that wrote a state; the update of a unit takes about ten such steps
+	callTimeout       = 3 * time.Second        // of one observation or write; a registry election takes about two seconds
 	minBackoff        = 500 * time.Millisecond
 	maxBackoff        = 5 * time.Second
-	judgeInterval     = time.Second // of the judge's observations
+	judgeInterval     = time.Second // between two intervals of the judge
 
-	// cohortTTL is how long a cohort's directive lasts after it was written, and cohortRefreshInterval how long until it is
-	// written again: two writes in a row may fail.
+	// cohortTTL is how long a cohort's directive is valid after it was written, and cohortRefreshInterval the time until it is
+	// written again, so that two consecutive writes may fail.
 	cohortTTL             = 60 * time.Second
 	cohortRefreshInterval = 20 * time.Second
 )
 
-// Store is the registry as the controller uses it; registry.Client is one.
+// Store is the part of the registry that the controller uses; registry.Client implements it.
 type Store interface {
 	Release(ctx context.Context, name string, brief, fresh bool) (registry.ReleaseView, error)
 	WriteRelease(
@@ -50,35 +51,35 @@
 	ApplyLedgerOp(ctx context.Context, options registry.WriteOptions, op disruption.Op) (registry.LedgerResult, error)
 }
 
-// ReportSource is where the sidecars' load reports arrive; loadreport.Collector is one.
+// ReportSource receives the sidecars' load reports; loadreport.Collector implements it.
 type ReportSource interface {
-	// SetAccepting says whether reports are accepted. Only the lease holder accepts them.
+	// SetAccepting sets whether reports are accepted. Only the lease holder accepts them.
 	SetAccepting(accepting bool)
-	// Snapshot returns the latest report of each sidecar, and for how long reports have been accepted.
+	// Snapshot returns the latest report of each sidecar, and how long reports have been accepted.
 	Snapshot() ([]loadreport.ReceivedReport, time.Duration)
 }
 
-// Controller carries out one release. Its Run is for leaderelection.Run, on the lease release.Owner(Name).
+// Controller executes one release. Pass its Run to leaderelection.Run, with the lease release.Owner(Name).
 type Controller struct {
 	Name     string
 	Store    Store
 	Platform supervisor.Supervisor
 	Reports  ReportSource
-	// MaxRequestDuration is the longest that a request may take at the servers: the largest hard limit of the settings.
+	// MaxRequestDuration is the longest time that a request may take at a server: the largest hard limit in the settings.
 	MaxRequestDuration time.Duration
-	// WarmUpTime is how long after it is ready a restarted server counts as warm; 0: another process reports that.
+	// WarmUpTime is how long a restarted server has to be ready to count as warm. 0: another process reports warm servers.
 	WarmUpTime time.Duration
-	// Strata is how many classes × zones are expected, which share the judge's false-alarm rate.
+	// Strata is the expected number of classes × zones, which share the judge's false-alarm rate.
 	Strata int
-	// ConfigText returns the text of a unit's configuration, the same at each call. Nil: the platform has it.
+	// ConfigText returns the text of a unit's configuration, the same text at each call. Nil: the platform has the text.
 	ConfigText func(unit, config string) (string, error)
-	// PrepareUnit makes what only this server serves available elsewhere, and reports whether it is. Nil: nothing is
-	// served by one server only.
+	// PrepareUnit makes everything that only this server serves available on other servers, and reports whether it is. Nil:
+	// nothing is served by only one server.
 	PrepareUnit func(ctx context.Context, unit string) (bool, error)
 }
 
-// Run carries the release out until it is finished and every command to it is handled, or until ctx ends, whose cause it
-// returns then.
+// Run executes the release until it is finished and every command to it is handled. If ctx ends first, Run returns the cause
+// of ctx.
 func (c *Controller) Run(ctx context.Context, lease *leaderelection.Lease) error {
 	c.Reports.SetAccepting(true)
 	defer c.Reports.SetAccepting(false)
@@ -106,7 +107,7 @@
 	}
 }
 
-// nextDelay is the time until the next step: a jittered backoff after an error, and little after a step that was written.
+// nextDelay returns the time until the next step: a jittered backoff after an error, and a short delay after a written state.
 func nextDelay(backoff time.Duration, wrote bool) time.Duration {
 	switch {
 	case backoff > 0:
--- a/internal/release/controller/controller_test.go
+++ b/internal/release/controller/controller_test.go
@@ -24,7 +24,7 @@
 [[wave]]
 `
 
-// startRelease starts the release r once all servers are up.
+// startRelease starts the release r after all servers are up.
 func (f *fakeCluster) startRelease(t *testing.T) {
 	t.Helper()
 	releasePlan, err := plan.Parse("p.toml", []byte(testPlan))
@@ -47,8 +47,8 @@
 	}
 }
 
-// runRelease carries the release r out by one controller after another. The terms of the first ones are short: each ends
-// within a few steps.
+// runRelease executes the release r with one controller after another. The first shortTerms controllers hold the lease for
+// only a few steps each.
 func (f *fakeCluster) runRelease(t *testing.T, shortTerms int) *release.State {
 	t.Helper()
 	f.startRelease(t)
@@ -77,7 +77,7 @@
 	return state
 }
 
-// runTerm runs a controller under a token until it ends, the release is finished, or the time is up.
+// runTerm runs a controller with a fencing token until it ends, the release is finished, or the time limit is reached.
 func (f *fakeCluster) runTerm(t *testing.T, token uint64, limit time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
@@ -91,7 +91,7 @@
 		select {
 		case err := <-done:
 			if err != nil && !errors.Is(err, context.Canceled) && !errors.Is(err, context.DeadlineExceeded) {
-				t.Errorf("the controller ended with %v", err)
+				t.Errorf("the controller returned %v", err)
 			}
 			return
 		case <-time.After(time.Second):
@@ -102,13 +102,13 @@
 	}
 }
 
-// checkVersion checks that each server runs a version in one process, that it was started once, and that none was stopped
-// while it was Ready.
+// checkVersion checks that each server runs the version in one process, that no version of a server was started twice, and
+// that no server was stopped while it was Ready.
 func (f *fakeCluster) checkVersion(t *testing.T, version string) {
 	t.Helper()
 	for _, name := range serverNames {
 		if processes := f.platform.LiveProcesses(name); f.versions[name] != version || processes != 1 {
-			t.Errorf("%s runs %s in %d processes, want one of %s", name, f.versions[name], processes, version)
+			t.Errorf("%s runs version %s in %d processes, want one process of version %s", name, f.versions[name], processes, version)
 		}
 	}
 	for launch, count := range f.launches {
@@ -128,7 +128,7 @@
 	}{
 		{"one controller", 0, 0},
 		{"forty short terms", 40, 0},
-		{"ten short terms, every seventh call without an answer", 10, 7},
+		{"ten short terms, every seventh call fails", 10, 7},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -140,7 +140,7 @@
 				}
 				cluster.checkVersion(t, "2")
 				if len(cluster.cohort) == 0 {
-					t.Error("sidecars were not directed to count requests to the new version separately")
+					t.Error("the sidecars got no directive to count requests to the new version separately")
 				}
 			})
 		})
@@ -157,7 +157,7 @@
 		}
 		for _, name := range serverNames {
 			if cluster.versions[name] != "1" || cluster.platform.LiveProcesses(name) != 1 {
-				t.Errorf("%s runs %s", name, cluster.versions[name])
+				t.Errorf("%s runs version %s, want one process of version 1", name, cluster.versions[name])
 			}
 		}
 	})
--- a/internal/release/controller/evidence.go
+++ b/internal/release/controller/evidence.go
@@ -14,8 +14,8 @@
 	"milldeck/internal/supervisor"
 )
 
-// recordReports records what the sidecars report: which endpoint lists they have at each step, and once per interval what
-// the judge compares.
+// recordReports evaluates the sidecars' reports: at each step for the endpoint list that each sidecar has, and once per
+// interval for the counts that the judge compares.
 func (t *leaseTerm) recordReports(observed *observation, nowMS int64) {
 	reports, _ := t.Reports.Snapshot()
 	revisions := sidecarRevisions(observed.sidecars, reports)
@@ -32,8 +32,8 @@
 	}
 }
 
-// sidecarRevisions is the revision of the endpoint list that each live sidecar has, by the registry or its own report,
-// whichever is newer.
+// sidecarRevisions returns the revision of the endpoint list that each live sidecar has: the newer of the revision in the
+// registry and that in the sidecar's own report.
 func sidecarRevisions(sidecars []registry.Sidecar, reports []loadreport.ReceivedReport) map[string]uint64 {
 	revisions := make(map[string]uint64, len(sidecars))
 	for i := range sidecars {
@@ -47,7 +47,7 @@
 	return revisions
 }
 
-// terminatingServers are the IDs in the ledger of the servers that are Terminating in the endpoint list.
+// terminatingServers returns the ledger IDs of the servers that are Terminating in the endpoint list.
 func terminatingServers(list *registry.EndpointList) []string {
 	var ids []string
 	for i := range list.Targets {
@@ -58,7 +58,7 @@
 	return ids
 }
 
-// freshReports are the reports that have arrived since the previous interval.
+// freshReports returns the reports that were received after the previous interval.
 func (t *leaseTerm) freshReports(reports []loadreport.ReceivedReport) []placement.LoadReport {
 	var fresh []placement.LoadReport
 	for i := range reports {
@@ -74,8 +74,8 @@
 	return fresh
 }
 
-// reportWarmServers reports to the ledger the restarted servers that have been ready for long enough to be warm. The
-// ledger ignores a report on a unit that has changed since it was read.
+// reportWarmServers reports restarted servers that have been ready for WarmUpTime to the ledger as warm. The ledger ignores
+// the report on a unit that has changed since the ledger was read.
 func (t *leaseTerm) reportWarmServers(ctx context.Context, units map[string]disruption.Unit, platform *supervisor.List) {
 	if t.WarmUpTime == 0 || platform == nil {
 		return
@@ -101,7 +101,7 @@
 	}
 }
 
-// warmsUp reports whether the ledger has a unit as a server that is not warm yet.
+// warmsUp reports whether a unit is a server that is not warm yet according to the ledger.
 func warmsUp(unit *disruption.Unit) bool {
 	if unit.Kind != disruption.KindServer {
 		return false
@@ -109,7 +109,7 @@
 	return unit.Condition == disruption.ConditionWarmingUp || unit.Condition == disruption.ConditionUnready
 }
 
-// readyForWarmUpTime reports whether the platform has listed a unit as running for the warm-up time.
+// readyForWarmUpTime reports whether a unit has been running for WarmUpTime according to the platform.
 func (t *leaseTerm) readyForWarmUpTime(platform *supervisor.List, name string) bool {
 	listed := platform.Find(name)
 	if listed == nil || listed.State != supervisor.Running {
--- a/internal/release/controller/execute.go
+++ b/internal/release/controller/execute.go
@@ -14,8 +14,8 @@
 	"milldeck/internal/supervisor"
 )
 
-// execute executes the effects of a step, and reports whether a next state was written. The platform's requests are sent
-// first, in one call. An effect that fails is not an error: the next step finds it missing and repeats it.
+// execute executes the effects of a step, and reports whether it wrote a next state. It sends the platform's requests first,
+// in one call. A failed effect other than the write of the state is not an error: the next step repeats it.
 func (t *leaseTerm) execute(ctx context.Context, effects []release.Effect) (wrote bool, err error) {
 	var requests []supervisor.Request
 	for _, effect := range effects {
@@ -47,8 +47,8 @@
 	return wrote, nil
 }
 
-// callPlatform sends requests to the platform in one call. A request whose configuration cannot be read is left out, so
-// its unit waits.
+// callPlatform sends requests to the platform in one call. It omits a request whose configuration cannot be read; the unit
+// stays in its stage until a later step.
 func (t *leaseTerm) callPlatform(ctx context.Context, requests []supervisor.Request) {
 	ready := t.withConfigText(requests)
 	if len(ready) == 0 {
@@ -66,7 +66,7 @@
 	}
 }
 
-// withConfigText adds the texts of configurations to requests, as many as one call takes.
+// withConfigText adds the configuration texts to requests, and returns at most as many requests as one call may have.
 func (t *leaseTerm) withConfigText(requests []supervisor.Request) []supervisor.Request {
 	var ready []supervisor.Request
 	for _, request := range requests {
@@ -86,14 +86,14 @@
 	return ready
 }
 
-// applyLedgerOp applies an operation to the ledger. A denied permit is noted for the next step; another failure is found
-// by it.
+// applyLedgerOp applies an operation to the ledger. It records the denial of a permit for the next step; the next step
+// detects other failures by itself.
 func (t *leaseTerm) applyLedgerOp(ctx context.Context, op disruption.Op) {
 	ctx, cancel := withCallTimeout(ctx)
 	defer cancel()
 	result, err := t.Store.ApplyLedgerOp(ctx, t.writeOptions(), op)
 	if op.Permit == nil {
-		return // an observation: it is reported again where it did not arrive
+		return // an observation: a later step reports it again if it was not applied
 	}
 	if err == nil {
 		t.ledgerRevision = max(t.ledgerRevision, result.Revision)
@@ -107,7 +107,7 @@
 	t.logger.Debug("ledger operation failed", "kind", op.Kind, "permit", op.Permit.ID, "error", err)
 }
 
-// denial is why the ledger denied an operation, and whether it did: other errors say nothing about the permit.
+// denial returns why the ledger denied an operation, and whether it did. Other errors say nothing about the permit.
 func denial(err error) (reason string, denied bool) {
 	var status *registry.StatusError
 	if !errors.As(err, &status) {
@@ -140,7 +140,7 @@
 	t.prepared[id] = prepared && err == nil
 }
 
-// placeCohort has sidecars count requests to updated servers separately, and renews that before it expires.
+// placeCohort directs sidecars to count requests to updated servers separately. It renews the directive before it expires.
 func (t *leaseTerm) placeCohort(ctx context.Context) {
 	updated := t.state.UpdatedUnits()
 	if len(updated) > placement.MaxServersPerDirective {
--- a/internal/release/controller/fakecluster_test.go
+++ b/internal/release/controller/fakecluster_test.go
@@ -18,7 +18,7 @@
 	"milldeck/internal/supervisor/fake"
 )
 
-// advanceInterval is how much time passes for servers and sidecars at once.
+// advanceInterval is the time between two calls of advance.
 const advanceInterval = 250 * time.Millisecond
 
 var (
@@ -26,11 +26,11 @@
 	sidecarNames = []string{"s1", "s2"}
 )
 
-// errNoAnswer is a call whose outcome is not known.
+// errNoAnswer is the error of a call whose outcome is unknown to the caller.
 var errNoAnswer = errors.New("no answer in time")
 
-// fakeCluster is a registry in memory with the real tables, a platform in virtual time, and sidecars that report. Its time
-// is that of the synctest bubble. It is a Store and a ReportSource.
+// fakeCluster simulates a registry in memory with the real tables, a platform in virtual time, and sidecars that send
+// reports. Its time is that of the synctest bubble. It implements Store and ReportSource.
 type fakeCluster struct {
 	mu                sync.Mutex
 	revision          uint64
@@ -40,10 +40,10 @@
 	platform          *fake.Platform
 	servers           map[string]*registry.Target
 	launches          map[string]int    // by server and version
-	boots             map[string]int64  // by server, the number of its latest start
+	boots             map[string]int64  // number of the latest start, by server
 	versions          map[string]string // by server
 	cohort            []string
-	newVersionFails   bool     // version 2 fails at its start
+	newVersionFails   bool     // version 2 exits at its start
 	stoppedWhileReady []string // servers that were stopped while they were Ready in the endpoint list
 	failEveryNth      int      // of the calls to the store and the platform; 0: none
 	calls             int
@@ -90,7 +90,7 @@
 	return cluster
 }
 
-// mustList is the platform's list.
+// mustList returns the platform's list.
 func (f *fakeCluster) mustList() *supervisor.List {
 	list, err := f.platform.List(context.Background())
 	if err != nil {
@@ -99,7 +99,7 @@
 	return list
 }
 
-// startProcess is called by the platform with each unit that it starts, under the cluster's lock.
+// startProcess is called by the platform for each unit that it starts, under the cluster's lock.
 func (f *fakeCluster) startProcess(unit supervisor.Unit) fake.Behavior {
 	f.launches[unit.Name+" "+unit.Version]++
 	f.boots[unit.Name] = int64(len(f.launches))
@@ -110,7 +110,7 @@
 	return fake.Behavior{ReadyAfterMS: 300, StopAfterMS: 200}
 }
 
-// advance brings servers and sidecars to the present time: processes go on, units register, leases expire.
+// advance updates servers and sidecars to the present time: processes start or exit, units register, leases expire.
 func (f *fakeCluster) advance() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,7 +129,7 @@
 	}
 }
 
-// registerServer registers a server that runs, and reports it as warm; one that has exited is lost.
+// registerServer registers a running server and reports it as warm, and marks a server that has exited as lost.
 func (f *fakeCluster) registerServer(name string, listed *supervisor.Unit) {
 	id, target := disruption.UnitID(disruption.KindServer, name), f.servers[name]
 	if listed == nil || listed.State == supervisor.Exited {
@@ -155,7 +155,7 @@
 	}
 }
 
-// release is the release r, and whether it is finished.
+// release returns the release r, and whether it is finished.
 func (f *fakeCluster) release() (state *release.State, finished bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,7 +163,7 @@
 	return state, state.Status.Phase.Finished()
 }
 
-// nextToken makes the next fencing token the valid one.
+// nextToken makes the next fencing token the only valid one.
 func (f *fakeCluster) nextToken() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -171,10 +171,10 @@
 	return f.token
 }
 
-// SetAccepting is of ReportSource.
+// SetAccepting implements ReportSource.
 func (f *fakeCluster) SetAccepting(bool) {}
 
-// Snapshot is a report of each sidecar, all of which have the newest endpoint list.
+// Snapshot implements ReportSource. Each sidecar reports that it has the newest endpoint list.
 func (f *fakeCluster) Snapshot() ([]loadreport.ReceivedReport, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,7 +194,7 @@
 	return received, 0
 }
 
-// nextError lets some calls fail whose outcome is then not known.
+// nextError returns an error for every nth call, after the call has taken effect.
 func (f *fakeCluster) nextError() error {
 	f.calls++
 	if f.failEveryNth > 0 && f.calls%f.failEveryNth == 0 {
@@ -293,7 +293,7 @@
 	return registry.LedgerResult{}, f.nextError()
 }
 
-// fakePlatform is the cluster's platform under the cluster's lock, as its starts are recorded there.
+// fakePlatform locks the cluster around calls to its platform, because the platform records its starts in the cluster.
 type fakePlatform struct{ *fakeCluster }
 
 func (p fakePlatform) Do(ctx context.Context, requests ...supervisor.Request) ([]supervisor.Outcome, error) {
--- a/internal/release/controller/observe.go
+++ b/internal/release/controller/observe.go
@@ -12,21 +12,21 @@
 	"milldeck/internal/supervisor"
 )
 
-// unitName is a unit's name in the endpoint list and at the platform, of its ID in the ledger.
+// unitName returns the name of a unit in the endpoint list and on the platform, given its ledger ID.
 func unitName(id string) string {
 	_, name, _ := strings.Cut(id, "/")
 	return name
 }
 
-// observation is what one step has read.
+// observation is what one step has read from the registry and the platform.
 type observation struct {
 	ledger   disruption.View
 	list     registry.EndpointList
-	sidecars []registry.Sidecar // those that are live
-	platform *supervisor.List   // nil: it did not answer
+	sidecars []registry.Sidecar // only live ones
+	platform *supervisor.List   // nil: the platform did not answer
 }
 
-// read reads the registry and the platform. Without the registry nothing can be decided; the platform may be silent.
+// read reads the registry and the platform. No decision is possible without the registry, but the platform may not answer.
 func (t *leaseTerm) read(ctx context.Context) (*observation, error) {
 	ledger, err := t.Store.LedgerView(ctx, true, true)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return &observation{ledger: ledger, list: list, sidecars: sidecars, platform: platform}, nil
 }
 
-// observe reads the fleet, records what is evidence, and returns the view that the next state is decided by.
+// observe reads the state of the fleet, records evidence from it, and returns the view from which Reconcile decides.
 func (t *leaseTerm) observe(ctx context.Context) (*release.View, error) {
 	ctx, cancel := withCallTimeout(ctx)
 	defer cancel()
@@ -90,7 +90,7 @@
 	}, nil
 }
 
-// lookupIn returns the function that looks IDs up in a map.
+// lookupIn returns a function that looks up IDs in a map.
 func lookupIn[T any](byID map[string]T) func(id string) (T, bool) {
 	return func(id string) (T, bool) {
 		value, ok := byID[id]
--- a/internal/release/controller/process_test.go
+++ b/internal/release/controller/process_test.go
@@ -20,7 +20,8 @@
 	"milldeck/internal/supervisor"
 )
 
-// serverEnvironment, where it is set to the replicas' addresses, makes the test binary a server of the fleet.
+// serverEnvironment names the environment variable that makes the test binary run as a server of the fleet. Its value lists
+// the replicas' addresses.
 const serverEnvironment = "RELEASE_TEST_AS_SERVER"
 
 func TestMain(m *testing.M) {
@@ -34,7 +35,7 @@
 	proctest.Main(m)
 }
 
-// runServer registers a server, answers its ready check, and deregisters it at SIGTERM.
+// runServer registers a server, answers its readiness check, and deregisters it on SIGTERM.
 func runServer(replicas []string, name, listen, zone, version string) error {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer cancel()
@@ -63,13 +64,13 @@
 			return nil
 		case <-time.After(400 * time.Millisecond):
 			if _, err := client.RenewInstances(ctx, []string{name}); err != nil && !errors.Is(err, context.Canceled) {
-				fmt.Fprintln(os.Stderr, "renew:", err) // the next renewal follows well within the lease
+				fmt.Fprintln(os.Stderr, "renew:", err) // the next renewal comes long before the lease expires
 			}
 		}
 	}
 }
 
-// register registers an instance, as often as it takes.
+// register registers an instance, and retries until it succeeds.
 func register(ctx context.Context, client *registry.Client, instance registry.Instance) {
 	for ctx.Err() == nil {
 		if _, err := client.Register(ctx, registry.WriteOptions{}, instance); err == nil {
@@ -79,7 +80,7 @@
 	}
 }
 
-// deregister removes an instance. Where that fails, its lease expires.
+// deregister removes an instance. If that fails, its lease expires.
 func deregister(client *registry.Client, name string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
@@ -88,8 +89,8 @@
 	}
 }
 
-// Controllers as processes: each that holds the lease is killed, and another goes on; then a drain, in which the registry's
-// leader is killed.
+// Two controller processes in turn are killed while they hold the lease, and the next one has to continue the release. Then
+// the registry's leader is killed during a drain, which has to complete.
 func TestControllersKilledInTurn(t *testing.T) {
 	site := newSite(t)
 	plan := filepath.Join(site.dir, "plan.toml")
@@ -97,10 +98,10 @@
 	site.must(os.WriteFile(plan, []byte(text), 0o600))
 	site.waitForSuccess(site.startCommand("release", "check", plan, "--dry-run"))
 	process := site.startCommand("release", "start", plan)
-	site.waitUntil("the release begins", func() bool { return site.sequence("r") > 3 })
+	site.waitUntil("the release has begun", func() bool { return site.sequence("r") > 3 })
 	for range 2 {
 		before := site.sequence("r")
-		site.waitUntil("some changes are written", func() bool { return site.sequence("r") > before+3 })
+		site.waitUntil("three more changes are written", func() bool { return site.sequence("r") > before+3 })
 		process.Kill()
 		process = site.startCommand("release", "start", plan)
 	}
@@ -111,16 +112,16 @@
 	}
 	for _, name := range siteServers {
 		if one, two := site.startCount(name, "1"), site.startCount(name, "2"); one != 1 || two != 1 {
-			t.Errorf("%s was started %d times as 1 and %d as 2, want once each", name, one, two)
+			t.Errorf("%s was started %d times with version 1 and %d times with version 2, want once each", name, one, two)
 		}
 	}
 	list, err := site.client.List(site.ctx, true)
 	if err != nil || len(list.Targets) != len(siteServers) {
-		t.Errorf("%d servers in the endpoint list, %v", len(list.Targets), err)
+		t.Errorf("%d servers in the endpoint list, error %v", len(list.Targets), err)
 	}
 	site.waitForSuccess(site.startCommand("release", "finalize", "r"))
 	drain := site.startCommand("fleet", "drain", "d", "--ids", "server/a2")
-	site.waitUntil("the drain begins", func() bool { return site.sequence("d") > 2 })
+	site.waitUntil("the drain has begun", func() bool { return site.sequence("d") > 2 })
 	if leader, err := site.cluster.AwaitLeader(site.ctx); err == nil {
 		leader.Process.Kill()
 	}
@@ -128,6 +129,6 @@
 	listed, err := site.platform.List(site.ctx)
 	site.must(err)
 	if drained := listed.Find("a2"); drained == nil || drained.State != supervisor.Exited {
-		t.Errorf("the drained server is %+v", drained)
+		t.Errorf("the drained server is %+v, want it exited", drained)
 	}
 }
--- a/internal/release/controller/site_test.go
+++ b/internal/release/controller/site_test.go
@@ -17,10 +17,10 @@
 	"milldeck/internal/supervisor"
 )
 
-// siteServers are the servers of a site. The first letter is the zone.
+// siteServers names the fleet's servers. The first letter is the zone.
 var siteServers = []string{"a1", "a2", "b1", "b2"}
 
-// testSite is a whole fleet of processes: registry replicas, the platform's stand-in, and the servers that it has started.
+// testSite is a fleet of processes: registry replicas, the stand-in for the platform, and the servers that it starts.
 type testSite struct {
 	t               *testing.T
 	ctx             context.Context
@@ -32,10 +32,10 @@
 	standIn         *proc.Process
 	program         string
 	dir             string
-	commandsStarted int // numbers their addresses and logs
+	commandsStarted int // numbers the addresses and logs of the commands
 }
 
-// Groups of addresses in the site's block.
+// Address groups in the fleet's block.
 const (
 	serverAddresses  = 10
 	commandAddresses = 20
@@ -75,7 +75,7 @@
 			s.t.Log(s.cluster.Logs())
 		}
 		if err := s.cluster.Close(); err != nil {
-			s.t.Logf("the replicas' end: %v", err) // the test kills replicas itself
+			s.t.Logf("close of the replicas: %v", err) // expected: the test itself kills a replica
 		}
 	})
 	s.must(err)
@@ -84,7 +84,7 @@
 	s.t.Cleanup(s.client.Close)
 }
 
-// startPlatform starts the platform's stand-in. Both of its versions are this test binary as a server.
+// startPlatform starts the stand-in for the platform. Both of its versions run this test binary as a server.
 func (s *testSite) startPlatform() {
 	s.t.Helper()
 	text := ""
@@ -117,7 +117,7 @@
 
 func (s *testSite) standInLog() string { return filepath.Join(s.dir, "standin-log") }
 
-// startServers starts all servers on version 1, under a budget that lets one be out.
+// startServers starts all servers with version 1, under a budget that allows one unavailable server.
 func (s *testSite) startServers() {
 	s.t.Helper()
 	one := 1
@@ -140,7 +140,7 @@
 	}
 }
 
-// renewSidecars registers two sidecars, which have each endpoint list at once, until the test ends.
+// renewSidecars registers two sidecars again and again until the test ends. They always have the newest endpoint list.
 func (s *testSite) renewSidecars() {
 	for s.ctx.Err() == nil {
 		if list, err := s.client.List(s.ctx, false); err == nil {
@@ -154,7 +154,8 @@
 	}
 }
 
-// serversUp reports whether all servers and sidecars are up, and reports servers that have registered as warm.
+// serversUp reports whether all servers and sidecars are up. Once all are registered, it reports the servers to the ledger as
+// warm.
 func (s *testSite) serversUp() bool {
 	const sidecars = 2
 	view, err := s.client.LedgerView(s.ctx, true, true)
@@ -177,13 +178,13 @@
 	return view.Counts[disruption.ConditionUp] == len(siteServers)+sidecars
 }
 
-// waitUntil waits for a condition that always comes true; the time limit is for bugs.
+// waitUntil waits until a condition holds. Only a bug makes it reach the time limit.
 func (s *testSite) waitUntil(awaited string, condition func() bool) {
 	s.t.Helper()
 	for !condition() {
 		select {
 		case <-s.ctx.Done():
-			s.t.Fatalf("not in time: %s\n%s", awaited, s.standIn.Log())
+			s.t.Fatalf("timed out before: %s\n%s", awaited, s.standIn.Log())
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
@@ -206,7 +207,7 @@
 	return process
 }
 
-// describe describes the releases and the ledger.
+// describe returns the state of the releases and of the ledger.
 func (s *testSite) describe() string {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -220,7 +221,7 @@
 	return text + fmt.Sprintf("%+v, %v", view, err)
 }
 
-// waitForSuccess waits until a command has succeeded.
+// waitForSuccess waits until a command has exited, and fails the test if it exited with an error.
 func (s *testSite) waitForSuccess(process *proc.Process) {
 	s.t.Helper()
 	select {
@@ -233,7 +234,7 @@
 	}
 }
 
-// sequence is how many changes of a release were written, 0 where it cannot be read.
+// sequence returns how many changes of a release were written, or 0 if the release cannot be read.
 func (s *testSite) sequence(name string) uint64 {
 	stored, err := s.client.Release(s.ctx, name, true, true)
 	if err != nil {
@@ -242,7 +243,7 @@
 	return stored.Sequence
 }
 
-// startCount is how often processes of a unit and version were started, by the stand-in's log.
+// startCount returns how often the stand-in has started a version of a unit, according to the stand-in's log.
 func (s *testSite) startCount(unit, version string) int {
 	s.t.Helper()
 	data, err := os.ReadFile(s.standInLog())
--- a/internal/release/controller/term.go
+++ b/internal/release/controller/term.go
@@ -12,36 +12,36 @@
 	"milldeck/internal/supervisor"
 )
 
-// Errors of a step. Each ends the step; the next one starts over from the log.
+// Errors that end a step. The next step starts over from the log.
 var (
-	errNoRelease     = errors.New("the registry has no such release")
+	errNoRelease     = errors.New("the release is not in the registry")
 	errOtherWriter   = errors.New("the release was written by another controller")
 	errReplicaBehind = errors.New("the registry replica is behind")
-	errLedgerBehind  = errors.New("the ledger is older than one that was read before")
-	errDivergedState = errors.New("the written state does not follow from the known one")
+	errLedgerBehind  = errors.New("the ledger view is older than a previous one")
+	errDivergedState = errors.New("the written change does not apply to the known state")
 )
 
-// leaseTerm is one holding of the release's lease, and what it keeps between two steps. Nothing of it is stored: the next
-// holder starts from the log.
+// leaseTerm is the time during which a controller holds the release's lease, with the data that it keeps between two steps.
+// None of the data is stored: the next lease holder starts from the log.
 type leaseTerm struct {
 	*Controller
 	logger    *slog.Logger
 	guard     *registry.Guard
 	startedAt time.Time
 
-	state          *release.State // as written; nil: to be read from the log
+	state          *release.State // as last written; nil: has to be read from the log
 	commands       []release.Command
-	ledgerRevision uint64 // the newest that was read or written; an older view is no observation
+	ledgerRevision uint64 // newest revision read or written; older views are rejected
 
 	outcomes      map[string]supervisor.Outcome // of platform requests, by request ID
-	deniedPermits map[string]string             // by permit ID, why the ledger denied it
+	deniedPermits map[string]string             // reasons of the ledger, by permit ID
 	prepared      map[string]bool               // by unit ID
 
 	drains       *release.DrainTracker
 	analysis     *release.WaveAnalysis
 	judgedAt     time.Time
-	previousList *supervisor.List         // of the judge's previous interval
-	reportTimes  map[string]time.Duration // by sidecar, when the report of the previous interval was received
+	previousList *supervisor.List         // platform list at the previous interval of the judge
+	reportTimes  map[string]time.Duration // when the reports of the previous interval were received, by sidecar
 
 	cohortServers  []string
 	cohortPlacedAt time.Time
@@ -55,15 +55,15 @@
 	return t.state.Status.Phase.Finished() && t.state.Status.HandledCommands == len(t.commands)
 }
 
-// elapsedMS is a monotonic time in ms, above 0.
+// elapsedMS returns a monotonic time in ms, always above 0.
 func (t *leaseTerm) elapsedMS() int64 { return time.Since(t.startedAt).Milliseconds() + 1 }
 
 func (t *leaseTerm) writeOptions() registry.WriteOptions {
 	return registry.WriteOptions{Guard: t.guard}
 }
 
-// reconcile is one step: it observes, decides and executes, and reports whether it has written a next state. An effect that
-// fails is found to be missing by the next step.
+// reconcile executes one step: it observes, decides and executes the effects, and reports whether it wrote a next state. The
+// next step detects failed effects.
 func (t *leaseTerm) reconcile(ctx context.Context) (wrote bool, err error) {
 	if err := t.loadRelease(ctx); err != nil {
 		return false, err
@@ -84,7 +84,7 @@
 	return context.WithTimeout(ctx, callTimeout)
 }
 
-// loadRelease reads the commands to the release, and the release itself where it is not known.
+// loadRelease reads the commands to the release, and the state of the release if it is not known.
 func (t *leaseTerm) loadRelease(ctx context.Context) error {
 	ctx, cancel := withCallTimeout(ctx)
 	defer cancel()
@@ -101,15 +101,15 @@
 	case known == nil:
 		t.state = stored.State
 	case stored.StartRevision == known.StartRevision && stored.Sequence < known.Sequence:
-		return fmt.Errorf("%w: it is at sequence %d of %d", errReplicaBehind, stored.Sequence, known.Sequence)
+		return fmt.Errorf("%w: its sequence is %d, the known one is %d", errReplicaBehind, stored.Sequence, known.Sequence)
 	case stored.StartRevision != known.StartRevision || stored.Sequence != known.Sequence:
-		t.state = nil // another token is valid, or the log was restored
+		t.state = nil // a controller with another token has written, or the log was restored
 		return errOtherWriter
 	}
 	return nil
 }
 
-// writeDelta writes the next state to the log. Where it is not known whether it was written, the log is read again.
+// writeDelta writes the next state to the log. If the outcome of the write is unknown, the next step reads the log again.
 func (t *leaseTerm) writeDelta(ctx context.Context, delta release.Delta) error {
 	ctx, cancel := withCallTimeout(ctx)
 	defer cancel()
