--- a/internal/release/plan/fixtures_test.go
+++ b/internal/release/plan/fixtures_test.go
@@ -43,8 +43,8 @@
 			stored := goldentest.Read(t, name+".json")
 			var p Plan
 			goldentest.DecodeStrictly(t, stored, &p)
-			if again := encode(t, &p); !bytes.Equal(again, stored) {
-				t.Errorf("plan encoded again:\n got %s\nwant %s", again, stored)
+			if reencoded := encode(t, &p); !bytes.Equal(reencoded, stored) {
+				t.Errorf("plan encoded again:\n got %s\nwant %s", reencoded, stored)
 			}
 			if hash := fmt.Appendln(nil, p.Hash()); !bytes.Equal(hash, goldentest.Read(t, name+".hash")) {
 				t.Errorf("hash %s, want %s", hash, goldentest.Read(t, name+".hash"))
--- a/internal/release/plan/plan_test.go
+++ b/internal/release/plan/plan_test.go
@@ -163,8 +163,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		units := testUnits(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 30).Draw(t, "unitsPerZone"))
 		waves := AssignWaves(p, SelectUnits(p, units))
-		again := AssignWaves(p, SelectUnits(p, rapid.Permutation(units).Draw(t, "order")))
-		if !reflect.DeepEqual(waves, again) {
+		wavesOfPermutation := AssignWaves(p, SelectUnits(p, rapid.Permutation(units).Draw(t, "order")))
+		if !reflect.DeepEqual(waves, wavesOfPermutation) {
 			t.Fatal("the waves depend on the order of the units")
 		}
 		seen := map[string]bool{}
--- a/internal/release/plan/preview.go
+++ b/internal/release/plan/preview.go
@@ -58,7 +58,7 @@
 		builder.MaxUnavailable = min(builder.MaxUnavailable, len(builder.selected))
 	}
 	builder.checkBudgets(budgets)
-	builder.checkGroups()
+	builder.checkSingleServerGroups()
 	builder.computeTotals()
 	builder.subtractUnavailable()
 	return result
@@ -104,11 +104,11 @@
 func (b *previewBuilder) checkBudgets(budgets []disruption.Budget) {
 	sorted := slices.Clone(budgets)
 	slices.SortFunc(sorted, func(a, b disruption.Budget) int { return strings.Compare(a.Name, b.Name) })
-	own := disruption.Budget{Name: "limits of " + b.plan.Name, MaxWarmingUp: b.plan.Limits.MaxWarmingUp}
+	planBudget := disruption.Budget{Name: "limits of " + b.plan.Name, MaxWarmingUp: b.plan.Limits.MaxWarmingUp}
 	for i := range b.selected {
-		own.Selector.IDs = append(own.Selector.IDs, b.selected[i].ID)
+		planBudget.Selector.IDs = append(planBudget.Selector.IDs, b.selected[i].ID)
 	}
-	for _, budget := range append(sorted, own) {
+	for _, budget := range append(sorted, planBudget) {
 		b.checkBudget(&budget)
 	}
 }
@@ -167,32 +167,32 @@
 	}
 }
 
-// checkGroups reports the pod groups and zones whose only server belongs to the release. The ledger always keeps at least
-// one server of each pod group and zone in service.
-func (b *previewBuilder) checkGroups() {
+// checkSingleServerGroups reports the pod groups and zones whose only server belongs to the release. The ledger always keeps
+// at least one server of each pod group and zone in service.
+func (b *previewBuilder) checkSingleServerGroups() {
 	if b.plan.Kind() != disruption.KindServer {
 		return
 	}
-	sizes := map[string]int{}
+	groupSizes := map[string]int{}
 	for i := range b.units {
 		if b.units[i].Kind != disruption.KindServer {
 			continue
 		}
-		for _, group := range groupsOf(&b.units[i]) {
-			sizes[group]++
+		for _, group := range groupNames(&b.units[i]) {
+			groupSizes[group]++
 		}
 	}
 	for i := range b.selected {
-		for _, group := range groupsOf(&b.selected[i]) {
-			if sizes[group] == 1 {
+		for _, group := range groupNames(&b.selected[i]) {
+			if groupSizes[group] == 1 {
 				b.addInfeasible("%s is %s alone: neither a pod group nor a zone is ever wholly out", group, b.selected[i].ID)
 			}
 		}
 	}
 }
 
-// groupsOf names the pod group and the zone of a server, as shown in Infeasible.
-func groupsOf(unit *disruption.Unit) []string {
+// groupNames names the pod group and the zone of a server, as shown in Infeasible.
+func groupNames(unit *disruption.Unit) []string {
 	return []string{fmt.Sprintf("pod group %d", unit.PodGroup), fmt.Sprintf("zone %q", unit.Zone)}
 }
 
@@ -230,11 +230,11 @@
 			capacities[""] = append(capacities[""], EffectiveCapacity(unit))
 		}
 	}
-	for zone, ascending := range capacities {
-		slices.Sort(ascending)
+	for zone, zoneCapacities := range capacities {
+		slices.Sort(zoneCapacities)
 		capacity := b.RemainingCapacity[zone]
-		for i := range min(max(b.MaxUnavailable, 0), len(ascending)) {
-			capacity.Remaining -= ascending[len(ascending)-1-i]
+		for i := range min(max(b.MaxUnavailable, 0), len(zoneCapacities)) {
+			capacity.Remaining -= zoneCapacities[len(zoneCapacities)-1-i]
 		}
 		b.RemainingCapacity[zone] = capacity
 	}
--- a/internal/release/plan/waves.go
+++ b/internal/release/plan/waves.go
@@ -25,9 +25,9 @@
 			selected = append(selected, units[i])
 		}
 	}
-	position := func(id string) uint64 { return xxhash.Sum64String(p.Name + "\x00" + id) }
+	orderHash := func(id string) uint64 { return xxhash.Sum64String(p.Name + "\x00" + id) }
 	slices.SortFunc(selected, func(a, b disruption.Unit) int {
-		return cmp.Or(cmp.Compare(position(a.ID), position(b.ID)), strings.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(orderHash(a.ID), orderHash(b.ID)), strings.Compare(a.ID, b.ID))
 	})
 	return selected
 }
@@ -44,9 +44,9 @@
 		remaining[unit.Zone] = append(remaining[unit.Zone], unit.ID)
 	}
 	slices.Sort(zones)
-	sizes := map[string]int{}
+	zoneSizes := map[string]int{}
 	for _, zone := range zones {
-		sizes[zone] = len(remaining[zone])
+		zoneSizes[zone] = len(remaining[zone])
 	}
 	assigned := make([][]string, len(p.Waves))
 	for i := range p.Waves {
@@ -55,7 +55,7 @@
 			if wave.Zone != "" && wave.Zone != zone {
 				continue
 			}
-			count := min(wave.unitsOf(sizes[zone]), len(remaining[zone]))
+			count := min(wave.unitsFromZone(zoneSizes[zone]), len(remaining[zone]))
 			assigned[i] = append(assigned[i], remaining[zone][:count]...)
 			remaining[zone] = remaining[zone][count:]
 		}
@@ -63,9 +63,9 @@
 	return assigned
 }
 
-// unitsOf returns how many units the wave takes from a zone with zoneSize units of the release, if earlier waves have left
+// unitsFromZone returns how many units the wave takes from a zone with zoneSize units of the release, if earlier waves have left
 // that many.
-func (w *Wave) unitsOf(zoneSize int) int {
+func (w *Wave) unitsFromZone(zoneSize int) int {
 	switch {
 	case w.Count != nil:
 		return *w.Count
