--- a/internal/release/judge/fixtures_test.go
+++ b/internal/release/judge/fixtures_test.go
@@ -10,7 +10,7 @@
 
 // fixtureInterval returns one interval of synthetic counts: zone a has a common and a rare class, zone b a common one. No
 // count is random, so the verdicts depend only on the comparisons.
-func fixtureInterval(second int, failing, late, slow, restarts int, memory float64) Interval {
+func fixtureInterval(second int, failingPercent, latePercent, slowPercent, restarts int, memoryRatio float64) Interval {
 	counts := func(requests, failed, late, slow int) Counts {
 		served := requests - failed
 		return Counts{Served: served, Late: late, Failed: failed,
@@ -25,21 +25,21 @@
 		interval.ReceivedReports = 1
 	}
 	for _, stratum := range []struct {
-		class, zone string
-		share       int
+		class, zone    string
+		requestDivisor int
 	}{{"lookup", "a", 1}, {"lookup", "b", 1}, {"simulate", "a", 4}} {
-		classRequests := requests / stratum.share
-		percent := func(share int) int { return share * classRequests / 100 }
+		classRequests := requests / stratum.requestDivisor
+		percent := func(percentage int) int { return percentage * classRequests / 100 }
 		interval.Classes = append(interval.Classes, ClassSample{
 			Class: stratum.class, Zone: stratum.zone,
-			Canary:   counts(classRequests, percent(failing), percent(late), percent(slow)),
+			Canary:   counts(classRequests, percent(failingPercent), percent(latePercent), percent(slowPercent)),
 			Baseline: counts(10*classRequests, second%3, second%5, classRequests),
 		})
 	}
 	for _, zone := range []string{"a", "b"} {
 		interval.Zones = append(interval.Zones, ZoneSample{
 			Zone:     zone,
-			Canary:   UnitStats{Units: 2, Restarts: restarts, MeanMemory: 100 * memory},
+			Canary:   UnitStats{Units: 2, Restarts: restarts, MeanMemory: 100 * memoryRatio},
 			Baseline: UnitStats{Units: 20, Restarts: second % 2, MeanMemory: 100},
 		})
 	}
@@ -51,8 +51,8 @@
 func TestVerdictsAreAsBefore(t *testing.T) {
 	var lines bytes.Buffer
 	for _, c := range []struct {
-		name string
-		at   func(second int) Interval
+		name       string
+		intervalAt func(second int) Interval
 	}{
 		{"healthy", func(second int) Interval { return fixtureInterval(second, 0, 1, 5, 0, 1) }},
 		{"fails", func(second int) Interval { return fixtureInterval(second, 8, 0, 5, 0, 1) }},
@@ -68,10 +68,10 @@
 			return interval
 		}},
 	} {
-		watched := New(testSettings)
+		judge := New(testSettings)
 		last := Verdict{Outcome: "none"}
 		for second := range 120 {
-			if v := watched.Add(c.at(second)); v != last {
+			if v := judge.Add(c.intervalAt(second)); v != last {
 				last = v
 				fmt.Fprintf(&lines, "%s %d %s: %s\n", c.name, second, v.Outcome, v.Reason)
 			}
--- a/internal/release/judge/judge.go
+++ b/internal/release/judge/judge.go
@@ -27,8 +27,8 @@
 	minClassShare = 0.01
 	// memoryRegressionIntervals is how many consecutive intervals with memory above its tolerance show a regression.
 	memoryRegressionIntervals = 10
-	// restartSuspicion is the logarithm of the evidence of too many restarts above which a pass is withheld.
-	restartSuspicion = 1
+	// maxRestartEvidenceForPass is the logarithm of the evidence of too many restarts above which a pass is withheld.
+	maxRestartEvidenceForPass = 1
 	// noDataIntervals is how many consecutive intervals with less than half of the reports give the outcome NoData.
 	noDataIntervals = 5
 	// highLoadFactor is the ratio of an interval's traffic to the mean of earlier intervals above which its load is high.
@@ -191,7 +191,7 @@
 			Reason:  fmt.Sprintf("%d intervals in a row without half of the reports", j.intervalsWithoutData),
 		}
 	}
-	if reason := j.missingEvidence(); reason != "" {
+	if reason := j.withheldPassReason(); reason != "" {
 		return Verdict{Outcome: Inconclusive, Reason: reason}
 	}
 	return Verdict{Outcome: Pass}
--- a/internal/release/judge/judge_test.go
+++ b/internal/release/judge/judge_test.go
@@ -17,16 +17,16 @@
 	Strata:           4,
 }
 
-// Less than 1% of healthy versions are reported as regressions while ordinary faults affect both versions.
+// Less than 1% of healthy versions are reported as regressions while random faults affect both versions.
 func TestFalseAlarmRate(t *testing.T) {
 	const runs, seconds = 2000, 40
 	alarms := 0
 	for seed := range uint64(runs) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		model := &trafficModel{rng: rng, baselineUnits: 20, noise: 0.3}
+		model := &trafficModel{rng: rng, baselineUnits: 20, failureRateNoise: 0.3}
 		model.canaryUnits = 1 + rng.IntN(4)
 		model.rate = 10 + 30*rng.Float64()
-		model.fault = ordinaryFault(rng)
+		model.fault = randomFault(rng)
 		if verdict, second, _ := model.run(seconds, false); verdict.Outcome == Regression {
 			alarms++
 			t.Logf("seed %d, %d s: %s", seed, second, verdict.Reason)
@@ -45,7 +45,7 @@
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		model := &trafficModel{rng: rng, canaryUnits: 2, baselineUnits: 20, rate: 25, staleBaseline: true}
-		model.fault = ordinaryFault(rng)
+		model.fault = randomFault(rng)
 		if verdict, _, _ := model.run(40, false); verdict.Outcome == Regression {
 			alarms++
 		}
@@ -60,9 +60,9 @@
 	passed, requests, latest := 0, 0, 0
 	for seed := range uint64(runs) {
 		model := &trafficModel{rng: rand.New(rand.NewPCG(seed, 5)), canaryUnits: 4, baselineUnits: 20, rate: 25}
-		if verdict, second, met := model.run(seconds, true); verdict.Outcome == Pass {
+		if verdict, second, requestCount := model.run(seconds, true); verdict.Outcome == Pass {
 			passed++
-			requests += met
+			requests += requestCount
 			latest = max(latest, second)
 		}
 	}
@@ -77,20 +77,22 @@
 	const runs = 100
 	burst := func(second, _ int) effect {
 		if second%40 >= 25 {
-			return effect{load: 1.8, failures: 0.01, latency: 1.2}
+			return effect{loadFactor: 1.8, addedFailureRate: 0.01, latencyFactor: 1.2}
 		}
 		return noEffect
 	}
-	someFail := func(int, string, float64) effect { return effect{load: 1, failures: 0.05, latency: 1} }
+	someFail := func(int, string, float64) effect {
+		return effect{loadFactor: 1, addedFailureRate: 0.05, latencyFactor: 1}
+	}
 	oneClassFails := func(_ int, class string, _ float64) effect {
 		if class == "simulate" {
-			return effect{load: 1, failures: 0.1, latency: 1}
+			return effect{loadFactor: 1, addedFailureRate: 0.1, latencyFactor: 1}
 		}
 		return noEffect
 	}
 	slowUnderLoad := func(_ int, _ string, load float64) effect {
 		if load > 1 {
-			return effect{load: 1, failures: 0, latency: 1.3}
+			return effect{loadFactor: 1, addedFailureRate: 0, latencyFactor: 1.3}
 		}
 		return noEffect
 	}
@@ -106,24 +108,24 @@
 		{"restarts every 20 s", trafficModel{restartRate: 0.05}, 300},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			found, latest, requests := 0, 0, 0
+			detected, latest, requests := 0, 0, 0
 			for seed := range uint64(runs) {
 				model := c.model
 				model.rng = rand.New(rand.NewPCG(seed, 2))
 				model.canaryUnits = 2
 				model.baselineUnits = 20
 				model.rate = 25
-				model.noise = 0.3
-				if verdict, second, met := model.run(c.seconds, false); verdict.Outcome == Regression {
-					found++
+				model.failureRateNoise = 0.3
+				if verdict, second, requestCount := model.run(c.seconds, false); verdict.Outcome == Regression {
+					detected++
 					latest = max(latest, second)
-					requests += met
+					requests += requestCount
 				}
 			}
 			t.Logf("%d of %d detected within %d s, after a mean of %d requests to 4 canary units",
-				found, runs, latest, requests/max(found, 1))
-			if found < runs*95/100 {
-				t.Errorf("%d of %d detected within %d s", found, runs, c.seconds)
+				detected, runs, latest, requests/max(detected, 1))
+			if detected < runs*95/100 {
+				t.Errorf("%d of %d detected within %d s", detected, runs, c.seconds)
 			}
 		})
 	}
@@ -133,7 +135,9 @@
 	passed := 0
 	for seed := range uint64(200) {
 		model := &trafficModel{rng: rand.New(rand.NewPCG(seed, 3)), canaryUnits: 2, baselineUnits: 20, rate: 25}
-		model.regression = func(int, string, float64) effect { return effect{load: 1, failures: 0.02, latency: 1} }
+		model.regression = func(int, string, float64) effect {
+			return effect{loadFactor: 1, addedFailureRate: 0.02, latencyFactor: 1}
+		}
 		if verdict, _, _ := model.run(200, true); verdict.Outcome == Pass {
 			passed++
 		}
@@ -149,18 +153,18 @@
 	if verdict.Outcome != Inconclusive || !strings.Contains(verdict.Reason, "too little traffic") {
 		t.Errorf("sparse traffic: %+v, want inconclusive", verdict)
 	}
-	watched := New(testSettings)
+	judge := New(testSettings)
 	model = &trafficModel{rng: rand.New(rand.NewPCG(1, 4)), canaryUnits: 2, baselineUnits: 20, rate: 50}
 	for second := range 100 {
-		verdict = watched.Add(model.interval(second))
+		verdict = judge.Add(model.drawInterval(second))
 	}
 	if verdict.Outcome != Pass {
 		t.Fatalf("100 s of a healthy version: %+v, want pass", verdict)
 	}
 	for i := range noDataIntervals {
-		interval := model.interval(101 + i)
+		interval := model.drawInterval(101 + i)
 		interval.ReceivedReports = 4
-		verdict = watched.Add(interval)
+		verdict = judge.Add(interval)
 		if verdict.Outcome == Pass {
 			t.Errorf("pass with %d of 10 reports", interval.ReceivedReports)
 		}
@@ -175,14 +179,14 @@
 
 // No single interval shows a regression, however bad its counts: chance may decide which servers its requests reach.
 func TestOneIntervalIsNoRegression(t *testing.T) {
-	watched := New(testSettings)
+	judge := New(testSettings)
 	bad := ClassSample{
 		Class: "lookup", Zone: "a",
 		Canary:   Counts{Failed: 10000},
 		Baseline: Counts{Served: 100000, LatencyHistogram: []uint32{100000}},
 	}
 	for i := range 4 {
-		verdict := watched.Add(Interval{ExpectedReports: 1, ReceivedReports: 1, Classes: []ClassSample{bad}})
+		verdict := judge.Add(Interval{ExpectedReports: 1, ReceivedReports: 1, Classes: []ClassSample{bad}})
 		if verdict.Outcome == Regression {
 			t.Errorf("regression reported after %d intervals", i+1)
 		}
--- a/internal/release/judge/pass.go
+++ b/internal/release/judge/pass.go
@@ -23,42 +23,43 @@
 	return -math.Log(alpha)
 }
 
-// missingEvidence returns why a pass is withheld, or "" if nothing withholds it. It does not depend on the order of samples.
-func (j *Judge) missingEvidence() string {
+// withheldPassReason returns why a pass is withheld, or "" if nothing withholds it. It does not depend on the order of
+// samples.
+func (j *Judge) withheldPassReason() string {
 	if j.intervalsWithoutData > 0 {
 		return "the last reports are missing"
 	}
 	if j.strataLimitReached {
 		return fmt.Sprintf("more than %d classes × zones", maxStrata)
 	}
-	if reason := j.missingInStrata(); reason != "" {
+	if reason := j.missingStratumTraffic(); reason != "" {
 		return reason
 	}
-	return j.suspectZone()
+	return j.withheldPassReasonOfZones()
 }
 
-// missingInStrata names the first comparison of a stratum that lacks traffic, or returns "". Every stratum that both versions
-// serve has to pass, except classes that are rare in their zone.
-func (j *Judge) missingInStrata() string {
+// missingStratumTraffic names the first comparison of a stratum that lacks traffic, or returns "" if there is none. Every
+// stratum that both versions serve has to pass, except classes that are rare in their zone.
+func (j *Judge) missingStratumTraffic() string {
 	baselineByZone := map[string]int{}
 	for key, evidence := range j.strata {
 		baselineByZone[key.zone] += evidence.baselineRequests
 	}
-	counted := 0
+	requiredStrata := 0
 	for _, key := range j.sortedStrata() {
 		evidence := j.strata[key]
-		if !j.hasCanaries(key.zone) || evidence.baselineRequests == 0 {
+		if !j.hasCanaryUnits(key.zone) || evidence.baselineRequests == 0 {
 			continue
 		}
 		if float64(evidence.baselineRequests) < minClassShare*float64(baselineByZone[key.zone]) {
 			continue
 		}
-		counted++
+		requiredStrata++
 		if reason := evidence.missingTraffic(key); reason != "" {
 			return reason
 		}
 	}
-	if counted == 0 {
+	if requiredStrata == 0 {
 		return "no class has met both versions in a zone"
 	}
 	return ""
@@ -70,15 +71,15 @@
 	})
 }
 
-func (j *Judge) hasCanaries(zoneName string) bool {
+func (j *Judge) hasCanaryUnits(zoneName string) bool {
 	evidence := j.zones[zoneName]
 	return evidence != nil && evidence.canaryUnits > 0
 }
 
-// suspectZone returns why the restarts or the memory of a zone withhold a pass, or "" if they do not.
-func (j *Judge) suspectZone() string {
+// withheldPassReasonOfZones returns why the restarts or the memory of a zone withhold a pass, or "" if they do not.
+func (j *Judge) withheldPassReasonOfZones() string {
 	for _, zoneName := range slices.Sorted(maps.Keys(j.zones)) {
-		if reason := j.zones[zoneName].suspicion(zoneName); reason != "" {
+		if reason := j.zones[zoneName].withheldPassReason(zoneName); reason != "" {
 			return reason
 		}
 	}
--- a/internal/release/judge/stratum.go
+++ b/internal/release/judge/stratum.go
@@ -9,12 +9,12 @@
 // those of high load.
 type stratum struct {
 	threshold        float64 // logarithm of the evidence that shows a regression
-	notInTime        [intervalSets]comparison
-	late             [intervalSets]comparison
-	failed           [intervalSets]comparison
-	slow             [intervalSets]comparison
-	meanRequests     float64                 // decaying mean per interval, of both versions
-	baselineLatency  [intervalSets][]float64 // decaying histograms
+	notInTime        [intervalSetCount]comparison
+	late             [intervalSetCount]comparison
+	failed           [intervalSetCount]comparison
+	slow             [intervalSetCount]comparison
+	meanRequests     float64                     // decaying mean per interval, of both versions
+	baselineLatency  [intervalSetCount][]float64 // decaying histograms
 	baselineRequests int
 }
 
@@ -22,7 +22,7 @@
 const (
 	allIntervals = iota
 	highLoadIntervals
-	intervalSets
+	intervalSetCount
 )
 
 func newStratum(settings *Settings, threshold float64) *stratum {
@@ -74,7 +74,7 @@
 
 // regression describes the first regression with enough evidence, or returns "" if there is none.
 func (s *stratum) regression(key stratumKey) string {
-	for i, condition := range []string{allIntervals: "", highLoadIntervals: " under load"} {
+	for i, conditionSuffix := range []string{allIntervals: "", highLoadIntervals: " under load"} {
 		for _, candidate := range []struct {
 			name       string
 			comparison *comparison
@@ -87,7 +87,7 @@
 			compared := candidate.comparison
 			if compared.regression.logEvidence() >= s.threshold {
 				return fmt.Sprintf("%s%s, class %q in zone %q: %d of %d, more than the old and the tolerated %v",
-					candidate.name, condition, key.class, key.zone, compared.canaryHits, compared.canaryTrials, compared.tolerance)
+					candidate.name, conditionSuffix, key.class, key.zone, compared.canaryHits, compared.canaryTrials, compared.tolerance)
 			}
 		}
 	}
--- a/internal/release/judge/trafficmodel_test.go
+++ b/internal/release/judge/trafficmodel_test.go
@@ -19,21 +19,21 @@
 )
 
 // effect is how a fault or a regression changes requests: a load factor, an added failure rate and a latency factor.
-type effect struct{ load, failures, latency float64 }
+type effect struct{ loadFactor, addedFailureRate, latencyFactor float64 }
 
-var noEffect = effect{load: 1, failures: 0, latency: 1}
+var noEffect = effect{loadFactor: 1, addedFailureRate: 0, latencyFactor: 1}
 
 // trafficModel generates intervals of a second for zones a and b, with a common and a rarer class. Each unit gets rate
 // requests a second, with log-normal latencies.
 type trafficModel struct {
-	rng           *rand.Rand
-	canaryUnits   int // per zone
-	baselineUnits int
-	rate          float64
-	memoryGrowth  float64 // of the canary, per second
-	restartRate   float64 // additional share of the canary's units that restart per second
-	noise         float64 // relative spread of each version's failure rate from second to second
-	staleBaseline bool    // planted bug: the fault does not affect the baseline
+	rng              *rand.Rand
+	canaryUnits      int // per zone
+	baselineUnits    int
+	rate             float64
+	memoryGrowth     float64 // of the canary, per second
+	restartRate      float64 // additional share of the canary's units that restart per second
+	failureRateNoise float64 // relative spread of each version's failure rate from second to second
+	staleBaseline    bool    // planted bug: the fault does not affect the baseline
 
 	// fault, if set, affects both versions.
 	fault func(second, zoneIndex int) effect
@@ -57,8 +57,8 @@
 		}
 		return hits
 	case mean < 15: // Poisson, by products of uniform numbers
-		hits, product, end := 0, 1.0, math.Exp(-mean)
-		for product *= m.rng.Float64(); product > end; product *= m.rng.Float64() {
+		hits, product, limit := 0, 1.0, math.Exp(-mean)
+		for product *= m.rng.Float64(); product > limit; product *= m.rng.Float64() {
 			hits++
 		}
 		return min(hits, trials)
@@ -74,14 +74,14 @@
 }
 
 // counts draws the outcomes of an interval's requests to a number of units, for a class with the given share of the traffic.
-func (m *trafficModel) counts(units int, share, load, failures, slowdown float64) Counts {
-	requests := m.binomial(int(2*float64(units)*m.rate*share*load)+2, 0.5)
-	failureRate := failures * max(0, 1+m.noise*m.rng.NormFloat64())
+func (m *trafficModel) drawCounts(units int, classShare, loadFactor, meanFailureRate, latencyFactor float64) Counts {
+	requests := m.binomial(int(2*float64(units)*m.rate*classShare*loadFactor)+2, 0.5)
+	failureRate := meanFailureRate * max(0, 1+m.failureRateNoise*m.rng.NormFloat64())
 	counts := Counts{Failed: m.binomial(requests, failureRate), LatencyHistogram: make([]uint32, latencyBuckets)}
 	counts.Served = requests - counts.Failed
 	remaining, shareSoFar := counts.Served, 0.0
 	for i, boundMS := 0, firstBoundMS; i < latencyBuckets-1 && remaining > 0; i, boundMS = i+1, boundMS*math.Sqrt2 {
-		shareBelowBound := shareBelow(boundMS, medianLatencyMS*slowdown)
+		shareBelowBound := shareBelow(boundMS, medianLatencyMS*latencyFactor)
 		if probability := (shareBelowBound - shareSoFar) / (1 - shareSoFar); probability > 1e-6 {
 			bucket := m.binomial(remaining, probability)
 			counts.LatencyHistogram[i] = uint32(bucket)
@@ -97,7 +97,7 @@
 	return counts
 }
 
-func (m *trafficModel) interval(second int) Interval {
+func (m *trafficModel) drawInterval(second int) Interval {
 	interval := Interval{ExpectedReports: 10, ReceivedReports: 10}
 	for zoneIndex, zone := range []string{"a", "b"} {
 		fault := noEffect
@@ -108,29 +108,29 @@
 			name  string
 			share float64
 		}{{"lookup", 0.8}, {"simulate", 0.2}} {
-			interval.Classes = append(interval.Classes, m.classSample(second, zone, class.name, class.share, fault))
+			interval.Classes = append(interval.Classes, m.drawClassSample(second, zone, class.name, class.share, fault))
 		}
-		interval.Zones = append(interval.Zones, m.zoneSample(second, zone))
+		interval.Zones = append(interval.Zones, m.drawZoneSample(second, zone))
 	}
 	return interval
 }
 
-func (m *trafficModel) classSample(second int, zone, class string, share float64, fault effect) ClassSample {
+func (m *trafficModel) drawClassSample(second int, zone, class string, share float64, fault effect) ClassSample {
 	regression := noEffect
 	if m.regression != nil {
-		regression = m.regression(second, class, fault.load)
+		regression = m.regression(second, class, fault.loadFactor)
 	}
 	sample := ClassSample{Class: class, Zone: zone}
-	sample.Canary = m.counts(m.canaryUnits, share, fault.load,
-		baseFailureRate+fault.failures+regression.failures, fault.latency*regression.latency)
+	sample.Canary = m.drawCounts(m.canaryUnits, share, fault.loadFactor,
+		baseFailureRate+fault.addedFailureRate+regression.addedFailureRate, fault.latencyFactor*regression.latencyFactor)
 	if m.staleBaseline {
 		fault = noEffect
 	}
-	sample.Baseline = m.counts(m.baselineUnits, share, fault.load, baseFailureRate+fault.failures, fault.latency)
+	sample.Baseline = m.drawCounts(m.baselineUnits, share, fault.loadFactor, baseFailureRate+fault.addedFailureRate, fault.latencyFactor)
 	return sample
 }
 
-func (m *trafficModel) zoneSample(second int, zone string) ZoneSample {
+func (m *trafficModel) drawZoneSample(second int, zone string) ZoneSample {
 	canaryMemory := baselineMeanBytes * (1 + memoryNoise*m.rng.NormFloat64())
 	canary := UnitStats{
 		Units:      m.canaryUnits,
@@ -147,13 +147,13 @@
 
 // run adds up to maxSeconds intervals to a Judge, until the first regression or, with stopAtPass, the first pass.
 func (m *trafficModel) run(maxSeconds int, stopAtPass bool) (verdict Verdict, seconds, requests int) {
-	watched := New(testSettings)
+	judge := New(testSettings)
 	for seconds = 1; seconds <= maxSeconds; seconds++ {
-		interval := m.interval(seconds)
+		interval := m.drawInterval(seconds)
 		for i := range interval.Classes {
 			requests += interval.Classes[i].Canary.total()
 		}
-		verdict = watched.Add(interval)
+		verdict = judge.Add(interval)
 		if verdict.Outcome == Regression || stopAtPass && verdict.Outcome == Pass {
 			return verdict, seconds, requests
 		}
@@ -161,9 +161,9 @@
 	return verdict, maxSeconds, requests
 }
 
-// ordinaryFault returns a fault of a random kind at a random time that affects both versions: servers of a zone are lost,
+// randomFault returns a fault of a random kind at a random time that affects both versions: servers of a zone are lost,
 // traffic bursts, servers are overloaded, or none.
-func ordinaryFault(rng *rand.Rand) func(second, zoneIndex int) effect {
+func randomFault(rng *rand.Rand) func(second, zoneIndex int) effect {
 	kind, from, zone, severity := rng.IntN(4), 5+rng.IntN(15), rng.IntN(2), 0.2+0.6*rng.Float64()
 	until := from + 5 + rng.IntN(20)
 	return func(second, zoneIndex int) effect {
@@ -172,13 +172,13 @@
 		}
 		switch {
 		case kind == 0 && zoneIndex == zone: // half of the zone's servers are lost, which is detected late
-			return effect{load: 0.6, failures: severity * 0.5, latency: 1.2}
+			return effect{loadFactor: 0.6, addedFailureRate: severity * 0.5, latencyFactor: 1.2}
 		case kind == 0: // the other zone takes over the load
-			return effect{load: 1.4, failures: 0.02, latency: 1.3}
+			return effect{loadFactor: 1.4, addedFailureRate: 0.02, latencyFactor: 1.3}
 		case kind == 1: // burst
-			return effect{load: 1 + 2*severity, failures: 0.1 * severity, latency: 1 + severity}
+			return effect{loadFactor: 1 + 2*severity, addedFailureRate: 0.1 * severity, latencyFactor: 1 + severity}
 		case kind == 2 && zoneIndex == zone: // overload
-			return effect{load: 1, failures: 0.3 * severity, latency: 1 + 3*severity}
+			return effect{loadFactor: 1, addedFailureRate: 0.3 * severity, latencyFactor: 1 + 3*severity}
 		}
 		return noEffect
 	}
