--- a/internal/release/controller/controller.go
+++ b/internal/release/controller/controller.go
@@ -23,7 +23,7 @@
 
 const (
 	reconcileInterval = 500 * time.Millisecond // between two steps if the first wrote no state
-	writtenStepDelay  = 50 * time.Millisecond  // after a step that wrote a state; the update of a unit takes about ten such steps
+	delayAfterWrite   = 50 * time.Millisecond  // after a step that wrote a state; the update of a unit takes about ten such steps
 	callTimeout       = 3 * time.Second        // of one observation or write; a registry election takes about two seconds
 	minBackoff        = 500 * time.Millisecond
 	maxBackoff        = 5 * time.Second
@@ -113,7 +113,7 @@
 	case backoff > 0:
 		return backoff/2 + rand.N(backoff/2)
 	case wrote:
-		return writtenStepDelay
+		return delayAfterWrite
 	}
 	return reconcileInterval
 }
--- a/internal/release/controller/controller_test.go
+++ b/internal/release/controller/controller_test.go
@@ -111,9 +111,9 @@
 			t.Errorf("%s runs version %s in %d processes, want one process of version %s", name, f.versions[name], processes, version)
 		}
 	}
-	for launch, count := range f.launches {
+	for serverAndVersion, count := range f.startCounts {
 		if count > 1 {
-			t.Errorf("%s was started %d times", launch, count)
+			t.Errorf("%s was started %d times", serverAndVersion, count)
 		}
 	}
 	if len(f.stoppedWhileReady) > 0 {
--- a/internal/release/controller/evidence.go
+++ b/internal/release/controller/evidence.go
@@ -21,14 +21,14 @@
 	revisions := sidecarRevisions(observed.sidecars, reports)
 	liveSidecars := slices.Sorted(maps.Keys(revisions))
 	t.drains.Update(nowMS, terminatingServers(&observed.list), observed.list.Revision, liveSidecars, revisions)
-	if time.Since(t.judgedAt) < judgeInterval {
+	if time.Since(t.previousIntervalAt) < judgeInterval {
 		return
 	}
-	t.judgedAt = time.Now()
+	t.previousIntervalAt = time.Now()
 	fresh := t.freshReports(reports)
-	t.analysis.Add(t.state, t.state.Interval(fresh, len(liveSidecars), t.previousList, observed.platform))
+	t.analysis.Add(t.state, t.state.Interval(fresh, len(liveSidecars), t.previousPlatformList, observed.platform))
 	if observed.platform != nil {
-		t.previousList = observed.platform
+		t.previousPlatformList = observed.platform
 	}
 }
 
@@ -84,7 +84,7 @@
 	for i := range t.state.Units {
 		unit := &t.state.Units[i]
 		ledgerUnit := units[unit.ID]
-		if unit.Stage == release.StageWarmingUp && warmsUp(&ledgerUnit) && t.readyForWarmUpTime(platform, unit.Name) {
+		if unit.Stage == release.StageWarmingUp && notYetWarm(&ledgerUnit) && t.readyForWarmUpTime(platform, unit.Name) {
 			warm = append(warm, disruption.Unit{
 				ID:                 unit.ID,
 				Condition:          disruption.ConditionUp,
@@ -101,8 +101,8 @@
 	}
 }
 
-// warmsUp reports whether a unit is a server that is not warm yet according to the ledger.
-func warmsUp(unit *disruption.Unit) bool {
+// notYetWarm reports whether a unit is a server that is not warm yet according to the ledger.
+func notYetWarm(unit *disruption.Unit) bool {
 	if unit.Kind != disruption.KindServer {
 		return false
 	}
--- a/internal/release/controller/execute.go
+++ b/internal/release/controller/execute.go
@@ -50,15 +50,15 @@
 // callPlatform sends requests to the platform in one call. It omits a request whose configuration cannot be read; the unit
 // stays in its stage until a later step.
 func (t *leaseTerm) callPlatform(ctx context.Context, requests []supervisor.Request) {
-	ready := t.withConfigText(requests)
-	if len(ready) == 0 {
+	sendable := t.withConfigText(requests)
+	if len(sendable) == 0 {
 		return
 	}
 	ctx, cancel := withCallTimeout(ctx)
 	defer cancel()
-	outcomes, err := t.Platform.Do(ctx, ready...)
+	outcomes, err := t.Platform.Do(ctx, sendable...)
 	if err != nil {
-		t.logger.Warn("platform request failed", "requests", len(ready), "error", err)
+		t.logger.Warn("platform request failed", "requests", len(sendable), "error", err)
 		return
 	}
 	for _, outcome := range outcomes {
@@ -68,7 +68,7 @@
 
 // withConfigText adds the configuration texts to requests, and returns at most as many requests as one call may have.
 func (t *leaseTerm) withConfigText(requests []supervisor.Request) []supervisor.Request {
-	var ready []supervisor.Request
+	var sendable []supervisor.Request
 	for _, request := range requests {
 		if request.ConfigName != "" && t.ConfigText != nil {
 			text, err := t.ConfigText(request.Unit, request.ConfigName)
@@ -78,12 +78,12 @@
 			}
 			request.ConfigText = text
 		}
-		ready = append(ready, request)
-		if len(ready) == supervisor.MaxRequests {
+		sendable = append(sendable, request)
+		if len(sendable) == supervisor.MaxRequests {
 			break
 		}
 	}
-	return ready
+	return sendable
 }
 
 // applyLedgerOp applies an operation to the ledger. It records the denial of a permit for the next step; the next step
--- a/internal/release/controller/fakecluster_test.go
+++ b/internal/release/controller/fakecluster_test.go
@@ -39,8 +39,8 @@
 	releases          *release.Table
 	platform          *fake.Platform
 	servers           map[string]*registry.Target
-	launches          map[string]int    // by server and version
-	boots             map[string]int64  // number of the latest start, by server
+	startCounts       map[string]int    // by server and version
+	bootNumbers       map[string]int64  // number of the latest start, by server
 	versions          map[string]string // by server
 	cohort            []string
 	newVersionFails   bool     // version 2 exits at its start
@@ -51,13 +51,13 @@
 
 func newFakeCluster() *fakeCluster {
 	cluster := &fakeCluster{
-		revision: 100,
-		ledger:   disruption.NewLedger(),
-		releases: release.NewTable(),
-		servers:  map[string]*registry.Target{},
-		launches: map[string]int{},
-		boots:    map[string]int64{},
-		versions: map[string]string{},
+		revision:    100,
+		ledger:      disruption.NewLedger(),
+		releases:    release.NewTable(),
+		servers:     map[string]*registry.Target{},
+		startCounts: map[string]int{},
+		bootNumbers: map[string]int64{},
+		versions:    map[string]string{},
 	}
 	versions := map[core.Version]fake.Version{}
 	for _, version := range []string{"1", "2"} {
@@ -101,8 +101,8 @@
 
 // startProcess is called by the platform for each unit that it starts, under the cluster's lock.
 func (f *fakeCluster) startProcess(unit supervisor.Unit) fake.Behavior {
-	f.launches[unit.Name+" "+unit.Version]++
-	f.boots[unit.Name] = int64(len(f.launches))
+	f.startCounts[unit.Name+" "+unit.Version]++
+	f.bootNumbers[unit.Name] = int64(len(f.startCounts))
 	f.versions[unit.Name] = unit.Version
 	if f.newVersionFails && unit.Version == "2" {
 		return fake.Behavior{ReadyAfterMS: -1, ExitAfterMS: 50, ExitText: "exit status 1"}
@@ -136,8 +136,8 @@
 		f.ledger.MarkLost(f.revision, id)
 		return
 	}
-	if boot := float64(f.boots[name]); target.BootMS != boot {
-		target.BootMS = boot
+	if bootNumber := float64(f.bootNumbers[name]); target.BootMS != bootNumber {
+		target.BootMS = bootNumber
 		target.State = registry.InstanceReady
 	}
 	unit := disruption.Unit{
@@ -203,8 +203,8 @@
 	return nil
 }
 
-func (f *fakeCluster) checkGuard(write registry.WriteOptions) error {
-	if write.Guard == nil || write.Guard.Token != f.token {
+func (f *fakeCluster) checkGuard(options registry.WriteOptions) error {
+	if options.Guard == nil || options.Guard.Token != f.token {
 		return &registry.StatusError{StatusCode: http.StatusConflict, Message: "the token is not valid"}
 	}
 	f.revision++
@@ -215,17 +215,17 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	state, commands := f.releases.Get(name)
-	own := *state
-	own.Units = slices.Clone(state.Units)
-	return registry.ReleaseView{State: &own, Commands: commands}, f.nextError()
+	stateCopy := *state
+	stateCopy.Units = slices.Clone(state.Units)
+	return registry.ReleaseView{State: &stateCopy, Commands: commands}, f.nextError()
 }
 
 func (f *fakeCluster) WriteRelease(
-	_ context.Context, write registry.WriteOptions, name string, op release.Operation,
+	_ context.Context, options registry.WriteOptions, name string, op release.Operation,
 ) (registry.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.checkGuard(write); err != nil {
+	if err := f.checkGuard(options); err != nil {
 		return registry.Result{}, err
 	}
 	op.Name = name
@@ -245,10 +245,10 @@
 	return list, nil
 }
 
-func (f *fakeCluster) SetState(_ context.Context, write registry.WriteOptions, uid, state string) (registry.Result, error) {
+func (f *fakeCluster) SetState(_ context.Context, options registry.WriteOptions, uid, state string) (registry.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.checkGuard(write); err != nil {
+	if err := f.checkGuard(options); err != nil {
 		return registry.Result{}, err
 	}
 	f.servers[uid].State = state
@@ -256,11 +256,11 @@
 }
 
 func (f *fakeCluster) SetPlacement(
-	_ context.Context, write registry.WriteOptions, _ int64, set []placement.Directive, _ ...string,
+	_ context.Context, options registry.WriteOptions, _ int64, set []placement.Directive, _ ...string,
 ) (registry.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.checkGuard(write); err != nil {
+	if err := f.checkGuard(options); err != nil {
 		return registry.Result{}, err
 	}
 	f.cohort = set[0].Servers
@@ -280,11 +280,11 @@
 }
 
 func (f *fakeCluster) ApplyLedgerOp(
-	_ context.Context, write registry.WriteOptions, op disruption.Op,
+	_ context.Context, options registry.WriteOptions, op disruption.Op,
 ) (registry.LedgerResult, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.checkGuard(write); err != nil {
+	if err := f.checkGuard(options); err != nil {
 		return registry.LedgerResult{}, err
 	}
 	if result := f.ledger.Apply(f.revision, &op); result.Outcome != disruption.OutcomeApplied {
--- a/internal/release/controller/site_test.go
+++ b/internal/release/controller/fleet_test.go
@@ -17,11 +17,11 @@
 	"milldeck/internal/supervisor"
 )
 
-// siteServers names the fleet's servers. The first letter is the zone.
-var siteServers = []string{"a1", "a2", "b1", "b2"}
+// fleetServers names the fleet's servers. The first letter is the zone.
+var fleetServers = []string{"a1", "a2", "b1", "b2"}
 
-// testSite is a fleet of processes: registry replicas, the stand-in for the platform, and the servers that it starts.
-type testSite struct {
+// testFleet is a fleet of processes: registry replicas, the stand-in for the platform, and the servers that it starts.
+type testFleet struct {
 	t               *testing.T
 	ctx             context.Context
 	block           *proc.Block
@@ -41,52 +41,52 @@
 	commandAddresses = 20
 )
 
-func newSite(t *testing.T) *testSite {
+func newTestFleet(t *testing.T) *testFleet {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Second)
 	t.Cleanup(cancel)
-	site := &testSite{t: t, ctx: ctx, program: proctest.Program(t, "milldeck"), dir: t.TempDir()}
+	fleet := &testFleet{t: t, ctx: ctx, program: proctest.Program(t, "milldeck"), dir: t.TempDir()}
 	var err error
-	site.block, err = proc.ReserveBlock()
-	site.must(err)
-	t.Cleanup(site.block.Release)
-	site.startCluster()
-	site.startPlatform()
-	site.startServers()
-	go site.renewSidecars()
-	site.waitUntil("all servers are up", site.serversUp)
-	return site
+	fleet.block, err = proc.ReserveBlock()
+	fleet.must(err)
+	t.Cleanup(fleet.block.Release)
+	fleet.startCluster()
+	fleet.startPlatform()
+	fleet.startServers()
+	go fleet.renewSidecars()
+	fleet.waitUntil("all servers are up", fleet.serversUp)
+	return fleet
 }
 
-func (s *testSite) must(err error) {
-	s.t.Helper()
+func (f *testFleet) must(err error) {
+	f.t.Helper()
 	if err != nil {
-		s.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 }
 
-func (s *testSite) startCluster() {
-	s.t.Helper()
+func (f *testFleet) startCluster() {
+	f.t.Helper()
 	var err error
-	options := cluster.Options{Program: s.program, DataDir: s.dir, Addresses: s.block}
-	s.cluster, err = cluster.Start(s.ctx, 3, options)
-	s.t.Cleanup(func() {
-		if s.t.Failed() {
-			s.t.Log(s.cluster.Logs())
+	options := cluster.Options{Program: f.program, DataDir: f.dir, Addresses: f.block}
+	f.cluster, err = cluster.Start(f.ctx, 3, options)
+	f.t.Cleanup(func() {
+		if f.t.Failed() {
+			f.t.Log(f.cluster.Logs())
 		}
-		if err := s.cluster.Close(); err != nil {
-			s.t.Logf("close of the replicas: %v", err) // expected: the test itself kills a replica
+		if err := f.cluster.Close(); err != nil {
+			f.t.Logf("close of the replicas: %v", err) // expected: the test itself kills a replica
 		}
 	})
-	s.must(err)
-	s.client, err = s.cluster.Client()
-	s.must(err)
-	s.t.Cleanup(s.client.Close)
+	f.must(err)
+	f.client, err = f.cluster.Client()
+	f.must(err)
+	f.t.Cleanup(f.client.Close)
 }
 
 // startPlatform starts the stand-in for the platform. Both of its versions run this test binary as a server.
-func (s *testSite) startPlatform() {
-	s.t.Helper()
+func (f *testFleet) startPlatform() {
+	f.t.Helper()
 	text := ""
 	for _, version := range []string{"1", "2"} {
 		text += fmt.Sprintf(`[[version]]
@@ -95,31 +95,31 @@
 argv = [%q, "{name}", "{listen}", "{zone}", "{version}"]
 ready = "/health/ready"
 env = { %s = %q }
-`, version, os.Args[0], serverEnvironment, strings.Join(s.cluster.HTTPAddrs(), ","))
+`, version, os.Args[0], serverReplicasEnv, strings.Join(f.cluster.HTTPAddrs(), ","))
 	}
-	versions := filepath.Join(s.dir, "versions.toml")
-	s.must(os.WriteFile(versions, []byte(text), 0o600))
+	versions := filepath.Join(f.dir, "versions.toml")
+	f.must(os.WriteFile(versions, []byte(text), 0o600))
 	var err error
-	s.standIn, err = proc.Start(proc.Spec{
-		Name: "stand-in", Path: s.program, Log: s.standInLog(),
-		Args: []string{"supervisor", "stand-in", "--versions", versions, "--dir", filepath.Join(s.dir, "units")},
+	f.standIn, err = proc.Start(proc.Spec{
+		Name: "stand-in", Path: f.program, Log: f.standInLog(),
+		Args: []string{"supervisor", "stand-in", "--versions", versions, "--dir", filepath.Join(f.dir, "units")},
 	})
-	s.must(err)
-	s.t.Cleanup(s.standIn.Kill)
-	line, err := s.standIn.WaitLog(s.ctx, "msg=serves")
-	s.must(err)
+	f.must(err)
+	f.t.Cleanup(f.standIn.Kill)
+	line, err := f.standIn.WaitLog(f.ctx, "msg=serves")
+	f.must(err)
 	_, after, _ := strings.Cut(line, "listen=")
-	s.platformAddress, _, _ = strings.Cut(after, " ")
-	s.platform, err = supervisor.NewClient(s.platformAddress)
-	s.must(err)
-	s.t.Cleanup(s.platform.Close)
+	f.platformAddress, _, _ = strings.Cut(after, " ")
+	f.platform, err = supervisor.NewClient(f.platformAddress)
+	f.must(err)
+	f.t.Cleanup(f.platform.Close)
 }
 
-func (s *testSite) standInLog() string { return filepath.Join(s.dir, "standin-log") }
+func (f *testFleet) standInLog() string { return filepath.Join(f.dir, "standin-log") }
 
 // startServers starts all servers with version 1, under a budget that allows one unavailable server.
-func (s *testSite) startServers() {
-	s.t.Helper()
+func (f *testFleet) startServers() {
+	f.t.Helper()
 	one := 1
 	budget := &disruption.Budget{
 		Name:           "all",
@@ -127,28 +127,28 @@
 		MaxUnavailable: disruption.Limit{Count: &one},
 	}
 	op := disruption.Op{Kind: disruption.OpSetBudget, Owner: "operator/ci", Budget: budget}
-	_, err := s.client.ApplyLedgerOp(s.ctx, registry.WriteOptions{}, op)
-	s.must(err)
-	list, err := s.platform.List(s.ctx)
-	s.must(err)
-	for i, name := range siteServers {
-		_, err = s.platform.Do(s.ctx, supervisor.Request{
+	_, err := f.client.ApplyLedgerOp(f.ctx, registry.WriteOptions{}, op)
+	f.must(err)
+	list, err := f.platform.List(f.ctx)
+	f.must(err)
+	for i, name := range fleetServers {
+		_, err = f.platform.Do(f.ctx, supervisor.Request{
 			ID: "first-" + name, Op: supervisor.Start, Epoch: list.Epoch, Unit: name, Kind: supervisor.Server,
-			Version: "1", Listen: s.block.Addr(serverAddresses, i+1, 9000), Zone: name[:1],
+			Version: "1", Listen: f.block.Addr(serverAddresses, i+1, 9000), Zone: name[:1],
 		})
-		s.must(err)
+		f.must(err)
 	}
 }
 
 // renewSidecars registers two sidecars again and again until the test ends. They always have the newest endpoint list.
-func (s *testSite) renewSidecars() {
-	for s.ctx.Err() == nil {
-		if list, err := s.client.List(s.ctx, false); err == nil {
+func (f *testFleet) renewSidecars() {
+	for f.ctx.Err() == nil {
+		if list, err := f.client.List(f.ctx, false); err == nil {
 			request := registry.SidecarRequest{TTLMS: 5000, Sidecars: []registry.Sidecar{
 				{Name: "s1", Zone: "a", Ready: true, ListRevision: list.Revision},
 				{Name: "s2", Zone: "b", Ready: true, ListRevision: list.Revision},
 			}}
-			_, _ = s.client.RegisterSidecars(s.ctx, request) // repeated until it succeeds
+			_, _ = f.client.RegisterSidecars(f.ctx, request) // repeated until it succeeds
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -156,11 +156,11 @@
 
 // serversUp reports whether all servers and sidecars are up. Once all are registered, it reports the servers to the ledger as
 // warm.
-func (s *testSite) serversUp() bool {
+func (f *testFleet) serversUp() bool {
 	const sidecars = 2
-	view, err := s.client.LedgerView(s.ctx, true, true)
+	view, err := f.client.LedgerView(f.ctx, true, true)
 	registered := view.Counts[disruption.ConditionUp] + view.Counts[disruption.ConditionWarmingUp]
-	if err != nil || registered < len(siteServers)+sidecars {
+	if err != nil || registered < len(fleetServers)+sidecars {
 		return false
 	}
 	var warm []disruption.Unit
@@ -173,70 +173,70 @@
 	}
 	if len(warm) > 0 {
 		op := disruption.Op{Kind: disruption.OpObserve, Owner: "operator/ci", Observed: warm}
-		_, _ = s.client.ApplyLedgerOp(s.ctx, registry.WriteOptions{}, op) // repeated until it succeeds
+		_, _ = f.client.ApplyLedgerOp(f.ctx, registry.WriteOptions{}, op) // repeated until it succeeds
 	}
-	return view.Counts[disruption.ConditionUp] == len(siteServers)+sidecars
+	return view.Counts[disruption.ConditionUp] == len(fleetServers)+sidecars
 }
 
 // waitUntil waits until a condition holds. Only a bug makes it reach the time limit.
-func (s *testSite) waitUntil(awaited string, condition func() bool) {
-	s.t.Helper()
+func (f *testFleet) waitUntil(awaited string, condition func() bool) {
+	f.t.Helper()
 	for !condition() {
 		select {
-		case <-s.ctx.Done():
-			s.t.Fatalf("timed out before: %s\n%s", awaited, s.standIn.Log())
+		case <-f.ctx.Done():
+			f.t.Fatalf("timed out before: %s\n%s", awaited, f.standIn.Log())
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 }
 
 // startCommand starts a milldeck process.
-func (s *testSite) startCommand(args ...string) *proc.Process {
-	s.t.Helper()
-	s.commandsStarted++
-	number := s.commandsStarted
+func (f *testFleet) startCommand(args ...string) *proc.Process {
+	f.t.Helper()
+	f.commandsStarted++
+	number := f.commandsStarted
 	if args[0] != "release" || args[1] == "start" {
-		args = append(args, "--platform", s.platformAddress, "--listen", s.block.Addr(commandAddresses, number, 8530),
+		args = append(args, "--platform", f.platformAddress, "--listen", f.block.Addr(commandAddresses, number, 8530),
 			"--longest", "300ms", "--warm-after", "200ms")
 	}
-	args = append(args, "--replicas", strings.Join(s.cluster.HTTPAddrs(), ","))
-	log := filepath.Join(s.dir, fmt.Sprintf("controller-%d", number))
-	process, err := proc.Start(proc.Spec{Name: "milldeck", Path: s.program, Log: log, Args: args})
-	s.must(err)
-	s.t.Cleanup(process.Kill)
+	args = append(args, "--replicas", strings.Join(f.cluster.HTTPAddrs(), ","))
+	log := filepath.Join(f.dir, fmt.Sprintf("controller-%d", number))
+	process, err := proc.Start(proc.Spec{Name: "milldeck", Path: f.program, Log: log, Args: args})
+	f.must(err)
+	f.t.Cleanup(process.Kill)
 	return process
 }
 
 // describe returns the state of the releases and of the ledger.
-func (s *testSite) describe() string {
+func (f *testFleet) describe() string {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	text := ""
 	for _, name := range []string{"r", "d"} {
-		if stored, err := s.client.Release(ctx, name, false, true); err == nil {
+		if stored, err := f.client.Release(ctx, name, false, true); err == nil {
 			text += fmt.Sprintf("%s: %+v\n%+v\n", name, stored.Status, stored.Units)
 		}
 	}
-	view, err := s.client.LedgerView(ctx, true, false)
+	view, err := f.client.LedgerView(ctx, true, false)
 	return text + fmt.Sprintf("%+v, %v", view, err)
 }
 
 // waitForSuccess waits until a command has exited, and fails the test if it exited with an error.
-func (s *testSite) waitForSuccess(process *proc.Process) {
-	s.t.Helper()
+func (f *testFleet) waitForSuccess(process *proc.Process) {
+	f.t.Helper()
 	select {
 	case <-process.Done():
-	case <-s.ctx.Done():
-		s.t.Fatalf("the command does not end\n%s\n%s", process.Log(), s.describe())
+	case <-f.ctx.Done():
+		f.t.Fatalf("the command does not end\n%s\n%s", process.Log(), f.describe())
 	}
 	if err := process.Wait(); err != nil {
-		s.t.Fatalf("%v\n%s", err, process.Log())
+		f.t.Fatalf("%v\n%s", err, process.Log())
 	}
 }
 
 // sequence returns how many changes of a release were written, or 0 if the release cannot be read.
-func (s *testSite) sequence(name string) uint64 {
-	stored, err := s.client.Release(s.ctx, name, true, true)
+func (f *testFleet) sequence(name string) uint64 {
+	stored, err := f.client.Release(f.ctx, name, true, true)
 	if err != nil {
 		return 0
 	}
@@ -244,10 +244,10 @@
 }
 
 // startCount returns how often the stand-in has started a version of a unit, according to the stand-in's log.
-func (s *testSite) startCount(unit, version string) int {
-	s.t.Helper()
-	data, err := os.ReadFile(s.standInLog())
-	s.must(err)
+func (f *testFleet) startCount(unit, version string) int {
+	f.t.Helper()
+	data, err := os.ReadFile(f.standInLog())
+	f.must(err)
 	count := 0
 	for line := range strings.Lines(string(data)) {
 		if strings.Contains(line, "msg=started unit="+unit+" ") && strings.Contains(line, "version="+version+" ") {
--- a/internal/release/controller/process_test.go
+++ b/internal/release/controller/process_test.go
@@ -20,12 +20,12 @@
 	"milldeck/internal/supervisor"
 )
 
-// serverEnvironment names the environment variable that makes the test binary run as a server of the fleet. Its value lists
+// serverReplicasEnv names the environment variable that makes the test binary run as a server of the fleet. Its value lists
 // the replicas' addresses.
-const serverEnvironment = "RELEASE_TEST_AS_SERVER"
+const serverReplicasEnv = "RELEASE_TEST_AS_SERVER"
 
 func TestMain(m *testing.M) {
-	if replicas, ok := os.LookupEnv(serverEnvironment); ok {
+	if replicas, ok := os.LookupEnv(serverReplicasEnv); ok {
 		if err := runServer(strings.Split(replicas, ","), os.Args[1], os.Args[2], os.Args[3], os.Args[4]); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -92,42 +92,42 @@
 // Two controller processes in turn are killed while they hold the lease, and the next one has to continue the release. Then
 // the registry's leader is killed during a drain, which has to complete.
 func TestControllersKilledInTurn(t *testing.T) {
-	site := newSite(t)
-	plan := filepath.Join(site.dir, "plan.toml")
+	fleet := newTestFleet(t)
+	plan := filepath.Join(fleet.dir, "plan.toml")
 	text := "name = \"r\"\non_halt = \"back\"\ndeadline_s = 3600\n[what]\nserver = \"2\"\n[[wave]]\n"
-	site.must(os.WriteFile(plan, []byte(text), 0o600))
-	site.waitForSuccess(site.startCommand("release", "check", plan, "--dry-run"))
-	process := site.startCommand("release", "start", plan)
-	site.waitUntil("the release has begun", func() bool { return site.sequence("r") > 3 })
+	fleet.must(os.WriteFile(plan, []byte(text), 0o600))
+	fleet.waitForSuccess(fleet.startCommand("release", "check", plan, "--dry-run"))
+	process := fleet.startCommand("release", "start", plan)
+	fleet.waitUntil("the release has begun", func() bool { return fleet.sequence("r") > 3 })
 	for range 2 {
-		before := site.sequence("r")
-		site.waitUntil("three more changes are written", func() bool { return site.sequence("r") > before+3 })
+		before := fleet.sequence("r")
+		fleet.waitUntil("three more changes are written", func() bool { return fleet.sequence("r") > before+3 })
 		process.Kill()
-		process = site.startCommand("release", "start", plan)
+		process = fleet.startCommand("release", "start", plan)
 	}
-	site.waitForSuccess(process)
-	stored, err := site.client.Release(site.ctx, "r", false, true)
+	fleet.waitForSuccess(process)
+	stored, err := fleet.client.Release(fleet.ctx, "r", false, true)
 	if err != nil || stored.Status.Phase != release.PhaseCompleted {
 		t.Fatalf("%+v, %v", stored.Status, err)
 	}
-	for _, name := range siteServers {
-		if one, two := site.startCount(name, "1"), site.startCount(name, "2"); one != 1 || two != 1 {
-			t.Errorf("%s was started %d times with version 1 and %d times with version 2, want once each", name, one, two)
+	for _, name := range fleetServers {
+		if oldStarts, newStarts := fleet.startCount(name, "1"), fleet.startCount(name, "2"); oldStarts != 1 || newStarts != 1 {
+			t.Errorf("%s was started %d times with version 1 and %d times with version 2, want once each", name, oldStarts, newStarts)
 		}
 	}
-	list, err := site.client.List(site.ctx, true)
-	if err != nil || len(list.Targets) != len(siteServers) {
+	list, err := fleet.client.List(fleet.ctx, true)
+	if err != nil || len(list.Targets) != len(fleetServers) {
 		t.Errorf("%d servers in the endpoint list, error %v", len(list.Targets), err)
 	}
-	site.waitForSuccess(site.startCommand("release", "finalize", "r"))
-	drain := site.startCommand("fleet", "drain", "d", "--ids", "server/a2")
-	site.waitUntil("the drain has begun", func() bool { return site.sequence("d") > 2 })
-	if leader, err := site.cluster.AwaitLeader(site.ctx); err == nil {
+	fleet.waitForSuccess(fleet.startCommand("release", "finalize", "r"))
+	drain := fleet.startCommand("fleet", "drain", "d", "--ids", "server/a2")
+	fleet.waitUntil("the drain has begun", func() bool { return fleet.sequence("d") > 2 })
+	if leader, err := fleet.cluster.AwaitLeader(fleet.ctx); err == nil {
 		leader.Process.Kill()
 	}
-	site.waitForSuccess(drain)
-	listed, err := site.platform.List(site.ctx)
-	site.must(err)
+	fleet.waitForSuccess(drain)
+	listed, err := fleet.platform.List(fleet.ctx)
+	fleet.must(err)
 	if drained := listed.Find("a2"); drained == nil || drained.State != supervisor.Exited {
 		t.Errorf("the drained server is %+v, want it exited", drained)
 	}
--- a/internal/release/controller/term.go
+++ b/internal/release/controller/term.go
@@ -37,11 +37,11 @@
 	deniedPermits map[string]string             // reasons of the ledger, by permit ID
 	prepared      map[string]bool               // by unit ID
 
-	drains       *release.DrainTracker
-	analysis     *release.WaveAnalysis
-	judgedAt     time.Time
-	previousList *supervisor.List         // platform list at the previous interval of the judge
-	reportTimes  map[string]time.Duration // when the reports of the previous interval were received, by sidecar
+	drains               *release.DrainTracker
+	analysis             *release.WaveAnalysis
+	previousIntervalAt   time.Time                // of the judge
+	previousPlatformList *supervisor.List         // at previousIntervalAt
+	reportTimes          map[string]time.Duration // when the reports of the previous interval were received, by sidecar
 
 	cohortServers  []string
 	cohortPlacedAt time.Time
@@ -88,8 +88,8 @@
 func (t *leaseTerm) loadRelease(ctx context.Context) error {
 	ctx, cancel := withCallTimeout(ctx)
 	defer cancel()
-	known := t.state
-	stored, err := t.Store.Release(ctx, t.Name, known != nil, true)
+	knownState := t.state
+	stored, err := t.Store.Release(ctx, t.Name, knownState != nil, true)
 	if err != nil {
 		return fmt.Errorf("read release: %w", err)
 	}
@@ -98,11 +98,11 @@
 	}
 	t.commands = stored.Commands
 	switch {
-	case known == nil:
+	case knownState == nil:
 		t.state = stored.State
-	case stored.StartRevision == known.StartRevision && stored.Sequence < known.Sequence:
-		return fmt.Errorf("%w: its sequence is %d, the known one is %d", errReplicaBehind, stored.Sequence, known.Sequence)
-	case stored.StartRevision != known.StartRevision || stored.Sequence != known.Sequence:
+	case stored.StartRevision == knownState.StartRevision && stored.Sequence < knownState.Sequence:
+		return fmt.Errorf("%w: its sequence is %d, the known one is %d", errReplicaBehind, stored.Sequence, knownState.Sequence)
+	case stored.StartRevision != knownState.StartRevision || stored.Sequence != knownState.Sequence:
 		t.state = nil // a controller with another token has written, or the log was restored
 		return errOtherWriter
 	}
