--- a/internal/release/controller/execute.go
+++ b/internal/release/controller/execute.go
@@ -86,8 +86,8 @@
 	return sendable
 }
 
-// applyLedgerOp applies an operation to the ledger. It records the denial of a permit for the next step; the next step
-// detects other failures by itself.
+// applyLedgerOp applies an operation to the ledger. It records the denial of a permit for the next step, which detects other
+// failures itself.
 func (t *leaseTerm) applyLedgerOp(ctx context.Context, op disruption.Op) {
 	ctx, cancel := withCallTimeout(ctx)
 	defer cancel()
--- a/internal/release/controller/fakecluster_test.go
+++ b/internal/release/controller/fakecluster_test.go
@@ -43,7 +43,7 @@
 	bootNumbers       map[string]int64  // number of the latest start, by server
 	versions          map[string]string // by server
 	cohort            []string
-	newVersionFails   bool     // version 2 exits at its start
+	newVersionFails   bool     // version 2 exits before it is ready
 	stoppedWhileReady []string // servers that were stopped while they were Ready in the endpoint list
 	failEveryNth      int      // of the calls to the store and the platform; 0: none
 	calls             int
@@ -194,7 +194,7 @@
 	return received, 0
 }
 
-// nextError returns an error for every nth call, after the call has taken effect.
+// nextError returns errNoAnswer for every nth call, after the call has taken effect.
 func (f *fakeCluster) nextError() error {
 	f.calls++
 	if f.failEveryNth > 0 && f.calls%f.failEveryNth == 0 {
@@ -203,7 +203,8 @@
 	return nil
 }
 
-func (f *fakeCluster) checkGuard(options registry.WriteOptions) error {
+// beginWrite checks the fencing token of a write and assigns the next revision to it.
+func (f *fakeCluster) beginWrite(options registry.WriteOptions) error {
 	if options.Guard == nil || options.Guard.Token != f.token {
 		return &registry.StatusError{StatusCode: http.StatusConflict, Message: "the token is not valid"}
 	}
@@ -225,7 +226,7 @@
 ) (registry.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.checkGuard(options); err != nil {
+	if err := f.beginWrite(options); err != nil {
 		return registry.Result{}, err
 	}
 	op.Name = name
@@ -248,7 +249,7 @@
 func (f *fakeCluster) SetState(_ context.Context, options registry.WriteOptions, uid, state string) (registry.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.checkGuard(options); err != nil {
+	if err := f.beginWrite(options); err != nil {
 		return registry.Result{}, err
 	}
 	f.servers[uid].State = state
@@ -260,7 +261,7 @@
 ) (registry.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.checkGuard(options); err != nil {
+	if err := f.beginWrite(options); err != nil {
 		return registry.Result{}, err
 	}
 	f.cohort = set[0].Servers
@@ -284,7 +285,7 @@
 ) (registry.LedgerResult, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.checkGuard(options); err != nil {
+	if err := f.beginWrite(options); err != nil {
 		return registry.LedgerResult{}, err
 	}
 	if result := f.ledger.Apply(f.revision, &op); result.Outcome != disruption.OutcomeApplied {
--- a/internal/release/controller/term.go
+++ b/internal/release/controller/term.go
@@ -40,7 +40,7 @@
 	drains               *release.DrainTracker
 	analysis             *release.WaveAnalysis
 	previousIntervalAt   time.Time                // of the judge
-	previousPlatformList *supervisor.List         // at previousIntervalAt
+	previousPlatformList *supervisor.List         // platform list of the judge's previous interval
 	reportTimes          map[string]time.Duration // when the reports of the previous interval were received, by sidecar
 
 	cohortServers  []string
--- a/internal/release/judge/trafficmodel_test.go
+++ b/internal/release/judge/trafficmodel_test.go
@@ -73,7 +73,7 @@
 	return 0.5 * math.Erfc(-math.Log(boundMS/medianMS)/latencySigma/math.Sqrt2)
 }
 
-// counts draws the outcomes of an interval's requests to a number of units, for a class with the given share of the traffic.
+// drawCounts draws the outcomes of an interval's requests to a number of units, for a class with the given share of the traffic.
 func (m *trafficModel) drawCounts(units int, classShare, loadFactor, meanFailureRate, latencyFactor float64) Counts {
 	requests := m.binomial(int(2*float64(units)*m.rate*classShare*loadFactor)+2, 0.5)
 	failureRate := meanFailureRate * max(0, 1+m.failureRateNoise*m.rng.NormFloat64())
