--- a/internal/release/judge/trafficmodel_test.go
+++ b/internal/release/judge/trafficmodel_test.go
@@ -126,7 +126,8 @@
 	if m.staleBaseline {
 		fault = noEffect
 	}
-	sample.Baseline = m.drawCounts(m.baselineUnits, share, fault.loadFactor, baseFailureRate+fault.addedFailureRate, fault.latencyFactor)
+	sample.Baseline = m.drawCounts(m.baselineUnits, share, fault.loadFactor,
+		baseFailureRate+fault.addedFailureRate, fault.latencyFactor)
 	return sample
 }
 
