--- a/internal/release/controller/evidence.go
+++ b/internal/release/controller/evidence.go
@@ -14,26 +14,26 @@
 	"milldeck/internal/supervisor"
 )
 
-// recordReports records what the sidecars report: which endpoint lists they have at each step, and once per interval what
-// the judge compares.
+// recordReports evaluates the sidecars' reports: at each step for the endpoint list that each sidecar has, and once per
+// interval for the counts that the judge compares.
 func (t *leaseTerm) recordReports(observed *observation, nowMS int64) {
 	reports, _ := t.Reports.Snapshot()
 	revisions := sidecarRevisions(observed.sidecars, reports)
 	liveSidecars := slices.Sorted(maps.Keys(revisions))
 	t.drains.Update(nowMS, terminatingServers(&observed.list), observed.list.Revision, liveSidecars, revisions)
-	if time.Since(t.judgedAt) < judgeInterval {
+	if time.Since(t.previousIntervalAt) < judgeInterval {
 		return
 	}
-	t.judgedAt = time.Now()
+	t.previousIntervalAt = time.Now()
 	fresh := t.freshReports(reports)
-	t.analysis.Add(t.state, t.state.Interval(fresh, len(liveSidecars), t.previousList, observed.platform))
+	t.analysis.Add(t.state, t.state.Interval(fresh, len(liveSidecars), t.previousPlatformList, observed.platform))
 	if observed.platform != nil {
-		t.previousList = observed.platform
+		t.previousPlatformList = observed.platform
 	}
 }
 
-// sidecarRevisions is the revision of the endpoint list that each live sidecar has, by the registry or its own report,
-// whichever is newer.
+// sidecarRevisions returns the revision of the endpoint list that each live sidecar has: the newer of the revision in the
+// registry and that in the sidecar's own report.
 func sidecarRevisions(sidecars []registry.Sidecar, reports []loadreport.ReceivedReport) map[string]uint64 {
 	revisions := make(map[string]uint64, len(sidecars))
 	for i := range sidecars {
@@ -47,7 +47,7 @@
 	return revisions
 }
 
-// terminatingServers are the IDs in the ledger of the servers that are Terminating in the endpoint list.
+// terminatingServers returns the ledger IDs of the servers that are Terminating in the endpoint list.
 func terminatingServers(list *registry.EndpointList) []string {
 	var ids []string
 	for i := range list.Targets {
@@ -58,7 +58,7 @@
 	return ids
 }
 
-// freshReports are the reports that have arrived since the previous interval.
+// freshReports returns the reports that were received after the previous interval.
 func (t *leaseTerm) freshReports(reports []loadreport.ReceivedReport) []placement.LoadReport {
 	var fresh []placement.LoadReport
 	for i := range reports {
@@ -74,8 +74,8 @@
 	return fresh
 }
 
-// reportWarmServers reports to the ledger the restarted servers that have been ready for long enough to be warm. The
-// ledger ignores a report on a unit that has changed since it was read.
+// reportWarmServers reports restarted servers that have been ready for WarmUpTime to the ledger as warm. The ledger ignores
+// the report on a unit that has changed since the ledger was read.
 func (t *leaseTerm) reportWarmServers(ctx context.Context, units map[string]disruption.Unit, platform *supervisor.List) {
 	if t.WarmUpTime == 0 || platform == nil {
 		return
@@ -84,7 +84,7 @@
 	for i := range t.state.Units {
 		unit := &t.state.Units[i]
 		ledgerUnit := units[unit.ID]
-		if unit.Stage == release.StageWarmingUp && warmsUp(&ledgerUnit) && t.readyForWarmUpTime(platform, unit.Name) {
+		if unit.Stage == release.StageWarmingUp && notYetWarm(&ledgerUnit) && t.readyForWarmUpTime(platform, unit.Name) {
 			warm = append(warm, disruption.Unit{
 				ID:                 unit.ID,
 				Condition:          disruption.ConditionUp,
@@ -101,15 +101,15 @@
 	}
 }
 
-// warmsUp reports whether the ledger has a unit as a server that is not warm yet.
-func warmsUp(unit *disruption.Unit) bool {
+// notYetWarm reports whether a unit is a server that is not warm yet according to the ledger.
+func notYetWarm(unit *disruption.Unit) bool {
 	if unit.Kind != disruption.KindServer {
 		return false
 	}
 	return unit.Condition == disruption.ConditionWarmingUp || unit.Condition == disruption.ConditionUnready
 }
 
-// readyForWarmUpTime reports whether the platform has listed a unit as running for the warm-up time.
+// readyForWarmUpTime reports whether a unit has been running for WarmUpTime according to the platform.
 func (t *leaseTerm) readyForWarmUpTime(platform *supervisor.List, name string) bool {
 	listed := platform.Find(name)
 	if listed == nil || listed.State != supervisor.Running {
--- a/internal/release/controller/fakecluster_test.go
+++ b/internal/release/controller/fakecluster_test.go
@@ -18,7 +18,7 @@
 	"milldeck/internal/supervisor/fake"
 )
 
-// advanceInterval is how much time passes for servers and sidecars at once.
+// advanceInterval is the time between two calls of advance.
 const advanceInterval = 250 * time.Millisecond
 
 var (
@@ -26,11 +26,11 @@
 	sidecarNames = []string{"s1", "s2"}
 )
 
-// errNoAnswer is a call whose outcome is not known.
+// errNoAnswer is the error of a call whose outcome is unknown to the caller.
 var errNoAnswer = errors.New("no answer in time")
 
-// fakeCluster is a registry in memory with the real tables, a platform in virtual time, and sidecars that report. Its time
-// is that of the synctest bubble. It is a Store and a ReportSource.
+// fakeCluster simulates a registry in memory with the real tables, a platform in virtual time, and sidecars that send
+// reports. Its time is that of the synctest bubble. It implements Store and ReportSource.
 type fakeCluster struct {
 	mu                sync.Mutex
 	revision          uint64
@@ -39,11 +39,11 @@
 	releases          *release.Table
 	platform          *fake.Platform
 	servers           map[string]*registry.Target
-	launches          map[string]int    // by server and version
-	boots             map[string]int64  // by server, the number of its latest start
+	startCounts       map[string]int    // by server and version
+	bootNumbers       map[string]int64  // number of the latest start, by server
 	versions          map[string]string // by server
 	cohort            []string
-	newVersionFails   bool     // version 2 fails at its start
+	newVersionFails   bool     // version 2 exits before it is ready
 	stoppedWhileReady []string // servers that were stopped while they were Ready in the endpoint list
 	failEveryNth      int      // of the calls to the store and the platform; 0: none
 	calls             int
@@ -51,13 +51,13 @@
 
 func newFakeCluster() *fakeCluster {
 	cluster := &fakeCluster{
-		revision: 100,
-		ledger:   disruption.NewLedger(),
-		releases: release.NewTable(),
-		servers:  map[string]*registry.Target{},
-		launches: map[string]int{},
-		boots:    map[string]int64{},
-		versions: map[string]string{},
+		revision:    100,
+		ledger:      disruption.NewLedger(),
+		releases:    release.NewTable(),
+		servers:     map[string]*registry.Target{},
+		startCounts: map[string]int{},
+		bootNumbers: map[string]int64{},
+		versions:    map[string]string{},
 	}
 	versions := map[core.Version]fake.Version{}
 	for _, version := range []string{"1", "2"} {
@@ -90,7 +90,7 @@
 	return cluster
 }
 
-// mustList is the platform's list.
+// mustList returns the platform's list.
 func (f *fakeCluster) mustList() *supervisor.List {
 	list, err := f.platform.List(context.Background())
 	if err != nil {
@@ -99,10 +99,10 @@
 	return list
 }
 
-// startProcess is called by the platform with each unit that it starts, under the cluster's lock.
+// startProcess is called by the platform for each unit that it starts, under the cluster's lock.
 func (f *fakeCluster) startProcess(unit supervisor.Unit) fake.Behavior {
-	f.launches[unit.Name+" "+unit.Version]++
-	f.boots[unit.Name] = int64(len(f.launches))
+	f.startCounts[unit.Name+" "+unit.Version]++
+	f.bootNumbers[unit.Name] = int64(len(f.startCounts))
 	f.versions[unit.Name] = unit.Version
 	if f.newVersionFails && unit.Version == "2" {
 		return fake.Behavior{ReadyAfterMS: -1, ExitAfterMS: 50, ExitText: "exit status 1"}
@@ -110,7 +110,7 @@
 	return fake.Behavior{ReadyAfterMS: 300, StopAfterMS: 200}
 }
 
-// advance brings servers and sidecars to the present time: processes go on, units register, leases expire.
+// advance updates servers and sidecars to the present time: processes start or exit, units register, leases expire.
 func (f *fakeCluster) advance() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,15 +129,15 @@
 	}
 }
 
-// registerServer registers a server that runs, and reports it as warm; one that has exited is lost.
+// registerServer registers a running server and reports it as warm, and marks a server that has exited as lost.
 func (f *fakeCluster) registerServer(name string, listed *supervisor.Unit) {
 	id, target := disruption.UnitID(disruption.KindServer, name), f.servers[name]
 	if listed == nil || listed.State == supervisor.Exited {
 		f.ledger.MarkLost(f.revision, id)
 		return
 	}
-	if boot := float64(f.boots[name]); target.BootMS != boot {
-		target.BootMS = boot
+	if bootNumber := float64(f.bootNumbers[name]); target.BootMS != bootNumber {
+		target.BootMS = bootNumber
 		target.State = registry.InstanceReady
 	}
 	unit := disruption.Unit{
@@ -155,7 +155,7 @@
 	}
 }
 
-// release is the release r, and whether it is finished.
+// release returns the release r, and whether it is finished.
 func (f *fakeCluster) release() (state *release.State, finished bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,7 +163,7 @@
 	return state, state.Status.Phase.Finished()
 }
 
-// nextToken makes the next fencing token the valid one.
+// nextToken makes the next fencing token the only valid one.
 func (f *fakeCluster) nextToken() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -171,10 +171,10 @@
 	return f.token
 }
 
-// SetAccepting is of ReportSource.
+// SetAccepting implements ReportSource.
 func (f *fakeCluster) SetAccepting(bool) {}
 
-// Snapshot is a report of each sidecar, all of which have the newest endpoint list.
+// Snapshot implements ReportSource. Each sidecar reports that it has the newest endpoint list.
 func (f *fakeCluster) Snapshot() ([]loadreport.ReceivedReport, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,7 +194,7 @@
 	return received, 0
 }
 
-// nextError lets some calls fail whose outcome is then not known.
+// nextError returns errNoAnswer for every nth call, after the call has taken effect.
 func (f *fakeCluster) nextError() error {
 	f.calls++
 	if f.failEveryNth > 0 && f.calls%f.failEveryNth == 0 {
@@ -203,8 +203,9 @@
 	return nil
 }
 
-func (f *fakeCluster) checkGuard(write registry.WriteOptions) error {
-	if write.Guard == nil || write.Guard.Token != f.token {
+// beginWrite checks the fencing token of a write and assigns the next revision to it.
+func (f *fakeCluster) beginWrite(options registry.WriteOptions) error {
+	if options.Guard == nil || options.Guard.Token != f.token {
 		return &registry.StatusError{StatusCode: http.StatusConflict, Message: "the token is not valid"}
 	}
 	f.revision++
@@ -215,17 +216,17 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	state, commands := f.releases.Get(name)
-	own := *state
-	own.Units = slices.Clone(state.Units)
-	return registry.ReleaseView{State: &own, Commands: commands}, f.nextError()
+	stateCopy := *state
+	stateCopy.Units = slices.Clone(state.Units)
+	return registry.ReleaseView{State: &stateCopy, Commands: commands}, f.nextError()
 }
 
 func (f *fakeCluster) WriteRelease(
-	_ context.Context, write registry.WriteOptions, name string, op release.Operation,
+	_ context.Context, options registry.WriteOptions, name string, op release.Operation,
 ) (registry.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.checkGuard(write); err != nil {
+	if err := f.beginWrite(options); err != nil {
 		return registry.Result{}, err
 	}
 	op.Name = name
@@ -245,10 +246,10 @@
 	return list, nil
 }
 
-func (f *fakeCluster) SetState(_ context.Context, write registry.WriteOptions, uid, state string) (registry.Result, error) {
+func (f *fakeCluster) SetState(_ context.Context, options registry.WriteOptions, uid, state string) (registry.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.checkGuard(write); err != nil {
+	if err := f.beginWrite(options); err != nil {
 		return registry.Result{}, err
 	}
 	f.servers[uid].State = state
@@ -256,11 +257,11 @@
 }
 
 func (f *fakeCluster) SetPlacement(
-	_ context.Context, write registry.WriteOptions, _ int64, set []placement.Directive, _ ...string,
+	_ context.Context, options registry.WriteOptions, _ int64, set []placement.Directive, _ ...string,
 ) (registry.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.checkGuard(write); err != nil {
+	if err := f.beginWrite(options); err != nil {
 		return registry.Result{}, err
 	}
 	f.cohort = set[0].Servers
@@ -280,11 +281,11 @@
 }
 
 func (f *fakeCluster) ApplyLedgerOp(
-	_ context.Context, write registry.WriteOptions, op disruption.Op,
+	_ context.Context, options registry.WriteOptions, op disruption.Op,
 ) (registry.LedgerResult, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.checkGuard(write); err != nil {
+	if err := f.beginWrite(options); err != nil {
 		return registry.LedgerResult{}, err
 	}
 	if result := f.ledger.Apply(f.revision, &op); result.Outcome != disruption.OutcomeApplied {
@@ -293,7 +294,7 @@
 	return registry.LedgerResult{}, f.nextError()
 }
 
-// fakePlatform is the cluster's platform under the cluster's lock, as its starts are recorded there.
+// fakePlatform locks the cluster around calls to its platform, because the platform records its starts in the cluster.
 type fakePlatform struct{ *fakeCluster }
 
 func (p fakePlatform) Do(ctx context.Context, requests ...supervisor.Request) ([]supervisor.Outcome, error) {
--- a/internal/release/judge/judge_test.go
+++ b/internal/release/judge/judge_test.go
@@ -17,40 +17,41 @@
 	Strata:           4,
 }
 
-// Healthy versions seldom regress by mistake while both versions meet ordinary faults.
+// Less than 1% of healthy versions are reported as regressions while random faults affect both versions.
 func TestFalseAlarmRate(t *testing.T) {
 	const runs, seconds = 2000, 40
 	alarms := 0
 	for seed := range uint64(runs) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		model := &trafficModel{rng: rng, baselineUnits: 20, noise: 0.3}
+		model := &trafficModel{rng: rng, baselineUnits: 20, failureRateNoise: 0.3}
 		model.canaryUnits = 1 + rng.IntN(4)
 		model.rate = 10 + 30*rng.Float64()
-		model.fault = ordinaryFault(rng)
+		model.fault = randomFault(rng)
 		if verdict, second, _ := model.run(seconds, false); verdict.Outcome == Regression {
 			alarms++
 			t.Logf("seed %d, %d s: %s", seed, second, verdict.Reason)
 		}
 	}
-	t.Logf("%d of %d healthy versions found to regress", alarms, runs)
+	t.Logf("%d of %d healthy versions reported as regressions", alarms, runs)
 	if alarms >= runs/100 {
-		t.Errorf("%d false alarms of %d, wanted less than 1%%", alarms, runs)
+		t.Errorf("%d false alarms in %d runs, want less than 1%%", alarms, runs)
 	}
 }
 
-// A planted bug: a judge that compares with the past finds regressions in faults that both versions meet.
+// The modelled faults reveal a planted bug: if the baseline predates a fault that affects both versions, the judge reports
+// regressions.
 func TestStaleBaselineIsDetected(t *testing.T) {
 	alarms := 0
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		model := &trafficModel{rng: rng, canaryUnits: 2, baselineUnits: 20, rate: 25, staleBaseline: true}
-		model.fault = ordinaryFault(rng)
+		model.fault = randomFault(rng)
 		if verdict, _, _ := model.run(40, false); verdict.Outcome == Regression {
 			alarms++
 		}
 	}
 	if alarms < 10 {
-		t.Errorf("%d of 100 found to regress: the modelled faults would not show a judge that compares with the past", alarms)
+		t.Errorf("%d of 100 reported as regressions, want 10 or more: the modelled faults do not reveal a stale baseline", alarms)
 	}
 }
 
@@ -59,13 +60,13 @@
 	passed, requests, latest := 0, 0, 0
 	for seed := range uint64(runs) {
 		model := &trafficModel{rng: rand.New(rand.NewPCG(seed, 5)), canaryUnits: 4, baselineUnits: 20, rate: 25}
-		if verdict, second, met := model.run(seconds, true); verdict.Outcome == Pass {
+		if verdict, second, requestCount := model.run(seconds, true); verdict.Outcome == Pass {
 			passed++
-			requests += met
+			requests += requestCount
 			latest = max(latest, second)
 		}
 	}
-	t.Logf("%d of %d pass within %d s, after %d requests in the mean at 8 canaries",
+	t.Logf("%d of %d pass within %d s, after a mean of %d requests to 8 canary units",
 		passed, runs, latest, requests/max(passed, 1))
 	if passed < runs*95/100 {
 		t.Errorf("%d of %d healthy versions passed within %d s", passed, runs, seconds)
@@ -76,20 +77,22 @@
 	const runs = 100
 	burst := func(second, _ int) effect {
 		if second%40 >= 25 {
-			return effect{load: 1.8, failures: 0.01, latency: 1.2}
+			return effect{loadFactor: 1.8, addedFailureRate: 0.01, latencyFactor: 1.2}
 		}
 		return noEffect
 	}
-	someFail := func(int, string, float64) effect { return effect{load: 1, failures: 0.05, latency: 1} }
+	someFail := func(int, string, float64) effect {
+		return effect{loadFactor: 1, addedFailureRate: 0.05, latencyFactor: 1}
+	}
 	oneClassFails := func(_ int, class string, _ float64) effect {
 		if class == "simulate" {
-			return effect{load: 1, failures: 0.1, latency: 1}
+			return effect{loadFactor: 1, addedFailureRate: 0.1, latencyFactor: 1}
 		}
 		return noEffect
 	}
 	slowUnderLoad := func(_ int, _ string, load float64) effect {
 		if load > 1 {
-			return effect{load: 1, failures: 0, latency: 1.3}
+			return effect{loadFactor: 1, addedFailureRate: 0, latencyFactor: 1.3}
 		}
 		return noEffect
 	}
@@ -105,24 +108,24 @@
 		{"restarts every 20 s", trafficModel{restartRate: 0.05}, 300},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			found, latest, requests := 0, 0, 0
+			detected, latest, requests := 0, 0, 0
 			for seed := range uint64(runs) {
 				model := c.model
 				model.rng = rand.New(rand.NewPCG(seed, 2))
 				model.canaryUnits = 2
 				model.baselineUnits = 20
 				model.rate = 25
-				model.noise = 0.3
-				if verdict, second, met := model.run(c.seconds, false); verdict.Outcome == Regression {
-					found++
+				model.failureRateNoise = 0.3
+				if verdict, second, requestCount := model.run(c.seconds, false); verdict.Outcome == Regression {
+					detected++
 					latest = max(latest, second)
-					requests += met
+					requests += requestCount
 				}
 			}
-			t.Logf("%d of %d found within %d s, after %d requests in the mean at 4 canaries",
-				found, runs, latest, requests/max(found, 1))
-			if found < runs*95/100 {
-				t.Errorf("%d of %d found within %d s", found, runs, c.seconds)
+			t.Logf("%d of %d detected within %d s, after a mean of %d requests to 4 canary units",
+				detected, runs, latest, requests/max(detected, 1))
+			if detected < runs*95/100 {
+				t.Errorf("%d of %d detected within %d s", detected, runs, c.seconds)
 			}
 		})
 	}
@@ -132,13 +135,15 @@
 	passed := 0
 	for seed := range uint64(200) {
 		model := &trafficModel{rng: rand.New(rand.NewPCG(seed, 3)), canaryUnits: 2, baselineUnits: 20, rate: 25}
-		model.regression = func(int, string, float64) effect { return effect{load: 1, failures: 0.02, latency: 1} }
+		model.regression = func(int, string, float64) effect {
+			return effect{loadFactor: 1, addedFailureRate: 0.02, latencyFactor: 1}
+		}
 		if verdict, _, _ := model.run(200, true); verdict.Outcome == Pass {
 			passed++
 		}
 	}
 	if passed > 2 {
-		t.Errorf("%d of 200 versions that fail 2%% passed, tolerated is 1%%", passed)
+		t.Errorf("%d of 200 versions that fail 2%% of requests passed, want at most 1%%", passed)
 	}
 }
 
@@ -148,20 +153,20 @@
 	if verdict.Outcome != Inconclusive || !strings.Contains(verdict.Reason, "too little traffic") {
 		t.Errorf("sparse traffic: %+v, want inconclusive", verdict)
 	}
-	watched := New(testSettings)
+	judge := New(testSettings)
 	model = &trafficModel{rng: rand.New(rand.NewPCG(1, 4)), canaryUnits: 2, baselineUnits: 20, rate: 50}
 	for second := range 100 {
-		verdict = watched.Add(model.interval(second))
+		verdict = judge.Add(model.drawInterval(second))
 	}
 	if verdict.Outcome != Pass {
 		t.Fatalf("100 s of a healthy version: %+v, want pass", verdict)
 	}
 	for i := range noDataIntervals {
-		interval := model.interval(101 + i)
+		interval := model.drawInterval(101 + i)
 		interval.ReceivedReports = 4
-		verdict = watched.Add(interval)
+		verdict = judge.Add(interval)
 		if verdict.Outcome == Pass {
-			t.Errorf("passes with %d of 10 reports", interval.ReceivedReports)
+			t.Errorf("pass with %d of 10 reports", interval.ReceivedReports)
 		}
 	}
 	if verdict.Outcome != NoData {
@@ -172,18 +177,18 @@
 	}
 }
 
-// No single interval shows a regression, however bad: it may be chance which servers its requests met.
+// No single interval shows a regression, however bad its counts: chance may decide which servers its requests reach.
 func TestOneIntervalIsNoRegression(t *testing.T) {
-	watched := New(testSettings)
+	judge := New(testSettings)
 	bad := ClassSample{
 		Class: "lookup", Zone: "a",
 		Canary:   Counts{Failed: 10000},
 		Baseline: Counts{Served: 100000, LatencyHistogram: []uint32{100000}},
 	}
 	for i := range 4 {
-		verdict := watched.Add(Interval{ExpectedReports: 1, ReceivedReports: 1, Classes: []ClassSample{bad}})
+		verdict := judge.Add(Interval{ExpectedReports: 1, ReceivedReports: 1, Classes: []ClassSample{bad}})
 		if verdict.Outcome == Regression {
-			t.Errorf("a regression after %d intervals", i+1)
+			t.Errorf("regression reported after %d intervals", i+1)
 		}
 	}
 }
--- a/internal/release/judge/zone.go
+++ b/internal/release/judge/zone.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// zone is the evidence of the units of one zone.
+// zone holds the evidence of the units of one zone.
 type zone struct {
-	threshold       float64 // of the logarithm of the evidence of too many restarts
-	restarts        comparison
-	memoryTolerance float64
-	intervalsAbove  int // in a row, in which the memory was above its tolerance
-	memorySamples   int // intervals in which the memory was known
-	memoryRatio     float64
-	canaryUnits     int // in the latest interval
+	threshold               float64 // logarithm of the evidence that shows too many restarts
+	restarts                comparison
+	memoryTolerance         float64
+	intervalsAboveTolerance int // consecutive intervals with memory above its tolerance
+	memorySamples           int // intervals with known memory
+	memoryRatio             float64
+	canaryUnits             int // in the latest interval
 }
 
 func newZone(settings *Settings, threshold float64) *zone {
@@ -31,33 +31,33 @@
 	z.memorySamples++
 	z.memoryRatio = canary.MeanMemory / baseline.MeanMemory
 	if z.memoryRatio > 1+z.memoryTolerance {
-		z.intervalsAbove++
+		z.intervalsAboveTolerance++
 	} else {
-		z.intervalsAbove = 0
+		z.intervalsAboveTolerance = 0
 	}
 }
 
-// regression describes the regression that there is enough evidence of, empty where there is none.
+// regression describes a regression with enough evidence, or returns "" if there is none.
 func (z *zone) regression(zoneName string) string {
 	if z.restarts.regression.logEvidence() >= z.threshold {
 		return fmt.Sprintf("restarts in zone %q: %d in %d unit-intervals, more than the old and the tolerated %v",
 			zoneName, z.restarts.canaryHits, z.restarts.canaryTrials, z.restarts.tolerance)
 	}
-	if z.intervalsAbove >= memoryRegressionIntervals {
+	if z.intervalsAboveTolerance >= memoryRegressionIntervals {
 		return fmt.Sprintf("memory in zone %q: %.2f times the old, tolerated %.2f", zoneName, z.memoryRatio, 1+z.memoryTolerance)
 	}
 	return ""
 }
 
-// suspicion says why the zone's restarts or memory withhold a pass, empty where they do not.
-func (z *zone) suspicion(zoneName string) string {
+// withheldPassReason returns why the zone's restarts or memory withhold a pass, or "" if they do not.
+func (z *zone) withheldPassReason(zoneName string) string {
 	if z.canaryUnits == 0 {
 		return ""
 	}
-	if z.restarts.regression.logEvidence() > restartSuspicion {
+	if z.restarts.regression.logEvidence() > maxRestartEvidenceForPass {
 		return fmt.Sprintf("%d restarts in zone %q, in %d unit-intervals", z.restarts.canaryHits, zoneName, z.restarts.canaryTrials)
 	}
-	if z.intervalsAbove > 0 || z.memorySamples > 0 && z.memorySamples < memoryRegressionIntervals {
+	if z.intervalsAboveTolerance > 0 || z.memorySamples > 0 && z.memorySamples < memoryRegressionIntervals {
 		return fmt.Sprintf("memory in zone %q: %.2f times the old", zoneName, z.memoryRatio)
 	}
 	return ""
