--- a/cmd/milldeck/lease_bench.go
+++ b/cmd/milldeck/lease_bench.go
@@ -83,7 +83,7 @@
 `,
 		r.Faults, r.Kills, r.Freezes, r.Stops, r.LeaderKills, r.Seconds,
 		r.Tenures, r.Overlaps, r.GuardedWrites, r.RejectedWrites, r.DuplicateWrites,
-		r.LateReleaseNotices, r.ExpiredUnclaimed,
+		r.LateReleaseConfirmations, r.ExpiredUnclaimed,
 		r.ReleaseGapP50MS, r.ReleaseGapP99MS,
 		r.TTLMS, r.KillGapP50MS, r.KillGapP99MS,
 		r.RenewalsPerSecond)
--- a/internal/leaderelection/bench/bench.go
+++ b/internal/leaderelection/bench/bench.go
@@ -77,13 +77,13 @@
 	Stops       int `json:"stops"`
 	LeaderKills int `json:"leader_kills"`
 
-	Tenures            int `json:"tenures"`
-	Overlaps           int `json:"overlaps"`  // consecutive tenures of a lease during which two processes believed to hold it
-	LateReleaseNotices int `json:"told_late"` // releases that were confirmed after the next tenure had begun; no overlap
-	ExpiredUnclaimed   int `json:"not_taken"` // assigned leases that expired before the candidate's first renewal was answered
-	GuardedWrites      int `json:"saves"`
-	RejectedWrites     int `json:"refused"` // guarded writes whose token was no longer valid
-	DuplicateWrites    int `json:"twice"`   // guarded writes that took effect twice, or after one under a later token
+	Tenures                  int `json:"tenures"`
+	Overlaps                 int `json:"overlaps"`  // consecutive tenures of a lease during which two processes believed to hold it
+	LateReleaseConfirmations int `json:"told_late"` // releases that were confirmed after the next tenure had begun; no overlap
+	ExpiredUnclaimed         int `json:"not_taken"` // assigned leases that expired before the candidate's first renewal was answered
+	GuardedWrites            int `json:"saves"`
+	RejectedWrites           int `json:"refused"` // guarded writes whose token was no longer valid
+	DuplicateWrites          int `json:"twice"`   // guarded writes that took effect twice, or after one under a later token
 	// Violations describes overlaps, duplicate writes and impossible events, the first maxViolations by text.
 	Violations []string `json:"broken,omitempty"`
 
@@ -172,7 +172,7 @@
 			return nil, err
 		}
 	}
-	if err := b.judge(); err != nil {
+	if err := b.analyzeLogs(); err != nil {
 		return nil, err
 	}
 	return b.result, nil
--- a/internal/leaderelection/bench/contest.go
+++ b/internal/leaderelection/bench/candidates.go
@@ -40,23 +40,23 @@
 	freezeFault faultKind = iota // where Options.FreezeHolders is not set, it is killed
 	stopFault
 	killFault
-	faultKinds // how many there are
+	faultKindCount // how many there are
 )
 
 // contest is the contest of candidate processes for one lease.
-type contest struct {
+type candidateGroup struct {
 	*benchRun
-	leaseName  string
-	updates    latest.Value[leasetable.Lease]
-	lease      leasetable.Lease // the newest state that was received
-	candidates map[string]*proc.Process
-	started    int // candidates, ever
+	leaseName    string
+	updates      latest.Value[leasetable.Lease]
+	lease        leasetable.Lease // the newest state that was received
+	candidates   map[string]*proc.Process
+	startedCount int // candidates, ever
 }
 
 // runContest keeps two candidates of a lease at work and injects faults into its holders.
-func (b *benchRun) runContest(ctx context.Context, n int) error {
+func (b *benchRun) runCandidates(ctx context.Context, n int) error {
 	rng := rand.New(rand.NewPCG(b.opts.Seed, uint64(n)))
-	c := &contest{
+	c := &candidateGroup{
 		benchRun:   b,
 		leaseName:  fmt.Sprint(leasePrefix, n),
 		updates:    latest.New[leasetable.Lease](),
@@ -92,8 +92,8 @@
 }
 
 // addCandidate starts one more candidate process.
-func (c *contest) addCandidate() error {
-	name := fmt.Sprintf("%s-%d", c.leaseName, c.started)
+func (c *candidateGroup) addCandidate() error {
+	name := fmt.Sprintf("%s-%d", c.leaseName, c.startedCount)
 	args := []string{
 		"duty", "hold", c.leaseName,
 		"--who", name,
@@ -103,9 +103,9 @@
 		"--replicas", strings.Join(c.cluster.HTTPAddrs(), ","),
 	}
 	if n := len(c.opts.ClockFaults); n > 0 {
-		args = append(args, "--clock", c.opts.ClockFaults[c.started%n])
+		args = append(args, "--clock", c.opts.ClockFaults[c.startedCount%n])
 	}
-	c.started++
+	c.startedCount++
 	process, err := proc.Start(proc.Spec{Name: name, Path: c.opts.Program, Args: args, Log: filepath.Join(c.opts.Dir, name+".log")})
 	if err != nil {
 		return err
@@ -114,16 +114,16 @@
 	return nil
 }
 
-func (c *contest) killCandidates() {
+func (c *candidateGroup) killCandidates() {
 	for name, process := range c.candidates {
 		c.kill(name, process)
 	}
 }
 
 // injectFault freezes, stops or kills a holder, and replaces one that has ended.
-func (c *contest) injectFault(ctx context.Context, holder string, rng *rand.Rand) error {
+func (c *candidateGroup) injectFault(ctx context.Context, holder string, rng *rand.Rand) error {
 	process := c.candidates[holder]
-	switch kind := faultKind(rng.IntN(int(faultKinds))); {
+	switch kind := faultKind(rng.IntN(int(faultKindCount))); {
 	case kind == freezeFault && c.opts.FreezeHolders:
 		return c.freeze(ctx, holder, process, rng)
 	case kind == stopFault:
@@ -140,7 +140,7 @@
 }
 
 // freeze stops the scheduling of a holder until another holds the lease and has begun to work.
-func (c *contest) freeze(ctx context.Context, holder string, process *proc.Process, rng *rand.Rand) error {
+func (c *candidateGroup) freeze(ctx context.Context, holder string, process *proc.Process, rng *rand.Rand) error {
 	c.addTo(&c.result.Freezes, 1)
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -151,7 +151,7 @@
 }
 
 // stop has a holder end in good order.
-func (c *contest) stop(ctx context.Context, holder string, process *proc.Process) error {
+func (c *candidateGroup) stop(ctx context.Context, holder string, process *proc.Process) error {
 	c.recordTime(c.stopRequestedAt, holder)
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
@@ -162,7 +162,7 @@
 }
 
 // awaitHolder waits until a live candidate other than the excluded one holds the lease and works, and returns its name.
-func (c *contest) awaitHolder(ctx context.Context, excluded string) (string, error) {
+func (c *candidateGroup) awaitHolder(ctx context.Context, excluded string) (string, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, holderTimeout,
 		fmt.Errorf("%s has had no holder at work for %v", c.leaseName, holderTimeout))
 	defer cancel()
@@ -193,7 +193,7 @@
 }
 
 // awaitAcquired waits for a moment until the holder has printed that it has acquired the lease.
-func (c *contest) awaitAcquired(ctx context.Context, holder string, process *proc.Process) error {
+func (c *candidateGroup) awaitAcquired(ctx context.Context, holder string, process *proc.Process) error {
 	ctx, cancel := context.WithTimeout(ctx, logPollInterval)
 	defer cancel()
 	line := fmt.Sprintf(`"acquired","duty":%q,"who":%q,"token":%d,`, c.leaseName, holder, c.lease.Token)
--- a/internal/leaderelection/bench/costs.go
+++ b/internal/leaderelection/bench/costs.go
@@ -10,7 +10,7 @@
 )
 
 // idleTTLMS is a lease that does not expire while costs are measured.
-const idleTTLMS = 600_000
+const longTTLMS = 600_000
 
 // measureHandovers counts the log entries of a handover for each queue length.
 func (b *benchRun) measureHandovers(ctx context.Context) error {
@@ -18,7 +18,7 @@
 	for _, candidates := range b.opts.QueueLengths {
 		name := fmt.Sprintf("queue-%d", candidates)
 		for i := range candidates + handovers {
-			request := registry.LeaseRequest{Candidate: fmt.Sprint("c", i), TTLMS: idleTTLMS}
+			request := registry.LeaseRequest{Candidate: fmt.Sprint("c", i), TTLMS: longTTLMS}
 			if _, err := b.client.UpdateLease(ctx, leasetable.Campaign, name, request); err != nil {
 				return err
 			}
@@ -70,7 +70,7 @@
 	const holder = "one"
 	var renewals []registry.LeaseRenewal
 	for i := range b.opts.BatchedRenewals {
-		request := registry.LeaseRequest{Candidate: holder, TTLMS: idleTTLMS}
+		request := registry.LeaseRequest{Candidate: holder, TTLMS: longTTLMS}
 		lease, err := b.client.UpdateLease(ctx, leasetable.Campaign, fmt.Sprint("many-", i), request)
 		if err != nil {
 			return err
--- a/internal/leaderelection/bench/faults.go
+++ b/internal/leaderelection/bench/faults.go
@@ -14,10 +14,10 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	if b.opts.FaultTime > 0 {
-		deadline := time.AfterFunc(b.opts.FaultTime, func() { b.addTo(&b.remainingFaults, -b.opts.Faults) })
-		defer deadline.Stop()
+		faultTimer := time.AfterFunc(b.opts.FaultTime, func() { b.addTo(&b.remainingFaults, -b.opts.Faults) })
+		defer faultTimer.Stop()
 	}
-	var contests, background sync.WaitGroup
+	var groups, background sync.WaitGroup
 	if b.opts.LeaderKillInterval > 0 {
 		background.Go(func() {
 			if err := b.killLeaders(ctx); err != nil {
@@ -26,13 +26,13 @@
 		})
 	}
 	for i := range b.opts.Leases {
-		contests.Go(func() {
-			if err := b.runContest(ctx, i); err != nil {
+		groups.Go(func() {
+			if err := b.runCandidates(ctx, i); err != nil {
 				cancel(err)
 			}
 		})
 	}
-	contests.Wait()
+	groups.Wait()
 	err := context.Cause(ctx)
 	cancel(nil)
 	background.Wait()
--- a/internal/leaderelection/bench/fixtures_test.go
+++ b/internal/leaderelection/bench/fixtures_test.go
@@ -17,7 +17,7 @@
 		return append(data, '\n')
 	}
 	goldentest.Compare(t, "result.json", encode(&Result{
-		Faults: 1, Kills: 2, Freezes: 3, Stops: 4, LeaderKills: 5, Tenures: 6, Overlaps: 7, LateReleaseNotices: 8, ExpiredUnclaimed: 9, GuardedWrites: 10, RejectedWrites: 11,
+		Faults: 1, Kills: 2, Freezes: 3, Stops: 4, LeaderKills: 5, Tenures: 6, Overlaps: 7, LateReleaseConfirmations: 8, ExpiredUnclaimed: 9, GuardedWrites: 10, RejectedWrites: 11,
 		DuplicateWrites: 12, Violations: []string{"duty-0: twice"}, ReleaseGapP50MS: 13.5, ReleaseGapP99MS: 14.5,
 		KillGapP50MS: 15.5, KillGapP99MS: 16.5, TTLMS: 17, HandoverCosts: []HandoverCost{{18, 19.5}}, RenewalsPerSecond: 20.5, Seconds: 21.5,
 	}))
--- a/internal/leaderelection/bench/judge.go
+++ b/internal/leaderelection/bench/log_analysis.go
@@ -18,7 +18,7 @@
 	// maxViolations bounds the violations that are listed; a single one makes a run a failure.
 	maxViolations = 20
 	// electionTime is how long after the kill of a raft leader a gap may be due to the election of another.
-	electionTime = 2 * time.Second
+	maxElectionTime = 2 * time.Second
 )
 
 // holderEvent is a line that a holder prints. Times are ns of the machine's monotonic clock.
@@ -48,7 +48,7 @@
 }
 
 // judge reads what all processes printed and completes the result.
-func (b *benchRun) judge() error {
+func (b *benchRun) analyzeLogs() error {
 	logs, err := filepath.Glob(filepath.Join(b.opts.Dir, leasePrefix+"*.log"))
 	if err != nil {
 		return err
@@ -66,7 +66,7 @@
 		}
 	}
 	for name, tenures := range byLease {
-		b.judgeLease(name, tenures)
+		b.checkLease(name, tenures)
 	}
 	slices.Sort(b.result.Violations)
 	b.result.Violations = b.result.Violations[:min(len(b.result.Violations), maxViolations)]
@@ -117,33 +117,33 @@
 }
 
 // judgeLease judges the tenures of one lease in the order of their tokens.
-func (b *benchRun) judgeLease(name string, tenures []*tenure) {
+func (b *benchRun) checkLease(name string, tenures []*tenure) {
 	slices.SortFunc(tenures, func(x, y *tenure) int { return cmp.Compare(x.token, y.token) })
 	b.result.Tenures += len(tenures)
-	last := 0
+	lastCount := 0
 	for i, t := range tenures {
 		if i > 0 {
-			b.judgeTransition(name, tenures[i-1], t)
+			b.checkTransition(name, tenures[i-1], t)
 		}
 		for _, count := range t.counts {
 			// A holder writes the checkpoint that it found plus one, so a count that comes again was written twice.
-			if count <= last {
+			if count <= lastCount {
 				b.result.DuplicateWrites++
-				b.addViolation("%s: count %d under token %d after %d", name, count, t.token, last)
+				b.addViolation("%s: count %d under token %d after %d", name, count, t.token, lastCount)
 			}
-			last = max(last, count)
+			lastCount = max(lastCount, count)
 		}
 	}
 }
 
 // judgeTransition compares a tenure with the one before it.
-func (b *benchRun) judgeTransition(name string, previous, next *tenure) {
+func (b *benchRun) checkTransition(name string, previous, next *tenure) {
 	if next.beganNS < previous.endedNS {
 		b.result.Overlaps++
 		b.addViolation("%s: %s under token %d believes from %d ns on, %s under %d for %v longer",
 			name, next.candidate, next.token, next.beganNS, previous.candidate, previous.token, time.Duration(previous.endedNS-next.beganNS))
 	} else if next.beganNS < previous.releasedNS {
-		b.result.LateReleaseNotices++
+		b.result.LateReleaseConfirmations++
 	}
 	requestedNS, requested := b.stopRequestedAt[previous.candidate]
 	if !requested || requestedNS < previous.beganNS || requestedNS >= next.beganNS {
@@ -168,7 +168,7 @@
 // leaderless reports whether the registry may have elected a raft leader between two times.
 func (b *benchRun) leaderless(fromNS, toNS int64) bool {
 	return slices.ContainsFunc(b.leaderKills, func(atNS int64) bool {
-		return atNS > fromNS-int64(electionTime) && atNS < toNS
+		return atNS > fromNS-int64(maxElectionTime) && atNS < toNS
 	})
 }
 
--- a/internal/leaderelection/bench/judge_test.go
+++ b/internal/leaderelection/bench/log_analysis_test.go
@@ -19,7 +19,7 @@
 }
 
 // The judge goes by when holders believed, not by when their lines were printed, and skips lines of any other form.
-func TestJudge(t *testing.T) {
+func TestAnalyzeLogs(t *testing.T) {
 	a := eventLine("acquired", "a", 5, 100, 600) + eventLine("renewed", "a", 5, 200, 700) + savedLine("a", 5, 1)
 	for name, c := range map[string]struct {
 		a, b       string // what two processes print
@@ -33,7 +33,7 @@
 		"lost":                {a: a + eventLine("lost", "a", 5, 640, 0), b: eventLine("acquired", "b", 9, 650, 1150)},
 		"confirmed late": {
 			a: a + eventLine("stopped", "a", 5, 300, 0) + eventLine("released", "a", 5, 360, 0), b: eventLine("acquired", "b", 9, 350, 850),
-			want: Result{LateReleaseNotices: 1},
+			want: Result{LateReleaseConfirmations: 1},
 		},
 		"stopped too late": {
 			a: a + eventLine("stopped", "a", 5, 351, 0), b: eventLine("acquired", "b", 9, 350, 850), want: Result{Overlaps: 1}, violations: 1,
@@ -53,10 +53,10 @@
 					t.Fatal(err)
 				}
 			}
-			if err := b.judge(); err != nil {
+			if err := b.analyzeLogs(); err != nil {
 				t.Fatal(err)
 			}
-			got := Result{Overlaps: b.result.Overlaps, LateReleaseNotices: b.result.LateReleaseNotices, ExpiredUnclaimed: b.result.ExpiredUnclaimed, DuplicateWrites: b.result.DuplicateWrites}
+			got := Result{Overlaps: b.result.Overlaps, LateReleaseConfirmations: b.result.LateReleaseConfirmations, ExpiredUnclaimed: b.result.ExpiredUnclaimed, DuplicateWrites: b.result.DuplicateWrites}
 			if fmt.Sprint(got) != fmt.Sprint(c.want) || len(b.result.Violations) != c.violations {
 				t.Errorf("%+v, want %+v; %d violations, want %d: %s", got, c.want, len(b.result.Violations), c.violations, strings.Join(b.result.Violations, "; "))
 			}
--- a/internal/leaderelection/bench_test.go
+++ b/internal/leaderelection/bench_test.go
@@ -31,7 +31,7 @@
 }
 
 // requireExclusion is runFaultBench, and requires mutual exclusion: no two processes believe at a time to hold a lease.
-func requireExclusion(t *testing.T, opts bench.Options) *bench.Result {
+func requireMutualExclusion(t *testing.T, opts bench.Options) *bench.Result {
 	t.Helper()
 	result := runFaultBench(t, opts)
 	if result.Overlaps > 0 || len(result.Violations) > 0 {
@@ -42,7 +42,7 @@
 
 // Mutual exclusion holds with clocks that run fast, or slow within the safety margin, or whose wall time jumps.
 func TestClockFaultsWithinSafetyMargin(t *testing.T) {
-	requireExclusion(t, bench.Options{Seed: 5, Faults: 40, FreezeHolders: true, ClockFaults: []string{"rate=0.93", "rate=1.5", "jump=1h/300ms", ""}})
+	requireMutualExclusion(t, bench.Options{Seed: 5, Faults: 40, FreezeHolders: true, ClockFaults: []string{"rate=0.93", "rate=1.5", "jump=1h/300ms", ""}})
 }
 
 // Clocks at half the speed break mutual exclusion: a frozen holder goes on believing while the next one works. Its writes
@@ -56,21 +56,21 @@
 
 // Holders are killed at random moments of their work; others are stopped in good order.
 func TestHolderKilled(t *testing.T) {
-	if result := requireExclusion(t, bench.Options{Seed: 1, Faults: 300}); result.Kills < 170 {
+	if result := requireMutualExclusion(t, bench.Options{Seed: 1, Faults: 300}); result.Kills < 170 {
 		t.Errorf("only %d kills", result.Kills)
 	}
 }
 
 // Holders are frozen for longer than their leases and resume in the middle of a write, which is rejected.
 func TestHolderFrozen(t *testing.T) {
-	if result := requireExclusion(t, bench.Options{Seed: 2, Faults: 100, FreezeHolders: true}); result.Freezes < 15 || result.RejectedWrites == 0 {
+	if result := requireMutualExclusion(t, bench.Options{Seed: 2, Faults: 100, FreezeHolders: true}); result.Freezes < 15 || result.RejectedWrites == 0 {
 		t.Errorf("%d freezes, %d late writes rejected", result.Freezes, result.RejectedWrites)
 	}
 }
 
 // Raft leaders of the registry are killed while leases change hands.
 func TestRegistryLeaderKilled(t *testing.T) {
-	if result := requireExclusion(t, bench.Options{Seed: 4, Faults: 100, FreezeHolders: true, LeaderKillInterval: 1500 * time.Millisecond}); result.LeaderKills == 0 {
+	if result := requireMutualExclusion(t, bench.Options{Seed: 4, Faults: 100, FreezeHolders: true, LeaderKillInterval: 1500 * time.Millisecond}); result.LeaderKills == 0 {
 		t.Error("no leader was killed")
 	}
 }
--- a/internal/leaderelection/clock/clock.go
+++ b/internal/leaderelection/clock/clock.go
@@ -22,7 +22,7 @@
 )
 
 // baseReadings is how many pairs of readings are taken to relate a Clock to the machine's monotonic clock.
-const baseReadings = 16
+const calibrationSamples = 16
 
 // MonotonicNS reads the machine's monotonic clock in ns. All processes read the same value, steps of the wall clock do
 // not affect it, and Go's monotonic readings come from the same clock.
@@ -51,7 +51,7 @@
 	c := &Clock{rate: rate, jump: jump, jumpInterval: jumpInterval}
 	// Two clocks cannot be read at once: of several pairs of readings the one that took the shortest time is used.
 	shortest := int64(math.MaxInt64)
-	for range baseReadings {
+	for range calibrationSamples {
 		before, wall := MonotonicNS(), time.Now()
 		if elapsed := MonotonicNS() - before; elapsed < shortest {
 			shortest, c.baseTime, c.baseMonotonicNS = elapsed, wall, before
--- a/internal/leaderelection/faults_test.go
+++ b/internal/leaderelection/faults_test.go
@@ -54,8 +54,8 @@
 	if loss.ValidUntil.IsZero() || acquisition.At.Before(loss.ValidUntil) {
 		t.Errorf("acquired at %v, though the first tenure was valid until %v", acquisition.At, loss.ValidUntil)
 	}
-	lateCall := registry.LeaseRequest{Candidate: lease.Holder, Token: lease.Token, Data: []byte("late")}
-	if _, err := tc.client.UpdateLease(tc.ctx, leasetable.Checkpoint, leaseName, lateCall); err == nil {
+	lateRequest := registry.LeaseRequest{Candidate: lease.Holder, Token: lease.Token, Data: []byte("late")}
+	if _, err := tc.client.UpdateLease(tc.ctx, leasetable.Checkpoint, leaseName, lateRequest); err == nil {
 		t.Error("a late write was accepted")
 	}
 	write := registry.WriteOptions{Guard: lease.Guard()}
@@ -90,8 +90,8 @@
 			t.Fatal(err)
 		}
 	}
-	if again := receive(tc, "the next tenure", acquired); again.Token <= lease.Token || string(again.Checkpoint) != "so far" {
-		t.Errorf("token %d after %d, checkpoint %q", again.Token, lease.Token, again.Checkpoint)
+	if next := receive(tc, "the next tenure", acquired); next.Token <= lease.Token || string(next.Checkpoint) != "so far" {
+		t.Errorf("token %d after %d, checkpoint %q", next.Token, lease.Token, next.Checkpoint)
 	}
 }
 
@@ -134,8 +134,8 @@
 	if err := receive(tc, "the stop", stopped); !errors.Is(err, leaderelection.ErrStepDownRequested) {
 		t.Errorf("the work was cancelled with %v", err)
 	}
-	if again := receive(tc, "the tenure after the dead candidate's", acquired); again.Token <= lease.Token {
-		t.Errorf("token %d after %d", again.Token, lease.Token)
+	if next := receive(tc, "the tenure after the dead candidate's", acquired); next.Token <= lease.Token {
+		t.Errorf("token %d after %d", next.Token, lease.Token)
 	}
 	if lost, err := tc.client.RenewLeases(tc.ctx, "one", []registry.LeaseRenewal{{Name: leaseName, Token: lease.Token}}); err != nil || len(lost) != 1 {
 		t.Errorf("a lost lease was renewed: %v %v", lost, err)
@@ -145,14 +145,14 @@
 // A client that retries because the response was lost does not queue behind itself.
 func TestLostResponseRetried(t *testing.T) {
 	tc := startCluster(t)
-	call := registry.LeaseRequest{Candidate: "one", TTLMS: 60_000}
-	first, err := tc.client.UpdateLease(tc.ctx, leasetable.Campaign, leaseName, call)
+	request := registry.LeaseRequest{Candidate: "one", TTLMS: 60_000}
+	first, err := tc.client.UpdateLease(tc.ctx, leasetable.Campaign, leaseName, request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := tc.client.UpdateLease(tc.ctx, leasetable.Campaign, leaseName, call)
-	if err != nil || again.Holder != "one" || again.Token != first.Token || len(again.Queue) > 0 {
-		t.Errorf("%+v after %+v: %v", again, first, err)
+	retried, err := tc.client.UpdateLease(tc.ctx, leasetable.Campaign, leaseName, request)
+	if err != nil || retried.Holder != "one" || retried.Token != first.Token || len(retried.Queue) > 0 {
+		t.Errorf("%+v after %+v: %v", retried, first, err)
 	}
 }
 
--- a/internal/leaderelection/fixtures_test.go
+++ b/internal/leaderelection/fixtures_test.go
@@ -127,11 +127,11 @@
 	if lease, known := state.Leases().Get(BackupLease); !known || lease.Token != 3 || state.Revision() != 2 || state.Len() != 1 {
 		t.Errorf("revision %d, %d instances, lease %+v", state.Revision(), state.Len(), lease)
 	}
-	var again bytes.Buffer
-	if err := state.WriteSnapshot(&again); err != nil {
+	var rewritten bytes.Buffer
+	if err := state.WriteSnapshot(&rewritten); err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Compare(t, fixtureBackup, again.Bytes())
+	goldentest.Compare(t, fixtureBackup, rewritten.Bytes())
 	if _, err := registry.ReadSnapshot(bytes.NewReader(bytes.Replace(golden, []byte("9001"), []byte("9009"), 1))); err == nil {
 		t.Error("a backup with a changed byte was read")
 	}
@@ -145,7 +145,7 @@
 		{Type: "acquired", Lease: "d", Candidate: "one", Token: 57, At: at, ValidUntil: at.Add(4500 * time.Millisecond)},
 		{Type: "released", Lease: "d", Candidate: "one", Token: 57, At: at.Add(time.Second)},
 	}
-	var lines, again bytes.Buffer
+	var lines, reencoded bytes.Buffer
 	for _, event := range events {
 		if err := json.NewEncoder(&lines).Encode(event); err != nil {
 			t.Fatal(err)
@@ -157,9 +157,9 @@
 		if err := in.Decode(&event); err != nil {
 			t.Fatal(err)
 		}
-		if err := json.NewEncoder(&again).Encode(event); err != nil {
+		if err := json.NewEncoder(&reencoded).Encode(event); err != nil {
 			t.Fatal(err)
 		}
 	}
-	goldentest.Compare(t, "events.jsonl", again.Bytes())
+	goldentest.Compare(t, "events.jsonl", reencoded.Bytes())
 }
--- a/internal/leaderelection/lease_model_test.go
+++ b/internal/leaderelection/lease_model_test.go
@@ -49,7 +49,7 @@
 	value           int
 }
 
-func (s leaseModelState) handOver() leaseModelState {
+func (s leaseModelState) assignNext() leaseModelState {
 	if s.token != 0 {
 		s.supersededToken, s.token = s.token, 0
 	}
@@ -73,7 +73,7 @@
 	for i := 0; i < len(reachable); i++ {
 		var next []leaseModelState
 		if reachable[i].holder != "" {
-			next = append(next, reachable[i].handOver())
+			next = append(next, reachable[i].assignNext())
 		}
 		if reachable[i].queue != "" {
 			for _, candidate := range strings.Split(reachable[i].queue, ",") {
@@ -106,7 +106,7 @@
 	case opRelease:
 		switch {
 		case isHolder:
-			s = s.handOver()
+			s = s.assignNext()
 		case in.token == 0 && s.holder != in.candidate:
 			s = s.removeFromQueue(in.candidate)
 		}
--- a/internal/leaderelection/leasetable/fixtures_test.go
+++ b/internal/leaderelection/leasetable/fixtures_test.go
@@ -65,34 +65,34 @@
 
 // Operations as stored in the log, their outcomes, and the resulting table as stored in a snapshot.
 func TestTableFormat(t *testing.T) {
-	var written bytes.Buffer
+	var encoded bytes.Buffer
 	for _, op := range fixtureOps() {
-		written.Write(append(encode(t, op), '\n'))
+		encoded.Write(append(encode(t, op), '\n'))
 	}
-	goldentest.Compare(t, "operations.jsonl", written.Bytes())
+	goldentest.Compare(t, "operations.jsonl", encoded.Bytes())
 
-	leases := New()
-	var again, outcomes bytes.Buffer
+	table := New()
+	var reencoded, outcomes bytes.Buffer
 	for n, line := range strings.Split(strings.TrimSpace(string(goldentest.Read(t, "operations.jsonl"))), "\n") {
 		var op Operation
 		if err := json.Unmarshal([]byte(line), &op); err != nil {
 			t.Fatal(err)
 		}
-		again.Write(append(encode(t, op), '\n'))
-		fmt.Fprintf(&outcomes, "%s: %s\n", op.Kind, outcome(t, leases.Apply(uint64(10*(n+1)), &op)))
+		reencoded.Write(append(encode(t, op), '\n'))
+		fmt.Fprintf(&outcomes, "%s: %s\n", op.Kind, outcome(t, table.Apply(uint64(10*(n+1)), &op)))
 	}
-	goldentest.Compare(t, "operations.jsonl", again.Bytes())
+	goldentest.Compare(t, "operations.jsonl", reencoded.Bytes())
 	goldentest.Compare(t, "outcomes.txt", outcomes.Bytes())
-	goldentest.Compare(t, "table.json", encode(t, leases.Snapshot()))
+	goldentest.Compare(t, "table.json", encode(t, table.Snapshot()))
 
-	var saved []*Lease
-	if err := json.Unmarshal(goldentest.Read(t, "table.json"), &saved); err != nil {
+	var decoded []*Lease
+	if err := json.Unmarshal(goldentest.Read(t, "table.json"), &decoded); err != nil {
 		t.Fatal(err)
 	}
-	read := FromSnapshot(saved)
-	goldentest.Compare(t, "table.json", encode(t, read.Snapshot()))
-	if read.Revision() != leases.Revision() {
-		t.Errorf("read revision %d, want %d", read.Revision(), leases.Revision())
+	restored := FromSnapshot(decoded)
+	goldentest.Compare(t, "table.json", encode(t, restored.Snapshot()))
+	if restored.Revision() != table.Revision() {
+		t.Errorf("read revision %d, want %d", restored.Revision(), table.Revision())
 	}
 }
 
@@ -119,10 +119,10 @@
 
 // The error texts that a client reads when a limit is reached.
 func TestFullTableReasons(t *testing.T) {
-	leases, index := New(), uint64(0)
-	campaign := func(name, who string) string {
+	table, index := New(), uint64(0)
+	campaign := func(name, candidate string) string {
 		index++
-		return outcome(t, leases.Apply(index, &Operation{Kind: Campaign, Name: name, Candidate: who, TTLMS: 5000})) + "\n"
+		return outcome(t, table.Apply(index, &Operation{Kind: Campaign, Name: name, Candidate: candidate, TTLMS: 5000})) + "\n"
 	}
 	for n := range MaxLeases {
 		campaign(fmt.Sprint("lease-", n), "a")
--- a/internal/leaderelection/leasetable/lease.go
+++ b/internal/leaderelection/leasetable/lease.go
@@ -7,12 +7,12 @@
 
 // Limits of what the table stores.
 const (
-	MaxLeases          = 10_000
-	MaxQueueLength     = 1000
-	MaxCheckpointBytes = 4096 // a checkpoint says where work resumes; it is not the work itself
-	MaxFailoverRecords = 16   // per lease: the candidates whose latest tenures were short
-	MaxFailoverCount   = 8    // per candidate: the hold-down does not grow beyond this count
-	MaxNameLength      = 128  // bytes of a lease's, holder's or candidate's name
+	MaxLeases             = 10_000
+	MaxQueueLength        = 1000
+	MaxCheckpointBytes    = 4096 // a checkpoint says where work resumes; it is not the work itself
+	MaxShortTenureRecords = 16   // per lease: the candidates whose latest tenures were short
+	MaxShortTenureCount   = 8    // per candidate: the hold-down does not grow beyond this count
+	MaxNameLength         = 128  // bytes of a lease's, holder's or candidate's name
 
 	MinTTLMS = 500         // a shorter lease would expire during a raft election
 	MaxTTLMS = 3600 * 1000 // one hour
@@ -50,26 +50,26 @@
 	Checkpoint      []byte `json:"checkpoint,omitempty"`
 	CheckpointToken uint64 `json:"checkpoint_token,omitempty"` // the token under which it was written
 
-	Failovers []Failover `json:"falls,omitempty"` // the latest last
+	ShortTenures []ShortTenureCount `json:"falls,omitempty"` // the latest last
 }
 
 // Failover counts the consecutive short tenures of a candidate. The table only records them. The raft leader delays the
 // next campaign of a candidate with many of them before it reaches the log, so that versions which do not know of
 // failovers still agree on the rest of the table.
-type Failover struct {
+type ShortTenureCount struct {
 	Candidate string `json:"who"`
 	Count     int    `json:"n"`
 	Token     uint64 `json:"token"` // of the latest of these tenures
 }
 
 // FailoversOf returns how many short tenures a candidate has had since its last long one.
-func (l *Lease) FailoversOf(candidate string) Failover {
-	for _, failover := range l.Failovers {
-		if failover.Candidate == candidate {
-			return failover
+func (l *Lease) ShortTenuresOf(candidate string) ShortTenureCount {
+	for _, record := range l.ShortTenures {
+		if record.Candidate == candidate {
+			return record
 		}
 	}
-	return Failover{Candidate: candidate}
+	return ShortTenureCount{Candidate: candidate}
 }
 
 // equalState compares two states of a lease by everything that an operation sets. Transitions changes with the token
@@ -83,6 +83,6 @@
 		a.Revoked == b.Revoked &&
 		a.CheckpointToken == b.CheckpointToken &&
 		slices.Equal(a.Queue, b.Queue) &&
-		slices.Equal(a.Failovers, b.Failovers) &&
+		slices.Equal(a.ShortTenures, b.ShortTenures) &&
 		slices.Equal(a.Checkpoint, b.Checkpoint)
 }
--- a/internal/leaderelection/leasetable/table.go
+++ b/internal/leaderelection/leasetable/table.go
@@ -74,7 +74,7 @@
 		previous = &Lease{Name: op.Name, TTLMS: op.TTLMS}
 	}
 	updated := *previous // a copy: readers keep the state that they were given
-	updated.Queue, updated.Failovers = slices.Clone(previous.Queue), slices.Clone(previous.Failovers)
+	updated.Queue, updated.ShortTenures = slices.Clone(previous.Queue), slices.Clone(previous.ShortTenures)
 	if err := updated.apply(index, op); err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 	case Campaign:
 		return l.campaign(index, op)
 	case Release, Expire:
-		l.giveUp(index, op)
+		l.releaseOrExpire(index, op)
 		return nil
 	case Handover:
 		return l.handOver(op.Successor)
@@ -125,7 +125,7 @@
 
 // giveUp ends a tenure or a place in the queue. A token that is not the current one is a repeat, or of a tenure that has
 // ended already: it changes nothing.
-func (l *Lease) giveUp(index uint64, op *Operation) {
+func (l *Lease) releaseOrExpire(index uint64, op *Operation) {
 	switch {
 	case l.isHeldBy(op):
 		l.recordTenure(op)
@@ -196,11 +196,11 @@
 	if l.StepDownRequested || l.Revoked {
 		return
 	}
-	count := l.FailoversOf(op.Candidate).Count
-	l.Failovers = slices.DeleteFunc(l.Failovers, func(failover Failover) bool { return failover.Candidate == op.Candidate })
+	count := l.ShortTenuresOf(op.Candidate).Count
+	l.ShortTenures = slices.DeleteFunc(l.ShortTenures, func(record ShortTenureCount) bool { return record.Candidate == op.Candidate })
 	if op.ShortTenure {
-		l.Failovers = append(l.Failovers, Failover{op.Candidate, min(count+1, MaxFailoverCount), op.Token})
-		l.Failovers = l.Failovers[max(0, len(l.Failovers)-MaxFailoverRecords):]
+		l.ShortTenures = append(l.ShortTenures, ShortTenureCount{op.Candidate, min(count+1, MaxShortTenureCount), op.Token})
+		l.ShortTenures = l.ShortTenures[max(0, len(l.ShortTenures)-MaxShortTenureRecords):]
 	}
 }
 
--- a/internal/leaderelection/leasetable/table_test.go
+++ b/internal/leaderelection/leasetable/table_test.go
@@ -9,7 +9,7 @@
 )
 
 // withoutFailovers returns an operation as a version that does not know of failovers reads it.
-func withoutFailovers(op Operation) Operation {
+func withoutShortTenure(op Operation) Operation {
 	op.ShortTenure = false
 	return op
 }
@@ -38,17 +38,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			previousOp := withoutFailovers(decoded)
+			previousOp := withoutShortTenure(decoded)
 			got := fmt.Sprint(current.Apply(index, &decoded))
 			want := fmt.Sprint(previous.Apply(index, &previousOp))
 			a, _ := current.Get("d")
 			b, _ := previous.Get("d")
-			for _, failover := range a.Failovers {
-				if failover.Count < 1 || failover.Count > MaxFailoverCount || len(a.Failovers) > MaxFailoverRecords {
-					t.Fatalf("failovers %+v", a.Failovers)
+			for _, record := range a.ShortTenures {
+				if record.Count < 1 || record.Count > MaxShortTenureCount || len(a.ShortTenures) > MaxShortTenureRecords {
+					t.Fatalf("failovers %+v", a.ShortTenures)
 				}
 			}
-			a.Failovers = nil
+			a.ShortTenures = nil
 			if got != want || fmt.Sprint(a) != fmt.Sprint(b) {
 				t.Fatalf("at %d after %+v: %s %+v, before: %s %+v", index, op, got, a, want, b)
 			}
@@ -60,15 +60,15 @@
 }
 
 // Consecutive short tenures are counted, a long one clears the count, and one that an operator ended does not count.
-func TestFailoverCounts(t *testing.T) {
-	leases, index := New(), uint64(0)
+func TestShortTenureCounts(t *testing.T) {
+	table, index := New(), uint64(0)
 	apply := func(op Operation) Lease {
 		index++
 		op.Name = "d"
-		if err := leases.Apply(index, &op); err != nil {
+		if err := table.Apply(index, &op); err != nil {
 			t.Fatal(err)
 		}
-		lease, _ := leases.Get("d")
+		lease, _ := table.Get("d")
 		return lease
 	}
 	tenure := func(shortTenure, revoked bool) int {
@@ -77,7 +77,7 @@
 			apply(Operation{Kind: Revoke})
 		}
 		lease = apply(Operation{Kind: Release, Candidate: "a", Token: lease.Token, ShortTenure: shortTenure})
-		return lease.FailoversOf("a").Count
+		return lease.ShortTenuresOf("a").Count
 	}
 	for _, step := range []struct {
 		name                 string
@@ -94,10 +94,10 @@
 			t.Errorf("%s: %d failovers, want %d", step.name, got, step.want)
 		}
 	}
-	for range MaxFailoverCount {
+	for range MaxShortTenureCount {
 		tenure(true, false)
 	}
-	if got := tenure(true, false); got != MaxFailoverCount {
-		t.Errorf("%d failovers, at most %d are counted", got, MaxFailoverCount)
+	if got := tenure(true, false); got != MaxShortTenureCount {
+		t.Errorf("%d failovers, at most %d are counted", got, MaxShortTenureCount)
 	}
 }
--- a/internal/leaderelection/linearizability_test.go
+++ b/internal/leaderelection/linearizability_test.go
@@ -45,7 +45,7 @@
 }
 
 // rejected tells a write that was rejected from one whose outcome is unknown.
-func rejected(err error) bool {
+func isRejection(err error) bool {
 	var status *registry.StatusError
 	return errors.As(err, &status) && (status.StatusCode == http.StatusConflict || status.StatusCode == http.StatusNotFound)
 }
@@ -68,12 +68,12 @@
 
 // run does one operation after another until stopping is set.
 func (c *historyClient) run(ctx context.Context, stopping *atomic.Bool) error {
-	c.reincarnate()
+	c.nextIncarnation()
 	for !stopping.Load() {
-		in := c.nextInput()
+		in := c.randomInput()
 		calledAt := time.Now()
 		state, err := c.perform(ctx, calledAt, in)
-		if err != nil && !rejected(err) {
+		if err != nil && !isRejection(err) {
 			return fmt.Errorf("%s %s: %w", c.candidate, in.operation, err)
 		}
 		switch in.operation {
@@ -87,7 +87,7 @@
 			}
 		}
 		if in.operation == opRelease {
-			c.reincarnate()
+			c.nextIncarnation()
 		}
 		if c.rng.IntN(40) == 0 { // sometimes for longer than a lease
 			time.Sleep(time.Duration(c.rng.Float64() * 1.5 * float64(c.ttl)))
@@ -97,13 +97,13 @@
 }
 
 // reincarnate takes a new name, as a process that starts again does; else the hold-down would apply.
-func (c *historyClient) reincarnate() {
+func (c *historyClient) nextIncarnation() {
 	c.candidate, c.token = fmt.Sprint(c.name, "-", c.incarnation), 0
 	c.incarnation++
 }
 
 // nextInput draws an operation, with a value that no other operation writes.
-func (c *historyClient) nextInput() leaseInput {
+func (c *historyClient) randomInput() leaseInput {
 	operations := []leaseOperation{opCampaign, opCampaign, opRead}
 	if c.token != 0 {
 		operations = []leaseOperation{
@@ -124,7 +124,7 @@
 		return c.client.UpdateLease(ctx, leasetable.Campaign, c.leaseName, request)
 	case opRelease:
 		state, err := c.client.UpdateLease(ctx, leasetable.Release, c.leaseName, request)
-		if rejected(err) { // nobody has campaigned for the lease yet
+		if isRejection(err) { // nobody has campaigned for the lease yet
 			return leasetable.Lease{}, nil
 		}
 		return state, err
@@ -146,7 +146,7 @@
 		return leasetable.Lease{}, err
 	case opReadValue:
 		instance, err := c.client.Get(ctx, c.leaseName, true)
-		if err == nil || rejected(err) { // rejected: it has not been written yet
+		if err == nil || isRejection(err) { // rejected: it has not been written yet
 			c.record(calledAt, in, leaseOutput{value: valueOf(instance.Capacity)})
 			return leasetable.Lease{}, nil
 		}
--- a/internal/leaderelection/tenure.go
+++ b/internal/leaderelection/tenure.go
@@ -45,7 +45,7 @@
 			if remaining := t.remaining(); remaining > 0 { // it was renewed meanwhile
 				expiry = clock.After(remaining)
 			} else {
-				t.lose(lease.ValidUntil())
+				t.handleLoss(lease.ValidUntil())
 			}
 		case <-renewalDue:
 			t.startRenewal(ctx)
@@ -68,7 +68,7 @@
 }
 
 // lose cancels the work. ValidUntil is set where the lease expired, zero where it is another's.
-func (t *tenure) lose(validUntil time.Time) {
+func (t *tenure) handleLoss(validUntil time.Time) {
 	if t.lost {
 		return
 	}
@@ -100,7 +100,7 @@
 	case result.err == nil && !t.lost:
 		t.emit(Event{Type: Renewed, Token: t.lease.Token, At: result.answeredAt, ValidUntil: t.lease.ValidUntil()})
 	case errors.Is(result.err, ErrLeaseLost):
-		t.lose(time.Time{})
+		t.handleLoss(time.Time{})
 	}
 }
 
@@ -109,7 +109,7 @@
 	switch {
 	case state.Revision < t.lease.Token: // from before this tenure
 	case state.Holder != t.lease.Holder || state.Token != t.lease.Token || state.Revoked:
-		t.lose(time.Time{})
+		t.handleLoss(time.Time{})
 	case state.StepDownRequested && t.workCtx.Err() == nil:
 		t.stopWork(ErrStepDownRequested)
 		t.emit(Event{Type: StepDownRequested, Token: t.lease.Token, At: t.now(), ValidUntil: t.lease.ValidUntil()})
--- a/internal/registry/holddown.go
+++ b/internal/registry/holddown.go
@@ -22,7 +22,7 @@
 // holdDown delays the next campaign of a candidate that held a lease several times for a short while. The count of short
 // tenures is replicated; the time is the leader's, and a new leader starts all hold-downs again.
 type holdDown struct {
-	failover       leasetable.Failover
+	failover       leasetable.ShortTenureCount
 	expiresAt      time.Time
 	lastCampaignAt time.Time // last attempt that was rejected; zero: none
 }
@@ -40,11 +40,11 @@
 func (t *leaseTracker) trackHoldDownsLocked(now time.Time, lease *leasetable.Lease) {
 	entries := t.holdDowns[lease.Name]
 	for candidate, entry := range entries {
-		if lease.FailoversOf(candidate).Token != entry.failover.Token {
+		if lease.ShortTenuresOf(candidate).Token != entry.failover.Token {
 			delete(entries, candidate)
 		}
 	}
-	for _, failover := range lease.Failovers {
+	for _, failover := range lease.ShortTenures {
 		duration := holdDownDuration(milliseconds(lease.TTLMS), failover.Count)
 		if duration == 0 || entries[failover.Candidate] != nil {
 			continue
--- a/internal/registry/holddown_test.go
+++ b/internal/registry/holddown_test.go
@@ -94,7 +94,7 @@
 		}
 	}
 	// A new leader starts all hold-downs again, so that only their bounds are known.
-	duration := holdDownDuration(modelTTL, min(candidate.shortTenures, leasetable.MaxFailoverCount))
+	duration := holdDownDuration(modelTTL, min(candidate.shortTenures, leasetable.MaxShortTenureCount))
 	heldDown := candidate.shortTenures > allowedShortTenures && candidate.tenureEndedAt >= m.leaderSince &&
 		m.now < candidate.tenureEndedAt+duration
 	admitted := m.leader.admitCandidate(m.clock(), m.state, "d", candidate.name)
