--- a/internal/leaderelection/bench/bench.go
+++ b/internal/leaderelection/bench/bench.go
@@ -1,8 +1,8 @@
-// Package bench runs contests for leases between processes of the program, kills, freezes and stops their holders, and
-// judges from what the processes print whether two of them ever believed at a time that they hold one lease.
+// Package bench runs candidate processes that compete for leases, kills, freezes and stops the holders, and checks from the
+// output of the processes whether two of them ever considered themselves the holder of one lease at the same time.
 //
-// The processes print when they began and ceased to believe, on the machine's monotonic clock, which all of them share;
-// when a line was printed does not matter.
+// Each process prints when it started and stopped considering itself the holder, by the machine's monotonic clock, which
+// all processes share. When a line was printed does not matter.
 package bench
 
 import (
@@ -17,32 +17,32 @@
 	"milldeck/internal/registry/cluster"
 )
 
-// Options say what is run.
+// Options configure a run of the bench.
 type Options struct {
-	Program string // path of milldeck
-	Dir     string // for logs; it has to be empty, as logs of another run would be judged with this one's
+	Program string // path of the milldeck binary
+	Dir     string // for logs; must be empty, because logs of another run would be analyzed together with this run's
 	Seed    uint64
 
 	Replicas           int
-	Leases             int           // contested at a time, each by two candidates
-	Faults             int           // in all, of the holders
+	Leases             int           // how many are contended at a time, each by two candidates
+	Faults             int           // total number of faults that are injected into holders
 	TTL                time.Duration // of the leases
 	CheckpointInterval time.Duration // between two guarded writes of a holder
-	LeaderKillInterval time.Duration // between two kills of the registry's raft leader; 0: it is not killed
+	LeaderKillInterval time.Duration // between two kills of the registry's raft leader; 0: no kills
 	FreezeHolders      bool          // holders are also frozen for longer than their leases
-	ClockFaults        []string      // of the candidates' clocks in turn, in the form of clock.Parse; none: the clocks are right
-	QueueLengths       []int         // for each, the log entries of a handover are counted
-	BatchedRenewals    int           // leases of one holder that are renewed together; 0: not measured
+	ClockFaults        []string      // of the candidates' clocks in turn, in the form of clock.Parse; none: no clock has a fault
+	QueueLengths       []int         // the log entries per handover are counted at each of these lengths
+	BatchedRenewals    int           // leases that one holder renews together; 0: renewals are not measured
 
-	// FaultTime ends the faults early on a machine that is too slow for all of them; 0: all are injected.
+	// FaultTime ends the injection of faults early on a machine that is too slow for all of them; 0: all are injected.
 	FaultTime time.Duration
-	// Timeout fails the whole run; 0: only the caller's context ends it.
+	// Timeout is the time after which the whole run fails; 0: only the caller's context ends it.
 	Timeout time.Duration
 
-	Progress func(string) // called with lines for the operator; nil: not called
+	Progress func(string) // called with lines for the operator; may be nil
 }
 
-// QuickOptions takes about 20 s on an idle machine and ends within two minutes on any.
+// QuickOptions returns options for a run that takes about 20 s on an idle machine and ends within two minutes on any.
 func QuickOptions() Options {
 	return Options{
 		Seed:               1,
@@ -60,7 +60,7 @@
 	}
 }
 
-// FullOptions is QuickOptions with four times as many faults.
+// FullOptions returns QuickOptions with four times as many faults and four times their limits of time.
 func FullOptions() Options {
 	opts := QuickOptions()
 	opts.Faults *= 4
@@ -69,7 +69,7 @@
 	return opts
 }
 
-// Result is what was measured.
+// Result holds what a run measured.
 type Result struct {
 	Faults      int `json:"faults"`
 	Kills       int `json:"kills"`
@@ -77,18 +77,20 @@
 	Stops       int `json:"stops"`
 	LeaderKills int `json:"leader_kills"`
 
-	Tenures                  int `json:"tenures"`
-	Overlaps                 int `json:"overlaps"`  // consecutive tenures of a lease during which two processes believed to hold it
-	LateReleaseConfirmations int `json:"told_late"` // releases that were confirmed after the next tenure had begun; no overlap
+	Tenures int `json:"tenures"`
+	// Overlaps counts consecutive tenures of a lease during which two processes considered themselves the holder.
+	Overlaps int `json:"overlaps"`
+	// LateReleaseConfirmations counts releases that were confirmed after the next tenure had started. They are no overlaps.
+	LateReleaseConfirmations int `json:"told_late"`
 	ExpiredUnclaimed         int `json:"not_taken"` // assigned leases that expired before the candidate's first renewal was answered
 	GuardedWrites            int `json:"saves"`
 	RejectedWrites           int `json:"refused"` // guarded writes whose token was no longer valid
-	DuplicateWrites          int `json:"twice"`   // guarded writes that took effect twice, or after one under a later token
-	// Violations describes overlaps, duplicate writes and impossible events, the first maxViolations by text.
+	DuplicateWrites          int `json:"twice"`   // guarded writes that took effect twice, or after a write under a later token
+	// Violations describes overlaps, duplicate writes and impossible events: the first maxViolations in order of their text.
 	Violations []string `json:"broken,omitempty"`
 
-	// Times without a holder, in ms, after a release and after a kill. Those in which the registry had no raft leader
-	// are left out.
+	// Times without a holder after a release and after a kill, in ms. Times in which the registry may have had no raft
+	// leader are left out.
 	ReleaseGapP50MS float64 `json:"release_gap_p50_ms"`
 	ReleaseGapP99MS float64 `json:"release_gap_p99_ms"`
 	KillGapP50MS    float64 `json:"kill_gap_p50_ms"`
@@ -100,13 +102,13 @@
 	Seconds           float64        `json:"seconds"` // duration of the run
 }
 
-// HandoverCost is how many log entries a handover takes with so many candidates in the queue.
+// HandoverCost is the number of log entries that a handover takes with a number of candidates in the queue.
 type HandoverCost struct {
 	Candidates int     `json:"candidates"`
 	LogEntries float64 `json:"entries"`
 }
 
-// benchRun is one run. All its times are in ns of the machine's monotonic clock.
+// benchRun is the state of one run. All its times are in ns of the machine's monotonic clock.
 type benchRun struct {
 	opts    Options
 	cluster *cluster.Cluster
@@ -116,20 +118,20 @@
 	remainingFaults int
 	result          *Result
 	killedAt        map[string]int64 // by candidate
-	stopRequestedAt map[string]int64 // by candidate: when it was sent SIGTERM or killed
-	leaderKills     []int64          // of the registry's raft leaders
+	stopRequestedAt map[string]int64 // by candidate: when the bench was about to send SIGTERM or SIGKILL
+	leaderKills     []int64          // when raft leaders of the registry were killed
 
-	// Used by the judge alone.
+	// Only analyzeLogs uses these.
 	releaseGaps, killGaps []holderGap
 }
 
-// Run runs the bench. It fails if the processes or the registry do not work as they should; overlaps and other
-// violations are in the result.
+// Run runs the bench. It fails if the processes or the registry do not work as they should. Overlaps and other violations
+// are part of the result, not an error.
 func Run(ctx context.Context, opts Options) (*Result, error) {
 	startedAt := time.Now()
 	if opts.Timeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeoutCause(ctx, opts.Timeout, fmt.Errorf("not over after %v", opts.Timeout))
+		ctx, cancel = context.WithTimeoutCause(ctx, opts.Timeout, fmt.Errorf("the bench did not finish within %v", opts.Timeout))
 		defer cancel()
 	}
 	result, err := runBench(ctx, opts)
@@ -149,7 +151,7 @@
 	}
 	defer addresses.Release()
 	replicas, err := cluster.Start(ctx, opts.Replicas, cluster.Options{Program: opts.Program, DataDir: opts.Dir, Addresses: addresses})
-	defer func() { _ = replicas.Close() }() // the processes have served their purpose
+	defer func() { _ = replicas.Close() }() // an error matters no more once the run has ended
 	if err != nil {
 		return nil, err
 	}
--- a/internal/leaderelection/bench/candidates.go
+++ b/internal/leaderelection/bench/candidates.go
@@ -17,43 +17,43 @@
 )
 
 const (
-	// leasePrefix begins the names of the contested leases, and so of the candidates and their logs.
+	// leasePrefix is the prefix of the names of the contended leases, and therefore of the candidates and their logs.
 	leasePrefix = "duty-"
-	// candidatesPerLease work at a time: a holder and one that waits.
+	// candidatesPerLease is the number of candidates that run at a time: a holder and one that waits.
 	candidatesPerLease = 2
-	// holderTimeout is how long a lease with live candidates may be without a holder at work. A lease, elections and a
-	// busy machine together take far less.
+	// holderTimeout is how long a lease with running candidates may be without a working holder. The expiry of a lease, raft
+	// elections and a busy machine together take far less.
 	holderTimeout = time.Minute
-	// logPollInterval bounds one wait for a line of the holder's log: the holder may have lost the lease before it began,
-	// so the state of the lease is read again.
+	// logPollInterval limits one wait for a line of the holder's log. The holder may have lost the lease before it started
+	// its work, so the state of the lease is read again after each wait.
 	logPollInterval = 100 * time.Millisecond
-	// progressInterval is how many faults there are between two lines of progress.
+	// progressInterval is the number of faults between two lines of progress.
 	progressInterval = 100
-	// stopTimeout bounds the end of a process after SIGTERM; it waits for its release, up to 2 s.
+	// stopTimeout limits the time that a process takes to exit after SIGTERM. It waits up to 2 s for its release to be answered.
 	stopTimeout = 30 * time.Second
 )
 
-// faultKind is what happens to a holder. The kinds are drawn with equal chances.
+// faultKind is a fault that is injected into a holder. All kinds have the same probability.
 type faultKind int
 
 const (
-	freezeFault faultKind = iota // where Options.FreezeHolders is not set, it is killed
+	freezeFault faultKind = iota // without Options.FreezeHolders, the holder is killed instead
 	stopFault
 	killFault
-	faultKindCount // how many there are
+	faultKindCount // number of kinds
 )
 
-// contest is the contest of candidate processes for one lease.
+// candidateGroup holds the candidate processes that compete for one lease.
 type candidateGroup struct {
 	*benchRun
 	leaseName    string
 	updates      latest.Value[leasetable.Lease]
-	lease        leasetable.Lease // the newest state that was received
+	lease        leasetable.Lease // the newest state received
 	candidates   map[string]*proc.Process
-	startedCount int // candidates, ever
+	startedCount int // candidates that were ever started
 }
 
-// runContest keeps two candidates of a lease at work and injects faults into its holders.
+// runCandidates keeps two candidates of a lease running and injects faults into its holders.
 func (b *benchRun) runCandidates(ctx context.Context, n int) error {
 	rng := rand.New(rand.NewPCG(b.opts.Seed, uint64(n)))
 	c := &candidateGroup{
@@ -64,7 +64,7 @@
 	}
 	watchCtx, stopWatch := context.WithCancel(ctx)
 	var background sync.WaitGroup
-	background.Go(func() { _ = b.client.WatchLease(watchCtx, c.leaseName, c.updates.Set) }) // it ends only with its context
+	background.Go(func() { _ = b.client.WatchLease(watchCtx, c.leaseName, c.updates.Set) }) // returns only when its context ends
 	defer background.Wait()
 	defer stopWatch()
 	defer c.killCandidates()
@@ -81,7 +81,7 @@
 		if !b.reserveFault() {
 			return nil
 		}
-		// The fault comes at any moment of its work, its renewals and its writes.
+		// The random delay lets the fault hit any moment of the holder's work, renewals and writes.
 		if !sleep(ctx, time.Duration(rng.Float64()*float64(b.opts.TTL))) {
 			return context.Cause(ctx)
 		}
@@ -120,7 +120,7 @@
 	}
 }
 
-// injectFault freezes, stops or kills a holder, and replaces one that has ended.
+// injectFault freezes, stops or kills a holder. It starts a new candidate in place of one that has ended.
 func (c *candidateGroup) injectFault(ctx context.Context, holder string, rng *rand.Rand) error {
 	process := c.candidates[holder]
 	switch kind := faultKind(rng.IntN(int(faultKindCount))); {
@@ -139,7 +139,7 @@
 	return c.addCandidate()
 }
 
-// freeze stops the scheduling of a holder until another holds the lease and has begun to work.
+// freeze suspends a holder until another candidate holds the lease and has started its work, and a random time longer.
 func (c *candidateGroup) freeze(ctx context.Context, holder string, process *proc.Process, rng *rand.Rand) error {
 	c.addTo(&c.result.Freezes, 1)
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
@@ -150,21 +150,22 @@
 	return errors.Join(err, process.Signal(syscall.SIGCONT))
 }
 
-// stop has a holder end in good order.
+// stop stops a holder gracefully.
 func (c *candidateGroup) stop(ctx context.Context, holder string, process *proc.Process) error {
 	c.recordTime(c.stopRequestedAt, holder)
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
 	if err := process.Stop(ctx); err != nil {
-		return fmt.Errorf("%w; its log ends:\n%s", err, process.Log())
+		return fmt.Errorf("%w; the end of its log:\n%s", err, process.Log())
 	}
 	return nil
 }
 
-// awaitHolder waits until a live candidate other than the excluded one holds the lease and works, and returns its name.
+// awaitHolder waits until a running candidate other than the excluded one holds the lease and has started its work, and
+// returns its name.
 func (c *candidateGroup) awaitHolder(ctx context.Context, excluded string) (string, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, holderTimeout,
-		fmt.Errorf("%s has had no holder at work for %v", c.leaseName, holderTimeout))
+		fmt.Errorf("lease %s has had no working holder for %v", c.leaseName, holderTimeout))
 	defer cancel()
 	for {
 		select {
@@ -175,7 +176,7 @@
 		if process == nil || holder == excluded {
 			select {
 			case <-ctx.Done():
-				return "", fmt.Errorf("%w; last known: %+v", context.Cause(ctx), c.lease)
+				return "", fmt.Errorf("%w; last known state of the lease: %+v", context.Cause(ctx), c.lease)
 			case c.lease = <-c.updates.C():
 			}
 			continue
@@ -185,14 +186,14 @@
 		case err == nil:
 			return holder, nil
 		case ctx.Err() != nil:
-			return "", fmt.Errorf("%w; last known: %+v; %w", context.Cause(ctx), c.lease, err)
+			return "", fmt.Errorf("%w; last known state of the lease: %+v; %w", context.Cause(ctx), c.lease, err)
 		case !process.Running():
 			return "", err
 		}
 	}
 }
 
-// awaitAcquired waits for a moment until the holder has printed that it has acquired the lease.
+// awaitAcquired waits for up to logPollInterval until the holder has printed that it has acquired the lease.
 func (c *candidateGroup) awaitAcquired(ctx context.Context, holder string, process *proc.Process) error {
 	ctx, cancel := context.WithTimeout(ctx, logPollInterval)
 	defer cancel()
--- a/internal/leaderelection/bench/costs.go
+++ b/internal/leaderelection/bench/costs.go
@@ -9,10 +9,10 @@
 	"milldeck/internal/registry"
 )
 
-// idleTTLMS is a lease that does not expire while costs are measured.
+// longTTLMS is the TTL of leases that must not expire while costs are measured.
 const longTTLMS = 600_000
 
-// measureHandovers counts the log entries of a handover for each queue length.
+// measureHandovers counts the log entries per handover for each queue length.
 func (b *benchRun) measureHandovers(ctx context.Context) error {
 	const handovers = 10
 	for _, candidates := range b.opts.QueueLengths {
@@ -38,12 +38,12 @@
 		}
 		cost := HandoverCost{candidates, float64(last-first) / handovers}
 		b.result.HandoverCosts = append(b.result.HandoverCosts, cost)
-		b.reportProgress("%d candidates: %.1f log entries a handover", candidates, cost.LogEntries)
+		b.reportProgress("%d candidates: %.1f log entries per handover", candidates, cost.LogEntries)
 	}
 	return nil
 }
 
-// appliedIndex is the log index up to which the raft leader has applied.
+// appliedIndex returns the log index up to which the raft leader has applied the log.
 func (b *benchRun) appliedIndex(ctx context.Context) (uint64, error) {
 	leader, err := b.cluster.AwaitLeader(ctx)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return err
 }
 
-// measureRenewals counts how many renewals a second one holder of many leases gets through in batches.
+// measureRenewals measures how many renewals per second one holder of many leases completes in batches.
 func (b *benchRun) measureRenewals(ctx context.Context) error {
 	if b.opts.BatchedRenewals == 0 {
 		return nil
@@ -81,13 +81,13 @@
 	for ; time.Since(startedAt) < time.Second; requests++ {
 		lost, err := b.client.RenewLeases(ctx, holder, renewals)
 		if err != nil {
-			return fmt.Errorf("renewals: %w", err)
+			return fmt.Errorf("renew leases in a batch: %w", err)
 		}
 		if len(lost) > 0 {
-			return fmt.Errorf("%d of %d renewals lost", len(lost), len(renewals))
+			return fmt.Errorf("%d of %d leases were lost while they were renewed", len(lost), len(renewals))
 		}
 	}
 	b.result.RenewalsPerSecond = float64(requests*len(renewals)) / time.Since(startedAt).Seconds()
-	b.reportProgress("%.0f renewals a second", b.result.RenewalsPerSecond)
+	b.reportProgress("%.0f renewals per second", b.result.RenewalsPerSecond)
 	return nil
 }
--- a/internal/leaderelection/bench/faults.go
+++ b/internal/leaderelection/bench/faults.go
@@ -9,7 +9,7 @@
 	"milldeck/internal/leaderelection/clock"
 )
 
-// injectFaults contests all leases and injects faults until enough were injected or FaultTime is over.
+// injectFaults runs candidates for all leases and injects faults until all are injected or FaultTime is over.
 func (b *benchRun) injectFaults(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// reserveFault reports whether one more fault is to be injected, and counts it.
+// reserveFault reports whether one more fault is to be injected, and if so counts it.
 func (b *benchRun) reserveFault() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -81,7 +81,7 @@
 	*counter += delta
 }
 
-// kill ends a process and records when: once it has exited it believes nothing any more.
+// kill kills a process and records when it has exited: from then on it cannot consider itself a holder.
 func (b *benchRun) kill(candidate string, process *proc.Process) {
 	b.recordTime(b.stopRequestedAt, candidate)
 	process.Kill()
@@ -94,7 +94,7 @@
 	times[candidate] = clock.MonotonicNS()
 }
 
-// sleep reports whether it has waited for the whole time; if not, ctx has ended.
+// sleep waits for d and reports true, or reports false as soon as ctx ends.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/leaderelection/bench/fixtures_test.go
+++ b/internal/leaderelection/bench/fixtures_test.go
@@ -7,7 +7,7 @@
 	"milldeck/internal/goldentest"
 )
 
-// The result as --json writes it.
+// Guards the format of the result that `milldeck duty bench --json` prints.
 func TestResultFormat(t *testing.T) {
 	encode := func(r *Result) []byte {
 		data, err := json.MarshalIndent(r, "", "  ")
--- a/internal/leaderelection/bench/log_analysis.go
+++ b/internal/leaderelection/bench/log_analysis.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// maxViolations bounds the violations that are listed; a single one makes a run a failure.
+	// maxViolations limits the violations that the result lists; a single violation makes a run a failure.
 	maxViolations = 20
-	// electionTime is how long after the kill of a raft leader a gap may be due to the election of another.
+	// maxElectionTime is how long after the kill of a raft leader the election of another may cause a gap.
 	maxElectionTime = 2 * time.Second
 )
 
-// holderEvent is a line that a holder prints. Times are ns of the machine's monotonic clock.
+// holderEvent is a line that a candidate process prints. Times are in ns of the machine's monotonic clock.
 type holderEvent struct {
 	Type         leaderelection.EventType `json:"what"`
 	Lease        string                   `json:"duty"`
@@ -29,25 +29,25 @@
 	Token        uint64                   `json:"token"`
 	AtNS         int64                    `json:"at_ns"`
 	ValidUntilNS int64                    `json:"until_ns"`
-	Count        int                      `json:"count"` // of a trial write: the number that it wrote
+	Count        int                      `json:"count"` // for a trial write: the number that it stored
 }
 
-// tenure is the time in which a process believed that it held a lease.
+// tenure is the period in which a process considered itself the holder of a lease.
 type tenure struct {
 	candidate        string
 	token            uint64
 	beganNS, endedNS int64
-	releasedNS       int64 // when the holder received the confirmation of its release; 0: it did not
-	counts           []int // that its trial writes wrote
+	releasedNS       int64 // when the holder received the confirmation of its release; 0: never
+	counts           []int // the numbers that its trial writes stored
 }
 
-// holderGap is a time without a holder.
+// holderGap is a period in which a lease had no holder.
 type holderGap struct {
 	ms         float64
-	leaderless bool // the registry had no raft leader for a part of it
+	leaderless bool // the registry may have had no raft leader for a part of it
 }
 
-// judge reads what all processes printed and completes the result.
+// analyzeLogs reads the logs of all candidate processes and completes the result.
 func (b *benchRun) analyzeLogs() error {
 	logs, err := filepath.Glob(filepath.Join(b.opts.Dir, leasePrefix+"*.log"))
 	if err != nil {
@@ -75,13 +75,13 @@
 	return nil
 }
 
-// readTenures reads the tenures of one process, by token, and adds them to those of their leases.
+// readTenures reads the tenures in the log of one process. It returns them by token, and adds them to byLease.
 func (b *benchRun) readTenures(log []byte, byLease map[string][]*tenure) map[uint64]*tenure {
 	byToken := map[uint64]*tenure{}
 	for lines := bufio.NewScanner(bytes.NewReader(log)); lines.Scan(); {
 		var event holderEvent
 		if json.Unmarshal(lines.Bytes(), &event) != nil || event.Lease == "" {
-			continue // a log line, or one that a kill cut off
+			continue // a line of the logger, or an event that a kill truncated
 		}
 		if event.Type == leaderelection.Acquired {
 			t := &tenure{candidate: event.Candidate, token: event.Token, beganNS: event.AtNS, endedNS: event.ValidUntilNS}
@@ -94,7 +94,8 @@
 	return byToken
 }
 
-// applyEvent adds an event to its tenure, nil where the process has not acquired the lease under the event's token.
+// applyEvent applies an event to the tenure t. It is nil if the process has not acquired the lease under the event's
+// token.
 func (b *benchRun) applyEvent(event *holderEvent, t *tenure) {
 	switch {
 	case event.Type == leaderelection.Waiting:
@@ -116,7 +117,7 @@
 	}
 }
 
-// judgeLease judges the tenures of one lease in the order of their tokens.
+// checkLease checks the tenures of one lease in the order of their tokens.
 func (b *benchRun) checkLease(name string, tenures []*tenure) {
 	slices.SortFunc(tenures, func(x, y *tenure) int { return cmp.Compare(x.token, y.token) })
 	b.result.Tenures += len(tenures)
@@ -126,7 +127,7 @@
 			b.checkTransition(name, tenures[i-1], t)
 		}
 		for _, count := range t.counts {
-			// A holder writes the checkpoint that it found plus one, so a count that comes again was written twice.
+			// A holder counts up by one per write from the checkpoint that it found, so a repeated count was written twice.
 			if count <= lastCount {
 				b.result.DuplicateWrites++
 				b.addViolation("%s: count %d under token %d after %d", name, count, t.token, lastCount)
@@ -136,7 +137,7 @@
 	}
 }
 
-// judgeTransition compares a tenure with the one before it.
+// checkTransition checks two consecutive tenures of a lease for an overlap, and records the gap between them.
 func (b *benchRun) checkTransition(name string, previous, next *tenure) {
 	if next.beganNS < previous.endedNS {
 		b.result.Overlaps++
@@ -172,7 +173,8 @@
 	})
 }
 
-// quantiles of the gaps in which the registry had a raft leader throughout: the others measure its elections.
+// quantiles returns the median and the 99th percentile of the gaps in which the registry had a raft leader throughout. The
+// other gaps would measure the registry's elections.
 func quantiles(gaps []holderGap) (p50, p99 float64) {
 	var ms []float64
 	for _, gap := range gaps {
--- a/internal/leaderelection/bench/log_analysis_test.go
+++ b/internal/leaderelection/bench/log_analysis_test.go
@@ -8,30 +8,31 @@
 	"testing"
 )
 
-// eventLine is an event as a holder prints it.
+// eventLine returns an event as a holder prints it.
 func eventLine(eventType, candidate string, token uint64, atNS, validUntilNS int64) string {
 	return fmt.Sprintf(`{"what":%q,"duty":"duty-0","who":%q,"token":%d,"at_ns":%d,"until_ns":%d}`+"\n", eventType, candidate, token, atNS, validUntilNS)
 }
 
-// savedLine is a trial write as a holder prints it.
+// savedLine returns a successful trial write as a holder prints it.
 func savedLine(candidate string, token uint64, count int) string {
 	return fmt.Sprintf(`{"what":"saved","duty":"duty-0","who":%q,"token":%d,"count":%d}`+"\n", candidate, token, count)
 }
 
-// The judge goes by when holders believed, not by when their lines were printed, and skips lines of any other form.
+// The analysis uses the times at which processes considered themselves the holder, not the times at which their lines were
+// printed, and skips lines of any other form.
 func TestAnalyzeLogs(t *testing.T) {
 	a := eventLine("acquired", "a", 5, 100, 600) + eventLine("renewed", "a", 5, 200, 700) + savedLine("a", 5, 1)
 	for name, c := range map[string]struct {
-		a, b       string // what two processes print
-		killedNS   int64  // when a was killed; 0: it was not
+		a, b       string // the output of two processes
+		killedNS   int64  // when a was killed; 0: never
 		want       Result
 		violations int
 	}{
-		"one after the other": {a: a, b: eventLine("acquired", "b", 9, 750, 1250) + savedLine("b", 9, 2)},
-		"overlapping":         {a: a, b: eventLine("acquired", "b", 9, 650, 1150), want: Result{Overlaps: 1}, violations: 1},
-		"killed":              {a: a, b: eventLine("acquired", "b", 9, 650, 1150), killedNS: 640},
-		"lost":                {a: a + eventLine("lost", "a", 5, 640, 0), b: eventLine("acquired", "b", 9, 650, 1150)},
-		"confirmed late": {
+		"consecutive": {a: a, b: eventLine("acquired", "b", 9, 750, 1250) + savedLine("b", 9, 2)},
+		"overlapping": {a: a, b: eventLine("acquired", "b", 9, 650, 1150), want: Result{Overlaps: 1}, violations: 1},
+		"killed":      {a: a, b: eventLine("acquired", "b", 9, 650, 1150), killedNS: 640},
+		"lost":        {a: a + eventLine("lost", "a", 5, 640, 0), b: eventLine("acquired", "b", 9, 650, 1150)},
+		"release confirmed late": {
 			a: a + eventLine("stopped", "a", 5, 300, 0) + eventLine("released", "a", 5, 360, 0), b: eventLine("acquired", "b", 9, 350, 850),
 			want: Result{LateReleaseConfirmations: 1},
 		},
@@ -41,7 +42,7 @@
 		"expired unclaimed": {a: a, b: eventLine("released", "b", 9, 800, 0), want: Result{ExpiredUnclaimed: 1}},
 		"never acquired":    {a: a, b: savedLine("b", 9, 2), violations: 1},
 		"written twice":     {a: a, b: eventLine("acquired", "b", 9, 750, 1250) + savedLine("b", 9, 1), want: Result{DuplicateWrites: 1}, violations: 1},
-		"cut off":           {a: a + `{"what":"renewed","duty":"du`, b: "panic: of the log\n"},
+		"truncated":         {a: a + `{"what":"renewed","duty":"du`, b: "panic: of the log\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := &benchRun{opts: Options{Dir: t.TempDir()}, result: &Result{}, killedAt: map[string]int64{}, stopRequestedAt: map[string]int64{}}
@@ -58,7 +59,7 @@
 			}
 			got := Result{Overlaps: b.result.Overlaps, LateReleaseConfirmations: b.result.LateReleaseConfirmations, ExpiredUnclaimed: b.result.ExpiredUnclaimed, DuplicateWrites: b.result.DuplicateWrites}
 			if fmt.Sprint(got) != fmt.Sprint(c.want) || len(b.result.Violations) != c.violations {
-				t.Errorf("%+v, want %+v; %d violations, want %d: %s", got, c.want, len(b.result.Violations), c.violations, strings.Join(b.result.Violations, "; "))
+				t.Errorf("result %+v, want %+v; %d violations, want %d: %s", got, c.want, len(b.result.Violations), c.violations, strings.Join(b.result.Violations, "; "))
 			}
 		})
 	}
--- a/internal/leaderelection/bench_test.go
+++ b/internal/leaderelection/bench_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { proctest.Main(m) }
 
-// runFaultBench runs the bench and requires that no guarded write took effect twice.
+// runFaultBench runs the bench and requires that guarded writes took effect, and none of them twice.
 func runFaultBench(t *testing.T, opts bench.Options) *bench.Result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -30,7 +30,8 @@
 	return result
 }
 
-// requireExclusion is runFaultBench, and requires mutual exclusion: no two processes believe at a time to hold a lease.
+// requireMutualExclusion calls runFaultBench and requires mutual exclusion: no two processes consider themselves the holder
+// of one lease at the same time.
 func requireMutualExclusion(t *testing.T, opts bench.Options) *bench.Result {
 	t.Helper()
 	result := runFaultBench(t, opts)
@@ -45,42 +46,43 @@
 	requireMutualExclusion(t, bench.Options{Seed: 5, Faults: 40, FreezeHolders: true, ClockFaults: []string{"rate=0.93", "rate=1.5", "jump=1h/300ms", ""}})
 }
 
-// Clocks at half the speed break mutual exclusion: a frozen holder goes on believing while the next one works. Its writes
-// are rejected all the same.
+// Clocks at half speed break mutual exclusion: a frozen holder still considers itself the holder after it resumes, while the
+// next one works. Guarded writes under its token are rejected nevertheless.
 func TestGuardRejectsWritesOfSlowClocks(t *testing.T) {
 	result := runFaultBench(t, bench.Options{Seed: 6, Faults: 40, FreezeHolders: true, ClockFaults: []string{"rate=0.5"}})
 	if result.Overlaps == 0 || result.RejectedWrites == 0 {
-		t.Errorf("%d overlaps, %d late writes rejected: the run shows nothing", result.Overlaps, result.RejectedWrites)
+		t.Errorf("%d overlaps, %d late writes rejected: both are needed for the run to test the guard", result.Overlaps, result.RejectedWrites)
 	}
 }
 
-// Holders are killed at random moments of their work; others are stopped in good order.
+// Mutual exclusion holds while holders are killed at random moments of their work, and others are stopped gracefully.
 func TestHolderKilled(t *testing.T) {
 	if result := requireMutualExclusion(t, bench.Options{Seed: 1, Faults: 300}); result.Kills < 170 {
 		t.Errorf("only %d kills", result.Kills)
 	}
 }
 
-// Holders are frozen for longer than their leases and resume in the middle of a write, which is rejected.
+// Mutual exclusion holds while holders are frozen for longer than their leases. Some resume in the middle of a write, which
+// is rejected.
 func TestHolderFrozen(t *testing.T) {
 	if result := requireMutualExclusion(t, bench.Options{Seed: 2, Faults: 100, FreezeHolders: true}); result.Freezes < 15 || result.RejectedWrites == 0 {
 		t.Errorf("%d freezes, %d late writes rejected", result.Freezes, result.RejectedWrites)
 	}
 }
 
-// Raft leaders of the registry are killed while leases change hands.
+// Mutual exclusion holds while raft leaders of the registry are killed and leases change hands.
 func TestRegistryLeaderKilled(t *testing.T) {
 	if result := requireMutualExclusion(t, bench.Options{Seed: 4, Faults: 100, FreezeHolders: true, LeaderKillInterval: 1500 * time.Millisecond}); result.LeaderKills == 0 {
-		t.Error("no leader was killed")
+		t.Error("no raft leader was killed")
 	}
 }
 
-// A run that would not end fails at its timeout.
+// A run that takes longer than its timeout fails with an error that names the timeout.
 func TestBenchStopsAtItsTimeout(t *testing.T) {
 	const timeout = 3 * time.Second
 	opts := bench.Options{Program: proctest.Program(t, "milldeck"), Dir: t.TempDir(), Replicas: 1, Leases: 2, Faults: 1e6, Timeout: timeout}
 	opts.TTL, opts.CheckpointInterval = time.Second, 20*time.Millisecond
-	if result, err := bench.Run(t.Context(), opts); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("not over after %v", timeout)) {
-		t.Errorf("%+v: %v", result, err)
+	if result, err := bench.Run(t.Context(), opts); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("the bench did not finish within %v", timeout)) {
+		t.Errorf("result %+v, error %v, want the timeout", result, err)
 	}
 }
