--- a/internal/leaderelection/clock/clock.go
+++ b/internal/leaderelection/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock gives candidates of an election a clock with a known fault, for fault injection, and a reading that all
-// processes of a machine can compare, so that package bench can order what each of them believed. It owns no state and
-// sets no clock.
+// Package clock provides clocks with configured faults for candidates of an election, for fault injection. It also converts
+// their times to the machine's monotonic clock, which all processes share, so that package bench can order the periods in
+// which different processes considered themselves the holder. It owns no state and sets no system clock.
 package clock
 
 import (
@@ -15,17 +15,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// The rates at which a faulty clock may run.
+// Limits of a clock's rate, relative to real time.
 const (
 	minRate = 0.1
 	maxRate = 10
 )
 
-// baseReadings is how many pairs of readings are taken to relate a Clock to the machine's monotonic clock.
+// calibrationSamples is the number of pairs of readings that are taken to relate a Clock to the machine's monotonic clock.
 const calibrationSamples = 16
 
-// MonotonicNS reads the machine's monotonic clock in ns. All processes read the same value, steps of the wall clock do
-// not affect it, and Go's monotonic readings come from the same clock.
+// MonotonicNS returns the reading of the machine's monotonic clock in ns. All processes read the same clock, steps of the
+// wall clock do not affect it, and the monotonic readings of package time come from it too.
 func MonotonicNS() int64 {
 	var timespec unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &timespec); err != nil {
@@ -34,13 +34,13 @@
 	return timespec.Nano()
 }
 
-// Clock runs at a rate of the true speed, and its wall time jumps again and again. It implements leaderelection.Clock.
+// Clock runs at a multiple of real time, and its wall time jumps forward at intervals. It implements leaderelection.Clock.
 type Clock struct {
 	rate         float64
-	jump         time.Duration // by which the wall time is set forward every jumpInterval
+	jump         time.Duration // added to the wall time every jumpInterval
 	jumpInterval time.Duration
 
-	baseTime        time.Time // the clock's start, and the same moment by the machine's clock
+	baseTime        time.Time // when the clock was created; baseMonotonicNS is the same moment by MonotonicNS
 	baseMonotonicNS int64
 }
 
@@ -49,7 +49,7 @@
 
 func newClock(rate float64, jump, jumpInterval time.Duration) *Clock {
 	c := &Clock{rate: rate, jump: jump, jumpInterval: jumpInterval}
-	// Two clocks cannot be read at once: of several pairs of readings the one that took the shortest time is used.
+	// The two clocks cannot be read at the same moment: the pair of readings that took the shortest time is used.
 	shortest := int64(math.MaxInt64)
 	for range calibrationSamples {
 		before, wall := MonotonicNS(), time.Now()
@@ -60,8 +60,8 @@
 	return c
 }
 
-// Parse returns a clock with the faults that text names, separated by commas: "rate=0.8" for its speed, "jump=1h/300ms"
-// for a wall time that is set forward by an hour every 300 ms, "" for none.
+// Parse returns a clock with the faults that text lists, separated by commas: "rate=0.8" runs at 0.8 times real time,
+// "jump=1h/300ms" sets the wall time forward by an hour every 300 ms, "" has no fault.
 func Parse(text string) (*Clock, error) {
 	rate, jump, jumpInterval := 1.0, time.Duration(0), time.Duration(0)
 	for part := range strings.SplitSeq(text, ",") {
@@ -74,7 +74,7 @@
 		case "jump":
 			jump, jumpInterval, err = parseJump(value)
 		default:
-			err = errors.New("neither rate nor jump")
+			err = errors.New("unknown fault, want rate or jump")
 		}
 		if err != nil {
 			return nil, fmt.Errorf("clock %q: %w", part, err)
@@ -91,7 +91,7 @@
 	if rate >= minRate && rate <= maxRate {
 		return rate, nil
 	}
-	return 0, fmt.Errorf("not within %v to %v", minRate, maxRate) // also what is not a number
+	return 0, fmt.Errorf("rate is not within %v to %v", minRate, maxRate) // also for NaN
 }
 
 func parseJump(value string) (jump, interval time.Duration, err error) {
@@ -103,12 +103,12 @@
 		return 0, 0, err
 	}
 	if interval <= 0 {
-		return 0, 0, fmt.Errorf("every %v", interval)
+		return 0, 0, fmt.Errorf("interval %v is not positive", interval)
 	}
 	return jump, interval, nil
 }
 
-// Now returns the time by this clock.
+// Now returns the current time by this clock.
 func (c *Clock) Now() time.Time {
 	if c.rate == 1 && c.jump == 0 {
 		return time.Now()
@@ -121,13 +121,13 @@
 	return now
 }
 
-// After is time.After by this clock.
+// After is time.After with d measured by this clock.
 func (c *Clock) After(d time.Duration) <-chan time.Time {
 	return time.After(time.Duration(float64(d) / c.rate))
 }
 
-// MonotonicNSOf converts a time of this clock, with its monotonic reading, into the reading of the machine's monotonic
-// clock at that moment; the zero time gives 0.
+// MonotonicNSOf returns the reading of the machine's monotonic clock in ns at a time of this clock. The time must have its
+// monotonic reading; the zero time gives 0.
 func (c *Clock) MonotonicNSOf(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -135,15 +135,15 @@
 	return c.baseMonotonicNS + int64(float64(t.Sub(c.baseTime))/c.rate)
 }
 
-// addWallOffset sets the wall time of t forward and leaves its monotonic reading. Only a clock that is set between two
-// readings produces such a pair, so it is made here from the representation of time.Time; should that ever change, the
-// check below panics.
+// addWallOffset sets the wall time of t forward and leaves its monotonic reading unchanged. Otherwise only setting the
+// system clock produces such a time, so addWallOffset writes to the representation of time.Time. If that representation
+// ever changes, the check below panics.
 func addWallOffset(t time.Time, offset time.Duration) time.Time {
-	const secondsShift = 30 // in the word that holds the wall time; its low bits are nanoseconds
+	const secondsShift = 30 // the word with the wall time holds seconds above this bit, nanoseconds below
 	shifted := t
 	*(*uint64)(unsafe.Pointer(&shifted)) += uint64(offset/time.Second) << secondsShift
 	if shifted.Sub(t) != 0 || shifted.Round(0).Sub(t.Round(0)) != offset.Truncate(time.Second) {
-		panic("time.Time has another representation")
+		panic("time.Time has an unexpected representation")
 	}
 	return shifted
 }
--- a/internal/leaderelection/latest/latest.go
+++ b/internal/leaderelection/latest/latest.go
@@ -1,5 +1,5 @@
-// Package latest passes values from one goroutine to another where only the newest one counts: a slow reader neither
-// holds up the writer nor sees what has been superseded.
+// Package latest passes values from one goroutine to another where only the newest value matters: a slow reader neither
+// blocks the writer nor receives superseded values.
 package latest
 
 // Value is a channel that holds at most the newest value. Create it with New.
@@ -8,10 +8,10 @@
 // New returns a Value that holds nothing.
 func New[T any]() Value[T] { return Value[T]{newest: make(chan T, 1)} }
 
-// C is where a reader receives the newest value; each value is received at most once.
+// C returns the channel from which a reader receives the newest value, each value at most once.
 func (v Value[T]) C() <-chan T { return v.newest }
 
-// Set replaces what the reader has not received yet. It does not block.
+// Set replaces the value that the reader has not received yet. It does not block.
 func (v Value[T]) Set(value T) {
 	for {
 		select {
@@ -21,7 +21,7 @@
 		}
 		select {
 		case <-v.newest:
-		default: // the reader was faster
+		default: // the reader has received the previous value meanwhile
 		}
 	}
 }
--- a/internal/leaderelection/leasetable/fixtures_test.go
+++ b/internal/leaderelection/leasetable/fixtures_test.go
@@ -11,8 +11,8 @@
 	"milldeck/internal/goldentest"
 )
 
-// fixtureOps are operations of every kind, with every outcome but an exceeded limit. The n-th operation, from 1, has the
-// log index 10n.
+// fixtureOps returns operations of every kind, with every outcome but an exceeded limit. The n-th operation, counted from 1,
+// has the log index 10n.
 func fixtureOps() []Operation {
 	return []Operation{
 		{Kind: Checkpoint, Name: "alpha", Candidate: "a", Token: 1, Data: []byte("nowhere")},
@@ -41,7 +41,7 @@
 	}
 }
 
-// outcome writes down what Apply returned.
+// outcome formats the error that Apply returned.
 func outcome(t *testing.T, err error) string {
 	t.Helper()
 	if err == nil {
@@ -63,7 +63,7 @@
 	return data
 }
 
-// Operations as stored in the log, their outcomes, and the resulting table as stored in a snapshot.
+// Guards the format of operations in the log, their outcomes, and the format of the resulting table in a snapshot.
 func TestTableFormat(t *testing.T) {
 	var encoded bytes.Buffer
 	for _, op := range fixtureOps() {
@@ -92,11 +92,11 @@
 	restored := FromSnapshot(decoded)
 	goldentest.Compare(t, "table.json", encode(t, restored.Snapshot()))
 	if restored.Revision() != table.Revision() {
-		t.Errorf("read revision %d, want %d", restored.Revision(), table.Revision())
+		t.Errorf("restored table has revision %d, want %d", restored.Revision(), table.Revision())
 	}
 }
 
-// The error texts that a client reads for an invalid operation.
+// Guards the error texts that a client receives for an invalid operation.
 func TestOperationErrors(t *testing.T) {
 	long := strings.Repeat("x", MaxNameLength+1)
 	var errs bytes.Buffer
@@ -117,7 +117,7 @@
 	goldentest.Compare(t, "errors.txt", errs.Bytes())
 }
 
-// The error texts that a client reads when a limit is reached.
+// Guards the error texts that a client receives when a limit is reached.
 func TestFullTableReasons(t *testing.T) {
 	table, index := New(), uint64(0)
 	campaign := func(name, candidate string) string {
--- a/internal/leaderelection/leasetable/lease.go
+++ b/internal/leaderelection/leasetable/lease.go
@@ -9,23 +9,23 @@
 const (
 	MaxLeases             = 10_000
 	MaxQueueLength        = 1000
-	MaxCheckpointBytes    = 4096 // a checkpoint says where work resumes; it is not the work itself
-	MaxShortTenureRecords = 16   // per lease: the candidates whose latest tenures were short
-	MaxShortTenureCount   = 8    // per candidate: the hold-down does not grow beyond this count
-	MaxNameLength         = 128  // bytes of a lease's, holder's or candidate's name
+	MaxCheckpointBytes    = 4096 // a checkpoint says where work resumes; it does not hold the work itself
+	MaxShortTenureRecords = 16   // per lease: the candidates with the most recent short tenures are kept
+	MaxShortTenureCount   = 8    // per candidate: the hold-down stops growing at this count
+	MaxNameLength         = 128  // bytes, for names of leases, holders and candidates
 
 	MinTTLMS = 500         // a shorter lease would expire during a raft election
 	MaxTTLMS = 3600 * 1000 // one hour
 )
 
-// The holder stops before its lease expires, so that what it has begun is over by then and a scheduling delay does not
-// carry it past the expiry.
+// The holder stops using its lease before the lease expires: work in progress has time to finish, and a scheduling delay
+// does not carry the holder past the expiry.
 const (
-	marginFraction = 0.1
+	marginFraction = 0.1 // of the TTL
 	minMargin      = 50 * time.Millisecond
 )
 
-// SafetyMargin is how long before the expiry of a lease its holder stops using it.
+// SafetyMargin returns how long before the expiry of a lease its holder stops using it.
 func SafetyMargin(ttl time.Duration) time.Duration {
 	return max(time.Duration(marginFraction*float64(ttl)), minMargin)
 }
@@ -37,43 +37,43 @@
 	// Token is the fencing token: the log index at which the holder acquired the lease. It only increases.
 	Token uint64   `json:"token"`
 	TTLMS int64    `json:"ttl_ms"`
-	Queue []string `json:"queue,omitempty"` // waiting candidates, the next one first
+	Queue []string `json:"queue,omitempty"` // waiting candidates, first come first
 
-	// PreferredSuccessor is a candidate that a handover named; it precedes the queue.
+	// PreferredSuccessor is the queued candidate that a handover named. It acquires the lease ahead of the queue.
 	PreferredSuccessor string `json:"next,omitempty"`
 	StepDownRequested  bool   `json:"asked,omitempty"`
-	// Revoked makes the token invalid while its holder is still waited for.
+	// Revoked makes the token invalid. The lease is not free until the holder releases it or it expires.
 	Revoked     bool   `json:"revoked,omitempty"`
-	Transitions uint64 `json:"changes"` // changes of the holder
+	Transitions uint64 `json:"changes"` // number of changes of the holder
 	Revision    uint64 `json:"rev"`     // log index of the last change
 
 	Checkpoint      []byte `json:"checkpoint,omitempty"`
-	CheckpointToken uint64 `json:"checkpoint_token,omitempty"` // the token under which it was written
+	CheckpointToken uint64 `json:"checkpoint_token,omitempty"` // the token under which Checkpoint was written
 
-	ShortTenures []ShortTenureCount `json:"falls,omitempty"` // the latest last
+	ShortTenures []ShortTenureCount `json:"falls,omitempty"` // most recent last
 }
 
-// Failover counts the consecutive short tenures of a candidate. The table only records them. The raft leader delays the
-// next campaign of a candidate with many of them before it reaches the log, so that versions which do not know of
-// failovers still agree on the rest of the table.
+// ShortTenureCount counts the consecutive short tenures of a candidate. The table only records the count. The raft leader
+// enforces the hold-down: it delays the next campaign of a candidate with many short tenures before the campaign reaches
+// the log, so that replicas of versions without these counts still agree on the rest of the table.
 type ShortTenureCount struct {
 	Candidate string `json:"who"`
 	Count     int    `json:"n"`
-	Token     uint64 `json:"token"` // of the latest of these tenures
+	Token     uint64 `json:"token"` // of the most recent of these tenures
 }
 
-// FailoversOf returns how many short tenures a candidate has had since its last long one.
+// ShortTenuresOf returns the short tenures of a candidate since its last long one.
 func (l *Lease) ShortTenuresOf(candidate string) ShortTenureCount {
-	for _, record := range l.ShortTenures {
-		if record.Candidate == candidate {
-			return record
+	for _, entry := range l.ShortTenures {
+		if entry.Candidate == candidate {
+			return entry
 		}
 	}
 	return ShortTenureCount{Candidate: candidate}
 }
 
-// equalState compares two states of a lease by everything that an operation sets. Transitions changes with the token
-// alone, and Revision follows from the comparison.
+// equalState reports whether two states of a lease agree in every field that an operation sets. It leaves out Transitions,
+// which changes only together with Token, and Revision, which Apply sets if the states differ.
 func equalState(a, b *Lease) bool {
 	return a.Holder == b.Holder &&
 		a.Token == b.Token &&
--- a/internal/leaderelection/leasetable/operation.go
+++ b/internal/leaderelection/leasetable/operation.go
@@ -7,22 +7,22 @@
 	"milldeck/internal/validation"
 )
 
-// OperationKind is what an operation does.
+// OperationKind identifies what an operation does to a lease.
 type OperationKind string
 
-// The operations. Their values are stored in the log and stand in HTTP paths.
+// The kinds of operations. Their values are stored in the log and are part of HTTP paths.
 const (
-	Campaign   OperationKind = "seek"       // Candidate acquires the lease or joins its queue; TTLMS applies if it is free
-	Release    OperationKind = "release"    // the holder gives up its Token; with Token 0 Candidate leaves the queue
-	Expire     OperationKind = "lapse"      // the lease of Candidate under Token has expired; Token 0: its place in the queue
-	Handover   OperationKind = "handover"   // the holder is requested to step down in favour of Successor, who is in the queue
+	Campaign   OperationKind = "seek"       // Candidate acquires the lease or joins its queue; TTLMS applies if the lease is free
+	Release    OperationKind = "release"    // the holder releases the lease under Token; with Token 0 Candidate leaves the queue
+	Expire     OperationKind = "lapse"      // the lease of Candidate under Token has expired; with Token 0 its place in the queue
+	Handover   OperationKind = "handover"   // the holder is requested to step down in favour of Successor, a queued candidate
 	Revoke     OperationKind = "takeaway"   // the holder's token becomes invalid at once
 	Checkpoint OperationKind = "checkpoint" // the holder stores Data under its Token
 )
 
 var operationKinds = []OperationKind{Campaign, Release, Expire, Handover, Revoke, Checkpoint}
 
-// Operation is one entry of the log that concerns a lease.
+// Operation is an entry of the replicated log that applies to one lease.
 type Operation struct {
 	Kind        OperationKind `json:"kind"`
 	Name        string        `json:"name"` // of the lease
@@ -31,11 +31,11 @@
 	TTLMS       int64         `json:"ttl_ms,omitempty"`
 	Successor   string        `json:"to,omitempty"`
 	Data        []byte        `json:"data,omitempty"`
-	ShortTenure bool          `json:"short,omitempty"` // of Release and Expire: the tenure was short, by the raft leader's clock
+	ShortTenure bool          `json:"short,omitempty"` // for Release and Expire: the tenure was short, by the raft leader's clock
 }
 
-// Validate returns a *validation.Error for the first invalid field. It is called before an operation is written to the log;
-// Apply does not repeat it.
+// Validate returns a *validation.Error for the first invalid field. Callers validate an operation before they write it to
+// the log; Apply does not repeat the check.
 func (o *Operation) Validate() error {
 	needsCandidate := o.Kind != Handover && o.Kind != Revoke
 	switch {
@@ -60,15 +60,15 @@
 
 // The classes of rejections.
 const (
-	StaleToken    Rejection = "stale" // the lease is free, held by another, held under another token, or revoked
+	StaleToken    Rejection = "stale" // the lease is free, held by another candidate, held under another token, or revoked
 	NotFound      Rejection = "not_found"
 	LimitExceeded Rejection = "too_many"
 )
 
-// RejectedError is why Apply left the table as it was.
+// RejectedError says why Apply rejected an operation and left the table unchanged.
 type RejectedError struct {
 	Rejection Rejection
-	Reason    string // in words, as the client that made the call reads them
+	Reason    string // a description that the client receives
 }
 
 func (e *RejectedError) Error() string { return string(e.Rejection) + ": " + e.Reason }
--- a/internal/leaderelection/leasetable/table.go
+++ b/internal/leaderelection/leasetable/table.go
@@ -1,9 +1,9 @@
-// Package leasetable is the replicated table of leases: who holds each lease, under which fencing token, and who waits
-// for it. It owns the rules by which a lease changes hands.
+// Package leasetable is the replicated table of leases. For each lease it holds the holder, the fencing token and the queue
+// of waiting candidates, and it implements the rules by which a lease changes hands.
 //
-// The table has no clock and opens no sockets: the same operations in the same order give the same table on every
-// replica. That a lease has expired is an operation like any other; the raft leader decides it (package registry), and
-// package leaderelection is the client.
+// The table has no clock and opens no sockets: the same operations in the same order produce the same table on every
+// replica. The expiry of a lease is an operation too, which the registry's raft leader proposes (package registry).
+// Package leaderelection is the client.
 package leasetable
 
 import (
@@ -21,7 +21,7 @@
 // New returns an empty table.
 func New() *Table { return &Table{leases: map[string]*Lease{}} }
 
-// FromSnapshot returns a table of the leases that Snapshot returned.
+// FromSnapshot returns a table with the leases that Snapshot returned.
 func FromSnapshot(leases []*Lease) *Table {
 	t := New()
 	for _, lease := range leases {
@@ -31,7 +31,7 @@
 	return t
 }
 
-// Snapshot returns all leases by name. They are shared with the table and must not be changed.
+// Snapshot returns all leases, sorted by name. They are shared with the table and must not be changed.
 func (t *Table) Snapshot() []*Lease {
 	leases := make([]*Lease, 0, len(t.leases))
 	for _, name := range slices.Sorted(maps.Keys(t.leases)) {
@@ -40,10 +40,10 @@
 	return leases
 }
 
-// Revision is the log index of the last change.
+// Revision returns the log index of the last change.
 func (t *Table) Revision() uint64 { return t.revision }
 
-// Get returns a lease. Its slices are shared with the table, which never changes them in place.
+// Get returns a lease and whether it exists. Its slices are shared with the table, which never changes them in place.
 func (t *Table) Get(name string) (Lease, bool) {
 	lease := t.leases[name]
 	if lease == nil {
@@ -52,20 +52,20 @@
 	return *lease, true
 }
 
-// TokenValid reports whether a lease is held under a fencing token. Guarded writes are checked by it.
+// TokenValid reports whether a lease is held under a fencing token that is not revoked. Guarded writes require it.
 func (t *Table) TokenValid(name string, token uint64) bool {
 	lease := t.leases[name]
 	return lease != nil && token != 0 && lease.Holder != "" && lease.Token == token && !lease.Revoked
 }
 
-// Apply applies an operation of the log at its index, which only increases. It returns a RejectedError where the
-// operation changes nothing because it is not permitted; an operation that merely repeats an earlier one is permitted.
+// Apply applies the operation that the log has at index. Indexes only increase from call to call. If the operation is not
+// permitted, Apply changes nothing and returns a *RejectedError. An operation that repeats an earlier one is permitted.
 func (t *Table) Apply(index uint64, op *Operation) error {
 	previous := t.leases[op.Name]
 	if previous == nil {
 		switch {
 		case op.Kind == Release || op.Kind == Expire:
-			return nil // there is nothing to give up
+			return nil // there is nothing to release
 		case op.Kind != Campaign:
 			return reject(NotFound, "there is no duty %s", op.Name)
 		case len(t.leases) >= MaxLeases:
@@ -73,7 +73,7 @@
 		}
 		previous = &Lease{Name: op.Name, TTLMS: op.TTLMS}
 	}
-	updated := *previous // a copy: readers keep the state that they were given
+	updated := *previous // a copy, because readers share the previous state
 	updated.Queue, updated.ShortTenures = slices.Clone(previous.Queue), slices.Clone(previous.ShortTenures)
 	if err := updated.apply(index, op); err != nil {
 		return err
@@ -99,7 +99,7 @@
 	case Checkpoint:
 		return l.saveCheckpoint(op)
 	}
-	// Written by a later version: all replicas of this version skip it.
+	// A later version wrote this operation. All replicas of this version reject it alike.
 	return reject(StaleToken, "unknown operation %q", op.Kind)
 }
 
@@ -111,7 +111,7 @@
 func (l *Lease) campaign(index uint64, op *Operation) error {
 	switch {
 	case l.Holder == op.Candidate || slices.Contains(l.Queue, op.Candidate):
-		return nil // a client that retries does not queue behind itself
+		return nil // a retried campaign does not queue the candidate a second time
 	case len(l.Queue) >= MaxQueueLength:
 		return reject(LimitExceeded, "%d candidates wait", len(l.Queue))
 	}
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// giveUp ends a tenure or a place in the queue. A token that is not the current one is a repeat, or of a tenure that has
-// ended already: it changes nothing.
+// releaseOrExpire ends a tenure or removes a candidate from the queue. An operation with a token that is not the current one
+// changes nothing: it is a repeat, or belongs to a tenure that has already ended.
 func (l *Lease) releaseOrExpire(index uint64, op *Operation) {
 	switch {
 	case l.isHeldBy(op):
@@ -171,8 +171,9 @@
 	return fmt.Sprintf("%s is held by %s under token %d", l.Name, l.Holder, l.Token)
 }
 
-// assignNext gives the lease to the preferred successor if it still waits, else to the first in the queue, else to nobody.
-// It does so in the log entry that ended the tenure before, so that a handover takes a single entry.
+// assignNext assigns the lease to the preferred successor if that candidate is still queued, otherwise to the first
+// candidate in the queue, otherwise to nobody. The log entry that ends a tenure also assigns the lease, so that a handover
+// takes a single entry.
 func (l *Lease) assignNext(index uint64) {
 	next := l.PreferredSuccessor
 	if !slices.Contains(l.Queue, next) {
@@ -190,14 +191,14 @@
 	l.Transitions++
 }
 
-// recordTenure counts the tenure that ends if it was short, and else clears the holder's count. A tenure that an operator
-// ended is not the holder's failure and does not count.
+// recordTenure increments the holder's count of short tenures if the tenure that ends was short, and clears the count
+// otherwise. A tenure that an operator ended is not the holder's failure: it leaves the count unchanged.
 func (l *Lease) recordTenure(op *Operation) {
 	if l.StepDownRequested || l.Revoked {
 		return
 	}
 	count := l.ShortTenuresOf(op.Candidate).Count
-	l.ShortTenures = slices.DeleteFunc(l.ShortTenures, func(record ShortTenureCount) bool { return record.Candidate == op.Candidate })
+	l.ShortTenures = slices.DeleteFunc(l.ShortTenures, func(entry ShortTenureCount) bool { return entry.Candidate == op.Candidate })
 	if op.ShortTenure {
 		l.ShortTenures = append(l.ShortTenures, ShortTenureCount{op.Candidate, min(count+1, MaxShortTenureCount), op.Token})
 		l.ShortTenures = l.ShortTenures[max(0, len(l.ShortTenures)-MaxShortTenureRecords):]
--- a/internal/leaderelection/leasetable/table_test.go
+++ b/internal/leaderelection/leasetable/table_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-// withoutFailovers returns an operation as a version that does not know of failovers reads it.
+// withoutShortTenure returns an operation as a version without counts of short tenures reads it.
 func withoutShortTenure(op Operation) Operation {
 	op.ShortTenure = false
 	return op
 }
 
-// A replica of the previous version agrees with this one on everything but failovers, also after it has written and read a
-// snapshot: guards and watches depend on holder, queue, token and revision.
+// A replica of the previous version agrees with a replica of this version on everything but the counts of short tenures,
+// also after it has written and read a snapshot. Guards and watches depend on holder, queue, token and revision.
 func TestAgreesWithPreviousVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		current, previous := New(), New()
@@ -43,14 +43,14 @@
 			want := fmt.Sprint(previous.Apply(index, &previousOp))
 			a, _ := current.Get("d")
 			b, _ := previous.Get("d")
-			for _, record := range a.ShortTenures {
-				if record.Count < 1 || record.Count > MaxShortTenureCount || len(a.ShortTenures) > MaxShortTenureRecords {
-					t.Fatalf("failovers %+v", a.ShortTenures)
+			for _, entry := range a.ShortTenures {
+				if entry.Count < 1 || entry.Count > MaxShortTenureCount || len(a.ShortTenures) > MaxShortTenureRecords {
+					t.Fatalf("counts of short tenures are out of bounds: %+v", a.ShortTenures)
 				}
 			}
 			a.ShortTenures = nil
 			if got != want || fmt.Sprint(a) != fmt.Sprint(b) {
-				t.Fatalf("at %d after %+v: %s %+v, before: %s %+v", index, op, got, a, want, b)
+				t.Fatalf("at index %d after %+v: this version has %s %+v, the previous one %s %+v", index, op, got, a, want, b)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
 				previous = FromSnapshot(previous.Snapshot())
@@ -91,13 +91,13 @@
 		{"short after long", true, false, 1},
 	} {
 		if got := tenure(step.shortTenure, step.revoked); got != step.want {
-			t.Errorf("%s: %d failovers, want %d", step.name, got, step.want)
+			t.Errorf("%s: %d short tenures, want %d", step.name, got, step.want)
 		}
 	}
 	for range MaxShortTenureCount {
 		tenure(true, false)
 	}
 	if got := tenure(true, false); got != MaxShortTenureCount {
-		t.Errorf("%d failovers, at most %d are counted", got, MaxShortTenureCount)
+		t.Errorf("%d short tenures, want %d, the most that are counted", got, MaxShortTenureCount)
 	}
 }
