--- a/internal/leaderelection/backup.go
+++ b/internal/leaderelection/backup.go
@@ -17,28 +17,28 @@
 	"milldeck/internal/registry"
 )
 
-// BackupLease is the lease of the registry's backups: every replica campaigns for it, its holder makes them.
+// BackupLease is the lease for backups of the registry: every replica campaigns for it, and its holder makes the backups.
 const BackupLease = "registry-backup"
 
 const (
 	backupFilePrefix = "registry-"
 	backupFileSuffix = ".snapshot"
-	// backupRetryInterval is the pause after a backup that failed.
+	// backupRetryInterval is the pause after a failed backup.
 	backupRetryInterval = time.Second
 )
 
-// BackupOptions say where backups are stored and how many.
+// BackupOptions configure where backups are stored, how often they are made and how many are retained.
 type BackupOptions struct {
 	Dir         string
 	MinInterval time.Duration // between two checks whether the registry has changed
-	RetainCount int           // the newest so many files are retained
+	RetainCount int           // how many of the newest files are retained
 	Candidate   string
 	TTL         time.Duration
 }
 
-// RunBackups campaigns for BackupLease until ctx ends. The holder writes the registry's snapshot to a file whenever the
-// list of instances has changed, and saves its revision as the lease's checkpoint, from which the next holder goes on.
-// The snapshot's checksum is verified before the file gets its name.
+// RunBackups campaigns for BackupLease until ctx ends. Whenever the list of instances has changed, the holder writes the
+// registry's snapshot to a file and saves the list's revision as the lease's checkpoint, from which the next holder
+// continues. The snapshot's checksum is verified before the file gets its name.
 func RunBackups(ctx context.Context, client *registry.Client, opts BackupOptions) error {
 	if err := os.MkdirAll(opts.Dir, 0o700); err != nil {
 		return fmt.Errorf("backup: %w", err)
@@ -54,7 +54,7 @@
 	logger *slog.Logger
 }
 
-// run is the Work of the holder.
+// run is the Work of the backup lease's holder.
 func (b *backup) run(ctx context.Context, lease *Lease) error {
 	savedRevision, _ := strconv.ParseUint(string(lease.Checkpoint), 10, 64) // 0 if there is no checkpoint yet
 	for pause := time.Duration(0); ; {
@@ -73,7 +73,8 @@
 	}
 }
 
-// saveIfChanged writes a backup if the list has changed since a revision. It returns the revision that is backed up.
+// saveIfChanged writes a backup if the list of instances has changed since a revision. It returns the revision of the newest
+// backup.
 func (b *backup) saveIfChanged(ctx context.Context, lease *Lease, sinceRevision uint64) (uint64, error) {
 	list, err := b.client.List(ctx, true)
 	if err != nil || list.Revision == sinceRevision {
@@ -87,8 +88,8 @@
 	if err := renameio.WriteFile(path, data, 0o600); err != nil {
 		return sinceRevision, err
 	}
-	// The file comes first: a holder whose token is no longer valid may leave a file, which does no harm, but the
-	// checkpoint names only backups that exist.
+	// The file is written before the checkpoint, so that the checkpoint names only backups that exist. A holder whose token
+	// is no longer valid may leave a file without a checkpoint, which does no harm.
 	if err := lease.SaveCheckpoint(ctx, []byte(strconv.FormatUint(list.Revision, 10))); err != nil {
 		return sinceRevision, err
 	}
--- a/internal/leaderelection/cluster_test.go
+++ b/internal/leaderelection/cluster_test.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// testTimeout bounds each test; the slowest takes about a third of it.
+	// testTimeout limits each test; the slowest takes about a third of it.
 	testTimeout = 90 * time.Second
-	// leaseName is the lease that the candidates of a test contest, candidateTTL its TTL.
+	// leaseName is the lease for which the candidates of a test campaign, candidateTTL its TTL.
 	leaseName    = "d"
 	candidateTTL = 800 * time.Millisecond
 )
 
-// testCluster is three registry replicas as processes, with a client of them.
+// testCluster is a cluster of three registry replicas, each a process, with a client.
 type testCluster struct {
 	*testing.T
 	ctx     context.Context
@@ -32,7 +32,7 @@
 	client  *registry.Client
 }
 
-// startCluster starts the replicas with further sections of their configuration.
+// startCluster starts the replicas with extra sections in their configuration.
 func startCluster(t *testing.T, sections ...string) *testCluster {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -41,8 +41,8 @@
 	return &testCluster{T: t, ctx: ctx, cluster: replicas, client: replicas.Client}
 }
 
-// startCandidate campaigns for leaseName until the test ends. It delivers the lease of each tenure, and the
-// cause with which its work was cancelled; the work does nothing but wait for that. Nil for onEvent: it is not called.
+// startCandidate campaigns for leaseName until the test ends. It delivers the lease of each tenure, and the cause with which
+// the tenure's work was cancelled. The work only waits to be cancelled. onEvent may be nil.
 func (tc *testCluster) startCandidate(client *registry.Client, candidate string, onEvent func(leaderelection.Event)) (acquired <-chan *leaderelection.Lease, stopCauses <-chan error) {
 	ctx, cancel := context.WithCancel(tc.ctx)
 	leases, causes := make(chan *leaderelection.Lease, 16), make(chan error, 16)
@@ -54,14 +54,14 @@
 		return ctx.Err()
 	}
 	background.Go(func() {
-		// Its error is that of ctx, or of a registry that the test has killed.
+		// An error is expected: ctx has ended, or the test has killed the registry.
 		_ = leaderelection.Run(ctx, client, leaseName, leaderelection.Options{Candidate: candidate, TTL: candidateTTL, OnEvent: onEvent}, work)
 	})
 	tc.Cleanup(func() { cancel(); background.Wait() })
 	return leases, causes
 }
 
-// collectEvents returns a function for startCandidate that delivers the events of a type to a channel.
+// collectEvents returns a callback for startCandidate, and the channel to which it sends the events of one type.
 func collectEvents(eventType leaderelection.EventType) (onEvent func(leaderelection.Event), events <-chan leaderelection.Event) {
 	collected := make(chan leaderelection.Event, 16)
 	onEvent = func(event leaderelection.Event) {
@@ -79,13 +79,13 @@
 	case value := <-from:
 		return value
 	case <-tc.ctx.Done():
-		tc.Fatalf("%s did not come", what)
+		tc.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// partitionProxy forwards connections to an address. While it is partitioned it drops what it reads and closes nothing, so
-// that neither side learns of it.
+// partitionProxy forwards connections to an address. While it is partitioned it drops all data and closes no connection, so
+// that neither side notices the partition.
 type partitionProxy struct {
 	net.Listener
 	mu          sync.Mutex
@@ -148,14 +148,14 @@
 	}
 }
 
-// setPartitioned partitions the two sides, or heals them.
+// setPartitioned starts or heals the partition between the two sides.
 func (p *partitionProxy) setPartitioned(partitioned bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.partitioned = partitioned
 }
 
-// closeConnections heals the partition and closes the connections that there are.
+// closeConnections heals the partition and closes all connections that are open.
 func (p *partitionProxy) closeConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/leaderelection/election.go
+++ b/internal/leaderelection/election.go
@@ -1,13 +1,13 @@
-// Package leaderelection lets one process of many do what only one may do at a time. Each such job has a lease in the
-// registry's replicated log, whose log index is the fencing token: Run waits for the lease, calls the work while it is
-// held, and cancels it before it expires.
+// Package leaderelection runs work that only one process may run at a time. Each kind of work has a lease in the registry's
+// replicated log, and the log index at which a process acquires the lease is its fencing token. Run waits for the lease,
+// calls the work while this process holds the lease, and cancels the work before the lease expires.
 //
-// Promised: of all processes whose monotonic clocks work, at most one believes at any moment that it holds a lease. Not
-// promised: that a process which is paused between checking its lease and acting on it notices in time. Effects that
-// must not happen twice have to be guarded by the fencing token, as writes to the registry can be (Lease.Guard,
-// Lease.SaveCheckpoint).
+// Guaranteed: of all processes whose monotonic clocks work, at most one considers itself the holder of a lease at any
+// moment. Not guaranteed: that a process which is paused between checking its lease and acting on it notices the expiry in
+// time. Effects that must not happen twice have to be guarded by the fencing token, as writes to the registry can be
+// (Lease.Guard, Lease.SaveCheckpoint).
 //
-// The rules by which leases change hands are in package leasetable; expiry is decided by the registry's raft leader.
+// Package leasetable implements the rules by which leases change hands; the registry's raft leader decides on expiry.
 package leaderelection
 
 import (
@@ -24,35 +24,35 @@
 )
 
 const (
-	// renewalsPerLease is how often a lease is renewed within its TTL: two renewals may be lost.
+	// renewalsPerLease is the number of renewals within a lease's TTL: two of them may be lost.
 	renewalsPerLease = 3
-	// releaseTimeout bounds the release at the end of a tenure; a lease that is not released expires.
+	// releaseTimeout limits the release request at the end of a tenure; a lease that is not released expires.
 	releaseTimeout = 2 * time.Second
 
 	// DefaultTTL is longer than a raft election of the registry, which takes up to two seconds.
 	DefaultTTL = 5 * time.Second
 )
 
-// The causes with which the context of the work is cancelled.
+// The causes with which Run cancels the context of the work.
 var (
 	ErrLeaseLost         = errors.New("the lease is lost")
 	ErrStepDownRequested = errors.New("the holder was requested to step down")
 )
 
-// Work is what the holder of a lease does. It has to return when its context ends; context.Cause is then ErrLeaseLost,
-// ErrStepDownRequested or the cause of the context that Run was called with.
+// Work is what the holder of a lease runs. It must return when its context ends; context.Cause then returns ErrLeaseLost,
+// ErrStepDownRequested or the cause of the context that was passed to Run.
 type Work func(ctx context.Context, lease *Lease) error
 
-// Options say how Run takes part in an election.
+// Options configure how Run takes part in an election.
 type Options struct {
-	Candidate    string        // a name that no other process and no earlier incarnation of this one has; "" draws one
-	TTL          time.Duration // of the lease, if this candidate finds it free; 0: DefaultTTL
-	OnEvent      func(Event)   // called for each step, in order; nil: not called
-	SingleTenure bool          // return after the first tenure, however it ended
-	Clock        Clock         // measures the lease; nil: the process's clock
+	Candidate    string        // unique among all processes and their earlier incarnations; "": a random ID
+	TTL          time.Duration // applies if this candidate finds the lease free; 0: DefaultTTL
+	OnEvent      func(Event)   // called for each event, in order; may be nil
+	SingleTenure bool          // return after the first tenure, whatever ended it
+	Clock        Clock         // measures the lease; nil: the system clock
 }
 
-// Clock tells the time and waits. Only differences of its times count, by their monotonic readings.
+// Clock tells the time and waits. Run uses only differences between its times, by their monotonic readings.
 type Clock interface {
 	Now() time.Time
 	After(time.Duration) <-chan time.Time
@@ -63,11 +63,12 @@
 func (systemClock) Now() time.Time                         { return time.Now() }
 func (systemClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// Run campaigns for a lease and calls work each time it is acquired, until ctx ends or work returns without having been
-// cancelled by a loss or a request to step down. The context of work is cancelled before the lease expires; after work
-// has returned the lease is released, so that the next candidate acquires it at once, and Run campaigns again.
+// Run campaigns for a lease and calls work each time it acquires the lease. It cancels the context of work before the lease
+// expires. After work has returned, Run releases the lease, so that the next candidate acquires it at once, and campaigns
+// again. Run returns when ctx ends, or when work returns without having been cancelled by the loss of the lease or a request
+// to step down.
 //
-// It returns the error of work, of ctx, or of a campaign that the registry rejected.
+// Run returns the error of work, of ctx, or of a campaign that the registry rejected.
 func Run(ctx context.Context, client *registry.Client, name string, opts Options, work Work) error {
 	if opts.Candidate == "" {
 		opts.Candidate = registry.NewID()
@@ -83,7 +84,7 @@
 	var background sync.WaitGroup
 	defer background.Wait()
 	defer stopWatch()
-	background.Go(func() { _ = client.WatchLease(watchCtx, name, c.updates.Set) }) // it ends only with its context
+	background.Go(func() { _ = client.WatchLease(watchCtx, name, c.updates.Set) }) // returns only when its context ends
 	for {
 		state, err := c.campaign(ctx)
 		if err != nil {
@@ -93,7 +94,7 @@
 		ttl := time.Duration(state.TTLMS) * time.Millisecond
 		lease, err := c.acquire(ctx, state, ttl)
 		if err != nil {
-			continue // it was lost before its first renewal: campaign again
+			continue // the lease was lost before its first renewal: campaign again
 		}
 		interrupted, err := c.runTenure(ctx, lease, ttl, work)
 		c.emit(Event{Type: Stopped, Token: lease.Token, At: lease.invalidate()})
@@ -104,7 +105,7 @@
 	}
 }
 
-// candidate is one process's part in the election for one lease.
+// candidate is one process's participation in the election for one lease.
 type candidate struct {
 	client    *registry.Client
 	leaseName string
@@ -112,7 +113,7 @@
 	updates   latest.Value[leasetable.Lease]
 }
 
-// emit reports an event; it sets the lease and the candidate.
+// emit reports an event after setting its lease and candidate.
 func (c *candidate) emit(event Event) {
 	if c.opts.OnEvent == nil {
 		return
@@ -123,7 +124,7 @@
 
 func (c *candidate) now() time.Time { return c.opts.Clock.Now() }
 
-// campaign joins the queue of the lease and keeps its place there until it holds the lease.
+// campaign joins the queue of the lease and keeps its place in the queue until this candidate holds the lease.
 func (c *candidate) campaign(ctx context.Context) (leasetable.Lease, error) {
 	state, err := c.joinQueue(ctx)
 	if err != nil {
@@ -143,7 +144,7 @@
 	return state, nil
 }
 
-// joinQueue acquires the lease or a place in its queue; for a candidate that has either it changes nothing.
+// joinQueue acquires the lease or a place in its queue. For a candidate that already has either it changes nothing.
 func (c *candidate) joinQueue(ctx context.Context) (leasetable.Lease, error) {
 	request := registry.LeaseRequest{Candidate: c.opts.Candidate, TTLMS: c.opts.TTL.Milliseconds()}
 	state, err := c.client.UpdateLease(ctx, leasetable.Campaign, c.leaseName, request)
@@ -153,16 +154,17 @@
 	return state, nil
 }
 
-// awaitChange returns the state of the lease after its next change, or after the place in the queue has been renewed.
+// awaitChange waits for the next change of the lease, or until it is time to renew the place in the queue and renews it. It
+// returns the newest known state of the lease.
 func (c *candidate) awaitChange(ctx context.Context, state leasetable.Lease) (leasetable.Lease, error) {
 	select {
 	case <-ctx.Done():
 		return state, ctx.Err()
 	case update := <-c.updates.C():
 		if update.Revision < state.Revision {
-			return state, nil // from a replica that lags behind and does not know of this candidate yet
+			return state, nil // from a replica that lags behind and does not know this candidate yet
 		}
-		if update.Holder == "" { // a candidate without a place in the queue need not wait for one any more
+		if update.Holder == "" { // free: a candidate that has lost its place in the queue can acquire the lease
 			return c.joinQueue(ctx)
 		}
 		return update, nil
@@ -172,15 +174,15 @@
 		switch {
 		case err != nil && ctx.Err() != nil:
 			return state, ctx.Err()
-		case err == nil && lost: // it holds the lease by now, or was out of touch for too long
+		case err == nil && lost: // the candidate holds the lease by now, or its place in the queue has expired
 			return c.joinQueue(ctx)
 		}
 		return state, nil
 	}
 }
 
-// acquire renews a lease that was assigned to this candidate. Only that tells it when the lease ends: it does not know
-// when the assignment took effect.
+// acquire renews a lease that was assigned to this candidate. The candidate does not know when the assignment took effect,
+// so only this first renewal tells it when the lease ends.
 func (c *candidate) acquire(ctx context.Context, state leasetable.Lease, ttl time.Duration) (*Lease, error) {
 	lease := &Lease{
 		Name:       c.leaseName,
@@ -192,7 +194,7 @@
 	}
 	acquiredAt, err := c.renew(ctx, lease, ttl, 0)
 	if err == nil && !lease.Valid() {
-		err = ErrLeaseLost // the answer took longer than the lease
+		err = ErrLeaseLost // the answer arrived after the lease had ended
 	}
 	if err != nil {
 		c.release(state.Token)
@@ -202,8 +204,9 @@
 	return lease, nil
 }
 
-// renew renews a lease and extends it from the time before the request was sent. The request may wait for up to linger
-// to be sent together with others. It returns when the answer arrived, and ErrLeaseLost if the lease is another's.
+// renew renews a lease and extends it, counting from before the request was sent. The request may wait for up to linger to
+// be sent together with others. renew returns the time at which the answer arrived, and ErrLeaseLost if this candidate no
+// longer holds the lease.
 func (c *candidate) renew(ctx context.Context, lease *Lease, ttl, linger time.Duration) (answeredAt time.Time, err error) {
 	sentAt := c.now()
 	renewal := registry.LeaseRenewal{Name: lease.Name, Token: lease.Token}
@@ -219,8 +222,8 @@
 	return answeredAt, nil
 }
 
-// release gives up the lease, or with token 0 the place in its queue. It does so also when the caller's context has
-// ended. A release that fails is not retried: the lease expires.
+// release releases the lease, or with token 0 the place in its queue, even if the caller's context has ended. A release that
+// fails is not retried: the lease expires.
 func (c *candidate) release(token uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
--- a/internal/leaderelection/events.go
+++ b/internal/leaderelection/events.go
@@ -5,33 +5,33 @@
 // EventType says what happened to a candidate.
 type EventType string
 
-// The types of events. Their values stand in what `milldeck duty hold` prints.
+// The types of events. `milldeck duty hold` prints these values.
 const (
-	Waiting           EventType = "waiting"  // it has a place in the queue, or a new one
-	Acquired          EventType = "acquired" // it holds the lease and begins to work
+	Waiting           EventType = "waiting"  // the candidate has a place in the queue, or its place has changed
+	Acquired          EventType = "acquired" // the candidate holds the lease and starts its work
 	Renewed           EventType = "renewed"
 	StepDownRequested EventType = "asked"
-	Lost              EventType = "lost"     // the lease expired, was revoked or is another's
+	Lost              EventType = "lost"     // the lease expired, was revoked or is held by another candidate
 	Stopped           EventType = "stopped"  // the work has returned and the lease is no longer valid
 	Released          EventType = "released" // the registry has confirmed the release
 )
 
-// The outcomes of the trial writes that `milldeck duty hold --save-every` prints in the same form; Run does not report
-// them.
+// The outcomes of the trial writes of `milldeck duty hold --save-every`, which prints them in the form of events. Run does
+// not report them.
 const (
 	CheckpointSaved    EventType = "saved"
 	CheckpointRejected EventType = "refused" // the token was no longer valid
-	CheckpointUnknown  EventType = "unknown" // no answer came
+	CheckpointUnknown  EventType = "unknown" // no answer arrived
 )
 
-// Event reports one step of a candidate. At is when the step happened, not when it was reported: a holder is Stopped
-// before it sends its release, and Released when it has the answer, by which time the next holder may have begun.
+// Event reports one event of a candidate. At is when the event happened, not when it was reported. A holder is Stopped
+// before it sends its release, and Released when it has received the answer; the next holder may have started by then.
 type Event struct {
 	Type          EventType `json:"what"`
 	Lease         string    `json:"duty"`
 	Candidate     string    `json:"who"`
 	Token         uint64    `json:"token,omitempty"` // 0 while waiting
 	At            time.Time `json:"at"`
-	ValidUntil    time.Time `json:"until,omitzero"`  // when the holder stops unless the lease is renewed
-	QueuePosition int       `json:"place,omitempty"` // from 1, of Waiting; 0: it has no place in the queue
+	ValidUntil    time.Time `json:"until,omitzero"`  // when the holder must have stopped unless the lease is renewed
+	QueuePosition int       `json:"place,omitempty"` // for Waiting, from 1; 0: the candidate is not queued
 }
--- a/internal/leaderelection/faults_test.go
+++ b/internal/leaderelection/faults_test.go
@@ -20,8 +20,8 @@
 	"milldeck/internal/registry"
 )
 
-// A holder that is partitioned from the registry stops before the next one begins, and what it still writes to the
-// guarded resource, which it can reach, is rejected.
+// A holder that is partitioned from the registry stops before the next holder starts. Late writes under its token, sent to
+// the guarded resource past the partition, are rejected.
 func TestHolderPartitioned(t *testing.T) {
 	tc := startCluster(t)
 	var proxied []string
@@ -70,8 +70,8 @@
 	}
 }
 
-// With all replicas killed the holder stops in time; once they run again the lease is held again, under a later token and
-// with its checkpoint.
+// When all replicas are killed, the holder stops before its lease ends. Once the replicas run again, the lease is held again,
+// under a later token and with its checkpoint.
 func TestAllReplicasKilled(t *testing.T) {
 	tc := startCluster(t)
 	acquired, stopped := tc.startCandidate(tc.client, "one", nil)
@@ -95,8 +95,8 @@
 	}
 }
 
-// Of many candidates that campaign at once one acquires the lease. A lease that was handed over to a dead candidate goes to
-// the next one after its TTL, and who has lost it cannot renew it.
+// Of many candidates that campaign at once, one acquires the lease. A lease that was handed over to a dead candidate passes to
+// the next candidate after its TTL, and a candidate that has lost the lease cannot renew it.
 func TestConcurrentOperations(t *testing.T) {
 	tc := startCluster(t)
 	var candidates sync.WaitGroup
@@ -142,7 +142,7 @@
 	}
 }
 
-// A client that retries because the response was lost does not queue behind itself.
+// A client that repeats a campaign because the response was lost does not queue behind itself.
 func TestLostResponseRetried(t *testing.T) {
 	tc := startCluster(t)
 	request := registry.LeaseRequest{Candidate: "one", TTLMS: 60_000}
@@ -156,7 +156,7 @@
 	}
 }
 
-// When the replica that makes the backups is killed another goes on, and each file can be read.
+// When the replica that makes the backups is killed, another replica continues them, and the newest file can be read.
 func TestBackupsFailOver(t *testing.T) {
 	dir := t.TempDir()
 	tc := startCluster(t, fmt.Sprintf("[backup]\ndir = %q\nevery_s = 0.1\nkeep = 3", dir))
@@ -191,10 +191,10 @@
 		awaitBackup(rev)
 	}
 	if after := awaitBackup(rev); after.Holder == before.Holder || after.CheckpointToken <= before.Token {
-		t.Errorf("%s goes on under token %d after its replica was killed", after.Holder, after.CheckpointToken)
+		t.Errorf("%s still makes the backups, under token %d, after its replica was killed", after.Holder, after.CheckpointToken)
 	}
 	files, err := filepath.Glob(filepath.Join(dir, "*.snapshot"))
-	if err != nil || len(files) < 1 || len(files) > 4 { // one more while the oldest is being removed
+	if err != nil || len(files) < 1 || len(files) > 4 { // one more than keep while the oldest is being removed
 		t.Fatalf("%v %v", files, err)
 	}
 	data, err := os.ReadFile(files[len(files)-1])
@@ -202,11 +202,12 @@
 		t.Fatal(err)
 	}
 	if snapshot, err := registry.ReadSnapshot(bytes.NewReader(data)); err != nil || snapshot.Revision() != rev {
-		t.Errorf("the newest backup cannot be used: %v", err)
+		t.Errorf("the newest backup is unreadable or has another revision: %v", err)
 	}
 }
 
-// 50 processes with 1,000 leases are all killed and started again at once; each lease is soon held again, by one of them.
+// 50 processes that hold 1,000 leases are all killed and started again at once. Each lease is soon held again, by one of the
+// new processes and under a later token.
 func TestAllHoldersRestarted(t *testing.T) {
 	const processes, leasesPerProcess = 50, 20
 	tc := startCluster(t)
@@ -266,8 +267,8 @@
 	t.Logf("1,000 leases are held again %v after the restart, with leases of 2 s", time.Since(restartedAt).Round(time.Millisecond))
 }
 
-// After a crash between the end of a step and its checkpoint the next holder repeats the step under a new token, and the
-// resource sees its effect once.
+// After a crash between a step and its checkpoint, the next holder repeats the step under a new token, and the step takes
+// effect once.
 func TestCrashBeforeCheckpoint(t *testing.T) {
 	tc := startCluster(t)
 	effects := 0
--- a/internal/leaderelection/fixtures_test.go
+++ b/internal/leaderelection/fixtures_test.go
@@ -22,7 +22,7 @@
 
 const fixtureBackup = "registry-00000000000000000002.snapshot"
 
-// fixtureState is a registry with instances and the lease under which it is backed up.
+// fixtureState returns the state of a registry with an instance and a holder of BackupLease.
 func fixtureState(t *testing.T) *registry.StateMachine {
 	t.Helper()
 	state := registry.NewStateMachine()
@@ -39,7 +39,7 @@
 	return state
 }
 
-// newFixtureRegistry serves fixtureState as a registry replica does, and writes down the checkpoints that it is sent.
+// newFixtureRegistry serves fixtureState as a registry replica does, and records the checkpoint requests that it receives.
 func newFixtureRegistry(t *testing.T) (client *registry.Client, checkpoint *bytes.Buffer) {
 	t.Helper()
 	checkpoint = &bytes.Buffer{}
@@ -68,7 +68,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-		fmt.Fprintf(checkpoint, "%s %s\n%s\n", r.Method, r.URL, bytes.ReplaceAll(body, call["id"], []byte(`"call-1"`))) // it is drawn
+		fmt.Fprintf(checkpoint, "%s %s\n%s\n", r.Method, r.URL, bytes.ReplaceAll(body, call["id"], []byte(`"call-1"`))) // the ID is random
 		fmt.Fprintln(w, "{}")
 	})
 	server := httptest.NewServer(mux)
@@ -81,7 +81,8 @@
 	return client, checkpoint
 }
 
-// A backup's file name and bytes, the request that saves its revision as the lease's checkpoint, and the files that are pruned.
+// Guards the file name and the bytes of a backup, the request that saves its revision as the lease's checkpoint, and which
+// files are pruned.
 func TestBackupFormat(t *testing.T) {
 	client, checkpoint := newFixtureRegistry(t)
 	dir := t.TempDir()
@@ -133,11 +134,11 @@
 	}
 	goldentest.Compare(t, fixtureBackup, rewritten.Bytes())
 	if _, err := registry.ReadSnapshot(bytes.NewReader(bytes.Replace(golden, []byte("9001"), []byte("9009"), 1))); err == nil {
-		t.Error("a backup with a changed byte was read")
+		t.Error("ReadSnapshot accepted a backup with a changed byte")
 	}
 }
 
-// Events as `milldeck duty hold` prints them.
+// Guards the format of events that `milldeck duty hold` prints.
 func TestEventFormat(t *testing.T) {
 	at := time.Date(2026, 12, 2, 3, 4, 5, 678_000_000, time.UTC)
 	events := []Event{
--- a/internal/leaderelection/lease_model_test.go
+++ b/internal/leaderelection/lease_model_test.go
@@ -8,7 +8,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// leaseOperation is what a client does.
+// leaseOperation is the kind of an operation that a client performs.
 type leaseOperation string
 
 const (
@@ -29,7 +29,7 @@
 	value     int
 }
 
-// leaseOutput is its answer: whether it was accepted, or what was read.
+// leaseOutput is the answer to an operation: whether it was accepted, or what was read.
 type leaseOutput struct {
 	accepted bool
 	holder   string
@@ -38,8 +38,8 @@
 	value    int // of the checkpoint, or of the instance
 }
 
-// leaseModelState is a lease by its specification. It may expire before any operation, so that several states are possible;
-// the token of the next holder is known only once it has been read.
+// leaseModelState is the state of a lease by its specification. The lease may expire before any operation, so that several
+// states are possible at a time. The token of a new holder is known only once a client has read it.
 type leaseModelState struct {
 	holder          string
 	token           uint64 // 0: not read yet; it is above supersededToken
@@ -67,7 +67,7 @@
 	return slices.Contains(strings.Split(s.queue, ","), candidate)
 }
 
-// reachableByExpiry are all states that ends of leases can make of one.
+// reachableByExpiry returns all states that s can reach by the expiry of holders and of places in the queue.
 func (s leaseModelState) reachableByExpiry() []leaseModelState {
 	reachable := []leaseModelState{s}
 	for i := 0; i < len(reachable); i++ {
@@ -89,7 +89,7 @@
 	return reachable
 }
 
-// apply returns the state after an operation, and whether the operation can have had this answer in this state.
+// apply returns the state after an operation, and whether the operation can have the answer out in the state s.
 func (s leaseModelState) apply(in leaseInput, out leaseOutput) (leaseModelState, bool) {
 	isHolder := s.holder != "" && s.holder == in.candidate && s.token != 0 && s.token == in.token
 	switch in.operation {
@@ -98,7 +98,7 @@
 			return s, true
 		}
 		if s.holder == "" {
-			s.holder = in.candidate // and a token that nobody knows yet
+			s.holder = in.candidate // its token is unknown until it is read
 			return s, true
 		}
 		s.queue = strings.Trim(s.queue+","+in.candidate, ",")
@@ -112,7 +112,7 @@
 		}
 		return s, true
 	case opRenew:
-		return s, isHolder || !out.accepted // a rejected renewal may be due to an expiry that is being written to the log
+		return s, isHolder || !out.accepted // a renewal is also rejected while the expiry is being written to the log
 	case opCheckpoint:
 		if out.accepted {
 			s.checkpoint = in.value
@@ -151,7 +151,7 @@
 	},
 }
 
-// The model tells a correct history from those that a registry with a bug would leave.
+// The model accepts a correct history and rejects histories that a registry with a bug would produce.
 func TestHistoryModelFindsBugs(t *testing.T) {
 	prefix := []porcupine.Operation{}
 	appendOperation := func(operations []porcupine.Operation, in leaseInput, out leaseOutput) []porcupine.Operation {
--- a/internal/leaderelection/linearizability_test.go
+++ b/internal/leaderelection/linearizability_test.go
@@ -19,7 +19,7 @@
 	"milldeck/internal/registry"
 )
 
-// history is what clients did with one lease, as they saw it.
+// history records the operations of all clients on one lease, with the answers that they received.
 type history struct {
 	mu           sync.Mutex
 	startedAt    time.Time
@@ -27,8 +27,8 @@
 	lastClientID int
 }
 
-// record adds an operation, each under a client ID of its own: a write is answered with the lease as read after it, which
-// is a second operation at the same time.
+// record adds an operation under a client ID of its own. The answer to a write contains the lease as read after the write,
+// which counts as a second operation at the same time.
 func (h *history) record(calledAt time.Time, in leaseInput, out leaseOutput) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -44,29 +44,29 @@
 	h.record(calledAt, leaseInput{operation: opRead}, out)
 }
 
-// rejected tells a write that was rejected from one whose outcome is unknown.
+// isRejection tells a rejected write from a write whose outcome is unknown.
 func isRejection(err error) bool {
 	var status *registry.StatusError
 	return errors.As(err, &status) && (status.StatusCode == http.StatusConflict || status.StatusCode == http.StatusNotFound)
 }
 
-// historyClient does random operations on one lease and records them.
+// historyClient performs random operations on one lease and records them.
 type historyClient struct {
 	*history
 	client    *registry.Client
 	rng       *rand.Rand
 	leaseName string
 	name      string
-	number    int // of the client, in the values that it writes
+	number    int // of the client; part of the values that it writes
 	ttl       time.Duration
 
 	incarnation int
 	candidate   string // the name of this incarnation
-	token       uint64 // the last one that it had; it is used also once it is invalid, as late writes have to be rejected
-	value       int    // of the last operation
+	token       uint64 // the newest one received; used also once it is invalid, because late writes must be rejected
+	value       int    // number of the last operation; part of the value that it writes
 }
 
-// run does one operation after another until stopping is set.
+// run performs one operation after another until stopping is set.
 func (c *historyClient) run(ctx context.Context, stopping *atomic.Bool) error {
 	c.nextIncarnation()
 	for !stopping.Load() {
@@ -89,20 +89,20 @@
 		if in.operation == opRelease {
 			c.nextIncarnation()
 		}
-		if c.rng.IntN(40) == 0 { // sometimes for longer than a lease
+		if c.rng.IntN(40) == 0 { // sometimes pauses for longer than the TTL
 			time.Sleep(time.Duration(c.rng.Float64() * 1.5 * float64(c.ttl)))
 		}
 	}
 	return nil
 }
 
-// reincarnate takes a new name, as a process that starts again does; else the hold-down would apply.
+// nextIncarnation takes a new name, as a restarted process does. Under the old name the hold-down would apply.
 func (c *historyClient) nextIncarnation() {
 	c.candidate, c.token = fmt.Sprint(c.name, "-", c.incarnation), 0
 	c.incarnation++
 }
 
-// nextInput draws an operation, with a value that no other operation writes.
+// randomInput returns a random operation with a value that no other operation writes.
 func (c *historyClient) randomInput() leaseInput {
 	operations := []leaseOperation{opCampaign, opCampaign, opRead}
 	if c.token != 0 {
@@ -115,7 +115,7 @@
 	return leaseInput{operation: operation, candidate: c.candidate, token: c.token, value: c.value*10 + c.number}
 }
 
-// perform does an operation. It returns the lease where that is the answer, and records answers of any other kind itself.
+// perform executes an operation. It returns the lease if the answer contains it, and records any other answer itself.
 func (c *historyClient) perform(ctx context.Context, calledAt time.Time, in leaseInput) (leasetable.Lease, error) {
 	request := registry.LeaseRequest{Candidate: in.candidate, Token: in.token}
 	switch in.operation {
@@ -146,7 +146,7 @@
 		return leasetable.Lease{}, err
 	case opReadValue:
 		instance, err := c.client.Get(ctx, c.leaseName, true)
-		if err == nil || isRejection(err) { // rejected: it has not been written yet
+		if err == nil || isRejection(err) { // rejected: the instance has not been written yet
 			c.record(calledAt, in, leaseOutput{value: valueOf(instance.Capacity)})
 			return leasetable.Lease{}, nil
 		}
@@ -155,12 +155,12 @@
 	return leasetable.Lease{}, fmt.Errorf("unknown operation %q", in.operation)
 }
 
-// capacityOf stores a value in an instance, and valueOf reads it back.
+// capacityOf encodes a value as the capacity of an instance, and valueOf decodes it.
 func capacityOf(value int) float64 { return float64(value) / 1000 }
 func valueOf(capacity float64) int { return int(capacity*1000 + 0.5) }
 
-// What clients of several leases see, while raft leaders are killed, frozen and restarted and leases expire, is what a single
-// table would have shown them.
+// While raft leaders are killed, frozen and restarted and leases expire, clients of several leases receive answers that a
+// single table could have given.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	const leaseCount, clientsPerLease, faultCount, ttl = 4, 4, 6, 600 * time.Millisecond
 	tc := startCluster(t)
@@ -194,13 +194,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Duration(300+rng.IntN(400)) * time.Millisecond) // amid the operations
+		time.Sleep(time.Duration(300+rng.IntN(400)) * time.Millisecond) // while clients perform operations
 		if n%2 == 0 {
 			replica.Process.Kill()
 			err = replica.Start()
 		} else {
 			err = replica.Pause()
-			time.Sleep(time.Second) // until the others have elected another leader, while this one still believes to be it
+			time.Sleep(time.Second) // the others elect another leader while this replica still considers itself the leader
 			err = errors.Join(err, replica.Resume())
 		}
 		if err != nil {
@@ -226,5 +226,5 @@
 	if counts[opCheckpoint] == 0 || counts[opWrite] == 0 || counts[opRenew] == 0 {
 		t.Error("the histories lack checkpoints, writes or renewals that were accepted")
 	}
-	t.Logf("operations that were done: %v", counts)
+	t.Logf("accepted operations: %v", counts)
 }
--- a/internal/leaderelection/renewal_batch.go
+++ b/internal/leaderelection/renewal_batch.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// lingerDivisor gives the part of a lease for which a renewal waits to be sent together with others of the same
-	// candidate: a process that holds a thousand leases would otherwise make hundreds of requests a second.
+	// A renewal waits for up to 1/lingerDivisor of the TTL, at most maxLinger, to be sent together with others of the same
+	// candidate: a process that holds a thousand leases would otherwise make hundreds of requests per second.
 	lingerDivisor = 100
 	maxLinger     = 100 * time.Millisecond
-	// maxBatchSize is how many renewals are sent in one request.
+	// maxBatchSize is the maximum number of renewals in one request.
 	maxBatchSize = 1000
 )
 
-// renewalBatch is renewals that are sent in one request.
+// renewalBatch is a set of renewals that are sent in one request.
 type renewalBatch struct {
-	ctx        context.Context // of the request; cancelled when nobody waits for the answer any more
+	ctx        context.Context // of the request; cancelled when no caller waits for the answer any more
 	cancel     context.CancelFunc
 	renewals   []registry.LeaseRenewal
 	waiters    int           // callers that still wait for the answer
@@ -35,14 +35,14 @@
 	candidate string
 }
 
-// pendingBatches are the batches that still accept renewals, of all candidates of the process.
+// pendingBatches holds the batches that still accept renewals, for all candidates of the process.
 var pendingBatches = struct {
 	sync.Mutex
 	open map[batchKey]*renewalBatch
 }{open: map[batchKey]*renewalBatch{}}
 
-// renewBatched renews one lease in a request with others of the candidate that are renewed within linger; with linger 0
-// it sends a request of its own at once. It reports whether the lease, or the place in its queue, is lost.
+// renewBatched renews one lease, in one request with other leases that the candidate renews within linger. With linger 0 it
+// sends a separate request at once. It reports whether the lease, or the place in its queue, is lost.
 func renewBatched(ctx context.Context, client *registry.Client, candidate string, renewal registry.LeaseRenewal,
 	linger time.Duration) (lost bool, err error) {
 	if linger == 0 {
@@ -60,7 +60,7 @@
 	}
 }
 
-// joinBatch adds a renewal to the open batch, or opens one that is sent after linger.
+// joinBatch adds a renewal to the open batch, or opens a batch that is sent after linger.
 func joinBatch(ctx context.Context, key batchKey, renewal registry.LeaseRenewal, linger time.Duration) *renewalBatch {
 	pendingBatches.Lock()
 	defer pendingBatches.Unlock()
@@ -79,7 +79,7 @@
 	return batch
 }
 
-// leave ends a caller's wait. The last one cancels the request.
+// leave ends a caller's wait for the answer. When the last caller leaves, the request is cancelled.
 func (b *renewalBatch) leave(key batchKey) {
 	pendingBatches.Lock()
 	defer pendingBatches.Unlock()
@@ -90,7 +90,7 @@
 	}
 }
 
-// close lets the batch accept no more renewals. The caller holds the lock.
+// close stops the batch from accepting renewals. The caller holds the lock of pendingBatches.
 func (b *renewalBatch) close(key batchKey) {
 	if pendingBatches.open[key] == b {
 		delete(pendingBatches.open, key)
--- a/internal/leaderelection/tenure.go
+++ b/internal/leaderelection/tenure.go
@@ -8,7 +8,7 @@
 	"milldeck/internal/leaderelection/leasetable"
 )
 
-// tenure is the time in which a candidate holds a lease and its work runs.
+// tenure is the period in which a candidate holds a lease and its work runs.
 type tenure struct {
 	*candidate
 	lease *Lease
@@ -27,14 +27,14 @@
 	err        error
 }
 
-// runTenure calls work and renews the lease until work has returned. It reports whether work was interrupted by the loss
-// of the lease or a request to step down, and returns the error of work.
+// runTenure calls work and renews the lease until work has returned. It reports whether the loss of the lease or a request
+// to step down interrupted work, and returns the error of work.
 func (c *candidate) runTenure(ctx context.Context, lease *Lease, ttl time.Duration, work Work) (interrupted bool, err error) {
 	workCtx, stopWork := context.WithCancelCause(ctx)
 	defer stopWork(nil)
 	t := &tenure{candidate: c, lease: lease, ttl: ttl, workCtx: workCtx, stopWork: stopWork, renewals: make(chan renewalResult, 1)}
 	done := make(chan error, 1)
-	go func() { done <- work(workCtx, lease) }() // awaited below
+	go func() { done <- work(workCtx, lease) }() // done is received below
 	clock := c.opts.Clock
 	renewalDue, expiry := clock.After(ttl/renewalsPerLease), clock.After(t.remaining())
 	for {
@@ -42,7 +42,7 @@
 		case err := <-done:
 			return t.interrupted(), err
 		case <-expiry:
-			if remaining := t.remaining(); remaining > 0 { // it was renewed meanwhile
+			if remaining := t.remaining(); remaining > 0 { // the lease was renewed meanwhile
 				expiry = clock.After(remaining)
 			} else {
 				t.handleLoss(lease.ValidUntil())
@@ -58,16 +58,17 @@
 	}
 }
 
-// remaining is the time for which the lease is still valid.
+// remaining returns how long the lease is still valid.
 func (t *tenure) remaining() time.Duration { return t.lease.ValidUntil().Sub(t.now()) }
 
-// interrupted reports whether the work was cancelled by the election, not by the caller.
+// interrupted reports whether the election cancelled the work, not the caller.
 func (t *tenure) interrupted() bool {
 	cause := context.Cause(t.workCtx)
 	return errors.Is(cause, ErrLeaseLost) || errors.Is(cause, ErrStepDownRequested)
 }
 
-// lose cancels the work. ValidUntil is set where the lease expired, zero where it is another's.
+// handleLoss cancels the work and invalidates the lease. validUntil is the time at which the lease expired, or zero if the
+// lease was revoked or is held by another candidate.
 func (t *tenure) handleLoss(validUntil time.Time) {
 	if t.lost {
 		return
@@ -77,9 +78,9 @@
 	t.emit(Event{Type: Lost, Token: t.lease.Token, At: t.lease.invalidate(), ValidUntil: validUntil})
 }
 
-// startRenewal renews the lease in the background, unless it is lost or a renewal is in flight. The lease is renewed
-// also while the cancelled work finishes its last step. The goroutine ends with the answer or with the lease; if the
-// tenure is over by then, its result stays in the channel and the lease ignores it.
+// startRenewal renews the lease in the background, unless the lease is lost or a renewal is in flight. Renewals continue
+// while cancelled work finishes its last step. The goroutine ends when the answer arrives or the lease ends. If the tenure
+// is over by then, the result stays in the channel and the lease ignores the renewal.
 func (t *tenure) startRenewal(ctx context.Context) {
 	if t.renewalInFlight || t.lost {
 		return
@@ -93,7 +94,8 @@
 	}()
 }
 
-// finishRenewal handles the answer to a renewal. Any error but a loss leaves the lease to its next renewal or its expiry.
+// finishRenewal handles the answer to a renewal. After any error but ErrLeaseLost the lease is renewed at the next interval,
+// or expires.
 func (t *tenure) finishRenewal(result renewalResult) {
 	t.renewalInFlight = false
 	switch {
@@ -104,10 +106,10 @@
 	}
 }
 
-// handleUpdate handles a watch event of the lease.
+// handleUpdate handles a state of the lease that the watch delivered.
 func (t *tenure) handleUpdate(state *leasetable.Lease) {
 	switch {
-	case state.Revision < t.lease.Token: // from before this tenure
+	case state.Revision < t.lease.Token: // a state from before this tenure
 	case state.Holder != t.lease.Holder || state.Token != t.lease.Token || state.Revoked:
 		t.handleLoss(time.Time{})
 	case state.StepDownRequested && t.workCtx.Err() == nil:
