--- a/internal/leaderelection/leasetable/table_test.go
+++ b/internal/leaderelection/leasetable/table_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-// withoutFailovers returns an operation as a version that does not know of failovers reads it.
-func withoutFailovers(op Operation) Operation {
+// withoutShortTenure returns an operation as a version without counts of short tenures reads it.
+func withoutShortTenure(op Operation) Operation {
 	op.ShortTenure = false
 	return op
 }
 
-// A replica of the previous version agrees with this one on everything but failovers, also after it has written and read a
-// snapshot: guards and watches depend on holder, queue, token and revision.
+// A replica of the previous version agrees with a replica of this version on everything but the counts of short tenures,
+// also after it has written and read a snapshot. Guards and watches depend on holder, queue, token and revision.
 func TestAgreesWithPreviousVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		current, previous := New(), New()
@@ -38,19 +38,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			previousOp := withoutFailovers(decoded)
+			previousOp := withoutShortTenure(decoded)
 			got := fmt.Sprint(current.Apply(index, &decoded))
 			want := fmt.Sprint(previous.Apply(index, &previousOp))
 			a, _ := current.Get("d")
 			b, _ := previous.Get("d")
-			for _, failover := range a.Failovers {
-				if failover.Count < 1 || failover.Count > MaxFailoverCount || len(a.Failovers) > MaxFailoverRecords {
-					t.Fatalf("failovers %+v", a.Failovers)
+			for _, entry := range a.ShortTenures {
+				if entry.Count < 1 || entry.Count > MaxShortTenureCount || len(a.ShortTenures) > MaxShortTenureRecords {
+					t.Fatalf("counts of short tenures are out of bounds: %+v", a.ShortTenures)
 				}
 			}
-			a.Failovers = nil
+			a.ShortTenures = nil
 			if got != want || fmt.Sprint(a) != fmt.Sprint(b) {
-				t.Fatalf("at %d after %+v: %s %+v, before: %s %+v", index, op, got, a, want, b)
+				t.Fatalf("at index %d after %+v: this version has %s %+v, the previous one %s %+v", index, op, got, a, want, b)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
 				previous = FromSnapshot(previous.Snapshot())
@@ -60,15 +60,15 @@
 }
 
 // Consecutive short tenures are counted, a long one clears the count, and one that an operator ended does not count.
-func TestFailoverCounts(t *testing.T) {
-	leases, index := New(), uint64(0)
+func TestShortTenureCounts(t *testing.T) {
+	table, index := New(), uint64(0)
 	apply := func(op Operation) Lease {
 		index++
 		op.Name = "d"
-		if err := leases.Apply(index, &op); err != nil {
+		if err := table.Apply(index, &op); err != nil {
 			t.Fatal(err)
 		}
-		lease, _ := leases.Get("d")
+		lease, _ := table.Get("d")
 		return lease
 	}
 	tenure := func(shortTenure, revoked bool) int {
@@ -77,7 +77,7 @@
 			apply(Operation{Kind: Revoke})
 		}
 		lease = apply(Operation{Kind: Release, Candidate: "a", Token: lease.Token, ShortTenure: shortTenure})
-		return lease.FailoversOf("a").Count
+		return lease.ShortTenuresOf("a").Count
 	}
 	for _, step := range []struct {
 		name                 string
@@ -91,13 +91,13 @@
 		{"short after long", true, false, 1},
 	} {
 		if got := tenure(step.shortTenure, step.revoked); got != step.want {
-			t.Errorf("%s: %d failovers, want %d", step.name, got, step.want)
+			t.Errorf("%s: %d short tenures, want %d", step.name, got, step.want)
 		}
 	}
-	for range MaxFailoverCount {
+	for range MaxShortTenureCount {
 		tenure(true, false)
 	}
-	if got := tenure(true, false); got != MaxFailoverCount {
-		t.Errorf("%d failovers, at most %d are counted", got, MaxFailoverCount)
+	if got := tenure(true, false); got != MaxShortTenureCount {
+		t.Errorf("%d short tenures, want %d, the most that are counted", got, MaxShortTenureCount)
 	}
 }
