--- a/internal/maintenance/apply.go
+++ b/internal/maintenance/apply.go
@@ -1,7 +1,7 @@
 package maintenance
 
-// Apply executes an operation of the replicated log. The revision is that of its log record and only grows. A rejected
-// operation returns a *RejectedError and changes nothing, except that a clock fault is recorded.
+// Apply applies an operation of the replicated log. The revision is that of the log record and increases with
+// each call. A rejected operation returns a *RejectedError and changes nothing except the recorded clock fault.
 func (t *Table) Apply(revision uint64, op *Operation, timestamp Timestamp) (Changes, error) {
 	t.changes = Changes{}
 	if op.Kind.RequiresToken() && (op.Token == 0 || op.Token < t.token) {
@@ -29,7 +29,7 @@
 	return t.changes, nil
 }
 
-// execute carries out an operation whose token and time are accepted.
+// execute applies an operation after Apply has accepted its token and time.
 func (t *Table) execute(revision uint64, op *Operation, now timeBounds) error {
 	switch op.Kind {
 	case OpSetContract:
--- a/internal/maintenance/calendar/calendar.go
+++ b/internal/maintenance/calendar/calendar.go
@@ -1,31 +1,33 @@
-// Package calendar computes when a contract approves maintenance: it expands recurrence rules, closed days and a time
-// zone into intervals of Unix time. It has no state but the compiled rules, reads no clock, and embeds the time zone
-// data, so that the files of a machine do not matter. Windows and contracts belong to the packages above it.
+// Package calendar computes when a contract approves maintenance: it expands recurrence rules, closed days and a
+// time zone into intervals of Unix time. Its only state is the compiled rules, and it reads no clock. It embeds
+// the time zone data, so that results do not depend on the zone files of a machine. Contracts and windows belong
+// to the packages that import it.
 //
-// A change of the local clock shortens approved hours rather than extending them. An instant is approved only where both
-// readings of a rule agree: the local time lies within the hours, and no more than their length has passed since they
-// started, at the first instant at which the local clock shows their start or a later time. So hours are never longer
-// than agreed, never end later by the local clock, and a start that the clock skips is moved past the gap while the end
-// stays.
+// A change of the local clock shortens approved hours and never extends them. An instant is approved only if two
+// readings of a rule agree: the local time lies within the hours, and the time since the hours started does not
+// exceed their length. The hours start at the first instant at which the local clock shows their start time or a
+// later time. So approved hours are never longer than agreed, and never end later by the local clock. If the
+// local clock skips the start time, the hours start after the gap and their end stays.
 package calendar
 
 import (
 	"time"
-	_ "time/tzdata" // the same zones wherever the program runs
+	_ "time/tzdata" // the same zones on every machine
 )
 
-// maxZoneOffset bounds the difference of local time and UTC, in s: 14 hours, and less than 12 for a change of the clock.
+// maxZoneOffset bounds the difference between local time and UTC, in s. A zone differs from UTC by at most 14
+// hours, and a change of the local clock is less than 12 hours.
 const maxZoneOffset = 26 * 3600
 
-// Calendar is a compiled Spec. It expands its rules on demand and is not safe for concurrent use.
+// Calendar is a compiled Spec. It expands the rules on demand and is not safe for concurrent use.
 type Calendar struct {
 	location *time.Location
 	approved []*daySeries
 	closed   []*daySeries
 }
 
-// Month is a calendar month of the Calendar's time zone, from the first instant of its first day to that of the next
-// month.
+// Month is a calendar month of a Calendar's time zone, from the first instant of its first day to the first
+// instant of the next month.
 type Month struct {
 	Name string `json:"name"` // "2026-03"
 	Interval
@@ -51,7 +53,7 @@
 // Approves reports whether an instant, Unix ms, is approved.
 func (c *Calendar) Approves(instantMS int64) bool { return len(c.Between(instantMS, instantMS+1)) > 0 }
 
-// Months returns the months that [startMS, endMS), Unix ms, touches.
+// Months returns the calendar months that overlap [startMS, endMS), Unix ms.
 func (c *Calendar) Months(startMS, endMS int64) []Month {
 	year, month, _ := time.UnixMilli(startMS).In(c.location).Date()
 	first := time.Date(year, month, 1, 0, 0, 0, 0, time.UTC)
@@ -69,7 +71,8 @@
 	}
 }
 
-// expand returns the occurrences of a series that touch [startMS, endMS), and possibly some beside it.
+// expand returns the occurrences of a series that overlap [startMS, endMS), Unix ms, and possibly some before or
+// after it. For bounded, see occurrence.
 func (c *Calendar) expand(series *daySeries, startMS, endMS int64, bounded bool) []Interval {
 	var intervals []Interval
 	for _, start := range series.startsBetween(startMS/1000-series.duration-maxZoneOffset, endMS/1000+maxZoneOffset) {
@@ -78,8 +81,9 @@
 	return intervals
 }
 
-// occurrence returns when the local clock shows a time within [localStart, localStart+duration), in s. Where it is
-// bounded, it ends no later than duration after the first instant at which the clock shows localStart or later.
+// occurrence returns the intervals in which the local clock shows a time within [localStart,
+// localStart+duration), in s. If bounded is true, they end at most duration after the first instant at which the
+// local clock shows localStart or a later time.
 func (c *Calendar) occurrence(localStart, duration int64, bounded bool) []Interval {
 	var intervals []Interval
 	started := false
@@ -101,7 +105,8 @@
 	return intervals
 }
 
-// forEachOffset visits the parts of [start, end), Unix s, in which the local clock has one offset from UTC, in s.
+// forEachOffset splits [start, end), Unix s, at the changes of the local clock, and calls visit for each part
+// with its offset from UTC, in s.
 func (c *Calendar) forEachOffset(start, end int64, visit func(from, until, offset int64)) {
 	for start < end {
 		local := time.Unix(start, 0).In(c.location)
@@ -115,7 +120,8 @@
 	}
 }
 
-// firstInstantMS returns the first instant, Unix ms, at which the local clock shows a time, in s, or a later one.
+// firstInstantMS returns the first instant, Unix ms, at which the local clock shows localTime, in s, or a later
+// time.
 func (c *Calendar) firstInstantMS(localTime int64) int64 {
 	instantMS, found := int64(0), false
 	c.forEachOffset(localTime-maxZoneOffset, localTime+maxZoneOffset, func(from, until, offset int64) {
--- a/internal/maintenance/calendar/intervals.go
+++ b/internal/maintenance/calendar/intervals.go
@@ -11,7 +11,7 @@
 	EndMS   int64 `json:"until_ms"`
 }
 
-// merge sorts intervals and joins those that touch. It reuses the slice.
+// merge sorts intervals and joins those that overlap or touch. It reuses the slice.
 func merge(intervals []Interval) []Interval {
 	slices.SortFunc(intervals, func(x, y Interval) int { return cmp.Compare(x.StartMS, y.StartMS) })
 	merged := intervals[:0]
@@ -26,7 +26,7 @@
 	return merged
 }
 
-// Intersect returns the time that both lists contain. Each is sorted and merged, as is the result.
+// Intersect returns the time that is in both x and y. Both lists must be sorted and merged, and so is the result.
 func Intersect(x, y []Interval) []Interval {
 	var common []Interval
 	for len(x) > 0 && len(y) > 0 {
@@ -43,7 +43,8 @@
 	return common
 }
 
-// Subtract returns the time of x that is not in y. Both are sorted; those of x are merged, as is the result.
+// Subtract returns the time that is in x but not in y. Both lists must be sorted, and x merged. The result is
+// sorted and merged.
 func Subtract(x, y []Interval) []Interval {
 	var remaining []Interval
 	for _, interval := range x {
--- a/internal/maintenance/calendar/series.go
+++ b/internal/maintenance/calendar/series.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// Nothing is approved from maxYear on: it bounds the expansion of a recurrence.
+	// Nothing is approved from maxYear on. This bounds the expansion of a recurrence.
 	minYear, maxYear = 2020, 2120
-	// A recurrence whose first occurrence is further away than this is rejected as one without any. Monday the 29th of
-	// February recurs after 28 years, or 40 where a century's year is no leap year.
+	// A recurrence whose first occurrence is more than this many years after its first day is rejected as one
+	// that never occurs. Monday, 29 February, recurs after 28 years, or after 40 years across a century year that
+	// is not a leap year.
 	maxYearsToFirstOccurrence = 41
 	maxRecurrenceInterval     = 1000
 
 	secondsPerDay = 24 * 3600
 )
 
-// daySeries is the days of one recurrence, expanded as far as they were needed. Local times are represented as Unix
-// seconds, as if the zone were UTC.
+// daySeries holds the days of one recurrence, expanded as far as they were needed. A local time is stored as the
+// Unix seconds that it would have if the zone were UTC.
 type daySeries struct {
 	nextDate    rrule.Next
 	daysUnix    []int64 // local midnights
@@ -31,7 +32,7 @@
 	duration    int64 // s
 }
 
-// newDaySeries parses a recurrence; field is the key that errors name.
+// newDaySeries parses a recurrence. Errors name field as its key.
 func newDaySeries(field, recurrence, firstDay string) (*daySeries, error) {
 	ruleField := field + ".rule"
 	if len(recurrence) > maxRuleLength || strings.ContainsAny(recurrence, "\n\r") {
@@ -61,7 +62,7 @@
 	return series, nil
 }
 
-// checkDayRecurrence checks that a recurrence names days, without a time of day or a start of its own.
+// checkDayRecurrence checks that a recurrence selects days, and sets neither a time of day nor its own start.
 func checkDayRecurrence(field string, options *rrule.ROption) error {
 	switch {
 	case options.Freq > rrule.DAILY:
--- a/internal/maintenance/calendar/spec.go
+++ b/internal/maintenance/calendar/spec.go
@@ -10,7 +10,7 @@
 // Bounds of a Spec, far beyond what contracts need.
 const (
 	MaxRules      = 32
-	MaxClosedDays = 400                // a year of single days
+	MaxClosedDays = 400                // a year of entries for single days
 	MaxLength     = 7 * 24 * time.Hour // of approved hours
 	maxRuleLength = 512                // bytes of a recurrence
 )
@@ -23,23 +23,24 @@
 	singleDay = "FREQ=DAILY;COUNT=1"
 )
 
-// Spec says when maintenance is approved, as it is written in a contract.
+// Spec is the part of a contract that says when maintenance is approved.
 type Spec struct {
-	Zone          string      `toml:"zone" json:"zone"` // name of a time zone, as "America/Montevideo"
+	Zone          string      `toml:"zone" json:"zone"` // IANA name of the time zone, as "America/Montevideo"
 	ApprovedHours []Rule      `toml:"hours" json:"hours"`
 	ClosedDays    []ClosedDay `toml:"closed" json:"closed,omitempty"`
 }
 
-// Rule approves Length from Start on each day of Recurrence, an RFC 5545 recurrence of whole days from FirstDay on.
+// Rule approves Length from Start on, on each day of Recurrence, an RFC 5545 recurrence of whole days from
+// FirstDay on.
 type Rule struct {
-	Recurrence string `toml:"rule" json:"rule"`     // FREQ=DAILY, WEEKLY, MONTHLY or YEARLY; no BYHOUR and the like
+	Recurrence string `toml:"rule" json:"rule"`     // FREQ=DAILY, WEEKLY, MONTHLY or YEARLY; no BYHOUR, BYMINUTE or BYSECOND
 	Start      string `toml:"start" json:"start"`   // local time, "22:00"
 	Length     string `toml:"length" json:"length"` // "6h", whole minutes, at most MaxLength; may cross midnight
 	FirstDay   string `toml:"from" json:"from"`     // "2026-01-05"
 }
 
-// ClosedDay is a day on which nothing is approved, from one local midnight to the next: either Day, or the days of
-// Recurrence from FirstDay on.
+// ClosedDay names days on which nothing is approved, from one local midnight to the next: either Day, or the days
+// of Recurrence from FirstDay on.
 type ClosedDay struct {
 	Day        string `toml:"day" json:"day,omitempty"`
 	Recurrence string `toml:"rule" json:"rule,omitempty"`
@@ -47,7 +48,8 @@
 	Reason     string `toml:"why" json:"why,omitempty"` // for operators
 }
 
-// Compile checks a Spec and compiles it. The error is a *validation.Error that names the key as written in a contract.
+// Compile checks a Spec and compiles it. The error is a *validation.Error that names the key as written in the
+// contract.
 func Compile(spec Spec) (*Calendar, error) {
 	location, err := time.LoadLocation(spec.Zone)
 	if err != nil || spec.Zone == "" || spec.Zone == "Local" {
@@ -79,7 +81,7 @@
 	return calendar, nil
 }
 
-// compile compiles the rule; field is its key.
+// compile compiles the rule. Errors name field as its key.
 func (r *Rule) compile(field string) (*daySeries, error) {
 	start, err := time.Parse(timeLayout, r.Start)
 	if err != nil {
@@ -98,7 +100,7 @@
 	return days, nil
 }
 
-// compile compiles the closed days; field is their key.
+// compile compiles the closed days. Errors name field as their key.
 func (d *ClosedDay) compile(field string) (*daySeries, error) {
 	recurrence, firstDay := d.Recurrence, d.FirstDay
 	if d.Day != "" {
--- a/internal/maintenance/checks.go
+++ b/internal/maintenance/checks.go
@@ -1,7 +1,7 @@
 package maintenance
 
-// checkHours checks that the time is within the approved hours of all tenants concerned, and that requiredMS fit
-// between it and each close.
+// checkHours checks that now is within the approved hours of all tenants of the window, and that requiredMS
+// remain before each close.
 func (t *Table) checkHours(window *Window, now timeBounds, requiredMS int64) error {
 	for i := range window.Approvals {
 		approval := &window.Approvals[i]
@@ -17,7 +17,7 @@
 	return nil
 }
 
-// checkDrain checks everything that a window needs to start its drain, except its permit.
+// checkDrain checks all conditions for the start of a drain, except the permit.
 func (t *Table) checkDrain(window *Window, now timeBounds) error {
 	requiredMS := t.EstimatedTotalMS(window.WorkMS)
 	if err := t.checkHours(window, now, requiredMS); err != nil {
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// checkContractLimits checks the notice, the concurrent windows, the available share and the minutes of one contract,
-// which is in force.
+// checkContractLimits checks the limits of one contract, which must be in force: its notice, concurrent windows,
+// available share and minutes per month.
 func (t *Table) checkContractLimits(window *Window, approval *Approval, now timeBounds, requiredMS int64) error {
 	tenant := approval.Tenant
 	active := t.contracts[tenant]
@@ -64,13 +64,14 @@
 	return nil
 }
 
-// maxServersOut is how many of a tenant's servers may be out of service at once.
+// maxServersOut returns how many of a tenant's servers may be out of service at once.
 func maxServersOut(serverCount int, minAvailableShare float64) int {
-	const roundingTolerance = 1e-9 // 0.9 of 10 is meant to be 9
+	const roundingTolerance = 1e-9 // at a share of 0.9, one of 10 servers may be out, although 10*(1-0.9) < 1
 	return int(float64(serverCount)*(1-minAvailableShare) + roundingTolerance)
 }
 
-// countOutOfService counts a tenant's windows that are out of service, and their servers.
+// countOutOfService returns the number of a tenant's windows that are out of service, and of the servers of these
+// windows.
 func (t *Table) countOutOfService(tenant string) (windowCount, serverCount int) {
 	for _, window := range t.windows {
 		if window.OutOfService() && window.involves(tenant) {
--- a/internal/maintenance/contracts.go
+++ b/internal/maintenance/contracts.go
@@ -6,8 +6,9 @@
 	"milldeck/internal/placement"
 )
 
-// setContract brings a contract into force. It acts at once on windows that are out of service: where the operation
-// carries a current approval they continue under it, otherwise the tenant's exclusions are deleted.
+// setContract brings a contract into force, with immediate effect on the tenant's windows that are out of
+// service. If the operation carries a current approval, these windows continue under it. Otherwise the tenant's
+// exclusions are deleted.
 func (t *Table) setContract(revision uint64, op *Operation, now timeBounds) error {
 	next := op.Contract
 	if next == nil || next.Tenant == "" || (op.CurrentApproval != nil && op.CurrentApproval.Tenant != next.Tenant) {
@@ -39,19 +40,20 @@
 	affected := t.windowsOutOfService(tenant)
 	delete(t.contracts, tenant)
 	for _, item := range affected {
-		// The approval stays as it is: without its contract it no longer counts.
+		// The approval is not changed: it is void without its contract.
 		t.reviseWindow(revision, now, tenant, item, func(*Approval) {})
 	}
 	return nil
 }
 
-// affectedWindow is a window that a change of a contract concerns, as it was before the change.
+// affectedWindow is a window of a tenant whose contract changes, as it was before the change.
 type affectedWindow struct {
 	previous     *Window
-	directiveIDs []string // of its exclusions
+	directiveIDs []string // of its exclusion directives
 }
 
-// windowsOutOfService returns a tenant's windows that are out of service, with their present exclusions.
+// windowsOutOfService returns a tenant's windows that are out of service, with their current exclusion
+// directives.
 func (t *Table) windowsOutOfService(tenant string) []affectedWindow {
 	var affected []affectedWindow
 	for _, window := range t.Windows() {
@@ -67,8 +69,8 @@
 	return affected
 }
 
-// reviseWindow stores a new version of a window after a change of a tenant's contract, with the tenant's approvals
-// updated, and records the changed exclusions.
+// reviseWindow stores a new version of a window after a change of a tenant's contract. It calls update for the
+// tenant's approvals, and records which exclusion directives change.
 func (t *Table) reviseWindow(revision uint64, now timeBounds, tenant string, affected affectedWindow, update func(*Approval)) {
 	window := *affected.previous
 	window.Approvals = slices.Clone(window.Approvals)
@@ -87,7 +89,7 @@
 			t.changes.DeleteDirectiveIDs = append(t.changes.DeleteDirectiveIDs, id)
 		}
 	}
-	for _, directive := range remaining { // the contract may have another available share
+	for _, directive := range remaining { // the contract's available share may have changed
 		changed := directive.Tenant == tenant || shortened
 		if changed && directive.ExpiresAtMS > now.latest && now.trusted() {
 			t.changes.SetDirectives = append(t.changes.SetDirectives, directive)
@@ -95,8 +97,9 @@
 	}
 }
 
-// shortenExclusion has the window's exclusion expire before an earlier close, at once where that has passed or the time
-// is not known. It reports whether the expiry has changed.
+// shortenExclusion moves the expiry of the window's exclusion to before the close, where the close is now
+// earlier. The exclusion ends at once if the new expiry has passed or the clocks are not trusted.
+// shortenExclusion reports whether the expiry has changed.
 func (w *Window) shortenExclusion(now timeBounds) bool {
 	latestExpiry := w.ClosesAtMS - CloseGuardMS - now.uncertainty
 	if w.ExcludedUntilMS <= latestExpiry {
--- a/internal/maintenance/controller/controller.go
+++ b/internal/maintenance/controller/controller.go
@@ -1,8 +1,9 @@
-// Package controller runs the maintenance reconciler against a registry: while it holds the lease maintenance.LeaseName
-// it reads the replicated state and the sidecars' load reports, and writes what the reconciler decides.
+// Package controller runs the maintenance reconciler against a registry. While it holds the lease
+// maintenance.LeaseName, it reads the replicated state and the sidecars' load reports, and writes what the
+// reconciler decides.
 //
-// It owns no durable state: the next leader continues from the registry. Decisions belong to package maintenance, the
-// lease to package leaderelection.
+// The package owns no durable state: the next leader continues from the registry. Decisions belong to package
+// maintenance, the lease to package leaderelection.
 package controller
 
 import (
@@ -20,15 +21,15 @@
 )
 
 const (
-	activeInterval     = 500 * time.Millisecond // between two passes while a window is out of service or about to be
-	idleInterval       = 2 * time.Second        // otherwise: a halt or a contract takes effect after this time
-	callTimeout        = 3 * time.Second        // of one read or write: an election among the replicas takes about two
-	healthCheckTimeout = time.Second            // of one server
-	maxConcurrentCalls = 16                     // writes of one pass, and health checks of one window
+	activeInterval     = 500 * time.Millisecond // between passes while a window is out of service or about to be
+	idleInterval       = 2 * time.Second        // between passes otherwise; a halt or a contract takes effect within this time
+	callTimeout        = 3 * time.Second        // for one read or write; an election among the replicas takes about two seconds
+	healthCheckTimeout = time.Second            // for one server
+	maxConcurrentCalls = 16                     // for the writes of one pass, and for the health checks of one window
 	minBackoff         = 500 * time.Millisecond
 	maxBackoff         = 5 * time.Second
 
-	// A pass that the reconciler wants within maxActiveWait shows that a window is out of service or about to be.
+	// If the reconciler wants its next pass within maxActiveWait, a window is out of service or about to be.
 	maxActiveWait = time.Second
 )
 
@@ -46,12 +47,12 @@
 	Snapshot() ([]loadreport.ReceivedReport, time.Duration)
 }
 
-// Controller carries out maintenance windows. Run is the work of the lease maintenance.LeaseName.
+// Controller carries out maintenance windows. The holder of the lease maintenance.LeaseName calls Run.
 type Controller struct {
 	Registry    Registry
 	Reports     ReportSource
 	Uncertainty time.Duration                                   // of this machine's wall clock
-	CheckReady  func(ctx context.Context, endpoint string) bool // whether a server that returns accepts requests
+	CheckReady  func(ctx context.Context, endpoint string) bool // reports whether a returning server accepts requests
 	Now         func() time.Time                                // the wall clock; nil: time.Now
 }
 
@@ -64,7 +65,7 @@
 	logger     *slog.Logger
 }
 
-// Run carries out maintenance windows until ctx ends, and returns the cause of its end.
+// Run carries out maintenance windows until ctx ends, and returns the cause.
 func (c *Controller) Run(ctx context.Context, lease *leaderelection.Lease) error {
 	c.Reports.SetAccepting(true)
 	defer c.Reports.SetAccepting(false)
@@ -109,7 +110,7 @@
 	}
 }
 
-// reconcile runs one pass and returns the time until the next.
+// reconcile runs one pass and returns the time to wait until the next.
 func (t *leaderTerm) reconcile(ctx context.Context) (time.Duration, error) {
 	readCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -121,7 +122,8 @@
 	t.observeReports()
 	now := t.readClock()
 	effects, nextRunMS := t.reconciler.Reconcile(now, view)
-	// The effects are of different windows: one that waits for servers without an answer delays no other's exclusion.
+	// Each effect belongs to a different window. They are written concurrently, so that a window whose servers do not
+	// answer health checks does not delay the exclusion of another window.
 	results := make([]maintenance.EffectResult, len(effects))
 	forEachConcurrently(len(effects), func(i int) { results[i] = t.write(ctx, view, effects[i]) })
 	if ctx.Err() != nil {
@@ -141,7 +143,7 @@
 	return wait, nil
 }
 
-// observeReports passes the load reports on to the reconciler, at the times at which they were received.
+// observeReports passes the load reports to the reconciler, each with the time at which it was received.
 func (t *leaderTerm) observeReports() {
 	reports, snapshotAt := t.Reports.Snapshot()
 	for i := range reports {
@@ -151,8 +153,8 @@
 	}
 }
 
-// logEffect logs what changes a window or was rejected. Extensions of exclusions, which come every few seconds, and ledger
-// operations are routine where they are applied.
+// logEffect logs an effect that changed a window or was rejected. It skips routine effects that were applied:
+// extensions of exclusions, which come every few seconds, and ledger operations.
 func (t *leaderTerm) logEffect(effect maintenance.Effect, result maintenance.EffectResult) {
 	var operation string
 	routine := true
@@ -169,8 +171,8 @@
 	t.logger.Info("window operation", "window", effect.Window, "operation", operation, "outcome", result.Outcome, "reason", result.Reason)
 }
 
-// forEachConcurrently calls work for 0 to count-1 in goroutines of its own, at most maxConcurrentCalls at a time, and
-// returns when all have ended.
+// forEachConcurrently calls work for 0 to count-1 in separate goroutines, at most maxConcurrentCalls at a time,
+// and returns when all of them have ended.
 func forEachConcurrently(count int, work func(int)) {
 	var workers sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrentCalls)
--- a/internal/maintenance/controller/write.go
+++ b/internal/maintenance/controller/write.go
@@ -12,8 +12,8 @@
 	"milldeck/internal/registry"
 )
 
-// write writes one effect to the registry. Without an answer it is not known whether the write was applied: the
-// reconciler looks at the state again.
+// write writes one effect to the registry. Without an answer it is unknown whether the write was applied, and the
+// reconciler decides from the state that it reads next.
 func (t *leaderTerm) write(ctx context.Context, view *maintenance.View, effect maintenance.Effect) maintenance.EffectResult {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -35,8 +35,8 @@
 	panic(fmt.Sprintf("unknown action %T", effect.Action))
 }
 
-// effectResult is the result of a write. An error other than the registry's answer may pass: the outcome is
-// OutcomeBlocked.
+// effectResult converts the answer to a write. An error that is not an answer of the registry may be temporary
+// and gives OutcomeBlocked.
 func effectResult(result registry.Result, err error, outcomeOf func(*registry.StatusError) maintenance.Outcome) maintenance.EffectResult {
 	if err == nil {
 		return maintenance.EffectResult{Outcome: maintenance.OutcomeApplied, Reason: result.Reason, Revision: result.Revision}
@@ -49,7 +49,8 @@
 	return maintenance.EffectResult{Outcome: outcome, Reason: err.Error()}
 }
 
-// operationOutcome tells a clock fault, which the registry's message begins with, from all that may be retried sooner.
+// operationOutcome distinguishes a clock fault, which it recognizes by the registry's message, from rejections
+// that may be retried sooner.
 func operationOutcome(status *registry.StatusError) maintenance.Outcome {
 	if strings.Contains(status.Error(), string(maintenance.OutcomeClockFault)+": ") {
 		return maintenance.OutcomeClockFault
@@ -57,7 +58,7 @@
 	return maintenance.OutcomeBlocked
 }
 
-// ledgerOutcome tells a permit that can never be granted from an operation that may be retried.
+// ledgerOutcome distinguishes a permit that can never be granted from an operation that may be retried.
 func ledgerOutcome(kind disruption.OpKind, status *registry.StatusError) maintenance.Outcome {
 	infeasible := status.StatusCode == http.StatusConflict || status.StatusCode == http.StatusNotFound
 	if kind == disruption.OpRequest && infeasible {
@@ -82,13 +83,14 @@
 	return disruption.ConditionUnready
 }
 
-// HTTPReadyCheck returns a health check for Controller.CheckReady: a server is ready that answers GET path with 200.
+// HTTPReadyCheck returns a health check for Controller.CheckReady. A server is ready if it answers GET path with
+// status 200.
 func HTTPReadyCheck(path string) func(context.Context, string) bool {
 	client := &http.Client{Timeout: healthCheckTimeout}
 	return func(ctx context.Context, endpoint string) bool {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s%s", endpoint, path), nil)
 		if err != nil {
-			return false // an endpoint that is no address serves nothing
+			return false // no server is reachable at an endpoint that gives no valid URL
 		}
 		response, err := client.Do(request)
 		if err != nil {
--- a/internal/maintenance/exclusions.go
+++ b/internal/maintenance/exclusions.go
@@ -8,8 +8,9 @@
 	"milldeck/internal/placement"
 )
 
-// ExclusionDirectives returns the directives by which sidecars exclude the servers of a window, one for each tenant
-// whose contract still approves it, sorted like the approvals. There are none before the drain and after the return.
+// ExclusionDirectives returns the directives by which sidecars exclude the servers of a window: one for each
+// tenant whose contract still approves the window, in the order of Approvals. It returns none before the drain
+// and after the return.
 func (t *Table) ExclusionDirectives(window *Window) []placement.Directive {
 	if window.ExcludedUntilMS == 0 {
 		return nil
@@ -35,7 +36,8 @@
 
 func exclusionDirectiveID(window, tenant string) string { return idPrefix + window + "/" + tenant }
 
-// publishExclusions records which directives differ between two versions of a window; previous is nil for a new one.
+// publishExclusions records which directives to set and to delete for the change between two versions of a
+// window. For a new window previous is nil.
 func (t *Table) publishExclusions(previous, window *Window) {
 	publishedBefore := map[string]bool{}
 	if previous != nil {
@@ -58,8 +60,8 @@
 	}
 }
 
-// extendExclusion moves the expiry of a window's exclusion. On the way back, tenants whose contract is no longer in
-// force are left out; before it, one such contract rejects the operation.
+// extendExclusion moves the expiry of a window's exclusion. If the contract of a tenant is no longer in force, a
+// returning window is excluded for the other tenants only; at an earlier stage the operation is rejected.
 func (t *Table) extendExclusion(window *Window, revision uint64, op *Operation, now timeBounds) error {
 	if reason, halted := t.haltReason(window); halted && window.Stage == StageDraining {
 		return rejected(OutcomeBlocked, "%s", reason)
@@ -74,14 +76,15 @@
 	if err := t.checkExclusionHours(window, op.ExcludeUntilMS, now); err != nil {
 		return err
 	}
-	if window.ExcludedUntilMS <= now.latest { // the exclusion may have expired in between
+	if window.ExcludedUntilMS <= now.latest { // the exclusion may have expired since its last extension
 		window.ExclusionRevision = revision
 	}
 	window.ExcludedUntilMS = op.ExcludeUntilMS
 	return nil
 }
 
-// checkExclusionHours checks that an exclusion until untilMS is within the approved hours of all tenants concerned.
+// checkExclusionHours checks that an exclusion until untilMS is within the approved hours of all tenants of the
+// window. For a returning window it skips tenants whose contract is no longer in force.
 func (t *Table) checkExclusionHours(window *Window, untilMS int64, now timeBounds) error {
 	validApprovals := 0
 	for i := range window.Approvals {
@@ -102,7 +105,8 @@
 	return nil
 }
 
-// permitMatches reports whether the window's disruption permit is at a stage; true where permits are not checked.
+// permitMatches reports whether the window's disruption permit is at the wanted stage; true if permits are not
+// checked.
 func (t *Table) permitMatches(window *Window, want disruption.Stage) bool {
 	if t.LookupPermit == nil {
 		return true
--- a/internal/maintenance/fleet.go
+++ b/internal/maintenance/fleet.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Fleet is the tenants of each known server, by server UID. A server that names no tenant belongs to all tenants that
-// have a contract.
+// Fleet maps the UID of each known server to the tenants of the server. A server without tenants belongs to all
+// tenants that have a contract.
 type Fleet map[string][]string
 
-// ServerCounts returns the tenants whose contracts have to approve that the servers go out of service, each with the
-// number of all its servers.
+// ServerCounts returns the tenants of the given servers, each with the number of all its servers in the fleet.
+// The contracts of these tenants have to approve that the given servers go out of service.
 func (f Fleet) ServerCounts(table *Table, serverUIDs []string) map[string]int {
 	counts := map[string]int{}
 	for _, uid := range serverUIDs {
--- a/internal/maintenance/halts.go
+++ b/internal/maintenance/halts.go
@@ -6,8 +6,8 @@
 	"milldeck/internal/maintenance/contract"
 )
 
-// applyHalt sets or removes the halt of a scope. A halt of all windows or of a tenant blocks further drains; a halt of
-// one window also has it return where it is out of service.
+// applyHalt sets or removes the halt of a scope. A halt of all windows or of a tenant blocks drains. A halt of
+// one window also starts its return if it is out of service.
 func (t *Table) applyHalt(revision uint64, op *Operation, now timeBounds) error {
 	if name, named := strings.CutPrefix(op.Scope, scopeWindow); named {
 		return t.applyWindowHalt(revision, name, op, now)
@@ -23,7 +23,8 @@
 	return nil
 }
 
-// applyWindowHalt halts or resumes one window. It does nothing to a window that is over or already returns.
+// applyWindowHalt halts or resumes one window. A halt does not change a window that is finished, overrun or
+// returning.
 func (t *Table) applyWindowHalt(revision uint64, name string, op *Operation, now timeBounds) error {
 	previous := t.windows[name]
 	if previous == nil {
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// haltReason reports whether a halt of all windows or of a tenant concerned holds a window, and why.
+// haltReason reports whether all windows or a tenant of the window are halted, and why.
 func (t *Table) haltReason(window *Window) (reason string, halted bool) {
 	if cause, ok := t.halts[""]; ok {
 		return "all windows are halted: " + cause, true
@@ -61,7 +62,7 @@
 	return "", false
 }
 
-// applyOverrunPolicy halts the tenants whose contracts ask for it after an overrun.
+// applyOverrunPolicy halts the tenants of an overrun window whose contracts have the policy OverrunHaltsTenant.
 func (t *Table) applyOverrunPolicy(window *Window) {
 	for _, approval := range window.Approvals {
 		active := t.contracts[approval.Tenant]
--- a/internal/maintenance/ledger_action.go
+++ b/internal/maintenance/ledger_action.go
@@ -5,8 +5,8 @@
 	"milldeck/internal/maintenance/contract"
 )
 
-// LedgerAction is what the Reconciler requests of the disruption ledger: one of OpRequest, OpBegin, OpReturn, OpObserve,
-// OpComplete and OpCancel on a window's permit. All of them may be repeated: the ledger executes each once.
+// LedgerAction is an operation of the Reconciler on a window's permit in the disruption ledger: OpRequest,
+// OpBegin, OpReturn, OpObserve, OpComplete or OpCancel. Each may be repeated: the ledger executes it once.
 type LedgerAction struct {
 	Kind       disruption.OpKind
 	PermitID   string
@@ -15,7 +15,7 @@
 	Purpose    string
 }
 
-// Operation returns the ledger's operation. For OpObserve use ObservationOperation.
+// Operation returns the operation for the ledger. For OpObserve use ObservationOperation.
 func (a *LedgerAction) Operation() *disruption.Op {
 	permit := &disruption.Permit{ID: a.PermitID}
 	if a.Kind == disruption.OpRequest {
@@ -30,8 +30,9 @@
 	return &disruption.Op{Kind: a.Kind, Permit: permit, Owner: LeaseName}
 }
 
-// ObservationOperation returns the ledger's operation that records the conditions of the servers, one for each of
-// ServerUIDs. They have to be observed after the view was read: an older observation does not show that a server is back.
+// ObservationOperation returns the ledger operation that records the conditions of the servers, one for each of
+// ServerUIDs. The conditions must have been observed after the view was read: an older observation does not show
+// that a server is back.
 func (a *LedgerAction) ObservationOperation(view *View, conditions []disruption.Condition) *disruption.Op {
 	op := &disruption.Op{Kind: disruption.OpObserve, Owner: LeaseName}
 	for i, uid := range a.ServerUIDs {
@@ -47,8 +48,8 @@
 // ContractBudgetName is the name of the disruption budget that belongs to a tenant's contract.
 func ContractBudgetName(tenant string) string { return "contract/" + tenant }
 
-// ContractBudget returns the disruption budget that belongs to a contract. It counts all unavailable servers of the
-// tenant, whatever the reason.
+// ContractBudget returns the disruption budget that belongs to a contract. It counts every unavailable server of
+// the tenant, whatever the reason.
 func ContractBudget(terms *contract.Contract) *disruption.Budget {
 	maxOutShare := 1 - terms.MinAvailableShare
 	return &disruption.Budget{
--- a/internal/maintenance/limits.go
+++ b/internal/maintenance/limits.go
@@ -2,18 +2,20 @@
 
 // Times of the protocol between controller, replicas and sidecars, in ms.
 const (
-	// ExclusionTTLMS is the longest time from the write of an exclusion directive to its expiry: an approval that is
-	// revoked ends within this time even where no sidecar can be notified.
+	// ExclusionTTLMS is the longest time from the write of an exclusion directive to its expiry. It bounds how
+	// long an exclusion outlasts a revoked approval if no sidecar can be notified.
 	ExclusionTTLMS = 30_000
-	// ExclusionRefreshMS is the time after which an exclusion is extended: a third of its TTL, so that it survives two
-	// lost attempts.
+	// ExclusionRefreshMS is the time after which the controller extends an exclusion. It is a third of the TTL,
+	// so that the exclusion survives two failed extensions.
 	ExclusionRefreshMS = 10_000
-	// CloseGuardMS is the margin before a close, for a directive on its way to a sidecar and for the sidecar's clock.
+	// CloseGuardMS is the margin before a close. It covers the delivery of a directive to a sidecar and the error
+	// of the sidecar's clock.
 	CloseGuardMS = 2_000
-	// MaxClockSkewMS is the largest accepted difference between the times of controller and leader. It covers an
-	// operation's way to the leader, not an election in between.
+	// MaxClockSkewMS is the largest accepted difference between the time of the controller and the time of the
+	// leader in an operation. It covers the transfer of the operation to the leader, but not an election during
+	// the transfer.
 	MaxClockSkewMS = 5_000
-	// MaxClockUncertaintyMS is the largest uncertainty that a clock may declare and still be accepted.
+	// MaxClockUncertaintyMS is the largest accepted uncertainty of a clock.
 	MaxClockUncertaintyMS = 5_000
 )
 
@@ -25,11 +27,11 @@
 	MaxContracts        = 1000
 	MaxHalts            = 2000
 	MaxMonthsPerTenant  = 24 // months of usage retained for each tenant
-	MaxAttempts         = 8  // drains of one window that did not finish in time
+	MaxAttempts         = 8  // attempts after which a window is rejected if it returns without its work done
 
 	maxNameLength   = 128
 	maxReasonLength = 512
-	maxWorkMS       = 24 * hourMS // longer work takes several windows
+	maxWorkMS       = 24 * hourMS // longer work needs several windows
 )
 
 // Units of time, in ms.
--- a/internal/maintenance/operation.go
+++ b/internal/maintenance/operation.go
@@ -12,27 +12,27 @@
 // OperationKind selects what an operation does. The strings are stored in the log.
 type OperationKind string
 
-// The operations of operators. Beside each, the fields of Operation that it uses.
+// The operations of operators. The comments list the fields of Operation that each kind uses.
 const (
 	OpSetContract      OperationKind = "contract" // Contract, CurrentApproval
 	OpWithdrawContract OperationKind = "withdraw" // Tenant
 	OpPropose          OperationKind = "propose"  // Window, Operator, ServerUIDs, WorkMS, NotBeforeMS
 	OpCancel           OperationKind = "cancel"   // Window, Reason
-	OpFinishWork       OperationKind = "finish"   // Window: its work is done before its time
+	OpFinishWork       OperationKind = "finish"   // Window; the work is done earlier than planned
 	OpHalt             OperationKind = "halt"     // Scope, Reason
 	OpResume           OperationKind = "resume"   // Scope
-	OpResetEstimates   OperationKind = "forget"   // evicts the samples of drain and return times
+	OpResetEstimates   OperationKind = "forget"   // no field; deletes the samples of drain and return times
 )
 
-// The operations of the controller. They need its fencing token, and the window's name in Window.
+// The operations of the controller. Each needs the controller's fencing token and the name of the window in Window.
 const (
-	OpSchedule        OperationKind = "plan"    // it may begin at PlannedStartMS under Approvals
-	OpReject          OperationKind = "refuse"  // it cannot be carried out, Reason
-	OpAwaitPermit     OperationKind = "wait"    // a permit is about to be requested
+	OpSchedule        OperationKind = "plan"    // the window may start at PlannedStartMS under Approvals
+	OpReject          OperationKind = "refuse"  // the window cannot be carried out; Reason
+	OpAwaitPermit     OperationKind = "wait"    // the controller is about to request a permit
 	OpBeginDrain      OperationKind = "drain"   // the permit is granted
 	OpExtendExclusion OperationKind = "tell"    // sidecars exclude the servers until ExcludeUntilMS
 	OpCompleteDrain   OperationKind = "free"    // load reports show that no request is in flight
-	OpBeginReturn     OperationKind = "return"  // StageAfterReturn, Reason
+	OpBeginReturn     OperationKind = "return"  // the servers return to service; StageAfterReturn, Reason
 	OpMarkOverrun     OperationKind = "overrun" // the close has passed
 	OpCompleteReturn  OperationKind = "back"    // health checks show that all servers are back
 )
@@ -51,7 +51,7 @@
 
 	Tenant          string             `json:"tenant,omitempty"`
 	Contract        *contract.Contract `json:"contract,omitempty"`
-	CurrentApproval *Approval          `json:"grant,omitempty"` // what Contract approves at present, if it does
+	CurrentApproval *Approval          `json:"grant,omitempty"` // of Contract for the present time; nil: not approved
 
 	Operator    string   `json:"by,omitempty"`
 	ServerUIDs  []string `json:"servers,omitempty"`
@@ -66,7 +66,7 @@
 	Reason           string     `json:"why,omitempty"`
 }
 
-// RequiresToken reports whether the operation is the controller's and needs its fencing token.
+// RequiresToken reports whether the operation is one of the controller, which needs its fencing token.
 func (kind OperationKind) RequiresToken() bool {
 	switch kind {
 	case OpSchedule, OpReject, OpAwaitPermit, OpBeginDrain, OpExtendExclusion, OpCompleteDrain, OpBeginReturn, OpMarkOverrun,
@@ -76,7 +76,8 @@
 	return false
 }
 
-// advances reports whether the operation is a step towards taking servers out: it is rejected while clocks are not trusted.
+// advances reports whether the operation moves a window towards or through its work. The table rejects such an
+// operation while the clocks are not trusted.
 func (kind OperationKind) advances() bool {
 	switch kind {
 	case OpPropose, OpSchedule, OpAwaitPermit, OpBeginDrain, OpExtendExclusion, OpCompleteDrain:
@@ -85,7 +86,7 @@
 	return false
 }
 
-// namesWindow reports whether the operation is about the one window that its field Window names.
+// namesWindow reports whether the operation applies to the window that the field Window names.
 func (kind OperationKind) namesWindow() bool {
 	switch kind {
 	case OpSetContract, OpWithdrawContract, OpHalt, OpResume, OpResetEstimates:
@@ -103,12 +104,12 @@
 	switch op.Kind {
 	case OpSetContract:
 		if op.Contract == nil {
-			return validation.Errorf("contract", "none")
+			return validation.Errorf("contract", "missing")
 		}
 		return op.Contract.Validate()
 	case OpWithdrawContract:
 		if op.Tenant == "" {
-			return validation.Errorf("tenant", "none")
+			return validation.Errorf("tenant", "missing")
 		}
 	case OpPropose:
 		if err := op.validateProposal(); err != nil {
@@ -125,14 +126,14 @@
 	case len(op.Reason) > maxReasonLength:
 		return validation.Errorf("why", "%d bytes, at most %d", len(op.Reason), maxReasonLength)
 	case op.Kind.RequiresToken() && op.Token == 0:
-		return validation.Errorf("token", "none")
+		return validation.Errorf("token", "missing")
 	}
 	return nil
 }
 
 func (op *Operation) validateProposal() error {
 	if len(op.ServerUIDs) == 0 || len(op.ServerUIDs) > MaxServersPerWindow {
-		return validation.Errorf("servers", "%d, wanted 1 to %d", len(op.ServerUIDs), MaxServersPerWindow)
+		return validation.Errorf("servers", "%d servers, wanted 1 to %d", len(op.ServerUIDs), MaxServersPerWindow)
 	}
 	if op.WorkMS <= 0 || op.WorkMS > maxWorkMS {
 		return validation.Errorf("work_ms", "%d is not within 1 to %d", op.WorkMS, maxWorkMS)
@@ -148,19 +149,19 @@
 	return scope == "" || strings.HasPrefix(scope, scopeTenant) || strings.HasPrefix(scope, scopeWindow)
 }
 
-// Outcome classifies what became of an operation. The strings are part of the registry's answers.
+// Outcome classifies the result of an operation. The strings appear in the registry's responses.
 type Outcome string
 
-// The outcomes. All but OutcomeApplied are those of a RejectedError.
+// The outcomes. Every outcome except OutcomeApplied belongs to a RejectedError.
 const (
 	OutcomeApplied       Outcome = "done"
-	OutcomeStale         Outcome = "stale"     // the token is superseded, or the window has moved on
+	OutcomeStale         Outcome = "stale"     // the token is superseded, or the window or a contract has changed in between
 	OutcomeClockFault    Outcome = "doubt"     // the clocks of controller and leader cannot be trusted
 	OutcomeOutsideHours  Outcome = "closed"    // outside the approved hours, or not enough time before the close
-	OutcomeBlocked       Outcome = "held"      // by a halt, a bound of a contract or another window; it may succeed later
+	OutcomeBlocked       Outcome = "held"      // by a halt, a limit of a contract, a permit or another window; a retry may succeed
 	OutcomeNotFound      Outcome = "not_found" // no such window or contract
 	OutcomeLimitExceeded Outcome = "too_many"
-	OutcomeInvalid       Outcome = "bad" // it can never succeed
+	OutcomeInvalid       Outcome = "bad" // a retry can never succeed
 )
 
 // RejectedError says why an operation was not applied.
@@ -176,8 +177,8 @@
 	return &RejectedError{Outcome: outcome, Reason: fmt.Sprintf(format, args...)}
 }
 
-// OutcomeOf returns the outcome that an error of Table.Apply stands for: OutcomeApplied for nil, OutcomeInvalid for an
-// error that is no RejectedError.
+// OutcomeOf returns the outcome of an error from Table.Apply: OutcomeApplied for nil, OutcomeInvalid for an error
+// that is not a RejectedError.
 func OutcomeOf(err error) Outcome {
 	if err == nil {
 		return OutcomeApplied
--- a/internal/maintenance/planner.go
+++ b/internal/maintenance/planner.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// PlanningHorizonMS is how far ahead the Planner looks: two months, so that each monthly rule occurs.
+	// PlanningHorizonMS is how far ahead the Planner searches. Every monthly rule occurs within these two months.
 	PlanningHorizonMS = 60 * dayMS
-	// hoursSearchRadiusMS is how far around a start a contract's own hours are looked up. It exceeds calendar.MaxLength;
-	// hours of several rules that join into a longer interval are cut.
+	// hoursSearchRadiusMS is how far before and after a start the Planner looks up the approved interval of a
+	// contract. It exceeds calendar.MaxLength. A longer interval, merged from the hours of several rules, is cut.
 	hoursSearchRadiusMS = 8 * dayMS
 )
 
@@ -23,7 +23,7 @@
 	ServerUIDs   []string // sorted
 	WorkMS       int64    // time for the work, without drain and return
 	NotBeforeMS  int64
-	ProposedAtMS int64 // the notice of each contract runs from there
+	ProposedAtMS int64 // the notice of each contract starts at this time
 }
 
 // Plan is the start of a window with the approvals that cover it. Times are Unix ms.
@@ -34,13 +34,13 @@
 	Approvals  []Approval
 }
 
-// InfeasibleError says why no start was found for a window, and what comes nearest.
+// InfeasibleError says why the Planner found no start for a window, and gives the nearest alternatives.
 type InfeasibleError struct {
-	BlockingTenant       string // whose contract alone prevents it; "": more than one does
+	BlockingTenant       string // tenant whose contract alone prevents the window; "": there is no single one
 	Reason               string
-	StartWithoutTenantMS int64 // the earliest start, Unix ms, if that contract did not count; 0: none
-	FeasibleWorkMS       int64 // the longest work for which there is a start; 0: none
-	FeasibleWorkStartMS  int64 // that start, Unix ms
+	StartWithoutTenantMS int64 // earliest start without that contract, Unix ms; 0: none
+	FeasibleWorkMS       int64 // longest work for which there is a start; 0: none
+	FeasibleWorkStartMS  int64 // start for FeasibleWorkMS, Unix ms
 }
 
 // Error returns the reason with the nearest alternatives, for operators.
@@ -58,8 +58,8 @@
 
 func formatUTC(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
 
-// Planner finds the earliest start of a window. It caches the compiled calendars of contracts. It is not safe for
-// concurrent use.
+// Planner finds the earliest start of a window. It caches the compiled calendars of contracts, and is not safe
+// for concurrent use.
 type Planner struct {
 	calendars map[string]compiledCalendar // by tenant
 }
@@ -72,7 +72,7 @@
 // NewPlanner returns a Planner with an empty cache.
 func NewPlanner() *Planner { return &Planner{calendars: map[string]compiledCalendar{}} }
 
-// calendar returns the compiled calendar of a contract.
+// calendar returns the compiled calendar of a contract, from the cache if the contract has not changed.
 func (p *Planner) calendar(active *ActiveContract) (*calendar.Calendar, error) {
 	if cached, ok := p.calendars[active.Tenant]; ok && cached.version == active.Version {
 		return cached.calendar, nil
@@ -85,11 +85,12 @@
 	return compiled, nil
 }
 
-// Approval returns what a contract approves around an instant (Unix ms); nil: it does not approve the instant.
+// Approval returns the interval that a contract approves around an instant (Unix ms), or nil if the contract does
+// not approve the instant.
 func (p *Planner) Approval(active *ActiveContract, instantMS int64, serverCount int) *Approval {
 	approvedHours, err := p.calendar(active)
 	if err != nil {
-		return nil // a contract that cannot be read approves nothing
+		return nil // a contract that cannot be compiled approves nothing
 	}
 	for _, interval := range approvedHours.Between(instantMS-hoursSearchRadiusMS, instantMS+hoursSearchRadiusMS) {
 		if interval.StartMS <= instantMS && instantMS < interval.EndMS {
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// Plan finds the earliest start from nowMS (Unix ms) on that all contracts concerned approve. Where there is none, the
-// error is an *InfeasibleError.
+// Plan finds the earliest start at or after nowMS (Unix ms) that the contracts of all tenants of the servers
+// approve. If there is none, the error is an *InfeasibleError.
 func (p *Planner) Plan(table *Table, fleet Fleet, request Request, nowMS int64) (*Plan, error) {
 	startSearch, err := p.newSearch(table, fleet, request, nowMS)
 	if err != nil {
@@ -131,7 +132,8 @@
 	return plan, nil
 }
 
-// newSearch looks up the tenants concerned by a request and what their contracts approve within the planning horizon.
+// newSearch looks up the tenants of the requested servers, and the hours that the contracts of these tenants
+// approve within the planning horizon.
 func (p *Planner) newSearch(table *Table, fleet Fleet, request Request, nowMS int64) (*search, error) {
 	for _, uid := range request.ServerUIDs {
 		if _, known := fleet[uid]; !known {
--- a/internal/maintenance/reconcile_stages.go
+++ b/internal/maintenance/reconcile_stages.go
@@ -14,7 +14,7 @@
 	reasonCloseReached    = "the close came before the work was over"
 )
 
-// reconcilePass is one call of Reconcile: the view and the clocks as they were read for it.
+// reconcilePass is the state of one call of Reconcile, with the view and the clocks that were read for it.
 type reconcilePass struct {
 	reconciler *Reconciler
 	view       *View
@@ -22,10 +22,10 @@
 	clock      ClockReading
 	now        timeBounds
 
-	scheduled bool // a window was scheduled in this pass: the next one has to see its time taken
+	scheduled bool // a window was scheduled in this pass; the next one needs a view that contains it
 }
 
-// nextRunMS is the monotonic time by which a window has to be reconciled again.
+// nextRunMS returns the monotonic time by which a window has to be reconciled again.
 func (p *reconcilePass) nextRunMS(window *Window) int64 {
 	return p.clock.MonotonicMS + p.pollIntervalMS(window)
 }
@@ -48,7 +48,7 @@
 	return activePollMS
 }
 
-// nextAction returns the next write for a window; nil: it waits.
+// nextAction returns the next write for a window; nil: there is none yet.
 func (p *reconcilePass) nextAction(window *Window) Action {
 	switch {
 	case window.Stage == StageDraining:
@@ -59,7 +59,7 @@
 		return p.reconcileReturning(window)
 	case window.Stage == StageAwaitingPermit:
 		return p.reconcileAwaitingPermit(window)
-	case p.activePermit(window) != "": // of an earlier attempt that took no server out: cancel it before the next
+	case p.activePermit(window) != "": // of an earlier attempt that took no server out: cancel it before the next attempt
 		return ledgerAction(disruption.OpCancel, window)
 	case window.Stage == StageProposed:
 		return p.schedule(window)
@@ -78,7 +78,7 @@
 	}
 }
 
-// activePermit is the stage of the window's permit; "" where it has ended, or was not requested yet.
+// activePermit returns the stage of the window's permit; "" if the permit has ended or was not requested yet.
 func (p *reconcilePass) activePermit(window *Window) disruption.Stage {
 	stage := p.view.PermitStages[window.PermitID()]
 	if permitEnded(stage) {
@@ -91,7 +91,7 @@
 	return stage == disruption.StageCompleted || stage == disruption.StageCancelled
 }
 
-// schedule plans a window, or rejects it. It does so for one window a pass.
+// schedule plans a window, or rejects it if there is no start. It handles one window per pass.
 func (p *reconcilePass) schedule(window *Window) Action {
 	if p.scheduled {
 		return nil
@@ -115,7 +115,8 @@
 	return &Operation{Kind: OpReject, Reason: reason[:min(len(reason), maxReasonLength)]}
 }
 
-// approvalsCurrent reports whether all tenants concerned approve the window by the contracts in force.
+// approvalsCurrent reports whether the window has an approval of every tenant of its servers, each by the
+// contract in force.
 func (p *reconcilePass) approvalsCurrent(window *Window) bool {
 	for i := range window.Approvals {
 		if p.table.contractOf(&window.Approvals[i]) == nil {
@@ -149,9 +150,9 @@
 func (p *reconcilePass) reconcileAwaitingPermit(window *Window) Action {
 	stage, requested := p.view.PermitStages[window.PermitID()]
 	rejection, permitRejected := p.reconciler.permitRejections[window.Name]
-	delete(p.reconciler.permitRejections, window.Name) // a rejection is acted on once: the window may be proposed again
+	delete(p.reconciler.permitRejections, window.Name) // a rejection is used once: the window may be proposed again
 	switch {
-	case permitRejected && !requested: // the ledger has the permit where an earlier request succeeded without an answer
+	case permitRejected && !requested: // if requested, an earlier request succeeded and its answer was lost
 		return reject(rejection)
 	case p.table.checkDrain(window, p.now) != nil || !p.approvalsCurrent(window):
 		return p.schedule(window)
@@ -175,7 +176,7 @@
 	return action
 }
 
-// exclusionLapsed reports whether the exclusion could not be extended in time because of a clock fault.
+// exclusionLapsed reports whether the exclusion has expired because a clock fault prevents its extension.
 func (p *reconcilePass) exclusionLapsed(window *Window) bool {
 	expiryMS := max(window.ExcludedUntilMS, window.DrainStartedAtMS+ExclusionTTLMS)
 	return p.table.ClockFault() != "" && p.now.latest >= expiryMS
@@ -201,7 +202,7 @@
 		return returnTo(StageHalted, reasonPermitRevoked)
 	case permit == disruption.StageGranted:
 		return ledgerAction(disruption.OpBegin, window)
-	case permit != disruption.StageActive: // a halt of the ledger has revoked the grant
+	case permit != disruption.StageActive: // requested again, because a halt of the ledger has revoked the grant
 		return nil
 	case p.serversIdle(window):
 		return &Operation{Kind: OpCompleteDrain}
@@ -209,8 +210,8 @@
 	return p.extendExclusion(window)
 }
 
-// serversIdle reports whether all tenants' exclusions are in force and every live sidecar has confirmed that it follows
-// them and has no request in flight on the window's servers.
+// serversIdle reports whether the exclusions of all tenants are in force, and every live sidecar has confirmed
+// that it follows them and has no request in flight on the window's servers.
 func (p *reconcilePass) serversIdle(window *Window) bool {
 	if window.ExcludedUntilMS <= p.now.latest {
 		return false
@@ -257,7 +258,7 @@
 		allReady = allReady && p.view.OutOfService[uid].Ready
 	}
 	switch permit := p.activePermit(window); {
-	case permit == disruption.StageRequested || permit == disruption.StageGranted: // the disruption never began
+	case permit == disruption.StageRequested || permit == disruption.StageGranted: // the disruption has not begun
 		return ledgerAction(disruption.OpCancel, window)
 	case permit == disruption.StageActive:
 		return ledgerAction(disruption.OpReturn, window)
@@ -276,7 +277,8 @@
 	return ledgerAction(disruption.OpObserve, window)
 }
 
-// extendExclusion extends the exclusion of a window's servers where it is due, never past the close; nil: it is not due.
+// extendExclusion returns the operation that extends the exclusion of a window's servers, never past the close;
+// nil: no extension is due.
 func (p *reconcilePass) extendExclusion(window *Window) Action {
 	untilMS := p.clock.WallMS + ExclusionTTLMS
 	validApprovals := 0
--- a/internal/maintenance/reconciler.go
+++ b/internal/maintenance/reconciler.go
@@ -8,15 +8,16 @@
 	"milldeck/internal/placement"
 )
 
-// Times of the Reconciler in ms. Those of retries and reports are measured by its monotonic clock.
+// Times and limits of the Reconciler, times in ms. Retries and the age of reports are timed with the monotonic
+// clock.
 const (
-	retryMS             = 2000          // after a write that was rejected or got no answer
+	retryMS             = 2000          // after a write that was rejected or had no answer
 	clockFaultRetryMS   = 5000          // after a rejection for a clock fault: clocks recover slowly, and each attempt is logged
-	maxReportAgeMS      = 3000          // load reports come once a second: three were lost
+	maxReportAgeMS      = 3000          // load reports come once a second: an older report means that three were lost
 	activePollMS        = 1000          // while servers are out of service or about to be
 	idlePollMS          = 10 * minuteMS // the caller reconciles earlier when the state has changed
-	urgentSlackMS       = 10 * minuteMS // with less time to spare, permits are requested with PriorityDeadline
-	leaderUncertaintyMS = 500           // assumed of the leader's clock: beyond it the last extension is rejected
+	urgentSlackMS       = 10 * minuteMS // with less slack before the close, permits are requested with PriorityDeadline
+	leaderUncertaintyMS = 500           // assumed of the leader's clock: if it is higher, the last extension is rejected
 	maxReports          = 20_000        // retained load reports, one for each sidecar
 )
 
@@ -33,7 +34,8 @@
 	return Timestamp{ControllerMS: r.WallMS, UncertaintyMS: r.UncertaintyMS}
 }
 
-// presumedTimestamp is the timestamp of an operation written now, as if the leader's clock agreed with the controller's.
+// presumedTimestamp returns the timestamp of an operation written now, if the leader's clock agreed with the
+// controller's.
 func (r ClockReading) presumedTimestamp() Timestamp {
 	return Timestamp{
 		ControllerMS:        r.WallMS,
@@ -55,20 +57,20 @@
 	Action Action
 }
 
-// EffectResult is what became of an effect.
+// EffectResult is the result of an Effect.
 type EffectResult struct {
 	Outcome  Outcome
 	Reason   string
 	Revision uint64 // of the log record; 0 where none was written
 }
 
-// Reconciler decides what to write next for all windows. Its own state is a cache: whatever has to survive is in the
-// Table, and a new Reconciler continues from there. It is not safe for concurrent use.
+// Reconciler decides the next write for each window. Its own state is a cache: the Table holds all that must be
+// durable, and a new Reconciler continues from the Table. It is not safe for concurrent use.
 type Reconciler struct {
 	token            uint64
 	planner          *Planner
 	retryAtMS        map[string]int64          // by window: no further write before this monotonic time
-	minRevision      map[string]uint64         // by window: a view has to be at least of this revision
+	minRevision      map[string]uint64         // by window: a view of an earlier revision is ignored
 	reports          map[string]receivedReport // by sidecar
 	permitRejections map[string]string         // by window: why its permit can never be granted
 }
@@ -90,8 +92,8 @@
 	}
 }
 
-// ObserveReport records a sidecar's load report. Beyond maxReports a new sidecar's report is dropped, and its windows wait
-// as if it were silent.
+// ObserveReport records a sidecar's load report. With maxReports recent reports it drops the report of a new
+// sidecar, and windows wait for this sidecar as if it did not report.
 func (r *Reconciler) ObserveReport(now ClockReading, report placement.LoadReport) {
 	if _, known := r.reports[report.Sidecar]; !known && len(r.reports) >= maxReports {
 		r.evictOldReports(now)
@@ -110,7 +112,7 @@
 	}
 }
 
-// ObserveResult records what became of an effect.
+// ObserveResult records the result of an effect.
 func (r *Reconciler) ObserveResult(now ClockReading, effect Effect, result EffectResult) {
 	r.minRevision[effect.Window] = max(r.minRevision[effect.Window], result.Revision)
 	action, onLedger := effect.Action.(*LedgerAction)
@@ -129,8 +131,8 @@
 	}
 }
 
-// Reconcile returns what to write next, at most one effect for each window, and the monotonic time in ms at which to
-// call it again at the latest.
+// Reconcile returns the next writes, at most one effect for each window, and the monotonic time in ms by which to
+// call it again.
 func (r *Reconciler) Reconcile(now ClockReading, view *View) (effects []Effect, nextRunMS int64) {
 	windows := view.Table.Windows()
 	slices.SortStableFunc(windows, func(a, b *Window) int { return cmp.Compare(a.ClosesAtMS, b.ClosesAtMS) })
@@ -162,7 +164,7 @@
 	return effects, nextRunMS
 }
 
-// evictUnknown drops the state of windows that no longer exist.
+// evictUnknown deletes the cached state of windows that no longer exist.
 func (r *Reconciler) evictUnknown(table *Table) {
 	for name := range r.minRevision {
 		if table.Window(name) == nil {
--- a/internal/maintenance/search.go
+++ b/internal/maintenance/search.go
@@ -8,7 +8,8 @@
 	"milldeck/internal/maintenance/calendar"
 )
 
-// search is one search for the start of a window, around the windows that are planned or out of service.
+// search is one search for the start of a window, between the windows that have a planned start or are out of
+// service.
 type search struct {
 	table        *Table
 	request      Request
@@ -24,7 +25,8 @@
 	approved    []calendar.Interval // within the planning horizon
 }
 
-// checkServerCount checks that the contract permits so many servers out of service at once, whatever the time.
+// checkServerCount checks that the contract ever permits the requested number of servers to be out of service at
+// once.
 func (p *participant) checkServerCount(requested int) error {
 	if requested <= maxServersOut(p.serverCount, p.contract.MinAvailableShare) {
 		return nil
@@ -37,8 +39,8 @@
 	}
 }
 
-// earliestStart returns the first start (Unix ms) from which requiredMS are approved by all participants and not taken
-// by other windows; 0: there is none.
+// earliestStart returns the first start (Unix ms) at which all participants approve the next requiredMS and no
+// other window conflicts; 0: there is none.
 func (s *search) earliestStart(requiredMS int64) int64 {
 	for _, interval := range s.availableIntervals() {
 		startMS := interval.StartMS
@@ -53,8 +55,8 @@
 	return 0
 }
 
-// availableIntervals returns the times that all contracts approve and in which neither a server of the request nor the
-// limits of a contract are taken by other windows.
+// availableIntervals returns the intervals that all contracts approve, and in which other windows neither use a
+// server of the request nor use up the limits of a contract.
 func (s *search) availableIntervals() []calendar.Interval {
 	if len(s.participants) == 0 {
 		return nil
@@ -77,7 +79,7 @@
 	return calendar.Subtract(approved, unavailable)
 }
 
-// reservation is the time that another window is expected to take.
+// reservation is the time that another window is expected to occupy.
 type reservation struct {
 	window *Window
 	calendar.Interval
@@ -101,8 +103,8 @@
 	return reserved
 }
 
-// saturatedIntervals returns the times in which one more window of serverCount servers would exceed the concurrent
-// windows or the servers out of service that the contract permits.
+// saturatedIntervals returns the intervals in which one more window of serverCount servers would exceed the
+// number of concurrent windows or of servers out of service that the contract permits.
 func (p *participant) saturatedIntervals(reserved []reservation, serverCount int) []calendar.Interval {
 	var ofTenant []reservation
 	var edges []int64
@@ -129,8 +131,9 @@
 	return saturated
 }
 
-// nextStartWithinMinutes returns 0 where the monthly minutes of all tenants suffice for a window at startMS, and
-// otherwise the next start that may succeed: the begin of the month after the one whose minutes are exhausted.
+// nextStartWithinMinutes returns 0 if the monthly minutes of all tenants suffice for a window at startMS.
+// Otherwise it returns the next start that may succeed: the beginning of the month after the one whose minutes
+// are exhausted.
 func (s *search) nextStartWithinMinutes(startMS, requiredMS int64) int64 {
 	for i := range s.participants {
 		participant := &s.participants[i]
@@ -145,8 +148,8 @@
 	return 0
 }
 
-// plannedMS is what a tenant has used of a month, with what its other windows that are out of service or planned will
-// use of it.
+// plannedMS returns the time that a tenant has used in a month, plus the time that its other windows are expected
+// to use in that month if they are out of service or have a planned start.
 func (s *search) plannedMS(tenant string, month calendar.Month) int64 {
 	planned := s.table.committedMS(tenant, month.Name, s.nowMS)
 	for _, other := range s.table.Windows() {
@@ -159,7 +162,8 @@
 	return planned
 }
 
-// explainInfeasible finds the contract that alone prevents a window, and the longest work that would fit.
+// explainInfeasible finds the contract that alone prevents the window, and the longest work for which there is a
+// start.
 func (s *search) explainInfeasible(requiredMS int64) *InfeasibleError {
 	infeasible := &InfeasibleError{Reason: "the contracts approve no such time together"}
 	if len(s.participants) == 1 {
@@ -180,7 +184,7 @@
 	e.Reason = "contract of " + tenant + " forbids it"
 }
 
-// findBlockingTenant notes the tenant without whose contract the window could start first.
+// findBlockingTenant records the tenant without whose contract the window could start earliest.
 func (s *search) findBlockingTenant(infeasible *InfeasibleError, requiredMS int64) {
 	for i := range s.participants {
 		others := *s
@@ -194,7 +198,7 @@
 }
 
 // longestFeasibleWork returns the longest work, in whole minutes, for which there is a start; 0: none. It bisects
-// between 0 and the requested work, which does not fit.
+// between 0 and the requested work, for which there is no start.
 func (s *search) longestFeasibleWork(overheadMS int64) int64 {
 	feasible, infeasible := int64(0), s.request.WorkMS/minuteMS
 	for feasible+1 < infeasible {
--- a/internal/maintenance/table.go
+++ b/internal/maintenance/table.go
@@ -9,29 +9,30 @@
 	"milldeck/internal/placement"
 )
 
-// Table is the replicated state of maintenance: contracts, windows, halts and used time. All changes go through Apply.
-// It is not safe for concurrent use. The windows and contracts that it returns are shared and must not be changed.
+// Table is the replicated state of maintenance: contracts, windows, halts and the time used by windows. All
+// changes go through Apply. It is not safe for concurrent use. The windows and contracts that it returns are
+// shared and must not be changed.
 type Table struct {
 	contracts       map[string]*ActiveContract  // by tenant
 	windows         map[string]*Window          // by name
 	halts           map[string]string           // reason, by scope
-	usedMS          map[string]map[string]int64 // out of service, by tenant and month
-	drainSamplesMS  []int64                     // how long drains took, the newest last
-	returnSamplesMS []int64                     // how long returns took, the newest last
+	usedMS          map[string]map[string]int64 // time out of service, by tenant and month
+	drainSamplesMS  []int64                     // durations of drains, newest last
+	returnSamplesMS []int64                     // durations of returns, newest last
 	logTimeMS       int64                       // the latest time in the log, Unix ms: it never runs backwards
-	token           uint64                      // the highest fencing token that has written: lower ones are superseded
-	clockFault      string                      // why the clocks of the last operation were not trusted; "": they were
+	token           uint64                      // highest fencing token of an applied operation: lower ones are superseded
+	clockFault      string                      // why the clocks of the last operation were not trusted; "": they were trusted
 	modRevision     uint64
 
 	changes Changes // of the operation that is being applied
 
-	// LookupPermit returns the stage of a disruption permit as it is when an operation is applied. Where it is nil,
-	// permits are not checked.
+	// LookupPermit returns the stage of a disruption permit at the time at which an operation is applied. If it
+	// is nil, permits are not checked.
 	LookupPermit func(id string) (disruption.Stage, bool)
 }
 
-// Changes are the exclusion directives that an applied operation sets and deletes. They go into the placement with the
-// same log record.
+// Changes are the exclusion directives that an applied operation sets and deletes. The same log record applies
+// them to the placement.
 type Changes struct {
 	SetDirectives      []placement.Directive
 	DeleteDirectiveIDs []string
@@ -47,7 +48,7 @@
 	}
 }
 
-// Snapshot is the stored form of a table. Lists are in the order of names.
+// Snapshot is the stored form of a table. Lists are sorted by name or tenant.
 type Snapshot struct {
 	Contracts       []*ActiveContract           `json:"contracts,omitempty"`
 	Windows         []*Window                   `json:"windows,omitempty"`
@@ -61,7 +62,7 @@
 	ModRevision     uint64                      `json:"rev"`
 }
 
-// Snapshot returns the table's content. Later operations on the table do not change it.
+// Snapshot returns the table's content. Later operations do not change the snapshot.
 func (t *Table) Snapshot() *Snapshot {
 	snapshot := &Snapshot{
 		Contracts:       t.Contracts(),
@@ -81,7 +82,7 @@
 	return snapshot
 }
 
-// Restore returns a table with the content of a snapshot; nil gives an empty one.
+// Restore returns a table with the content of a snapshot. A nil snapshot gives an empty table.
 func Restore(snapshot *Snapshot) *Table {
 	table := New()
 	if snapshot == nil {
@@ -106,13 +107,13 @@
 	return table
 }
 
-// ModRevision is the log revision of the last change.
+// ModRevision returns the log revision of the last change.
 func (t *Table) ModRevision() uint64 { return t.modRevision }
 
-// LogTimeMS is the latest time in the log, Unix ms.
+// LogTimeMS returns the latest time in the log, Unix ms.
 func (t *Table) LogTimeMS() int64 { return t.logTimeMS }
 
-// ClockFault says why the clocks of the last operation were not trusted, or "".
+// ClockFault returns why the clocks of the last operation were not trusted, or "".
 func (t *Table) ClockFault() string { return t.clockFault }
 
 // Windows returns all windows, sorted by name.
@@ -139,7 +140,8 @@
 // Contract returns the contract of a tenant that is in force, or nil.
 func (t *Table) Contract(tenant string) *ActiveContract { return t.contracts[tenant] }
 
-// contractOf returns the contract that an approval was computed from, or nil where it is no longer in force.
+// contractOf returns the contract from which an approval was computed, or nil if that contract is no longer in
+// force.
 func (t *Table) contractOf(approval *Approval) *ActiveContract {
 	active := t.contracts[approval.Tenant]
 	if active == nil || active.Version != approval.ContractVersion {
@@ -151,14 +153,14 @@
 // Halts returns the reasons of all halts, by scope.
 func (t *Table) Halts() map[string]string { return maps.Clone(t.halts) }
 
-// store replaces a window by its new version and records the change of its exclusion directives.
+// store replaces a window with its new version and records which of its exclusion directives change.
 func (t *Table) store(revision uint64, previous, window *Window) {
 	window.ModRevision = revision
 	t.publishExclusions(previous, window)
 	t.windows[window.Name] = window
 }
 
-// evictFinished drops the windows that finished longest ago, beyond MaxFinishedWindows.
+// evictFinished deletes the finished windows beyond MaxFinishedWindows, the least recently changed first.
 func (t *Table) evictFinished() {
 	if len(t.windows) <= MaxFinishedWindows {
 		return
--- a/internal/maintenance/timestamp.go
+++ b/internal/maintenance/timestamp.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Timestamp is the time of an operation, Unix ms: the controller's when it wrote the operation and the leader's when it
-// accepted it, each with the uncertainty of its clock in ms.
+// Timestamp is the time of an operation, Unix ms: by the clock of the controller when it wrote the operation, and
+// by the clock of the leader when it accepted the operation, each with the uncertainty of the clock in ms.
 type Timestamp struct {
 	ControllerMS        int64 `json:"controller_ms"`
 	UncertaintyMS       int64 `json:"uncertainty_ms"`
@@ -11,15 +11,15 @@
 	LeaderUncertaintyMS int64 `json:"leader_uncertainty_ms"`
 }
 
-// bounds returns the earliest and the latest true time that both clocks allow.
+// bounds returns the earliest and the latest true time that at least one of the clocks allows.
 func (ts Timestamp) bounds() (earliest, latest int64) {
 	earliest = min(ts.ControllerMS-ts.UncertaintyMS, ts.LeaderMS-ts.LeaderUncertaintyMS)
 	latest = max(ts.ControllerMS+ts.UncertaintyMS, ts.LeaderMS+ts.LeaderUncertaintyMS)
 	return earliest, latest
 }
 
-// clockFault says why the timestamp cannot be trusted, or "". The text is stored: replicas of all versions have to
-// produce the same.
+// clockFault returns why the timestamp cannot be trusted, or "". The text is stored: replicas of all versions
+// must produce the same text.
 func (ts Timestamp) clockFault() string {
 	skewMS := max(ts.ControllerMS-ts.LeaderMS, ts.LeaderMS-ts.ControllerMS)
 	uncertaintyMS := max(ts.UncertaintyMS, ts.LeaderUncertaintyMS)
@@ -34,8 +34,8 @@
 	return ""
 }
 
-// timeBounds is the time at which an operation is applied: not before earliest and not after latest (Unix ms), unless
-// clockFault says that the clocks cannot be trusted.
+// timeBounds bounds the time at which an operation is applied: not before earliest and not after latest (Unix
+// ms), unless clockFault says that the clocks cannot be trusted.
 type timeBounds struct {
 	earliest, latest int64
 	uncertainty      int64 // of the less certain clock, ms
@@ -43,11 +43,11 @@
 	clockFault       string
 }
 
-// trusted reports whether the bounds hold.
+// trusted reports whether the clocks can be trusted and the bounds hold.
 func (b timeBounds) trusted() bool { return b.clockFault == "" }
 
-// boundTime checks a timestamp against the log time, which never runs backwards. Where the clocks are not trusted, only
-// the log time is known to have passed.
+// boundTime converts a timestamp to time bounds, and checks it against the log time, which never runs backwards.
+// If the clocks are not trusted, earliest is the log time: only that time is known to have passed.
 func (t *Table) boundTime(timestamp Timestamp) timeBounds {
 	earliest, latest := timestamp.bounds()
 	now := timeBounds{
--- a/internal/maintenance/transitions.go
+++ b/internal/maintenance/transitions.go
@@ -6,8 +6,8 @@
 	"milldeck/internal/disruption"
 )
 
-// transition carries out an operation on one window. The window is a copy, which is stored only where the operation is
-// accepted.
+// transition applies an operation to one window. The window is a copy, which the caller stores only if the
+// operation is accepted.
 func (t *Table) transition(window *Window, revision uint64, op *Operation, now timeBounds) error {
 	if !op.Kind.permittedAt(window) {
 		return rejected(OutcomeStale, "%s is %s: no %s", window.Name, window.Stage, op.Kind)
@@ -42,12 +42,12 @@
 		t.completeReturn(window, now)
 		return nil
 	}
-	// An operation of a later version: all replicas of this version skip it.
+	// A later version introduced the operation: all replicas of this version reject it.
 	return rejected(OutcomeInvalid, "unknown operation %q", op.Kind)
 }
 
-// permittedAt reports whether the operation is defined for the stage of a window. Unknown operations are left to the
-// caller.
+// permittedAt reports whether the operation is defined for the stage of a window. It returns true for OpCancel
+// and for unknown operations, which transition rejects.
 func (kind OperationKind) permittedAt(window *Window) bool {
 	stage := window.Stage
 	switch kind {
@@ -73,7 +73,7 @@
 	return true
 }
 
-// propose adds a window. Proposing the same window again is no error.
+// propose adds a window. It accepts a repeated proposal of the same window without a change.
 func (t *Table) propose(revision uint64, op *Operation, now timeBounds) error {
 	serverUIDs := slices.Compact(slices.Sorted(slices.Values(op.ServerUIDs)))
 	if existing := t.windows[op.Window]; existing != nil {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// schedule gives a window its start and the approvals that cover it.
+// schedule sets the planned start of a window and the approvals that cover it.
 func (t *Table) schedule(window *Window, op *Operation) error {
 	if len(op.Approvals) == 0 {
 		return rejected(OutcomeInvalid, "no approvals")
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// awaitPermit starts another attempt: from here on the window's PermitID is a new one.
+// awaitPermit starts another attempt, which has its own PermitID.
 func (t *Table) awaitPermit(window *Window, now timeBounds) error {
 	if err := t.checkDrain(window, now); err != nil {
 		return err
@@ -166,7 +166,8 @@
 	return nil
 }
 
-// cancel ends a window before its drain, and has one that is out return. It does nothing to a window that is over.
+// cancel cancels a window: at once before its drain or while it is halted, otherwise after the return of its
+// servers. It does not change a window that is finished or overrun.
 func (w *Window) cancel(reason string, now timeBounds) {
 	switch {
 	case w.Stage.beforeDrain() || w.Stage == StageHalted:
@@ -179,16 +180,16 @@
 	}
 }
 
-// beginReturn ends a drain or the work by decision of the controller.
+// beginReturn ends the drain or the work of a window, as the controller has decided.
 func (t *Table) beginReturn(window *Window, op *Operation, now timeBounds) {
 	if window.Stage == StageDraining && now.trusted() {
-		// A drain that was given up would have taken at least so long.
+		// The aborted drain would have taken at least this long.
 		if tookMS := now.latest - window.DrainStartedAtMS; tookMS > t.EstimatedDrainMS() {
 			t.drainSamplesMS = addSample(t.drainSamplesMS, tookMS, t.EstimatedDrainMS())
 		}
 	}
 	next, reason := op.StageAfterReturn, op.Reason
-	if next == StageDone && !now.trusted() { // whether the time of the work is over is not known
+	if next == StageDone && !now.trusted() { // it is not known whether the time for the work is over
 		next, reason = StageHalted, now.clockFault
 	}
 	window.beginReturn(next, reason, now)
@@ -206,10 +207,10 @@
 	return nil
 }
 
-// completeReturn records the time that the window was out of service and moves it to the stage that follows.
+// completeReturn records how long the window was out of service and moves it to its next stage.
 func (t *Table) completeReturn(window *Window, now timeBounds) {
 	returnedAtMS := now.latest
-	if !now.trusted() { // bounded: a clock may be far ahead
+	if !now.trusted() { // bounded, because a clock may be far ahead
 		returnedAtMS = min(returnedAtMS, max(t.logTimeMS, window.ClosesAtMS)+dayMS)
 	}
 	returnedAtMS = max(returnedAtMS, window.DrainStartedAtMS)
--- a/internal/maintenance/usage.go
+++ b/internal/maintenance/usage.go
@@ -7,11 +7,12 @@
 	"milldeck/internal/maintenance/calendar"
 )
 
-// UsedMS is the time that a tenant's windows were out of service in a month ("2026-03"), as far as they have returned.
+// UsedMS returns how long a tenant's windows were out of service in a month ("2026-03"). It counts only windows
+// that have returned.
 func (t *Table) UsedMS(tenant, month string) int64 { return t.usedMS[tenant][month] }
 
-// recordUsage adds the time from startMS to endMS (Unix ms) to what the window's tenants have used, by the months of
-// their own time zones.
+// recordUsage adds the time from startMS to endMS (Unix ms) to the used time of each of the window's tenants,
+// split by the months of the tenant's time zone.
 func (t *Table) recordUsage(window *Window, startMS, endMS int64) {
 	for i := range window.Approvals {
 		approval := &window.Approvals[i]
@@ -29,8 +30,8 @@
 	}
 }
 
-// committedMS is what a tenant has used of a month, with what its windows that are out of service will have used once
-// they have returned.
+// committedMS returns the time that a tenant has used in a month, plus the time that its windows out of service
+// are expected to have used once they have returned.
 func (t *Table) committedMS(tenant, month string, nowMS int64) int64 {
 	committed := t.usedMS[tenant][month]
 	for _, window := range t.windows {
@@ -47,7 +48,7 @@
 	return committed
 }
 
-// timeInMonth is how much of the time from startMS to endMS belongs to one month of an approval.
+// timeInMonth returns how much of the time from startMS to endMS falls into one month of an approval.
 func timeInMonth(approval *Approval, month string, startMS, endMS int64) int64 {
 	total := int64(0)
 	for _, part := range splitByMonth(approval, startMS, endMS) {
@@ -58,8 +59,8 @@
 	return total
 }
 
-// splitByMonth splits the time from startMS to endMS by the months of an approval. What lies beyond them belongs to the
-// nearest month, so a window that overruns for longer than the stored months loses none of its time.
+// splitByMonth splits the time from startMS to endMS by the months of an approval. Time outside of the stored
+// months counts towards the nearest month, so that a long overrun loses none of its time.
 func splitByMonth(approval *Approval, startMS, endMS int64) []calendar.Month {
 	var parts []calendar.Month
 	for i, month := range approval.Months {
--- a/internal/maintenance/view.go
+++ b/internal/maintenance/view.go
@@ -6,11 +6,11 @@
 	"milldeck/internal/disruption"
 )
 
-// LeaseName is the lease that the one active controller of all windows holds. It owns their disruption permits and
-// their exclusion directives.
+// LeaseName is the lease that the one active controller of all windows holds. The lease owns the windows'
+// disruption permits and exclusion directives.
 const LeaseName = "window"
 
-// View is the part of the replicated state that the Reconciler reads, all of one revision.
+// View is the part of the replicated state that the Reconciler reads, all at one revision.
 type View struct {
 	Revision     uint64
 	Table        *Table
@@ -20,10 +20,10 @@
 	LiveSidecars []string // all of them have to confirm an exclusion
 }
 
-// ServerStatus is what the disruption ledger knows of a server that a window has out of service.
+// ServerStatus is the status, in the disruption ledger, of a server that a window has taken out of service.
 type ServerStatus struct {
-	// Ready is true where a health check or a registration shows that the server is up, and once the return has begun, one
-	// since then.
+	// Ready is true if a health check or a registration shows that the server is up. Once the return has begun,
+	// an observation from before the return no longer counts.
 	Ready    bool   `json:"up"`
 	Revision uint64 `json:"rev"` // of the last change of its condition
 	Endpoint string `json:"endpoint"`
@@ -67,8 +67,8 @@
 	return view
 }
 
-// observedUp reports whether a unit is up by the ledger's own rule: an observation from before the return began does not
-// show that the unit is back.
+// observedUp reports whether a unit is up, by the same rule as the ledger: an observation from before the return
+// began does not show that the unit is back.
 func observedUp(unit *disruption.Unit, permit *disruption.Permit) bool {
 	if unit.Condition != disruption.ConditionUp {
 		return false
