--- a/internal/maintenance/apply.go
+++ b/internal/maintenance/apply.go
@@ -12,7 +12,7 @@
 		t.clockFault = now.clockFault
 		t.modRevision = revision
 	}
-	if !now.trusted() && (op.Kind.advances() || op.Kind == OpMarkOverrun) {
+	if !now.trusted() && (op.Kind.advancesWindow() || op.Kind == OpMarkOverrun) {
 		return Changes{}, rejected(OutcomeClockFault, "%s", now.clockFault)
 	}
 	if err := t.execute(revision, op, now); err != nil {
--- a/internal/maintenance/calendar/calendar.go
+++ b/internal/maintenance/calendar/calendar.go
@@ -39,15 +39,15 @@
 	if startMS >= endMS {
 		return nil
 	}
-	var open []Interval
+	var approvedIntervals []Interval
 	for _, series := range c.approved {
-		open = append(open, c.expand(series, startMS, endMS, true)...)
+		approvedIntervals = append(approvedIntervals, c.expand(series, startMS, endMS, true)...)
 	}
-	var closed []Interval
+	var closedIntervals []Interval
 	for _, series := range c.closed {
-		closed = append(closed, c.expand(series, startMS, endMS, false)...)
+		closedIntervals = append(closedIntervals, c.expand(series, startMS, endMS, false)...)
 	}
-	return Intersect(Subtract(merge(open), merge(closed)), []Interval{{startMS, endMS}})
+	return Intersect(Subtract(merge(approvedIntervals), merge(closedIntervals)), []Interval{{startMS, endMS}})
 }
 
 // Approves reports whether an instant, Unix ms, is approved.
--- a/internal/maintenance/checks.go
+++ b/internal/maintenance/checks.go
@@ -10,7 +10,7 @@
 			return rejected(OutcomeStale, "the contract of %s has changed", approval.Tenant)
 		case now.earliest < approval.OpensAtMS:
 			return rejected(OutcomeOutsideHours, "the hours of %s open in %d ms", approval.Tenant, approval.OpensAtMS-now.earliest)
-		case now.latest+requiredMS+CloseGuardMS > approval.ClosesAtMS:
+		case now.latest+requiredMS+CloseMarginMS > approval.ClosesAtMS:
 			return rejected(OutcomeOutsideHours, "%d ms do not fit before the close of %s", requiredMS, approval.Tenant)
 		}
 	}
--- a/internal/maintenance/contracts.go
+++ b/internal/maintenance/contracts.go
@@ -10,17 +10,17 @@
 // service. If the operation carries a current approval, these windows continue under it. Otherwise the tenant's
 // exclusions are deleted.
 func (t *Table) setContract(revision uint64, op *Operation, now timeBounds) error {
-	next := op.Contract
-	if next == nil || next.Tenant == "" || (op.CurrentApproval != nil && op.CurrentApproval.Tenant != next.Tenant) {
+	newContract := op.Contract
+	if newContract == nil || newContract.Tenant == "" || (op.CurrentApproval != nil && op.CurrentApproval.Tenant != newContract.Tenant) {
 		return rejected(OutcomeInvalid, "no contract, or an approval of another tenant")
 	}
-	if t.contracts[next.Tenant] == nil && len(t.contracts) >= MaxContracts {
+	if t.contracts[newContract.Tenant] == nil && len(t.contracts) >= MaxContracts {
 		return rejected(OutcomeLimitExceeded, "there are %d contracts", len(t.contracts))
 	}
-	affected := t.windowsOutOfService(next.Tenant)
-	t.contracts[next.Tenant] = &ActiveContract{Contract: *next, Version: revision}
+	affected := t.windowsOutOfService(newContract.Tenant)
+	t.contracts[newContract.Tenant] = &ActiveContract{Contract: *newContract, Version: revision}
 	for _, item := range affected {
-		t.reviseWindow(revision, now, next.Tenant, item, func(approval *Approval) {
+		t.reviseWindow(revision, now, newContract.Tenant, item, func(approval *Approval) {
 			if op.CurrentApproval == nil || len(op.CurrentApproval.Months) == 0 {
 				return
 			}
@@ -101,7 +101,7 @@
 // earlier. The exclusion ends at once if the new expiry has passed or the clocks are not trusted.
 // shortenExclusion reports whether the expiry has changed.
 func (w *Window) shortenExclusion(now timeBounds) bool {
-	latestExpiry := w.ClosesAtMS - CloseGuardMS - now.uncertainty
+	latestExpiry := w.ClosesAtMS - CloseMarginMS - now.uncertainty
 	if w.ExcludedUntilMS <= latestExpiry {
 		return false
 	}
--- a/internal/maintenance/controller/controller.go
+++ b/internal/maintenance/controller/controller.go
@@ -114,11 +114,11 @@
 func (t *leaderTerm) reconcile(ctx context.Context) (time.Duration, error) {
 	readCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	state, err := t.Registry.Windows(readCtx, true)
+	windowsView, err := t.Registry.Windows(readCtx, true)
 	if err != nil {
 		return 0, err
 	}
-	view := state.View()
+	view := windowsView.View()
 	t.observeReports()
 	now := t.readClock()
 	effects, nextRunMS := t.reconciler.Reconcile(now, view)
--- a/internal/maintenance/controller/controller_test.go
+++ b/internal/maintenance/controller/controller_test.go
@@ -380,7 +380,7 @@
 			month := calendar.Month{Name: "2026-01", Interval: interval}
 			b.setContract(&maintenance.Approval{Tenant: "portal", OpensAtMS: month.StartMS, ClosesAtMS: closesAtMS, Months: []calendar.Month{month}})
 			window := b.awaitStage("disks", maintenance.StageReturning)
-			if window.ClosesAtMS != closesAtMS || window.ExcludedUntilMS > closesAtMS-maintenance.CloseGuardMS {
+			if window.ClosesAtMS != closesAtMS || window.ExcludedUntilMS > closesAtMS-maintenance.CloseMarginMS {
 				t.Errorf("excluded until %d, the close is %d", window.ExcludedUntilMS, window.ClosesAtMS)
 			}
 			controller.Kill()
--- a/internal/maintenance/exclusion_test.go
+++ b/internal/maintenance/exclusion_test.go
@@ -19,7 +19,7 @@
 			closesAtMS, excludedUntil int64
 			timestamp                 Timestamp
 		}{
-			"before the expiry": {now + 10_000, now + 10_000 - CloseGuardMS - 250, agreeingClocks(now)},
+			"before the expiry": {now + 10_000, now + 10_000 - CloseMarginMS - 250, agreeingClocks(now)},
 			"after the expiry":  {now + 60_000, window.ExcludedUntilMS, agreeingClocks(now)},
 			"passed":            {now + 1000, 0, agreeingClocks(now)},
 			"clock fault":       {now + 10_000, 0, Timestamp{now, 250, now - 60_000, 250}},
--- a/internal/maintenance/exclusions.go
+++ b/internal/maintenance/exclusions.go
@@ -19,7 +19,7 @@
 	for i := range window.Approvals {
 		approval := &window.Approvals[i]
 		active := t.contractOf(approval)
-		if active == nil || window.ExcludedUntilMS > approval.ClosesAtMS-CloseGuardMS {
+		if active == nil || window.ExcludedUntilMS > approval.ClosesAtMS-CloseMarginMS {
 			continue
 		}
 		directives = append(directives, placement.Directive{
@@ -36,9 +36,9 @@
 
 func exclusionDirectiveID(window, tenant string) string { return idPrefix + window + "/" + tenant }
 
-// publishExclusions records which directives to set and to delete for the change between two versions of a
+// recordExclusionChanges records which directives to set and to delete for the change between two versions of a
 // window. For a new window previous is nil.
-func (t *Table) publishExclusions(previous, window *Window) {
+func (t *Table) recordExclusionChanges(previous, window *Window) {
 	publishedBefore := map[string]bool{}
 	if previous != nil {
 		for i := range previous.Approvals {
@@ -94,7 +94,7 @@
 			continue
 		case active == nil:
 			return rejected(OutcomeStale, "the contract of %s has changed", approval.Tenant)
-		case now.earliest < approval.OpensAtMS || untilMS+now.uncertainty+CloseGuardMS > approval.ClosesAtMS:
+		case now.earliest < approval.OpensAtMS || untilMS+now.uncertainty+CloseMarginMS > approval.ClosesAtMS:
 			return rejected(OutcomeOutsideHours, "outside the hours of %s", approval.Tenant)
 		}
 		validApprovals++
--- a/internal/maintenance/halts.go
+++ b/internal/maintenance/halts.go
@@ -9,7 +9,7 @@
 // applyHalt sets or removes the halt of a scope. A halt of all windows or of a tenant blocks drains. A halt of
 // one window also starts its return if it is out of service.
 func (t *Table) applyHalt(revision uint64, op *Operation, now timeBounds) error {
-	if name, named := strings.CutPrefix(op.Scope, scopeWindow); named {
+	if name, found := strings.CutPrefix(op.Scope, scopeWindow); found {
 		return t.applyWindowHalt(revision, name, op, now)
 	}
 	if op.Kind == OpResume {
--- a/internal/maintenance/ledger_action.go
+++ b/internal/maintenance/ledger_action.go
@@ -51,10 +51,10 @@
 // ContractBudget returns the disruption budget that belongs to a contract. It counts every unavailable server of
 // the tenant, whatever the reason.
 func ContractBudget(terms *contract.Contract) *disruption.Budget {
-	maxOutShare := 1 - terms.MinAvailableShare
+	maxUnavailableShare := 1 - terms.MinAvailableShare
 	return &disruption.Budget{
 		Name:           ContractBudgetName(terms.Tenant),
-		MaxUnavailable: disruption.Limit{Fraction: &maxOutShare},
+		MaxUnavailable: disruption.Limit{Fraction: &maxUnavailableShare},
 		Selector:       disruption.Selector{Kind: disruption.KindServer, Tenant: terms.Tenant},
 	}
 }
--- a/internal/maintenance/limits.go
+++ b/internal/maintenance/limits.go
@@ -8,9 +8,9 @@
 	// ExclusionRefreshMS is the time after which the controller extends an exclusion. It is a third of the TTL,
 	// so that the exclusion survives two failed extensions.
 	ExclusionRefreshMS = 10_000
-	// CloseGuardMS is the margin before a close. It covers the delivery of a directive to a sidecar and the error
+	// CloseMarginMS is the margin before a close. It covers the delivery of a directive to a sidecar and the error
 	// of the sidecar's clock.
-	CloseGuardMS = 2_000
+	CloseMarginMS = 2_000
 	// MaxClockSkewMS is the largest accepted difference between the time of the controller and the time of the
 	// leader in an operation. It covers the transfer of the operation to the leader, but not an election during
 	// the transfer.
--- a/internal/maintenance/operation.go
+++ b/internal/maintenance/operation.go
@@ -76,9 +76,9 @@
 	return false
 }
 
-// advances reports whether the operation moves a window towards or through its work. The table rejects such an
-// operation while the clocks are not trusted.
-func (kind OperationKind) advances() bool {
+// advancesWindow reports whether the operation moves a window towards or through its work. The table rejects such
+// an operation while the clocks are not trusted.
+func (kind OperationKind) advancesWindow() bool {
 	switch kind {
 	case OpPropose, OpSchedule, OpAwaitPermit, OpBeginDrain, OpExtendExclusion, OpCompleteDrain:
 		return true
--- a/internal/maintenance/planner.go
+++ b/internal/maintenance/planner.go
@@ -30,7 +30,7 @@
 type Plan struct {
 	StartMS    int64
 	ClosesAtMS int64 // the earliest close of Approvals
-	RequiredMS int64 // for drain, work, return and CloseGuardMS
+	RequiredMS int64 // for drain, work, return and CloseMarginMS
 	Approvals  []Approval
 }
 
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, err
 	}
-	requiredMS := table.EstimatedTotalMS(request.WorkMS) + CloseGuardMS
+	requiredMS := table.EstimatedTotalMS(request.WorkMS) + CloseMarginMS
 	startMS := startSearch.earliestStart(requiredMS)
 	if startMS == 0 {
 		return nil, startSearch.explainInfeasible(requiredMS)
--- a/internal/maintenance/reconcile_stages.go
+++ b/internal/maintenance/reconcile_stages.go
@@ -40,7 +40,7 @@
 		return min(idlePollMS, window.PlannedStartMS-p.now.earliest)
 	case window.Stage == StageDrained:
 		workEndsMS := window.DrainedAtMS + window.WorkMS
-		returnStartsMS := window.ClosesAtMS - CloseGuardMS - p.table.EstimatedReturnMS()
+		returnStartsMS := window.ClosesAtMS - CloseMarginMS - p.table.EstimatedReturnMS()
 		refreshMS := window.ExcludedUntilMS - ExclusionTTLMS + ExclusionRefreshMS
 		dueInMS := min(workEndsMS, returnStartsMS, refreshMS) - p.now.latest
 		return max(activePollMS, min(dueInMS, ExclusionRefreshMS))
@@ -182,8 +182,8 @@
 	return p.table.ClockFault() != "" && p.now.latest >= expiryMS
 }
 
-func returnTo(next Stage, reason string) *Operation {
-	return &Operation{Kind: OpBeginReturn, StageAfterReturn: next, Reason: reason}
+func returnTo(nextStage Stage, reason string) *Operation {
+	return &Operation{Kind: OpBeginReturn, StageAfterReturn: nextStage, Reason: reason}
 }
 
 func (p *reconcilePass) reconcileDraining(window *Window) Action {
@@ -196,7 +196,7 @@
 		return returnTo(StageProposed, haltReason)
 	case p.exclusionLapsed(window):
 		return returnTo(StageProposed, p.table.ClockFault())
-	case p.now.latest+window.WorkMS+p.table.EstimatedReturnMS()+CloseGuardMS > window.ClosesAtMS:
+	case p.now.latest+window.WorkMS+p.table.EstimatedReturnMS()+CloseMarginMS > window.ClosesAtMS:
 		return returnTo(StageProposed, reasonDrainTimeout)
 	case permit == "":
 		return returnTo(StageHalted, reasonPermitRevoked)
@@ -244,7 +244,7 @@
 		return returnTo(StageHalted, reasonContractChanged)
 	case p.exclusionLapsed(window):
 		return returnTo(StageHalted, p.table.ClockFault())
-	case p.now.latest+p.table.EstimatedReturnMS()+CloseGuardMS >= window.ClosesAtMS:
+	case p.now.latest+p.table.EstimatedReturnMS()+CloseMarginMS >= window.ClosesAtMS:
 		return returnTo(StageHalted, reasonCloseReached)
 	case p.activePermit(window) == "":
 		return returnTo(StageHalted, reasonPermitRevoked)
@@ -285,7 +285,7 @@
 	for i := range window.Approvals {
 		approval := &window.Approvals[i]
 		if p.table.contractOf(approval) != nil {
-			untilMS = min(untilMS, approval.ClosesAtMS-CloseGuardMS-max(p.now.uncertainty, leaderUncertaintyMS))
+			untilMS = min(untilMS, approval.ClosesAtMS-CloseMarginMS-max(p.now.uncertainty, leaderUncertaintyMS))
 			validApprovals++
 		}
 	}
--- a/internal/maintenance/search.go
+++ b/internal/maintenance/search.go
@@ -106,11 +106,11 @@
 // saturatedIntervals returns the intervals in which one more window of serverCount servers would exceed the
 // number of concurrent windows or of servers out of service that the contract permits.
 func (p *participant) saturatedIntervals(reserved []reservation, serverCount int) []calendar.Interval {
-	var ofTenant []reservation
+	var tenantReservations []reservation
 	var edges []int64
 	for _, reservation := range reserved {
 		if reservation.window.involves(p.contract.Tenant) {
-			ofTenant = append(ofTenant, reservation)
+			tenantReservations = append(tenantReservations, reservation)
 			edges = append(edges, reservation.StartMS, reservation.EndMS)
 		}
 	}
@@ -118,7 +118,7 @@
 	var saturated []calendar.Interval
 	for i := 1; i < len(edges); i++ {
 		windowCount, serversOut := 1, serverCount
-		for _, reservation := range ofTenant {
+		for _, reservation := range tenantReservations {
 			if reservation.StartMS <= edges[i-1] && edges[i-1] < reservation.EndMS {
 				windowCount++
 				serversOut += len(reservation.window.ServerUIDs)
@@ -167,7 +167,7 @@
 func (s *search) explainInfeasible(requiredMS int64) *InfeasibleError {
 	infeasible := &InfeasibleError{Reason: "the contracts approve no such time together"}
 	if len(s.participants) == 1 {
-		infeasible.blame(s.participants[0].contract.Tenant)
+		infeasible.setBlockingTenant(s.participants[0].contract.Tenant)
 	} else {
 		s.findBlockingTenant(infeasible, requiredMS)
 	}
@@ -179,7 +179,7 @@
 	return infeasible
 }
 
-func (e *InfeasibleError) blame(tenant string) {
+func (e *InfeasibleError) setBlockingTenant(tenant string) {
 	e.BlockingTenant = tenant
 	e.Reason = "contract of " + tenant + " forbids it"
 }
@@ -191,7 +191,7 @@
 		others.participants = slices.Delete(slices.Clone(s.participants), i, i+1)
 		startMS := others.earliestStart(requiredMS)
 		if startMS != 0 && (infeasible.StartWithoutTenantMS == 0 || startMS < infeasible.StartWithoutTenantMS) {
-			infeasible.blame(s.participants[i].contract.Tenant)
+			infeasible.setBlockingTenant(s.participants[i].contract.Tenant)
 			infeasible.StartWithoutTenantMS = startMS
 		}
 	}
--- a/internal/maintenance/table.go
+++ b/internal/maintenance/table.go
@@ -156,7 +156,7 @@
 // store replaces a window with its new version and records which of its exclusion directives change.
 func (t *Table) store(revision uint64, previous, window *Window) {
 	window.ModRevision = revision
-	t.publishExclusions(previous, window)
+	t.recordExclusionChanges(previous, window)
 	t.windows[window.Name] = window
 }
 
--- a/internal/maintenance/table_test.go
+++ b/internal/maintenance/table_test.go
@@ -85,7 +85,7 @@
 			Operation{Kind: OpHalt, Scope: "window/" + name},
 			Operation{Kind: OpResume, Scope: "window/" + name},
 			Operation{Kind: OpExtendExclusion, Window: name, ExcludeUntilMS: timestamp.ControllerMS + ExclusionTTLMS},
-			Operation{Kind: OpExtendExclusion, Window: name, ExcludeUntilMS: f.closeMS - CloseGuardMS},
+			Operation{Kind: OpExtendExclusion, Window: name, ExcludeUntilMS: f.closeMS - CloseMarginMS},
 			Operation{Kind: OpAwaitPermit, Window: name},
 			Operation{Kind: OpBeginDrain, Window: name},
 			Operation{Kind: OpCompleteDrain, Window: name},
@@ -134,7 +134,7 @@
 
 // checkTimeAndToken checks that an operation was not applied during a clock fault, in the past, or under an old token.
 func checkTimeAndToken(before, after *Snapshot, op *Operation, timestamp Timestamp) error {
-	forward := op.Kind.advances() || op.Kind == OpMarkOverrun
+	forward := op.Kind.advancesWindow() || op.Kind == OpMarkOverrun
 	_, latest := timestamp.bounds()
 	switch {
 	case forward && timestamp.clockFault() != "":
@@ -170,7 +170,7 @@
 	for _, window := range table.Windows() {
 		for _, directive := range table.ExclusionDirectives(window) {
 			covered := table.Contract(directive.Tenant) != nil && window.OutOfService()
-			if !covered || directive.ExpiresAtMS > window.ClosesAtMS-CloseGuardMS {
+			if !covered || directive.ExpiresAtMS > window.ClosesAtMS-CloseMarginMS {
 				return fmt.Errorf("%s has the directive %v", window.Name, directive)
 			}
 		}
--- a/internal/maintenance/transitions.go
+++ b/internal/maintenance/transitions.go
@@ -184,15 +184,15 @@
 func (t *Table) beginReturn(window *Window, op *Operation, now timeBounds) {
 	if window.Stage == StageDraining && now.trusted() {
 		// The aborted drain would have taken at least this long.
-		if tookMS := now.latest - window.DrainStartedAtMS; tookMS > t.EstimatedDrainMS() {
-			t.drainSamplesMS = addSample(t.drainSamplesMS, tookMS, t.EstimatedDrainMS())
+		if drainMS := now.latest - window.DrainStartedAtMS; drainMS > t.EstimatedDrainMS() {
+			t.drainSamplesMS = addSample(t.drainSamplesMS, drainMS, t.EstimatedDrainMS())
 		}
 	}
-	next, reason := op.StageAfterReturn, op.Reason
-	if next == StageDone && !now.trusted() { // it is not known whether the time for the work is over
-		next, reason = StageHalted, now.clockFault
+	nextStage, reason := op.StageAfterReturn, op.Reason
+	if nextStage == StageDone && !now.trusted() { // it is not known whether the time for the work is over
+		nextStage, reason = StageHalted, now.clockFault
 	}
-	window.beginReturn(next, reason, now)
+	window.beginReturn(nextStage, reason, now)
 }
 
 func (t *Table) markOverrun(window *Window, now timeBounds) error {
--- a/internal/maintenance/window.go
+++ b/internal/maintenance/window.go
@@ -107,10 +107,10 @@
 	return false
 }
 
-// beginReturn moves the window to StageReturning; next is the stage that follows once the servers are back.
-func (w *Window) beginReturn(next Stage, reason string, now timeBounds) {
+// beginReturn moves the window to StageReturning. nextStage is the stage that follows once the servers are back.
+func (w *Window) beginReturn(nextStage Stage, reason string, now timeBounds) {
 	w.Stage = StageReturning
-	w.StageAfterReturn = next
+	w.StageAfterReturn = nextStage
 	w.Reason = reason
 	w.ReturnStartedAtMS = now.earliest
 }
