--- a/internal/maintenance/calendar/calendar_test.go
+++ b/internal/maintenance/calendar/calendar_test.go
@@ -18,7 +18,7 @@
 	return calendar
 }
 
-// formatUTC formats intervals in UTC, where each instant has one name.
+// formatUTC formats intervals in UTC, in which no local time occurs twice.
 func formatUTC(intervals []Interval) []string {
 	var lines []string
 	for _, interval := range intervals {
@@ -81,7 +81,7 @@
 
 func TestMonthEndsInTenantZone(t *testing.T) {
 	calendar := mustCompile(t, Spec{"America/Montevideo", []Rule{{"FREQ=DAILY", "22:00", "6h", "2026-01-01"}}, nil})
-	at := time.Date(2026, 3, 1, 1, 0, 0, 0, time.UTC) // still February there
+	at := time.Date(2026, 3, 1, 1, 0, 0, 0, time.UTC) // still February in Montevideo
 	var got []string
 	for _, month := range calendar.Months(at.UnixMilli(), at.Add(3*time.Hour).UnixMilli()) {
 		got = append(got, month.Name+" "+formatUTC([]Interval{month.Interval})[0])
@@ -93,7 +93,7 @@
 
 func TestCompileNamesInvalidField(t *testing.T) {
 	valid := Rule{"FREQ=WEEKLY;BYDAY=MO", "22:00", "6h", "2026-01-05"}
-	with := func(change func(*Rule)) Spec {
+	specWithRule := func(change func(*Rule)) Spec {
 		rule := valid
 		change(&rule)
 		return Spec{"Europe/Madrid", []Rule{valid, rule}, nil}
@@ -101,9 +101,9 @@
 	for field, spec := range map[string]Spec{
 		"zone":            {"Europe/Nowhere", []Rule{valid}, nil},
 		"hours":           {"Europe/Madrid", nil, nil},
-		"hours[1].start":  with(func(rule *Rule) { rule.Start = "25:00" }),
-		"hours[1].length": with(func(rule *Rule) { rule.Length = "90s" }),
-		"hours[1].from":   with(func(rule *Rule) { rule.FirstDay = "2026-02-30" }),
+		"hours[1].start":  specWithRule(func(rule *Rule) { rule.Start = "25:00" }),
+		"hours[1].length": specWithRule(func(rule *Rule) { rule.Length = "90s" }),
+		"hours[1].from":   specWithRule(func(rule *Rule) { rule.FirstDay = "2026-02-30" }),
 		"closed[0]":       {"Europe/Madrid", []Rule{valid}, []ClosedDay{{Day: "2026-01-01", Recurrence: "FREQ=DAILY"}}},
 		"closed[0].day":   {"Europe/Madrid", []Rule{valid}, []ClosedDay{{Day: "tomorrow"}}},
 	} {
@@ -124,7 +124,7 @@
 		"",
 	} {
 		t.Run("recurrence "+recurrence, func(t *testing.T) {
-			_, err := Compile(with(func(rule *Rule) { rule.Recurrence = recurrence }))
+			_, err := Compile(specWithRule(func(rule *Rule) { rule.Recurrence = recurrence }))
 			if err == nil || !strings.HasPrefix(err.Error(), "hours[1].rule: ") {
 				t.Errorf("%q: %v", recurrence, err)
 			}
@@ -132,12 +132,12 @@
 	}
 }
 
-// wallClockModel is the rule of the package comment for one instant, computed from the local clock alone.
+// wallClockModel computes for one instant, from the local clock alone, the rule of the package comment.
 type wallClockModel struct {
 	location    *time.Location
 	start       time.Duration // from midnight
 	length      time.Duration
-	matchesRule func(time.Time) bool // whether the recurrence has the day
+	matchesRule func(time.Time) bool // whether the recurrence contains the day
 	closed      func(time.Time) bool
 }
 
@@ -157,7 +157,7 @@
 		if !m.matchesRule(midnight) || wallTime.Before(start) || !wallTime.Before(start.Add(m.length)) {
 			continue
 		}
-		first := t.Add(-m.length - 3*time.Hour) // before the local clock showed the start
+		first := t.Add(-m.length - 3*time.Hour) // an instant before the local clock showed the start
 		for wallClock(first.In(m.location)).Before(start) {
 			first = first.Add(time.Minute)
 		}
@@ -171,7 +171,7 @@
 func TestCalendarMatchesWallClockModel(t *testing.T) {
 	// Days around which the local clock of each zone changes.
 	clockChanges := map[string][]string{
-		"America/Montevideo":  {"2026-03-29"}, // it has none
+		"America/Montevideo":  {"2026-03-29"}, // no clock change
 		"Europe/Madrid":       {"2026-03-29", "2026-10-25"},
 		"Australia/Lord_Howe": {"2026-04-04", "2026-10-03"},
 		"America/New_York":    {"2026-03-08", "2026-11-01"},
@@ -189,11 +189,11 @@
 		rule := rapid.SampledFrom(ruleNames).Draw(t, "rule")
 		start := rapid.OneOf(rapid.IntRange(0, 24*60-1), rapid.IntRange(0, 240)).Draw(t, "start")
 		length := rapid.OneOf(rapid.IntRange(1, 24*60), rapid.IntRange(1, 200)).Draw(t, "length")
-		around, err := time.Parse(time.DateOnly, rapid.SampledFrom(clockChanges[zone]).Draw(t, "about"))
+		changeDay, err := time.Parse(time.DateOnly, rapid.SampledFrom(clockChanges[zone]).Draw(t, "about"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		closedDay := around.AddDate(0, 0, rapid.IntRange(-3, 3).Draw(t, "closed"))
+		closedDay := changeDay.AddDate(0, 0, rapid.IntRange(-3, 3).Draw(t, "closed"))
 		calendar := mustCompile(t, Spec{
 			Zone: zone,
 			ApprovedHours: []Rule{{
@@ -211,9 +211,9 @@
 			matchesRule: rules[rule],
 			closed:      func(wallTime time.Time) bool { return wallTime.Truncate(24 * time.Hour).Equal(closedDay) },
 		}
-		from, until := around.Add(-20*time.Hour), around.Add(44*time.Hour)
+		from, until := changeDay.Add(-20*time.Hour), changeDay.Add(44*time.Hour)
 		approved := calendar.Between(from.UnixMilli(), until.UnixMilli())
-		for instant := from; instant.Before(until); instant = instant.Add(7 * time.Minute) { // coprime to 60: all minutes of an hour occur
+		for instant := from; instant.Before(until); instant = instant.Add(7 * time.Minute) { // coprime to 60: covers every minute
 			got := false
 			for _, interval := range approved {
 				got = got || interval.StartMS <= instant.UnixMilli() && instant.UnixMilli() < interval.EndMS
--- a/internal/maintenance/concurrent_disruptions_test.go
+++ b/internal/maintenance/concurrent_disruptions_test.go
@@ -6,7 +6,7 @@
 	"milldeck/internal/disruption"
 )
 
-// applyToLedger applies an operation of another owner than the controller to the ledger.
+// applyToLedger applies an operation to the ledger for an owner other than the controller.
 func (sim *simulation) applyToLedger(op disruption.Op) {
 	sim.revision++
 	sim.ledger.Apply(sim.revision, &op)
@@ -21,7 +21,8 @@
 	completed bool
 }
 
-// startDisruption requests a permit for a server every second until it is granted, and disrupts the server then.
+// startDisruption requests a permit for a server every second until the permit is granted, and then disrupts the
+// server.
 func (sim *simulation) startDisruption(owner, uid string, priority disruption.Priority) *otherDisruption {
 	other := &otherDisruption{sim: sim, uid: uid, permit: disruption.Permit{
 		ID:          owner + "/" + uid,
@@ -61,8 +62,8 @@
 	d.apply(disruption.OpComplete)
 }
 
-// countUnavailable counts the servers that are unavailable, or may become so at any time under a permit. It reports
-// whether a permit is granted that was not in granted, and adds it.
+// countUnavailable counts the servers that are unavailable, or may become unavailable at any time under a permit.
+// It adds the granted permits to granted, and reports whether it added any.
 func (sim *simulation) countUnavailable(granted map[string]bool) (unavailable int, newlyGranted bool) {
 	for _, unit := range sim.ledger.Units() {
 		down := unit.Condition == disruption.ConditionLost || unit.Condition == disruption.ConditionUnready
@@ -83,8 +84,9 @@
 	return unavailable, newlyGranted
 }
 
-// TestConcurrentDisruptionsRespectBudget has two releases, a window and an operator's drain request permits in one zone, of
-// which two servers may be unavailable, while servers fail by themselves.
+// TestConcurrentDisruptionsRespectBudget checks that no permit is granted beyond a budget. Two releases, a window
+// and the drain of an operator request permits in one zone, of which two servers may be unavailable, and a server
+// fails in between.
 func TestConcurrentDisruptionsRespectBudget(t *testing.T) {
 	sim := newScenario(t, "America/Montevideo", "2026-06-10 21:58")
 	maxUnavailable, peakUnavailable := 2, 0
@@ -100,7 +102,7 @@
 		sim.startDisruption("release/b", "m2", disruption.PriorityRollout),
 		sim.startDisruption("operator/ops", "m4", disruption.PriorityDrain),
 	}
-	sim.schedule(60_000, func() { // a failure beside the disruptions
+	sim.schedule(60_000, func() { // a server failure during the disruptions
 		sim.revision++
 		sim.ledger.MarkLost(sim.revision, serverUnitID("m3"))
 	})
--- a/internal/maintenance/contract/fixtures_test.go
+++ b/internal/maintenance/contract/fixtures_test.go
@@ -10,8 +10,8 @@
 	"milldeck/internal/goldentest"
 )
 
-// TestStoredContractFormat has a contract's file give the JSON that earlier versions have stored, byte for byte, and that
-// JSON give the same contract again.
+// TestStoredContractFormat guards against changes of the stored format. A contract file must give, byte for byte,
+// the JSON that earlier versions have stored, and this JSON must give the same contract again.
 func TestStoredContractFormat(t *testing.T) {
 	fromFile, err := Load(goldentest.Path("contract.toml"))
 	if err != nil {
@@ -29,7 +29,7 @@
 		t.Errorf("the file and the stored contract differ:\n%s", diff)
 	}
 	if diff := cmp.Diff(string(stored), string(encodeContract(t, &fromJSON))); diff != "" {
-		t.Errorf("not written as it was read:\n%s", diff)
+		t.Errorf("the stored contract differs after decoding and encoding:\n%s", diff)
 	}
 }
 
--- a/internal/maintenance/controller/controller_test.go
+++ b/internal/maintenance/controller/controller_test.go
@@ -28,8 +28,8 @@
 
 func TestMain(m *testing.M) { proctest.Main(m) }
 
-// testbed runs three registry replicas and controllers as processes, and two agents with two sidecars each, which report over
-// sockets. One of the registered servers exists and answers health checks.
+// testbed runs three registry replicas and controllers as processes, and two agents with two sidecars each, which
+// report over sockets. Only one of the registered servers runs; it answers health checks.
 type testbed struct {
 	*testing.T
 	ctx            context.Context
@@ -37,13 +37,13 @@
 	dir            string
 	cluster        *cluster.Cluster
 	client         *registry.Client
-	reportAddrs    []string // of the controllers
+	reportAddrs    []string // report addresses of the controllers
 	controllers    []*proc.Process
-	serverReady    atomic.Bool  // answer of the server's health check
-	openRequests   atomic.Int64 // requests in flight that each sidecar reports at excluded servers
+	serverReady    atomic.Bool  // whether the server's health check succeeds
+	openRequests   atomic.Int64 // requests in flight at excluded servers that each sidecar reports
 	agents         []string
-	closeMS        atomic.Int64 // no exclusion may be delivered from then on, Unix ms; 0: not known yet
-	lateExclusions atomic.Int64 // directives that were
+	closeMS        atomic.Int64 // Unix ms from which on no exclusion may be delivered; 0: not set yet
+	lateExclusions atomic.Int64 // directives delivered at closeMS or later
 	exclusionsSeen atomic.Int64 // directives delivered to sidecars
 }
 
@@ -69,7 +69,7 @@
 	return b
 }
 
-// startCluster starts the registry replicas.
+// startCluster starts three registry replicas.
 func (b *testbed) startCluster(block *proc.Block) {
 	b.Helper()
 	var err error
@@ -85,7 +85,7 @@
 	b.Cleanup(b.client.Close)
 }
 
-// registerServers registers 16 servers. The first one exists.
+// registerServers registers 16 servers, of which only the first runs.
 func (b *testbed) registerServers() {
 	b.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -141,8 +141,8 @@
 	}
 }
 
-// startController starts a controller and waits until it logs that it is ready.
-func (b *testbed) startController(n int, more ...string) *proc.Process {
+// startController starts a controller and waits for its log message "serves".
+func (b *testbed) startController(n int, extraArgs ...string) *proc.Process {
 	b.Helper()
 	args := []string{
 		"window", "serve",
@@ -151,7 +151,7 @@
 		"--ttl", "2s",
 		"--ready-path", "/ready",
 	}
-	args = append(args, more...)
+	args = append(args, extraArgs...)
 	process, err := proc.Start(proc.Spec{Name: fmt.Sprint("controller ", len(b.controllers)), Path: b.program, Args: args,
 		Log: filepath.Join(b.dir, fmt.Sprint("controller", len(b.controllers)))})
 	b.must(err)
@@ -170,13 +170,13 @@
 			for _, process := range b.controllers {
 				b.Log(process.Log())
 			}
-			b.Fatalf("not in time: %s", condition)
+			b.Fatalf("not reached in time: %s", condition)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 }
 
-// write writes an operator's operation.
+// write writes the operation of an operator.
 func (b *testbed) write(op maintenance.Operation) {
 	b.Helper()
 	if _, err := b.client.WriteWindow(b.ctx, registry.WriteOptions{}, maintenance.Timestamp{}, op); err != nil {
@@ -184,7 +184,8 @@
 	}
 }
 
-// setContract brings a contract into force that approves every instant, with a current approval.
+// setContract brings a contract into force that approves every instant. The operation carries approval as its
+// current approval; nil: none.
 func (b *testbed) setContract(approval *maintenance.Approval) {
 	b.Helper()
 	allDay := []calendar.Rule{{Recurrence: "FREQ=DAILY", Start: "00:00", Length: "23h", FirstDay: "2020-01-01"},
@@ -201,7 +202,7 @@
 	b.write(maintenance.Operation{Kind: maintenance.OpSetContract, CurrentApproval: approval, Contract: &terms})
 }
 
-// propose proposes a window for the server that exists.
+// propose proposes a window for the server that runs.
 func (b *testbed) propose(name string, work time.Duration) {
 	b.Helper()
 	b.write(maintenance.Operation{
@@ -241,7 +242,7 @@
 	})
 }
 
-// placement reads what an agent delivers to its sidecars.
+// placement returns the placement that an agent delivers to its sidecars.
 func (b *testbed) placement(agent string) (update placement.Update) {
 	ctx, cancel := context.WithTimeout(b.ctx, time.Second)
 	defer cancel()
@@ -255,12 +256,12 @@
 	}
 	defer response.Body.Close()
 	if json.NewDecoder(response.Body).Decode(&update) != nil {
-		return placement.Update{} // nothing is known there yet
+		return placement.Update{} // the agent has no placement yet
 	}
 	return update
 }
 
-// excluded reports whether an agent delivers an exclusion.
+// excluded reports whether any agent delivers an exclusion.
 func (b *testbed) excluded() bool {
 	for _, address := range b.agents {
 		if len(b.placement(address).Directives) > 0 {
@@ -270,7 +271,8 @@
 	return false
 }
 
-// runSidecar follows the directives of its agent, reports them, and counts those after the close.
+// runSidecar simulates a sidecar: it reads the directives of its agent and reports that it follows them. It
+// counts the directives, and those delivered after the close.
 func (b *testbed) runSidecar(addr, name string) {
 	for b.ctx.Err() == nil {
 		update := b.placement(addr)
@@ -317,8 +319,9 @@
 	})
 }
 
-// TestControllerKilledWhileDrained kills the registry's leader during a drain and the controller during the work. The next
-// controller lets the work finish and returns the servers before the close. Then a contract is withdrawn during another window.
+// TestControllerKilledWhileDrained kills the leader of the registry during a drain, and the controller during the
+// work. The next controller must let the work finish and return the servers before the close. Then the contract
+// is withdrawn during a second window.
 func TestControllerKilledWhileDrained(t *testing.T) {
 	b := newTestbed(t)
 	first := b.startController(0)
@@ -335,12 +338,12 @@
 	_, err = b.cluster.AwaitLeader(b.ctx)
 	b.must(err)
 	if window := b.awaitStage("disks", maintenance.StageDraining); window.DrainedAtMS != 0 {
-		t.Errorf("drained with requests in flight: %+v", window)
+		t.Errorf("the window is drained with requests in flight: %+v", window)
 	}
 	b.openRequests.Store(0)
 	drained := b.awaitStage("disks", maintenance.StageDrained)
 	if !b.excluded() {
-		t.Error("drained, and no agent delivers an exclusion")
+		t.Error("the window is drained, but no agent delivers an exclusion")
 	}
 	first.Kill()
 	done := b.awaitStage("disks", maintenance.StageDone)
@@ -362,8 +365,9 @@
 	b.awaitSettled()
 }
 
-// TestCloseWhileControllerIsDown has the close pass while a server is not ready and the controller, or all of the registry, is
-// down. The exclusions expire by themselves; the next controller finds the overrun and the tenant is halted.
+// TestCloseWhileControllerIsDown lets the close pass while a server is not ready, and the controller or the whole
+// registry is down. The exclusions must expire without a further write. The next controller must find the
+// overrun, and the tenant must be halted.
 func TestCloseWhileControllerIsDown(t *testing.T) {
 	t.Parallel()
 	for name, registryDown := range map[string]bool{"controller": false, "registry": true} {
@@ -418,21 +422,21 @@
 	}
 }
 
-// TestControllerClockAnHourOff runs a controller whose clock is an hour off. Its operations are rejected and no server is taken
-// out of service, until a controller with a correct clock continues.
+// TestControllerClockAnHourOff runs a controller whose clock is an hour off. The registry must reject its
+// operations, and no server may go out of service until a controller with a correct clock takes over.
 func TestControllerClockAnHourOff(t *testing.T) {
 	t.Parallel()
-	for _, ahead := range []string{"1h", "-1h"} {
-		t.Run(ahead, func(t *testing.T) {
+	for _, clockOffset := range []string{"1h", "-1h"} {
+		t.Run(clockOffset, func(t *testing.T) {
 			b := newTestbed(t)
-			wrong := b.startController(0, "--clock-ahead", ahead)
+			skewedController := b.startController(0, "--clock-ahead", clockOffset)
 			b.propose("disks", 100*time.Millisecond)
-			_, err := wrong.WaitLog(b.ctx, "outcome=doubt")
+			_, err := skewedController.WaitLog(b.ctx, "outcome=doubt")
 			b.must(err)
 			b.awaitWindow("clock fault", "disks", func(w *maintenance.Window, snapshot *maintenance.Snapshot) bool {
 				return w.Stage == maintenance.StageProposed && snapshot.ClockFault != ""
 			})
-			b.must(wrong.Stop(b.ctx))
+			b.must(skewedController.Stop(b.ctx))
 			if b.exclusionsSeen.Load() > 0 {
 				t.Error("an exclusion was delivered")
 			}
--- a/internal/maintenance/exclusion_test.go
+++ b/internal/maintenance/exclusion_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestEarlierCloseShortensExclusion has a contract set again with an earlier close: the same record shortens the exclusion,
-// or ends it where the close has passed or the clocks are not trusted.
+// TestEarlierCloseShortensExclusion sets a contract again with an earlier close. The same log record must shorten
+// the exclusion, or end it if the close has passed or the clocks are not trusted.
 func TestEarlierCloseShortensExclusion(t *testing.T) {
 	fixture, table := newTableFixture()
 	fixture.walkStages(table, func(table *Table) {
@@ -43,7 +43,7 @@
 	})
 }
 
-// TestPlannerNamesUnknownServer has a server that does not exist reported before any contract.
+// TestPlannerNamesUnknownServer checks that the planner reports an unknown server before it checks any contract.
 func TestPlannerNamesUnknownServer(t *testing.T) {
 	fixture, table := newTableFixture()
 	request := Request{Name: "w", ServerUIDs: []string{"m0", "mo"}, WorkMS: minuteMS, ProposedAtMS: fixture.openMS}
--- a/internal/maintenance/fixtures_test.go
+++ b/internal/maintenance/fixtures_test.go
@@ -15,15 +15,15 @@
 	"milldeck/internal/placement"
 )
 
-// storedOperation is an operation as a record of the replicated log holds it, with its revision and time.
+// storedOperation is an operation as a record of the replicated log stores it, with its revision and time.
 type storedOperation struct {
 	Revision  uint64    `json:"revision"`
 	Timestamp Timestamp `json:"stamp"`
 	Operation Operation `json:"op"`
 }
 
-// storedResult is the result of an applied operation: its directives go into the placement with the same record. The reason
-// is left out: it is text for operators.
+// storedResult is the result of an applied operation, whose record also writes the directives to the placement.
+// storedResult omits the reason, which is text for operators.
 type storedResult struct {
 	Revision           uint64                `json:"revision"`
 	Outcome            Outcome               `json:"outcome"`
@@ -47,7 +47,7 @@
 	fixtureToken  = 7
 )
 
-// apply adds one operation to the history, offsetMS after the opening, at clocks that agree.
+// apply adds an operation to the history, at offsetMS after the opening, with clocks that agree.
 func (s *fixtureScript) apply(offsetMS int64, op Operation) Outcome {
 	s.t.Helper()
 	atMS := s.opensMS + offsetMS
@@ -66,7 +66,7 @@
 	return OutcomeOf(err)
 }
 
-// must applies an operation that has to be accepted.
+// must applies an operation that the table has to accept.
 func (s *fixtureScript) must(offsetMS int64, op Operation) {
 	s.t.Helper()
 	if outcome := s.apply(offsetMS, op); outcome != OutcomeApplied {
@@ -74,7 +74,8 @@
 	}
 }
 
-// snapshot compares the table with the snapshot of that name, and has the stored bytes read and written again.
+// snapshot compares the table with the golden snapshot of that name, and checks that the stored bytes are the
+// same after decoding and encoding.
 func (s *fixtureScript) snapshot(name string) {
 	s.t.Helper()
 	checkGolden(s.t, "snapshot_"+name+".json", s.table.Snapshot(), func(data []byte) (any, error) {
@@ -84,7 +85,7 @@
 	})
 }
 
-// approvals are what the contracts approve of a start.
+// approvals returns the approvals of all contracts for a start.
 func (s *fixtureScript) approvals(startMS int64) []Approval {
 	s.t.Helper()
 	planner := NewPlanner()
@@ -99,7 +100,7 @@
 	return approvals
 }
 
-// beginDrain takes a proposed window to its drain, with its servers excluded.
+// beginDrain takes a proposed window to its drain and has its servers excluded.
 func (s *fixtureScript) beginDrain(name string, startMS int64) {
 	s.t.Helper()
 	plannedMS := s.opensMS + startMS
@@ -109,7 +110,7 @@
 	s.must(startMS+3*fixtureSecond, s.extendExclusion(name, startMS+3*fixtureSecond))
 }
 
-// proposal is the operation that proposes a window of one server.
+// proposal returns the operation that proposes a window of one server.
 func proposal(name, operator, server string, workMS int64) Operation {
 	return Operation{Kind: OpPropose, Window: name, Operator: operator, ServerUIDs: []string{server}, WorkMS: workMS}
 }
@@ -148,7 +149,7 @@
 	return portal, teller
 }
 
-// runFixtureScript applies the history and compares the snapshots at its stages.
+// runFixtureScript applies the history and compares a snapshot at each stage.
 func runFixtureScript(t *testing.T) *fixtureScript {
 	t.Helper()
 	s := &fixtureScript{t: t, table: New(), opensMS: time.Date(2026, 6, 11, 1, 0, 0, 0, time.UTC).UnixMilli()}
@@ -181,7 +182,7 @@
 	s.cancellations()
 	s.overrun()
 
-	changed := teller // a copy: the operation above refers to the other
+	changed := teller // a copy: the first operation refers to the original
 	changed.MinAvailableShare = 0.5
 	s.must(3*fixtureHour, Operation{Kind: OpSetContract, Contract: &changed})
 	s.must(3*fixtureHour+fixtureMinute, Operation{Kind: OpWithdrawContract, Tenant: "teller"})
@@ -190,7 +191,7 @@
 	return s
 }
 
-// rejections are a window that is rejected, and operations that are not applied.
+// rejections adds a rejected window, and operations that the table rejects.
 func (s *fixtureScript) rejections() {
 	s.t.Helper()
 	s.must(7*fixtureMinute, proposal("fans", "operator/eva", "m2", fixtureMinute))
@@ -207,7 +208,7 @@
 	s.snapshot("doubt")
 }
 
-// halts hold windows back by name, by tenant and altogether.
+// halts adds halts of a window, of a tenant and of all windows, and resumes each of them.
 func (s *fixtureScript) halts() {
 	s.t.Helper()
 	s.must(8*fixtureMinute, proposal("power", "operator/kim", "m3", 2*fixtureMinute))
@@ -220,7 +221,7 @@
 	s.must(9*fixtureMinute, Operation{Kind: OpResume, Scope: "window/power"})
 }
 
-// cancellations end a window before its drain, and one that is out.
+// cancellations cancels one window before its drain and one that is out of service.
 func (s *fixtureScript) cancellations() {
 	s.t.Helper()
 	s.must(10*fixtureMinute, proposal("cables", "operator/kim", "m2", fixtureMinute))
@@ -231,7 +232,7 @@
 	s.snapshot("cancelled")
 }
 
-// overrun is a window whose servers are not back at the close.
+// overrun adds a window whose servers are not back at the close.
 func (s *fixtureScript) overrun() {
 	s.t.Helper()
 	s.must(18*fixtureMinute, proposal("racks", "operator/eva", "m2", fixtureMinute))
@@ -245,8 +246,8 @@
 	s.snapshot("overrun_returned")
 }
 
-// TestStoredFormats has a fixed history give the operations, results and snapshots that earlier versions have stored, byte
-// for byte.
+// TestStoredFormats guards against changes of stored formats. A fixed history must give, byte for byte, the
+// operations, results and snapshots that earlier versions have stored.
 func TestStoredFormats(t *testing.T) {
 	s := runFixtureScript(t)
 	checkGolden(t, "operations.json", s.operations, func(data []byte) (any, error) {
@@ -261,7 +262,8 @@
 	})
 }
 
-// TestStoredOperationsReplay has a table rebuilt from stored operations alone, as a replica does that starts from its log.
+// TestStoredOperationsReplay rebuilds a table from stored operations alone, as a replica does when it starts from
+// its log.
 func TestStoredOperationsReplay(t *testing.T) {
 	var operations []storedOperation
 	if err := decodeStrictly(goldentest.Read(t, "operations.json"), &operations); err != nil {
@@ -278,7 +280,8 @@
 	goldentest.Compare(t, "snapshot_withdrawn.json", encodeGolden(t, table.Snapshot()))
 }
 
-// TestLedgerOperationsFormat covers what the controller writes into the disruption ledger.
+// TestLedgerOperationsFormat checks the format of the operations that the controller writes to the disruption
+// ledger.
 func TestLedgerOperationsFormat(t *testing.T) {
 	portal, _ := fixtureContracts()
 	view := &View{OutOfService: map[string]ServerStatus{
@@ -307,17 +310,18 @@
 	})
 }
 
-// checkGolden compares a value with a golden file, and has the file's bytes read and written again without a change.
-func checkGolden(t *testing.T, name string, value any, reread func([]byte) (any, error)) {
+// checkGolden compares a value with a golden file, and checks that the file's bytes are the same after decoding
+// and encoding.
+func checkGolden(t *testing.T, name string, value any, decode func([]byte) (any, error)) {
 	t.Helper()
 	goldentest.Compare(t, name, encodeGolden(t, value))
 	data := goldentest.Read(t, name)
-	again, err := reread(data)
+	decoded, err := decode(data)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	if diff := cmp.Diff(string(data), string(encodeGolden(t, again))); diff != "" {
-		t.Errorf("%s is not written as it was read:\n%s", name, diff)
+	if diff := cmp.Diff(string(data), string(encodeGolden(t, decoded))); diff != "" {
+		t.Errorf("%s differs after decoding and encoding:\n%s", name, diff)
 	}
 }
 
--- a/internal/maintenance/oracle_test.go
+++ b/internal/maintenance/oracle_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// oracle checks what sidecars do and what is applied against the agreed hours, which it computes from the local clocks
-// alone, without package calendar.
+// oracle checks the exclusions of sidecars and the applied operations against the agreed hours. It computes the
+// hours from the local clocks alone, without package calendar.
 type oracle struct {
-	agreed           map[string][]agreedHours // by tenant, the oldest first
-	outsideMS        int64                    // excluded outside the approved hours
+	agreed           map[string][]agreedHours // by tenant, oldest first
+	outsideMS        int64                    // time of exclusions outside the approved hours
 	excludedMS       int64
 	firstViolation   string
 	drainStartedAtMS map[string]int64 // by window
 	usedMS           map[tenantMonth]int64
 	highestToken     uint64
 	violations       []string
-	clocksFaulty     bool // minutes are not compared
+	clocksFaulty     bool // the used minutes are not compared
 }
 
 // tenantMonth is a month of a tenant's time zone, "2026-03".
@@ -45,8 +45,8 @@
 	return instantMS + int64(offsetSeconds)*1000
 }
 
-// approves reports whether the local time is within the hours, and no more than their length has passed since the local
-// clock first showed their start.
+// approves reports whether the local time is within the hours, and the time since the local clock first showed
+// the start of the hours does not exceed their length.
 func (hours *agreedHours) approves(instantMS int64) bool {
 	if hours.withdrawn {
 		return false
@@ -70,7 +70,7 @@
 	return false
 }
 
-// recordExclusion checks that a tenant's exclusion from a server was within its hours, minute by minute.
+// recordExclusion checks minute by minute that a tenant's exclusion from a server was within the tenant's hours.
 func (o *oracle) recordExclusion(tenant string, startMS, endMS int64) {
 	o.excludedMS += endMS - startMS
 	agreed := o.agreed[tenant]
@@ -79,7 +79,7 @@
 			if agreed[i].effectiveFromMS <= instantMS && agreed[i].approves(instantMS) {
 				return true
 			}
-			// An exclusion from the contract before may last until it expires.
+			// An exclusion under the previous contract may last until it expires.
 			if agreed[i].effectiveFromMS+ExclusionTTLMS <= instantMS {
 				return false
 			}
--- a/internal/maintenance/permit_test.go
+++ b/internal/maintenance/permit_test.go
@@ -8,8 +8,8 @@
 	"milldeck/internal/disruption"
 )
 
-// TestInfeasiblePermitRejectsWindow requests what the contracts approve and a built-in rule of the ledger forbids: a
-// pod group completely out of service.
+// TestInfeasiblePermitRejectsWindow proposes a window that the contracts approve and a built-in rule of the
+// ledger forbids: it would take a whole pod group out of service.
 func TestInfeasiblePermitRejectsWindow(t *testing.T) {
 	sim := newScenario(t, "America/Montevideo", "2026-06-10 21:58")
 	terms, agreed := dailyContract("teller", "America/Montevideo", "22:00", time.Hour)
@@ -23,7 +23,8 @@
 	sim.checkInvariants(t)
 }
 
-// TestRevokedPermitReturnsWindow has an operator force the completion of an active permit.
+// TestRevokedPermitReturnsWindow checks that a window returns when an operator forces the completion of its
+// active permit.
 func TestRevokedPermitReturnsWindow(t *testing.T) {
 	sim := newScenario(t, "America/Montevideo", "2026-06-10 21:58")
 	sim.proposeWindow("w", 10*minuteMS, "m0")
--- a/internal/maintenance/scenario_test.go
+++ b/internal/maintenance/scenario_test.go
@@ -11,8 +11,8 @@
 	"milldeck/internal/placement"
 )
 
-// newScenario simulates one evening: a tenant with three servers of its own and one that it shares, and approved hours of
-// one hour that open two minutes after the start.
+// newScenario simulates one evening. A tenant has three servers of its own and one shared server, and one
+// approved hour that opens two minutes after the start.
 func newScenario(t *testing.T, zone, start string) *simulation {
 	t.Helper()
 	location, err := time.LoadLocation(zone)
@@ -38,7 +38,7 @@
 	sim.applyOperator(Operation{Kind: OpPropose, Window: name, Operator: "ops", ServerUIDs: servers, WorkMS: workMS})
 }
 
-// awaitStage runs until a window is at a stage, for two hours at most.
+// awaitStage runs the simulation until a window is at a stage, for at most two hours.
 func (sim *simulation) awaitStage(t *testing.T, name string, stage Stage) *Window {
 	t.Helper()
 	for deadlineMS := sim.nowMS + 120*minuteMS; sim.nowMS < deadlineMS; sim.runUntil(sim.nowMS + 200) {
@@ -57,16 +57,16 @@
 	}
 }
 
-// TestWindowUnderFaults takes a window through single faults.
+// TestWindowUnderFaults checks a window under one fault at a time.
 func TestWindowUnderFaults(t *testing.T) {
 	const montevideo = "America/Montevideo"
-	begin := func(t *testing.T) *simulation {
+	startWindow := func(t *testing.T) *simulation {
 		sim := newScenario(t, montevideo, "2026-06-10 21:58")
 		sim.proposeWindow("w", 5*minuteMS, "m0")
 		return sim
 	}
 	t.Run("no faults", func(t *testing.T) {
-		sim := begin(t)
+		sim := startWindow(t)
 		window := sim.awaitStage(t, "w", StageDone)
 		sim.runUntil(sim.nowMS + 1000) // the sidecars are notified
 		if window.ReturnedAtMS > window.ClosesAtMS || sim.table.UsedMS("portal", "2026-06") < 5*minuteMS || sim.oracle.excludedMS == 0 {
@@ -75,7 +75,7 @@
 		sim.checkInvariants(t)
 	})
 	t.Run("the controller is dead at the close", func(t *testing.T) {
-		sim := begin(t)
+		sim := startWindow(t)
 		sim.awaitStage(t, "w", StageDrained)
 		sim.killController(70 * minuteMS)
 		sim.runUntil(sim.nowMS + 60*minuteMS)
@@ -95,7 +95,7 @@
 		sim.checkInvariants(t)
 	})
 	t.Run("the registry is down at the close", func(t *testing.T) {
-		sim := begin(t)
+		sim := startWindow(t)
 		sim.awaitStage(t, "w", StageDrained)
 		sim.registryDown = true
 		sim.runUntil(sim.nowMS + 70*minuteMS)
@@ -104,23 +104,23 @@
 		sim.checkInvariants(t)
 	})
 	t.Run("a sidecar is partitioned from its agent", func(t *testing.T) {
-		sim := begin(t)
+		sim := startWindow(t)
 		sim.awaitStage(t, "w", StageDraining)
 		sim.sidecars[1].partitioned = true
 		sim.runUntil(sim.nowMS + 20*minuteMS)
 		if sim.table.Window("w").Stage == StageDrained {
-			t.Error("drained, though one sidecar may still send requests")
+			t.Error("the window is drained, but one sidecar may still send requests")
 		}
 		sim.sidecars[1].partitioned = false
 		sim.awaitStage(t, "w", StageDone)
 		sim.checkInvariants(t)
 	})
 	t.Run("clocks of controller, leader and a sidecar an hour apart", func(t *testing.T) {
-		sim := begin(t)
+		sim := startWindow(t)
 		sim.awaitStage(t, "w", StageDrained)
 		sim.controller.clock.offsetMS, sim.leaderClock.offsetMS, sim.sidecars[0].clock.offsetMS = hourMS, -hourMS, -2*hourMS
 		sim.oracle.clocksFaulty = true
-		window := sim.awaitStage(t, "w", StageOverrun) // by the later clock: a clock fault counts against the window
+		window := sim.awaitStage(t, "w", StageOverrun) // the later clock decides: a clock fault counts against the window
 		if window.StageAfterReturn != StageHalted || sim.table.ClockFault() == "" {
 			t.Errorf("%+v, clock fault %q", window, sim.table.ClockFault())
 		}
@@ -132,7 +132,7 @@
 		sim.checkInvariants(t)
 	})
 	t.Run("a contract withdrawn in the middle", func(t *testing.T) {
-		sim := begin(t)
+		sim := startWindow(t)
 		sim.awaitStage(t, "w", StageDrained)
 		sim.applyOperator(Operation{Kind: OpWithdrawContract, Tenant: "portal"})
 		sim.oracle.agreed["portal"] = append(sim.oracle.agreed["portal"], agreedHours{effectiveFromMS: sim.nowMS, withdrawn: true})
@@ -149,17 +149,17 @@
 		sim.checkInvariants(t)
 	})
 	t.Run("a contract changed in the middle ends earlier", func(t *testing.T) {
-		sim := begin(t)
+		sim := startWindow(t)
 		sim.awaitStage(t, "w", StageDrained)
 		sim.setContract(dailyContract("portal", montevideo, "22:00", 15*time.Minute))
-		window := sim.awaitStage(t, "w", StageHalted) // its work was not over
+		window := sim.awaitStage(t, "w", StageHalted) // its work was not finished
 		if window.ReturnedAtMS > window.ClosesAtMS {
 			t.Errorf("%+v", window)
 		}
 		sim.checkInvariants(t)
 	})
 	t.Run("two windows for one server", func(t *testing.T) {
-		sim := begin(t)
+		sim := startWindow(t)
 		sim.proposeWindow("v", 5*minuteMS, "m0", "m1")
 		first := sim.awaitStage(t, "w", StageDone)
 		second := sim.awaitStage(t, "v", StageDone)
@@ -169,31 +169,32 @@
 		sim.checkInvariants(t)
 	})
 	t.Run("the hour that exists twice", func(t *testing.T) {
-		sim := newScenario(t, "Europe/Madrid", "2026-10-25 01:58") // hours from 02:00 to 03:00: the first of the two
+		sim := newScenario(t, "Europe/Madrid", "2026-10-25 01:58") // approved is the first of the two hours from 02:00 to 03:00
 		sim.proposeWindow("w", 30*minuteMS, "m0")
 		window := sim.awaitStage(t, "w", StageDone)
 		if got := time.UnixMilli(window.ClosesAtMS).UTC().Format("15:04"); got != "01:00" {
-			t.Errorf("its close is %s", got)
+			t.Errorf("the close of the window is %s, want 01:00", got)
 		}
 		sim.proposeWindow("v", 30*minuteMS, "m1")
 		if got := sim.awaitStage(t, "v", StageApproved); time.UnixMilli(got.PlannedStartMS).UTC().Day() != 26 {
-			t.Errorf("%s: the second 02:00 was taken for approved", formatUTC(got.PlannedStartMS))
+			t.Errorf("planned start %s: the second 02:00 was approved", formatUTC(got.PlannedStartMS))
 		}
 		sim.checkInvariants(t)
 	})
 }
 
-// TestControllerLossAtEachWrite has a controller killed or paused at each of its writes; the next one continues without a
-// repeated step.
+// TestControllerLossAtEachWrite kills or pauses the controller at each of its writes. The next controller must
+// continue without repeating a step.
 func TestControllerLossAtEachWrite(t *testing.T) {
 	type controllerLoss string
 	const (
 		killedBeforeWrite controllerLoss = "killed before"
-		killedAfterWrite  controllerLoss = "killed after" // the write is in the log, its answer is lost
+		killedAfterWrite  controllerLoss = "killed after" // the write is in the log, but its answer is lost
 		frozenAtWrite     controllerLoss = "frozen at"
 	)
-	// play has a controller lost at its write of that number; 0: never. It returns the simulation and the number of writes.
-	play := func(t *testing.T, loss controllerLoss, lossAtWrite int) (*simulation, int) {
+	// runWithLoss runs a window with the loss of the controller at write lossAtWrite; 0: no loss. It returns the simulation and
+	// the number of writes.
+	runWithLoss := func(t *testing.T, loss controllerLoss, lossAtWrite int) (*simulation, int) {
 		t.Helper()
 		sim := newScenario(t, "America/Montevideo", "2026-06-10 21:58")
 		writeCount := 0
@@ -218,11 +219,11 @@
 		sim.checkInvariants(t)
 		return sim, writeCount
 	}
-	faultless, writes := play(t, "", 0)
+	faultless, writes := runWithLoss(t, "", 0)
 	for write := 1; write <= writes; write++ {
 		for _, loss := range []controllerLoss{killedBeforeWrite, killedAfterWrite, frozenAtWrite} {
 			t.Run(fmt.Sprintf("%s write %d", loss, write), func(t *testing.T) {
-				sim, _ := play(t, loss, write)
+				sim, _ := runWithLoss(t, loss, write)
 				if !slices.Equal(sim.history, faultless.history) {
 					t.Errorf("%v, wanted %v", sim.history, faultless.history)
 				}
@@ -231,12 +232,12 @@
 	}
 }
 
-// TestOracleFindsPlantedBugs shows that the oracle of the simulation detects violations.
+// TestOracleFindsPlantedBugs checks that the oracle of the simulation detects injected bugs.
 func TestOracleFindsPlantedBugs(t *testing.T) {
 	bugs := []struct {
-		name, found string
-		from        uint64 // first week to simulate: it shows only in some
-		plant       func(*simulation)
+		name, violation string
+		firstSeed       uint64 // seed of the first week to simulate: the bug shows only in some weeks
+		plant           func(*simulation)
 	}{
 		{"fencing token not checked", "under token", 8, func(sim *simulation) { sim.ignoreTokens = true }},
 		{"exclusion that expires after the close", "outside the hours", 38, func(sim *simulation) {
@@ -262,14 +263,14 @@
 	}
 	for _, bug := range bugs {
 		t.Run(bug.name, func(t *testing.T) {
-			for seed := bug.from; seed < bug.from+48; seed++ {
+			for seed := bug.firstSeed; seed < bug.firstSeed+48; seed++ {
 				sim, _, _ := simulateWeek(seed, bug.plant)
-				if violations := strings.Join(sim.violations(), "; "); strings.Contains(violations, bug.found) {
+				if violations := strings.Join(sim.violations(), "; "); strings.Contains(violations, bug.violation) {
 					t.Logf("week %d: %s", seed, violations)
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("the oracle did not detect the bug")
 		})
 	}
 	t.Run("clock errors within the declared uncertainty", func(t *testing.T) {
@@ -277,7 +278,7 @@
 			sim, _, _ := simulateWeek(seed, func(sim *simulation) {
 				uncertain := simulatedClock{offsetMS: 4500, uncertaintyMS: 4700}
 				sim.leaderClock, sim.controller.clock = uncertain, uncertain
-				sim.oracle.clocksFaulty = true // with such an uncertainty the counted minutes are too high
+				sim.oracle.clocksFaulty = true // this uncertainty makes the counted minutes too high
 			})
 			sim.checkInvariants(t)
 		}
@@ -287,7 +288,7 @@
 			sim := newScenario(t, "America/Montevideo", "2026-06-10 21:58")
 			sim.proposeWindow("w", 5*minuteMS, "m0")
 			sim.awaitStage(t, "w", StageDrained)
-			sim.beforeWrite = func(effect *Effect) { // a contract is withdrawn between the check and the log
+			sim.beforeWrite = func(effect *Effect) { // withdraws the contract between the check and the log
 				if op, ok := effect.Action.(*Operation); !ok || op.Kind != OpExtendExclusion || sim.table.Contract("portal") == nil {
 					return
 				}
--- a/internal/maintenance/simulated_controller_test.go
+++ b/internal/maintenance/simulated_controller_test.go
@@ -6,7 +6,7 @@
 	token         uint64
 	dead          bool
 	frozenUntilMS int64
-	nextRunMS     int64 // of the scheduled run; an earlier one is void
+	nextRunMS     int64 // time of the next scheduled run; runs scheduled for other times are skipped
 }
 
 // startController starts a controller that holds the lease.
@@ -17,13 +17,14 @@
 	sim.scheduleRun(sim.controller, 0)
 }
 
-// killController kills the controller; another takes over once the lease has expired.
+// killController kills the controller. Another controller takes over after failoverMS, when the lease has
+// expired.
 func (sim *simulation) killController(failoverMS int64) {
 	sim.controller.dead = true
 	sim.schedule(failoverMS, func() { sim.startController(sim.accurateClock()) })
 }
 
-// freezeController pauses the controller while another takes over, and then resumes it.
+// freezeController pauses the controller for durationMS, while another controller takes over.
 func (sim *simulation) freezeController(durationMS int64) {
 	sim.controller.frozenUntilMS = sim.nowMS + durationMS
 	sim.schedule(min(durationMS, 5000), func() { sim.startController(sim.accurateClock()) })
@@ -48,7 +49,7 @@
 		return
 	}
 	if controller.token != sim.token && controller.frozenUntilMS < sim.nowMS-10_000 {
-		return // it has noticed the loss of its lease by now
+		return // the controller has noticed the loss of its lease by now
 	}
 	now := sim.readClock(controller)
 	sim.deliverReports(controller, now)
@@ -63,11 +64,11 @@
 	sim.scheduleRun(controller, nextRunMS-sim.nowMS)
 }
 
-// sendEffect sends a write to the registry. The write or its answer is lost where the registry is down.
+// sendEffect sends a write to the registry. If the registry is down, the write or its answer is lost.
 func (sim *simulation) sendEffect(controller *simulatedController, effect Effect) {
 	timestamp := Timestamp{ControllerMS: sim.nowMS + controller.clock.offsetMS, UncertaintyMS: controller.clock.uncertaintyMS}
 	sim.schedule(2+sim.random.Int64N(60), func() {
-		if controller.frozenUntilMS > sim.nowMS { // it was paused before the write was sent
+		if controller.frozenUntilMS > sim.nowMS { // the controller was paused before it sent the write
 			sim.schedule(controller.frozenUntilMS-sim.nowMS, func() { sim.receiveEffect(controller, effect, timestamp) })
 			return
 		}
@@ -81,7 +82,7 @@
 	}
 	if sim.beforeWrite != nil {
 		if sim.beforeWrite(&effect); controller.dead {
-			return // killed before it reached the log
+			return // the controller was killed before the write reached the log
 		}
 	}
 	sim.writes++
--- a/internal/maintenance/simulated_operator_test.go
+++ b/internal/maintenance/simulated_operator_test.go
@@ -8,13 +8,13 @@
 	"milldeck/internal/maintenance/contract"
 )
 
-// applyOperator writes an operator's operation.
+// applyOperator writes the operation of an operator.
 func (sim *simulation) applyOperator(op Operation) Outcome {
 	operatorMS := sim.nowMS + sim.leaderClock.offsetMS
 	return sim.applyEffect(Effect{Action: &op}, Timestamp{ControllerMS: operatorMS, UncertaintyMS: 250}, 0)
 }
 
-// dailyContract returns a contract with the same hours each day, and the oracle's knowledge of it.
+// dailyContract returns a contract with the same hours each day, and these hours in the form of the oracle.
 func dailyContract(tenant, zone, start string, length time.Duration) (contract.Contract, agreedHours) {
 	startTime, err := time.Parse("15:04", start)
 	if err != nil {
@@ -42,7 +42,8 @@
 	return terms, agreed
 }
 
-// haltLedger halts the disruption ledger for a time: it grants no permit, and revokes those that have not begun.
+// haltLedger halts the disruption ledger for durationMS. The ledger grants no permit meanwhile, and revokes the
+// grants that have not begun.
 func (sim *simulation) haltLedger(durationMS int64) {
 	op := disruption.Op{Kind: disruption.OpHalt, Owner: "operator/ops", Halt: &disruption.Halt{}}
 	sim.revision++
@@ -55,7 +56,7 @@
 	})
 }
 
-// setContract brings a contract into force with the budget that belongs to it, as the command does.
+// setContract brings a contract and its budget into force, as the operator command does.
 func (sim *simulation) setContract(newContract contract.Contract, agreed agreedHours) {
 	planner := NewPlanner()
 	active := &ActiveContract{Contract: newContract}
--- a/internal/maintenance/simulated_sidecar_test.go
+++ b/internal/maintenance/simulated_sidecar_test.go
@@ -19,12 +19,12 @@
 type activeExclusion struct {
 	directive   placement.Directive
 	startMS     int64
-	endMS       int64 // it expires by the sidecar's clock
-	drainedAtMS int64 // when the last request in flight is answered
+	endMS       int64 // expiry by the sidecar's clock
+	drainedAtMS int64 // time at which the last request in flight is answered
 }
 
-// publishDirective delivers a directive to the sidecars that can be reached. The remaining time is computed by the clock of
-// the replica that sends it.
+// publishDirective delivers a directive to the sidecars that are reachable. The replica that sends it computes
+// the remaining time by its own clock.
 func (sim *simulation) publishDirective(directive placement.Directive) {
 	if agreed := sim.oracle.agreed[directive.Tenant]; agreed[len(agreed)-1].withdrawn {
 		sim.oracle.violations = append(sim.oracle.violations, directive.Tenant+" gets an exclusion after its contract ended")
--- a/internal/maintenance/simulated_weeks_test.go
+++ b/internal/maintenance/simulated_weeks_test.go
@@ -10,11 +10,13 @@
 
 var weeks = flag.Int("weeks", 40, "simulated weeks with faults")
 
-// criticalDays are days around which a local clock changes, or a month ends.
+// criticalDays are the days on which the simulated weeks start: within each week a local clock changes or a month
+// ends.
 var criticalDays = []string{"2026-03-27", "2026-10-22", "2026-04-02", "2026-10-01", "2026-03-06", "2026-10-30", "2026-06-26", "2026-02-25"}
 
-// simulateWeek simulates one week: windows on shared servers, and faults drawn from the seed. It counts the windows that
-// could be carried out, and those that were. The order of the draws decides what a seed gives.
+// simulateWeek simulates one week with windows on shared servers and with faults drawn from the seed. It returns
+// the number of windows that could be carried out, and of those that were. The order of the draws determines the
+// week of a seed.
 func simulateWeek(seed uint64, inject func(*simulation)) (sim *simulation, feasible, completed int) {
 	start, err := time.Parse(time.DateOnly, criticalDays[seed%uint64(len(criticalDays))])
 	if err != nil {
@@ -42,7 +44,7 @@
 	}
 	for sim.nowMS < end {
 		sim.runUntil(sim.nowMS + 6*hourMS)
-		sim.resumeAllHalts() // operators do so four times a day
+		sim.resumeAllHalts() // operators resume halts four times a day
 	}
 	feasible, completed = sim.countFeasible(names)
 	return sim, feasible, completed
@@ -50,7 +52,7 @@
 
 const weekServerCount = 8
 
-// proposeRandomWindows has windows of one server each proposed within the first three days, and returns their names.
+// proposeRandomWindows proposes windows of one server each within the first three days, and returns their names.
 func (sim *simulation) proposeRandomWindows(count int) []string {
 	var names []string
 	for i := range count {
@@ -72,7 +74,7 @@
 	return names
 }
 
-// resumeAllHalts has operators resume all that is halted.
+// resumeAllHalts resumes all halts and all halted windows, as operators do.
 func (sim *simulation) resumeAllHalts() {
 	for scope := range sim.table.Halts() {
 		sim.applyOperator(Operation{Kind: OpResume, Scope: scope})
@@ -84,11 +86,11 @@
 	}
 }
 
-// countFeasible counts the windows of these names that could be carried out, and those that were.
+// countFeasible counts the named windows that could be carried out, and those that were.
 func (sim *simulation) countFeasible(names []string) (feasible, completed int) {
 	for _, name := range names {
 		switch window := sim.table.Window(name); {
-		case window == nil || sim.slowWindows[name]: // never proposed, or its servers did not return for hours
+		case window == nil || sim.slowWindows[name]: // not proposed, or its servers did not return for hours
 		case window.Stage == StageRejected && strings.Contains(window.Reason, "no contract"): // the contract had been withdrawn
 		default:
 			feasible++
@@ -113,17 +115,20 @@
 	faultKindCount
 )
 
-// injectFault injects a random fault after a time; half of them during the next window that goes out of service.
+// injectFault injects a random fault after afterMS: half of the faults immediately, the others during the next
+// window that goes out of service.
 func (sim *simulation) injectFault(afterMS int64) {
 	durationMS := minuteMS * (1 + sim.random.Int64N(90))
 	kind := sim.random.IntN(faultKindCount)
-	trigger := func(do func()) {
+	scheduleFault := func(do func()) {
 		sim.schedule(afterMS, do)
 	}
 	if sim.random.IntN(2) == 0 {
-		trigger = func(do func()) { sim.schedule(afterMS, func() { sim.onDrainStart = append(sim.onDrainStart, do) }) }
+		scheduleFault = func(do func()) {
+			sim.schedule(afterMS, func() { sim.faultsAtNextDrain = append(sim.faultsAtNextDrain, do) })
+		}
 	}
-	trigger(func() {
+	scheduleFault(func() {
 		switch kind {
 		case faultControllerKilled:
 			sim.killController(durationMS)
@@ -136,7 +141,7 @@
 			sidecar := sim.sidecars[sim.random.IntN(len(sim.sidecars))]
 			sidecar.partitioned = true
 			sim.schedule(durationMS, func() { sidecar.partitioned = false })
-		case faultClocksApart: // those of controller, leader and one sidecar
+		case faultClocksApart: // the clocks of controller, leader and one sidecar
 			sim.oracle.clocksFaulty = true
 			sim.controller.clock.offsetMS = hourMS
 			sim.leaderClock.offsetMS = -hourMS
@@ -160,7 +165,8 @@
 	})
 }
 
-// TestSimulatedWeeksWithFaults checks that no tenant is excluded outside its hours, and that faults cost few windows.
+// TestSimulatedWeeksWithFaults checks that no tenant is excluded outside its hours, and that at least 98% of the
+// feasible windows are completed in spite of faults.
 func TestSimulatedWeeksWithFaults(t *testing.T) {
 	var feasible, completed int
 	var excludedMS int64
--- a/internal/maintenance/simulation_test.go
+++ b/internal/maintenance/simulation_test.go
@@ -12,8 +12,8 @@
 	"milldeck/internal/placement"
 )
 
-// simulation runs controllers, a registry leader, sidecars and maintenance work on a virtual clock. Times are true Unix ms
-// unless a clock is named; clock errors and delays are drawn from a seed.
+// simulation runs controllers, a registry leader, sidecars and maintenance work on a virtual clock. Times are
+// true Unix ms unless a clock is named. Clock errors and delays are drawn from a seed.
 type simulation struct {
 	random       *rand.Rand
 	nowMS        int64
@@ -21,7 +21,7 @@
 	sequence     int
 	table        *Table
 	revision     uint64
-	token        uint64 // of the present lease holder
+	token        uint64 // of the current lease holder
 	ledger       *disruption.Ledger
 	view         *View // of the latest revision
 	registryDown bool  // no registry replica answers
@@ -33,16 +33,16 @@
 	serverUp    map[string]bool
 	oracle      *oracle
 
-	onDrainStart     []func()                   // faults to inject at the next drain
-	slowWindows      map[string]bool            // windows whose servers returned far later than estimated
-	slowReturns      bool                       // servers return far later than estimated
-	corruptOperation func(*Operation)           // a planted bug: changes an operation before it is applied
-	corruptDirective func(*placement.Directive) // a planted bug: changes a directive before it is published
-	ignoreTokens     bool                       // a planted bug: fencing tokens are not checked
-	beforeWrite      func(e *Effect)            // called for each write that reaches the log
-	writes           int
-	ledgerReason     string   // of the ledger's last rejection
-	history          []string // applied operations, except extensions and schedules
+	faultsAtNextDrain []func()                   // faults to inject at the next drain
+	slowWindows       map[string]bool            // windows whose servers returned far later than estimated
+	slowReturns       bool                       // servers return far later than estimated
+	corruptOperation  func(*Operation)           // injected bug: changes an operation before it is applied
+	corruptDirective  func(*placement.Directive) // injected bug: changes a directive before it is published
+	ignoreTokens      bool                       // injected bug: fencing tokens are not checked
+	beforeWrite       func(e *Effect)            // called for each write that reaches the log
+	writes            int
+	ledgerReason      string   // reason of the ledger's last result
+	history           []string // applied operations, except extensions and schedules
 }
 
 type simulatedClock struct{ offsetMS, uncertaintyMS int64 }
@@ -114,7 +114,7 @@
 	sim.nowMS = endMS
 }
 
-// applyEffect applies a write as one record of the log.
+// applyEffect applies a write as one log record.
 func (sim *simulation) applyEffect(effect Effect, timestamp Timestamp, token uint64) Outcome {
 	if token != 0 && token != sim.token && !sim.ignoreTokens {
 		return OutcomeStale // the registry checks the guard before the table
@@ -150,11 +150,11 @@
 		sim.deleteDirective(id)
 	}
 	sim.simulateWork(&op)
-	sim.scheduleRun(sim.controller, 50) // it watches the registry
+	sim.scheduleRun(sim.controller, 50) // the controller watches the registry
 	return OutcomeApplied
 }
 
-// registerServer registers a server as up or unready. Each time that it comes up is another incarnation.
+// registerServer registers a server as up or unready. Each registration as up is a new incarnation.
 func (sim *simulation) registerServer(uid string, up bool) {
 	unit := disruption.Unit{
 		ID:        serverUnitID(uid),
@@ -205,7 +205,8 @@
 	return OutcomeApplied
 }
 
-// simulateWork does what operators and servers do at an operation: servers stop for the work, and start again on the return.
+// simulateWork simulates the reaction of operators and servers to an operation: servers stop for the work, and
+// start again on the return.
 func (sim *simulation) simulateWork(op *Operation) {
 	window := sim.table.Window(op.Window)
 	if window == nil {
@@ -213,10 +214,10 @@
 	}
 	switch {
 	case op.Kind == OpBeginDrain:
-		for _, fault := range sim.onDrainStart {
+		for _, fault := range sim.faultsAtNextDrain {
 			sim.schedule(sim.random.Int64N(300_000), fault)
 		}
-		sim.onDrainStart = nil
+		sim.faultsAtNextDrain = nil
 	case op.Kind == OpCompleteDrain:
 		for _, uid := range window.ServerUIDs {
 			sim.registerServer(uid, false)
@@ -240,7 +241,7 @@
 	}
 }
 
-// violations lets all exclusions expire and returns what the oracle found.
+// violations waits until all exclusions have expired and returns the violations that the oracle found.
 func (sim *simulation) violations() []string {
 	sim.runUntil(sim.nowMS + 2*ExclusionTTLMS)
 	for _, sidecar := range sim.sidecars {
--- a/internal/maintenance/table_test.go
+++ b/internal/maintenance/table_test.go
@@ -26,9 +26,9 @@
 	terms.MaxConcurrentWindows, terms.MinutesPerMonth = 1, 60
 	openMS := time.Date(2026, 6, 11, 1, 0, 0, 0, time.UTC).UnixMilli()
 	fixture := &tableFixture{openMS: openMS, closeMS: openMS + 60*minuteMS}
-	first := NewPlanner().Approval(&ActiveContract{Contract: terms}, openMS, 4)
+	approvalTemplate := NewPlanner().Approval(&ActiveContract{Contract: terms}, openMS, 4)
 	fixture.approval = func(version uint64) *Approval {
-		approval := *first
+		approval := *approvalTemplate
 		approval.ContractVersion = version
 		return &approval
 	}
@@ -38,12 +38,13 @@
 	return fixture, table
 }
 
-// agreeingClocks is the timestamp of an operation where both clocks show atMS with a usual uncertainty.
+// agreeingClocks returns the timestamp of an operation for which both clocks show atMS with a typical
+// uncertainty.
 func agreeingClocks(atMS int64) Timestamp {
 	return Timestamp{ControllerMS: atMS, UncertaintyMS: 250, LeaderMS: atMS, LeaderUncertaintyMS: 250}
 }
 
-// timestamps are times around the hours, and two that cannot be trusted.
+// timestamps returns times around the approved hours, and two timestamps that cannot be trusted.
 func (f *tableFixture) timestamps() []Timestamp {
 	agreeing := func(atMS int64) Timestamp { return Timestamp{atMS, 250, atMS + 20, 250} }
 	return []Timestamp{
@@ -102,8 +103,8 @@
 	return operations
 }
 
-// checkTransition checks the invariants of the table between the states before and after an operation; rejection is its
-// error.
+// checkTransition checks the invariants of the table between the states before and after an operation. rejection
+// is the error of the operation.
 func checkTransition(table *Table, before *Snapshot, op *Operation, timestamp Timestamp, rejection error) error {
 	after := table.Snapshot()
 	if rejection != nil {
@@ -132,14 +133,15 @@
 	return nil
 }
 
-// checkTimeAndToken checks that an operation was not applied during a clock fault, in the past, or under an old token.
+// checkTimeAndToken checks that an operation was not applied during a clock fault, with a time in the past, or
+// under an old token.
 func checkTimeAndToken(before, after *Snapshot, op *Operation, timestamp Timestamp) error {
-	forward := op.Kind.advancesWindow() || op.Kind == OpMarkOverrun
+	requiresTrustedClock := op.Kind.advancesWindow() || op.Kind == OpMarkOverrun
 	_, latest := timestamp.bounds()
 	switch {
-	case forward && timestamp.clockFault() != "":
+	case requiresTrustedClock && timestamp.clockFault() != "":
 		return fmt.Errorf("%s was applied in spite of a clock fault", op.Kind)
-	case forward && latest < before.LogTimeMS:
+	case requiresTrustedClock && latest < before.LogTimeMS:
 		return fmt.Errorf("%s was applied at %d, before the logged %d", op.Kind, latest, before.LogTimeMS)
 	case after.LogTimeMS < before.LogTimeMS:
 		return errors.New("logged time ran back")
@@ -149,7 +151,8 @@
 	return nil
 }
 
-// checkWithinHours checks that an operation was applied within the hours of all contracts that are in force.
+// checkWithinHours checks that an operation was applied within the hours of all contracts of its window that are
+// in force.
 func checkWithinHours(table *Table, op *Operation, timestamp Timestamp) error {
 	earliest, latest := timestamp.bounds()
 	for _, approval := range table.Window(op.Window).Approvals {
@@ -164,14 +167,14 @@
 	return nil
 }
 
-// checkExclusions checks that each directive is covered by a contract and expires before the close, and that no two
-// windows, which share a server, are out of service.
+// checkExclusions checks that each directive is covered by a contract and expires before the close, and that no
+// two windows are out of service at once: all windows of the fixture share a server.
 func checkExclusions(table *Table) error {
 	for _, window := range table.Windows() {
 		for _, directive := range table.ExclusionDirectives(window) {
 			covered := table.Contract(directive.Tenant) != nil && window.OutOfService()
 			if !covered || directive.ExpiresAtMS > window.ClosesAtMS-CloseMarginMS {
-				return fmt.Errorf("%s has the directive %v", window.Name, directive)
+				return fmt.Errorf("window %s has the directive %v", window.Name, directive)
 			}
 		}
 		for _, other := range table.Windows() {
@@ -183,14 +186,15 @@
 	return nil
 }
 
-// mustApply applies an operation of a test's setup, which has to be accepted.
+// mustApply applies an operation of a test setup, which the table has to accept.
 func mustApply(table *Table, revision uint64, op Operation, timestamp Timestamp) {
 	if _, err := table.Apply(revision, &op, timestamp); err != nil {
 		panic(fmt.Sprintf("%s: %v", op.Kind, err))
 	}
 }
 
-// immediatePermits is a ledger that grants permits at once, and whose permits are active as soon as the drain starts.
+// immediatePermits simulates a ledger that grants each permit at once, and whose permits are active as soon as
+// the drain starts.
 func immediatePermits(table *Table) func(string) (disruption.Stage, bool) {
 	return func(id string) (disruption.Stage, bool) {
 		for _, window := range table.windows {
@@ -202,14 +206,14 @@
 	}
 }
 
-// cloneTable returns a table restored from a snapshot of another.
+// cloneTable returns a table restored from a snapshot of table.
 func cloneTable(table *Table) *Table {
 	next := Restore(table.Snapshot())
 	next.LookupPermit = immediatePermits(next)
 	return next
 }
 
-// walkStages takes a window from its proposal to its end, and visits the table at each stage.
+// walkStages takes a window from its proposal to its end, and calls visit with the table at each stage.
 func (f *tableFixture) walkStages(table *Table, visit func(*Table)) {
 	revision := uint64(10)
 	apply := func(offsetMS int64, op Operation) {
@@ -232,18 +236,19 @@
 	apply(5000+minuteMS, Operation{Kind: OpCompleteReturn})
 }
 
-// TestAllOperationsFromEachStage applies all pairs of operations at each stage of a window.
+// TestAllOperationsFromEachStage applies all pairs of operations at each stage of a window and checks the
+// invariants.
 func TestAllOperationsFromEachStage(t *testing.T) {
 	fixture, first := newTableFixture()
-	all := fixture.timestamps()
-	selected := []Timestamp{all[2], all[4], all[7]} // open, about to close, with a clock fault
+	allTimestamps := fixture.timestamps()
+	selected := []Timestamp{allTimestamps[2], allTimestamps[4], allTimestamps[7]} // hours open, close near, clock fault
 	operations := 0
 	var explore func(t *testing.T, from *Table, depth int)
 	explore = func(t *testing.T, from *Table, depth int) {
 		before, next := from.Snapshot(), cloneTable(from)
 		timestamps := selected
 		if depth == 2 {
-			timestamps = all
+			timestamps = allTimestamps
 		}
 		for _, timestamp := range timestamps {
 			for _, op := range fixture.operations(from, timestamp) {
@@ -253,7 +258,7 @@
 					t.Fatalf("%v, at %+v", err, timestamp)
 				}
 				if rejection != nil {
-					next.clockFault, next.modRevision = before.ClockFault, before.ModRevision // all else is unchanged
+					next.clockFault, next.modRevision = before.ClockFault, before.ModRevision // the rest is unchanged
 					continue
 				}
 				if depth > 1 {
@@ -267,7 +272,8 @@
 	t.Logf("%d operations", operations)
 }
 
-// TestRandomHistories applies random operations, and has the result survive a snapshot.
+// TestRandomHistories applies random operations, checks the invariants, and checks that a restored snapshot of
+// the table gives the same snapshot.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fixture, table := newTableFixture()
@@ -298,8 +304,8 @@
 		if err := json.Unmarshal(data, &snapshot); err != nil {
 			rt.Fatal(err)
 		}
-		if again, _ := json.Marshal(Restore(&snapshot).Snapshot()); string(again) != string(data) {
-			rt.Fatalf("%s, then %s", data, again)
+		if reencoded, _ := json.Marshal(Restore(&snapshot).Snapshot()); string(reencoded) != string(data) {
+			rt.Fatalf("%s, then %s", data, reencoded)
 		}
 	})
 }
