--- a/internal/maintenance/contracts.go
+++ b/internal/maintenance/contracts.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// shortenExclusion moves the expiry of the window's exclusion to before the close, where the close is now
-// earlier. The exclusion ends at once if the new expiry has passed or the clocks are not trusted.
-// shortenExclusion reports whether the expiry has changed.
+// shortenExclusion moves the expiry of the exclusion to before the close if the expiry is too late for the close.
+// The exclusion ends at once if the new expiry has passed or the clocks are not trusted. shortenExclusion reports
+// whether the expiry has changed.
 func (w *Window) shortenExclusion(now timeBounds) bool {
 	latestExpiry := w.ClosesAtMS - CloseMarginMS - now.uncertainty
 	if w.ExcludedUntilMS <= latestExpiry {
--- a/internal/maintenance/estimate.go
+++ b/internal/maintenance/estimate.go
@@ -15,7 +15,7 @@
 	// out of short approved hours.
 	estimateQuantile = 0.95
 	safetyFactor     = 1.5
-	minEstimateMS    = 10_000 // load reports come once a second, and each write takes time
+	minEstimateMS    = 10_000 // load reports come once a second, and each step takes time
 	// A sample is capped at this multiple of the estimate. Without the cap, one server that was out for a night
 	// would rule out all hours until its sample is evicted. If the times have really become longer, several
 	// samples show it.
--- a/internal/maintenance/operation.go
+++ b/internal/maintenance/operation.go
@@ -66,7 +66,7 @@
 	Reason           string     `json:"why,omitempty"`
 }
 
-// RequiresToken reports whether the operation is one of the controller, which needs its fencing token.
+// RequiresToken reports whether the operation belongs to the controller and needs its fencing token.
 func (kind OperationKind) RequiresToken() bool {
 	switch kind {
 	case OpSchedule, OpReject, OpAwaitPermit, OpBeginDrain, OpExtendExclusion, OpCompleteDrain, OpBeginReturn, OpMarkOverrun,
@@ -76,8 +76,8 @@
 	return false
 }
 
-// advancesWindow reports whether the operation moves a window towards or through its work. The table rejects such
-// an operation while the clocks are not trusted.
+// advancesWindow reports whether the operation moves a window towards or through its work. The table rejects
+// these operations while the clocks are not trusted.
 func (kind OperationKind) advancesWindow() bool {
 	switch kind {
 	case OpPropose, OpSchedule, OpAwaitPermit, OpBeginDrain, OpExtendExclusion, OpCompleteDrain:
--- a/internal/maintenance/reconciler.go
+++ b/internal/maintenance/reconciler.go
@@ -34,8 +34,8 @@
 	return Timestamp{ControllerMS: r.WallMS, UncertaintyMS: r.UncertaintyMS}
 }
 
-// presumedTimestamp returns the timestamp of an operation written now, if the leader's clock agreed with the
-// controller's.
+// presumedTimestamp returns the timestamp of an operation written now, on the assumption that the leader's clock
+// agrees with the controller's.
 func (r ClockReading) presumedTimestamp() Timestamp {
 	return Timestamp{
 		ControllerMS:        r.WallMS,
--- a/internal/maintenance/search.go
+++ b/internal/maintenance/search.go
@@ -8,8 +8,8 @@
 	"milldeck/internal/maintenance/calendar"
 )
 
-// search is one search for the start of a window, between the windows that have a planned start or are out of
-// service.
+// search is one search for a start of a window that does not conflict with the windows that have a planned start
+// or are out of service.
 type search struct {
 	table        *Table
 	request      Request
@@ -25,8 +25,8 @@
 	approved    []calendar.Interval // within the planning horizon
 }
 
-// checkServerCount checks that the contract ever permits the requested number of servers to be out of service at
-// once.
+// checkServerCount checks the requested number of servers against the contract's available share, regardless of
+// the time and of other windows.
 func (p *participant) checkServerCount(requested int) error {
 	if requested <= maxServersOut(p.serverCount, p.contract.MinAvailableShare) {
 		return nil
--- a/internal/maintenance/table.go
+++ b/internal/maintenance/table.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Snapshot is the stored form of a table. Lists are sorted by name or tenant.
+// Snapshot is the stored form of a table. Contracts are sorted by tenant, windows by name.
 type Snapshot struct {
 	Contracts       []*ActiveContract           `json:"contracts,omitempty"`
 	Windows         []*Window                   `json:"windows,omitempty"`
