--- a/internal/maintenance/contracts.go
+++ b/internal/maintenance/contracts.go
@@ -10,17 +10,17 @@
 // service. If the operation carries a current approval, these windows continue under it. Otherwise the tenant's
 // exclusions are deleted.
 func (t *Table) setContract(revision uint64, op *Operation, now timeBounds) error {
-	newContract := op.Contract
-	if newContract == nil || newContract.Tenant == "" || (op.CurrentApproval != nil && op.CurrentApproval.Tenant != newContract.Tenant) {
+	terms := op.Contract
+	if terms == nil || terms.Tenant == "" || (op.CurrentApproval != nil && op.CurrentApproval.Tenant != terms.Tenant) {
 		return rejected(OutcomeInvalid, "no contract, or an approval of another tenant")
 	}
-	if t.contracts[newContract.Tenant] == nil && len(t.contracts) >= MaxContracts {
+	if t.contracts[terms.Tenant] == nil && len(t.contracts) >= MaxContracts {
 		return rejected(OutcomeLimitExceeded, "there are %d contracts", len(t.contracts))
 	}
-	affected := t.windowsOutOfService(newContract.Tenant)
-	t.contracts[newContract.Tenant] = &ActiveContract{Contract: *newContract, Version: revision}
+	affected := t.windowsOutOfService(terms.Tenant)
+	t.contracts[terms.Tenant] = &ActiveContract{Contract: *terms, Version: revision}
 	for _, item := range affected {
-		t.reviseWindow(revision, now, newContract.Tenant, item, func(approval *Approval) {
+		t.reviseWindow(revision, now, terms.Tenant, item, func(approval *Approval) {
 			if op.CurrentApproval == nil || len(op.CurrentApproval.Months) == 0 {
 				return
 			}
--- a/internal/maintenance/window.go
+++ b/internal/maintenance/window.go
@@ -21,7 +21,7 @@
 	StageAwaitingPermit Stage = "waiting"   // the planned start is reached, and a permit of the disruption ledger is requested
 	StageDraining       Stage = "draining"  // the permit is granted, and sidecars exclude the servers
 	StageDrained        Stage = "free"      // no sidecar has a request in flight on the servers: the work may proceed
-	StageReturning      Stage = "returning" // the servers return to service; they stay excluded until they are back, at most until the close
+	StageReturning      Stage = "returning" // the servers return to service; they stay excluded, at most until the close
 	StageDone           Stage = "done"
 	StageRejected       Stage = "refused" // the contracts or the disruption budgets do not permit the window
 	StageHalted         Stage = "halted"
