--- a/internal/maintenance/exclusion_test.go
+++ b/internal/maintenance/exclusion_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestEarlierCloseShortensExclusion has a contract set again with an earlier close: the same record shortens the exclusion,
-// or ends it where the close has passed or the clocks are not trusted.
+// TestEarlierCloseShortensExclusion sets a contract again with an earlier close. The same log record must shorten
+// the exclusion, or end it if the close has passed or the clocks are not trusted.
 func TestEarlierCloseShortensExclusion(t *testing.T) {
 	fixture, table := newTableFixture()
 	fixture.walkStages(table, func(table *Table) {
@@ -19,7 +19,7 @@
 			closesAtMS, excludedUntil int64
 			timestamp                 Timestamp
 		}{
-			"before the expiry": {now + 10_000, now + 10_000 - CloseGuardMS - 250, agreeingClocks(now)},
+			"before the expiry": {now + 10_000, now + 10_000 - CloseMarginMS - 250, agreeingClocks(now)},
 			"after the expiry":  {now + 60_000, window.ExcludedUntilMS, agreeingClocks(now)},
 			"passed":            {now + 1000, 0, agreeingClocks(now)},
 			"clock fault":       {now + 10_000, 0, Timestamp{now, 250, now - 60_000, 250}},
@@ -43,7 +43,7 @@
 	})
 }
 
-// TestPlannerNamesUnknownServer has a server that does not exist reported before any contract.
+// TestPlannerNamesUnknownServer checks that the planner reports an unknown server before it checks any contract.
 func TestPlannerNamesUnknownServer(t *testing.T) {
 	fixture, table := newTableFixture()
 	request := Request{Name: "w", ServerUIDs: []string{"m0", "mo"}, WorkMS: minuteMS, ProposedAtMS: fixture.openMS}
