--- a/internal/placement/cache.go
+++ b/internal/placement/cache.go
@@ -7,20 +7,22 @@
 	"slices"
 )
 
-// ErrDiscontinuous means that an incremental update does not continue what a cache holds: a complete one is needed.
+// ErrDiscontinuous means that an incremental update does not follow on the cache's revision and epoch. The consumer has
+// to request a complete update.
 var ErrDiscontinuous = errors.New("the changes do not continue the placement that is known")
 
-// Cache is a consumer's copy of the placement, kept current by the updates of a watch. It expires directives by itself,
-// at whichever comes first: the wall clock at ExpiresAtMS, or RemainingMS on the monotonic clock since the update was
-// received. An expired directive stays expired, also when the wall clock is set back or another replica sends it again
-// with more time remaining; only a newer revision of the directive puts it in force again. It is not safe for concurrent use.
+// Cache is a consumer's copy of the placement, to which the consumer applies the updates of a watch. A directive in the
+// cache expires when the wall clock reaches ExpiresAtMS or when RemainingMS has elapsed on the monotonic clock since the
+// update was received, whichever comes first. An expired directive stays expired, even if the wall clock is set back or
+// another replica sends the directive with more time remaining; only a newer revision puts it in force again. A Cache is
+// not safe for concurrent use.
 type Cache struct {
 	store
 	synced   bool
-	expiries map[string]expiry // of all directives, by ID
+	expiries map[string]expiry // of all directives in the cache, by ID
 }
 
-// expiry is when a directive expires by the monotonic clock, and whether it has.
+// expiry is the time at which a directive expires by the monotonic clock, and whether it has expired by either clock.
 type expiry struct {
 	monotonicMS int64
 	expired     bool
@@ -31,12 +33,12 @@
 	return &Cache{store: newStore(), expiries: map[string]expiry{}}
 }
 
-// Synced reports whether any update was applied.
+// Synced reports whether any update has been applied.
 func (c *Cache) Synced() bool { return c.synced }
 
-// Apply applies an update that was received at a time of the wall clock (Unix ms) and the monotonic clock (ms). It
-// reports whether the update was applied; one that is older than the cache is ignored. An update with an error has
-// changed nothing: ErrDiscontinuous calls for a complete update, any other error means that it is invalid.
+// Apply applies an update that was received at a time of the wall clock (Unix ms) and of the monotonic clock (ms). It
+// reports whether it applied the update; an update that is older than the cache is ignored. After an error the cache is
+// unchanged: ErrDiscontinuous means that a complete update is needed, any other error that the update is invalid.
 func (c *Cache) Apply(update *Update, wallMS, monotonicMS int64) (changed bool, err error) {
 	sameEpoch := c.synced && update.Epoch == c.epoch
 	switch {
@@ -48,7 +50,7 @@
 	if err := c.validate(update); err != nil {
 		return false, err
 	}
-	c.expire(wallMS, monotonicMS) // what has expired by now stays expired, whatever time this update gives it
+	c.expire(wallMS, monotonicMS) // a directive that has expired stays expired, even if this update states remaining time
 	if !sameEpoch {
 		c.startHistory(update.Revision, update.Epoch)
 	}
@@ -64,7 +66,8 @@
 	return true, nil
 }
 
-// removedBy are the IDs of the directives that an update removes; an incremental one may name unknown ones as well.
+// removedBy returns the IDs of the directives that an update removes. For an incremental update they may include unknown
+// IDs.
 func (c *Cache) removedBy(update *Update) []string {
 	if !update.Complete {
 		return update.Removed
@@ -90,7 +93,8 @@
 	}
 }
 
-// set stores a directive. Where it is a repeat of the one that the cache has, that can only shorten its time.
+// set stores a directive. If the cache has the same revision of the directive, set can shorten its time until expiry
+// but not extend it.
 func (c *Cache) set(revision uint64, d Directive, monotonicMS int64) {
 	next := expiry{monotonicMS: monotonicMS + min(max(d.RemainingMS, 0), MaxLifetimeMS), expired: d.RemainingMS <= 0}
 	previous, exists := c.directives[d.ID]
@@ -104,7 +108,7 @@
 	c.directives[d.ID], c.expiries[d.ID] = d, next
 }
 
-// validate reports what of an update the cache cannot hold.
+// validate returns an error if the cache cannot hold the directives of an update.
 func (c *Cache) validate(update *Update) error {
 	totalBytes, count := 0, 0
 	for i := range update.Directives {
@@ -126,13 +130,13 @@
 		}
 	}
 	if len(update.Directives) > MaxDirectives || count > MaxDirectives || totalBytes > MaxTotalBytes {
-		return fmt.Errorf("a placement of %d entries, %d bytes: at most %d, %d",
+		return fmt.Errorf("update too large: %d directives, %d bytes; at most %d directives, %d bytes are accepted",
 			max(len(update.Directives), count), totalBytes, MaxDirectives, MaxTotalBytes)
 	}
 	return nil
 }
 
-// expire marks the directives that have expired by either clock.
+// expire marks the directives that have expired by the wall clock or the monotonic clock.
 func (c *Cache) expire(wallMS, monotonicMS int64) {
 	for id, entry := range c.expiries {
 		if !entry.expired && (wallMS >= c.directives[id].ExpiresAtMS || monotonicMS >= entry.monotonicMS) {
@@ -142,13 +146,15 @@
 	}
 }
 
-// Active is the directives in force at a time of both clocks, by ID, with their remaining time.
+// Active returns the directives in force at a time of the wall clock (Unix ms) and the monotonic clock (ms), ordered by
+// ID and with their remaining time.
 func (c *Cache) Active(wallMS, monotonicMS int64) Update {
 	return c.ChangesSince(0, 0, wallMS, monotonicMS)
 }
 
-// ChangesSince is what changed after a revision of an epoch, for watchers of this cache, with the time that remains at a time of both
-// clocks; it is a complete update where the history does not go back so far.
+// ChangesSince returns the changes after a revision of an epoch, for watchers of this cache, with the remaining times at
+// a time of the wall clock (Unix ms) and the monotonic clock (ms). The update is complete if the history does not go
+// back to that revision.
 func (c *Cache) ChangesSince(after, epoch uint64, wallMS, monotonicMS int64) Update {
 	c.expire(wallMS, monotonicMS)
 	return c.changesSince(after, epoch, func(d *Directive) int64 {
@@ -160,7 +166,7 @@
 	})
 }
 
-// Snapshot is what a file retains of the cache: all directives, the expired ones with no time remaining.
+// Snapshot returns the content of the cache for a file: all directives, the expired ones without remaining time.
 func (c *Cache) Snapshot(wallMS, monotonicMS int64) Update {
 	update := c.Active(wallMS, monotonicMS)
 	for _, id := range slices.Sorted(maps.Keys(c.directives)) {
@@ -171,8 +177,9 @@
 	return update
 }
 
-// Restore applies, as at a start, what Snapshot returned at a time of the wall clock (Unix ms). It fails if the wall
-// clock was set back since, and gives no directive more time than remained then less the time elapsed since.
+// Restore applies an update that Snapshot returned at the wall clock's time savedMS (Unix ms), after a restart. It fails
+// if the wall clock was set back since then. The time that has elapsed since then is subtracted from the remaining time
+// of each directive.
 func (c *Cache) Restore(saved Update, savedMS, wallMS, monotonicMS int64) error {
 	elapsedMS := wallMS - savedMS
 	if elapsedMS < 0 {
--- a/internal/placement/directive.go
+++ b/internal/placement/directive.go
@@ -9,72 +9,73 @@
 	"milldeck/internal/validation"
 )
 
-// Bounds of what a placement may hold. An update line with all of it is under 1.8 MB, which a sidecar has memory for;
-// so is the largest incremental one.
+// Bounds of a placement. They keep the JSON of a complete update, and that of the largest incremental update, under
+// 1.8 MB, for which a sidecar has memory.
 const (
 	MaxDirectives          = 10_000
-	MaxTotalBytes          = 1536 << 10 // of all directives, as accountedBytes counts them
-	MaxServersPerDirective = 4096       // more than a zone of the largest fleet
+	MaxTotalBytes          = 1536 << 10 // sum of accountedBytes over all directives
+	MaxServersPerDirective = 4096       // a zone of the largest fleet has fewer
 	MaxCopiesPerKey        = 64
 	MaxSetPerOp            = 1000 // directives set by one operation
 	MaxIDLength            = 256  // bytes
-	MaxNameLength          = 128  // bytes of any other name
+	MaxNameLength          = 128  // bytes of a tenant, a cohort, a server UID and any other name
 
-	// MaxLifetimeMS is how long after the time of its record a directive may expire: nothing lasts longer than this
-	// without its owner renewing it.
+	// MaxLifetimeMS is the longest time between the operation that sets a directive and the directive's expiry. To
+	// keep a directive in force for longer, its owner has to renew it.
 	MaxLifetimeMS = 3600 * 1000
-	// MaxClockSkewMS is how far the clocks of writer and leader may be apart for a write to be applied. It has to cover
-	// the time that the write is under way, with a retry after a lost answer (4 s).
+	// MaxClockSkewMS is the largest accepted difference between the writer's and the leader's time of an operation. It
+	// also covers the transmission of the write, with a retry after a lost response (4 s).
 	MaxClockSkewMS = 5000
 )
 
-// Kind says what a directive does.
+// Kind is the effect that a directive has.
 type Kind string
 
 // The kinds of directives.
 const (
-	KindExclude   Kind = "keep_off" // first picks of Tenant avoid Servers, as long as MinAvailable of the tenant's servers remains
-	KindSpreadKey Kind = "spread"   // requests with the key KeyHash go to Copies as well as to the key's own servers
-	KindCohort    Kind = "cohort"   // load reports count Servers apart, as the cohort Cohort: one version beside another
+	KindExclude   Kind = "keep_off" // picks for Tenant try Servers last, as long as MinAvailable of its servers remain
+	KindSpreadKey Kind = "spread"   // requests with the key KeyHash also use Copies, besides the servers that the key maps to
+	KindCohort    Kind = "cohort"   // load reports count Servers separately, as Cohort, to compare two versions
 )
 
-// Directive is one instruction to all sidecars.
+// Directive is a routing instruction to all sidecars.
 type Directive struct {
-	ID           string    `json:"id"` // "window/NAME/TENANT", "spread/KEY", "cohort/NAME": the first part stands for its owner's lease
+	ID           string    `json:"id"` // "window/NAME/TENANT", "spread/KEY" or "cohort/NAME"; see OwnedBy
 	Kind         Kind      `json:"kind"`
-	Tenant       string    `json:"tenant,omitempty"` // of the settings, or where these name none the calling application
+	Tenant       string    `json:"tenant,omitempty"` // configured in the sidecar; by default the calling application
 	Servers      []string  `json:"servers,omitempty"`
-	MinAvailable float64   `json:"least,omitempty"`  // fraction of its servers that the tenant retains in any case, 0 to 1
-	KeyHash      string    `json:"key,omitempty"`    // 16 hexadecimal digits: the key as sidecars hash it (FNV-1a, 64 bits)
-	Copies       []KeyCopy `json:"copies,omitempty"` // of the key
+	MinAvailable float64   `json:"least,omitempty"`  // fraction of the tenant's servers that must remain, 0 to 1
+	KeyHash      string    `json:"key,omitempty"`    // 16 lowercase hexadecimal digits: 64-bit FNV-1a hash, as in sidecars
+	Copies       []KeyCopy `json:"copies,omitempty"` // additional servers of the key
 	Cohort       string    `json:"name,omitempty"`
-	// ExpiresAtMS is Unix ms by the clock of the directive's owner. RemainingMS is what remained until then when the
-	// line that carries the directive was written. A consumer drops the directive at whichever comes first: the wall
-	// clock at ExpiresAtMS, or RemainingMS on its own monotonic clock. So one wrong clock makes it expire early, never
-	// late.
+	// ExpiresAtMS is the time of expiry by the owner's clock, in Unix ms. RemainingMS is the time until then at the
+	// encoding of the update. A consumer drops the directive when its wall clock reaches ExpiresAtMS or when RemainingMS
+	// has elapsed on its monotonic clock, whichever comes first. One wrong clock can therefore make a directive expire
+	// early, but not late.
 	ExpiresAtMS int64  `json:"until_ms"`
-	RemainingMS int64  `json:"left_ms,omitempty"` // set by who writes the line; never stored
-	Revision    uint64 `json:"rev"`               // of the log, when it was last set to another value
+	RemainingMS int64  `json:"left_ms,omitempty"` // set by the sender of an update; never stored
+	Revision    uint64 `json:"rev"`               // log revision of the directive's last change
 }
 
-// KeyCopy is a server that serves a spread key.
+// KeyCopy is an additional server of a hot key.
 type KeyCopy struct {
 	ServerUID    string  `json:"uid"`
-	LoadFraction float64 `json:"share"` // of the key's load, 0 to 1; 0: it is being warmed up, or drained
+	LoadFraction float64 `json:"share"` // of the key's load, 0 to 1; 0: the copy is being warmed up or drained
 }
 
-// DirectiveRef names a directive as it was at a revision.
+// DirectiveRef identifies a directive at a revision.
 type DirectiveRef struct {
 	ID       string `json:"id"`
 	Revision uint64 `json:"rev"`
 }
 
-// kindByIDPrefix is the kind of the directives whose ID begins with the part.
+// kindByIDPrefix maps the first part of a directive's ID to the directive's kind.
 var kindByIDPrefix = map[string]Kind{"window": KindExclude, "spread": KindSpreadKey, "cohort": KindCohort}
 
-// OwnedBy reports whether the holder of a lease may write a directive: its ID is the lease's name, or begins with that
-// and a slash. The first part "cohort" stands for the lease "release". So window/NAME/TENANT belongs to the lease
-// window/NAME and to the fleet-wide lease window, cohort/NAME to release/NAME and to release.
+// OwnedBy reports whether the holder of a lease may write the directive with an ID. The ID must equal the lease's name
+// or start with the name and a slash; a prefix "cohort/" of the ID counts as "release/". For example,
+// window/NAME/TENANT belongs to the lease window/NAME and to the fleet-wide lease window, and cohort/NAME belongs to
+// release/NAME and to release.
 func OwnedBy(lease, id string) bool {
 	if suffix, ok := strings.CutPrefix(id, "cohort/"); ok {
 		id = "release/" + suffix
@@ -83,10 +84,10 @@
 	return ok && lease != "" && (suffix == "" || suffix[0] == '/')
 }
 
-// accountedBytes is what a directive counts against MaxTotalBytes: no less than its JSON takes, and the same on every
-// replica, whatever its version's encoder writes.
+// accountedBytes returns the size with which a directive counts towards MaxTotalBytes: an upper bound of its JSON
+// encoding. The size does not depend on the encoder, so that replicas of different versions compute the same.
 func (d *Directive) accountedBytes() int {
-	const directiveBytes, serverBytes, copyBytes = 192, 3, 48 // names, numbers and quotes
+	const directiveBytes, serverBytes, copyBytes = 192, 3, 48 // field names, numbers and quotes
 	total := directiveBytes + escapedLength(d.ID) + escapedLength(string(d.Kind)) + escapedLength(d.Tenant) +
 		escapedLength(d.KeyHash) + escapedLength(d.Cohort)
 	for _, uid := range d.Servers {
@@ -98,7 +99,7 @@
 	return total
 }
 
-// escapedLength is no less than the length of a text in JSON, where a byte may take six (\u003c).
+// escapedLength returns an upper bound of a text's length in JSON, in which one byte takes up to six (\u003c).
 func escapedLength(s string) int {
 	const extraBytes = 5
 	length := len(s)
@@ -111,18 +112,20 @@
 	return length
 }
 
-// sameContent reports whether two directives have sidecars do the same, for as long.
+// sameContent reports whether two directives have the same effect and expiry.
 func sameContent(a, b *Directive) bool {
 	return a.Kind == b.Kind && a.Tenant == b.Tenant && a.MinAvailable == b.MinAvailable && a.KeyHash == b.KeyHash && a.Cohort == b.Cohort &&
 		a.ExpiresAtMS == b.ExpiresAtMS && slices.Equal(a.Servers, b.Servers) && slices.Equal(a.Copies, b.Copies)
 }
 
-// Validate reports, as a *validation.Error, what of a directive is invalid. It is meant for before the log.
+// Validate checks a directive. The error is a *validation.Error. A replica rejects an invalid directive before it appends
+// the operation to the log.
 func (d *Directive) Validate() error {
 	return validation.First(d.validateBounds(), d.validateIdentity(), d.validateContent(), d.validateUnique())
 }
 
-// validateBounds reports what of a directive is too large, whatever its kind: consumers accept kinds of later versions.
+// validateBounds checks the sizes of a directive, independently of its kind: a consumer accepts kinds that only later
+// versions know.
 func (d *Directive) validateBounds() error {
 	switch {
 	case d.ID == "" || len(d.ID) > MaxIDLength:
@@ -148,7 +151,7 @@
 	return nil
 }
 
-// validateIdentity checks that a directive's ID is well-formed and says its kind.
+// validateIdentity checks that a directive's ID is well-formed and matches the directive's kind.
 func (d *Directive) validateIdentity() error {
 	prefix, suffix, _ := strings.Cut(d.ID, "/")
 	kind, known := kindByIDPrefix[prefix]
@@ -163,7 +166,7 @@
 	return nil
 }
 
-// validateContent checks that a directive has what its kind needs.
+// validateContent checks the fields that the directive's kind requires.
 func (d *Directive) validateContent() error {
 	switch {
 	case d.ExpiresAtMS <= 0:
@@ -184,7 +187,7 @@
 	return nil
 }
 
-// validateUnique checks that a directive names no server twice.
+// validateUnique checks that a directive lists no server twice.
 func (d *Directive) validateUnique() error {
 	named := map[string]bool{}
 	for _, uid := range d.Servers {
@@ -207,7 +210,7 @@
 	return utf8.ValidString(text) && !strings.ContainsFunc(text, func(r rune) bool { return !unicode.IsPrint(r) })
 }
 
-// validKeyHash reports whether a text is a key as sidecars hash it.
+// validKeyHash reports whether a text has the format of Directive.KeyHash.
 func validKeyHash(text string) bool {
 	const digits = 16
 	if len(text) != digits {
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,10 +1,10 @@
-// Package placement holds the routing directives that a fleet gives its sidecars beyond the endpoint list: which tenant
-// stays off which servers, which hot key is replicated to which servers, and which servers are counted as a cohort of
-// their own. Directives are part of the registry's replicated state, watched like the endpoint list and served on to
-// sidecars by their node agents. Each directive expires, so that none outlives its approval when those who issued it
-// are gone.
+// Package placement defines routing directives for sidecars, in addition to the endpoint list. A directive excludes
+// servers for a tenant, replicates a hot key to further servers, or has load reports count servers as a separate
+// cohort. Directives are part of the registry's replicated state. Node agents watch them like the endpoint list and
+// serve them to their sidecars. Each directive expires, so that it does not outlive its approval if its owner fails.
 //
-// The package owns the replicated Table, the Cache of a consumer, the update lines between them, and the form of the
-// load reports that sidecars answer with. It does not decide on directives (internal/maintenance, internal/hotkey and
-// internal/release do), does not check leases or fencing tokens, and does no I/O: times are inputs.
+// The package contains the replicated Table, the Cache that agents and sidecars keep of it, the Update that a watch
+// sends, and the LoadReport that sidecars send. Packages internal/maintenance, internal/hotkey and internal/release
+// decide on directives, and the registry checks fencing tokens. This package does no I/O and reads no clock: times are
+// parameters.
 package placement
--- a/internal/placement/operation.go
+++ b/internal/placement/operation.go
@@ -6,17 +6,19 @@
 	"milldeck/internal/validation"
 )
 
-// Op is one operation of the log: directives set and deleted under their owner's lease, all or none, or directives that
-// the leader found to have expired. It carries the times that it is judged by, as the state machine has no clock.
+// Op is one operation of the log. It sets and deletes directives under their owner's lease, all or none, or it removes
+// directives that the leader found to have expired. The state machine has no clock, so the operation carries the times
+// by which it is checked.
 type Op struct {
 	LeaderTimeMS int64          `json:"now_ms"`          // the leader's clock, Unix ms
-	WriterTimeMS int64          `json:"at_ms,omitempty"` // the writer's clock, Unix ms; 0: not given, and not compared
+	WriterTimeMS int64          `json:"at_ms,omitempty"` // the writer's clock, Unix ms; 0: unknown, and not checked
 	Set          []Directive    `json:"set,omitempty"`
-	Delete       []string       `json:"drop,omitempty"`  // IDs; one that does not exist counts as deleted
-	Expired      []DirectiveRef `json:"ended,omitempty"` // the leader's own; it needs no lease
+	Delete       []string       `json:"drop,omitempty"`  // IDs; deleting an unknown ID has no effect
+	Expired      []DirectiveRef `json:"ended,omitempty"` // found by the leader; removing them needs no lease
 }
 
-// Validate reports, as a *validation.Error, what of an operation is invalid. It is meant for before the log.
+// Validate checks an operation. The error is a *validation.Error. A replica rejects an invalid operation before it appends
+// the operation to the log.
 func (o *Op) Validate() error {
 	switch {
 	case len(o.Set)+len(o.Delete)+len(o.Expired) == 0:
@@ -45,20 +47,20 @@
 	return nil
 }
 
-// Outcome says what became of an operation.
+// Outcome is the outcome of an operation.
 type Outcome string
 
 // The outcomes.
 const (
 	OutcomeApplied      Outcome = "done"
-	OutcomeRejected     Outcome = "refused"  // not its owner's lease, invalid times, or invalid fields
-	OutcomeLimitReached Outcome = "too_many" // the table is full
+	OutcomeRejected     Outcome = "refused"  // the lease does not own a directive, or times or fields are invalid
+	OutcomeLimitReached Outcome = "too_many" // the table would exceed MaxDirectives or MaxTotalBytes
 )
 
-// Result is the outcome of an operation. An operation that was not applied has changed nothing.
+// Result is the result of an operation. An operation that was not applied has changed nothing.
 type Result struct {
 	Outcome Outcome
-	Reason  string // why it was not applied
+	Reason  string // why the operation was not applied
 }
 
 func rejected(format string, args ...any) Result {
--- a/internal/placement/report.go
+++ b/internal/placement/report.go
@@ -11,51 +11,51 @@
 	MaxReportBytes = 32 << 10
 	MaxHotKeys     = 32
 	MaxClassCounts = 256 // classes × zones × cohorts
-	MaxExclusions  = 256 // exclusions that one sidecar follows
+	MaxExclusions  = 256 // exclusions that one sidecar reports
 
 	maxIntervalMS = 3600 * 1000
 	maxRequests   = 1 << 30 // in an interval
-	maxKeyLoad    = 1e12    // requests a second × ms
+	maxKeyLoad    = 1e12    // requests/s × ms
 )
 
-// LoadReport is what a sidecar reports once a second, at the address that it watches the placement from. Reports are
-// soft state: never in the log, bounded, and a lost one is made up for by the next.
+// LoadReport is the report that a sidecar sends once a second to the address from which it watches the placement.
+// Reports are bounded soft state: they are never in the log, and the next report supersedes a lost one.
 type LoadReport struct {
 	Sidecar           string  `json:"name"`
 	Zone              string  `json:"zone,omitempty"`
-	Version           string  `json:"version,omitempty"` // of the sidecar, a free label of its configuration
+	Version           string  `json:"version,omitempty"` // label of the sidecar's version, from its configuration
 	PlacementRevision uint64  `json:"rev"`               // of the placement in force
 	PlacementEpoch    uint64  `json:"epoch,omitempty"`
 	EndpointRevision  uint64  `json:"list"`    // of the endpoint list in force
-	IntervalMS        float64 `json:"span_ms"` // that the counts below are of
-	// ExcludedInFlight is, for each exclusion in force by its ID, the requests in flight on the excluded servers.
+	IntervalMS        float64 `json:"span_ms"` // interval of the counts below
+	// ExcludedInFlight is the number of requests in flight at the excluded servers, by the ID of each exclusion in force.
 	ExcludedInFlight    map[string]int `json:"open,omitempty"`
-	SuspendedDirectives []string       `json:"suspended,omitempty"` // not followed, as too few servers would remain
-	HotKeys             []KeyLoad      `json:"heat,omitempty"`      // the hottest keys, MaxHotKeys at most
-	TotalKeyLoad        float64        `json:"heat_all"`            // of all keys together
+	SuspendedDirectives []string       `json:"suspended,omitempty"` // exclusions not applied, as too few servers would remain
+	HotKeys             []KeyLoad      `json:"heat,omitempty"`      // the hottest keys, at most MaxHotKeys
+	TotalKeyLoad        float64        `json:"heat_all"`            // sum over all keys, in the unit of KeyLoad.Load
 	ClassCounts         []ClassCount   `json:"counts,omitempty"`
 }
 
-// KeyLoad is a key's load as one sidecar observed it: at most Load, and at least Load - ErrorBound.
+// KeyLoad is a key's load as estimated by one sidecar. The true load is between Load - ErrorBound and Load.
 type KeyLoad struct {
 	KeyHash    string  `json:"key"`
-	Load       float64 `json:"load"`  // requests a second × work (ms) of a request
-	ErrorBound float64 `json:"error"` // by which Load may be too high
+	Load       float64 `json:"load"`  // requests/s × work of a request (ms)
+	ErrorBound float64 `json:"error"` // largest amount by which Load may be too high
 }
 
-// ClassCount is what became of the requests of a class at the servers of a zone and cohort.
+// ClassCount counts the outcomes of a class's requests at the servers of a zone and cohort.
 type ClassCount struct {
 	Class            string   `json:"class"`
 	Zone             string   `json:"zone,omitempty"`   // of the servers
-	Cohort           string   `json:"cohort,omitempty"` // "": of none
+	Cohort           string   `json:"cohort,omitempty"` // of the servers; "": none
 	Succeeded        int      `json:"served"`
 	Late             int      `json:"late"` // succeeded, but after the class's latency objective
 	Failed           int      `json:"failed"`
-	LatencyHistogram []uint32 `json:"latency,omitempty"` // counts by LatencyBucketBounds, the last for what is slower
+	LatencyHistogram []uint32 `json:"latency,omitempty"` // by bucket of LatencyBucketBounds; the last one has no upper bound
 }
 
-// LatencyBucketBounds are the upper bounds of the latency histograms' buckets in ms, 0.5 ms to 23 s: each is the one
-// before times the square root of two.
+// LatencyBucketBounds are the upper bounds of the latency histograms' buckets in ms, from 0.5 ms to 23 s. Each bound is
+// the previous one times the square root of two.
 var LatencyBucketBounds = geometricBounds()
 
 func geometricBounds() []float64 {
@@ -69,7 +69,7 @@
 	return bounds
 }
 
-// Validate reports, as a *validation.Error, what of a report is invalid. Fields of a later version are not its concern.
+// Validate checks a report. The error is a *validation.Error. Fields that only later versions know are not checked.
 func (r *LoadReport) Validate() error {
 	if err := validation.First(r.validateBounds(), r.validateDirectiveIDs()); err != nil {
 		return err
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// validLoad reports whether a load is within its bounds, which NaN is not.
+// validLoad reports whether a load is within its bounds. NaN is not.
 func validLoad(load float64) bool { return load >= 0 && load <= maxKeyLoad }
 
 func (k *KeyLoad) validate() error {
--- a/internal/placement/store.go
+++ b/internal/placement/store.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// minHistory changes are retained at least, and up to twice as many, for watches that resume: from further back
-	// they get a complete update.
+	// minHistory is the minimum number of changes in the history, for watches that resume. The history holds fewer than
+	// twice as many. A watch that resumes from an older revision gets a complete update.
 	minHistory = 4096
-	// maxIncrementalChanges directives are sent in an incremental update: the IDs of more removed ones could take more bytes than a
-	// complete update.
+	// maxIncrementalChanges is the largest number of directives in an incremental update. With more, the IDs of removed
+	// directives could take more bytes than a complete update.
 	maxIncrementalChanges = 1000
 )
 
-// store is a set of directives at a revision, with the history of changes that led there. The slices of directives are
+// store holds the directives at a revision and the history of their last changes. The slices within directives are
 // shared with readers and never changed in place.
 type store struct {
 	revision, epoch   uint64
 	directives        map[string]Directive
-	history           []change // by revision, the newest last
-	compactedRevision uint64   // the newest change that history no longer holds
+	history           []change // ordered by revision, the newest last
+	compactedRevision uint64   // revision of the newest change that history no longer holds
 }
 
 type change struct {
@@ -31,21 +31,21 @@
 
 func newStore() store { return store{directives: map[string]Directive{}} }
 
-// Revision is the log revision of the last change.
+// Revision returns the log revision of the last change.
 func (s *store) Revision() uint64 { return s.revision }
 
-// Epoch names the history that the revisions belong to: a restore from a backup starts another one.
+// Epoch returns the number of the epoch to which the revisions belong. A restore from a backup starts another epoch.
 func (s *store) Epoch() uint64 { return s.epoch }
 
-// Len is the number of directives, including those that have expired and were not removed yet.
+// Len returns the number of directives, including those that have expired and were not removed yet.
 func (s *store) Len() int { return len(s.directives) }
 
-// startHistory starts an empty history: watches of an earlier one get a complete update.
+// startHistory starts an empty history. Watches that resume from a position before it get a complete update.
 func (s *store) startHistory(revision, epoch uint64) {
 	s.revision, s.epoch, s.compactedRevision, s.history = revision, epoch, revision, nil
 }
 
-// recordChange notes that a directive changed. Several changes may share a revision.
+// recordChange appends a change to the history. Several changes may have the same revision.
 func (s *store) recordChange(revision uint64, id string) {
 	s.revision = revision
 	s.history = append(s.history, change{revision, id})
@@ -54,8 +54,8 @@
 	}
 }
 
-// compactHistory discards the older half of the history. It does so for many changes at once, as it moves the others; a
-// revision is retained completely or not at all.
+// compactHistory discards the older half of the history: many changes at once, because discarding moves the others. It
+// retains all changes of a revision or none.
 func (s *store) compactHistory() {
 	discarded := len(s.history) - minHistory
 	s.compactedRevision = s.history[discarded-1].revision
@@ -65,12 +65,12 @@
 	s.history = append(s.history[:0], s.history[discarded:]...)
 }
 
-// historyCovers reports whether the history holds all that changed after a revision of an epoch.
+// historyCovers reports whether the history holds all changes after a revision of an epoch.
 func (s *store) historyCovers(after, epoch uint64) bool {
 	return after != 0 && epoch == s.epoch && after >= s.compactedRevision && after <= s.revision
 }
 
-// changedSince are the IDs of the directives that changed after a revision, sorted, each once.
+// changedSince returns the IDs of the directives that changed after a revision, sorted and without duplicates.
 func (s *store) changedSince(after uint64) []string {
 	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].revision > after })
 	var ids []string
@@ -81,9 +81,11 @@
 	return slices.Compact(ids)
 }
 
-// changesSince is what changed after a revision of an epoch: the newest state of each directive, by ID. It is a complete
-// update where the history does not cover that. Remaining gives a directive's remaining time in ms; one that has none
-// left is listed as removed, so that a reader that ignores RemainingMS does not follow it.
+// changesSince returns an update with the directives that changed after a revision of an epoch, in their newest state
+// and ordered by ID. If the history does not cover the changes, or there are too many, the update is complete. The
+// function remaining returns a directive's remaining time in ms. A directive without remaining time is left out of a
+// complete update and listed as removed in an incremental one, so that a reader that ignores RemainingMS does not
+// follow it.
 func (s *store) changesSince(after, epoch uint64, remaining func(*Directive) int64) Update {
 	update := Update{Revision: s.revision, Epoch: s.epoch, Directives: []Directive{}}
 	var ids []string
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -7,24 +7,25 @@
 	"slices"
 )
 
-// Table is the replicated placement. The same operations in the same order give the same table on every replica. It
-// is not safe for concurrent use.
+// Table is the replicated placement. The same operations in the same order give the same table on every replica. A
+// Table is not safe for concurrent use.
 type Table struct {
 	store
-	totalBytes int // of all directives
+	totalBytes int // sum of accountedBytes over all directives
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{store: newStore()} }
 
-// Snapshot is a table as a snapshot of the replicated state holds it. The history is left out: watches that resume
-// after a restore get a complete update.
+// Snapshot is the part of the replicated state's snapshot that holds a table. It does not contain the history: watches
+// that resume after a restore get a complete update.
 type Snapshot struct {
 	Revision   uint64      `json:"rev"`
 	Directives []Directive `json:"entries"`
 }
 
-// Restore makes a table from a snapshot, under the epoch that the replicated state names; nil gives an empty one.
+// Restore returns a table from a snapshot, under the epoch of the replicated state. Without a snapshot (nil) the table is
+// empty.
 func Restore(snapshot *Snapshot, epoch uint64) *Table {
 	t := NewTable()
 	if snapshot == nil {
@@ -39,7 +40,7 @@
 	return t
 }
 
-// Snapshot returns the table for a snapshot, directives by ID.
+// Snapshot returns the table in the form of a snapshot, with the directives ordered by ID.
 func (t *Table) Snapshot() *Snapshot {
 	snapshot := &Snapshot{Revision: t.revision, Directives: make([]Directive, 0, len(t.directives))}
 	for _, id := range slices.Sorted(maps.Keys(t.directives)) {
@@ -48,11 +49,12 @@
 	return snapshot
 }
 
-// StartEpoch has the table go on under another epoch, as after a restore from a backup; index is that of the record.
+// StartEpoch starts another epoch with the directives unchanged, for example after a restore from a backup. Index is the
+// log index of the record that starts the epoch.
 func (t *Table) StartEpoch(index, epoch uint64) { t.startHistory(index, epoch) }
 
-// Apply applies an operation of the log that was written under a lease ("": under none). Index is its place in the log,
-// which only grows; the lease's token has been checked.
+// Apply applies an operation of the log that was written under a lease ("": none), whose fencing token the caller has
+// checked. Index is the operation's log index, which increases with each call.
 func (t *Table) Apply(index uint64, lease string, op *Op) Result {
 	if err := op.Validate(); err != nil {
 		return rejected("%v", err)
@@ -70,7 +72,7 @@
 		t.set(index, op.Set[i])
 	}
 	for _, ref := range op.Expired {
-		// One that was renewed since the leader looked has another revision, and stays.
+		// A directive that was renewed after the leader found it expired has another revision and is retained.
 		if d, ok := t.directives[ref.ID]; ok && d.Revision == ref.Revision && d.ExpiresAtMS <= op.LeaderTimeMS {
 			t.remove(index, ref.ID)
 		}
@@ -78,8 +80,8 @@
 	return Result{Outcome: OutcomeApplied}
 }
 
-// admit decides whether an operation may be applied: whether the lease owns all that it writes, when that expires, and
-// whether the table has capacity for it.
+// admit decides whether an operation may be applied: whether the lease owns all of its directives, whether their expiry
+// is within bounds, and whether the table has capacity for them.
 func (t *Table) admit(lease string, op *Op) Result {
 	count, totalBytes := len(t.directives), t.totalBytes
 	discount := func(id string) {
@@ -126,7 +128,7 @@
 func (t *Table) set(index uint64, d Directive) {
 	existing, exists := t.directives[d.ID]
 	if exists && sameContent(&existing, &d) {
-		return // nothing changes for sidecars
+		return // the directive has the same effect in sidecars
 	}
 	if exists {
 		t.totalBytes -= existing.accountedBytes()
@@ -137,17 +139,17 @@
 	t.recordChange(index, d.ID)
 }
 
-// CompleteUpdate is the complete placement as it is sent at a time (Unix ms): directives by ID, without those that have
-// expired.
+// CompleteUpdate returns the complete placement for sending at a time (Unix ms): directives ordered by ID, without
+// those that have expired.
 func (t *Table) CompleteUpdate(nowMS int64) Update { return t.ChangesSince(0, 0, nowMS) }
 
-// ChangesSince is what changed after a revision of an epoch, as it is sent at a time (Unix ms); it is a complete update
-// where the history does not go back so far.
+// ChangesSince returns the changes after a revision of an epoch, for sending at a time (Unix ms). The update is complete
+// if the history does not go back to that revision.
 func (t *Table) ChangesSince(after, epoch uint64, nowMS int64) Update {
 	return t.changesSince(after, epoch, func(d *Directive) int64 { return d.ExpiresAtMS - nowMS })
 }
 
-// Expired returns the directives that have expired at a time (Unix ms), the earliest first, limit of them at most.
+// Expired returns the directives that have expired at a time (Unix ms), at most limit, ordered by time of expiry.
 func (t *Table) Expired(nowMS int64, limit int) []DirectiveRef {
 	var expired []Directive
 	for _, d := range t.directives {
