--- a/internal/hotkey/topk/heap.go
+++ b/internal/hotkey/topk/heap.go
@@ -1,7 +1,7 @@
 package topk
 
-// counterHeap is a heap.Interface of counters with the least load first. Counters know their index, so that one whose
-// load changes is fixed in place.
+// counterHeap implements heap.Interface, with the counter of the lowest load first. Each counter stores its heap index,
+// so that heap.Fix can move it when its load changes.
 type counterHeap []*counter
 
 func (h counterHeap) Len() int { return len(h) }
--- a/internal/hotkey/topk/sketch.go
+++ b/internal/hotkey/topk/sketch.go
@@ -1,10 +1,11 @@
-// Package topk measures the load of the hottest keys in bounded memory. A key's load is an exponentially decaying average
-// of requests a second times the work of a request, in ms of work a second. A Sketch is that of one sidecar, by
-// space-saving (Metwally et al., 2005) on weights with forward decay; Merge adds up those of many (Agarwal et al., 2012).
-// Each load carries by how much it may be too high: the true load lies within [Load - Error, Load].
+// Package topk estimates the load of the hottest keys in bounded memory. A key's load is an exponentially decaying
+// average of its requests per second times the work of a request in ms; the unit is ms of work per second. A Sketch
+// measures the loads at one sidecar, with the space-saving algorithm (Metwally et al., 2005) on weights with forward
+// decay. Merge combines the snapshots of many sketches (Agarwal et al., 2012). Each load has an error bound: the true
+// load is between Load - Error and Load.
 //
-// The package is pure: no clock, no randomness. Times are inputs, in seconds. It knows nothing of the form in which
-// sidecars report loads.
+// The package is deterministic: it uses no clock and no randomness. Times are parameters, in seconds. The package does
+// not depend on the format in which sidecars report loads.
 package topk
 
 import (
@@ -14,48 +15,48 @@
 	"slices"
 )
 
-// KeyLoad is a key's load in ms of work a second: at most Load, and at least Load - Error.
+// KeyLoad is the estimate of a key's load in ms of work per second. The true load is between Load - Error and Load.
 type KeyLoad struct {
 	Key         uint64
 	Load, Error float64
 }
 
-// LowerBound is the least that the true load can be, at least 0.
+// LowerBound returns the lower bound of the true load, at least 0.
 func (k KeyLoad) LowerBound() float64 { return math.Max(k.Load-k.Error, 0) }
 
-// Snapshot is what a Sketch, or the merge of several, shows at a time.
+// Snapshot contains the loads of a Sketch at a time, or the merged loads of several sketches.
 type Snapshot struct {
 	Keys          []KeyLoad // the hottest keys, the highest Load first
-	UnlistedBound float64   // a key that is not among Keys has at most this load
-	Total         float64   // load of all keys together
+	UnlistedBound float64   // upper bound of the load of a key that is not among Keys
+	Total         float64   // sum of the loads of all keys
 }
 
-// Sketch counts the requests of one sidecar by key. It is not safe for concurrent use.
+// Sketch measures the load of the keys in the requests of one sidecar. It is not safe for concurrent use.
 type Sketch struct {
-	capacity  int     // keys that are counted at a time
-	decayRate float64 // 1/s: a decayed sum of work times this is a load
+	capacity  int     // maximum number of counters
+	decayRate float64 // 1/s; converts a decayed sum of work into a load
 	halfLife  float64 // s
-	reference float64 // time at which a weight is 1
-	latest    float64 // latest time known
-	total     float64 // weighted work of all keys
+	reference float64 // time at which the weight is 1
+	latest    float64 // the latest time of any call
+	total     float64 // sum of the weighted work of all keys
 	counters  counterHeap
 	byKey     map[uint64]*counter
 }
 
-// counter counts the work of one key.
+// counter adds up the work of one key.
 type counter struct {
 	key       uint64
 	load      float64 // weighted work
-	overcount float64 // part of load that may be other keys'
+	overcount float64 // part of load that may belong to previous keys of the counter
 	heapIndex int
 }
 
-// maxHalfLives is the number of half-lives after which all weights are scaled down again. Sums of work that are 2^64
-// times as large still fit a float64.
+// maxHalfLives is the number of half-lives after which all sums are scaled down and the weight restarts at 1. Until then
+// the weight is at most 2^64, and sums of work that are 2^64 times as large still fit a float64.
 const maxHalfLives = 64
 
-// New returns a Sketch that counts at most capacity keys at a time, at least 1, and forgets half of what it has counted
-// within halfLife seconds, above 0.
+// New returns a Sketch with counters for at most capacity keys, at least 1. The weight of past work halves every halfLife
+// seconds, which must be above 0.
 func New(capacity int, halfLife float64) *Sketch {
 	return &Sketch{
 		capacity:  max(capacity, 1),
@@ -65,8 +66,8 @@
 	}
 }
 
-// Add counts a request for a key with its work in ms. Work that is not a positive number is ignored. A time before the
-// latest one counts as the latest.
+// Add adds the work of a request, in ms, to its key. Work that is not positive or not finite is ignored. If now is before
+// the time of an earlier call, that time is used instead.
 func (s *Sketch) Add(now float64, key uint64, work float64) {
 	if !(work > 0) || math.IsInf(work, 1) {
 		return
@@ -84,7 +85,7 @@
 		heap.Push(&s.counters, c)
 		return
 	}
-	// The least counter is given to the new key, which may have had as much before.
+	// The counter with the lowest load is reassigned to the new key, whose earlier work is at most that load.
 	c := s.counters[0]
 	delete(s.byKey, c.key)
 	c.key, c.overcount, c.load = key, c.load, c.load+weighted
@@ -92,7 +93,8 @@
 	heap.Fix(&s.counters, 0)
 }
 
-// weight is the factor of what is counted now. It grows by 2 each half-life, in place of the decay of all counters.
+// weight returns the weight of work at a time. The weight doubles with each half-life, which replaces the decay of the
+// past work in all counters.
 func (s *Sketch) weight(now float64) float64 {
 	now = math.Max(now, s.latest)
 	s.latest = now
@@ -104,7 +106,7 @@
 	return math.Exp2(halfLives)
 }
 
-// scale multiplies all that was counted by a factor.
+// scale multiplies all sums of work by a factor.
 func (s *Sketch) scale(factor float64) {
 	for _, c := range s.counters {
 		c.load *= factor
@@ -113,7 +115,7 @@
 	s.total *= factor
 }
 
-// Top returns the n hottest keys at a time, and bounds for the others.
+// Top returns the loads of the n hottest keys at a time, and the bound for the other keys.
 func (s *Sketch) Top(now float64, n int) Snapshot {
 	scale := s.decayRate / s.weight(now)
 	snapshot := Snapshot{Total: s.total * scale}
@@ -127,7 +129,7 @@
 	return snapshot
 }
 
-// truncate sorts the keys and retains the n hottest.
+// truncate sorts the keys by load, retains the n hottest and adapts the bound for the others.
 func (s *Snapshot) truncate(n int) {
 	slices.SortFunc(s.Keys, func(a, b KeyLoad) int {
 		return cmp.Or(cmp.Compare(b.Load, a.Load), cmp.Compare(a.Key, b.Key))
@@ -138,8 +140,8 @@
 	}
 }
 
-// Merge adds up snapshots of different sidecars, or their sums, and retains the limit hottest keys. Its bounds hold where
-// those of the snapshots do, in whatever order and grouping they are merged.
+// Merge adds up snapshots of different sidecars, or results of Merge for disjoint sets of sidecars, and retains the limit
+// hottest keys. If the bounds of the snapshots hold, those of the result hold, in any order and grouping.
 func Merge(limit int, snapshots ...Snapshot) Snapshot {
 	var merged Snapshot
 	unlistedTotal := 0.0
@@ -152,7 +154,7 @@
 		unlistedBound := snapshots[i].UnlistedBound
 		for _, load := range snapshots[i].Keys {
 			position, ok := positions[load.Key]
-			if !ok { // each snapshot that doesn't list the key counts with its bound
+			if !ok { // a snapshot that does not list the key contributes its UnlistedBound
 				position = len(merged.Keys)
 				positions[load.Key] = position
 				merged.Keys = append(merged.Keys, KeyLoad{load.Key, unlistedTotal, unlistedTotal})
--- a/internal/loadreport/collector.go
+++ b/internal/loadreport/collector.go
@@ -1,8 +1,8 @@
-// Package loadreport collects the load reports of a fleet's sidecars for the controllers that decide by them.
+// Package loadreport collects the load reports of a fleet's sidecars for the controllers whose decisions depend on them.
 //
-// It owns the newest report of each sidecar, in memory and within bounds, for as long as the sidecar reports. Reports are
-// soft state: nothing of them is stored, and a lost one is superseded by the next. Package agent forwards them here;
-// package placement defines them.
+// A Collector holds the newest report of each sidecar in memory, within bounds, as long as the sidecar sends reports.
+// Reports are soft state: they are not stored, and the next report supersedes a lost one. Package placement defines the
+// reports, and package agent forwards them to collectors.
 package loadreport
 
 import (
@@ -18,44 +18,44 @@
 
 const (
 	defaultMaxSidecars = 10_000          // five times the largest fleet
-	defaultRetention   = 5 * time.Second // five reports that did not arrive
+	defaultRetention   = 5 * time.Second // five report intervals of a sidecar
 
 	pruneInterval = time.Second
 )
 
-// Options bound what a collector retains.
+// Options configures a collector: its bounds and its clock.
 type Options struct {
-	MaxSidecars int                  // 0: 10,000
-	Retention   time.Duration        // a sidecar that has not reported for so long is dropped; 0: 5 s
-	Now         func() time.Duration // a monotonic clock; nil: the machine's, since New
+	MaxSidecars int                  // maximum number of sidecars with a report; 0: 10,000
+	Retention   time.Duration        // a report is dropped after this time without a newer one; 0: 5 s
+	Now         func() time.Duration // a monotonic clock; nil: the time since New
 }
 
-// Collector retains the newest report of each sidecar. At first it accepts none: see SetAccepting. It is safe for
-// concurrent use, and its ServeHTTP receives reports.
+// Collector retains the newest report of each sidecar. ServeHTTP receives reports; a new collector rejects them until
+// SetAccepting. A Collector is safe for concurrent use.
 type Collector struct {
 	opts Options
 
 	mu        sync.Mutex
 	accepting bool
-	newest    map[string]ReceivedReport // by the sidecar's name
+	newest    map[string]ReceivedReport // by sidecar name
 	lastPrune time.Duration
 	counts    Counts
 }
 
-// ReceivedReport is a report and when it was received, by the collector's clock. The time tells a new report from one
-// that was read before: its counts are of its own interval and must be added up once. Its slices and maps are shared and
-// must not be changed.
+// ReceivedReport is a report with the time of its receipt by the collector's clock. A report's counts cover one interval
+// and must be added up once only: a reader recognizes a report that it has read before by ReceivedAt. The slices and
+// maps are shared and must not be changed.
 type ReceivedReport struct {
 	placement.LoadReport
 	ReceivedAt time.Duration
 }
 
-// Counts are since the start.
+// Counts contains the collector's counters since its start.
 type Counts struct {
-	Accepted     uint64 `json:"taken"`   // reports
-	Rejected     uint64 `json:"refused"` // invalid reports, and batches that could not be read
-	OverCapacity uint64 `json:"full"`    // reports of new sidecars beyond MaxSidecars
-	Expired      uint64 `json:"silent"`  // sidecars that were dropped after Retention
+	Accepted     uint64 `json:"taken"`   // accepted reports
+	Rejected     uint64 `json:"refused"` // invalid reports and unreadable batches
+	OverCapacity uint64 `json:"full"`    // reports of new sidecars, rejected because of MaxSidecars
+	Expired      uint64 `json:"silent"`  // sidecars dropped after Retention
 }
 
 // New returns a collector that accepts no reports yet.
@@ -69,8 +69,8 @@
 	return &Collector{opts: opts, newest: map[string]ReceivedReport{}}
 }
 
-// SetAccepting has the collector accept reports, or none. A controller accepts them while it holds its lease. When it
-// stops, all reports are dropped.
+// SetAccepting sets whether the collector accepts reports. A controller accepts reports while it holds its lease. A
+// collector that stops accepting reports drops the ones that it has.
 func (c *Collector) SetAccepting(accepting bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +82,8 @@
 
 var errTooManySidecars = errors.New("there are too many sidecars")
 
-// Add validates a report and retains it as the newest of its sidecar. The caller must not change it afterwards.
+// Add validates a report and retains it as the newest report of its sidecar. The caller must not change the report
+// afterwards.
 func (c *Collector) Add(report *placement.LoadReport) error {
 	err := report.Validate()
 	c.mu.Lock()
@@ -104,8 +105,8 @@
 	return nil
 }
 
-// addBatch adds all reports of a batch. It reports whether any was of a sidecar too many, and returns an error that joins
-// those of the invalid reports, each with the report's index.
+// addBatch adds all reports of a batch. OverCapacity is true if any report was rejected because of MaxSidecars. The error
+// invalid joins the errors of the invalid reports, each with the report's index.
 func (c *Collector) addBatch(reports []placement.LoadReport) (overCapacity bool, invalid error) {
 	for i := range reports {
 		switch err := c.Add(&reports[i]); {
@@ -118,10 +119,10 @@
 	return overCapacity, invalid
 }
 
-// prune drops sidecars that have stopped reporting. The caller holds the lock.
+// prune drops the reports that are older than Retention. The caller holds the lock.
 func (c *Collector) prune(now time.Duration) {
 	if now == c.lastPrune {
-		return // nothing can have expired since
+		return // no time has passed since the last call, so no report has expired
 	}
 	c.lastPrune = now
 	for name, report := range c.newest {
@@ -132,7 +133,8 @@
 	}
 }
 
-// Snapshot returns the newest report of each sidecar that reports, by name, and the time that it is of.
+// Snapshot returns the newest report of each sidecar, ordered by sidecar name, and the time of the snapshot by the
+// collector's clock.
 func (c *Collector) Snapshot() ([]ReceivedReport, time.Duration) {
 	reports, now := c.unsortedSnapshot()
 	slices.SortFunc(reports, func(a, b ReceivedReport) int { return cmp.Compare(a.Sidecar, b.Sidecar) })
@@ -151,7 +153,7 @@
 	return reports, now
 }
 
-// Counts returns the counts so far.
+// Counts returns the current counters.
 func (c *Collector) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/loadreport/decode_report.go
+++ b/internal/loadreport/decode_report.go
@@ -8,12 +8,12 @@
 	"milldeck/internal/placement"
 )
 
-// buffer holds the body of a request while it is read.
+// buffer holds the body of a request until it is decoded.
 type buffer struct{ bytes.Buffer }
 
 var bufferPool = sync.Pool{New: func() any { return new(buffer) }}
 
-// The usual lengths of arrays: what is allocated at first.
+// Typical lengths of arrays, which the decoder allocates initially.
 const (
 	typicalReports    = 1
 	typicalDirectives = 1
@@ -21,7 +21,7 @@
 	typicalBuckets    = 33 // a complete latency histogram
 )
 
-// The fields of a batch, a report, a key's load and a class's counts, each numbered within its object.
+// IDs of the fields of a batch, a report, a key load and a class count, numbered within each object.
 const fieldReports fieldID = 0
 
 const (
@@ -55,8 +55,8 @@
 	fieldLatencyHistogram
 )
 
-// decodeBatch reads a batch of reports. encoding/json alone takes a third of a core for what 2,000 sidecars report in a
-// second, so that the form that its encoder writes is decoded here, and whatever differs from it is left to encoding/json.
+// decodeBatch decodes a batch of reports. For the reports that 2,000 sidecars send in a second, encoding/json alone takes
+// a third of a core. So decodeFast decodes the usual form of a batch, and encoding/json all other forms.
 func decodeBatch(data []byte) ([]placement.LoadReport, error) {
 	if reports, ok := decodeFast(data); ok {
 		return reports, nil
@@ -68,8 +68,9 @@
 	return batch.Reports, err
 }
 
-// decodeFast reads a batch of known fields, each at most once, with ASCII strings without escapes and numbers in their
-// usual form. False means that there is something else, which may be valid or not.
+// decodeFast decodes a batch in the form that encoding/json writes: known fields, each at most once, ASCII strings without
+// escapes, and integers without fraction or exponent. It returns false for any other input, which may be valid or
+// invalid.
 func decodeFast(data []byte) (reports []placement.LoadReport, ok bool) {
 	s := &scanner{remaining: data}
 	ok = s.readObject(func(name []byte) (fieldID, bool) {
--- a/internal/loadreport/http.go
+++ b/internal/loadreport/http.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// MaxBodyBytes bounds one batch: 128 of the largest reports, thousands of typical ones.
+// MaxBodyBytes limits the size of a batch: 128 reports of the largest size, or thousands of typical ones.
 const MaxBodyBytes = 4 << 20
 
 const bodyReadTimeout = 5 * time.Second
 
-// ServeHTTP receives a batch of reports, {"reports":[...]}. It answers 204 if all are accepted; 400 if any is invalid, and
-// the others are accepted; 503 while the collector does not accept reports, or if there are too many sidecars.
+// ServeHTTP receives a batch of reports, {"reports":[...]}. It accepts the valid reports of the batch and responds with
+// status 204 if it accepted all reports, 503 if the collector has too many sidecars for one of them, and 400 if one is
+// invalid. While the collector does not accept reports, the status is 503.
 func (c *Collector) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	if request.Method != http.MethodPost {
 		w.Header().Set("Allow", http.MethodPost)
@@ -60,7 +61,7 @@
 	return c.accepting
 }
 
-// reject answers and counts a batch that cannot be read.
+// reject responds with status 400 to a batch that cannot be read or decoded, and counts the batch.
 func (c *Collector) reject(w http.ResponseWriter, err error) {
 	c.mu.Lock()
 	c.counts.Rejected++
--- a/internal/loadreport/json_scanner.go
+++ b/internal/loadreport/json_scanner.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// scanner reads JSON of the form that encoding/json writes. Each of its read methods reports whether what it has read is
-// of that form; after a false the scanner must not be used any more.
+// scanner reads JSON in the form that encoding/json writes. Each read method returns whether the input has that form. If
+// a method returns false, the scanner must not be used any more.
 type scanner struct{ remaining []byte }
 
-// fieldID numbers the fields of one kind of object, below 32.
+// fieldID identifies a field within one kind of object. It is less than 32: readObject uses it as a bit of a uint32.
 type fieldID uint
 
-// maxDigits is how many digits of an unsigned number cannot overflow a uint64.
+// maxDigits is the largest number of decimal digits for which each number fits a uint64.
 const maxDigits = 19
 
-// peek skips white space and returns the next byte, 0 at the end.
+// peek skips white space and returns the next byte without consuming it, or 0 at the end of the input.
 func (s *scanner) peek() byte {
 	for len(s.remaining) > 0 {
 		switch c := s.remaining[0]; c {
@@ -29,10 +29,10 @@
 	return 0
 }
 
-// atEnd reports whether only white space is left.
+// atEnd reports whether only white space remains.
 func (s *scanner) atEnd() bool { return s.peek() == 0 && len(s.remaining) == 0 }
 
-// consume skips a byte if it is the next one.
+// consume skips white space and a given byte. It returns false if the next byte is another one.
 func (s *scanner) consume(c byte) bool {
 	if s.peek() != c {
 		return false
@@ -41,7 +41,7 @@
 	return true
 }
 
-// readMembers reads an object. It calls readValue after each name, to read the value.
+// readMembers reads an object. It calls readValue with the name of each member to read the member's value.
 func (s *scanner) readMembers(readValue func(name []byte) bool) bool {
 	if !s.consume('{') {
 		return false
@@ -63,8 +63,8 @@
 	}
 }
 
-// readObject reads an object whose fields occur at most once. It calls readField after each name, to read the value of a
-// field; false means that the field is unknown or its value of another form.
+// readObject reads an object in which each field occurs at most once. It calls readField with the name of each field to
+// read the field's value. ReadField returns false if the field is unknown or its value has another form.
 func (s *scanner) readObject(readField func(name []byte) (fieldID, bool)) bool {
 	present := uint32(0)
 	return s.readMembers(func(name []byte) bool {
@@ -77,7 +77,7 @@
 	})
 }
 
-// readIntMap reads an object with numbers into a map.
+// readIntMap reads an object of integers into a map.
 func (s *scanner) readIntMap(values map[string]int) bool {
 	return s.readMembers(func(name []byte) bool {
 		n := 0
@@ -87,7 +87,7 @@
 	})
 }
 
-// readArray reads an array. The capacity is what is allocated at first.
+// readArray reads an array into a slice with the given initial capacity.
 func readArray[T any](s *scanner, capacity int, values *[]T, readValue func(*T) bool) bool {
 	if !s.consume('[') {
 		return false
@@ -112,7 +112,7 @@
 	}
 }
 
-// readASCII reads a string of ASCII without escapes. The result is a part of the input.
+// readASCII reads an ASCII string without escapes. The result shares the memory of the input.
 func (s *scanner) readASCII() ([]byte, bool) {
 	if !s.consume('"') {
 		return nil, false
@@ -136,7 +136,7 @@
 	return ok
 }
 
-// skipDigits skips digits and returns how many there were.
+// skipDigits skips digits and returns their number.
 func (s *scanner) skipDigits() int {
 	count := 0
 	for count < len(s.remaining) && s.remaining[count] >= '0' && s.remaining[count] <= '9' {
@@ -146,19 +146,20 @@
 	return count
 }
 
-// skipInteger skips the digits of an integer without a leading zero, and returns how many there were.
+// skipInteger skips the digits of an integer and returns their number. It returns false without digits or with a
+// leading zero.
 func (s *scanner) skipInteger() (digits int, ok bool) {
 	start := s.remaining
 	digits = s.skipDigits()
 	return digits, digits == 1 || digits > 1 && start[0] != '0'
 }
 
-// nextIsAny reports whether the next byte, white space included, is one of a set.
+// nextIsAny reports whether the next byte is one of a set. It does not skip white space.
 func (s *scanner) nextIsAny(set string) bool {
 	return len(s.remaining) > 0 && strings.IndexByte(set, s.remaining[0]) >= 0
 }
 
-// readUnsigned reads an unsigned integer of at most maxDigits digits.
+// readUnsigned reads an unsigned integer of at most maxDigits digits. It returns false for a number above the limit.
 func (s *scanner) readUnsigned(limit uint64) (n uint64, ok bool) {
 	s.peek()
 	start := s.remaining
@@ -183,14 +184,14 @@
 	return ok
 }
 
-// readInt reads an integer that is not negative and fits any size of int.
+// readInt reads a non-negative integer. It accepts only values that fit a 32-bit int.
 func (s *scanner) readInt(out *int) bool {
 	n, ok := s.readUnsigned(math.MaxInt32)
 	*out = int(n)
 	return ok
 }
 
-// readFloat reads a number by JSON's grammar.
+// readFloat reads a number according to the JSON grammar.
 func (s *scanner) readFloat(out *float64) bool {
 	s.peek()
 	start := s.remaining
@@ -205,7 +206,7 @@
 	return err == nil
 }
 
-// skipFraction skips a fraction, if there is one, and reports whether it is complete.
+// skipFraction skips a fraction, if present. It returns false if the fraction has no digits.
 func (s *scanner) skipFraction() bool {
 	if !s.nextIsAny(".") {
 		return true
@@ -214,7 +215,7 @@
 	return s.skipDigits() > 0
 }
 
-// skipExponent skips an exponent, if there is one, and reports whether it is complete.
+// skipExponent skips an exponent, if present. It returns false if the exponent has no digits.
 func (s *scanner) skipExponent() bool {
 	if !s.nextIsAny("eE") {
 		return true
