--- a/internal/hotkey/topk/heap.go
+++ b/internal/hotkey/topk/heap.go
@@ -7,7 +7,7 @@
 func (h counterHeap) Len() int { return len(h) }
 
 func (h counterHeap) Less(i, j int) bool {
-	return h[i].load < h[j].load || h[i].load == h[j].load && h[i].key < h[j].key
+	return h[i].weightedWork < h[j].weightedWork || h[i].weightedWork == h[j].weightedWork && h[i].key < h[j].key
 }
 
 func (h counterHeap) Swap(i, j int) {
--- a/internal/hotkey/topk/sketch.go
+++ b/internal/hotkey/topk/sketch.go
@@ -33,22 +33,22 @@
 
 // Sketch measures the load of the keys in the requests of one sidecar. It is not safe for concurrent use.
 type Sketch struct {
-	capacity  int     // maximum number of counters
-	decayRate float64 // 1/s; converts a decayed sum of work into a load
-	halfLife  float64 // s
-	reference float64 // time at which the weight is 1
-	latest    float64 // the latest time of any call
-	total     float64 // sum of the weighted work of all keys
-	counters  counterHeap
-	byKey     map[uint64]*counter
+	capacity          int     // maximum number of counters
+	decayRate         float64 // 1/s; converts a decayed sum of work into a load
+	halfLife          float64 // s
+	referenceTime     float64 // time at which the weight is 1
+	latestTime        float64 // the latest time of any call
+	totalWeightedWork float64 // sum of the weighted work of all keys
+	counters          counterHeap
+	byKey             map[uint64]*counter
 }
 
 // counter adds up the work of one key.
 type counter struct {
-	key       uint64
-	load      float64 // weighted work
-	overcount float64 // part of load that may belong to previous keys of the counter
-	heapIndex int
+	key          uint64
+	weightedWork float64
+	overcount    float64 // part of weightedWork that may belong to previous keys of the counter
+	heapIndex    int
 }
 
 // maxHalfLives is the number of half-lives after which all sums are scaled down and the weight restarts at 1. Until then
@@ -73,14 +73,14 @@
 		return
 	}
 	weighted := work * s.weight(now)
-	s.total += weighted
+	s.totalWeightedWork += weighted
 	if c := s.byKey[key]; c != nil {
-		c.load += weighted
+		c.weightedWork += weighted
 		heap.Fix(&s.counters, c.heapIndex)
 		return
 	}
 	if len(s.counters) < s.capacity {
-		c := &counter{key: key, load: weighted}
+		c := &counter{key: key, weightedWork: weighted}
 		s.byKey[key] = c
 		heap.Push(&s.counters, c)
 		return
@@ -88,7 +88,7 @@
 	// The counter with the lowest load is reassigned to the new key, whose earlier work is at most that load.
 	c := s.counters[0]
 	delete(s.byKey, c.key)
-	c.key, c.overcount, c.load = key, c.load, c.load+weighted
+	c.key, c.overcount, c.weightedWork = key, c.weightedWork, c.weightedWork+weighted
 	s.byKey[key] = c
 	heap.Fix(&s.counters, 0)
 }
@@ -96,12 +96,12 @@
 // weight returns the weight of work at a time. The weight doubles with each half-life, which replaces the decay of the
 // past work in all counters.
 func (s *Sketch) weight(now float64) float64 {
-	now = math.Max(now, s.latest)
-	s.latest = now
-	halfLives := (now - s.reference) / s.halfLife
+	now = math.Max(now, s.latestTime)
+	s.latestTime = now
+	halfLives := (now - s.referenceTime) / s.halfLife
 	if halfLives > maxHalfLives {
 		s.scale(math.Exp2(-halfLives))
-		s.reference, halfLives = now, 0
+		s.referenceTime, halfLives = now, 0
 	}
 	return math.Exp2(halfLives)
 }
@@ -109,21 +109,21 @@
 // scale multiplies all sums of work by a factor.
 func (s *Sketch) scale(factor float64) {
 	for _, c := range s.counters {
-		c.load *= factor
+		c.weightedWork *= factor
 		c.overcount *= factor
 	}
-	s.total *= factor
+	s.totalWeightedWork *= factor
 }
 
 // Top returns the loads of the n hottest keys at a time, and the bound for the other keys.
 func (s *Sketch) Top(now float64, n int) Snapshot {
-	scale := s.decayRate / s.weight(now)
-	snapshot := Snapshot{Total: s.total * scale}
+	loadPerWeightedWork := s.decayRate / s.weight(now)
+	snapshot := Snapshot{Total: s.totalWeightedWork * loadPerWeightedWork}
 	if len(s.counters) == s.capacity {
-		snapshot.UnlistedBound = s.counters[0].load * scale
+		snapshot.UnlistedBound = s.counters[0].weightedWork * loadPerWeightedWork
 	}
 	for _, c := range s.counters {
-		snapshot.Keys = append(snapshot.Keys, KeyLoad{c.key, c.load * scale, c.overcount * scale})
+		snapshot.Keys = append(snapshot.Keys, KeyLoad{c.key, c.weightedWork * loadPerWeightedWork, c.overcount * loadPerWeightedWork})
 	}
 	snapshot.truncate(n)
 	return snapshot
--- a/internal/hotkey/topk/sketch_test.go
+++ b/internal/hotkey/topk/sketch_test.go
@@ -51,8 +51,8 @@
 	return true
 }
 
-// playRequests adds drawn requests to a Sketch and to exact counts, and returns both as loads.
-func playRequests(t *rapid.T, name string, now float64) (Snapshot, map[uint64]float64) {
+// addDrawnRequests adds drawn requests to a Sketch and to exact counts, and returns the loads that both result in.
+func addDrawnRequests(t *rapid.T, name string, now float64) (Snapshot, map[uint64]float64) {
 	halfLife := 2.0
 	sketch := New(rapid.IntRange(1, 8).Draw(t, name+" size"), halfLife)
 	exact := &exactCounts{halfLife: halfLife, byKey: map[uint64]float64{}}
@@ -72,7 +72,7 @@
 
 func TestBoundsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		snapshot, exact := playRequests(t, "one", 5000)
+		snapshot, exact := addDrawnRequests(t, "one", 5000)
 		if !boundsHold(snapshot, exact) {
 			t.Fatalf("%+v does not hold for %v", snapshot, exact)
 		}
@@ -85,7 +85,7 @@
 		sum := map[uint64]float64{}
 		var snapshots []Snapshot
 		for range rapid.IntRange(1, 5).Draw(t, "sidecars") {
-			snapshot, exact := playRequests(t, "part", 5000)
+			snapshot, exact := addDrawnRequests(t, "part", 5000)
 			snapshots = append(snapshots, snapshot)
 			for key, load := range exact {
 				sum[key] += load
--- a/internal/loadreport/collector_test.go
+++ b/internal/loadreport/collector_test.go
@@ -105,7 +105,7 @@
 			t.Fatalf("%s\n%+v, want\n%+v", data, got, want.Reports)
 		}
 	}
-	for turn := 0; turn < 20 && decoded == 0; turn++ { // few of the changed inputs are decoded directly
+	for round := 0; round < 20 && decoded == 0; round++ { // few of the changed inputs are decoded directly
 		rapid.Check(t, check)
 	}
 	if decoded == 0 {
--- a/internal/loadreport/decode_report.go
+++ b/internal/loadreport/decode_report.go
@@ -15,10 +15,10 @@
 
 // Typical lengths of arrays, which the decoder allocates initially.
 const (
-	typicalReports    = 1
-	typicalDirectives = 1
-	typicalCounts     = 16 // classes × zones
-	typicalBuckets    = 33 // a complete latency histogram
+	typicalReports     = 1
+	typicalDirectives  = 1
+	typicalClassCounts = 16 // classes × zones
+	typicalBuckets     = 33 // a complete latency histogram
 )
 
 // IDs of the fields of a batch, a report, a key load and a class count, numbered within each object.
@@ -104,7 +104,7 @@
 		case "heat_all":
 			return fieldTotalKeyLoad, s.readFloat(&r.TotalKeyLoad)
 		case "counts":
-			return fieldClassCounts, readArray(s, typicalCounts, &r.ClassCounts, s.readCount)
+			return fieldClassCounts, readArray(s, typicalClassCounts, &r.ClassCounts, s.readClassCount)
 		case "version":
 			return fieldVersion, s.readString(&r.Version)
 		}
@@ -126,7 +126,7 @@
 	})
 }
 
-func (s *scanner) readCount(c *placement.ClassCount) bool {
+func (s *scanner) readClassCount(c *placement.ClassCount) bool {
 	return s.readObject(func(name []byte) (fieldID, bool) {
 		switch string(name) {
 		case "class":
--- a/internal/loadreport/fixtures_test.go
+++ b/internal/loadreport/fixtures_test.go
@@ -30,8 +30,8 @@
 func TestBatchFormat(t *testing.T) {
 	goldentest.Compare(t, "batch.json", fixtureBatch(t))
 	golden := goldentest.Read(t, "batch.json")
-	reports, plain := decodeFast(golden)
-	if !plain {
+	reports, ok := decodeFast(golden)
+	if !ok {
 		t.Fatal("the batch is not decoded directly")
 	}
 	goldentest.Compare(t, "batch.json", encodeBatch(t, reports...))
--- a/internal/loadreport/json_scanner.go
+++ b/internal/loadreport/json_scanner.go
@@ -66,13 +66,13 @@
 // readObject reads an object in which each field occurs at most once. It calls readField with the name of each field to
 // read the field's value. ReadField returns false if the field is unknown or its value has another form.
 func (s *scanner) readObject(readField func(name []byte) (fieldID, bool)) bool {
-	present := uint32(0)
+	presentFields := uint32(0)
 	return s.readMembers(func(name []byte) bool {
 		field, ok := readField(name)
-		if !ok || present&(1<<field) != 0 {
+		if !ok || presentFields&(1<<field) != 0 {
 			return false
 		}
-		present |= 1 << field
+		presentFields |= 1 << field
 		return true
 	})
 }
--- a/internal/placement/cache.go
+++ b/internal/placement/cache.go
@@ -52,7 +52,7 @@
 	}
 	c.expire(wallMS, monotonicMS) // a directive that has expired stays expired, even if this update states remaining time
 	if !sameEpoch {
-		c.startHistory(update.Revision, update.Epoch)
+		c.resetHistory(update.Revision, update.Epoch)
 	}
 	c.synced = true
 	for _, id := range c.removedBy(update) {
@@ -96,16 +96,17 @@
 // set stores a directive. If the cache has the same revision of the directive, set can shorten its time until expiry
 // but not extend it.
 func (c *Cache) set(revision uint64, d Directive, monotonicMS int64) {
-	next := expiry{monotonicMS: monotonicMS + min(max(d.RemainingMS, 0), MaxLifetimeMS), expired: d.RemainingMS <= 0}
+	newExpiry := expiry{monotonicMS: monotonicMS + min(max(d.RemainingMS, 0), MaxLifetimeMS), expired: d.RemainingMS <= 0}
 	previous, exists := c.directives[d.ID]
 	if exists && previous.Revision == d.Revision && previous.ExpiresAtMS == d.ExpiresAtMS {
-		known := c.expiries[d.ID]
-		next.monotonicMS, next.expired = min(next.monotonicMS, known.monotonicMS), next.expired || known.expired
+		previousExpiry := c.expiries[d.ID]
+		newExpiry.monotonicMS, newExpiry.expired = min(newExpiry.monotonicMS, previousExpiry.monotonicMS),
+			newExpiry.expired || previousExpiry.expired
 	} else {
 		c.recordChange(revision, d.ID)
 	}
 	d.RemainingMS = 0
-	c.directives[d.ID], c.expiries[d.ID] = d, next
+	c.directives[d.ID], c.expiries[d.ID] = d, newExpiry
 }
 
 // validate returns an error if the cache cannot hold the directives of an update.
@@ -157,7 +158,7 @@
 // back to that revision.
 func (c *Cache) ChangesSince(after, epoch uint64, wallMS, monotonicMS int64) Update {
 	c.expire(wallMS, monotonicMS)
-	return c.changesSince(after, epoch, func(d *Directive) int64 {
+	return c.updateSince(after, epoch, func(d *Directive) int64 {
 		entry := c.expiries[d.ID]
 		if entry.expired {
 			return 0
--- a/internal/placement/cache_test.go
+++ b/internal/placement/cache_test.go
@@ -207,7 +207,7 @@
 		t.Error("an agent that does not recompute RemainingMS is not detected")
 	}
 	useWallClockOnly := func(agent *Cache, _ *Update, after, epoch uint64, wallMS, _ int64) Update {
-		return agent.changesSince(after, epoch, func(directive *Directive) int64 { return directive.ExpiresAtMS - wallMS })
+		return agent.updateSince(after, epoch, func(directive *Directive) int64 { return directive.ExpiresAtMS - wallMS })
 	}
 	if failures := countFailures(useWallClockOnly); failures == 0 {
 		t.Error("an agent that goes by its wall clock alone is not detected")
--- a/internal/placement/directive.go
+++ b/internal/placement/directive.go
@@ -88,19 +88,19 @@
 // encoding. The size does not depend on the encoder, so that replicas of different versions compute the same.
 func (d *Directive) accountedBytes() int {
 	const directiveBytes, serverBytes, copyBytes = 192, 3, 48 // field names, numbers and quotes
-	total := directiveBytes + escapedLength(d.ID) + escapedLength(string(d.Kind)) + escapedLength(d.Tenant) +
-		escapedLength(d.KeyHash) + escapedLength(d.Cohort)
+	total := directiveBytes + maxEscapedLength(d.ID) + maxEscapedLength(string(d.Kind)) + maxEscapedLength(d.Tenant) +
+		maxEscapedLength(d.KeyHash) + maxEscapedLength(d.Cohort)
 	for _, uid := range d.Servers {
-		total += serverBytes + escapedLength(uid)
+		total += serverBytes + maxEscapedLength(uid)
 	}
 	for _, keyCopy := range d.Copies {
-		total += copyBytes + escapedLength(keyCopy.ServerUID)
+		total += copyBytes + maxEscapedLength(keyCopy.ServerUID)
 	}
 	return total
 }
 
-// escapedLength returns an upper bound of a text's length in JSON, in which one byte takes up to six (\u003c).
-func escapedLength(s string) int {
+// maxEscapedLength returns an upper bound of a text's length in JSON, in which one byte takes up to six (\u003c).
+func maxEscapedLength(s string) int {
 	const extraBytes = 5
 	length := len(s)
 	for i := range len(s) {
@@ -121,7 +121,7 @@
 // Validate checks a directive. The error is a *validation.Error. A replica rejects an invalid directive before it appends
 // the operation to the log.
 func (d *Directive) Validate() error {
-	return validation.First(d.validateBounds(), d.validateIdentity(), d.validateContent(), d.validateUnique())
+	return validation.First(d.validateBounds(), d.validateIDAndKind(), d.validateContent(), d.validateUnique())
 }
 
 // validateBounds checks the sizes of a directive, independently of its kind: a consumer accepts kinds that only later
@@ -151,8 +151,8 @@
 	return nil
 }
 
-// validateIdentity checks that a directive's ID is well-formed and matches the directive's kind.
-func (d *Directive) validateIdentity() error {
+// validateIDAndKind checks that a directive's ID is well-formed and matches the directive's kind.
+func (d *Directive) validateIDAndKind() error {
 	prefix, suffix, _ := strings.Cut(d.ID, "/")
 	kind, known := kindByIDPrefix[prefix]
 	switch {
--- a/internal/placement/fixtures_test.go
+++ b/internal/placement/fixtures_test.go
@@ -91,14 +91,14 @@
 		var snapshot Snapshot
 		goldentest.DecodeStrictly(t, data, &snapshot)
 		restored := Restore(&snapshot, epochs[i])
-		if again := encodeLine(t, restored.Snapshot()); !bytes.Equal(again, data) {
-			t.Fatalf("snapshot %d is written as\n%s\nnot\n%s", i+1, again, data)
+		if reencoded := encodeLine(t, restored.Snapshot()); !bytes.Equal(reencoded, data) {
+			t.Fatalf("snapshot %d is written as\n%s\nnot\n%s", i+1, reencoded, data)
 		}
 		for _, stored := range operations[i+1:] {
 			applyStored(t, restored, stored)
 		}
-		if last := encodeLine(t, restored.Snapshot()); !bytes.Equal(last, saved[len(saved)-1]) {
-			t.Fatalf("restored after operation %d it ends as\n%s\nnot\n%s", i+1, last, saved[len(saved)-1])
+		if final := encodeLine(t, restored.Snapshot()); !bytes.Equal(final, saved[len(saved)-1]) {
+			t.Fatalf("restored after operation %d it ends as\n%s\nnot\n%s", i+1, final, saved[len(saved)-1])
 		}
 	}
 }
--- a/internal/placement/store.go
+++ b/internal/placement/store.go
@@ -40,8 +40,9 @@
 // Len returns the number of directives, including those that have expired and were not removed yet.
 func (s *store) Len() int { return len(s.directives) }
 
-// startHistory starts an empty history. Watches that resume from a position before it get a complete update.
-func (s *store) startHistory(revision, epoch uint64) {
+// resetHistory starts an empty history at a revision of an epoch. Watches that resume from an earlier position get a
+// complete update.
+func (s *store) resetHistory(revision, epoch uint64) {
 	s.revision, s.epoch, s.compactedRevision, s.history = revision, epoch, revision, nil
 }
 
@@ -70,8 +71,8 @@
 	return after != 0 && epoch == s.epoch && after >= s.compactedRevision && after <= s.revision
 }
 
-// changedSince returns the IDs of the directives that changed after a revision, sorted and without duplicates.
-func (s *store) changedSince(after uint64) []string {
+// changedIDsSince returns the IDs of the directives that changed after a revision, sorted and without duplicates.
+func (s *store) changedIDsSince(after uint64) []string {
 	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].revision > after })
 	var ids []string
 	for _, c := range s.history[first:] {
@@ -81,16 +82,16 @@
 	return slices.Compact(ids)
 }
 
-// changesSince returns an update with the directives that changed after a revision of an epoch, in their newest state
+// updateSince returns an update with the directives that changed after a revision of an epoch, in their newest state
 // and ordered by ID. If the history does not cover the changes, or there are too many, the update is complete. The
 // function remaining returns a directive's remaining time in ms. A directive without remaining time is left out of a
 // complete update and listed as removed in an incremental one, so that a reader that ignores RemainingMS does not
 // follow it.
-func (s *store) changesSince(after, epoch uint64, remaining func(*Directive) int64) Update {
+func (s *store) updateSince(after, epoch uint64, remaining func(*Directive) int64) Update {
 	update := Update{Revision: s.revision, Epoch: s.epoch, Directives: []Directive{}}
 	var ids []string
 	if s.historyCovers(after, epoch) {
-		ids = s.changedSince(after)
+		ids = s.changedIDsSince(after)
 	}
 	if update.Complete = !s.historyCovers(after, epoch) || len(ids) > maxIncrementalChanges; update.Complete {
 		ids = slices.Sorted(maps.Keys(s.directives))
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -29,10 +29,10 @@
 func Restore(snapshot *Snapshot, epoch uint64) *Table {
 	t := NewTable()
 	if snapshot == nil {
-		t.startHistory(0, epoch)
+		t.resetHistory(0, epoch)
 		return t
 	}
-	t.startHistory(snapshot.Revision, epoch)
+	t.resetHistory(snapshot.Revision, epoch)
 	for _, d := range snapshot.Directives {
 		t.directives[d.ID] = d
 		t.totalBytes += d.accountedBytes()
@@ -51,7 +51,7 @@
 
 // StartEpoch starts another epoch with the directives unchanged, for example after a restore from a backup. Index is the
 // log index of the record that starts the epoch.
-func (t *Table) StartEpoch(index, epoch uint64) { t.startHistory(index, epoch) }
+func (t *Table) StartEpoch(index, epoch uint64) { t.resetHistory(index, epoch) }
 
 // Apply applies an operation of the log that was written under a lease ("": none), whose fencing token the caller has
 // checked. Index is the operation's log index, which increases with each call.
@@ -84,7 +84,7 @@
 // is within bounds, and whether the table has capacity for them.
 func (t *Table) admit(lease string, op *Op) Result {
 	count, totalBytes := len(t.directives), t.totalBytes
-	discount := func(id string) {
+	subtractExisting := func(id string) {
 		if existing, ok := t.directives[id]; ok {
 			count, totalBytes = count-1, totalBytes-existing.accountedBytes()
 		}
@@ -93,7 +93,7 @@
 		if !OwnedBy(lease, id) {
 			return rejected("%s is not of the duty %q", id, lease)
 		}
-		discount(id)
+		subtractExisting(id)
 	}
 	for i := range op.Set {
 		d := &op.Set[i]
@@ -105,7 +105,7 @@
 		case d.ExpiresAtMS > op.LeaderTimeMS+MaxLifetimeMS:
 			return rejected("%s would end in %d ms, at most %d are taken", d.ID, d.ExpiresAtMS-op.LeaderTimeMS, MaxLifetimeMS)
 		}
-		discount(d.ID)
+		subtractExisting(d.ID)
 		count, totalBytes = count+1, totalBytes+d.accountedBytes()
 	}
 	if count > MaxDirectives || totalBytes > MaxTotalBytes {
@@ -146,7 +146,7 @@
 // ChangesSince returns the changes after a revision of an epoch, for sending at a time (Unix ms). The update is complete
 // if the history does not go back to that revision.
 func (t *Table) ChangesSince(after, epoch uint64, nowMS int64) Update {
-	return t.changesSince(after, epoch, func(d *Directive) int64 { return d.ExpiresAtMS - nowMS })
+	return t.updateSince(after, epoch, func(d *Directive) int64 { return d.ExpiresAtMS - nowMS })
 }
 
 // Expired returns the directives that have expired at a time (Unix ms), at most limit, ordered by time of expiry.
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -241,21 +241,21 @@
 func TestApplyToFullTable(t *testing.T) {
 	const now = 1_000_000_000
 	table := NewTable()
-	full := 0
-	for ; full < MaxDirectives && table.totalBytes+300 <= MaxTotalBytes; full++ {
-		table.set(2, exclusion(fmt.Sprint("window/a/", full), now+1, "s"))
+	directiveCount := 0
+	for ; directiveCount < MaxDirectives && table.totalBytes+300 <= MaxTotalBytes; directiveCount++ {
+		table.set(2, exclusion(fmt.Sprint("window/a/", directiveCount), now+1, "s"))
 	}
 	oversized := exclusion("window/a/t", now+1000, "s1", "s2")
 	oversized.Servers = manyServerUIDs(100)
-	if result := table.Apply(2, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{oversized}}); result.Outcome != OutcomeLimitReached || table.Len() != full {
+	if result := table.Apply(2, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{oversized}}); result.Outcome != OutcomeLimitReached || table.Len() != directiveCount {
 		t.Errorf("above the limit: %s", result.Outcome)
 	}
 	data, err := json.Marshal(table.CompleteUpdate(now))
 	if err != nil || len(data) > MaxTotalBytes {
 		t.Errorf("the complete update takes %d bytes: %v", len(data), err)
 	}
-	if update := table.ChangesSince(1, 0, now); full <= maxIncrementalChanges || !update.Complete {
-		t.Errorf("the update with %d changes is not complete", full)
+	if update := table.ChangesSince(1, 0, now); directiveCount <= maxIncrementalChanges || !update.Complete {
+		t.Errorf("the update with %d changes is not complete", directiveCount)
 	}
 	if result := table.Apply(3, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{exclusion("window/a/t", now+1000, "s1", "s2")}, Delete: []string{"window/a/7"}}); result.Outcome != OutcomeApplied {
 		t.Errorf("replacing one: %s %s", result.Outcome, result.Reason)
