--- a/internal/hotkey/topk/fixtures_test.go
+++ b/internal/hotkey/topk/fixtures_test.go
@@ -16,7 +16,8 @@
 	}
 }
 
-// What a sketch counts of the same requests, and the merge of its snapshots, keeps every bit: sidecars report it.
+// For the same requests, the loads of a sketch and of merged snapshots are equal to the golden file in every bit, because
+// sidecars report them.
 func TestFixtureFigures(t *testing.T) {
 	var out bytes.Buffer
 	var snapshots []Snapshot
--- a/internal/hotkey/topk/sketch_test.go
+++ b/internal/hotkey/topk/sketch_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// exactCounts counts as a Sketch does, with all keys.
+// exactCounts adds up decayed work as a Sketch does, but for all keys.
 type exactCounts struct {
 	halfLife, updatedAt float64
 	byKey               map[uint64]float64
@@ -26,7 +26,7 @@
 	e.updatedAt = now
 }
 
-// boundsHold reports whether a snapshot's bounds hold for each key of the exact counts.
+// boundsHold reports whether a snapshot's bounds contain the exact load of each key, and its total is correct.
 func boundsHold(snapshot Snapshot, exact map[uint64]float64) bool {
 	listed, total := map[uint64]KeyLoad{}, 0.0
 	for _, bounds := range snapshot.Keys {
@@ -74,12 +74,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot, exact := addDrawnRequests(t, "one", 5000)
 		if !boundsHold(snapshot, exact) {
-			t.Fatalf("%+v does not hold for %v", snapshot, exact)
+			t.Fatalf("the bounds of %+v do not hold for %v", snapshot, exact)
 		}
 	})
 }
 
-// Merged in any grouping, the bounds hold for the sums.
+// The bounds of merged snapshots hold for the sums of the loads, in any grouping.
 func TestMergedBoundsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sum := map[uint64]float64{}
@@ -96,18 +96,18 @@
 		flat := Merge(size, snapshots...)
 		tree := Merge(size, Merge(size, snapshots[:half]...), Merge(size, snapshots[half:]...))
 		if !boundsHold(flat, sum) || !boundsHold(tree, sum) {
-			t.Fatalf("%+v or %+v does not hold for %v", flat, tree, sum)
+			t.Fatalf("the bounds of %+v or %+v do not hold for %v", flat, tree, sum)
 		}
 	})
 }
 
-// A key with more than 1/size of the load is always listed, however many others come between.
+// A key with more than 1/capacity of the load is always listed, however many other keys have requests in between.
 func TestHeavyKeyIsListed(t *testing.T) {
 	sketch := New(16, 2)
 	now := 0.0
 	for i := range 10_000 {
 		now += 0.003
-		key := uint64(1000 + i) // each new
+		key := uint64(1000 + i) // a new key for each request
 		if i%10 == 0 {
 			key = 7
 		}
@@ -115,10 +115,10 @@
 	}
 	top := sketch.Top(now, 16)
 	if top.Keys[0].Key != 7 || top.Keys[0].LowerBound() < 0.05*top.Total {
-		t.Fatalf("first is %+v of %v", top.Keys[0], top.Total)
+		t.Fatalf("the first key is %+v, the total is %v", top.Keys[0], top.Total)
 	}
 	if want := 20 / 0.003; math.Abs(top.Total-want) > 0.02*want {
-		t.Fatalf("all %v ms/s, wanted %v", top.Total, want)
+		t.Fatalf("the total is %v ms/s, want %v", top.Total, want)
 	}
 	if len(sketch.counters) != 16 || len(sketch.byKey) != 16 {
 		t.Fatalf("%d counters, %d keys", len(sketch.counters), len(sketch.byKey))
@@ -131,7 +131,7 @@
 		sketch.Add(1, 9, work)
 	}
 	if top := sketch.Top(1, 4); len(top.Keys) != 0 || top.Total != 0 {
-		t.Fatalf("%+v", top)
+		t.Fatalf("invalid work was counted: %+v", top)
 	}
 }
 
--- a/internal/loadreport/bench_test.go
+++ b/internal/loadreport/bench_test.go
@@ -19,7 +19,8 @@
 	"milldeck/internal/placement"
 )
 
-// collectorProcessEnv makes the test binary a collector that a benchmark measures, until its standard input ends.
+// collectorProcessEnv is the environment variable with which the test binary runs as a collector for a benchmark, until
+// its standard input is closed.
 const collectorProcessEnv = "MILLDECK_COLLECT_CHILD"
 
 func TestMain(m *testing.M) {
@@ -40,10 +41,10 @@
 	}
 	go func() { _ = http.Serve(listener, mux) }() // until the process ends
 	fmt.Println(listener.Addr())
-	_, _ = io.Copy(io.Discard, os.Stdin) // it ends when the benchmark closes it
+	_, _ = io.Copy(io.Discard, os.Stdin) // until the benchmark closes standard input
 }
 
-// processCPUTime is the time that this process has spent on all cores.
+// processCPUTime returns the CPU time that this process has used on all cores.
 func processCPUTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -54,7 +55,7 @@
 
 const fleetSize = 2000
 
-// fleetBatches are what a fleet reports in a second, in batches of batchSize reports.
+// fleetBatches returns the reports that a fleet sends in a second, in batches of batchSize reports.
 func fleetBatches(b *testing.B, batchSize int, counts bool) (bodies [][]byte) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var reports []placement.LoadReport
@@ -70,8 +71,9 @@
 	return bodies
 }
 
-// BenchmarkFleetSecond is what 2,000 sidecars report in a second: core-seconds at the collector, by its handler
-// alone, and in a process of its own with 2,000 connections.
+// BenchmarkFleetSecond measures the core-seconds that a collector takes for the reports of 2,000 sidecars in a second:
+// for its handler alone, and for a separate process with one connection for each batch, which is 2,000 connections in
+// batches of one report.
 func BenchmarkFleetSecond(b *testing.B) {
 	for _, counts := range []bool{false, true} {
 		for _, batchSize := range []int{1, 50} {
@@ -125,7 +127,7 @@
 	return strings.TrimSpace(addr)
 }
 
-// readUsage returns the CPU time of a collector process, and how many reports it has accepted.
+// readUsage returns the CPU time of a collector process and the number of reports that it has accepted.
 func readUsage(b *testing.B, addr string) (cpuTime time.Duration, accepted int64) {
 	b.Helper()
 	response, err := http.Get("http://" + addr + "/cpu")
@@ -140,7 +142,7 @@
 	return time.Duration(ns), accepted
 }
 
-// postOverConn posts a request that is written out, and reads the answer into a buffer.
+// postOverConn sends an encoded request and reads the response into a buffer.
 func postOverConn(conn net.Conn, request, buffer []byte) error {
 	if _, err := conn.Write(request); err != nil {
 		return err
@@ -150,7 +152,7 @@
 		return err
 	}
 	if !bytes.HasPrefix(buffer[:n], []byte("HTTP/1.1 204")) {
-		return fmt.Errorf("answered with %s", buffer[:n])
+		return fmt.Errorf("unexpected response %s", buffer[:n])
 	}
 	return nil
 }
@@ -186,7 +188,7 @@
 	}
 	after, accepted := readUsage(b, addr)
 	if accepted != int64(b.N)*fleetSize {
-		b.Errorf("%d accepted in %d rounds", accepted, b.N)
+		b.Errorf("%d reports accepted in %d rounds", accepted, b.N)
 	}
 	b.ReportMetric((after-before).Seconds()/float64(b.N), "core-s/fleet-s")
 }
--- a/internal/loadreport/collector_test.go
+++ b/internal/loadreport/collector_test.go
@@ -17,7 +17,7 @@
 	"milldeck/internal/placement"
 )
 
-// typicalReport is a report as a sidecar under load sends it: 32 keys, three classes in three zones.
+// typicalReport returns a report like that of a sidecar under load: 32 keys, three classes in three zones.
 func typicalReport(name string, rng *rand.Rand) placement.LoadReport {
 	r := placement.LoadReport{
 		Sidecar: name, Version: "v7", Zone: "zone-1", PlacementRevision: 1234567, PlacementEpoch: 1 << 52, EndpointRevision: 7654321,
@@ -38,7 +38,7 @@
 	return r
 }
 
-// encodeBatch returns a batch as an agent posts it.
+// encodeBatch returns a batch of reports in the form that an agent posts.
 func encodeBatch(t interface{ Fatal(...any) }, reports ...placement.LoadReport) []byte {
 	data, err := json.Marshal(map[string]any{"reports": reports})
 	if err != nil {
@@ -47,7 +47,7 @@
 	return data
 }
 
-// deadlineRecorder accepts deadlines, as a connection does.
+// deadlineRecorder is a ResponseRecorder that accepts read deadlines, as a connection does.
 type deadlineRecorder struct{ *httptest.ResponseRecorder }
 
 func (deadlineRecorder) SetReadDeadline(time.Time) error { return nil }
@@ -64,7 +64,8 @@
 	return recorder.Code
 }
 
-// What is decoded directly is what encoding/json decodes, also where the input is slightly different.
+// decodeFast decodes each input that it accepts to the same reports as encoding/json, also if a valid input was slightly
+// modified.
 func TestFastDecodingMatchesEncodingJSON(t *testing.T) {
 	decoded := 0
 	check := func(t *rapid.T) {
@@ -102,17 +103,17 @@
 			t.Fatalf("%v: %s", err, data)
 		}
 		if !reflect.DeepEqual(got, want.Reports) {
-			t.Fatalf("%s\n%+v, want\n%+v", data, got, want.Reports)
+			t.Fatalf("%s\nis decoded as\n%+v, want\n%+v", data, got, want.Reports)
 		}
 	}
-	for round := 0; round < 20 && decoded == 0; round++ { // few of the changed inputs are decoded directly
+	for round := 0; round < 20 && decoded == 0; round++ { // decodeFast accepts few of the modified inputs
 		rapid.Check(t, check)
 	}
 	if decoded == 0 {
-		t.Error("nothing is decoded directly")
+		t.Error("decodeFast accepted no input")
 	}
 	if _, ok := decodeFast(encodeBatch(t, typicalReport("a", rand.New(rand.NewPCG(1, 1))))); !ok {
-		t.Error("a typical report is not decoded directly")
+		t.Error("decodeFast did not accept a typical report")
 	}
 }
 
@@ -123,7 +124,7 @@
 		return placement.LoadReport{Sidecar: name, PlacementRevision: rev}
 	}
 	if code := postBatch(t, collector, encodeBatch(t, report("a", 1))); code != http.StatusServiceUnavailable {
-		t.Errorf("while it accepts none: status %d", code)
+		t.Errorf("before SetAccepting(true): status %d", code)
 	}
 	collector.SetAccepting(true)
 	retained := func() string {
@@ -148,9 +149,9 @@
 	}{
 		{"first reports", 0, encodeBatch(t, report("b", 1), report("a", 1)), http.StatusNoContent, "a1 b1"},
 		{"one of three malformed", 2 * time.Second, encodeBatch(t, report("a", 2), malformed, report("c", 1)), http.StatusBadRequest, "a2 b1 c1"},
-		{"a sidecar too many", 3 * time.Second, encodeBatch(t, report("d", 1)), http.StatusServiceUnavailable, "a2 b1 c1"},
-		{"a known sidecar", 5 * time.Second, encodeBatch(t, report("a", 3)), http.StatusNoContent, "a3 b1 c1"},
-		{"room after b has expired", 6 * time.Second, encodeBatch(t, report("d", 2)), http.StatusNoContent, "a3 c1 d2"},
+		{"one sidecar too many", 3 * time.Second, encodeBatch(t, report("d", 1)), http.StatusServiceUnavailable, "a2 b1 c1"},
+		{"known sidecar at full capacity", 5 * time.Second, encodeBatch(t, report("a", 3)), http.StatusNoContent, "a3 b1 c1"},
+		{"new sidecar after b has expired", 6 * time.Second, encodeBatch(t, report("d", 2)), http.StatusNoContent, "a3 c1 d2"},
 		{"not JSON", 6 * time.Second, []byte("what"), http.StatusBadRequest, "a3 c1 d2"},
 		{"a body too large", 6 * time.Second, bytes.Repeat([]byte(" "), MaxBodyBytes+1), http.StatusBadRequest, "a3 c1 d2"},
 		{"all expired", 20 * time.Second, encodeBatch(t), http.StatusNoContent, ""},
@@ -160,7 +161,7 @@
 			t.Errorf("%s: status %d, want %d", step.name, code, step.code)
 		}
 		if got := retained(); got != step.want {
-			t.Errorf("%s: it retains %q, want %q", step.name, got, step.want)
+			t.Errorf("%s: the collector retains %q, want %q", step.name, got, step.want)
 		}
 	}
 	if got, want := collector.Counts(), (Counts{Accepted: 6, Rejected: 3, OverCapacity: 1, Expired: 4}); got != want {
@@ -169,6 +170,6 @@
 	postBatch(t, collector, encodeBatch(t, report("a", 9)))
 	collector.SetAccepting(false)
 	if got := retained(); got != "" {
-		t.Errorf("after it has stopped accepting it retains %q", got)
+		t.Errorf("after SetAccepting(false) the collector retains %q", got)
 	}
 }
--- a/internal/loadreport/fixtures_test.go
+++ b/internal/loadreport/fixtures_test.go
@@ -14,7 +14,7 @@
 	"milldeck/internal/placement"
 )
 
-// A batch of reports as an agent posts it: one with every field, one of an idle sidecar.
+// fixtureBatch returns a batch as an agent posts it, with a report that has every field and one of an idle sidecar.
 func fixtureBatch(t *testing.T) []byte {
 	t.Helper()
 	return encodeBatch(t, placement.LoadReport{
@@ -32,7 +32,7 @@
 	golden := goldentest.Read(t, "batch.json")
 	reports, ok := decodeFast(golden)
 	if !ok {
-		t.Fatal("the batch is not decoded directly")
+		t.Fatal("decodeFast did not accept the batch")
 	}
 	goldentest.Compare(t, "batch.json", encodeBatch(t, reports...))
 	reports, err := decodeBatch(append([]byte(" \n"), bytes.Replace(golden, []byte(`"n1"`), []byte(`"\u006e1"`), 1)...))
@@ -42,7 +42,7 @@
 	goldentest.Compare(t, "batch.json", encodeBatch(t, reports...))
 }
 
-// What a collector answers, and what it counts.
+// The responses and the counters of a collector match the golden file.
 func TestAnswers(t *testing.T) {
 	collector := New(Options{MaxSidecars: 2, Now: func() time.Duration { return time.Hour }})
 	var transcript bytes.Buffer
--- a/internal/placement/cache_test.go
+++ b/internal/placement/cache_test.go
@@ -9,34 +9,35 @@
 	"pgregory.net/rapid"
 )
 
-// drawFunc draws a number from a range: with rapid, or from a seeded source where an injected fault has to be detected.
+// drawFunc draws a number from a range: with rapid, or from a seeded random source in the test of injected faults.
 type drawFunc func(name string, minimum, maximum int64) int64
 
-// clock is that of a machine: its monotonic clock is right, its wall clock may be set at any time.
+// clock models the clocks of a machine. The monotonic clock is correct, the wall clock may be set at any time.
 type clock struct{ startedAt, offset int64 }
 
 func (c *clock) wall(now int64) int64      { return now + c.offset }
 func (c *clock) monotonic(now int64) int64 { return now - c.startedAt }
 
-// relayFunc is how an agent answers a sidecar that watches it; lastUpdate is the last one that the agent received.
+// relayFunc returns the update that an agent sends to a sidecar that watches it. LastUpdate is the last update that the
+// agent received.
 type relayFunc func(agent *Cache, lastUpdate *Update, after, epoch uint64, wallMS, monotonicMS int64) Update
 
-// scenario is a registry whose clock is right, an agent that watches it and a sidecar that watches the agent, both with
-// wall clocks that are set to anything at any time, with lost lines and restarts of the agent.
+// scenario models a registry with a correct clock, an agent that watches the registry, and a sidecar that watches the
+// agent. The wall clocks of agent and sidecar are set at any time, updates are lost, and the agent restarts.
 type scenario struct {
 	draw  drawFunc
 	relay relayFunc
 
 	now                      int64
 	table                    *Table
-	approvedUntil            map[string]int64 // by ID: the latest time to which a directive was ever approved
+	approvedUntil            map[string]int64 // by ID: the latest expiry with which a directive was ever set
 	agent, sidecar           *Cache
 	agentClock, sidecarClock clock
-	lastUpdate               *Update // that the agent received
+	lastUpdate               *Update // the last update that the agent received
 }
 
-// runScenario plays a scenario. It returns an error when the agent or the sidecar has a directive in force past the time
-// to which it was approved.
+// runScenario runs a scenario. It returns an error if the agent or the sidecar has a directive in force after the end of
+// the directive's approval.
 func runScenario(draw drawFunc, relay relayFunc) error {
 	s := &scenario{
 		draw:          draw,
@@ -64,13 +65,13 @@
 	return nil
 }
 
-// step draws what happens next.
+// step draws the next event and applies it.
 func (s *scenario) step(index uint64) error {
 	s.now += s.draw("pass", 0, 400)
 	switch s.draw("what", 0, 8) {
 	case 0, 1:
 		return s.approve(index)
-	case 2: // the leader removes expired ones, some time later
+	case 2: // the leader removes directives some time after their expiry
 		if expired := s.table.Expired(s.now-300, 5); expired != nil {
 			s.table.Apply(index, "", &Op{LeaderTimeMS: s.now, Expired: expired})
 		}
@@ -96,12 +97,12 @@
 	if result.Outcome != OutcomeApplied {
 		return errors.New(result.Reason)
 	}
-	// A directive that was shortened lasts as approved before where the change is not received.
+	// A consumer that misses an update with an earlier expiry keeps the directive until the previously approved time.
 	s.approvedUntil[id] = max(s.approvedUntil[id], directive.ExpiresAtMS)
 	return nil
 }
 
-// drawRevision is the revision of a cache, from which its watch continues, or 0 for a complete update, as after a
+// drawRevision returns the revision from which the watch of a cache continues, or 0 for a complete update, as after a
 // reconnect to another replica.
 func (s *scenario) drawRevision(cache *Cache) uint64 {
 	if s.draw("complete", 0, 1) == 0 {
@@ -130,7 +131,7 @@
 	return err
 }
 
-// restartAgent restarts the agent from what it has saved. Its wall clock may be set forward meanwhile.
+// restartAgent restarts the agent from its saved placement. The wall clock may be set forward during the restart.
 func (s *scenario) restartAgent() error {
 	if !s.agent.Synced() {
 		return nil
@@ -144,15 +145,15 @@
 	return s.agent.Restore(saved, savedMS, s.agentClock.wall(s.now), s.agentClock.monotonic(s.now))
 }
 
-// checkApproved checks that all directives in force at a consumer are approved.
+// checkApproved checks that each directive in force at a consumer is approved at this time.
 func (s *scenario) checkApproved(consumer string, cache *Cache, clock *clock) error {
 	for _, directive := range cache.Active(clock.wall(s.now), clock.monotonic(s.now)).Directives {
 		approvedUntil := s.approvedUntil[directive.ID]
 		if s.now >= approvedUntil {
-			return fmt.Errorf("the %s has %s at %d, approved to %d", consumer, directive.ID, s.now, approvedUntil)
+			return fmt.Errorf("the %s has %s in force at %d, but its approval ended at %d", consumer, directive.ID, s.now, approvedUntil)
 		}
 		if directive.RemainingMS <= 0 || directive.ExpiresAtMS > approvedUntil {
-			return fmt.Errorf("the %s has %+v, approved to %d", consumer, directive, approvedUntil)
+			return fmt.Errorf("the %s has %+v in force, approved until %d", consumer, directive, approvedUntil)
 		}
 	}
 	return nil
@@ -162,7 +163,7 @@
 	return agent.ChangesSince(after, epoch, wallMS, monotonicMS)
 }
 
-// However the wall clocks of agent and sidecar are set, no directive lasts longer than it was approved.
+// No directive is in force longer than it is approved, however the wall clocks of agent and sidecar are set.
 func TestDirectivesNeverOutliveApproval(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string, minimum, maximum int64) int64 {
@@ -174,7 +175,7 @@
 	})
 }
 
-// countFailures counts the seeds of which the scenario fails.
+// countFailures returns the number of seeds for which the scenario fails.
 func countFailures(relay relayFunc) int {
 	failures := 0
 	for seed := range uint64(600) {
@@ -187,7 +188,7 @@
 	return failures
 }
 
-// An agent that sends RemainingMS on as it received it, or that goes by its wall clock alone, is detected.
+// The scenario detects an agent that forwards RemainingMS unchanged, and an agent that uses only its wall clock.
 func TestScenarioDetectsInjectedFaults(t *testing.T) {
 	if failures := countFailures(relayCorrectly); failures != 0 {
 		t.Fatalf("%d scenarios fail without a fault", failures)
@@ -210,12 +211,12 @@
 		return agent.updateSince(after, epoch, func(directive *Directive) int64 { return directive.ExpiresAtMS - wallMS })
 	}
 	if failures := countFailures(useWallClockOnly); failures == 0 {
-		t.Error("an agent that goes by its wall clock alone is not detected")
+		t.Error("an agent that uses only its wall clock is not detected")
 	}
 }
 
-// A registry whose clock is behind gives too much remaining time: then the consumer's own wall clock expires the
-// directive.
+// If the registry's clock is behind, the registry sends too long a RemainingMS. The consumer's wall clock then expires
+// the directive.
 func TestWallClockExpiresOverlongRemainder(t *testing.T) {
 	cache := NewCache()
 	directive := exclusion("window/a/t", 10_000, "s")
@@ -227,24 +228,25 @@
 	for _, step := range []struct {
 		wallMS, monotonicMS int64
 		want                int
-	}{{9_999, 400, 1}, {9_999, 400, 1}, {10_000, 500, 0}, {5_000, 600, 0}} { // set back, it stays expired
+	}{{9_999, 400, 1}, {9_999, 400, 1}, {10_000, 500, 0}, {5_000, 600, 0}} { // last: wall clock set back
 		if got := cache.Active(step.wallMS, step.monotonicMS); len(got.Directives) != step.want {
-			t.Errorf("at %d, %d: %+v", step.wallMS, step.monotonicMS, got)
+			t.Errorf("at wall clock %d, monotonic clock %d: active %+v", step.wallMS, step.monotonicMS, got)
 		}
 	}
 	if _, err := cache.Apply(update, 5_000, 700); err != nil || len(cache.Active(5_000, 700).Directives) != 0 {
-		t.Errorf("a repeat revives it: %+v, %v", cache.Active(5_000, 700), err)
+		t.Errorf("after a repeat of the expired directive: active %+v, error %v", cache.Active(5_000, 700), err)
 	}
 	directive.Revision, directive.ExpiresAtMS = 4, 20_000
 	if _, err := cache.Apply(&Update{Revision: 4, Epoch: 7, Directives: []Directive{directive}}, 10_100, 800); err != nil || len(cache.Active(10_100, 800).Directives) != 1 {
-		t.Errorf("renewed it is not in force: %v", err)
+		t.Errorf("the renewed directive is not in force: %v", err)
 	}
-	if got := cache.Active(10_101, 800+9_000); len(got.Directives) != 0 { // the wall clock stands still
-		t.Errorf("the monotonic clock does not expire it: %+v", got)
+	if got := cache.Active(10_101, 800+9_000); len(got.Directives) != 0 { // the wall clock has not advanced with the monotonic one
+		t.Errorf("the monotonic clock does not expire the directive: %+v", got)
 	}
 }
 
-// A cache applies what continues it, and leaves out what is older or invalid.
+// A cache applies updates that follow on its revision and epoch. It ignores older updates, and rejects discontinuous and
+// invalid ones.
 func TestCacheAppliesOnlyContinuousUpdates(t *testing.T) {
 	cache := NewCache()
 	updateOf := func(revision, epoch uint64, complete bool, id string) *Update {
@@ -263,14 +265,14 @@
 		err     bool
 		active  int
 	}{
-		{"changes before any complete update", updateOf(3, 7, false, "window/a"), false, true, 0},
-		{"a complete update", updateOf(3, 7, true, "window/a"), true, false, 1},
-		{"an older one", updateOf(2, 7, true, "window/b"), false, false, 1},
-		{"a change", updateOf(4, 7, false, "window/b"), true, false, 2},
-		{"a kind of a later version", &Update{Revision: 5, Epoch: 7, Directives: []Directive{{ID: "x", Kind: "later", ExpiresAtMS: 9000, RemainingMS: 10, Revision: 5}}}, true, false, 3},
-		{"changes of another epoch", updateOf(9, 8, false, "window/c"), false, true, 3},
-		{"a complete update of an older backup", updateOf(2, 8, true, "window/c"), true, false, 1},
-		{"too many", tooMany, false, true, 1},
+		{"incremental update before any complete one", updateOf(3, 7, false, "window/a"), false, true, 0},
+		{"complete update", updateOf(3, 7, true, "window/a"), true, false, 1},
+		{"older complete update", updateOf(2, 7, true, "window/b"), false, false, 1},
+		{"incremental update", updateOf(4, 7, false, "window/b"), true, false, 2},
+		{"kind of a later version", &Update{Revision: 5, Epoch: 7, Directives: []Directive{{ID: "x", Kind: "later", ExpiresAtMS: 9000, RemainingMS: 10, Revision: 5}}}, true, false, 3},
+		{"incremental update of another epoch", updateOf(9, 8, false, "window/c"), false, true, 3},
+		{"complete update after a restore from an older backup", updateOf(2, 8, true, "window/c"), true, false, 1},
+		{"too many directives", tooMany, false, true, 1},
 		{"removals", &Update{Revision: 6, Epoch: 8, Removed: []string{"window/c", "window/never"}}, true, false, 0},
 	} {
 		changed, err := cache.Apply(c.update, 1000, 0)
@@ -279,6 +281,6 @@
 		}
 	}
 	if err := NewCache().Restore(Update{}, 1000, 999, 0); err == nil {
-		t.Error("restored though the clock was set back")
+		t.Error("Restore succeeded although the wall clock was set back")
 	}
 }
--- a/internal/placement/fixtures_test.go
+++ b/internal/placement/fixtures_test.go
@@ -11,10 +11,11 @@
 	"milldeck/internal/goldentest"
 )
 
-// storedOperation is a line of testdata/operations.jsonl: an operation as the log stores it, and under whose lease.
+// storedOperation is a line of testdata/operations.jsonl: an operation as stored in the log, and the lease under which it
+// was written.
 type storedOperation struct {
 	Index uint64          `json:"index"`
-	Epoch uint64          `json:"epoch,omitempty"` // starts here, in place of an operation
+	Epoch uint64          `json:"epoch,omitempty"` // if not 0, the record starts this epoch and has no operation
 	Lease string          `json:"lease,omitempty"`
 	Op    json.RawMessage `json:"op,omitempty"`
 }
@@ -28,7 +29,7 @@
 	return append(data, '\n')
 }
 
-// readOperations reads the stored operations and shows that each is written again as it was.
+// readOperations reads the stored operations and checks that each is encoded to the same bytes again.
 func readOperations(t *testing.T) []storedOperation {
 	t.Helper()
 	var stored []storedOperation
@@ -61,8 +62,8 @@
 	return fmt.Sprintf("%d %s: %s", stored.Index, result.Outcome, result.Reason), op.LeaderTimeMS
 }
 
-// Stored operations, snapshots and watch lines are read and written as they were, and a table restored from any snapshot
-// arrives at the same last one.
+// This version reads and writes stored operations, snapshots and watch lines as earlier versions do. A table that is
+// restored from any snapshot ends with the same last snapshot.
 func TestStoredPlacementIsCompatible(t *testing.T) {
 	operations := readOperations(t)
 	table := NewTable()
@@ -92,19 +93,20 @@
 		goldentest.DecodeStrictly(t, data, &snapshot)
 		restored := Restore(&snapshot, epochs[i])
 		if reencoded := encodeLine(t, restored.Snapshot()); !bytes.Equal(reencoded, data) {
-			t.Fatalf("snapshot %d is written as\n%s\nnot\n%s", i+1, reencoded, data)
+			t.Fatalf("snapshot %d is encoded as\n%s\nnot\n%s", i+1, reencoded, data)
 		}
 		for _, stored := range operations[i+1:] {
 			applyStored(t, restored, stored)
 		}
 		if final := encodeLine(t, restored.Snapshot()); !bytes.Equal(final, saved[len(saved)-1]) {
-			t.Fatalf("restored after operation %d it ends as\n%s\nnot\n%s", i+1, final, saved[len(saved)-1])
+			t.Fatalf("the table restored after operation %d ends as\n%s\nnot\n%s", i+1, final, saved[len(saved)-1])
 		}
 	}
 }
 
-// The lines of a watch are read as they were: what is in force afterwards, what is sent on and what is saved, each with
-// its remaining time, by a wall clock that is 3 ms off and a monotonic clock of another origin.
+// This version reads the lines of a watch as earlier versions do: after each line, a cache has the same directives in
+// force, forwards the same and saves the same, with the same remaining times. The wall clock is 3 ms off, and the
+// monotonic clock has another origin.
 func TestWatchLinesAreCompatible(t *testing.T) {
 	cache := NewCache()
 	var rewritten, states bytes.Buffer
@@ -138,7 +140,7 @@
 	goldentest.Compare(t, "watch-read.txt", states.Bytes())
 }
 
-// A sidecar's report is read and written as it was.
+// This version reads and writes load reports as earlier versions do.
 func TestReportIsCompatible(t *testing.T) {
 	var rewritten bytes.Buffer
 	for line := range bytes.Lines(goldentest.Read(t, "reports.jsonl")) {
@@ -153,7 +155,7 @@
 	goldentest.Compare(t, "latency-bounds.json", encodeLine(t, LatencyBucketBounds))
 }
 
-// Validation reports the same fields and reasons, which clients are answered with.
+// Validation errors keep their fields and texts, because replicas send them to clients.
 func TestFieldErrorTexts(t *testing.T) {
 	long := strings.Repeat("x", MaxIDLength+1)
 	var lines strings.Builder
@@ -214,7 +216,7 @@
 	goldentest.Compare(t, "field-errors.txt", []byte(lines.String()))
 }
 
-// Constants that are stored or sent have the values that earlier versions have written.
+// Constants that are stored or sent have the same values as in earlier versions.
 func TestStoredConstants(t *testing.T) {
 	kinds := []Kind{KindExclude, KindSpreadKey, KindCohort}
 	outcomes := []Outcome{OutcomeApplied, OutcomeRejected, OutcomeLimitReached}
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -16,7 +16,7 @@
 	return Directive{ID: id, Kind: KindExclude, Tenant: "t", Servers: servers, MinAvailable: 0.5, ExpiresAtMS: expiresAtMS}
 }
 
-// watchPosition is a revision of an epoch, from which a watch continues.
+// watchPosition is the revision and epoch from which a watch continues.
 type watchPosition struct{ revision, epoch uint64 }
 
 // drawPlacementOp draws the directives that an operation sets or deletes.
@@ -32,12 +32,12 @@
 	}
 }
 
-// checkApplied checks that an operation was applied by the rules and completely, or not at all.
+// checkApplied checks that an operation either was applied completely and according to the rules, or changed nothing.
 func checkApplied(t *rapid.T, table *Table, before map[string]Directive, lease string, op *Op, result Result) {
 	t.Helper()
 	if result.Outcome != OutcomeApplied {
 		if !reflect.DeepEqual(before, table.directives) {
-			t.Fatalf("rejected (%s) and applied in part: %v, before %v", result.Reason, table.directives, before)
+			t.Fatalf("a rejected operation (%s) changed the table to %v, before %v", result.Reason, table.directives, before)
 		}
 		return
 	}
@@ -45,12 +45,12 @@
 		owned := lease != "" && strings.HasPrefix(directive.ID, lease+"/")
 		stored := table.directives[directive.ID]
 		if !owned || directive.ExpiresAtMS <= op.LeaderTimeMS || stored.ExpiresAtMS != directive.ExpiresAtMS {
-			t.Fatalf("%+v under %q at %d: %+v", directive, lease, op.LeaderTimeMS, stored)
+			t.Fatalf("%+v was applied under the lease %q at %d; the table has %+v", directive, lease, op.LeaderTimeMS, stored)
 		}
 	}
 }
 
-// checkTotalBytes checks that the table's bytes are those of its directives.
+// checkTotalBytes checks that the table's byte count is the sum over its directives.
 func checkTotalBytes(t *rapid.T, table *Table) {
 	t.Helper()
 	totalBytes := 0
@@ -58,14 +58,14 @@
 		totalBytes += directive.accountedBytes()
 	}
 	if totalBytes != table.totalBytes {
-		t.Fatalf("%d bytes counted, are %d", table.totalBytes, totalBytes)
+		t.Fatalf("the table counts %d bytes, its directives have %d", table.totalBytes, totalBytes)
 	}
 }
 
-// checkReplay checks that the changes since a position, applied to the state there, give the present state.
+// checkReplay checks that the changes since a position, applied to the state at that position, give the current state.
 func checkReplay(t *rapid.T, table *Table, position watchPosition, state map[string]Directive) {
 	t.Helper()
-	update := table.ChangesSince(position.revision, position.epoch, 0) // at this time none has expired
+	update := table.ChangesSince(position.revision, position.epoch, 0) // at time 0 no directive has expired
 	replayed := map[string]Directive{}
 	if !update.Complete {
 		replayed = maps.Clone(state)
@@ -78,12 +78,12 @@
 		delete(replayed, id)
 	}
 	if !reflect.DeepEqual(replayed, table.directives) || update.Revision != table.revision || update.Epoch != table.epoch {
-		t.Fatalf("since %v: %+v gives %v, want %v", position, update, replayed, table.directives)
+		t.Fatalf("the changes since %v, %+v, give %v, want %v", position, update, replayed, table.directives)
 	}
 }
 
-// The changes since any revision, applied to the state at that revision, give the present state; and the table's rules
-// and bounds hold whatever is applied.
+// The changes since any revision, applied to the state at that revision, give the current state. The table's rules and
+// byte count hold after any sequence of operations.
 func TestChangesSinceReproducesState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, epoch := NewTable(), uint64(7)
@@ -121,7 +121,8 @@
 	})
 }
 
-// A watch that is further behind than the history gets a complete update; one within gets no more than what changed.
+// A watch that resumes from before the start of the history gets a complete update. A watch that resumes from a later
+// revision gets only the changes.
 func TestHistoryIsBounded(t *testing.T) {
 	table := NewTable()
 	table.StartEpoch(1, 7)
@@ -132,27 +133,27 @@
 			t.Fatal(result.Reason)
 		}
 		if len(table.history) >= 2*minHistory {
-			t.Fatalf("%d changes are retained", len(table.history))
+			t.Fatalf("the history holds %d changes", len(table.history))
 		}
 	}
 	newest := table.Revision()
 	if update := table.ChangesSince(newest-minHistory+1, 7, 0); update.Complete || len(update.Directives) != 10 {
-		t.Errorf("%d changes back: complete %v, %d directives", minHistory-1, update.Complete, len(update.Directives))
+		t.Errorf("resumed %d changes back: complete %v, %d directives", minHistory-1, update.Complete, len(update.Directives))
 	}
 	for _, after := range []uint64{0, 1, newest - 2*minHistory, newest + 1} {
 		if update := table.ChangesSince(after, 7, 0); !update.Complete {
-			t.Errorf("after %d of %d the update is not complete", after, newest)
+			t.Errorf("the update after revision %d of %d is not complete", after, newest)
 		}
 	}
 	if update := table.ChangesSince(newest-3, 7, 0); update.Complete || len(update.Directives) != 3 {
-		t.Errorf("three changes back: %+v", update)
+		t.Errorf("resumed three changes back: %+v", update)
 	}
 	if update := table.ChangesSince(newest, 8, 0); !update.Complete {
 		t.Error("the update for another epoch is not complete")
 	}
 }
 
-// A directive is never accounted with fewer bytes than it takes in a line, so that the bound of a line holds.
+// accountedBytes is at least the size of an encoded directive, so that MaxTotalBytes bounds the size of an update.
 func TestAccountedBytesCoverEncodedLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringOfN(rapid.RuneFrom([]rune{'a', '<', '"', '\\', 'ä', 0x7f, 0x2028, 1, 0xfffd}), 1, 20, -1)
@@ -167,12 +168,11 @@
 			t.Fatal(err)
 		}
 		if len(data)+len(",") > directive.accountedBytes() {
-			t.Fatalf("%d bytes count as %d: %s", len(data)+1, directive.accountedBytes(), data)
+			t.Fatalf("a directive of %d bytes is accounted with %d: %s", len(data)+1, directive.accountedBytes(), data)
 		}
 	})
 }
 
-// manyServerUIDs returns the UIDs of a number of servers.
 func manyServerUIDs(count int) []string {
 	uids := make([]string, count)
 	for i := range uids {
@@ -181,7 +181,7 @@
 	return uids
 }
 
-// Apply rejects what its rules do not allow, and then changes nothing.
+// Apply rejects operations that violate its rules, and then changes nothing.
 func TestApplyRules(t *testing.T) {
 	const now = 1_000_000_000
 	validExclusion := func() Directive { return exclusion("window/a/t", now+1000, "s1", "s2") }
@@ -200,27 +200,27 @@
 	}{
 		{"valid", "window/a", now, validExclusion(), OutcomeApplied},
 		{"under the fleet-wide lease", "window", 0, validExclusion(), OutcomeApplied},
-		{"a key's copies", "spread", now, spread, OutcomeApplied},
-		{"a release's cohort", "release/r", now, cohort, OutcomeApplied},
-		{"another window's", "window/b", now, validExclusion(), OutcomeRejected},
-		{"a window's with a longer name", "window/", now, validExclusion(), OutcomeRejected},
-		{"another release's cohort", "release/other", now, cohort, OutcomeRejected},
+		{"copies of a key", "spread", now, spread, OutcomeApplied},
+		{"cohort of a release", "release/r", now, cohort, OutcomeApplied},
+		{"directive of another window", "window/b", now, validExclusion(), OutcomeRejected},
+		{"lease name with a trailing slash", "window/", now, validExclusion(), OutcomeRejected},
+		{"cohort of another release", "release/other", now, cohort, OutcomeRejected},
 		{"no lease", "", now, validExclusion(), OutcomeRejected},
 		{"expired", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ExpiresAtMS = now }), OutcomeRejected},
-		{"expires as late as possible", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ExpiresAtMS = now + MaxLifetimeMS }), OutcomeApplied},
-		{"expires later", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ExpiresAtMS = now + MaxLifetimeMS + 1 }), OutcomeRejected},
-		{"clocks an hour apart", "window", now + 3_600_000, validExclusion(), OutcomeRejected},
-		{"clocks an hour apart, the other way", "window", now - 3_600_000, validExclusion(), OutcomeRejected},
-		{"clocks a little apart", "window", now + MaxClockSkewMS, validExclusion(), OutcomeApplied},
-		{"another kind", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Kind = KindCohort }), OutcomeRejected},
-		{"an empty part", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ID = "window//t" }), OutcomeRejected},
-		{"unknown kind", "what", now, modified(validExclusion(), func(directive *Directive) { directive.ID = "what/a" }), OutcomeRejected},
+		{"expires at MaxLifetimeMS", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ExpiresAtMS = now + MaxLifetimeMS }), OutcomeApplied},
+		{"expires beyond MaxLifetimeMS", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ExpiresAtMS = now + MaxLifetimeMS + 1 }), OutcomeRejected},
+		{"writer's clock an hour ahead", "window", now + 3_600_000, validExclusion(), OutcomeRejected},
+		{"writer's clock an hour behind", "window", now - 3_600_000, validExclusion(), OutcomeRejected},
+		{"writer's clock ahead by MaxClockSkewMS", "window", now + MaxClockSkewMS, validExclusion(), OutcomeApplied},
+		{"kind not that of the ID", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Kind = KindCohort }), OutcomeRejected},
+		{"empty ID part", "window", now, modified(validExclusion(), func(directive *Directive) { directive.ID = "window//t" }), OutcomeRejected},
+		{"unknown ID prefix", "what", now, modified(validExclusion(), func(directive *Directive) { directive.ID = "what/a" }), OutcomeRejected},
 		{"no servers", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Servers = nil }), OutcomeRejected},
-		{"a server twice", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Servers = []string{"s", "s"} }), OutcomeRejected},
+		{"duplicate server", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Servers = []string{"s", "s"} }), OutcomeRejected},
 		{"too many servers", "window", now, modified(validExclusion(), func(directive *Directive) { directive.Servers = manyServerUIDs(MaxServersPerDirective + 1) }), OutcomeRejected},
 		{"too many copies", "spread", now, modified(spread, func(directive *Directive) { directive.Copies = copies }), OutcomeRejected},
-		{"no key", "spread", now, modified(spread, func(directive *Directive) { directive.KeyHash = "0123456789ABCDEF" }), OutcomeRejected},
-		{"a fraction above one", "spread", now, modified(spread, func(directive *Directive) { directive.Copies = []KeyCopy{{"s", 1.5}} }), OutcomeRejected},
+		{"key hash in uppercase", "spread", now, modified(spread, func(directive *Directive) { directive.KeyHash = "0123456789ABCDEF" }), OutcomeRejected},
+		{"load fraction above one", "spread", now, modified(spread, func(directive *Directive) { directive.Copies = []KeyCopy{{"s", 1.5}} }), OutcomeRejected},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			table := NewTable()
@@ -231,13 +231,13 @@
 				directives = 1
 			}
 			if result.Outcome != test.want || table.Len() != directives {
-				t.Errorf("%s %s, %d directives, want %s", result.Outcome, result.Reason, table.Len(), test.want)
+				t.Errorf("outcome %s (%s), %d directives; want outcome %s", result.Outcome, result.Reason, table.Len(), test.want)
 			}
 		})
 	}
 }
 
-// A full table rejects what would exceed its bounds, and still accepts a replacement.
+// A full table rejects operations that would exceed its bounds, and still accepts the replacement of a directive.
 func TestApplyToFullTable(t *testing.T) {
 	const now = 1_000_000_000
 	table := NewTable()
@@ -248,7 +248,7 @@
 	oversized := exclusion("window/a/t", now+1000, "s1", "s2")
 	oversized.Servers = manyServerUIDs(100)
 	if result := table.Apply(2, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{oversized}}); result.Outcome != OutcomeLimitReached || table.Len() != directiveCount {
-		t.Errorf("above the limit: %s", result.Outcome)
+		t.Errorf("operation above the limit: outcome %s", result.Outcome)
 	}
 	data, err := json.Marshal(table.CompleteUpdate(now))
 	if err != nil || len(data) > MaxTotalBytes {
@@ -258,22 +258,22 @@
 		t.Errorf("the update with %d changes is not complete", directiveCount)
 	}
 	if result := table.Apply(3, "window/a", &Op{LeaderTimeMS: now, Set: []Directive{exclusion("window/a/t", now+1000, "s1", "s2")}, Delete: []string{"window/a/7"}}); result.Outcome != OutcomeApplied {
-		t.Errorf("replacing one: %s %s", result.Outcome, result.Reason)
+		t.Errorf("replacing a directive: outcome %s (%s)", result.Outcome, result.Reason)
 	}
 }
 
-// Directives that have expired are found, the earliest first, and removed unless they were renewed since.
+// Expired returns directives in the order of their expiry. Apply removes them, except those that were renewed since.
 func TestApplyExpired(t *testing.T) {
 	const now = 1_000_000_000
 	table := NewTable()
 	table.Apply(2, "window", &Op{LeaderTimeMS: now, Set: []Directive{exclusion("window/a/t", now+1000, "s1", "s2"), exclusion("window/b/t", now+5, "s")}})
 	expired := table.Expired(now+1000, 10)
 	if len(expired) != 2 || expired[0].ID != "window/b/t" {
-		t.Fatalf("found %v", expired)
+		t.Fatalf("Expired returned %v", expired)
 	}
 	table.Apply(3, "window", &Op{LeaderTimeMS: now + 1, Set: []Directive{exclusion("window/a/t", now+5000, "s")}})
 	table.Apply(4, "", &Op{LeaderTimeMS: now + 1000, Expired: expired})
 	if remaining := slices.Collect(maps.Keys(table.directives)); len(remaining) != 1 || remaining[0] != "window/a/t" {
-		t.Errorf("%v remain, want the one that was renewed", remaining)
+		t.Errorf("%v remain, want only the renewed directive", remaining)
 	}
 }
