--- a/internal/hotkey/topk/heap.go
+++ b/internal/hotkey/topk/heap.go
@@ -1,13 +1,13 @@
 package topk
 
-// counterHeap is a heap.Interface of counters with the least load first. Counters know their index, so that one whose
-// load changes is fixed in place.
+// counterHeap implements heap.Interface, with the counter of the lowest load first. Each counter stores its heap index,
+// so that heap.Fix can move it when its load changes.
 type counterHeap []*counter
 
 func (h counterHeap) Len() int { return len(h) }
 
 func (h counterHeap) Less(i, j int) bool {
-	return h[i].load < h[j].load || h[i].load == h[j].load && h[i].key < h[j].key
+	return h[i].weightedWork < h[j].weightedWork || h[i].weightedWork == h[j].weightedWork && h[i].key < h[j].key
 }
 
 func (h counterHeap) Swap(i, j int) {
