--- a/internal/registry/catch_up.go
+++ b/internal/registry/catch_up.go
@@ -15,16 +15,16 @@
 )
 
 // errStateUnknown is answered by a replica that has not caught up with the leader since it started.
-var errStateUnknown = errors.New("this replica has not caught up with the leader yet")
+var errNotCaughtUp = errors.New("this replica has not caught up with the leader yet")
 
 // A replica that starts holds its last snapshot, or nothing, until a leader tells it what is committed: an empty list then is no
 // list. So it answers reads with 503 until it has applied what the leader had applied when it was asked, or leads itself.
 
 // serveKnown serves a request for the state once that is known.
-func (r *Replica) serveKnown(handler http.HandlerFunc) http.HandlerFunc {
+func (r *Replica) requireCaughtUp(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
-		if !r.stateKnown.Load() {
-			writeRetryable(w, errStateUnknown)
+		if !r.caughtUp.Load() {
+			writeRetryable(w, errNotCaughtUp)
 			return
 		}
 		handler(w, request)
@@ -42,7 +42,7 @@
 	ticker := time.NewTicker(catchUpInterval)
 	defer ticker.Stop()
 	var leader Status // as it answered; zero: it has not yet
-	for !r.stateKnown.Load() {
+	for !r.caughtUp.Load() {
 		select {
 		case <-r.ctx.Done():
 			return
@@ -52,7 +52,7 @@
 			leader = r.leaderStatus(client)
 		}
 		if leader.Epoch != 0 && r.caughtUpWith(&leader) {
-			r.stateKnown.Store(true)
+			r.caughtUp.Store(true)
 		}
 	}
 	r.logger.Info("state known", "applied", r.raft.AppliedIndex())
--- a/internal/registry/election_model_test.go
+++ b/internal/registry/election_model_test.go
@@ -55,7 +55,7 @@
 	name          string
 	token         uint64
 	leaseEnd      time.Duration
-	frozenUntil   time.Duration // it does nothing until then
+	pausedUntil   time.Duration // it does nothing until then
 	releasedToken uint64        // newest token that it released: a response in flight must not extend it
 }
 
@@ -69,7 +69,7 @@
 }
 
 // message delivers a message late, or not at all.
-func (m *electionModel) message(deliver func()) {
+func (m *electionModel) sendMessage(deliver func()) {
 	if rapid.IntRange(0, 9).Draw(m.t, "drop") > 0 {
 		m.after(m.drawDuration("delay", 0, 700), deliver)
 	}
@@ -86,23 +86,23 @@
 }
 
 // holder campaigns, renews and works, for ever.
-func (m *electionModel) holder(holder *modelHolder) {
-	defer m.after(modelTTL/3, func() { m.holder(holder) })
-	if m.now < holder.frozenUntil {
+func (m *electionModel) runHolder(runHolder *modelHolder) {
+	defer m.after(modelTTL/3, func() { m.runHolder(runHolder) })
+	if m.now < runHolder.pausedUntil {
 		return
 	}
 	current, _ := m.state.Leases().Get("d") // as its watch shows it
-	if current.Holder != holder.name {
-		m.message(func() {
-			m.apply(leasetable.Operation{Kind: leasetable.Campaign, Name: "d", Candidate: holder.name, TTLMS: modelTTL.Milliseconds()})
+	if current.Holder != runHolder.name {
+		m.sendMessage(func() {
+			m.apply(leasetable.Operation{Kind: leasetable.Campaign, Name: "d", Candidate: runHolder.name, TTLMS: modelTTL.Milliseconds()})
 		})
-		if slices.Contains(current.Queue, holder.name) {
-			m.message(func() { m.leader.renew(m.clock(), m.state, "d", holder.name, 0) })
+		if slices.Contains(current.Queue, runHolder.name) {
+			m.sendMessage(func() { m.leader.renew(m.clock(), m.state, "d", runHolder.name, 0) })
 		}
 		return
 	}
 	token, sent := current.Token, m.now
-	m.message(func() {
+	m.sendMessage(func() {
 		leader := m.leader
 		if m.deposedLeader != nil && rapid.Bool().Draw(m.t, "to the deposed leader") {
 			if m.mutant != renewsUnverified {
@@ -110,25 +110,25 @@
 			}
 			leader = m.deposedLeader
 		}
-		if !leader.renew(m.clock(), m.state, "d", holder.name, token) {
+		if !leader.renew(m.clock(), m.state, "d", runHolder.name, token) {
 			return
 		}
 		answered := m.now
-		m.message(func() {
+		m.sendMessage(func() {
 			start := sent
 			if m.mutant == countsFromResponse {
 				start = max(answered, m.now)
 			}
-			if token <= holder.releasedToken {
+			if token <= runHolder.releasedToken {
 				return
 			}
-			holder.token, holder.leaseEnd = token, max(holder.leaseEnd, start+modelTTL-leasetable.SafetyMargin(modelTTL))
+			runHolder.token, runHolder.leaseEnd = token, max(runHolder.leaseEnd, start+modelTTL-leasetable.SafetyMargin(modelTTL))
 			m.renewals++
 		})
 	})
-	if m.now < holder.leaseEnd { // the lease is checked now; the write is sent later, and arrives later still
-		token := holder.token
-		m.after(m.drawDuration("pause", 0, 1500), func() { m.message(func() { m.write(token) }) })
+	if m.now < runHolder.leaseEnd { // the lease is checked now; the write is sent later, and arrives later still
+		token := runHolder.token
+		m.after(m.drawDuration("pause", 0, 1500), func() { m.sendMessage(func() { m.write(token) }) })
 	}
 }
 
@@ -148,7 +148,7 @@
 	holder := m.holders[rapid.IntRange(0, len(m.holders)-1).Draw(m.t, "holder")]
 	switch rapid.IntRange(0, 4).Draw(m.t, "fault") {
 	case 0:
-		holder.frozenUntil = m.now + m.drawDuration("paused", 100, 2500)
+		holder.pausedUntil = m.now + m.drawDuration("paused", 100, 2500)
 	case 1:
 		for _, op := range m.pendingOps { // what is committed is applied before the next leader is established, the rest never
 			if rapid.Bool().Draw(m.t, "committed") {
@@ -162,7 +162,7 @@
 		if m.now < holder.leaseEnd { // it stops first
 			holder.leaseEnd, holder.releasedToken = m.now, holder.token
 			token := holder.token
-			m.message(func() {
+			m.sendMessage(func() {
 				m.apply(leasetable.Operation{Kind: leasetable.Release, Name: "d", Candidate: holder.name, Token: token})
 			})
 		}
@@ -187,14 +187,14 @@
 }
 
 func (m *electionModel) check() {
-	believers := []string{}
+	activeHolders := []string{}
 	for _, holder := range m.holders {
 		if m.now < holder.leaseEnd {
-			believers = append(believers, fmt.Sprintf("%s under %d until %v", holder.name, holder.token, holder.leaseEnd))
+			activeHolders = append(activeHolders, fmt.Sprintf("%s under %d until %v", holder.name, holder.token, holder.leaseEnd))
 		}
 	}
-	if len(believers) > 1 {
-		m.violation = fmt.Sprintf("at %v two hold the lease: %v", m.now, believers)
+	if len(activeHolders) > 1 {
+		m.violation = fmt.Sprintf("at %v two hold the lease: %v", m.now, activeHolders)
 	}
 }
 
@@ -204,7 +204,7 @@
 	for index := range rapid.IntRange(2, 3).Draw(t, "holders") {
 		holder := &modelHolder{name: fmt.Sprint("h", index)}
 		model.holders = append(model.holders, holder)
-		model.after(0, func() { model.holder(holder) })
+		model.after(0, func() { model.runHolder(holder) })
 	}
 	model.after(0, model.sweep)
 	model.after(500*time.Millisecond, model.injectFault)
--- a/internal/registry/env_test.go
+++ b/internal/registry/env_test.go
@@ -45,7 +45,7 @@
 }
 
 // leader waits for a leader.
-func (e *testEnv) leader() *cluster.Replica {
+func (e *testEnv) awaitLeader() *cluster.Replica {
 	e.Helper()
 	replica, err := e.cluster.AwaitLeader(e.ctx)
 	if err != nil {
@@ -78,9 +78,9 @@
 }
 
 // register registers an instance, which has to succeed.
-func (e *testEnv) register(newcomer registry.Instance) registry.Result {
+func (e *testEnv) register(instance registry.Instance) registry.Result {
 	e.Helper()
-	result, err := e.client.Register(e.ctx, registry.WriteOptions{}, newcomer)
+	result, err := e.client.Register(e.ctx, registry.WriteOptions{}, instance)
 	if err != nil {
 		e.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 }
 
 // othersThan are the HTTP addresses of all replicas but one.
-func (e *testEnv) othersThan(excluded *cluster.Replica) []string {
+func (e *testEnv) httpAddrsExcept(excluded *cluster.Replica) []string {
 	var addresses []string
 	for _, replica := range e.cluster.Replicas {
 		if replica != excluded {
@@ -99,7 +99,7 @@
 }
 
 // clientOf makes a client of these replicas alone.
-func (e *testEnv) clientOf(addresses ...string) *registry.Client {
+func (e *testEnv) newClientFor(addresses ...string) *registry.Client {
 	e.Helper()
 	client, err := registry.NewClient(addresses)
 	if err != nil {
--- a/internal/registry/faults_test.go
+++ b/internal/registry/faults_test.go
@@ -51,7 +51,7 @@
 			t.Fatal(err)
 		}
 	}
-	env.leader()
+	env.awaitLeader()
 	leaderSince := time.Now()
 	env.eventually("two leases have passed under the new leader", func() bool { return time.Since(leaderSince) > 2*time.Second })
 	list, err := env.client.List(env.ctx, true)
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -11,7 +11,7 @@
 // another leader may have changed it. It noted the time after the check, so the hold-up was missing in the age that it told, and in
 // the age by which it decides whether it may still grant a lease. The test holds it up right after the check. The loop that verifies
 // the leadership five times a second is ended before, as it would note later times by itself.
-func TestHeldUpReadTellsItsAge(t *testing.T) {
+func TestDelayedReadReportsItsAge(t *testing.T) {
 	block := proctest.Block(t)
 	address := block.Addr(200, 0, 8500)
 	options := Options{HTTPAddr: address, RaftAddr: block.Addr(200, 0, 8501)}
@@ -21,23 +21,23 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = replica.Close() }) // nothing is left to be lost
-	awaitCondition(t, "it leads", func() bool { return replica.stateKnown.Load() && replica.isLeader.Load() })
+	awaitCondition(t, "it leads", func() bool { return replica.caughtUp.Load() && replica.isLeader.Load() })
 	replica.cancel()
 	awaitCondition(t, "its loop has ended", func() bool { return !replica.isLeader.Load() })
 	replica.isLeader.Store(true)
 
-	const heldUp = 300 * time.Millisecond
-	check := replica.verifyLeader
+	const delay = 300 * time.Millisecond
+	verifyLeader := replica.verifyLeader
 	replica.verifyLeader = func() error {
-		err := check()
-		time.Sleep(heldUp)
+		err := verifyLeader()
+		time.Sleep(delay)
 		return err
 	}
 	if err := replica.verifyFreshness(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if age := replica.listAge(); age < heldUp {
-		t.Errorf("held up for %v after the check it calls its state %v old", heldUp, age)
+	if age := replica.listAge(); age < delay {
+		t.Errorf("held up for %v after the check it calls its state %v old", delay, age)
 	}
 }
 
--- a/internal/registry/holddown_test.go
+++ b/internal/registry/holddown_test.go
@@ -44,7 +44,7 @@
 	failsAt       time.Duration
 	tenureEndedAt time.Duration // when its last tenure ended
 	shortTenures  int           // in a row, as the model counts them
-	refusedSince  time.Duration // since when it has been held down; 0: it is not
+	heldDownSince time.Duration // since when it has been held down; 0: it is not
 	tenures       int
 	lastCampaign  time.Duration
 }
@@ -89,7 +89,7 @@
 	others := 0
 	current := m.current()
 	for _, other := range m.candidates {
-		if other != candidate && (current.Holder == other.name || len(current.Queue) > 0 || other.refusedSince > 0 && m.now-other.lastCampaign < modelTTL) {
+		if other != candidate && (current.Holder == other.name || len(current.Queue) > 0 || other.heldDownSince > 0 && m.now-other.lastCampaign < modelTTL) {
 			others++
 		}
 	}
@@ -106,14 +106,14 @@
 		m.violation = fmt.Sprintf("at %v %s is admitted after %d short tenures, the last until %v", m.now, candidate.name, candidate.shortTenures, candidate.tenureEndedAt)
 	case !admitted && others == 0:
 		m.violation = fmt.Sprintf("at %v %s is held down though it is the only candidate", m.now, candidate.name)
-	case !admitted && candidate.refusedSince > 0 && m.now > max(candidate.refusedSince, m.leaderSince)+maxHoldDown:
-		m.violation = fmt.Sprintf("at %v %s has been held down since %v", m.now, candidate.name, candidate.refusedSince)
+	case !admitted && candidate.heldDownSince > 0 && m.now > max(candidate.heldDownSince, m.leaderSince)+maxHoldDown:
+		m.violation = fmt.Sprintf("at %v %s has been held down since %v", m.now, candidate.name, candidate.heldDownSince)
 	}
 	if admitted {
-		candidate.refusedSince = 0
+		candidate.heldDownSince = 0
 		m.apply(leasetable.Operation{Kind: leasetable.Campaign, Name: "d", Candidate: candidate.name, TTLMS: modelTTL.Milliseconds()})
-	} else if candidate.refusedSince == 0 {
-		candidate.refusedSince = m.now
+	} else if candidate.heldDownSince == 0 {
+		candidate.heldDownSince = m.now
 	}
 }
 
--- a/internal/registry/http_admin.go
+++ b/internal/registry/http_admin.go
@@ -55,7 +55,7 @@
 
 // serveReady answers whether the replica has caught up since it started and knows a leader, so that its reads are recent.
 func (r *Replica) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if !r.stateKnown.Load() || r.leaderAddr() == "" {
+	if !r.caughtUp.Load() || r.leaderAddr() == "" {
 		writeError(w, http.StatusServiceUnavailable, errors.New("no leader yet"))
 		return
 	}
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -75,7 +75,7 @@
 			return err
 		}
 	}
-	r.stateKnown.Store(true)
+	r.caughtUp.Store(true)
 	return nil
 }
 
--- a/internal/registry/leadership_test.go
+++ b/internal/registry/leadership_test.go
@@ -16,22 +16,22 @@
 	block := proctest.Block(t)
 	options := Options{HTTPAddr: block.Addr(200, 0, 8500), RaftAddr: block.Addr(200, 0, 8501)}
 	options.Members = []Member{{HTTPAddr: options.HTTPAddr, RaftAddr: options.RaftAddr}}
-	var waits atomic.Int64
+	var barrierCalls atomic.Int64
 	replica, err := openWith(options, func(replica *Replica) {
-		wait := replica.awaitBarrier
+		awaitBarrier := replica.awaitBarrier
 		replica.awaitBarrier = func() error {
-			if waits.Add(1) <= 2 {
+			if barrierCalls.Add(1) <= 2 {
 				return raft.ErrEnqueueTimeout
 			}
-			return wait()
+			return awaitBarrier()
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = replica.Close() }) // nothing is left to be lost
-	awaitCondition(t, "it leads and knows its state", func() bool { return replica.isLeader.Load() && replica.stateKnown.Load() })
-	if waits.Load() != 3 {
-		t.Errorf("it waited %d times", waits.Load())
+	awaitCondition(t, "it leads and knows its state", func() bool { return replica.isLeader.Load() && replica.caughtUp.Load() })
+	if barrierCalls.Load() != 3 {
+		t.Errorf("it waited %d times", barrierCalls.Load())
 	}
 }
--- a/internal/registry/ledger_bench_test.go
+++ b/internal/registry/ledger_bench_test.go
@@ -51,9 +51,9 @@
 	if _, err := client.Register(ctx, registry.WriteOptions{}, servers...); err != nil {
 		b.Fatal(err)
 	}
-	out := workers
+	maxUnavailable := workers
 	if _, err := client.ApplyLedgerOp(ctx, registry.WriteOptions{}, disruption.Op{Kind: disruption.OpSetBudget, Owner: operator,
-		Budget: &disruption.Budget{Name: "all", MaxUnavailable: disruption.Limit{Count: &out}}}); err != nil {
+		Budget: &disruption.Budget{Name: "all", MaxUnavailable: disruption.Limit{Count: &maxUnavailable}}}); err != nil {
 		b.Fatal(err)
 	}
 	var mu sync.Mutex
@@ -65,15 +65,15 @@
 		workersDone.Go(func() {
 			for next.Add(1) <= int64(b.N) {
 				id := registry.NewID()
-				began := time.Now()
+				startedAt := time.Now()
 				result, err := client.ApplyLedgerOp(ctx, registry.WriteOptions{}, requestPermit(id, fmt.Sprint("s", worker*40)))
-				spent := time.Since(began)
+				latency := time.Since(startedAt)
 				if err != nil || result.Permit.Stage != disruption.StageGranted {
 					b.Errorf("%+v: %v", result.Permit, err)
 					return
 				}
 				mu.Lock()
-				latencies = append(latencies, spent)
+				latencies = append(latencies, latency)
 				mu.Unlock()
 				if _, err := client.ApplyLedgerOp(ctx, registry.WriteOptions{}, permitOp(disruption.OpCancel, id)); err != nil {
 					b.Error(err)
--- a/internal/registry/ledger_test.go
+++ b/internal/registry/ledger_test.go
@@ -45,14 +45,14 @@
 
 // registerFleet registers servers that never expire, in three zones and pod groups of two, and sets a budget of how many
 // may be out.
-func (e *testEnv) registerFleet(servers, maxOut int) {
+func (e *testEnv) registerFleet(servers, maxUnavailable int) {
 	e.Helper()
 	for ordinal := range servers {
 		server := newInstance(fmt.Sprint("s", ordinal), ordinal)
 		server.BootMS, server.Zone, server.PodGroup = 0, fmt.Sprint(ordinal%3), ordinal/2
 		e.register(server)
 	}
-	e.applyLedgerOp(disruption.Op{Kind: disruption.OpSetBudget, Budget: &disruption.Budget{Name: "all", MaxUnavailable: disruption.Limit{Count: &maxOut}}})
+	e.applyLedgerOp(disruption.Op{Kind: disruption.OpSetBudget, Budget: &disruption.Budget{Name: "all", MaxUnavailable: disruption.Limit{Count: &maxUnavailable}}})
 }
 
 // requestPermit requests a permit for servers that return.
@@ -89,7 +89,7 @@
 	env := startEnv(t, 3, false, "")
 	env.registerFleet(8, 2)
 	for round := range 3 {
-		leader, id := env.leader(), fmt.Sprintf("drain/x/%d", round) // a name with slashes is one name
+		leader, id := env.awaitLeader(), fmt.Sprintf("drain/x/%d", round) // a name with slashes is one name
 		request := registry.LedgerRequest{ID: registry.NewID(), Op: requestPermit(id, fmt.Sprint("s", round))}
 		// The answer is never read: for the client it is lost.
 		abandoned, abandon := context.WithCancel(env.ctx)
@@ -103,8 +103,8 @@
 			}
 		}()
 		var followers []*registry.Client
-		for _, address := range env.othersThan(leader) {
-			followers = append(followers, env.clientOf(address))
+		for _, address := range env.httpAddrsExcept(leader) {
+			followers = append(followers, env.newClientFor(address))
 		}
 		var granted disruption.Permit
 		env.eventually("a follower has the grant", func() bool {
@@ -162,7 +162,7 @@
 			t.Fatal(err)
 		}
 	}
-	env.leader()
+	env.awaitLeader()
 	if after := asJSON(t, env.ledgerView(true)); after != before {
 		t.Fatalf("the ledger is\n%s\nand was\n%s", after, before)
 	}
@@ -176,17 +176,17 @@
 func TestMinorityGrantsNoPermits(t *testing.T) {
 	env := startEnv(t, 3, true, "")
 	env.registerFleet(12, 1)
-	cut := env.leader()
-	minority, majority := env.clientOf(cut.HTTPAddr), env.clientOf(env.othersThan(cut)...)
-	env.network.Partition(cut.Index, 3, true)
+	isolated := env.awaitLeader()
+	minority, majority := env.newClientFor(isolated.HTTPAddr), env.newClientFor(env.httpAddrsExcept(isolated)...)
+	env.network.Partition(isolated.Index, 3, true)
 	var wg sync.WaitGroup
 	var granted atomic.Int64
-	short, cancel := context.WithTimeout(env.ctx, 3*time.Second)
+	shortCtx, cancel := context.WithTimeout(env.ctx, 3*time.Second)
 	defer cancel()
 	for n := range 8 { // from the first moment of the partition, before it steps down
 		wg.Go(func() {
 			request := requestPermit(fmt.Sprint("minority", n), fmt.Sprint("s", n))
-			result, err := minority.ApplyLedgerOp(short, registry.WriteOptions{}, request)
+			result, err := minority.ApplyLedgerOp(shortCtx, registry.WriteOptions{}, request)
 			if err == nil && result.Permit.Stage == disruption.StageGranted {
 				granted.Add(1)
 			}
@@ -200,7 +200,7 @@
 	if granted.Load() > 0 {
 		t.Errorf("%d grants by a replica in the minority", granted.Load())
 	}
-	env.network.Partition(cut.Index, 3, false)
+	env.network.Partition(isolated.Index, 3, false)
 	env.eventually("the replica has what the majority granted", func() bool {
 		view, err := minority.LedgerView(env.ctx, false, false)
 		return err == nil && slices.ContainsFunc(view.Permits, func(permit disruption.Permit) bool {
--- a/internal/registry/linearizability_test.go
+++ b/internal/registry/linearizability_test.go
@@ -18,9 +18,9 @@
 
 // casInput is a read, or a write with compare-and-set, of one instance. The value of the instance is its boot_ms.
 type casInput struct {
-	write  bool
-	value  int
-	expect uint64 // revision; 0: it must not exist
+	write            bool
+	value            int
+	expectedRevision uint64 // revision; 0: it must not exist
 }
 
 // casOutput is the result of an operation.
@@ -44,7 +44,7 @@
 		if !in.write {
 			return out.revision == s.revision && out.value == s.value, s
 		}
-		match := in.expect == s.revision
+		match := in.expectedRevision == s.revision
 		switch {
 		case out.ok:
 			return match && out.revision > s.revision, casState{revision: out.revision, value: in.value}
@@ -55,9 +55,9 @@
 }
 
 const (
-	leaderKills      = 50
-	casWriters       = 6
-	writersPerShared = 3 // that contend for one instance
+	leaderKills              = 50
+	casWriters               = 6
+	writersPerSharedInstance = 3 // that contend for one instance
 )
 
 // The leader is killed 50 times during a stream of writes, at seeded moments: every acknowledged write is applied once,
@@ -74,9 +74,9 @@
 	for range leaderKills {
 		after := history.ackedCount() + 1 + random.IntN(200) // a seeded moment during the writes
 		env.eventually("writes go on", func() bool { return history.ackedCount() >= after })
-		victim := env.leader()
+		victim := env.awaitLeader()
 		victim.Process.Kill()
-		env.leader()
+		env.awaitLeader()
 		if err := victim.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -89,13 +89,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	there := map[string]int{}
+	occurrences := map[string]int{}
 	for _, target := range list.Targets {
-		there[target.UID]++
+		occurrences[target.UID]++
 	}
 	lost := 0
 	for uid := range history.acked {
-		if there[uid] != 1 {
+		if occurrences[uid] != 1 {
 			lost++
 		}
 	}
@@ -140,7 +140,7 @@
 	t.Helper()
 	byInstance := map[int][]porcupine.Operation{}
 	for _, operation := range h.operations {
-		shared := operation.ClientId / writersPerShared
+		shared := operation.ClientId / writersPerSharedInstance
 		byInstance[shared] = append(byInstance[shared], operation)
 	}
 	for shared, operations := range byInstance {
@@ -161,7 +161,7 @@
 	}
 	defer client.Close()
 	random := rand.New(rand.NewPCG(1, uint64(writer)))
-	uid, revision := fmt.Sprintf("shared-%d", writer/writersPerShared), uint64(0)
+	uid, revision := fmt.Sprintf("shared-%d", writer/writersPerSharedInstance), uint64(0)
 	for attempt := 1; !stopping.Load(); attempt++ {
 		value := attempt*casWriters + writer
 		// A write without contention, with an idempotency key: applied once, whatever is lost.
@@ -169,7 +169,7 @@
 		if result, err := client.Register(e.ctx, registry.WriteOptions{}, own); err == nil {
 			history.recordAcked(own.UID, result)
 		}
-		input := casInput{write: random.IntN(2) == 0, value: value, expect: revision}
+		input := casInput{write: random.IntN(2) == 0, value: value, expectedRevision: revision}
 		call := time.Since(history.startedAt)
 		output, err := applyCAS(e.ctx, client, uid, input)
 		if err != nil {
@@ -195,7 +195,7 @@
 	instance := newInstance(uid, 1)
 	instance.BootMS = float64(input.value)
 	instance.Capacity = 1
-	result, err := client.Register(ctx, registry.WriteOptions{IfRevision: &input.expect}, instance)
+	result, err := client.Register(ctx, registry.WriteOptions{IfRevision: &input.expectedRevision}, instance)
 	switch {
 	case err == nil:
 		return casOutput{ok: true, revision: result.Revision}, nil
--- a/internal/registry/maintenance_test.go
+++ b/internal/registry/maintenance_test.go
@@ -48,18 +48,18 @@
 		}
 		return current.View()
 	}
-	always := contract.Contract{Tenant: "portal", Notice: "0s", MinutesPerMonth: 10_000, MinAvailableShare: 0.5, MaxConcurrentWindows: 1, OverrunPolicy: contract.OverrunHaltsTenant,
+	alwaysApproved := contract.Contract{Tenant: "portal", Notice: "0s", MinutesPerMonth: 10_000, MinAvailableShare: 0.5, MaxConcurrentWindows: 1, OverrunPolicy: contract.OverrunHaltsTenant,
 		Spec: calendar.Spec{Zone: "UTC", ApprovedHours: []calendar.Rule{{Recurrence: "FREQ=DAILY", Start: "00:00", Length: "48h", FirstDay: "2020-01-01"}}}}
-	mustWrite(nil, maintenance.Operation{Kind: maintenance.OpSetContract, Contract: &always})
-	bounded := func() bool {
+	mustWrite(nil, maintenance.Operation{Kind: maintenance.OpSetContract, Contract: &alwaysApproved})
+	hasContractBudget := func() bool {
 		t.Helper()
 		current, err := env.client.LedgerView(env.ctx, true, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return slices.ContainsFunc(current.Budgets, func(env disruption.Budget) bool { return env.Name == maintenance.ContractBudgetName("portal") })
+		return slices.ContainsFunc(current.Budgets, func(budget disruption.Budget) bool { return budget.Name == maintenance.ContractBudgetName("portal") })
 	}
-	if !bounded() {
+	if !hasContractBudget() {
 		t.Error("the contract sets no budget")
 	}
 	mustWrite(nil, maintenance.Operation{Kind: maintenance.OpPropose, Window: "w", Operator: "ops", ServerUIDs: []string{"s0"}, WorkMS: 60_000})
@@ -80,18 +80,18 @@
 	if status := writeOp(guard, stamp(), maintenance.Operation{Kind: maintenance.OpBeginDrain, Window: "w"}); status != http.StatusConflict {
 		t.Errorf("drained without a permit: %d", status)
 	}
-	act := func(kind disruption.OpKind) {
+	applyLedgerAction := func(kind disruption.OpKind) {
 		t.Helper()
 		action := maintenance.LedgerAction{Kind: kind, PermitID: "window/w/1", ServerUIDs: []string{"s0"}}
 		if _, err := env.client.ApplyLedgerOp(env.ctx, registry.WriteOptions{Guard: guard}, *action.Operation()); err != nil {
 			t.Fatalf("%s: %v", kind, err)
 		}
 	}
-	act(disruption.OpRequest)
+	applyLedgerAction(disruption.OpRequest)
 	mustWrite(guard, maintenance.Operation{Kind: maintenance.OpBeginDrain, Window: "w"})
-	act(disruption.OpBegin)
-	env.leader().Process.Kill()
-	tellOp := func() maintenance.Operation {
+	applyLedgerAction(disruption.OpBegin)
+	env.awaitLeader().Process.Kill()
+	extendExclusionOp := func() maintenance.Operation {
 		return maintenance.Operation{Kind: maintenance.OpExtendExclusion, Window: "w", ExcludeUntilMS: time.Now().UnixMilli() + maintenance.ExclusionTTLMS - 1000}
 	}
 	skewed := stamp()
@@ -106,27 +106,27 @@
 		"an old token":          {&registry.Guard{Lease: guard.Lease, Token: guard.Token - 1}, stamp(), http.StatusConflict},
 		"a clock an hour ahead": {guard, skewed, http.StatusConflict},
 	} {
-		if status := writeOp(tc.guard, tc.stamp, tellOp()); status != tc.want {
+		if status := writeOp(tc.guard, tc.stamp, extendExclusionOp()); status != tc.want {
 			t.Errorf("%s: %d, want %d", what, status, tc.want)
 		}
 	}
-	mustWrite(guard, tellOp())
-	publishedEntries := func() int {
+	mustWrite(guard, extendExclusionOp())
+	countDirectives := func() int {
 		t.Helper()
-		l, err := env.client.PlacementView(env.ctx, true)
+		placementView, err := env.client.PlacementView(env.ctx, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return len(l.Directives)
+		return len(placementView.Directives)
 	}
-	if entries := publishedEntries(); entries != 1 {
+	if entries := countDirectives(); entries != 1 {
 		t.Fatalf("%d directives are published", entries)
 	}
 	mustWrite(nil, maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: "portal"})
-	if entries := publishedEntries(); entries != 0 {
+	if entries := countDirectives(); entries != 0 {
 		t.Errorf("%d directives are published after the contract ended", entries)
 	}
-	if bounded() {
+	if hasContractBudget() {
 		t.Error("its budget outlives the contract")
 	}
 	if found := view().Table.Window("w"); found == nil || found.Stage != maintenance.StageDraining || view().PermitStages["window/w/1"] != disruption.StageActive {
--- a/internal/registry/partition_test.go
+++ b/internal/registry/partition_test.go
@@ -17,12 +17,12 @@
 func TestFrozenLeaderServesNoStaleReads(t *testing.T) {
 	env := startEnv(t, 3, false, "")
 	for round := range 3 {
-		old := env.leader()
+		old := env.awaitLeader()
 		env.register(newInstance("a", 2*round+1))
 		if err := old.Pause(); err != nil {
 			t.Fatal(err)
 		}
-		majority := env.clientOf(env.othersThan(old)...)
+		majority := env.newClientFor(env.httpAddrsExcept(old)...)
 		result, err := majority.Register(env.ctx, registry.WriteOptions{}, newInstance("a", 2*round+2))
 		if err != nil {
 			t.Fatal(err)
@@ -85,9 +85,9 @@
 	defer stopKeepAlive()
 	env.eventually("it is registered", func() bool { _, err := env.client.Get(env.ctx, "leased", true); return err == nil })
 
-	cut := env.leader()
+	isolated := env.awaitLeader()
 	var mu sync.Mutex
-	var seen []uint64
+	var receivedRevisions []uint64
 	background.Go(func() {
 		newest := uint64(0)
 		env.watch(ctx, func(list *registry.EndpointList) {
@@ -98,27 +98,27 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for range list.Targets {
-				seen = append(seen, list.Revision)
+				receivedRevisions = append(receivedRevisions, list.Revision)
 			}
-		}, cut)
+		}, isolated)
 	})
-	env.eventually("the watch is up", func() bool { mu.Lock(); defer mu.Unlock(); return len(seen) > 0 })
+	env.eventually("the watch is up", func() bool { mu.Lock(); defer mu.Unlock(); return len(receivedRevisions) > 0 })
 
-	env.network.Partition(cut.Index, 3, true)
-	env.eventually("the cut leader steps down", func() bool { return env.status(cut).Role != "Leader" })
-	minority := env.clientOf(cut.HTTPAddr)
-	short, cancel := context.WithTimeout(env.ctx, 2*time.Second)
-	if _, err := minority.Register(short, registry.WriteOptions{}, newInstance("refused", 2)); err == nil {
+	env.network.Partition(isolated.Index, 3, true)
+	env.eventually("the cut leader steps down", func() bool { return env.status(isolated).Role != "Leader" })
+	minority := env.newClientFor(isolated.HTTPAddr)
+	shortCtx, cancel := context.WithTimeout(env.ctx, 2*time.Second)
+	if _, err := minority.Register(shortCtx, registry.WriteOptions{}, newInstance("refused", 2)); err == nil {
 		t.Error("a replica in the minority accepts a write")
 	}
 	cancel()
-	env.eventually("its age grows past the lease", func() bool { return env.status(cut).AgeMS > 1500 })
+	env.eventually("its age grows past the lease", func() bool { return env.status(isolated).AgeMS > 1500 })
 	list, err := minority.List(env.ctx, false)
 	if err != nil || len(list.Targets) != 1 {
 		t.Errorf("a replica in the minority answers %+v: %v", list, err)
 	}
 	// The majority has a leader, where the leased instance has missed no renewal.
-	majority := env.clientOf(env.othersThan(cut)...)
+	majority := env.newClientFor(env.httpAddrsExcept(isolated)...)
 	last := uint64(0)
 	for n := range 5 {
 		result, err := majority.Register(env.ctx, registry.WriteOptions{}, newInstance(fmt.Sprint("w", n), n))
@@ -127,12 +127,16 @@
 		}
 		last = result.Revision
 	}
-	env.network.Partition(cut.Index, 3, false)
-	env.eventually("the watcher has all", func() bool { mu.Lock(); defer mu.Unlock(); return len(seen) > 0 && seen[len(seen)-1] >= last })
+	env.network.Partition(isolated.Index, 3, false)
+	env.eventually("the watcher has all", func() bool {
+		mu.Lock()
+		defer mu.Unlock()
+		return len(receivedRevisions) > 0 && receivedRevisions[len(receivedRevisions)-1] >= last
+	})
 	mu.Lock()
 	defer mu.Unlock()
-	if !slices.IsSorted(seen) || len(slices.Compact(slices.Clone(seen))) != len(seen) {
-		t.Errorf("changes came twice or out of order: %v", seen)
+	if !slices.IsSorted(receivedRevisions) || len(slices.Compact(slices.Clone(receivedRevisions))) != len(receivedRevisions) {
+		t.Errorf("changes came twice or out of order: %v", receivedRevisions)
 	}
 	if list, err := env.client.List(env.ctx, true); err != nil || len(list.Targets) != 6 {
 		t.Errorf("%d instances, want the leased one and five: %v", len(list.Targets), err)
--- a/internal/registry/placement_test.go
+++ b/internal/registry/placement_test.go
@@ -16,7 +16,7 @@
 // restarts from its snapshot serves the same. A write by other than the owner of a directive is rejected.
 func TestPlacementSurvivesLeaderLoss(t *testing.T) {
 	env := startEnv(t, 3, false, "snapshot_every = 10")
-	leader := env.leader()
+	leader := env.awaitLeader()
 	guard, other := env.acquireLease("window/a"), env.acquireLease("window/b")
 	var followers []*placementFollower
 	for ordinal := range 3 {
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	restarted := env.clientOf(leader.HTTPAddr)
+	restarted := env.newClientFor(leader.HTTPAddr)
 	env.eventually("the restarted replica serves the same", func() bool {
 		list, err := restarted.PlacementView(env.ctx, false)
 		return err == nil && list.Revision == want.Revision && list.Epoch == want.Epoch && ids(list) == "window/a/1"
--- a/internal/registry/raft_transport_test.go
+++ b/internal/registry/raft_transport_test.go
@@ -23,19 +23,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				near, far := net.Pipe()
-				defer near.Close()
+				clientConn, serverConn := net.Pipe()
+				defer clientConn.Close()
 				go func() {
-					defer far.Close()
-					if _, err := far.Read(make([]byte, tc.requestBytes)); err != nil {
+					defer serverConn.Close()
+					if _, err := serverConn.Read(make([]byte, tc.requestBytes)); err != nil {
 						return
 					}
 					time.Sleep(tc.wait)
-					if _, err := far.Write([]byte("yes")); err != nil {
+					if _, err := serverConn.Write([]byte("yes")); err != nil {
 						t.Error(err)
 					}
 				}()
-				conn := &responseAgeConn{Conn: near, maxAge: maxResponseAge}
+				conn := &responseAgeConn{Conn: clientConn, maxAge: maxResponseAge}
 				if _, err := conn.Write(make([]byte, tc.requestBytes)); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/registry/release_test.go
+++ b/internal/registry/release_test.go
@@ -58,7 +58,7 @@
 	if status := write(guard, "r", step(0, 1)); status != 0 {
 		t.Fatalf("a step is rejected: %d", status)
 	}
-	env.leader().Process.Kill()
+	env.awaitLeader().Process.Kill()
 	for what, tc := range map[string]struct {
 		guard *registry.Guard
 		name  string
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -80,7 +80,7 @@
 	listener   net.Listener
 	httpServer *http.Server
 	watchers   atomic.Int64
-	stateKnown atomic.Bool // see catchUp
+	caughtUp   atomic.Bool // see catchUp
 
 	// Used by the leader only.
 	verifyLeader         func() error // asks a majority whether this replica still leads; tests hold it up
@@ -104,7 +104,7 @@
 func Open(options Options) (*Replica, error) { return openWith(options, func(*Replica) {}) }
 
 // openWith is Open with a change to the replica before anything runs.
-func openWith(options Options, change func(*Replica)) (*Replica, error) {
+func openWith(options Options, configure func(*Replica)) (*Replica, error) {
 	for name, address := range map[string]string{"http": options.HTTPAddr, "raft": options.RaftAddr} {
 		if err := CheckLoopback(name, address); err != nil {
 			return nil, err
@@ -112,7 +112,7 @@
 	}
 	options.setDefaults()
 	replica := newReplica(options)
-	change(replica)
+	configure(replica)
 	// The HTTP address is bound first: a replica that clients cannot reach must not vote.
 	listener, err := sockets.Listen("tcp", options.HTTPAddr)
 	if err != nil {
--- a/internal/registry/sidecars_test.go
+++ b/internal/registry/sidecars_test.go
@@ -13,7 +13,7 @@
 func TestSidecarLeases(t *testing.T) {
 	env := startEnv(t, 1, false, "")
 	env.registerFleet(8, 3)
-	appliedIndex := func() uint64 { return env.status(env.leader()).AppliedIndex }
+	appliedIndex := func() uint64 { return env.status(env.awaitLeader()).AppliedIndex }
 	list := func(names ...string) (sidecars []registry.Sidecar) {
 		for ordinal, name := range names {
 			sidecars = append(sidecars, registry.Sidecar{Name: name, Zone: "1", Ready: true, ListRevision: uint64(ordinal)})
--- a/internal/registry/state_machine_test.go
+++ b/internal/registry/state_machine_test.go
@@ -215,7 +215,7 @@
 }
 
 // A watcher that is far behind receives the newest state of each instance, not every change.
-func TestSlowWatchersReceiveFoldedChanges(t *testing.T) {
+func TestSlowWatchersReceiveCoalescedChanges(t *testing.T) {
 	hub := NewHub()
 	register := func(n uint64) {
 		instance := newTestInstance("a", 1, float64(n))
@@ -259,24 +259,24 @@
 	}
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	rules := ExpiryPolicy{MaxShare: 0.15, Window: 10 * time.Second}
+	policy := ExpiryPolicy{MaxShare: 0.15, Window: 10 * time.Second}
 
-	tracker := newRegistrationTracker(rules)
+	tracker := newRegistrationTracker(policy)
 	tracker.reset(start, state)
 	tracker.renew(at(800), state, uids[1:])
-	if expire, hold := tracker.sweep(at(999)); len(expire)+len(hold) > 0 {
-		t.Errorf("a registration expires before the end of its lease: %v %v", expire, hold)
+	if expire, suspects := tracker.sweep(at(999)); len(expire)+len(suspects) > 0 {
+		t.Errorf("a registration expires before the end of its lease: %v %v", expire, suspects)
 	}
-	if expire, hold := tracker.sweep(at(1001)); len(expire) != 1 || expire[0].UID != "0" || len(hold) > 0 {
-		t.Errorf("one lease has ended: %v %v", expire, hold)
+	if expire, suspects := tracker.sweep(at(1001)); len(expire) != 1 || expire[0].UID != "0" || len(suspects) > 0 {
+		t.Errorf("one lease has ended: %v %v", expire, suspects)
 	}
 
 	// Half are missing, as in a partition. The first leases to end must not expire either.
 	tracker.reset(start, state)
 	tracker.renew(at(50), state, uids[5:])
 	tracker.renew(at(800), state, uids[10:])
-	if expire, hold := tracker.sweep(at(1010)); len(expire) > 0 || len(hold) != 5 {
-		t.Errorf("half are missing: %d expire, %d are held back", len(expire), len(hold))
+	if expire, suspects := tracker.sweep(at(1010)); len(expire) > 0 || len(suspects) != 5 {
+		t.Errorf("half are missing: %d expire, %d are held back", len(expire), len(suspects))
 	}
 
 	// Expiries one after the other count, too, within the window of the policy.
--- a/internal/registry/storage_test.go
+++ b/internal/registry/storage_test.go
@@ -52,22 +52,22 @@
 			t.Fatal(err)
 		}
 	}
-	env.failsToStart(victim, "snapshot")
-	env.leader()
+	env.requireStartFailure(victim, "snapshot")
+	env.awaitLeader()
 	list, err := env.client.List(env.ctx, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	there := map[string]bool{}
+	listed := map[string]bool{}
 	for _, target := range list.Targets {
-		there[target.UID] = true
+		listed[target.UID] = true
 	}
 	for uid := range acked {
-		if !there[uid] {
+		if !listed[uid] {
 			t.Errorf("%s was acknowledged and is not there", uid)
 		}
 	}
-	env.replaceFromEmpty(victim, list)
+	env.restartWithEmptyDataDir(victim, list)
 
 	// A flipped byte in the log, and a truncated log.
 	for name, damage := range map[string]func(*testing.T, string){"flipped": flipRecords, "truncated": truncateLog} {
@@ -77,12 +77,12 @@
 		if err := victim.Start(); err != nil {
 			t.Fatal(err)
 		}
-		env.failsToStart(victim, victim.DataDir)
-		env.leader() // the others continue
+		env.requireStartFailure(victim, victim.DataDir)
+		env.awaitLeader() // the others continue
 		if _, err := env.client.List(env.ctx, true); err != nil {
 			t.Error(name, err)
 		}
-		env.replaceFromEmpty(victim, list)
+		env.restartWithEmptyDataDir(victim, list)
 	}
 }
 
@@ -139,7 +139,7 @@
 }
 
 // failsToStart waits until a replica has ended with a one-line error that names a reason.
-func (e *testEnv) failsToStart(replica *cluster.Replica, reason string) {
+func (e *testEnv) requireStartFailure(replica *cluster.Replica, reason string) {
 	e.Helper()
 	select {
 	case <-replica.Process.Done():
@@ -155,7 +155,7 @@
 
 // replaceFromEmpty starts a replica with an empty data directory. It has to catch up with a list by snapshot, as the
 // others have compacted their logs.
-func (e *testEnv) replaceFromEmpty(replica *cluster.Replica, list registry.EndpointList) {
+func (e *testEnv) restartWithEmptyDataDir(replica *cluster.Replica, list registry.EndpointList) {
 	e.Helper()
 	if err := os.RemoveAll(replica.DataDir); err != nil {
 		e.Fatal(err)
@@ -233,7 +233,7 @@
 		}
 	}
 	result := env.register(newInstance("last", 1))
-	env.leader()
+	env.awaitLeader()
 	victim.Process.Kill()
 	if err := victim.Start(); err != nil {
 		t.Fatal(err)
--- a/internal/registry/warmup_test.go
+++ b/internal/registry/warmup_test.go
@@ -12,24 +12,24 @@
 func TestWarmUpByDuration(t *testing.T) {
 	tracker := newWarmUpTracker(60 * time.Second)
 	start := time.Unix(1000, 0)
-	cold := func(id string, revision uint64) disruption.Unit {
+	warmingUp := func(id string, revision uint64) disruption.Unit {
 		return disruption.Unit{ID: id, TransitionRevision: revision, Condition: disruption.ConditionWarmingUp}
 	}
 	for _, step := range []struct {
-		at   time.Duration
-		cold []disruption.Unit
-		want string
+		at      time.Duration
+		warming []disruption.Unit
+		want    string
 	}{
-		{0, []disruption.Unit{cold("server/a", 1), cold("server/b", 2)}, ""},
-		{59 * time.Second, []disruption.Unit{cold("server/a", 1), cold("server/b", 7)}, ""}, // b has restarted
-		{60 * time.Second, []disruption.Unit{cold("server/a", 1), cold("server/b", 7)}, "server/a"},
-		{61 * time.Second, []disruption.Unit{cold("server/a", 1), cold("server/b", 7)}, "server/a"}, // not applied yet: again
+		{0, []disruption.Unit{warmingUp("server/a", 1), warmingUp("server/b", 2)}, ""},
+		{59 * time.Second, []disruption.Unit{warmingUp("server/a", 1), warmingUp("server/b", 7)}, ""}, // b has restarted
+		{60 * time.Second, []disruption.Unit{warmingUp("server/a", 1), warmingUp("server/b", 7)}, "server/a"},
+		{61 * time.Second, []disruption.Unit{warmingUp("server/a", 1), warmingUp("server/b", 7)}, "server/a"}, // not applied yet: again
 		{70 * time.Second, nil, ""}, // both are absent
-		{119 * time.Second, []disruption.Unit{cold("server/b", 7)}, ""},
-		{179 * time.Second, []disruption.Unit{cold("server/b", 7)}, "server/b"},
+		{119 * time.Second, []disruption.Unit{warmingUp("server/b", 7)}, ""},
+		{179 * time.Second, []disruption.Unit{warmingUp("server/b", 7)}, "server/b"},
 	} {
 		got := ""
-		for _, unit := range tracker.update(start.Add(step.at), step.cold) {
+		for _, unit := range tracker.update(start.Add(step.at), step.warming) {
 			if unit.Condition != disruption.ConditionUp || unit.TransitionRevision == 0 {
 				t.Errorf("%v: %+v", step.at, unit)
 			}
--- a/internal/registry/writes_test.go
+++ b/internal/registry/writes_test.go
@@ -87,7 +87,7 @@
 		t.Fatal(err)
 	}
 	env.eventually("the new replica has the list", func() bool { return env.status(added).Instances == 1 })
-	removed := env.leader()
+	removed := env.awaitLeader()
 	members, err := env.client.RemoveMember(env.ctx, removed.HTTPAddr)
 	if err != nil || len(members) != 3 {
 		t.Fatalf("%v: %v", members, err)
