--- a/internal/registry/catch_up.go
+++ b/internal/registry/catch_up.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// catchUpInterval is the time between two looks whether a replica has caught up after its start.
+	// catchUpInterval is the time between two checks whether a replica has caught up after its start.
 	catchUpInterval = 10 * time.Millisecond
 	// catchUpRequestTimeout bounds the request for the leader's status.
 	catchUpRequestTimeout = time.Second
 )
 
-// errStateUnknown is answered by a replica that has not caught up with the leader since it started.
+// errNotCaughtUp is the response of a replica that has not caught up with the leader since its start.
 var errNotCaughtUp = errors.New("this replica has not caught up with the leader yet")
 
-// A replica that starts holds its last snapshot, or nothing, until a leader tells it what is committed: an empty list then is no
-// list. So it answers reads with 503 until it has applied what the leader had applied when it was asked, or leads itself.
+// After its start a replica has only the state of its last snapshot, or none, until a leader announces which entries
+// are committed. An empty list from such a replica would be wrong. The replica therefore responds to reads with status
+// 503 until it leads, or has applied everything that the leader had applied when the leader reported its status.
 
-// serveKnown serves a request for the state once that is known.
+// requireCaughtUp makes a handler of reads respond with errNotCaughtUp until the replica has caught up.
 func (r *Replica) requireCaughtUp(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		if !r.caughtUp.Load() {
@@ -31,17 +32,18 @@
 	}
 }
 
-// catchUp waits until the state is known, or the replica ends.
+// catchUp sets caughtUp once this replica has caught up with a leader. It returns when caughtUp is set or the replica
+// closes.
 func (r *Replica) catchUp() {
 	client, err := NewClient([]string{r.options.HTTPAddr})
 	if err != nil {
-		r.fail(err) // the address was checked when the replica was opened
+		r.fail(err) // cannot happen: openWith has checked the address
 		return
 	}
 	defer client.Close()
 	ticker := time.NewTicker(catchUpInterval)
 	defer ticker.Stop()
-	var leader Status // as it answered; zero: it has not yet
+	var leader Status // the first status that a leader reported; zero: none yet
 	for !r.caughtUp.Load() {
 		select {
 		case <-r.ctx.Done():
@@ -55,20 +57,21 @@
 			r.caughtUp.Store(true)
 		}
 	}
-	r.logger.Info("state known", "applied", r.raft.AppliedIndex())
+	r.logger.Info("replica has caught up", "applied", r.raft.AppliedIndex())
 }
 
-// caughtUpWith reports whether this replica has applied what a leader had. The index alone does not say so: raft counts what it
-// has handed over.
+// caughtUpWith reports whether this replica has applied what a leader had applied. The applied index alone does not
+// prove this: raft counts entries that it has handed over and that are not applied yet.
 func (r *Replica) caughtUpWith(leader *Status) bool {
 	status := r.status()
 	if status.Epoch != leader.Epoch {
-		return status.Revision > leader.AppliedIndex // a backup has been restored since: revisions are indices of the log
+		return status.Revision > leader.AppliedIndex // a backup was restored since then; a revision is a log index
 	}
 	return status.AppliedIndex >= leader.AppliedIndex && status.Revision >= leader.Revision
 }
 
-// leaderStatus asks the leader for its status; it is zero if there is none that has verified its leadership.
+// leaderStatus returns the status that the leader reports. It is zero if there is no leader that has verified its
+// leadership.
 func (r *Replica) leaderStatus(client *Client) Status {
 	leader := r.leaderAddr()
 	if leader == "" || leader == r.options.HTTPAddr {
--- a/internal/registry/fsm.go
+++ b/internal/registry/fsm.go
@@ -8,11 +8,11 @@
 	"github.com/hashicorp/raft"
 )
 
-// fsm is the replica as raft drives it.
+// fsm implements raft.FSM on a replica.
 type fsm Replica
 
-// Apply applies a log entry, and returns a Result or an error. Replicas that skip an entry which they cannot read would
-// diverge, so the replica fails.
+// Apply applies a log entry, and returns a Result or an error. A replica that skipped an unreadable entry would diverge
+// from the other replicas, so it fails instead.
 func (f *fsm) Apply(entry *raft.Log) any {
 	replica := (*Replica)(f)
 	record, err := DecodeRecord(entry.Data)
@@ -26,7 +26,7 @@
 	return err
 }
 
-// Snapshot returns a snapshot of the state at this moment.
+// Snapshot returns a snapshot of the current state.
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	buffer := &snapshotBuffer{}
 	var err error
@@ -34,7 +34,7 @@
 	return buffer, err
 }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state by that of a snapshot.
 func (f *fsm) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	state, err := ReadSnapshot(from)
@@ -61,5 +61,5 @@
 	return sink.Close()
 }
 
-// Release does nothing: the buffer is collected.
+// Release does nothing: the garbage collector frees the buffer.
 func (b *snapshotBuffer) Release() {}
--- a/internal/registry/holddown.go
+++ b/internal/registry/holddown.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// shortTenureLeases is how many lease durations a tenure has to last so as not to count as short: a holder that
-	// acquires a lease and then fails loses it within two.
+	// shortTenureLeases is the number of lease durations below which a tenure counts as short. A holder that fails
+	// right after it has acquired a lease loses the lease within two.
 	shortTenureLeases = 3
-	// allowedShortTenures are not followed by a hold-down: two may be coincidence.
+	// allowedShortTenures is the number of successive short tenures that cause no hold-down: two may be coincidence.
 	allowedShortTenures = 2
-	// initialHoldDownLeases is how many lease durations the first hold-down lasts. Each further one lasts twice as long, up
-	// to maxHoldDown: by then the next candidate has had time for a tenure that is not short.
+	// initialHoldDownLeases is the number of lease durations that the first hold-down lasts. Each further one lasts
+	// twice as long, up to maxHoldDown. At the end of a hold-down the next candidate has had time for a tenure that is
+	// not short.
 	initialHoldDownLeases = 4
 	maxHoldDown           = time.Minute
 )
 
-// holdDown delays the next campaign of a candidate that held a lease several times for a short while. The count of short
-// tenures is replicated; the time is the leader's, and a new leader starts all hold-downs again.
+// holdDown delays the next campaign of a candidate that had several short tenures. The number of short tenures is
+// replicated. The time is tracked by the leader alone; a new leader restarts all hold-downs.
 type holdDown struct {
 	failover       leasetable.Failover
 	expiresAt      time.Time
-	lastCampaignAt time.Time // last attempt that was rejected; zero: none
+	lastCampaignAt time.Time // last campaign during the hold-down, admitted or not; zero: none
 }
 
-// holdDownDuration is how long a candidate is held down after a number of short tenures; 0: not at all.
+// holdDownDuration returns how long a candidate is held down after a number of short tenures; 0: not at all.
 func holdDownDuration(ttl time.Duration, shortTenures int) time.Duration {
 	if shortTenures <= allowedShortTenures {
 		return 0
@@ -35,8 +36,8 @@
 	return min(initialHoldDownLeases*ttl<<(shortTenures-allowedShortTenures-1), maxHoldDown)
 }
 
-// trackHoldDownsLocked starts the hold-downs that are not tracked yet, and drops those that are not due any more. The
-// caller holds the lock.
+// trackHoldDownsLocked starts the hold-downs that are not tracked yet, and drops those whose failover record has
+// changed. The caller holds the lock.
 func (t *leaseTracker) trackHoldDownsLocked(now time.Time, lease *leasetable.Lease) {
 	entries := t.holdDowns[lease.Name]
 	for candidate, entry := range entries {
@@ -57,8 +58,9 @@
 	}
 }
 
-// admitCandidate reports whether a candidate may campaign for a lease. One that is held down may only while nobody else
-// can hold the lease: no holder, no queue, and no other held-down candidate that has campaigned within a lease duration.
+// admitCandidate reports whether a candidate may campaign for a lease. A candidate that is held down may campaign only
+// if nobody else can acquire the lease: there is no holder, no queue, and no other held-down candidate that has
+// campaigned within the last lease duration.
 func (t *leaseTracker) admitCandidate(now time.Time, state *StateMachine, name, candidate string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,7 +89,7 @@
 	return !h.lastCampaignAt.IsZero() && now.Sub(h.lastCampaignAt) < duration
 }
 
-// admitCandidate is admitCandidate of the tracker, with the present state.
+// admitCandidate calls admitCandidate of the tracker with the current state.
 func (r *Replica) admitCandidate(name, candidate string) (admitted bool) {
 	r.hub.Read(func(state *StateMachine) {
 		admitted = r.leaseTracker.admitCandidate(time.Now(), state, name, candidate)
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -6,7 +6,7 @@
 	"milldeck/internal/validation"
 )
 
-// Target is an instance in the form in which PROTOCOL's discovery lists it.
+// Target is an instance in the format of the endpoint list that PROTOCOL specifies.
 type Target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"` // IP address and port
@@ -15,7 +15,7 @@
 	PodGroup int     `json:"pod_group"`
 	State    string  `json:"state"`
 	Capacity float64 `json:"capacity_hint"` // relative to other instances, above 0
-	BootMS   float64 `json:"boot_ms"`       // last start, Unix ms; 0: unknown, long ago
+	BootMS   float64 `json:"boot_ms"`       // last start, Unix ms; 0: unknown, assumed to be long ago
 }
 
 // The states of an instance, as PROTOCOL names them. InstanceRemoved appears only in watch events.
@@ -25,8 +25,9 @@
 	InstanceRemoved     = "Gone"
 )
 
-// EndpointList is PROTOCOL's endpoint list (Complete) or a watch event with the targets that changed. Epoch is an
-// extension: it names the history that Revision belongs to. Readers that do not know the field skip it.
+// EndpointList is the endpoint list of PROTOCOL (Complete is true) or a watch event with the targets that changed.
+// Epoch is an extension of PROTOCOL: it identifies the history that Revision belongs to. Readers that do not know the
+// field skip it.
 type EndpointList struct {
 	Revision uint64   `json:"rev"`
 	Complete bool     `json:"all"`
@@ -34,20 +35,20 @@
 	Epoch    uint64   `json:"epoch,omitempty"`
 }
 
-// Instance is a target as it is registered.
+// Instance is a registered target.
 type Instance struct {
 	Target
-	Version  string `json:"version,omitempty"` // of its program; not part of the endpoint list
+	Version  string `json:"version,omitempty"` // version of the server's program; not part of the endpoint list
 	TTLMS    int64  `json:"ttl_ms"`            // lease duration; 0: the registration never expires
 	Revision uint64 `json:"rev"`               // of its last change
 	Suspect  bool   `json:"suspect,omitempty"` // its lease has expired, but the expiry is held back
 }
 
-// Bounds of what a writer may register.
+// Limits of a registration.
 const (
 	maxNameLength   = 128
 	maxCapacityHint = 1000
-	maxBootMS       = 1e15        // far in the future: not a time in Unix ms
+	maxBootMS       = 1e15        // a larger number is not a time in Unix ms, as it is far in the future
 	minTTLMS        = 100         // no heartbeat interval could keep up with a shorter lease
 	maxTTLMS        = 3600 * 1000 // a longer lease detects nothing
 	maxInstances    = 100_000
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	verifyInterval = 200 * time.Millisecond // between two verifications of the leadership
-	sweepInterval  = 100 * time.Millisecond // between two searches for expired leases
-	// establishRetryInterval is the time between two attempts of a replica that leads to establish its leadership.
+	verifyInterval = 200 * time.Millisecond // time between two verifications of the leadership
+	sweepInterval  = 100 * time.Millisecond // time between two searches for expired leases
+	// establishRetryInterval is the time between two attempts to establish the leadership.
 	establishRetryInterval = 200 * time.Millisecond
 )
 
-// monitorLeadership runs what only the leader does whenever this replica is the leader, until the replica ends.
+// monitorLeadership runs the tasks of the leader whenever this replica leads. It returns when the replica closes.
 func (r *Replica) monitorLeadership() {
 	leaderChanges := r.raft.LeaderCh()
 	for {
@@ -35,8 +35,9 @@
 	}
 }
 
-// establishLeadershipWithRetry tries for as long as this replica leads, and reports whether it has succeeded. A slow disk may fail an
-// attempt while the others still follow this replica, and no election follows from that.
+// establishLeadershipWithRetry retries while this replica leads, and reports whether an attempt succeeded. An attempt
+// may fail because of a slow disk. The other replicas then still follow this replica, so no election takes place that
+// would start another attempt.
 func (r *Replica) establishLeadershipWithRetry() bool {
 	for {
 		err := r.establishLeadership()
@@ -56,7 +57,8 @@
 	}
 }
 
-// establishLeadership waits until the records of earlier leaders are applied, and grants every lease its full time again.
+// establishLeadership waits until the records of earlier leaders are applied, and restarts every lease with its full
+// duration.
 func (r *Replica) establishLeadership() error {
 	startedAt := r.uptime()
 	if err := r.awaitBarrier(); err != nil {
@@ -79,7 +81,7 @@
 	return nil
 }
 
-// resetTrackers grants every lease its full time again.
+// resetTrackers restarts every lease with its full duration.
 func (r *Replica) resetTrackers() {
 	r.hub.Read(func(state *StateMachine) {
 		r.registrations.reset(time.Now(), state)
@@ -88,12 +90,12 @@
 	})
 }
 
-// newEpoch draws the identifier of a history, so that two clusters hardly share one. It is below 2^53, so that JSON
-// readers with floating-point numbers keep it exact, and not 0.
+// newEpoch returns a random identifier of a history; two clusters are unlikely to have the same. The identifier is
+// below 2^53, so that JSON readers with floating-point numbers keep it exact, and it is not 0.
 func newEpoch() uint64 {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		panic(err) // documented never to happen
+		panic(err) // cannot happen: Read is documented never to return an error
 	}
 	return binary.BigEndian.Uint64(random[:])>>11 | 1
 }
@@ -127,8 +129,8 @@
 	}
 }
 
-// recordVerified records that this replica led at the given uptime. That is when a check of it began: the check proves nothing of
-// the time after, in which the replica may be held up while another is elected.
+// recordVerified records that this replica led at the given uptime, at which a verification of the leadership started.
+// A verification proves nothing about the time after its start: this replica may be delayed while another is elected.
 func (r *Replica) recordVerified(startedAt time.Duration) {
 	for {
 		last := r.verifiedAt.Load()
@@ -138,22 +140,22 @@
 	}
 }
 
-// expireInstances expires the registrations whose leases have ended, or holds the expiry back where too many are missing
-// at once.
+// expireInstances removes the registrations whose leases have expired. If too many are missing at once, it holds the
+// expiry back.
 func (r *Replica) expireInstances() {
 	now := time.Now()
 	expire, suspects := r.registrations.sweep(now)
 	switch {
 	case len(suspects) > 0:
 		if _, err := r.propose(&Record{Op: OpSuspect, Refs: suspects, Suspected: true}); err != nil {
-			return // the next sweep finds them again, of this leader or the next
+			return // the next sweep of this leader or its successor finds them again
 		}
 		r.metrics.suspected.Add(float64(len(suspects)))
 		r.logger.Warn("mass expiry of instances held back", "instances", len(suspects), "first", suspects[0].UID)
 		r.refreshRegistrations(refNames(suspects))
 	case len(expire) > 0:
 		if _, err := r.propose(&Record{Op: OpExpire, Refs: expire}); err != nil {
-			return // the next sweep finds them again, of this leader or the next
+			return // the next sweep of this leader or its successor finds them again
 		}
 		r.metrics.expired.Add(float64(len(expire)))
 		r.logger.Info("registrations expired", "instances", len(expire), "first", expire[0].UID)
@@ -162,7 +164,7 @@
 	}
 }
 
-// refreshRegistrations updates the tracker after a write about instances.
+// refreshRegistrations updates the tracker after a write to instances.
 func (r *Replica) refreshRegistrations(uids []string) {
 	r.hub.Read(func(state *StateMachine) { r.registrations.refresh(time.Now(), state, uids) })
 }
--- a/internal/registry/lease_tracker.go
+++ b/internal/registry/lease_tracker.go
@@ -11,34 +11,35 @@
 	"milldeck/internal/leaderelection/leasetable"
 )
 
-// expiryGraceFraction is the part of a lease that the registry's leader waits beyond its end before it expires it. The
-// holder counts from before it sent its renewal and stops a margin earlier (leasetable.SafetyMargin). Clock rates differ
-// by far less than a thousandth, so this covers the delay between reading a clock and acting on it.
+// expiryGraceFraction is the fraction of a lease duration that the leader of the registry waits after the end of a
+// lease before it expires the lease. The holder measures the lease from before it sends a renewal, and stops earlier by
+// a margin (leasetable.SafetyMargin). Clock rates differ by far less than a thousandth, so the grace period covers the
+// delay between reading a clock and acting on the time read.
 const expiryGraceFraction = 0.05
 
 // leaseTracker tracks in the leader's memory when the holders and candidates of leases last renewed; renewals are not
-// replicated. A new leader grants all of them the full time again. As a renewal counts only if the leadership was
-// verified after it arrived, that is never less than an earlier leader has granted. Times are readings of the
-// monotonic clock.
+// replicated. A new leader restarts every lease with its full duration. A lease never ends earlier than a previous
+// leader has granted, because a renewal counts only if the leadership was verified after the renewal arrived. Times are
+// readings of the monotonic clock.
 type leaseTracker struct {
 	logger     *slog.Logger
-	observeGap func(time.Duration) // called with each time without a holder; nil: not observed
+	observeGap func(time.Duration) // called with the duration of each gap between two holders; nil: not called
 
 	mu        sync.Mutex
 	leases    map[string]map[string]*trackedLease // by lease and candidate
 	holdDowns map[string]map[string]*holdDown     // by lease and candidate
-	lastHeld  map[string]time.Time                // by lease: when it was last known to be held
+	lastHeld  map[string]time.Time                // by lease: time at which it was last known to be held
 }
 
-// trackedLease is the time that a holder or a candidate of a lease has left.
+// trackedLease tracks the lease of a holder, or the place of a candidate in the queue.
 type trackedLease struct {
 	token         uint64 // 0: a candidate
 	ttl           time.Duration
 	startedAt     time.Time
 	startObserved bool // it started under this leader
 	renewedAt     time.Time
-	acknowledged  bool // renewed by its holder, who works from then on
-	expiryPending bool // its expiry has been proposed, so it cannot be renewed any more
+	acknowledged  bool // the holder has renewed it, and works from then on
+	expiryPending bool // its expiry has been proposed; it can no longer be renewed
 }
 
 func newLeaseTracker() *leaseTracker {
@@ -50,7 +51,7 @@
 	}
 }
 
-// reset grants everybody the full time.
+// reset restarts every lease with its full duration.
 func (t *leaseTracker) reset(now time.Time, state *StateMachine) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,7 +63,7 @@
 	}
 }
 
-// refresh updates the tracker after a write about a lease.
+// refresh updates the tracker after a write to a lease.
 func (t *leaseTracker) refresh(now time.Time, state *StateMachine, name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,8 +89,8 @@
 	t.trackLocked(now, &lease, true)
 }
 
-// trackLocked starts tracking the holder and the candidates that are not tracked yet, and their hold-downs.
-// StartObserved is whether they start now. The caller holds the lock.
+// trackLocked starts to track the holder and the candidates that are not tracked yet, and their hold-downs.
+// StartObserved says whether their tenures start now, under this leader. The caller holds the lock.
 func (t *leaseTracker) trackLocked(now time.Time, lease *leasetable.Lease, startObserved bool) {
 	t.trackHoldDownsLocked(now, lease)
 	entries := t.leases[lease.Name]
@@ -114,7 +115,7 @@
 }
 
 // renew renews the lease of its holder under a token, or the place of a candidate in the queue (token 0). It reports
-// whether there was one to renew.
+// whether there was a lease or a place to renew.
 func (t *leaseTracker) renew(now time.Time, state *StateMachine, name, candidate string, token uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -145,7 +146,7 @@
 	return true
 }
 
-// heldFor is how long a lease has been held under its token, as far as this leader knows.
+// heldFor returns how long a lease has been held under its current token, as far as this leader knows.
 func (t *leaseTracker) heldFor(now time.Time, lease *leasetable.Lease) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,8 +156,8 @@
 	return 0
 }
 
-// findExpired returns an operation for each lease and place in a queue that has expired, and lets none of them be renewed
-// any more. It returns an operation again until that was applied and refresh called.
+// findExpired returns an operation for each expired lease and each expired place in a queue. None of them can be
+// renewed from then on. Each call returns an operation again until it is applied and refresh is called.
 func (t *leaseTracker) findExpired(now time.Time) []leasetable.Operation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -183,7 +184,7 @@
 	return now.Sub(e.renewedAt) > e.ttl+grace
 }
 
-// isShortTenure reports whether the tenure under a token is short if it ends now.
+// isShortTenure reports whether the tenure under a token counts as short if it ends now.
 func (t *leaseTracker) isShortTenure(now time.Time, name, candidate string, token uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -191,16 +192,17 @@
 	return entry != nil && entry.token == token && entry.isShortTenure(now)
 }
 
-// isShortTenure is false for a tenure that started under another leader: it may have lasted for long.
+// isShortTenure returns false for a tenure that started under another leader, because that tenure may be long.
 func (e *trackedLease) isShortTenure(now time.Time) bool {
 	return e.token != 0 && e.startObserved && now.Sub(e.startedAt) < shortTenureLeases*e.ttl
 }
 
-// expireLeases expires the leases that have ended. Only the leader loop calls it.
+// expireLeases expires the leases, and the places in queues, that were not renewed in time. Only the leader loop calls
+// it.
 func (r *Replica) expireLeases() {
 	for _, op := range r.leaseTracker.findExpired(time.Now()) {
 		if _, err := r.propose(&Record{Op: OpLease, Lease: &op}); err != nil {
-			return // the next call finds them again, of this leader or the next
+			return // the next call by this leader or its successor finds them again
 		}
 		r.refreshLease(op.Name)
 		r.logger.Info("lease expired", "lease", op.Name, "candidate", op.Candidate, "token", op.Token)
--- a/internal/registry/logger.go
+++ b/internal/registry/logger.go
@@ -2,5 +2,5 @@
 
 import "log/slog"
 
-// componentLogger is the logger of this package: the program's default with the component's name.
+// componentLogger returns the default logger with the component of this package.
 func componentLogger() *slog.Logger { return slog.With("component", "registry") }
--- a/internal/registry/raft.go
+++ b/internal/registry/raft.go
@@ -15,8 +15,9 @@
 )
 
 const (
-	// Replicas are close to each other. After raftHeartbeatTimeout without a heartbeat a leader counts as failed, and
-	// another is elected well within two seconds. A paused leader steps down (raftLeaderLeaseTimeout) before that.
+	// The timeouts are short because replicas are close to each other. A leader counts as failed after
+	// raftHeartbeatTimeout without a heartbeat, and another is elected well within two seconds. A paused leader steps
+	// down before that, after raftLeaderLeaseTimeout.
 	raftHeartbeatTimeout   = 400 * time.Millisecond
 	raftElectionTimeout    = 400 * time.Millisecond
 	raftLeaderLeaseTimeout = 250 * time.Millisecond
@@ -28,7 +29,7 @@
 	logFileName           = "raft.db"
 )
 
-// raftStores are where raft stores its log, its votes and its snapshots.
+// raftStores are the stores of raft's log, its votes and its snapshots.
 type raftStores struct {
 	logs      raft.LogStore
 	stable    raft.StableStore
@@ -72,7 +73,7 @@
 	return config
 }
 
-// startRaft starts raft. A replica without a log becomes a member of a new cluster, if its options name the members.
+// startRaft starts raft. A replica without stored state starts a new cluster if its options name the members.
 func (r *Replica) startRaft(config *raft.Config, stores *raftStores) error {
 	exists, err := raft.HasExistingState(stores.logs, stores.stable, stores.snapshots)
 	if err != nil {
@@ -93,7 +94,8 @@
 	return err
 }
 
-// openRaftStores opens the stores in a directory, or in memory where that is "". It verifies all that they hold.
+// openRaftStores opens the stores in a directory and verifies their contents. Stores for the directory "" are in
+// memory.
 func openRaftStores(dir string, logger hclog.Logger) (*raftStores, error) {
 	if dir == "" {
 		memory := raft.NewInmemStore()
@@ -116,7 +118,8 @@
 	return &raftStores{store, store, snapshots, store}, nil
 }
 
-// openLogStore opens the file of the log. The library panics on some corrupt files, which becomes an error here.
+// openLogStore opens the file of the log. The library panics on some corrupt files; openLogStore returns such a panic
+// as an error.
 func openLogStore(path string) (store *raftboltdb.BoltStore, err error) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
@@ -132,7 +135,7 @@
 
 // verifyDataDir reads all snapshots and log entries, so that corrupt data is found before the replica votes.
 func verifyDataDir(store *raftboltdb.BoltStore, snapshots raft.SnapshotStore) (err error) {
-	defer func() { // as in openLogStore
+	defer func() { // the library may panic, as in openLogStore
 		if panicked := recover(); panicked != nil {
 			err = fmt.Errorf("log: %v", panicked)
 		}
@@ -143,7 +146,7 @@
 	return verifyLog(store)
 }
 
-// verifySnapshots reads every snapshot: raft falls back on the older one when it cannot read the newest.
+// verifySnapshots reads every snapshot, because raft falls back to an older one if it cannot read the newest.
 func verifySnapshots(snapshots raft.SnapshotStore) error {
 	available, err := snapshots.List()
 	if err != nil {
--- a/internal/registry/raft_transport.go
+++ b/internal/registry/raft_transport.go
@@ -13,20 +13,21 @@
 	dialTimeout        = 500 * time.Millisecond
 	maxRaftConnections = 3 // idle connections to each replica
 
-	// maxResponseAge is how old the response of another replica may be. A replica that answers a heartbeat elects nobody
-	// else for the heartbeat timeout. A response that is read later, as after this process was paused or a partition
-	// healed, proves no present leadership; but raft would accept it as verification of a read that was requested
-	// meanwhile, and a deposed leader would answer with outdated state.
+	// maxResponseAge bounds the time from a request to another replica until its response is read. A replica that
+	// answers a heartbeat votes for no other leader during the heartbeat timeout. A response that is read later, for
+	// example after this process was paused or a partition healed, does not prove that this replica still leads. Raft
+	// would nevertheless accept the response as verification for a read that was requested meanwhile, and a deposed
+	// leader would answer with outdated state.
 	maxResponseAge = raftHeartbeatTimeout - 50*time.Millisecond
-	// maxHeartbeatBytes is the largest request whose response has to arrive within maxResponseAge. Heartbeats are far
-	// smaller. Batches of log entries and snapshots are larger, and the other replica takes its time to store them.
+	// maxHeartbeatBytes is the size of the largest request whose response must arrive within maxResponseAge. Heartbeats
+	// are far smaller. Batches of log entries and snapshots are larger, and the other replica needs time to store them.
 	maxHeartbeatBytes = 1 << 10
 )
 
 var errStaleResponse = errors.New("response is too old to prove the leadership")
 
-// streamLayer makes the connections between replicas. It dials from the replica's own address, which identifies the
-// replica to the other side and to network fault injection.
+// streamLayer opens the connections between replicas. It dials from the replica's own address, by which the other
+// replica and network fault injection identify this replica.
 type streamLayer struct {
 	net.Listener
 	localIP   net.IP
@@ -47,7 +48,7 @@
 	return &streamLayer{listener, listener.Addr().(*net.TCPAddr).IP, advertise}, nil
 }
 
-// Addr is the address that other replicas use.
+// Addr returns the address that other replicas use.
 func (l *streamLayer) Addr() net.Addr { return l.advertise }
 
 // Dial connects to another replica.
@@ -60,14 +61,15 @@
 	return &responseAgeConn{Conn: conn, maxAge: maxResponseAge}, nil
 }
 
-// responseAgeConn is a connection to another replica that rejects responses to small requests after maxAge.
+// responseAgeConn is a connection to another replica. Read fails if the response to a small request arrives later than
+// maxAge.
 type responseAgeConn struct {
 	net.Conn
 	maxAge time.Duration
 
 	mu        sync.Mutex
-	sentAt    time.Time // of the last bytes of the request
-	sentBytes int       // since the last response
+	sentAt    time.Time // when the last bytes of the request were sent
+	sentBytes int       // bytes sent since the last response
 }
 
 func (c *responseAgeConn) Write(data []byte) (int, error) {
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -23,33 +23,34 @@
 	OpRegister   Op = "register"   // Instances
 	OpSetState   Op = "state"      // Refs, State
 	OpDeregister Op = "deregister" // Refs
-	OpExpire     Op = "expire"     // Refs whose leases expired, if they have not changed since
-	OpSuspect    Op = "suspect"    // Refs, Suspected: the expiry is held back, or no longer
-	OpEpoch      Op = "epoch"      // Epoch: the list does not continue the one before
-	OpLease      Op = "duty"       // Lease: leader election
-	OpPlacement  Op = "placement"  // Placement, under the Guard of the directives' owner; expired ones without
-	OpRelease    Op = "release"    // Release; a step of its controller under the release's Guard
-	OpWindow     Op = "window"     // Window, Stamp; a step of the controller under the Guard of maintenance windows
-	OpLedger     Op = "ledger"     // Ledger, under the Guard of the operation's owner
-	OpSidecars   Op = "sidecars"   // Sidecars are registered; State says what happened to Refs
-	OpMirror     Op = "follow"     // Instances and Refs are set and removed unchecked, by an agent that mirrors a registry
+	OpExpire     Op = "expire"     // Refs: the leases have expired; an instance that has changed since stays
+	OpSuspect    Op = "suspect"    // Refs, Suspected: whether the expiry is held back
+	OpEpoch      Op = "epoch"      // Epoch: a new history starts
+	OpLease      Op = "duty"       // Lease: an operation of leader election
+	OpPlacement  Op = "placement"  // Placement, with the Guard of the directives' owner; no Guard to remove expired directives
+	OpRelease    Op = "release"    // Release; a step of the controller needs the Guard of the release's lease
+	OpWindow     Op = "window"     // Window, Timestamp; a step of the controller needs the Guard of maintenance windows
+	OpLedger     Op = "ledger"     // Ledger, with the Guard of the operation's owner
+	OpSidecars   Op = "sidecars"   // Sidecars to register; Refs, State: what happened to registered sidecars
+	OpMirror     Op = "follow"     // Instances to set and Refs to remove without checks, by an agent that mirrors a registry
 )
 
-// InstanceRef names an instance and the revision that it must still have; 0: any revision. In a record about sidecars
-// the UID is the name of a sidecar.
+// InstanceRef refers to an instance that must still have Revision; 0 matches any revision. In a record about sidecars,
+// UID is the name of a sidecar.
 type InstanceRef struct {
 	UID      string `json:"uid"`
 	Revision uint64 `json:"rev,omitempty"`
 }
 
 // Guard makes a write conditional on a lease of leader election: the record has no effect unless Token is the fencing
-// token of the lease's present holder. It is checked when the record is applied, not when it is proposed.
+// token of the current holder of the lease. The state machine checks the guard when it applies the record, not when the
+// record is proposed.
 type Guard struct {
 	Lease string `json:"duty"`
 	Token uint64 `json:"token"`
 }
 
-// Record is one entry of the raft log. Unknown fields, of a later version, are skipped.
+// Record is one entry of the raft log. Decoding skips unknown fields, which a later version has written.
 type Record struct {
 	Op         Op                    `json:"op"`
 	ID         string                `json:"id,omitempty"` // idempotency key of the write; "": none
@@ -71,7 +72,7 @@
 }
 
 const (
-	// recordVersion is the first byte of a stored record. Newer versions are rejected, older ones are read.
+	// recordVersion is the first byte of a stored record. DecodeRecord rejects newer versions and reads older ones.
 	recordVersion = 1
 
 	checksumSize     = 8 // XXH64, big-endian
@@ -95,7 +96,7 @@
 	return append(encoded, body...), nil
 }
 
-// DecodeRecord reads the stored form of a record. It fails if the data is corrupt or was written by a newer version.
+// DecodeRecord reads the stored form of a record. It returns an error if the data is corrupt or of a newer version.
 func DecodeRecord(data []byte) (*Record, error) {
 	if len(data) < recordHeaderSize {
 		return nil, fmt.Errorf("record of %d bytes: %w", len(data), errChecksumMismatch)
--- a/internal/registry/registration_tracker.go
+++ b/internal/registry/registration_tracker.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// ExpiryPolicy limits mass expiry. Many instances that miss their heartbeats at once more likely mean that the registry
-// cannot hear them than that all of them failed.
+// ExpiryPolicy limits mass expiry. If many instances miss their heartbeats at once, it is more likely that the registry
+// does not receive the heartbeats than that all instances have failed.
 type ExpiryPolicy struct {
-	MaxShare float64       // largest share of the registrations that may expire within Window; above, expiry is held back
-	Window   time.Duration // sliding window that expiries are counted in
+	MaxShare float64       // maximum share of registrations that may expire within Window; beyond it, expiry is held back
+	Window   time.Duration // sliding window in which expiries are counted
 }
 
 const (
-	// minMassExpiry is the fewest missing instances that count as a mass expiry, whatever the share: in a small fleet a
-	// single instance is a large share.
+	// minMassExpiry is the smallest number of missing instances that counts as a mass expiry, whatever their share: in
+	// a small fleet a single instance is a large share.
 	minMassExpiry = 3
-	// lateFraction is the part of a lease without renewal after which an instance counts as missing. Renewals come three
-	// times in a lease, so two of them have been missed.
+	// lateFraction is the fraction of a lease after which an instance without a renewal counts as missing. Instances
+	// renew three times per lease, so by then two renewals were missed.
 	lateFraction = 0.7
 )
 
-// registrationTracker tracks the leases of registrations, in the leader's memory: renewals are not replicated. Times are
+// registrationTracker tracks the leases of registrations in the leader's memory; renewals are not replicated. Times are
 // readings of the monotonic clock.
 type registrationTracker struct {
 	policy ExpiryPolicy
 
 	mu             sync.Mutex
-	registrations  map[string]*trackedRegistration // by uid; without those that never expire
+	registrations  map[string]*trackedRegistration // by uid; registrations that never expire are absent
 	recentExpiries []time.Time                     // within the policy's window
 }
 
@@ -50,8 +50,8 @@
 	return &registrationTracker{policy: policy, registrations: map[string]*trackedRegistration{}}
 }
 
-// reset grants every registration its full lease again, as a new leader does: it does not know when its predecessor
-// heard from them.
+// reset restarts every registration with its full lease. A new leader calls it because it does not know when its
+// predecessor received the last renewals.
 func (t *registrationTracker) reset(now time.Time, source registrationSource) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,7 +59,7 @@
 	source.ForEach(func(instance *Instance) { t.trackLocked(now, instance) })
 }
 
-// trackLocked starts a new lease. The caller holds the lock.
+// trackLocked starts a new lease, or drops a registration that never expires. The caller holds the lock.
 func (t *registrationTracker) trackLocked(now time.Time, instance *Instance) {
 	if instance.TTLMS == 0 {
 		delete(t.registrations, instance.UID)
@@ -70,7 +70,7 @@
 	}
 }
 
-// refresh updates the tracker after a write about the registrations named.
+// refresh updates the tracker after a write to the given registrations.
 func (t *registrationTracker) refresh(now time.Time, source registrationSource, uids []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// renew renews leases. It returns the uids that are not registered, and the suspects that have now proved alive.
+// renew renews leases. It returns the uids that are not registered, and the suspects among those renewed.
 func (t *registrationTracker) renew(now time.Time, source registrationSource, uids []string) (unknown, alive []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,8 +108,9 @@
 	return unknown, alive
 }
 
-// sweep returns the registrations whose leases have expired, ordered by uid: in expire, or, where too many are missing
-// at once, in suspects. Each is returned by every sweep until refresh was called after a write about it.
+// sweep returns the registrations whose leases have expired, ordered by uid. It returns them in expire or, if too many
+// are missing at once, in suspects. Each sweep returns a registration again until refresh is called after a write to
+// it.
 func (t *registrationTracker) sweep(now time.Time) (expire, suspects []InstanceRef) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -136,8 +137,8 @@
 	return expire, nil
 }
 
-// isMassExpiryLocked reports whether too many registrations are missing: the late ones, which are still tracked, and those
-// that expired recently. The caller holds the lock.
+// isMassExpiryLocked reports whether too many registrations are missing: the late ones, which are still tracked, and
+// those that have expired recently. The caller holds the lock.
 func (t *registrationTracker) isMassExpiryLocked(late int) bool {
 	total := len(t.registrations) + len(t.recentExpiries)
 	missing := late + len(t.recentExpiries)
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -21,10 +21,11 @@
 )
 
 const (
-	applyTimeout    = 3 * time.Second // of a record, from its proposal until it is applied
-	shutdownTimeout = 5 * time.Second // of raft
+	applyTimeout    = 3 * time.Second // from the proposal of a record until it is applied
+	shutdownTimeout = 5 * time.Second // for raft to shut down
 
-	// maxFreshAge is how long ago a leader may have verified its leadership for its state to count as fresh.
+	// maxFreshAge bounds the time since a leader last verified its leadership; if more has passed, its state does not
+	// count as fresh.
 	maxFreshAge = time.Second
 
 	// appliedPollInterval is how often a linearizable read checks whether the state has caught up.
@@ -43,16 +44,16 @@
 	HTTPAddr          string       // for clients; also the replica's name in the cluster
 	RaftAddr          string       // for the other replicas
 	AdvertiseRaftAddr string       // address that the other replicas use, where it differs from RaftAddr
-	DataDir           string       // of the log and the snapshots; "": they are held in memory, for a single replica to try out
-	Members           []Member     // of a new cluster, this replica included; ignored by a replica that has a log
-	Expiry            ExpiryPolicy // zero fields: the defaults
+	DataDir           string       // directory of the log and the snapshots; "": in memory, to try out a single replica
+	Members           []Member     // members of a new cluster, including this replica; ignored by a replica that has a log
+	Expiry            ExpiryPolicy // zero fields are set to the defaults
 	SnapshotThreshold uint64       // log entries between two snapshots; 0: the default
-	// WarmUpDuration is how long after it is ready a server counts as warmed up in the disruption ledger. 0: it does once
-	// an observer says so.
+	// WarmUpDuration is the time from when a server is ready until the disruption ledger counts it as warmed up. 0: the
+	// ledger counts a server as warmed up once an observer reports it.
 	WarmUpDuration time.Duration
 }
 
-// setDefaults sets the options that are zero.
+// setDefaults replaces zero options by their defaults.
 func (o *Options) setDefaults() {
 	o.AdvertiseRaftAddr = cmp.Or(o.AdvertiseRaftAddr, o.RaftAddr)
 	o.SnapshotThreshold = cmp.Or(o.SnapshotThreshold, defaultSnapshotThreshold)
@@ -80,30 +81,30 @@
 	listener   net.Listener
 	httpServer *http.Server
 	watchers   atomic.Int64
-	caughtUp   atomic.Bool // see catchUp
+	caughtUp   atomic.Bool // this replica has caught up with a leader since its start, or has led; see catchUp
 
 	// Used by the leader only.
-	verifyLeader         func() error // asks a majority whether this replica still leads; tests hold it up
-	awaitBarrier         func() error // waits until the records of earlier leaders are applied; tests have it fail
-	isLeader             atomic.Bool  // the leadership is established: earlier records are applied
-	verifiedAt           atomic.Int64 // uptime, in ns, at which the leadership was last verified
+	verifyLeader         func() error // verifies with a majority that this replica still leads; tests delay it
+	awaitBarrier         func() error // waits until the records of earlier leaders are applied; tests make it fail
+	isLeader             atomic.Bool  // this replica leads and has applied the records of earlier leaders
+	verifiedAt           atomic.Int64 // uptime, in ns, at the start of the last successful verification of the leadership
 	registrations        *registrationTracker
 	sidecarRegistrations *sidecarTracker
 	leaseTracker         *leaseTracker
-	warmUps              *warmUpTracker // of the leader loop alone
-	placementSweptAt     time.Time      // of the leader loop alone
+	warmUps              *warmUpTracker // only the leader loop uses it
+	placementSweptAt     time.Time      // only the leader loop uses it
 
 	startedAt  time.Time
 	fatal      chan error
-	ctx        context.Context // ends with the replica
+	ctx        context.Context // canceled when the replica closes
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 }
 
-// Open starts a replica, from its data directory or as a member of a new cluster.
+// Open starts a replica from its data directory, or as a member of a new cluster.
 func Open(options Options) (*Replica, error) { return openWith(options, func(*Replica) {}) }
 
-// openWith is Open with a change to the replica before anything runs.
+// openWith opens a replica, and calls configure on it before anything runs.
 func openWith(options Options, configure func(*Replica)) (*Replica, error) {
 	for name, address := range map[string]string{"http": options.HTTPAddr, "raft": options.RaftAddr} {
 		if err := CheckLoopback(name, address); err != nil {
@@ -134,7 +135,7 @@
 	return replica, nil
 }
 
-// newReplica makes a replica that neither listens nor has a log yet.
+// newReplica creates a replica that does not listen yet and has not opened its log.
 func newReplica(options Options) *Replica {
 	replica := &Replica{
 		options:              options,
@@ -153,8 +154,8 @@
 	return replica
 }
 
-// CheckLoopback rejects an address (IP address and port) that other machines could reach. Name is what the error calls
-// it.
+// CheckLoopback returns an error if an address (IP address and port) is invalid or other machines could reach it. The
+// error uses name for the address.
 func CheckLoopback(name, address string) error {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -166,7 +167,7 @@
 	return nil
 }
 
-// fail reports an error that the replica cannot continue after. Only the first one counts.
+// fail reports an error after which the replica cannot continue. It drops the error if an earlier one is still unread.
 func (r *Replica) fail(err error) {
 	select {
 	case r.fatal <- err:
@@ -174,18 +175,18 @@
 	}
 }
 
-// Fatal returns the error after which the replica has to be closed.
+// Fatal returns the channel of the error after which the replica must be closed.
 func (r *Replica) Fatal() <-chan error { return r.fatal }
 
-// Addr is the HTTP address that the replica listens on.
+// Addr returns the HTTP address that the replica listens on.
 func (r *Replica) Addr() string { return r.listener.Addr().String() }
 
-// Close ends the replica. A leader transfers its leadership first.
+// Close shuts the replica down. A leader transfers its leadership first.
 func (r *Replica) Close() error {
 	r.cancel()
 	if r.raft.State() == raft.Leader {
 		if err := r.raft.LeadershipTransfer().Error(); err != nil {
-			r.logger.Debug("leadership not transferred", "error", err) // the only replica, or no other is up to date
+			r.logger.Debug("leadership not transferred", "error", err) // this is the only replica, or no other is up to date
 		}
 	}
 	errs := r.httpServer.Close()
@@ -201,11 +202,11 @@
 	return errors.Join(errs, r.transport.Close(), r.logStore.Close())
 }
 
-// ErrNotLeader is returned for what only the leader can do.
+// ErrNotLeader is returned for operations that only the leader can perform.
 var ErrNotLeader = errors.New("this replica is not the leader")
 
 // propose appends a record to the log and waits until this replica has applied it. After an error the record may or may
-// not be applied; a retry with the same ID finds out.
+// not have been applied; a retry with the same ID applies it at most once and returns the result.
 func (r *Replica) propose(record *Record) (Result, error) {
 	data, err := record.Encode()
 	if err != nil {
@@ -234,10 +235,10 @@
 		errors.Is(err, raft.ErrLeadershipTransferInProgress)
 }
 
-// uptime is the time since the replica was started, by the monotonic clock.
+// uptime returns the time since the start of the replica, by the monotonic clock.
 func (r *Replica) uptime() time.Duration { return time.Since(r.startedAt) }
 
-// listAge is how old this replica's state may be: the time since it was last known to be the newest.
+// listAge returns how old the state of this replica may be: the time since the state was last known to be the newest.
 func (r *Replica) listAge() time.Duration {
 	if r.raft.State() == raft.Leader {
 		if !r.isLeader.Load() {
@@ -252,14 +253,14 @@
 	return time.Since(lastContact)
 }
 
-// leaderAddr is the HTTP address of the leader, "" while there is none.
+// leaderAddr returns the HTTP address of the leader, or "" if there is none.
 func (r *Replica) leaderAddr() string {
 	_, id := r.raft.LeaderWithID()
 	return string(id)
 }
 
-// awaitReadIndex waits until this leader may answer a linearizable read: it verifies the leadership, and waits until
-// every record is applied that was committed before.
+// awaitReadIndex waits until this leader may answer a linearizable read. It verifies the leadership, and waits until
+// every record is applied that was committed before the verification.
 func (r *Replica) awaitReadIndex(ctx context.Context) error {
 	if !r.isLeader.Load() {
 		return ErrNotLeader
@@ -278,7 +279,7 @@
 	return nil
 }
 
-// members lists the replicas of the cluster.
+// members returns the replicas of the cluster.
 func (r *Replica) members() ([]Member, error) {
 	future := r.raft.GetConfiguration()
 	if err := future.Error(); err != nil {
@@ -291,7 +292,7 @@
 	return members, nil
 }
 
-// restore replaces the state of the cluster by a saved one, under a new epoch.
+// restore replaces the state of the cluster by a saved one, and starts a new epoch.
 func (r *Replica) restore(state *StateMachine) (Result, error) {
 	var buffer snapshotBuffer
 	if err := state.WriteSnapshot(&buffer); err != nil {
--- a/internal/registry/sidecar_tracker.go
+++ b/internal/registry/sidecar_tracker.go
@@ -29,7 +29,7 @@
 	return Instance{Target: Target{UID: s.Name}, TTLMS: s.TTLMS, Revision: s.Revision, Suspect: s.Suspect}
 }
 
-// sidecarTracker tracks the leases of sidecars and the revisions that they have in force, in the leader's memory.
+// sidecarTracker tracks in the leader's memory the leases of sidecars, and the revisions that they have in force.
 type sidecarTracker struct {
 	*registrationTracker
 
@@ -37,7 +37,7 @@
 	revisions   map[string]sidecarRevisions // by name
 }
 
-// sidecarRevisions are the revisions that a sidecar last reported to have in force.
+// sidecarRevisions are the revisions that a sidecar has last reported as in force.
 type sidecarRevisions struct{ list, placement uint64 }
 
 func newSidecarTracker(policy ExpiryPolicy) *sidecarTracker {
@@ -63,7 +63,7 @@
 	}
 }
 
-// fillRevisions sets the reported revisions of sidecars.
+// fillRevisions sets the revisions of sidecars to those that they last reported.
 func (t *sidecarTracker) fillRevisions(sidecars []Sidecar) {
 	t.revisionsMu.Lock()
 	defer t.revisionsMu.Unlock()
@@ -77,21 +77,21 @@
 	r.hub.Read(func(state *StateMachine) { r.sidecarRegistrations.refresh(time.Now(), sidecarSource{state}, names) })
 }
 
-// expireSidecars expires the leases of sidecars that have ended, or holds the expiry back where too many are missing at
-// once. Only the leader loop calls it.
+// expireSidecars removes the sidecars whose leases have expired. If too many are missing at once, it holds the expiry
+// back. Only the leader loop calls it.
 func (r *Replica) expireSidecars() {
 	now := time.Now()
 	expire, suspects := r.sidecarRegistrations.sweep(now)
 	switch {
 	case len(suspects) > 0:
 		if _, err := r.propose(&Record{Op: OpSidecars, Refs: suspects, State: sidecarSuspected}); err != nil {
-			return // the next sweep finds them again, of this leader or the next
+			return // the next sweep of this leader or its successor finds them again
 		}
 		r.logger.Warn("mass expiry of sidecars held back", "sidecars", len(suspects), "first", suspects[0].UID)
 		r.refreshSidecars(refNames(suspects))
 	case len(expire) > 0:
 		if _, err := r.propose(&Record{Op: OpSidecars, Refs: expire, State: sidecarExpired}); err != nil {
-			return // the next sweep finds them again, of this leader or the next
+			return // the next sweep of this leader or its successor finds them again
 		}
 		r.logger.Warn("sidecar registrations expired", "sidecars", len(expire), "first", expire[0].UID)
 		names := refNames(expire)
@@ -101,7 +101,7 @@
 	}
 }
 
-// refNames are the uids, or the names of sidecars, that references name.
+// refNames returns the uids in references; in references to sidecars these are names.
 func refNames(refs []InstanceRef) []string {
 	names := make([]string, 0, len(refs))
 	for _, ref := range refs {
--- a/internal/registry/state_history.go
+++ b/internal/registry/state_history.go
@@ -5,17 +5,18 @@
 	"slices"
 )
 
-// minRetainedChanges is how many changes the history retains at least, and up to twice as many, for watchers that
-// reconnect: one that is further behind gets the complete list.
+// minRetainedChanges is the minimum number of changes that the history retains for watchers that reconnect; the maximum
+// is twice as many. A watcher that is further behind receives the complete list.
 const minRetainedChanges = 8192
 
-// Change is the change of one instance. Its target is as it was then, InstanceRemoved where it was removed.
+// Change is a change of one instance. Target is the instance after the change; its state is InstanceRemoved if the
+// change removed the instance.
 type Change struct {
 	Revision uint64
 	Target   Target
 }
 
-// recordChange adds a change to the history. The changes of one record share its revision.
+// recordChange adds a change to the history. All changes of one record have the same revision.
 func (s *StateMachine) recordChange(index uint64, target Target) {
 	s.revision = index
 	s.history = append(s.history, Change{Revision: index, Target: target})
@@ -24,8 +25,8 @@
 	}
 }
 
-// compactHistory drops the older half of the history, at once so that the cost of a change stays constant. The changes
-// of one revision are retained together or not at all.
+// compactHistory drops the older half of the history in one step, so that the amortized cost of a change is constant.
+// It keeps either all changes of a revision or none.
 func (s *StateMachine) compactHistory() {
 	excess := len(s.history) - minRetainedChanges
 	s.compactedRevision = s.history[excess-1].Revision
@@ -44,19 +45,20 @@
 	return list
 }
 
-// HasHistorySince reports whether the history has every change after a revision of an epoch (0: of the present one).
+// HasHistorySince reports whether the history contains every change after a revision of an epoch. Epoch 0 stands for
+// the current epoch.
 func (s *StateMachine) HasHistorySince(revision, epoch uint64) bool {
 	return revision != 0 && revision >= s.compactedRevision && revision <= s.revision && (epoch == 0 || epoch == s.epoch)
 }
 
-// ChangesSince returns the newest state of each instance that changed after a revision of an epoch, or the complete list
-// where the history does not reach back so far.
+// ChangesSince returns the newest state of each instance that changed after a revision of an epoch. It returns the
+// complete list if the history does not reach back to that revision.
 func (s *StateMachine) ChangesSince(revision, epoch uint64) EndpointList {
 	if !s.HasHistorySince(revision, epoch) {
 		return s.CompleteList()
 	}
 	list := EndpointList{Revision: s.revision, Epoch: s.epoch, Targets: []Target{}}
-	positions := map[string]int{} // by uid, in list.Targets
+	positions := map[string]int{} // index in list.Targets, by uid
 	for i := s.firstChangeAfter(revision); i < len(s.history); i++ {
 		target := s.history[i].Target
 		if position, ok := positions[target.UID]; ok {
@@ -69,7 +71,7 @@
 	return list
 }
 
-// firstChangeAfter returns the position in the history of the first change after a revision.
+// firstChangeAfter returns the index in history of the first change after a revision.
 func (s *StateMachine) firstChangeAfter(revision uint64) int {
 	position, _ := slices.BinarySearchFunc(s.history, revision, func(change Change, revision uint64) int {
 		if change.Revision <= revision {
--- a/internal/registry/state_instances.go
+++ b/internal/registry/state_instances.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// applyRegister registers new instances and new incarnations of known ones: all of a batch or none.
+// applyRegister registers new instances, and new incarnations of registered ones. It applies the whole batch or
+// nothing.
 func (s *StateMachine) applyRegister(index uint64, record *Record) Result {
 	added := 0
 	for i := range record.Instances {
@@ -24,8 +25,8 @@
 	return doneResult(index)
 }
 
-// checkRegister checks a registration against the existing entry, which is nil where there is none. Where it must not
-// take effect, ok is false and rejection says why.
+// checkRegister checks a registration against the existing entry (nil: none). If the registration must be rejected, ok
+// is false and rejection is the result of the write.
 func checkRegister(instance, existing *Instance, ifRevision *uint64) (rejection Result, ok bool) {
 	switch {
 	case existing == nil && ifRevision != nil && *ifRevision != 0:
@@ -35,7 +36,7 @@
 	case ifRevision != nil && *ifRevision != existing.Revision:
 		return conflictResult(existing.Revision, "%s has revision %d", instance.UID, existing.Revision), false
 	case existing.Endpoint != instance.Endpoint && instance.BootMS <= existing.BootMS:
-		// Two processes with one uid: the later incarnation wins, and an earlier one that returns does not take it back.
+		// Two processes use the same uid. The one that started later wins, and the earlier one cannot register again.
 		const reason = "%s is registered by %s, which started no earlier"
 		return conflictResult(existing.Revision, reason, instance.UID, existing.Endpoint), false
 	case instance.BootMS < existing.BootMS:
@@ -44,7 +45,8 @@
 	return Result{}, true
 }
 
-// registerInstance adds or updates an entry. A registration that changes nothing of the endpoint list keeps its revision.
+// registerInstance adds or updates an entry. The entry keeps its revision if the registration changes nothing in the
+// endpoint list.
 func (s *StateMachine) registerInstance(index uint64, instance Instance) {
 	instance.Suspect = false
 	if existing := s.instances[instance.UID]; existing != nil && existing.Target == instance.Target {
@@ -54,13 +56,13 @@
 	s.setInstance(index, instance)
 }
 
-// applyInstanceChange sets the state of instances or removes them: all of them or none.
+// applyInstanceChange sets the state of instances or removes them: all of the instances in the record or none.
 func (s *StateMachine) applyInstanceChange(index uint64, record *Record) Result {
 	for _, ref := range record.Refs {
 		instance := s.instances[ref.UID]
 		switch {
 		case instance == nil && record.Op == OpDeregister && ref.Revision == 0:
-			// Removed already: nothing to do, and the request is fulfilled.
+			// The instance is already removed, so the request succeeds without a change.
 		case instance == nil:
 			return notRegisteredResult(ref.UID)
 		case ref.Revision != 0 && ref.Revision != instance.Revision:
@@ -82,8 +84,8 @@
 	return doneResult(index)
 }
 
-// applyExpire removes instances whose leases have expired. One that has changed since, or whose expiry is held back,
-// stays.
+// applyExpire removes instances whose leases have expired. It keeps an instance that has changed since the record was
+// proposed, or whose expiry is held back.
 func (s *StateMachine) applyExpire(index uint64, record *Record) Result {
 	for _, ref := range record.Refs {
 		if instance := s.instances[ref.UID]; instance != nil && instance.Revision == ref.Revision && !instance.Suspect {
@@ -93,7 +95,8 @@
 	return doneResult(index)
 }
 
-// applySuspect marks instances whose expiry is held back, or clears the mark. The endpoint list does not show it.
+// applySuspect marks instances whose expiry is held back, or clears the mark. The endpoint list does not contain the
+// mark.
 func (s *StateMachine) applySuspect(index uint64, record *Record) Result {
 	for _, ref := range record.Refs {
 		if instance := s.instances[ref.UID]; instance != nil {
@@ -103,7 +106,7 @@
 	return doneResult(index)
 }
 
-// applyMirror sets and removes entries as an agent has them from the registry that it mirrors.
+// applyMirror sets and removes entries without checks: an agent copies them from the registry that it mirrors.
 func (s *StateMachine) applyMirror(index uint64, record *Record) Result {
 	for i := range record.Instances {
 		instance := record.Instances[i]
--- a/internal/registry/state_lease.go
+++ b/internal/registry/state_lease.go
@@ -6,7 +6,7 @@
 	"milldeck/internal/leaderelection/leasetable"
 )
 
-// Leases is the table of the leases of leader election, for reading.
+// Leases returns the table of the leases of leader election, for reading.
 func (s *StateMachine) Leases() *leasetable.Table { return s.leases }
 
 func (s *StateMachine) applyLease(index uint64, op *leasetable.Operation) Result {
--- a/internal/registry/state_ledger.go
+++ b/internal/registry/state_ledger.go
@@ -9,21 +9,21 @@
 	"milldeck/internal/disruption"
 )
 
-// ledger is the part of the state that accounts for units that are out. The first record about it creates it from the
-// endpoint list as it then is. Until then replicas of a version without the ledger may be members of the cluster; from
-// then on they must not be.
+// ledger is the part of the state that accounts for units that are out. The first record that needs the ledger creates
+// it from the current endpoint list. Replicas of a version without the ledger may be members of the cluster only until
+// that record.
 type ledger struct {
 	table    *disruption.Ledger
-	sidecars map[string]*Sidecar // by name; replaced, not changed
+	sidecars map[string]*Sidecar // by name; a change replaces the entry
 }
 
-// ledgerSnapshot is the ledger in a snapshot.
+// ledgerSnapshot is the stored form of the ledger.
 type ledgerSnapshot struct {
 	Table    disruption.Snapshot `json:"table"`
 	Sidecars []*Sidecar          `json:"sidecars"`
 }
 
-// snapshot returns the stored form of the ledger, nil for none.
+// snapshot returns the stored form of the ledger, or nil if there is no ledger.
 func (l *ledger) snapshot() *ledgerSnapshot {
 	if l == nil {
 		return nil
@@ -35,7 +35,7 @@
 	return saved
 }
 
-// restore returns the ledger of a snapshot, nil where that has none.
+// restore returns the ledger of a snapshot, or nil if the snapshot has none.
 func (saved *ledgerSnapshot) restore() (*ledger, error) {
 	if saved == nil {
 		return nil, nil
@@ -47,14 +47,15 @@
 	restored := &ledger{table: table, sidecars: map[string]*Sidecar{}}
 	for _, sidecar := range saved.Sidecars {
 		if sidecar == nil {
-			return nil, errors.New("ledger: an empty sidecar")
+			return nil, errors.New("ledger: a sidecar entry is null")
 		}
 		restored.sidecars[sidecar.Name] = sidecar
 	}
 	return restored, nil
 }
 
-// disruptionUnit is the instance as the ledger counts it. Whether it has warmed up is not known to the list.
+// disruptionUnit returns the instance as a unit of the disruption ledger. The endpoint list does not contain whether
+// the instance has warmed up.
 func (i *Instance) disruptionUnit() disruption.Unit {
 	unit := disruption.Unit{
 		ID: disruption.UnitID(disruption.KindServer, i.UID), Kind: disruption.KindServer,
@@ -70,7 +71,7 @@
 	return unit
 }
 
-// newLedger makes a ledger of the endpoint list as it is.
+// newLedger creates a ledger from the current endpoint list.
 func (s *StateMachine) newLedger(index uint64) *ledger {
 	created := &ledger{table: disruption.NewLedger(), sidecars: map[string]*Sidecar{}}
 	for _, uid := range slices.Sorted(maps.Keys(s.instances)) {
@@ -79,7 +80,7 @@
 	return created
 }
 
-// ensureLedger returns the ledger, and creates it where there is none.
+// ensureLedger returns the ledger, and creates it if there is none.
 func (s *StateMachine) ensureLedger(index uint64) *ledger {
 	if s.ledger == nil {
 		s.ledger = s.newLedger(index)
@@ -87,7 +88,8 @@
 	return s.ledger
 }
 
-// Ledger returns the disruption ledger, for reading. Where there is none yet, it is that of the endpoint list as it is.
+// Ledger returns the disruption ledger, for reading. If there is none yet, Ledger derives one from the current endpoint
+// list and does not store it.
 func (s *StateMachine) Ledger() *disruption.Ledger {
 	if s.ledger == nil {
 		return s.newLedger(s.revision).table
@@ -95,7 +97,7 @@
 	return s.ledger.table
 }
 
-// updateLedger carries what a record has changed in the endpoint list over to the ledger.
+// updateLedger applies the changes that a record made to the endpoint list to the ledger.
 func (s *StateMachine) updateLedger(index uint64, record *Record, result Result) {
 	if s.ledger == nil || result.Outcome != OutcomeDone {
 		return
@@ -116,7 +118,7 @@
 	}
 }
 
-// updateLedgerUnit carries over what a record has changed of an instance that it refers to.
+// updateLedgerUnit updates the unit of an instance that a record refers to.
 func (s *StateMachine) updateLedgerUnit(index uint64, record *Record, uid string) {
 	table, instance := s.ledger.table, s.instances[uid]
 	id := disruption.UnitID(disruption.KindServer, uid)
@@ -126,7 +128,7 @@
 		case record.Op == OpDeregister && unit.Condition != disruption.ConditionUnknown:
 			table.Deregister(index, id)
 		case record.Op == OpDeregister || record.Op == OpExpire:
-			// A suspect that an operator expires has not deregistered itself: it is lost.
+			// A suspect that an operator removes has not deregistered itself, so it counts as lost.
 			table.MarkLost(index, id)
 		}
 		return
@@ -139,8 +141,8 @@
 	}
 }
 
-// applyLedger applies an operation of the ledger. That the guard's token is valid was checked already; here the guard
-// has to be that of the operation's owner.
+// applyLedger applies an operation on the ledger. applyOperation has already checked that the token of the guard is
+// valid; applyLedger checks that the guard belongs to the owner of the operation.
 func (s *StateMachine) applyLedger(index uint64, record *Record) Result {
 	op := record.Ledger
 	if op == nil {
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -9,7 +9,7 @@
 	"milldeck/internal/release"
 )
 
-// maxRetainedWriteIDs is how many idempotency keys of applied writes are retained.
+// maxRetainedWriteIDs bounds the idempotency keys of applied writes that the state retains.
 const maxRetainedWriteIDs = 16_384
 
 // Outcome is the result of applying a write.
@@ -18,15 +18,15 @@
 // The outcomes.
 const (
 	OutcomeDone          Outcome = "done"
-	OutcomeConflict      Outcome = "conflict"  // a precondition does not hold: revision, guard, or ownership
+	OutcomeConflict      Outcome = "conflict"  // a precondition does not hold: revision, guard or ownership
 	OutcomeNotFound      Outcome = "not_found" // the entry does not exist
-	OutcomeLimitExceeded Outcome = "too_many"  // a bound of the state is reached
+	OutcomeLimitExceeded Outcome = "too_many"  // the state has reached one of its size limits
 )
 
-// Result is the answer to a write. It is stored with the write's idempotency key.
+// Result is the result of a write. The result of an applied write is stored under its idempotency key.
 type Result struct {
 	Outcome  Outcome `json:"outcome"`
-	Revision uint64  `json:"rev"` // of the write; on a conflict, of the entry
+	Revision uint64  `json:"rev"` // of the write; after a conflict, of the existing entry
 	Reason   string  `json:"why,omitempty"`
 }
 
@@ -43,13 +43,13 @@
 // StateMachine is the replicated state machine. It is deterministic: the same records in the same order give the same
 // state on every replica. It is not safe for concurrent use.
 type StateMachine struct {
-	revision     uint64 // of the last change of the endpoint list
+	revision     uint64 // of the last change to the endpoint list
 	appliedIndex uint64
 	epoch        uint64
-	instances    map[string]*Instance // by uid; an Instance that is listed is replaced, not changed, but for Suspect
+	instances    map[string]*Instance // by uid; a change to a Target replaces the entry, other fields change in place
 
-	history           []Change // by revision, the newest last
-	compactedRevision uint64   // newest revision that history no longer has
+	history           []Change // ordered by revision, oldest first
+	compactedRevision uint64   // newest revision whose changes were dropped from history
 
 	completedWrites map[string]Result // by idempotency key
 	writeOrder      []string          // keys of completedWrites, oldest first
@@ -61,7 +61,7 @@
 	ledger    *ledger // nil until the first record that needs it
 }
 
-// NewStateMachine returns the empty state.
+// NewStateMachine returns an empty state machine.
 func NewStateMachine() *StateMachine {
 	state := &StateMachine{
 		instances:       map[string]*Instance{},
@@ -74,13 +74,14 @@
 	return state
 }
 
-// Revision is the revision of the endpoint list: of its last change.
+// Revision returns the revision of the last change to the endpoint list.
 func (s *StateMachine) Revision() uint64 { return s.revision }
 
-// Epoch identifies the history that the endpoint list continues; restoring a backup starts another one.
+// Epoch returns the identifier of the history that the endpoint list belongs to. Restoring a backup starts a new
+// history.
 func (s *StateMachine) Epoch() uint64 { return s.epoch }
 
-// Len is the number of instances.
+// Len returns the number of instances.
 func (s *StateMachine) Len() int { return len(s.instances) }
 
 // Get returns one instance.
@@ -99,8 +100,8 @@
 	}
 }
 
-// Apply applies one record. Index is its index in the log, which only grows. A record whose ID was applied before has
-// no effect, and gets the earlier result.
+// Apply applies one record. Index is the index of the record in the log; it increases from call to call. A record whose
+// ID was applied before has no effect, and Apply returns the earlier result.
 func (s *StateMachine) Apply(index uint64, record *Record) Result {
 	s.appliedIndex = index
 	if record.ID != "" {
@@ -116,7 +117,8 @@
 	return result
 }
 
-// retainWrite stores the result of a write under its idempotency key, and drops the oldest key beyond the bound.
+// retainWrite stores the result of a write under its idempotency key. It drops the oldest key if there are more than
+// maxRetainedWriteIDs.
 func (s *StateMachine) retainWrite(id string, result Result) {
 	s.completedWrites[id] = result
 	s.writeOrder = append(s.writeOrder, id)
@@ -156,12 +158,12 @@
 	case OpSidecars:
 		return s.applySidecars(index, record)
 	default:
-		// Of a later version: every replica of this version skips it alike.
+		// A later version wrote the record. All replicas of this version skip it, so that their states stay equal.
 		return conflictResult(s.revision, "unknown operation %q", record.Op)
 	}
 }
 
-// applyEpoch starts another history: watchers of the earlier one get the complete list.
+// applyEpoch starts a new history. Watchers of an earlier epoch receive the complete list.
 func (s *StateMachine) applyEpoch(index uint64, record *Record) Result {
 	s.epoch, s.revision = record.Epoch, index
 	s.history, s.compactedRevision = nil, index
--- a/internal/registry/state_maintenance.go
+++ b/internal/registry/state_maintenance.go
@@ -8,13 +8,14 @@
 	"milldeck/internal/placement"
 )
 
-// contractBudgetOwner owns the budgets that go with contracts: only operators set contracts.
+// contractBudgetOwner owns the budgets of contracts in the ledger. It is an operator because only operators set
+// contracts.
 const contractBudgetOwner = "operator/contract"
 
-// Windows is the table of contracts and maintenance windows, for reading.
+// Windows returns the table of contracts and maintenance windows, for reading.
 func (s *StateMachine) Windows() *maintenance.Table { return s.windows }
 
-// setWindowTable sets the table, and has it look up permits in the ledger.
+// setWindowTable sets the table, and makes it look up permits in the ledger.
 func (s *StateMachine) setWindowTable(windows *maintenance.Table) {
 	s.windows = windows
 	windows.LookupPermit = func(id string) (disruption.Stage, bool) {
@@ -26,8 +27,8 @@
 	}
 }
 
-// applyWindow applies an operation to contracts and windows, and what follows from it for the ledger's budgets and for
-// the placement, in one record.
+// applyWindow applies an operation to contracts and windows. The same record updates the budgets of the ledger and the
+// placement to match.
 func (s *StateMachine) applyWindow(index uint64, record *Record) Result {
 	if record.Window == nil || record.Timestamp == nil {
 		return conflictResult(index, "no operation, or no time")
@@ -41,7 +42,7 @@
 	}
 	changes, err := s.windows.Apply(index, &op, *record.Timestamp)
 	if err != nil {
-		// The controller reads the outcome of the table from the front of the text.
+		// The controller reads the outcome of the table from the beginning of the text.
 		return Result{windowOutcome(maintenance.OutcomeOf(err)), index, err.Error()}
 	}
 	budgetFailure := s.applyContractBudget(index, &op)
@@ -60,8 +61,9 @@
 	}
 }
 
-// publishWindow sets and removes the directives of a window, and returns why it could not. Where the placement is full
-// nothing new is set: then the window never drains and returns. Directives to be removed are removed all the same.
+// publishWindow sets and removes the directives of a window. It returns the reason if the placement rejects the change.
+// If the placement is full, it sets no directive: the window then never drains, and its servers return. It removes
+// directives in any case.
 func (s *StateMachine) publishWindow(index uint64, nowMS int64, set []placement.Directive, remove []string) (failure string) {
 	if len(set)+len(remove) == 0 {
 		return ""
@@ -74,8 +76,9 @@
 	return result.Reason
 }
 
-// applyContractBudget has the ledger bound the servers of a contract that are out for whatever reason, from the record
-// that sets the contract to the one that withdraws it. It returns why it could not.
+// applyContractBudget sets the ledger budget of a contract, or deletes it when the contract is withdrawn. The budget
+// bounds the servers of the contract that are out for any reason. It returns the reason if the ledger rejects the
+// change.
 func (s *StateMachine) applyContractBudget(index uint64, op *maintenance.Operation) (failure string) {
 	budgetOp := &disruption.Op{Kind: disruption.OpSetBudget, Owner: contractBudgetOwner}
 	switch op.Kind {
@@ -87,7 +90,7 @@
 		return ""
 	}
 	if result := s.ensureLedger(index).table.Apply(index, budgetOp); result.Outcome != disruption.OutcomeApplied {
-		return "no budget of the ledger goes with it: " + result.Reason // stored with the write: the text must not change
+		return "no budget of the ledger goes with it: " + result.Reason // the text is stored with the write and must not change
 	}
 	return ""
 }
--- a/internal/registry/state_placement.go
+++ b/internal/registry/state_placement.go
@@ -2,7 +2,7 @@
 
 import "milldeck/internal/placement"
 
-// Placement is the table of the placement, for reading.
+// Placement returns the table of the placement, for reading.
 func (s *StateMachine) Placement() *placement.Table { return s.placement }
 
 func (s *StateMachine) applyPlacement(index uint64, record *Record) Result {
--- a/internal/registry/state_release.go
+++ b/internal/registry/state_release.go
@@ -2,7 +2,7 @@
 
 import "milldeck/internal/release"
 
-// Releases is the table of releases, for reading.
+// Releases returns the table of releases, for reading.
 func (s *StateMachine) Releases() *release.Table { return s.releases }
 
 func (s *StateMachine) applyRelease(index uint64, record *Record) Result {
--- a/internal/registry/state_sidecars.go
+++ b/internal/registry/state_sidecars.go
@@ -7,10 +7,10 @@
 	"milldeck/internal/validation"
 )
 
-// maxSidecars bounds the sidecars that may be registered.
+// maxSidecars bounds the number of registered sidecars.
 const maxSidecars = 100_000
 
-// Sidecar is a sidecar as its agent registers it. Sidecars are not part of the endpoint list; the disruption ledger
+// Sidecar is a sidecar as its agent registers it. The endpoint list does not contain sidecars; the disruption ledger
 // counts them.
 type Sidecar struct {
 	Name     string  `json:"name"`
@@ -24,12 +24,13 @@
 	Revision uint64  `json:"rev"`               // of its last change
 	Suspect  bool    `json:"suspect,omitempty"` // its lease has expired, but the expiry is held back
 
-	// The revisions that it has in force change with every change of the list. They are held in the leader's memory only.
+	// The revisions that the sidecar has in force. They change with every change of the list, so only the leader holds
+	// them, in memory.
 	ListRevision      uint64 `json:"list_rev,omitempty"`
 	PlacementRevision uint64 `json:"placement_rev,omitempty"`
 }
 
-// What a record says happened to the sidecars that it refers to; stored in Record.State.
+// Values of Record.State in a record about sidecars: what happened to the sidecars in Refs.
 const (
 	sidecarDeregistered = "left"
 	sidecarExpired      = "lost"
@@ -51,13 +52,13 @@
 	return nil
 }
 
-// persisted is the part of a sidecar that its agent determines and the log records.
+// persisted returns the sidecar with only those fields that its agent determines and the log stores.
 func (s Sidecar) persisted() Sidecar {
 	s.Revision, s.Suspect, s.ListRevision, s.PlacementRevision = 0, false, 0, 0
 	return s
 }
 
-// disruptionUnit is the sidecar as the ledger counts it.
+// disruptionUnit returns the sidecar as a unit of the disruption ledger.
 func (s *Sidecar) disruptionUnit() disruption.Unit {
 	unit := disruption.Unit{
 		ID: disruption.UnitID(disruption.KindSidecar, s.Name), Kind: disruption.KindSidecar,
@@ -75,7 +76,7 @@
 	return unit
 }
 
-// applySidecars registers the sidecars of a record, and applies its State to those that it refers to.
+// applySidecars registers the sidecars in record.Sidecars, and applies record.State to those in record.Refs.
 func (s *StateMachine) applySidecars(index uint64, record *Record) Result {
 	ledger := s.ensureLedger(index)
 	added := 0
@@ -98,7 +99,8 @@
 	return doneResult(index)
 }
 
-// applySidecarState applies what happened to a sidecar, unless it has registered again since.
+// applySidecarState removes a sidecar or marks it as suspect, depending on the state. It does nothing if the sidecar
+// has registered again since the record was proposed.
 func (l *ledger) applySidecarState(index uint64, ref InstanceRef, state string) {
 	existing := l.sidecars[ref.UID]
 	if existing == nil || ref.Revision != 0 && ref.Revision != existing.Revision {
--- a/internal/registry/state_snapshot.go
+++ b/internal/registry/state_snapshot.go
@@ -19,18 +19,19 @@
 	"milldeck/internal/release"
 )
 
-// A stored snapshot is a line with snapshotHeader and the version, the checksum of the rest, and the state as JSON.
+// A stored snapshot consists of a line with snapshotHeader and the version, the checksum of the JSON, and the state as
+// JSON.
 const (
 	snapshotHeader = "milldeck-registry-snapshot"
 
-	// SnapshotVersion is the version of the snapshots that this program writes. It reads older ones, too.
+	// SnapshotVersion is the version of the snapshots that this program writes. It also reads older versions.
 	SnapshotVersion = 1
 
-	// maxSnapshotBytes bounds what is read of a snapshot; the largest state is below it.
+	// maxSnapshotBytes bounds the size of a snapshot that is read. The largest possible state is smaller.
 	maxSnapshotBytes = 512 << 20
 )
 
-// snapshot is the stored state. The history is not part of it: watchers that reconnect after a restore get the
+// snapshot is the stored state. It does not contain the history: watchers that reconnect after a restore receive the
 // complete list. Tables that an older version did not have are absent.
 type snapshot struct {
 	Revision        uint64                `json:"rev"`
@@ -46,7 +47,7 @@
 	Ledger          *ledgerSnapshot       `json:"ledger,omitempty"`
 }
 
-// WriteSnapshot writes the state for ReadSnapshot.
+// WriteSnapshot writes the state in the format that ReadSnapshot reads.
 func (s *StateMachine) WriteSnapshot(w io.Writer) error {
 	contents := snapshot{
 		Revision: s.revision, AppliedIndex: s.appliedIndex, Epoch: s.epoch, Instances: []*Instance{},
@@ -69,14 +70,14 @@
 	return nil
 }
 
-// ReadSnapshot reads a state. It fails, and uses nothing of the snapshot, if that is corrupt or of a newer version.
+// ReadSnapshot reads a state. If the snapshot is corrupt or of a newer version, it returns an error and no state.
 func ReadSnapshot(r io.Reader) (*StateMachine, error) {
 	body, err := readSnapshotBody(r)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	var contents snapshot
-	// A decoder, other than Unmarshal, accepts data after the value, as it always has.
+	// Unlike Unmarshal, a Decoder accepts data after the value, as earlier versions did.
 	if err := json.NewDecoder(bytes.NewReader(body)).Decode(&contents); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
@@ -92,12 +93,12 @@
 	reader := bufio.NewReader(io.LimitReader(r, maxSnapshotBytes+1))
 	firstLine, err := reader.ReadSlice('\n')
 	if err != nil {
-		return nil, fmt.Errorf("no first line: %w", unexpectedEOF(err))
+		return nil, fmt.Errorf("reading the first line: %w", unexpectedEOF(err))
 	}
 	var header string
 	var version int
 	if n, err := fmt.Sscanf(string(firstLine), "%s %d\n", &header, &version); n != 2 || err != nil || header != snapshotHeader {
-		return nil, fmt.Errorf("it does not begin with %s", snapshotHeader)
+		return nil, fmt.Errorf("the first line does not begin with %s", snapshotHeader)
 	}
 	if version > SnapshotVersion || version < 1 {
 		return nil, fmt.Errorf("version %d: %w", version, errNewerVersion)
@@ -116,19 +117,19 @@
 	return body, nil
 }
 
-// restore makes a state of a snapshot.
+// restore returns the state machine of a snapshot.
 func (c *snapshot) restore() (*StateMachine, error) {
 	state := NewStateMachine()
 	state.revision, state.appliedIndex, state.epoch = c.Revision, c.AppliedIndex, c.Epoch
 	state.compactedRevision = c.Revision
 	for _, instance := range c.Instances {
 		if instance == nil {
-			return nil, errors.New("an empty instance")
+			return nil, errors.New("an instance entry is null")
 		}
 		state.instances[instance.UID] = instance
 	}
 	if slices.Contains(c.Leases, nil) {
-		return nil, errors.New("an empty lease")
+		return nil, errors.New("a lease entry is null")
 	}
 	state.leases = leasetable.FromSnapshot(c.Leases)
 	state.placement = placement.Restore(c.Placement, c.Epoch)
@@ -145,7 +146,7 @@
 	return state, nil
 }
 
-// unexpectedEOF turns an end of input where more is expected into io.ErrUnexpectedEOF.
+// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF, for a reader that expects more input.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -10,23 +10,24 @@
 	// warmUpCheckInterval is the time between two searches for servers that have warmed up. Warming up takes many seconds,
 	// and a search walks all units.
 	warmUpCheckInterval = time.Second
-	// maxWarmPerRecord bounds the servers that one record marks as warm.
+	// maxWarmPerRecord bounds the number of servers that one record marks as warm.
 	maxWarmPerRecord = 1000
 )
 
-// warmUpTracker tracks in the leader's memory since when each server has been warming up in its present incarnation. A
-// server that failed on its own and returned is not observed by any controller, and would count as out for ever. The
-// tracker goes by time alone, so it is an option: with duration 0 an observer has to mark servers as warm. A new leader
-// starts again, so a server may be marked later than after the duration, never earlier.
+// warmUpTracker tracks in the leader's memory how long each server has been warming up in its current incarnation. No
+// controller observes a server that failed on its own and returned; without the tracker the server would count as out
+// forever. The tracker uses the elapsed time alone, so it is optional: with duration 0 an observer must mark servers as
+// warm. A new leader starts the measurement again, so a server may be marked later than after the duration, never
+// earlier.
 type warmUpTracker struct {
 	duration  time.Duration
 	observed  map[string]warmingIncarnation // by unit
 	nextCheck time.Time
 }
 
-// warmingIncarnation is a server that warms up.
+// warmingIncarnation is an incarnation of a server that is warming up.
 type warmingIncarnation struct {
-	revision      uint64 // of the unit's last transition: another incarnation has another
+	revision      uint64 // of the unit's last transition; differs between incarnations
 	firstObserved time.Time
 }
 
@@ -34,7 +35,8 @@
 	return &warmUpTracker{duration: duration, observed: map[string]warmingIncarnation{}}
 }
 
-// update records the units that are warming up now, and returns those that have been for the duration, as up.
+// update records the units that are warming up now. It returns those that have been warming up for the duration, with
+// condition up.
 func (t *warmUpTracker) update(now time.Time, warming []disruption.Unit) []disruption.Unit {
 	observed := make(map[string]warmingIncarnation, len(warming))
 	var warm []disruption.Unit
@@ -54,7 +56,8 @@
 	return warm
 }
 
-// markWarmServers marks servers as up that have warmed up for long enough. Only the leader loop calls it.
+// markWarmServers marks servers as up that have been warming up for the configured duration. Only the leader loop calls
+// it.
 func (r *Replica) markWarmServers() {
 	now := time.Now()
 	if r.warmUps.duration == 0 || now.Before(r.warmUps.nextCheck) {
