--- a/internal/registry/election_model_test.go
+++ b/internal/registry/election_model_test.go
@@ -12,7 +12,7 @@
 	"milldeck/internal/leaderelection/leasetable"
 )
 
-// electionMutant is a rule that a mutant of the model breaks, to show that the model detects it.
+// electionMutant is a rule that the model breaks deliberately, to show that the model detects the violation.
 type electionMutant int
 
 const (
@@ -22,9 +22,9 @@
 	ignoresTokens                     // the resource accepts every write
 )
 
-// electionModel simulates lease holders, registry leaders that are deposed, and a resource that checks fencing tokens, on
-// a virtual clock: messages are delayed, dropped and reordered. StateMachine and leaseTracker are the program's own; the
-// holders follow the rules of leaderelection.Run.
+// electionModel simulates lease holders, registry leaders that are deposed, and a resource that checks fencing tokens,
+// on a virtual clock. Messages are delayed, dropped and reordered. StateMachine and leaseTracker are those of the
+// program; the holders follow the rules of leaderelection.Run.
 type electionModel struct {
 	t        *rapid.T
 	mutant   electionMutant
@@ -34,8 +34,8 @@
 
 	index         uint64
 	state         *StateMachine
-	leader        *leaseTracker          // of the leader that the majority follows
-	deposedLeader *leaseTracker          // of a leader that was deposed and does not know it; nil: none
+	leader        *leaseTracker          // tracker of the leader that the majority follows
+	deposedLeader *leaseTracker          // tracker of a deposed leader that still assumes to lead; nil: none
 	pendingOps    []leasetable.Operation // proposed by the leader, not applied yet
 	holders       []*modelHolder
 	newestToken   uint64 // token of the newest write that the resource accepted
@@ -55,8 +55,8 @@
 	name          string
 	token         uint64
 	leaseEnd      time.Duration
-	pausedUntil   time.Duration // it does nothing until then
-	releasedToken uint64        // newest token that it released: a response in flight must not extend it
+	pausedUntil   time.Duration // the candidate does nothing until then
+	releasedToken uint64        // newest token that was released: a response in flight must not extend its lease
 }
 
 const modelTTL = 1000 * time.Millisecond
@@ -68,7 +68,7 @@
 	m.queue = append(m.queue, scheduledEvent{m.now + delay, m.sequence, run})
 }
 
-// message delivers a message late, or not at all.
+// sendMessage delivers a message after a delay, or drops it.
 func (m *electionModel) sendMessage(deliver func()) {
 	if rapid.IntRange(0, 9).Draw(m.t, "drop") > 0 {
 		m.after(m.drawDuration("delay", 0, 700), deliver)
@@ -85,19 +85,19 @@
 	m.leader.refresh(m.clock(), m.state, op.Name)
 }
 
-// holder campaigns, renews and works, for ever.
-func (m *electionModel) runHolder(runHolder *modelHolder) {
-	defer m.after(modelTTL/3, func() { m.runHolder(runHolder) })
-	if m.now < runHolder.pausedUntil {
+// runHolder lets a candidate campaign, renew and write once, and schedules the next run.
+func (m *electionModel) runHolder(holder *modelHolder) {
+	defer m.after(modelTTL/3, func() { m.runHolder(holder) })
+	if m.now < holder.pausedUntil {
 		return
 	}
-	current, _ := m.state.Leases().Get("d") // as its watch shows it
-	if current.Holder != runHolder.name {
+	current, _ := m.state.Leases().Get("d") // as the watch of the candidate reports it
+	if current.Holder != holder.name {
 		m.sendMessage(func() {
-			m.apply(leasetable.Operation{Kind: leasetable.Campaign, Name: "d", Candidate: runHolder.name, TTLMS: modelTTL.Milliseconds()})
+			m.apply(leasetable.Operation{Kind: leasetable.Campaign, Name: "d", Candidate: holder.name, TTLMS: modelTTL.Milliseconds()})
 		})
-		if slices.Contains(current.Queue, runHolder.name) {
-			m.sendMessage(func() { m.leader.renew(m.clock(), m.state, "d", runHolder.name, 0) })
+		if slices.Contains(current.Queue, holder.name) {
+			m.sendMessage(func() { m.leader.renew(m.clock(), m.state, "d", holder.name, 0) })
 		}
 		return
 	}
@@ -106,11 +106,11 @@
 		leader := m.leader
 		if m.deposedLeader != nil && rapid.Bool().Draw(m.t, "to the deposed leader") {
 			if m.mutant != renewsUnverified {
-				return // it cannot verify its leadership, and grants nothing
+				return // a deposed leader cannot verify its leadership, and grants nothing
 			}
 			leader = m.deposedLeader
 		}
-		if !leader.renew(m.clock(), m.state, "d", runHolder.name, token) {
+		if !leader.renew(m.clock(), m.state, "d", holder.name, token) {
 			return
 		}
 		answered := m.now
@@ -119,15 +119,15 @@
 			if m.mutant == countsFromResponse {
 				start = max(answered, m.now)
 			}
-			if token <= runHolder.releasedToken {
+			if token <= holder.releasedToken {
 				return
 			}
-			runHolder.token, runHolder.leaseEnd = token, max(runHolder.leaseEnd, start+modelTTL-leasetable.SafetyMargin(modelTTL))
+			holder.token, holder.leaseEnd = token, max(holder.leaseEnd, start+modelTTL-leasetable.SafetyMargin(modelTTL))
 			m.renewals++
 		})
 	})
-	if m.now < runHolder.leaseEnd { // the lease is checked now; the write is sent later, and arrives later still
-		token := runHolder.token
+	if m.now < holder.leaseEnd { // the holder checks its lease now; the write is sent later, and arrives later still
+		token := holder.token
 		m.after(m.drawDuration("pause", 0, 1500), func() { m.sendMessage(func() { m.write(token) }) })
 	}
 }
@@ -142,7 +142,7 @@
 	m.newestToken = max(m.newestToken, token)
 }
 
-// injectFault pauses a holder, deposes the leader, or has a lease released or revoked.
+// injectFault pauses a holder, deposes the leader, or releases or revokes a lease.
 func (m *electionModel) injectFault() {
 	defer m.after(m.drawDuration("until the next fault", 50, 800), m.injectFault)
 	holder := m.holders[rapid.IntRange(0, len(m.holders)-1).Draw(m.t, "holder")]
@@ -150,7 +150,7 @@
 	case 0:
 		holder.pausedUntil = m.now + m.drawDuration("paused", 100, 2500)
 	case 1:
-		for _, op := range m.pendingOps { // what is committed is applied before the next leader is established, the rest never
+		for _, op := range m.pendingOps { // only committed ones are applied, before the next leader is established
 			if rapid.Bool().Draw(m.t, "committed") {
 				m.apply(op)
 			}
@@ -159,7 +159,7 @@
 		m.deposedLeader, m.leader = m.leader, newLeaseTracker()
 		m.leader.reset(m.clock(), m.state)
 	case 2:
-		if m.now < holder.leaseEnd { // it stops first
+		if m.now < holder.leaseEnd { // the holder stops its work first
 			holder.leaseEnd, holder.releasedToken = m.now, holder.token
 			token := holder.token
 			m.sendMessage(func() {
@@ -198,7 +198,7 @@
 	}
 }
 
-// runElectionModel runs the simulation, and returns a violation, if any, and how often a lease was renewed.
+// runElectionModel runs the simulation. It returns a violation, if any, and the number of lease renewals.
 func runElectionModel(t *rapid.T, mutant electionMutant) (string, int) {
 	model := &electionModel{t: t, mutant: mutant, state: NewStateMachine(), leader: newLeaseTracker()}
 	for index := range rapid.IntRange(2, 3).Draw(t, "holders") {
@@ -239,7 +239,8 @@
 	return "", renewals
 }
 
-// At no time two candidates hold a lease, and the resource accepts no write with an older token after one with a newer.
+// Two candidates never hold a lease at the same time. The resource accepts no write with an older token after a write
+// with a newer one.
 func TestElectionModelSafety(t *testing.T) {
 	violation, renewals := runElectionExamples(3000, noMutant)
 	if violation != "" || renewals < 3000 {
--- a/internal/registry/env_test.go
+++ b/internal/registry/env_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { proctest.Main(m) }
 
-// testTimeout bounds the waiting of each test. Most need less than a tenth of it.
+// testTimeout bounds the time for which each test waits. Most tests need less than a tenth of it.
 const testTimeout = 150 * time.Second
 
 // testEnv is a cluster of replicas that run as processes of the program.
@@ -44,7 +44,7 @@
 	return env
 }
 
-// leader waits for a leader.
+// awaitLeader waits until the cluster has a leader, and returns it.
 func (e *testEnv) awaitLeader() *cluster.Replica {
 	e.Helper()
 	replica, err := e.cluster.AwaitLeader(e.ctx)
@@ -54,7 +54,7 @@
 	return replica
 }
 
-// eventually waits for a condition that has to come true; the test fails after testTimeout.
+// eventually waits until a condition holds; the test fails after testTimeout.
 func (e *testEnv) eventually(condition string, satisfied func() bool) {
 	e.Helper()
 	for !satisfied() {
@@ -66,7 +66,7 @@
 	}
 }
 
-// status is the status of one replica, empty while that does not answer.
+// status returns the status of a replica, or the zero value if the replica does not respond.
 func (e *testEnv) status(replica *cluster.Replica) registry.Status {
 	ctx, cancel := context.WithTimeout(e.ctx, time.Second)
 	defer cancel()
@@ -77,7 +77,7 @@
 	return status
 }
 
-// register registers an instance, which has to succeed.
+// register registers an instance, which must succeed.
 func (e *testEnv) register(instance registry.Instance) registry.Result {
 	e.Helper()
 	result, err := e.client.Register(e.ctx, registry.WriteOptions{}, instance)
@@ -87,7 +87,7 @@
 	return result
 }
 
-// othersThan are the HTTP addresses of all replicas but one.
+// httpAddrsExcept returns the HTTP addresses of all replicas but one.
 func (e *testEnv) httpAddrsExcept(excluded *cluster.Replica) []string {
 	var addresses []string
 	for _, replica := range e.cluster.Replicas {
@@ -98,7 +98,7 @@
 	return addresses
 }
 
-// clientOf makes a client of these replicas alone.
+// newClientFor returns a client that uses only the given replicas.
 func (e *testEnv) newClientFor(addresses ...string) *registry.Client {
 	e.Helper()
 	client, err := registry.NewClient(addresses)
@@ -109,8 +109,8 @@
 	return client
 }
 
-// watch watches the endpoint list until ctx ends, at the first replica and at the next whenever a watch ends. It calls
-// handle with each event.
+// watch watches the endpoint list until ctx ends. It starts at the first replica, and continues at the next whenever a
+// watch ends. It calls handle with each event.
 func (e *testEnv) watch(ctx context.Context, handle func(*registry.EndpointList), replicas ...*cluster.Replica) {
 	revision, epoch := uint64(0), uint64(0)
 	for n := 0; ctx.Err() == nil; n++ {
@@ -127,7 +127,7 @@
 	}
 }
 
-// newInstance is an instance whose address and start follow from a number.
+// newInstance returns an instance whose endpoint and boot_ms are derived from a number.
 func newInstance(uid string, ordinal int) registry.Instance {
 	return registry.Instance{Target: registry.Target{
 		UID: uid, Endpoint: fmt.Sprintf("127.0.0.1:%d", 1000+ordinal%60000), State: registry.InstanceReady, Capacity: 1,
--- a/internal/registry/faults_test.go
+++ b/internal/registry/faults_test.go
@@ -10,8 +10,8 @@
 	"milldeck/internal/registry"
 )
 
-// After an outage of the registry that was longer than the leases nobody is removed, though every instance has missed
-// its renewals.
+// After an outage of the registry that is longer than the leases, no instance is removed, although every instance has
+// missed its renewals.
 func TestRegistryOutageLongerThanLeases(t *testing.T) {
 	env := startEnv(t, 3, false, "")
 	var all []registry.Instance
@@ -41,7 +41,7 @@
 	for _, replica := range env.cluster.Replicas {
 		replica.Process.Kill()
 	}
-	// Three lease durations: the time itself is what is tested.
+	// The outage lasts three lease durations: the test needs this time to pass.
 	select {
 	case <-time.After(3 * time.Second):
 	case <-env.ctx.Done():
--- a/internal/registry/fixtures_test.go
+++ b/internal/registry/fixtures_test.go
@@ -24,7 +24,7 @@
 	record registry.Record
 }
 
-// The wall clock of the records, Unix ms: 2026-01-05 00:00 UTC, a Monday.
+// The wall clock of the records, in Unix ms: 2026-01-05 00:00 UTC, a Monday.
 const (
 	monday = 1_767_571_200_000
 	hourMS = 3_600_000
@@ -40,8 +40,8 @@
 	}
 }
 
-// fixtureLog is a log with records of every operation, and of the kinds of operations that the state hands to its
-// tables. Each of them is applied.
+// fixtureLog returns a log with records of every operation, and of every kind of operation that the state machine
+// passes to its tables. None of the records is rejected.
 func fixtureLog(t *testing.T) []logEntry {
 	t.Helper()
 	var log []logEntry
@@ -186,7 +186,7 @@
 	return log
 }
 
-// snapshotBody is a snapshot without its first line and checksum: JSON.
+// snapshotBody returns the JSON of a snapshot, without the first line and the checksum.
 func snapshotBody(t *testing.T, state *registry.StateMachine) []byte {
 	t.Helper()
 	var buffer bytes.Buffer
@@ -200,8 +200,8 @@
 	return rest[8:]
 }
 
-// TestStoredRecords reads the stored bytes of a record of every kind, writes the same bytes again, and applies them: the
-// outcome, the revision and the complete state after each record are those of the version that wrote them.
+// TestStoredRecords reads the stored bytes of a record of every kind, writes the same bytes again, and applies them.
+// The outcome, the revision and the complete state after each record must be those of the version that wrote the bytes.
 func TestStoredRecords(t *testing.T) {
 	state := registry.NewStateMachine()
 	operations := map[registry.Op]bool{}
@@ -238,8 +238,8 @@
 	goldentest.Compare(t, "states.txt", states.Bytes())
 }
 
-// TestStoredSnapshots reads stored snapshots and writes the same bytes again: the state of all records before a restore,
-// and that of a version without the ledger.
+// TestStoredSnapshots reads stored snapshots and writes the same bytes again: the state of all records before the
+// restore, and the state of a version without the ledger.
 func TestStoredSnapshots(t *testing.T) {
 	snapshots := map[string]func(logEntry) bool{
 		"snapshot.bin": func(e logEntry) bool {
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -7,10 +7,11 @@
 	"milldeck/internal/lab/proc/proctest"
 )
 
-// A leader that is held up between the check of its leadership and the answer must not call its state as new as the answer: by then
-// another leader may have changed it. It noted the time after the check, so the hold-up was missing in the age that it told, and in
-// the age by which it decides whether it may still grant a lease. The test holds it up right after the check. The loop that verifies
-// the leadership five times a second is ended before, as it would note later times by itself.
+// A leader may be delayed between the verification of its leadership and its response. The age that it reports must
+// include the delay, because another leader may have changed the state meanwhile. The leader used to record the time
+// after the verification. The delay was then missing in the reported age, and in the age by which the leader decides
+// whether it may still grant a lease. The test first stops the loop that verifies the leadership five times a second,
+// because that loop would record later times. It then delays the leader right after a verification.
 func TestDelayedReadReportsItsAge(t *testing.T) {
 	block := proctest.Block(t)
 	address := block.Addr(200, 0, 8500)
@@ -20,10 +21,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = replica.Close() }) // nothing is left to be lost
-	awaitCondition(t, "it leads", func() bool { return replica.caughtUp.Load() && replica.isLeader.Load() })
+	t.Cleanup(func() { _ = replica.Close() }) // the state is in memory and discarded
+	awaitCondition(t, "the replica leads", func() bool { return replica.caughtUp.Load() && replica.isLeader.Load() })
 	replica.cancel()
-	awaitCondition(t, "its loop has ended", func() bool { return !replica.isLeader.Load() })
+	awaitCondition(t, "the leader loop has ended", func() bool { return !replica.isLeader.Load() })
 	replica.isLeader.Store(true)
 
 	const delay = 300 * time.Millisecond
@@ -37,11 +38,11 @@
 		t.Fatal(err)
 	}
 	if age := replica.listAge(); age < delay {
-		t.Errorf("held up for %v after the check it calls its state %v old", delay, age)
+		t.Errorf("delayed for %v after the verification, the replica reports an age of %v", delay, age)
 	}
 }
 
-// awaitCondition waits for a condition that has to come true.
+// awaitCondition waits until a condition holds; the test fails after 30 s.
 func awaitCondition(t *testing.T, condition string, done func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !done(); time.Sleep(time.Millisecond) {
--- a/internal/registry/holddown_test.go
+++ b/internal/registry/holddown_test.go
@@ -10,18 +10,18 @@
 	"milldeck/internal/leaderelection/leasetable"
 )
 
-// holdDownMutant is a rule that a mutant of the model breaks.
+// holdDownMutant is a rule that the model breaks deliberately, to show that the model detects the violation.
 type holdDownMutant int
 
 const (
 	noHoldDownMutant holdDownMutant = iota
 	neverCountsShort                // no tenure counts as short
-	holdsDownAlone                  // a candidate without competitors waits, too
+	holdsDownAlone                  // a candidate without competitors is held down, too
 	holdsDownForever                // a hold-down never ends
 )
 
-// holdDownModel simulates the candidates of one lease on a virtual clock, in steps of 50 ms. A flapping candidate releases
-// the lease or fails before three lease durations have passed; a steady one holds it for good.
+// holdDownModel simulates the candidates of one lease on a virtual clock, in steps of 50 ms. A flapping candidate
+// releases the lease or fails before three lease durations have passed; a steady candidate keeps the lease.
 type holdDownModel struct {
 	t           *rapid.T
 	mutant      holdDownMutant
@@ -38,13 +38,13 @@
 type holdDownCandidate struct {
 	name          string
 	flaps         bool
-	silentUntil   time.Duration // it sends nothing until then
+	silentUntil   time.Duration // the candidate sends nothing until then
 	heldFrom      time.Duration
 	holds         bool
 	failsAt       time.Duration
 	tenureEndedAt time.Duration // when its last tenure ended
 	shortTenures  int           // in a row, as the model counts them
-	heldDownSince time.Duration // since when it has been held down; 0: it is not
+	heldDownSince time.Duration // since when the candidate has been held down; 0: it is not held down
 	tenures       int
 	lastCampaign  time.Duration
 }
@@ -83,7 +83,7 @@
 	m.apply(op)
 }
 
-// campaign has a candidate campaign, and checks whether it is rightly admitted or held down.
+// campaign makes a candidate campaign, and checks whether the tracker admits it or holds it down as the rules require.
 func (m *holdDownModel) campaign(candidate *holdDownCandidate) {
 	candidate.lastCampaign = m.now
 	others := 0
@@ -93,7 +93,7 @@
 			others++
 		}
 	}
-	// A new leader starts all hold-downs again, so that only their bounds are known.
+	// A new leader restarts all hold-downs, so that the model knows only the bounds of their ends.
 	duration := holdDownDuration(modelTTL, min(candidate.shortTenures, leasetable.MaxFailoverCount))
 	heldDown := candidate.shortTenures > allowedShortTenures && candidate.tenureEndedAt >= m.leaderSince &&
 		m.now < candidate.tenureEndedAt+duration
@@ -146,8 +146,8 @@
 	}
 }
 
-// runHoldDownModel simulates two minutes, with changes of the leader if leaders is set. Changes is how often the holder
-// changed.
+// runHoldDownModel simulates two minutes, with changes of the leader if leaders is set. Changes is the number of
+// changes of the holder.
 func runHoldDownModel(t *rapid.T, mutant holdDownMutant, flappers, steady int, leaders bool) (violation string, changes uint64, model *holdDownModel) {
 	model = &holdDownModel{t: t, mutant: mutant, state: NewStateMachine(), leader: newLeaseTracker(), leaderSince: -time.Hour}
 	for index := range flappers + steady {
@@ -188,8 +188,8 @@
 	return "", changes, steadyHeld
 }
 
-// Flapping candidates rarely take the lease from each other, a steady one soon holds it, one without competitors is never
-// held down, and no hold-down is endless.
+// Flapping candidates rarely take the lease from each other. A steady candidate soon holds it, a candidate without
+// competitors is never held down, and every hold-down ends.
 func TestHoldDownModel(t *testing.T) {
 	for _, tc := range []struct {
 		flappers, steady int
--- a/internal/registry/leadership_test.go
+++ b/internal/registry/leadership_test.go
@@ -9,9 +9,10 @@
 	"milldeck/internal/lab/proc/proctest"
 )
 
-// A new leader waits until the records of earlier leaders are applied. Where its disk is slow just then that fails with a timeout while
-// the replica still leads. It gave up then and waited for the next election, which nothing brings about: a leader that raft's followers
-// obey and that redirects every write to itself ("there is no leader"). In the test the first two waits fail.
+// A new leader waits until the records of earlier leaders are applied. On a slow disk this wait can time out while the
+// replica still leads. The replica used to give up and wait for the next election, which nothing triggers: raft's
+// followers still followed the replica, and it redirected every write to itself ("there is no leader"). In this test
+// the first two waits fail.
 func TestLeadershipIsEstablishedAfterTimeouts(t *testing.T) {
 	block := proctest.Block(t)
 	options := Options{HTTPAddr: block.Addr(200, 0, 8500), RaftAddr: block.Addr(200, 0, 8501)}
@@ -29,9 +30,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = replica.Close() }) // nothing is left to be lost
-	awaitCondition(t, "it leads and knows its state", func() bool { return replica.isLeader.Load() && replica.caughtUp.Load() })
+	t.Cleanup(func() { _ = replica.Close() }) // the state is in memory and discarded
+	awaitCondition(t, "the replica leads, caught up", func() bool { return replica.isLeader.Load() && replica.caughtUp.Load() })
 	if barrierCalls.Load() != 3 {
-		t.Errorf("it waited %d times", barrierCalls.Load())
+		t.Errorf("the replica waited %d times, want 3", barrierCalls.Load())
 	}
 }
--- a/internal/registry/ledger_bench_test.go
+++ b/internal/registry/ledger_bench_test.go
@@ -14,8 +14,8 @@
 	"milldeck/internal/registry"
 )
 
-// BenchmarkLedgerGrants requests permits of three replicas over loopback, with their logs on disk. It reports grants a
-// second, and the 99th percentile of the time from the request to the grant in ms.
+// BenchmarkLedgerGrants requests permits from three replicas over loopback, with their logs on disk. It reports grants
+// per second, and the 99th percentile of the time from the request to the grant in ms.
 func BenchmarkLedgerGrants(b *testing.B) {
 	block := proctest.Block(b)
 	var members []registry.Member
--- a/internal/registry/ledger_list_test.go
+++ b/internal/registry/ledger_list_test.go
@@ -10,8 +10,8 @@
 	"milldeck/internal/disruption"
 )
 
-// Whatever changes the endpoint list, the ledger has each instance as it is, and one that is not listed any more as lost
-// unless it deregistered. A replica that was restored from a snapshot has the same ledger.
+// After any change of the endpoint list, the ledger agrees with the list. An instance that is no longer listed counts
+// as lost unless it has deregistered. A state restored from a snapshot has the same ledger.
 func TestLedgerFollowsEndpointList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := NewStateMachine()
@@ -59,7 +59,7 @@
 				t.Fatal(err)
 			}
 			if a, b := ledgerJSON(t, state), ledgerJSON(t, restored); a != b {
-				t.Fatalf("restored it is\n%s\nnot\n%s", b, a)
+				t.Fatalf("the restored ledger is\n%s\nwant\n%s", b, a)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
 				state = restored
--- a/internal/registry/ledger_test.go
+++ b/internal/registry/ledger_test.go
@@ -20,7 +20,7 @@
 
 const operator = "operator/test"
 
-// applyLedgerOp applies an operation, by default of an operator, which has to succeed.
+// applyLedgerOp applies an operation, which must succeed. The default owner is an operator.
 func (e *testEnv) applyLedgerOp(op disruption.Op) registry.LedgerResult {
 	e.Helper()
 	if op.Owner == "" {
@@ -33,7 +33,7 @@
 	return result
 }
 
-// ledgerView reads the ledger.
+// ledgerView returns the newest view of the ledger.
 func (e *testEnv) ledgerView(units bool) disruption.View {
 	e.Helper()
 	view, err := e.client.LedgerView(e.ctx, true, units)
@@ -43,8 +43,8 @@
 	return view
 }
 
-// registerFleet registers servers that never expire, in three zones and pod groups of two, and sets a budget of how many
-// may be out.
+// registerFleet registers servers that never expire, in three zones and pod groups of two. It sets a budget that bounds
+// how many servers may be out.
 func (e *testEnv) registerFleet(servers, maxUnavailable int) {
 	e.Helper()
 	for ordinal := range servers {
@@ -55,7 +55,7 @@
 	e.applyLedgerOp(disruption.Op{Kind: disruption.OpSetBudget, Budget: &disruption.Budget{Name: "all", MaxUnavailable: disruption.Limit{Count: &maxUnavailable}}})
 }
 
-// requestPermit requests a permit for servers that return.
+// requestPermit returns a request for a permit for servers that return.
 func requestPermit(id string, servers ...string) disruption.Op {
 	permit := &disruption.Permit{ID: id, Owner: operator, Disposition: disruption.DispositionReturn, Priority: disruption.PriorityDrain}
 	for _, server := range servers {
@@ -64,12 +64,12 @@
 	return disruption.Op{Kind: disruption.OpRequest, Owner: operator, Permit: permit}
 }
 
-// permitOp is an operation on a permit.
+// permitOp returns an operation on a permit.
 func permitOp(kind disruption.OpKind, id string) disruption.Op {
 	return disruption.Op{Kind: kind, Owner: operator, Permit: &disruption.Permit{ID: id}}
 }
 
-// hasStatus reports whether an error is an answer with an HTTP status.
+// hasStatus reports whether an error is a response with the given HTTP status.
 func hasStatus(err error, statusCode int) bool {
 	var statusErr *registry.StatusError
 	return errors.As(err, &statusErr) && statusErr.StatusCode == statusCode
@@ -84,14 +84,15 @@
 	return string(data)
 }
 
-// The leader is killed between a grant and its answer: the retry finds the one grant.
+// The leader is killed after it has granted a permit and before the client has read the response. The retry returns the
+// same grant.
 func TestLeaderKilledBetweenGrantAndResponse(t *testing.T) {
 	env := startEnv(t, 3, false, "")
 	env.registerFleet(8, 2)
 	for round := range 3 {
-		leader, id := env.awaitLeader(), fmt.Sprintf("drain/x/%d", round) // a name with slashes is one name
+		leader, id := env.awaitLeader(), fmt.Sprintf("drain/x/%d", round) // an ID may contain slashes
 		request := registry.LedgerRequest{ID: registry.NewID(), Op: requestPermit(id, fmt.Sprint("s", round))}
-		// The answer is never read: for the client it is lost.
+		// The client never reads the response, as if it were lost.
 		abandoned, abandon := context.WithCancel(env.ctx)
 		httpRequest, err := http.NewRequestWithContext(abandoned, http.MethodPost, "http://"+leader.HTTPAddr+"/ledger/ask", strings.NewReader(asJSON(t, request)))
 		if err != nil {
@@ -123,14 +124,14 @@
 		abandon()
 		result, err := env.client.ApplyLedgerOp(env.ctx, registry.WriteOptions{ID: request.ID}, request.Op)
 		if err != nil || result.Permit == nil || result.Permit.GrantRevision != granted.GrantRevision || result.Permit.Stage != disruption.StageGranted {
-			t.Fatalf("the retry gives %+v: %v, not the grant %+v", result.Permit, err, granted)
+			t.Fatalf("the retry returns %+v: %v, want the grant %+v", result.Permit, err, granted)
 		}
-		again, err := env.client.ApplyLedgerOp(env.ctx, registry.WriteOptions{}, request.Op) // as a client that has lost the idempotency key
+		again, err := env.client.ApplyLedgerOp(env.ctx, registry.WriteOptions{}, request.Op) // the idempotency key is lost
 		if err != nil || again.Permit.GrantRevision != granted.GrantRevision {
 			t.Fatalf("requested again: %+v: %v", again.Permit, err)
 		}
 		if view := env.ledgerView(false); len(view.Permits) != 1 || len(view.Units) != 1 {
-			t.Fatalf("out are %+v under %+v", view.Units, view.Permits)
+			t.Fatalf("units %+v are out under permits %+v", view.Units, view.Permits)
 		}
 		env.applyLedgerOp(permitOp(disruption.OpCancel, id))
 		if err := leader.Start(); err != nil {
@@ -144,7 +145,7 @@
 func TestLedgerSurvivesKillOfAllReplicas(t *testing.T) {
 	env := startEnv(t, 3, false, "snapshot_every = 20")
 	env.registerFleet(8, 2)
-	for round := range 15 { // beyond a snapshot
+	for round := range 15 { // enough records for a snapshot
 		env.applyLedgerOp(requestPermit(fmt.Sprint("old", round), "s7"))
 		env.applyLedgerOp(permitOp(disruption.OpCancel, fmt.Sprint("old", round)))
 	}
@@ -164,7 +165,7 @@
 	}
 	env.awaitLeader()
 	if after := asJSON(t, env.ledgerView(true)); after != before {
-		t.Fatalf("the ledger is\n%s\nand was\n%s", after, before)
+		t.Fatalf("after the restart the ledger is\n%s\nwant\n%s", after, before)
 	}
 	env.applyLedgerOp(permitOp(disruption.OpCancel, "granted"))
 	if permit, err := env.client.Permit(env.ctx, "waits"); err != nil || permit.Stage != disruption.StageGranted {
@@ -172,7 +173,7 @@
 	}
 }
 
-// A leader in the minority, which does not know yet that it was deposed, grants nothing.
+// A leader in the minority grants no permits, even before it detects that it was deposed.
 func TestMinorityGrantsNoPermits(t *testing.T) {
 	env := startEnv(t, 3, true, "")
 	env.registerFleet(12, 1)
@@ -183,7 +184,7 @@
 	var granted atomic.Int64
 	shortCtx, cancel := context.WithTimeout(env.ctx, 3*time.Second)
 	defer cancel()
-	for n := range 8 { // from the first moment of the partition, before it steps down
+	for n := range 8 { // sent from the start of the partition, before the isolated leader steps down
 		wg.Go(func() {
 			request := requestPermit(fmt.Sprint("minority", n), fmt.Sprint("s", n))
 			result, err := minority.ApplyLedgerOp(shortCtx, registry.WriteOptions{}, request)
@@ -201,7 +202,7 @@
 		t.Errorf("%d grants by a replica in the minority", granted.Load())
 	}
 	env.network.Partition(isolated.Index, 3, false)
-	env.eventually("the replica has what the majority granted", func() bool {
+	env.eventually("the isolated replica has the grant of the majority", func() bool {
 		view, err := minority.LedgerView(env.ctx, false, false)
 		return err == nil && slices.ContainsFunc(view.Permits, func(permit disruption.Permit) bool {
 			return permit.ID == "real" && permit.Stage == disruption.StageGranted
@@ -209,13 +210,13 @@
 	})
 	for _, permit := range env.ledgerView(false).Permits {
 		if permit.ID != "real" && permit.Stage != disruption.StageRequested {
-			t.Errorf("%s is %s beside the one that the budget allows", permit.ID, permit.Stage)
+			t.Errorf("%s has stage %s, and the budget allows only the permit of the majority", permit.ID, permit.Stage)
 		}
 	}
 }
 
-// A backup from before a grant is restored. The owner of the lost permit must not continue, nothing is granted until an
-// operator resumes, and a unit that is out counts as out with or without a permit.
+// A backup that predates a grant is restored. The owner of the lost permit must not continue, nothing is granted until
+// an operator resumes, and a unit that is out counts as out with or without a permit.
 func TestRestoreFromBackupBeforeGrants(t *testing.T) {
 	env := startEnv(t, 3, false, "")
 	env.registerFleet(8, 1)
@@ -229,7 +230,7 @@
 	env.applyLedgerOp(requestPermit("lost", "leased"))
 	env.applyLedgerOp(requestPermit("unbegun", "s1"))
 	env.applyLedgerOp(permitOp(disruption.OpBegin, "lost"))
-	if _, err := env.client.Deregister(env.ctx, registry.WriteOptions{}, "leased"); err != nil { // it was stopped
+	if _, err := env.client.Deregister(env.ctx, registry.WriteOptions{}, "leased"); err != nil { // the server was stopped
 		t.Fatal(err)
 	}
 	if _, err := env.client.RestoreSnapshot(env.ctx, backup); err != nil {
--- a/internal/registry/linearizability_test.go
+++ b/internal/registry/linearizability_test.go
@@ -16,16 +16,16 @@
 	"milldeck/internal/registry"
 )
 
-// casInput is a read, or a write with compare-and-set, of one instance. The value of the instance is its boot_ms.
+// casInput is a read, or a write with compare-and-set, of one instance. The value is the boot_ms of the instance.
 type casInput struct {
 	write            bool
 	value            int
-	expectedRevision uint64 // revision; 0: it must not exist
+	expectedRevision uint64 // 0: the instance must not exist
 }
 
 // casOutput is the result of an operation.
 type casOutput struct {
-	ok       bool // the write was applied; of a read always true
+	ok       bool // whether the write was applied; always true for a read
 	revision uint64
 	value    int
 }
@@ -65,7 +65,7 @@
 func TestLeaderKilledDuringWrites(t *testing.T) {
 	env := startEnv(t, 3, false, "")
 	history := &casHistory{startedAt: time.Now(), acked: map[string]registry.Result{}}
-	var stopping atomic.Bool // calls in flight are completed, so that their outcome is known
+	var stopping atomic.Bool // writers complete their current calls, so that the outcomes are known
 	var writers sync.WaitGroup
 	for writer := range casWriters {
 		writers.Go(func() { env.writeAndRead(writer, history, &stopping) })
@@ -73,7 +73,7 @@
 	random := rand.New(rand.NewPCG(2, 2))
 	for range leaderKills {
 		after := history.ackedCount() + 1 + random.IntN(200) // a seeded moment during the writes
-		env.eventually("writes go on", func() bool { return history.ackedCount() >= after })
+		env.eventually("more writes are acknowledged", func() bool { return history.ackedCount() >= after })
 		victim := env.awaitLeader()
 		victim.Process.Kill()
 		env.awaitLeader()
@@ -100,12 +100,12 @@
 		}
 	}
 	if lost > 0 {
-		t.Errorf("%d of %d acknowledged writes are not there, or twice", lost, len(history.acked))
+		t.Errorf("%d of %d acknowledged writes are missing or listed twice", lost, len(history.acked))
 	}
 	t.Logf("%d kills, %d acknowledged writes, %d operations checked", leaderKills, len(history.acked), len(history.operations))
 }
 
-// casHistory is what the writers have done.
+// casHistory records the operations of the writers.
 type casHistory struct {
 	startedAt time.Time
 
@@ -144,15 +144,17 @@
 		byInstance[shared] = append(byInstance[shared], operation)
 	}
 	for shared, operations := range byInstance {
-		// A registration with a lower boot_ms than the entry's is rejected whatever the revision. Values grow per writer only,
-		// so the model would take such a rejection for a conflict: rejections are left out of the history.
+		// The registry rejects a registration with a lower boot_ms than that of the entry, whatever the revision.
+		// Values increase per writer only, so the model would mistake such a rejection for a conflict. The history
+		// therefore omits rejected writes.
 		if result := porcupine.CheckOperationsTimeout(casModel, withoutRejectedWrites(operations), 20*time.Second); result != porcupine.Ok {
 			t.Errorf("history of shared-%d with %d operations is not linearizable: %s", shared, len(operations), result)
 		}
 	}
 }
 
-// writeAndRead writes instances of its own, and writes and reads an instance that writers contend for, until stopping.
+// writeAndRead registers instances of its own, and writes and reads an instance that several writers contend for, until
+// stopping is set.
 func (e *testEnv) writeAndRead(writer int, history *casHistory, stopping *atomic.Bool) {
 	client, err := e.cluster.Client()
 	if err != nil {
@@ -164,7 +166,7 @@
 	uid, revision := fmt.Sprintf("shared-%d", writer/writersPerSharedInstance), uint64(0)
 	for attempt := 1; !stopping.Load(); attempt++ {
 		value := attempt*casWriters + writer
-		// A write without contention, with an idempotency key: applied once, whatever is lost.
+		// A write without contention. Because of its idempotency key it is applied once, whatever message is lost.
 		own := newInstance(fmt.Sprintf("own-%d-%d", writer, attempt), value)
 		if result, err := client.Register(e.ctx, registry.WriteOptions{}, own); err == nil {
 			history.recordAcked(own.UID, result)
@@ -183,7 +185,7 @@
 	}
 }
 
-// applyCAS applies an operation to an instance. A rejected write is no error.
+// applyCAS applies an operation to an instance. It returns no error for a rejected write.
 func applyCAS(ctx context.Context, client *registry.Client, uid string, input casInput) (casOutput, error) {
 	if !input.write {
 		instance, err := client.Get(ctx, uid, true)
@@ -205,8 +207,8 @@
 	return casOutput{}, err
 }
 
-// withoutRejectedWrites leaves out writes that were rejected: they have no effect, and may be rejected for the boot time
-// instead of the revision.
+// withoutRejectedWrites returns the operations without rejected writes. Those have no effect, and may have been
+// rejected because of the boot time instead of the revision.
 func withoutRejectedWrites(ops []porcupine.Operation) []porcupine.Operation {
 	return slices.DeleteFunc(slices.Clone(ops), func(op porcupine.Operation) bool {
 		return op.Input.(casInput).write && !op.Output.(casOutput).ok
--- a/internal/registry/maintenance_test.go
+++ b/internal/registry/maintenance_test.go
@@ -14,8 +14,8 @@
 	"milldeck/internal/registry"
 )
 
-// The steps of a window need the token of the controller's lease, and times that agree. The directives for sidecars are
-// set by the same record, and everything survives the kill of the leader.
+// The steps of a window need the token of the controller's lease, and clocks that agree. The record of a step also sets
+// the directives for sidecars. All of this state survives the kill of the leader.
 func TestMaintenanceWindowSurvivesLeaderLoss(t *testing.T) {
 	env := startEnv(t, 3, false, "snapshot_every = 5")
 	env.registerFleet(4, 2)
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	mustWrite(guard, maintenance.Operation{Kind: maintenance.OpSchedule, Window: "w", Approvals: plan.Approvals, PlannedStartMS: plan.StartMS})
-	for end := time.Now().Add(3 * time.Second); ; time.Sleep(50 * time.Millisecond) { // no notice is over before the clocks are sure
+	for end := time.Now().Add(3 * time.Second); ; time.Sleep(50 * time.Millisecond) { // until the notice is over by every clock
 		if status := writeOp(guard, stamp(), maintenance.Operation{Kind: maintenance.OpAwaitPermit, Window: "w"}); status == 0 {
 			break
 		} else if time.Now().After(end) {
@@ -127,7 +127,7 @@
 		t.Errorf("%d directives are published after the contract ended", entries)
 	}
 	if hasContractBudget() {
-		t.Error("its budget outlives the contract")
+		t.Error("the budget remains after the contract was withdrawn")
 	}
 	if found := view().Table.Window("w"); found == nil || found.Stage != maintenance.StageDraining || view().PermitStages["window/w/1"] != disruption.StageActive {
 		t.Errorf("%+v", found)
--- a/internal/registry/outage_test.go
+++ b/internal/registry/outage_test.go
@@ -11,15 +11,15 @@
 	"milldeck/internal/lab/proc/proctest"
 )
 
-// The control plane is down under load for longer than any lease, while servers restart: sidecars lose no more requests
-// than the servers do. experiments/registry-loss.toml is the long form, with an outage of a minute.
+// The control plane is down under load for longer than any lease while servers restart. The sidecars lose no requests
+// beyond those that the servers lose. experiments/registry-loss.toml is the long form, with an outage of a minute.
 func TestControlPlaneDownUnderLoad(t *testing.T) {
 	t.Parallel()
 	experiment, err := lab.Load("../../experiments/registry-loss.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The short form: the outage lasts four lease durations.
+	// In the short form the outage lasts four lease durations.
 	experiment.DurationS, experiment.Discovery.LeaseMS = 8, 1000
 	experiment.Phases[0].Rate = 100
 	for index := range experiment.Faults {
--- a/internal/registry/partition_test.go
+++ b/internal/registry/partition_test.go
@@ -27,7 +27,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// Reads are sent while it is still paused, so that it answers them right after it resumes.
+		// The reads are sent while the old leader is still paused, so that it answers them right after it resumes.
 		type response struct {
 			revision   uint64
 			statusCode int
@@ -67,8 +67,8 @@
 	}
 }
 
-// A replica in the minority still answers reads, marked with their age, expires nobody and accepts no write. After the
-// partition heals watchers receive each change once and in order.
+// A replica in the minority still answers reads, marked with the age of its state. It expires no instance and accepts
+// no write. After the partition heals, watchers receive each change once and in order.
 func TestMinorityPartition(t *testing.T) {
 	env := startEnv(t, 3, true, "")
 	leased := newInstance("leased", 1)
@@ -83,11 +83,11 @@
 	})
 	defer background.Wait()
 	defer stopKeepAlive()
-	env.eventually("it is registered", func() bool { _, err := env.client.Get(env.ctx, "leased", true); return err == nil })
+	env.eventually("the instance is registered", func() bool { _, err := env.client.Get(env.ctx, "leased", true); return err == nil })
 
 	isolated := env.awaitLeader()
 	var mu sync.Mutex
-	var receivedRevisions []uint64
+	var seen []uint64
 	background.Go(func() {
 		newest := uint64(0)
 		env.watch(ctx, func(list *registry.EndpointList) {
@@ -98,26 +98,26 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for range list.Targets {
-				receivedRevisions = append(receivedRevisions, list.Revision)
+				seen = append(seen, list.Revision)
 			}
 		}, isolated)
 	})
-	env.eventually("the watch is up", func() bool { mu.Lock(); defer mu.Unlock(); return len(receivedRevisions) > 0 })
+	env.eventually("the watch receives the list", func() bool { mu.Lock(); defer mu.Unlock(); return len(seen) > 0 })
 
 	env.network.Partition(isolated.Index, 3, true)
-	env.eventually("the cut leader steps down", func() bool { return env.status(isolated).Role != "Leader" })
+	env.eventually("the isolated leader steps down", func() bool { return env.status(isolated).Role != "Leader" })
 	minority := env.newClientFor(isolated.HTTPAddr)
 	shortCtx, cancel := context.WithTimeout(env.ctx, 2*time.Second)
 	if _, err := minority.Register(shortCtx, registry.WriteOptions{}, newInstance("refused", 2)); err == nil {
 		t.Error("a replica in the minority accepts a write")
 	}
 	cancel()
-	env.eventually("its age grows past the lease", func() bool { return env.status(isolated).AgeMS > 1500 })
+	env.eventually("the age of the isolated replica exceeds the lease", func() bool { return env.status(isolated).AgeMS > 1500 })
 	list, err := minority.List(env.ctx, false)
 	if err != nil || len(list.Targets) != 1 {
 		t.Errorf("a replica in the minority answers %+v: %v", list, err)
 	}
-	// The majority has a leader, where the leased instance has missed no renewal.
+	// The majority has a leader, and the leased instance has missed no renewal there.
 	majority := env.newClientFor(env.httpAddrsExcept(isolated)...)
 	last := uint64(0)
 	for n := range 5 {
@@ -128,15 +128,11 @@
 		last = result.Revision
 	}
 	env.network.Partition(isolated.Index, 3, false)
-	env.eventually("the watcher has all", func() bool {
-		mu.Lock()
-		defer mu.Unlock()
-		return len(receivedRevisions) > 0 && receivedRevisions[len(receivedRevisions)-1] >= last
-	})
+	env.eventually("all changes arrived", func() bool { mu.Lock(); defer mu.Unlock(); return len(seen) > 0 && seen[len(seen)-1] >= last })
 	mu.Lock()
 	defer mu.Unlock()
-	if !slices.IsSorted(receivedRevisions) || len(slices.Compact(slices.Clone(receivedRevisions))) != len(receivedRevisions) {
-		t.Errorf("changes came twice or out of order: %v", receivedRevisions)
+	if !slices.IsSorted(seen) || len(slices.Compact(slices.Clone(seen))) != len(seen) {
+		t.Errorf("changes came twice or out of order: %v", seen)
 	}
 	if list, err := env.client.List(env.ctx, true); err != nil || len(list.Targets) != 6 {
 		t.Errorf("%d instances, want the leased one and five: %v", len(list.Targets), err)
--- a/internal/registry/release_test.go
+++ b/internal/registry/release_test.go
@@ -12,7 +12,7 @@
 	"milldeck/internal/supervisor"
 )
 
-// newReleaseState is a release of two servers, drawn from a fleet of four.
+// newReleaseState returns a release of two servers, selected from a fleet of four.
 func newReleaseState(t *testing.T, name, version string) *release.State {
 	t.Helper()
 	parsed, err := plan.Parse("p.toml", []byte("name = \""+name+"\"\non_halt = \"back\"\ndeadline_s = 600\n[what]\nserver = \""+version+
@@ -33,7 +33,8 @@
 	return state
 }
 
-// The steps of a release need the token of its lease and are applied once each, also after the leader was killed.
+// The steps of a release need the token of the release's lease, and are applied once each, also after the leader was
+// killed.
 func TestReleaseSurvivesLeaderLoss(t *testing.T) {
 	env := startEnv(t, 3, false, "snapshot_every = 5")
 	write := func(guard *registry.Guard, name string, op release.Operation) int {
@@ -50,7 +51,7 @@
 	}
 	guard, other := env.acquireLease("release/r"), env.acquireLease("release/q")
 	if status := write(nil, "r", release.Operation{Start: newReleaseState(t, "r", "2")}); status != 0 {
-		t.Fatalf("not started: %d", status)
+		t.Fatalf("the start is rejected: %d", status)
 	}
 	step := func(sequence uint64, wave int) release.Operation {
 		return release.Operation{Delta: &release.Delta{Sequence: sequence, Status: &release.Status{Phase: release.PhaseRollout, Wave: wave}}}
--- a/internal/registry/restart_test.go
+++ b/internal/registry/restart_test.go
@@ -9,10 +9,11 @@
 	"milldeck/internal/registry/cluster"
 )
 
-// What a replica knows of the fleet it knows only once it has applied its log after a restart. Until then it served an empty list
-// with status 200, under epoch 0. When all replicas were restarted together a second one confirmed that list to an agent, and its
-// sidecar had no servers for a moment: `registry epoch changed, as after a restore epoch=0 revision=0`. The log is applied only
-// when a leader is known; here there is none, so the time that is half a second else lasts as long as the test wants.
+// After a restart a replica has no valid state until it has applied its log. It used to serve an empty list with status
+// 200 and epoch 0 until then. When all replicas restarted together, a second replica confirmed that list to an agent,
+// and the agent's sidecar had no servers for a moment. The agent logged: `registry epoch changed, as after a restore
+// epoch=0 revision=0`. A replica applies its log only once it knows a leader, which otherwise takes half a second. In
+// this test there is no leader until the second replica starts.
 func TestRestartedReplicaServesNoUnknownState(t *testing.T) {
 	env := startEnv(t, 3, false, "")
 	for n, uid := range []string{"a", "b", "c", "d"} {
@@ -51,7 +52,8 @@
 	}
 }
 
-// read requests a path of one replica. The status is 0 while nothing answers; of a list the body is decoded.
+// read requests a path from one replica. The status is 0 if the replica does not respond. Only the body of the endpoint
+// list is decoded.
 func (e *testEnv) read(replica *cluster.Replica, path string) (int, registry.EndpointList) {
 	e.Helper()
 	var list registry.EndpointList
--- a/internal/registry/sidecars_test.go
+++ b/internal/registry/sidecars_test.go
@@ -8,8 +8,8 @@
 	"milldeck/internal/registry"
 )
 
-// Sidecars have leases of their own. One that misses its heartbeats is lost; the condition of many at once is unknown,
-// and no permit is granted until they renew again.
+// Sidecars have leases of their own. A sidecar that misses its heartbeats counts as lost. If many miss theirs at once,
+// their condition is unknown, and no permit is granted until they renew again.
 func TestSidecarLeases(t *testing.T) {
 	env := startEnv(t, 1, false, "")
 	env.registerFleet(8, 3)
--- a/internal/registry/state_machine_test.go
+++ b/internal/registry/state_machine_test.go
@@ -16,7 +16,7 @@
 	return Instance{Target: Target{UID: uid, Endpoint: fmt.Sprintf("10.0.0.1:%d", port), State: InstanceReady, Capacity: 1, BootMS: bootMS}}
 }
 
-// referenceModel is the state machine in its simplest form: it retains every change.
+// referenceModel is a simple form of the state machine that retains every change.
 type referenceModel struct {
 	instances map[string]Instance
 	changes   []Change
@@ -86,7 +86,7 @@
 	return outcome
 }
 
-// since is what a watcher at a revision has to receive.
+// since returns the targets that a watcher at a revision must receive.
 func (p *referenceModel) since(revision uint64) map[string]Target {
 	targets := map[string]Target{}
 	for _, change := range p.changes {
@@ -104,7 +104,7 @@
 		revision := uint64(0)
 		cursors := []uint64{0}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			revision += uint64(rapid.IntRange(1, 3).Draw(t, "gap")) // raft's own entries have indexes, too
+			revision += uint64(rapid.IntRange(1, 3).Draw(t, "gap")) // raft's own entries use indexes, too
 			record := &Record{Op: rapid.SampledFrom([]Op{OpRegister, OpRegister, OpSetState, OpDeregister, OpExpire}).Draw(t, "op")}
 			record.ID = rapid.SampledFrom([]string{"", "", "w1", "w2", "w3"}).Draw(t, "id")
 			known := rapid.SampledFrom([]uint64{0, 1, 2, revision - 1}).Draw(t, "known")
@@ -279,7 +279,7 @@
 		t.Errorf("half are missing: %d expire, %d are held back", len(expire), len(suspects))
 	}
 
-	// Expiries one after the other count, too, within the window of the policy.
+	// Successive expiries count, too, within the window of the policy.
 	tracker.reset(start, state)
 	expiredCount := 0
 	for ms := 1001; ms < 20_000; ms += 1000 {
@@ -307,7 +307,7 @@
 	f.Add([]byte("x"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if record, err := DecodeRecord(data); err == nil {
-			NewStateMachine().Apply(1, record) // whatever it says, nothing panics
+			NewStateMachine().Apply(1, record) // must not panic, whatever the record contains
 		}
 	})
 }
@@ -324,7 +324,7 @@
 		if err != nil {
 			return
 		}
-		// What is valid is encoded and decoded without a change.
+		// A valid request survives encoding and decoding.
 		bytes, err := record.Encode()
 		if err != nil {
 			t.Fatal(err)
@@ -335,7 +335,7 @@
 		}
 		state := NewStateMachine()
 		if result := state.Apply(1, decoded); result.Outcome == OutcomeDone && state.Len() == 0 {
-			t.Fatalf("%s is applied and registers nothing", data)
+			t.Fatalf("%s is applied but registers nothing", data)
 		}
 	})
 }
@@ -366,7 +366,7 @@
 		corrupt := bytes.Clone(buffer.Bytes())
 		corrupt[offset] ^= 0x20
 		if _, err := ReadSnapshot(bytes.NewReader(corrupt)); err == nil {
-			t.Errorf("byte %d is flipped, and the snapshot is read", offset)
+			t.Errorf("the snapshot is read though byte %d is flipped", offset)
 		}
 	}
 	for offset := range buffer.Len() {
--- a/internal/registry/storage_test.go
+++ b/internal/registry/storage_test.go
@@ -18,7 +18,7 @@
 	"milldeck/internal/registry/cluster"
 )
 
-// flipByte flips a byte of a file, at a fraction of its length.
+// flipByte flips a byte of a file, at a fraction of the file's length.
 func flipByte(t *testing.T, path string, fraction float64) {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -32,8 +32,8 @@
 }
 
 // All replicas are killed during writes and started again: no acknowledged write is lost. A replica whose store is
-// corrupt fails to start with a one-line error, while the others continue; with an empty data directory it catches up by
-// snapshot.
+// corrupt fails to start with a one-line error, while the others continue. With an empty data directory the replica
+// catches up by snapshot.
 func TestAllReplicasKilledAndCorruptStores(t *testing.T) {
 	env := startEnv(t, 3, false, "snapshot_every = 50")
 	acked := env.writeUntilKilled()
@@ -64,7 +64,7 @@
 	}
 	for uid := range acked {
 		if !listed[uid] {
-			t.Errorf("%s was acknowledged and is not there", uid)
+			t.Errorf("%s was acknowledged and is not in the list", uid)
 		}
 	}
 	env.restartWithEmptyDataDir(victim, list)
@@ -94,9 +94,10 @@
 	}
 }
 
-// writeUntilKilled writes until every replica has compacted its log, and kills all replicas during the writes. It returns the
-// uids whose registration was acknowledged. A replica compacts its log after it has persisted a snapshot, and a kill in between leaves
-// the whole log; that it has persisted another snapshot shows that it has compacted.
+// writeUntilKilled writes until every replica has compacted its log, and kills all replicas during the writes. It
+// returns the uids whose registrations were acknowledged. A replica compacts its log after it has persisted a snapshot,
+// and a kill in between leaves the whole log. A second snapshot shows that the replica has compacted its log after the
+// first.
 func (e *testEnv) writeUntilKilled() map[string]bool {
 	e.Helper()
 	ctx, stop := context.WithCancel(e.ctx)
@@ -133,28 +134,29 @@
 	return acked
 }
 
-// snapshotFiles are the files of the complete snapshots of a replica.
+// snapshotFiles returns the files of the complete snapshots of a replica.
 func snapshotFiles(replica *cluster.Replica) ([]string, error) {
 	return filepath.Glob(filepath.Join(replica.DataDir, "snapshots", "*[0-9]", "state.bin")) // others are incomplete
 }
 
-// failsToStart waits until a replica has ended with a one-line error that names a reason.
+// requireStartFailure waits until the process of a replica has exited, and checks for a one-line error that contains a
+// reason.
 func (e *testEnv) requireStartFailure(replica *cluster.Replica, reason string) {
 	e.Helper()
 	select {
 	case <-replica.Process.Done():
 	case <-time.After(20 * time.Second):
-		e.Fatalf("with a corrupt %s replica %d starts", reason, replica.Index)
+		e.Fatalf("corrupt %s: replica %d still runs", reason, replica.Index)
 	}
 	lines := strings.Split(strings.TrimSpace(replica.Process.Log()), "\n")
 	last := lines[len(lines)-1]
 	if replica.Process.Wait() == nil || !strings.HasPrefix(last, "milldeck: ") || !strings.Contains(last, reason) {
-		e.Errorf("it ended with %v and %q, want a line about %q", replica.Process.Wait(), last, reason)
+		e.Errorf("the replica exited with %v and %q, want a line that contains %q", replica.Process.Wait(), last, reason)
 	}
 }
 
-// replaceFromEmpty starts a replica with an empty data directory. It has to catch up with a list by snapshot, as the
-// others have compacted their logs.
+// restartWithEmptyDataDir starts a replica with an empty data directory. The replica has to catch up with a list by
+// snapshot, because the others have compacted their logs.
 func (e *testEnv) restartWithEmptyDataDir(replica *cluster.Replica, list registry.EndpointList) {
 	e.Helper()
 	if err := os.RemoveAll(replica.DataDir); err != nil {
@@ -168,11 +170,11 @@
 		return status.Revision == list.Revision && status.Instances == len(list.Targets)
 	})
 	if found, err := filepath.Glob(filepath.Join(replica.DataDir, "snapshots", "*", "state.bin")); err != nil || len(found) == 0 {
-		e.Errorf("it caught up without a snapshot: %v", err)
+		e.Errorf("the replica caught up without a snapshot: %v", err)
 	}
 }
 
-// flipRecords flips a byte in every copy of a record that the file of a log holds.
+// flipRecords flips a byte in every registration record that a log file contains.
 func flipRecords(t *testing.T, path string) {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -196,7 +198,7 @@
 	}
 }
 
-// truncateLog truncates the file of a log.
+// truncateLog truncates a log file.
 func truncateLog(t *testing.T, path string) {
 	t.Helper()
 	if err := os.Truncate(path, 6000); err != nil {
@@ -204,7 +206,7 @@
 	}
 }
 
-// unwritableConfig is a configuration whose data directory nobody can create, not even root.
+// unwritableConfig returns the path of a configuration whose data directory nobody can create, not even root.
 func unwritableConfig(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "replica.toml")
@@ -215,8 +217,8 @@
 	return path
 }
 
-// A replica whose disk is full takes no part, and the others continue; it catches up once it has space again. A limit
-// on the size of its files stands in for the full disk.
+// A replica whose disk is full cannot take part, and the others continue. It catches up once it has space again. A
+// limit on the size of its files stands in for the full disk.
 func TestFullDisk(t *testing.T) {
 	env := startEnv(t, 3, false, "snapshot_every = 100000")
 	victim := env.cluster.Replicas[0]
@@ -238,7 +240,7 @@
 	if err := victim.Start(); err != nil {
 		t.Fatal(err)
 	}
-	env.eventually("with space again it catches up", func() bool { return env.status(victim).Revision >= result.Revision })
+	env.eventually("the replica with space again catches up", func() bool { return env.status(victim).Revision >= result.Revision })
 }
 
 // A cluster that is restored from an older backup has another epoch, and its revision does not decrease.
--- a/internal/registry/warmup_test.go
+++ b/internal/registry/warmup_test.go
@@ -7,8 +7,8 @@
 	"milldeck/internal/disruption"
 )
 
-// A server is marked as warm once the leader has seen it warming up for the duration, in one incarnation. One that
-// restarts, or was absent, starts again.
+// A server is marked as warm once the leader has observed it warming up for the duration in one incarnation. The
+// duration starts again for a server that restarts or was absent.
 func TestWarmUpByDuration(t *testing.T) {
 	tracker := newWarmUpTracker(60 * time.Second)
 	start := time.Unix(1000, 0)
@@ -23,7 +23,7 @@
 		{0, []disruption.Unit{warmingUp("server/a", 1), warmingUp("server/b", 2)}, ""},
 		{59 * time.Second, []disruption.Unit{warmingUp("server/a", 1), warmingUp("server/b", 7)}, ""}, // b has restarted
 		{60 * time.Second, []disruption.Unit{warmingUp("server/a", 1), warmingUp("server/b", 7)}, "server/a"},
-		{61 * time.Second, []disruption.Unit{warmingUp("server/a", 1), warmingUp("server/b", 7)}, "server/a"}, // not applied yet: again
+		{61 * time.Second, []disruption.Unit{warmingUp("server/a", 1), warmingUp("server/b", 7)}, "server/a"}, // not applied yet: returned again
 		{70 * time.Second, nil, ""}, // both are absent
 		{119 * time.Second, []disruption.Unit{warmingUp("server/b", 7)}, ""},
 		{179 * time.Second, []disruption.Unit{warmingUp("server/b", 7)}, "server/b"},
--- a/internal/registry/writes_test.go
+++ b/internal/registry/writes_test.go
@@ -10,8 +10,8 @@
 	"milldeck/internal/registry"
 )
 
-// Writes that contend for a uid: two addresses, a restart with a new boot_ms, a renewal after the deregistration. Invalid
-// input is answered with one line that names the field, and changes nothing.
+// Writes contend for a uid: two addresses, a restart with a new boot_ms, a renewal after the deregistration. The
+// response to invalid input is one line that names the field; the input changes nothing.
 func TestContendingWrites(t *testing.T) {
 	env := startEnv(t, 1, false, "")
 	first := newInstance("u", 1)
@@ -39,7 +39,7 @@
 		t.Errorf("a renewal after the deregistration: %+v %v", renewed, err)
 	}
 	if list, err := env.client.List(env.ctx, true); err != nil || len(list.Targets) != 0 {
-		t.Errorf("a renewal has registered it again: %+v %v", list, err)
+		t.Errorf("a renewal has registered the instance again: %+v %v", list, err)
 	}
 
 	before := env.status(env.cluster.Replicas[0]).AppliedIndex
