--- a/internal/registry/fixtures_test.go
+++ b/internal/registry/fixtures_test.go
@@ -161,9 +161,9 @@
 		Tenant: "portal", Notice: "0s", MinutesPerMonth: 10_000, MinAvailableShare: 0.5, MaxConcurrentWindows: 1, OverrunPolicy: contract.OverrunHaltsTenant,
 		Spec: calendar.Spec{Zone: "UTC", ApprovedHours: []calendar.Rule{{Recurrence: "FREQ=DAILY", Start: "00:00", Length: "8h", FirstDay: "2026-01-01"}}}}})
 	maintenanceOp("window-propose", nil, 1000, maintenance.Operation{Kind: maintenance.OpPropose, Window: "w", Operator: "ops", ServerUIDs: []string{"s1"}, WorkMS: 60_000})
-	grant := maintenance.Approval{Tenant: "portal", ContractVersion: version, OpensAtMS: monday, ClosesAtMS: monday + 8*hourMS, ServerCount: 4,
+	approval := maintenance.Approval{Tenant: "portal", ContractVersion: version, OpensAtMS: monday, ClosesAtMS: monday + 8*hourMS, ServerCount: 4,
 		Months: []calendar.Month{{Name: "2026-01", Interval: calendar.Interval{StartMS: monday - 4*24*hourMS, EndMS: monday + 27*24*hourMS}}}}
-	maintenanceOp("window-plan", windowGuard, 2000, maintenance.Operation{Kind: maintenance.OpSchedule, Window: "w", Approvals: []maintenance.Approval{grant}, PlannedStartMS: monday + 2500})
+	maintenanceOp("window-plan", windowGuard, 2000, maintenance.Operation{Kind: maintenance.OpSchedule, Window: "w", Approvals: []maintenance.Approval{approval}, PlannedStartMS: monday + 2500})
 	maintenanceOp("window-wait", windowGuard, 3000, maintenance.Operation{Kind: maintenance.OpAwaitPermit, Window: "w"})
 	ledger("window-ask", windowGuard, disruption.Op{Kind: disruption.OpRequest, Owner: maintenance.LeaseName, Permit: &disruption.Permit{ID: "window/w/1", Owner: maintenance.LeaseName,
 		Units: []string{"server/s1"}, Priority: disruption.PriorityDrain, Disposition: disruption.DispositionReturn}})
--- a/internal/registry/holddown.go
+++ b/internal/registry/holddown.go
@@ -89,7 +89,7 @@
 	return !h.lastCampaignAt.IsZero() && now.Sub(h.lastCampaignAt) < duration
 }
 
-// admitCandidate calls admitCandidate of the tracker with the current state.
+// admitCandidate calls leaseTracker.admitCandidate with the current state.
 func (r *Replica) admitCandidate(name, candidate string) (admitted bool) {
 	r.hub.Read(func(state *StateMachine) {
 		admitted = r.leaseTracker.admitCandidate(time.Now(), state, name, candidate)
--- a/internal/registry/holddown_test.go
+++ b/internal/registry/holddown_test.go
@@ -146,9 +146,9 @@
 	}
 }
 
-// runHoldDownModel simulates two minutes, with changes of the leader if leaders is set. Changes is the number of
+// runHoldDownModel simulates two minutes. The leader changes at times if changeLeaders is set. Changes is the number of
 // changes of the holder.
-func runHoldDownModel(t *rapid.T, mutant holdDownMutant, flappers, steady int, leaders bool) (violation string, changes uint64, model *holdDownModel) {
+func runHoldDownModel(t *rapid.T, mutant holdDownMutant, flappers, steady int, changeLeaders bool) (violation string, changes uint64, model *holdDownModel) {
 	model = &holdDownModel{t: t, mutant: mutant, state: NewStateMachine(), leader: newLeaseTracker(), leaderSince: -time.Hour}
 	for index := range flappers + steady {
 		model.candidates = append(model.candidates, &holdDownCandidate{name: fmt.Sprint("c", index), flaps: index < flappers, lastCampaign: -modelTTL})
@@ -160,7 +160,7 @@
 		for _, op := range model.leader.findExpired(model.clock()) {
 			model.endTenure(op)
 		}
-		if leaders && rapid.IntRange(0, 99).Draw(t, "another leader") == 0 {
+		if changeLeaders && rapid.IntRange(0, 99).Draw(t, "another leader") == 0 {
 			model.leader, model.leaderSince = newLeaseTracker(), model.now
 			model.leader.reset(model.clock(), model.state)
 		}
@@ -170,11 +170,11 @@
 
 // runHoldDownExamples runs the simulation with a number of seeds, the same in each test, until the first violation.
 // Changes is the largest count, and steadyHeld whether the steady candidate held the lease at the end of each.
-func runHoldDownExamples(seeds int, mutant holdDownMutant, flappers, steady int, leaders bool) (violation string, changes uint64, steadyHeld bool) {
+func runHoldDownExamples(seeds int, mutant holdDownMutant, flappers, steady int, changeLeaders bool) (violation string, changes uint64, steadyHeld bool) {
 	steadyHeld = true
 	for seed := range seeds {
 		violation = rapid.Custom(func(t *rapid.T) string {
-			found, n, model := runHoldDownModel(t, mutant, flappers, steady, leaders)
+			found, n, model := runHoldDownModel(t, mutant, flappers, steady, changeLeaders)
 			changes = max(changes, n)
 			if steady > 0 && !model.candidates[flappers].holds {
 				steadyHeld = false
@@ -193,12 +193,12 @@
 func TestHoldDownModel(t *testing.T) {
 	for _, tc := range []struct {
 		flappers, steady int
-		leaders          bool
+		changeLeaders    bool
 		maxChanges       uint64 // changes of the holder in two minutes
 	}{
 		{2, 0, false, 80}, {3, 0, false, 80}, {2, 1, false, 12}, {1, 0, false, 400}, {2, 0, true, 400}, {2, 1, true, 400},
 	} {
-		violation, changes, held := runHoldDownExamples(15, noHoldDownMutant, tc.flappers, tc.steady, tc.leaders)
+		violation, changes, held := runHoldDownExamples(15, noHoldDownMutant, tc.flappers, tc.steady, tc.changeLeaders)
 		if violation != "" || changes > tc.maxChanges || !held {
 			t.Errorf("%+v: %d changes, held by the steady one: %v; %s", tc, changes, held, violation)
 		}
@@ -209,11 +209,11 @@
 // The model detects each broken rule.
 func TestHoldDownModelDetectsMutants(t *testing.T) {
 	for name, tc := range map[string]struct {
-		broken           holdDownMutant
+		mutant           holdDownMutant
 		flappers, steady int
 	}{"counts": {neverCountsShort, 2, 0}, "only one": {holdsDownAlone, 1, 0}, "end": {holdsDownForever, 3, 0}} {
 		t.Run(name, func(t *testing.T) {
-			if violation, _, _ := runHoldDownExamples(15, tc.broken, tc.flappers, tc.steady, false); violation == "" {
+			if violation, _, _ := runHoldDownExamples(15, tc.mutant, tc.flappers, tc.steady, false); violation == "" {
 				t.Error("no violation with 15 seeds")
 			}
 		})
--- a/internal/registry/outage_test.go
+++ b/internal/registry/outage_test.go
@@ -41,8 +41,8 @@
 		t.Fatal(err)
 	}
 	if report.ViolationCount > 0 || report.CutShort || report.ServedShare < 0.97 {
-		for _, broken := range report.Violations {
-			t.Errorf("rule %s: %s\n  %s", broken.Rule, broken.Detail, strings.Join(broken.History, "\n  "))
+		for _, violation := range report.Violations {
+			t.Errorf("rule %s: %s\n  %s", violation.Rule, violation.Detail, strings.Join(violation.History, "\n  "))
 		}
 		t.Errorf("%d requests, %.4f served in time, %d rules broken\n%s", report.Requests, report.ServedShare, report.ViolationCount, live.LogTail(dir))
 	}
--- a/internal/registry/registration_tracker.go
+++ b/internal/registry/registration_tracker.go
@@ -18,8 +18,8 @@
 	// minMassExpiry is the smallest number of missing instances that counts as a mass expiry, whatever their share: in
 	// a small fleet a single instance is a large share.
 	minMassExpiry = 3
-	// lateFraction is the fraction of a lease after which an instance without a renewal counts as missing. Instances
-	// renew three times per lease, so by then two renewals were missed.
+	// lateFraction is the fraction of a lease after which an instance without a renewal is late and counts as missing.
+	// Instances renew three times per lease, so by then two renewals were missed.
 	lateFraction = 0.7
 )
 
@@ -137,8 +137,8 @@
 	return expire, nil
 }
 
-// isMassExpiryLocked reports whether too many registrations are missing: the late ones, which are still tracked, and
-// those that have expired recently. The caller holds the lock.
+// isMassExpiryLocked reports whether too many registrations are missing. Missing are the late ones, which are still
+// tracked, and those that have expired recently. The caller holds the lock.
 func (t *registrationTracker) isMassExpiryLocked(late int) bool {
 	total := len(t.registrations) + len(t.recentExpiries)
 	missing := late + len(t.recentExpiries)
