--- a/internal/registry/holddown_test.go
+++ b/internal/registry/holddown_test.go
@@ -10,18 +10,18 @@
 	"milldeck/internal/leaderelection/leasetable"
 )
 
-// holdDownMutant is a rule that a mutant of the model breaks.
+// holdDownMutant is a rule that the model breaks deliberately, to show that the model detects the violation.
 type holdDownMutant int
 
 const (
 	noHoldDownMutant holdDownMutant = iota
 	neverCountsShort                // no tenure counts as short
-	holdsDownAlone                  // a candidate without competitors waits, too
+	holdsDownAlone                  // a candidate without competitors is held down, too
 	holdsDownForever                // a hold-down never ends
 )
 
-// holdDownModel simulates the candidates of one lease on a virtual clock, in steps of 50 ms. A flapping candidate releases
-// the lease or fails before three lease durations have passed; a steady one holds it for good.
+// holdDownModel simulates the candidates of one lease on a virtual clock, in steps of 50 ms. A flapping candidate
+// releases the lease or fails before three lease durations have passed; a steady candidate keeps the lease.
 type holdDownModel struct {
 	t           *rapid.T
 	mutant      holdDownMutant
@@ -38,13 +38,13 @@
 type holdDownCandidate struct {
 	name          string
 	flaps         bool
-	silentUntil   time.Duration // it sends nothing until then
+	silentUntil   time.Duration // the candidate sends nothing until then
 	heldFrom      time.Duration
 	holds         bool
 	failsAt       time.Duration
 	tenureEndedAt time.Duration // when its last tenure ended
 	shortTenures  int           // in a row, as the model counts them
-	refusedSince  time.Duration // since when it has been held down; 0: it is not
+	heldDownSince time.Duration // since when the candidate has been held down; 0: it is not held down
 	tenures       int
 	lastCampaign  time.Duration
 }
@@ -83,17 +83,17 @@
 	m.apply(op)
 }
 
-// campaign has a candidate campaign, and checks whether it is rightly admitted or held down.
+// campaign makes a candidate campaign, and checks whether the tracker admits it or holds it down as the rules require.
 func (m *holdDownModel) campaign(candidate *holdDownCandidate) {
 	candidate.lastCampaign = m.now
 	others := 0
 	current := m.current()
 	for _, other := range m.candidates {
-		if other != candidate && (current.Holder == other.name || len(current.Queue) > 0 || other.refusedSince > 0 && m.now-other.lastCampaign < modelTTL) {
+		if other != candidate && (current.Holder == other.name || len(current.Queue) > 0 || other.heldDownSince > 0 && m.now-other.lastCampaign < modelTTL) {
 			others++
 		}
 	}
-	// A new leader starts all hold-downs again, so that only their bounds are known.
+	// A new leader restarts all hold-downs, so that the model knows only the bounds of their ends.
 	duration := holdDownDuration(modelTTL, min(candidate.shortTenures, leasetable.MaxShortTenureCount))
 	heldDown := candidate.shortTenures > allowedShortTenures && candidate.tenureEndedAt >= m.leaderSince &&
 		m.now < candidate.tenureEndedAt+duration
@@ -106,14 +106,14 @@
 		m.violation = fmt.Sprintf("at %v %s is admitted after %d short tenures, the last until %v", m.now, candidate.name, candidate.shortTenures, candidate.tenureEndedAt)
 	case !admitted && others == 0:
 		m.violation = fmt.Sprintf("at %v %s is held down though it is the only candidate", m.now, candidate.name)
-	case !admitted && candidate.refusedSince > 0 && m.now > max(candidate.refusedSince, m.leaderSince)+maxHoldDown:
-		m.violation = fmt.Sprintf("at %v %s has been held down since %v", m.now, candidate.name, candidate.refusedSince)
+	case !admitted && candidate.heldDownSince > 0 && m.now > max(candidate.heldDownSince, m.leaderSince)+maxHoldDown:
+		m.violation = fmt.Sprintf("at %v %s has been held down since %v", m.now, candidate.name, candidate.heldDownSince)
 	}
 	if admitted {
-		candidate.refusedSince = 0
+		candidate.heldDownSince = 0
 		m.apply(leasetable.Operation{Kind: leasetable.Campaign, Name: "d", Candidate: candidate.name, TTLMS: modelTTL.Milliseconds()})
-	} else if candidate.refusedSince == 0 {
-		candidate.refusedSince = m.now
+	} else if candidate.heldDownSince == 0 {
+		candidate.heldDownSince = m.now
 	}
 }
 
@@ -146,9 +146,9 @@
 	}
 }
 
-// runHoldDownModel simulates two minutes, with changes of the leader if leaders is set. Changes is how often the holder
-// changed.
-func runHoldDownModel(t *rapid.T, mutant holdDownMutant, flappers, steady int, leaders bool) (violation string, changes uint64, model *holdDownModel) {
+// runHoldDownModel simulates two minutes. The leader changes at times if changeLeaders is set. Changes is the number of
+// changes of the holder.
+func runHoldDownModel(t *rapid.T, mutant holdDownMutant, flappers, steady int, changeLeaders bool) (violation string, changes uint64, model *holdDownModel) {
 	model = &holdDownModel{t: t, mutant: mutant, state: NewStateMachine(), leader: newLeaseTracker(), leaderSince: -time.Hour}
 	for index := range flappers + steady {
 		model.candidates = append(model.candidates, &holdDownCandidate{name: fmt.Sprint("c", index), flaps: index < flappers, lastCampaign: -modelTTL})
@@ -160,7 +160,7 @@
 		for _, op := range model.leader.findExpired(model.clock()) {
 			model.endTenure(op)
 		}
-		if leaders && rapid.IntRange(0, 99).Draw(t, "another leader") == 0 {
+		if changeLeaders && rapid.IntRange(0, 99).Draw(t, "another leader") == 0 {
 			model.leader, model.leaderSince = newLeaseTracker(), model.now
 			model.leader.reset(model.clock(), model.state)
 		}
@@ -170,11 +170,11 @@
 
 // runHoldDownExamples runs the simulation with a number of seeds, the same in each test, until the first violation.
 // Changes is the largest count, and steadyHeld whether the steady candidate held the lease at the end of each.
-func runHoldDownExamples(seeds int, mutant holdDownMutant, flappers, steady int, leaders bool) (violation string, changes uint64, steadyHeld bool) {
+func runHoldDownExamples(seeds int, mutant holdDownMutant, flappers, steady int, changeLeaders bool) (violation string, changes uint64, steadyHeld bool) {
 	steadyHeld = true
 	for seed := range seeds {
 		violation = rapid.Custom(func(t *rapid.T) string {
-			found, n, model := runHoldDownModel(t, mutant, flappers, steady, leaders)
+			found, n, model := runHoldDownModel(t, mutant, flappers, steady, changeLeaders)
 			changes = max(changes, n)
 			if steady > 0 && !model.candidates[flappers].holds {
 				steadyHeld = false
@@ -188,17 +188,17 @@
 	return "", changes, steadyHeld
 }
 
-// Flapping candidates rarely take the lease from each other, a steady one soon holds it, one without competitors is never
-// held down, and no hold-down is endless.
+// Flapping candidates rarely take the lease from each other. A steady candidate soon holds it, a candidate without
+// competitors is never held down, and every hold-down ends.
 func TestHoldDownModel(t *testing.T) {
 	for _, tc := range []struct {
 		flappers, steady int
-		leaders          bool
+		changeLeaders    bool
 		maxChanges       uint64 // changes of the holder in two minutes
 	}{
 		{2, 0, false, 80}, {3, 0, false, 80}, {2, 1, false, 12}, {1, 0, false, 400}, {2, 0, true, 400}, {2, 1, true, 400},
 	} {
-		violation, changes, held := runHoldDownExamples(15, noHoldDownMutant, tc.flappers, tc.steady, tc.leaders)
+		violation, changes, held := runHoldDownExamples(15, noHoldDownMutant, tc.flappers, tc.steady, tc.changeLeaders)
 		if violation != "" || changes > tc.maxChanges || !held {
 			t.Errorf("%+v: %d changes, held by the steady one: %v; %s", tc, changes, held, violation)
 		}
@@ -209,11 +209,11 @@
 // The model detects each broken rule.
 func TestHoldDownModelDetectsMutants(t *testing.T) {
 	for name, tc := range map[string]struct {
-		broken           holdDownMutant
+		mutant           holdDownMutant
 		flappers, steady int
 	}{"counts": {neverCountsShort, 2, 0}, "only one": {holdsDownAlone, 1, 0}, "end": {holdsDownForever, 3, 0}} {
 		t.Run(name, func(t *testing.T) {
-			if violation, _, _ := runHoldDownExamples(15, tc.broken, tc.flappers, tc.steady, false); violation == "" {
+			if violation, _, _ := runHoldDownExamples(15, tc.mutant, tc.flappers, tc.steady, false); violation == "" {
 				t.Error("no violation with 15 seeds")
 			}
 		})
--- a/internal/registry/sidecars_test.go
+++ b/internal/registry/sidecars_test.go
@@ -8,12 +8,12 @@
 	"milldeck/internal/registry"
 )
 
-// Sidecars have leases of their own. One that misses its heartbeats is lost; the condition of many at once is unknown,
-// and no permit is granted until they renew again.
+// Sidecars have leases of their own. A sidecar that misses its heartbeats counts as lost. If many miss theirs at once,
+// their condition is unknown, and no permit is granted until they renew again.
 func TestSidecarLeases(t *testing.T) {
 	env := startEnv(t, 1, false, "")
 	env.registerFleet(8, 3)
-	appliedIndex := func() uint64 { return env.status(env.leader()).AppliedIndex }
+	appliedIndex := func() uint64 { return env.status(env.awaitLeader()).AppliedIndex }
 	list := func(names ...string) (sidecars []registry.Sidecar) {
 		for ordinal, name := range names {
 			sidecars = append(sidecars, registry.Sidecar{Name: name, Zone: "1", Ready: true, ListRevision: uint64(ordinal)})
