--- a/internal/hotkey/bench_test.go
+++ b/internal/hotkey/bench_test.go
@@ -15,12 +15,12 @@
 	const seeds = 200
 	for range b.N {
 		var active, relieved []float64
-		work := 0.0
+		maxBudgetUse := 0.0
 		for seed := range uint64(seeds) {
-			cluster, c, r := playOnset(b, manySidecars, 1000+seed, testConfig(), 20)
+			cluster, c, r := simulateOnset(b, manySidecars, 1000+seed, testConfig(), 20)
 			cluster.checkInvariants("onset")
 			active, relieved = append(active, c), append(relieved, r)
-			work = max(work, cluster.warmupWork/(cluster.warmupBudget()*(cluster.now+1)))
+			maxBudgetUse = max(maxBudgetUse, cluster.warmupWork/(cluster.warmupBudget()*(cluster.now+1)))
 		}
 		slices.Sort(active)
 		slices.Sort(relieved)
@@ -28,7 +28,7 @@
 			b.ReportMetric(active[seeds*q/100], fmt.Sprintf("s-to-carry-p%d", q))
 			b.ReportMetric(relieved[seeds*q/100], fmt.Sprintf("s-to-relief-p%d", q))
 		}
-		b.ReportMetric(work, "cold-work-of-budget")
+		b.ReportMetric(maxBudgetUse, "cold-work-of-budget")
 		detected := 0
 		for seed := range uint64(seeds) {
 			if isDetected(b, manySidecars, seed, 1.4+3*float64(seed)/seeds) {
@@ -37,15 +37,15 @@
 		}
 		b.ReportMetric(float64(detected)/seeds, "found")
 		falsePositives := 0
-		for _, name := range slices.Sorted(maps.Keys(quietScenarios)) {
+		for _, name := range slices.Sorted(maps.Keys(noHotKeyScenarios)) {
 			for seed := range uint64(seeds / 2) {
-				if !staysQuiet(b, manySidecars, name, seed, nil) {
+				if !replicatesNoKey(b, manySidecars, name, seed, nil) {
 					b.Logf("false spread: %s, seed %d", name, seed)
 					falsePositives++
 				}
 			}
 		}
-		b.ReportMetric(float64(falsePositives)/float64(len(quietScenarios)*seeds/2), "false-spreads")
+		b.ReportMetric(float64(falsePositives)/float64(len(noHotKeyScenarios)*seeds/2), "false-spreads")
 	}
 }
 
@@ -55,7 +55,7 @@
 	planner := newPlanner(DefaultConfig(testServerCapacity, testRequestWork))
 	var servers []Server
 	for i := range 2000 {
-		servers = append(servers, Server{UID: fmt.Sprint("server-", i), Zone: fmt.Sprint(i % 3), Pod: i / 8, Capacity: 1, Ready: true})
+		servers = append(servers, Server{UID: fmt.Sprint("server-", i), Zone: fmt.Sprint(i % 3), PodGroup: i / 8, Capacity: 1, Ready: true})
 	}
 	planner.SetServers(servers)
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/internal/hotkey/cluster_model_test.go
+++ b/internal/hotkey/cluster_model_test.go
@@ -79,7 +79,7 @@
 		m.sidecars = append(m.sidecars, &sidecarModel{name: fmt.Sprint("sidecar-", i), sketch: newSketch(config), nextReport: m.rng.Float64()})
 	}
 	for i := range serverCount {
-		m.servers = append(m.servers, Server{UID: fmt.Sprint("server-", i), Zone: fmt.Sprint("z", i%3), Pod: i / 4, Capacity: 1, Ready: true})
+		m.servers = append(m.servers, Server{UID: fmt.Sprint("server-", i), Zone: fmt.Sprint("z", i%3), PodGroup: i / 4, Capacity: 1, Ready: true})
 	}
 	m.startPlanner()
 	return m
@@ -216,14 +216,14 @@
 				maps.DeleteFunc(directives, func(_ uint64, d publishedDirective) bool { return d.ID == change.RemoveID })
 			})
 		} else {
-			m.set(change.Set)
+			m.publishDirective(change.Set)
 		}
 		m.planner.Confirm(change.DirectiveID(), m.revision)
 	}
 }
 
 // set checks a directive and publishes it.
-func (m *clusterModel) set(directive *placement.Directive) {
+func (m *clusterModel) publishDirective(directive *placement.Directive) {
 	if err := directive.Validate(); err != nil {
 		m.t.Errorf("%.2f s: %v", m.now, err)
 	}
--- a/internal/hotkey/controller.go
+++ b/internal/hotkey/controller.go
@@ -86,12 +86,12 @@
 		logger:      slog.With("component", "hotkey"),
 		reportTimes: map[string]time.Duration{},
 	}
-	first, err := c.fetchSnapshot(ctx, true)
+	initial, err := c.fetchSnapshot(ctx, true)
 	if err != nil {
 		return err
 	}
-	t.started, t.epoch = time.Now(), first.placement.Epoch
-	if err := c.restorePlanner(t.now(), first); err != nil {
+	t.started, t.epoch = time.Now(), initial.placement.Epoch
+	if err := c.restorePlanner(t.now(), initial); err != nil {
 		return err
 	}
 	defer c.clearPlanner()
--- a/internal/hotkey/controller_test.go
+++ b/internal/hotkey/controller_test.go
@@ -23,7 +23,7 @@
 type registryStub struct {
 	mu             sync.Mutex
 	list           registry.EndpointList
-	entries        map[string]placement.Directive
+	directives     map[string]placement.Directive
 	revision       uint64
 	token          uint64 // of the lease's holder
 	unavailable    bool   // every write fails
@@ -35,14 +35,14 @@
 func (s *registryStub) PlacementView(context.Context, bool) (placement.Update, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := placement.Update{Revision: s.revision, Complete: true}
-	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
-		l.Directives = append(l.Directives, s.entries[id])
+	update := placement.Update{Revision: s.revision, Complete: true}
+	for _, id := range slices.Sorted(maps.Keys(s.directives)) {
+		update.Directives = append(update.Directives, s.directives[id])
 	}
-	return l, nil
+	return update, nil
 }
 
-func (s *registryStub) SetPlacement(_ context.Context, write registry.WriteOptions, atMS int64, set []placement.Directive, removals ...string) (registry.Result, error) {
+func (s *registryStub) SetPlacement(_ context.Context, write registry.WriteOptions, atMS int64, directives []placement.Directive, removedIDs ...string) (registry.Result, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -55,15 +55,15 @@
 		return registry.Result{}, fmt.Errorf("at %d", atMS)
 	}
 	s.revision++
-	for _, e := range set {
-		if err := e.Validate(); err != nil {
+	for _, directive := range directives {
+		if err := directive.Validate(); err != nil {
 			return registry.Result{}, err
 		}
-		e.Revision = s.revision
-		s.entries[e.ID] = e
+		directive.Revision = s.revision
+		s.directives[directive.ID] = directive
 	}
-	for _, id := range removals {
-		delete(s.entries, id)
+	for _, id := range removedIDs {
+		delete(s.directives, id)
 	}
 	return registry.Result{Outcome: registry.OutcomeDone, Revision: s.revision}, nil
 }
@@ -72,7 +72,7 @@
 func (s *registryStub) activeServers() (uids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, replica := range s.entries[DirectiveID(hotKey)].Copies {
+	for _, replica := range s.directives[DirectiveID(hotKey)].Copies {
 		if replica.LoadFraction > 0 {
 			uids = append(uids, replica.ServerUID)
 		}
@@ -96,20 +96,20 @@
 // One controller takes over from the other, on synctest's clock.
 func TestControllerFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &registryStub{entries: map[string]placement.Directive{}, token: 7, unavailable: true}
+		store := &registryStub{directives: map[string]placement.Directive{}, token: 7, unavailable: true}
 		for i := range 60 {
 			store.list.Targets = append(store.list.Targets, registry.Target{UID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%3), PodGroup: i / 4,
 				State: registry.InstanceReady, Capacity: 1})
 		}
-		all, endAll := context.WithCancel(t.Context())
+		testCtx, cancelTest := context.WithCancel(t.Context())
 		reports := loadreport.New(loadreport.Options{})
 		var background sync.WaitGroup
 		defer background.Wait()
-		defer endAll()
+		defer cancelTest()
 		for i := range 30 { // sidecars whose load is 900 ms/s each, 300 of it the hot key's
 			background.Go(func() {
 				time.Sleep(time.Duration(i) * time.Second / 30)
-				for ; all.Err() == nil; time.Sleep(time.Second) {
+				for ; testCtx.Err() == nil; time.Sleep(time.Second) {
 					store.mu.Lock()
 					revision := store.revision
 					store.mu.Unlock()
@@ -119,7 +119,7 @@
 			})
 		}
 		runController := func(controller *Controller, token uint64) (end func() error) {
-			ctx, stop := context.WithCancelCause(all)
+			ctx, stop := context.WithCancelCause(testCtx)
 			ended := make(chan error, 1)
 			background.Go(func() { ended <- controller.Run(ctx, &leaderelection.Lease{Name: LeaseName, Token: token}) })
 			return func() error { stop(leaderelection.ErrLeaseLost); return <-ended }
@@ -191,7 +191,7 @@
 		now, revision, startedReplicas := float64(startTime), uint64(0), map[string]bool{}
 		var servers []Server
 		for i := range rapid.IntRange(0, 40).Draw(t, "servers") {
-			servers = append(servers, Server{UID: fmt.Sprint("s", i), Zone: fmt.Sprint(i % 3), Pod: i / 2, Capacity: 1, Ready: true})
+			servers = append(servers, Server{UID: fmt.Sprint("s", i), Zone: fmt.Sprint(i % 3), PodGroup: i / 2, Capacity: 1, Ready: true})
 		}
 		planner.SetServers(servers)
 		published := map[string]placement.Directive{}
--- a/internal/hotkey/demand.go
+++ b/internal/hotkey/demand.go
@@ -44,12 +44,12 @@
 // updateDemand computes the capacity that a key requires. The lower bound rises fast and the key shares its servers, so
 // the requirement exceeds what there is only where that is too little by the lower bound.
 func (p *Planner) updateDemand(k *replicatedKey) {
-	k.lower = p.scaleUpLoad(k.key)
-	k.maxHeadroom, k.minHeadroom = p.headroom(k.lower)
+	k.loadLowerBound = p.scaleUpLoad(k.key)
+	k.maxHeadroom, k.minHeadroom = p.headroom(k.loadLowerBound)
 	capacity := k.plannedCapacity(&p.fleet, &p.config)
 	k.requiredCapacity = k.capacityAtDrain
-	if k.minHeadroom >= p.config.MinHeadroom && k.lower > capacity*k.maxHeadroom {
-		required := math.Min(scaleUpMargin*k.lower/k.maxHeadroom, p.fleet.totalCapacity)
+	if k.minHeadroom >= p.config.MinHeadroom && k.loadLowerBound > capacity*k.maxHeadroom {
+		required := math.Min(scaleUpMargin*k.loadLowerBound/k.maxHeadroom, p.fleet.totalCapacity)
 		k.requiredCapacity = math.Max(k.requiredCapacity, required)
 	}
 }
--- a/internal/hotkey/detection_test.go
+++ b/internal/hotkey/detection_test.go
@@ -8,18 +8,18 @@
 	"milldeck/internal/placement"
 )
 
-// quietScenarios are those in which no key may be replicated.
-var quietScenarios = map[string]func(cluster *clusterModel){
+// noHotKeyScenarios are those in which no key may be replicated.
+var noHotKeyScenarios = map[string]func(cluster *clusterModel){
 	"calm": func(*clusterModel) {},
 	"zipf": func(cluster *clusterModel) { // the first key has 2.5% of the load
-		var upTo []float64
+		var cumulativeWeights []float64
 		sum := 0.0
 		for k := range 5000 {
 			sum += math.Pow(float64(k+1), -0.7)
-			upTo = append(upTo, sum)
+			cumulativeWeights = append(cumulativeWeights, sum)
 		}
 		cluster.drawKey = func() uint64 {
-			k, _ := slices.BinarySearch(upTo, cluster.rng.Float64()*sum)
+			k, _ := slices.BinarySearch(cumulativeWeights, cluster.rng.Float64()*sum)
 			return uint64(k + 1)
 		}
 	},
@@ -64,23 +64,23 @@
 	},
 }
 
-// staysQuiet reports whether no key was replicated in a scenario.
-func staysQuiet(t testing.TB, sidecarCount int, scenario string, seed uint64, plantBug func(*Planner)) bool {
+// replicatesNoKey reports whether no key was replicated in a scenario.
+func replicatesNoKey(t testing.TB, sidecarCount int, scenario string, seed uint64, plantBug func(*Planner)) bool {
 	cluster := newClusterModel(t, sidecarCount, seed, testConfig())
 	cluster.plantBug = plantBug
 	cluster.startPlanner()
-	quietScenarios[scenario](cluster)
+	noHotKeyScenarios[scenario](cluster)
 	cluster.run(8, func() bool { return len(cluster.timesReplicated) > 0 })
 	return len(cluster.timesReplicated) == 0
 }
 
 func TestNoReplicationWithoutHotKey(t *testing.T) {
 	t.Parallel()
-	for name := range quietScenarios {
+	for name := range noHotKeyScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
-				if !staysQuiet(t, fewSidecars, name, seed, nil) {
+				if !replicatesNoKey(t, fewSidecars, name, seed, nil) {
 					t.Errorf("seed %d: a key was replicated", seed)
 				}
 			}
--- a/internal/hotkey/fixtures_test.go
+++ b/internal/hotkey/fixtures_test.go
@@ -42,14 +42,14 @@
 func fixtureFleet() []Server {
 	var servers []Server
 	for i := range fixtureServers {
-		servers = append(servers, Server{UID: fmt.Sprint("server-", i), Zone: fmt.Sprint("z", i%3), Pod: i / 2, Capacity: 1, Ready: true})
+		servers = append(servers, Server{UID: fmt.Sprint("server-", i), Zone: fmt.Sprint("z", i%3), PodGroup: i / 2, Capacity: 1, Ready: true})
 	}
 	return servers
 }
 
-// playFixture plays a key that is hot for 9 s of 20 s, with one server drained at 5 s. It returns all changes of the
-// placement, and the planner as it is after stop steps of 250 ms.
-func playFixture(t *testing.T, stop int) ([]fixtureChange, *Planner) {
+// runFixture plays a key that is hot for 9 s of 20 s, with one server drained at 5 s. It returns all changes of the
+// placement, and the planner as it is after the given number of steps of 250 ms.
+func runFixture(t *testing.T, steps int) ([]fixtureChange, *Planner) {
 	t.Helper()
 	planner, err := NewPlanner(DefaultConfig(1000, 50))
 	if err != nil {
@@ -59,7 +59,7 @@
 	planner.SetExpectedSidecars(fixtureSidecars)
 	var changes []fixtureChange
 	revision, drained := uint64(0), ""
-	for step := range stop {
+	for step := range steps {
 		now := fixtureStart + float64(step)/4
 		if step%4 == 0 {
 			for i := range fixtureSidecars {
@@ -95,7 +95,7 @@
 
 // The directives that a planner writes into the placement keep their bytes.
 func TestFixturePlacementChanges(t *testing.T) {
-	changes, planner := playFixture(t, 80)
+	changes, planner := runFixture(t, 80)
 	goldentest.Compare(t, "placement-changes.jsonl", jsonLines(t, changes))
 	if len(planner.keys) != 0 || changes[len(changes)-1].RemoveID != DirectiveID(fixtureKey) {
 		t.Errorf("%d keys are replicated, want none", len(planner.keys))
@@ -104,16 +104,16 @@
 
 // The status over HTTP keeps its bytes, also that of a planner that was restored from the golden file's directives.
 func TestFixtureStatusOverHTTP(t *testing.T) {
-	_, planner := playFixture(t, 18)
+	_, planner := runFixture(t, 18)
 	goldentest.Compare(t, "table.json", call(t, &Controller{planner: planner}, http.MethodGet, "/spread", http.StatusOK))
 
 	var last fixtureChange
 	for line := range bytes.Lines(goldentest.Read(t, "placement-changes.jsonl")) {
 		var change fixtureChange
 		goldentest.DecodeStrictly(t, line, &change)
-		again, err := json.Marshal(change)
-		if err != nil || !bytes.Equal(again, bytes.TrimSpace(line)) {
-			t.Errorf("read %s, %v, from %s", again, err, line)
+		reencoded, err := json.Marshal(change)
+		if err != nil || !bytes.Equal(reencoded, bytes.TrimSpace(line)) {
+			t.Errorf("read %s, %v, from %s", reencoded, err, line)
 		}
 		if change.AtMS <= fixtureStart*1000+4250 && change.Set != nil {
 			last = change
@@ -139,7 +139,7 @@
 
 // The other answers over HTTP keep their bytes.
 func TestFixtureHTTPAnswers(t *testing.T) {
-	_, planner := playFixture(t, 18)
+	_, planner := runFixture(t, 18)
 	controller := &Controller{Config: DefaultConfig(1000, 50)}
 	if err := controller.restorePlanner(fixtureStart, &snapshot{servers: fixtureFleet()}); err != nil {
 		t.Fatal(err)
--- a/internal/hotkey/fleet_view.go
+++ b/internal/hotkey/fleet_view.go
@@ -11,9 +11,9 @@
 
 // Server is a server as the Planner has to know it.
 type Server struct {
-	UID  string
-	Zone string
-	Pod  int // pod group: servers of one pod group are likely to fail together
+	UID      string
+	Zone     string
+	PodGroup int // pod group: servers of one pod group are likely to fail together
 
 	Capacity         float64 // relative; counts as 1 where it isn't above 0
 	ObservedCapacity float64 // ms of work a second; 0: Config.ServerCapacity times Capacity
@@ -40,8 +40,8 @@
 }
 
 const (
-	// maxCachedPositions bounds the servers in all cached orders: 4 MB.
-	maxCachedPositions = 1 << 20
+	// maxCachedOrderEntries bounds the servers in all cached orders: 4 MB.
+	maxCachedOrderEntries = 1 << 20
 	// A key has minHomeServers home servers, or one of serversPerHomeServer ready ones where these are more.
 	minHomeServers       = 2
 	serversPerHomeServer = 15
@@ -123,7 +123,7 @@
 	if order, ok := f.orderCache[key]; ok {
 		return order
 	}
-	if (len(f.orderCache)+1)*len(f.servers) > maxCachedPositions {
+	if (len(f.orderCache)+1)*len(f.servers) > maxCachedOrderEntries {
 		clear(f.orderCache)
 	}
 	scores := make([]float64, len(f.servers))
--- a/internal/hotkey/load_aggregator.go
+++ b/internal/hotkey/load_aggregator.go
@@ -104,7 +104,7 @@
 	totalLimit := agg.outlierLimit(fresh)
 	for _, r := range fresh {
 		if r.totalLoad <= totalLimit {
-			agg.sumUp(r, now)
+			agg.addToSums(r, now)
 		}
 	}
 	if agg.freshCount > 0 {
@@ -150,9 +150,9 @@
 	return math.Max(outlierFactor*totals[len(totals)/2], outlierMinRequests*agg.requestWork)
 }
 
-// sumUp adds one report to the sums. Its lower bounds hold until the next report is due, and then decay as the sidecar's
+// addToSums adds one report to the sums. Its lower bounds hold until the next report is due, and then decay as the sidecar's
 // own average does, so that they stay lower bounds of it.
-func (agg *loadAggregator) sumUp(r *sidecarReport, now float64) {
+func (agg *loadAggregator) addToSums(r *sidecarReport, now float64) {
 	agg.freshCount++
 	agg.observedTotal += r.totalLoad
 	// A sidecar that is new may have begun to count just now, and its average is still to rise. The upper bound of the
--- a/internal/hotkey/planner_test.go
+++ b/internal/hotkey/planner_test.go
@@ -14,9 +14,9 @@
 // fleet at half load.
 const detectionThreshold = 20 * (0.8 - 0.5) / (1 - 20.0/serverCount) / (0.5 * serverCount)
 
-// playOnset plays one key that suddenly takes 30% of all load. It returns the time in s to its first active replicas, and
+// simulateOnset plays one key that suddenly takes 30% of all load. It returns the time in s to its first active replicas, and
 // to when its home servers are no longer overloaded; or the seconds played.
-func playOnset(t testing.TB, sidecarCount int, seed uint64, config Config, seconds float64) (cluster *clusterModel, active, relieved float64) {
+func simulateOnset(t testing.TB, sidecarCount int, seed uint64, config Config, seconds float64) (cluster *clusterModel, active, relieved float64) {
 	cluster = newClusterModel(t, sidecarCount, seed, config)
 	cluster.run(3+cluster.rng.Float64(), nil)
 	cluster.hotShares[hotKey] = 0.3
@@ -40,7 +40,7 @@
 func TestReplicasActiveSoonAfterOnset(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		cluster, elapsed, _ := playOnset(t, manySidecars, seed, testConfig(), 3)
+		cluster, elapsed, _ := simulateOnset(t, manySidecars, seed, testConfig(), 3)
 		if elapsed > 2 {
 			t.Errorf("seed %d: %.2f s", seed, elapsed)
 		}
@@ -98,7 +98,7 @@
 
 func TestPlannerFailsDuringWarmup(t *testing.T) {
 	t.Parallel()
-	cluster, _, _ := playOnset(t, fewSidecars, 1, testConfig(), 1.3)
+	cluster, _, _ := simulateOnset(t, fewSidecars, 1, testConfig(), 1.3)
 	if cluster.planner.keys[hotKey] == nil || cluster.planner.keys[hotKey].countIn(Warming) == 0 {
 		t.Fatal("no replica is warming up")
 	}
@@ -231,7 +231,7 @@
 
 func TestZoneLossAndExcludedServers(t *testing.T) {
 	t.Parallel()
-	cluster, _, _ := playOnset(t, fewSidecars, 1, testConfig(), 8)
+	cluster, _, _ := simulateOnset(t, fewSidecars, 1, testConfig(), 8)
 	zones := map[string]int{}
 	for _, c := range cluster.published[hotKey].Copies {
 		zones[cluster.servers[cluster.serverIndex(c.ServerUID)].Zone]++
@@ -275,7 +275,7 @@
 				return p.loads.upperBound(key, true)
 			}
 		}
-		if staysQuiet(t, fewSidecars, "lukewarm", 0, plantBug) && staysQuiet(t, fewSidecars, "invalid reports", 0, plantBug) {
+		if replicatesNoKey(t, fewSidecars, "lukewarm", 0, plantBug) && replicatesNoKey(t, fewSidecars, "invalid reports", 0, plantBug) {
 			t.Error("not found")
 		}
 	})
@@ -304,7 +304,7 @@
 	})
 	t.Run("budget for each key", func(t *testing.T) {
 		t.Parallel()
-		playHotKeys := func(config Config) *clusterModel {
+		simulateHotKeys := func(config Config) *clusterModel {
 			cluster := newClusterModel(t, fewSidecars, 1, config)
 			cluster.config.WarmupBudget = 0.005
 			for k := range uint64(4) {
@@ -315,9 +315,9 @@
 		}
 		config := testConfig()
 		config.WarmupBudget, config.MinWarmupBudget = 0.005, 0
-		playHotKeys(config).checkInvariants("one budget")
+		simulateHotKeys(config).checkInvariants("one budget")
 		config.WarmupBudget = 4 * 0.005
-		if cluster := playHotKeys(config); !cluster.budgetExceeded {
+		if cluster := simulateHotKeys(config); !cluster.budgetExceeded {
 			t.Errorf("not found: %v ms of work in %v s", cluster.plannedWarmupWork, cluster.now)
 		}
 	})
--- a/internal/hotkey/process_test.go
+++ b/internal/hotkey/process_test.go
@@ -216,7 +216,7 @@
 		cluster.noError(err)
 	}
 	cluster.waitUntil("active replicas in place of those lost", func() bool {
-		share, now := cluster.replicatedShare(1)
-		return share > 0.5 && !slices.ContainsFunc(servers[:4], func(uid string) bool { return slices.Contains(now, uid) })
+		share, currentServers := cluster.replicatedShare(1)
+		return share > 0.5 && !slices.ContainsFunc(servers[:4], func(uid string) bool { return slices.Contains(currentServers, uid) })
 	})
 }
--- a/internal/hotkey/replica.go
+++ b/internal/hotkey/replica.go
@@ -65,9 +65,9 @@
 	return false
 }
 
-// credit returns the responses that a replica has given by what sidecars show. Each sidecar counts at most as its equal
+// estimateResponses returns the responses that a replica has given by what sidecars show. Each sidecar counts at most as its equal
 // part among requiredReporters, so that none makes a replica warm by itself.
-func (r *replica) credit(observed []observation, requiredReporters int) float64 {
+func (r *replica) estimateResponses(observed []observation, requiredReporters int) float64 {
 	total, largest := 0.0, 0.0
 	for _, seen := range observed {
 		requests := seen.requests * r.loadShare
--- a/internal/hotkey/replicated_key.go
+++ b/internal/hotkey/replicated_key.go
@@ -9,14 +9,14 @@
 )
 
 // shareDigits is the precision of published shares: they are rounded to a multiple of its inverse.
-const shareDigits = 1e5
+const shareScale = 1e5
 
 // replicatedKey is a key that has replicas, or is to get some.
 type replicatedKey struct {
 	key      uint64
 	replicas []*replica
 
-	lower            float64 // lower bound of its load at the last plan, ms of work a second
+	loadLowerBound   float64 // lower bound of its load at the last plan, ms of work a second
 	requiredCapacity float64 // that home servers and replicas together are to have, ms of work a second
 	capacityAtDrain  float64 // that it had when the drain of one of its servers began; 0: none drains
 	maxHeadroom      float64 // upper bound of the fraction of a server's capacity that it may fill
@@ -92,7 +92,7 @@
 		if fleet.servers[fleet.index[r.serverUID]].Overloaded || r.revision == 0 {
 			continue
 		}
-		r.responses += r.credit(k.observed, requiredReporters)
+		r.responses += r.estimateResponses(k.observed, requiredReporters)
 	}
 	k.observed = k.observed[:0]
 }
@@ -189,7 +189,7 @@
 	for i, r := range k.replicas {
 		share := 0.0
 		if total > 0 {
-			share = math.Round(activeShare*weights[i]/total*shareDigits) / shareDigits
+			share = math.Round(activeShare*weights[i]/total*shareScale) / shareScale
 		}
 		directive.Copies = append(directive.Copies, placement.KeyCopy{ServerUID: r.serverUID, LoadFraction: share})
 	}
--- a/internal/hotkey/scale_down.go
+++ b/internal/hotkey/scale_down.go
@@ -83,7 +83,7 @@
 	if float64(p.replicaCount()) < p.replicaLimit() {
 		return false
 	}
-	return k.lower < reclaimThreshold*p.scaleDownHeadroom(k)*k.homeCapacity(&p.fleet)
+	return k.loadLowerBound < reclaimThreshold*p.scaleDownHeadroom(k)*k.homeCapacity(&p.fleet)
 }
 
 // replicaLimit is how many replicas of all keys there may be, and how many may be started a second.
--- a/internal/hotkey/scale_up.go
+++ b/internal/hotkey/scale_up.go
@@ -88,8 +88,8 @@
 	case len(k.replicas) >= maxLoadReplicas:
 		return 0
 	}
-	excess := k.lower - k.maxHeadroom*c.capacity
-	replicaLoad := k.lower * p.config.ServerCapacity / (c.capacity + p.config.ServerCapacity)
+	excess := k.loadLowerBound - k.maxHeadroom*c.capacity
+	replicaLoad := k.loadLowerBound * p.config.ServerCapacity / (c.capacity + p.config.ServerCapacity)
 	return math.Min(excess, replicaLoad)
 }
 
@@ -103,7 +103,7 @@
 		if !used[i] {
 			used[i] = true
 			zoneReplicas[p.fleet.servers[i].Zone]++
-			podReplicas[p.fleet.servers[i].Pod]++
+			podReplicas[p.fleet.servers[i].PodGroup]++
 		}
 	}
 	p.fleet.forEachHomeServer(k.key, markUsed)
@@ -112,13 +112,13 @@
 	}
 	zoneLimit := len(used)/p.fleet.zoneCount + 1
 	fallback := -1
-	for _, position := range p.fleet.preferenceOrder(k.key) {
-		i := int(position)
+	for _, serverIndex := range p.fleet.preferenceOrder(k.key) {
+		i := int(serverIndex)
 		if used[i] || !p.fleet.canAddReplica(i) {
 			continue
 		}
 		server := &p.fleet.servers[i]
-		if zoneReplicas[server.Zone] < zoneLimit && podReplicas[server.Pod] == 0 {
+		if zoneReplicas[server.Zone] < zoneLimit && podReplicas[server.PodGroup] == 0 {
 			return i, true
 		}
 		if fallback < 0 || zoneReplicas[server.Zone] < zoneReplicas[p.fleet.servers[fallback].Zone] {
--- a/internal/hotkey/simulated_fleet_test.go
+++ b/internal/hotkey/simulated_fleet_test.go
@@ -124,17 +124,17 @@
 	text, _, _ := strings.Cut(string(data), "[[phase]]")
 	text = strings.NewReplacer("duration_s = 60", "duration_s = 12", "count = 300", fmt.Sprint("count = ", sidecars),
 		"key_skew = 0.7", fmt.Sprint("key_skew = ", skew)).Replace(text)
-	f, err := lab.Parse("hot", fmt.Appendf([]byte(text), "[[phase]]\nrate = %d\n", rate))
+	experiment, err := lab.Parse("hot", fmt.Appendf([]byte(text), "[[phase]]\nrate = %d\n", rate))
 	if err != nil {
 		b.Fatal(err)
 	}
-	return f
+	return experiment
 }
 
 // BenchmarkFleet plays the module in a simulated fleet of 200 servers without replicated keys and with them, and reports
 // the weighted share of requests served: go test -run xxx -bench Fleet -benchtime 1x ./internal/hotkey
 func BenchmarkFleet(b *testing.B) {
-	for _, day := range []struct {
+	for _, scenario := range []struct {
 		name           string
 		sidecars, rate int
 		skew           float64
@@ -142,14 +142,14 @@
 		{"calm", 300, 3000, 0.7}, {"hot-few", 300, 4000, 1.6}, {"hot-many", 1200, 3000, 1.6}, {"hot-many-full", 1200, 4500, 1.3},
 		{"hottest-many-full", 1200, 4500, 1.6},
 	} {
-		b.Run(day.name, func(b *testing.B) {
+		b.Run(scenario.name, func(b *testing.B) {
 			const seeds = 3
 			var without, with float64
 			for range b.N {
 				for seed := range uint64(seeds) {
-					p := fleetExperiment(b, day.sidecars, day.rate, day.skew).NewPlan(seed + 1)
-					without += playFleet(b, p, sim.Options{Workers: 2}) / seeds
-					with += playFleet(b, p, sim.Options{Workers: 1, InstanceFactory: newSimulatedController(b, p).newSidecar}) / seeds
+					p := fleetExperiment(b, scenario.sidecars, scenario.rate, scenario.skew).NewPlan(seed + 1)
+					without += simulateFleet(b, p, sim.Options{Workers: 2}) / seeds
+					with += simulateFleet(b, p, sim.Options{Workers: 1, InstanceFactory: newSimulatedController(b, p).newSidecar}) / seeds
 				}
 			}
 			b.ReportMetric(without/float64(b.N), "worth-without")
@@ -158,7 +158,7 @@
 	}
 }
 
-func playFleet(b *testing.B, p *lab.Plan, o sim.Options) float64 {
+func simulateFleet(b *testing.B, p *lab.Plan, o sim.Options) float64 {
 	r, _, err := sim.Run(b.Context(), p, o)
 	if err != nil {
 		b.Fatal(err)
@@ -177,7 +177,7 @@
 	var servers []hotkey.Server
 	for i := range p.Servers {
 		s := &p.Servers[i]
-		servers = append(servers, hotkey.Server{UID: s.UID, Zone: fmt.Sprint(s.Zone), Pod: s.Cell, Capacity: 1, Ready: true})
+		servers = append(servers, hotkey.Server{UID: s.UID, Zone: fmt.Sprint(s.Zone), PodGroup: s.Cell, Capacity: 1, Ready: true})
 	}
 	planner.SetServers(servers)
 	planner.SetExpectedSidecars(len(p.Sidecars))
--- a/internal/hotkey/snapshot.go
+++ b/internal/hotkey/snapshot.go
@@ -85,7 +85,7 @@
 		servers = append(servers, Server{
 			UID:       target.UID,
 			Zone:      target.Zone,
-			Pod:       target.PodGroup,
+			PodGroup:  target.PodGroup,
 			Capacity:  target.Capacity,
 			BootMS:    target.BootMS,
 			Ready:     target.State == registry.InstanceReady,
--- a/internal/hotkey/status.go
+++ b/internal/hotkey/status.go
@@ -26,7 +26,7 @@
 		published := k.published
 		statuses = append(statuses, KeyStatus{
 			Key:        FormatKey(k.key),
-			LowerBound: k.lower,
+			LowerBound: k.loadLowerBound,
 			UpperBound: min(p.loads.upperBound(k.key, true), math.MaxFloat64),
 			Warming:    k.countIn(Warming),
 			Active:     k.countIn(Active),
--- a/internal/lab/controlplane/hotkey_controller.go
+++ b/internal/lab/controlplane/hotkey_controller.go
@@ -63,7 +63,7 @@
 		servers = append(servers, hotkey.Server{
 			UID:       member.name,
 			Zone:      member.Zone,
-			Pod:       member.PodGroup,
+			PodGroup:  member.PodGroup,
 			Capacity:  1,
 			BootMS:    float64(member.bootMS),
 			Excluded:  excluded[member.name],
--- a/internal/lab/sim/hotkey.go
+++ b/internal/lab/sim/hotkey.go
@@ -176,7 +176,7 @@
 			ready++
 		}
 		servers = append(servers, hotkey.Server{
-			UID: server.plan.UID, Zone: strconv.Itoa(server.plan.Zone), Pod: server.plan.Cell, Capacity: 1,
+			UID: server.plan.UID, Zone: strconv.Itoa(server.plan.Zone), PodGroup: server.plan.Cell, Capacity: 1,
 			BootMS: epochSeconds*1000 + server.startedAt, Ready: server.listed,
 			WarmingUp: server.startedAt > 0 && now < server.startedAt+slowStartMS,
 		})
