--- a/internal/hotkey/bench_test.go
+++ b/internal/hotkey/bench_test.go
@@ -10,7 +10,9 @@
 	"milldeck/internal/placement"
 )
 
-// BenchmarkFigures measures the figures of docs/hot-keys.md over many seeds: go test -run xxx -bench Figures -benchtime 1x ./internal/hotkey
+// BenchmarkFigures measures the figures of docs/hot-keys.md over many seeds:
+//
+//	go test -run xxx -bench Figures -benchtime 1x ./internal/hotkey
 func BenchmarkFigures(b *testing.B) {
 	const seeds = 200
 	for range b.N {
@@ -40,7 +42,7 @@
 		for _, name := range slices.Sorted(maps.Keys(noHotKeyScenarios)) {
 			for seed := range uint64(seeds / 2) {
 				if !replicatesNoKey(b, manySidecars, name, seed, nil) {
-					b.Logf("false spread: %s, seed %d", name, seed)
+					b.Logf("a key was replicated without a hot key: %s, seed %d", name, seed)
 					falsePositives++
 				}
 			}
@@ -49,8 +51,8 @@
 	}
 }
 
-// BenchmarkPlan is one plan with reports of 32 keys from each of 300 sidecars, and 8 keys replicated over 2,000 servers;
-// a tenth of the reports is new each time.
+// BenchmarkPlan measures one plan with reports of 32 keys from each of 300 sidecars, and 8 keys replicated over 2,000
+// servers. A tenth of the reports is new in each plan.
 func BenchmarkPlan(b *testing.B) {
 	planner := newPlanner(DefaultConfig(testServerCapacity, testRequestWork))
 	var servers []Server
--- a/internal/hotkey/changes.go
+++ b/internal/hotkey/changes.go
@@ -8,16 +8,16 @@
 	"milldeck/internal/placement"
 )
 
-// shareTolerance is the relative difference of a share up to which a published directive stays as it is.
+// shareTolerance is the relative change of a share up to which a directive is not written again.
 const shareTolerance = 0.1
 
-// Change is one change of the placement: a directive to be set or, where Set is nil, the id of one to be removed.
+// Change is a change of the placement: a directive to set or, if Set is nil, the ID of a directive to remove.
 type Change struct {
 	Set      *placement.Directive
 	RemoveID string
 }
 
-// DirectiveID is the id of the directive that the change is about.
+// DirectiveID returns the ID of the directive that is set or removed.
 func (c *Change) DirectiveID() string {
 	if c.Set != nil {
 		return c.Set.ID
@@ -25,8 +25,8 @@
 	return c.RemoveID
 }
 
-// changes returns the directives that differ from what is published, aren't confirmed or expire soon, and those to be
-// removed. It forgets keys without replicas.
+// changes returns the directives to write: those that differ from the published ones, are not confirmed or expire soon. It
+// also returns the directives to remove, and drops keys without replicas.
 func (p *Planner) changes(now float64) []Change {
 	var changes []Change
 	for _, k := range p.sortedKeys() {
@@ -51,7 +51,7 @@
 	return changes
 }
 
-// needsWrite reports whether a key's directive is to be written again.
+// needsWrite reports whether a key's directive must be written.
 func (p *Planner) needsWrite(k *replicatedKey, directive *placement.Directive, now float64) bool {
 	return k.published.ID != directive.ID ||
 		k.unconfirmed ||
@@ -59,8 +59,8 @@
 		k.publishedUntil-now <= p.config.DirectiveTTL/2
 }
 
-// sharesDiffer reports whether replicas differ enough to be worth a write: other servers, or a share by more than
-// shareTolerance.
+// sharesDiffer reports whether two lists of replicas differ enough for a write: in their servers, in whether a replica has a
+// share, or in a share by more than shareTolerance.
 func sharesDiffer(a, b []placement.KeyCopy) bool {
 	return !slices.EqualFunc(a, b, func(x, y placement.KeyCopy) bool {
 		larger := math.Max(x.LoadFraction, y.LoadFraction)
@@ -70,8 +70,8 @@
 	})
 }
 
-// Confirm says that the change about a directive's id, of the last plan, is in force from a revision of the placement
-// on.
+// Confirm records that the last planned change of the directive with this ID is in force from the given revision of the
+// placement on.
 func (p *Planner) Confirm(id string, revision uint64) {
 	delete(p.pendingRemovals, id)
 	for _, k := range p.keys {
--- a/internal/hotkey/cluster_model_test.go
+++ b/internal/hotkey/cluster_model_test.go
@@ -15,15 +15,15 @@
 
 const (
 	tickSeconds        = 0.05
-	testServerCapacity = 1000 // ms of work a second
+	testServerCapacity = 1000 // ms of work per second
 	testRequestWork    = 50   // ms
-	manySidecars       = 300  // of the benchmarks
-	fewSidecars        = 75   // of the tests, with the same load of the fleet
+	manySidecars       = 300  // for benchmarks and the onset test
+	fewSidecars        = 75   // for tests, with the same total load
 	serverCount        = 300
 	startTime          = 1e9 // Unix time of the virtual clock in s
 )
 
-// clusterModel is a fleet of sidecars that get Poisson traffic, a placement and a planner, on a virtual clock.
+// clusterModel simulates a fleet of sidecars with Poisson traffic, the placement and a planner on a virtual clock.
 type clusterModel struct {
 	t        testing.TB
 	rng      *rand.Rand
@@ -33,42 +33,41 @@
 	sidecars []*sidecarModel
 	servers  []Server
 
-	requestRate    float64                       // of the fleet, requests a second
-	drawKey        func() uint64                 // draws the key of a request that isn't for a hot one
+	requestRate    float64                       // of the fleet, requests per second
+	drawKey        func() uint64                 // draws the key of a request that is not for a hot key
 	hotShares      map[uint64]float64            // fractions of all requests, by key
 	hotKeys        []uint64                      // the keys of hotShares, sorted
 	lostReports    float64                       // fraction of the reports that are lost
-	corruptReport  func(r *placement.LoadReport) // changes the first sidecar's reports; nil: they are right
-	plantBug       func(*Planner)                // plants a bug in each new planner; nil: none
-	corruptPlanner func(*Planner)                // plants a bug before each plan; nil: none
+	corruptReport  func(r *placement.LoadReport) // corrupts the first sidecar's reports; nil: they are correct
+	plantBug       func(*Planner)                // plants a bug in each new planner; may be nil
+	corruptPlanner func(*Planner)                // plants a bug before each plan; may be nil
 	plannerDown    bool
 	planInterval   float64                       // s
 	revision       uint64                        // of the placement
 	published      map[uint64]publishedDirective // in force
 
 	replicasStarted   int
-	prematureShares   int            // replicas that got a share before half of the responses that they need
-	warmupWork        float64        // ms of extra work that replicas really had
+	prematureShares   int            // replicas that got a share with less than half of the required responses
+	warmupWork        float64        // ms of extra work that replicas actually did
 	plannedWarmupWork float64        // ms of extra work that was planned
-	budgetExceeded    bool           // by one of the two, at any time
-	timesReplicated   map[uint64]int // by key, how often it got its first replicas
+	budgetExceeded    bool           // by one of the two above, at any time
+	timesReplicated   map[uint64]int // by key, how often a key without replicas got some
 }
 
-// publishedDirective is a directive with the expected responses of its replicas since they were published.
+// publishedDirective is a directive with the expected number of responses of each replica since its publication.
 type publishedDirective struct {
 	placement.Directive
 	warmupShare float64 // fraction of the load that a replica without a share gets
 	responses   []*float64
 }
 
-// sidecarModel is one sidecar.
 type sidecarModel struct {
 	name         string
 	sketch       *topk.Sketch
 	nextReport   float64 // time in s
-	revision     uint64  // of the placement that it follows
+	revision     uint64  // of the placement that the sidecar follows
 	published    map[uint64]publishedDirective
-	placementDue float64 // time in s at which it gets the placement as it is now
+	placementDue float64 // time in s at which the sidecar receives the current placement
 }
 
 func newClusterModel(t testing.TB, sidecarCount int, seed uint64, config Config) *clusterModel {
@@ -89,7 +88,7 @@
 
 // startPlanner starts a new planner, which restores its state from the placement.
 func (m *clusterModel) startPlanner() {
-	m.planner = newPlanner(m.config) // planted settings need not be valid
+	m.planner = newPlanner(m.config) // without validation, because planted settings may be invalid
 	if m.plantBug != nil {
 		m.plantBug(m.planner)
 	}
@@ -103,7 +102,7 @@
 	m.plannerDown = false
 }
 
-// run plays for some seconds, or until stop returns true, and returns how long it took.
+// run simulates some seconds, or less if stop returns true, and returns the simulated time in s.
 func (m *clusterModel) run(seconds float64, stop func() bool) float64 {
 	began := m.now
 	for m.now < began+seconds-tickSeconds/2 {
@@ -115,7 +114,7 @@
 	return m.now - began
 }
 
-// step plays one tick.
+// step simulates one tick.
 func (m *clusterModel) step() {
 	previous := m.now
 	m.now += tickSeconds
@@ -153,8 +152,8 @@
 	return n
 }
 
-// request draws a sidecar's request. Replicas get their fractions of it: the expected values, so that no assertion is a
-// matter of chance.
+// request draws a sidecar's request. Each replica's responses increase by its fraction of the request, the expected value,
+// so that assertions do not depend on random routing.
 func (m *clusterModel) request(sidecar *sidecarModel) {
 	key, choice := m.drawKey(), m.rng.Float64()
 	for _, hotKey := range m.hotKeys {
@@ -193,19 +192,19 @@
 	}
 }
 
-// publish changes the placement. Each sidecar gets it a little later.
+// publish changes the placement. Each sidecar receives the change after a short delay.
 func (m *clusterModel) publish(mutate func(map[uint64]publishedDirective)) {
 	m.published = maps.Clone(m.published)
 	mutate(m.published)
 	m.revision++
 	for _, sidecar := range m.sidecars {
 		if math.IsInf(sidecar.placementDue, 1) || sidecar.placementDue == 0 {
-			sidecar.placementDue = m.now + 0.02 + 0.1*m.rng.Float64() // through log, watch and agent
+			sidecar.placementDue = m.now + 0.02 + 0.1*m.rng.Float64() // delay of log, watch and agent
 		}
 	}
 }
 
-// plan has the planner plan, and publishes its changes.
+// plan runs the planner and publishes its changes.
 func (m *clusterModel) plan() {
 	if m.corruptPlanner != nil {
 		m.corruptPlanner(m.planner)
@@ -222,7 +221,7 @@
 	}
 }
 
-// set checks a directive and publishes it.
+// publishDirective checks a directive and publishes it.
 func (m *clusterModel) publishDirective(directive *placement.Directive) {
 	if err := directive.Validate(); err != nil {
 		m.t.Errorf("%.2f s: %v", m.now, err)
@@ -248,16 +247,16 @@
 			totalShare += next.warmupShare
 		}
 		if server := &m.servers[m.serverIndex(replica.ServerUID)]; !server.Ready || server.Excluded {
-			m.t.Errorf("%.2f s: %s has a replica", m.now, replica.ServerUID)
+			m.t.Errorf("%.2f s: replica on %s, which is not ready or is excluded", m.now, replica.ServerUID)
 		}
 	}
 	if totalShare > 1.001 {
-		m.t.Errorf("%.2f s: shares of %v in all", m.now, totalShare)
+		m.t.Errorf("%.2f s: shares add up to %v", m.now, totalShare)
 	}
 	m.publish(func(directives map[uint64]publishedDirective) { directives[key] = next })
 }
 
-// responsesOf is the counter of a replica's responses: the previous directive's, or a new one.
+// responsesOf returns the counter of a replica's responses: that of the previous directive, or a new one.
 func (m *clusterModel) responsesOf(previous *publishedDirective, uid string) *float64 {
 	i := slices.IndexFunc(previous.Copies, func(other placement.KeyCopy) bool { return other.ServerUID == uid })
 	if i >= 0 {
@@ -272,7 +271,8 @@
 	return slices.IndexFunc(m.servers, func(s Server) bool { return s.UID == uid })
 }
 
-// replicatedShare is the fraction of a key's load that replicas take by the placement in force, and their number.
+// replicatedShare returns the fraction of a key's load that replicas take under the placement in force, and the number of
+// active replicas.
 func (m *clusterModel) replicatedShare(key uint64) (share float64, active int) {
 	for _, replica := range m.published[key].Copies {
 		share += replica.LoadFraction
@@ -283,11 +283,11 @@
 	return share, active
 }
 
-// checkInvariants fails the test where a replica got a share too early, or the budget was exceeded.
+// checkInvariants fails the test if a replica got a share too early or the budget was exceeded.
 func (m *clusterModel) checkInvariants(scenario string) {
 	m.t.Helper()
 	if m.prematureShares > 0 || m.budgetExceeded {
-		m.t.Errorf("%s: %d of %d replicas got a share too early; budget exceeded: %v (%.0f ms planned, %.0f ms real in %.1f s)",
+		m.t.Errorf("%s: %d of %d replicas got a share too early; budget exceeded: %v (%.0f ms planned, %.0f ms actual in %.1f s)",
 			scenario, m.prematureShares, m.replicasStarted, m.budgetExceeded, m.plannedWarmupWork, m.warmupWork, m.now)
 	}
 }
--- a/internal/hotkey/config.go
+++ b/internal/hotkey/config.go
@@ -6,97 +6,98 @@
 	"milldeck/internal/validation"
 )
 
-// Config says what servers can do and how far the Planner goes. Loads and capacities are in ms of work a second.
+// Config holds the capacity of servers and the limits of the Planner. Loads and capacities are in ms of work per second.
 type Config struct {
-	// ServerCapacity is the capacity of a server whose relative capacity is 1 and whose own isn't known.
+	// ServerCapacity is the capacity of a server whose relative capacity is 1 and whose observed capacity is unknown.
 	ServerCapacity float64
-	// RequestWork is the work of a usual request in ms. It sets how much noise a measured load may have, and turns loads
-	// into numbers of requests.
+	// RequestWork is the work of a typical request in ms. The expected noise of a measured load is computed from it, and
+	// it converts loads to numbers of requests.
 	RequestWork float64
 	// HalfLife is the half-life of the sidecars' load averages in s.
 	HalfLife float64
-	// TargetUtilization is the fraction of a server's capacity, 0 to 1, up to which hot keys may load it, all other load
-	// included.
+	// TargetUtilization is the fraction of a server's capacity, 0 to 1, that hot keys and all other load together may use.
 	TargetUtilization float64
-	// MinHeadroom, 0 to TargetUtilization, is the fraction of the fleet's capacity that has to be free: with less,
-	// warming up replicas makes an overload worse.
+	// MinHeadroom, 0 to TargetUtilization, is the fraction of capacity that must be free in the fleet for a scale-up: with
+	// less, warming up replicas makes an overload worse.
 	MinHeadroom float64
 
 	// WarmupShare is the fraction of a key's load, 0 to 1, that sidecars send to each replica that is warming up.
 	WarmupShare float64
-	// MaxWarmupShare bounds what all replicas of a key that are warming up get together; they get equal parts of it.
+	// MaxWarmupShare limits the total fraction of a key's load that its replicas in warm-up get. When the limit applies,
+	// each of these replicas gets an equal part of it.
 	MaxWarmupShare float64
-	// MaxWarming is how many replicas of a key warm up at a time; as many as are active may, where that is more.
+	// MaxWarming limits how many replicas of a key warm up at a time. The limit is the number of the key's active replicas
+	// where that is larger.
 	MaxWarming int
 	// WarmResponses is the number of responses after which a replica becomes active.
 	WarmResponses float64
-	// FullShareResponses, at least WarmResponses, is the number of responses after which it takes its full share.
+	// FullShareResponses, at least WarmResponses, is the number of responses after which a replica takes its full share.
 	FullShareResponses float64
 	// WarmupWork is the extra work of warming up one replica in ms.
 	WarmupWork float64
-	// WarmupBudget is the fraction of the fleet's capacity that warming up replicas of all keys may take. As much as
-	// accrues in a second may be saved up.
+	// WarmupBudget is the fraction of the fleet's capacity that may be spent on warming up replicas, of all keys together.
+	// The unused budget of at most one second accumulates.
 	WarmupBudget float64
-	// MinWarmupBudget is what warming up may take in any case, in ms of work a second.
+	// MinWarmupBudget is the smallest budget for warming up replicas, in ms of work per second.
 	MinWarmupBudget float64
 	// WarmupTimeout is the time in s after which a replica that is still warming up is removed.
 	WarmupTimeout float64
 
-	// MaxKeys is how many keys are replicated at a time.
+	// MaxKeys limits how many keys are replicated at a time.
 	MaxKeys int
-	// ReplicasPerServer is how many replicas of all keys there may be for each ready server, and how many may be started
-	// a second.
+	// ReplicasPerServer, times the number of ready servers, limits the replicas of all keys. The same limit applies to the
+	// replicas that are started per second.
 	ReplicasPerServer float64
 	// ScaleDownUtilization is the fraction of the target utilization that the remaining servers may reach when replicas
-	// are removed. It is far enough under what scales up that noise doesn't alternate the two.
+	// are removed. It is far enough below the scale-up threshold that noise does not scale a key up and down in turn.
 	ScaleDownUtilization float64
-	// ScaleDownStabilization is the time in s after a scale-up in which a key isn't scaled down.
+	// ScaleDownStabilization is the time in s after a scale-up in which a key is not scaled down.
 	ScaleDownStabilization float64
 	// ScaleDownInterval is the time in s between two steps of scaling a key down.
 	ScaleDownInterval float64
-	// RetirePeriod is the time in s in which the share of a replica that is to be removed falls to 0.
+	// RetirePeriod is the time in s over which the share of a retiring replica falls to 0.
 	RetirePeriod float64
 
 	// DirectiveTTL is the time in s for which a directive is valid; it is renewed when half of it has passed.
 	DirectiveTTL float64
 }
 
-// DefaultConfig returns the settings for servers of a capacity in ms of work a second, and requests of usually
+// DefaultConfig returns the settings for servers of the given capacity in ms of work per second and requests of typically
 // requestWork ms.
 func DefaultConfig(serverCapacity, requestWork float64) Config {
-	const warmupWork = 3 // requests: a few that miss the cache, as they arrive together, each about twice its work
+	const warmupWork = 3 // in requests: a few arrive together and miss the cache, each at about twice its usual work
 	return Config{
 		ServerCapacity:    serverCapacity,
 		RequestWork:       requestWork,
-		HalfLife:          0.7, // the onset of a hot key has to show within a second
-		TargetUtilization: 0.8, // above it queues grow faster than the utilization is worth
-		MinHeadroom:       0.1, // with less than that, noise alone fills a server
+		HalfLife:          0.7, // a new hot key must show in the averages within a second
+		TargetUtilization: 0.8, // above it, the growth of queues outweighs the gain in utilization
+		MinHeadroom:       0.1, // with less, noise alone fills a server
 
-		// A hot key's home servers are overloaded within 2 s, and what they cannot do may as well warm up replicas: with
-		// 0.02 and 0.2 these are active 0.6 s later in experiments/hot-key-sim.toml.
+		// A hot key overloads its home servers within 2 s, so requests that they cannot serve anyway can warm up replicas.
+		// With 0.02 and 0.2, replicas become active 0.6 s later in experiments/hot-key-sim.toml.
 		WarmupShare:        0.05,
 		MaxWarmupShare:     0.5,
 		MaxWarming:         15,
-		WarmResponses:      2, // the first response alone warms up; the others show that the server is well
+		WarmResponses:      2, // the first fills the cache; the others show that the server is healthy
 		FullShareResponses: 4,
 		WarmupWork:         warmupWork * requestWork,
 		WarmupBudget:       0.03,
-		MinWarmupBudget:    10 * warmupWork * requestWork, // ten replicas a second in the smallest fleet
-		WarmupTimeout:      20,                            // WarmResponses at WarmupShare of 15 requests a second
+		MinWarmupBudget:    10 * warmupWork * requestWork, // ten replicas per second in the smallest fleet
+		WarmupTimeout:      20,                            // WarmResponses at WarmupShare of 15 requests per second
 
-		MaxKeys:                32, // more aren't a few hot keys but a heavy tail
+		MaxKeys:                32, // more keys are a heavy-tailed distribution, not a few hot keys
 		ReplicasPerServer:      1,
 		ScaleDownUtilization:   0.6,
-		ScaleDownStabilization: 5, // a key whose load returns within seconds finds its replicas warm
+		ScaleDownStabilization: 5, // replicas are still warm when a key's load returns within seconds
 		ScaleDownInterval:      2,
 		RetirePeriod:           1,
 
-		DirectiveTTL: 12, // several elections and attempts
+		DirectiveTTL: 12, // long enough for several elections and write attempts
 	}
 }
 
-// Validate returns a wrapped *validation.Error for a setting that is out of its range. The names are those of flags and
-// experiment files where these have the setting.
+// Validate returns a wrapped *validation.Error for the first setting that is out of its range. The error names the setting
+// as flags and experiment files do, if they have it.
 func (c *Config) Validate() error {
 	for _, setting := range []struct {
 		name                string
--- a/internal/hotkey/controller.go
+++ b/internal/hotkey/controller.go
@@ -21,18 +21,18 @@
 const LeaseName = "spread"
 
 const (
-	planInterval     = 150 * time.Millisecond // replicas are active 0.2 s sooner than with 250 ms, at 3% of a core
-	writeTimeout     = 2 * time.Second        // of one write: about as long as an election takes
+	planInterval     = 150 * time.Millisecond // replicas become active 0.2 s sooner than with 250 ms; uses 3% of a core
+	writeTimeout     = 2 * time.Second        // of one write; about the duration of an election
 	initialBackoff   = 250 * time.Millisecond
-	maxBackoff       = 4 * time.Second  // between writes that fail; directives are valid for Config.DirectiveTTL
-	drainRequestTTL  = 30 * time.Second // for which a server drains without another request
-	maxDrainRequests = 4096             // servers that drain at a time
+	maxBackoff       = 4 * time.Second  // between failed writes; directives are valid for Config.DirectiveTTL
+	drainRequestTTL  = 30 * time.Second // a drain ends if it is not requested again within this time
+	maxDrainRequests = 4096             // limit of servers that drain at a time
 )
 
-// ErrNotLeader says that this controller doesn't hold the lease at the moment. The text is part of the HTTP interface.
+// ErrNotLeader reports that this controller does not hold the lease. The text is part of the HTTP interface.
 var ErrNotLeader = errors.New("the duty " + LeaseName + " is not held here")
 
-// Store is what a Controller needs of the registry; registry.Client implements it.
+// Store contains the registry operations that a Controller uses; registry.Client implements it.
 type Store interface {
 	List(ctx context.Context, fresh bool) (registry.EndpointList, error)
 	PlacementView(ctx context.Context, fresh bool) (placement.Update, error)
@@ -46,21 +46,21 @@
 	Snapshot() ([]loadreport.ReceivedReport, time.Duration)
 }
 
-// Controller runs a Planner while it holds the lease. Its exported fields are set before Run; its methods are safe for
+// Controller runs a Planner while it holds the lease. The exported fields are set before Run; the methods are safe for
 // concurrent use.
 type Controller struct {
 	Store   Store
 	Reports ReportSource
 	Config  Config
-	// ServerWarmup is how long after its start a server counts as warming up, and gets no replica.
+	// ServerWarmup is the time after a server's start in which it counts as warming up and gets no new replica.
 	ServerWarmup time.Duration
 
-	mu            sync.Mutex           // guards what follows: other methods are called beside Run
-	planner       *Planner             // nil while the lease isn't held
-	drainRequests map[string]time.Time // by server uid, when its drain was requested last
+	mu            sync.Mutex           // guards the fields below: other methods run concurrently with Run
+	planner       *Planner             // nil while the lease is not held
+	drainRequests map[string]time.Time // time of the last drain request, by server UID
 }
 
-// tenure is one span in which a Controller holds the lease.
+// tenure is a period in which a Controller holds the lease.
 type tenure struct {
 	*Controller
 	lease   *leaderelection.Lease
@@ -68,15 +68,15 @@
 	started time.Time
 	epoch   uint64 // of the placement
 
-	reportTimes map[string]time.Duration // by sidecar, when its last report was received
+	reportTimes map[string]time.Duration // time at which the last report was received, by sidecar
 
-	backoff time.Duration // after the last write; 0: it succeeded
-	retryAt time.Time     // no write is attempted before
+	backoff time.Duration // after the last write; 0 if it succeeded
+	retryAt time.Time     // time before which no write is attempted
 }
 
-// Run plans and writes directives until ctx ends, and returns why it did; any other error says that the placement
-// couldn't be restored. It goes on from the directives in force and leaves them there: the next leader, or no one, finds
-// them until they expire. leaderelection.Run calls it while the lease is held.
+// Run plans and writes directives until ctx ends, and returns the cause of that; any other error reports that the planner
+// could not be restored. Run starts from the directives in force and does not remove directives when it ends: they stay
+// in force until a next leader takes them over or they expire. leaderelection.Run calls it while the lease is held.
 func (c *Controller) Run(ctx context.Context, lease *leaderelection.Lease) error {
 	c.Reports.SetAccepting(true)
 	defer c.Reports.SetAccepting(false)
@@ -104,8 +104,8 @@
 	return t.loop(ctx, snapshots)
 }
 
-// now is the Unix time in s: the wall clock's at the start of the tenure and the monotonic clock's since, so that a wall
-// clock that is set doesn't move the ends of directives.
+// now returns the Unix time in s: the wall clock at the start of the tenure plus the monotonic time since. A change of the
+// wall clock thus does not move the expiry of directives.
 func (t *tenure) now() float64 {
 	return float64(t.started.UnixMicro())/1e6 + time.Since(t.started).Seconds()
 }
@@ -128,8 +128,8 @@
 	}
 }
 
-// handleSnapshot gives the planner the servers. Where the placement has another epoch, its revisions mean something else,
-// and the planner is restored from it.
+// handleSnapshot passes the servers to the planner. When the epoch of the placement has changed, its revisions cannot be
+// compared with earlier ones, and the planner is restored from the snapshot first.
 func (t *tenure) handleSnapshot(current *snapshot) error {
 	if current.placement.Epoch != t.epoch {
 		t.epoch = current.placement.Epoch
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// planAndWrite plans, and writes what has changed unless the last write failed a moment ago.
+// planAndWrite plans and writes the changes. After a failed write, it writes nothing until the backoff has passed.
 func (t *tenure) planAndWrite(ctx context.Context) {
 	changes := t.plan()
 	if len(changes) == 0 || time.Now().Before(t.retryAt) {
@@ -159,7 +159,7 @@
 	t.logger.Warn("placement write failed", "changes", len(changes), "backoff", t.backoff, "error", err)
 }
 
-// plan gives the planner the new reports and returns what it plans.
+// plan passes the new reports to the planner and returns the changes that it plans.
 func (t *tenure) plan() []Change {
 	reports, collectedAt := t.Reports.Snapshot()
 	now := t.now()
@@ -175,7 +175,7 @@
 		}
 		t.reportTimes[r.Sidecar] = r.ReceivedAt
 		age := math.Max((collectedAt - r.ReceivedAt).Seconds(), 0)
-		t.planner.AddReport(now-age, &r.LoadReport) // an invalid one counts as lost
+		t.planner.AddReport(now-age, &r.LoadReport) // an invalid report counts as lost
 	}
 	for sidecar := range t.reportTimes {
 		if !present[sidecar] {
@@ -185,7 +185,7 @@
 	return t.planner.Plan(now)
 }
 
-// write writes changes under the lease's token, all or none, and confirms them.
+// write writes all changes or none under the lease's fencing token, and confirms them to the planner.
 func (t *tenure) write(ctx context.Context, changes []Change) error {
 	var directives []placement.Directive
 	var removals []string
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// restorePlanner replaces the planner by one that goes on from a snapshot.
+// restorePlanner replaces the planner by a new one whose state is restored from a snapshot.
 func (c *Controller) restorePlanner(now float64, current *snapshot) error {
 	planner, err := NewPlanner(c.Config)
 	if err != nil {
@@ -231,7 +231,7 @@
 	c.planner, c.drainRequests = nil, nil
 }
 
-// expireDrainRequests ends drains that weren't requested again. The caller holds mu.
+// expireDrainRequests cancels drains that were not requested again within drainRequestTTL. The caller holds mu.
 func (c *Controller) expireDrainRequests() {
 	for uid, requestedAt := range c.drainRequests {
 		if time.Since(requestedAt) > drainRequestTTL {
@@ -241,9 +241,9 @@
 	}
 }
 
-// Drain requests the drain of a server, and reports whether what it served of replicated keys is warm on other servers.
-// The caller repeats the request, at least every 10 s, until the server is stopped; without that the drain ends and the
-// server counts as one that stays. The error is ErrNotLeader where the lease isn't held.
+// Drain requests the drain of a server, and reports whether the replicated keys that the server served are warm on other
+// servers. The caller repeats the request at least every 10 s until the server is stopped; otherwise the drain is
+// cancelled and the server may get replicas again. The error is ErrNotLeader if the lease is not held.
 func (c *Controller) Drain(uid string) (drained bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -261,7 +261,7 @@
 	return c.planner.Drained(uid), nil
 }
 
-// Status returns the replicated keys, ordered by key, or ErrNotLeader.
+// Status returns the replicated keys, ordered by key. The error is ErrNotLeader if the lease is not held.
 func (c *Controller) Status() ([]KeyStatus, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/hotkey/controller_test.go
+++ b/internal/hotkey/controller_test.go
@@ -19,15 +19,15 @@
 	"milldeck/internal/registry"
 )
 
-// registryStub is a Store in memory.
+// registryStub is an in-memory Store.
 type registryStub struct {
 	mu             sync.Mutex
 	list           registry.EndpointList
 	directives     map[string]placement.Directive
 	revision       uint64
-	token          uint64 // of the lease's holder
-	unavailable    bool   // every write fails
-	rejectedWrites int    // under another token
+	token          uint64 // fencing token of the lease's holder
+	unavailable    bool   // if true, every write fails
+	rejectedWrites int    // number of writes under another token
 }
 
 func (s *registryStub) List(context.Context, bool) (registry.EndpointList, error) { return s.list, nil }
@@ -50,9 +50,9 @@
 		return registry.Result{}, errors.New("no leader")
 	case write.Guard == nil || write.Guard.Lease != LeaseName || write.Guard.Token != s.token:
 		s.rejectedWrites++
-		return registry.Result{}, errors.New("the token is stale")
+		return registry.Result{}, errors.New("the fencing token is stale")
 	case max(atMS-time.Now().UnixMilli(), time.Now().UnixMilli()-atMS) > 1000:
-		return registry.Result{}, fmt.Errorf("at %d", atMS)
+		return registry.Result{}, fmt.Errorf("the write time %d is more than 1 s off", atMS)
 	}
 	s.revision++
 	for _, directive := range directives {
@@ -80,20 +80,20 @@
 	return uids
 }
 
-// waitFor waits until done returns true, and returns how long that took.
+// waitFor waits until done returns true, and returns the time waited.
 func waitFor(t *testing.T, timeout time.Duration, what string, done func() bool) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for !done() {
 		if time.Since(began) > timeout {
-			t.Fatalf("not within %v: %s", timeout, what)
+			t.Fatalf("timed out after %v waiting for: %s", timeout, what)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// One controller takes over from the other, on synctest's clock.
+// A second controller takes over the lease while a stale holder still writes; active replicas and a drain survive that.
 func TestControllerFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &registryStub{directives: map[string]placement.Directive{}, token: 7, unavailable: true}
@@ -106,7 +106,7 @@
 		var background sync.WaitGroup
 		defer background.Wait()
 		defer cancelTest()
-		for i := range 30 { // sidecars whose load is 900 ms/s each, 300 of it the hot key's
+		for i := range 30 { // sidecars with 900 ms/s of load each, 300 of it from the hot key
 			background.Go(func() {
 				time.Sleep(time.Duration(i) * time.Second / 30)
 				for ; testCtx.Err() == nil; time.Sleep(time.Second) {
@@ -130,7 +130,7 @@
 
 		first := newController()
 		if _, err := first.Drain("s1"); !errors.Is(err, ErrNotLeader) {
-			t.Errorf("without the lease: %v", err)
+			t.Errorf("Drain without the lease: %v, want ErrNotLeader", err)
 		}
 		end := runController(first, 7)
 		time.Sleep(3 * time.Second)
@@ -139,7 +139,7 @@
 		store.mu.Unlock()
 		waitFor(t, 5*time.Second, "active replicas once writes succeed", func() bool { return len(store.activeServers()) > 3 })
 		if err := end(); !errors.Is(err, leaderelection.ErrLeaseLost) {
-			t.Errorf("ended by %v", err)
+			t.Errorf("Run returned %v, want ErrLeaseLost", err)
 		}
 
 		before := store.activeServers()
@@ -147,7 +147,8 @@
 		store.token = 9
 		store.mu.Unlock()
 		second := newController()
-		endStale, end := runController(newController(), 7), runController(second, 9) // the former still believes that it holds the lease
+		// The first of these controllers does not know that it has lost the lease.
+		endStale, end := runController(newController(), 7), runController(second, 9)
 		time.Sleep(3 * time.Second)
 		after := store.activeServers()
 		for _, uid := range before {
@@ -156,10 +157,10 @@
 			}
 		}
 		if err := endStale(); !errors.Is(err, leaderelection.ErrLeaseLost) {
-			t.Errorf("the stale holder ended by %v", err)
+			t.Errorf("Run of the stale holder returned %v, want ErrLeaseLost", err)
 		}
 		if store.rejectedWrites == 0 {
-			t.Error("the stale holder wrote nothing: the test shows nothing")
+			t.Error("the stale holder attempted no write, so its rejection was not tested")
 		}
 		uid := before[0]
 		duration := waitFor(t, 25*time.Second, uid+" is drained", func() bool {
@@ -171,18 +172,19 @@
 		})
 		active := store.activeServers()
 		if slices.Contains(active, uid) || len(active) < len(before) {
-			t.Errorf("after %v the servers with active replicas are %v, before %v", duration, active, before)
+			t.Errorf("servers with active replicas after a drain of %v: %v, before: %v", duration, active, before)
 		}
 		if statuses, err := second.Status(); err != nil || len(statuses) != 1 || statuses[0].Active < len(before) {
-			t.Errorf("%+v, %v", statuses, err)
+			t.Errorf("Status after the drain: %+v, %v", statuses, err)
 		}
 		if err := end(); !errors.Is(err, leaderelection.ErrLeaseLost) {
-			t.Errorf("ended by %v", err)
+			t.Errorf("Run returned %v, want ErrLeaseLost", err)
 		}
 	})
 }
 
-// Whatever happens in whatever order, directives are valid, on servers that may host replicas, and within the bounds.
+// For random sequences of events, directives are valid, place replicas only on servers that may host them, and stay within
+// the limits.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := DefaultConfig(100, 50)
@@ -235,13 +237,13 @@
 					sum := 0.0
 					for _, c := range change.Set.Copies {
 						if i := slices.IndexFunc(servers, func(s Server) bool { return s.UID == c.ServerUID }); i < 0 || !servers[i].Ready || servers[i].Excluded {
-							t.Fatalf("a replica on %s", c.ServerUID)
+							t.Fatalf("replica on %s, which is not ready, excluded or unknown", c.ServerUID)
 						}
 						sum += c.LoadFraction
 						startedReplicas[change.Set.ID+c.ServerUID] = true
 					}
 					if sum > 1.0001 || len(planner.keys) > 3 {
-						t.Fatalf("shares of %v, %d keys", sum, len(planner.keys))
+						t.Fatalf("shares add up to %v, %d keys are replicated", sum, len(planner.keys))
 					}
 					if !writeLost {
 						revision++
@@ -250,7 +252,7 @@
 					}
 				}
 				if budget := (now - startTime + 1) * max(config.MinWarmupBudget, config.WarmupBudget*4000); float64(len(startedReplicas))*config.WarmupWork > budget+1 {
-					t.Fatalf("%d replicas were started in %v s", len(startedReplicas), now-startTime)
+					t.Fatalf("%d replicas were started in %v s, above the budget", len(startedReplicas), now-startTime)
 				}
 			},
 		})
--- a/internal/hotkey/demand.go
+++ b/internal/hotkey/demand.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// scaleUpMargin is the factor of the required capacity that a key gets when it is scaled up, as loads vary.
+// scaleUpMargin multiplies the capacity that a key requires when it is scaled up, because loads vary.
 const scaleUpMargin = 1.15
 
-// headroom returns the fraction of a server's capacity that a key of a load may fill beside all other load: maxHeadroom by
-// what reports surely show, minHeadroom by what the load may be. A key is too hot for its servers by the former; other
-// servers have capacity to spare by the latter.
+// headroom returns the fraction of a server's capacity that a key with the given load may use beside all other load:
+// maxHeadroom is computed from the other load that reports show, minHeadroom from the largest possible other load. The
+// former decides whether a key is too hot for its servers, the latter whether other servers have capacity to spare.
 func (p *Planner) headroom(lower float64) (maxHeadroom, minHeadroom float64) {
 	if p.fleet.totalCapacity == 0 {
 		return 0, 0
@@ -19,9 +19,9 @@
 	return maxHeadroom, minHeadroom
 }
 
-// detectHotKeys begins to replicate keys whose lower bound exceeds what their home servers have headroom for.
+// detectHotKeys starts to replicate keys the lower bound of whose load exceeds the headroom of their home servers.
 func (p *Planner) detectHotKeys(now float64) {
-	for _, key := range p.loads.candidates { // the hottest first
+	for _, key := range p.loads.candidates { // hottest first
 		lower := p.scaleUpLoad(key)
 		maxHeadroom, minHeadroom := p.headroom(lower)
 		if p.keys[key] != nil {
@@ -31,7 +31,7 @@
 			return
 		}
 		if p.loads.sumOf(key).lower <= p.config.MinHeadroom*p.fleet.unitCapacity {
-			return // one server can serve it, and all keys after it
+			return // one server can serve this key, and each key after it
 		}
 		k := &replicatedKey{key: key}
 		if minHeadroom >= p.config.MinHeadroom && lower > k.homeCapacity(&p.fleet)*maxHeadroom {
@@ -41,8 +41,8 @@
 	}
 }
 
-// updateDemand computes the capacity that a key requires. The lower bound rises fast and the key shares its servers, so
-// the requirement exceeds what there is only where that is too little by the lower bound.
+// updateDemand computes the capacity that a key requires. It requires more than the planned capacity only if that is too
+// little for the lower bound of the load, because the lower bound rises fast and the key shares its servers.
 func (p *Planner) updateDemand(k *replicatedKey) {
 	k.loadLowerBound = p.scaleUpLoad(k.key)
 	k.maxHeadroom, k.minHeadroom = p.headroom(k.loadLowerBound)
--- a/internal/hotkey/detection_test.go
+++ b/internal/hotkey/detection_test.go
@@ -8,7 +8,7 @@
 	"milldeck/internal/placement"
 )
 
-// noHotKeyScenarios are those in which no key may be replicated.
+// noHotKeyScenarios are the scenarios in which no key may be replicated.
 var noHotKeyScenarios = map[string]func(cluster *clusterModel){
 	"calm": func(*clusterModel) {},
 	"zipf": func(cluster *clusterModel) { // the first key has 2.5% of the load
@@ -25,7 +25,7 @@
 	},
 	"scan": func(cluster *clusterModel) {
 		next := uint64(0)
-		cluster.drawKey = func() uint64 { next++; return next / 4 } // each a few times
+		cluster.drawKey = func() uint64 { next++; return next / 4 } // each key four times
 	},
 	"lukewarm": func(cluster *clusterModel) {
 		for k := range uint64(10) {
@@ -35,7 +35,7 @@
 	"full": func(cluster *clusterModel) {
 		cluster.requestRate, cluster.hotShares[1], cluster.hotShares[2] = 5700, 0.15, 0.1
 	},
-	"invalid reports": func(cluster *clusterModel) { // of one sidecar
+	"invalid reports": func(cluster *clusterModel) { // from one sidecar
 		n := uint64(0)
 		cluster.corruptReport = func(r *placement.LoadReport) {
 			n++
@@ -43,15 +43,15 @@
 				return
 			}
 			switch n % 6 {
-			case 0: // with all else valid
+			case 0: // everything else is valid
 				r.HotKeys[0].Load = math.NaN()
 			case 1:
 				r.HotKeys[0].Load, r.HotKeys[0].ErrorBound = -1e9, -2e9
-			case 2: // more than the total
+			case 2: // a load above the total
 				r.HotKeys[0].Load, r.HotKeys[0].ErrorBound = 1e9, 0
-			case 3: // more than any other sidecar has
+			case 3: // a load above that of any other sidecar
 				r.HotKeys, r.TotalKeyLoad = []placement.KeyLoad{{KeyHash: FormatKey(hotKey), Load: 1e12}}, 1e12
-			case 4: // just within the bounds
+			case 4: // just below the limits
 				r.HotKeys, r.TotalKeyLoad = []placement.KeyLoad{{KeyHash: FormatKey(1<<32 + 1), Load: 3500}}, 3500
 			case 5: // other keys in each report
 				r.HotKeys = r.HotKeys[:0]
@@ -64,7 +64,7 @@
 	},
 }
 
-// replicatesNoKey reports whether no key was replicated in a scenario.
+// replicatesNoKey runs a scenario and reports whether no key was replicated.
 func replicatesNoKey(t testing.TB, sidecarCount int, scenario string, seed uint64, plantBug func(*Planner)) bool {
 	cluster := newClusterModel(t, sidecarCount, seed, testConfig())
 	cluster.plantBug = plantBug
@@ -88,7 +88,7 @@
 	}
 }
 
-// isDetected reports whether a key of a multiple of detectionThreshold is replicated within 6 s.
+// isDetected reports whether a key is replicated within 6 s of its share rising to a multiple of detectionThreshold.
 func isDetected(t testing.TB, sidecarCount int, seed uint64, multiple float64) bool {
 	cluster := newClusterModel(t, sidecarCount, seed, testConfig())
 	cluster.run(2, nil)
@@ -101,7 +101,7 @@
 	t.Parallel()
 	for seed, multiple := range []float64{1.4, 1.7, 2, 4} {
 		if !isDetected(t, fewSidecars, uint64(seed), multiple) {
-			t.Errorf("%v times the threshold: not detected", multiple)
+			t.Errorf("a key at %v times the threshold was not detected", multiple)
 		}
 	}
 }
--- a/internal/hotkey/drain.go
+++ b/internal/hotkey/drain.go
@@ -1,10 +1,10 @@
 package hotkey
 
-// almostOne is the fraction of a sum that counts as all of it, as sums have rounding errors.
+// almostOne is the fraction of a capacity that counts as all of it, because sums of capacities have rounding errors.
 const almostOne = 1 - 1e-9
 
-// StartDrain says that a server is to be drained: no replica is started on it, and what it serves of replicated keys is
-// first warmed up on other servers. Drained tells when that is done. Calling it again changes nothing.
+// StartDrain starts the drain of a server: no new replica is started on it, and replicas on other servers warm up to
+// replace its capacity for replicated keys. Drained reports when that is done. Repeated calls have no effect.
 func (p *Planner) StartDrain(uid string) {
 	if _, ok := p.fleet.index[uid]; !ok || p.fleet.draining[uid] {
 		return
@@ -22,11 +22,11 @@
 	p.fleet.draining[uid] = true
 }
 
-// CancelDrain ends a server's drain: it may host replicas again.
+// CancelDrain cancels a server's drain: it may get replicas again.
 func (p *Planner) CancelDrain(uid string) { delete(p.fleet.draining, uid) }
 
-// Drained reports whether a draining server hosts no replica any more, and whether for each replicated key that it is a
-// home server of other servers have replaced its capacity. A server that isn't listed is drained.
+// Drained reports whether a draining server hosts no replica, and other servers have replaced its capacity for each
+// replicated key of which it is a home server. A server that is not listed counts as drained.
 func (p *Planner) Drained(uid string) bool {
 	if _, ok := p.fleet.index[uid]; !ok {
 		return true
@@ -48,19 +48,19 @@
 	return home
 }
 
-// isReplaced reports whether the key's capacity without the draining servers is what it was with them.
+// isReplaced reports whether the key's capacity without draining servers has reached that before the drain.
 func (p *Planner) isReplaced(k *replicatedKey) bool {
 	return k.activeCapacity(&p.fleet, &p.config) >= k.capacityAtDrain*almostOne
 }
 
-// drainReplicas retires replicas on draining servers, one after the other, as others become active in their place.
+// drainReplicas retires replicas on draining servers one by one, as replacements on other servers become active.
 func (p *Planner) drainReplicas(k *replicatedKey, now float64) {
 	if k.capacityAtDrain == 0 {
 		return
 	}
 	available := k.activeCapacity(&p.fleet, &p.config)
 	var draining []*replica // still active
-	affected := false       // by a drain
+	affected := false       // whether a server of the key drains
 	for _, r := range k.replicas {
 		if !p.fleet.draining[r.serverUID] {
 			continue
@@ -86,7 +86,7 @@
 	}
 }
 
-// currentCapacity is the capacity that a replica has by the share that it can take already.
+// currentCapacity returns the capacity of a replica's server, scaled by the replica's ramp factor.
 func (p *Planner) currentCapacity(r *replica, now float64) float64 {
 	return p.fleet.serverCapacity(p.fleet.index[r.serverUID]) * r.rampFactor(&p.config, now)
 }
--- a/internal/hotkey/fixtures_test.go
+++ b/internal/hotkey/fixtures_test.go
@@ -12,7 +12,7 @@
 	"milldeck/internal/placement"
 )
 
-// jsonLines marshals values, one a line.
+// jsonLines marshals values, one per line.
 func jsonLines[T any](t *testing.T, values []T) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -32,7 +32,7 @@
 	fixtureKey      = uint64(0xabcdef)
 )
 
-// fixtureChange is a change of the placement as the fixtures hold it.
+// fixtureChange is a change of the placement in the format of the golden files.
 type fixtureChange struct {
 	AtMS     int64                `json:"at_ms"`
 	Set      *placement.Directive `json:"put,omitempty"`
@@ -47,8 +47,8 @@
 	return servers
 }
 
-// runFixture plays a key that is hot for 9 s of 20 s, with one server drained at 5 s. It returns all changes of the
-// placement, and the planner as it is after the given number of steps of 250 ms.
+// runFixture simulates steps of 250 ms: a key is hot for the first 9 s, and one server is drained from 5 s on. It returns all
+// changes of the placement, and the planner after the last step.
 func runFixture(t *testing.T, steps int) ([]fixtureChange, *Planner) {
 	t.Helper()
 	planner, err := NewPlanner(DefaultConfig(1000, 50))
@@ -70,7 +70,7 @@
 				report := &placement.LoadReport{Sidecar: fmt.Sprint("sidecar-", i), PlacementRevision: revision, IntervalMS: 1000, TotalKeyLoad: load + 200,
 					HotKeys: []placement.KeyLoad{{KeyHash: FormatKey(fixtureKey), Load: load, ErrorBound: 2}, {KeyHash: FormatKey(7), Load: 20 + float64(i), ErrorBound: 1}}}
 				if !planner.AddReport(now, report) {
-					t.Fatalf("step %d: a report was rejected", step)
+					t.Fatalf("step %d: the planner rejected a report", step)
 				}
 			}
 		}
@@ -93,7 +93,7 @@
 	return changes, planner
 }
 
-// The directives that a planner writes into the placement keep their bytes.
+// Guards the JSON encoding of the directives that a planner writes into the placement.
 func TestFixturePlacementChanges(t *testing.T) {
 	changes, planner := runFixture(t, 80)
 	goldentest.Compare(t, "placement-changes.jsonl", jsonLines(t, changes))
@@ -102,7 +102,7 @@
 	}
 }
 
-// The status over HTTP keeps its bytes, also that of a planner that was restored from the golden file's directives.
+// Guards the encoding of the status over HTTP, also for a planner that was restored from the golden file's directives.
 func TestFixtureStatusOverHTTP(t *testing.T) {
 	_, planner := runFixture(t, 18)
 	goldentest.Compare(t, "table.json", call(t, &Controller{planner: planner}, http.MethodGet, "/spread", http.StatusOK))
@@ -113,7 +113,7 @@
 		goldentest.DecodeStrictly(t, line, &change)
 		reencoded, err := json.Marshal(change)
 		if err != nil || !bytes.Equal(reencoded, bytes.TrimSpace(line)) {
-			t.Errorf("read %s, %v, from %s", reencoded, err, line)
+			t.Errorf("re-encoded as %s (error %v), want %s", reencoded, err, line)
 		}
 		if change.AtMS <= fixtureStart*1000+4250 && change.Set != nil {
 			last = change
@@ -137,7 +137,7 @@
 	goldentest.Compare(t, "placement-resumed.jsonl", jsonLines(t, changes))
 }
 
-// The other answers over HTTP keep their bytes.
+// Guards the encoding of the other HTTP responses.
 func TestFixtureHTTPAnswers(t *testing.T) {
 	_, planner := runFixture(t, 18)
 	controller := &Controller{Config: DefaultConfig(1000, 50)}
@@ -154,7 +154,7 @@
 	call(t, controller, http.MethodPost, "/spread", http.StatusMethodNotAllowed)
 }
 
-// call requests something of a controller's handler, and returns the body of the answer.
+// call sends a request to a controller's handler, checks status and headers, and returns the response's body.
 func call(t *testing.T, controller *Controller, method, target string, status int) []byte {
 	t.Helper()
 	w := httptest.NewRecorder()
@@ -170,7 +170,7 @@
 		contentType = "application/json"
 	}
 	if w.Header().Get("Retry-After") != retryAfter || w.Header().Get("Content-Type") != contentType {
-		t.Errorf("%s %s: header %v", method, target, w.Header())
+		t.Errorf("%s %s: Retry-After or Content-Type is wrong: %v", method, target, w.Header())
 	}
 	return w.Body.Bytes()
 }
--- a/internal/hotkey/fleet_view.go
+++ b/internal/hotkey/fleet_view.go
@@ -9,40 +9,40 @@
 	"milldeck/balance"
 )
 
-// Server is a server as the Planner has to know it.
+// Server is a server of the fleet, with the properties that the Planner uses.
 type Server struct {
 	UID      string
 	Zone     string
-	PodGroup int // pod group: servers of one pod group are likely to fail together
+	PodGroup int // servers of one pod group are likely to fail together
 
-	Capacity         float64 // relative; counts as 1 where it isn't above 0
-	ObservedCapacity float64 // ms of work a second; 0: Config.ServerCapacity times Capacity
-	BootMS           float64 // Unix time of its last start in ms: its cache is empty since
+	Capacity         float64 // relative; 1 is used if it is not above 0
+	ObservedCapacity float64 // ms of work per second; 0: Config.ServerCapacity times Capacity
+	BootMS           float64 // Unix time in ms of its last start, when its cache was empty
 
-	Ready      bool // listed and takes requests; if not, its replicas end
-	Excluded   bool // from some tenant's traffic, so that it hosts no replica
+	Ready      bool // listed and accepts requests; if false, its replicas are removed
+	Excluded   bool // from the traffic of some tenant; hosts no replica
 	WarmingUp  bool // in slow start; gets no new replica
 	Overloaded bool // responds late or has too much load; gets no new replica
 }
 
-// fleetView is the list of servers, and each key's order of preference among them.
+// fleetView holds the list of servers and caches the order in which each key prefers them.
 type fleetView struct {
 	servers       []Server // sorted by UID
 	serverIDs     []balance.ServerID
 	capacities    []float64 // relative
 	index         map[string]int
-	unitCapacity  float64 // ms of work a second of a server whose relative capacity is 1
-	totalCapacity float64 // of the ready servers, ms of work a second
-	zoneCount     int     // zones that have ready servers, at least 1
+	unitCapacity  float64 // ms of work per second of a server whose relative capacity is 1
+	totalCapacity float64 // of the ready servers, ms of work per second
+	zoneCount     int     // zones with ready servers, at least 1
 	readyCount    int
 	draining      map[string]bool
-	orderCache    map[uint64][]int32 // by key: indices of servers in its order of preference
+	orderCache    map[uint64][]int32 // by key: indices of servers in the order of preference
 }
 
 const (
-	// maxCachedOrderEntries bounds the servers in all cached orders: 4 MB.
+	// maxCachedOrderEntries limits the entries of all cached orders together, to 4 MB.
 	maxCachedOrderEntries = 1 << 20
-	// A key has minHomeServers home servers, or one of serversPerHomeServer ready ones where these are more.
+	// A key has one home server per serversPerHomeServer ready servers, but at least minHomeServers.
 	minHomeServers       = 2
 	serversPerHomeServer = 15
 )
@@ -56,7 +56,7 @@
 	}
 }
 
-// setServers replaces the list. Cached orders stay where it has the same servers with the same relative capacities.
+// setServers replaces the list. Cached orders are kept if the servers and their relative capacities are the same as before.
 func (f *fleetView) setServers(list []Server) {
 	servers := slices.Clone(list)
 	slices.SortFunc(servers, func(a, b Server) int { return cmp.Compare(a.UID, b.UID) })
@@ -76,7 +76,7 @@
 	}
 }
 
-// countReady computes what depends on which servers are ready.
+// countReady computes the fields that depend on which servers are ready.
 func (f *fleetView) countReady() {
 	f.totalCapacity, f.readyCount = 0, 0
 	zones := map[string]bool{}
@@ -90,13 +90,13 @@
 	f.zoneCount = max(len(zones), 1)
 }
 
-// rebuildIndex computes what depends on which servers are listed, and ends the drains of those that aren't.
+// rebuildIndex computes the fields that depend on which servers are listed, and cancels drains of servers that are not.
 func (f *fleetView) rebuildIndex() {
 	clear(f.orderCache)
 	clear(f.index)
 	f.serverIDs, f.capacities = make([]balance.ServerID, len(f.servers)), make([]float64, len(f.servers))
 	for i := range f.servers {
-		hash := fnv.New64a()                        // as sidecars derive a ServerID from a uid
+		hash := fnv.New64a()                        // sidecars derive a ServerID from a UID in the same way
 		_, _ = hash.Write([]byte(f.servers[i].UID)) // never fails
 		f.serverIDs[i] = balance.ServerID(hash.Sum64())
 		f.capacities[i] = f.servers[i].Capacity
@@ -109,7 +109,7 @@
 	}
 }
 
-// serverCapacity is a server's capacity in ms of work a second.
+// serverCapacity returns a server's capacity in ms of work per second.
 func (f *fleetView) serverCapacity(i int) float64 {
 	server := &f.servers[i]
 	if server.ObservedCapacity > 0 && !math.IsInf(server.ObservedCapacity, 1) {
@@ -118,7 +118,7 @@
 	return f.unitCapacity * server.Capacity
 }
 
-// preferenceOrder returns a key's order of all servers by rendezvous hashing, as indices; the first is preferred.
+// preferenceOrder returns the indices of all servers in a key's order of preference, by rendezvous hashing.
 func (f *fleetView) preferenceOrder(key uint64) []int32 {
 	if order, ok := f.orderCache[key]; ok {
 		return order
@@ -138,12 +138,12 @@
 	return order
 }
 
-// homeServerCount is how many servers a key has without replicas, as package balance counts them.
+// homeServerCount returns the number of home servers of a key. Package balance computes the same number.
 func (f *fleetView) homeServerCount() int {
 	return min(max(minHomeServers, f.readyCount/serversPerHomeServer), f.readyCount)
 }
 
-// forEachHomeServer calls visit with the index of each of the key's home servers: the first ready ones of its order.
+// forEachHomeServer calls visit with the index of each home server of the key: the first ready servers in its order.
 func (f *fleetView) forEachHomeServer(key uint64, visit func(i int)) {
 	remaining := f.homeServerCount()
 	for _, i := range f.preferenceOrder(key) {
@@ -157,7 +157,7 @@
 	}
 }
 
-// canHostReplica reports whether a server may serve a replica that it has.
+// canHostReplica reports whether a server may keep the replicas that it has.
 func (f *fleetView) canHostReplica(i int) bool { return f.servers[i].Ready && !f.servers[i].Excluded }
 
 // canAddReplica reports whether a server may get a new replica.
--- a/internal/hotkey/http.go
+++ b/internal/hotkey/http.go
@@ -6,16 +6,16 @@
 	"net/http"
 )
 
-// DrainStatus answers a drain request.
+// DrainStatus is the response to a drain request.
 type DrainStatus struct {
-	Drained bool `json:"ready"` // what the server served of replicated keys is warm on other servers
+	Drained bool `json:"ready"` // the replicated keys that the server served are warm on other servers
 }
 
-// Handler serves operators and drain controllers. Every request is answered with 503 and Retry-After while the lease is
-// held by another controller.
+// Handler returns the HTTP handler for operators and drain controllers. It responds with 503 and Retry-After to every
+// request of these paths while this controller does not hold the lease.
 //
 //	GET  /spread                 []KeyStatus
-//	POST /spread/leave?uid=UID   Drain, answered with DrainStatus
+//	POST /spread/leave?uid=UID   calls Drain; the response is a DrainStatus
 func (c *Controller) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /spread", func(w http.ResponseWriter, _ *http.Request) {
@@ -32,7 +32,7 @@
 	return mux
 }
 
-// writeResponse writes a value as JSON, or the status and text of an error.
+// writeResponse writes a value as JSON, or the status code and text of an error.
 func writeResponse(w http.ResponseWriter, value any, err error) {
 	switch {
 	case errors.Is(err, ErrNotLeader):
@@ -42,6 +42,6 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(value) // the client may have gone
+		_ = json.NewEncoder(w).Encode(value) // the client may have disconnected
 	}
 }
--- a/internal/hotkey/load_aggregator.go
+++ b/internal/hotkey/load_aggregator.go
@@ -11,52 +11,52 @@
 const (
 	// reportInterval is the time in s between two reports of a sidecar.
 	reportInterval = 1.0
-	// staleAfter is the time in s after which a report counts no more: that of two reports that were lost.
+	// staleAfter is the age in s above which a report is ignored. It tolerates the loss of two reports.
 	staleAfter = 3.0
-	// sidecarTimeout is the time in s after which a sidecar that doesn't report is no longer expected to.
+	// sidecarTimeout is the time in s without reports after which a sidecar is no longer expected to report.
 	sidecarTimeout = 30.0
-	// maxSidecars bounds the sidecars whose reports are retained, to a few MB.
+	// maxSidecars limits the sidecars whose reports are stored, to a few MB.
 	maxSidecars = 4096
-	// minReporters is how many sidecars have to report a key, where there are as many. A single one accounts for at most
-	// its equal part among them.
+	// minReporters is the number of sidecars that must report a key, unless fewer sidecars report at all. One sidecar
+	// accounts for at most an equal part among that many.
 	minReporters = 4
-	// outlierFactor is how many times the median of all sidecars' total loads a sidecar's may be. A report above it is
-	// left out.
+	// outlierFactor limits a sidecar's total load to a multiple of the median over all sidecars. A report above it is
+	// ignored.
 	outlierFactor = 8.0
-	// outlierMinRequests is the number of requests a second that no sidecar is an outlier with.
+	// outlierMinRequests is a rate in requests per second. A sidecar with a total load up to it is never an outlier.
 	outlierMinRequests = 10
-	// minObservedFraction is the fraction of its average that a sidecar's first report is taken to show at least.
+	// minObservedFraction is the smallest fraction of a sidecar's load that its average is assumed to show soon after its start.
 	minObservedFraction = 0.4
-	// noiseDeviations is by how many standard deviations a load is taken to be less than it was measured.
+	// noiseDeviations is the number of standard deviations that are subtracted from a measured load for its lower bound.
 	noiseDeviations = 3.0
 )
 
-// loadAggregator adds up the sidecars' reports to bounds of the fleet's load of each key.
+// loadAggregator computes bounds of the fleet's load for each key from the sidecars' reports.
 type loadAggregator struct {
 	halfLife         float64 // s
 	requestWork      float64 // ms
 	reports          map[string]*sidecarReport
-	sidecarNames     []string // of the reports, sorted
+	sidecarNames     []string // keys of reports, sorted
 	expectedSidecars int
 
-	// What follows is of the last aggregate.
+	// The fields below are results of the last call of aggregate.
 
 	sums       []keySum
 	keyIndex   map[uint64]int // indices into sums
 	candidates []uint64       // keys that may be hot, the hottest first
 
-	observedTotal float64 // load of all keys that reports show
+	observedTotal float64 // load of all keys according to the reports
 	maxTotal      float64 // upper bound of the load of all keys
-	unlistedTotal float64 // sum of the sidecars' bounds for a key that they don't list
-	extrapolation float64 // factor from the reports at hand to those of all sidecars
-	freshCount    int     // reports that count
+	unlistedTotal float64 // sum of the sidecars' bounds for a key that they do not list
+	extrapolation float64 // factor from the load in the used reports to that of all sidecars
+	freshCount    int     // number of used reports
 }
 
-// keySum is a key's load over the fresh reports.
+// keySum sums a key's load over the used reports.
 type keySum struct {
-	lower, maxLower float64 // sum of the lower bounds, and the largest of them
-	upper, maxUpper float64 // the same of the upper bounds
-	unlisted        float64 // sum of the bounds for unlisted keys, of the sidecars that list this one
+	lower, maxLower float64 // sum and maximum of the lower bounds
+	upper, maxUpper float64 // sum and maximum of the upper bounds
+	unlisted        float64 // sum of the bounds for unlisted keys of the sidecars that list this key
 	reporterCount   int
 }
 
@@ -70,7 +70,7 @@
 	}
 }
 
-// add retains a report; false: it is invalid, or of one sidecar too many.
+// add stores a report. It returns false if the report is invalid or the limit of sidecars is reached.
 func (agg *loadAggregator) add(now float64, report *placement.LoadReport) (accepted bool) {
 	parsed, ok := parseReport(now, report)
 	if !ok {
@@ -90,7 +90,7 @@
 	return true
 }
 
-// aggregate adds up the fresh reports.
+// aggregate computes the sums over the fresh reports of sidecars that are not outliers.
 func (agg *loadAggregator) aggregate(now float64) {
 	agg.dropSilentSidecars(now)
 	clear(agg.keyIndex)
@@ -115,7 +115,7 @@
 	agg.selectCandidates()
 }
 
-// dropSilentSidecars forgets sidecars that have not reported for sidecarTimeout.
+// dropSilentSidecars removes sidecars that have not reported for sidecarTimeout.
 func (agg *loadAggregator) dropSilentSidecars(now float64) {
 	agg.sidecarNames = slices.DeleteFunc(agg.sidecarNames, func(name string) bool {
 		expired := now-agg.reports[name].receivedAt > sidecarTimeout
@@ -126,7 +126,7 @@
 	})
 }
 
-// freshReports returns the reports that aren't stale, by the sidecars' names.
+// freshReports returns the reports that are not stale, sorted by the names of sidecars.
 func (agg *loadAggregator) freshReports(now float64) []*sidecarReport {
 	var fresh []*sidecarReport
 	for _, name := range agg.sidecarNames {
@@ -137,7 +137,7 @@
 	return fresh
 }
 
-// outlierLimit is the largest total load of a sidecar that is not an outlier.
+// outlierLimit returns the total load above which a sidecar is an outlier.
 func (agg *loadAggregator) outlierLimit(fresh []*sidecarReport) float64 {
 	if len(fresh) < minReporters {
 		return math.Inf(1)
@@ -150,13 +150,13 @@
 	return math.Max(outlierFactor*totals[len(totals)/2], outlierMinRequests*agg.requestWork)
 }
 
-// addToSums adds one report to the sums. Its lower bounds hold until the next report is due, and then decay as the sidecar's
-// own average does, so that they stay lower bounds of it.
+// addToSums adds one report to the sums. Once the next report is overdue, the lower bounds decay as the sidecar's own
+// average does without requests, so that they stay lower bounds.
 func (agg *loadAggregator) addToSums(r *sidecarReport, now float64) {
 	agg.freshCount++
 	agg.observedTotal += r.totalLoad
-	// A sidecar that is new may have begun to count just now, and its average is still to rise. The upper bound of the
-	// total makes up for that.
+	// A new sidecar may have started to measure just now, so that its average has yet to rise. The upper bound of the total
+	// compensates for that.
 	observedFraction := 1 - math.Exp2(-(r.receivedAt-r.firstReceived)/agg.halfLife)
 	agg.maxTotal += r.totalLoad / math.Max(observedFraction, minObservedFraction)
 	agg.unlistedTotal += r.unlistedBound
@@ -173,7 +173,7 @@
 	}
 }
 
-// ensureSum returns a key's sum, a new one where the key has none. It is valid until the next call.
+// ensureSum returns a key's sum and creates it if needed. The pointer is valid until the next call.
 func (agg *loadAggregator) ensureSum(key uint64) *keySum {
 	i, ok := agg.keyIndex[key]
 	if !ok {
@@ -184,7 +184,7 @@
 	return &agg.sums[i]
 }
 
-// selectCandidates collects the keys that enough sidecars report, the hottest first.
+// selectCandidates collects the keys that enough sidecars report, hottest first.
 func (agg *loadAggregator) selectCandidates() {
 	for key, i := range agg.keyIndex {
 		if agg.sums[i].reporterCount >= agg.requiredReporters() {
@@ -196,7 +196,7 @@
 	})
 }
 
-// sumOf returns a key's sum, nil where no fresh report lists it.
+// sumOf returns a key's sum, or nil if no used report lists the key.
 func (agg *loadAggregator) sumOf(key uint64) *keySum {
 	if i, ok := agg.keyIndex[key]; ok {
 		return &agg.sums[i]
@@ -204,11 +204,11 @@
 	return nil
 }
 
-// requiredReporters is how many sidecars have to report a key.
+// requiredReporters returns the number of sidecars that must report a key.
 func (agg *loadAggregator) requiredReporters() int { return max(min(minReporters, agg.freshCount), 1) }
 
-// lowerBound is the load that a key surely has: what the reports at hand show, with a single sidecar's part bounded, less
-// what noise may have added. Missing reports add nothing.
+// lowerBound returns the lower bound of a key's load: the load in the used reports, with the part of one sidecar limited,
+// minus the possible effect of noise. Missing reports add nothing.
 func (agg *loadAggregator) lowerBound(key uint64) float64 {
 	sum := agg.sumOf(key)
 	if sum == nil || sum.reporterCount < agg.requiredReporters() {
@@ -223,9 +223,9 @@
 	return math.Max(lower-noiseDeviations*deviation, 0)
 }
 
-// upperBound is the largest load that a key can have; infinite without reports. Sidecars whose reports are missing are
-// taken to be like the others. With includeUnlisted, sidecars that don't list the key count with the least load that they
-// list. A single sidecar counts for at most as much as all others together.
+// upperBound returns the upper bound of a key's load; it is infinite without reports. Sidecars without a used report are
+// assumed to have the average load. With includeUnlisted, sidecars that do not list the key count with the smallest bound
+// that they list. One sidecar accounts for at most as much as all others together.
 func (agg *loadAggregator) upperBound(key uint64, includeUnlisted bool) float64 {
 	if agg.freshCount == 0 {
 		return math.Inf(1)
--- a/internal/hotkey/load_report.go
+++ b/internal/hotkey/load_report.go
@@ -12,30 +12,30 @@
 	maxSidecarNameBytes = 256
 	keyHashDigits       = 16
 
-	// Sums and differences of reported figures may be off by rounding, as sidecars send them as decimals.
+	// Tolerances for rounding errors in sums and differences of reported loads, which sidecars send as decimals.
 	relativeErrorTolerance = 1e-6
 	absoluteErrorTolerance = 1e-9
 	relativeTotalTolerance = 0.01
 	absoluteTotalTolerance = 1e-6
 )
 
-// sidecarReport is the last report of a sidecar. Loads are in ms of work a second, times in s.
+// sidecarReport is the last report of a sidecar. Loads are in ms of work per second, times in s.
 type sidecarReport struct {
-	firstReceived   float64 // time at which its first report came
+	firstReceived   float64 // time at which the first report of the sidecar was received
 	receivedAt      float64
-	revision, epoch uint64 // of the placement that it followed
+	revision, epoch uint64 // of the placement that the sidecar followed
 	totalLoad       float64
-	unlistedBound   float64 // a key that isn't listed has at most this load
+	unlistedBound   float64 // upper bound of the load of a key that is not listed
 	loads           []keyLoad
 }
 
-// keyLoad is a key's load as a sidecar reported it, between two bounds.
+// keyLoad holds the bounds of a key's load that a sidecar reported.
 type keyLoad struct {
 	key          uint64
 	lower, upper float64
 }
 
-// parseReport returns a report that arrived at a time; ok is false where it contradicts itself or exceeds a bound.
+// parseReport converts a report that was received at time now; ok is false if the report is inconsistent or exceeds a limit.
 func parseReport(now float64, report *placement.LoadReport) (parsed *sidecarReport, ok bool) {
 	total := report.TotalKeyLoad
 	if report.Sidecar == "" || len(report.Sidecar) > maxSidecarNameBytes || len(report.HotKeys) > placement.MaxHotKeys {
@@ -63,7 +63,7 @@
 	if lowerTotal > total*(1+relativeTotalTolerance)+absoluteTotalTolerance {
 		return nil, false
 	}
-	if len(parsed.loads) == placement.MaxHotKeys { // there may be more keys than are listed
+	if len(parsed.loads) == placement.MaxHotKeys { // further keys may be missing from the list
 		parsed.unlistedBound = parsed.loads[0].upper
 		for _, load := range parsed.loads {
 			parsed.unlistedBound = math.Min(parsed.unlistedBound, load.upper)
@@ -72,7 +72,7 @@
 	return parsed, true
 }
 
-// parseKeyLoad returns one key's load, which is at most the sidecar's total; ok is false where it can't be.
+// parseKeyLoad converts the load of one key, limiting its upper bound to the sidecar's total; ok is false if it is invalid.
 func parseKeyLoad(reported placement.KeyLoad, total float64) (load keyLoad, ok bool) {
 	key, err := strconv.ParseUint(reported.KeyHash, 16, 64)
 	if err != nil || len(reported.KeyHash) != keyHashDigits {
@@ -91,7 +91,7 @@
 	}, true
 }
 
-// requestedWork is the work in ms that a sidecar has surely received for a key between its previous report and this one.
+// requestedWork returns a lower bound of the work in ms that a sidecar received for a key between two successive reports.
 func (r *sidecarReport) requestedWork(previous *sidecarReport, load keyLoad, halfLife float64) float64 {
 	previousUpper := previous.unlistedBound
 	for _, other := range previous.loads {
--- a/internal/hotkey/planner.go
+++ b/internal/hotkey/planner.go
@@ -8,31 +8,31 @@
 	"milldeck/internal/placement"
 )
 
-// initialObservation is the time in s after the first report in which no key is scaled up: each sidecar is to report
-// first.
+// initialObservation is the time in s after the first report in which no new key is replicated, so that each sidecar has
+// reported before.
 const initialObservation = 1.2
 
-// Planner decides which keys are replicated, and where. It is not safe for concurrent use.
+// Planner decides which keys are replicated and on which servers. It is not safe for concurrent use.
 type Planner struct {
 	config Config
 	fleet  fleetView
 	loads  loadAggregator
 	keys   map[uint64]*replicatedKey
 
-	// pendingRemovals are the ids of directives that are to be removed and whose removal isn't confirmed.
+	// pendingRemovals holds the IDs of directives whose removal is not confirmed yet.
 	pendingRemovals map[string]bool
 
-	lastPlanned   float64 // time of the last plan; 0: there was none
-	firstReport   float64 // time of the first report; 0: there was none
-	warmupTokens  float64 // ms of extra work that warming up replicas may cause now
+	lastPlanned   float64 // time of the last plan; 0 before the first
+	firstReport   float64 // time of the first report; 0 before it
+	warmupTokens  float64 // ms of work that may be spent now on warming up replicas
 	replicaTokens float64 // replicas that may be started now
 
-	// scaleUpLoad is the load by which a key is scaled up: the lower bound. Tests replace it.
+	// scaleUpLoad returns the load of a key for scale-up decisions: the lower bound. Tests replace it.
 	scaleUpLoad func(key uint64) float64
 }
 
-// NewPlanner returns a Planner without keys, or an error where a setting is out of its range. Its warm-up budget begins
-// empty, so that a series of leaders that fail one after the other keeps the budget too.
+// NewPlanner returns a Planner without replicated keys, or an error if a setting is out of its range. The warm-up budget
+// starts empty, so that a series of failing leaders does not exceed the budget either.
 func NewPlanner(config Config) (*Planner, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 	return p
 }
 
-// SetServers replaces the list of servers. Replicas on servers that are missing, not ready, excluded or restarted end.
+// SetServers replaces the list of servers. It removes replicas on servers that are missing, not ready, excluded or restarted.
 func (p *Planner) SetServers(servers []Server) {
 	bootTimes := map[string]float64{}
 	for i := range p.fleet.servers {
@@ -67,14 +67,14 @@
 	}
 }
 
-// SetExpectedSidecars says how many sidecars there are, as far as that is known. Where more report, these count.
+// SetExpectedSidecars sets the known number of sidecars. If more sidecars report, their number is used.
 func (p *Planner) SetExpectedSidecars(count int) { p.loads.expectedSidecars = count }
 
-// AddReport handles a sidecar's load report that arrived at a time. It returns false for a report that is invalid, or of
-// one sidecar too many: that counts as lost.
+// AddReport handles a sidecar's load report that was received at time now. It returns false if the report is invalid or
+// the limit of sidecars is reached; such a report counts as lost.
 //
-// Reports also show what replicas have answered: a sidecar that follows a directive sends each replica its fraction of
-// the requests that it reports of the key.
+// The responses of replicas are derived from reports, too: a sidecar that follows a directive sends each replica its
+// fraction of the key's requests that the sidecar reports.
 func (p *Planner) AddReport(now float64, report *placement.LoadReport) (accepted bool) {
 	previous := p.loads.reports[report.Sidecar]
 	if !p.loads.add(now, report) {
@@ -84,7 +84,7 @@
 		p.firstReport = now
 	}
 	if previous == nil {
-		return true // the time that its average covers isn't known
+		return true // the time that the average covers is unknown
 	}
 	current := p.loads.reports[report.Sidecar]
 	for _, load := range current.loads {
@@ -102,8 +102,8 @@
 	return true
 }
 
-// Plan returns the changes of the placement that are due. It is called a few times a second, with a time that never runs
-// backwards. A change that isn't confirmed is returned again.
+// Plan returns the changes to make to the placement. It is called a few times per second, with times that never decrease.
+// It returns a change again until the change is confirmed.
 func (p *Planner) Plan(now float64) []Change {
 	p.refillTokens(now)
 	p.loads.aggregate(now)
@@ -123,7 +123,7 @@
 	return p.changes(now)
 }
 
-// refillTokens adds what has accrued of the two budgets since the last plan; of each at most a second's is saved up.
+// refillTokens adds the tokens of both budgets for the time since the last plan. At most one second's tokens accumulate.
 func (p *Planner) refillTokens(now float64) {
 	elapsed := math.Min(math.Max(now-p.lastPlanned, 0), 1)
 	if p.lastPlanned == 0 {
--- a/internal/hotkey/planner_test.go
+++ b/internal/hotkey/planner_test.go
@@ -10,12 +10,12 @@
 
 const hotKey = uint64(0xfeedface)
 
-// detectionThreshold is the fraction of all requests at which a key's home servers have just no headroom for it, with the
+// detectionThreshold is the fraction of all requests at which a key just exceeds the headroom of its home servers, with the
 // fleet at half load.
 const detectionThreshold = 20 * (0.8 - 0.5) / (1 - 20.0/serverCount) / (0.5 * serverCount)
 
-// simulateOnset plays one key that suddenly takes 30% of all load. It returns the time in s to its first active replicas, and
-// to when its home servers are no longer overloaded; or the seconds played.
+// simulateOnset simulates one key that suddenly takes 30% of all load. It returns the times in s until the key has active
+// replicas, and until its home servers are no longer overloaded; each is seconds if that does not happen.
 func simulateOnset(t testing.TB, sidecarCount int, seed uint64, config Config, seconds float64) (cluster *clusterModel, active, relieved float64) {
 	cluster = newClusterModel(t, sidecarCount, seed, config)
 	cluster.run(3+cluster.rng.Float64(), nil)
@@ -42,7 +42,7 @@
 	for seed := range uint64(3) {
 		cluster, elapsed, _ := simulateOnset(t, manySidecars, seed, testConfig(), 3)
 		if elapsed > 2 {
-			t.Errorf("seed %d: %.2f s", seed, elapsed)
+			t.Errorf("seed %d: first active replicas after %.2f s, want at most 2 s", seed, elapsed)
 		}
 		cluster.checkInvariants("onset")
 	}
@@ -51,7 +51,7 @@
 func TestMovingHotKey(t *testing.T) {
 	t.Parallel()
 	cluster := newClusterModel(t, fewSidecars, 1, testConfig())
-	for turn := range 6 { // among three keys, 3 s each
+	for turn := range 6 { // the load moves among three keys, every 3 s
 		key := uint64(turn%3 + 1)
 		clear(cluster.hotShares)
 		cluster.hotShares[key] = 0.3
@@ -62,9 +62,9 @@
 	}
 	cluster.checkInvariants("moves")
 	if cluster.replicasStarted > 3*130 || cluster.timesReplicated[1] > 1 {
-		t.Errorf("%d replicas were started, %d times for the first key: warm ones are not used again", cluster.replicasStarted, cluster.timesReplicated[1])
+		t.Errorf("%d replicas were started, %d times for the first key: warm replicas are not reused", cluster.replicasStarted, cluster.timesReplicated[1])
 	}
-	for key := range uint64(8) { // and to new keys each time
+	for key := range uint64(8) { // the load moves to a new key every 3 s
 		clear(cluster.hotShares)
 		cluster.hotShares[key+100] = 0.3
 		cluster.run(3, nil)
@@ -80,8 +80,8 @@
 	}
 }
 
-// replicasStartedAtThreshold counts the replicas of a key whose load is about where it is scaled up. A key that scaled up
-// and down in turn would start many.
+// replicasStartedAtThreshold returns the number of replicas that are started for a key whose load is close to the scale-up
+// threshold. It is high if the key is scaled up and down in turn.
 func replicasStartedAtThreshold(t testing.TB, config Config) int {
 	cluster := newClusterModel(t, fewSidecars, 1, config)
 	cluster.hotShares[hotKey] = 1.5 * detectionThreshold
@@ -92,7 +92,7 @@
 func TestNoFlapping(t *testing.T) {
 	t.Parallel()
 	if n := replicasStartedAtThreshold(t, testConfig()); n > 30 {
-		t.Errorf("%d replicas were started", n)
+		t.Errorf("%d replicas were started, want at most 30", n)
 	}
 }
 
@@ -107,14 +107,14 @@
 	cluster.startPlanner()
 	cluster.run(0.3, nil)
 	if _, active := cluster.replicatedShare(hotKey); active > 0 && cluster.prematureShares > 0 {
-		t.Error("the next planner gives shares before replicas have answered")
+		t.Error("the next planner assigns shares before replicas have given responses")
 	}
 	cluster.run(4, nil)
 	if _, active := cluster.replicatedShare(hotKey); active < 20 {
 		t.Errorf("%d active replicas after the takeover", active)
 	}
 	share, _ := cluster.replicatedShare(hotKey)
-	cluster.plannerDown = true // while replicas are active
+	cluster.plannerDown = true // this time while replicas are active
 	cluster.run(1, nil)
 	cluster.startPlanner()
 	cluster.run(0.5, nil)
@@ -125,7 +125,7 @@
 	cluster.plannerDown = true // without a successor
 	cluster.run(cluster.config.DirectiveTTL+0.2, nil)
 	if len(cluster.published) > 0 {
-		t.Error("a directive is in force after its expiry")
+		t.Error("a directive is still in force after its expiry")
 	}
 }
 
@@ -137,7 +137,7 @@
 	cluster.hotShares[hotKey] = 0.3
 	elapsed := cluster.run(6, func() bool { _, n := cluster.replicatedShare(hotKey); return n > 0 })
 	if elapsed > 4 {
-		t.Errorf("%.2f s to active replicas", elapsed)
+		t.Errorf("first active replicas after %.2f s, want at most 4 s", elapsed)
 	}
 	cluster.run(15, nil)
 	if _, n := cluster.replicatedShare(hotKey); n < 40 || n > 120 {
@@ -152,7 +152,7 @@
 	}
 }
 
-// A sidecar that reports invalid loads neither hides a hot key nor keeps its replicas once it is no longer hot.
+// A sidecar that reports invalid loads neither prevents the replication of a hot key nor its end once the key is not hot.
 func TestInvalidReportsBesideHotKey(t *testing.T) {
 	t.Parallel()
 	cluster := newClusterModel(t, fewSidecars, 3, testConfig())
@@ -162,7 +162,7 @@
 	cluster.run(2, nil)
 	cluster.hotShares[hotKey] = 1.5 * detectionThreshold
 	if cluster.run(6, nil); cluster.timesReplicated[hotKey] == 0 {
-		t.Error("the invalid report about another key hides this one")
+		t.Error("the hot key is not replicated beside the invalid report about another key")
 	}
 	cluster.hotShares[hotKey] = 0.3
 	cluster.run(6, nil)
@@ -172,7 +172,7 @@
 	clear(cluster.hotShares)
 	cluster.run(60, func() bool { return len(cluster.published) == 0 })
 	if len(cluster.published) > 0 {
-		t.Error("still replicated")
+		t.Error("a key is still replicated after the load has ended")
 	}
 	cluster.checkInvariants("invalid reports")
 }
@@ -224,7 +224,7 @@
 	cluster.planner.SetServers(cluster.servers)
 	cluster.run(6, nil)
 	if share, _ := cluster.replicatedShare(hotKey); share < 0.7*before {
-		t.Errorf("replicas take %v of the load again, before %v", share, before)
+		t.Errorf("after the loss replicas take %v of the load, before %v", share, before)
 	}
 	cluster.checkInvariants("drained, lost")
 }
@@ -252,17 +252,17 @@
 	cluster.planner.SetServers(cluster.servers)
 	cluster.run(8, nil)
 	if share, n := cluster.replicatedShare(hotKey); share < 0.5 {
-		t.Errorf("%d active replicas take %v of the load", n, share)
+		t.Errorf("%d active replicas take %v of the load, want at least 0.5", n, share)
 	}
 	for _, c := range cluster.published[hotKey].Copies {
 		if s := cluster.servers[cluster.serverIndex(c.ServerUID)]; !previousServers[c.ServerUID] && (s.Overloaded || s.WarmingUp) {
-			t.Errorf("a new replica on %+v", s)
+			t.Errorf("new replica on a server that is overloaded or warming up: %+v", s)
 		}
 	}
 	cluster.checkInvariants("lost zone")
 }
 
-// Each planted bug is found by the test of the rule that it breaks.
+// The checks of the other tests detect each planted bug.
 func TestDetectsPlantedBugs(t *testing.T) {
 	t.Parallel()
 	t.Run("scale up by the upper bound", func(t *testing.T) {
@@ -276,7 +276,7 @@
 			}
 		}
 		if replicatesNoKey(t, fewSidecars, "lukewarm", 0, plantBug) && replicatesNoKey(t, fewSidecars, "invalid reports", 0, plantBug) {
-			t.Error("not found")
+			t.Error("the bug was not detected")
 		}
 	})
 	t.Run("no hysteresis", func(t *testing.T) {
@@ -284,7 +284,7 @@
 		config := testConfig()
 		config.ScaleDownUtilization, config.ScaleDownStabilization, config.ScaleDownInterval, config.RetirePeriod = 1.3, 0, 0, 0
 		if n := replicasStartedAtThreshold(t, config); n <= 30 {
-			t.Errorf("not found: %d replicas were started", n)
+			t.Errorf("the bug was not detected: %d replicas were started", n)
 		}
 	})
 	t.Run("share before the replica is warm", func(t *testing.T) {
@@ -299,7 +299,7 @@
 		}
 		cluster.hotShares[hotKey] = 1.2 * detectionThreshold
 		if cluster.run(6, nil); cluster.prematureShares == 0 {
-			t.Error("not found")
+			t.Error("the bug was not detected")
 		}
 	})
 	t.Run("budget for each key", func(t *testing.T) {
@@ -318,7 +318,7 @@
 		simulateHotKeys(config).checkInvariants("one budget")
 		config.WarmupBudget = 4 * 0.005
 		if cluster := simulateHotKeys(config); !cluster.budgetExceeded {
-			t.Errorf("not found: %v ms of work in %v s", cluster.plannedWarmupWork, cluster.now)
+			t.Errorf("the bug was not detected: %v ms of work in %v s", cluster.plannedWarmupWork, cluster.now)
 		}
 	})
 }
--- a/internal/hotkey/process_test.go
+++ b/internal/hotkey/process_test.go
@@ -25,8 +25,8 @@
 
 func TestMain(m *testing.M) { proctest.Main(m) }
 
-// processCluster is three registry replicas and two controllers as processes, two agents, and thirty sidecars that report
-// to these over sockets. The first controller holds the lease.
+// processCluster is a cluster of three registry replicas and two controllers that run as processes, two agents, and thirty
+// sidecars that report to the agents over sockets. The first controller holds the lease.
 type processCluster struct {
 	*testing.T
 	ctx             context.Context
@@ -35,8 +35,8 @@
 	controllers     []*proc.Process
 	controllerAddrs []string
 	hotKey          atomic.Uint64
-	loseReports     atomic.Bool  // every second report of a sidecar is lost
-	incarnation     atomic.Int64 // of the sidecars: they restart when it changes
+	loseReports     atomic.Bool  // if true, every second report of a sidecar is lost
+	incarnation     atomic.Int64 // of the sidecars; all restart when it changes
 }
 
 func newProcessCluster(t *testing.T) *processCluster {
@@ -49,7 +49,7 @@
 	t.Cleanup(block.Release)
 	program, dir := proctest.Program(t, "milldeck"), t.TempDir()
 	c.registryCluster, err = cluster.Start(ctx, 3, cluster.Options{Program: program, DataDir: dir, Addresses: block})
-	t.Cleanup(func() { _ = c.registryCluster.Close() }) // replicas that the test killed end with an error
+	t.Cleanup(func() { _ = c.registryCluster.Close() }) // Close fails for replicas that the test killed
 	c.noError(err)
 	c.client, err = c.registryCluster.Client()
 	c.noError(err)
@@ -102,13 +102,13 @@
 	for !done() {
 		select {
 		case <-c.ctx.Done():
-			c.Fatalf("not in time: %s\n%s\n%s", condition, c.controllers[0].Log(), c.controllers[1].Log())
+			c.Fatalf("timed out waiting for: %s\n%s\n%s", condition, c.controllers[0].Log(), c.controllers[1].Log())
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// call requests something and decodes the answer; false where that isn't 200.
+// call sends a request and decodes the response into v. It returns false if the status is not 200 or either step fails.
 func (c *processCluster) call(method, url string, v any) bool {
 	req, err := http.NewRequestWithContext(c.ctx, method, url, nil)
 	c.noError(err)
@@ -120,7 +120,7 @@
 	return resp.StatusCode == http.StatusOK && json.NewDecoder(resp.Body).Decode(v) == nil
 }
 
-// replicatedShare is the fraction of a key's load that replicas take by the placement, and their servers.
+// replicatedShare returns the fraction of a key's load that active replicas take under the placement, and their servers.
 func (c *processCluster) replicatedShare(key uint64) (share float64, servers []string) {
 	update, err := c.client.PlacementView(c.ctx, false)
 	if err != nil {
@@ -137,8 +137,8 @@
 	return share, servers
 }
 
-// runSidecar reports the load of the hot key once a second, and the revision that its agent has. One that misreports
-// reports a key of its own.
+// runSidecar simulates a sidecar that reports the load of the hot key and its agent's revision once per second. If it
+// misreports, it reports another key instead.
 func (c *processCluster) runSidecar(addr, name string, misreports bool) {
 	for n := 0; c.ctx.Err() == nil; n++ {
 		var update placement.Update
@@ -162,8 +162,8 @@
 	}
 }
 
-// A key takes a third of all load, then another does; the controller is killed while replicas of that warm up, and the
-// registry's leader with it; half of the reports are lost; a sidecar misreports. This is case 9 of the lab.
+// One key takes a third of all load, then a second key does. The controller and the registry's leader are killed while
+// replicas of the second key warm up, half of the reports are lost, and a sidecar misreports. This is case 9 of the lab.
 func TestHotKeysSurviveControllerAndLeaderLoss(t *testing.T) {
 	cluster := newProcessCluster(t)
 	cluster.hotKey.Store(1)
@@ -171,7 +171,7 @@
 	before, _ := cluster.replicatedShare(1)
 	cluster.loseReports.Store(true)
 	cluster.hotKey.Store(2)
-	cluster.waitUntil("replicas of the second key that warm up", func() bool {
+	cluster.waitUntil("replicas in warm-up of the second key", func() bool {
 		var statuses []hotkey.KeyStatus
 		return cluster.call(http.MethodGet, "http://"+cluster.controllerAddrs[0]+"/spread", &statuses) && slices.ContainsFunc(statuses, func(r hotkey.KeyStatus) bool {
 			return r.Key == hotkey.FormatKey(2) && r.Warming > 0
@@ -191,7 +191,8 @@
 	}
 }
 
-// Servers with active replicas are drained, then lost with others, while all sidecars restart. This is case 10 of the lab.
+// Two servers with active replicas are drained, then lost with two others, while all sidecars restart. This is case 10 of
+// the lab.
 func TestActiveReplicasDrainedThenServersLost(t *testing.T) {
 	cluster := newProcessCluster(t)
 	cluster.hotKey.Store(1)
@@ -208,14 +209,14 @@
 			return cluster.call(http.MethodPost, "http://"+cluster.controllerAddrs[0]+"/spread/leave?uid="+uid, &status) && status.Drained
 		})
 		if share, _ := cluster.replicatedShare(1); share < 0.4 {
-			cluster.Errorf("%s is drained, and replicas take %v", uid, share)
+			cluster.Errorf("after the drain of %s, replicas take %v of the load, want at least 0.4", uid, share)
 		}
 	}
 	for _, uid := range servers[:4] {
 		_, err := cluster.client.Deregister(cluster.ctx, registry.WriteOptions{}, uid)
 		cluster.noError(err)
 	}
-	cluster.waitUntil("active replicas in place of those lost", func() bool {
+	cluster.waitUntil("active replicas that replace the lost ones", func() bool {
 		share, currentServers := cluster.replicatedShare(1)
 		return share > 0.5 && !slices.ContainsFunc(servers[:4], func(uid string) bool { return slices.Contains(currentServers, uid) })
 	})
--- a/internal/hotkey/replica.go
+++ b/internal/hotkey/replica.go
@@ -9,29 +9,29 @@
 // ReplicaState is the state of a key's replica on a server.
 type ReplicaState int
 
-// The states of a replica. A retiring one becomes active again where it is needed.
+// The states of a replica. A retiring replica becomes active again if its key needs the capacity.
 const (
-	Warming  ReplicaState = iota // gets WarmupShare of the load and has answered too little to take its share
-	Active                       // takes a share that grows with the responses it has given
-	Retiring                     // to be removed; its share falls to 0 within RetirePeriod
+	Warming  ReplicaState = iota // gets at most WarmupShare of the load, until it has given enough responses
+	Active                       // takes a share that grows with the number of its responses
+	Retiring                     // its share falls to 0 within RetirePeriod, then it is removed
 )
 
-// replica is one server's replica of a key.
+// replica is the replica of a key on one server.
 type replica struct {
 	serverUID string
 	state     ReplicaState
-	responses float64 // to requests of the key, as far as reports show them
-	revision  uint64  // of the first directive that named it; 0: not confirmed
-	loadShare float64 // fraction of the key's load that it gets by the directive confirmed last
+	responses float64 // to requests of the key, estimated from reports
+	revision  uint64  // of the first confirmed directive that lists the replica; 0 before that
+	loadShare float64 // fraction of the key's load by the last confirmed directive
 	startedAt float64 // s
 	retiredAt float64 // s
 
-	// inheritedRampFactor is the ramp factor that a replica had when this leader took it over. It keeps it before it has
-	// answered anything.
+	// inheritedRampFactor is the ramp factor that the replica had under the previous leader. It is a lower bound of the
+	// ramp factor, so that the replica keeps its share before it has given responses under this leader.
 	inheritedRampFactor float64
 }
 
-// rampFactor is the fraction of its full share that a replica can take, 0 to 1.
+// rampFactor returns the fraction of its full share that a replica takes, 0 to 1.
 func (r *replica) rampFactor(config *Config, now float64) float64 {
 	factor := r.inheritedRampFactor
 	if r.responses >= config.WarmResponses {
@@ -46,14 +46,14 @@
 	return factor
 }
 
-// advance makes a replica active that has answered enough.
+// advance makes a warming replica active once it has given enough responses or has an inherited ramp factor.
 func (r *replica) advance(config *Config) {
 	if r.state == Warming && (r.responses >= config.WarmResponses || r.inheritedRampFactor > 0) {
 		r.state = Active
 	}
 }
 
-// expired reports whether a replica is to be removed: it has retired, or does not warm up.
+// expired reports whether a replica must be removed: it has retired, or has not warmed up within WarmupTimeout.
 func (r *replica) expired(config *Config, now float64) bool {
 	switch r.state {
 	case Retiring:
@@ -65,8 +65,8 @@
 	return false
 }
 
-// estimateResponses returns the responses that a replica has given by what sidecars show. Each sidecar counts at most as its equal
-// part among requiredReporters, so that none makes a replica warm by itself.
+// estimateResponses returns the number of responses that the replica has given according to the observations. One sidecar
+// accounts for at most an equal part among requiredReporters sidecars, so that no sidecar alone makes a replica warm.
 func (r *replica) estimateResponses(observed []observation, requiredReporters int) float64 {
 	total, largest := 0.0, 0.0
 	for _, seen := range observed {
@@ -75,7 +75,7 @@
 		case seen.toRevision < r.revision:
 			continue
 		case seen.fromRevision < r.revision:
-			requests /= 2 // it has followed the directive for a part of the time: half of it, as far as is known
+			requests /= 2 // the sidecar adopted the directive at an unknown time in between; half of it is assumed
 		}
 		total += requests
 		largest = math.Max(largest, requests)
@@ -87,7 +87,7 @@
 	return total
 }
 
-// perReplicaWarmupShare is the fraction of a key's load that each replica without a share gets by a directive.
+// perReplicaWarmupShare returns the fraction of a key's load that each replica without a share gets under a directive.
 func perReplicaWarmupShare(config *Config, copies []placement.KeyCopy) float64 {
 	warming := 0
 	for _, replica := range copies {
--- a/internal/hotkey/replicated_key.go
+++ b/internal/hotkey/replicated_key.go
@@ -8,44 +8,45 @@
 	"milldeck/internal/placement"
 )
 
-// shareDigits is the precision of published shares: they are rounded to a multiple of its inverse.
+// shareScale is the precision of published shares: each is rounded to a multiple of 1/shareScale.
 const shareScale = 1e5
 
-// replicatedKey is a key that has replicas, or is to get some.
+// replicatedKey is a key that has replicas or needs some.
 type replicatedKey struct {
 	key      uint64
 	replicas []*replica
 
-	loadLowerBound   float64 // lower bound of its load at the last plan, ms of work a second
-	requiredCapacity float64 // that home servers and replicas together are to have, ms of work a second
-	capacityAtDrain  float64 // that it had when the drain of one of its servers began; 0: none drains
-	maxHeadroom      float64 // upper bound of the fraction of a server's capacity that it may fill
+	loadLowerBound   float64 // at the last plan, ms of work per second
+	requiredCapacity float64 // that home servers and replicas together need, ms of work per second
+	capacityAtDrain  float64 // of the key's servers before a drain of one of them began; 0 if none drains
+	maxHeadroom      float64 // upper bound of the fraction of a server's capacity that the key may use
 	minHeadroom      float64 // lower bound of the same
 
-	scaleDownAfter float64 // time before which it isn't scaled down
-	uncertainSince float64 // time since which only the bounds of unlisted keys speak for its load; 0: they don't
+	scaleDownAfter float64 // time before which the key is not scaled down
+	uncertainSince float64 // time since which only bounds for unlisted keys prevent a scale-down; 0 if they do not
 
 	published      placement.Directive
 	publishedUntil float64       // time at which the published directive expires
-	unconfirmed    bool          // the published directive isn't known to be in force
-	observed       []observation // since responses were credited last, one for each sidecar
+	unconfirmed    bool          // the published directive is not known to be in force
+	observed       []observation // since responses were last credited, one per sidecar
 }
 
-// observation is what a sidecar's report shows of a key.
+// observation is what one or more successive reports of a sidecar show of a key.
 type observation struct {
 	sidecar  string
-	requests float64 // since its last report
-	// fromRevision and toRevision are the placement's revisions that it followed at the begin and the end of that time.
+	requests float64 // received since the report before these
+	// fromRevision and toRevision are the revisions of the placement that the sidecar followed at the start and the end of
+	// that time.
 	fromRevision, toRevision uint64
 }
 
-// DirectiveID is the id of a key's directive.
+// DirectiveID returns the ID of a key's directive.
 func DirectiveID(key uint64) string { return "spread/" + FormatKey(key) }
 
-// FormatKey formats a key as directives and reports do: 16 hexadecimal digits.
+// FormatKey returns a key in the format of directives and reports: 16 hexadecimal digits.
 func FormatKey(key uint64) string { return fmt.Sprintf("%016x", key) }
 
-// replicaOn returns the replica on a server, nil where there is none.
+// replicaOn returns the replica on a server, or nil.
 func (k *replicatedKey) replicaOn(serverUID string) *replica {
 	for _, r := range k.replicas {
 		if r.serverUID == serverUID {
@@ -55,7 +56,6 @@
 	return nil
 }
 
-// countIn counts the replicas in a state.
 func (k *replicatedKey) countIn(state ReplicaState) int {
 	count := 0
 	for _, r := range k.replicas {
@@ -66,12 +66,12 @@
 	return count
 }
 
-// remove removes the replica on a server at once.
+// remove removes the replica on a server without retiring it first.
 func (k *replicatedKey) remove(serverUID string) {
 	k.replicas = slices.DeleteFunc(k.replicas, func(r *replica) bool { return r.serverUID == serverUID })
 }
 
-// observe adds what a report shows to what the same sidecar has shown since responses were credited last.
+// observe merges an observation with the one that the same sidecar has had since responses were last credited.
 func (k *replicatedKey) observe(next observation) {
 	i := slices.IndexFunc(k.observed, func(o observation) bool { return o.sidecar == next.sidecar })
 	if i < 0 {
@@ -83,7 +83,8 @@
 	k.observed[i] = next
 }
 
-// creditResponses credits replicas with their fractions of the observed requests, once enough sidecars have reported.
+// creditResponses adds to the responses of replicas by the observed requests, once enough sidecars have reported. Replicas on
+// overloaded servers get none.
 func (k *replicatedKey) creditResponses(fleet *fleetView, requiredReporters int) {
 	if len(k.observed) < requiredReporters {
 		return
@@ -97,7 +98,7 @@
 	k.observed = k.observed[:0]
 }
 
-// advance makes replicas active that have answered enough, and removes those that have retired or do not warm up.
+// advance makes replicas with enough responses active, and removes replicas that have retired or failed to warm up.
 func (k *replicatedKey) advance(config *Config, now float64) {
 	k.replicas = slices.DeleteFunc(k.replicas, func(r *replica) bool {
 		r.advance(config)
@@ -105,7 +106,7 @@
 	})
 }
 
-// confirm notes that the published directive is in force from a revision on.
+// confirm records that the published directive is in force from the given revision on.
 func (k *replicatedKey) confirm(revision uint64, config *Config) {
 	k.unconfirmed = false
 	warmupShare := perReplicaWarmupShare(config, k.published.Copies)
@@ -123,7 +124,7 @@
 	}
 }
 
-// homeCapacity is the capacity of the key's home servers, without those that drain.
+// homeCapacity returns the capacity of the key's home servers, except those that drain or host a replica of the key.
 func (k *replicatedKey) homeCapacity(fleet *fleetView) float64 {
 	capacity := 0.0
 	fleet.forEachHomeServer(k.key, func(i int) {
@@ -135,8 +136,8 @@
 	return capacity
 }
 
-// replicaCapacity returns the capacity of active replicas by the shares that they can take already, and the total
-// capacity of those that are active or warming up. Draining servers are left out.
+// replicaCapacity returns the capacity of active replicas, scaled by their ramp factors, and the total capacity of
+// replicas that are active or warming up. Draining servers are excluded.
 func (k *replicatedKey) replicaCapacity(fleet *fleetView, config *Config) (active, total float64) {
 	for _, r := range k.replicas {
 		if fleet.draining[r.serverUID] || r.state == Retiring {
@@ -145,27 +146,27 @@
 		capacity := fleet.serverCapacity(fleet.index[r.serverUID])
 		total += capacity
 		if r.state == Active {
-			active += capacity * r.rampFactor(config, 0) // the time counts for retiring replicas alone
+			active += capacity * r.rampFactor(config, 0) // the time affects retiring replicas only
 		}
 	}
 	return active, total
 }
 
-// activeCapacity is the capacity that serves the key now: its home servers, and active replicas by the shares that they
-// can take already.
+// activeCapacity returns the capacity that serves the key now: that of its home servers, and that of active replicas scaled
+// by their ramp factors.
 func (k *replicatedKey) activeCapacity(fleet *fleetView, config *Config) float64 {
 	active, _ := k.replicaCapacity(fleet, config)
 	return k.homeCapacity(fleet) + active
 }
 
-// plannedCapacity is the capacity of the key's home servers and of all its replicas, once they are warmed up.
+// plannedCapacity returns the capacity of the key's home servers and replicas once all replicas are warm.
 func (k *replicatedKey) plannedCapacity(fleet *fleetView, config *Config) float64 {
 	_, total := k.replicaCapacity(fleet, config)
 	return k.homeCapacity(fleet) + total
 }
 
-// directive is the key's directive as it is to be published. A replica's share is its server's part of the capacity of
-// all that serve the key, times its ramp factor, of the load that replicas in warm-up leave.
+// directive returns the key's directive to publish. The load that remains after the warm-up shares is divided among home
+// servers and replicas in proportion to capacity; the capacity of a replica is multiplied by its ramp factor.
 func (k *replicatedKey) directive(fleet *fleetView, config *Config, now float64) placement.Directive {
 	directive := placement.Directive{
 		ID:          DirectiveID(k.key),
--- a/internal/hotkey/restore.go
+++ b/internal/hotkey/restore.go
@@ -8,8 +8,7 @@
 )
 
 // Restore takes over the directives that the previous leader left in the placement. It is called after SetServers.
-// Active replicas keep their shares and get no more before they have answered enough again; replicas that were warming up
-// start anew.
+// Active replicas keep their shares, which grow only after enough further responses; replicas in warm-up start it again.
 func (p *Planner) Restore(now float64, directives []placement.Directive) {
 	for i := range directives {
 		if len(p.keys) >= p.config.MaxKeys {
@@ -18,7 +17,7 @@
 		directive := &directives[i]
 		key, err := strconv.ParseUint(directive.KeyHash, 16, 64)
 		if err != nil || directive.Kind != placement.KindSpreadKey || directive.ID != DirectiveID(key) {
-			continue // another owner's
+			continue // not written by this controller
 		}
 		if float64(directive.ExpiresAtMS) <= now*1000 {
 			continue
@@ -27,7 +26,7 @@
 	}
 }
 
-// restoreKey returns a key as a directive describes it, with the replicas whose servers may still host them.
+// restoreKey returns the key of a directive, with the replicas whose servers may still host them.
 func (p *Planner) restoreKey(now float64, key uint64, directive *placement.Directive) *replicatedKey {
 	k := &replicatedKey{
 		key:            key,
@@ -45,15 +44,15 @@
 			revision:            directive.Revision,
 			loadShare:           max(published.LoadFraction, warmupShare),
 			startedAt:           now,
-			inheritedRampFactor: published.LoadFraction, // until restoreRampFactors replaces it
+			inheritedRampFactor: published.LoadFraction, // the published share, until restoreRampFactors replaces it
 		})
 	}
 	p.restoreRampFactors(k)
 	return k
 }
 
-// restoreRampFactors makes the replicas that were published with a share active, and sets the ramp factors by which
-// directive computes these shares again. The replicas' inherited ramp factors hold the published shares before.
+// restoreRampFactors makes the replicas that were published with a share active, and sets their inherited ramp factors so
+// that directive computes the same shares again. Before the call, the inherited ramp factors hold the published shares.
 func (p *Planner) restoreRampFactors(k *replicatedKey) {
 	totalShare, warming := 0.0, 0
 	for _, r := range k.replicas {
@@ -77,7 +76,7 @@
 	}
 }
 
-// restorable reports whether a published replica is valid, new to the key, and on a server that may host it.
+// restorable reports whether a published replica is valid, not yet added to the key, and on a server that may host it.
 func (p *Planner) restorable(k *replicatedKey, published *placement.KeyCopy) bool {
 	if !(published.LoadFraction >= 0 && published.LoadFraction <= 1) || k.replicaOn(published.ServerUID) != nil {
 		return false
--- a/internal/hotkey/scale_down.go
+++ b/internal/hotkey/scale_down.go
@@ -3,19 +3,19 @@
 import "math"
 
 const (
-	// scaleDownStep is the fraction of a key's replicas that one step removes.
+	// scaleDownStep is the fraction of a key's replicas that are removed in one step.
 	scaleDownStep = 0.25
-	// uncertaintyPeriod is the time in s for which a key keeps its replicas only because it might be just below what
-	// sidecars list in their reports.
+	// uncertaintyPeriod limits the time in s for which a key keeps its replicas only because sidecars that do not list it
+	// may have load for it just below the keys that they list.
 	uncertaintyPeriod = 10.0
-	// reclaimThreshold is the fraction of the load that scales a key up below which its replicas are removed early, where
-	// another key needs them.
+	// reclaimThreshold is a fraction of the load at which a key is first replicated. Replicas of a key with a lower load
+	// are removed early when the limit of replicas is reached, so that other keys can use them.
 	reclaimThreshold = 0.25
-	// minReplicaLimit is how many replicas the smallest fleet may have.
+	// minReplicaLimit is the limit of replicas in the smallest fleets.
 	minReplicaLimit = 4.0
 )
 
-// scaleDown retires replicas of a key where the upper bound of its load is far below what they have capacity for.
+// scaleDown retires replicas of a key if the upper bound of the load is far below the capacity of the remaining servers.
 func (p *Planner) scaleDown(k *replicatedKey, now float64) {
 	excess := p.excessReplicas(k)
 	if len(excess) == 0 || k.capacityAtDrain > 0 {
@@ -37,7 +37,7 @@
 	k.scaleDownAfter = math.Max(k.scaleDownAfter, now+p.config.ScaleDownInterval)
 }
 
-// excessReplicas returns the replicas that one step removes: the last in order.
+// excessReplicas returns the replicas that one step removes: those started last.
 func (p *Planner) excessReplicas(k *replicatedKey) []*replica {
 	var removable []*replica
 	for _, r := range k.replicas {
@@ -49,8 +49,8 @@
 	return removable[len(removable)-count:]
 }
 
-// fitsWithout reports whether a key's load fits the servers that remain without some replicas. Where only the bounds of
-// unlisted keys speak against it, that counts for uncertaintyPeriod.
+// fitsWithout reports whether the capacity without the excess replicas suffices for the key's load. If it suffices except
+// for the load that sidecars may have without listing the key, the result is false for uncertaintyPeriod, then true.
 func (p *Planner) fitsWithout(k *replicatedKey, excess []*replica, now float64) bool {
 	remaining := k.activeCapacity(&p.fleet, &p.config)
 	for _, r := range excess {
@@ -73,12 +73,12 @@
 	return now-k.uncertainSince >= uncertaintyPeriod
 }
 
-// scaleDownHeadroom is the headroom that a key surely has.
+// scaleDownHeadroom returns the lower bound of the headroom for a key, at least MinHeadroom.
 func (p *Planner) scaleDownHeadroom(k *replicatedKey) float64 {
 	return math.Max(k.minHeadroom, p.config.MinHeadroom)
 }
 
-// replicasScarce reports whether there are as many replicas as there may be while the key needs its own least.
+// replicasScarce reports whether the limit of replicas is reached and the load of the key is below reclaimThreshold.
 func (p *Planner) replicasScarce(k *replicatedKey) bool {
 	if float64(p.replicaCount()) < p.replicaLimit() {
 		return false
@@ -86,13 +86,13 @@
 	return k.loadLowerBound < reclaimThreshold*p.scaleDownHeadroom(k)*k.homeCapacity(&p.fleet)
 }
 
-// replicaLimit is how many replicas of all keys there may be, and how many may be started a second.
+// replicaLimit returns the limit of replicas of all keys, which also limits the replicas started per second.
 func (p *Planner) replicaLimit() float64 {
 	return math.Max(p.config.ReplicasPerServer*float64(p.fleet.readyCount), minReplicaLimit)
 }
 
-// replicaCount counts the replicas of all keys. Retiring ones count too: they are in the placement, and where load moves
-// from key to key there are many.
+// replicaCount returns the number of replicas of all keys. It includes retiring replicas: they are in the placement, and
+// there are many of them when load moves from key to key.
 func (p *Planner) replicaCount() int {
 	count := 0
 	for _, k := range p.keys {
--- a/internal/hotkey/scale_up.go
+++ b/internal/hotkey/scale_up.go
@@ -8,18 +8,18 @@
 	"milldeck/internal/placement"
 )
 
-// maxLoadReplicas is how many replicas of a key are started for its load. The rest, up to placement.MaxCopiesPerKey, is
-// left for replacing servers that drain.
+// maxLoadReplicas limits the replicas of a key that are started because of its load. The remaining replicas, up to
+// placement.MaxCopiesPerKey, are reserved for replacing draining servers.
 const maxLoadReplicas = 56
 
 // scaleUpCandidate is a key that requires more capacity than it has.
 type scaleUpCandidate struct {
 	key      *replicatedKey
-	capacity float64 // of all its servers, ms of work a second
+	capacity float64 // of the key's servers, with all replicas warm, ms of work per second
 }
 
-// scaleUp starts replicas while the budgets last. Each goes to the key where it takes most work off overloaded servers,
-// for the same cost; replacements of servers that drain go first.
+// scaleUp starts replicas until a budget or limit is used up. All replicas cost the same, so each goes to the key where it
+// takes the most excess work off the key's servers. Replacements for draining servers come first.
 func (p *Planner) scaleUp(now float64) {
 	candidates := p.scaleUpCandidates(now)
 	replicaCount := float64(p.replicaCount())
@@ -44,13 +44,13 @@
 	}
 }
 
-// mayStartReplica reports whether both budgets allow for one more replica.
+// mayStartReplica reports whether both budgets permit one more replica.
 func (p *Planner) mayStartReplica() bool {
 	return p.warmupTokens >= p.config.WarmupWork && p.replicaTokens >= 1
 }
 
-// scaleUpCandidates returns the keys that require more capacity. Their retiring replicas become active again first: they
-// are still warm, and cost nothing.
+// scaleUpCandidates returns the keys that require more capacity. It first makes retiring replicas of these keys active
+// again, since they are still warm and cost nothing.
 func (p *Planner) scaleUpCandidates(now float64) []*scaleUpCandidate {
 	var candidates []*scaleUpCandidate
 	for _, k := range p.sortedKeys() {
@@ -70,8 +70,8 @@
 	return candidates
 }
 
-// scaleUpBenefit is the work that one more replica takes off the key's servers, of what is too much for them, in ms a
-// second. It is infinite for the replacement of a server that drains, and 0 where no replica is to be started.
+// scaleUpBenefit returns the excess work that one more replica takes off the key's servers, in ms per second. It is infinite
+// for the replacement of a draining server, and 0 if no replica may be started.
 func (p *Planner) scaleUpBenefit(c *scaleUpCandidate) float64 {
 	k, warming := c.key, c.key.countIn(Warming)
 	switch {
@@ -80,7 +80,7 @@
 		warming >= max(p.config.MaxWarming, k.countIn(Active)):
 		return 0
 	case k.capacityAtDrain > c.capacity:
-		// The server that drains still serves its part, and is not to lose it at once.
+		// The draining server still serves its share and must not lose it at once, so fewer replicas warm up at a time.
 		if warming >= max(p.config.MaxWarming/3, 1) {
 			return 0
 		}
@@ -93,9 +93,9 @@
 	return math.Min(excess, replicaLoad)
 }
 
-// chooseServer returns the first server in the key's preference order that may get a replica; ok is false where there is
-// none. Zones and pod groups that have fewer replicas of the key go first: a server of a zone that has its part already,
-// or of a pod group that has one, is chosen only where there is no other.
+// chooseServer returns the index of the server for the key's next replica; ok is false if no server may get one. It is the
+// first server in the key's preference order whose zone has less than its part of the key's servers and whose pod group
+// has none. If there is no such server, one from a zone with the fewest of them is chosen.
 func (p *Planner) chooseServer(k *replicatedKey) (index int, ok bool) {
 	zoneReplicas, podReplicas := map[string]int{}, map[int]int{}
 	used := map[int]bool{}
--- a/internal/hotkey/simulated_fleet_test.go
+++ b/internal/hotkey/simulated_fleet_test.go
@@ -21,7 +21,7 @@
 
 const unixStart = 1e9 // Unix time in s at which the virtual clock starts
 
-// simulatedController is a Planner over the sidecars of a simulated fleet, and the placement that each gets a little later.
+// simulatedController runs a Planner for a simulated fleet. Sidecars receive its placement after a short delay.
 type simulatedController struct {
 	planner    *hotkey.Planner
 	nextPlanMS float64
@@ -30,15 +30,15 @@
 	sidecars   []*simulatedSidecar
 }
 
-// simulatedSidecar is a sidecar's instance of the decision module. It measures key loads, reports them and gets the
-// placement between its events.
+// simulatedSidecar wraps a sidecar's instance of the decision module. Between the events of the instance, it measures and
+// reports key loads and receives the placement.
 type simulatedSidecar struct {
 	sim.Instance
 	controller     *simulatedController
 	name           string
 	sketch         *topk.Sketch
 	nextReportMS   float64
-	placementDueMS float64 // when it gets the placement; +Inf: it has it
+	placementDueMS float64 // time at which the sidecar receives the placement; +Inf if it has the current one
 	revision       uint64
 	actions        []balance.Action
 }
@@ -114,8 +114,8 @@
 	return c.actions, err
 }
 
-// fleetExperiment is experiments/fleet.toml without its faults, for 12 s from a start with empty caches, with other
-// sidecars, rate and skew.
+// fleetExperiment returns experiments/fleet.toml without its faults, for 12 s from a start with empty caches, with the given
+// number of sidecars, request rate and key skew.
 func fleetExperiment(b *testing.B, sidecars, rate int, skew float64) *lab.Experiment {
 	data, err := os.ReadFile("../../experiments/fleet.toml")
 	if err != nil {
@@ -131,8 +131,10 @@
 	return experiment
 }
 
-// BenchmarkFleet plays the module in a simulated fleet of 200 servers without replicated keys and with them, and reports
-// the weighted share of requests served: go test -run xxx -bench Fleet -benchtime 1x ./internal/hotkey
+// BenchmarkFleet runs the decision module in a simulated fleet of 200 servers without and with replicated keys, and reports
+// the weighted share of requests served:
+//
+//	go test -run xxx -bench Fleet -benchtime 1x ./internal/hotkey
 func BenchmarkFleet(b *testing.B) {
 	for _, scenario := range []struct {
 		name           string
@@ -184,7 +186,7 @@
 	return &simulatedController{planner: planner, directives: map[string]placement.Directive{}}
 }
 
-// newSidecar wraps the module instance of one sidecar.
+// newSidecar creates the module instance of one sidecar and wraps it in a simulatedSidecar.
 func (c *simulatedController) newSidecar(number int, config balance.Config) (sim.Instance, error) {
 	module, err := balance.New(config)
 	sidecar := &simulatedSidecar{Instance: module, controller: c, name: fmt.Sprint("car", number), sketch: topk.New(64, 0.7), nextReportMS: float64(number%100) * 10, placementDueMS: math.Inf(1)}
--- a/internal/hotkey/snapshot.go
+++ b/internal/hotkey/snapshot.go
@@ -14,20 +14,21 @@
 
 const (
 	refreshInterval = time.Second      // between two snapshots, on average
-	snapshotTimeout = 2 * writeTimeout // of the two reads of one
+	snapshotTimeout = 2 * writeTimeout // of the two reads of a snapshot
 )
 
-// errNoEndpoints says that the registry lists no servers at all. That says nothing about them.
+// errNoEndpoints reports that the registry lists no servers at all. The list is then not used, because it says nothing about
+// the state of the servers.
 var errNoEndpoints = errors.New("the endpoint list is empty")
 
-// snapshot is what the registry had when it was read last.
+// snapshot is the endpoints and the placement at one read of the registry.
 type snapshot struct {
 	servers   []Server
 	placement placement.Update
 }
 
-// pollSnapshots sends a snapshot every refreshInterval until ctx ends. Where one fails, the planner goes on with what it
-// knows.
+// pollSnapshots sends a snapshot every refreshInterval until ctx ends. After a failed read, the planner continues with the
+// previous snapshot.
 func (c *Controller) pollSnapshots(ctx context.Context, logger *slog.Logger, snapshots chan<- *snapshot) {
 	for {
 		select {
@@ -48,7 +49,7 @@
 	}
 }
 
-// fetchSnapshot reads endpoints and placement; fresh ones come from the registry's leader.
+// fetchSnapshot reads endpoints and placement. With fresh, it reads them from the registry's leader.
 func (c *Controller) fetchSnapshot(ctx context.Context, fresh bool) (*snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
@@ -66,7 +67,7 @@
 	return &snapshot{servers: c.serversFrom(&list, &update), placement: update}, nil
 }
 
-// serversFrom returns the listed endpoints as servers, with what the placement excludes.
+// serversFrom converts the listed endpoints to servers and marks those that the placement excludes.
 func (c *Controller) serversFrom(list *registry.EndpointList, update *placement.Update) []Server {
 	excluded := map[string]bool{}
 	for i := range update.Directives {
--- a/internal/hotkey/status.go
+++ b/internal/hotkey/status.go
@@ -6,16 +6,16 @@
 	"milldeck/internal/placement"
 )
 
-// KeyStatus is a replicated key as operators see it. Loads are in ms of work a second.
+// KeyStatus is the status of a replicated key for operators. Loads are in ms of work per second.
 type KeyStatus struct {
 	Key        string  `json:"key"`  // 16 hexadecimal digits, as in directives
 	LowerBound float64 `json:"low"`  // of the fleet's load of the key
-	UpperBound float64 `json:"high"` // of the same; math.MaxFloat64 where no report is at hand
+	UpperBound float64 `json:"high"` // of the same load; math.MaxFloat64 without reports
 	// Warming, Active and Retiring count the key's replicas by state.
 	Warming  int `json:"warming"`
 	Active   int `json:"carrying"`
 	Retiring int `json:"cooling"`
-	// Placement is the directive published last.
+	// Placement is the last published directive.
 	Placement *placement.Directive `json:"placement,omitempty"`
 }
 
