--- a/internal/hotkey/controller_test.go
+++ b/internal/hotkey/controller_test.go
@@ -93,7 +93,8 @@
 	return time.Since(began)
 }
 
-// A second controller takes over the lease while a stale holder still writes; active replicas and a drain survive that.
+// A second controller takes over while a stale holder still writes: the stale writes are rejected, the active replicas stay,
+// and the second controller drains a server. The test runs on synctest's clock.
 func TestControllerFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &registryStub{directives: map[string]placement.Directive{}, token: 7, unavailable: true}
--- a/internal/hotkey/demand.go
+++ b/internal/hotkey/demand.go
@@ -19,7 +19,7 @@
 	return maxHeadroom, minHeadroom
 }
 
-// detectHotKeys starts to replicate keys the lower bound of whose load exceeds the headroom of their home servers.
+// detectHotKeys starts to replicate the keys for which the lower bound of the load exceeds the headroom of the home servers.
 func (p *Planner) detectHotKeys(now float64) {
 	for _, key := range p.loads.candidates { // hottest first
 		lower := p.scaleUpLoad(key)
--- a/internal/hotkey/fixtures_test.go
+++ b/internal/hotkey/fixtures_test.go
@@ -47,8 +47,8 @@
 	return servers
 }
 
-// runFixture simulates steps of 250 ms: a key is hot for the first 9 s, and one server is drained from 5 s on. It returns all
-// changes of the placement, and the planner after the last step.
+// runFixture simulates steps of 250 ms, 80 of which are the whole scenario of 20 s: a key is hot for the first 9 s, and one
+// server is drained from 5 s on. It returns all changes of the placement, and the planner after the last step.
 func runFixture(t *testing.T, steps int) ([]fixtureChange, *Planner) {
 	t.Helper()
 	planner, err := NewPlanner(DefaultConfig(1000, 50))
--- a/internal/hotkey/load_aggregator.go
+++ b/internal/hotkey/load_aggregator.go
@@ -23,7 +23,7 @@
 	// outlierFactor limits a sidecar's total load to a multiple of the median over all sidecars. A report above it is
 	// ignored.
 	outlierFactor = 8.0
-	// outlierMinRequests is a rate in requests per second. A sidecar with a total load up to it is never an outlier.
+	// outlierMinRequests is the rate in requests per second up to which a sidecar is never an outlier.
 	outlierMinRequests = 10
 	// minObservedFraction is the smallest fraction of a sidecar's load that its average is assumed to show soon after its start.
 	minObservedFraction = 0.4
--- a/internal/hotkey/planner.go
+++ b/internal/hotkey/planner.go
@@ -8,8 +8,8 @@
 	"milldeck/internal/placement"
 )
 
-// initialObservation is the time in s after the first report in which no new key is replicated, so that each sidecar has
-// reported before.
+// initialObservation is the time in s after the first report in which no new key is replicated. Each sidecar
+// reports at least once in this time.
 const initialObservation = 1.2
 
 // Planner decides which keys are replicated and on which servers. It is not safe for concurrent use.
