--- a/cmd/milldeck/accept_errors_test.go
+++ b/cmd/milldeck/accept_errors_test.go
@@ -60,10 +60,10 @@
 }
 
 // Each program that serves outlives errors of accept that pass: it neither ends nor stays alive without listening.
-func TestServersOutliveAcceptErrors(t *testing.T) {
-	const failsFor = 300 * time.Millisecond
+func TestServersContinueAfterAcceptErrors(t *testing.T) {
+	const errorDuration = 300 * time.Millisecond
 	block := proctest.Block(t)
-	for number, test := range []struct {
+	for index, test := range []struct {
 		name, file string
 		args       []string
 		path       string
@@ -73,7 +73,7 @@
 		{"supervisor", "", []string{"supervisor", "stand-in", "--versions", "../../internal/supervisor/standin/testdata/versions.toml"}, "/"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			address, args := block.Addr(0, number, 8081), test.args
+			address, args := block.Addr(0, index, 8081), test.args
 			if test.file != "" {
 				path := filepath.Join(t.TempDir(), "config.toml")
 				text := fmt.Sprintf(test.file, address, filepath.Join(t.TempDir(), "state"))
@@ -98,7 +98,7 @@
 					t.Fatalf("it does not serve: %s", process.Log())
 				}
 			}
-			supervisor.Add(shim.Rule{Call: shim.Accept, Errno: syscall.ENOBUFS, Share: 1, Until: time.Now().Add(failsFor)})
+			supervisor.Add(shim.Rule{Call: shim.Accept, Errno: syscall.ENOBUFS, Share: 1, Until: time.Now().Add(errorDuration)})
 			if err := get(); err != nil {
 				t.Errorf("%v; running %v, its log ends: %s", err, process.Running(), process.Log())
 			}
--- a/cmd/milldeck/contract.go
+++ b/cmd/milldeck/contract.go
@@ -58,7 +58,7 @@
 
 // printApprovedHours prints the approved hours of the next days, in the tenant's time zone and in UTC.
 func printApprovedHours(out io.Writer, terms *contract.Contract, now int64, days int) error {
-	approved, err := terms.Calendar()
+	calendar, err := terms.Calendar()
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 	if err != nil {
 		return fmt.Errorf("zone: %w", err)
 	}
-	intervals := approved.Between(now, now+int64(days)*24*time.Hour.Milliseconds())
+	intervals := calendar.Between(now, now+int64(days)*24*time.Hour.Milliseconds())
 	if len(intervals) == 0 {
 		return errors.New("nothing is approved in this time")
 	}
@@ -127,13 +127,13 @@
 
 // minutesUsed is what a tenant's windows have used of the present month of its time zone.
 func minutesUsed(snapshot *maintenance.Snapshot, active *maintenance.ActiveContract) int64 {
-	approved, err := active.Calendar()
+	calendar, err := active.Calendar()
 	if err != nil {
 		return 0 // a contract of a later version: its months are not known here
 	}
 	now := time.Now().UnixMilli()
 	usedMS := int64(0)
-	for _, month := range approved.Months(now, now+1) {
+	for _, month := range calendar.Months(now, now+1) {
 		usedMS = snapshot.UsedMS[active.Tenant][month.Name]
 	}
 	return usedMS / time.Minute.Milliseconds()
--- a/cmd/milldeck/fleet.go
+++ b/cmd/milldeck/fleet.go
@@ -120,8 +120,8 @@
 				return usageError{fmt.Errorf("--deadline: %v is not above 0", deadline)}
 			}
 			plan := release.DrainPlan(args[0], selector, deadline.Seconds())
-			return f.runRelease(command.Context(), command.OutOrStdout(), plan, func(view *releaseInputs) (*release.State, error) {
-				return release.NewDrain(plan, time.Now().UnixMilli(), view.ledger.Units, view.platform)
+			return f.runRelease(command.Context(), command.OutOrStdout(), plan, func(inputs *releaseInputs) (*release.State, error) {
+				return release.NewDrain(plan, time.Now().UnixMilli(), inputs.ledger.Units, inputs.platform)
 			})
 		},
 	}
--- a/cmd/milldeck/fleet_budgets_test.go
+++ b/cmd/milldeck/fleet_budgets_test.go
@@ -29,21 +29,21 @@
 		}
 	})
 	path := filepath.Join(t.TempDir(), "budgets.toml")
-	const calm = "[[budget]]\nname = \"calm\"\nselect = { kind = \"server\", zone = \"a\" }\nmax_out = { share = 0.1 }\n"
-	const few = "[[budget]]\nname = \"few\"\nmax_out = { count = 3, share = 0.5 }\nmax_cold = { count = 2 }\n"
-	const printedCalm, printedFew = "calm 10% out any cold of servers, zone a", "few 3 and 50% out 2 cold of all units"
+	const zoneBudget = "[[budget]]\nname = \"calm\"\nselect = { kind = \"server\", zone = \"a\" }\nmax_out = { share = 0.1 }\n"
+	const countBudget = "[[budget]]\nname = \"few\"\nmax_out = { count = 3, share = 0.5 }\nmax_cold = { count = 2 }\n"
+	const printedZoneBudget, printedCountBudget = "calm 10% out any cold of servers, zone a", "few 3 and 50% out 2 cold of all units"
 	for _, test := range []struct {
 		name string
 		file string
 		code int
 		want string // of the output with one space between words, or of the error
 	}{
-		{"one", calm, 0, printedCalm},
-		{"another as well", few + calm, 0, printedCalm + " " + printedFew},
-		{"an invalid fraction", few + strings.Replace(calm, "0.1", "1.1", 1), exitUsage, "budgets.toml:5: budget[1]: budget.max_out.share: 1.1 is not within 0 to 1"},
-		{"a name twice", few + few, exitUsage, `budgets.toml:5: budget[1]: name: there are two budgets "few"`},
+		{"one", zoneBudget, 0, printedZoneBudget},
+		{"another as well", countBudget + zoneBudget, 0, printedZoneBudget + " " + printedCountBudget},
+		{"an invalid fraction", countBudget + strings.Replace(zoneBudget, "0.1", "1.1", 1), exitUsage, "budgets.toml:5: budget[1]: budget.max_out.share: 1.1 is not within 0 to 1"},
+		{"a name twice", countBudget + countBudget, exitUsage, `budgets.toml:5: budget[1]: name: there are two budgets "few"`},
 		{"an unknown key", "[[budget]]\nlimit = 3\n", exitUsage, "budgets.toml:2: budget.limit: unknown key"},
-		{"one less", few, 0, printedFew},
+		{"one less", countBudget, 0, printedCountBudget},
 		{"none", "", 0, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/cmd/milldeck/lab.go
+++ b/cmd/milldeck/lab.go
@@ -72,8 +72,8 @@
 	return os.WriteFile(path, data, 0o644)
 }
 
-// errCutShort is the error of a run that an interrupt ended.
-var errCutShort = errors.New("cut short")
+// errInterrupted is the error of a run that an interrupt ended.
+var errInterrupted = errors.New("cut short")
 
 // violationError is the error of a run whose sidecars broke rules, or that could not be judged.
 func violationError(result *lab.Result) error {
@@ -85,7 +85,7 @@
 			result.Name, result.Lateness, result.SentTooLate)
 	}
 	if result.CutShort {
-		return errCutShort
+		return errInterrupted
 	}
 	return nil
 }
@@ -177,7 +177,7 @@
 		return err
 	}
 	if plan.Experiment.HasControlPlane() && !command.Flags().Changed("policy") {
-		return s.controlPlane.play(command, plan, &s.output, s.workers)
+		return s.controlPlane.simulate(command, plan, &s.output, s.workers)
 	}
 	policies := []string{s.policy}
 	if s.policy == "all" {
@@ -185,7 +185,7 @@
 	} else if !slices.Contains(sim.Policies(), s.policy) {
 		return usageError{fmt.Errorf("--policy %s: not all, %s", s.policy, strings.Join(sim.Policies(), ", "))}
 	}
-	results, err := s.play(command, plan, policies)
+	results, err := s.runPolicies(command, plan, policies)
 	if err != nil {
 		return err
 	}
@@ -195,8 +195,8 @@
 	return s.finishComparison(command, results)
 }
 
-// play plays the plan once with each policy.
-func (s *simCommand) play(command *cobra.Command, plan *lab.Plan, policies []string) ([]*lab.Result, error) {
+// runPolicies runs the plan once with each policy.
+func (s *simCommand) runPolicies(command *cobra.Command, plan *lab.Plan, policies []string) ([]*lab.Result, error) {
 	var results []*lab.Result
 	for _, policy := range policies {
 		options := sim.Options{Policy: policy, Workers: s.workers, Progress: simProgress(command, policy)}
--- a/cmd/milldeck/lab_controlplane.go
+++ b/cmd/milldeck/lab_controlplane.go
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// play plays the simulations and writes their figures; a broken rule is an error.
-func (f *controlPlaneFlags) play(command *cobra.Command, plan *lab.Plan, output *outputFlags, workers int) error {
+// simulate runs the simulations and writes their figures; a broken rule is an error.
+func (f *controlPlaneFlags) simulate(command *cobra.Command, plan *lab.Plan, output *outputFlags, workers int) error {
 	firstSeed, lastSeed, err := f.seedRange(plan.Seed)
 	if err != nil {
 		return err
@@ -75,8 +75,8 @@
 			return err
 		}
 	}
-	if figures := result.Summary; figures.Violations+figures.RolloutViolations > 0 {
-		return fmt.Errorf("%s: %d rule(s) broken, in the simulations of seeds %v", result.Name, figures.Violations+figures.RolloutViolations, figures.FailedSeeds)
+	if summary := result.Summary; summary.Violations+summary.RolloutViolations > 0 {
+		return fmt.Errorf("%s: %d rule(s) broken, in the simulations of seeds %v", result.Name, summary.Violations+summary.RolloutViolations, summary.FailedSeeds)
 	}
 	return nil
 }
@@ -89,8 +89,8 @@
 	if f.seeds == "" {
 		return seed, seed, nil
 	}
-	from, to, ranged := strings.Cut(f.seeds, "-")
-	if !ranged {
+	from, to, isRange := strings.Cut(f.seeds, "-")
+	if !isRange {
 		to = from
 	}
 	first, err = strconv.ParseUint(from, 10, 63)
@@ -107,19 +107,19 @@
 const maxListedViolations = 3
 
 func writeControlPlaneTable(w io.Writer, result *batch.Result) error {
-	figures := &result.Summary
+	summary := &result.Summary
 	table := newTable(w)
 	row := func(name, format string, args ...any) {
 		fmt.Fprintf(table, "%s\t%s\n", name, fmt.Sprintf(format, args...))
 	}
-	row(result.Name, "%d simulations of the control plane, %.0f s in all, %d writes", figures.Simulations, figures.SimulatedSeconds, figures.Writes)
-	row("rules broken", "%d", figures.Violations+figures.RolloutViolations)
-	row("excluded", "%.0f s by all sidecars, %.3f s outside approved hours", figures.ExcludedSeconds, figures.ExcludedOutsideHoursSeconds)
-	row("windows", "%.4f of %d feasible ones were completed", figures.CompletedWindowShare, figures.FeasibleWindows)
-	if figures.RegressedRollouts > 0 {
-		row("regressed versions", "%.4f of %d stopped under a tenth of the fleet", figures.StoppedEarlyShare, figures.RegressedRollouts)
-		row("healthy versions", "%.4f of %d halted", figures.FalseHaltShare, figures.HealthyRollouts)
-		row("rollback", "at most %.2f of the rollout's duration, median %.2f", figures.MaxRollbackRatio, figures.MedianRollbackRatio)
+	row(result.Name, "%d simulations of the control plane, %.0f s in all, %d writes", summary.Simulations, summary.SimulatedSeconds, summary.Writes)
+	row("rules broken", "%d", summary.Violations+summary.RolloutViolations)
+	row("excluded", "%.0f s by all sidecars, %.3f s outside approved hours", summary.ExcludedSeconds, summary.ExcludedOutsideHoursSeconds)
+	row("windows", "%.4f of %d feasible ones were completed", summary.CompletedWindowShare, summary.FeasibleWindows)
+	if summary.RegressedRollouts > 0 {
+		row("regressed versions", "%.4f of %d stopped under a tenth of the fleet", summary.StoppedEarlyShare, summary.RegressedRollouts)
+		row("healthy versions", "%.4f of %d halted", summary.FalseHaltShare, summary.HealthyRollouts)
+		row("rollback", "at most %.2f of the rollout's duration, median %.2f", summary.MaxRollbackRatio, summary.MedianRollbackRatio)
 	}
 	for _, simulation := range result.Simulations {
 		for i, violation := range simulation.FirstViolations {
--- a/cmd/milldeck/lab_run.go
+++ b/cmd/milldeck/lab_run.go
@@ -28,20 +28,20 @@
 	command.Flags().StringVar(&f.logDir, "logs", "", "keep configurations and logs in this folder (default: a temporary one, kept after a failure)")
 }
 
-// play plays a plan with real processes.
-func (f *liveFlags) play(ctx context.Context, plan *lab.Plan, progress func(live.Progress)) (*lab.Result, error) {
+// runPlan runs a plan with real processes.
+func (f *liveFlags) runPlan(ctx context.Context, plan *lab.Plan, progress func(live.Progress)) (*lab.Result, error) {
 	if plan.Experiment.HotKeys != nil {
 		return nil, usageError{errors.New("[spread] is played by lab sim alone")}
 	}
-	self, err := os.Executable()
+	milldeckPath, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	path := f.sidecarPath
-	if path == "" {
-		path = filepath.Join(filepath.Dir(self), "sidecar")
+	sidecarProgram := f.sidecarPath
+	if sidecarProgram == "" {
+		sidecarProgram = filepath.Join(filepath.Dir(milldeckPath), "sidecar")
 	}
-	if _, err := os.Stat(path); err != nil {
+	if _, err := os.Stat(sidecarProgram); err != nil {
 		return nil, usageError{fmt.Errorf("the sidecar's program: %w", err)}
 	}
 	dir := f.logDir
@@ -52,7 +52,7 @@
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	result, err := live.Run(ctx, plan, live.Options{SidecarPath: path, MilldeckPath: self, Dir: dir, Progress: progress})
+	result, err := live.Run(ctx, plan, live.Options{SidecarPath: sidecarProgram, MilldeckPath: milldeckPath, Dir: dir, Progress: progress})
 	if err != nil {
 		return nil, fmt.Errorf("%w (logs in %s)", err, dir)
 	}
@@ -99,7 +99,7 @@
 			if err != nil {
 				return err
 			}
-			result, err := processes.play(command.Context(), plan, runProgress(command.ErrOrStderr()))
+			result, err := processes.runPlan(command.Context(), plan, runProgress(command.ErrOrStderr()))
 			if err != nil {
 				return err
 			}
@@ -133,7 +133,7 @@
 			if err != nil {
 				return err
 			}
-			measured, err := processes.play(command.Context(), plan, runProgress(command.ErrOrStderr()))
+			measured, err := processes.runPlan(command.Context(), plan, runProgress(command.ErrOrStderr()))
 			if err != nil {
 				return err
 			}
--- a/cmd/milldeck/lab_soak.go
+++ b/cmd/milldeck/lab_soak.go
@@ -59,31 +59,31 @@
 	if !(f.faultRate >= 0 && f.faultRate <= maxFaultRate) {
 		return usageError{fmt.Errorf("--faults %v: at most %v", f.faultRate, maxFaultRate)}
 	}
-	own, err := os.Executable()
+	milldeckPath, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	if f.sidecarPath == "" {
-		f.sidecarPath = filepath.Join(filepath.Dir(own), "sidecar")
+		f.sidecarPath = filepath.Join(filepath.Dir(milldeckPath), "sidecar")
 	}
-	broken := 0
+	failedSeeds := 0
 	for seed := f.firstSeed; seed <= max(f.firstSeed, f.lastSeed) && command.Context().Err() == nil; seed++ {
-		violations, err := f.runSeed(command, own, seed)
+		violations, err := f.runSeed(command, milldeckPath, seed)
 		if err != nil {
 			return err
 		}
 		if violations > 0 {
-			broken++
+			failedSeeds++
 		}
 	}
-	if broken > 0 {
-		return fmt.Errorf("promises were broken on %d seed(s)", broken)
+	if failedSeeds > 0 {
+		return fmt.Errorf("promises were broken on %d seed(s)", failedSeeds)
 	}
 	return nil
 }
 
 // runSeed plays one run, prints it and returns the number of its violations.
-func (f *soakFlags) runSeed(command *cobra.Command, own string, seed uint64) (violations int, err error) {
+func (f *soakFlags) runSeed(command *cobra.Command, milldeckPath string, seed uint64) (violations int, err error) {
 	dir := f.dir
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "milldeck-soak-"); err != nil {
@@ -95,7 +95,7 @@
 		return 0, err
 	}
 	result, err := faultsoak.Run(command.Context(), faultsoak.Options{
-		Seed: seed, Length: f.length, FaultRate: f.faultRate, Only: f.only, SidecarPath: f.sidecarPath, MilldeckPath: own, Dir: dir,
+		Seed: seed, Length: f.length, FaultRate: f.faultRate, Only: f.only, SidecarPath: f.sidecarPath, MilldeckPath: milldeckPath, Dir: dir,
 	})
 	if err != nil {
 		return 0, err
--- a/cmd/milldeck/lab_sweep.go
+++ b/cmd/milldeck/lab_sweep.go
@@ -34,23 +34,23 @@
 	command.Flags().StringVar(&f.policy, "policy", sim.Module, "in sim, the policy that decides")
 }
 
-// player plays one plan.
-type player func(context.Context, *lab.Plan) (*lab.Result, error)
+// planRunner runs one plan.
+type planRunner func(context.Context, *lab.Plan) (*lab.Result, error)
 
-// load returns the experiment, the seeds and the player of the mode.
-func (f *seedFlags) load(path string) (*lab.Experiment, []uint64, player, error) {
+// load returns the experiment, the seeds and the runner of the mode.
+func (f *seedFlags) load(path string) (*lab.Experiment, []uint64, planRunner, error) {
 	seeds, err := parseSeeds(f.seeds)
 	if err != nil {
 		return nil, nil, nil, usageError{err}
 	}
-	var play player
+	var runPlan planRunner
 	switch {
 	case !slices.Contains(sim.Policies(), f.policy):
 		return nil, nil, nil, usageError{fmt.Errorf("--policy %s: not %s", f.policy, strings.Join(sim.Policies(), ", "))}
 	case f.mode == "run":
-		play = func(ctx context.Context, plan *lab.Plan) (*lab.Result, error) { return f.play(ctx, plan, nil) }
+		runPlan = func(ctx context.Context, plan *lab.Plan) (*lab.Result, error) { return f.runPlan(ctx, plan, nil) }
 	case f.mode == "sim":
-		play = func(ctx context.Context, plan *lab.Plan) (*lab.Result, error) {
+		runPlan = func(ctx context.Context, plan *lab.Plan) (*lab.Result, error) {
 			result, _, err := sim.Run(ctx, plan, sim.Options{Policy: f.policy})
 			return result, err
 		}
@@ -61,7 +61,7 @@
 	if err == nil {
 		experiment, err = f.apply(experiment)
 	}
-	return experiment, seeds, play, err
+	return experiment, seeds, runPlan, err
 }
 
 func newLabSweep() *cobra.Command {
@@ -75,11 +75,11 @@
 		Example: "  milldeck lab sweep experiments/fleet.toml --seeds 1-20 --json sweep.jsonl",
 		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			experiment, seeds, play, err := flags.load(args[0])
+			experiment, seeds, runPlan, err := flags.load(args[0])
 			if err != nil {
 				return err
 			}
-			sweep := seedSweep{experiment: experiment, path: path, output: command.OutOrStdout(), play: play}
+			sweep := seedSweep{experiment: experiment, path: path, output: command.OutOrStdout(), runPlan: runPlan}
 			return sweep.run(command.Context(), seeds)
 		},
 	}
@@ -94,10 +94,10 @@
 func parseSeeds(text string) ([]uint64, error) {
 	var seeds []uint64
 	for part := range strings.SplitSeq(text, ",") {
-		from, to, ranged := strings.Cut(part, "-")
+		from, to, isRange := strings.Cut(part, "-")
 		first, err := strconv.ParseUint(from, 10, 63)
 		last := first
-		if err == nil && ranged {
+		if err == nil && isRange {
 			last, err = strconv.ParseUint(to, 10, 63)
 		}
 		if err != nil || first == 0 || last < first || last-first >= maxSeeds {
@@ -116,15 +116,15 @@
 	experiment *lab.Experiment
 	path       string
 	output     io.Writer
-	play       player
+	runPlan    planRunner
 }
 
 func (s *seedSweep) run(ctx context.Context, seeds []uint64) error {
-	earlier := map[uint64]*lab.Result{}
+	earlierResults := map[uint64]*lab.Result{}
 	var resultFile *os.File
 	if s.path != "" {
 		var err error
-		if resultFile, err = s.resume(earlier); err != nil {
+		if resultFile, err = s.resume(earlierResults); err != nil {
 			return err
 		}
 		defer resultFile.Close()
@@ -133,21 +133,21 @@
 	violationCount, servedShareSum := 0, 0.0
 	for i, seed := range seeds {
 		started := time.Now()
-		result, reused := earlier[seed]
-		note := "from the file"
+		result, reused := earlierResults[seed]
+		source := "from the file"
 		if !reused {
 			var err error
-			result, err = s.playSeed(ctx, seed, resultFile)
-			if errors.Is(err, errCutShort) {
+			result, err = s.runSeed(ctx, seed, resultFile)
+			if errors.Is(err, errInterrupted) {
 				return fmt.Errorf("cut short after %d of %d seeds; the same command continues from there", i, len(seeds))
 			}
 			if err != nil {
 				return err
 			}
-			note = fmt.Sprintf("%.1f s", time.Since(started).Seconds())
+			source = fmt.Sprintf("%.1f s", time.Since(started).Seconds())
 		}
 		fmt.Fprintf(s.output, "%4d/%d  seed %-6d  worth %.4f  p99 %8.1f ms  lost %4d  rules broken %d  (%s)\n",
-			i+1, len(seeds), seed, result.WeightedServedShare, result.P99, result.Unanswered, result.ViolationCount, note)
+			i+1, len(seeds), seed, result.WeightedServedShare, result.P99, result.Unanswered, result.ViolationCount, source)
 		if worst == nil || isWorse(result, worst) {
 			worst = result
 		}
@@ -162,15 +162,15 @@
 	return nil
 }
 
-// playSeed plays one seed and appends the result to the file, which may be nil. The error is errCutShort where ctx has
+// runSeed runs one seed and appends the result to the file, which may be nil. The error is errInterrupted where ctx has
 // ended.
-func (s *seedSweep) playSeed(ctx context.Context, seed uint64, resultFile *os.File) (*lab.Result, error) {
-	result, err := s.play(ctx, s.experiment.NewPlan(seed))
+func (s *seedSweep) runSeed(ctx context.Context, seed uint64, resultFile *os.File) (*lab.Result, error) {
+	result, err := s.runPlan(ctx, s.experiment.NewPlan(seed))
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("seed %d: %w", seed, err)
 	case ctx.Err() != nil:
-		return nil, errCutShort
+		return nil, errInterrupted
 	case resultFile == nil:
 		return result, nil
 	}
@@ -186,27 +186,27 @@
 }
 
 // resume reads what an earlier sweep found and opens the file for more. An incomplete last line is removed.
-func (s *seedSweep) resume(earlier map[uint64]*lab.Result) (*os.File, error) {
+func (s *seedSweep) resume(earlierResults map[uint64]*lab.Result) (*os.File, error) {
 	resultFile, err := os.OpenFile(s.path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return nil, err
 	}
 	data, err := io.ReadAll(resultFile)
-	complete := int64(strings.LastIndexByte(string(data), '\n') + 1)
+	completeLength := int64(strings.LastIndexByte(string(data), '\n') + 1)
 	if err == nil {
-		err = resultFile.Truncate(complete)
+		err = resultFile.Truncate(completeLength)
 	}
 	if err == nil {
-		_, err = resultFile.Seek(complete, io.SeekStart)
+		_, err = resultFile.Seek(completeLength, io.SeekStart)
 	}
-	if err == nil && complete > 0 {
+	if err == nil && completeLength > 0 {
 		var results []*lab.Result
 		if results, err = report.ReadResults(s.path); err == nil {
 			for _, result := range results {
 				if result.Name != s.experiment.Name {
 					err = usageError{fmt.Errorf("%s holds results of %s, not of %s", s.path, result.Name, s.experiment.Name)}
 				}
-				earlier[result.Seed] = result
+				earlierResults[result.Seed] = result
 			}
 		}
 	}
@@ -258,11 +258,11 @@
 		Example: "  milldeck lab faults experiments/faults.toml --seeds 1-10",
 		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			experiment, seeds, play, err := flags.load(args[0])
+			experiment, seeds, runPlan, err := flags.load(args[0])
 			if err != nil {
 				return err
 			}
-			return writeFaultTable(command.Context(), command.OutOrStdout(), experiment, seeds, play)
+			return writeFaultTable(command.Context(), command.OutOrStdout(), experiment, seeds, runPlan)
 		},
 	}
 	flags.register(command)
@@ -270,7 +270,7 @@
 }
 
 // writeFaultTable plays each kind of fault alone and writes one row of Markdown for each.
-func writeFaultTable(ctx context.Context, w io.Writer, experiment *lab.Experiment, seeds []uint64, play player) error {
+func writeFaultTable(ctx context.Context, w io.Writer, experiment *lab.Experiment, seeds []uint64, runPlan planRunner) error {
 	byKind := map[string][]lab.FaultSpec{}
 	for _, fault := range experiment.Faults {
 		byKind[fault.Kind] = append(byKind[fault.Kind], fault)
@@ -287,7 +287,7 @@
 		}
 		withKind := *experiment
 		withKind.Faults = byKind[kind]
-		summary, err := summarizeSeeds(ctx, &withKind, seeds, play)
+		summary, err := summarizeSeeds(ctx, &withKind, seeds, runPlan)
 		if err != nil {
 			return fmt.Errorf("%s: %w", kind, err)
 		}
@@ -312,17 +312,17 @@
 	violationCount   int
 }
 
-// summarizeSeeds plays an experiment on all seeds, and returns errCutShort where ctx ends before.
-func summarizeSeeds(ctx context.Context, experiment *lab.Experiment, seeds []uint64, play player) (*seedSummary, error) {
+// summarizeSeeds plays an experiment on all seeds, and returns errInterrupted where ctx ends before.
+func summarizeSeeds(ctx context.Context, experiment *lab.Experiment, seeds []uint64, runPlan planRunner) (*seedSummary, error) {
 	summary := &seedSummary{worstServedShare: 1, violationsByRule: map[lab.Rule]int{}}
 	servedShareSum := 0.0
 	for _, seed := range seeds {
-		result, err := play(ctx, experiment.NewPlan(seed))
+		result, err := runPlan(ctx, experiment.NewPlan(seed))
 		if err != nil {
 			return nil, fmt.Errorf("seed %d: %w", seed, err)
 		}
 		if ctx.Err() != nil {
-			return nil, errCutShort
+			return nil, errInterrupted
 		}
 		servedShareSum += result.WeightedServedShare
 		summary.worstServedShare = min(summary.worstServedShare, result.WeightedServedShare)
--- a/cmd/milldeck/registry_serve.go
+++ b/cmd/milldeck/registry_serve.go
@@ -99,14 +99,14 @@
 	if !slices.Contains([]int{1, 3, 5}, len(f.Members)) {
 		return file.Errorf("member", "%d members, wanted 1, 3 or 5", len(f.Members))
 	}
-	self := false
+	includesSelf := false
 	for i, member := range f.Members {
 		if err := validateAddresses(file, fmt.Sprintf("member[%d].", i), member.HTTP, member.Raft); err != nil {
 			return err
 		}
-		self = self || member.HTTP == f.HTTP
+		includesSelf = includesSelf || member.HTTP == f.HTTP
 	}
-	if !self {
+	if !includesSelf {
 		return file.Errorf("member", "this replica, %s, is not a member", f.HTTP)
 	}
 	return nil
--- a/cmd/milldeck/release_start.go
+++ b/cmd/milldeck/release_start.go
@@ -118,7 +118,7 @@
 		return err
 	}
 	stopServing := serveReports(listener, reports)
-	command := &controller.Controller{
+	releaseController := &controller.Controller{
 		Name:               name,
 		Store:              client,
 		Platform:           platform,
@@ -136,7 +136,7 @@
 			logger.Info("lease event", "type", event.Type, "lease", event.Lease, "token", event.Token)
 		}
 	}}
-	err = leaderelection.Run(ctx, client, release.Owner(name), options, command.Run)
+	err = leaderelection.Run(ctx, client, release.Owner(name), options, releaseController.Run)
 	if stopErr := stopServing(context.WithoutCancel(ctx)); err == nil {
 		err = stopErr
 	}
