--- a/cmd/milldeck/benchmark.go
+++ b/cmd/milldeck/benchmark.go
@@ -9,21 +9,21 @@
 	"github.com/spf13/cobra"
 )
 
-// benchmarkResult is what a benchmark measured. Its JSON is written as the result.
+// benchmarkResult holds the measurements of a benchmark. --json writes it as JSON.
 type benchmarkResult interface {
 	writeTable(io.Writer) error
-	failure() error // the violations that were found, or nil
+	failure() error // the detected violations, or nil
 }
 
 // benchmarkOptions are the options of one run of a benchmark.
 type benchmarkOptions struct {
 	full     bool
-	program  string       // the executable that the benchmark's processes run
-	dir      string       // a new directory for logs and data, which the caller removes
-	progress func(string) // called with a line for each step
+	program  string       // executable of the processes that the benchmark starts
+	dir      string       // new directory for logs and data; the caller removes it
+	progress func(string) // receives a line for each step
 }
 
-// benchmark is a command that measures processes of this program.
+// benchmark is a command that measures processes of this executable.
 type benchmark struct {
 	short, long string
 	fullHelp    string // help text of --full
@@ -58,7 +58,7 @@
 	return command
 }
 
-// runInTempDir runs the benchmark in a temporary directory and prints its progress on standard error.
+// runInTempDir runs the benchmark in a temporary directory and prints its progress to standard error.
 func (b benchmark) runInTempDir(command *cobra.Command, full bool) (benchmarkResult, error) {
 	program, err := os.Executable()
 	if err != nil {
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary directory that stays is no failure of the benchmark
+	defer func() { _ = os.RemoveAll(dir) }() // a directory that cannot be removed does not fail the benchmark
 	return b.run(command.Context(), benchmarkOptions{
 		full:     full,
 		program:  program,
--- a/cmd/milldeck/lab.go
+++ b/cmd/milldeck/lab.go
@@ -21,8 +21,9 @@
 	command := &cobra.Command{
 		Use:   "lab",
 		Short: "Tests a fleet on this machine: load, fault injection, rule checks and reports",
-		Long: "lab plays experiments: a fleet of sidecars and servers under load, with scheduled faults and rules that are\n" +
-			"checked. An experiment is a TOML file, as those in experiments/; docs/lab.md describes its keys and the faults.\n\n" + exitHelp,
+		Long: "lab runs experiments: a fleet of sidecars and servers under load, with scheduled faults and checked rules.\n" +
+			"An experiment is a TOML file; experiments/ has examples, and docs/lab.md describes the keys and the faults.\n\n" +
+			exitHelp,
 		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
@@ -31,17 +32,17 @@
 	return command
 }
 
-// outputFlags say where results go.
+// outputFlags select where results are written.
 type outputFlags struct {
 	jsonPath, reportDir string
 }
 
 func (o *outputFlags) register(command *cobra.Command) {
 	command.Flags().StringVar(&o.jsonPath, "json", "", "write the result to this file as JSON (- for standard output)")
-	command.Flags().StringVar(&o.reportDir, "report", "", "write a report with plots to this folder")
+	command.Flags().StringVar(&o.reportDir, "report", "", "write a report with plots to this directory")
 }
 
-// write puts a result where the flags say, and its table on standard output unless the JSON goes there.
+// write writes a result as the flags say, and its table to standard output unless the JSON is written there.
 func (o *outputFlags) write(command *cobra.Command, result *lab.Result) error {
 	if o.jsonPath != "-" {
 		if err := report.WriteTable(command.OutOrStdout(), result); err != nil {
@@ -73,15 +74,16 @@
 }
 
 // errInterrupted is the error of a run that an interrupt ended.
-var errInterrupted = errors.New("cut short")
+var errInterrupted = errors.New("interrupted before the end")
 
-// violationError is the error of a run whose sidecars broke rules, or that could not be judged.
+// violationError returns the error of a run that violated rules, overloaded the machine or was interrupted, or nil.
 func violationError(result *lab.Result) error {
 	if result.ViolationCount > 0 {
 		return fmt.Errorf("%s, seed %d: %d rule(s) broken (%s)", result.Name, result.Seed, result.ViolationCount, strings.Join(ruleNames(result), ", "))
 	}
 	if result.Overloaded {
-		return fmt.Errorf("%s: this machine cannot play the load: it was %.0f ms late (99th percentile) and sent %d requests too late; the sidecars are not judged",
+		return fmt.Errorf(
+			"%s: machine too slow for the load: %.0f ms late (99th percentile), %d requests sent too late; the sidecars are not judged",
 			result.Name, result.Lateness, result.SentTooLate)
 	}
 	if result.CutShort {
@@ -90,7 +92,7 @@
 	return nil
 }
 
-// ruleNames are the rules that a run broke, of those that count.
+// ruleNames returns the rules that a run violated. If the machine was overloaded, only the control plane's rules count.
 func ruleNames(result *lab.Result) []string {
 	rules := lab.Rules
 	if result.Overloaded {
@@ -105,7 +107,7 @@
 	return names
 }
 
-// planFlags are the flags that change how a plan is drawn from an experiment.
+// planFlags are the flags that change how a plan is generated from an experiment.
 type planFlags struct {
 	seed    uint64
 	without []string
@@ -113,12 +115,12 @@
 }
 
 func (f *planFlags) register(command *cobra.Command) {
-	command.Flags().Uint64Var(&f.seed, "seed", 0, "draw the experiment from this seed in place of the file's")
-	command.Flags().StringSliceVar(&f.without, "without", nil, "leave out faults of these kinds")
+	command.Flags().Uint64Var(&f.seed, "seed", 0, "random seed; it overrides the seed in the file")
+	command.Flags().StringSliceVar(&f.without, "without", nil, "omit faults of these kinds")
 	f.hotKeyFlags.register(command)
 }
 
-// plan reads an experiment and draws its plan.
+// plan reads an experiment and generates its plan.
 func (f *planFlags) plan(path string) (*lab.Plan, error) {
 	experiment, err := lab.Load(path)
 	if err != nil {
@@ -126,7 +128,8 @@
 	}
 	for _, kind := range f.without {
 		if !slices.Contains(lab.FaultKinds(), kind) {
-			return nil, usageError{fmt.Errorf("--without %s: there are %s", kind, strings.Join(lab.FaultKinds(), ", "))}
+			return nil, usageError{fmt.Errorf("--without %s: unknown kind of fault, want one of %s",
+				kind, strings.Join(lab.FaultKinds(), ", "))}
 		}
 		experiment.Faults = slices.DeleteFunc(experiment.Faults, func(fault lab.FaultSpec) bool { return fault.Kind == kind })
 	}
@@ -136,7 +139,7 @@
 	return experiment.NewPlan(f.seed), nil
 }
 
-// simCommand is `milldeck lab sim`.
+// simCommand holds the flags of `milldeck lab sim`.
 type simCommand struct {
 	planning     planFlags
 	output       outputFlags
@@ -149,11 +152,11 @@
 	var simulation simCommand
 	command := &cobra.Command{
 		Use:   "sim FILE",
-		Short: "Plays an experiment on a virtual clock, without sockets",
-		Long: "sim plays an experiment on a virtual clock: the decision module itself, a model of the servers and clients, and\n" +
-			"no sockets. The same file and seed give the same bytes, whatever the number of workers. An experiment with a\n" +
-			"control plane is a simulation of that, without requests, unless --policy is given;\n" +
-			"docs/control-plane-simulation.md has more.\n\n" + exitHelp,
+		Short: "Simulates an experiment on a virtual clock, without sockets",
+		Long: "sim runs the real decision module with models of the servers and clients, on a virtual clock and without\n" +
+			"sockets. The same file and seed give the same bytes with any number of workers. If the experiment has a\n" +
+			"control plane, sim simulates only the control plane, without requests, unless --policy is given;\n" +
+			"docs/control-plane-simulation.md has the details.\n\n" + exitHelp,
 		Example: "  milldeck lab sim experiments/fleet.toml --seed 3 --json out.json\n  milldeck lab sim experiments/fleet.toml --policy all",
 		Args:    exactArgs(1),
 		RunE:    simulation.run,
@@ -165,12 +168,14 @@
 func (s *simCommand) register(command *cobra.Command) {
 	s.output.register(command)
 	s.planning.register(command)
-	command.Flags().StringVar(&s.policy, "policy", sim.Module, "policy that decides: "+strings.Join(sim.Policies(), ", ")+", or all of them side by side")
+	command.Flags().StringVar(&s.policy, "policy", sim.Module,
+		"balancing policy: "+strings.Join(sim.Policies(), ", ")+", or all to compare them")
 	s.controlPlane.register(command)
-	command.Flags().IntVar(&s.workers, "workers", 0, "sidecars simulated in parallel (default: one for each core); the result is the same")
+	command.Flags().IntVar(&s.workers, "workers", 0,
+		"sidecars simulated in parallel (default: one per core); the result does not depend on it")
 }
 
-// run plays the experiment that the arguments name: as a simulation of its control plane, or with one or all policies.
+// run simulates the experiment in args[0]: its control plane, or its requests with one or all policies.
 func (s *simCommand) run(command *cobra.Command, args []string) error {
 	plan, err := s.planning.plan(args[0])
 	if err != nil {
@@ -183,7 +188,8 @@
 	if s.policy == "all" {
 		policies = sim.Policies()
 	} else if !slices.Contains(sim.Policies(), s.policy) {
-		return usageError{fmt.Errorf("--policy %s: not all, %s", s.policy, strings.Join(sim.Policies(), ", "))}
+		return usageError{fmt.Errorf("--policy %s: unknown policy, want all or one of %s",
+			s.policy, strings.Join(sim.Policies(), ", "))}
 	}
 	results, err := s.runPolicies(command, plan, policies)
 	if err != nil {
@@ -211,7 +217,7 @@
 	return results, nil
 }
 
-// finishOne writes a single result. Rules that a baseline policy breaks are its finding, no error.
+// finishOne writes a single result. Violations by a baseline policy are part of its result and not an error.
 func (s *simCommand) finishOne(command *cobra.Command, result *lab.Result) error {
 	if err := s.output.write(command, result); err != nil {
 		return err
--- a/cmd/milldeck/lab_controlplane.go
+++ b/cmd/milldeck/lab_controlplane.go
@@ -14,7 +14,7 @@
 	"milldeck/internal/lab/controlplane/batch"
 )
 
-// controlPlaneFlags say which simulations of the control plane are played.
+// controlPlaneFlags select the simulations of the control plane.
 type controlPlaneFlags struct {
 	seeds             string
 	sidecars, servers int
@@ -22,10 +22,12 @@
 }
 
 func (f *controlPlaneFlags) register(command *cobra.Command) {
-	command.Flags().StringVar(&f.seeds, "seeds", "", "with a control plane: simulate these seeds, as 1-300 (default: the file's or --seed)")
-	command.Flags().IntVar(&f.sidecars, "sidecars", 1000, "with a control plane: sidecars of the fleet, 16 to 10,000")
-	command.Flags().IntVar(&f.servers, "servers", 2000, "with a control plane: servers of the fleet, 160 to 10,000")
-	command.Flags().IntVar(&f.releases, "releases", 0, "with a control plane: also simulate so many releases of regressed and of healthy versions")
+	command.Flags().StringVar(&f.seeds, "seeds", "",
+		"with a control plane: range of seeds, such as 1-300 (default: --seed or the file's seed)")
+	command.Flags().IntVar(&f.sidecars, "sidecars", 1000, "with a control plane: number of sidecars, 16 to 10,000")
+	command.Flags().IntVar(&f.servers, "servers", 2000, "with a control plane: number of servers, 160 to 10,000")
+	command.Flags().IntVar(&f.releases, "releases", 0,
+		"with a control plane: also simulate this many releases each of regressed and of healthy versions")
 }
 
 // Bounds of a simulation.
@@ -43,12 +45,13 @@
 		f.servers >= minServers && f.servers <= maxServers &&
 		f.releases >= 0 && f.releases <= maxReleases
 	if !valid {
-		return usageError{fmt.Errorf("%d sidecars, %d servers, %d releases: beyond what can be simulated", f.sidecars, f.servers, f.releases)}
+		return usageError{fmt.Errorf("%d sidecars, %d servers, %d releases: outside the limits of a simulation",
+			f.sidecars, f.servers, f.releases)}
 	}
 	return nil
 }
 
-// simulate runs the simulations and writes their figures; a broken rule is an error.
+// simulate runs the simulations and writes their results. It returns an error if a rule was violated.
 func (f *controlPlaneFlags) simulate(command *cobra.Command, plan *lab.Plan, output *outputFlags, workers int) error {
 	firstSeed, lastSeed, err := f.seedRange(plan.Seed)
 	if err != nil {
@@ -81,10 +84,10 @@
 	return nil
 }
 
-// maxSimulations bounds the seeds of one command.
+// maxSimulations limits the number of seeds of one command.
 const maxSimulations = 100_000
 
-// seedRange returns the first and last seed of --seeds, or the plan's own.
+// seedRange returns the first and last seed of --seeds, or the given seed if the flag is not set.
 func (f *controlPlaneFlags) seedRange(seed uint64) (first, last uint64, err error) {
 	if f.seeds == "" {
 		return seed, seed, nil
@@ -98,12 +101,13 @@
 		last, err = strconv.ParseUint(to, 10, 63)
 	}
 	if err != nil || last < first || last-first >= maxSimulations {
-		return 0, 0, usageError{fmt.Errorf("--seeds %s: not A-B with A at most B and at most %d seeds", f.seeds, maxSimulations)}
+		return 0, 0, usageError{fmt.Errorf("--seeds %s: want A-B with A at most B, and at most %d seeds",
+			f.seeds, maxSimulations)}
 	}
 	return first, last, nil
 }
 
-// maxListedViolations is how many violations of a simulation are printed.
+// maxListedViolations limits the violations that are printed per simulation.
 const maxListedViolations = 3
 
 func writeControlPlaneTable(w io.Writer, result *batch.Result) error {
--- a/cmd/milldeck/lab_hotkey.go
+++ b/cmd/milldeck/lab_hotkey.go
@@ -8,18 +8,18 @@
 	"milldeck/internal/lab"
 )
 
-// hotKeyFlags play an experiment with another hot-key controller, or without its hot keys.
+// hotKeyFlags replace the hot-key controller of an experiment, or remove its hot keys.
 type hotKeyFlags struct {
 	controller     string
 	withoutHotKeys bool
 }
 
 func (f *hotKeyFlags) register(command *cobra.Command) {
-	command.Flags().StringVar(&f.controller, "spread", "", "in sim, the hot-key controller in place of that of the file: on, off or oracle")
-	command.Flags().BoolVar(&f.withoutHotKeys, "calm", false, "leave out phases of hot keys")
+	command.Flags().StringVar(&f.controller, "spread", "", "hot-key controller in sim: on, off or oracle; it overrides the file")
+	command.Flags().BoolVar(&f.withoutHotKeys, "calm", false, "make phases with hot keys steady")
 }
 
-// apply returns the experiment as the flags change it.
+// apply returns the experiment with the changes that the flags request.
 func (f *hotKeyFlags) apply(experiment *lab.Experiment) (*lab.Experiment, error) {
 	if f.withoutHotKeys {
 		experiment = experiment.WithoutHotKeys()
@@ -28,7 +28,7 @@
 		return experiment, nil
 	}
 	if experiment.HotKeys == nil {
-		return nil, usageError{fmt.Errorf("--spread: %s has no [spread]", experiment.Name)}
+		return nil, usageError{fmt.Errorf("--spread: experiment %s has no [spread]", experiment.Name)}
 	}
 	changed, hotKeys := *experiment, *experiment.HotKeys
 	changed.HotKeys = &hotKeys
@@ -40,7 +40,8 @@
 	}
 	for i := range changed.Faults {
 		if !hotKeys.Enabled && lab.IsHotKeyFault(lab.FaultKind(changed.Faults[i].Kind)) {
-			return nil, usageError{fmt.Errorf("--spread %s: %s needs the hot-key controller", f.controller, changed.Faults[i].Kind)}
+			return nil, usageError{fmt.Errorf("--spread %s: fault %s needs the hot-key controller",
+				f.controller, changed.Faults[i].Kind)}
 		}
 	}
 	return &changed, nil
--- a/cmd/milldeck/lab_run.go
+++ b/cmd/milldeck/lab_run.go
@@ -24,14 +24,16 @@
 }
 
 func (f *liveFlags) register(command *cobra.Command) {
-	command.Flags().StringVar(&f.sidecarPath, "sidecar", "", "the sidecar's program (default: sidecar beside this program)")
-	command.Flags().StringVar(&f.logDir, "logs", "", "keep configurations and logs in this folder (default: a temporary one, kept after a failure)")
+	command.Flags().StringVar(&f.sidecarPath, "sidecar", "",
+		"executable of the sidecar (default: sidecar in the directory of this executable)")
+	command.Flags().StringVar(&f.logDir, "logs", "",
+		"directory for configurations and logs (default: a temporary one, kept after a failure)")
 }
 
 // runPlan runs a plan with real processes.
 func (f *liveFlags) runPlan(ctx context.Context, plan *lab.Plan, progress func(live.Progress)) (*lab.Result, error) {
 	if plan.Experiment.HotKeys != nil {
-		return nil, usageError{errors.New("[spread] is played by lab sim alone")}
+		return nil, usageError{errors.New("only lab sim supports [spread]")}
 	}
 	milldeckPath, err := os.Executable()
 	if err != nil {
@@ -42,7 +44,7 @@
 		sidecarProgram = filepath.Join(filepath.Dir(milldeckPath), "sidecar")
 	}
 	if _, err := os.Stat(sidecarProgram); err != nil {
-		return nil, usageError{fmt.Errorf("the sidecar's program: %w", err)}
+		return nil, usageError{fmt.Errorf("sidecar executable: %w", err)}
 	}
 	dir := f.logDir
 	if dir == "" {
@@ -63,7 +65,8 @@
 	return result, nil
 }
 
-// runProgress prints the progress of a run: one line that is overwritten on a terminal, plain lines otherwise.
+// runProgress returns a function that prints the progress of a run: on a terminal in one line that it overwrites, otherwise
+// in separate lines.
 func runProgress(w io.Writer) func(live.Progress) {
 	terminal := isTerminal(w)
 	return func(progress live.Progress) {
@@ -89,9 +92,10 @@
 	var planning planFlags
 	command := &cobra.Command{
 		Use:   "run FILE",
-		Short: "Plays an experiment with real sidecar processes and sockets",
-		Long: "run plays an experiment with real sidecar processes on loopback addresses, in real time. It takes as long as\n" +
-			"the experiment says and a few seconds more. An interrupt ends all child processes and still writes the result.\n\n" + exitHelp,
+		Short: "Runs an experiment with real sidecar processes and sockets",
+		Long: "run starts real sidecar processes on loopback addresses and takes a few seconds more than the experiment's duration.\n" +
+			"After an interrupt, it ends all child processes and still writes the result.\n\n" +
+			exitHelp,
 		Example: "  milldeck lab run experiments/quickstart.toml --report out",
 		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -121,8 +125,8 @@
 	var path string
 	command := &cobra.Command{
 		Use:   "compare FILE",
-		Short: "Plays an experiment in sim and in run and prints the difference",
-		Long:  "compare plays an experiment in sim and in run, from the same plan, and prints both with their difference.\n\n" + exitHelp,
+		Short: "Runs an experiment in sim and in run and prints the difference",
+		Long:  "compare runs the same plan in sim and in run, and prints both results and their difference.\n\n" + exitHelp,
 		Args:  exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			plan, err := planning.plan(args[0])
--- a/cmd/milldeck/lab_soak.go
+++ b/cmd/milldeck/lab_soak.go
@@ -18,10 +18,10 @@
 	"milldeck/internal/faultsoak/shim"
 )
 
-// maxSoakLength bounds one run of the soak.
+// maxSoakLength limits the length of one run of the soak.
 const maxSoakLength = 10 * time.Minute
 
-// maxFaultRate bounds the faults a second.
+// maxFaultRate limits the faults per second.
 const maxFaultRate = 20
 
 // soakFlags are the flags of lab soak.
@@ -36,28 +36,31 @@
 func newLabSoak() *cobra.Command {
 	flags := &soakFlags{}
 	command := &cobra.Command{
-		Use: "soak", Short: "Plays random overlapping faults against real sidecars and checks what was promised", Args: exactArgs(0),
-		Long: "soak plays one run for each seed: five sidecars and eight servers as processes, a fault proxy between them, clients that\n" +
-			"behave well and badly, failing system calls, stepped clocks, restarts and reloads, two or three faults at a time. Each\n" +
-			"violation has the history of its request; logs are kept in --dir. docs/fault-soak.md says more.\n\n" + exitHelp,
+		Use: "soak", Short: "Runs real sidecars under random overlapping faults and checks their guarantees", Args: exactArgs(0),
+		Long: "soak performs one run per seed: five sidecars and eight servers as processes, a fault proxy between them,\n" +
+			"well-behaved and misbehaving clients, failing system calls, clock steps, restarts and reloads, two or three at a\n" +
+			"time. It prints violations with the history of the request; logs are in --dir. docs/fault-soak.md describes it.\n\n" +
+			exitHelp,
 		RunE: func(command *cobra.Command, _ []string) error { return flags.run(command) },
 	}
 	command.Flags().Uint64Var(&flags.firstSeed, "seed", 1, "seed of the first run")
-	command.Flags().Uint64Var(&flags.lastSeed, "to", 0, "seed of the last run (default: that of the first)")
-	command.Flags().DurationVar(&flags.length, "for", 15*time.Second, "length of the load of each run")
-	command.Flags().Float64Var(&flags.faultRate, "faults", faultsoak.DefaultFaultRate, "faults a second")
-	command.Flags().StringSliceVar(&flags.only, "only", nil, "kinds of faults to draw from (default: all)")
-	command.Flags().StringVar(&flags.sidecarPath, "sidecar", "", "program of the sidecar (default: beside this program)")
-	command.Flags().StringVar(&flags.dir, "dir", "", "folder for configurations and logs (default: a temporary one, kept after violations)")
+	command.Flags().Uint64Var(&flags.lastSeed, "to", 0, "seed of the last run (default: the seed of the first run)")
+	command.Flags().DurationVar(&flags.length, "for", 15*time.Second, "duration of the load in each run")
+	command.Flags().Float64Var(&flags.faultRate, "faults", faultsoak.DefaultFaultRate, "faults per second")
+	command.Flags().StringSliceVar(&flags.only, "only", nil, "kinds of faults to inject (default: all)")
+	command.Flags().StringVar(&flags.sidecarPath, "sidecar", "",
+		"executable of the sidecar (default: sidecar in the directory of this executable)")
+	command.Flags().StringVar(&flags.dir, "dir", "",
+		"directory for configurations and logs (default: a temporary one, kept after violations)")
 	return command
 }
 
 func (f *soakFlags) run(command *cobra.Command) error {
 	if f.length <= 0 || f.length > maxSoakLength {
-		return usageError{fmt.Errorf("--for %v: more than 0, at most %v", f.length, maxSoakLength)}
+		return usageError{fmt.Errorf("--for %v: not above 0 and at most %v", f.length, maxSoakLength)}
 	}
 	if !(f.faultRate >= 0 && f.faultRate <= maxFaultRate) {
-		return usageError{fmt.Errorf("--faults %v: at most %v", f.faultRate, maxFaultRate)}
+		return usageError{fmt.Errorf("--faults %v: not within 0 to %v", f.faultRate, maxFaultRate)}
 	}
 	milldeckPath, err := os.Executable()
 	if err != nil {
@@ -77,12 +80,12 @@
 		}
 	}
 	if failedSeeds > 0 {
-		return fmt.Errorf("promises were broken on %d seed(s)", failedSeeds)
+		return fmt.Errorf("guarantees were violated with %d seed(s)", failedSeeds)
 	}
 	return nil
 }
 
-// runSeed plays one run, prints it and returns the number of its violations.
+// runSeed performs one run, prints its result and returns the number of violations.
 func (f *soakFlags) runSeed(command *cobra.Command, milldeckPath string, seed uint64) (violations int, err error) {
 	dir := f.dir
 	if dir == "" {
@@ -110,7 +113,7 @@
 	return len(result.Violations), err
 }
 
-// commandFor is the command that plays the run of a seed again, with the sidecar beside the program.
+// commandFor returns the command that repeats the run of a seed, with the sidecar from the directory of the executable.
 func (f *soakFlags) commandFor(seed uint64) string {
 	text := fmt.Sprintf("bin/milldeck lab soak --seed %d --for %v --faults %v", seed, f.length, f.faultRate)
 	if len(f.only) > 0 {
@@ -119,7 +122,7 @@
 	return text
 }
 
-// printSoak prints the result of a run, and the faults where promises were broken.
+// printSoak prints the result of a run, and the faults and violations if there are violations.
 func printSoak(out io.Writer, result *faultsoak.Result, dir string) {
 	failedCalls := 0
 	for _, count := range result.Injected {
@@ -137,7 +140,7 @@
 	}
 }
 
-// newLabSoakServer is hidden: it is a server of the soak.
+// newLabSoakServer returns a hidden command, which runs a server of the soak.
 func newLabSoakServer() *cobra.Command {
 	var listen string
 	var seed uint64
@@ -145,7 +148,7 @@
 		Use: "soak-server", Hidden: true, Short: "Runs one server of the soak until SIGTERM", Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			if address, err := netip.ParseAddrPort(listen); err != nil || !address.Addr().IsLoopback() {
-				return usageError{fmt.Errorf("--listen %s: no address and port on loopback", listen)}
+				return usageError{fmt.Errorf("--listen %s: not an address and port on loopback", listen)}
 			}
 			listener, err := net.Listen("tcp4", listen)
 			if err != nil {
@@ -154,17 +157,18 @@
 			return faultsoak.ServeServer(command.Context(), listener, command.OutOrStdout(), seed)
 		},
 	}
-	command.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address on loopback")
+	command.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address and port on loopback")
 	command.Flags().Uint64Var(&seed, "seed", 0, "seed of the run")
 	return command
 }
 
-// newLabSoakLaunch is hidden: it executes a program under the shim of the soak.
+// newLabSoakLaunch returns a hidden command, which executes a program under the shim of the soak.
 func newLabSoakLaunch() *cobra.Command {
 	return &cobra.Command{
-		Use: "soak-launch PROGRAM", Hidden: true, Short: "Executes a program whose system calls the parent may fail", Args: cobra.MinimumNArgs(1),
+		Use: "soak-launch PROGRAM", Hidden: true,
+		Short: "Executes a program whose system calls the parent process can make fail", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return errors.Join(errors.New("not executed"),
+			return errors.Join(errors.New("the program was not executed"),
 				shim.Exec(args[0], slices.Clone(args[1:]), os.Environ(), shim.NotifyDescriptor, shim.ReleaseDescriptor))
 		},
 	}
--- a/cmd/milldeck/lab_sweep.go
+++ b/cmd/milldeck/lab_sweep.go
@@ -19,7 +19,7 @@
 	"milldeck/internal/lab/sim"
 )
 
-// seedFlags are the flags of commands that play many seeds, in either mode.
+// seedFlags are the flags of commands that run an experiment with many seeds, simulated or live.
 type seedFlags struct {
 	liveFlags
 	hotKeyFlags
@@ -29,15 +29,15 @@
 func (f *seedFlags) register(command *cobra.Command) {
 	f.liveFlags.register(command)
 	f.hotKeyFlags.register(command)
-	command.Flags().StringVar(&f.seeds, "seeds", "1-10", "seeds, as 1-20 or 3,5,8")
+	command.Flags().StringVar(&f.seeds, "seeds", "1-10", "seeds, such as 1-20 or 3,5,8")
 	command.Flags().StringVar(&f.mode, "mode", "sim", "sim or run")
-	command.Flags().StringVar(&f.policy, "policy", sim.Module, "in sim, the policy that decides")
+	command.Flags().StringVar(&f.policy, "policy", sim.Module, "balancing policy in sim")
 }
 
 // planRunner runs one plan.
 type planRunner func(context.Context, *lab.Plan) (*lab.Result, error)
 
-// load returns the experiment, the seeds and the runner of the mode.
+// load returns the experiment, the seeds, and the function that runs a plan in the selected mode.
 func (f *seedFlags) load(path string) (*lab.Experiment, []uint64, planRunner, error) {
 	seeds, err := parseSeeds(f.seeds)
 	if err != nil {
@@ -46,7 +46,8 @@
 	var runPlan planRunner
 	switch {
 	case !slices.Contains(sim.Policies(), f.policy):
-		return nil, nil, nil, usageError{fmt.Errorf("--policy %s: not %s", f.policy, strings.Join(sim.Policies(), ", "))}
+		return nil, nil, nil, usageError{fmt.Errorf("--policy %s: unknown policy, want one of %s",
+			f.policy, strings.Join(sim.Policies(), ", "))}
 	case f.mode == "run":
 		runPlan = func(ctx context.Context, plan *lab.Plan) (*lab.Result, error) { return f.runPlan(ctx, plan, nil) }
 	case f.mode == "sim":
@@ -69,9 +70,10 @@
 	var path string
 	command := &cobra.Command{
 		Use:   "sweep FILE",
-		Short: "Plays an experiment on many seeds",
-		Long: "sweep plays an experiment on many seeds and shows the worst one. Results go to a file, one JSON object a line;\n" +
-			"an interrupted sweep continues where the file ends.\n\n" + exitHelp,
+		Short: "Runs an experiment with many seeds",
+		Long: "sweep runs an experiment with many seeds and shows the worst seed. --json appends each result to a file, one\n" +
+			"JSON object per line; a repeated command skips the seeds in the file, and so continues an interrupted sweep.\n\n" +
+			exitHelp,
 		Example: "  milldeck lab sweep experiments/fleet.toml --seeds 1-20 --json sweep.jsonl",
 		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -84,11 +86,11 @@
 		},
 	}
 	flags.register(command)
-	command.Flags().StringVar(&path, "json", "", "file of results, one a line; seeds that it has are not played again")
+	command.Flags().StringVar(&path, "json", "", "file of results, one per line; seeds with a result in the file are skipped")
 	return command
 }
 
-// maxSeeds bounds one sweep.
+// maxSeeds limits each range of seeds.
 const maxSeeds = 100_000
 
 func parseSeeds(text string) ([]uint64, error) {
@@ -101,7 +103,7 @@
 			last, err = strconv.ParseUint(to, 10, 63)
 		}
 		if err != nil || first == 0 || last < first || last-first >= maxSeeds {
-			return nil, fmt.Errorf("--seeds %s: wanted as 1-20 or 3,5,8, from 1 on", text)
+			return nil, fmt.Errorf("--seeds %s: want seeds from 1 on, such as 1-20 or 3,5,8", text)
 		}
 		for seed := first; seed <= last; seed++ {
 			seeds = append(seeds, seed)
@@ -110,8 +112,8 @@
 	return seeds, nil
 }
 
-// seedSweep plays one experiment on many seeds. With a path it appends each result to that file, and takes the results
-// that are there already from it.
+// seedSweep runs one experiment with many seeds. If path is set, it appends each result to that file, and reuses the
+// results in the file.
 type seedSweep struct {
 	experiment *lab.Experiment
 	path       string
@@ -139,7 +141,8 @@
 			var err error
 			result, err = s.runSeed(ctx, seed, resultFile)
 			if errors.Is(err, errInterrupted) {
-				return fmt.Errorf("cut short after %d of %d seeds; the same command continues from there", i, len(seeds))
+				return fmt.Errorf("interrupted after %d of %d seeds; with --json, the same command continues the sweep",
+					i, len(seeds))
 			}
 			if err != nil {
 				return err
@@ -162,8 +165,8 @@
 	return nil
 }
 
-// runSeed runs one seed and appends the result to the file, which may be nil. The error is errInterrupted where ctx has
-// ended.
+// runSeed runs one seed and appends the result to the file, which may be nil. It returns errInterrupted if ctx was
+// cancelled.
 func (s *seedSweep) runSeed(ctx context.Context, seed uint64, resultFile *os.File) (*lab.Result, error) {
 	result, err := s.runPlan(ctx, s.experiment.NewPlan(seed))
 	switch {
@@ -177,7 +180,7 @@
 	return result, json.NewEncoder(resultFile).Encode(result)
 }
 
-// isWorse reports whether a result broke more rules than another, or as many and served less.
+// isWorse reports whether a result has more violations than another, or as many and a smaller weighted served share.
 func isWorse(result, other *lab.Result) bool {
 	if result.ViolationCount != other.ViolationCount {
 		return result.ViolationCount > other.ViolationCount
@@ -185,7 +188,7 @@
 	return result.WeightedServedShare < other.WeightedServedShare
 }
 
-// resume reads what an earlier sweep found and opens the file for more. An incomplete last line is removed.
+// resume reads the results of an earlier sweep, removes an incomplete last line, and returns the file open for appending.
 func (s *seedSweep) resume(earlierResults map[uint64]*lab.Result) (*os.File, error) {
 	resultFile, err := os.OpenFile(s.path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
@@ -221,9 +224,9 @@
 	var asJSON bool
 	command := &cobra.Command{
 		Use:   "diff A.json B.json",
-		Short: "Compares two runs, or two sweeps seed by seed",
-		Long: "diff compares results that --json wrote. Runs with the same seed make a pair; over several pairs it gives the\n" +
-			"95% interval of the mean difference.\n\n" + exitHelp,
+		Short: "Compares two results, or two sweeps seed by seed",
+		Long: "diff compares results that --json wrote. Results with the same seed form a pair. For several pairs, it\n" +
+			"prints the 95% confidence interval of the mean difference.\n\n" + exitHelp,
 		Args: exactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			before, err := report.ReadResults(args[0])
@@ -252,9 +255,9 @@
 	var flags seedFlags
 	command := &cobra.Command{
 		Use:   "faults FILE",
-		Short: "Plays each kind of fault of an experiment alone, and counts the rules broken",
-		Long: "faults plays an experiment once for each kind of fault that it has, with that kind alone, over some seeds, and\n" +
-			"prints kinds by rules broken.\n\n" + exitHelp,
+		Short: "Runs an experiment with each of its kinds of fault alone, and counts the violations",
+		Long: "faults runs an experiment with each of its kinds of fault alone, with several seeds, and prints a table of the\n" +
+			"violations of each rule by kind of fault.\n\n" + exitHelp,
 		Example: "  milldeck lab faults experiments/faults.toml --seeds 1-10",
 		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -269,7 +272,7 @@
 	return command
 }
 
-// writeFaultTable plays each kind of fault alone and writes one row of Markdown for each.
+// writeFaultTable runs each kind of fault alone and writes one row of a Markdown table for it.
 func writeFaultTable(ctx context.Context, w io.Writer, experiment *lab.Experiment, seeds []uint64, runPlan planRunner) error {
 	byKind := map[string][]lab.FaultSpec{}
 	for _, fault := range experiment.Faults {
@@ -304,7 +307,7 @@
 	return nil
 }
 
-// seedSummary is what plays of one experiment on several seeds found. Shares are weighted by priority.
+// seedSummary summarizes the results of one experiment over several seeds. Shares are weighted by priority.
 type seedSummary struct {
 	meanServedShare  float64
 	worstServedShare float64
@@ -312,7 +315,7 @@
 	violationCount   int
 }
 
-// summarizeSeeds plays an experiment on all seeds, and returns errInterrupted where ctx ends before.
+// summarizeSeeds runs an experiment with all seeds. It returns errInterrupted if ctx is cancelled before the end.
 func summarizeSeeds(ctx context.Context, experiment *lab.Experiment, seeds []uint64, runPlan planRunner) (*seedSummary, error) {
 	summary := &seedSummary{worstServedShare: 1, violationsByRule: map[lab.Rule]int{}}
 	servedShareSum := 0.0
