--- a/cmd/milldeck/agent.go
+++ b/cmd/milldeck/agent.go
@@ -19,17 +19,17 @@
 type agentFile struct {
 	Listen          string   `toml:"listen"`
 	Replicas        []string `toml:"replicas"`
-	ListFile        string   `toml:"saved"` // file of the last good endpoint list
+	ListFile        string   `toml:"saved"` // stores the last good endpoint list
 	FleetSize       int      `toml:"fleet"` // approximate number of agents
-	MaxLossFraction float64  `toml:"share"` // of the ready servers that one list may remove unconfirmed
+	MaxLossFraction float64  `toml:"share"` // of the ready servers that a list may remove unconfirmed by a second replica
 
 	PlacementFile   string   `toml:"saved_placement"`
-	ReportAddresses []string `toml:"reports"` // addresses that load reports are forwarded to
+	ReportAddresses []string `toml:"reports"` // addresses to which load reports are forwarded
 
 	Sidecar *sidecarFile `toml:"sidecar"` // absent: no sidecar is registered
 }
 
-// sidecarFile is the sidecar that an agent registers.
+// sidecarFile is the configuration of the sidecar that an agent registers.
 type sidecarFile struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
@@ -39,7 +39,7 @@
 	LeaseMS int64  `toml:"lease_ms"`
 }
 
-// options are the options of the sidecar, nil for none.
+// options returns the options of the sidecar, or nil if none is configured.
 func (f *sidecarFile) options() *agent.SidecarOptions {
 	if f == nil {
 		return nil
@@ -93,12 +93,12 @@
 	command := &cobra.Command{
 		Use:   "agent",
 		Short: "Runs the node agent beside a sidecar until SIGTERM",
-		Long: "agent follows the registry and speaks PROTOCOL's discovery to the sidecar on this machine. It outlives the\n" +
-			"registry: it serves the last good list, also at its start.\n\n" + exitHelp,
+		Long: "agent watches the registry and serves discovery, as PROTOCOL defines it, to the sidecar on this machine.\n" +
+			"While the registry is unavailable, it serves the last good list, even after a restart of the agent.\n\n" + exitHelp,
 		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			if path == "" {
-				return usageError{errors.New("agent takes --config FILE")}
+				return usageError{errors.New("agent needs --config FILE")}
 			}
 			var file agentFile
 			options, err := file.load(path)
@@ -109,13 +109,13 @@
 			return serveAgent(command.Context(), options)
 		},
 	}
-	command.Flags().StringVar(&path, "config", "", "the agent's configuration (TOML)")
+	command.Flags().StringVar(&path, "config", "", "configuration file of the agent (TOML)")
 	command.Flags().StringSliceVar(&reports, "reports", nil,
-		"addresses that load reports are forwarded to, beside those of the configuration")
+		"addresses to which load reports are forwarded, in addition to those in the configuration")
 	return command
 }
 
-// serveAgent runs an agent until ctx ends.
+// serveAgent runs an agent until ctx is cancelled.
 func serveAgent(ctx context.Context, options agent.Options) error {
 	started, err := agent.Start(options)
 	if err != nil {
--- a/cmd/milldeck/lease.go
+++ b/cmd/milldeck/lease.go
@@ -22,9 +22,9 @@
 func newLease() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "duty",
-		Short: "Leader election: leases that one process at a time holds",
-		Long: "duty holds, shows and hands over leases, each held by one process at a time. docs/leader-election.md says what is\n" +
-			"guaranteed.\n\n" + exitHelp,
+		Short: "Leader election: leases that one process at a time can hold",
+		Long: "duty holds, shows and hands over leases. One process at a time holds a lease; docs/leader-election.md\n" +
+			"describes the guarantees.\n\n" + exitHelp,
 		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
@@ -36,7 +36,7 @@
 type holdOptions struct {
 	replicas     []string
 	election     leaderelection.Options
-	saveInterval time.Duration // 0: no trial writes
+	saveInterval time.Duration // between trial writes of the checkpoint; 0: no trial writes
 	clockFaults  string
 }
 
@@ -45,13 +45,14 @@
 	command := &cobra.Command{
 		Use:   "hold NAME...",
 		Short: "Campaigns for leases and holds them until SIGTERM",
-		Long: "hold campaigns for leases, holds each until an interrupt and releases it. It prints a JSON line for each step: waiting,\n" +
-			"acquired, renewed, asked, lost, stopped, released, with token and times; those in ns are of the machine's monotonic\n" +
-			"clock. After a loss it campaigns again.\n\n" + exitHelp,
+		Long: "hold campaigns for leases, holds each until an interrupt and releases it. It prints a JSON line for each\n" +
+			"event: waiting, acquired, renewed, asked, lost, stopped, released, with the fencing token and times;\n" +
+			"times in ns are readings of the machine's monotonic clock. After it loses a lease, it campaigns again.\n\n" +
+			exitHelp,
 		Example: "  milldeck duty hold backup --ttl 5s\n  milldeck duty hold backup --once",
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				return usageError{errors.New("duty hold takes the names of leases")}
+				return usageError{errors.New("duty hold needs the name of at least one lease")}
 			}
 			return nil
 		},
@@ -61,16 +62,20 @@
 	}
 	flags := command.Flags()
 	flags.StringSliceVar(&opts.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
-	flags.StringVar(&opts.election.Candidate, "who", "", "this candidate's name, another with each start (default: drawn)")
-	flags.DurationVar(&opts.election.TTL, "ttl", leaderelection.DefaultTTL, "TTL of the lease, if this candidate finds it free")
-	flags.BoolVar(&opts.election.SingleTenure, "once", false, "end after the first tenure, however it ended")
-	flags.DurationVar(&opts.saveInterval, "save-every", 0, "interval at which to increment a counter in the lease's checkpoint, to test its guard; 0: never")
-	flags.StringVar(&opts.clockFaults, "clock", "", `a fault injected into this process's clock, for tests: "rate=0.9" or "jump=1h/300ms"`)
-	_ = flags.MarkHidden("clock") // it fails only for a flag that does not exist
+	flags.StringVar(&opts.election.Candidate, "who", "",
+		"name of this candidate, which must be unique for each start (default: random)")
+	flags.DurationVar(&opts.election.TTL, "ttl", leaderelection.DefaultTTL,
+		"TTL of the lease; it applies if this candidate finds the lease free")
+	flags.BoolVar(&opts.election.SingleTenure, "once", false, "exit after the first tenure, whatever ended it")
+	flags.DurationVar(&opts.saveInterval, "save-every", 0,
+		"interval of trial writes, which increment a counter in the lease's checkpoint to test its guard; 0: no trial writes")
+	flags.StringVar(&opts.clockFaults, "clock", "",
+		`fault to inject into the clock of this process, for tests: "rate=0.9" or "jump=1h/300ms"`)
+	_ = flags.MarkHidden("clock") // fails only if the flag does not exist
 	return command
 }
 
-// holdLeases campaigns for all the leases until ctx ends, and prints their events.
+// holdLeases campaigns for all the leases until ctx is cancelled, and prints their events.
 func holdLeases(ctx context.Context, out io.Writer, names []string, opts holdOptions) error {
 	if ttl := opts.election.TTL.Milliseconds(); ttl < leasetable.MinTTLMS || ttl > leasetable.MaxTTLMS {
 		return usageError{fmt.Errorf("--ttl: %v is not within %d ms to %d ms", opts.election.TTL, leasetable.MinTTLMS, leasetable.MaxTTLMS)}
@@ -88,7 +93,7 @@
 	election := opts.election
 	election.Clock = faultyClock
 	if election.Candidate == "" {
-		election.Candidate = registry.NewID() // one for all leases, so that their renewals are sent together
+		election.Candidate = registry.NewID() // the same for all leases, so that one request renews them together
 	}
 	election.OnEvent = func(event leaderelection.Event) {
 		lines.print(timedEvent{event, faultyClock.MonotonicNSOf(event.At), faultyClock.MonotonicNSOf(event.ValidUntil)})
@@ -97,13 +102,13 @@
 		return holdLease(ctx, lease, opts.saveInterval, lines)
 	})
 	if ctx.Err() != nil {
-		return nil // it was interrupted, and what it held is released or expires
+		return nil // after an interrupt, the held leases are released or expire
 	}
 	return err
 }
 
-// campaignForAll campaigns for the leases at the same time and runs work under each, until all campaigns have ended. A
-// requested step-down is no error.
+// campaignForAll campaigns for the leases concurrently and runs work under each, until all campaigns have ended. A requested
+// step-down is not an error.
 func campaignForAll(ctx context.Context, client *registry.Client, names []string, election leaderelection.Options,
 	work func(context.Context, *leaderelection.Lease) error) error {
 	ended := make(chan error, len(names))
@@ -121,14 +126,14 @@
 	return err
 }
 
-// timedEvent is an event with its times on the monotonic clock that all processes of the machine share.
+// timedEvent is an event with its times on the machine's monotonic clock, which all processes share.
 type timedEvent struct {
 	leaderelection.Event
 	AtNS         int64 `json:"at_ns"`
 	ValidUntilNS int64 `json:"until_ns,omitempty"`
 }
 
-// trialWrite is what became of one trial write of the checkpoint.
+// trialWrite is the outcome of one trial write of the checkpoint.
 type trialWrite struct {
 	At        time.Time                `json:"at"`
 	StartedAt time.Time                `json:"began"`
@@ -139,7 +144,7 @@
 	Candidate string                   `json:"who"`
 }
 
-// jsonLines prints values as JSON lines, one at a time.
+// jsonLines prints values as JSON lines. It is safe for concurrent use.
 type jsonLines struct {
 	mu      sync.Mutex
 	encoder *json.Encoder
@@ -148,16 +153,17 @@
 func (l *jsonLines) print(v any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.encoder.Encode(v) // a closed output is no reason to give the lease up
+	_ = l.encoder.Encode(v) // the lease is kept even if the output is closed
 }
 
-// holdLease holds a lease until ctx ends. With a save interval it counts up in the checkpoint and prints the outcomes.
+// holdLease holds a lease until ctx is cancelled. If saveInterval is not 0, it increments a counter in the checkpoint at this
+// interval and prints the outcome of each write.
 func holdLease(ctx context.Context, lease *leaderelection.Lease, saveInterval time.Duration, out *jsonLines) error {
 	if saveInterval == 0 {
 		<-ctx.Done()
 		return context.Cause(ctx)
 	}
-	count, _ := strconv.Atoi(string(lease.Checkpoint)) // 0 if there is no checkpoint yet
+	count, _ := strconv.Atoi(string(lease.Checkpoint)) // 0 without a checkpoint
 	ticker := time.NewTicker(saveInterval)
 	defer ticker.Stop()
 	for {
@@ -199,7 +205,7 @@
 	})
 }
 
-// leaseRow describes a lease in columns separated by tabs.
+// leaseRow describes a lease in tab-separated columns.
 func leaseRow(lease *leasetable.Lease) string {
 	state := "held by " + lease.Holder
 	switch {
@@ -228,7 +234,8 @@
 		Long: "watch prints a lease and each of its changes, until an interrupt.\n\n" + exitHelp,
 		RunE: func(command *cobra.Command, args []string) error {
 			return flags.withClient(command, func(_ context.Context, client *registry.Client) error {
-				// It lasts until the interrupt, not until --wait is over. A closed output ends the program by SIGPIPE.
+				// The watch lasts until an interrupt, so it uses the context that --wait does not limit. A closed output ends
+				// the process by SIGPIPE.
 				err := client.WatchLease(command.Context(), args[0], func(lease leasetable.Lease) { _ = flags.showLease(command.OutOrStdout(), lease) })
 				if errors.Is(err, context.Canceled) {
 					return nil
@@ -241,8 +248,8 @@
 	return command
 }
 
-// newLeaseCommand returns a command that makes one request about a lease and prints the lease as it then is. The command
-// sets the request's fields from its flags.
+// newLeaseCommand returns a command that applies one operation to a lease and prints the resulting lease. The caller adds
+// flags that set the fields of the request.
 func newLeaseCommand(use, short string, kind leasetable.OperationKind, request *registry.LeaseRequest) *cobra.Command {
 	return newClientCommand(use, short, 1, func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
 		lease, err := client.UpdateLease(ctx, kind, args[0], *request)
@@ -256,15 +263,16 @@
 func newLeaseRelease() *cobra.Command {
 	var request registry.LeaseRequest
 	command := newLeaseCommand("release NAME", "Releases a lease for its holder, or removes a candidate from its queue", leasetable.Release, &request)
-	command.Flags().StringVar(&request.Candidate, "who", "", "the holder or candidate")
-	command.Flags().Uint64Var(&request.Token, "token", 0, "the holder's fencing token; 0: the candidate leaves the queue")
+	command.Flags().StringVar(&request.Candidate, "who", "", "name of the holder or candidate")
+	command.Flags().Uint64Var(&request.Token, "token", 0, "fencing token of the holder; 0: remove the candidate from the queue")
 	return command
 }
 
 func newLeaseHandover() *cobra.Command {
 	var request registry.LeaseRequest
-	command := newLeaseCommand("handover NAME", "Asks the holder to step down in favour of a candidate", leasetable.Handover, &request)
-	command.Flags().StringVar(&request.Successor, "to", "", "the candidate, who waits in the queue")
+	command := newLeaseCommand("handover NAME", "Requests the holder to step down in favour of a candidate",
+		leasetable.Handover, &request)
+	command.Flags().StringVar(&request.Successor, "to", "", "candidate in the queue of the lease")
 	return command
 }
 
--- a/cmd/milldeck/lease_bench.go
+++ b/cmd/milldeck/lease_bench.go
@@ -12,7 +12,7 @@
 	"milldeck/internal/leaderelection/bench"
 )
 
-// leaseBenchFlags are the flags of `milldeck duty bench` beside those of every benchmark.
+// leaseBenchFlags are the flags of `milldeck duty bench` in addition to the flags of all benchmarks.
 type leaseBenchFlags struct {
 	faults    int
 	faultTime time.Duration
@@ -22,19 +22,21 @@
 func newLeaseBench() *cobra.Command {
 	var flags leaseBenchFlags
 	command := benchmark{
-		short: "Injects faults into lease holders and measures how leases change hands",
-		long: "bench starts replicas and lease holders as processes, kills, freezes and stops holders at random moments while raft\n" +
-			"leaders of the registry are killed as well, and judges from what the processes print whether two ever believed at a\n" +
-			"time that they hold one lease. It ends within two minutes; --full injects four times as many faults and ends within\n" +
-			"eight. An overlap or a write that took effect twice is a failure.",
+		short: "Injects faults into lease holders and measures the transitions of leases",
+		long: "bench starts replicas and lease holders as processes, kills, freezes and stops holders at random times, and\n" +
+			"kills raft leaders of the registry as well. From the output of the processes it determines whether two ever\n" +
+			"considered themselves the holder of one lease at the same time. It ends within two minutes; --full injects\n" +
+			"four times as many faults and ends within eight. An overlap or a write that took effect twice is a failure.",
 		fullHelp: "four times as many faults",
 		run: func(ctx context.Context, options benchmarkOptions) (benchmarkResult, error) {
 			return runLeaseBench(ctx, options, flags)
 		},
 	}.command()
-	command.Flags().IntVar(&flags.faults, "faults", 0, "how many faults (default 504, with --full 2016)")
-	command.Flags().DurationVar(&flags.faultTime, "for", 0, "inject faults for so long at most (default 45s, with --full 3m)")
-	command.Flags().StringVar(&flags.logDir, "logs", "", "keep configurations, logs and data in this folder, which is new or empty")
+	command.Flags().IntVar(&flags.faults, "faults", 0, "number of faults (default 504, with --full 2016)")
+	command.Flags().DurationVar(&flags.faultTime, "for", 0,
+		"maximum duration of the fault injection (default 45s, with --full 3m)")
+	command.Flags().StringVar(&flags.logDir, "logs", "",
+		"directory for configurations, logs and data, new or empty (default: a temporary one, removed at the end)")
 	return command
 }
 
@@ -53,8 +55,8 @@
 		benchOptions.FaultTime = flags.faultTime
 	}
 	if flags.logDir != "" {
-		entries, _ := os.ReadDir(flags.logDir) // a folder that cannot be read yet is created or reported by the bench
-		if len(entries) > 0 {                  // logs of another run would be judged with this one's
+		entries, _ := os.ReadDir(flags.logDir) // bench.Run creates a missing directory and reports an unreadable one
+		if len(entries) > 0 {                  // the bench would also analyse the logs of an earlier run
 			return leaseBenchResult{}, usageError{fmt.Errorf("--logs: %s is not empty", flags.logDir)}
 		}
 		benchOptions.Dir = flags.logDir
@@ -63,7 +65,7 @@
 	return leaseBenchResult{result}, err
 }
 
-// leaseBenchResult is the result of the bench as a command prints it.
+// leaseBenchResult makes a result of the bench printable as a benchmarkResult.
 type leaseBenchResult struct{ *bench.Result }
 
 func (r leaseBenchResult) failure() error {
--- a/cmd/milldeck/main.go
+++ b/cmd/milldeck/main.go
@@ -1,5 +1,5 @@
-// Command milldeck is the operators' command: it plays experiments with fleets in the lab, and runs the registry, its agents and the
-// controllers of releases, maintenance windows and hot keys.
+// Command milldeck is the operators' command. It runs the registry, agents and the controllers of releases, maintenance windows
+// and hot keys, and runs experiments with fleets in the lab.
 package main
 
 import (
@@ -20,12 +20,12 @@
 // Exit codes, the same for all subcommands.
 const (
 	exitFailed = 1 // the work was started and failed
-	exitUsage  = 2 // bad use, or a file that cannot be used: nothing was started
+	exitUsage  = 2 // invalid arguments or an invalid file; nothing was started
 )
 
-const exitHelp = `Exit codes: 0 done; 1 the work failed; 2 bad use or a bad file, nothing was started.`
+const exitHelp = `Exit codes: 0 success; 1 the work failed; 2 invalid arguments or an invalid file, nothing was started.`
 
-// usageError marks an error as the caller's.
+// usageError marks an error in the arguments, which leads to exitUsage.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
@@ -71,7 +71,7 @@
 		SilenceUsage:  true,
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 0 {
-				return usageError{fmt.Errorf("unknown command %q, see milldeck --help", args[0])}
+				return usageError{fmt.Errorf("unknown command %q; see milldeck --help", args[0])}
 			}
 			return nil
 		},
@@ -82,14 +82,14 @@
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	flags := root.PersistentFlags()
-	flags.StringVar(&level, "log-level", "info", "lowest level that is logged: debug, info, warn or error")
-	flags.StringVar(&format, "log-format", "text", "form of the log: text or json")
+	flags.StringVar(&level, "log-level", "info", "minimum level of logged messages: debug, info, warn or error")
+	flags.StringVar(&format, "log-format", "text", "log format: text or json")
 	root.AddCommand(newVersion(), newLab(), newRegistry(), newLease(), newAgent(), newSupervisor(), newRelease(), newFleet(),
 		newHotKey(), newContract(), newWindow())
 	return root
 }
 
-// configureLogging sets the default logger, which all subcommands share.
+// configureLogging sets the default logger for all subcommands.
 func configureLogging(w io.Writer, level, format string) error {
 	var logLevel slog.Level
 	if err := logLevel.UnmarshalText([]byte(level)); err != nil {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// exactArgs accepts count positional arguments. Its error quotes the usage line, which names them.
+// exactArgs requires count positional arguments. The error contains the usage line, which names them.
 func exactArgs(count int) cobra.PositionalArgs {
 	return func(command *cobra.Command, args []string) error {
 		if len(args) != count {
--- a/cmd/milldeck/registry.go
+++ b/cmd/milldeck/registry.go
@@ -13,13 +13,13 @@
 	"milldeck/internal/registry"
 )
 
-// The addresses of a replica without a configuration.
+// The addresses of a replica that runs with --dev. Commands connect to devHTTP by default.
 const (
 	devHTTP = "127.0.0.1:8500"
 	devRaft = "127.0.0.1:8501"
 )
 
-// defaultWait bounds a command that calls the registry.
+// defaultWait is the default time limit of a command that calls the registry.
 const defaultWait = 10 * time.Second
 
 func newRegistry() *cobra.Command {
@@ -27,7 +27,7 @@
 		Use:   "registry",
 		Short: "The service registry: replicated discovery with leases and watches",
 		Long: "registry runs and queries the service registry: one, three or five replicas that share one log and one revision.\n" +
-			"docs/registry.md describes it, also when parts of it fail.\n\n" + exitHelp,
+			"docs/registry.md describes it, and its behaviour when parts of it fail.\n\n" + exitHelp,
 		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
@@ -44,14 +44,13 @@
 	json     bool
 }
 
-// addTo adds the flags to a command.
 func (f *clientFlags) addTo(command *cobra.Command) {
 	command.Flags().StringSliceVar(&f.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
-	command.Flags().DurationVar(&f.wait, "wait", defaultWait, "how long to retry")
+	command.Flags().DurationVar(&f.wait, "wait", defaultWait, "time limit of the command, with its retries")
 	command.Flags().BoolVar(&f.json, "json", false, "print JSON")
 }
 
-// withClient calls run with a client, and a context that ends after --wait.
+// withClient calls run with a client, and with a context whose timeout is --wait.
 func (f *clientFlags) withClient(command *cobra.Command, run func(context.Context, *registry.Client) error) error {
 	client, err := registry.NewClient(f.replicas)
 	if err != nil {
@@ -63,7 +62,7 @@
 	return run(ctx, client)
 }
 
-// print prints a value as JSON, or as text.
+// print prints a value as JSON if --json is set, otherwise as text.
 func (f *clientFlags) print(out io.Writer, value any, writeText func(io.Writer) error) error {
 	if f.json {
 		return json.NewEncoder(out).Encode(value)
@@ -71,10 +70,10 @@
 	return writeText(out)
 }
 
-// runClientCommand runs a command that calls the registry.
+// runClientCommand is the body of a command that calls the registry.
 type runClientCommand func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error
 
-// newClientCommand makes a command that calls the registry.
+// newClientCommand returns a command that calls the registry and takes args positional arguments.
 func newClientCommand(use, short string, args int, run runClientCommand) *cobra.Command {
 	flags := &clientFlags{}
 	command := &cobra.Command{
@@ -89,12 +88,12 @@
 	return command
 }
 
-// addFreshFlag adds the flag of a linearizable read.
+// addFreshFlag adds the flag that requests a linearizable read.
 func addFreshFlag(command *cobra.Command, fresh *bool) {
-	command.Flags().BoolVar(fresh, "fresh", false, "read the newest state from the leader, or fail")
+	command.Flags().BoolVar(fresh, "fresh", false, "read the latest state from the leader, or fail")
 }
 
-// newTable makes a writer of tables with columns separated by tabs.
+// newTable returns a writer that aligns tab-separated columns.
 func newTable(out io.Writer) *tabwriter.Writer {
 	const tabWidth, padding = 4, 2
 	return tabwriter.NewWriter(out, 0, tabWidth, padding, ' ', 0)
--- a/cmd/milldeck/registry_bench.go
+++ b/cmd/milldeck/registry_bench.go
@@ -12,11 +12,11 @@
 
 func newRegistryBench() *cobra.Command {
 	return benchmark{
-		short: "Measures watches, writes and leader failover with processes of this program",
-		long: "bench starts replicas on loopback addresses and measures how soon changes reach thousands of watchers, how many\n" +
-			"writes one and three replicas take, and how long a killed leader leaves the cluster without one. It ends within a minute; --full\n" +
-			"takes several and adds the restart with a long log.",
-		fullHelp: "the long form: 30 kills, longer loads, restarts with 100,000 log entries",
+		short: "Measures watches, writes and leader failover with real replica processes",
+		long: "bench starts replicas on loopback addresses and measures the delay of changes to thousands of watchers,\n" +
+			"the write rate of one and of three replicas, and the time without a leader after the leader was killed.\n" +
+			"It ends within a minute; --full takes several minutes and also measures a restart with a long log.",
+		fullHelp: "30 kills, longer loads, and restarts with 100,000 log entries",
 		run:      runRegistryBench,
 	}.command()
 }
@@ -33,10 +33,10 @@
 	return registryBenchResult{result}, err
 }
 
-// registryBenchResult is the result of the bench as a command prints it.
+// registryBenchResult makes a result of the bench printable as a benchmarkResult.
 type registryBenchResult struct{ *bench.Result }
 
-// failure returns nil: the bench measures and does not judge.
+// failure returns nil because the bench only measures and checks no limits.
 func (r registryBenchResult) failure() error { return nil }
 
 func (r registryBenchResult) writeTable(w io.Writer) error {
--- a/cmd/milldeck/registry_members.go
+++ b/cmd/milldeck/registry_members.go
@@ -13,7 +13,7 @@
 func newRegistryMembers() *cobra.Command {
 	command := &cobra.Command{
 		Use: "members", Short: "Lists, adds and removes replicas",
-		Long: "members lists the replicas of the cluster, and adds and removes replicas while it runs.\n\n" + exitHelp,
+		Long: "members lists the replicas of the cluster, and adds and removes replicas while the cluster runs.\n\n" + exitHelp,
 		Args: exactArgs(0), RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
 	command.AddCommand(
@@ -32,10 +32,10 @@
 	return command
 }
 
-// membersCall is a call that answers with the members of the cluster.
+// membersCall is a call to the registry that returns the members of the cluster.
 type membersCall func(ctx context.Context, client *registry.Client, args []string) ([]registry.Member, error)
 
-// newMembersCommand makes a command that prints the answer of a call.
+// newMembersCommand returns a command that performs a call and prints the members.
 func newMembersCommand(use, short string, args int, call membersCall) *cobra.Command {
 	return newClientCommand(use, short, args,
 		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
--- a/cmd/milldeck/registry_serve.go
+++ b/cmd/milldeck/registry_serve.go
@@ -22,8 +22,8 @@
 	defaultBackupInterval    = time.Hour
 	defaultBackupRetainCount = 24 // a day of hourly backups
 
-	// backupRetryDelay follows a failure of taking part in the election for backups: the registry has had no leader for
-	// long.
+	// backupRetryDelay is the pause after a failed campaign for the lease of backups. A campaign fails after the registry
+	// has had no leader for a long time.
 	backupRetryDelay = time.Second
 )
 
@@ -31,10 +31,10 @@
 type replicaFile struct {
 	HTTP              string       `toml:"http"`
 	Raft              string       `toml:"raft"`
-	Advertise         string       `toml:"advertise"` // raft address that the other replicas use, where it differs from raft
+	Advertise         string       `toml:"advertise"` // raft address that the other replicas use; "": the same as raft
 	Dir               string       `toml:"dir"`
 	SnapshotThreshold uint64       `toml:"snapshot_every"` // log entries
-	WarmUpS           *float64     `toml:"warm_after_s"`   // absent: a minute; 0: an observer marks servers as warm
+	WarmUpS           *float64     `toml:"warm_after_s"`   // absent: a minute; 0: an observer reports servers as warm
 	Members           []memberFile `toml:"member"`
 	Expiry            expiryFile   `toml:"expiry"`
 	Backup            backupFile   `toml:"backup"`
@@ -53,7 +53,7 @@
 
 // backupFile is the configuration of the cluster's backups.
 type backupFile struct {
-	Dir         string  `toml:"dir"` // shared by all replicas; "": no backups
+	Dir         string  `toml:"dir"` // all replicas share it; "": no backups
 	IntervalS   float64 `toml:"every_s"`
 	RetainCount int     `toml:"keep"` // number of backups
 }
@@ -77,7 +77,7 @@
 	}
 	switch {
 	case f.Dir == "":
-		return file.Errorf("dir", "a replica needs a directory")
+		return file.Errorf("dir", "a replica needs a data directory")
 	case f.Expiry.MaxShare < 0 || f.Expiry.MaxShare > 1:
 		return file.Errorf("expiry.share", "%v is not within 0 to 1", f.Expiry.MaxShare)
 	case f.Backup.IntervalS < 0:
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// validateAddresses checks the addresses of a replica, whose keys have a prefix.
+// validateAddresses checks the addresses of a replica. Prefix is the prefix of their keys in the file.
 func validateAddresses(file *config.File, prefix, httpAddr, raftAddr string) error {
 	for _, address := range []struct{ key, value string }{{"http", httpAddr}, {"raft", raftAddr}} {
 		if err := registry.CheckLoopback(address.key, address.value); err != nil {
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// options are the options of a valid configuration.
+// options returns the options of a valid configuration.
 func (f *replicaFile) options() registry.Options {
 	options := registry.Options{
 		HTTPAddr:          f.HTTP,
@@ -142,7 +142,7 @@
 	return options
 }
 
-// backupOptions are the options of the cluster's backups.
+// backupOptions returns the options of the cluster's backups, with a new candidate name.
 func (f *replicaFile) backupOptions() leaderelection.BackupOptions {
 	return leaderelection.BackupOptions{
 		Dir:         f.Backup.Dir,
@@ -160,12 +160,12 @@
 	command := &cobra.Command{
 		Use:   "serve",
 		Short: "Runs a replica until SIGTERM",
-		Long: "serve runs a replica. --dev runs a single one that holds its log in memory, at " + devHTTP + ". A replica without\n" +
+		Long: "serve runs a replica. --dev runs a single replica at " + devHTTP + " with its log in memory. A replica without\n" +
 			"members in its configuration waits until `registry members add` adds it.\n\n" + exitHelp,
 		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			if dev == (path != "") {
-				return usageError{errors.New("registry serve takes --config FILE or --dev")}
+				return usageError{errors.New("registry serve needs either --config FILE or --dev")}
 			}
 			if dev {
 				members := []registry.Member{{HTTPAddr: devHTTP, RaftAddr: devRaft}}
@@ -183,12 +183,12 @@
 			return serveReplica(command.Context(), options, &backups)
 		},
 	}
-	command.Flags().StringVar(&path, "config", "", "the replica's configuration (TOML)")
+	command.Flags().StringVar(&path, "config", "", "configuration file of the replica (TOML)")
 	command.Flags().BoolVar(&dev, "dev", false, "run a single replica in memory")
 	return command
 }
 
-// serveReplica runs a replica until ctx ends or the replica fails. Backups may be nil.
+// serveReplica runs a replica until ctx is cancelled or the replica fails. backups may be nil.
 func serveReplica(ctx context.Context, options registry.Options, backups *leaderelection.BackupOptions) error {
 	replica, err := registry.Open(options)
 	if err != nil {
@@ -210,7 +210,8 @@
 	}
 }
 
-// startBackups has this process campaign for the lease of backups, at any replica, until ctx ends. Ended is closed then.
+// startBackups starts to campaign for the lease of backups, at any replica, until ctx is cancelled. It closes ended when the
+// campaign is over.
 func startBackups(
 	ctx context.Context, options registry.Options, backups leaderelection.BackupOptions,
 ) (ended <-chan struct{}, err error) {
--- a/cmd/milldeck/registry_snapshot.go
+++ b/cmd/milldeck/registry_snapshot.go
@@ -14,19 +14,20 @@
 	"milldeck/internal/registry"
 )
 
-// snapshotMode is the mode of a saved snapshot, which holds the state of the whole fleet.
+// snapshotMode is the file mode of a saved snapshot. Only its owner may read it, because it holds the state of the whole fleet.
 const snapshotMode = 0o600
 
 func newRegistrySnapshot() *cobra.Command {
 	command := &cobra.Command{
 		Use: "snapshot", Short: "Saves, restores and verifies backups",
-		Long: "snapshot saves the state to a file, replaces the state by a saved one, or verifies a file.\n\n" + exitHelp,
+		Long: "snapshot saves the state to a file, replaces the state by a saved one, or verifies a file.\n\n" +
+			exitHelp,
 		Args: exactArgs(0), RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
 	command.AddCommand(
 		newClientCommand("save FILE", "Saves the leader's state to a file", 1, saveSnapshot),
-		newClientCommand("restore FILE", "Replaces the cluster's state by a saved one, under a new epoch", 1, restoreSnapshot),
-		newClientCommand("verify FILE", "Verifies a saved state", 1, verifySnapshot))
+		newClientCommand("restore FILE", "Replaces the cluster's state by a saved one, in a new epoch", 1, restoreSnapshot),
+		newClientCommand("verify FILE", "Verifies a file with a saved state", 1, verifySnapshot))
 	return command
 }
 
@@ -76,7 +77,7 @@
 	return data, nil
 }
 
-// snapshotDescription is what a snapshot holds.
+// snapshotDescription summarizes the content of a snapshot.
 type snapshotDescription struct {
 	Bytes     int    `json:"bytes"`
 	Epoch     uint64 `json:"epoch"`
@@ -85,7 +86,7 @@
 	Version   int    `json:"version"`
 }
 
-// describeSnapshot prints what a snapshot holds.
+// describeSnapshot prints the description of a snapshot.
 func describeSnapshot(out io.Writer, flags *clientFlags, data []byte) error {
 	state, err := registry.ReadSnapshot(bytes.NewReader(data))
 	if err != nil {
--- a/cmd/milldeck/registry_status.go
+++ b/cmd/milldeck/registry_status.go
@@ -10,7 +10,7 @@
 	"milldeck/internal/registry"
 )
 
-// replicaStatus is the status of a replica, or why it could not be read.
+// replicaStatus is the status of a replica, or the error of the request for it.
 type replicaStatus struct {
 	registry.Status
 	Error string `json:"error,omitempty"`
--- a/cmd/milldeck/registry_suspects.go
+++ b/cmd/milldeck/registry_suspects.go
@@ -11,11 +11,11 @@
 )
 
 func newRegistrySuspects() *cobra.Command {
-	return newClientCommand("suspects keep|expire", "Decides on instances whose expiry is held back", 1,
+	return newClientCommand("suspects keep|expire", "Keeps or expires the instances whose expiry is held back", 1,
 		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
 			decision := args[0]
 			if decision != "keep" && decision != "expire" {
-				return usageError{fmt.Errorf("registry suspects takes keep or expire, not %q", decision)}
+				return usageError{fmt.Errorf("registry suspects needs keep or expire, not %q", decision)}
 			}
 			result, err := client.ResolveSuspects(ctx, decision == "expire")
 			if err != nil {
--- a/cmd/milldeck/registry_watch.go
+++ b/cmd/milldeck/registry_watch.go
@@ -12,15 +12,16 @@
 	"milldeck/internal/registry"
 )
 
-// watchRetryDelay is the time between two watches.
+// watchRetryDelay is the delay after a failed watch.
 const watchRetryDelay = time.Second
 
 func newRegistryWatch() *cobra.Command {
 	flags := &clientFlags{}
 	w := &endpointWatch{flags: flags}
 	command := &cobra.Command{
-		Use: "watch", Short: "Prints each change as it comes, until an interrupt", Args: exactArgs(0),
-		Long: "watch prints each change as it comes, until an interrupt; it moves on to another replica when one fails.\n\n" + exitHelp,
+		Use: "watch", Short: "Prints each change of the instances, until an interrupt", Args: exactArgs(0),
+		Long: "watch prints each change of the instances, until an interrupt. When a replica fails, it watches another one.\n\n" +
+			exitHelp,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return flags.withClient(command, func(_ context.Context, client *registry.Client) error {
 				return w.run(command.Context(), command.OutOrStdout(), client)
@@ -28,18 +29,19 @@
 		},
 	}
 	flags.addTo(command)
-	command.Flags().Uint64Var(&w.revision, "after", 0, "begin after this revision; 0 begins with the complete list")
-	command.Flags().Uint64Var(&w.epoch, "epoch", 0, "the epoch of that revision")
+	command.Flags().Uint64Var(&w.revision, "after", 0, "print the changes after this revision; 0: print the complete list first")
+	command.Flags().Uint64Var(&w.epoch, "epoch", 0, "epoch of the revision in --after")
 	return command
 }
 
-// endpointWatch prints the changes after a revision of an epoch.
+// endpointWatch prints the changes after a revision in an epoch, which it advances with each change.
 type endpointWatch struct {
 	flags           *clientFlags
 	revision, epoch uint64
 }
 
-// run watches one replica after the other until ctx ends. The position survives the failure of a replica.
+// run watches one replica after the other until ctx is cancelled. After the failure of a replica, it continues from the last
+// printed revision.
 func (w *endpointWatch) run(ctx context.Context, out io.Writer, client *registry.Client) error {
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		replica := client.Replicas()[attempt%len(client.Replicas())]
@@ -55,7 +57,7 @@
 	return nil
 }
 
-// print prints a watch event that is new. A nil list is a heartbeat.
+// print prints an event of the watch unless it was printed before. A nil list is a heartbeat.
 func (w *endpointWatch) print(out io.Writer, list *registry.EndpointList) error {
 	if list == nil || list.Epoch == w.epoch && list.Revision <= w.revision && !list.Complete {
 		return nil
--- a/cmd/milldeck/serve_lease.go
+++ b/cmd/milldeck/serve_lease.go
@@ -13,17 +13,17 @@
 	"milldeck/internal/sockets"
 )
 
-// Bounds of the pause after a campaign that failed, at random between the two.
+// Bounds of the random pause after a failed campaign.
 const (
 	minCampaignPause = 500 * time.Millisecond
 	maxCampaignPause = 1500 * time.Millisecond
 )
 
-// leaseServerTimeout bounds the reading of a request's header, half of the writing of a response, and the graceful shutdown.
+// leaseServerTimeout limits reading the header of a request, and the graceful shutdown. The write timeout is twice as long.
 const leaseServerTimeout = 10 * time.Second
 
-// serveUnderLease serves HTTP, and campaigns for a lease and works while it is held, again after each loss, until ctx ends
-// or the server fails.
+// serveUnderLease serves HTTP and campaigns for a lease, until ctx is cancelled or the server fails. It calls work while the
+// lease is held, and campaigns again after each loss.
 func serveUnderLease(ctx context.Context, listen string, handler http.Handler, client *registry.Client, lease string, ttl time.Duration,
 	work func(context.Context, *leaderelection.Lease) error) error {
 	listener, err := sockets.Listen("tcp", listen)
@@ -52,7 +52,7 @@
 	return errors.Join(err, server.Shutdown(shutdownCtx))
 }
 
-// campaignRepeatedly campaigns for a lease until ctx ends, and works while it is held.
+// campaignRepeatedly campaigns for a lease until ctx is cancelled, and calls work while the lease is held.
 func campaignRepeatedly(ctx context.Context, client *registry.Client, lease string, ttl time.Duration,
 	work func(context.Context, *leaderelection.Lease) error) {
 	options := leaderelection.Options{TTL: ttl, OnEvent: logElectionEvent}
@@ -69,7 +69,7 @@
 	}
 }
 
-// logElectionEvent logs the events of a lease, except renewals. Tests and operators read "what=acquired".
+// logElectionEvent logs the events of a lease, except renewals. Tests and operators search the log for "what=acquired".
 func logElectionEvent(event leaderelection.Event) {
 	if event.Type == leaderelection.Renewed {
 		return
--- a/cmd/milldeck/supervisor.go
+++ b/cmd/milldeck/supervisor.go
@@ -13,13 +13,13 @@
 	"milldeck/internal/supervisor/standin"
 )
 
-// newSupervisor returns the commands of the lab's platform. They are hidden: a site's own platform is met as
-// docs/supervisor.md says.
+// newSupervisor returns the commands of the lab's platform. They are hidden because a site uses its own platform, through
+// the interface in docs/supervisor.md.
 func newSupervisor() *cobra.Command {
 	command := &cobra.Command{
 		Use:    "supervisor",
 		Hidden: true,
-		Short:  "The platform that starts and stops processes",
+		Short:  "Platform that starts and stops processes",
 		Args:   exactArgs(0),
 		RunE:   func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
@@ -27,7 +27,7 @@
 	return command
 }
 
-// standInOptions are the flags of supervisor stand-in.
+// standInOptions are the flags of `milldeck supervisor stand-in`.
 type standInOptions struct {
 	listen, versions, dir string
 }
@@ -36,19 +36,20 @@
 	options := &standInOptions{}
 	command := &cobra.Command{
 		Use:   "stand-in",
-		Short: "Runs the lab's platform until SIGTERM, and stops what it has started",
-		Long: "stand-in starts, stops and lists processes as a platform does, and fails when a fault is injected. docs/supervisor.md\n" +
-			"describes its HTTP form and its faults.\n\n" + exitHelp,
+		Short: "Runs the lab's platform until SIGTERM, and then stops the processes that it has started",
+		Long: "stand-in starts, stops and lists processes like a production platform, and fails as injected faults demand.\n" +
+			"docs/supervisor.md describes its HTTP interface and its faults.\n\n" + exitHelp,
 		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error { return options.serve(command.Context()) },
 	}
-	command.Flags().StringVar(&options.listen, "listen", "127.0.0.1:0", "address on loopback")
-	command.Flags().StringVar(&options.versions, "versions", "", "TOML file of the versions that it can run")
-	command.Flags().StringVar(&options.dir, "dir", "", "folder of logs and configurations (default: one of its own, removed at the end)")
+	command.Flags().StringVar(&options.listen, "listen", "127.0.0.1:0", "address and port on loopback")
+	command.Flags().StringVar(&options.versions, "versions", "", "TOML file with the versions that the platform can run")
+	command.Flags().StringVar(&options.dir, "dir", "",
+		"directory for logs and configurations (default: a temporary one, removed at the end)")
 	return command
 }
 
-// serve runs a platform until ctx ends.
+// serve runs a platform until ctx is cancelled.
 func (o *standInOptions) serve(ctx context.Context) error {
 	if o.versions == "" {
 		return usageError{errors.New("supervisor stand-in needs --versions FILE")}
@@ -69,7 +70,7 @@
 	return standin.Serve(ctx, listener, versions, dir)
 }
 
-// makeDir makes the folder of logs and configurations. removeDir removes it where it is a temporary one.
+// makeDir creates the directory for logs and configurations. removeDir removes it if it is a temporary one.
 func (o *standInOptions) makeDir() (dir string, removeDir func(), err error) {
 	if o.dir != "" {
 		return o.dir, func() {}, os.MkdirAll(o.dir, 0o755)
--- a/cmd/milldeck/version.go
+++ b/cmd/milldeck/version.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 )
 
-// buildInfo is what `version --json` prints.
+// buildInfo is the output of `milldeck version --json`.
 type buildInfo struct {
 	Version  string `json:"version"`
 	Go       string `json:"go"`
@@ -43,9 +43,10 @@
 	var asJSON bool
 	command := &cobra.Command{
 		Use:   "version",
-		Short: "Prints what build this is",
-		Long:  "version prints what build this is, from the build information of the program.\n\n" + exitHelp,
-		Args:  exactArgs(0),
+		Short: "Prints the version and build of this program",
+		Long: "version prints the version, Go version and platform, from the build information in the executable.\n\n" +
+			exitHelp,
+		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			build := readBuild()
 			if asJSON {
