--- a/cmd/milldeck/contract.go
+++ b/cmd/milldeck/contract.go
@@ -17,10 +17,11 @@
 func newContract() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "contract",
-		Short: "What tenants have agreed to about maintenance",
-		Long:  "contract checks, sets and withdraws tenants' contracts. docs/maintenance-windows.md describes their files.\n\n" + exitHelp,
-		Args:  exactArgs(0),
-		RunE:  func(command *cobra.Command, _ []string) error { return command.Help() },
+		Short: "Contracts: the maintenance that tenants have agreed to",
+		Long: "contract checks, sets and withdraws tenants' contracts. docs/maintenance-windows.md describes the files.\n\n" +
+			exitHelp,
+		Args: exactArgs(0),
+		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
 	command.AddCommand(newContractCheck(), newContractSet(), newContractWithdraw(), newContractList(), newContractResume())
 	return command
@@ -30,13 +31,14 @@
 	var at string
 	var days int
 	command := &cobra.Command{
-		Use:     "check FILE",
-		Short:   "Checks a contract and prints its next approved hours",
-		Long:    "check reads a contract and prints the hours that it approves, in the tenant's zone and in UTC.\n\n" + exitHelp,
+		Use:   "check FILE",
+		Short: "Checks a contract and prints its next approved hours",
+		Long: "check reads a contract and prints the hours that it approves, in the tenant's time zone and in UTC.\n\n" +
+			exitHelp,
 		Example: "  milldeck contract check portal.toml --days 14",
 		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			const maxDays = 400 // the hours of a year, and more than a closed season
+			const maxDays = 400 // more than a year, and longer than any closed season
 			now, err := parseTimeMS(at)
 			if err != nil {
 				return usageError{fmt.Errorf("--at: %w", err)}
@@ -51,12 +53,12 @@
 			return printApprovedHours(command.OutOrStdout(), terms, now, days)
 		},
 	}
-	command.Flags().StringVar(&at, "at", "", "from this time on, RFC 3339 (default now)")
-	command.Flags().IntVar(&days, "days", 7, "how many days ahead")
+	command.Flags().StringVar(&at, "at", "", "start of the period, RFC 3339 (default now)")
+	command.Flags().IntVar(&days, "days", 7, "length of the period in days")
 	return command
 }
 
-// printApprovedHours prints the approved hours of the next days, in the tenant's time zone and in UTC.
+// printApprovedHours prints the approved hours of a number of days from now on, in the tenant's time zone and in UTC.
 func printApprovedHours(out io.Writer, terms *contract.Contract, now int64, days int) error {
 	calendar, err := terms.Calendar()
 	if err != nil {
@@ -68,7 +70,7 @@
 	}
 	intervals := calendar.Between(now, now+int64(days)*24*time.Hour.Milliseconds())
 	if len(intervals) == 0 {
-		return errors.New("nothing is approved in this time")
+		return errors.New("the contract approves no hours in this period")
 	}
 	for _, interval := range intervals {
 		from, until := time.UnixMilli(interval.StartMS), time.UnixMilli(interval.EndMS)
@@ -82,7 +84,7 @@
 }
 
 func newContractSet() *cobra.Command {
-	command := newClientCommand("set FILE", "Brings a contract into force, and the disruption budget that belongs to it", 1,
+	command := newClientCommand("set FILE", "Sets a contract and the disruption budget that belongs to it", 1,
 		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
 			terms, err := contract.Load(args[0])
 			if err != nil {
@@ -97,7 +99,7 @@
 }
 
 func newContractWithdraw() *cobra.Command {
-	command := newClientCommand("withdraw TENANT", "Ends a contract; windows that are out of service return", 1,
+	command := newClientCommand("withdraw TENANT", "Withdraws a contract; windows that are out of service return to service", 1,
 		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
 			return writeWindowOperation(ctx, command, flags, client, maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: args[0]})
 		})
@@ -106,7 +108,7 @@
 }
 
 func newContractList() *cobra.Command {
-	command := newClientCommand("list", "Prints the contracts in force, with the minutes used this month", 0,
+	command := newClientCommand("list", "Prints the active contracts, with the minutes used this month", 0,
 		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, _ []string) error {
 			view, err := client.Windows(ctx, true)
 			if err != nil {
@@ -125,11 +127,11 @@
 	return command
 }
 
-// minutesUsed is what a tenant's windows have used of the present month of its time zone.
+// minutesUsed returns how many minutes a tenant's windows have used in the current month of the tenant's time zone.
 func minutesUsed(snapshot *maintenance.Snapshot, active *maintenance.ActiveContract) int64 {
 	calendar, err := active.Calendar()
 	if err != nil {
-		return 0 // a contract of a later version: its months are not known here
+		return 0 // the contract is of a later version, whose months this build cannot compute
 	}
 	now := time.Now().UnixMilli()
 	usedMS := int64(0)
@@ -140,7 +142,7 @@
 }
 
 func newContractResume() *cobra.Command {
-	command := newClientCommand("resume TENANT", "Resumes a tenant that an overrun has halted", 1,
+	command := newClientCommand("resume TENANT", "Resumes a tenant's windows after an overrun has halted them", 1,
 		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
 			return writeWindowOperation(ctx, command, flags, client, maintenance.Operation{Kind: maintenance.OpResume, Scope: "tenant/" + args[0]})
 		})
--- a/cmd/milldeck/fleet.go
+++ b/cmd/milldeck/fleet.go
@@ -21,16 +21,17 @@
 	command := &cobra.Command{
 		Use:   "fleet",
 		Short: "The fleet: unavailable units, halts, drains",
-		Long:  "fleet shows what is unavailable and why, halts all that would take more out of service, and drains servers.\n\n" + exitHelp,
-		Args:  exactArgs(0),
-		RunE:  func(command *cobra.Command, _ []string) error { return command.Help() },
+		Long: "fleet shows unavailable units and why, halts whatever would take more out of service, and drains servers.\n\n" +
+			exitHelp,
+		Args: exactArgs(0),
+		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
 	command.AddCommand(newFleetStatus(), newFleetHalt(), newFleetResume(), newFleetDrain(), newFleetBudgets())
 	return command
 }
 
 func newFleetStatus() *cobra.Command {
-	return newClientCommand("status", "Prints what is unavailable, under which permits, budgets and halts", 0,
+	return newClientCommand("status", "Prints the unavailable units, and the permits, budgets and halts", 0,
 		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, _ []string) error {
 			view, err := client.LedgerView(ctx, false, false)
 			if err != nil {
@@ -40,7 +41,7 @@
 		})
 }
 
-// writeFleet prints a ledger for people: uncertainty and halts first.
+// writeFleet prints a view of the ledger as text, uncertainty and halts first.
 func writeFleet(out io.Writer, view *disruption.View) error {
 	table := newTable(out)
 	if view.Uncertainty != "" {
@@ -69,12 +70,12 @@
 }
 
 func newFleetHalt() *cobra.Command {
-	return newHaltCommand(disruption.OpHalt, "Halts all that would take more out of service; rollbacks go on")
+	return newHaltCommand(disruption.OpHalt, "Halts whatever would take more units out of service; rollbacks continue")
 }
 
 func newFleetResume() *cobra.Command { return newHaltCommand(disruption.OpResume, "Ends a halt") }
 
-// newHaltCommand is a command that applies an operation about a halt; it is named like the operation.
+// newHaltCommand returns a command that sets or ends a halt. It has the name of the operation.
 func newHaltCommand(kind disruption.OpKind, short string) *cobra.Command {
 	var operator, reason, scope string
 	command := newClientCommand(string(kind), short, 0, func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, _ []string) error {
@@ -88,13 +89,13 @@
 			return err
 		})
 	})
-	command.Flags().StringVar(&scope, "scope", "", "budget/NAME or release/NAME; none: the fleet")
+	command.Flags().StringVar(&scope, "scope", "", "budget/NAME or release/NAME (default: the whole fleet)")
 	operatorFlag(command, &operator)
 	command.Flags().StringVar(&reason, "why", "", "reason, stored in the log")
 	return command
 }
 
-// operatorFlag adds the flag with the name of the operator.
+// operatorFlag adds the flag for the name of the operator.
 func operatorFlag(command *cobra.Command, operator *string) {
 	command.Flags().StringVar(operator, "by", "unnamed", "name of the operator, stored in the log")
 }
@@ -105,11 +106,11 @@
 	var deadline time.Duration
 	command := &cobra.Command{
 		Use:   "drain NAME",
-		Short: "Drains and stops servers for good, one after the other within the budgets",
-		Long: "drain drains servers and stops them: what only they serve is made ready elsewhere, the endpoint list says\n" +
-			"Terminating, and once every live sidecar has that list and no request can be in flight, the platform stops them.\n" +
-			"NAME is the drain's, and of its lease, release/NAME: of two that run the second waits as a candidate. release halt and\n" +
-			"resume act on it.\n\n" + exitHelp,
+		Short: "Drains and stops servers permanently, one after the other within the budgets",
+		Long: "drain makes available on other servers what only the drained servers serve, and marks the drained\n" +
+			"servers Terminating in the endpoint list. Once every live sidecar has that list and no request can be in\n" +
+			"flight, the platform stops them. NAME identifies the drain and its lease, release/NAME; a second process\n" +
+			"with the same NAME waits as a candidate. release halt and release resume act on the drain.\n\n" + exitHelp,
 		Example: "  milldeck fleet drain rack-7 --ids server/a1,server/a2\n  milldeck fleet drain zone-b --zone b --deadline 6h",
 		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -126,9 +127,9 @@
 		},
 	}
 	command.Flags().StringSliceVar(&selector.IDs, "ids", nil, "units, as server/UID")
-	command.Flags().StringVar(&selector.Zone, "zone", "", "all of a zone")
-	command.Flags().StringVar(&selector.Model, "model", "", "all of a model")
-	command.Flags().DurationVar(&deadline, "deadline", time.Hour, "past it the drain halts")
+	command.Flags().StringVar(&selector.Zone, "zone", "", "all servers of a zone")
+	command.Flags().StringVar(&selector.Model, "model", "", "all servers of a model")
+	command.Flags().DurationVar(&deadline, "deadline", time.Hour, "time after which the drain halts")
 	f.register(command)
 	return command
 }
--- a/cmd/milldeck/fleet_budgets.go
+++ b/cmd/milldeck/fleet_budgets.go
@@ -14,12 +14,13 @@
 	"milldeck/internal/registry"
 )
 
-// budgetsFile is the budgets of a fleet as operators write them.
+// budgetsFile is the file format of budgets.
 type budgetsFile struct {
 	Budgets []disruption.Budget `toml:"budget"`
 }
 
-// readBudgets reads a file of budgets by name. It validates all of them, so that none is set where one is invalid.
+// readBudgets reads a file of budgets and returns them by name. It validates all of them first, so that a file with one invalid
+// budget sets none.
 func readBudgets(path string) (map[string]*disruption.Budget, error) {
 	var content budgetsFile
 	file, err := config.Load(path, &content)
@@ -46,10 +47,11 @@
 	var operator string
 	command := &cobra.Command{
 		Use:   "budgets [FILE]",
-		Short: "Prints how much may be unavailable at a time, or sets it from a file",
-		Long: "budgets prints the budgets that are set. With a file it makes them those of the file: it sets each that is new or\n" +
-			"differs and deletes those that the file lacks, these last, so that the fleet is never bound less than by either.\n" +
-			"What holds without any budget: docs/ledger.md, \"Budgets\".\n\n" + exitHelp,
+		Short: "Prints the budgets (how much may be unavailable at a time), or sets them from a file",
+		Long: "budgets prints the current budgets. With a file, it replaces them: it sets each budget that is new or\n" +
+			"differs, and then deletes those that the file lacks. In this order the fleet never has weaker limits than the\n" +
+			"old or the new budgets set. docs/ledger.md, \"Budgets\", describes the limits that apply without a budget.\n\n" +
+			exitHelp,
 		Example: "  milldeck fleet budgets\n  milldeck fleet budgets budgets.toml --by ana",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -61,7 +63,7 @@
 	return command
 }
 
-// runBudgets sets the budgets of a file where one is given, and prints those that are then set.
+// runBudgets sets the budgets of a file, if one is given, and prints the budgets that are set afterwards.
 func runBudgets(command *cobra.Command, flags *clientFlags, owner string, files []string) error {
 	var desired map[string]*disruption.Budget
 	if len(files) > 0 {
@@ -87,8 +89,8 @@
 	})
 }
 
-// setBudgets makes the budgets that exist the desired ones, with an entry of the log for each. After a failure a
-// repeat goes on where this has stopped.
+// setBudgets replaces the existing budgets by the desired ones, with one log entry for each change. After a failure, a
+// second call completes the replacement.
 func setBudgets(ctx context.Context, client *registry.Client, owner string, existing []disruption.Budget, desired map[string]*disruption.Budget) error {
 	for _, name := range slices.Sorted(maps.Keys(desired)) {
 		op := disruption.Op{Kind: disruption.OpSetBudget, Owner: owner, Budget: desired[name]}
@@ -132,7 +134,7 @@
 	return "any"
 }
 
-// describeSelector says in words which units a selector selects.
+// describeSelector describes in words which units a selector matches.
 func describeSelector(selector *disruption.Selector) string {
 	text := "all units"
 	if selector.Kind != "" {
--- a/cmd/milldeck/hotkey.go
+++ b/cmd/milldeck/hotkey.go
@@ -18,16 +18,15 @@
 
 const (
 	defaultHotKeyAddr  = "127.0.0.1:8520"
-	maxStatusBytes     = 8 << 20 // of a controller's status
-	maxStatusErrorText = 1 << 10 // bytes of an error response that are quoted
+	maxStatusBytes     = 8 << 20 // limit of a status response
+	maxStatusErrorText = 1 << 10 // limit in bytes of an error response that is quoted
 )
 
-// newHotKey returns the commands for hot keys.
 func newHotKey() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "spread",
-		Short: "Hot keys: the controller that replicates them over additional servers",
-		Long: "spread replicates hot keys over additional servers, and shows which it replicates. docs/hot-keys.md describes it.\n\n" +
+		Short: "Hot keys: the controller that replicates them to additional servers",
+		Long: "spread replicates hot keys to additional servers and shows the replicated keys. docs/hot-keys.md describes it.\n\n" +
 			exitHelp,
 		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
@@ -36,7 +35,7 @@
 	return command
 }
 
-// hotKeyServeOptions are the flags of spread serve.
+// hotKeyServeOptions are the flags of `milldeck spread serve`.
 type hotKeyServeOptions struct {
 	listen         string
 	replicas       []string
@@ -49,21 +48,23 @@
 	options := &hotKeyServeOptions{}
 	command := &cobra.Command{
 		Use:   "serve",
-		Short: "Campaigns for the lease " + hotkey.LeaseName + " and replicates hot keys while it is held, until SIGTERM",
+		Short: "Campaigns for the lease " + hotkey.LeaseName + " and replicates hot keys while it holds the lease, until SIGTERM",
 		Long: "serve receives the sidecars' load reports, campaigns for the lease " + hotkey.LeaseName + ", and replicates hot keys\n" +
-			"while it is held. Run two or three; agents forward reports to all of them.\n\n" + exitHelp,
+			"while it holds the lease. Run two or three controllers; agents forward reports to all of them.\n\n" + exitHelp,
 		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error { return options.serve(command.Context()) },
 	}
 	command.Flags().StringVar(&options.listen, "listen", defaultHotKeyAddr, "address for load reports and status requests")
 	command.Flags().StringSliceVar(&options.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
-	command.Flags().Float64Var(&options.serverCapacity, "bear", 1000, "capacity of a server of relative capacity 1, ms of work a second: 1000 for each core")
-	command.Flags().Float64Var(&options.requestWork, "work", 50, "work of an average request, ms")
-	command.Flags().DurationVar(&options.serverWarmup, "cold-for", time.Minute, "warm-up of a server: for so long after its start it gets no replicas")
+	command.Flags().Float64Var(&options.serverCapacity, "bear", 1000,
+		"capacity of a server with relative capacity 1, in ms of work per second: 1000 per core")
+	command.Flags().Float64Var(&options.requestWork, "work", 50, "work of an average request, in ms")
+	command.Flags().DurationVar(&options.serverWarmup, "cold-for", time.Minute,
+		"warm-up time after the start of a server, during which it gets no replicas of keys")
 	return command
 }
 
-// serve runs a controller until ctx ends.
+// serve runs a controller until ctx is cancelled.
 func (o *hotKeyServeOptions) serve(ctx context.Context) error {
 	config := hotkey.DefaultConfig(o.serverCapacity, o.requestWork)
 	if err := config.Validate(); err != nil {
@@ -91,8 +92,8 @@
 	flags := &clientFlags{}
 	command := &cobra.Command{
 		Use:   "show",
-		Short: "Prints the keys that are replicated",
-		Long:  "show prints the keys that are replicated: from the controller that holds the lease.\n\n" + exitHelp,
+		Short: "Prints the replicated keys",
+		Long:  "show requests the replicated keys from the controller that holds the lease, and prints them.\n\n" + exitHelp,
 		Args:  exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			ctx, cancel := context.WithTimeout(command.Context(), flags.wait)
@@ -120,7 +121,7 @@
 	return table.Flush()
 }
 
-// fetchKeyStatuses requests the replicated keys of the controller at an address.
+// fetchKeyStatuses requests the status of the replicated keys from the controller at an address.
 func fetchKeyStatuses(ctx context.Context, addr string) (statuses []hotkey.KeyStatus, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/spread", nil)
 	if err != nil {
@@ -133,7 +134,7 @@
 	defer response.Body.Close()
 	body := io.LimitReader(response.Body, maxStatusBytes)
 	if response.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(body, maxStatusErrorText)) // a part of it says enough
+		text, _ := io.ReadAll(io.LimitReader(body, maxStatusErrorText)) // an incomplete text is enough for the error
 		return nil, fmt.Errorf("%s: %s: %s", addr, response.Status, text)
 	}
 	if err := json.NewDecoder(body).Decode(&statuses); err != nil {
--- a/cmd/milldeck/release.go
+++ b/cmd/milldeck/release.go
@@ -9,15 +9,16 @@
 func newRelease() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "release",
-		Short: "Releases: another version, wave by wave, within the fleet's budgets",
-		Long:  "release updates servers or sidecars to another version. docs/release.md says what is promised.\n\n" + exitHelp,
+		Short: "Releases: update units to another version, wave by wave, within the fleet's budgets",
+		Long:  "release updates servers or sidecars to another version. docs/release.md describes the guarantees.\n\n" + exitHelp,
 		Args:  exactArgs(0),
 		RunE:  func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
 	command.AddCommand(newReleaseCheck(), newReleaseStart(), newReleaseStatus(),
-		newReleaseCommand(release.CommandHalt, "Halts a release: no further unit is taken out"),
+		newReleaseCommand(release.CommandHalt, "Halts a release: no further unit is taken out of service"),
 		newReleaseCommand(release.CommandResume, "Resumes a halted release"),
-		newReleaseCommand(release.CommandRollback, "Rolls a release back to the version that its units had"),
-		newReleaseCommand(release.CommandFinalize, "Finalizes a finished release: it cannot be rolled back, and its units are free"))
+		newReleaseCommand(release.CommandRollback, "Rolls a release back: its units return to their previous versions"),
+		newReleaseCommand(release.CommandFinalize,
+			"Finalizes a finished release: it can no longer be rolled back, and its units are free for other releases"))
 	return command
 }
--- a/cmd/milldeck/release_check.go
+++ b/cmd/milldeck/release_check.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// maxViewBytes bounds a view of a fleet that is read from a file: 100,000 units have about 30 MB.
+	// maxViewBytes limits the file with a view of a fleet. A view with 100,000 units has about 30 MB.
 	maxViewBytes = 64 << 20
-	// maxNamesPrinted is how many units of a wave a dry run prints by name.
+	// maxNamesPrinted limits the units of a wave that a dry run prints by name.
 	maxNamesPrinted = 8
 )
 
-// checkFlags are the flags of `release check`.
+// checkFlags are the flags of `milldeck release check`.
 type checkFlags struct {
 	viewPath string
 	dryRun   bool
@@ -35,10 +35,11 @@
 	registryFlags := &clientFlags{}
 	command := &cobra.Command{
 		Use:   "check PLAN",
-		Short: "Checks a plan, and makes a dry run against a view of the fleet",
-		Long: "check validates a plan, and names what is wrong with it by file, line and key. With --dry-run it reads the fleet\n" +
-			"from the registry, with --view from a file (the ledger as the registry shows it, with all its units): it assigns\n" +
-			"the waves, says which capacity remains and which warms up, and rejects what budgets can never allow.\n\n" + exitHelp,
+		Short: "Checks a plan, and performs a dry run against a view of the fleet",
+		Long: "check validates a plan and reports errors by file, line and key. For a dry run it reads the fleet from the\n" +
+			"registry (--dry-run) or from a file (--view, the ledger's view with all its units). The dry run assigns the units\n" +
+			"to waves, prints the capacity that remains and that warms up, and rejects a plan that the budgets can never allow.\n\n" +
+			exitHelp,
 		Example: "  milldeck release check plan.toml --dry-run\n  milldeck release check plan.toml --view ledger.json --json",
 		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -58,13 +59,14 @@
 			return showPreview(command.OutOrStdout(), registryFlags, plan.NewPreview(p, view.Units, view.Budgets))
 		},
 	}
-	command.Flags().BoolVar(&flags.dryRun, "dry-run", false, "make a dry run against the fleet as it is")
-	command.Flags().StringVar(&flags.viewPath, "view", "", "file with the ledger's view (JSON), for a dry run without the registry")
+	command.Flags().BoolVar(&flags.dryRun, "dry-run", false, "perform a dry run against the current fleet")
+	command.Flags().StringVar(&flags.viewPath, "view", "",
+		"file with a view of the ledger (JSON), for a dry run without the registry")
 	registryFlags.addTo(command)
 	return command
 }
 
-// readView reads the ledger's view from a file, or else from the registry.
+// readView reads the ledger's view from the file in --view, or from the registry if the flag is not set.
 func (f *checkFlags) readView(command *cobra.Command, flags *clientFlags) (*disruption.View, error) {
 	if f.viewPath != "" {
 		view, err := readViewFile(f.viewPath)
@@ -92,19 +94,19 @@
 		return nil, err
 	}
 	if len(data) > maxViewBytes {
-		return nil, fmt.Errorf("%s: over %d bytes", path, maxViewBytes)
+		return nil, fmt.Errorf("%s: file is larger than %d bytes", path, maxViewBytes)
 	}
 	view := &disruption.View{}
 	if err := json.Unmarshal(data, view); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if len(view.Units) == 0 {
-		return nil, errors.New(path + ": it has no units")
+		return nil, errors.New(path + ": the view has no units")
 	}
 	return view, nil
 }
 
-// showPreview prints a dry run as the flags say, and returns an error if the plan is infeasible.
+// showPreview prints the result of a dry run as JSON or text, and returns an error if the plan is infeasible.
 func showPreview(out io.Writer, flags *clientFlags, preview *plan.Preview) error {
 	err := flags.print(out, preview, func(w io.Writer) error { return printPreview(w, preview) })
 	if err != nil {
@@ -116,7 +118,7 @@
 	return nil
 }
 
-// printPreview prints a dry run for people.
+// printPreview prints the result of a dry run as text.
 func printPreview(out io.Writer, preview *plan.Preview) error {
 	w := newTable(out)
 	fmt.Fprintf(w, "release %s, plan %s: at most %d out at once\n", preview.Name, preview.Hash, preview.MaxUnavailable)
--- a/cmd/milldeck/release_start.go
+++ b/cmd/milldeck/release_start.go
@@ -29,22 +29,22 @@
 )
 
 const (
-	devReports  = "127.0.0.1:8530" // where a release's controller accepts load reports
+	devReports  = "127.0.0.1:8530" // at which a release's controller accepts load reports
 	devPlatform = "127.0.0.1:8540"
 
 	defaultMaxRequestDuration = 10 * time.Second
 	defaultWarmUpTime         = time.Minute
 	defaultStrata             = 32
 
-	reportsTimeout     = 5 * time.Second // for the header of a request, and for open requests at the end
-	reportsIdleTimeout = time.Minute     // of a connection between two reports
+	reportsTimeout     = 5 * time.Second // for reading the header of a request, and for open requests at shutdown
+	reportsIdleTimeout = time.Minute     // for an idle connection between two reports
 
 	prepareTimeout  = 2 * time.Second // for one request to the hot-key controller
-	preparePath     = "/spread/leave" // of that request
-	maxPrepareBytes = 1 << 10         // of its response
+	preparePath     = "/spread/leave" // path of the request to the hot-key controller
+	maxPrepareBytes = 1 << 10         // limit of its response
 )
 
-// controllerFlags are the flags of all commands that run a release's controller.
+// controllerFlags are the flags of the commands that run a release's controller.
 type controllerFlags struct {
 	replicas           []string
 	platform           string
@@ -59,29 +59,30 @@
 func (f *controllerFlags) register(command *cobra.Command) {
 	flags := command.Flags()
 	flags.StringSliceVar(&f.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
-	flags.StringVar(&f.platform, "platform", devPlatform, "address of the platform that starts and stops processes")
+	flags.StringVar(&f.platform, "platform", devPlatform, "address of the platform, which starts and stops processes")
 	flags.StringVar(&f.listen, "listen", devReports, "address for sidecars' load reports, which agents forward")
 	flags.StringVar(&f.hotKeyController, "spread", "",
-		"address of the hot-key controller, which makes copies of keys before a server goes; none: there are none")
-	flags.StringVar(&f.configDir, "files", "", "directory of configurations: CONFIG/UNIT, or CONFIG for all")
+		"address of the hot-key controller, which replicates a server's keys elsewhere before its drain; empty: none")
+	flags.StringVar(&f.configDir, "files", "", "directory of configurations: CONFIG/UNIT for one unit, or CONFIG for all units")
 	flags.DurationVar(&f.maxRequestDuration, "longest", defaultMaxRequestDuration,
-		"the longest that a request may take: the largest hard limit of the settings")
+		"maximum duration of a request: the largest hard limit in the settings")
 	flags.DurationVar(&f.warmUpTime, "warm-after", defaultWarmUpTime,
-		"how long after it is ready a server counts as warm; 0: another process reports that")
-	flags.IntVar(&f.strata, "strata", defaultStrata, "expected classes × zones, which share the judge's false-alarm rate")
+		"time after which a ready server counts as warm; 0: another process reports it as warm")
+	flags.IntVar(&f.strata, "strata", defaultStrata,
+		"expected number of classes × zones, which share the false-alarm rate of the canary analysis")
 }
 
-// releaseInputs is what a release's initial state is made from, besides its plan.
+// releaseInputs are the inputs of a release's initial state, besides its plan.
 type releaseInputs struct {
 	ledger   disruption.View
 	platform *supervisor.List
 }
 
-// newStateFunc makes a release's initial state.
+// newStateFunc creates a release's initial state.
 type newStateFunc func(*releaseInputs) (*release.State, error)
 
-// runRelease starts a release, unless it is under way, and carries it out until it is finished. Another process that runs
-// the same is a candidate for its lease, and continues where this one stops.
+// runRelease starts a release, unless it is in progress, and executes it until it is finished. A second process with the same
+// plan is a candidate for the release's lease, and continues the release if this process stops.
 func (f *controllerFlags) runRelease(ctx context.Context, out io.Writer, p *plan.Plan, newState newStateFunc) error {
 	client, err := registry.NewClient(f.replicas)
 	if err != nil {
@@ -108,7 +109,8 @@
 	return printOutcome(ctx, out, client, p.Name)
 }
 
-// control campaigns for the release's lease and carries the release out under it. Meanwhile it accepts load reports.
+// control campaigns for the release's lease and executes the release while it holds the lease. It accepts load reports all the
+// time.
 func (f *controllerFlags) control(
 	ctx context.Context, client *registry.Client, platform supervisor.Supervisor, name string,
 ) error {
@@ -147,7 +149,7 @@
 	return slog.With("component", "release", "release", name)
 }
 
-// serveReports serves the load reports' HTTP until the function that it returns is called, which waits for open requests.
+// serveReports accepts load reports by HTTP. The returned function stops the server after open requests have ended.
 func serveReports(listener net.Listener, reports http.Handler) (stop func(context.Context) error) {
 	mux := http.NewServeMux()
 	mux.Handle("/reports", reports)
@@ -170,7 +172,7 @@
 	}
 }
 
-// printOutcome prints a finished release, and returns an error unless it is completed.
+// printOutcome prints a finished release, and returns an error unless the release is completed.
 func printOutcome(ctx context.Context, out io.Writer, client *registry.Client, name string) error {
 	stored, err := client.Release(ctx, name, false, true)
 	if err != nil {
@@ -185,8 +187,8 @@
 	return nil
 }
 
-// startRelease writes a release's initial state to the log, unless it is under way by the same plan, or has a command that
-// is not handled yet.
+// startRelease writes a release's initial state to the log. It writes nothing if the release is in progress with the same
+// plan, or has a command that is not handled yet.
 func startRelease(
 	ctx context.Context, client *registry.Client, platform supervisor.Supervisor, p *plan.Plan, newState newStateFunc,
 ) error {
@@ -211,7 +213,7 @@
 	return err
 }
 
-// releaseUnderWay reports whether a plan's release is under way. It is an error if it is by another plan.
+// releaseUnderWay reports whether a plan's release is in progress. It returns an error if the release has another plan.
 func releaseUnderWay(ctx context.Context, client *registry.Client, p *plan.Plan) (bool, error) {
 	stored, err := client.Release(ctx, p.Name, true, true)
 	var status *registry.StatusError
@@ -233,7 +235,7 @@
 	return true, nil
 }
 
-// configText reads a unit's configuration. Without a directory it is empty: the platform has the unit's last one.
+// configText reads a unit's configuration. Without --files it returns "", and the platform uses the unit's last configuration.
 func (f *controllerFlags) configText(unit, config string) (string, error) {
 	if f.configDir == "" {
 		return "", nil
@@ -258,8 +260,8 @@
 	return err == nil && info.Mode().IsRegular()
 }
 
-// prepareUnit returns the function that asks the hot-key controller to replicate what a server alone serves, nil where
-// there is no such controller.
+// prepareUnit returns a function that requests the hot-key controller to replicate elsewhere what only a given server serves.
+// It returns nil if no hot-key controller is configured.
 func (f *controllerFlags) prepareUnit() func(context.Context, string) (bool, error) {
 	if f.hotKeyController == "" {
 		return nil
@@ -289,10 +291,11 @@
 	flags := &controllerFlags{}
 	command := &cobra.Command{
 		Use:   "start PLAN",
-		Short: "Starts a release and carries it out until it is finished",
-		Long: "start checks a plan against the fleet, writes the release to the log and carries it out, for as long as it holds\n" +
-			"the lease release/NAME. Run it twice for a second candidate: whichever is left continues where the other stopped.\n" +
-			"A plan that is under way continues; an edited one is rejected. The exit code is 0 when all units are updated.\n\n" + exitHelp,
+		Short: "Starts a release and executes it until it is finished",
+		Long: "start checks a plan against the fleet, writes the release to the log and executes it while it holds the lease\n" +
+			"release/NAME. A second process with the same plan waits as a candidate and continues if the first one stops.\n" +
+			"start continues a release in progress, but rejects an edited plan. The exit code is 0 when all units are updated.\n\n" +
+			exitHelp,
 		Example: "  milldeck release start plan.toml --platform 127.0.0.1:8540",
 		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
--- a/cmd/milldeck/release_status.go
+++ b/cmd/milldeck/release_status.go
@@ -12,7 +12,7 @@
 )
 
 func newReleaseStatus() *cobra.Command {
-	command := newClientCommand("status [NAME]", "Prints the releases, or one with its units", 0,
+	command := newClientCommand("status [NAME]", "Prints all releases, or one release with its units", 0,
 		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
 			if len(args) == 0 {
 				return showReleases(ctx, command, flags, client)
@@ -46,7 +46,7 @@
 	})
 }
 
-// releaseLine describes a release in one line, of columns for a tabwriter.
+// releaseLine describes a release in one line of tab-separated columns.
 func releaseLine(state *release.State) string {
 	status := &state.Status
 	line := fmt.Sprintf("%s\t%s\twave %d\tplan %s", state.Name, status.Phase, status.Wave, state.PlanHash)
@@ -59,7 +59,7 @@
 	return line
 }
 
-// printRelease prints a release: the units in progress one by one, and a count of the others.
+// printRelease prints a release with each unit in progress and the number of other units.
 func printRelease(out io.Writer, state *release.State) error {
 	w := newTable(out)
 	fmt.Fprintln(w, releaseLine(state))
@@ -92,8 +92,8 @@
 		unit.ID, unit.Stage, image.Version, image.ConfigName, unit.PermitAttempt, unit.Reason)
 }
 
-// newReleaseCommand makes a subcommand that gives a release a command. It takes effect when the release's controller reads
-// it.
+// newReleaseCommand returns a subcommand that records an operator's command to a release. The command takes effect when the
+// release's controller reads it.
 func newReleaseCommand(action release.Action, short string) *cobra.Command {
 	var operator, reason string
 	command := newClientCommand(string(action)+" NAME", short, 1,
--- a/cmd/milldeck/window.go
+++ b/cmd/milldeck/window.go
@@ -16,31 +16,32 @@
 func newWindow() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "window",
-		Short: "Maintenance windows by contract",
+		Short: "Maintenance windows, in the hours that contracts approve",
 		Long: "window takes servers out of service for maintenance in the hours that their tenants approve.\n" +
-			"docs/maintenance-windows.md says what is guaranteed.\n\n" +
+			"docs/maintenance-windows.md describes the guarantees.\n\n" +
 			exitHelp,
 		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
 	command.AddCommand(newWindowPlan(), newWindowServe(), newWindowPropose(), newWindowList(), newWindowShow(),
-		newWindowHalt(maintenance.OpHalt, "Halts a window, a tenant's windows or all: no more drains start, a window halted by name returns"),
+		newWindowHalt(maintenance.OpHalt,
+			"Halts a window, a tenant's windows or all: no further drain starts, and a window halted by name returns to service"),
 		newWindowHalt(maintenance.OpResume, "Resumes halted windows"),
-		newWindowOperation(maintenance.OpCancel, "Cancels a window; one that is out of service returns"),
+		newWindowOperation(maintenance.OpCancel, "Cancels a window; if it is out of service, it returns to service"),
 		newWindowOperation(maintenance.OpFinishWork, "Reports that the work of a drained window is done"))
 	return command
 }
 
-// windowFile is a window as an operator writes it.
+// windowFile is the file format of a window.
 type windowFile struct {
 	Name      string              `toml:"name"`
 	Servers   []string            `toml:"servers"` // by UID
-	Work      string              `toml:"work"`    // "30m"
-	NotBefore string              `toml:"after"`   // not before, RFC 3339; "": from now on
-	Fleet     map[string][]string `toml:"fleet"`   // all servers by UID, each with its tenants; none: all tenants
+	Work      string              `toml:"work"`    // duration, such as "30m"
+	NotBefore string              `toml:"after"`   // earliest start, RFC 3339; "": now
+	Fleet     map[string][]string `toml:"fleet"`   // all servers by UID, each with its tenants; an empty list: all tenants
 }
 
-// minWork and maxWork bound the work of one window: longer work takes several windows.
+// minWork and maxWork limit the work of one window. Longer work needs several windows.
 const minWork, maxWork = time.Minute, 24 * time.Hour
 
 func newWindowPlan() *cobra.Command {
@@ -49,9 +50,9 @@
 	command := &cobra.Command{
 		Use:   "plan FILE --contract FILE...",
 		Short: "Finds the earliest start that all contracts approve",
-		Long: "plan reads a window and the contracts of its servers' tenants and prints the earliest time at which it may begin, or\n" +
-			"says whose contract forbids it and what comes nearest. It changes nothing and sends no request to the registry: the\n" +
-			"time that other windows take and the minutes used in a month are not counted.\n\n" + exitHelp,
+		Long: "plan reads a window and the contracts of its servers' tenants and prints the earliest start, or whose\n" +
+			"contract forbids the window and the closest alternative. It changes nothing and sends no request to the\n" +
+			"registry, so it ignores other windows and the minutes used in a month.\n\n" + exitHelp,
 		Example: "  milldeck window plan window.toml --contract portal.toml --contract teller.toml --at 2026-06-10T12:00:00Z",
 		Args:    exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -62,8 +63,8 @@
 			return planWindow(command.OutOrStdout(), args[0], contracts, nowMS)
 		},
 	}
-	command.Flags().StringArrayVar(&contracts, "contract", nil, "a tenant's contract; may be repeated")
-	command.Flags().StringVar(&at, "at", "", "plan as if it were this time, RFC 3339 (default now)")
+	command.Flags().StringArrayVar(&contracts, "contract", nil, "file with a tenant's contract; may be repeated")
+	command.Flags().StringVar(&at, "at", "", "time to use as the current time, RFC 3339 (default now)")
 	return command
 }
 
@@ -85,7 +86,7 @@
 	return printPlan(out, request.Name, plan, table)
 }
 
-// loadContracts returns a table with the contracts of files, at most one for each tenant.
+// loadContracts reads contracts, at most one per tenant, and returns a table with them.
 func loadContracts(paths []string) (*maintenance.Table, error) {
 	table := maintenance.New()
 	for i, path := range paths {
@@ -94,7 +95,7 @@
 			return nil, err
 		}
 		if table.Contract(terms.Tenant) != nil {
-			return nil, usageError{fmt.Errorf("--contract %s: %s has another contract", path, terms.Tenant)}
+			return nil, usageError{fmt.Errorf("--contract %s: tenant %s has another contract", path, terms.Tenant)}
 		}
 		op := &maintenance.Operation{Kind: maintenance.OpSetContract, Contract: terms}
 		if _, err := table.Apply(uint64(i+1), op, maintenance.Timestamp{}); err != nil {
@@ -104,19 +105,20 @@
 	return table, nil
 }
 
-// parseTimeMS parses a time of RFC 3339 to Unix ms; "" is now.
+// parseTimeMS parses an RFC 3339 time and returns it in Unix ms; "" means now.
 func parseTimeMS(text string) (int64, error) {
 	if text == "" {
 		return time.Now().UnixMilli(), nil
 	}
 	parsed, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return 0, fmt.Errorf("%q is no time like 2026-06-10T12:00:00Z", text)
+		return 0, fmt.Errorf("%q is not a time like 2026-06-10T12:00:00Z", text)
 	}
 	return parsed.UnixMilli(), nil
 }
 
-// loadWindowFile reads the request for a window and the fleet, which has to contain its servers where it is required.
+// loadWindowFile reads the request for a window, and the fleet. If requireFleet is set, the fleet must contain all servers of
+// the window.
 func loadWindowFile(path string, requireFleet bool) (maintenance.Request, maintenance.Fleet, error) {
 	window := &windowFile{}
 	file, err := config.Load(path, window)
@@ -127,12 +129,12 @@
 	return request, window.Fleet, err
 }
 
-// request validates the file and returns the request for its window.
+// request validates the window and returns its request.
 func (f *windowFile) request(file *config.File, requireFleet bool) (maintenance.Request, error) {
 	none := maintenance.Request{}
 	work, err := time.ParseDuration(f.Work)
 	if err != nil || work < minWork || work > maxWork {
-		return none, file.Errorf("work", "%q is no time like 30m, from %s to %s", f.Work, minWork, maxWork)
+		return none, file.Errorf("work", "%q is not a duration like 30m, from %s to %s", f.Work, minWork, maxWork)
 	}
 	request := maintenance.Request{Name: f.Name, ServerUIDs: f.Servers, WorkMS: work.Milliseconds()}
 	if f.NotBefore != "" {
@@ -141,18 +143,18 @@
 		}
 	}
 	if len(f.Servers) == 0 {
-		return none, file.Errorf("servers", "none")
+		return none, file.Errorf("servers", "at least one server is required")
 	}
 	slices.Sort(request.ServerUIDs)
 	for _, uid := range request.ServerUIDs {
 		if _, known := f.Fleet[uid]; requireFleet && !known {
-			return none, file.Errorf("servers", "%s is not in fleet", uid)
+			return none, file.Errorf("servers", "server %s is not in fleet", uid)
 		}
 	}
 	return request, nil
 }
 
-// printPlan prints the start in UTC, and what each contract approves in its own time zone.
+// printPlan prints the start in UTC, and the interval that each contract approves in the tenant's time zone.
 func printPlan(out io.Writer, name string, plan *maintenance.Plan, table *maintenance.Table) error {
 	const layout = "Mon 2006-01-02 15:04 MST"
 	start := time.UnixMilli(plan.StartMS).UTC().Format(layout)
--- a/cmd/milldeck/window_operate.go
+++ b/cmd/milldeck/window_operate.go
@@ -16,7 +16,7 @@
 	"milldeck/internal/registry"
 )
 
-// currentOperator is the name of the operating system's user, for the record.
+// currentOperator returns the name of the operating system's user, which is stored with operations.
 func currentOperator() string {
 	if current, err := user.Current(); err == nil && current.Username != "" {
 		return current.Username
@@ -50,7 +50,7 @@
 	return command
 }
 
-// writeWindowOperation writes an operator's operation to the registry and prints its revision.
+// writeWindowOperation writes an operator's operation to the registry and prints the resulting revision.
 func writeWindowOperation(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, op maintenance.Operation) error {
 	if err := op.Validate(); err != nil {
 		return usageError{err}
@@ -69,7 +69,7 @@
 	})
 }
 
-// newWindowHalt returns the command halt or resume: of a window, of a tenant's windows, or of all.
+// newWindowHalt returns the command halt or resume, which applies to a window, to a tenant's windows or to all windows.
 func newWindowHalt(kind maintenance.OperationKind, short string) *cobra.Command {
 	var tenant, reason string
 	command := newClientCommand(string(kind)+" [NAME]", short, 0,
@@ -92,18 +92,18 @@
 	command.Example = fmt.Sprintf(`  milldeck window %[1]s disks-3
   milldeck window %[1]s --tenant member-portal --why "rates announced"
   milldeck window %[1]s`, kind)
-	command.Flags().StringVar(&tenant, "tenant", "", "only the windows of this tenant")
+	command.Flags().StringVar(&tenant, "tenant", "", "apply only to the windows of this tenant")
 	command.Flags().StringVar(&reason, "why", "", "a reason, for the record")
 	return command
 }
 
-// newWindowOperation returns the command that writes an operation of a kind on one window. It is named like the kind.
+// newWindowOperation returns a command that applies an operation to one window. The command has the name of the operation kind.
 func newWindowOperation(kind maintenance.OperationKind, short string) *cobra.Command {
 	var reason string
 	command := newClientCommand(string(kind)+" NAME", short, 1,
 		func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, args []string) error {
 			op := maintenance.Operation{Kind: kind, Window: args[0]}
-			if kind == maintenance.OpCancel { // the only one that stores a reason
+			if kind == maintenance.OpCancel { // only a cancellation stores a reason
 				op.Reason = reason
 			}
 			return writeWindowOperation(ctx, command, flags, client, op)
@@ -126,7 +126,7 @@
 	return command
 }
 
-// writeWindows writes a line for each window and each halt, and the clock fault where there is one.
+// writeWindows writes a line for each window, each halt and a clock fault, if any.
 func writeWindows(out io.Writer, snapshot *maintenance.Snapshot) error {
 	table := newTable(out)
 	for _, window := range snapshot.Windows {
@@ -142,7 +142,7 @@
 	return table.Flush()
 }
 
-// formatTimeMS formats a time in Unix ms; 0 is "-".
+// formatTimeMS formats a time in Unix ms. It returns "-" for 0.
 func formatTimeMS(ms int64) string {
 	if ms == 0 {
 		return "-"
@@ -167,7 +167,7 @@
 	return command
 }
 
-// writeWindow writes a window's stage, the times of its life cycle, and what each contract approves.
+// writeWindow writes a window's stage, the times of its life cycle, and the interval that each contract approves.
 func writeWindow(out io.Writer, window *maintenance.Window) error {
 	table := newTable(out)
 	fmt.Fprintf(table, "%s\t%s\t%s\n", window.Name, window.Stage, window.Reason)
--- a/cmd/milldeck/window_serve.go
+++ b/cmd/milldeck/window_serve.go
@@ -27,10 +27,10 @@
 	command := &cobra.Command{
 		Use:     "serve",
 		Aliases: []string{"run"},
-		Short:   "Campaigns for the lease " + maintenance.LeaseName + " and carries out windows while it is held, until SIGTERM",
-		Long: "serve collects load reports, campaigns for the lease " + maintenance.LeaseName + " and carries out all windows while it is\n" +
-			"held. Run two or three; agents forward reports to all of them. When one stops, the next continues. It is ready\n" +
-			"once it logs \"serves\".\n\n" + exitHelp,
+		Short:   "Campaigns for the lease " + maintenance.LeaseName + " and executes windows while it is held, until SIGTERM",
+		Long: "serve receives load reports, campaigns for the lease " + maintenance.LeaseName + " and executes all windows\n" +
+			"while it holds the lease. Run two or three controllers; agents forward reports to all of them. When the\n" +
+			"holder stops, another one continues. The controller is ready once it logs \"serves\".\n\n" + exitHelp,
 		Example: "  milldeck window serve --replicas 127.0.0.1:8500,127.0.0.2:8500 --reports-listen 127.0.0.1:8550 --clock-off 100ms",
 		Args:    exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
@@ -63,11 +63,14 @@
 	}
 	command.Flags().StringVar(&listen, "reports-listen", defaultWindowReportsAddr, "address for load reports, which agents forward")
 	command.Flags().StringSliceVar(&flags.replicas, "replicas", []string{devHTTP}, "HTTP addresses of the replicas")
-	command.Flags().DurationVar(&uncertainty, "clock-off", 250*time.Millisecond, "uncertainty of this machine's clock, as its time service says")
-	command.Flags().StringVar(&readyPath, "ready-path", "/health/ready", "path at which a server that is ready answers 200")
-	command.Flags().DurationVar(&ttl, "ttl", leaderelection.DefaultTTL, "how long after its last heartbeat the lease of a controller expires")
-	command.Flags().DurationVar(&clockError, "clock-ahead", 0, "error added to the clock, to test clock faults")
-	command.Flags().StringVar(&listen, "listen", defaultWindowReportsAddr, "alias of --reports-listen, as other controllers name it")
+	command.Flags().DurationVar(&uncertainty, "clock-off", 250*time.Millisecond,
+		"uncertainty of this machine's clock, as its time service reports it")
+	command.Flags().StringVar(&readyPath, "ready-path", "/health/ready", "path at which a ready server answers 200")
+	command.Flags().DurationVar(&ttl, "ttl", leaderelection.DefaultTTL,
+		"TTL of the lease: it expires this long after the last renewal")
+	command.Flags().DurationVar(&clockError, "clock-ahead", 0, "error to add to the clock, to test clock faults")
+	command.Flags().StringVar(&listen, "listen", defaultWindowReportsAddr,
+		"alias of --reports-listen, which other controllers call --listen")
 	for _, name := range []string{"clock-ahead", "listen"} {
 		if err := command.Flags().MarkHidden(name); err != nil {
 			panic(err) // the flag is defined above
