--- a/cmd/milldeck/accept_errors_test.go
+++ b/cmd/milldeck/accept_errors_test.go
@@ -14,7 +14,7 @@
 	"milldeck/internal/lab/proc/proctest"
 )
 
-// The test binary runs as the command, and executes itself under the shim, where these variables say so.
+// With these variables, the test binary runs as the milldeck command, or executes itself under the shim.
 const (
 	asCommandVariable = "MILLDECK_TEST_AS_COMMAND"
 	underShimVariable = "MILLDECK_TEST_UNDER_SHIM"
@@ -34,7 +34,7 @@
 	os.Exit(m.Run())
 }
 
-// startCommandUnderShim runs the command until it logs that it serves.
+// startCommandUnderShim starts the command under the shim, which can make its system calls fail.
 func startCommandUnderShim(t *testing.T, args ...string) (*proc.Process, *shim.Supervisor) {
 	t.Helper()
 	pipes, err := shim.NewPipes()
@@ -59,7 +59,8 @@
 	return process, supervisor
 }
 
-// Each program that serves outlives errors of accept that pass: it neither ends nor stays alive without listening.
+// After temporary errors of accept, each server process still accepts connections: it neither exits nor runs on without
+// listening.
 func TestServersContinueAfterAcceptErrors(t *testing.T) {
 	const errorDuration = 300 * time.Millisecond
 	block := proctest.Block(t)
@@ -95,12 +96,12 @@
 			}
 			for deadline := time.Now().Add(processTimeout); get() != nil; time.Sleep(10 * time.Millisecond) {
 				if !process.Running() || time.Now().After(deadline) {
-					t.Fatalf("it does not serve: %s", process.Log())
+					t.Fatalf("the process does not serve; its log: %s", process.Log())
 				}
 			}
 			supervisor.Add(shim.Rule{Call: shim.Accept, Errno: syscall.ENOBUFS, Share: 1, Until: time.Now().Add(errorDuration)})
 			if err := get(); err != nil {
-				t.Errorf("%v; running %v, its log ends: %s", err, process.Running(), process.Log())
+				t.Errorf("request after the errors: %v; process running: %v; its log: %s", err, process.Running(), process.Log())
 			}
 		})
 	}
--- a/cmd/milldeck/fleet_budgets_test.go
+++ b/cmd/milldeck/fleet_budgets_test.go
@@ -11,7 +11,7 @@
 	"milldeck/internal/registry"
 )
 
-// Budgets become those of the file: new ones are set, others deleted, and an invalid file sets none.
+// The command replaces the budgets by those of the file: it sets new ones and deletes the others. An invalid file sets none.
 func TestFleetBudgets(t *testing.T) {
 	block, err := proc.ReserveBlock()
 	if err != nil {
@@ -36,7 +36,7 @@
 		name string
 		file string
 		code int
-		want string // of the output with one space between words, or of the error
+		want string // the output, with one space between words, or a part of the error
 	}{
 		{"one", zoneBudget, 0, printedZoneBudget},
 		{"another as well", countBudget + zoneBudget, 0, printedZoneBudget + " " + printedCountBudget},
--- a/cmd/milldeck/main_test.go
+++ b/cmd/milldeck/main_test.go
@@ -21,7 +21,7 @@
 	code, out, _ := runCommand(t, "version", "--json")
 	var version map[string]any
 	if err := json.Unmarshal([]byte(out), &version); code != 0 || err != nil || version["version"] == "" || !strings.HasPrefix(version["go"].(string), "go1") {
-		t.Errorf("exit %d, %q: %v", code, out, err)
+		t.Errorf("exit code %d, output %q: %v", code, out, err)
 	}
 }
 
@@ -53,7 +53,7 @@
 			}
 			code, _, errOut := runCommand(t, test.args...)
 			if code != exitUsage || strings.Count(errOut, "\n") != 1 || !strings.Contains(errOut, test.want) {
-				t.Errorf("exit %d, said %q, want 2 and one line with %q", code, errOut, test.want)
+				t.Errorf("exit code %d, standard error %q; want exit code 2 and one line with %q", code, errOut, test.want)
 			}
 		})
 	}
@@ -87,19 +87,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// As if the machine had failed while the second line was written.
+	// An incomplete second line, as after a crash during the write.
 	if err := os.WriteFile(results, complete[:len(complete)-40], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	code, out, errOut := runCommand(t, "lab", "sweep", file, "--seeds", "1-2", "--json", results)
 	if code != 0 || strings.Count(out, "from the file") != 1 {
-		t.Errorf("exit %d, %s %s, want one seed from the file", code, out, errOut)
+		t.Errorf("exit code %d, output %s %s; want one seed from the file", code, out, errOut)
 	}
 	if resumed, err := os.ReadFile(results); err != nil || !bytes.Equal(complete, resumed) {
-		t.Errorf("the file differs from that of an uninterrupted sweep: %v", err)
+		t.Errorf("the file differs from the file of an uninterrupted sweep: %v", err)
 	}
 	if code, out, errOut := runCommand(t, "lab", "diff", results, results); code != 0 || !strings.HasPrefix(out, "2 pair(s)") {
-		t.Errorf("diff: exit %d, %s %s", code, out, errOut)
+		t.Errorf("diff: exit code %d, output %s %s", code, out, errOut)
 	}
 }
 
@@ -114,7 +114,7 @@
 	}
 	for _, name := range []string{"module", "random", "round-robin", "least", "two-choices"} {
 		if !strings.Contains(out, name) {
-			t.Errorf("%s is missing in\n%s", name, out)
+			t.Errorf("policy %s is missing in\n%s", name, out)
 		}
 	}
 }
--- a/cmd/milldeck/window_test.go
+++ b/cmd/milldeck/window_test.go
@@ -63,7 +63,7 @@
 			code, out, errOut := runCommand(t, test.args...)
 			for _, want := range test.want {
 				if code != test.code || !strings.Contains(out+errOut, want) {
-					t.Errorf("%v: exit %d, %q, want %d and %q", test.args, code, out+errOut, test.code, want)
+					t.Errorf("%v: exit code %d, output %q; want %d and %q", test.args, code, out+errOut, test.code, want)
 				}
 			}
 		})
