--- a/cmd/milldeck/fleet.go
+++ b/cmd/milldeck/fleet.go
@@ -107,7 +107,7 @@
 	command := &cobra.Command{
 		Use:   "drain NAME",
 		Short: "Drains and stops servers permanently, one after the other within the budgets",
-		Long: "drain makes available on other servers what only the drained servers serve, and marks the drained\n" +
+		Long: "drain makes available on other servers what only the selected servers serve, and marks the selected\n" +
 			"servers Terminating in the endpoint list. Once every live sidecar has that list and no request can be in\n" +
 			"flight, the platform stops them. NAME identifies the drain and its lease, release/NAME; a second process\n" +
 			"with the same NAME waits as a candidate. release halt and release resume act on the drain.\n\n" + exitHelp,
--- a/cmd/milldeck/fleet_budgets.go
+++ b/cmd/milldeck/fleet_budgets.go
@@ -19,7 +19,7 @@
 	Budgets []disruption.Budget `toml:"budget"`
 }
 
-// readBudgets reads a file of budgets and returns them by name. It validates all of them first, so that a file with one invalid
+// readBudgets reads a file of budgets and returns them by name. It validates all of them, so that a file with an invalid
 // budget sets none.
 func readBudgets(path string) (map[string]*disruption.Budget, error) {
 	var content budgetsFile
@@ -48,9 +48,9 @@
 	command := &cobra.Command{
 		Use:   "budgets [FILE]",
 		Short: "Prints the budgets (how much may be unavailable at a time), or sets them from a file",
-		Long: "budgets prints the current budgets. With a file, it replaces them: it sets each budget that is new or\n" +
-			"differs, and then deletes those that the file lacks. In this order the fleet never has weaker limits than the\n" +
-			"old or the new budgets set. docs/ledger.md, \"Budgets\", describes the limits that apply without a budget.\n\n" +
+		Long: "budgets prints the current budgets. With a file, it replaces them: it sets the budgets of the file, and\n" +
+			"then deletes those that the file lacks. In this order the fleet never has weaker limits than the old or the\n" +
+			"new budgets set. docs/ledger.md, \"Budgets\", describes the limits that apply without a budget.\n\n" +
 			exitHelp,
 		Example: "  milldeck fleet budgets\n  milldeck fleet budgets budgets.toml --by ana",
 		Args:    cobra.MaximumNArgs(1),
@@ -89,8 +89,8 @@
 	})
 }
 
-// setBudgets replaces the existing budgets by the desired ones, with one log entry for each change. After a failure, a
-// second call completes the replacement.
+// setBudgets replaces the existing budgets by the desired ones. It writes one log entry per budget that it sets or deletes.
+// After a failure, a second call completes the replacement.
 func setBudgets(ctx context.Context, client *registry.Client, owner string, existing []disruption.Budget, desired map[string]*disruption.Budget) error {
 	for _, name := range slices.Sorted(maps.Keys(desired)) {
 		op := disruption.Op{Kind: disruption.OpSetBudget, Owner: owner, Budget: desired[name]}
--- a/cmd/milldeck/hotkey.go
+++ b/cmd/milldeck/hotkey.go
@@ -19,7 +19,7 @@
 const (
 	defaultHotKeyAddr  = "127.0.0.1:8520"
 	maxStatusBytes     = 8 << 20 // limit of a status response
-	maxStatusErrorText = 1 << 10 // limit in bytes of an error response that is quoted
+	maxStatusErrorText = 1 << 10 // limit of the part of an error response that is quoted, in bytes
 )
 
 func newHotKey() *cobra.Command {
--- a/cmd/milldeck/lab_sweep.go
+++ b/cmd/milldeck/lab_sweep.go
@@ -86,7 +86,7 @@
 		},
 	}
 	flags.register(command)
-	command.Flags().StringVar(&path, "json", "", "file of results, one per line; seeds with a result in the file are skipped")
+	command.Flags().StringVar(&path, "json", "", "file of results, one per line; seeds with a result there are not run again")
 	return command
 }
 
--- a/cmd/milldeck/main.go
+++ b/cmd/milldeck/main.go
@@ -25,7 +25,7 @@
 
 const exitHelp = `Exit codes: 0 success; 1 the work failed; 2 invalid arguments or an invalid file, nothing was started.`
 
-// usageError marks an error in the arguments, which leads to exitUsage.
+// usageError marks an error in the arguments or in a file that they name. Its exit code is exitUsage.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
--- a/cmd/milldeck/release_start.go
+++ b/cmd/milldeck/release_start.go
@@ -109,8 +109,8 @@
 	return printOutcome(ctx, out, client, p.Name)
 }
 
-// control campaigns for the release's lease and executes the release while it holds the lease. It accepts load reports all the
-// time.
+// control campaigns for the release's lease and executes the release while it holds the lease. Meanwhile it
+// accepts load reports.
 func (f *controllerFlags) control(
 	ctx context.Context, client *registry.Client, platform supervisor.Supervisor, name string,
 ) error {
--- a/cmd/milldeck/serve_lease.go
+++ b/cmd/milldeck/serve_lease.go
@@ -19,7 +19,7 @@
 	maxCampaignPause = 1500 * time.Millisecond
 )
 
-// leaseServerTimeout limits reading the header of a request, and the graceful shutdown. The write timeout is twice as long.
+// leaseServerTimeout limits the reading of a request's header, and the graceful shutdown. The write timeout is twice as long.
 const leaseServerTimeout = 10 * time.Second
 
 // serveUnderLease serves HTTP and campaigns for a lease, until ctx is cancelled or the server fails. It calls work while the
