--- a/cmd/milldeck/lab_run.go
+++ b/cmd/milldeck/lab_run.go
@@ -93,8 +93,8 @@
 	command := &cobra.Command{
 		Use:   "run FILE",
 		Short: "Runs an experiment with real sidecar processes and sockets",
-		Long: "run starts real sidecar processes on loopback addresses and takes a few seconds more than the experiment's duration.\n" +
-			"After an interrupt, it ends all child processes and still writes the result.\n\n" +
+		Long: "run starts real sidecar processes on loopback addresses. It takes, in real time, the experiment's duration and a few\n" +
+			"seconds more. After an interrupt, it ends all child processes and still writes the result.\n\n" +
 			exitHelp,
 		Example: "  milldeck lab run experiments/quickstart.toml --report out",
 		Args:    exactArgs(1),
