--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,8 +1,8 @@
 // Package goldentest compares what a program stores or sends with golden files under a package's testdata, so that a
 // change of the code cannot change a format unnoticed.
 //
-// A golden file stands for what earlier versions have written: it is created once and never rewritten. Run the tests
-// with -golden.create to write the files of new tests.
+// A golden file holds what earlier versions wrote, so it is created once and never rewritten. Run the tests with
+// -golden.create to write the golden files of new tests.
 package goldentest
 
 import (
@@ -18,10 +18,10 @@
 
 var create = flag.Bool("golden.create", false, "write golden files that do not exist yet; existing files are never changed")
 
-// Path is where a golden file of the package under test is stored.
+// Path returns the path of a golden file of the package under test.
 func Path(name string) string { return filepath.Join("testdata", name) }
 
-// Read returns the bytes of a golden file.
+// Read returns the content of a golden file.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(Path(name))
@@ -31,7 +31,8 @@
 	return data
 }
 
-// Compare fails the test unless got is exactly what the golden file holds.
+// Compare fails the test unless got equals the content of the golden file. With -golden.create it first writes got to the file if
+// the file does not exist.
 func Compare(t testing.TB, name string, got []byte) {
 	t.Helper()
 	if _, err := os.Stat(Path(name)); *create && errors.Is(err, fs.ErrNotExist) {
@@ -44,8 +45,8 @@
 	}
 }
 
-// DecodeStrictly decodes a JSON value, and fails the test where it has a field that the Go value does not have: a
-// stored field whose tag was lost.
+// DecodeStrictly decodes a JSON value. It fails the test if the JSON has a field that the Go type lacks, which happens if a
+// stored field has lost its tag.
 func DecodeStrictly(t testing.TB, data []byte, value any) {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(data))
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -12,19 +12,19 @@
 
 func TestParseList(t *testing.T) {
 	for name, c := range map[string]struct{ text, wantErr string }{
-		"empty":               {"", ""},
-		"one of each kind":    {alwaysLine + "\n\n" + atTimesLine + "\n", ""},
-		"an unknown kind":     {"seldom" + strings.TrimPrefix(alwaysLine, "always"), "line 1: kind"},
-		"no test":             {strings.Replace(alwaysLine, "TestA |", "|", 1), "test"},
-		"no name of a test":   {strings.Replace(alwaysLine, "TestA |", "Testa |", 1), "test"},
-		"another test's":      {strings.Replace(alwaysLine, "TestA |", "TestB |", 1), "does not run TestB"},
-		"no command":          {"at times | - | | a late answer | issue 12", "no command"},
-		"nothing seen":        {strings.Replace(atTimesLine, "a late answer", "", 1), "what was seen"},
-		"no issue":            {strings.Replace(atTimesLine, "issue 12", "later", 1), "issue"},
-		"the form before":     {"TestA | it loses requests | issue 3", "3 parts"},
-		"twice":               {alwaysLine + "\n" + alwaysLine, "line 2: its command"},
-		"a part too many":     {alwaysLine + " | more", "6 parts"},
-		"the second is wrong": {alwaysLine + "\nTestB", "line 2"},
+		"empty":                          {"", ""},
+		"one of each kind":               {alwaysLine + "\n\n" + atTimesLine + "\n", ""},
+		"unknown kind":                   {"seldom" + strings.TrimPrefix(alwaysLine, "always"), "line 1: kind"},
+		"no test":                        {strings.Replace(alwaysLine, "TestA |", "|", 1), "test"},
+		"not a test name":                {strings.Replace(alwaysLine, "TestA |", "Testa |", 1), "test"},
+		"command of another test":        {strings.Replace(alwaysLine, "TestA |", "TestB |", 1), "does not run TestB"},
+		"no command":                     {"at times | - | | a late answer | issue 12", "no command"},
+		"no observation":                 {strings.Replace(atTimesLine, "a late answer", "", 1), "what was seen"},
+		"no issue":                       {strings.Replace(atTimesLine, "issue 12", "later", 1), "issue"},
+		"former format with three parts": {"TestA | it loses requests | issue 3", "3 parts"},
+		"duplicate":                      {alwaysLine + "\n" + alwaysLine, "line 2: the command is already"},
+		"extra part":                     {alwaysLine + " | more", "6 parts"},
+		"second entry malformed":         {alwaysLine + "\nTestB", "line 2"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := parseList(c.text)
@@ -43,16 +43,16 @@
 		wantErr  string
 		wantText string
 	}{
-		"always, fails":               {alwaysLine, commandResult{1, failing}, "", "now: failed"},
-		"always, a part of it fails":  {alwaysLine, commandResult{1, "--- FAIL: TestA/case (0s)"}, "", "now: failed"},
-		"always, passes":              {alwaysLine, commandResult{0, "ok"}, "take it off", "now: passed"},
-		"at times, fails":             {atTimesLine, commandResult{1, "VIOLATION"}, "", "now: failed"},
-		"at times, passes":            {atTimesLine, commandResult{0, ""}, "", "now: passed"},
-		"the build fails":             {alwaysLine, commandResult{1, "FAIL ./a [build failed]"}, "without a failure", ""},
-		"another test fails":          {alwaysLine, commandResult{1, "--- FAIL: TestAB (0s)"}, "without a failure", ""},
-		"there is no such test":       {alwaysLine, commandResult{0, "ok [no tests to run]"}, "no such test", ""},
-		"there is no such command":    {atTimesLine, commandResult{127, ""}, "does not exist", ""},
-		"the command is used wrongly": {atTimesLine, commandResult{2, ""}, "used wrongly", ""},
+		"always, fails":           {alwaysLine, commandResult{1, failing}, "", "now: failed"},
+		"always, a subtest fails": {alwaysLine, commandResult{1, "--- FAIL: TestA/case (0s)"}, "", "now: failed"},
+		"always, passes":          {alwaysLine, commandResult{0, "ok"}, "remove it from the list", "now: passed"},
+		"at times, fails":         {atTimesLine, commandResult{1, "VIOLATION"}, "", "now: failed"},
+		"at times, passes":        {atTimesLine, commandResult{0, ""}, "", "now: passed"},
+		"the build fails":         {alwaysLine, commandResult{1, "FAIL ./a [build failed]"}, "without a failure", ""},
+		"another test fails":      {alwaysLine, commandResult{1, "--- FAIL: TestAB (0s)"}, "without a failure", ""},
+		"no such test":            {alwaysLine, commandResult{0, "ok [no tests to run]"}, "no such test", ""},
+		"no such command":         {atTimesLine, commandResult{127, ""}, "does not exist", ""},
+		"usage error":             {atTimesLine, commandResult{2, ""}, "usage error", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			entries, err := parseList(c.line)
@@ -65,7 +65,7 @@
 				t.Errorf("error %v, want %q", err, c.wantErr)
 			}
 			if !strings.Contains(out.String(), c.wantText) {
-				t.Errorf("it prints %q, want %q", out.String(), c.wantText)
+				t.Errorf("printed %q, want %q", out.String(), c.wantText)
 			}
 		})
 	}
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -1,14 +1,15 @@
-// Command knownred checks and plays the list of known failures, KNOWN-RED.txt, for .ci/run.
+// Command knownred checks the list of known failures, KNOWN-RED.txt, and runs its commands for .ci/run.
 //
 // Each line of the list is one entry of five parts:
 //
 //	kind | test | command | what was seen | issue
 //
-// The kind is "always" or "at times". The test is the name of a Go test, or "-" where the command is all there is, as for a seed of
-// the fault soak. The command shows the failure, with its seed. The issue is open as long as the entry stands.
+// The kind is "always" or "at times". The test is the name of a Go test, or "-" if the entry has a command but no test, as for a
+// seed of the fault soak. The command reproduces the failure and names its seed. The issue stays open while the entry is in the
+// list.
 //
-// An entry that always fails has to fail when it is played: one that passes is to be taken off the list. One that fails at times is
-// played once, and its result is printed only.
+// The command of each entry runs once. An entry of kind "always" that passes is an error: it has to be removed from the list. The
+// result of an entry of kind "at times" is only printed.
 package main
 
 import (
@@ -17,7 +18,7 @@
 	"strings"
 )
 
-// entryKind says how often an entry fails.
+// entryKind tells how often the command of an entry fails.
 type entryKind string
 
 const (
@@ -25,7 +26,7 @@
 	failsAtTimes entryKind = "at times"
 )
 
-// noTest stands for the test of an entry that is a command alone.
+// noTest is the test part of an entry that has a command but no test.
 const noTest = "-"
 
 // entry is one known failure.
@@ -42,7 +43,7 @@
 	issuePattern    = regexp.MustCompile(`^issue [1-9][0-9]*$`)
 )
 
-// parseList reads a list. The error names the line of the first entry that is malformed.
+// parseList parses a list. The error names the line of the first malformed or duplicate entry.
 func parseList(text string) ([]entry, error) {
 	var entries []entry
 	for number, line := range strings.Split(text, "\n") {
@@ -55,7 +56,7 @@
 		}
 		for _, earlier := range entries {
 			if earlier.Command == parsed.Command {
-				return nil, fmt.Errorf("line %d: its command stands in the list already", number+1)
+				return nil, fmt.Errorf("line %d: the command is already in the list", number+1)
 			}
 		}
 		entries = append(entries, parsed)
@@ -76,20 +77,20 @@
 	case parsed.Kind != failsAlways && parsed.Kind != failsAtTimes:
 		return entry{}, fmt.Errorf("kind %q, want %q or %q", parsed.Kind, failsAlways, failsAtTimes)
 	case parsed.Test != noTest && !testNamePattern.MatchString(parsed.Test):
-		return entry{}, fmt.Errorf("test %q is no name of a test, nor %q", parsed.Test, noTest)
+		return entry{}, fmt.Errorf("test %q is neither the name of a Go test nor %q", parsed.Test, noTest)
 	case parsed.Command == "":
-		return entry{}, fmt.Errorf("it has no command")
+		return entry{}, fmt.Errorf("the entry has no command")
 	case parsed.Test != noTest && !strings.Contains(parsed.Command, parsed.Test):
-		return entry{}, fmt.Errorf("its command does not run %s", parsed.Test)
+		return entry{}, fmt.Errorf("the command does not run %s", parsed.Test)
 	case parsed.Observed == "":
-		return entry{}, fmt.Errorf("it does not say what was seen")
+		return entry{}, fmt.Errorf("the entry does not say what was seen")
 	case !issuePattern.MatchString(parsed.Issue):
 		return entry{}, fmt.Errorf("issue %q, want \"issue N\"", parsed.Issue)
 	}
 	return parsed, nil
 }
 
-// skipPattern is what go test's -skip takes to pass over the tests of the entries; "" if there are none.
+// skipPattern returns the value of go test's -skip flag that skips the tests of the entries; "" if no entry has a test.
 func skipPattern(entries []entry) string {
 	var names []string
 	for _, listed := range entries {
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -8,9 +8,9 @@
 )
 
 func main() {
-	list := flag.String("list", "KNOWN-RED.txt", "file of the list")
-	skip := flag.String("skip", "", "file for the pattern of the tests to pass over")
-	commands := flag.String("commands", "", "file for the commands of the entries, one a line")
+	list := flag.String("list", "KNOWN-RED.txt", "file with the list of known failures")
+	skip := flag.String("skip", "", "output file for the pattern of the tests to skip")
+	commands := flag.String("commands", "", "output file for the commands of the entries, one per line")
 	flag.Parse()
 	if err := runList(*list, *skip, *commands); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", *list, err)
@@ -18,7 +18,7 @@
 	}
 }
 
-// check plays the list, and writes what .ci/run passes over.
+// runList runs the commands of the list, and writes the files from which .ci/run learns what to skip.
 func runList(list, skip, commands string) error {
 	text, err := os.ReadFile(list)
 	if err != nil {
