--- a/internal/faultsoak/agent.go
+++ b/internal/faultsoak/agent.go
@@ -13,7 +13,7 @@
 
 const watchHeartbeat = 2 * time.Second
 
-// endpoint is an entry of the endpoint list, as the platform's discovery protocol has it.
+// endpoint is an entry of the endpoint list in the platform's discovery protocol.
 type endpoint struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -31,7 +31,7 @@
 	Targets  []endpoint `json:"targets"`
 }
 
-// agent is the discovery agent of one sidecar, at one address. All agents of a sidecar serve the same list.
+// agent is a discovery agent of one sidecar and listens on one address. All agents of a sidecar serve the same list.
 type agent struct {
 	ctx    context.Context
 	random *generator
@@ -39,12 +39,12 @@
 	mu               sync.Mutex
 	revision         int64
 	list             []endpoint         // by server
-	changed          chan struct{}      // closed with each change
-	changedRevisions []int64            // the revision at which each server changed last
-	downUntil        time.Time          // silent, and learns nothing: changes are published at its end
-	cancelWatches    context.CancelFunc // ends the open watches
+	changed          chan struct{}      // closed and replaced at each change
+	changedRevisions []int64            // by server: the revision of its last change
+	downUntil        time.Time          // until then the agent sends nothing; the soak publishes no changes to it before
+	cancelWatches    context.CancelFunc // resets the open watches
 	watchCtx         context.Context
-	watchGeneration  int // watches of an earlier group stay silent
+	watchGeneration  int // watches that began in an earlier generation send nothing more
 }
 
 func newAgent(ctx context.Context, list []endpoint, random *generator) *agent {
@@ -56,7 +56,7 @@
 	return a
 }
 
-// publishState changes the entry of a server; its address stays.
+// publishState replaces the entry of a server except for its address.
 func (a *agent) publishState(server int, changed endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -67,7 +67,7 @@
 	a.changed = make(chan struct{})
 }
 
-// complete is the complete list. The caller holds the lock.
+// completeList returns the list of all servers that are not removed. The caller holds the lock.
 func (a *agent) completeList() endpointList {
 	list := endpointList{Revision: a.revision, Complete: true, Targets: []endpoint{}}
 	for _, entry := range a.list {
@@ -78,14 +78,14 @@
 	return list
 }
 
-// snapshot is the complete list, for a configuration.
+// snapshot returns the complete list for a sidecar's configuration file.
 func (a *agent) snapshot() endpointList {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.completeList()
 }
 
-// goDown makes the agent silent. The caller publishes nothing until its end.
+// goDown makes the agent send nothing until a time. The caller must not publish changes to the agent before that time.
 func (a *agent) goDown(until time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -94,14 +94,14 @@
 	}
 }
 
-// silenceWatches makes the open watches silent for good.
+// silenceWatches makes the open watches stay open without sending anything more.
 func (a *agent) silenceWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.watchGeneration++
 }
 
-// resetWatches ends the open watches.
+// resetWatches aborts the connections of the open watches.
 func (a *agent) resetWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -109,7 +109,7 @@
 	a.watchCtx, a.cancelWatches = context.WithCancel(a.ctx)
 }
 
-// awaitUp waits while the agent is down.
+// awaitUp waits while the agent is down. It returns false if ctx ends first.
 func (a *agent) awaitUp(ctx context.Context) bool {
 	for {
 		a.mu.Lock()
@@ -126,12 +126,12 @@
 	}
 }
 
-// serve serves the protocol at an address until ctx ends.
+// serve serves the discovery protocol until the agent's ctx ends.
 func (a *agent) serve(listener net.Listener) {
 	server := &http.Server{Handler: a, ReadHeaderTimeout: time.Minute}
-	stop := context.AfterFunc(a.ctx, func() { _ = server.Close() }) // the run is over
+	stop := context.AfterFunc(a.ctx, func() { _ = server.Close() }) // at the end of the run
 	defer stop()
-	_ = server.Serve(listener) // ends with the run
+	_ = server.Serve(listener) // returns when the run ends
 }
 
 // ServeHTTP implements http.Handler.
@@ -143,7 +143,7 @@
 		a.mu.Lock()
 		list := a.completeList()
 		a.mu.Unlock()
-		_ = json.NewEncoder(w).Encode(list) // fails only if the sidecar has gone
+		_ = json.NewEncoder(w).Encode(list) // fails only if the sidecar has closed the connection
 		return
 	}
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
@@ -153,7 +153,8 @@
 	a.watch(w, r, after)
 }
 
-// watch sends the list, or what changed after a revision, and each change from then on.
+// watch sends the entries that changed after a revision (or the complete list), and then each later change. Without changes it
+// sends an empty line as a heartbeat.
 func (a *agent) watch(w http.ResponseWriter, r *http.Request, after int64) {
 	a.mu.Lock()
 	generation, reset := a.watchGeneration, a.watchCtx
@@ -185,7 +186,8 @@
 	}
 }
 
-// changesAfter is what changed after a revision; the complete list if that is unknown. The caller holds the lock.
+// changesAfter returns the entries that changed after a revision, or the complete list if the revision is unknown. The caller
+// holds the lock.
 func (a *agent) changesAfter(after int64) endpointList {
 	if after <= 0 || after > a.revision {
 		return a.completeList()
@@ -199,14 +201,14 @@
 	return list
 }
 
-// encodeList encodes a list in one of the forms that the protocol allows.
+// encodeList encodes a list as compact or indented JSON, chosen at random; the protocol allows both.
 func (a *agent) encodeList(list endpointList) string {
 	data, err := json.Marshal(list)
 	if a.random.IntN(3) == 0 {
 		data, err = json.MarshalIndent(list, "", "  ")
 	}
 	if err != nil {
-		panic(err) // the types can be encoded
+		panic(err) // does not happen: the types can be encoded
 	}
 	return string(data) + "\n"
 }
--- a/internal/faultsoak/bad_clients.go
+++ b/internal/faultsoak/bad_clients.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Clients that behave in ways that the platform allows them: they leave early, send much at once, stop in the middle of a request or
-// only hold connections.
+// This file has the clients that behave badly in ways that the platform allows: they disconnect early, send many requests at
+// once, stop in the middle of a request, or only hold connections open.
 
-// leave sends a request and closes the connection before the answer, or its sending side.
+// disconnectEarly sends a request and closes the connection, or only its sending side, without reading the response.
 func (c *clients) disconnectEarly(random *generator) {
 	record := c.newRequest("leaving", random)
 	conn := c.connect(false)
@@ -34,7 +34,7 @@
 	time.Sleep(badClientTimeout / 10)
 }
 
-// flood sends many requests at once and closes the connection.
+// flood sends many requests at once and closes the connection without reading the responses.
 func (c *clients) flood(random *generator) {
 	conn := c.connect(true)
 	if conn == nil {
@@ -49,7 +49,7 @@
 		text.WriteString(record.encode())
 	}
 	_ = conn.SetWriteDeadline(time.Now().Add(badClientTimeout / 10))
-	_, _ = io.WriteString(conn, text.String()) // what it wrote is enough
+	_, _ = io.WriteString(conn, text.String()) // a partial write is fine
 	conn.Close()
 	disconnectedAt := time.Now()
 	c.records.update(func() {
@@ -59,7 +59,7 @@
 	})
 }
 
-// pipeline sends several requests at once and reads their answers in order.
+// pipeline sends several requests at once and reads the responses in order.
 func (c *clients) pipeline(random *generator) {
 	conn := c.connect(random.IntN(2) == 0)
 	if conn == nil {
@@ -100,7 +100,7 @@
 	conn.Close()
 	stale := conn.reused && answered == 0 && !timedOut(err) && !c.sidecar.killedSince(sentAt)
 	for _, record := range sent[answered:] {
-		if stale { // the close crossed them all; sending them again is nothing that the soak needs
+		if stale { // the close of the idle connection raced with the requests; the soak does not resend them
 			c.records.update(func() { record.Outcome, record.resentAt = outcomeUnreachable, time.Now() })
 			continue
 		}
@@ -108,7 +108,8 @@
 	}
 }
 
-// stop sends a part of a request and waits for the error or the close that it is owed.
+// stopMidRequest sends a part of a request. The sidecar has to send an error response or close the connection within
+// badClientTimeout.
 func (c *clients) stopMidRequest(random *generator) {
 	conn := c.connect(true)
 	if conn == nil {
@@ -126,7 +127,7 @@
 	}
 }
 
-// crowd opens so many idle connections that the sidecar's descriptors do not suffice.
+// exhaustDescriptors opens more idle connections than the sidecar has file descriptors for.
 func (c *clients) exhaustDescriptors(until time.Time) {
 	c.mu.Lock()
 	c.descriptorsExhaustedUntil = laterOf(c.descriptorsExhaustedUntil, until.Add(clientDialTimeout))
@@ -134,14 +135,15 @@
 	c.holdIdleConnections(crowdConnections, until)
 }
 
-// crowded reports whether there is a crowd, or was one a moment ago: new connections may be shut unread then.
+// descriptorsExhausted reports whether exhaustDescriptors is active or ended less than clientDialTimeout ago. The sidecar may
+// close new connections unread then.
 func (c *clients) descriptorsExhausted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Now().Before(c.descriptorsExhaustedUntil)
 }
 
-// hold opens idle connections for a time.
+// holdIdleConnections opens idle connections and closes them at a time.
 func (c *clients) holdIdleConnections(count int, until time.Time) {
 	var idle []net.Conn
 	for range count {
--- a/internal/faultsoak/clients.go
+++ b/internal/faultsoak/clients.go
@@ -16,10 +16,10 @@
 
 const (
 	requestsPerSecond = 24                     // to each sidecar
-	answerGrace       = 500 * time.Millisecond // an answer this late earns nothing, a later one is lost
-	hostSlack         = 150 * time.Millisecond // the machine of the soak is busy itself
-	badClientTimeout  = 3 * time.Second        // within which a client that stops gets an error or a close
-	newConnsAfterTerm = 400 * time.Millisecond // new connections come this long after SIGTERM
+	answerGrace       = 500 * time.Millisecond // a response this late has no value for the client; a later one counts as lost
+	hostSlack         = 150 * time.Millisecond // scheduling delay of the machine that runs the soak
+	badClientTimeout  = 3 * time.Second        // a client that stops gets an error or a close within this time
+	newConnsAfterTerm = 400 * time.Millisecond // clients open new connections until this long after SIGTERM
 	maxSlowWritePause = 400 * time.Millisecond
 	minTimeoutShare   = 0.4
 	maxBodyBytes      = 3000
@@ -27,18 +27,18 @@
 	floodRequests     = 40
 	pipelineRequests  = 6
 	idleConnections   = 80
-	crowdConnections  = 420 // more than the descriptors that a sidecar may have
-	// Around SIGTERM: connections that are opened before it, and the time between two uses of all that are open.
+	crowdConnections  = 420 // more than the file descriptors that a sidecar may open
+	// Connections that clients open just before SIGTERM, and the interval at which they send on each idle connection after it.
 	warmConnections   = 6
 	reuseIdleInterval = 60 * time.Millisecond
 	clientDialTimeout = time.Second
 )
 
-// clients are the clients of one sidecar.
+// clients generates the requests of all clients of one sidecar.
 type clients struct {
 	sidecar *sidecar
 	records *records
-	faults  *faultSet // of the clients' side
+	faults  *faultSet // faults of the clients' behavior
 	classes []class
 	seed    uint64
 	lastID  *atomic.Int64
@@ -54,11 +54,11 @@
 	net.Conn
 	reader *bufio.Reader
 	reused bool
-	// closing: the last answer announced the end of the connection.
+	// closing: the last response announced that the connection will be closed.
 	closing bool
 }
 
-// run sends requests until ctx ends, and waits for what is under way.
+// run starts clients at random intervals until ctx ends, and waits for those that are still active.
 func (c *clients) run(ctx context.Context) {
 	defer c.closeIdle()
 	defer c.work.Wait()
@@ -74,7 +74,7 @@
 	}
 }
 
-// sendOne plays one client of a kind that is drawn.
+// runRandomClient runs one client whose behavior is drawn at random.
 func (c *clients) runRandomClient(random *generator) {
 	switch draw := random.Float64(); {
 	case c.faults.hits(faultFlood, random) && draw < 0.2:
@@ -101,7 +101,7 @@
 	}
 }
 
-// encode is the request on the wire.
+// encode returns the request in HTTP/1.1 wire format.
 func (r *requestRecord) encode() string {
 	var head strings.Builder
 	fmt.Fprintf(&head, "%s /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: %d\r\n",
@@ -118,7 +118,8 @@
 	return head.String()
 }
 
-// connect returns an idle connection, or else a new one; nil if none can be had.
+// connect returns an idle connection, or a new one if none is idle or fresh is set. It returns nil if the dial fails, or if
+// the sidecar accepts no new connections and fresh is not set.
 func (c *clients) connect(fresh bool) *clientConn {
 	c.mu.Lock()
 	if n := len(c.idle); n > 0 && !fresh {
@@ -154,7 +155,8 @@
 	c.idle = nil
 }
 
-// request sends one request, in two parts where slowBy is not 0, and waits for the answer.
+// sendRequest sends one request and reads the response. If maxPause is not 0, it writes the request in two parts with a pause
+// of up to maxPause between them.
 func (c *clients) sendRequest(kind string, maxPause time.Duration, random *generator) {
 	record := c.newRequest(kind, random)
 	conn := c.connect(false)
@@ -174,8 +176,8 @@
 	c.exchange(conn, record, text)
 }
 
-// exchange writes a request, or the rest of one, and reads its answer. Where the close of a connection that was reused
-// crosses the request, it is sent once more on a new connection.
+// exchange writes a request, or the rest of one, and reads the response. If the sidecar closes a reused connection while the
+// request is on its way, exchange sends the request once more on a new connection.
 func (c *clients) exchange(conn *clientConn, record *requestRecord, text string) {
 	_, writeErr := io.WriteString(conn, text)
 	sentAt := time.Now()
@@ -220,7 +222,7 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// fail records that a request got no answer.
+// recordFailure records why a request got no response.
 func (c *clients) recordFailure(record *requestRecord, err error, sentAt time.Time) {
 	outcome := outcomeClosed
 	switch {
@@ -232,8 +234,8 @@
 	c.records.update(func() { record.Outcome = outcome })
 }
 
-// readAnswer reads the answer to a request that is sent, and gives the connection back. Answers come in order, so that of a
-// pipelined request is due after the one before, however late that was.
+// readAnswer reads the response to a request and makes the connection idle again, unless the request is pipelined. Responses
+// arrive in order, so the response to a pipelined request is due no earlier than the previous response arrived.
 func (c *clients) readAnswer(conn *clientConn, record *requestRecord) error {
 	c.records.update(func() { record.dueAt = laterOf(record.SentAt.Add(record.Timeout), time.Now()) })
 	deadline := record.dueAt.Add(answerGrace + hostSlack + c.records.slack)
@@ -257,13 +259,13 @@
 	if response.Close {
 		conn.Close()
 	} else if record.Kind != "pipelined" {
-		c.release(conn) // last: another client may use it from now on
+		c.release(conn) // must come last: another client may use the connection afterwards
 	}
 	return nil
 }
 
-// useOpen sends a request on every idle connection, again and again until done is closed: so do clients of a sidecar that is told
-// to end, for as long as a connection stays open.
+// reuseIdle repeatedly sends a request on every idle connection until done is closed. This is what clients of a terminating
+// sidecar do while their connections stay open.
 func (c *clients) reuseIdle(done <-chan struct{}, random *generator) {
 	var work sync.WaitGroup
 	defer work.Wait()
@@ -288,7 +290,7 @@
 	}
 }
 
-// openIdle opens connections and sends a request on each, so that they are idle.
+// openIdle opens connections and sends one request on each, after which they are idle.
 func (c *clients) openIdle(random *generator) {
 	var work sync.WaitGroup
 	for range warmConnections {
--- a/internal/faultsoak/doc.go
+++ b/internal/faultsoak/doc.go
@@ -1,14 +1,14 @@
-// Package faultsoak plays random, overlapping faults against real sidecar processes and checks that no promise of the
-// platform is broken. A run is drawn from a seed: sidecars and servers are processes on loopback addresses; in between
-// stand a fault proxy for each link, an agent of discovery for each sidecar, and clients that behave well and badly. System
-// calls of the sidecars fail and their wall clocks are stepped by package shim.
+// Package faultsoak injects random, overlapping faults into real sidecar processes and checks that the sidecars keep the
+// platform's promises. A seed determines a run. Sidecars and servers are processes on loopback addresses. The soak itself runs
+// a fault proxy for each link between a sidecar and a server, the discovery agents of each sidecar, and clients that behave
+// well and badly. Package shim makes system calls of the sidecars fail and steps their wall clocks.
 //
-//   - plan.go draws the faults, run.go injects them.
-//   - clients.go, proxy.go and agent.go record what clients sent and got, what servers were sent and when, and what
-//     sidecars were told and when.
-//   - oracle.go compares the records with the promises, once the run is over. It knows nothing of the sidecar's code; in
-//     addition the violations that a sidecar has found in itself are read from its log.
+//   - plan.go draws the faults, run.go schedules them and inject.go injects them.
+//   - clients.go and bad_clients.go record requests and responses, proxy.go records what servers receive and when.
+//   - agent.go serves the endpoint lists to the sidecars; inject.go records when each sidecar has to know a change.
+//   - oracle.go checks the records against the promises after the run. It does not use the sidecar's code. In addition,
+//     sidecar.go reads from a sidecar's log the invariant violations that the sidecar has detected itself.
 //
-// What differs from package lab/live: there faults are named in an experiment and the clients are the platform's; here they
-// are random, two or three at a time, and reach below the protocol.
+// In package lab/live an experiment names the faults and the clients are the platform's. The faults of this package are
+// random, two or three at a time, and include failures below the protocol.
 package faultsoak
--- a/internal/faultsoak/inject.go
+++ b/internal/faultsoak/inject.go
@@ -9,7 +9,7 @@
 	"milldeck/internal/faultsoak/shim"
 )
 
-// inject injects one fault and returns when it is over.
+// inject injects one fault. Some faults expire by themselves at a set time; for all others inject returns when they are over.
 func (s *soak) inject(planned fault) {
 	target, srv := s.sidecars[planned.Sidecar], s.servers[planned.Server]
 	until := time.Now().Add(planned.For)
@@ -49,7 +49,7 @@
 	}
 }
 
-// terminate ends a sidecar while its clients use every connection that is open.
+// terminate terminates a sidecar while its clients send requests on all idle connections.
 func (s *soak) terminate(planned fault) error {
 	target, sidecarClients := s.sidecars[planned.Sidecar], s.clients[planned.Sidecar]
 	random := s.generator("ending", planned.Sidecar, int(planned.At))
@@ -62,7 +62,8 @@
 	return err
 }
 
-// stepClocks steps the one wall clock that all machines read.
+// stepClocks steps the wall clock that sidecars and servers share. Of the servers it changes only the boot times that are
+// published afterwards.
 func (s *soak) stepClocks(step time.Duration) {
 	s.wallOffset.Add(int64(step))
 	for _, target := range s.sidecars {
@@ -88,20 +89,20 @@
 	}
 }
 
-// freeze stops the process for a time.
+// freeze suspends the server's process for a time.
 func (s *server) freeze(length time.Duration) {
 	s.mu.Lock()
 	process := s.process
 	s.mu.Unlock()
-	_ = process.Signal(syscall.SIGSTOP) // of a process that has ended there is nothing to stop
+	_ = process.Signal(syscall.SIGSTOP) // fails only if the process has exited
 	time.Sleep(length)
 	_ = process.Signal(syscall.SIGCONT)
 }
 
-// restartServer kills a server and starts it again, in slow start.
+// restartServer kills a server and starts it again. The server is in slow start then.
 func (s *soak) restartServer(srv *server) error {
 	if !srv.lifecycle.TryLock() {
-		return nil // it is out for another reason
+		return nil // another restart or drain of the server is in progress
 	}
 	defer srv.lifecycle.Unlock()
 	srv.mu.Lock()
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// drainServer announces a server as terminating, removes it, and has it return.
+// drainServer publishes a server as terminating, removes it from the list if removed is set, and publishes it as ready again.
 func (s *soak) drainServer(srv *server, length time.Duration, removed bool) {
 	if !srv.lifecycle.TryLock() {
 		return
@@ -134,14 +135,14 @@
 	s.publish(srv, "Ready")
 }
 
-// publish changes the state of a server at all agents, and records from when on each sidecar has to know it.
+// publish changes the state of a server at all agents and records the time at which each sidecar has to know the change.
 func (s *soak) publish(srv *server, state string) {
 	entry := srv.entry
 	entry.State = state
 	if !srv.startedAt.IsZero() {
 		entry.BootMS = srv.startedAt.Add(time.Duration(s.wallOffset.Load())).UnixMilli()
 		if srv.entry.BootMS != 0 && srv.publishedStart.Equal(srv.startedAt) {
-			entry.BootMS = srv.entry.BootMS // the same process: it keeps the time that it was started at
+			entry.BootMS = srv.entry.BootMS // the same process keeps the boot time that was published, whatever clock steps came since
 		}
 	}
 	srv.entry, srv.publishedStart = entry, srv.startedAt
--- a/internal/faultsoak/oracle.go
+++ b/internal/faultsoak/oracle.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// Violation is a promise that was broken.
+// Violation is a broken promise.
 type Violation struct {
 	Rule    string
-	Request string // its X-Request-ID; "": none
+	Request string // X-Request-ID; "" if the violation concerns no single request
 	Detail  string
 }
 
-// Allowances of the platform's pages, each with what the soak's own machine may add.
+// Tolerances that the platform's pages allow, plus measuringSlack for delays of the machine that runs the soak.
 const (
-	disconnectGrace     = 100*time.Millisecond + measuringSlack // an attempt may begin this long after its client has left
-	timeoutSlack        = 150*time.Millisecond + measuringSlack // by which a server may be told more than the client has left
+	disconnectGrace     = 100*time.Millisecond + measuringSlack // an attempt may begin this long after its client has disconnected
+	timeoutSlack        = 150*time.Millisecond + measuringSlack // allowed excess of an attempt's timeout over the client's time left
 	drainGrace          = 750 * time.Millisecond
 	drainSlack          = 50*time.Millisecond + measuringSlack
-	overlapSlack        = 50 * time.Millisecond // in which the proxy notices that a connection was closed
+	overlapSlack        = 50 * time.Millisecond // the proxy detects a closed connection within this time
 	windowSlack         = 50 * time.Millisecond
 	measuringSlack      = 30 * time.Millisecond
-	minServedShare      = 0.3  // of the requests of well-behaved clients: less means that the run shows nothing
-	smallSampleAttempts = 30.0 // below this many allowed attempts chance gets more
+	minServedShare      = 0.3  // of the requests of well-behaved clients; a run with less proves nothing
+	smallSampleAttempts = 30.0 // with fewer allowed attempts the margin is 3 standard deviations rather than 2
 	minInformedShare    = 2.0 / 3
 )
 
-// judge returns all violations of a run.
+// check returns all violations of a run.
 func (r *records) check(rules slowStartRules) []Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -129,8 +129,8 @@
 	}
 }
 
-// sentAt is when the attempt was sent that led to an execution: a server that hangs may execute it long after. Without one
-// it is the time of the execution.
+// attemptSentAt returns the time at which the attempt that led to an execution was sent, because a server that hangs may execute
+// it long afterwards. If no such attempt is recorded, it returns the time of the execution.
 func (r *requestRecord) attemptSentAt(executed execution) time.Time {
 	sent := executed.At
 	for _, attempt := range r.Attempts {
@@ -141,7 +141,8 @@
 	return sent
 }
 
-// judgeDrains checks that no attempt goes to a server that its sidecar has to know as draining or removed.
+// checkDrains checks that a sidecar sends no attempt to a server later than drainGrace after it has to know that the server is
+// draining or removed.
 func (r *records) checkDrains(request *requestRecord) []Violation {
 	var found []Violation
 	for _, attempt := range request.Attempts {
@@ -164,7 +165,8 @@
 	return found
 }
 
-// returns reports whether discovery had a server as ready again after a time: its sidecar may know that before it has to.
+// readyAgain reports whether the server was published as ready again after a time and before the attempt. The sidecar may know
+// that earlier than it has to.
 func (r *records) readyAgain(attempt *attemptRecord, since time.Time) bool {
 	for i := range r.lists {
 		list := &r.lists[i]
@@ -176,7 +178,7 @@
 	return false
 }
 
-// slowStartRules are the settings about slow start.
+// slowStartRules are the slow start settings of the sidecars.
 type slowStartRules struct {
 	minCapacity      float64 // fraction
 	duration         time.Duration
@@ -184,8 +186,8 @@
 	overloadDuration time.Duration
 }
 
-// judgeSlowStarts checks that no server in slow start gets more attempts from the sidecars that know of its start than the
-// settings allow, and chance explains.
+// checkSlowStarts checks that no server in slow start gets more attempts, mostly from sidecars that know of its start, than the
+// settings and the random deviation allow.
 func (r *records) checkSlowStarts(rules slowStartRules) []Violation {
 	starts := map[string]listRecord{}
 	for _, list := range r.lists {
@@ -203,8 +205,8 @@
 	return found
 }
 
-// worstWindow returns the number of attempts in the window of a slow start that exceeds what is allowed by most, and what
-// is allowed there.
+// worstWindow returns the number of attempts and the allowed number for the window of a slow start that exceeds its limit by
+// most. It skips windows in which fewer than minInformedShare of the attempts come from sidecars that know of the start.
 func (r *records) worstWindow(start listRecord, rules slowStartRules) (worst, allowed float64) {
 	var informed, uninformed []time.Duration // after the start
 	for _, request := range r.requests {
@@ -247,7 +249,7 @@
 	return worst, allowed
 }
 
-// allowed is how many attempts a server may get in a window that begins at an age, with what is put down to chance.
+// allowed returns how many attempts a server may get in a window that begins at an age, including a margin for random deviation.
 func (s slowStartRules) allowed(age time.Duration) float64 {
 	middle := age + s.overloadDuration/2
 	capacityShare := s.minCapacity + (1-s.minCapacity)*math.Min(1, middle.Seconds()/s.duration.Seconds())
@@ -258,7 +260,7 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// knowsStart reports whether the sidecar of an attempt has to know that a server has started.
+// knowsStart reports whether the sidecar that sent an attempt has to know that the server was started at a time.
 func (r *records) knowsStart(attempt *attemptRecord, startedAt time.Time) bool {
 	for i := range r.lists {
 		list := &r.lists[i]
@@ -270,7 +272,7 @@
 	return false
 }
 
-// story is the history of a request, for a violation.
+// history describes what happened to a request, for the detail of a violation.
 func (r *requestRecord) history() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s %s at sidecar %d, sent %s, timeout %v, %s %d", r.Kind, r.Class.name, r.Sidecar,
--- a/internal/faultsoak/plan.go
+++ b/internal/faultsoak/plan.go
@@ -10,34 +10,34 @@
 	"milldeck/internal/faultsoak/shim"
 )
 
-// faultKind is a kind of fault.
+// faultKind names a kind of fault, as flag --only of milldeck lab soak takes it.
 type faultKind string
 
 const (
-	faultTerminate   faultKind = "sidecar-terminate" // SIGTERM, and a successor
-	faultKill        faultKind = "sidecar-kill"      // SIGKILL, and a successor
-	faultReload      faultKind = "sidecar-reload"    // SIGHUP to another agent
-	faultHold        faultKind = "sidecar-hold"      // stopped for up to 0.15 s
-	faultClockStep   faultKind = "clock-step"        // of the sidecars' machines and the servers'
-	faultSystemCall  faultKind = "system-call"       // fails
-	faultRestart     faultKind = "server-restart"    // killed, and started again: slow start
-	faultDrain       faultKind = "server-drain"      // announced as terminating, then removed, then it returns
-	faultFreeze      faultKind = "server-freeze"     // stopped
-	faultErrors      faultKind = "server-errors"     // 500, or not processed
-	faultReset       faultKind = "server-reset"      // connections are reset under requests
-	faultCut         faultKind = "link-cut"          // silent
-	faultResponses   faultKind = "responses"         // without a length, in pieces, twice, cut short
-	faultAgentDown   faultKind = "discovery-down"    // agents are silent and learn nothing
-	faultWatchSilent faultKind = "discovery-silent"  // open watches fall silent
+	faultTerminate   faultKind = "sidecar-terminate" // SIGTERM, then a new process
+	faultKill        faultKind = "sidecar-kill"      // SIGKILL, then a new process
+	faultReload      faultKind = "sidecar-reload"    // SIGHUP with a configuration that names the other agent
+	faultHold        faultKind = "sidecar-hold"      // SIGSTOP for up to 0.15 s
+	faultClockStep   faultKind = "clock-step"        // of the wall clock that sidecars and servers share
+	faultSystemCall  faultKind = "system-call"       // a share of the calls of one system call fails
+	faultRestart     faultKind = "server-restart"    // killed and started again in slow start
+	faultDrain       faultKind = "server-drain"      // published as terminating, perhaps removed, then ready again
+	faultFreeze      faultKind = "server-freeze"     // SIGSTOP for a time
+	faultErrors      faultKind = "server-errors"     // response 500, or 503 marked as not processed
+	faultReset       faultKind = "server-reset"      // connections are reset during requests
+	faultCut         faultKind = "link-cut"          // the link transfers nothing
+	faultResponses   faultKind = "responses"         // without a length, in pieces, in chunks, twice, cut short
+	faultAgentDown   faultKind = "discovery-down"    // agents send nothing and get no changes
+	faultWatchSilent faultKind = "discovery-silent"  // open watches send nothing more
 	faultWatchReset  faultKind = "discovery-reset"   // open watches are reset
-	faultLeaving     faultKind = "clients-leave"     // many clients leave
-	faultFlood       faultKind = "clients-flood"     // send much at once and leave
-	faultPipelining  faultKind = "clients-pipeline"  // send several requests at once
+	faultLeaving     faultKind = "clients-leave"     // many clients disconnect early
+	faultFlood       faultKind = "clients-flood"     // many clients send many requests at once and disconnect
+	faultPipelining  faultKind = "clients-pipeline"  // many clients send several requests at once
 	faultIdle        faultKind = "clients-idle"      // many idle connections
-	faultCrowd       faultKind = "clients-crowd"     // idle connections fill the descriptors
+	faultCrowd       faultKind = "clients-crowd"     // idle connections use up the file descriptors
 )
 
-// allFaults are the kinds to draw from; those that stand twice are drawn twice as often.
+// allFaults are the kinds to draw from. Kinds that are listed twice are drawn twice as often.
 var allFaults = []faultKind{
 	faultTerminate, faultTerminate, faultKill, faultReload, faultHold, faultClockStep, faultSystemCall, faultSystemCall,
 	faultRestart, faultDrain, faultFreeze, faultErrors, faultReset, faultCut, faultResponses,
@@ -45,7 +45,7 @@
 	faultCrowd,
 }
 
-// kindsNamed returns the kinds with names, all without any. The error names one that is unknown.
+// parseFaultKinds returns the kinds with the given names, or allFaults for no names. The error names the first unknown kind.
 func parseFaultKinds(names []string) ([]faultKind, error) {
 	if len(names) == 0 {
 		return allFaults, nil
@@ -60,7 +60,7 @@
 	return kinds, nil
 }
 
-// fault is one fault of a run.
+// fault is one planned fault of a run.
 type fault struct {
 	Kind    faultKind
 	At      time.Duration // after the start of the load
@@ -71,7 +71,7 @@
 	Call    shim.Call
 	Errno   syscall.Errno
 	Share   float64 // of calls, responses or clients
-	Removed bool    // of a drain: the server is removed before it returns
+	Removed bool    // of a drain: the server is removed before it is ready again
 	Signals signalSequence
 }
 
@@ -89,7 +89,7 @@
 	return text
 }
 
-// failingCall is a system call with an error that its manual page documents.
+// failingCall is a system call and an error that its manual page documents.
 type failingCall struct {
 	call  shim.Call
 	errno syscall.Errno
@@ -105,34 +105,34 @@
 	{shim.OpenAt, syscall.ENFILE}, {shim.OpenAt, syscall.EMFILE},
 }
 
-// plan is what a seed decides.
+// plan holds the settings and faults of a run that follow from its seed.
 type plan struct {
 	Seed     uint64
 	Length   time.Duration // of the load
 	Faults   []fault
-	Push     bool // lists are pushed
+	Push     bool // discovery "automatic", which pushes lists; else "subscribe"
 	WarmKeys bool
 	Classes  []class
 }
 
-// DefaultFaultRate has two or three faults overlap.
+// DefaultFaultRate is the default number of faults per second. With this rate two or three faults overlap.
 const DefaultFaultRate = 2.0
 
 const (
-	firstFaultAt   = 1500 * time.Millisecond // the sidecars have met the servers by then
+	firstFaultAt   = 1500 * time.Millisecond // the sidecars have connected to the servers by then
 	maxFaultLength = 2500 * time.Millisecond
-	maxHold        = 150 * time.Millisecond // the longest that the standing test has a process held up
+	maxHold        = 150 * time.Millisecond // the standing test suspends a process for at most this long
 	maxCallFailure = time.Second
 )
 
-// What the settings of a run draw from: the longest deadline of all classes, which may exceed what counts until SIGKILL, and the
-// deduplication window of the class whose keys only one cell knows.
+// Values from which the settings of a run are drawn: the longest deadline of all classes, which may exceed maxDeadlineCounted,
+// and the deduplication window of the class whose keys only one cell knows.
 var (
 	longestDeadlines = []time.Duration{1200 * time.Millisecond, 2 * time.Second, 3 * time.Second, 4500 * time.Millisecond}
 	shortWindows     = []time.Duration{700 * time.Millisecond, 1500 * time.Millisecond}
 )
 
-// newPlan draws a run with so many faults a second.
+// newPlan draws the plan of a run. faultRate is the number of faults per second.
 func newPlan(seed uint64, length time.Duration, faultRate float64, kinds []faultKind) plan {
 	random := rand.New(rand.NewPCG(seed, 0))
 	drawn := plan{Seed: seed, Length: length, Push: random.IntN(2) == 0, WarmKeys: random.IntN(2) == 0}
--- a/internal/faultsoak/proxy.go
+++ b/internal/faultsoak/proxy.go
@@ -18,11 +18,11 @@
 const (
 	proxyDialTimeout        = 200 * time.Millisecond
 	cutPollInterval         = 5 * time.Millisecond
-	maxSecondResponse       = 2 * time.Millisecond // after the first
-	closeAfterResponseShare = 0.01                 // of responses after which the server closes the connection soon
+	maxSecondResponse       = 2 * time.Millisecond // after the first response
+	closeAfterResponseShare = 0.01                 // share of responses after which the proxy closes the connection
 )
 
-// linkFaults are the faults in force on the links to one server, or of one sidecar, by the end of each.
+// faultSet holds the active faults of the links to one server, or of the clients of one sidecar, with the end and share of each.
 type faultSet struct {
 	mu    sync.Mutex
 	until map[faultKind]time.Time
@@ -39,7 +39,7 @@
 	f.until[kind], f.share[kind] = until, share
 }
 
-// draw reports whether a fault is in force and hits this time.
+// hits reports whether a fault is active and affects this request or client. Its probability is the share of the fault.
 func (f *faultSet) hits(kind faultKind, random *generator) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,22 +78,22 @@
 type proxiedConn struct {
 	*net.TCPConn
 	reader *bufio.Reader
-	closed chan struct{} // the sidecar has closed its side
+	closed chan struct{} // closed when the sidecar closes its side during the present request
 
 }
 
 func (l *link) serveConn(tcpConn *net.TCPConn) {
 	stop := context.AfterFunc(l.ctx, func() { _ = tcpConn.Close() })
 	defer stop()
-	defer func() { _ = tcpConn.Close() }() // closed for good, whatever it returns
+	defer func() { _ = tcpConn.Close() }() // an error does not matter: nothing uses the connection afterwards
 	conn := &proxiedConn{TCPConn: tcpConn, reader: bufio.NewReader(tcpConn)}
 	for l.serveRequest(conn) {
 	}
 }
 
-// awaitHealed waits while the link is cut. It reports false when the run is over, or when the sidecar has closed the
-// connection: what was on its way is lost then. What a sidecar sends is recorded at once, cut or not, as it is judged by
-// when it was sent.
+// awaitLinkUp waits while the link is cut. It returns false if the run ends or the sidecar closes the connection; the data on the
+// link is lost then. The proxy records a request at once even if the link is cut, because the oracle checks a sidecar by when
+// it sent the request.
 func (l *link) awaitLinkUp(conn *proxiedConn) bool {
 	for l.faults.active(faultCut) {
 		select {
@@ -107,7 +107,7 @@
 	return l.ctx.Err() == nil
 }
 
-// serveRequest serves one request and reports whether the connection can carry another.
+// serveRequest serves one request and reports whether the connection is reusable.
 func (l *link) serveRequest(conn *proxiedConn) bool {
 	if _, err := conn.reader.Peek(1); err != nil {
 		return false
@@ -119,7 +119,7 @@
 	}
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
-		return false // incomplete: it counts as never sent
+		return false // an incomplete request counts as never sent
 	}
 	record.LastByteAt = time.Now()
 	if request.URL.Path != "/api" {
@@ -142,8 +142,8 @@
 	return reusable && stillOpen
 }
 
-// watchClose watches for the end of the sidecar's side until the returned function is called, which reports whether the
-// connection is still open.
+// watchClose calls onClose when the sidecar closes its side of the connection. Calling stop ends the watch and reports whether
+// the connection is still open.
 func (c *proxiedConn) watchClose(onClose func()) (stop func() bool) {
 	c.closed = make(chan struct{})
 	done := make(chan error, 1)
@@ -159,14 +159,14 @@
 		done <- err
 	}()
 	return func() bool {
-		_ = c.SetReadDeadline(time.Unix(1, 0)) // ends Peek; on a closed connection it has ended
+		_ = c.SetReadDeadline(time.Unix(1, 0)) // makes Peek return; on a closed connection it has returned already
 		err := <-done
 		return c.SetReadDeadline(time.Time{}) == nil && err == nil
 	}
 }
 
-// respond forwards a request and writes the response, or does one of the things that go wrong. It reports whether the
-// connection can carry another request.
+// respond forwards a request and writes the response, or injects one of the active faults. It reports whether the connection is
+// reusable.
 func (l *link) respond(conn *proxiedConn, request *http.Request, body []byte) (reusable bool) {
 	if !l.awaitLinkUp(conn) {
 		return false
@@ -201,7 +201,8 @@
 	return l.random.Float64() >= closeAfterResponseShare
 }
 
-// forward sends a request to the server on a connection of its own, until the sidecar gives it up.
+// forward sends a request to the server on a new connection and returns the response. It gives up when the sidecar closes its
+// connection.
 func (l *link) forward(conn *proxiedConn, request *http.Request, body []byte) (status int, notProcessed bool, response string, err error) {
 	backend, err := net.DialTimeout("tcp", l.backend, proxyDialTimeout)
 	if err != nil {
@@ -210,7 +211,7 @@
 	defer backend.Close()
 	finished := make(chan struct{})
 	defer close(finished)
-	closed := conn.closed // of this request: the next has its own
+	closed := conn.closed // copied, because the next request replaces conn.closed
 	go func() {
 		select {
 		case <-closed:
@@ -233,16 +234,16 @@
 	return answer.StatusCode, answer.Header.Get("X-Not-Processed") != "", string(text), err
 }
 
-// writeOddly writes a complete response in an unusual way.
+// writeUnusualResponse writes a response in an unusual form, drawn at random. Some forms are incomplete.
 func (l *link) writeUnusualResponse(conn *proxiedConn, body string) (reusable bool) {
 	text := sizedResponse(http.StatusOK, false, body)
 	switch l.random.IntN(6) {
-	case 0: // no length: the end of the connection ends it
+	case 0: // no length: the close of the connection ends the response
 		writeAll(conn, "HTTP/1.1 200 OK\r\n\r\n"+body)
 		return false
-	case 1: // no length, and a reset: no end
+	case 1: // no length, and a reset: the response is incomplete
 		writeAll(conn, "HTTP/1.1 200 OK\r\n\r\n"+body[:len(body)/2])
-		time.Sleep(time.Millisecond) // the sidecar reads it
+		time.Sleep(time.Millisecond) // lets the sidecar read the first half
 		return conn.reset()
 	case 2: // in pieces
 		for start := 0; start < len(text); start += 97 {
@@ -252,23 +253,23 @@
 			time.Sleep(time.Millisecond / 2)
 		}
 		return true
-	case 3: // twice
+	case 3: // two responses to one request
 		if !writeAll(conn, text) {
 			return false
 		}
 		time.Sleep(l.random.Below(maxSecondResponse))
 		return writeAll(conn, sizedResponse(http.StatusOK, false, "another"))
-	case 4: // cut short
+	case 4: // one byte short
 		writeAll(conn, text[:len(text)-1])
 		return false
-	default: // in chunks
+	default: // 100 Continue first, then a chunked body
 		half := len(body) / 2
 		return writeAll(conn, fmt.Sprintf("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n",
 			half, body[:half], len(body)-half, body[half:]))
 	}
 }
 
-// reset ends the connection with a reset.
+// reset makes the coming close of the connection send a reset. It always returns false, as the connection is not reusable.
 func (c *proxiedConn) reset() (reusable bool) {
 	_ = c.SetLinger(0) // fails only on a closed connection
 	return false
@@ -283,7 +284,7 @@
 		status, strings.ToUpper(http.StatusText(status)), mark, len(body), body)
 }
 
-// writeAll reports whether all was written.
+// writeAll writes a text and reports whether that succeeded.
 func writeAll(conn io.Writer, text string) bool {
 	_, err := io.WriteString(conn, text)
 	return err == nil
--- a/internal/faultsoak/records.go
+++ b/internal/faultsoak/records.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// class is a class of requests of the soak.
+// class is a request class of the soak.
 type class struct {
 	name     string
 	method   string
 	keyed    bool
 	deadline time.Duration
-	// Of a keyed class: its deduplication window, and whether one cell or all servers know a key.
+	// Of a keyed class: its deduplication window, and whether one cell shares the keys rather than all servers.
 	window time.Duration
 	byCell bool
-	// repeatable: a rejection is allowed whatever has become of earlier attempts.
+	// repeatable: a request may be rejected even if an earlier attempt was executed.
 	repeatable    bool
-	nonIdempotent bool // may be executed once only
+	nonIdempotent bool // must be executed at most once
 }
 
-// newClasses returns the classes of a run. The longest deadline decides when SIGKILL may come at the earliest after SIGTERM, and the
-// window until when a request may be sent again.
+// newClasses returns the classes of a run. The longest deadline determines how soon after SIGTERM SIGKILL may come (see
+// killAfterTerm). shortWindow is the deduplication window of the class whose keys only one cell knows: a request of this class
+// may be sent again only within the window.
 func newClasses(longestDeadline, shortWindow time.Duration) []class {
 	return []class{
 		{name: "lookup", method: "GET", deadline: min(1500*time.Millisecond, longestDeadline), repeatable: true},
@@ -30,7 +31,7 @@
 	}
 }
 
-// killAfterTerm is when SIGKILL may come at the earliest after SIGTERM, by the longest deadline of the classes.
+// killAfterTerm returns the shortest time between SIGTERM and SIGKILL that the protocol allows for these classes.
 func killAfterTerm(classes []class) time.Duration {
 	longest := time.Duration(0)
 	for i := range classes {
@@ -40,28 +41,28 @@
 }
 
 const (
-	// maxDeadlineCounted is the most that a deadline counts for until SIGKILL, by the protocol.
+	// maxDeadlineCounted is the part of the longest deadline by which the protocol delays SIGKILL at most.
 	maxDeadlineCounted = 3 * time.Second
-	// graceAfterTerm is by how much SIGKILL comes later than the longest deadline. What comes later than this after SIGTERM and is
-	// unanswered when SIGKILL comes is lost.
+	// graceAfterTerm is added to the longest deadline to get the time of SIGKILL. A request that is sent later than this after
+	// SIGTERM counts as lost if it is unanswered at SIGKILL.
 	graceAfterTerm = 700 * time.Millisecond
 )
 
-// requestRecord is what is known of one request.
+// requestRecord records one request.
 type requestRecord struct {
 	ID      string
 	Class   *class
 	Sidecar int
-	Kind    string // of client
+	Kind    string // kind of client behavior
 	Timeout time.Duration
-	SentAt  time.Time // its last byte was written; zero: it never was
-	beganAt time.Time // its first part was written, of one that is written slowly; zero: it is written at once
-	key     int       // of the client's data
-	size    int       // of the body
-
-	resentAt       time.Time // sent once more, as a close crossed it
-	dueAt          time.Time // the answer, without any grace
-	DisconnectedAt time.Time // the client closed its connection; zero: it waited
+	SentAt  time.Time // time of writing the last byte; zero: never
+	beganAt time.Time // just before the first byte is written; zero: counts as SentAt
+	key     int       // sent as cookie k
+	size    int       // of the body in bytes
+
+	resentAt       time.Time // sent once more, as the close of an idle connection raced with it
+	dueAt          time.Time // deadline of the response, without any grace
+	DisconnectedAt time.Time // the client closed its connection; zero: it did not disconnect early
 	AnsweredAt     time.Time
 	Status         int
 	Body           string
@@ -70,7 +71,7 @@
 	Executions     []execution
 }
 
-// began is when a request's first byte was written, by when its last one was.
+// began returns when the first byte of a request was written. sentAt is when its last byte was written.
 func (r *requestRecord) began(sentAt time.Time) time.Time {
 	if r.beganAt.IsZero() {
 		return sentAt
@@ -84,15 +85,15 @@
 const (
 	outcomePending      outcome = ""
 	outcomeAnswered     outcome = "answered"
-	outcomeUnreachable  outcome = "unreachable" // no connection
-	outcomeClosed       outcome = "closed"      // the connection ended without an answer
-	outcomeSilent       outcome = "silent"      // no answer came in time
-	outcomeDisconnected outcome = "left"        // by the client
-	outcomeExcused      outcome = "excused"     // the process was killed
-	outcomeClosedUnread outcome = "shut unread" // a new connection ended without an answer in a crowd
+	outcomeUnreachable  outcome = "unreachable" // no connection, or the request could not be written on it
+	outcomeClosed       outcome = "closed"      // the connection ended without a response
+	outcomeSilent       outcome = "silent"      // no response arrived in time
+	outcomeDisconnected outcome = "left"        // the client disconnected
+	outcomeExcused      outcome = "excused"     // no response, but the sidecar was killed
+	outcomeClosedUnread outcome = "shut unread" // a new connection ended without a response while descriptors were exhausted
 )
 
-// attemptRecord is one request on a link, as the proxy saw it.
+// attemptRecord is one request that the proxy of a link received.
 type attemptRecord struct {
 	Sidecar, Server  int
 	FirstByteAt      time.Time
@@ -101,29 +102,29 @@
 	ForwardedTimeout time.Duration
 }
 
-// execution is one execution of a request by a server.
+// execution records one execution of a request by a server.
 type execution struct {
 	Server int
 	Key    string
 	At     time.Time
 }
 
-// listRecord is a change of the endpoint list, as one sidecar has to know it.
+// listRecord is a change of the endpoint list that one sidecar has to know from some time on.
 type listRecord struct {
 	Sidecar, Server int
-	publishedAt     time.Time // discovery has it
-	KnownAt         time.Time // counts as known by the sidecar
-	Withdrawn       bool      // the server is draining or removed, else it is ready
-	StartedAt       time.Time // of the server's process; zero: long ago
+	publishedAt     time.Time // when the soak published the change
+	KnownAt         time.Time // the sidecar has to know the change from then on
+	Withdrawn       bool      // the server is draining or removed; false: it is ready
+	StartedAt       time.Time // start of the server's process; zero: before the run
 }
 
-// records collect what happens in a run.
+// records collects the records of a run. It is safe for concurrent use.
 type records struct {
-	slack time.Duration // added to each time limit, for a machine that is busy with other work
+	slack time.Duration // added to each time limit, because other work may keep the machine busy
 
 	mu         sync.Mutex
 	requests   map[string]*requestRecord
-	unknown    []string // requests that reached a server and that no client sent
+	unknown    []string // IDs of requests that a server received but no client sent
 	lists      []listRecord
 	violations []Violation
 }
@@ -138,7 +139,7 @@
 	r.requests[request.ID] = request
 }
 
-// update changes a record under the lock.
+// update calls change with the lock held.
 func (r *records) update(change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -170,7 +171,7 @@
 	r.lists = append(r.lists, list)
 }
 
-// violate records a violation that is found while the run goes on.
+// addViolation records a violation that is detected during the run.
 func (r *records) addViolation(rule, request, detail string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faultsoak/run.go
+++ b/internal/faultsoak/run.go
@@ -20,7 +20,7 @@
 const (
 	sidecarCount = 5
 	serverCount  = 8
-	cellSize     = 2 // servers that know the same idempotency keys
+	cellSize     = 2 // number of servers that share idempotency keys
 
 	baseSubnet           = 0
 	serverPort           = 8081
@@ -30,16 +30,15 @@
 	secondAgentPort      = 8085
 	hostsPerSidecar      = 20
 	restartPause         = 300 * time.Millisecond
-	discoveryDelay       = 200 * time.Millisecond // until discovery knows of a server that was killed
+	discoveryDelay       = 200 * time.Millisecond // until discovery publishes the restart of a server
 	drainNotice          = 1500 * time.Millisecond
-	knownAfterWatchFault = 6 * time.Second // a change counts as known this long after a watch has failed
-	knownAfterReload     = 4 * time.Second
+	knownAfterWatchFault = 6 * time.Second // after a fault of its watch a sidecar has to know changes within this time
+	knownAfterReload     = 4 * time.Second // the same after SIGHUP
 	closeTimeout         = 5 * time.Second
-	settleTime           = 2 * time.Second // without load, at the end: the last requests are answered or lost
-	watchFaultWindow     = 8 * time.Second
+	settleTime           = 2 * time.Second // after the load, until all requests are answered or lost
+	watchFaultWindow     = 8 * time.Second // a discovery fault concerns changes that are published within this time after it
 )
 
-// cellOf returns the cell of a server.
 func cellOf(server int) int { return server / cellSize }
 
 var slowStart = slowStartRules{minCapacity: 0.02, duration: 20 * time.Second, overloadMultiple: 1.5, overloadDuration: 2 * time.Second}
@@ -49,26 +48,26 @@
 	Seed         uint64
 	Length       time.Duration // of the load
 	FaultRate    float64       // faults a second
-	Only         []string      // kinds of faults to draw from; none: all
-	Slack        time.Duration // added to each time limit that is judged, for a machine that is busy with other work
+	Only         []string      // kinds of faults to draw from; empty: all
+	Slack        time.Duration // added to each time limit that is checked, because other work may keep the machine busy
 	SidecarPath  string
 	MilldeckPath string
-	Dir          string // of configurations and logs
+	Dir          string // empty folder for configurations and logs
 }
 
-// Result is what a run shows.
+// Result is the result of a run.
 type Result struct {
 	Seed       uint64
 	Faults     []string
 	Requests   int
 	Outcomes   map[string]int
-	Served     float64 // share of the requests of well-behaved clients
+	Served     float64 // share of the plain requests that got a 200
 	Attempts   int
-	Injected   map[string]int // failed system calls
+	Injected   map[string]int // number of injected system call failures by call and error
 	Violations []Violation
 }
 
-// soak is a run.
+// soak is the state of a run.
 type soak struct {
 	options            Options
 	plan               plan
@@ -81,11 +80,11 @@
 	listeners          []net.Listener
 	referenceMonotonic time.Duration
 	referenceTime      time.Time
-	wallOffset         atomic.Int64 // time.Duration
+	wallOffset         atomic.Int64 // time.Duration; sum of the clock steps
 	work               sync.WaitGroup
 }
 
-// server is one server: a process, and its successors at the same address.
+// server is one server: its present process, and the processes that replace it at the same address.
 type server struct {
 	number  int
 	address string
@@ -95,13 +94,13 @@
 
 	mu      sync.Mutex
 	process *proc.Process
-	entry   endpoint // as discovery has it, but for the address
-	// The lifecycle lock guards the two below: the present process, and the one whose boot time discovery has.
+	entry   endpoint // as last published, without the address
+	// Start times of the present process and of the process whose boot time is published. Guarded by the lifecycle lock.
 	startedAt, publishedStart time.Time
-	watchFaultAt              map[int]time.Time // by sidecar: its latest
+	watchFaultAt              map[int]time.Time // by sidecar: time of the last discovery fault
 }
 
-// Run plays one run and returns what it shows. The error is what the soak itself could not do.
+// Run executes one run and returns its result. An error means that the soak itself failed.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -129,11 +128,11 @@
 	return run.result()
 }
 
-// requireEmpty returns an error if a folder holds anything: logs of an earlier run would be judged as this run's.
+// requireEmpty returns an error if a folder is not empty. Otherwise logs of an earlier run would be checked as logs of this run.
 func requireEmpty(dir string) error {
 	entries, err := os.ReadDir(dir)
 	if err == nil && len(entries) > 0 {
-		return fmt.Errorf("%s is not empty", dir)
+		return fmt.Errorf("folder %s is not empty", dir)
 	}
 	return err
 }
@@ -184,7 +183,7 @@
 	return filepath.Join(s.options.Dir, fmt.Sprintf("server%d.log", number))
 }
 
-// startSidecar starts a sidecar with its links, agents and clients.
+// startSidecar starts the links and agents of a sidecar, then its process, and creates its clients.
 func (s *soak) startSidecar(number int) error {
 	var list []endpoint
 	for _, target := range s.servers {
@@ -223,12 +222,12 @@
 	return started.start(s.ctx)
 }
 
-// generator returns the generator of a numbered part of the run.
+// generator returns the generator of the part of the run with a name and numbers.
 func (s *soak) generator(part string, numbers ...int) *generator {
 	return newGenerator(s.options.Seed, fmt.Sprint(part, " ", numbers))
 }
 
-// settings are the settings of a sidecar.
+// settings returns the settings in the configuration of a sidecar.
 func (s *soak) settings(number int) json.RawMessage {
 	discovery := "subscribe"
 	if s.plan.Push {
@@ -261,12 +260,12 @@
 			"fall_ms": slowStart.overloadDuration.Milliseconds(), "fall_multiple": slowStart.overloadMultiple},
 	})
 	if err != nil {
-		panic(err) // the types can be encoded
+		panic(err) // does not happen: the types can be encoded
 	}
 	return data
 }
 
-// play sends the load and injects the faults.
+// runLoadAndFaults runs the clients and injects the planned faults, then waits for settleTime.
 func (s *soak) runLoadAndFaults() {
 	load, stopLoad := context.WithTimeout(s.ctx, s.plan.Length)
 	defer stopLoad()
@@ -290,7 +289,7 @@
 	}
 }
 
-// close ends all processes and listeners.
+// close stops all processes and closes all listeners.
 func (s *soak) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
@@ -309,7 +308,7 @@
 	}
 }
 
-// result ends the processes and judges the records.
+// result stops the processes and checks the records.
 func (s *soak) result() (*Result, error) {
 	s.close()
 	for _, srv := range s.servers {
--- a/internal/faultsoak/server.go
+++ b/internal/faultsoak/server.go
@@ -17,23 +17,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// The servers of a soak. Their capacity is far above their load, but not while they warm up.
+// Settings of the servers. Their capacity is far above their load, except during slow start.
 const (
 	serverQueue     = 40
 	meanServiceTime = 25 * time.Millisecond
-	capacityPerSec  = float64(time.Second / meanServiceTime) // of one warm server
-	maxExtraBytes   = 400                                    // of a response, beyond the size of the request
-	executionPrefix = "executed"                             // begins a line of a server's log
+	capacityPerSec  = float64(time.Second / meanServiceTime) // requests per second of one warm server
+	maxExtraBytes   = 400                                    // a response is larger than the request body by up to this
+	executionPrefix = "executed"                             // first word of a line in a server's log that records an execution
 )
 
-// monotonicClock is the machine's monotonic clock, which all processes read alike.
+// monotonicClock reads the machine's monotonic clock, which is the same for all processes.
 func monotonicClock() time.Duration {
 	var now unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &now) // cannot fail for this clock
 	return time.Duration(now.Nano())
 }
 
-// ServeServer runs one server of a soak until ctx ends. It logs each execution before it begins.
+// ServeServer runs one server of a soak until ctx ends. It logs each execution before the execution begins.
 func ServeServer(ctx context.Context, listener net.Listener, log io.Writer, seed uint64) error {
 	worker := make(chan struct{}, 1)
 	queue := make(chan struct{}, serverQueue)
@@ -60,10 +60,10 @@
 		fmt.Fprintf(log, "%s %s %q %d\n", executionPrefix, id, r.Header.Get("Idempotency-Key"), monotonicClock())
 		random := newGenerator(seed, "execution "+id)
 		time.Sleep(time.Duration((0.5 + random.Float64()) * float64(meanServiceTime)))
-		_, _ = io.WriteString(w, responseBody(id, len(body)+random.IntN(maxExtraBytes))) // fails only if the client has gone
+		_, _ = io.WriteString(w, responseBody(id, len(body)+random.IntN(maxExtraBytes))) // fails only on a closed connection
 	})
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
-	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // the run is over
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // at the end of the run
 	defer stop()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// responseBody is the response to a request: its ID, some bytes and a checksum, by which a response that was made up, cut
-// short or given to another request is told.
+// responseBody returns the response to a request: its ID, some bytes and a checksum. The oracle uses them to
+// detect a response that no server made, that was cut short, or that belongs to another request.
 func responseBody(id string, size int) string {
 	text := id + " " + strings.Repeat("x", size) + " "
 	hash := fnv.New32a()
@@ -80,7 +80,7 @@
 	return text + strconv.FormatUint(uint64(hash.Sum32()), 16)
 }
 
-// validBody reports whether a body is a complete response to the request with an ID.
+// validBody reports whether a body is the complete response to the request with the given ID.
 func validBody(id, body string) bool {
 	end := strings.LastIndex(body, " ")
 	if end < 0 || !strings.HasPrefix(body, id+" ") {
@@ -91,8 +91,8 @@
 	return body[end+1:] == strconv.FormatUint(uint64(hash.Sum32()), 16)
 }
 
-// readExecutions adds the executions in a server's log to the records. clockAt is a reading of the monotonic clock at the
-// time reference.
+// readExecutions adds the executions in a server's log to the records. referenceMonotonic is the reading of the monotonic clock
+// at referenceTime.
 func readExecutions(path string, server int, records *records, referenceMonotonic time.Duration, referenceTime time.Time) error {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/faultsoak/shim/memory.go
+++ b/internal/faultsoak/shim/memory.go
@@ -23,12 +23,12 @@
 const (
 	wordBytes       = 8
 	maxStackWords   = 1 << 16 // arguments, environment and auxiliary vector
-	startStackField = 28      // of /proc/PID/stat, from 1
+	startStackField = 28      // number of the field startstack of /proc/PID/stat, counted from 1
 )
 
-var errNoAuxiliaryVector = errors.New("no auxiliary vector on the stack")
+var errNoVDSO = errors.New("no vDSO entry found in the auxiliary vector")
 
-// hideVDSO takes the vDSO out of the auxiliary vector of a process that has not read it yet.
+// hideVDSO removes the vDSO from the auxiliary vector of a process that has not read the vector yet.
 func hideVDSO(pid int) error {
 	address, err := startOfStack(pid)
 	if err != nil {
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	address += int64(argc+1) * wordBytes // the arguments and the null pointer behind them
+	address += int64(argc+1) * wordBytes // the arguments and the null pointer after them
 	for range maxStackWords {            // the environment
 		pointer, err := next()
 		if err != nil {
@@ -66,30 +66,30 @@
 		}
 		switch kind {
 		case auxNull:
-			return errNoAuxiliaryVector
+			return errNoVDSO
 		case auxSysinfoEHDR:
 			binary.NativeEndian.PutUint64(word[:], auxIgnore)
 			_, err := memory.WriteAt(word[:], address-wordBytes)
 			return err
 		}
-		address += wordBytes // its value
+		address += wordBytes // the value of the entry
 	}
-	return errNoAuxiliaryVector
+	return errNoVDSO
 }
 
-// startOfStack returns where the stack of a process began when it was executed.
+// startOfStack returns the address of the initial stack of a process.
 func startOfStack(pid int) (int64, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
 	}
 	text := string(stat)
-	// The second field is the name in parentheses, which may hold anything.
+	// The second field is the name of the program in parentheses; the name may contain spaces and parentheses.
 	_, afterName, found := strings.Cut(text[strings.LastIndex(text, ")"):], " ")
 	fields := strings.Fields(afterName)
-	const fieldsBefore = 3 // the first of fields is the third
+	const fieldsBefore = 3 // fields[0] is the third field of the file
 	if !found || len(fields) <= startStackField-fieldsBefore {
-		return 0, fmt.Errorf("stat of process %d has no start of the stack", pid)
+		return 0, fmt.Errorf("/proc/%d/stat has no field startstack", pid)
 	}
 	return strconv.ParseInt(fields[startStackField-fieldsBefore], 10, 64)
 }
--- a/internal/faultsoak/shim/seccomp.go
+++ b/internal/faultsoak/shim/seccomp.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Offsets in struct seccomp_data, and the size of one argument.
+// Offsets of fields in struct seccomp_data.
 const (
 	offsetNumber = 0
 	offsetArch   = 4
@@ -34,37 +34,37 @@
 type notificationResponse struct {
 	id    uint64
 	value int64
-	errno int32 // negative, 0: the call returns value
+	errno int32 // negative error number; 0: the call returns value
 	flags uint32
 }
 
-// Exec installs the filter on the calling process and executes a program in its place. It writes the number of the
-// notification descriptor to notify and waits for a byte from release first. It returns only with an error.
+// Exec installs the filter on the calling process, writes the number of the notification descriptor to descriptor notify, waits
+// for a byte from descriptor release, and then executes a program in place of the process. It returns only with an error.
 func Exec(path string, args, env []string, notify, release int) error {
-	runtime.LockOSThread() // the filter is that of the thread that executes the program
+	runtime.LockOSThread() // the filter applies only to the thread that installs it, which has to execute the program
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
-		return fmt.Errorf("shim: no_new_privs: %w", err)
+		return fmt.Errorf("shim: set no_new_privs: %w", err)
 	}
 	filter := newFilter()
 	program := unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
 	listener, _, errno := unix.Syscall(unix.SYS_SECCOMP, unix.SECCOMP_SET_MODE_FILTER,
 		unix.SECCOMP_FILTER_FLAG_NEW_LISTENER, uintptr(unsafe.Pointer(&program)))
 	if errno != 0 {
-		return fmt.Errorf("shim: seccomp: %w", errno)
+		return fmt.Errorf("shim: install the seccomp filter: %w", errno)
 	}
 	if _, err := unix.Write(notify, fmt.Appendf(nil, "%d\n", listener)); err != nil {
-		return fmt.Errorf("shim: %w", err)
+		return fmt.Errorf("shim: send the notification descriptor: %w", err)
 	}
 	var released [1]byte
 	if _, err := unix.Read(release, released[:]); err != nil {
-		return fmt.Errorf("shim: %w", err)
+		return fmt.Errorf("shim: wait for the release: %w", err)
 	}
 	unix.CloseOnExec(notify)
 	unix.CloseOnExec(release)
 	return syscall.Exec(path, append([]string{path}, args...), env)
 }
 
-// newFilter is the program that hands notifiedCalls, and readings of the wall clock, to the parent.
+// newFilter returns the BPF program that notifies the parent of notifiedCalls and of readings of the wall clock.
 func newFilter() []unix.SockFilter {
 	load := func(offset uint32) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset}
@@ -102,12 +102,12 @@
 	return request, nil
 }
 
-// answerNotification sends a response. It fails only if the caller was killed meanwhile.
+// answerNotification sends a response. It ignores the error, which means that the calling process was killed in the meantime.
 func answerNotification(listener int, response notificationResponse) {
 	_, _, _ = unix.Syscall(unix.SYS_IOCTL, uintptr(listener), unix.SECCOMP_IOCTL_NOTIF_SEND, uintptr(unsafe.Pointer(&response)))
 }
 
-// FileDescriptors of the pipes in a process that Exec runs in: the first two of exec.Cmd.ExtraFiles.
+// File descriptors of the pipes in the process that runs Exec: the first two of exec.Cmd.ExtraFiles.
 const (
 	NotifyDescriptor  = 3
 	ReleaseDescriptor = 4
@@ -119,15 +119,15 @@
 	ChildNotify, ChildRelease *os.File // for exec.Cmd.ExtraFiles, in this order
 }
 
-// NewPipes makes the pipes.
+// NewPipes creates the pipes.
 func NewPipes() (*Pipes, error) {
 	notify, childNotify, err := os.Pipe()
 	if err != nil {
-		return nil, fmt.Errorf("shim: %w", err)
+		return nil, fmt.Errorf("shim: create the notify pipe: %w", err)
 	}
 	childRelease, release, err := os.Pipe()
 	if err != nil {
-		return nil, fmt.Errorf("shim: %w", err)
+		return nil, fmt.Errorf("shim: create the release pipe: %w", err)
 	}
 	return &Pipes{Notify: notify, Release: release, ChildNotify: childNotify, ChildRelease: childRelease}, nil
 }
--- a/internal/faultsoak/shim/shim.go
+++ b/internal/faultsoak/shim/shim.go
@@ -1,10 +1,10 @@
-// Package shim makes chosen system calls of a child process fail, and steps its wall clock, at the boundary of the system
-// calls: the program under test is the one that ships. It needs no rights. The child installs a seccomp filter with
-// user notification on itself before it executes the program (Exec); the parent answers each notification (Supervise):
-// it lets the call run, or has it return an error. See seccomp_unotify(2).
+// Package shim makes chosen system calls of a child process fail and steps its wall clock. It works at the system call
+// interface, so that the program under test is the one that ships, and it needs no privileges. The child installs a seccomp
+// filter with user notification on itself before it executes the program (Exec). The parent responds to each notification
+// (Supervise): it lets the call run or makes it return an error. See seccomp_unotify(2).
 //
-// Reading the wall clock is a system call only for a program without a vDSO, so the parent hides the vDSO from the program
-// before its first instruction. The monotonic clock is never touched.
+// Only a program without a vDSO reads the wall clock by a system call. The parent therefore hides the vDSO from the program
+// before the program's first instruction. The shim does not change the monotonic clock.
 package shim
 
 import (
@@ -33,21 +33,21 @@
 	OpenAt   Call = unix.SYS_OPENAT
 )
 
-// notifiedCalls are the calls that the filter hands to the parent, beside those that read the wall clock.
+// notifiedCalls are the calls for which the filter notifies the parent, besides readings of the wall clock.
 var notifiedCalls = []Call{Accept, Socket, Connect, RecvFrom, OpenAt}
 
-// Rule has a call fail with an error until a time.
+// Rule makes a share of the calls of a system call fail with an error until a time.
 type Rule struct {
 	Call  Call
 	Errno syscall.Errno
-	Share float64 // of the calls, 0 to 1
+	Share float64 // share of the calls that fail, 0 to 1
 	Until time.Time
 }
 
-// pollTimeoutMS bounds how long the end of the process goes unnoticed.
+// pollTimeoutMS bounds the time until the exit of the process is detected.
 const pollTimeoutMS = 100
 
-// Supervisor answers the notifications of one process. Its methods are safe for concurrent use.
+// Supervisor responds to the notifications of one process. Its methods are safe for concurrent use.
 type Supervisor struct {
 	pid      int
 	listener int
@@ -58,24 +58,24 @@
 	injected   map[string]int
 }
 
-// Supervise takes over the notifications of a process that Exec has started: from is the end of the pipe to which Exec
-// writes the number of its descriptor, release the one from which it reads before it goes on. It returns when the process
-// is about to execute its program. Rules that are given hold from the program's first call on.
+// Supervise takes over the notifications of a process that runs Exec. Exec writes the number of the notification descriptor to
+// the other end of notify, and waits for a byte from the other end of release. Supervise returns when the process is about to
+// execute its program. The rules apply from the program's first call on.
 func Supervise(pid int, notify, release *os.File, rules ...Rule) (*Supervisor, error) {
 	var line [16]byte
 	n, err := notify.Read(line[:])
 	if err != nil {
-		return nil, fmt.Errorf("shim: the launcher sent no descriptor: %w", err)
+		return nil, fmt.Errorf("shim: read the notification descriptor from the child: %w", err)
 	}
 	number, err := strconv.Atoi(strings.TrimSpace(string(line[:n])))
 	if err != nil {
-		return nil, fmt.Errorf("shim: the launcher sent no descriptor: %w", err)
+		return nil, fmt.Errorf("shim: parse the notification descriptor from the child: %w", err)
 	}
 	process, err := unix.PidfdOpen(pid, 0)
 	if err != nil {
 		return nil, fmt.Errorf("shim: pidfd_open: %w", err)
 	}
-	defer func() { _ = unix.Close(process) }() // nothing is buffered
+	defer func() { _ = unix.Close(process) }() // an error loses no data
 	listener, err := unix.PidfdGetfd(process, number, 0)
 	if err != nil {
 		return nil, fmt.Errorf("shim: pidfd_getfd: %w", err)
@@ -83,12 +83,12 @@
 	supervisor := &Supervisor{pid: pid, listener: listener, rules: rules, injected: map[string]int{}}
 	go supervisor.run()
 	if _, err := release.Write([]byte{'\n'}); err != nil {
-		return nil, fmt.Errorf("shim: %w", err)
+		return nil, fmt.Errorf("shim: release the child: %w", err)
 	}
 	return supervisor, nil
 }
 
-// Add puts a rule in force.
+// Add adds a rule, which applies at once.
 func (s *Supervisor) Add(rule Rule) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +102,7 @@
 	s.wallOffset += step
 }
 
-// Injected returns how many calls have failed, by call and error.
+// Injected returns the number of calls that the supervisor has made fail, by call and error.
 func (s *Supervisor) Injected() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,9 +113,9 @@
 	return counts
 }
 
-// run answers notifications until the process has ended.
+// run responds to notifications until the process has exited.
 func (s *Supervisor) run() {
-	defer func() { _ = unix.Close(s.listener) }() // nothing is buffered
+	defer func() { _ = unix.Close(s.listener) }() // an error loses no data
 	vdsoHidden := false
 	for {
 		polled := []unix.PollFd{{Fd: int32(s.listener), Events: unix.POLLIN}}
@@ -128,7 +128,7 @@
 		}
 		request, err := receiveNotification(s.listener)
 		if errors.Is(err, unix.ENOENT) || errors.Is(err, unix.EINTR) {
-			continue // the caller was killed or interrupted meanwhile
+			continue // the calling process was killed or interrupted in the meantime
 		}
 		if err != nil {
 			return
@@ -136,14 +136,14 @@
 		if !vdsoHidden {
 			vdsoHidden = true
 			if err := hideVDSO(s.pid); err != nil {
-				fmt.Fprintln(os.Stderr, "shim: the wall clock cannot be stepped:", err)
+				fmt.Fprintln(os.Stderr, "shim: hide the vDSO (steps of the wall clock have no effect):", err)
 			}
 		}
 		answerNotification(s.listener, s.answer(request))
 	}
 }
 
-// answer decides what a call returns.
+// answer returns the response to a notification. If it cannot write a wall clock reading to the process, the call runs as usual.
 func (s *Supervisor) answer(request *notification) notificationResponse {
 	response := notificationResponse{id: request.id, flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
 	if request.data.number == unix.SYS_CLOCK_GETTIME {
@@ -162,7 +162,7 @@
 	return response
 }
 
-// errorFor returns the error with which a call is to fail, 0 for none.
+// errorFor returns the error with which a call has to fail, or 0 to let the call run.
 func (s *Supervisor) errorFor(call Call) syscall.Errno {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/faultsoak/sidecar.go
+++ b/internal/faultsoak/sidecar.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	readyTimeout      = 10 * time.Second // nine in ten restarted sidecars are ready within this
+	readyTimeout      = 10 * time.Second // nine in ten restarted sidecars are ready within this time
 	readyPollInterval = 20 * time.Millisecond
-	longAgo           = 24 * time.Hour
+	longAgo           = 24 * time.Hour // backdates termAt at a kill, so that clients open no new connections
 )
 
-// sidecar is one sidecar: a process, and its successors at the same address.
+// sidecar is one sidecar: its present process, and the processes that replace it at the same address.
 type sidecar struct {
 	number   int
 	address  string
 	options  Options
 	records  *records
 	settings json.RawMessage
-	agents   [2]*agentAddress // a reload switches between them
+	agents   [2]*agentAddress // a reload switches from one to the other
 
-	killAfter time.Duration // SIGTERM, at the earliest
+	killAfter time.Duration // time from SIGTERM to SIGKILL
 
-	lifecycle sync.Mutex // one restart at a time
+	lifecycle sync.Mutex // held during a restart, a reload or the final stop
 
 	mu                  sync.Mutex
 	process             *proc.Process
 	shim                *shim.Supervisor
 	expectedExit        bool
 	killedAt            time.Time
-	killedProcessTermAt time.Time // when the process that was killed got SIGTERM; zero: it did not
-	termAt              time.Time // zero: serving
-	activeAgent         int       // of agents
+	killedProcessTermAt time.Time // when the killed process got SIGTERM; zero: it got none
+	termAt              time.Time // when the process got SIGTERM or ended; zero: it is serving
+	activeAgent         int       // index in agents of the one in the configuration
 	reloadedAt          time.Time
 	wallOffset          time.Duration
 	injected            map[string]int
@@ -53,22 +53,23 @@
 	address string
 }
 
-// acceptsNew reports whether clients open new connections now.
+// acceptsNew reports whether clients may open new connections.
 func (s *sidecar) acceptsNew() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.termAt.IsZero() || time.Since(s.termAt) < newConnsAfterTerm
 }
 
-// killedSince reports whether the process was killed after a time.
+// killedSince reports whether the process was killed after a time, with a tolerance of hostSlack.
 func (s *sidecar) killedSince(since time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.killedAt.After(since.Add(-hostSlack))
 }
 
-// excuses reports whether a request may be unanswered because the process was killed, by when its first and its last byte were
-// written. One that came late after SIGTERM may not: the sidecar had to close its connections before.
+// excusedByKill reports whether a request may be unanswered because the process was killed. beganAt and sentAt are when the
+// request's first and last byte were written. A request that was sent later than graceAfterTerm after SIGTERM is not excused: the
+// sidecar had to close its connections before.
 func (s *sidecar) excusedByKill(beganAt, sentAt time.Time) bool {
 	if !s.killedSince(beganAt) {
 		return false
@@ -98,7 +99,7 @@
 	return path, os.Rename(temporary, path)
 }
 
-// start starts a process under the shim and waits until it is ready.
+// start starts a process under the shim and waits until it is ready. A process that does not become ready is a violation.
 func (s *sidecar) start(ctx context.Context) error {
 	process, err := s.launch()
 	if err != nil {
@@ -130,7 +131,7 @@
 	supervisor, err := shim.Supervise(process.PID(), pipes.Notify, pipes.Release)
 	if err != nil {
 		process.Kill()
-		return nil, fmt.Errorf("%w; its log: %s", err, process.Log())
+		return nil, fmt.Errorf("%w; log of the process: %s", err, process.Log())
 	}
 	s.mu.Lock()
 	supervisor.StepClock(s.wallOffset)
@@ -145,7 +146,7 @@
 	return filepath.Join(s.options.Dir, fmt.Sprintf("sidecar%d.log", s.number))
 }
 
-// watchExit records an exit that nobody asked for.
+// watchExit records a violation if the process exits without being stopped or killed by the soak.
 func (s *sidecar) watchExit(process *proc.Process) {
 	err := process.Wait()
 	s.mu.Lock()
@@ -182,7 +183,8 @@
 	return nil
 }
 
-// terminate ends the process with SIGTERM, among other signals, and starts its successor. It calls ended once the process has ended.
+// terminate sends SIGTERM and the other signals of the sequence, waits for the exit, and starts a new process. It kills a process
+// that is still running killAfter later. It calls ended once the process has exited.
 func (s *sidecar) terminate(ctx context.Context, sequence signalSequence, ended func()) error {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -213,7 +215,7 @@
 	return s.start(ctx)
 }
 
-// kill ends the process with SIGKILL and starts its successor.
+// kill kills the process and starts a new one.
 func (s *sidecar) kill(ctx context.Context) error {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -234,7 +236,7 @@
 	s.killedAt, s.killedProcessTermAt = time.Now(), time.Time{}
 }
 
-// reload has the sidecar follow its other agent.
+// reload makes the sidecar use its other agent.
 func (s *sidecar) reload(sequence signalSequence) error {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -252,22 +254,22 @@
 	s.reloadedAt = time.Now()
 	if sequence == sequenceTwice {
 		process := s.process
-		time.AfterFunc(secondReloadAfter, func() { _ = process.Signal(syscall.SIGHUP) }) // it may have ended
+		time.AfterFunc(secondReloadAfter, func() { _ = process.Signal(syscall.SIGHUP) }) // fails only if the process has exited
 	}
 	return s.process.Signal(syscall.SIGHUP)
 }
 
-// hold stops the process for a time.
+// suspend suspends the process for a time.
 func (s *sidecar) suspend(length time.Duration) {
 	s.mu.Lock()
 	process := s.process
 	s.mu.Unlock()
-	_ = process.Signal(syscall.SIGSTOP) // of a process that has ended there is nothing to stop
+	_ = process.Signal(syscall.SIGSTOP) // fails only if the process has exited
 	time.Sleep(length)
 	_ = process.Signal(syscall.SIGCONT)
 }
 
-// stepClock steps the wall clock of the sidecar's machine.
+// stepClock steps the sidecar's wall clock. Later processes of the sidecar start with the same offset.
 func (s *sidecar) stepClock(step time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -281,7 +283,7 @@
 	s.shim.Add(rule)
 }
 
-// collectInjected adds up the failed calls of the processes so far.
+// collectInjected adds the present process's injected failures to the total of the sidecar.
 func (s *sidecar) collectInjected() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -293,7 +295,7 @@
 	}
 }
 
-// close ends the process for good.
+// close stops the process at the end of the run.
 func (s *sidecar) close(ctx context.Context) {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -310,7 +312,7 @@
 	s.collectInjected()
 }
 
-// ownViolations returns the violations that the sidecar has found in itself.
+// loggedViolations returns the invariant violations and crashes in the log of the sidecar.
 func (s *sidecar) loggedViolations() ([]Violation, error) {
 	data, err := os.ReadFile(s.logPath())
 	if err != nil {
--- a/internal/faultsoak/signals.go
+++ b/internal/faultsoak/signals.go
@@ -10,7 +10,7 @@
 	"milldeck/internal/lab/proc"
 )
 
-// signalSeries is in what order signals come.
+// signalSequence is the sequence of signals that a termination or reload sends.
 type signalSequence string
 
 const (
@@ -32,10 +32,10 @@
 	secondTermAfter   = 300 * time.Millisecond
 	secondReloadAfter = 2 * time.Millisecond
 	unreadableFor     = 300 * time.Millisecond
-	earlySignalAfter  = 15 * time.Millisecond // a sidecar is ready some time later
+	earlySignalAfter  = 15 * time.Millisecond // before the sidecar is ready
 )
 
-// send sends the signals of a termination. Of a process that has ended there is nothing to end.
+// send sends the signals of a termination. It ignores errors: they mean that the process has exited.
 func (sequence signalSequence) send(process *proc.Process) {
 	if sequence == sequenceReloadBefore {
 		_ = process.Signal(syscall.SIGHUP)
@@ -50,7 +50,7 @@
 	}
 }
 
-// early is the signal that a successor gets as it starts; nil: none.
+// startupSignal returns the signal that the next process gets while it starts; nil: none.
 func (sequence signalSequence) startupSignal() os.Signal {
 	switch sequence {
 	case sequenceEarlyTermination:
@@ -62,7 +62,8 @@
 	}
 }
 
-// startInterrupted starts a process and ends it before it is ready. It has to end in time, however early SIGTERM comes.
+// startInterrupted starts a process and sends it a signal before it is ready. The process has to exit within killAfter, even if
+// SIGTERM arrives this early.
 func (s *sidecar) startInterrupted(ctx context.Context, signal os.Signal) error {
 	process, err := s.launch()
 	if err != nil {
@@ -72,7 +73,7 @@
 	s.expectedExit = true
 	s.mu.Unlock()
 	time.Sleep(earlySignalAfter)
-	_ = process.Signal(signal.(syscall.Signal)) // it may have ended by itself, which its successor will as well
+	_ = process.Signal(signal.(syscall.Signal)) // fails only if it has exited, as the next process will then, too
 	select {
 	case <-process.Done():
 	case <-ctx.Done():
