--- a/internal/faultsoak/oracle_test.go
+++ b/internal/faultsoak/oracle_test.go
@@ -14,7 +14,7 @@
 	return &attemptRecord{Server: server, FirstByteAt: at(firstByteMS), LastByteAt: at(firstByteMS), EndedAt: at(endedMS), ForwardedTimeout: forwardedTimeout}
 }
 
-// testRequest is a request that was sent at 0 with a timeout of 1 s, and served.
+// testRequest returns a request that was sent at 0 with a timeout of 1 s and served.
 func testRequest(class int) *requestRecord {
 	return &requestRecord{
 		ID: "r1", Class: &classes[class], Timeout: time.Second, SentAt: at(0), dueAt: at(1000), AnsweredAt: at(100), Status: 200,
@@ -24,7 +24,7 @@
 
 var classes = newClasses(2*time.Second, 1500*time.Millisecond)
 
-// Numbers of classes.
+// Indexes in classes.
 const (
 	lookupClass = iota
 	reserveClass
@@ -32,50 +32,50 @@
 	chargeClass
 )
 
-// Each rule is found broken by records that break it, and by no others.
+// The oracle reports exactly the rule that the records of a request break, and nothing for records that break no rule.
 func TestOracleFindsBrokenPromises(t *testing.T) {
 	for name, test := range map[string]struct {
 		class  int
 		change func(*requestRecord)
-		want   string // "": none
+		want   string // rule; "": none
 	}{
-		"served":           {lookupClass, func(*requestRecord) {}, ""},
-		"closed":           {lookupClass, func(r *requestRecord) { r.Outcome = outcomeClosed }, "answer"},
-		"silent":           {lookupClass, func(r *requestRecord) { r.Outcome = outcomeSilent }, "answer"},
-		"killed":           {lookupClass, func(r *requestRecord) { r.Outcome = outcomeExcused }, ""},
-		"shut unread":      {lookupClass, func(r *requestRecord) { r.Outcome, r.Attempts = outcomeClosedUnread, nil }, ""},
-		"read and shut":    {lookupClass, func(r *requestRecord) { r.Outcome = outcomeClosedUnread }, "answer"},
-		"too late":         {lookupClass, func(r *requestRecord) { r.AnsweredAt = at(1700) }, "answer"},
-		"late, in grace":   {lookupClass, func(r *requestRecord) { r.AnsweredAt = at(1400) }, ""},
-		"another's answer": {lookupClass, func(r *requestRecord) { r.Body = responseBody("r2", 10) }, "foreign"},
-		"cut short":        {lookupClass, func(r *requestRecord) { r.Body = r.Body[:len(r.Body)-1] }, "foreign"},
-		"read, closed and sent again": {lookupClass, func(r *requestRecord) {
+		"served":                    {lookupClass, func(*requestRecord) {}, ""},
+		"closed without an answer":  {lookupClass, func(r *requestRecord) { r.Outcome = outcomeClosed }, "answer"},
+		"no answer":                 {lookupClass, func(r *requestRecord) { r.Outcome = outcomeSilent }, "answer"},
+		"sidecar killed":            {lookupClass, func(r *requestRecord) { r.Outcome = outcomeExcused }, ""},
+		"closed unread":             {lookupClass, func(r *requestRecord) { r.Outcome, r.Attempts = outcomeClosedUnread, nil }, ""},
+		"closed after forwarding":   {lookupClass, func(r *requestRecord) { r.Outcome = outcomeClosedUnread }, "answer"},
+		"answer after the grace":    {lookupClass, func(r *requestRecord) { r.AnsweredAt = at(1700) }, "answer"},
+		"answer within the grace":   {lookupClass, func(r *requestRecord) { r.AnsweredAt = at(1400) }, ""},
+		"answer to another request": {lookupClass, func(r *requestRecord) { r.Body = responseBody("r2", 10) }, "foreign"},
+		"answer cut short":          {lookupClass, func(r *requestRecord) { r.Body = r.Body[:len(r.Body)-1] }, "foreign"},
+		"closed after forwarding, then resent": {lookupClass, func(r *requestRecord) {
 			r.resentAt = at(50)
 		}, "answer"},
-		"told too much":     {lookupClass, func(r *requestRecord) { r.Attempts[0].FirstByteAt = at(300) }, "timeout"},
-		"told with slack":   {lookupClass, func(r *requestRecord) { r.Attempts[0].FirstByteAt = at(140) }, ""},
-		"after it has left": {lookupClass, func(r *requestRecord) { r.DisconnectedAt, r.Attempts[0].FirstByteAt = at(-200), at(0) }, "left"},
-		"just after it has left": {lookupClass, func(r *requestRecord) {
+		"timeout too long": {lookupClass, func(r *requestRecord) { r.Attempts[0].FirstByteAt = at(300) }, "timeout"},
+		"timeout in slack": {lookupClass, func(r *requestRecord) { r.Attempts[0].FirstByteAt = at(140) }, ""},
+		"after disconnect": {lookupClass, func(r *requestRecord) { r.DisconnectedAt, r.Attempts[0].FirstByteAt = at(-200), at(0) }, "left"},
+		"after disconnect, within the grace": {lookupClass, func(r *requestRecord) {
 			r.DisconnectedAt, r.Attempts[0].FirstByteAt = at(-90), at(0)
 		}, ""},
-		"two attempts out": {lookupClass, func(r *requestRecord) {
+		"parallel attempts": {lookupClass, func(r *requestRecord) {
 			r.Attempts = append(r.Attempts, attemptAt(1, 20, 60, 0))
 		}, "parallel"},
-		"two attempts in turn": {lookupClass, func(r *requestRecord) {
+		"consecutive attempts": {lookupClass, func(r *requestRecord) {
 			r.Attempts = append(r.Attempts, attemptAt(1, 95, 99, 0))
 		}, ""},
-		"executed twice":         {chargeClass, func(r *requestRecord) { r.Executions = []execution{{0, "", at(1)}, {1, "", at(20)}} }, "twice"},
-		"executed twice, may be": {lookupClass, func(r *requestRecord) { r.Executions = []execution{{0, "", at(1)}, {7, "", at(20)}} }, ""},
-		"the same cell":          {reserveClass, func(r *requestRecord) { r.Executions = []execution{{0, "", at(1)}, {1, "", at(20)}} }, ""},
-		"another cell":           {reserveClass, func(r *requestRecord) { r.Executions = []execution{{0, "", at(1)}, {7, "", at(20)}} }, "twice"},
-		"the window is over":     {quoteClass, func(r *requestRecord) { r.Executions = []execution{{0, "", at(1)}, {1, "", at(5200)}} }, "twice"},
-		"within the window, executed late": {quoteClass, func(r *requestRecord) {
+		"charge executed twice": {chargeClass, func(r *requestRecord) { r.Executions = []execution{{0, "", at(1)}, {1, "", at(20)}} }, "twice"},
+		"lookup executed twice": {lookupClass, func(r *requestRecord) { r.Executions = []execution{{0, "", at(1)}, {7, "", at(20)}} }, ""},
+		"executed in one cell":  {reserveClass, func(r *requestRecord) { r.Executions = []execution{{0, "", at(1)}, {1, "", at(20)}} }, ""},
+		"executed in two cells": {reserveClass, func(r *requestRecord) { r.Executions = []execution{{0, "", at(1)}, {7, "", at(20)}} }, "twice"},
+		"executed after window": {quoteClass, func(r *requestRecord) { r.Executions = []execution{{0, "", at(1)}, {1, "", at(5200)}} }, "twice"},
+		"sent again within the window, executed after it": {quoteClass, func(r *requestRecord) {
 			r.Attempts = append(r.Attempts, attemptAt(1, 95, 99, 0))
 			r.Executions = []execution{{0, "", at(1)}, {1, "", at(5200)}}
 		}, ""},
-		"rejected after execution":  {chargeClass, func(r *requestRecord) { r.Status, r.Executions = 503, []execution{{0, "", at(1)}} }, "rejection"},
-		"rejected, may be repeated": {quoteClass, func(r *requestRecord) { r.Status, r.Executions = 503, []execution{{0, "", at(1)}} }, ""},
-		"failed after execution":    {chargeClass, func(r *requestRecord) { r.Status, r.Executions = 504, []execution{{0, "", at(1)}} }, ""},
+		"executed, then rejected":  {chargeClass, func(r *requestRecord) { r.Status, r.Executions = 503, []execution{{0, "", at(1)}} }, "rejection"},
+		"executed quote, rejected": {quoteClass, func(r *requestRecord) { r.Status, r.Executions = 503, []execution{{0, "", at(1)}} }, ""},
+		"executed, then failed":    {chargeClass, func(r *requestRecord) { r.Status, r.Executions = 504, []execution{{0, "", at(1)}} }, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			records := newRecords(0)
@@ -87,24 +87,24 @@
 				rules = append(rules, violation.Rule)
 			}
 			if want := slices.DeleteFunc([]string{test.want}, func(rule string) bool { return rule == "" }); !slices.Equal(rules, want) {
-				t.Errorf("broken: %v, want %v", rules, want)
+				t.Errorf("broken rules: %v, want %v", rules, want)
 			}
 		})
 	}
 }
 
-// A draining server may get attempts until the grace is over, and again once it is back.
+// A draining server may get attempts until the grace ends, and again after it is published as ready.
 func TestOracleChecksDrains(t *testing.T) {
 	for name, test := range map[string]struct {
 		attemptMS int
-		returnMS  int // when discovery has it as ready again; 0: never
+		returnMS  int // when the server is published as ready again; 0: never
 		want      int
 	}{
-		"within the grace":      {1000 + 700, 0, 0},
-		"after the grace":       {1000 + 900, 0, 1},
-		"after its return":      {1000 + 900, 1800, 0},
-		"before its return":     {1000 + 900, 1950, 1},
-		"before it was drained": {900, 0, 0},
+		"within the grace":         {1000 + 700, 0, 0},
+		"after the grace":          {1000 + 900, 0, 1},
+		"after it is ready again":  {1000 + 900, 1800, 0},
+		"before it is ready again": {1000 + 900, 1950, 1},
+		"before the drain":         {900, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			records := newRecords(0)
@@ -123,23 +123,23 @@
 				}
 			}
 			if found != test.want {
-				t.Errorf("%d violations, want %d", found, test.want)
+				t.Errorf("%d violations of drain, want %d", found, test.want)
 			}
 		})
 	}
 }
 
-// A server in slow start is overloaded by attempts of sidecars that know of its start, not by those that do not.
+// Too many attempts at a server in slow start break the rule only if most of them come from sidecars that know of its start.
 func TestOracleChecksSlowStarts(t *testing.T) {
 	for name, test := range map[string]struct {
 		attempts int
 		knownMS  int
 		want     bool
 	}{
-		"few":                {int(slowStart.allowed(0)), 0, false},
+		"as many as allowed": {int(slowStart.allowed(0)), 0, false},
 		"too many":           {int(slowStart.allowed(0)) + 2, 0, true},
-		"too many, unaware":  {int(slowStart.allowed(0)) + 2, 5000, false},
-		"too many, half way": {int(slowStart.allowed(0)) + 2, 1000, false},
+		"too many, all before the sidecar has to know":          {int(slowStart.allowed(0)) + 2, 5000, false},
+		"too many, half of them before the sidecar has to know": {int(slowStart.allowed(0)) + 2, 1000, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			records := newRecords(0)
@@ -152,13 +152,13 @@
 			records.addList(listRecord{publishedAt: at(0), KnownAt: at(test.knownMS), StartedAt: at(0)})
 			found := slices.ContainsFunc(records.check(slowStart), func(violation Violation) bool { return violation.Rule == "slow_start" })
 			if found != test.want {
-				t.Errorf("found %v, want %v", found, test.want)
+				t.Errorf("violation of slow_start found: %v, want %v", found, test.want)
 			}
 		})
 	}
 }
 
-// The same seed draws the same run, and another one another.
+// The same seed draws the same plan, another seed draws another plan, and the faults of a plan overlap.
 func TestPlanFollowsFromSeed(t *testing.T) {
 	describe := func(seed uint64) (text []string) {
 		for _, planned := range newPlan(seed, time.Minute, DefaultFaultRate, allFaults).Faults {
@@ -167,7 +167,7 @@
 		return text
 	}
 	if !slices.Equal(describe(7), describe(7)) || slices.Equal(describe(7), describe(8)) {
-		t.Error("a plan does not follow from its seed")
+		t.Error("a plan is not determined by its seed")
 	}
 	overlapping := 0
 	faults := newPlan(7, time.Minute, DefaultFaultRate, allFaults).Faults
@@ -179,6 +179,6 @@
 		}
 	}
 	if overlapping < len(faults) {
-		t.Errorf("%d pairs of %d faults overlap", overlapping, len(faults))
+		t.Errorf("%d pairs of %d faults overlap, want at least one pair per fault", overlapping, len(faults))
 	}
 }
--- a/internal/faultsoak/shim/shim_test.go
+++ b/internal/faultsoak/shim/shim_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// The test binary runs as the launcher and as the program under the shim where this variable says so.
+// roleVariable makes the test binary run as the launcher or as the program under the shim.
 const roleVariable = "MILLDECK_SHIM_TEST_ROLE"
 
 const testTimeout = 10 * time.Second
@@ -33,8 +33,8 @@
 	}
 }
 
-// program answers each line of its input: "clock" with the wall clock and the time since its start, "dial ADDRESS" and
-// "accept" with how that went.
+// program runs the command in each line of its input and prints the result: the wall clock and the time since its start for
+// "clock", the error for "dial ADDRESS" and "accept".
 func program() {
 	start := time.Now()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -101,7 +101,7 @@
 	t.Cleanup(func() {
 		input.Close()
 		if err := command.Wait(); err != nil {
-			t.Errorf("the program ended with %v", err)
+			t.Errorf("the program exited with %v", err)
 		}
 		output.Close()
 		cancel()
@@ -142,7 +142,7 @@
 	return time.Duration(wallMS) * time.Millisecond, time.Duration(sinceStartMS) * time.Millisecond
 }
 
-// The wall clock is stepped both ways; the monotonic one runs on.
+// StepClock steps the wall clock forward and backward and does not change the monotonic clock.
 func TestClockSteps(t *testing.T) {
 	program := startProgram(t)
 	for _, step := range []time.Duration{time.Hour, -2 * time.Hour, time.Hour} {
@@ -158,7 +158,7 @@
 	}
 }
 
-// A call fails while a rule is in force, and as before afterwards.
+// A call fails while a rule applies and works again afterwards. Failed calls are counted.
 func TestCallsFailWhileRuleApplies(t *testing.T) {
 	program := startProgram(t)
 	peer, err := net.Listen("tcp", "127.0.0.1:0")
@@ -169,17 +169,17 @@
 	dial := "dial " + peer.Addr().String()
 	for _, call := range []Call{Connect, Socket} {
 		if got := program.command(dial); got != "<nil>" {
-			t.Fatalf("before the rule: %s", got)
+			t.Fatalf("dial before the rule: %s", got)
 		}
 		program.supervisor.Add(Rule{Call: call, Errno: syscall.ENETUNREACH, Share: 1, Until: time.Now().Add(testTimeout)})
 		if got := program.command(dial); !strings.Contains(got, syscall.ENETUNREACH.Error()) {
-			t.Errorf("%v: the dial ends with %s", call, got)
+			t.Errorf("dial while %v fails: %s", call, got)
 		}
 		program.supervisor.clear()
 	}
 	program.supervisor.Add(Rule{Call: Accept, Errno: syscall.ENOBUFS, Share: 1, Until: time.Now().Add(testTimeout)})
 	if got := program.command("accept"); !strings.Contains(got, syscall.ENOBUFS.Error()) {
-		t.Errorf("accept ends with %s", got)
+		t.Errorf("accept while the rule applies: %s", got)
 	}
 	program.supervisor.clear()
 	conn, err := net.Dial("tcp", program.address)
@@ -188,14 +188,14 @@
 	}
 	defer conn.Close()
 	if got := program.command("accept"); got != "<nil>" {
-		t.Errorf("after the rule accept ends with %s", got)
+		t.Errorf("accept after the rule: %s", got)
 	}
 	if got := program.supervisor.Injected()["accept4 ENOBUFS"]; got != 1 {
-		t.Errorf("%d failed calls are counted, want 1", got)
+		t.Errorf("%d failed calls counted, want 1", got)
 	}
 }
 
-// clear lifts all rules.
+// clear removes all rules.
 func (s *Supervisor) clear() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
