--- a/internal/faultsoak/agent.go
+++ b/internal/faultsoak/agent.go
@@ -13,7 +13,7 @@
 
 const watchHeartbeat = 2 * time.Second
 
-// endpoint is an entry of the endpoint list, as the platform's discovery protocol has it.
+// endpoint is an entry of the endpoint list in the platform's discovery protocol.
 type endpoint struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -31,44 +31,44 @@
 	Targets  []endpoint `json:"targets"`
 }
 
-// agent is the discovery agent of one sidecar, at one address. All agents of a sidecar serve the same list.
+// agent is a discovery agent of one sidecar and listens on one address. All agents of a sidecar serve the same list.
 type agent struct {
 	ctx    context.Context
 	random *generator
 
-	mu          sync.Mutex
-	revision    int64
-	list        []endpoint         // by server
-	changed     chan struct{}      // closed with each change
-	changes     []int64            // the revision at which each server changed last
-	downUntil   time.Time          // silent, and learns nothing: changes are published at its end
-	resetGroup  context.CancelFunc // ends the open watches
-	watchCtx    context.Context
-	silentGroup int // watches of an earlier group stay silent
+	mu               sync.Mutex
+	revision         int64
+	list             []endpoint         // by server
+	changed          chan struct{}      // closed and replaced at each change
+	changedRevisions []int64            // by server: the revision of its last change
+	downUntil        time.Time          // until then the agent sends nothing; the soak publishes no changes to it before
+	cancelWatches    context.CancelFunc // resets the open watches
+	watchCtx         context.Context
+	watchGeneration  int // watches that began in an earlier generation send nothing more
 }
 
 func newAgent(ctx context.Context, list []endpoint, random *generator) *agent {
-	a := &agent{ctx: ctx, random: random, revision: 1, list: list, changed: make(chan struct{}), changes: make([]int64, len(list))}
-	for i := range a.changes {
-		a.changes[i] = 1
+	a := &agent{ctx: ctx, random: random, revision: 1, list: list, changed: make(chan struct{}), changedRevisions: make([]int64, len(list))}
+	for i := range a.changedRevisions {
+		a.changedRevisions[i] = 1
 	}
-	a.watchCtx, a.resetGroup = context.WithCancel(ctx)
+	a.watchCtx, a.cancelWatches = context.WithCancel(ctx)
 	return a
 }
 
-// publishState changes the entry of a server; its address stays.
+// publishState replaces the entry of a server except for its address.
 func (a *agent) publishState(server int, changed endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.revision++
 	changed.Endpoint = a.list[server].Endpoint
-	a.list[server], a.changes[server] = changed, a.revision
+	a.list[server], a.changedRevisions[server] = changed, a.revision
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// complete is the complete list. The caller holds the lock.
-func (a *agent) complete() endpointList {
+// completeList returns the list of all servers that are not removed. The caller holds the lock.
+func (a *agent) completeList() endpointList {
 	list := endpointList{Revision: a.revision, Complete: true, Targets: []endpoint{}}
 	for _, entry := range a.list {
 		if entry.State != "Gone" {
@@ -78,14 +78,14 @@
 	return list
 }
 
-// snapshot is the complete list, for a configuration.
+// snapshot returns the complete list for a sidecar's configuration file.
 func (a *agent) snapshot() endpointList {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.complete()
+	return a.completeList()
 }
 
-// goDown makes the agent silent. The caller publishes nothing until its end.
+// goDown makes the agent send nothing until a time. The caller must not publish changes to the agent before that time.
 func (a *agent) goDown(until time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -94,22 +94,22 @@
 	}
 }
 
-// silenceWatches makes the open watches silent for good.
+// silenceWatches makes the open watches stay open without sending anything more.
 func (a *agent) silenceWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.silentGroup++
+	a.watchGeneration++
 }
 
-// resetWatches ends the open watches.
+// resetWatches aborts the connections of the open watches.
 func (a *agent) resetWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.resetGroup()
-	a.watchCtx, a.resetGroup = context.WithCancel(a.ctx)
+	a.cancelWatches()
+	a.watchCtx, a.cancelWatches = context.WithCancel(a.ctx)
 }
 
-// awaitUp waits while the agent is down.
+// awaitUp waits while the agent is down. It returns false if ctx ends first.
 func (a *agent) awaitUp(ctx context.Context) bool {
 	for {
 		a.mu.Lock()
@@ -126,12 +126,12 @@
 	}
 }
 
-// serve serves the protocol at an address until ctx ends.
+// serve serves the discovery protocol until the agent's ctx ends.
 func (a *agent) serve(listener net.Listener) {
 	server := &http.Server{Handler: a, ReadHeaderTimeout: time.Minute}
-	stop := context.AfterFunc(a.ctx, func() { _ = server.Close() }) // the run is over
+	stop := context.AfterFunc(a.ctx, func() { _ = server.Close() }) // at the end of the run
 	defer stop()
-	_ = server.Serve(listener) // ends with the run
+	_ = server.Serve(listener) // returns when the run ends
 }
 
 // ServeHTTP implements http.Handler.
@@ -141,9 +141,9 @@
 	}
 	if r.URL.Query().Get("watch") == "" {
 		a.mu.Lock()
-		list := a.complete()
+		list := a.completeList()
 		a.mu.Unlock()
-		_ = json.NewEncoder(w).Encode(list) // fails only if the sidecar has gone
+		_ = json.NewEncoder(w).Encode(list) // fails only if the sidecar has closed the connection
 		return
 	}
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
@@ -153,16 +153,17 @@
 	a.watch(w, r, after)
 }
 
-// watch sends the list, or what changed after a revision, and each change from then on.
+// watch sends the entries that changed after a revision (or the complete list), and then each later change. Without changes it
+// sends an empty line as a heartbeat.
 func (a *agent) watch(w http.ResponseWriter, r *http.Request, after int64) {
 	a.mu.Lock()
-	group, reset := a.silentGroup, a.watchCtx
+	generation, reset := a.watchGeneration, a.watchCtx
 	a.mu.Unlock()
 	flusher := http.NewResponseController(w)
 	for {
 		a.mu.Lock()
 		list := a.changesAfter(after)
-		changed, silent := a.changed, group != a.silentGroup
+		changed, silent := a.changed, generation != a.watchGeneration
 		a.mu.Unlock()
 		text := "\n"
 		if list.Complete || len(list.Targets) > 0 {
@@ -185,13 +186,14 @@
 	}
 }
 
-// changesAfter is what changed after a revision; the complete list if that is unknown. The caller holds the lock.
+// changesAfter returns the entries that changed after a revision, or the complete list if the revision is unknown. The caller
+// holds the lock.
 func (a *agent) changesAfter(after int64) endpointList {
 	if after <= 0 || after > a.revision {
-		return a.complete()
+		return a.completeList()
 	}
 	list := endpointList{Revision: a.revision, Targets: []endpoint{}}
-	for server, revision := range a.changes {
+	for server, revision := range a.changedRevisions {
 		if revision > after {
 			list.Targets = append(list.Targets, a.list[server])
 		}
@@ -199,14 +201,14 @@
 	return list
 }
 
-// encodeList encodes a list in one of the forms that the protocol allows.
+// encodeList encodes a list as compact or indented JSON, chosen at random; the protocol allows both.
 func (a *agent) encodeList(list endpointList) string {
 	data, err := json.Marshal(list)
 	if a.random.IntN(3) == 0 {
 		data, err = json.MarshalIndent(list, "", "  ")
 	}
 	if err != nil {
-		panic(err) // the types can be encoded
+		panic(err) // does not happen: the types can be encoded
 	}
 	return string(data) + "\n"
 }
--- a/internal/faultsoak/run.go
+++ b/internal/faultsoak/run.go
@@ -20,92 +20,91 @@
 const (
 	sidecarCount = 5
 	serverCount  = 8
-	cellSize     = 2 // servers that know the same idempotency keys
+	cellSize     = 2 // number of servers that share idempotency keys
 
-	baseSubnet       = 0
-	serverPort       = 8081
-	linkPort         = 8082
-	sidecarPort      = 8083
-	agentPort        = 8084
-	secondAgentPort  = 8085
-	hostsPerSidecar  = 20
-	restartPause     = 300 * time.Millisecond
-	noticeDelay      = 200 * time.Millisecond // until discovery knows of a server that was killed
-	drainAnnounced   = 1500 * time.Millisecond
-	countsAfter      = 6 * time.Second // a change counts as known this long after a watch has failed
-	countsAfterHUP   = 4 * time.Second
-	closeTimeout     = 5 * time.Second
-	settleTime       = 2 * time.Second // without load, at the end: the last requests are answered or lost
-	watchFaultMemory = 8 * time.Second
+	baseSubnet           = 0
+	serverPort           = 8081
+	linkPort             = 8082
+	sidecarPort          = 8083
+	agentPort            = 8084
+	secondAgentPort      = 8085
+	hostsPerSidecar      = 20
+	restartPause         = 300 * time.Millisecond
+	discoveryDelay       = 200 * time.Millisecond // until discovery publishes the restart of a server
+	drainNotice          = 1500 * time.Millisecond
+	knownAfterWatchFault = 6 * time.Second // after a fault of its watch a sidecar has to know changes within this time
+	knownAfterReload     = 4 * time.Second // the same after SIGHUP
+	closeTimeout         = 5 * time.Second
+	settleTime           = 2 * time.Second // after the load, until all requests are answered or lost
+	watchFaultWindow     = 8 * time.Second // a discovery fault concerns changes that are published within this time after it
 )
 
-// cellOf returns the cell of a server.
 func cellOf(server int) int { return server / cellSize }
 
-var slowStart = slowStartRules{leastCapacity: 0.02, duration: 20 * time.Second, overloadMultiple: 1.5, overloadDuration: 2 * time.Second}
+var slowStart = slowStartRules{minCapacity: 0.02, duration: 20 * time.Second, overloadMultiple: 1.5, overloadDuration: 2 * time.Second}
 
 // Options configure a run.
 type Options struct {
 	Seed         uint64
 	Length       time.Duration // of the load
 	FaultRate    float64       // faults a second
-	Only         []string      // kinds of faults to draw from; none: all
-	Slack        time.Duration // added to each time limit that is judged, for a machine that is busy with other work
+	Only         []string      // kinds of faults to draw from; empty: all
+	Slack        time.Duration // added to each time limit that is checked, because other work may keep the machine busy
 	SidecarPath  string
 	MilldeckPath string
-	Dir          string // of configurations and logs
+	Dir          string // empty folder for configurations and logs
 }
 
-// Result is what a run shows.
+// Result is the result of a run.
 type Result struct {
 	Seed       uint64
 	Faults     []string
 	Requests   int
 	Outcomes   map[string]int
-	Served     float64 // share of the requests of well-behaved clients
+	Served     float64 // share of the plain requests that got a 200
 	Attempts   int
-	Injected   map[string]int // failed system calls
+	Injected   map[string]int // number of injected system call failures by call and error
 	Violations []Violation
 }
 
-// soak is a run.
+// soak is the state of a run.
 type soak struct {
-	options   Options
-	plan      plan
-	ctx       context.Context
-	block     *proc.Block
-	records   *records
-	sidecars  []*sidecar
-	servers   []*server
-	clients   []*clients
-	listeners []net.Listener
-	clockAt   time.Duration
-	reference time.Time
-	wallStep  atomic.Int64 // time.Duration
-	work      sync.WaitGroup
+	options            Options
+	plan               plan
+	ctx                context.Context
+	block              *proc.Block
+	records            *records
+	sidecars           []*sidecar
+	servers            []*server
+	clients            []*clients
+	listeners          []net.Listener
+	referenceMonotonic time.Duration
+	referenceTime      time.Time
+	wallOffset         atomic.Int64 // time.Duration; sum of the clock steps
+	work               sync.WaitGroup
 }
 
-// server is one server: a process, and its successors at the same address.
+// server is one server: its present process, and the processes that replace it at the same address.
 type server struct {
 	number  int
 	address string
-	faults  *linkFaults
+	faults  *faultSet
 
 	lifecycle sync.Mutex
 
 	mu      sync.Mutex
 	process *proc.Process
-	entry   endpoint // as discovery has it, but for the address
-	// The lifecycle lock guards the two below: the present process, and the one whose boot time discovery has.
+	entry   endpoint // as last published, without the address
+	// Start times of the present process and of the process whose boot time is published. Guarded by the lifecycle lock.
 	startedAt, publishedStart time.Time
-	watchFault                map[int]time.Time // by sidecar: its latest
+	watchFaultAt              map[int]time.Time // by sidecar: time of the last discovery fault
 }
 
-// Run plays one run and returns what it shows. The error is what the soak itself could not do.
+// Run executes one run and returns its result. An error means that the soak itself failed.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	kinds, err := kindsNamed(options.Only)
+	kinds, err := parseFaultKinds(options.Only)
 	if err != nil {
 		return nil, err
 	}
@@ -119,21 +118,21 @@
 	defer block.Release()
 	run := &soak{
 		options: options, plan: newPlan(options.Seed, options.Length, options.FaultRate, kinds), ctx: ctx, block: block, records: newRecords(options.Slack),
-		clockAt: monotonicClock(), reference: time.Now(),
+		referenceMonotonic: monotonicClock(), referenceTime: time.Now(),
 	}
 	defer run.close()
 	if err := run.start(); err != nil {
 		return nil, err
 	}
-	run.play()
+	run.runLoadAndFaults()
 	return run.result()
 }
 
-// requireEmpty returns an error if a folder holds anything: logs of an earlier run would be judged as this run's.
+// requireEmpty returns an error if a folder is not empty. Otherwise logs of an earlier run would be checked as logs of this run.
 func requireEmpty(dir string) error {
 	entries, err := os.ReadDir(dir)
 	if err == nil && len(entries) > 0 {
-		return fmt.Errorf("%s is not empty", dir)
+		return fmt.Errorf("folder %s is not empty", dir)
 	}
 	return err
 }
@@ -149,9 +148,9 @@
 func (s *soak) start() error {
 	for number := range serverCount {
 		started := &server{
-			number: number, address: s.block.Addr(baseSubnet, number, serverPort), faults: newLinkFaults(),
-			watchFault: map[int]time.Time{},
-			entry:      endpoint{UID: fmt.Sprintf("s%d", number), Zone: "z", Model: "k", PodGroup: cellOf(number), State: "Ready", Capacity: 1},
+			number: number, address: s.block.Addr(baseSubnet, number, serverPort), faults: newFaultSet(),
+			watchFaultAt: map[int]time.Time{},
+			entry:        endpoint{UID: fmt.Sprintf("s%d", number), Zone: "z", Model: "k", PodGroup: cellOf(number), State: "Ready", Capacity: 1},
 		}
 		s.servers = append(s.servers, started)
 		if err := s.startServer(started); err != nil {
@@ -184,7 +183,7 @@
 	return filepath.Join(s.options.Dir, fmt.Sprintf("server%d.log", number))
 }
 
-// startSidecar starts a sidecar with its links, agents and clients.
+// startSidecar starts the links and agents of a sidecar, then its process, and creates its clients.
 func (s *soak) startSidecar(number int) error {
 	var list []endpoint
 	for _, target := range s.servers {
@@ -217,18 +216,18 @@
 	}
 	s.sidecars = append(s.sidecars, started)
 	s.clients = append(s.clients, &clients{
-		sidecar: started, records: s.records, faults: newLinkFaults(), classes: s.plan.Classes, seed: s.options.Seed, lastID: new(atomic.Int64),
+		sidecar: started, records: s.records, faults: newFaultSet(), classes: s.plan.Classes, seed: s.options.Seed, lastID: new(atomic.Int64),
 	})
 	s.clients[number].lastID.Store(int64(number+1) << 24)
 	return started.start(s.ctx)
 }
 
-// generator returns the generator of a numbered part of the run.
+// generator returns the generator of the part of the run with a name and numbers.
 func (s *soak) generator(part string, numbers ...int) *generator {
 	return newGenerator(s.options.Seed, fmt.Sprint(part, " ", numbers))
 }
 
-// settings are the settings of a sidecar.
+// settings returns the settings in the configuration of a sidecar.
 func (s *soak) settings(number int) json.RawMessage {
 	discovery := "subscribe"
 	if s.plan.Push {
@@ -240,7 +239,7 @@
 		switch {
 		case class.keyed:
 			effect = "idempotency_key"
-		case class.single:
+		case class.nonIdempotent:
 			effect = "non_idempotent"
 		}
 		if class.byCell {
@@ -256,23 +255,23 @@
 		"my_number": number, "peers_total": sidecarCount, "family_info": map[string]any{"warm_keys": s.plan.WarmKeys},
 		"limits": map[string]any{"cancel": true, "conn_idle_ms": 10000, "connect_timeout_ms": 250, "max_attempts": 3, "retry_after": true,
 			"max_retry_after_ms": 2000},
-		"rules": map[string]any{"answer_slack_ms": 20, "ask_within_ms": 10000, "cold_from": slowStart.leastCapacity,
+		"rules": map[string]any{"answer_slack_ms": 20, "ask_within_ms": 10000, "cold_from": slowStart.minCapacity,
 			"cold_ms": slowStart.duration.Milliseconds(), "drain_grace_ms": drainGrace.Milliseconds(),
 			"fall_ms": slowStart.overloadDuration.Milliseconds(), "fall_multiple": slowStart.overloadMultiple},
 	})
 	if err != nil {
-		panic(err) // the types can be encoded
+		panic(err) // does not happen: the types can be encoded
 	}
 	return data
 }
 
-// play sends the load and injects the faults.
-func (s *soak) play() {
+// runLoadAndFaults runs the clients and injects the planned faults, then waits for settleTime.
+func (s *soak) runLoadAndFaults() {
 	load, stopLoad := context.WithTimeout(s.ctx, s.plan.Length)
 	defer stopLoad()
 	var playing sync.WaitGroup
-	for _, of := range s.clients {
-		playing.Go(func() { of.run(load) })
+	for _, sidecarClients := range s.clients {
+		playing.Go(func() { sidecarClients.run(load) })
 	}
 	for _, planned := range s.plan.Faults {
 		playing.Go(func() {
@@ -290,7 +289,7 @@
 	}
 }
 
-// close ends all processes and listeners.
+// close stops all processes and closes all listeners.
 func (s *soak) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
@@ -302,18 +301,18 @@
 	for _, listener := range s.listeners {
 		listener.Close()
 	}
-	for _, of := range s.servers {
-		if of.process != nil {
-			of.process.Kill()
+	for _, srv := range s.servers {
+		if srv.process != nil {
+			srv.process.Kill()
 		}
 	}
 }
 
-// result ends the processes and judges the records.
+// result stops the processes and checks the records.
 func (s *soak) result() (*Result, error) {
 	s.close()
-	for _, of := range s.servers {
-		if err := readExecutions(s.serverLog(of.number), of.number, s.records, s.clockAt, s.reference); err != nil {
+	for _, srv := range s.servers {
+		if err := readExecutions(s.serverLog(srv.number), srv.number, s.records, s.referenceMonotonic, s.referenceTime); err != nil {
 			return nil, err
 		}
 	}
@@ -326,13 +325,13 @@
 		for name, count := range target.injected {
 			result.Injected[name] += count
 		}
-		own, err := target.ownViolations()
+		logged, err := target.loggedViolations()
 		if err != nil {
 			return nil, err
 		}
-		result.Violations = append(result.Violations, own...)
+		result.Violations = append(result.Violations, logged...)
 	}
-	result.Violations = append(result.Violations, s.records.judge(slowStart)...)
+	result.Violations = append(result.Violations, s.records.check(slowStart)...)
 	s.summarize(result)
 	return result, nil
 }
@@ -355,8 +354,8 @@
 		}
 	}
 	result.Served = float64(served) / float64(max(plain, 1))
-	if result.Served < servedLeast {
+	if result.Served < minServedShare {
 		result.Violations = append(result.Violations, Violation{Rule: "served", Detail: fmt.Sprintf("%.2f of the plain requests, %.2f wanted",
-			result.Served, servedLeast)})
+			result.Served, minServedShare)})
 	}
 }
--- a/internal/faultsoak/sidecar.go
+++ b/internal/faultsoak/sidecar.go
@@ -17,35 +17,35 @@
 )
 
 const (
-	readyTimeout      = 10 * time.Second // nine in ten restarted sidecars are ready within this
+	readyTimeout      = 10 * time.Second // nine in ten restarted sidecars are ready within this time
 	readyPollInterval = 20 * time.Millisecond
-	longAgo           = 24 * time.Hour
+	longAgo           = 24 * time.Hour // backdates termAt at a kill, so that clients open no new connections
 )
 
-// sidecar is one sidecar: a process, and its successors at the same address.
+// sidecar is one sidecar: its present process, and the processes that replace it at the same address.
 type sidecar struct {
 	number   int
 	address  string
 	options  Options
 	records  *records
 	settings json.RawMessage
-	agents   [2]*agentAddress // a reload switches between them
+	agents   [2]*agentAddress // a reload switches from one to the other
 
-	killAfter time.Duration // SIGTERM, at the earliest
+	killAfter time.Duration // time from SIGTERM to SIGKILL
 
-	lifecycle sync.Mutex // one restart at a time
+	lifecycle sync.Mutex // held during a restart, a reload or the final stop
 
-	mu           sync.Mutex
-	process      *proc.Process
-	shim         *shim.Supervisor
-	expectedExit bool
-	killedAt     time.Time
-	killedTermAt time.Time // when the process that was killed got SIGTERM; zero: it did not
-	termAt       time.Time // zero: serving
-	serving      int       // of agents
-	reloadedAt   time.Time
-	wallStep     time.Duration
-	injected     map[string]int
+	mu                  sync.Mutex
+	process             *proc.Process
+	shim                *shim.Supervisor
+	expectedExit        bool
+	killedAt            time.Time
+	killedProcessTermAt time.Time // when the killed process got SIGTERM; zero: it got none
+	termAt              time.Time // when the process got SIGTERM or ended; zero: it is serving
+	activeAgent         int       // index in agents of the one in the configuration
+	reloadedAt          time.Time
+	wallOffset          time.Duration
+	injected            map[string]int
 }
 
 type agentAddress struct {
@@ -53,34 +53,35 @@
 	address string
 }
 
-// acceptsNew reports whether clients open new connections now.
+// acceptsNew reports whether clients may open new connections.
 func (s *sidecar) acceptsNew() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.termAt.IsZero() || time.Since(s.termAt) < newConnsAfterTerm
 }
 
-// killedSince reports whether the process was killed after a time.
+// killedSince reports whether the process was killed after a time, with a tolerance of hostSlack.
 func (s *sidecar) killedSince(since time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.killedAt.After(since.Add(-labSlack))
+	return s.killedAt.After(since.Add(-hostSlack))
 }
 
-// excuses reports whether a request may be unanswered because the process was killed, by when its first and its last byte were
-// written. One that came late after SIGTERM may not: the sidecar had to close its connections before.
-func (s *sidecar) excuses(beganAt, sentAt time.Time) bool {
+// excusedByKill reports whether a request may be unanswered because the process was killed. beganAt and sentAt are when the
+// request's first and last byte were written. A request that was sent later than graceAfterTerm after SIGTERM is not excused: the
+// sidecar had to close its connections before.
+func (s *sidecar) excusedByKill(beganAt, sentAt time.Time) bool {
 	if !s.killedSince(beganAt) {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.killedTermAt.IsZero() || sentAt.Before(s.killedTermAt.Add(graceAfterTerm+labSlack+s.records.slack))
+	return s.killedProcessTermAt.IsZero() || sentAt.Before(s.killedProcessTermAt.Add(graceAfterTerm+hostSlack+s.records.slack))
 }
 
 func (s *sidecar) writeConfig() (string, error) {
 	s.mu.Lock()
-	current := s.agents[s.serving]
+	current := s.agents[s.activeAgent]
 	s.mu.Unlock()
 	data, err := json.Marshal(map[string]any{
 		"name": fmt.Sprintf("n%d", s.number), "listen": s.address, "discovery": current.address,
@@ -98,7 +99,7 @@
 	return path, os.Rename(temporary, path)
 }
 
-// start starts a process under the shim and waits until it is ready.
+// start starts a process under the shim and waits until it is ready. A process that does not become ready is a violation.
 func (s *sidecar) start(ctx context.Context) error {
 	process, err := s.launch()
 	if err != nil {
@@ -130,10 +131,10 @@
 	supervisor, err := shim.Supervise(process.PID(), pipes.Notify, pipes.Release)
 	if err != nil {
 		process.Kill()
-		return nil, fmt.Errorf("%w; its log: %s", err, process.Log())
+		return nil, fmt.Errorf("%w; log of the process: %s", err, process.Log())
 	}
 	s.mu.Lock()
-	supervisor.StepClock(s.wallStep)
+	supervisor.StepClock(s.wallOffset)
 	s.process, s.shim, s.expectedExit = process, supervisor, false
 	s.reloadedAt = time.Time{}
 	s.mu.Unlock()
@@ -145,13 +146,13 @@
 	return filepath.Join(s.options.Dir, fmt.Sprintf("sidecar%d.log", s.number))
 }
 
-// watchExit records an exit that nobody asked for.
+// watchExit records a violation if the process exits without being stopped or killed by the soak.
 func (s *sidecar) watchExit(process *proc.Process) {
 	err := process.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.process == process && !s.expectedExit {
-		s.records.violate("crash", "", fmt.Sprintf("sidecar %d ended by itself (%v): %s", s.number, err, lastLine(process.Log())))
+		s.records.addViolation("crash", "", fmt.Sprintf("sidecar %d ended by itself (%v): %s", s.number, err, lastLine(process.Log())))
 		s.termAt = time.Now()
 	}
 }
@@ -177,35 +178,36 @@
 		}
 	}
 	if ctx.Err() == nil {
-		s.records.violate("start", "", fmt.Sprintf("sidecar %d is not ready within %v: %s", s.number, readyTimeout, lastLine(process.Log())))
+		s.records.addViolation("start", "", fmt.Sprintf("sidecar %d is not ready within %v: %s", s.number, readyTimeout, lastLine(process.Log())))
 	}
 	return nil
 }
 
-// terminate ends the process with SIGTERM, among other signals, and starts its successor. It calls ended once the process has ended.
-func (s *sidecar) terminate(ctx context.Context, series signalSeries, ended func()) error {
+// terminate sends SIGTERM and the other signals of the sequence, waits for the exit, and starts a new process. It kills a process
+// that is still running killAfter later. It calls ended once the process has exited.
+func (s *sidecar) terminate(ctx context.Context, sequence signalSequence, ended func()) error {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
 	s.mu.Lock()
 	process := s.process
 	s.expectedExit, s.termAt = true, time.Now()
 	s.mu.Unlock()
-	series.send(process)
+	sequence.send(process)
 	select {
 	case <-process.Done():
 		if err := process.Wait(); err != nil {
-			s.records.violate("crash", "", fmt.Sprintf("sidecar %d ended with %v after SIGTERM: %s", s.number, err, lastLine(process.Log())))
+			s.records.addViolation("crash", "", fmt.Sprintf("sidecar %d ended with %v after SIGTERM: %s", s.number, err, lastLine(process.Log())))
 		}
 	case <-time.After(s.killAfter):
 		s.markKilled()
 		s.mu.Lock()
-		s.killedTermAt = s.termAt
+		s.killedProcessTermAt = s.termAt
 		s.mu.Unlock()
 		process.Kill()
 	}
 	ended()
 	s.collectInjected()
-	if signal := series.early(); signal != nil {
+	if signal := sequence.startupSignal(); signal != nil {
 		if err := s.startInterrupted(ctx, signal); err != nil {
 			return err
 		}
@@ -213,7 +215,7 @@
 	return s.start(ctx)
 }
 
-// kill ends the process with SIGKILL and starts its successor.
+// kill kills the process and starts a new one.
 func (s *sidecar) kill(ctx context.Context) error {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -231,47 +233,47 @@
 func (s *sidecar) markKilled() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.killedAt, s.killedTermAt = time.Now(), time.Time{}
+	s.killedAt, s.killedProcessTermAt = time.Now(), time.Time{}
 }
 
-// reload has the sidecar follow its other agent.
-func (s *sidecar) reload(series signalSeries) error {
+// reload makes the sidecar use its other agent.
+func (s *sidecar) reload(sequence signalSequence) error {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
 	s.mu.Lock()
-	s.serving = 1 - s.serving
+	s.activeAgent = 1 - s.activeAgent
 	s.mu.Unlock()
 	if _, err := s.writeConfig(); err != nil {
 		return err
 	}
-	if series == seriesUnreadableFile {
+	if sequence == sequenceUnreadableFile {
 		s.addRule(shim.Rule{Call: shim.OpenAt, Errno: syscall.ENFILE, Share: 1, Until: time.Now().Add(unreadableFor)})
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reloadedAt = time.Now()
-	if series == seriesTwice {
+	if sequence == sequenceTwice {
 		process := s.process
-		time.AfterFunc(secondReloadAfter, func() { _ = process.Signal(syscall.SIGHUP) }) // it may have ended
+		time.AfterFunc(secondReloadAfter, func() { _ = process.Signal(syscall.SIGHUP) }) // fails only if the process has exited
 	}
 	return s.process.Signal(syscall.SIGHUP)
 }
 
-// hold stops the process for a time.
-func (s *sidecar) hold(length time.Duration) {
+// suspend suspends the process for a time.
+func (s *sidecar) suspend(length time.Duration) {
 	s.mu.Lock()
 	process := s.process
 	s.mu.Unlock()
-	_ = process.Signal(syscall.SIGSTOP) // of a process that has ended there is nothing to stop
+	_ = process.Signal(syscall.SIGSTOP) // fails only if the process has exited
 	time.Sleep(length)
 	_ = process.Signal(syscall.SIGCONT)
 }
 
-// stepClock steps the wall clock of the sidecar's machine.
+// stepClock steps the sidecar's wall clock. Later processes of the sidecar start with the same offset.
 func (s *sidecar) stepClock(step time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wallStep += step
+	s.wallOffset += step
 	s.shim.StepClock(step)
 }
 
@@ -281,7 +283,7 @@
 	s.shim.Add(rule)
 }
 
-// collectInjected adds up the failed calls of the processes so far.
+// collectInjected adds the present process's injected failures to the total of the sidecar.
 func (s *sidecar) collectInjected() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -293,7 +295,7 @@
 	}
 }
 
-// close ends the process for good.
+// close stops the process at the end of the run.
 func (s *sidecar) close(ctx context.Context) {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -305,13 +307,13 @@
 		return
 	}
 	if err := process.Stop(ctx); err != nil {
-		s.records.violate("crash", "", fmt.Sprintf("sidecar %d: %v", s.number, err))
+		s.records.addViolation("crash", "", fmt.Sprintf("sidecar %d: %v", s.number, err))
 	}
 	s.collectInjected()
 }
 
-// ownViolations returns the violations that the sidecar has found in itself.
-func (s *sidecar) ownViolations() ([]Violation, error) {
+// loggedViolations returns the invariant violations and crashes in the log of the sidecar.
+func (s *sidecar) loggedViolations() ([]Violation, error) {
 	data, err := os.ReadFile(s.logPath())
 	if err != nil {
 		return nil, err
--- a/internal/faultsoak/signals.go
+++ b/internal/faultsoak/signals.go
@@ -10,59 +10,60 @@
 	"milldeck/internal/lab/proc"
 )
 
-// signalSeries is in what order signals come.
-type signalSeries string
+// signalSequence is the sequence of signals that a termination or reload sends.
+type signalSequence string
 
 const (
-	seriesPlain            signalSeries = "alone"
-	seriesReloadBefore     signalSeries = "SIGHUP just before"
-	seriesReloadAfter      signalSeries = "SIGHUP just after"
-	seriesTwice            signalSeries = "twice"
-	seriesUnreadableFile   signalSeries = "while the file cannot be read"
-	seriesEarlyTermination signalSeries = "SIGTERM to the successor as it starts"
-	seriesEarlyKill        signalSeries = "SIGKILL to the successor as it starts"
+	sequencePlain            signalSequence = "alone"
+	sequenceReloadBefore     signalSequence = "SIGHUP just before"
+	sequenceReloadAfter      signalSequence = "SIGHUP just after"
+	sequenceTwice            signalSequence = "twice"
+	sequenceUnreadableFile   signalSequence = "while the file cannot be read"
+	sequenceEarlyTermination signalSequence = "SIGTERM to the successor as it starts"
+	sequenceEarlyKill        signalSequence = "SIGKILL to the successor as it starts"
 )
 
 var (
-	terminationSeries = []signalSeries{seriesPlain, seriesReloadBefore, seriesReloadAfter, seriesTwice, seriesEarlyTermination, seriesEarlyKill}
-	reloadSeries      = []signalSeries{seriesPlain, seriesTwice, seriesUnreadableFile}
+	terminationSequences = []signalSequence{sequencePlain, sequenceReloadBefore, sequenceReloadAfter, sequenceTwice, sequenceEarlyTermination, sequenceEarlyKill}
+	reloadSequences      = []signalSequence{sequencePlain, sequenceTwice, sequenceUnreadableFile}
 )
 
 const (
 	secondTermAfter   = 300 * time.Millisecond
 	secondReloadAfter = 2 * time.Millisecond
 	unreadableFor     = 300 * time.Millisecond
-	earlySignalAfter  = 15 * time.Millisecond // a sidecar is ready some time later
+	earlySignalAfter  = 15 * time.Millisecond // before the sidecar is ready
 )
 
-// send sends the signals of a termination. Of a process that has ended there is nothing to end.
-func (series signalSeries) send(process *proc.Process) {
-	if series == seriesReloadBefore {
+// send sends the signals of a termination. It ignores errors: they mean that the process has exited.
+func (sequence signalSequence) send(process *proc.Process) {
+	if sequence == sequenceReloadBefore {
 		_ = process.Signal(syscall.SIGHUP)
 	}
 	_ = process.Signal(syscall.SIGTERM)
-	switch series {
-	case seriesReloadAfter:
+	switch sequence {
+	case sequenceReloadAfter:
 		_ = process.Signal(syscall.SIGHUP)
-	case seriesTwice:
+	case sequenceTwice:
 		time.AfterFunc(secondTermAfter, func() { _ = process.Signal(syscall.SIGTERM) })
 	default:
 	}
 }
 
-// early is the signal that a successor gets as it starts; nil: none.
-func (series signalSeries) early() os.Signal {
-	switch series {
-	case seriesEarlyTermination:
+// startupSignal returns the signal that the next process gets while it starts; nil: none.
+func (sequence signalSequence) startupSignal() os.Signal {
+	switch sequence {
+	case sequenceEarlyTermination:
 		return syscall.SIGTERM
-	case seriesEarlyKill:
+	case sequenceEarlyKill:
 		return syscall.SIGKILL
 	default:
 		return nil
 	}
 }
 
-// startInterrupted starts a process and ends it before it is ready. It has to end in time, however early SIGTERM comes.
+// startInterrupted starts a process and sends it a signal before it is ready. The process has to exit within killAfter, even if
+// SIGTERM arrives this early.
 func (s *sidecar) startInterrupted(ctx context.Context, signal os.Signal) error {
 	process, err := s.launch()
 	if err != nil {
@@ -72,12 +73,12 @@
 	s.expectedExit = true
 	s.mu.Unlock()
 	time.Sleep(earlySignalAfter)
-	_ = process.Signal(signal.(syscall.Signal)) // it may have ended by itself, which its successor will as well
+	_ = process.Signal(signal.(syscall.Signal)) // fails only if it has exited, as the next process will then, too
 	select {
 	case <-process.Done():
 	case <-ctx.Done():
 	case <-time.After(s.killAfter):
-		s.records.violate("start", "", fmt.Sprintf("sidecar %d does not end on %v as it starts: %s", s.number, signal, lastLine(process.Log())))
+		s.records.addViolation("start", "", fmt.Sprintf("sidecar %d does not end on %v as it starts: %s", s.number, signal, lastLine(process.Log())))
 	}
 	s.markKilled()
 	process.Kill()
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -8,18 +8,18 @@
 )
 
 func main() {
-	list := flag.String("list", "KNOWN-RED.txt", "file of the list")
-	skip := flag.String("skip", "", "file for the pattern of the tests to pass over")
-	commands := flag.String("commands", "", "file for the commands of the entries, one a line")
+	list := flag.String("list", "KNOWN-RED.txt", "file with the list of known failures")
+	skip := flag.String("skip", "", "output file for the pattern of the tests to skip")
+	commands := flag.String("commands", "", "output file for the commands of the entries, one per line")
 	flag.Parse()
-	if err := check(*list, *skip, *commands); err != nil {
+	if err := runList(*list, *skip, *commands); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", *list, err)
 		os.Exit(1)
 	}
 }
 
-// check plays the list, and writes what .ci/run passes over.
-func check(list, skip, commands string) error {
+// runList runs the commands of the list, and writes the files from which .ci/run learns what to skip.
+func runList(list, skip, commands string) error {
 	text, err := os.ReadFile(list)
 	if err != nil {
 		return err
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	if err := playAll(os.Stdout, entries, runInShell); err != nil {
+	if err := runAll(os.Stdout, entries, runInShell); err != nil {
 		return err
 	}
 	var lines strings.Builder
