--- a/cmd/milldeck/registry_bench.go
+++ b/cmd/milldeck/registry_bench.go
@@ -22,9 +22,9 @@
 }
 
 func runRegistryBench(ctx context.Context, options benchmarkOptions) (benchmarkResult, error) {
-	benchOptions := bench.Quick()
+	benchOptions := bench.QuickOptions()
 	if options.full {
-		benchOptions = bench.Full()
+		benchOptions = bench.FullOptions()
 	}
 	benchOptions.Program = options.program
 	benchOptions.Dir = options.dir
--- a/internal/registry/bench/bench.go
+++ b/internal/registry/bench/bench.go
@@ -32,17 +32,17 @@
 	Progress         func(string) // called with each result; nil: nobody
 }
 
-// Quick are the options of a run that ends within a minute.
-func Quick() Options {
+// QuickOptions are the options of a run that ends within a minute.
+func QuickOptions() Options {
 	return Options{
 		Instances: 5000, Watchers: 2000, ChangesPerSecond: 100, WatchDuration: 8 * time.Second,
 		Writers: 32, WriteDuration: 3 * time.Second, LeaderKills: 8,
 	}
 }
 
-// Full are the options of a run that takes several minutes.
-func Full() Options {
-	options := Quick()
+// FullOptions are the options of a run that takes several minutes.
+func FullOptions() Options {
+	options := QuickOptions()
 	options.WatchDuration, options.WriteDuration = 30*time.Second, 10*time.Second
 	options.LeaderKills, options.LogEntries = 30, 100_000
 	return options
@@ -130,14 +130,14 @@
 	}
 	startCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	started, err := cluster.Start(startCtx, replicas, cluster.Options{
+	running, err := cluster.Start(startCtx, replicas, cluster.Options{
 		Program: b.options.Program, DataDir: dir, Addresses: b.addresses, ExtraConfig: extraConfig,
 	})
-	defer func() { _ = started.Close() }() // what was to be measured is measured, and the processes are killed
+	defer func() { _ = running.Close() }() // what was to be measured is measured, and the processes are killed
 	if err != nil {
 		return err
 	}
-	return measure(started)
+	return measure(running)
 }
 
 // measureSingleReplica measures the write rate of one replica.
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -42,7 +42,7 @@
 type Client struct {
 	replicas   []string
 	httpClient *http.Client
-	current    atomic.Int64 // counts replicas that have failed: its remainder is the index of the one in use
+	failovers  atomic.Int64 // counts replicas that have failed: its remainder is the index of the one in use
 	logger     *slog.Logger
 }
 
@@ -64,7 +64,7 @@
 		}},
 		logger: componentLogger(),
 	}
-	client.current.Store(int64(mrand.IntN(len(replicas))))
+	client.failovers.Store(int64(mrand.IntN(len(replicas))))
 	return client, nil
 }
 
@@ -77,14 +77,14 @@
 // NewID draws an idempotency key for a write.
 func NewID() string { return rand.Text() }
 
-// replica is the address in use, and the value of current that goes with it.
-func (c *Client) replica() (address string, current int64) {
-	current = c.current.Load()
-	return c.replicas[int(current)%len(c.replicas)], current
+// replica is the address in use, and the value of failovers that goes with it.
+func (c *Client) replica() (address string, failovers int64) {
+	failovers = c.failovers.Load()
+	return c.replicas[int(failovers)%len(c.replicas)], failovers
 }
 
-// nextReplica moves on from the replica that current stands for, unless another call has done so.
-func (c *Client) nextReplica(current int64) { c.current.CompareAndSwap(current, current+1) }
+// nextReplica moves on from the replica that failovers stands for, unless another call has done so.
+func (c *Client) nextReplica(failovers int64) { c.failovers.CompareAndSwap(failovers, failovers+1) }
 
 // call retries a call, at one replica after the other, until one answers other than 503 Service Unavailable. Every call
 // may be repeated: writes carry an idempotency key.
@@ -92,16 +92,16 @@
 	backoff := initialBackoff
 	var lastErr error
 	for range maxAttempts {
-		address, current := c.replica()
+		address, failovers := c.replica()
 		err := c.attempt(ctx, method, "http://"+address+path, body, response)
-		if err == nil || isFinal(err) {
+		if err == nil || isPermanent(err) {
 			return err
 		}
 		if ctx.Err() != nil {
 			return errors.Join(lastErr, ctx.Err())
 		}
 		lastErr = err
-		c.nextReplica(current)
+		c.nextReplica(failovers)
 		select {
 		case <-ctx.Done():
 			return errors.Join(lastErr, ctx.Err())
@@ -112,8 +112,8 @@
 	return fmt.Errorf("no replica answers: %w", lastErr)
 }
 
-// isFinal reports whether an error is an answer that another replica would give as well.
-func isFinal(err error) bool {
+// isPermanent reports whether an error is an answer that another replica would give as well.
+func isPermanent(err error) bool {
 	var statusErr *StatusError
 	return errors.As(err, &statusErr) && statusErr.StatusCode != http.StatusServiceUnavailable
 }
--- a/internal/registry/client_leases.go
+++ b/internal/registry/client_leases.go
@@ -42,7 +42,7 @@
 func (c *Client) WatchLease(ctx context.Context, name string, notify func(leasetable.Lease)) error {
 	newestRevision, started := uint64(0), false
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
-		address, current := c.replica()
+		address, failovers := c.replica()
 		err := c.watchLeaseAt(ctx, address, name, func(lease leasetable.Lease) {
 			backoff = initialBackoff
 			if lease.Revision > newestRevision || !started {
@@ -54,7 +54,7 @@
 			return ctx.Err()
 		}
 		c.logger.Debug("lease watch failed", "lease", name, "replica", address, "error", err)
-		c.nextReplica(current)
+		c.nextReplica(failovers)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/registry/cluster/network.go
+++ b/internal/registry/cluster/network.go
@@ -71,17 +71,17 @@
 			n.blocked[link{index, other}], n.blocked[link{other, index}] = blocked, blocked
 		}
 	}
-	n.announceLocked()
+	n.notifyLocked()
 }
 
-// announceLocked wakes those who wait in awaitOpen. The caller holds the lock.
-func (n *Network) announceLocked() {
+// notifyLocked wakes those who wait in awaitUnblocked. The caller holds the lock.
+func (n *Network) notifyLocked() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// awaitOpen waits while a link is blocked. It returns false if the network is closed.
-func (n *Network) awaitOpen(direction link) bool {
+// awaitUnblocked waits while a link is blocked. It returns false if the network is closed.
+func (n *Network) awaitUnblocked(direction link) bool {
 	for {
 		n.mu.Lock()
 		blocked, closed, changed := n.blocked[direction], n.closed, n.changed
@@ -97,7 +97,7 @@
 func (n *Network) proxy(incoming net.Conn, to int, raftAddr string) {
 	defer incoming.Close()
 	from := n.replicaAt(incoming.RemoteAddr())
-	if !n.awaitOpen(link{from, to}) {
+	if !n.awaitUnblocked(link{from, to}) {
 		return
 	}
 	outgoing, err := net.Dial("tcp", raftAddr)
@@ -163,7 +163,7 @@
 	for {
 		size, readErr := from.Read(buffer)
 		if size > 0 {
-			if !n.awaitOpen(direction) {
+			if !n.awaitUnblocked(direction) {
 				return
 			}
 			if _, err := to.Write(buffer[:size]); err != nil {
@@ -180,7 +180,7 @@
 func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
-	n.announceLocked()
+	n.notifyLocked()
 	for _, listener := range n.listeners {
 		listener.Close()
 	}
--- a/internal/registry/fixtures_client_test.go
+++ b/internal/registry/fixtures_client_test.go
@@ -23,17 +23,17 @@
 	"milldeck/internal/release"
 )
 
-// exchange is a stand-in for a replica: it records requests, and answers each path with a fixed body.
-type exchange struct {
-	mu       sync.Mutex
-	requests bytes.Buffer
-	answers  map[string]string
+// stubReplica is a stand-in for a replica: it records requests, and answers each path with a fixed body.
+type stubReplica struct {
+	mu        sync.Mutex
+	requests  bytes.Buffer
+	responses map[string]string
 }
 
 // randomID is an id that the client draws for a write.
 var randomID = regexp.MustCompile(`"id":"[A-Z2-7]{26}"`)
 
-func (e *exchange) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+func (e *stubReplica) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -42,19 +42,19 @@
 	body = randomID.ReplaceAll(body, []byte(`"id":"RANDOM"`))
 	e.mu.Lock()
 	fmt.Fprintf(&e.requests, "%s %s\n%s\n", request.Method, request.URL.RequestURI(), body)
-	answer, ok := e.answers[request.Method+" "+request.URL.Path]
+	response, ok := e.responses[request.Method+" "+request.URL.Path]
 	e.mu.Unlock()
 	if !ok {
-		answer = "{}"
+		response = "{}"
 	}
 	w.Header().Set(registry.AgeHeader, "120")
-	fmt.Fprintln(w, answer)
+	fmt.Fprintln(w, response)
 }
 
-// startExchange starts a stand-in and a client of it.
-func startExchange(t *testing.T, answers map[string]string) (*exchange, *registry.Client, string) {
+// startStubReplica starts a stand-in and a client of it.
+func startStubReplica(t *testing.T, responses map[string]string) (*stubReplica, *registry.Client, string) {
 	t.Helper()
-	e := &exchange{answers: answers}
+	e := &stubReplica{responses: responses}
 	server := httptest.NewServer(e)
 	t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
@@ -67,7 +67,7 @@
 }
 
 // The bodies that a replica answers with; each is read by the client and has the same fields when it is written again.
-var servedAnswers = map[string]string{
+var stubResponses = map[string]string{
 	"POST /registry/instances":         `{"outcome":"done","rev":12}`,
 	"POST /registry/state":             `{"outcome":"done","rev":13}`,
 	"DELETE /registry/instances/s/1":   `{"outcome":"done","rev":14}`,
@@ -104,13 +104,13 @@
 
 // TestClientRequests pins the requests of every call of the client, and that it keeps every field of the answers.
 func TestClientRequests(t *testing.T) {
-	e, client, address := startExchange(t, servedAnswers)
+	e, client, address := startStubReplica(t, stubResponses)
 	ctx := t.Context()
 	revision := uint64(11)
 	guard := &registry.Guard{Lease: "release/r", Token: 16}
 	write := registry.WriteOptions{ID: "w1", IfRevision: &revision, Guard: guard}
 	var calls bytes.Buffer
-	call := func(name string, value any, err error) {
+	recordCall := func(name string, value any, err error) {
 		t.Helper()
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
@@ -125,88 +125,88 @@
 		e.requests.Reset()
 	}
 	result, err := client.Register(ctx, write, fixtureInstance("s1", "z1", 1, 9001), fixtureInstance("s2", "z2", 1, 9002))
-	call("register", result, err)
+	recordCall("register", result, err)
 	renewal, err := client.RenewInstances(ctx, []string{"s1", "s2"})
-	call("renew", renewal, err)
+	recordCall("renew", renewal, err)
 	result, err = client.SetState(ctx, write, "s1", registry.InstanceTerminating)
-	call("set state", result, err)
+	recordCall("set state", result, err)
 	result, err = client.Deregister(ctx, write, "s/1")
-	call("deregister", result, err)
+	recordCall("deregister", result, err)
 	instance, err := client.Get(ctx, "s/1", true)
-	call("get", instance, err)
+	recordCall("get", instance, err)
 	list, err := client.List(ctx, true)
-	call("list", list, err)
+	recordCall("list", list, err)
 	list, err = client.List(ctx, false)
-	call("list of any replica", list, err)
+	recordCall("list of any replica", list, err)
 	result, err = client.ResolveSuspects(ctx, true)
-	call("suspects", result, err)
+	recordCall("suspects", result, err)
 	members, err := client.Members(ctx)
-	call("members", members, err)
+	recordCall("members", members, err)
 	members, err = client.AddMember(ctx, registry.Member{HTTPAddr: "127.0.0.1:8600", RaftAddr: "127.0.0.1:8601"})
-	call("add member", members, err)
+	recordCall("add member", members, err)
 	members, err = client.RemoveMember(ctx, "127.0.0.1:8600")
-	call("remove member", members, err)
+	recordCall("remove member", members, err)
 	status, err := client.ReplicaStatus(ctx, address)
-	call("status", status, err)
+	recordCall("status", status, err)
 
 	lease, err := client.UpdateLease(ctx, leasetable.Campaign, "release/r", registry.LeaseRequest{ID: "w2", Candidate: "one", TTLMS: 15_000})
-	call("seek", lease, err)
+	recordCall("seek", lease, err)
 	lease, err = client.UpdateLease(ctx, leasetable.Handover, "release/r", registry.LeaseRequest{ID: "w3", Successor: "two"})
-	call("handover", lease, err)
+	recordCall("handover", lease, err)
 	lease, err = client.UpdateLease(ctx, leasetable.Revoke, "release/r", registry.LeaseRequest{ID: "w4"})
-	call("takeaway", lease, err)
+	recordCall("takeaway", lease, err)
 	lease, err = client.UpdateLease(ctx, leasetable.Checkpoint, "backup", registry.LeaseRequest{ID: "w5", Candidate: "one", Token: 16, Data: []byte("wave 2")})
-	call("checkpoint", lease, err)
+	recordCall("checkpoint", lease, err)
 	lease, err = client.Lease(ctx, "release/r")
-	call("lease", lease, err)
+	recordCall("lease", lease, err)
 	lost, err := client.RenewLeases(ctx, "one", []registry.LeaseRenewal{{Name: "spread", Token: 16}, {Name: "window"}})
-	call("renew leases", lost, err)
+	recordCall("renew leases", lost, err)
 
 	ledgerResult, err := client.ApplyLedgerOp(ctx, registry.WriteOptions{ID: "w6", Guard: guard}, disruption.Op{Kind: disruption.OpRequest, Owner: "operator/eva",
 		Permit: &disruption.Permit{ID: "p1", Owner: "operator/eva", Purpose: "restart", Units: []string{"server/s2"}, Priority: disruption.PriorityRollout, Disposition: disruption.DispositionReturn}})
-	call("ledger", ledgerResult, err)
+	recordCall("ledger", ledgerResult, err)
 	view, err := client.LedgerView(ctx, true, true)
-	call("ledger view", view, err)
+	recordCall("ledger view", view, err)
 	permit, err := client.Permit(ctx, "p/1")
-	call("permit", permit, err)
+	recordCall("permit", permit, err)
 	result, err = client.RegisterSidecars(ctx, registry.SidecarRequest{ID: "w7", TTLMS: 10_000, Deregistered: []string{"c2"}, Sidecars: []registry.Sidecar{
 		{Name: "c1", Version: "v1", Zone: "z1", Tenant: "portal", Ready: true, Draining: true, BootMS: 7, TTLMS: 10_000, ListRevision: 11, PlacementRevision: 10}}})
-	call("register sidecars", result, err)
+	recordCall("register sidecars", result, err)
 	sidecars, err := client.Sidecars(ctx)
-	call("sidecars", sidecars, err)
+	recordCall("sidecars", sidecars, err)
 
 	result, err = client.SetPlacement(ctx, registry.WriteOptions{ID: "w8", Guard: guard}, monday,
 		[]placement.Directive{{ID: "cohort/r", Kind: placement.KindCohort, Cohort: "r", Servers: []string{"s1"}, ExpiresAtMS: monday + 1000}}, "cohort/q")
-	call("set placement", result, err)
+	recordCall("set placement", result, err)
 	result, err = client.RemovePlacement(ctx, registry.WriteOptions{ID: "w9", Guard: guard}, "cohort/r")
-	call("drop placement", result, err)
+	recordCall("drop placement", result, err)
 	entries, err := client.PlacementView(ctx, true)
-	call("placement", entries, err)
+	recordCall("placement", entries, err)
 
 	result, err = client.WriteRelease(ctx, registry.WriteOptions{ID: "w10", Guard: guard}, "r", release.Operation{Delta: &release.Delta{Sequence: 1, Status: &release.Status{Phase: release.PhaseRollout, Wave: 2}}})
-	call("write release", result, err)
-	found, err := client.Release(ctx, "r", true, true)
-	call("release", found, err)
+	recordCall("write release", result, err)
+	releaseView, err := client.Release(ctx, "r", true, true)
+	recordCall("release", releaseView, err)
 	releases, err := client.Releases(ctx)
-	call("releases", releases, err)
+	recordCall("releases", releases, err)
 	result, err = client.WriteWindow(ctx, registry.WriteOptions{ID: "w11", Guard: guard}, maintenance.Timestamp{ControllerMS: monday, UncertaintyMS: 100}, maintenance.Operation{Kind: maintenance.OpAwaitPermit, Window: "w"})
-	call("write window", result, err)
+	recordCall("write window", result, err)
 	windows, err := client.Windows(ctx, true)
-	call("windows", windows, err)
+	recordCall("windows", windows, err)
 
-	stop := errors.New("one line is enough")
+	errStopWatch := errors.New("one line is enough")
 	err = client.WatchEndpoints(ctx, address, 11, 5, func(list *registry.EndpointList, age time.Duration) error {
-		call(fmt.Sprintf("watch, %v old", age), list, nil)
-		return stop
+		recordCall(fmt.Sprintf("watch, %v old", age), list, nil)
+		return errStopWatch
 	})
-	if !errors.Is(err, stop) {
+	if !errors.Is(err, errStopWatch) {
 		t.Errorf("watch: %v", err)
 	}
 	err = client.WatchPlacement(ctx, address, 18, 5, func(list *placement.Update, age time.Duration) error {
-		call(fmt.Sprintf("watch of the placement, %v old", age), list, nil)
-		return stop
+		recordCall(fmt.Sprintf("watch of the placement, %v old", age), list, nil)
+		return errStopWatch
 	})
-	if !errors.Is(err, stop) {
+	if !errors.Is(err, errStopWatch) {
 		t.Errorf("watch of the placement: %v", err)
 	}
 	goldentest.Compare(t, "client.txt", calls.Bytes())
@@ -215,7 +215,7 @@
 // TestKeepAliveRequests pins the requests that register instances and renew their leases: an instance that the registry
 // does not know any more is registered again.
 func TestKeepAliveRequests(t *testing.T) {
-	e, client, _ := startExchange(t, servedAnswers)
+	e, client, _ := startStubReplica(t, stubResponses)
 	keepAlive := registry.NewLeaseKeepAlive(client, fixtureInstance("s1", "z1", 1, 9001), fixtureInstance("s2", "z2", 1, 9002))
 	for range 2 {
 		if err := keepAlive.RenewOnce(t.Context()); err != nil {
--- a/internal/registry/fixtures_served_test.go
+++ b/internal/registry/fixtures_served_test.go
@@ -104,10 +104,10 @@
 		}
 		list, entries := watch(hub.Watch, 0, 0), watch(feed.Watch, 0, 0)
 		var out strings.Builder
-		note := func(what string, recorder *bodyRecorder) { fmt.Fprintf(&out, "# %s\n%s", what, recorder.take()) }
+		recordBody := func(label string, recorder *bodyRecorder) { fmt.Fprintf(&out, "# %s\n%s", label, recorder.take()) }
 		synctest.Wait()
-		note("list watch, empty", list)
-		note("placement watch, empty", entries)
+		recordBody("list watch, empty", list)
+		recordBody("placement watch, empty", entries)
 		for _, entry := range servedLog(time.Now().UnixMilli()) {
 			if _, err := hub.Apply(entry.index, &entry.record); err != nil {
 				t.Fatal(err)
@@ -115,13 +115,13 @@
 			feed.Notify()
 			time.Sleep(100 * time.Millisecond) // of the bubble's clock: watchers are woken together
 			synctest.Wait()
-			note("list watch after "+entry.name, list)
-			note("placement watch after "+entry.name, entries)
+			recordBody("list watch after "+entry.name, list)
+			recordBody("placement watch after "+entry.name, entries)
 		}
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		note("list watch, heartbeat", list)
-		note("placement watch, heartbeat", entries)
+		recordBody("list watch, heartbeat", list)
+		recordBody("placement watch, heartbeat", entries)
 
 		var epoch uint64
 		hub.Read(func(state *registry.StateMachine) { epoch = state.Epoch() })
@@ -134,8 +134,8 @@
 		} {
 			late, lateEntries := watch(hub.Watch, cursor.after, cursor.epoch), watch(feed.Watch, cursor.after, cursor.epoch)
 			synctest.Wait()
-			note("list watch "+cursor.name, late)
-			note("placement watch "+cursor.name, lateEntries)
+			recordBody("list watch "+cursor.name, late)
+			recordBody("placement watch "+cursor.name, lateEntries)
 		}
 		for name, write := range map[string]func(http.ResponseWriter) error{"list.json": hub.WriteCompleteList, "placement.json": feed.WriteComplete} {
 			recorder := newBodyRecorder()
--- a/internal/registry/http_admin.go
+++ b/internal/registry/http_admin.go
@@ -85,7 +85,7 @@
 		return
 	}
 	added := r.raft.AddVoter(raft.ServerID(member.HTTPAddr), raft.ServerAddress(member.RaftAddr), 0, applyTimeout)
-	r.writeReconfigured(w, added.Error())
+	r.writeMembershipResult(w, added.Error())
 }
 
 func (r *Replica) serveRemoveMember(w http.ResponseWriter, request *http.Request) {
@@ -100,11 +100,11 @@
 		return
 	}
 	removed := r.raft.RemoveServer(raft.ServerID(name), 0, applyTimeout)
-	r.writeReconfigured(w, removed.Error())
+	r.writeMembershipResult(w, removed.Error())
 }
 
-// writeReconfigured answers a change of the members: with the members, or with the error.
-func (r *Replica) writeReconfigured(w http.ResponseWriter, err error) {
+// writeMembershipResult answers a change of the members: with the members, or with the error.
+func (r *Replica) writeMembershipResult(w http.ResponseWriter, err error) {
 	if err != nil {
 		writeRetryable(w, err)
 		return
--- a/internal/registry/http_read.go
+++ b/internal/registry/http_read.go
@@ -87,8 +87,8 @@
 	defer r.watchers.Add(-1)
 	r.setFreshnessHeaders(w)
 	// A replica without a leader sends no heartbeats, as it would not know of a change: its watchers move on.
-	alive := func() bool { return r.listAge() < staleAfter }
-	if err := stream(r.ctx, w, request, after, epoch, alive); err != nil {
+	mayHeartbeat := func() bool { return r.listAge() < staleAfter }
+	if err := stream(r.ctx, w, request, after, epoch, mayHeartbeat); err != nil {
 		r.logger.Debug("watch failed", "error", err)
 	}
 }
--- a/internal/registry/http_release.go
+++ b/internal/registry/http_release.go
@@ -73,12 +73,12 @@
 	if err := checkWriteID(q.ID); err != nil {
 		return err
 	}
-	named := q.Op.Name
+	bodyName := q.Op.Name
 	if q.Op.Start != nil {
-		named = q.Op.Start.Name
+		bodyName = q.Op.Start.Name
 	}
 	switch {
-	case named != name:
+	case bodyName != name:
 		return validation.Errorf("op.name", "it differs from %q in the path", name)
 	case q.Op.RequiresToken() && q.Guard == nil:
 		return validation.Errorf("guard", "a step needs the token of the release's lease")
--- a/internal/registry/http_write.go
+++ b/internal/registry/http_write.go
@@ -157,10 +157,10 @@
 		r.writeNoLeader(w)
 		return
 	}
-	var unknown, alive []string
-	r.hub.Read(func(state *StateMachine) { unknown, alive = r.registrations.renew(time.Now(), state, body.UIDs) })
-	if len(alive) > 0 {
-		if err := r.clearSuspicion(alive); err != nil {
+	var unknown, suspects []string
+	r.hub.Read(func(state *StateMachine) { unknown, suspects = r.registrations.renew(time.Now(), state, body.UIDs) })
+	if len(suspects) > 0 {
+		if err := r.clearSuspicion(suspects); err != nil {
 			r.writeNoLeader(w)
 			return
 		}
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -15,8 +15,8 @@
 	// maxEncodedChanges are the encoded changes that watchers share. A watcher that is further behind gets one that is
 	// made from the state.
 	maxEncodedChanges = 1024
-	// maxChangesWritten is how many changes a watcher that is behind gets one by one.
-	maxChangesWritten = 64
+	// maxSeparateChanges is how many changes a watcher that is behind gets one by one.
+	maxSeparateChanges = 64
 )
 
 // Hub holds the state and streams its changes to watchers. A watcher has no queue of its own but is a cursor, so a slow
@@ -168,7 +168,7 @@
 // encodedAfterLocked returns the encoded changes after a revision, or nil where they are too many or not encoded any
 // more. The caller holds the lock for reading.
 func (h *Hub) encodedAfterLocked(revision uint64) (lines [][]byte) {
-	for i := len(h.encoded) - 1; i >= 0 && len(h.encoded)-i <= maxChangesWritten; i-- {
+	for i := len(h.encoded) - 1; i >= 0 && len(h.encoded)-i <= maxSeparateChanges; i-- {
 		if h.encoded[i].previous != revision {
 			continue
 		}
@@ -198,12 +198,12 @@
 }
 
 // Watch streams the changes after a revision of an epoch to a watcher, in PROTOCOL's form, until ctx or the watcher
-// ends. While nothing changes it writes a heartbeat (an empty line) every 2 s, as long as alive returns true: as long as
+// ends. While nothing changes it writes a heartbeat (an empty line) every 2 s, as long as mayHeartbeat returns true: as long as
 // the hub would know of a change.
 func (h *Hub) Watch(
-	ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, alive func() bool,
+	ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, mayHeartbeat func() bool,
 ) error {
-	return streamChanges(ctx, w, request, cursor{revision: after, epoch: epoch}, alive, h)
+	return streamChanges(ctx, w, request, cursor{revision: after, epoch: epoch}, mayHeartbeat, h)
 }
 
 // WriteCompleteList answers with the complete endpoint list.
--- a/internal/registry/placement_env_test.go
+++ b/internal/registry/placement_env_test.go
@@ -22,8 +22,8 @@
 	return &registry.Guard{Lease: name, Token: lease.Token}
 }
 
-// keepOff is a directive that excludes two servers for a tenant.
-func keepOff(id string, duration time.Duration) placement.Directive {
+// newExclusion is a directive that excludes two servers for a tenant.
+func newExclusion(id string, duration time.Duration) placement.Directive {
 	return placement.Directive{ID: id, Kind: placement.KindExclude, Tenant: "t", Servers: []string{"s1", "s2"}, MinAvailable: 0.5, ExpiresAtMS: time.Now().Add(duration).UnixMilli()}
 }
 
@@ -41,39 +41,39 @@
 	return result, 0
 }
 
-// placementFollower watches the placement.
-type placementFollower struct {
+// placementWatcher watches the placement.
+type placementWatcher struct {
 	mu              sync.Mutex
-	reader          *placement.Cache
+	cache           *placement.Cache
 	completeUpdates int // complete updates
 	onUpdate        func(rev uint64, at time.Time)
 	startedAt       time.Time
 }
 
-// followPlacement watches the placement until the test ends, at one replica and at the next whenever a watch ends.
-func (e *testEnv) followPlacement(first int, onUpdate func(uint64, time.Time)) *placementFollower {
-	follower := &placementFollower{reader: placement.NewCache(), startedAt: time.Now(), onUpdate: onUpdate}
+// watchPlacement watches the placement until the test ends, at one replica and at the next whenever a watch ends.
+func (e *testEnv) watchPlacement(firstReplica int, onUpdate func(uint64, time.Time)) *placementWatcher {
+	watcher := &placementWatcher{cache: placement.NewCache(), startedAt: time.Now(), onUpdate: onUpdate}
 	ctx, cancel := context.WithCancel(e.ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for ; ctx.Err() == nil; first++ {
-			follower.mu.Lock()
-			revision, epoch := follower.reader.Revision(), follower.reader.Epoch()
-			follower.mu.Unlock()
-			address := e.cluster.Replicas[first%len(e.cluster.Replicas)].HTTPAddr
+		for ; ctx.Err() == nil; firstReplica++ {
+			watcher.mu.Lock()
+			revision, epoch := watcher.cache.Revision(), watcher.cache.Epoch()
+			watcher.mu.Unlock()
+			address := e.cluster.Replicas[firstReplica%len(e.cluster.Replicas)].HTTPAddr
 			err := e.client.WatchPlacement(ctx, address, revision, epoch, func(list *placement.Update, _ time.Duration) error {
 				if list == nil {
 					return nil
 				}
-				follower.mu.Lock()
-				defer follower.mu.Unlock()
+				watcher.mu.Lock()
+				defer watcher.mu.Unlock()
 				if list.Complete {
-					follower.completeUpdates++
+					watcher.completeUpdates++
 				}
-				updated, err := follower.reader.Apply(list, time.Now().UnixMilli(), time.Since(follower.startedAt).Milliseconds())
-				if updated && follower.onUpdate != nil {
-					follower.onUpdate(list.Revision, time.Now())
+				updated, err := watcher.cache.Apply(list, time.Now().UnixMilli(), time.Since(watcher.startedAt).Milliseconds())
+				if updated && watcher.onUpdate != nil {
+					watcher.onUpdate(list.Revision, time.Now())
 				}
 				return err
 			})
@@ -87,21 +87,21 @@
 		}
 	}()
 	e.Cleanup(func() { cancel(); <-done })
-	return follower
+	return watcher
 }
 
-// entryIDs are the ids of the directives in force.
-func (f *placementFollower) entryIDs() string {
+// activeIDs are the ids of the directives in force.
+func (f *placementWatcher) activeIDs() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return ids(f.reader.Active(time.Now().UnixMilli(), time.Since(f.startedAt).Milliseconds()))
+	return directiveIDs(f.cache.Active(time.Now().UnixMilli(), time.Since(f.startedAt).Milliseconds()))
 }
 
-// ids are the ids of directives, joined by spaces.
-func ids(list placement.Update) string {
-	var entryIDs []string
+// directiveIDs are the ids of directives, joined by spaces.
+func directiveIDs(list placement.Update) string {
+	var uids []string
 	for _, entry := range list.Directives {
-		entryIDs = append(entryIDs, entry.ID)
+		uids = append(uids, entry.ID)
 	}
-	return strings.Join(entryIDs, " ")
+	return strings.Join(uids, " ")
 }
--- a/internal/registry/placement_feed.go
+++ b/internal/registry/placement_feed.go
@@ -102,9 +102,9 @@
 
 // Watch streams the changes after a revision of an epoch to a watcher, as Hub.Watch does those of the endpoint list.
 func (f *PlacementFeed) Watch(
-	ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, alive func() bool,
+	ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, mayHeartbeat func() bool,
 ) error {
-	return streamChanges(ctx, w, request, cursor{revision: after, epoch: epoch}, alive, f)
+	return streamChanges(ctx, w, request, cursor{revision: after, epoch: epoch}, mayHeartbeat, f)
 }
 
 // WriteComplete answers with the complete placement. It is not shared, as a linearizable read has to see every write
--- a/internal/registry/placement_test.go
+++ b/internal/registry/placement_test.go
@@ -17,23 +17,23 @@
 func TestPlacementSurvivesLeaderLoss(t *testing.T) {
 	env := startEnv(t, 3, false, "snapshot_every = 10")
 	leader := env.leader()
-	guard, other := env.acquireLease("window/a"), env.acquireLease("window/b")
-	var followers []*placementFollower
+	guard, otherGuard := env.acquireLease("window/a"), env.acquireLease("window/b")
+	var watchers []*placementWatcher
 	for ordinal := range 3 {
-		followers = append(followers, env.followPlacement(ordinal, nil))
+		watchers = append(watchers, env.watchPlacement(ordinal, nil))
 	}
-	allFollowersHave := func(what, want string) {
+	awaitAllWatchers := func(condition, want string) {
 		t.Helper()
-		env.eventually(what, func() bool {
-			return !slices.ContainsFunc(followers, func(follower *placementFollower) bool { return follower.entryIDs() != want })
+		env.eventually(condition, func() bool {
+			return !slices.ContainsFunc(watchers, func(watcher *placementWatcher) bool { return watcher.activeIDs() != want })
 		})
 	}
-	if _, status := env.setPlacement(guard, keepOff("window/a/1", time.Minute), keepOff("window/a/2", time.Minute)); status != 0 {
+	if _, status := env.setPlacement(guard, newExclusion("window/a/1", time.Minute), newExclusion("window/a/2", time.Minute)); status != 0 {
 		t.Fatalf("rejected: %d", status)
 	}
-	allFollowersHave("all have the first two", "window/a/1 window/a/2")
+	awaitAllWatchers("all have the first two", "window/a/1 window/a/2")
 	leader.Process.Kill()
-	result, status := env.setPlacement(guard, keepOff("window/a/3", 2*time.Second), keepOff("window/a/1", time.Minute))
+	result, status := env.setPlacement(guard, newExclusion("window/a/3", 2*time.Second), newExclusion("window/a/1", time.Minute))
 	if status != 0 {
 		t.Fatalf("rejected: %d", status)
 	}
@@ -42,25 +42,25 @@
 		entry placement.Directive
 		want  int
 	}{
-		"another's entry":   {other, keepOff("window/a/1", time.Minute), http.StatusConflict},
-		"an old token":      {&registry.Guard{Lease: guard.Lease, Token: guard.Token - 1}, keepOff("window/a/1", time.Minute), http.StatusConflict},
-		"no guard":          {nil, keepOff("window/a/1", time.Minute), http.StatusBadRequest},
-		"beyond an hour":    {guard, keepOff("window/a/1", 2*time.Hour), http.StatusConflict},
-		"expired":           {guard, keepOff("window/a/1", -time.Second), http.StatusConflict},
+		"another's entry":   {otherGuard, newExclusion("window/a/1", time.Minute), http.StatusConflict},
+		"an old token":      {&registry.Guard{Lease: guard.Lease, Token: guard.Token - 1}, newExclusion("window/a/1", time.Minute), http.StatusConflict},
+		"no guard":          {nil, newExclusion("window/a/1", time.Minute), http.StatusBadRequest},
+		"beyond an hour":    {guard, newExclusion("window/a/1", 2*time.Hour), http.StatusConflict},
+		"expired":           {guard, newExclusion("window/a/1", -time.Second), http.StatusConflict},
 		"invalid":           {guard, placement.Directive{ID: "window/a/1", Kind: placement.KindSpreadKey, ExpiresAtMS: 1}, http.StatusBadRequest},
-		"not of any window": {guard, keepOff("window", time.Minute), http.StatusBadRequest},
+		"not of any window": {guard, newExclusion("window", time.Minute), http.StatusBadRequest},
 	} {
 		if _, status := env.setPlacement(tc.guard, tc.entry); status != tc.want {
 			t.Errorf("%s: %d, want %d", name, status, tc.want)
 		}
 	}
-	if _, err := env.client.SetPlacement(env.ctx, registry.WriteOptions{Guard: guard}, time.Now().UnixMilli()-3_600_000, []placement.Directive{keepOff("window/a/1", time.Minute)}); err == nil {
+	if _, err := env.client.SetPlacement(env.ctx, registry.WriteOptions{Guard: guard}, time.Now().UnixMilli()-3_600_000, []placement.Directive{newExclusion("window/a/1", time.Minute)}); err == nil {
 		t.Error("a writer whose clock is an hour behind is accepted")
 	}
-	allFollowersHave("all had the third, and none after its end", "window/a/1 window/a/2")
+	awaitAllWatchers("all had the third, and none after its end", "window/a/1 window/a/2")
 	env.eventually("the leader removes what has expired", func() bool {
 		list, err := env.client.PlacementView(env.ctx, true)
-		return err == nil && list.Revision > result.Revision && ids(list) == "window/a/1 window/a/2"
+		return err == nil && list.Revision > result.Revision && directiveIDs(list) == "window/a/1 window/a/2"
 	})
 	if err := leader.Start(); err != nil {
 		t.Fatal(err)
@@ -68,7 +68,7 @@
 	if _, err := env.client.RemovePlacement(env.ctx, registry.WriteOptions{Guard: guard}, "window/a/2", "window/a/never"); err != nil {
 		t.Fatal(err)
 	}
-	allFollowersHave("the removal reaches all", "window/a/1")
+	awaitAllWatchers("the removal reaches all", "window/a/1")
 	want, err := env.client.PlacementView(env.ctx, true)
 	if err != nil {
 		t.Fatal(err)
@@ -76,14 +76,14 @@
 	restarted := env.clientOf(leader.HTTPAddr)
 	env.eventually("the restarted replica serves the same", func() bool {
 		list, err := restarted.PlacementView(env.ctx, false)
-		return err == nil && list.Revision == want.Revision && list.Epoch == want.Epoch && ids(list) == "window/a/1"
+		return err == nil && list.Revision == want.Revision && list.Epoch == want.Epoch && directiveIDs(list) == "window/a/1"
 	})
-	for ordinal, follower := range followers {
-		follower.mu.Lock()
-		if follower.reader.Revision() != want.Revision {
-			t.Errorf("follower %d has revision %d, want %d", ordinal, follower.reader.Revision(), want.Revision)
+	for ordinal, watcher := range watchers {
+		watcher.mu.Lock()
+		if watcher.cache.Revision() != want.Revision {
+			t.Errorf("follower %d has revision %d, want %d", ordinal, watcher.cache.Revision(), want.Revision)
 		}
-		follower.mu.Unlock()
+		watcher.mu.Unlock()
 	}
 }
 
@@ -91,22 +91,22 @@
 func TestPlacementAfterRestore(t *testing.T) {
 	env := startEnv(t, 1, false, "")
 	guard := env.acquireLease("window/a")
-	follower := env.followPlacement(0, nil)
-	env.setPlacement(guard, keepOff("window/a/1", time.Minute))
+	watcher := env.watchPlacement(0, nil)
+	env.setPlacement(guard, newExclusion("window/a/1", time.Minute))
 	backup, err := env.client.SaveSnapshot(env.ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	env.setPlacement(guard, keepOff("window/a/2", time.Minute))
-	env.eventually("both are in force", func() bool { return follower.entryIDs() == "window/a/1 window/a/2" })
+	env.setPlacement(guard, newExclusion("window/a/2", time.Minute))
+	env.eventually("both are in force", func() bool { return watcher.activeIDs() == "window/a/1 window/a/2" })
 	if _, err := env.client.RestoreSnapshot(env.ctx, backup); err != nil {
 		t.Fatal(err)
 	}
-	env.eventually("only the older one is in force", func() bool { return follower.entryIDs() == "window/a/1" })
-	if _, status := env.setPlacement(guard, keepOff("window/a/3", time.Minute)); status != 0 {
+	env.eventually("only the older one is in force", func() bool { return watcher.activeIDs() == "window/a/1" })
+	if _, status := env.setPlacement(guard, newExclusion("window/a/3", time.Minute)); status != 0 {
 		t.Fatalf("rejected: %d", status)
 	}
-	env.eventually("the watch continues", func() bool { return follower.entryIDs() == "window/a/1 window/a/3" })
+	env.eventually("the watch continues", func() bool { return watcher.activeIDs() == "window/a/1 window/a/3" })
 }
 
 // A change reaches 1,000 watchers on three replicas, leader and followers.
@@ -115,20 +115,20 @@
 	guard := env.acquireLease("spread")
 	const watchers, changes = 1000, 10
 	var mu sync.Mutex
-	got := map[uint64][]time.Time{}
+	receivedAt := map[uint64][]time.Time{}
 	for ordinal := range watchers {
-		env.followPlacement(ordinal, func(revision uint64, at time.Time) {
+		env.watchPlacement(ordinal, func(revision uint64, at time.Time) {
 			mu.Lock()
 			defer mu.Unlock()
-			got[revision] = append(got[revision], at)
+			receivedAt[revision] = append(receivedAt[revision], at)
 		})
 	}
-	count := func(revision uint64) int { mu.Lock(); defer mu.Unlock(); return len(got[revision]) }
-	first, err := env.client.PlacementView(env.ctx, true)
+	receivedCount := func(revision uint64) int { mu.Lock(); defer mu.Unlock(); return len(receivedAt[revision]) }
+	initial, err := env.client.PlacementView(env.ctx, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	env.eventually("all watch", func() bool { return count(first.Revision) == watchers })
+	env.eventually("all watch", func() bool { return receivedCount(initial.Revision) == watchers })
 	var latencies []time.Duration
 	for round := range changes {
 		entry := placement.Directive{ID: fmt.Sprint("spread/", round), Kind: placement.KindSpreadKey, KeyHash: "0123456789abcdef", ExpiresAtMS: time.Now().Add(time.Minute).UnixMilli()}
@@ -140,8 +140,8 @@
 		if status != 0 {
 			t.Fatalf("rejected: %d", status)
 		}
-		env.eventually("all have the change", func() bool { return count(result.Revision) == watchers })
-		for _, at := range got[result.Revision] {
+		env.eventually("all have the change", func() bool { return receivedCount(result.Revision) == watchers })
+		for _, at := range receivedAt[result.Revision] {
 			latencies = append(latencies, at.Sub(startedAt))
 		}
 	}
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -30,12 +30,15 @@
 }
 
 // watchFunc is the method Watch of a Hub or a PlacementFeed.
-type watchFunc func(ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, alive func() bool) error
+type watchFunc func(
+	ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, mayHeartbeat func() bool,
+) error
 
 // streamChanges writes the changes of a source to a watcher until ctx or the watcher ends, which is no error. While
-// nothing changes it writes a heartbeat, an empty line, as long as alive returns true.
+// nothing changes it writes a heartbeat, an empty line, as long as mayHeartbeat returns true.
 func streamChanges(
-	ctx context.Context, w http.ResponseWriter, request *http.Request, position cursor, alive func() bool, source changeSource,
+	ctx context.Context, w http.ResponseWriter, request *http.Request, position cursor, mayHeartbeat func() bool,
+	source changeSource,
 ) error {
 	w.Header().Set("Content-Type", "application/json")
 	controller := http.NewResponseController(w)
@@ -60,7 +63,7 @@
 			return nil
 		case <-batch.changed:
 		case <-heartbeat.C:
-			if alive() {
+			if mayHeartbeat() {
 				if err := writeLines(w, controller, [][]byte{{'\n'}}); err != nil {
 					return err
 				}
