--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -17,27 +17,28 @@
 )
 
 const (
-	maxBodyBytes      = 4 << 20 // the largest batch that may be registered is below it
+	maxBodyBytes      = 4 << 20 // more than the largest batch of registrations takes
 	maxHeaderBytes    = 16 << 10
 	readHeaderTimeout = 3 * time.Second
 	readBodyTimeout   = 5 * time.Second
 	idleTimeout       = 60 * time.Second
 	maxWatchers       = 20_000
-	// retryAfterSeconds is the Retry-After of answers without a leader: an election takes about so long.
+	// retryAfterSeconds is the Retry-After value of retryable errors. An election takes about as long.
 	retryAfterSeconds = "0.3"
 
-	// staleAfter is the age of the state above which a replica sends no heartbeats: it would not know of a change.
+	// staleAfter is the age of its state from which a replica sends no heartbeats to watchers: it would not learn of a
+	// change.
 	staleAfter = 3 * time.Second
 )
 
 const (
-	// AgeHeader is how old the replica's state may be, in ms.
+	// AgeHeader holds the maximum age of the replica's state in ms.
 	AgeHeader = "X-Registry-Age-Ms"
-	// FreshHeader is true if the replica leads and has verified that within maxFreshAge.
+	// FreshHeader is true if the replica is the leader and verified its leadership less than maxFreshAge ago.
 	FreshHeader = "X-Registry-Fresh"
 )
 
-// statusCode is the HTTP status that a write with the outcome is answered with.
+// statusCode returns the HTTP status of the response to a write with this outcome.
 func (o Outcome) statusCode() int {
 	switch o {
 	case OutcomeDone:
@@ -90,7 +91,7 @@
 	}
 }
 
-// writeJSON answers with a value as one line of JSON.
+// writeJSON writes a response with a value as one line of JSON.
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -99,28 +100,27 @@
 	}
 }
 
-// errorResponse is the body of an answer that is an error.
+// errorResponse is the body of an error response.
 type errorResponse struct {
 	Error string `json:"error"`
 }
 
-// writeError answers with an error as one line of JSON.
 func writeError(w http.ResponseWriter, status int, err error) {
 	writeJSON(w, status, errorResponse{err.Error()})
 }
 
-// writeRetryable answers with an error that the client may retry after retryAfterSeconds.
+// writeRetryable writes an error response that permits a retry after retryAfterSeconds.
 func writeRetryable(w http.ResponseWriter, err error) {
 	w.Header().Set("Retry-After", retryAfterSeconds)
 	writeError(w, http.StatusServiceUnavailable, err)
 }
 
-// writeNoLeader answers while there is no leader.
+// writeNoLeader writes the retryable error for a request that needs a leader when no leader is known or verified.
 func (r *Replica) writeNoLeader(w http.ResponseWriter) {
 	writeRetryable(w, errors.New("there is no leader"))
 }
 
-// leaderOnly serves a request at the leader, and redirects it there from other replicas.
+// leaderOnly serves requests on the leader. Other replicas redirect them to the leader.
 func (r *Replica) leaderOnly(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		if r.isLeader.Load() && r.raft.State() == raft.Leader {
@@ -141,7 +141,7 @@
 	w.WriteHeader(http.StatusTemporaryRedirect)
 }
 
-// queryUint reads a number of the query; it is 0 where the query does not have it.
+// queryUint parses a numeric query parameter. It returns 0 if the parameter is absent or empty.
 func queryUint(request *http.Request, name string) (uint64, error) {
 	text := request.URL.Query().Get(name)
 	if text == "" {
@@ -154,7 +154,8 @@
 	return number, nil
 }
 
-// readJSON decodes the body of a request. If it cannot, it answers with an error that names the field, and returns false.
+// readJSON decodes the JSON body of a request. On failure, it writes an error response and returns false. The response
+// names a field that has the wrong type.
 func readJSON(w http.ResponseWriter, request *http.Request, target any) bool {
 	data, err := readBody(w, request)
 	if err != nil {
@@ -177,7 +178,7 @@
 	return true
 }
 
-// readBody reads the body of a request, which has to arrive within readBodyTimeout.
+// readBody reads the body of a request within readBodyTimeout.
 func readBody(w http.ResponseWriter, request *http.Request) ([]byte, error) {
 	controller := http.NewResponseController(w)
 	if err := controller.SetReadDeadline(time.Now().Add(readBodyTimeout)); err != nil {
--- a/internal/registry/http_admin.go
+++ b/internal/registry/http_admin.go
@@ -9,22 +9,22 @@
 	"github.com/hashicorp/raft"
 )
 
-// RoleLeader is the role in the status of a leader, by raft's name.
+// RoleLeader is the role of the leader in Status, as raft names it.
 const RoleLeader = "Leader"
 
 // Status is the status of a replica.
 type Status struct {
 	HTTPAddr     string `json:"http"`
-	Role         string `json:"role"`   // as raft names it: RoleLeader, Follower, Candidate
-	Leader       string `json:"leader"` // HTTP address; "": none is known
+	Role         string `json:"role"`   // in raft's terms: RoleLeader, Follower, Candidate
+	Leader       string `json:"leader"` // HTTP address; "": no leader is known
 	Revision     uint64 `json:"rev"`
 	Epoch        uint64 `json:"epoch"`
 	Instances    int    `json:"instances"`
 	Suspects     int    `json:"suspects"` // instances whose expiry is held back
 	Watchers     int64  `json:"watchers"`
-	AgeMS        int64  `json:"age_ms"` // how old the state may be
+	AgeMS        int64  `json:"age_ms"` // maximum age of the state
 	AppliedIndex uint64 `json:"applied"`
-	Fresh        bool   `json:"fresh"` // it leads and has verified that within a second
+	Fresh        bool   `json:"fresh"` // the replica is the leader and verified this within the last second
 }
 
 func (r *Replica) status() Status {
@@ -48,12 +48,12 @@
 	writeJSON(w, http.StatusOK, r.status())
 }
 
-// readiness is the answer of a ready replica.
+// readiness is the response body of a ready replica.
 type readiness struct {
 	Ready bool `json:"ready"`
 }
 
-// serveReady answers whether the replica has caught up since it started and knows a leader, so that its reads are recent.
+// serveReady reports whether the replica has caught up since its start and knows a leader, so that its reads are recent.
 func (r *Replica) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !r.stateKnown.Load() || r.leaderAddr() == "" {
 		writeError(w, http.StatusServiceUnavailable, errors.New("no leader yet"))
@@ -103,7 +103,7 @@
 	r.writeMembershipResult(w, removed.Error())
 }
 
-// writeMembershipResult answers a change of the members: with the members, or with the error.
+// writeMembershipResult responds to a membership change with the members, or with the error.
 func (r *Replica) writeMembershipResult(w http.ResponseWriter, err error) {
 	if err != nil {
 		writeRetryable(w, err)
--- a/internal/registry/http_leases.go
+++ b/internal/registry/http_leases.go
@@ -11,7 +11,7 @@
 	"milldeck/internal/validation"
 )
 
-// LeaseRequest is the body of an operation on a lease; the kind of the operation and the lease's name are in the path.
+// LeaseRequest is the body of an operation on a lease. The path holds the lease's name and the kind of the operation.
 type LeaseRequest struct {
 	ID        string `json:"id"` // idempotency key
 	Candidate string `json:"who"`
@@ -21,7 +21,7 @@
 	Data      []byte `json:"data"` // checkpoint
 }
 
-// operation makes the operation of a request, or returns a *validation.Error.
+// operation returns the operation of a request, or a *validation.Error if the request is invalid.
 func (l *LeaseRequest) operation(kind leasetable.OperationKind, name string) (*leasetable.Operation, error) {
 	op := &leasetable.Operation{
 		Kind: kind, Name: name, Candidate: l.Candidate, Token: l.Token, TTLMS: l.TTLMS, Successor: l.Successor, Data: l.Data,
@@ -70,7 +70,7 @@
 	r.writeLease(w, op.Name)
 }
 
-// writeLease answers with a lease as it is.
+// writeLease responds with the current state of a lease.
 func (r *Replica) writeLease(w http.ResponseWriter, name string) {
 	var lease leasetable.Lease
 	var ok bool
@@ -89,19 +89,20 @@
 	}
 }
 
-// LeaseRenewal asks to renew a lease that the candidate holds under a token, or its place in the queue (token 0).
+// LeaseRenewal renews a lease that the candidate holds under a token or, with token 0, the candidate's place in the
+// lease's queue.
 type LeaseRenewal struct {
 	Name  string `json:"name"`
 	Token uint64 `json:"token"`
 }
 
-// renewLeasesRequest is the body of a call that renews leases.
+// renewLeasesRequest is the body of a request that renews leases of one candidate.
 type renewLeasesRequest struct {
 	Leases    []LeaseRenewal `json:"duties"`
 	Candidate string         `json:"who"`
 }
 
-// renewLeasesResponse is the answer: the leases that the candidate does not hold or wait for any more.
+// renewLeasesResponse lists the leases that the candidate neither holds nor waits for any more.
 type renewLeasesResponse struct {
 	Lost []string `json:"lost"`
 }
@@ -115,7 +116,7 @@
 		writeError(w, http.StatusBadRequest, validation.Errorf("duties", "%d entries of %q", len(body.Leases), body.Candidate))
 		return
 	}
-	// The leadership is verified after the call has arrived: a leader that was replaced meanwhile must grant nothing.
+	// Verify the leadership after the request has arrived: a leader that was replaced in the meantime must renew nothing.
 	ctx, cancel := context.WithTimeout(request.Context(), applyTimeout)
 	defer cancel()
 	if r.awaitReadIndex(ctx) != nil {
@@ -133,7 +134,7 @@
 	writeJSON(w, http.StatusOK, renewLeasesResponse{lost})
 }
 
-// serveLeases lists all leases, or streams the changes of one of them.
+// serveLeases lists all leases or, with the query parameter watch, streams the changes of one lease.
 func (r *Replica) serveLeases(w http.ResponseWriter, request *http.Request) {
 	if name := request.URL.Query().Get("watch"); name != "" {
 		r.serveLeaseWatch(w, request, name)
@@ -148,8 +149,8 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-// serveLeaseWatch writes a line with a lease as it is and after each change, and a heartbeat (an empty line) every
-// heartbeatInterval, until the client or the replica ends.
+// serveLeaseWatch writes a line with the current state of a lease, another after each change, and a heartbeat (an empty
+// line) every heartbeatInterval, until the client disconnects or the replica shuts down.
 func (r *Replica) serveLeaseWatch(w http.ResponseWriter, request *http.Request, name string) {
 	if !r.admitWatcher(w) {
 		return
@@ -163,7 +164,7 @@
 		lease, changed := r.hub.Lease(name)
 		if lease.Revision > sentRevision || first {
 			sentRevision = lease.Revision
-			lease.Name = name // of one that does not exist, too
+			lease.Name = name // a lease that does not exist has no name
 			line, err := jsonLine(lease)
 			if err != nil || writeLines(w, controller, [][]byte{line}) != nil {
 				return
@@ -183,7 +184,7 @@
 	}
 }
 
-// jsonLine encodes a value as a line of a watch.
+// jsonLine encodes a value as one line of a watch.
 func jsonLine(value any) ([]byte, error) {
 	data, err := json.Marshal(value)
 	if err != nil {
--- a/internal/registry/http_ledger.go
+++ b/internal/registry/http_ledger.go
@@ -7,14 +7,14 @@
 	"milldeck/internal/disruption"
 )
 
-// LedgerRequest is the body of an operation on the disruption ledger; the kind of the operation is in the path.
+// LedgerRequest is the body of an operation on the disruption ledger. The path holds the kind of the operation.
 type LedgerRequest struct {
 	ID    string `json:"id"` // idempotency key
 	Guard *Guard `json:"guard,omitempty"`
 	disruption.Op
 }
 
-// LedgerResult is the answer to an operation, with the permit that it concerns as it is afterwards.
+// LedgerResult is the response to an operation. Permit is the permit of the operation, as it is after the operation.
 type LedgerResult struct {
 	Result
 	Permit *disruption.Permit `json:"permit,omitempty"`
--- a/internal/registry/http_maintenance.go
+++ b/internal/registry/http_maintenance.go
@@ -9,10 +9,11 @@
 	"milldeck/internal/validation"
 )
 
-// leaderClockUncertaintyMS is the assumed error of the leader's wall clock. Synchronised clocks are within a tenth of it.
+// leaderClockUncertaintyMS is the assumed error of the leader's wall clock. The error of synchronised clocks is less than
+// a tenth of it.
 const leaderClockUncertaintyMS = 250
 
-// WindowsView is contracts and maintenance windows, with what their controller needs of the rest of the state at the
+// WindowsView holds the contracts and maintenance windows, and the other state that their controller reads, all at the
 // same revision.
 type WindowsView struct {
 	Revision     uint64                              `json:"rev"`
@@ -23,7 +24,7 @@
 	LiveSidecars []string                            `json:"sidecars"`
 }
 
-// View is the form that the controller reads.
+// View converts v to the form that the controller reads.
 func (v *WindowsView) View() *maintenance.View {
 	return &maintenance.View{
 		Revision: v.Revision, Table: maintenance.Restore(v.Table),
@@ -51,12 +52,12 @@
 type WindowRequest struct {
 	ID            string                `json:"id"` // idempotency key
 	Guard         *Guard                `json:"guard,omitempty"`
-	WriterTimeMS  int64                 `json:"at_ms,omitempty"`          // the writer's clock, Unix ms; 0: not compared
-	UncertaintyMS int64                 `json:"uncertainty_ms,omitempty"` // of the writer's clock
+	WriterTimeMS  int64                 `json:"at_ms,omitempty"`          // Unix ms by the writer's clock; 0: use the leader's
+	UncertaintyMS int64                 `json:"uncertainty_ms,omitempty"` // error bound of the writer's clock
 	Op            maintenance.Operation `json:"op"`
 }
 
-// validate returns an error that names the first invalid field, and sets the operation's token from the guard.
+// validate sets the operation's token from the guard, and returns an error that names the first invalid field.
 func (q *WindowRequest) validate() error {
 	if err := checkWriteID(q.ID); err != nil {
 		return err
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// timestamp is the time of a request that arrives at a time of the leader's clock, Unix ms.
+// timestamp returns the timestamp of a request that the leader receives at nowMS, Unix ms by its own clock.
 func (q *WindowRequest) timestamp(nowMS int64) *maintenance.Timestamp {
 	timestamp := &maintenance.Timestamp{
 		ControllerMS: q.WriterTimeMS, UncertaintyMS: q.UncertaintyMS,
--- a/internal/registry/http_placement.go
+++ b/internal/registry/http_placement.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// expiredDirectiveRetention is how long after its end the leader removes a directive. Readers have ended it by then.
+	// expiredDirectiveRetention is how long the leader keeps a directive after its expiry. By then, readers have stopped
+	// applying the directive.
 	expiredDirectiveRetention = 2 * time.Second
-	// placementSweepInterval is the time between two removals of expired directives, maxSweptDirectives the most of one.
+	// The leader removes expired directives every placementSweepInterval, at most maxSweptDirectives at once.
 	placementSweepInterval = time.Second
 	maxSweptDirectives     = 1000
 )
 
-// servePlacement answers with the placement, or streams its changes.
+// servePlacement responds with the complete placement or, with the query parameter watch, streams its changes.
 func (r *Replica) servePlacement(w http.ResponseWriter, request *http.Request) {
 	if request.URL.Query().Get("watch") != "" {
 		r.serveWatchOf(w, request, r.hub.placementFeed.Watch)
@@ -31,17 +32,17 @@
 	}
 }
 
-// PlacementRequest is the body of a write of the placement.
+// PlacementRequest is the body of a write to the placement.
 type PlacementRequest struct {
 	ID           string                `json:"id"`    // idempotency key
 	Guard        *Guard                `json:"guard"` // lease of the directives' owner; required
-	WriterTimeMS int64                 `json:"at_ms"` // the writer's clock, Unix ms; 0: it is not compared with the leader's
+	WriterTimeMS int64                 `json:"at_ms"` // Unix ms by the writer's clock; 0: not compared with the leader's clock
 	Set          []placement.Directive `json:"set,omitempty"`
-	Remove       []string              `json:"drop,omitempty"` // ids
+	Remove       []string              `json:"drop,omitempty"` // ids of directives
 }
 
-// operation makes the operation of a request that arrives at a time of the leader's clock (Unix ms), or returns an error
-// that names the first invalid field.
+// operation returns the operation of a request that the leader receives at leaderTimeMS (Unix ms), or an error that names
+// the first invalid field.
 func (q *PlacementRequest) operation(leaderTimeMS int64) (*placement.Op, error) {
 	if err := checkWriteID(q.ID); err != nil {
 		return nil, err
@@ -69,7 +70,8 @@
 	r.proposeAndRespond(w, &Record{Op: OpPlacement, ID: body.ID, Guard: body.Guard, Placement: op}, nil)
 }
 
-// removeExpiredPlacement removes directives that have expired a while ago. Only the leader loop calls it.
+// removeExpiredPlacement removes directives that expired at least expiredDirectiveRetention ago. Only the leader loop
+// calls it.
 func (r *Replica) removeExpiredPlacement() {
 	now := time.Now()
 	if now.Sub(r.placementSweptAt) < placementSweepInterval {
@@ -85,7 +87,7 @@
 	}
 	op := &placement.Op{LeaderTimeMS: now.UnixMilli(), Expired: expired}
 	if _, err := r.propose(&Record{Op: OpPlacement, Placement: op}); err != nil {
-		return // the next sweep finds them again, of this leader or the next
+		return // the next sweep, by this leader or the next, retries the removal
 	}
 	r.logger.Info("expired placement directives removed", "directives", len(expired), "first", expired[0].ID)
 }
--- a/internal/registry/http_read.go
+++ b/internal/registry/http_read.go
@@ -8,15 +8,15 @@
 	"strconv"
 )
 
-// setFreshnessHeaders sets AgeHeader and FreshHeader.
 func (r *Replica) setFreshnessHeaders(w http.ResponseWriter) {
 	age := r.listAge()
 	w.Header().Set(AgeHeader, strconv.FormatInt(age.Milliseconds(), 10))
 	w.Header().Set(FreshHeader, strconv.FormatBool(r.isLeader.Load() && age < maxFreshAge))
 }
 
-// ensureFresh waits, for a request for a linearizable read, until this leader may answer it. It returns false if it has
-// answered the request itself: with an error, or with a redirect to the leader.
+// ensureFresh waits until this replica may serve a request. Requests with the query parameter fresh are linearizable reads,
+// which only a leader with verified leadership serves. If ensureFresh returns false, it has already responded with an error
+// or a redirect to the leader.
 func (r *Replica) ensureFresh(w http.ResponseWriter, request *http.Request) bool {
 	if request.URL.Query().Get("fresh") == "" {
 		return true
@@ -34,7 +34,8 @@
 	return true
 }
 
-// verifyFreshness waits until this leader may answer a linearizable read, and records since when that holds.
+// verifyFreshness waits until this leader may serve a linearizable read, and records the start of the wait as the time
+// at which the leadership was verified.
 func (r *Replica) verifyFreshness(ctx context.Context) error {
 	startedAt := r.uptime()
 	if err := r.awaitReadIndex(ctx); err != nil {
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// serveList answers with the endpoint list, or streams its changes.
+// serveList responds with the complete endpoint list or, with the query parameter watch, streams its changes.
 func (r *Replica) serveList(w http.ResponseWriter, request *http.Request) {
 	if request.URL.Query().Get("watch") != "" {
 		r.serveWatchOf(w, request, r.hub.Watch)
@@ -59,7 +60,7 @@
 	}
 }
 
-// admitWatcher counts a watcher, or answers that there are too many.
+// admitWatcher counts a new watcher. If there are already maxWatchers, it writes an error response and returns false.
 func (r *Replica) admitWatcher(w http.ResponseWriter) bool {
 	if r.watchers.Add(1) <= maxWatchers {
 		return true
@@ -69,7 +70,7 @@
 	return false
 }
 
-// serveWatchOf streams the changes after the revision and epoch of the query.
+// serveWatchOf streams the changes after the revision and epoch in the query.
 func (r *Replica) serveWatchOf(w http.ResponseWriter, request *http.Request, stream watchFunc) {
 	after, err := queryUint(request, "after")
 	if err != nil {
@@ -86,14 +87,14 @@
 	}
 	defer r.watchers.Add(-1)
 	r.setFreshnessHeaders(w)
-	// A replica without a leader sends no heartbeats, as it would not know of a change: its watchers move on.
+	// A replica without a leader sends no heartbeats, because it would not learn of a change. Its watchers time out and
+	// switch to another replica.
 	mayHeartbeat := func() bool { return r.listAge() < staleAfter }
 	if err := stream(r.ctx, w, request, after, epoch, mayHeartbeat); err != nil {
 		r.logger.Debug("watch failed", "error", err)
 	}
 }
 
-// serveGet answers with one instance.
 func (r *Replica) serveGet(w http.ResponseWriter, request *http.Request) {
 	if !r.ensureFresh(w, request) {
 		return
--- a/internal/registry/http_release.go
+++ b/internal/registry/http_release.go
@@ -9,14 +9,14 @@
 	"milldeck/internal/validation"
 )
 
-// ReleaseView is a release as the log has it, with the commands of operators, oldest first.
+// ReleaseView is the replicated state of a release, with the commands of operators, oldest first.
 type ReleaseView struct {
 	*release.State
 	Commands []release.Command `json:"told,omitempty"`
 }
 
-// viewRelease copies a release, so that the copy may be used after the state has changed; State is nil where there is no
-// such release. Brief omits its units and plan.
+// viewRelease returns a copy of a release that stays valid when the state changes. The copy's State is nil if the release
+// does not exist. Brief omits the units and the plan.
 func viewRelease(state *StateMachine, name string, brief bool) ReleaseView {
 	stored, commands := state.releases.Get(name)
 	if stored == nil {
@@ -30,7 +30,7 @@
 	return ReleaseView{&copied, slices.Clone(commands)}
 }
 
-// serveReleases answers with all releases, without their units and plans.
+// serveReleases lists all releases, without their units and plans.
 func (r *Replica) serveReleases(w http.ResponseWriter, request *http.Request) {
 	if !r.ensureFresh(w, request) {
 		return
@@ -45,7 +45,6 @@
 	writeJSON(w, http.StatusOK, views)
 }
 
-// serveRelease answers with one release.
 func (r *Replica) serveRelease(w http.ResponseWriter, request *http.Request) {
 	if !r.ensureFresh(w, request) {
 		return
@@ -68,7 +67,7 @@
 	Op    release.Operation `json:"op"`
 }
 
-// validate returns a *validation.Error for the first invalid field. Name is that of the path.
+// validate returns a *validation.Error for the first invalid field. Name is the release in the path.
 func (q *ReleaseRequest) validate(name string) error {
 	if err := checkWriteID(q.ID); err != nil {
 		return err
--- a/internal/registry/http_sidecars.go
+++ b/internal/registry/http_sidecars.go
@@ -11,10 +11,11 @@
 	"milldeck/internal/validation"
 )
 
-// SidecarRequest is the body of a call that registers sidecars, renews the leases of known ones, and deregisters others.
+// SidecarRequest is the body of a request that registers new sidecars, renews the leases of registered ones, and
+// deregisters others.
 type SidecarRequest struct {
 	ID           string    `json:"id"`     // idempotency key
-	TTLMS        int64     `json:"ttl_ms"` // of all sidecars of the request
+	TTLMS        int64     `json:"ttl_ms"` // for all sidecars of the request
 	Sidecars     []Sidecar `json:"sidecars"`
 	Deregistered []string  `json:"gone,omitempty"` // names
 }
@@ -36,7 +37,7 @@
 	return nil
 }
 
-// names are the names of the sidecars that the request registers or renews.
+// names returns the names of the sidecars that the request registers or renews.
 func (s *SidecarRequest) names() []string {
 	names := make([]string, 0, len(s.Sidecars))
 	for i := range s.Sidecars {
@@ -45,7 +46,8 @@
 	return names
 }
 
-// record makes the record of what a request changes in the state; mere renewals are not part of it.
+// record returns the log record of the changes that a request makes to the state. Renewals change no state, so the record
+// does not contain them.
 func (s *SidecarRequest) record(state *StateMachine) *Record {
 	record := &Record{Op: OpSidecars, ID: s.ID}
 	for i := range s.Sidecars {
@@ -73,7 +75,7 @@
 		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	// A leader that was paused must not grant leases that its successor does not know.
+	// A leader that was paused may have been replaced. It must not grant leases that its successor does not know of.
 	if r.listAge() > maxFreshAge {
 		r.writeNoLeader(w)
 		return
@@ -85,7 +87,7 @@
 		r.sidecarRegistrations.renew(time.Now(), sidecarSource{state}, names)
 	})
 	r.sidecarRegistrations.recordRevisions(body.Sidecars, body.Deregistered)
-	if len(record.Sidecars)+len(record.Refs) == 0 { // mere renewals are not written to the log
+	if len(record.Sidecars)+len(record.Refs) == 0 { // renewals alone are not written to the log
 		writeJSON(w, http.StatusOK, Result{Outcome: OutcomeDone})
 		return
 	}
@@ -102,7 +104,7 @@
 	writeJSON(w, http.StatusOK, result)
 }
 
-// serveListSidecars lists the sidecars by name, with the revisions that each last reported.
+// serveListSidecars lists the sidecars, sorted by name, with the revisions that each sidecar reported last.
 func (r *Replica) serveListSidecars(w http.ResponseWriter, _ *http.Request) {
 	sidecars := []Sidecar{}
 	r.hub.Read(func(state *StateMachine) {
--- a/internal/registry/http_write.go
+++ b/internal/registry/http_write.go
@@ -9,7 +9,8 @@
 	"milldeck/internal/validation"
 )
 
-// proposeAndRespond proposes a record and answers with its result. UIDs are the instances that the record concerns.
+// proposeAndRespond proposes a record and responds with its result. The uids are those of the instances that the record
+// concerns.
 func (r *Replica) proposeAndRespond(w http.ResponseWriter, record *Record, uids []string) {
 	result, err := r.propose(record)
 	switch {
@@ -24,7 +25,7 @@
 	writeJSON(w, result.Outcome.statusCode(), result)
 }
 
-// checkWriteID checks the idempotency key of a write.
+// checkWriteID validates the idempotency key of a write.
 func checkWriteID(id string) error {
 	if len(id) > maxNameLength {
 		return validation.Errorf("id", "over %d characters", maxNameLength)
@@ -32,7 +33,7 @@
 	return nil
 }
 
-// registerRequest is the body of a call that registers instances.
+// registerRequest is the body of a request that registers instances.
 type registerRequest struct {
 	Guard      *Guard     `json:"guard,omitempty"`
 	ID         string     `json:"id"` // idempotency key
@@ -40,7 +41,8 @@
 	Instances  []Instance `json:"targets"`
 }
 
-// toRecord validates a request, with defaults for what it omits, and returns its record and the uids that it concerns.
+// toRecord sets the defaults of omitted fields, validates the request, and returns its log record and the uids of its
+// instances.
 func (q *registerRequest) toRecord() (*Record, []string, error) {
 	if err := checkWriteID(q.ID); err != nil {
 		return nil, nil, err
@@ -92,16 +94,16 @@
 	r.proposeAndRespond(w, &Record{Op: OpDeregister, ID: id, Refs: []InstanceRef{{uid, revision}}}, []string{uid})
 }
 
-// setStateRequest is the body of a call that sets the state of an instance.
+// setStateRequest is the body of a request that sets the state of an instance.
 type setStateRequest struct {
 	Guard      *Guard  `json:"guard,omitempty"`
 	ID         string  `json:"id"`               // idempotency key
-	IfRevision *uint64 `json:"if_rev,omitempty"` // absent or 0: any
+	IfRevision *uint64 `json:"if_rev,omitempty"` // required revision of the instance; absent or 0: any
 	State      string  `json:"state"`
 	UID        string  `json:"uid"`
 }
 
-// toRecord validates a request and returns its record.
+// toRecord validates the request and returns its log record.
 func (q *setStateRequest) toRecord() (*Record, error) {
 	if err := checkWriteID(q.ID); err != nil {
 		return nil, err
@@ -132,15 +134,15 @@
 	r.proposeAndRespond(w, record, []string{body.UID})
 }
 
-// renewRequest is the body of the heartbeat of instances.
+// renewRequest is the body of a heartbeat, which renews the leases of instances.
 type renewRequest struct {
 	UIDs []string `json:"uids"`
 }
 
-// InstanceRenewal is the answer to a heartbeat.
+// InstanceRenewal is the response to a heartbeat of instances.
 type InstanceRenewal struct {
 	Renewed int      `json:"renewed"`
-	Unknown []string `json:"unknown"` // not registered: they have to register again
+	Unknown []string `json:"unknown"` // not registered: they have to be registered again
 }
 
 func (r *Replica) serveRenew(w http.ResponseWriter, request *http.Request) {
@@ -152,7 +154,7 @@
 		writeError(w, http.StatusBadRequest, validation.Errorf("uids", "%d entries, wanted 1 to %d", len(body.UIDs), maxBatchSize))
 		return
 	}
-	// A leader that was paused must not grant leases that its successor does not know.
+	// A leader that was paused may have been replaced. It must not grant leases that its successor does not know of.
 	if r.listAge() > maxFreshAge {
 		r.writeNoLeader(w)
 		return
@@ -168,7 +170,7 @@
 	writeJSON(w, http.StatusOK, InstanceRenewal{len(body.UIDs) - len(unknown), append([]string{}, unknown...)})
 }
 
-// clearSuspicion clears the suspicion of instances that have proved alive.
+// clearSuspicion clears the suspect mark of instances that have sent a heartbeat.
 func (r *Replica) clearSuspicion(uids []string) error {
 	refs := make([]InstanceRef, 0, len(uids))
 	for _, uid := range uids {
@@ -179,7 +181,7 @@
 	return err
 }
 
-// suspectsRequest is the body of an operator's decision on suspects: they are expired, or cleared.
+// suspectsRequest is the body of an operator's decision on all suspects: to expire them, or to clear them.
 type suspectsRequest struct {
 	Expire bool `json:"expire"`
 }
