--- a/internal/registry/broadcaster.go
+++ b/internal/registry/broadcaster.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// broadcastDelay is the least time between two wake-ups of watchers. Changes that are closer together go out in one
-// write, which saves thousands of watchers a wake-up for each.
+// broadcastDelay is the minimum time between two broadcasts. Changes that are closer together are written at once, which
+// saves thousands of watchers a wake-up for each change.
 const broadcastDelay = 20 * time.Millisecond
 
-// broadcaster wakes all who wait for its channel. The lock of the struct that contains it guards it.
+// broadcaster wakes all goroutines that wait for its channel. The lock of the struct that contains the broadcaster guards
+// it.
 type broadcaster struct {
-	changed chan struct{} // closed, and replaced, by each broadcast
+	changed chan struct{} // closed and replaced by each broadcast
 	pending bool
 }
 
 func newBroadcaster() broadcaster { return broadcaster{changed: make(chan struct{})} }
 
-// schedule broadcasts after broadcastDelay, unless a broadcast is pending. It calls before, if that is not nil, just
-// before the broadcast. Lock is the lock that guards the broadcaster: the caller holds it, and before is called under it.
+// schedule broadcasts after broadcastDelay, unless a broadcast is pending. Lock guards the broadcaster, and the caller of
+// schedule holds it. If before is not nil, it is called with lock held, just before the broadcast.
 func (b *broadcaster) schedule(lock sync.Locker, before func()) {
 	if b.pending {
 		return
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -20,17 +20,18 @@
 )
 
 const (
-	attemptTimeout   = 4 * time.Second // of one attempt; a replica answers or gives up within 3 s
+	attemptTimeout   = 4 * time.Second // of one attempt; a replica responds or gives up within 3 s
 	initialBackoff   = 50 * time.Millisecond
-	maxBackoff       = 250 * time.Millisecond // an election takes about a second: with longer backoffs a call would outlast it
-	maxAttempts      = 100                    // of one call; its context usually ends sooner
+	maxBackoff       = 250 * time.Millisecond // an election takes about a second; longer backoffs would prolong calls beyond it
+	maxAttempts      = 100                    // of one call; the call's context usually ends sooner
 	maxResponseBytes = 64 << 20
 
 	maxIdleConnsPerReplica = 16
 	idleConnTimeout        = 30 * time.Second
 )
 
-// StatusError is an answer with an HTTP status other than 200, which another replica would give as well.
+// StatusError is a response with an HTTP status other than 200. Unless the status is 503 Service Unavailable, other replicas
+// would give the same response.
 type StatusError struct {
 	StatusCode int
 	Message    string
@@ -38,15 +39,16 @@
 
 func (e *StatusError) Error() string { return fmt.Sprintf("%d: %s", e.StatusCode, e.Message) }
 
-// Client calls a cluster: one replica, and the next when that fails. It is safe for concurrent use.
+// Client sends its calls to one replica of a cluster, and fails over to the next replica when that one fails. It is safe
+// for concurrent use.
 type Client struct {
 	replicas   []string
 	httpClient *http.Client
-	failovers  atomic.Int64 // counts replicas that have failed: its remainder is the index of the one in use
+	failovers  atomic.Int64 // starts at random; modulo len(replicas), it is the index of the replica in use
 	logger     *slog.Logger
 }
 
-// NewClient makes a client of the replicas at these HTTP addresses (IP address and port, loopback).
+// NewClient returns a client of the replicas at these HTTP addresses (loopback IP address and port).
 func NewClient(replicas []string) (*Client, error) {
 	if len(replicas) == 0 {
 		return nil, errors.New("no replicas")
@@ -71,23 +73,23 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
-// Replicas are the addresses that the client was made with.
+// Replicas returns the HTTP addresses of the replicas.
 func (c *Client) Replicas() []string { return c.replicas }
 
-// NewID draws an idempotency key for a write.
+// NewID returns a random idempotency key for a write.
 func NewID() string { return rand.Text() }
 
-// replica is the address in use, and the value of failovers that goes with it.
+// replica returns the address of the replica in use, and the value of c.failovers that selects it.
 func (c *Client) replica() (address string, failovers int64) {
 	failovers = c.failovers.Load()
 	return c.replicas[int(failovers)%len(c.replicas)], failovers
 }
 
-// nextReplica moves on from the replica that failovers stands for, unless another call has done so.
+// nextReplica fails over from the replica that failovers selects, unless another call has already done so.
 func (c *Client) nextReplica(failovers int64) { c.failovers.CompareAndSwap(failovers, failovers+1) }
 
-// call retries a call, at one replica after the other, until one answers other than 503 Service Unavailable. Every call
-// may be repeated: writes carry an idempotency key.
+// call attempts a call at one replica after another, until a replica responds with a status other than 503 Service
+// Unavailable. Every call may be repeated, because writes carry an idempotency key.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, response any) error {
 	backoff := initialBackoff
 	var lastErr error
@@ -112,14 +114,14 @@
 	return fmt.Errorf("no replica answers: %w", lastErr)
 }
 
-// isPermanent reports whether an error is an answer that another replica would give as well.
+// isPermanent reports whether an error is a response that another replica would give as well.
 func isPermanent(err error) bool {
 	var statusErr *StatusError
 	return errors.As(err, &statusErr) && statusErr.StatusCode != http.StatusServiceUnavailable
 }
 
-// attempt makes one attempt of a call. Response is what the JSON of the answer is decoded into, a *[]byte for the answer
-// as it is, or nil.
+// attempt makes one attempt of a call. It decodes the JSON body into response, stores the undecoded body if response is a
+// *[]byte, and discards it if response is nil.
 func (c *Client) attempt(ctx context.Context, method, requestURL string, body []byte, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -150,8 +152,8 @@
 	}
 }
 
-// newStatusError makes an error of an answer, which has either the text of an error or, as the result of a write that was
-// not applied, a reason.
+// newStatusError returns the error for a response. The body has either an error text or, if it is the result of a write
+// that was not applied, a reason.
 func newStatusError(statusCode int, data []byte) *StatusError {
 	var failure struct {
 		Error  string `json:"error"`
@@ -163,14 +165,14 @@
 	return &StatusError{statusCode, failure.Error + failure.Reason}
 }
 
-// get makes a GET call and decodes its answer.
+// get makes a GET call and decodes the response.
 func get[T any](ctx context.Context, client *Client, path string) (T, error) {
 	var response T
 	err := client.call(ctx, http.MethodGet, path, nil, &response)
 	return response, err
 }
 
-// post makes a POST call with a JSON body and decodes its answer.
+// post makes a POST call with a JSON body and decodes the response.
 func post[T any](ctx context.Context, client *Client, path string, request any) (T, error) {
 	var response T
 	body, err := json.Marshal(request)
@@ -181,14 +183,14 @@
 	return response, err
 }
 
-// remove makes a DELETE call and decodes its answer.
+// remove makes a DELETE call and decodes the response.
 func remove[T any](ctx context.Context, client *Client, path string) (T, error) {
 	var response T
 	err := client.call(ctx, http.MethodDelete, path, nil, &response)
 	return response, err
 }
 
-// withFresh adds the query that asks for a linearizable read.
+// withFresh adds the query parameter that requests a linearizable read.
 func withFresh(path string, fresh bool) string {
 	if fresh {
 		return path + "?fresh=1"
@@ -198,9 +200,11 @@
 
 // WriteOptions are the options of a write.
 type WriteOptions struct {
-	ID         string  // idempotency key; "": one is drawn
-	IfRevision *uint64 // revision that the entry must have; 0: it must not exist; nil: any
-	Guard      *Guard  // lease whose token must be valid; nil: none
+	ID string // idempotency key; "": a random one
+	// IfRevision is the revision that the instance must have; nil: any. With 0, Register requires that the instance does
+	// not exist, and other writes accept any revision.
+	IfRevision *uint64
+	Guard      *Guard // lease whose token must be valid; nil: none
 }
 
 func (w *WriteOptions) ensureID() string {
@@ -217,7 +221,7 @@
 	})
 }
 
-// RenewInstances sends the heartbeat of instances: it renews their leases. The unknown ones have to be registered again.
+// RenewInstances sends a heartbeat, which renews the leases of instances. Unknown instances have to be registered again.
 func (c *Client) RenewInstances(ctx context.Context, uids []string) (InstanceRenewal, error) {
 	return post[InstanceRenewal](ctx, c, "/registry/renew", renewRequest{uids})
 }
@@ -238,17 +242,17 @@
 	return remove[Result](ctx, c, "/registry/instances/"+url.PathEscape(uid)+"?"+query.Encode())
 }
 
-// Get reads one instance. Fresh makes it a linearizable read, at the leader.
+// Get reads one instance. Fresh requests a linearizable read from the leader.
 func (c *Client) Get(ctx context.Context, uid string, fresh bool) (Instance, error) {
 	return get[Instance](ctx, c, withFresh("/registry/instances/"+url.PathEscape(uid), fresh))
 }
 
-// List reads the endpoint list. Fresh makes it a linearizable read, at the leader.
+// List reads the endpoint list. Fresh requests a linearizable read from the leader.
 func (c *Client) List(ctx context.Context, fresh bool) (EndpointList, error) {
 	return get[EndpointList](ctx, c, withFresh("/registry/instances", fresh))
 }
 
-// ResolveSuspects expires the instances whose expiry is held back, or clears them: they count as alive.
+// ResolveSuspects expires all suspects (instances whose expiry is held back), or clears them, so that they count as alive.
 func (c *Client) ResolveSuspects(ctx context.Context, expire bool) (Result, error) {
 	return post[Result](ctx, c, "/registry/suspects", suspectsRequest{expire})
 }
--- a/internal/registry/client_admin.go
+++ b/internal/registry/client_admin.go
@@ -12,7 +12,7 @@
 	return get[[]Member](ctx, c, "/registry/members")
 }
 
-// AddMember adds a replica to the cluster. It has to run, with an empty data directory.
+// AddMember adds a replica to the cluster. The replica has to be running, with an empty data directory.
 func (c *Client) AddMember(ctx context.Context, member Member) ([]Member, error) {
 	return post[[]Member](ctx, c, "/registry/members", member)
 }
@@ -22,7 +22,7 @@
 	return remove[[]Member](ctx, c, "/registry/members?"+url.Values{"http": {httpAddr}}.Encode())
 }
 
-// SaveSnapshot reads the leader's state as a snapshot, and verifies it.
+// SaveSnapshot reads the leader's state as a snapshot, and verifies the snapshot.
 func (c *Client) SaveSnapshot(ctx context.Context) ([]byte, error) {
 	var data []byte
 	if err := c.call(ctx, http.MethodGet, "/registry/snapshot?fresh=1", nil, &data); err != nil {
@@ -32,7 +32,7 @@
 	return data, err
 }
 
-// RestoreSnapshot replaces the cluster's state by a snapshot, under a new epoch.
+// RestoreSnapshot replaces the cluster's state with a snapshot, under a new epoch.
 func (c *Client) RestoreSnapshot(ctx context.Context, data []byte) (Result, error) {
 	var result Result
 	err := c.call(ctx, http.MethodPost, "/registry/snapshot", data, &result)
--- a/internal/registry/client_controllers.go
+++ b/internal/registry/client_controllers.go
@@ -10,9 +10,10 @@
 	"milldeck/internal/release"
 )
 
-// SetPlacement sets directives and removes those with the ids given, all or none, under a guard that has to be the lease
-// of their owner. WriterTimeMS is the writer's clock (Unix ms), by which it chose the end of the directives: the write is
-// rejected if that differs from the leader's by more than 5 s. The result's revision is that of the placement.
+// SetPlacement sets directives and removes those with the given ids, all or none. The guard has to be the lease of the
+// directives' owner. WriterTimeMS is the time (Unix ms) by the writer's clock, on which the expiry of the directives is
+// based: the leader rejects the write if its own clock differs by more than 5 s. The result's revision is that of the
+// placement.
 func (c *Client) SetPlacement(
 	ctx context.Context, options WriteOptions, writerTimeMS int64, set []placement.Directive, remove ...string,
 ) (Result, error) {
@@ -21,17 +22,17 @@
 	})
 }
 
-// RemovePlacement removes directives; one that does not exist counts as removed.
+// RemovePlacement removes directives. A directive that does not exist counts as removed.
 func (c *Client) RemovePlacement(ctx context.Context, options WriteOptions, ids ...string) (Result, error) {
 	return c.SetPlacement(ctx, options, 0, nil, ids...)
 }
 
-// PlacementView reads the complete placement. Fresh makes it a linearizable read, at the leader.
+// PlacementView reads the complete placement. Fresh requests a linearizable read from the leader.
 func (c *Client) PlacementView(ctx context.Context, fresh bool) (placement.Update, error) {
 	return get[placement.Update](ctx, c, withFresh("/registry/placement", fresh))
 }
 
-// WriteRelease applies an operation to a release. A step of its controller needs the guard of the release's lease.
+// WriteRelease applies an operation to a release. A step of the release controller requires the release's lease as guard.
 func (c *Client) WriteRelease(ctx context.Context, options WriteOptions, name string, op release.Operation) (Result, error) {
 	if op.Start == nil {
 		op.Name = name
@@ -39,7 +40,7 @@
 	return post[Result](ctx, c, "/releases/"+url.PathEscape(name), ReleaseRequest{options.ensureID(), options.Guard, op})
 }
 
-// Release reads a release. Brief omits its units and plan; fresh makes it a linearizable read.
+// Release reads a release. Brief omits the units and the plan; fresh requests a linearizable read from the leader.
 func (c *Client) Release(ctx context.Context, name string, brief, fresh bool) (ReleaseView, error) {
 	query := url.Values{}
 	if brief {
@@ -56,7 +57,8 @@
 	return get[[]ReleaseView](ctx, c, "/releases")
 }
 
-// Windows reads contracts and maintenance windows, and what their controller needs. Fresh makes it a linearizable read.
+// Windows reads the contracts and maintenance windows, and the other state that their controller reads. Fresh requests a
+// linearizable read from the leader.
 func (c *Client) Windows(ctx context.Context, fresh bool) (*WindowsView, error) {
 	view, err := get[WindowsView](ctx, c, withFresh("/windows", fresh))
 	if err != nil {
@@ -65,8 +67,8 @@
 	return &view, nil
 }
 
-// WriteWindow applies an operation to contracts and maintenance windows. A step of the controller needs the guard of its
-// lease and its time; an operation of an operator has the zero Timestamp.
+// WriteWindow applies an operation to contracts and maintenance windows. A step of the controller requires the controller's
+// lease as guard, and its time; an operation of an operator has the zero Timestamp.
 func (c *Client) WriteWindow(
 	ctx context.Context, options WriteOptions, at maintenance.Timestamp, op maintenance.Operation,
 ) (Result, error) {
--- a/internal/registry/client_leases.go
+++ b/internal/registry/client_leases.go
@@ -11,7 +11,7 @@
 	"milldeck/internal/leaderelection/leasetable"
 )
 
-// UpdateLease applies an operation to a lease of leader election and returns the lease as it is afterwards.
+// UpdateLease applies an operation to a leader election lease, and returns the lease as it is after the operation.
 func (c *Client) UpdateLease(
 	ctx context.Context, kind leasetable.OperationKind, name string, request LeaseRequest,
 ) (leasetable.Lease, error) {
@@ -37,8 +37,8 @@
 	return response.Lost, err
 }
 
-// WatchLease calls notify with a lease as it is and after each change, at one replica after the other, until ctx ends. A
-// state that is older than an earlier one is skipped.
+// WatchLease calls notify with the current state of a lease, and again after each change, until ctx ends. When the watch of
+// a replica fails, WatchLease continues at the next replica. It skips states that are not newer than the last one.
 func (c *Client) WatchLease(ctx context.Context, name string, notify func(leasetable.Lease)) error {
 	newestRevision, started := uint64(0), false
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// watchLeaseAt watches a lease at one replica, until ctx or the watch ends, which is always an error.
+// watchLeaseAt watches a lease at one replica until ctx or the watch ends. It always returns an error.
 func (c *Client) watchLeaseAt(ctx context.Context, replica, name string, notify func(leasetable.Lease)) error {
 	watchURL := "http://" + replica + "/duties?watch=" + url.QueryEscape(name)
 	return c.streamLines(ctx, watchURL, func(http.Header) {}, func(line []byte) error {
--- a/internal/registry/client_ledger.go
+++ b/internal/registry/client_ledger.go
@@ -7,16 +7,17 @@
 	"milldeck/internal/disruption"
 )
 
-// ApplyLedgerOp applies an operation to the disruption ledger. The result has the permit that it concerns, as it is
-// afterwards: a requested one may have to wait, and Permit polls it. A StatusError of 409 says why the operation was
-// rejected, one of 404 that the permit does not exist. The guard has to be the lease of the operation's owner, unless
-// that is an operator.
+// ApplyLedgerOp applies an operation to the disruption ledger. The result has the permit of the operation, as it is after the
+// operation. A requested permit may have to wait for its grant; poll it with Permit. A StatusError with status 409 has the
+// reason of a rejection, one with status 404 says that the permit does not exist. The guard has to be the lease of the
+// operation's owner, unless the owner is an operator.
 func (c *Client) ApplyLedgerOp(ctx context.Context, options WriteOptions, op disruption.Op) (LedgerResult, error) {
 	request := LedgerRequest{ID: options.ensureID(), Guard: options.Guard, Op: op}
 	return post[LedgerResult](ctx, c, "/ledger/"+url.PathEscape(string(op.Kind)), request)
 }
 
-// LedgerView reads the ledger, with all units or only those that count as out. Fresh makes it a linearizable read.
+// LedgerView reads the ledger, with all units or only the unavailable ones. Fresh requests a linearizable read from the
+// leader.
 func (c *Client) LedgerView(ctx context.Context, fresh, units bool) (disruption.View, error) {
 	query := url.Values{}
 	if fresh {
@@ -33,7 +34,7 @@
 	return get[disruption.Permit](ctx, c, withFresh("/ledger/permits/"+url.PathEscape(id), true))
 }
 
-// RegisterSidecars registers sidecars and renews the leases of known ones.
+// RegisterSidecars registers new sidecars, renews the leases of registered ones, and deregisters others.
 func (c *Client) RegisterSidecars(ctx context.Context, request SidecarRequest) (Result, error) {
 	if request.ID == "" {
 		request.ID = NewID()
@@ -41,7 +42,7 @@
 	return post[Result](ctx, c, "/registry/sidecars", request)
 }
 
-// Sidecars lists the sidecars, as the leader knows them.
+// Sidecars lists the sidecars that the leader knows.
 func (c *Client) Sidecars(ctx context.Context) ([]Sidecar, error) {
 	return get[[]Sidecar](ctx, c, "/registry/sidecars")
 }
--- a/internal/registry/client_watch.go
+++ b/internal/registry/client_watch.go
@@ -17,35 +17,35 @@
 )
 
 const (
-	// HeartbeatTimeout is how long a watch may be silent: two heartbeats are missing then, because the connection or the
-	// replica is partitioned.
+	// HeartbeatTimeout is how long a watch may be silent. By then, two heartbeats are missing, because the connection or
+	// the replica is partitioned.
 	HeartbeatTimeout = 4500 * time.Millisecond
 
 	initialWatchLineBytes = 4096
 	maxWatchLineBytes     = 32 << 20
 )
 
-// errHeartbeatTimeout ends a watch that was silent for HeartbeatTimeout.
+// errHeartbeatTimeout ends a watch that has been silent for HeartbeatTimeout.
 var errHeartbeatTimeout = errors.New("heartbeat timeout")
 
-// WatchEndpoints watches the endpoint list of one replica from after a revision of an epoch, until ctx or the watch
-// ends, which is always an error. It calls handle with each event, and with nil for each heartbeat. Age is how old the
-// replica's list may have been when the watch began.
+// WatchEndpoints watches the changes of one replica's endpoint list after a revision of an epoch, until ctx or the watch
+// ends. It always returns an error. It calls handle with each event, and with nil for each heartbeat. Age is the maximum
+// age of the replica's list at the start of the watch.
 func (c *Client) WatchEndpoints(
 	ctx context.Context, replica string, revision, epoch uint64, handle func(list *EndpointList, age time.Duration) error,
 ) error {
 	return watchStream(ctx, c, replica, "instances", revision, epoch, handle)
 }
 
-// WatchPlacement watches the placement of one replica, as WatchEndpoints does the endpoint list. A replica of a version
-// without a placement answers with a StatusError of 404.
+// WatchPlacement watches the placement of one replica, as WatchEndpoints does the endpoint list. If the replica's version
+// does not support placement, the error is a StatusError with status 404.
 func (c *Client) WatchPlacement(
 	ctx context.Context, replica string, revision, epoch uint64, handle func(list *placement.Update, age time.Duration) error,
 ) error {
 	return watchStream(ctx, c, replica, "placement", revision, epoch, handle)
 }
 
-// watchStream watches a resource of one replica, and decodes its lines.
+// watchStream watches a resource of one replica, and decodes the lines of the watch.
 func watchStream[T any](
 	ctx context.Context, client *Client, replica, resource string, revision, epoch uint64,
 	handle func(update *T, age time.Duration) error,
@@ -65,8 +65,8 @@
 	})
 }
 
-// replicaAge reads the AgeHeader of an answer. Without the header, as from other implementations of PROTOCOL's
-// discovery, the age is 0.
+// replicaAge returns the age in the AgeHeader of a response. The age is 0 without the header, which other implementations
+// of PROTOCOL's discovery do not send.
 func replicaAge(header http.Header) time.Duration {
 	ms, err := strconv.ParseInt(header.Get(AgeHeader), 10, 64)
 	if err != nil {
@@ -75,8 +75,8 @@
 	return milliseconds(ms)
 }
 
-// streamLines calls handle with each line of an answer until ctx, the answer or its heartbeats end, or handle fails. It
-// always returns an error.
+// streamLines calls handle with each line of a response until ctx or the response ends, the heartbeat times out, or handle
+// fails. It always returns an error.
 func (c *Client) streamLines(ctx context.Context, watchURL string, onHeader func(http.Header), handle func([]byte) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -12,47 +12,47 @@
 )
 
 const (
-	// maxEncodedChanges are the encoded changes that watchers share. A watcher that is further behind gets one that is
-	// made from the state.
+	// maxEncodedChanges is the number of encoded changes that the hub keeps for all watchers. A watcher that is further
+	// behind gets a change that is encoded from the state.
 	maxEncodedChanges = 1024
-	// maxSeparateChanges is how many changes a watcher that is behind gets one by one.
+	// maxSeparateChanges is the number of changes up to which a watcher that is behind gets each change separately.
 	maxSeparateChanges = 64
 )
 
-// Hub holds the state and streams its changes to watchers. A watcher has no queue of its own but is a cursor, so a slow
-// one takes no memory and delays nobody: it gets the newest state of each instance when it reads again.
+// Hub holds the state and streams its changes to watchers. Each watcher is a cursor without a queue, so a slow watcher takes
+// no memory and delays no other watcher: when it reads again, it gets the newest state of each changed instance.
 type Hub struct {
 	mu            sync.RWMutex
 	state         *StateMachine
-	encoded       []encodedChange // by revision, the newest last
+	encoded       []encodedChange // sorted by revision, newest last
 	listChanged   broadcaster
-	leasesChanged broadcaster // apart, as the thousands who watch the list are not woken for leases
+	leasesChanged broadcaster // separate: a lease must not wake the thousands of watchers of the list
 	placementFeed *PlacementFeed
 
 	completeListMu sync.Mutex
-	completeList   encodedList // last encoded: thousands who connect at once share the bytes
+	completeList   encodedList // last encoded; thousands of watchers that connect at once share the bytes
 }
 
 // encodedChange is the watch event of one revision, encoded once for all watchers.
 type encodedChange struct {
-	previous uint64 // revision that it follows
+	previous uint64 // revision before the change
 	line     []byte
 }
 
-// encodedList is the complete list of a revision.
+// encodedList is the encoded complete list at a revision.
 type encodedList struct {
 	revision, epoch uint64
-	line            []byte // nil: none was encoded yet
+	line            []byte // nil: not encoded yet
 }
 
-// NewHub makes a hub with the empty state.
+// NewHub returns a hub with an empty state.
 func NewHub() *Hub {
 	hub := &Hub{state: NewStateMachine(), listChanged: newBroadcaster(), leasesChanged: newBroadcaster()}
 	hub.placementFeed = NewPlacementFeed(hub.readPlacement)
 	return hub
 }
 
-// Apply applies a record to the state, and streams what it changes to the watchers.
+// Apply applies a record to the state, and streams the changes to watchers.
 func (h *Hub) Apply(index uint64, record *Record) (Result, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -80,7 +80,7 @@
 	return result, nil
 }
 
-// encodeChangeLocked encodes the watch event that follows a revision. The caller holds the lock.
+// encodeChangeLocked encodes the watch event for the changes after a revision. The caller holds the lock.
 func (h *Hub) encodeChangeLocked(previous uint64) error {
 	changes := h.state.ChangesSince(previous, 0)
 	if previous == 0 {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// Replace replaces the state, as by a snapshot.
+// Replace replaces the state, for example with that of a snapshot.
 func (h *Hub) Replace(state *StateMachine) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -114,7 +114,7 @@
 	view(h.state)
 }
 
-// Lease returns a lease as it is, and a channel that is closed when any lease has changed.
+// Lease returns the current state of a lease, and a channel that is closed when any lease changes.
 func (h *Hub) Lease(name string) (lease leasetable.Lease, changed <-chan struct{}) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -122,14 +122,14 @@
 	return lease, h.leasesChanged.changed
 }
 
-// readPlacement returns what has changed in the placement, with the remaining times as of the end of a line's lifetime.
+// readPlacement returns the changes of the placement, with the remaining time of each directive as of lineLifetime from now.
 func (h *Hub) readPlacement(after, epoch uint64) placement.Update {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	return h.state.placement.ChangesSince(after, epoch, time.Now().Add(lineLifetime).UnixMilli())
 }
 
-// next returns what a watcher of the endpoint list is to be written.
+// next implements changeSource for the endpoint list.
 func (h *Hub) next(position cursor) (watchBatch, error) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -145,11 +145,11 @@
 	return batch, nil
 }
 
-// linesAfterLocked returns the lines after a position that is behind, or has not started. The caller holds the lock for
-// reading.
+// linesAfterLocked returns the lines after a position that is behind the state, or has not started. The caller holds the
+// lock for reading.
 func (h *Hub) linesAfterLocked(position cursor) ([][]byte, error) {
 	revision, epoch := h.state.Revision(), h.state.Epoch()
-	if position.revision == revision && position.epoch == epoch { // a new watcher that is up to date learns so at once
+	if position.revision == revision && position.epoch == epoch { // a new watcher gets an event at once, even if it is up to date
 		return [][]byte{fmt.Appendf(nil, "{\"rev\":%d,\"all\":false,\"targets\":[],\"epoch\":%d}\n", revision, epoch)}, nil
 	}
 	if position.epoch == epoch && position.revision != 0 {
@@ -165,8 +165,8 @@
 	return [][]byte{line}, err
 }
 
-// encodedAfterLocked returns the encoded changes after a revision, or nil where they are too many or not encoded any
-// more. The caller holds the lock for reading.
+// encodedAfterLocked returns the encoded changes after a revision, or nil if there are more than maxSeparateChanges or the
+// hub no longer has them. The caller holds the lock for reading.
 func (h *Hub) encodedAfterLocked(revision uint64) (lines [][]byte) {
 	for i := len(h.encoded) - 1; i >= 0 && len(h.encoded)-i <= maxSeparateChanges; i-- {
 		if h.encoded[i].previous != revision {
@@ -180,8 +180,8 @@
 	return nil
 }
 
-// encodeCompleteListLocked returns the complete list as a line, which is encoded once for each revision. The caller holds the
-// lock for reading.
+// encodeCompleteListLocked returns the complete list as a line, encoded once per revision. The caller holds the lock for
+// reading.
 func (h *Hub) encodeCompleteListLocked() ([]byte, error) {
 	h.completeListMu.Lock()
 	defer h.completeListMu.Unlock()
@@ -197,16 +197,16 @@
 	return line, nil
 }
 
-// Watch streams the changes after a revision of an epoch to a watcher, in PROTOCOL's form, until ctx or the watcher
-// ends. While nothing changes it writes a heartbeat (an empty line) every 2 s, as long as mayHeartbeat returns true: as long as
-// the hub would know of a change.
+// Watch streams the changes after a revision of an epoch to a watcher, in PROTOCOL's format, until ctx or the request
+// ends. While nothing changes, it writes a heartbeat (an empty line) every 2 s if mayHeartbeat returns true, which means
+// that the hub would learn of a change.
 func (h *Hub) Watch(
 	ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, mayHeartbeat func() bool,
 ) error {
 	return streamChanges(ctx, w, request, cursor{revision: after, epoch: epoch}, mayHeartbeat, h)
 }
 
-// WriteCompleteList answers with the complete endpoint list.
+// WriteCompleteList responds with the complete endpoint list.
 func (h *Hub) WriteCompleteList(w http.ResponseWriter) error {
 	h.mu.RLock()
 	line, err := h.encodeCompleteListLocked()
--- a/internal/registry/lease_keepalive.go
+++ b/internal/registry/lease_keepalive.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	renewalsPerLease  = 3               // so that two of them may be lost
-	maxRenewalBatch   = 1000            // instances registered or renewed in one call
-	deregisterTimeout = 2 * time.Second // of the deregistration at the end
+	renewalsPerLease  = 3               // in one TTL, so that two renewals may be lost
+	maxRenewalBatch   = 1000            // instances registered or renewed by one call
+	deregisterTimeout = 2 * time.Second // of the deregistration when Run ends
 )
 
-// LeaseKeepAlive keeps instances registered: it registers them, renews their leases in batches, registers again those
-// that the registry does not know, and deregisters them at its end.
+// LeaseKeepAlive keeps instances registered: it registers them, renews their leases in batches, registers an instance again
+// if the registry does not know it, and deregisters all instances when it ends.
 type LeaseKeepAlive struct {
 	client *Client
 	logger *slog.Logger
@@ -27,14 +27,14 @@
 	pending   []Instance          // to be registered
 }
 
-// NewLeaseKeepAlive returns a keep-alive of these instances. Nothing is sent before Run or RenewOnce.
+// NewLeaseKeepAlive returns a keep-alive for these instances. It sends no request before Run or RenewOnce.
 func NewLeaseKeepAlive(client *Client, instances ...Instance) *LeaseKeepAlive {
 	keepAlive := &LeaseKeepAlive{client: client, logger: componentLogger(), instances: map[string]Instance{}}
 	keepAlive.Add(instances...)
 	return keepAlive
 }
 
-// Add adds instances, or updates those that it has.
+// Add adds instances, or updates those that were added before.
 func (k *LeaseKeepAlive) Add(instances ...Instance) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -52,7 +52,7 @@
 	k.pending = slices.DeleteFunc(k.pending, func(instance Instance) bool { return instance.UID == uid })
 }
 
-// renewInterval is the time between two renewals, of the shortest lease.
+// renewInterval returns the time between two renewals, which depends on the instance with the shortest TTL.
 func (k *LeaseKeepAlive) renewInterval() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -65,14 +65,14 @@
 	return milliseconds(shortestTTL) / renewalsPerLease
 }
 
-// Run keeps the instances registered until ctx ends, and deregisters them then.
+// Run keeps the instances registered until ctx ends, and then deregisters them.
 func (k *LeaseKeepAlive) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := k.RenewOnce(ctx); err != nil && ctx.Err() == nil {
 			k.logger.Warn("lease renewal failed", "error", err)
 		}
 		interval := k.renewInterval()
-		jitter := rand.N(interval / 4) // so that many clients do not renew in step
+		jitter := rand.N(interval / 4) // so that many clients do not renew at the same time
 		select {
 		case <-ctx.Done():
 		case <-time.After(interval - jitter):
@@ -104,7 +104,7 @@
 	return uids
 }
 
-// RenewOnce registers the pending instances and renews the leases of all.
+// RenewOnce registers the pending instances and renews the leases of all instances.
 func (k *LeaseKeepAlive) RenewOnce(ctx context.Context) error {
 	if err := k.registerPending(ctx); err != nil {
 		return err
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// registerPending registers the pending instances; after an error the rest of them stays pending.
+// registerPending registers the pending instances in batches. After an error, the remaining instances stay pending.
 func (k *LeaseKeepAlive) registerPending(ctx context.Context) error {
 	k.mu.Lock()
 	pending := k.pending
@@ -136,14 +136,14 @@
 	return nil
 }
 
-// restorePending puts instances that could not be registered before the pending ones.
+// restorePending returns instances whose registration failed to the front of the pending instances.
 func (k *LeaseKeepAlive) restorePending(instances []Instance) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.pending = slices.Concat(instances, k.pending)
 }
 
-// addPending has instances registered again, but those that were removed meanwhile.
+// addPending marks instances for another registration, except those that were removed in the meantime.
 func (k *LeaseKeepAlive) addPending(uids []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -8,18 +8,17 @@
 	"milldeck/internal/leaderelection/leasetable"
 )
 
-// maxLeaseMetrics bounds the series: with more leases only the first by name have their own.
+// maxLeaseMetrics limits the number of series: only the first maxLeaseMetrics leases by name have metrics.
 const maxLeaseMetrics = 1000
 
-// The buckets of the time without a lease holder: 10 ms to 82 s, each twice the one before.
+// Buckets of the histogram of the time without a lease holder: 10 ms to 82 s, each twice as large as the one before.
 const (
 	firstGapBucket  = 0.01
 	gapBucketFactor = 2
 	gapBuckets      = 14
 )
 
-// metrics are the metrics of one replica. They have a registry of their own, so that several replicas may run in one
-// process.
+// metrics are the metrics of one replica. They have their own registry, so that several replicas may run in one process.
 type metrics struct {
 	registry         *prometheus.Registry
 	writes           *prometheus.CounterVec
@@ -42,11 +41,11 @@
 			Name: "milldeck_registry_expired_total", Help: "Instances that were removed because their lease expired.",
 		}),
 		leadershipGained: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "milldeck_registry_led_total", Help: "Times that this replica became the leader.",
+			Name: "milldeck_registry_led_total", Help: "Number of times that this replica became the leader.",
 		}),
 		leaseGaps: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "milldeck_duty_gap_seconds",
-			Help:    "Time without a lease holder, as seen by this leader: from a release or last renewal to the next holder's first.",
+			Help:    "Time without a lease holder, on the leader: from release or last renewal to the next holder's first renewal.",
 			Buckets: prometheus.ExponentialBuckets(firstGapBucket, gapBucketFactor, gapBuckets),
 		}),
 	}
@@ -56,7 +55,7 @@
 	return m
 }
 
-// registerStatusGauges registers gauges of the replica's status.
+// registerStatusGauges registers the gauges that are read from the replica's Status.
 func (m *metrics) registerStatusGauges(replica *Replica) {
 	gauge := func(name, help string, value func(Status) float64) {
 		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 {
@@ -67,7 +66,7 @@
 	gauge("milldeck_registry_instances", "Instances in the endpoint list.", func(s Status) float64 { return float64(s.Instances) })
 	gauge("milldeck_registry_suspects", "Instances whose expiry is held back.", func(s Status) float64 { return float64(s.Suspects) })
 	gauge("milldeck_registry_watchers", "Open watches.", func(s Status) float64 { return float64(s.Watchers) })
-	gauge("milldeck_registry_age_seconds", "How old the state may be.", func(s Status) float64 { return float64(s.AgeMS) / 1000 })
+	gauge("milldeck_registry_age_seconds", "Maximum age of the state.", func(s Status) float64 { return float64(s.AgeMS) / 1000 })
 	gauge("milldeck_registry_leader", "1 while this replica is the leader.", func(s Status) float64 {
 		if s.Role == RoleLeader {
 			return 1
@@ -80,10 +79,10 @@
 	leaseHeldDesc       = newLeaseDesc("milldeck_duty_held", "1 while the lease has a holder whose token is valid.")
 	leaseChangesDesc    = newLeaseDesc("milldeck_duty_changes_total", "Changes of the lease's holder.")
 	leaseCandidatesDesc = newLeaseDesc("milldeck_duty_candidates", "Candidates that wait for the lease.")
-	leaseAgeDesc        = newLeaseDesc("milldeck_duty_age_seconds", "How long the lease has been held, on the leader.")
+	leaseAgeDesc        = newLeaseDesc("milldeck_duty_age_seconds", "How long the lease has been held; only the leader reports it.")
 )
 
-// newLeaseDesc describes a metric with the label of a lease's name.
+// newLeaseDesc describes a metric whose label is the name of a lease.
 func newLeaseDesc(name, help string) *prometheus.Desc {
 	return prometheus.NewDesc(name, help, []string{"duty"}, nil)
 }
--- a/internal/registry/placement_feed.go
+++ b/internal/registry/placement_feed.go
@@ -11,13 +11,13 @@
 	"milldeck/internal/placement"
 )
 
-// lineLifetime is how long an encoded line of the placement is shared by watchers. The line states the remaining time of
-// each directive as of the end of its lifetime, so it never states more than remains.
+// lineLifetime is how long watchers share an encoded line of the placement. The line states the remaining time of each
+// directive as of the end of the line's lifetime, so it never states more time than remains.
 const lineLifetime = 50 * time.Millisecond
 
-// PlacementFeed streams a placement to watchers, as a Hub does the endpoint list: a watcher is a cursor. As a line
-// states the remaining time of directives, it cannot be encoded once for ever: it is encoded when watchers are woken,
-// and shared by those that are woken together.
+// PlacementFeed streams a placement to watchers, as a Hub does the endpoint list: each watcher is a cursor. A line states
+// the remaining time of directives, so it cannot be encoded once for all watchers. The feed encodes it when watchers are
+// woken, and the watchers that are woken together share it.
 type PlacementFeed struct {
 	read func(after, epoch uint64) placement.Update
 
@@ -26,32 +26,32 @@
 	notifications uint64
 
 	mu     sync.Mutex
-	cached map[cursor]placementLine // of the last lineLifetime
+	cached map[cursor]placementLine // lines encoded within the last lineLifetime
 }
 
-// placementLine is the line that follows a position of a watcher.
+// placementLine is the encoded line for a watcher at a position.
 type placementLine struct {
 	encodedAt    time.Time
-	notification uint64 // number of the last notification before it was encoded
+	notification uint64 // value of notifications before the line was encoded
 	data         []byte // nil: nothing has changed
-	position     cursor
+	position     cursor // of the watcher after the line
 }
 
-// NewPlacementFeed makes a feed of a source. Read returns what has changed after a revision of an epoch, with the
+// NewPlacementFeed returns a feed of the placement that read returns: the changes after a revision of an epoch, with the
 // remaining time of each directive as of 50 ms from now.
 func NewPlacementFeed(read func(after, epoch uint64) placement.Update) *PlacementFeed {
 	return &PlacementFeed{read: read, changed: newBroadcaster(), cached: map[cursor]placementLine{}}
 }
 
-// Notify announces that the placement has changed.
+// Notify wakes the watchers, after broadcastDelay, because the placement has changed.
 func (f *PlacementFeed) Notify() {
 	f.notifyMu.Lock()
 	defer f.notifyMu.Unlock()
-	// A watcher that this wakes must not get a line that was encoded before.
+	// A watcher that this broadcast wakes must not get a line that was encoded before the broadcast.
 	f.changed.schedule(&f.notifyMu, func() { f.notifications++ })
 }
 
-// next returns what a watcher at a position is to be written. One caller at a time encodes, the others share its line.
+// next implements changeSource. One caller at a time encodes a line, and the others share the line.
 func (f *PlacementFeed) next(position cursor) (watchBatch, error) {
 	f.notifyMu.Lock()
 	changed, notification := f.changed.changed, f.notifications
@@ -78,7 +78,7 @@
 
 func (l *placementLine) outdated() bool { return time.Since(l.encodedAt) >= lineLifetime }
 
-// dropOutdatedLocked drops the lines that are not shared any more. The caller holds the lock.
+// dropOutdatedLocked removes the cached lines that must not be shared any more. The caller holds the lock.
 func (f *PlacementFeed) dropOutdatedLocked() {
 	for position, line := range f.cached {
 		if line.outdated() {
@@ -87,7 +87,7 @@
 	}
 }
 
-// encode encodes the line that follows a position.
+// encode encodes the line for a watcher at a position.
 func (f *PlacementFeed) encode(position cursor) (placementLine, error) {
 	line := placementLine{encodedAt: time.Now()}
 	update := f.read(position.revision, position.epoch)
@@ -107,8 +107,8 @@
 	return streamChanges(ctx, w, request, cursor{revision: after, epoch: epoch}, mayHeartbeat, f)
 }
 
-// WriteComplete answers with the complete placement. It is not shared, as a linearizable read has to see every write
-// before it.
+// WriteComplete responds with the complete placement. It uses no cached line, because a linearizable read has to see every
+// write before it.
 func (f *PlacementFeed) WriteComplete(w http.ResponseWriter) error {
 	data, err := json.Marshal(f.read(0, 0))
 	if err != nil {
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -7,35 +7,36 @@
 )
 
 const (
-	heartbeatInterval = 2 * time.Second // of a watch without changes, by PROTOCOL
+	heartbeatInterval = 2 * time.Second // of a watch without changes, as PROTOCOL specifies
 	watchWriteTimeout = 10 * time.Second
 )
 
 // cursor is the position of a watcher.
 type cursor struct {
 	revision, epoch uint64
-	started         bool // something has been written to the watcher
+	started         bool // the watcher has been sent its first lines
 }
 
-// watchBatch is what a watcher is to be written.
+// watchBatch is the next lines for a watcher.
 type watchBatch struct {
-	lines    [][]byte        // shared with other watchers: they must not be changed; none: nothing has changed
-	position cursor          // position after the lines
+	lines    [][]byte        // shared between watchers, must not be modified; empty: nothing has changed
+	position cursor          // of the watcher after the lines
 	changed  <-chan struct{} // closed at the next change
 }
 
-// changeSource is what watchers follow. Next returns lines for every cursor that has not started.
+// changeSource is the source of the changes that watchers receive. Next returns the lines after a position: at least one
+// if the cursor has not started.
 type changeSource interface {
 	next(position cursor) (watchBatch, error)
 }
 
-// watchFunc is the method Watch of a Hub or a PlacementFeed.
+// watchFunc is the type of Hub.Watch and PlacementFeed.Watch.
 type watchFunc func(
 	ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, mayHeartbeat func() bool,
 ) error
 
-// streamChanges writes the changes of a source to a watcher until ctx or the watcher ends, which is no error. While
-// nothing changes it writes a heartbeat, an empty line, as long as mayHeartbeat returns true.
+// streamChanges writes the changes of a source to a watcher. It returns nil when ctx or the request ends. While nothing
+// changes, it writes a heartbeat (an empty line) every heartbeatInterval if mayHeartbeat returns true.
 func streamChanges(
 	ctx context.Context, w http.ResponseWriter, request *http.Request, position cursor, mayHeartbeat func() bool,
 	source changeSource,
@@ -73,7 +74,7 @@
 	}
 }
 
-// writeLines writes lines to a watcher. It fails if the watcher does not read them in time.
+// writeLines writes lines to a watcher. It fails if the watcher does not read them within watchWriteTimeout.
 func writeLines(w http.ResponseWriter, controller *http.ResponseController, lines [][]byte) error {
 	if err := controller.SetWriteDeadline(time.Now().Add(watchWriteTimeout)); err != nil {
 		return err
