--- a/internal/registry/bench/bench.go
+++ b/internal/registry/bench/bench.go
@@ -1,6 +1,6 @@
-// Package bench measures the service registry with processes of the program: how soon changes reach thousands of
-// watchers and at what cost, how many writes a cluster applies, how long it is without a leader after the leader was
-// killed, and how long a replica takes to restart. It measures, and judges nothing.
+// Package bench measures the service registry with milldeck processes: how soon changes reach thousands of watchers and at
+// what cost, how many writes a second a cluster applies, how long a cluster is without a leader after the leader was
+// killed, and how long a replica takes to restart. It does not judge the results.
 package bench
 
 import (
@@ -17,22 +17,22 @@
 	"milldeck/internal/registry/cluster"
 )
 
-// Options are the size of a benchmark.
+// Options set the size of a benchmark.
 type Options struct {
 	Program          string // path of milldeck
 	Dir              string // for configurations, logs and data
 	Instances        int
 	Watchers         int
-	ChangesPerSecond int           // while changes are watched
-	WatchDuration    time.Duration // of the stream of changes
+	ChangesPerSecond int           // during the measurement of watches
+	WatchDuration    time.Duration // of the measurement of watches
 	Writers          int           // concurrent clients that measure the write rate
 	WriteDuration    time.Duration // of the measurement of the write rate
 	LeaderKills      int
 	LogEntries       int          // log entries of the replica that is restarted; 0: restarts are not measured
-	Progress         func(string) // called with each result; nil: nobody
+	Progress         func(string) // called with each result; nil: not called
 }
 
-// QuickOptions are the options of a run that ends within a minute.
+// QuickOptions returns the options of a run that ends within a minute.
 func QuickOptions() Options {
 	return Options{
 		Instances: 5000, Watchers: 2000, ChangesPerSecond: 100, WatchDuration: 8 * time.Second,
@@ -40,7 +40,7 @@
 	}
 }
 
-// FullOptions are the options of a run that takes several minutes.
+// FullOptions returns the options of a run that takes several minutes.
 func FullOptions() Options {
 	options := QuickOptions()
 	options.WatchDuration, options.WriteDuration = 30*time.Second, 10*time.Second
@@ -48,7 +48,7 @@
 	return options
 }
 
-// Result is what one run of the benchmark has measured. Percentiles are in milliseconds.
+// Result holds the results of one run of the benchmark. Percentiles are in milliseconds.
 type Result struct {
 	Instances              int     `json:"instances"`
 	Watchers               int     `json:"watchers"`
@@ -56,7 +56,7 @@
 	WatchP50MS             float64 `json:"watch_p50_ms"` // from the acknowledged write to the last watcher
 	WatchP99MS             float64 `json:"watch_p99_ms"`
 	WatchMaxMS             float64 `json:"watch_max_ms"`
-	MissedChanges          int     `json:"changes_missed"` // that some watchers did not receive
+	MissedChanges          int     `json:"changes_missed"` // changes that some watchers did not receive
 	DeltaBytes             float64 `json:"delta_bytes"`    // per change and watcher
 	CompleteListBytes      int     `json:"whole_list_bytes"`
 	DeltaRatio             float64 `json:"delta_ratio"`
@@ -75,7 +75,7 @@
 }
 
 const (
-	readyTimeout = 20 * time.Second // of the start of a cluster, and of each wait for a leader
+	readyTimeout = 20 * time.Second // of the start of a cluster, and of each wait for its replicas
 
 	dirMode = 0o755
 )
@@ -107,7 +107,7 @@
 	return b.result, nil
 }
 
-// benchmark is one run.
+// benchmark is the state of one run.
 type benchmark struct {
 	options   Options
 	addresses *proc.Block
@@ -120,7 +120,7 @@
 	}
 }
 
-// withCluster starts a cluster, calls measure with it, and kills it.
+// withCluster starts a cluster, calls measure with it, and kills its processes.
 func (b *benchmark) withCluster(
 	ctx context.Context, replicas int, name, extraConfig string, measure func(*cluster.Cluster) error,
 ) error {
@@ -133,7 +133,7 @@
 	running, err := cluster.Start(startCtx, replicas, cluster.Options{
 		Program: b.options.Program, DataDir: dir, Addresses: b.addresses, ExtraConfig: extraConfig,
 	})
-	defer func() { _ = running.Close() }() // what was to be measured is measured, and the processes are killed
+	defer func() { _ = running.Close() }() // the measurement is complete, and the processes are killed
 	if err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 	})
 }
 
-// measureThreeReplicas measures the write rate, watches and leader failures of a cluster of three replicas.
+// measureThreeReplicas measures the write rate, the watches and the leader failures of a cluster of three replicas.
 func (b *benchmark) measureThreeReplicas(ctx context.Context) error {
 	return b.withCluster(ctx, 3, "three", "", func(replicas *cluster.Cluster) (err error) {
 		b.result.ClusterWritesPerSecond, b.result.ClusterWriteP99MS, err = b.measureWrites(ctx, replicas)
@@ -164,18 +164,18 @@
 	})
 }
 
-// Ordinals of the instances that the steps write, beside those of the list: each step has its own.
+// Ordinals of the instances that the steps write, apart from those of the list. Each step has its own ordinals.
 const (
 	firstWriterOrdinal  = 1_000_000
 	leaderKillOrdinal   = 2_000_000
 	firstRestartOrdinal = 3_000_000
 )
 
-// hostsPerByte is how many values newInstance uses of a byte of an address, so that none ends in 0 or 255.
+// hostsPerByte is how many values newInstance uses for a byte of an address, so that no address ends in 0 or 255.
 const hostsPerByte = 250
 
-// newInstance returns the instance with an ordinal. The steps change its capacity with each write: a registration that
-// changes nothing would make no watch event.
+// newInstance returns the instance with an ordinal. The steps change the instance's capacity with each write, because a
+// registration that changes nothing causes no watch event.
 func newInstance(ordinal int) registry.Instance {
 	address := fmt.Sprintf("127.%d.%d.%d:9000",
 		1+ordinal/(hostsPerByte*hostsPerByte), ordinal/hostsPerByte%hostsPerByte, 1+ordinal%hostsPerByte)
--- a/internal/registry/bench/bench_test.go
+++ b/internal/registry/bench/bench_test.go
@@ -9,7 +9,7 @@
 
 func TestMain(m *testing.M) { proctest.Main(m) }
 
-// A benchmark of the smallest size measures every step: all changes reach all watchers, and no result is missing.
+// TestSmallBenchmark runs every step at the smallest size: all changes reach all watchers, and no result is missing.
 func TestSmallBenchmark(t *testing.T) {
 	var progress []string
 	options := Options{
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if result.Changes == 0 || result.MissedChanges > 0 {
-		t.Errorf("%d changes, %d of them missed", result.Changes, result.MissedChanges)
+		t.Errorf("%d changes, %d of them missed by some watchers", result.Changes, result.MissedChanges)
 	}
 	for name, value := range map[string]float64{
 		"watch p50": result.WatchP50MS, "watch maximum": result.WatchMaxMS, "bytes a change": result.DeltaBytes,
@@ -40,7 +40,7 @@
 	}
 }
 
-// A change counts as delivered once every watcher has received it, also as part of a later one.
+// A change counts as delivered when every watcher has received it, on its own or as part of a later event.
 func TestDeliveryTracker(t *testing.T) {
 	start := time.Unix(1000, 0)
 	tracker := newDeliveryTracker(2)
@@ -48,12 +48,13 @@
 	tracker.recordAcknowledged(1, start.Add(time.Millisecond))
 	tracker.recordAcknowledged(2, start.Add(2*time.Millisecond))
 	if _, missed := tracker.summarize(); missed != 2 || tracker.acknowledgedCount() != 2 {
-		t.Errorf("%d of %d changes are missed, want 2 of 2", missed, tracker.acknowledgedCount())
+		t.Errorf("%d of %d changes missed, want 2 of 2", missed, tracker.acknowledgedCount())
 	}
 	tracker.recordReceived(0, 2, start.Add(5*time.Millisecond))
 	tracker.recordReceived(1, 2, start.Add(10*time.Millisecond))
 	latencies, missed := tracker.summarize()
 	if missed != 0 || latencies.TotalCount() != 2 || quantileMS(latencies, 100) < 8 {
-		t.Errorf("%d missed, %d delivered, at most %v ms", missed, latencies.TotalCount(), quantileMS(latencies, 100))
+		t.Errorf("%d missed, %d delivered, at most %v ms; want 0, 2, 8 ms or more",
+			missed, latencies.TotalCount(), quantileMS(latencies, 100))
 	}
 }
--- a/internal/registry/bench/delivery.go
+++ b/internal/registry/bench/delivery.go
@@ -10,7 +10,7 @@
 
 const deliveryPollInterval = 10 * time.Millisecond
 
-// deliveryTracker tracks each change from its acknowledgement to the last watcher that receives it.
+// deliveryTracker tracks each change from its acknowledgement until the last watcher has received it.
 type deliveryTracker struct {
 	watchers int
 
@@ -30,7 +30,7 @@
 	return &deliveryTracker{watchers: watchers, deliveries: map[uint64]*delivery{}}
 }
 
-// deliveryLocked returns the delivery of a revision, a new one where there is none. The caller holds the lock.
+// deliveryLocked returns the delivery of a revision, and creates it if there is none. The caller holds the lock.
 func (t *deliveryTracker) deliveryLocked(revision uint64) *delivery {
 	entry := t.deliveries[revision]
 	if entry == nil {
@@ -48,7 +48,7 @@
 	t.deliveryLocked(revision).acknowledgedAt = now
 }
 
-// recordReceived records that a watcher has received the changes after a revision, up to another.
+// recordReceived records that a watcher has received the changes after one revision, up to and including another.
 func (t *deliveryTracker) recordReceived(after, upTo uint64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,8 +83,8 @@
 	return acknowledged
 }
 
-// summarize returns the times from the acknowledgement of a change to the last watcher, and the count of acknowledged
-// changes that some watchers have not received.
+// summarize returns the latencies from the acknowledgement of a change to its receipt by the last watcher, and the number of
+// acknowledged changes that some watchers have not received.
 func (t *deliveryTracker) summarize() (latencies *hdrhistogram.Histogram, missed int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/registry/bench/failover.go
+++ b/internal/registry/bench/failover.go
@@ -11,7 +11,7 @@
 
 const statusPollInterval = 20 * time.Millisecond
 
-// measureLeaderKills kills one leader after the other, and measures how long no write is acknowledged.
+// measureLeaderKills kills one leader after another, and measures how long no write is acknowledged after each kill.
 func (b *benchmark) measureLeaderKills(ctx context.Context, replicas *cluster.Cluster) error {
 	if b.options.LeaderKills == 0 {
 		return nil
--- a/internal/registry/bench/restart.go
+++ b/internal/registry/bench/restart.go
@@ -11,10 +11,10 @@
 	"milldeck/internal/registry/cluster"
 )
 
-// restartWritersFactor is how many times the writers of the write rate fill the log.
+// restartWritersFactor times Options.Writers is the number of concurrent writers that fill the log.
 const restartWritersFactor = 4
 
-// measureRestarts measures the restart of a single replica with a long log, without and with a snapshot.
+// measureRestarts measures the restart time of a single replica with a long log, without and with a snapshot.
 func (b *benchmark) measureRestarts(ctx context.Context) error {
 	if b.options.LogEntries == 0 {
 		return nil
@@ -25,7 +25,7 @@
 		snapshotEvery int
 		elapsedMS     *float64
 	}{
-		// Ten times as many entries as are written: no snapshot is taken.
+		// Only a tenth as many entries are written, so no snapshot is taken.
 		{"plain", 10 * b.options.LogEntries, &b.result.RestartFromLogMS},
 		{"snap", b.options.LogEntries / 2, &b.result.RestartFromSnapshotMS},
 	} {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// measureRestart fills the log of a single replica, restarts it, and returns the time until it leads again.
+// measureRestart fills the log of a single replica, restarts the replica, and returns the time until it is the leader.
 func (b *benchmark) measureRestart(ctx context.Context, replicas *cluster.Cluster) (time.Duration, error) {
 	if err := b.fillLog(ctx, replicas); err != nil {
 		return 0, err
--- a/internal/registry/bench/watches.go
+++ b/internal/registry/bench/watches.go
@@ -22,13 +22,13 @@
 const (
 	registerBatchSize  = 500
 	watcherDialTimeout = time.Second
-	deliveryTimeout    = 2 * time.Second // of the last changes, after the last write
+	deliveryTimeout    = 2 * time.Second // of the last changes, from the end of the last write
 
 	watcherBufferBytes = 4096
-	lineStartBytes     = 64 // of a line, enough for its revision
+	lineStartBytes     = 64 // prefix of a line that contains its revision
 )
 
-// measureWatches measures how soon a stream of changes reaches thousands of watchers, and what a watcher costs.
+// measureWatches measures how soon a stream of changes reaches thousands of watchers, and the bytes that a watcher costs.
 func (b *benchmark) measureWatches(ctx context.Context, replicas *cluster.Cluster) error {
 	client, err := replicas.Client()
 	if err != nil {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// residentBytes is the resident memory of all replicas.
+// residentBytes returns the resident memory of all replicas.
 func residentBytes(replicas *cluster.Cluster) (int64, error) {
 	total := int64(0)
 	for _, replica := range replicas.Replicas {
@@ -106,7 +106,7 @@
 	return total, nil
 }
 
-// writeChanges writes changes at the configured rate, whether or not earlier ones are acknowledged.
+// writeChanges writes changes at the configured rate, whether or not earlier changes are acknowledged.
 func (b *benchmark) writeChanges(ctx context.Context, client *registry.Client, deliveries *deliveryTracker) error {
 	ctx, cancel := context.WithTimeout(ctx, b.options.WatchDuration+readyTimeout)
 	defer cancel()
@@ -133,7 +133,7 @@
 	return failure.get()
 }
 
-// watcherPool is the watchers of the benchmark.
+// watcherPool holds the watchers of the benchmark.
 type watcherPool struct {
 	deliveries        *deliveryTracker
 	watchers          []*watcher
@@ -141,7 +141,7 @@
 	running           sync.WaitGroup
 }
 
-// start connects watchers, spread over the replicas, and waits until each has the complete list.
+// start connects watchers, distributed over the replicas, and waits until each has the complete list.
 func (p *watcherPool) start(replicas *cluster.Cluster, count int) error {
 	started := make(chan error, count)
 	for ordinal := range count {
@@ -174,7 +174,7 @@
 	p.running.Wait()
 }
 
-// deltaBytes is the size of all watch events, after the complete list.
+// deltaBytes returns the size of all watch events after the complete list.
 func (p *watcherPool) deltaBytes() int64 {
 	total := int64(0)
 	for _, connected := range p.watchers {
@@ -183,7 +183,7 @@
 	return total
 }
 
-// watcher is one watcher. It decodes only the revisions of lines, so that thousands run beside the replicas.
+// watcher is a client that decodes only the revisions of lines, so that thousands of watchers can run beside the replicas.
 type watcher struct {
 	pool       *watcherPool
 	conn       net.Conn
@@ -191,7 +191,8 @@
 	deltaBytes atomic.Int64
 }
 
-// run reads lines until the connection ends. It sends nil to started when it has the complete list, or the error.
+// run reads lines until the connection ends. It sends nil to started when it has the complete list, or the error that
+// prevented this.
 func (w *watcher) run(started chan<- error) {
 	if _, err := fmt.Fprintf(w.conn, "GET /registry/instances?watch=1&after=0 HTTP/1.1\r\nHost: bench\r\n\r\n"); err != nil {
 		started <- err
@@ -222,7 +223,7 @@
 	}
 }
 
-// lineRevision reads the revision of a watch event. Other lines (HTTP headers, sizes of chunks, heartbeats) have none.
+// lineRevision returns the revision of a watch event. Other lines (HTTP headers, chunk sizes, heartbeats) have none.
 func lineRevision(lineStart []byte) (revision uint64, ok bool) {
 	_, tail, ok := bytes.Cut(lineStart, []byte(`{"rev":`))
 	if !ok {
@@ -233,7 +234,7 @@
 	return revision, err == nil
 }
 
-// readLine reads a line, and returns its first bytes and its length.
+// readLine reads a line, and returns its first lineStartBytes bytes and its length.
 func readLine(reader *bufio.Reader) (start []byte, length int, err error) {
 	for {
 		part, err := reader.ReadSlice('\n')
--- a/internal/registry/bench/writes.go
+++ b/internal/registry/bench/writes.go
@@ -10,12 +10,12 @@
 	"milldeck/internal/registry/cluster"
 )
 
-// lastError holds the last of the errors of concurrent writers.
+// lastError holds the last error of concurrent writers.
 type lastError struct{ pointer atomic.Pointer[error] }
 
 func (l *lastError) record(err error) { l.pointer.Store(&err) }
 
-// get returns the last error, nil where there was none.
+// get returns the last error, or nil if there was none.
 func (l *lastError) get() error {
 	if err := l.pointer.Load(); err != nil {
 		return *err
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// measureWrites measures how many writes a second a cluster applies, and their 99th percentile. Each of many concurrent
-// writers writes an instance of its own.
+// measureWrites measures how many writes a second a cluster applies, and the 99th percentile of their latency. Each
+// concurrent writer writes its own instance.
 func (b *benchmark) measureWrites(ctx context.Context, replicas *cluster.Cluster) (perSecond, p99MS float64, err error) {
 	client, err := replicas.Client()
 	if err != nil {
--- a/internal/registry/cluster/cluster.go
+++ b/internal/registry/cluster/cluster.go
@@ -1,6 +1,6 @@
-// Package cluster runs registry replicas as processes of the program, for the benchmark, the lab and tests. It owns the
+// Package cluster runs registry replicas as milldeck processes, for the benchmark, the lab and tests. It owns the
 // processes, their configurations and data directories, and a network between them that can be partitioned. It does not
-// restart what ends by itself.
+// restart a process that ends by itself.
 package cluster
 
 import (
@@ -33,10 +33,11 @@
 	Program     string      // path of milldeck
 	DataDir     string      // for configurations, logs and data
 	Addresses   *proc.Block // loopback addresses of the cluster
-	ExtraConfig string      // added to the configuration of each replica, as "snapshot_every = 100"
-	// Advertise returns the raft address by which the other replicas reach a replica, as that of a proxy. nil: its own.
+	ExtraConfig string      // added to the configuration of each replica, such as "snapshot_every = 100"
+	// Advertise returns the raft address at which the other replicas reach a replica, such as that of a proxy. nil: the
+	// replica's own address.
 	Advertise func(index int, raftAddr string) string
-	// CommandPrefix is a command, with its arguments, that starts the program; empty: none.
+	// CommandPrefix is a command, with its arguments, that starts the program; empty: the program is started directly.
 	CommandPrefix []string
 }
 
@@ -53,12 +54,12 @@
 	HTTPAddr       string
 	RaftAddr       string
 	DataDir        string
-	Process        *proc.Process // the last one that was started
+	Process        *proc.Process // the process that was started last
 	advertisedAddr string
 }
 
-// Start starts replicas that are the members of one cluster, and waits for a leader. The cluster is to be closed after an
-// error, too.
+// Start starts replicas as the members of one cluster, and waits for a leader. The caller has to close the cluster even
+// after an error.
 func Start(ctx context.Context, replicas int, options Options) (*Cluster, error) {
 	cluster := &Cluster{options: options}
 	for range replicas {
@@ -92,7 +93,7 @@
 	return replica
 }
 
-// Add starts one more replica, which waits to be added as a member.
+// Add starts one more replica. The caller has to add it to the cluster as a member.
 func (c *Cluster) Add() (*Replica, error) {
 	replica := c.newReplica()
 	if err := replica.writeConfig(nil); err != nil {
@@ -102,10 +103,10 @@
 	return replica, err
 }
 
-// ConfigPath is the path of the replica's configuration.
+// ConfigPath returns the path of the replica's configuration.
 func (r *Replica) ConfigPath() string { return r.DataDir + ".toml" }
 
-// Member is the replica as a member of the cluster.
+// Member returns the replica as a member of the cluster.
 func (r *Replica) Member() registry.Member {
 	return registry.Member{HTTPAddr: r.HTTPAddr, RaftAddr: r.advertisedAddr}
 }
@@ -120,7 +121,7 @@
 	return os.WriteFile(r.ConfigPath(), []byte(config.String()), configMode)
 }
 
-// Start starts the replica's process, also again after it has ended.
+// Start starts the replica's process, for the first time or again after the process has ended.
 func (r *Replica) Start() error {
 	command := slices.Concat(r.cluster.options.CommandPrefix,
 		[]string{r.cluster.options.Program, "registry", "serve", "--config", r.ConfigPath()})
@@ -140,7 +141,7 @@
 // Resume resumes a paused process.
 func (r *Replica) Resume() error { return r.Process.Signal(syscall.SIGCONT) }
 
-// HTTPAddrs are the HTTP addresses of all replicas.
+// HTTPAddrs returns the HTTP addresses of all replicas.
 func (c *Cluster) HTTPAddrs() []string {
 	addresses := make([]string, 0, len(c.Replicas))
 	for _, replica := range c.Replicas {
@@ -149,7 +150,7 @@
 	return addresses
 }
 
-// Client makes a client of all replicas.
+// Client returns a new client of all replicas.
 func (c *Cluster) Client() (*registry.Client, error) { return registry.NewClient(c.HTTPAddrs()) }
 
 // AwaitLeader waits until a replica has established its leadership, and returns it.
--- a/internal/registry/cluster/clustertest/clustertest.go
+++ b/internal/registry/cluster/clustertest/clustertest.go
@@ -1,5 +1,5 @@
-// Package clustertest starts registry replicas as processes for tests of other packages. The replicas, their addresses and
-// the client end with the test; TestMain of the package under test has to call proctest.Main.
+// Package clustertest starts registry replicas as processes for tests of other packages. At the end of the test, it stops the
+// replicas, releases their addresses and closes the client. TestMain of the package under test has to call proctest.Main.
 package clustertest
 
 import (
@@ -17,8 +17,8 @@
 	Client *registry.Client
 }
 
-// Start starts replicas and waits for their leader. Where the options name no program, folder or addresses, it builds the
-// program and takes a temporary folder and a block of addresses. If the test fails, it logs what the replicas have logged.
+// Start starts replicas and waits for their leader. If the options lack them, Start builds the program, creates a temporary
+// data directory and reserves a block of addresses. If the test fails, the end of the replicas' logs is logged.
 func Start(ctx context.Context, t testing.TB, replicas int, options cluster.Options) *Cluster {
 	t.Helper()
 	if options.Program == "" {
@@ -35,7 +35,7 @@
 		if t.Failed() {
 			t.Log(running.Logs())
 		}
-		_ = running.Close() // replicas that the test has killed end with an error
+		_ = running.Close() // a replica that the test has killed causes an error
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/registry/cluster/network.go
+++ b/internal/registry/cluster/network.go
@@ -13,14 +13,15 @@
 	forwardBufferBytes = 32 << 10
 )
 
-// Network is a proxy before each replica's raft address, so that replicas can be partitioned from each other. In a
-// partition nothing fails: connections stay open and carry no data, and new ones are accepted and reach nobody.
+// Network runs a proxy in front of each replica's raft address, so that replicas can be partitioned from each other. A
+// partition causes no connection errors: open connections stay open and carry no data, and new connections are accepted
+// but not forwarded.
 type Network struct {
 	addresses *proc.Block
 
 	mu          sync.Mutex
 	blocked     map[link]bool
-	changed     chan struct{} // closed, and replaced, when blocked or closed changes
+	changed     chan struct{} // closed and replaced when blocked or closed changes
 	listeners   []net.Listener
 	connections map[net.Conn]struct{}
 	closed      bool
@@ -30,17 +31,17 @@
 // link is one direction between two replicas, by index.
 type link struct{ from, to int }
 
-// unknownReplica is the index of a client that is no replica.
+// unknownReplica is the index of a client that is not a replica.
 const unknownReplica = -1
 
-// NewNetwork makes a network without partitions, whose proxies listen on a cluster's addresses.
+// NewNetwork returns a network without partitions. Its proxies listen on addresses of the cluster's block.
 func NewNetwork(addresses *proc.Block) *Network {
 	return &Network{
 		addresses: addresses, blocked: map[link]bool{}, changed: make(chan struct{}), connections: map[net.Conn]struct{}{},
 	}
 }
 
-// Advertise starts the proxy of a replica and returns its address, for Options.Advertise.
+// Advertise starts the proxy of a replica and returns the proxy's address. It is meant for Options.Advertise.
 func (n *Network) Advertise(index int, raftAddr string) string {
 	address := n.addresses.Addr(proxyNetByte, index, proxyPort)
 	listener, err := net.Listen("tcp", address)
@@ -62,7 +63,7 @@
 	return address
 }
 
-// Partition blocks both directions between one replica and the others of a cluster, or unblocks them.
+// Partition blocks or unblocks both directions between one replica and each other replica of a cluster.
 func (n *Network) Partition(index, replicas int, blocked bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -74,7 +75,7 @@
 	n.notifyLocked()
 }
 
-// notifyLocked wakes those who wait in awaitUnblocked. The caller holds the lock.
+// notifyLocked wakes the goroutines that wait in awaitUnblocked. The caller holds the lock.
 func (n *Network) notifyLocked() {
 	close(n.changed)
 	n.changed = make(chan struct{})
@@ -115,7 +116,7 @@
 	<-done
 }
 
-// replicaAt returns the index of the replica that dialed from an address: replicas dial from their own.
+// replicaAt returns the index of the replica that dialed from an address. Each replica dials from its own IP address.
 func (n *Network) replicaAt(address net.Addr) int {
 	host := hostOf(address.String())
 	n.mu.Lock()
@@ -138,7 +139,7 @@
 	return host
 }
 
-// trackConnections has Close close the connections. It returns false if the network is closed already.
+// trackConnections adds connections that Close has to close. It returns false if the network is already closed.
 func (n *Network) trackConnections(connections ...net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -156,7 +157,7 @@
 	}
 }
 
-// forward copies one direction of a connection while its link is open, until either side ends.
+// forward copies one direction of a connection until either side ends. It waits while the link is blocked.
 func (n *Network) forward(to, from net.Conn, direction link, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, forwardBufferBytes)
