--- a/internal/registry/fixtures_client_test.go
+++ b/internal/registry/fixtures_client_test.go
@@ -23,14 +23,14 @@
 	"milldeck/internal/release"
 )
 
-// stubReplica is a stand-in for a replica: it records requests, and answers each path with a fixed body.
+// stubReplica is a stand-in for a replica. It records requests, and responds to each path with a fixed body.
 type stubReplica struct {
 	mu        sync.Mutex
 	requests  bytes.Buffer
 	responses map[string]string
 }
 
-// randomID is an id that the client draws for a write.
+// randomID matches an idempotency key that the client generates.
 var randomID = regexp.MustCompile(`"id":"[A-Z2-7]{26}"`)
 
 func (e *stubReplica) ServeHTTP(w http.ResponseWriter, request *http.Request) {
@@ -51,7 +51,7 @@
 	fmt.Fprintln(w, response)
 }
 
-// startStubReplica starts a stand-in and a client of it.
+// startStubReplica starts a stub replica, and returns it with a client of it and its address.
 func startStubReplica(t *testing.T, responses map[string]string) (*stubReplica, *registry.Client, string) {
 	t.Helper()
 	e := &stubReplica{responses: responses}
@@ -66,7 +66,8 @@
 	return e, client, address
 }
 
-// The bodies that a replica answers with; each is read by the client and has the same fields when it is written again.
+// stubResponses are the response bodies of a replica, by method and path. The client decodes each body; the decoded value has
+// the same fields when it is encoded again.
 var stubResponses = map[string]string{
 	"POST /registry/instances":         `{"outcome":"done","rev":12}`,
 	"POST /registry/state":             `{"outcome":"done","rev":13}`,
@@ -102,7 +103,8 @@
 	"DELETE /registry/instances/plain": `{"outcome":"conflict","rev":3,"why":"plain has revision 3"}`,
 }
 
-// TestClientRequests pins the requests of every call of the client, and that it keeps every field of the answers.
+// TestClientRequests compares the requests of every call of the client, and the decoded responses with all of their fields,
+// with a golden file.
 func TestClientRequests(t *testing.T) {
 	e, client, address := startStubReplica(t, stubResponses)
 	ctx := t.Context()
@@ -194,7 +196,7 @@
 	windows, err := client.Windows(ctx, true)
 	recordCall("windows", windows, err)
 
-	errStopWatch := errors.New("one line is enough")
+	errStopWatch := errors.New("stop after the first event")
 	err = client.WatchEndpoints(ctx, address, 11, 5, func(list *registry.EndpointList, age time.Duration) error {
 		recordCall(fmt.Sprintf("watch, %v old", age), list, nil)
 		return errStopWatch
@@ -212,8 +214,8 @@
 	goldentest.Compare(t, "client.txt", calls.Bytes())
 }
 
-// TestKeepAliveRequests pins the requests that register instances and renew their leases: an instance that the registry
-// does not know any more is registered again.
+// TestKeepAliveRequests compares the requests that register instances and renew their leases with a golden file. An instance
+// that the registry does not know any more is registered again.
 func TestKeepAliveRequests(t *testing.T) {
 	e, client, _ := startStubReplica(t, stubResponses)
 	keepAlive := registry.NewLeaseKeepAlive(client, fixtureInstance("s1", "z1", 1, 9001), fixtureInstance("s2", "z2", 1, 9002))
--- a/internal/registry/fixtures_served_test.go
+++ b/internal/registry/fixtures_served_test.go
@@ -18,7 +18,7 @@
 	"milldeck/internal/registry"
 )
 
-// bodyRecorder is a response that a watcher reads: it has no deadlines and keeps all that was written.
+// bodyRecorder is the http.ResponseWriter of a watch. It ignores deadlines and keeps everything that is written.
 type bodyRecorder struct {
 	mu     sync.Mutex
 	header http.Header
@@ -41,7 +41,7 @@
 	return r.body.Write(data)
 }
 
-// take returns what was written since the last call.
+// take returns the bytes that were written since the last call of take.
 func (r *bodyRecorder) take() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -49,7 +49,7 @@
 	return r.body.String()
 }
 
-// servedLog is a log of what watchers are served, by the clock of a synctest bubble.
+// servedLog returns log entries that cause watch events. The time nowMS is by the clock of a synctest bubble.
 func servedLog(nowMS int64) []logEntry {
 	guard := &registry.Guard{Lease: "spread", Token: 5}
 	records := []struct {
@@ -78,7 +78,7 @@
 	return log
 }
 
-// TestServedBodies pins the bytes of the list, of the placement and of their watches as they are served.
+// TestServedBodies compares the bytes of the list, the placement and their watches, as they are served, with golden files.
 func TestServedBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hub := registry.NewHub()
@@ -113,7 +113,7 @@
 				t.Fatal(err)
 			}
 			feed.Notify()
-			time.Sleep(100 * time.Millisecond) // of the bubble's clock: watchers are woken together
+			time.Sleep(100 * time.Millisecond) // by the bubble's clock, longer than the delay after which watchers are woken together
 			synctest.Wait()
 			recordBody("list watch after "+entry.name, list)
 			recordBody("placement watch after "+entry.name, entries)
--- a/internal/registry/placement_env_test.go
+++ b/internal/registry/placement_env_test.go
@@ -12,7 +12,7 @@
 	"milldeck/internal/registry"
 )
 
-// acquireLease acquires a lease for as long as a test lasts.
+// acquireLease acquires a lease with a TTL longer than any test.
 func (e *testEnv) acquireLease(name string) *registry.Guard {
 	e.Helper()
 	lease, err := e.client.UpdateLease(e.ctx, leasetable.Campaign, name, registry.LeaseRequest{Candidate: "me", TTLMS: 3600_000})
@@ -22,12 +22,12 @@
 	return &registry.Guard{Lease: name, Token: lease.Token}
 }
 
-// newExclusion is a directive that excludes two servers for a tenant.
+// newExclusion returns a directive that excludes two servers for a tenant.
 func newExclusion(id string, duration time.Duration) placement.Directive {
 	return placement.Directive{ID: id, Kind: placement.KindExclude, Tenant: "t", Servers: []string{"s1", "s2"}, MinAvailable: 0.5, ExpiresAtMS: time.Now().Add(duration).UnixMilli()}
 }
 
-// setPlacement sets directives, and returns the HTTP status of a rejection, 0 if they were set.
+// setPlacement sets directives. The returned HTTP status is that of a rejection, or 0 if the directives were set.
 func (e *testEnv) setPlacement(guard *registry.Guard, entries ...placement.Directive) (registry.Result, int) {
 	e.Helper()
 	result, err := e.client.SetPlacement(e.ctx, registry.WriteOptions{Guard: guard}, time.Now().UnixMilli(), entries)
@@ -41,16 +41,16 @@
 	return result, 0
 }
 
-// placementWatcher watches the placement.
 type placementWatcher struct {
 	mu              sync.Mutex
 	cache           *placement.Cache
-	completeUpdates int // complete updates
+	completeUpdates int
 	onUpdate        func(rev uint64, at time.Time)
 	startedAt       time.Time
 }
 
-// watchPlacement watches the placement until the test ends, at one replica and at the next whenever a watch ends.
+// watchPlacement watches the placement until the test ends. It starts at one replica, and continues at the next whenever a
+// watch ends.
 func (e *testEnv) watchPlacement(firstReplica int, onUpdate func(uint64, time.Time)) *placementWatcher {
 	watcher := &placementWatcher{cache: placement.NewCache(), startedAt: time.Now(), onUpdate: onUpdate}
 	ctx, cancel := context.WithCancel(e.ctx)
@@ -90,14 +90,14 @@
 	return watcher
 }
 
-// activeIDs are the ids of the directives in force.
+// activeIDs returns the ids of the active directives.
 func (f *placementWatcher) activeIDs() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return directiveIDs(f.cache.Active(time.Now().UnixMilli(), time.Since(f.startedAt).Milliseconds()))
 }
 
-// directiveIDs are the ids of directives, joined by spaces.
+// directiveIDs returns the ids of directives, joined by spaces.
 func directiveIDs(list placement.Update) string {
 	var uids []string
 	for _, entry := range list.Directives {
