--- a/internal/registry/broadcaster.go
+++ b/internal/registry/broadcaster.go
@@ -9,8 +9,7 @@
 // saves thousands of watchers a wake-up for each change.
 const broadcastDelay = 20 * time.Millisecond
 
-// broadcaster wakes all goroutines that wait for its channel. The lock of the struct that contains the broadcaster guards
-// it.
+// broadcaster wakes all goroutines that wait for its channel. It is guarded by the lock of the struct that contains it.
 type broadcaster struct {
 	changed chan struct{} // closed and replaced by each broadcast
 	pending bool
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -22,7 +22,7 @@
 const (
 	attemptTimeout   = 4 * time.Second // of one attempt; a replica responds or gives up within 3 s
 	initialBackoff   = 50 * time.Millisecond
-	maxBackoff       = 250 * time.Millisecond // an election takes about a second; longer backoffs would prolong calls beyond it
+	maxBackoff       = 250 * time.Millisecond // an election takes about a second; longer backoffs would delay calls past its end
 	maxAttempts      = 100                    // of one call; the call's context usually ends sooner
 	maxResponseBytes = 64 << 20
 
@@ -51,7 +51,7 @@
 // NewClient returns a client of the replicas at these HTTP addresses (loopback IP address and port).
 func NewClient(replicas []string) (*Client, error) {
 	if len(replicas) == 0 {
-		return nil, errors.New("no replicas")
+		return nil, errors.New("no replica addresses")
 	}
 	for _, address := range replicas {
 		if err := CheckLoopback("replica", address); err != nil {
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -26,7 +26,7 @@
 	// retryAfterSeconds is the Retry-After value of retryable errors. An election takes about as long.
 	retryAfterSeconds = "0.3"
 
-	// staleAfter is the age of its state from which a replica sends no heartbeats to watchers: it would not learn of a
+	// A replica whose state is staleAfter old, or older, sends no heartbeats to watchers, because it would not learn of a
 	// change.
 	staleAfter = 3 * time.Second
 )
