--- a/internal/registry/cluster/network.go
+++ b/internal/registry/cluster/network.go
@@ -13,14 +13,15 @@
 	forwardBufferBytes = 32 << 10
 )
 
-// Network is a proxy before each replica's raft address, so that replicas can be partitioned from each other. In a
-// partition nothing fails: connections stay open and carry no data, and new ones are accepted and reach nobody.
+// Network runs a proxy in front of each replica's raft address, so that replicas can be partitioned from each other. A
+// partition causes no connection errors: open connections stay open and carry no data, and new connections are accepted
+// but not forwarded.
 type Network struct {
 	addresses *proc.Block
 
 	mu          sync.Mutex
 	blocked     map[link]bool
-	changed     chan struct{} // closed, and replaced, when blocked or closed changes
+	changed     chan struct{} // closed and replaced when blocked or closed changes
 	listeners   []net.Listener
 	connections map[net.Conn]struct{}
 	closed      bool
@@ -30,17 +31,17 @@
 // link is one direction between two replicas, by index.
 type link struct{ from, to int }
 
-// unknownReplica is the index of a client that is no replica.
+// unknownReplica is the index of a client that is not a replica.
 const unknownReplica = -1
 
-// NewNetwork makes a network without partitions, whose proxies listen on a cluster's addresses.
+// NewNetwork returns a network without partitions. Its proxies listen on addresses of the cluster's block.
 func NewNetwork(addresses *proc.Block) *Network {
 	return &Network{
 		addresses: addresses, blocked: map[link]bool{}, changed: make(chan struct{}), connections: map[net.Conn]struct{}{},
 	}
 }
 
-// Advertise starts the proxy of a replica and returns its address, for Options.Advertise.
+// Advertise starts the proxy of a replica and returns the proxy's address. It is meant for Options.Advertise.
 func (n *Network) Advertise(index int, raftAddr string) string {
 	address := n.addresses.Addr(proxyNetByte, index, proxyPort)
 	listener, err := net.Listen("tcp", address)
@@ -62,7 +63,7 @@
 	return address
 }
 
-// Partition blocks both directions between one replica and the others of a cluster, or unblocks them.
+// Partition blocks or unblocks both directions between one replica and each other replica of a cluster.
 func (n *Network) Partition(index, replicas int, blocked bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,17 +72,17 @@
 			n.blocked[link{index, other}], n.blocked[link{other, index}] = blocked, blocked
 		}
 	}
-	n.announceLocked()
+	n.notifyLocked()
 }
 
-// announceLocked wakes those who wait in awaitOpen. The caller holds the lock.
-func (n *Network) announceLocked() {
+// notifyLocked wakes the goroutines that wait in awaitUnblocked. The caller holds the lock.
+func (n *Network) notifyLocked() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// awaitOpen waits while a link is blocked. It returns false if the network is closed.
-func (n *Network) awaitOpen(direction link) bool {
+// awaitUnblocked waits while a link is blocked. It returns false if the network is closed.
+func (n *Network) awaitUnblocked(direction link) bool {
 	for {
 		n.mu.Lock()
 		blocked, closed, changed := n.blocked[direction], n.closed, n.changed
@@ -97,7 +98,7 @@
 func (n *Network) proxy(incoming net.Conn, to int, raftAddr string) {
 	defer incoming.Close()
 	from := n.replicaAt(incoming.RemoteAddr())
-	if !n.awaitOpen(link{from, to}) {
+	if !n.awaitUnblocked(link{from, to}) {
 		return
 	}
 	outgoing, err := net.Dial("tcp", raftAddr)
@@ -115,7 +116,7 @@
 	<-done
 }
 
-// replicaAt returns the index of the replica that dialed from an address: replicas dial from their own.
+// replicaAt returns the index of the replica that dialed from an address. Each replica dials from its own IP address.
 func (n *Network) replicaAt(address net.Addr) int {
 	host := hostOf(address.String())
 	n.mu.Lock()
@@ -138,7 +139,7 @@
 	return host
 }
 
-// trackConnections has Close close the connections. It returns false if the network is closed already.
+// trackConnections adds connections that Close has to close. It returns false if the network is already closed.
 func (n *Network) trackConnections(connections ...net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -156,14 +157,14 @@
 	}
 }
 
-// forward copies one direction of a connection while its link is open, until either side ends.
+// forward copies one direction of a connection until either side ends. It waits while the link is blocked.
 func (n *Network) forward(to, from net.Conn, direction link, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, forwardBufferBytes)
 	for {
 		size, readErr := from.Read(buffer)
 		if size > 0 {
-			if !n.awaitOpen(direction) {
+			if !n.awaitUnblocked(direction) {
 				return
 			}
 			if _, err := to.Write(buffer[:size]); err != nil {
@@ -180,7 +181,7 @@
 func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
-	n.announceLocked()
+	n.notifyLocked()
 	for _, listener := range n.listeners {
 		listener.Close()
 	}
