--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -69,9 +69,9 @@
 				second = shrunk
 			}
 			path := filepath.Join(t.TempDir(), "list")
-			cached := instanceList{maxLossFraction: 0.5}
-			cached.merge(full, false)
-			data, err := cached.encode()
+			saved := instanceList{maxLossFraction: 0.5}
+			saved.merge(full, false)
+			data, err := saved.encode()
 			if err == nil {
 				err = writeStateFile(path, data)
 			}
@@ -82,7 +82,7 @@
 			startFakeReplica(t, first, shrunk)
 			startFakeReplica(t, other, second)
 			agent := startAgent(t, Options{Listen: block.Addr(201, 0, 8500), Replicas: []string{first, other}, ListFile: path, FleetSize: 1})
-			hasCounted := func(name string) bool {
+			isNonZero := func(name string) bool {
 				response, err := http.Get("http://" + agent.Addr() + "/metrics")
 				if err != nil {
 					t.Fatal(err)
@@ -98,7 +98,7 @@
 				waitFor(t, "the shrunken list is applied", func() bool { return len(servedList(t, agent).Targets) == 1 })
 				return
 			}
-			waitFor(t, "the shrunken list needs confirmation", func() bool { return hasCounted("milldeck_agent_held_total") })
+			waitFor(t, "the shrunken list needs confirmation", func() bool { return isNonZero("milldeck_agent_held_total") })
 			waitFor(t, "the agent has the second replica's list", func() bool { agent.mu.Lock(); defer agent.mu.Unlock(); return agent.list.revision == 6 })
 			if served := servedList(t, agent); len(served.Targets) != 6 {
 				t.Errorf("unconfirmed, it serves %+v", served)
@@ -110,11 +110,11 @@
 // A replica that has no epoch knows no list: it has just started. An agent keeps the last good list whatever such replicas send,
 // also where two agree, and serves none where it had none.
 func TestUnknownListIsNotServed(t *testing.T) {
-	for name, cached := range map[string]int{"with a list": 3, "without a list": 0} {
+	for name, savedInstances := range map[string]int{"with a list": 3, "without a list": 0} {
 		t.Run(name, func(t *testing.T) {
 			block := proctest.Block(t)
 			path := filepath.Join(t.TempDir(), "list")
-			if cached > 0 {
+			if savedInstances > 0 {
 				list := instanceList{maxLossFraction: 0.5}
 				list.merge(newList(5, 9, true, "a", "b", "c"), false)
 				data, err := list.encode()
@@ -134,8 +134,8 @@
 			agent := startAgent(t, Options{Listen: block.Addr(201, 0, 8500), Replicas: replicas, ListFile: path, FleetSize: 1})
 			// With the sixth request both replicas have answered, and a confirmation would have been applied.
 			waitFor(t, "both replicas were asked more than once", func() bool { return requests.Load() >= 6 })
-			if served := servedList(t, agent); len(served.Targets) != cached || agent.listKnown.Load() != (cached > 0) {
-				t.Errorf("it serves %d instances, list known %v; want %d", len(served.Targets), agent.listKnown.Load(), cached)
+			if served := servedList(t, agent); len(served.Targets) != savedInstances || agent.listKnown.Load() != (savedInstances > 0) {
+				t.Errorf("it serves %d instances, list known %v; want %d", len(served.Targets), agent.listKnown.Load(), savedInstances)
 			}
 		})
 	}
--- a/internal/agent/fixtures_test.go
+++ b/internal/agent/fixtures_test.go
@@ -291,7 +291,7 @@
 	known := fixturePlacementCache(t)
 	pending, unsupported := newPlacementCache("", fixtureClock, slog.Default()), newPlacementCache("", fixtureClock, slog.Default())
 	unsupported.markUnsupported()
-	pending.settle() // so that requests do not wait for the first answer
+	pending.markInitialized() // so that requests do not wait for the first answer
 	var transcript bytes.Buffer
 	for _, c := range []struct {
 		name  string
--- a/internal/agent/http.go
+++ b/internal/agent/http.go
@@ -9,8 +9,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// firstAnswerTimeout is how long the first request for the placement waits for the registry's answer.
-const firstAnswerTimeout = time.Second
+// firstPlacementTimeout is how long the first request for the placement waits for the registry's answer.
+const firstPlacementTimeout = time.Second
 
 // routes are the paths of PROTOCOL's discovery, and those for operators.
 func (a *Agent) routes() *http.ServeMux {
@@ -57,10 +57,10 @@
 // machine's clocks.
 func (a *Agent) servePlacement(w http.ResponseWriter, r *http.Request) {
 	cache := a.placement
-	cache.request()
+	cache.markRequested()
 	select {
-	case <-cache.settled:
-	case <-time.After(firstAnswerTimeout):
+	case <-cache.initialized:
+	case <-time.After(firstPlacementTimeout):
 	case <-r.Context().Done():
 		return
 	}
--- a/internal/agent/instance_list.go
+++ b/internal/agent/instance_list.go
@@ -113,7 +113,7 @@
 	return lost >= minLossToConfirm && float64(lost) > l.maxLossFraction*float64(ready)
 }
 
-const listFileForm = "milldeck-agent-list 1\n"
+const listFileHeader = "milldeck-agent-list 1\n"
 
 // listFile is the body of the saved list.
 type listFile struct {
@@ -134,12 +134,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return encodeChecksummed(listFileForm, body), nil
+	return encodeChecksummed(listFileHeader, body), nil
 }
 
 // decode reads a list file. It uses nothing of a corrupt one.
 func (l *instanceList) decode(data []byte) error {
-	body, err := decodeChecksummed(listFileForm, data)
+	body, err := decodeChecksummed(listFileHeader, data)
 	if err != nil {
 		return err
 	}
--- a/internal/agent/placement_cache.go
+++ b/internal/agent/placement_cache.go
@@ -16,7 +16,7 @@
 	// long after it was encoded.
 	writeAllowanceMS = 50
 
-	placementFileForm = "milldeck-agent-placement 1\n"
+	placementFileHeader = "milldeck-agent-placement 1\n"
 )
 
 // placementCache holds the last placement and serves it to watches. It is followed only once a sidecar has requested it,
@@ -32,15 +32,15 @@
 	lastRegistryMessageMS atomic.Int64  // when the registry last sent anything, ms of the monotonic clock + 1; 0: never
 	requested             chan struct{} // closed when a sidecar requests the placement
 	requestOnce           sync.Once
-	settled               chan struct{} // closed when a placement is known, or unsupported is set
-	settleOnce            sync.Once
+	initialized           chan struct{} // closed when a placement is known, or unsupported is set
+	initOnce              sync.Once
 	unsupported           atomic.Bool // no replica supports placements: all are of an older version
 }
 
 // newPlacementCache returns a cache with the saved placement, if there is one that has not expired. The clock reads Unix ms
 // and a monotonic clock in ms.
 func newPlacementCache(path string, clock func() (wallMS, monotonicMS int64), logger *slog.Logger) *placementCache {
-	c := &placementCache{clock: clock, cache: placement.NewCache(), requested: make(chan struct{}), settled: make(chan struct{})}
+	c := &placementCache{clock: clock, cache: placement.NewCache(), requested: make(chan struct{}), initialized: make(chan struct{})}
 	c.state = savedState{path: path, mu: &c.mu, encode: c.encode}
 	c.feed = registry.NewPlacementFeed(c.changesSince)
 	if path == "" {
@@ -50,7 +50,7 @@
 		logger.Warn("saved placement ignored", "file", path, "error", err)
 	}
 	if c.cache.Synced() {
-		c.settle()
+		c.markInitialized()
 		logger.Info("serving the saved placement until a replica answers", "revision", c.cache.Revision(), "directives", c.cache.Len())
 	}
 	return c
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return encodeChecksummed(placementFileForm, body), nil
+	return encodeChecksummed(placementFileHeader, body), nil
 }
 
 func (c *placementCache) load() error {
@@ -85,7 +85,7 @@
 	if data == nil || err != nil {
 		return err
 	}
-	body, err := decodeChecksummed(placementFileForm, data)
+	body, err := decodeChecksummed(placementFileHeader, data)
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 	if changed {
 		c.state.dirty = true
 		c.feed.Notify()
-		c.settle()
+		c.markInitialized()
 	}
 	return nil
 }
@@ -135,11 +135,11 @@
 	return len(c.cache.Active(c.clock()).Directives)
 }
 
-// request records that a sidecar requests the placement.
-func (c *placementCache) request() { c.requestOnce.Do(func() { close(c.requested) }) }
+// markRequested records that a sidecar requests the placement.
+func (c *placementCache) markRequested() { c.requestOnce.Do(func() { close(c.requested) }) }
 
-// settle lets requests that wait for the first placement go on.
-func (c *placementCache) settle() { c.settleOnce.Do(func() { close(c.settled) }) }
+// markInitialized lets requests that wait for the first placement go on.
+func (c *placementCache) markInitialized() { c.initOnce.Do(func() { close(c.initialized) }) }
 
 // markAlive records that the registry has sent something.
 func (c *placementCache) markAlive() {
@@ -151,7 +151,7 @@
 // markUnsupported records that no replica supports placements.
 func (c *placementCache) markUnsupported() {
 	c.unsupported.Store(true)
-	c.settle()
+	c.markInitialized()
 }
 
 // registryAlive reports whether the registry has been heard recently enough for the placement to be called current.
--- a/internal/agent/placement_test.go
+++ b/internal/agent/placement_test.go
@@ -192,8 +192,8 @@
 		cache.mu.Lock()
 		defer cache.mu.Unlock()
 		out := ""
-		for _, newDirective := range cache.cache.Active(cache.clock()).Directives {
-			out += newDirective.ID
+		for _, directive := range cache.cache.Active(cache.clock()).Directives {
+			out += directive.ID
 		}
 		return out
 	}
@@ -220,7 +220,7 @@
 	for i := range data {
 		corrupted := bytes.Clone(data)
 		corrupted[i] ^= 1
-		if _, err := decodeChecksummed(placementFileForm, corrupted); err == nil {
+		if _, err := decodeChecksummed(placementFileHeader, corrupted); err == nil {
 			t.Fatalf("byte %d flipped, and the file was used", i)
 		}
 	}
--- a/internal/agent/replica_follower_test.go
+++ b/internal/agent/replica_follower_test.go
@@ -60,9 +60,9 @@
 		waitFor(t, "all agents have reconnected to the second replica", func() bool { return second.total() >= agents })
 		return second.peak()
 	}
-	without, with := peakReconnects(1), peakReconnects(agents)
-	t.Logf("peak reconnects a second: %d spread by fleet size, %d without", with, without)
-	if with > maxPeak || with > without*3/4 {
-		t.Errorf("%d reconnect within a second, %d without the spread", with, without)
+	unspreadPeak, spreadPeak := peakReconnects(1), peakReconnects(agents)
+	t.Logf("peak reconnects a second: %d spread by fleet size, %d without", spreadPeak, unspreadPeak)
+	if spreadPeak > maxPeak || spreadPeak > unspreadPeak*3/4 {
+		t.Errorf("%d reconnect within a second, %d without the spread", spreadPeak, unspreadPeak)
 	}
 }
--- a/internal/agent/report_forwarder.go
+++ b/internal/agent/report_forwarder.go
@@ -27,11 +27,11 @@
 	forwardInterval = 900 * time.Millisecond
 	// maxForwardJitter is how long at most a batch waits for further reports, at random so that a fleet's reports do not
 	// arrive in step.
-	maxForwardJitter      = 100 * time.Millisecond
-	forwardTimeout        = time.Second     // for one address to accept a batch
-	maxForwardBackoff     = 8 * time.Second // between two attempts at an address that fails
-	reportRetention       = 5 * time.Second // an older report is dropped
-	maxForwardAnswerBytes = 64 << 10
+	maxForwardJitter        = 100 * time.Millisecond
+	forwardTimeout          = time.Second     // for one address to accept a batch
+	maxForwardBackoff       = 8 * time.Second // between two attempts at an address that fails
+	reportRetention         = 5 * time.Second // an older report is dropped
+	maxForwardResponseBytes = 64 << 10
 )
 
 // reportForwarder caches the newest load report of each sidecar of this machine and forwards it to the addresses that
@@ -41,13 +41,13 @@
 	logger *slog.Logger
 
 	mu      sync.Mutex
-	newest  map[string]pendingReport // by the sidecar's name
-	seq     uint64                   // of the newest report
-	updated chan struct{}            // closed at the next report
+	newest  map[string]cachedReport // by the sidecar's name
+	seq     uint64                  // of the newest report
+	updated chan struct{}           // closed at the next report
 }
 
-// pendingReport is a report as it was received.
-type pendingReport struct {
+// cachedReport is a report as it was received.
+type cachedReport struct {
 	seq        uint64
 	receivedAt time.Time
 	body       []byte
@@ -77,7 +77,7 @@
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}}
-	return &reportForwarder{client: client, logger: logger, newest: map[string]pendingReport{}, updated: make(chan struct{})}, nil
+	return &reportForwarder{client: client, logger: logger, newest: map[string]cachedReport{}, updated: make(chan struct{})}, nil
 }
 
 // latest returns what the newest report of a sidecar says, nil if there is no recent one.
@@ -138,7 +138,7 @@
 		return false
 	}
 	f.seq++
-	f.newest[sidecar] = pendingReport{f.seq, now, body, state}
+	f.newest[sidecar] = cachedReport{f.seq, now, body, state}
 	close(f.updated)
 	f.updated = make(chan struct{})
 	return true
@@ -166,9 +166,9 @@
 // forward sends reports to an address until ctx ends, at most once in forwardInterval, the newest of each sidecar. Reports
 // that it does not accept are dropped.
 func (f *reportForwarder) forward(ctx context.Context, address string) {
-	sentUpTo, backoff := uint64(0), forwardInterval
+	lastSentSeq, backoff := uint64(0), forwardInterval
 	for ctx.Err() == nil {
-		body, newestSeq, updated := f.batch(sentUpTo, time.Now())
+		body, newestSeq, updated := f.batch(lastSentSeq, time.Now())
 		if body == nil {
 			select {
 			case <-ctx.Done():
@@ -178,7 +178,7 @@
 			pause(ctx, rand.N(maxForwardJitter)) // for reports of other sidecars
 			continue
 		}
-		sentUpTo = newestSeq
+		lastSentSeq = newestSeq
 		if err := f.post(ctx, address, body); err != nil {
 			f.logger.Debug("load reports not forwarded", "address", address, "error", err)
 			pause(ctx, backoff/2+rand.N(backoff))
@@ -201,7 +201,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = io.Copy(io.Discard, io.LimitReader(response.Body, maxForwardAnswerBytes)) // so that the connection is reused
+	_, err = io.Copy(io.Discard, io.LimitReader(response.Body, maxForwardResponseBytes)) // so that the connection is reused
 	if err := errors.Join(err, response.Body.Close()); err != nil {
 		return err
 	}
--- a/internal/agent/state_file.go
+++ b/internal/agent/state_file.go
@@ -22,16 +22,16 @@
 var errChecksumMismatch = errors.New("checksum does not match")
 
 // encodeChecksummed returns the bytes of a state file. The form is a line with its line feed.
-func encodeChecksummed(form string, body []byte) []byte {
-	data := binary.BigEndian.AppendUint64([]byte(form), xxhash.Sum64(body))
+func encodeChecksummed(header string, body []byte) []byte {
+	data := binary.BigEndian.AppendUint64([]byte(header), xxhash.Sum64(body))
 	return append(data, body...)
 }
 
 // decodeChecksummed returns the body of a state file. It fails with errChecksumMismatch if the file is corrupt.
-func decodeChecksummed(form string, data []byte) ([]byte, error) {
-	remainder, ok := bytes.CutPrefix(data, []byte(form))
+func decodeChecksummed(header string, data []byte) ([]byte, error) {
+	remainder, ok := bytes.CutPrefix(data, []byte(header))
 	if !ok {
-		return nil, fmt.Errorf("it does not begin with %q", strings.TrimSpace(form))
+		return nil, fmt.Errorf("it does not begin with %q", strings.TrimSpace(header))
 	}
 	if len(remainder) < checksumBytes {
 		return nil, errChecksumMismatch
--- a/internal/supervisor/client.go
+++ b/internal/supervisor/client.go
@@ -62,7 +62,7 @@
 
 // NewClient returns a client of the platform at an address and port on loopback.
 func NewClient(addr string) (*Client, error) {
-	if at, err := netip.ParseAddrPort(addr); err != nil || !at.Addr().IsLoopback() {
+	if addrPort, err := netip.ParseAddrPort(addr); err != nil || !addrPort.Addr().IsLoopback() {
 		return nil, fmt.Errorf("supervisor: %q is not an address and port on loopback", addr)
 	}
 	transport := &http.Transport{
--- a/internal/supervisor/core/core_test.go
+++ b/internal/supervisor/core/core_test.go
@@ -34,7 +34,7 @@
 	return response.Outcomes[0]
 }
 
-func state(c *Core, unit string) supervisor.Unit {
+func listedUnit(c *Core, unit string) supervisor.Unit {
 	if u := c.list(0).Find(unit); u != nil {
 		return *u
 	}
@@ -57,10 +57,10 @@
 	return s
 }
 
-func requireText(t *testing.T, what, got, requireText string) {
+func requireText(t *testing.T, description, got, want string) {
 	t.Helper()
-	if got != requireText {
-		t.Errorf("%s: %q, want %q", what, got, requireText)
+	if got != want {
+		t.Errorf("%s: %q, want %q", description, got, want)
 	}
 }
 
@@ -70,7 +70,7 @@
 	requireText(t, "start", drainEffects(c), "launch 1 u 1;")
 	requireText(t, "start of a starting unit", string(executeOne(t, c, 1000, start(c, "b", "u", "1", first.Incarnation)).Rejected), "busy")
 	c.ProcessReady(1100, 1)
-	requireText(t, "ready", string(state(c, "u").State), "running")
+	requireText(t, "ready", string(listedUnit(c, "u").State), "running")
 	next := executeOne(t, c, 1200, request{
 		ID: "c", Op: supervisor.Restart, Epoch: c.epoch, Unit: "u", Incarnation: first.Incarnation, Kind: supervisor.Sidecar, Version: "2",
 		Listen: "127.0.0.1:1", GraceMS: 300,
@@ -82,7 +82,7 @@
 	requireText(t, "the grace", drainEffects(c), "kill 1;")
 	c.ProcessExited(1501, 1, "signal: killed")
 	requireText(t, "the end", drainEffects(c), "launch 2 u 2;")
-	if u := state(c, "u"); u.Incarnation != next.Incarnation || u.Incarnation == first.Incarnation || u.Version != "2" {
+	if u := listedUnit(c, "u"); u.Incarnation != next.Incarnation || u.Incarnation == first.Incarnation || u.Version != "2" {
 		t.Errorf("%+v, want incarnation %d of version 2", u, next.Incarnation)
 	}
 	requireText(t, "a late stop of the one before", string(executeOne(t, c, 1600, stop(c, "d", "u", first.Incarnation)).Rejected), "stale")
@@ -98,13 +98,13 @@
 		c.ProcessExited(due-200<<i, uint64(3+i), "exit status 1")
 		drainEffects(c)
 		c.Tick(due - 1)
-		requireText(t, "before the restart", string(state(c, "u").State)+drainEffects(c), "exited")
+		requireText(t, "before the restart", string(listedUnit(c, "u").State)+drainEffects(c), "exited")
 		c.Tick(due)
 		requireText(t, "the restart by the platform", drainEffects(c), fmt.Sprintf("launch %d u crash;", 4+i))
 	}
 	c.ProcessExited(4000, 5, "exit status 1")
 	c.Tick(1e6)
-	if u := state(c, "u"); u.State != supervisor.Exited || u.Restarts != 2 || drainEffects(c) != "" {
+	if u := listedUnit(c, "u"); u.State != supervisor.Exited || u.Restarts != 2 || drainEffects(c) != "" {
 		t.Errorf("%+v, want an end after two restarts", u)
 	}
 }
@@ -138,7 +138,7 @@
 
 		setFault(t, c, Fault{Kind: FaultWrongUnit})
 		executeOne(t, c, 1000, stop(c, "y", "a", 1))
-		requireText(t, "wrong", drainEffects(c)+string(state(c, "a").State+state(c, "b").State), "term 2;runningstopping")
+		requireText(t, "wrong", drainEffects(c)+string(listedUnit(c, "a").State+listedUnit(c, "b").State), "term 2;runningstopping")
 	})
 
 	t.Run("half of two stops", func(t *testing.T) {
@@ -162,7 +162,7 @@
 			ID: "r", Op: supervisor.Restart, Epoch: c.epoch, Unit: "a", Incarnation: 1, Kind: supervisor.Sidecar, Version: "2", Listen: "127.0.0.1:1",
 		})
 		c.ProcessExited(1100, 1, "exit status 0")
-		requireText(t, "half of a restart", drainEffects(c)+string(state(c, "a").State), "term 1;exited")
+		requireText(t, "half of a restart", drainEffects(c)+string(listedUnit(c, "a").State), "term 1;exited")
 	})
 
 	t.Run("hang", func(t *testing.T) {
--- a/internal/supervisor/core/execute.go
+++ b/internal/supervisor/core/execute.go
@@ -73,7 +73,7 @@
 		}
 		record := c.recordOrder[0]
 		c.recordOrder = c.recordOrder[1:]
-		if u := c.units[record.outcome.Unit]; u != nil && u.changing() {
+		if u := c.units[record.outcome.Unit]; u != nil && u.inTransition() {
 			c.recordOrder = append(c.recordOrder, record)
 			continue
 		}
--- a/internal/supervisor/core/fixtures_test.go
+++ b/internal/supervisor/core/fixtures_test.go
@@ -45,41 +45,41 @@
 	c := New(Options{Versions: versions, MaxUnits: 2, MaxRequestIDs: 64}, 1000)
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
-	note := func(v any) {
+	record := func(v any) {
 		t.Helper()
 		if err := encoder.Encode(v); err != nil {
 			t.Fatal(err)
 		}
 	}
 	first := start(c, "a", "u", "1", 0)
-	note(executeOne(t, c, 1000, first))
-	note(executeOne(t, c, 1000, start(c, "b", "u", "1", 1)))
-	note(executeOne(t, c, 1000, start(c, "b", "v", "1", 1)))
-	note(executeOne(t, c, 1000, start(c, "c", "v", "9", 0)))
-	note(executeOne(t, c, 1000, start(c, "d", "v", "1", 4)))
-	note(executeOne(t, c, 1000, start(c, "e", "v", "crash", 0)))
-	note(executeOne(t, c, 1000, start(c, "f", "w", "1", 0)))
-	note(c.list(1050))
+	record(executeOne(t, c, 1000, first))
+	record(executeOne(t, c, 1000, start(c, "b", "u", "1", 1)))
+	record(executeOne(t, c, 1000, start(c, "b", "v", "1", 1)))
+	record(executeOne(t, c, 1000, start(c, "c", "v", "9", 0)))
+	record(executeOne(t, c, 1000, start(c, "d", "v", "1", 4)))
+	record(executeOne(t, c, 1000, start(c, "e", "v", "crash", 0)))
+	record(executeOne(t, c, 1000, start(c, "f", "w", "1", 0)))
+	record(c.list(1050))
 	c.ProcessReady(1100, 1)
-	note(executeOne(t, c, 1200, request{ID: "g", Op: supervisor.Reload, Epoch: c.epoch, Unit: "v", Incarnation: 2, ConfigName: "c2", ConfigText: "text"}))
-	note(executeOne(t, c, 1200, request{ID: "h", Op: supervisor.Reload, Epoch: c.epoch, Unit: "u", Incarnation: 1, ConfigName: "c2", ConfigText: "text"}))
-	note(executeOne(t, c, 1200, request{ID: "i", Op: supervisor.Restart, Epoch: c.epoch, Unit: "u", Incarnation: 1, Kind: supervisor.Sidecar,
+	record(executeOne(t, c, 1200, request{ID: "g", Op: supervisor.Reload, Epoch: c.epoch, Unit: "v", Incarnation: 2, ConfigName: "c2", ConfigText: "text"}))
+	record(executeOne(t, c, 1200, request{ID: "h", Op: supervisor.Reload, Epoch: c.epoch, Unit: "u", Incarnation: 1, ConfigName: "c2", ConfigText: "text"}))
+	record(executeOne(t, c, 1200, request{ID: "i", Op: supervisor.Restart, Epoch: c.epoch, Unit: "u", Incarnation: 1, Kind: supervisor.Sidecar,
 		Version: "2", Listen: "127.0.0.1:2", Zone: "z", ConfigName: "c3", GraceMS: 300}))
 	c.ProcessExited(1250, 2, "exit status 1")
-	note(c.list(1300))
+	record(c.list(1300))
 	c.Tick(1500)
 	c.ProcessExited(1501, 1, "signal: killed")
-	note(executeOne(t, c, 1600, first))
-	note(c.list(1600))
-	for _, set := range []Fault{{Kind: FaultError}, {Kind: FaultLoseState}} {
-		if err := c.SetFault(1700, set); err != nil {
+	record(executeOne(t, c, 1600, first))
+	record(c.list(1600))
+	for _, fault := range []Fault{{Kind: FaultError}, {Kind: FaultLoseState}} {
+		if err := c.SetFault(1700, fault); err != nil {
 			t.Fatal(err)
 		}
-		if set.Kind == FaultError {
-			note(c.Do(1700, []request{first}).Failure)
+		if fault.Kind == FaultError {
+			record(c.Do(1700, []request{first}).Failure)
 		}
 	}
-	note(executeOne(t, c, 1700, first))
-	note(c.list(1700))
+	record(executeOne(t, c, 1700, first))
+	record(c.list(1700))
 	goldentest.Compare(t, "outcomes.jsonl", out.Bytes())
 }
--- a/internal/supervisor/core/model_test.go
+++ b/internal/supervisor/core/model_test.go
@@ -11,26 +11,26 @@
 	"milldeck/internal/supervisor"
 )
 
-// plantedBug is a bug in how the model calls the core.
-type plantedBug int
+// injectedBug is a bug in how the model calls the core.
+type injectedBug int
 
 const (
-	noBug          plantedBug = iota
-	evictsFailed              // a request whose response failed isn't remembered
-	anyIncarnation            // a request names whatever incarnation there is
-	anyEpoch                  // a request names whatever epoch there is
+	noBug                injectedBug = iota
+	evictsFailedRequests             // a request whose response failed isn't remembered
+	ignoresIncarnation               // a request names whatever incarnation there is
+	ignoresEpoch                     // a request names whatever epoch there is
 )
 
 // platformModel runs the core with processes that are ready at once and stop at once.
 type platformModel struct {
 	*Core
 	now     int64
-	bug     plantedBug
+	bug     injectedBug
 	started map[string]int // processes by the request that started them
 	alive   map[uint64]string
 }
 
-func newPlatformModel(bug plantedBug) *platformModel {
+func newPlatformModel(bug injectedBug) *platformModel {
 	return &platformModel{
 		Core: New(Options{Versions: versions, MaxRequestIDs: 8}, 1), now: 1, bug: bug,
 		started: map[string]int{}, alive: map[uint64]string{},
@@ -58,15 +58,15 @@
 
 // call makes one call; nil: the outcome is unknown.
 func (m *platformModel) call(r request) *supervisor.Outcome {
-	if u := m.units[r.Unit]; u != nil && m.bug == anyIncarnation {
+	if u := m.units[r.Unit]; u != nil && m.bug == ignoresIncarnation {
 		r.Incarnation = u.Incarnation
 	}
-	if m.bug == anyEpoch {
+	if m.bug == ignoresEpoch {
 		r.Epoch = m.epoch
 	}
 	response := m.Do(m.now, []request{r})
 	m.settle()
-	if m.bug == evictsFailed && (response.Disconnect || response.Failure != "") {
+	if m.bug == evictsFailedRequests && (response.Disconnect || response.Failure != "") {
 		delete(m.records, r.ID)
 	}
 	if response.Disconnect || response.Failure != "" || response.DeferredTicket != 0 {
@@ -80,7 +80,7 @@
 // reconcile brings a unit to a version, "" for stopped, as a careful caller does: it reads the list, calls, and repeats the
 // call with the same id; where the outcome is still unknown, it reads the list again. A request's id is also its
 // configuration's name, so that its processes can be counted.
-func (m *platformModel) reconcile(draw chooser, id, unit, version string) (requests []request, err error) {
+func (m *platformModel) reconcile(draw drawFunc, id, unit, version string) (requests []request, err error) {
 	for attempt := range 30 {
 		list := m.list(m.now)
 		for ; !list.Complete; list = m.list(m.now) {
@@ -116,12 +116,12 @@
 	return nil, fmt.Errorf("%s does not come to %q: %+v", unit, version, m.list(m.now))
 }
 
-// chooser returns a choice among n, from 0.
-type chooser func(what string, n int) int
+// drawFunc returns a choice among n, from 0.
+type drawFunc func(what string, n int) int
 
-// playScenario brings units to drawn versions, once without faults, and once with them and with repeats of earlier
+// runScenario brings units to drawn versions, once without faults, and once with them and with repeats of earlier
 // requests, some much later. Both have to end with the same versions, and no request may have started two processes.
-func playScenario(draw chooser, bug plantedBug) error {
+func runScenario(draw drawFunc, bug injectedBug) error {
 	faultless, faulty := newPlatformModel(noBug), newPlatformModel(bug)
 	never := func(string, int) int { return 0 }
 	var earlier []request
@@ -184,7 +184,7 @@
 
 func TestRetriesUnderFaultsAreIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := playScenario(func(what string, n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }, noBug); err != nil {
+		if err := runScenario(func(what string, n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }, noBug); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -195,10 +195,10 @@
 func TestAllTwoStepScenarios(t *testing.T) {
 	for _, c := range []struct{ attempts, repeats int }{{2, 1}, {1, 2}} {
 		var choices, alternatives []int // of this scenario: each choice, and among how many
-		plays := 0
-		for more := true; more; plays++ {
+		scenarios := 0
+		for more := true; more; scenarios++ {
 			at := 0
-			err := playScenario(func(what string, n int) int {
+			err := runScenario(func(what string, n int) int {
 				switch what {
 				case "steps":
 					return 1
@@ -230,21 +230,21 @@
 				}
 			}
 		}
-		t.Logf("%+v: %d plays", c, plays)
+		t.Logf("%+v: %d scenarios", c, scenarios)
 	}
 }
 
-// The model detects planted bugs, and nothing where there is none.
-func TestModelFindsPlantedBugs(t *testing.T) {
-	for b, name := range []string{noBug: "none", evictsFailed: "id forgotten on failure", anyIncarnation: "any incarnation", anyEpoch: "any epoch"} {
+// The model detects injected bugs, and nothing where there is none.
+func TestModelDetectsInjectedBugs(t *testing.T) {
+	for b, name := range []string{noBug: "none", evictsFailedRequests: "id forgotten on failure", ignoresIncarnation: "any incarnation", ignoresEpoch: "any epoch"} {
 		var found error
 		seed := uint64(0)
 		for ; seed < 300 && found == nil; seed++ {
 			r := rand.New(rand.NewPCG(seed, 0))
-			found = playScenario(func(_ string, n int) int { return r.IntN(n) }, plantedBug(b))
+			found = runScenario(func(_ string, n int) int { return r.IntN(n) }, injectedBug(b))
 		}
 		t.Logf("%s: %v at seed %d", name, found, seed)
-		if (found != nil) != (plantedBug(b) != noBug) {
+		if (found != nil) != (injectedBug(b) != noBug) {
 			t.Errorf("%s: found %v", name, found)
 		}
 	}
--- a/internal/supervisor/core/units.go
+++ b/internal/supervisor/core/units.go
@@ -32,8 +32,8 @@
 	fault      FaultKind // FaultDuplicate or noFault
 }
 
-// changing reports whether a unit is starting or stopping.
-func (u *unit) changing() bool {
+// inTransition reports whether a unit is starting or stopping.
+func (u *unit) inTransition() bool {
 	return u.State == supervisor.Starting || u.State == supervisor.Stopping
 }
 
--- a/internal/supervisor/fixtures_test.go
+++ b/internal/supervisor/fixtures_test.go
@@ -84,20 +84,20 @@
 	goldentest.Compare(t, "digests.txt", out.Bytes())
 }
 
-// fixtureAnswer answers the requests of fixtureRequests.
-func fixtureAnswer() BatchResponse {
-	var a BatchResponse
+// fixtureResponse answers the requests of fixtureRequests.
+func fixtureResponse() BatchResponse {
+	var response BatchResponse
 	for i, r := range fixtureRequests() {
-		a.Outcomes = append(a.Outcomes, Outcome{ID: r.ID, Unit: r.Unit, Epoch: 7, Incarnation: uint64(51 + i)})
+		response.Outcomes = append(response.Outcomes, Outcome{ID: r.ID, Unit: r.Unit, Epoch: 7, Incarnation: uint64(51 + i)})
 	}
-	a.Outcomes[3].Rejected, a.Outcomes[3].Detail = IncarnationMismatch, "it is incarnation 54, not 42"
-	return a
+	response.Outcomes[3].Rejected, response.Outcomes[3].Detail = IncarnationMismatch, "it is incarnation 54, not 42"
+	return response
 }
 
 // A client sends the golden call and reads the golden responses.
 func TestFixtureClient(t *testing.T) {
-	goldenJSON(t, "answer-to-call.json", fixtureAnswer())
-	listJSON, answerJSON := goldentest.Read(t, "list.json"), goldentest.Read(t, "answer-to-call.json")
+	goldenJSON(t, "answer-to-call.json", fixtureResponse())
+	listJSON, responseJSON := goldentest.Read(t, "list.json"), goldentest.Read(t, "answer-to-call.json")
 	var sent []string
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, err := io.ReadAll(req.Body)
@@ -105,12 +105,12 @@
 			t.Error(err)
 		}
 		sent = append(sent, fmt.Sprintf("%s %s %s %s", req.Method, req.URL.Path, req.Header.Get("Content-Type"), body))
-		answer := listJSON
+		response := listJSON
 		if req.Method == http.MethodPost {
-			answer = answerJSON
+			response = responseJSON
 			w.WriteHeader(http.StatusConflict)
 		}
-		if _, err := w.Write(answer); err != nil {
+		if _, err := w.Write(response); err != nil {
 			t.Error(err)
 		}
 	}))
@@ -125,7 +125,7 @@
 		t.Errorf("%+v, %v", list, err)
 	}
 	outcomes, err := client.Do(t.Context(), fixtureRequests()...)
-	if err != nil || !reflect.DeepEqual(outcomes, fixtureAnswer().Outcomes) {
+	if err != nil || !reflect.DeepEqual(outcomes, fixtureResponse().Outcomes) {
 		t.Errorf("%+v, %v", outcomes, err)
 	}
 	want := []string{
--- a/internal/supervisor/standin/bench_test.go
+++ b/internal/supervisor/standin/bench_test.go
@@ -15,15 +15,15 @@
 	var startTimes, stopTimes []time.Duration
 	for b.Loop() {
 		request := platform.request(supervisor.Start, 1, "1")
-		began := time.Now()
+		calledAt := time.Now()
 		platform.mustDo(request)
 		platform.waitState(1, supervisor.Running)
-		startTimes = append(startTimes, time.Since(began))
+		startTimes = append(startTimes, time.Since(calledAt))
 		request = platform.request(supervisor.Stop, 1, "")
-		began = time.Now()
+		calledAt = time.Now()
 		platform.mustDo(request)
 		platform.waitState(1, supervisor.Exited)
-		stopTimes = append(stopTimes, time.Since(began))
+		stopTimes = append(stopTimes, time.Since(calledAt))
 	}
 	for _, phase := range []struct {
 		name string
--- a/internal/supervisor/standin/fixtures_test.go
+++ b/internal/supervisor/standin/fixtures_test.go
@@ -74,19 +74,19 @@
 			t.Fatal(err)
 		}
 		defer resp.Body.Close()
-		answer, err := io.ReadAll(resp.Body)
+		response, err := io.ReadAll(resp.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if epoch == "" {
 			var list supervisor.List
-			if err := json.Unmarshal(answer, &list); err != nil {
+			if err := json.Unmarshal(response, &list); err != nil {
 				t.Fatal(err)
 			}
 			epoch = fmt.Sprint(list.Epoch)
 		}
-		answer = bytes.ReplaceAll(clock.ReplaceAll(answer, []byte(`"$1":0`)), []byte(epoch), []byte("MEMORY"))
-		fmt.Fprintf(&out, "%s %s: %d %s: %s", method, path, resp.StatusCode, resp.Header.Get("Content-Type"), answer)
+		response = bytes.ReplaceAll(clock.ReplaceAll(response, []byte(`"$1":0`)), []byte(epoch), []byte("MEMORY"))
+		fmt.Fprintf(&out, "%s %s: %d %s: %s", method, path, resp.StatusCode, resp.Header.Get("Content-Type"), response)
 	}
 	const units, faults = "/supervisor/units", "/faults"
 	request("GET", units, "")
--- a/internal/supervisor/standin/server.go
+++ b/internal/supervisor/standin/server.go
@@ -35,7 +35,7 @@
 // Serve runs a platform on a loopback listener until ctx ends, and then stops all processes that it has started. Their
 // logs and configuration files are in dir.
 func Serve(ctx context.Context, listener net.Listener, versions *Versions, dir string) error {
-	if at, err := netip.ParseAddrPort(listener.Addr().String()); err != nil || !at.Addr().IsLoopback() {
+	if addrPort, err := netip.ParseAddrPort(listener.Addr().String()); err != nil || !addrPort.Addr().IsLoopback() {
 		return fmt.Errorf("supervisor: %s is not on loopback", listener.Addr())
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -76,16 +76,16 @@
 
 func (s *server) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+supervisor.UnitsPath, s.limited(s.handleDo))
-	mux.HandleFunc("GET "+supervisor.UnitsPath, s.limited(s.handleList))
+	mux.HandleFunc("POST "+supervisor.UnitsPath, s.limitConcurrency(s.handleDo))
+	mux.HandleFunc("GET "+supervisor.UnitsPath, s.limitConcurrency(s.handleList))
 	mux.HandleFunc("POST "+FaultsPath, s.handleSetFault)
 	mux.HandleFunc("DELETE "+FaultsPath, s.handleClearFaults)
 	mux.HandleFunc("GET /health/ready", func(http.ResponseWriter, *http.Request) {})
 	return mux
 }
 
-// limited bounds the calls under way of a handler; one too many is answered with status 503.
-func (s *server) limited(handle http.HandlerFunc) http.HandlerFunc {
+// limitConcurrency bounds the calls under way of a handler; one too many is answered with status 503.
+func (s *server) limitConcurrency(handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		select {
 		case s.slots <- struct{}{}:
@@ -198,8 +198,8 @@
 // readJSON reads a body of one JSON value, or returns the status of the error. Unknown keys are rejected, as a request
 // would be executed without what they say.
 func readJSON(w http.ResponseWriter, req *http.Request, maxBytes int64, v any) (status int, err error) {
-	conn := http.NewResponseController(w)
-	if err := conn.SetReadDeadline(time.Now().Add(bodyTimeout)); err != nil {
+	controller := http.NewResponseController(w)
+	if err := controller.SetReadDeadline(time.Now().Add(bodyTimeout)); err != nil {
 		return http.StatusInternalServerError, err
 	}
 	decoder := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxBytes))
@@ -214,7 +214,7 @@
 	switch {
 	case err == nil:
 		// The response may take longer than the body. Without a deadline only the connection's end ends the call.
-		return http.StatusInternalServerError, conn.SetReadDeadline(time.Time{})
+		return http.StatusInternalServerError, controller.SetReadDeadline(time.Time{})
 	case errors.As(err, &tooLarge):
 		return http.StatusRequestEntityTooLarge, fmt.Errorf("body: more than %d bytes", maxBytes)
 	}
--- a/internal/supervisor/standin/standin_test.go
+++ b/internal/supervisor/standin/standin_test.go
@@ -43,9 +43,9 @@
 	if again := platform.mustDo(stop); again[0] != first[0] || platform.waitState(1, supervisor.Running).State != supervisor.Running {
 		t.Errorf("a late repeat got %+v, the first %+v", again, first)
 	}
-	other := stop
-	other.GraceMS = 1
-	if outcomes, err := platform.client.Do(platform.ctx, other); err != nil || outcomes[0].Rejected != supervisor.RequestIDReused {
+	reusedID := stop
+	reusedID.GraceMS = 1
+	if outcomes, err := platform.client.Do(platform.ctx, reusedID); err != nil || outcomes[0].Rejected != supervisor.RequestIDReused {
 		t.Errorf("%+v, %v, want the id rejected", outcomes, err)
 	}
 	if err := platform.process.Stop(platform.ctx); err != nil {
@@ -130,7 +130,7 @@
 		}
 		platform.waitState(1, supervisor.Running)
 		restart := platform.request(supervisor.Restart, 1, "2") // the caller has read the list and decides again
-		now := platform.mustDo(restart)[0].Incarnation
+		restarted := platform.mustDo(restart)[0].Incarnation
 		platform.waitState(1, supervisor.Running)
 		if err := ClearFaults(platform.ctx, platform.addr); err != nil {
 			t.Fatal(err)
@@ -138,8 +138,8 @@
 		if outcomes, err := platform.client.Do(platform.ctx, request); err != nil || outcomes[0].Rejected != supervisor.IncarnationMismatch {
 			t.Errorf("%+v, %v, want the late stop rejected", outcomes, err)
 		}
-		if unit := platform.waitState(1, supervisor.Running); unit.Incarnation != now || unit.Version != "2" {
-			t.Errorf("%+v, want incarnation %d left alone", unit, now)
+		if unit := platform.waitState(1, supervisor.Running); unit.Incarnation != restarted || unit.Version != "2" {
+			t.Errorf("%+v, want incarnation %d left alone", unit, restarted)
 		}
 	})
 	t.Run("half of two starts", func(t *testing.T) {
--- a/internal/supervisor/standin/test_platform_test.go
+++ b/internal/supervisor/standin/test_platform_test.go
@@ -25,13 +25,13 @@
 
 func TestMain(m *testing.M) {
 	if mode, ok := os.LookupEnv(serverModeEnv); ok {
-		serveAsModel(mode)
+		runTestServer(mode)
 		return
 	}
 	proctest.Main(m)
 }
 
-func serveAsModel(mode string) {
+func runTestServer(mode string) {
 	if mode == "crash" {
 		fmt.Fprintln(os.Stderr, "cannot go on")
 		os.Exit(3)
@@ -174,11 +174,11 @@
 }
 
 // eventually waits for something that takes milliseconds.
-func (p *testPlatform) eventually(what string, done func() bool) {
+func (p *testPlatform) eventually(condition string, done func() bool) {
 	p.t.Helper()
-	for began := time.Now(); !done(); time.Sleep(2 * time.Millisecond) {
-		if time.Since(began) > waitTimeout {
-			p.t.Fatalf("not within %v: %s\n%s", waitTimeout, what, p.process.Log())
+	for startedAt := time.Now(); !done(); time.Sleep(2 * time.Millisecond) {
+		if time.Since(startedAt) > waitTimeout {
+			p.t.Fatalf("not within %v: %s\n%s", waitTimeout, condition, p.process.Log())
 		}
 	}
 }
--- a/internal/supervisor/validate.go
+++ b/internal/supervisor/validate.go
@@ -83,8 +83,8 @@
 		if err := r.Kind.validate(); err != nil {
 			return err
 		}
-		at, err := netip.ParseAddrPort(r.Listen)
-		if err != nil || !at.Addr().IsLoopback() || at.Port() == 0 {
+		addrPort, err := netip.ParseAddrPort(r.Listen)
+		if err != nil || !addrPort.Addr().IsLoopback() || addrPort.Port() == 0 {
 			return validation.Errorf("listen", "%q is no address and port on loopback", r.Listen)
 		}
 	case Stop, Reload:
