--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,9 +1,9 @@
-// Package agent is the node agent beside a sidecar: it follows the registry's replicas and serves the endpoint list and
-// the placement to the sidecar in PROTOCOL's discovery, forwards the sidecar's load reports and registers the sidecar
-// with the registry.
+// Package agent is the node agent beside a sidecar. It watches the registry's replicas, serves the endpoint list and the
+// placement to the sidecar over the discovery interface of PROTOCOL, forwards the sidecar's load reports and registers the
+// sidecar with the registry.
 //
-// It owns the last good list and placement, cached in memory and in files, so that the sidecar is served also while no
-// replica is reachable. It does not write to the list of instances and decides nothing about the fleet.
+// The agent caches the last valid list and placement in memory and in files, so that it can serve the sidecar while no
+// replica is reachable. It does not write to the list of instances and makes no decisions about the fleet.
 package agent
 
 import (
@@ -22,9 +22,9 @@
 )
 
 const (
-	// saveInterval is how soon a change of the list or the placement is saved.
+	// saveInterval bounds the delay between a change of the list or the placement and its write to the state file.
 	saveInterval = 200 * time.Millisecond
-	// requestReadTimeout bounds the header of a request, and the body of a report.
+	// requestReadTimeout bounds the time to read the header of a request, and the time to read the body of a load report.
 	requestReadTimeout = 3 * time.Second
 	maxHeaderBytes     = 16 << 10
 
@@ -32,21 +32,21 @@
 	defaultFleetSize       = 100
 )
 
-// Options say how an agent runs.
+// Options configure an agent.
 type Options struct {
 	Listen    string   // address for the sidecar's requests; loopback only
 	Replicas  []string // HTTP addresses of the registry's replicas
-	FleetSize int      // roughly how many agents there are: reconnects are spread over a time that grows with it; 0: 100
-	// MaxLossFraction is the part of the ready instances that a list may remove without confirmation by a second
-	// replica; 0: a half.
+	FleetSize int      // approximate number of agents; the time over which reconnects are spread grows with it; 0: 100
+	// MaxLossFraction is the fraction of the ready instances that a list may remove without confirmation by a second
+	// replica; 0: one half.
 	MaxLossFraction float64
-	ListFile        string          // where the last good list is saved; "": it is not
-	PlacementFile   string          // where the last placement is saved; "": it is not
-	ReportAddresses []string        // where load reports are forwarded, each to all of them; loopback only
+	ListFile        string          // file for the last valid list; "": the list is not saved
+	PlacementFile   string          // file for the last placement; "": the placement is not saved
+	ReportAddresses []string        // each load report is forwarded to all of these addresses; loopback only
 	Sidecar         *SidecarOptions // the sidecar to register; nil: none
 }
 
-// Agent follows the registry and serves one machine's sidecar. It is safe for concurrent use.
+// Agent watches the registry and serves one machine's sidecar. It is safe for concurrent use.
 type Agent struct {
 	opts      Options
 	logger    *slog.Logger
@@ -62,8 +62,8 @@
 	list                  instanceList
 	listState             savedState
 	listKnown             atomic.Bool
-	lastRegistryMessageNS atomic.Int64  // when the registry last sent anything, ns since startedAt; 0: never
-	hub                   *registry.Hub // serves the list to watches
+	lastRegistryMessageNS atomic.Int64  // time of the registry's last message, in ns since startedAt; 0: none received
+	hub                   *registry.Hub // serves the list and watches of it
 
 	placement *placementCache
 	forwarder *reportForwarder
@@ -71,13 +71,13 @@
 }
 
 var (
-	// errReplicaStale ends the watch of a replica that lags behind.
+	// errReplicaStale ends the watch of a replica whose state is older than maxListAge.
 	errReplicaStale = errors.New("the replica's state is out of date")
-	// errReplicaUnready ends the watch of a replica that does not know the state yet.
-	errReplicaUnready = errors.New("the replica has just started and knows no state yet")
+	// errReplicaUnready ends the watch of a replica that has not loaded the registry's state yet.
+	errReplicaUnready = errors.New("the replica has just started and has not loaded its state")
 )
 
-// Start starts an agent. It returns once the agent listens, with the saved list and placement if there are any.
+// Start loads the saved list and placement, if any, and starts an agent. It returns once the agent listens.
 func Start(opts Options) (*Agent, error) {
 	a, err := newAgent(opts)
 	if err != nil {
@@ -115,7 +115,7 @@
 	return a, nil
 }
 
-// newAgent checks the options and returns an agent that neither listens nor follows the registry yet.
+// newAgent validates the options and returns an agent that has not started to listen or to watch the registry.
 func newAgent(opts Options) (*Agent, error) {
 	if err := registry.CheckLoopback("listen", opts.Listen); err != nil {
 		return nil, err
@@ -155,15 +155,15 @@
 	return a, nil
 }
 
-// clock reads the wall clock in Unix ms, and the monotonic clock in ms since the agent's start.
+// clock returns the wall clock's time in Unix ms, and the monotonic time since the agent's start in ms.
 func (a *Agent) clock() (wallMS, monotonicMS int64) {
 	return time.Now().UnixMilli(), time.Since(a.startedAt).Milliseconds()
 }
 
-// Addr is the address for the sidecar's requests.
+// Addr returns the address on which the agent listens for the sidecar's requests.
 func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
-// Close ends the agent and saves what has changed. The sidecar's registration is left to expire: see
+// Close stops the agent and saves unsaved changes. It leaves the sidecar's registration to expire, see
 // maintainSidecarRegistration.
 func (a *Agent) Close() error {
 	a.cancel()
@@ -174,7 +174,7 @@
 	return err
 }
 
-// saveLoop saves the list and the placement soon after they have changed, and a last time when ctx has ended.
+// saveLoop saves changes of the list and the placement every saveInterval, and once more when ctx has ended.
 func (a *Agent) saveLoop(ctx context.Context) {
 	ticker := time.NewTicker(saveInterval)
 	defer ticker.Stop()
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -13,8 +13,8 @@
 	"milldeck/internal/registry"
 )
 
-// An agent serves the list of its replica, goes on without it, and serves the saved list after its own restart while no
-// replica is reachable; a corrupt saved list is not used.
+// An agent still serves its list after its replica has stopped, and after its own restart without a reachable replica. It
+// does not use a corrupt saved list.
 func TestAgentServesWithoutRegistry(t *testing.T) {
 	block := proctest.Block(t)
 	replica := startReplica(t, block)
@@ -25,21 +25,21 @@
 	path := filepath.Join(t.TempDir(), "list")
 	opts := Options{Listen: block.Addr(201, 0, 8500), Replicas: []string{replica.Addr()}, ListFile: path}
 	agent := startAgent(t, opts)
-	waitFor(t, "the list is there", func() bool { return len(servedList(t, agent).Targets) == 5 })
+	waitFor(t, "the agent serves the list", func() bool { return len(servedList(t, agent).Targets) == 5 })
 	before := servedList(t, agent)
 	if err := replica.Close(); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "the list is saved", func() bool { _, err := os.Stat(path); return err == nil })
 	if list := servedList(t, agent); len(list.Targets) != 5 || list.Revision != before.Revision {
-		t.Errorf("without the registry it serves %+v", list)
+		t.Errorf("without the registry, the agent serves %+v", list)
 	}
 	if err := agent.Close(); err != nil {
 		t.Fatal(err)
 	}
 	restarted := startAgent(t, opts)
 	if list := servedList(t, restarted); len(list.Targets) != 5 || list.Revision < before.Revision {
-		t.Errorf("restarted without the registry it serves %+v, want all of %+v", list, before)
+		t.Errorf("restarted without the registry, the agent serves %+v, want all of %+v", list, before)
 	}
 	if err := restarted.Close(); err != nil {
 		t.Fatal(err)
@@ -53,11 +53,11 @@
 	}
 	corrupted := startAgent(t, opts)
 	if list := servedList(t, corrupted); len(list.Targets) != 0 {
-		t.Errorf("with a corrupt file it serves %+v", list)
+		t.Errorf("with a corrupt file, the agent serves %+v", list)
 	}
 }
 
-// A list that removes most instances is applied only when the second replica agrees.
+// A list that removes most instances is applied only if the second replica agrees.
 func TestShrunkenListNeedsConfirmation(t *testing.T) {
 	for name, agrees := range map[string]bool{"agrees": true, "disagrees": false} {
 		t.Run(name, func(t *testing.T) {
@@ -101,14 +101,14 @@
 			waitFor(t, "the shrunken list needs confirmation", func() bool { return isNonZero("milldeck_agent_held_total") })
 			waitFor(t, "the agent has the second replica's list", func() bool { agent.mu.Lock(); defer agent.mu.Unlock(); return agent.list.revision == 6 })
 			if served := servedList(t, agent); len(served.Targets) != 6 {
-				t.Errorf("unconfirmed, it serves %+v", served)
+				t.Errorf("without confirmation, the agent serves %+v", served)
 			}
 		})
 	}
 }
 
-// A replica that has no epoch knows no list: it has just started. An agent keeps the last good list whatever such replicas send,
-// also where two agree, and serves none where it had none.
+// A replica without an epoch has just started and has no list. The agent ignores the empty lists of such replicas, even if
+// two of them agree: it keeps its last valid list, and serves none if it had none.
 func TestUnknownListIsNotServed(t *testing.T) {
 	for name, savedInstances := range map[string]int{"with a list": 3, "without a list": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -132,10 +132,10 @@
 				serveHTTP(t, address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { requests.Add(1); serve(w, r) }))
 			}
 			agent := startAgent(t, Options{Listen: block.Addr(201, 0, 8500), Replicas: replicas, ListFile: path, FleetSize: 1})
-			// With the sixth request both replicas have answered, and a confirmation would have been applied.
-			waitFor(t, "both replicas were asked more than once", func() bool { return requests.Load() >= 6 })
+			// By the sixth request both replicas have responded, and the agent would have applied a confirmed list.
+			waitFor(t, "both replicas received more than one request", func() bool { return requests.Load() >= 6 })
 			if served := servedList(t, agent); len(served.Targets) != savedInstances || agent.listKnown.Load() != (savedInstances > 0) {
-				t.Errorf("it serves %d instances, list known %v; want %d", len(served.Targets), agent.listKnown.Load(), savedInstances)
+				t.Errorf("the agent serves %d instances, list known %v; want %d", len(served.Targets), agent.listKnown.Load(), savedInstances)
 			}
 		})
 	}
--- a/internal/agent/fixtures_test.go
+++ b/internal/agent/fixtures_test.go
@@ -23,7 +23,7 @@
 	"milldeck/internal/registry"
 )
 
-// The wall clock (Unix ms) and the monotonic clock (ms) of the fixtures.
+// The times of the wall clock (Unix ms) and the monotonic clock (ms) in the fixtures.
 const (
 	fixtureWallMS      = 1_764_633_600_000
 	fixtureMonotonicMS = 5_000
@@ -31,8 +31,8 @@
 
 func fixtureClock() (wallMS, monotonicMS int64) { return fixtureWallMS, fixtureMonotonicMS }
 
-// fixtureInstanceList holds a list with every field of an instance set. The registry was restored once, so the revision that is
-// served differs from the registry's.
+// fixtureInstanceList returns a list that sets every field of an instance. It has received two epochs, as after a restore of
+// the registry, so that the served revision differs from the registry's.
 func fixtureInstanceList(t *testing.T) *instanceList {
 	t.Helper()
 	list := &instanceList{maxLossFraction: defaultMaxLossFraction}
@@ -44,7 +44,7 @@
 	}}
 	for _, received := range []*registry.EndpointList{first, second} {
 		if result, _ := list.merge(received, true); result != listApplied {
-			t.Fatalf("the list of revision %d: result %d", received.Revision, result)
+			t.Fatalf("merge of the list of revision %d: result %d", received.Revision, result)
 		}
 	}
 	return list
@@ -83,12 +83,12 @@
 		}
 	}
 	var list instanceList
-	if err := list.load(goldentest.Path("placement.bin")); err == nil || !strings.Contains(err.Error(), `it does not begin with "milldeck-agent-list 1"`) {
-		t.Errorf("a file of another form: %v", err)
+	if err := list.load(goldentest.Path("placement.bin")); err == nil || !strings.Contains(err.Error(), `state file does not begin with "milldeck-agent-list 1"`) {
+		t.Errorf("a file with another header: %v", err)
 	}
 }
 
-// fixturePlacementCache holds a directive of each kind, and one that has expired.
+// fixturePlacementCache returns a cache with a directive of each kind, and an expired one.
 func fixturePlacementCache(t *testing.T) *placementCache {
 	t.Helper()
 	cache := newPlacementCache("", fixtureClock, slog.Default())
@@ -133,7 +133,7 @@
 	}
 }
 
-// The registration of the agent's sidecar, as it is sent to the registry.
+// Guards the format of the request with which an agent registers its sidecar.
 func TestSidecarCallFormat(t *testing.T) {
 	registration := sidecarRegistration{opts: SidecarOptions{Name: "n0", Address: "127.0.0.1:8600", Zone: "zone-a", Tenant: "gold", Version: "1", LeaseTTL: 9 * time.Second}}
 	registration.observe(fixtureWallMS, true, &reportedState{version: "2", listRevision: 41, placementRevision: 9})
@@ -164,7 +164,7 @@
 	}
 }
 
-// A report as a sidecar posts it, what the agent reads of it, and the request in which it is forwarded.
+// Guards the format of a report that a sidecar posts, the agent's decoding of it, and the request that forwards it.
 func TestReportFormat(t *testing.T) {
 	posted, err := json.Marshal(fixtureReport())
 	if err != nil {
@@ -206,8 +206,8 @@
 	goldentest.Compare(t, "report-forwarded.txt", forwarded.Bytes())
 }
 
-// exchange makes a request and writes it down with its answer: the status, the headers that clients go by, and the body,
-// or the first line of it where the answer is a watch.
+// exchange sends a request and appends it to the transcript with the response: the status, the headers that clients use,
+// and the body, or its first line if the response is a watch.
 func exchange(t *testing.T, transcript *bytes.Buffer, method, base, path, body string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -244,7 +244,7 @@
 	fmt.Fprintf(transcript, "%s\n", text)
 }
 
-// What an agent answers its sidecar, with a list that it has saved and no registry within reach.
+// Guards the responses of an agent that has loaded a saved list and cannot reach a replica.
 func TestAgentAnswers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	if err := os.WriteFile(path, goldentest.Read(t, "list.bin"), 0o600); err != nil {
@@ -276,7 +276,7 @@
 	goldentest.Compare(t, "answers.txt", transcript.Bytes())
 }
 
-// What an agent answers before it knows any list.
+// Guards the responses of an agent that has no list yet.
 func TestAgentAnswersWithoutList(t *testing.T) {
 	agent := startAgent(t, Options{Listen: "127.0.0.1:0", Replicas: []string{"127.0.0.1:1"}})
 	var transcript bytes.Buffer
@@ -286,12 +286,13 @@
 	goldentest.Compare(t, "answers-no-list.txt", transcript.Bytes())
 }
 
-// What an agent answers about the placement: with one, while none is known yet, and where the registry knows none.
+// Guards the responses to requests for the placement: with a placement, while none is known yet, and with a registry that
+// does not support placements.
 func TestPlacementAnswers(t *testing.T) {
 	known := fixturePlacementCache(t)
 	pending, unsupported := newPlacementCache("", fixtureClock, slog.Default()), newPlacementCache("", fixtureClock, slog.Default())
 	unsupported.markUnsupported()
-	pending.markInitialized() // so that requests do not wait for the first answer
+	pending.markInitialized() // so that requests do not wait for the registry's first response
 	var transcript bytes.Buffer
 	for _, c := range []struct {
 		name  string
@@ -313,7 +314,7 @@
 	goldentest.Compare(t, "answers-placement.txt", transcript.Bytes())
 }
 
-// The names, types and help texts of the agent's metrics.
+// Guards the names, types and help texts of the agent's metrics.
 func TestMetricNames(t *testing.T) {
 	agent := startAgent(t, Options{Listen: "127.0.0.1:0", Replicas: []string{"127.0.0.1:1"}})
 	response, err := http.Get("http://" + agent.Addr() + "/metrics")
--- a/internal/agent/rig_test.go
+++ b/internal/agent/helpers_test.go
@@ -22,11 +22,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = replica.Close() }) // tests that need it to end in good order close it themselves
+	t.Cleanup(func() { _ = replica.Close() }) // tests that need a graceful shutdown call Close themselves
 	return replica
 }
 
-// newClient returns a client of a replica, or of an agent that serves like one, until the test ends.
+// newClient returns a client of a replica, or of an agent, which serves the same interface. The client is closed at the
+// test's end.
 func newClient(t *testing.T, addr string) *registry.Client {
 	t.Helper()
 	client, err := registry.NewClient([]string{addr})
@@ -37,7 +38,7 @@
 	return client
 }
 
-// waitFor waits until a condition holds.
+// waitFor polls a condition until it holds, and fails the test after 30 s.
 func waitFor(t *testing.T, description string, done func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !done(); {
@@ -54,11 +55,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = a.Close() }) // tests that need it to end in good order close it themselves
+	t.Cleanup(func() { _ = a.Close() }) // tests that need a graceful shutdown call Close themselves
 	return a
 }
 
-// servedList is the list that an agent serves; empty if it serves none.
+// servedList returns the list that an agent serves; empty if it serves none.
 func servedList(t *testing.T, agent *Agent) registry.EndpointList {
 	t.Helper()
 	response, err := http.Get("http://" + agent.Addr() + "/registry/instances")
@@ -92,44 +93,44 @@
 		t.Fatal(err)
 	}
 	server := &http.Server{Handler: handler}
-	go func() { _ = server.Serve(listener) }() // ends with Close
-	t.Cleanup(func() { _ = server.Close() })   // it may be closed already
+	go func() { _ = server.Serve(listener) }() // returns after Close
+	t.Cleanup(func() { _ = server.Close() })   // the test may have closed the server already
 	return server
 }
 
-// startFakeReplica serves a list as a registry replica does.
+// startFakeReplica serves a static list in the same way as a registry replica.
 func startFakeReplica(t *testing.T, addr string, list *registry.EndpointList) {
 	t.Helper()
 	serveHTTP(t, addr, serveStatic(list))
 }
 
-// serveStatic serves a list, and watches of it that never change.
+// serveStatic returns a handler that serves a list, and watches of it without changes.
 func serveStatic(list *registry.EndpointList) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if err := json.NewEncoder(w).Encode(list); err != nil {
-			return // the agent is gone
+			return // the agent has disconnected
 		}
 		if r.URL.Query().Get("watch") != "" {
-			_ = http.NewResponseController(w).Flush() // it fails only once the agent is gone
+			_ = http.NewResponseController(w).Flush() // fails only after the agent has disconnected
 			<-r.Context().Done()
 		}
 	}
 }
 
-// countInterval is how finely a countingProxy counts connections, and intervalsPerSecond how many of them a second has.
+// countInterval is the length of the intervals in which a countingProxy counts connections.
 const (
 	countInterval      = 100 * time.Millisecond
 	intervalsPerSecond = int(time.Second / countInterval)
 )
 
-// countingProxy forwards connections to a replica and counts them over time.
+// countingProxy forwards connections to a replica and counts them per interval.
 type countingProxy struct {
 	listener  net.Listener
 	target    string
 	startedAt time.Time
 
 	mu          sync.Mutex
-	perInterval map[int]int // connections accepted, by the number of their countInterval
+	perInterval map[int]int // accepted connections by interval number
 	conns       []net.Conn
 }
 
@@ -160,7 +161,7 @@
 	}
 }
 
-// forward copies in both directions until either side is closed.
+// forward copies bytes in both directions until either side closes its connection.
 func (p *countingProxy) forward(downstream net.Conn) {
 	defer downstream.Close()
 	upstream, err := net.Dial("tcp", p.target)
@@ -169,7 +170,7 @@
 	}
 	defer upstream.Close()
 	go func() {
-		_, _ = io.Copy(upstream, downstream) // it ends when either side is closed
+		_, _ = io.Copy(upstream, downstream) // returns when either connection is closed
 		upstream.Close()
 	}()
 	_, _ = io.Copy(downstream, upstream)
@@ -194,7 +195,7 @@
 	return sum
 }
 
-// peak is the most connections that were accepted within a second.
+// peak returns the largest number of connections accepted within one second.
 func (p *countingProxy) peak() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -209,7 +210,7 @@
 	return highest
 }
 
-// closeConnections closes the connections that there are; the listener goes on.
+// closeConnections closes the open connections. The proxy still accepts new ones.
 func (p *countingProxy) closeConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/agent/http.go
+++ b/internal/agent/http.go
@@ -9,10 +9,10 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// firstPlacementTimeout is how long the first request for the placement waits for the registry's answer.
+// firstPlacementTimeout bounds how long a request for the placement waits for the registry's first response.
 const firstPlacementTimeout = time.Second
 
-// routes are the paths of PROTOCOL's discovery, and those for operators.
+// routes returns the handlers for the discovery paths of PROTOCOL, and for the operators' paths.
 func (a *Agent) routes() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", a.serveInstances)
@@ -31,7 +31,7 @@
 	fmt.Fprintln(w, "ready")
 }
 
-// serveInstances serves the list, or a watch of it, as a registry replica does.
+// serveInstances serves the list or a watch of it in the same way as a registry replica.
 func (a *Agent) serveInstances(w http.ResponseWriter, r *http.Request) {
 	if !a.listKnown.Load() {
 		serveRetryLater(w, "no list yet")
@@ -53,8 +53,8 @@
 	}
 }
 
-// servePlacement serves the placement, or a watch of it, as a registry replica does. The remaining times are by this
-// machine's clocks.
+// servePlacement serves the placement or a watch of it in the same way as a registry replica. The remaining times of the
+// directives are computed with this machine's clocks.
 func (a *Agent) servePlacement(w http.ResponseWriter, r *http.Request) {
 	cache := a.placement
 	cache.markRequested()
@@ -97,7 +97,7 @@
 	http.Error(w, reason, http.StatusServiceUnavailable)
 }
 
-// queryUint reads a number of the query; 0 if it is absent.
+// queryUint parses a query parameter as an unsigned integer; 0 if it is absent.
 func queryUint(r *http.Request, name string) (uint64, error) {
 	value := r.URL.Query().Get(name)
 	if value == "" {
--- a/internal/agent/instance_list.go
+++ b/internal/agent/instance_list.go
@@ -10,40 +10,42 @@
 	"milldeck/internal/registry"
 )
 
-// mergeResult is what became of a list or change that a replica sent.
+// mergeResult is the result of merging a list or change that a replica sent.
 type mergeResult uint8
 
 const (
 	listApplied       mergeResult = iota
-	listOutdated                  // it is older than what is known
-	listDiscontinuous             // a change that does not continue what is known: the full list has to be fetched
-	listUnknown                   // the replica has no epoch: it has just started, and knows no list
-	listUnconfirmed               // it removes most ready instances, or begins another epoch: a second replica has to confirm it
+	listOutdated                  // the received revision is not newer than the known one
+	listDiscontinuous             // the change does not continue the known list, so the complete list has to be fetched
+	listUnknown                   // the replica has no epoch: it has just started and has no list
+	listUnconfirmed               // the list removes most ready instances or has another epoch; a second replica has to confirm it
 )
 
-// minLossToConfirm is how many ready instances a list has to remove to need confirmation: of two instances, one is a half.
+// minLossToConfirm is the least number of removed ready instances for which a list needs confirmation. In a list of two
+// instances, the loss of one is already a half.
 const minLossToConfirm = 3
 
-// instanceList is the list of instances as the agent knows it. It has no clock and does no I/O: lists go in, changes come
-// out. The revision that it serves only increases, whatever becomes of the registry's.
+// instanceList is the agent's copy of the list of instances. It uses no clock and does no I/O: merge takes lists and
+// returns changes. servedRevision only increases, even if the registry's revision decreases.
 type instanceList struct {
-	maxLossFraction float64 // of the ready instances that may be removed without confirmation
+	maxLossFraction float64 // fraction of the ready instances that a list may remove without confirmation
 
 	revision, epoch uint64 // of the registry
-	servedRevision  uint64 // as the sidecar's watches know it
+	servedRevision  uint64 // the revision that the agent sends to the sidecar
 	targets         map[string]registry.Target
 }
 
-// listChanges is what the sidecar's watches are to be sent.
+// listChanges are the differences between two lists, to be sent to the sidecar's watches.
 type listChanges struct {
 	upserted []registry.Instance
 	removed  []registry.InstanceRef
 }
 
-// known reports whether there is any list.
+// known reports whether the agent has a list.
 func (l *instanceList) known() bool { return l.revision != 0 }
 
-// merge applies a list or change and returns what it changes. Confirmed means that a second replica agrees with it.
+// merge applies a complete list or a change and returns the differences. confirmed says that a second replica agrees with
+// the received list.
 func (l *instanceList) merge(received *registry.EndpointList, confirmed bool) (mergeResult, listChanges) {
 	sameEpoch := received.Epoch == l.epoch
 	switch {
@@ -64,7 +66,7 @@
 	return listApplied, changes
 }
 
-// targetsAfter returns the targets as they are after a list or change.
+// targetsAfter returns the targets that result from a list or change.
 func (l *instanceList) targetsAfter(received *registry.EndpointList) map[string]registry.Target {
 	next := map[string]registry.Target{}
 	if !received.Complete {
@@ -80,7 +82,7 @@
 	return next
 }
 
-// diffTargets returns what changes from one list to the next, by UID.
+// diffTargets returns the differences between two lists, sorted by UID.
 func diffTargets(current, next map[string]registry.Target) listChanges {
 	var changes listChanges
 	for uid := range current {
@@ -98,7 +100,8 @@
 	return changes
 }
 
-// exceedsLossLimit reports whether a list leaves too few of the instances that are ready.
+// exceedsLossLimit reports whether the next list removes at least minLossToConfirm ready instances and more than
+// maxLossFraction of them.
 func (l *instanceList) exceedsLossLimit(next map[string]registry.Target) bool {
 	ready, lost := 0, 0
 	for uid, target := range l.targets {
@@ -123,7 +126,7 @@
 	Targets        []registry.Target `json:"targets"`
 }
 
-// encode returns the bytes of the list file.
+// encode returns the contents of the list file.
 func (l *instanceList) encode() ([]byte, error) {
 	file := listFile{Revision: l.revision, Epoch: l.epoch, ServedRevision: l.servedRevision, Targets: []registry.Target{}}
 	for _, target := range l.targets {
@@ -137,7 +140,7 @@
 	return encodeChecksummed(listFileHeader, body), nil
 }
 
-// decode reads a list file. It uses nothing of a corrupt one.
+// decode replaces the list by the contents of a list file. It leaves the list unchanged if the file is corrupt.
 func (l *instanceList) decode(data []byte) error {
 	body, err := decodeChecksummed(listFileHeader, data)
 	if err != nil {
@@ -155,7 +158,7 @@
 	return nil
 }
 
-// load reads the list file; a missing one is no error.
+// load reads the list file. A missing file is not an error.
 func (l *instanceList) load(path string) error {
 	data, err := readStateFile(path)
 	if data == nil || err != nil {
--- a/internal/agent/instance_list_test.go
+++ b/internal/agent/instance_list_test.go
@@ -30,7 +30,7 @@
 		want      mergeResult
 		instances int
 	}{
-		{"a change before any list", newList(4, 9, false, "a"), false, listDiscontinuous, 0},
+		{"a change before the first list", newList(4, 9, false, "a"), false, listDiscontinuous, 0},
 		{"the first list", newList(5, 9, true, uids...), false, listApplied, 8},
 		{"an older list", newList(4, 9, true, "a"), false, listOutdated, 8},
 		{"a change of the same revision", newList(5, 9, false, "-a"), false, listOutdated, 8},
@@ -50,7 +50,7 @@
 			t.Errorf("%s: result %d, %d instances, want %d, %d", step.name, result, len(list.targets), step.want, step.instances)
 		}
 		if result == listApplied && list.servedRevision <= previousRev || result != listApplied && (list.servedRevision != previousRev || len(changes.upserted)+len(changes.removed) > 0) {
-			t.Errorf("%s: served revision %d after %d, update %+v", step.name, list.servedRevision, previousRev, changes)
+			t.Errorf("%s: served revision %d after %d, changes %+v", step.name, list.servedRevision, previousRev, changes)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 		corrupted := bytes.Clone(data)
 		corrupted[k] ^= 1
 		if (&instanceList{}).decode(corrupted) == nil {
-			t.Errorf("byte %d flipped, and the file was used", k)
+			t.Errorf("the file was accepted with a flipped bit in byte %d", k)
 		}
 	}
 }
--- a/internal/agent/list_sync.go
+++ b/internal/agent/list_sync.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// maxListAge is the age of a replica's state from which on another replica is preferred.
+	// maxListAge is the age of a replica's state above which the agent moves on to another replica.
 	maxListAge = 3 * time.Second
-	// registryHeartbeatTimeout is how recently the registry must have sent something for the agent to send heartbeats to
-	// its sidecar: two of the registry's own intervals.
+	// registryHeartbeatTimeout bounds the time since the registry's last message for which the agent sends heartbeats to
+	// its sidecar. It is two heartbeat intervals of the registry.
 	registryHeartbeatTimeout = 4 * time.Second
-	// confirmationDelay is the time before a list is confirmed by the replica that sent it, where there is no other.
+	// confirmationDelay is the delay before the agent asks the same replica to confirm a list, if only one is configured.
 	confirmationDelay  = 2 * time.Second
 	listRequestTimeout = 3 * time.Second
 )
 
-// loadList serves the saved list, if there is a valid one, until a replica answers.
+// loadList loads the saved list, if it is valid, and publishes it, so that it is served until a replica responds.
 func (a *Agent) loadList() error {
 	path := a.opts.ListFile
 	if path == "" {
@@ -41,17 +41,17 @@
 	return a.publish(changes)
 }
 
-// registrySilence is the time since the registry last sent anything.
+// registrySilence returns the time since the registry's last message, or since the agent's start if there was none.
 func (a *Agent) registrySilence() time.Duration {
 	return time.Since(a.startedAt) - time.Duration(a.lastRegistryMessageNS.Load())
 }
 
-// registryAlive reports whether the registry has been heard recently enough for the list to be called current.
+// registryAlive reports whether the registry's last message is recent enough for the list to count as current.
 func (a *Agent) registryAlive() bool {
 	return a.lastRegistryMessageNS.Load() > 0 && a.registrySilence() < registryHeartbeatTimeout
 }
 
-// followList follows the list until ctx ends, beginning with a random replica.
+// followList watches the list until ctx ends, starting with a random replica.
 func (a *Agent) followList(ctx context.Context) {
 	a.followListFrom(ctx, rand.IntN(len(a.opts.Replicas)))
 }
@@ -77,13 +77,13 @@
 	})
 }
 
-// replicaStale reports whether the age of a replica's state is a reason to move on to another one, if there is any.
+// replicaStale reports whether a replica's state is too old and another replica is configured.
 func (a *Agent) replicaStale(age time.Duration) bool {
 	return age > maxListAge && len(a.opts.Replicas) > 1
 }
 
-// handleList applies a list or change that a replica sent. One that is discontinuous or needs confirmation is replaced by
-// the full list of another replica, if that is of the same epoch and no older.
+// handleList applies a list or change that a replica sent. If the list is discontinuous or unconfirmed, the agent applies
+// the complete list of another replica instead, provided that it has the same epoch and is not older.
 func (a *Agent) handleList(ctx context.Context, list *registry.EndpointList, replicaIndex int) error {
 	result, err := a.applyList(list, false)
 	if err != nil || result == listApplied || result == listOutdated {
@@ -101,8 +101,8 @@
 	return a.confirmList(ctx, list, replicas[(replicaIndex+1)%len(replicas)])
 }
 
-// confirmList applies the full list of another replica, or of the same one after confirmationDelay where there is no
-// other, if that is of the received list's epoch and no older.
+// confirmList fetches the complete list of another replica and applies it if it has the received list's epoch and is not
+// older. If only one replica is configured, confirmList waits for confirmationDelay and fetches from that replica again.
 func (a *Agent) confirmList(ctx context.Context, list *registry.EndpointList, otherReplica string) error {
 	if len(a.opts.Replicas) == 1 {
 		select {
@@ -116,14 +116,14 @@
 		return fmt.Errorf("list not confirmed by %s: %w", otherReplica, err)
 	}
 	if confirmation.Epoch != list.Epoch || confirmation.Revision < list.Revision {
-		return fmt.Errorf("list not confirmed by %s: it has revision %d of epoch %d, received was revision %d of epoch %d",
+		return fmt.Errorf("list not confirmed by %s: its list has revision %d of epoch %d, received revision %d of epoch %d",
 			otherReplica, confirmation.Revision, confirmation.Epoch, list.Revision, list.Epoch)
 	}
 	_, err = a.applyList(confirmation, true)
 	return err
 }
 
-// fetchList reads a replica's full list.
+// fetchList fetches a replica's complete list.
 func fetchList(ctx context.Context, replica string) (*registry.EndpointList, error) {
 	ctx, cancel := context.WithTimeout(ctx, listRequestTimeout)
 	defer cancel()
@@ -136,7 +136,7 @@
 	return &list, err
 }
 
-// applyList merges a list or change and publishes what it changes.
+// applyList merges a list or change and publishes the differences.
 func (a *Agent) applyList(list *registry.EndpointList, confirmed bool) (mergeResult, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -153,7 +153,7 @@
 	return result, a.publish(changes)
 }
 
-// publish sends changes to the sidecar's watches. The caller holds the lock, or nothing else runs yet.
+// publish sends changes to the sidecar's watches. The caller holds mu, except in Start before other goroutines run.
 func (a *Agent) publish(changes listChanges) error {
 	record := &registry.Record{Op: registry.OpMirror, Instances: changes.upserted, Refs: changes.removed}
 	if _, err := a.hub.Apply(a.list.servedRevision, record); err != nil {
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the agent's counters, and the registry that serves them with its gauges.
+// metrics holds the agent's counters and the Prometheus registry of its counters and gauges.
 type metrics struct {
 	registry         *prometheus.Registry
 	replicaSwitches  prometheus.Counter
@@ -10,7 +10,7 @@
 	epochChanges     prometheus.Counter
 }
 
-// registerMetrics creates the agent's metrics. The gauges are read when they are scraped.
+// registerMetrics creates the agent's metrics. The gauges' values are computed at each scrape.
 func (a *Agent) registerMetrics() {
 	m := &a.metrics
 	m.registry = prometheus.NewRegistry()
--- a/internal/agent/placement_cache.go
+++ b/internal/agent/placement_cache.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// writeAllowanceMS is subtracted from the remaining time of a directive that is served: a response may be written so
-	// long after it was encoded.
+	// writeAllowanceMS is subtracted from the remaining time of each served directive. It covers the delay between
+	// encoding a response and writing it.
 	writeAllowanceMS = 50
 
 	placementFileHeader = "milldeck-agent-placement 1\n"
 )
 
-// placementCache holds the last placement and serves it to watches. It is followed only once a sidecar has requested it,
-// so that a sidecar that uses no placement costs the registry no second watch.
+// placementCache holds the last placement and serves it to watches. The agent watches the registry's placement only after
+// the sidecar has requested it, so that a sidecar without placement does not cost the registry a second watch.
 type placementCache struct {
 	clock func() (wallMS, monoMS int64)
 	feed  *registry.PlacementFeed // serves watches
@@ -29,16 +29,16 @@
 	cache *placement.Cache
 	state savedState
 
-	lastRegistryMessageMS atomic.Int64  // when the registry last sent anything, ms of the monotonic clock + 1; 0: never
-	requested             chan struct{} // closed when a sidecar requests the placement
+	lastRegistryMessageMS atomic.Int64  // time of the registry's last message, in monotonic ms + 1; 0: none received
+	requested             chan struct{} // closed at the sidecar's first request for the placement
 	requestOnce           sync.Once
 	initialized           chan struct{} // closed when a placement is known, or unsupported is set
 	initOnce              sync.Once
-	unsupported           atomic.Bool // no replica supports placements: all are of an older version
+	unsupported           atomic.Bool // no replica supports placements, because all are of an older version
 }
 
-// newPlacementCache returns a cache with the saved placement, if there is one that has not expired. The clock reads Unix ms
-// and a monotonic clock in ms.
+// newPlacementCache returns a cache, with the saved placement if the file can be restored. clock returns the wall clock's
+// time in Unix ms and a monotonic time in ms.
 func newPlacementCache(path string, clock func() (wallMS, monotonicMS int64), logger *slog.Logger) *placementCache {
 	c := &placementCache{clock: clock, cache: placement.NewCache(), requested: make(chan struct{}), initialized: make(chan struct{})}
 	c.state = savedState{path: path, mu: &c.mu, encode: c.encode}
@@ -56,7 +56,7 @@
 	return c
 }
 
-// changesSince returns what changed after a revision of an epoch, for the feed.
+// changesSince returns the changes after a revision of an epoch, for the feed.
 func (c *placementCache) changesSince(after, epoch uint64) placement.Update {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,10 +67,10 @@
 // placementFile is the body of the saved placement.
 type placementFile struct {
 	SavedAtMS int64            `json:"saved_ms"` // by the wall clock
-	Placement placement.Update `json:"list"`     // with the time that remained to each directive then
+	Placement placement.Update `json:"list"`     // with each directive's remaining time at SavedAtMS
 }
 
-// encode returns the bytes of the placement file. The caller holds the lock.
+// encode returns the contents of the placement file. The caller holds mu.
 func (c *placementCache) encode() ([]byte, error) {
 	wallMS, monotonicMS := c.clock()
 	body, err := json.Marshal(placementFile{wallMS, c.cache.Snapshot(wallMS, monotonicMS)})
@@ -114,34 +114,34 @@
 	return nil
 }
 
-// position is the revision and epoch that are known, from which a watch continues.
+// position returns the known revision and epoch, from which a watch continues.
 func (c *placementCache) position() (revision, epoch uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cache.Revision(), c.cache.Epoch()
 }
 
-// known reports whether there is a placement.
+// known reports whether the cache holds a placement.
 func (c *placementCache) known() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cache.Synced()
 }
 
-// activeDirectives is how many directives have not expired.
+// activeDirectives returns the number of directives that have not expired.
 func (c *placementCache) activeDirectives() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.cache.Active(c.clock()).Directives)
 }
 
-// markRequested records that a sidecar requests the placement.
+// markRequested records that a sidecar has requested the placement.
 func (c *placementCache) markRequested() { c.requestOnce.Do(func() { close(c.requested) }) }
 
-// markInitialized lets requests that wait for the first placement go on.
+// markInitialized releases the requests that wait for the registry's first response.
 func (c *placementCache) markInitialized() { c.initOnce.Do(func() { close(c.initialized) }) }
 
-// markAlive records that the registry has sent something.
+// markAlive records the time of a message from the registry.
 func (c *placementCache) markAlive() {
 	_, monotonicMS := c.clock()
 	c.lastRegistryMessageMS.Store(monotonicMS + 1)
@@ -154,7 +154,7 @@
 	c.markInitialized()
 }
 
-// registryAlive reports whether the registry has been heard recently enough for the placement to be called current.
+// registryAlive reports whether the registry's last message is recent enough for the placement to count as current.
 func (c *placementCache) registryAlive() bool {
 	_, monotonicMS := c.clock()
 	lastMessageMS := c.lastRegistryMessageMS.Load()
--- a/internal/agent/placement_sync.go
+++ b/internal/agent/placement_sync.go
@@ -8,7 +8,7 @@
 	"milldeck/internal/placement"
 )
 
-// followPlacement follows the placement from its first request on, until ctx ends.
+// followPlacement waits for the sidecar's first request for the placement, and then watches the placement until ctx ends.
 func (a *Agent) followPlacement(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -26,7 +26,7 @@
 				}
 				stale := a.replicaStale(age)
 				if stale && revision != 0 && update.Epoch != epoch {
-					return errReplicaStale // it may have missed that the epoch it serves has ended
+					return errReplicaStale // the stale replica may have missed the end of the epoch that it serves
 				}
 				if err := a.placement.merge(update); err != nil {
 					return err
--- a/internal/agent/placement_test.go
+++ b/internal/agent/placement_test.go
@@ -37,7 +37,7 @@
 	return &leaseOwner{t, client, &registry.Guard{Lease: lease.Name, Token: lease.Token}}
 }
 
-// setDirective sets a directive that expires after a time, and returns its expiry in Unix ms.
+// setDirective sets a directive that expires after a duration, and returns its expiry in Unix ms.
 func (o *leaseOwner) setDirective(tenant string, duration time.Duration) (expiresAtMS int64) {
 	o.Helper()
 	now := time.Now().UnixMilli()
@@ -48,7 +48,7 @@
 	return directive.ExpiresAtMS
 }
 
-// servedPlacement is what an agent serves as the placement.
+// servedPlacement requests the placement from an agent.
 func servedPlacement(t *testing.T, agent *Agent) (status int, update placement.Update) {
 	t.Helper()
 	response, err := http.Get("http://" + agent.Addr() + "/registry/placement")
@@ -64,7 +64,7 @@
 	return response.StatusCode, update
 }
 
-// placementWatcher follows an agent as a sidecar does, with a cache of its own.
+// placementWatcher watches an agent's placement in the same way as a sidecar, with its own cache.
 type placementWatcher struct {
 	mu        sync.Mutex
 	cache     *placement.Cache
@@ -83,7 +83,7 @@
 			watcher.mu.Lock()
 			revision, epoch := watcher.cache.Revision(), watcher.cache.Epoch()
 			watcher.mu.Unlock()
-			// Why it ended does not matter: it is continued below.
+			// The error that ended the watch does not matter: the loop starts another watch.
 			_ = client.WatchPlacement(ctx, addr, revision, epoch, func(update *placement.Update, _ time.Duration) error {
 				if update == nil {
 					return nil
@@ -103,7 +103,7 @@
 	return watcher
 }
 
-// activeDirectives returns the IDs of the directives in force, and the remaining time of the first of them in ms.
+// activeDirectives returns the IDs of the active directives, and the remaining time of the first one in ms.
 func (w *placementWatcher) activeDirectives() (ids string, remainingMS int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -116,8 +116,8 @@
 	return strings.TrimSpace(ids), remainingMS
 }
 
-// While the registry is unreachable, agent and sidecar let directives expire by themselves. An agent that is restarted
-// serves the saved placement, for no longer than it had left.
+// Directives expire at the agent and at the sidecar while the registry is unreachable. A restarted agent serves the saved
+// placement without extending the remaining times.
 func TestDirectivesExpireWithoutRegistry(t *testing.T) {
 	block := proctest.Block(t)
 	replica := startReplica(t, block)
@@ -127,17 +127,17 @@
 	agent := startAgent(t, opts)
 	watcher := startPlacementWatcher(t, agent.Addr())
 	shortUntilMS, longUntilMS := owner.setDirective("short", 1500*time.Millisecond), owner.setDirective("long", time.Minute)
-	waitFor(t, "the sidecar has both", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/long window/w/short" })
-	waitFor(t, "both are saved", func() bool {
+	waitFor(t, "the sidecar has both directives", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/long window/w/short" })
+	waitFor(t, "both directives are saved", func() bool {
 		data, err := os.ReadFile(path)
 		return err == nil && bytes.Contains(data, []byte("window/w/long"))
 	})
 	if err := replica.Close(); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the short one expires at the sidecar", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/long" })
+	waitFor(t, "the short directive expires at the sidecar", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/long" })
 	if now := time.Now().UnixMilli(); now < shortUntilMS-200 {
-		t.Errorf("it expired %d ms too early", shortUntilMS-now)
+		t.Errorf("the short directive expired %d ms too early", shortUntilMS-now)
 	}
 	if status, list := servedPlacement(t, agent); status != http.StatusOK || len(list.Directives) != 1 || list.Directives[0].RemainingMS > longUntilMS-time.Now().UnixMilli() {
 		t.Errorf("the agent serves %d %+v", status, list)
@@ -148,7 +148,7 @@
 	restarted := startAgent(t, opts)
 	status, list := servedPlacement(t, restarted)
 	if status != http.StatusOK || len(list.Directives) != 1 || list.Directives[0].ID != "window/w/long" || list.Directives[0].RemainingMS > longUntilMS-time.Now().UnixMilli() {
-		t.Errorf("restarted it serves %d %+v", status, list)
+		t.Errorf("the restarted agent serves %d %+v", status, list)
 	}
 	waitFor(t, "the sidecar has reconnected", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/long" })
 	if err := restarted.Close(); err != nil {
@@ -162,12 +162,12 @@
 		t.Fatal(err)
 	}
 	if status, list := servedPlacement(t, startAgent(t, opts)); status != http.StatusServiceUnavailable {
-		t.Errorf("with a corrupt file it serves %d %+v", status, list)
+		t.Errorf("with a corrupt file, the agent serves %d %+v", status, list)
 	}
 }
 
-// The remaining time of a saved directive is what remained when it was saved minus the time since. If the wall clock has
-// gone back nothing of the file is used, and a directive that has expired does not come back.
+// The remaining time of a restored directive is its remaining time when it was saved, minus the time since then. The file
+// is not used if the wall clock was set back, and an expired directive does not become active again.
 func TestSavedPlacementAgesWhileStored(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "placement")
 	wallMS, monotonicMS := int64(1_000_000), int64(5)
@@ -177,8 +177,8 @@
 		return placement.Directive{ID: id, Kind: placement.KindExclude, Tenant: "t", Servers: []string{"s"}, ExpiresAtMS: untilMS, RemainingMS: remainingMS, Revision: 3}
 	}
 	update := &placement.Update{Revision: 3, Epoch: 7, Complete: true, Directives: []placement.Directive{
-		newDirective("a", wallMS+60_000, 2000), // its writer's clock is ahead
-		newDirective("b", wallMS+500, 60_000),  // the registry's is behind
+		newDirective("a", wallMS+60_000, 2000), // the writer's clock is ahead
+		newDirective("b", wallMS+500, 60_000),  // the registry's clock is behind
 		newDirective("c", wallMS+60_000, 60_000),
 	}}
 	if err := cache.merge(update); err != nil {
@@ -204,14 +204,14 @@
 		savedWallMS := wallMS
 		wallMS, monotonicMS = savedWallMS+c.passed, 0 // as after a restart of the machine
 		if got := ids(newPlacementCache(path, clock, slog.Default())); got != c.want {
-			t.Errorf("after %d ms there are %q, want %q", c.passed, got, c.want)
+			t.Errorf("after %d ms the active directives are %q, want %q", c.passed, got, c.want)
 		}
 		wallMS = savedWallMS
 	}
 	restarted := newPlacementCache(path, clock, slog.Default())
 	update.Directives = update.Directives[1:2] // sent again by a registry whose clock is behind
 	if err := restarted.merge(update); err != nil || ids(restarted) != "" {
-		t.Errorf("an expired directive is back: %q, %v", ids(restarted), err)
+		t.Errorf("an expired directive is active again: %q, %v", ids(restarted), err)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -221,13 +221,13 @@
 		corrupted := bytes.Clone(data)
 		corrupted[i] ^= 1
 		if _, err := decodeChecksummed(placementFileHeader, corrupted); err == nil {
-			t.Fatalf("byte %d flipped, and the file was used", i)
+			t.Fatalf("the file was accepted with a flipped bit in byte %d", i)
 		}
 	}
 }
 
-// An older registry does not support placements: the agent says so, serves the list as before and retries rarely. It
-// requests the placement only after its sidecar has.
+// A registry of an older version does not support placements. The agent responds with status 404 to requests for the
+// placement, still serves the list, and retries rarely. It requests the placement only after its sidecar has.
 func TestRegistryWithoutPlacementSupport(t *testing.T) {
 	block := proctest.Block(t)
 	addr := block.Addr(200, 0, 8500)
@@ -237,9 +237,9 @@
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) { requests.Add(1); http.NotFound(w, r) })
 	serveHTTP(t, addr, mux)
 	agent := startAgent(t, Options{Listen: block.Addr(201, 0, 8500), Replicas: []string{addr}, FleetSize: 1})
-	waitFor(t, "the list is there", func() bool { return len(servedList(t, agent).Targets) == 2 })
+	waitFor(t, "the agent serves the list", func() bool { return len(servedList(t, agent).Targets) == 2 })
 	if n := requests.Load(); n != 0 {
-		t.Errorf("%d requests for a placement that no sidecar has requested", n)
+		t.Errorf("the agent sent %d requests for the placement before a sidecar requested it", n)
 	}
 	for range 5 {
 		if status, _ := servedPlacement(t, agent); status != http.StatusNotFound {
@@ -247,14 +247,15 @@
 		}
 	}
 	if n := requests.Load(); n != 1 {
-		t.Errorf("%d requests", n)
+		t.Errorf("the agent sent %d requests for the placement, want 1", n)
 	}
 	if len(servedList(t, agent).Targets) != 2 {
-		t.Error("the list is no more")
+		t.Error("the agent no longer serves the list")
 	}
 }
 
-// Connections to the replicas are cut while watches are open: the agent goes on at the other, and changes reach the sidecar.
+// Connections to the replicas are closed while watches are open. The agent continues at the other replica, and the changes
+// reach the sidecar.
 func TestPlacementSurvivesCutConnections(t *testing.T) {
 	block := proctest.Block(t)
 	replica := startReplica(t, block)
@@ -263,16 +264,16 @@
 	agent := startAgent(t, Options{Listen: block.Addr(201, 0, 8500), Replicas: []string{first.listener.Addr().String(), other.listener.Addr().String()}, FleetSize: 1})
 	watcher := startPlacementWatcher(t, agent.Addr())
 	owner.setDirective("a", time.Minute)
-	waitFor(t, "the directive is in force", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/a" })
+	waitFor(t, "the first directive is active", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/a" })
 	first.closeConnections()
 	owner.setDirective("b", time.Minute)
-	waitFor(t, "the second is in force", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/a window/w/b" })
+	waitFor(t, "the second directive is active", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/a window/w/b" })
 	first.closeConnections()
 	other.closeConnections()
 	if _, err := owner.client.RemovePlacement(t.Context(), registry.WriteOptions{Guard: owner.guard}, "window/w/a"); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the first is removed", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/b" })
+	waitFor(t, "the first directive is removed", func() bool { ids, _ := watcher.activeDirectives(); return ids == "window/w/b" })
 	if ids, remainingMS := watcher.activeDirectives(); remainingMS > time.Minute.Milliseconds() {
 		t.Errorf("%s has %d ms left", ids, remainingMS)
 	}
--- a/internal/agent/replica_follower.go
+++ b/internal/agent/replica_follower.go
@@ -16,42 +16,43 @@
 const (
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = 5 * time.Second
-	// reconnectSpreadPerAgent is the time per agent of the fleet over which all of them reconnect after their replica has
-	// failed: whatever the size of the fleet, a replica is met by a thousand reconnects a second at most.
+	// reconnectSpreadPerAgent, multiplied by the number of agents, is the time over which the agents spread their
+	// reconnects after a replica has failed. It limits the reconnects to a replica to a thousand per second, independently
+	// of the fleet's size until the spread reaches maxReconnectSpread.
 	reconnectSpreadPerAgent = time.Millisecond
 	minReconnectSpread      = 50 * time.Millisecond
 	maxReconnectSpread      = 10 * time.Second
-	stableWatchDuration     = 10 * time.Second // a watch that lasted so long resets the backoff
-	// unsupportedRetryInterval is about the time between two rounds over replicas of which none supports what is
-	// followed: they are of an older version, and a release of them takes minutes.
+	stableWatchDuration     = 10 * time.Second // a watch that has lasted longer resets the backoff
+	// unsupportedRetryInterval is the mean delay between two rounds over all replicas if none supports the watched
+	// resource. Such replicas are of an older version, and a release of the replicas takes minutes.
 	unsupportedRetryInterval = 30 * time.Second
 )
 
-// replicaFollower keeps a watch of one replica, and moves on to the next when it ends.
+// replicaFollower keeps a watch open at one replica, and moves on to the next replica when the watch ends.
 type replicaFollower struct {
 	replicas      []string
 	fleetSize     int
 	switches      prometheus.Counter
-	onUnsupported func() // called when no replica supports what is followed; nil: not called
+	onUnsupported func() // called when no replica supports the watched resource; may be nil
 	logger        *slog.Logger
 }
 
-// watchFunc watches a replica until that ends, and returns why it ended. It calls markAlive when the replica has sent
-// something that is current.
+// watchFunc runs a watch at a replica and returns the error that ended the watch. It calls markAlive for each message
+// that shows the replica's state to be current.
 type watchFunc func(replicaIndex int, replica string, markAlive func()) error
 
 func (a *Agent) newReplicaFollower() *replicaFollower {
 	return &replicaFollower{replicas: a.opts.Replicas, fleetSize: a.opts.FleetSize, switches: a.metrics.replicaSwitches, logger: a.logger}
 }
 
-// endedWatch is what became of a watch.
+// endedWatch describes a watch that has ended.
 type endedWatch struct {
 	err      error
 	duration time.Duration
-	alive    bool // the replica has sent something that is current
+	alive    bool // markAlive was called
 }
 
-// run watches one replica after another until ctx ends, beginning with the one at an index.
+// run watches one replica after another until ctx ends, starting with the replica at an index.
 func (f *replicaFollower) run(ctx context.Context, replicaIndex int, watch watchFunc) {
 	state := reconnectState{backoff: initialBackoff}
 	for ctx.Err() == nil {
@@ -70,13 +71,13 @@
 	}
 }
 
-// reconnectState is what the delays before reconnects depend on, beside the watch that has just ended.
+// reconnectState holds what the delay before a reconnect depends on in addition to the watch that has just ended.
 type reconnectState struct {
 	backoff             time.Duration
-	unsupportedReplicas int // replicas in a row that do not support what is followed
+	unsupportedReplicas int // consecutive replicas that do not support the watched resource
 }
 
-// delayAfter is the delay before the next watch.
+// delayAfter returns the delay before the next watch.
 func (f *replicaFollower) delayAfter(state *reconnectState, ended *endedWatch) time.Duration {
 	if ended.duration > stableWatchDuration {
 		state.backoff = initialBackoff
@@ -100,13 +101,14 @@
 	return delay
 }
 
-// reconnectDelay spreads the reconnects of all agents, who lose their replica at the same moment.
+// reconnectDelay returns a random delay that spreads the reconnects of the agents. All agents of a replica lose it at the
+// same time.
 func (f *replicaFollower) reconnectDelay() time.Duration {
 	spread := time.Duration(f.fleetSize) * reconnectSpreadPerAgent
 	return rand.N(min(max(spread, minReconnectSpread), maxReconnectSpread))
 }
 
-// pause waits for a time, or until ctx ends.
+// pause waits for a duration, or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -114,7 +116,7 @@
 	}
 }
 
-// isNotFound reports whether a replica does not know the path that was requested.
+// isNotFound reports whether a replica responded with status 404, as a version without the requested path does.
 func isNotFound(err error) bool {
 	var status *registry.StatusError
 	return errors.As(err, &status) && status.StatusCode == http.StatusNotFound
--- a/internal/agent/replica_follower_test.go
+++ b/internal/agent/replica_follower_test.go
@@ -10,11 +10,11 @@
 	"milldeck/internal/registry"
 )
 
-// 2,000 agents lose their replica at once. Those that know the size of the fleet spread their reconnects; measured against
-// agents that do not.
+// 2,000 agents lose their replica at the same time. Agents that know the size of the fleet spread their reconnects. The
+// test compares their peak rate with that of agents that do not know it.
 func TestNoThunderingHerdAfterReplicaLoss(t *testing.T) {
 	const agents = 2000
-	const maxPeak = 1400 // a thousand a second by reconnectSpreadPerAgent, and what chance adds to the worst second
+	const maxPeak = 1400 // 1,000 per second by reconnectSpreadPerAgent, plus the random excess of the worst second
 	peakReconnects := func(fleetSize int) int {
 		block := proctest.Block(t)
 		replica := startReplica(t, block)
@@ -33,7 +33,7 @@
 		for n := range agents {
 			started.Add(1)
 			running.Go(func() {
-				// It follows the list and nothing else: thousands of agents run in this process.
+				// The agent only watches the list, because thousands of agents run in this process.
 				agent, err := newAgent(Options{
 					Listen: "127.0.0.1:0", Replicas: []string{first.listener.Addr().String(), second.listener.Addr().String()}, FleetSize: fleetSize,
 				})
@@ -52,7 +52,7 @@
 				agent.followListFrom(ctx, 0)
 			})
 			if n%100 == 99 {
-				started.Wait() // they start one after the other: only the loss is measured
+				started.Wait() // agents start in groups, because only the reconnects are measured
 			}
 		}
 		started.Wait()
@@ -61,8 +61,8 @@
 		return second.peak()
 	}
 	unspreadPeak, spreadPeak := peakReconnects(1), peakReconnects(agents)
-	t.Logf("peak reconnects a second: %d spread by fleet size, %d without", spreadPeak, unspreadPeak)
+	t.Logf("peak reconnects per second: %d spread by fleet size, %d without", spreadPeak, unspreadPeak)
 	if spreadPeak > maxPeak || spreadPeak > unspreadPeak*3/4 {
-		t.Errorf("%d reconnect within a second, %d without the spread", spreadPeak, unspreadPeak)
+		t.Errorf("%d reconnects within a second, %d without the spread", spreadPeak, unspreadPeak)
 	}
 }
--- a/internal/agent/report_forwarder.go
+++ b/internal/agent/report_forwarder.go
@@ -19,34 +19,35 @@
 )
 
 const (
-	// maxReportingSidecars bounds the sidecars whose reports are cached: a machine has one, and two during a replacement.
+	// maxReportingSidecars bounds the number of sidecars whose reports are cached. A machine has one sidecar, and two
+	// during a replacement.
 	maxReportingSidecars = 16
 	maxReportAddresses   = 8
-	// forwardInterval is the least time between two batches to one address. Sidecars report once a second, so each report
-	// is forwarded.
+	// forwardInterval is the minimum time between two batches to one address. Sidecars report once a second, so each
+	// report is forwarded.
 	forwardInterval = 900 * time.Millisecond
-	// maxForwardJitter is how long at most a batch waits for further reports, at random so that a fleet's reports do not
-	// arrive in step.
+	// maxForwardJitter bounds the random time for which a batch waits for further reports. The delay is random so that the
+	// reports of a fleet do not arrive at the same time.
 	maxForwardJitter        = 100 * time.Millisecond
-	forwardTimeout          = time.Second     // for one address to accept a batch
-	maxForwardBackoff       = 8 * time.Second // between two attempts at an address that fails
-	reportRetention         = 5 * time.Second // an older report is dropped
+	forwardTimeout          = time.Second     // for one batch to one address
+	maxForwardBackoff       = 8 * time.Second // between two batches to an address that fails
+	reportRetention         = 5 * time.Second // older reports are dropped
 	maxForwardResponseBytes = 64 << 10
 )
 
-// reportForwarder caches the newest load report of each sidecar of this machine and forwards it to the addresses that
-// collect them. Reports are soft state: one that is lost is superseded by the next.
+// reportForwarder caches the newest load report of each sidecar of this machine and forwards it to the collectors'
+// addresses. Reports are soft state: the next report supersedes a lost one.
 type reportForwarder struct {
 	client *http.Client
 	logger *slog.Logger
 
 	mu      sync.Mutex
 	newest  map[string]cachedReport // by the sidecar's name
-	seq     uint64                  // of the newest report
-	updated chan struct{}           // closed at the next report
+	seq     uint64                  // sequence number of the newest report
+	updated chan struct{}           // closed when the next report is stored
 }
 
-// cachedReport is a report as it was received.
+// cachedReport is a received report with its sequence number and time.
 type cachedReport struct {
 	seq        uint64
 	receivedAt time.Time
@@ -54,17 +55,17 @@
 	reportedState
 }
 
-// reportedState is what the agent itself reads of a report: the sidecar's version, and the revisions of the list and the
-// placement that it has in force.
+// reportedState is the part of a report that the agent uses for the registration: the sidecar's version, and the
+// revisions of the list and the placement that the sidecar has applied.
 type reportedState struct {
 	version                         string
 	listRevision, placementRevision uint64
 }
 
-// newReportForwarder checks the addresses and returns a forwarder; forward is to be run for each of them.
+// newReportForwarder validates the addresses and returns a forwarder. The caller runs forward for each address.
 func newReportForwarder(addresses []string, logger *slog.Logger) (*reportForwarder, error) {
 	if len(addresses) > maxReportAddresses {
-		return nil, fmt.Errorf("reports: %d addresses, at most %d", len(addresses), maxReportAddresses)
+		return nil, fmt.Errorf("reports: %d addresses, the limit is %d", len(addresses), maxReportAddresses)
 	}
 	for _, address := range addresses {
 		if err := registry.CheckLoopback("reports", address); err != nil {
@@ -80,7 +81,7 @@
 	return &reportForwarder{client: client, logger: logger, newest: map[string]cachedReport{}, updated: make(chan struct{})}, nil
 }
 
-// latest returns what the newest report of a sidecar says, nil if there is no recent one.
+// latest returns the state from a sidecar's newest report; nil if there is none or it is older than maxReportAge.
 func (f *reportForwarder) latest(sidecar string, now time.Time) *reportedState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// serve receives a report of the sidecar.
+// serve handles a sidecar's request that posts a load report.
 func (f *reportForwarder) serve(w http.ResponseWriter, r *http.Request) {
 	controller := http.NewResponseController(w)
 	if controller.SetReadDeadline(time.Now().Add(requestReadTimeout)) != nil {
@@ -125,7 +126,7 @@
 	return &report, report.Validate()
 }
 
-// store caches a report as the newest of its sidecar. It returns false if there are too many sidecars.
+// store caches a report as the newest of its sidecar. It returns false if maxReportingSidecars others are cached already.
 func (f *reportForwarder) store(sidecar string, body []byte, state reportedState, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -144,8 +145,8 @@
 	return true
 }
 
-// batch returns the body of a request with the reports after a sequence number, nil if there are none, the newest sequence
-// number, and a channel that is closed at the next report.
+// batch returns the body of a request with the reports after a sequence number (nil if there are none), the newest
+// sequence number, and a channel that is closed when the next report is stored.
 func (f *reportForwarder) batch(afterSeq uint64, now time.Time) (body []byte, newestSeq uint64, updated <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,8 +164,8 @@
 	return body, f.seq, f.updated
 }
 
-// forward sends reports to an address until ctx ends, at most once in forwardInterval, the newest of each sidecar. Reports
-// that it does not accept are dropped.
+// forward sends the newest report of each sidecar to an address until ctx ends, at most once per forwardInterval. Reports
+// that the address does not accept are dropped.
 func (f *reportForwarder) forward(ctx context.Context, address string) {
 	lastSentSeq, backoff := uint64(0), forwardInterval
 	for ctx.Err() == nil {
@@ -175,7 +176,7 @@
 				return
 			case <-updated:
 			}
-			pause(ctx, rand.N(maxForwardJitter)) // for reports of other sidecars
+			pause(ctx, rand.N(maxForwardJitter)) // other sidecars' reports join the batch
 			continue
 		}
 		lastSentSeq = newestSeq
@@ -190,7 +191,8 @@
 	}
 }
 
-// post sends one batch. It fails where the address accepts none; reports that it rejects as invalid are lost.
+// post sends one batch. A connection error or a status of 500 and above is an error. Reports that the receiver rejects as
+// invalid are lost without an error.
 func (f *reportForwarder) post(ctx context.Context, address string, body []byte) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/reports", bytes.NewReader(body))
 	if err != nil {
@@ -201,7 +203,8 @@
 	if err != nil {
 		return err
 	}
-	_, err = io.Copy(io.Discard, io.LimitReader(response.Body, maxForwardResponseBytes)) // so that the connection is reused
+	// The body is read to its end so that the connection can be reused.
+	_, err = io.Copy(io.Discard, io.LimitReader(response.Body, maxForwardResponseBytes))
 	if err := errors.Join(err, response.Body.Close()); err != nil {
 		return err
 	}
--- a/internal/agent/report_forwarder_test.go
+++ b/internal/agent/report_forwarder_test.go
@@ -14,7 +14,7 @@
 	"milldeck/internal/placement"
 )
 
-// collectorStub receives forwarded batches of reports, and answers that it accepts them or not.
+// collectorStub receives forwarded batches of reports and accepts or rejects them.
 type collectorStub struct {
 	t       *testing.T
 	addr    string
@@ -37,14 +37,14 @@
 	c.reports = append(c.reports, batch.Reports...)
 }
 
-// received is all reports that were accepted, in order.
+// received returns all accepted reports, in order.
 func (c *collectorStub) received() []placement.LoadReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.reports)
 }
 
-// lastRevision is the placement revision of the last report that was accepted; 0: there is none.
+// lastRevision returns the placement revision of the last accepted report; 0 if there is none.
 func (c *collectorStub) lastRevision() uint64 {
 	reports := c.received()
 	if len(reports) == 0 {
@@ -53,17 +53,17 @@
 	return reports[len(reports)-1].PlacementRevision
 }
 
-// requireMalformedRejected posts reports of which each is malformed in its own way.
+// requireMalformedRejected posts malformed reports and checks that each is rejected.
 func requireMalformedRejected(t *testing.T, post func(body string) int) {
 	t.Helper()
 	hotKeys := strings.Repeat(`{"key":"0123456789abcdef","load":1},`, placement.MaxHotKeys) + `{"key":"0123456789abcdef","load":1}`
 	for _, test := range []struct{ name, body string }{
 		{"no JSON", "what"},
 		{"no name", `{"rev":9}`},
-		{"two", `{"name":"a","rev":9}{"name":"b","rev":9}`},
+		{"two reports", `{"name":"a","rev":9}{"name":"b","rev":9}`},
 		{"too long", `{"name":"` + strings.Repeat("a", placement.MaxReportBytes) + `"}`},
 		{"a load below 0", `{"name":"a","rev":9,"heat_all":-1}`},
-		{"a key that is none", `{"name":"a","rev":9,"heat":[{"key":"x","load":1}]}`},
+		{"an invalid key hash", `{"name":"a","rev":9,"heat":[{"key":"x","load":1}]}`},
 		{"too many keys", `{"name":"a","rev":9,"heat":[` + hotKeys + `]}`},
 		{"a count below 0", `{"name":"a","rev":9,"counts":[{"class":"c","served":-1}]}`},
 		{"an array of names", `{"name":["a"],"rev":9}`},
@@ -76,7 +76,7 @@
 	}
 }
 
-// Each address that accepts reports gets the newest of each sidecar; malformed reports are rejected.
+// Each address that accepts reports gets the newest report of each sidecar. Malformed reports are rejected.
 func TestReportsAreForwarded(t *testing.T) {
 	block := proctest.Block(t)
 	first := &collectorStub{t: t, addr: block.Addr(203, 0, 8500)}
@@ -101,19 +101,19 @@
 	if status := post(`{"name":"a","rev":1,"later":true}`); status != http.StatusNoContent {
 		t.Errorf("a valid report: status %d", status)
 	}
-	waitFor(t, "the first is accepted", func() bool { return first.lastRevision() == 1 })
+	waitFor(t, "the first report is accepted", func() bool { return first.lastRevision() == 1 })
 	for revision := 2; revision < 6; revision++ {
 		post(fmt.Sprintf(`{"name":"a","rev":%d}`, revision))
 	}
-	waitFor(t, "the newest is accepted", func() bool { return first.lastRevision() == 5 })
-	if reports := first.received(); len(reports) > 3 { // the first, what came while it was sent, and the newest
-		t.Errorf("%d of 5 reports within a moment were forwarded: %+v", len(reports), reports)
+	waitFor(t, "the newest report is accepted", func() bool { return first.lastRevision() == 5 })
+	if reports := first.received(); len(reports) > 3 { // the first, one posted while the first was sent, and the newest
+		t.Errorf("%d of 5 reports in quick succession were forwarded: %+v", len(reports), reports)
 	}
 	if revision := second.lastRevision(); revision != 0 {
-		t.Errorf("the collector that accepts none has revision %d", revision)
+		t.Errorf("the collector that rejects all reports has revision %d", revision)
 	}
 	second.reject.Store(false)
-	waitFor(t, "the other accepts them, too", func() bool {
+	waitFor(t, "both collectors have accepted a report", func() bool {
 		post(`{"name":"a","rev":7}`)
 		return first.lastRevision() == 7 && second.lastRevision() == 7
 	})
--- a/internal/agent/sidecar_registration.go
+++ b/internal/agent/sidecar_registration.go
@@ -15,34 +15,35 @@
 )
 
 const (
-	// healthCheckInterval is below the time in which a sidecar ends and starts again in good order, so that none is missed.
+	// healthCheckInterval is shorter than a sidecar's graceful restart takes, so that the agent notices each restart.
 	healthCheckInterval = 300 * time.Millisecond
-	healthCheckTimeout  = time.Second // a sidecar that answers later serves nobody
+	healthCheckTimeout  = time.Second // a sidecar that responds later cannot serve requests
 	maxHealthBodyBytes  = 1024
-	// renewalsPerLease is how often the registration is renewed within its TTL: one renewal may be lost.
+	// renewalsPerLease is the number of renewals per TTL of the registration, so that one renewal may be lost.
 	renewalsPerLease = 3
-	// maxReportAge is how old a load report may be to say what the sidecar has in force; they come once a second.
+	// maxReportAge is the maximum age of a load report from which the agent takes the sidecar's version and revisions.
+	// Sidecars report once a second.
 	maxReportAge    = 3 * time.Second
 	defaultLeaseTTL = 10 * time.Second
 	minLeaseTTL     = time.Second // a shorter lease would expire during a raft election
 	maxLeaseTTL     = time.Hour
 )
 
-// SidecarOptions describe the sidecar that the agent registers. A sidecar is a unit of the disruption ledger, not an
-// instance of the list.
+// SidecarOptions describe the sidecar that the agent registers. A registered sidecar is a unit of the disruption ledger
+// and not an instance of the list.
 type SidecarOptions struct {
 	Name     string
 	Address  string // where the sidecar listens; loopback only
 	Zone     string
-	Tenant   string        // whose requests it handles, where the settings name no tenant
-	Version  string        // reported until the sidecar reports its own
+	Tenant   string        // the tenant of the sidecar's requests, if the settings name no tenant
+	Version  string        // registered until a load report contains the sidecar's own version
 	LeaseTTL time.Duration // of the registration; 0: 10 s
 }
 
-// Validate returns an error for the first invalid field, which it names as the configuration file does.
+// Validate returns an error for the first invalid field. The error names the field by its key in the configuration file.
 func (o *SidecarOptions) Validate() error {
 	if o.Name == "" {
-		return validation.Errorf("name", "it is empty")
+		return validation.Errorf("name", "must not be empty")
 	}
 	if err := registry.CheckLoopback("address", o.Address); err != nil {
 		return err
@@ -53,16 +54,17 @@
 	return nil
 }
 
-// sidecarRegistration decides what the registry is sent about the sidecar, and when. It has no clock and does no I/O.
+// sidecarRegistration decides when the agent registers the sidecar, and with which values. It uses no clock and does no
+// I/O.
 type sidecarRegistration struct {
 	opts         SidecarOptions
 	observed     registry.Sidecar // at the last health check
-	registered   registry.Sidecar // as the registry last accepted it
-	registeredAt time.Time        // zero: never
+	registered   registry.Sidecar // the last registration that the registry accepted
+	registeredAt time.Time        // time of that registration; zero: none yet
 }
 
-// observe records a health check and the newest load report, nil if there is no recent one. A sidecar that becomes ready
-// has been restarted: its start time changes.
+// observe records the result of a health check and the newest load report (nil: none is recent). A sidecar that becomes
+// ready counts as restarted and gets a new start time.
 func (s *sidecarRegistration) observe(wallMS int64, ready bool, report *reportedState) {
 	if ready && !s.observed.Ready {
 		s.observed.BootMS = float64(wallMS)
@@ -79,8 +81,8 @@
 	}
 }
 
-// registrationDue reports whether a registration is to be sent: at once after a change, else before the lease expires.
-// New revisions of list and placement alone can wait for the renewal.
+// registrationDue reports whether the agent has to send a registration: at once after a change of readiness, version or
+// start time, otherwise to renew the lease. Changed revisions of the list and the placement wait for the next renewal.
 func (s *sidecarRegistration) registrationDue(now time.Time) bool {
 	changed := s.observed.Ready != s.registered.Ready ||
 		s.observed.Version != s.registered.Version ||
@@ -88,18 +90,19 @@
 	return s.registeredAt.IsZero() || changed || now.Sub(s.registeredAt) >= s.opts.LeaseTTL/renewalsPerLease
 }
 
-// markRegistered records that the registry has accepted a registration that was sent at a time.
+// markRegistered records a registration that the registry has accepted, and when it was sent.
 func (s *sidecarRegistration) markRegistered(sidecar registry.Sidecar, at time.Time) {
 	s.registered, s.registeredAt = sidecar, at
 }
 
-// maintainSidecarRegistration checks the sidecar's health and keeps it registered until ctx ends. It does not deregister
-// it: the lease is left to expire, so that replacing an agent does not take its sidecar out of the fleet.
+// maintainSidecarRegistration checks the sidecar's health and keeps the sidecar registered until ctx ends. It does not
+// deregister the sidecar: the lease is left to expire, so that replacing an agent does not remove its sidecar from the
+// fleet.
 func (a *Agent) maintainSidecarRegistration(ctx context.Context, opts SidecarOptions) {
 	client := &http.Client{Timeout: healthCheckTimeout, Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: healthCheckTimeout}).DialContext,
 		MaxIdleConnsPerHost: 1,
-		DisableKeepAlives:   true, // an open connection would still be answered while the sidecar shuts down
+		DisableKeepAlives:   true, // a sidecar that shuts down still responds on open connections
 	}}
 	opts.LeaseTTL = cmp.Or(opts.LeaseTTL, defaultLeaseTTL)
 	registration := sidecarRegistration{opts: opts}
@@ -110,11 +113,11 @@
 		if now := time.Now(); registration.registrationDue(now) {
 			a.registerSidecar(ctx, &registration, now)
 		}
-		pause(ctx, healthCheckInterval-rand.N(healthCheckInterval/4)) // jittered, for machines with many agents
+		pause(ctx, healthCheckInterval-rand.N(healthCheckInterval/4)) // the jitter desynchronizes many agents on a machine
 	}
 }
 
-// registerSidecar sends one registration. One that fails is due again at the next health check.
+// registerSidecar sends one registration. After a failure, the registration is due again at the next health check.
 func (a *Agent) registerSidecar(ctx context.Context, registration *sidecarRegistration, now time.Time) {
 	sidecar, ttl := registration.observed, registration.opts.LeaseTTL
 	callCtx, cancel := context.WithTimeout(ctx, ttl/renewalsPerLease)
@@ -129,7 +132,7 @@
 	}
 }
 
-// checkSidecarReady performs one health check.
+// checkSidecarReady performs one health check and reports whether the sidecar is ready.
 func checkSidecarReady(ctx context.Context, client *http.Client, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/health/ready", nil)
 	if err != nil {
--- a/internal/agent/sidecar_registration_test.go
+++ b/internal/agent/sidecar_registration_test.go
@@ -13,7 +13,7 @@
 	"milldeck/internal/registry"
 )
 
-// What is registered of a sidecar, and when: changes at once, else a renewal before the lease expires.
+// A change of a sidecar is registered at once. Without a change, the registration is renewed before the lease expires.
 func TestSidecarRegistration(t *testing.T) {
 	registration := sidecarRegistration{opts: SidecarOptions{Name: "n0", Zone: "a", Tenant: "branch", Version: "1", LeaseTTL: 9 * time.Second}}
 	now := time.Unix(1000, 0)
@@ -44,8 +44,8 @@
 	step("restarted", time.Second, true, nil, true, registry.Sidecar{Version: "2", Ready: true, BootMS: boot(1008), ListRevision: 9, PlacementRevision: 8})
 }
 
-// A sidecar is a unit of the disruption ledger: up while its agent finds it ready, unready else, and up again with a new
-// start time. The end of the agent itself changes nothing.
+// A registered sidecar is a unit of the disruption ledger: up while its health check succeeds, otherwise unready, and up
+// again with a new start time. Closing the agent does not change the unit.
 func TestAgentRegistersItsSidecar(t *testing.T) {
 	block := proctest.Block(t)
 	replica := startReplica(t, block)
@@ -93,12 +93,12 @@
 	serve()
 	waitFor(t, "the sidecar to be up again", conditionIs(disruption.ConditionUp))
 	if restarted := unit(); restarted.BootMS <= first.BootMS {
-		t.Errorf("%+v started no later than %+v", restarted, first)
+		t.Errorf("the start time of %+v is not after that of %+v", restarted, first)
 	}
 	if err := agent.Close(); err != nil {
 		t.Error(err)
 	}
 	if u := unit(); u.Condition != disruption.ConditionUp {
-		t.Errorf("after the agent's end: %+v", u)
+		t.Errorf("after the agent was closed: %+v", u)
 	}
 }
--- a/internal/agent/state_file.go
+++ b/internal/agent/state_file.go
@@ -13,7 +13,8 @@
 	"github.com/google/renameio/v2"
 )
 
-// A state file is a line that names its form, the checksum of the rest (xxhash, 8 bytes, big-endian), and JSON.
+// A state file consists of a header line that names its format and version, the xxhash checksum of the body (8 bytes,
+// big-endian), and the body in JSON.
 const (
 	checksumBytes     = 8
 	maxStateFileBytes = 64 << 20
@@ -21,17 +22,17 @@
 
 var errChecksumMismatch = errors.New("checksum does not match")
 
-// encodeChecksummed returns the bytes of a state file. The form is a line with its line feed.
+// encodeChecksummed returns the contents of a state file. The header ends with a line feed.
 func encodeChecksummed(header string, body []byte) []byte {
 	data := binary.BigEndian.AppendUint64([]byte(header), xxhash.Sum64(body))
 	return append(data, body...)
 }
 
-// decodeChecksummed returns the body of a state file. It fails with errChecksumMismatch if the file is corrupt.
+// decodeChecksummed returns the body of a state file. It returns errChecksumMismatch if the file is corrupt.
 func decodeChecksummed(header string, data []byte) ([]byte, error) {
 	remainder, ok := bytes.CutPrefix(data, []byte(header))
 	if !ok {
-		return nil, fmt.Errorf("it does not begin with %q", strings.TrimSpace(header))
+		return nil, fmt.Errorf("state file does not begin with %q", strings.TrimSpace(header))
 	}
 	if len(remainder) < checksumBytes {
 		return nil, errChecksumMismatch
@@ -43,7 +44,7 @@
 	return body, nil
 }
 
-// readStateFile reads a state file; nil if there is none.
+// readStateFile reads a state file; nil if it does not exist.
 func readStateFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -53,24 +54,24 @@
 		return nil, err
 	}
 	if info.Size() > maxStateFileBytes {
-		return nil, fmt.Errorf("%d bytes, at most %d are read", info.Size(), maxStateFileBytes)
+		return nil, fmt.Errorf("state file has %d bytes, the limit is %d", info.Size(), maxStateFileBytes)
 	}
 	return os.ReadFile(path)
 }
 
-// writeStateFile replaces a file so that a crash leaves either the old or the new one complete.
+// writeStateFile replaces a file atomically: after a crash, either the old or the new contents are complete.
 func writeStateFile(path string, data []byte) error { return renameio.WriteFile(path, data, 0o600) }
 
-// savedState is state that is saved to a file after it has changed.
+// savedState saves state to a file after changes.
 type savedState struct {
-	path   string                 // "": it is not saved
+	path   string                 // "": the state is not saved
 	mu     *sync.Mutex            // guards dirty and the state
-	dirty  bool                   // the file is out of date
-	encode func() ([]byte, error) // returns the file's bytes; called with mu held
+	dirty  bool                   // the state has changed since the last save
+	encode func() ([]byte, error) // returns the file's contents; called with mu held
 }
 
-// saveIfDirty writes the file if the state has changed since it was written. A failed write is not retried before the
-// state changes again.
+// saveIfDirty writes the file if the state has changed since the last save. A failed write is not retried before the state
+// changes again.
 func (s *savedState) saveIfDirty() error {
 	if s.path == "" {
 		return nil
@@ -82,7 +83,7 @@
 	return writeStateFile(s.path, data)
 }
 
-// encodeIfDirty returns the bytes to be written and marks the file as up to date; nil if it is already.
+// encodeIfDirty returns the file's new contents and clears dirty; nil if dirty is not set.
 func (s *savedState) encodeIfDirty() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
