--- a/internal/supervisor/client.go
+++ b/internal/supervisor/client.go
@@ -18,34 +18,35 @@
 )
 
 const (
-	// UnitsPath is the path of the platform's HTTP form. POST takes a Batch and is answered with a BatchResponse under
-	// status 200, or 409 where it has a rejection; GET is answered with a List.
+	// UnitsPath is the path of the platform's HTTP interface. POST takes a Batch and returns a BatchResponse with status
+	// 200, or with 409 if a request was rejected. GET returns a List.
 	UnitsPath = "/supervisor/units"
-	// MaxBatchBytes is the size of a batch's body: a few complete configurations, or many requests without.
+	// MaxBatchBytes bounds the body of a batch. A batch fits a few configurations of the maximum size, or many requests
+	// without a configuration.
 	MaxBatchBytes = 8 << 20
 )
 
 const (
-	attemptTimeout   = 2 * time.Second // a platform answers at once, it doesn't wait for processes
+	attemptTimeout   = 2 * time.Second // a platform responds without waiting for processes
 	initialBackoff   = 50 * time.Millisecond
 	maxBackoff       = time.Second
-	maxAttempts      = 8 // of one call; with the longest backoffs 20 s, after which its caller has to decide again
+	maxAttempts      = 8 // per call; takes at most 20 s, after which the caller has to decide again
 	dialTimeout      = time.Second
 	idleTimeout      = 30 * time.Second // of a connection
 	maxIdleConns     = 16
 	maxResponseBytes = 32 << 20 // a list of 65,536 units has about 20 MB
-	maxErrorBytes    = 200      // of a response that are quoted in an error
+	maxErrorBytes    = 200      // limit of the part of a response that an error quotes
 )
 
-// errNotExecuted says that the platform has not executed any request of a call.
+// errNotExecuted marks a call of which the platform has not executed any request.
 var errNotExecuted = errors.New("not executed")
 
-// Batch is the body of a call.
+// Batch is the body of a POST to UnitsPath.
 type Batch struct {
 	Requests []Request `json:"requests"`
 }
 
-// BatchResponse is the body of a response: outcomes, or why there are none.
+// BatchResponse is the response to a Batch: the outcomes, or an error if no outcome can be returned.
 type BatchResponse struct {
 	Outcomes []Outcome `json:"outcomes,omitempty"`
 	Error    string    `json:"error,omitempty"`
@@ -60,7 +61,7 @@
 
 var _ Supervisor = (*Client)(nil)
 
-// NewClient returns a client of the platform at an address and port on loopback.
+// NewClient returns a client of the platform at a loopback address with a port.
 func NewClient(addr string) (*Client, error) {
 	if addrPort, err := netip.ParseAddrPort(addr); err != nil || !addrPort.Addr().IsLoopback() {
 		return nil, fmt.Errorf("supervisor: %q is not an address and port on loopback", addr)
@@ -84,7 +85,8 @@
 // Close closes the client's idle connections.
 func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
-// Do retries until it has a response, as each request is done once however often it is sent.
+// Do implements Supervisor. It retries failed attempts, because the platform executes a request at most once, even if it
+// receives the request several times.
 func (c *Client) Do(ctx context.Context, requests ...Request) ([]Outcome, error) {
 	if err := ValidateBatch(requests); err != nil {
 		return nil, fmt.Errorf("supervisor: %w", err)
@@ -94,7 +96,7 @@
 		return nil, fmt.Errorf("supervisor: %w", err)
 	}
 	if len(body) > MaxBatchBytes {
-		return nil, fmt.Errorf("supervisor: a batch of %d bytes, at most %d can be", len(body), MaxBatchBytes)
+		return nil, fmt.Errorf("supervisor: batch has %d bytes, the limit is %d", len(body), MaxBatchBytes)
 	}
 	if err := ctx.Err(); err != nil {
 		return nil, fmt.Errorf("supervisor: %w: %w", errNotExecuted, err)
@@ -123,9 +125,9 @@
 	return nil, fmt.Errorf("supervisor: %w: %w", errNotExecuted, err)
 }
 
-// List retries until it has a valid list.
+// List implements Supervisor. It retries failed attempts and invalid lists.
 func (c *Client) List(ctx context.Context) (*List, error) {
-	var mayHaveExecuted bool // of no interest: a list changes nothing
+	var mayHaveExecuted bool // not used: reading the list has no side effects
 	list, err := retry(ctx, func() (*List, error) {
 		data, err := c.attempt(ctx, http.MethodGet, nil, &mayHaveExecuted)
 		if err != nil {
@@ -146,8 +148,8 @@
 	return list, nil
 }
 
-// attempt makes one attempt and returns the response's body. It sets mayHaveExecuted where the platform may have read the
-// request and carried it out.
+// attempt makes one attempt and returns the response's body. It sets mayHaveExecuted if the platform may have read and
+// executed the request.
 func (c *Client) attempt(ctx context.Context, method string, body []byte, mayHaveExecuted *bool) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.attemptTimeout)
 	defer cancel()
@@ -169,7 +171,7 @@
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	status := resp.StatusCode
 	if isPermanent(status) {
-		// Not carried out, and no retry would succeed. Attempts before may have been.
+		// The platform has not executed this attempt, and no retry would succeed. It may have executed a previous attempt.
 		return nil, backoff.Permanent(fmt.Errorf("%d: %s", status, errorText(data)))
 	}
 	*mayHaveExecuted = true
@@ -177,20 +179,21 @@
 	case err != nil:
 		return nil, err
 	case len(data) > maxResponseBytes:
-		return nil, fmt.Errorf("a response of more than %d bytes", maxResponseBytes)
+		return nil, fmt.Errorf("response exceeds %d bytes", maxResponseBytes)
 	case status != http.StatusOK && status != http.StatusConflict:
 		return nil, fmt.Errorf("%d: %s", status, errorText(data))
 	}
 	return data, nil
 }
 
-// isPermanent reports whether a status says that the request itself is at fault.
+// isPermanent reports whether a status is a client error that no retry can resolve. Exceptions are 409, whose body contains
+// the outcomes, and 408.
 func isPermanent(status int) bool {
 	clientError := status >= http.StatusBadRequest && status < http.StatusInternalServerError
 	return clientError && status != http.StatusConflict && status != http.StatusRequestTimeout
 }
 
-// errorText is what a failed response says, on one line.
+// errorText returns the error of a failed response, or the start of its body, on one line.
 func errorText(data []byte) string {
 	var response BatchResponse
 	if json.Unmarshal(data, &response) == nil && response.Error != "" {
@@ -199,7 +202,7 @@
 	return strings.Join(strings.Fields(fmt.Sprintf("%.*s", maxErrorBytes, data)), " ")
 }
 
-// decodeJSON decodes one JSON value and no more. Unknown keys are ignored, as a newer platform may have them.
+// decodeJSON decodes exactly one JSON value. It ignores unknown keys, because a newer platform may send them.
 func decodeJSON(data []byte, v any) error {
 	if err := json.Unmarshal(data, v); err != nil {
 		return fmt.Errorf("response: %w", err)
--- a/internal/supervisor/client_test.go
+++ b/internal/supervisor/client_test.go
@@ -20,8 +20,8 @@
 	return Request{ID: "a", Op: Stop, Epoch: 7, Unit: "u", Incarnation: 3}
 }
 
-// newScriptedClient returns a client of a platform that answers each call with the next of some texts, the last one from
-// then on, and the number of calls.
+// newScriptedClient returns a client of a server and the server's number of calls. The server returns the responses in
+// order, and repeats the last one.
 func newScriptedClient(t *testing.T, status int, responses ...string) (*Client, *atomic.Int64) {
 	t.Helper()
 	var calls atomic.Int64
@@ -42,23 +42,23 @@
 }
 
 func TestInvalidOutcomesAreRetried(t *testing.T) {
-	const done = `{"outcomes":[{"id":"a","unit":"u","memory":7,"incarnation":3}]}`
+	const valid = `{"outcomes":[{"id":"a","unit":"u","memory":7,"incarnation":3}]}`
 	for _, test := range []struct{ name, response string }{
 		{"empty", ""},
 		{"null", "null"},
 		{"no outcomes", "{}"},
-		{"cut off", done[:30]},
-		{"two values", done + "{}"},
+		{"truncated", valid[:30]},
+		{"two values", valid + "{}"},
 		{"too few outcomes", `{"outcomes":[]}`},
-		{"another id", strings.Replace(done, `"a"`, `"b"`, 1)},
-		{"another unit", strings.Replace(done, `"u"`, `"v"`, 1)},
-		{"another epoch", strings.Replace(done, "7", "8", 1)},
-		{"no epoch", strings.Replace(done, "7", "0", 1)},
-		{"no incarnation", strings.Replace(done, "3", "0", 1)},
-		{"incarnation of another type", strings.Replace(done, "3", `"3"`, 1)},
+		{"another id", strings.Replace(valid, `"a"`, `"b"`, 1)},
+		{"another unit", strings.Replace(valid, `"u"`, `"v"`, 1)},
+		{"another epoch", strings.Replace(valid, "7", "8", 1)},
+		{"no epoch", strings.Replace(valid, "7", "0", 1)},
+		{"no incarnation", strings.Replace(valid, "3", "0", 1)},
+		{"incarnation of the wrong type", strings.Replace(valid, "3", `"3"`, 1)},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			client, calls := newScriptedClient(t, http.StatusOK, test.response, done)
+			client, calls := newScriptedClient(t, http.StatusOK, test.response, valid)
 			outcomes, err := client.Do(t.Context(), stopRequest())
 			if err != nil || len(outcomes) != 1 || outcomes[0].Incarnation != 3 || calls.Load() != 2 {
 				t.Errorf("%+v, %v after %d calls, want the second response", outcomes, err, calls.Load())
@@ -70,7 +70,7 @@
 func TestInvalidListsAreRetried(t *testing.T) {
 	const valid = `{"memory":7,"complete":true,"at_ms":1,"units":[{"name":"a","kind":"server","version":"1","listen":"","state":"running","incarnation":1}]}`
 	for _, test := range []struct{ name, response string }{
-		{"another type", "[]"},
+		{"an array", "[]"},
 		{"no units", `{"memory":7}`},
 		{"no epoch", strings.Replace(valid, "7", "0", 1)},
 		{"unknown state", strings.Replace(valid, "running", "well", 1)},
@@ -103,14 +103,14 @@
 	for _, test := range []struct {
 		name    string
 		client  *Client
-		timeout time.Duration // 0: the context has ended before the call
+		timeout time.Duration // 0: the context ends before the call
 		unknown bool
 		want    string
 	}{
 		{"unreachable", unreachable, 200 * time.Millisecond, false, "refused"},
 		{"500", failing, 200 * time.Millisecond, true, "500: the platform failed"},
 		{"400", rejecting, 10 * time.Second, false, "400: no"},
-		{"ended before", failing, 0, false, "deadline exceeded"},
+		{"context ended before the call", failing, 0, false, "deadline exceeded"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			ctx, cancel := context.WithTimeout(t.Context(), test.timeout)
@@ -125,7 +125,7 @@
 		})
 	}
 	if rejected.Load() != 1 {
-		t.Errorf("%d calls, want one: no retry would succeed", rejected.Load())
+		t.Errorf("%d calls, want one: status 400 must not be retried", rejected.Load())
 	}
 }
 
@@ -138,7 +138,7 @@
 		name    string
 		request Request
 		change  func(*Request)
-		field   string // that the error names first
+		field   string // the field at the start of the error
 	}{
 		{"no id", start, func(r *Request) { r.ID = "" }, "id"},
 		{"id with an empty part", start, func(r *Request) { r.ID = "a//b" }, "id"},
@@ -166,6 +166,6 @@
 		})
 	}
 	if err := ValidateBatch([]Request{start, start}); err == nil {
-		t.Error("an id is valid twice in a call")
+		t.Error("a batch with a duplicate ID is accepted")
 	}
 }
--- a/internal/supervisor/core/core.go
+++ b/internal/supervisor/core/core.go
@@ -1,7 +1,7 @@
-// Package core is a platform that starts and stops processes, without clock, sockets and processes: calls and events
-// of processes go in with a time, responses and effects come out. Package standin drives it with real processes, package
-// fake with virtual ones. It owns the platform's state: units, remembered requests and injected faults. Nothing of it is
-// durable. Times are in ms.
+// Package core implements the state machine of a platform that starts and stops processes. It has no clock, sockets or
+// processes of its own: callers pass in calls and process events with the current time, and get responses and effects.
+// Package standin drives the core with real processes, package fake with simulated ones. The core owns the platform's
+// state: units, remembered requests and injected faults. The state is not durable. Times are in ms.
 package core
 
 import (
@@ -14,52 +14,52 @@
 
 type request = supervisor.Request
 
-// Bounds where Options name none.
+// Default limits for Options.
 const (
-	defaultMaxUnits         = 4096    // twice the servers of the largest fleet that is tried out
-	defaultMaxRequestIDs    = 1 << 16 // a day of a fleet's releases
-	defaultMaxDeferredCalls = 64      // with their requests
+	defaultMaxUnits         = 4096    // twice the servers of the largest tested fleet
+	defaultMaxRequestIDs    = 1 << 16 // the requests of a fleet's releases in a day
+	defaultMaxDeferredCalls = 64      // each call keeps its requests in memory
 )
 
-// Version names a program.
+// Version identifies a program by kind and name.
 type Version struct {
 	Kind supervisor.Kind
 	Name string
 }
 
-// ProcessPolicy is how the platform treats processes of a version.
+// ProcessPolicy configures how the platform stops and restarts processes of a version.
 type ProcessPolicy struct {
-	GraceMS     int64 // from SIGTERM to SIGKILL where a request names none; 0: 10 s
-	MaxRestarts int   // how often the platform itself restarts an incarnation whose process has ended by itself
+	GraceMS     int64 // from SIGTERM to SIGKILL for requests without a grace period; 0: 10 s
+	MaxRestarts int   // limit of automatic restarts per incarnation, after its process has exited without a stop request
 }
 
-// Options says what a platform has. Bounds that are 0 have their defaults.
+// Options configure a Core. A limit of 0 means the default.
 type Options struct {
 	Versions         map[Version]ProcessPolicy
-	MaxUnits         int // listed at a time
-	MaxRequestIDs    int // remembered
-	MaxDeferredCalls int // that hang at a time
+	MaxUnits         int // limit of listed units
+	MaxRequestIDs    int // limit of remembered requests
+	MaxDeferredCalls int // limit of calls that FaultHang defers at a time
 }
 
 // Response is the response to a call.
 type Response struct {
 	Outcomes       []supervisor.Outcome // of Do
 	List           *supervisor.List     // of List
-	Failure        string               // sent with status 500 in place of the others: the outcome is unknown
-	Disconnect     bool                 // the connection is closed in place of a response
-	DelayMS        int64                // before the response is sent
-	DeferredTicket uint64               // not 0: a DeferredResponse with this ticket follows
+	Failure        string               // error sent with status 500 instead of outcomes or list; the outcome is unknown
+	Disconnect     bool                 // close the connection instead of sending a response
+	DelayMS        int64                // delay before the response is sent
+	DeferredTicket uint64               // not 0: the response follows as a DeferredResponse with this ticket
 }
 
-// Core is the platform. It is not safe for concurrent use.
+// Core is the state machine of a platform. It is not safe for concurrent use.
 type Core struct {
 	options   Options
 	epoch     uint64
-	complete  bool // all that runs is listed
+	complete  bool // the units of all running processes are listed
 	units     map[string]*unit
-	processes map[uint64]*unit // the units of living processes by number, listed or not
+	processes map[uint64]*unit // units of the running processes by process number, listed or not
 
-	records     map[string]*requestRecord // by request id
+	records     map[string]*requestRecord // by request ID
 	recordOrder []*requestRecord          // oldest first
 
 	faults        []*activeFault
@@ -70,14 +70,14 @@
 	lastProcess, lastIncarnation, lastTicket, lastTimer uint64
 }
 
-// requestRecord is a remembered request.
+// requestRecord is a remembered request with its outcome.
 type requestRecord struct {
 	id      string
 	digest  [sha256.Size]byte
 	outcome supervisor.Outcome
 }
 
-// New returns a platform that runs nothing. now, above 0, also names its epoch.
+// New returns a core without units. now must be positive and is also the first epoch.
 func New(options Options, now int64) *Core {
 	options.MaxUnits = cmp.Or(options.MaxUnits, defaultMaxUnits)
 	options.MaxRequestIDs = cmp.Or(options.MaxRequestIDs, defaultMaxRequestIDs)
@@ -92,7 +92,7 @@
 	}
 }
 
-// Do handles a call with requests that are valid.
+// Do handles a call with valid requests.
 func (c *Core) Do(now int64, requests []request) Response {
 	fault := c.nextFault(now, OnDo, requests)
 	if fault == nil {
@@ -110,7 +110,7 @@
 	return response
 }
 
-// List handles a call for the list.
+// List handles a call for the list of units.
 func (c *Core) List(now int64) Response {
 	fault := c.nextFault(now, OnList, nil)
 	if fault == nil {
@@ -139,7 +139,7 @@
 	return list
 }
 
-// Effects returns what has to be done, in order, and forgets it.
+// Effects returns the pending effects in order, and clears them. The caller has to execute them.
 func (c *Core) Effects() []Effect {
 	effects := c.effects
 	c.effects = nil
--- a/internal/supervisor/core/core_test.go
+++ b/internal/supervisor/core/core_test.go
@@ -22,7 +22,7 @@
 	return request{ID: id, Op: supervisor.Stop, Epoch: c.epoch, Unit: unit, Incarnation: incarnation}
 }
 
-// executeOne executes one request and returns its outcome.
+// executeOne passes one valid request to the core and returns its outcome.
 func executeOne(t interface{ Fatalf(string, ...any) }, c *Core, now int64, r request) supervisor.Outcome {
 	if err := supervisor.ValidateBatch([]request{r}); err != nil {
 		t.Fatalf("%v", err)
@@ -41,7 +41,7 @@
 	return supervisor.Unit{}
 }
 
-// drainEffects returns the effects as text, in order.
+// drainEffects returns the pending effects as text, in order, and clears them.
 func drainEffects(c *Core) string {
 	s := ""
 	for _, e := range c.Effects() {
@@ -77,35 +77,35 @@
 	})
 	requireText(t, "restart", drainEffects(c), "term 1;")
 	c.Tick(1499)
-	requireText(t, "within the grace", drainEffects(c), "")
+	requireText(t, "within the grace period", drainEffects(c), "")
 	c.Tick(1500)
-	requireText(t, "the grace", drainEffects(c), "kill 1;")
+	requireText(t, "after the grace period", drainEffects(c), "kill 1;")
 	c.ProcessExited(1501, 1, "signal: killed")
-	requireText(t, "the end", drainEffects(c), "launch 2 u 2;")
+	requireText(t, "after the process has exited", drainEffects(c), "launch 2 u 2;")
 	if u := listedUnit(c, "u"); u.Incarnation != next.Incarnation || u.Incarnation == first.Incarnation || u.Version != "2" {
 		t.Errorf("%+v, want incarnation %d of version 2", u, next.Incarnation)
 	}
-	requireText(t, "a late stop of the one before", string(executeOne(t, c, 1600, stop(c, "d", "u", first.Incarnation)).Rejected), "stale")
+	requireText(t, "a late stop of the previous incarnation", string(executeOne(t, c, 1600, stop(c, "d", "u", first.Incarnation)).Rejected), "stale")
 	executeOne(t, c, 1600, stop(c, "e", "u", next.Incarnation))
 	c.Tick(2099)
-	requireText(t, "the version's grace", drainEffects(c), "term 2;")
+	requireText(t, "within the version's grace period", drainEffects(c), "term 2;")
 	c.Tick(2100)
-	requireText(t, "the version's grace", drainEffects(c), "kill 2;")
+	requireText(t, "after the version's grace period", drainEffects(c), "kill 2;")
 	c.ProcessExited(2100, 2, "signal: killed")
-	requireText(t, "no version", string(executeOne(t, c, 1600, start(c, "f", "u", "9", next.Incarnation)).Rejected), "no_version")
+	requireText(t, "unknown version", string(executeOne(t, c, 1600, start(c, "f", "u", "9", next.Incarnation)).Rejected), "no_version")
 	executeOne(t, c, 3000, start(c, "g", "u", "crash", next.Incarnation))
 	for i, due := range []int64{3200, 3600} {
 		c.ProcessExited(due-200<<i, uint64(3+i), "exit status 1")
 		drainEffects(c)
 		c.Tick(due - 1)
-		requireText(t, "before the restart", string(listedUnit(c, "u").State)+drainEffects(c), "exited")
+		requireText(t, "before the automatic restart", string(listedUnit(c, "u").State)+drainEffects(c), "exited")
 		c.Tick(due)
-		requireText(t, "the restart by the platform", drainEffects(c), fmt.Sprintf("launch %d u crash;", 4+i))
+		requireText(t, "the automatic restart", drainEffects(c), fmt.Sprintf("launch %d u crash;", 4+i))
 	}
 	c.ProcessExited(4000, 5, "exit status 1")
 	c.Tick(1e6)
 	if u := listedUnit(c, "u"); u.State != supervisor.Exited || u.Restarts != 2 || drainEffects(c) != "" {
-		t.Errorf("%+v, want an end after two restarts", u)
+		t.Errorf("%+v, want no more than two restarts", u)
 	}
 }
 
@@ -117,7 +117,7 @@
 	}
 }
 
-// newCoreWithUnits returns a core whose units a and b are running, as processes 1 and 2.
+// newCoreWithUnits returns a core with the running units a and b, whose processes are 1 and 2.
 func newCoreWithUnits(t *testing.T) *Core {
 	t.Helper()
 	c := New(Options{Versions: versions}, 1000)
@@ -134,44 +134,44 @@
 		c := newCoreWithUnits(t)
 		setFault(t, c, Fault{Kind: FaultDuplicate})
 		executeOne(t, c, 1000, start(c, "x", "c", "1", 0))
-		requireText(t, "twice", drainEffects(c), "launch 3 c 1;launch 4 c 1;")
+		requireText(t, "duplicate start", drainEffects(c), "launch 3 c 1;launch 4 c 1;")
 
 		setFault(t, c, Fault{Kind: FaultWrongUnit})
 		executeOne(t, c, 1000, stop(c, "y", "a", 1))
-		requireText(t, "wrong", drainEffects(c)+string(listedUnit(c, "a").State+listedUnit(c, "b").State), "term 2;runningstopping")
+		requireText(t, "stop of the wrong unit", drainEffects(c)+string(listedUnit(c, "a").State+listedUnit(c, "b").State), "term 2;runningstopping")
 	})
 
-	t.Run("half of two stops", func(t *testing.T) {
+	t.Run("partial execution of two stops", func(t *testing.T) {
 		c := newCoreWithUnits(t)
 		setFault(t, c, Fault{Kind: FaultPartial, On: OnDo})
 		both := []request{stop(c, "s1", "a", 1), stop(c, "s2", "b", 2)}
 		if response := c.Do(1000, both); response.Failure == "" {
 			t.Errorf("%+v, want a failure", response)
 		}
-		requireText(t, "half of two", drainEffects(c), "term 1;")
+		requireText(t, "the first stop", drainEffects(c), "term 1;")
 		if response := c.Do(1000, both); response.Failure != "" || len(response.Outcomes) != 2 {
-			t.Errorf("%+v, want both done by the repeat", response)
+			t.Errorf("%+v, want the outcomes of both stops after the repeat", response)
 		}
-		requireText(t, "the other half", drainEffects(c), "term 2;")
+		requireText(t, "the second stop", drainEffects(c), "term 2;")
 	})
 
-	t.Run("half of a restart", func(t *testing.T) {
+	t.Run("partial execution of a restart", func(t *testing.T) {
 		c := newCoreWithUnits(t)
 		setFault(t, c, Fault{Kind: FaultPartial})
 		executeOne(t, c, 1000, request{
 			ID: "r", Op: supervisor.Restart, Epoch: c.epoch, Unit: "a", Incarnation: 1, Kind: supervisor.Sidecar, Version: "2", Listen: "127.0.0.1:1",
 		})
 		c.ProcessExited(1100, 1, "exit status 0")
-		requireText(t, "half of a restart", drainEffects(c)+string(listedUnit(c, "a").State), "term 1;exited")
+		requireText(t, "stop without a start", drainEffects(c)+string(listedUnit(c, "a").State), "term 1;exited")
 	})
 
 	t.Run("hang", func(t *testing.T) {
 		c := newCoreWithUnits(t)
 		setFault(t, c, Fault{Kind: FaultHang, DurationMS: 500})
 		response := c.Do(1000, []request{stop(c, "h", "a", 1)})
-		requireText(t, "hangs", fmt.Sprint(response.DeferredTicket != 0)+drainEffects(c), "true")
+		requireText(t, "deferred call", fmt.Sprint(response.DeferredTicket != 0)+drainEffects(c), "true")
 		c.Tick(1500)
-		requireText(t, "goes on", drainEffects(c), "term 1;core.DeferredResponse;")
+		requireText(t, "end of the fault", drainEffects(c), "term 1;core.DeferredResponse;")
 	})
 
 	t.Run("lost state", func(t *testing.T) {
@@ -182,7 +182,7 @@
 		if list := c.list(0); list.Epoch <= before.Epoch || list.Complete || len(list.Units) != 0 {
 			t.Errorf("%+v, want another epoch and no units", list)
 		}
-		requireText(t, "a request of the epoch before", string(executeOne(t, c, 1000, late).Rejected), "forgotten")
+		requireText(t, "a request of the previous epoch", string(executeOne(t, c, 1000, late).Rejected), "forgotten")
 		c.Tick(1500)
 		if list := c.list(0); !list.Complete || len(list.Units) != 2 || list.Units[0].State != supervisor.Running {
 			t.Errorf("%+v, want both units found again", list)
@@ -190,8 +190,8 @@
 	})
 }
 
-// Records and units are bounded. The oldest is evicted whose unit is neither starting nor stopping; a unit that lives never
-// is.
+// The numbers of records and units are bounded. The oldest record whose unit is neither starting nor stopping is evicted, and
+// the oldest exited unit. A unit with a running process is never evicted.
 func TestRecordsAndUnitsAreBounded(t *testing.T) {
 	c := New(Options{Versions: versions, MaxUnits: 2, MaxRequestIDs: 4}, 1)
 	a := start(c, "a", "a", "1", 0)
@@ -205,11 +205,11 @@
 	if out := executeOne(t, c, 5, start(c, "e", "c", "1", 0)); out.Rejected != "" {
 		t.Errorf("%+v, want the exited unit evicted", out)
 	}
-	requireText(t, "the one that has exited", drainEffects(c), "core.UnitRemoved;launch 3 c 1;")
+	requireText(t, "effects of the eviction and the start", drainEffects(c), "core.UnitRemoved;launch 3 c 1;")
 	if len(c.records) != 4 || len(c.recordOrder) != 4 || c.records["a"] == nil || c.records["b"] != nil {
-		t.Errorf("%d records, a %v, b %v, want a retained as it starts", len(c.records), c.records["a"], c.records["b"])
+		t.Errorf("%d records, a %v, b %v, want a retained while its unit starts", len(c.records), c.records["a"], c.records["b"])
 	}
 	if out := executeOne(t, c, 5, a); out.Rejected != "" || drainEffects(c) != "" {
-		t.Errorf("a repeat did something: %+v", out)
+		t.Errorf("a repeated request had an effect: %+v", out)
 	}
 }
--- a/internal/supervisor/core/effects.go
+++ b/internal/supervisor/core/effects.go
@@ -2,14 +2,15 @@
 
 import "milldeck/internal/supervisor"
 
-// Effect is something that is to be done: Launch, Signal, RewriteConfig, UnitRemoved or DeferredResponse.
+// Effect is an action that the caller of the core has to execute: Launch, Signal, RewriteConfig, UnitRemoved or
+// DeferredResponse.
 type Effect interface{ isEffect() }
 
 // Launch starts a process.
 type Launch struct {
-	Process    uint64 // the number by which its events are reported
+	Process    uint64 // the process number, to be passed with the process's events
 	Unit       supervisor.Unit
-	ConfigText string // written before; empty: the file that is there
+	ConfigText string // contents of the configuration file, written before the start; empty: the file is kept
 }
 
 // Signal sends a signal to a process.
@@ -18,7 +19,7 @@
 	Kind    SignalKind
 }
 
-// SignalKind is a signal.
+// SignalKind is the kind of a signal.
 type SignalKind int
 
 // The signals: SIGTERM, SIGKILL and SIGHUP.
@@ -31,10 +32,10 @@
 // RewriteConfig replaces a unit's configuration file.
 type RewriteConfig struct{ Unit, ConfigName, ConfigText string }
 
-// UnitRemoved says that a unit that has exited is no longer listed: its files can be removed.
+// UnitRemoved says that an exited unit is no longer listed, so its files can be removed.
 type UnitRemoved struct{ Unit string }
 
-// DeferredResponse is the response to a call that hung.
+// DeferredResponse is the response to a call that FaultHang has deferred.
 type DeferredResponse struct {
 	Ticket uint64
 	Response
--- a/internal/supervisor/core/execute.go
+++ b/internal/supervisor/core/execute.go
@@ -6,7 +6,7 @@
 	"milldeck/internal/supervisor"
 )
 
-// rejection says why a request is not executed.
+// rejection is the reason why a request is not executed.
 type rejection struct {
 	reason supervisor.RejectionReason
 	detail string // one line
@@ -16,7 +16,7 @@
 	return &rejection{reason, fmt.Sprintf(format, args...)}
 }
 
-// executeAll executes the requests of a call, under a fault or noFault.
+// executeAll executes the requests of a call with a fault or noFault.
 func (c *Core) executeAll(now int64, requests []request, fault FaultKind) Response {
 	if !c.reserveRecords(len(requests)) {
 		return Response{Failure: "too many requests are under way"}
@@ -35,7 +35,7 @@
 	return response
 }
 
-// execute executes one request, unless it was executed before. A fault is consumed once it has acted.
+// execute executes one request, or returns the recorded outcome of a repeated one. It clears the fault once it has acted.
 func (c *Core) execute(now int64, r *request, fault *FaultKind) supervisor.Outcome {
 	outcome := supervisor.Outcome{ID: r.ID, Unit: r.Unit, Epoch: c.epoch}
 	if r.Epoch != c.epoch {
@@ -65,7 +65,8 @@
 	return outcome
 }
 
-// reserveRecords makes room for n more records: it evicts the oldest whose units are neither starting nor stopping.
+// reserveRecords makes room for n more records by evicting the oldest records whose units are neither starting nor stopping.
+// It returns false if it cannot evict enough of them.
 func (c *Core) reserveRecords(n int) bool {
 	for remaining := len(c.recordOrder); len(c.recordOrder)+n > c.options.MaxRequestIDs; remaining-- {
 		if remaining == 0 {
@@ -82,7 +83,7 @@
 	return true
 }
 
-// apply does what a request asks for, or returns why not.
+// apply executes a request's operation, or returns why it is rejected.
 func (c *Core) apply(now int64, r *request, fault *FaultKind) *rejection {
 	u := c.units[r.Unit]
 	current := uint64(0)
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// applyStart starts a unit; u is nil where it isn't listed.
+// applyStart starts a unit. u is nil if the unit is not listed.
 func (c *Core) applyStart(now int64, u *unit, r *request, fault *FaultKind) *rejection {
 	if rejected := c.checkVersion(r); rejected != nil {
 		return rejected
@@ -117,14 +118,14 @@
 	if u == nil && len(c.units) >= c.options.MaxUnits && !c.evictExitedUnit() {
 		return rejectf(supervisor.LimitReached, "%d units are listed, none has exited", len(c.units))
 	}
-	if len(c.processes) >= 2*c.options.MaxUnits { // more than are listed, after the state was lost
+	if len(c.processes) >= 2*c.options.MaxUnits { // after a loss of state, processes of unlisted units run as well
 		return rejectf(supervisor.LimitReached, "%d processes run", len(c.processes))
 	}
 	c.launch(now, c.newIncarnation(r), r.ConfigText, fault)
 	return nil
 }
 
-// applyRestart stops a unit, and has it start again once it has exited.
+// applyRestart stops a unit, and starts its new incarnation once the process has exited.
 func (c *Core) applyRestart(now int64, u *unit, r *request, fault *FaultKind) *rejection {
 	if rejected := c.checkVersion(r); rejected != nil {
 		return rejected
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// applyReload gives a running unit a new configuration.
+// applyReload replaces a running unit's configuration and sends SIGHUP to its process.
 func (c *Core) applyReload(u *unit, r *request, fault *FaultKind) *rejection {
 	if u.State != supervisor.Running {
 		return rejectf(supervisor.InvalidState, "it is %s", u.State)
@@ -157,7 +158,7 @@
 	return nil
 }
 
-// checkVersion rejects a request for a version that the platform doesn't have.
+// checkVersion rejects a request for a version that the platform does not have.
 func (c *Core) checkVersion(r *request) *rejection {
 	if _, ok := c.options.Versions[Version{r.Kind, r.Version}]; !ok {
 		return rejectf(supervisor.UnknownVersion, "there is no %s of version %s", r.Kind, r.Version)
--- a/internal/supervisor/core/faults.go
+++ b/internal/supervisor/core/faults.go
@@ -7,35 +7,35 @@
 	"milldeck/internal/validation"
 )
 
-// FaultKind is how the platform fails.
+// FaultKind is the kind of an injected fault.
 type FaultKind string
 
-// The kinds of faults. All but FaultLoseState act on calls.
+// The kinds of faults. All kinds except FaultLoseState act on calls.
 const (
 	noFault FaultKind = ""
-	// FaultError does nothing and responds with status 500.
+	// FaultError responds with status 500 without executing the call.
 	FaultError FaultKind = "fail"
-	// FaultHang neither executes nor responds until the fault ends, then both.
+	// FaultHang defers the execution of the call and its response until the fault ends.
 	FaultHang FaultKind = "hang"
-	// FaultDelay executes at once, and responds DelayMS later.
+	// FaultDelay executes the call at once, and delays the response by DelayMS.
 	FaultDelay FaultKind = "late"
-	// FaultPartial executes the first half of several requests, rounded up, and responds with status 500. Of a single one
-	// it does the first part and responds as if it were done: a start is listed but starts no process, a stop sends no
-	// SIGKILL, a restart doesn't start again, a reload sends no SIGHUP.
+	// FaultPartial executes the first half of several requests, rounded up, and responds with status 500. It executes a
+	// single request in part and responds with success: a start lists the unit without starting a process, a stop sends no
+	// SIGKILL, a restart only stops the unit, a reload sends no SIGHUP.
 	FaultPartial FaultKind = "half"
-	// FaultDropResponse executes, and closes the connection without a response.
+	// FaultDropResponse executes the call, and closes the connection without a response.
 	FaultDropResponse FaultKind = "lose"
-	// FaultDuplicate starts two processes for the first unit that the call starts; the platform knows one of them.
+	// FaultDuplicate starts two processes for the first unit that the call starts. The platform knows only one of them.
 	FaultDuplicate FaultKind = "twice"
-	// FaultWrongUnit stops another unit in place of the first that the call stops: the next by name of the same kind that
-	// runs.
+	// FaultWrongUnit stops another unit instead of the first one that the call stops: the next running unit of the same
+	// kind by name.
 	FaultWrongUnit FaultKind = "wrong"
-	// FaultLoseState loses all remembered requests and units at once, though processes run on. They are found again
-	// DurationMS later; 0: never.
+	// FaultLoseState discards all remembered requests and units at once. The processes keep running, and the platform finds
+	// them again after DurationMS; 0: never.
 	FaultLoseState FaultKind = "forget"
 )
 
-// consume reports whether a fault is of a kind, and then clears it: it acts once.
+// consume reports whether the fault is of a kind. If so, it clears the fault, which acts only once.
 func (k *FaultKind) consume(kind FaultKind) bool {
 	if *k != kind {
 		return false
@@ -44,28 +44,28 @@
 	return true
 }
 
-// Calls that a fault can be bound to.
+// The calls to which a fault can be restricted.
 const (
 	OnDo   = "do"
 	OnList = "list"
 )
 
-// Fault is an injected fault, as it is requested over HTTP.
+// Fault is an injected fault. Its JSON is part of the HTTP interface.
 type Fault struct {
 	Kind       FaultKind `json:"kind"`
 	On         string    `json:"on,omitempty"`       // OnDo or OnList; empty: both
-	Unit       string    `json:"unit,omitempty"`     // acts only on calls that name this unit
-	Count      int       `json:"count,omitempty"`    // calls that it acts on; 0: all where DurationMS is set, else one
-	DurationMS int64     `json:"for_ms,omitempty"`   // how long it acts; 0: until Count is used up or it is cleared
-	DelayMS    int64     `json:"delay_ms,omitempty"` // of the response, for FaultDelay
+	Unit       string    `json:"unit,omitempty"`     // restricts the fault to calls that name this unit
+	Count      int       `json:"count,omitempty"`    // number of affected calls; 0: all if DurationMS is set, otherwise one
+	DurationMS int64     `json:"for_ms,omitempty"`   // duration of the fault; 0: until Count calls or ClearFaults
+	DelayMS    int64     `json:"delay_ms,omitempty"` // delay of the response, for FaultDelay
 }
 
 const (
-	maxFaultDurationMS = 3_600_000 // an hour: longer than any run
-	maxFaults          = 64        // set at a time
+	maxFaultDurationMS = 3_600_000 // an hour, longer than any run
+	maxFaults          = 64        // limit of active faults
 )
 
-// Validate returns what is invalid about a fault. The text is part of the HTTP interface.
+// Validate returns an error if the fault is invalid. The text is part of the HTTP interface.
 func (f *Fault) Validate() error {
 	switch f.Kind {
 	case FaultError, FaultHang, FaultDelay, FaultDropResponse:
@@ -93,13 +93,13 @@
 	return nil
 }
 
-// activeFault is a fault that waits for calls.
+// activeFault is a fault that acts on the following calls.
 type activeFault struct {
 	Fault
-	untilMS int64 // 0: it has no end
+	untilMS int64 // 0: no time limit
 }
 
-// actsOn reports whether the fault acts on a call.
+// actsOn reports whether the fault acts on a call with an operation and requests.
 func (f *activeFault) actsOn(now int64, operation string, requests []request) bool {
 	switch {
 	case f.On != "" && f.On != operation,
@@ -112,15 +112,15 @@
 	return true
 }
 
-// deferredCall is a call that hangs.
+// deferredCall is a call that FaultHang has deferred.
 type deferredCall struct {
 	ticket   uint64
 	fault    *activeFault
-	requests []request // nil: of a list
+	requests []request // nil for a call of List
 	isList   bool
 }
 
-// SetFault injects a fault from now on, or returns why it can't.
+// SetFault injects a fault, or returns an error if the fault is invalid or too many are active.
 func (c *Core) SetFault(now int64, fault Fault) error {
 	if err := fault.Validate(); err != nil {
 		return err
@@ -144,13 +144,13 @@
 	return nil
 }
 
-// ClearFaults ends all faults; calls that hang go on.
+// ClearFaults ends all faults, and executes the deferred calls.
 func (c *Core) ClearFaults(now int64) {
 	c.faults = nil
 	c.releaseCalls(now, nil)
 }
 
-// expireFault ends one fault.
+// expireFault ends one fault, and executes the calls that it has deferred.
 func (c *Core) expireFault(now int64, expired *activeFault) {
 	if i := slices.Index(c.faults, expired); i >= 0 {
 		c.removeFault(i)
@@ -162,7 +162,7 @@
 	c.faults = append(c.faults[:i:i], c.faults[i+1:]...) // a copy: nextFault ranges over the slice
 }
 
-// nextFault returns the fault that acts on a call, the earliest set, nil where there is none. It counts the call.
+// nextFault returns the oldest fault that acts on a call, and counts the call; nil if no fault acts on it.
 func (c *Core) nextFault(now int64, operation string, requests []request) *activeFault {
 	for i, f := range c.faults {
 		if !f.actsOn(now, operation, requests) {
@@ -182,7 +182,7 @@
 	return slices.ContainsFunc(requests, func(r request) bool { return r.Unit == unit })
 }
 
-// deferCall holds a call until its fault ends.
+// deferCall stores a call until its fault ends.
 func (c *Core) deferCall(fault *activeFault, call deferredCall) Response {
 	if len(c.deferredCalls) >= c.options.MaxDeferredCalls {
 		return Response{Failure: "too many calls hang"}
@@ -193,7 +193,7 @@
 	return Response{DeferredTicket: call.ticket}
 }
 
-// releaseCalls executes the calls that hung by a fault, nil: by any, in the order in which they came.
+// releaseCalls executes the calls that a fault has deferred, in the order of their arrival. A nil fault stands for all.
 func (c *Core) releaseCalls(now int64, fault *activeFault) {
 	calls := c.deferredCalls
 	c.deferredCalls = nil
--- a/internal/supervisor/core/fixtures_test.go
+++ b/internal/supervisor/core/fixtures_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// The JSON of faults keeps its bytes, both ways.
+// Guards the JSON of faults, for encoding and decoding.
 func TestFixtureFaults(t *testing.T) {
 	var out bytes.Buffer
 	for _, f := range fixtureFaults() {
@@ -40,7 +40,7 @@
 	}
 }
 
-// The outcomes and the list of a scripted run keep their bytes, with rejections.
+// Guards the JSON of outcomes, rejections and lists in a scripted run.
 func TestFixtureOutcomes(t *testing.T) {
 	c := New(Options{Versions: versions, MaxUnits: 2, MaxRequestIDs: 64}, 1000)
 	var out bytes.Buffer
--- a/internal/supervisor/core/model_test.go
+++ b/internal/supervisor/core/model_test.go
@@ -11,23 +11,23 @@
 	"milldeck/internal/supervisor"
 )
 
-// injectedBug is a bug in how the model calls the core.
+// injectedBug is a bug that the model adds to its calls of the core, to check that the test detects it.
 type injectedBug int
 
 const (
 	noBug                injectedBug = iota
-	evictsFailedRequests             // a request whose response failed isn't remembered
-	ignoresIncarnation               // a request names whatever incarnation there is
-	ignoresEpoch                     // a request names whatever epoch there is
+	evictsFailedRequests             // the platform forgets a request whose response failed
+	ignoresIncarnation               // a request always names the current incarnation
+	ignoresEpoch                     // a request always names the current epoch
 )
 
-// platformModel runs the core with processes that are ready at once and stop at once.
+// platformModel runs the core with simulated processes that are ready immediately and stop immediately.
 type platformModel struct {
 	*Core
 	now     int64
 	bug     injectedBug
-	started map[string]int // processes by the request that started them
-	alive   map[uint64]string
+	started map[string]int    // number of started processes by request ID
+	alive   map[uint64]string // unit names of the running processes
 }
 
 func newPlatformModel(bug injectedBug) *platformModel {
@@ -56,7 +56,7 @@
 	}
 }
 
-// call makes one call; nil: the outcome is unknown.
+// call makes one call. It returns nil if the outcome is unknown.
 func (m *platformModel) call(r request) *supervisor.Outcome {
 	if u := m.units[r.Unit]; u != nil && m.bug == ignoresIncarnation {
 		r.Incarnation = u.Incarnation
@@ -77,9 +77,9 @@
 	return &response.Outcomes[0]
 }
 
-// reconcile brings a unit to a version, "" for stopped, as a careful caller does: it reads the list, calls, and repeats the
-// call with the same id; where the outcome is still unknown, it reads the list again. A request's id is also its
-// configuration's name, so that its processes can be counted.
+// reconcile brings a unit to a version, or stops it if version is "", as the interface prescribes: it reads the list, calls
+// Do, and repeats the call with the same ID while the outcome is unknown; then it reads the list again. Each request uses its
+// ID as the name of the configuration, so that the model can count the processes that the request has started.
 func (m *platformModel) reconcile(draw drawFunc, id, unit, version string) (requests []request, err error) {
 	for attempt := range 30 {
 		list := m.list(m.now)
@@ -106,21 +106,22 @@
 		for range 1 + draw("attempts", 3) {
 			outcome := m.call(r)
 			if outcome != nil && outcome.Rejected == supervisor.IncarnationMismatch && m.started[r.ID] > 0 {
-				return nil, fmt.Errorf("%s was executed, and its repeat is rejected: %s", r.ID, outcome.Detail)
+				return nil, fmt.Errorf("request %s was executed, but its repeat was rejected: %s", r.ID, outcome.Detail)
 			}
 			if outcome != nil {
 				break
 			}
 		}
 	}
-	return nil, fmt.Errorf("%s does not come to %q: %+v", unit, version, m.list(m.now))
+	return nil, fmt.Errorf("unit %s does not reach version %q: %+v", unit, version, m.list(m.now))
 }
 
-// drawFunc returns a choice among n, from 0.
+// drawFunc draws a number from 0 to n-1 for a named decision.
 type drawFunc func(what string, n int) int
 
-// runScenario brings units to drawn versions, once without faults, and once with them and with repeats of earlier
-// requests, some much later. Both have to end with the same versions, and no request may have started two processes.
+// runScenario brings units to drawn versions, once without faults, and once with faults and with repeats of earlier
+// requests, some of them much later. Both runs have to end with the same versions, no request may have started two
+// processes, and no unit may have two processes.
 func runScenario(draw drawFunc, bug injectedBug) error {
 	faultless, faulty := newPlatformModel(noBug), newPlatformModel(bug)
 	never := func(string, int) int { return 0 }
@@ -154,22 +155,22 @@
 	faulty.ClearFaults(faulty.now)
 	for id, n := range faulty.started {
 		if n != 1 {
-			return fmt.Errorf("%s has started %d processes", id, n)
+			return fmt.Errorf("request %s has started %d processes", id, n)
 		}
 	}
 	alive := map[string]int{}
 	for _, unit := range faulty.alive {
 		if alive[unit]++; alive[unit] > 1 {
-			return fmt.Errorf("%s has two processes", unit)
+			return fmt.Errorf("unit %s has two processes", unit)
 		}
 	}
 	if got, want := faulty.finalVersions(), faultless.finalVersions(); !maps.Equal(got, want) {
-		return fmt.Errorf("units end as %v, without faults as %v", got, want)
+		return fmt.Errorf("final versions are %v, without faults %v", got, want)
 	}
 	return nil
 }
 
-// finalVersions returns the versions of the units that live in the end.
+// finalVersions returns the versions of the units that have not exited in the end.
 func (m *platformModel) finalVersions() map[string]string {
 	m.now += 1000
 	m.settle()
@@ -190,11 +191,11 @@
 	})
 }
 
-// All scenarios of two steps for one unit: with up to two attempts of each call, and with up to one late repeat after each
-// step.
+// Runs all scenarios of two steps for one unit: once with up to two attempts per call, and once with up to one late repeat
+// after each step.
 func TestAllTwoStepScenarios(t *testing.T) {
 	for _, c := range []struct{ attempts, repeats int }{{2, 1}, {1, 2}} {
-		var choices, alternatives []int // of this scenario: each choice, and among how many
+		var choices, alternatives []int // the current scenario's choices, and the number of alternatives for each
 		scenarios := 0
 		for more := true; more; scenarios++ {
 			at := 0
@@ -219,7 +220,7 @@
 			if err != nil {
 				t.Fatalf("%v: %v", choices, err)
 			}
-			// The next scenario differs in the last choice that has an alternative left.
+			// The next scenario changes the last choice that has a remaining alternative.
 			choices, alternatives = choices[:at], alternatives[:at]
 			for more = false; len(choices) > 0 && !more; {
 				last := len(choices) - 1
@@ -234,9 +235,9 @@
 	}
 }
 
-// The model detects injected bugs, and nothing where there is none.
+// The model detects each injected bug, and reports no bug if none is injected.
 func TestModelDetectsInjectedBugs(t *testing.T) {
-	for b, name := range []string{noBug: "none", evictsFailedRequests: "id forgotten on failure", ignoresIncarnation: "any incarnation", ignoresEpoch: "any epoch"} {
+	for b, name := range []string{noBug: "none", evictsFailedRequests: "evicts failed requests", ignoresIncarnation: "ignores the incarnation", ignoresEpoch: "ignores the epoch"} {
 		var found error
 		seed := uint64(0)
 		for ; seed < 300 && found == nil; seed++ {
--- a/internal/supervisor/core/timers.go
+++ b/internal/supervisor/core/timers.go
@@ -2,20 +2,20 @@
 
 import "container/heap"
 
-// timer runs a function at a time.
+// timer calls a function at dueMS.
 type timer struct {
 	dueMS    int64
-	sequence uint64 // timers of one time run in the order in which they were set
+	sequence uint64 // timers with equal dueMS run in the order in which they were scheduled
 	run      func(now int64)
 }
 
-// schedule sets a timer.
+// schedule sets a timer that calls a function.
 func (c *Core) schedule(dueMS int64, run func(now int64)) {
 	c.lastTimer++
 	heap.Push(&c.timers, timer{dueMS, c.lastTimer, run})
 }
 
-// NextTimer returns when Tick is due; false where no timer is set.
+// NextTimer returns the time at which the caller has to call Tick; false if no timer is set.
 func (c *Core) NextTimer() (dueMS int64, ok bool) {
 	if len(c.timers) == 0 {
 		return 0, false
@@ -30,7 +30,7 @@
 	}
 }
 
-// timerHeap is a heap.Interface of timers, the next one first.
+// timerHeap implements heap.Interface, with the earliest timer first.
 type timerHeap []timer
 
 func (t timerHeap) Len() int { return len(t) }
@@ -48,7 +48,7 @@
 func (t *timerHeap) Pop() any {
 	old := *t
 	last := old[len(old)-1]
-	old[len(old)-1] = timer{} // its function can be collected
+	old[len(old)-1] = timer{} // allows garbage collection of the function
 	*t = old[:len(old)-1]
 	return last
 }
--- a/internal/supervisor/core/units.go
+++ b/internal/supervisor/core/units.go
@@ -10,22 +10,22 @@
 
 const (
 	defaultGraceMS          = 10_000 // from SIGTERM to SIGKILL
-	initialRestartBackoffMS = 200    // from a process's own end to its next start; doubled with each restart
+	initialRestartBackoffMS = 200    // from the unrequested exit of a process to its restart; doubled with each restart
 	maxRestartBackoffMS     = 10_000
-	maxBackoffDoublings     = 5 // doubled once more, the initial backoff exceeds the maximum
+	maxBackoffDoublings     = 5 // one more doubling of the initial backoff exceeds the maximum
 )
 
-// unit is one that is listed, or the owner of a process that the platform has forgotten or never knew it started.
+// unit is a listed unit, or the unlisted owner of a process: one from before a loss of state, or a duplicate.
 type unit struct {
 	supervisor.Unit
-	process     uint64 // 0: none lives
+	process     uint64 // number of the running process; 0: none
 	policy      ProcessPolicy
-	killAtMS    int64          // when SIGKILL is due; 0: it isn't
-	restartAtMS int64          // when the platform restarts it by itself; 0: it doesn't
-	pending     *pendingLaunch // of a restart, due when the process has ended
+	killAtMS    int64          // time of the scheduled SIGKILL; 0: none
+	restartAtMS int64          // time of the scheduled automatic restart; 0: none
+	pending     *pendingLaunch // the start of a requested restart, due when the process has exited
 }
 
-// pendingLaunch is the second half of a restart.
+// pendingLaunch is the start that completes a requested restart.
 type pendingLaunch struct {
 	unit       supervisor.Unit
 	configText string
@@ -37,7 +37,7 @@
 	return u.State == supervisor.Starting || u.State == supervisor.Stopping
 }
 
-// newIncarnation returns the unit that a request describes, as a new incarnation.
+// newIncarnation returns a new incarnation of the unit as described by a request.
 func (c *Core) newIncarnation(r *request) supervisor.Unit {
 	c.lastIncarnation++
 	return supervisor.Unit{
@@ -51,7 +51,7 @@
 	}
 }
 
-// launch starts a unit in place of the listed one of its name.
+// launch lists a unit, replacing the listed unit of the same name, and starts its process.
 func (c *Core) launch(now int64, planned supervisor.Unit, configText string, fault *FaultKind) {
 	policy := c.options.Versions[Version{planned.Kind, planned.Version}]
 	u := &unit{Unit: planned, policy: policy}
@@ -74,7 +74,7 @@
 	c.emit(Launch{u.process, u.Unit, configText})
 }
 
-// stopUnit stops a unit. Repeated, it can only shorten the grace period.
+// stopUnit stops a unit. A further stop can only shorten the grace period.
 func (c *Core) stopUnit(now int64, u *unit, graceMS int64, fault *FaultKind) {
 	if fault.consume(FaultWrongUnit) {
 		if u = c.nextRunning(u); u == nil {
@@ -86,7 +86,7 @@
 	case u.State == supervisor.Exited:
 		u.restartAtMS = 0
 		return
-	case u.process == 0: // a partial start
+	case u.process == 0: // after FaultPartial of a start
 		c.unitExited(now, u, "never started")
 		return
 	case u.State != supervisor.Stopping:
@@ -101,7 +101,8 @@
 	}
 }
 
-// scheduleKill has a unit's process killed at a time, unless it has ended or the time has changed by then.
+// scheduleKill schedules a SIGKILL for a unit's process. It is not sent if the process has exited or has been given another
+// time by then.
 func (c *Core) scheduleKill(u *unit, dueMS int64) {
 	u.killAtMS = dueMS
 	process := u.process
@@ -112,7 +113,7 @@
 	})
 }
 
-// nextRunning returns the next unit by name, cyclically, that runs and is of the same kind; nil where there is none.
+// nextRunning returns the next running unit of the same kind by name, cyclically; nil if there is none.
 func (c *Core) nextRunning(after *unit) *unit {
 	names := slices.Sorted(maps.Keys(c.units))
 	position, _ := slices.BinarySearch(names, after.Name)
@@ -125,14 +126,14 @@
 	return nil
 }
 
-// ProcessReady says that a process has passed its readiness check.
+// ProcessReady handles the event that a process has passed its readiness check.
 func (c *Core) ProcessReady(now int64, process uint64) {
 	if u := c.processes[process]; u != nil && u.State == supervisor.Starting {
 		u.State, u.SinceMS = supervisor.Running, now
 	}
 }
 
-// ProcessExited says that a process has ended, or could not be started, and how, on one line.
+// ProcessExited handles the event that a process has exited or could not be started. exit is one line that says how.
 func (c *Core) ProcessExited(now int64, process uint64, exit string) {
 	u := c.processes[process]
 	if u == nil {
@@ -150,7 +151,7 @@
 	}
 }
 
-// restartBackoffMS is the backoff before the platform restarts a unit once more.
+// restartBackoffMS returns the backoff before the next automatic restart of a unit.
 func restartBackoffMS(restarts int) int64 {
 	if restarts > maxBackoffDoublings {
 		return maxRestartBackoffMS
@@ -158,7 +159,8 @@
 	return initialRestartBackoffMS << restarts
 }
 
-// scheduleRestart has the platform restart a unit at a time, unless it was stopped, replaced or started by then.
+// scheduleRestart schedules an automatic restart of a unit. It does not take place if the unit has been stopped, replaced or
+// started by then.
 func (c *Core) scheduleRestart(u *unit, dueMS int64) {
 	u.restartAtMS = dueMS
 	c.schedule(dueMS, func(now int64) {
@@ -172,7 +174,7 @@
 	})
 }
 
-// unitExited notes that a unit has no process, and launches the one that waits for that.
+// unitExited records that a unit has exited, and launches the pending incarnation of a requested restart.
 func (c *Core) unitExited(now int64, u *unit, exit string) {
 	u.State, u.SinceMS, u.Exit = supervisor.Exited, now, exit
 	if pending := u.pending; pending != nil {
@@ -180,7 +182,7 @@
 	}
 }
 
-// evictExitedUnit removes the unit from the list that exited first and isn't restarted; false where there is none.
+// evictExitedUnit removes the unit that exited first, among those without a scheduled restart; false if there is none.
 func (c *Core) evictExitedUnit() bool {
 	var oldest *unit
 	for _, u := range c.units {
@@ -199,8 +201,8 @@
 	return true
 }
 
-// loseState begins a new epoch without units and remembered requests. Processes run on; what was to be done to them is
-// forgotten. They are found again after a time in ms; 0: never.
+// loseState begins a new epoch without units and remembered requests. Processes keep running, and their scheduled kills and
+// restarts are dropped. The platform finds the processes again after rediscoverAfterMS; 0: never.
 func (c *Core) loseState(now, rediscoverAfterMS int64) {
 	c.epoch = max(c.epoch+1, uint64(now))
 	c.complete = false
@@ -222,7 +224,7 @@
 	})
 }
 
-// rediscover lists the units of processes that aren't listed, unless a unit of that name is.
+// rediscover lists the units of unlisted processes, unless a unit of the same name is listed.
 func (c *Core) rediscover(now int64) {
 	c.complete = true
 	for _, process := range slices.Sorted(maps.Keys(c.processes)) {
@@ -233,7 +235,7 @@
 		c.lastIncarnation++
 		u.Incarnation, u.Restarts, u.Exit = c.lastIncarnation, 0, ""
 		if u.SinceMS = now; u.State == supervisor.Stopping {
-			u.State = supervisor.Running // that it was requested to stop is forgotten
+			u.State = supervisor.Running // the stop request was lost with the state
 		}
 		c.units[u.Name] = u
 	}
--- a/internal/supervisor/fake/events.go
+++ b/internal/supervisor/fake/events.go
@@ -1,13 +1,13 @@
 package fake
 
-// event is something that happens to a process.
+// event is a scheduled event of a process, such as its exit.
 type event struct {
 	atMS     int64
-	sequence uint64 // events of one time run in the order in which they were set
+	sequence uint64 // events with equal atMS run in the order in which they were scheduled
 	run      func()
 }
 
-// eventHeap is a heap.Interface of events, the next one first.
+// eventHeap implements heap.Interface, with the earliest event first.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -25,7 +25,7 @@
 func (h *eventHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = event{} // its function can be collected
+	old[len(old)-1] = event{} // allows garbage collection of the function
 	*h = old[:len(old)-1]
 	return last
 }
--- a/internal/supervisor/fake/fake.go
+++ b/internal/supervisor/fake/fake.go
@@ -1,5 +1,5 @@
-// Package fake is a platform in virtual time for tests and simulations: the core of the stand-in platform, with simulated
-// processes. The time is given from outside; nothing runs by itself. Times are in ms.
+// Package fake implements a platform in virtual time for tests and simulations. It runs package core, as the stand-in
+// platform does, with simulated processes. Time passes only in Advance. Times are in ms.
 package fake
 
 import (
@@ -15,43 +15,43 @@
 	"milldeck/internal/supervisor/core"
 )
 
-// Behavior is how one process behaves.
+// Behavior describes a simulated process.
 type Behavior struct {
-	ReadyAfterMS int64  // from its start until it is ready; below 0: never
-	ExitAfterMS  int64  // from its start to its end by itself; 0: never
-	ExitText     string // how it ends by itself: "exit status 1"
-	StopAfterMS  int64  // from SIGTERM to its end; below 0: only SIGKILL ends it
+	ReadyAfterMS int64  // from the start to readiness; below 0: the process never becomes ready
+	ExitAfterMS  int64  // from the start to an exit without a signal; 0: the process does not exit by itself
+	ExitText     string // the exit text for ExitAfterMS, such as "exit status 1"
+	StopAfterMS  int64  // from SIGTERM to the exit; below 0: the process ignores SIGTERM
 
-	// OnReload, where set, is called with each configuration that SIGHUP makes it read. It must not call the platform.
+	// OnReload, if set, is called at SIGHUP with the configuration that the process reads. It must not call the platform.
 	OnReload func(configName, configText string)
 }
 
-// Version is how the platform treats the processes of a version, and how these behave.
+// Version configures the platform's policy for the processes of a version, and their behavior.
 type Version struct {
 	core.ProcessPolicy
-	// Behave returns the behavior of a unit's next process; nil: it is ready at once and stops at once. It must not call
-	// the platform.
+	// Behave returns the behavior of a unit's next process; nil: processes are ready immediately and stop immediately. It
+	// must not call the platform.
 	Behave func(u supervisor.Unit) Behavior
 }
 
-// Options says what a platform has.
+// Options configure a Platform.
 type Options struct {
 	Versions      map[core.Version]Version
-	MaxUnits      int // listed at a time; 0: 65,536
-	MaxRequestIDs int // remembered; 0: the core's default
-	// TimeoutMS is how long a caller waits for a response; 0: as long as it takes. A response that comes in time is
-	// returned at once, as nothing can wait in virtual time.
+	MaxUnits      int // limit of listed units; 0: 65,536
+	MaxRequestIDs int // limit of remembered requests; 0: the core's default
+	// TimeoutMS is the caller's timeout for a response; 0: no timeout. A response within the timeout is returned at once,
+	// because a call cannot wait in virtual time.
 	TimeoutMS int64
 }
 
-const defaultMaxUnits = 1 << 16 // a unit takes some hundred bytes
+const defaultMaxUnits = 1 << 16 // a unit takes a few hundred bytes
 
 var (
 	errDisconnected = errors.New("the connection was closed")
-	errTimeout      = errors.New("no response in time")
+	errTimeout      = errors.New("no response within the timeout")
 )
 
-// Platform is the fake. It is safe for concurrent use.
+// Platform is a supervisor.Supervisor in virtual time. It is safe for concurrent use.
 type Platform struct {
 	options Options
 
@@ -60,20 +60,20 @@
 	nowMS      int64
 	events     eventHeap
 	processes  map[uint64]*process
-	liveCounts map[string]int                // processes by unit
-	configs    map[string]core.RewriteConfig // the last of each unit
+	liveCounts map[string]int                // number of running processes by unit
+	configs    map[string]core.RewriteConfig // configuration file by unit
 	lastEvent  uint64
 }
 
 var _ supervisor.Supervisor = (*Platform)(nil)
 
-// process is a living process.
+// process is a running simulated process.
 type process struct {
 	unit     supervisor.Unit
 	behavior Behavior
 }
 
-// New returns a platform at a time, above 0.
+// New returns a platform whose virtual time starts at nowMS, which must be positive.
 func New(options Options, nowMS int64) *Platform {
 	policies := make(map[core.Version]core.ProcessPolicy, len(options.Versions))
 	for id, version := range options.Versions {
@@ -93,7 +93,7 @@
 	}
 }
 
-// Do makes a single attempt: without a response the outcome is unknown at once.
+// Do implements supervisor.Supervisor. It makes a single attempt, so a lost response is an unknown outcome at once.
 func (p *Platform) Do(ctx context.Context, requests ...supervisor.Request) ([]supervisor.Outcome, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 	return response.Outcomes, nil
 }
 
-// List makes a single attempt.
+// List implements supervisor.Supervisor. It makes a single attempt.
 func (p *Platform) List(ctx context.Context) (*supervisor.List, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -125,7 +125,7 @@
 	return response.List, nil
 }
 
-// deliveryError returns why a response doesn't arrive, nil where it does.
+// deliveryError returns the error if a response does not reach the caller, otherwise nil.
 func (p *Platform) deliveryError(response *core.Response) error {
 	switch {
 	case response.Failure != "":
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// SetFault injects a fault from now on.
+// SetFault injects a fault.
 func (p *Platform) SetFault(fault core.Fault) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,7 +147,7 @@
 	return err
 }
 
-// ClearFaults ends all faults; calls that hang are executed.
+// ClearFaults ends all faults, and executes the calls that FaultHang has deferred.
 func (p *Platform) ClearFaults() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,7 +155,7 @@
 	p.drainEffects()
 }
 
-// Advance lets everything happen that is due up to a time, in order. Time never runs backwards.
+// Advance sets the virtual time to untilMS, and runs all events and timers up to then in order. It never sets the time back.
 func (p *Platform) Advance(untilMS int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,8 +164,8 @@
 	p.nowMS = max(p.nowMS, untilMS)
 }
 
-// step lets the next thing happen, a process's event or a timer of the core; false where none is due up to a time. Of one
-// time, events go first.
+// step runs the next process event or timer of the core that is due by untilMS; false if there is none. Events run before
+// timers of the same time.
 func (p *Platform) step(untilMS int64) bool {
 	timerMS, timerSet := p.core.NextTimer()
 	eventSet := len(p.events) > 0
@@ -183,14 +183,14 @@
 	return true
 }
 
-// LiveProcesses is how many processes of a unit live, whatever the platform knows of them.
+// LiveProcesses returns the number of running processes of a unit, including those that the platform does not know.
 func (p *Platform) LiveProcesses(unit string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.liveCounts[unit]
 }
 
-// Crash ends all processes of a unit by themselves, with a text that says how.
+// Crash makes all processes of a unit exit without a stop request, with an exit text.
 func (p *Platform) Crash(unit, exit string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -221,11 +221,11 @@
 		p.configs[e.Unit] = e
 	case core.UnitRemoved:
 		delete(p.configs, e.Unit)
-	case core.DeferredResponse: // its caller has already got an unknown outcome
+	case core.DeferredResponse: // the caller has already received an unknown outcome
 	}
 }
 
-// launch starts a process.
+// launch starts a simulated process.
 func (p *Platform) launch(e core.Launch) {
 	started := &process{unit: e.Unit}
 	version := p.options.Versions[core.Version{Kind: e.Unit.Kind, Name: e.Unit.Version}]
@@ -246,7 +246,7 @@
 	}
 }
 
-// signal lets a process react to a signal, unless it has ended.
+// signal delivers a signal to a process, unless the process has exited.
 func (p *Platform) signal(e core.Signal) {
 	signaled := p.processes[e.Process]
 	if signaled == nil {
@@ -267,7 +267,7 @@
 	}
 }
 
-// schedule lets something happen to a process after a time, unless it has ended by then.
+// schedule adds an event of a process after a delay. The event does not run if the process has exited by then.
 func (p *Platform) schedule(delayMS int64, number uint64, run func()) {
 	p.lastEvent++
 	heap.Push(&p.events, event{p.nowMS + delayMS, p.lastEvent, func() {
@@ -277,7 +277,7 @@
 	}})
 }
 
-// endProcess ends a process and reports that to the core.
+// endProcess removes a process and reports its exit to the core.
 func (p *Platform) endProcess(number uint64, exit string) {
 	unit := p.processes[number].unit.Name
 	delete(p.processes, number)
--- a/internal/supervisor/fake/fake_test.go
+++ b/internal/supervisor/fake/fake_test.go
@@ -12,8 +12,8 @@
 
 func versions() map[core.Version]Version {
 	return map[core.Version]Version{
-		{Kind: supervisor.Sidecar, Name: "good"}: {Behave: func(supervisor.Unit) Behavior { return Behavior{ReadyAfterMS: 30, StopAfterMS: 500} }},
-		{Kind: supervisor.Sidecar, Name: "deaf"}: {ProcessPolicy: core.ProcessPolicy{GraceMS: 2000}, Behave: func(supervisor.Unit) Behavior { return Behavior{ReadyAfterMS: 30, StopAfterMS: -1} }},
+		{Kind: supervisor.Sidecar, Name: "good"}:            {Behave: func(supervisor.Unit) Behavior { return Behavior{ReadyAfterMS: 30, StopAfterMS: 500} }},
+		{Kind: supervisor.Sidecar, Name: "ignores-sigterm"}: {ProcessPolicy: core.ProcessPolicy{GraceMS: 2000}, Behave: func(supervisor.Unit) Behavior { return Behavior{ReadyAfterMS: 30, StopAfterMS: -1} }},
 		{Kind: supervisor.Sidecar, Name: "bad"}: {
 			ProcessPolicy: core.ProcessPolicy{MaxRestarts: 3}, Behave: func(supervisor.Unit) Behavior {
 				return Behavior{ReadyAfterMS: -1, ExitAfterMS: 100, ExitText: "exit status 1"}
@@ -40,7 +40,7 @@
 func TestProcessesFollowTheirBehavior(t *testing.T) {
 	p := New(Options{Versions: versions()}, 1000)
 	epoch := list(t, p).Epoch
-	if _, err := p.Do(t.Context(), start(epoch, "a", "good"), start(epoch, "b", "deaf"), start(epoch, "c", "bad")); err != nil {
+	if _, err := p.Do(t.Context(), start(epoch, "a", "good"), start(epoch, "b", "ignores-sigterm"), start(epoch, "c", "bad")); err != nil {
 		t.Fatal(err)
 	}
 	states := func() string {
@@ -103,7 +103,7 @@
 	}
 }
 
-// Two runs of thousands of units give the same list.
+// Two runs with thousands of units result in the same list.
 func TestManyUnitsAreDeterministic(t *testing.T) {
 	const units = 3000
 	run := func() *supervisor.List {
@@ -112,7 +112,7 @@
 		for i := 0; i < units; i += supervisor.MaxRequests {
 			var requests []supervisor.Request
 			for n := i; n < min(units, i+supervisor.MaxRequests); n++ {
-				requests = append(requests, start(epoch, fmt.Sprint("u", n), []string{"good", "deaf", "bad"}[n%3]))
+				requests = append(requests, start(epoch, fmt.Sprint("u", n), []string{"good", "ignores-sigterm", "bad"}[n%3]))
 			}
 			if _, err := p.Do(t.Context(), requests...); err != nil {
 				t.Fatal(err)
--- a/internal/supervisor/fixtures_test.go
+++ b/internal/supervisor/fixtures_test.go
@@ -13,7 +13,7 @@
 	"milldeck/internal/goldentest"
 )
 
-// goldenJSON compares a value's JSON with a golden file, and the file's value with it.
+// goldenJSON compares a value's JSON with a golden file, and the value decoded from the file with the given one.
 func goldenJSON[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	got, err := json.Marshal(value)
@@ -50,7 +50,7 @@
 	return outcomes
 }
 
-// The JSON of calls and responses keeps its bytes, both ways.
+// Guards the JSON of requests, responses and lists, for encoding and decoding.
 func TestFixtureJSON(t *testing.T) {
 	if err := ValidateBatch(fixtureRequests()); err != nil {
 		t.Error(err)
@@ -72,7 +72,7 @@
 	goldenJSON(t, "list-forgotten.json", List{Epoch: 8, AtMS: 1, Units: []Unit{}})
 }
 
-// Digests of requests and the texts of rejections keep their bytes: platforms remember the former, callers log the latter.
+// Guards the digests of requests, which platforms remember, and the texts of rejections, which callers log.
 func TestFixtureDigestsAndErrors(t *testing.T) {
 	var out bytes.Buffer
 	for _, r := range fixtureRequests() {
@@ -84,7 +84,7 @@
 	goldentest.Compare(t, "digests.txt", out.Bytes())
 }
 
-// fixtureResponse answers the requests of fixtureRequests.
+// fixtureResponse returns a response to fixtureRequests.
 func fixtureResponse() BatchResponse {
 	var response BatchResponse
 	for i, r := range fixtureRequests() {
@@ -94,7 +94,7 @@
 	return response
 }
 
-// A client sends the golden call and reads the golden responses.
+// A client sends the golden batch and decodes the golden responses.
 func TestFixtureClient(t *testing.T) {
 	goldenJSON(t, "answer-to-call.json", fixtureResponse())
 	listJSON, responseJSON := goldentest.Read(t, "list.json"), goldentest.Read(t, "answer-to-call.json")
--- a/internal/supervisor/retry.go
+++ b/internal/supervisor/retry.go
@@ -8,16 +8,16 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// retry makes attempts until one succeeds or fails permanently, maxAttempts were made, or ctx ends. The error is that of
-// the last attempt; where ctx has ended, both errors.
+// retry makes attempts until one succeeds or fails permanently, maxAttempts is reached, or ctx ends. It returns the error of
+// the last attempt, joined with the error of ctx if ctx has ended.
 func retry[T any](ctx context.Context, attempt func() (T, error)) (T, error) {
-	policy := backoff.NewExponentialBackOff() // with a jitter of half to both sides
+	policy := backoff.NewExponentialBackOff() // its jitter is half of the delay in both directions
 	policy.InitialInterval, policy.MaxInterval = initialBackoff, maxBackoff
 	var lastErr error
 	value, err := backoff.Retry(ctx, func() (T, error) {
 		value, err := attempt()
 		if err != nil && (lastErr == nil || ctx.Err() == nil) {
-			lastErr = err // the error of an attempt that ctx has ended says less than the one before
+			lastErr = err // an error from the end of ctx does not replace a more informative one
 		}
 		return value, err
 	}, backoff.WithBackOff(policy), backoff.WithMaxTries(maxAttempts), backoff.WithMaxElapsedTime(0))
@@ -28,7 +28,7 @@
 	return zero, retryError(ctx, lastErr)
 }
 
-// retryError is the error of a call whose last attempt failed by lastErr; nil: there was none.
+// retryError returns the error of a call whose last attempt failed with lastErr, which is nil if no attempt was made.
 func retryError(ctx context.Context, lastErr error) error {
 	var permanent *backoff.PermanentError
 	if errors.As(lastErr, &permanent) {
--- a/internal/supervisor/standin/bench_test.go
+++ b/internal/supervisor/standin/bench_test.go
@@ -9,7 +9,8 @@
 	"milldeck/internal/supervisor"
 )
 
-// BenchmarkSidecar measures one sidecar at a time, from the call until it is ready, and from the call to its end.
+// BenchmarkSidecar measures the time from a start request until a sidecar is ready, and from a stop request until it has
+// exited, for one sidecar at a time.
 func BenchmarkSidecar(b *testing.B) {
 	platform := newTestPlatform(b)
 	var startTimes, stopTimes []time.Duration
@@ -35,7 +36,7 @@
 	}
 }
 
-// BenchmarkCalls measures calls that change nothing: a repeat of a start, and the list of 200 units that have exited.
+// BenchmarkCalls measures calls without effects: a repeated start, and the list of 200 exited units.
 func BenchmarkCalls(b *testing.B) {
 	platform := newTestPlatform(b)
 	var requests []supervisor.Request
@@ -48,7 +49,7 @@
 	}
 	platform.mustDo(requests...)
 	for n := range requests {
-		platform.eventually("gave up", func() bool { return platform.waitState(n, supervisor.Exited).Restarts == 2 })
+		platform.eventually("all restarts are used up", func() bool { return platform.waitState(n, supervisor.Exited).Restarts == 2 })
 	}
 	for name, call := range map[string]func() error{
 		"repeat": func() error { _, err := platform.client.Do(platform.ctx, requests[0]); return err },
--- a/internal/supervisor/standin/client.go
+++ b/internal/supervisor/standin/client.go
@@ -11,7 +11,7 @@
 	"milldeck/internal/supervisor/core"
 )
 
-// SetFault injects a fault into the platform at an address.
+// SetFault injects a fault at the platform with an address.
 func SetFault(ctx context.Context, addr string, fault core.Fault) error {
 	body, err := json.Marshal(fault)
 	if err != nil {
@@ -20,7 +20,7 @@
 	return callFaults(ctx, http.MethodPost, addr, body)
 }
 
-// ClearFaults ends all faults of the platform at an address.
+// ClearFaults ends all faults at the platform with an address.
 func ClearFaults(ctx context.Context, addr string) error {
 	return callFaults(ctx, http.MethodDelete, addr, nil)
 }
@@ -30,14 +30,14 @@
 	if err != nil {
 		return fmt.Errorf("supervisor: faults: %w", err)
 	}
-	req.Close = true // such calls are rare
+	req.Close = true // these calls are too rare to keep a connection open
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return fmt.Errorf("supervisor: faults: %w", err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxFaultBytes)) // a part of it says enough
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxFaultBytes)) // the error may quote a part of the body
 		return fmt.Errorf("supervisor: faults: %s: %s", resp.Status, bytes.TrimSpace(text))
 	}
 	return nil
--- a/internal/supervisor/standin/files.go
+++ b/internal/supervisor/standin/files.go
@@ -11,13 +11,13 @@
 
 const (
 	logTrimInterval = time.Second
-	maxLogBytes     = 1 << 20 // of a unit; a longer log is emptied
+	maxLogBytes     = 1 << 20 // per unit; a longer log is truncated to zero bytes
 )
 
 func (p *platform) logPath(unit string) string    { return filepath.Join(p.dir, unit+".log") }
 func (p *platform) configPath(unit string) string { return filepath.Join(p.dir, unit+".json") }
 
-// trimLogs empties logs that are too long. Their processes go on writing at the new end.
+// trimLogs truncates logs longer than maxLogBytes to zero bytes. The processes continue to append to the truncated files.
 func (p *platform) trimLogs() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/supervisor/standin/fixtures_test.go
+++ b/internal/supervisor/standin/fixtures_test.go
@@ -17,7 +17,7 @@
 	"milldeck/internal/supervisor"
 )
 
-// The keys of a versions' file keep their names.
+// Guards the keys of a versions file.
 func TestFixtureVersions(t *testing.T) {
 	v, err := LoadVersions(goldentest.Path("versions.toml"))
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// The answers over HTTP keep their bytes, but for what depends on the clock: the epoch and times.
+// Guards the HTTP responses, except for the values that depend on the clock: the epoch and times.
 func TestFixtureHTTPAnswers(t *testing.T) {
 	versions, err := LoadVersions(goldentest.Path("versions.toml"))
 	if err != nil {
@@ -90,7 +90,7 @@
 	}
 	const units, faults = "/supervisor/units", "/faults"
 	request("GET", units, "")
-	// The version's program doesn't exist: the unit has exited before the response comes.
+	// The version's program does not exist, so the unit has exited before the platform responds.
 	request("POST", units, `{"requests":[{"id":"a","op":"start","memory":MEMORY,"unit":"u1","incarnation":0,"kind":"server","version":"2","listen":"127.0.0.1:9"}]}`)
 	request("GET", units, "")
 	request("POST", units, `{"requests":[{"id":"b","op":"stop","memory":MEMORY,"unit":"u1","incarnation":9},
--- a/internal/supervisor/standin/platform.go
+++ b/internal/supervisor/standin/platform.go
@@ -12,7 +12,8 @@
 	"milldeck/internal/supervisor/core"
 )
 
-// platform drives the core with real processes. Its log lines have no component, as the lab and tests read them.
+// platform drives the core with real processes. Its log lines have no component attribute, because the lab and tests parse
+// them.
 type platform struct {
 	versions     *Versions
 	dir          string // of logs and configuration files
@@ -21,17 +22,17 @@
 
 	mu            sync.Mutex // guards what follows
 	core          *core.Core
-	processes     map[uint64]*proc.Process      // by the core's number
-	loggedUnits   map[string]bool               // units that have a log file, or may have
+	processes     map[uint64]*proc.Process      // by the core's process number
+	loggedUnits   map[string]bool               // units that may have a log file
 	deferredCalls map[uint64]chan core.Response // by ticket
-	closed        bool                          // no process is started any more
+	closed        bool                          // no further process may be started
 
-	wake       chan struct{} // the core's next timer may have changed
+	wake       chan struct{} // notifies runTimers that the core's next timer may have changed
 	ctx        context.Context
 	background sync.WaitGroup
 }
 
-// newPlatform returns a platform whose goroutines end with ctx; close waits for them.
+// newPlatform returns a platform. Its goroutines end when ctx ends, and close waits for them.
 func newPlatform(ctx context.Context, versions *Versions, dir string) *platform {
 	p := &platform{
 		versions:      versions,
@@ -49,12 +50,12 @@
 	return p
 }
 
-// now is the Unix time in ms at the platform's start, plus the monotonic time since.
+// now returns the Unix time in ms at the platform's start, plus the monotonic time since then.
 func (p *platform) now() int64 {
 	return p.startTime.UnixMilli() + time.Since(p.startTime).Milliseconds()
 }
 
-// update changes the core, and executes the effects.
+// update changes the core with mutate, and executes the resulting effects.
 func (p *platform) update(mutate func(now int64)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,11 +67,11 @@
 	}
 	select {
 	case p.wake <- struct{}{}:
-	default: // it is to wake up already
+	default: // a notification is already pending
 	}
 }
 
-// runTimers ticks the core when a timer is due, and trims logs, until the platform's context ends.
+// runTimers calls the core's Tick when a timer is due, and trims the logs, until the platform's context ends.
 func (p *platform) runTimers() {
 	trim := time.NewTicker(logTrimInterval)
 	defer trim.Stop()
@@ -94,7 +95,7 @@
 	}
 }
 
-// nextTimer is the time until the core's next timer; false where none is set.
+// nextTimer returns the time until the core's next timer; false if no timer is set.
 func (p *platform) nextTimer() (wait time.Duration, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,13 +121,13 @@
 		p.removeFiles(e.Unit)
 	case core.DeferredResponse:
 		if waiter := p.deferredCalls[e.Ticket]; waiter != nil {
-			waiter <- e.Response // doesn't block: its buffer has room for the one response
+			waiter <- e.Response // does not block: the channel has a buffer for the one response
 			delete(p.deferredCalls, e.Ticket)
 		}
 	}
 }
 
-// signal sends a signal to a process, unless it has ended.
+// signal sends a signal to a process, unless the process has exited.
 func (p *platform) signal(e core.Signal) {
 	process := p.processes[e.Process]
 	if process == nil {
--- a/internal/supervisor/standin/process.go
+++ b/internal/supervisor/standin/process.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	minHealthCheckInterval = 5 * time.Millisecond // a sidecar is ready some 20 ms after its start
+	minHealthCheckInterval = 5 * time.Millisecond // a sidecar is ready about 20 ms after its start
 	maxHealthCheckInterval = 250 * time.Millisecond
 	healthCheckTimeout     = time.Second     // of one check
-	processStopTimeout     = 3 * time.Second // of all processes, when the platform ends
-	maxExitTextBytes       = 200             // of what a unit's exit says
+	processStopTimeout     = 3 * time.Second // for all processes, when the platform stops
+	maxExitTextBytes       = 200             // limit of a unit's exit text
 )
 
 var (
@@ -63,18 +63,19 @@
 	return nil
 }
 
-// awaitExit reports a process's end to the core.
+// awaitExit waits until a process has exited, and reports the exit to the core.
 func (p *platform) awaitExit(number uint64, process *proc.Process) {
 	<-process.Done()
 	exit := exitText(process)
-	slog.Info("ended", "unit", process.Name, "pid", process.PID(), "exit", exit)
+	slog.Info("process exited", "unit", process.Name, "pid", process.PID(), "exit", exit)
 	p.update(func(now int64) {
 		delete(p.processes, number)
 		p.core.ProcessExited(now, number, exit)
 	})
 }
 
-// exitText says how a process has ended. Its last line of output says why, unless it was killed.
+// exitText returns how a process has exited. For an exit with an error status, the text includes the last line of the
+// process's log as the reason.
 func exitText(process *proc.Process) string {
 	err := process.Wait()
 	if err == nil {
@@ -87,7 +88,7 @@
 	return oneLine(err.Error())
 }
 
-// awaitReady checks a process's health until it is ready, and reports that to the core.
+// awaitReady repeats health checks until a process is ready, and reports the readiness to the core.
 func (p *platform) awaitReady(number uint64, process *proc.Process, url string) {
 	for wait := minHealthCheckInterval; ; wait = min(wait*3/2, maxHealthCheckInterval) {
 		select {
@@ -104,7 +105,7 @@
 	}
 }
 
-// healthy makes one health check.
+// healthy performs one health check.
 func (p *platform) healthy(url string) bool {
 	req, err := http.NewRequestWithContext(p.ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -118,8 +119,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// close stops all processes that were started, listed or not, and waits for them and for the goroutines. The platform's
-// context has ended before.
+// close stops all running processes, listed or not, and waits for them and for the goroutines. The caller has to end the
+// platform's context first.
 func (p *platform) close() {
 	p.mu.Lock()
 	p.closed = true
@@ -146,7 +147,7 @@
 	return log[strings.LastIndexByte(log, '\n')+1:]
 }
 
-// oneLine puts a text on one line of bounded length.
+// oneLine returns a text on one line of at most maxExitTextBytes.
 func oneLine(text string) string {
 	text = strings.Join(strings.Fields(text), " ")
 	return cmp.Or(text[:min(len(text), maxExitTextBytes)], "no reason given")
--- a/internal/supervisor/standin/server.go
+++ b/internal/supervisor/standin/server.go
@@ -17,7 +17,7 @@
 	"milldeck/internal/supervisor/core"
 )
 
-// FaultsPath takes a core.Fault with POST; DELETE ends all faults.
+// FaultsPath is the HTTP path for faults. POST takes a core.Fault, DELETE ends all faults.
 const FaultsPath = "/faults"
 
 const (
@@ -26,14 +26,14 @@
 	idleTimeout        = 60 * time.Second
 	shutdownTimeout    = time.Second
 	maxHeaderBytes     = 16 << 10
-	maxConcurrentCalls = 256 // with bodies of 8 MB each, memory is bounded, if not small
+	maxConcurrentCalls = 256 // bounds the memory for bodies, which take up to 8 MB each
 	maxFaultBytes      = 4 << 10
 )
 
 var errCallLimit = errors.New("too many calls are under way")
 
-// Serve runs a platform on a loopback listener until ctx ends, and then stops all processes that it has started. Their
-// logs and configuration files are in dir.
+// Serve runs a platform on a loopback listener until ctx ends, and then stops all processes that the platform has started.
+// The processes' logs and configuration files are in dir.
 func Serve(ctx context.Context, listener net.Listener, versions *Versions, dir string) error {
 	if addrPort, err := netip.ParseAddrPort(listener.Addr().String()); err != nil || !addrPort.Addr().IsLoopback() {
 		return fmt.Errorf("supervisor: %s is not on loopback", listener.Addr())
@@ -60,7 +60,7 @@
 	shutdownCtx, cancelShutdown := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancelShutdown()
 	if httpServer.Shutdown(shutdownCtx) != nil {
-		_ = httpServer.Close() // calls that are still open are cut off
+		_ = httpServer.Close() // aborts the remaining calls
 	}
 	if err := <-failed; !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("supervisor: %w", err)
@@ -68,10 +68,10 @@
 	return nil
 }
 
-// server is a platform's HTTP form.
+// server is the HTTP interface of a platform.
 type server struct {
 	*platform
-	slots chan struct{} // a token for each call under way
+	slots chan struct{} // contains an element for each call in progress
 }
 
 func (s *server) handler() http.Handler {
@@ -84,7 +84,7 @@
 	return mux
 }
 
-// limitConcurrency bounds the calls under way of a handler; one too many is answered with status 503.
+// limitConcurrency returns a handler that responds with status 503 while maxConcurrentCalls calls are in progress.
 func (s *server) limitConcurrency(handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		select {
@@ -137,7 +137,8 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// respond calls the core and responds as it says: at once, late, when the call is released, or by closing the connection.
+// respond calls the core and sends its response: at once, after a delay, when the core releases a deferred call, or by
+// closing the connection.
 func (s *server) respond(w http.ResponseWriter, req *http.Request, call func(now int64) core.Response) {
 	response, ok := s.call(req.Context(), call)
 	if !ok || response.Disconnect {
@@ -153,7 +154,7 @@
 	}
 }
 
-// outcomesStatus is the status of a response: 409 where a request was rejected.
+// outcomesStatus returns the status of a response: 409 if a request was rejected, otherwise 200.
 func outcomesStatus(outcomes []supervisor.Outcome) int {
 	for i := range outcomes {
 		if outcomes[i].Rejected != "" {
@@ -163,8 +164,8 @@
 	return http.StatusOK
 }
 
-// call calls the core, and waits for a deferred or late response; ok is false where the client has gone or the platform ends
-// before it comes.
+// call calls the core, and waits for a deferred or delayed response. ok is false if the client disconnects or the platform
+// stops before the response is due.
 func (s *server) call(ctx context.Context, call func(now int64) core.Response) (response core.Response, ok bool) {
 	var deferred chan core.Response
 	s.update(func(now int64) {
@@ -177,7 +178,7 @@
 		select {
 		case response = <-deferred:
 		case <-ctx.Done():
-			s.update(func(int64) { delete(s.deferredCalls, response.DeferredTicket) }) // the call is executed all the same
+			s.update(func(int64) { delete(s.deferredCalls, response.DeferredTicket) }) // the core still executes the call
 			return response, false
 		case <-s.ctx.Done():
 			return response, false
@@ -195,8 +196,8 @@
 	return response, true
 }
 
-// readJSON reads a body of one JSON value, or returns the status of the error. Unknown keys are rejected, as a request
-// would be executed without what they say.
+// readJSON decodes a body with one JSON value into v, or returns an error and its HTTP status. It rejects unknown keys,
+// because the platform would otherwise execute the request without regard to them.
 func readJSON(w http.ResponseWriter, req *http.Request, maxBytes int64, v any) (status int, err error) {
 	controller := http.NewResponseController(w)
 	if err := controller.SetReadDeadline(time.Now().Add(bodyTimeout)); err != nil {
@@ -213,7 +214,7 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case err == nil:
-		// The response may take longer than the body. Without a deadline only the connection's end ends the call.
+		// The response may take longer than the body's timeout. Without a read deadline, only a disconnect ends the call.
 		return http.StatusInternalServerError, controller.SetReadDeadline(time.Time{})
 	case errors.As(err, &tooLarge):
 		return http.StatusRequestEntityTooLarge, fmt.Errorf("body: more than %d bytes", maxBytes)
--- a/internal/supervisor/standin/standin_test.go
+++ b/internal/supervisor/standin/standin_test.go
@@ -28,7 +28,7 @@
 	}
 	before := platform.waitState(1, supervisor.Running).Incarnation
 	if after := platform.mustDo(platform.request(supervisor.Restart, 1, "2"))[0].Incarnation; after == before {
-		t.Errorf("incarnation %d also after the restart", after)
+		t.Errorf("incarnation %d is unchanged after the restart", after)
 	}
 	if u := platform.waitState(1, supervisor.Running); u.Version != "2" || u.Restarts != 0 {
 		t.Errorf("%+v, want version 2", u)
@@ -41,12 +41,12 @@
 	platform.mustDo(platform.request(supervisor.Start, 1, "1"))
 	platform.waitState(1, supervisor.Running)
 	if again := platform.mustDo(stop); again[0] != first[0] || platform.waitState(1, supervisor.Running).State != supervisor.Running {
-		t.Errorf("a late repeat got %+v, the first %+v", again, first)
+		t.Errorf("a late repeat returned %+v, the first call %+v", again, first)
 	}
 	reusedID := stop
 	reusedID.GraceMS = 1
 	if outcomes, err := platform.client.Do(platform.ctx, reusedID); err != nil || outcomes[0].Rejected != supervisor.RequestIDReused {
-		t.Errorf("%+v, %v, want the id rejected", outcomes, err)
+		t.Errorf("%+v, %v, want the request with the reused ID rejected", outcomes, err)
 	}
 	if err := platform.process.Stop(platform.ctx); err != nil {
 		t.Errorf("%v\n%s", err, platform.process.Log())
@@ -61,8 +61,8 @@
 
 func TestMisbehavingServers(t *testing.T) {
 	platform := newTestPlatform(t)
-	platform.mustDo(platform.request(supervisor.Start, 1, "deaf"), platform.request(supervisor.Start, 2, "crash"), platform.request(supervisor.Start, 3, "good"),
-		platform.request(supervisor.Start, 4, "loud"))
+	platform.mustDo(platform.request(supervisor.Start, 1, "ignores-sigterm"), platform.request(supervisor.Start, 2, "crash"), platform.request(supervisor.Start, 3, "good"),
+		platform.request(supervisor.Start, 4, "verbose"))
 	for _, n := range []int{1, 3, 4} {
 		platform.waitState(n, supervisor.Running)
 	}
@@ -79,9 +79,9 @@
 	if u := platform.waitState(2, supervisor.Exited); u.Exit != "exit status 3 cannot go on" || platform.startCount(2) != 3 {
 		t.Errorf("%+v after %d starts", u, platform.startCount(2))
 	}
-	platform.eventually("its log truncated", func() bool { return len(platform.readFile("u4.log")) <= maxLogBytes })
+	platform.eventually("the log of u4 is truncated", func() bool { return len(platform.readFile("u4.log")) <= maxLogBytes })
 	platform.process.Kill()
-	platform.eventually("the end of what a killed platform ran", func() bool { return !platform.isListening(4) })
+	platform.eventually("u4 has exited after its platform was killed", func() bool { return !platform.isListening(4) })
 }
 
 func TestFaultsBetweenClientAndPlatform(t *testing.T) {
@@ -106,7 +106,7 @@
 			}
 		})
 	}
-	t.Run("fail without end", func(t *testing.T) {
+	t.Run("fail until cleared", func(t *testing.T) {
 		request := platform.request(supervisor.Start, 20, "1")
 		platform.setFault(core.Fault{Kind: core.FaultError, DurationMS: 60_000})
 		if _, err := platform.client.Do(shortContext(t), request); !errors.Is(err, supervisor.ErrOutcomeUnknown) {
@@ -129,20 +129,20 @@
 			t.Errorf("%v, want the outcome unknown", err)
 		}
 		platform.waitState(1, supervisor.Running)
-		restart := platform.request(supervisor.Restart, 1, "2") // the caller has read the list and decides again
+		restart := platform.request(supervisor.Restart, 1, "2") // the caller reads the list and decides again
 		restarted := platform.mustDo(restart)[0].Incarnation
 		platform.waitState(1, supervisor.Running)
 		if err := ClearFaults(platform.ctx, platform.addr); err != nil {
 			t.Fatal(err)
 		}
 		if outcomes, err := platform.client.Do(platform.ctx, request); err != nil || outcomes[0].Rejected != supervisor.IncarnationMismatch {
-			t.Errorf("%+v, %v, want the late stop rejected", outcomes, err)
+			t.Errorf("%+v, %v, want the repeated stop rejected", outcomes, err)
 		}
 		if unit := platform.waitState(1, supervisor.Running); unit.Incarnation != restarted || unit.Version != "2" {
-			t.Errorf("%+v, want incarnation %d left alone", unit, restarted)
+			t.Errorf("%+v, want incarnation %d still running", unit, restarted)
 		}
 	})
-	t.Run("half of two starts", func(t *testing.T) {
+	t.Run("half of two requests", func(t *testing.T) {
 		a, b := platform.request(supervisor.Start, 30, "1"), platform.request(supervisor.Start, 31, "1")
 		platform.setFault(core.Fault{Kind: core.FaultPartial, On: core.OnDo})
 		platform.mustDo(a, b)
@@ -164,8 +164,8 @@
 		request := platform.request(supervisor.Start, 40, "1")
 		platform.setFault(core.Fault{Kind: core.FaultDuplicate, On: core.OnDo})
 		platform.mustDo(request)
-		// One gets the address and the other ends: the listed one, or the one that the platform doesn't know.
-		platform.eventually("one serves", func() bool { return platform.isListening(40) })
+		// Only one of the two processes can bind the address; the other exits. Either can be the one that is not listed.
+		platform.eventually("one process listens", func() bool { return platform.isListening(40) })
 		if platform.startCount(40) != 2 {
 			t.Errorf("started %d times", platform.startCount(40))
 		}
@@ -174,7 +174,7 @@
 		request := platform.request(supervisor.Stop, 1, "")
 		platform.setFault(core.Fault{Kind: core.FaultWrongUnit, On: core.OnDo})
 		platform.mustDo(request)
-		platform.waitState(10, supervisor.Exited) // the next by name after u1
+		platform.waitState(10, supervisor.Exited) // u10 is the next unit by name after u1
 		if unit := platform.waitState(1, supervisor.Running); !platform.isListening(1) {
 			t.Errorf("%+v was stopped", unit)
 		}
@@ -190,12 +190,12 @@
 		}
 		platform.waitState(2, supervisor.Running)
 		if list := platform.mustList(); !list.Complete {
-			t.Errorf("%+v, want all units found", list)
+			t.Errorf("%+v, want a complete list", list)
 		}
 		platform.mustDo(platform.request(supervisor.Stop, 2, ""))
 		platform.waitState(2, supervisor.Exited)
 	})
-	// A platform that ends also stops what it has forgotten and what it didn't know.
+	// A platform that stops also stops processes from before the loss of its state, and duplicates that it does not know.
 	if err := platform.process.Stop(platform.ctx); err != nil {
 		t.Errorf("%v\n%s", err, platform.process.Log())
 	}
@@ -206,7 +206,7 @@
 	}
 }
 
-// Serve in this process leaves no goroutines.
+// Serve, run in the test's process, leaves no goroutines behind.
 func TestServeLeaksNothing(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	versions, err := LoadVersions(writeVersionsFile(t))
@@ -248,7 +248,7 @@
 		t.Error(err)
 	}
 	if err := <-hung; err == nil {
-		t.Error("a call that hung was answered")
+		t.Error("a deferred call got a response")
 	}
 	client.Close()
 	goleak.VerifyNone(t, leaks, goleak.IgnoreTopFunction("milldeck/internal/lab/proc.init.func1.1"))
@@ -260,9 +260,9 @@
 		{"empty", "", "0 versions"},
 		{"unknown key", valid + "speed = 1\n", ":5: version.speed: unknown key"},
 		{"unknown kind", strings.Replace(valid, "sidecar", "car", 1), ":2: version[0].name: kind"},
-		{"twice", valid + valid, ":6: version[1].name: sidecar 1 stands twice"},
+		{"twice", valid + valid, ":6: version[1].name: sidecar 1 is defined twice"},
 		{"no program", strings.Replace(valid, `["x"]`, `[]`, 1), ":4: version[0].argv: 0 parts"},
-		{"unknown placeholder", strings.Replace(valid, `"x"`, `"x", "{host}"`, 1), ":4: version[0].argv: {host} stands for nothing"},
+		{"unknown placeholder", strings.Replace(valid, `"x"`, `"x", "{host}"`, 1), ":4: version[0].argv: unknown placeholder {host}"},
 		{"relative ready path", valid + "ready = \"ready\"\n", ":5: version[0].ready"},
 		{"negative grace period", valid + "grace_ms = -1\n", ":5: version[0].grace_ms"},
 	} {
--- a/internal/supervisor/standin/test_platform_test.go
+++ b/internal/supervisor/standin/test_platform_test.go
@@ -19,8 +19,8 @@
 	"milldeck/internal/supervisor/core"
 )
 
-// serverModeEnv makes the test binary a model server: "good" serves, "deaf" also ignores SIGTERM, "loud" logs 4 MB before,
-// "crash" ends at once.
+// serverModeEnv makes the test binary run as a server. Mode "good" serves, "ignores-sigterm" also ignores SIGTERM, "verbose"
+// logs 4 MB before it serves, and "crash" exits at once with status 3.
 const serverModeEnv = "STANDIN_TEST_AS_SERVER"
 
 func TestMain(m *testing.M) {
@@ -36,21 +36,21 @@
 		fmt.Fprintln(os.Stderr, "cannot go on")
 		os.Exit(3)
 	}
-	if mode == "loud" {
+	if mode == "verbose" {
 		for range 64 {
 			fmt.Fprintln(os.Stderr, strings.Repeat("x", 64<<10))
 		}
 	}
-	if mode == "deaf" {
+	if mode == "ignores-sigterm" {
 		signal.Ignore(syscall.SIGTERM)
 	}
 	http.HandleFunc("/health/ready", func(http.ResponseWriter, *http.Request) {})
 	fmt.Fprintln(os.Stderr, http.ListenAndServe(os.Args[1], nil))
 }
 
-const waitTimeout = 10 * time.Second // of what takes milliseconds on an idle machine
+const waitTimeout = 10 * time.Second // for conditions that hold within milliseconds on an idle machine
 
-// testPlatform is a stand-in as a process, and a client of it.
+// testPlatform is a stand-in platform that runs as a process, with a client.
 type testPlatform struct {
 	t           testing.TB
 	ctx         context.Context
@@ -65,7 +65,7 @@
 const sidecarConfig = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":
 	{"classes":[{"name":"c","effect":"read_like","on_time_ms":50,"hard_limit_ms":100}]}}`
 
-// writeVersionsFile writes a versions' file with the sidecar as versions 1 and 2, and the test binary as servers.
+// writeVersionsFile writes a versions file with the sidecar as versions 1 and 2, and the test binary as a server in each mode.
 func writeVersionsFile(t testing.TB) string {
 	t.Helper()
 	text := ""
@@ -73,7 +73,7 @@
 		text += fmt.Sprintf("[[version]]\nname = %q\nkind = \"sidecar\"\nargv = [%q]\nready = \"/health/ready\"\ngrace_ms = 5000\n"+
 			"env = { NODE_CONFIG = \"{config}\", NODE_LISTEN = \"{listen}\", NODE_NAME = \"{name}\" }\n", v, proctest.Program(t, "sidecar"))
 	}
-	for _, mode := range []string{"good", "deaf", "loud", "crash"} {
+	for _, mode := range []string{"good", "ignores-sigterm", "verbose", "crash"} {
 		text += fmt.Sprintf("[[version]]\nname = %q\nkind = \"server\"\nargv = [%q, \"{listen}\"]\nready = \"/health/ready\"\nrestarts = 2\n"+
 			"env = { %s = %q }\n", mode, os.Args[0], serverModeEnv, mode)
 	}
@@ -130,7 +130,7 @@
 	return list
 }
 
-// request returns a request with the present epoch and incarnation.
+// request returns a request with the current epoch and incarnation.
 func (p *testPlatform) request(op supervisor.Op, n int, version string) supervisor.Request {
 	p.t.Helper()
 	p.lastRequest++
@@ -162,7 +162,7 @@
 	return outcomes
 }
 
-// waitState waits for a unit's state.
+// waitState waits until a unit has a state.
 func (p *testPlatform) waitState(n int, state supervisor.State) supervisor.Unit {
 	p.t.Helper()
 	var unit *supervisor.Unit
@@ -173,7 +173,7 @@
 	return *unit
 }
 
-// eventually waits for something that takes milliseconds.
+// eventually polls a condition until it holds, and fails the test after waitTimeout.
 func (p *testPlatform) eventually(condition string, done func() bool) {
 	p.t.Helper()
 	for startedAt := time.Now(); !done(); time.Sleep(2 * time.Millisecond) {
@@ -200,7 +200,7 @@
 	}
 }
 
-// startCount is how many processes of a unit were started.
+// startCount returns the number of processes of a unit that were started.
 func (p *testPlatform) startCount(n int) int {
 	return strings.Count(p.readFile("standin-log"), fmt.Sprintf("msg=started unit=u%d ", n))
 }
@@ -214,7 +214,7 @@
 	return string(data)
 }
 
-// isListening reports whether something listens at a unit's address.
+// isListening reports whether a process listens on a unit's address.
 func (p *testPlatform) isListening(n int) bool {
 	conn, err := net.Dial("tcp4", p.listenAddr(n))
 	if err == nil {
--- a/internal/supervisor/standin/versions.go
+++ b/internal/supervisor/standin/versions.go
@@ -1,6 +1,6 @@
-// Package standin is the lab's platform: it starts, stops and lists real processes by version, and fails when a fault is
-// injected. Package core decides; here are the versions' file, the processes and the HTTP form. It owns the processes and
-// their log and configuration files; none of them outlives it.
+// Package standin is the platform of the lab. It starts, stops and lists real processes by version, and simulates injected
+// faults. Package core makes the decisions; this package implements the versions file, the processes and the HTTP
+// interface. It owns the processes and their log and configuration files. The processes do not outlive the platform.
 package standin
 
 import (
@@ -14,22 +14,22 @@
 	"milldeck/internal/supervisor/core"
 )
 
-// Versions is a versions' file: the programs that a platform can run.
+// Versions is the content of a versions file: the programs that a platform can run.
 type Versions struct {
-	MaxUnits int       `toml:"most_units"` // listed at a time; 0: the core's default
+	MaxUnits int       `toml:"most_units"` // limit of listed units; 0: the core's default
 	Versions []Version `toml:"version"`
 }
 
-// Version is a program. In Argv and the values of Env, {name}, {listen}, {zone}, {version} and {config}, the path of the
-// configuration file, are replaced by the unit's.
+// Version is a program. In Argv and the values of Env, the placeholders {name}, {listen}, {zone} and {version} stand for the
+// unit's values, and {config} stands for the path of its configuration file.
 type Version struct {
 	Name        string            `toml:"name"`
 	Kind        supervisor.Kind   `toml:"kind"`
 	Argv        []string          `toml:"argv"`
-	Env         map[string]string `toml:"env"`      // in addition to the platform's
-	ReadyPath   string            `toml:"ready"`    // of the readiness check at the unit's address; empty: ready once started
+	Env         map[string]string `toml:"env"`      // in addition to the platform's environment
+	ReadyPath   string            `toml:"ready"`    // path of the readiness check at the unit's address; empty: ready once started
 	GraceMS     int64             `toml:"grace_ms"` // from SIGTERM to SIGKILL; 0: the core's default
-	MaxRestarts int               `toml:"restarts"` // by the platform itself, of one incarnation
+	MaxRestarts int               `toml:"restarts"` // limit of automatic restarts per incarnation
 }
 
 const (
@@ -40,10 +40,10 @@
 
 const configPlaceholder = "{config}"
 
-// placeholders are the names that may stand between braces.
+// placeholders are the names of the placeholders, without braces.
 var placeholders = []string{"name", "listen", "zone", "version", "config"}
 
-// LoadVersions reads a versions' file. Errors name the line and the key.
+// LoadVersions reads a versions file. Errors name the line and the key.
 func LoadVersions(path string) (*Versions, error) {
 	versions := &Versions{}
 	file, err := config.Load(path, versions)
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	if len(versions.Versions) == 0 || len(versions.Versions) > maxVersions {
-		return nil, file.Errorf("version", "%d versions, 1 to %d can be", len(versions.Versions), maxVersions)
+		return nil, file.Errorf("version", "%d versions, expected 1 to %d", len(versions.Versions), maxVersions)
 	}
 	if versions.MaxUnits < 0 {
 		return nil, file.Errorf("most_units", "%d is negative", versions.MaxUnits)
@@ -67,32 +67,32 @@
 	return versions, nil
 }
 
-// id is the version as the core knows it.
+// id returns the version's identifier for the core.
 func (v *Version) id() core.Version { return core.Version{Kind: v.Kind, Name: v.Name} }
 
-// validate returns what is invalid about a version, by the key of the file. known are the versions before it.
+// validate returns an error for the first invalid key of a version. known holds the previous versions of the file.
 func (v *Version) validate(file *config.File, key string, known map[core.Version]bool) error {
 	if err := supervisor.ValidateVersion(v.Kind, v.Name); err != nil {
 		return file.Errorf(key+".name", "%w", err)
 	}
 	if known[v.id()] {
-		return file.Errorf(key+".name", "%s %s stands twice", v.Kind, v.Name)
+		return file.Errorf(key+".name", "%s %s is defined twice", v.Kind, v.Name)
 	}
 	if len(v.Argv) == 0 || len(v.Argv) > maxArgs || v.Argv[0] == "" {
-		return file.Errorf(key+".argv", "%d parts, a program and at most %d in all can be", len(v.Argv), maxArgs)
+		return file.Errorf(key+".argv", "%d parts, expected 1 to %d, starting with a program", len(v.Argv), maxArgs)
 	}
 	for _, arg := range v.Argv {
 		if unknown := unknownPlaceholder(arg); unknown != "" {
-			return file.Errorf(key+".argv", "%s stands for nothing", unknown)
+			return file.Errorf(key+".argv", "unknown placeholder %s", unknown)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(v.Env)) {
 		if unknown := unknownPlaceholder(v.Env[name]); unknown != "" {
-			return file.Errorf(key+".env."+name, "%s stands for nothing", unknown)
+			return file.Errorf(key+".env."+name, "unknown placeholder %s", unknown)
 		}
 	}
 	if v.ReadyPath != "" && v.ReadyPath[0] != '/' {
-		return file.Errorf(key+".ready", "%q is not a path", v.ReadyPath)
+		return file.Errorf(key+".ready", "path %q does not begin with a slash", v.ReadyPath)
 	}
 	if v.GraceMS < 0 || v.GraceMS > supervisor.MaxGraceMS {
 		return file.Errorf(key+".grace_ms", "%d is not within 0 to %d", v.GraceMS, supervisor.MaxGraceMS)
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// unknownPlaceholder returns the first placeholder of a text that has no meaning, "" where all have.
+// unknownPlaceholder returns the first unknown placeholder of a text; "" if there is none.
 func unknownPlaceholder(text string) string {
 	for {
 		_, rest, found := strings.Cut(text, "{")
@@ -118,7 +118,7 @@
 	}
 }
 
-// coreOptions are the core's options for these versions.
+// coreOptions returns the core's options for these versions.
 func (v *Versions) coreOptions() core.Options {
 	policies := make(map[core.Version]core.ProcessPolicy, len(v.Versions))
 	for i := range v.Versions {
@@ -128,7 +128,7 @@
 	return core.Options{Versions: policies, MaxUnits: v.MaxUnits}
 }
 
-// find returns a version, nil where there is none.
+// find returns the version of a kind and name, nil if there is none.
 func (v *Versions) find(kind supervisor.Kind, name string) *Version {
 	for i := range v.Versions {
 		if v.Versions[i].Kind == kind && v.Versions[i].Name == name {
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// command returns a unit's command line and environment, and whether these name its configuration file.
+// command returns a unit's command line and environment, and whether they refer to its configuration file.
 func (v *Version) command(u *supervisor.Unit, configPath string) (argv, env []string, usesConfig bool) {
 	replacer := strings.NewReplacer("{name}", u.Name, "{listen}", u.Listen, "{zone}", u.Zone, "{version}", u.Version,
 		configPlaceholder, configPath)
--- a/internal/supervisor/validate.go
+++ b/internal/supervisor/validate.go
@@ -9,7 +9,7 @@
 	"milldeck/internal/validation"
 )
 
-// ValidateBatch returns what is invalid about the requests of one call.
+// ValidateBatch returns an error if a batch or one of its requests is invalid. The text is part of the HTTP interface.
 func ValidateBatch(requests []Request) error {
 	if len(requests) == 0 || len(requests) > MaxRequests {
 		return fmt.Errorf("%d requests in a call, 1 to %d can be", len(requests), MaxRequests)
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// ValidateVersion returns what keeps requests from naming a version.
+// ValidateVersion returns an error if a request could not name the version.
 func ValidateVersion(k Kind, name string) error {
 	if err := k.validate(); err != nil {
 		return err
@@ -35,7 +35,8 @@
 	return validateName(name)
 }
 
-// Validate returns what a request lacks, or has though its operation takes none. The text is part of the HTTP interface.
+// Validate returns an error if a field is missing or invalid, or is set though the operation does not take it. The text is
+// part of the HTTP interface.
 func (r *Request) Validate() error {
 	for _, validate := range []func() error{r.validateID, r.validateNames, r.validateOp, r.validateGrace, r.validateConfig} {
 		if err := validate(); err != nil {
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// validateName restricts names to what is safe in a path, an argument and a log line.
+// validateName restricts a name to characters that are safe in a path, an argument and a log line.
 func validateName(name string) error {
 	if name == "" || len(name) > maxNameBytes || name[0] == '.' || name[0] == '-' {
 		return fmt.Errorf("%.80q is no name of 1 to %d characters that begins with neither a dot nor a dash", name, maxNameBytes)
@@ -148,15 +149,15 @@
 	return nil
 }
 
-// validate returns how a response doesn't fit the requests that it answers.
+// validate returns an error if the outcomes do not match the requests.
 func (r *BatchResponse) validate(requests []Request) error {
 	if len(r.Outcomes) != len(requests) {
-		return fmt.Errorf("response: %d outcomes of %d requests", len(r.Outcomes), len(requests))
+		return fmt.Errorf("response: %d outcomes for %d requests", len(r.Outcomes), len(requests))
 	}
 	for i := range r.Outcomes {
 		outcome, request := &r.Outcomes[i], &requests[i]
 		if outcome.ID != request.ID || outcome.Unit != request.Unit || outcome.Epoch == 0 {
-			return fmt.Errorf("response: outcome %d is not of request %s", i, request.ID)
+			return fmt.Errorf("response: outcome %d does not match request %s", i, request.ID)
 		}
 		if outcome.Rejected == "" && (outcome.Epoch != request.Epoch || outcome.Incarnation == 0) {
 			return fmt.Errorf("response: outcome %d has epoch %d and incarnation %d", i, outcome.Epoch, outcome.Incarnation)
@@ -165,10 +166,10 @@
 	return nil
 }
 
-// validate returns how a list contradicts itself.
+// validate returns an error if the list is invalid.
 func (l *List) validate() error {
 	if l.Epoch == 0 || l.Units == nil {
-		return errors.New("list: has no epoch or no units")
+		return errors.New("list: epoch or units are missing")
 	}
 	for i := range l.Units {
 		unit := &l.Units[i]
