--- a/internal/agent/instance_list.go
+++ b/internal/agent/instance_list.go
@@ -15,7 +15,7 @@
 
 const (
 	listApplied       mergeResult = iota
-	listOutdated                  // the received revision is not newer than the known one
+	listOutdated                  // the received list is older than the known one, or the change is not newer
 	listDiscontinuous             // the change does not continue the known list, so the complete list has to be fetched
 	listUnknown                   // the replica has no epoch: it has just started and has no list
 	listUnconfirmed               // the list removes most ready instances or has another epoch; a second replica has to confirm it
--- a/internal/agent/report_forwarder.go
+++ b/internal/agent/report_forwarder.go
@@ -203,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	// The body is read to its end so that the connection can be reused.
+	// The connection can be reused only after the body has been read.
 	_, err = io.Copy(io.Discard, io.LimitReader(response.Body, maxForwardResponseBytes))
 	if err := errors.Join(err, response.Body.Close()); err != nil {
 		return err
--- a/internal/agent/sidecar_registration.go
+++ b/internal/agent/sidecar_registration.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// healthCheckInterval is shorter than a sidecar's graceful restart takes, so that the agent notices each restart.
+	// healthCheckInterval is shorter than the time of a sidecar's graceful restart, so that the agent notices each restart.
 	healthCheckInterval = 300 * time.Millisecond
 	healthCheckTimeout  = time.Second // a sidecar that responds later cannot serve requests
 	maxHealthBodyBytes  = 1024
