--- a/internal/supervisor/core/model_test.go
+++ b/internal/supervisor/core/model_test.go
@@ -11,26 +11,26 @@
 	"milldeck/internal/supervisor"
 )
 
-// plantedBug is a bug in how the model calls the core.
-type plantedBug int
+// injectedBug is a bug that the model adds to its calls of the core, to check that the test detects it.
+type injectedBug int
 
 const (
-	noBug          plantedBug = iota
-	evictsFailed              // a request whose response failed isn't remembered
-	anyIncarnation            // a request names whatever incarnation there is
-	anyEpoch                  // a request names whatever epoch there is
+	noBug                injectedBug = iota
+	evictsFailedRequests             // the platform forgets a request whose response failed
+	ignoresIncarnation               // a request always names the current incarnation
+	ignoresEpoch                     // a request always names the current epoch
 )
 
-// platformModel runs the core with processes that are ready at once and stop at once.
+// platformModel runs the core with simulated processes that are ready immediately and stop immediately.
 type platformModel struct {
 	*Core
 	now     int64
-	bug     plantedBug
-	started map[string]int // processes by the request that started them
-	alive   map[uint64]string
+	bug     injectedBug
+	started map[string]int    // number of started processes by request ID
+	alive   map[uint64]string // unit names of the running processes
 }
 
-func newPlatformModel(bug plantedBug) *platformModel {
+func newPlatformModel(bug injectedBug) *platformModel {
 	return &platformModel{
 		Core: New(Options{Versions: versions, MaxRequestIDs: 8}, 1), now: 1, bug: bug,
 		started: map[string]int{}, alive: map[uint64]string{},
@@ -56,17 +56,17 @@
 	}
 }
 
-// call makes one call; nil: the outcome is unknown.
+// call makes one call. It returns nil if the outcome is unknown.
 func (m *platformModel) call(r request) *supervisor.Outcome {
-	if u := m.units[r.Unit]; u != nil && m.bug == anyIncarnation {
+	if u := m.units[r.Unit]; u != nil && m.bug == ignoresIncarnation {
 		r.Incarnation = u.Incarnation
 	}
-	if m.bug == anyEpoch {
+	if m.bug == ignoresEpoch {
 		r.Epoch = m.epoch
 	}
 	response := m.Do(m.now, []request{r})
 	m.settle()
-	if m.bug == evictsFailed && (response.Disconnect || response.Failure != "") {
+	if m.bug == evictsFailedRequests && (response.Disconnect || response.Failure != "") {
 		delete(m.records, r.ID)
 	}
 	if response.Disconnect || response.Failure != "" || response.DeferredTicket != 0 {
@@ -77,10 +77,10 @@
 	return &response.Outcomes[0]
 }
 
-// reconcile brings a unit to a version, "" for stopped, as a careful caller does: it reads the list, calls, and repeats the
-// call with the same id; where the outcome is still unknown, it reads the list again. A request's id is also its
-// configuration's name, so that its processes can be counted.
-func (m *platformModel) reconcile(draw chooser, id, unit, version string) (requests []request, err error) {
+// reconcile brings a unit to a version, or stops it if version is "", as the interface prescribes: it reads the list, calls
+// Do, and repeats the call with the same ID while the outcome is unknown; then it reads the list again. Each request uses its
+// ID as the name of the configuration, so that the model can count the processes that the request has started.
+func (m *platformModel) reconcile(draw drawFunc, id, unit, version string) (requests []request, err error) {
 	for attempt := range 30 {
 		list := m.list(m.now)
 		for ; !list.Complete; list = m.list(m.now) {
@@ -106,22 +106,23 @@
 		for range 1 + draw("attempts", 3) {
 			outcome := m.call(r)
 			if outcome != nil && outcome.Rejected == supervisor.IncarnationMismatch && m.started[r.ID] > 0 {
-				return nil, fmt.Errorf("%s was executed, and its repeat is rejected: %s", r.ID, outcome.Detail)
+				return nil, fmt.Errorf("request %s was executed, but its repeat was rejected: %s", r.ID, outcome.Detail)
 			}
 			if outcome != nil {
 				break
 			}
 		}
 	}
-	return nil, fmt.Errorf("%s does not come to %q: %+v", unit, version, m.list(m.now))
+	return nil, fmt.Errorf("unit %s does not reach version %q: %+v", unit, version, m.list(m.now))
 }
 
-// chooser returns a choice among n, from 0.
-type chooser func(what string, n int) int
+// drawFunc draws a number from 0 to n-1 for a named decision.
+type drawFunc func(what string, n int) int
 
-// playScenario brings units to drawn versions, once without faults, and once with them and with repeats of earlier
-// requests, some much later. Both have to end with the same versions, and no request may have started two processes.
-func playScenario(draw chooser, bug plantedBug) error {
+// runScenario brings units to drawn versions, once without faults, and once with faults and with repeats of earlier
+// requests, some of them much later. Both runs have to end with the same versions, no request may have started two
+// processes, and no unit may have two processes.
+func runScenario(draw drawFunc, bug injectedBug) error {
 	faultless, faulty := newPlatformModel(noBug), newPlatformModel(bug)
 	never := func(string, int) int { return 0 }
 	var earlier []request
@@ -154,22 +155,22 @@
 	faulty.ClearFaults(faulty.now)
 	for id, n := range faulty.started {
 		if n != 1 {
-			return fmt.Errorf("%s has started %d processes", id, n)
+			return fmt.Errorf("request %s has started %d processes", id, n)
 		}
 	}
 	alive := map[string]int{}
 	for _, unit := range faulty.alive {
 		if alive[unit]++; alive[unit] > 1 {
-			return fmt.Errorf("%s has two processes", unit)
+			return fmt.Errorf("unit %s has two processes", unit)
 		}
 	}
 	if got, want := faulty.finalVersions(), faultless.finalVersions(); !maps.Equal(got, want) {
-		return fmt.Errorf("units end as %v, without faults as %v", got, want)
+		return fmt.Errorf("final versions are %v, without faults %v", got, want)
 	}
 	return nil
 }
 
-// finalVersions returns the versions of the units that live in the end.
+// finalVersions returns the versions of the units that have not exited in the end.
 func (m *platformModel) finalVersions() map[string]string {
 	m.now += 1000
 	m.settle()
@@ -184,21 +185,21 @@
 
 func TestRetriesUnderFaultsAreIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := playScenario(func(what string, n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }, noBug); err != nil {
+		if err := runScenario(func(what string, n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }, noBug); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// All scenarios of two steps for one unit: with up to two attempts of each call, and with up to one late repeat after each
-// step.
+// Runs all scenarios of two steps for one unit: once with up to two attempts per call, and once with up to one late repeat
+// after each step.
 func TestAllTwoStepScenarios(t *testing.T) {
 	for _, c := range []struct{ attempts, repeats int }{{2, 1}, {1, 2}} {
-		var choices, alternatives []int // of this scenario: each choice, and among how many
-		plays := 0
-		for more := true; more; plays++ {
+		var choices, alternatives []int // the current scenario's choices, and the number of alternatives for each
+		scenarios := 0
+		for more := true; more; scenarios++ {
 			at := 0
-			err := playScenario(func(what string, n int) int {
+			err := runScenario(func(what string, n int) int {
 				switch what {
 				case "steps":
 					return 1
@@ -219,7 +220,7 @@
 			if err != nil {
 				t.Fatalf("%v: %v", choices, err)
 			}
-			// The next scenario differs in the last choice that has an alternative left.
+			// The next scenario changes the last choice that has a remaining alternative.
 			choices, alternatives = choices[:at], alternatives[:at]
 			for more = false; len(choices) > 0 && !more; {
 				last := len(choices) - 1
@@ -230,21 +231,21 @@
 				}
 			}
 		}
-		t.Logf("%+v: %d plays", c, plays)
+		t.Logf("%+v: %d scenarios", c, scenarios)
 	}
 }
 
-// The model detects planted bugs, and nothing where there is none.
-func TestModelFindsPlantedBugs(t *testing.T) {
-	for b, name := range []string{noBug: "none", evictsFailed: "id forgotten on failure", anyIncarnation: "any incarnation", anyEpoch: "any epoch"} {
+// The model detects each injected bug, and reports no bug if none is injected.
+func TestModelDetectsInjectedBugs(t *testing.T) {
+	for b, name := range []string{noBug: "none", evictsFailedRequests: "evicts failed requests", ignoresIncarnation: "ignores the incarnation", ignoresEpoch: "ignores the epoch"} {
 		var found error
 		seed := uint64(0)
 		for ; seed < 300 && found == nil; seed++ {
 			r := rand.New(rand.NewPCG(seed, 0))
-			found = playScenario(func(_ string, n int) int { return r.IntN(n) }, plantedBug(b))
+			found = runScenario(func(_ string, n int) int { return r.IntN(n) }, injectedBug(b))
 		}
 		t.Logf("%s: %v at seed %d", name, found, seed)
-		if (found != nil) != (plantedBug(b) != noBug) {
+		if (found != nil) != (injectedBug(b) != noBug) {
 			t.Errorf("%s: found %v", name, found)
 		}
 	}
--- a/internal/supervisor/standin/fixtures_test.go
+++ b/internal/supervisor/standin/fixtures_test.go
@@ -17,7 +17,7 @@
 	"milldeck/internal/supervisor"
 )
 
-// The keys of a versions' file keep their names.
+// Guards the keys of a versions file.
 func TestFixtureVersions(t *testing.T) {
 	v, err := LoadVersions(goldentest.Path("versions.toml"))
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// The answers over HTTP keep their bytes, but for what depends on the clock: the epoch and times.
+// Guards the HTTP responses, except for the values that depend on the clock: the epoch and times.
 func TestFixtureHTTPAnswers(t *testing.T) {
 	versions, err := LoadVersions(goldentest.Path("versions.toml"))
 	if err != nil {
@@ -74,23 +74,23 @@
 			t.Fatal(err)
 		}
 		defer resp.Body.Close()
-		answer, err := io.ReadAll(resp.Body)
+		response, err := io.ReadAll(resp.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if epoch == "" {
 			var list supervisor.List
-			if err := json.Unmarshal(answer, &list); err != nil {
+			if err := json.Unmarshal(response, &list); err != nil {
 				t.Fatal(err)
 			}
 			epoch = fmt.Sprint(list.Epoch)
 		}
-		answer = bytes.ReplaceAll(clock.ReplaceAll(answer, []byte(`"$1":0`)), []byte(epoch), []byte("MEMORY"))
-		fmt.Fprintf(&out, "%s %s: %d %s: %s", method, path, resp.StatusCode, resp.Header.Get("Content-Type"), answer)
+		response = bytes.ReplaceAll(clock.ReplaceAll(response, []byte(`"$1":0`)), []byte(epoch), []byte("MEMORY"))
+		fmt.Fprintf(&out, "%s %s: %d %s: %s", method, path, resp.StatusCode, resp.Header.Get("Content-Type"), response)
 	}
 	const units, faults = "/supervisor/units", "/faults"
 	request("GET", units, "")
-	// The version's program doesn't exist: the unit has exited before the response comes.
+	// The version's program does not exist, so the unit has exited before the platform responds.
 	request("POST", units, `{"requests":[{"id":"a","op":"start","memory":MEMORY,"unit":"u1","incarnation":0,"kind":"server","version":"2","listen":"127.0.0.1:9"}]}`)
 	request("GET", units, "")
 	request("POST", units, `{"requests":[{"id":"b","op":"stop","memory":MEMORY,"unit":"u1","incarnation":9},
