--- a/cmd/milldeck/lab.go
+++ b/cmd/milldeck/lab.go
@@ -82,7 +82,7 @@
 	}
 	if result.Overloaded {
 		return fmt.Errorf("%s: this machine cannot play the load: it was %.0f ms late (99th percentile) and sent %d requests too late; the sidecars are not judged",
-			result.Name, result.Lateness, result.SentTooLate)
+			result.Name, result.Lateness, result.SkippedLate)
 	}
 	if result.CutShort {
 		return errCutShort
--- a/internal/lab/checker_requests.go
+++ b/internal/lab/checker_requests.go
@@ -14,8 +14,8 @@
 	OutcomeUnreachable: "a closed connection",
 }
 
-// unanswered returns the history of a request that has no final response yet, or nil.
-func (c *Checker) unanswered(id uint64) *requestHistory {
+// unansweredHistory returns the history of a request that has no final response yet, or nil.
+func (c *Checker) unansweredHistory(id uint64) *requestHistory {
 	history := c.histories[id]
 	if history == nil || history.answered {
 		return nil
@@ -84,7 +84,7 @@
 func (c *Checker) RequestUnanswered(now float64, id uint64, outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	history := c.unanswered(id)
+	history := c.unansweredHistory(id)
 	if history == nil {
 		return
 	}
@@ -99,7 +99,7 @@
 func (c *Checker) ClientDisconnected(now float64, id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	history := c.unanswered(id)
+	history := c.unansweredHistory(id)
 	if history == nil {
 		return
 	}
@@ -115,7 +115,7 @@
 func (c *Checker) ConnectionClosed(now float64, id uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	history := c.unanswered(id)
+	history := c.unansweredHistory(id)
 	if history == nil {
 		return true
 	}
--- a/internal/lab/checker_test.go
+++ b/internal/lab/checker_test.go
@@ -144,11 +144,11 @@
 
 func TestOverloadedRunDiscountsViolations(t *testing.T) {
 	for _, c := range []struct {
-		lateness float64
-		labLate  int
-		want     bool
+		lateness    float64
+		skippedLate int
+		want        bool
 	}{{1, 0, false}, {1, 4, false}, {30, 0, true}, {1, 50, true}} {
-		result := Result{Counts: Counts{Requests: 1000, SentTooLate: c.labLate}, Lateness: c.lateness, ViolationCount: 7}
+		result := Result{Counts: Counts{Requests: 1000, SkippedLate: c.skippedLate}, Lateness: c.lateness, ViolationCount: 7}
 		result.discountIfOverloaded()
 		if result.Overloaded != c.want || (result.ViolationCount == 0) != c.want || result.ViolationCount+result.DiscountedViolations != 7 {
 			t.Errorf("%+v: %+v", c, result)
--- a/internal/lab/control_checker.go
+++ b/internal/lab/control_checker.go
@@ -11,14 +11,14 @@
 const (
 	// warmupWorkSlots is the number of slots of the window in which the warm-up work of replicas is counted.
 	warmupWorkSlots = 20
-	// hoursToleranceMS is how late the checker may learn of an exclusion.
-	hoursToleranceMS = 500
+	// exclusionDelayToleranceMS is how late the checker may learn of an exclusion.
+	exclusionDelayToleranceMS = 500
 )
 
 // States of an endpoint in the registry that matter to the checker.
 const (
-	listReady    = "Ready"
-	listDraining = "Terminating"
+	endpointReady    = "Ready"
+	endpointDraining = "Terminating"
 )
 
 // ControlPlaneChecker finds violations of the rules of the control plane, from processes that start, answer and exit, from
@@ -61,8 +61,8 @@
 	name, kind, zone, serverKind string
 	processes                    map[string]*processState // by incarnation
 	endpointState                string                   // of a server, in the endpoint list; "": it is not listed
-	out                          bool                     // it is not in service
-	outSince                     float64
+	outOfService                 bool                     // it is not in service
+	outOfServiceSince            float64
 	voluntary                    bool     // it is out by a voluntary disruption
 	faultInterval                interval // of a fault that the run injects
 	version                      string   // of the newest process
@@ -97,14 +97,14 @@
 		c.fleetCapacity += 1000 * float64(server.Spec.Cores) * server.Speed
 		c.units[server.UID] = &unitState{
 			name: server.UID, kind: unitServer, zone: zones[server.Zone], serverKind: server.Spec.Kind,
-			processes: map[string]*processState{}, out: true, expected: FinalStateSpec{Version: c.spec.ServerVersion},
+			processes: map[string]*processState{}, outOfService: true, expected: FinalStateSpec{Version: c.spec.ServerVersion},
 		}
 	}
 	for i := range p.Sidecars {
 		sidecar := &p.Sidecars[i]
 		c.units[sidecar.Name] = &unitState{
 			name: sidecar.Name, kind: unitSidecar, zone: zones[sidecar.Zone],
-			processes: map[string]*processState{}, out: true, expected: FinalStateSpec{Version: c.spec.SidecarVersion},
+			processes: map[string]*processState{}, outOfService: true, expected: FinalStateSpec{Version: c.spec.SidecarVersion},
 		}
 	}
 	for _, state := range c.spec.FinalStates {
@@ -129,13 +129,13 @@
 	}
 	change(state)
 	if state.inService() {
-		state.out = false
+		state.outOfService = false
 		return
 	}
-	if state.out {
+	if state.outOfService {
 		return
 	}
-	state.out, state.outSince = true, now
+	state.outOfService, state.outOfServiceSince = true, now
 	state.voluntary = voluntary && !state.isFaulted(now)
 	if state.voluntary {
 		c.checkBudgets(now, state)
@@ -147,7 +147,7 @@
 func (c *ControlPlaneChecker) countDisrupted(kind string) {
 	count := 0
 	for _, state := range c.units {
-		if state.kind == kind && state.out && state.voluntary {
+		if state.kind == kind && state.outOfService && state.voluntary {
 			count++
 		}
 	}
@@ -155,7 +155,7 @@
 }
 
 func (u *unitState) inService() bool {
-	if u.kind == unitServer && u.endpointState != listReady {
+	if u.kind == unitServer && u.endpointState != endpointReady {
 		return false
 	}
 	for _, process := range u.processes {
@@ -180,21 +180,21 @@
 		}
 		var names []string
 		for _, name := range slices.Sorted(maps.Keys(c.units)) {
-			if other := c.units[name]; budget.selects(other) && c.countsAsOut(now, other) {
+			if other := c.units[name]; budget.selects(other) && c.countsAgainstBudget(now, other) {
 				names = append(names, name)
 			}
 		}
-		if len(names) > budget.MaxOut {
+		if len(names) > budget.MaxUnavailable {
 			c.checker.report(now, RuleDisruptionBudget, nil, fmt.Sprintf(
 				"%s is taken out, of %s then %d are out, at most %d may be: %s",
-				state.name, budget.Name, len(names), budget.MaxOut, strings.Join(names, " ")))
+				state.name, budget.Name, len(names), budget.MaxUnavailable, strings.Join(names, " ")))
 		}
 	}
 }
 
-// countsAsOut reports whether a unit counts against its budgets.
-func (c *ControlPlaneChecker) countsAsOut(now float64, state *unitState) bool {
-	return state.out && (state.voluntary || now-state.outSince > c.spec.DetectionMS)
+// countsAgainstBudget reports whether a unit counts against its budgets.
+func (c *ControlPlaneChecker) countsAgainstBudget(now float64, state *unitState) bool {
+	return state.outOfService && (state.voluntary || now-state.outOfServiceSince > c.spec.DetectionMS)
 }
 
 func (b *BudgetSpec) selects(u *unitState) bool {
@@ -205,14 +205,14 @@
 func (c *ControlPlaneChecker) ProcessStarted(now float64, unit, incarnation, version string) {
 	c.update(now, unit, false, func(state *unitState) {
 		for _, name := range slices.Sorted(maps.Keys(state.processes)) {
-			if name != incarnation && !c.supervisorFaulted(now, "twice", "forget") {
+			if name != incarnation && !c.supervisorMisbehaves(now, "twice", "forget") {
 				c.checker.report(now, RuleDuplicateAction, nil,
 					fmt.Sprintf("%s is started while its process %s still runs", unit, name))
 			}
 		}
 		last := state.lastProcess
 		repeated := last != nil && last.terminating && last.wasReady && last.version == version
-		if repeated && !state.isFaulted(now) && !c.supervisorFaulted(now, "twice", "forget", "wrong") {
+		if repeated && !state.isFaulted(now) && !c.supervisorMisbehaves(now, "twice", "forget", "wrong") {
 			c.checker.report(now, RuleDuplicateAction, nil,
 				fmt.Sprintf("%s was ready on version %s, was told to end and is started on it again", unit, version))
 		}
@@ -231,7 +231,7 @@
 
 // TerminationRequested records that a process was told to end.
 func (c *ControlPlaneChecker) TerminationRequested(now float64, unit, incarnation string) {
-	c.update(now, unit, !c.supervisorFaulted(now, "wrong"), func(state *unitState) {
+	c.update(now, unit, !c.supervisorMisbehaves(now, "wrong"), func(state *unitState) {
 		if process := state.processes[incarnation]; process != nil {
 			process.terminating = true
 		}
@@ -250,7 +250,7 @@
 
 // EndpointStateChanged records the state that the endpoint list has of a server; "" means that it is not listed.
 func (c *ControlPlaneChecker) EndpointStateChanged(now float64, unit, state string) {
-	c.update(now, unit, state == listDraining, func(server *unitState) { server.endpointState = state })
+	c.update(now, unit, state == endpointDraining, func(server *unitState) { server.endpointState = state })
 }
 
 // FaultInjected records that the run itself affects a unit within a period.
@@ -270,7 +270,7 @@
 }
 
 // supervisorFaulted reports whether the supervisor misbehaves in one of the given ways now.
-func (c *ControlPlaneChecker) supervisorFaulted(now float64, misbehaviours ...string) bool {
+func (c *ControlPlaneChecker) supervisorMisbehaves(now float64, misbehaviours ...string) bool {
 	return slices.ContainsFunc(c.supervisorFaults, func(fault supervisorFault) bool {
 		return now >= fault.from && now <= fault.to && slices.Contains(misbehaviours, fault.misbehaviour)
 	})
@@ -299,21 +299,21 @@
 	case state.expected.Removed && len(state.processes) > 0:
 		c.checker.report(now, RuleFinalState, nil, state.name+" still runs, and should be gone")
 	case state.expected.Removed:
-	case state.out:
+	case state.outOfService:
 		c.checker.report(now, RuleFinalState, nil,
-			fmt.Sprintf("%s is out since %.0f ms, %s", state.name, state.outSince, state.describe()))
+			fmt.Sprintf("%s is out since %.0f ms, %s", state.name, state.outOfServiceSince, state.outOfServiceReason()))
 	case state.version != state.expected.Version && !c.spec.AllowMixedVersions:
 		c.checker.report(now, RuleFinalState, nil, fmt.Sprintf(
 			"%s is on version %s, and should be on %s", state.name, state.version, state.expected.Version))
 	}
 }
 
-// describe says why a unit is out of service.
-func (u *unitState) describe() string {
+// outOfServiceReason returns why a unit is out of service.
+func (u *unitState) outOfServiceReason() string {
 	switch {
 	case len(u.processes) == 0:
 		return "no process of it runs"
-	case u.kind == unitServer && u.endpointState != listReady:
+	case u.kind == unitServer && u.endpointState != endpointReady:
 		return fmt.Sprintf("the list has it as %q", u.endpointState)
 	default:
 		return "its process does not answer that it is ready"
--- a/internal/lab/control_checker_published.go
+++ b/internal/lab/control_checker_published.go
@@ -56,12 +56,12 @@
 	hours := slices.Clone(c.spec.MaintenanceHours)
 	slices.SortFunc(hours, func(a, b MaintenanceHoursSpec) int { return int(1000 * (a.FromS - b.FromS)) })
 	for _, window := range hours {
-		if window.Tenant == key.tenant && 1000*window.FromS <= coveredUntil+hoursToleranceMS && 1000*window.ToS > coveredUntil {
+		if window.Tenant == key.tenant && 1000*window.FromS <= coveredUntil+exclusionDelayToleranceMS && 1000*window.ToS > coveredUntil {
 			coveredUntil = 1000 * window.ToS
 		}
 	}
 	c.outsideHoursMS += max(0, excluded.to-coveredUntil)
-	if coveredUntil+hoursToleranceMS < excluded.to {
+	if coveredUntil+exclusionDelayToleranceMS < excluded.to {
 		c.checker.report(now, RuleMaintenanceHours, nil, fmt.Sprintf(
 			"sidecar %d is told to keep %s off %s from %.0f to %.0f ms, outside its hours from %.0f ms on",
 			sidecar, key.tenant, key.server, excluded.from, excluded.to, coveredUntil))
--- a/internal/lab/control_checker_test.go
+++ b/internal/lab/control_checker_test.go
@@ -97,12 +97,12 @@
 func (f *controlPlaneFixture) startServer(now float64, server int, incarnation, version string) {
 	f.control.ProcessStarted(now, f.names[server], incarnation, version)
 	f.control.ReadinessChanged(now, f.names[server], incarnation, true)
-	f.control.EndpointStateChanged(now, f.names[server], listReady)
+	f.control.EndpointStateChanged(now, f.names[server], endpointReady)
 }
 
 // drainServer drains a server and ends it, as a controller does.
 func (f *controlPlaneFixture) drainServer(now float64, server int, incarnation string) {
-	f.control.EndpointStateChanged(now, f.names[server], listDraining)
+	f.control.EndpointStateChanged(now, f.names[server], endpointDraining)
 	f.control.TerminationRequested(now+500, f.names[server], incarnation)
 	f.control.ReadinessChanged(now+500, f.names[server], incarnation, false)
 	f.control.ProcessExited(now+600, f.names[server], incarnation)
@@ -111,9 +111,9 @@
 // TestControlPlaneCheckerRules has runs that violate each rule of the control plane, and similar runs that do not.
 func TestControlPlaneCheckerRules(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		play func(f *controlPlaneFixture)
-		want map[Rule]int
+		name    string
+		observe func(f *controlPlaneFixture)
+		want    map[Rule]int
 	}{
 		{"no action", func(*controlPlaneFixture) {}, nil},
 		{"one after the other", func(f *controlPlaneFixture) {
@@ -188,7 +188,7 @@
 			f.startServer(6000, 0, "fourth", "1")
 		}, nil},
 		{"left out of service", func(f *controlPlaneFixture) { f.drainServer(1000, 0, "first") }, map[Rule]int{RuleFinalState: 1}},
-		{"drained, never terminated", func(f *controlPlaneFixture) { f.control.EndpointStateChanged(1000, f.names[0], listDraining) }, map[Rule]int{RuleFinalState: 1}},
+		{"drained, never terminated", func(f *controlPlaneFixture) { f.control.EndpointStateChanged(1000, f.names[0], endpointDraining) }, map[Rule]int{RuleFinalState: 1}},
 		{"wrong version", func(f *controlPlaneFixture) {
 			f.drainServer(1000, 0, "first")
 			f.startServer(3000, 0, "next", "2")
@@ -229,17 +229,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newControlPlaneFixture(t)
-			c.play(f)
+			c.observe(f)
 			f.control.Finish(60000)
-			got, broken := f.checker.Violations()
+			got, violations := f.checker.Violations()
 			for _, rule := range ControlPlaneRules {
 				if got[rule] != c.want[rule] {
 					t.Errorf("rule %s broken %d times, wanted %d", rule, got[rule], c.want[rule])
 				}
 			}
 			if t.Failed() {
-				for _, b := range broken {
-					t.Log(b.Rule, b.Detail)
+				for _, violation := range violations {
+					t.Log(violation.Rule, violation.Detail)
 				}
 			}
 		})
--- a/internal/lab/control_spec.go
+++ b/internal/lab/control_spec.go
@@ -71,12 +71,12 @@
 // BudgetSpec bounds how many of the units that it selects may be unavailable at a time, for RuleDisruptionBudget. The ledger
 // is configured with it before the run.
 type BudgetSpec struct {
-	Name         string `toml:"name"`
-	Kind         string `toml:"kind"` // "server" or "sidecar"
-	Zone         string `toml:"zone"` // "": all zones
-	ServerKind   string `toml:"of"`   // "": all kinds of servers
-	MaxOut       int    `toml:"most"`
-	LedgerMaxOut *int   `toml:"told"` // what the ledger is configured with in place of MaxOut, to test the checker
+	Name                 string `toml:"name"`
+	Kind                 string `toml:"kind"` // "server" or "sidecar"
+	Zone                 string `toml:"zone"` // "": all zones
+	ServerKind           string `toml:"of"`   // "": all kinds of servers
+	MaxUnavailable       int    `toml:"most"`
+	LedgerMaxUnavailable *int   `toml:"told"` // what the ledger is configured with in place of MaxUnavailable, to test the checker
 }
 
 // MaintenanceHoursSpec is a period in which a tenant may be excluded from servers, for RuleMaintenanceHours.
@@ -113,10 +113,10 @@
 	if err != nil {
 		return nil, nil // targets were validated when the experiment was read
 	}
-	if target.parties&partyServers != 0 {
+	if target.components&componentServers != 0 {
 		serverIndexes = p.matchServers(target)
 	}
-	if target.parties&partySidecars != 0 {
+	if target.components&componentSidecars != 0 {
 		sidecarIndexes = p.matchSidecars(target)
 	}
 	return serverIndexes, sidecarIndexes
--- a/internal/lab/control_validate.go
+++ b/internal/lab/control_validate.go
@@ -13,7 +13,7 @@
 	maxControllers     = 20
 	maxVersions        = 50
 	maxControlEntries  = 200 // of each of the other lists
-	maxPlainName       = 40  // bytes
+	maxNameBytes       = 40  // bytes
 )
 
 // unsupportedWithControlPlane are the faults that server processes cannot play.
@@ -57,10 +57,10 @@
 	}
 }
 
-// isPlainName reports whether a name is safe as the name of a file and in a command line.
-func isPlainName(name string) bool {
+// isValidName reports whether a name is safe as the name of a file and in a command line.
+func isValidName(name string) bool {
 	const allowed = "abcdefghijklmnopqrstuvwxyz0123456789-."
-	if name == "" || len(name) > maxPlainName || name[0] == '-' || name[0] == '.' {
+	if name == "" || len(name) > maxNameBytes || name[0] == '-' || name[0] == '.' {
 		return false
 	}
 	return strings.Trim(name, allowed) == ""
@@ -81,7 +81,7 @@
 		version, prefix := &spec.Versions[i], fmt.Sprintf("control.version[%d].", i)
 		v.oneOf(prefix+"kind", version.Kind, unitServer, unitSidecar)
 		key := versionKey{version.Kind, version.Name}
-		if !isPlainName(version.Name) || versions[key] {
+		if !isValidName(version.Name) || versions[key] {
 			v.reportf(prefix+"name", "%q is no plain name or a duplicate", version.Name)
 		}
 		versions[key] = true
@@ -108,7 +108,7 @@
 	names := map[string]bool{}
 	for i := range controllers {
 		controller, prefix := &controllers[i], fmt.Sprintf("control.controller[%d].", i)
-		if !isPlainName(controller.Name) || names[controller.Name] {
+		if !isValidName(controller.Name) || names[controller.Name] {
 			v.reportf(prefix+"name", "%q is no plain name or a duplicate", controller.Name)
 		}
 		names[controller.Name] = true
@@ -143,7 +143,7 @@
 		v.reportf(key, "%w", err)
 		return
 	}
-	if target.parties&(partyServers|partySidecars) == 0 {
+	if target.components&(componentServers|componentSidecars) == 0 {
 		v.reportf(key, "%q names no servers and no sidecars", text)
 	}
 }
@@ -158,12 +158,12 @@
 		if budget.ServerKind != "" && !e.hasServerKind(budget.ServerKind) {
 			v.reportf(prefix+"of", "unknown kind %q", budget.ServerKind)
 		}
-		v.number(prefix+"most", float64(budget.MaxOut), 0, maxServers)
-		if budget.LedgerMaxOut == nil {
-			budget.LedgerMaxOut = &budget.MaxOut
+		v.number(prefix+"most", float64(budget.MaxUnavailable), 0, maxServers)
+		if budget.LedgerMaxUnavailable == nil {
+			budget.LedgerMaxUnavailable = &budget.MaxUnavailable
 		}
-		v.number(prefix+"told", float64(*budget.LedgerMaxOut), 0, maxServers)
-		if !isPlainName(budget.Name) {
+		v.number(prefix+"told", float64(*budget.LedgerMaxUnavailable), 0, maxServers)
+		if !isValidName(budget.Name) {
 			v.reportf(prefix+"name", "%q is no plain name", budget.Name)
 		}
 	}
@@ -192,7 +192,7 @@
 	}
 	for i, tenant := range e.ControlPlane.Tenants {
 		prefix := fmt.Sprintf("control.tenant[%d].", i)
-		if !isPlainName(tenant.Name) {
+		if !isValidName(tenant.Name) {
 			v.reportf(prefix+"name", "%q is no plain name", tenant.Name)
 		}
 		e.validateUnitTarget(prefix+"target", tenant.Target, v)
--- a/internal/lab/fault_validate.go
+++ b/internal/lab/fault_validate.go
@@ -72,7 +72,7 @@
 	kind := FaultKind(f.Kind)
 	fromRegistry := e.Discovery.Source == DiscoveryRegistry
 	switch {
-	case f.isOfControlPlane(e):
+	case f.targetsControlPlane(e):
 		return true
 	case kind == FaultSupervisor:
 		v.reportf(key+".kind", "%s needs [control]", f.Kind)
@@ -88,8 +88,8 @@
 	return false
 }
 
-// isOfControlPlane reports whether the fault is one of the supervisor or partitions a replica of the registry.
-func (f *FaultSpec) isOfControlPlane(e *Experiment) bool {
+// targetsControlPlane reports whether the fault is one of the supervisor or partitions a replica of the registry.
+func (f *FaultSpec) targetsControlPlane(e *Experiment) bool {
 	kind := FaultKind(f.Kind)
 	return e.HasControlPlane() && (kind == FaultSupervisor || kind == FaultPartition && f.Target != "")
 }
@@ -107,29 +107,29 @@
 // validateTarget checks whom the fault affects.
 func (f *FaultSpec) validateTarget(e *Experiment, requirements faultRequirements, key string, v *validator) {
 	switch {
-	case f.isOfControlPlane(e) && FaultKind(f.Kind) == FaultPartition:
+	case f.targetsControlPlane(e) && FaultKind(f.Kind) == FaultPartition:
 		f.validatePartitionedReplica(e, key, v)
-	case f.isOfControlPlane(e):
+	case f.targetsControlPlane(e):
 		f.validateSupervisorFault(key, v)
-	case requirements.parties == partyLinks:
+	case requirements.components == componentLinks:
 		f.validateLinks(e, key, v)
-	case requirements.parties != partyNone:
-		f.validateParties(e, requirements, key, v)
+	case requirements.components != componentNone:
+		f.validateComponents(e, requirements, key, v)
 	case f.Target != "" && f.Target != targetDiscovery:
 		v.reportf(key+".target", "%s befalls discovery, not %q", f.Kind, f.Target)
 	}
 }
 
-// validateParties checks that the target names parties that the fault can affect.
-func (f *FaultSpec) validateParties(e *Experiment, requirements faultRequirements, key string, v *validator) {
+// validateComponents checks that the target names parties that the fault can affect.
+func (f *FaultSpec) validateComponents(e *Experiment, requirements faultRequirements, key string, v *validator) {
 	target, err := parseTarget(f.Target, e)
 	if err != nil {
 		v.reportf(key+".target", "%w", err)
 		return
 	}
 	// With the control plane, processes of servers are not frozen.
-	freezesServer := FaultKind(f.Kind) == FaultFreeze && target.parties&partyServers != 0
-	if target.parties&requirements.parties == 0 || e.HasControlPlane() && freezesServer {
+	freezesServer := FaultKind(f.Kind) == FaultFreeze && target.components&componentServers != 0
+	if target.components&requirements.components == 0 || e.HasControlPlane() && freezesServer {
 		v.reportf(key+".target", "%s cannot befall %q", f.Kind, f.Target)
 	}
 }
@@ -139,8 +139,8 @@
 		v.reportf(key+".between", "%s needs two parties or groups", f.Kind)
 		return
 	}
-	for _, party := range f.Between {
-		if _, err := parseTarget(party, e); err != nil {
+	for _, side := range f.Between {
+		if _, err := parseTarget(side, e); err != nil {
 			v.reportf(key+".between", "%w", err)
 		}
 	}
@@ -155,7 +155,7 @@
 		v.reportf(key+".target", "%w", err)
 		return
 	}
-	if target.parties != partyReplicas {
+	if target.components != componentReplicas {
 		v.reportf(key+".target", "of targets only replicas can be cut off, not %q", f.Target)
 	}
 }
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -45,36 +45,36 @@
 
 // faultRequirements are what a kind of fault needs of its entry.
 type faultRequirements struct {
-	parties partyMask // that it can affect
+	components componentSet // that it can affect
 
 	duration, probability, share, factor, delay bool // fields that have to be set
 }
 
 var requirementsByFault = map[FaultKind]faultRequirements{
-	FaultKill:                  {parties: partyServers | partySidecars | partyControlPlane},
-	FaultFreeze:                {parties: partyServers | partySidecars | partyControlPlane | partySupervisor, duration: true},
-	FaultRestart:               {parties: partyServers | partySidecars},
-	FaultReload:                {parties: partySidecars},
-	FaultSlow:                  {parties: partyServers, duration: true, factor: true},
-	FaultErrors:                {parties: partyServers, duration: true, probability: true},
-	FaultNoResponse:            {parties: partyServers, duration: true},
-	FaultConnectionRefused:     {parties: partyServers, duration: true},
-	FaultReset:                 {parties: partyServers, duration: true, probability: true},
-	FaultCorruptResponse:       {parties: partyServers, duration: true, probability: true},
-	FaultPartition:             {parties: partyLinks, duration: true},
-	FaultDelay:                 {parties: partyLinks, duration: true, delay: true},
-	FaultPacketLoss:            {parties: partyLinks, duration: true, probability: true},
-	FaultZoneOutage:            {parties: partyZones, duration: true},
-	FaultDiscoveryDown:         {parties: partyNone, duration: true},
-	FaultDiscoveryDelay:        {parties: partyNone, duration: true, delay: true},
-	FaultDiscoveryFalseRemoval: {parties: partyNone, duration: true, share: true},
-	FaultRegistryDown:          {parties: partyNone, duration: true},
-	FaultRollingReplacement:    {parties: partyServers, duration: true},
-	FaultDescriptorExhaustion:  {parties: partySidecars, duration: true},
-	FaultHotKeyControllerDown:  {parties: partyNone, duration: true},
-	FaultLoadReportLoss:        {parties: partyNone, duration: true, probability: true},
-	FaultFalseLoadReports:      {parties: partySidecars, duration: true},
-	FaultSupervisor:            {parties: partyNone},
+	FaultKill:                  {components: componentServers | componentSidecars | componentControlPlane},
+	FaultFreeze:                {components: componentServers | componentSidecars | componentControlPlane | componentSupervisor, duration: true},
+	FaultRestart:               {components: componentServers | componentSidecars},
+	FaultReload:                {components: componentSidecars},
+	FaultSlow:                  {components: componentServers, duration: true, factor: true},
+	FaultErrors:                {components: componentServers, duration: true, probability: true},
+	FaultNoResponse:            {components: componentServers, duration: true},
+	FaultConnectionRefused:     {components: componentServers, duration: true},
+	FaultReset:                 {components: componentServers, duration: true, probability: true},
+	FaultCorruptResponse:       {components: componentServers, duration: true, probability: true},
+	FaultPartition:             {components: componentLinks, duration: true},
+	FaultDelay:                 {components: componentLinks, duration: true, delay: true},
+	FaultPacketLoss:            {components: componentLinks, duration: true, probability: true},
+	FaultZoneOutage:            {components: componentZones, duration: true},
+	FaultDiscoveryDown:         {components: componentNone, duration: true},
+	FaultDiscoveryDelay:        {components: componentNone, duration: true, delay: true},
+	FaultDiscoveryFalseRemoval: {components: componentNone, duration: true, share: true},
+	FaultRegistryDown:          {components: componentNone, duration: true},
+	FaultRollingReplacement:    {components: componentServers, duration: true},
+	FaultDescriptorExhaustion:  {components: componentSidecars, duration: true},
+	FaultHotKeyControllerDown:  {components: componentNone, duration: true},
+	FaultLoadReportLoss:        {components: componentNone, duration: true, probability: true},
+	FaultFalseLoadReports:      {components: componentSidecars, duration: true},
+	FaultSupervisor:            {components: componentNone},
 }
 
 // FaultKinds returns the names of all kinds of faults, sorted.
@@ -182,22 +182,22 @@
 		}
 	}
 	requirements := requirementsByFault[fault.Kind]
-	switch requirements.parties {
-	case partyLinks:
+	switch requirements.components {
+	case componentLinks:
 		fault.SideA, fault.SideB = p.endpointSet(f.Between[0]), p.endpointSet(f.Between[1])
 		fault.Forward = f.Direction != directionReverse
 		fault.Backward = f.Direction != directionForward
-	case partyNone:
+	case componentNone:
 		if fault.Kind == FaultDiscoveryFalseRemoval {
 			fault.Servers = sampleShare(p.initialServers(), f.Share, rng)
 		}
 	default:
 		target, _ := parseTarget(f.Target, p.Experiment) // validated when the experiment was read
-		affected := target.parties & requirements.parties
-		if affected&partyServers != 0 || requirements.parties == partyZones {
+		affected := target.components & requirements.components
+		if affected&componentServers != 0 || requirements.components == componentZones {
 			fault.Servers = sampleShare(p.matchServers(target), f.Share, rng)
 		}
-		if affected&partySidecars != 0 {
+		if affected&componentSidecars != 0 {
 			fault.Sidecars = sampleShare(p.matchSidecars(target), f.Share, rng)
 		}
 	}
@@ -210,21 +210,21 @@
 	if err != nil {
 		return // its targets are servers or sidecars
 	}
-	switch target.parties {
-	case partyReplicas:
+	switch target.components {
+	case componentReplicas:
 		fault.Leader = target.leader
 		if !target.leader {
 			fault.Replicas = target.indexesBelow(RegistryReplicas)
 		}
-	case partyAgents:
+	case componentAgents:
 		fault.Agents = target.indexesBelow(len(p.Sidecars))
-	case partyControllers:
+	case componentControllers:
 		for _, controller := range p.Experiment.ControlPlane.Controllers {
 			if target.controller == "" || controller.Name == target.controller {
 				fault.Controllers = append(fault.Controllers, controller.Name)
 			}
 		}
-	case partySupervisor:
+	case componentSupervisor:
 		fault.Supervisor = true
 	}
 }
--- a/internal/lab/hotkey_checker.go
+++ b/internal/lab/hotkey_checker.go
@@ -13,9 +13,9 @@
 	copyGraceMS = 1000
 	// hotKeyGraceMS is how long a key may be spread after it was hot.
 	hotKeyGraceMS = 60_000
-	// minCopies and minWarmupWork are allowed in the smallest fleet; warm-up work in multiples of a request's work per second.
-	minCopies     = 4
-	minWarmupWork = 30
+	// minAllowedCopies and minAllowedWarmupWork are allowed in the smallest fleet; warm-up work in multiples of a request's work per second.
+	minAllowedCopies     = 4
+	minAllowedWarmupWork = 30
 )
 
 // HotKeyChecker finds violations of RuleHotKeyCost, from what servers execute and from what the placement tells sidecars. It
@@ -37,9 +37,9 @@
 
 	warmupWorkMS, peakBacklogMS float64
 	peakCopiesShare             float64 // of the allowed copies
-	spreadKeys                  int
+	replicatedKeys              int
 	neverHot                    map[uint64]bool // keys that were spread without being hot
-	timeToSpread                []float64       // by period: ms until a replica served from its cache; below 0: none did
+	timeToWarmReplica           []float64       // by period: ms until a replica served from its cache; below 0: none did
 	hotKeys, otherKeys          servedTally
 	congestedSeconds            float64
 	cacheHits, keyedRequests    float64 // of requests with a key
@@ -60,13 +60,13 @@
 func NewHotKeyChecker(p *Plan, checker *Checker) *HotKeyChecker {
 	initial := len(p.initialServers())
 	fleetCapacity := p.MeanServerCapacity() * float64(initial)
-	allowedMSPerSecond := math.Max(p.Experiment.HotKeys.Limits.WarmupWorkShare*fleetCapacity, minWarmupWork*p.MeanWork())
+	allowedMSPerSecond := math.Max(p.Experiment.HotKeys.Limits.WarmupWorkShare*fleetCapacity, minAllowedWarmupWork*p.MeanWork())
 	h := &HotKeyChecker{
 		checker: checker, plan: p, periods: p.hotKeyPeriods(), copies: map[uint64]map[int]*copyState{},
 		neverHot: map[uint64]bool{}, allowedWarmupRate: allowedMSPerSecond / 1000,
 	}
 	for range h.periods {
-		h.timeToSpread = append(h.timeToSpread, -1)
+		h.timeToWarmReplica = append(h.timeToWarmReplica, -1)
 	}
 	h.RecordReadyServers(initial)
 	return h
@@ -85,7 +85,7 @@
 	if copies == nil {
 		copies = map[int]*copyState{}
 		h.copies[key] = copies
-		h.spreadKeys++
+		h.replicatedKeys++
 		if !h.wasHot(now, key) {
 			h.neverHot[key] = true
 		}
@@ -110,7 +110,7 @@
 	for _, n := range h.readyCounts {
 		ready = max(ready, n)
 	}
-	limit := math.Max(h.plan.Experiment.HotKeys.Limits.CopiesPerServer*float64(ready), minCopies)
+	limit := math.Max(h.plan.Experiment.HotKeys.Limits.CopiesPerServer*float64(ready), minAllowedCopies)
 	h.peakCopiesShare = math.Max(h.peakCopiesShare, float64(h.copyCount)/limit)
 	if float64(h.copyCount) > limit {
 		h.report(now, fmt.Sprintf("%d copies of keys are in the placement, at most %.0f may be", h.copyCount, limit))
@@ -166,8 +166,8 @@
 // recordWarmCopy records that a replica served a key from its cache.
 func (h *HotKeyChecker) recordWarmCopy(now float64, key uint64) {
 	for i, period := range h.periods {
-		if period.key == key && now >= period.from && now <= period.to && h.timeToSpread[i] < 0 {
-			h.timeToSpread[i] = now - period.from
+		if period.key == key && now >= period.from && now <= period.to && h.timeToWarmReplica[i] < 0 {
+			h.timeToWarmReplica[i] = now - period.from
 		}
 	}
 }
@@ -198,22 +198,22 @@
 
 // Metrics returns what was measured, by the names that results have.
 func (h *HotKeyChecker) Metrics() map[string]float64 {
-	spreadCount, slowest, sum := 0.0, 0.0, 0.0
-	for _, ms := range h.timeToSpread {
+	replicatedCount, slowest, sum := 0.0, 0.0, 0.0
+	for _, ms := range h.timeToWarmReplica {
 		if ms >= 0 {
-			spreadCount++
+			replicatedCount++
 			sum += ms
 			slowest = math.Max(slowest, ms)
 		}
 	}
 	return map[string]float64{
-		"hot_keys":              float64(len(h.timeToSpread)),
-		"hot_found":             spreadCount,
-		"hot_carried_mean_ms":   roundMicros(sum / math.Max(spreadCount, 1)),
+		"hot_keys":              float64(len(h.timeToWarmReplica)),
+		"hot_found":             replicatedCount,
+		"hot_carried_mean_ms":   roundMicros(sum / math.Max(replicatedCount, 1)),
 		"hot_carried_most_ms":   roundMicros(slowest),
 		"hot_worth_share":       fraction(h.hotKeys.servedWeight, h.hotKeys.offeredWeight),
 		"rest_worth_share":      fraction(h.otherKeys.servedWeight, h.otherKeys.offeredWeight),
-		"spread_keys":           float64(h.spreadKeys),
+		"spread_keys":           float64(h.replicatedKeys),
 		"spread_never_hot":      float64(len(h.neverHot)),
 		"spread_cold_ms":        roundMicros(h.warmupWorkMS),
 		"spread_cold_of_budget": roundMicros(h.peakBacklogMS / (1000 * h.allowedWarmupRate)),
--- a/internal/lab/hotkey_test.go
+++ b/internal/lab/hotkey_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-func parseHotKeyExperiment(t *testing.T, change ...string) (*Experiment, error) {
+func parseHotKeyExperiment(t *testing.T, replacements ...string) (*Experiment, error) {
 	t.Helper()
 	data, err := os.ReadFile("../../experiments/hot-key-sim.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	text := string(data)
-	for i := 0; i < len(change); i += 2 {
-		if !strings.Contains(text, change[i]) {
-			t.Fatalf("no %q", change[i])
+	for i := 0; i < len(replacements); i += 2 {
+		if !strings.Contains(text, replacements[i]) {
+			t.Fatalf("no %q", replacements[i])
 		}
-		text = strings.Replace(text, change[i], change[i+1], 1)
+		text = strings.Replace(text, replacements[i], replacements[i+1], 1)
 	}
 	return Parse("hot-key-sim.toml", []byte(text))
 }
@@ -34,8 +34,8 @@
 		t.Fatalf("%d times, %d keys", len(periods), len(plan.HotKeys()))
 	}
 	totals, hot := make([]float64, 6), make([]float64, 6)
-	for from := plan.Arrivals(); ; {
-		arrival, more := from.Next()
+	for arrivals := plan.Arrivals(); ; {
+		arrival, more := arrivals.Next()
 		if !more {
 			break
 		}
@@ -82,34 +82,34 @@
 	}
 	const key, allowedMS = 7, 30 * 120 // about the warm-up work in ms that a small fleet may have at once
 	plan := experiment.NewPlan(1)
-	run := func(hotKeyChecker *HotKeyChecker, at float64, server int, extra float64, cacheHit bool) {
+	completeJob := func(hotKeyChecker *HotKeyChecker, at float64, server int, extra float64, cacheHit bool) {
 		hotKeyChecker.JobCompleted(server, &JobCompletion{Job: Job{Key: key, Attempt: 1}, EffectApplied: true, CacheHit: cacheHit, ActualWorkMS: extra / 0.45, At: at})
 	}
 	for _, c := range []struct {
-		name string
-		do   func(hotKeyChecker *HotKeyChecker)
-		want int
+		name    string
+		observe func(hotKeyChecker *HotKeyChecker)
+		want    int
 	}{
-		{"within the limit", func(hotKeyChecker *HotKeyChecker) { run(hotKeyChecker, 10, 1, 0.9*allowedMS, false) }, 0},
+		{"within the limit", func(hotKeyChecker *HotKeyChecker) { completeJob(hotKeyChecker, 10, 1, 0.9*allowedMS, false) }, 0},
 		{"too much at once", func(hotKeyChecker *HotKeyChecker) {
 			for range 4 {
-				run(hotKeyChecker, 10, 1, 0.4*allowedMS, false)
+				completeJob(hotKeyChecker, 10, 1, 0.4*allowedMS, false)
 			}
 		}, 1},
 		{"the same over four seconds", func(hotKeyChecker *HotKeyChecker) {
 			for i := range 4 {
-				run(hotKeyChecker, 10+1000*float64(i), 1, 0.4*allowedMS, false)
+				completeJob(hotKeyChecker, 10+1000*float64(i), 1, 0.4*allowedMS, false)
 			}
 		}, 0},
-		{"at a server that is no replica", func(hotKeyChecker *HotKeyChecker) { run(hotKeyChecker, 10, 0, 9*allowedMS, false) }, 0},
-		{"from the cache", func(hotKeyChecker *HotKeyChecker) { run(hotKeyChecker, 10, 1, 9*allowedMS, true) }, 0},
+		{"at a server that is no replica", func(hotKeyChecker *HotKeyChecker) { completeJob(hotKeyChecker, 10, 0, 9*allowedMS, false) }, 0},
+		{"from the cache", func(hotKeyChecker *HotKeyChecker) { completeJob(hotKeyChecker, 10, 1, 9*allowedMS, true) }, 0},
 		{"just removed from the placement", func(hotKeyChecker *HotKeyChecker) {
 			hotKeyChecker.PlacementChanged(5, key, nil)
-			run(hotKeyChecker, 10, 1, 9*allowedMS, false)
+			completeJob(hotKeyChecker, 10, 1, 9*allowedMS, false)
 		}, 1},
 		{"long removed from the placement", func(hotKeyChecker *HotKeyChecker) {
 			hotKeyChecker.PlacementChanged(5, key, nil)
-			run(hotKeyChecker, 3000, 1, 9*allowedMS, false)
+			completeJob(hotKeyChecker, 3000, 1, 9*allowedMS, false)
 		}, 0},
 		{"as many replicas as servers", func(hotKeyChecker *HotKeyChecker) {
 			hotKeyChecker.PlacementChanged(5, key, map[int]float64{1: 0, 2: 0, 3: 0})
@@ -123,7 +123,7 @@
 		checker := NewChecker(plan, 0)
 		hotKeyChecker := NewHotKeyChecker(plan, checker)
 		hotKeyChecker.PlacementChanged(0, key, map[int]float64{1: 0.5, 2: 0})
-		c.do(hotKeyChecker)
+		c.observe(hotKeyChecker)
 		hotKeyChecker.PlacementWritten(10)
 		if counts, _ := checker.Violations(); counts[RuleHotKeyCost] != c.want {
 			t.Errorf("%s: %v", c.name, counts)
--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -46,7 +46,7 @@
 		delay := f.now() - arrival.StartMS
 		f.recorder.RecordLateness(max(delay, 0))
 		if delay > maxSendDelay.Seconds()*1000 {
-			f.recorder.RequestSentLate()
+			f.recorder.RequestSkipped()
 			continue
 		}
 		f.openRequests.Add(1)
--- a/internal/lab/live/controlplane.go
+++ b/internal/lab/live/controlplane.go
@@ -159,7 +159,7 @@
 			Kind: disruption.OpSetBudget, Owner: ledgerOwner, Budget: &disruption.Budget{
 				Name:           budget.Name,
 				Selector:       disruption.Selector{Kind: disruption.Kind(budget.Kind), Zone: budget.Zone, Model: budget.ServerKind},
-				MaxUnavailable: disruption.Limit{Count: budget.LedgerMaxOut},
+				MaxUnavailable: disruption.Limit{Count: budget.LedgerMaxUnavailable},
 			},
 		})
 		if err != nil {
--- a/internal/lab/live/server_process.go
+++ b/internal/lab/live/server_process.go
@@ -283,7 +283,7 @@
 func (p *serverProcess) drain(listener net.Listener) error {
 	p.terminating.Store(true)
 	p.observer.reportTerminating()
-	if p.regression.LosesAnswers {
+	if p.regression.ExitsWithoutDraining {
 		p.frontend.resetConnections()
 		return nil
 	}
--- a/internal/lab/recorder.go
+++ b/internal/lab/recorder.go
@@ -41,7 +41,7 @@
 	Failed             int `json:"failed"`
 	Unanswered         int `json:"lost"`
 	ClientDisconnected int `json:"left"`
-	SentTooLate        int `json:"lab_late"` // the emulator was too late to send them: they count nowhere else
+	SkippedLate        int `json:"lab_late"` // the emulator was too late to send them: they count nowhere else
 	ClientAttempts     int `json:"tries"`
 	Attempts           int `json:"attempts"` // of sidecars, at servers
 	Retries            int `json:"retries"`  // attempts beyond the first of each client attempt
@@ -135,11 +135,11 @@
 	}
 }
 
-// RequestSentLate records that the emulator could not send a request anywhere near its time. It says nothing of a sidecar.
-func (r *Recorder) RequestSentLate() {
+// RequestSkipped records that the emulator could not send a request anywhere near its time. It says nothing of a sidecar.
+func (r *Recorder) RequestSkipped() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counts.SentTooLate++
+	r.counts.SkippedLate++
 }
 
 // RecordLateness records how much later than scheduled the emulator acted, in ms.
--- a/internal/lab/regression.go
+++ b/internal/lab/regression.go
@@ -7,16 +7,16 @@
 
 // Regression is what a version of servers does wrong. The zero value is a version without regression.
 type Regression struct {
-	NeverReady        bool    `toml:"never_ready"`    // it answers that it is not ready, and is never listed
-	FailsAtStart      bool    `toml:"fails_at_start"` // it exits with status 1 before it listens
-	ErrorShare        float64 `toml:"error_share"`    // of its requests, which fail without doing their work
-	Slowdown          float64 `toml:"slower_by"`      // factor by which its work takes longer
-	SlowdownAboveLoad float64 `toml:"slower_above"`   // only for requests that find more than so many others per core
-	Class             string  `toml:"class"`          // only requests of this class are affected; "": of all classes
-	Tenant            string  `toml:"tenant"`         // only requests of this tenant are affected; "": of all tenants
-	LeakMBPerSecond   float64 `toml:"leak_mb_s"`
-	LeakLimitMB       float64 `toml:"leak_most_mb"`  // at which it is killed; 0: 256
-	LosesAnswers      bool    `toml:"loses_answers"` // at SIGTERM it exits without answering the requests in flight
+	NeverReady           bool    `toml:"never_ready"`    // it answers that it is not ready, and is never listed
+	FailsAtStart         bool    `toml:"fails_at_start"` // it exits with status 1 before it listens
+	ErrorShare           float64 `toml:"error_share"`    // of its requests, which fail without doing their work
+	Slowdown             float64 `toml:"slower_by"`      // factor by which its work takes longer
+	SlowdownAboveLoad    float64 `toml:"slower_above"`   // only for requests that find more than so many others per core
+	Class                string  `toml:"class"`          // only requests of this class are affected; "": of all classes
+	Tenant               string  `toml:"tenant"`         // only requests of this tenant are affected; "": of all tenants
+	LeakMBPerSecond      float64 `toml:"leak_mb_s"`
+	LeakLimitMB          float64 `toml:"leak_most_mb"`  // at which it is killed; 0: 256
+	ExitsWithoutDraining bool    `toml:"loses_answers"` // at SIGTERM it exits without answering the requests in flight
 }
 
 // Bounds of a memory leak. The memory is really allocated on the machine that plays the experiment.
@@ -79,5 +79,5 @@
 loses_answers = %v
 `,
 		r.NeverReady, r.FailsAtStart, r.ErrorShare, r.Slowdown, r.SlowdownAboveLoad,
-		r.Class, r.Tenant, r.LeakMBPerSecond, r.LeakLimitMB, r.LosesAnswers)
+		r.Class, r.Tenant, r.LeakMBPerSecond, r.LeakLimitMB, r.ExitsWithoutDraining)
 }
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -79,8 +79,8 @@
 
 // comparedMetrics are the metrics of a comparison, in its order.
 var comparedMetrics = []struct {
-	name string
-	of   func(*lab.Result) float64
+	name  string
+	value func(*lab.Result) float64
 }{
 	{"worth_share", func(r *lab.Result) float64 { return r.WeightedServedShare }},
 	{"served_share", func(r *lab.Result) float64 { return r.ServedShare }},
@@ -106,7 +106,7 @@
 	}
 	var differences []MetricDifference
 	for _, metric := range comparedMetrics {
-		difference := compareMetric(pairs, metric.of)
+		difference := compareMetric(pairs, metric.value)
 		difference.Metric = metric.name
 		differences = append(differences, difference)
 	}
@@ -129,14 +129,14 @@
 }
 
 // compareMetric compares the values of a metric.
-func compareMetric(pairs []resultPair, of func(*lab.Result) float64) MetricDifference {
+func compareMetric(pairs []resultPair, value func(*lab.Result) float64) MetricDifference {
 	count := float64(len(pairs))
 	var difference MetricDifference
 	var changes []float64
 	for _, pair := range pairs {
-		difference.A += of(pair.a) / count
-		difference.B += of(pair.b) / count
-		changes = append(changes, of(pair.b)-of(pair.a))
+		difference.A += value(pair.a) / count
+		difference.B += value(pair.b) / count
+		changes = append(changes, value(pair.b)-value(pair.a))
 	}
 	mean, deviation := stat.MeanStdDev(changes, nil)
 	difference.MeanDifference = mean
--- a/internal/lab/report/table.go
+++ b/internal/lab/report/table.go
@@ -31,7 +31,7 @@
 	t.requestRows(result)
 	t.ruleRow(result)
 	if result.Mode == lab.ModeLive {
-		t.row("lateness of the lab", "p99 %.1f ms, at most %.1f ms%s", result.Lateness, result.MaxLateness, sentLateText(result))
+		t.row("lateness of the lab", "p99 %.1f ms, at most %.1f ms%s", result.Lateness, result.MaxLateness, skippedText(result))
 	}
 	for _, name := range slices.Sorted(maps.Keys(result.Metrics)) {
 		t.row(name, "%g", result.Metrics[name])
@@ -100,11 +100,11 @@
 	return fmt.Sprintf(" to %.1f s", fault.ToS)
 }
 
-func sentLateText(result *lab.Result) string {
-	if result.SentTooLate == 0 {
+func skippedText(result *lab.Result) string {
+	if result.SkippedLate == 0 {
 		return ""
 	}
-	return fmt.Sprintf("; %d requests left out, sent too late by the lab itself", result.SentTooLate)
+	return fmt.Sprintf("; %d requests left out, sent too late by the lab itself", result.SkippedLate)
 }
 
 // violationList lists the violated ones of the rules with their counts, in parentheses.
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -9,8 +9,8 @@
 
 // How late the emulator itself may be for a run to say something of sidecars.
 const (
-	maxLatenessMS    = 20.0  // 99th percentile of its lateness
-	maxSentLateShare = 0.005 // of the requests, sent too late to count
+	maxLatenessMS   = 20.0  // 99th percentile of its lateness
+	maxSkippedShare = 0.005 // of the requests, sent too late to count
 )
 
 // Modes of a run, as results have them.
@@ -135,8 +135,8 @@
 // discountIfOverloaded discounts the violations of sidecars if the machine could not play the load in time. Those of the
 // control plane remain: they do not depend on milliseconds.
 func (r *Result) discountIfOverloaded() {
-	due := float64(r.Requests + r.SentTooLate)
-	if r.Lateness <= maxLatenessMS && float64(r.SentTooLate) <= maxSentLateShare*due {
+	due := float64(r.Requests + r.SkippedLate)
+	if r.Lateness <= maxLatenessMS && float64(r.SkippedLate) <= maxSkippedShare*due {
 		return
 	}
 	all := r.ViolationCount
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -69,7 +69,7 @@
 	cachedAt   map[uint64]float64 // last use of each cached key
 	cacheOrder []timedKey         // uses by age, for eviction
 
-	crowdedSince   float64 // too many jobs wait; +Inf: they do not
+	longQueueSince float64 // too many jobs wait; +Inf: they do not
 	congestedSince float64 // +Inf: it is not congested
 	idleSince      float64 // it is idle though congested; +Inf: it is not
 
@@ -116,7 +116,7 @@
 	s.startedAt, s.hasSlowStart, s.overloaded = now, slowStart, false
 	s.running, s.waiting = s.running[:0], s.waiting[:0]
 	s.cachedAt, s.cacheOrder = map[uint64]float64{}, nil
-	s.crowdedSince, s.congestedSince, s.idleSince = math.Inf(1), math.Inf(1), math.Inf(1)
+	s.longQueueSince, s.congestedSince, s.idleSince = math.Inf(1), math.Inf(1), math.Inf(1)
 	s.slowStartWork = [overloadSlots]workSlot{}
 	s.Slowdown = max(s.Slowdown, 1)
 }
--- a/internal/lab/server_capacity.go
+++ b/internal/lab/server_capacity.go
@@ -80,11 +80,11 @@
 func (s *Server) beginCongestion(now float64) {
 	spec := s.Plan.Spec
 	if float64(len(s.waiting)) <= spec.CongestionQueuePerCore*float64(spec.Cores) {
-		s.crowdedSince = math.Inf(1)
-	} else if math.IsInf(s.crowdedSince, 1) {
-		s.crowdedSince = now
+		s.longQueueSince = math.Inf(1)
+	} else if math.IsInf(s.longQueueSince, 1) {
+		s.longQueueSince = now
 	}
-	if now >= s.crowdedSince+spec.CongestionAfterMS {
+	if now >= s.longQueueSince+spec.CongestionAfterMS {
 		s.congestedSince, s.idleSince = now, math.Inf(1)
 	}
 }
@@ -100,7 +100,7 @@
 	wasIdle := now >= s.idleSince+spec.CongestionIdleMS
 	tookLongest := now >= s.congestedSince+spec.CongestionMaxMS && spec.CongestionMaxMS > 0
 	if wasIdle || tookLongest {
-		s.congestedSince, s.crowdedSince = math.Inf(1), math.Inf(1)
+		s.congestedSince, s.longQueueSince = math.Inf(1), math.Inf(1)
 	}
 }
 
--- a/internal/lab/target.go
+++ b/internal/lab/target.go
@@ -10,28 +10,28 @@
 // RegistryReplicas is the number of replicas of the registry in a run.
 const RegistryReplicas = 3
 
-// partyMask is a set of kinds of parties that faults can affect.
-type partyMask uint16
+// componentSet is a set of kinds of components that faults can affect.
+type componentSet uint16
 
 const (
-	partyServers partyMask = 1 << iota
-	partySidecars
-	partyZones
-	partyLinks
-	partyNone
-	partyReplicas // of the registry
-	partyAgents
-	partyControllers
-	partySupervisor
-
-	// partyControlPlane are the processes of the control plane that can be killed. The supervisor is not one of them: all
+	componentServers componentSet = 1 << iota
+	componentSidecars
+	componentZones
+	componentLinks
+	componentNone
+	componentReplicas // of the registry
+	componentAgents
+	componentControllers
+	componentSupervisor
+
+	// componentControlPlane are the processes of the control plane that can be killed. The supervisor is not one of them: all
 	// that it has started would end with it.
-	partyControlPlane = partyReplicas | partyAgents | partyControllers
+	componentControlPlane = componentReplicas | componentAgents | componentControllers
 )
 
 // target is a parsed name of parties.
 type target struct {
-	parties     partyMask
+	components  componentSet
 	zone        int    // -1: any
 	kind        string // of servers; "": any
 	first, last int    // of a range of indexes; -1: all
@@ -66,28 +66,28 @@
 	var err error
 	switch name {
 	case "servers":
-		t.parties = partyServers
+		t.components = componentServers
 	case "sidecars":
-		t.parties = partySidecars
+		t.components = componentSidecars
 	case "clients":
-		t.parties, t.clients = partyNone, true
+		t.components, t.clients = componentNone, true
 	case targetDiscovery:
-		t.parties, t.discovery = partyNone, true
+		t.components, t.discovery = componentNone, true
 	case "zone":
-		t.parties = partyServers | partySidecars | partyZones
+		t.components = componentServers | componentSidecars | componentZones
 		if t.zone = e.zoneIndex(arg); t.zone < 0 {
 			err = fmt.Errorf("unknown zone %q", arg)
 		}
 	case "kind":
-		t.parties, t.kind = partyServers, arg
+		t.components, t.kind = componentServers, arg
 		if !e.hasServerKind(arg) {
 			err = fmt.Errorf("unknown kind %q", arg)
 		}
 	case unitServer:
-		t.parties = partyServers
+		t.components = componentServers
 		err = t.parseIndexes(text, arg, e.minServers())
 	case unitSidecar:
-		t.parties = partySidecars
+		t.components = componentSidecars
 		err = t.parseIndexes(text, arg, int(e.Sidecars.Count.Min))
 	default:
 		return parseControlPlaneTarget(text, e)
@@ -130,15 +130,15 @@
 	if name, arg, named := strings.Cut(text, ":"); named {
 		switch name {
 		case "replica":
-			t.parties = partyReplicas
+			t.components = componentReplicas
 			err := t.parseIndex(text, arg, RegistryReplicas)
 			return t, err
 		case "agent":
-			t.parties = partyAgents
+			t.components = componentAgents
 			err := t.parseIndex(text, arg, int(e.Sidecars.Count.Min))
 			return t, err
 		case "controller":
-			t.parties, t.controller = partyControllers, arg
+			t.components, t.controller = componentControllers, arg
 			if e.hasController(arg) {
 				return t, nil
 			}
@@ -147,15 +147,15 @@
 	}
 	switch text {
 	case "replicas":
-		t.parties = partyReplicas
+		t.components = componentReplicas
 	case "leader":
-		t.parties, t.leader = partyReplicas, true
+		t.components, t.leader = componentReplicas, true
 	case "agents":
-		t.parties = partyAgents
+		t.components = componentAgents
 	case "controllers":
-		t.parties = partyControllers
+		t.components = componentControllers
 	case targetSupervisor:
-		t.parties = partySupervisor
+		t.components = componentSupervisor
 	default:
 		return t, unknown
 	}
@@ -209,12 +209,12 @@
 	set := EndpointSet{
 		Servers: map[int]bool{}, Sidecars: map[int]bool{}, Clients: t.clients, Discovery: t.discovery,
 	}
-	if t.parties&partyServers != 0 {
+	if t.components&componentServers != 0 {
 		for _, i := range p.matchServers(t) {
 			set.Servers[i] = true
 		}
 	}
-	if t.parties&partySidecars != 0 {
+	if t.components&componentSidecars != 0 {
 		for _, i := range p.matchSidecars(t) {
 			set.Sidecars[i] = true
 		}
--- a/internal/lab/validator.go
+++ b/internal/lab/validator.go
@@ -50,9 +50,9 @@
 }
 
 // setDefault sets a value that the file leaves out. The zero value of the type stands for absence.
-func setDefault[T comparable](value *T, standard T) {
+func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
-		*value = standard
+		*value = defaultValue
 	}
 }
