--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -17,7 +17,7 @@
 	"milldeck/internal/lab"
 )
 
-// maxLineBytes bounds a result in a file of several.
+// maxLineBytes bounds the size of a result in a file with one result on each line.
 const maxLineBytes = 64 << 20
 
 // confidenceQuantile is the quantile of Student's t distribution for a two-sided 95% interval.
@@ -42,7 +42,7 @@
 	var results []*lab.Result
 	lines := bufio.NewScanner(bytes.NewReader(data))
 	lines.Buffer(nil, maxLineBytes)
-	var invalid error // of the line before
+	var invalid error // of the previous line
 	for n := 1; lines.Scan(); n++ {
 		if invalid != nil {
 			return nil, invalid
@@ -58,13 +58,13 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if len(results) == 0 {
-		return nil, fmt.Errorf("%s: no result of a lab run: %w", path, invalid)
+		return nil, fmt.Errorf("%s: the file contains no result of a lab run: %w", path, invalid)
 	}
 	return results, nil
 }
 
-// MetricDifference is how a metric changed from A to B, in the mean over pairs of runs with the same seed. HalfInterval is
-// half of the 95% interval of the mean (Student's t); with one pair there is none.
+// MetricDifference is the mean change of a metric from A to B over pairs of runs with the same seed. HalfInterval is half of
+// the 95% confidence interval of the mean (Student's t); it is absent with one pair.
 type MetricDifference struct {
 	Metric         string  `json:"figure"`
 	A              float64 `json:"a"`
@@ -74,7 +74,7 @@
 	Significant    bool    `json:"clear"` // the interval does not contain zero
 }
 
-// ErrNoPairs is returned if two sets of runs have no seed in common.
+// ErrNoPairs means that two sets of runs have no seed in common.
 var ErrNoPairs = errors.New("no two runs with the same seed")
 
 // comparedMetrics are the metrics of a comparison, in its order.
@@ -128,7 +128,7 @@
 	return pairs
 }
 
-// compareMetric compares the values of a metric.
+// compareMetric returns the mean values of a metric and their difference.
 func compareMetric(pairs []resultPair, value func(*lab.Result) float64) MetricDifference {
 	count := float64(len(pairs))
 	var difference MetricDifference
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -18,7 +18,7 @@
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 7 * vg.Centimeter
 	lineWidth  = 1.2 // points
-	// legendHeadroom is the height of a plot as a multiple of the highest value, so that the legend hides no line.
+	// legendHeadroom is the height of a plot as a multiple of the highest value. It keeps the legend off the lines.
 	legendHeadroom = 1.3
 	// endlessFaultShare is the width of a fault without an end, as a share of the run.
 	endlessFaultShare = 1. / 200
@@ -110,7 +110,7 @@
 	return lines, highest, nil
 }
 
-// faultArea returns the area of a plot in which a fault held.
+// faultArea returns the area of a plot that shows the period of a fault.
 func faultArea(fault lab.FaultInterval, durationS, highest float64) (*plotter.Polygon, error) {
 	to := fault.ToS
 	if to == 0 {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
 // Package report writes the results of lab runs: tables for a terminal, Markdown with plots, and comparisons of two sets of
-// runs. It reads results but plays nothing.
+// runs. It only reads results and runs no experiment.
 package report
 
 import (
--- a/internal/lab/report/table.go
+++ b/internal/lab/report/table.go
@@ -19,7 +19,7 @@
 	fmt.Fprintf(t, "%s\t%s\n", name, fmt.Sprintf(format, args...))
 }
 
-// WriteTable writes the result of a run, with its violations, for a reader who has never seen one.
+// WriteTable writes the result of a run with its violations, for readers who do not know the format of results.
 func WriteTable(w io.Writer, result *lab.Result) error {
 	t := table{tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)}
 	cut := ""
@@ -48,13 +48,13 @@
 	return writeViolations(w, result.Violations)
 }
 
-// requestRows has how the requests ended.
+// requestRows writes the outcomes of the requests.
 func (t table) requestRows(result *lab.Result) {
 	percent := func(n int) float64 { return 100 * float64(n) / math.Max(float64(result.Requests), 1) }
 	t.row("requests", "%d", result.Requests)
 	t.row("  served in time", "%.2f%%  (by worth %.2f%%)", 100*result.ServedShare, 100*result.WeightedServedShare)
 	t.row("  served late", "%.2f%%", percent(result.ServedLate))
-	t.row("  refused", "%.2f%%  told at once that a retry is harmless", percent(result.Rejected))
+	t.row("  refused", "%.2f%%  not executed, so a retry is safe", percent(result.Rejected))
 	t.row("  failed", "%.2f%%", percent(result.Failed))
 	t.row("  lost", "%.2f%%  no answer at all", percent(result.Unanswered))
 	t.row("  client left", "%.2f%%", percent(result.ClientDisconnected))
@@ -64,14 +64,14 @@
 		result.Retries, result.Handshakes, 100*result.CrossZoneShare)
 }
 
-// ruleRow has the violations by rule.
+// ruleRow writes the violations by rule.
 func (t table) ruleRow(result *lab.Result) {
 	switch {
 	case result.Overloaded && result.ViolationCount > 0:
 		t.row("rules broken", "%d%s by the control plane; sidecars are not judged, this machine cannot play the load",
 			result.ViolationCount, violationList(result, lab.ControlPlaneRules))
 	case result.Overloaded:
-		t.row("rules broken", "not judged: this machine cannot play the load, so nothing here tells of the sidecars")
+		t.row("rules broken", "not judged: this machine cannot play the load, so this result does not show how sidecars behave")
 	default:
 		t.row("rules broken", "%d%s", result.ViolationCount, violationList(result, lab.Rules))
 	}
@@ -104,10 +104,10 @@
 	if result.SkippedLate == 0 {
 		return ""
 	}
-	return fmt.Sprintf("; %d requests left out, sent too late by the lab itself", result.SkippedLate)
+	return fmt.Sprintf("; %d requests not sent because the lab was too late", result.SkippedLate)
 }
 
-// violationList lists the violated ones of the rules with their counts, in parentheses.
+// violationList returns the violated rules among the given ones with their counts, in parentheses.
 func violationList(result *lab.Result, rules []lab.Rule) string {
 	var parts []string
 	for _, rule := range rules {
