--- a/internal/lab/checker_requests.go
+++ b/internal/lab/checker_requests.go
@@ -111,8 +111,8 @@
 }
 
 // ConnectionClosed records that a reused connection ended before the first byte of the response. It reports whether the client
-// resends the request: the sidecar may have closed the connection before it received the request. A request that has reached
-// a server was accepted and is not resent.
+// may resend the request: the sidecar may have closed the connection before it received the request. A request that has
+// reached a server was accepted and must not be resent.
 func (c *Checker) ConnectionClosed(now float64, id uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/control_spec.go
+++ b/internal/lab/control_spec.go
@@ -50,7 +50,7 @@
 
 // Actions of a StepSpec that run no command.
 const (
-	actionStop    = "stop"    // through the supervisor, as are start and restart
+	actionStop    = "stop"    // through the supervisor
 	actionStart   = "start"   // through the supervisor
 	actionRestart = "restart" // through the supervisor
 	actionDrain   = "drain"   // through the registry
--- a/internal/lab/control_validate.go
+++ b/internal/lab/control_validate.go
@@ -13,7 +13,7 @@
 	maxControllers     = 20
 	maxVersions        = 50
 	maxControlEntries  = 200 // of each other list
-	maxNameBytes       = 40  // bytes
+	maxNameBytes       = 40
 )
 
 // unsupportedWithControlPlane are the faults that server processes cannot emulate.
--- a/internal/lab/hotkey_load.go
+++ b/internal/lab/hotkey_load.go
@@ -15,7 +15,7 @@
 	key      uint64
 }
 
-// ClientKey returns the key with a number, from 0, that clients draw.
+// ClientKey returns the key of a number. Clients draw numbers from 0.
 func (p *Plan) ClientKey(n int) uint64 { return mixHash(streamArrivals, uint64(n)) | 1 }
 
 // hotKeyAt returns the key that is hot at a time, and its share of all requests, or 0 if no key is hot.
--- a/internal/lab/hotkey_spec.go
+++ b/internal/lab/hotkey_spec.go
@@ -4,7 +4,7 @@
 // sets absent values. Capacities are ms of standard work a second.
 type HotKeySpec struct {
 	Enabled bool `toml:"on"`     // the controller runs; false: hot keys are measured only
-	Oracle  bool `toml:"oracle"` // instead of the controller: all servers cache the hot keys, and any of them gets their requests
+	Oracle  bool `toml:"oracle"` // instead of the controller: all servers cache the hot keys, and requests for them go to any server
 
 	PlanIntervalMS   float64 `toml:"step_ms"`   // between two plans of the controller
 	ReportIntervalMS float64 `toml:"report_ms"` // between two load reports of a sidecar
