--- a/cmd/milldeck/lab.go
+++ b/cmd/milldeck/lab.go
@@ -84,7 +84,7 @@
 	if result.Overloaded {
 		return fmt.Errorf(
 			"%s: machine too slow for the load: %.0f ms late (99th percentile), %d requests sent too late; the sidecars are not judged",
-			result.Name, result.Lateness, result.SentTooLate)
+			result.Name, result.Lateness, result.SkippedLate)
 	}
 	if result.CutShort {
 		return errInterrupted
--- a/internal/lab/control_validate.go
+++ b/internal/lab/control_validate.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	defaultDetectionMS = 5000 // a lease, its expiry and the notification of it
+	defaultDetectionMS = 5000 // covers a lease, its expiry and the notification of the expiry
 	defaultReadyLine   = "msg=serves"
 	maxControllers     = 20
 	maxVersions        = 50
-	maxControlEntries  = 200 // of each of the other lists
-	maxPlainName       = 40  // bytes
+	maxControlEntries  = 200 // of each other list
+	maxNameBytes       = 40
 )
 
-// unsupportedWithControlPlane are the faults that server processes cannot play.
+// unsupportedWithControlPlane are the faults that server processes cannot emulate.
 var unsupportedWithControlPlane = []FaultKind{
 	FaultRollingReplacement, FaultConnectionRefused, FaultNoResponse, FaultReset, FaultCorruptResponse,
 }
@@ -52,15 +52,15 @@
 	v.number("control.spread.most", spec.WarmupWork.MaxShare, 0, 1)
 	for i := range e.Faults {
 		if kind := FaultKind(e.Faults[i].Kind); slices.Contains(unsupportedWithControlPlane, kind) {
-			v.reportf(fmt.Sprintf("fault[%d].kind", i), "%s is not played with the control plane", kind)
+			v.reportf(fmt.Sprintf("fault[%d].kind", i), "%s is not supported with the control plane", kind)
 		}
 	}
 }
 
-// isPlainName reports whether a name is safe as the name of a file and in a command line.
-func isPlainName(name string) bool {
+// isValidName reports whether a name is safe as a file name and on a command line.
+func isValidName(name string) bool {
 	const allowed = "abcdefghijklmnopqrstuvwxyz0123456789-."
-	if name == "" || len(name) > maxPlainName || name[0] == '-' || name[0] == '.' {
+	if name == "" || len(name) > maxNameBytes || name[0] == '-' || name[0] == '.' {
 		return false
 	}
 	return strings.Trim(name, allowed) == ""
@@ -81,8 +81,8 @@
 		version, prefix := &spec.Versions[i], fmt.Sprintf("control.version[%d].", i)
 		v.oneOf(prefix+"kind", version.Kind, unitServer, unitSidecar)
 		key := versionKey{version.Kind, version.Name}
-		if !isPlainName(version.Name) || versions[key] {
-			v.reportf(prefix+"name", "%q is no plain name or a duplicate", version.Name)
+		if !isValidName(version.Name) || versions[key] {
+			v.reportf(prefix+"name", "%q is not a valid name or is a duplicate", version.Name)
 		}
 		versions[key] = true
 		v.number(prefix+"restarts", float64(version.MaxRestarts), 0, 1000)
@@ -108,13 +108,13 @@
 	names := map[string]bool{}
 	for i := range controllers {
 		controller, prefix := &controllers[i], fmt.Sprintf("control.controller[%d].", i)
-		if !isPlainName(controller.Name) || names[controller.Name] {
-			v.reportf(prefix+"name", "%q is no plain name or a duplicate", controller.Name)
+		if !isValidName(controller.Name) || names[controller.Name] {
+			v.reportf(prefix+"name", "%q is not a valid name or is a duplicate", controller.Name)
 		}
 		names[controller.Name] = true
 		v.number(prefix+"at_s", controller.AtS, 0, e.DurationS)
 		if len(controller.Args) == 0 {
-			v.reportf(prefix+"args", "a controller needs its command line")
+			v.reportf(prefix+"args", "a controller needs a command line")
 		}
 		setDefault(&controller.ReadyLine, defaultReadyLine)
 	}
@@ -126,7 +126,7 @@
 		v.number(prefix+"at_s", step.AtS, 0, e.DurationS)
 		v.number(prefix+"status", float64(step.ExitStatus), 0, 255)
 		if (step.Action == "") == (len(step.Args) == 0) {
-			v.reportf(prefix+"do", "a step is either a command line or an action")
+			v.reportf(prefix+"do", "a step needs either args or an action")
 		}
 		if step.Action == "" {
 			continue
@@ -143,7 +143,7 @@
 		v.reportf(key, "%w", err)
 		return
 	}
-	if target.parties&(partyServers|partySidecars) == 0 {
+	if target.components&(componentServers|componentSidecars) == 0 {
 		v.reportf(key, "%q names no servers and no sidecars", text)
 	}
 }
@@ -158,13 +158,13 @@
 		if budget.ServerKind != "" && !e.hasServerKind(budget.ServerKind) {
 			v.reportf(prefix+"of", "unknown kind %q", budget.ServerKind)
 		}
-		v.number(prefix+"most", float64(budget.MaxOut), 0, maxServers)
-		if budget.LedgerMaxOut == nil {
-			budget.LedgerMaxOut = &budget.MaxOut
+		v.number(prefix+"most", float64(budget.MaxUnavailable), 0, maxServers)
+		if budget.LedgerMaxUnavailable == nil {
+			budget.LedgerMaxUnavailable = &budget.MaxUnavailable
 		}
-		v.number(prefix+"told", float64(*budget.LedgerMaxOut), 0, maxServers)
-		if !isPlainName(budget.Name) {
-			v.reportf(prefix+"name", "%q is no plain name", budget.Name)
+		v.number(prefix+"told", float64(*budget.LedgerMaxUnavailable), 0, maxServers)
+		if !isValidName(budget.Name) {
+			v.reportf(prefix+"name", "%q is not a valid name", budget.Name)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 func (e *Experiment) validateMaintenanceHours(v *validator) {
 	for i, hours := range e.ControlPlane.MaintenanceHours {
 		if !(hours.FromS >= 0 && hours.ToS > hours.FromS) || math.IsInf(hours.ToS, 0) {
-			v.reportf(fmt.Sprintf("control.hours[%d].to_s", i), "%v to %v s is no period", hours.FromS, hours.ToS)
+			v.reportf(fmt.Sprintf("control.hours[%d].to_s", i), "%v to %v s is not a period", hours.FromS, hours.ToS)
 		}
 	}
 }
@@ -187,13 +187,13 @@
 		prefix := fmt.Sprintf("control.end[%d].", i)
 		e.validateUnitTarget(prefix+"target", state.Target, v)
 		if (state.Version == "") == !state.Removed {
-			v.reportf(prefix+"version", "units end on a version or are gone")
+			v.reportf(prefix+"version", "exactly one of version and gone must be set")
 		}
 	}
 	for i, tenant := range e.ControlPlane.Tenants {
 		prefix := fmt.Sprintf("control.tenant[%d].", i)
-		if !isPlainName(tenant.Name) {
-			v.reportf(prefix+"name", "%q is no plain name", tenant.Name)
+		if !isValidName(tenant.Name) {
+			v.reportf(prefix+"name", "%q is not a valid name", tenant.Name)
 		}
 		e.validateUnitTarget(prefix+"target", tenant.Target, v)
 	}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -34,7 +34,7 @@
 	FaultDescriptorExhaustion  FaultKind = "descriptors"    // Target, Share: idle connections exhaust the sidecars' file descriptors
 	FaultHotKeyControllerDown  FaultKind = "decider-down"   // the hot-key controller is down; its successor continues from the placement
 	FaultLoadReportLoss        FaultKind = "reports-lost"   // Probability: load reports of sidecars are lost
-	FaultFalseLoadReports      FaultKind = "reports-lie"    // Target, Share: sidecars report load of keys that nobody requests
+	FaultFalseLoadReports      FaultKind = "reports-lie"    // Target, Share: sidecars report load of keys that no client requests
 	FaultSupervisor            FaultKind = "platform"       // Misbehaviour, Operation, CallCount: the supervisor misbehaves
 )
 
@@ -43,38 +43,38 @@
 	return kind == FaultHotKeyControllerDown || kind == FaultLoadReportLoss || kind == FaultFalseLoadReports
 }
 
-// faultRequirements are what a kind of fault needs of its entry.
+// faultRequirements states what the entry of a kind of fault must contain.
 type faultRequirements struct {
-	parties partyMask // that it can affect
+	components componentSet // that the fault can affect
 
 	duration, probability, share, factor, delay bool // fields that have to be set
 }
 
 var requirementsByFault = map[FaultKind]faultRequirements{
-	FaultKill:                  {parties: partyServers | partySidecars | partyControlPlane},
-	FaultFreeze:                {parties: partyServers | partySidecars | partyControlPlane | partySupervisor, duration: true},
-	FaultRestart:               {parties: partyServers | partySidecars},
-	FaultReload:                {parties: partySidecars},
-	FaultSlow:                  {parties: partyServers, duration: true, factor: true},
-	FaultErrors:                {parties: partyServers, duration: true, probability: true},
-	FaultNoResponse:            {parties: partyServers, duration: true},
-	FaultConnectionRefused:     {parties: partyServers, duration: true},
-	FaultReset:                 {parties: partyServers, duration: true, probability: true},
-	FaultCorruptResponse:       {parties: partyServers, duration: true, probability: true},
-	FaultPartition:             {parties: partyLinks, duration: true},
-	FaultDelay:                 {parties: partyLinks, duration: true, delay: true},
-	FaultPacketLoss:            {parties: partyLinks, duration: true, probability: true},
-	FaultZoneOutage:            {parties: partyZones, duration: true},
-	FaultDiscoveryDown:         {parties: partyNone, duration: true},
-	FaultDiscoveryDelay:        {parties: partyNone, duration: true, delay: true},
-	FaultDiscoveryFalseRemoval: {parties: partyNone, duration: true, share: true},
-	FaultRegistryDown:          {parties: partyNone, duration: true},
-	FaultRollingReplacement:    {parties: partyServers, duration: true},
-	FaultDescriptorExhaustion:  {parties: partySidecars, duration: true},
-	FaultHotKeyControllerDown:  {parties: partyNone, duration: true},
-	FaultLoadReportLoss:        {parties: partyNone, duration: true, probability: true},
-	FaultFalseLoadReports:      {parties: partySidecars, duration: true},
-	FaultSupervisor:            {parties: partyNone},
+	FaultKill:                  {components: componentServers | componentSidecars | componentControlPlane},
+	FaultFreeze:                {components: componentServers | componentSidecars | componentControlPlane | componentSupervisor, duration: true},
+	FaultRestart:               {components: componentServers | componentSidecars},
+	FaultReload:                {components: componentSidecars},
+	FaultSlow:                  {components: componentServers, duration: true, factor: true},
+	FaultErrors:                {components: componentServers, duration: true, probability: true},
+	FaultNoResponse:            {components: componentServers, duration: true},
+	FaultConnectionRefused:     {components: componentServers, duration: true},
+	FaultReset:                 {components: componentServers, duration: true, probability: true},
+	FaultCorruptResponse:       {components: componentServers, duration: true, probability: true},
+	FaultPartition:             {components: componentLinks, duration: true},
+	FaultDelay:                 {components: componentLinks, duration: true, delay: true},
+	FaultPacketLoss:            {components: componentLinks, duration: true, probability: true},
+	FaultZoneOutage:            {components: componentZones, duration: true},
+	FaultDiscoveryDown:         {components: componentNone, duration: true},
+	FaultDiscoveryDelay:        {components: componentNone, duration: true, delay: true},
+	FaultDiscoveryFalseRemoval: {components: componentNone, duration: true, share: true},
+	FaultRegistryDown:          {components: componentNone, duration: true},
+	FaultRollingReplacement:    {components: componentServers, duration: true},
+	FaultDescriptorExhaustion:  {components: componentSidecars, duration: true},
+	FaultHotKeyControllerDown:  {components: componentNone, duration: true},
+	FaultLoadReportLoss:        {components: componentNone, duration: true, probability: true},
+	FaultFalseLoadReports:      {components: componentSidecars, duration: true},
+	FaultSupervisor:            {components: componentNone},
 }
 
 // FaultKinds returns the names of all kinds of faults, sorted.
@@ -87,7 +87,7 @@
 	return names
 }
 
-// SupervisorMisbehaviours are what the supervisor can do wrong; see docs/supervisor.md.
+// SupervisorMisbehaviours lists the ways in which the supervisor can misbehave; see docs/supervisor.md.
 var SupervisorMisbehaviours = []string{"fail", "hang", "late", "half", "lose", "twice", "wrong", "forget"}
 
 // Fault is a scheduled fault with its targets drawn.
@@ -104,7 +104,7 @@
 
 	// Of the control plane: replicas of the registry and agents by number, controllers by name.
 	Replicas, Agents []int
-	Leader           bool // whichever replica is the leader at that time
+	Leader           bool // the replica that is the leader when the fault starts
 	Controllers      []string
 	Supervisor       bool
 
@@ -112,12 +112,12 @@
 	Misbehaviour, Operation string
 	CallCount               int
 
-	// Of links: the endpoints, and the directions in which the fault holds.
+	// Of links: the endpoints, and the directions that the fault affects.
 	SideA, SideB      EndpointSet
 	Forward, Backward bool // from A to B, from B to A
 }
 
-// Affects reports whether a link fault holds for messages from one endpoint to another.
+// Affects reports whether a link fault affects messages from one endpoint to another.
 func (f *Fault) Affects(from, to Endpoint) bool {
 	return f.Forward && f.SideA.contains(from) && f.SideB.contains(to) ||
 		f.Backward && f.SideB.contains(from) && f.SideA.contains(to)
@@ -182,49 +182,49 @@
 		}
 	}
 	requirements := requirementsByFault[fault.Kind]
-	switch requirements.parties {
-	case partyLinks:
+	switch requirements.components {
+	case componentLinks:
 		fault.SideA, fault.SideB = p.endpointSet(f.Between[0]), p.endpointSet(f.Between[1])
 		fault.Forward = f.Direction != directionReverse
 		fault.Backward = f.Direction != directionForward
-	case partyNone:
+	case componentNone:
 		if fault.Kind == FaultDiscoveryFalseRemoval {
 			fault.Servers = sampleShare(p.initialServers(), f.Share, rng)
 		}
 	default:
 		target, _ := parseTarget(f.Target, p.Experiment) // validated when the experiment was read
-		affected := target.parties & requirements.parties
-		if affected&partyServers != 0 || requirements.parties == partyZones {
+		affected := target.components & requirements.components
+		if affected&componentServers != 0 || requirements.components == componentZones {
 			fault.Servers = sampleShare(p.matchServers(target), f.Share, rng)
 		}
-		if affected&partySidecars != 0 {
+		if affected&componentSidecars != 0 {
 			fault.Sidecars = sampleShare(p.matchSidecars(target), f.Share, rng)
 		}
 	}
 	return fault
 }
 
-// resolveControlPlaneTarget sets the targets of a fault that are processes of the control plane, if it has such.
+// resolveControlPlaneTarget sets the targets of a fault that are processes of the control plane, if it has any.
 func (p *Plan) resolveControlPlaneTarget(spec *FaultSpec, fault *Fault) {
 	target, err := parseControlPlaneTarget(spec.Target, p.Experiment)
 	if err != nil {
 		return // its targets are servers or sidecars
 	}
-	switch target.parties {
-	case partyReplicas:
+	switch target.components {
+	case componentReplicas:
 		fault.Leader = target.leader
 		if !target.leader {
 			fault.Replicas = target.indexesBelow(RegistryReplicas)
 		}
-	case partyAgents:
+	case componentAgents:
 		fault.Agents = target.indexesBelow(len(p.Sidecars))
-	case partyControllers:
+	case componentControllers:
 		for _, controller := range p.Experiment.ControlPlane.Controllers {
 			if target.controller == "" || controller.Name == target.controller {
 				fault.Controllers = append(fault.Controllers, controller.Name)
 			}
 		}
-	case partySupervisor:
+	case componentSupervisor:
 		fault.Supervisor = true
 	}
 }
@@ -236,7 +236,7 @@
 	})
 }
 
-// label is the fault as reports name it.
+// label returns the name of the fault in reports.
 func (f *FaultSpec) label() string {
 	place := f.Target
 	if len(f.Between) == 2 {
--- a/internal/lab/hotkey_checker.go
+++ b/internal/lab/hotkey_checker.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	// readySampleCount is how many samples of the number of ready servers count, one a second: sidecars learn of a change
-	// with a delay.
+	// readySampleCount is the number of samples, one a second, whose highest number of ready servers bounds the copies:
+	// sidecars learn of a change with a delay.
 	readySampleCount = 4
 	// copyGraceMS is how long after the end of a directive sidecars may still follow it.
 	copyGraceMS = 1000
-	// hotKeyGraceMS is how long a key may be spread after it was hot.
+	// hotKeyGraceMS is how long a key may be replicated after it was hot.
 	hotKeyGraceMS = 60_000
-	// minCopies and minWarmupWork are allowed in the smallest fleet; warm-up work in multiples of a request's work per second.
-	minCopies     = 4
-	minWarmupWork = 30
+	// minAllowedCopies and minAllowedWarmupWork are allowed however small the fleet is. The unit of minAllowedWarmupWork is
+	// the mean work of a request per second.
+	minAllowedCopies     = 4
+	minAllowedWarmupWork = 30
 )
 
-// HotKeyChecker finds violations of RuleHotKeyCost, from what servers execute and from what the placement tells sidecars. It
-// never asks the controller. It also measures how hot keys are served. Times are ms of the run. It may not be used
-// concurrently.
+// HotKeyChecker detects violations of RuleHotKeyCost and measures how hot keys are served. Its input is the requests that
+// servers execute and the placement that sidecars get; it never queries the controller. Times are ms since the start of the
+// run. It may not be used concurrently.
 type HotKeyChecker struct {
 	checker           *Checker
 	plan              *Plan
 	periods           []hotKeyPeriod
-	allowedWarmupRate float64 // warm-up work that is allowed, ms per ms
+	allowedWarmupRate float64 // allowed warm-up work, ms per ms
 
 	copies       map[uint64]map[int]*copyState // by key and server
 	copyCount    int                           // in the placement
@@ -33,13 +34,13 @@
 	readySamples int
 
 	warmupBacklogMS, lastWarmupAt float64 // warm-up work that the allowed rate has not covered yet
-	exceeded                      bool    // the backlog is beyond its limit
+	exceeded                      bool    // the backlog is above its limit
 
 	warmupWorkMS, peakBacklogMS float64
 	peakCopiesShare             float64 // of the allowed copies
-	spreadKeys                  int
-	neverHot                    map[uint64]bool // keys that were spread without being hot
-	timeToSpread                []float64       // by period: ms until a replica served from its cache; below 0: none did
+	replicatedKeys              int
+	neverHot                    map[uint64]bool // keys that were replicated without being hot
+	timeToWarmReplica           []float64       // by period: ms until the first cache hit at a replica; below 0: none
 	hotKeys, otherKeys          servedTally
 	congestedSeconds            float64
 	cacheHits, keyedRequests    float64 // of requests with a key
@@ -53,20 +54,20 @@
 // copyState is a server that the placement has made a replica of a key.
 type copyState struct {
 	share float64 // of the key's load
-	until float64 // when it counts no more, ms; +Inf: it is in the placement
+	until float64 // end of the grace after its removal, ms; +Inf: it is in the placement
 }
 
 // NewHotKeyChecker returns the checker of a run, whose experiment has a HotKeySpec. Violations are reported to the checker.
 func NewHotKeyChecker(p *Plan, checker *Checker) *HotKeyChecker {
 	initial := len(p.initialServers())
 	fleetCapacity := p.MeanServerCapacity() * float64(initial)
-	allowedMSPerSecond := math.Max(p.Experiment.HotKeys.Limits.WarmupWorkShare*fleetCapacity, minWarmupWork*p.MeanWork())
+	allowedMSPerSecond := math.Max(p.Experiment.HotKeys.Limits.WarmupWorkShare*fleetCapacity, minAllowedWarmupWork*p.MeanWork())
 	h := &HotKeyChecker{
 		checker: checker, plan: p, periods: p.hotKeyPeriods(), copies: map[uint64]map[int]*copyState{},
 		neverHot: map[uint64]bool{}, allowedWarmupRate: allowedMSPerSecond / 1000,
 	}
 	for range h.periods {
-		h.timeToSpread = append(h.timeToSpread, -1)
+		h.timeToWarmReplica = append(h.timeToWarmReplica, -1)
 	}
 	h.RecordReadyServers(initial)
 	return h
@@ -78,14 +79,14 @@
 	h.readySamples++
 }
 
-// PlacementChanged records that the placement spreads a key over servers from now on, with the shares given. Without shares
-// the key is not spread any more.
+// PlacementChanged records that the placement distributes a key over servers from now on, by the given shares of its load.
+// Without shares the key is no longer replicated.
 func (h *HotKeyChecker) PlacementChanged(now float64, key uint64, shares map[int]float64) {
 	copies := h.copies[key]
 	if copies == nil {
 		copies = map[int]*copyState{}
 		h.copies[key] = copies
-		h.spreadKeys++
+		h.replicatedKeys++
 		if !h.wasHot(now, key) {
 			h.neverHot[key] = true
 		}
@@ -104,20 +105,20 @@
 	}
 }
 
-// PlacementWritten records that all changes of a plan have been reported.
+// PlacementWritten checks the number of copies once all changes of a plan have been recorded.
 func (h *HotKeyChecker) PlacementWritten(now float64) {
 	ready := 0
 	for _, n := range h.readyCounts {
 		ready = max(ready, n)
 	}
-	limit := math.Max(h.plan.Experiment.HotKeys.Limits.CopiesPerServer*float64(ready), minCopies)
+	limit := math.Max(h.plan.Experiment.HotKeys.Limits.CopiesPerServer*float64(ready), minAllowedCopies)
 	h.peakCopiesShare = math.Max(h.peakCopiesShare, float64(h.copyCount)/limit)
 	if float64(h.copyCount) > limit {
 		h.report(now, fmt.Sprintf("%d copies of keys are in the placement, at most %.0f may be", h.copyCount, limit))
 	}
 }
 
-// wasHot reports whether a key is hot or was so lately.
+// wasHot reports whether a key is hot or was hot within hotKeyGraceMS.
 func (h *HotKeyChecker) wasHot(now float64, key uint64) bool {
 	for _, period := range h.periods {
 		if period.key == key && now >= period.from && now <= period.to+hotKeyGraceMS {
@@ -148,7 +149,7 @@
 	}
 }
 
-// addWarmupWork adds additional work of a replica without the key in its cache.
+// addWarmupWork adds the extra work of a cache miss at a replica.
 func (h *HotKeyChecker) addWarmupWork(now, extraWorkMS float64) {
 	covered := h.allowedWarmupRate * math.Max(now-h.lastWarmupAt, 0)
 	h.warmupBacklogMS = math.Max(h.warmupBacklogMS-covered, 0) + extraWorkMS
@@ -166,8 +167,8 @@
 // recordWarmCopy records that a replica served a key from its cache.
 func (h *HotKeyChecker) recordWarmCopy(now float64, key uint64) {
 	for i, period := range h.periods {
-		if period.key == key && now >= period.from && now <= period.to && h.timeToSpread[i] < 0 {
-			h.timeToSpread[i] = now - period.from
+		if period.key == key && now >= period.from && now <= period.to && h.timeToWarmReplica[i] < 0 {
+			h.timeToWarmReplica[i] = now - period.from
 		}
 	}
 }
@@ -196,24 +197,24 @@
 	h.checker.report(now, RuleHotKeyCost, nil, detail)
 }
 
-// Metrics returns what was measured, by the names that results have.
+// Metrics returns the metrics by their names in results.
 func (h *HotKeyChecker) Metrics() map[string]float64 {
-	spreadCount, slowest, sum := 0.0, 0.0, 0.0
-	for _, ms := range h.timeToSpread {
+	replicatedCount, slowest, sum := 0.0, 0.0, 0.0
+	for _, ms := range h.timeToWarmReplica {
 		if ms >= 0 {
-			spreadCount++
+			replicatedCount++
 			sum += ms
 			slowest = math.Max(slowest, ms)
 		}
 	}
 	return map[string]float64{
-		"hot_keys":              float64(len(h.timeToSpread)),
-		"hot_found":             spreadCount,
-		"hot_carried_mean_ms":   roundMicros(sum / math.Max(spreadCount, 1)),
+		"hot_keys":              float64(len(h.timeToWarmReplica)),
+		"hot_found":             replicatedCount,
+		"hot_carried_mean_ms":   roundMicros(sum / math.Max(replicatedCount, 1)),
 		"hot_carried_most_ms":   roundMicros(slowest),
 		"hot_worth_share":       fraction(h.hotKeys.servedWeight, h.hotKeys.offeredWeight),
 		"rest_worth_share":      fraction(h.otherKeys.servedWeight, h.otherKeys.offeredWeight),
-		"spread_keys":           float64(h.spreadKeys),
+		"spread_keys":           float64(h.replicatedKeys),
 		"spread_never_hot":      float64(len(h.neverHot)),
 		"spread_cold_ms":        roundMicros(h.warmupWorkMS),
 		"spread_cold_of_budget": roundMicros(h.peakBacklogMS / (1000 * h.allowedWarmupRate)),
