--- a/internal/lab/live/controllers.go
+++ b/internal/lab/live/controllers.go
@@ -108,7 +108,7 @@
 }
 
 // runningProcess is the newest process, nil before the first start. It may have exited.
-func (c *controller) runningProcess() *proc.Process {
+func (c *controller) currentProcess() *proc.Process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.process
@@ -116,14 +116,14 @@
 
 // kill ends the process at once.
 func (c *controller) kill() {
-	if process := c.runningProcess(); process != nil {
+	if process := c.currentProcess(); process != nil {
 		process.Kill()
 	}
 }
 
 // stop ends the process gracefully. Whether it does so in time is not part of what the checker judges.
 func (c *controller) stop(ctx context.Context) {
-	if process := c.runningProcess(); process != nil && process.Running() {
+	if process := c.currentProcess(); process != nil && process.Running() {
 		if err := process.Stop(ctx); err != nil {
 			slog.Warn("controller shutdown failed", "controller", c.spec.Name, "error", err)
 		}
--- a/internal/lab/live/controlplane.go
+++ b/internal/lab/live/controlplane.go
@@ -209,7 +209,7 @@
 }
 
 // onFailure sets what recordFailure calls, and the context of the load after whose end nothing counts as a failure.
-func (c *controlPlane) onFailure(load context.Context, abort func()) {
+func (c *controlPlane) setLoad(load context.Context, abort func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.loadContext, c.abortLoad = load, abort
--- a/internal/lab/live/controlplane_faults.go
+++ b/internal/lab/live/controlplane_faults.go
@@ -18,7 +18,7 @@
 
 const (
 	// supervisorFaultAftermathMS is how long after a fault of the supervisor its effects may still show.
-	supervisorFaultAftermathMS = 5000
+	supervisorFaultRecoveryMS = 5000
 	// supervisorRequestTimeout bounds the requests that a fault makes: which replica leads, and to the supervisor.
 	supervisorRequestTimeout = 2 * time.Second
 	untilRunEndMS            = 1e12 // later than the end of any run
@@ -73,7 +73,7 @@
 	}
 	switch fault.Kind {
 	case lab.FaultSupervisor:
-		c.checker.SupervisorFault(fault.Misbehaviour, fault.StartMS, max(fault.StartMS, fault.EndMS)+supervisorFaultAftermathMS)
+		c.checker.SupervisorFault(fault.Misbehaviour, fault.StartMS, max(fault.StartMS, fault.EndMS)+supervisorFaultRecoveryMS)
 	case lab.FaultKill, lab.FaultFreeze, lab.FaultRestart, lab.FaultZoneOutage:
 		for _, i := range fault.Servers {
 			c.checker.FaultInjected(c.fleet.plan.Servers[i].UID, fault.StartMS, until)
@@ -160,7 +160,7 @@
 		processes = append(processes, c.fleet.registryService.agents[index])
 	}
 	for _, controller := range c.affectedControllers(fault) {
-		if process := controller.runningProcess(); process != nil {
+		if process := controller.currentProcess(); process != nil {
 			processes = append(processes, process)
 		}
 	}
--- a/internal/lab/live/direct_actions.go
+++ b/internal/lab/live/direct_actions.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	maxPlacedKeys = 100              // keys of which copies are placed
-	copyTTL       = 30 * time.Second // of the copies
+	maxKeysWithCopies = 100              // keys of which copies are placed
+	copyTTL           = 30 * time.Second // of the copies
 	// hotKeyLease is the lease of the hot-key controller.
 	hotKeyLease = "spread"
 )
@@ -84,7 +84,7 @@
 		now := time.Now()
 		loadFraction := 1 / float64(len(servers)+1) // what is left stays with the key's own server
 		var directives []placement.Directive
-		for i := range min(maxPlacedKeys, c.fleet.plan.Experiment.Clients.Keys) {
+		for i := range min(maxKeysWithCopies, c.fleet.plan.Experiment.Clients.Keys) {
 			key := fmt.Sprintf("%016x", hashKey(c.fleet.plan.ClientKey(i)))
 			directive := placement.Directive{
 				ID: "spread/" + key, Kind: placement.KindSpreadKey, KeyHash: key, ExpiresAtMS: now.Add(copyTTL).UnixMilli(),
--- a/internal/lab/live/discovery.go
+++ b/internal/lab/live/discovery.go
@@ -328,7 +328,7 @@
 }
 
 // isInformed reports whether a sidecar has been notified of a server's present incarnation.
-func (f *fleet) isInformed(sidecar, server int) bool {
+func (f *fleet) knowsIncarnation(sidecar, server int) bool {
 	agent, target := f.agents[sidecar], f.servers[server]
 	target.mu.Lock()
 	bootMS := target.bootMS
--- a/internal/lab/live/faults.go
+++ b/internal/lab/live/faults.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	restartPauseMS   = 100 // between the exit of a server and its next start, as in package sim
-	faultAftermathMS = 500 // after a freeze or partition, in which responses may still be late
+	restartPauseMS  = 100 // between the exit of a server and its next start, as in package sim
+	faultRecoveryMS = 500 // after a freeze or partition, in which responses may still be late
 )
 
 // injectFaults begins and ends the plan's faults, and starts and replaces servers, at their times. It returns once none
@@ -87,13 +87,13 @@
 		server.crash()
 		f.removeAfterSilence(server)
 	case lab.FaultZoneOutage:
-		f.network.update(func() { f.network.darkServers[server.number] = true })
+		f.network.update(func() { f.network.unreachableServers[server.number] = true })
 		logFaultFailure(fault.Label, server.setSilent(true))
 		f.removeAfterSilence(server)
 	case lab.FaultRestart:
 		go f.drainServer(ctx, server, true)
 	case lab.FaultFreeze:
-		f.network.update(func() { f.network.darkServers[server.number] = true })
+		f.network.update(func() { f.network.unreachableServers[server.number] = true })
 	case lab.FaultConnectionRefused:
 		for _, port := range server.ports {
 			port.close()
@@ -116,7 +116,7 @@
 	case lab.FaultRestart:
 		f.sidecarRestarts.Go(func() { f.restartSidecar(sidecar) })
 	case lab.FaultFreeze:
-		f.checker.ExcuseSidecar(sidecar.number, f.now()-timeoutToleranceMS, fault.EndMS+faultAftermathMS)
+		f.checker.ExcuseSidecar(sidecar.number, f.now()-timeoutToleranceMS, fault.EndMS+faultRecoveryMS)
 		sidecar.signal(syscall.SIGSTOP)
 	case lab.FaultReload:
 		f.reloadSidecar(sidecar)
@@ -178,13 +178,13 @@
 		}
 	case lab.FaultZoneOutage:
 		server.resetConnections()
-		f.network.update(func() { delete(f.network.darkServers, server.number) })
+		f.network.update(func() { delete(f.network.unreachableServers, server.number) })
 		logFaultFailure(fault.Label, server.setSilent(false))
 		if server.plan.ReplacedMS == 0 || f.now() < server.plan.ReplacedMS {
 			f.startServer(server)
 		}
 	case lab.FaultFreeze:
-		f.network.update(func() { delete(f.network.darkServers, server.number) })
+		f.network.update(func() { delete(f.network.unreachableServers, server.number) })
 	case lab.FaultConnectionRefused:
 		logFaultFailure(fault.Label, server.listen())
 	case lab.FaultDiscoveryFalseRemoval:
@@ -233,7 +233,7 @@
 	for number, process := range f.sidecars {
 		sidecar, client := sidecarEndpoint(number), lab.Endpoint{Kind: lab.ClientEndpoint, Index: number}
 		if active && (fault.Affects(client, sidecar) || fault.Affects(sidecar, client)) {
-			f.checker.ExcuseSidecar(process.number, f.now()-timeoutToleranceMS, fault.EndMS+faultAftermathMS)
+			f.checker.ExcuseSidecar(process.number, f.now()-timeoutToleranceMS, fault.EndMS+faultRecoveryMS)
 		}
 		for _, target := range f.servers {
 			server := lab.Endpoint{Kind: lab.ServerEndpoint, Index: target.number}
--- a/internal/lab/live/frontend.go
+++ b/internal/lab/live/frontend.go
@@ -26,13 +26,13 @@
 
 // The results of attempts, by which the lab's reports count them.
 const (
-	resultServed     = "served"
-	resultError      = "error"
-	resultExpired    = "expired"
-	resultFull       = "full"
-	resultReset      = "reset"
-	resultCorrupt    = "spoilt"
-	connectionClosed = "given up" // the sidecar closed the connection before the response
+	resultServed           = "served"
+	resultError            = "error"
+	resultExpired          = "expired"
+	resultFull             = "full"
+	resultReset            = "reset"
+	resultCorrupt          = "spoilt"
+	resultConnectionClosed = "given up" // the sidecar closed the connection before the response
 )
 
 // host is what a frontend runs in: the lab's own process, or the process of one server.
--- a/internal/lab/live/frontend_attempt.go
+++ b/internal/lab/live/frontend_attempt.go
@@ -36,8 +36,8 @@
 		frontend: f, client: client, received: received, requestID: requestID, attempt: attempt,
 	}
 	// A closed connection ends the attempt for the checker at once, whatever link is partitioned in between.
-	defer context.AfterFunc(ctx, func() { handler.end(connectionClosed) })()
-	defer handler.end(connectionClosed)
+	defer context.AfterFunc(ctx, func() { handler.end(resultConnectionClosed) })()
+	defer handler.end(resultConnectionClosed)
 	if !ok {
 		return handler.respond(ctx, http.StatusBadRequest, "", "")
 	}
@@ -89,7 +89,7 @@
 
 // run admits the request, has the model process it and answers it. False: the connection has to be closed.
 func (h *attemptHandler) run(ctx context.Context) bool {
-	s := h.frontend
+	f := h.frontend
 	arrives := func(ctx context.Context) bool { return h.attempt.deliverRequest(ctx, h.client.newConnection) }
 	if !awaitDelivery(ctx, arrives) {
 		return false
@@ -98,16 +98,16 @@
 		return h.finish(ctx, resultFull, http.StatusServiceUnavailable, notProcessedHeader, "")
 	}
 	if h.client.newConnection {
-		s.chargeHandshake()
+		f.chargeHandshake()
 	}
 	job := h.job()
-	result, accepted := s.submit(job)
+	result, accepted := f.submit(job)
 	if !accepted {
 		return h.finish(ctx, resultFull, http.StatusServiceUnavailable, notProcessedHeader, "")
 	}
 	select {
 	case <-ctx.Done():
-		s.cancel(job.Attempt)
+		f.cancel(job.Attempt)
 		return false
 	case completion := <-result:
 		return h.complete(ctx, completion)
@@ -125,23 +125,23 @@
 // job is the model's job for the attempt: with the deadline that its request states, and with what the server's
 // version does wrong.
 func (h *attemptHandler) job() lab.Job {
-	s := h.frontend
+	f := h.frontend
 	job := h.attempt.job()
 	if timeoutMS, err := strconv.ParseFloat(h.received.request.Header.Get("X-Timeout-Ms"), 64); err == nil {
-		job.ExpiresAt = s.host.now() - float64(time.Since(h.received.lastByteAt))/1e6 + timeoutMS
+		job.ExpiresAt = f.host.now() - float64(time.Since(h.received.lastByteAt))/1e6 + timeoutMS
 	}
-	if s.applyRegression != nil {
-		s.applyRegression(&job)
+	if f.applyRegression != nil {
+		f.applyRegression(&job)
 	}
 	return job
 }
 
 // complete answers a request that the model has processed, as the faults in force have it.
 func (h *attemptHandler) complete(ctx context.Context, completion lab.JobCompletion) bool {
-	s := h.frontend
-	s.mu.Lock()
-	unresponsive, resetShare, corruptShare := s.model.Unresponsive, s.model.ResetShare, s.model.CorruptShare
-	s.mu.Unlock()
+	f := h.frontend
+	f.mu.Lock()
+	unresponsive, resetShare, corruptShare := f.model.Unresponsive, f.model.ResetShare, f.model.CorruptShare
+	f.mu.Unlock()
 	switch {
 	case unresponsive:
 		<-ctx.Done()
@@ -158,7 +158,7 @@
 		return h.finish(ctx, resultCorrupt, http.StatusOK, "Content-Length: x\r\n", "noise")
 	}
 	h.attempt.responseProduced()
-	body := fmt.Sprintf("%016x %d", h.requestID, s.number)
+	body := fmt.Sprintf("%016x %d", h.requestID, f.number)
 	return h.finish(ctx, resultServed, http.StatusOK, "Content-Type: text/plain\r\n", body)
 }
 
--- a/internal/lab/live/lab_client.go
+++ b/internal/lab/live/lab_client.go
@@ -101,14 +101,14 @@
 	if err != nil {
 		return nil, false, fmt.Errorf("connect to the lab: %w", err)
 	}
-	lab := &labClient{process: process, rpcClient: rpc.NewClient(connection)}
-	var welcome HelloReply
+	client := &labClient{process: process, rpcClient: rpc.NewClient(connection)}
+	var reply HelloReply
 	hello := HelloRequest{Unit: process.unit.Name, Version: process.unit.Version, PID: os.Getpid()}
-	if err := lab.rpcClient.Call(methodHello, hello, &welcome); err != nil {
-		_ = lab.rpcClient.Close() // the failed call is the error that counts
+	if err := client.rpcClient.Call(methodHello, hello, &reply); err != nil {
+		_ = client.rpcClient.Close() // the failed call is the error that counts
 		return nil, false, fmt.Errorf("connect to the lab: %w", err)
 	}
-	return lab, welcome.First, nil
+	return client, reply.First, nil
 }
 
 // call calls the lab and waits for the reply. False: the lab does not answer, and reply is not set.
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	fleet.startOffset.Store(int64(time.Since(fleet.createdAt)))
-	result := fleet.play(ctx)
+	result := fleet.execute(ctx)
 	return result, fleet.controlPlane.firstFailure()
 }
 
@@ -176,7 +176,7 @@
 func (f *fleet) nextRequestID() uint64 { return f.lastRequestID.Add(1) }
 
 // isRetry counts an attempt at a request and reports whether there was one before it.
-func (f *fleet) isRetry(id uint64) bool {
+func (f *fleet) countAttempt(id uint64) bool {
 	value, ok := f.sentRequests.Load(id)
 	return ok && value.(*sentRequest).attempts.Add(1) > 1
 }
@@ -230,7 +230,7 @@
 }
 
 // play runs the load and the faults to their end, stops the sidecars and returns the result.
-func (f *fleet) play(ctx context.Context) *lab.Result {
+func (f *fleet) execute(ctx context.Context) *lab.Result {
 	loadContext, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	var background sync.WaitGroup
@@ -238,7 +238,7 @@
 	background.Go(func() { f.reportProgress(loadContext) })
 	background.Go(func() { f.injectFaults(loadContext) })
 	if f.controlPlane != nil {
-		f.controlPlane.onFailure(loadContext, stopLoad)
+		f.controlPlane.setLoad(loadContext, stopLoad)
 		background.Go(func() { f.controlPlane.runSteps(loadContext) })
 	}
 	f.generateLoad(loadContext)
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -56,13 +56,13 @@
 `
 
 // playFleet runs fleetExperiment.
-func playFleet(t *testing.T, ctx context.Context, duration, faults string) (*lab.Result, string) {
+func runFleet(t *testing.T, ctx context.Context, duration, faults string) (*lab.Result, string) {
 	t.Helper()
-	return playExperiment(t, ctx, fleetExperiment, duration, faults)
+	return runExperiment(t, ctx, fleetExperiment, duration, faults)
 }
 
 // playExperiment runs an experiment and reports the rules that it breaks.
-func playExperiment(t *testing.T, ctx context.Context, template, duration, faults string) (*lab.Result, string) {
+func runExperiment(t *testing.T, ctx context.Context, template, duration, faults string) (*lab.Result, string) {
 	t.Helper()
 	experiment, err := lab.Parse("live.toml", []byte(fmt.Sprintf(template, duration)+faults))
 	if err != nil {
@@ -114,7 +114,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			result, dir := playFleet(t, t.Context(), "2.6", faults)
+			result, dir := runFleet(t, t.Context(), "2.6", faults)
 			if result.Requests < 200 || result.ServedShare < 0.6 {
 				t.Errorf("%d requests, %.3f served; attempts %v\n%s", result.Requests, result.ServedShare, result.AttemptsByResult, LogTail(dir))
 			}
@@ -141,7 +141,7 @@
 func TestInterruptedRunStopsItsProcesses(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(1500*time.Millisecond, cancel) // while the load is sent
-	result, _ := playFleet(t, ctx, "60", faultTOML("freeze", "sidecar:0", "0.2", "50", ""))
+	result, _ := runFleet(t, ctx, "60", faultTOML("freeze", "sidecar:0", "0.2", "50", ""))
 	if !result.CutShort || result.Requests == 0 {
 		t.Errorf("cut short: %v, %d requests", result.CutShort, result.Requests)
 	}
@@ -170,11 +170,11 @@
 func TestGossipBetweenProcesses(t *testing.T) {
 	const bytesPerRequest, burst = 2.2, 400 + 39 // balance's gossip budget at a cost of 0.06, gossipBurstBytes, and a poll
 	const initialRequests = 3 * 2                // each polls the others at its start, before the first fault
-	play := func(t *testing.T, partition string) *lab.Result {
+	run := func(t *testing.T, partition string) *lab.Result {
 		faults := "[limits]\nmay_tell = true\ncancel = true\n[prices]\npeer = 0.06\n" +
 			faultTOML("slow", "server:0-19", "0.4", "1", "by = 40") + faultTOML("slow", "server:0-19", "1.8", "1", "by = 40")
 		manyServers := strings.Replace(fleetExperiment, "count = 6\n", "count = 60\nwarm_gain = 0.3\nwarm_ms = 5000\nwarm_keys = 50\n", 1)
-		result, _ := playExperiment(t, t.Context(), manyServers, "2.8", faults+partition)
+		result, _ := runExperiment(t, t.Context(), manyServers, "2.8", faults+partition)
 		if limit := bytesPerRequest*float64(result.Requests) + 3*burst; float64(result.GossipBytes) > limit {
 			t.Errorf("%d bytes of gossip with %d requests, at most %.0f", result.GossipBytes, result.Requests, limit)
 		}
@@ -185,19 +185,19 @@
 	}
 	t.Run("connected", func(t *testing.T) {
 		t.Parallel()
-		if result := play(t, ""); result.GossipMessages <= initialRequests {
+		if result := run(t, ""); result.GossipMessages <= initialRequests {
 			t.Errorf("no gossip, %d messages", result.GossipMessages)
 		}
 	})
 	t.Run("partitioned", func(t *testing.T) {
 		t.Parallel()
-		if result := play(t, partition("0", "9")); result.GossipMessages > initialRequests {
+		if result := run(t, partition("0", "9")); result.GossipMessages > initialRequests {
 			t.Errorf("%d messages crossed the partition", result.GossipMessages)
 		}
 	})
 	t.Run("healed", func(t *testing.T) {
 		t.Parallel()
-		if result := play(t, partition("0", "1.6")); result.GossipMessages <= initialRequests {
+		if result := run(t, partition("0", "1.6")); result.GossipMessages <= initialRequests {
 			t.Error("no gossip once the partition had healed")
 		}
 	})
--- a/internal/lab/live/network.go
+++ b/internal/lab/live/network.go
@@ -11,10 +11,10 @@
 // network models the links between clients, sidecars, servers and discovery: which faults are in force on them. It is
 // safe for concurrent use.
 type network struct {
-	mu          sync.Mutex
-	faults      []*lab.Fault
-	darkServers map[int]bool  // servers whose machine is unreachable, or whose process is stopped
-	changed     chan struct{} // closed and replaced at each change
+	mu                 sync.Mutex
+	faults             []*lab.Fault
+	unreachableServers map[int]bool  // servers whose machine is unreachable, or whose process is stopped
+	changed            chan struct{} // closed and replaced at each change
 }
 
 // linkState is the state of a link in one direction.
@@ -26,7 +26,7 @@
 }
 
 func newNetwork() *network {
-	return &network{darkServers: map[int]bool{}, changed: make(chan struct{})}
+	return &network{unreachableServers: map[int]bool{}, changed: make(chan struct{})}
 }
 
 // update applies a change and wakes all messages that wait for a partition to end.
@@ -44,7 +44,7 @@
 	defer n.mu.Unlock()
 	state := linkState{changed: n.changed}
 	for _, end := range []lab.Endpoint{from, to} {
-		if end.Kind == lab.ServerEndpoint && n.darkServers[end.Index] {
+		if end.Kind == lab.ServerEndpoint && n.unreachableServers[end.Index] {
 			state.partitioned = true
 		}
 	}
--- a/internal/lab/live/process_watch.go
+++ b/internal/lab/live/process_watch.go
@@ -24,7 +24,7 @@
 
 // processStarted reports a process of a unit to the checker, once.
 func (c *controlPlane) processStarted(unit string, pid int, version string) {
-	c.reapExited(unit) // the one before it may have exited since the last poll
+	c.reportExited(unit) // the one before it may have exited since the last poll
 	c.mu.Lock()
 	_, known := c.processes[pid]
 	c.processes[pid] = &unitProcess{unit, version}
@@ -62,12 +62,12 @@
 			}
 			c.processStarted(unit, pid, version)
 		}
-		c.reapExited("")
+		c.reportExited("")
 	}
 }
 
 // reapExited reports the processes of a unit that have exited; of all units where it is "".
-func (c *controlPlane) reapExited(unit string) {
+func (c *controlPlane) reportExited(unit string) {
 	c.mu.Lock()
 	var exited []int
 	for pid, process := range c.processes {
@@ -99,7 +99,7 @@
 }
 
 // newestProcess is the pid of a unit's running process, 0 if there is none.
-func (c *controlPlane) newestProcess(unit string) int {
+func (c *controlPlane) newestPID(unit string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	pid := 0
@@ -135,7 +135,7 @@
 		c.background.Go(func() {
 			readyPID := 0 // the process that was ready
 			for sleep(c.ctx, readinessPollInterval) && !c.finished.Load() {
-				pid := c.newestProcess(unit)
+				pid := c.newestPID(unit)
 				if pid == 0 {
 					continue
 				}
--- a/internal/lab/live/server.go
+++ b/internal/lab/live/server.go
@@ -103,7 +103,7 @@
 }
 
 func (s *server) pathTo(sidecar int) networkPath {
-	return &sidecarPath{fleet: s.fleet, server: s.number, sidecar: sidecar}
+	return &modelledPath{fleet: s.fleet, server: s.number, sidecar: sidecar}
 }
 
 func (s *server) beginAttempt(requestID uint64, sidecar int, received receivedRequest) (serverAttempt, bool) {
--- a/internal/lab/live/server_network.go
+++ b/internal/lab/live/server_network.go
@@ -9,23 +9,23 @@
 )
 
 // sidecarPath is the modelled network between a sidecar and a server.
-type sidecarPath struct {
+type modelledPath struct {
 	fleet           *fleet
 	server, sidecar int
 }
 
 // latency is the one-way delay between the sidecar's zone and the server, with jitter.
-func (p *sidecarPath) latency() time.Duration {
+func (p *modelledPath) latency() time.Duration {
 	delayMS := p.fleet.plan.Servers[p.server].DelayByZone[p.fleet.plan.Sidecars[p.sidecar].Zone]
 	return milliseconds(delayMS * (1 + p.fleet.plan.Experiment.Network.Jitter*(2*rand.Float64()-1)))
 }
 
 // endpoints are the two ends of the link.
-func (p *sidecarPath) endpoints() (server, sidecar lab.Endpoint) {
+func (p *modelledPath) endpoints() (server, sidecar lab.Endpoint) {
 	return lab.Endpoint{Kind: lab.ServerEndpoint, Index: p.server}, sidecarEndpoint(p.sidecar)
 }
 
-func (p *sidecarPath) deliverRequest(ctx context.Context, newConnection bool) bool {
+func (p *modelledPath) deliverRequest(ctx context.Context, newConnection bool) bool {
 	server, sidecar := p.endpoints()
 	oneWayTrips := 1.0
 	if newConnection {
@@ -35,14 +35,14 @@
 	return p.fleet.network.transmit(ctx, sidecar, server, delay, rand.Float64())
 }
 
-func (p *sidecarPath) deliverResponse(ctx context.Context) bool {
+func (p *modelledPath) deliverResponse(ctx context.Context) bool {
 	server, sidecar := p.endpoints()
 	return p.fleet.network.transmit(ctx, server, sidecar, p.latency(), rand.Float64())
 }
 
 // observedAttempt is an attempt at a server in this or in its own process, which the checker and the recorder follow.
 type observedAttempt struct {
-	sidecarPath
+	modelledPath
 	requestID uint64
 	attempt   int64
 	request   *sentRequest // nil: no client sent the request
@@ -52,7 +52,7 @@
 func (f *fleet) recordAttempt(server int, requestID uint64, sidecar int, firstByteAt, lastByteAt time.Time) (*observedAttempt, bool) {
 	request, ok := f.sentRequests.Load(requestID)
 	attempt := &observedAttempt{
-		sidecarPath: sidecarPath{f, server, sidecar}, requestID: requestID, attempt: f.lastAttempt.Add(1),
+		modelledPath: modelledPath{f, server, sidecar}, requestID: requestID, attempt: f.lastAttempt.Add(1),
 	}
 	if ok {
 		attempt.request = request.(*sentRequest)
@@ -68,7 +68,7 @@
 	return lab.Job{
 		Attempt: a.attempt, Request: a.requestID, Class: request.Class,
 		Key: request.Key, EffectID: request.EffectID, WorkMS: request.WorkMS,
-		SenderInformed: a.fleet.isInformed(a.sidecar, a.server),
+		SenderInformed: a.fleet.knowsIncarnation(a.sidecar, a.server),
 	}
 }
 
@@ -77,7 +77,7 @@
 // endedAt ends the attempt at a time of the run in ms.
 func (a *observedAttempt) endedAt(now float64, result string) {
 	a.fleet.checker.AttemptEnded(now, a.requestID, a.attempt, result)
-	a.fleet.recorder.AttemptDone(now, a.sidecar, a.server, a.fleet.isRetry(a.requestID), result)
+	a.fleet.recorder.AttemptDone(now, a.sidecar, a.server, a.fleet.countAttempt(a.requestID), result)
 }
 
 func (a *observedAttempt) responseProduced() {
--- a/internal/lab/live/server_process.go
+++ b/internal/lab/live/server_process.go
@@ -99,9 +99,9 @@
 
 const (
 	// maxDrain bounds the graceful shutdown. The supervisor kills the process sooner where its grace period is shorter.
-	maxDrain     = 60 * time.Second
-	leakInterval = 50 * time.Millisecond
-	pageSize     = 4096
+	maxDrainDuration = 60 * time.Second
+	leakInterval     = 50 * time.Millisecond
+	pageSize         = 4096
 )
 
 // errFailsAtStart is the error of a version that fails at its start.
@@ -176,11 +176,11 @@
 	if config.LabAddress == "" {
 		process.observer, process.effects = &standaloneObserver{process: process}, lab.NewMemoryEffectStore()
 	} else {
-		lab, firstIncarnation, err := dialLab(process)
+		client, firstIncarnation, err := dialLab(process)
 		if err != nil {
 			return nil, err
 		}
-		process.observer, process.effects = lab, lab
+		process.observer, process.effects = client, client
 		slowStart = slowStart || !firstIncarnation
 	}
 	model := lab.NewServer(plan, 0, process.effects)
@@ -288,7 +288,7 @@
 		return nil
 	}
 	listener.Close()
-	deadline := time.Now().Add(maxDrain)
+	deadline := time.Now().Add(maxDrainDuration)
 	for idlePolls := 0; idlePolls < drainIdlePolls && time.Now().Before(deadline); idlePolls++ {
 		if p.openAttempts.Load() > 0 {
 			idlePolls = 0
--- a/internal/lab/live/server_session.go
+++ b/internal/lab/live/server_session.go
@@ -79,7 +79,7 @@
 }
 
 // Hello starts the incarnation. It has to be the first call.
-func (s *serverSession) Hello(hello HelloRequest, welcome *HelloReply) error {
+func (s *serverSession) Hello(hello HelloRequest, reply *HelloReply) error {
 	number, ok := s.controlPlane.serverByUnit[hello.Unit]
 	if !ok {
 		return fmt.Errorf("no server %q", hello.Unit)
@@ -89,7 +89,7 @@
 	s.server, s.pid, s.version = fleet.servers[number], hello.PID, hello.Version
 	s.firstIncarnation = fleet.startOffset.Load() == 0
 	s.mu.Unlock()
-	welcome.First = s.firstIncarnation
+	reply.First = s.firstIncarnation
 	s.controlPlane.processStarted(hello.Unit, hello.PID, hello.Version)
 	return nil
 }
@@ -116,7 +116,7 @@
 	s.attempts = map[int64]*observedAttempt{}
 	s.mu.Unlock()
 	for _, attempt := range attempts {
-		attempt.endedAt(now, connectionClosed)
+		attempt.endedAt(now, resultConnectionClosed)
 	}
 	s.controlPlane.serverExited(server, terminationRequested)
 }
