--- a/internal/lab/proc/block.go
+++ b/internal/lab/proc/block.go
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// The blocks are 127.B.0.0/16 for B from firstBlock to lastBlock. A listener at a fixed address within a block holds its
-// reservation, so that the kernel releases it with the process.
+// The blocks are 127.B.0.0/16 for B from firstBlock to lastBlock. A listener at a fixed address within a block is its
+// reservation, so that the kernel ends the reservation when the process exits.
 const (
 	firstBlock      = 64
 	lastBlock       = 126
@@ -16,7 +16,7 @@
 	hostsPerNet     = 250
 )
 
-// Block is a reserved part of the loopback range. Runs and tests that run at the same time, also in different processes,
+// Block is a reserved part of the loopback range. It ensures that concurrent runs and tests, also in different processes,
 // never share an address.
 type Block struct {
 	number      int
@@ -41,8 +41,8 @@
 // Release ends the reservation.
 func (b *Block) Release() { b.reservation.Close() }
 
-// Addr returns an address in the block as host:port. Hosts are counted from the first address of the /24 subnet, and go
-// on in the subnets that follow it.
+// Addr returns an address in the block as host:port. Host 0 is the first address of the /24 subnet; after hostsPerNet
+// hosts the numbering continues in the next subnet.
 func (b *Block) Addr(subnet, host, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", b.number, subnet+host/hostsPerNet, 1+host%hostsPerNet, port)
 }
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -1,6 +1,7 @@
-// Package proc starts programs of the project as child processes, for the lab and for tests. It owns the children's log
-// files, waits for log lines and exits within a bound, and signals only what it started. The kernel kills the children
-// when the parent exits. It does not restart a process that exits: that is the caller's decision.
+// Package proc starts programs of the project as child processes, for the lab and for tests. It writes their output to log
+// files, waits for log lines and exits with a timeout, and sends signals only to processes that it started. The kernel
+// kills the children when the parent exits. The package does not restart a process that exits: that is the caller's
+// decision.
 package proc
 
 import (
@@ -20,7 +21,7 @@
 )
 
 const (
-	// logTailBytes is how much of the end of a log an error shows.
+	// logTailBytes is the number of bytes that an error message shows from the end of a log.
 	logTailBytes = 4 << 10
 	// logPollInterval is how often WaitLog reads a log again.
 	logPollInterval = 5 * time.Millisecond
@@ -48,8 +49,8 @@
 	waitError error // the result of Wait; valid once done is closed
 }
 
-// spawnThread returns the channel of tasks of one thread that starts all children. The kernel sends a child its
-// Pdeathsig when the thread that started it exits, and the runtime may end the thread of any goroutine at any time.
+// spawnThread returns the task channel of one thread that starts all children. The kernel sends a child its Pdeathsig
+// when the thread that started it exits, and the Go runtime may end the thread of any other goroutine at any time.
 var spawnThread = sync.OnceValue(func() chan func() {
 	tasks := make(chan func())
 	go func() {
@@ -61,7 +62,7 @@
 	return tasks
 })
 
-// Start starts a child process. Its log file and the folder of that are created when they are missing.
+// Start starts a child process. It creates the log file and its folder if they are missing.
 func Start(spec Spec) (*Process, error) {
 	if err := os.MkdirAll(filepath.Dir(spec.Log), 0o755); err != nil {
 		return nil, fmt.Errorf("%s: %w", spec.Name, err)
@@ -112,13 +113,13 @@
 // PID returns the process id.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Wait waits until the process has exited. A nil error is exit status 0; others are those of exec.Cmd.Wait.
+// Wait waits until the process has exited. It returns nil for exit status 0, else the error of exec.Cmd.Wait.
 func (p *Process) Wait() error {
 	<-p.done
 	return p.waitError
 }
 
-// Signal sends a signal. A process that has exited gets none, which is no error.
+// Signal sends a signal. If the process has exited, it sends none and returns nil.
 func (p *Process) Signal(signal syscall.Signal) error {
 	err := p.command.Process.Signal(signal)
 	if errors.Is(err, os.ErrProcessDone) {
@@ -134,10 +135,10 @@
 	}
 }
 
-// Stop ends the process with SIGTERM, also one that is stopped by SIGSTOP. When ctx ends first it kills the process and
-// the error wraps that of ctx; otherwise the error is that of Wait.
+// Stop ends the process with SIGTERM, even if it is stopped by SIGSTOP. If ctx ends first, Stop kills the process and
+// returns an error that wraps the one of ctx; otherwise it returns the error of Wait.
 func (p *Process) Stop(ctx context.Context) error {
-	// A signal that cannot be sent shows below: the process does not exit before ctx ends.
+	// If a signal cannot be sent, the process does not exit before ctx ends, which is reported below.
 	_ = p.Signal(syscall.SIGCONT)
 	_ = p.Signal(syscall.SIGTERM)
 	select {
@@ -152,7 +153,8 @@
 	}
 }
 
-// Log returns the end of what this process has logged, or the error of reading it: it is meant for messages.
+// Log returns the end of what this process has logged, or the text of the error if that cannot be read. It is meant for
+// error messages.
 func (p *Process) Log() string {
 	content, err := p.readLog()
 	if err != nil {
@@ -194,11 +196,11 @@
 			}
 		}
 		if ended {
-			return "", fmt.Errorf("%s ended before it logged %q; its log ends:\n%s", p.Name, text, p.Log())
+			return "", fmt.Errorf("%s exited before it logged %q; end of its log:\n%s", p.Name, text, p.Log())
 		}
 		select {
 		case <-ctx.Done():
-			return "", fmt.Errorf("%s did not log %q: %w; its log ends:\n%s", p.Name, text, ctx.Err(), p.Log())
+			return "", fmt.Errorf("%s did not log %q: %w; end of its log:\n%s", p.Name, text, ctx.Err(), p.Log())
 		case <-ticker.C:
 		}
 	}
--- a/internal/lab/proc/proctest/proctest.go
+++ b/internal/lab/proc/proctest/proctest.go
@@ -1,5 +1,5 @@
-// Package proctest serves tests that start the project's programs as processes: it builds each program once a test
-// binary, and reserves loopback addresses. Package proc starts them.
+// Package proctest supports tests that start the project's programs as processes: it builds each program once per test
+// binary, and reserves loopback addresses. Package proc starts the processes.
 package proctest
 
 import (
@@ -21,12 +21,12 @@
 func Main(m *testing.M) {
 	code := m.Run()
 	if builtPrograms.dir != "" {
-		_ = os.RemoveAll(builtPrograms.dir) // a temporary folder: what is left of it does not make the tests fail
+		_ = os.RemoveAll(builtPrograms.dir) // a temporary folder: remaining files are no reason for the tests to fail
 	}
 	os.Exit(code)
 }
 
-// Program returns the path of a program of cmd, which is built once for all tests of the package.
+// Program returns the path of the program in cmd/NAME. It builds each program once for all tests of the package.
 func Program(t testing.TB, name string) string {
 	t.Helper()
 	builtPrograms.mu.Lock()
