--- a/internal/lab/live/controlplane_test.go
+++ b/internal/lab/live/controlplane_test.go
@@ -62,12 +62,13 @@
 most = 1
 `
 
-// stepTOML is an operator's step of an experiment.
+// stepTOML returns an operator's step of an experiment in TOML.
 func stepTOML(action, target, atSeconds string) string {
 	return fmt.Sprintf("[[control.step]]\nat_s = %s\ndo = %q\ntarget = %q\n", atSeconds, action, target)
 }
 
-// Faults alone break no rule of the control plane. Steps that bypass the controllers do, and the checker finds them.
+// Faults alone violate no rule of the control plane. The checker detects the violations of steps that bypass the
+// controllers.
 func TestControlPlane(t *testing.T) {
 	for _, test := range []struct {
 		name, extra string
@@ -96,7 +97,7 @@
 			}
 			for _, rule := range lab.ControlPlaneRules {
 				if slices.Contains(test.want, rule) != (result.ViolationsByRule[rule] > 0) {
-					t.Errorf("rule %s broken %d times", rule, result.ViolationsByRule[rule])
+					t.Errorf("rule %s violated %d times", rule, result.ViolationsByRule[rule])
 				}
 			}
 			if result.Requests < 100 || result.ServedShare < 0.6 {
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -55,13 +55,13 @@
 rate = 120
 `
 
-// playFleet runs fleetExperiment.
+// runFleet runs fleetExperiment.
 func runFleet(t *testing.T, ctx context.Context, duration, faults string) (*lab.Result, string) {
 	t.Helper()
 	return runExperiment(t, ctx, fleetExperiment, duration, faults)
 }
 
-// playExperiment runs an experiment and reports the rules that it breaks.
+// runExperiment runs an experiment and reports each violated rule as a test error.
 func runExperiment(t *testing.T, ctx context.Context, template, duration, faults string) (*lab.Result, string) {
 	t.Helper()
 	experiment, err := lab.Parse("live.toml", []byte(fmt.Sprintf(template, duration)+faults))
@@ -82,7 +82,7 @@
 	return result, dir
 }
 
-// faultTOML is a fault of an experiment.
+// faultTOML returns a fault of an experiment in TOML.
 func faultTOML(kind, target, atSeconds, lastsSeconds, extra string) string {
 	text := fmt.Sprintf("[[fault]]\nkind = %q\nat_s = %s\n%s\n", kind, atSeconds, extra)
 	if target != "" {
@@ -94,7 +94,7 @@
 	return text
 }
 
-// Real processes under every kind of fault break no rule and serve most requests.
+// Real processes under every kind of fault violate no rule and serve most requests.
 func TestFleetUnderFaults(t *testing.T) {
 	for name, faults := range map[string]string{
 		"processes": faultTOML("kill", "sidecar:0", "0.8", "0.3", "") + faultTOML("freeze", "sidecar:1", "1", "0.4", "") +
@@ -157,10 +157,10 @@
 		var pid, parent int
 		var name, state string
 		if _, err := fmt.Sscan(string(data), &pid, &name, &state, &parent); err != nil {
-			continue // a name with a space: not a sidecar's
+			continue // the process name has a space: not a sidecar
 		}
 		if parent == syscall.Getpid() && name == "(sidecar)" && state != "Z" {
-			t.Errorf("process %d is left", pid)
+			t.Errorf("process %d is still running", pid)
 		}
 	}
 }
@@ -169,14 +169,14 @@
 // healed they send no more than the budget that the requests earn.
 func TestGossipBetweenProcesses(t *testing.T) {
 	const bytesPerRequest, burst = 2.2, 400 + 39 // balance's gossip budget at a cost of 0.06, gossipBurstBytes, and a poll
-	const initialRequests = 3 * 2                // each polls the others at its start, before the first fault
+	const initialRequests = 3 * 2                // each sidecar polls the others at its start, before the first fault
 	run := func(t *testing.T, partition string) *lab.Result {
 		faults := "[limits]\nmay_tell = true\ncancel = true\n[prices]\npeer = 0.06\n" +
 			faultTOML("slow", "server:0-19", "0.4", "1", "by = 40") + faultTOML("slow", "server:0-19", "1.8", "1", "by = 40")
 		manyServers := strings.Replace(fleetExperiment, "count = 6\n", "count = 60\nwarm_gain = 0.3\nwarm_ms = 5000\nwarm_keys = 50\n", 1)
 		result, _ := runExperiment(t, t.Context(), manyServers, "2.8", faults+partition)
 		if limit := bytesPerRequest*float64(result.Requests) + 3*burst; float64(result.GossipBytes) > limit {
-			t.Errorf("%d bytes of gossip with %d requests, at most %.0f", result.GossipBytes, result.Requests, limit)
+			t.Errorf("%d bytes of gossip with %d requests, want at most %.0f", result.GossipBytes, result.Requests, limit)
 		}
 		return result
 	}
@@ -186,7 +186,7 @@
 	t.Run("connected", func(t *testing.T) {
 		t.Parallel()
 		if result := run(t, ""); result.GossipMessages <= initialRequests {
-			t.Errorf("no gossip, %d messages", result.GossipMessages)
+			t.Errorf("no gossip besides the initial polls: %d messages", result.GossipMessages)
 		}
 	})
 	t.Run("partitioned", func(t *testing.T) {
@@ -198,7 +198,7 @@
 	t.Run("healed", func(t *testing.T) {
 		t.Parallel()
 		if result := run(t, partition("0", "1.6")); result.GossipMessages <= initialRequests {
-			t.Error("no gossip once the partition had healed")
+			t.Error("no gossip after the partition had healed")
 		}
 	})
 }
--- a/internal/lab/live/server_process_test.go
+++ b/internal/lab/live/server_process_test.go
@@ -37,8 +37,8 @@
 effect = "safe"
 `
 
-// startServer starts a server process with a regression, in TOML. With serves it waits until the process accepts
-// connections and returns its address.
+// startServer starts a server process with a regression, in TOML. If serves is set, it waits until the process accepts
+// connections and returns the address.
 func startServer(t *testing.T, work, regression string, serves bool) (*proc.Process, string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -70,7 +70,7 @@
 	return process, address
 }
 
-// sendRequest sends a request as a sidecar does and returns the status, 0 where there is no response.
+// sendRequest sends a request as a sidecar does and returns the status, 0 if there is no response.
 func sendRequest(t *testing.T, address, class string, id int) int {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+"/api", nil)
@@ -92,7 +92,7 @@
 	return response.StatusCode
 }
 
-// readinessOf is the status of the readiness check, 0 where there is no response.
+// readinessOf returns the status of the readiness check, 0 if there is no response.
 func readinessOf(t *testing.T, address string) int {
 	t.Helper()
 	response, err := http.Get("http://" + address + "/health/ready")
@@ -109,7 +109,7 @@
 		t.Parallel()
 		process, address := startServer(t, "400, 400", "", true)
 		if status := readinessOf(t, address); status != http.StatusOK {
-			t.Errorf("readiness check: %d", status)
+			t.Errorf("readiness check: status %d", status)
 		}
 		statuses := make(chan int)
 		go func() { statuses <- sendRequest(t, address, "read", 7) }()
