--- a/internal/lab/live/addresses.go
+++ b/internal/lab/live/addresses.go
@@ -12,39 +12,40 @@
 // addresses assigns the addresses of a run within its block of the loopback range.
 type addresses struct{ *proc.Block }
 
-// logTailBytes is how much of the end of each log LogTail returns.
+// logTailBytes is the number of bytes that LogTail returns from the end of each log.
 const logTailBytes = 2000
 
 const (
 	sidecarPort     = 8081
 	gossipPort      = 7946
 	firstGossipNet  = 8     // first /24 subnet of the gossip relay
-	firstServerPort = 10000 // plus the number of the sidecar that connects to it
-	firstServerNet  = 16    // first /24 subnet of servers; below it are sidecars and discovery
+	firstServerPort = 10000 // a port is this plus the number of the sidecar that connects to it
+	firstServerNet  = 16    // first /24 subnet of servers; sidecars, discovery and gossip use lower ones
 )
 
-// sidecar is where a sidecar listens for its application.
+// sidecar returns the address at which a sidecar accepts its application's requests.
 func (a addresses) sidecar(number int) string { return a.Addr(1, number, sidecarPort) }
 
-// gossipListen is where a sidecar receives gossip.
+// gossipListen returns the address at which a sidecar receives gossip.
 func (a addresses) gossipListen(sidecar int) string { return a.Addr(1, sidecar, gossipPort) }
 
-// gossipRelay is where the others send gossip to a sidecar: the relay forwards it to gossipListen.
+// gossipRelay returns the address to which other sidecars send gossip to a sidecar. The relay forwards it to
+// gossipListen.
 func (a addresses) gossipRelay(sidecar int) string {
 	return a.Addr(firstGossipNet, sidecar, gossipPort)
 }
 
-// discovery is one of the two alternative addresses of a sidecar's discovery agent.
+// discovery returns one of the two alternative addresses of a sidecar's discovery agent.
 func (a addresses) discovery(sidecar, alternative int) string {
 	return a.Addr(0, alternative, firstServerPort+sidecar)
 }
 
-// server is where the server in a slot listens for one sidecar.
+// server returns the address at which the server in an address slot listens for one sidecar.
 func (a addresses) server(slot, sidecar int) string {
 	return a.Addr(firstServerNet, slot, firstServerPort+sidecar)
 }
 
-// LogTail returns the ends of all logs in a run's folder, for the message of a failure.
+// LogTail returns the ends of all logs in a run's folder, for a failure message.
 func LogTail(dir string) string {
 	var tail strings.Builder
 	paths, _ := filepath.Glob(filepath.Join(dir, "*.log")) // the pattern is well-formed
--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -17,25 +17,26 @@
 )
 
 const (
-	// maxSendDelay is how late the lab may start a request for it to count. A later one would measure the lab's own
-	// machine.
+	// maxSendDelay is the longest delay with which the lab still sends a request. It skips a request that is later,
+	// which would measure the lab's own machine.
 	maxSendDelay = 50 * time.Millisecond
-	// lateResponseWait is how long after its timeout a client still listens, to tell a late response from none.
+	// lateResponseWait is how long a client keeps reading after the timeout, to distinguish a late response from a
+	// missing one.
 	lateResponseWait = 300 * time.Millisecond
 	dialTimeout      = 500 * time.Millisecond
-	// maxConnectionIdle is below the 2 s of idleness after which a sidecar may close a connection.
+	// maxConnectionIdle is shorter than the 2 s after which a sidecar may close an idle connection.
 	maxConnectionIdle = 1500 * time.Millisecond
 	emptyJSONBody     = "{}"
 )
 
-// sentRequest is a request that a client has sent. Servers look it up by its id.
+// sentRequest is a request that a client has sent. Servers look it up by the request ID.
 type sentRequest struct {
 	*lab.Arrival
-	attempts atomic.Int32 // that servers have received
+	attempts atomic.Int32 // received by servers
 }
 
-// generateLoad sends the plan's requests at their times, an open loop: it does not wait for responses. It returns when
-// all are sent or ctx ends; requests in flight go on.
+// generateLoad sends the plan's requests at their scheduled times in an open loop: it does not wait for responses. It
+// returns when all requests are sent or ctx ends; requests in flight continue.
 func (f *fleet) generateLoad(ctx context.Context) {
 	arrivals := f.plan.Arrivals()
 	for {
@@ -57,7 +58,7 @@
 	}
 }
 
-// sendWithRetries makes the attempts of one request, as the plan has its client retry.
+// sendWithRetries sends one request and retries it as the plan specifies for its client.
 func (f *fleet) sendWithRetries(arrival *lab.Arrival) {
 	ctx := f.ctx
 	if arrival.DisconnectAfterMS > 0 {
@@ -82,14 +83,14 @@
 }
 
 // sendAttempt sends the request once and waits for its response. It returns the outcome and the Retry-After of the
-// response in ms, 0 where there is none.
+// response in ms, or 0 if there is none.
 func (f *fleet) sendAttempt(ctx context.Context, arrival *lab.Arrival, number int) (lab.Outcome, float64) {
 	client, sidecar := clientLink(arrival)
 	timeout := f.plan.AttemptTimeout(arrival, f.now())
 	ctx, cancel := context.WithTimeout(ctx, milliseconds(timeout)+lateResponseWait)
 	defer cancel()
 	if !f.network.transmit(ctx, client, sidecar, 0, rand.Float64()) {
-		sleep(ctx, milliseconds(timeout)) // the request never arrived: the client waits in vain
+		sleep(ctx, milliseconds(timeout)) // the request is lost: the client waits until its timeout
 		return lab.OutcomeNoResponse, 0
 	}
 	process := f.sidecars[arrival.Sidecar]
@@ -104,8 +105,8 @@
 			connection = dialed
 		}
 		response := f.roundTrip(ctx, connection, attempt)
-		// The platform's protocol: a client sends the request once more where the close of a kept-alive connection
-		// crossed it.
+		// The platform's protocol: a client sends the request again if the sidecar closed the kept-alive connection
+		// while the request was on its way.
 		if reused && response.noBytes && response.outcome == lab.OutcomeUnreachable {
 			connection = nil
 			continue
@@ -114,20 +115,20 @@
 	}
 }
 
-// clientLink is the two ends of the link between a request's client and its sidecar.
+// clientLink returns the two endpoints of the link between a request's client and its sidecar.
 func clientLink(arrival *lab.Arrival) (client, sidecar lab.Endpoint) {
 	return lab.Endpoint{Kind: lab.ClientEndpoint, Index: arrival.Sidecar}, sidecarEndpoint(arrival.Sidecar)
 }
 
-// clientAttempt is one attempt of a client at a request.
+// clientAttempt is one attempt by a client to send a request.
 type clientAttempt struct {
 	arrival   *lab.Arrival
 	requestID uint64
-	number    int // 0: the first
+	number    int // 0 for the first attempt
 	timeoutMS float64
 }
 
-// clientResponse is what a client gets.
+// clientResponse is the result of an attempt for its client.
 type clientResponse struct {
 	outcome      lab.Outcome
 	retryAfterMS float64
@@ -137,7 +138,7 @@
 // roundTrip writes a request and reads its response.
 func (f *fleet) roundTrip(ctx context.Context, connection *clientConnection, attempt clientAttempt) clientResponse {
 	stop := context.AfterFunc(ctx, func() {
-		_ = connection.SetDeadline(time.Unix(1, 0)) // fails on a closed connection, whose reads have failed already
+		_ = connection.SetDeadline(time.Unix(1, 0)) // fails only on a closed connection, whose reads have failed already
 	})
 	defer stop()
 	startedAt := time.Now()
@@ -145,7 +146,7 @@
 	f.recordRequest(attempt)
 	if _, err := io.WriteString(connection, f.requestHead(attempt)); err != nil {
 		connection.Close()
-		f.checker.ClientDisconnected(f.now(), attempt.requestID) // the sidecar has not accepted it
+		f.checker.ClientDisconnected(f.now(), attempt.requestID) // the sidecar has not accepted the request
 		return clientResponse{outcome: lab.OutcomeUnreachable, noBytes: true}
 	}
 	response, err := http.ReadResponse(connection.reader, nil)
@@ -172,16 +173,16 @@
 	return f.classifyResponse(now, attempt.requestID, response, string(body))
 }
 
-// recordRequest makes a request known to the servers and the checker. It has to be called before the first byte is
-// sent: a server may be quick.
+// recordRequest registers a request with the servers and the checker. It has to be called before the first byte is
+// sent, because a server may receive the request before the write returns.
 func (f *fleet) recordRequest(attempt clientAttempt) {
 	f.sentRequests.Store(attempt.requestID, &sentRequest{Arrival: attempt.arrival})
-	// Servers may receive the request for as long as the checker remembers it.
+	// A server may receive the request as long as the checker retains it.
 	time.AfterFunc(milliseconds(attempt.timeoutMS)+sentRequestRetention, func() { f.sentRequests.Delete(attempt.requestID) })
 	f.checker.RequestSent(f.now(), attempt.requestID, attempt.arrival.Sidecar, attempt.arrival.Class, attempt.timeoutMS)
 }
 
-// classifyResponse reports a complete response to the checker.
+// classifyResponse reports a complete response to the checker and returns its outcome.
 func (f *fleet) classifyResponse(now float64, requestID uint64, response *http.Response, body string) clientResponse {
 	switch response.StatusCode {
 	case http.StatusOK:
@@ -190,7 +191,7 @@
 		return clientResponse{outcome: lab.OutcomeServed}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		f.checker.ResponseReceived(now, requestID, lab.OutcomeRejected, 0, -1)
-		seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // 0, no wait, where there is no number
+		seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // 0 (no wait) without a number
 		return clientResponse{outcome: lab.OutcomeRejected, retryAfterMS: 1000 * seconds}
 	default:
 		f.checker.ResponseReceived(now, requestID, lab.OutcomeFailed, 0, -1)
@@ -198,8 +199,8 @@
 	}
 }
 
-// classifyConnectionError reports a connection without a complete response to the checker. The client stops listening
-// at listenUntil, a time of the run in ms.
+// classifyConnectionError reports to the checker that a connection ended without a complete response, and returns the
+// outcome. listenUntil is the time of the run, in ms, at which the client stops waiting for the response.
 func (f *fleet) classifyConnectionError(ctx context.Context, err error, requestID uint64, reused bool, listenUntil float64) clientResponse {
 	now := f.now()
 	switch {
@@ -223,7 +224,7 @@
 	}
 }
 
-// parseResponse returns the request and the server that a body names; 0 and -1 where it names none.
+// parseResponse returns the request ID and the server number in a response body, 0 and -1 if they are missing.
 func parseResponse(body string) (owner uint64, server int) {
 	id, number, _ := strings.Cut(body, " ")
 	owner, err := strconv.ParseUint(id, 16, 64)
@@ -236,7 +237,7 @@
 	return owner, server
 }
 
-// requestHead is the request's bytes in the platform's protocol, with the body of a POST.
+// requestHead returns the request's head in the platform's protocol, with the body if the request is a POST.
 func (f *fleet) requestHead(attempt clientAttempt) string {
 	arrival, class := attempt.arrival, &f.plan.Classes[attempt.arrival.Class]
 	method := http.MethodPost
--- a/internal/lab/live/connection_pool.go
+++ b/internal/lab/live/connection_pool.go
@@ -11,14 +11,14 @@
 // connectionPool holds the idle kept-alive connections of one sidecar's application. It is safe for concurrent use.
 type connectionPool struct {
 	mu   sync.Mutex
-	idle []*clientConnection // the one idle for longest first
+	idle []*clientConnection // longest idle first
 }
 
 // clientConnection is a connection of the application to its sidecar.
 type clientConnection struct {
 	net.Conn
 	reader    *bufio.Reader
-	idleSince time.Time // zero: it has not carried a request yet
+	idleSince time.Time // zero before the first request
 }
 
 // dialClient opens a connection to a sidecar.
@@ -31,7 +31,8 @@
 	return &clientConnection{Conn: connection, reader: bufio.NewReader(connection)}, nil
 }
 
-// get takes the connection that was used last, nil where there is none that the sidecar surely holds open.
+// get removes the most recently used connection from the pool and returns it. It closes connections that the sidecar
+// may have closed, and returns nil if no other is left.
 func (p *connectionPool) get() *clientConnection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,10 +50,10 @@
 // store returns a connection after a response.
 func (p *connectionPool) store(connection *clientConnection) {
 	connection.idleSince = time.Now()
-	_ = connection.SetDeadline(time.Time{}) // fails on a closed connection only, as its next use does
+	_ = connection.SetDeadline(time.Time{}) // fails only on a closed connection, whose next use fails too
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// Expired connections are closed here: under a falling load get never reaches them.
+	// Closes expired connections here, because get does not reach them while the load falls.
 	for len(p.idle) > 0 && time.Since(p.idle[0].idleSince) > maxConnectionIdle {
 		p.idle[0].Close()
 		p.idle = p.idle[1:]
--- a/internal/lab/live/controllers.go
+++ b/internal/lab/live/controllers.go
@@ -19,9 +19,10 @@
 
 const (
 	controllerReadyTimeout = 15 * time.Second
-	// commandTimeout bounds a command of an operator: one that follows its own progress is killed by then.
+	// commandTimeout bounds an operator's command. A command that follows the progress of its own operation is killed
+	// at this timeout.
 	commandTimeout = 60 * time.Second
-	maxOutputBytes = 500 // of a command's output or a response in an error
+	maxOutputBytes = 500 // of a command's output or an HTTP response that an error quotes
 )
 
 // controller is a process of a controller under test, such as the release controller.
@@ -41,15 +42,16 @@
 	}
 }
 
-// placeholders are the values of the placeholders that differ from process to process.
+// placeholders holds the values of the placeholders that differ between processes.
 type placeholders struct {
 	name     string // of the controller, or "step"
-	listen   string // address of the controller
+	listen   string // address at which the controller listens
 	config   string // path of the controller's configuration
 	stepFile string // path of the step's file
 }
 
-// expandPlaceholders replaces the placeholders that an experiment may use in configurations and arguments.
+// expandPlaceholders replaces the placeholders that an experiment may use in configurations, arguments and the files of
+// steps.
 func (c *controlPlane) expandPlaceholders(text string, own placeholders) string {
 	replicas := c.fleet.registryService.cluster.HTTPAddrs()
 	var quoted []string
@@ -107,21 +109,21 @@
 	return err
 }
 
-// runningProcess is the newest process, nil before the first start. It may have exited.
+// currentProcess returns the process that was started last, or nil before the first start. It may have exited.
 func (c *controller) currentProcess() *proc.Process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.process
 }
 
-// kill ends the process at once.
+// kill kills the process and waits for its exit.
 func (c *controller) kill() {
 	if process := c.currentProcess(); process != nil {
 		process.Kill()
 	}
 }
 
-// stop ends the process gracefully. Whether it does so in time is not part of what the checker judges.
+// stop ends the process gracefully. A failure is logged only: the checker does not judge the shutdown of controllers.
 func (c *controller) stop(ctx context.Context) {
 	if process := c.currentProcess(); process != nil && process.Running() {
 		if err := process.Stop(ctx); err != nil {
@@ -130,8 +132,8 @@
 	}
 }
 
-// runSteps starts the controllers that start later and performs the operator's steps, each at its time. It returns when
-// all have ended.
+// runSteps starts the controllers that have a start time and performs the operator's steps, each at its time. It
+// returns when all of these actions have ended.
 func (c *controlPlane) runSteps(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -162,7 +164,7 @@
 	}
 }
 
-// runCommand runs an operator's milldeck command, which has to exit with the step's status.
+// runCommand runs an operator's milldeck command. It fails if the command exits with another status than the step's.
 func (c *controlPlane) runCommand(ctx context.Context, stepNumber int, step *lab.StepSpec) error {
 	path := filepath.Join(c.fleet.options.Dir, fmt.Sprintf("step%d.toml", stepNumber))
 	own := placeholders{name: "step", stepFile: path}
@@ -192,7 +194,7 @@
 	return err
 }
 
-// outputTail is the end of an output, for an error.
+// outputTail returns the end of an output, for an error message.
 func outputTail(output []byte) string {
 	return strings.TrimSpace(string(output[max(0, len(output)-maxOutputBytes):]))
 }
@@ -201,7 +203,7 @@
 func signalAll(signal syscall.Signal, processes ...*proc.Process) {
 	for _, process := range processes {
 		if process != nil {
-			_ = process.Signal(signal) // fails for a process that is not a child any more only: it needs no signal
+			_ = process.Signal(signal) // fails only for a process that is no longer a child and needs no signal
 		}
 	}
 }
--- a/internal/lab/live/controlplane.go
+++ b/internal/lab/live/controlplane.go
@@ -29,10 +29,10 @@
 )
 
 const (
-	startupTimeout  = 30 * time.Second // of all servers, and of all sidecars, which start at once on one machine
+	startupTimeout  = 30 * time.Second // for all servers, and for all sidecars, which start simultaneously on one machine
 	startBatchSize  = 64               // units in one request to the supervisor
-	sidecarLeaseTTL = 3 * time.Second  // of a sidecar in the ledger
-	shutdownTimeout = 10 * time.Second // of the supervisor with all its units
+	sidecarLeaseTTL = 3 * time.Second  // of a sidecar's registration in the ledger
+	shutdownTimeout = 10 * time.Second // for the supervisor with all its units
 )
 
 // controlPlane is the control plane of a run: the stand-in supervisor that starts servers and sidecars, the controllers
@@ -43,9 +43,9 @@
 	checker  *lab.ControlPlaneChecker
 	ctx      context.Context
 	cancel   context.CancelFunc
-	finished atomic.Bool // the checker has its verdict: processes that exit from now on do so because the run is over
+	finished atomic.Bool // the checker has judged the final state: processes that exit later belong to the shutdown
 
-	listener         net.Listener // for the server processes
+	listener         net.Listener // for RPC connections of server processes
 	supervisor       *proc.Process
 	supervisorClient *supervisor.Client
 	controllers      []*controller
@@ -56,7 +56,7 @@
 
 	mu          sync.Mutex
 	processes   map[int]*unitProcess // by pid
-	failure     error                // the first action that the lab itself could not perform
+	failure     error                // of the first action that the lab itself could not perform
 	abortLoad   func()               // ends the run's load
 	loadContext context.Context      // ends with the load
 }
@@ -81,7 +81,7 @@
 	return plane
 }
 
-// now is the run's time in ms; 0 before the run starts.
+// now returns the run's time in ms, 0 before the run starts.
 func (c *controlPlane) now() float64 {
 	if c.fleet.startOffset.Load() == 0 {
 		return 0
@@ -89,12 +89,12 @@
 	return c.fleet.now()
 }
 
-// supervisorAddress is where the supervisor listens.
+// supervisorAddress returns the address at which the supervisor listens.
 func (c *controlPlane) supervisorAddress() string {
 	return c.fleet.addresses.Addr(controlPlaneNet, 0, supervisorPort)
 }
 
-// labServiceAddress is where the lab listens for server processes.
+// labServiceAddress returns the address at which the lab listens for server processes.
 func (c *controlPlane) labServiceAddress() string {
 	return c.fleet.addresses.Addr(controlPlaneNet, 0, labServicePort)
 }
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// agentConfig is the part of an agent's configuration that a control plane needs: the placement file, the receivers of
-// load reports, and the sidecar that the agent registers in the ledger.
+// agentConfig returns the part of an agent's configuration that only an experiment with a control plane needs: the
+// placement file, the receivers of load reports, and the sidecar that the agent registers in the ledger.
 func (c *controlPlane) agentConfig(sidecar int, agentName string) string {
 	var reports []string
 	for _, controller := range c.controllers {
@@ -189,8 +189,8 @@
 	return text.String()
 }
 
-// recordFailure stores the first action that the lab itself could not perform and ends the load: the run is void. What
-// fails after the load has ended, or is cut off with it, does not count.
+// recordFailure stores the error of the first action that the lab itself could not perform and ends the load: the run is
+// void. It ignores errors after the end of the load, which may have interrupted the action.
 func (c *controlPlane) recordFailure(action string, err error) {
 	if err == nil || c.finished.Load() {
 		return
@@ -208,14 +208,15 @@
 	}
 }
 
-// onFailure sets what recordFailure calls, and the context of the load after whose end nothing counts as a failure.
+// setLoad stores the load's context and the function that ends the load. recordFailure ignores errors once the context
+// has ended.
 func (c *controlPlane) setLoad(load context.Context, abort func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.loadContext, c.abortLoad = load, abort
 }
 
-// firstFailure is the error that makes the run void, nil where there is none or no control plane.
+// firstFailure returns the error that makes the run void. It is nil if there is no error or no control plane.
 func (c *controlPlane) firstFailure() error {
 	if c == nil {
 		return nil
@@ -225,13 +226,13 @@
 	return c.failure
 }
 
-// finish has the checker judge the final state, before any process is stopped.
+// finish makes the checker judge the final state. It has to be called before any process is stopped.
 func (c *controlPlane) finish() {
 	c.checker.Finish(c.now())
 	c.finished.Store(true)
 }
 
-// stop ends the controllers, and then the supervisor with all its units, and looks for crashes in the sidecars' logs.
+// stop ends the controllers, then the supervisor with all its units, and then searches the sidecars' logs for crashes.
 func (c *controlPlane) stop() {
 	c.finished.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
@@ -257,7 +258,7 @@
 	for unit, sidecar := range c.sidecarByUnit {
 		content, err := os.ReadFile(filepath.Join(c.fleet.options.Dir, "units", unit+".log"))
 		if err != nil {
-			continue // it has logged nothing
+			continue // the unit has logged nothing
 		}
 		for _, marker := range []string{"panic: ", "fatal error: ", "DATA RACE"} {
 			if _, after, found := strings.Cut(string(content), marker); found {
@@ -269,7 +270,7 @@
 	}
 }
 
-// close kills the processes that are left and waits for the goroutines.
+// close kills the remaining processes and waits for the goroutines.
 func (c *controlPlane) close() {
 	c.finished.Store(true)
 	c.cancel()
@@ -280,8 +281,8 @@
 	supervisor := c.supervisor
 	c.mu.Unlock()
 	if supervisor != nil {
-		_ = supervisor.Signal(syscall.SIGCONT) // fails only where it is gone; Kill sees to the rest
-		supervisor.Kill()                      // the kernel kills its units with it
+		_ = supervisor.Signal(syscall.SIGCONT) // fails only if it has exited, which Kill handles
+		supervisor.Kill()                      // the kernel kills its units when it exits
 	}
 	if c.listener != nil {
 		c.listener.Close()
--- a/internal/lab/live/controlplane_faults.go
+++ b/internal/lab/live/controlplane_faults.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// supervisorFaultAftermathMS is how long after a fault of the supervisor its effects may still show.
+	// supervisorFaultRecoveryMS is how long the effects of a supervisor fault may last after its end.
 	supervisorFaultRecoveryMS = 5000
-	// supervisorRequestTimeout bounds the requests that a fault makes: which replica leads, and to the supervisor.
+	// supervisorRequestTimeout bounds the wait for a leader, and a request to the supervisor, at the start of a fault.
 	supervisorRequestTimeout = 2 * time.Second
 	untilRunEndMS            = 1e12 // later than the end of any run
 )
 
-// beginFault begins a fault at processes of the control plane, and announces to the checker which units it affects.
+// beginFault announces to the checker which units a fault affects, and begins the fault at control-plane processes.
 func (c *controlPlane) beginFault(ctx context.Context, fault *lab.Fault) {
 	c.announceFault(fault)
 	if fault.Leader {
@@ -43,7 +43,7 @@
 	}
 }
 
-// endFault ends it: what was killed is started again, what was stopped continues.
+// endFault ends a fault at control-plane processes: it restarts the killed ones and continues the stopped ones.
 func (c *controlPlane) endFault(ctx context.Context, fault *lab.Fault) {
 	c.partitionReplicas(fault, false)
 	switch {
@@ -54,7 +54,7 @@
 	}
 }
 
-// partitionReplicas partitions the replicas of a fault from the others, or ends that.
+// partitionReplicas partitions the replicas of a fault from the others, or ends the partition.
 func (c *controlPlane) partitionReplicas(fault *lab.Fault, partitioned bool) {
 	links := c.fleet.registryService.links
 	if fault.Kind != lab.FaultPartition || links == nil {
@@ -92,7 +92,7 @@
 	case lab.FaultRestart:
 		c.recordFailure(fault.Label, c.restartUnit(ctx, server.plan.UID))
 	default:
-		server.setFault(fault, true) // its process receives it with each request
+		server.setFault(fault, true) // the process receives the effect in the BeginReply of each attempt
 	}
 }
 
@@ -108,18 +108,18 @@
 	}
 }
 
-// startUnit has the supervisor start a unit that a fault has killed, unless someone else has started it meanwhile.
+// startUnit makes the supervisor start a unit that a fault has killed, unless the unit has been started meanwhile.
 func (c *controlPlane) startUnit(ctx context.Context, unit string) error {
 	return c.changeUnit(ctx, unit, supervisor.Start)
 }
 
-// restartUnit has the supervisor restart a unit, as its planned restarts do.
+// restartUnit makes the supervisor restart a unit, by the operation that planned restarts use.
 func (c *controlPlane) restartUnit(ctx context.Context, unit string) error {
 	return c.changeUnit(ctx, unit, supervisor.Restart)
 }
 
-// changeUnit has the supervisor perform an operation on a unit with its present version and configuration. A unit that
-// others have removed or started meanwhile is left alone, which is no error.
+// changeUnit makes the supervisor perform an operation on a unit with its current version and configuration. A unit that
+// has been removed or started meanwhile stays unchanged, which is not an error.
 func (c *controlPlane) changeUnit(ctx context.Context, unit string, op supervisor.Op) error {
 	inventory, err := c.supervisorClient.List(ctx)
 	if err != nil {
@@ -137,7 +137,7 @@
 	return err
 }
 
-// resolveLeader sets the replica that a fault of the leader affects: the leader at this time, replica 0 if there is none.
+// resolveLeader sets the replica that a fault of the leader affects: the current leader, or replica 0 if there is none.
 func (c *controlPlane) resolveLeader(ctx context.Context, fault *lab.Fault) {
 	ctx, cancel := context.WithTimeout(ctx, supervisorRequestTimeout)
 	defer cancel()
@@ -150,7 +150,7 @@
 	fault.Replicas = []int{leader.Index}
 }
 
-// affectedProcesses are the processes of the control plane that a fault affects.
+// affectedProcesses returns the processes of the control plane that a fault affects.
 func (c *controlPlane) affectedProcesses(fault *lab.Fault) []*proc.Process {
 	var processes []*proc.Process
 	for _, index := range fault.Replicas {
@@ -172,7 +172,7 @@
 	return processes
 }
 
-// affectedControllers are the controllers that a fault names.
+// affectedControllers returns the controllers that a fault names.
 func (c *controlPlane) affectedControllers(fault *lab.Fault) []*controller {
 	var controllers []*controller
 	for _, name := range fault.Controllers {
@@ -185,7 +185,7 @@
 	return controllers
 }
 
-// restartProcesses starts what a fault has killed.
+// restartProcesses starts the replicas, agents and controllers that a fault has killed.
 func (c *controlPlane) restartProcesses(ctx context.Context, fault *lab.Fault) error {
 	ctx, cancel := context.WithTimeout(ctx, controllerReadyTimeout)
 	defer cancel()
@@ -207,7 +207,7 @@
 	return nil
 }
 
-// supervisorFault is the body of the stand-in supervisor's /faults.
+// supervisorFault is the body of a request to the stand-in supervisor's /faults.
 type supervisorFault struct {
 	Count      int    `json:"count"`
 	DelayMS    int64  `json:"delay_ms"`
@@ -216,7 +216,7 @@
 	Operation  string `json:"on"`
 }
 
-// injectSupervisorFault has the stand-in supervisor misbehave.
+// injectSupervisorFault makes the stand-in supervisor misbehave.
 func (c *controlPlane) injectSupervisorFault(ctx context.Context, fault *lab.Fault) error {
 	body, err := json.Marshal(supervisorFault{
 		Kind: fault.Misbehaviour, Operation: fault.Operation, Count: fault.CallCount,
--- a/internal/lab/live/direct_actions.go
+++ b/internal/lab/live/direct_actions.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	maxKeysWithCopies = 100              // keys of which copies are placed
-	copyTTL           = 30 * time.Second // of the copies
-	// hotKeyLease is the lease of the hot-key controller.
+	maxKeysWithCopies = 100              // for which placeCopies places copies
+	copyTTL           = 30 * time.Second // after which the placed copies expire
+	// hotKeyLease is the name of the hot-key controller's lease.
 	hotKeyLease = "spread"
 )
 
-// performAction performs a step that bypasses the controllers: the checker has to find it.
+// performAction performs a step that bypasses the controllers, which the checker has to detect.
 func (c *controlPlane) performAction(ctx context.Context, stepNumber int, step *lab.StepSpec) error {
 	serverNumbers, sidecarNumbers := c.fleet.plan.MatchUnits(step.Target)
 	var servers, units []string
@@ -46,7 +46,7 @@
 	return c.changeUnits(ctx, stepNumber, supervisor.Op(step.Action), units)
 }
 
-// changeUnits has the supervisor perform an operation on units.
+// changeUnits makes the supervisor perform an operation on units.
 func (c *controlPlane) changeUnits(ctx context.Context, stepNumber int, op supervisor.Op, units []string) error {
 	inventory, err := c.supervisorClient.List(ctx)
 	if err != nil {
@@ -77,12 +77,12 @@
 	return err
 }
 
-// placeCopies takes the hot-key controller's lease and places copies of keys on servers without regard to their load.
+// placeCopies acquires the hot-key controller's lease and places copies of keys on servers regardless of their load.
 func (c *controlPlane) placeCopies(ctx context.Context, servers []string) error {
 	client := c.fleet.registryService.client
 	place := func(ctx context.Context, lease *leaderelection.Lease) error {
 		now := time.Now()
-		loadFraction := 1 / float64(len(servers)+1) // what is left stays with the key's own server
+		loadFraction := 1 / float64(len(servers)+1) // the rest stays with the key's own server
 		var directives []placement.Directive
 		for i := range min(maxKeysWithCopies, c.fleet.plan.Experiment.Clients.Keys) {
 			key := fmt.Sprintf("%016x", hashKey(c.fleet.plan.ClientKey(i)))
--- a/internal/lab/live/discovery.go
+++ b/internal/lab/live/discovery.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	keepAliveInterval = 2 * time.Second // of a watch; the protocol has an empty line then
-	oldAddressGrace   = 1500 * time.Millisecond
-	maxHistory        = 4096 // changes retained for watches that resume at an older revision
+	keepAliveInterval = 2 * time.Second         // without a change, after which a watch sends an empty line
+	oldAddressGrace   = 1500 * time.Millisecond // after which a relocated agent closes the watches at its old address
+	maxHistory        = 4096                    // changes retained for watches that resume at an older revision
 )
 
 // endpoint is one entry of the endpoint list, as the platform's discovery protocol encodes it.
@@ -51,8 +51,8 @@
 	endpoint endpoint
 }
 
-// agent is the stand-in for the discovery agent on one sidecar's machine. It answers from the changes that it has
-// received, and receives none while discovery is down. With the registry it serves nothing itself and mirrors what the
+// agent is the stand-in for the discovery agent on one sidecar's machine. It serves the changes that it has received,
+// and receives none while discovery is down. In an experiment with the registry it serves nothing, and mirrors what the
 // real agent has sent to its sidecar.
 type agent struct {
 	fleet   *fleet
@@ -60,7 +60,7 @@
 
 	mu          sync.Mutex
 	revision    int64
-	endpoints   map[int]endpoint // by server, without those removed
+	endpoints   map[int]endpoint // by server, without removed ones
 	knownBootMS map[int]float64
 	history     []endpointChange
 	pending     []endpointChange
@@ -87,7 +87,7 @@
 	}
 }
 
-// listen serves the discovery protocol at the agent's present address.
+// listen serves the discovery protocol at the agent's current address.
 func (a *agent) listen() error {
 	listener, err := net.Listen("tcp4", a.address())
 	if err != nil {
@@ -101,10 +101,11 @@
 	return nil
 }
 
-// address is where the agent listens; each relocation goes to the other of two addresses.
+// address returns the address at which the agent listens. Each relocation switches to the other of two addresses.
 func (a *agent) address() string { return a.fleet.addresses.discovery(a.sidecar, a.relocations%2) }
 
-// relocate moves the agent to its other address. The old one accepts nothing and closes its watches soon.
+// relocate moves the agent to its other address. The old address accepts no new connections, and its watches are closed
+// after oldAddressGrace.
 func (a *agent) relocate() error {
 	previous := a.httpServer
 	a.relocations++
@@ -116,7 +117,7 @@
 	go func() {
 		defer cancel()
 		if previous.Shutdown(ctx) != nil {
-			_ = previous.Close() // its listener is closed already; only watches are cut off
+			_ = previous.Close() // its listener is closed already: this closes the watches only
 		}
 	}()
 	return nil
@@ -180,7 +181,7 @@
 	a.changed = make(chan struct{})
 }
 
-// completeList is the complete endpoint list. The caller holds the lock.
+// completeList returns the complete endpoint list. The caller holds the lock.
 func (a *agent) completeList() endpointList {
 	complete := endpointList{Revision: a.revision, Complete: true, Targets: []endpoint{}}
 	for i := range a.fleet.servers {
@@ -191,9 +192,9 @@
 	return complete
 }
 
-// changesSince is what changed after a revision, with the newest entry of each server; the complete list where the
-// history does not reach back that far. The map tells which servers the reader learns of, and whether as ready. The
-// caller holds the lock.
+// changesSince returns the newest entry of each server that changed after a revision, or the complete list if the
+// history does not reach back to the revision. The map has the servers of which the reader is notified; its value is
+// true for a ready server. The caller holds the lock.
 func (a *agent) changesSince(revision int64) (endpointList, map[int]bool) {
 	notified := map[int]bool{}
 	if revision <= 0 || revision > a.revision || len(a.history) > 0 && revision < a.history[0].revision-1 {
@@ -220,7 +221,7 @@
 	return changes, notified
 }
 
-// serve answers a poll with the complete list, and a watch with what changes.
+// serve answers a poll with the complete list, and a watch with the changes.
 func (a *agent) serve(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	if query.Get("watch") == "" {
@@ -241,7 +242,7 @@
 	a.watch(w, r, after)
 }
 
-// watch writes a line for each change after a revision, and an empty line where nothing changes for a while.
+// watch writes a line for each change after a revision, and an empty line after keepAliveInterval without a change.
 func (a *agent) watch(w http.ResponseWriter, r *http.Request, after int64) {
 	controller := http.NewResponseController(w)
 	keepAlive := time.NewTicker(keepAliveInterval)
@@ -279,7 +280,7 @@
 	}
 }
 
-// notifyChecker reports to the checker of which servers the sidecar has been notified.
+// notifyChecker reports to the checker the servers of which the sidecar has been notified.
 func (a *agent) notifyChecker(notified map[int]bool) {
 	now := a.fleet.now()
 	for server, isReady := range notified {
@@ -287,7 +288,7 @@
 	}
 }
 
-// endpointOf is a server's entry in the endpoint list of one sidecar.
+// endpointOf returns a server's entry in the endpoint list of one sidecar.
 func (f *fleet) endpointOf(server *server, sidecar int, state string) endpoint {
 	bootMS := 0.0
 	if server.bootMS > 0 {
@@ -300,7 +301,7 @@
 	}
 }
 
-// publishState sends a server's state to every agent: each receives it after its own delay, in order.
+// publishState sends a server's state to every agent. Each agent receives states in order, after the agent's own delay.
 func (f *fleet) publishState(server *server, state string) {
 	if f.registryService != nil {
 		f.registryService.publishState(server, state)
@@ -320,14 +321,14 @@
 	}
 }
 
-// publishedState is a server's state in discovery.
+// publishedState returns a server's state in discovery.
 func (f *fleet) publishedState(server *server) string {
 	f.publishedMu.Lock()
 	defer f.publishedMu.Unlock()
 	return f.publishedStates[server.number]
 }
 
-// isInformed reports whether a sidecar has been notified of a server's present incarnation.
+// knowsIncarnation reports whether a sidecar has been notified of a server's current incarnation.
 func (f *fleet) knowsIncarnation(sidecar, server int) bool {
 	agent, target := f.agents[sidecar], f.servers[server]
 	target.mu.Lock()
--- a/internal/lab/live/faults.go
+++ b/internal/lab/live/faults.go
@@ -13,11 +13,11 @@
 
 const (
 	restartPauseMS  = 100 // between the exit of a server and its next start, as in package sim
-	faultRecoveryMS = 500 // after a freeze or partition, in which responses may still be late
+	faultRecoveryMS = 500 // after a freeze or partition, during which responses may still be late
 )
 
-// injectFaults begins and ends the plan's faults, and starts and replaces servers, at their times. It returns once none
-// is in force.
+// injectFaults begins and ends the plan's faults, and starts and replaces servers, at their times. It returns once all
+// faults have ended.
 func (f *fleet) injectFaults(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -61,7 +61,7 @@
 	}
 }
 
-// beginFault puts a fault into force: on servers, then on sidecars, then on the network and discovery.
+// beginFault begins a fault: on the control plane, then on servers, sidecars, and the network and discovery.
 func (f *fleet) beginFault(ctx context.Context, fault *lab.Fault) {
 	if f.controlPlane != nil {
 		f.controlPlane.beginFault(ctx, fault)
@@ -80,7 +80,7 @@
 	f.beginInfrastructureFault(fault)
 }
 
-// beginServerFault begins a fault on one modelled server that runs in this process.
+// beginServerFault begins a fault on a modelled server that runs in this process.
 func (f *fleet) beginServerFault(ctx context.Context, server *server, fault *lab.Fault) {
 	switch fault.Kind {
 	case lab.FaultKill:
@@ -144,8 +144,8 @@
 	}
 }
 
-// endFault takes a fault out of force, in the order in which beginFault put it there. It also runs when the run is
-// interrupted: a process that is stopped has to continue before it can exit.
+// endFault ends a fault, in the same order as beginFault. It is also called when the run is interrupted, because a
+// process that is stopped by SIGSTOP has to continue before it can exit.
 func (f *fleet) endFault(ctx context.Context, fault *lab.Fault) {
 	if f.controlPlane != nil {
 		f.controlPlane.endFault(ctx, fault)
@@ -169,7 +169,7 @@
 	}
 }
 
-// endServerFault ends a fault on one modelled server that runs in this process.
+// endServerFault ends a fault on a modelled server that runs in this process.
 func (f *fleet) endServerFault(server *server, fault *lab.Fault) {
 	switch fault.Kind {
 	case lab.FaultKill:
@@ -227,8 +227,8 @@
 	}
 }
 
-// setPartition silences the ports between partitioned endpoints, or opens them again, and excuses the sidecars that are
-// partitioned from their own clients.
+// setPartition makes the ports between partitioned endpoints silent, or accept connections again. At the start of a
+// partition it excuses the sidecars that are partitioned from their own clients.
 func (f *fleet) setPartition(fault *lab.Fault, active bool) {
 	for number, process := range f.sidecars {
 		sidecar, client := sidecarEndpoint(number), lab.Endpoint{Kind: lab.ClientEndpoint, Index: number}
@@ -237,7 +237,7 @@
 		}
 		for _, target := range f.servers {
 			server := lab.Endpoint{Kind: lab.ServerEndpoint, Index: target.number}
-			// A connection needs both directions to be established.
+			// A TCP handshake needs both directions.
 			if fault.Affects(sidecar, server) || fault.Affects(server, sidecar) {
 				logFaultFailure(fault.Label, target.ports[number].setSilent(active))
 			}
@@ -267,8 +267,8 @@
 	return s.up
 }
 
-// removeAfterSilence has the stand-in discovery remove a server that does not answer any more, after the time that it
-// takes to notice. With the registry the server's lease expires instead.
+// removeAfterSilence makes the stand-in discovery remove a server that no longer answers, after the time that failure
+// detection takes. With the registry the server's lease expires instead.
 func (f *fleet) removeAfterSilence(server *server) {
 	if f.registryService != nil {
 		return // its lease expires
@@ -287,7 +287,8 @@
 	})
 }
 
-// drainServer publishes a server as terminating and stops it after the drain time; with restart it starts it again.
+// drainServer publishes a server as terminating and stops it after the drain time. If restart is set, it starts the
+// server again.
 func (f *fleet) drainServer(ctx context.Context, server *server, restart bool) {
 	if !server.isUp() || f.publishedState(server) != stateReady {
 		return
--- a/internal/lab/live/frontend.go
+++ b/internal/lab/live/frontend.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// handshakeRoundTrips is the round trips of a new connection before its first request arrives, as in package sim.
+	// handshakeRoundTrips is the number of round trips of a new connection before its first request, as in package sim.
 	handshakeRoundTrips = 1
-	// healthCheckWorkMS is the work of a sidecar's health check.
+	// healthCheckWorkMS is the work of a server for a sidecar's health check.
 	healthCheckWorkMS = 0.3
 	// maxRequestBody is the largest request body that the platform's protocol allows.
 	maxRequestBody    = 64 << 10
 	readHeaderTimeout = time.Second
-	// notProcessedHeader tells the sidecar that a retry elsewhere is safe: the request has had no effect.
+	// notProcessedHeader states that the request has had no effect, so that the sidecar may retry it at another server.
 	notProcessedHeader = "X-Not-Processed: 1\r\n"
 )
 
@@ -35,12 +35,12 @@
 	resultConnectionClosed = "given up" // the sidecar closed the connection before the response
 )
 
-// host is what a frontend runs in: the lab's own process, or the process of one server.
+// host is the process in which a frontend runs: the lab's own, or that of one server.
 type host interface {
 	runContext() context.Context // ends with the run
-	now() float64                // the model's time, in ms
+	now() float64                // time of the model, in ms
 	pathTo(sidecar int) networkPath
-	// beginAttempt records an attempt and reports whether a client sent its request. A sidecar of -1 is not known.
+	// beginAttempt records an attempt and reports whether a client sent its request. sidecar is -1 if it is not known.
 	beginAttempt(requestID uint64, sidecar int, received receivedRequest) (serverAttempt, bool)
 	addCounts(apply func(*lab.Counts))
 	recordLateness(ms float64)
@@ -49,7 +49,7 @@
 }
 
 // networkPath is the modelled network between a sidecar and a server. Its methods wait until the message would have
-// arrived. False: the message is lost, or ctx has ended.
+// arrived. They return false if the message is lost or ctx has ended.
 type networkPath interface {
 	deliverRequest(ctx context.Context, newConnection bool) bool
 	deliverResponse(ctx context.Context) bool
@@ -70,12 +70,12 @@
 	plan                *lab.ServerPlan
 	answersHealthChecks bool
 	// processEndpoint answers requests to the server's process itself, such as the supervisor's readiness check.
-	// ok is false for all other paths. nil: there is no such process.
+	// ok is false for all other paths. It is nil for a server without a process of its own.
 	processEndpoint func(path string) (status int, body string, ok bool)
-	// applyRegression changes a job as the server's faulty version would. nil: the version is healthy.
+	// applyRegression applies the regression of the server's version to a job. It is nil if there is none.
 	applyRegression func(*lab.Job)
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	model       *lab.Server
 	timer       *time.Timer // of the model's next event
 	up          bool
@@ -84,12 +84,12 @@
 	pendingJobs map[int64]chan lab.JobCompletion // by attempt
 }
 
-// clientPeer is the other side of a connection.
+// clientPeer is a connection and what the server knows of the sidecar at its other end.
 type clientPeer struct {
 	connection          net.Conn
-	sidecar             int  // -1: not known
+	sidecar             int  // -1 if not known
 	newConnection       bool // no request has been answered on it yet
-	overConnectionLimit bool // the server already held as many connections as it allows
+	overConnectionLimit bool // opened while the server already had its maximum number of connections
 }
 
 func newFrontend(frontendHost host, number int, plan *lab.ServerPlan, model *lab.Server, answersHealthChecks bool) frontend {
@@ -99,7 +99,7 @@
 	}
 }
 
-// resetConnections resets all connections and drops the jobs that they wait for, as the end of the process does.
+// resetConnections resets all connections and discards the jobs that they wait for, as the exit of a process does.
 func (f *frontend) resetConnections() {
 	f.mu.Lock()
 	f.incarnation++
@@ -119,8 +119,8 @@
 	lastByteAt  time.Time
 }
 
-// serveConnection answers the requests of one connection until it closes. A goroutine of its own reads, so that a close
-// is noticed while a request is processed.
+// serveConnection answers the requests of one connection until it closes. A separate goroutine reads the requests, so
+// that a close is detected while a request is processed.
 func (f *frontend) serveConnection(connection net.Conn, sidecar int) {
 	f.mu.Lock()
 	incarnation := f.incarnation
@@ -152,7 +152,7 @@
 		connection: connection, sidecar: sidecar, newConnection: true, overConnectionLimit: overConnectionLimit,
 	}
 	for {
-		_ = connection.SetReadDeadline(time.Now().Add(idleTimeout)) // fails on a closed connection, which the reader reports
+		_ = connection.SetReadDeadline(time.Now().Add(idleTimeout)) // fails only on a closed connection, which ends ctx
 		select {
 		case <-ctx.Done():
 			return
@@ -166,7 +166,7 @@
 	}
 }
 
-// readRequests sends each request to the channel; it returns when the connection has closed.
+// readRequests sends each request to the channel. It returns when a read fails or ctx ends.
 func (f *frontend) readRequests(ctx context.Context, connection net.Conn, requests chan<- receivedRequest) {
 	reader := bufio.NewReader(connection)
 	for {
--- a/internal/lab/live/frontend_attempt.go
+++ b/internal/lab/live/frontend_attempt.go
@@ -13,18 +13,18 @@
 	"milldeck/internal/lab"
 )
 
-// writeResponse writes a response with a body and reports whether that succeeded. Header holds complete lines.
+// writeResponse writes a response and reports whether that succeeded. header consists of complete lines.
 func writeResponse(connection net.Conn, status int, header, body string) bool {
 	_, err := fmt.Fprintf(connection, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s",
 		status, http.StatusText(status), header, len(body), body)
 	return err == nil
 }
 
-// handleRequest answers one request. False: the connection has to be closed.
+// handleRequest answers one request. It returns false if the connection has to be closed.
 func (f *frontend) handleRequest(ctx context.Context, client clientPeer, received receivedRequest) bool {
 	if f.processEndpoint != nil {
 		if status, body, ok := f.processEndpoint(received.request.URL.Path); ok {
-			return writeResponse(client.connection, status, "", body) // its client is on this machine: no network to model
+			return writeResponse(client.connection, status, "", body) // the requester is on this machine: no modelled network
 		}
 	}
 	requestID, err := strconv.ParseUint(received.request.Header.Get("X-Request-ID"), 16, 64)
@@ -35,7 +35,7 @@
 	handler := &attemptHandler{
 		frontend: f, client: client, received: received, requestID: requestID, attempt: attempt,
 	}
-	// A closed connection ends the attempt for the checker at once, whatever link is partitioned in between.
+	// For the checker, the close of the connection ends the attempt at once, even if the link is partitioned.
 	defer context.AfterFunc(ctx, func() { handler.end(resultConnectionClosed) })()
 	defer handler.end(resultConnectionClosed)
 	if !ok {
@@ -44,7 +44,8 @@
 	return handler.run(ctx)
 }
 
-// handleHealthCheck answers a sidecar's health check; any other path is not found.
+// handleHealthCheck answers a sidecar's health check. It answers any other path, and each health check of a server that
+// does not support them, with status 404.
 func (f *frontend) handleHealthCheck(ctx context.Context, client clientPeer, received receivedRequest) bool {
 	path := f.host.pathTo(client.sidecar)
 	if received.request.URL.Path != "/health/live" || !f.answersHealthChecks {
@@ -58,7 +59,7 @@
 	return awaitDelivery(ctx, path.deliverResponse) && writeResponse(client.connection, http.StatusOK, "", "")
 }
 
-// attemptHandler answers one attempt at a request of the API.
+// attemptHandler answers one attempt at an API request.
 type attemptHandler struct {
 	frontend  *frontend
 	client    clientPeer
@@ -87,7 +88,8 @@
 	return true
 }
 
-// run admits the request, has the model process it and answers it. False: the connection has to be closed.
+// run submits the request to the model and answers it once the model has processed it. It returns false if the
+// connection has to be closed.
 func (h *attemptHandler) run(ctx context.Context) bool {
 	f := h.frontend
 	arrives := func(ctx context.Context) bool { return h.attempt.deliverRequest(ctx, h.client.newConnection) }
@@ -114,7 +116,7 @@
 	}
 }
 
-// chargeHandshake has the model do the work of a new connection.
+// chargeHandshake submits the work of a new connection to the model.
 func (f *frontend) chargeHandshake() {
 	f.host.addCounts(func(counts *lab.Counts) { counts.Handshakes++ })
 	if f.plan.Spec.HandshakeMS > 0 {
@@ -122,8 +124,8 @@
 	}
 }
 
-// job is the model's job for the attempt: with the deadline that its request states, and with what the server's
-// version does wrong.
+// job returns the model's job for the attempt, with the deadline that the request states and the regression of the
+// server's version.
 func (h *attemptHandler) job() lab.Job {
 	f := h.frontend
 	job := h.attempt.job()
@@ -136,7 +138,7 @@
 	return job
 }
 
-// complete answers a request that the model has processed, as the faults in force have it.
+// complete answers a request that the model has processed, subject to the faults in force.
 func (h *attemptHandler) complete(ctx context.Context, completion lab.JobCompletion) bool {
 	f := h.frontend
 	f.mu.Lock()
@@ -162,8 +164,8 @@
 	return h.finish(ctx, resultServed, http.StatusOK, "Content-Type: text/plain\r\n", body)
 }
 
-// awaitDelivery waits for a message to cross the network. When it is lost, nothing happens until the other side gives
-// up and ctx ends: the result is false then.
+// awaitDelivery waits until a message has crossed the network. If the message is lost, it waits until the other side
+// closes the connection, which ends ctx, and returns false.
 func awaitDelivery(ctx context.Context, deliver func(context.Context) bool) bool {
 	if deliver(ctx) {
 		return true
--- a/internal/lab/live/frontend_jobs.go
+++ b/internal/lab/live/frontend_jobs.go
@@ -6,8 +6,8 @@
 	"milldeck/internal/lab"
 )
 
-// submit gives the model a job. Its completion comes on the channel; false: the server rejects the job, its queue is
-// full.
+// submit passes a job to the model, whose completion arrives on the channel. It returns false if the server rejects the
+// job because its queue is full.
 func (f *frontend) submit(job lab.Job) (<-chan lab.JobCompletion, bool) {
 	f.mu.Lock()
 	now := f.host.now()
@@ -28,7 +28,7 @@
 	return result, accepted
 }
 
-// cancel drops the job of an attempt whose connection has closed.
+// cancel cancels the job of an attempt whose connection has closed.
 func (f *frontend) cancel(attempt int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/live/gossip_relay.go
+++ b/internal/lab/live/gossip_relay.go
@@ -11,14 +11,15 @@
 	"milldeck/internal/lab"
 )
 
-// maxInFlightDatagrams bounds the datagrams that the relay delays at a time. More are lost, as on any network.
+// maxInFlightDatagrams bounds the datagrams that the relay delays at the same time. It drops further ones, as a network
+// does.
 const maxInFlightDatagrams = 4096
 
-// maxDatagram is the length in bytes to which longer datagrams are cut.
+// maxDatagram is the length in bytes to which longer datagrams are truncated.
 const maxDatagram = 2048
 
-// gossipRelay forwards gossip datagrams between sidecars, subject to the faults on their links. It has an address for each
-// sidecar: a datagram sent to that address goes to the sidecar, and reaches it from the sender's relay address.
+// gossipRelay forwards gossip datagrams between sidecars, subject to the faults on their links. It has one address for
+// each sidecar. A datagram sent to that address is forwarded to the sidecar, with the sender's relay address as source.
 type gossipRelay struct {
 	fleet           *fleet
 	connections     []*net.UDPConn // by sidecar
@@ -31,7 +32,7 @@
 	return &gossipRelay{fleet: fleet, sidecarBySource: map[netip.AddrPort]int{}}
 }
 
-// open binds the addresses and starts to forward.
+// open binds the addresses and starts forwarding.
 func (r *gossipRelay) open() error {
 	for i := range r.fleet.plan.Sidecars {
 		connection, err := listenUDP(r.fleet.addresses.gossipRelay(i))
@@ -84,7 +85,7 @@
 	}
 }
 
-// deliver sends a datagram to its destination and counts it.
+// deliver sends a datagram to its destination and adds it to the counts.
 func (r *gossipRelay) deliver(sender, destination int, datagram []byte) {
 	if _, err := r.connections[sender].WriteToUDPAddrPort(datagram, r.destinations[destination]); err != nil {
 		return // the sidecar is down: the datagram is lost
@@ -99,7 +100,6 @@
 	return lab.Endpoint{Kind: lab.SidecarEndpoint, Index: number}
 }
 
-// close closes all addresses.
 func (r *gossipRelay) close() {
 	for _, connection := range r.connections {
 		_ = connection.Close() // the run is over: nothing depends on it
--- a/internal/lab/live/lab_client.go
+++ b/internal/lab/live/lab_client.go
@@ -14,35 +14,35 @@
 	"milldeck/internal/lab"
 )
 
-// The messages between a server process and the lab: arguments and replies of net/rpc calls, on one connection for each
-// incarnation of the server, whose end is the end of the incarnation. encoding/gob identifies fields by their names, so
-// that the names are part of the protocol.
+// The messages between a server process and the lab: arguments and replies of net/rpc calls. Each incarnation of a
+// server has one connection, and ends when the connection closes. encoding/gob identifies fields by name, so the field
+// names are part of the protocol.
 type (
 	// HelloRequest starts an incarnation.
 	HelloRequest struct {
 		Unit, Version string
 		PID           int
 	}
-	// HelloReply answers it.
-	HelloReply struct{ First bool } // the run has not started yet
-	// BeginRequest reports an attempt. Call is the server's number for it; First and Last are the arrival times of its
-	// first and last byte.
+	// HelloReply answers a HelloRequest. First is set if the run has not started yet.
+	HelloReply struct{ First bool }
+	// BeginRequest reports an attempt. Call is the number that the server assigns to the attempt, ID is the request ID,
+	// First and Last are the arrival times of the request's first and last byte.
 	BeginRequest struct {
 		Call, First, Last int64 // Unix ns
 		ID                uint64
 	}
-	// BeginReply describes the request. Known is false where no client has sent it.
+	// BeginReply describes the request of an attempt. Known is false if no client has sent it.
 	BeginReply struct {
 		Known bool
 		Job   lab.Job
 	}
-	// TransitRequest sends a message over the modelled network: a response where Back is set, else a request, on a new
-	// connection where Fresh is set. The reply comes when the message has arrived.
+	// TransitRequest models the transfer of a message: a response if Back is set, else a request, over a new connection
+	// if Fresh is set. The lab replies when the message has arrived or is lost.
 	TransitRequest struct {
 		Call        int64
 		Back, Fresh bool
 	}
-	// AttemptEndReport reports how an attempt ended.
+	// AttemptEndReport reports the end of an attempt. How is its result.
 	AttemptEndReport struct {
 		Call, At int64 // Unix ns
 		How      string
@@ -50,13 +50,13 @@
 	// ExecutionReport reports the work of a completed request.
 	ExecutionReport struct {
 		Request uint64
-		At      int64 // Unix ns
-		Effect  bool
+		At      int64   // Unix ns
+		Effect  bool    // the request's effect was applied
 		Work    float64 // ms on a standard core
 		Key     uint64  // 0: none
 		Met     bool    // the key was cached, or there is none
 	}
-	// EffectQuery asks whether an effect has been applied before.
+	// EffectQuery asks whether an effect of a class's requests has been applied before.
 	EffectQuery struct {
 		Class  int
 		Effect uint64
@@ -84,10 +84,10 @@
 	methodCounts      = labService + ".Count"
 )
 
-// labDialTimeout bounds the connection to the lab, which is on the same machine.
+// labDialTimeout bounds the connection setup to the lab, which is on the same machine.
 const labDialTimeout = 5 * time.Second
 
-// labClient is the observer of a server whose lab runs in another process: it reports by RPC.
+// labClient is the observer of a server process that a lab in another process observes. It reports to the lab by RPC.
 type labClient struct {
 	process   *serverProcess
 	rpcClient *rpc.Client
@@ -95,7 +95,7 @@
 	readyOnce sync.Once
 }
 
-// dialLab connects to the lab. The second result tells whether the run has not started yet.
+// dialLab connects to the lab. The second result is true if the run has not started yet.
 func dialLab(process *serverProcess) (*labClient, bool, error) {
 	connection, err := net.DialTimeout("tcp4", process.config.LabAddress, labDialTimeout)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return client, reply.First, nil
 }
 
-// call calls the lab and waits for the reply. False: the lab does not answer, and reply is not set.
+// call calls the lab and waits for the reply. It returns false, with reply unset, if the call fails.
 func (c *labClient) call(method string, arguments, reply any) bool {
 	if err := c.rpcClient.Call(method, arguments, reply); err != nil {
 		slog.Debug("call to the lab failed", "method", method, "error", err)
@@ -120,12 +120,12 @@
 	return true
 }
 
-// notify calls the lab without waiting. A lost report has no consequence: its lab is gone.
+// notify calls the lab without waiting for the reply. It ignores errors: a report is lost only if the lab has exited.
 func (c *labClient) notify(method string, arguments any) {
 	c.rpcClient.Go(method, arguments, new(int), make(chan *rpc.Call, 1))
 }
 
-// remoteAttempt is an attempt that the lab follows.
+// remoteAttempt is an attempt that the lab in another process tracks.
 type remoteAttempt struct {
 	lab        *labClient
 	number     int64
@@ -153,7 +153,8 @@
 	return a.transit(ctx, TransitRequest{Call: a.number, Back: true})
 }
 
-// transit waits until a message has crossed the modelled network. False: it is lost, or ctx has ended.
+// transit waits until a message has crossed the modelled network. It returns false if the message is lost, the call
+// fails or ctx ends.
 func (a *remoteAttempt) transit(ctx context.Context, request TransitRequest) bool {
 	var ok bool
 	call := a.lab.rpcClient.Go(methodTransit, request, &ok, make(chan *rpc.Call, 1))
@@ -192,12 +193,13 @@
 	c.call(methodOverload, OverloadReport{At: at.UnixNano(), Fall: *overload}, new(int))
 }
 
-// CheckAndRecord asks the lab, which holds the effects of all servers of a deduplication scope.
+// CheckAndRecord asks the lab whether an effect has been applied before. The lab stores the effects of all servers of a
+// deduplication scope.
 func (c *labClient) CheckAndRecord(_ float64, _ *lab.ServerPlan, _ *lab.ClassPlan, number int, effect uint64) bool {
 	var applied bool
 	return c.call(methodEffect, EffectQuery{Class: number, Effect: effect}, &applied) && applied
 }
 
 func (c *labClient) close() {
-	_ = c.rpcClient.Close() // fails where the connection is closed already
+	_ = c.rpcClient.Close() // fails only if the connection is closed already
 }
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -1,11 +1,11 @@
 // Package live runs an experiment of the lab with real sidecar processes, in real time and over real sockets on the
 // loopback interface. It owns the processes, the addresses, the modelled network and the injection of faults. Clients,
-// servers and discovery are stand-ins in this process that speak the platform's protocol; where the experiment has a
-// control plane, servers are processes too (ServeServer), and the registry, the supervisor and the controllers are the
-// project's own programs.
+// servers and discovery are stand-ins in this process that speak the platform's protocol. In an experiment with a control
+// plane, servers are processes too (ServeServer), and the registry, the supervisor and the controllers are the project's
+// own programs.
 //
-// The package does not decide what is right: it reports what it observes to the checkers of package lab, which also has
-// the model of a server. Package sim runs the same plans in simulated time.
+// The package reports its observations to the checkers of package lab and does not judge them. Package lab also has the
+// model of a server. Package sim runs the same plans in simulated time.
 package live
 
 import (
@@ -28,11 +28,11 @@
 	readyPollInterval    = 10 * time.Millisecond
 	stopTimeout          = 5 * time.Second // after SIGTERM: the protocol's 3.7 s, and a margin for a busy machine
 	sentRequestRetention = 35 * time.Second
-	// schedulingCheckInterval is how often the lab checks whether its own machine schedules it late. A delay beyond
-	// maxSchedulingDelay excuses all sidecars for its time.
+	// schedulingCheckInterval is how often the lab measures the delay with which its own machine schedules it. A delay
+	// beyond maxSchedulingDelay excuses all sidecars for its duration.
 	schedulingCheckInterval = 5 * time.Millisecond
 	maxSchedulingDelay      = 20 * time.Millisecond
-	// reservedDescriptors is the number of descriptors that this process needs beside its connections.
+	// reservedDescriptors is the number of descriptors that this process needs in addition to listeners and connections.
 	reservedDescriptors = 512
 )
 
@@ -41,21 +41,21 @@
 	SidecarPath  string         // of the sidecar program
 	MilldeckPath string         // of the milldeck program: registry, agents, supervisor, servers
 	Dir          string         // folder of configurations and logs
-	Progress     func(Progress) // called every second of the run; nil: not at all
+	Progress     func(Progress) // called every second of the run unless it is nil
 }
 
 // Progress is the state of a run.
 type Progress struct {
-	LoadShare    float64  // part of the load that is over, 0 to 1
+	LoadShare    float64  // elapsed share of the load's duration, 0 to 1
 	AtSeconds    float64  // since the start of the load
 	Requests     int      // so far
-	ServedShare  float64  // served part of the priority weight so far, 0 to 1
+	ServedShare  float64  // served share of the priority weight so far, 0 to 1
 	ActiveFaults []string // labels of the faults in force
 }
 
-// Run runs a plan and returns its result. When ctx ends early, the processes are stopped and the result so far is returned,
-// marked as cut short. The error is what the lab itself could not do: start a process, hold enough descriptors or perform
-// a step. Broken rules are part of the result.
+// Run runs a plan and returns its result. If ctx ends early, Run stops the processes and returns the result so far, marked
+// as cut short. The error reports an action that the lab itself could not perform, such as starting a process, opening
+// enough descriptors or performing a step. Violations of rules are part of the result.
 func Run(ctx context.Context, plan *lab.Plan, options Options) (*lab.Result, error) {
 	fleet, err := newFleet(plan, options)
 	if err != nil {
@@ -83,7 +83,7 @@
 	ctx         context.Context // ends with the run
 	cancel      context.CancelFunc
 	createdAt   time.Time
-	startOffset atomic.Int64 // ns from createdAt to the run's time 0, when all sidecars are ready
+	startOffset atomic.Int64 // ns from createdAt to the run's time 0, when all sidecars are ready; 0 before that
 
 	registryService  *registryService // nil: discovery is the stand-in of this process
 	controlPlane     *controlPlane    // nil: the experiment has none
@@ -99,7 +99,7 @@
 
 	gossip *gossipRelay // nil: sidecars may not exchange gossip
 
-	publishedMu      sync.Mutex // guards what follows, but for discoveryDown
+	publishedMu      sync.Mutex // guards the fields below except discoveryDown
 	revision         int64
 	publishedStates  map[int]string // by server
 	discoveryDelayMS float64        // added by faults in force
@@ -140,14 +140,14 @@
 	return fleet, nil
 }
 
-// checkDescriptorLimit rejects a plan that needs more sockets than this process may hold.
+// checkDescriptorLimit rejects a plan that needs more sockets than this process may open.
 func checkDescriptorLimit(plan *lab.Plan) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("descriptors: %w", err)
 	}
 	listeners := len(plan.Servers)*len(plan.Sidecars) + 3*len(plan.Sidecars)
-	// Each pair of a sidecar and a server holds a few connections beside its listener.
+	// Each pair of a sidecar and a server has a few connections in addition to its listener.
 	if needed := uint64(3*listeners + reservedDescriptors); needed > limit.Cur {
 		return fmt.Errorf("%d sidecars and %d servers need about %d descriptors, the limit is %d: use lab sim",
 			len(plan.Sidecars), len(plan.Servers), needed, limit.Cur)
@@ -160,7 +160,7 @@
 	return float64(t.Sub(f.createdAt)-time.Duration(f.startOffset.Load())) / 1e6
 }
 
-// now is the run's time in ms.
+// now returns the run's time in ms.
 func (f *fleet) now() float64 { return f.millisecondsAt(time.Now()) }
 
 // timeAt converts the run's time in ms to a time.
@@ -175,13 +175,13 @@
 
 func (f *fleet) nextRequestID() uint64 { return f.lastRequestID.Add(1) }
 
-// isRetry counts an attempt at a request and reports whether there was one before it.
+// countAttempt counts an attempt that a server has received and reports whether it is a retry of its request.
 func (f *fleet) countAttempt(id uint64) bool {
 	value, ok := f.sentRequests.Load(id)
 	return ok && value.(*sentRequest).attempts.Add(1) > 1
 }
 
-// start starts servers, discovery and sidecars and waits until all are ready.
+// start starts servers, discovery and sidecars, and waits until all of them are ready.
 func (f *fleet) start(ctx context.Context) error {
 	for _, server := range f.servers {
 		if server.plan.StartMS > 0 || f.controlPlane != nil {
@@ -229,7 +229,7 @@
 	return nil
 }
 
-// play runs the load and the faults to their end, stops the sidecars and returns the result.
+// execute runs the load and the faults to their end, stops the sidecars and returns the result.
 func (f *fleet) execute(ctx context.Context) *lab.Result {
 	loadContext, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
@@ -261,7 +261,8 @@
 	return result
 }
 
-// awaitOpenRequests waits for the requests in flight after the last one was sent.
+// awaitOpenRequests waits until the requests in flight have ended, for at most the longest deadline of a class and a
+// margin for late responses.
 func (f *fleet) awaitOpenRequests(ctx context.Context) {
 	longest := 0.0
 	for i := range f.plan.Classes {
@@ -273,7 +274,7 @@
 	}
 }
 
-// watchScheduling detects that the lab's own machine is overloaded, and excuses all sidecars for that time.
+// watchScheduling detects when the lab's own machine is overloaded, and excuses all sidecars for that time.
 func (f *fleet) watchScheduling(ctx context.Context) {
 	for {
 		due := time.Now().Add(schedulingCheckInterval)
@@ -326,7 +327,7 @@
 	group.Wait()
 }
 
-// close kills the processes that are left and closes all listeners.
+// close kills the remaining processes and closes all listeners.
 func (f *fleet) close() {
 	f.cancel()
 	if f.controlPlane != nil {
--- a/internal/lab/live/network.go
+++ b/internal/lab/live/network.go
@@ -8,8 +8,8 @@
 	"milldeck/internal/lab"
 )
 
-// network models the links between clients, sidecars, servers and discovery: which faults are in force on them. It is
-// safe for concurrent use.
+// network holds the faults in force on the links between clients, sidecars, servers and discovery. It is safe for
+// concurrent use.
 type network struct {
 	mu                 sync.Mutex
 	faults             []*lab.Fault
@@ -38,7 +38,7 @@
 	n.changed = make(chan struct{})
 }
 
-// state is the present state of a link in one direction.
+// state returns the current state of a link in one direction.
 func (n *network) state(from, to lab.Endpoint) linkState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -64,8 +64,8 @@
 	return state
 }
 
-// transmit waits until a message that takes a delay has crossed a link; while the link is partitioned it waits for the
-// partition to end. False: the message is lost, which draw decides, a random number from 0 to 1, or ctx has ended.
+// transmit waits until the link is not partitioned, and then for the message's delay plus the link's extra delay. It
+// returns false if the message is lost or ctx ends. draw, a random number from 0 to 1, decides whether it is lost.
 func (n *network) transmit(ctx context.Context, from, to lab.Endpoint, delay time.Duration, draw float64) bool {
 	state := n.state(from, to)
 	if draw < state.loss {
@@ -82,7 +82,7 @@
 	return sleep(ctx, delay+state.extraDelay)
 }
 
-// sleep waits for a time. False: ctx has ended.
+// sleep waits for a duration. It returns false if ctx has ended.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
@@ -97,5 +97,5 @@
 	}
 }
 
-// milliseconds converts a time in ms.
+// milliseconds converts a duration in ms.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/lab/live/placement_watch.go
+++ b/internal/lab/live/placement_watch.go
@@ -10,7 +10,7 @@
 	"milldeck/internal/placement"
 )
 
-// watchPlacement follows the placement that an agent serves to its sidecar.
+// watchPlacement watches the placement that an agent serves to its sidecar, and reports it to the checker.
 func (c *controlPlane) watchPlacement(agent *agent) {
 	startedAt := time.Now()
 	cache := placement.NewCache()
@@ -59,7 +59,7 @@
 	c.checker.CopiesPublished(sidecar, copies)
 }
 
-// hashKey is the hash of a key of the lab, by which sidecars and the placement identify it.
+// hashKey returns the hash by which sidecars and the placement identify a key of the lab.
 func hashKey(key uint64) uint64 {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%016x", key)
--- a/internal/lab/live/port.go
+++ b/internal/lab/live/port.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// port is a listening address that can be made silent, as that of an unreachable machine: new connections are then
-// neither accepted nor refused. This needs no packet filter: the kernel drops the SYNs for a socket whose accept queue
-// is full, and a backlog of 0 makes the queue as short as possible. It is safe for concurrent use.
+// port is a listening address that can be made silent, like an address of an unreachable machine: new connections are
+// neither accepted nor refused. This requires no packet filter: the kernel drops the SYNs for a socket whose accept
+// queue is full, and a backlog of 0 makes the queue as short as possible. port is safe for concurrent use.
 type port struct {
 	address string
-	accept  func(net.Conn) // is called in a goroutine of its own
+	accept  func(net.Conn) // called in a separate goroutine for each connection
 
 	mu         sync.Mutex
 	listener   *net.TCPListener // nil: closed
 	silent     bool
 	fillers    []net.Conn // connections that fill the accept queue
-	generation int        // of the accept loop: the earlier ones end
+	generation int        // of the current accept loop; loops of earlier generations end
 }
 
 const (
 	normalBacklog = 512
 	silentBacklog = 0
-	// fillerCount connections fill a queue of length 0, which holds one.
+	// fillerCount connections fill the queue of a backlog of 0, which holds one connection.
 	fillerCount       = 2
 	fillerDialTimeout = 20 * time.Millisecond
-	// acceptRetryDelay is the wait after a failed accept, which is a lack of descriptors: the kernel queues the
+	// acceptRetryDelay is the delay after a failed accept, which indicates a lack of descriptors. The kernel queues the
 	// connections meanwhile.
 	acceptRetryDelay = time.Millisecond
 )
 
-// open starts to listen and to accept connections. It does nothing on an open port.
+// open starts listening and accepting connections. It does nothing on an open port.
 func (p *port) open() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +87,7 @@
 	p.fillers = nil
 }
 
-// setSilent makes the port silent, or has it accept connections again. It does nothing on a closed port.
+// setSilent makes the port silent, or makes it accept connections again. It does nothing on a closed port.
 func (p *port) setSilent(silent bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,7 +150,7 @@
 // resetConnection closes a connection with a TCP reset, as the kernel does for a process that was killed.
 func resetConnection(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails on a connection that is closed already
+		_ = tcp.SetLinger(0) // fails only on a connection that is closed already
 	}
 	connection.Close()
 }
--- a/internal/lab/live/process_watch.go
+++ b/internal/lab/live/process_watch.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	processPollInterval   = 20 * time.Millisecond // of the supervisor's children
-	readinessPollInterval = 50 * time.Millisecond // a draining sidecar reports that for ten times as long
+	processPollInterval   = 20 * time.Millisecond // of the supervisor's child processes
+	readinessPollInterval = 50 * time.Millisecond // a draining sidecar reports that it is not ready for ten times as long
 	unitEnv               = "LAB_UNIT"
 	versionEnv            = "LAB_VERSION"
 )
 
-// unitProcess is a process of a unit of the supervisor: a server or a sidecar.
+// unitProcess is a process of one of the supervisor's units, which are servers and sidecars.
 type unitProcess struct{ unit, version string }
 
-// incarnationID identifies an incarnation of a unit for the checker.
+// incarnationID returns the ID by which the checker identifies an incarnation of a unit.
 func incarnationID(pid int) string { return strconv.Itoa(pid) }
 
-// processStarted reports a process of a unit to the checker, once.
+// processStarted reports the start of a unit's process to the checker, once for each process.
 func (c *controlPlane) processStarted(unit string, pid int, version string) {
-	c.reportExited(unit) // the one before it may have exited since the last poll
+	c.reportExited(unit) // the unit's previous process may have exited since the last poll
 	c.mu.Lock()
 	_, known := c.processes[pid]
 	c.processes[pid] = &unitProcess{unit, version}
@@ -38,7 +38,7 @@
 	}
 }
 
-// processExited reports the exit of a process to the checker, once.
+// processExited reports the exit of a unit's process to the checker, once for each process.
 func (c *controlPlane) processExited(pid int) {
 	c.mu.Lock()
 	process := c.processes[pid]
@@ -49,7 +49,8 @@
 	}
 }
 
-// watchProcesses polls the supervisor's child processes: it sees what runs, whatever the supervisor knows or reports.
+// watchProcesses polls the supervisor's child processes. It detects starts and exits independently of what the
+// supervisor knows or reports.
 func (c *controlPlane) watchProcesses() {
 	for sleep(c.ctx, processPollInterval) && !c.finished.Load() {
 		c.mu.Lock()
@@ -66,7 +67,7 @@
 	}
 }
 
-// reapExited reports the processes of a unit that have exited; of all units where it is "".
+// reportExited reports to the checker the processes of a unit, or of all units if unit is "", that have exited.
 func (c *controlPlane) reportExited(unit string) {
 	c.mu.Lock()
 	var exited []int
@@ -93,12 +94,12 @@
 	c.mu.Unlock()
 	for _, pid := range pids {
 		if current, _ := unitOfProcess(pid); current == unit { // the pid has not been reused
-			_ = syscall.Kill(pid, signal) // fails for a process that has exited: it needs no signal
+			_ = syscall.Kill(pid, signal) // fails only for a process that has exited and needs no signal
 		}
 	}
 }
 
-// newestProcess is the pid of a unit's running process, 0 if there is none.
+// newestPID returns the pid of a unit's running process, the highest if there are several, 0 if there is none.
 func (c *controlPlane) newestPID(unit string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,10 +112,10 @@
 	return pid
 }
 
-// healthClient opens a connection for each check: a kept-alive one would hide a restart.
+// healthClient opens a new connection for each check, because a kept-alive connection would hide a restart.
 var healthClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// readinessStatus is the HTTP status of a process's readiness check; 0: it does not answer.
+// readinessStatus returns the HTTP status of a process's readiness check, 0 if the process does not answer.
 func readinessStatus(address string) int {
 	response, err := healthClient.Get("http://" + address + readyPath)
 	if err != nil {
@@ -127,8 +128,8 @@
 // isReady reports whether the readiness check at an address succeeds.
 func (c *controlPlane) isReady(address string) bool { return readinessStatus(address) == http.StatusOK }
 
-// watchSidecars polls each sidecar's readiness. One that was ready and reports that it is not any more has been asked to
-// terminate.
+// watchSidecars polls each sidecar's readiness and reports it to the checker. A process that was ready and then answers
+// that it is not has been asked to terminate.
 func (c *controlPlane) watchSidecars() {
 	for _, sidecar := range c.fleet.sidecars {
 		unit := c.fleet.plan.Sidecars[sidecar.number].Name
@@ -151,7 +152,7 @@
 	}
 }
 
-// watchEndpoints follows the endpoint list of the replicas.
+// watchEndpoints watches the registry's endpoint list at one replica, and after an error at the next one.
 func (c *controlPlane) watchEndpoints() {
 	registryService := c.fleet.registryService
 	for attempt := 0; c.ctx.Err() == nil; attempt++ {
@@ -170,7 +171,7 @@
 	}
 }
 
-// applyEndpointList reports the changes of a watch event to the checker.
+// applyEndpointList reports the changes in a watch event to the checker. states has the last reported states.
 func (c *controlPlane) applyEndpointList(states map[string]string, list *registry.EndpointList) {
 	now := c.now()
 	next := map[string]string{}
--- a/internal/lab/live/procfs.go
+++ b/internal/lab/live/procfs.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// childProcesses are the running child processes of a process.
+// childProcesses returns the running child processes of a process.
 func childProcesses(pid int) []int {
 	var running []int
 	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", pid)) // the pattern is well-formed
@@ -26,7 +26,7 @@
 	return running
 }
 
-// isProcessRunning reports whether a process runs; a zombie does not.
+// isProcessRunning reports whether a process is running. A zombie is not.
 func isProcessRunning(pid int) bool {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -36,7 +36,8 @@
 	return ok && fields != "" && fields[0] != 'Z' && fields[0] != 'X'
 }
 
-// unitOfProcess is the unit and the version of a process, from its environment. Empty: the process is no unit's.
+// unitOfProcess returns the unit and the version of a process, from its environment. They are empty if the process
+// belongs to no unit.
 func unitOfProcess(pid int) (unit, version string) {
 	content, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
 	if err != nil {
--- a/internal/lab/live/registry_service.go
+++ b/internal/lab/live/registry_service.go
@@ -20,9 +20,9 @@
 	registryWriteTimeout = 5 * time.Second
 )
 
-// registryService is the project's own discovery in place of the stand-in: registry replicas and an agent beside each
-// sidecar, all of them processes. The lab renews the leases of its servers and watches each agent as its sidecar does,
-// so that it knows of which servers the sidecar has been notified.
+// registryService runs the project's own discovery in place of the stand-in: registry replicas and an agent for each
+// sidecar, all as processes. The lab renews the leases of its servers. It watches each agent like the agent's sidecar, to
+// know of which servers the sidecar has been notified.
 type registryService struct {
 	fleet      *fleet
 	cluster    *cluster.Cluster
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// renewLeases renews the leases until the run ends. Nothing is deregistered then: the replicas end too.
+// renewLeases renews the leases until the run ends. It deregisters no server then, because the replicas end too.
 func (r *registryService) renewLeases() {
 	interval := time.Duration(r.fleet.plan.Experiment.Discovery.LeaseMS) * time.Millisecond / 3
 	for sleep(r.ctx, interval) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// instance is a server's registration.
+// instance returns a server's registration.
 func (r *registryService) instance(server *server) registry.Instance {
 	entry := r.fleet.endpointOf(server, 0, stateReady)
 	return registry.Instance{
@@ -142,7 +142,7 @@
 
 func agentProcessName(n int) string { return fmt.Sprintf("agent%d", n) }
 
-// launchAgent starts an agent's process, for the first time or again.
+// launchAgent starts an agent's process, for the first time or again, and waits until the agent listens.
 func (r *registryService) launchAgent(ctx context.Context, agent *agent) error {
 	dir, name := r.fleet.options.Dir, agentProcessName(agent.sidecar)
 	process, err := proc.Start(proc.Spec{
@@ -161,7 +161,7 @@
 	return err
 }
 
-// followAgent watches an agent as its sidecar does, until the run ends.
+// followAgent watches an agent like the agent's sidecar, until the run ends.
 func (r *registryService) followAgent(agent *agent) {
 	revision := uint64(0)
 	numberByUID := map[string]int{}
@@ -183,7 +183,8 @@
 	}
 }
 
-// applyUpdate applies a watch event of the real agent, and reports to the checker what its sidecar learns by it.
+// applyUpdate applies a watch event of the real agent, and reports to the checker of which servers the event notifies
+// the agent's sidecar.
 func (a *agent) applyUpdate(list *registry.EndpointList, index map[string]int) {
 	notified := map[int]bool{}
 	a.mu.Lock()
@@ -214,7 +215,8 @@
 	a.notifyChecker(notified)
 }
 
-// publishState writes a server's state to the registry, again and again until that succeeds or the state is outdated.
+// publishState writes a server's state to the registry. It retries until the write succeeds or a newer state is
+// published.
 func (r *registryService) publishState(server *server, state string) {
 	r.fleet.publishedMu.Lock()
 	r.fleet.publishedStates[server.number] = state
@@ -246,14 +248,12 @@
 	})
 }
 
-// killReplicas kills all replicas.
 func (r *registryService) killReplicas() {
 	for _, replica := range r.cluster.Replicas {
 		replica.Process.Kill()
 	}
 }
 
-// restartReplicas starts all replicas again.
 func (r *registryService) restartReplicas() error {
 	for _, replica := range r.cluster.Replicas {
 		if err := replica.Start(); err != nil {
--- a/internal/lab/live/server.go
+++ b/internal/lab/live/server.go
@@ -8,14 +8,14 @@
 	"milldeck/internal/lab"
 )
 
-// server is the stand-in for one server in the lab's process. It has a port for each sidecar, so that it knows which
-// sidecar a connection belongs to, and the link between the two can be partitioned.
+// server is the stand-in for one server in the lab's process. It has a port for each sidecar, which identifies the
+// sidecar of a connection and allows the link between the two to be partitioned.
 type server struct {
 	frontend
 	fleet   *fleet
 	ports   []*port // by sidecar
-	bootMS  float64 // of the present incarnation, in the run's time; 0: started before the run
-	version string  // of its process, where a supervisor has started it
+	bootMS  float64 // of the current incarnation, in the run's time; 0 if it started before the run
+	version string  // of the server's process, if a supervisor has started one
 }
 
 // newServer returns a server of the plan that has not been started.
@@ -30,7 +30,7 @@
 			accept:  func(connection net.Conn) { server.serveConnection(connection, sidecar) },
 		})
 		if f.registryService != nil {
-			break // the registry publishes one address for all; the request id tells the sidecar
+			break // the registry publishes one address for all sidecars; the request ID identifies the sidecar
 		}
 	}
 	return server
@@ -58,10 +58,10 @@
 	return nil
 }
 
-// crash ends the process: its connections are reset, new ones are refused.
+// crash models the exit of the server's process: it resets the connections, and new ones are refused.
 func (s *server) crash() {
 	if s.fleet.registryService != nil {
-		s.fleet.registryService.leases.Remove(s.plan.UID) // its lease is not renewed any more
+		s.fleet.registryService.leases.Remove(s.plan.UID) // the lease is no longer renewed
 	}
 	for _, port := range s.ports {
 		port.close()
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// The server is the host of its frontend: what the frontend reports goes to the run's checker and recorder.
+// The following methods implement host: they pass the frontend's reports to the run's checker and recorder.
 
 func (s *server) runContext() context.Context { return s.fleet.ctx }
 
--- a/internal/lab/live/server_lifecycle.go
+++ b/internal/lab/live/server_lifecycle.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// ledgerOwner is the owner of the lab's own operations on the ledger.
+	// ledgerOwner is the owner that the lab states in its own operations on the ledger.
 	ledgerOwner = "operator/lab"
 	// warmUpPollInterval is how often the lab looks for servers that have warmed up.
 	warmUpPollInterval = time.Second
 )
 
-// serverConfig is the configuration of a server's process, a ServerConfig in TOML.
+// serverConfig returns the configuration of a server's process, a ServerConfig in TOML.
 func (c *controlPlane) serverConfig(server *server) string {
 	experiment, plan := c.fleet.plan.Experiment, server.plan
 	var text strings.Builder
@@ -74,7 +74,7 @@
 	}
 }
 
-// tomlFloat formats a float for TOML, which requires a point or an exponent.
+// tomlFloat formats a float for TOML, which requires a decimal point or an exponent.
 func tomlFloat(value float64) string {
 	text := fmt.Sprintf("%g", value)
 	if !strings.ContainsAny(text, ".e") {
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// serverReady publishes a server whose process answers the supervisor's readiness check. Its first incarnation in the
-// run starts warm.
+// serverReady publishes a server whose process passes the supervisor's readiness check. The first incarnation in the run
+// starts warm, and startServers registers it.
 func (c *controlPlane) serverReady(server *server, version string, firstIncarnation bool) {
 	server.mu.Lock()
 	if server.up {
@@ -115,7 +115,8 @@
 	}
 }
 
-// serverExited ends a server's incarnation. One that was asked to terminate deregisters; otherwise its lease expires.
+// serverExited ends a server's incarnation. It deregisters a server that was asked to terminate; otherwise the server's
+// lease expires.
 func (c *controlPlane) serverExited(server *server, terminationRequested bool) {
 	server.mu.Lock()
 	wasUp := server.up
@@ -130,8 +131,9 @@
 	}
 }
 
-// reportWarmedUp reports to the ledger the servers that have warmed up after a start, which the operator of servers sees
-// and the endpoint list does not show. The ledger ignores a unit that has changed since it was read.
+// reportWarmedUp reports to the ledger, until the run ends, the servers that have warmed up after a start. The operator
+// of the servers can observe this, but the endpoint list does not show it. The ledger ignores the report on a unit that
+// has changed since it was read.
 func (c *controlPlane) reportWarmedUp() {
 	for sleep(c.ctx, warmUpPollInterval) && !c.finished.Load() {
 		ctx, cancel := context.WithTimeout(c.ctx, registryWriteTimeout)
@@ -168,7 +170,7 @@
 	return err
 }
 
-// unitName is the name in the id of a ledger's unit, which is kind/name.
+// unitName returns the name in the ID of a unit of the ledger. The ID has the form kind/name.
 func unitName(id string) string {
 	_, name, _ := strings.Cut(id, "/")
 	return name
--- a/internal/lab/live/server_network.go
+++ b/internal/lab/live/server_network.go
@@ -8,19 +8,19 @@
 	"milldeck/internal/lab"
 )
 
-// sidecarPath is the modelled network between a sidecar and a server.
+// modelledPath is the network path between a sidecar and a server, with the plan's delays and the faults in force.
 type modelledPath struct {
 	fleet           *fleet
 	server, sidecar int
 }
 
-// latency is the one-way delay between the sidecar's zone and the server, with jitter.
+// latency returns the one-way delay between the sidecar's zone and the server, with jitter.
 func (p *modelledPath) latency() time.Duration {
 	delayMS := p.fleet.plan.Servers[p.server].DelayByZone[p.fleet.plan.Sidecars[p.sidecar].Zone]
 	return milliseconds(delayMS * (1 + p.fleet.plan.Experiment.Network.Jitter*(2*rand.Float64()-1)))
 }
 
-// endpoints are the two ends of the link.
+// endpoints returns the two ends of the link.
 func (p *modelledPath) endpoints() (server, sidecar lab.Endpoint) {
 	return lab.Endpoint{Kind: lab.ServerEndpoint, Index: p.server}, sidecarEndpoint(p.sidecar)
 }
@@ -40,15 +40,16 @@
 	return p.fleet.network.transmit(ctx, server, sidecar, p.latency(), rand.Float64())
 }
 
-// observedAttempt is an attempt at a server in this or in its own process, which the checker and the recorder follow.
+// observedAttempt is an attempt at a server, in this process or in one of its own, that is reported to the checker and
+// the recorder.
 type observedAttempt struct {
 	modelledPath
 	requestID uint64
 	attempt   int64
-	request   *sentRequest // nil: no client sent the request
+	request   *sentRequest // nil if no client has sent it
 }
 
-// recordAttempt reports an attempt to the checker. ok tells whether a client sent its request.
+// recordAttempt reports an attempt to the checker. The second result is true if a client has sent the request.
 func (f *fleet) recordAttempt(server int, requestID uint64, sidecar int, firstByteAt, lastByteAt time.Time) (*observedAttempt, bool) {
 	request, ok := f.sentRequests.Load(requestID)
 	attempt := &observedAttempt{
--- a/internal/lab/live/server_process.go
+++ b/internal/lab/live/server_process.go
@@ -17,22 +17,22 @@
 
 // ServerConfig is the configuration of one modelled server that runs as a process of its own (milldeck lab server).
 type ServerConfig struct {
-	LabAddress   string          `toml:"lab"`     // address of the lab that observes it; "": none, requests are known by their headers
-	Number       int             `toml:"number"`  // in the lab's plan, from 0 on
+	LabAddress   string          `toml:"lab"`     // of the lab that observes the server; "": none, request headers describe the job
+	Number       int             `toml:"number"`  // in the lab's plan, from 0
 	Zone         int             `toml:"zone"`    // number of the zone
 	PodGroup     int             `toml:"pod"`     // number of the pod group
-	Speed        float64         `toml:"speed"`   // of a core, relative to a standard core; 1 where it is not given
+	Speed        float64         `toml:"speed"`   // of a core, relative to a standard core; 1 by default
 	SlowStartMS  float64         `toml:"cold_ms"` // duration of the slow start
 	StartsWarm   bool            `toml:"warm"`    // the first incarnation in the lab's run starts warm
 	Seed         uint64          `toml:"seed"`
-	HealthChecks bool            `toml:"probes"` // it answers the sidecars' health checks
+	HealthChecks bool            `toml:"probes"` // the server answers the sidecars' health checks
 	Rules        lab.RulesSpec   `toml:"rules"`
 	Kind         lab.ServerSpec  `toml:"kind"`
 	Classes      []lab.ClassSpec `toml:"class"`
 }
 
-// LoadServerConfig reads a server's configuration and, where a second path is given, the regression of its version. The
-// errors name the file, the line and the key.
+// LoadServerConfig reads a server's configuration and, if regressionPath is not empty, the regression of its version.
+// Errors name the file, the line and the key.
 func LoadServerConfig(path, regressionPath string) (*ServerConfig, *lab.Regression, error) {
 	server, regression := &ServerConfig{Speed: 1}, &lab.Regression{}
 	serverFile, err := config.Load(path, server)
@@ -61,7 +61,7 @@
 	return server, regression, first
 }
 
-// validate applies the limits that hold for a complete experiment.
+// validate checks the configuration against the limits of a complete experiment.
 func (c *ServerConfig) validate(file *config.File) error {
 	c.Kind.Count = lab.Range{Min: 1, Max: 1}
 	experiment := lab.Experiment{Servers: []lab.ServerSpec{c.Kind}, Classes: c.Classes}
@@ -71,7 +71,7 @@
 	c.Kind = experiment.Servers[0]
 	switch {
 	case c.Number < 0 || c.Zone < 0 || c.PodGroup < 0:
-		return file.Errorf("number", "number, zone and pod are from 0 on")
+		return file.Errorf("number", "number, zone and pod must not be negative")
 	case !(c.Speed > 0 && c.Speed <= 100):
 		return file.Errorf("speed", "%v is not within 0 to 100", c.Speed)
 	case !(c.SlowStartMS >= 0 && c.SlowStartMS <= 3.6e6):
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// plan is a plan with this server alone, as number 0.
+// plan returns a plan whose only server is this one, as number 0.
 func (c *ServerConfig) plan() *lab.Plan {
 	experiment := &lab.Experiment{Rules: c.Rules, Servers: []lab.ServerSpec{c.Kind}, Classes: c.Classes}
 	return &lab.Plan{
@@ -98,18 +98,18 @@
 type Unit struct{ Name, Version string }
 
 const (
-	// maxDrain bounds the graceful shutdown. The supervisor kills the process sooner where its grace period is shorter.
+	// maxDrainDuration bounds the graceful shutdown. A supervisor with a shorter grace period kills the process earlier.
 	maxDrainDuration = 60 * time.Second
 	leakInterval     = 50 * time.Millisecond
 	pageSize         = 4096
 )
 
-// errFailsAtStart is the error of a version that fails at its start.
+// errFailsAtStart is returned for a version whose regression is to fail at its start.
 var errFailsAtStart = errors.New("this version fails at its start")
 
-// ServeServer runs a modelled server until ctx ends, after which it drains and returns nil, or until it fails as its
-// version's regression or an overload has it. It closes the listener. It logs "serves" once it accepts connections, which
-// the lab and tests wait for.
+// ServeServer runs a modelled server. When ctx ends, it drains and returns nil. If the server fails, by its version's
+// regression or by an overload, it returns the error. It closes the listener. Once it accepts connections it logs
+// "serves", for which the lab and tests wait.
 func ServeServer(ctx context.Context, listener net.Listener, unit Unit, config *ServerConfig, regression *lab.Regression) error {
 	defer listener.Close()
 	if regression.FailsAtStart {
@@ -133,7 +133,7 @@
 	return process.drain(listener)
 }
 
-// serverProcess is a server in a process of its own, the host of its frontend.
+// serverProcess is a server that runs as a process of its own. It is the host of its frontend.
 type serverProcess struct {
 	unit             Unit
 	config           *ServerConfig
@@ -144,7 +144,7 @@
 	effects          lab.EffectStore
 	terminating      atomic.Bool
 	failure          chan error
-	openAttempts     atomic.Int64 // that have not ended
+	openAttempts     atomic.Int64 // received and not ended
 	receivedAttempts atomic.Int64
 	cores            float64
 
@@ -152,7 +152,7 @@
 	cancel context.CancelFunc
 }
 
-// observer receives what a server reports: the lab that observes it, or nobody.
+// observer receives the reports of a server process: labClient sends them to the lab, standaloneObserver drops them.
 type observer interface {
 	beginAttempt(requestID uint64, received receivedRequest) (serverAttempt, bool)
 	addCounts(apply func(*lab.Counts))
@@ -163,8 +163,8 @@
 	close()
 }
 
-// newServerProcess returns a server that accepts connections. ctx bounds its work, but its end does not cut that off: the
-// process drains first.
+// newServerProcess returns a server that is ready to accept connections. The end of ctx does not cancel its work, because
+// the process drains first.
 func newServerProcess(ctx context.Context, unit Unit, config *ServerConfig, regression *lab.Regression) (*serverProcess, error) {
 	process := &serverProcess{
 		unit: unit, config: config, regression: regression, startedAt: time.Now(),
@@ -212,7 +212,7 @@
 	}
 }
 
-// processEndpoint answers the requests to the process itself: the supervisor's readiness check, and its status.
+// processEndpoint answers requests to the process itself: the supervisor's readiness check and queries of the status.
 func (p *serverProcess) processEndpoint(path string) (status int, body string, ok bool) {
 	switch path {
 	case readyPath:
@@ -228,13 +228,14 @@
 	return 0, "", false
 }
 
-// The paths that a server's process answers beside those of the platform's protocol.
+// The paths that a server's process answers in addition to those of the platform's protocol.
 const (
 	readyPath  = "/health/ready"
 	statusPath = "/lab/seen"
 )
 
-// readiness is the HTTP status of the supervisor's readiness check. The lab publishes the server at the first success.
+// readiness returns the HTTP status of the supervisor's readiness check. The lab publishes the server at the first
+// success.
 func (p *serverProcess) readiness() int {
 	if p.regression.NeverReady || p.terminating.Load() {
 		return http.StatusServiceUnavailable
@@ -253,7 +254,8 @@
 	job.WorkMS *= slowdown
 }
 
-// leakMemory leaks memory as the version does, and fails at the limit at which a supervisor would kill it.
+// leakMemory leaks memory at the rate of the version's regression. It ends the process with an error at the limit at which
+// a supervisor would kill the process.
 func (p *serverProcess) leakMemory() {
 	var leaked [][]byte
 	limit := int(p.regression.LeakLimitMB * 1e6)
@@ -270,7 +272,7 @@
 	}
 }
 
-// fail ends the process with an error. Only the first one counts.
+// fail ends the process with an error. Later errors are ignored.
 func (p *serverProcess) fail(err error) {
 	select {
 	case p.failure <- err:
@@ -279,7 +281,7 @@
 }
 
 // drain shuts down gracefully: it answers the requests in flight, and those that still arrive on open connections, until
-// there have been none for a while.
+// none has been in flight for drainIdlePolls polls.
 func (p *serverProcess) drain(listener net.Listener) error {
 	p.terminating.Store(true)
 	p.observer.reportTerminating()
@@ -341,7 +343,7 @@
 	a.openAttempts.Add(-1)
 }
 
-// directPath is a path without delay and loss: that of the supervisor, and of sidecars that are not known.
+// directPath is a network path without delay and loss: that of the supervisor, and of sidecars that are not known.
 type directPath struct{}
 
 func (directPath) deliverRequest(context.Context, bool) bool { return true }
--- a/internal/lab/live/server_session.go
+++ b/internal/lab/live/server_session.go
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// serveConnection serves the calls of one incarnation of a server, until it exits.
+// serveConnection serves the calls of one incarnation of a server until its process exits.
 func (c *controlPlane) serveConnection(connection net.Conn) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	defer cancel()
@@ -44,7 +44,7 @@
 		slog.Error("RPC service not registered", "error", err)
 		return
 	}
-	// Calls that wait for the modelled network are cancelled when the process exits, so that ServeConn returns at once.
+	// ServeConn waits for pending calls. Calls that wait for the modelled network are cancelled when the process exits.
 	rpcServer.ServeConn(&monitoredConnection{connection, cancel})
 	session.disconnected()
 }
@@ -63,8 +63,8 @@
 	return n, err
 }
 
-// serverSession is one incarnation of a server process as it reports itself. Its exported methods are the methods of the
-// RPC service "Lab": their names are part of the protocol between a server process and the lab.
+// serverSession is one incarnation of a server process, as reported by the process. Its exported methods are the methods
+// of the RPC service "Lab", so their names are part of the protocol between a server process and the lab.
 type serverSession struct {
 	controlPlane *controlPlane
 	ctx          context.Context
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// identified is the server, an error before Hello.
+// identified returns the server, or an error before Hello.
 func (s *serverSession) identified() (*server, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +104,7 @@
 	return s.server, nil
 }
 
-// disconnected ends the incarnation, with the attempts that are open.
+// disconnected ends the incarnation and its open attempts.
 func (s *serverSession) disconnected() {
 	server, err := s.identified()
 	if err != nil {
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// attempt is an open attempt by the number that the server gave it.
+// attempt returns the open attempt to which the server has assigned a number.
 func (s *serverSession) attempt(call int64) (*observedAttempt, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,7 +179,7 @@
 	return nil, fmt.Errorf("no attempt %d", call)
 }
 
-// Pass returns once a message has crossed the modelled network, or is lost.
+// Pass returns once a message has crossed the modelled network or is lost.
 func (s *serverSession) Pass(transit TransitRequest, delivered *bool) error {
 	attempt, err := s.attempt(transit.Call)
 	if err != nil {
@@ -205,7 +205,7 @@
 	return nil
 }
 
-// Made reports a response, before it is sent.
+// Made reports that a response is about to be sent.
 func (s *serverSession) Made(call int64, _ *int) error {
 	attempt, err := s.attempt(call)
 	if err == nil {
@@ -214,7 +214,7 @@
 	return err
 }
 
-// Seen returns whether the effect has been applied in the server's deduplication scope before, and records it.
+// Seen returns whether the effect has already been applied in the server's deduplication scope, and records it.
 func (s *serverSession) Seen(query EffectQuery, applied *bool) error {
 	server, err := s.identified()
 	fleet := s.controlPlane.fleet
--- a/internal/lab/live/sidecar.go
+++ b/internal/lab/live/sidecar.go
@@ -27,7 +27,7 @@
 	mu            sync.Mutex
 	process       *proc.Process
 	incarnation   int
-	stopRequested *atomic.Bool // an exit of the present process is expected
+	stopRequested *atomic.Bool // set when the exit of the current process is expected
 }
 
 // newSidecarProcess returns a sidecar of the plan that has not been started.
@@ -35,7 +35,7 @@
 	return &sidecarProcess{fleet: f, number: number, address: f.addresses.sidecar(number)}
 }
 
-// start starts the process with the endpoint list that its agent has.
+// start starts the process. Its configuration contains the endpoint list that the agent has.
 func (s *sidecarProcess) start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,12 +59,11 @@
 	return nil
 }
 
-// sidecarConfigPath is the path of a sidecar's configuration.
 func (f *fleet) sidecarConfigPath(sidecar *sidecarProcess) string {
 	return filepath.Join(f.options.Dir, f.plan.Sidecars[sidecar.number].Name+".json")
 }
 
-// watchExit reports a process that exits unexpectedly once the run has started. Before that awaitReady fails.
+// watchExit reports an unexpected exit of a process once the run has started. An earlier exit makes awaitReady fail.
 func (s *sidecarProcess) watchExit(process *proc.Process, stopRequested *atomic.Bool) {
 	<-process.Done()
 	if !stopRequested.Load() && s.fleet.startOffset.Load() != 0 {
@@ -74,7 +73,6 @@
 	}
 }
 
-// writeConfig writes the configuration file.
 func (s *sidecarProcess) writeConfig(path string) error {
 	data, err := s.config()
 	if err != nil {
@@ -108,7 +106,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// config is the configuration of the sidecar's next incarnation, in JSON.
+// config returns the configuration of the sidecar's next incarnation, in JSON.
 func (s *sidecarProcess) config() ([]byte, error) {
 	fleet, agent := s.fleet, s.fleet.agents[s.number]
 	agent.mu.Lock()
@@ -159,12 +157,12 @@
 			}
 		}
 		if !process.Running() {
-			return fmt.Errorf("%s exited before it was ready (%s); its log ends:\n%s",
+			return fmt.Errorf("%s exited before it was ready (%s); end of its log:\n%s",
 				process.Name, exitStatus(process.Wait()), process.Log())
 		}
 		if !sleep(ctx, readyPollInterval) {
 			if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-				return fmt.Errorf("%s was not ready within %v; its log ends:\n%s", process.Name, readyTimeout, process.Log())
+				return fmt.Errorf("%s was not ready within %v; end of its log:\n%s", process.Name, readyTimeout, process.Log())
 			}
 			return ctx.Err()
 		}
@@ -179,7 +177,7 @@
 	return err.Error()
 }
 
-// stop ends the process with SIGTERM, and with SIGKILL when ctx ends first, which is an error.
+// stop ends the process with SIGTERM. If ctx ends first, it kills the process and returns an error.
 func (s *sidecarProcess) stop(ctx context.Context) error {
 	s.mu.Lock()
 	process := s.process
@@ -192,7 +190,7 @@
 	return process.Stop(ctx)
 }
 
-// kill ends the process at once. The checker does not blame the sidecar for the requests in flight.
+// kill kills the process. The checker does not hold the sidecar responsible for the requests in flight.
 func (s *sidecarProcess) kill() {
 	if s.fleet.controlPlane != nil {
 		s.fleet.controlPlane.signalUnit(s.fleet.plan.Sidecars[s.number].Name, syscall.SIGKILL)
@@ -218,6 +216,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.process != nil {
-		_ = s.process.Signal(signal) // fails for a process that is not a child any more only: it needs no signal
+		_ = s.process.Signal(signal) // fails only for a process that is no longer a child and needs no signal
 	}
 }
--- a/internal/lab/live/sidecar_faults.go
+++ b/internal/lab/live/sidecar_faults.go
@@ -22,8 +22,8 @@
 	f.startSidecar(sidecar)
 }
 
-// startSidecar starts a sidecar whose process has exited and waits until it is ready: before that it does not handle
-// signals, and a stop would kill it.
+// startSidecar starts a sidecar whose process has exited and waits until it is ready. A process that is not ready does not
+// handle signals yet: a stop would kill it.
 func (f *fleet) startSidecar(sidecar *sidecarProcess) {
 	if f.ctx.Err() != nil {
 		return
@@ -39,7 +39,8 @@
 	logFaultFailure("start of a sidecar", err)
 }
 
-// reloadSidecar moves the discovery agent, writes the new address to the configuration and has the sidecar reload it.
+// reloadSidecar moves the discovery agent, writes the new address to the sidecar's configuration and makes the sidecar
+// reload it.
 func (f *fleet) reloadSidecar(sidecar *sidecarProcess) {
 	agent := f.agents[sidecar.number]
 	if f.registryService != nil {
@@ -63,7 +64,8 @@
 	sidecar.signal(syscall.SIGHUP)
 }
 
-// exhaustDescriptors holds as many silent connections to a sidecar as it has descriptors.
+// exhaustDescriptors keeps as many idle connections open to a sidecar as the sidecar may have sockets, until the fault
+// ends.
 func (f *fleet) exhaustDescriptors(ctx context.Context, sidecar *sidecarProcess, fault *lab.Fault) {
 	var connections []net.Conn
 	defer func() {
--- a/internal/lab/live/standalone.go
+++ b/internal/lab/live/standalone.go
@@ -9,14 +9,14 @@
 	"milldeck/internal/lab"
 )
 
-// standaloneObserver is the observer of a server that runs without a lab. It takes what it knows of a request from the
-// request's header and reports to nobody.
+// standaloneObserver is the observer of a server process that runs without a lab. It derives the job from the request's
+// header and drops all reports.
 type standaloneObserver struct {
 	process     *serverProcess
 	lastAttempt atomic.Int64
 }
 
-// standaloneAttempt is an attempt of which only the request's header is known.
+// standaloneAttempt is an attempt whose job is derived from the request's header.
 type standaloneAttempt struct {
 	directPath
 	requestJob lab.Job
@@ -46,10 +46,10 @@
 		attempt.requestJob.WorkMS = o.process.config.Classes[attempt.requestJob.Class].WorkMS.Min
 	}
 	if cookie, err := received.request.Cookie("k"); err == nil {
-		attempt.requestJob.Key, _ = strconv.ParseUint(cookie.Value, 16, 64) // 0, no key, where the cookie holds none
+		attempt.requestJob.Key, _ = strconv.ParseUint(cookie.Value, 16, 64) // 0 (no key) if it is not a number
 	}
 	if key := strings.TrimLeft(header.Get("Idempotency-Key"), "0"); key != "" {
-		attempt.requestJob.EffectID, _ = strconv.ParseUint(key[:min(16, len(key))], 16, 64) // 0, no effect, likewise
+		attempt.requestJob.EffectID, _ = strconv.ParseUint(key[:min(16, len(key))], 16, 64) // 0 (no effect) if it is not a number
 	}
 	return attempt, true
 }
--- a/internal/lab/live/supervisor.go
+++ b/internal/lab/live/supervisor.go
@@ -11,7 +11,7 @@
 	"milldeck/internal/supervisor"
 )
 
-// startSupervisor writes the versions that the stand-in supervisor can start, and starts it.
+// startSupervisor writes the configuration of the versions that the stand-in supervisor can start, and starts it.
 func (c *controlPlane) startSupervisor(ctx context.Context) error {
 	text, err := c.versionsConfig()
 	if err != nil {
@@ -28,7 +28,7 @@
 	return c.launchSupervisor(ctx)
 }
 
-// launchSupervisor starts the supervisor's process and waits until it serves.
+// launchSupervisor starts the supervisor's process and waits until it listens.
 func (c *controlPlane) launchSupervisor(ctx context.Context) error {
 	dir := c.fleet.options.Dir
 	process, err := proc.Start(proc.Spec{
@@ -46,8 +46,8 @@
 	return err
 }
 
-// versionsConfig is the supervisor's configuration of versions. For each version of servers it writes a file beside it
-// with the regression of that version.
+// versionsConfig returns the supervisor's configuration of versions. It also writes, for each server version, a file with
+// the regression of that version.
 func (c *controlPlane) versionsConfig() (string, error) {
 	var text strings.Builder
 	for i := range c.spec.Versions {
@@ -72,7 +72,7 @@
 	return text.String(), nil
 }
 
-// startUnits has the supervisor start units that it does not have yet, in batches.
+// startUnits makes the supervisor start units that it does not have yet, in batches.
 func (c *controlPlane) startUnits(ctx context.Context, requests []supervisor.Request) error {
 	inventory, err := c.supervisorClient.List(ctx)
 	if err != nil {
