--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -127,13 +127,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	script := filepath.Join(t.TempDir(), "dies")
-	if err := os.WriteFile(script, []byte("#!/bin/sh\necho no luck today >&2\nexit 3\n"), 0o700); err != nil {
+	script := filepath.Join(t.TempDir(), "failing-sidecar")
+	if err := os.WriteFile(script, []byte("#!/bin/sh\necho cannot start the sidecar >&2\nexit 3\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	_, err = Run(t.Context(), experiment.NewPlan(0), Options{SidecarPath: script, Dir: t.TempDir()})
-	if err == nil || !strings.Contains(err.Error(), "sidecar n0") || !strings.Contains(err.Error(), "no luck today") {
-		t.Errorf("%v names neither the sidecar nor its log", err)
+	if err == nil || !strings.Contains(err.Error(), "sidecar n0") || !strings.Contains(err.Error(), "cannot start the sidecar") {
+		t.Errorf("error %v lacks the sidecar's name or the text of its log", err)
 	}
 }
 
