--- a/internal/lab/live/faults.go
+++ b/internal/lab/live/faults.go
@@ -84,7 +84,7 @@
 func (f *fleet) beginServerFault(ctx context.Context, server *server, fault *lab.Fault) {
 	switch fault.Kind {
 	case lab.FaultKill:
-		server.crash()
+		server.exit()
 		f.removeAfterSilence(server)
 	case lab.FaultZoneOutage:
 		f.network.update(func() { f.network.unreachableServers[server.number] = true })
@@ -297,7 +297,7 @@
 	if !sleep(ctx, milliseconds(f.plan.DrainDurationMS())) || f.publishedState(server) != stateTerminating {
 		return
 	}
-	server.crash()
+	server.exit()
 	if !restart {
 		f.publishState(server, stateGone)
 	} else if sleep(ctx, restartPauseMS*time.Millisecond) {
--- a/internal/lab/live/frontend_attempt.go
+++ b/internal/lab/live/frontend_attempt.go
@@ -92,8 +92,8 @@
 // connection has to be closed.
 func (h *attemptHandler) run(ctx context.Context) bool {
 	f := h.frontend
-	arrives := func(ctx context.Context) bool { return h.attempt.deliverRequest(ctx, h.client.newConnection) }
-	if !awaitDelivery(ctx, arrives) {
+	deliver := func(ctx context.Context) bool { return h.attempt.deliverRequest(ctx, h.client.newConnection) }
+	if !awaitDelivery(ctx, deliver) {
 		return false
 	}
 	if h.client.overConnectionLimit {
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -350,7 +350,7 @@
 	}
 	for _, server := range f.servers {
 		if f.controlPlane == nil {
-			server.crash()
+			server.exit()
 		}
 	}
 	if f.gossip != nil {
--- a/internal/lab/live/server.go
+++ b/internal/lab/live/server.go
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// crash models the exit of the server's process: it resets the connections, and new ones are refused.
-func (s *server) crash() {
+// exit models the exit of the server's process: it resets the connections, and new ones are refused.
+func (s *server) exit() {
 	if s.fleet.registryService != nil {
 		s.fleet.registryService.leases.Remove(s.plan.UID) // the lease is no longer renewed
 	}
@@ -98,7 +98,7 @@
 
 func (s *server) overloaded(now float64, overload *lab.SlowStartOverload) {
 	s.fleet.checker.ServerOverloaded(now, s.number, overload)
-	s.crash()
+	s.exit()
 	s.fleet.removeAfterSilence(s)
 }
 
