--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -55,14 +55,14 @@
 rate = 120
 `
 
-// playFleet runs fleetExperiment.
-func playFleet(t *testing.T, ctx context.Context, duration, faults string) (*lab.Result, string) {
+// runFleet runs fleetExperiment.
+func runFleet(t *testing.T, ctx context.Context, duration, faults string) (*lab.Result, string) {
 	t.Helper()
-	return playExperiment(t, ctx, fleetExperiment, duration, faults)
+	return runExperiment(t, ctx, fleetExperiment, duration, faults)
 }
 
-// playExperiment runs an experiment and reports the rules that it breaks.
-func playExperiment(t *testing.T, ctx context.Context, template, duration, faults string) (*lab.Result, string) {
+// runExperiment runs an experiment and reports each violated rule as a test error.
+func runExperiment(t *testing.T, ctx context.Context, template, duration, faults string) (*lab.Result, string) {
 	t.Helper()
 	experiment, err := lab.Parse("live.toml", []byte(fmt.Sprintf(template, duration)+faults))
 	if err != nil {
@@ -82,7 +82,7 @@
 	return result, dir
 }
 
-// faultTOML is a fault of an experiment.
+// faultTOML returns a fault of an experiment in TOML.
 func faultTOML(kind, target, atSeconds, lastsSeconds, extra string) string {
 	text := fmt.Sprintf("[[fault]]\nkind = %q\nat_s = %s\n%s\n", kind, atSeconds, extra)
 	if target != "" {
@@ -94,7 +94,7 @@
 	return text
 }
 
-// Real processes under every kind of fault break no rule and serve most requests.
+// Real processes under every kind of fault violate no rule and serve most requests.
 func TestFleetUnderFaults(t *testing.T) {
 	for name, faults := range map[string]string{
 		"processes": faultTOML("kill", "sidecar:0", "0.8", "0.3", "") + faultTOML("freeze", "sidecar:1", "1", "0.4", "") +
@@ -114,7 +114,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			result, dir := playFleet(t, t.Context(), "2.6", faults)
+			result, dir := runFleet(t, t.Context(), "2.6", faults)
 			if result.Requests < 200 || result.ServedShare < 0.6 {
 				t.Errorf("%d requests, %.3f served; attempts %v\n%s", result.Requests, result.ServedShare, result.AttemptsByResult, LogTail(dir))
 			}
@@ -127,13 +127,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	script := filepath.Join(t.TempDir(), "dies")
-	if err := os.WriteFile(script, []byte("#!/bin/sh\necho no luck today >&2\nexit 3\n"), 0o700); err != nil {
+	script := filepath.Join(t.TempDir(), "failing-sidecar")
+	if err := os.WriteFile(script, []byte("#!/bin/sh\necho cannot start the sidecar >&2\nexit 3\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	_, err = Run(t.Context(), experiment.NewPlan(0), Options{SidecarPath: script, Dir: t.TempDir()})
-	if err == nil || !strings.Contains(err.Error(), "sidecar n0") || !strings.Contains(err.Error(), "no luck today") {
-		t.Errorf("%v names neither the sidecar nor its log", err)
+	if err == nil || !strings.Contains(err.Error(), "sidecar n0") || !strings.Contains(err.Error(), "cannot start the sidecar") {
+		t.Errorf("error %v lacks the sidecar's name or the text of its log", err)
 	}
 }
 
@@ -141,7 +141,7 @@
 func TestInterruptedRunStopsItsProcesses(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(1500*time.Millisecond, cancel) // while the load is sent
-	result, _ := playFleet(t, ctx, "60", faultTOML("freeze", "sidecar:0", "0.2", "50", ""))
+	result, _ := runFleet(t, ctx, "60", faultTOML("freeze", "sidecar:0", "0.2", "50", ""))
 	if !result.CutShort || result.Requests == 0 {
 		t.Errorf("cut short: %v, %d requests", result.CutShort, result.Requests)
 	}
@@ -157,10 +157,10 @@
 		var pid, parent int
 		var name, state string
 		if _, err := fmt.Sscan(string(data), &pid, &name, &state, &parent); err != nil {
-			continue // a name with a space: not a sidecar's
+			continue // the process name has a space: not a sidecar
 		}
 		if parent == syscall.Getpid() && name == "(sidecar)" && state != "Z" {
-			t.Errorf("process %d is left", pid)
+			t.Errorf("process %d is still running", pid)
 		}
 	}
 }
@@ -169,14 +169,14 @@
 // healed they send no more than the budget that the requests earn.
 func TestGossipBetweenProcesses(t *testing.T) {
 	const bytesPerRequest, burst = 2.2, 400 + 39 // balance's gossip budget at a cost of 0.06, gossipBurstBytes, and a poll
-	const initialRequests = 3 * 2                // each polls the others at its start, before the first fault
-	play := func(t *testing.T, partition string) *lab.Result {
+	const initialRequests = 3 * 2                // each sidecar polls the others at its start, before the first fault
+	run := func(t *testing.T, partition string) *lab.Result {
 		faults := "[limits]\nmay_tell = true\ncancel = true\n[prices]\npeer = 0.06\n" +
 			faultTOML("slow", "server:0-19", "0.4", "1", "by = 40") + faultTOML("slow", "server:0-19", "1.8", "1", "by = 40")
 		manyServers := strings.Replace(fleetExperiment, "count = 6\n", "count = 60\nwarm_gain = 0.3\nwarm_ms = 5000\nwarm_keys = 50\n", 1)
-		result, _ := playExperiment(t, t.Context(), manyServers, "2.8", faults+partition)
+		result, _ := runExperiment(t, t.Context(), manyServers, "2.8", faults+partition)
 		if limit := bytesPerRequest*float64(result.Requests) + 3*burst; float64(result.GossipBytes) > limit {
-			t.Errorf("%d bytes of gossip with %d requests, at most %.0f", result.GossipBytes, result.Requests, limit)
+			t.Errorf("%d bytes of gossip with %d requests, want at most %.0f", result.GossipBytes, result.Requests, limit)
 		}
 		return result
 	}
@@ -185,20 +185,20 @@
 	}
 	t.Run("connected", func(t *testing.T) {
 		t.Parallel()
-		if result := play(t, ""); result.GossipMessages <= initialRequests {
-			t.Errorf("no gossip, %d messages", result.GossipMessages)
+		if result := run(t, ""); result.GossipMessages <= initialRequests {
+			t.Errorf("no gossip besides the initial polls: %d messages", result.GossipMessages)
 		}
 	})
 	t.Run("partitioned", func(t *testing.T) {
 		t.Parallel()
-		if result := play(t, partition("0", "9")); result.GossipMessages > initialRequests {
+		if result := run(t, partition("0", "9")); result.GossipMessages > initialRequests {
 			t.Errorf("%d messages crossed the partition", result.GossipMessages)
 		}
 	})
 	t.Run("healed", func(t *testing.T) {
 		t.Parallel()
-		if result := play(t, partition("0", "1.6")); result.GossipMessages <= initialRequests {
-			t.Error("no gossip once the partition had healed")
+		if result := run(t, partition("0", "1.6")); result.GossipMessages <= initialRequests {
+			t.Error("no gossip after the partition had healed")
 		}
 	})
 }
