--- a/internal/lab/controlplane/batch/batch.go
+++ b/internal/lab/controlplane/batch/batch.go
@@ -1,5 +1,5 @@
-// Package batch plays many simulations of the control plane in parallel and summarizes them. Each is played by itself:
-// the result is the same with any number of workers.
+// Package batch runs many simulations of the control plane in parallel and summarizes them. Each simulation is independent
+// of the others: the result is the same with any number of workers.
 package batch
 
 import (
@@ -19,9 +19,9 @@
 	HealthyRollouts   []controlplane.RolloutResult `json:"healthy,omitempty"`
 }
 
-// Run plays the simulations of the seeds from firstSeed to lastSeed, and so many rollouts each of a version with a
-// regression and of a healthy one, with seeds from 0. At most so many workers play at a time. The error is that of ctx:
-// a simulation that has begun is played to its end, no other begins.
+// Run runs the simulations of the seeds from firstSeed to lastSeed. It also runs the given number of rollouts of versions
+// with a regression, and as many of healthy versions, with seeds from 0. At most the given number of workers run at a time.
+// If ctx is cancelled, simulations that have begun run to their end, no other begins, and Run returns the error of ctx.
 func Run(ctx context.Context, name string, firstSeed, lastSeed uint64, rollouts int, options controlplane.Options, workers int) (*Result, error) {
 	result := &Result{
 		Name:              name,
--- a/internal/lab/controlplane/budgets.go
+++ b/internal/lab/controlplane/budgets.go
@@ -2,7 +2,7 @@
 
 import "milldeck/internal/disruption"
 
-// budgets are the disruption budgets of the fleet: a twentieth of the servers and a sixteenth of the sidecars.
+// budgets returns the disruption budgets of the fleet: 1/20 of the servers and 1/16 of the sidecars.
 func (o *Options) budgets() []disruption.Budget {
 	return []disruption.Budget{
 		kindBudget("servers", disruption.KindServer, max(o.Servers/20, 4)),
@@ -10,7 +10,7 @@
 	}
 }
 
-// kindBudget is a budget of all units of a kind.
+// kindBudget returns a disruption budget for all units of a kind.
 func kindBudget(name string, kind disruption.Kind, maxUnavailable int) disruption.Budget {
 	return disruption.Budget{
 		Name:           name,
--- a/internal/lab/controlplane/checker.go
+++ b/internal/lab/controlplane/checker.go
@@ -11,9 +11,9 @@
 const (
 	ruleBudget   = "budget"   // a permit or a failure takes more units out of service than the disruption budget allows
 	ruleHours    = "hours"    // a tenant is excluded from servers outside its approved hours
-	ruleOnce     = "once"     // a unit has two processes, or is restarted on a version that it was already serving on
+	ruleOnce     = "once"     // a unit has two processes, or is restarted on the version on which it was in service
 	ruleStranded = "stranded" // a unit, release or window is left in an intermediate state
-	ruleSpread   = "spread"   // a hot key gets more replicas, or faster, than its warm-up budget allows
+	ruleSpread   = "spread"   // a hot key gets too many replicas, or gets them faster than its warm-up budget allows
 )
 
 // RuleNames lists the rules in the order of reports.
@@ -22,27 +22,27 @@
 const (
 	// detectionMS is how long a failure may be unknown to the ledger: the registration lease and a few ticks.
 	detectionMS = endpointLeaseMS + 4*tickMS
-	// restoreGraceMS is how long acts that were decided before a restore may still arrive.
+	// restoreGraceMS is how long after a restore actions may still arrive that were decided before it.
 	restoreGraceMS = 15_000
-	// maxListedViolations of a simulation are described in its result.
+	// maxListedViolations is the number of violations that the result of a simulation describes.
 	maxListedViolations = 20
 )
 
-// observation is what the checker knows of a unit.
+// observation is the checker's view of a unit.
 type observation struct {
 	inService        bool
-	outSinceMS       int64 // when it left service last
-	inServiceSinceMS int64 // when it entered service last
+	outSinceMS       int64 // when it last left service
+	inServiceSinceMS int64 // when it last entered service
 	granted          bool  // a permit to take it out of service is in effect
-	outSinceGrant    bool  // since that permit
-	stopRequested    bool  // the platform was asked to stop its process
-	servedBeforeStop bool  // and that process had been in service for a while
+	outSinceGrant    bool  // it has been out of service since that permit
+	stopRequested    bool  // the platform has a request to stop its process
+	servedBeforeStop bool  // and that process had been in service for longer than detectionMS
 	version          string
 	incarnation      uint64
 }
 
-// checker checks the rules. It observes processes, the endpoint list, the exclusions that sidecars follow and grants as
-// they are written. It never asks a table of the control plane which units are unavailable.
+// checker checks the rules. It observes processes, the endpoint list, the exclusions that sidecars apply, and grants as
+// they are written. It never takes from a table of the control plane which units are unavailable.
 type checker struct {
 	cluster          *cluster
 	enabled          bool
@@ -50,16 +50,16 @@
 	violationsByRule map[string]int
 
 	restoredMS         int64           // when a backup was restored; 0: never
-	platformMisbehaved bool            // the platform starts units twice or forgets running ones: ruleOnce is not checked
-	duplicatedUnits    map[string]bool // units with two processes that were reported
+	platformMisbehaved bool            // a fault may start units twice or lose running ones: ruleOnce is not checked
+	duplicatedUnits    map[string]bool // units whose second process was already reported
 	divertedReleases   map[string]bool // releases that were ever halted or rolled back
 	upgradedUnits      map[string]bool // units that were started on another version than the initial one
 
-	grantedUnits map[string]*unit // with observation.granted
+	grantedUnits map[string]*unit // units with observation.granted, by ID
 
 	hours          map[string][]approvedHours // by tenant, oldest first
 	excludedMS     int64                      // exclusion of tenants, summed over all sidecars
-	outsideHoursMS int64                      // of that, outside approved hours
+	outsideHoursMS int64                      // part of excludedMS outside approved hours
 
 	warmupWork map[int64]float64 // ms of warm-up work that was begun, by second
 }
@@ -110,7 +110,7 @@
 	return count
 }
 
-// observe updates whether a unit is in service, and checks that it has one process.
+// observe updates whether a unit is in service, and checks that it has at most one process.
 func (c *checker) observe(target *unit) {
 	observed := &target.observed
 	inService := c.cluster.inService(target)
@@ -135,8 +135,8 @@
 	}
 }
 
-// observeRequests observes requests to the platform before they are sent. A stop of another incarnation than the running
-// one is rejected by the platform, and is ignored.
+// observeRequests observes requests to the platform before they are sent. It ignores a stop of an incarnation other than
+// the running one, because the platform rejects it.
 func (c *checker) observeRequests(requests []supervisor.Request) {
 	for index := range requests {
 		request := &requests[index]
@@ -146,13 +146,13 @@
 			continue
 		}
 		c.requirePermit(target, "stopped")
-		// A controller may have given up on a unit that has entered service only now.
+		// A controller may have given up on a unit before it could know that the unit has just entered service.
 		observed.servedBeforeStop = observed.inService && c.cluster.nowMS-observed.inServiceSinceMS > detectionMS
 		observed.stopRequested = true
 	}
 }
 
-// observeLaunch observes the start of a process. One of the same incarnation is a restart by the platform itself.
+// observeLaunch observes the start of a process. A start of the same incarnation is a restart by the platform itself.
 func (c *checker) observeLaunch(target *unit, version string, incarnation uint64) {
 	observed := &target.observed
 	servedAlready := observed.stopRequested && observed.servedBeforeStop && observed.version == version
@@ -167,7 +167,7 @@
 	}
 }
 
-// releaseOf is the name of the release that a unit is part of, or empty. It updates whether that release was diverted.
+// releaseOf returns the name of the release that a unit is part of, or "". It also calls observePhase for that release.
 func (c *checker) releaseOf(target *unit) string {
 	for _, name := range c.cluster.registry.releases.Names() {
 		state, _ := c.cluster.registry.releases.Get(name)
@@ -181,7 +181,7 @@
 	return ""
 }
 
-// observePhase records whether a release was ever halted or rolled back: stopped units then start on their old version.
+// observePhase records whether a release was ever halted or rolled back: its stopped units then restart on the old version.
 func (c *checker) observePhase(name string) {
 	state, _ := c.cluster.registry.releases.Get(name)
 	if state.Status.Phase != release.PhaseRollout && state.Status.Phase != release.PhaseCompleted {
--- a/internal/lab/controlplane/checker_budget.go
+++ b/internal/lab/controlplane/checker_budget.go
@@ -7,12 +7,13 @@
 	"milldeck/internal/disruption"
 )
 
-// maxListedUnits of a budget violation are named.
+// maxListedUnits is the number of units that the report of a budget violation names.
 const maxListedUnits = 12
 
-// checkGrants checks ruleBudget on the permits that were granted since the last check: when a unit in service is granted,
-// no more units may be unavailable than the budget allows. Those that are granted and still in service count as
-// unavailable, those that failed do once the failure can be known. A failure alone is no violation.
+// checkGrants checks ruleBudget on the permits that were granted since the last check: if a permit covers a unit in
+// service, no more units may be unavailable than the budget allows. A unit with a granted permit counts as unavailable
+// even while it is in service. A failed unit counts once the control plane can know of the failure. A failure alone is no
+// violation.
 func (c *checker) checkGrants() {
 	registry := c.cluster.registry
 	for _, name := range registry.releases.Names() {
@@ -30,7 +31,7 @@
 	}
 }
 
-// endReturnedGrants ends the grants whose permit is gone and whose unit is in service, or has left for good.
+// endReturnedGrants ends the grants whose permit is finished and whose unit is in service or permanently drained.
 func (c *checker) endReturnedGrants() {
 	for _, unitID := range sortedKeys(c.grantedUnits) {
 		target := c.grantedUnits[unitID]
@@ -47,8 +48,8 @@
 	delete(c.grantedUnits, target.ID)
 }
 
-// recordGrants records new grants. It returns the permit of each unit that a grant takes out of service: units that are
-// out already, or are missing and so count as out, are not.
+// recordGrants records new grants. It returns the permit ID of each unit that a grant takes out of service. Units that are
+// already out of service, or are missing and therefore count as such, are left out.
 func (c *checker) recordGrants(grants []disruption.Permit) map[*unit]string {
 	takenOut := map[*unit]string{}
 	for _, permit := range grants {
@@ -68,7 +69,7 @@
 	return takenOut
 }
 
-// checkBudget reports a violation where a grant took a unit of the budget out of service and more are unavailable than
+// checkBudget reports a violation if a grant took a unit of the budget out of service and more units are unavailable than
 // the budget allows.
 func (c *checker) checkBudget(budget *disruption.Budget, takenOut map[*unit]string) {
 	count, lastPermit := 0, ""
@@ -94,14 +95,14 @@
 	}
 }
 
-// unavailable tells whether a unit counts as unavailable, as far as the control plane can know.
+// unavailable reports whether a unit counts as unavailable, as far as the control plane can know.
 func (c *checker) unavailable(target *unit) bool {
 	observed := &target.observed
 	switch {
 	case observed.granted:
 		return true
 	case target.decommissioned && !target.alive:
-		return false // drained for good
+		return false // drained permanently
 	case observed.inService || !c.cluster.registry.available():
 		return false
 	default:
@@ -110,7 +111,7 @@
 	}
 }
 
-// requirePermit checks that a unit in service is taken out of service with a permit.
+// requirePermit reports a violation if a unit in service is taken out of service without a permit.
 func (c *checker) requirePermit(target *unit, action string) {
 	registry := c.cluster.registry
 	registry.indexPermits()
--- a/internal/lab/controlplane/checker_end.go
+++ b/internal/lab/controlplane/checker_end.go
@@ -9,10 +9,10 @@
 	"milldeck/internal/release"
 )
 
-// maxListedBlockedUnits of an unfinished release are described.
+// maxListedBlockedUnits is the number of blocked units that are described for an unfinished release.
 const maxListedBlockedUnits = 3
 
-// checkEnd checks ruleStranded at the end of a simulation, and ruleHours on the exclusions that are still followed.
+// checkEnd checks ruleStranded at the end of a simulation, and ruleHours on the exclusions that are still active.
 func (c *checker) checkEnd() {
 	targetVersions, listed := c.checkReleases()
 	for _, member := range c.cluster.units {
@@ -31,8 +31,8 @@
 	}
 }
 
-// checkReleases checks that every release has finished. It returns the version that each of their units should have, and
-// the units that a release itself lists as stranded.
+// checkReleases checks that every release has finished. It returns the version that each unit of a release should have,
+// and the units that a release itself lists as stranded.
 func (c *checker) checkReleases() (targetVersions map[string]string, listed map[string]bool) {
 	targetVersions, listed = map[string]string{}, map[string]bool{}
 	for _, name := range c.cluster.registry.releases.Names() {
@@ -54,7 +54,7 @@
 	return targetVersions, listed
 }
 
-// listsUnit tells whether a line is about a unit: its id, then a space or a colon.
+// listsUnit reports whether a line is about a unit: it starts with the unit's ID, then a space or a colon.
 func listsUnit(lines []string, unitID string) bool {
 	for _, line := range lines {
 		if strings.HasPrefix(line, unitID+" ") || strings.HasPrefix(line, unitID+":") {
@@ -64,7 +64,7 @@
 	return false
 }
 
-// checkUnit checks that a unit is in service on the target version; empty: on the initial one.
+// checkUnit checks that a unit is in service on the target version. An empty version stands for the initial one.
 func (c *checker) checkUnit(target *unit, targetVersion string) {
 	if targetVersion == "" {
 		targetVersion = initialVersion
@@ -97,7 +97,7 @@
 	}
 }
 
-// describeBlockedUnits describes the units that a release waits for, and the halts of the ledger.
+// describeBlockedUnits describes the units for which a release waits, and the halts of the ledger.
 func (c *cluster) describeBlockedUnits(state *release.State) string {
 	var blocked []string
 	for index := range state.Units {
--- a/internal/lab/controlplane/checker_hotkey.go
+++ b/internal/lab/controlplane/checker_hotkey.go
@@ -9,7 +9,7 @@
 // warmupPeriodSeconds is the period over which ruleSpread sums warm-up work.
 const warmupPeriodSeconds = 10
 
-// observeCopies checks ruleSpread on a directive that is set: the copies that did not exist before have to be warmed up.
+// observeReplicas checks ruleSpread on a directive that is set. Replicas on servers that had none before cost warm-up work.
 func (c *checker) observeCopies(directive *placement.Directive, existing map[string]bool) {
 	added := 0
 	for _, replica := range directive.Copies {
@@ -26,7 +26,7 @@
 	}
 	servers := float64(len(c.cluster.servers))
 	budget := max(config.WarmupBudget*serverCapacityMS*servers, config.MinWarmupBudget)
-	allowed := budget * (warmupPeriodSeconds + 1) // the planner may save up a second of its budget
+	allowed := budget * (warmupPeriodSeconds + 1) // the planner may accumulate its budget of one second
 	if sum > allowed {
 		c.report(ruleSpread, fmt.Sprintf("%.0f ms of warm-up work within %d s, %.0f allowed", sum, warmupPeriodSeconds, allowed))
 	}
--- a/internal/lab/controlplane/checker_hours.go
+++ b/internal/lab/controlplane/checker_hours.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// contractGraceMS is how long after a change of approved hours sidecars may still follow the earlier ones.
+// contractGraceMS is how long after a change of approved hours sidecars may still apply the earlier ones.
 const contractGraceMS = 30_000
 
-// approvedHours are the hours of a tenant from effectiveMS on. The checker evaluates them by a calendar of its own.
+// approvedHours are the hours of a tenant from effectiveMS on. The checker evaluates them with its own calendar code.
 type approvedHours struct {
 	effectiveMS int64
-	opens       time.Time // the time of day and its location count
+	opens       time.Time // only its time of day and its location are used
 	length      time.Duration
 }
 
-// withdrawn tells whether the contract was withdrawn: no hours are approved.
+// withdrawn reports whether the contract was withdrawn, so that no hours are approved.
 func (h *approvedHours) withdrawn() bool { return h.length == 0 }
 
-// contains tells whether an instant lies in the hours of its day, or of the two days before.
+// contains reports whether an instant lies in the hours that open on its day or on one of the two days before.
 func (h *approvedHours) contains(instantMS int64) bool {
 	location := h.opens.Location()
 	instant := time.UnixMilli(instantMS).In(location)
@@ -36,13 +36,13 @@
 	c.hours[tenant] = append(c.hours[tenant], approvedHours{c.cluster.nowMS, opens, length})
 }
 
-// hoursWithdrawn tells whether a tenant's approved hours are withdrawn at present.
+// hoursWithdrawn reports whether a tenant's approved hours are currently withdrawn.
 func (c *checker) hoursWithdrawn(tenant string) bool {
 	history := c.hours[tenant]
 	return history[len(history)-1].withdrawn()
 }
 
-// withinHours tells whether a tenant may be excluded from servers at an instant.
+// withinHours reports whether a tenant may be excluded from servers at an instant.
 func (c *checker) withinHours(tenant string, instantMS int64) bool {
 	history := c.hours[tenant]
 	for i := len(history) - 1; i >= 0; i-- {
@@ -57,7 +57,7 @@
 	return false
 }
 
-// observeExclusion checks ruleHours on the exclusion of a tenant by a sidecar, to the second.
+// observeExclusion checks ruleHours on the exclusion of a tenant by a sidecar, with a resolution of one second.
 func (c *checker) observeExclusion(source *unit, tenant string, startMS, endMS int64) {
 	if !c.enabled || endMS <= startMS {
 		return
@@ -79,5 +79,5 @@
 		source.ID, tenant, outsideMS, formatTime(startMS), formatTime(endMS)))
 }
 
-// formatTime is the UTC time of day of a Unix time in ms.
+// formatTime returns the UTC time of day of a Unix time in ms.
 func formatTime(unixMS int64) string { return time.UnixMilli(unixMS).UTC().Format(time.TimeOnly) }
--- a/internal/lab/controlplane/cluster.go
+++ b/internal/lab/controlplane/cluster.go
@@ -19,26 +19,26 @@
 	startupMS    = 800  // from the start of a process to its readiness
 	warmupMS     = 3000 // of a server, from its readiness
 	shutdownMS   = 700  // from SIGTERM to the exit
-	maxRequestMS = 3000 // longest request, which a drained server may still answer
+	maxRequestMS = 3000 // longest request that a draining server may still have to answer
 )
 
 const (
-	startupTicks       = 16 // in which the fleet is started before the simulation begins
+	startupTicks       = 16 // the fleet starts in these ticks, before the simulation begins
 	podGroupSize       = 10 // servers
 	processGraceMS     = 10_000
 	processMaxRestarts = 3
-	clockErrorMS       = 200 // largest error of an accurate clock
+	clockErrorMS       = 200 // maximum error of an accurate clock
 	clockUncertaintyMS = 250
 )
 
-// operatorName is the owner of what operators write into the ledger.
+// operatorName is the owner of the ledger operations that operators write.
 const operatorName = "operator/ops"
 
 // cluster is the simulated cluster: the units, the platform that runs them, the registry and the controllers.
 type cluster struct {
 	options Options
 	seed    uint64
-	random  *rand.Rand // every draw of the simulation but those of traffic
+	random  *rand.Rand // for all draws of the simulation except those of traffic
 	nowMS   int64      // true Unix ms
 	startMS int64
 	timers  []timer
@@ -46,7 +46,7 @@
 	units         []*unit // servers first
 	servers       []*unit
 	sidecars      []*unit
-	unitsByID     map[string]*unit // by the ledger's unit id
+	unitsByID     map[string]*unit // by the ledger's unit ID
 	unitsByName   map[string]*unit
 	serverTenants maintenance.Fleet
 
@@ -61,14 +61,14 @@
 	cachedList      *supervisor.List
 	cachedListMS    int64
 	powerOffUntilMS map[string]int64 // by zone
-	requestCount    int              // of the operator to the platform
+	requestCount    int              // requests of the operator to the platform
 
-	syncedRevision uint64 // newest revision of the placement or the registry that was distributed to sidecars
+	syncedRevision uint64 // newest revision of the placement or the registry that sidecars poll
 	syncUntilMS    int64
 	writeCount     int
 
-	highestToken      uint64         // of Defects.IgnoreFencingTokens
-	unavailableBefore map[string]int // of Defects.StaleReads: unavailable units a second ago, by budget
+	highestToken      uint64         // for Defects.IgnoreFencingTokens
+	unavailableBefore map[string]int // for Defects.StaleReads: unavailable units one second ago, by budget
 }
 
 // timer runs a function at a time.
@@ -110,7 +110,7 @@
 	return cluster
 }
 
-// newPlatform is a platform that knows all versions of servers and sidecars.
+// newPlatform returns a platform that knows all versions of servers and sidecars.
 func (c *cluster) newPlatform() *fake.Platform {
 	policy := core.ProcessPolicy{GraceMS: processGraceMS, MaxRestarts: processMaxRestarts}
 	versions := map[core.Version]fake.Version{}
@@ -122,7 +122,7 @@
 	return fake.New(fake.Options{Versions: versions}, c.nowMS)
 }
 
-// addServers adds the servers, spread evenly over the zones. Models alternate; a pod group is of one set of tenants.
+// addServers adds the servers, spread evenly over the zones. Models alternate. A pod group serves one set of tenants.
 func (c *cluster) addServers() {
 	tenantSets := [][]string{{"portal"}, {"teller"}, {"portal", "teller"}, {"island"}}
 	for index := range c.options.Servers {
@@ -178,7 +178,8 @@
 	}
 }
 
-// startRequest asks the platform to start a unit on its present version, in place of an incarnation; 0: of none.
+// startRequest returns a request to the platform to start a unit on its current version. The new process replaces the
+// given incarnation; 0 means that there is none.
 func startRequest(id string, target *unit, epoch, incarnation uint64) supervisor.Request {
 	const configuration = "c1"
 	return supervisor.Request{
@@ -206,7 +207,7 @@
 	c.timers = append(c.timers, timer{c.nowMS + max(delayMS, 1), run})
 }
 
-// platformList is the platform's list of units, requested at most once a tick; nil where it does not answer.
+// platformList returns the platform's list of units, requested at most once a tick; nil if the platform does not respond.
 func (c *cluster) platformList() *supervisor.List {
 	if c.cachedListMS == c.nowMS {
 		return c.cachedList
@@ -219,7 +220,7 @@
 	return list
 }
 
-// processBehavior decides how a process behaves that the platform starts.
+// processBehavior determines the behavior of a process that the platform starts.
 func (c *cluster) processBehavior(started supervisor.Unit) fake.Behavior {
 	target := c.unitsByName[started.Name]
 	c.checker.observeLaunch(target, started.Version, started.Incarnation)
@@ -235,20 +236,20 @@
 		target.readyAtMS = never
 		behavior.ReadyAfterMS, behavior.ExitAfterMS, behavior.ExitText = -1, 100, "exit status 1"
 	case unreadyVersion:
-		target.readyAtMS = never // passes the platform's check, never the registry's
+		target.readyAtMS = never // passes the platform's readiness check, but never the registry's
 	}
 	target.warmAtMS = target.readyAtMS
 	if target.Kind == disruption.KindServer && target.readyAtMS != never {
 		target.warmAtMS += warmupMS
 	}
-	if sidecar := target.sidecar; sidecar != nil { // a new process knows nothing
+	if sidecar := target.sidecar; sidecar != nil { // a new process has no placement and no endpoint list
 		c.endAllExclusions(target)
 		sidecar.placementRevision, sidecar.placementEpoch, sidecar.endpointRevision = 0, 0, 0
 	}
 	return behavior
 }
 
-// inService tells whether a unit serves requests, from its true state.
+// inService reports whether a unit serves requests, judged by its actual state.
 func (c *cluster) inService(target *unit) bool {
 	return target.ready(c.nowMS) &&
 		target.warmAtMS <= c.nowMS &&
@@ -280,7 +281,7 @@
 	c.checker.checkGrants()
 }
 
-// runDueTimers runs the timers that are due, also those that a due timer adds.
+// runDueTimers runs all due timers, including those that a due timer adds.
 func (c *cluster) runDueTimers() {
 	for index := 0; index < len(c.timers); index++ {
 		due := c.timers[index]
@@ -292,7 +293,7 @@
 	c.timers = slices.DeleteFunc(c.timers, func(t timer) bool { return t.run == nil })
 }
 
-// observeProcesses updates which units have a process, and counts by kind those that send no heartbeats.
+// observeProcesses updates which units have a process, and counts the units without heartbeats by kind.
 func (c *cluster) observeProcesses() map[disruption.Kind]int {
 	missing := map[disruption.Kind]int{}
 	for _, member := range c.units {
--- a/internal/lab/controlplane/defects.go
+++ b/internal/lab/controlplane/defects.go
@@ -5,8 +5,8 @@
 	"milldeck/internal/maintenance"
 )
 
-// applyStaleGrant implements Defects.StaleReads: a permit is granted on the availability of a second ago. Such permits
-// are retained beside the ledger. It reports whether the operation was about one, and is done.
+// applyStaleGrant implements Defects.StaleReads: it grants a permit on availability data that is one second old. Permits
+// that were granted this way are kept outside the ledger. It reports whether it has handled the operation.
 func (r *registry) applyStaleGrant(op *disruption.Op) bool {
 	if op.Permit == nil {
 		return false
@@ -34,7 +34,7 @@
 	return true
 }
 
-// allUp tells whether the ledger knows every unit as up.
+// allUp reports whether every unit has condition up in the ledger.
 func (r *registry) allUp(unitIDs []string) bool {
 	for _, unitID := range unitIDs {
 		if known, _ := r.ledger.Unit(unitID); known.Condition != disruption.ConditionUp {
@@ -44,7 +44,7 @@
 	return true
 }
 
-// hadCapacity tells whether a permit was within every budget a second ago.
+// hadCapacity reports whether a permit was within every budget one second ago.
 func (c *cluster) hadCapacity(permit *disruption.Permit) bool {
 	for _, budget := range c.options.budgets() {
 		requested := 0
@@ -90,8 +90,8 @@
 	}
 }
 
-// withHighestToken implements Defects.IgnoreFencingTokens for the maintenance table, which has its own check: a stale
-// token is replaced by the highest that was seen.
+// withHighestToken implements Defects.IgnoreFencingTokens for the maintenance table, which checks tokens itself: it
+// replaces a stale token by the highest token so far.
 func (r *registry) withHighestToken(op *maintenance.Operation) *maintenance.Operation {
 	if op.Token == 0 {
 		return op
--- a/internal/lab/controlplane/defects_test.go
+++ b/internal/lab/controlplane/defects_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// requireViolation plays a few seeds until the checker finds a violation of one of the rules. Without the injected defect
-// the same seed must violate none.
+// requireViolation simulates a few seeds until the checker detects a violation of one of the rules. The same seed without
+// the injected defect must violate no rule.
 func requireViolation(t *testing.T, options Options, firstSeed uint64, rules ...string) {
 	t.Helper()
 	const maxSeeds = 4
@@ -63,7 +63,7 @@
 	requireViolation(t, options, 13, ruleBudget, ruleOnce, ruleStranded, ruleHours)
 }
 
-// The servers return long after the close of the approved hours, up to which sidecars should exclude the tenant.
+// The servers return long after the approved hours have closed. Sidecars should exclude the tenant only until the close.
 func TestFindsExclusionPastClose(t *testing.T) {
 	options := Options{
 		NoFaults:     true,
--- a/internal/lab/controlplane/faults.go
+++ b/internal/lab/controlplane/faults.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// faultPeriodMS is the time from the start within which faults begin.
+	// faultPeriodMS is the length of the period in which faults begin.
 	faultPeriodMS = 300_000
 	// clockFaultMS is how long the clock of a leader or controller is wrong.
 	clockFaultMS = 120_000
@@ -17,7 +17,7 @@
 	crashText = "signal: killed"
 )
 
-// platformFaultKinds are the faults of the platform that are drawn, beside hanging.
+// platformFaultKinds are the faults of the platform that are drawn in addition to a hang.
 var platformFaultKinds = []core.FaultKind{
 	core.FaultPartial,
 	core.FaultDropResponse,
@@ -27,7 +27,7 @@
 	core.FaultError,
 }
 
-// scheduleFaults draws the faults of the simulation. The order of draws is part of what a seed means.
+// scheduleFaults draws the faults of the simulation. The order of draws must not change, or a seed gives other faults.
 func (c *cluster) scheduleFaults() {
 	c.scheduleZoneLoss(10_000 + c.random.Int64N(120_000))
 	c.scheduleLeaderCrashes()
@@ -44,22 +44,21 @@
 // drawFaultTime draws when a fault begins, in ms from now.
 func (c *cluster) drawFaultTime() int64 { return 5000 + c.random.Int64N(faultPeriodMS) }
 
-// drawProcess draws a process.
 func (c *cluster) drawProcess() *process { return c.processes[c.random.IntN(len(c.processes))] }
 
-// scheduleFault schedules a fault and describes it in the result.
+// scheduleFault schedules a fault and adds its description to the result.
 func (c *cluster) scheduleFault(delayMS int64, description string, inject func()) {
 	c.scenario.faults = append(c.scenario.faults, fmt.Sprintf("%4.0f s %s", float64(delayMS)/1000, description))
 	c.schedule(delayMS, inject)
 	c.extendFaults(delayMS)
 }
 
-// extendFaults notes that a fault lasts for a time from now.
+// extendFaults records that a fault lasts for durationMS from now.
 func (c *cluster) extendFaults(durationMS int64) {
 	c.scenario.faultsEndMS = max(c.scenario.faultsEndMS, c.nowMS+durationMS)
 }
 
-// scheduleZoneLoss has a zone lose its power, or its network.
+// scheduleZoneLoss schedules the loss of a zone's power or network.
 func (c *cluster) scheduleZoneLoss(delayMS int64) {
 	zone := zones[c.random.IntN(len(zones))]
 	powerLoss := c.random.IntN(2) == 0
@@ -87,7 +86,7 @@
 	c.extendFaults(delayMS + durationMS)
 }
 
-// scheduleLeaderCrashes crashes the leader of the registry, at times all of its replicas.
+// scheduleLeaderCrashes schedules crashes of the registry's leader and, in a quarter of the simulations, of all replicas.
 func (c *cluster) scheduleLeaderCrashes() {
 	c.scheduleFault(c.drawFaultTime(), "leader killed between entry and answer", func() { c.registry.dropNextResponse = true })
 	for range c.random.IntN(3) {
@@ -100,7 +99,7 @@
 	}
 }
 
-// scheduleProcessFaults crashes and pauses lease holders at one of their effects.
+// scheduleProcessFaults schedules crashes and pauses of lease holders, each at one of their effects.
 func (c *cluster) scheduleProcessFaults() {
 	for range 2 + c.random.IntN(5) {
 		target, skipEffects, afterEffect := c.drawProcess(), c.random.IntN(30), c.random.IntN(2) == 0
@@ -118,7 +117,7 @@
 	}
 }
 
-// leaderOf is the process that holds the lease of a process, or that process where none does.
+// leaderOf returns the process that holds the lease for which target campaigns, or target if no process holds it.
 func (c *cluster) leaderOf(target *process) *process {
 	for _, candidate := range c.processes {
 		if candidate.leaseName == target.leaseName && candidate.holdsLease() && !candidate.down {
@@ -128,8 +127,8 @@
 	return target
 }
 
-// scheduleMinorityPartition at times partitions a lease holder, with a replica that falls behind, and a tenth of the
-// sidecars.
+// scheduleMinorityPartition schedules, in half of the simulations, a partition of a lease holder, with a replica that falls
+// behind, and of a tenth of the sidecars.
 func (c *cluster) scheduleMinorityPartition() {
 	if c.random.IntN(2) != 0 {
 		return
@@ -143,14 +142,14 @@
 	})
 }
 
-// scheduleAgentPartition partitions some sidecars from their agents.
+// scheduleAgentPartition schedules a partition of some sidecars from their agents.
 func (c *cluster) scheduleAgentPartition() {
 	count, durationMS := 1+c.random.IntN(max(len(c.sidecars)/50, 1)), 5000+c.random.Int64N(100_000)
 	description := fmt.Sprintf("%d sidecars cut off from their agents for %d ms", count, durationMS)
 	c.scheduleFault(c.drawFaultTime(), description, func() { c.partitionAgents(count, durationMS) })
 }
 
-// partitionAgents partitions so many sidecars from their agents.
+// partitionAgents partitions count sidecars from their agents. A sidecar may be drawn twice.
 func (c *cluster) partitionAgents(count int, durationMS int64) {
 	for range count {
 		target := c.sidecars[c.random.IntN(len(c.sidecars))]
@@ -158,7 +157,7 @@
 	}
 }
 
-// schedulePlatformFaults lets the platform hang, and fail in some other ways.
+// schedulePlatformFaults schedules a hang and some other faults of the platform.
 func (c *cluster) schedulePlatformFaults() {
 	unresponsive := core.Fault{Kind: core.FaultHang, DurationMS: 2000 + c.random.Int64N(30_000)}
 	c.schedulePlatformFault(fmt.Sprintf("the platform hangs for %d ms", unresponsive.DurationMS), unresponsive)
@@ -180,11 +179,11 @@
 
 func (c *cluster) schedulePlatformFault(description string, fault core.Fault) {
 	c.scheduleFault(c.drawFaultTime(), description, func() {
-		_ = c.platform.SetFault(fault) // rejected where the platform has as many faults as it accepts: one fewer is injected
+		_ = c.platform.SetFault(fault) // rejected if the platform already has its maximum of faults; then this fault is not injected
 	})
 }
 
-// scheduleServerCrashes crashes single servers.
+// scheduleServerCrashes schedules crashes of single servers.
 func (c *cluster) scheduleServerCrashes() {
 	for range 3 + c.random.IntN(10) {
 		server := c.servers[c.random.IntN(len(c.servers))]
@@ -192,8 +191,8 @@
 	}
 }
 
-// scheduleClockFaults makes some clocks wrong by up to an hour, for a while: those of some sidecars, and at times that of
-// the registry's leader or of a maintenance controller.
+// scheduleClockFaults sets some clocks wrong by up to an hour for a limited time: the clocks of some sidecars and, in half
+// of the simulations, the clock of the registry's leader or of a maintenance controller.
 func (c *cluster) scheduleClockFaults() {
 	drawOffset := func() int64 { return c.random.Int64N(2*hourMS) - hourMS }
 	for range max(len(c.sidecars)/100, 1) {
@@ -213,7 +212,7 @@
 	}
 }
 
-// scheduleControllerClockFault makes the clock of the first maintenance controller wrong.
+// scheduleControllerClockFault schedules a wrong clock of the first maintenance controller.
 func (c *cluster) scheduleControllerClockFault(offsetMS int64) {
 	for _, process := range c.processes {
 		if maintainer, ok := process.controller.(*maintenanceController); ok {
@@ -223,7 +222,7 @@
 	}
 }
 
-// scheduleClockFault makes a clock wrong for clockFaultMS.
+// scheduleClockFault schedules a clock to be wrong for clockFaultMS.
 func (c *cluster) scheduleClockFault(name string, clock *wallClock, offsetMS int64) {
 	c.scheduleFault(c.drawFaultTime(), fmt.Sprintf("%s off by %d ms", name, offsetMS), func() {
 		accurate := *clock
@@ -232,7 +231,8 @@
 	})
 }
 
-// scheduleOperatorCommands at times has an operator interfere: halt a release, roll it back or withdraw a contract.
+// scheduleOperatorCommands schedules, in three of five simulations, a command of an operator: to halt a release, to roll
+// it back or to withdraw a contract.
 func (c *cluster) scheduleOperatorCommands() {
 	name := []string{serverReleaseName, sidecarReleaseName}[c.random.IntN(2)]
 	switch c.random.IntN(5) {
@@ -251,7 +251,7 @@
 			return
 		}
 		command := &release.Command{Action: action, Operator: "operator/eva"}
-		// Rejected where the release does not accept the command: then there is one fault fewer.
+		// Rejected if the release does not accept the command now; then this fault is not injected.
 		_ = c.registry.commitReleaseOp(&release.Operation{Name: name, Command: command})
 	})
 }
@@ -265,8 +265,8 @@
 	})
 }
 
-// scheduleRestore at times restores the registry from a backup. After that the operator withdraws again first what was
-// withdrawn since the backup.
+// scheduleRestore schedules, in a fifth of the simulations, a restore of the registry from a backup. Immediately after the
+// restore the operator withdraws the contracts again that were withdrawn since the backup.
 func (c *cluster) scheduleRestore() {
 	if c.random.IntN(5) != 0 {
 		return
--- a/internal/lab/controlplane/hotkey_controller.go
+++ b/internal/lab/controlplane/hotkey_controller.go
@@ -10,7 +10,7 @@
 
 // Load model of the hot key.
 const (
-	serverCapacityMS = 1000 // work of a server in a second
+	serverCapacityMS = 1000 // work that a server completes per second
 	requestWorkMS    = 50   // work of a request
 	hotKeyShare      = 0.15 // of the capacity of all servers
 	hotKeyPeriodMS   = 1000 // between two steps of a hot-key controller
@@ -49,7 +49,7 @@
 
 func (c *hotKeyController) nowSeconds() float64 { return float64(c.process.cluster.nowMS) / 1000 }
 
-// servers are the registered servers as the planner sees them.
+// servers returns the registered servers in the planner's form.
 func (c *hotKeyController) servers() []hotkey.Server {
 	cluster := c.process.cluster
 	excluded := cluster.excludedServers()
@@ -74,7 +74,7 @@
 	return servers
 }
 
-// excludedServers are the servers that tenants are excluded from by a maintenance window.
+// excludedServers returns the servers from which a maintenance window excludes tenants.
 func (c *cluster) excludedServers() map[string]bool {
 	excluded := map[string]bool{}
 	for _, window := range c.registry.windows.Windows() {
@@ -103,7 +103,7 @@
 	}
 }
 
-// addReports adds the load reports of the reachable sidecars: while the key is hot, it makes up half of their load.
+// addReports adds the load reports of the reachable sidecars. While the key is hot, it accounts for half of their load.
 func (c *hotKeyController) addReports() {
 	cluster := c.process.cluster
 	hotKeyLoad := hotKeyShare * serverCapacityMS * float64(len(cluster.servers))
@@ -159,7 +159,7 @@
 	return writeResult{string(result.Outcome), result.Reason}
 }
 
-// copiesOf is the set of servers that have a copy by a directive.
+// replicaServers returns the set of servers that have a replica under a directive.
 func (r *registry) copiesOf(directiveID string) map[string]bool {
 	existing := map[string]bool{}
 	for _, directive := range r.placements.CompleteUpdate(r.leaderTimeMS()).Directives {
--- a/internal/lab/controlplane/maintenance_controller.go
+++ b/internal/lab/controlplane/maintenance_controller.go
@@ -10,7 +10,7 @@
 // maintenancePeriodMS is the time between two steps of a maintenance controller.
 const maintenancePeriodMS = 1000
 
-// slowReturnMS is how much later servers return with Options.SlowReturn.
+// slowReturnMS is the delay that Options.SlowReturn adds to the return of servers.
 const slowReturnMS = 1800_000
 
 // maintenanceController runs the reconciler of maintenance windows.
@@ -46,7 +46,7 @@
 	if windowDraining(state.windows) {
 		c.observeReports(now, view.LiveSidecars)
 	}
-	effects, _ := c.reconciler.Reconcile(now, view) // its wish for the next call is ignored: it is called every period
+	effects, _ := c.reconciler.Reconcile(now, view) // the time of the next call is ignored: the calls are periodic
 	for _, effect := range effects {
 		if !c.process.execute(func() { c.applyEffect(effect, now.Timestamp()) }) {
 			return
@@ -54,7 +54,7 @@
 	}
 }
 
-// windowDraining tells whether a window waits for its servers to be drained.
+// windowDraining reports whether a window waits for its servers to be drained.
 func windowDraining(windows *maintenance.Table) bool {
 	for _, window := range windows.Windows() {
 		if window.Stage == maintenance.StageDraining {
@@ -120,7 +120,7 @@
 	}
 }
 
-// observedUp is an observation of the servers that are in service.
+// observedUp returns an observation of the servers that are in service.
 func (c *cluster) observedUp(serverUIDs []string) []disruption.Unit {
 	var observed []disruption.Unit
 	for _, uid := range serverUIDs {
@@ -131,8 +131,8 @@
 	return observed
 }
 
-// simulateWork models the work that a window is for, after an operation on the window was applied: it begins when the
-// servers are drained, and ends some time after they may return.
+// simulateWork models the work of a window, after an operation on the window was applied. The work begins when the servers
+// are drained, and ends some time after the return of the servers is allowed.
 func (c *cluster) simulateWork(op *maintenance.Operation) {
 	window := c.registry.windows.Window(op.Window)
 	if window == nil || op.Kind == maintenance.OpExtendExclusion || op.Kind == maintenance.OpSchedule {
--- a/internal/lab/controlplane/operator.go
+++ b/internal/lab/controlplane/operator.go
@@ -15,13 +15,14 @@
 
 const (
 	resumeDelayMS  = 30_000 // from a restore to the resumption of the ledger
-	repairDelayMS  = 20_000 // a unit has to be out of service this long before the operator repairs it
-	maxResumptions = 20     // commands of a release before the operator rolls it back
+	repairDelayMS  = 20_000 // the operator repairs a unit that has been out of service this long
+	maxResumptions = 20     // after this many commands to a release the operator rolls it back
 	outcomeUnknown = "unknown"
 )
 
-// runOperator plays a round of the operator: resume what was halted, roll back a release that does not progress, give up
-// the permits of units that a release has lost, propose a window again that a restore has lost, and repair units.
+// runOperator simulates a round of the operator. The operator resumes whatever is halted, rolls back a release that does
+// not progress, completes the permits of units that failed in a release, proposes the window again if a restore has lost
+// it, and repairs units.
 func (c *cluster) runOperator() {
 	if !c.registry.available() {
 		return
@@ -40,7 +41,7 @@
 	c.repairUnits(claimed)
 }
 
-// resumeLedger resumes the ledger, once the fleet has registered again after a restore.
+// resumeLedger resumes the ledger after a restore, once resumeDelayMS has given the fleet time to register again.
 func (c *cluster) resumeLedger() {
 	for _, halt := range c.registry.ledger.Halts() {
 		if c.nowMS-c.checker.restoredMS > resumeDelayMS {
@@ -63,8 +64,8 @@
 	_ = c.registry.commitReleaseOp(&release.Operation{Name: name, Command: &release.Command{Action: action, Operator: operatorName}})
 }
 
-// completeFailedPermits completes the permits of units that a finished release has lost. It adds to claimed which units
-// the release is working on.
+// completeFailedPermits completes the permits of units that failed in a finished release. It records in claimed which
+// units an unfinished release is working on.
 func (c *cluster) completeFailedPermits(state *release.State, claimed map[string]bool) {
 	finished := state.Status.Phase.Finished()
 	for index := range state.Units {
@@ -89,8 +90,8 @@
 	}
 }
 
-// repairUnits restarts units that have crashed, and ends the drain of units that have no permit for it. Units that a
-// release works on are left to it.
+// repairUnits restarts units that have crashed, and ends the drain of units that have no permit for it. It skips units
+// that a release is working on.
 func (c *cluster) repairUnits(claimed map[string]bool) {
 	list := c.platformList()
 	if list == nil || !list.Complete {
@@ -113,8 +114,9 @@
 	}
 }
 
-// restartUnit restarts a unit without a process on its version. reported is the platform's entry of it; nil: it has none.
-// A unit that the platform reports as starting was started only in part, and is stopped first.
+// restartUnit restarts a unit that has no process, on its current version. reported is the platform's entry for the unit,
+// or nil. If the platform reports the unit as starting, an earlier start was executed only in part, and the unit is
+// stopped first.
 func (c *cluster) restartUnit(target *unit, reported *supervisor.Unit, epoch uint64) {
 	switch {
 	case reported == nil:
@@ -132,7 +134,7 @@
 	}
 }
 
-// nextRequestID is the id of the operator's next request to the platform.
+// nextRequestID returns the ID of the operator's next request to the platform.
 func (c *cluster) nextRequestID() string {
 	c.requestCount++
 	return fmt.Sprintf("ops-%d", c.requestCount)
@@ -140,10 +142,11 @@
 
 // callPlatform sends a request of the operator to the platform.
 func (c *cluster) callPlatform(request supervisor.Request) {
-	_, _ = c.platform.Do(context.Background(), request) // the operator's next round sees what came of it, and requests again
+	_, _ = c.platform.Do(context.Background(), request) // the operator's next round checks the effect and retries
 }
 
-// applyAsOperator writes a maintenance operation without a fencing token. It returns the outcome, or outcomeUnknown.
+// applyAsOperator writes a maintenance operation without a fencing token. It returns the outcome, or outcomeUnknown if
+// there is no response.
 func (c *cluster) applyAsOperator(op *maintenance.Operation) string {
 	stamp := maintenance.Timestamp{ControllerMS: c.registry.leaderTimeMS(), UncertaintyMS: clockUncertaintyMS}
 	c.writeCount++
@@ -160,8 +163,8 @@
 	return c.applyAsOperator(&maintenance.Operation{Kind: maintenance.OpWithdrawContract, Tenant: tenant})
 }
 
-// setContract sets a contract with the same approved hours every day by the tenant's local time, and the disruption
-// budget that goes with it. The checker learns the hours, not the contract.
+// setContract sets a contract with the same approved hours every day in the tenant's local time, and the disruption
+// budget that belongs to it. The checker gets only the hours, not the contract.
 func (c *cluster) setContract(tenant, timeZone string, opens time.Time, length time.Duration) {
 	daily := calendar.Rule{Recurrence: "FREQ=DAILY", Start: opens.Format("15:04"), Length: length.String(), FirstDay: "2020-01-01"}
 	tenantContract := contract.Contract{
--- a/internal/lab/controlplane/process.go
+++ b/internal/lab/controlplane/process.go
@@ -11,21 +11,21 @@
 
 const (
 	leaderLeaseMS     = 3000 // duration of a leader's lease
-	leaseMarginMS     = 500  // a leader stops by itself this long before its lease expires
-	processRestartMS  = 6000 // from the crash of a process to its restart, at least
+	leaseMarginMS     = 500  // a leader steps down this long before its lease expires
+	processRestartMS  = 6000 // minimum time from the crash of a process to its restart
 	maxPendingEffects = 512  // of a paused process
 )
 
 // controller is what a process runs while it is the leader.
 type controller interface {
-	// becomeLeader starts a term with a fencing token: what was known from earlier terms is forgotten.
+	// becomeLeader starts a term with a fencing token. It discards the state of earlier terms.
 	becomeLeader(token uint64)
 	// reconcile takes one step towards the desired state.
 	reconcile()
 }
 
-// process is a process of the control plane that campaigns for a lease. Its controller writes and calls through it, so
-// that it can crash, pause or be partitioned before and after every effect.
+// process is a process of the control plane that campaigns for a lease. Its controller makes all writes and platform
+// calls through it, so that the process can crash, pause or be partitioned before and after every effect.
 type process struct {
 	cluster      *cluster
 	name         string
@@ -33,21 +33,21 @@
 	incarnation  int
 	controller   controller
 	token        uint64 // 0: not the leader
-	leaseUntilMS int64  // as the process believes
+	leaseUntilMS int64  // expiry of its lease, as the process believes
 	writeCount   int
 
 	down               bool
 	pausedUntilMS      int64
 	partitionedUntilMS int64
-	staleState         *registryState // of the replica that a partitioned process reads
+	staleState         *registryState // state of the stale replica that a partitioned process reads
 	scheduledFault     *processFault
-	pendingEffects     []func() // begun before a pause
+	pendingEffects     []func() // interrupted by a pause
 }
 
 // processFault is a crash or a pause at a later effect of a process.
 type processFault struct {
-	skipEffects int   // effects before it
-	pauseMS     int64 // 0: a crash
+	skipEffects int   // number of effects before the fault
+	pauseMS     int64 // 0 for a crash
 	afterEffect bool  // the crash comes after the effect instead of before it
 }
 
@@ -61,19 +61,18 @@
 	c.processes = append(c.processes, added)
 }
 
-// candidateID identifies the present incarnation in the election.
+// candidateID identifies the current incarnation in the election.
 func (p *process) candidateID() string { return fmt.Sprintf("%s.%d", p.name, p.incarnation) }
 
-// holdsLease tells whether the process believes that it is the leader.
+// holdsLease reports whether the process believes that it is the leader.
 func (p *process) holdsLease() bool { return p.token != 0 && p.cluster.nowMS < p.leaseUntilMS }
 
-// paused tells whether the process is paused.
 func (p *process) paused() bool { return p.pausedUntilMS > p.cluster.nowMS }
 
-// partitioned tells whether the process reaches only a minority of the registry.
+// partitioned reports whether the process reaches only a minority of the registry.
 func (p *process) partitioned() bool { return p.partitionedUntilMS > p.cluster.nowMS }
 
-// readState is the state that the process reads: a stale one while it is partitioned, nil where nobody answers.
+// readState returns the state that the process reads: a stale one while it is partitioned, nil without a leader.
 func (p *process) readState() *registryState {
 	switch {
 	case p.partitioned():
@@ -85,7 +84,7 @@
 	}
 }
 
-// tick runs the process for one tick.
+// tick advances the process by one tick.
 func (p *process) tick() {
 	if p.down || p.paused() {
 		return
@@ -109,7 +108,7 @@
 	}
 }
 
-// campaign renews the lease, or queues for it.
+// campaign renews the lease or, if the process is no candidate yet, joins the queue for it.
 func (p *process) campaign() {
 	registry := p.cluster.registry
 	if p.partitioned() || !registry.available() {
@@ -127,7 +126,7 @@
 	case !slices.Contains(lease.Queue, p.candidateID()):
 		p.token = 0
 		registry.revision++
-		// Rejected only where a limit is reached; it campaigns again at its next tick.
+		// A campaign is rejected only if a limit is reached. The process tries again at its next tick.
 		_ = registry.leases.Apply(registry.revision, &leasetable.Operation{
 			Kind:      leasetable.Campaign,
 			Name:      p.leaseName,
@@ -140,7 +139,7 @@
 	}
 }
 
-// crash ends the process. It restarts later as another candidate.
+// crash ends the process, which restarts later as a new candidate.
 func (p *process) crash() {
 	if p.down {
 		return
@@ -148,13 +147,13 @@
 	p.down, p.pendingEffects, p.token = true, nil, 0
 	candidateID := p.candidateID()
 	p.cluster.schedule(processRestartMS+p.cluster.random.Int64N(4000), func() {
-		p.cluster.registry.expireCandidate(p.leaseName, candidateID, 0) // its place in the queue, if it has one
+		p.cluster.registry.expireCandidate(p.leaseName, candidateID, 0) // leaves the queue if it waits there
 		p.down, p.incarnation = false, p.incarnation+1
 	})
 }
 
-// execute executes an effect, unless a fault is scheduled there. It reports whether the process goes on; a paused one
-// does, and executes the effect when it resumes.
+// execute executes an effect, unless a scheduled fault is due at it. It reports whether the process has not crashed. A
+// paused process executes the effect when it resumes.
 func (p *process) execute(effect func()) bool {
 	if p.down {
 		return false
@@ -172,7 +171,7 @@
 	return !p.down
 }
 
-// popDueFault counts an effect. It returns the scheduled fault if it is due now.
+// popDueFault counts an effect, and returns the scheduled fault if it is due at this effect.
 func (p *process) popDueFault() *processFault {
 	fault := p.scheduledFault
 	if fault == nil {
@@ -186,7 +185,7 @@
 	return fault
 }
 
-// fail pauses or crashes the process at an effect. It reports whether the process goes on.
+// fail pauses or crashes the process at an effect, and reports whether it has not crashed.
 func (p *process) fail(fault *processFault, effect func()) bool {
 	if fault.pauseMS > 0 {
 		p.pausedUntilMS = p.cluster.nowMS + fault.pauseMS
@@ -200,11 +199,11 @@
 	return false
 }
 
-// write writes to the registry under a fencing token. As a client does, it retries once with the same id; still no answer
-// may come, and known is false.
+// write writes to the registry with a fencing token. Like a real client it retries once with the same ID. If neither try
+// gets a response, known is false.
 func (p *process) write(token uint64, apply func() writeResult) (result writeResult, known bool) {
 	if p.partitioned() {
-		return writeResult{}, false // a minority cannot write
+		return writeResult{}, false // a minority of replicas cannot write
 	}
 	p.writeCount++
 	p.cluster.writeCount++
--- a/internal/lab/controlplane/registration.go
+++ b/internal/lab/controlplane/registration.go
@@ -4,11 +4,12 @@
 
 const (
 	endpointLeaseMS = 4000   // registration lease of servers and sidecars
-	massLossHoldMS  = 60_000 // servers that go missing together stay unknown this long before they are lost
-	massLossDivisor = 6      // more than one in so many servers missing counts as a mass loss
+	massLossHoldMS  = 60_000 // in a mass loss servers are unknown this long before they are marked lost
+	massLossDivisor = 6      // in a mass loss more than 1/massLossDivisor of the servers are missing
 )
 
-// updateRegistration updates what the registry knows of a unit. missingCount units of its kind send no heartbeats.
+// updateRegistration renews a unit's registration, or handles its missed heartbeat. missingCount is the number of units of
+// its kind that send no heartbeats.
 func (c *cluster) updateRegistration(target *unit, missingCount int) {
 	if !c.registry.available() {
 		return
@@ -20,8 +21,8 @@
 	}
 }
 
-// missHeartbeat marks a unit lost once its lease has expired. In a mass loss a server is unknown first: the registry
-// itself may be the one that is cut off.
+// missHeartbeat marks a unit lost once its registration lease has expired. In a mass loss it marks servers unknown first,
+// because the registry itself may be the partitioned side.
 func (c *cluster) missHeartbeat(target *unit, missingCount int) {
 	registry := c.registry
 	if target.missingSinceMS == 0 {
@@ -47,7 +48,7 @@
 	}
 }
 
-// renewRegistration registers a unit in its present condition, as its heartbeats report it.
+// renewRegistration registers a unit with the condition that its heartbeats report.
 func (c *cluster) renewRegistration(target *unit) {
 	registry := c.registry
 	target.missingSinceMS = 0
@@ -75,7 +76,7 @@
 	target.changing = target.starting(c.nowMS) || known.Condition != condition
 }
 
-// reportedCondition is the condition that a unit's heartbeats report.
+// reportedCondition returns the condition that a unit's heartbeats report.
 func (c *cluster) reportedCondition(target *unit) disruption.Condition {
 	switch {
 	case target.readyAtMS > c.nowMS || target.underMaintenance:
--- a/internal/lab/controlplane/registry.go
+++ b/internal/lab/controlplane/registry.go
@@ -11,25 +11,25 @@
 	"milldeck/internal/release"
 )
 
-// registry is the replicated registry. Without a leader it neither reads nor writes; the leader may crash between
-// applying a write and answering it.
+// registry models the replicated registry. Without a leader it serves neither reads nor writes. The leader may crash
+// after it applies a write and before it responds.
 type registry struct {
 	*registryState
 	cluster           *cluster
-	leaderClock       wallClock // of the present leader
+	leaderClock       wallClock // of the current leader
 	leaderlessUntilMS int64
 	leaderSinceMS     int64
-	dropNextResponse  bool // the leader crashes after applying the next write, before it answers
+	dropNextResponse  bool // the leader crashes after it applies the next write, before it responds
 	backup            *registryState
-	renewedMS         map[string]int64 // by lease: its last renewal
+	renewedMS         map[string]int64 // last renewal of each lease, by name
 
-	// Index of the permits that are granted and not finished, as of indexedRevision.
+	// Index of the granted and unfinished permits, as of indexedRevision.
 	indexedRevision uint64
 	permitByUnit    map[string]disruption.Permit
-	knownGrants     map[string]uint64   // by permit: the revision of its grant
-	newGrants       []disruption.Permit // granted since the checker took them last
+	knownGrants     map[string]uint64   // revision of the grant, by permit ID
+	newGrants       []disruption.Permit // not yet processed by the checker
 
-	forgedPermits map[string]*disruption.Permit // of Defects.StaleReads
+	forgedPermits map[string]*disruption.Permit // granted by Defects.StaleReads, by ID
 }
 
 func newRegistry(cluster *cluster) *registry {
@@ -43,13 +43,13 @@
 	}
 }
 
-// available tells whether the registry reads and writes.
+// available reports whether the registry has a leader and serves reads and writes.
 func (r *registry) available() bool { return r.cluster.nowMS >= r.leaderlessUntilMS }
 
-// leaderTimeMS is the wall clock of the leader, in Unix ms.
+// leaderTimeMS returns the time by the leader's wall clock, in Unix ms.
 func (r *registry) leaderTimeMS() int64 { return r.cluster.nowMS + r.leaderClock.offsetMS }
 
-// crashLeader crashes the leader. Another is elected after electionMS, and takes every lease as renewed then.
+// crashLeader crashes the leader. A new leader is elected after electionMS, and treats every lease as renewed at that time.
 func (r *registry) crashLeader(electionMS int64) {
 	r.leaderlessUntilMS = r.cluster.nowMS + electionMS
 	r.leaderSinceMS = r.leaderlessUntilMS
@@ -58,8 +58,8 @@
 	}
 }
 
-// write applies a write at most once for an id, under the fencing token of a lease; without a lease name under none.
-// known is false where no answer came: the write may have been applied or not.
+// write applies a write at most once per ID. Unless leaseName is empty, it checks the fencing token of that lease. known
+// is false if there is no response: the write may have been applied or not.
 func (r *registry) write(id, leaseName string, token uint64, apply func() writeResult) (result writeResult, known bool) {
 	if !r.available() {
 		return writeResult{}, false
@@ -82,18 +82,18 @@
 	return result, true
 }
 
-// fenced tells whether a write is rejected because its token is stale.
+// fenced reports whether a write is rejected because its token is stale.
 func (r *registry) fenced(leaseName string, token uint64) bool {
 	return leaseName != "" && !r.cluster.options.Defects.IgnoreFencingTokens && !r.leases.TokenValid(leaseName, token)
 }
 
-// commitLedgerOp applies a ledger operation in a revision of its own.
+// commitLedgerOp applies a ledger operation in its own revision.
 func (r *registry) commitLedgerOp(op *disruption.Op) {
 	r.revision++
 	r.ledger.Apply(r.revision, op)
 }
 
-// commitReleaseOp applies a release operation in a revision of its own.
+// commitReleaseOp applies a release operation in its own revision.
 func (r *registry) commitReleaseOp(op *release.Operation) error {
 	r.revision++
 	return r.releases.Apply(r.revision, op)
@@ -116,7 +116,7 @@
 	return writeResult{outcome: outcomeDone}
 }
 
-// applyMaintenanceOp applies a maintenance operation within a write, together with the placement directives that follow
+// applyMaintenanceOp applies a maintenance operation within a write, together with the placement directives that result
 // from it.
 func (r *registry) applyMaintenanceOp(op *maintenance.Operation, stamp maintenance.Timestamp) writeResult {
 	if r.cluster.options.Defects.IgnoreFencingTokens {
@@ -131,7 +131,7 @@
 	return writeResult{outcome: string(maintenance.OutcomeApplied)}
 }
 
-// leaderStamped adds the leader's time to a controller's.
+// leaderStamped adds the leader's time to a controller's timestamp.
 func (r *registry) leaderStamped(stamp maintenance.Timestamp) maintenance.Timestamp {
 	stamp.LeaderMS, stamp.LeaderUncertaintyMS = r.leaderTimeMS(), r.leaderClock.uncertaintyMS
 	if r.cluster.options.Defects.UseControllerClock {
@@ -140,7 +140,7 @@
 	return stamp
 }
 
-// applyDirectives sets and deletes placement directives. Those that have expired are not set.
+// applyDirectives sets and deletes placement directives. It does not set expired ones.
 func (r *registry) applyDirectives(set []placement.Directive, deleted []string) {
 	if len(set) == 0 && len(deleted) == 0 {
 		return
@@ -157,7 +157,7 @@
 	}
 }
 
-// expireLeases expires the leases that were not renewed for their duration.
+// expireLeases expires the leases that were not renewed within leaderLeaseMS.
 func (r *registry) expireLeases() {
 	if !r.available() {
 		return
@@ -176,7 +176,7 @@
 	}
 }
 
-// expireCandidate removes a candidate from a lease: the holder under its token, or one in the queue.
+// expireCandidate removes a candidate from a lease: the holder under its token, or a queued candidate under token 0.
 func (r *registry) expireCandidate(leaseName, candidateID string, token uint64) {
 	// An expiry is never rejected.
 	_ = r.leases.Apply(r.revision, &leasetable.Operation{
@@ -187,8 +187,8 @@
 	})
 }
 
-// restoreBackup restores the backup in an epoch of its own. Leases and the results of writes are retained; the ledger is
-// halted until an operator resumes it.
+// restoreBackup restores the backup in a new epoch. It retains leases and the results of writes, and halts the ledger
+// until an operator resumes it.
 func (r *registry) restoreBackup() {
 	current := r.registryState
 	r.registryState, r.backup = r.backup, nil
@@ -200,10 +200,10 @@
 
 	r.knownGrants, r.permitByUnit, r.indexedRevision = map[string]uint64{}, map[string]disruption.Permit{}, 0
 	r.indexPermits()
-	r.newGrants = nil // grants of the backup are not new
+	r.newGrants = nil // grants in the backup are not new
 }
 
-// permit returns a permit by its id.
+// permit returns a permit by its ID.
 func (r *registry) permit(id string) (disruption.Permit, bool) {
 	if forged := r.forgedPermits[id]; forged != nil {
 		return *forged, true
@@ -211,12 +211,12 @@
 	return r.ledger.Permit(id)
 }
 
-// permitFinished tells whether a permit reserves nothing any more.
+// permitFinished reports whether a permit in a stage no longer reserves any budget.
 func permitFinished(stage disruption.Stage) bool {
 	return stage == disruption.StageCompleted || stage == disruption.StageCancelled
 }
 
-// indexPermits brings the index of permits up to date.
+// indexPermits updates the index of permits to the current revision.
 func (r *registry) indexPermits() {
 	if r.indexedRevision == r.revision && r.indexedRevision != 0 {
 		return
--- a/internal/lab/controlplane/registry_state.go
+++ b/internal/lab/controlplane/registry_state.go
@@ -12,8 +12,8 @@
 	"milldeck/internal/release"
 )
 
-// registryState is the replicated state of the registry: the tables of the control plane, and of the endpoint list only
-// which servers are Terminating.
+// registryState is the replicated state of the registry: the tables of the control plane and the set of Terminating
+// servers. The rest of the endpoint list is not modelled.
 type registryState struct {
 	revision       uint64
 	epoch          uint64
@@ -22,14 +22,14 @@
 	windows        *maintenance.Table
 	placements     *placement.Table
 	leases         *leasetable.Table
-	drainRevisions map[string]uint64      // Terminating servers by unit id: the revision that set them so
-	writeResults   map[string]writeResult // by write id
+	drainRevisions map[string]uint64      // revision that set a server to Terminating, by unit ID
+	writeResults   map[string]writeResult // by write ID
 }
 
-// writeResult is the result of a write: an outcome of the table that applied it, or one of those below.
+// writeResult is the result of a write: an outcome of the table that applied it, or one of the outcomes below.
 type writeResult struct{ outcome, reason string }
 
-// Outcomes of writes beside those of the tables.
+// Outcomes of writes in addition to those of the tables.
 const (
 	outcomeDone       = "done"
 	outcomeRejected   = "refused"
@@ -52,7 +52,7 @@
 	return state
 }
 
-// connectTables lets the maintenance windows look up permits in the ledger, as the registry does.
+// connectTables lets the maintenance windows look up permits in the ledger, as the real registry does.
 func (s *registryState) connectTables() {
 	s.windows.LookupPermit = func(id string) (disruption.Stage, bool) {
 		permit, ok := s.ledger.Permit(id)
@@ -60,7 +60,7 @@
 	}
 }
 
-// stateSnapshot is a state as a backup or a partitioned replica retains it. Leases are not part of it: fencing tokens
+// stateSnapshot is the state that a backup or a partitioned replica retains. It has no leases, because fencing tokens must
 // never decrease.
 type stateSnapshot struct {
 	Revision       uint64                `json:"Rev"`
@@ -72,12 +72,12 @@
 	DrainRevisions map[string]uint64     `json:"Drains"`
 }
 
-// clone returns an independent copy that shares the leases alone.
+// clone returns an independent copy that shares only the leases.
 func (s *registryState) clone() *registryState {
 	snapshot := s.snapshot()
 	ledger, err := disruption.Restore(snapshot.Ledger)
 	if err != nil {
-		panic(fmt.Sprintf("restoring a ledger snapshot: %v", err)) // it was encoded by the ledger
+		panic(fmt.Sprintf("restoring a ledger snapshot: %v", err)) // the ledger itself has encoded it
 	}
 	clone := &registryState{
 		revision:       snapshot.Revision,
@@ -97,7 +97,7 @@
 	return clone
 }
 
-// snapshot returns a snapshot that has passed through its encoded form, so that it shares nothing with the state.
+// snapshot returns an encoded and decoded snapshot, so that it shares no memory with the state.
 func (s *registryState) snapshot() *stateSnapshot {
 	data, err := json.Marshal(&stateSnapshot{
 		Revision:       s.revision,
--- a/internal/lab/controlplane/release_controller.go
+++ b/internal/lab/controlplane/release_controller.go
@@ -17,7 +17,7 @@
 	// 50 ms in a process.
 	maxStepsPerTick      = 4
 	analysisPeriodMS     = 1000 // between two samples
-	delayedWritePeriodMS = 3000 // of Defects.DelayReleaseWrites
+	delayedWritePeriodMS = 3000 // for Defects.DelayReleaseWrites
 )
 
 // releaseController runs the reconciler of a release or a drain.
@@ -26,13 +26,13 @@
 	name          string
 	token         uint64
 	leaderSinceMS int64
-	state         *release.State // nil: to be read
+	state         *release.State // nil until it is read from the registry
 	outcomes      map[string]supervisor.Outcome
-	deniedPermits map[string]string // reasons, by permit
+	deniedPermits map[string]string // reason of the denial, by permit ID
 	drainTracker  *release.DrainTracker
 	analysis      *release.WaveAnalysis
-	sampledMS     int64           // last sample of the analysis
-	delayedDeltas []release.Delta // of Defects.DelayReleaseWrites
+	sampledMS     int64           // time of the last sample of the analysis
+	delayedDeltas []release.Delta // for Defects.DelayReleaseWrites
 }
 
 // addReleaseController adds a candidate for the lease of a release or drain.
@@ -50,10 +50,11 @@
 	c.analysis = release.NewWaveAnalysis(len(requestClasses) * len(zones))
 }
 
-// monotonicMS is the controller's monotonic time. It is above 0, which release.DrainTracker takes for unset.
+// monotonicMS returns the controller's monotonic time. It is above 0, because release.DrainTracker treats 0 as unset.
 func (c *releaseController) monotonicMS() int64 { return c.process.cluster.nowMS - c.leaderSinceMS + 1 }
 
-// loadState reads the release where it is not known, or was written by another. It reports whether there is one.
+// loadState reads the release if it is not loaded or if another controller has written it since. It reports whether the
+// release exists.
 func (c *releaseController) loadState(state *registryState) bool {
 	stored, _ := state.releases.Get(c.name)
 	if stored == nil {
@@ -68,7 +69,8 @@
 	return true
 }
 
-// outdated tells whether another controller has written the release. Deltas that are delayed make it differ, too.
+// outdated reports whether another controller has written the release. While deltas are delayed, the stored release differs
+// because of them, and outdated returns false.
 func (c *releaseController) outdated(stored *release.State) bool {
 	changed := c.state.Sequence != stored.Sequence || c.state.StartRevision != stored.StartRevision
 	return changed && len(c.delayedDeltas) == 0
@@ -86,7 +88,8 @@
 	}
 }
 
-// reconcileOnce takes one step of the release, and reports whether another may follow at once: a delta was written.
+// reconcileOnce takes one step of the release. It reports whether it wrote a delta, after which the next step may follow at
+// once.
 func (c *releaseController) reconcileOnce() bool {
 	cluster, state := c.process.cluster, c.process.readState()
 	if state == nil || !c.loadState(state) {
@@ -116,7 +119,7 @@
 	return wrote
 }
 
-// view is what the reconciler sees in one step.
+// view returns the input of the reconciler for one step.
 func (c *releaseController) view(state *registryState, commands []release.Command) *release.View {
 	platformList := c.process.cluster.platformList()
 	c.updateDrainTracker(state)
@@ -137,7 +140,8 @@
 	}
 }
 
-// permit looks up a permit in the state that was read, with those of Defects.StaleReads where that is the newest one.
+// permit looks up a permit in the state that was read. If that is the newest state, the permits of Defects.StaleReads are
+// included.
 func (c *releaseController) permit(state *registryState, id string) (disruption.Permit, bool) {
 	registry := c.process.cluster.registry
 	if state == registry.registryState {
@@ -168,8 +172,8 @@
 	c.drainTracker.Update(c.monotonicMS(), draining, drainRevision, sidecars, endpointRevisions)
 }
 
-// verdict is the verdict of the wave analysis on the new version, from samples of a second. It passes where requests are
-// not modelled.
+// verdict returns the verdict of the wave analysis on the new version, from samples of one second each. Without a model
+// of requests the verdict is always a pass.
 func (c *releaseController) verdict() judge.Verdict {
 	cluster := c.process.cluster
 	if cluster.traffic == nil || c.state.Plan.Change.ServerVersion == "" || c.state.DrainOnly {
@@ -182,7 +186,8 @@
 	return c.analysis.Verdict(c.state)
 }
 
-// callPlatform sends the requests among the effects to the platform in one call. It reports whether the process goes on.
+// callPlatform sends the requests among the effects to the platform in one call. It reports whether the process has not
+// crashed.
 func (c *releaseController) callPlatform(effects []release.Effect) bool {
 	requests := platformRequests(effects)
 	if len(requests) == 0 {
@@ -193,7 +198,7 @@
 		cluster.checker.observeRequests(requests)
 		responses, err := cluster.platform.Do(context.Background(), requests...)
 		if err != nil {
-			return // no outcome is known; the reconciler requests again
+			return // no outcome is known; the reconciler retries
 		}
 		for _, outcome := range responses {
 			outcomes[outcome.ID] = outcome
@@ -201,7 +206,7 @@
 	})
 }
 
-// platformRequests returns the requests among the effects, at most as many as one call may have.
+// platformRequests returns the requests among the effects, up to the limit of one call.
 func platformRequests(effects []release.Effect) []supervisor.Request {
 	var requests []supervisor.Request
 	for _, effect := range effects {
@@ -218,7 +223,7 @@
 	return requests
 }
 
-// applyEffect executes an effect other than a call of the platform.
+// applyEffect executes an effect other than a platform call.
 func (c *releaseController) applyEffect(effect release.Effect) {
 	cluster := c.process.cluster
 	switch effect := effect.(type) {
@@ -238,7 +243,7 @@
 	}
 }
 
-// writeLedgerOp writes a ledger operation, and remembers why a permit was denied.
+// writeLedgerOp writes a ledger operation, and stores the reason if a permit is denied.
 func (c *releaseController) writeLedgerOp(op *disruption.Op) {
 	registry := c.process.cluster.registry
 	result, known := c.process.write(c.token, func() writeResult { return registry.applyLedgerOp(op) })
@@ -251,7 +256,7 @@
 	}
 }
 
-// writeDelta writes a delta of the release. Where it may not have been applied, the release is read again.
+// writeDelta writes a delta of the release. If the delta may not have been applied, the release is read again.
 func (c *releaseController) writeDelta(delta release.Delta) {
 	result, known := c.writeReleaseOp(&release.Operation{Name: c.name, Delta: &delta})
 	if !known || result.outcome != outcomeDone || c.state == nil || c.state.Apply(delta) != nil {
--- a/internal/lab/controlplane/result.go
+++ b/internal/lab/controlplane/result.go
@@ -20,7 +20,7 @@
 	FeasibleWindows             int               `json:"windows_that_fit"`
 	CompletedWindows            int               `json:"windows_done"`       // of the feasible ones
 	ExcludedSeconds             float64           `json:"kept_off_s"`         // over all sidecars and tenants
-	ExcludedOutsideHoursSeconds float64           `json:"kept_off_outside_s"` // of these, outside the approved hours
+	ExcludedOutsideHoursSeconds float64           `json:"kept_off_outside_s"` // part of ExcludedSeconds outside the approved hours
 	Writes                      int               `json:"writes"`             // attempted by controllers and operators
 }
 
@@ -31,7 +31,7 @@
 	Detail string  `json:"what"`
 }
 
-// result collects the outcome at the present time.
+// result returns the outcome of the simulation so far.
 func (c *cluster) result() *Result {
 	result := &Result{
 		Seed:                        c.seed,
@@ -63,7 +63,7 @@
 	return result
 }
 
-// Summary aggregates simulations and rollouts. Shares and ratios are 0 where nothing was played.
+// Summary aggregates simulations and rollouts. Shares and ratios are 0 if there were no runs to take them from.
 type Summary struct {
 	Simulations                 int     `json:"nights"`
 	Violations                  int     `json:"broken_rules"`
@@ -143,5 +143,5 @@
 	s.FalseHaltShare = ratio(halted, len(results))
 }
 
-// ratio is count over total, and 0 where total is 0.
+// ratio returns count divided by total, or 0 if total is 0.
 func ratio(count, total int) float64 { return float64(count) / float64(max(total, 1)) }
--- a/internal/lab/controlplane/result_test.go
+++ b/internal/lab/controlplane/result_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Results are read by programs: the names of their JSON fields stay.
+// Programs read the results, so the names of the JSON fields must not change.
 func TestResultJSONNames(t *testing.T) {
 	result := Result{
 		Seed:             1,
--- a/internal/lab/controlplane/rollout.go
+++ b/internal/lab/controlplane/rollout.go
@@ -42,14 +42,14 @@
 	Regression    string  `json:"harm,omitempty"` // name of the regression; empty for a healthy version
 	Phase         string  `json:"phase"`
 	HaltReason    string  `json:"why,omitempty"`
-	UpgradedShare float64 `json:"share"`    // of the fleet that was started on the new version
-	RollbackRatio float64 `json:"back_for"` // duration of the rollback against that of the rollout before it; 0: no rollback
+	UpgradedShare float64 `json:"share"`    // share of the servers that were started on the new version
+	RollbackRatio float64 `json:"back_for"` // duration of the rollback relative to the rollout before it; 0: no rollback
 	Violations    int     `json:"broken_rules"`
 }
 
-// RunRollout plays one release to 200 servers, with the analysis of its waves. A version without a regression (nil)
-// meets background faults: servers that crash, a zone that is unreachable for a while and a crash of its controller,
-// beside the variation in traffic that all versions see.
+// RunRollout simulates one release to 200 servers with wave analysis. Traffic varies for all versions. A healthy version
+// (nil regression) also runs under background faults: servers crash, a zone is unreachable for a while and the release
+// controller crashes.
 func RunRollout(seed uint64, regression *Regression) RolloutResult {
 	cluster := newCluster(seed, Options{Sidecars: rolloutSidecars, Servers: rolloutServers, StartMS: rolloutStartMS, NoFaults: true})
 	cluster.scenario, cluster.reconcilePeriodMS = &scenario{}, tickMS
@@ -93,7 +93,7 @@
 	}
 }
 
-// runRollout advances the simulation until the release has finished. It returns when a rollback began; 0: none did.
+// runRollout advances the simulation until the release has finished. It returns when a rollback began, or 0 without one.
 func (c *cluster) runRollout() (rollbackStartMS int64) {
 	for startMS := c.nowMS; c.nowMS-startMS < maxSimulationMS; {
 		c.tick()
@@ -111,7 +111,7 @@
 	return rollbackStartMS
 }
 
-// scheduleBackgroundFaults schedules the faults that a healthy version has to survive.
+// scheduleBackgroundFaults schedules the faults that the release of a healthy version must tolerate.
 func (c *cluster) scheduleBackgroundFaults() {
 	for range 4 {
 		server := c.servers[c.random.IntN(len(c.servers))]
--- a/internal/lab/controlplane/scenario.go
+++ b/internal/lab/controlplane/scenario.go
@@ -14,7 +14,7 @@
 // zones are the availability zones of the cluster.
 var zones = []string{"a", "b", "c", "d"}
 
-// tenants with the time zone of their approved hours.
+// tenants are the tenants, each with the time zone of its approved hours.
 var tenants = []struct{ name, timeZone string }{
 	{"portal", "America/Montevideo"},
 	{"teller", "Europe/Madrid"},
@@ -45,7 +45,7 @@
 	drainDeadlineS    = 20000
 	controllerCount   = 2 // candidates for each lease
 	windowServers     = 3
-	feasibleHours     = 100 * time.Minute // approved hours that are open this long fit the window
+	feasibleHours     = 100 * time.Minute // the maintenance window fits into approved hours of this length
 	proposalBackoffMS = 10_000
 )
 
@@ -84,19 +84,19 @@
 max_out = { count = %d }
 `
 
-// scenario is what a simulation starts and injects.
+// scenario is the operations that a simulation starts and the faults that it injects.
 type scenario struct {
 	hotKeyHash                  uint64
 	hotKeyFromMS, hotKeyUntilMS int64
-	faultsEndMS                 int64 // no fault lasts beyond it
+	faultsEndMS                 int64 // when the last fault ends
 	windowFits                  bool  // the approved hours are long enough for the maintenance window
 	proposal                    *maintenance.Operation
 	proposed                    bool // the proposal is known to have been accepted
 	faults                      []string
 }
 
-// setContracts sets the tenants' contracts. The approved hours are open at the start, or open at HoursOpenIn. Now and then
-// they close too soon for the maintenance window, which then has to wait.
+// setContracts sets the tenants' contracts. The approved hours are open from the start, or from HoursOpenIn. In a quarter
+// of the simulations they close too soon for the maintenance window, which then has to wait.
 func (c *cluster) setContracts() {
 	closes := time.Duration(100+c.random.IntN(200)) * time.Minute
 	if c.random.IntN(4) == 0 {
@@ -113,7 +113,7 @@
 	for _, tenant := range tenants {
 		location, err := time.LoadLocation(tenant.timeZone)
 		if err != nil {
-			panic(err) // the time zone database is part of the program
+			panic(err) // the time zone database is part of the binary
 		}
 		opens := time.UnixMilli(c.nowMS).Add(-opened).In(location).Truncate(time.Minute)
 		c.setContract(tenant.name, tenant.timeZone, opens, (opened + closes).Truncate(time.Minute))
@@ -161,7 +161,7 @@
 	return c.startRelease(state, err)
 }
 
-// startDrain starts an operator's drain of servers that no release touches, each of another pod group.
+// startDrain starts an operator's drain of servers that no release selects, each in a different pod group.
 func (c *cluster) startDrain() bool {
 	var drained []string
 	for index := drainedModel; len(drained) < drainedServers && index < len(c.servers); index += max(len(c.servers)/16, 1) {
@@ -176,8 +176,8 @@
 	return c.startRelease(state, err)
 }
 
-// startRelease writes the start of a release or drain, unless creating it has failed with err. A rejection is a violation:
-// nothing has happened yet that could justify it.
+// startRelease writes the start of a release or drain, unless err says that creating it has failed. A rejection is a
+// violation, because no fault has been injected yet that could justify it.
 func (c *cluster) startRelease(state *release.State, err error) bool {
 	if err == nil {
 		err = c.registry.commitReleaseOp(&release.Operation{Start: state})
@@ -188,7 +188,7 @@
 	return err == nil
 }
 
-// startControllers starts the candidates for every lease.
+// startControllers adds the candidates for every lease.
 func (c *cluster) startControllers() {
 	for replica := range controllerCount {
 		for _, name := range []string{serverReleaseName, sidecarReleaseName, drainName} {
@@ -215,7 +215,7 @@
 	c.schedule(1000*c.random.Int64N(60), func() { c.proposeWindow(serverUIDs) })
 }
 
-// planHotKey draws when the hot key is hot.
+// planHotKey draws the period in which the hot key is hot.
 func (c *cluster) planHotKey() {
 	c.scenario.hotKeyFromMS = c.nowMS + 20_000 + 1000*c.random.Int64N(60)
 	c.scenario.hotKeyUntilMS = c.scenario.hotKeyFromMS + 30_000 + 1000*c.random.Int64N(30)
@@ -242,12 +242,12 @@
 	attempt()
 }
 
-// hotKeyActive tells whether the hot key is hot now.
+// hotKeyActive reports whether the hot key is hot now.
 func (c *cluster) hotKeyActive() bool {
 	return c.scenario != nil && c.nowMS >= c.scenario.hotKeyFromMS && c.nowMS < c.scenario.hotKeyUntilMS
 }
 
-// hotKeyPlaced tells whether the hot key may have replicas now.
+// hotKeyPlaced reports whether the hot key may have replicas now.
 func (c *cluster) hotKeyPlaced() bool {
 	return c.scenario != nil && c.nowMS >= c.scenario.hotKeyFromMS-3000 && c.nowMS < c.scenario.hotKeyUntilMS+60_000
 }
--- a/internal/lab/controlplane/sidecars.go
+++ b/internal/lab/controlplane/sidecars.go
@@ -3,11 +3,11 @@
 import "milldeck/internal/placement"
 
 const (
-	syncMS       = 3000 // in which all sidecars poll a new revision
-	syncPeriodMS = 5000 // between polls while nothing changes
+	syncMS       = 3000 // all sidecars poll a new revision within this time
+	syncPeriodMS = 5000 // between polls while there is no new revision
 )
 
-// syncSidecars lets sidecars poll the registry, and ends the exclusions that have expired.
+// syncSidecars has the sidecars poll the registry, and ends expired exclusions.
 func (c *cluster) syncSidecars() {
 	if revision := max(c.registry.placements.Revision(), c.registry.revision); revision != c.syncedRevision {
 		c.syncedRevision, c.syncUntilMS = revision, c.nowMS+syncMS
@@ -56,8 +56,8 @@
 	}
 }
 
-// applyExclusion has a sidecar follow a directive until its own clock reaches the expiry, or what remained of the
-// directive by the leader's clock has passed.
+// applyExclusion has a sidecar apply a directive until its own clock reaches the expiry, or until remainingMS, the time
+// left by the leader's clock, has passed, whichever comes first.
 func (c *cluster) applyExclusion(target *unit, directive *placement.Directive, remainingMS int64) {
 	sidecar := target.sidecar
 	expiresMS := min(directive.ExpiresAtMS-sidecar.offsetMS, c.nowMS+remainingMS)
@@ -76,7 +76,7 @@
 	active.expiresMS = expiresMS
 }
 
-// endExclusion ends an exclusion at a time, or at its expiry if that came before.
+// endExclusion ends an exclusion at endMS, or at its expiry if that is earlier.
 func (c *cluster) endExclusion(target *unit, directiveID string, endMS int64) {
 	ended := target.sidecar.exclusions[directiveID]
 	delete(target.sidecar.exclusions, directiveID)
@@ -97,7 +97,7 @@
 	}
 }
 
-// loadReport is a sidecar's load report: the requests in flight to the servers that it excludes.
+// loadReport returns a sidecar's load report: the requests in flight to the servers that it excludes.
 func (c *cluster) loadReport(source *unit) placement.LoadReport {
 	report := placement.LoadReport{
 		Sidecar:           source.name,
--- a/internal/lab/controlplane/simulation.go
+++ b/internal/lab/controlplane/simulation.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	maxSimulationMS  = 5400_000 // far more than any simulation takes that settles
+	maxSimulationMS  = 5400_000 // far longer than any simulation that settles
 	operatorPeriodMS = 5000     // between two rounds of the operator
-	settleMS         = 30_000   // of calm after the last fault
+	settleMS         = 30_000   // time without faults after the last fault
 	secondsPerDay    = 86400
 	hourMS           = 3600_000
 )
 
-// startDates are days on which daylight saving time begins or ends somewhere, months end, or nothing special happens.
+// startDates are days on which daylight saving time begins or ends somewhere, ends of months, and an ordinary day.
 var startDates = []string{"2026-03-28", "2026-10-24", "2026-04-04", "2026-09-30", "2026-02-27", "2026-06-10"}
 
-// Run plays the simulation of a seed until the cluster has settled.
+// Run runs the simulation of a seed until the cluster has settled.
 func Run(seed uint64, options Options) *Result {
 	if options.StartMS == 0 {
 		options.StartMS = drawStart(seed)
@@ -48,8 +48,8 @@
 	return date.UnixMilli() + int64(second)*1000
 }
 
-// runUntilSettled advances the simulation until it has settled, or for maxSimulationMS. It returns false where
-// StopAtFirstViolation ended it before.
+// runUntilSettled advances the simulation until it has settled, or for maxSimulationMS. It returns false if
+// StopAtFirstViolation ended it earlier.
 func (c *cluster) runUntilSettled() bool {
 	for c.nowMS-c.startMS < maxSimulationMS {
 		c.tick()
@@ -70,7 +70,7 @@
 	return true
 }
 
-// settled tells whether every operation has ended, every unit is in service and no fault is left.
+// settled reports whether every operation has ended, every unit is in service and no fault is left.
 func (c *cluster) settled() bool {
 	if c.nowMS < c.scenario.faultsEndMS+settleMS || !c.registry.available() || c.hotKeyPlaced() {
 		return false
@@ -88,7 +88,7 @@
 	return true
 }
 
-// windowsSettled tells whether a window was proposed, and each is finished or planned more than an hour ahead.
+// windowsSettled reports whether a window was proposed, and every window is finished or planned more than an hour ahead.
 func (c *cluster) windowsSettled() bool {
 	windows := c.registry.windows.Windows()
 	for _, window := range windows {
--- a/internal/lab/controlplane/simulation_test.go
+++ b/internal/lab/controlplane/simulation_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var seedsFlag = flag.Uint64("seeds", 4, "number of seeds that are simulated")
+var seedsFlag = flag.Uint64("seeds", 4, "number of seeds to simulate")
 
 // smallFleet is a fleet whose simulation takes a fraction of a second.
 var smallFleet = Options{Sidecars: 40, Servers: 160}
@@ -54,7 +54,7 @@
 	}
 }
 
-// A version with a regression is stopped early and rolled back, a healthy one is completed.
+// The release of a version with a regression is stopped early and rolled back. That of a healthy version is completed.
 func TestRolloutsWithAndWithoutRegression(t *testing.T) {
 	for i := range Regressions {
 		t.Run(Regressions[i].Name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 	})
 }
 
-// The state of a backup or a partitioned replica equals the state it was cloned from, and is independent of it.
+// The state of a backup or a partitioned replica equals the state from which it was cloned, and is independent of it.
 func TestClonedStateIsIndependent(t *testing.T) {
 	cluster := newCluster(5, Options{Sidecars: 16, Servers: 160, StartMS: 1_780_000_000_000})
 	clone := cluster.registry.clone()
--- a/internal/lab/controlplane/traffic.go
+++ b/internal/lab/controlplane/traffic.go
@@ -9,23 +9,23 @@
 )
 
 // traffic models the load reports of sidecars during a release of servers: counts of requests by class, zone and
-// version, without the requests. Its random numbers are its own.
+// version. It does not simulate the requests themselves. It has its own random numbers.
 type traffic struct {
 	cluster    *cluster
 	random     *rand.Rand
 	regression Regression
 }
 
-// Regression is how a version is worse than the one before.
+// Regression describes how a version is worse than the previous one.
 type Regression struct {
 	Name          string
 	FailureRates  [2]float64 // added share of failed requests, by class
-	SlowUnderLoad bool       // added share of slow answers while the load is high
-	MemoryGrowth  float64    // of a server, as a share of its memory a second
-	RestartRate   float64    // share of the servers that restart in a second
+	SlowUnderLoad bool       // added share of slow responses while the load is high
+	MemoryGrowth  float64    // of a server, as a share of its memory per second
+	RestartRate   float64    // share of the servers that restart per second
 }
 
-// Regressions are those that rollouts are played with.
+// Regressions are the regressions that rollouts are simulated with.
 var Regressions = []Regression{
 	{Name: "5% fail", FailureRates: [2]float64{0.05, 0.05}},
 	{Name: "one class fails", FailureRates: [2]float64{0, 0.1}},
@@ -34,7 +34,7 @@
 	{Name: "restarts", RestartRate: 0.05},
 }
 
-// requestClasses are the classes of requests, with the requests a second of each server.
+// requestClasses are the classes of requests, with the requests per second of each server.
 var requestClasses = [2]struct {
 	name string
 	rate float64
@@ -49,20 +49,20 @@
 const (
 	memoryPerServer = 100.0
 	memoryDeviation = 0.02
-	slowRegression  = 0.18 // added share of slow answers
+	slowRegression  = 0.18 // added share of slow responses
 	lateRate        = 0.01
-	mediumRate      = 0.25 // of the answers that are not slow
+	mediumRate      = 0.25 // of the responses that are not slow
 )
 
-// conditions are what all servers experience in a second, whatever their version.
+// conditions are the load and the rates of failures and slow responses in a second, the same for servers of all versions.
 type conditions struct {
 	load        float64 // factor on the request rate
 	failureRate float64
 	slowRate    float64
 }
 
-// conditionsAt are the conditions of a second: the load is high for 20 s of every 50, and 20 s of every 170 see many
-// failures.
+// conditionsAt returns the conditions of a second: the load is high in 20 s of every 50 s, and failures are frequent in
+// 20 s of every 170 s.
 func conditionsAt(second int64) conditions {
 	now := conditions{load: 1, failureRate: 0.003, slowRate: 0.18}
 	if second%50 >= 30 {
@@ -77,10 +77,10 @@
 // zoneServers are the servers of a zone that are in service.
 type zoneServers struct {
 	stats       [2]judge.UnitStats // by group
-	canarySince float64            // seconds since the start of the canaries, summed
+	canarySince float64            // uptime of the canaries in seconds, summed
 }
 
-// interval is the load report of the last second, summed over all sidecars.
+// interval returns the load report of the last second, summed over all sidecars.
 func (t *traffic) interval(state *release.State) judge.Interval {
 	reports := len(t.cluster.sidecars)
 	interval := judge.Interval{ExpectedReports: reports, ReceivedReports: reports}
@@ -136,7 +136,7 @@
 	return stats
 }
 
-// counts draws the answers to the requests of a class by so many servers of a group. The histogram has three buckets:
+// counts draws the request counts of a class for a number of servers of a group. The latency histogram has three buckets:
 // fast, medium and slow.
 func (t *traffic) counts(class, group, servers int, now conditions) judge.Counts {
 	failureRate, slowRate := now.failureRate, now.slowRate
@@ -161,8 +161,8 @@
 	}
 }
 
-// binomial draws the successes of so many trials: trial by trial where few are expected, else by the normal
-// approximation.
+// binomial draws the number of successes in a number of trials. It draws each trial if there are few trials or few expected
+// successes, and uses the normal approximation otherwise.
 func (t *traffic) binomial(trials int, probability float64) int {
 	mean := float64(trials) * probability
 	if trials < 60 || mean < 15 {
--- a/internal/lab/controlplane/unit.go
+++ b/internal/lab/controlplane/unit.go
@@ -2,58 +2,58 @@
 
 import "milldeck/internal/disruption"
 
-// never is a time that is not reached, in Unix ms.
+// never stands for a time that is never reached, in Unix ms.
 const never = int64(1) << 60
 
-// unit is the true state of a server or sidecar, whatever the control plane knows of it. Times are true Unix ms.
+// unit is the actual state of a server or sidecar, which may differ from the control plane's view. Times are true Unix ms.
 type unit struct {
 	disruption.Unit
 	name               string
-	version            string // of the process that was started last
+	version            string // of the most recently started process
 	bootMS             int64
-	readyAtMS          int64 // when that process becomes ready; never: it does not
-	warmAtMS           int64 // when a server has warmed up
+	readyAtMS          int64 // when that process becomes ready, or never
+	warmAtMS           int64 // when a server's warm-up ends
 	unreachableUntilMS int64 // end of a network partition
-	underMaintenance   bool  // the work of a maintenance window is being done
+	underMaintenance   bool  // work of a maintenance window is in progress
 	alive              bool  // a process runs
-	missingSinceMS     int64 // since when it sends no heartbeats; 0: it sends them
+	missingSinceMS     int64 // when its heartbeats stopped; 0 while it sends them
 	changing           bool  // its registration has to be updated at the next tick
-	decommissioned     bool  // it is drained for good
+	decommissioned     bool  // it is drained permanently
 	sidecar            *sidecarState
-	observed           observation // by the checker
+	observed           observation // the checker's view of the unit
 }
 
-// sidecarState is what a sidecar knows. Servers have none.
+// sidecarState is the part of a unit's state that only sidecars have.
 type sidecarState struct {
 	wallClock
-	agentDownUntilMS  int64 // its agent reaches nobody until then
+	agentDownUntilMS  int64 // its agent is unreachable until then
 	pollDelayMS       int64
 	placementRevision uint64
 	placementEpoch    uint64
 	endpointRevision  uint64
-	exclusions        map[string]*exclusion // by placement directive
+	exclusions        map[string]*exclusion // by directive ID
 }
 
-// exclusion is a directive that a sidecar follows: it sends a tenant's requests to other servers.
+// exclusion is a directive that a sidecar applies: the sidecar routes a tenant's requests to other servers.
 type exclusion struct {
 	tenant    string
 	startedMS int64
 	expiresMS int64
-	drainedMS int64 // when its last request to the excluded servers is answered
+	drainedMS int64 // when the last request in flight to the excluded servers is answered
 }
 
-// wallClock is a wall clock: its true error and the uncertainty that it reports, in ms.
+// wallClock is the actual error of a wall clock and the uncertainty that it reports, in ms.
 type wallClock struct{ offsetMS, uncertaintyMS int64 }
 
-// ready tells whether the unit's process runs and has become ready.
+// ready reports whether the unit's process runs and has become ready.
 func (u *unit) ready(nowMS int64) bool { return u.alive && u.readyAtMS <= nowMS }
 
-// agentReachable tells whether a sidecar's agent reaches the registry. Servers have no agent between.
+// agentReachable reports whether a sidecar reaches the registry through its agent. Servers use no agent.
 func (u *unit) agentReachable(nowMS int64) bool {
 	return u.sidecar == nil || u.sidecar.agentDownUntilMS <= nowMS
 }
 
-// starting tells whether the unit will become ready or warm later.
+// starting reports whether the unit has yet to become ready or warm.
 func (u *unit) starting(nowMS int64) bool {
 	becomesReady := u.readyAtMS > nowMS && u.readyAtMS != never
 	becomesWarm := u.warmAtMS > nowMS && u.warmAtMS != never
--- a/internal/lab/sim/baseline.go
+++ b/internal/lab/sim/baseline.go
@@ -8,8 +8,8 @@
 	"milldeck/balance"
 )
 
-// Instance decides for one sidecar: the decision module, or a baseline to compare it with. Times are ms of the run. The
-// actions that it returns are valid until the next call.
+// Instance makes the decisions of one sidecar. It is the decision module, or a baseline to compare it with. Times are ms of
+// the run. Returned actions are valid until the next call.
 type Instance interface {
 	Start(now float64) []balance.Action
 	Handle(now float64, event balance.Event) ([]balance.Action, error)
@@ -56,8 +56,8 @@
 	}, nil
 }
 
-// baseline is a textbook load balancer. It obeys the rules on retries and draining servers. Beside the endpoint list it knows
-// only its own requests in flight.
+// baseline is a textbook load balancer. It obeys the rules on retries and draining servers. Apart from the endpoint list it
+// knows only its own requests in flight.
 type baseline struct {
 	config  balance.Config
 	pick    pickFunc
@@ -68,7 +68,7 @@
 	endpoints  []*baselineServer // in the order in which they were first listed
 	byID       map[balance.ServerID]*baselineServer
 	requests   map[balance.RequestID]*baselineRequest
-	nextServer int               // of round-robin
+	nextServer int               // for round-robin
 	eligible   []*baselineServer // reused by collectEligible
 }
 
@@ -76,10 +76,10 @@
 type baselineServer struct {
 	balance.Server
 	inFlight int
-	number   int // in the order in which servers were first listed
+	number   int // position in the order in which servers were first listed
 }
 
-// baselineRequest is a request that has no final response yet.
+// baselineRequest is a request that has no final response or still has an attempt in flight.
 type baselineRequest struct {
 	balance.Request
 	class    *balance.Class
@@ -163,7 +163,7 @@
 func (b *baseline) handleOutcome(outcome balance.Outcome) error {
 	request := b.requests[outcome.Request]
 	if request == nil || outcome.Attempt >= len(request.attempts) {
-		return fmt.Errorf("outcome of request %d, which is not open", outcome.Request)
+		return fmt.Errorf("outcome for request %d, which is unknown or has no such attempt", outcome.Request)
 	}
 	attempt := &request.attempts[outcome.Attempt]
 	attempt.endpoint.inFlight--
@@ -253,7 +253,7 @@
 	return len(b.eligible) > 0
 }
 
-// isAllowed reports whether the rules allow an attempt at a server after the previous attempts.
+// isAllowed reports whether the retry rules allow an attempt at a server, given the previous attempts.
 func (b *baseline) isAllowed(request *baselineRequest, endpoint *baselineServer) bool {
 	for i := range request.attempts {
 		previous := &request.attempts[i]
@@ -267,7 +267,7 @@
 	return true
 }
 
-// isRepeatAllowed reports whether a request that a previous attempt may have executed can be repeated at a server.
+// isRepeatAllowed reports whether a request may be sent to a server although a previous attempt may have executed it.
 func (b *baseline) isRepeatAllowed(class *balance.Class, previous *baselineAttempt, endpoint *baselineServer) bool {
 	switch class.Idempotency {
 	case balance.Idempotent:
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -5,13 +5,13 @@
 	"milldeck/internal/lab"
 )
 
-// simClient is a request of a client with all its attempts.
+// clientRequest is a request of a client with all attempts of the client.
 type simClient struct {
 	engine *simEngine
 	lab.Arrival
 	attempts int
 	done     bool
-	current  *simRequest // the attempt that the client waits for; nil: none
+	current  *simRequest // the attempt for which the client waits, or nil
 }
 
 // sendAttempt sends the next attempt to the sidecar.
@@ -58,7 +58,7 @@
 	})
 }
 
-// attemptDone ends an attempt. The client retries, or its request has ended.
+// attemptDone ends an attempt. Then the client retries, or the request ends.
 func (c *simClient) attemptDone(now float64, outcome lab.Outcome, retryAfter float64) {
 	if c.done {
 		return
@@ -71,7 +71,7 @@
 	c.finish(now, outcome, false)
 }
 
-// disconnect has the client disconnect before it has a response.
+// disconnect closes the client's connection before the client has received a response.
 func (c *simClient) disconnect(now float64) {
 	if c.done {
 		return
--- a/internal/lab/sim/engine.go
+++ b/internal/lab/sim/engine.go
@@ -1,8 +1,8 @@
-// Package sim plays a plan of package lab on a virtual clock, without sockets: many instances of the decision module, the
-// model of the servers, the clients and the network between them.
+// Package sim simulates a plan of package lab on a virtual clock, without sockets: many instances of the decision module,
+// and models of the servers, the clients and the network between them.
 //
-// The simulation is deterministic. A plan gives the same result to the byte, whatever the number of workers: within a tick
-// instances run in parallel, as they share no state, and everything else happens in one order.
+// The simulation is deterministic. A plan gives the same result byte for byte with any number of workers: within a tick
+// instances run in parallel, as they share no state, and everything else runs in a fixed order.
 package sim
 
 import (
@@ -20,59 +20,59 @@
 	"milldeck/internal/lab"
 )
 
-// Options are how a plan is played.
+// Options configure a simulation.
 type Options struct {
 	Policy   string             // one of Policies; "": Module
-	Workers  int                // instances that run in parallel; 0: one per core. It does not change the result
-	Progress func(done float64) // called about every second of the run with the share that is done; may be nil
+	Workers  int                // maximum of instances that run in parallel; 0: one per core. It does not change the result
+	Progress func(done float64) // called about every second of the run with its completed share; may be nil
 
-	// InstanceFactory makes the instance of a sidecar in place of Policy, for tests with defective instances.
+	// InstanceFactory creates the instance of a sidecar instead of Policy, for tests with defective instances.
 	InstanceFactory func(sidecar int, config balance.Config) (Instance, error)
 }
 
-// Stats are what a run cost. They are no part of its result.
+// Stats are the cost of a run. They are not part of its result.
 type Stats struct {
-	Events  int // of instances and of everything around them
+	Events  int // handled by the instances and by the rest of the simulation
 	Elapsed time.Duration
 }
 
 const (
 	// clientDelayMS is the delay between an application and its sidecar on the same machine.
 	clientDelayMS = 0.05
-	// slackTicks is what the checker allows beside the tolerances of the rules.
+	// slackTicks is the time that the checker allows in addition to the tolerances of the rules.
 	slackTicks = 2
 	// handshakeTrips is the number of round trips of a new connection before its first request leaves.
 	handshakeTrips = 1
-	// idleReuseShare is the share of a server's idle timeout for which a sidecar reuses a connection, as a real one does.
+	// idleReuseShare is the share of a server's idle timeout for which a sidecar reuses a connection, as a real sidecar does.
 	idleReuseShare = 0.85
 
-	// A restarted sidecar accepts requests for drainNoticeMS after its SIGTERM, answers them until drainTimeoutMS, and is
-	// back after startupMS.
+	// A restarted sidecar accepts requests for drainNoticeMS after its SIGTERM and answers them until drainTimeoutMS. It
+	// starts again startupMS after it has ended.
 	drainNoticeMS  = 300
 	drainTimeoutMS = 3500
 	startupMS      = 100
 
-	// excuseAfterMS is how long after a freeze responses may still be late, as the backlog is worked off.
+	// excuseAfterMS is how long responses may still be late after a freeze or partition, until the backlog is processed.
 	excuseAfterMS = 500
 	// healthCheckWorkMS is the work of a health check at a server.
 	healthCheckWorkMS = 0.3
 	// discoveryCallMS is the duration of a call for the endpoint list.
 	discoveryCallMS = 5
-	// afterLoadMS is how long the run may go on after the load, beside the time that a server needs to drain.
+	// afterLoadMS is how long a run may continue after the load, in addition to the time that a server needs to drain.
 	afterLoadMS = 5000
-	// progressIntervalMS is the interval between two reports of the progress.
+	// progressIntervalMS is the interval between two calls of Options.Progress.
 	progressIntervalMS = 1000
-	// minParallelSidecars is the number of instances from which running them in parallel pays.
+	// minParallelSidecars is the number of instances from which it is faster to run them in parallel.
 	minParallelSidecars = 4
 )
 
-// Streams of random numbers of a simulation, apart from those of its plan.
+// Random number streams of a simulation, separate from those of its plan.
 const (
 	streamHotKeys = 98
 	streamNetwork = 99
 )
 
-// Run plays a plan to its end, or until the context is cancelled, which cuts the result short.
+// Run simulates a plan to its end. If the context is cancelled, it stops early and marks the result as cut short.
 func Run(ctx context.Context, plan *lab.Plan, opts Options) (*lab.Result, Stats, error) {
 	began := time.Now()
 	e := newEngine(plan, opts)
@@ -93,7 +93,7 @@
 	opts     Options
 	checker  *lab.Checker
 	recorder *lab.Recorder
-	rng      *rand.Rand // of the network
+	rng      *rand.Rand // for the network
 	tickMS   float64
 
 	now    float64
@@ -103,14 +103,14 @@
 	servers          []*simServer
 	sidecars         []*simSidecar
 	byID             map[balance.ServerID]*simServer
-	linkFaults       []*lab.Fault // faults of links that hold now
+	linkFaults       []*lab.Fault // link faults that are active
 	discoveryDown    bool
 	discoveryDelayMS float64 // additional delay of notifications
 	lastRequest      uint64
 	lastAttempt      int64
 	openRequests     int               // requests of clients that have not ended
-	moreArrivals     bool              // the load has not ended
-	scheduled        []*simSidecar     // to run in this tick
+	moreArrivals     bool              // the load has not ended yet
+	scheduled        []*simSidecar     // instances that run in this tick
 	hotKeys          *hotKeySimulation // nil: the experiment has no hot keys
 }
 
@@ -138,14 +138,14 @@
 	return e
 }
 
-// serverID returns the identifier that a real sidecar gives a server, so that both rank servers alike.
+// serverID returns the ID that a real sidecar gives a server, so that real and simulated sidecars rank servers alike.
 func serverID(uid string) balance.ServerID {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(uid)) // a hash never fails
+	_, _ = hash.Write([]byte(uid)) // writing to a hash never fails
 	return balance.ServerID(hash.Sum64())
 }
 
-// play runs the simulation to its end.
+// run runs the simulation to its end.
 func (e *simEngine) play(ctx context.Context) error {
 	if err := e.start(); err != nil {
 		return err
@@ -216,12 +216,12 @@
 	})
 }
 
-// schedule has something happen at a time. What was due before the current tick happens within it.
+// schedule schedules an event for a time. An event that is due before the current tick runs within the tick.
 func (e *simEngine) schedule(when float64, run func(now float64)) {
 	e.queue.push(when, run)
 }
 
-// runTick runs the events that are due, then the scheduled instances, then carries out their actions in one order.
+// runTick runs the events that are due and then the scheduled instances. It executes their actions in a fixed order.
 func (e *simEngine) runTick() error {
 	for {
 		due, pending := e.queue.peek()
@@ -250,7 +250,7 @@
 	return nil
 }
 
-// runInstances has the scheduled instances handle their events, in parallel if there are enough of them. An instance
+// runInstances has the scheduled instances handle their events, in parallel if there are enough instances. An instance
 // changes no state but its own.
 func (e *simEngine) runInstances(active []*simSidecar) {
 	for _, sidecar := range active {
--- a/internal/lab/sim/engine_test.go
+++ b/internal/lab/sim/engine_test.go
@@ -12,7 +12,7 @@
 	"milldeck/internal/lab"
 )
 
-// smallExperiment takes a fraction of a second to simulate; %s stands for its faults.
+// smallExperiment is an experiment that takes a fraction of a second to simulate; %s stands for its faults.
 const smallExperiment = `name = "small"
 duration_s = 12
 zones = ["a", "b"]
@@ -75,7 +75,7 @@
 	return result
 }
 
-// newFaultsPlan returns a plan of experiments/faults.toml, which has a fault of each kind.
+// newFaultsPlan returns a plan of experiments/faults.toml, which has a fault of every kind.
 func newFaultsPlan(t *testing.T, seed uint64) *lab.Plan {
 	t.Helper()
 	experiment, err := lab.Load("../../../experiments/faults.toml")
@@ -89,7 +89,7 @@
 	for seed := range uint64(10) {
 		result := mustRun(t, newFaultsPlan(t, seed+1), Options{})
 		if result.ViolationCount > 0 || result.Requests < 3000 || result.ServedShare < 0.5 {
-			t.Errorf("seed %d: %d requests, %.3f served, rules broken: %+v", seed+1, result.Requests, result.ServedShare, result.Violations)
+			t.Errorf("seed %d: %d requests, %.3f served, violations: %+v", seed+1, result.Requests, result.ServedShare, result.Violations)
 		}
 	}
 }
@@ -105,12 +105,12 @@
 			first = data
 		}
 		if !bytes.Equal(first, data) {
-			t.Fatalf("%d workers give another result", workers)
+			t.Fatalf("the result with %d workers differs", workers)
 		}
 	}
 }
 
-// defectiveInstance is an instance whose actions are changed so that it violates a rule.
+// defectiveInstance wraps an instance and changes its actions so that they violate a rule.
 type defectiveInstance struct {
 	Instance
 	change func(p *defectiveInstance, now float64, ev balance.Event, acts []balance.Action) []balance.Action
@@ -132,7 +132,7 @@
 	}
 	actions, err := d.Instance.Handle(now, event)
 	if err != nil {
-		return actions, nil // what it was made to do confuses the module
+		return actions, nil // the module rejects outcomes of actions that it did not return
 	}
 	return d.change(d, now, event, actions), nil
 }
@@ -147,8 +147,8 @@
 	return actions
 }
 
-// TestCheckerDetectsDefects checks that the checker detects an instance that violates a rule, for every rule that an instance
-// can violate, and that it reports the history of a request.
+// TestCheckerDetectsDefects checks, for every rule that an instance can violate, that the checker detects an instance that
+// violates it, and that the checker reports the history of the request.
 func TestCheckerDetectsDefects(t *testing.T) {
 	drop := func(kinds ...balance.ActionKind) func(*defectiveInstance, float64, balance.Event, []balance.Action) []balance.Action {
 		return func(_ *defectiveInstance, _ float64, _ balance.Event, actions []balance.Action) []balance.Action {
@@ -173,7 +173,7 @@
 		{lab.RuleSingleResponse, "[[fault]]\nkind = \"errors\"\ntarget = \"servers\"\npart = 1\nat_s = 2\nfor_s = 1\n", drop(balance.Reject, balance.Fail)},
 		{lab.RuleDuplicateEffect, "[[fault]]\nkind = \"reset\"\ntarget = \"servers\"\npart = 0.2\nat_s = 2\nfor_s = 5\n",
 			func(instance *defectiveInstance, _ float64, event balance.Event, actions []balance.Action) []balance.Action {
-				// A request that may have run is sent again, whatever its class, to any server.
+				// Retries a request that may have been executed, regardless of its class and the server.
 				if outcome, ok := event.(balance.Outcome); ok && outcome.Result == balance.Reset && outcome.Attempt == 0 {
 					to := instance.servers[0]
 					if to == outcome.Server {
@@ -206,18 +206,18 @@
 			return &defectiveInstance{Instance: instance, change: c.change}, err
 		}})
 		if result.ViolationsByRule[c.rule] == 0 {
-			t.Errorf("rule %s: the planted fault was not seen; broken: %v", c.rule, result.ViolationsByRule)
+			t.Errorf("rule %s: the injected defect was not detected; violations: %v", c.rule, result.ViolationsByRule)
 			continue
 		}
 		for _, violation := range result.Violations {
 			if violation.Rule == c.rule && violation.Request != 0 && len(violation.History) == 0 {
-				t.Errorf("rule %s: no story of request %d", c.rule, violation.Request)
+				t.Errorf("rule %s: no history of request %d", c.rule, violation.Request)
 			}
 		}
 	}
 }
 
-// TestExperimentsRun simulates the first seconds of all experiments of the repository.
+// TestExperimentsRun simulates the first seconds of all experiments in the repository.
 func TestExperimentsRun(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/*.toml")
 	if err != nil || len(files) == 0 {
@@ -233,7 +233,7 @@
 		plan.DurationMS = 2000
 		result := mustRun(t, plan, Options{})
 		if result.Requests == 0 || result.ViolationCount > 0 {
-			t.Errorf("%s: %d requests, broken %+v", path, result.Requests, result.Violations)
+			t.Errorf("%s: %d requests, violations: %+v", path, result.Requests, result.Violations)
 		}
 	}
 }
@@ -243,13 +243,13 @@
 		result := mustRun(t, newFaultsPlan(t, 2), Options{Policy: policy})
 		for _, rule := range []lab.Rule{lab.RuleDuplicateEffect, lab.RuleParallelAttempts, lab.RuleDraining, lab.RuleSingleResponse} {
 			if result.ViolationsByRule[rule] > 0 {
-				t.Errorf("%s breaks rule %s: %+v", policy, rule, result.Violations[0])
+				t.Errorf("%s violates rule %s: %+v", policy, rule, result.Violations[0])
 			}
 		}
 	}
 }
 
-// BenchmarkFleet measures how the time of a run grows with the number of sidecars, at the same load.
+// BenchmarkFleet measures how the duration of a run grows with the number of sidecars at the same load.
 func BenchmarkFleet(b *testing.B) {
 	data, err := os.ReadFile("../../../experiments/fleet.toml")
 	if err != nil {
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -7,7 +7,7 @@
 	"milldeck/internal/lab"
 )
 
-// scheduleReplacements schedules the servers that start or end in a rolling replacement.
+// scheduleReplacements schedules the starts and drains of servers in a rolling replacement.
 func (e *simEngine) scheduleReplacements() {
 	for _, server := range e.servers {
 		if server.plan.StartMS > 0 {
@@ -19,8 +19,8 @@
 	}
 }
 
-// scheduleFault schedules the begin and the end of a fault. Rolling replacements are in the plans of the servers. Exhausted
-// file descriptors have no effect, as simulated sidecars have no sockets.
+// scheduleFault schedules the start and the end of a fault. Rolling replacements are part of the plans of the servers.
+// Exhausted file descriptors have no effect, as simulated sidecars have no sockets.
 func (e *simEngine) scheduleFault(fault *lab.Fault) {
 	e.schedule(fault.StartMS, func(now float64) { e.beginFault(now, fault) })
 	if fault.EndMS > 0 {
@@ -85,7 +85,7 @@
 	}
 }
 
-// excusePartitioned excuses the sidecars that are partitioned from their clients.
+// excusePartitioned excuses late responses of the sidecars that are partitioned from their clients.
 func (e *simEngine) excusePartitioned(fault *lab.Fault) {
 	for _, sidecar := range e.sidecars {
 		client := sidecar.clientEndpoint()
@@ -140,7 +140,7 @@
 	}
 }
 
-// endOutage starts a vanished server again, unless it was to be replaced in the meantime.
+// endOutage starts a server again after a zone outage, unless the plan has replaced the server in the meantime.
 func (s *simServer) endOutage(now float64) {
 	if !s.vanished {
 		return
@@ -152,7 +152,7 @@
 	}
 }
 
-// unfreeze continues the server, with the requests that it received in the meantime.
+// unfreeze resumes the server, which handles the requests that it received while it was frozen.
 func (s *simServer) unfreeze(now float64) {
 	s.frozen = false
 	received := s.waiting
@@ -173,7 +173,7 @@
 	case lab.FaultFreeze:
 		s.freeze(fault.EndMS)
 	case lab.FaultReload:
-		s.fetchEndpoints(s.subscribed) // it follows discovery to another address, and gets the complete list
+		s.fetchEndpoints(s.subscribed) // the sidecar connects to discovery at another address and gets the complete list
 	}
 }
 
--- a/internal/lab/sim/hotkey.go
+++ b/internal/lab/sim/hotkey.go
@@ -15,38 +15,38 @@
 
 const (
 	epochSeconds         = 1e9  // Unix time at which the virtual clock starts
-	sketchKeys           = 64   // keys that a sidecar counts at a time, as a real one does
+	sketchKeys           = 64   // keys that a sidecar counts at a time, as in a real sidecar
 	refreshIntervalMS    = 1000 // between two updates of the controller's view of the servers
 	congestionIntervalMS = 100  // between two counts of congested servers
-	falseKeys            = 8    // keys that a false load report has, each with the sidecar's total load
+	falseKeys            = 8    // number of keys in a false load report, each with the sidecar's total load
 )
 
-// hotKeySimulation simulates what is between the sidecars and the hot-key controller: load reports, the placement and their
-// delays. The decisions are those of hotkey.Planner.
+// hotKeySimulation simulates the communication between the sidecars and the hot-key controller: load reports, the placement
+// and their delays. hotkey.Planner makes the decisions.
 type hotKeySimulation struct {
 	engine  *simEngine
 	spec    *lab.HotKeySpec
 	config  hotkey.Config
 	checker *lab.HotKeyChecker
-	rng     *rand.Rand // of its own, so that no other draw depends on reports and placements
+	rng     *rand.Rand // separate, so that no other draw depends on reports and placements
 	hotKeys map[uint64]bool
 
 	planner    *hotkey.Planner // nil: the controller is down
-	writing    bool            // the changes of a plan are being written
+	writing    bool            // a write of planned changes is in progress
 	revision   uint64
 	directives map[string]placement.Directive // by ID
-	placement  balance.Placement              // all directives, as sidecars get them
+	placement  balance.Placement              // all directives, in the form that sidecars get
 	keyLoads   []sidecarKeyLoad               // by sidecar
 
-	lossShares     []float64 // of the load reports that faults lose now
+	lossShares     []float64 // share of load reports that each active fault drops
 	falseReporters map[int]bool
 }
 
-// sidecarKeyLoad is what the program of a sidecar holds beside the decision module.
+// sidecarKeyLoad is the hot-key state that a sidecar keeps outside the decision module.
 type sidecarKeyLoad struct {
 	sketch        *topk.Sketch
-	revision      uint64 // of the placement that it has
-	updatePending bool   // a placement is on its way to it
+	revision      uint64 // of the sidecar's current placement
+	updatePending bool   // a placement is in transit to the sidecar
 }
 
 func newHotKeySimulation(engine *simEngine) (*hotKeySimulation, error) {
@@ -104,7 +104,7 @@
 	c.repeat(c.spec.PlanIntervalMS, c.spec.PlanIntervalMS, c.plan)
 }
 
-// repeat has something happen at a time, and again after each interval.
+// repeat schedules a function for a time, and again after each interval.
 func (c *hotKeySimulation) repeat(first, every float64, run func(now float64)) {
 	c.engine.schedule(first, func(now float64) {
 		run(now)
@@ -130,7 +130,7 @@
 	c.checker.RecordCongestion(count, congestionIntervalMS)
 }
 
-// startPlanner starts the controller, which continues from the placement.
+// startPlanner starts the controller, which restores its state from the placement.
 func (c *hotKeySimulation) startPlanner(now float64) {
 	planner, err := hotkey.NewPlanner(c.config)
 	if err != nil {
@@ -162,7 +162,7 @@
 	}
 }
 
-// listServers returns the servers as the controller sees them, and how many are listed as ready.
+// listServers returns the servers in the planner's form, and how many are listed as ready.
 func (c *hotKeySimulation) listServers(now float64) (servers []hotkey.Server, ready int) {
 	slowStartMS := 0.0
 	for i := range c.engine.plan.Experiment.Servers {
@@ -184,8 +184,8 @@
 	return servers, ready
 }
 
-// requestReceived counts the load of a request's key. With the oracle, a hot key is removed so that the request may go to
-// any server.
+// requestReceived counts the load of a request's key. With the oracle it removes a hot key from the request, so that the
+// request may go to any server.
 func (c *hotKeySimulation) requestReceived(now float64, sidecar *simSidecar, request *balance.Request) {
 	if c.spec.Oracle && c.hotKeys[request.Key] {
 		request.Key = 0
@@ -195,7 +195,7 @@
 	}
 }
 
-// sendReport sends the load report of a sidecar. A frozen one sends none.
+// sendReport sends the load report of a sidecar. A sidecar that is down or frozen sends none.
 func (c *hotKeySimulation) sendReport(now float64, index int) {
 	sidecar, keyLoad := c.engine.sidecars[index], &c.keyLoads[index]
 	if !sidecar.up || sidecar.frozen {
@@ -214,7 +214,7 @@
 	})
 }
 
-// loadReport returns the load report of a sidecar, which is false under a fault.
+// loadReport returns the load report of a sidecar, or a false one if a fault requires it.
 func (c *hotKeySimulation) loadReport(now float64, sidecar *simSidecar, keyLoad *sidecarKeyLoad) *placement.LoadReport {
 	top := keyLoad.sketch.Top(now/1000, placement.MaxHotKeys)
 	report := &placement.LoadReport{
@@ -236,7 +236,7 @@
 	return report
 }
 
-// plan has the controller plan, and writes its changes after a delay. It does not plan again before they are written.
+// plan runs the planner, and writes the changes after a delay. It does not plan again before the changes are written.
 func (c *hotKeySimulation) plan(now float64) {
 	if c.planner == nil || c.writing {
 		return
--- a/internal/lab/sim/hotkey_placement.go
+++ b/internal/lab/sim/hotkey_placement.go
@@ -13,11 +13,11 @@
 
 // directiveKey returns the key of a directive.
 func directiveKey(e *placement.Directive) uint64 {
-	key, _ := strconv.ParseUint(e.KeyHash, 16, 64) // the controller has formatted it
+	key, _ := strconv.ParseUint(e.KeyHash, 16, 64) // the controller writes valid key hashes
 	return key
 }
 
-// sidecarStarted begins the counts of a sidecar's incarnation. Its agent has the placement at hand.
+// sidecarStarted resets the key counts for a new incarnation of a sidecar. The sidecar gets the placement from its agent.
 func (c *hotKeySimulation) sidecarStarted(sidecar *simSidecar) {
 	c.keyLoads[sidecar.index] = sidecarKeyLoad{sketch: topk.New(sketchKeys, c.config.HalfLife)}
 	if c.revision > 0 {
@@ -59,7 +59,7 @@
 	c.checker.PlacementChanged(now, directiveKey(&directive), shares)
 }
 
-// currentPlacement returns all directives as sidecars get them.
+// currentPlacement returns all directives in the form that sidecars get.
 func (c *hotKeySimulation) currentPlacement() balance.Placement {
 	current := balance.Placement{}
 	for _, id := range slices.Sorted(maps.Keys(c.directives)) {
@@ -75,7 +75,7 @@
 	return current
 }
 
-// sendPlacement sends a sidecar the placement, as it is when it arrives there.
+// sendPlacement sends the placement to a sidecar. The sidecar gets the one that is current at the time of delivery.
 func (c *hotKeySimulation) sendPlacement(sidecar *simSidecar) {
 	keyLoad, incarnation := &c.keyLoads[sidecar.index], sidecar.incarnation
 	if !sidecar.up || keyLoad.updatePending {
--- a/internal/lab/sim/hotkey_test.go
+++ b/internal/lab/sim/hotkey_test.go
@@ -9,7 +9,7 @@
 	"milldeck/internal/lab"
 )
 
-// runHotKeyExperiment simulates an experiment after replacing texts of its file, given as pairs of old and new.
+// runHotKeyExperiment simulates an experiment after replacing texts in its file, given as pairs of old and new text.
 func runHotKeyExperiment(t *testing.T, file string, workers int, change ...string) *lab.Result {
 	t.Helper()
 	data, err := os.ReadFile("../../../experiments/" + file)
@@ -19,7 +19,7 @@
 	text := string(data)
 	for i := 0; i < len(change); i += 2 {
 		if !strings.Contains(text, change[i]) {
-			t.Fatalf("no %q", change[i])
+			t.Fatalf("the experiment file has no text %q", change[i])
 		}
 		text = strings.Replace(text, change[i], change[i+1], 1)
 	}
@@ -41,21 +41,21 @@
 	on := runHotKeyExperiment(t, "hot-key-sim.toml", 2, "duration_s = 30", shortDuration)
 	off := runHotKeyExperiment(t, "hot-key-sim.toml", 2, "duration_s = 30", shortDuration, "on = true", "on = false")
 	if metrics := on.Metrics; metrics["hot_found"] != 1 || metrics["spread_never_hot"] != 0 || metrics["hot_carried_most_ms"] > 2500 || on.ViolationCount > 0 {
-		t.Errorf("%v, rules %v", metrics, on.ViolationsByRule)
+		t.Errorf("metrics %v, violations %v", metrics, on.ViolationsByRule)
 	}
 	if on.WeightedServedShare < off.WeightedServedShare+0.02 {
-		t.Errorf("worth %v, without %v", on.WeightedServedShare, off.WeightedServedShare)
+		t.Errorf("weighted served share %v, without the controller %v", on.WeightedServedShare, off.WeightedServedShare)
 	}
 	again, err := json.Marshal(runHotKeyExperiment(t, "hot-key-sim.toml", 1, "duration_s = 30", shortDuration))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if first, _ := json.Marshal(on); string(first) != string(again) {
-		t.Error("another number of workers, another result")
+		t.Error("the result depends on the number of workers")
 	}
 }
 
-// TestHotKeyUnderFaults loses half of the load reports, has sidecars send false ones, and has the controller fail over while
+// TestHotKeyUnderFaults drops half of the load reports, has sidecars send false ones, and has the controller fail over while
 // replicas warm up.
 func TestHotKeyUnderFaults(t *testing.T) {
 	t.Parallel()
@@ -81,13 +81,13 @@
 [[phase]]`
 	result := runHotKeyExperiment(t, "hot-key-sim.toml", 2, "duration_s = 30", "duration_s = 13", "rate = 1400", "rate = 1200", "[[phase]]", faults)
 	if metrics := result.Metrics; metrics["hot_found"] != 1 || metrics["spread_never_hot"] != 0 || result.ViolationCount > 0 {
-		t.Errorf("%v, rules %v", metrics, result.ViolationsByRule)
+		t.Errorf("metrics %v, violations %v", metrics, result.ViolationsByRule)
 	}
 }
 
 func TestDefectiveHotKeyControllerIsDetected(t *testing.T) {
 	t.Parallel()
 	if result := runHotKeyExperiment(t, "hot-key-sim-broken.toml", 2); result.ViolationsByRule[lab.RuleHotKeyCost] == 0 {
-		t.Errorf("rules %v, %v", result.ViolationsByRule, result.Metrics)
+		t.Errorf("violations %v, metrics %v", result.ViolationsByRule, result.Metrics)
 	}
 }
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -5,7 +5,7 @@
 	"milldeck/internal/lab"
 )
 
-// networkDelay returns the one-way delay in ms between a sidecar and a server; false: the message does not arrive.
+// networkDelay returns the one-way delay in ms between a sidecar and a server; false: the message is lost.
 func (e *simEngine) networkDelay(sidecar *simSidecar, server *simServer, toServer bool) (float64, bool) {
 	delay := server.plan.DelayByZone[sidecar.plan.Zone]
 	delay *= 1 + e.plan.Experiment.Network.Jitter*(2*e.rng.Float64()-1)
@@ -17,8 +17,7 @@
 	return delay + extra, passes
 }
 
-// linkDelay returns the delay in ms that faults add to a message between two endpoints; false: the message does not
-// arrive.
+// linkDelay returns the delay in ms that faults add to a message between two endpoints; false: the message is lost.
 func (e *simEngine) linkDelay(from, to lab.Endpoint) (float64, bool) {
 	extra := 0.0
 	for _, fault := range e.linkFaults {
@@ -73,7 +72,7 @@
 	})
 }
 
-// sendGossip sends a message to one sidecar, or to all others if to is below 0.
+// sendGossip sends a message to one sidecar, or to all other sidecars if to is negative.
 func (s *simSidecar) sendGossip(to int, data []byte) {
 	engine := s.engine
 	for _, other := range engine.sidecars {
--- a/internal/lab/sim/queue.go
+++ b/internal/lab/sim/queue.go
@@ -6,7 +6,7 @@
 	sequence uint64 // of the event pushed last
 }
 
-// event is something that happens at a time.
+// event is a function that runs at a time.
 type event struct {
 	due      float64
 	sequence uint64
@@ -39,7 +39,7 @@
 	}
 }
 
-// pop removes the next event and returns what it runs.
+// pop removes the next event and returns its function.
 func (q *eventQueue) pop() func(now float64) {
 	run := q.heap[0].run
 	last := len(q.heap) - 1
--- a/internal/lab/sim/request.go
+++ b/internal/lab/sim/request.go
@@ -8,16 +8,16 @@
 	"milldeck/internal/lab"
 )
 
-// simRequest is an attempt of a client at its sidecar.
+// simRequest is a request that a sidecar receives. Each attempt of a client is a separate one.
 type simRequest struct {
 	id         uint64
 	client     *simClient
 	sidecar    *simSidecar
 	deadline   float64
-	answered   bool // it has its final response, or its client has disconnected
-	clientDone bool // its client has the response, or has disconnected
+	answered   bool // the sidecar has sent the final response, or the client has disconnected
+	clientDone bool // the client has received the response, or has disconnected
 	attempts   []*simAttempt
-	inFlight   int // attempts that have not ended
+	inFlight   int // number of attempts that have not ended
 }
 
 // simAttempt is an attempt of a sidecar at a server.
@@ -28,7 +28,7 @@
 	sidecar           *simSidecar
 	incarnation       int
 	server            *simServer
-	serverIncarnation int // that it is connected to
+	serverIncarnation int // the one to which it is connected
 	sentAt, deadline  float64
 	inFlight          bool
 	connected         bool
@@ -71,7 +71,7 @@
 	s.connect(attempt, delay, passes)
 }
 
-// connect opens a connection for an attempt. The delay is that of the way to the server; it may not pass.
+// connect opens a connection for an attempt. delay is the delay to the server; passes is false if the message is lost.
 func (s *simSidecar) connect(attempt *simAttempt, delay float64, passes bool) {
 	engine, server := s.engine, attempt.server
 	returnDelay, returns := engine.networkDelay(s, server, false)
@@ -177,14 +177,14 @@
 	}
 }
 
-// attemptResultNames are the results of attempts as reports have them.
+// attemptResultNames are the names of attempt results in reports.
 var attemptResultNames = map[balance.Result]string{
 	balance.OK: "served", balance.Failed: "error", balance.Overloaded: "full", balance.TimedOut: "timed out",
 	balance.ConnectFailed: "no connection", balance.Reset: "reset", balance.Cancelled: "cancelled", balance.Obsolete: "moot",
 }
 
-// releaseIfDone forgets a request that is answered and has no attempt in flight, once the instance has handled all
-// events. Until then the instance may still send attempts, and gets an outcome that they are obsolete.
+// releaseIfDone deletes a request that is answered and has no attempt in flight, once the instance has handled all its
+// events. Until then the instance may still send attempts, whose outcome is then Obsolete.
 func (r *simRequest) releaseIfDone() {
 	sidecar := r.sidecar
 	switch {
@@ -211,7 +211,7 @@
 	})
 }
 
-// disconnect has the client give up the request.
+// disconnect handles that the client has given up the request.
 func (r *simRequest) disconnect() {
 	r.clientDone = true
 	if r.answered {
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -10,10 +10,10 @@
 	"milldeck/internal/lab"
 )
 
-// errUnknownTarget is given for an instance that sends an unknown request, or sends to an unknown server.
-var errUnknownTarget = errors.New("the instance sends a request or to a server that it was not given")
+// errUnknownTarget is returned if an instance sends an unknown request, or sends to an unknown server.
+var errUnknownTarget = errors.New("the instance sent an unknown request, or sent a request to an unknown server")
 
-// simServer is a server: the model of package lab with its process, its connections and its faults.
+// simServer is a simulated server: the model of package lab with a process, connections and faults.
 type simServer struct {
 	engine *simEngine
 	index  int
@@ -23,19 +23,19 @@
 
 	up          bool // its process runs
 	incarnation int
-	vanished    bool // its machine does not respond
+	vanished    bool // its machine does not respond because of a zone outage
 	frozen      bool
 	refusing    bool // it refuses connections
 	listed      bool // the endpoint list has it as ready
 	startedAt   float64
 
 	connections int
-	inFlight    map[int64]*simAttempt // running and waiting, by attempt
-	waiting     []*simAttempt         // received while it was frozen
-	wakeAt      float64               // when advance is scheduled; 0: it is not
+	inFlight    map[int64]*simAttempt // running and waiting, by attempt ID
+	waiting     []*simAttempt         // received while the server is frozen
+	wakeAt      float64               // time for which advance is scheduled; 0: none
 }
 
-// newServer returns a server of the plan, which runs if it is one of the initial ones.
+// newServer returns a server of the plan. The server runs if the plan starts it at time 0.
 func newServer(e *simEngine, index int, effects lab.EffectStore) *simServer {
 	plan := &e.plan.Servers[index]
 	initial := plan.StartMS == 0
@@ -45,12 +45,12 @@
 	}
 }
 
-// endpoint returns the server as an endpoint of links.
+// endpoint returns the link endpoint of the server.
 func (s *simServer) endpoint() lab.Endpoint {
 	return lab.Endpoint{Kind: lab.ServerEndpoint, Index: s.index}
 }
 
-// listEntry returns the entry of the endpoint list for the server in a state.
+// listEntry returns the server's entry in the endpoint list for a state.
 func (s *simServer) listEntry(state balance.ServerState, startedAt float64) balance.Server {
 	return balance.Server{
 		ID: s.id, State: state, StartedAt: startedAt, RelativeCapacity: 1,
@@ -58,7 +58,7 @@
 	}
 }
 
-// receive takes the request of an attempt.
+// receive handles an attempt that arrives at the server.
 func (s *simServer) receive(now float64, attempt *simAttempt) {
 	engine := s.engine
 	switch {
@@ -95,7 +95,7 @@
 	s.scheduleAdvance()
 }
 
-// job returns an attempt as the model sees it.
+// job returns the job of an attempt for the model.
 func (s *simServer) job(attempt *simAttempt) lab.Job {
 	arrival := &attempt.request.client.Arrival
 	view, notified := attempt.sidecar.endpoints[s.index]
@@ -113,7 +113,7 @@
 	s.scheduleRemoval(now)
 }
 
-// addBackgroundWork adds work that nobody waits for.
+// addBackgroundWork adds work that produces no response.
 func (s *simServer) addBackgroundWork(now, ms float64) {
 	if !s.up || ms <= 0 {
 		return
@@ -133,7 +133,7 @@
 	}
 	s.wakeAt = next
 	s.engine.schedule(next, func(now float64) {
-		if s.wakeAt != next { // it was scheduled for an earlier time since
+		if s.wakeAt != next { // an earlier time was scheduled since
 			return
 		}
 		s.wakeAt = 0
@@ -152,7 +152,7 @@
 	s.model.Advance(now, func(completion lab.JobCompletion) { s.jobDone(now, completion) })
 }
 
-// jobDone sends the response of a job that has ended.
+// jobDone records a job that has ended and sends its response.
 func (s *simServer) jobDone(now float64, completion lab.JobCompletion) {
 	engine := s.engine
 	if engine.hotKeys != nil {
@@ -179,8 +179,8 @@
 	}
 }
 
-// breaksResponse draws whether a fault resets the connection of a response, or corrupts the response, on which the sidecar
-// closes the connection.
+// breaksResponse draws whether a fault resets the connection of a response or corrupts the response. A sidecar closes the
+// connection of a corrupt response.
 func (s *simServer) breaksResponse() bool {
 	rng := s.engine.rng
 	return s.model.ResetShare > 0 && rng.Float64() < s.model.ResetShare ||
@@ -195,7 +195,7 @@
 	}
 }
 
-// cancelAttempt handles that the sidecar has closed the connection of an attempt.
+// cancelAttempt cancels the job of an attempt whose connection the sidecar has closed.
 func (s *simServer) cancelAttempt(now float64, attempt *simAttempt) {
 	if s.inFlight[attempt.id] != nil && s.up && !s.frozen && !s.vanished {
 		s.advance(now)
@@ -215,7 +215,7 @@
 	s.resetConnections(now, balance.Reset)
 }
 
-// resetConnections ends all connections with a result for their attempts.
+// resetConnections closes all connections. Their attempts end with the result.
 func (s *simServer) resetConnections(now float64, result balance.Result) {
 	s.incarnation++
 	s.connections = 0
@@ -228,17 +228,17 @@
 	}
 }
 
-// boot starts a new process with a slow start, and lists it.
+// boot starts a new process with a slow start, and adds the server to the endpoint list.
 func (s *simServer) boot(now float64) {
 	if s.model.Overloaded() {
-		return // it stays down
+		return // a server that crashed from overload stays down
 	}
 	s.vanished, s.up, s.startedAt, s.listed = false, true, now, true
 	s.model.Start(now, true)
 	s.engine.publishEndpoint(now, s, balance.Ready)
 }
 
-// scheduleRemoval has discovery detect, after a delay, that the server has failed.
+// scheduleRemoval schedules the removal of a failed server from the endpoint list, after a drawn detection delay.
 func (s *simServer) scheduleRemoval(now float64) {
 	incarnation := s.incarnation
 	detection := s.engine.plan.Experiment.Discovery.FailureDetectionMS
--- a/internal/lab/sim/sidecar.go
+++ b/internal/lab/sim/sidecar.go
@@ -9,8 +9,8 @@
 	"milldeck/internal/lab"
 )
 
-// simSidecar is a sidecar: an instance of the decision module, with the connections and the endpoint list that a real
-// sidecar has around it.
+// simSidecar is a simulated sidecar: an instance of the decision module, with the connections and the endpoint list that
+// a real sidecar keeps outside the module.
 type simSidecar struct {
 	engine *simEngine
 	index  int
@@ -21,15 +21,15 @@
 	up          bool
 	draining    bool // it accepts no new requests
 	frozen      bool
-	deferred    []func(now float64) // events of its sockets since it is frozen
+	deferred    []func(now float64) // socket events that occurred while it is frozen
 
 	events      []balance.Event
 	actions     []balance.Action
 	isScheduled bool // it is in simEngine.scheduled
 	err         error
 
-	endpoints      map[int]endpointView // servers as it was last notified, by index
-	pendingUpdates []endpointUpdate     // not delivered yet, as discovery cannot reach it
+	endpoints      map[int]endpointView // last notified state of the servers, by index
+	pendingUpdates []endpointUpdate     // not delivered yet, because discovery cannot reach the sidecar
 	lastNotified   float64
 	subscribed     bool
 
@@ -37,7 +37,7 @@
 	idleConnections map[int][]float64 // by server: when each connection became idle
 }
 
-// noServer is the index of no server.
+// noServer stands for the index of a server where there is none.
 const noServer = -1
 
 // newSidecar returns a sidecar that knows the listed servers and has not started yet.
@@ -54,17 +54,17 @@
 	return s
 }
 
-// endpoint returns the sidecar as an endpoint of links.
+// endpoint returns the link endpoint of the sidecar.
 func (s *simSidecar) endpoint() lab.Endpoint {
 	return lab.Endpoint{Kind: lab.SidecarEndpoint, Index: s.index}
 }
 
-// clientEndpoint returns the clients of the sidecar as an endpoint of links.
+// clientEndpoint returns the link endpoint of the sidecar's clients.
 func (s *simSidecar) clientEndpoint() lab.Endpoint {
 	return lab.Endpoint{Kind: lab.ClientEndpoint, Index: s.index}
 }
 
-// start begins an incarnation of the sidecar, with the endpoint list that the last one had.
+// start starts a new incarnation of the sidecar with the endpoint list of the previous incarnation.
 func (s *simSidecar) start(now float64) {
 	config, err := s.engine.plan.Config(s.index, s.incarnation)
 	if err == nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// deliver hands an event to the instance at the end of this tick.
+// deliver queues an event for the instance, which handles it at the end of this tick.
 func (s *simSidecar) deliver(event balance.Event) {
 	if s.up {
 		s.events = append(s.events, event)
@@ -105,7 +105,7 @@
 	}
 }
 
-// handleEvents has the instance handle its events. Several sidecars do so in parallel.
+// handleEvents has the instance handle its events. It runs in parallel for several sidecars.
 func (s *simSidecar) handleEvents(now float64) {
 	for i, event := range s.events {
 		if received, ok := event.(balance.Request); ok {
@@ -132,7 +132,7 @@
 	}
 }
 
-// execute carries out an action of the instance.
+// execute executes an action that the instance returned.
 func (s *simSidecar) execute(action *balance.Action) {
 	engine := s.engine
 	switch action.Kind {
@@ -168,7 +168,7 @@
 	request.releaseIfDone()
 }
 
-// setTimer delivers a timer's event after a delay in ms, unless the sidecar has ended by then.
+// setTimer delivers a timer's event after a delay in ms, unless this incarnation has ended by then.
 func (s *simSidecar) setTimer(token uint64, delay float64) {
 	incarnation := s.incarnation
 	s.engine.schedule(s.engine.now+math.Max(delay, 0), func(float64) {
--- a/internal/lab/sim/sidecar_discovery.go
+++ b/internal/lab/sim/sidecar_discovery.go
@@ -9,7 +9,7 @@
 	"milldeck/internal/lab"
 )
 
-// endpointView is what a sidecar was notified of a server.
+// endpointView is the last state of a server that a sidecar was notified of.
 type endpointView struct {
 	state     balance.ServerState
 	startedAt float64
@@ -22,7 +22,7 @@
 	startedAt float64
 }
 
-// endpointList returns all servers that the sidecar was notified of.
+// endpointList returns all servers that the sidecar was notified of and that were not removed since.
 func (s *simSidecar) endpointList(kind balance.UpdateKind) balance.EndpointUpdate {
 	update := balance.EndpointUpdate{Kind: kind}
 	for _, serverIndex := range slices.Sorted(maps.Keys(s.endpoints)) {
@@ -34,7 +34,7 @@
 	return update
 }
 
-// fetchEndpoints calls discovery for the endpoint list, and for all later changes too if it watches.
+// fetchEndpoints requests the endpoint list from discovery. With watch it also subscribes to all later changes.
 func (s *simSidecar) fetchEndpoints(watch bool) {
 	engine, incarnation := s.engine, s.incarnation
 	engine.schedule(engine.now+discoveryCallMS, func(now float64) {
@@ -60,7 +60,7 @@
 	return s.engine.discoveryDown || s.engine.isPartitioned(lab.Endpoint{Kind: lab.DiscoveryEndpoint}, s.endpoint())
 }
 
-// receiveUpdate takes a change that has reached the sidecar's machine, in order.
+// receiveUpdate queues a change of the endpoint list, and applies it if discovery notifies the sidecar.
 func (s *simSidecar) receiveUpdate(now float64, update endpointUpdate) {
 	s.pendingUpdates = append(s.pendingUpdates, update)
 	if s.isNotified() {
@@ -68,7 +68,7 @@
 	}
 }
 
-// applyUpdates delivers the changes that the sidecar was not notified of yet.
+// applyUpdates delivers the pending changes, unless discovery cannot reach the sidecar.
 func (s *simSidecar) applyUpdates(now float64) {
 	if s.discoveryUnreachable() {
 		return
--- a/internal/lab/sim/sidecar_lifecycle.go
+++ b/internal/lab/sim/sidecar_lifecycle.go
@@ -7,7 +7,7 @@
 	"milldeck/internal/lab"
 )
 
-// kill ends the sidecar at once. Clients and servers find their connections closed.
+// kill ends the sidecar at once, which closes its connections to clients and servers.
 func (s *simSidecar) kill(now float64) {
 	if !s.up {
 		return
@@ -72,7 +72,7 @@
 	})
 }
 
-// stopWhenDrained ends the sidecar once all its requests have ended, or at the latest at a time.
+// stopWhenDrained ends the sidecar once all its requests have ended, at the latest at until, and starts it again.
 func (s *simSidecar) stopWhenDrained(now, until float64, incarnation int) {
 	if s.incarnation != incarnation {
 		return
@@ -85,7 +85,7 @@
 	s.engine.schedule(now+startupMS, func(now float64) { s.start(now) })
 }
 
-// freeze stops the sidecar until a time, as SIGSTOP does.
+// freeze suspends the sidecar, as SIGSTOP does, and excuses its late responses up to shortly after until.
 func (s *simSidecar) freeze(until float64) {
 	if s.up && !s.frozen {
 		s.frozen = true
@@ -93,7 +93,7 @@
 	}
 }
 
-// unfreeze continues the sidecar, with the events that its sockets had in the meantime.
+// unfreeze resumes the sidecar and runs the socket events that occurred while it was frozen.
 func (s *simSidecar) unfreeze(now float64) {
 	if !s.frozen {
 		return
