--- a/cmd/milldeck/lab.go
+++ b/cmd/milldeck/lab.go
@@ -168,7 +168,7 @@
 func (s *simCommand) register(command *cobra.Command) {
 	s.output.register(command)
 	s.planning.register(command)
-	command.Flags().StringVar(&s.policy, "policy", sim.Module,
+	command.Flags().StringVar(&s.policy, "policy", sim.PolicyModule,
 		"balancing policy: "+strings.Join(sim.Policies(), ", ")+", or all to compare them")
 	s.controlPlane.register(command)
 	command.Flags().IntVar(&s.workers, "workers", 0,
@@ -222,7 +222,7 @@
 	if err := s.output.write(command, result); err != nil {
 		return err
 	}
-	if s.policy != sim.Module {
+	if s.policy != sim.PolicyModule {
 		return nil
 	}
 	return violationError(result)
--- a/cmd/milldeck/lab_sweep.go
+++ b/cmd/milldeck/lab_sweep.go
@@ -31,7 +31,7 @@
 	f.hotKeyFlags.register(command)
 	command.Flags().StringVar(&f.seeds, "seeds", "1-10", "seeds, such as 1-20 or 3,5,8")
 	command.Flags().StringVar(&f.mode, "mode", "sim", "sim or run")
-	command.Flags().StringVar(&f.policy, "policy", sim.Module, "balancing policy in sim")
+	command.Flags().StringVar(&f.policy, "policy", sim.PolicyModule, "balancing policy in sim")
 }
 
 // planRunner runs one plan.
--- a/internal/lab/controlplane/batch/batch.go
+++ b/internal/lab/controlplane/batch/batch.go
@@ -31,10 +31,10 @@
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(workers, 1))
-	start := func(play func()) {
+	start := func(simulate func()) {
 		group.Go(func() error {
 			if ctx.Err() == nil {
-				play()
+				simulate()
 			}
 			return ctx.Err()
 		})
--- a/internal/lab/controlplane/batch/batch_test.go
+++ b/internal/lab/controlplane/batch/batch_test.go
@@ -11,14 +11,14 @@
 
 // The same seeds give the same result, whatever the number of workers.
 func TestSameResultForAnyWorkerCount(t *testing.T) {
-	play := func(workers int) *Result {
+	runBatch := func(workers int) *Result {
 		result, err := Run(context.Background(), "night", 3, 5, 1, controlplane.Options{Sidecars: 40, Servers: 160}, workers)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return result
 	}
-	if diff := cmp.Diff(play(1), play(6)); diff != "" {
+	if diff := cmp.Diff(runBatch(1), runBatch(6)); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/lab/controlplane/checker.go
+++ b/internal/lab/controlplane/checker.go
@@ -9,15 +9,15 @@
 
 // Rules that the checker checks. Their texts are stored in results.
 const (
-	ruleBudget   = "budget"   // a permit or a failure takes more units out of service than the disruption budget allows
-	ruleHours    = "hours"    // a tenant is excluded from servers outside its approved hours
-	ruleOnce     = "once"     // a unit has two processes, or is restarted on the version on which it was in service
-	ruleStranded = "stranded" // a unit, release or window is left in an intermediate state
-	ruleSpread   = "spread"   // a hot key gets too many replicas, or gets them faster than its warm-up budget allows
+	ruleBudget        = "budget"   // a permit or a failure takes more units out of service than the disruption budget allows
+	ruleApprovedHours = "hours"    // a tenant is excluded from servers outside its approved hours
+	ruleSingleStart   = "once"     // a unit has two processes, or is restarted on the version on which it was in service
+	ruleStranded      = "stranded" // a unit, release or window is left in an intermediate state
+	ruleWarmupBudget  = "spread"   // a hot key gets too many replicas, or gets them faster than its warm-up budget allows
 )
 
 // RuleNames lists the rules in the order of reports.
-var RuleNames = []string{ruleBudget, ruleHours, ruleOnce, ruleStranded, ruleSpread}
+var RuleNames = []string{ruleBudget, ruleApprovedHours, ruleSingleStart, ruleStranded, ruleWarmupBudget}
 
 const (
 	// detectionMS is how long a failure may be unknown to the ledger: the registration lease and a few ticks.
@@ -49,11 +49,11 @@
 	violations       []Violation // the first maxListedViolations
 	violationsByRule map[string]int
 
-	restoredMS         int64           // when a backup was restored; 0: never
-	platformMisbehaved bool            // a fault may start units twice or lose running ones: ruleOnce is not checked
-	duplicatedUnits    map[string]bool // units whose second process was already reported
-	divertedReleases   map[string]bool // releases that were ever halted or rolled back
-	upgradedUnits      map[string]bool // units that were started on another version than the initial one
+	restoredMS          int64           // when a backup was restored; 0: never
+	platformMisbehaved  bool            // a fault may start units twice or lose running ones: ruleSingleStart is not checked
+	duplicatedUnits     map[string]bool // units whose second process was already reported
+	interruptedReleases map[string]bool // releases that were ever halted or rolled back
+	upgradedUnits       map[string]bool // units that were started on another version than the initial one
 
 	grantedUnits map[string]*unit // units with observation.granted, by ID
 
@@ -66,14 +66,14 @@
 
 func newChecker(cluster *cluster) *checker {
 	return &checker{
-		cluster:          cluster,
-		violationsByRule: map[string]int{},
-		duplicatedUnits:  map[string]bool{},
-		divertedReleases: map[string]bool{},
-		upgradedUnits:    map[string]bool{},
-		grantedUnits:     map[string]*unit{},
-		hours:            map[string][]approvedHours{},
-		warmupWork:       map[int64]float64{},
+		cluster:             cluster,
+		violationsByRule:    map[string]int{},
+		duplicatedUnits:     map[string]bool{},
+		interruptedReleases: map[string]bool{},
+		upgradedUnits:       map[string]bool{},
+		grantedUnits:        map[string]*unit{},
+		hours:               map[string][]approvedHours{},
+		warmupWork:          map[int64]float64{},
 	}
 }
 
@@ -131,7 +131,7 @@
 	processes := c.cluster.platform.LiveProcesses(target.name)
 	if processes > 1 && !c.platformMisbehaved && !c.duplicatedUnits[target.ID] {
 		c.duplicatedUnits[target.ID] = true
-		c.report(ruleOnce, fmt.Sprintf("%s has %d processes", target.ID, processes))
+		c.report(ruleSingleStart, fmt.Sprintf("%s has %d processes", target.ID, processes))
 	}
 }
 
@@ -157,8 +157,9 @@
 	observed := &target.observed
 	servedAlready := observed.stopRequested && observed.servedBeforeStop && observed.version == version
 	excused := c.platformMisbehaved || c.restoredMS != 0
-	if servedAlready && observed.incarnation != incarnation && !excused && !c.divertedReleases[c.releaseOf(target)] {
-		c.report(ruleOnce, fmt.Sprintf("%s was in service on version %s, was stopped and is started on it again", target.ID, version))
+	if servedAlready && observed.incarnation != incarnation && !excused && !c.interruptedReleases[c.releaseOf(target)] {
+		c.report(ruleSingleStart,
+			fmt.Sprintf("%s was in service on version %s, was stopped and is started on it again", target.ID, version))
 	}
 	observed.stopRequested, observed.servedBeforeStop = false, false
 	observed.version, observed.incarnation = version, incarnation
@@ -185,6 +186,6 @@
 func (c *checker) observePhase(name string) {
 	state, _ := c.cluster.registry.releases.Get(name)
 	if state.Status.Phase != release.PhaseRollout && state.Status.Phase != release.PhaseCompleted {
-		c.divertedReleases[name] = true
+		c.interruptedReleases[name] = true
 	}
 }
--- a/internal/lab/controlplane/checker_budget.go
+++ b/internal/lab/controlplane/checker_budget.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// endReturnedGrants ends the grants whose permit is finished and whose unit is in service or permanently drained.
+// endReturnedGrants ends the grants whose permit is no longer open and whose unit is in service or permanently drained.
 func (c *checker) endReturnedGrants() {
 	for _, unitID := range sortedKeys(c.grantedUnits) {
 		target := c.grantedUnits[unitID]
--- a/internal/lab/controlplane/checker_end.go
+++ b/internal/lab/controlplane/checker_end.go
@@ -12,7 +12,7 @@
 // maxListedBlockedUnits is the number of blocked units that are described for an unfinished release.
 const maxListedBlockedUnits = 3
 
-// checkEnd checks ruleStranded at the end of a simulation, and ruleHours on the exclusions that are still active.
+// checkEnd checks ruleStranded at the end of a simulation, and ruleApprovedHours on the exclusions that are still active.
 func (c *checker) checkEnd() {
 	targetVersions, listed := c.checkReleases()
 	for _, member := range c.cluster.units {
--- a/internal/lab/controlplane/checker_hotkey.go
+++ b/internal/lab/controlplane/checker_hotkey.go
@@ -6,11 +6,11 @@
 	"milldeck/internal/placement"
 )
 
-// warmupPeriodSeconds is the period over which ruleSpread sums warm-up work.
+// warmupPeriodSeconds is the period over which ruleWarmupBudget sums warm-up work.
 const warmupPeriodSeconds = 10
 
-// observeReplicas checks ruleSpread on a directive that is set. Replicas on servers that had none before cost warm-up work.
-func (c *checker) observeCopies(directive *placement.Directive, existing map[string]bool) {
+// observeReplicas checks ruleWarmupBudget on a directive that is set. Replicas on servers that had none before need warm-up.
+func (c *checker) observeReplicas(directive *placement.Directive, existing map[string]bool) {
 	added := 0
 	for _, replica := range directive.Copies {
 		if !existing[replica.ServerUID] {
@@ -28,9 +28,9 @@
 	budget := max(config.WarmupBudget*serverCapacityMS*servers, config.MinWarmupBudget)
 	allowed := budget * (warmupPeriodSeconds + 1) // the planner may accumulate its budget of one second
 	if sum > allowed {
-		c.report(ruleSpread, fmt.Sprintf("%.0f ms of warm-up work within %d s, %.0f allowed", sum, warmupPeriodSeconds, allowed))
+		c.report(ruleWarmupBudget, fmt.Sprintf("%.0f ms of warm-up work within %d s, %.0f allowed", sum, warmupPeriodSeconds, allowed))
 	}
 	if copies := float64(len(directive.Copies)); copies > config.ReplicasPerServer*servers {
-		c.report(ruleSpread, fmt.Sprintf("%.0f copies", copies))
+		c.report(ruleWarmupBudget, fmt.Sprintf("%.0f copies", copies))
 	}
 }
--- a/internal/lab/controlplane/checker_hours.go
+++ b/internal/lab/controlplane/checker_hours.go
@@ -57,7 +57,7 @@
 	return false
 }
 
-// observeExclusion checks ruleHours on the exclusion of a tenant by a sidecar, with a resolution of one second.
+// observeExclusion checks ruleApprovedHours on the exclusion of a tenant by a sidecar, with a resolution of one second.
 func (c *checker) observeExclusion(source *unit, tenant string, startMS, endMS int64) {
 	if !c.enabled || endMS <= startMS {
 		return
@@ -75,7 +75,7 @@
 		return
 	}
 	c.outsideHoursMS += outsideMS
-	c.report(ruleHours, fmt.Sprintf("%s excludes %s for %d ms outside its approved hours, from %s to %s",
+	c.report(ruleApprovedHours, fmt.Sprintf("%s excludes %s for %d ms outside its approved hours, from %s to %s",
 		source.ID, tenant, outsideMS, formatTime(startMS), formatTime(endMS)))
 }
 
--- a/internal/lab/controlplane/cluster.go
+++ b/internal/lab/controlplane/cluster.go
@@ -224,7 +224,7 @@
 func (c *cluster) processBehavior(started supervisor.Unit) fake.Behavior {
 	target := c.unitsByName[started.Name]
 	c.checker.observeLaunch(target, started.Version, started.Incarnation)
-	target.version, target.bootMS, target.changing = started.Version, c.nowMS, true
+	target.version, target.bootMS, target.registrationPending = started.Version, c.nowMS, true
 	target.readyAtMS = c.nowMS + startupMS
 	behavior := fake.Behavior{ReadyAfterMS: startupMS, StopAfterMS: shutdownMS}
 	if powerOnMS := c.powerOffUntilMS[target.Zone]; powerOnMS > c.nowMS {
@@ -265,10 +265,10 @@
 	c.runDueTimers()
 	missing := c.observeProcesses()
 	for _, member := range c.units {
-		if member.changing {
+		if member.registrationPending {
 			c.updateRegistration(member, missing[member.Kind])
 		}
-		if member.changing || !member.observed.inService {
+		if member.registrationPending || !member.observed.inService {
 			c.checker.observe(member)
 		}
 	}
@@ -299,7 +299,7 @@
 	for _, member := range c.units {
 		alive := c.platform.LiveProcesses(member.name) > 0
 		if alive != member.alive {
-			member.alive, member.changing = alive, true
+			member.alive, member.registrationPending = alive, true
 			if !alive && member.sidecar != nil {
 				c.endAllExclusions(member)
 			}
--- a/internal/lab/controlplane/defects.go
+++ b/internal/lab/controlplane/defects.go
@@ -11,25 +11,25 @@
 	if op.Permit == nil {
 		return false
 	}
-	forged := r.forgedPermits[op.Permit.ID]
-	if forged == nil {
+	staleGrant := r.staleGrants[op.Permit.ID]
+	if staleGrant == nil {
 		if op.Kind != disruption.OpRequest || !r.cluster.hadCapacity(op.Permit) {
 			return false
 		}
 		grant := *op.Permit
 		grant.Stage, grant.GrantRevision = disruption.StageGranted, r.revision
-		r.forgedPermits[grant.ID] = &grant
+		r.staleGrants[grant.ID] = &grant
 		return true
 	}
 	switch {
-	case op.Kind == disruption.OpBegin && forged.Stage == disruption.StageGranted:
-		forged.Stage, forged.BeginRevision = disruption.StageActive, r.revision
-	case op.Kind == disruption.OpReturn && forged.Stage == disruption.StageActive:
-		forged.Stage, forged.ReturnRevision = disruption.StageReturning, r.revision
+	case op.Kind == disruption.OpBegin && staleGrant.Stage == disruption.StageGranted:
+		staleGrant.Stage, staleGrant.BeginRevision = disruption.StageActive, r.revision
+	case op.Kind == disruption.OpReturn && staleGrant.Stage == disruption.StageActive:
+		staleGrant.Stage, staleGrant.ReturnRevision = disruption.StageReturning, r.revision
 	case op.Kind == disruption.OpCancel:
-		forged.Stage = disruption.StageCancelled
-	case op.Kind == disruption.OpComplete && r.allUp(forged.Units):
-		forged.Stage = disruption.StageCompleted
+		staleGrant.Stage = disruption.StageCancelled
+	case op.Kind == disruption.OpComplete && r.allUp(staleGrant.Units):
+		staleGrant.Stage = disruption.StageCompleted
 	}
 	return true
 }
--- a/internal/lab/controlplane/defects_test.go
+++ b/internal/lab/controlplane/defects_test.go
@@ -19,8 +19,8 @@
 		}
 		t.Logf("seed %d: %+v", seed, result.FirstViolations[0])
 		options.Defects = Defects{}
-		if sound := Run(seed, options); sound.Violations > 0 {
-			t.Errorf("seed %d without the injected defect: violations %+v, want none", seed, sound.FirstViolations)
+		if withoutDefect := Run(seed, options); withoutDefect.Violations > 0 {
+			t.Errorf("seed %d without the injected defect: violations %+v, want none", seed, withoutDefect.FirstViolations)
 		}
 		return
 	}
@@ -55,12 +55,12 @@
 		HoursCloseIn:            4 * time.Hour,
 		Defects:                 Defects{UseControllerClock: true},
 	}
-	requireViolation(t, options, 0, ruleHours)
+	requireViolation(t, options, 0, ruleApprovedHours)
 }
 
 func TestFindsIgnoredFencingTokens(t *testing.T) {
 	options := Options{Defects: Defects{IgnoreFencingTokens: true}}
-	requireViolation(t, options, 13, ruleBudget, ruleOnce, ruleStranded, ruleHours)
+	requireViolation(t, options, 13, ruleBudget, ruleSingleStart, ruleStranded, ruleApprovedHours)
 }
 
 // The servers return long after the approved hours have closed. Sidecars should exclude the tenant only until the close.
@@ -71,10 +71,10 @@
 		HoursCloseIn: 25 * time.Minute,
 		Defects:      Defects{ExcludePastClose: true},
 	}
-	requireViolation(t, options, 0, ruleHours)
+	requireViolation(t, options, 0, ruleApprovedHours)
 }
 
 func TestFindsDelayedReleaseWrites(t *testing.T) {
 	options := Options{Defects: Defects{DelayReleaseWrites: true}}
-	requireViolation(t, options, 0, ruleBudget, ruleOnce, ruleStranded)
+	requireViolation(t, options, 0, ruleBudget, ruleSingleStart, ruleStranded)
 }
--- a/internal/lab/controlplane/doc.go
+++ b/internal/lab/controlplane/doc.go
@@ -4,8 +4,8 @@
 //
 // A simulation starts a release of servers, a release of sidecars, a drain, a maintenance window and a hot key at about
 // the same time. Meanwhile it injects faults: a zone is lost, leaders and controllers crash, pause or are partitioned,
-// clocks are wrong and the platform fails. A seed determines all of it. A checker reports rule violations. It judges the
-// model of the cluster, never the tables of the control plane under test.
+// clocks are wrong and the platform fails. A seed determines all of it. A checker reports rule violations. It reads the
+// model of the cluster, never the tables of the control plane that it checks.
 //
 // The package owns the model of the cluster, the fault schedule and the checker. It opens no sockets, starts no
 // goroutines and reads no clock: the same options and seed give the same result. Package batch runs many seeds.
--- a/internal/lab/controlplane/faults.go
+++ b/internal/lab/controlplane/faults.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// faultPeriodMS is the length of the period in which faults begin.
+	// faultPeriodMS is the length of the period, from the start on, in which faults begin.
 	faultPeriodMS = 300_000
 	// clockFaultMS is how long the clock of a leader or controller is wrong.
 	clockFaultMS = 120_000
@@ -63,11 +63,11 @@
 	zone := zones[c.random.IntN(len(zones))]
 	powerLoss := c.random.IntN(2) == 0
 	durationMS := 10_000 + c.random.Int64N(80_000)
-	manner := "cut off"
+	cause := "cut off"
 	if powerLoss {
-		manner = "without power"
+		cause = "without power"
 	}
-	c.scheduleFault(delayMS, fmt.Sprintf("zone %s %s for %d ms", zone, manner, durationMS), func() {
+	c.scheduleFault(delayMS, fmt.Sprintf("zone %s %s for %d ms", zone, cause, durationMS), func() {
 		if powerLoss {
 			c.powerOffUntilMS[zone] = c.nowMS + durationMS
 		}
@@ -75,7 +75,7 @@
 			if member.Zone != zone {
 				continue
 			}
-			member.changing = true
+			member.registrationPending = true
 			if powerLoss {
 				c.platform.Crash(member.name, crashText)
 			} else {
@@ -149,18 +149,18 @@
 	c.scheduleFault(c.drawFaultTime(), description, func() { c.partitionAgents(count, durationMS) })
 }
 
-// partitionAgents partitions count sidecars from their agents. A sidecar may be drawn twice.
+// partitionAgents partitions up to count sidecars from their agents.
 func (c *cluster) partitionAgents(count int, durationMS int64) {
 	for range count {
 		target := c.sidecars[c.random.IntN(len(c.sidecars))]
-		target.sidecar.agentDownUntilMS, target.changing = c.nowMS+durationMS, true
+		target.sidecar.agentDownUntilMS, target.registrationPending = c.nowMS+durationMS, true
 	}
 }
 
 // schedulePlatformFaults schedules a hang and some other faults of the platform.
 func (c *cluster) schedulePlatformFaults() {
-	unresponsive := core.Fault{Kind: core.FaultHang, DurationMS: 2000 + c.random.Int64N(30_000)}
-	c.schedulePlatformFault(fmt.Sprintf("the platform hangs for %d ms", unresponsive.DurationMS), unresponsive)
+	hang := core.Fault{Kind: core.FaultHang, DurationMS: 2000 + c.random.Int64N(30_000)}
+	c.schedulePlatformFault(fmt.Sprintf("the platform hangs for %d ms", hang.DurationMS), hang)
 	for range 1 + c.random.IntN(4) {
 		fault := core.Fault{Kind: platformFaultKinds[c.random.IntN(len(platformFaultKinds))], Count: 1 + c.random.IntN(3)}
 		switch fault.Kind {
@@ -282,7 +282,7 @@
 			}
 		}
 		for _, member := range c.units {
-			member.changing = true
+			member.registrationPending = true
 		}
 	})
 }
--- a/internal/lab/controlplane/hotkey_controller.go
+++ b/internal/lab/controlplane/hotkey_controller.go
@@ -146,10 +146,10 @@
 		return r.applyPlacementOp(op)
 	}
 	op.Set = []placement.Directive{*change.Set}
-	existing := r.copiesOf(change.Set.ID)
+	existing := r.replicaServers(change.Set.ID)
 	result := r.applyPlacementOp(op)
 	if result.outcome == string(placement.OutcomeApplied) {
-		r.cluster.checker.observeCopies(change.Set, existing)
+		r.cluster.checker.observeReplicas(change.Set, existing)
 	}
 	return result
 }
@@ -160,7 +160,7 @@
 }
 
 // replicaServers returns the set of servers that have a replica under a directive.
-func (r *registry) copiesOf(directiveID string) map[string]bool {
+func (r *registry) replicaServers(directiveID string) map[string]bool {
 	existing := map[string]bool{}
 	for _, directive := range r.placements.CompleteUpdate(r.leaderTimeMS()).Directives {
 		if directive.ID != directiveID {
--- a/internal/lab/controlplane/maintenance_controller.go
+++ b/internal/lab/controlplane/maintenance_controller.go
@@ -151,7 +151,7 @@
 	for _, uid := range window.ServerUIDs {
 		server := c.unitsByName[uid]
 		c.checker.requirePermit(server, "worked on")
-		server.underMaintenance, server.changing = true, true
+		server.underMaintenance, server.registrationPending = true, true
 	}
 }
 
@@ -166,7 +166,7 @@
 			continue
 		}
 		c.schedule(delayMS, func() {
-			server.underMaintenance, server.changing = false, true
+			server.underMaintenance, server.registrationPending = false, true
 			if server.alive {
 				server.warmAtMS = max(server.warmAtMS, c.nowMS+warmupMS)
 			}
--- a/internal/lab/controlplane/operator.go
+++ b/internal/lab/controlplane/operator.go
@@ -16,7 +16,7 @@
 const (
 	resumeDelayMS  = 30_000 // from a restore to the resumption of the ledger
 	repairDelayMS  = 20_000 // the operator repairs a unit that has been out of service this long
-	maxResumptions = 20     // after this many commands to a release the operator rolls it back
+	maxResumptions = 20     // the operator rolls back a release that has had more commands
 	outcomeUnknown = "unknown"
 )
 
@@ -41,7 +41,7 @@
 	c.repairUnits(claimed)
 }
 
-// resumeLedger resumes the ledger after a restore, once resumeDelayMS has given the fleet time to register again.
+// resumeLedger resumes the ledger. After a restore it waits for resumeDelayMS, in which the fleet registers again.
 func (c *cluster) resumeLedger() {
 	for _, halt := range c.registry.ledger.Halts() {
 		if c.nowMS-c.checker.restoredMS > resumeDelayMS {
@@ -109,7 +109,7 @@
 		if !permitted && member.alive && c.registry.drainRevisions[member.ID] != 0 {
 			delete(c.registry.drainRevisions, member.ID)
 			c.registry.revision++
-			member.changing = true
+			member.registrationPending = true
 		}
 	}
 }
@@ -184,7 +184,7 @@
 		CurrentApproval: approval,
 	})
 	if outcome != string(maintenance.OutcomeApplied) {
-		c.checker.report(ruleHours, fmt.Sprintf("contract of %s: %s", tenant, outcome))
+		c.checker.report(ruleApprovedHours, fmt.Sprintf("contract of %s: %s", tenant, outcome))
 	}
 	budget := maintenance.ContractBudget(&tenantContract)
 	c.registry.commitLedgerOp(&disruption.Op{Kind: disruption.OpSetBudget, Owner: operatorName, Budget: budget})
--- a/internal/lab/controlplane/process.go
+++ b/internal/lab/controlplane/process.go
@@ -147,12 +147,12 @@
 	p.down, p.pendingEffects, p.token = true, nil, 0
 	candidateID := p.candidateID()
 	p.cluster.schedule(processRestartMS+p.cluster.random.Int64N(4000), func() {
-		p.cluster.registry.expireCandidate(p.leaseName, candidateID, 0) // leaves the queue if it waits there
+		p.cluster.registry.expireCandidate(p.leaseName, candidateID, 0) // removes it from the queue if it waits there
 		p.down, p.incarnation = false, p.incarnation+1
 	})
 }
 
-// execute executes an effect, unless a scheduled fault is due at it. It reports whether the process has not crashed. A
+// execute executes an effect, unless a scheduled fault prevents it. It reports whether the process has not crashed. A
 // paused process executes the effect when it resumes.
 func (p *process) execute(effect func()) bool {
 	if p.down {
@@ -165,7 +165,7 @@
 		return true
 	}
 	if fault := p.popDueFault(); fault != nil {
-		return p.fail(fault, effect)
+		return p.applyFault(fault, effect)
 	}
 	effect()
 	return !p.down
@@ -185,8 +185,8 @@
 	return fault
 }
 
-// fail pauses or crashes the process at an effect, and reports whether it has not crashed.
-func (p *process) fail(fault *processFault, effect func()) bool {
+// applyFault pauses or crashes the process at an effect, and reports whether it has not crashed.
+func (p *process) applyFault(fault *processFault, effect func()) bool {
 	if fault.pauseMS > 0 {
 		p.pausedUntilMS = p.cluster.nowMS + fault.pauseMS
 		p.pendingEffects = append(p.pendingEffects, effect)
--- a/internal/lab/controlplane/registration.go
+++ b/internal/lab/controlplane/registration.go
@@ -73,7 +73,7 @@
 		registry.commitLedgerOp(&disruption.Op{Kind: disruption.OpObserve, Owner: "prober", Observed: observed})
 		known, _ = registry.ledger.Unit(target.ID)
 	}
-	target.changing = target.starting(c.nowMS) || known.Condition != condition
+	target.registrationPending = target.starting(c.nowMS) || known.Condition != condition
 }
 
 // reportedCondition returns the condition that a unit's heartbeats report.
--- a/internal/lab/controlplane/registry.go
+++ b/internal/lab/controlplane/registry.go
@@ -29,7 +29,7 @@
 	knownGrants     map[string]uint64   // revision of the grant, by permit ID
 	newGrants       []disruption.Permit // not yet processed by the checker
 
-	forgedPermits map[string]*disruption.Permit // granted by Defects.StaleReads, by ID
+	staleGrants map[string]*disruption.Permit // granted by Defects.StaleReads, by ID
 }
 
 func newRegistry(cluster *cluster) *registry {
@@ -39,7 +39,7 @@
 		renewedMS:     map[string]int64{},
 		permitByUnit:  map[string]disruption.Permit{},
 		knownGrants:   map[string]uint64{},
-		forgedPermits: map[string]*disruption.Permit{},
+		staleGrants:   map[string]*disruption.Permit{},
 	}
 }
 
@@ -203,10 +203,10 @@
 	r.newGrants = nil // grants in the backup are not new
 }
 
-// permit returns a permit by its ID.
+// permit looks up a permit by its ID, also among staleGrants.
 func (r *registry) permit(id string) (disruption.Permit, bool) {
-	if forged := r.forgedPermits[id]; forged != nil {
-		return *forged, true
+	if staleGrant := r.staleGrants[id]; staleGrant != nil {
+		return *staleGrant, true
 	}
 	return r.ledger.Permit(id)
 }
@@ -224,8 +224,8 @@
 	r.indexedRevision = r.revision
 	clear(r.permitByUnit)
 	permits := r.ledger.OpenPermits()
-	for _, id := range sortedKeys(r.forgedPermits) {
-		permits = append(permits, *r.forgedPermits[id])
+	for _, id := range sortedKeys(r.staleGrants) {
+		permits = append(permits, *r.staleGrants[id])
 	}
 	for _, permit := range permits {
 		if permit.Stage != disruption.StageRequested && !permitFinished(permit.Stage) {
--- a/internal/lab/controlplane/release_controller.go
+++ b/internal/lab/controlplane/release_controller.go
@@ -283,7 +283,7 @@
 	if c.registry.drainRevisions[unitID] == 0 && target.ready(c.nowMS) {
 		c.checker.requirePermit(target, "set to Terminating")
 		c.registry.drainRevisions[unitID] = c.registry.revision
-		target.changing = true
+		target.registrationPending = true
 	}
 	return writeResult{outcome: outcomeDone}
 }
@@ -291,6 +291,6 @@
 // markReady ends the Terminating state of a server.
 func (c *cluster) markReady(unitID string) writeResult {
 	delete(c.registry.drainRevisions, unitID)
-	c.unitsByID[unitID].changing = true
+	c.unitsByID[unitID].registrationPending = true
 	return writeResult{outcome: outcomeDone}
 }
--- a/internal/lab/controlplane/rollout.go
+++ b/internal/lab/controlplane/rollout.go
@@ -121,7 +121,7 @@
 	c.schedule(c.random.Int64N(400_000), func() {
 		for _, member := range c.units {
 			if member.Zone == zone {
-				member.unreachableUntilMS, member.changing = c.nowMS+20_000, true
+				member.unreachableUntilMS, member.registrationPending = c.nowMS+20_000, true
 			}
 		}
 	})
--- a/internal/lab/controlplane/scenario.go
+++ b/internal/lab/controlplane/scenario.go
@@ -84,7 +84,7 @@
 max_out = { count = %d }
 `
 
-// scenario is the operations that a simulation starts and the faults that it injects.
+// scenario describes the operations that a simulation starts and the faults that it injects.
 type scenario struct {
 	hotKeyHash                  uint64
 	hotKeyFromMS, hotKeyUntilMS int64
--- a/internal/lab/controlplane/traffic.go
+++ b/internal/lab/controlplane/traffic.go
@@ -20,7 +20,7 @@
 type Regression struct {
 	Name          string
 	FailureRates  [2]float64 // added share of failed requests, by class
-	SlowUnderLoad bool       // added share of slow responses while the load is high
+	SlowUnderLoad bool       // slowRegression applies while the load is high
 	MemoryGrowth  float64    // of a server, as a share of its memory per second
 	RestartRate   float64    // share of the servers that restart per second
 }
@@ -76,8 +76,8 @@
 
 // zoneServers are the servers of a zone that are in service.
 type zoneServers struct {
-	stats       [2]judge.UnitStats // by group
-	canarySince float64            // uptime of the canaries in seconds, summed
+	stats         [2]judge.UnitStats // by group
+	canaryUptimeS float64            // uptime of the canaries in seconds, summed
 }
 
 // interval returns the load report of the last second, summed over all sidecars.
@@ -117,7 +117,7 @@
 		servers, group := byZone[member.Zone], baseline
 		if member.version != initialVersion {
 			group = canary
-			servers.canarySince += float64(t.cluster.nowMS-member.bootMS) / 1000
+			servers.canaryUptimeS += float64(t.cluster.nowMS-member.bootMS) / 1000
 		}
 		servers.stats[group].Units++
 	}
@@ -130,7 +130,7 @@
 	for group := range stats {
 		stats[group].MeanMemory = memoryPerServer * (1 + memoryDeviation*t.random.NormFloat64())
 	}
-	growth := memoryPerServer * t.regression.MemoryGrowth * servers.canarySince
+	growth := memoryPerServer * t.regression.MemoryGrowth * servers.canaryUptimeS
 	stats[canary].MeanMemory += growth / math.Max(float64(stats[canary].Units), 1)
 	stats[canary].Restarts = t.binomial(stats[canary].Units, t.regression.RestartRate)
 	return stats
--- a/internal/lab/controlplane/unit.go
+++ b/internal/lab/controlplane/unit.go
@@ -8,19 +8,19 @@
 // unit is the actual state of a server or sidecar, which may differ from the control plane's view. Times are true Unix ms.
 type unit struct {
 	disruption.Unit
-	name               string
-	version            string // of the most recently started process
-	bootMS             int64
-	readyAtMS          int64 // when that process becomes ready, or never
-	warmAtMS           int64 // when a server's warm-up ends
-	unreachableUntilMS int64 // end of a network partition
-	underMaintenance   bool  // work of a maintenance window is in progress
-	alive              bool  // a process runs
-	missingSinceMS     int64 // when its heartbeats stopped; 0 while it sends them
-	changing           bool  // its registration has to be updated at the next tick
-	decommissioned     bool  // it is drained permanently
-	sidecar            *sidecarState
-	observed           observation // the checker's view of the unit
+	name                string
+	version             string // of the most recently started process
+	bootMS              int64
+	readyAtMS           int64 // when that process becomes ready, or never
+	warmAtMS            int64 // when a server's warm-up ends
+	unreachableUntilMS  int64 // end of a network partition
+	underMaintenance    bool  // work of a maintenance window is in progress
+	alive               bool  // a process runs
+	missingSinceMS      int64 // when its heartbeats stopped; 0 while it sends them
+	registrationPending bool  // its registration has to be updated at the next tick
+	decommissioned      bool  // it is drained permanently
+	sidecar             *sidecarState
+	observed            observation // the checker's view of the unit
 }
 
 // sidecarState is the part of a unit's state that only sidecars have.
--- a/internal/lab/sim/baseline.go
+++ b/internal/lab/sim/baseline.go
@@ -15,8 +15,8 @@
 	Handle(now float64, event balance.Event) ([]balance.Action, error)
 }
 
-// Module is the name of the decision module among the policies.
-const Module = "module"
+// PolicyModule is the name of the decision module among the policies.
+const PolicyModule = "module"
 
 // Names of the baselines.
 const (
@@ -38,12 +38,12 @@
 
 // Policies returns the names that NewInstance accepts: the decision module, then the baselines.
 func Policies() []string {
-	return []string{Module, policyRandom, policyRoundRobin, policyLeast, policyTwoChoices}
+	return []string{PolicyModule, policyRandom, policyRoundRobin, policyLeast, policyTwoChoices}
 }
 
 // NewInstance returns an instance of a policy.
 func NewInstance(policy string, config balance.Config) (Instance, error) {
-	if policy == Module {
+	if policy == PolicyModule {
 		return balance.New(config)
 	}
 	pick, known := baselines[policy]
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -6,7 +6,7 @@
 )
 
 // clientRequest is a request of a client with all attempts of the client.
-type simClient struct {
+type clientRequest struct {
 	engine *simEngine
 	lab.Arrival
 	attempts int
@@ -15,7 +15,7 @@
 }
 
 // sendAttempt sends the next attempt to the sidecar.
-func (c *simClient) sendAttempt(now float64) {
+func (c *clientRequest) sendAttempt(now float64) {
 	if c.done {
 		return
 	}
@@ -59,7 +59,7 @@
 }
 
 // attemptDone ends an attempt. Then the client retries, or the request ends.
-func (c *simClient) attemptDone(now float64, outcome lab.Outcome, retryAfter float64) {
+func (c *clientRequest) attemptDone(now float64, outcome lab.Outcome, retryAfter float64) {
 	if c.done {
 		return
 	}
@@ -72,7 +72,7 @@
 }
 
 // disconnect closes the client's connection before the client has received a response.
-func (c *simClient) disconnect(now float64) {
+func (c *clientRequest) disconnect(now float64) {
 	if c.done {
 		return
 	}
@@ -84,7 +84,7 @@
 }
 
 // finish records the end of the request.
-func (c *simClient) finish(now float64, outcome lab.Outcome, disconnected bool) {
+func (c *clientRequest) finish(now float64, outcome lab.Outcome, disconnected bool) {
 	c.done = true
 	c.engine.openRequests--
 	if s := c.engine.hotKeys; s != nil {
--- a/internal/lab/sim/engine.go
+++ b/internal/lab/sim/engine.go
@@ -22,7 +22,7 @@
 
 // Options configure a simulation.
 type Options struct {
-	Policy   string             // one of Policies; "": Module
+	Policy   string             // one of Policies; "": PolicyModule
 	Workers  int                // maximum of instances that run in parallel; 0: one per core. It does not change the result
 	Progress func(done float64) // called about every second of the run with its completed share; may be nil
 
@@ -39,10 +39,10 @@
 const (
 	// clientDelayMS is the delay between an application and its sidecar on the same machine.
 	clientDelayMS = 0.05
-	// slackTicks is the time that the checker allows in addition to the tolerances of the rules.
+	// slackTicks is the number of ticks that the checker allows in addition to the tolerances of the rules.
 	slackTicks = 2
-	// handshakeTrips is the number of round trips of a new connection before its first request leaves.
-	handshakeTrips = 1
+	// handshakeRoundTrips is the number of round trips of a new connection before its first request leaves.
+	handshakeRoundTrips = 1
 	// idleReuseShare is the share of a server's idle timeout for which a sidecar reuses a connection, as a real sidecar does.
 	idleReuseShare = 0.85
 
@@ -76,7 +76,7 @@
 func Run(ctx context.Context, plan *lab.Plan, opts Options) (*lab.Result, Stats, error) {
 	began := time.Now()
 	e := newEngine(plan, opts)
-	if err := e.play(ctx); err != nil {
+	if err := e.run(ctx); err != nil {
 		return nil, Stats{}, err
 	}
 	result := e.recorder.Result(lab.ModeSimulation, e.opts.Policy, e.checker)
@@ -116,7 +116,7 @@
 
 func newEngine(plan *lab.Plan, opts Options) *simEngine {
 	if opts.Policy == "" {
-		opts.Policy = Module
+		opts.Policy = PolicyModule
 	}
 	if opts.Workers <= 0 {
 		opts.Workers = runtime.GOMAXPROCS(0)
@@ -146,7 +146,7 @@
 }
 
 // run runs the simulation to its end.
-func (e *simEngine) play(ctx context.Context) error {
+func (e *simEngine) run(ctx context.Context) error {
 	if err := e.start(); err != nil {
 		return err
 	}
@@ -208,7 +208,7 @@
 	e.openRequests++
 	e.schedule(arrival.StartMS, func(now float64) {
 		e.nextArrival(arrivals)
-		client := &simClient{engine: e, Arrival: arrival}
+		client := &clientRequest{engine: e, Arrival: arrival}
 		if arrival.DisconnectAfterMS > 0 {
 			e.schedule(arrival.StartMS+arrival.DisconnectAfterMS, client.disconnect)
 		}
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -101,7 +101,7 @@
 		s.crash(now)
 		s.scheduleRemoval(now)
 	case lab.FaultZoneOutage:
-		s.vanished = true
+		s.machineDown = true
 		s.scheduleRemoval(now)
 	case lab.FaultRestart:
 		s.drain(now, true)
@@ -142,10 +142,10 @@
 
 // endOutage starts a server again after a zone outage, unless the plan has replaced the server in the meantime.
 func (s *simServer) endOutage(now float64) {
-	if !s.vanished {
+	if !s.machineDown {
 		return
 	}
-	s.vanished = false
+	s.machineDown = false
 	s.resetConnections(now, balance.Reset)
 	if s.plan.ReplacedMS == 0 || now < s.plan.ReplacedMS {
 		s.boot(now)
@@ -155,8 +155,8 @@
 // unfreeze resumes the server, which handles the requests that it received while it was frozen.
 func (s *simServer) unfreeze(now float64) {
 	s.frozen = false
-	received := s.waiting
-	s.waiting = nil
+	received := s.pendingAttempts
+	s.pendingAttempts = nil
 	for _, attempt := range received {
 		s.receive(now, attempt)
 	}
--- a/internal/lab/sim/hotkey.go
+++ b/internal/lab/sim/hotkey.go
@@ -18,7 +18,7 @@
 	sketchKeys           = 64   // keys that a sidecar counts at a time, as in a real sidecar
 	refreshIntervalMS    = 1000 // between two updates of the controller's view of the servers
 	congestionIntervalMS = 100  // between two counts of congested servers
-	falseKeys            = 8    // number of keys in a false load report, each with the sidecar's total load
+	falseReportKeys      = 8    // number of keys in a false load report, each with the sidecar's total load
 )
 
 // hotKeySimulation simulates the communication between the sidecars and the hot-key controller: load reports, the placement
@@ -31,12 +31,12 @@
 	rng     *rand.Rand // separate, so that no other draw depends on reports and placements
 	hotKeys map[uint64]bool
 
-	planner    *hotkey.Planner // nil: the controller is down
-	writing    bool            // a write of planned changes is in progress
-	revision   uint64
-	directives map[string]placement.Directive // by ID
-	placement  balance.Placement              // all directives, in the form that sidecars get
-	keyLoads   []sidecarKeyLoad               // by sidecar
+	planner      *hotkey.Planner // nil: the controller is down
+	writePending bool            // a write of planned changes is in progress
+	revision     uint64
+	directives   map[string]placement.Directive // by ID
+	placement    balance.Placement              // all directives, in the form that sidecars get
+	keyLoads     []sidecarKeyLoad               // by sidecar
 
 	lossShares     []float64 // share of load reports that each active fault drops
 	falseReporters map[int]bool
@@ -222,10 +222,10 @@
 		TotalKeyLoad: top.Total,
 	}
 	if c.falseReporters[sidecar.index] {
-		for key := range falseKeys {
+		for key := range falseReportKeys {
 			report.HotKeys = append(report.HotKeys, placement.KeyLoad{KeyHash: hotkey.FormatKey(uint64(key + 1)), Load: top.Total})
 		}
-		report.TotalKeyLoad = falseKeys * top.Total
+		report.TotalKeyLoad = falseReportKeys * top.Total
 		return report
 	}
 	for _, key := range top.Keys {
@@ -238,17 +238,17 @@
 
 // plan runs the planner, and writes the changes after a delay. It does not plan again before the changes are written.
 func (c *hotKeySimulation) plan(now float64) {
-	if c.planner == nil || c.writing {
+	if c.planner == nil || c.writePending {
 		return
 	}
 	changes := c.planner.Plan(unixSeconds(now))
 	if len(changes) == 0 {
 		return
 	}
-	c.writing = true
+	c.writePending = true
 	planner := c.planner
 	c.engine.schedule(now+c.drawDelay(c.spec.WriteDelayMS), func(now float64) {
-		c.writing = false
+		c.writePending = false
 		c.applyChanges(now, planner, changes)
 	})
 }
--- a/internal/lab/sim/hotkey_test.go
+++ b/internal/lab/sim/hotkey_test.go
@@ -38,19 +38,20 @@
 
 func TestHotKeyIsSpread(t *testing.T) {
 	t.Parallel()
-	on := runHotKeyExperiment(t, "hot-key-sim.toml", 2, "duration_s = 30", shortDuration)
-	off := runHotKeyExperiment(t, "hot-key-sim.toml", 2, "duration_s = 30", shortDuration, "on = true", "on = false")
-	if metrics := on.Metrics; metrics["hot_found"] != 1 || metrics["spread_never_hot"] != 0 || metrics["hot_carried_most_ms"] > 2500 || on.ViolationCount > 0 {
-		t.Errorf("metrics %v, violations %v", metrics, on.ViolationsByRule)
+	enabled := runHotKeyExperiment(t, "hot-key-sim.toml", 2, "duration_s = 30", shortDuration)
+	disabled := runHotKeyExperiment(t, "hot-key-sim.toml", 2, "duration_s = 30", shortDuration, "on = true", "on = false")
+	if metrics := enabled.Metrics; metrics["hot_found"] != 1 || metrics["spread_never_hot"] != 0 ||
+		metrics["hot_carried_most_ms"] > 2500 || enabled.ViolationCount > 0 {
+		t.Errorf("metrics %v, violations %v", metrics, enabled.ViolationsByRule)
 	}
-	if on.WeightedServedShare < off.WeightedServedShare+0.02 {
-		t.Errorf("weighted served share %v, without the controller %v", on.WeightedServedShare, off.WeightedServedShare)
+	if enabled.WeightedServedShare < disabled.WeightedServedShare+0.02 {
+		t.Errorf("weighted served share %v, without the controller %v", enabled.WeightedServedShare, disabled.WeightedServedShare)
 	}
 	again, err := json.Marshal(runHotKeyExperiment(t, "hot-key-sim.toml", 1, "duration_s = 30", shortDuration))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if first, _ := json.Marshal(on); string(first) != string(again) {
+	if first, _ := json.Marshal(enabled); string(first) != string(again) {
 		t.Error("the result depends on the number of workers")
 	}
 }
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -58,7 +58,7 @@
 	result, after := balance.TimedOut, engine.plan.Experiment.Limits.ConnectTimeoutMS
 	delay, passes := engine.networkDelay(s, server, true)
 	returnDelay, returns := engine.networkDelay(s, server, false)
-	if passes && returns && !server.vanished && !server.frozen {
+	if passes && returns && !server.machineDown && !server.frozen {
 		result, after = balance.ConnectFailed, delay+returnDelay
 		if server.up && !server.refusing {
 			result = balance.OK
--- a/internal/lab/sim/request.go
+++ b/internal/lab/sim/request.go
@@ -11,7 +11,7 @@
 // simRequest is a request that a sidecar receives. Each attempt of a client is a separate one.
 type simRequest struct {
 	id         uint64
-	client     *simClient
+	client     *clientRequest
 	sidecar    *simSidecar
 	deadline   float64
 	answered   bool // the sidecar has sent the final response, or the client has disconnected
@@ -75,7 +75,7 @@
 func (s *simSidecar) connect(attempt *simAttempt, delay float64, passes bool) {
 	engine, server := s.engine, attempt.server
 	returnDelay, returns := engine.networkDelay(s, server, false)
-	if !passes || !returns || server.vanished || server.frozen {
+	if !passes || !returns || server.machineDown || server.frozen {
 		timeout := engine.plan.Experiment.Limits.ConnectTimeoutMS
 		engine.schedule(engine.now+timeout, func(now float64) { attempt.finish(now, balance.ConnectFailed) })
 		return
@@ -92,7 +92,7 @@
 		server.connections++
 		engine.recorder.AddCounts(func(c *lab.Counts) { c.Handshakes++ })
 		server.addBackgroundWork(now, server.plan.Spec.HandshakeMS)
-		arrival := now + returnDelay + delay + (handshakeTrips-1)*(returnDelay+delay)
+		arrival := now + returnDelay + delay + (handshakeRoundTrips-1)*(returnDelay+delay)
 		engine.schedule(arrival, func(now float64) { server.receive(now, attempt) })
 	})
 }
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -23,16 +23,16 @@
 
 	up          bool // its process runs
 	incarnation int
-	vanished    bool // its machine does not respond because of a zone outage
+	machineDown bool // its machine does not respond because of a zone outage
 	frozen      bool
 	refusing    bool // it refuses connections
 	listed      bool // the endpoint list has it as ready
 	startedAt   float64
 
-	connections int
-	inFlight    map[int64]*simAttempt // running and waiting, by attempt ID
-	waiting     []*simAttempt         // received while the server is frozen
-	wakeAt      float64               // time for which advance is scheduled; 0: none
+	connections     int
+	inFlight        map[int64]*simAttempt // running and waiting, by attempt ID
+	pendingAttempts []*simAttempt         // received while the server is frozen
+	nextAdvance     float64               // time for which advance is scheduled; 0: none
 }
 
 // newServer returns a server of the plan. The server runs if the plan starts it at time 0.
@@ -62,10 +62,10 @@
 func (s *simServer) receive(now float64, attempt *simAttempt) {
 	engine := s.engine
 	switch {
-	case s.vanished || engine.isPartitioned(attempt.sidecar.endpoint(), s.endpoint()):
+	case s.machineDown || engine.isPartitioned(attempt.sidecar.endpoint(), s.endpoint()):
 		return
 	case s.frozen:
-		s.waiting = append(s.waiting, attempt)
+		s.pendingAttempts = append(s.pendingAttempts, attempt)
 		return
 	case !s.up || attempt.serverIncarnation != s.incarnation:
 		s.sendResult(now, attempt, balance.ConnectFailed)
@@ -128,15 +128,15 @@
 // scheduleAdvance schedules advance for the end of the next job.
 func (s *simServer) scheduleAdvance() {
 	next := s.model.Next()
-	if s.frozen || math.IsInf(next, 1) || s.wakeAt != 0 && s.wakeAt <= next {
+	if s.frozen || math.IsInf(next, 1) || s.nextAdvance != 0 && s.nextAdvance <= next {
 		return
 	}
-	s.wakeAt = next
+	s.nextAdvance = next
 	s.engine.schedule(next, func(now float64) {
-		if s.wakeAt != next { // an earlier time was scheduled since
+		if s.nextAdvance != next { // an earlier time was scheduled since
 			return
 		}
-		s.wakeAt = 0
+		s.nextAdvance = 0
 		if !s.frozen && s.up {
 			s.advance(now)
 			s.scheduleAdvance()
@@ -190,14 +190,14 @@
 // sendResult sends the result of an attempt to its sidecar.
 func (s *simServer) sendResult(now float64, attempt *simAttempt, result balance.Result) {
 	delay, passes := s.engine.networkDelay(attempt.sidecar, s, false)
-	if passes && !s.vanished {
+	if passes && !s.machineDown {
 		s.engine.schedule(now+delay, func(now float64) { attempt.finish(now, result) })
 	}
 }
 
 // cancelAttempt cancels the job of an attempt whose connection the sidecar has closed.
 func (s *simServer) cancelAttempt(now float64, attempt *simAttempt) {
-	if s.inFlight[attempt.id] != nil && s.up && !s.frozen && !s.vanished {
+	if s.inFlight[attempt.id] != nil && s.up && !s.frozen && !s.machineDown {
 		s.advance(now)
 		if s.model.Cancel(now, attempt.id) {
 			delete(s.inFlight, attempt.id)
@@ -233,7 +233,7 @@
 	if s.model.Overloaded() {
 		return // a server that crashed from overload stays down
 	}
-	s.vanished, s.up, s.startedAt, s.listed = false, true, now, true
+	s.machineDown, s.up, s.startedAt, s.listed = false, true, now, true
 	s.model.Start(now, true)
 	s.engine.publishEndpoint(now, s, balance.Ready)
 }
@@ -244,7 +244,7 @@
 	detection := s.engine.plan.Experiment.Discovery.FailureDetectionMS
 	detectedAt := now + detection.Min + (detection.Max-detection.Min)*s.engine.rng.Float64()
 	s.engine.schedule(detectedAt, func(now float64) {
-		if s.listed && s.incarnation == incarnation && (!s.up || s.vanished) {
+		if s.listed && s.incarnation == incarnation && (!s.up || s.machineDown) {
 			s.listed = false
 			s.engine.publishEndpoint(now, s, balance.Removed)
 		}
--- a/internal/lab/sim/sidecar.go
+++ b/internal/lab/sim/sidecar.go
@@ -30,7 +30,7 @@
 
 	endpoints      map[int]endpointView // last notified state of the servers, by index
 	pendingUpdates []endpointUpdate     // not delivered yet, because discovery cannot reach the sidecar
-	lastNotified   float64
+	lastUpdateDue  float64
 	subscribed     bool
 
 	requests        map[uint64]*simRequest
--- a/internal/lab/sim/sidecar_discovery.go
+++ b/internal/lab/sim/sidecar_discovery.go
@@ -89,8 +89,8 @@
 	update := endpointUpdate{server, state, server.startedAt}
 	for _, sidecar := range e.sidecars {
 		due := now + sidecar.plan.NotificationDelayMS + e.discoveryDelayMS
-		sidecar.lastNotified = math.Max(sidecar.lastNotified, due) // changes arrive in order
-		e.schedule(sidecar.lastNotified, func(now float64) { sidecar.receiveUpdate(now, update) })
+		sidecar.lastUpdateDue = math.Max(sidecar.lastUpdateDue, due) // changes arrive in order
+		e.schedule(sidecar.lastUpdateDue, func(now float64) { sidecar.receiveUpdate(now, update) })
 	}
 }
 
