--- a/internal/lab/controlplane/checker_hotkey.go
+++ b/internal/lab/controlplane/checker_hotkey.go
@@ -6,11 +6,11 @@
 	"milldeck/internal/placement"
 )
 
-// warmupPeriodSeconds is the period over which ruleSpread sums warm-up work.
+// warmupPeriodSeconds is the period over which ruleWarmupBudget sums warm-up work.
 const warmupPeriodSeconds = 10
 
-// observeCopies checks ruleSpread on a directive that is set: the copies that did not exist before have to be warmed up.
-func (c *checker) observeCopies(directive *placement.Directive, existing map[string]bool) {
+// observeReplicas checks ruleWarmupBudget on a directive that is set. Replicas on servers that had none before need warm-up.
+func (c *checker) observeReplicas(directive *placement.Directive, existing map[string]bool) {
 	added := 0
 	for _, replica := range directive.Copies {
 		if !existing[replica.ServerUID] {
@@ -26,11 +26,11 @@
 	}
 	servers := float64(len(c.cluster.servers))
 	budget := max(config.WarmupBudget*serverCapacityMS*servers, config.MinWarmupBudget)
-	allowed := budget * (warmupPeriodSeconds + 1) // the planner may save up a second of its budget
+	allowed := budget * (warmupPeriodSeconds + 1) // the planner may accumulate its budget of one second
 	if sum > allowed {
-		c.report(ruleSpread, fmt.Sprintf("%.0f ms of warm-up work within %d s, %.0f allowed", sum, warmupPeriodSeconds, allowed))
+		c.report(ruleWarmupBudget, fmt.Sprintf("%.0f ms of warm-up work within %d s, %.0f allowed", sum, warmupPeriodSeconds, allowed))
 	}
 	if copies := float64(len(directive.Copies)); copies > config.ReplicasPerServer*servers {
-		c.report(ruleSpread, fmt.Sprintf("%.0f copies", copies))
+		c.report(ruleWarmupBudget, fmt.Sprintf("%.0f copies", copies))
 	}
 }
--- a/internal/lab/controlplane/defects_test.go
+++ b/internal/lab/controlplane/defects_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// requireViolation plays a few seeds until the checker finds a violation of one of the rules. Without the injected defect
-// the same seed must violate none.
+// requireViolation simulates a few seeds until the checker detects a violation of one of the rules. The same seed without
+// the injected defect must violate no rule.
 func requireViolation(t *testing.T, options Options, firstSeed uint64, rules ...string) {
 	t.Helper()
 	const maxSeeds = 4
@@ -19,8 +19,8 @@
 		}
 		t.Logf("seed %d: %+v", seed, result.FirstViolations[0])
 		options.Defects = Defects{}
-		if sound := Run(seed, options); sound.Violations > 0 {
-			t.Errorf("seed %d without the injected defect: violations %+v, want none", seed, sound.FirstViolations)
+		if withoutDefect := Run(seed, options); withoutDefect.Violations > 0 {
+			t.Errorf("seed %d without the injected defect: violations %+v, want none", seed, withoutDefect.FirstViolations)
 		}
 		return
 	}
@@ -55,15 +55,15 @@
 		HoursCloseIn:            4 * time.Hour,
 		Defects:                 Defects{UseControllerClock: true},
 	}
-	requireViolation(t, options, 0, ruleHours)
+	requireViolation(t, options, 0, ruleApprovedHours)
 }
 
 func TestFindsIgnoredFencingTokens(t *testing.T) {
 	options := Options{Defects: Defects{IgnoreFencingTokens: true}}
-	requireViolation(t, options, 13, ruleBudget, ruleOnce, ruleStranded, ruleHours)
+	requireViolation(t, options, 13, ruleBudget, ruleSingleStart, ruleStranded, ruleApprovedHours)
 }
 
-// The servers return long after the close of the approved hours, up to which sidecars should exclude the tenant.
+// The servers return long after the approved hours have closed. Sidecars should exclude the tenant only until the close.
 func TestFindsExclusionPastClose(t *testing.T) {
 	options := Options{
 		NoFaults:     true,
@@ -71,10 +71,10 @@
 		HoursCloseIn: 25 * time.Minute,
 		Defects:      Defects{ExcludePastClose: true},
 	}
-	requireViolation(t, options, 0, ruleHours)
+	requireViolation(t, options, 0, ruleApprovedHours)
 }
 
 func TestFindsDelayedReleaseWrites(t *testing.T) {
 	options := Options{Defects: Defects{DelayReleaseWrites: true}}
-	requireViolation(t, options, 0, ruleBudget, ruleOnce, ruleStranded)
+	requireViolation(t, options, 0, ruleBudget, ruleSingleStart, ruleStranded)
 }
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -5,17 +5,17 @@
 	"milldeck/internal/lab"
 )
 
-// simClient is a request of a client with all its attempts.
-type simClient struct {
+// clientRequest is a request of a client with all attempts of the client.
+type clientRequest struct {
 	engine *simEngine
 	lab.Arrival
 	attempts int
 	done     bool
-	current  *simRequest // the attempt that the client waits for; nil: none
+	current  *simRequest // the attempt for which the client waits, or nil
 }
 
 // sendAttempt sends the next attempt to the sidecar.
-func (c *simClient) sendAttempt(now float64) {
+func (c *clientRequest) sendAttempt(now float64) {
 	if c.done {
 		return
 	}
@@ -58,8 +58,8 @@
 	})
 }
 
-// attemptDone ends an attempt. The client retries, or its request has ended.
-func (c *simClient) attemptDone(now float64, outcome lab.Outcome, retryAfter float64) {
+// attemptDone ends an attempt. Then the client retries, or the request ends.
+func (c *clientRequest) attemptDone(now float64, outcome lab.Outcome, retryAfter float64) {
 	if c.done {
 		return
 	}
@@ -71,8 +71,8 @@
 	c.finish(now, outcome, false)
 }
 
-// disconnect has the client disconnect before it has a response.
-func (c *simClient) disconnect(now float64) {
+// disconnect closes the client's connection before the client has received a response.
+func (c *clientRequest) disconnect(now float64) {
 	if c.done {
 		return
 	}
@@ -84,7 +84,7 @@
 }
 
 // finish records the end of the request.
-func (c *simClient) finish(now float64, outcome lab.Outcome, disconnected bool) {
+func (c *clientRequest) finish(now float64, outcome lab.Outcome, disconnected bool) {
 	c.done = true
 	c.engine.openRequests--
 	if s := c.engine.hotKeys; s != nil {
