--- a/balance/admission.go
+++ b/balance/admission.go
@@ -6,7 +6,7 @@
 
 const (
 	// Fractions of the latency objective, beyond the minimum latency, that queueing may take before load is
-	// shed. A sidecar with little traffic detects queueing late, and then at most servers at once.
+	// shed. A sidecar with little traffic detects queueing only when most of its servers have queues.
 	queueingAllowance           = 0.25
 	queueingAllowanceLowTraffic = 0.08
 	initialLatencyRatio         = 0.33 // minimum latency that is assumed until answers arrive
@@ -17,14 +17,14 @@
 	minShedStep                 = 0.04 // step of the sustained fraction per request and objective of excess
 	maxShedStep                 = 0.34 // the same for a request long after the previous one
 	shedStepTime                = 400  // ms without a request for a step of 1
-	shedDecayTime               = 2500 // ms, time constant of sustained shedding: idle servers look slow
+	shedDecayTime               = 2500 // ms, time constant of shedding: idle servers look slow (cold caches)
 	shedDeadband                = 0.1  // sustained fraction not shed: small sidecars reach it by chance
 	maxShedFraction             = 0.95 // answers are needed to detect the end of the overload
 	maxLatencyRatio             = 2    // latencies count as at most this multiple of the objective
 	answerRateSpan              = 8    // time constant of the answer rate, in longest objectives
 	growthDeviations            = 2    // standard deviations by which recent answers must exceed the rate
 	assumedAnswers              = 3    // added to the answer rate; the load is averaged over as many
-	maxFairnessBoost            = 2    // maximum factor by which a tenant counts as under its quota
+	maxFairnessBoost            = 2    // bound of quota over use, which raises the value of a request
 	similarValueFactor          = 1.25 // values that differ by less than this factor are shed alike
 )
 
--- a/balance/affinity.go
+++ b/balance/affinity.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// narrowCandidates sorts the candidates by this sidecar's own order, weighted once more so that errors and
-// slow start move keys away from a server. If the first candidate of that order has capacity,
-// narrowCandidates only stores that one at index 0, without sorting, and returns true.
+// narrowCandidates sorts the candidates by rank in this sidecar's own order, divided by weight per capacity,
+// so that errors and slow start move keys away from a server. If the first candidate has capacity,
+// narrowCandidates stores it at index 0, without sorting, and returns true.
 func (b *Balancer) narrowCandidates() bool {
 	candidates, first := b.selection.candidates, 0
 	for i, s := range candidates {
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -9,9 +9,9 @@
 	overdueDeviations  = 4    // mean deviations above the mean latency at which an attempt is overdue
 	overdueMinSamples  = 5    // answers of a class before its latency counts as known
 	overdueLatency     = 3    // relative latency that is recorded for an overdue attempt
-	healthCheckBudget  = 0.03 // fraction of the result that health checks may cost
+	healthCheckBudget  = 0.03 // fraction of the score that health checks may cost; see Objective
 	reportLifetime     = 0.05 // of the objective: time limit of health checks, lifetime of load reports
-	allBusyProbability = 0.01 // probability that all checked servers are busy, at which no more are checked
+	allBusyProbability = 0.01 // servers are checked until the probability that all are busy is this low
 )
 
 // healthCheckBeforeSend sends health checks to the servers next in turn, if servers report their load in no
@@ -117,7 +117,7 @@
 		b.retries.lastOverloadedAt = b.now
 	}
 	unreachable := result == ConnectFailed
-	counted := a.overdue || a.endsAtObjective && result == TimedOut // recorded already, or no error
+	counted := a.overdue || a.endsAtObjective && result == TimedOut // recorded when overdue, or no error
 	if unreachable || !counted {
 		b.recordError(a.server, unreachable)
 	}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -7,7 +7,7 @@
 
 const (
 	retryBudgetRatio = 0.2 // retries allowed per first attempt while the fleet is overloaded
-	retryBudgetMax   = 20  // bound of the budget: the attempts of one unreachable server
+	retryBudgetMax   = 20  // bound of the budget: enough to retry the attempts of one unreachable server
 	maxRetries       = 1   // per request: more retries multiply a load that is already too high
 )
 
@@ -25,7 +25,8 @@
 		if s := b.selectUnderPlacement(r, len(r.attempts) > 0); s != nil {
 			b.updateRetryBudget(len(r.attempts) > 0)
 			// While load is shed, a non-idempotent attempt is given up at its latency objective: in full
-			// queues every answer is late. Clients would retry other requests, which adds load.
+			// queues every answer is late. Other attempts are not given up: their clients would retry, which
+			// adds load.
 			b.sendAttempt(r, s, r.class.Idempotency == NonIdempotent && b.shedding())
 		}
 	}
--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -61,11 +61,11 @@
 
 // hasSlowStartBudget limits the attempts at a server in slow start, retries included. The limit is half of
 // the allowed multiple of the answers that a server of this size gives to this sidecar, reduced by its slow
-// start factor, so that all sidecars together stay below the allowed multiple. It counts answers, as
-// clients repeat requests, and assumes few of them. The request rate bounds the answer rate, as answers lag
-// behind falling traffic. If many servers are in slow start, the pool shrinks before the answers do, so the
-// recent pool bounds the budget. Tokens do not accumulate for long: all sidecars would spend them in one
-// burst after a quiet period.
+// start factor, so that all sidecars together stay below the allowed multiple. It counts answers, because
+// requests include the retries of clients, and adds one assumed answer. The request rate bounds the answer
+// rate, as answers lag behind falling traffic. If many servers are in slow start, the pool shrinks before
+// the answers do, so the recent pool bounds the budget. Tokens do not accumulate for long: all sidecars
+// would spend them in one burst after a quiet period.
 func (b *Balancer) hasSlowStartBudget(s *server) bool {
 	pool := &b.pool.slowStart
 	if b.config.KeyAffinity {
@@ -89,8 +89,8 @@
 	return state.tokens >= 1
 }
 
-// tokensSince returns the time from which a server in slow start has earned tokens. The rotation did not
-// count a server before the server entered it.
+// tokensSince returns the time from which a server in slow start earns tokens. Without key affinity, a
+// server earns none for the time before it entered the rotation, in which the pool did not count it.
 func (b *Balancer) tokensSince(s *server) float64 {
 	if b.config.KeyAffinity {
 		return s.slowStart.tokensAt
--- a/balance/config.go
+++ b/balance/config.go
@@ -109,7 +109,7 @@
 	Costs     Costs
 }
 
-// Objective holds the weights of the parts of the result by which a deployment is judged. Load shedding uses them.
+// Objective holds the weights of the parts of the score by which a deployment is judged. Load shedding uses them.
 type Objective struct {
 	Overall     float64 // of all requests
 	WorstWindow float64 // of the worst window of time
@@ -117,7 +117,7 @@
 	WorstTenant float64 // of the worst-served tenant
 }
 
-// Costs are subtracted from the result.
+// Costs are subtracted from the score; see Objective.
 type Costs struct {
 	CrossZone   float64 // of attempts in other zones, as a fraction of first attempts
 	WastedWork  float64 // of server work that led to no answer, as a fraction of the offered work
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -63,7 +63,7 @@
 // schedulePoll schedules the next poll of discovery after a backoff with jitter, at least minFraction of
 // the backoff and at most maxBackoff if that is not 0. The backoff leaves discovery time for the polls of
 // all sidecars: polls that all sidecars send at once, after a mass restart or an outage of discovery, wait
-// in its queue until most have timed out. unqueued states that discovery has no queue.
+// in its queue until most have timed out. unqueued states that no polls wait at discovery.
 func (b *Balancer) schedulePoll(minFraction, maxBackoff float64, unqueued bool) {
 	fleetBackoff := pollBackoffPerSidecar * float64(max(b.config.SidecarCount, 1))
 	backoff := fleetBackoff * float64(int(1)<<min(b.discovery.failedPolls, maxPollDoublings))
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -9,7 +9,7 @@
 // hundreds of sidecars try it occasionally.
 
 const (
-	gossipBudget             = 5e-4 // fraction of the result that the gossip for each request may cost
+	gossipBudget             = 5e-4 // fraction of the score that the gossip for each request may cost
 	gossipCostUnit           = 256  // bytes that Costs.Gossip refers to
 	minGossipCost            = 0.01
 	gossipBurstBytes         = 400  // bytes that may be sent at once, over all receivers
@@ -39,7 +39,7 @@
 }
 
 // refillGossipBudget adds some bytes to the gossip budget for each request, so that all gossip costs the same
-// fraction of the result in a fleet of any size.
+// fraction of the score in a fleet of any size.
 func (b *Balancer) refillGossipBudget() {
 	earned := gossipBudget * gossipCostUnit / math.Max(b.config.Costs.Gossip, minGossipCost)
 	b.gossip.budgetBytes = math.Min(b.gossip.budgetBytes+earned, gossipBurstBytes)
--- a/balance/request.go
+++ b/balance/request.go
@@ -58,7 +58,7 @@
 	return r
 }
 
-// recycleFinished keeps the requests that the event finished for reuse, except those that waited for health checks:
+// recycleFinished keeps for reuse the requests that the event has finished, except those that waited for health checks:
 // awaitingHealthChecks may still list them.
 func (t *requestTable) recycleFinished() {
 	for _, r := range t.finished {
--- a/balance/round.go
+++ b/balance/round.go
@@ -2,9 +2,8 @@
 
 import "math"
 
-// creditRounds adds the weights of past rounds to the running weights that the current pick compares. A sidecar that
-// uses only few servers of each key does not compare them by running weight, so it updates their running weights only
-// for a retry.
+// creditRounds adds the weights of past rounds to the running weights that the current pick compares. In a sidecar that
+// narrows to its own order, a pick by key compares no running weights, so creditRounds leaves them unchanged.
 func (b *Balancer) creditRounds(byKey, retry bool) {
 	switch {
 	case b.selection.allEjected || !b.config.KeyAffinity: // servers that are not candidates get no credit
@@ -28,7 +27,7 @@
 	}
 }
 
-// creditServer adds a server's current weight for each round since the server was last credited, or returned.
+// creditServer adds a server's current weight for each round since it was last credited or entered the rotation.
 func (b *Balancer) creditServer(s *server) {
 	rounds := b.selection.round - s.round.creditedUpTo
 	s.round.runningWeight = math.Min(s.round.runningWeight+s.weight*rounds, b.pool.current)
