--- a/balance/fixtures_test.go
+++ b/balance/fixtures_test.go
@@ -97,10 +97,10 @@
 		}
 		timestamp, findings, err := decodeGossip(data, f.now, nil)
 		if err != nil || timestamp != gossipTimestamp(f.now) || !slices.Equal(findings, f.findings) {
-			t.Errorf("%s: read as %+v of %d, error %v", f.name, findings, timestamp, err)
+			t.Errorf("%s: decoded as %+v, timestamp %d, error %v", f.name, findings, timestamp, err)
 		}
 		if encoded := encodeGossip(f.now, findings); !slices.Equal(encoded, data) {
-			t.Errorf("%s: written again as %x", f.name, encoded)
+			t.Errorf("%s: encoded again as %x", f.name, encoded)
 		}
 	}
 }
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -225,7 +225,7 @@
 		encoded := encodeGossip(now, findings)
 		copy(encoded[3:gossipHeaderSize], data[3:gossipHeaderSize]) // the sender's clock
 		if !bytes.Equal(encoded[3:], data[3:]) || len(findings) > maxFindings || len(data) > 256 {
-			t.Fatalf("%x is read as %+v at %d, which is written %x", data, findings, timestamp, encoded)
+			t.Fatalf("%x is decoded as %+v, timestamp %d, which is encoded as %x", data, findings, timestamp, encoded)
 		}
 	})
 }
--- a/balance/invariants_test.go
+++ b/balance/invariants_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// checkSend counts decisions that the policy files must never make. The test passes it sends that violate a rule.
+// checkSend must count each send that violates a rule. The policy files never cause one, so the test calls checkSend.
 func TestSendsAgainstTheRulesAreCounted(t *testing.T) {
 	for name, test := range map[string]struct {
 		idempotency Idempotency
--- a/balance/placement_test.go
+++ b/balance/placement_test.go
@@ -93,7 +93,7 @@
 		testExclusion(4, 0, 2, 77), testExclusion(6, math.NaN(), 3), testExclusion(8, 0.2, 3)}})
 	got := h.serveCounting(40, 0)
 	if got[1] > 0 || got[2] > 0 || got[3] < 15 {
-		t.Errorf("sent %v, want 1 and 2 excluded: 3 and 4 leave less than a half", got)
+		t.Errorf("sent %v, want only 1 and 2 excluded: without 3, less than half would remain", got)
 	}
 	if ids := h.balancer.SuspendedExclusions(); !slices.Equal(ids, []int{5, 6, 8}) {
 		t.Errorf("suspended %v, want 5, 6 and 8", ids)
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -182,7 +182,7 @@
 			checker.checkFinalAnswer(a)
 		case Cancel:
 			if !checker.config.AllowCancel || a.Attempt >= len(checker.openRequests[a.Request].attempts) {
-				checker.t.Fatalf("cancel of %+v", a)
+				checker.t.Fatalf("invalid cancel: %+v", a)
 			}
 		}
 	}
--- a/balance/reference_pick_test.go
+++ b/balance/reference_pick_test.go
@@ -9,8 +9,8 @@
 )
 
 // referencePick is pick without the indices of rotation.go and key_order.go: it visits all servers, hashes the key
-// against each and sorts them. Like pick, in a sidecar that narrows to its own order it credits a server only when
-// the server is next considered.
+// against each and sorts them. Like pick, it credits only the selected server in a pick by key of a sidecar that
+// narrows to its own order.
 func (b *Balancer) referencePick(r *request, retry bool) *server {
 	for _, s := range b.servers {
 		in := s.State == Ready && !b.referenceEjected(s)
--- a/balance/retry_rules_test.go
+++ b/balance/retry_rules_test.go
@@ -114,7 +114,7 @@
 	h.handle(EndpointUpdate{Kind: UpdateFull, Servers: []Server{entry}}) // the other server is not listed and thus removed
 	id, actions := h.request(idempotentClass)
 	if s, _ := sentServer(actions); s != 1 {
-		t.Fatalf("sent to %d of request %d", s, id)
+		t.Fatalf("sent to %d, want 1, for request %d", s, id)
 	}
 }
 
@@ -172,8 +172,8 @@
 	}
 }
 
-// A retry shortly before the idempotency window ends could reach a server after it, because it may have to connect
-// first.
+// A retry shortly before the end of the idempotency window may have to connect first, and would then reach the server
+// after the end.
 func TestRetryLeavesTimeToConnect(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 100
@@ -243,7 +243,7 @@
 			actions = h.finishAttempt(id, n, Overloaded, 1)
 		}
 		if h.balancer.requests.open[id] != nil {
-			t.Fatal("a request waits though all servers are full and its budget is spent")
+			t.Fatal("a request waits though all servers are full and the retry budget is spent")
 		}
 	}
 	if limit := retryBudgetMax + retryBudgetRatio*float64(first); float64(retries) > limit || retries < first/10 {
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -207,18 +207,18 @@
 	}
 }
 
-// The same scenarios without key affinity, in large fleets as well: there a sidecar's rotation grows with its
-// traffic, and a sidecar of a large fleet visits each server so rarely that it has budget for the server most of the
-// time.
+// The same scenarios without key affinity, in large fleets as well. Without key affinity, a sidecar's rotation grows
+// with its traffic, and a sidecar of a large fleet visits each server so rarely that it has budget for the server most
+// of the time.
 //
 // Before the budget was corrected, 23 cases failed, the worst with 2.64 times the allowed attempts. A server's budget
-// is its share of this sidecar's answers. Four faults made that share too large. The pool shrank with the servers in
+// is its share of a sidecar's answers. Four faults made that share too large. The pool shrank with the servers in
 // slow start, so that each server kept a full share when all were restarted. The pool also shrank with the health of
 // overloaded servers and with ejected servers, though they had given the answers. A server that entered the rotation
 // brought tokens of the time before. Answers lagged behind falling traffic. With all of 60 servers restarted under
 // 300 sidecars, the sidecars sent 34,528 attempts in 12 s, in the worst window 1.86 times the allowed number. They
-// now send 19,417 and 0.51 times, and serve 0.37, 0.58, 0.77 and 0.86 of the requests in periods of 3 s instead of
-// 0.42, 0.62, 0.82 and 0.96.
+// now send 19,417 attempts, in the worst window 0.51 times the allowed number. In periods of 3 s they serve 0.37, 0.58,
+// 0.77 and 0.86 of the requests; before, they served 0.42, 0.62, 0.82 and 0.96.
 //
 // The bound that holds with key affinity failed here: it compares weights over time, and the learned capacities of
 // all servers rise and fall together. At the site clinic-results the weight sums of restarted sidecars fell to a
@@ -226,8 +226,8 @@
 // the other 91 were congested.
 func TestSlowStartBudgetHoldsWithoutKeyAffinity(t *testing.T) {
 	for _, size := range [][2]int{{20, 12}, {30, 20}, {300, 60}} {
-		for name, play := range slowStartScenarios {
-			checkSlowStartBudget(t, name, size, 0, play)
+		for name, scenario := range slowStartScenarios {
+			checkSlowStartBudget(t, name, size, 0, scenario)
 		}
 	}
 }
@@ -260,13 +260,16 @@
 	f.simulate(2.2, f.now+1000)
 }
 
-// checkSlowStartBudget simulates a scenario with two sets of rules. size is the number of sidecars and of servers.
+// checkSlowStartBudget simulates a scenario with two sets of settings. size is the number of sidecars and of servers.
 func checkSlowStartBudget(t *testing.T, name string, size [2]int, keys int, scenario func(f *slowStartFleet)) {
-	for k, rules := range []struct{ multiple, time, from, aim float64 }{{4, 2000, 0.12, 300}, {2.5, 1000, 0.2, 1000}} {
+	for k, rules := range []struct{ multiple, duration, minCapacity, objective float64 }{
+		{4, 2000, 0.12, 300}, {2.5, 1000, 0.2, 1000},
+	} {
 		t.Run(fmt.Sprintf("%s/%d sidecars/%d keys/%d", name, size[0], keys, k), func(t *testing.T) {
 			cfg := baseConfig()
-			cfg.OverloadMultiple, cfg.OverloadDuration, cfg.SlowStartMinCapacity = rules.multiple, rules.time, rules.from
-			cfg.KeyAffinity, cfg.Classes[idempotentClass].LatencyObjective = keys > 0, rules.aim
+			cfg.OverloadMultiple, cfg.OverloadDuration, cfg.SlowStartMinCapacity =
+				rules.multiple, rules.duration, rules.minCapacity
+			cfg.KeyAffinity, cfg.Classes[idempotentClass].LatencyObjective = keys > 0, rules.objective
 			f := newSlowStartFleet(t, cfg, 1, size[0], size[1])
 			f.keys = keys
 			f.simulate(1, 5000)
