--- a/internal/sidecar/active_placement.go
+++ b/internal/sidecar/active_placement.go
@@ -11,7 +11,7 @@
 	"milldeck/internal/placement"
 )
 
-// clockJumpToleranceMS is how much earlier than before an unchanged directive may end without the balancer being notified
+// clockJumpToleranceMS limits by how much the end of an unchanged directive may become earlier before the balancer is notified
 // again. A smaller difference comes from rounding on two clocks; a larger one means that the wall clock was set forward.
 const clockJumpToleranceMS = 50
 
@@ -96,7 +96,8 @@
 	}
 }
 
-// unchanged reports whether the balancer already has these directives, with the same ends within clockJumpToleranceMS.
+// unchanged reports whether the balancer already has these directives and none of them ends earlier than before by
+// clockJumpToleranceMS or more.
 func (p *activePlacement) unchanged(takenAtMS float64, directives []placement.Directive) bool {
 	return slices.EqualFunc(p.directives, directives, func(active activeDirective, directive placement.Directive) bool {
 		return active.sameVersion(&directive) && takenAtMS+float64(directive.RemainingMS) > active.endsAtMS-clockJumpToleranceMS
--- a/internal/sidecar/boot_times.go
+++ b/internal/sidecar/boot_times.go
@@ -16,8 +16,8 @@
 )
 
 // bootTimes converts the boot times of servers, which are readings of the wall clock, to the clock of the event loop, which
-// is never stepped. A server may have started before or after a step of the wall clock, so its boot time may stand for
-// several times. The latest of them counts: no server in slow start is treated as warm.
+// is never stepped. A server may have started before or after a step of the wall clock, so its boot time may correspond to
+// several readings of the event loop's clock. The latest one is used, so that no server in slow start is treated as warm.
 type bootTimes struct {
 	// wallOffsetsMS holds the offset of the wall clock from the event loop's clock at the start, which is 0, and after each
 	// step, oldest first.
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -20,7 +20,7 @@
 	deadline time.Time     // when the client stops waiting
 	response chan response // buffered, so that the event loop sends its response without blocking
 
-	answered  atomic.Bool // a goroutine has taken on the response; see markAnswered
+	answered  atomic.Bool // set by the goroutine that provides the response; see markAnswered
 	responded atomic.Bool // the frontend writes the response, or has abandoned it
 	// writeMu is held from the final check before the first byte of an attempt until its last byte is written. The
 	// frontend acquires it before it responds, so that nothing is written to a server after the response.
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -195,7 +195,7 @@
 }
 
 // evictionCandidate returns the evictable connection of the lowest phase that has been in its phase for longest. It also
-// reports whether a new connection may have sent its first request, or a part of it, that is not processed yet. A connection
+// reports whether bytes of a first request may have arrived on any new connection and are not processed yet. A connection
 // whose last response is not delivered yet is no candidate: if the client has sent bytes, or sends more, closing resets the
 // connection and the client loses the rest of the response. The caller holds the lock.
 func (l *clientListener) evictionCandidate(now time.Time) (candidate *clientConn, firstRequestExpected bool) {
@@ -231,8 +231,8 @@
 
 // evictExcessPersistent removes the longest idle connection from the table and returns it, if more than maxPersistent
 // connections have carried a request. Otherwise it returns nil. The caller holds the lock, and closes the connection only
-// after releasing it. The application may use a third of the descriptors for its requests: if it keeps connections open
-// that it used once, it has no descriptor left for its next request long before the sidecar reaches its own limit.
+// after releasing it. The limit protects the application, which may use a third of the descriptors for its requests: idle
+// connections that it keeps open use up that third long before the sidecar reaches its own limit.
 func (l *clientListener) evictExcessPersistent() *clientConn {
 	persistent := 0
 	var longestIdle *clientConn
--- a/internal/sidecar/conn_pool.go
+++ b/internal/sidecar/conn_pool.go
@@ -25,8 +25,8 @@
 )
 
 // Some servers close idle connections much sooner than the settings say, and reset the connection if a request arrives at
-// that moment. After the reset the request counts as possibly executed, so the pool avoids writing it: a reset soon after
-// the write lowers the idle time limit of the server, and successful reuses near the limit raise it slowly.
+// that moment. After the reset the request counts as possibly executed, so the pool avoids writing to such connections: a
+// reset soon after the write lowers the idle time limit of the server, and successful reuses near the limit raise it slowly.
 const (
 	staleResetWindow = 10 * time.Millisecond // after the last byte written; a later reset has other causes
 	minIdleTime      = 20 * time.Millisecond // lower bound of the limit
--- a/internal/sidecar/discovery_client.go
+++ b/internal/sidecar/discovery_client.go
@@ -24,9 +24,11 @@
 	// timeout that is too short costs one call to the agent on this machine; one that is too long leaves no time for a
 	// second and third call.
 	watchHeartbeatTimeout = 2500 * time.Millisecond
-	// agentTimeout applies where lists are pushed: the agent on this machine responds immediately unless discovery is down.
+	// agentTimeout applies where lists are pushed (maintainWatch): the agent on this machine responds immediately unless
+	// discovery is down.
 	agentTimeout = 1200 * time.Millisecond
-	// callTimeout applies where lists are polled: a call may wait in discovery's queue, which looks like a partition.
+	// callTimeout applies where lists are polled (watch, fetchList): a call may wait in discovery's queue, which looks like a
+	// partition.
 	callTimeout = 2500 * time.Millisecond
 	// queuedCallTimeout applies from the third unanswered call in a row, as a call that is repeated goes to the end of the
 	// queue.
@@ -52,8 +54,9 @@
 
 func (e *unexpectedStatusError) Error() string { return "unexpected status " + e.status }
 
-// discoveryClient requests the endpoint list for the balancer. It reports each failed call, and each watch that ends
-// otherwise than by a timeout, exactly once; the balancer decides when to call again.
+// discoveryClient requests the endpoint list. Of the calls that the balancer requests, it reports each failed call, and each
+// watch that ends for a reason other than a timeout, exactly once; the balancer decides when to call again. maintainWatch
+// works without the balancer and reports no failures.
 type discoveryClient struct {
 	// Only the event loop uses these fields.
 	baseURL    string
@@ -105,9 +108,9 @@
 	d.setAddress(address)
 }
 
-// watch opens a watch of the endpoint list at the balancer's request. It does nothing if a watch is open, as the balancer
-// may still react to the end of the previous watch after an address change. A watch that times out is reopened without
-// the balancer and its backoff for failed calls, as PROTOCOL counts the missed changes as known soon.
+// watch opens a watch of the endpoint list at the balancer's request. It does nothing if a watch is open: after an address
+// change, the balancer may still request a watch because the previous one has ended. A watch that times out is reopened
+// without the balancer and its backoff for failed calls, because PROTOCOL soon counts the missed changes as known.
 func (d *discoveryClient) watch(ctx context.Context) {
 	select {
 	case <-d.watchDone:
--- a/internal/sidecar/endpoint_list.go
+++ b/internal/sidecar/endpoint_list.go
@@ -13,7 +13,7 @@
 // maxCapacityHint is the largest valid capacity_hint.
 const maxCapacityHint = 1000
 
-// States of an endpoint, as discovery sends them. Any other state counts as Terminating.
+// States of an endpoint, as discovery sends them. Any other state, such as Terminating, counts as draining.
 const (
 	stateReady   = "Ready"
 	stateRemoved = "Gone"
--- a/internal/sidecar/monitor.go
+++ b/internal/sidecar/monitor.go
@@ -23,7 +23,7 @@
 	rejectedInFlight                            // too many requests in flight
 	attemptFirst                                // decided
 	attemptRetry                                // decided, after an attempt that ended without an answer
-	attemptNotSent                              // the first or the last byte was not written
+	attemptNotSent                              // the request was not completely written
 	clientConnAccepted                          //
 	clientConnEvictedForNew                     // the table is full
 	clientConnEvictedIdle                       // too many connections have carried a request
@@ -34,8 +34,8 @@
 	upstreamConnUnusable                        // the server has closed it, or has sent more than its response
 	upstreamConnExpired                         // idle for too long
 	upstreamConnEvicted                         // to free a descriptor for another connection
-	upstreamConnWithdrawn                       // the server is draining, removed or restarted
-	upstreamConnEnded                           // the exchange did not end with a complete response
+	upstreamConnWithdrawn                       // server draining, removed or restarted; balancer action; end of the sidecar
+	upstreamConnEnded                           // not reusable after its exchange
 	acceptFailed                                //
 	watchFailed                                 // of discovery
 	reloadFailed                                //
--- a/internal/sidecar/placement_report.go
+++ b/internal/sidecar/placement_report.go
@@ -59,8 +59,8 @@
 }
 
 // excludedInFlight counts, for each exclusion in force, the attempts in flight on the excluded servers. An exclusion of a
-// tenant that this sidecar does not serve counts as in force with 0 attempts, as its owner waits for that. If there are
-// too many exclusions to report, those with 0 are left out: a missing exclusion means 0 as well.
+// tenant that this sidecar does not serve is reported as in force with 0 attempts, because the owner of the exclusion waits
+// for this report. If there are too many exclusions to report, those with 0 are left out: a missing exclusion means 0 as well.
 func (l *eventLoop) excludedInFlight() map[string]int {
 	counts := map[string]int{}
 	directives := l.placement.active.directives
--- a/internal/sidecar/request_parsing.go
+++ b/internal/sidecar/request_parsing.go
@@ -47,7 +47,7 @@
 	costHeader           = "X-Cost"    // expected work in microseconds
 )
 
-// keyCookie is the cookie with the key of a request: the subject that it concerns.
+// keyCookie is the cookie with the key of a request. The key identifies the subject of the request.
 const keyCookie = "k"
 
 // singleValueHeaders may occur only once: of two values, the sidecar and a server could each use a different one.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -20,7 +20,7 @@
 	// runtime, with a margin for connections that are being closed.
 	reservedDescriptors    = 24
 	clientSocketFraction   = 0.5  // of the descriptors that are not reserved; connections to servers use the rest
-	persistentConnFraction = 0.25 // of all descriptors: the application uses a third for its requests, some of which must stay free
+	persistentConnFraction = 0.25 // of all descriptors; the application may use a third, and some of that third must stay free
 
 	memoryLimitFraction = 0.7   // of the memory limit; the Go runtime does not account for all memory of the process
 	gcPercent           = 300   // the sidecar makes little garbage compared with the memory limit, and has one core
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -48,7 +48,7 @@
 }
 
 // InstanceStarted starts an instance without any earlier state. Settings is the JSON text for ParseSettings; it is valid
-// only until the function that Reader.Read passes the record to returns.
+// only until the handle function of Reader.Read returns.
 type InstanceStarted struct {
 	Seed     uint64
 	Settings []byte
