--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -96,7 +96,8 @@
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
 	for name, pipelined := range map[string]string{
 		"nothing": "", "a byte": "G", "a request": sidecar.wireText(sidecar.newRequest("lookup", time.Minute)),
-		"half of the limit": strings.Repeat("x", 4000), "more than the limit": strings.Repeat("x", 5000), "much more": strings.Repeat("x", 1<<20),
+		"less than a read": strings.Repeat("x", 4000),
+		"more than a read": strings.Repeat("x", 5000), "more than the limit": strings.Repeat("x", 1<<20),
 	} {
 		t.Run(name, func(t *testing.T) {
 			before := server.requests.Load()
--- a/internal/sidecar/discovery_failure_test.go
+++ b/internal/sidecar/discovery_failure_test.go
@@ -25,7 +25,7 @@
 	dial   func(ctx context.Context) error
 	handle func(remote net.Conn)
 	resets bool // the connection ends with a reset
-	silent bool // the call is not answered: discovery may become reachable during the call, otherwise right after it
+	silent bool // the call is not answered; discovery may become reachable during this call, and right after any other call
 }
 
 func closeImmediately(remote net.Conn) { remote.Close() }
@@ -38,7 +38,7 @@
 	}},
 	{name: "closed at once", handle: closeImmediately},
 	{name: "silent", handle: func(net.Conn) {}, silent: true},
-	{name: "not coming up", silent: true, dial: func(ctx context.Context) error {
+	{name: "dial timeout", silent: true, dial: func(ctx context.Context) error {
 		select { // the same as the replaced dialer
 		case <-ctx.Done():
 			return ctx.Err()
@@ -59,7 +59,7 @@
 	return n, err
 }
 
-// loadScriptedConfig returns a configuration for a large fleet with a mode of delivering endpoint lists.
+// loadScriptedConfig returns a configuration for a large fleet and a discovery mode, "automatic" or "subscribe".
 func loadScriptedConfig(t *testing.T, mode string, seed int) *Config {
 	t.Helper()
 	document := newConfigDocument("127.0.0.1:1").replaceSetting(`"subscribe"`, fmt.Sprintf(`%q, "peers_total": 80`, mode))
--- a/internal/sidecar/discovery_silence_test.go
+++ b/internal/sidecar/discovery_silence_test.go
@@ -17,7 +17,7 @@
 	"milldeck/balance"
 )
 
-// notificationDeadline is the time after which PROTOCOL counts a change as known that was missed during a silence.
+// notificationDeadline is the time after which PROTOCOL counts a missed change as known.
 const notificationDeadline = 6 * time.Second
 
 const (
--- a/internal/sidecar/read_ahead_test.go
+++ b/internal/sidecar/read_ahead_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The head of a request ends with its first empty line, at whatever bytes the reads divide it.
+// The head of a request ends with its first empty line, wherever one read ends and the next begins.
 func TestHeadScannerFindsTheEmptyLine(t *testing.T) {
 	for _, text := range []string{
 		"GET / HTTP/1.1\r\nHost: b\r\n\r\n", "GET / HTTP/1.1\nHost: b\n\n", "GET / HTTP/1.1\r\n\r\n", "\r\n", "\n", "a\r\n\r\r\n",
--- a/internal/sidecar/send_guard_test.go
+++ b/internal/sidecar/send_guard_test.go
@@ -17,7 +17,7 @@
 		want        error
 		rule        invariant
 	}{
-		"another attempt is out": {balance.Idempotent, balance.ScopeAll, func(earlier *attempt) {
+		"another attempt is in flight": {balance.Idempotent, balance.ScopeAll, func(earlier *attempt) {
 			earlier.ended = false
 			earlier.fullyWritten.Store(true)
 		}, errInvariantViolation, invariantOneAttempt},
@@ -27,7 +27,7 @@
 		"the key is known in the zone":                    {balance.IdempotentWithKey, balance.ScopeZone, func(earlier *attempt) { earlier.upstream.cell = 2 }, nil, 0},
 		"the key is known to all":                         {balance.IdempotentWithKey, balance.ScopeAll, func(earlier *attempt) { earlier.upstream.zone = "b" }, nil, 0},
 		"an idempotent request":                           {balance.Idempotent, balance.ScopeAll, func(earlier *attempt) { earlier.upstream.zone = "b" }, nil, 0},
-		"it was surely not executed":                      {balance.NonIdempotent, balance.ScopeAll, func(earlier *attempt) { earlier.mayHaveExecuted = false }, nil, 0},
+		"it was never executed":                           {balance.NonIdempotent, balance.ScopeAll, func(earlier *attempt) { earlier.mayHaveExecuted = false }, nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			guard := sendGuard{&monitor{}}
