--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -90,7 +90,7 @@
 }
 
 // The disconnect of a client is noticed even if the client has pipelined bytes before it: its request ends at once, not at
-// its deadline. A client that pipelines too much gets status 400.
+// its deadline. A client that pipelines more than maxReadAheadBytes gets status 400.
 func TestPipeliningClientDisconnects(t *testing.T) {
 	server := newBlockingBackend(t, serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
