--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -90,13 +90,14 @@
 }
 
 // The disconnect of a client is noticed even if the client has pipelined bytes before it: its request ends at once, not at
-// its deadline. A client that pipelines too much gets status 400.
+// its deadline. A client that pipelines more than maxReadAheadBytes gets status 400.
 func TestPipeliningClientDisconnects(t *testing.T) {
 	server := newBlockingBackend(t, serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
 	for name, pipelined := range map[string]string{
 		"nothing": "", "a byte": "G", "a request": sidecar.wireText(sidecar.newRequest("lookup", time.Minute)),
-		"half of the limit": strings.Repeat("x", 4000), "more than the limit": strings.Repeat("x", 5000), "much more": strings.Repeat("x", 1<<20),
+		"less than a read": strings.Repeat("x", 4000),
+		"more than a read": strings.Repeat("x", 5000), "more than the limit": strings.Repeat("x", 1<<20),
 	} {
 		t.Run(name, func(t *testing.T) {
 			before := server.requests.Load()
