--- a/internal/disruption/apply.go
+++ b/internal/disruption/apply.go
@@ -75,9 +75,9 @@
 	return l.closedPermits[id]
 }
 
-// resultOfRepeat returns the result of an operation on a closed permit. The operation is applied if the permit has
-// already reached what the operation requests, as in a retry after a lost response, and rejected if the permit can no
-// longer reach it.
+// resultOfRepeat returns the result of an operation on a closed permit. A begin, a return and the completion of a
+// cancelled permit are rejected, because they are no longer possible. Any other operation is applied without a change,
+// as in a retry after a lost response.
 func resultOfRepeat(op *Op, closed *Permit) Result {
 	if op.Kind == OpBegin || op.Kind == OpReturn || op.Kind == OpComplete && closed.Stage == StageCancelled {
 		return rejected("permit %s is %s", closed.ID, closed.Stage)
@@ -166,8 +166,8 @@
 	permit.Stage, permit.ReturnRevision = StageReturning, l.revision
 }
 
-// applyCancel closes a permit that has not begun. A permit that has begun is returning from then on: only evidence
-// closes it.
+// applyCancel closes a permit that has not begun. A permit that has begun becomes returning instead: only evidence or a
+// forced completion closes it.
 func (l *Ledger) applyCancel(permit *permitState) Result {
 	switch permit.Stage {
 	case StageRequested, StageGranted:
--- a/internal/disruption/evidence.go
+++ b/internal/disruption/evidence.go
@@ -117,7 +117,8 @@
 	return successor, nil
 }
 
-// returned reports whether the unit is up again after it was taken out under a permit.
+// returned reports whether the unit is up again after it was taken out under a permit. Evidence is a transition later
+// than the permit's begin, or an observation later than the begin of the return.
 func (u *unitState) returned(permit *permitState) bool {
 	if u.Condition != ConditionUp {
 		return false
--- a/internal/disruption/ledger_test.go
+++ b/internal/disruption/ledger_test.go
@@ -203,8 +203,8 @@
 	}
 }
 
-// The cost of Apply does not grow with the number of units: a permit from its request to its end, with 100 and with
-// 10,000 units.
+// Measures a permit from its request to its end, with 100 and with 10,000 units. The cost of Apply must not grow with
+// the number of units.
 func BenchmarkApply(b *testing.B) {
 	for _, units := range []int{100, 10_000} {
 		b.Run(fmt.Sprint(units), func(b *testing.B) {
@@ -240,9 +240,9 @@
 	}
 }
 
-// The ledger and the model agree after all sequences, up to a depth, of sixteen operations on three units, two budgets
-// and two permits that share a unit. A state that differs from an earlier one only in the values of its revisions is not
-// explored further.
+// The ledger and the model agree after every sequence of up to four steps. Each step is one of sixteen operations on
+// three units, two budgets and two permits that share a unit. A state that differs from an earlier one only in the values
+// of its revisions is not explored further.
 func TestExhaustiveShortSequences(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes a few seconds")
--- a/internal/disruption/model_operations_test.go
+++ b/internal/disruption/model_operations_test.go
@@ -6,7 +6,6 @@
 	"slices"
 )
 
-// apply applies an operation and returns its outcome.
 func (m *model) apply(op *Op) Outcome {
 	if op.Validate() != nil {
 		return OutcomeRejected
--- a/internal/disruption/model_test.go
+++ b/internal/disruption/model_test.go
@@ -105,7 +105,7 @@
 	fits        bool            // within all constraints, with what is unavailable or warming up now
 	feasible    bool            // within all constraints, if nothing else were unavailable or warming up
 	blocksLater bool            // the permit waits for its constraints alone
-	needs       map[string]bool // constraints that a grant would use up some of
+	needs       map[string]bool // constraints of which a grant uses up a part
 }
 
 // admissible reports whether the permit can be granted unless an earlier permit blocks it.
--- a/internal/disruption/permit.go
+++ b/internal/disruption/permit.go
@@ -36,7 +36,7 @@
 
 // The dispositions.
 const (
-	DispositionReturn  Disposition = "back"    // the same unit returns: up again after a transition later than the permit's begin
+	DispositionReturn  Disposition = "back"    // the same unit is up again, on the evidence that unitState.returned checks
 	DispositionReplace Disposition = "replace" // another unit replaces it, and is up
 	DispositionRetire  Disposition = "retire"  // it is removed for good: completed once it is out of the endpoint list
 )
--- a/internal/maintenance/calendar/calendar_test.go
+++ b/internal/maintenance/calendar/calendar_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// wallClockModel computes for one instant, from the local clock alone, the rule of the package comment.
+// wallClockModel computes whether an instant is approved by the rule of the package comment, from the local clock alone.
 type wallClockModel struct {
 	location    *time.Location
 	start       time.Duration // from midnight
--- a/internal/maintenance/controller/controller_test.go
+++ b/internal/maintenance/controller/controller_test.go
@@ -231,7 +231,6 @@
 	return last
 }
 
-// awaitStage waits until a window is at a stage.
 func (b *testbed) awaitStage(name string, want maintenance.Stage) *maintenance.Window {
 	b.Helper()
 	return b.awaitWindow(string(want), name, func(window *maintenance.Window, _ *maintenance.Snapshot) bool {
--- a/internal/maintenance/simulated_operator_test.go
+++ b/internal/maintenance/simulated_operator_test.go
@@ -8,7 +8,6 @@
 	"milldeck/internal/maintenance/contract"
 )
 
-// applyOperator writes the operation of an operator.
 func (sim *simulation) applyOperator(op Operation) Outcome {
 	operatorMS := sim.nowMS + sim.leaderClock.offsetMS
 	return sim.applyEffect(Effect{Action: &op}, Timestamp{ControllerMS: operatorMS, UncertaintyMS: 250}, 0)
--- a/internal/release/canary_test.go
+++ b/internal/release/canary_test.go
@@ -257,8 +257,8 @@
 	t.Logf("%d of %d healthy releases completed", completed, seeds)
 }
 
-// Guards against a slow rollback from the least favourable moment: half of the units are updated, and no bake has extended
-// the rollout.
+// Guards against a slow rollback from the least favourable moment: half of the units are updated, and only one bake of 5 s
+// has extended the rollout.
 func TestRollbackFromTheMiddle(t *testing.T) {
 	model := newClusterModel(t, disruption.KindServer, 4, 25, 8)
 	model.startRelease(serverPlan)
--- a/internal/release/controller/controller.go
+++ b/internal/release/controller/controller.go
@@ -27,7 +27,7 @@
 	callTimeout       = 3 * time.Second        // of one observation or write; a registry election takes about two seconds
 	minBackoff        = 500 * time.Millisecond
 	maxBackoff        = 5 * time.Second
-	judgeInterval     = time.Second // between two intervals of the judge
+	judgeInterval     = time.Second // minimum length of an interval of the judge
 
 	// cohortTTL is how long a cohort's directive is valid after it was written, and cohortRefreshInterval the time until it is
 	// written again, so that two consecutive writes may fail.
@@ -73,8 +73,8 @@
 	Strata int
 	// ConfigText returns the text of a unit's configuration, the same text at each call. Nil: the platform has the text.
 	ConfigText func(unit, config string) (string, error)
-	// PrepareUnit makes everything that only this server serves available on other servers, and reports whether it is. Nil:
-	// nothing is served by only one server.
+	// PrepareUnit makes everything that only this server serves available on other servers, and reports whether all of it is
+	// available there. Nil: nothing is served by only one server.
 	PrepareUnit func(ctx context.Context, unit string) (bool, error)
 }
 
--- a/internal/release/controller/fakecluster_test.go
+++ b/internal/release/controller/fakecluster_test.go
@@ -90,7 +90,6 @@
 	return cluster
 }
 
-// mustList returns the platform's list.
 func (f *fakeCluster) mustList() *supervisor.List {
 	list, err := f.platform.List(context.Background())
 	if err != nil {
--- a/internal/release/controller/observe.go
+++ b/internal/release/controller/observe.go
@@ -26,7 +26,8 @@
 	platform *supervisor.List   // nil: the platform did not answer
 }
 
-// read reads the registry and the platform. No decision is possible without the registry, but the platform may not answer.
+// read reads the registry and the platform. An error of the registry ends the step, because no decision is possible without
+// the registry. If the platform does not answer, the observation has no platform list.
 func (t *leaseTerm) read(ctx context.Context) (*observation, error) {
 	ledger, err := t.Store.LedgerView(ctx, true, true)
 	if err != nil {
--- a/internal/release/controller/term.go
+++ b/internal/release/controller/term.go
@@ -39,7 +39,7 @@
 
 	drains               *release.DrainTracker
 	analysis             *release.WaveAnalysis
-	previousIntervalAt   time.Time                // of the judge
+	previousIntervalAt   time.Time                // end of the judge's previous interval
 	previousPlatformList *supervisor.List         // platform list of the judge's previous interval
 	reportTimes          map[string]time.Duration // when the reports of the previous interval were received, by sidecar
 
--- a/internal/release/crash_test.go
+++ b/internal/release/crash_test.go
@@ -98,7 +98,7 @@
 	const zones, unitsPerZone, maxUnavailable = 2, 3, 2
 	model := newClusterModel(t, s.kind, zones, unitsPerZone, maxUnavailable)
 	model.bugs = bugs
-	model.hidesEndedPermits = planned.effectIndex%2 == 0
+	model.hidesEndedPermits = planned.effectIndex%2 == 0 // -2 hides them in a run without a crash
 	if s.plan == "" {
 		model.startDrain("r", "server/a0", "server/b1")
 	} else {
--- a/internal/release/faults_test.go
+++ b/internal/release/faults_test.go
@@ -132,7 +132,6 @@
 	return found
 }
 
-// scenarioNamed returns the scenario of a name.
 func scenarioNamed(t *testing.T, name string) *scenario {
 	t.Helper()
 	for i := range scenarios {
--- a/internal/release/fixtures_test.go
+++ b/internal/release/fixtures_test.go
@@ -94,7 +94,6 @@
 	return logLines.Bytes(), snapshotLines.Bytes()
 }
 
-// jsonLine encodes a value as one line of JSON.
 func jsonLine(t *testing.T, value any) []byte {
 	t.Helper()
 	line, err := json.Marshal(value)
--- a/internal/release/judge/judge_test.go
+++ b/internal/release/judge/judge_test.go
@@ -177,7 +177,8 @@
 	}
 }
 
-// No single interval shows a regression, however bad its counts: chance may decide which servers its requests reach.
+// One interval, and even four, show no regression, however bad their counts: chance may decide which servers the requests
+// of an interval reach.
 func TestOneIntervalIsNoRegression(t *testing.T) {
 	judge := New(testSettings)
 	bad := ClassSample{
--- a/internal/release/lifecycle_test.go
+++ b/internal/release/lifecycle_test.go
@@ -93,8 +93,8 @@
 	checkEnd(t, model, 300, PhaseRolledBack, "")
 }
 
-// Guards against units that go out after a halt or stay out under it. The halt comes at every tick, so it also crosses each
-// grant. A unit that is out has to return or finish, and the release has to complete after a resume.
+// Guards against units that go out after a halt or stay out under it. Each run halts the release at another tick, so that
+// halts also cross each grant. A unit that is out has to return or finish, and the release has to complete after a resume.
 func TestHaltAtEveryTick(t *testing.T) {
 	const haltTicks = 60
 	for haltTick := range 80 {
--- a/internal/release/plan/waves.go
+++ b/internal/release/plan/waves.go
@@ -33,7 +33,7 @@
 }
 
 // AssignWaves divides the selected units, in their order, among the plan's waves, and returns the units' IDs by wave. Within
-// a wave the units are grouped by zone, because planned disruptions never affect two zones at once.
+// a wave the units are grouped by zone, because planned disruptions are not meant to affect two zones at once.
 func AssignWaves(p *Plan, selected []disruption.Unit) [][]string {
 	remaining, zones := map[string][]string{}, []string{}
 	for i := range selected {
