--- a/internal/disruption/apply.go
+++ b/internal/disruption/apply.go
@@ -51,7 +51,7 @@
 	}
 	permit := l.openPermits[id]
 	if permit == nil {
-		return resultOfRepeat(op, existing)
+		return resultForClosed(op, existing)
 	}
 	switch op.Kind {
 	case OpBegin:
@@ -75,10 +75,10 @@
 	return l.closedPermits[id]
 }
 
-// resultOfRepeat returns the result of an operation on a closed permit. A begin, a return and the completion of a
+// resultForClosed returns the result of an operation on a closed permit. A begin, a return and the completion of a
 // cancelled permit are rejected, because they are no longer possible. Any other operation is applied without a change,
 // as in a retry after a lost response.
-func resultOfRepeat(op *Op, closed *Permit) Result {
+func resultForClosed(op *Op, closed *Permit) Result {
 	if op.Kind == OpBegin || op.Kind == OpReturn || op.Kind == OpComplete && closed.Stage == StageCancelled {
 		return rejected("permit %s is %s", closed.ID, closed.Stage)
 	}
--- a/internal/maintenance/reconcile_stages.go
+++ b/internal/maintenance/reconcile_stages.go
@@ -59,7 +59,7 @@
 		return p.reconcileReturning(window)
 	case window.Stage == StageAwaitingPermit:
 		return p.reconcileAwaitingPermit(window)
-	case p.activePermit(window) != "": // of an earlier attempt that took no server out: cancel it before the next attempt
+	case p.openPermitStage(window) != "": // of an earlier attempt that took no server out: cancel it before the next attempt
 		return ledgerAction(disruption.OpCancel, window)
 	case window.Stage == StageProposed:
 		return p.schedule(window)
@@ -78,8 +78,8 @@
 	}
 }
 
-// activePermit returns the stage of the window's permit; "" if the permit has ended or was not requested yet.
-func (p *reconcilePass) activePermit(window *Window) disruption.Stage {
+// openPermitStage returns the stage of the window's permit; "" if the permit has ended or was not requested yet.
+func (p *reconcilePass) openPermitStage(window *Window) disruption.Stage {
 	stage := p.view.PermitStages[window.PermitID()]
 	if permitEnded(stage) {
 		return ""
@@ -187,7 +187,7 @@
 }
 
 func (p *reconcilePass) reconcileDraining(window *Window) Action {
-	permit := p.activePermit(window)
+	permit := p.openPermitStage(window)
 	haltReason, halted := p.table.haltReason(window)
 	switch {
 	case !p.approvalsCurrent(window):
@@ -246,7 +246,7 @@
 		return returnTo(StageHalted, p.table.ClockFault())
 	case p.now.latest+p.table.EstimatedReturnMS()+CloseMarginMS >= window.ClosesAtMS:
 		return returnTo(StageHalted, reasonCloseReached)
-	case p.activePermit(window) == "":
+	case p.openPermitStage(window) == "":
 		return returnTo(StageHalted, reasonPermitRevoked)
 	}
 	return p.extendExclusion(window)
@@ -257,7 +257,7 @@
 	for _, uid := range window.ServerUIDs {
 		allReady = allReady && p.view.OutOfService[uid].Ready
 	}
-	switch permit := p.activePermit(window); {
+	switch permit := p.openPermitStage(window); {
 	case permit == disruption.StageRequested || permit == disruption.StageGranted: // the disruption has not begun
 		return ledgerAction(disruption.OpCancel, window)
 	case permit == disruption.StageActive:
