--- a/cmd/milldeck/fleet.go
+++ b/cmd/milldeck/fleet.go
@@ -75,7 +75,7 @@
 
 func newFleetResume() *cobra.Command { return newHaltCommand(disruption.OpResume, "Ends a halt") }
 
-// newHaltCommand returns a command that sets or ends a halt. It has the name of the operation.
+// newHaltCommand returns a command that sets or ends a halt. The command has the name of the operation kind.
 func newHaltCommand(kind disruption.OpKind, short string) *cobra.Command {
 	var operator, reason, scope string
 	command := newClientCommand(string(kind), short, 0, func(ctx context.Context, command *cobra.Command, flags *clientFlags, client *registry.Client, _ []string) error {
--- a/cmd/milldeck/fleet_budgets.go
+++ b/cmd/milldeck/fleet_budgets.go
@@ -49,8 +49,8 @@
 		Use:   "budgets [FILE]",
 		Short: "Prints the budgets (how much may be unavailable at a time), or sets them from a file",
 		Long: "budgets prints the current budgets. With a file, it replaces them: it sets the budgets of the file, and\n" +
-			"then deletes those that the file lacks. In this order the fleet never has weaker limits than the old or the\n" +
-			"new budgets set. docs/ledger.md, \"Budgets\", describes the limits that apply without a budget.\n\n" +
+			"then deletes those that the file lacks, so that these apply until all budgets of the file are set.\n" +
+			"docs/ledger.md, \"Budgets\", describes the limits that apply without a budget.\n\n" +
 			exitHelp,
 		Example: "  milldeck fleet budgets\n  milldeck fleet budgets budgets.toml --by ana",
 		Args:    cobra.MaximumNArgs(1),
--- a/cmd/milldeck/lab_sweep.go
+++ b/cmd/milldeck/lab_sweep.go
@@ -34,7 +34,6 @@
 	command.Flags().StringVar(&f.policy, "policy", sim.PolicyModule, "balancing policy in sim")
 }
 
-// planRunner runs one plan.
 type planRunner func(context.Context, *lab.Plan) (*lab.Result, error)
 
 // load returns the experiment, the seeds, and the function that runs a plan in the selected mode.
--- a/cmd/milldeck/registry_serve.go
+++ b/cmd/milldeck/registry_serve.go
@@ -45,7 +45,7 @@
 	Raft string `toml:"raft"`
 }
 
-// expiryFile limits mass expiry.
+// expiryFile limits the share of registrations that may expire within a time window; see registry.ExpiryPolicy.
 type expiryFile struct {
 	MaxShare float64 `toml:"share"` // of the registrations
 	WindowS  float64 `toml:"within_s"`
--- a/cmd/milldeck/registry_snapshot.go
+++ b/cmd/milldeck/registry_snapshot.go
@@ -86,7 +86,6 @@
 	Version   int    `json:"version"`
 }
 
-// describeSnapshot prints the description of a snapshot.
 func describeSnapshot(out io.Writer, flags *clientFlags, data []byte) error {
 	state, err := registry.ReadSnapshot(bytes.NewReader(data))
 	if err != nil {
--- a/internal/faultsoak/agent.go
+++ b/internal/faultsoak/agent.go
@@ -41,7 +41,7 @@
 	list             []endpoint         // by server
 	changed          chan struct{}      // closed and replaced at each change
 	changedRevisions []int64            // by server: the revision of its last change
-	downUntil        time.Time          // until then the agent sends nothing; the soak publishes no changes to it before
+	downUntil        time.Time          // the agent sends nothing before this time, and the soak publishes no changes to it
 	cancelWatches    context.CancelFunc // resets the open watches
 	watchCtx         context.Context
 	watchGeneration  int // watches that began in an earlier generation send nothing more
--- a/internal/faultsoak/oracle.go
+++ b/internal/faultsoak/oracle.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// attemptSentAt returns the time at which the attempt that led to an execution was sent, because a server that hangs may execute
-// it long afterwards. If no such attempt is recorded, it returns the time of the execution.
+// attemptSentAt returns the time at which the attempt that led to an execution was sent. A server that hangs may execute the
+// attempt long after that time. If no such attempt is recorded, attemptSentAt returns the time of the execution.
 func (r *requestRecord) attemptSentAt(executed execution) time.Time {
 	sent := executed.At
 	for _, attempt := range r.Attempts {
@@ -186,8 +186,8 @@
 	overloadDuration time.Duration
 }
 
-// checkSlowStarts checks that no server in slow start gets more attempts, mostly from sidecars that know of its start, than the
-// settings and the random deviation allow.
+// checkSlowStarts checks that no server in slow start gets more attempts than the settings and the random deviation allow. It
+// skips windows in which too few attempts come from sidecars that know of the start; see worstWindow.
 func (r *records) checkSlowStarts(rules slowStartRules) []Violation {
 	starts := map[string]listRecord{}
 	for _, list := range r.lists {
--- a/internal/faultsoak/records.go
+++ b/internal/faultsoak/records.go
@@ -41,14 +41,14 @@
 }
 
 const (
-	// maxDeadlineCounted is the part of the longest deadline by which the protocol delays SIGKILL at most.
+	// maxDeadlineCounted limits how much of the longest deadline counts towards the time between SIGTERM and SIGKILL, by the
+	// protocol.
 	maxDeadlineCounted = 3 * time.Second
-	// graceAfterTerm is added to the longest deadline to get the time of SIGKILL. A request that is sent later than this after
-	// SIGTERM counts as lost if it is unanswered at SIGKILL.
+	// graceAfterTerm is added to the counted part of the longest deadline to get the time between SIGTERM and SIGKILL. A
+	// request that is sent more than graceAfterTerm after SIGTERM counts as lost if it is unanswered at SIGKILL.
 	graceAfterTerm = 700 * time.Millisecond
 )
 
-// requestRecord records one request.
 type requestRecord struct {
 	ID      string
 	Class   *class
--- a/internal/faultsoak/shim/shim_test.go
+++ b/internal/faultsoak/shim/shim_test.go
@@ -64,7 +64,6 @@
 	}
 }
 
-// shimmedProgram is a program under the shim.
 type shimmedProgram struct {
 	t          *testing.T
 	supervisor *Supervisor
--- a/internal/hotkey/demand.go
+++ b/internal/hotkey/demand.go
@@ -6,8 +6,8 @@
 const scaleUpMargin = 1.15
 
 // headroom returns the fraction of a server's capacity that a key with the given load may use beside all other load:
-// maxHeadroom is computed from the other load that reports show, minHeadroom from the largest possible other load. The
-// former decides whether a key is too hot for its servers, the latter whether other servers have capacity to spare.
+// maxHeadroom is computed from the other load that reports show, and decides whether a key is too hot for its servers.
+// minHeadroom is computed from the largest possible other load, and decides whether other servers have capacity to spare.
 func (p *Planner) headroom(lower float64) (maxHeadroom, minHeadroom float64) {
 	if p.fleet.totalCapacity == 0 {
 		return 0, 0
@@ -41,8 +41,9 @@
 	}
 }
 
-// updateDemand computes the capacity that a key requires. It requires more than the planned capacity only if that is too
-// little for the lower bound of the load, because the lower bound rises fast and the key shares its servers.
+// updateDemand computes the capacity that a key requires: at least the capacity before a drain. Otherwise, a key requires
+// more than its planned capacity only if the lower bound of its load exceeds what that capacity can serve, because the
+// lower bound rises fast and the key shares its servers with other load.
 func (p *Planner) updateDemand(k *replicatedKey) {
 	k.loadLowerBound = p.scaleUpLoad(k.key)
 	k.maxHeadroom, k.minHeadroom = p.headroom(k.loadLowerBound)
--- a/internal/hotkey/load_aggregator.go
+++ b/internal/hotkey/load_aggregator.go
@@ -17,15 +17,15 @@
 	sidecarTimeout = 30.0
 	// maxSidecars limits the sidecars whose reports are stored, to a few MB.
 	maxSidecars = 4096
-	// minReporters is the number of sidecars that must report a key, unless fewer sidecars report at all. One sidecar
-	// accounts for at most an equal part among that many.
+	// minReporters is the number of sidecars that must report a key; if fewer sidecars report at all, all of them must. One
+	// sidecar accounts for at most an equal part, 1/minReporters, of a key's lower bound.
 	minReporters = 4
 	// outlierFactor limits a sidecar's total load to a multiple of the median over all sidecars. A report above it is
 	// ignored.
 	outlierFactor = 8.0
 	// outlierMinRequests is the rate in requests per second up to which a sidecar is never an outlier.
 	outlierMinRequests = 10
-	// minObservedFraction is the smallest fraction of a sidecar's load that its average is assumed to show soon after its start.
+	// minObservedFraction is the fraction of a new sidecar's load that its average is assumed to show at least.
 	minObservedFraction = 0.4
 	// noiseDeviations is the number of standard deviations that are subtracted from a measured load for its lower bound.
 	noiseDeviations = 3.0
--- a/internal/hotkey/planner.go
+++ b/internal/hotkey/planner.go
@@ -73,8 +73,8 @@
 // AddReport handles a sidecar's load report that was received at time now. It returns false if the report is invalid or
 // the limit of sidecars is reached; such a report counts as lost.
 //
-// The responses of replicas are derived from reports, too: a sidecar that follows a directive sends each replica its
-// fraction of the key's requests that the sidecar reports.
+// The responses of replicas are derived from reports, too: a sidecar that follows a directive sends each replica the
+// fraction of the key's requests that the directive states.
 func (p *Planner) AddReport(now float64, report *placement.LoadReport) (accepted bool) {
 	previous := p.loads.reports[report.Sidecar]
 	if !p.loads.add(now, report) {
--- a/internal/hotkey/replica.go
+++ b/internal/hotkey/replica.go
@@ -66,7 +66,7 @@
 }
 
 // estimateResponses returns the number of responses that the replica has given according to the observations. One sidecar
-// accounts for at most an equal part among requiredReporters sidecars, so that no sidecar alone makes a replica warm.
+// accounts for at most 1/requiredReporters of the result, so that no sidecar alone makes a replica warm.
 func (r *replica) estimateResponses(observed []observation, requiredReporters int) float64 {
 	total, largest := 0.0, 0.0
 	for _, seen := range observed {
@@ -75,7 +75,7 @@
 		case seen.toRevision < r.revision:
 			continue
 		case seen.fromRevision < r.revision:
-			requests /= 2 // the sidecar adopted the directive at an unknown time in between; half of it is assumed
+			requests /= 2 // the sidecar adopted the directive at an unknown time in between, so half of the requests count
 		}
 		total += requests
 		largest = math.Max(largest, requests)
--- a/internal/hotkey/replicated_key.go
+++ b/internal/hotkey/replicated_key.go
@@ -34,7 +34,7 @@
 // observation is what one or more successive reports of a sidecar show of a key.
 type observation struct {
 	sidecar  string
-	requests float64 // received since the report before these
+	requests float64 // that the sidecar received in the time that these reports cover
 	// fromRevision and toRevision are the revisions of the placement that the sidecar followed at the start and the end of
 	// that time.
 	fromRevision, toRevision uint64
@@ -83,8 +83,8 @@
 	k.observed[i] = next
 }
 
-// creditResponses adds to the responses of replicas by the observed requests, once enough sidecars have reported. Replicas on
-// overloaded servers get none.
+// creditResponses increases the replicas' numbers of responses by estimates from the observed requests, once enough sidecars
+// have reported. It credits none to replicas on overloaded servers.
 func (k *replicatedKey) creditResponses(fleet *fleetView, requiredReporters int) {
 	if len(k.observed) < requiredReporters {
 		return
--- a/internal/loadreport/bench_test.go
+++ b/internal/loadreport/bench_test.go
@@ -72,8 +72,8 @@
 }
 
 // BenchmarkFleetSecond measures the core-seconds that a collector takes for the reports of 2,000 sidecars in a second:
-// for its handler alone, and for a separate process with one connection for each batch, which is 2,000 connections in
-// batches of one report.
+// for its handler alone, and for a separate process with one connection per batch. With one report per batch, there are
+// 2,000 connections.
 func BenchmarkFleetSecond(b *testing.B) {
 	for _, counts := range []bool{false, true} {
 		for _, batchSize := range []int{1, 50} {
--- a/internal/loadreport/collector.go
+++ b/internal/loadreport/collector.go
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// addBatch adds all reports of a batch. OverCapacity is true if any report was rejected because of MaxSidecars. The error
-// invalid joins the errors of the invalid reports, each with the report's index.
+// addBatch adds all reports of a batch. The result overCapacity is true if any report was rejected because of MaxSidecars.
+// The error invalid joins the errors of the invalid reports, each with the report's index.
 func (c *Collector) addBatch(reports []placement.LoadReport) (overCapacity bool, invalid error) {
 	for i := range reports {
 		switch err := c.Add(&reports[i]); {
