--- a/internal/faultsoak/bad_clients.go
+++ b/internal/faultsoak/bad_clients.go
@@ -132,7 +132,7 @@
 	c.mu.Lock()
 	c.descriptorsExhaustedUntil = laterOf(c.descriptorsExhaustedUntil, until.Add(clientDialTimeout))
 	c.mu.Unlock()
-	c.holdIdleConnections(crowdConnections, until)
+	c.holdIdleConnections(exhaustingConnections, until)
 }
 
 // descriptorsExhausted reports whether exhaustDescriptors is active or ended less than clientDialTimeout ago. The sidecar may
--- a/internal/faultsoak/clients.go
+++ b/internal/faultsoak/clients.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	requestsPerSecond = 24                     // to each sidecar
-	answerGrace       = 500 * time.Millisecond // a response this late has no value for the client; a later one counts as lost
-	hostSlack         = 150 * time.Millisecond // scheduling delay of the machine that runs the soak
-	badClientTimeout  = 3 * time.Second        // a client that stops gets an error or a close within this time
-	newConnsAfterTerm = 400 * time.Millisecond // clients open new connections until this long after SIGTERM
-	maxSlowWritePause = 400 * time.Millisecond
-	minTimeoutShare   = 0.4
-	maxBodyBytes      = 3000
-	distinctKeys      = 200
-	floodRequests     = 40
-	pipelineRequests  = 6
-	idleConnections   = 80
-	crowdConnections  = 420 // more than the file descriptors that a sidecar may open
+	requestsPerSecond     = 24                     // to each sidecar
+	answerGrace           = 500 * time.Millisecond // a response this late has no value for the client; a later one counts as lost
+	hostSlack             = 150 * time.Millisecond // scheduling delay of the machine that runs the soak
+	badClientTimeout      = 3 * time.Second        // a client that stops gets an error or a close within this time
+	newConnsAfterTerm     = 400 * time.Millisecond // clients open new connections until this long after SIGTERM
+	maxSlowWritePause     = 400 * time.Millisecond
+	minTimeoutShare       = 0.4
+	maxBodyBytes          = 3000
+	distinctKeys          = 200
+	floodRequests         = 40
+	pipelineRequests      = 6
+	idleConnections       = 80
+	exhaustingConnections = 420 // more than the file descriptors that a sidecar may open
 	// Connections that clients open just before SIGTERM, and the interval at which they send on each idle connection after it.
 	warmConnections   = 6
 	reuseIdleInterval = 60 * time.Millisecond
@@ -81,7 +81,7 @@
 		c.flood(random)
 	case c.faults.hits(faultPipelining, random) && draw < 0.4 || draw < 0.02:
 		c.pipeline(random)
-	case c.faults.hits(faultLeaving, random) || draw < 0.06:
+	case c.faults.hits(faultDisconnect, random) || draw < 0.06:
 		c.disconnectEarly(random)
 	case draw < 0.10:
 		c.sendRequest("slow", maxSlowWritePause, random)
--- a/internal/faultsoak/inject.go
+++ b/internal/faultsoak/inject.go
@@ -21,7 +21,7 @@
 		err = target.kill(s.ctx)
 	case faultReload:
 		err = target.reload(planned.Signals)
-	case faultHold:
+	case faultSuspend:
 		target.suspend(planned.For)
 	case faultClockStep:
 		s.stepClocks(planned.Step)
@@ -37,11 +37,11 @@
 		srv.faults.add(planned.Kind, until, planned.Share)
 	case faultAgentDown, faultWatchSilent, faultWatchReset:
 		s.disturbDiscovery(planned, target, until)
-	case faultLeaving, faultFlood, faultPipelining:
+	case faultDisconnect, faultFlood, faultPipelining:
 		s.clients[planned.Sidecar].faults.add(planned.Kind, until, planned.Share)
 	case faultIdle:
 		s.clients[planned.Sidecar].holdIdleConnections(idleConnections, until)
-	case faultCrowd:
+	case faultDescriptorExhaustion:
 		s.clients[planned.Sidecar].exhaustDescriptors(until)
 	}
 	if err != nil && s.ctx.Err() == nil {
--- a/internal/faultsoak/plan.go
+++ b/internal/faultsoak/plan.go
@@ -14,35 +14,35 @@
 type faultKind string
 
 const (
-	faultTerminate   faultKind = "sidecar-terminate" // SIGTERM, then a new process
-	faultKill        faultKind = "sidecar-kill"      // SIGKILL, then a new process
-	faultReload      faultKind = "sidecar-reload"    // SIGHUP with a configuration that names the other agent
-	faultHold        faultKind = "sidecar-hold"      // SIGSTOP for up to 0.15 s
-	faultClockStep   faultKind = "clock-step"        // of the wall clock that sidecars and servers share
-	faultSystemCall  faultKind = "system-call"       // a share of the calls of one system call fails
-	faultRestart     faultKind = "server-restart"    // killed and started again in slow start
-	faultDrain       faultKind = "server-drain"      // published as terminating, perhaps removed, then ready again
-	faultFreeze      faultKind = "server-freeze"     // SIGSTOP for a time
-	faultErrors      faultKind = "server-errors"     // response 500, or 503 marked as not processed
-	faultReset       faultKind = "server-reset"      // connections are reset during requests
-	faultCut         faultKind = "link-cut"          // the link transfers nothing
-	faultResponses   faultKind = "responses"         // without a length, in pieces, in chunks, twice, cut short
-	faultAgentDown   faultKind = "discovery-down"    // agents send nothing and get no changes
-	faultWatchSilent faultKind = "discovery-silent"  // open watches send nothing more
-	faultWatchReset  faultKind = "discovery-reset"   // open watches are reset
-	faultLeaving     faultKind = "clients-leave"     // many clients disconnect early
-	faultFlood       faultKind = "clients-flood"     // many clients send many requests at once and disconnect
-	faultPipelining  faultKind = "clients-pipeline"  // many clients send several requests at once
-	faultIdle        faultKind = "clients-idle"      // many idle connections
-	faultCrowd       faultKind = "clients-crowd"     // idle connections use up the file descriptors
+	faultTerminate            faultKind = "sidecar-terminate" // SIGTERM, then a new process
+	faultKill                 faultKind = "sidecar-kill"      // SIGKILL, then a new process
+	faultReload               faultKind = "sidecar-reload"    // SIGHUP with a configuration that names the other agent
+	faultSuspend              faultKind = "sidecar-hold"      // SIGSTOP for up to 0.15 s
+	faultClockStep            faultKind = "clock-step"        // of the wall clock that sidecars and servers share
+	faultSystemCall           faultKind = "system-call"       // a share of the calls of one system call fails
+	faultRestart              faultKind = "server-restart"    // killed and started again in slow start
+	faultDrain                faultKind = "server-drain"      // published as terminating, perhaps removed, then ready again
+	faultFreeze               faultKind = "server-freeze"     // SIGSTOP for a time
+	faultErrors               faultKind = "server-errors"     // response 500, or 503 marked as not processed
+	faultReset                faultKind = "server-reset"      // connections are reset during requests
+	faultCut                  faultKind = "link-cut"          // the link transfers nothing
+	faultResponses            faultKind = "responses"         // without a length, in pieces, in chunks, twice, cut short
+	faultAgentDown            faultKind = "discovery-down"    // agents send nothing and get no changes
+	faultWatchSilent          faultKind = "discovery-silent"  // open watches send nothing more
+	faultWatchReset           faultKind = "discovery-reset"   // open watches are reset
+	faultDisconnect           faultKind = "clients-leave"     // many clients disconnect early
+	faultFlood                faultKind = "clients-flood"     // many clients send many requests at once and disconnect
+	faultPipelining           faultKind = "clients-pipeline"  // many clients send several requests at once
+	faultIdle                 faultKind = "clients-idle"      // many idle connections
+	faultDescriptorExhaustion faultKind = "clients-crowd"     // idle connections use up the file descriptors
 )
 
 // allFaults are the kinds to draw from. Kinds that are listed twice are drawn twice as often.
 var allFaults = []faultKind{
-	faultTerminate, faultTerminate, faultKill, faultReload, faultHold, faultClockStep, faultSystemCall, faultSystemCall,
+	faultTerminate, faultTerminate, faultKill, faultReload, faultSuspend, faultClockStep, faultSystemCall, faultSystemCall,
 	faultRestart, faultDrain, faultFreeze, faultErrors, faultReset, faultCut, faultResponses,
-	faultAgentDown, faultWatchSilent, faultWatchReset, faultLeaving, faultFlood, faultPipelining, faultPipelining, faultIdle,
-	faultCrowd,
+	faultAgentDown, faultWatchSilent, faultWatchReset, faultDisconnect, faultFlood, faultPipelining, faultPipelining, faultIdle,
+	faultDescriptorExhaustion,
 }
 
 // parseFaultKinds returns the kinds with the given names, or allFaults for no names. The error names the first unknown kind.
@@ -121,7 +121,7 @@
 const (
 	firstFaultAt   = 1500 * time.Millisecond // the sidecars have connected to the servers by then
 	maxFaultLength = 2500 * time.Millisecond
-	maxHold        = 150 * time.Millisecond // the platform's standing test suspends a process for at most this long
+	maxSuspension  = 150 * time.Millisecond // the platform's standing test suspends a process for at most this long
 	maxCallFailure = time.Second
 )
 
@@ -160,8 +160,8 @@
 		drawn.Signals = reloadSequences[random.IntN(len(reloadSequences))]
 	case faultDrain:
 		drawn.Removed = random.IntN(2) == 0
-	case faultHold:
-		drawn.For = time.Duration((0.5 + 0.5*random.Float64()) * float64(maxHold))
+	case faultSuspend:
+		drawn.For = time.Duration((0.5 + 0.5*random.Float64()) * float64(maxSuspension))
 	case faultClockStep:
 		steps := []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second}
 		drawn.Step = steps[random.IntN(len(steps))]
--- a/internal/hotkey/replicated_key.go
+++ b/internal/hotkey/replicated_key.go
@@ -16,11 +16,11 @@
 	key      uint64
 	replicas []*replica
 
-	loadLowerBound   float64 // at the last plan, ms of work per second
-	requiredCapacity float64 // that home servers and replicas together need, ms of work per second
-	capacityAtDrain  float64 // of the key's servers before a drain of one of them began; 0 if none drains
-	maxHeadroom      float64 // upper bound of the fraction of a server's capacity that the key may use
-	minHeadroom      float64 // lower bound of the same
+	loadLowerBound     float64 // at the last plan, ms of work per second
+	requiredCapacity   float64 // that home servers and replicas together need, ms of work per second
+	capacityAtDrain    float64 // of the key's servers before a drain of one of them began; 0 if none drains
+	headroomUpperBound float64 // upper bound of the fraction of a server's capacity that the key may use
+	headroomLowerBound float64 // lower bound of the same
 
 	scaleDownAfter float64 // time before which the key is not scaled down
 	uncertainSince float64 // time since which only bounds for unlisted keys prevent a scale-down; 0 if they do not
--- a/internal/hotkey/scale_down.go
+++ b/internal/hotkey/scale_down.go
@@ -75,7 +75,7 @@
 
 // scaleDownHeadroom returns the lower bound of the headroom for a key, at least MinHeadroom.
 func (p *Planner) scaleDownHeadroom(k *replicatedKey) float64 {
-	return math.Max(k.minHeadroom, p.config.MinHeadroom)
+	return math.Max(k.headroomLowerBound, p.config.MinHeadroom)
 }
 
 // replicasScarce reports whether the limit of replicas is reached and the load of the key is below reclaimThreshold.
--- a/internal/hotkey/scale_up.go
+++ b/internal/hotkey/scale_up.go
@@ -88,7 +88,7 @@
 	case len(k.replicas) >= maxLoadReplicas:
 		return 0
 	}
-	excess := k.loadLowerBound - k.maxHeadroom*c.capacity
+	excess := k.loadLowerBound - k.headroomUpperBound*c.capacity
 	replicaLoad := k.loadLowerBound * p.config.ServerCapacity / (c.capacity + p.config.ServerCapacity)
 	return math.Min(excess, replicaLoad)
 }
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -42,7 +42,7 @@
 }
 
 // schedulingAllowance is the longest time for which the process may be suspended between reading its clock and the write
-// that follows. The standing test suspends a process for up to this time; see maxHold of package faultsoak.
+// that follows. The standing test suspends a process for up to this time; see maxSuspension of package faultsoak.
 const schedulingAllowance = 150 * time.Millisecond
 
 // startAttempt starts an attempt of a call. A new goroutine sends it and posts its outcome.
