--- a/internal/hotkey/replicated_key.go
+++ b/internal/hotkey/replicated_key.go
@@ -16,11 +16,11 @@
 	key      uint64
 	replicas []*replica
 
-	loadLowerBound   float64 // at the last plan, ms of work per second
-	requiredCapacity float64 // that home servers and replicas together need, ms of work per second
-	capacityAtDrain  float64 // of the key's servers before a drain of one of them began; 0 if none drains
-	maxHeadroom      float64 // upper bound of the fraction of a server's capacity that the key may use
-	minHeadroom      float64 // lower bound of the same
+	loadLowerBound     float64 // at the last plan, ms of work per second
+	requiredCapacity   float64 // that home servers and replicas together need, ms of work per second
+	capacityAtDrain    float64 // of the key's servers before a drain of one of them began; 0 if none drains
+	headroomUpperBound float64 // upper bound of the fraction of a server's capacity that the key may use
+	headroomLowerBound float64 // lower bound of the same
 
 	scaleDownAfter float64 // time before which the key is not scaled down
 	uncertainSince float64 // time since which only bounds for unlisted keys prevent a scale-down; 0 if they do not
@@ -34,7 +34,7 @@
 // observation is what one or more successive reports of a sidecar show of a key.
 type observation struct {
 	sidecar  string
-	requests float64 // received since the report before these
+	requests float64 // that the sidecar received in the time that these reports cover
 	// fromRevision and toRevision are the revisions of the placement that the sidecar followed at the start and the end of
 	// that time.
 	fromRevision, toRevision uint64
@@ -83,8 +83,8 @@
 	k.observed[i] = next
 }
 
-// creditResponses adds to the responses of replicas by the observed requests, once enough sidecars have reported. Replicas on
-// overloaded servers get none.
+// creditResponses increases the replicas' numbers of responses by estimates from the observed requests, once enough sidecars
+// have reported. It credits none to replicas on overloaded servers.
 func (k *replicatedKey) creditResponses(fleet *fleetView, requiredReporters int) {
 	if len(k.observed) < requiredReporters {
 		return
