--- a/internal/lab/checker.go
+++ b/internal/lab/checker.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// minInformedShare is the least share of an overloaded server's work that comes from sidecars notified of its slow
-	// start. Below it the overload is no violation.
+	// minInformedShare is the share of a server's work that must come from sidecars notified of its slow start for an
+	// overload to be a violation.
 	minInformedShare = 2. / 3
 	// allSidecars is the key in Checker.excuses of the periods in which all sidecars are excused.
 	allSidecars = -1
--- a/internal/lab/control_checker.go
+++ b/internal/lab/control_checker.go
@@ -139,12 +139,12 @@
 	state.voluntary = voluntary && !state.isFaulted(now)
 	if state.voluntary {
 		c.checkBudgets(now, state)
-		c.countDisrupted(state.kind)
+		c.updateMaxDisrupted(state.kind)
 	}
 }
 
-// countDisrupted updates the highest number of simultaneous voluntary disruptions of a kind of unit.
-func (c *ControlPlaneChecker) countDisrupted(kind string) {
+// updateMaxDisrupted updates the highest number of simultaneous voluntary disruptions of a kind of unit.
+func (c *ControlPlaneChecker) updateMaxDisrupted(kind string) {
 	count := 0
 	for _, state := range c.units {
 		if state.kind == kind && state.outOfService && state.voluntary {
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -117,7 +117,7 @@
 
 // RulesSpec has the tolerances of the rules that sidecars are checked against.
 type RulesSpec struct {
-	DrainGraceMS     float64 `toml:"drain_grace_ms"`  // how long a server may still be sent requests after it drains
+	DrainGraceMS     float64 `toml:"drain_grace_ms"`  // how long a sidecar may send to a server after the notification of its drain
 	AnswerSlackMS    float64 `toml:"answer_slack_ms"` // how late the final response may be
 	OverloadMultiple float64 `toml:"fall_multiple"`   // work that overloads a warming-up server, in multiples of its capacity
 	OverloadWindowMS float64 `toml:"fall_ms"`         // window in which that work is counted
@@ -159,10 +159,10 @@
 	SlowStartS    Range   `toml:"cold_s"`    // length of the slow start; the capacity grows linearly
 
 	CongestionQueuePerCore float64 `toml:"choke_at"`      // requests waiting per core beyond which it gets congested; 0: never
-	CongestionAfterMS      float64 `toml:"choke_for_ms"`  // how long the queue must be that long first
+	CongestionAfterMS      float64 `toml:"choke_for_ms"`  // how long the queue must exceed CongestionQueuePerCore first
 	CongestionSlowdown     float64 `toml:"choke_slower"`  // factor by which a congested server is slower
 	CongestionIdleMS       float64 `toml:"choke_idle_ms"` // congestion ends after at most half of its cores were busy for this long
-	CongestionMaxMS        float64 `toml:"choke_most_ms"` // or after this long even without idle cores; 0: no limit
+	CongestionMaxMS        float64 `toml:"choke_most_ms"` // longest congestion, even without idle cores; 0: no limit
 
 	CacheGain  float64 `toml:"warm_gain"` // share of the work that a cached key saves; 0: keys are not cached
 	CacheTTLMS float64 `toml:"warm_ms"`   // how long a key stays cached after its last use
@@ -194,7 +194,7 @@
 	PriorityWeight      float64 `toml:"worth"`
 	Idempotency         string  `toml:"effect"`    // idempotencySafe, idempotencyKeyed or idempotencyUnsafe
 	DeduplicationScope  string  `toml:"group"`     // keyed: the servers that recognise a repeat, scopeAll, scopeZone or scopePod
-	IdempotencyWindowMS float64 `toml:"window_ms"` // how long they recognise it
+	IdempotencyWindowMS float64 `toml:"window_ms"` // keyed: how long servers recognise a repeat
 }
 
 // Kinds of phases.
--- a/internal/lab/experiment_validate.go
+++ b/internal/lab/experiment_validate.go
@@ -43,8 +43,8 @@
 	return v.err
 }
 
-// ValidateServer validates the classes and the only kind of servers of an experiment that was read from a separate file, which
-// has the kind of servers under the key "kind".
+// ValidateServer validates an experiment that was read from the file of a single server: its classes, and its only kind of
+// servers, which the file has under the key "kind".
 func (e *Experiment) ValidateServer(file *config.File) error {
 	v := &validator{file: file, keys: strings.NewReplacer("server[0]", "kind")}
 	e.validateServers(v)
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -177,7 +177,7 @@
 		replacement := p.addServer(p.Servers[oldIndex].KindIndex, p.Servers[oldIndex].Zone, rng)
 		old := &p.Servers[oldIndex]
 		replacement.Cell, replacement.StartMS = old.Cell, at
-		if spec.ReuseAddresses { // it cannot start before the old one has ended
+		if spec.ReuseAddresses { // the replacement cannot start before the old server has ended
 			replacement.AddressSlot = old.AddressSlot
 			replacement.StartMS = at + p.DrainDurationMS() + addressReuseGapMS
 		}
--- a/internal/lab/regression.go
+++ b/internal/lab/regression.go
@@ -11,7 +11,7 @@
 	FailsAtStart         bool    `toml:"fails_at_start"` // it exits with status 1 before it listens
 	ErrorShare           float64 `toml:"error_share"`    // of its requests, which fail without doing their work
 	Slowdown             float64 `toml:"slower_by"`      // factor by which its work takes longer
-	SlowdownAboveLoad    float64 `toml:"slower_above"`   // only requests that find more others per core are slowed down
+	SlowdownAboveLoad    float64 `toml:"slower_above"`   // requests are slowed down only beyond this many others per core
 	Class                string  `toml:"class"`          // only requests of this class are affected; "": all classes
 	Tenant               string  `toml:"tenant"`         // only requests of this tenant are affected; "": all tenants
 	LeakMBPerSecond      float64 `toml:"leak_mb_s"`
--- a/internal/lab/server_capacity.go
+++ b/internal/lab/server_capacity.go
@@ -65,7 +65,7 @@
 // Congested reports whether too many waiting jobs have slowed the server down.
 func (s *Server) Congested(now float64) bool { return now >= s.congestedSince }
 
-// updateCongestion tracks whether the server is crowded, congested, or idle again.
+// updateCongestion begins or ends congestion, depending on the length of the queue and the use of the cores.
 func (s *Server) updateCongestion(now float64) {
 	switch {
 	case s.Plan.Spec.CongestionQueuePerCore == 0:
--- a/internal/lab/target.go
+++ b/internal/lab/target.go
@@ -95,7 +95,7 @@
 	return t, err
 }
 
-// minServers returns the number of servers that every draw of the experiment has.
+// minServers returns the least number of servers that a plan of the experiment can have.
 func (e *Experiment) minServers() int {
 	count := 0
 	for i := range e.Servers {
