--- a/internal/lab/controlplane/checker.go
+++ b/internal/lab/controlplane/checker.go
@@ -36,13 +36,13 @@
 	granted          bool  // a permit to take it out of service is in effect
 	outSinceGrant    bool  // it has been out of service since that permit
 	stopRequested    bool  // the platform has a request to stop its process
-	servedBeforeStop bool  // and that process had been in service for longer than detectionMS
+	servedBeforeStop bool  // when stopRequested was set, the process had been in service for longer than detectionMS
 	version          string
 	incarnation      uint64
 }
 
 // checker checks the rules. It observes processes, the endpoint list, the exclusions that sidecars apply, and grants as
-// they are written. It never takes from a table of the control plane which units are unavailable.
+// they are written. It never reads from a table of the control plane which units are unavailable.
 type checker struct {
 	cluster          *cluster
 	enabled          bool
@@ -146,7 +146,7 @@
 			continue
 		}
 		c.requirePermit(target, "stopped")
-		// A controller may have given up on a unit before it could know that the unit has just entered service.
+		// A controller may stop a unit as failed before it can know that the unit has just entered service.
 		observed.servedBeforeStop = observed.inService && c.cluster.nowMS-observed.inServiceSinceMS > detectionMS
 		observed.stopRequested = true
 	}
@@ -182,7 +182,8 @@
 	return ""
 }
 
-// observePhase records whether a release was ever halted or rolled back: its stopped units then restart on the old version.
+// observePhase records whether a release was ever halted or rolled back. Its stopped units then restart on the old version,
+// which ruleSingleStart allows.
 func (c *checker) observePhase(name string) {
 	state, _ := c.cluster.registry.releases.Get(name)
 	if state.Status.Phase != release.PhaseRollout && state.Status.Phase != release.PhaseCompleted {
--- a/internal/lab/controlplane/faults.go
+++ b/internal/lab/controlplane/faults.go
@@ -127,8 +127,8 @@
 	return target
 }
 
-// scheduleMinorityPartition schedules, in half of the simulations, a partition of a lease holder, with a replica that falls
-// behind, and of a tenth of the sidecars.
+// scheduleMinorityPartition schedules, in half of the simulations, a partition in which a lease holder reaches only a stale
+// replica of the registry, and a tenth of the sidecars do not reach their agents.
 func (c *cluster) scheduleMinorityPartition() {
 	if c.random.IntN(2) != 0 {
 		return
--- a/internal/lab/controlplane/maintenance_controller.go
+++ b/internal/lab/controlplane/maintenance_controller.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// applyEffect writes an effect, and passes the result to the reconciler that returned it.
+// applyEffect writes an effect, and passes the result to the reconciler that returned the effect.
 func (c *maintenanceController) applyEffect(effect maintenance.Effect, stamp maintenance.Timestamp) {
 	cluster, reconciler := c.process.cluster, c.reconciler
 	result, known := c.process.write(c.token, func() writeResult {
--- a/internal/lab/controlplane/release_controller.go
+++ b/internal/lab/controlplane/release_controller.go
@@ -13,8 +13,8 @@
 
 // Limits of a release controller.
 const (
-	// maxStepsPerTick bounds the steps of one tick. A controller takes the next step right after a write, which takes about
-	// 50 ms in a process.
+	// maxStepsPerTick bounds the steps of one tick. A controller takes the next step right after a write. In a real process
+	// a write takes about 50 ms.
 	maxStepsPerTick      = 4
 	analysisPeriodMS     = 1000 // between two samples
 	delayedWritePeriodMS = 3000 // for Defects.DelayReleaseWrites
--- a/internal/lab/sim/hotkey.go
+++ b/internal/lab/sim/hotkey.go
@@ -89,7 +89,7 @@
 	return config
 }
 
-// start starts the periodic measurements and, if it is enabled, the controller and the load reports.
+// start starts the periodic measurements and, if HotKeySpec.Enabled is set, the controller and the load reports.
 func (c *hotKeySimulation) start() {
 	c.repeat(congestionIntervalMS, congestionIntervalMS, func(float64) { c.countCongested() })
 	c.repeat(0, refreshIntervalMS, c.refreshServers)
--- a/internal/lab/sim/request.go
+++ b/internal/lab/sim/request.go
@@ -28,7 +28,7 @@
 	sidecar           *simSidecar
 	incarnation       int
 	server            *simServer
-	serverIncarnation int // the one to which it is connected
+	serverIncarnation int // the server's incarnation to which the attempt is connected
 	sentAt, deadline  float64
 	inFlight          bool
 	connected         bool
--- a/internal/lab/sim/sidecar.go
+++ b/internal/lab/sim/sidecar.go
@@ -21,7 +21,7 @@
 	up          bool
 	draining    bool // it accepts no new requests
 	frozen      bool
-	deferred    []func(now float64) // socket events that occurred while it is frozen
+	deferred    []func(now float64) // socket events that occurred while the sidecar was frozen
 
 	events      []balance.Event
 	actions     []balance.Action
