--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// maxSendDelay is the longest delay with which the lab still sends a request. It skips a request that is later,
-	// which would measure the lab's own machine.
+	// maxSendDelay is the longest delay with which the lab still sends a request. The lab skips a request that is later,
+	// because its latency would be that of the lab's own machine.
 	maxSendDelay = 50 * time.Millisecond
 	// lateResponseWait is how long a client keeps reading after the timeout, to distinguish a late response from a
 	// missing one.
@@ -177,7 +177,7 @@
 // sent, because a server may receive the request before the write returns.
 func (f *fleet) recordRequest(attempt clientAttempt) {
 	f.sentRequests.Store(attempt.requestID, &sentRequest{Arrival: attempt.arrival})
-	// A server may receive the request as long as the checker retains it.
+	// A server may receive the request for as long as the checker retains the request's history.
 	time.AfterFunc(milliseconds(attempt.timeoutMS)+sentRequestRetention, func() { f.sentRequests.Delete(attempt.requestID) })
 	f.checker.RequestSent(f.now(), attempt.requestID, attempt.arrival.Sidecar, attempt.arrival.Class, attempt.timeoutMS)
 }
--- a/internal/lab/live/direct_actions.go
+++ b/internal/lab/live/direct_actions.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	maxKeysWithCopies = 100              // for which placeCopies places copies
+	maxKeysWithCopies = 100              // keys for which placeCopies places copies
 	copyTTL           = 30 * time.Second // after which the placed copies expire
 	// hotKeyLease is the name of the hot-key controller's lease.
 	hotKeyLease = "spread"
 )
 
-// performAction performs a step that bypasses the controllers, which the checker has to detect.
+// performAction performs a step that bypasses the controllers. The checker has to detect the violation.
 func (c *controlPlane) performAction(ctx context.Context, stepNumber int, step *lab.StepSpec) error {
 	serverNumbers, sidecarNumbers := c.fleet.plan.MatchUnits(step.Target)
 	var servers, units []string
--- a/internal/lab/live/discovery.go
+++ b/internal/lab/live/discovery.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	keepAliveInterval = 2 * time.Second         // without a change, after which a watch sends an empty line
-	oldAddressGrace   = 1500 * time.Millisecond // after which a relocated agent closes the watches at its old address
+	keepAliveInterval = 2 * time.Second         // time without a change after which a watch sends an empty line
+	oldAddressGrace   = 1500 * time.Millisecond // time after which a relocated agent closes the watches at its old address
 	maxHistory        = 4096                    // changes retained for watches that resume at an older revision
 )
 
--- a/internal/lab/live/placement_watch.go
+++ b/internal/lab/live/placement_watch.go
@@ -23,7 +23,7 @@
 			if _, err := cache.Apply(update, now.UnixMilli(), now.Sub(startedAt).Milliseconds()); err != nil {
 				return err
 			}
-			c.applyPlacement(agent.sidecar, cache, now, now.Sub(startedAt).Milliseconds())
+			c.reportPlacement(agent.sidecar, cache, now, now.Sub(startedAt).Milliseconds())
 			return nil
 		}
 		client := c.fleet.registryService.client
@@ -34,8 +34,8 @@
 	}
 }
 
-// applyPlacement reports to the checker which servers a sidecar has to exclude, and where keys have copies.
-func (c *controlPlane) applyPlacement(sidecar int, cache *placement.Cache, wallTime time.Time, monotonicMS int64) {
+// reportPlacement reports to the checker which servers a sidecar has to exclude, and where keys have copies.
+func (c *controlPlane) reportPlacement(sidecar int, cache *placement.Cache, wallTime time.Time, monotonicMS int64) {
 	var exclusions []lab.Exclusion
 	var copies []lab.KeyCopy
 	for _, directive := range cache.Active(wallTime.UnixMilli(), monotonicMS).Directives {
--- a/internal/lab/live/process_watch.go
+++ b/internal/lab/live/process_watch.go
@@ -11,7 +11,7 @@
 
 const (
 	processPollInterval   = 20 * time.Millisecond // of the supervisor's child processes
-	readinessPollInterval = 50 * time.Millisecond // a draining sidecar reports that it is not ready for ten times as long
+	readinessPollInterval = 50 * time.Millisecond // a draining sidecar reports not ready for ten of these intervals
 	unitEnv               = "LAB_UNIT"
 	versionEnv            = "LAB_VERSION"
 )
@@ -128,8 +128,8 @@
 // isReady reports whether the readiness check at an address succeeds.
 func (c *controlPlane) isReady(address string) bool { return readinessStatus(address) == http.StatusOK }
 
-// watchSidecars polls each sidecar's readiness and reports it to the checker. A process that was ready and then answers
-// that it is not has been asked to terminate.
+// watchSidecars polls each sidecar's readiness and reports it to the checker. A process that was ready and then reports
+// not ready has been requested to terminate.
 func (c *controlPlane) watchSidecars() {
 	for _, sidecar := range c.fleet.sidecars {
 		unit := c.fleet.plan.Sidecars[sidecar.number].Name
@@ -161,7 +161,7 @@
 		replica := replicas[attempt%len(replicas)].HTTPAddr
 		apply := func(list *registry.EndpointList, _ time.Duration) error {
 			if list != nil && !c.finished.Load() {
-				c.applyEndpointList(states, list)
+				c.reportEndpointChanges(states, list)
 			}
 			return nil
 		}
@@ -171,8 +171,8 @@
 	}
 }
 
-// applyEndpointList reports the changes in a watch event to the checker. states has the last reported states.
-func (c *controlPlane) applyEndpointList(states map[string]string, list *registry.EndpointList) {
+// reportEndpointChanges reports the changes in a watch event to the checker. states has the states reported last.
+func (c *controlPlane) reportEndpointChanges(states map[string]string, list *registry.EndpointList) {
 	now := c.now()
 	next := map[string]string{}
 	for _, entry := range list.Targets {
--- a/internal/lab/live/server_process_test.go
+++ b/internal/lab/live/server_process_test.go
@@ -160,13 +160,13 @@
 		t.Parallel()
 		process, _ := startServer(t, "1, 1", "leak_mb_s = 200\nleak_most_mb = 20\n", true)
 		if err := process.Wait(); err == nil || !strings.Contains(process.Log(), "out of memory") {
-			t.Errorf("%v: %s", err, process.Log())
+			t.Errorf("exit %v, want an error and \"out of memory\" in the log: %s", err, process.Log())
 		}
 	})
 	t.Run("bad file", func(t *testing.T) {
 		t.Parallel()
 		if process, _ := startServer(t, "1, 1", "error_share = 2\n", false); process.Wait() == nil || !strings.Contains(process.Log(), "harm.toml:1: error_share") {
-			t.Errorf("its log: %s", process.Log())
+			t.Errorf("the process does not reject the regression file with its line and key; its log: %s", process.Log())
 		}
 	})
 }
