--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -22,7 +22,7 @@
 	FaultConnectionRefused     FaultKind = "refused"        // Target, Share: servers refuse connections
 	FaultReset                 FaultKind = "reset"          // Target, Share, Probability: connections are reset after the request was executed
 	FaultCorruptResponse       FaultKind = "spoilt"         // Target, Share, Probability: responses are corrupt; the request was executed
-	FaultPartition             FaultKind = "cut"            // Between, Direction: a network partition, nothing passes
+	FaultPartition             FaultKind = "cut"            // Between, Direction, or Target (replicas): a partition, nothing passes
 	FaultDelay                 FaultKind = "delay"          // Between, Direction, DelayMS: messages take longer
 	FaultPacketLoss            FaultKind = "loss"           // Between, Direction, Probability: requests or responses are lost
 	FaultZoneOutage            FaultKind = "zone-lost"      // Target (zone:X): its servers vanish and come back with a slow start
