--- a/internal/agent/list_sync.go
+++ b/internal/agent/list_sync.go
@@ -12,8 +12,8 @@
 const (
 	// maxListAge is the age of a replica's state above which the agent moves on to another replica.
 	maxListAge = 3 * time.Second
-	// registryHeartbeatTimeout bounds the time since the registry's last message for which the agent sends heartbeats to
-	// its sidecar. It is two heartbeat intervals of the registry.
+	// registryHeartbeatTimeout is the time after the registry's last message at which the agent stops sending heartbeats
+	// to its sidecar. It is two heartbeat intervals of the registry.
 	registryHeartbeatTimeout = 4 * time.Second
 	// confirmationDelay is the delay before the agent asks the same replica to confirm a list, if only one is configured.
 	confirmationDelay  = 2 * time.Second
--- a/internal/leaderelection/bench/log_analysis.go
+++ b/internal/leaderelection/bench/log_analysis.go
@@ -17,7 +17,7 @@
 const (
 	// maxViolations limits the violations that the result lists; a single violation makes a run a failure.
 	maxViolations = 20
-	// maxElectionTime is how long after the kill of a raft leader the election of another may cause a gap.
+	// maxElectionTime is the time after the kill of a raft leader within which the registry may have no leader.
 	maxElectionTime = 2 * time.Second
 )
 
@@ -94,8 +94,7 @@
 	return byToken
 }
 
-// applyEvent applies an event to the tenure t. It is nil if the process has not acquired the lease under the event's
-// token.
+// applyEvent applies an event to the tenure t. t is nil if the process has not acquired the lease under the event's token.
 func (b *benchRun) applyEvent(event *holderEvent, t *tenure) {
 	switch {
 	case event.Type == leaderelection.Waiting:
--- a/internal/leaderelection/clock/clock.go
+++ b/internal/leaderelection/clock/clock.go
@@ -135,9 +135,9 @@
 	return c.baseMonotonicNS + int64(float64(t.Sub(c.baseTime))/c.rate)
 }
 
-// addWallOffset sets the wall time of t forward and leaves its monotonic reading unchanged. Otherwise only setting the
-// system clock produces such a time, so addWallOffset writes to the representation of time.Time. If that representation
-// ever changes, the check below panics.
+// addWallOffset sets the wall time of t forward and leaves its monotonic reading unchanged. Package time returns such a
+// time only after the system clock was set, so addWallOffset writes to the representation of time.Time. If that
+// representation ever changes, the check below panics.
 func addWallOffset(t time.Time, offset time.Duration) time.Time {
 	const secondsShift = 30 // the word with the wall time holds seconds above this bit, nanoseconds below
 	shifted := t
--- a/internal/leaderelection/election.go
+++ b/internal/leaderelection/election.go
@@ -154,8 +154,8 @@
 	return state, nil
 }
 
-// awaitChange waits for the next change of the lease, or until it is time to renew the place in the queue and renews it. It
-// returns the newest known state of the lease.
+// awaitChange waits for the next change of the lease. If a renewal of the place in the queue is due first, awaitChange
+// sends the renewal instead. It returns the newest known state of the lease.
 func (c *candidate) awaitChange(ctx context.Context, state leasetable.Lease) (leasetable.Lease, error) {
 	select {
 	case <-ctx.Done():
@@ -182,7 +182,7 @@
 }
 
 // acquire renews a lease that was assigned to this candidate. The candidate does not know when the assignment took effect,
-// so only this first renewal tells it when the lease ends.
+// so it derives the end of the lease from this first renewal.
 func (c *candidate) acquire(ctx context.Context, state leasetable.Lease, ttl time.Duration) (*Lease, error) {
 	lease := &Lease{
 		Name:       c.leaseName,
--- a/internal/leaderelection/lease_model_test.go
+++ b/internal/leaderelection/lease_model_test.go
@@ -89,7 +89,7 @@
 	return reachable
 }
 
-// apply returns the state after an operation, and whether the operation can have the answer out in the state s.
+// apply returns the state after an operation, and whether out is a possible answer to the operation in the state s.
 func (s leaseModelState) apply(in leaseInput, out leaseOutput) (leaseModelState, bool) {
 	isHolder := s.holder != "" && s.holder == in.candidate && s.token != 0 && s.token == in.token
 	switch in.operation {
--- a/internal/leaderelection/linearizability_test.go
+++ b/internal/leaderelection/linearizability_test.go
@@ -44,7 +44,7 @@
 	h.record(calledAt, leaseInput{operation: opRead}, out)
 }
 
-// isRejection tells a rejected write from a write whose outcome is unknown.
+// isRejection reports whether an error is a rejection. After any other error, the outcome of a write is unknown.
 func isRejection(err error) bool {
 	var status *registry.StatusError
 	return errors.As(err, &status) && (status.StatusCode == http.StatusConflict || status.StatusCode == http.StatusNotFound)
--- a/internal/registry/bench/watches.go
+++ b/internal/registry/bench/watches.go
@@ -22,7 +22,7 @@
 const (
 	registerBatchSize  = 500
 	watcherDialTimeout = time.Second
-	deliveryTimeout    = 2 * time.Second // of the last changes, from the end of the last write
+	deliveryTimeout    = 2 * time.Second // for the delivery of the last changes, from the end of the last write
 
 	watcherBufferBytes = 4096
 	lineStartBytes     = 64 // prefix of a line that contains its revision
--- a/internal/registry/broadcaster.go
+++ b/internal/registry/broadcaster.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// broadcastDelay is the minimum time between two broadcasts. Changes that are closer together are written at once, which
+// broadcastDelay is the minimum time between two broadcasts. Changes that are closer together share one broadcast, which
 // saves thousands of watchers a wake-up for each change.
 const broadcastDelay = 20 * time.Millisecond
 
--- a/internal/registry/catch_up.go
+++ b/internal/registry/catch_up.go
@@ -61,7 +61,7 @@
 }
 
 // caughtUpWith reports whether this replica has applied what a leader had applied. The applied index alone does not
-// prove this: raft counts entries that it has handed over and that are not applied yet.
+// prove this: raft also counts entries that it has passed to the state machine and that are not applied yet.
 func (r *Replica) caughtUpWith(leader *Status) bool {
 	status := r.status()
 	if status.Epoch != leader.Epoch {
--- a/internal/registry/election_model_test.go
+++ b/internal/registry/election_model_test.go
@@ -35,7 +35,7 @@
 	index         uint64
 	state         *StateMachine
 	leader        *leaseTracker          // tracker of the leader that the majority follows
-	deposedLeader *leaseTracker          // tracker of a deposed leader that still assumes to lead; nil: none
+	deposedLeader *leaseTracker          // tracker of a deposed leader that does not know of its successor; nil: none
 	pendingOps    []leasetable.Operation // proposed by the leader, not applied yet
 	holders       []*modelHolder
 	newestToken   uint64 // token of the newest write that the resource accepted
--- a/internal/registry/holddown.go
+++ b/internal/registry/holddown.go
@@ -36,7 +36,7 @@
 	return min(initialHoldDownLeases*ttl<<(shortTenures-allowedShortTenures-1), maxHoldDown)
 }
 
-// trackHoldDownsLocked starts the hold-downs that are not tracked yet, and drops those whose failover record has
+// trackHoldDownsLocked starts the hold-downs that are not tracked yet, and drops those whose record of short tenures has
 // changed. The caller holds the lock.
 func (t *leaseTracker) trackHoldDownsLocked(now time.Time, lease *leasetable.Lease) {
 	entries := t.holdDowns[lease.Name]
--- a/internal/registry/holddown_test.go
+++ b/internal/registry/holddown_test.go
@@ -169,7 +169,8 @@
 }
 
 // runHoldDownExamples runs the simulation with a number of seeds, the same in each test, until the first violation.
-// Changes is the largest count, and steadyHeld whether the steady candidate held the lease at the end of each.
+// Changes is the largest number of changes in one run. SteadyHeld reports whether the steady candidate held the lease at
+// the end of every run.
 func runHoldDownExamples(seeds int, mutant holdDownMutant, flappers, steady int, changeLeaders bool) (violation string, changes uint64, steadyHeld bool) {
 	steadyHeld = true
 	for seed := range seeds {
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -50,7 +50,7 @@
 	maxCapacityHint = 1000
 	maxBootMS       = 1e15        // a larger number is not a time in Unix ms, as it is far in the future
 	minTTLMS        = 100         // no heartbeat interval could keep up with a shorter lease
-	maxTTLMS        = 3600 * 1000 // a longer lease detects nothing
+	maxTTLMS        = 3600 * 1000 // a longer lease would detect failures too late
 	maxInstances    = 100_000
 	maxBatchSize    = 10_000 // instances in one write
 )
@@ -62,7 +62,7 @@
 		return validation.Errorf("uid", "%d characters, wanted 1 to %d", len(i.UID), maxNameLength)
 	case i.State != InstanceReady && i.State != InstanceTerminating:
 		return invalidState(i.State)
-	case !(i.Capacity > 0 && i.Capacity <= maxCapacityHint): // also false for NaN
+	case !(i.Capacity > 0 && i.Capacity <= maxCapacityHint): // NaN is rejected, too
 		return validation.Errorf("capacity_hint", "%v is not above 0 and at most %d", i.Capacity, maxCapacityHint)
 	case !validBootMS(i.BootMS):
 		return validation.Errorf("boot_ms", "%v is not a time in Unix ms", i.BootMS)
--- a/internal/registry/ledger_test.go
+++ b/internal/registry/ledger_test.go
@@ -64,7 +64,6 @@
 	return disruption.Op{Kind: disruption.OpRequest, Owner: operator, Permit: permit}
 }
 
-// permitOp returns an operation on a permit.
 func permitOp(kind disruption.OpKind, id string) disruption.Op {
 	return disruption.Op{Kind: kind, Owner: operator, Permit: &disruption.Permit{ID: id}}
 }
--- a/internal/registry/placement_env_test.go
+++ b/internal/registry/placement_env_test.go
@@ -90,7 +90,6 @@
 	return watcher
 }
 
-// activeIDs returns the ids of the active directives.
 func (f *placementWatcher) activeIDs() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/registry/state_ledger.go
+++ b/internal/registry/state_ledger.go
@@ -9,7 +9,7 @@
 	"milldeck/internal/disruption"
 )
 
-// ledger is the part of the state that accounts for units that are out. The first record that needs the ledger creates
+// ledger is the part of the state that accounts for units that are out of service. The first record that needs the ledger creates
 // it from the current endpoint list. Replicas of a version without the ledger may be members of the cluster only until
 // that record.
 type ledger struct {
@@ -54,8 +54,8 @@
 	return restored, nil
 }
 
-// disruptionUnit returns the instance as a unit of the disruption ledger. The endpoint list does not contain whether
-// the instance has warmed up.
+// disruptionUnit returns the instance as a unit of the disruption ledger. The endpoint list does not say whether the
+// instance has warmed up.
 func (i *Instance) disruptionUnit() disruption.Unit {
 	unit := disruption.Unit{
 		ID: disruption.UnitID(disruption.KindServer, i.UID), Kind: disruption.KindServer,
@@ -97,7 +97,7 @@
 	return s.ledger.table
 }
 
-// updateLedger applies the changes that a record made to the endpoint list to the ledger.
+// updateLedger updates the ledger after a record has changed the endpoint list.
 func (s *StateMachine) updateLedger(index uint64, record *Record, result Result) {
 	if s.ledger == nil || result.Outcome != OutcomeDone {
 		return
--- a/internal/registry/state_maintenance.go
+++ b/internal/registry/state_maintenance.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// publishWindow sets and removes the directives of a window. It returns the reason if the placement rejects the change.
-// If the placement is full, it sets no directive: the window then never drains, and its servers return. It removes
-// directives in any case.
+// publishWindow sets and removes the directives of a window. If the placement rejects the change, for example because it
+// is full, publishWindow only removes directives, and returns the reason. A window whose directives are not set never
+// drains, and its servers return.
 func (s *StateMachine) publishWindow(index uint64, nowMS int64, set []placement.Directive, remove []string) (failure string) {
 	if len(set)+len(remove) == 0 {
 		return ""
--- a/internal/registry/storage_test.go
+++ b/internal/registry/storage_test.go
@@ -198,7 +198,6 @@
 	}
 }
 
-// truncateLog truncates a log file.
 func truncateLog(t *testing.T, path string) {
 	t.Helper()
 	if err := os.Truncate(path, 6000); err != nil {
--- a/internal/supervisor/core/units.go
+++ b/internal/supervisor/core/units.go
@@ -66,7 +66,6 @@
 	}
 }
 
-// startProcess starts a unit's process.
 func (c *Core) startProcess(u *unit, configText string) {
 	c.lastProcess++
 	u.process = c.lastProcess
@@ -101,8 +100,8 @@
 	}
 }
 
-// scheduleKill schedules a SIGKILL for a unit's process. It is not sent if the process has exited or has been given another
-// time by then.
+// scheduleKill schedules a SIGKILL for a unit's process. The signal is not sent if the process has exited by then, or if the
+// kill was rescheduled.
 func (c *Core) scheduleKill(u *unit, dueMS int64) {
 	u.killAtMS = dueMS
 	process := u.process
@@ -159,7 +158,7 @@
 	return initialRestartBackoffMS << restarts
 }
 
-// scheduleRestart schedules an automatic restart of a unit. It does not take place if the unit has been stopped, replaced or
+// scheduleRestart schedules an automatic restart of a unit. The restart is skipped if the unit has been stopped, replaced or
 // started by then.
 func (c *Core) scheduleRestart(u *unit, dueMS int64) {
 	u.restartAtMS = dueMS
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -26,7 +26,7 @@
 	MaxGraceMS = 600_000
 
 	maxNameBytes = 64  // names are also used as file names
-	maxIDBytes   = 160 // of a request's ID, which fits the names of a release, a step and a unit
+	maxIDBytes   = 160 // of a request's ID: enough for the names of a release, a step and a unit
 )
 
 // Supervisor is the interface to the platform.
