--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -37,7 +37,7 @@
 	if err := replica.verifyFreshness(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if age := replica.listAge(); age < delay {
+	if age := replica.stateAge(); age < delay {
 		t.Errorf("delayed for %v after the verification, the replica reports an age of %v", delay, age)
 	}
 }
--- a/internal/registry/holddown.go
+++ b/internal/registry/holddown.go
@@ -23,7 +23,7 @@
 // holdDown delays the next campaign of a candidate that had several short tenures. The number of short tenures is
 // replicated. The time is tracked by the leader alone; a new leader restarts all hold-downs.
 type holdDown struct {
-	failover       leasetable.ShortTenureCount
+	shortTenures   leasetable.ShortTenureCount
 	expiresAt      time.Time
 	lastCampaignAt time.Time // last campaign during the hold-down, admitted or not; zero: none
 }
@@ -41,20 +41,20 @@
 func (t *leaseTracker) trackHoldDownsLocked(now time.Time, lease *leasetable.Lease) {
 	entries := t.holdDowns[lease.Name]
 	for candidate, entry := range entries {
-		if lease.ShortTenuresOf(candidate).Token != entry.failover.Token {
+		if lease.ShortTenuresOf(candidate).Token != entry.shortTenures.Token {
 			delete(entries, candidate)
 		}
 	}
-	for _, failover := range lease.ShortTenures {
-		duration := holdDownDuration(milliseconds(lease.TTLMS), failover.Count)
-		if duration == 0 || entries[failover.Candidate] != nil {
+	for _, shortTenures := range lease.ShortTenures {
+		duration := holdDownDuration(milliseconds(lease.TTLMS), shortTenures.Count)
+		if duration == 0 || entries[shortTenures.Candidate] != nil {
 			continue
 		}
 		if entries == nil {
 			entries = map[string]*holdDown{}
 			t.holdDowns[lease.Name] = entries
 		}
-		entries[failover.Candidate] = &holdDown{failover: failover, expiresAt: now.Add(duration)}
+		entries[shortTenures.Candidate] = &holdDown{shortTenures: shortTenures, expiresAt: now.Add(duration)}
 	}
 }
 
@@ -71,7 +71,7 @@
 	}
 	if entry.lastCampaignAt.IsZero() {
 		t.logger.Info("candidate held down", "lease", name, "candidate", candidate,
-			"short_tenures", entry.failover.Count, "remaining", entry.expiresAt.Sub(now))
+			"short_tenures", entry.shortTenures.Count, "remaining", entry.expiresAt.Sub(now))
 	}
 	entry.lastCampaignAt = now
 	if lease.Holder != "" || len(lease.Queue) > 0 {
--- a/internal/registry/http_admin.go
+++ b/internal/registry/http_admin.go
@@ -28,7 +28,7 @@
 }
 
 func (r *Replica) status() Status {
-	age := r.listAge()
+	age := r.stateAge()
 	status := Status{
 		HTTPAddr: r.options.HTTPAddr, Role: r.raft.State().String(), Leader: r.leaderAddr(), Watchers: r.watchers.Load(),
 		AgeMS: age.Milliseconds(), AppliedIndex: r.raft.AppliedIndex(), Fresh: r.isLeader.Load() && age < maxFreshAge,
--- a/internal/registry/http_leases.go
+++ b/internal/registry/http_leases.go
@@ -177,7 +177,7 @@
 			return
 		case <-changed:
 		case <-heartbeat.C:
-			if r.listAge() < staleAfter && writeLines(w, controller, [][]byte{{'\n'}}) != nil {
+			if r.stateAge() < staleAfter && writeLines(w, controller, [][]byte{{'\n'}}) != nil {
 				return
 			}
 		}
--- a/internal/registry/http_read.go
+++ b/internal/registry/http_read.go
@@ -9,7 +9,7 @@
 )
 
 func (r *Replica) setFreshnessHeaders(w http.ResponseWriter) {
-	age := r.listAge()
+	age := r.stateAge()
 	w.Header().Set(AgeHeader, strconv.FormatInt(age.Milliseconds(), 10))
 	w.Header().Set(FreshHeader, strconv.FormatBool(r.isLeader.Load() && age < maxFreshAge))
 }
@@ -89,7 +89,7 @@
 	r.setFreshnessHeaders(w)
 	// A replica without a leader sends no heartbeats, because it would not learn of a change. Its watchers time out and
 	// switch to another replica.
-	mayHeartbeat := func() bool { return r.listAge() < staleAfter }
+	mayHeartbeat := func() bool { return r.stateAge() < staleAfter }
 	if err := stream(r.ctx, w, request, after, epoch, mayHeartbeat); err != nil {
 		r.logger.Debug("watch failed", "error", err)
 	}
--- a/internal/registry/http_sidecars.go
+++ b/internal/registry/http_sidecars.go
@@ -76,7 +76,7 @@
 		return
 	}
 	// A leader that was paused may have been replaced. It must not grant leases that its successor does not know of.
-	if r.listAge() > maxFreshAge {
+	if r.stateAge() > maxFreshAge {
 		r.writeNoLeader(w)
 		return
 	}
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -238,8 +238,8 @@
 // uptime returns the time since the start of the replica, by the monotonic clock.
 func (r *Replica) uptime() time.Duration { return time.Since(r.startedAt) }
 
-// listAge returns how old the state of this replica may be: the time since the state was last known to be the newest.
-func (r *Replica) listAge() time.Duration {
+// stateAge returns how old the state of this replica may be: the time since the state was last known to be the newest.
+func (r *Replica) stateAge() time.Duration {
 	if r.raft.State() == raft.Leader {
 		if !r.isLeader.Load() {
 			return r.uptime()
--- a/internal/registry/state_ledger.go
+++ b/internal/registry/state_ledger.go
@@ -9,9 +9,9 @@
 	"milldeck/internal/disruption"
 )
 
-// ledger is the part of the state that accounts for units that are out of service. The first record that needs the ledger creates
-// it from the current endpoint list. Replicas of a version without the ledger may be members of the cluster only until
-// that record.
+// ledger is the part of the state that accounts for units that are out of service. The first record that needs the
+// ledger creates it from the current endpoint list. Replicas of a version without the ledger may be members of the
+// cluster only until that record.
 type ledger struct {
 	table    *disruption.Ledger
 	sidecars map[string]*Sidecar // by name; a change replaces the entry
