--- a/balance/capacity_test.go
+++ b/balance/capacity_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// While load is shed, answers are fast at all servers. Slow servers must not be idle beside fast servers that are
-// full.
+// While load is shed, all servers answer fast, so latency alone would send too much load to the fast servers. A slow
+// server with a low utilization must not receive less than a fast server that is full.
 func TestIdleServersGainCapacity(t *testing.T) {
 	cfg := baseConfig()
 	cfg.LoadReports, cfg.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldUtilization}
--- a/balance/retry_rules_test.go
+++ b/balance/retry_rules_test.go
@@ -138,7 +138,8 @@
 	}
 }
 
-// Once a streamed answer has started, the client owns it: no deadline, no retry and no final answer apply.
+// Once a streamed answer has started, only the client decides when it ends: the balancer applies no deadline, sends no
+// retry and produces no answer of its own.
 func TestStartedStreamIsNotInterrupted(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[idempotentClass].Streaming = true
@@ -157,8 +158,8 @@
 	}
 }
 
-// Failed connects after a crash do not count as retries: the request has attempts and time left. A request that may have
-// been executed is retried once at most.
+// Attempts that were not executed, such as failed connects after a crash, do not count as retries: the request is sent
+// again as long as it has attempts and time left. A request that may have been executed is retried once at most.
 func TestUnexecutedAttemptsDoNotCountAsRetries(t *testing.T) {
 	for result, sends := range map[Result]int{ConnectFailed: 4, Overloaded: 4, Failed: 2} {
 		h := newHarness(t, baseConfig(), testServers(8)...)
@@ -172,8 +173,8 @@
 	}
 }
 
-// A retry shortly before the end of the idempotency window may have to connect first, and would then reach the server
-// after the end.
+// A retry shortly before the end of the idempotency window is not sent: it may have to connect first, and would then
+// reach the server after the end of the window.
 func TestRetryLeavesTimeToConnect(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 100
@@ -188,8 +189,9 @@
 	}
 }
 
-// In full queues every answer is late. While load is shed, a non-idempotent request is given up at its objective,
-// which is no error of the server. Other requests are not given up, because their clients would retry.
+// While load is shed, the queues of the servers are full, so that every answer arrives after the latency objective.
+// The caller gives up a non-idempotent attempt at that objective, and the balancer records no error of the server.
+// Attempts of other classes are not given up, because their clients would retry.
 func TestNonIdempotentAttemptsEndAtObjectiveWhileShedding(t *testing.T) {
 	for class, endsAtObjective := range map[int]bool{nonIdempotentClass: true, idempotentClass: false, cellScopeClass: false} {
 		for _, sustained := range []float64{0, 0.2} {
@@ -223,8 +225,9 @@
 	}
 }
 
-// If all servers are full, retries must stay a fraction of first attempts, and all other requests are rejected at
-// once. Without a budget, each request would use all of its allowed attempts.
+// If all servers are full, the number of retries must stay a fraction of the number of first attempts. A request for
+// which the budget allows no retry is rejected at once. Without a budget, each request would use all of its allowed
+// attempts.
 func TestRetriesAreBoundedByTheBudget(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(10)...)
 	first, retries := 0, 0
--- a/internal/disruption/constraint.go
+++ b/internal/disruption/constraint.go
@@ -53,8 +53,10 @@
 	return &c
 }
 
-// constraintsOf returns the constraints that a unit belongs to, in a fixed order, and adds missing built-in ones. It also
-// adds the zone limit of the unit's kind, but does not return it, because the zone limit counts zones instead of units.
+// constraintsOf returns the constraints that a unit belongs to, in a fixed order: the built-in rules of its zone and, for
+// a server, of its pod group, then the budgets that select the unit. It adds built-in rules that the ledger does not have
+// yet. It also adds the zone limit of the unit's kind, but does not return it, because the zone limit counts zones instead
+// of units.
 func (l *Ledger) constraintsOf(unit *Unit) []*constraint {
 	server := unit.Kind == KindServer
 	zone := l.getOrAddConstraint(constraint{key: zoneKey(unit.Kind, unit.Zone), zoneKind: unit.Kind, neverEmpty: server})
--- a/internal/disruption/ledger.go
+++ b/internal/disruption/ledger.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Ledger is the replicated state: units, budgets, permits and halts, with the sums and indexes derived from them.
-// It is not safe for concurrent use.
+// Ledger is the state that is replicated through the registry's log: units, budgets, permits, and the halts that defer
+// grants, with the sums and indexes derived from them. It is not safe for concurrent use.
 type Ledger struct {
 	revision uint64 // log revision of the last change
 
@@ -28,7 +28,7 @@
 	uncertainWhenLastProcessed bool   // whether the state of the fleet was uncertain when the queue was last processed
 
 	queue         grantQueue                         // permits to evaluate
-	waitersByUnit map[string]map[string]*permitState // pending permits, by each unit or substitute of theirs and by permit ID
+	waitersByUnit map[string]map[string]*permitState // pending permits, by ID of a named unit or substitute, then by permit ID
 }
 
 // NewLedger returns an empty ledger.
--- a/internal/hotkey/config.go
+++ b/internal/hotkey/config.go
@@ -26,8 +26,8 @@
 	// MaxWarmupShare limits the total fraction of a key's load that its replicas in warm-up get. When the limit applies,
 	// each of these replicas gets an equal part of it.
 	MaxWarmupShare float64
-	// MaxWarming limits how many replicas of a key warm up at a time. The limit is the number of the key's active replicas
-	// where that is larger.
+	// MaxWarming limits how many replicas of a key warm up at a time. If the key has more active replicas than this, the
+	// limit is the number of its active replicas.
 	MaxWarming int
 	// WarmResponses is the number of responses after which a replica becomes active.
 	WarmResponses float64
@@ -36,7 +36,7 @@
 	// WarmupWork is the extra work of warming up one replica in ms.
 	WarmupWork float64
 	// WarmupBudget is the fraction of the fleet's capacity that may be spent on warming up replicas, of all keys together.
-	// The unused budget of at most one second accumulates.
+	// Unused budget accumulates, up to the budget of one second.
 	WarmupBudget float64
 	// MinWarmupBudget is the smallest budget for warming up replicas, in ms of work per second.
 	MinWarmupBudget float64
@@ -62,10 +62,12 @@
 	DirectiveTTL float64
 }
 
-// DefaultConfig returns the settings for servers of the given capacity in ms of work per second and requests of typically
-// requestWork ms.
+// DefaultConfig returns the settings for servers with the capacity serverCapacity, in ms of work per second, and requests
+// that typically cost requestWork ms of work.
 func DefaultConfig(serverCapacity, requestWork float64) Config {
-	const warmupWork = 3 // in requests: a few arrive together and miss the cache, each at about twice its usual work
+	// warmupWork is in units of requestWork: a few requests arrive together and miss the cache, and each costs about twice
+	// its usual work.
+	const warmupWork = 3
 	return Config{
 		ServerCapacity:    serverCapacity,
 		RequestWork:       requestWork,
--- a/internal/lab/live/supervisor.go
+++ b/internal/lab/live/supervisor.go
@@ -20,7 +20,7 @@
 	dir := c.fleet.options.Dir
 	path := filepath.Join(dir, "versions.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		return fmt.Errorf("versions: %w", err)
+		return fmt.Errorf("write the supervisor's versions: %w", err)
 	}
 	if c.supervisorClient, err = supervisor.NewClient(c.supervisorAddress()); err != nil {
 		return err
--- a/internal/loadreport/http.go
+++ b/internal/loadreport/http.go
@@ -11,9 +11,9 @@
 
 const bodyReadTimeout = 5 * time.Second
 
-// ServeHTTP receives a batch of reports, {"reports":[...]}. It accepts the valid reports of the batch and responds with
-// status 204 if it accepted all reports, 503 if the collector has too many sidecars for one of them, and 400 if one is
-// invalid. While the collector does not accept reports, the status is 503.
+// ServeHTTP receives a batch of reports, {"reports":[...]}. While the collector does not accept reports (see
+// SetAccepting), it responds with status 503. Otherwise it accepts the valid reports of the batch, and responds with 503 if
+// it rejected any report because of MaxSidecars, else 400 if any report is invalid, and 204 if it accepted all reports.
 func (c *Collector) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	if request.Method != http.MethodPost {
 		w.Header().Set("Allow", http.MethodPost)
--- a/internal/maintenance/concurrent_disruptions_test.go
+++ b/internal/maintenance/concurrent_disruptions_test.go
@@ -84,9 +84,9 @@
 	return unavailable, newlyGranted
 }
 
-// TestConcurrentDisruptionsRespectBudget checks that no permit is granted beyond a budget. Two releases, a window
-// and the drain of an operator request permits in one zone, of which two servers may be unavailable, and a server
-// fails in between.
+// TestConcurrentDisruptionsRespectBudget checks that no permit is granted beyond a budget. The budget allows two
+// unavailable servers in a zone. Two releases, a maintenance window and an operator who drains a server request
+// permits for one server each in this zone, and another server of the zone fails meanwhile.
 func TestConcurrentDisruptionsRespectBudget(t *testing.T) {
 	sim := newScenario(t, "America/Montevideo", "2026-06-10 21:58")
 	maxUnavailable, peakUnavailable := 2, 0
--- a/internal/maintenance/search.go
+++ b/internal/maintenance/search.go
@@ -39,8 +39,9 @@
 	}
 }
 
-// earliestStart returns the first start (Unix ms) at which all participants approve the next requiredMS and no
-// other window conflicts; 0: there is none.
+// earliestStart returns the earliest start (Unix ms) of a window of requiredMS that the contracts of all
+// participants approve, that fits into their monthly minutes, and that conflicts with no other window. It returns 0
+// if there is no such start.
 func (s *search) earliestStart(requiredMS int64) int64 {
 	for _, interval := range s.availableIntervals() {
 		startMS := interval.StartMS
--- a/internal/registry/election_model_test.go
+++ b/internal/registry/election_model_test.go
@@ -239,8 +239,8 @@
 	return "", renewals
 }
 
-// Two candidates never hold a lease at the same time. The resource accepts no write with an older token after a write
-// with a newer one.
+// Two candidates never hold the lease at the same time. After a write with a fencing token, the resource that the lease
+// protects accepts no write with an older token.
 func TestElectionModelSafety(t *testing.T) {
 	violation, renewals := runElectionExamples(3000, noMutant)
 	if violation != "" || renewals < 3000 {
@@ -248,7 +248,8 @@
 	}
 }
 
-// The model detects each broken rule: counting from the request, verifying the leadership, checking the token.
+// The model detects the violation of each rule: a holder counts its lease from the request for renewal, a leader verifies
+// its leadership, and the resource checks tokens.
 func TestElectionModelDetectsMutants(t *testing.T) {
 	for name, mutant := range map[string]electionMutant{"clock": countsFromResponse, "proof": renewsUnverified, "token": ignoresTokens} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/registry/raft_transport_test.go
+++ b/internal/registry/raft_transport_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// A response is accepted while no other leader can have been elected since its request. The response to a batch of log
-// entries, which take time to store, may come later.
+// A response to a small request, such as a heartbeat, is accepted only within maxResponseAge of the request: during this
+// time, no other leader can have been elected. The response to a batch of log entries may arrive later, because the other
+// replica needs time to store the entries.
 func TestStaleResponsesAreRejected(t *testing.T) {
 	for name, tc := range map[string]struct {
 		requestBytes int
--- a/internal/registry/sidecars_test.go
+++ b/internal/registry/sidecars_test.go
@@ -8,8 +8,8 @@
 	"milldeck/internal/registry"
 )
 
-// Sidecars have leases of their own. A sidecar that misses its heartbeats counts as lost. If many miss theirs at once,
-// their condition is unknown, and no permit is granted until they renew again.
+// Each sidecar has its own lease. A sidecar that misses its heartbeats counts as lost. If many sidecars miss their
+// heartbeats at once, their condition is unknown, and the ledger grants no permit until they renew their leases.
 func TestSidecarLeases(t *testing.T) {
 	env := startEnv(t, 1, false, "")
 	env.registerFleet(8, 3)
--- a/internal/release/controller/evidence.go
+++ b/internal/release/controller/evidence.go
@@ -97,7 +97,7 @@
 	}
 	op := disruption.Op{Kind: disruption.OpObserve, Owner: release.Owner(t.Name), Observed: warm}
 	if _, err := t.Store.ApplyLedgerOp(ctx, t.writeOptions(), op); err != nil {
-		t.logger.Debug("warm servers not reported", "units", len(warm), "error", err)
+		t.logger.Debug("failed to report warm servers to the ledger", "units", len(warm), "error", err)
 	}
 }
 
--- a/internal/release/interval.go
+++ b/internal/release/interval.go
@@ -105,7 +105,7 @@
 }
 
 // zoneSamples counts the live units of the release's kind and their restarts by zone, separately for updated and other
-// units. The samples are sorted. They lack memory, which the platform's list does not have.
+// units. The samples are sorted. They contain no memory use, because the platform's list does not contain it.
 func (s *State) zoneSamples(updated map[string]bool, previousList, currentList *supervisor.List) []judge.ZoneSample {
 	if currentList == nil {
 		return nil
@@ -136,8 +136,9 @@
 	return sorted
 }
 
-// restartsSince returns how often the platform itself restarted a unit between two lists. It returns 0 if this is unknown:
-// the earlier list is missing or lacks the unit, or the epoch or the unit's incarnation has changed.
+// restartsSince returns how often the platform itself, without a request, restarted a unit between two lists. It returns 0
+// if the number is unknown: the earlier list is missing or does not contain the unit, the platform has lost its state (the
+// epoch has changed), or a request has started the unit anew (its incarnation has changed).
 func restartsSince(previousList, currentList *supervisor.List, unit *supervisor.Unit) int {
 	if previousList == nil || previousList.Epoch != currentList.Epoch {
 		return 0
--- a/internal/release/judge/evidence.go
+++ b/internal/release/judge/evidence.go
@@ -42,8 +42,9 @@
 	nonInferiority eProcess // evidence that it is not higher by more than the tolerance
 	canaryHits     int
 	canaryTrials   int
-	// Running mean and squared deviations (Welford) of the intervals' standardized differences. Faults come in bursts, so
-	// the differences often vary by more than chance alone; the dispersion increases the variance accordingly.
+	// Running mean and sum of squared deviations (Welford's algorithm) of the standardized difference between the shares of
+	// canary and baseline, one value an interval. Faults come in bursts, so these differences often vary by more than
+	// chance alone. Therefore add multiplies the expected variance by their dispersion.
 	intervals, mean, squaredDeviations float64
 }
 
@@ -57,7 +58,7 @@
 	canary, baseline := float64(canaryTrials), float64(baselineTrials)
 	weight := canary * baseline / (canary + baseline)
 	difference := float64(canaryHits)/canary - float64(baselineHits)/baseline
-	// The variance is at least that of the tolerated share, which the hypotheses allow.
+	// The hypotheses allow a share as high as the tolerance, so the variance is at least the variance at that share.
 	share := max(float64(canaryHits+baselineHits)/(canary+baseline), c.tolerance)
 	share = min(share, maxVarianceShare)
 	variance := weight * share * (1 - share)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -198,9 +198,9 @@
 	}
 }
 
-// drain serves requests as long as the application uses its connections, at most until finalResponseWindow before the
-// drain deadline. Then it closes each connection after its response. Connections that have carried no request delay the
-// drain only while new connections may still arrive.
+// drain serves requests while any open connection of the application has carried a request and may carry another, at most
+// until finalResponseWindow before the drain deadline. Then it closes each connection after its response. A connection that
+// has carried no request delays the drain only during acceptWindow, while new connections may still arrive.
 func (s *Sidecar) drain(server *http.Server, serveErr <-chan error) error {
 	slog.Info("draining")
 	deadline := time.Now().Add(s.serveWindow + finalResponseWindow)
--- a/internal/supervisor/standin/server.go
+++ b/internal/supervisor/standin/server.go
@@ -32,8 +32,9 @@
 
 var errCallLimit = errors.New("too many calls are under way")
 
-// Serve runs a platform on a loopback listener until ctx ends, and then stops all processes that the platform has started.
-// The processes' logs and configuration files are in dir.
+// Serve runs the lab's platform, which starts the programs in versions as processes, and serves its HTTP interface on a
+// loopback listener until ctx ends. Then it stops all processes that the platform has started. The processes' logs and
+// configuration files are in dir.
 func Serve(ctx context.Context, listener net.Listener, versions *Versions, dir string) error {
 	if addrPort, err := netip.ParseAddrPort(listener.Addr().String()); err != nil || !addrPort.Addr().IsLoopback() {
 		return fmt.Errorf("supervisor: %s is not on loopback", listener.Addr())
@@ -137,8 +138,8 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// respond calls the core and sends its response: at once, after a delay, when the core releases a deferred call, or by
-// closing the connection.
+// respond calls the core and sends its response: at once, after a delay, or when the core releases a deferred call. It
+// closes the connection instead if the response demands this, or if the call ends before its response is due.
 func (s *server) respond(w http.ResponseWriter, req *http.Request, call func(now int64) core.Response) {
 	response, ok := s.call(req.Context(), call)
 	if !ok || response.Disconnect {
--- a/internal/supervisor/validate.go
+++ b/internal/supervisor/validate.go
@@ -157,7 +157,7 @@
 	for i := range r.Outcomes {
 		outcome, request := &r.Outcomes[i], &requests[i]
 		if outcome.ID != request.ID || outcome.Unit != request.Unit || outcome.Epoch == 0 {
-			return fmt.Errorf("response: outcome %d does not match request %s", i, request.ID)
+			return fmt.Errorf("response: outcome %d has no epoch, or another ID or unit than request %s", i, request.ID)
 		}
 		if outcome.Rejected == "" && (outcome.Epoch != request.Epoch || outcome.Incarnation == 0) {
 			return fmt.Errorf("response: outcome %d has epoch %d and incarnation %d", i, outcome.Epoch, outcome.Incarnation)
