--- a/internal/registry/election_model_test.go
+++ b/internal/registry/election_model_test.go
@@ -50,7 +50,7 @@
 	run      func()
 }
 
-// modelHolder is a candidate, and at times the holder.
+// modelHolder is a candidate for the lease, and at times its holder.
 type modelHolder struct {
 	name          string
 	token         uint64
