--- a/balance/invariants.go
+++ b/balance/invariants.go
@@ -3,10 +3,10 @@
 // Violations counts actions that violate a rule of the balancer itself. Each violation is a bug of the policy files.
 // checkSend checks the rules with code of its own, separate from the code that decides.
 type Violations struct {
-	SecondAttempt     int // attempts sent while another attempt of the request was in flight
-	Repeated          int // attempts sent though an earlier one may have been executed and the class forbids a repeat
-	NotReady          int // attempts sent to a server that is draining or removed
-	SlowStartOverdraw int // attempts sent to a server in slow start without a token
+	SecondAttempt           int // attempts sent while another attempt of the request was in flight
+	Repeated                int // attempts sent though an earlier one may have been executed and the class forbids a repeat
+	NotReady                int // attempts sent to a server that is draining or removed
+	SlowStartBudgetExceeded int // attempts sent to a server in slow start without a token
 }
 
 // Violations returns the counts since New.
@@ -18,7 +18,7 @@
 		b.violations.SecondAttempt++
 	}
 	for i := range r.attempts {
-		if a := &r.attempts[i]; !a.neverExecuted && !b.mayRepeat(r, a, s) {
+		if a := &r.attempts[i]; !a.neverExecuted && !b.isRepeatSafe(r, a, s) {
 			b.violations.Repeated++
 			break
 		}
@@ -27,12 +27,12 @@
 		b.violations.NotReady++
 	}
 	if b.inSlowStart(s) && s.slowStart.tokens < 1 {
-		b.violations.SlowStartOverdraw++
+		b.violations.SlowStartBudgetExceeded++
 	}
 }
 
-// mayRepeat reports whether a request may be sent to a server although an earlier attempt may have been executed.
-func (b *Balancer) mayRepeat(r *request, earlier *attempt, s *server) bool {
+// isRepeatSafe reports whether a request may be sent to a server although an earlier attempt may have been executed.
+func (b *Balancer) isRepeatSafe(r *request, earlier *attempt, s *server) bool {
 	switch r.class.Idempotency {
 	case Idempotent:
 		return true
--- a/balance/invariants_test.go
+++ b/balance/invariants_test.go
@@ -35,7 +35,7 @@
 		"slow start without a token": {Idempotent, ScopeAll, func(b *Balancer, _ *request, s *server) {
 			b.beginSlowStart(s, b.now)
 			s.slowStart.tokens = 0.5
-		}, Violations{SlowStartOverdraw: 1}},
+		}, Violations{SlowStartBudgetExceeded: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			config := baseConfig()
--- a/cmd/milldeck/accept_errors_test.go
+++ b/cmd/milldeck/accept_errors_test.go
@@ -63,7 +63,7 @@
 // listening.
 func TestServersContinueAfterAcceptErrors(t *testing.T) {
 	const errorDuration = 300 * time.Millisecond
-	block := proctest.Block(t)
+	block := proctest.ReserveAddressBlock(t)
 	for index, test := range []struct {
 		name, file string
 		args       []string
@@ -99,7 +99,7 @@
 					t.Fatalf("the process does not serve; its log: %s", process.Log())
 				}
 			}
-			supervisor.Add(shim.Rule{Call: shim.Accept, Errno: syscall.ENOBUFS, Share: 1, Until: time.Now().Add(errorDuration)})
+			supervisor.AddRule(shim.Rule{Call: shim.Accept, Errno: syscall.ENOBUFS, Share: 1, Until: time.Now().Add(errorDuration)})
 			if err := get(); err != nil {
 				t.Errorf("request after the errors: %v; process running: %v; its log: %s", err, process.Running(), process.Log())
 			}
--- a/cmd/milldeck/fleet_budgets_test.go
+++ b/cmd/milldeck/fleet_budgets_test.go
@@ -13,7 +13,7 @@
 
 // The command replaces the budgets by those of the file: it sets new ones and deletes the others. An invalid file sets none.
 func TestFleetBudgets(t *testing.T) {
-	block, err := proc.ReserveBlock()
+	block, err := proc.ReserveAddressBlock()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/milldeck/lab_soak.go
+++ b/cmd/milldeck/lab_soak.go
@@ -98,7 +98,7 @@
 		return 0, err
 	}
 	result, err := faultsoak.Run(command.Context(), faultsoak.Options{
-		Seed: seed, Length: f.length, FaultRate: f.faultRate, Only: f.only, SidecarPath: f.sidecarPath, MilldeckPath: milldeckPath, Dir: dir,
+		Seed: seed, Length: f.length, FaultRate: f.faultRate, FaultKinds: f.only, SidecarPath: f.sidecarPath, MilldeckPath: milldeckPath, Dir: dir,
 	})
 	if err != nil {
 		return 0, err
@@ -125,16 +125,16 @@
 // printSoak prints the result of a run, and the faults and violations if there are violations.
 func printSoak(out io.Writer, result *faultsoak.Result, dir string) {
 	failedCalls := 0
-	for _, count := range result.Injected {
+	for _, count := range result.InjectedFailures {
 		failedCalls += count
 	}
 	fmt.Fprintf(out, "seed %d: %d requests, %.3f of the plain ones served, %d attempts, %d system calls failed, %d violations\n",
-		result.Seed, result.Requests, result.Served, result.Attempts, failedCalls, len(result.Violations))
+		result.Seed, result.Requests, result.ServedShare, result.Attempts, failedCalls, len(result.Violations))
 	if len(result.Violations) == 0 {
 		return
 	}
 	fmt.Fprintf(out, "  logs: %s\n  outcomes: %v\n  failed calls: %v\n  %s\n",
-		dir, result.Outcomes, result.Injected, strings.Join(result.Faults, "\n  "))
+		dir, result.Outcomes, result.InjectedFailures, strings.Join(result.Faults, "\n  "))
 	for _, violation := range result.Violations {
 		fmt.Fprintf(out, "  VIOLATION %s %s: %s\n", violation.Rule, violation.Request, violation.Detail)
 	}
--- a/cmd/milldeck/release.go
+++ b/cmd/milldeck/release.go
@@ -15,10 +15,10 @@
 		RunE:  func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
 	command.AddCommand(newReleaseCheck(), newReleaseStart(), newReleaseStatus(),
-		newReleaseCommand(release.CommandHalt, "Halts a release: no further unit is taken out of service"),
-		newReleaseCommand(release.CommandResume, "Resumes a halted release"),
-		newReleaseCommand(release.CommandRollback, "Rolls a release back: its units return to their previous versions"),
-		newReleaseCommand(release.CommandFinalize,
+		newReleaseCommand(release.ActionHalt, "Halts a release: no further unit is taken out of service"),
+		newReleaseCommand(release.ActionResume, "Resumes a halted release"),
+		newReleaseCommand(release.ActionRollback, "Rolls a release back: its units return to their previous versions"),
+		newReleaseCommand(release.ActionFinalize,
 			"Finalizes a finished release: it can no longer be rolled back, and its units are free for other releases"))
 	return command
 }
--- a/cmd/sidecar/system_call_test.go
+++ b/cmd/sidecar/system_call_test.go
@@ -117,7 +117,7 @@
 
 // A transient error of a system call ends neither the process nor a request: the sidecar serves waiting requests once the
 // error is over.
-func TestPassingErrorsOfSystemCalls(t *testing.T) {
+func TestTransientErrorsOfSystemCalls(t *testing.T) {
 	const failsFor = 300 * time.Millisecond
 	for _, errno := range transientAcceptErrors {
 		t.Run("accept "+unix.ErrnoName(errno), func(t *testing.T) {
@@ -129,7 +129,7 @@
 				t.Fatalf("before the fault: %d", got)
 			}
 			begin := time.Now()
-			rig.shim.Add(shim.Rule{Call: shim.Accept, Errno: errno, Share: 1, Until: begin.Add(failsFor)})
+			rig.shim.AddRule(shim.Rule{Call: shim.Accept, Errno: errno, Share: 1, Until: begin.Add(failsFor)})
 			if got := rig.request(t, rig.dial(t)); got != http.StatusOK {
 				t.Errorf("on a new connection: %d", got)
 			}
@@ -146,7 +146,7 @@
 		rig := newShimRig(t)
 		defer startUnderShim(t, rig)()
 		conn := rig.dial(t)
-		rig.shim.Add(shim.Rule{Call: shim.RecvFrom, Errno: syscall.EINTR, Share: 0.5, Until: time.Now().Add(testTimeout)})
+		rig.shim.AddRule(shim.Rule{Call: shim.RecvFrom, Errno: syscall.EINTR, Share: 0.5, Until: time.Now().Add(testTimeout)})
 		for i := range 20 {
 			if got := rig.request(t, conn); got != http.StatusOK {
 				t.Fatalf("request %d: %d", i, got)
@@ -174,7 +174,7 @@
 		if err := os.WriteFile(path, []byte(strings.Replace(rig.config, "127.0.0.1:1", "127.0.0.1:3", 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		rig.shim.Add(shim.Rule{Call: shim.OpenAt, Errno: syscall.ENFILE, Share: 1, Until: time.Now().Add(failsFor)})
+		rig.shim.AddRule(shim.Rule{Call: shim.OpenAt, Errno: syscall.ENFILE, Share: 1, Until: time.Now().Add(failsFor)})
 		if err := syscall.Kill(rig.pid, syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -16,7 +16,7 @@
 // An agent still serves its list after its replica has stopped, and after its own restart without a reachable replica. It
 // does not use a corrupt saved list.
 func TestAgentServesWithoutRegistry(t *testing.T) {
-	block := proctest.Block(t)
+	block := proctest.ReserveAddressBlock(t)
 	replica := startReplica(t, block)
 	client := newClient(t, replica.Addr())
 	if _, err := client.Register(t.Context(), registry.WriteOptions{}, readyInstances(5)...); err != nil {
@@ -61,7 +61,7 @@
 func TestShrunkenListNeedsConfirmation(t *testing.T) {
 	for name, agrees := range map[string]bool{"agrees": true, "disagrees": false} {
 		t.Run(name, func(t *testing.T) {
-			block := proctest.Block(t)
+			block := proctest.ReserveAddressBlock(t)
 			full := newList(5, 9, true, "a", "b", "c", "d", "e", "f")
 			shrunk := newList(7, 9, true, "a")
 			second := newList(6, 9, true, "a", "b", "c", "d", "e", "f")
@@ -112,7 +112,7 @@
 func TestUnknownListIsNotServed(t *testing.T) {
 	for name, savedInstances := range map[string]int{"with a list": 3, "without a list": 0} {
 		t.Run(name, func(t *testing.T) {
-			block := proctest.Block(t)
+			block := proctest.ReserveAddressBlock(t)
 			path := filepath.Join(t.TempDir(), "list")
 			if savedInstances > 0 {
 				list := instanceList{maxLossFraction: 0.5}
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -15,7 +15,7 @@
 )
 
 // startReplica runs a registry replica in this process.
-func startReplica(t *testing.T, block *proc.Block) *registry.Replica {
+func startReplica(t *testing.T, block *proc.AddressBlock) *registry.Replica {
 	t.Helper()
 	http, raft := block.Addr(200, 0, 8500), block.Addr(200, 0, 8501)
 	replica, err := registry.Open(registry.Options{HTTPAddr: http, RaftAddr: raft, Members: []registry.Member{{HTTPAddr: http, RaftAddr: raft}}})
--- a/internal/agent/placement_test.go
+++ b/internal/agent/placement_test.go
@@ -119,7 +119,7 @@
 // Directives expire at the agent and at the sidecar while the registry is unreachable. A restarted agent serves the saved
 // placement without extending the remaining times.
 func TestDirectivesExpireWithoutRegistry(t *testing.T) {
-	block := proctest.Block(t)
+	block := proctest.ReserveAddressBlock(t)
 	replica := startReplica(t, block)
 	owner := newLeaseOwner(t, replica)
 	path := filepath.Join(t.TempDir(), "placement")
@@ -229,7 +229,7 @@
 // A registry of an older version does not support placements. The agent responds with status 404 to requests for the
 // placement, still serves the list, and retries rarely. It requests the placement only after its sidecar has.
 func TestRegistryWithoutPlacementSupport(t *testing.T) {
-	block := proctest.Block(t)
+	block := proctest.ReserveAddressBlock(t)
 	addr := block.Addr(200, 0, 8500)
 	var requests atomic.Int64
 	mux := http.NewServeMux()
@@ -257,7 +257,7 @@
 // Connections to the replicas are closed while watches are open. The agent continues at the other replica, and the changes
 // reach the sidecar.
 func TestPlacementSurvivesCutConnections(t *testing.T) {
-	block := proctest.Block(t)
+	block := proctest.ReserveAddressBlock(t)
 	replica := startReplica(t, block)
 	owner := newLeaseOwner(t, replica)
 	first, other := newCountingProxy(t, block.Addr(202, 0, 8500), replica.Addr()), newCountingProxy(t, block.Addr(202, 1, 8500), replica.Addr())
--- a/internal/agent/replica_follower_test.go
+++ b/internal/agent/replica_follower_test.go
@@ -16,7 +16,7 @@
 	const agents = 2000
 	const maxPeak = 1400 // 1,000 per second by reconnectSpreadPerAgent, plus the random excess of the worst second
 	peakReconnects := func(fleetSize int) int {
-		block := proctest.Block(t)
+		block := proctest.ReserveAddressBlock(t)
 		replica := startReplica(t, block)
 		client := newClient(t, replica.Addr())
 		if _, err := client.Register(t.Context(), registry.WriteOptions{}, readyInstances(3)...); err != nil {
--- a/internal/agent/report_forwarder_test.go
+++ b/internal/agent/report_forwarder_test.go
@@ -78,7 +78,7 @@
 
 // Each address that accepts reports gets the newest report of each sidecar. Malformed reports are rejected.
 func TestReportsAreForwarded(t *testing.T) {
-	block := proctest.Block(t)
+	block := proctest.ReserveAddressBlock(t)
 	first := &collectorStub{t: t, addr: block.Addr(203, 0, 8500)}
 	second := &collectorStub{t: t, addr: block.Addr(203, 1, 8500)}
 	second.reject.Store(true)
--- a/internal/agent/sidecar_registration_test.go
+++ b/internal/agent/sidecar_registration_test.go
@@ -47,7 +47,7 @@
 // A registered sidecar is a unit of the disruption ledger: up while its health check succeeds, otherwise unready, and up
 // again with a new start time. Closing the agent does not change the unit.
 func TestAgentRegistersItsSidecar(t *testing.T) {
-	block := proctest.Block(t)
+	block := proctest.ReserveAddressBlock(t)
 	replica := startReplica(t, block)
 	client := newClient(t, replica.Addr())
 	address := block.Addr(203, 0, 8600)
--- a/internal/faultsoak/run.go
+++ b/internal/faultsoak/run.go
@@ -48,7 +48,7 @@
 	Seed         uint64
 	Length       time.Duration // of the load
 	FaultRate    float64       // faults a second
-	Only         []string      // kinds of faults to draw from; empty: all
+	FaultKinds   []string      // kinds of faults to draw from; empty: all
 	Slack        time.Duration // added to each time limit that is checked, because other work may keep the machine busy
 	SidecarPath  string
 	MilldeckPath string
@@ -57,14 +57,14 @@
 
 // Result is the result of a run.
 type Result struct {
-	Seed       uint64
-	Faults     []string
-	Requests   int
-	Outcomes   map[string]int
-	Served     float64 // share of the plain requests that got a 200
-	Attempts   int
-	Injected   map[string]int // number of injected system call failures by call and error
-	Violations []Violation
+	Seed             uint64
+	Faults           []string
+	Requests         int
+	Outcomes         map[string]int
+	ServedShare      float64 // share of the plain requests that got a 200
+	Attempts         int
+	InjectedFailures map[string]int // number of injected system call failures by call and error
+	Violations       []Violation
 }
 
 // soak is the state of a run.
@@ -72,7 +72,7 @@
 	options            Options
 	plan               plan
 	ctx                context.Context
-	block              *proc.Block
+	block              *proc.AddressBlock
 	records            *records
 	sidecars           []*sidecar
 	servers            []*server
@@ -104,14 +104,14 @@
 func Run(ctx context.Context, options Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	kinds, err := parseFaultKinds(options.Only)
+	kinds, err := parseFaultKinds(options.FaultKinds)
 	if err != nil {
 		return nil, err
 	}
 	if err := requireEmpty(options.Dir); err != nil {
 		return nil, err
 	}
-	block, err := proc.ReserveBlock()
+	block, err := proc.ReserveAddressBlock()
 	if err != nil {
 		return nil, err
 	}
@@ -316,14 +316,14 @@
 			return nil, err
 		}
 	}
-	result := &Result{Seed: s.plan.Seed, Outcomes: map[string]int{}, Injected: map[string]int{}}
+	result := &Result{Seed: s.plan.Seed, Outcomes: map[string]int{}, InjectedFailures: map[string]int{}}
 	for _, planned := range s.plan.Faults {
 		result.Faults = append(result.Faults, planned.String())
 	}
 	slices.Sort(result.Faults)
 	for _, target := range s.sidecars {
 		for name, count := range target.injected {
-			result.Injected[name] += count
+			result.InjectedFailures[name] += count
 		}
 		logged, err := target.loggedViolations()
 		if err != nil {
@@ -353,9 +353,9 @@
 			}
 		}
 	}
-	result.Served = float64(served) / float64(max(plain, 1))
-	if result.Served < minServedShare {
+	result.ServedShare = float64(served) / float64(max(plain, 1))
+	if result.ServedShare < minServedShare {
 		result.Violations = append(result.Violations, Violation{Rule: "served", Detail: fmt.Sprintf("%.2f of the plain requests, %.2f wanted",
-			result.Served, minServedShare)})
+			result.ServedShare, minServedShare)})
 	}
 }
--- a/internal/faultsoak/shim/shim.go
+++ b/internal/faultsoak/shim/shim.go
@@ -88,8 +88,8 @@
 	return supervisor, nil
 }
 
-// Add adds a rule, which applies at once.
-func (s *Supervisor) Add(rule Rule) {
+// AddRule adds a rule, which applies at once.
+func (s *Supervisor) AddRule(rule Rule) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rules = append(s.rules, rule)
@@ -102,8 +102,8 @@
 	s.wallOffset += step
 }
 
-// Injected returns the number of calls that the supervisor has made fail, by call and error.
-func (s *Supervisor) Injected() map[string]int {
+// InjectedFailures returns the number of calls that the supervisor has made fail, by call and error.
+func (s *Supervisor) InjectedFailures() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts := make(map[string]int, len(s.injected))
--- a/internal/faultsoak/shim/shim_test.go
+++ b/internal/faultsoak/shim/shim_test.go
@@ -170,13 +170,13 @@
 		if got := program.command(dial); got != "<nil>" {
 			t.Fatalf("dial before the rule: %s", got)
 		}
-		program.supervisor.Add(Rule{Call: call, Errno: syscall.ENETUNREACH, Share: 1, Until: time.Now().Add(testTimeout)})
+		program.supervisor.AddRule(Rule{Call: call, Errno: syscall.ENETUNREACH, Share: 1, Until: time.Now().Add(testTimeout)})
 		if got := program.command(dial); !strings.Contains(got, syscall.ENETUNREACH.Error()) {
 			t.Errorf("dial while %v fails: %s", call, got)
 		}
 		program.supervisor.clear()
 	}
-	program.supervisor.Add(Rule{Call: Accept, Errno: syscall.ENOBUFS, Share: 1, Until: time.Now().Add(testTimeout)})
+	program.supervisor.AddRule(Rule{Call: Accept, Errno: syscall.ENOBUFS, Share: 1, Until: time.Now().Add(testTimeout)})
 	if got := program.command("accept"); !strings.Contains(got, syscall.ENOBUFS.Error()) {
 		t.Errorf("accept while the rule applies: %s", got)
 	}
@@ -189,7 +189,7 @@
 	if got := program.command("accept"); got != "<nil>" {
 		t.Errorf("accept after the rule: %s", got)
 	}
-	if got := program.supervisor.Injected()["accept4 ENOBUFS"]; got != 1 {
+	if got := program.supervisor.InjectedFailures()["accept4 ENOBUFS"]; got != 1 {
 		t.Errorf("%d failed calls counted, want 1", got)
 	}
 }
--- a/internal/faultsoak/sidecar.go
+++ b/internal/faultsoak/sidecar.go
@@ -280,7 +280,7 @@
 func (s *sidecar) addRule(rule shim.Rule) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.shim.Add(rule)
+	s.shim.AddRule(rule)
 }
 
 // collectInjected adds the present process's injected failures to the total of the sidecar.
@@ -290,7 +290,7 @@
 	if s.injected == nil {
 		s.injected = map[string]int{}
 	}
-	for name, count := range s.shim.Injected() {
+	for name, count := range s.shim.InjectedFailures() {
 		s.injected[name] += count
 	}
 }
--- a/internal/hotkey/cluster_model_test.go
+++ b/internal/hotkey/cluster_model_test.go
@@ -39,8 +39,8 @@
 	hotKeys        []uint64                      // the keys of hotShares, sorted
 	lostReports    float64                       // fraction of the reports that are lost
 	corruptReport  func(r *placement.LoadReport) // corrupts the first sidecar's reports; nil: they are correct
-	plantBug       func(*Planner)                // plants a bug in each new planner; may be nil
-	corruptPlanner func(*Planner)                // plants a bug before each plan; may be nil
+	injectDefect   func(*Planner)                // injects a defect into each new planner; may be nil
+	corruptPlanner func(*Planner)                // injects a defect before each plan; may be nil
 	plannerDown    bool
 	planInterval   float64                       // s
 	revision       uint64                        // of the placement
@@ -88,9 +88,9 @@
 
 // startPlanner starts a new planner, which restores its state from the placement.
 func (m *clusterModel) startPlanner() {
-	m.planner = newPlanner(m.config) // without validation, because planted settings may be invalid
-	if m.plantBug != nil {
-		m.plantBug(m.planner)
+	m.planner = newPlanner(m.config) // without validation, because settings with an injected defect may be invalid
+	if m.injectDefect != nil {
+		m.injectDefect(m.planner)
 	}
 	m.planner.SetExpectedSidecars(len(m.sidecars))
 	m.planner.SetServers(m.servers)
--- a/internal/hotkey/detection_test.go
+++ b/internal/hotkey/detection_test.go
@@ -65,9 +65,9 @@
 }
 
 // replicatesNoKey runs a scenario and reports whether no key was replicated.
-func replicatesNoKey(t testing.TB, sidecarCount int, scenario string, seed uint64, plantBug func(*Planner)) bool {
+func replicatesNoKey(t testing.TB, sidecarCount int, scenario string, seed uint64, injectDefect func(*Planner)) bool {
 	cluster := newClusterModel(t, sidecarCount, seed, testConfig())
-	cluster.plantBug = plantBug
+	cluster.injectDefect = injectDefect
 	cluster.startPlanner()
 	noHotKeyScenarios[scenario](cluster)
 	cluster.run(8, func() bool { return len(cluster.timesReplicated) > 0 })
--- a/internal/hotkey/planner_test.go
+++ b/internal/hotkey/planner_test.go
@@ -262,12 +262,12 @@
 	cluster.checkInvariants("lost zone")
 }
 
-// The checks of the other tests detect each planted bug.
-func TestDetectsPlantedBugs(t *testing.T) {
+// The checks of the other tests detect each injected defect.
+func TestDetectsInjectedDefects(t *testing.T) {
 	t.Parallel()
 	t.Run("scale up by the upper bound", func(t *testing.T) {
 		t.Parallel()
-		plantBug := func(p *Planner) {
+		injectDefect := func(p *Planner) {
 			p.scaleUpLoad = func(key uint64) float64 {
 				if p.loads.sumOf(key) == nil {
 					return 0
@@ -275,8 +275,8 @@
 				return p.loads.upperBound(key, true)
 			}
 		}
-		if replicatesNoKey(t, fewSidecars, "lukewarm", 0, plantBug) && replicatesNoKey(t, fewSidecars, "invalid reports", 0, plantBug) {
-			t.Error("the bug was not detected")
+		if replicatesNoKey(t, fewSidecars, "lukewarm", 0, injectDefect) && replicatesNoKey(t, fewSidecars, "invalid reports", 0, injectDefect) {
+			t.Error("the defect was not detected")
 		}
 	})
 	t.Run("no hysteresis", func(t *testing.T) {
@@ -284,7 +284,7 @@
 		config := testConfig()
 		config.ScaleDownUtilization, config.ScaleDownStabilization, config.ScaleDownInterval, config.RetirePeriod = 1.3, 0, 0, 0
 		if n := replicasStartedAtThreshold(t, config); n <= 30 {
-			t.Errorf("the bug was not detected: %d replicas were started", n)
+			t.Errorf("the defect was not detected: %d replicas were started", n)
 		}
 	})
 	t.Run("share before the replica is warm", func(t *testing.T) {
@@ -299,7 +299,7 @@
 		}
 		cluster.hotShares[hotKey] = 1.2 * detectionThreshold
 		if cluster.run(6, nil); cluster.prematureShares == 0 {
-			t.Error("the bug was not detected")
+			t.Error("the defect was not detected")
 		}
 	})
 	t.Run("budget for each key", func(t *testing.T) {
@@ -318,7 +318,7 @@
 		simulateHotKeys(config).checkInvariants("one budget")
 		config.WarmupBudget = 4 * 0.005
 		if cluster := simulateHotKeys(config); !cluster.budgetExceeded {
-			t.Errorf("the bug was not detected: %v ms of work in %v s", cluster.plannedWarmupWork, cluster.now)
+			t.Errorf("the defect was not detected: %v ms of work in %v s", cluster.plannedWarmupWork, cluster.now)
 		}
 	})
 }
--- a/internal/hotkey/process_test.go
+++ b/internal/hotkey/process_test.go
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Second)
 	t.Cleanup(cancel)
 	c := &processCluster{T: t, ctx: ctx}
-	block, err := proc.ReserveBlock()
+	block, err := proc.ReserveAddressBlock()
 	c.noError(err)
 	t.Cleanup(block.Release)
 	program, dir := proctest.Program(t, "milldeck"), t.TempDir()
--- a/internal/lab/controlplane/faults.go
+++ b/internal/lab/controlplane/faults.go
@@ -237,9 +237,9 @@
 	name := []string{serverReleaseName, sidecarReleaseName}[c.random.IntN(2)]
 	switch c.random.IntN(5) {
 	case 0:
-		c.scheduleReleaseCommand(name, "halted", release.CommandHalt)
+		c.scheduleReleaseCommand(name, "halted", release.ActionHalt)
 	case 1:
-		c.scheduleReleaseCommand(name, "sent back", release.CommandRollback)
+		c.scheduleReleaseCommand(name, "sent back", release.ActionRollback)
 	case 2:
 		c.scheduleWithdrawal(tenants[c.random.IntN(len(tenants))].name)
 	}
--- a/internal/lab/controlplane/operator.go
+++ b/internal/lab/controlplane/operator.go
@@ -56,9 +56,9 @@
 	if state.Status.Phase != release.PhaseHalted || state.Status.HandledCommands != commandCount {
 		return
 	}
-	action := release.CommandResume
+	action := release.ActionResume
 	if commandCount > maxResumptions && !state.DrainOnly {
-		action = release.CommandRollback
+		action = release.ActionRollback
 	}
 	// Rejected where the release does not accept the command now; the next round decides again.
 	_ = c.registry.commitReleaseOp(&release.Operation{Name: name, Command: &release.Command{Action: action, Operator: operatorName}})
--- a/internal/lab/controlplane/options.go
+++ b/internal/lab/controlplane/options.go
@@ -18,7 +18,7 @@
 	HoursCloseIn            time.Duration // from the start to the close of these hours
 }
 
-// Defects are bugs injected into the simulated control plane. The checker must detect each of them.
+// Defects are the defects that are injected into the simulated control plane. The checker must detect each of them.
 type Defects struct {
 	StaleReads                   bool // permits are granted on availability data that is one second old
 	CompletePermitsOnLeaseExpiry bool // a permit is completed when the lease of its owner expires
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -112,50 +112,50 @@
 	Misbehaviour, Operation string
 	CallCount               int
 
-	// Of links: the endpoints, and the directions that the fault affects.
-	SideA, SideB      EndpointSet
+	// Of links: the two sides, and the directions that the fault affects.
+	SideA, SideB      LinkEndSet
 	Forward, Backward bool // from A to B, from B to A
 }
 
-// Affects reports whether a link fault affects messages from one endpoint to another.
-func (f *Fault) Affects(from, to Endpoint) bool {
+// Affects reports whether a link fault affects messages from one end of a link to the other.
+func (f *Fault) Affects(from, to LinkEnd) bool {
 	return f.Forward && f.SideA.contains(from) && f.SideB.contains(to) ||
 		f.Backward && f.SideB.contains(from) && f.SideA.contains(to)
 }
 
-// EndpointSet is one side of a link fault.
-type EndpointSet struct {
+// LinkEndSet is the set of link ends on one side of a link fault.
+type LinkEndSet struct {
 	Servers, Sidecars  map[int]bool
 	Clients, Discovery bool
 }
 
-func (s *EndpointSet) contains(endpoint Endpoint) bool {
-	switch endpoint.Kind {
-	case ServerEndpoint:
-		return s.Servers[endpoint.Index]
-	case SidecarEndpoint:
-		return s.Sidecars[endpoint.Index]
-	case ClientEndpoint:
+func (s *LinkEndSet) contains(end LinkEnd) bool {
+	switch end.Kind {
+	case ServerEnd:
+		return s.Servers[end.Index]
+	case SidecarEnd:
+		return s.Sidecars[end.Index]
+	case ClientEnd:
 		return s.Clients
 	default:
 		return s.Discovery
 	}
 }
 
-// EndpointKind is the kind of an endpoint of a link.
-type EndpointKind uint8
+// LinkEndKind is the kind of process at an end of a link.
+type LinkEndKind uint8
 
-// The kinds of endpoints. The index of a client is that of its sidecar; discovery has none.
+// The kinds of link ends. The index of a client is that of its sidecar; discovery has none.
 const (
-	ServerEndpoint EndpointKind = iota
-	SidecarEndpoint
-	ClientEndpoint
-	DiscoveryEndpoint
+	ServerEnd LinkEndKind = iota
+	SidecarEnd
+	ClientEnd
+	DiscoveryEnd
 )
 
-// Endpoint is one end of a link.
-type Endpoint struct {
-	Kind  EndpointKind
+// LinkEnd is one end of a link.
+type LinkEnd struct {
+	Kind  LinkEndKind
 	Index int
 }
 
@@ -184,7 +184,7 @@
 	requirements := requirementsByFault[fault.Kind]
 	switch requirements.components {
 	case componentLinks:
-		fault.SideA, fault.SideB = p.endpointSet(f.Between[0]), p.endpointSet(f.Between[1])
+		fault.SideA, fault.SideB = p.linkEnds(f.Between[0]), p.linkEnds(f.Between[1])
 		fault.Forward = f.Direction != directionReverse
 		fault.Backward = f.Direction != directionForward
 	case componentNone:
--- a/internal/lab/live/addresses.go
+++ b/internal/lab/live/addresses.go
@@ -10,7 +10,7 @@
 )
 
 // addresses assigns the addresses of a run within its block of the loopback range.
-type addresses struct{ *proc.Block }
+type addresses struct{ *proc.AddressBlock }
 
 // logTailBytes is the number of bytes that LogTail returns from the end of each log.
 const logTailBytes = 2000
--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// clientLink returns the two endpoints of the link between a request's client and its sidecar.
-func clientLink(arrival *lab.Arrival) (client, sidecar lab.Endpoint) {
-	return lab.Endpoint{Kind: lab.ClientEndpoint, Index: arrival.Sidecar}, sidecarEndpoint(arrival.Sidecar)
+// clientLink returns the two ends of the link between a request's client and its sidecar.
+func clientLink(arrival *lab.Arrival) (client, sidecar lab.LinkEnd) {
+	return lab.LinkEnd{Kind: lab.ClientEnd, Index: arrival.Sidecar}, sidecarEnd(arrival.Sidecar)
 }
 
 // clientAttempt is one attempt by a client to send a request.
--- a/internal/lab/live/discovery.go
+++ b/internal/lab/live/discovery.go
@@ -131,7 +131,7 @@
 
 // isUnreachable reports whether discovery cannot reach the agent.
 func (a *agent) isUnreachable() bool {
-	link := a.fleet.network.state(lab.Endpoint{Kind: lab.DiscoveryEndpoint}, sidecarEndpoint(a.sidecar))
+	link := a.fleet.network.state(lab.LinkEnd{Kind: lab.DiscoveryEnd}, sidecarEnd(a.sidecar))
 	return link.partitioned || a.fleet.discoveryDown.Load()
 }
 
--- a/internal/lab/live/faults.go
+++ b/internal/lab/live/faults.go
@@ -231,12 +231,12 @@
 // partition it excuses the sidecars that are partitioned from their own clients.
 func (f *fleet) setPartition(fault *lab.Fault, active bool) {
 	for number, process := range f.sidecars {
-		sidecar, client := sidecarEndpoint(number), lab.Endpoint{Kind: lab.ClientEndpoint, Index: number}
+		sidecar, client := sidecarEnd(number), lab.LinkEnd{Kind: lab.ClientEnd, Index: number}
 		if active && (fault.Affects(client, sidecar) || fault.Affects(sidecar, client)) {
 			f.checker.ExcuseSidecar(process.number, f.now()-timeoutToleranceMS, fault.EndMS+faultRecoveryMS)
 		}
 		for _, target := range f.servers {
-			server := lab.Endpoint{Kind: lab.ServerEndpoint, Index: target.number}
+			server := lab.LinkEnd{Kind: lab.ServerEnd, Index: target.number}
 			// A TCP handshake needs both directions.
 			if fault.Affects(sidecar, server) || fault.Affects(server, sidecar) {
 				logFaultFailure(fault.Label, target.ports[number].setSilent(active))
--- a/internal/lab/live/gossip_relay.go
+++ b/internal/lab/live/gossip_relay.go
@@ -71,7 +71,7 @@
 			return
 		}
 		sender, ok := r.sidecarBySource[source]
-		link := r.fleet.network.state(sidecarEndpoint(sender), sidecarEndpoint(destination))
+		link := r.fleet.network.state(sidecarEnd(sender), sidecarEnd(destination))
 		if !ok || link.partitioned || rand.Float64() < link.loss || r.inFlight.Load() >= maxInFlightDatagrams {
 			continue
 		}
@@ -96,8 +96,8 @@
 	})
 }
 
-func sidecarEndpoint(number int) lab.Endpoint {
-	return lab.Endpoint{Kind: lab.SidecarEndpoint, Index: number}
+func sidecarEnd(number int) lab.LinkEnd {
+	return lab.LinkEnd{Kind: lab.SidecarEnd, Index: number}
 }
 
 func (r *gossipRelay) close() {
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -110,7 +110,7 @@
 	if err := checkDescriptorLimit(plan); err != nil {
 		return nil, err
 	}
-	block, err := proc.ReserveBlock()
+	block, err := proc.ReserveAddressBlock()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/live/network.go
+++ b/internal/lab/live/network.go
@@ -39,12 +39,12 @@
 }
 
 // state returns the current state of a link in one direction.
-func (n *network) state(from, to lab.Endpoint) linkState {
+func (n *network) state(from, to lab.LinkEnd) linkState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	state := linkState{changed: n.changed}
-	for _, end := range []lab.Endpoint{from, to} {
-		if end.Kind == lab.ServerEndpoint && n.unreachableServers[end.Index] {
+	for _, end := range []lab.LinkEnd{from, to} {
+		if end.Kind == lab.ServerEnd && n.unreachableServers[end.Index] {
 			state.partitioned = true
 		}
 	}
@@ -66,7 +66,7 @@
 
 // transmit waits until the link is not partitioned, and then for the message's delay plus the link's extra delay. It
 // returns false if the message is lost or ctx ends. draw, a random number from 0 to 1, decides whether it is lost.
-func (n *network) transmit(ctx context.Context, from, to lab.Endpoint, delay time.Duration, draw float64) bool {
+func (n *network) transmit(ctx context.Context, from, to lab.LinkEnd, delay time.Duration, draw float64) bool {
 	state := n.state(from, to)
 	if draw < state.loss {
 		return false
--- a/internal/lab/live/registry_service.go
+++ b/internal/lab/live/registry_service.go
@@ -59,9 +59,9 @@
 // startReplicas starts the replicas, with no server registered.
 func (r *registryService) startReplicas(ctx context.Context) error {
 	fleet := r.fleet
-	options := cluster.Options{Program: fleet.options.MilldeckPath, DataDir: fleet.options.Dir, Addresses: fleet.addresses.Block}
+	options := cluster.Options{Program: fleet.options.MilldeckPath, DataDir: fleet.options.Dir, Addresses: fleet.addresses.AddressBlock}
 	if fleet.plan.PartitionsReplicas() {
-		r.links = cluster.NewNetwork(fleet.addresses.Block)
+		r.links = cluster.NewNetwork(fleet.addresses.AddressBlock)
 		options.Advertise = r.links.Advertise
 	}
 	var err error
--- a/internal/lab/live/server_network.go
+++ b/internal/lab/live/server_network.go
@@ -20,13 +20,13 @@
 	return milliseconds(delayMS * (1 + p.fleet.plan.Experiment.Network.Jitter*(2*rand.Float64()-1)))
 }
 
-// endpoints returns the two ends of the link.
-func (p *modelledPath) endpoints() (server, sidecar lab.Endpoint) {
-	return lab.Endpoint{Kind: lab.ServerEndpoint, Index: p.server}, sidecarEndpoint(p.sidecar)
+// ends returns the two ends of the link.
+func (p *modelledPath) ends() (server, sidecar lab.LinkEnd) {
+	return lab.LinkEnd{Kind: lab.ServerEnd, Index: p.server}, sidecarEnd(p.sidecar)
 }
 
 func (p *modelledPath) deliverRequest(ctx context.Context, newConnection bool) bool {
-	server, sidecar := p.endpoints()
+	server, sidecar := p.ends()
 	oneWayTrips := 1.0
 	if newConnection {
 		oneWayTrips += 2 * handshakeRoundTrips
@@ -36,7 +36,7 @@
 }
 
 func (p *modelledPath) deliverResponse(ctx context.Context) bool {
-	server, sidecar := p.endpoints()
+	server, sidecar := p.ends()
 	return p.fleet.network.transmit(ctx, server, sidecar, p.latency(), rand.Float64())
 }
 
--- a/internal/lab/proc/block.go
+++ b/internal/lab/proc/block.go
@@ -16,19 +16,19 @@
 	hostsPerNet     = 250
 )
 
-// Block is a reserved part of the loopback range. It ensures that concurrent runs and tests, also in different processes,
+// AddressBlock is a reserved part of the loopback range. It ensures that concurrent runs and tests, also in different processes,
 // never share an address.
-type Block struct {
+type AddressBlock struct {
 	number      int
 	reservation net.Listener
 }
 
-// ReserveBlock reserves the first free block. The caller has to release it. It fails when all blocks are reserved.
-func ReserveBlock() (*Block, error) {
+// ReserveAddressBlock reserves the first free block. The caller has to release it. It fails when all blocks are reserved.
+func ReserveAddressBlock() (*AddressBlock, error) {
 	for number := firstBlock; number <= lastBlock; number++ {
 		reservation, err := net.Listen("tcp4", fmt.Sprintf("127.%d.255.254:%d", number, reservationPort))
 		if err == nil {
-			return &Block{number, reservation}, nil
+			return &AddressBlock{number, reservation}, nil
 		}
 		if !errors.Is(err, syscall.EADDRINUSE) {
 			return nil, fmt.Errorf("loopback addresses: %w", err)
@@ -39,10 +39,10 @@
 }
 
 // Release ends the reservation.
-func (b *Block) Release() { b.reservation.Close() }
+func (b *AddressBlock) Release() { b.reservation.Close() }
 
 // Addr returns an address in the block as host:port. Host 0 is the first address of the /24 subnet; after hostsPerNet
 // hosts the numbering continues in the next subnet.
-func (b *Block) Addr(subnet, host, port int) string {
+func (b *AddressBlock) Addr(subnet, host, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", b.number, subnet+host/hostsPerNet, 1+host%hostsPerNet, port)
 }
--- a/internal/lab/proc/proctest/block.go
+++ b/internal/lab/proc/proctest/block.go
@@ -6,10 +6,10 @@
 	"milldeck/internal/lab/proc"
 )
 
-// Block reserves a block of loopback addresses until the test ends.
-func Block(t testing.TB) *proc.Block {
+// ReserveAddressBlock reserves a block of loopback addresses until the test ends.
+func ReserveAddressBlock(t testing.TB) *proc.AddressBlock {
 	t.Helper()
-	block, err := proc.ReserveBlock()
+	block, err := proc.ReserveAddressBlock()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -23,7 +23,7 @@
 	c.attempts++
 	timeout := engine.plan.AttemptTimeout(&c.Arrival, now)
 	switch {
-	case engine.isPartitioned(sidecar.clientEndpoint(), sidecar.endpoint()):
+	case engine.isPartitioned(sidecar.clientLinkEnd(), sidecar.linkEnd()):
 		engine.schedule(now+timeout, func(now float64) { c.attemptDone(now, lab.OutcomeNoResponse, 0) })
 		return
 	case !sidecar.up || sidecar.draining:
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -88,8 +88,8 @@
 // excusePartitioned excuses late responses of the sidecars that are partitioned from their clients.
 func (e *simEngine) excusePartitioned(fault *lab.Fault) {
 	for _, sidecar := range e.sidecars {
-		client := sidecar.clientEndpoint()
-		if fault.Affects(client, sidecar.endpoint()) || fault.Affects(sidecar.endpoint(), client) {
+		client := sidecar.clientLinkEnd()
+		if fault.Affects(client, sidecar.linkEnd()) || fault.Affects(sidecar.linkEnd(), client) {
 			e.checker.ExcuseSidecar(sidecar.index, fault.StartMS, fault.EndMS+excuseAfterMS)
 		}
 	}
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -9,7 +9,7 @@
 func (e *simEngine) networkDelay(sidecar *simSidecar, server *simServer, toServer bool) (float64, bool) {
 	delay := server.plan.DelayByZone[sidecar.plan.Zone]
 	delay *= 1 + e.plan.Experiment.Network.Jitter*(2*e.rng.Float64()-1)
-	from, to := sidecar.endpoint(), server.endpoint()
+	from, to := sidecar.linkEnd(), server.linkEnd()
 	if !toServer {
 		from, to = to, from
 	}
@@ -17,8 +17,8 @@
 	return delay + extra, passes
 }
 
-// linkDelay returns the delay in ms that faults add to a message between two endpoints; false: the message is lost.
-func (e *simEngine) linkDelay(from, to lab.Endpoint) (float64, bool) {
+// linkDelay returns the delay in ms that faults add to a message between two link ends; false: the message is lost.
+func (e *simEngine) linkDelay(from, to lab.LinkEnd) (float64, bool) {
 	extra := 0.0
 	for _, fault := range e.linkFaults {
 		if !fault.Affects(from, to) {
@@ -38,8 +38,8 @@
 	return extra, true
 }
 
-// isPartitioned reports whether a partition blocks all messages from one endpoint to another.
-func (e *simEngine) isPartitioned(from, to lab.Endpoint) bool {
+// isPartitioned reports whether a partition blocks all messages from one link end to another.
+func (e *simEngine) isPartitioned(from, to lab.LinkEnd) bool {
 	for _, fault := range e.linkFaults {
 		if fault.Kind == lab.FaultPartition && fault.Affects(from, to) {
 			return true
@@ -79,7 +79,7 @@
 		if other == s || to >= 0 && other.index != to {
 			continue
 		}
-		extra, passes := engine.linkDelay(s.endpoint(), other.endpoint())
+		extra, passes := engine.linkDelay(s.linkEnd(), other.linkEnd())
 		if !passes {
 			continue
 		}
--- a/internal/lab/sim/request.go
+++ b/internal/lab/sim/request.go
@@ -202,7 +202,7 @@
 func (r *simRequest) respond(now float64, outcome lab.Outcome, retryAfter float64, server int) {
 	engine := r.sidecar.engine
 	engine.schedule(now+clientDelayMS, func(now float64) {
-		if r.clientDone || engine.isPartitioned(r.sidecar.endpoint(), r.sidecar.clientEndpoint()) {
+		if r.clientDone || engine.isPartitioned(r.sidecar.linkEnd(), r.sidecar.clientLinkEnd()) {
 			return
 		}
 		r.clientDone = true
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// endpoint returns the link endpoint of the server.
-func (s *simServer) endpoint() lab.Endpoint {
-	return lab.Endpoint{Kind: lab.ServerEndpoint, Index: s.index}
+// linkEnd returns the server as an end of links.
+func (s *simServer) linkEnd() lab.LinkEnd {
+	return lab.LinkEnd{Kind: lab.ServerEnd, Index: s.index}
 }
 
 // listEntry returns the server's entry in the endpoint list for a state.
@@ -62,7 +62,7 @@
 func (s *simServer) receive(now float64, attempt *simAttempt) {
 	engine := s.engine
 	switch {
-	case s.machineDown || engine.isPartitioned(attempt.sidecar.endpoint(), s.endpoint()):
+	case s.machineDown || engine.isPartitioned(attempt.sidecar.linkEnd(), s.linkEnd()):
 		return
 	case s.frozen:
 		s.pendingAttempts = append(s.pendingAttempts, attempt)
--- a/internal/lab/sim/sidecar.go
+++ b/internal/lab/sim/sidecar.go
@@ -54,14 +54,14 @@
 	return s
 }
 
-// endpoint returns the link endpoint of the sidecar.
-func (s *simSidecar) endpoint() lab.Endpoint {
-	return lab.Endpoint{Kind: lab.SidecarEndpoint, Index: s.index}
+// linkEnd returns the sidecar as an end of links.
+func (s *simSidecar) linkEnd() lab.LinkEnd {
+	return lab.LinkEnd{Kind: lab.SidecarEnd, Index: s.index}
 }
 
-// clientEndpoint returns the link endpoint of the sidecar's clients.
-func (s *simSidecar) clientEndpoint() lab.Endpoint {
-	return lab.Endpoint{Kind: lab.ClientEndpoint, Index: s.index}
+// clientLinkEnd returns the sidecar's clients as an end of links.
+func (s *simSidecar) clientLinkEnd() lab.LinkEnd {
+	return lab.LinkEnd{Kind: lab.ClientEnd, Index: s.index}
 }
 
 // start starts a new incarnation of the sidecar with the endpoint list of the previous incarnation.
--- a/internal/lab/sim/sidecar_discovery.go
+++ b/internal/lab/sim/sidecar_discovery.go
@@ -57,7 +57,7 @@
 
 // discoveryUnreachable reports whether discovery cannot reach the sidecar.
 func (s *simSidecar) discoveryUnreachable() bool {
-	return s.engine.discoveryDown || s.engine.isPartitioned(lab.Endpoint{Kind: lab.DiscoveryEndpoint}, s.endpoint())
+	return s.engine.discoveryDown || s.engine.isPartitioned(lab.LinkEnd{Kind: lab.DiscoveryEnd}, s.linkEnd())
 }
 
 // receiveUpdate queues a change of the endpoint list, and applies it if discovery notifies the sidecar.
--- a/internal/lab/target.go
+++ b/internal/lab/target.go
@@ -203,10 +203,10 @@
 	return indexes
 }
 
-// endpointSet returns the endpoints that a target names.
-func (p *Plan) endpointSet(text string) EndpointSet {
+// linkEnds returns the link ends that a target names.
+func (p *Plan) linkEnds(text string) LinkEndSet {
 	t, _ := parseTarget(text, p.Experiment) // validated when the experiment was read
-	set := EndpointSet{
+	set := LinkEndSet{
 		Servers: map[int]bool{}, Sidecars: map[int]bool{}, Clients: t.clients, Discovery: t.discovery,
 	}
 	if t.components&componentServers != 0 {
--- a/internal/leaderelection/bench/bench.go
+++ b/internal/leaderelection/bench/bench.go
@@ -145,7 +145,7 @@
 }
 
 func runBench(ctx context.Context, opts Options) (*Result, error) {
-	addresses, err := proc.ReserveBlock()
+	addresses, err := proc.ReserveAddressBlock()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/maintenance/controller/controller_test.go
+++ b/internal/maintenance/controller/controller_test.go
@@ -53,7 +53,7 @@
 	t.Cleanup(cancel)
 	b := &testbed{T: t, ctx: ctx, program: proctest.Program(t, "milldeck"), dir: t.TempDir()}
 	b.serverReady.Store(true)
-	block, err := proc.ReserveBlock()
+	block, err := proc.ReserveAddressBlock()
 	b.must(err)
 	t.Cleanup(block.Release)
 	b.startCluster(block)
@@ -70,7 +70,7 @@
 }
 
 // startCluster starts three registry replicas.
-func (b *testbed) startCluster(block *proc.Block) {
+func (b *testbed) startCluster(block *proc.AddressBlock) {
 	b.Helper()
 	var err error
 	b.cluster, err = cluster.Start(b.ctx, 3, cluster.Options{Program: b.program, DataDir: b.dir, Addresses: block})
@@ -112,7 +112,7 @@
 }
 
 // startAgents starts two agents with two sidecars each, and registers the sidecars. The sidecars run until ctx ends.
-func (b *testbed) startAgents(block *proc.Block, sidecars *sync.WaitGroup) {
+func (b *testbed) startAgents(block *proc.AddressBlock, sidecars *sync.WaitGroup) {
 	b.Helper()
 	request := registry.SidecarRequest{TTLMS: 600_000}
 	for n := range 2 {
--- a/internal/maintenance/scenario_test.go
+++ b/internal/maintenance/scenario_test.go
@@ -232,12 +232,12 @@
 	}
 }
 
-// TestOracleFindsPlantedBugs checks that the oracle of the simulation detects injected bugs.
-func TestOracleFindsPlantedBugs(t *testing.T) {
-	bugs := []struct {
+// TestOracleFindsInjectedDefects checks that the oracle of the simulation detects injected defects.
+func TestOracleFindsInjectedDefects(t *testing.T) {
+	defects := []struct {
 		name, violation string
-		firstSeed       uint64 // seed of the first week to simulate: the bug shows only in some weeks
-		plant           func(*simulation)
+		firstSeed       uint64 // seed of the first week to simulate: the defect shows only in some weeks
+		inject          func(*simulation)
 	}{
 		{"fencing token not checked", "under token", 8, func(sim *simulation) { sim.ignoreTokens = true }},
 		{"exclusion that expires after the close", "outside the hours", 38, func(sim *simulation) {
@@ -261,16 +261,16 @@
 			}
 		}},
 	}
-	for _, bug := range bugs {
-		t.Run(bug.name, func(t *testing.T) {
-			for seed := bug.firstSeed; seed < bug.firstSeed+48; seed++ {
-				sim, _, _ := simulateWeek(seed, bug.plant)
-				if violations := strings.Join(sim.violations(), "; "); strings.Contains(violations, bug.violation) {
+	for _, defect := range defects {
+		t.Run(defect.name, func(t *testing.T) {
+			for seed := defect.firstSeed; seed < defect.firstSeed+48; seed++ {
+				sim, _, _ := simulateWeek(seed, defect.inject)
+				if violations := strings.Join(sim.violations(), "; "); strings.Contains(violations, defect.violation) {
 					t.Logf("week %d: %s", seed, violations)
 					return
 				}
 			}
-			t.Error("the oracle did not detect the bug")
+			t.Error("the oracle did not detect the defect")
 		})
 	}
 	t.Run("clock errors within the declared uncertainty", func(t *testing.T) {
@@ -284,7 +284,7 @@
 		}
 	})
 	t.Run("hours checked before the log", func(t *testing.T) {
-		for _, planted := range []bool{false, true} {
+		for _, injected := range []bool{false, true} {
 			sim := newScenario(t, "America/Montevideo", "2026-06-10 21:58")
 			sim.proposeWindow("w", 5*minuteMS, "m0")
 			sim.awaitStage(t, "w", StageDrained)
@@ -295,14 +295,14 @@
 				withdrawn := sim.table.contracts["portal"]
 				sim.applyOperator(Operation{Kind: OpWithdrawContract, Tenant: "portal"})
 				sim.oracle.agreed["portal"] = append(sim.oracle.agreed["portal"], agreedHours{effectiveFromMS: sim.nowMS, withdrawn: true})
-				if planted {
+				if injected {
 					sim.table.contracts["portal"] = withdrawn
 					sim.schedule(1, func() { delete(sim.table.contracts, "portal") })
 				}
 			}
 			sim.awaitStage(t, "w", StageHalted)
-			if found := strings.Contains(strings.Join(sim.violations(), "; "), "after its contract ended"); found != planted {
-				t.Errorf("planted %v, found %v", planted, found)
+			if found := strings.Contains(strings.Join(sim.violations(), "; "), "after its contract ended"); found != injected {
+				t.Errorf("injected %v, found %v", injected, found)
 			}
 		}
 	})
--- a/internal/maintenance/simulation_test.go
+++ b/internal/maintenance/simulation_test.go
@@ -36,9 +36,9 @@
 	faultsAtNextDrain []func()                   // faults to inject at the next drain
 	slowWindows       map[string]bool            // windows whose servers returned far later than estimated
 	slowReturns       bool                       // servers return far later than estimated
-	corruptOperation  func(*Operation)           // injected bug: changes an operation before it is applied
-	corruptDirective  func(*placement.Directive) // injected bug: changes a directive before it is published
-	ignoreTokens      bool                       // injected bug: fencing tokens are not checked
+	corruptOperation  func(*Operation)           // injected defect: changes an operation before it is applied
+	corruptDirective  func(*placement.Directive) // injected defect: changes a directive before it is published
+	ignoreTokens      bool                       // injected defect: fencing tokens are not checked
 	beforeWrite       func(e *Effect)            // called for each write that reaches the log
 	writes            int
 	ledgerReason      string   // reason of the ledger's last result
--- a/internal/registry/bench/bench.go
+++ b/internal/registry/bench/bench.go
@@ -83,7 +83,7 @@
 // Run runs the benchmark.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	startedAt := time.Now()
-	addresses, err := proc.ReserveBlock()
+	addresses, err := proc.ReserveAddressBlock()
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 // benchmark is the state of one run.
 type benchmark struct {
 	options   Options
-	addresses *proc.Block
+	addresses *proc.AddressBlock
 	result    *Result
 }
 
--- a/internal/registry/cluster/cluster.go
+++ b/internal/registry/cluster/cluster.go
@@ -30,10 +30,10 @@
 
 // Options are the options of a cluster.
 type Options struct {
-	Program     string      // path of milldeck
-	DataDir     string      // for configurations, logs and data
-	Addresses   *proc.Block // loopback addresses of the cluster
-	ExtraConfig string      // added to the configuration of each replica, such as "snapshot_every = 100"
+	Program     string             // path of milldeck
+	DataDir     string             // for configurations, logs and data
+	Addresses   *proc.AddressBlock // loopback addresses of the cluster
+	ExtraConfig string             // added to the configuration of each replica, such as "snapshot_every = 100"
 	// Advertise returns the raft address at which the other replicas reach a replica, such as that of a proxy. nil: the
 	// replica's own address.
 	Advertise func(index int, raftAddr string) string
--- a/internal/registry/cluster/clustertest/clustertest.go
+++ b/internal/registry/cluster/clustertest/clustertest.go
@@ -28,7 +28,7 @@
 		options.DataDir = t.TempDir()
 	}
 	if options.Addresses == nil {
-		options.Addresses = proctest.Block(t)
+		options.Addresses = proctest.ReserveAddressBlock(t)
 	}
 	running, err := cluster.Start(ctx, replicas, options)
 	t.Cleanup(func() {
--- a/internal/registry/cluster/network.go
+++ b/internal/registry/cluster/network.go
@@ -17,7 +17,7 @@
 // partition causes no connection errors: open connections stay open and carry no data, and new connections are accepted
 // but not forwarded.
 type Network struct {
-	addresses *proc.Block
+	addresses *proc.AddressBlock
 
 	mu          sync.Mutex
 	blocked     map[link]bool
@@ -35,7 +35,7 @@
 const unknownReplica = -1
 
 // NewNetwork returns a network without partitions. Its proxies listen on addresses of the cluster's block.
-func NewNetwork(addresses *proc.Block) *Network {
+func NewNetwork(addresses *proc.AddressBlock) *Network {
 	return &Network{
 		addresses: addresses, blocked: map[link]bool{}, changed: make(chan struct{}), connections: map[net.Conn]struct{}{},
 	}
--- a/internal/registry/election_model_test.go
+++ b/internal/registry/election_model_test.go
@@ -173,7 +173,7 @@
 
 func (m *electionModel) sweep() {
 	defer m.after(100*time.Millisecond, m.sweep)
-	for _, op := range m.leader.findExpired(m.clock()) {
+	for _, op := range m.leader.beginExpiry(m.clock()) {
 		m.pendingOps = append(m.pendingOps, op)
 		m.after(m.drawDuration("into the log", 0, 50), func() {
 			if index := slices.IndexFunc(m.pendingOps, func(pending leasetable.Operation) bool {
--- a/internal/registry/env_test.go
+++ b/internal/registry/env_test.go
@@ -33,7 +33,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	env := &testEnv{T: t, ctx: ctx}
-	options := cluster.Options{Addresses: proctest.Block(t), ExtraConfig: extraConfig}
+	options := cluster.Options{Addresses: proctest.ReserveAddressBlock(t), ExtraConfig: extraConfig}
 	if partitionable {
 		env.network = cluster.NewNetwork(options.Addresses)
 		t.Cleanup(env.network.Close)
--- a/internal/registry/fixtures_test.go
+++ b/internal/registry/fixtures_test.go
@@ -116,7 +116,7 @@
 	add("release-step", registry.Record{Op: registry.OpRelease, Guard: releaseGuard, Release: &release.Operation{Name: "r",
 		Delta: &release.Delta{Status: &release.Status{Phase: release.PhaseRollout, Wave: 1, Token: second}}}})
 	add("release-command", registry.Record{Op: registry.OpRelease, Release: &release.Operation{Name: "r",
-		Command: &release.Command{Action: release.CommandHalt, Operator: "operator/eva", Reason: "errors rise"}}})
+		Command: &release.Command{Action: release.ActionHalt, Operator: "operator/eva", Reason: "errors rise"}}})
 
 	// The disruption ledger, with sidecars.
 	two, half := 2, 0.5
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -13,7 +13,7 @@
 // whether it may still grant a lease. The test first stops the loop that verifies the leadership five times a second,
 // because that loop would record later times. It then delays the leader right after a verification.
 func TestDelayedReadReportsItsAge(t *testing.T) {
-	block := proctest.Block(t)
+	block := proctest.ReserveAddressBlock(t)
 	address := block.Addr(200, 0, 8500)
 	options := Options{HTTPAddr: address, RaftAddr: block.Addr(200, 0, 8501)}
 	options.Members = []Member{{HTTPAddr: address, RaftAddr: options.RaftAddr}}
@@ -22,10 +22,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = replica.Close() }) // the state is in memory and discarded
-	awaitCondition(t, "the replica leads", func() bool { return replica.caughtUp.Load() && replica.isLeader.Load() })
+	awaitCondition(t, "the replica leads", func() bool { return replica.caughtUp.Load() && replica.leadershipEstablished.Load() })
 	replica.cancel()
-	awaitCondition(t, "the leader loop has ended", func() bool { return !replica.isLeader.Load() })
-	replica.isLeader.Store(true)
+	awaitCondition(t, "the leader loop has ended", func() bool { return !replica.leadershipEstablished.Load() })
+	replica.leadershipEstablished.Store(true)
 
 	const delay = 300 * time.Millisecond
 	verifyLeader := replica.verifyLeader
--- a/internal/registry/holddown_test.go
+++ b/internal/registry/holddown_test.go
@@ -157,7 +157,7 @@
 		for _, candidate := range model.candidates {
 			model.step(candidate)
 		}
-		for _, op := range model.leader.findExpired(model.clock()) {
+		for _, op := range model.leader.beginExpiry(model.clock()) {
 			model.endTenure(op)
 		}
 		if changeLeaders && rapid.IntRange(0, 99).Draw(t, "another leader") == 0 {
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -123,7 +123,7 @@
 // leaderOnly serves requests on the leader. Other replicas redirect them to the leader.
 func (r *Replica) leaderOnly(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
-		if r.isLeader.Load() && r.raft.State() == raft.Leader {
+		if r.leadershipEstablished.Load() && r.raft.State() == raft.Leader {
 			handler(w, request)
 			return
 		}
--- a/internal/registry/http_admin.go
+++ b/internal/registry/http_admin.go
@@ -31,7 +31,7 @@
 	age := r.stateAge()
 	status := Status{
 		HTTPAddr: r.options.HTTPAddr, Role: r.raft.State().String(), Leader: r.leaderAddr(), Watchers: r.watchers.Load(),
-		AgeMS: age.Milliseconds(), AppliedIndex: r.raft.AppliedIndex(), Fresh: r.isLeader.Load() && age < maxFreshAge,
+		AgeMS: age.Milliseconds(), AppliedIndex: r.raft.AppliedIndex(), Fresh: r.leadershipEstablished.Load() && age < maxFreshAge,
 	}
 	r.hub.Read(func(state *StateMachine) {
 		status.Revision, status.Epoch, status.Instances = state.Revision(), state.Epoch(), state.Len()
--- a/internal/registry/http_read.go
+++ b/internal/registry/http_read.go
@@ -11,7 +11,7 @@
 func (r *Replica) setFreshnessHeaders(w http.ResponseWriter) {
 	age := r.stateAge()
 	w.Header().Set(AgeHeader, strconv.FormatInt(age.Milliseconds(), 10))
-	w.Header().Set(FreshHeader, strconv.FormatBool(r.isLeader.Load() && age < maxFreshAge))
+	w.Header().Set(FreshHeader, strconv.FormatBool(r.leadershipEstablished.Load() && age < maxFreshAge))
 }
 
 // ensureFresh waits until this replica may serve a request. Requests with the query parameter fresh are linearizable reads,
@@ -21,7 +21,7 @@
 	if request.URL.Query().Get("fresh") == "" {
 		return true
 	}
-	if !r.isLeader.Load() {
+	if !r.leadershipEstablished.Load() {
 		r.redirectToLeader(w, request)
 		return false
 	}
--- a/internal/registry/http_sidecars.go
+++ b/internal/registry/http_sidecars.go
@@ -56,8 +56,8 @@
 		if state.ledger != nil {
 			existing = state.ledger.sidecars[sidecar.Name]
 		}
-		if existing == nil || existing.Suspect || existing.persisted() != sidecar.persisted() {
-			record.Sidecars = append(record.Sidecars, sidecar.persisted())
+		if existing == nil || existing.Suspect || existing.storedFields() != sidecar.storedFields() {
+			record.Sidecars = append(record.Sidecars, sidecar.storedFields())
 		}
 	}
 	for _, name := range s.Deregistered {
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -24,14 +24,14 @@
 			return
 		case isLeader := <-leaderChanges:
 			if !isLeader {
-				r.isLeader.Store(false)
+				r.leadershipEstablished.Store(false)
 				continue
 			}
 		}
 		if r.establishLeadershipWithRetry() {
 			r.leaderLoop(leaderChanges)
 		}
-		r.isLeader.Store(false)
+		r.leadershipEstablished.Store(false)
 	}
 }
 
@@ -44,7 +44,7 @@
 		if err == nil {
 			return true
 		}
-		r.isLeader.Store(false)
+		r.leadershipEstablished.Store(false)
 		r.logger.Warn("leadership not established", "error", err)
 		select {
 		case <-r.ctx.Done():
@@ -67,7 +67,7 @@
 	r.recordVerified(startedAt)
 	r.resetTrackers()
 	r.warmUps = newWarmUpTracker(r.options.WarmUpDuration)
-	r.isLeader.Store(true)
+	r.leadershipEstablished.Store(true)
 	r.metrics.leadershipGained.Inc()
 	r.logger.Info("leadership established", "http", r.options.HTTPAddr)
 	epoch := uint64(0)
--- a/internal/registry/leadership_test.go
+++ b/internal/registry/leadership_test.go
@@ -14,7 +14,7 @@
 // followers still followed the replica, and it redirected every write to itself ("there is no leader"). In this test
 // the first two waits fail.
 func TestLeadershipIsEstablishedAfterTimeouts(t *testing.T) {
-	block := proctest.Block(t)
+	block := proctest.ReserveAddressBlock(t)
 	options := Options{HTTPAddr: block.Addr(200, 0, 8500), RaftAddr: block.Addr(200, 0, 8501)}
 	options.Members = []Member{{HTTPAddr: options.HTTPAddr, RaftAddr: options.RaftAddr}}
 	var barrierCalls atomic.Int64
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = replica.Close() }) // the state is in memory and discarded
-	awaitCondition(t, "the replica leads, caught up", func() bool { return replica.isLeader.Load() && replica.caughtUp.Load() })
+	awaitCondition(t, "the replica leads, caught up", func() bool { return replica.leadershipEstablished.Load() && replica.caughtUp.Load() })
 	if barrierCalls.Load() != 3 {
 		t.Errorf("the replica waited %d times, want 3", barrierCalls.Load())
 	}
--- a/internal/registry/lease_tracker.go
+++ b/internal/registry/lease_tracker.go
@@ -156,9 +156,9 @@
 	return 0
 }
 
-// findExpired returns an operation for each expired lease and each expired place in a queue. None of them can be
-// renewed from then on. Each call returns an operation again until it is applied and refresh is called.
-func (t *leaseTracker) findExpired(now time.Time) []leasetable.Operation {
+// beginExpiry blocks the renewal of each expired lease and each expired place in a queue, and returns an operation for
+// each of them. Each call returns an operation again until it is applied and refresh is called.
+func (t *leaseTracker) beginExpiry(now time.Time) []leasetable.Operation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var expired []leasetable.Operation
@@ -200,7 +200,7 @@
 // expireLeases expires the leases, and the places in queues, that were not renewed in time. Only the leader loop calls
 // it.
 func (r *Replica) expireLeases() {
-	for _, op := range r.leaseTracker.findExpired(time.Now()) {
+	for _, op := range r.leaseTracker.beginExpiry(time.Now()) {
 		if _, err := r.propose(&Record{Op: OpLease, Lease: &op}); err != nil {
 			return // the next call by this leader or its successor finds them again
 		}
--- a/internal/registry/ledger_bench_test.go
+++ b/internal/registry/ledger_bench_test.go
@@ -17,7 +17,7 @@
 // BenchmarkLedgerGrants requests permits from three replicas over loopback, with their logs on disk. It reports grants
 // per second, and the 99th percentile of the time from the request to the grant in ms.
 func BenchmarkLedgerGrants(b *testing.B) {
-	block := proctest.Block(b)
+	block := proctest.ReserveAddressBlock(b)
 	var members []registry.Member
 	for ordinal := range 3 {
 		members = append(members, registry.Member{HTTPAddr: block.Addr(200, ordinal, 8500), RaftAddr: block.Addr(200, ordinal, 8501)})
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -110,7 +110,7 @@
 		output <- prometheus.MustNewConstMetric(leaseHeldDesc, prometheus.GaugeValue, held, lease.Name)
 		output <- prometheus.MustNewConstMetric(leaseChangesDesc, prometheus.CounterValue, float64(lease.Transitions), lease.Name)
 		output <- prometheus.MustNewConstMetric(leaseCandidatesDesc, prometheus.GaugeValue, float64(len(lease.Queue)), lease.Name)
-		if c.replica.isLeader.Load() {
+		if c.replica.leadershipEstablished.Load() {
 			age := c.replica.leaseTracker.heldFor(now, lease).Seconds()
 			output <- prometheus.MustNewConstMetric(leaseAgeDesc, prometheus.GaugeValue, age, lease.Name)
 		}
--- a/internal/registry/release_test.go
+++ b/internal/registry/release_test.go
@@ -74,13 +74,13 @@
 		"another release of the same units":   {nil, "q", release.Operation{Start: newReleaseState(t, "q", "2")}, http.StatusConflict},
 		"a name that is not that of the path": {nil, "x", release.Operation{Start: newReleaseState(t, "q", "2")}, http.StatusBadRequest},
 		"an unknown command":                  {nil, "r", release.Operation{Command: &release.Command{Action: "jump"}}, http.StatusConflict},
-		"finalized while it is in progress":   {nil, "r", release.Operation{Command: &release.Command{Action: release.CommandFinalize}}, http.StatusConflict},
+		"finalized while it is in progress":   {nil, "r", release.Operation{Command: &release.Command{Action: release.ActionFinalize}}, http.StatusConflict},
 	} {
 		if status := write(tc.guard, tc.name, tc.op); status != tc.want {
 			t.Errorf("%s: %d, want %d", what, status, tc.want)
 		}
 	}
-	if status := write(nil, "r", release.Operation{Command: &release.Command{Action: release.CommandHalt, Operator: "operator/eva"}}); status != 0 {
+	if status := write(nil, "r", release.Operation{Command: &release.Command{Action: release.ActionHalt, Operator: "operator/eva"}}); status != 0 {
 		t.Errorf("a halt is rejected: %d", status)
 	}
 	if status := write(guard, "r", step(1, 2)); status != 0 {
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -84,15 +84,15 @@
 	caughtUp   atomic.Bool // this replica has caught up with a leader since its start, or has led; see catchUp
 
 	// Used by the leader only.
-	verifyLeader         func() error // verifies with a majority that this replica still leads; tests delay it
-	awaitBarrier         func() error // waits until the records of earlier leaders are applied; tests make it fail
-	isLeader             atomic.Bool  // this replica leads and has applied the records of earlier leaders
-	verifiedAt           atomic.Int64 // uptime, in ns, at the start of the last successful verification of the leadership
-	registrations        *registrationTracker
-	sidecarRegistrations *sidecarTracker
-	leaseTracker         *leaseTracker
-	warmUps              *warmUpTracker // only the leader loop uses it
-	placementSweptAt     time.Time      // only the leader loop uses it
+	verifyLeader          func() error // verifies with a majority that this replica still leads; tests delay it
+	awaitBarrier          func() error // waits until the records of earlier leaders are applied; tests make it fail
+	leadershipEstablished atomic.Bool  // this replica leads and has applied the records of earlier leaders
+	verifiedAt            atomic.Int64 // uptime, in ns, at the start of the last successful verification of the leadership
+	registrations         *registrationTracker
+	sidecarRegistrations  *sidecarTracker
+	leaseTracker          *leaseTracker
+	warmUps               *warmUpTracker // only the leader loop uses it
+	placementSweptAt      time.Time      // only the leader loop uses it
 
 	startedAt  time.Time
 	fatal      chan error
@@ -241,7 +241,7 @@
 // stateAge returns how old the state of this replica may be: the time since the state was last known to be the newest.
 func (r *Replica) stateAge() time.Duration {
 	if r.raft.State() == raft.Leader {
-		if !r.isLeader.Load() {
+		if !r.leadershipEstablished.Load() {
 			return r.uptime()
 		}
 		return r.uptime() - time.Duration(r.verifiedAt.Load())
@@ -262,7 +262,7 @@
 // awaitReadIndex waits until this leader may answer a linearizable read. It verifies the leadership, and waits until
 // every record is applied that was committed before the verification.
 func (r *Replica) awaitReadIndex(ctx context.Context) error {
-	if !r.isLeader.Load() {
+	if !r.leadershipEstablished.Load() {
 		return ErrNotLeader
 	}
 	commitIndex := r.raft.CommitIndex()
--- a/internal/registry/state_sidecars.go
+++ b/internal/registry/state_sidecars.go
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// persisted returns the sidecar with only those fields that its agent determines and the log stores.
-func (s Sidecar) persisted() Sidecar {
+// storedFields returns the sidecar with only those fields that its agent determines and the log stores.
+func (s Sidecar) storedFields() Sidecar {
 	s.Revision, s.Suspect, s.ListRevision, s.PlacementRevision = 0, false, 0, 0
 	return s
 }
--- a/internal/release/canary_test.go
+++ b/internal/release/canary_test.go
@@ -266,7 +266,7 @@
 	state, err := model.runToEnd(noCrash(), 20000, func(_ int, state *State) {
 		if rollbackMS == 0 && unitsAt(state, StageConverged) >= 50 {
 			rollbackMS = model.nowMS
-			sendCommand(t, model, CommandRollback)
+			sendCommand(t, model, ActionRollback)
 		}
 	})
 	ratio := float64(model.nowMS-settleTicks*tickMS-rollbackMS) / float64(rollbackMS-startedMS)
--- a/internal/release/clustermodel_test.go
+++ b/internal/release/clustermodel_test.go
@@ -64,14 +64,14 @@
 	peakUnavailable    int  // the largest number of units that did not serve at the same time
 	hidesEndedPermits  bool // views of the ledger lack permits that have ended
 	reportsChangesOnly bool // units register in the ledger only when they change, as in the registry
-	bugs               plantedBugs
+	defects            injectedDefects
 
 	// applied, if not nil, is called with each operation that the table of releases has applied.
 	applied func(revision uint64, op *Operation)
 }
 
-// plantedBugs are bugs that the fake controller imitates, and that the tests have to detect.
-type plantedBugs struct {
+// injectedDefects are defects that the fake controller imitates, and that the tests have to detect.
+type injectedDefects struct {
 	writesAfterEffects        bool // a state is written only after its effects were executed
 	requestIDsPerController   bool // request IDs depend on the controller, not only on the written state
 	rollbackAtRolloutPriority bool // rollbacks request permits at the priority of rollouts
--- a/internal/release/command.go
+++ b/internal/release/command.go
@@ -24,18 +24,18 @@
 func (r *reconciler) handleCommand(command Command) {
 	reason := cmp.Or(command.Reason, defaultCommandReason)
 	switch command.Action {
-	case CommandHalt:
+	case ActionHalt:
 		if r.status.Phase == PhaseRollout {
 			r.halt(command.Operator, reason, plan.OnHaltHold)
 		}
-	case CommandResume:
+	case ActionResume:
 		if r.status.Phase == PhaseHalted {
 			r.status.Phase = PhaseRollout
 			r.status.HaltedBy = ""
 			r.status.HaltReason = ""
 			r.status.BakeStartMS = 0
 		}
-	case CommandRollback:
+	case ActionRollback:
 		if r.rollbackAllowed() {
 			r.halt(command.Operator, reason, plan.OnHaltRollback)
 		}
--- a/internal/release/controller/fleet_test.go
+++ b/internal/release/controller/fleet_test.go
@@ -24,7 +24,7 @@
 type testFleet struct {
 	t               *testing.T
 	ctx             context.Context
-	block           *proc.Block
+	block           *proc.AddressBlock
 	cluster         *cluster.Cluster
 	client          *registry.Client
 	platform        *supervisor.Client
@@ -47,7 +47,7 @@
 	t.Cleanup(cancel)
 	fleet := &testFleet{t: t, ctx: ctx, program: proctest.Program(t, "milldeck"), dir: t.TempDir()}
 	var err error
-	fleet.block, err = proc.ReserveBlock()
+	fleet.block, err = proc.ReserveAddressBlock()
 	fleet.must(err)
 	t.Cleanup(fleet.block.Release)
 	fleet.startCluster()
--- a/internal/release/crash_test.go
+++ b/internal/release/crash_test.go
@@ -93,11 +93,11 @@
 
 // run runs a scenario with a planned crash. It returns the number of executed effects, and an error if the release does
 // not end as expected.
-func (s *scenario) run(t testing.TB, planned *crash, bugs plantedBugs) (effects int, err error) {
+func (s *scenario) run(t testing.TB, planned *crash, defects injectedDefects) (effects int, err error) {
 	t.Helper()
 	const zones, unitsPerZone, maxUnavailable = 2, 3, 2
 	model := newClusterModel(t, s.kind, zones, unitsPerZone, maxUnavailable)
-	model.bugs = bugs
+	model.defects = defects
 	model.hidesEndedPermits = planned.effectIndex%2 == 0 // -2 hides them in a run without a crash
 	if s.plan == "" {
 		model.startDrain("r", "server/a0", "server/b1")
@@ -106,7 +106,7 @@
 	}
 	state, effects := model.run(planned, 2000, func(tick int, _ *State) {
 		if s.rollbackTick > 0 && tick == s.rollbackTick {
-			sendCommand(t, model, CommandRollback)
+			sendCommand(t, model, ActionRollback)
 		}
 	})
 	switch {
@@ -165,7 +165,7 @@
 		tested.wantImage = Image{"1", "c1"}
 		tested.maxLaunches = 1
 		for tested.rollbackTick = 1; tested.rollbackTick < 100; tested.rollbackTick++ {
-			_, err := tested.run(t, noCrash(), plantedBugs{})
+			_, err := tested.run(t, noCrash(), injectedDefects{})
 			if errors.Is(err, errCompletedEarly) {
 				break
 			}
@@ -180,10 +180,10 @@
 // effect and in another mode, and its successor has to complete the release.
 func TestControllerKilledAtEveryEffect(t *testing.T) {
 	for _, tested := range scenarios {
-		if _, err := tested.run(t, &crash{effectIndex: -2}, plantedBugs{}); err != nil {
+		if _, err := tested.run(t, &crash{effectIndex: -2}, injectedDefects{}); err != nil {
 			t.Errorf("%s, no crash, ended permits hidden: %v", tested.name, err)
 		}
-		effects, err := tested.run(t, noCrash(), plantedBugs{})
+		effects, err := tested.run(t, noCrash(), injectedDefects{})
 		if err != nil {
 			t.Errorf("%s, no crash: %v", tested.name, err)
 			continue
@@ -192,7 +192,7 @@
 		for index := range effects {
 			for _, mode := range crashModes {
 				t.Run(fmt.Sprintf("%s/%d %s", tested.name, index, mode), func(t *testing.T) {
-					if _, err := tested.run(t, &crash{effectIndex: index, mode: mode}, plantedBugs{}); err != nil {
+					if _, err := tested.run(t, &crash{effectIndex: index, mode: mode}, injectedDefects{}); err != nil {
 						t.Error(err)
 					}
 				})
--- a/internal/release/fakecontroller_test.go
+++ b/internal/release/fakecontroller_test.go
@@ -18,7 +18,7 @@
 	outcomes      map[string]supervisor.Outcome
 	deniedPermits map[string]string
 
-	pendingDeltas []Delta // deltas whose write a planted bug delays
+	pendingDeltas []Delta // deltas whose write an injected defect delays
 }
 
 // newController returns a controller under the next fencing token. It starts with the release's state in the log.
@@ -44,7 +44,7 @@
 	if err != nil {
 		list = nil
 	}
-	if model.bugs.trustsIncompleteList && list != nil {
+	if model.defects.trustsIncompleteList && list != nil {
 		list.Complete = true
 	}
 	_, commands := model.table.Get(c.name)
@@ -113,7 +113,7 @@
 }
 
 func (c *fakeController) executeLedgerOp(op disruption.Op, answerLost bool) {
-	if c.model.bugs.rollbackAtRolloutPriority && op.Kind == disruption.OpRequest {
+	if c.model.defects.rollbackAtRolloutPriority && op.Kind == disruption.OpRequest {
 		permit := *op.Permit
 		permit.Priority = disruption.PriorityRollout
 		op.Permit = &permit
@@ -126,7 +126,7 @@
 
 func (c *fakeController) executeRequest(request supervisor.Request, answerLost bool) {
 	id := request.ID
-	if c.model.bugs.requestIDsPerController {
+	if c.model.defects.requestIDsPerController {
 		request.ID = fmt.Sprintf("%s-%d", request.ID, c.token)
 	}
 	if request.Op == supervisor.Reload {
@@ -139,7 +139,7 @@
 }
 
 func (c *fakeController) executeWrite(delta Delta, valid, answerLost bool) {
-	if c.model.bugs.writesAfterEffects {
+	if c.model.defects.writesAfterEffects {
 		c.applyToState(delta)
 		c.pendingDeltas = append(c.pendingDeltas, delta)
 		return
@@ -160,11 +160,11 @@
 	}
 }
 
-// writePending writes the deltas that a planted bug has delayed. The log may reject them by now.
+// writePending writes the deltas that an injected defect has delayed. The log may reject them by now.
 func (c *fakeController) writePending() {
 	for _, delta := range c.pendingDeltas {
 		if c.token == c.model.token {
-			_ = c.model.apply(&Operation{Name: c.name, Delta: &delta}) // a rejection is an expected result of the bug
+			_ = c.model.apply(&Operation{Name: c.name, Delta: &delta}) // a rejection is an expected result of the defect
 		}
 	}
 	c.pendingDeltas = nil
--- a/internal/release/faults_test.go
+++ b/internal/release/faults_test.go
@@ -53,10 +53,10 @@
 
 // runRollbackUnderFleetHalt runs a release that a guard rolls back while an operator's halt defers grants for the whole
 // fleet.
-func runRollbackUnderFleetHalt(t testing.TB, planted plantedBugs) error {
+func runRollbackUnderFleetHalt(t testing.TB, defects injectedDefects) error {
 	t.Helper()
 	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
-	model.bugs = planted
+	model.defects = defects
 	model.startRelease(serverPlan)
 	model.verdict = func(state *State) judge.Verdict {
 		if state.Status.Wave == 1 {
@@ -78,10 +78,10 @@
 
 // runWithPlatformStateLoss runs a release in which the platform loses its state at a tick and rediscovers all units 8 s
 // later.
-func runWithPlatformStateLoss(t testing.TB, planted plantedBugs, lossTick int) error {
+func runWithPlatformStateLoss(t testing.TB, defects injectedDefects, lossTick int) error {
 	t.Helper()
 	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
-	model.bugs = planted
+	model.defects = defects
 	model.startRelease(serverPlan)
 	maxProcesses := 0
 	_, err := model.runToEnd(noCrash(), 1000, func(tick int, _ *State) {
@@ -99,7 +99,7 @@
 }
 
 func TestRollbackContinuesUnderFleetHalt(t *testing.T) {
-	if err := runRollbackUnderFleetHalt(t, plantedBugs{}); err != nil {
+	if err := runRollbackUnderFleetHalt(t, injectedDefects{}); err != nil {
 		t.Error(err)
 	}
 }
@@ -108,23 +108,23 @@
 // must not count as evidence that the unit is stopped.
 func TestPlatformStateLossIsNotEvidence(t *testing.T) {
 	for lossTick := range 60 {
-		if err := runWithPlatformStateLoss(t, plantedBugs{}, lossTick); err != nil {
+		if err := runWithPlatformStateLoss(t, injectedDefects{}, lossTick); err != nil {
 			t.Errorf("state lost at tick %d: %v", lossTick, err)
 		}
 	}
 }
 
-// detectByCrashes runs a scenario with a planted bug, each time with a crash at another effect, until a run detects the
-// bug. It fails the test if a run without a crash detects the bug.
-func detectByCrashes(t *testing.T, tested *scenario, planted plantedBugs) error {
+// detectByCrashes runs a scenario with injected defects, each time with a crash at another effect, until a run detects the
+// defects. It fails the test if a run without a crash detects them.
+func detectByCrashes(t *testing.T, tested *scenario, defects injectedDefects) error {
 	t.Helper()
-	if _, err := tested.run(t, noCrash(), planted); err != nil {
-		t.Errorf("%+v is detected without a crash: %v", planted, err)
+	if _, err := tested.run(t, noCrash(), defects); err != nil {
+		t.Errorf("%+v is detected without a crash: %v", defects, err)
 	}
 	var found error
 	for index := 0; index < 120 && found == nil; index++ {
 		for _, mode := range crashModes {
-			if _, err := tested.run(t, &crash{effectIndex: index, mode: mode}, planted); err != nil {
+			if _, err := tested.run(t, &crash{effectIndex: index, mode: mode}, defects); err != nil {
 				found = err
 			}
 		}
@@ -143,25 +143,25 @@
 	return nil
 }
 
-// Guards against tests that detect nothing: each planted bug has to be detected by the test meant for it.
-func TestPlantedBugsAreDetected(t *testing.T) {
+// Guards against tests that detect nothing: each injected defect has to be detected by the test meant for it.
+func TestInjectedDefectsAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		detect func(t *testing.T) error
 	}{
 		{"state written after its effects", func(t *testing.T) error {
-			return detectByCrashes(t, &scenarios[0], plantedBugs{writesAfterEffects: true})
+			return detectByCrashes(t, &scenarios[0], injectedDefects{writesAfterEffects: true})
 		}},
 		{"request IDs that depend on the controller", func(t *testing.T) error {
-			return detectByCrashes(t, scenarioNamed(t, "configuration"), plantedBugs{requestIDsPerController: true})
+			return detectByCrashes(t, scenarioNamed(t, "configuration"), injectedDefects{requestIDsPerController: true})
 		}},
 		{"rollbacks at the priority of rollouts", func(t *testing.T) error {
-			return runRollbackUnderFleetHalt(t, plantedBugs{rollbackAtRolloutPriority: true})
+			return runRollbackUnderFleetHalt(t, injectedDefects{rollbackAtRolloutPriority: true})
 		}},
 		{"absence from an incomplete list taken for a stop", func(t *testing.T) error {
 			var found error
 			for lossTick := 0; lossTick < 60 && found == nil; lossTick++ {
-				found = runWithPlatformStateLoss(t, plantedBugs{trustsIncompleteList: true}, lossTick)
+				found = runWithPlatformStateLoss(t, injectedDefects{trustsIncompleteList: true}, lossTick)
 			}
 			return found
 		}},
@@ -207,7 +207,7 @@
 			model.setFault(fault)
 		}
 		if tick == rollbackTick && rollbackTick > 0 {
-			sendCommand(t, model, CommandRollback)
+			sendCommand(t, model, ActionRollback)
 		}
 	})
 	if err != nil {
@@ -294,7 +294,7 @@
 		f.inject()
 	}
 	if tick > faultTicks && state.Status.Phase == PhaseHalted && tick%50 == 0 {
-		sendCommand(f.model.t, f.model, CommandRollback)
+		sendCommand(f.model.t, f.model, ActionRollback)
 	}
 	if out := f.model.plannedUnavailable(state, f.crashed); out > f.maxUnavailable && f.budgetErr == nil {
 		f.budgetErr = fmt.Errorf("budget exceeded: %d units are out under permits at tick %d, limit is %d", out, tick, f.maxUnavailable)
@@ -328,7 +328,7 @@
 		f.crashed[i] = true
 	}
 	if f.rng.IntN(ticksPerCommand) == 0 {
-		sendCommand(f.model.t, f.model, []Action{CommandHalt, CommandResume}[f.rng.IntN(2)])
+		sendCommand(f.model.t, f.model, []Action{ActionHalt, ActionResume}[f.rng.IntN(2)])
 	}
 }
 
--- a/internal/release/fixtures_test.go
+++ b/internal/release/fixtures_test.go
@@ -26,11 +26,11 @@
 		script: func(t *testing.T, model *clusterModel, tick int, _ *State) {
 			switch tick {
 			case 8, 12:
-				sendCommand(t, model, CommandHalt)
+				sendCommand(t, model, ActionHalt)
 			case 10, 62:
-				sendCommand(t, model, CommandResume)
+				sendCommand(t, model, ActionResume)
 			case 90:
-				sendCommand(t, model, CommandRollback)
+				sendCommand(t, model, ActionRollback)
 			}
 		}},
 	{name: "sidecars-finalized", kind: disruption.KindSidecar, plan: sidecarPlan, wantPhase: PhaseCompleted},
@@ -38,14 +38,14 @@
 		script: func(t *testing.T, model *clusterModel, tick int, state *State) {
 			model.rejectedConfigs["c2"] = true
 			if state.Status.Phase == PhaseHalted && tick >= 60 {
-				sendCommand(t, model, CommandRollback)
+				sendCommand(t, model, ActionRollback)
 			}
 		}},
 	{name: "rollback-stranded", kind: disruption.KindServer, plan: serverPlan, wantPhase: PhaseStranded,
 		script: func(t *testing.T, model *clusterModel, _ int, state *State) {
 			if state.Status.Phase == PhaseRollout && state.Units[3].Stage == StageConverged {
 				model.broken["1"] = true
-				sendCommand(t, model, CommandRollback)
+				sendCommand(t, model, ActionRollback)
 			}
 		}},
 	{name: "drain", kind: disruption.KindServer, wantPhase: PhaseCompleted},
@@ -88,7 +88,7 @@
 		t.Fatalf("release ended %s, want %s", state.Status.Phase, scenario.wantPhase)
 	}
 	if state.Status.Phase == PhaseCompleted {
-		sendCommand(t, model, CommandFinalize)
+		sendCommand(t, model, ActionFinalize)
 		snapshotLines.Write(jsonLine(t, model.table.Snapshot()))
 	}
 	return logLines.Bytes(), snapshotLines.Bytes()
--- a/internal/release/judge/judge_test.go
+++ b/internal/release/judge/judge_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// The modelled faults reveal a planted bug: if the baseline predates a fault that affects both versions, the judge reports
+// The modelled faults reveal an injected defect: if the baseline predates a fault that affects both versions, the judge reports
 // regressions.
 func TestStaleBaselineIsDetected(t *testing.T) {
 	alarms := 0
--- a/internal/release/judge/trafficmodel_test.go
+++ b/internal/release/judge/trafficmodel_test.go
@@ -33,7 +33,7 @@
 	memoryGrowth     float64 // of the canary, per second
 	restartRate      float64 // additional share of the canary's units that restart per second
 	failureRateNoise float64 // relative spread of each version's failure rate from second to second
-	staleBaseline    bool    // planted bug: the fault does not affect the baseline
+	staleBaseline    bool    // injected defect: the fault does not affect the baseline
 
 	// fault, if set, affects both versions.
 	fault func(second, zoneIndex int) effect
--- a/internal/release/lifecycle_test.go
+++ b/internal/release/lifecycle_test.go
@@ -89,7 +89,7 @@
 		t.Errorf("%d units were reloaded, the first has configuration %s, %d were unavailable at once; want 1, c1, 0",
 			reloaded, first.ConfigName, model.peakUnavailable)
 	}
-	sendCommand(t, model, CommandRollback)
+	sendCommand(t, model, ActionRollback)
 	checkEnd(t, model, 300, PhaseRolledBack, "")
 }
 
@@ -104,7 +104,7 @@
 		outAtHalt := 0
 		state, err := model.runToEnd(noCrash(), 1000, func(tick int, state *State) {
 			if tick == haltTick && !state.Status.Phase.Finished() {
-				sendCommand(t, model, CommandHalt)
+				sendCommand(t, model, ActionHalt)
 				outAtHalt = len(model.disruptedUnits())
 			}
 			if tick >= haltTick && tick < haltTick+haltTicks {
@@ -116,7 +116,7 @@
 				if out := len(model.disruptedUnits()); out > 0 {
 					t.Errorf("halted at tick %d: %d units are still out half a minute later", haltTick, out)
 				}
-				sendCommand(t, model, CommandResume)
+				sendCommand(t, model, ActionResume)
 			}
 		})
 		if err != nil || state.Status.Phase != PhaseCompleted {
@@ -136,12 +136,12 @@
 		state, err := model.runToEnd(noCrash(), 1000, func(tick int, _ *State) {
 			switch tick {
 			case commandTick:
-				sendCommand(t, model, CommandHalt)
-				sendCommand(t, model, CommandRollback)
-				sendCommand(t, model, CommandResume)
+				sendCommand(t, model, ActionHalt)
+				sendCommand(t, model, ActionRollback)
+				sendCommand(t, model, ActionResume)
 			case commandTick + 6:
-				sendCommand(t, model, CommandRollback)
-				sendCommand(t, model, CommandHalt)
+				sendCommand(t, model, ActionRollback)
+				sendCommand(t, model, ActionHalt)
 			}
 		})
 		if err != nil || state.Status.Phase != PhaseRolledBack {
@@ -165,7 +165,7 @@
 		if unitsAt(state, StageConverged) >= 8 && !rolledBack {
 			model.broken["1"] = true
 			rolledBack = true
-			sendCommand(t, model, CommandRollback)
+			sendCommand(t, model, ActionRollback)
 		}
 	})
 	if err != nil || state.Status.Phase != PhaseStranded {
@@ -193,7 +193,7 @@
 	if err := model.apply(&Operation{Start: &other}); err == nil || !strings.Contains(err.Error(), "claimed by release r") {
 		t.Errorf("starting another release with units of one that is not finalized: error %v, want a claim conflict", err)
 	}
-	sendCommand(t, model, CommandRollback)
+	sendCommand(t, model, ActionRollback)
 	checkEnd(t, model, 1000, PhaseRolledBack, "")
 	if err := model.apply(&Operation{Start: &other}); err != nil {
 		t.Errorf("starting another release with units that were rolled back: %v", err)
@@ -203,12 +203,12 @@
 func TestFinalizedReleaseDoesNotRollBack(t *testing.T) {
 	model := newClusterModel(t, disruption.KindServer, 2, 3, 2)
 	first := model.startRelease(serverPlan)
-	if err := model.command(CommandFinalize); err == nil {
+	if err := model.command(ActionFinalize); err == nil {
 		t.Error("an unfinished release could be finalized")
 	}
 	checkEnd(t, model, 1000, PhaseCompleted, "")
-	sendCommand(t, model, CommandFinalize)
-	if err := model.command(CommandRollback); err == nil {
+	sendCommand(t, model, ActionFinalize)
+	if err := model.command(ActionRollback); err == nil {
 		t.Error("a finalized release accepted a rollback command")
 	}
 	other := *first
@@ -369,10 +369,10 @@
 		model.startRelease(strings.Replace(holdOnHaltPlan, "server =", "sidecar =", 1))
 		state, _ := model.run(noCrash(), 400, func(tick int, state *State) {
 			if tick == haltTick {
-				sendCommand(t, model, CommandHalt)
+				sendCommand(t, model, ActionHalt)
 			}
 			if tick == haltTick+100 && state.Status.Phase == PhaseHalted {
-				sendCommand(t, model, CommandResume)
+				sendCommand(t, model, ActionResume)
 			}
 		})
 		if state.Status.Phase != PhaseCompleted {
--- a/internal/release/table.go
+++ b/internal/release/table.go
@@ -22,10 +22,10 @@
 
 // The actions.
 const (
-	CommandHalt     Action = "halt"
-	CommandResume   Action = "resume"
-	CommandRollback Action = "back"
-	CommandFinalize Action = "finalize"
+	ActionHalt     Action = "halt"
+	ActionResume   Action = "resume"
+	ActionRollback Action = "back"
+	ActionFinalize Action = "finalize"
 )
 
 // Command is an operator's command to a release.
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// addCommand records an operator's command for the release's controller. CommandFinalize takes effect immediately, because
+// addCommand records an operator's command for the release's controller. ActionFinalize takes effect immediately, because
 // no controller works on a finished release.
 func (t *Table) addCommand(name string, command Command) error {
 	state := t.releases[name]
@@ -163,7 +163,7 @@
 	if len(t.commands[name]) >= maxCommands {
 		return fmt.Errorf("release %s has had %d commands", name, maxCommands)
 	}
-	if command.Action == CommandFinalize {
+	if command.Action == ActionFinalize {
 		state.Status.Finalized = true
 		state.Sequence++ // invalidates deltas that were computed from the earlier state
 		t.dropClaimsIfDone(state)
@@ -176,15 +176,15 @@
 // checkCommand returns an error if the state of the release does not allow an action.
 func (s *State) checkCommand(action Action) error {
 	switch action {
-	case CommandHalt, CommandResume:
-	case CommandRollback:
+	case ActionHalt, ActionResume:
+	case ActionRollback:
 		if s.DrainOnly {
 			return errors.New("a drain has no version to go back to: halt it, and start its servers")
 		}
 		if s.Status.Finalized {
 			return fmt.Errorf("release %s is final", s.Name)
 		}
-	case CommandFinalize:
+	case ActionFinalize:
 		if !s.Status.Phase.Finished() {
 			return fmt.Errorf("release %s is %s: only a finished release can be finalized", s.Name, s.Status.Phase)
 		}
--- a/internal/sidecar/active_placement.go
+++ b/internal/sidecar/active_placement.go
@@ -165,10 +165,10 @@
 // resolveExclusion sets the tenant and the servers of an exclusion. It returns false if the exclusion applies to no request
 // of this sidecar. If the settings name no tenants, the calling application is the only tenant.
 func (l *eventLoop) resolveExclusion(directive *activeDirective) bool {
-	tenant, ok := l.config.tenantNumbers[directive.Tenant]
+	tenant, ok := l.config.tenantIndexes[directive.Tenant]
 	if !ok {
 		tenant = balance.AllTenants
-		if len(l.config.tenantNumbers) > 0 || directive.Tenant != l.config.Application || directive.Tenant == "" {
+		if len(l.config.tenantIndexes) > 0 || directive.Tenant != l.config.Application || directive.Tenant == "" {
 			return false
 		}
 	}
--- a/internal/sidecar/attempt_outcome_test.go
+++ b/internal/sidecar/attempt_outcome_test.go
@@ -177,7 +177,7 @@
 		},
 		"overdue first": func(loop *steppedLoop, call *call, event attemptCompleted) {
 			front := &frontend{post: func(posted loopEvent) { loop.handleEvent(loop.nowMS(), posted) }}
-			if resp, claimed := front.concludeCall(call, answeredOverdue); !claimed || resp.status != statusTimedOut {
+			if resp, claimed := front.endUnlessAnswered(call, answeredOverdue); !claimed || resp.status != statusTimedOut {
 				loop.t.Errorf("%+v, claimed %v", resp, claimed)
 			}
 			loop.handleEvent(loop.nowMS(), event)
@@ -185,7 +185,7 @@
 		"answer before overdue": func(loop *steppedLoop, call *call, event attemptCompleted) {
 			loop.handleEvent(loop.nowMS(), event)
 			front := &frontend{post: func(loopEvent) { loop.t.Error("the event loop is notified although the call is answered") }}
-			resp, claimed := front.concludeCall(call, answeredOverdue)
+			resp, claimed := front.endUnlessAnswered(call, answeredOverdue)
 			if claimed || resp.status != 200 {
 				loop.t.Errorf("%+v, claimed %v", resp, claimed)
 			}
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -37,11 +37,11 @@
 	Sockets     int     // limit of file descriptors of the process
 
 	settings balance.Config
-	// The numbers that the balancer uses instead of names, by name.
-	classNumbers  map[string]int
-	tenantNumbers map[string]int // empty if the settings name no tenants
-	zoneNumbers   map[string]int
-	kindNumbers   map[string]int
+	// The indexes in the settings that the balancer uses instead of names, by name.
+	classIndexes  map[string]int
+	tenantIndexes map[string]int // empty if the settings name no tenants
+	zoneIndexes   map[string]int
+	kindIndexes   map[string]int
 
 	loadReportFields []string // the fields of servers' load reports, in the order of balance.Config.LoadReportFields
 	connIdleTimeout  time.Duration
@@ -162,10 +162,10 @@
 		}
 	}
 	config.settings.AllowGossip = config.peers != nil
-	if config.classNumbers, err = numberByUniqueName("classes", options.Classes); err != nil {
+	if config.classIndexes, err = indexByUniqueName("classes", options.Classes); err != nil {
 		return nil, err
 	}
-	if config.tenantNumbers, err = numberByUniqueName("tenants", options.Tenants); err != nil {
+	if config.tenantIndexes, err = indexByUniqueName("tenants", options.Tenants); err != nil {
 		return nil, err
 	}
 	return config, nil
@@ -184,8 +184,8 @@
 		MemoryMB:         f.Limits.MemoryMB,
 		Sockets:          cmp.Or(f.Limits.Sockets, defaultSockets),
 		settings:         settings,
-		zoneNumbers:      numberByName(options.Zones),
-		kindNumbers:      numberByName(options.Kinds),
+		zoneIndexes:      indexByName(options.Zones),
+		kindIndexes:      indexByName(options.Kinds),
 		loadReportFields: options.Report.Fields,
 		connIdleTimeout:  durationFromMS(options.Limits.ConnIdle),
 		maxOpenRequests:  options.Limits.MaxOpen,
@@ -241,22 +241,22 @@
 	return settings, options, nil
 }
 
-func numberByName(names []string) map[string]int {
-	numbers := make(map[string]int, len(names))
+func indexByName(names []string) map[string]int {
+	indexes := make(map[string]int, len(names))
 	for i, name := range names {
-		numbers[name] = i
+		indexes[name] = i
 	}
-	return numbers
+	return indexes
 }
 
-// numberByUniqueName is numberByName for entries that requests refer to. A missing or duplicate name is an error.
-func numberByUniqueName(section string, entries []namedEntry) (map[string]int, error) {
-	numbers := make(map[string]int, len(entries))
+// indexByUniqueName is indexByName for entries that requests refer to. A missing or duplicate name is an error.
+func indexByUniqueName(section string, entries []namedEntry) (map[string]int, error) {
+	indexes := make(map[string]int, len(entries))
 	for i, entry := range entries {
-		if _, duplicate := numbers[entry.Name]; duplicate || entry.Name == "" {
+		if _, duplicate := indexes[entry.Name]; duplicate || entry.Name == "" {
 			return nil, fmt.Errorf("settings: %s: entry %d has a missing or duplicate name: %q", section, i, entry.Name)
 		}
-		numbers[entry.Name] = i
+		indexes[entry.Name] = i
 	}
-	return numbers, nil
+	return indexes, nil
 }
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -191,7 +191,7 @@
 			call := receiveWithin(t, "the request", posted).(requestArrived).call
 			call.markAnswered() // the event loop has answered it
 			terminate(front, conn)
-			waitUntil(t, "the handler to end the call", func() bool { return strings.Contains(allStacks(), stackEntry((*frontend).concludeCall)) })
+			waitUntil(t, "the handler to end the call", func() bool { return strings.Contains(allStacks(), stackEntry((*frontend).endUnlessAnswered)) })
 			call.response <- response{status: 200}
 			if got := readStatus(t, bufio.NewReader(conn)); got != 200 {
 				t.Errorf("got status %d", got)
--- a/internal/sidecar/endpoint_list.go
+++ b/internal/sidecar/endpoint_list.go
@@ -98,8 +98,8 @@
 		StartedAt:        listed.BootMS,
 		RelativeCapacity: listed.CapacityHint,
 		Cell:             listed.PodGroup,
-		Zone:             cfg.zoneNumber(listed.Zone),
-		Kind:             numberOrUnknown(cfg.kindNumbers, listed.Model),
+		Zone:             cfg.zoneID(listed.Zone),
+		Kind:             indexOrUnknown(cfg.kindIndexes, listed.Model),
 	}
 	switch listed.State {
 	case stateReady:
@@ -115,25 +115,25 @@
 // serverID returns the ID of the server with a UID, whether it is listed or not.
 func (cfg *Config) serverID(uid string) balance.ServerID { return cfg.toServer(&endpoint{UID: uid}).ID }
 
-// zoneNumber returns the number of a zone. Each zone that the settings do not name gets its own number below
-// unknownNumber, so that servers of two such zones do not count as being in the same zone.
-func (cfg *Config) zoneNumber(name string) int {
-	number := numberOrUnknown(cfg.zoneNumbers, name)
-	if number != unknownNumber || name == "" {
-		return number
+// zoneID returns the balancer's ID of a zone: its index in the settings. Each zone that the settings do not name gets its
+// own ID below unknownIndex, so that servers of two such zones do not count as being in the same zone.
+func (cfg *Config) zoneID(name string) int {
+	index := indexOrUnknown(cfg.zoneIndexes, name)
+	if index != unknownIndex || name == "" {
+		return index
 	}
 	hash := fnv.New32a()
 	_, _ = io.WriteString(hash, name) // a hash.Hash never returns an error
-	return unknownNumber - 1 - int(hash.Sum32())
+	return unknownIndex - 1 - int(hash.Sum32())
 }
 
-// unknownNumber is the number of a zone without a name, and of a kind that the settings do not name.
-const unknownNumber = -1
+// unknownIndex is the index of a zone without a name, and of a kind that the settings do not name.
+const unknownIndex = -1
 
-// numberOrUnknown returns the number of a name, or unknownNumber if the settings do not have the name.
-func numberOrUnknown(numbers map[string]int, name string) int {
-	if number, ok := numbers[name]; ok {
-		return number
+// indexOrUnknown returns the index of a name, or unknownIndex if the settings do not have the name.
+func indexOrUnknown(indexes map[string]int, name string) int {
+	if index, ok := indexes[name]; ok {
+		return index
 	}
-	return unknownNumber
+	return unknownIndex
 }
--- a/internal/sidecar/fixtures_test.go
+++ b/internal/sidecar/fixtures_test.go
@@ -36,7 +36,7 @@
 		"name": config.Name, "listen": config.ListenAddress, "discovery": config.DiscoveryAddress, "placement": config.PlacementAddress,
 		"application": config.Application, "version": config.Version,
 		"cores": config.Cores, "memory_mb": config.MemoryMB, "sockets": config.Sockets,
-		"classes": config.classNumbers, "tenants": config.tenantNumbers, "zones": config.zoneNumbers, "kinds": config.kindNumbers,
+		"classes": config.classIndexes, "tenants": config.tenantIndexes, "zones": config.zoneIndexes, "kinds": config.kindIndexes,
 		"report_fields": config.loadReportFields, "conn_idle": config.connIdleTimeout.String(), "open_cap": config.maxOpenRequests,
 		"known": config.knownEndpoints, "peer_listen": config.peers.listen.String(), "peers": peers, "peers_all": config.peers.broadcast.String(),
 		"settings": settingsByKey(&config.settings),
@@ -187,7 +187,7 @@
 		{"charge", "a", balance.Cancelled, 1}, {"charge", "a", balance.Obsolete, 1}, {"charge", "b", balance.TimedOut, 1000},
 	} {
 		nowMS := startMS + 100*float64(i)
-		request := balance.Request{Class: loop.config.classNumbers[completed.class], Key: uint64(i % 3)}
+		request := balance.Request{Class: loop.config.classIndexes[completed.class], Key: uint64(i % 3)}
 		loop.placement.active.recordRequest(nowMS, &request)
 		loop.placement.active.recordOutcome(nowMS+completed.elapsed, &attempt{
 			call: &call{request: request}, upstream: &upstreamHost{id: loop.config.serverID(completed.server), zone: "z"}, decidedAtMS: nowMS,
--- a/internal/sidecar/frontend.go
+++ b/internal/sidecar/frontend.go
@@ -193,7 +193,7 @@
 	case resp := <-call.response:
 		return resp
 	case <-r.Context().Done():
-		resp, ended := f.concludeCall(call, abandonedByClient)
+		resp, ended := f.endUnlessAnswered(call, abandonedByClient)
 		if ended {
 			f.monitor.count(abandonedByClient)
 			traceAnswered(call, 0, abandonedByClient)
@@ -201,11 +201,11 @@
 		}
 		return resp
 	case <-f.drainExpired:
-		resp, _ := f.concludeCall(call, answeredAtDrainEnd)
+		resp, _ := f.endUnlessAnswered(call, answeredAtDrainEnd)
 		return resp
 	case <-overdue.C:
 		// The balancer must have answered by now, so this is a bug.
-		resp, ended := f.concludeCall(call, answeredOverdue)
+		resp, ended := f.endUnlessAnswered(call, answeredOverdue)
 		if ended {
 			frontendLog.Error("balancer did not answer in time", "request", r.Header.Get(requestIDHeader))
 		}
@@ -231,9 +231,9 @@
 	return response{status: http.StatusBadRequest}
 }
 
-// concludeCall ends a call without a response of the event loop. If the event loop has already answered the call,
-// concludeCall waits for that response, returns it, and reports false in ended.
-func (f *frontend) concludeCall(call *call, reason countedEvent) (resp response, ended bool) {
+// endUnlessAnswered ends a call without a response of the event loop. If the event loop has already answered the call,
+// endUnlessAnswered waits for that response, returns it, and reports false in ended.
+func (f *frontend) endUnlessAnswered(call *call, reason countedEvent) (resp response, ended bool) {
 	if !call.markAnswered() {
 		return <-call.response, false
 	}
--- a/internal/sidecar/idempotency_window_test.go
+++ b/internal/sidecar/idempotency_window_test.go
@@ -131,13 +131,13 @@
 		"not idempotent, never executed": {"charge", attempts(true), time.Time{}},
 	} {
 		started := &call{deadline: at(5000), attempts: test.attempts}
-		started.request.Class = config.classNumbers[test.class]
+		started.request.Class = config.classIndexes[test.class]
 		if got := loop.idempotencyWindowEnd(started); !got.Equal(test.want) {
 			t.Errorf("%s: %v, want %v", name, got, test.want)
 		}
 	}
-	config.settings.Classes[config.classNumbers["reserve"]].IdempotencyWindow = math.MaxFloat64
-	if got := loop.idempotencyWindowEnd(&call{request: balance.Request{Class: config.classNumbers["reserve"]}, deadline: at(5000), attempts: attempts(false)}); !got.IsZero() {
+	config.settings.Classes[config.classIndexes["reserve"]].IdempotencyWindow = math.MaxFloat64
+	if got := loop.idempotencyWindowEnd(&call{request: balance.Request{Class: config.classIndexes["reserve"]}, deadline: at(5000), attempts: attempts(false)}); !got.IsZero() {
 		t.Errorf("an unlimited window ends at %v", got)
 	}
 }
--- a/internal/sidecar/invariants.go
+++ b/internal/sidecar/invariants.go
@@ -36,7 +36,7 @@
 		{invariantOneAttempt, current.SecondAttempt - previous.SecondAttempt},
 		{invariantNoRepeat, current.Repeated - previous.Repeated},
 		{invariantNothingAfterDrain, current.NotReady - previous.NotReady},
-		{invariantSlowStartBudget, current.SlowStartOverdraw - previous.SlowStartOverdraw},
+		{invariantSlowStartBudget, current.SlowStartBudgetExceeded - previous.SlowStartBudgetExceeded},
 	} {
 		for range found.count {
 			m.recordViolation(found.rule, "found_by", "balancer")
--- a/internal/sidecar/placement_report.go
+++ b/internal/sidecar/placement_report.go
@@ -50,8 +50,8 @@
 
 // zoneName returns the name of the sidecar's zone, or "" if the settings do not name it.
 func (cfg *Config) zoneName() string {
-	for name, number := range cfg.zoneNumbers {
-		if number == cfg.settings.Zone {
+	for name, index := range cfg.zoneIndexes {
+		if index == cfg.settings.Zone {
 			return name
 		}
 	}
--- a/internal/sidecar/report_recorder.go
+++ b/internal/sidecar/report_recorder.go
@@ -127,10 +127,10 @@
 	clear(r.counts)
 }
 
-// className returns the name of a class, or "" if no class has the number.
-func (cfg *Config) className(number int) string {
-	for name, i := range cfg.classNumbers {
-		if i == number {
+// className returns the name of a class, or "" if no class has the index.
+func (cfg *Config) className(index int) string {
+	for name, i := range cfg.classIndexes {
+		if i == index {
 			return name
 		}
 	}
--- a/internal/sidecar/request_parsing.go
+++ b/internal/sidecar/request_parsing.go
@@ -100,11 +100,11 @@
 	}
 	request := balance.Request{ClientRetry: r.Header.Get(retriedHeader) == "1"}
 	var ok bool
-	if request.Class, ok = f.config.classNumbers[r.Header.Get(priorityClassHeader)]; !ok {
+	if request.Class, ok = f.config.classIndexes[r.Header.Get(priorityClassHeader)]; !ok {
 		return nil, 0, badRequest("unknown X-Priority-Class")
 	}
-	if len(f.config.tenantNumbers) > 0 {
-		if request.Tenant, ok = f.config.tenantNumbers[r.Header.Get(tenantHeader)]; !ok {
+	if len(f.config.tenantIndexes) > 0 {
+		if request.Tenant, ok = f.config.tenantIndexes[r.Header.Get(tenantHeader)]; !ok {
 			return nil, 0, badRequest("unknown X-Tenant-Id")
 		}
 	}
--- a/internal/sidecar/send_guard.go
+++ b/internal/sidecar/send_guard.go
@@ -54,7 +54,7 @@
 			g.monitor.recordViolation(invariantOneAttempt, "request", call.clientID, "attempt", a.number, "in_flight", earlier.number)
 			return errInvariantViolation
 		}
-		if earlier.mayHaveExecuted && !mayRepeat(call, earlier, a) {
+		if earlier.mayHaveExecuted && !isRepeatSafe(call, earlier, a) {
 			g.monitor.recordViolation(invariantNoRepeat, "request", call.clientID, "attempt", a.number, "earlier", earlier.number)
 			return errInvariantViolation
 		}
@@ -65,9 +65,9 @@
 	return nil
 }
 
-// mayRepeat reports whether a call may be sent to another server although an earlier attempt may have been executed. The end
+// isRepeatSafe reports whether a call may be sent to another server although an earlier attempt may have been executed. The end
 // of the idempotency window is not checked here, because the write deadline of the attempt ensures it.
-func mayRepeat(call *call, earlier, next *attempt) bool {
+func isRepeatSafe(call *call, earlier, next *attempt) bool {
 	switch call.class.Idempotency {
 	case balance.Idempotent:
 		return true
--- a/internal/sidecar/stepped_loop_test.go
+++ b/internal/sidecar/stepped_loop_test.go
@@ -71,7 +71,7 @@
 	created := &call{response: make(chan response, 1), deadline: time.Now().Add(testTimeout), outbound: &outboundRequest{
 		method: "POST", url: &url.URL{Path: "/api"}, host: "b", header: http.Header{}, body: []byte("plate 12-34"),
 	}}
-	created.request.Class = loop.config.classNumbers[class]
+	created.request.Class = loop.config.classIndexes[class]
 	return created
 }
 
--- a/internal/supervisor/core/model_test.go
+++ b/internal/supervisor/core/model_test.go
@@ -11,28 +11,28 @@
 	"milldeck/internal/supervisor"
 )
 
-// injectedBug is a bug that the model adds to its calls of the core, to check that the test detects it.
-type injectedBug int
+// injectedDefect is a defect that the model adds to its calls of the core, to check that the test detects it.
+type injectedDefect int
 
 const (
-	noBug                injectedBug = iota
-	evictsFailedRequests             // the platform forgets a request whose response failed
-	ignoresIncarnation               // a request always names the current incarnation
-	ignoresEpoch                     // a request always names the current epoch
+	noDefect             injectedDefect = iota
+	evictsFailedRequests                // the platform forgets a request whose response failed
+	ignoresIncarnation                  // a request always names the current incarnation
+	ignoresEpoch                        // a request always names the current epoch
 )
 
 // platformModel runs the core with simulated processes that are ready immediately and stop immediately.
 type platformModel struct {
 	*Core
 	now     int64
-	bug     injectedBug
+	defect  injectedDefect
 	started map[string]int    // number of started processes by request ID
 	alive   map[uint64]string // unit names of the running processes
 }
 
-func newPlatformModel(bug injectedBug) *platformModel {
+func newPlatformModel(defect injectedDefect) *platformModel {
 	return &platformModel{
-		Core: New(Options{Versions: versions, MaxRequestIDs: 8}, 1), now: 1, bug: bug,
+		Core: New(Options{Versions: versions, MaxRequestIDs: 8}, 1), now: 1, defect: defect,
 		started: map[string]int{}, alive: map[uint64]string{},
 	}
 }
@@ -58,15 +58,15 @@
 
 // call makes one call. It returns nil if the outcome is unknown.
 func (m *platformModel) call(r request) *supervisor.Outcome {
-	if u := m.units[r.Unit]; u != nil && m.bug == ignoresIncarnation {
+	if u := m.units[r.Unit]; u != nil && m.defect == ignoresIncarnation {
 		r.Incarnation = u.Incarnation
 	}
-	if m.bug == ignoresEpoch {
+	if m.defect == ignoresEpoch {
 		r.Epoch = m.epoch
 	}
 	response := m.Do(m.now, []request{r})
 	m.settle()
-	if m.bug == evictsFailedRequests && (response.Disconnect || response.Failure != "") {
+	if m.defect == evictsFailedRequests && (response.Disconnect || response.Failure != "") {
 		delete(m.records, r.ID)
 	}
 	if response.Disconnect || response.Failure != "" || response.DeferredTicket != 0 {
@@ -122,8 +122,8 @@
 // runScenario brings units to drawn versions, once without faults, and once with faults and with repeats of earlier
 // requests, some of them much later. Both runs have to end with the same versions, no request may have started two
 // processes, and no unit may have two processes.
-func runScenario(draw drawFunc, bug injectedBug) error {
-	faultless, faulty := newPlatformModel(noBug), newPlatformModel(bug)
+func runScenario(draw drawFunc, defect injectedDefect) error {
+	faultless, faulty := newPlatformModel(noDefect), newPlatformModel(defect)
 	never := func(string, int) int { return 0 }
 	var earlier []request
 	for i := range 1 + draw("steps", 12) {
@@ -185,7 +185,7 @@
 
 func TestRetriesUnderFaultsAreIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := runScenario(func(what string, n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }, noBug); err != nil {
+		if err := runScenario(func(what string, n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }, noDefect); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -216,7 +216,7 @@
 				alternatives[at] = n
 				at++
 				return choices[at-1]
-			}, noBug)
+			}, noDefect)
 			if err != nil {
 				t.Fatalf("%v: %v", choices, err)
 			}
@@ -235,17 +235,17 @@
 	}
 }
 
-// The model detects each injected bug, and reports no bug if none is injected.
-func TestModelDetectsInjectedBugs(t *testing.T) {
-	for b, name := range []string{noBug: "none", evictsFailedRequests: "evicts failed requests", ignoresIncarnation: "ignores the incarnation", ignoresEpoch: "ignores the epoch"} {
+// The model detects each injected defect, and reports no defect if none is injected.
+func TestModelDetectsInjectedDefects(t *testing.T) {
+	for b, name := range []string{noDefect: "none", evictsFailedRequests: "evicts failed requests", ignoresIncarnation: "ignores the incarnation", ignoresEpoch: "ignores the epoch"} {
 		var found error
 		seed := uint64(0)
 		for ; seed < 300 && found == nil; seed++ {
 			r := rand.New(rand.NewPCG(seed, 0))
-			found = runScenario(func(_ string, n int) int { return r.IntN(n) }, injectedBug(b))
+			found = runScenario(func(_ string, n int) int { return r.IntN(n) }, injectedDefect(b))
 		}
 		t.Logf("%s: %v at seed %d", name, found, seed)
-		if (found != nil) != (injectedBug(b) != noBug) {
+		if (found != nil) != (injectedDefect(b) != noDefect) {
 			t.Errorf("%s: found %v", name, found)
 		}
 	}
--- a/internal/supervisor/standin/test_platform_test.go
+++ b/internal/supervisor/standin/test_platform_test.go
@@ -54,7 +54,7 @@
 type testPlatform struct {
 	t           testing.TB
 	ctx         context.Context
-	block       *proc.Block
+	block       *proc.AddressBlock
 	process     *proc.Process
 	addr        string
 	dir         string
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
 	p := &testPlatform{t: t, ctx: ctx, dir: t.TempDir()}
 	var err error
-	if p.block, err = proc.ReserveBlock(); err != nil {
+	if p.block, err = proc.ReserveAddressBlock(); err != nil {
 		t.Fatal(err)
 	}
 	p.process, err = proc.Start(proc.Spec{
