--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -9,9 +9,9 @@
 	pollBackoffPerSidecar = 50
 	maxPollDoublings      = 4 // of the backoff, one per consecutive failure
 	// maxUnqueuedPollBackoff bounds the backoff, in ms, if discovery can answer all sidecars in time. A
-	// sidecar counts as informed 6 s after discovery becomes reachable (PROTOCOL), which leaves time for
-	// one unanswered and one answered poll. The bound does not apply if polls wait in a queue: many polls
-	// that soon would not be answered.
+	// sidecar counts as informed 6 s after discovery becomes reachable, by the platform's protocol. That
+	// leaves time for one unanswered and one answered poll. The bound does not apply if polls wait in a
+	// queue: many polls that soon would not be answered.
 	maxUnqueuedPollBackoff = 3000
 )
 
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// ruleChecker sends random but valid events to one balancer and checks rules 1 to 3 of PROTOCOL at every action.
+// ruleChecker sends random but valid events to one balancer and checks rules 1 to 3 of the platform's protocol at every
+// action.
 type ruleChecker struct {
 	t                   *testing.T
 	random              *rand.Rand
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestOtherSettings covers settings that are rare in deployments. Each run checks rules 1 to 3 of PROTOCOL.
+// TestOtherSettings covers settings that are rare in deployments. Each run checks rules 1 to 3 of the platform's
+// protocol.
 func TestOtherSettings(t *testing.T) {
 	for name, change := range map[string]func(*Config, *int){
 		"one server":  func(_ *Config, n *int) { *n = 1 },
--- a/cmd/milldeck/agent.go
+++ b/cmd/milldeck/agent.go
@@ -93,8 +93,8 @@
 	command := &cobra.Command{
 		Use:   "agent",
 		Short: "Runs the node agent beside a sidecar until SIGTERM",
-		Long: "agent watches the registry and serves discovery, as PROTOCOL defines it, to the sidecar on this machine.\n" +
-			"While the registry is unavailable, it serves the last good list, even after a restart of the agent.\n\n" + exitHelp,
+		Long: "agent watches the registry and serves discovery, as the platform's protocol defines it, to the sidecar on this\n" +
+			"machine. While the registry is unavailable, it serves the last good list, even after a restart of the agent.\n\n" + exitHelp,
 		Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			if path == "" {
--- a/cmd/sidecar/discovery_test.go
+++ b/cmd/sidecar/discovery_test.go
@@ -19,7 +19,8 @@
 const (
 	testTimeout = 20 * time.Second // limit of every wait; no wait is expected to reach it
 	// notificationDeadline is the time from the beginning of a silence of discovery until requests to a draining server must
-	// have ended: the 6 s after which PROTOCOL counts the drain as known, plus the grace period of the settings below.
+	// have ended: the 6 s after which the platform's protocol counts the drain as known, plus the grace period of the settings
+	// below.
 	notificationDeadline = 6*time.Second + drainGracePeriod
 	// addressChangeDeadline is the same limit, counted from a SIGHUP that changes the discovery address.
 	addressChangeDeadline = 4*time.Second + drainGracePeriod
@@ -212,7 +213,7 @@
 }
 
 // Discovery falls silent while a server begins to drain, at any point of its stream, and the next call is silent as well.
-// Once PROTOCOL counts the drain as known, the sidecar must send no request to the server.
+// Once the platform's protocol counts the drain as known, the sidecar must send no request to the server.
 func TestDrainAnnouncedAfterSilence(t *testing.T) {
 	for name, partialLine := range map[string]string{
 		"between lines":             "",
--- a/cmd/sidecar/outage_test.go
+++ b/cmd/sidecar/outage_test.go
@@ -71,8 +71,8 @@
 }
 
 // Discovery resets the watch and the next calls, and then reports a drain. Requests to the draining server must end within
-// the grace period after PROTOCOL counts the drain as known, in a large fleet and even while idle clients use all
-// descriptors. Afterwards the sidecar must apply a SIGHUP, and exit in time after SIGTERM.
+// the grace period after the platform's protocol counts the drain as known, in a large fleet and even while idle clients use
+// all descriptors. Afterwards the sidecar must apply a SIGHUP, and exit in time after SIGTERM.
 func TestDiscoveryOutage(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
 		for _, manyClients := range []bool{false, true} {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
 // Package agent is the node agent beside a sidecar. It watches the registry's replicas, serves the endpoint list and the
 // placement to the sidecar over the discovery interface of PROTOCOL, forwards the sidecar's load reports and registers the
-// sidecar with the registry.
+// sidecar with the registry. PROTOCOL is the platform's wire protocol between sidecars, agents, servers and clients.
 //
 // The agent caches the last valid list and placement in memory and in files, so that it can serve the sidecar while no
 // replica is reachable. It does not write to the list of instances and makes no decisions about the fleet.
--- a/internal/agent/http.go
+++ b/internal/agent/http.go
@@ -12,7 +12,7 @@
 // firstPlacementTimeout bounds how long a request for the placement waits for the registry's first response.
 const firstPlacementTimeout = time.Second
 
-// routes returns the handlers for the discovery paths of PROTOCOL, and for the operators' paths.
+// routes returns the handlers for the discovery paths of the platform's protocol, and for the operators' paths.
 func (a *Agent) routes() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", a.serveInstances)
--- a/internal/agent/list_sync.go
+++ b/internal/agent/list_sync.go
@@ -15,7 +15,8 @@
 	// registryHeartbeatTimeout is the time after the registry's last message at which the agent stops sending heartbeats
 	// to its sidecar. It is two heartbeat intervals of the registry.
 	registryHeartbeatTimeout = 4 * time.Second
-	// confirmationDelay is the delay before the agent asks the same replica to confirm a list, if only one is configured.
+	// confirmationDelay is the delay before the agent requests a list again from the same replica to confirm it, if only one
+	// replica is configured.
 	confirmationDelay  = 2 * time.Second
 	listRequestTimeout = 3 * time.Second
 )
--- a/internal/faultsoak/plan.go
+++ b/internal/faultsoak/plan.go
@@ -121,7 +121,7 @@
 const (
 	firstFaultAt   = 1500 * time.Millisecond // the sidecars have connected to the servers by then
 	maxFaultLength = 2500 * time.Millisecond
-	maxSuspension  = 150 * time.Millisecond // the platform's standing test suspends a process for at most this long
+	maxSuspension  = 150 * time.Millisecond // the users' acceptance test suspends a process for at most this long
 	maxCallFailure = time.Second
 )
 
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -18,7 +18,7 @@
 	"strings"
 )
 
-// entryKind tells how often the command of an entry fails.
+// entryKind states how often the command of an entry fails.
 type entryKind string
 
 const (
--- a/internal/lab/live/lab_client.go
+++ b/internal/lab/live/lab_client.go
@@ -56,7 +56,7 @@
 		Key     uint64  // 0: none
 		Met     bool    // the key was cached, or there is none
 	}
-	// EffectQuery asks whether an effect of a class's requests has been applied before.
+	// EffectQuery is the query whether an effect of a class's requests has been applied before.
 	EffectQuery struct {
 		Class  int
 		Effect uint64
@@ -193,7 +193,7 @@
 	c.call(methodOverload, OverloadReport{At: at.UnixNano(), Fall: *overload}, new(int))
 }
 
-// CheckAndRecord asks the lab whether an effect has been applied before. The lab stores the effects of all servers of a
+// CheckAndRecord queries the lab whether an effect has been applied before. The lab stores the effects of all servers of a
 // deduplication scope.
 func (c *labClient) CheckAndRecord(_ float64, _ *lab.ServerPlan, _ *lab.ClassPlan, number int, effect uint64) bool {
 	var applied bool
--- a/internal/lab/live/server_lifecycle.go
+++ b/internal/lab/live/server_lifecycle.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// serverExited ends a server's incarnation. It deregisters a server that was asked to terminate; otherwise the server's
+// serverExited ends a server's incarnation. It deregisters a server that was requested to terminate; otherwise the server's
 // lease expires.
 func (c *controlPlane) serverExited(server *server, terminationRequested bool) {
 	server.mu.Lock()
--- a/internal/lab/live/server_process.go
+++ b/internal/lab/live/server_process.go
@@ -301,7 +301,7 @@
 }
 
 // drainIdlePolls is the number of consecutive polls without a request in flight after which the process exits. A request
-// that was on the network when the process was asked to terminate has arrived by then.
+// that was on the network when the process was requested to terminate has arrived by then.
 const drainIdlePolls = 10
 
 func (p *serverProcess) runContext() context.Context { return p.ctx }
--- a/internal/lab/live/server_session.go
+++ b/internal/lab/live/server_session.go
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// Ends reports that the process was asked to terminate.
+// Ends reports that the process was requested to terminate.
 func (s *serverSession) Ends(int, *int) error {
 	server, err := s.identified()
 	if err != nil || s.controlPlane.finished.Load() {
--- a/internal/leaderelection/election.go
+++ b/internal/leaderelection/election.go
@@ -29,7 +29,8 @@
 	// releaseTimeout limits the release request at the end of a tenure; a lease that is not released expires.
 	releaseTimeout = 2 * time.Second
 
-	// DefaultTTL is longer than a raft election of the registry, which takes up to two seconds.
+	// DefaultTTL is longer than a raft election of the registry, which ends within two seconds; see raft.go in package
+	// registry.
 	DefaultTTL = 5 * time.Second
 )
 
@@ -52,7 +53,7 @@
 	Clock        Clock         // measures the lease; nil: the system clock
 }
 
-// Clock tells the time and waits. Run uses only differences between its times, by their monotonic readings.
+// Clock reads the time and waits. Run uses only differences between its times, by their monotonic readings.
 type Clock interface {
 	Now() time.Time
 	After(time.Duration) <-chan time.Time
--- a/internal/registry/client_watch.go
+++ b/internal/registry/client_watch.go
@@ -66,7 +66,7 @@
 }
 
 // replicaAge returns the age in the AgeHeader of a response. The age is 0 without the header, which other implementations
-// of PROTOCOL's discovery do not send.
+// of the platform's protocol do not send.
 func replicaAge(header http.Header) time.Duration {
 	ms, err := strconv.ParseInt(header.Get(AgeHeader), 10, 64)
 	if err != nil {
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -197,9 +197,9 @@
 	return line, nil
 }
 
-// Watch streams the changes after a revision of an epoch to a watcher, in PROTOCOL's format, until ctx or the request
-// ends. While nothing changes, it writes a heartbeat (an empty line) every 2 s if mayHeartbeat returns true, which means
-// that the hub would learn of a change.
+// Watch streams the changes after a revision of an epoch to a watcher, in the format of the platform's protocol, until ctx
+// or the request ends. While nothing changes, it writes a heartbeat (an empty line) every 2 s if mayHeartbeat returns true,
+// which means that the hub would learn of a change.
 func (h *Hub) Watch(
 	ctx context.Context, w http.ResponseWriter, request *http.Request, after, epoch uint64, mayHeartbeat func() bool,
 ) error {
--- a/internal/registry/instance.go
+++ b/internal/registry/instance.go
@@ -6,7 +6,7 @@
 	"milldeck/internal/validation"
 )
 
-// Target is an instance in the format of the endpoint list that PROTOCOL specifies.
+// Target is an instance in the format of the endpoint list that the platform's protocol specifies.
 type Target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"` // IP address and port
@@ -18,16 +18,16 @@
 	BootMS   float64 `json:"boot_ms"`       // last start, Unix ms; 0: unknown, assumed to be long ago
 }
 
-// The states of an instance, as PROTOCOL names them. InstanceRemoved appears only in watch events.
+// The states of an instance, as the platform's protocol names them. InstanceRemoved appears only in watch events.
 const (
 	InstanceReady       = "Ready"
 	InstanceTerminating = "Terminating"
 	InstanceRemoved     = "Gone"
 )
 
-// EndpointList is the endpoint list of PROTOCOL (Complete is true) or a watch event with the targets that changed.
-// Epoch is an extension of PROTOCOL: it identifies the history that Revision belongs to. Readers that do not know the
-// field skip it.
+// EndpointList is the endpoint list of the platform's protocol (Complete is true) or a watch event with the targets that
+// changed. Epoch is an extension of the protocol: it identifies the history that Revision belongs to. Readers that do not
+// know the field skip it.
 type EndpointList struct {
 	Revision uint64   `json:"rev"`
 	Complete bool     `json:"all"`
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	heartbeatInterval = 2 * time.Second // of a watch without changes, as PROTOCOL specifies
+	heartbeatInterval = 2 * time.Second // of a watch without changes, as the platform's protocol specifies
 	watchWriteTimeout = 10 * time.Second
 )
 
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -42,7 +42,7 @@
 }
 
 // schedulingAllowance is the longest time for which the process may be suspended between reading its clock and the write
-// that follows. The standing test, in package faultsoak, suspends a process for up to this time; see maxSuspension there.
+// that follows. The acceptance test suspends a process for up to this time, and so does package faultsoak (maxSuspension).
 const schedulingAllowance = 150 * time.Millisecond
 
 // startAttempt starts an attempt of a call. A new goroutine sends it and posts its outcome.
@@ -130,7 +130,7 @@
 	}
 }
 
-// rejectOrFail answers a call without a server's response. A rejection tells the client that a retry is safe; a failure
+// rejectOrFail answers a call without a server's response. A rejection means to the client that a retry is safe; a failure
 // does not.
 func (l *eventLoop) rejectOrFail(nowMS float64, action *balance.Action) {
 	call := l.calls.byID[action.Request]
--- a/internal/sidecar/active_placement.go
+++ b/internal/sidecar/active_placement.go
@@ -79,7 +79,7 @@
 	l.workers.Go(func() { next.runReporter(ctx) })
 }
 
-// applyPlacementUpdate notifies the balancer of changed directives, and builds a load report if the update asks for one.
+// applyPlacementUpdate notifies the balancer of changed directives, and builds a load report if the update requests one.
 func (l *eventLoop) applyPlacementUpdate(nowMS float64, update placementUpdate) {
 	active := l.placement.active
 	if active == nil || update.generation != active.generation {
--- a/internal/sidecar/discovery_client.go
+++ b/internal/sidecar/discovery_client.go
@@ -16,8 +16,8 @@
 	"milldeck/balance"
 )
 
-// PROTOCOL counts a change of the endpoint list as known to the sidecar 6 s after the sidecar can reach discovery. With
-// these timeouts the sidecar stays below 6 s even if two calls in a row are not answered.
+// The platform's protocol counts a change of the endpoint list as known to the sidecar 6 s after the sidecar can reach
+// discovery. With these timeouts the sidecar stays below 6 s even if two calls in a row are not answered.
 const (
 	// watchHeartbeatTimeout ends a watch that sends no data. Discovery sends an empty line every 2 s; the timeout is a quarter
 	// longer. It applies although the connection is open, as a partitioned machine does not close its connections. A
@@ -110,7 +110,8 @@
 
 // watch opens a watch of the endpoint list at the balancer's request. It does nothing if a watch is open: after an address
 // change, the balancer may still request a watch because the previous one has ended. A watch that times out is reopened
-// without the balancer and its backoff for failed calls, because PROTOCOL soon counts the missed changes as known.
+// without the balancer and its backoff for failed calls, because the platform's protocol soon counts the missed changes
+// as known.
 func (d *discoveryClient) watch(ctx context.Context) {
 	select {
 	case <-d.watchDone:
--- a/internal/sidecar/discovery_failure_test.go
+++ b/internal/sidecar/discovery_failure_test.go
@@ -129,8 +129,8 @@
 }
 
 // For all combinations of the last one or two failed calls, with and without earlier failures, the list is received before
-// PROTOCOL counts it as known: 6 s after discovery can be reached. Discovery may become reachable right after a call that
-// fails immediately, and at the start of a call that is not answered, so the 6 s start then.
+// the platform's protocol counts it as known: 6 s after discovery can be reached. Discovery may become reachable right
+// after a call that fails immediately, and at the start of a call that is not answered, so the 6 s start then.
 func TestFailedCallsEndBeforeNotificationDeadline(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
 		for _, scenario := range []string{"start", "closed", "address changed"} {
--- a/internal/sidecar/discovery_silence_test.go
+++ b/internal/sidecar/discovery_silence_test.go
@@ -17,7 +17,7 @@
 	"milldeck/balance"
 )
 
-// notificationDeadline is the time after which PROTOCOL counts a missed change as known.
+// notificationDeadline is the time after which the platform's protocol counts a missed change as known.
 const notificationDeadline = 6 * time.Second
 
 const (
@@ -141,7 +141,7 @@
 }
 
 // A watch stops sending data at any point, and the next calls are not answered either. The list is still received before
-// PROTOCOL counts it as known.
+// the platform's protocol counts it as known.
 func TestSilenceEndsBeforeNotificationDeadline(t *testing.T) {
 	worst := map[string]time.Duration{}
 	for name, script := range silenceScripts {
@@ -165,7 +165,8 @@
 	t.Log("worst:", worst)
 }
 
-// After an address change the new service does not answer at first. PROTOCOL counts its list as known 4 s after the change.
+// After an address change the new service does not answer at first. The platform's protocol counts its
+// list as known 4 s after the change.
 func TestAddressChangeToSilentService(t *testing.T) {
 	for _, name := range []string{"before the first byte", "in the header", "after the header"} { // others send a list first
 		elapsed := measureRecovery(t, silenceScripts[name], 2, func(client *discoveryClient, ctx context.Context) {
--- a/internal/sidecar/endpoint_updates.go
+++ b/internal/sidecar/endpoint_updates.go
@@ -6,8 +6,9 @@
 	"milldeck/balance"
 )
 
-// switchDiscovery switches to discovery at another address. It opens a watch there immediately, as PROTOCOL counts the new
-// service's list as known soon after the switch. The upstreams stay unchanged until the first list arrives.
+// switchDiscovery switches to discovery at another address. It opens a watch there immediately, because the platform's
+// protocol counts the new service's list as known soon after the switch. The upstreams stay unchanged until the first list
+// arrives.
 func (l *eventLoop) switchDiscovery(address string) {
 	l.discovery.switchAddress(address)
 	if l.config.settings.Subscribe {
--- a/internal/sidecar/frontend.go
+++ b/internal/sidecar/frontend.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// overdueGrace is how long the frontend waits for the balancer after the deadline and AnswerGracePeriod. PROTOCOL allows
-	// 50 ms for sockets.
+	// overdueGrace is how long the frontend waits for the balancer after the deadline and AnswerGracePeriod. The
+	// platform's protocol allows 50 ms for sockets.
 	overdueGrace = 25 * time.Millisecond
 	writeTimeout = 5 * time.Second
 
--- a/internal/sidecar/peer_transport.go
+++ b/internal/sidecar/peer_transport.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	maxDatagramBytes = 256 // limit in PROTOCOL; a longer datagram cannot come from a sidecar of this tier
+	maxDatagramBytes = 256 // limit in the platform's protocol; a longer datagram cannot come from a sidecar of this tier
 	// peerQueueSize is the length of the queues to the event loop and to the socket. Further datagrams are dropped: delayed
 	// gossip is worthless, and a flood must not delay requests.
 	peerQueueSize = 64
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -31,7 +31,7 @@
 	defaultMemoryMB         = 256 // used if the configuration sets no memory limit
 	bytesPerMB              = 1 << 20
 
-	// After SIGTERM new connections arrive for up to 0.4 s, and the application goes on using its open connections.
+	// After SIGTERM new connections arrive for up to 0.4 s, and the application keeps using its open connections.
 	// SIGKILL follows SIGTERM after at least the longest deadline of all classes, counted up to maxDrainDeadline, plus
 	// killGracePeriod.
 	drainAcceptWindow   = 500 * time.Millisecond
