--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -13,7 +13,7 @@
 	minHealth            = 0.25 // above 0, so that the recovery of a server is detected
 	capacityLearningRate = 0.01 // step of a log capacity per answer; kind and zone move by half of it
 	driftSamples         = 200  // answers in the moving average of the step
-	initialLearningBoost = 24   // extra factor of the first steps: a restarted sidecar has learned no capacity
+	initialLearningBoost = 24   // extra factor of the first steps: a restarted sidecar has learned nothing
 	maxLogCapacity       = 2.5  // bound of each learned log capacity, in both directions
 	utilizationGain      = 2    // weight of a utilization below the mean, relative to that of latency
 	recentPoolMargin     = 1.15 // factor by which the slow start budget may exceed the recent pool's
