--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -23,7 +23,8 @@
 	readBodyTimeout   = 5 * time.Second
 	idleTimeout       = 60 * time.Second
 	maxWatchers       = 20_000
-	// retryAfterSeconds is the Retry-After value of retryable errors. An election takes about as long.
+	// retryAfterSeconds is the Retry-After value of retryable errors. It is shorter than raftHeartbeatTimeout, the earliest
+	// time after a leader's failure at which an election begins, so a client may retry several times until it ends.
 	retryAfterSeconds = "0.3"
 
 	// A replica whose state is staleAfter old, or older, sends no heartbeats to watchers, because it would not learn of a
@@ -123,7 +124,7 @@
 // leaderOnly serves requests on the leader. Other replicas redirect them to the leader.
 func (r *Replica) leaderOnly(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
-		if r.isLeader.Load() && r.raft.State() == raft.Leader {
+		if r.leadershipEstablished.Load() && r.raft.State() == raft.Leader {
 			handler(w, request)
 			return
 		}
