--- a/balance/admission.go
+++ b/balance/admission.go
@@ -6,32 +6,34 @@
 
 const (
 	// Fractions of the latency objective, beyond the minimum latency, that queueing may take before load is
-	// shed. A sidecar with little traffic detects queueing only when most of its servers have queues.
+	// shed. A sidecar with little traffic detects queueing only when most of its servers have queues, so
+	// its allowance is smaller.
 	queueingAllowance           = 0.25
 	queueingAllowanceLowTraffic = 0.08
 	initialLatencyRatio         = 0.33 // minimum latency that is assumed until answers arrive
 	minLatencyDecay             = 6e4  // ms, time constant for forgetting the minimum latency: servers change
 	averagingSamples            = 50   // answers or load reports in a moving average
 	maxLatencySamples           = 300  // answers in the moving average of a class's latency
-	immediateShedGain           = 1.5  // fraction to shed at once, per objective of excess latency
+	immediateShedGain           = 1.5  // fraction of load to shed at once, per objective of excess latency
 	minShedStep                 = 0.04 // step of the sustained fraction per request and objective of excess
-	maxShedStep                 = 0.34 // the same for a request long after the previous one
-	shedStepTime                = 400  // ms without a request for a step of 1
-	shedDecayTime               = 2500 // ms, time constant of shedding: idle servers look slow (cold caches)
-	shedDeadband                = 0.1  // sustained fraction not shed: small sidecars reach it by chance
+	maxShedStep                 = 0.34 // bound of the step of a request long after the previous request
+	shedStepTime                = 400  // ms since the previous request for a step of 1, before its bound
+	shedDecayTime               = 2500 // ms, time constant of shedding: cold caches make idle servers slow
+	shedDeadband                = 0.1  // sustained fraction not shed: with little traffic, chance reaches it
 	maxShedFraction             = 0.95 // answers are needed to detect the end of the overload
 	maxLatencyRatio             = 2    // latencies count as at most this multiple of the objective
 	answerRateSpan              = 8    // time constant of the answer rate, in longest objectives
-	growthDeviations            = 2    // standard deviations by which recent answers must exceed the rate
-	assumedAnswers              = 3    // added to the answer rate; the load is averaged over as many
-	maxFairnessBoost            = 2    // bound of quota over use, which raises the value of a request
-	similarValueFactor          = 1.25 // values that differ by less than this factor are shed alike
+	growthDeviations            = 2    // standard deviations deducted from recent answers to prove growth
+	assumedAnswers              = 3    // answers added to the answer rate; also the span of the mean load
+	maxFairnessBoost            = 2    // bound of a tenant's quota / use, a factor of its requests' value
+	similarValueFactor          = 1.25 // requests whose values differ by less than this factor are shed alike
 )
 
 // admit decides whether a request is admitted. It sheds load that the fleet cannot answer within the
 // latency objectives. The expected latency is the load in flight over the answer rate (Little's law), which
-// rises before answers show an overload. The sustained fraction changes with each request. At sidecars with
-// little traffic it changes with time, as they would otherwise react too late to a loss of servers.
+// rises before answers show an overload. The sustained fraction changes by a step with each request. The
+// step grows with the time since the previous request: with a fixed step, a sidecar with little traffic
+// would react too late to a loss of servers.
 func (b *Balancer) admit(r *request) bool {
 	state := &b.admission
 	answerRate := b.answerRate(assumedAnswers)
--- a/balance/affinity.go
+++ b/balance/affinity.go
@@ -9,17 +9,18 @@
 
 const (
 	minServersPerKey  = 2    // enough servers to balance the load, few enough to keep their caches warm
-	fleetPerKeyServer = 15   // servers of a large fleet per server of a key
+	fleetPerKeyServer = 15   // a key has one server per this many servers of a large fleet
 	maxKeyFraction    = 0.5  // maximum fraction of a server's requests that a frequent key causes
 	keyLoadHeadroom   = 1.25 // loadHeadroom for a key's servers: waiting costs less than a cold cache
 )
 
-// keySubset returns the servers to choose from for a key: the first in the key's order by rendezvous
-// hashing, which is the same at all sidecars. They are few, so that they are still warm for the key at its
-// next request, even if each sidecar receives the key rarely. In a large fleet a sidecar with little
-// traffic uses only the first of them in its own order: it needs few connections and soon knows the servers
-// that it uses, and the orders of all sidecars together balance the load. While no server of the subset has
-// capacity, the subset grows (bounded load).
+// keySubset returns the servers to choose from for a key: the first servers in the key's order by
+// rendezvous hashing, which is the same at all sidecars. The subset is small, so that its servers are still
+// warm for the key at the key's next request, even if each sidecar receives the key rarely. In a large
+// fleet, a sidecar with little traffic uses only the server of the subset that is first in the sidecar's
+// own order: the sidecar needs few connections and soon knows the servers that it uses, and the orders of
+// all sidecars together balance the load. While no server of the subset has capacity, the subset grows
+// (bounded load).
 func (b *Balancer) keySubset(key uint64) []*server {
 	count := b.candidateCount()
 	size := min(max(minServersPerKey, count/fleetPerKeyServer, b.frequencySubsetSize(key, count)), count)
@@ -69,7 +70,7 @@
 	return int(math.Ceil(b.keys.fraction(key) * float64(count) / maxKeyFraction))
 }
 
-// candidateCount returns the number of servers that a first attempt by key can choose from.
+// candidateCount returns the number of servers that a first attempt for a key can choose from.
 func (b *Balancer) candidateCount() int {
 	if b.selection.allEjected {
 		return len(b.selection.candidates)
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -8,9 +8,9 @@
 const (
 	overdueDeviations  = 4    // mean deviations above the mean latency at which an attempt is overdue
 	overdueMinSamples  = 5    // answers of a class before its latency counts as known
-	overdueLatency     = 3    // relative latency that is recorded for an overdue attempt
+	overdueLatency     = 3    // latency recorded for an overdue attempt, as a multiple of the class's mean
 	healthCheckBudget  = 0.03 // fraction of the score that health checks may cost; see Objective
-	reportLifetime     = 0.05 // of the objective: time limit of health checks, lifetime of load reports
+	reportLifetime     = 0.05 // fraction of the objective: wait for health checks, age of a fresh report
 	allBusyProbability = 0.01 // servers are checked until the probability that all are busy is this low
 )
 
@@ -46,9 +46,9 @@
 	return next
 }
 
-// checkAttempts records an overdue attempt as an error, since a hung server would be detected late
-// otherwise. It removes an attempt from the load once its objective is over. It returns the time of the
-// next check.
+// checkAttempts records an overdue attempt as an error without waiting for its outcome, since a hung server
+// would be detected late otherwise. It removes an attempt from the load in flight once the attempt has
+// taken as long as its latency objective. It returns the time of the next check.
 func (b *Balancer) checkAttempts(r *request) float64 {
 	next := r.deadline
 	for i := range r.attempts {
@@ -106,7 +106,8 @@
 	b.scheduleRefresh(s)
 	b.recordZoneAnswer(s.zoneHealth)
 	if b.recordLoadReport(s, ev.LoadReport) > r.class.LatencyObjective {
-		// Some overloaded servers stay slow until they are idle: the server is ejected for one round.
+		// Some overloaded servers stay slow until they are idle. The server is ejected for one round over
+		// all servers, at most one objective.
 		s.ejection.until = b.now + math.Min(b.longestObjective, float64(len(b.servers))/b.requestRate())
 	}
 	b.recordLatency(r, s, ev.Elapsed)
@@ -117,7 +118,8 @@
 		b.retries.lastOverloadedAt = b.now
 	}
 	unreachable := result == ConnectFailed
-	counted := a.overdue || a.endsAtObjective && result == TimedOut // recorded when overdue, or no error
+	// An overdue attempt is already recorded as an error; giving up at the objective is no error.
+	counted := a.overdue || a.endsAtObjective && result == TimedOut
 	if unreachable || !counted {
 		b.recordError(a.server, unreachable)
 	}
--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -15,8 +15,8 @@
 	driftSamples         = 200  // answers in the moving average of the step
 	initialLearningBoost = 24   // extra factor of the first steps: a restarted sidecar knows no capacity
 	maxLogCapacity       = 2.5  // bound of each learned log capacity, in both directions
-	utilizationGain      = 2    // weight of a utilization below the mean, relative to that of latency
-	recentPoolMargin     = 1.15 // factor by which the slow start budget may exceed the recent pool's
+	utilizationGain      = 2    // weight of a utilization below the mean, relative to the weight of latency
+	recentPoolMargin     = 1.15 // bound of the slow start budget, as a multiple of the recent pool's budget
 )
 
 // weight returns capacity × health, reduced during slow start.
@@ -60,12 +60,13 @@
 }
 
 // hasSlowStartBudget limits the attempts at a server in slow start, retries included. The limit is half of
-// the allowed multiple of the answers that a server of this size gives to this sidecar, reduced by its slow
-// start factor, so that all sidecars together stay below the allowed multiple. It counts answers, because
-// requests include the retries of clients, and adds one assumed answer. The request rate bounds the answer
-// rate, as answers lag behind falling traffic. If many servers are in slow start, the pool shrinks before
-// the answers do, so the recent pool bounds the budget. Tokens do not accumulate for long: all sidecars
-// would spend them in one burst after a quiet period.
+// OverloadMultiple times the answers that a server of this size gives to this sidecar, reduced by the
+// server's slow start factor, so that all sidecars together stay below OverloadMultiple. The limit is
+// computed from answers, because requests include the retries of clients, and from one assumed answer. The
+// request rate bounds the answer rate, because answers lag behind falling traffic. If many servers are in
+// slow start, the weight of the pool falls before the answer rate does, so the weight of the recent pool
+// also bounds the limit. Tokens do not accumulate for long: all sidecars would spend their tokens in one
+// burst after a quiet period.
 func (b *Balancer) hasSlowStartBudget(s *server) bool {
 	pool := &b.pool.slowStart
 	if b.config.KeyAffinity {
@@ -75,7 +76,7 @@
 	servedRate := math.Min(b.answerRate(1), b.requestRate())
 	refillRate := servedRate * s.weight / poolWeight * math.Max(1, b.config.OverloadMultiple/2)
 	budget := refillRate * b.config.OverloadDuration / 2
-	scarce := budget < 0.5 // one token per sidecar would be too many
+	scarce := budget < 0.5 // one attempt by each sidecar would be too many
 	maxTokens := math.Max(1, budget/2)
 	if scarce {
 		maxTokens = 1 + budget
@@ -90,7 +91,8 @@
 }
 
 // tokensSince returns the time from which a server in slow start earns tokens. Without key affinity, a
-// server earns none for the time before it entered the rotation, in which the pool did not count it.
+// server earns none for the time before it entered the rotation, in which the pool did not include the
+// server.
 func (b *Balancer) tokensSince(s *server) float64 {
 	if b.config.KeyAffinity {
 		return s.slowStart.tokensAt
@@ -98,14 +100,16 @@
 	return math.Max(s.slowStart.tokensAt, b.pool.slowStart.lastPickedAt)
 }
 
-// beginSlowStart starts with a random budget, so that the first attempts of all sidecars do not coincide.
+// beginSlowStart begins the slow start of a server with a random part of a token, so that the first
+// attempts of all sidecars do not coincide.
 func (b *Balancer) beginSlowStart(s *server, since float64) {
 	s.slowStart = slowStartState{since: since, tokens: b.random(), tokensAt: b.now}
 }
 
 // learnCapacity adjusts the learned capacities until answers take equally long at all servers. A change
 // that all servers have in common is due to load, not capacity. A reported utilization counts as well:
-// while load is shed, answers are fast, and slow servers would be idle beside fast servers that are full.
+// while load is shed, all answers are fast, and by latency alone slow servers would stay idle while fast
+// servers are fully utilized.
 func (b *Balancer) learnCapacity(s *server, relativeLatency float64) {
 	if b.inSlowStart(s) {
 		return
--- a/balance/config.go
+++ b/balance/config.go
@@ -44,7 +44,7 @@
 // Tenant is one customer of the service.
 type Tenant struct {
 	QuotaRate float64 // requests a second within its quota, over all sidecars
-	Quota     float64 // its fraction of the service, 0 to 1; 0: no quota
+	Quota     float64 // fraction of all requests that is within its quota, 0 to 1; 0: no quota
 }
 
 // LoadReportMode is the way in which the load reports of servers reach a sidecar.
@@ -80,7 +80,7 @@
 
 	Classes         []Class
 	Tenants         []Tenant
-	OverQuotaWeight float64 // value of a request beyond its tenant's quota, as a fraction of one within it
+	OverQuotaWeight float64 // value of a request beyond its tenant's quota; within the quota it is 1
 	EventInterval   float64 // minimum time between two batches of events
 
 	KeyAffinity      bool // a server that recently served a key serves it again with less work
@@ -111,18 +111,18 @@
 
 // Objective holds the weights of the parts of the score by which a deployment is judged. Load shedding uses them.
 type Objective struct {
-	Overall     float64 // of all requests
-	WorstWindow float64 // of the worst window of time
-	WorstClass  float64 // of the worst-served class
-	WorstTenant float64 // of the worst-served tenant
+	Overall     float64 // weight of the result over all requests
+	WorstWindow float64 // weight of the result in the worst window of time
+	WorstClass  float64 // weight of the result of the worst-served class
+	WorstTenant float64 // weight of the result of the worst-served tenant
 }
 
-// Costs are subtracted from the score; see Objective.
+// Costs holds the costs that are subtracted from the score; see Objective.
 type Costs struct {
-	CrossZone   float64 // of attempts in other zones, as a fraction of first attempts
-	WastedWork  float64 // of server work that led to no answer, as a fraction of the offered work
-	Handshake   float64 // of a new connection, per first attempt
-	HealthCheck float64 // of a health check, per first attempt
-	Gossip      float64 // of 256 bytes of gossip delivered, per first attempt
-	LateFailure float64 // of the priority weight that is still unserved after its objective
+	CrossZone   float64 // cost of attempts in other zones, as a fraction of first attempts
+	WastedWork  float64 // cost of server work that led to no answer, as a fraction of the offered work
+	Handshake   float64 // cost of a new connection, per first attempt
+	HealthCheck float64 // cost of a health check, per first attempt
+	Gossip      float64 // cost of 256 bytes of gossip delivered, per first attempt
+	LateFailure float64 // cost of the priority weight that is still unserved after its latency objective
 }
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -7,11 +7,11 @@
 const (
 	// pollBackoffPerSidecar is the initial backoff, in ms per sidecar of the fleet.
 	pollBackoffPerSidecar = 50
-	maxPollDoublings      = 4 // of the backoff, one per consecutive failure
+	maxPollDoublings      = 4 // doublings of the backoff, one per consecutive failed poll
 	// maxUnqueuedPollBackoff bounds the backoff, in ms, if discovery can answer all sidecars in time. A
 	// sidecar counts as informed 6 s after discovery becomes reachable (PROTOCOL), which leaves time for
 	// one unanswered and one answered poll. The bound does not apply if polls wait in a queue: many polls
-	// that soon would not be answered.
+	// at such short intervals would not be answered.
 	maxUnqueuedPollBackoff = 3000
 )
 
@@ -60,10 +60,11 @@
 	b.scheduleRefresh(s)
 }
 
-// schedulePoll schedules the next poll of discovery after a backoff with jitter, at least minFraction of
-// the backoff and at most maxBackoff if that is not 0. The backoff leaves discovery time for the polls of
-// all sidecars: polls that all sidecars send at once, after a mass restart or an outage of discovery, wait
-// in its queue until most have timed out. unqueued states that no polls wait at discovery.
+// schedulePoll schedules the next poll of discovery after a random delay between minFraction of the backoff
+// and the backoff. maxBackoff bounds the backoff; 0: no bound. The backoff leaves discovery time for the
+// polls of all sidecars: polls that all sidecars send at once, after a mass restart or an outage of
+// discovery, wait in the queue of discovery until most polls have timed out. unqueued states that no polls
+// wait at discovery.
 func (b *Balancer) schedulePoll(minFraction, maxBackoff float64, unqueued bool) {
 	fleetBackoff := pollBackoffPerSidecar * float64(max(b.config.SidecarCount, 1))
 	backoff := fleetBackoff * float64(int(1)<<min(b.discovery.failedPolls, maxPollDoublings))
--- a/balance/estimates.go
+++ b/balance/estimates.go
@@ -21,9 +21,9 @@
 // inFlightLoad is the load in flight. Each attempt counts as 1 / its latency objective; see trackLoad.
 type inFlightLoad struct{ current, mean, updatedAt float64 }
 
-// answerRate returns the rate of answers per millisecond over a long span, plus some assumed answers. If the answers
-// within the last longest objective certainly show a higher rate, it returns that rate, because traffic may grow
-// fast.
+// answerRate returns the rate of answers per millisecond over a long span, with the assumed answers added
+// to the count. If the answers within the last span of the longest latency objective certainly show a
+// higher rate, it returns that rate, because traffic may grow fast.
 func (b *Balancer) answerRate(assumed float64) float64 {
 	state := &b.admission
 	long := state.answers.rate(b.now, state.firstAnswerAt, answerRateSpan*b.longestObjective, assumed)
@@ -33,18 +33,19 @@
 	return math.Max(long, certain/b.longestObjective)
 }
 
-// trackLoad updates the load in flight. An attempt counts as 1 / its latency objective, and for no longer than its
-// objective, because a hung server is not overload. The mean is taken over the time of a few answers, because a few
-// requests of a small sidecar coincide by chance.
+// trackLoad updates the load in flight. An attempt counts as 1 / its latency objective, and for no longer
+// than its objective, because a hung server is not overload. The mean is taken over the time of a few
+// answers: at a sidecar with little traffic, a few requests are in flight together by chance.
 func (b *Balancer) trackLoad(delta, answerRate float64) {
 	load := &b.admission.load
 	load.mean += (load.current - load.mean) * -math.Expm1((load.updatedAt-b.now)*answerRate/assumedAnswers)
 	load.current, load.updatedAt = load.current+delta, b.now
 }
 
-// trackLatency updates the latency of a class as a fraction of its objective, and the recent minimum of that
-// fraction. The minimum over all classes is a mean over recent answers: if one class is shed, the others may take a
-// larger fraction of their objective, which is not overload.
+// trackLatency updates the latency of a class as a fraction of its objective, and the recent minimum of
+// that fraction. The minimum for all classes together is the mean of the classes' minima over recent
+// answers: if one class is shed, the answers of the other classes may take a larger fraction of their
+// objective, which is not overload.
 func (b *Balancer) trackLatency(class *classStats, ratio float64) {
 	class.recentSamples = math.Min(class.recentSamples+1, averagingSamples)
 	class.recentLatencyRatio += (math.Min(ratio, maxLatencyRatio) - class.recentLatencyRatio) / class.recentSamples
--- a/balance/event.go
+++ b/balance/event.go
@@ -137,7 +137,8 @@
 	ExpiresAt    float64 // time at which the exclusion expires
 }
 
-// HotKey directs a part of a key's requests to replicas, in addition to the servers that the key has by itself.
+// HotKey directs a part of a key's requests to replicas, in addition to the servers that key affinity
+// selects for the key.
 type HotKey struct {
 	Key       uint64
 	Replicas  []Replica
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -3,24 +3,24 @@
 import "math"
 
 // This file decides which findings a sidecar publishes to other sidecars and which of theirs it accepts. A
-// sidecar visits each server rarely, so other sidecars detect faults of a server earlier. A finding is a
-// hint, never a fact: for a short time and for few servers, it delays the next attempt at a server that has
-// returned errors to this sidecar and no newer answer. An overloaded server can thus become idle although
-// hundreds of sidecars try it occasionally.
+// sidecar visits each server rarely, so some other sidecar usually detects a fault of the server earlier. A
+// finding is a hint, never a fact: for a short time and for few servers, it delays the next attempt at a
+// server that has returned errors to this sidecar and no newer answer. An overloaded server can thus become
+// idle although hundreds of sidecars try it occasionally.
 
 const (
 	gossipBudget             = 5e-4 // fraction of the score that the gossip for each request may cost
 	gossipCostUnit           = 256  // bytes that Costs.Gossip refers to
 	minGossipCost            = 0.01
 	gossipBurstBytes         = 400  // bytes that may be sent at once, over all receivers
-	gossipFanout             = 8    // receivers of a message; the rest learn of a fault from other senders
+	gossipFanout             = 8    // receivers of a message; other senders inform the other sidecars
 	bootstrapFanout          = 3    // sidecars queried at the start: one of them will know the faults
 	gossipBatchDelay         = 25   // ms over which findings are batched
 	gossipLifetimeObjectives = 4    // lifetime of a finding in longest objectives: a server can become idle
 	maxGossipLifetime        = 5000 // ms, bound of the lifetime: the maximum age that a finding can express
 	maxGossipEjectedFraction = 0.1  // of the servers, and at most half of the servers of a zone
 	sufficientConfirmations  = 3    // receptions of a finding after which it is not published again
-	gossipContactLimit       = 4    // visits per server in a finding's lifetime that reveal as much as gossip
+	gossipContactLimit       = 4    // requests per server and finding lifetime that reveal as much as gossip
 	maxContradictions        = 2.5  // recent contradictions after which a sender is ignored
 )
 
@@ -45,7 +45,8 @@
 	b.gossip.budgetBytes = math.Min(b.gossip.budgetBytes+earned, gossipBurstBytes)
 }
 
-// publishFault publishes the ejection of a server, unless it was recently published or often received.
+// publishFault publishes the ejection of a server, unless this sidecar has recently published it or has
+// often received it.
 func (b *Balancer) publishFault(s *server) {
 	confirmed := s.gossip.confirmations >= sufficientConfirmations && b.now < s.gossip.ejectedUntil
 	if b.now < s.gossip.publishedUntil || confirmed {
@@ -105,8 +106,8 @@
 	}
 }
 
-// onGossip handles a message of another sidecar. It drops stale, repeated and malformed messages, and those
-// of a sender that this sidecar's own answers contradict.
+// onGossip handles a message of another sidecar. It drops stale, repeated and malformed messages, and
+// messages of a sender whose findings this sidecar's own answers contradict.
 func (b *Balancer) onGossip(ev *GossipMessage) {
 	state := &b.gossip
 	otherSidecar := ev.From >= 0 && ev.From < b.config.SidecarCount && ev.From != b.config.SidecarIndex
--- a/balance/key_frequency.go
+++ b/balance/key_frequency.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// keyFrequencySpan is the number of requests over which a key's frequency is measured: seconds at a small sidecar.
+// keyFrequencySpan is the number of requests over which a key's frequency is measured. At a sidecar with
+// little traffic they take seconds.
 const keyFrequencySpan = 256
 
 // keyFrequencies counts the requests per key. It halves the counts from time to time, so that the map stays small.
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -12,7 +12,7 @@
 
 const (
 	errorsBeforeEjection          = 2    // consecutive errors that eject a server
-	unreachableBeforeZoneEjection = 3    // servers of a zone, without an answer from the zone in between
+	unreachableBeforeZoneEjection = 3    // unreachable servers that eject a zone without answers in between
 	maxEjectionDoublings          = 3    // bound of the doublings of the ejection time
 	lateEjectionPerSidecar        = 100  // ms; all sidecars together try a late server ten times a second
 	maxLateEjectedFraction        = 0.15 // fraction of the servers; if more are late, the load is too high
@@ -32,7 +32,8 @@
 	case late && b.mayEjectLate():
 		b.eject(s)
 		b.publishFault(s)
-		// An overloaded server recovers only when it is mostly idle, but each sidecar tries it again.
+		// An overloaded server recovers only when it is mostly idle, but each sidecar sends it trial
+		// attempts. The ejection time therefore grows with the number of sidecars.
 		extension := math.Max(lateEjectionPerSidecar*float64(b.config.SidecarCount)-b.longestObjective, 0)
 		doublings := min(s.ejection.count-1, maxEjectionDoublings)
 		s.ejection.until += extension * float64(int(1)<<doublings) * (0.75 + b.random()/2)
@@ -121,8 +122,8 @@
 }
 
 // shedLoadOfLostZone immediately sheds the part of the load that a lost zone served. The other servers
-// receive the zone's keys with cold caches and would be overloaded before answers show it. If they are not
-// overloaded, the shedding soon decays.
+// receive the zone's keys with cold caches and would be overloaded before their answers show the overload.
+// If they are not overloaded, the shedding soon decays.
 func (b *Balancer) shedLoadOfLostZone(id int) {
 	lost, total := 0.0, 0.0
 	for _, s := range b.servers {
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -46,8 +46,8 @@
 }
 
 // prepareSelection sets up the current pick and returns the total weight to choose from. If all servers are
-// ejected, the cause is hardly theirs and all become candidates; if the placement excludes further servers,
-// ok is false instead.
+// ejected, the cause is probably outside of the servers, and all become candidates. If the placement
+// excludes further servers, ok is false instead.
 func (b *Balancer) prepareSelection(r *request, byKey bool) (totalWeight float64, ok bool) {
 	selection := &b.selection
 	if b.config.KeyAffinity {
@@ -90,9 +90,9 @@
 
 func (b *Balancer) mayReceive(s *server) bool { return !b.inSlowStart(s) || b.hasSlowStartBudget(s) }
 
-// exceedsLoadBound implements bounded load: a server that holds more than its share is slow, hung or loaded
-// by other sidecars, even if it returns no errors. It is passed over and keeps its running weight for later
-// picks.
+// exceedsLoadBound implements bounded load: a server that holds more than its share of the load is slow,
+// hung or loaded by other sidecars, even if it returns no errors. The pick passes over the server, which
+// keeps its running weight for later picks.
 func (b *Balancer) exceedsLoadBound(s *server) bool {
 	limit := b.selection.headroom * b.selection.load * s.weight / b.selection.weight
 	return !s.loadKnown || b.serverLoad(s)+1 > math.Ceil(limit-1e-9) // rounding must not raise the limit
@@ -144,8 +144,9 @@
 // ownZoneFactor returns the weight factor of the own zone, which grows with the cost of crossing zones.
 func (b *Balancer) ownZoneFactor() float64 { return 1 + zonePreference*b.config.Costs.CrossZone }
 
-// preferred reports whether s is a better choice than best: by running weight, for a retry by health. If
-// both exceed the load bound, a first attempt prefers the least load for the weight.
+// preferred reports whether s is a better choice than best: for a first attempt by running weight, for a
+// retry by health. If both exceed the load bound, a first attempt prefers the server with the least load
+// for its weight.
 func (b *Balancer) preferred(s, best *server, retry, overBound bool) bool {
 	if overBound && !retry {
 		return (b.serverLoad(s)+1)*best.weight < (b.serverLoad(best)+1)*s.weight
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -3,8 +3,8 @@
 import "math"
 
 // This file decides what a placement changes: which servers a tenant's requests avoid, as long as enough
-// servers remain, and which part of a hot key's load its replicas receive. Without a placement nothing of
-// it applies.
+// servers remain, and which part of a hot key's load its replicas receive. Without a placement, none of
+// these rules apply.
 
 const (
 	// A replica without a load fraction receives a trickle of its key's load. The trickle warms up a new
@@ -20,8 +20,8 @@
 
 // selectUnderPlacement selects a server under the placement: an attempt avoids the servers that its tenant
 // is excluded from. If all other servers are ejected or have no slow start budget, serving the request
-// takes precedence: the exclusions are suspended and all servers are tried. A retry within its
-// deduplication scope may have no other server; it suspends nothing.
+// takes precedence: the exclusions are suspended and all servers are tried. For a retry, the deduplication
+// scope may leave excluded servers only: the retry uses one, and no suspension is recorded.
 func (b *Balancer) selectUnderPlacement(r *request, retry bool) *server {
 	active := b.placement
 	if active == nil {
--- a/balance/placement_state.go
+++ b/balance/placement_state.go
@@ -57,7 +57,8 @@
 		if old != nil && old.hotKeys[hotKey.Key] != nil {
 			state.phase = old.hotKeys[hotKey.Key].phase
 		} else {
-			state.phase = b.random() // sidecars that receive a placement together must not choose in step
+			// Sidecars that receive a placement together must not select the same replica at the same time.
+			state.phase = b.random()
 		}
 		active.hotKeys[hotKey.Key] = state
 	}
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -15,11 +15,12 @@
 	slowStart slowStartPool
 }
 
-// slowStartPool is the set of servers that share the answers of this sidecar. The slow start budget of a server follows
-// its share. With key affinity the pool consists of all ready servers. Without key affinity it consists of the servers
-// in this sidecar's own order up to the last one of its rotation, including ejected and excluded servers: a sidecar that
-// passes over a server rotates over the next server in its order as well, so the other servers are in the rotations of
-// more sidecars. Health does not count, because the answers of overloaded servers do not fall as far as their health.
+// slowStartPool is the set of servers that share the answers of this sidecar. The slow start budget of a
+// server is proportional to its share of the pool's weight. With key affinity the pool consists of all
+// ready servers. Without key affinity it consists of the servers in this sidecar's own order up to the last
+// one of its rotation, including ejected and excluded servers: a sidecar that passes over a server rotates
+// over the next server in its order as well, so the other servers are in the rotations of more sidecars.
+// Health does not count, because the answers of overloaded servers do not fall as far as their health.
 type slowStartPool struct {
 	poolSums
 	updatedAt      float64
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -95,7 +95,7 @@
 	if s.State == Ready {
 		if changesAt = b.ejectionEnd(s); changesAt <= b.now {
 			if !wasInRotation {
-				s.round.creditedUpTo = b.selection.round // no credit for the rounds in which it was ejected
+				s.round.creditedUpTo = b.selection.round // skips the rounds in which the server was ejected
 			}
 			changesAt = b.enterRotation(s)
 		}
@@ -137,8 +137,8 @@
 	}
 }
 
-// sumRotation sets the load bound of a pick from the whole rotation, as collectCandidates does from the listed
-// servers.
+// sumRotation sets the load bound of a pick from the whole rotation, as sumCandidates does from the
+// candidates.
 func (b *Balancer) sumRotation(totalWeight float64) {
 	selection := &b.selection
 	selection.load, selection.weight = 1, 0
--- a/balance/server.go
+++ b/balance/server.go
@@ -63,7 +63,7 @@
 type loadReport struct {
 	inFlight    float64
 	receivedAt  float64
-	sentSince   float64 // attempts that this sidecar has sent since
+	sentSince   float64 // attempts that this sidecar has sent since receivedAt
 	utilization float64 // smoothed; 0: it was never reported
 	listed      bool    // in rotation.reporters
 }
@@ -127,8 +127,8 @@
 	return health
 }
 
-// newServer returns a server with a random running weight: otherwise sidecars that start together would choose in
-// step.
+// newServer returns a server with a random running weight: otherwise sidecars that start together would
+// select the same servers at the same time.
 func (b *Balancer) newServer() *server {
 	return &server{
 		round:     roundRobinState{runningWeight: baseWeight * b.random(), creditedUpTo: b.selection.round},
--- a/balance/stats.go
+++ b/balance/stats.go
@@ -6,7 +6,7 @@
 // counts start at 1, so that neither is ever 0.
 type requestCounts struct{ received, servedInTime, quota float64 }
 
-// servedLessThan reports whether a smaller fraction was served in time than of other.
+// servedLessThan reports whether a smaller fraction of c's requests than of other's was served in time.
 func (c *requestCounts) servedLessThan(other *requestCounts) bool {
 	return c.servedInTime*other.received < other.servedInTime*c.received
 }
@@ -73,10 +73,12 @@
 	m.count, m.updatedAt = m.count*math.Exp((m.updatedAt-now)/span)+1, now
 }
 
-// minSpanFraction bounds the correction for a count that covers only a part of its span.
+// minSpanFraction is the least fraction of its span that a count is taken to cover. rate divides by this
+// fraction.
 const minSpanFraction = 0.05
 
-// rate returns the number of events per millisecond since a time, plus some assumed events.
+// rate returns the events per millisecond. Counting began at since. The assumed events are added to the
+// count.
 func (m *rateMeter) rate(now, since, span, assumed float64) float64 {
 	counted := math.Max(-math.Expm1((since-now)/span), minSpanFraction)
 	return (m.count*math.Exp((m.updatedAt-now)/span)/counted + assumed) / span
