--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// A hung attempt is a fault of its server and must not shed load for seconds: it counts as load for one objective.
+// A hung attempt is a fault of its server, not overload. If it counted as load until it ends, the sidecar
+// would shed requests for seconds. It counts as load for one latency objective only.
 func TestHungAttemptIsLoadForOneObjective(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(2)...)
 	id, _ := h.request(idempotentClass)
@@ -48,7 +49,8 @@
 	}
 }
 
-// After a crash of servers, a sidecar with two requests a second must not take eight seconds to shed load.
+// After a crash of servers, a sidecar with two requests a second must not take eight seconds to shed load:
+// the step of the sustained fraction must grow with the time between requests.
 func TestSmallSidecarShedsWithinSeconds(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(4)...)
 	for range 6 {
@@ -62,7 +64,8 @@
 	}
 }
 
-// A few concurrent requests that coincide by chance are not overload.
+// At a sidecar with little traffic, a few requests are in flight together by chance. That is not overload,
+// and none of these requests may be rejected.
 func TestFewConcurrentRequestsAreNotShed(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(4)...)
 	for range 40 {
@@ -125,9 +128,9 @@
 	return byClass, byTenant
 }
 
-// Shedding must follow the load immediately, between nothing and twice the sustained fraction, so that queues do not
-// grow for seconds. A sidecar that has not shed recently rejects nothing, because its few requests may coincide by
-// chance.
+// Shedding must follow the load immediately, between nothing and twice the sustained fraction, so that
+// queues do not grow for seconds. A sidecar that has not shed recently rejects nothing, because a few
+// requests may be in flight together by chance.
 func TestSheddingFollowsLoadAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		sustained, excess        float64 // excess: expected minus allowed latency, as a fraction of the objective
@@ -197,8 +200,9 @@
 	}
 }
 
-// Traffic that grows tenfold within seconds while answers stay fast is not overload. The attempts in flight must not
-// be compared with an outdated answer rate.
+// Traffic that grows tenfold within seconds while answers stay fast is not overload. The expected latency
+// is the load in flight over the answer rate: with an outdated, lower answer rate, the sidecar would shed
+// requests.
 func TestFastGrowthIsNotOverload(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(12)...)
 	var open []RequestID
@@ -243,7 +247,8 @@
 	}
 }
 
-// Servers change, and the minimum latency with them: an outdated minimum must not shed load forever.
+// When servers become slower, the minimum latency rises. An outdated, lower minimum must not make the
+// sidecar shed load forever.
 func TestMinLatencyDecays(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(4)...)
 	answers := func(took, span float64) {
--- a/balance/affinity_test.go
+++ b/balance/affinity_test.go
@@ -89,7 +89,8 @@
 	}
 }
 
-// Health must also count at a sidecar that narrows to its own order: errors move keys to other servers.
+// A sidecar that uses only the first of a key's servers in its own order must still move the keys of a
+// failing server to other servers.
 func TestErrorsMoveKeysToOtherServers(t *testing.T) {
 	cfg := baseConfig()
 	cfg.KeyAffinity = true
--- a/balance/capacity_test.go
+++ b/balance/capacity_test.go
@@ -16,10 +16,10 @@
 		h.finishAttempt(id, 0, OK, map[bool]float64{true: 20, false: 40}[s > 2])
 	}
 	if hits[3]+hits[4] < 3*(hits[1]+hits[2])/2 {
-		t.Fatalf("hits %v", hits)
+		t.Fatalf("requests per server %v, want more at 3 and 4 than at 1 and 2", hits)
 	}
 	if h.balancer.capacity.byKind[1] <= h.balancer.capacity.byKind[0] {
-		t.Fatalf("kinds %v", h.balancer.capacity.byKind)
+		t.Fatalf("learned log capacity by kind %v, want kind 1 above kind 0", h.balancer.capacity.byKind)
 	}
 }
 
@@ -41,7 +41,8 @@
 	}
 }
 
-// A restarted sidecar with few requests must not use slow servers as much as fast servers for a minute.
+// A restarted sidecar knows no capacity. With few requests and small learning steps, it would send slow
+// servers as much as fast servers for a minute.
 func TestCapacityIsLearnedFastAtFirst(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(2)...)
 	fast, slow := h.balancer.servers[0], h.balancer.servers[1]
@@ -92,8 +93,9 @@
 	}
 }
 
-// While load is shed, all servers answer fast, so latency alone would send too much load to the fast servers. A slow
-// server with a low utilization must not receive less than a fast server that is full.
+// While load is shed, all servers answer fast, so latency alone would send too much load to the fast
+// servers. A slow server with a low utilization must not receive less than a fast server that is fully
+// utilized.
 func TestIdleServersGainCapacity(t *testing.T) {
 	cfg := baseConfig()
 	cfg.LoadReports, cfg.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldUtilization}
--- a/balance/determinism_test.go
+++ b/balance/determinism_test.go
@@ -391,9 +391,9 @@
 	p.hashState()
 }
 
-// The same settings and events must yield the same actions, to the last bit of each number, in every build. The
-// digests are from an amd64 machine with fused multiply-add, which math.Exp uses there. Other machines may round
-// differently.
+// The same settings and events must yield the same actions, to the last bit of each number, in every build.
+// The digests are from an amd64 machine with fused multiply-add, which math.Exp uses on such a machine.
+// Other machines may round differently.
 func TestDecisionsAreDeterministic(t *testing.T) {
 	keyAffinity := func(c *Config) { c.KeyAffinity, c.AllowParallelAttempts = true, false }
 	gossip := func(c *Config) { c.AllowGossip, c.SidecarCount, c.SidecarIndex, c.Costs.Gossip = true, 50, 7, 0.06 }
--- a/balance/discovery_test.go
+++ b/balance/discovery_test.go
@@ -71,9 +71,11 @@
 	}
 }
 
-// A sidecar counts as informed 6 s after discovery becomes reachable. After a poll that found discovery unreachable,
-// the next poll follows within 3 s, whatever the size of the fleet and the number of failures; so does the first
-// poll. A large fleet must not poll in step. A small fleet polls equally soon after a poll that waited in a queue.
+// A sidecar counts as informed 6 s after discovery becomes reachable. After a poll that found discovery
+// unreachable, the next poll follows within 3 s, whatever the size of the fleet and the number of failures.
+// The first poll of a sidecar also happens within 3 s. The sidecars of a large fleet must not poll at the
+// same time. In a small fleet, the next poll also follows within 3 s after a poll that waited in the queue
+// of discovery.
 func TestDiscoveryPollsResumeInTime(t *testing.T) {
 	for _, sidecars := range []int{1, 5, 30, 31, 80, 1000} {
 		for _, unqueued := range []bool{true, false} {
--- a/balance/estimates.go
+++ b/balance/estimates.go
@@ -12,9 +12,9 @@
 	sustainedShed   float64 // sustained fraction of the load to shed, including shedDeadband
 	minLatencyRatio float64 // minimum latency of recent answers, as a fraction of the objective
 
-	firstAnswerAt float64 // traffic may begin long after Start
+	firstAnswerAt float64 // time of the first answer: traffic may begin long after Start
 	answers       rateMeter
-	recentAnswers rateMeter // over about one longest objective
+	recentAnswers rateMeter // answers over about one longest latency objective
 	load          inFlightLoad
 }
 
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -46,8 +46,8 @@
 	return n, ofZone
 }
 
-// Whatever other sidecars publish, true or not: few servers are ejected for a short time, no zone is emptied and
-// memory use is bounded.
+// Whatever other sidecars publish, true or not: gossip ejects few servers, for a short time, and at most
+// half of the servers of a zone. Memory use is bounded.
 func TestHostileGossipHasBoundedEffect(t *testing.T) {
 	h, random := newGossipHarness(t), rand.New(rand.NewSource(1))
 	lifetime := h.balancer.gossipLifetime()
@@ -164,7 +164,7 @@
 			for _, a := range actions {
 				if a.Kind == SendGossip {
 					if a.Peer == cfg.SidecarIndex || a.Peer < 0 || a.Peer >= sidecars || len(a.Data) > 256 {
-						t.Fatalf("sends %d bytes to %d", len(a.Data), a.Peer)
+						t.Fatalf("a gossip message of %d bytes went to sidecar %d", len(a.Data), a.Peer)
 					}
 					posts, bytes = posts+1, bytes+len(a.Data)
 				}
@@ -172,7 +172,7 @@
 			return posts, bytes
 		}
 		if posts, _ := count(h.handle(TimerFired{Token: gossipTimer})); posts != min(bootstrapFanout, sidecars-1) {
-			t.Fatalf("queries %d of %d", posts, sidecars)
+			t.Fatalf("the bootstrap query went to %d sidecars of a fleet of %d", posts, sidecars)
 		}
 		total := 0
 		for range 3000 {
@@ -189,7 +189,7 @@
 	}
 }
 
-// A sidecar that has just started must receive the faults that others know.
+// A sidecar that has just started knows no faults. It must receive the faults that other sidecars know.
 func TestRestartedSidecarBootstrapsFromGossip(t *testing.T) {
 	informed, started := newGossipHarness(t), newHarness(t, gossipConfig(), testServers(60)...)
 	started.now = informed.now
--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -25,7 +25,8 @@
 	return after
 }
 
-// Unreachable servers that are next in turn must not receive a health check for every request.
+// Unreachable servers receive no requests and so stay next in turn. They must not receive a health check
+// for every request.
 func TestUnreachableServersAreEjectedAndReturn(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), testServers(3)...)
 	unreachable := map[ServerID]bool{1: true, 2: true}
@@ -48,11 +49,12 @@
 		h.finishAttempt(id, 0, OK, 10)
 	}
 	if !used[1] || !used[2] {
-		t.Fatalf("used %v after they recovered", used)
+		t.Fatalf("servers used after 1 and 2 recovered: %v, want both among them", used)
 	}
 }
 
-// A sidecar with little traffic cannot know from its own requests which servers other sidecars fill.
+// A sidecar with little traffic cannot know from its own requests which servers have queues of other
+// sidecars' requests. Without health checks, it would send its request into such a queue.
 func TestHealthCheckedQueueIsAvoided(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), testServers(3)...)
 	h.balancer.servers[0].round.runningWeight = 1000 // the server is next in turn
--- a/balance/load_report_test.go
+++ b/balance/load_report_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Overloaded servers stay slow until they have been idle for a while. A reported wait beyond the objective must eject
-// a server.
+// Overloaded servers stay slow until they have been idle for a while. A server whose load report implies a
+// wait beyond the latency objective must therefore be ejected.
 func TestReportedQueueEjectsAServer(t *testing.T) {
 	cfg := baseConfig()
 	cfg.LoadReports, cfg.LoadReportFields = LoadReportPiggyback, []LoadReportField{FieldErrorRate, FieldLatency,
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -43,8 +43,8 @@
 	return failedConnects, unserved
 }
 
-// Each sidecar visits a server once in two seconds. One by one, it would take many seconds to find all servers of a
-// zone unreachable.
+// Each sidecar visits a server once in two seconds. If it ejected the servers of a lost zone one by one,
+// requests would fail at unreachable servers for many seconds.
 func TestLostZoneIsEjectedTogether(t *testing.T) {
 	failedConnects, unserved := simulateLostZone(t, true)
 	connectsOneZone, unservedOneZone := simulateLostZone(t, false)
@@ -108,7 +108,8 @@
 	}
 }
 
-// A server that is cut off keeps its connections open: attempts sent before would wait until their deadline.
+// A server that is cut off keeps its connections open. Attempts in flight at the server must be cancelled
+// and retried elsewhere: otherwise they would wait until their deadline.
 func TestAttemptsAtUnreachableServerAreRetriedElsewhere(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(4)...)
 	serverOf := map[RequestID]ServerID{}
@@ -220,8 +221,9 @@
 	}
 }
 
-// While load is shed caches become cold, and the slow answers must not keep the shedding going. Without a decay, 80
-// sidecars shed nine tenths of the load for ten seconds, with two requests in flight at a server.
+// While load is shed caches become cold, and the resulting slow answers must not prolong the shedding.
+// Without a decay, 80 sidecars shed nine tenths of the load for ten seconds, although each server had only
+// two requests in flight.
 func TestSheddingEndsWhenLatencyRecovers(t *testing.T) {
 	cfg := baseConfig()
 	cfg.KeyAffinity = true
@@ -284,8 +286,8 @@
 	return list
 }
 
-// In a congested fleet all answers are late, through no fault of a server. Once the class is known to be slow, an
-// attempt of 430 ms with an objective of 300 ms is no error.
+// In a congested fleet all answers are late, through no fault of a server. Once the mean latency of the
+// class is known to be high, an attempt of 430 ms with an objective of 300 ms is no error.
 func TestLateAnswerInCongestedFleetIsNoError(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(4)...)
 	times := []float64{370, 430, 400}
@@ -369,7 +371,7 @@
 	t.Fatal("the server was not tried after its ejection")
 }
 
-// If all servers are ejected, the cause is hardly theirs, and all are used.
+// If all servers are ejected, the cause is probably outside of the servers, and all servers are used.
 func TestAllEjectedServersAreUsed(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(3)...)
 	for _, s := range h.balancer.servers {
--- a/balance/placement_test.go
+++ b/balance/placement_test.go
@@ -77,16 +77,16 @@
 	exclusion.ExpiresAt = h.now + 1000
 	h.handle(Placement{Exclusions: []Exclusion{exclusion}})
 	if got := h.serveCounting(50, 0); got[1] > 0 {
-		t.Errorf("sent %v before its expiry", got)
+		t.Errorf("sent %v before the exclusion expired", got)
 	}
 	h.now = exclusion.ExpiresAt
 	if got := h.serveCounting(50, 0); got[1] < 20 {
-		t.Errorf("sent %v after its expiry", got)
+		t.Errorf("sent %v after the exclusion expired", got)
 	}
 }
 
-// Exclusions are applied in order, as long as enough servers remain. SuspendedExclusions reports each of the others
-// once.
+// Exclusions are applied in order, as long as enough servers remain. SuspendedExclusions reports each
+// exclusion that was not applied, once.
 func TestExclusionsLeaveEnoughServers(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(4)...)
 	h.handle(Placement{Exclusions: []Exclusion{testExclusion(3, 0.5, 1), testExclusion(5, 0.7, 2),
@@ -255,7 +255,7 @@
 	}
 	h.now += 500
 	if got := h.serveAmongOtherKeys(50, testHotKey); got[outside[0]] > 0 {
-		t.Errorf("sent %v after its expiry", got)
+		t.Errorf("sent %v after the hot key expired", got)
 	}
 }
 
--- a/balance/races_test.go
+++ b/balance/races_test.go
@@ -161,8 +161,9 @@
 	}
 }
 
-// A draining server must not receive what was waiting for it: neither a retry that is due after the update nor a
-// request that waits for the server's health check. If no other server is left, the request is rejected in time.
+// A server that starts to drain must not receive attempts that were due before: neither a retry that is due
+// after the endpoint update nor a request that waits for the server's health check. If no other server is
+// left, the request is rejected in time.
 func TestDrainBeforeSend(t *testing.T) {
 	t.Run("retry", func(t *testing.T) {
 		h := newHarness(t, baseConfig(), testServers(2)...)
--- a/balance/reference_pick_test.go
+++ b/balance/reference_pick_test.go
@@ -8,9 +8,10 @@
 	"testing"
 )
 
-// referencePick is pick without the indices of rotation.go and key_order.go: it visits all servers, hashes the key
-// against each and sorts them. Like pick, it credits only the selected server in a pick by key of a sidecar that
-// narrows to its own order.
+// referencePick is pick without the indices of rotation.go and key_order.go: it visits all servers,
+// computes each server's position in the key's order and sorts the servers by position. In a pick by key at
+// a sidecar that uses only the first of a key's servers in its own order, it adds weight only to the
+// running weight of the selected server, as pick does.
 func (b *Balancer) referencePick(r *request, retry bool) *server {
 	for _, s := range b.servers {
 		in := s.State == Ready && !b.referenceEjected(s)
--- a/balance/retry_rules_test.go
+++ b/balance/retry_rules_test.go
@@ -85,7 +85,7 @@
 		h := newHarness(t, baseConfig(), servers...)
 		id, actions := h.request(nonIdempotentClass)
 		if hasAction(actions, Send) || !hasAction(actions, SetTimer) {
-			t.Fatalf("%s: %+v", name, actions)
+			t.Fatalf("%s server list: got %+v, want a timer and no send", name, actions)
 		}
 		rejected := false
 		for h.now < 1000+baseConfig().Classes[nonIdempotentClass].Deadline {
@@ -128,7 +128,8 @@
 	}
 }
 
-// A timer that fires early by a rounding error must be set again, or the request would get no answer at its deadline.
+// If a timer fires early by a rounding error, the balancer must set it again: otherwise the request would
+// get no answer at its deadline.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(4)...)
 	id, _ := h.request(nonIdempotentClass)
@@ -173,8 +174,8 @@
 	}
 }
 
-// A retry shortly before the end of the idempotency window is not sent: it may have to connect first, and would then
-// reach the server after the end of the window.
+// A retry shortly before the end of the idempotency window is not sent: the retry may have to connect
+// first, and would then reach the server when the server no longer knows the idempotency key.
 func TestRetryLeavesTimeToConnect(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 100
@@ -225,9 +226,9 @@
 	}
 }
 
-// If all servers are full, the number of retries must stay a fraction of the number of first attempts. A request for
-// which the budget allows no retry is rejected at once. Without a budget, each request would use all of its allowed
-// attempts.
+// If all servers reject attempts because they are overloaded, the number of retries must stay a fraction of
+// the number of first attempts. A request for which the budget allows no retry is rejected at once. Without
+// a budget, each request would use all of its allowed attempts.
 func TestRetriesAreBoundedByTheBudget(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(10)...)
 	first, retries := 0, 0
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -17,7 +17,7 @@
 	inFlight              int // attempts of this sidecar at these servers
 	groups                []*weightGroup
 	changed               []*server   // servers to refresh before the next pick
-	refreshQueue          refreshHeap // servers that change by themselves with time
+	refreshQueue          refreshHeap // servers whose contribution changes with time
 	refreshesSinceRebuild int
 	reporters             []*server // servers with a load report that was recently fresh
 }
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -168,7 +168,8 @@
 	}
 }
 
-// A sidecar uses as many servers as it can visit often, and other servers if some of its own fail.
+// A sidecar uses as many servers as it can visit often. If some of these servers are ejected, it uses other
+// servers instead.
 func TestRotationGrowsWithTrafficAndWithFailures(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(60)...)
 	count := func(gap float64, n int) int {
--- a/balance/slow_start_budget_test.go
+++ b/balance/slow_start_budget_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// The slow start budget must follow answers, not requests, which include the retries of clients.
+// The slow start budget must be computed from answers. Requests include the retries of clients, and a
+// budget by requests would overload a server in slow start.
 func TestSlowStartBudgetHoldsForAllSidecars(t *testing.T) {
 	const sidecars, perSecond, seconds = 4, 150, 6
 	cfg := baseConfig()
@@ -69,8 +70,8 @@
 	}
 }
 
-// The answers that are assumed for small sidecars must not count in the slow start budget: all sidecars together
-// would overload the server. A sidecar without answers may send almost nothing to it.
+// The answer rate of a sidecar includes assumed answers. They must not raise the slow start budget: all
+// sidecars together would overload the server. A sidecar without answers may send almost nothing to it.
 func TestAssumedAnswersGiveNoSlowStartBudget(t *testing.T) {
 	h := newHarness(t, baseConfig(), testServers(4)...)
 	entry := h.balancer.servers[0].Server
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -167,7 +167,8 @@
 	}
 }
 
-// Scenarios in which many servers are in slow start, or sidecars have accumulated budget; see checkSlowStartBudget.
+// slowStartScenarios are cases in which many servers are in slow start, or sidecars have accumulated
+// tokens; see checkSlowStartBudget.
 var slowStartScenarios = map[string]func(f *slowStartFleet){
 	"six in ten": func(f *slowStartFleet) { f.restartServers(len(f.servers) * 6 / 10) },
 	"all":        func(f *slowStartFleet) { f.restartServers(len(f.servers)) },
@@ -187,10 +188,10 @@
 	"burst after quiet": burstAfterLowTraffic,
 }
 
-// Regardless of the number of sidecars, their traffic and their knowledge: in every window of OverloadDuration, all
-// sidecars together must send a server in slow start no more than the settings allow, with slack for chance. The hard
-// cases are those in which most servers are in slow start, as each then has a larger share, and those in which all
-// sidecars have accumulated budget.
+// Regardless of the number of sidecars, their traffic and their knowledge: in every window of
+// OverloadDuration, all sidecars together must send a server in slow start no more than the settings allow,
+// with slack for chance. The hard cases are those in which most servers are in slow start, as each then has
+// a larger share, and those in which all sidecars have accumulated tokens.
 func TestSlowStartBudgetHoldsInRareScenarios(t *testing.T) {
 	for _, size := range [][2]int{{20, 12}, {30, 20}} {
 		for name, scenario := range slowStartScenarios {
@@ -207,9 +208,9 @@
 	}
 }
 
-// The same scenarios without key affinity, in large fleets as well. Without key affinity, a sidecar's rotation grows
-// with its traffic, and a sidecar of a large fleet visits each server so rarely that it has budget for the server most
-// of the time.
+// The scenarios of slowStartScenarios without key affinity, in large fleets as well. Without key affinity,
+// a sidecar's rotation grows with its traffic, and a sidecar of a large fleet visits each server so rarely
+// that it has budget for the server most of the time.
 //
 // Before the budget was corrected, 23 cases failed, the worst with 2.64 times the allowed attempts. A server's budget
 // is its share of a sidecar's answers. Four faults made that share too large. The pool shrank with the servers in
@@ -220,10 +221,10 @@
 // now send 19,417 attempts, in the worst window 0.51 times the allowed number. In periods of 3 s they serve 0.37, 0.58,
 // 0.77 and 0.86 of the requests; before, they served 0.42, 0.62, 0.82 and 0.96.
 //
-// The bound that holds with key affinity failed here: it compares weights over time, and the learned capacities of
-// all servers rise and fall together. At the site clinic-results the weight sums of restarted sidecars fell to a
-// tenth within ten seconds; 91 servers that were warm by then received 570 attempts a second for five seconds, while
-// the other 91 were congested.
+// The bound that holds with key affinity failed without key affinity: it compares weights over time, and
+// the learned capacities of all servers rise and fall together. At the site clinic-results the weight sums
+// of restarted sidecars fell to a tenth within ten seconds; 91 servers that were warm by then received 570
+// attempts a second for five seconds, while the other 91 were congested.
 func TestSlowStartBudgetHoldsWithoutKeyAffinity(t *testing.T) {
 	for _, size := range [][2]int{{20, 12}, {30, 20}, {300, 60}} {
 		for name, scenario := range slowStartScenarios {
@@ -232,8 +233,9 @@
 	}
 }
 
-// The same scenarios in other sizes and with other seeds, with the slack of the fault soak: if a server may receive
-// only a handful of attempts in a window, the worst of hundreds of servers deviates more from the mean.
+// The scenarios of slowStartScenarios in other sizes and with other seeds, with the slack of the fault
+// soak: if a server may receive only a handful of attempts in a window, the worst of hundreds of servers
+// deviates more from the mean.
 func TestSlowStartBudgetHoldsOnOtherDraws(t *testing.T) {
 	for _, size := range [][2]int{{4, 8}, {12, 8}, {60, 40}, {120, 200}} {
 		for name, scenario := range slowStartScenarios {
