--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -71,8 +71,8 @@
 	l.workers.Go(func() { l.post(attemptCompleted{started, l.pool.sendAttempt(started)}) })
 }
 
-// attemptDeadline returns the deadline of the call or, if it is earlier, the time at which the balancer wants the attempt
-// dropped.
+// attemptDeadline returns the deadline of the call or, if it is earlier, the deadline that the balancer has set for the
+// attempt.
 func (l *eventLoop) attemptDeadline(call *call, action *balance.Action) time.Time {
 	if action.Deadline > 0 {
 		if dropAt := l.clock.timeAt(action.Deadline); dropAt.Before(call.deadline) {
@@ -82,10 +82,10 @@
 	return call.deadline
 }
 
-// idempotencyWindowEnd returns the time after which servers may have forgotten the idempotency key of a call, less
+// idempotencyWindowEnd returns the time after which servers may have forgotten the idempotency key of a call, minus
 // schedulingAllowance. The window starts with the decision for the earliest attempt that may have been executed. Zero means
-// no bound. The balancer leaves time to connect, but a write may block or move to a second connection, and the process may
-// be suspended before the write: hence the allowance.
+// that the window does not bound the attempt. The balancer allows for the time to connect. schedulingAllowance covers what
+// the balancer cannot know: a write may block or move to a second connection, and the process may be suspended before it.
 func (l *eventLoop) idempotencyWindowEnd(call *call) (end time.Time) {
 	class := &l.config.settings.Classes[call.request.Class]
 	if class.Idempotency != balance.IdempotentWithKey {
@@ -97,7 +97,7 @@
 			continue
 		}
 		endMS := attempt.decidedAtMS + class.IdempotencyWindow
-		if !(endMS < deadlineMS) { // no bound: endMS may be too large for a time.Duration
+		if !(endMS < deadlineMS) { // the deadline is the earlier bound, and endMS may be too large for a time.Duration
 			continue
 		}
 		if windowEnd := l.clock.timeAt(endMS).Add(-schedulingAllowance); end.IsZero() || windowEnd.Before(end) {
@@ -108,7 +108,8 @@
 }
 
 // upstreamFor returns the ready upstream of a server. The balancer chooses only servers of the list that it has received,
-// so an unknown server is rare. For one, upstreamFor returns a retired placeholder, so that the attempt ends as obsolete.
+// so an unknown server is rare. For an unknown server, upstreamFor returns a retired placeholder, so that the attempt ends
+// as obsolete.
 func (l *eventLoop) upstreamFor(serverID balance.ServerID) *upstreamHost {
 	if upstream := l.readyUpstreams[serverID]; upstream != nil {
 		return upstream
--- a/internal/sidecar/active_placement.go
+++ b/internal/sidecar/active_placement.go
@@ -11,8 +11,9 @@
 	"milldeck/internal/placement"
 )
 
-// clockJumpToleranceMS limits by how much the end of an unchanged directive may become earlier before the balancer is notified
-// again. A smaller difference comes from rounding on two clocks; a larger one means that the wall clock was set forward.
+// clockJumpToleranceMS is by how much the end of an otherwise unchanged directive must become earlier for the event loop to
+// notify the balancer again. A smaller difference comes from rounding the readings of two clocks; a larger difference means
+// that the wall clock was set forward.
 const clockJumpToleranceMS = 50
 
 // placementState is the part of the event loop's state that concerns the placement.
@@ -41,7 +42,7 @@
 type activeDirective struct {
 	placement.Directive
 	endsAtMS float64 // by the event loop's clock
-	// Of an exclusion that applies to requests of this sidecar: its tenant, or balance.AllTenants, and the excluded servers.
+	// The tenant, or balance.AllTenants, and the excluded servers of an exclusion that applies to requests of this sidecar.
 	// For all other directives excluded is nil.
 	tenant   int
 	excluded map[balance.ServerID]bool
@@ -79,7 +80,8 @@
 	l.workers.Go(func() { next.runReporter(ctx) })
 }
 
-// applyPlacementUpdate notifies the balancer of changed directives, and builds a load report if the update asks for one.
+// applyPlacementUpdate notifies the balancer of changed directives. If the update has a reportDue channel, it also builds a
+// load report and sends it there.
 func (l *eventLoop) applyPlacementUpdate(nowMS float64, update placementUpdate) {
 	active := l.placement.active
 	if active == nil || update.generation != active.generation {
@@ -104,7 +106,7 @@
 	})
 }
 
-// sameVersion reports whether a received directive is this one, at the same revision and with the same expiry.
+// sameVersion reports whether a received directive has the same ID, revision and expiry as this directive.
 func (d *activeDirective) sameVersion(directive *placement.Directive) bool {
 	return d.ID == directive.ID && d.Revision == directive.Revision && d.ExpiresAtMS == directive.ExpiresAtMS
 }
--- a/internal/sidecar/boot_times.go
+++ b/internal/sidecar/boot_times.go
@@ -11,13 +11,13 @@
 	minClockStepMS = 100
 	// maxBootSkewMS is how far the boot time of a server that has just started may be ahead of this machine's wall clock.
 	maxBootSkewMS = 1000
-	// maxWallOffsets bounds the offsets that are kept; the oldest is dropped.
+	// maxWallOffsets is the maximum number of recorded offsets of the wall clock. Above it the oldest offset is dropped.
 	maxWallOffsets = 16
 )
 
 // bootTimes converts the boot times of servers, which are readings of the wall clock, to the clock of the event loop, which
 // is never stepped. A server may have started before or after a step of the wall clock, so its boot time may correspond to
-// several readings of the event loop's clock. The latest one is used, so that no server in slow start is treated as warm.
+// several readings of the event loop's clock. The latest reading is used, so that no server in slow start is treated as warm.
 type bootTimes struct {
 	// wallOffsetsMS holds the offset of the wall clock from the event loop's clock at the start, which is 0, and after each
 	// step, oldest first.
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -21,7 +21,7 @@
 	response chan response // buffered, so that the event loop sends its response without blocking
 
 	answered  atomic.Bool // set by the goroutine that provides the response; see markAnswered
-	responded atomic.Bool // the frontend writes the response, or has abandoned it
+	responded atomic.Bool // the frontend starts to write a response, the event loop's or its own
 	// writeMu is held from the final check before the first byte of an attempt until its last byte is written. The
 	// frontend acquires it before it responds, so that nothing is written to a server after the response.
 	writeMu sync.Mutex
@@ -82,7 +82,7 @@
 	neverExecuted bool // the outcome proves that the server did not execute the request
 }
 
-// writeDeadline returns the time by which the last byte must be written.
+// writeDeadline returns the time by which the last byte of the request must be written to the server.
 func (a *attempt) writeDeadline() time.Time {
 	if !a.idempotencyWindowEnd.IsZero() && a.idempotencyWindowEnd.Before(a.deadline) {
 		return a.idempotencyWindowEnd
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -14,14 +14,16 @@
 	"milldeck/internal/sockets"
 )
 
-// capacityPollInterval is the interval at which Accept looks for a connection to evict, and drain for connections to close.
+// capacityPollInterval is the interval at which Accept looks for a connection to evict, and at which drain looks for
+// connections to close.
 const capacityPollInterval = 5 * time.Millisecond
 
 // readBufferBytes is the maximum number of bytes that one read takes from a client socket.
 const readBufferBytes = 4 << 10
 
-// clientListener accepts client connections and holds the table of open ones. A plain listener with a limit stops accepting
-// when it is full, so that silent clients lock out all others. This listener evicts the longest idle connection instead.
+// clientListener accepts client connections and holds the table of open connections. A listener that only stops accepting
+// at a limit lets clients that send nothing lock out all other clients. At the limit, clientListener evicts the longest
+// idle connection.
 type clientListener struct {
 	*net.TCPListener
 	maxConns      int
@@ -80,9 +82,9 @@
 	return conn, nil
 }
 
-// acceptTCP accepts a connection. It retries after every temporary error: net/http stops the server on some of these
-// errors, and after the others it waits for up to a second while clients wait. net.ErrClosed means that stopAccepting or
-// Close has ended accepting.
+// acceptTCP accepts a connection. It retries after every temporary error. If it returned them, net/http would stop the
+// server on some of these errors, and would pause accepting for up to a second after the rest. net.ErrClosed means that
+// stopAccepting or Close has ended accepting.
 func (l *clientListener) acceptTCP() (*net.TCPConn, error) {
 	var pause sockets.Backoff
 	for failed := false; ; {
@@ -177,8 +179,9 @@
 	return admitted
 }
 
-// evictOne removes a connection without a request from the table and returns it, or nil if there is none. The caller holds
-// the lock, and closes the connection only after releasing it: closing waits for a reader, which may wait for the lock.
+// evictOne removes a connection without a request from the table and returns it, or nil if no connection can be evicted.
+// The caller holds the lock, and closes the connection only after releasing the lock: closing waits for a reader, which may
+// wait for the lock.
 func (l *clientListener) evictOne() *clientConn {
 	now := time.Now()
 	for {
@@ -214,8 +217,8 @@
 	return candidate, firstRequestExpected
 }
 
-// awaitsDelivery reports whether the client has not acknowledged all of the last response, and has had less than the linger
-// timeout to read it. For a closing connection the deadline of its Close is the limit.
+// awaitsDelivery reports whether the client's machine has not acknowledged all of the last response, and the client has had
+// less than the linger timeout to read it. For a closing connection the deadline in Close replaces the linger timeout.
 func (l *clientListener) awaitsDelivery(conn *clientConn, now time.Time) bool {
 	switch conn.phase {
 	case phaseClosing:
@@ -231,8 +234,8 @@
 
 // evictExcessPersistent removes the longest idle connection from the table and returns it, if more than maxPersistent
 // connections have carried a request. Otherwise it returns nil. The caller holds the lock, and closes the connection only
-// after releasing it. The limit protects the application, which may use a third of the descriptors for its requests: idle
-// connections that it keeps open use up that third long before the sidecar reaches its own limit.
+// after releasing it. maxPersistent protects the application, which may use a third of the descriptors for its requests:
+// idle connections that the application keeps open use up that third long before the table of the sidecar is full.
 func (l *clientListener) evictExcessPersistent() *clientConn {
 	persistent := 0
 	var longestIdle *clientConn
@@ -260,7 +263,7 @@
 }
 
 // beginClose marks a connection as closing. It returns whether the connection lingers, so that the client gets the last
-// response, and the deadline for that.
+// response, and until when.
 func (l *clientListener) beginClose(conn *clientConn) (until time.Time, lingers bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -332,7 +335,8 @@
 	return false
 }
 
-// setPhase changes the phase of a connection, and evicts an idle connection if there are too many.
+// setPhase changes the phase of a connection. If more than maxPersistent connections have carried a request, it evicts an
+// idle connection.
 func (l *clientListener) setPhase(conn *clientConn, phase connPhase) {
 	l.mu.Lock()
 	conn.phase = phase
--- a/internal/sidecar/client_read.go
+++ b/internal/sidecar/client_read.go
@@ -121,9 +121,9 @@
 }
 
 // fillReadAhead reads the bytes behind the active request into the read-ahead buffer, until no more are available or the
-// client has disconnected. Without reading, the disconnect would go unnoticed. In the last phase of a drain it reads
-// nothing more, because the client sends an unread request again on another connection. The caller holds the lock of the
-// listener.
+// client has disconnected. Without reading, the disconnect would go unnoticed. In the last phase of a drain, fillReadAhead
+// reads nothing more, because the client sends an unread request again on another connection. The caller holds the lock of
+// the listener.
 func (c *clientConn) fillReadAhead(fd int) (n int, wouldBlock bool, err error) {
 	for c.readErr == nil {
 		if c.listener.readAheadEnded {
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -19,7 +19,8 @@
 
 const (
 	defaultSockets = 1024 // used if the configuration sets no limit
-	// minSockets leaves enough unreserved descriptors for clients to use a third of all.
+	// minSockets is the smallest valid limit of descriptors. It leaves enough unreserved descriptors for the connections of
+	// clients to use a third of all descriptors.
 	minSockets = 5 * reservedDescriptors
 )
 
@@ -37,7 +38,7 @@
 	Sockets     int     // limit of file descriptors of the process
 
 	settings balance.Config
-	// The numbers that the balancer uses instead of names, by name.
+	// Each map holds the number that the balancer uses in place of a name.
 	classNumbers  map[string]int
 	tenantNumbers map[string]int // empty if the settings name no tenants
 	zoneNumbers   map[string]int
--- a/internal/sidecar/conn_pool.go
+++ b/internal/sidecar/conn_pool.go
@@ -19,19 +19,20 @@
 const (
 	// idleTimeoutFraction is the part of the servers' configured idle timeout after which the pool closes an idle connection.
 	idleTimeoutFraction = 0.85
-	// reuseDelay is the minimum idle time before a connection is reused. Within it, surplus bytes that a server sends after
-	// its response arrive and are detected; otherwise they would be read as the response to the next request.
+	// reuseDelay is the minimum idle time before a connection is reused. During this time, surplus bytes that a server sends
+	// after its response arrive and are detected; otherwise they would be read as the response to the next request.
 	reuseDelay = 3 * time.Millisecond
 )
 
 // Some servers close idle connections much sooner than the settings say, and reset the connection if a request arrives at
-// that moment. After the reset the request counts as possibly executed, so the pool avoids writing to such connections: a
-// reset soon after the write lowers the idle time limit of the server, and successful reuses near the limit raise it slowly.
+// that moment. After the reset the request counts as possibly executed, so the pool avoids writing to connections that a
+// server may be closing: a reset soon after the write lowers the limit on the idle time of the server's connections, and
+// successful reuses near the limit raise it slowly.
 const (
-	staleResetWindow = 10 * time.Millisecond // after the last byte written; a later reset has other causes
+	staleResetWindow = 10 * time.Millisecond // from the last byte written to the reset; a later reset has other causes
 	minIdleTime      = 20 * time.Millisecond // lower bound of the limit
-	idleTimeDecrease = 0.7                   // factor of the idle time before a reset
-	idleTimeIncrease = 1.02                  // factor of the limit after a successful reuse
+	idleTimeDecrease = 0.7                   // after a reset: the limit as a fraction of the connection's idle time
+	idleTimeIncrease = 1.02                  // after a successful reuse: factor by which the limit grows
 )
 
 var errNoSocketAvailable = errors.New("no socket is available")
@@ -172,7 +173,8 @@
 }
 
 // learnIdleTimeLimit adjusts the idle time limit of a server by the result of an exchange on a reused connection. idleTime
-// is how long the connection was idle before, elapsed is the time from the last byte of the request to the result.
+// is how long the connection was idle before the exchange, elapsed is the time from the last byte of the request to the
+// result.
 func (p *connPool) learnIdleTimeLimit(upstream *upstreamHost, idleTime time.Duration, result balance.Result, elapsed time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/sidecar/discovery_client.go
+++ b/internal/sidecar/discovery_client.go
@@ -27,8 +27,8 @@
 	// agentTimeout applies where lists are pushed (maintainWatch): the agent on this machine responds immediately unless
 	// discovery is down.
 	agentTimeout = 1200 * time.Millisecond
-	// callTimeout applies where lists are polled (watch, fetchList): a call may wait in discovery's queue, which looks like a
-	// partition.
+	// callTimeout applies where lists are polled (watch, fetchList): a call may wait in discovery's queue, and the sidecar
+	// cannot distinguish that from a partition.
 	callTimeout = 2500 * time.Millisecond
 	// queuedCallTimeout applies from the third unanswered call in a row, as a call that is repeated goes to the end of the
 	// queue.
@@ -54,9 +54,9 @@
 
 func (e *unexpectedStatusError) Error() string { return "unexpected status " + e.status }
 
-// discoveryClient requests the endpoint list. Of the calls that the balancer requests, it reports each failed call, and each
-// watch that ends for a reason other than a timeout, exactly once; the balancer decides when to call again. maintainWatch
-// works without the balancer and reports no failures.
+// discoveryClient requests the endpoint list. For the calls that the balancer requests, it reports to the balancer each
+// failed call, and each watch that ends for a reason other than a timeout, exactly once; the balancer decides when to call
+// again. maintainWatch works without the balancer and reports no failures.
 type discoveryClient struct {
 	// Only the event loop uses these fields.
 	baseURL    string
--- a/internal/sidecar/load_report.go
+++ b/internal/sidecar/load_report.go
@@ -10,8 +10,8 @@
 const maxReportValue = 1e9
 
 // parseLoadReport parses a load report, "name=value,name=value", and returns the values in the order of names. It returns
-// nil if a value is missing, duplicated or invalid: the balancer keeps means of these values, and a NaN would never leave
-// them.
+// nil if a value is missing, duplicated or invalid: the balancer keeps running means of these values, and after a NaN a
+// mean would stay NaN.
 func parseLoadReport(text string, names []string) []float32 {
 	if text == "" || len(names) == 0 {
 		return nil
--- a/internal/sidecar/monitor.go
+++ b/internal/sidecar/monitor.go
@@ -21,8 +21,8 @@
 	rejectedMalformed                           // with a 4xx status
 	rejectedBodyMemory                          // too little memory for the body
 	rejectedInFlight                            // too many requests in flight
-	attemptFirst                                // decided
-	attemptRetry                                // decided, after an attempt that ended without an answer
+	attemptFirst                                // the balancer has decided on the first attempt of a call
+	attemptRetry                                // decided after an earlier attempt ended without answering the call
 	attemptNotSent                              // the request was not completely written
 	clientConnAccepted                          //
 	clientConnEvictedForNew                     // the table is full
@@ -31,10 +31,10 @@
 	clientConnClosed                            // by net/http: disconnect of the client, timeout, or last response
 	upstreamConnDialed                          //
 	upstreamConnDialFailed                      //
-	upstreamConnUnusable                        // the server has closed it, or has sent more than its response
+	upstreamConnUnusable                        // the server has closed the connection, or has sent more than its response
 	upstreamConnExpired                         // idle for too long
 	upstreamConnEvicted                         // to free a descriptor for another connection
-	upstreamConnWithdrawn                       // server draining, removed or restarted; balancer action; end of the sidecar
+	upstreamConnWithdrawn                       // server is draining, removed or restarted; action of the balancer; end of the sidecar
 	upstreamConnEnded                           // not reusable after its exchange
 	acceptFailed                                //
 	watchFailed                                 // of discovery
--- a/internal/sidecar/peer_transport.go
+++ b/internal/sidecar/peer_transport.go
@@ -12,8 +12,8 @@
 
 const (
 	maxDatagramBytes = 256 // limit in PROTOCOL; a longer datagram cannot come from a sidecar of this tier
-	// peerQueueSize is the length of the queues to the event loop and to the socket. Further datagrams are dropped: delayed
-	// gossip is worthless, and a flood must not delay requests.
+	// peerQueueSize is the length of the queues to the event loop and to the socket. While a queue is full, further datagrams
+	// are dropped: delayed gossip is worthless, and a flood must not delay requests.
 	peerQueueSize = 64
 )
 
--- a/internal/sidecar/placement_client.go
+++ b/internal/sidecar/placement_client.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// The agent sends an empty line every 2 s. Directives expire without a message, so a silent watch only delays changes.
+	// The agent sends an empty line every 2 s. Directives expire without a message of the agent, so a watch that sends
+	// nothing only delays changes.
 	placementHeartbeatTimeout   = 5 * time.Second
 	placementInitialBackoff     = 200 * time.Millisecond
 	placementMaxBackoff         = 2 * time.Second
--- a/internal/sidecar/read_ahead.go
+++ b/internal/sidecar/read_ahead.go
@@ -5,8 +5,8 @@
 )
 
 const (
-	// maxReadAheadBytes limits the bytes that are read ahead on a connection behind the active request: several requests of
-	// the largest size, or hundreds of the usual size. A client that sends more is disconnected.
+	// maxReadAheadBytes limits the bytes that are read ahead on a connection behind the active request. It is enough for
+	// several requests of the largest size, or hundreds of the usual size. A client that sends more is disconnected.
 	maxReadAheadBytes = 256 << 10
 	// arrivalResolution is the time within which later bytes join the segment of earlier ones and count as arrived with
 	// them. Otherwise a client that sends byte by byte would need a segment for each byte.
--- a/internal/sidecar/report_recorder.go
+++ b/internal/sidecar/report_recorder.go
@@ -17,7 +17,7 @@
 	// keys that may become hot next.
 	maxTrackedKeys         = 64
 	keyLoadHalfLifeSeconds = 0.7 // short enough to show a new hot key within a second
-	maxMeanWorkSamples     = 50  // window of the mean work of a class, in responses
+	maxMeanWorkSamples     = 50  // number of recent responses in the mean work of a class
 )
 
 // reportRecorder collects the counts for the next load report. Only the event loop uses it.
@@ -29,8 +29,8 @@
 	intervalStartMS float64 // when the current counts started
 }
 
-// meanWork is the mean latency of recent responses of a class in ms. Each latency counts at most as the latency objective,
-// as the time beyond it was spent in a queue.
+// meanWork is the mean latency of recent responses of a class in ms, as an estimate of their work. A latency above the
+// latency objective counts as the objective, as the request spent the time above the objective in a queue.
 type meanWork struct{ samples, meanMS float64 }
 
 // countKey identifies a count of outcomes.
--- a/internal/sidecar/request_parsing.go
+++ b/internal/sidecar/request_parsing.go
@@ -24,8 +24,8 @@
 	bodyTimeout = 1200 * time.Millisecond
 )
 
-// malformedError describes why a request is malformed. Its status is never 429 or 503, because these invite the client to
-// retry.
+// malformedError describes why a request is malformed. Its status is never 429 or 503, because these statuses tell the
+// client that a retry is safe.
 type malformedError struct {
 	status  int
 	message string
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -20,7 +20,7 @@
 	// runtime, with a margin for connections that are being closed.
 	reservedDescriptors    = 24
 	clientSocketFraction   = 0.5  // of the descriptors that are not reserved; connections to servers use the rest
-	persistentConnFraction = 0.25 // of all descriptors; the application may use a third, and some of that third must stay free
+	persistentConnFraction = 0.25 // of all descriptors; keeps free a part of the third that the application may use
 
 	memoryLimitFraction = 0.7   // of the memory limit; the Go runtime does not account for all memory of the process
 	gcPercent           = 300   // the sidecar makes little garbage compared with the memory limit, and has one core
@@ -31,7 +31,7 @@
 	defaultMemoryMB         = 256 // used if the configuration sets no memory limit
 	bytesPerMB              = 1 << 20
 
-	// After SIGTERM new connections arrive for up to 0.4 s, and the application goes on using its open connections.
+	// After SIGTERM new connections arrive for up to 0.4 s, and the application continues to use its open connections.
 	// SIGKILL follows SIGTERM after at least the longest deadline of all classes, counted up to maxDrainDeadline, plus
 	// killGracePeriod.
 	drainAcceptWindow   = 500 * time.Millisecond
--- a/internal/sidecar/upstream_exchange.go
+++ b/internal/sidecar/upstream_exchange.go
@@ -18,7 +18,7 @@
 	healthCheckTimeout = 250 * time.Millisecond
 
 	healthCheckPath   = "/health/live"
-	healthReportsPath = "/stats" // a health check whose response has a load report
+	healthReportsPath = "/stats" // the health check path if the servers send load reports
 )
 
 // expiredDeadline makes all I/O on a connection fail immediately.
@@ -60,7 +60,7 @@
 	return result
 }
 
-// checkHealth sends a health check. The server returns its load report in a header or in the body.
+// checkHealth sends a health check. If the servers send load reports, the report is in a header or in the body.
 func (p *connPool) checkHealth(ctx context.Context, upstream *upstreamHost) exchangeResult {
 	req := &http.Request{
 		Method: http.MethodGet,
