--- a/internal/sidecar/attempt_outcome_test.go
+++ b/internal/sidecar/attempt_outcome_test.go
@@ -65,14 +65,15 @@
 	reusable bool // the connection may stay open, as the response is complete
 }
 
-// For each outcome of an attempt and each kind of idempotency: the sidecar retries only if the rules allow it, and only
-// after the connection of the previous attempt is closed. It never forwards an incomplete response.
+// For each outcome of an attempt and each kind of idempotency, the sidecar retries only if the kind allows a retry after
+// that outcome, and only after the connection of the previous attempt is closed: otherwise a server could execute the
+// request twice. The sidecar never forwards an incomplete response.
 func TestRetryAfterFailedAttempt(t *testing.T) {
 	// The server may have executed the request: a non-idempotent request is not retried.
 	maybeExecuted := func(serve serveFunc) outcomeCase {
 		return outcomeCase{time.Second, serve, [3]int{200, 200, statusFailed}, [3]int64{2, 2, 1}, false}
 	}
-	// The attempt has no outcome before the deadline, and only one attempt is in flight at a time: there is no retry.
+	// The attempt has no outcome before the deadline. Only one attempt may be in flight at a time, so there is no retry.
 	silent := func(serve serveFunc) outcomeCase {
 		return outcomeCase{200 * time.Millisecond, serve, [3]int{statusRejected, statusTimedOut, statusTimedOut}, [3]int64{1, 1, 1}, false}
 	}
@@ -150,8 +151,9 @@
 	waitUntil(t, "all body memory to be released", func() bool { return sidecar.loop.pool.bodyMemory.remaining.Load() == memory })
 }
 
-// A server's response completes at the same moment as its call ends for another reason. Whichever event is handled first,
-// the client gets one response, the attempt has one outcome, and no body memory stays reserved.
+// A server's response completes at the same moment as its call ends for another reason, such as a timeout. Whichever event
+// the event loop handles first, the client gets one response, the attempt has one outcome, and no body memory stays
+// reserved.
 func TestResponseRacingTermination(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	for name, terminate := range map[string]func(loop *steppedLoop, call *call, event attemptCompleted){
@@ -217,8 +219,8 @@
 	return n, err
 }
 
-// An attempt is cancelled or times out while its response is read. A response that is complete by then counts, an incomplete
-// one does not. The connection is closed in both cases.
+// An attempt is cancelled or times out while its response is read. If the response is complete at that moment, it is the
+// outcome of the attempt; an incomplete response is dropped. The connection is closed in both cases.
 func TestCancelWhileReading(t *testing.T) {
 	complete := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 	for name, test := range map[string]struct {
@@ -255,8 +257,8 @@
 	}
 }
 
-// A server sends a second response on a connection, before or after the connection returns to the pool. The sidecar never
-// takes it for the response to the next request.
+// A server sends a second response on a connection, before or after the connection returns to the pool. The sidecar must not
+// read the second response as the response to the next request.
 func TestSecondResponseIsNotReused(t *testing.T) {
 	const responseFormat = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d"
 	for _, atOnce := range []bool{true, false} {
@@ -296,8 +298,8 @@
 	}
 }
 
-// A server sends a second response only while the next request is written. Due to the reuse delay, the next request uses
-// another connection.
+// A server sends a second response so late that it arrives while the next request is written. Due to the reuse delay, the
+// next request uses another connection; otherwise it would get the second response.
 func TestSecondResponseDuringNextRequest(t *testing.T) {
 	const responseFormat = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d"
 	var first net.Conn
@@ -325,15 +327,15 @@
 	}
 }
 
-// The connection is reset after the latency objective of a completely written request. The server may have executed the
-// request, so its idempotency decides whether it is retried.
+// A server resets the connection of a completely written request after the latency objective has passed. The server may have
+// executed the request, so the idempotency of the request decides whether it is retried.
 func TestResetAfterLatencyObjective(t *testing.T) {
 	for class, test := range map[string]struct {
 		status  int
 		retried bool
 	}{
 		"lookup":  {statusRejected, false}, // a retry past its latency objective is not worthwhile
-		"reserve": {200, true},             // within its idempotency window, and in the same cell
+		"reserve": {200, true},             // within the idempotency window, and at a server of the same cell
 		"charge":  {statusFailed, false},
 	} {
 		t.Run(class, func(t *testing.T) {
--- a/internal/sidecar/attempt_start_test.go
+++ b/internal/sidecar/attempt_start_test.go
@@ -225,8 +225,8 @@
 	}
 }
 
-// If this machine has no socket left, that does not count as a failure of the server: the request is rejected unsent, and
-// the server gets requests again when sockets are available.
+// A lack of sockets on this machine does not count as a failure of the server. The request is rejected unsent, and the
+// server gets requests again when sockets are available.
 func TestSocketExhaustionIsNotBlamedOnServer(t *testing.T) {
 	for name, exhaust := range map[string]func(pool *connPool, full bool){
 		"own limit": func(pool *connPool, full bool) {
--- a/internal/sidecar/client_conn_test.go
+++ b/internal/sidecar/client_conn_test.go
@@ -15,8 +15,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A client that has disconnected, or has only closed its sending side, gets no response: no server has sent one, and the
-// empty response with status 200 that net/http sends by default is suppressed.
+// A client that has disconnected, or has only closed its sending side, gets no response. Guards against the empty response
+// with status 200 that net/http sends by default, although no server has responded.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	server := newBlockingBackend(t, serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -29,8 +29,8 @@
 	}
 }
 
-// A request is answered if the shutdown of idle connections happens after net/http has read the request and before it calls
-// the handler.
+// A drain shuts down the idle connections after net/http has read a request and before net/http calls the handler. The
+// request must still be answered.
 func TestRequestReadDuringCloseIsAnswered(t *testing.T) {
 	front := newTestFrontend(t, 10, 10, func(event loopEvent) {
 		if arrived, ok := event.(requestArrived); ok && arrived.call.markAnswered() {
@@ -57,7 +57,8 @@
 	}
 }
 
-// Nothing is read from an idle connection that was shut down, even if a request has arrived before its reader runs.
+// After an idle connection was shut down, nothing is read from it, even if a request arrives before the goroutine that reads
+// the connection runs: a request that was read there could stay unanswered.
 func TestNoReadAfterShutdownOfIdle(t *testing.T) {
 	listener := newTestFrontend(t, 10, 10, nil).listener
 	client, conn := listener.dialAndAccept(t)
@@ -70,7 +71,8 @@
 	}
 }
 
-// A request that arrives just before the idle timeout is read, even if the timeout has passed when the reader runs.
+// A request that arrives just before the idle timeout is read, even if the timeout has passed when the goroutine that reads
+// the connection runs.
 func TestRequestAtIdleTimeoutIsRead(t *testing.T) {
 	listener := newTestFrontend(t, 10, 10, nil).listener
 	client, conn := listener.dialAndAccept(t)
@@ -89,8 +91,8 @@
 	}
 }
 
-// The disconnect of a client is noticed even if the client has pipelined bytes before it: its request ends at once, not at
-// its deadline. A client that pipelines more than maxReadAheadBytes gets status 400.
+// The sidecar notices the disconnect of a client even if the client has pipelined bytes before the disconnect: the active
+// request ends at once, not at its deadline. A client that pipelines more than maxReadAheadBytes gets status 400.
 func TestPipeliningClientDisconnects(t *testing.T) {
 	server := newBlockingBackend(t, serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -122,7 +124,7 @@
 	}
 }
 
-// Pipelined requests are served one after the other.
+// Pipelined requests are served one after the other, and each gets a response.
 func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
 	server := newBlockingBackend(t, serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -183,7 +185,7 @@
 func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	for name, beforeFirstAttempt := range map[string]bool{"waiting for its first attempt": true, "between two attempts": false} {
 		t.Run(name, func(t *testing.T) {
-			var attempts atomic.Int64 // for the client that disconnects, the only one with GET
+			var attempts atomic.Int64 // for the client that disconnects: only this client sends GET
 			arrivals, release := make(chan struct{}, 10), make(chan struct{})
 			serve := func(conn net.Conn, r *http.Request, body string) bool {
 				if r.Method != http.MethodGet {
@@ -228,7 +230,8 @@
 	}
 }
 
-// Small writes are sent at once, even if the peer delays its acknowledgements.
+// The kernel sends small writes at once, even if the peer delays its acknowledgements. With Nagle's algorithm, the second
+// write would wait for the acknowledgement of the first.
 func TestNagleIsDisabled(t *testing.T) {
 	_, conn := newTestFrontend(t, 10, 10, nil).listener.dialAndAccept(t)
 	noDelay := 0
@@ -246,8 +249,8 @@
 	}
 }
 
-// A request is not forwarded if its client has sent further bytes and disconnected: the end of the connection is found even
-// though the bytes before it are unread.
+// A request is not forwarded if its client has sent further bytes and disconnected: the sidecar detects the end of the
+// connection even though the further bytes are unread.
 func TestDisconnectBehindUnreadBytes(t *testing.T) {
 	arrived := make(chan struct{}, 10)
 	front := newTestFrontend(t, 10, 10, func(event loopEvent) {
@@ -277,8 +280,8 @@
 	}
 }
 
-// If an attempt ends while its client disconnects, no further attempt follows, even if the disconnect has not been noticed
-// yet: after the process was suspended, goroutines run in any order.
+// If an attempt ends while its client disconnects, no further attempt follows, even if the event loop handles the outcome
+// before the disconnect is noticed: after the process was suspended, goroutines run in any order.
 func TestNoRetryAfterUnnoticedDisconnect(t *testing.T) {
 	serve := respondWith("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true)
 	for name, behind := range map[string]string{"at once": "", "behind further bytes": "GET /api HTTP/1.1\r\nHost: b\r\n\r\n"} {
--- a/internal/sidecar/client_listener_test.go
+++ b/internal/sidecar/client_listener_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Many clients that send nothing, or a part of a request, do not prevent other clients from connecting, and are
-// disconnected.
+// Many clients that send nothing, or only a part of a request, are disconnected. They do not prevent other clients from
+// connecting.
 func TestSilentClientsAreEvicted(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
@@ -61,8 +61,8 @@
 	}
 }
 
-// If clients use each connection once and keep it open, the application runs out of sockets. So the longest idle connections
-// are closed long before their timeout. Connections in use stay open.
+// If clients use each connection once and keep it open, the application runs out of sockets. So the sidecar closes the
+// longest idle connections long before their idle timeout. Connections in use stay open.
 func TestConnectionsUsedOnceAreEvicted(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
@@ -99,7 +99,8 @@
 	requestOn(busy)
 }
 
-// If there are many client connections, the idle ones are closed, so that new clients can always connect.
+// More clients connect than the sidecar has descriptors, and each leaves its connection open after a request. The sidecar
+// closes idle connections, so that new clients can always connect.
 func TestManyClientConnectionsAreNotRetained(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
@@ -127,8 +128,9 @@
 	}
 }
 
-// A connection is not evicted if a complete request was read from it, or a partial one whose grace period is not over. An
-// idle connection, or one with an overdue partial request, is evicted. Nothing is read from an evicted connection.
+// A connection is not evicted if a complete request was read from it, or a partial request whose grace period is not over:
+// the request would get no response. An idle connection, or a connection with an overdue partial request, is evicted.
+// Nothing is read from an evicted connection.
 func TestReadAndEvictionAreMutuallyExclusive(t *testing.T) {
 	const partial = "GET /api HTT"
 	for name, test := range map[string]evictionCase{
@@ -147,7 +149,8 @@
 	}
 }
 
-// evictionCase is the state of a connection when the listener looks for one to evict, and whether it must be evicted.
+// evictionCase is the state of a connection when the listener looks for a connection to evict, and whether the listener must
+// evict this connection.
 type evictionCase struct {
 	phase   connPhase
 	read    string // the bytes that were read
@@ -218,8 +221,8 @@
 	return read
 }
 
-// A connection with an oversized header is evictable after its response is written, although net/http keeps it open for some
-// time.
+// A connection with an oversized header is evictable after its response is written, although net/http keeps the connection
+// open for some time.
 func TestOversizedHeaderConnectionIsEvictable(t *testing.T) {
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address()), func(sidecar *Sidecar) { sidecar.frontend.listener.lingerTimeout = 0 })
 	conn := sidecar.dial()
--- a/internal/sidecar/clock_step_test.go
+++ b/internal/sidecar/clock_step_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// The duration of slow start does not depend on the wall clock: a server that restarts shortly before or after a step of the
-// wall clock is in slow start from its restart on, whatever boot time is listed.
+// A server that restarts shortly before or after a step of the wall clock is in slow start from its restart on, whatever
+// boot time is listed before the restart, and whether the new boot time is a reading from before or after the step. Guards
+// against treating the server as warm.
 func TestSlowStartSurvivesClockSteps(t *testing.T) {
 	const toleranceMS = 1500
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
--- a/internal/sidecar/conn_pool_test.go
+++ b/internal/sidecar/conn_pool_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// The sidecar detects that a server has closed an idle connection before it writes a request to the connection.
+// Before the sidecar writes a request to an idle connection, it detects that the server has closed the connection, and uses
+// another connection.
 func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -61,8 +62,8 @@
 	}
 }
 
-// Surplus bytes after a response are never read as the response to the next request, even if they arrive a moment later. The
-// pool detects them after the reuse delay.
+// Surplus bytes that a server sends after its response are never read as the response to the next request, even if they
+// arrive a moment after the response. The pool detects them after the reuse delay.
 func TestBytesAfterResponseAreNotReused(t *testing.T) {
 	trailing := make(chan error, 1)
 	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, _ string) bool {
@@ -109,7 +110,7 @@
 	}
 }
 
-// The memory for the bodies of all requests is bounded, and completed requests release theirs.
+// The memory for the bodies of all requests is bounded. Completed requests release the memory of their bodies.
 func TestBodyMemoryIsBounded(t *testing.T) {
 	release := make(chan struct{})
 	large, half := strings.Repeat("x", 40<<10), strings.Repeat("y", 20<<10)
--- a/internal/sidecar/discovery_client.go
+++ b/internal/sidecar/discovery_client.go
@@ -33,7 +33,7 @@
 	// queuedCallTimeout applies from the third unanswered call in a row, as a call that is repeated goes to the end of the
 	// queue.
 	queuedCallTimeout = 5 * time.Second
-	// minQueuedTime is the time after which a rejected call counts as one that has waited in a queue.
+	// minQueuedTime is the time after which a rejected call counts as a call that has waited in discovery's queue.
 	minQueuedTime = time.Second
 	dialTimeout   = time.Second
 
--- a/internal/sidecar/discovery_failure_test.go
+++ b/internal/sidecar/discovery_failure_test.go
@@ -18,8 +18,8 @@
 	"milldeck/balance"
 )
 
-// callScript defines how discovery treats one call. If dial is set, it replaces the dialer and no connection is established;
-// otherwise handle serves the connection.
+// callScript defines how discovery treats one call. If dial is set, it replaces the dialer and no connection is established.
+// If dial is not set, handle serves the connection.
 type callScript struct {
 	name   string
 	dial   func(ctx context.Context) error
@@ -165,9 +165,9 @@
 	}
 }
 
-// Only a call that is rejected after minQueuedTime is reported as queued at discovery. The third unanswered call in a row has
-// a longer timeout, as a call that is repeated goes to the end of the queue. A heartbeat resets the number of unanswered
-// calls.
+// Only a call that is rejected after minQueuedTime is reported as queued at discovery. From the third unanswered call in a
+// row, calls have a longer timeout, as a call that is repeated goes to the end of the queue. A heartbeat resets the number
+// of unanswered calls.
 func TestQueuedCallsAreReported(t *testing.T) {
 	rejectCall, queueTime := failureScripts[2].handle, 4*time.Second
 	after := func(wait time.Duration, handle func(net.Conn)) func(net.Conn) {
@@ -217,8 +217,8 @@
 	}
 }
 
-// A list arrives before the first client connection is accepted. It is in force for the first request, which avoids a
-// draining server, whether the revision of the configured list is older or newer.
+// An endpoint list arrives before the first client connection is accepted. The first request must follow the list and avoid
+// the draining server, whether the revision of the configured list is older or newer than the revision of the list.
 func TestListBeforeFirstRequest(t *testing.T) {
 	for _, known := range []int64{1, 5, 900} {
 		for _, complete := range []bool{true, false} {
@@ -249,8 +249,8 @@
 	}
 }
 
-// The event loop handles a list and the first request in one batch, in either order. The request is answered even if no
-// server was known before. If the list is first, no request is sent to a draining server.
+// The event loop handles an endpoint list and the first request in one batch, in either order. The request is answered even
+// if no server was known before the batch. If the list is first, the request is not sent to a draining server.
 func TestListInSameBatchAsFirstRequest(t *testing.T) {
 	for _, first := range []string{"list", "request"} {
 		for _, known := range []bool{false, true} {
@@ -287,9 +287,9 @@
 	}
 }
 
-// Reloads switch to another discovery address and back, with and without a call to the other service, and then name the same
-// address again. The first service is watched from the start again, late updates of the other service are ignored, and the
-// last reload leaves the watch open.
+// Reloads switch to another discovery service and back, with and without a call to the other service, and then name the same
+// address again. The new watch of the first service names no revision, updates of the other service that arrive late are
+// ignored, and the last reload leaves the watch open.
 func TestAddressChangedThereAndBack(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		for _, called := range []bool{true, false} {
--- a/internal/sidecar/discovery_silence_test.go
+++ b/internal/sidecar/discovery_silence_test.go
@@ -33,7 +33,7 @@
 	workers sync.WaitGroup
 }
 
-// dial makes the next call of the script; the last one repeats.
+// dial makes the next call of the script. After the end of the script, it repeats the last call.
 func (d *scriptedDiscovery) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	step := d.script[min(len(d.calls), len(d.script)-1)]
 	d.calls = append(d.calls, time.Now())
@@ -61,7 +61,8 @@
 	}
 }
 
-// silenceScripts serve a watch that stops sending lists and heartbeats at different points, and call silenceBegins then.
+// silenceScripts serve a watch that stops sending lists and heartbeats, each script at a different point, and call
+// silenceBegins at that point.
 var silenceScripts = map[string]func(conn net.Conn, silenceBegins func()){
 	"before the first byte": func(conn net.Conn, silenceBegins func()) { silenceBegins() },
 	"in the header":         func(conn net.Conn, silenceBegins func()) { silenceBegins(); tryWrite(conn, streamHeader[:20]) },
@@ -167,7 +168,7 @@
 
 // After an address change the new service does not answer at first. PROTOCOL counts its list as known 4 s after the change.
 func TestAddressChangeToSilentService(t *testing.T) {
-	for _, name := range []string{"before the first byte", "in the header", "after the header"} { // others send a list first
+	for _, name := range []string{"before the first byte", "in the header", "after the header"} { // the other scripts send a list before the silence
 		elapsed := measureRecovery(t, silenceScripts[name], 2, func(client *discoveryClient, ctx context.Context) {
 			client.switchAddress("127.0.0.1:2")
 			client.maintainWatch(ctx)
@@ -206,7 +207,7 @@
 			t.Errorf("%+v", update)
 		}
 	}
-	call.sendLine(t, indented(12, false)+indented(13, false)) // two on one line
+	call.sendLine(t, indented(12, false)+indented(13, false)) // two lists on one line
 	for revision := int64(12); revision < 14; revision++ {
 		if update := receiveWithin(t, "the change", updates); update.endpoints.Revision != revision {
 			t.Errorf("%+v", update)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -124,8 +124,9 @@
 	}
 }
 
-// A call of watch has no effect while a watch is open. After an address change the previous service is ignored, the end of
-// its watch is not reported as a failure, and the first request to the new service does not name the previous revision.
+// A call of watch has no effect while a watch is open. After an address change, updates of the previous service are ignored,
+// the end of the watch there is not reported as a failure, and the first request to the new service does not name the
+// revision of the previous service.
 func TestWatchAfterAddressChange(t *testing.T) {
 	previous, registry := newFakeRegistry(t), newFakeRegistry(t)
 	client, updates := newRecordingClient(t, previous.address())
@@ -232,8 +233,8 @@
 	}
 }
 
-// The sidecar uses the endpoint list of its configuration until discovery answers. Its first call watches the changes after
-// that list.
+// The sidecar uses the endpoint list of its configuration until discovery answers. The first call of the sidecar to
+// discovery watches the changes after that list.
 func TestConfiguredListServesImmediately(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	registry := newFakeRegistry(t)
@@ -246,7 +247,7 @@
 	}
 }
 
-// Where lists are pushed, the balancer requests none: the sidecar keeps a watch open by itself.
+// Where lists are pushed, the balancer requests no lists: the sidecar keeps a watch open by itself.
 func TestPushedListsAreWatched(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	registry := newFakeRegistry(t)
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -17,9 +17,9 @@
 	"time"
 )
 
-// A request, or a part of one, that arrives while its idle connection is being shut down is not read and causes no reset: the
-// client gets the end of the connection and is served on a new connection. Connections that wait to be accepted are served
-// too, one by one if the table has capacity for only one, and each response ends its connection.
+// A request, or a part of a request, that arrives while its idle connection is being shut down is not read and causes no
+// reset: the client gets the end of the connection and is served on a new connection. Connections that wait to be accepted
+// are served too, one by one if the table has capacity for only one connection, and each response ends its connection.
 func TestDrainClosesIdleAndServesQueued(t *testing.T) {
 	calls := make(chan *call, 10)
 	front := newTestFrontend(t, 1, 1, func(event loopEvent) {
@@ -110,8 +110,8 @@
 	return &delayedConn{conn.(*clientConn), l.read, l.release}, nil
 }
 
-// A request that is read before the drain closes its connection is answered, even if net/http still counts the connection as
-// idle. An idle connection is closed.
+// A drain starts after a request is read and while net/http still counts its connection as idle. The request must be
+// answered before the drain closes the connection. A connection without a request is closed.
 func TestRequestReadDuringDrainIsAnswered(t *testing.T) {
 	front := newTestFrontend(t, 10, 10, func(event loopEvent) {
 		if arrived, ok := event.(requestArrived); ok && arrived.call.markAnswered() {
@@ -168,8 +168,8 @@
 	return runtime.FuncForPC(reflect.ValueOf(function).Pointer()).Name() + "("
 }
 
-// If a timeout, a disconnect or the end of the process coincides with the response of the event loop, the client gets that
-// response and no other.
+// If a timeout, a disconnect or the end of the process coincides with the response of the event loop, the client gets the
+// response of the event loop and no second one.
 func TestTerminationRacingResponse(t *testing.T) {
 	for name, terminate := range map[string]func(front *frontend, conn net.Conn){
 		"timeout":            func(*frontend, net.Conn) {},
@@ -294,7 +294,8 @@
 	sidecar.done <- nil
 }
 
-// Many faulty clients that disconnect in every way do not prevent other clients from being served, and leave no state behind.
+// Many faulty clients that disconnect in different ways, such as with a reset or in the middle of a request, do not prevent
+// other clients from being served, and leave no state behind.
 func TestFloodOfDisconnectingClients(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	document := newConfigDocument(newFakeRegistry(t).address(), server.endpoint)
@@ -367,7 +368,7 @@
 	if elapsed := time.Since(startedAt); elapsed >= idleTimeout { // the first idle connection times out then
 		t.Errorf("a client with a request is served only after %v", elapsed)
 	}
-	receiveWithin(t, "the watch", registry.calls).failWith <- http.StatusInternalServerError // an outage: the sidecar retries
+	receiveWithin(t, "the watch", registry.calls).failWith <- http.StatusInternalServerError // simulates an outage of discovery, so that the sidecar retries
 	receiveWithin(t, "the retried watch", registry.calls)
 	document["discovery"] = secondRegistry.address()
 	config, err := document.load(t)
--- a/internal/sidecar/endpoint_updates_test.go
+++ b/internal/sidecar/endpoint_updates_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// The slow start of a server whose clock is ahead begins when the server is first listed, not in the future, and it begins
-// only once.
+// A server whose clock is ahead lists a boot time in the future. Its slow start begins when the server is first listed, and
+// does not begin again when the server is listed again.
 func TestFutureStartTimeIsCapped(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	registry := newFakeRegistry(t)
--- a/internal/sidecar/final_response_test.go
+++ b/internal/sidecar/final_response_test.go
@@ -59,7 +59,8 @@
 	})
 }
 
-// The last response arrives completely even if its client reads late and has sent more bytes, which the sidecar never reads.
+// A client reads its last response late and has sent more bytes, which the sidecar never reads. The response must arrive
+// completely: closing a connection that holds unread bytes would reset the connection.
 func TestFinalResponseSurvivesUnreadBytes(t *testing.T) {
 	body := strings.Repeat("x", maxBodyBytes)
 	server := newBackend(t, "a", respondWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
--- a/internal/sidecar/frontend_test.go
+++ b/internal/sidecar/frontend_test.go
@@ -25,8 +25,7 @@
 	}
 }
 
-// A client that sends a part of a request is disconnected in time, and so is a client that sends one request and nothing
-// more.
+// A client that sends nothing, a part of a request, or one request and nothing more, is disconnected within 3 s.
 func TestSlowClientsAreDisconnected(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -66,7 +65,7 @@
 	}
 }
 
-// Requests above the limit of requests in flight are rejected at once. Requests within the limit are served.
+// Requests above the limit on requests in flight are rejected at once. Requests within the limit are served.
 func TestOverloadIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	server := newBackend(t, "a", func(conn net.Conn, r *http.Request, body string) bool {
@@ -121,7 +120,7 @@
 	})
 }
 
-// If the balancer never answers, which is a bug, the client still gets a failure in time.
+// If the balancer never answers a request, which is a bug, the client still gets a failure soon after its deadline.
 func TestBalancerThatNeverAnswers(t *testing.T) {
 	config, err := newConfigDocument("127.0.0.1:1").load(t)
 	if err != nil {
--- a/internal/sidecar/idempotency_window_test.go
+++ b/internal/sidecar/idempotency_window_test.go
@@ -61,8 +61,9 @@
 	return err == nil && int64(len(body)) == r.ContentLength
 }
 
-// The idempotency window ends while a server does not read a retry. The last byte must not arrive after the server may have
-// forgotten the key. So the retry counts as never executed, and the request is answered before its deadline.
+// The idempotency window ends while a server does not read a retry. The last byte of the retry must not arrive after the
+// server may have forgotten the key: the server would execute the request a second time. So the sidecar abandons the retry,
+// the retry counts as never executed, and the request is answered before its deadline.
 func TestRetryEndsWithIdempotencyWindow(t *testing.T) {
 	const window = 600 * time.Millisecond
 	first, firstConns := newUnreadListener(t)
@@ -101,8 +102,8 @@
 	}
 }
 
-// The idempotency window starts at the first attempt that may have been executed. Only classes with idempotency keys have
-// one.
+// The idempotency window starts at the first attempt that may have been executed. Only classes with idempotency keys have an
+// idempotency window.
 func TestIdempotencyWindowStartsAtFirstPossibleExecution(t *testing.T) {
 	config, err := newConfigDocument("127.0.0.1:1").load(t)
 	if err != nil {
@@ -110,7 +111,7 @@
 	}
 	loop := newEventLoop(config, nil, nil)
 	at := func(ms float64) time.Time { return loop.clock.timeAt(loop.clock.startUnixMS + ms) }
-	// The end of the window, less the time for which the process may be suspended.
+	// The end of the window, minus the time for which the process may be suspended before a write.
 	endOf := func(ms float64) time.Time { return at(ms).Add(-schedulingAllowance) }
 	attempts := func(neverExecuted ...bool) (list []*attempt) { // 100 ms apart
 		for i, unexecuted := range neverExecuted {
--- a/internal/sidecar/pipelining_test.go
+++ b/internal/sidecar/pipelining_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Pipelined requests are treated like others: the timeout of each starts at its arrival, and each request that was read is
-// answered, however many there are and whatever ends the connection.
+// Pipelined requests are treated like requests on connections of their own: the timeout of each request starts at its
+// arrival, and each request that was read is answered, however many are pipelined and whatever ends the connection.
 func TestPipelinedRequestsAreServedLikeOthers(t *testing.T) {
 	t.Run("timeouts start at arrival", func(t *testing.T) {
 		const wait = 400 * time.Millisecond
--- a/internal/sidecar/placement_rig_test.go
+++ b/internal/sidecar/placement_rig_test.go
@@ -37,8 +37,8 @@
 	return agent
 }
 
-// nextReport returns a report that was started after the call of nextReport. It appends this report and all earlier ones to
-// reports.
+// nextReport returns a report that was started after the call of nextReport. It appends this report and all earlier reports
+// to reports.
 func (agent *fakeAgent) nextReport(t *testing.T, reports *[]placement.LoadReport) placement.LoadReport {
 	t.Helper()
 	for len(agent.reports) > 0 {
--- a/internal/sidecar/placement_test.go
+++ b/internal/sidecar/placement_test.go
@@ -35,8 +35,9 @@
 	}
 }
 
-// A directive expires by the wall clock or by the monotonic clock, whichever is earlier: a wrong clock ends it early, never
-// late. This also holds for a wall clock that is set while the directive is in force.
+// A directive expires by the wall clock or by the monotonic clock, whichever is earlier: a wrong clock ends the directive
+// early, never late. This also holds if the wall clock is set while the directive is in force: after the clock is set back,
+// the directive is not in force again.
 func TestEitherClockExpiresDirective(t *testing.T) {
 	for name, change := range map[string]func(*placement.Directive){
 		"short remaining time":       func(directive *placement.Directive) { directive.RemainingMS = 200 },
@@ -217,7 +218,7 @@
 	}
 }
 
-// Requests for a hot key are sent to its replica.
+// Requests with a hot key are sent to the server that has the key's replica.
 func TestHotKeyReachesBalancer(t *testing.T) {
 	rig := startPlacementRig(t, func(document configDocument) {
 		document.replaceSetting(`"quantum_ms": 2,`, `"quantum_ms": 2, "family_info": {"warm_keys": true},`)
--- a/internal/sidecar/read_ahead_test.go
+++ b/internal/sidecar/read_ahead_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// The buffer returns bytes in order, with their arrival times, and releases their memory.
+// The buffer returns bytes in order, with their arrival times, and releases the memory of bytes that were removed.
 func TestReadAheadBuffer(t *testing.T) {
 	memory := &byteBudget{}
 	memory.release(2 * maxReadAheadBytes)
--- a/internal/sidecar/request_ids_test.go
+++ b/internal/sidecar/request_ids_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Request IDs are discarded some time after their responses, so that they do not exhaust the memory.
+// Request IDs are discarded after the retention time that follows their responses, so that IDs do not exhaust the memory.
 func TestRequestIDsExpire(t *testing.T) {
 	ids := newRecentRequestIDs()
 	claim := func(id string, want bool) uint64 {
--- a/internal/sidecar/request_parsing_test.go
+++ b/internal/sidecar/request_parsing_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// A malformed request gets a status that does not invite a retry, its connection is closed, and no server gets the request.
+// A malformed request gets a status that does not tell the client to retry, its connection is closed, and no server gets the
+// request.
 func TestMalformedRequests(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
@@ -84,8 +85,8 @@
 	return conn
 }
 
-// A request whose length can be interpreted in two ways may hide another request in its body. Neither is forwarded: the
-// client gets one response, which never invites a retry, and the connection is closed.
+// A request whose length can be interpreted in two ways may hide another request in its body. The sidecar forwards neither
+// request: the client gets one response, whose status never tells the client to retry, and the connection is closed.
 func TestRequestSmugglingIsRejected(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	sidecar := startSidecar(t, newConfigDocument(newFakeRegistry(t).address(), server.endpoint))
--- a/internal/sidecar/response_length_test.go
+++ b/internal/sidecar/response_length_test.go
@@ -53,7 +53,8 @@
 }
 
 // A retry that relies on the servers' idempotency window is sent only if the rest of the window exceeds the time for which
-// the process may be suspended between its last reading of the clock and the write.
+// the process may be suspended between its last reading of the clock and the write. Otherwise the retry could reach a server
+// that has forgotten the key.
 func TestRetryLeavesTimeToBeHeldUp(t *testing.T) {
 	const allowance = 150 * time.Millisecond
 	server := newBackend(t, "a", serveOK)
--- a/internal/sidecar/send_guard_test.go
+++ b/internal/sidecar/send_guard_test.go
@@ -8,7 +8,7 @@
 	"milldeck/balance"
 )
 
-// The guard rejects a decision that violates an invariant, and records the violation, whatever the balancer has decided.
+// The guard rejects each decision of the balancer that violates an invariant, and records the violation.
 func TestGuardRejectsInvariantViolations(t *testing.T) {
 	for name, test := range map[string]struct {
 		idempotency balance.Idempotency
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// testTimeout limits every wait of the tests. No wait is expected to last that long.
+// testTimeout limits every wait of the tests. No wait of a passing test lasts that long.
 const testTimeout = 10 * time.Second
 
 const testSettings = `{
--- a/internal/sidecar/stepped_loop_test.go
+++ b/internal/sidecar/stepped_loop_test.go
@@ -90,7 +90,7 @@
 	loop.handleEvent(loop.nowMS(), clientDisconnected{call})
 }
 
-// takeResponse receives the response of a call as the frontend does. It fails if there is none.
+// takeResponse receives the response of a call as the frontend does. It fails the test if there is no response.
 func (loop *steppedLoop) takeResponse(call *call) response {
 	loop.t.Helper()
 	select {
--- a/internal/sidecar/upstream_exchange_test.go
+++ b/internal/sidecar/upstream_exchange_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// If a server does not respond, the client gets one response at its deadline, which is not a rejection, and the connection
-// to the server is closed.
+// If a server does not respond, the client gets one response at its deadline, and the connection to the server is closed.
+// The response is not a rejection, as the server may have executed the request.
 func TestSilentServer(t *testing.T) {
 	closed := make(chan struct{})
 	server := newBackend(t, "a", func(conn net.Conn, _ *http.Request, _ string) bool {
@@ -95,7 +95,7 @@
 	}
 }
 
-// The connect timeout of the settings and the deadline of the request both bound the time for a dial.
+// The connect timeout of the settings and the deadline of the request each bound the time for a dial.
 func TestConnectTimeout(t *testing.T) {
 	address := newUnansweringListener(t)
 	t.Run("settings", func(t *testing.T) {
@@ -173,8 +173,8 @@
 	return pool, started, conn, req
 }
 
-// Between the decision for an attempt and its first byte, the server is retired, the call is answered or the time is over.
-// The request is then not sent, and the result does not count against the server.
+// Between the decision for an attempt and its first byte, the server is retired, the call is answered, or the deadline or
+// the idempotency window ends. The request is then not sent, and the result does not count against the server.
 func TestFinalCheckBeforeFirstByte(t *testing.T) {
 	for name, change := range map[string]func(*connPool, *attempt){
 		"server retired":          func(pool *connPool, attempt *attempt) { pool.retire(attempt.upstream) },
--- a/internal/sidecar/upstream_response_test.go
+++ b/internal/sidecar/upstream_response_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Only a complete 503 or 504 with X-Not-Processed proves that a server did not execute a request: a non-idempotent request
-// is then rejected. After any other error response, or an incomplete response, it fails.
+// Only a complete 503 or 504 with X-Not-Processed proves that a server did not execute a request: the sidecar then rejects
+// a non-idempotent request. After any other error response, or an incomplete response, the request fails.
 func TestOutcomesOfNonIdempotentRequest(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer string
--- a/internal/sidecar/withdrawal_test.go
+++ b/internal/sidecar/withdrawal_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Two zones that the settings do not name are distinct: servers in one do not know an idempotency key that was sent to the
-// other.
+// Two zones that the settings do not name are distinct: a server in one zone does not know an idempotency key that was sent
+// to a server in the other zone, so a request with the key is not retried there.
 func TestUnknownZonesAreDistinct(t *testing.T) {
 	document := newConfigDocument("127.0.0.1:1").replaceSetting(`"group": "cell"`, `"group": "zone"`)
 	for _, zones := range [][2]string{{"x", "y"}, {"", "x"}, {"z", "x"}} {
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -18,7 +18,7 @@
 var permanentAcceptErrors = []syscall.Errno{syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK, syscall.ENOSYS}
 
 // temporaryLocalErrors mean that this machine temporarily cannot open a socket, a connection or a file. No peer causes
-// them.
+// these errors.
 var temporaryLocalErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN,
 	syscall.EAGAIN, syscall.EINTR, syscall.EPERM,
@@ -77,8 +77,8 @@
 	return listener, err
 }
 
-// RetryAccept returns a listener whose Accept retries after temporary errors. Without it, net/http ends its server after
-// some of them.
+// RetryAccept returns a listener whose Accept retries after temporary errors. Without the retries, net/http stops its server
+// after some temporary errors.
 func RetryAccept(listener net.Listener) net.Listener {
 	return &retryingListener{Listener: listener, closed: make(chan struct{})}
 }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -64,7 +64,7 @@
 	conn.Close()
 }
 
-// Accept returns a permanent error.
+// Accept returns a permanent error and does not retry.
 func TestRetryAcceptReturnsPermanentErrors(t *testing.T) {
 	other := errors.New("something else")
 	for _, permanent := range []error{
