--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -84,8 +84,8 @@
 
 // idempotencyWindowEnd returns the time after which servers may have forgotten the idempotency key of a call, minus
 // schedulingAllowance. The window starts with the decision for the earliest attempt that may have been executed. Zero means
-// that the window does not bound the attempt. The balancer allows for the time to connect. schedulingAllowance covers what
-// the balancer cannot know: a write may block or move to a second connection, and the process may be suspended before it.
+// that the window does not bound the attempt. The balancer leaves time to connect. schedulingAllowance is subtracted because
+// a write may also block or move to a second connection, and the process may be suspended before the write.
 func (l *eventLoop) idempotencyWindowEnd(call *call) (end time.Time) {
 	class := &l.config.settings.Classes[call.request.Class]
 	if class.Idempotency != balance.IdempotentWithKey {
--- a/internal/sidecar/attempt_outcome_test.go
+++ b/internal/sidecar/attempt_outcome_test.go
@@ -66,8 +66,8 @@
 }
 
 // For each outcome of an attempt and each kind of idempotency, the sidecar retries only if the kind allows a retry after
-// that outcome, and only after the connection of the previous attempt is closed: otherwise a server could execute the
-// request twice. The sidecar never forwards an incomplete response.
+// that outcome, and only after the connection of the previous attempt is closed: otherwise the request could
+// be executed twice. The sidecar never forwards an incomplete response.
 func TestRetryAfterFailedAttempt(t *testing.T) {
 	// The server may have executed the request: a non-idempotent request is not retried.
 	maybeExecuted := func(serve serveFunc) outcomeCase {
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -37,7 +37,7 @@
 // goroutine has marked the call before.
 func (c *call) markAnswered() bool { return c.answered.CompareAndSwap(false, true) }
 
-// clientDisconnectedSince returns when the sidecar noticed that the client had disconnected.
+// clientDisconnectedSince returns the time at which the sidecar noticed that the client had disconnected.
 func (c *call) clientDisconnectedSince() (since time.Time, disconnected bool) {
 	if c.client == nil {
 		return since, false
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -88,7 +88,7 @@
 	c.disconnectedAt = time.Now()
 }
 
-// disconnectedSince returns when the sidecar noticed that the client had closed its side.
+// disconnectedSince returns the time at which the sidecar noticed that the client had closed its side.
 func (c *clientConn) disconnectedSince() (since time.Time, disconnected bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -211,7 +211,8 @@
 	c.bodyRemaining = size
 }
 
-// lastArrival returns when the last byte that was read arrived. After a request is read completely, that is its last byte.
+// lastArrival returns the arrival time of the last byte that was read. After a request is read completely, this byte is the
+// last byte of the request.
 func (c *clientConn) lastArrival() time.Time {
 	if c == nil {
 		return time.Now()
--- a/internal/sidecar/client_listener.go
+++ b/internal/sidecar/client_listener.go
@@ -263,7 +263,7 @@
 }
 
 // beginClose marks a connection as closing. It returns whether the connection lingers, so that the client gets the last
-// response, and until when.
+// response, and the time at which lingering ends.
 func (l *clientListener) beginClose(conn *clientConn) (until time.Time, lingers bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sidecar/client_read.go
+++ b/internal/sidecar/client_read.go
@@ -147,9 +147,9 @@
 	return 0, false, c.readErr
 }
 
-// arrivalTime returns when the bytes that were just read from a socket arrived at this machine. They may have waited in the
-// kernel, if the process was suspended or could not accept the connection. If the kernel does not report the waiting time,
-// arrivalTime returns the present time.
+// arrivalTime returns the time at which the bytes that were just read from a socket arrived at this machine. The bytes may
+// have waited in the kernel, if the process was suspended or could not accept the connection. If the kernel does not report
+// the waiting time, arrivalTime returns the present time.
 func arrivalTime(fd int) time.Time {
 	now := time.Now()
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
--- a/internal/sidecar/conn_pool.go
+++ b/internal/sidecar/conn_pool.go
@@ -64,7 +64,7 @@
 	readDeadline time.Time // of the current exchange
 
 	idleSince time.Time
-	idleTime  time.Duration // before the current exchange
+	idleTime  time.Duration // time without a request before the current exchange
 }
 
 // byteBudget limits how many bytes are reserved at a time, for example for all bodies in memory.
--- a/internal/sidecar/discovery_client.go
+++ b/internal/sidecar/discovery_client.go
@@ -22,7 +22,7 @@
 	// watchHeartbeatTimeout ends a watch that sends no data. Discovery sends an empty line every 2 s; the timeout is a quarter
 	// longer. It applies although the connection is open, as a partitioned machine does not close its connections. A
 	// timeout that is too short costs one call to the agent on this machine; one that is too long leaves no time for a
-	// second and third call.
+	// second and third call within the 6 s.
 	watchHeartbeatTimeout = 2500 * time.Millisecond
 	// agentTimeout applies where lists are pushed (maintainWatch): the agent on this machine responds immediately unless
 	// discovery is down.
--- a/internal/sidecar/discovery_failure_test.go
+++ b/internal/sidecar/discovery_failure_test.go
@@ -73,8 +73,8 @@
 
 // runAgainstScript runs an event loop on a fake clock against a scripted discovery service, which answers the call after the
 // script with revision 9. In the scenario "start" the script begins with the first call; in "closed" and "address changed"
-// the loop first has a watch, which is closed or whose address changes. It returns when each call of the script was made
-// and when revision 9 was received.
+// the loop first has a watch, which is closed or whose address changes. It returns the time of each call of the script and
+// the time at which revision 9 was received.
 func runAgainstScript(t *testing.T, mode, scenario string, seed int, script []callScript) (calls []time.Time, receivedAt time.Time) {
 	t.Helper()
 	config := loadScriptedConfig(t, mode, seed)
--- a/internal/sidecar/discovery_silence_test.go
+++ b/internal/sidecar/discovery_silence_test.go
@@ -168,7 +168,7 @@
 
 // After an address change the new service does not answer at first. PROTOCOL counts its list as known 4 s after the change.
 func TestAddressChangeToSilentService(t *testing.T) {
-	for _, name := range []string{"before the first byte", "in the header", "after the header"} { // the other scripts send a list before the silence
+	for _, name := range []string{"before the first byte", "in the header", "after the header"} { // the rest send a list first
 		elapsed := measureRecovery(t, silenceScripts[name], 2, func(client *discoveryClient, ctx context.Context) {
 			client.switchAddress("127.0.0.1:2")
 			client.maintainWatch(ctx)
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -169,7 +169,7 @@
 }
 
 // If a timeout, a disconnect or the end of the process coincides with the response of the event loop, the client gets the
-// response of the event loop and no second one.
+// response of the event loop and no second response.
 func TestTerminationRacingResponse(t *testing.T) {
 	for name, terminate := range map[string]func(front *frontend, conn net.Conn){
 		"timeout":            func(*frontend, net.Conn) {},
@@ -368,7 +368,7 @@
 	if elapsed := time.Since(startedAt); elapsed >= idleTimeout { // the first idle connection times out then
 		t.Errorf("a client with a request is served only after %v", elapsed)
 	}
-	receiveWithin(t, "the watch", registry.calls).failWith <- http.StatusInternalServerError // simulates an outage of discovery, so that the sidecar retries
+	receiveWithin(t, "the watch", registry.calls).failWith <- http.StatusInternalServerError // discovery fails: the sidecar retries
 	receiveWithin(t, "the retried watch", registry.calls)
 	document["discovery"] = secondRegistry.address()
 	config, err := document.load(t)
--- a/internal/sidecar/endpoint_updates_test.go
+++ b/internal/sidecar/endpoint_updates_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// A server whose clock is ahead lists a boot time in the future. Its slow start begins when the server is first listed, and
-// does not begin again when the server is listed again.
+// Discovery lists a boot time in the future for a server whose clock is ahead. The slow start of the server begins when it is
+// first listed, not in the future, and does not begin again when it is listed again.
 func TestFutureStartTimeIsCapped(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	registry := newFakeRegistry(t)
--- a/internal/sidecar/fixtures_test.go
+++ b/internal/sidecar/fixtures_test.go
@@ -217,7 +217,7 @@
 	return responses
 }
 
-// answer answers a request as its query specifies. It does not answer other queries.
+// answer answers a request as its query specifies. A request with any other query gets no answer.
 func (responses *localResponses) answer(event loopEvent) {
 	arrived, ok := event.(requestArrived)
 	if !ok {
--- a/internal/sidecar/idempotency_window_test.go
+++ b/internal/sidecar/idempotency_window_test.go
@@ -62,7 +62,7 @@
 }
 
 // The idempotency window ends while a server does not read a retry. The last byte of the retry must not arrive after the
-// server may have forgotten the key: the server would execute the request a second time. So the sidecar abandons the retry,
+// server may have forgotten the key: the server could execute the request a second time. So the sidecar abandons the retry,
 // the retry counts as never executed, and the request is answered before its deadline.
 func TestRetryEndsWithIdempotencyWindow(t *testing.T) {
 	const window = 600 * time.Millisecond
--- a/internal/sidecar/monitor.go
+++ b/internal/sidecar/monitor.go
@@ -34,7 +34,7 @@
 	upstreamConnUnusable                        // the server has closed the connection, or has sent more than its response
 	upstreamConnExpired                         // idle for too long
 	upstreamConnEvicted                         // to free a descriptor for another connection
-	upstreamConnWithdrawn                       // server is draining, removed or restarted; action of the balancer; end of the sidecar
+	upstreamConnWithdrawn                       // server draining, removed or restarted; action of the balancer; end of the sidecar
 	upstreamConnEnded                           // not reusable after its exchange
 	acceptFailed                                //
 	watchFailed                                 // of discovery
--- a/internal/sidecar/placement_test.go
+++ b/internal/sidecar/placement_test.go
@@ -239,7 +239,7 @@
 }
 
 // A reload switches to the placement at another address. The directives of the old address stay in force until the new one
-// sends a placement. A reload without an address ends all directives at once, and no goroutine is left.
+// sends a placement. A reload without an address ends all directives at once, and no goroutine of a client is left.
 func TestReloadSwitchesPlacement(t *testing.T) {
 	rig := startPlacementRig(t, nil)
 	previous := receiveWithin(t, "the watch", rig.agent.calls)
--- a/internal/sidecar/sidecar_drain_test.go
+++ b/internal/sidecar/sidecar_drain_test.go
@@ -135,7 +135,8 @@
 	sidecar.done <- nil
 }
 
-// SIGKILL follows SIGTERM after at most 3.7 s, however long the deadline of a class is. The last response is due earlier.
+// SIGKILL follows SIGTERM after at most 3.7 s, however long the deadline of a class is. The sidecar must write the last
+// response before SIGKILL.
 func TestDrainEndsBeforeKill(t *testing.T) {
 	for _, test := range []struct {
 		deadlineMS string
--- a/internal/sidecar/timers.go
+++ b/internal/sidecar/timers.go
@@ -42,8 +42,8 @@
 	return q.due
 }
 
-// nextWakeupMS returns when the event loop must wake up for the earliest timer, at least intervalMS after the previous
-// wakeup for timers. ok is false if no timer is set.
+// nextWakeupMS returns the time at which the event loop must wake up for the earliest timer, at least intervalMS after the
+// previous wakeup for timers. ok is false if no timer is set.
 func (q *timerQueue) nextWakeupMS(intervalMS float64) (wakeupMS float64, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
