--- a/internal/sidecar/discovery_client.go
+++ b/internal/sidecar/discovery_client.go
@@ -22,18 +22,18 @@
 	// watchHeartbeatTimeout ends a watch that sends no data. Discovery sends an empty line every 2 s; the timeout is a quarter
 	// longer. It applies although the connection is open, as a partitioned machine does not close its connections. A
 	// timeout that is too short costs one call to the agent on this machine; one that is too long leaves no time for a
-	// second and third call.
+	// second and third call within the 6 s.
 	watchHeartbeatTimeout = 2500 * time.Millisecond
 	// agentTimeout applies where lists are pushed (maintainWatch): the agent on this machine responds immediately unless
 	// discovery is down.
 	agentTimeout = 1200 * time.Millisecond
-	// callTimeout applies where lists are polled (watch, fetchList): a call may wait in discovery's queue, which looks like a
-	// partition.
+	// callTimeout applies where lists are polled (watch, fetchList): a call may wait in discovery's queue, and the sidecar
+	// cannot distinguish that from a partition.
 	callTimeout = 2500 * time.Millisecond
 	// queuedCallTimeout applies from the third unanswered call in a row, as a call that is repeated goes to the end of the
 	// queue.
 	queuedCallTimeout = 5 * time.Second
-	// minQueuedTime is the time after which a rejected call counts as one that has waited in a queue.
+	// minQueuedTime is the time after which a rejected call counts as a call that has waited in discovery's queue.
 	minQueuedTime = time.Second
 	dialTimeout   = time.Second
 
@@ -54,9 +54,9 @@
 
 func (e *unexpectedStatusError) Error() string { return "unexpected status " + e.status }
 
-// discoveryClient requests the endpoint list. Of the calls that the balancer requests, it reports each failed call, and each
-// watch that ends for a reason other than a timeout, exactly once; the balancer decides when to call again. maintainWatch
-// works without the balancer and reports no failures.
+// discoveryClient requests the endpoint list. For the calls that the balancer requests, it reports to the balancer each
+// failed call, and each watch that ends for a reason other than a timeout, exactly once; the balancer decides when to call
+// again. maintainWatch works without the balancer and reports no failures.
 type discoveryClient struct {
 	// Only the event loop uses these fields.
 	baseURL    string
--- a/internal/sidecar/endpoint_updates_test.go
+++ b/internal/sidecar/endpoint_updates_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// The slow start of a server whose clock is ahead begins when the server is first listed, not in the future, and it begins
-// only once.
+// Discovery lists a boot time in the future for a server whose clock is ahead. The slow start of the server begins when it is
+// first listed, not in the future, and does not begin again when it is listed again.
 func TestFutureStartTimeIsCapped(t *testing.T) {
 	server := newBackend(t, "a", serveOK)
 	registry := newFakeRegistry(t)
