--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -38,7 +38,7 @@
 	Sockets     int     // limit of file descriptors of the process
 
 	settings balance.Config
-	// Each map holds the number that the balancer uses in place of a name.
+	// Each map holds the indexes that the balancer uses in place of names.
 	classIndexes  map[string]int
 	tenantIndexes map[string]int // empty if the settings name no tenants
 	zoneIndexes   map[string]int
