--- a/internal/disruption/apply.go
+++ b/internal/disruption/apply.go
@@ -1,7 +1,7 @@
 package disruption
 
-// Apply applies one operation. The revision is the operation's log index and only grows. The caller has checked the
-// owner's lease and fencing token. Apply checks everything else, with the same result on every replica.
+// Apply applies one operation. The revision is the operation's log index, which increases from call to call. The caller
+// has checked the owner's lease and fencing token. Apply checks everything else, with the same result on every replica.
 func (l *Ledger) Apply(revision uint64, op *Op) Result {
 	if op == nil {
 		return rejected("no operation")
@@ -203,7 +203,8 @@
 	return applied()
 }
 
-// endUnits marks units of a permit as ended and releases them. It closes the permit with the last of its units.
+// endUnits marks units of a permit as completed or cancelled, and detaches them from the permit. It closes the permit when
+// none of its units remains.
 func (l *Ledger) endUnits(permit *permitState, ids []string, stage Stage) {
 	if permit.pending != nil {
 		l.dequeue(permit)
--- a/internal/disruption/constraint.go
+++ b/internal/disruption/constraint.go
@@ -18,7 +18,7 @@
 	total          int // number of units
 	unavailable    int
 	milliCapacity  int64
-	milliWarmingUp int64          // part of milliCapacity that warms up, or will when its unit returns
+	milliWarmingUp int64          // part of milliCapacity whose units warm up, or will when they return
 	waiters        []*permitState // pending permits whose evaluation depends on the constraint, in the order of grants
 }
 
--- a/internal/disruption/demand.go
+++ b/internal/disruption/demand.go
@@ -8,7 +8,7 @@
 // pendingPermit is the state of a permit that waits for its grant. It is not saved: it follows from the rest of the
 // ledger, and is computed again after a restore.
 type pendingPermit struct {
-	stale              bool     // a unit, substitute or budget has changed: all fields but the last two are out of date
+	stale              bool     // a unit, substitute or budget has changed, so that the fields up to blockedReason are out of date
 	demands            []demand // one for each constraint of the permit's units
 	demandByConstraint map[*constraint]demand
 	zoneLimits         []*constraint // of the kinds of the permit's units
@@ -16,7 +16,7 @@
 	blockedReason      string        // why a unit of the permit cannot be taken out now; "": all can
 
 	blocksLater      bool          // later permits that need the same constraints have to wait
-	neededZoneLimits []*constraint // zone limits that a grant would use up: it leaves a zone with most units unavailable
+	neededZoneLimits []*constraint // zone limits that a grant would use up, because most units of a zone would be unavailable
 }
 
 // needs reports whether a grant would use up some of what a constraint allows.
@@ -24,13 +24,13 @@
 	return slices.Contains(p.neededZoneLimits, c) || p.demandByConstraint[c].serving > 0
 }
 
-// demand is what a grant of a permit would take of one constraint.
+// demand is how much of one constraint the grant of a permit would use up.
 type demand struct {
 	constraint       *constraint
 	total            int    // the permit's units that belong to the constraint
 	serving          int    // part of total that may still serve
 	newlyUnavailable int    // part of serving that does not count as unavailable yet
-	milliWarmingUp   int64  // capacity that does not count as warming up yet, and would after the grant
+	milliWarmingUp   int64  // capacity in thousandths that would count as warming up after the grant, and does not yet
 	firstUnit        string // ID of one of the units in total
 }
 
@@ -101,7 +101,7 @@
 	}
 }
 
-// removeWaiterFromConstraints reverses addWaiterToConstraints and returns the constraints.
+// removeWaiterFromConstraints removes a permit from the waiters of its constraints, and returns these constraints.
 func (l *Ledger) removeWaiterFromConstraints(permit *permitState) []*constraint {
 	pending := permit.pending
 	constraints := slices.Clone(pending.zoneLimits)
--- a/internal/disruption/doc.go
+++ b/internal/disruption/doc.go
@@ -4,9 +4,9 @@
 // The units of the ledger are servers and sidecars. A Budget bounds how many of the units that it selects are
 // unavailable for any reason: a unit that failed counts like a unit that was taken out on purpose. A Permit allows its
 // owner to take named units out of service. The ledger checks a permit against all budgets at once, and grants it while
-// it applies the log entry that makes the permit admissible. A permit that has begun ends on evidence about its units,
-// or when an operator forces its completion. An expired lease does not end it: a lease says who may act, not what state
-// a unit is in.
+// it applies the log entry that makes the permit admissible. Once the owner has begun to take units out, the permit ends
+// on evidence about its units, or when an operator forces its completion. The expiry of the owner's lease does not end
+// the permit: a lease says who may act, not what state a unit is in.
 //
 // The package owns the replicated record of units, budgets, permits and halts, the order of grants, the ledger's JSON
 // form, and the built-in rules: each pod group and each zone keeps a serving server, and for each kind of unit at most
--- a/internal/disruption/evaluation.go
+++ b/internal/disruption/evaluation.go
@@ -28,10 +28,10 @@
 	return decision{infeasible, fmt.Sprintf(format, args...)}
 }
 
-// evaluate decides whether a pending permit can be granted now. A permit that waits for its constraints alone blocks
-// later permits that need the same constraints, so that small permits do not starve a large one. A permit that is
-// infeasible or halted, or that waits for a unit under another permit or for a substitute, blocks no other permit,
-// because its own wait might never end.
+// evaluate decides whether a pending permit can be granted now. A permit that waits only for its constraints blocks later
+// permits that need the same constraints, so that small permits do not starve a large one. A permit that is infeasible
+// or halted, or that waits for a unit under another permit or for a substitute, blocks no other permit, because the wait
+// of the first permit might never end.
 func (l *Ledger) evaluate(permit *permitState) decision {
 	pending := permit.pending
 	pending.blocksLater, pending.neededZoneLimits = false, nil
@@ -58,8 +58,9 @@
 	return result
 }
 
-// evaluateDemands decides by the constraints alone, and records which zone limits the permit needs. If several demands
-// are deferred, the first one gives the reason.
+// evaluateDemands evaluates a pending permit by its constraints only, whether or not a halt, a substitute or an earlier
+// permit defers it, and records which zone limits the permit needs. If several demands are deferred, the reason is that of the
+// first.
 func (l *Ledger) evaluateDemands(permit *permitState) decision {
 	pending := permit.pending
 	var result decision
--- a/internal/disruption/halts.go
+++ b/internal/disruption/halts.go
@@ -15,7 +15,7 @@
 	return cmp.Or(strings.Compare(a.Scope, b.Scope), strings.Compare(a.IssuedBy, b.IssuedBy))
 }
 
-// applyHalt defers grants, and revokes grants whose permits have not begun.
+// applyHalt adds a halt. The halt defers the grants in its scope, and revokes those whose permits have not begun.
 func (l *Ledger) applyHalt(op *Op) Result {
 	if name, ok := strings.CutPrefix(op.Halt.Scope, budgetScopePrefix); ok && l.budgetConstraints[name] == nil {
 		return notFound("there is no budget %s", name)
@@ -37,7 +37,7 @@
 	return applied()
 }
 
-// haltFleet halts all grants until an operator resumes the fleet.
+// haltFleet defers all grants except those of PriorityRollback until an operator resumes the fleet.
 func (l *Ledger) haltFleet(format string, args ...any) {
 	// With MaxHalts halts in force this halt is not added. So many halts need an operator in any case.
 	l.addHalt(Halt{Scope: "", IssuedBy: uncertaintyIssuer, Reason: fmt.Sprintf(format, args...), Revision: l.revision})
@@ -62,8 +62,8 @@
 	l.processQueue()
 }
 
-// Freeze defers all grants until Unfreeze. It is for times when the state of the fleet is uncertain. A unit of
-// ConditionUnknown has the same effect without a freeze.
+// Freeze defers all grants except those of PriorityRollback until Unfreeze. Callers freeze the ledger while the state of
+// the fleet is uncertain. A unit of ConditionUnknown has the same effect without a freeze.
 func (l *Ledger) Freeze(revision uint64, reason string) {
 	l.revision, l.freezeReason = revision, cmp.Or(reason, "frozen")
 	l.processQueue()
--- a/internal/disruption/harness_test.go
+++ b/internal/disruption/harness_test.go
@@ -231,7 +231,7 @@
 }
 
 // runSeeds applies random steps for a number of seeds, with injectFault called after each step, and returns the first
-// difference.
+// difference between the ledger, its restored copy and the model.
 func runSeeds(seeds int, injectFault func(*Ledger, string)) error {
 	for seed := range seeds {
 		rng := rand.New(rand.NewPCG(uint64(seed), 1))
--- a/internal/disruption/ledger_test.go
+++ b/internal/disruption/ledger_test.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// If any budget exists, a server of a new incarnation is warming up until it is observed up. A warmed-up server that was
-// lost and registers again in the same incarnation is not.
+// If any budget exists, a server of a new incarnation is warming up until an observation reports it up. A warmed-up server
+// that was lost and registers again in the same incarnation is up at once.
 func TestNewServersWarmUp(t *testing.T) {
 	l := NewLedger()
 	unit := Unit{ID: "server/a", Kind: KindServer, BootMS: 5, Condition: ConditionUp, Endpoint: "127.0.0.1:1"}
--- a/internal/disruption/model_test.go
+++ b/internal/disruption/model_test.go
@@ -7,8 +7,9 @@
 	"sort"
 )
 
-// model is the reference model: the ledger's rules, implemented as simply as possible. It computes each sum when it needs
-// the sum. After each operation it evaluates all pending permits, and starts again from the first after each grant.
+// model is the reference model: the ledger's rules, implemented as simply as possible. It keeps no sums, but counts the
+// units anew for each evaluation. After each operation it evaluates all pending permits, and starts again from the first
+// permit after each grant.
 type model struct {
 	revision  uint64
 	units     map[string]Unit
@@ -16,7 +17,7 @@
 	budgets   map[string]Budget
 	halts     []Halt
 	frozen    bool
-	candidate *Permit // a permit whose units count as under it, as if it were granted
+	candidate *Permit // pending permit that the model treats as granted, to evaluate the effect of a grant; nil: none
 }
 
 func newModel() *model {
@@ -30,7 +31,7 @@
 	return &copied
 }
 
-// holdsUnits reports whether the permit's units are under it.
+// holdsUnits reports whether the permit is granted and not closed, so that its remaining units count as unavailable.
 func (p *Permit) holdsUnits() bool {
 	return p.Stage == StageGranted || p.Stage == StageActive || p.Stage == StageReturning
 }
@@ -102,9 +103,9 @@
 
 // evaluation is the model's evaluation of a pending permit.
 type evaluation struct {
-	fits        bool            // within all constraints, with what is unavailable or warming up now
-	feasible    bool            // within all constraints, if nothing else were unavailable or warming up
-	blocksLater bool            // the permit waits for its constraints alone
+	fits        bool            // a grant is within all constraints, given the units that are unavailable or warming up now
+	feasible    bool            // a grant is within all constraints if no other unit is unavailable or warming up
+	blocksLater bool            // the permit waits only for its constraints
 	needs       map[string]bool // constraints of which a grant uses up a part
 }
 
--- a/internal/disruption/operation.go
+++ b/internal/disruption/operation.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Halt defers the grants in its scope: "" is the fleet, "budget/NAME" the permits for units of a budget, and an owner
-// ("release/NAME") the permits of that owner.
+// Halt defers the grants of the permits in its scope. Scope "" covers all permits, "budget/NAME" the permits for units of
+// that budget, and the name of an owner (such as "release/NAME") the permits of that owner.
 type Halt struct {
 	Scope    string `json:"scope"`
 	IssuedBy string `json:"by"` // an operator, a controller, or "doubt" for a halt by the ledger itself
@@ -19,10 +19,10 @@
 const (
 	OpSetBudget     OpKind = "budget"  // sets Budget, or deletes the budget of that name if Delete is set
 	OpRequest       OpKind = "ask"     // requests Permit
-	OpBegin         OpKind = "begin"   // marks the units of Permit.ID as being taken out; written before the first action
+	OpBegin         OpKind = "begin"   // marks the units of Permit.ID as being taken out; written before the owner's first action
 	OpReturn        OpKind = "return"  // marks the units of Permit.ID as being brought back
 	OpComplete      OpKind = "settle"  // completes Units of Permit.ID, with Successors for replaced ones; rejected without evidence
-	OpCancel        OpKind = "cancel"  // closes Permit.ID, or aborts it after its begin: then evidence completes it
+	OpCancel        OpKind = "cancel"  // closes Permit.ID before its begin; after its begin, aborts it until evidence completes it
 	OpHalt          OpKind = "halt"    // sets Halt
 	OpResume        OpKind = "resume"  // lifts the halts of Halt.Scope
 	OpObserve       OpKind = "see"     // records Observed, the conditions that an observer found
--- a/internal/disruption/permit.go
+++ b/internal/disruption/permit.go
@@ -57,7 +57,8 @@
 	WaitReason      string `json:"why,omitempty"` // why it is not granted yet, such as the budget or halt that defers it
 
 	// Substitutes maps a unit that is the only one of its pod group or zone to its substitute: a unit elsewhere that is
-	// up and carries what only the first unit had. A substitute is not taken out from the permit's grant until its end.
+	// up and carries what only the first unit had. From the grant of this permit until its end, the ledger defers permits
+	// for the substitute.
 	// WithoutSubstitute, which only operators may set, waives the substitutes.
 	Substitutes       map[string]string `json:"instead,omitempty"`
 	WithoutSubstitute bool              `json:"alone,omitempty"`
--- a/internal/disruption/queue.go
+++ b/internal/disruption/queue.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// requeueBlockedBy queues the later permits that a permit may have blocked so far.
+// requeueBlockedBy queues the later permits that a permit may have blocked so far for another evaluation.
 func (l *Ledger) requeueBlockedBy(permit *permitState) {
 	for _, d := range permit.pending.demands {
 		l.requeueWaitersAfter(d.constraint, permit)
--- a/internal/disruption/registration.go
+++ b/internal/disruption/registration.go
@@ -7,9 +7,9 @@
 )
 
 // Register records a unit as the registry lists it: ConditionUp, ConditionUnready, ConditionDraining, or
-// ConditionUnknown while its expiry is held back. The registry does not know whether a server has warmed up. If any
-// budget exists, a new or restarted server is therefore ConditionWarmingUp until an observation reports it up. A server
-// whose start time is not known (BootMS 0) counts as warmed up.
+// ConditionUnknown while the registry holds back the expiry of the unit's lease. The registry does not know whether a
+// server has warmed up. If any budget exists, a new or restarted server is therefore ConditionWarmingUp until an
+// observation reports it up. A server whose start time is not known (BootMS 0) counts as warmed up.
 func (l *Ledger) Register(revision uint64, unit Unit) {
 	l.revision = revision
 	existing := l.units[unit.ID]
@@ -48,7 +48,7 @@
 }
 
 // MarkUnknown records that a unit's lease has expired while the registry holds the expiry back. The ledger defers all
-// grants until each unknown unit has registered, is marked lost or is removed.
+// grants except those of PriorityRollback until each unknown unit has registered, is marked lost or is removed.
 func (l *Ledger) MarkUnknown(revision uint64, id string) {
 	l.setCondition(revision, id, ConditionUnknown)
 }
--- a/internal/disruption/unit.go
+++ b/internal/disruption/unit.go
@@ -23,8 +23,8 @@
 	ConditionWarmingUp Condition = "cold"     // serves with a part of its capacity
 	ConditionUnready   Condition = "unready"  // registered, but does not serve
 	ConditionDraining  Condition = "draining" // Terminating in the endpoint list; a sidecar: it shuts down
-	ConditionLost      Condition = "lost"     // its lease expired; it stays until it registers again, is replaced or is removed
-	ConditionUnknown   Condition = "unseen"   // its lease expired, but the registry holds the expiry back: it may still serve
+	ConditionLost      Condition = "lost"     // its lease expired; it stays listed until it registers again, is replaced or removed
+	ConditionUnknown   Condition = "unseen"   // its lease expired, but the registry holds the expiry back: the unit may still serve
 )
 
 // Unit is a server or a sidecar of the fleet.
@@ -41,12 +41,12 @@
 	// TransitionRevision is the log revision of the last change of the condition, incarnation or version.
 	TransitionRevision uint64 `json:"rev"`
 
-	Endpoint         string  `json:"endpoint,omitempty"` // servers only; a new server at the endpoint of a lost one replaces it
+	Endpoint         string  `json:"endpoint,omitempty"` // servers only; a new server at a lost server's endpoint replaces it
 	BootMS           float64 `json:"boot_ms,omitempty"`  // start time, Unix ms; another value is another incarnation
 	WarmedUp         bool    `json:"warm,omitempty"`     // was last observed up in this incarnation, or needs no warm-up
 	ObservedRevision uint64  `json:"seen,omitempty"`     // log revision of the last registration or observation
-	Predecessor      string  `json:"for,omitempty"`      // unit that it has replaced; a unit can replace only one
-	Successor        string  `json:"next,omitempty"`     // of a lost unit under a permit: server registered at its endpoint since
+	Predecessor      string  `json:"for,omitempty"`      // ID of the unit that this one has replaced; a unit can replace only one
+	Successor        string  `json:"next,omitempty"`     // if lost and under a permit: server since registered at its endpoint
 }
 
 // UnitID returns the ID of a unit in the ledger, which consists of its kind and its name within that kind.
--- a/internal/disruption/validation.go
+++ b/internal/disruption/validation.go
@@ -32,8 +32,9 @@
 // OperatorOwner returns the owner of a person's operations.
 func OperatorOwner(name string) string { return operatorPrefix + name }
 
-// Validate returns a *validation.Error that names the first field of an operation that is invalid, whatever the ledger
-// holds. Callers use it before they append the operation to the log; Apply rejects what Validate rejects.
+// Validate returns a *validation.Error that names the first invalid field of an operation. The result does not depend on
+// the state of the ledger. Callers validate an operation before they append it to the log; Apply rejects what Validate
+// rejects.
 func (op *Op) Validate() error {
 	switch op.Kind {
 	case OpSetBudget:
