--- a/internal/release/command.go
+++ b/internal/release/command.go
@@ -67,8 +67,8 @@
 }
 
 // halt stops the rollout at once. Under plan.OnHaltRollback every unit returns to its previous image, unless the release
-// is a drain. Otherwise only units in progress are affected: a unit that has already been changed finishes (see
-// finishesUnderHalt), and the others return to their previous image.
+// is a drain. Otherwise only units in progress are affected: those that have already been changed finish (see
+// finishesUnderHalt), and the other units in progress return to their previous image.
 func (r *reconciler) halt(haltedBy, reason string, policy plan.HaltPolicy) {
 	r.status.HaltedBy = haltedBy
 	r.status.HaltReason = reason
--- a/internal/release/controller/process_test.go
+++ b/internal/release/controller/process_test.go
@@ -89,8 +89,9 @@
 	}
 }
 
-// Two controller processes in turn are killed while they hold the lease, and the next one has to continue the release. Then
-// the registry's leader is killed during a drain, which has to complete.
+// Guards against a release or drain that stops when a process is killed. Two controller processes in turn are killed while
+// they hold the lease, and the next controller has to continue the release. Then the registry's leader is killed during a
+// drain, which has to complete.
 func TestControllersKilledInTurn(t *testing.T) {
 	fleet := newTestFleet(t)
 	plan := filepath.Join(fleet.dir, "plan.toml")
--- a/internal/release/identifiers.go
+++ b/internal/release/identifiers.go
@@ -36,7 +36,7 @@
 }
 
 // platformRequest returns a unit's present request in the platform's form. It lacks the text of the configuration, which
-// the sender adds; it looks the text up by the names of the unit and the configuration.
+// the sender adds. The sender looks the text up by the names of the unit and the configuration.
 func (s *State) platformRequest(unit *Unit) supervisor.Request {
 	request := supervisor.Request{
 		ID:          s.RequestID(unit),
--- a/internal/release/judge/evidence.go
+++ b/internal/release/judge/evidence.go
@@ -2,8 +2,9 @@
 
 import "math"
 
-// mixturePrecision is the variance at which a test is most powerful, in units of requests × share × share: that of a few
-// dozen requests at rates of a few percent. Far from it a test is equally valid but needs somewhat more traffic.
+// mixturePrecision is the variance at which a test is most powerful, in units of requests × share × share. A few
+// dozen requests of which a few percent are hits have this variance. At a variance far from it, a test is equally valid but
+// needs somewhat more traffic.
 const mixturePrecision = 2.0
 
 // maxVarianceShare is the share at which the variance share × (1 − share) is largest.
@@ -13,7 +14,7 @@
 // The evidence may be read after every interval. For every λ, exp(λ·sum − λ²/2·variance) with variance = Σ(x² + 2E[x²])/3 is a
 // nonnegative supermartingale that starts at 1 (Delyon 2009, for any square-integrable martingale), so a mixture over λ > 0
 // ever exceeds 1/α with a probability of at most α (Ville's inequality). Because the variance includes the square of an
-// interval's own value, one interval adds at most 1.5 to the logarithm of the evidence, and no single second shows a regression.
+// interval's own value, one interval adds at most 1.5 to the logarithm of the evidence, so no single second shows a regression.
 type eProcess struct{ sum, variance float64 }
 
 // add adds an interval's value x, which has the given variance under the hypothesis.
@@ -34,8 +35,8 @@
 	return math.Ln2 + 0.5*math.Log(mixturePrecision/totalVariance) + p.sum*p.sum/(2*totalVariance) + math.Log(positiveShare)
 }
 
-// comparison tests a share of the canary's requests against the same share of the baseline's, in both directions: whether it
-// is higher by more than the tolerance, and whether it is not.
+// comparison tests a share of the canary's requests against the same share of the baseline's, in both directions: whether the
+// canary's share is higher by more than the tolerance, and whether it is not.
 type comparison struct {
 	tolerance      float64
 	regression     eProcess // evidence that the canary's share is higher by more than the tolerance
--- a/internal/release/judge/histogram.go
+++ b/internal/release/judge/histogram.go
@@ -21,7 +21,7 @@
 	return len(histogram) - 1
 }
 
-// countBeyond returns how many counts of a histogram lie beyond the boundary bucket, and their total.
+// countBeyond returns how many counts of a histogram lie beyond the boundary bucket, and the total of all its counts.
 func countBeyond(histogram []uint32, boundary int) (beyond, total int) {
 	for i, count := range histogram {
 		total += int(count)
--- a/internal/release/judge/judge.go
+++ b/internal/release/judge/judge.go
@@ -20,7 +20,7 @@
 	// pass, so the rate is not divided among them.
 	falsePassRate = 0.01
 	// comparisonsPerStratum is the maximum number of comparisons of a stratum: four shares, each over all intervals and over
-	// those of high load, and its part of the zone's restarts.
+	// the intervals of high load, and the stratum's part of the zone's restarts.
 	comparisonsPerStratum = 9
 	// minClassShare is the smallest share of a zone's baseline requests at which a class has to pass. A rarer class can only
 	// show a regression.
@@ -34,7 +34,7 @@
 	// highLoadFactor is the ratio of an interval's traffic to the mean of earlier intervals above which its load is high.
 	highLoadFactor = 1.2
 	// decayPerInterval is the factor by which the weight of older data decays in each interval, in the mean traffic and the
-	// baseline's latencies. With intervals of a second they cover about a minute.
+	// baseline's latencies. With intervals of a second, both cover about a minute.
 	decayPerInterval = 0.98
 	// tailShare is the largest share of the baseline's answers beyond the latency bound by which both versions are compared.
 	tailShare = 0.25
@@ -52,7 +52,7 @@
 	MemoryTolerance  float64
 
 	FalseAlarmRate float64 // over all comparisons and verdicts of one Judge, 0 to 1
-	Strata         int     // expected classes × zones; each further one gets a smaller part of the false-alarm rate
+	Strata         int     // expected classes × zones; each further stratum gets a smaller part of the rate
 }
 
 // Counts are the outcomes of an interval's requests.
--- a/internal/release/judge/judge_test.go
+++ b/internal/release/judge/judge_test.go
@@ -17,7 +17,8 @@
 	Strata:           4,
 }
 
-// Less than 1% of healthy versions are reported as regressions while random faults affect both versions.
+// Guards against false alarms: while random faults affect both versions, less than 1% of healthy versions may be reported as
+// regressions.
 func TestFalseAlarmRate(t *testing.T) {
 	const runs, seconds = 2000, 40
 	alarms := 0
@@ -38,8 +39,8 @@
 	}
 }
 
-// The modelled faults reveal a planted bug: if the baseline predates a fault that affects both versions, the judge reports
-// regressions.
+// Guards against modelled faults too weak for TestFalseAlarmRate to detect anything: with the planted bug of a baseline that
+// predates a fault of both versions, the judge has to report regressions.
 func TestStaleBaselineIsDetected(t *testing.T) {
 	alarms := 0
 	for seed := range uint64(100) {
@@ -177,8 +178,8 @@
 	}
 }
 
-// One interval, and even four, show no regression, however bad their counts: chance may decide which servers the requests
-// of an interval reach.
+// Guards against a halt by chance: one interval, and even four, show no regression, however bad their counts, because
+// chance may decide which servers the requests of an interval reach.
 func TestOneIntervalIsNoRegression(t *testing.T) {
 	judge := New(testSettings)
 	bad := ClassSample{
--- a/internal/release/judge/pass.go
+++ b/internal/release/judge/pass.go
@@ -10,7 +10,8 @@
 )
 
 // nextThreshold returns the threshold of the next stratum or zone: the logarithm of the evidence that shows a regression. Half
-// of the false-alarm rate is divided evenly among the expected strata; each further one gets a decreasing part of the other half.
+// of the false-alarm rate is divided evenly among the expected strata; each further stratum gets a decreasing
+// part of the other half.
 func (j *Judge) nextThreshold() float64 {
 	j.thresholdsIssued++
 	alpha := j.settings.FalseAlarmRate / 2 / comparisonsPerStratum
--- a/internal/release/judge/stratum.go
+++ b/internal/release/judge/stratum.go
@@ -6,7 +6,7 @@
 )
 
 // stratum holds the evidence of one class of requests in a zone. Each comparison is made over all intervals, and again over
-// those of high load.
+// the intervals of high load.
 type stratum struct {
 	threshold        float64 // logarithm of the evidence that shows a regression
 	notInTime        [intervalSetCount]comparison
--- a/internal/release/plan/plan_test.go
+++ b/internal/release/plan/plan_test.go
@@ -157,7 +157,8 @@
 	}
 }
 
-// For any fleet, each unit is in exactly one wave, and the waves do not depend on the order of the units.
+// Guards against units that are updated twice or never: for any fleet, each unit is in exactly one wave, and the waves do not
+// depend on the order of the units.
 func TestWavesPartitionUnits(t *testing.T) {
 	p := mustParse(t, validPlan)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/release/plan/preview.go
+++ b/internal/release/plan/preview.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// checkBudgets reports the budgets that do not allow even one unit to be updated while all others are up. The plan's own
+// checkBudgets reports the budgets that do not allow even one unit to be updated while all other units are up. The plan's own
 // limit on warming capacity is checked as one more budget.
 func (b *previewBuilder) checkBudgets(budgets []disruption.Budget) {
 	sorted := slices.Clone(budgets)
--- a/internal/release/reconciler.go
+++ b/internal/release/reconciler.go
@@ -28,9 +28,9 @@
 	// maxFailedRollbacks is the number of failed units after which a rollback takes no further unit out. The previous
 	// version is then assumed to be broken too, so units that still serve on the new version keep it.
 	maxFailedRollbacks = 2
-	// maxRequestsPerUnit limits the platform requests for one unit.
+	// maxRequestsPerUnit limits the platform requests for one unit in a release.
 	maxRequestsPerUnit = 40
-	// maxPermitAttempts limits how often a unit is updated again after it has drifted.
+	// maxPermitAttempts limits how often a unit that has drifted from its desired image is updated again.
 	maxPermitAttempts = 8
 )
 
--- a/internal/release/rollback.go
+++ b/internal/release/rollback.go
@@ -19,8 +19,9 @@
 }
 
 // advanceRollback starts the rollback of changed units, and ends the rollback when no unit is pending or in progress. If
-// units fail, the previous version may be broken too. It therefore takes no further unit out once maxFailedRollbacks units
-// have failed, or once one has failed and the others get no permit for rollbackStallTimeoutMS.
+// units fail, the previous version may be broken too. The rollback therefore takes no further unit out once
+// maxFailedRollbacks units have failed, or once one unit has failed and the ledger has granted the other units no permit
+// for rollbackStallTimeoutMS.
 func (r *reconciler) advanceRollback() {
 	progress, requeued := r.collectRollback()
 	if requeued {
--- a/internal/release/state.go
+++ b/internal/release/state.go
@@ -19,7 +19,7 @@
 	PhaseRollback   Phase = "back"     // every changed unit returns to its previous image
 	PhaseCompleted  Phase = "done"     // every unit runs the target image
 	PhaseRolledBack Phase = "backed"   // every unit runs its previous image
-	PhaseStranded   Phase = "stranded" // the rollback ended without the units that Status.Stranded lists
+	PhaseStranded   Phase = "stranded" // the rollback ended, but the units in Status.Stranded may not run their previous image
 )
 
 // Finished reports whether the phase is final: the controller has nothing left to do.
@@ -83,7 +83,7 @@
 	// RollbackPermit says that a rollback requested the permit. A unit that is rolled back while it is out keeps the
 	// permit of the rollout.
 	RollbackPermit bool             `json:"asked_back,omitempty"`
-	FailedStarts   int              `json:"fails,omitempty"` // in the present direction
+	FailedStarts   int              `json:"fails,omitempty"` // in the present direction (rollout or rollback)
 	RequestCount   int              `json:"calls,omitempty"` // requests to the platform, in this release
 	Request        *PlatformRequest `json:"call,omitempty"`  // the latest request of the present stage
 	StageSinceMS   int64            `json:"since_ms,omitempty"`
@@ -187,8 +187,8 @@
 	return supervisor.Server
 }
 
-// firstUpdateStage returns the first stage that changes a unit. It follows the begin of the disruption and, for a server,
-// the drain.
+// firstUpdateStage returns the first stage that changes a unit. This stage follows the begin of the disruption and, for a
+// server, the drain.
 func (s *State) firstUpdateStage() Stage {
 	if s.reloadsInPlace() {
 		return StageReloading
