--- a/internal/maintenance/controller/controller.go
+++ b/internal/maintenance/controller/controller.go
@@ -65,7 +65,7 @@
 	logger     *slog.Logger
 }
 
-// Run carries out maintenance windows until ctx ends, and returns the cause.
+// Run carries out maintenance windows until ctx ends, and returns the cause of ctx.
 func (c *Controller) Run(ctx context.Context, lease *leaderelection.Lease) error {
 	c.Reports.SetAccepting(true)
 	defer c.Reports.SetAccepting(false)
--- a/internal/maintenance/estimate.go
+++ b/internal/maintenance/estimate.go
@@ -42,7 +42,7 @@
 		return floorMS
 	}
 	sorted := slices.Sorted(slices.Values(samples))
-	// The rank excludes the maximum of several samples: it may come from a server that had failed.
+	// The rank excludes the maximum of several samples, because the maximum may come from a server that had failed.
 	rank := int(estimateQuantile * float64(len(sorted)-1))
 	return max(floorMS, int64(safetyFactor*float64(sorted[rank])))
 }
--- a/internal/maintenance/operation.go
+++ b/internal/maintenance/operation.go
@@ -155,7 +155,7 @@
 // The outcomes. Every outcome except OutcomeApplied belongs to a RejectedError.
 const (
 	OutcomeApplied       Outcome = "done"
-	OutcomeStale         Outcome = "stale"     // the token is superseded, or the window or a contract has changed in between
+	OutcomeStale         Outcome = "stale"     // the token is superseded, or the window or a contract has changed since it was read
 	OutcomeClockFault    Outcome = "doubt"     // the clocks of controller and leader cannot be trusted
 	OutcomeOutsideHours  Outcome = "closed"    // outside the approved hours, or not enough time before the close
 	OutcomeBlocked       Outcome = "held"      // by a halt, a limit of a contract, a permit or another window; a retry may succeed
--- a/internal/maintenance/oracle_test.go
+++ b/internal/maintenance/oracle_test.go
@@ -17,7 +17,7 @@
 	usedMS           map[tenantMonth]int64
 	highestToken     uint64
 	violations       []string
-	clocksFaulty     bool // the used minutes are not compared
+	clocksFaulty     bool // the clocks were wrong or uncertain, so the used minutes are not compared
 }
 
 // tenantMonth is a month of a tenant's time zone, "2026-03".
--- a/internal/maintenance/reconcile_stages.go
+++ b/internal/maintenance/reconcile_stages.go
@@ -59,7 +59,7 @@
 		return p.reconcileReturning(window)
 	case window.Stage == StageAwaitingPermit:
 		return p.reconcileAwaitingPermit(window)
-	case p.openPermitStage(window) != "": // of an earlier attempt that took no server out: cancel it before the next attempt
+	case p.openPermitStage(window) != "": // an earlier attempt took no server out: cancel its permit before the next attempt
 		return ledgerAction(disruption.OpCancel, window)
 	case window.Stage == StageProposed:
 		return p.schedule(window)
@@ -202,7 +202,7 @@
 		return returnTo(StageHalted, reasonPermitRevoked)
 	case permit == disruption.StageGranted:
 		return ledgerAction(disruption.OpBegin, window)
-	case permit != disruption.StageActive: // requested again, because a halt of the ledger has revoked the grant
+	case permit != disruption.StageActive: // the permit waits again, because a halt of the ledger has revoked the grant
 		return nil
 	case p.serversIdle(window):
 		return &Operation{Kind: OpCompleteDrain}
--- a/internal/maintenance/simulated_weeks_test.go
+++ b/internal/maintenance/simulated_weeks_test.go
@@ -15,8 +15,8 @@
 var criticalDays = []string{"2026-03-27", "2026-10-22", "2026-04-02", "2026-10-01", "2026-03-06", "2026-10-30", "2026-06-26", "2026-02-25"}
 
 // simulateWeek simulates one week with windows on shared servers and with faults drawn from the seed. It returns
-// the number of windows that could be carried out, and of those that were. The order of the draws determines the
-// week of a seed.
+// the number of windows that could be carried out, and how many of these were carried out. The week of a seed
+// depends on the order of the random draws.
 func simulateWeek(seed uint64, inject func(*simulation)) (sim *simulation, feasible, completed int) {
 	start, err := time.Parse(time.DateOnly, criticalDays[seed%uint64(len(criticalDays))])
 	if err != nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// countFeasible counts the named windows that could be carried out, and those that were.
+// countFeasible counts the named windows that could be carried out, and how many of these were carried out.
 func (sim *simulation) countFeasible(names []string) (feasible, completed int) {
 	for _, name := range names {
 		switch window := sim.table.Window(name); {
--- a/internal/maintenance/window.go
+++ b/internal/maintenance/window.go
@@ -58,7 +58,7 @@
 	NotBeforeMS int64    `json:"after_ms,omitempty"`
 
 	Stage            Stage      `json:"stage"`
-	StageAfterReturn Stage      `json:"end,omitempty"` // once the servers are back; StageProposed: to be scheduled again
+	StageAfterReturn Stage      `json:"end,omitempty"` // next stage once the servers are back; StageProposed: scheduled again
 	Reason           string     `json:"why,omitempty"` // why the window is at this stage
 	Attempt          int        `json:"attempt"`       // number of permits requested; PermitID returns the ID of the last one
 	Approvals        []Approval `json:"grants,omitempty"`
@@ -66,11 +66,12 @@
 	ClosesAtMS       int64      `json:"close_ms,omitempty"` // earliest close of Approvals
 
 	ProposedAtMS int64 `json:"proposed_ms"`
-	// The fields below, except ModRevision, belong to the current attempt. A time of 0 is not reached yet.
+	// The fields below, except ModRevision, belong to the current attempt. A time of 0 means that the event has not
+	// happened yet.
 	DrainStartedAtMS  int64  `json:"out_ms,omitempty"`
 	DrainedAtMS       int64  `json:"free_ms,omitempty"`
 	ReturnStartedAtMS int64  `json:"return_ms,omitempty"`
-	ReturnedAtMS      int64  `json:"back_ms,omitempty"`  // all servers were back in service
+	ReturnedAtMS      int64  `json:"back_ms,omitempty"`  // when all servers were back in service
 	EstimatedTotalMS  int64  `json:"need_ms,omitempty"`  // drain, work and return, as estimated when the drain started
 	ExcludedUntilMS   int64  `json:"told_ms,omitempty"`  // expiry of the exclusion directives; 0: there are none
 	ExclusionRevision uint64 `json:"told_rev,omitempty"` // log revision from which on the exclusion has had no gap
