--- a/internal/disruption/fixtures_test.go
+++ b/internal/disruption/fixtures_test.go
@@ -102,8 +102,9 @@
 	return out.String()
 }
 
-// Stored operations are decoded and encoded without a change. Applying the script gives the stored outcomes, reasons,
-// snapshots and views. A ledger that is restored from the snapshot of any step ends with the same last snapshot.
+// Guards against a build that reads the log of an earlier build differently. Stored operations are decoded and encoded
+// without a change. Applying the script gives the stored outcomes, reasons, snapshots and views. A ledger that is restored
+// from the snapshot of any step ends with the same last snapshot.
 func TestStoredLedgerIsCompatible(t *testing.T) {
 	steps := readScript(t)
 	ledger := NewLedger()
--- a/internal/disruption/ledger_test.go
+++ b/internal/disruption/ledger_test.go
@@ -12,7 +12,8 @@
 	"milldeck/internal/validation"
 )
 
-// After any sequence of steps the ledger, its restored copy and the reference model agree.
+// Guards against sums, indexes or restored ledgers that violate the rules: after any sequence of steps the ledger, its copy
+// restored from a snapshot and the reference model agree.
 func TestLedgerMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, err := newFleetHarness()
@@ -27,7 +28,8 @@
 	})
 }
 
-// The comparison with the reference model detects faults that are injected into the ledger.
+// Guards against a reference model that detects nothing: the comparison with the model has to detect each fault that is
+// injected into the ledger.
 func TestReferenceModelDetectsInjectedFaults(t *testing.T) {
 	forceGrant := func(l *Ledger, eligible func(permit *permitState) bool) {
 		for _, permit := range l.sortedOpenPermits() {
@@ -173,7 +175,8 @@
 	requireCondition(unit.ID, "") // replaced
 }
 
-// A server that registers at the endpoint of a lost unit under a permit completes the unit once the server is up.
+// Guards against a permit that stays open because its unit does not return: a server that registers at the endpoint of a
+// lost unit under a permit completes the unit once the server is up.
 func TestSuccessorAtSameEndpointCompletesPermit(t *testing.T) {
 	l, op := NewLedger(), Op{Owner: "operator/o", Permit: &Permit{ID: "p", Owner: "operator/o", Units: []string{"server/a"}, Disposition: DispositionReturn}}
 	apply := func(revision uint64, kind OpKind, want Outcome) {
@@ -240,9 +243,9 @@
 	}
 }
 
-// The ledger and the model agree after every sequence of up to four steps. Each step is one of sixteen operations on
-// three units, two budgets and two permits that share a unit. A state that differs from an earlier one only in the values
-// of its revisions is not explored further.
+// Guards against decisions that violate the rules after few operations: the ledger and the model agree after every sequence
+// of up to four steps. Each step is one of sixteen operations on three units, two budgets and two permits that share a
+// unit. A state that differs from an earlier state only in the values of its revisions is not explored further.
 func TestExhaustiveShortSequences(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes a few seconds")
--- a/internal/maintenance/contract/contract.go
+++ b/internal/maintenance/contract/contract.go
@@ -37,7 +37,7 @@
 	Tenant string `toml:"tenant" json:"tenant"`
 	calendar.Spec
 	Notice               string        `toml:"notice" json:"notice"`                   // from proposal to start, "24h"; 0 to 90 days
-	MinutesPerMonth      int           `toml:"minutes_a_month" json:"minutes_a_month"` // of windows out of service, per month of Zone; at least 1
+	MinutesPerMonth      int           `toml:"minutes_a_month" json:"minutes_a_month"` // out of service for windows, per month in Zone; at least 1
 	MinAvailableShare    float64       `toml:"least_share" json:"least_share"`         // of the tenant's servers; from 0 to below 1
 	MaxConcurrentWindows int           `toml:"windows_at_once" json:"windows_at_once"` // at least 1
 	OverrunPolicy        OverrunPolicy `toml:"on_overrun" json:"on_overrun"`
--- a/internal/maintenance/permit_test.go
+++ b/internal/maintenance/permit_test.go
@@ -9,7 +9,8 @@
 )
 
 // TestInfeasiblePermitRejectsWindow proposes a window that the contracts approve and a built-in rule of the
-// ledger forbids: it would take a whole pod group out of service.
+// ledger forbids, because the window would take a whole pod group out of service. The window must be rejected with
+// that rule as the reason, instead of waiting for a permit that is never granted.
 func TestInfeasiblePermitRejectsWindow(t *testing.T) {
 	sim := newScenario(t, "America/Montevideo", "2026-06-10 21:58")
 	terms, agreed := dailyContract("teller", "America/Montevideo", "22:00", time.Hour)
--- a/internal/maintenance/reconciler.go
+++ b/internal/maintenance/reconciler.go
@@ -17,7 +17,7 @@
 	activePollMS        = 1000          // while servers are out of service or about to be
 	idlePollMS          = 10 * minuteMS // the caller reconciles earlier when the state has changed
 	urgentSlackMS       = 10 * minuteMS // with less slack before the close, permits are requested with PriorityDeadline
-	leaderUncertaintyMS = 500           // assumed for the leader's clock; at a higher one, the last extension is rejected
+	leaderUncertaintyMS = 500           // assumed for the leader's clock; if higher, the last extension is rejected
 	maxReports          = 20_000        // retained load reports, one for each sidecar
 )
 
--- a/internal/maintenance/scenario_test.go
+++ b/internal/maintenance/scenario_test.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// TestWindowUnderFaults checks a window under one fault at a time.
+// TestWindowUnderFaults checks that a window under one fault at a time never excludes servers outside the approved
+// hours, and ends at the stage that the fault requires.
 func TestWindowUnderFaults(t *testing.T) {
 	const montevideo = "America/Montevideo"
 	startWindow := func(t *testing.T) *simulation {
--- a/internal/release/faults_test.go
+++ b/internal/release/faults_test.go
@@ -247,7 +247,7 @@
 	budgetErr      error // the first violation of the budget
 }
 
-// faultTicks is the number of ticks during which faults are injected. After that a halted release is rolled back.
+// faultTicks is the number of ticks during which faults are injected. A release that is halted after them is rolled back.
 const faultTicks = 400
 
 func runRandomFaults(t testing.TB, seed uint64) (Phase, error) {
@@ -301,7 +301,7 @@
 	}
 }
 
-// Average number of ticks between two platform faults, unit crashes and operators' commands.
+// Average numbers of ticks between two platform faults, two unit crashes, and two operators' commands.
 const (
 	ticksPerPlatformFault = 40
 	ticksPerUnitCrash     = 60
--- a/internal/release/plan/fixtures_test.go
+++ b/internal/release/plan/fixtures_test.go
@@ -22,7 +22,7 @@
 	return append(data, '\n')
 }
 
-// The stored JSON of a plan file and its hash must not change between builds.
+// The stored JSON of a plan file and the plan's hash must not change between builds.
 func TestPlansAreStoredAsBefore(t *testing.T) {
 	for _, name := range fixturePlans {
 		t.Run(name, func(t *testing.T) {
