--- a/internal/release/judge/judge_test.go
+++ b/internal/release/judge/judge_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// Guards against modelled faults too weak for TestFalseAlarmRate to detect anything: with the planted bug of a baseline that
+// Guards against modelled faults too weak for TestFalseAlarmRate to detect anything: with the injected defect of a baseline that
 // predates a fault of both versions, the judge has to report regressions.
 func TestStaleBaselineIsDetected(t *testing.T) {
 	alarms := 0
