--- a/internal/faultsoak/agent.go
+++ b/internal/faultsoak/agent.go
@@ -85,7 +85,7 @@
 	return a.completeList()
 }
 
-// goDown makes the agent send nothing until a time. The caller must not publish changes to the agent before that time.
+// goDown makes the agent send nothing until the given time. Before that time, the caller must not publish changes to the agent.
 func (a *agent) goDown(until time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/faultsoak/bad_clients.go
+++ b/internal/faultsoak/bad_clients.go
@@ -135,15 +135,15 @@
 	c.holdIdleConnections(exhaustingConnections, until)
 }
 
-// descriptorsExhausted reports whether exhaustDescriptors is active or ended less than clientDialTimeout ago. The sidecar may
-// close new connections unread then.
+// descriptorsExhausted reports whether exhaustDescriptors is active or ended less than clientDialTimeout ago. During this time,
+// the sidecar may close new connections without reading from them.
 func (c *clients) descriptorsExhausted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Now().Before(c.descriptorsExhaustedUntil)
 }
 
-// holdIdleConnections opens idle connections and closes them at a time.
+// holdIdleConnections opens count idle connections and closes them at the given time.
 func (c *clients) holdIdleConnections(count int, until time.Time) {
 	var idle []net.Conn
 	for range count {
--- a/internal/faultsoak/doc.go
+++ b/internal/faultsoak/doc.go
@@ -9,6 +9,6 @@
 //   - oracle.go checks the records against the promises after the run. It does not use the sidecar's code. In addition,
 //     sidecar.go reads from a sidecar's log the invariant violations that the sidecar has detected itself.
 //
-// In package lab/live an experiment names the faults and the clients are the platform's. The faults of this package are
-// random, two or three at a time, and include failures below the protocol.
+// In package lab/live an experiment names the faults and the clients are the platform's. The faults of this package are random,
+// two or three at a time, and include failures below the protocol, such as failing system calls.
 package faultsoak
--- a/internal/faultsoak/generator.go
+++ b/internal/faultsoak/generator.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// generator draws the random numbers of one part of a run. The seed determines the sequence of numbers. If several goroutines
-// share a generator, their scheduling determines which of them gets which number. It is safe for concurrent use.
+// generator draws the random numbers of one part of a run, such as one link or one agent. The seed determines the sequence of
+// numbers. If several goroutines share a generator, their scheduling determines which of them gets which number. It is safe for
+// concurrent use.
 type generator struct {
 	mu     sync.Mutex
 	random *rand.Rand
--- a/internal/faultsoak/generator_test.go
+++ b/internal/faultsoak/generator_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The numbers that a generator draws depend on the seed and the name of the part. Without that a seed would not inject the same
-// faults again.
+// The numbers that a generator draws depend on the seed and the name of the part. Otherwise a second run with the same seed
+// would not inject the same faults.
 func TestGeneratorFollowsFromSeedAndPart(t *testing.T) {
 	draw := func(seed uint64, part string) (drawn [4]int) {
 		random := newGenerator(seed, part)
@@ -21,8 +21,9 @@
 	}
 }
 
-// SIGKILL after SIGTERM excuses requests that were sent before SIGTERM or up to 0.7 s after it. SIGKILL without SIGTERM
-// excuses all requests in flight.
+// SIGKILL after SIGTERM excuses unanswered requests that were sent before SIGTERM or up to 0.7 s after it. SIGKILL without
+// SIGTERM excuses all requests in flight. With fewer excuses the oracle would report losses that the protocol allows; with more
+// it would miss broken promises.
 func TestKillExcusesRequests(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct {
@@ -55,7 +56,8 @@
 	}
 }
 
-// SIGKILL comes as early after SIGTERM as the protocol allows: the longest deadline, of which at most 3 s count, plus 0.7 s.
+// The soak sends SIGKILL as early after SIGTERM as the protocol allows: after the longest deadline, of which at most 3 s count,
+// plus 0.7 s. A later SIGKILL would hide a sidecar that drains too slowly.
 func TestKillComesAtTheEarliest(t *testing.T) {
 	for longest, want := range map[time.Duration]time.Duration{
 		1200 * time.Millisecond: 1900 * time.Millisecond, 3 * time.Second: 3700 * time.Millisecond, 4500 * time.Millisecond: 3700 * time.Millisecond,
--- a/internal/faultsoak/inject.go
+++ b/internal/faultsoak/inject.go
@@ -9,7 +9,8 @@
 	"milldeck/internal/faultsoak/shim"
 )
 
-// inject injects one fault. Some faults expire by themselves at a set time; for all others inject returns when they are over.
+// inject injects one fault. A fault with a set end expires by itself. For any other fault, inject returns when the fault is
+// over.
 func (s *soak) inject(planned fault) {
 	target, srv := s.sidecars[planned.Sidecar], s.servers[planned.Server]
 	until := time.Now().Add(planned.For)
@@ -62,8 +63,8 @@
 	return err
 }
 
-// stepClocks steps the wall clock that sidecars and servers share. Of the servers it changes only the boot times that are
-// published afterwards.
+// stepClocks steps the wall clock that sidecars and servers share. For servers, the step changes only the boot times that the
+// soak publishes afterwards.
 func (s *soak) stepClocks(step time.Duration) {
 	s.wallOffset.Add(int64(step))
 	for _, target := range s.sidecars {
@@ -99,7 +100,7 @@
 	_ = process.Signal(syscall.SIGCONT)
 }
 
-// restartServer kills a server and starts it again. The server is in slow start then.
+// restartServer kills a server and starts it again. After the restart, the server is in slow start.
 func (s *soak) restartServer(srv *server) error {
 	if !srv.lifecycle.TryLock() {
 		return nil // another restart or drain of the server is in progress
--- a/internal/faultsoak/oracle.go
+++ b/internal/faultsoak/oracle.go
@@ -141,8 +141,8 @@
 	return sent
 }
 
-// checkDrains checks that a sidecar sends no attempt to a server later than drainGrace after it has to know that the server is
-// draining or removed.
+// checkDrains checks that a sidecar sends no attempt to a server later than drainGrace after the time at which the sidecar has
+// to know that the server is draining or removed.
 func (r *records) checkDrains(request *requestRecord) []Violation {
 	var found []Violation
 	for _, attempt := range request.Attempts {
@@ -165,8 +165,8 @@
 	return found
 }
 
-// readyAgain reports whether the server was published as ready again after a time and before the attempt. The sidecar may know
-// that earlier than it has to.
+// readyAgain reports whether the server was published as ready again after a time and before the attempt. The sidecar may learn
+// of the publication before the time at which it has to know it, and may send attempts from then on.
 func (r *records) readyAgain(attempt *attemptRecord, since time.Time) bool {
 	for i := range r.lists {
 		list := &r.lists[i]
@@ -205,8 +205,9 @@
 	return found
 }
 
-// worstWindow returns the number of attempts and the allowed number for the window of a slow start that exceeds its limit by
-// most. It skips windows in which fewer than minInformedShare of the attempts come from sidecars that know of the start.
+// worstWindow returns the number of attempts and the allowed number for the window, of length overloadDuration and within a
+// slow start, whose attempts exceed the allowed number by most. It skips windows in which fewer than minInformedShare of the
+// attempts come from sidecars that know of the start.
 func (r *records) worstWindow(start listRecord, rules slowStartRules) (worst, allowed float64) {
 	var informed, uninformed []time.Duration // after the start
 	for _, request := range r.requests {
@@ -249,7 +250,8 @@
 	return worst, allowed
 }
 
-// allowed returns how many attempts a server may get in a window that begins at an age, including a margin for random deviation.
+// allowed returns how many attempts a server may get in a window that begins at a given age of the server, the time since its
+// start. The number includes a margin for random deviation.
 func (s slowStartRules) allowed(age time.Duration) float64 {
 	middle := age + s.overloadDuration/2
 	capacityShare := s.minCapacity + (1-s.minCapacity)*math.Min(1, middle.Seconds()/s.duration.Seconds())
--- a/internal/faultsoak/oracle_test.go
+++ b/internal/faultsoak/oracle_test.go
@@ -32,7 +32,8 @@
 	chargeClass
 )
 
-// The oracle reports exactly the rule that the records of a request break, and nothing for records that break no rule.
+// For a request whose records break a rule, the oracle reports this rule and no other. For a request whose records break no
+// rule, it reports nothing.
 func TestOracleFindsBrokenPromises(t *testing.T) {
 	for name, test := range map[string]struct {
 		class  int
@@ -93,7 +94,8 @@
 	}
 }
 
-// A draining server may get attempts until the grace ends, and again after it is published as ready.
+// Sidecars may send attempts to a draining server until drainGrace ends, and again after the server is published as ready. The
+// oracle reports only attempts between these two times.
 func TestOracleChecksDrains(t *testing.T) {
 	for name, test := range map[string]struct {
 		attemptMS int
@@ -129,7 +131,8 @@
 	}
 }
 
-// Too many attempts at a server in slow start break the rule only if most of them come from sidecars that know of its start.
+// Too many attempts at a server in slow start break the rule only if most of these attempts come from sidecars that have to
+// know of the start.
 func TestOracleChecksSlowStarts(t *testing.T) {
 	for name, test := range map[string]struct {
 		attempts int
--- a/internal/faultsoak/proxy.go
+++ b/internal/faultsoak/proxy.go
@@ -22,7 +22,8 @@
 	closeAfterResponseShare = 0.01                 // share of responses after which the proxy closes the connection
 )
 
-// faultSet holds the active faults of the links to one server, or of the clients of one sidecar, with the end and share of each.
+// faultSet holds the active faults of the links to one server, or of the clients of one sidecar, with the end of each fault and
+// the share of requests or clients that the fault affects.
 type faultSet struct {
 	mu    sync.Mutex
 	until map[faultKind]time.Time
@@ -91,9 +92,9 @@
 	}
 }
 
-// awaitLinkUp waits while the link is cut. It returns false if the run ends or the sidecar closes the connection; the data on the
-// link is lost then. The proxy records a request at once even if the link is cut, because the oracle checks a sidecar by when
-// it sent the request.
+// awaitLinkUp waits while the link is cut. It returns false if the run ends or the sidecar closes the connection; in both cases
+// the data on the link is lost. The proxy records a request at once even if the link is cut, because the oracle checks when the
+// sidecar sent the request.
 func (l *link) awaitLinkUp(conn *proxiedConn) bool {
 	for l.faults.active(faultCut) {
 		select {
--- a/internal/faultsoak/records.go
+++ b/internal/faultsoak/records.go
@@ -11,7 +11,8 @@
 	method   string
 	keyed    bool
 	deadline time.Duration
-	// Of a keyed class: its deduplication window, and whether one cell shares the keys rather than all servers.
+	// For a keyed class: its deduplication window, and whether only the servers of one cell share the idempotency keys.
+	// Otherwise all servers share them.
 	window time.Duration
 	byCell bool
 	// repeatable: a request may be rejected even if an earlier attempt was executed.
--- a/internal/faultsoak/server.go
+++ b/internal/faultsoak/server.go
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// responseBody returns the response to a request: its ID, some bytes and a checksum. The oracle uses them to
+// responseBody returns the response to a request: the ID of the request, some bytes and a checksum. The oracle uses them to
 // detect a response that no server made, that was cut short, or that belongs to another request.
 func responseBody(id string, size int) string {
 	text := id + " " + strings.Repeat("x", size) + " "
--- a/internal/faultsoak/shim/seccomp.go
+++ b/internal/faultsoak/shim/seccomp.go
@@ -39,7 +39,7 @@
 }
 
 // Exec installs the filter on the calling process, writes the number of the notification descriptor to descriptor notify, waits
-// for a byte from descriptor release, and then executes a program in place of the process. It returns only with an error.
+// for a byte from descriptor release, and then executes a program in place of the process. Exec returns only if it fails.
 func Exec(path string, args, env []string, notify, release int) error {
 	runtime.LockOSThread() // the filter applies only to the thread that installs it, which has to execute the program
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
--- a/internal/faultsoak/shim/shim.go
+++ b/internal/faultsoak/shim/shim.go
@@ -36,7 +36,7 @@
 // notifiedCalls are the calls for which the filter notifies the parent, besides readings of the wall clock.
 var notifiedCalls = []Call{Accept, Socket, Connect, RecvFrom, OpenAt}
 
-// Rule makes a share of the calls of a system call fail with an error until a time.
+// Rule makes the given share of the calls of one system call return an error until the given time.
 type Rule struct {
 	Call  Call
 	Errno syscall.Errno
@@ -44,7 +44,7 @@
 	Until time.Time
 }
 
-// pollTimeoutMS bounds the time until the exit of the process is detected.
+// pollTimeoutMS bounds the time until the supervisor detects that the process has exited.
 const pollTimeoutMS = 100
 
 // Supervisor responds to the notifications of one process. Its methods are safe for concurrent use.
--- a/internal/faultsoak/shim/shim_test.go
+++ b/internal/faultsoak/shim/shim_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// program runs the command in each line of its input and prints the result: the wall clock and the time since its start for
-// "clock", the error for "dial ADDRESS" and "accept".
+// program runs the command in each line of its input and prints the result: the wall clock and the time since the start of the
+// program for "clock", the error for "dial ADDRESS" and "accept".
 func program() {
 	start := time.Now()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/faultsoak/sidecar.go
+++ b/internal/faultsoak/sidecar.go
@@ -68,8 +68,8 @@
 }
 
 // excusedByKill reports whether a request may be unanswered because the process was killed. beganAt and sentAt are when the
-// request's first and last byte were written. A request that was sent later than graceAfterTerm after SIGTERM is not excused: the
-// sidecar had to close its connections before.
+// request's first and last byte were written. A request that was sent later than graceAfterTerm after SIGTERM is not excused:
+// by then, the sidecar had to have closed its connections.
 func (s *sidecar) excusedByKill(beganAt, sentAt time.Time) bool {
 	if !s.killedSince(beganAt) {
 		return false
