--- a/internal/supervisor/client.go
+++ b/internal/supervisor/client.go
@@ -38,7 +38,7 @@
 	maxErrorBytes    = 200      // limit of the part of a response that an error quotes
 )
 
-// errNotExecuted marks a call of which the platform has not executed any request.
+// errNotExecuted marks the error of a call if the platform has executed none of its requests.
 var errNotExecuted = errors.New("not executed")
 
 // Batch is the body of a POST to UnitsPath.
@@ -186,8 +186,8 @@
 	return data, nil
 }
 
-// isPermanent reports whether a status is a client error that no retry can resolve. Exceptions are 409, whose body contains
-// the outcomes, and 408.
+// isPermanent reports whether a status is a client error that no retry can resolve. Exceptions are 409, whose body
+// contains the outcomes, and 408, a timeout that a retry may resolve.
 func isPermanent(status int) bool {
 	clientError := status >= http.StatusBadRequest && status < http.StatusInternalServerError
 	return clientError && status != http.StatusConflict && status != http.StatusRequestTimeout
--- a/internal/supervisor/core/core_test.go
+++ b/internal/supervisor/core/core_test.go
@@ -190,8 +190,8 @@
 	})
 }
 
-// The numbers of records and units are bounded. The oldest record whose unit is neither starting nor stopping is evicted, and
-// the oldest exited unit. A unit with a running process is never evicted.
+// The numbers of records and units are bounded. The core evicts the oldest record whose unit is neither starting nor
+// stopping, and the unit that exited first. It never evicts a unit with a running process.
 func TestRecordsAndUnitsAreBounded(t *testing.T) {
 	c := New(Options{Versions: versions, MaxUnits: 2, MaxRequestIDs: 4}, 1)
 	a := start(c, "a", "a", "1", 0)
--- a/internal/supervisor/core/execute.go
+++ b/internal/supervisor/core/execute.go
@@ -16,7 +16,7 @@
 	return &rejection{reason, fmt.Sprintf(format, args...)}
 }
 
-// executeAll executes the requests of a call with a fault or noFault.
+// executeAll executes the requests of a call under a fault. noFault stands for no fault.
 func (c *Core) executeAll(now int64, requests []request, fault FaultKind) Response {
 	if !c.reserveRecords(len(requests)) {
 		return Response{Failure: "too many requests are under way"}
@@ -35,7 +35,8 @@
 	return response
 }
 
-// execute executes one request, or returns the recorded outcome of a repeated one. It clears the fault once it has acted.
+// execute executes one request, or returns the recorded outcome of a repeated request. It clears the fault once the
+// fault has acted.
 func (c *Core) execute(now int64, r *request, fault *FaultKind) supervisor.Outcome {
 	outcome := supervisor.Outcome{ID: r.ID, Unit: r.Unit, Epoch: c.epoch}
 	if r.Epoch != c.epoch {
@@ -65,8 +66,8 @@
 	return outcome
 }
 
-// reserveRecords makes room for n more records by evicting the oldest records whose units are neither starting nor stopping.
-// It returns false if it cannot evict enough of them.
+// reserveRecords makes room for n more records by evicting the oldest records whose units are neither starting nor
+// stopping. It returns false if it cannot evict enough records.
 func (c *Core) reserveRecords(n int) bool {
 	for remaining := len(c.recordOrder); len(c.recordOrder)+n > c.options.MaxRequestIDs; remaining-- {
 		if remaining == 0 {
--- a/internal/supervisor/core/faults.go
+++ b/internal/supervisor/core/faults.go
@@ -27,8 +27,8 @@
 	FaultDropResponse FaultKind = "lose"
 	// FaultDuplicate starts two processes for the first unit that the call starts. The platform knows only one of them.
 	FaultDuplicate FaultKind = "twice"
-	// FaultWrongUnit stops another unit instead of the first one that the call stops: the next running unit of the same
-	// kind by name.
+	// FaultWrongUnit stops another unit instead of the first unit that the call stops: the next running unit of the
+	// same kind by name.
 	FaultWrongUnit FaultKind = "wrong"
 	// FaultLoseState discards all remembered requests and units at once. The processes keep running, and the platform finds
 	// them again after DurationMS; 0: never.
@@ -162,7 +162,8 @@
 	c.faults = append(c.faults[:i:i], c.faults[i+1:]...) // a copy: nextFault ranges over the slice
 }
 
-// nextFault returns the oldest fault that acts on a call, and counts the call; nil if no fault acts on it.
+// nextFault returns the oldest fault that acts on a call, or nil. It counts the call towards the limit of the fault,
+// and removes a fault that has reached its limit.
 func (c *Core) nextFault(now int64, operation string, requests []request) *activeFault {
 	for i, f := range c.faults {
 		if !f.actsOn(now, operation, requests) {
@@ -193,7 +194,8 @@
 	return Response{DeferredTicket: call.ticket}
 }
 
-// releaseCalls executes the calls that a fault has deferred, in the order of their arrival. A nil fault stands for all.
+// releaseCalls executes the calls that a fault has deferred, in the order of their arrival. If fault is nil, it
+// executes the deferred calls of all faults.
 func (c *Core) releaseCalls(now int64, fault *activeFault) {
 	calls := c.deferredCalls
 	c.deferredCalls = nil
--- a/internal/supervisor/core/fixtures_test.go
+++ b/internal/supervisor/core/fixtures_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// Guards the JSON of faults, for encoding and decoding.
+// Fails if the encoding or decoding of faults as JSON changes, which would break callers of the HTTP interface.
 func TestFixtureFaults(t *testing.T) {
 	var out bytes.Buffer
 	for _, f := range fixtureFaults() {
@@ -40,7 +40,7 @@
 	}
 }
 
-// Guards the JSON of outcomes, rejections and lists in a scripted run.
+// Fails if the JSON of outcomes, rejections or lists changes in a scripted run.
 func TestFixtureOutcomes(t *testing.T) {
 	c := New(Options{Versions: versions, MaxUnits: 2, MaxRequestIDs: 64}, 1000)
 	var out bytes.Buffer
--- a/internal/supervisor/core/units.go
+++ b/internal/supervisor/core/units.go
@@ -15,7 +15,8 @@
 	maxBackoffDoublings     = 5 // one more doubling of the initial backoff exceeds the maximum
 )
 
-// unit is a listed unit, or the unlisted owner of a process: one from before a loss of state, or a duplicate.
+// unit is a listed unit, or an unlisted unit with a running process: a unit from before a loss of state, or a
+// duplicate.
 type unit struct {
 	supervisor.Unit
 	process     uint64 // number of the running process; 0: none
@@ -181,7 +182,8 @@
 	}
 }
 
-// evictExitedUnit removes the unit that exited first, among those without a scheduled restart; false if there is none.
+// evictExitedUnit removes the unit that exited first among the exited units without a scheduled restart. It returns
+// false if no unit qualifies.
 func (c *Core) evictExitedUnit() bool {
 	var oldest *unit
 	for _, u := range c.units {
--- a/internal/supervisor/fake/fake_test.go
+++ b/internal/supervisor/fake/fake_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// Two runs with thousands of units result in the same list.
+// Two runs with the same calls and 3,000 units end with the same list. Otherwise simulations would not be reproducible.
 func TestManyUnitsAreDeterministic(t *testing.T) {
 	const units = 3000
 	run := func() *supervisor.List {
--- a/internal/supervisor/fixtures_test.go
+++ b/internal/supervisor/fixtures_test.go
@@ -50,7 +50,8 @@
 	return outcomes
 }
 
-// Guards the JSON of requests, responses and lists, for encoding and decoding.
+// Fails if the encoding or decoding of requests, responses or lists as JSON changes. Platforms and clients of other
+// versions could not decode them then.
 func TestFixtureJSON(t *testing.T) {
 	if err := ValidateBatch(fixtureRequests()); err != nil {
 		t.Error(err)
@@ -72,7 +73,7 @@
 	goldenJSON(t, "list-forgotten.json", List{Epoch: 8, AtMS: 1, Units: []Unit{}})
 }
 
-// Guards the digests of requests, which platforms remember, and the texts of rejections, which callers log.
+// Fails if the digest of a request changes, which platforms remember, or the text of a rejection, which callers log.
 func TestFixtureDigestsAndErrors(t *testing.T) {
 	var out bytes.Buffer
 	for _, r := range fixtureRequests() {
--- a/internal/supervisor/standin/fixtures_test.go
+++ b/internal/supervisor/standin/fixtures_test.go
@@ -17,7 +17,7 @@
 	"milldeck/internal/supervisor"
 )
 
-// Guards the keys of a versions file.
+// Fails if the keys of a versions file change: existing files would become invalid.
 func TestFixtureVersions(t *testing.T) {
 	v, err := LoadVersions(goldentest.Path("versions.toml"))
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// Guards the HTTP responses, except for the values that depend on the clock: the epoch and times.
+// Fails if the HTTP responses change, except for the values that depend on the clock: the epoch and times.
 func TestFixtureHTTPAnswers(t *testing.T) {
 	versions, err := LoadVersions(goldentest.Path("versions.toml"))
 	if err != nil {
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -120,8 +120,8 @@
 	Unit     string          `json:"unit"`
 	Rejected RejectionReason `json:"refused,omitempty"`
 	Detail   string          `json:"text,omitempty"` // of the rejection, one line
-	// Epoch and Incarnation are those of the platform and the unit after the request. A start or restart returns the new
-	// incarnation.
+	// Epoch is the epoch of the platform, and Incarnation the incarnation of the unit, after the request. A start or
+	// restart returns the new incarnation.
 	Epoch       uint64 `json:"memory"`
 	Incarnation uint64 `json:"incarnation"`
 }
@@ -176,8 +176,9 @@
 type List struct {
 	// Epoch identifies the platform's state. It increases each time the platform loses its state.
 	Epoch uint64 `json:"memory"`
-	// Complete says that the platform has found all processes that it runs. While it is false, a unit that is not listed may
-	// be running. While it is true, such a unit was not started in this epoch, or exited long ago.
+	// Complete says that the platform has found all processes that it runs. While it is false, a unit that is not
+	// listed may be running. While it is true, a unit that is not listed was not started in this epoch, or exited long
+	// ago.
 	Complete bool   `json:"complete"`
 	AtMS     int64  `json:"at_ms"` // by the platform's clock
 	Units    []Unit `json:"units"` // by name
--- a/internal/supervisor/validate.go
+++ b/internal/supervisor/validate.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// ValidateVersion returns an error if a request could not name the version.
+// ValidateVersion returns an error if the kind or the name of a version is not allowed in a request.
 func ValidateVersion(k Kind, name string) error {
 	if err := k.validate(); err != nil {
 		return err
