--- a/internal/loadreport/collector.go
+++ b/internal/loadreport/collector.go
@@ -1,8 +1,8 @@
 // Package loadreport collects the load reports of a fleet's sidecars for the controllers whose decisions depend on them.
 //
-// A Collector holds the newest report of each sidecar in memory, within bounds, as long as the sidecar sends reports.
-// Reports are soft state: they are not stored, and the next report supersedes a lost one. Package placement defines the
-// reports, and package agent forwards them to collectors.
+// A Collector holds the newest report of each sidecar in memory, within the bounds of Options, as long as the sidecar
+// sends reports. Reports are soft state: they are not stored, and the next report supersedes a lost one. Package
+// placement defines the reports, and package agent forwards them to collectors.
 package loadreport
 
 import (
@@ -70,7 +70,7 @@
 }
 
 // SetAccepting sets whether the collector accepts reports. A controller accepts reports while it holds its lease. A
-// collector that stops accepting reports drops the ones that it has.
+// collector that stops accepting reports drops all reports that it holds.
 func (c *Collector) SetAccepting(accepting bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/loadreport/collector_test.go
+++ b/internal/loadreport/collector_test.go
@@ -64,8 +64,8 @@
 	return recorder.Code
 }
 
-// decodeFast decodes each input that it accepts to the same reports as encoding/json, also if a valid input was slightly
-// modified.
+// decodeFast decodes each input that it accepts to the same reports as encoding/json, also if the input is a slightly
+// modified valid batch. Otherwise a collector would hand wrong loads to the controllers.
 func TestFastDecodingMatchesEncodingJSON(t *testing.T) {
 	decoded := 0
 	check := func(t *rapid.T) {
--- a/internal/loadreport/json_scanner.go
+++ b/internal/loadreport/json_scanner.go
@@ -32,7 +32,7 @@
 // atEnd reports whether only white space remains.
 func (s *scanner) atEnd() bool { return s.peek() == 0 && len(s.remaining) == 0 }
 
-// consume skips white space and a given byte. It returns false if the next byte is another one.
+// consume skips white space and a given byte. It returns false if a different byte follows the white space.
 func (s *scanner) consume(c byte) bool {
 	if s.peek() != c {
 		return false
