--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// runList runs the commands of the list, and writes the files from which .ci/run learns what to skip.
+// runList runs the commands of the list, and writes the files from which .ci/run reads which tests and commands to
+// skip.
 func runList(list, skip, commands string) error {
 	text, err := os.ReadFile(list)
 	if err != nil {
