--- a/cmd/milldeck/accept_errors_test.go
+++ b/cmd/milldeck/accept_errors_test.go
@@ -14,7 +14,8 @@
 	"milldeck/internal/lab/proc/proctest"
 )
 
-// With these variables, the test binary runs as the milldeck command, or executes itself under the shim.
+// If one of these environment variables is set, the test binary runs as the milldeck command, or executes itself under the
+// shim.
 const (
 	asCommandVariable = "MILLDECK_TEST_AS_COMMAND"
 	underShimVariable = "MILLDECK_TEST_UNDER_SHIM"
--- a/cmd/milldeck/fleet.go
+++ b/cmd/milldeck/fleet.go
@@ -41,7 +41,7 @@
 		})
 }
 
-// writeFleet prints a view of the ledger as text, uncertainty and halts first.
+// writeFleet prints a view of the ledger as text. The reason why the view is uncertain, if any, and the halts come first.
 func writeFleet(out io.Writer, view *disruption.View) error {
 	table := newTable(out)
 	if view.Uncertainty != "" {
--- a/cmd/milldeck/fleet_budgets_test.go
+++ b/cmd/milldeck/fleet_budgets_test.go
@@ -11,7 +11,8 @@
 	"milldeck/internal/registry"
 )
 
-// The command replaces the budgets by those of the file: it sets new ones and deletes the others. An invalid file sets none.
+// `milldeck fleet budgets FILE` replaces the stored budgets by the budgets of the file: it sets the new budgets and deletes
+// budgets that the file lacks. An invalid file changes no budget.
 func TestFleetBudgets(t *testing.T) {
 	block, err := proc.ReserveAddressBlock()
 	if err != nil {
--- a/cmd/milldeck/lab_run.go
+++ b/cmd/milldeck/lab_run.go
@@ -155,7 +155,7 @@
 	return command
 }
 
-// writeModeComparison writes the results of sim and run side by side, with their difference.
+// writeModeComparison writes the simulated and the measured result of a plan side by side, with their difference.
 func writeModeComparison(out io.Writer, simulated, measured *lab.Result) error {
 	if err := report.WriteComparison(out, []*lab.Result{simulated, measured}); err != nil {
 		return err
--- a/cmd/milldeck/lab_server.go
+++ b/cmd/milldeck/lab_server.go
@@ -11,7 +11,7 @@
 	"milldeck/internal/lab/live"
 )
 
-// newLabServer returns a hidden command, which the lab's platform starts.
+// newLabServer returns the hidden command that runs a server of the lab. The lab's platform starts it as a process.
 func newLabServer() *cobra.Command {
 	var listen, configPath, regressionPath string
 	var unit live.Unit
--- a/cmd/milldeck/registry_watch.go
+++ b/cmd/milldeck/registry_watch.go
@@ -34,7 +34,8 @@
 	return command
 }
 
-// endpointWatch prints the changes after a revision in an epoch, which it advances with each change.
+// endpointWatch prints the changes of the endpoint list after a revision in an epoch. It advances the revision and epoch with
+// each change.
 type endpointWatch struct {
 	flags           *clientFlags
 	revision, epoch uint64
--- a/cmd/milldeck/release_start.go
+++ b/cmd/milldeck/release_start.go
@@ -187,8 +187,8 @@
 	return nil
 }
 
-// startRelease writes a release's initial state to the log. It writes nothing if the release is in progress with the same
-// plan, or has a command that is not handled yet.
+// startRelease writes a release's initial state to the log. It writes nothing if the release is in progress with the same plan,
+// or if the controller has not handled a command to the release yet.
 func startRelease(
 	ctx context.Context, client *registry.Client, platform supervisor.Supervisor, p *plan.Plan, newState newStateFunc,
 ) error {
@@ -260,8 +260,8 @@
 	return err == nil && info.Mode().IsRegular()
 }
 
-// prepareUnit returns a function that requests the hot-key controller to replicate elsewhere what only a given server serves.
-// It returns nil if no hot-key controller is configured.
+// prepareUnit returns a function that requests the hot-key controller to replicate on other servers the keys that only a given
+// server serves. It returns nil if no hot-key controller is configured.
 func (f *controllerFlags) prepareUnit() func(context.Context, string) (bool, error) {
 	if f.hotKeyController == "" {
 		return nil
--- a/cmd/milldeck/window.go
+++ b/cmd/milldeck/window.go
@@ -41,7 +41,7 @@
 	Fleet     map[string][]string `toml:"fleet"`   // all servers by UID, each with its tenants; an empty list: all tenants
 }
 
-// minWork and maxWork limit the work of one window. Longer work needs several windows.
+// minWork and maxWork limit the duration of the work in one window. Longer work needs several windows.
 const minWork, maxWork = time.Minute, 24 * time.Hour
 
 func newWindowPlan() *cobra.Command {
@@ -154,7 +154,8 @@
 	return request, nil
 }
 
-// printPlan prints the start in UTC, and the interval that each contract approves in the tenant's time zone.
+// printPlan prints the planned start of a window in UTC, and the interval that each contract approves in the tenant's time
+// zone.
 func printPlan(out io.Writer, name string, plan *maintenance.Plan, table *maintenance.Table) error {
 	const layout = "Mon 2006-01-02 15:04 MST"
 	start := time.UnixMilli(plan.StartMS).UTC().Format(layout)
