--- a/internal/faultsoak/clients.go
+++ b/internal/faultsoak/clients.go
@@ -16,9 +16,9 @@
 
 const (
 	requestsPerSecond     = 24                     // to each sidecar
-	answerGrace           = 500 * time.Millisecond // a response this late has no value for the client; a later one counts as lost
+	answerGrace           = 500 * time.Millisecond // a response up to this late is worthless to the client; a later response is lost
 	hostSlack             = 150 * time.Millisecond // scheduling delay of the machine that runs the soak
-	badClientTimeout      = 3 * time.Second        // a client that stops gets an error or a close within this time
+	badClientTimeout      = 3 * time.Second        // after a partial request, the sidecar sends an error or closes within this time
 	newConnsAfterTerm     = 400 * time.Millisecond // clients open new connections until this long after SIGTERM
 	maxSlowWritePause     = 400 * time.Millisecond
 	minTimeoutShare       = 0.4
--- a/internal/faultsoak/oracle.go
+++ b/internal/faultsoak/oracle.go
@@ -25,7 +25,7 @@
 	overlapSlack        = 50 * time.Millisecond // the proxy detects a closed connection within this time
 	windowSlack         = 50 * time.Millisecond
 	measuringSlack      = 30 * time.Millisecond
-	minServedShare      = 0.3  // of the requests of well-behaved clients; a run with less proves nothing
+	minServedShare      = 0.3  // of the requests of well-behaved clients; a run with a lower served share proves nothing
 	smallSampleAttempts = 30.0 // with fewer allowed attempts the margin is 3 standard deviations rather than 2
 	minInformedShare    = 2.0 / 3
 )
@@ -209,7 +209,7 @@
 // slow start, whose attempts exceed the allowed number by most. It skips windows in which fewer than minInformedShare of the
 // attempts come from sidecars that know of the start.
 func (r *records) worstWindow(start listRecord, rules slowStartRules) (worst, allowed float64) {
-	var informed, uninformed []time.Duration // after the start
+	var informed, uninformed []time.Duration // times of the attempts after the start
 	for _, request := range r.requests {
 		for _, attempt := range request.Attempts {
 			after := attempt.LastByteAt.Sub(start.StartedAt)
--- a/internal/faultsoak/plan.go
+++ b/internal/faultsoak/plan.go
@@ -18,7 +18,7 @@
 	faultKill                 faultKind = "sidecar-kill"      // SIGKILL, then a new process
 	faultReload               faultKind = "sidecar-reload"    // SIGHUP with a configuration that names the other agent
 	faultSuspend              faultKind = "sidecar-hold"      // SIGSTOP for up to 0.15 s
-	faultClockStep            faultKind = "clock-step"        // of the wall clock that sidecars and servers share
+	faultClockStep            faultKind = "clock-step"        // a step of the wall clock that sidecars and servers share
 	faultSystemCall           faultKind = "system-call"       // a share of the calls of one system call fails
 	faultRestart              faultKind = "server-restart"    // killed and started again in slow start
 	faultDrain                faultKind = "server-drain"      // published as terminating, perhaps removed, then ready again
@@ -70,7 +70,7 @@
 	Step    time.Duration // of a clock step
 	Call    shim.Call
 	Errno   syscall.Errno
-	Share   float64 // of calls, responses or clients
+	Share   float64 // share of the calls, responses or clients that the fault affects
 	Removed bool    // of a drain: the server is removed before it is ready again
 	Signals signalSequence
 }
--- a/internal/faultsoak/proxy.go
+++ b/internal/faultsoak/proxy.go
@@ -18,7 +18,7 @@
 const (
 	proxyDialTimeout        = 200 * time.Millisecond
 	cutPollInterval         = 5 * time.Millisecond
-	maxSecondResponse       = 2 * time.Millisecond // after the first response
+	maxSecondResponse       = 2 * time.Millisecond // longest delay between two responses to one request
 	closeAfterResponseShare = 0.01                 // share of responses after which the proxy closes the connection
 )
 
--- a/internal/faultsoak/records.go
+++ b/internal/faultsoak/records.go
@@ -61,7 +61,7 @@
 	key     int       // sent as cookie k
 	size    int       // of the body in bytes
 
-	resentAt       time.Time // sent once more, as the close of an idle connection raced with it
+	resentAt       time.Time // when it was sent once more, because the close of an idle connection raced with it
 	dueAt          time.Time // deadline of the response, without any grace
 	DisconnectedAt time.Time // the client closed its connection; zero: it did not disconnect early
 	AnsweredAt     time.Time
--- a/internal/faultsoak/run.go
+++ b/internal/faultsoak/run.go
@@ -33,7 +33,7 @@
 	discoveryDelay       = 200 * time.Millisecond // until discovery publishes the restart of a server
 	drainNotice          = 1500 * time.Millisecond
 	knownAfterWatchFault = 6 * time.Second // after a fault of its watch a sidecar has to know changes within this time
-	knownAfterReload     = 4 * time.Second // the same after SIGHUP
+	knownAfterReload     = 4 * time.Second // after SIGHUP a sidecar has to know changes within this time
 	closeTimeout         = 5 * time.Second
 	settleTime           = 2 * time.Second // after the load, until all requests are answered or lost
 	watchFaultWindow     = 8 * time.Second // a discovery fault concerns changes that are published within this time after it
--- a/internal/faultsoak/server.go
+++ b/internal/faultsoak/server.go
@@ -22,7 +22,7 @@
 	serverQueue     = 40
 	meanServiceTime = 25 * time.Millisecond
 	capacityPerSec  = float64(time.Second / meanServiceTime) // requests per second of one warm server
-	maxExtraBytes   = 400                                    // a response is larger than the request body by up to this
+	maxExtraBytes   = 400                                    // a response is larger than the request body by fewer bytes than this
 	executionPrefix = "executed"                             // first word of a line in a server's log that records an execution
 )
 
--- a/internal/faultsoak/sidecar.go
+++ b/internal/faultsoak/sidecar.go
@@ -42,7 +42,7 @@
 	killedAt            time.Time
 	killedProcessTermAt time.Time // when the killed process got SIGTERM; zero: it got none
 	termAt              time.Time // when the process got SIGTERM or ended; zero: it is serving
-	activeAgent         int       // index in agents of the one in the configuration
+	activeAgent         int       // index in agents of the agent that the configuration names
 	reloadedAt          time.Time
 	wallOffset          time.Duration
 	injected            map[string]int
--- a/internal/faultsoak/signals.go
+++ b/internal/faultsoak/signals.go
@@ -73,7 +73,7 @@
 	s.expectedExit = true
 	s.mu.Unlock()
 	time.Sleep(earlySignalAfter)
-	_ = process.Signal(signal.(syscall.Signal)) // fails only if it has exited, as the next process will then, too
+	_ = process.Signal(signal.(syscall.Signal)) // fails only if the process has exited; then the next process exits, too
 	select {
 	case <-process.Done():
 	case <-ctx.Done():
