--- a/internal/supervisor/core/faults.go
+++ b/internal/supervisor/core/faults.go
@@ -150,7 +150,7 @@
 	c.releaseCalls(now, nil)
 }
 
-// expireFault ends one fault, and executes the calls that it has deferred.
+// expireFault ends one fault, and executes the calls that the fault has deferred.
 func (c *Core) expireFault(now int64, expired *activeFault) {
 	if i := slices.Index(c.faults, expired); i >= 0 {
 		c.removeFault(i)
--- a/internal/supervisor/core/units.go
+++ b/internal/supervisor/core/units.go
@@ -133,7 +133,8 @@
 	}
 }
 
-// ProcessExited handles the event that a process has exited or could not be started. exit is one line that says how.
+// ProcessExited handles the event that a process has exited or could not be started. exit is a one-line text that says how the
+// process ended.
 func (c *Core) ProcessExited(now int64, process uint64, exit string) {
 	u := c.processes[process]
 	if u == nil {
--- a/internal/supervisor/fake/fake.go
+++ b/internal/supervisor/fake/fake.go
@@ -55,7 +55,7 @@
 type Platform struct {
 	options Options
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the following fields
 	core       *core.Core
 	nowMS      int64
 	events     eventHeap
--- a/internal/supervisor/standin/platform.go
+++ b/internal/supervisor/standin/platform.go
@@ -20,7 +20,7 @@
 	startTime    time.Time
 	healthClient *http.Client
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the following fields
 	core          *core.Core
 	processes     map[uint64]*proc.Process      // by the core's process number
 	loggedUnits   map[string]bool               // units that may have a log file
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -20,7 +20,7 @@
 const (
 	// MaxRequests is the maximum number of requests in one batch.
 	MaxRequests = 256
-	// MaxConfigBytes is the maximum size of a configuration. A configuration with 2,000 known servers takes a third of it.
+	// MaxConfigBytes is the maximum size of a configuration. A configuration with 2,000 known servers takes a third of this size.
 	MaxConfigBytes = 1 << 20
 	// MaxGraceMS is the maximum grace period of ten minutes, in ms. No drain waits longer for requests in flight.
 	MaxGraceMS = 600_000
