--- a/cmd/milldeck/accept_errors_test.go
+++ b/cmd/milldeck/accept_errors_test.go
@@ -14,8 +14,8 @@
 	"milldeck/internal/lab/proc/proctest"
 )
 
-// If one of these environment variables is set, the test binary runs as the milldeck command, or executes itself under the
-// shim.
+// If asCommandVariable is set, the test binary runs as the milldeck command. If underShimVariable is set, it executes itself
+// under the shim.
 const (
 	asCommandVariable = "MILLDECK_TEST_AS_COMMAND"
 	underShimVariable = "MILLDECK_TEST_UNDER_SHIM"
--- a/cmd/milldeck/agent.go
+++ b/cmd/milldeck/agent.go
@@ -21,7 +21,7 @@
 	Replicas        []string `toml:"replicas"`
 	ListFile        string   `toml:"saved"` // stores the last good endpoint list
 	FleetSize       int      `toml:"fleet"` // approximate number of agents
-	MaxLossFraction float64  `toml:"share"` // of the ready servers that a list may remove unconfirmed by a second replica
+	MaxLossFraction float64  `toml:"share"` // of the ready servers: a list that removes more needs confirmation by a second replica
 
 	PlacementFile   string   `toml:"saved_placement"`
 	ReportAddresses []string `toml:"reports"` // addresses to which load reports are forwarded
--- a/cmd/milldeck/contract.go
+++ b/cmd/milldeck/contract.go
@@ -58,7 +58,7 @@
 	return command
 }
 
-// printApprovedHours prints the approved hours of a number of days from now on, in the tenant's time zone and in UTC.
+// printApprovedHours prints the approved hours of the given number of days from now on, in the tenant's time zone and in UTC.
 func printApprovedHours(out io.Writer, terms *contract.Contract, now int64, days int) error {
 	calendar, err := terms.Calendar()
 	if err != nil {
--- a/cmd/milldeck/release_start.go
+++ b/cmd/milldeck/release_start.go
@@ -29,7 +29,7 @@
 )
 
 const (
-	devReports  = "127.0.0.1:8530" // at which a release's controller accepts load reports
+	devReports  = "127.0.0.1:8530" // address at which a release's controller accepts load reports
 	devPlatform = "127.0.0.1:8540"
 
 	defaultMaxRequestDuration = 10 * time.Second
@@ -41,7 +41,7 @@
 
 	prepareTimeout  = 2 * time.Second // for one request to the hot-key controller
 	preparePath     = "/spread/leave" // path of the request to the hot-key controller
-	maxPrepareBytes = 1 << 10         // limit of its response
+	maxPrepareBytes = 1 << 10         // limit of the response of the hot-key controller
 )
 
 // controllerFlags are the flags of the commands that run a release's controller.
