--- a/internal/faultsoak/records.go
+++ b/internal/faultsoak/records.go
@@ -11,7 +11,8 @@
 	method   string
 	keyed    bool
 	deadline time.Duration
-	// Of a keyed class: its deduplication window, and whether one cell shares the keys rather than all servers.
+	// For a keyed class: its deduplication window, and whether only the servers of one cell share the idempotency keys.
+	// Otherwise all servers share them.
 	window time.Duration
 	byCell bool
 	// repeatable: a request may be rejected even if an earlier attempt was executed.
@@ -60,7 +61,7 @@
 	key     int       // sent as cookie k
 	size    int       // of the body in bytes
 
-	resentAt       time.Time // sent once more, as the close of an idle connection raced with it
+	resentAt       time.Time // when it was sent once more, because the close of an idle connection raced with it
 	dueAt          time.Time // deadline of the response, without any grace
 	DisconnectedAt time.Time // the client closed its connection; zero: it did not disconnect early
 	AnsweredAt     time.Time
--- a/internal/faultsoak/sidecar.go
+++ b/internal/faultsoak/sidecar.go
@@ -42,7 +42,7 @@
 	killedAt            time.Time
 	killedProcessTermAt time.Time // when the killed process got SIGTERM; zero: it got none
 	termAt              time.Time // when the process got SIGTERM or ended; zero: it is serving
-	activeAgent         int       // index in agents of the one in the configuration
+	activeAgent         int       // index in agents of the agent that the configuration names
 	reloadedAt          time.Time
 	wallOffset          time.Duration
 	injected            map[string]int
@@ -68,8 +68,8 @@
 }
 
 // excusedByKill reports whether a request may be unanswered because the process was killed. beganAt and sentAt are when the
-// request's first and last byte were written. A request that was sent later than graceAfterTerm after SIGTERM is not excused: the
-// sidecar had to close its connections before.
+// request's first and last byte were written. A request that was sent later than graceAfterTerm after SIGTERM is not excused:
+// by then, the sidecar had to have closed its connections.
 func (s *sidecar) excusedByKill(beganAt, sentAt time.Time) bool {
 	if !s.killedSince(beganAt) {
 		return false
--- a/internal/supervisor/core/units.go
+++ b/internal/supervisor/core/units.go
@@ -15,7 +15,8 @@
 	maxBackoffDoublings     = 5 // one more doubling of the initial backoff exceeds the maximum
 )
 
-// unit is a listed unit, or the unlisted owner of a process: one from before a loss of state, or a duplicate.
+// unit is a listed unit, or an unlisted unit with a running process: a unit from before a loss of state, or a
+// duplicate.
 type unit struct {
 	supervisor.Unit
 	process     uint64 // number of the running process; 0: none
@@ -132,7 +133,8 @@
 	}
 }
 
-// ProcessExited handles the event that a process has exited or could not be started. exit is one line that says how.
+// ProcessExited handles the event that a process has exited or could not be started. exit is a one-line text that says how the
+// process ended.
 func (c *Core) ProcessExited(now int64, process uint64, exit string) {
 	u := c.processes[process]
 	if u == nil {
@@ -181,7 +183,8 @@
 	}
 }
 
-// evictExitedUnit removes the unit that exited first, among those without a scheduled restart; false if there is none.
+// evictExitedUnit removes the unit that exited first among the exited units without a scheduled restart. It returns
+// false if no unit qualifies.
 func (c *Core) evictExitedUnit() bool {
 	var oldest *unit
 	for _, u := range c.units {
