--- a/internal/lab/arrivals.go
+++ b/internal/lab/arrivals.go
@@ -16,11 +16,11 @@
 	Key               uint64 // 0: none
 	WorkMS            float64
 	ExpectedWorkMS    float64 // work that the request announces
-	EffectID          uint64  // the same for all attempts; 0: the request has no effect
+	EffectID          uint64  // identifies the request's effect, the same for all attempts; 0: it has none
 	AttemptTimeoutMS  float64
 	DisconnectAfterMS float64 // 0: the client does not disconnect early
 	HonoursRetryAfter bool
-	RetryBackoffMS    float64 // before the first retry
+	RetryBackoffMS    float64 // delay before the first retry
 }
 
 // Arrivals generates the requests of a run in order of time.
@@ -30,9 +30,9 @@
 	now                 float64
 	count               uint64
 	peakRate            float64   // the highest rate of the run, requests a ms
-	cumulativeKeyShares []float64 // by index of the key, not normalised
+	cumulativeKeyShares []float64 // cumulative shares of the requests by index of the key, not normalised
 
-	// Traffic weights of the sidecars, and the shift of traffic that they were computed for.
+	// Cumulative traffic weights of the sidecars, and the zone and step of the shift that they were computed for.
 	cumulativeWeights []float64
 	shiftedSteps      float64
 	shiftZone         int
--- a/internal/lab/checker.go
+++ b/internal/lab/checker.go
@@ -14,8 +14,8 @@
 	minInformedShare = 2. / 3
 	// allSidecars is the key in Checker.excuses of the periods in which all sidecars are excused.
 	allSidecars = -1
-	// maxExcuses bounds the periods in which all sidecars are excused, as a run with more of them does not test sidecars, and
-	// the periods in which the supervisor misbehaves.
+	// maxExcuses bounds the number of periods in which all sidecars are excused, as a run with more does not test sidecars, and
+	// the number of periods in which the supervisor misbehaves.
 	maxExcuses = 1000
 )
 
@@ -68,7 +68,7 @@
 	c.excuses[sidecar] = append(c.excuses[sidecar], interval{from, to})
 }
 
-// ExcuseAll excuses all sidecars within a period in which the machine that runs the experiment was itself late.
+// ExcuseAll excuses all sidecars within a period in which the machine that runs the experiment was late.
 func (c *Checker) ExcuseAll(from, to float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// SidecarRestarted records that a sidecar was restarted and lost what it was notified of before.
+// SidecarRestarted records that a sidecar was restarted and lost the readiness of servers that it had been notified of.
 func (c *Checker) SidecarRestarted(sidecar int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,7 +141,7 @@
 	c.violations = append(c.violations, violation)
 }
 
-// Finish ends the run. It reports requests that are past their deadline without a response, and attempts of one request that
+// Finish ends the run. It reports requests that got no response by their deadline, and attempts of one request that
 // are still open in parallel.
 func (c *Checker) Finish(now float64) {
 	c.mu.Lock()
--- a/internal/lab/checker_requests.go
+++ b/internal/lab/checker_requests.go
@@ -26,7 +26,7 @@
 // responseSlackMS returns how long after the deadline a final response still counts as in time.
 func (c *Checker) responseSlackMS() float64 { return c.plan.Experiment.Rules.AnswerSlackMS + c.slackMS }
 
-// isOverdue reports whether the deadline and the slack of a request have passed and its sidecar is not excused.
+// isOverdue reports whether a request is later than its deadline plus the slack and its sidecar is not excused.
 func (c *Checker) isOverdue(history *requestHistory, now float64) bool {
 	return now > history.deadline+c.responseSlackMS() && !c.isExcused(history.sidecar, history.sentAt, now)
 }
@@ -95,7 +95,7 @@
 	}
 }
 
-// ClientDisconnected records that a client has disconnected. Its request no longer needs a response.
+// ClientDisconnected records that a client has disconnected. The client's request no longer needs a response.
 func (c *Checker) ClientDisconnected(now float64, id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +128,7 @@
 	return true
 }
 
-// AttemptReceived records that a server received an attempt. The sidecar sent its first byte at sentAt.
+// AttemptReceived records that a server received an attempt. The sidecar sent the attempt's first byte at sentAt.
 func (c *Checker) AttemptReceived(now, sentAt float64, id uint64, attempt int64, sidecar, server int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,7 +180,7 @@
 	}
 }
 
-// RequestExecuted records that a server has executed a request. The effect is false if the server recognised it as a repeat.
+// RequestExecuted records that a server has executed a request. The effect is false if the server recognised a repeat.
 func (c *Checker) RequestExecuted(now float64, id uint64, server int, effect bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/control_checker.go
+++ b/internal/lab/control_checker.go
@@ -38,7 +38,7 @@
 	supervisorFaults []supervisorFault
 	maxDisrupted     map[string]int // by kind of unit: the most voluntary disruptions at a time
 
-	exclusions     map[int]map[exclusionKey]interval // by sidecar: the periods of its current exclusions
+	exclusions     map[int]map[exclusionKey]interval // by sidecar: the periods of the sidecar's current exclusions
 	exclusionCount int
 	outsideHoursMS float64 // total time of exclusions outside the approved hours
 
@@ -119,7 +119,7 @@
 	return c
 }
 
-// update changes the state of a unit and checks the budgets if the change took it out of service.
+// update changes the state of a unit and checks the budgets if the change took the unit out of service.
 func (c *ControlPlaneChecker) update(now float64, unit string, voluntary bool, change func(state *unitState)) {
 	c.checker.mu.Lock()
 	defer c.checker.mu.Unlock()
@@ -166,7 +166,7 @@
 	return false
 }
 
-// isFaulted reports whether a fault of the run affects the unit.
+// isFaulted reports whether a fault that the run injected affects the unit now.
 func (u *unitState) isFaulted(now float64) bool {
 	return now >= u.faultInterval.from && now <= u.faultInterval.to
 }
--- a/internal/lab/control_checker_published.go
+++ b/internal/lab/control_checker_published.go
@@ -50,7 +50,7 @@
 	})
 }
 
-// checkHours checks that an exclusion lay within the approved hours of its tenant. Adjoining periods count as one.
+// checkHours checks that an exclusion lay within the approved hours of its tenant. Adjoining approved periods count as one.
 func (c *ControlPlaneChecker) checkHours(now float64, sidecar int, key exclusionKey, excluded interval) {
 	coveredUntil := excluded.from
 	hours := slices.Clone(c.spec.MaintenanceHours)
@@ -70,7 +70,7 @@
 
 // KeyCopy is an additional server of a hot key: sidecars send requests for the key to it and to the key's own server.
 type KeyCopy struct {
-	Key    uint64 // as sidecars hash it
+	Key    uint64 // hash of the key, as sidecars compute it
 	Server string
 }
 
--- a/internal/lab/control_spec.go
+++ b/internal/lab/control_spec.go
@@ -30,9 +30,9 @@
 type VersionSpec struct {
 	Name        string     `toml:"name"`
 	Kind        string     `toml:"kind"`     // "server" or "sidecar"
-	MaxRestarts int        `toml:"restarts"` // of a process that exits, by the supervisor itself
-	GraceMS     int64      `toml:"grace_ms"` // from SIGTERM to SIGKILL; 0: the supervisor's default
-	Regression  Regression `toml:"harm"`     // of servers
+	MaxRestarts int        `toml:"restarts"` // how often the supervisor itself restarts a process that exits
+	GraceMS     int64      `toml:"grace_ms"` // time from SIGTERM to SIGKILL; 0: the supervisor's default
+	Regression  Regression `toml:"harm"`     // misbehaviour of this version, for servers only
 }
 
 // ControllerSpec is a process of this program that acts on the fleet. Args and Config may hold placeholders: {replicas} for
@@ -63,7 +63,7 @@
 	AtS        float64  `toml:"at_s"`
 	Args       []string `toml:"args"`
 	File       string   `toml:"file"`   // contents of the file that {file} names
-	ExitStatus int      `toml:"status"` // expected of the command
+	ExitStatus int      `toml:"status"` // exit status that the command is expected to have
 	Action     string   `toml:"do"`     // the action on Target; "": Args is run
 	Target     string   `toml:"target"`
 }
@@ -100,7 +100,7 @@
 	Target string `toml:"target"`
 }
 
-// WarmupWorkSpec limits the work of cache misses at replicas of hot keys, for RuleHotKeyCost: within any window at most a
+// WarmupWorkSpec limits the work of cache misses at replicas of hot keys, for RuleHotKeyCost: within any window, at most a
 // share of the capacity of all servers.
 type WarmupWorkSpec struct {
 	WindowS  float64 `toml:"window_s"` // 0: no bound
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -73,8 +73,8 @@
 
 // NetworkSpec has the one-way delays of the network.
 type NetworkSpec struct {
-	LocalMS     Range   `toml:"local_ms"` // within a zone
-	CrossZoneMS Range   `toml:"cross_ms"` // between zones
+	LocalMS     Range   `toml:"local_ms"` // delay within a zone
+	CrossZoneMS Range   `toml:"cross_ms"` // delay between zones
 	Jitter      float64 `toml:"jitter"`   // the share by which a delay varies, uniformly, in both directions
 }
 
@@ -137,7 +137,7 @@
 // ClientSpec states how clients behave.
 type ClientSpec struct {
 	Retries               int     `toml:"retries"`   // client attempts after the first
-	RetryBackoffMS        Range   `toml:"wait_ms"`   // before the first retry; doubled before each further one
+	RetryBackoffMS        Range   `toml:"wait_ms"`   // delay before the first retry; doubled before each further retry
 	AttemptTimeoutShare   Range   `toml:"give_up"`   // timeout of an attempt as a share of the class's deadline
 	DisconnectShare       float64 `toml:"leave"`     // share of the clients that disconnect early
 	HonourRetryAfterShare float64 `toml:"honour"`    // share of the clients that honour Retry-After
@@ -155,10 +155,10 @@
 	QueueLength int    `toml:"queue"`    // requests that can wait
 	CellSize    int    `toml:"pod_size"` // servers that share their deduplication memory (group "pod")
 
-	SlowStartFrom float64 `toml:"cold_from"` // share of its capacity at the start
+	SlowStartFrom float64 `toml:"cold_from"` // share of its capacity that a server has at the beginning of its slow start
 	SlowStartS    Range   `toml:"cold_s"`    // length of the slow start; the capacity grows linearly
 
-	CongestionQueuePerCore float64 `toml:"choke_at"`      // requests waiting per core beyond which it gets congested; 0: never
+	CongestionQueuePerCore float64 `toml:"choke_at"`      // queue per core beyond which the server gets congested; 0: never
 	CongestionAfterMS      float64 `toml:"choke_for_ms"`  // how long the queue must exceed CongestionQueuePerCore first
 	CongestionSlowdown     float64 `toml:"choke_slower"`  // factor by which a congested server is slower
 	CongestionIdleMS       float64 `toml:"choke_idle_ms"` // congestion ends after at most half of its cores were busy for this long
@@ -188,7 +188,7 @@
 type ClassSpec struct {
 	Name                string  `toml:"name"`
 	Share               float64 `toml:"share"`
-	WorkMS              Range   `toml:"work_ms"` // drawn for each request
+	WorkMS              Range   `toml:"work_ms"` // work of a request, drawn for each
 	LatencyObjectiveMS  float64 `toml:"aim_ms"`
 	DeadlineMS          float64 `toml:"deadline_ms"`
 	PriorityWeight      float64 `toml:"worth"`
@@ -211,10 +211,10 @@
 	Kind      string  `toml:"kind"` // PhaseSteady (default) or another kind of phase
 	DurationS float64 `toml:"for_s"`
 	Rate      float64 `toml:"rate"` // requests a second of the fleet; 0: as in the phase before
-	EndRate   float64 `toml:"to"`   // ramp: the rate at its end
+	EndRate   float64 `toml:"to"`   // ramp: the rate at the end of the phase
 	Factor    float64 `toml:"by"`   // burst: multiple of the rate
 	Zone      string  `toml:"zone"` // shift: the zone that traffic moves to
-	Share     float64 `toml:"part"` // shift: the share of other zones' traffic that has moved at its end; hot: the share of all requests for the hot key
+	Share     float64 `toml:"part"` // shift: share of other zones' traffic moved by the end; hot: the hot key's share of all requests
 
 	KeyChangeS float64 `toml:"every_s"` // hot: interval after which another key becomes hot; 0: one key throughout
 }
@@ -227,15 +227,15 @@
 	Target         string   `toml:"target"`
 	Between        []string `toml:"between"`
 	Direction      string   `toml:"direction"` // "both" (default), "there" or "back"
-	Share          float64  `toml:"share"`     // of the targets, drawn from the seed; 0: all of them
-	Probability    float64  `toml:"part"`      // that a request is affected
-	Factor         float64  `toml:"by"`        // of the slowdown
+	Share          float64  `toml:"share"`     // share of the targets that are affected, drawn from the seed; 0: all targets
+	Probability    float64  `toml:"part"`      // probability that a request is affected
+	Factor         float64  `toml:"by"`        // factor of the slowdown
 	DelayMS        float64  `toml:"ms"`
 	Steps          int      `toml:"steps"`
 	ReuseAddresses bool     `toml:"reuse"` // rolling replacement: new servers reuse the addresses of the replaced ones
-	Misbehaviour   string   `toml:"what"`  // of the supervisor: one of SupervisorMisbehaviours
-	Operation      string   `toml:"on"`    // of the supervisor: the calls that misbehave, "do" or "list"; "": both
-	CallCount      int      `toml:"count"` // of the supervisor: calls that misbehave; 0: all within DurationS or, without a duration, one
+	Misbehaviour   string   `toml:"what"`  // fault of the supervisor: one of SupervisorMisbehaviours
+	Operation      string   `toml:"on"`    // fault of the supervisor: the calls that misbehave, "do" or "list"; "": both
+	CallCount      int      `toml:"count"` // supervisor: calls that misbehave; 0: all within DurationS or, without a duration, one
 }
 
 // Load reads an experiment from a file. Errors name the file, the line and the key.
--- a/internal/lab/fault_validate.go
+++ b/internal/lab/fault_validate.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	maxSteps     = 1000 // of a rolling replacement or restart
+	maxSteps     = 1000 // steps of a rolling replacement or restart
 	maxCallCount = 1000 // of a fault of the supervisor
 )
 
 // Values of FaultSpec.Direction; "" is the same as both.
 const (
 	directionBoth    = "both"
-	directionForward = "there" // from the first to the second of Between
+	directionForward = "there" // from the first entry of Between to the second
 	directionReverse = "back"
 )
 
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -45,7 +45,7 @@
 
 // faultRequirements states what the entry of a kind of fault must contain.
 type faultRequirements struct {
-	components componentSet // that the fault can affect
+	components componentSet // components that the fault can affect
 
 	duration, probability, share, factor, delay bool // fields that have to be set
 }
@@ -94,7 +94,7 @@
 type Fault struct {
 	Kind        FaultKind
 	StartMS     float64
-	EndMS       float64 // 0: it does not end
+	EndMS       float64 // 0: the fault does not end
 	Servers     []int   // indexes in Plan.Servers
 	Sidecars    []int   // indexes in Plan.Sidecars
 	Label       string  // kind and target as the experiment states them, for reports
@@ -159,7 +159,7 @@
 	Index int
 }
 
-// Bounds of the delay of a message between two sidecars in ms, as in the users' service.
+// Lowest and highest delay of a message between two sidecars in ms, as in the users' service.
 const (
 	MinPeerDelayMS = 1.3
 	MaxPeerDelayMS = 12.0
@@ -204,11 +204,11 @@
 	return fault
 }
 
-// resolveControlPlaneTarget sets the targets of a fault that are processes of the control plane, if it has any.
+// resolveControlPlaneTarget sets those targets of a fault that are processes of the control plane.
 func (p *Plan) resolveControlPlaneTarget(spec *FaultSpec, fault *Fault) {
 	target, err := parseControlPlaneTarget(spec.Target, p.Experiment)
 	if err != nil {
-		return // its targets are servers or sidecars
+		return // the fault's targets are servers or sidecars
 	}
 	switch target.components {
 	case componentReplicas:
@@ -248,7 +248,7 @@
 	return f.Kind + " " + place
 }
 
-// sampleShare draws a share of the indexes, at least one, and returns them in ascending order. A share of 0 means all.
+// sampleShare draws a share of the indexes, at least one, and returns the drawn ones sorted. A share of 0 means all.
 func sampleShare(all []int, share float64, rng *rand.Rand) []int {
 	if share == 0 || len(all) == 0 {
 		return all
--- a/internal/lab/hotkey_checker.go
+++ b/internal/lab/hotkey_checker.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// readySampleCount is the number of samples, one a second, whose highest number of ready servers bounds the copies:
+	// readySampleCount is the number of samples of the ready servers, one a second. The highest sample bounds the copies:
 	// sidecars learn of a change with a delay.
 	readySampleCount = 4
 	// copyGraceMS is how long after the end of a directive sidecars may still follow it.
 	copyGraceMS = 1000
 	// hotKeyGraceMS is how long a key may be replicated after it was hot.
 	hotKeyGraceMS = 60_000
-	// minAllowedCopies and minAllowedWarmupWork are allowed however small the fleet is. The unit of minAllowedWarmupWork is
+	// minAllowedCopies and minAllowedWarmupWork are the limits of a fleet however small. The unit of minAllowedWarmupWork is
 	// the mean work of a request per second.
 	minAllowedCopies     = 4
 	minAllowedWarmupWork = 30
@@ -29,7 +29,7 @@
 	allowedWarmupRate float64 // allowed warm-up work, ms per ms
 
 	copies       map[uint64]map[int]*copyState // by key and server
-	copyCount    int                           // in the placement
+	copyCount    int                           // number of copies in the placement
 	readyCounts  [readySampleCount]int         // the last samples of the number of ready servers
 	readySamples int
 
@@ -37,13 +37,13 @@
 	exceeded                      bool    // the backlog is above its limit
 
 	warmupWorkMS, peakBacklogMS float64
-	peakCopiesShare             float64 // of the allowed copies
+	peakCopiesShare             float64 // highest number of copies as a share of the allowed copies
 	replicatedKeys              int
 	neverHot                    map[uint64]bool // keys that were replicated without being hot
 	timeToWarmReplica           []float64       // by period: ms until the first cache hit at a replica; below 0: none
 	hotKeys, otherKeys          servedTally
 	congestedSeconds            float64
-	cacheHits, keyedRequests    float64 // of requests with a key
+	cacheHits, keyedRequests    float64 // number of requests with a key: cache hits, and all
 }
 
 // servedTally sums the priority weight of requests.
@@ -53,7 +53,7 @@
 
 // copyState is a server that the placement has made a replica of a key.
 type copyState struct {
-	share float64 // of the key's load
+	share float64 // share of the key's load
 	until float64 // end of the grace after its removal, ms; +Inf: it is in the placement
 }
 
--- a/internal/lab/hotkey_spec.go
+++ b/internal/lab/hotkey_spec.go
@@ -6,14 +6,14 @@
 	Enabled bool `toml:"on"`     // the controller runs; false: hot keys are measured only
 	Oracle  bool `toml:"oracle"` // instead of the controller: all servers cache the hot keys, and requests for them go to any server
 
-	PlanIntervalMS   float64 `toml:"step_ms"`   // between two plans of the controller
-	ReportIntervalMS float64 `toml:"report_ms"` // between two load reports of a sidecar
-	ReportDelayMS    Range   `toml:"tell_ms"`   // from a sidecar to the controller
-	WriteDelayMS     Range   `toml:"write_ms"`  // until a plan is in the placement
-	PlacementDelayMS Range   `toml:"place_ms"`  // from the placement to each sidecar
+	PlanIntervalMS   float64 `toml:"step_ms"`   // interval between two plans of the controller
+	ReportIntervalMS float64 `toml:"report_ms"` // interval between two load reports of a sidecar
+	ReportDelayMS    Range   `toml:"tell_ms"`   // delay of a load report from a sidecar to the controller
+	WriteDelayMS     Range   `toml:"write_ms"`  // time from the making of a plan until it is in the placement
+	PlacementDelayMS Range   `toml:"place_ms"`  // delay from a change of the placement to each sidecar
 
-	ServerCapacity  float64 `toml:"bear"`     // 0: the mean of the initial servers
-	RequestWorkMS   float64 `toml:"work_ms"`  // of a usual request; 0: the mean of the classes
+	ServerCapacity  float64 `toml:"bear"`     // capacity of a usual server; 0: the mean of the initial servers
+	RequestWorkMS   float64 `toml:"work_ms"`  // work of a usual request; 0: the mean of the classes
 	WarmupBudget    float64 `toml:"budget"`   // share of the fleet's capacity for warm-up work; 0: the controller's default
 	CopiesPerServer float64 `toml:"copies"`   // 0: the controller's default
 	MaxKeys         int     `toml:"max_keys"` // 0: the controller's default
@@ -23,8 +23,8 @@
 
 // CopyLimitsSpec limits the cost of the replicas of hot keys for RuleHotKeyCost, independently of the controller's settings.
 type CopyLimitsSpec struct {
-	WarmupWorkShare float64 `toml:"cold"`   // of the fleet's capacity, for warm-up work; a burst may be a second's worth
-	CopiesPerServer float64 `toml:"copies"` // of all keys at a time, per ready server
+	WarmupWorkShare float64 `toml:"cold"`   // share of the fleet's capacity for warm-up work; a burst may use one second's allowance
+	CopiesPerServer float64 `toml:"copies"` // copies of all keys at a time, per ready server
 }
 
 func (s *HotKeySpec) setDefaults() {
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -3,11 +3,11 @@
 // phaseLoad is the load of a phase.
 type phaseLoad struct {
 	startRate, endRate float64 // requests a ms
-	shiftZone          int     // to which traffic has moved at the end; -1: none
-	shiftShare         float64 // of other zones' traffic, at the end
+	shiftZone          int     // zone to which traffic has moved by the end of the phase; -1: none
+	shiftShare         float64 // share of other zones' traffic that has moved by the end of the phase
 }
 
-// phaseLoad returns the load of a phase, which depends on the phases before.
+// phaseLoad returns the load of a phase. A phase without a rate of its own takes over the rate of the phase before.
 func (p *Plan) phaseLoad(index int) phaseLoad {
 	rate := 0.0
 	load := phaseLoad{shiftZone: -1}
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -15,11 +15,11 @@
 type Plan struct {
 	Experiment *Experiment
 	Seed       uint64
-	DurationMS float64 // of the load
+	DurationMS float64 // duration of the load
 	Servers    []ServerPlan
 	Sidecars   []SidecarPlan
 	Classes    []ClassPlan
-	Faults     []Fault // by start
+	Faults     []Fault // ordered by start
 }
 
 // ServerPlan is a server. Servers that a rolling replacement adds start during the run.
@@ -31,8 +31,8 @@
 	Cell        int
 	Speed       float64   // of a core; 1 is the speed of a standard core
 	SlowStartMS float64   // length of the slow start
-	StartMS     float64   // 0: it runs from the beginning, without slow start
-	ReplacedMS  float64   // when it is replaced; 0: never
+	StartMS     float64   // 0: the server runs from the beginning, without slow start
+	ReplacedMS  float64   // when the server is replaced; 0: never
 	AddressSlot int       // servers that never run at the same time may share a slot
 	DelayByZone []float64 // one-way delay in ms
 }
@@ -41,9 +41,9 @@
 type SidecarPlan struct {
 	Name                string
 	Zone                int
-	TrafficShare        float64 // of the traffic of the fleet
+	TrafficShare        float64 // share of the fleet's traffic
 	Seed                uint64
-	NotificationDelayMS float64 // from a change of the endpoint list to its notification
+	NotificationDelayMS float64 // delay from a change of the endpoint list until the sidecar is notified
 }
 
 // ClassPlan is a class of requests with its values decoded.
@@ -51,7 +51,7 @@
 	*ClassSpec
 	Idempotency        balance.Idempotency
 	DeduplicationScope balance.DeduplicationScope
-	cumulativeShare    float64 // of requests, of this class and those before
+	cumulativeShare    float64 // share of the requests that are of this class or an earlier class
 }
 
 // addressReuseGapMS is the time between the end of a server and the start of another at its address.
--- a/internal/lab/recorder.go
+++ b/internal/lab/recorder.go
@@ -14,7 +14,7 @@
 	maxLatencyMicros = 3600 * 1e6
 	latencyDigits    = 2
 
-	maxWindows  = 120 // of a run, so that the results of a long one stay small
+	maxWindows  = 120 // windows of a run, so that the results of a long run stay small
 	minWindowMS = 1000
 )
 
@@ -25,7 +25,7 @@
 
 	mu               sync.Mutex
 	latency          *hdrhistogram.Histogram
-	lateness         *hdrhistogram.Histogram // of the emulator, relative to its schedule
+	lateness         *hdrhistogram.Histogram // delay of the emulator's actions relative to their schedule
 	classes          []classTally
 	windows          []windowTally
 	attemptsByResult map[string]int
@@ -41,9 +41,9 @@
 	Failed             int `json:"failed"`
 	Unanswered         int `json:"lost"`
 	ClientDisconnected int `json:"left"`
-	SkippedLate        int `json:"lab_late"` // not sent because the emulator was too late; not counted elsewhere
+	SkippedLate        int `json:"lab_late"` // requests not sent because the emulator was too late; not counted elsewhere
 	ClientAttempts     int `json:"tries"`
-	Attempts           int `json:"attempts"` // of sidecars, at servers
+	Attempts           int `json:"attempts"` // attempts of sidecars at servers
 	Retries            int `json:"retries"`  // attempts beyond the first of each client attempt
 	Handshakes         int `json:"handshakes"`
 	CrossZoneAttempts  int `json:"cross_zone"`
@@ -64,7 +64,7 @@
 	offeredWeight, servedWeight float64
 	latency                     *hdrhistogram.Histogram
 	attemptsByResult            map[string]int
-	attemptsByZone              []int // of the server
+	attemptsByZone              []int // attempts by zone of the server
 }
 
 // NewRecorder returns the recorder of a run.
@@ -142,7 +142,7 @@
 	r.counts.SkippedLate++
 }
 
-// RecordLateness records how much later than scheduled the emulator acted, in ms.
+// RecordLateness records by how many ms the emulator acted later than scheduled.
 func (r *Recorder) RecordLateness(ms float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/regression.go
+++ b/internal/lab/regression.go
@@ -9,13 +9,13 @@
 type Regression struct {
 	NeverReady           bool    `toml:"never_ready"`    // its readiness check fails, and it is never listed
 	FailsAtStart         bool    `toml:"fails_at_start"` // it exits with status 1 before it listens
-	ErrorShare           float64 `toml:"error_share"`    // of its requests, which fail without doing their work
-	Slowdown             float64 `toml:"slower_by"`      // factor by which its work takes longer
-	SlowdownAboveLoad    float64 `toml:"slower_above"`   // requests are slowed down only beyond this many others per core
+	ErrorShare           float64 `toml:"error_share"`    // share of the requests that fail without doing their work
+	Slowdown             float64 `toml:"slower_by"`      // factor by which the work of requests takes longer
+	SlowdownAboveLoad    float64 `toml:"slower_above"`   // requests are slowed down only beyond this many other requests per core
 	Class                string  `toml:"class"`          // only requests of this class are affected; "": all classes
 	Tenant               string  `toml:"tenant"`         // only requests of this tenant are affected; "": all tenants
 	LeakMBPerSecond      float64 `toml:"leak_mb_s"`
-	LeakLimitMB          float64 `toml:"leak_most_mb"`  // at which it is killed; 0: 256
+	LeakLimitMB          float64 `toml:"leak_most_mb"`  // memory at which the server is killed; 0: 256
 	ExitsWithoutDraining bool    `toml:"loses_answers"` // at SIGTERM it exits without responding to the requests in flight
 }
 
--- a/internal/lab/request_history.go
+++ b/internal/lab/request_history.go
@@ -8,7 +8,7 @@
 
 const (
 	maxHistoriesPerRule = 20  // violations of a rule that are retained with their history; others are counted only
-	maxHistoryEvents    = 100 // of a request
+	maxHistoryEvents    = 100 // events that are retained of a request
 	// historyRetentionMS is how long a history is retained after the deadline and the idempotency window: what a server does
 	// with the request in that time, for example after a partition, still belongs to the history.
 	historyRetentionMS = 5000
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -9,8 +9,8 @@
 
 // Limits of the emulator's own lateness. A run beyond them does not show how sidecars behave.
 const (
-	maxLatenessMS   = 20.0  // 99th percentile of its lateness
-	maxSkippedShare = 0.005 // of the requests, not sent because the emulator was too late
+	maxLatenessMS   = 20.0  // 99th percentile of the emulator's lateness
+	maxSkippedShare = 0.005 // share of the requests that were not sent because the emulator was too late
 )
 
 // Modes of a run, as results have them.
@@ -31,19 +31,19 @@
 	CutShort        bool    `json:"cut_short,omitempty"`
 
 	Counts
-	ServedShare         float64 `json:"served_share"` // of the requests, within their latency objective
+	ServedShare         float64 `json:"served_share"` // share of the requests that were served within their latency objective
 	WeightedServedShare float64 `json:"worth_share"`  // the same, by priority weight
-	P50                 float64 `json:"p50_ms"`       // of all served requests, late ones included
+	P50                 float64 `json:"p50_ms"`       // latency percentiles of all served requests, late ones included
 	P90                 float64 `json:"p90_ms"`
 	P99                 float64 `json:"p99_ms"`
 	P999                float64 `json:"p999_ms"`
 	Lateness            float64 `json:"lateness_ms"` // 99th percentile of how late the emulator itself was
 	MaxLateness         float64 `json:"lateness_max_ms"`
-	CrossZoneShare      float64 `json:"cross_zone_share"` // of the attempts
+	CrossZoneShare      float64 `json:"cross_zone_share"` // share of the attempts that went to another zone
 
 	ViolationCount       int             `json:"broken_rules"`
 	Overloaded           bool            `json:"overloaded,omitempty"`  // the machine could not generate the load in time
-	DiscountedViolations int             `json:"not_counted,omitempty"` // of sidecar rules in an overloaded run
+	DiscountedViolations int             `json:"not_counted,omitempty"` // violations of sidecar rules in an overloaded run
 	ViolationsByRule     map[Rule]int    `json:"rules"`
 	Violations           []Violation     `json:"broken,omitempty"`
 	AttemptsByResult     map[string]int  `json:"attempts_by_result"`
@@ -52,7 +52,7 @@
 	Windows              []Window        `json:"windows"`
 	Faults               []FaultInterval `json:"faults"`
 
-	Metrics map[string]float64 `json:"figures,omitempty"` // of the component that the experiment is about
+	Metrics map[string]float64 `json:"figures,omitempty"` // metrics of the component that the experiment is about
 }
 
 // ClassResult is the result of a class of requests.
@@ -77,7 +77,7 @@
 type FaultInterval struct {
 	Fault string  `json:"fault"`
 	FromS float64 `json:"from_s"`
-	ToS   float64 `json:"to_s,omitempty"` // 0: it had no end
+	ToS   float64 `json:"to_s,omitempty"` // 0: the fault did not end
 }
 
 // Result returns the result of a run in a mode with a policy. The violations are those of the checker.
@@ -132,8 +132,8 @@
 	return results
 }
 
-// discountIfOverloaded discounts the violations of sidecars if the machine could not generate the load in time. Those of the
-// control plane remain, because they do not depend on milliseconds.
+// discountIfOverloaded discounts the violations of sidecars if the machine could not generate the load in time. Violations
+// of the control plane remain, because they do not depend on milliseconds.
 func (r *Result) discountIfOverloaded() {
 	due := float64(r.Requests + r.SkippedLate)
 	if r.Lateness <= maxLatenessMS && float64(r.SkippedLate) <= maxSkippedShare*due {
@@ -150,7 +150,7 @@
 	})
 }
 
-// quantile returns a percentile of a histogram in ms, or 0 if the histogram is empty.
+// quantile returns a percentile of a histogram in ms, or 0 if the histogram has no values.
 func quantile(histogram *hdrhistogram.Histogram, percentile float64) float64 {
 	if histogram.TotalCount() == 0 {
 		return 0
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -9,15 +9,15 @@
 // Job is an attempt as a server sees it.
 type Job struct {
 	Attempt         int64  // the caller's identifier; 0: work without a waiting caller, such as a handshake or health check
-	Request         uint64 // its X-Request-ID
+	Request         uint64 // X-Request-ID of the request
 	Class           int
 	Key             uint64  // 0: none
 	EffectID        uint64  // the same for all attempts of a request; 0: the request has no effect
 	WorkMS          float64 // on a standard core
-	ExpiresAt       float64 // when it is dropped if it still waits; 0: never
+	ExpiresAt       float64 // when the server drops the job if it still waits in the queue; 0: never
 	SenderInformed  bool    // the sidecar had been notified of this server's start
 	Tenant          string  // "": none
-	FailImmediately bool    // it fails without doing its work, because of a regression
+	FailImmediately bool    // a regression makes the job fail without doing its work
 }
 
 // JobResult is how a job ended at its server.
@@ -27,22 +27,22 @@
 const (
 	JobServed JobResult = iota
 	JobFailed
-	JobExpired // dropped from the queue, never executed
+	JobExpired // the job was dropped from the queue and not executed
 )
 
 // JobCompletion is the end of a job.
 type JobCompletion struct {
 	Job
 	Result        JobResult
-	EffectApplied bool // it was executed, and was no repeat
+	EffectApplied bool // the job was executed and was no repeat
 	At            float64
 	ActualWorkMS  float64 // on a standard core
-	CacheHit      bool    // its key was cached, or it has none
+	CacheHit      bool    // the key was cached, or the job has no key
 }
 
 const (
 	errorWorkMS       = 1.0 // work of an immediate failure or of the response to a repeat
-	overloadTolerance = 1.1 // multiple of a warming-up server's budget that overloads it, above 1 because arrivals vary randomly
+	overloadTolerance = 1.1 // multiple of the work limit that overloads a warming-up server; above 1 because arrivals vary randomly
 	idleUtilisation   = 0.5 // share of busy cores up to which a congested server counts as idle
 	overloadSlots     = 20  // slots of the window in which the work of a warming-up server is counted
 )
@@ -69,17 +69,17 @@
 	cachedAt   map[uint64]float64 // last use of each cached key
 	cacheOrder []timedKey         // uses by age, for eviction
 
-	longQueueSince float64 // the queue is too long; +Inf: it is not
-	congestedSince float64 // +Inf: it is not congested
-	idleSince      float64 // it is idle though congested; +Inf: it is not
+	longQueueSince float64 // since when the queue has been too long; +Inf: it is not
+	congestedSince float64 // since when the server has been congested; +Inf: it is not
+	idleSince      float64 // since when the congested server has been idle; +Inf: it is not
 
 	slowStartWork [overloadSlots]workSlot
 
 	// Faults, which stay in effect across restarts.
-	Slowdown     float64 // factor by which it is slower, at least 1
-	ErrorShare   float64 // of requests that fail without doing their work
-	ResetShare   float64 // of responses that the caller replaces by a reset of the connection
-	CorruptShare float64 // of responses that the caller corrupts
+	Slowdown     float64 // factor by which the server is slower, at least 1
+	ErrorShare   float64 // share of the requests that fail without doing their work
+	ResetShare   float64 // share of the responses that the caller replaces by a reset of the connection
+	CorruptShare float64 // share of the responses that the caller corrupts
 	Unresponsive bool    // the caller sends no response
 
 	AlwaysCached map[uint64]bool // keys that never miss the cache; nil: none
@@ -187,7 +187,7 @@
 		return
 	}
 	if draw < s.ErrorShare+s.Plan.Spec.ErrorRate {
-		started.result = JobFailed // after all of its work
+		started.result = JobFailed // the job fails after doing all of its work
 	}
 	started.effectApplied = true
 	if job.Key == 0 || s.Plan.Spec.CacheGain <= 0 {
@@ -233,7 +233,7 @@
 	s.updateCongestion(now)
 }
 
-// startWaiting starts waiting jobs on free cores, and reports those that have expired.
+// startWaiting starts waiting jobs on free cores and reports the waiting jobs that have expired.
 func (s *Server) startWaiting(now float64, ended func(JobCompletion)) {
 	for len(s.waiting) > 0 && len(s.running) < s.Plan.Spec.Cores {
 		next := s.waiting[0]
--- a/internal/lab/server_capacity.go
+++ b/internal/lab/server_capacity.go
@@ -10,8 +10,8 @@
 
 // SlowStartOverload describes the overload of a warming-up server.
 type SlowStartOverload struct {
-	WorkMS, BudgetMS float64 // standard work within the window, and its limit
-	InformedShare    float64 // of the work, from sidecars that had been notified of its start
+	WorkMS, BudgetMS float64 // standard work sent within the window, and the limit of that work
+	InformedShare    float64 // share of the work from sidecars that had been notified of the server's start
 }
 
 // Overloaded reports whether the server was overloaded while it was warming up. An overloaded server stays down.
@@ -31,8 +31,8 @@
 	return from + (1-from)*(now-s.startedAt)/s.Plan.SlowStartMS
 }
 
-// recordSlowStartWork counts the work that a warming-up server is sent, accepted or not, and returns the overload if the work
-// exceeds the budget.
+// recordSlowStartWork counts the work that sidecars send to a warming-up server, accepted or not. It returns the overload
+// if that work exceeds its limit.
 func (s *Server) recordSlowStartWork(now float64, job Job) *SlowStartOverload {
 	if !s.IsWarmingUp(now) || s.rules.OverloadWindowMS <= 0 {
 		return nil
--- a/internal/lab/target.go
+++ b/internal/lab/target.go
@@ -32,10 +32,10 @@
 // target is the parsed target of a fault, a step or another entry of an experiment.
 type target struct {
 	components  componentSet
-	zone        int    // -1: any
-	kind        string // of servers; "": any
-	first, last int    // of a range of indexes; -1: all
-	controller  string // "": any
+	zone        int    // -1: any zone
+	kind        string // kind of servers; "": any
+	first, last int    // range of indexes; -1: all
+	controller  string // name of a controller; "": any
 	leader      bool
 	discovery   bool
 	clients     bool
