--- a/internal/lab/checker_test.go
+++ b/internal/lab/checker_test.go
@@ -106,7 +106,7 @@
 		}, 0},
 		{"an attempt within the grace", "", func(checker *Checker) {
 			checker.EndpointNotified(0, 0, 1, false)
-			checker.EndpointNotified(700, 0, 1, false) // the first notification counts
+			checker.EndpointNotified(700, 0, 1, false) // a repeat: the grace starts at the first notification
 			checker.AttemptReceived(799, 799, 1, 1, 0, 1)
 			checker.ResponseReceived(799, 1, OutcomeFailed, 0, -1)
 		}, 700},
--- a/internal/lab/control_checker_test.go
+++ b/internal/lab/control_checker_test.go
@@ -216,8 +216,8 @@
 		{"warm-up work within its limit", func(f *controlPlaneFixture) {
 			f.control.CopiesPublished(0, []KeyCopy{{7, f.names[0]}})
 			f.control.WorkDone(1000, f.names[0], 7, 100, true)
-			f.control.WorkDone(1000, f.names[0], 7, 1e6, false) // warm
-			f.control.WorkDone(1000, f.names[1], 7, 1e6, true)  // no copy
+			f.control.WorkDone(1000, f.names[0], 7, 1e6, false) // cache hit
+			f.control.WorkDone(1000, f.names[1], 7, 1e6, true)  // server without a copy
 			f.control.CopiesPublished(0, nil)
 			f.control.WorkDone(1000, f.names[0], 7, 1e6, true)
 		}, nil},
--- a/internal/lab/control_validate.go
+++ b/internal/lab/control_validate.go
@@ -12,7 +12,7 @@
 	defaultReadyLine   = "msg=serves"
 	maxControllers     = 20
 	maxVersions        = 50
-	maxControlEntries  = 200 // of each other list
+	maxControlEntries  = 200 // entries of each list other than controllers and versions
 	maxNameBytes       = 40
 )
 
--- a/internal/lab/controlplane/batch/batch.go
+++ b/internal/lab/controlplane/batch/batch.go
@@ -12,7 +12,7 @@
 
 // Result holds the simulations and rollouts of a batch, in the order of their seeds, and their summary.
 type Result struct {
-	Name              string                       `json:"name"` // of the experiment
+	Name              string                       `json:"name"` // name of the experiment
 	Summary           controlplane.Summary         `json:"figures"`
 	Simulations       []*controlplane.Result       `json:"nights"`
 	RegressedRollouts []controlplane.RolloutResult `json:"harmful,omitempty"`
@@ -20,7 +20,8 @@
 }
 
 // Run runs the simulations of the seeds from firstSeed to lastSeed. It also runs the given number of rollouts of versions
-// with a regression, and as many of healthy versions, with seeds from 0. At most the given number of workers run at a time.
+// with a regression, and as many rollouts of healthy versions, with seeds from 0. At most the given number of workers run
+// at a time.
 // If ctx is cancelled, simulations that have begun run to their end, no other begins, and Run returns the error of ctx.
 func Run(ctx context.Context, name string, firstSeed, lastSeed uint64, rollouts int, options controlplane.Options, workers int) (*Result, error) {
 	result := &Result{
--- a/internal/lab/controlplane/checker.go
+++ b/internal/lab/controlplane/checker.go
@@ -22,7 +22,7 @@
 const (
 	// detectionMS is how long a failure may be unknown to the ledger: the registration lease and a few ticks.
 	detectionMS = endpointLeaseMS + 4*tickMS
-	// restoreGraceMS is how long after a restore actions may still arrive that were decided before it.
+	// restoreGraceMS is how long after a restore the platform may still get actions that were decided before the restore.
 	restoreGraceMS = 15_000
 	// maxListedViolations is the number of violations that the result of a simulation describes.
 	maxListedViolations = 20
@@ -31,11 +31,11 @@
 // observation is the checker's view of a unit.
 type observation struct {
 	inService        bool
-	outSinceMS       int64 // when it last left service
-	inServiceSinceMS int64 // when it last entered service
-	granted          bool  // a permit to take it out of service is in effect
-	outSinceGrant    bool  // it has been out of service since that permit
-	stopRequested    bool  // the platform has a request to stop its process
+	outSinceMS       int64 // when the unit last left service
+	inServiceSinceMS int64 // when the unit last entered service
+	granted          bool  // a permit to take the unit out of service is in effect
+	outSinceGrant    bool  // the unit has been out of service at some time since the permit was granted
+	stopRequested    bool  // the platform has a request to stop the unit's process
 	servedBeforeStop bool  // when stopRequested was set, the process had been in service for longer than detectionMS
 	version          string
 	incarnation      uint64
@@ -89,7 +89,7 @@
 	clear(c.upgradedUnits)
 }
 
-// report records a violation.
+// report counts a violation and describes the first maxListedViolations of them.
 func (c *checker) report(rule, detail string) {
 	if !c.enabled {
 		return
--- a/internal/lab/controlplane/checker_budget.go
+++ b/internal/lab/controlplane/checker_budget.go
@@ -49,7 +49,7 @@
 }
 
 // recordGrants records new grants. It returns the permit ID of each unit that a grant takes out of service. Units that are
-// already out of service, or are missing and therefore count as such, are left out.
+// already out of service, or that are missing and therefore count as out of service, are left out.
 func (c *checker) recordGrants(grants []disruption.Permit) map[*unit]string {
 	takenOut := map[*unit]string{}
 	for _, permit := range grants {
--- a/internal/lab/controlplane/checker_hours.go
+++ b/internal/lab/controlplane/checker_hours.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// contractGraceMS is how long after a change of approved hours sidecars may still apply the earlier ones.
+// contractGraceMS is how long after a change of approved hours sidecars may still apply the earlier hours.
 const contractGraceMS = 30_000
 
 // approvedHours are the hours of a tenant from effectiveMS on. The checker evaluates them with its own calendar code.
 type approvedHours struct {
 	effectiveMS int64
-	opens       time.Time // only its time of day and its location are used
+	opens       time.Time // opening time; only its time of day and its location are used
 	length      time.Duration
 }
 
--- a/internal/lab/controlplane/cluster.go
+++ b/internal/lab/controlplane/cluster.go
@@ -16,15 +16,15 @@
 // Times of the model, in ms.
 const (
 	tickMS       = 500  // step of the virtual clock
-	startupMS    = 800  // from the start of a process to its readiness
-	warmupMS     = 3000 // of a server, from its readiness
-	shutdownMS   = 700  // from SIGTERM to the exit
+	startupMS    = 800  // time from the start of a process to its readiness
+	warmupMS     = 3000 // time from the readiness of a server until it is warm
+	shutdownMS   = 700  // time from SIGTERM to the exit
 	maxRequestMS = 3000 // longest request that a draining server may still have to answer
 )
 
 const (
 	startupTicks       = 16 // the fleet starts in these ticks, before the simulation begins
-	podGroupSize       = 10 // servers
+	podGroupSize       = 10 // servers per group
 	processGraceMS     = 10_000
 	processMaxRestarts = 3
 	clockErrorMS       = 200 // maximum error of an accurate clock
@@ -60,8 +60,8 @@
 	platform        *fake.Platform
 	cachedList      *supervisor.List
 	cachedListMS    int64
-	powerOffUntilMS map[string]int64 // by zone
-	requestCount    int              // requests of the operator to the platform
+	powerOffUntilMS map[string]int64 // by zone: end of a power loss
+	requestCount    int              // number of requests of the operator to the platform
 
 	syncedRevision uint64 // newest revision of the placement or the registry that sidecars poll
 	syncUntilMS    int64
--- a/internal/lab/controlplane/defects_test.go
+++ b/internal/lab/controlplane/defects_test.go
@@ -46,7 +46,8 @@
 	requireViolation(t, options, 13, ruleBudget)
 }
 
-// The controller's clock is four minutes ahead, and the approved hours open within that time.
+// The controller's clock is four minutes ahead and the approved hours open in three, so that a controller which evaluates the
+// hours by its own clock excludes tenants before the hours open.
 func TestFindsHoursByControllerClock(t *testing.T) {
 	options := Options{
 		NoFaults:                true,
@@ -63,7 +64,8 @@
 	requireViolation(t, options, 13, ruleBudget, ruleSingleStart, ruleStranded, ruleApprovedHours)
 }
 
-// The servers return long after the approved hours have closed. Sidecars should exclude the tenant only until the close.
+// The servers return long after the approved hours have closed. Sidecars must exclude the tenant only until the close; the
+// defect lets exclusions expire later.
 func TestFindsExclusionPastClose(t *testing.T) {
 	options := Options{
 		NoFaults:     true,
--- a/internal/lab/controlplane/hotkey_controller.go
+++ b/internal/lab/controlplane/hotkey_controller.go
@@ -12,8 +12,8 @@
 const (
 	serverCapacityMS = 1000 // work that a server completes per second
 	requestWorkMS    = 50   // work of a request
-	hotKeyShare      = 0.15 // of the capacity of all servers
-	hotKeyPeriodMS   = 1000 // between two steps of a hot-key controller
+	hotKeyShare      = 0.15 // load of the hot key as a share of the capacity of all servers
+	hotKeyPeriodMS   = 1000 // interval between two steps of a hot-key controller
 )
 
 // hotKeyController runs the planner of hot-key replicas.
@@ -103,7 +103,7 @@
 	}
 }
 
-// addReports adds the load reports of the reachable sidecars. While the key is hot, it accounts for half of their load.
+// addReports adds the load reports of the reachable sidecars. While the key is hot, it accounts for half of the reported load.
 func (c *hotKeyController) addReports() {
 	cluster := c.process.cluster
 	hotKeyLoad := hotKeyShare * serverCapacityMS * float64(len(cluster.servers))
--- a/internal/lab/controlplane/operator.go
+++ b/internal/lab/controlplane/operator.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	resumeDelayMS  = 30_000 // from a restore to the resumption of the ledger
-	repairDelayMS  = 20_000 // the operator repairs a unit that has been out of service this long
-	maxResumptions = 20     // the operator rolls back a release that has had more commands
+	resumeDelayMS  = 30_000 // time from a restore to the resumption of the ledger
+	repairDelayMS  = 20_000 // the operator repairs a unit that has been out of service for this long
+	maxResumptions = 20     // the operator rolls back a release that has had more commands than this
 	outcomeUnknown = "unknown"
 )
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// resumeRelease resumes a halted release that has handled all commands, or rolls it back after too many.
+// resumeRelease resumes a halted release that has handled all commands, or rolls it back after maxResumptions commands.
 func (c *cluster) resumeRelease(name string, state *release.State, commandCount int) {
 	if state.Status.Phase != release.PhaseHalted || state.Status.HandledCommands != commandCount {
 		return
@@ -90,7 +90,7 @@
 	}
 }
 
-// repairUnits restarts units that have crashed, and ends the drain of units that have no permit for it. It skips units
+// repairUnits restarts units that have crashed, and ends the drain of units that have no permit to drain. It skips units
 // that a release is working on.
 func (c *cluster) repairUnits(claimed map[string]bool) {
 	list := c.platformList()
--- a/internal/lab/controlplane/options.go
+++ b/internal/lab/controlplane/options.go
@@ -4,7 +4,7 @@
 
 // Options are the size of the fleet, the injected defects and settings for individual tests.
 type Options struct {
-	Sidecars, Servers int // 8 or more of each; experiments/fleet-night.toml has 1,000 and 2,000
+	Sidecars, Servers int // 8 or more of each kind; experiments/fleet-night.toml has 1,000 and 2,000
 	Defects           Defects
 
 	// The fields below are for individual tests. A zero value leaves the choice to the seed.
@@ -14,8 +14,8 @@
 	NoFaults                bool          // no faults are injected
 	StopAtFirstViolation    bool          // the simulation ends at the first violation
 	ControllerClockOffsetMS int64         // added to the clock of the first maintenance controller
-	HoursOpenIn             time.Duration // from the start to the opening of every tenant's approved hours
-	HoursCloseIn            time.Duration // from the start to the close of these hours
+	HoursOpenIn             time.Duration // time from the start to the opening of every tenant's approved hours
+	HoursCloseIn            time.Duration // time from the start to the close of every tenant's approved hours
 }
 
 // Defects are the defects that are injected into the simulated control plane. The checker must detect each of them.
--- a/internal/lab/controlplane/process.go
+++ b/internal/lab/controlplane/process.go
@@ -13,10 +13,10 @@
 	leaderLeaseMS     = 3000 // duration of a leader's lease
 	leaseMarginMS     = 500  // a leader steps down this long before its lease expires
 	processRestartMS  = 6000 // minimum time from the crash of a process to its restart
-	maxPendingEffects = 512  // of a paused process
+	maxPendingEffects = 512  // effects that a paused process retains
 )
 
-// controller is what a process runs while it is the leader.
+// controller makes the decisions of a process while the process is the leader.
 type controller interface {
 	// becomeLeader starts a term with a fencing token. It discards the state of earlier terms.
 	becomeLeader(token uint64)
@@ -41,7 +41,7 @@
 	partitionedUntilMS int64
 	staleState         *registryState // state of the stale replica that a partitioned process reads
 	scheduledFault     *processFault
-	pendingEffects     []func() // interrupted by a pause
+	pendingEffects     []func() // effects that a pause interrupted
 }
 
 // processFault is a crash or a pause at a later effect of a process.
@@ -72,7 +72,7 @@
 // partitioned reports whether the process reaches only a minority of the registry.
 func (p *process) partitioned() bool { return p.partitionedUntilMS > p.cluster.nowMS }
 
-// readState returns the state that the process reads: a stale one while it is partitioned, nil without a leader.
+// readState returns the state that the process reads: a stale state during a partition, nil if the registry has no leader.
 func (p *process) readState() *registryState {
 	switch {
 	case p.partitioned():
@@ -147,7 +147,7 @@
 	p.down, p.pendingEffects, p.token = true, nil, 0
 	candidateID := p.candidateID()
 	p.cluster.schedule(processRestartMS+p.cluster.random.Int64N(4000), func() {
-		p.cluster.registry.expireCandidate(p.leaseName, candidateID, 0) // removes it from the queue if it waits there
+		p.cluster.registry.expireCandidate(p.leaseName, candidateID, 0) // removes a candidate that waits in the queue
 		p.down, p.incarnation = false, p.incarnation+1
 	})
 }
--- a/internal/lab/controlplane/registration.go
+++ b/internal/lab/controlplane/registration.go
@@ -4,12 +4,12 @@
 
 const (
 	endpointLeaseMS = 4000   // registration lease of servers and sidecars
-	massLossHoldMS  = 60_000 // in a mass loss servers are unknown this long before they are marked lost
-	massLossDivisor = 6      // in a mass loss more than 1/massLossDivisor of the servers are missing
+	massLossHoldMS  = 60_000 // in a mass loss, servers are unknown for this long before they are marked lost
+	massLossDivisor = 6      // in a mass loss, more than 1/massLossDivisor of the servers are missing
 )
 
 // updateRegistration renews a unit's registration, or handles its missed heartbeat. missingCount is the number of units of
-// its kind that send no heartbeats.
+// the unit's kind that send no heartbeats.
 func (c *cluster) updateRegistration(target *unit, missingCount int) {
 	if !c.registry.available() {
 		return
--- a/internal/lab/controlplane/registry.go
+++ b/internal/lab/controlplane/registry.go
@@ -16,7 +16,7 @@
 type registry struct {
 	*registryState
 	cluster           *cluster
-	leaderClock       wallClock // of the current leader
+	leaderClock       wallClock // wall clock of the current leader
 	leaderlessUntilMS int64
 	leaderSinceMS     int64
 	dropNextResponse  bool // the leader crashes after it applies the next write, before it responds
@@ -27,9 +27,9 @@
 	indexedRevision uint64
 	permitByUnit    map[string]disruption.Permit
 	knownGrants     map[string]uint64   // revision of the grant, by permit ID
-	newGrants       []disruption.Permit // not yet processed by the checker
+	newGrants       []disruption.Permit // grants that the checker has not processed yet
 
-	staleGrants map[string]*disruption.Permit // granted by Defects.StaleReads, by ID
+	staleGrants map[string]*disruption.Permit // permits that Defects.StaleReads granted, by ID
 }
 
 func newRegistry(cluster *cluster) *registry {
@@ -82,7 +82,7 @@
 	return result, true
 }
 
-// fenced reports whether a write is rejected because its token is stale.
+// fenced reports whether the registry rejects a write because the write's fencing token is stale.
 func (r *registry) fenced(leaseName string, token uint64) bool {
 	return leaseName != "" && !r.cluster.options.Defects.IgnoreFencingTokens && !r.leases.TokenValid(leaseName, token)
 }
@@ -140,7 +140,7 @@
 	return stamp
 }
 
-// applyDirectives sets and deletes placement directives. It does not set expired ones.
+// applyDirectives sets and deletes placement directives. It does not set expired directives.
 func (r *registry) applyDirectives(set []placement.Directive, deleted []string) {
 	if len(set) == 0 && len(deleted) == 0 {
 		return
--- a/internal/lab/controlplane/release_controller.go
+++ b/internal/lab/controlplane/release_controller.go
@@ -16,8 +16,8 @@
 	// maxStepsPerTick bounds the steps of one tick. A controller takes the next step right after a write. In a real process
 	// a write takes about 50 ms.
 	maxStepsPerTick      = 4
-	analysisPeriodMS     = 1000 // between two samples
-	delayedWritePeriodMS = 3000 // for Defects.DelayReleaseWrites
+	analysisPeriodMS     = 1000 // interval between two samples
+	delayedWritePeriodMS = 3000 // interval between two writes with Defects.DelayReleaseWrites
 )
 
 // releaseController runs the reconciler of a release or a drain.
@@ -32,7 +32,7 @@
 	drainTracker  *release.DrainTracker
 	analysis      *release.WaveAnalysis
 	sampledMS     int64           // time of the last sample of the analysis
-	delayedDeltas []release.Delta // for Defects.DelayReleaseWrites
+	delayedDeltas []release.Delta // deltas that Defects.DelayReleaseWrites has delayed
 }
 
 // addReleaseController adds a candidate for the lease of a release or drain.
@@ -198,7 +198,7 @@
 		cluster.checker.observeRequests(requests)
 		responses, err := cluster.platform.Do(context.Background(), requests...)
 		if err != nil {
-			return // no outcome is known; the reconciler retries
+			return // the outcomes are unknown; the reconciler retries the requests
 		}
 		for _, outcome := range responses {
 			outcomes[outcome.ID] = outcome
--- a/internal/lab/controlplane/result.go
+++ b/internal/lab/controlplane/result.go
@@ -18,10 +18,10 @@
 	Releases                    map[string]string `json:"Releases"`        // phase at the end, by name
 	Windows                     map[string]string `json:"Windows"`         // stage at the end, by name
 	FeasibleWindows             int               `json:"windows_that_fit"`
-	CompletedWindows            int               `json:"windows_done"`       // of the feasible ones
-	ExcludedSeconds             float64           `json:"kept_off_s"`         // over all sidecars and tenants
+	CompletedWindows            int               `json:"windows_done"`       // number of feasible windows that were completed
+	ExcludedSeconds             float64           `json:"kept_off_s"`         // sum over all sidecars and tenants
 	ExcludedOutsideHoursSeconds float64           `json:"kept_off_outside_s"` // part of ExcludedSeconds outside the approved hours
-	Writes                      int               `json:"writes"`             // attempted by controllers and operators
+	Writes                      int               `json:"writes"`             // writes that controllers and operators attempted
 }
 
 // Violation is one violation of a rule.
@@ -70,9 +70,9 @@
 	ExcludedOutsideHoursSeconds float64 `json:"kept_off_outside_s"`
 	ExcludedSeconds             float64 `json:"kept_off_s"`
 	FeasibleWindows             int     `json:"windows_that_fit"`
-	CompletedWindowShare        float64 `json:"windows_held"`          // of the feasible ones
-	StoppedEarlyShare           float64 `json:"harmful_stopped_early"` // of the regressed rollouts: rolled back below earlyStopShare
-	FalseHaltShare              float64 `json:"false_halts"`           // of the healthy rollouts: not completed
+	CompletedWindowShare        float64 `json:"windows_held"`          // share of the feasible windows that were completed
+	StoppedEarlyShare           float64 `json:"harmful_stopped_early"` // share of regressed rollouts rolled back below earlyStopShare
+	FalseHaltShare              float64 `json:"false_halts"`           // share of the healthy rollouts that were not completed
 	MaxRollbackRatio            float64 `json:"way_back"`              // see RolloutResult.RollbackRatio
 	MedianRollbackRatio         float64 `json:"way_back_median"`
 	RolloutViolations           int     `json:"releases_broken_rules"`
@@ -80,7 +80,7 @@
 	HealthyRollouts             int     `json:"healthy_releases"`
 	SimulatedSeconds            float64 `json:"seconds_of_the_worlds"`
 	Writes                      int     `json:"writes_to_the_log"`
-	FailedSeeds                 []int   `json:"broken_nights,omitzero"` // of simulations with violations
+	FailedSeeds                 []int   `json:"broken_nights,omitzero"` // seeds of the simulations with violations
 }
 
 // earlyStopShare is the share of the fleet below which a regressed version counts as stopped early.
--- a/internal/lab/controlplane/scenario.go
+++ b/internal/lab/controlplane/scenario.go
@@ -38,7 +38,7 @@
 )
 
 const (
-	modelCount        = 4 // server models, which alternate over the fleet
+	modelCount        = 4 // number of server models, which alternate over the fleet
 	drainedModel      = 2 // model of the drained servers; the server release selects another
 	maintainedModel   = 3 // model of the servers of the maintenance window
 	drainedServers    = 4
--- a/internal/lab/controlplane/sidecars.go
+++ b/internal/lab/controlplane/sidecars.go
@@ -4,7 +4,7 @@
 
 const (
 	syncMS       = 3000 // all sidecars poll a new revision within this time
-	syncPeriodMS = 5000 // between polls while there is no new revision
+	syncPeriodMS = 5000 // time between polls while there is no new revision
 )
 
 // syncSidecars has the sidecars poll the registry, and ends expired exclusions.
--- a/internal/lab/controlplane/simulation.go
+++ b/internal/lab/controlplane/simulation.go
@@ -9,7 +9,7 @@
 
 const (
 	maxSimulationMS  = 5400_000 // far longer than any simulation that settles
-	operatorPeriodMS = 5000     // between two rounds of the operator
+	operatorPeriodMS = 5000     // time between two rounds of the operator
 	settleMS         = 30_000   // time without faults after the last fault
 	secondsPerDay    = 86400
 	hourMS           = 3600_000
--- a/internal/lab/controlplane/simulation_test.go
+++ b/internal/lab/controlplane/simulation_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// The release of a version with a regression is stopped early and rolled back. That of a healthy version is completed.
+// The release of a version with a regression is stopped early and rolled back. The release of a healthy version is completed.
 func TestRolloutsWithAndWithoutRegression(t *testing.T) {
 	for i := range Regressions {
 		t.Run(Regressions[i].Name, func(t *testing.T) {
--- a/internal/lab/controlplane/traffic.go
+++ b/internal/lab/controlplane/traffic.go
@@ -21,7 +21,7 @@
 	Name          string
 	FailureRates  [2]float64 // added share of failed requests, by class
 	SlowUnderLoad bool       // slowRegression applies while the load is high
-	MemoryGrowth  float64    // of a server, as a share of its memory per second
+	MemoryGrowth  float64    // of a server per second of uptime, as a share of its initial memory
 	RestartRate   float64    // share of the servers that restart per second
 }
 
@@ -34,7 +34,7 @@
 	{Name: "restarts", RestartRate: 0.05},
 }
 
-// requestClasses are the classes of requests, with the requests per second of each server.
+// requestClasses are the classes of requests, each with its rate in requests per second at one server.
 var requestClasses = [2]struct {
 	name string
 	rate float64
@@ -51,12 +51,12 @@
 	memoryDeviation = 0.02
 	slowRegression  = 0.18 // added share of slow responses
 	lateRate        = 0.01
-	mediumRate      = 0.25 // of the responses that are not slow
+	mediumRate      = 0.25 // share of medium responses among the responses that are not slow
 )
 
 // conditions are the load and the rates of failures and slow responses in a second, the same for servers of all versions.
 type conditions struct {
-	load        float64 // factor on the request rate
+	load        float64 // factor by which the request rate is multiplied
 	failureRate float64
 	slowRate    float64
 }
--- a/internal/lab/controlplane/unit.go
+++ b/internal/lab/controlplane/unit.go
@@ -9,16 +9,16 @@
 type unit struct {
 	disruption.Unit
 	name                string
-	version             string // of the most recently started process
+	version             string // version of the most recently started process
 	bootMS              int64
-	readyAtMS           int64 // when that process becomes ready, or never
+	readyAtMS           int64 // when the most recently started process becomes ready, or never
 	warmAtMS            int64 // when a server's warm-up ends
 	unreachableUntilMS  int64 // end of a network partition
 	underMaintenance    bool  // work of a maintenance window is in progress
 	alive               bool  // a process runs
-	missingSinceMS      int64 // when its heartbeats stopped; 0 while it sends them
-	registrationPending bool  // its registration has to be updated at the next tick
-	decommissioned      bool  // it is drained permanently
+	missingSinceMS      int64 // when the unit's heartbeats stopped; 0 while the unit sends heartbeats
+	registrationPending bool  // the registration has to be updated at the next tick
+	decommissioned      bool  // the unit is drained permanently
 	sidecar             *sidecarState
 	observed            observation // the checker's view of the unit
 }
@@ -26,7 +26,7 @@
 // sidecarState is the part of a unit's state that only sidecars have.
 type sidecarState struct {
 	wallClock
-	agentDownUntilMS  int64 // its agent is unreachable until then
+	agentDownUntilMS  int64 // until when the sidecar's agent is unreachable
 	pollDelayMS       int64
 	placementRevision uint64
 	placementEpoch    uint64
@@ -39,7 +39,7 @@
 	tenant    string
 	startedMS int64
 	expiresMS int64
-	drainedMS int64 // when the last request in flight to the excluded servers is answered
+	drainedMS int64 // when the last request in flight to the excluded servers ends
 }
 
 // wallClock is the actual error of a wall clock and the uncertainty that it reports, in ms.
--- a/internal/lab/effects.go
+++ b/internal/lab/effects.go
@@ -5,7 +5,7 @@
 // EffectStore is the deduplication memory of servers: it records the effects that the servers of a scope have applied.
 type EffectStore interface {
 	// CheckAndRecord reports whether a server of the same scope applied the effect within the idempotency window of the class,
-	// and otherwise records that the server applies it now. The index is that of the class.
+	// and otherwise records that the server applies the effect now. classIndex is the index of the class.
 	CheckAndRecord(now float64, s *ServerPlan, class *ClassPlan, classIndex int, effect uint64) bool
 }
 
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -91,8 +91,8 @@
 	Source             string `toml:"source"`    // DiscoveryLab or DiscoveryRegistry
 	LeaseMS            int64  `toml:"lease_ms"`  // with the registry: the lease of a server
 	Mode               string `toml:"mode"`      // DiscoveryPush or DiscoverySubscribe
-	PropagationMS      Range  `toml:"notice_ms"` // from a change to its notification at each sidecar
-	FailureDetectionMS Range  `toml:"silent_ms"` // from the failure of a server to its removal from the endpoint list
+	PropagationMS      Range  `toml:"notice_ms"` // delay from a change to its notification at each sidecar
+	FailureDetectionMS Range  `toml:"silent_ms"` // delay from the failure of a server to its removal from the endpoint list
 }
 
 // SidecarSpec describes the sidecars and how the traffic is divided among them.
@@ -161,7 +161,7 @@
 	CongestionQueuePerCore float64 `toml:"choke_at"`      // queue per core beyond which the server gets congested; 0: never
 	CongestionAfterMS      float64 `toml:"choke_for_ms"`  // how long the queue must exceed CongestionQueuePerCore first
 	CongestionSlowdown     float64 `toml:"choke_slower"`  // factor by which a congested server is slower
-	CongestionIdleMS       float64 `toml:"choke_idle_ms"` // congestion ends after at most half of its cores were busy for this long
+	CongestionIdleMS       float64 `toml:"choke_idle_ms"` // congestion ends after at most half of the cores were busy for this long
 	CongestionMaxMS        float64 `toml:"choke_most_ms"` // longest congestion, even without idle cores; 0: no limit
 
 	CacheGain  float64 `toml:"warm_gain"` // share of the work that a cached key saves; 0: keys are not cached
--- a/internal/lab/fault_validate.go
+++ b/internal/lab/fault_validate.go
@@ -7,7 +7,7 @@
 
 const (
 	maxSteps     = 1000 // steps of a rolling replacement or restart
-	maxCallCount = 1000 // of a fault of the supervisor
+	maxCallCount = 1000 // calls that a fault of the supervisor affects
 )
 
 // Values of FaultSpec.Direction; "" is the same as both.
--- a/internal/lab/hotkey_checker.go
+++ b/internal/lab/hotkey_checker.go
@@ -43,7 +43,7 @@
 	timeToWarmReplica           []float64       // by period: ms until the first cache hit at a replica; below 0: none
 	hotKeys, otherKeys          servedTally
 	congestedSeconds            float64
-	cacheHits, keyedRequests    float64 // number of requests with a key: cache hits, and all
+	cacheHits, keyedRequests    float64 // requests with a key: cache hits, and total number
 }
 
 // servedTally sums the priority weight of requests.
--- a/internal/lab/hotkey_test.go
+++ b/internal/lab/hotkey_test.go
@@ -22,7 +22,7 @@
 	return Parse("hot-key-sim.toml", []byte(text))
 }
 
-// TestHotKeyPeriods checks that hot keys are requested in their periods.
+// TestHotKeyPeriods checks that clients request a hot key only within its period, with its share of all requests.
 func TestHotKeyPeriods(t *testing.T) {
 	experiment, err := parseHotKeyExperiment(t, "\npart = 0.3", "\npart = 0.3\nevery_s = 5")
 	if err != nil {
@@ -74,13 +74,14 @@
 	}
 }
 
-// TestHotKeyChecker checks that the checker counts only the replicas of the placement and their warm-up work.
+// TestHotKeyChecker checks that the checker counts only the replicas in the placement and the warm-up work at these
+// replicas, and reports a violation once either exceeds its limit.
 func TestHotKeyChecker(t *testing.T) {
 	experiment, err := parseHotKeyExperiment(t, "count = 40", "count = 5")
 	if err != nil {
 		t.Fatal(err)
 	}
-	const key, allowedMS = 7, 30 * 120 // about the warm-up work in ms that a small fleet may have at once
+	const key, allowedMS = 7, 30 * 120 // about the warm-up work in ms that the checker allows a small fleet at once
 	plan := experiment.NewPlan(1)
 	completeJob := func(hotKeyChecker *HotKeyChecker, at float64, server int, extra float64, cacheHit bool) {
 		hotKeyChecker.JobCompleted(server, &JobCompletion{Job: Job{Key: key, Attempt: 1}, EffectApplied: true, CacheHit: cacheHit, ActualWorkMS: extra / 0.45, At: at})
