--- a/internal/lab/controlplane/result.go
+++ b/internal/lab/controlplane/result.go
@@ -71,7 +71,7 @@
 	ExcludedSeconds             float64 `json:"kept_off_s"`
 	FeasibleWindows             int     `json:"windows_that_fit"`
 	CompletedWindowShare        float64 `json:"windows_held"`          // share of the feasible windows that were completed
-	StoppedEarlyShare           float64 `json:"harmful_stopped_early"` // share of regressed rollouts rolled back below earlyStopShare
+	StoppedEarlyShare           float64 `json:"harmful_stopped_early"` // regressed rollouts rolled back below earlyStopShare
 	FalseHaltShare              float64 `json:"false_halts"`           // share of the healthy rollouts that were not completed
 	MaxRollbackRatio            float64 `json:"way_back"`              // see RolloutResult.RollbackRatio
 	MedianRollbackRatio         float64 `json:"way_back_median"`
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -30,12 +30,12 @@
 // Spec describes a process to start.
 type Spec struct {
 	Name string   // for error messages
-	Path string   // of the program
+	Path string   // path of the program
 	Args []string // without the program's name
 	Env  []string // KEY=VALUE, added to the parent's environment
 	Log  string   // path of the file to which standard output and error are appended
 
-	ExtraFiles []*os.File // descriptors 3 and up of the child
+	ExtraFiles []*os.File // files that the child inherits as descriptors 3 and up
 }
 
 // Process is a child process. Its methods are safe for concurrent use.
@@ -119,7 +119,7 @@
 	return p.waitError
 }
 
-// Signal sends a signal. If the process has exited, it sends none and returns nil.
+// Signal sends a signal. If the process has exited, Signal sends none and returns nil.
 func (p *Process) Signal(signal syscall.Signal) error {
 	err := p.command.Process.Signal(signal)
 	if errors.Is(err, os.ErrProcessDone) {
@@ -136,7 +136,7 @@
 }
 
 // Stop ends the process with SIGTERM, even if it is stopped by SIGSTOP. If ctx ends first, Stop kills the process and
-// returns an error that wraps the one of ctx; otherwise it returns the error of Wait.
+// returns an error that wraps the error of ctx; otherwise it returns the error of Wait.
 func (p *Process) Stop(ctx context.Context) error {
 	// If a signal cannot be sent, the process does not exit before ctx ends, which is reported below.
 	_ = p.Signal(syscall.SIGCONT)
@@ -153,8 +153,8 @@
 	}
 }
 
-// Log returns the end of what this process has logged, or the text of the error if that cannot be read. It is meant for
-// error messages.
+// Log returns the end of what this process has logged, for error messages. If the log cannot be read, it returns the text
+// of the error.
 func (p *Process) Log() string {
 	content, err := p.readLog()
 	if err != nil {
@@ -209,7 +209,7 @@
 // Path returns the path of the program.
 func (p *Process) Path() string { return p.command.Path }
 
-// LimitFileSize sets the maximum size in bytes of the files that the process writes from now on. Writes beyond it fail,
+// LimitFileSize sets the maximum size in bytes of the files that the process writes from now on. Writes beyond this size fail,
 // as on a full disk.
 func (p *Process) LimitFileSize(maxBytes uint64) error {
 	limit := syscall.Rlimit{Cur: maxBytes, Max: maxBytes}
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -42,7 +42,7 @@
 	var results []*lab.Result
 	lines := bufio.NewScanner(bytes.NewReader(data))
 	lines.Buffer(nil, maxLineBytes)
-	var invalid error // of the previous line
+	var invalid error // error of the previous line
 	for n := 1; lines.Scan(); n++ {
 		if invalid != nil {
 			return nil, invalid
@@ -77,7 +77,7 @@
 // ErrNoPairs means that two sets of runs have no seed in common.
 var ErrNoPairs = errors.New("no two runs with the same seed")
 
-// comparedMetrics are the metrics of a comparison, in its order.
+// comparedMetrics are the metrics of a comparison, in the order of its table.
 var comparedMetrics = []struct {
 	name  string
 	value func(*lab.Result) float64
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -24,13 +24,13 @@
 	endlessFaultShare = 1. / 200
 )
 
-// palette has colours that people with a colour vision deficiency can tell apart.
+// palette has colours for the lines that people with a colour vision deficiency can tell apart.
 var palette = []color.Color{
 	color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255}, color.RGBA{204, 121, 167, 255},
 	color.RGBA{86, 180, 233, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{60, 60, 60, 255}, color.RGBA{160, 160, 0, 255},
 }
 
-// faultColor shades faults. It is not premultiplied by its alpha.
+// faultColor shades the periods of faults. The colour values are not premultiplied by alpha.
 var faultColor = color.NRGBA{200, 60, 60, 50}
 
 // plotSeries is a line of a plot.
@@ -88,7 +88,7 @@
 	return p.Save(plotWidth, plotHeight, path)
 }
 
-// plotLines returns the lines of the series, none if there are no windows, and the highest value.
+// plotLines returns the lines of the series and their highest value. Without windows it returns no lines.
 func plotLines(series []plotSeries, windows []lab.Window) (lines []*plotter.Line, highest float64, err error) {
 	if len(windows) == 0 {
 		return nil, 0, nil
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// TestComparePairsRunsBySeed checks that runs are paired by seed, so that differences between seeds do not hide those between
-// two programs.
+// TestComparePairsRunsBySeed checks that runs are paired by seed. In an unpaired comparison, the differences between seeds
+// hide the differences between two programs.
 func TestComparePairsRunsBySeed(t *testing.T) {
 	a := []*lab.Result{result(1, 0.2), result(2, 0.5), result(3, 0.9), result(9, 0)}
 	b := []*lab.Result{result(3, 0.93), result(2, 0.52), result(1, 0.21)}
--- a/internal/lab/report/table.go
+++ b/internal/lab/report/table.go
@@ -64,7 +64,7 @@
 		result.Retries, result.Handshakes, 100*result.CrossZoneShare)
 }
 
-// ruleRow writes the violations by rule.
+// ruleRow writes the number of violations of each violated rule.
 func (t table) ruleRow(result *lab.Result) {
 	switch {
 	case result.Overloaded && result.ViolationCount > 0:
@@ -107,7 +107,7 @@
 	return fmt.Sprintf("; %d requests not sent because the lab was too late", result.SkippedLate)
 }
 
-// violationList returns the violated rules among the given ones with their counts, in parentheses.
+// violationList returns, in parentheses, the violated rules among the given rules with the number of violations of each.
 func violationList(result *lab.Result, rules []lab.Rule) string {
 	var parts []string
 	for _, rule := range rules {
--- a/internal/lab/sim/baseline.go
+++ b/internal/lab/sim/baseline.go
@@ -8,7 +8,7 @@
 	"milldeck/balance"
 )
 
-// Instance makes the decisions of one sidecar. It is the decision module, or a baseline to compare it with. Times are ms of
+// Instance makes the decisions of one sidecar: the decision module, or a baseline to compare the module with. Times are ms of
 // the run. Returned actions are valid until the next call.
 type Instance interface {
 	Start(now float64) []balance.Action
@@ -114,7 +114,7 @@
 	return first
 }
 
-// pickRoundRobin picks the first eligible server after the one picked last.
+// pickRoundRobin picks the first eligible server after the server that it picked last.
 func pickRoundRobin(b *baseline, eligible []*baselineServer) *baselineServer {
 	next := eligible[0]
 	for _, endpoint := range eligible {
@@ -186,7 +186,7 @@
 	b.advance(request)
 }
 
-// applyUpdate updates the endpoints. After a failure it watches the endpoint list again after one to two seconds.
+// applyUpdate updates the endpoints. After a failure the baseline watches the endpoint list again in one to two seconds.
 func (b *baseline) applyUpdate(update balance.EndpointUpdate) {
 	if update.Kind == balance.UpdateFailed {
 		b.emit(balance.Action{Kind: balance.SetTimer, Token: reconnectTimer, Delay: 1000 + 1000*b.rng.Float64()})
@@ -253,7 +253,7 @@
 	return len(b.eligible) > 0
 }
 
-// isAllowed reports whether the retry rules allow an attempt at a server, given the previous attempts.
+// isAllowed reports whether the retry rules allow an attempt at a server, given the previous attempts of the request.
 func (b *baseline) isAllowed(request *baselineRequest, endpoint *baselineServer) bool {
 	for i := range request.attempts {
 		previous := &request.attempts[i]
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -11,7 +11,7 @@
 	lab.Arrival
 	attempts int
 	done     bool
-	current  *simRequest // the attempt for which the client waits, or nil
+	current  *simRequest // the attempt whose response the client waits for, or nil
 }
 
 // sendAttempt sends the next attempt to the sidecar.
--- a/internal/lab/sim/engine.go
+++ b/internal/lab/sim/engine.go
@@ -23,8 +23,8 @@
 // Options configure a simulation.
 type Options struct {
 	Policy   string             // one of Policies; "": PolicyModule
-	Workers  int                // maximum of instances that run in parallel; 0: one per core. It does not change the result
-	Progress func(done float64) // called about every second of the run with its completed share; may be nil
+	Workers  int                // maximum number of instances that run in parallel; 0: one per core. Does not change the result
+	Progress func(done float64) // called about every second of the run with the completed share of the run; may be nil
 
 	// InstanceFactory creates the instance of a sidecar instead of Policy, for tests with defective instances.
 	InstanceFactory func(sidecar int, config balance.Config) (Instance, error)
@@ -32,7 +32,7 @@
 
 // Stats are the cost of a run. They are not part of its result.
 type Stats struct {
-	Events  int // handled by the instances and by the rest of the simulation
+	Events  int // events that the instances and the rest of the simulation handled
 	Elapsed time.Duration
 }
 
@@ -46,13 +46,13 @@
 	// idleReuseShare is the share of a server's idle timeout for which a sidecar reuses a connection, as a real sidecar does.
 	idleReuseShare = 0.85
 
-	// A restarted sidecar accepts requests for drainNoticeMS after its SIGTERM and answers them until drainTimeoutMS. It
-	// starts again startupMS after it has ended.
+	// A restarted sidecar accepts requests for drainNoticeMS after its SIGTERM and answers them until drainTimeoutMS after
+	// the SIGTERM. It starts again startupMS after its exit.
 	drainNoticeMS  = 300
 	drainTimeoutMS = 3500
 	startupMS      = 100
 
-	// excuseAfterMS is how long responses may still be late after a freeze or partition, until the backlog is processed.
+	// excuseAfterMS is how long after a freeze or partition responses may still be late, as the sidecar processes its backlog.
 	excuseAfterMS = 500
 	// healthCheckWorkMS is the work of a health check at a server.
 	healthCheckWorkMS = 0.3
@@ -93,7 +93,7 @@
 	opts     Options
 	checker  *lab.Checker
 	recorder *lab.Recorder
-	rng      *rand.Rand // for the network
+	rng      *rand.Rand // random numbers for the network
 	tickMS   float64
 
 	now    float64
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// unfreeze resumes the server, which handles the requests that it received while it was frozen.
+// unfreeze resumes the server. The server handles the requests that arrived while it was frozen.
 func (s *simServer) unfreeze(now float64) {
 	s.frozen = false
 	received := s.pendingAttempts
--- a/internal/lab/sim/hotkey.go
+++ b/internal/lab/sim/hotkey.go
@@ -16,8 +16,8 @@
 const (
 	epochSeconds         = 1e9  // Unix time at which the virtual clock starts
 	sketchKeys           = 64   // keys that a sidecar counts at a time, as in a real sidecar
-	refreshIntervalMS    = 1000 // between two updates of the controller's view of the servers
-	congestionIntervalMS = 100  // between two counts of congested servers
+	refreshIntervalMS    = 1000 // interval between two updates of the controller's view of the servers
+	congestionIntervalMS = 100  // interval between two counts of congested servers
 	falseReportKeys      = 8    // number of keys in a false load report, each with the sidecar's total load
 )
 
@@ -28,7 +28,7 @@
 	spec    *lab.HotKeySpec
 	config  hotkey.Config
 	checker *lab.HotKeyChecker
-	rng     *rand.Rand // separate, so that no other draw depends on reports and placements
+	rng     *rand.Rand // separate stream, so that no other draw depends on reports and placements
 	hotKeys map[uint64]bool
 
 	planner      *hotkey.Planner // nil: the controller is down
@@ -45,7 +45,7 @@
 // sidecarKeyLoad is the hot-key state that a sidecar keeps outside the decision module.
 type sidecarKeyLoad struct {
 	sketch        *topk.Sketch
-	revision      uint64 // of the sidecar's current placement
+	revision      uint64 // revision of the sidecar's current placement
 	updatePending bool   // a placement is in transit to the sidecar
 }
 
@@ -236,7 +236,7 @@
 	return report
 }
 
-// plan runs the planner, and writes the changes after a delay. It does not plan again before the changes are written.
+// plan runs the planner, and writes the planned changes after a delay. It does not plan again before that write.
 func (c *hotKeySimulation) plan(now float64) {
 	if c.planner == nil || c.writePending {
 		return
--- a/internal/lab/sim/hotkey_placement.go
+++ b/internal/lab/sim/hotkey_placement.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// applyChanges writes the changes of a plan to the placement, and sends it to all sidecars.
+// applyChanges writes the changes of a plan to the placement, and sends the placement to all sidecars.
 func (c *hotKeySimulation) applyChanges(now float64, planner *hotkey.Planner, changes []hotkey.Change) {
 	c.revision++
 	for _, change := range changes {
@@ -75,7 +75,7 @@
 	return current
 }
 
-// sendPlacement sends the placement to a sidecar. The sidecar gets the one that is current at the time of delivery.
+// sendPlacement sends the placement to a sidecar. The sidecar gets the placement that is current at the time of delivery.
 func (c *hotKeySimulation) sendPlacement(sidecar *simSidecar) {
 	keyLoad, incarnation := &c.keyLoads[sidecar.index], sidecar.incarnation
 	if !sidecar.up || keyLoad.updatePending {
--- a/internal/lab/sim/hotkey_test.go
+++ b/internal/lab/sim/hotkey_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestHotKeyUnderFaults drops half of the load reports, has sidecars send false ones, and has the controller fail over while
-// replicas warm up.
+// TestHotKeyUnderFaults checks that the controller finds the hot key, replicates no other key and violates no rule while
+// half of the load reports are lost, sidecars send false reports and the controller fails over as replicas warm up.
 func TestHotKeyUnderFaults(t *testing.T) {
 	t.Parallel()
 	faults := `
--- a/internal/lab/sim/queue.go
+++ b/internal/lab/sim/queue.go
@@ -1,9 +1,9 @@
 package sim
 
-// eventQueue is a heap of events by time and, at the same time, in the order in which they were pushed.
+// eventQueue is a heap of events, ordered by due time. Events that are due at the same time keep the order of their pushes.
 type eventQueue struct {
 	heap     []event
-	sequence uint64 // of the event pushed last
+	sequence uint64 // sequence number of the event pushed last
 }
 
 // event is a function that runs at a time.
--- a/internal/lab/sim/request.go
+++ b/internal/lab/sim/request.go
@@ -8,7 +8,7 @@
 	"milldeck/internal/lab"
 )
 
-// simRequest is a request that a sidecar receives. Each attempt of a client is a separate one.
+// simRequest is a request that a sidecar receives. Each attempt of a client is a separate request.
 type simRequest struct {
 	id         uint64
 	client     *clientRequest
@@ -184,7 +184,7 @@
 }
 
 // releaseIfDone deletes a request that is answered and has no attempt in flight, once the instance has handled all its
-// events. Until then the instance may still send attempts, whose outcome is then Obsolete.
+// queued events. Before that, the instance may still send attempts; their outcome is Obsolete.
 func (r *simRequest) releaseIfDone() {
 	sidecar := r.sidecar
 	switch {
@@ -211,7 +211,7 @@
 	})
 }
 
-// disconnect handles that the client has given up the request.
+// disconnect handles a client that closes its connection before the response.
 func (r *simRequest) disconnect() {
 	r.clientDone = true
 	if r.answered {
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -21,17 +21,17 @@
 	model  *lab.Server
 	id     balance.ServerID
 
-	up          bool // its process runs
+	up          bool // the process runs
 	incarnation int
-	machineDown bool // its machine does not respond because of a zone outage
+	machineDown bool // the machine does not respond because of a zone outage
 	frozen      bool
-	refusing    bool // it refuses connections
-	listed      bool // the endpoint list has it as ready
+	refusing    bool // the server refuses connections
+	listed      bool // the endpoint list has the server as ready
 	startedAt   float64
 
 	connections     int
-	inFlight        map[int64]*simAttempt // running and waiting, by attempt ID
-	pendingAttempts []*simAttempt         // received while the server is frozen
+	inFlight        map[int64]*simAttempt // running and waiting attempts, by attempt ID
+	pendingAttempts []*simAttempt         // attempts received while the server is frozen
 	nextAdvance     float64               // time for which advance is scheduled; 0: none
 }
 
@@ -72,7 +72,7 @@
 		return
 	}
 	engine.checker.AttemptReceived(now, attempt.sentAt, attempt.request.id, attempt.id, attempt.sidecar.index, s.index)
-	if !attempt.inFlight { // it was cancelled before it arrived
+	if !attempt.inFlight { // the attempt was cancelled before it arrived
 		engine.checker.AttemptEnded(now, attempt.request.id, attempt.id, "given up")
 		return
 	}
@@ -133,7 +133,7 @@
 	}
 	s.nextAdvance = next
 	s.engine.schedule(next, func(now float64) {
-		if s.nextAdvance != next { // an earlier time was scheduled since
+		if s.nextAdvance != next { // an earlier time has been scheduled since
 			return
 		}
 		s.nextAdvance = 0
@@ -215,7 +215,7 @@
 	s.resetConnections(now, balance.Reset)
 }
 
-// resetConnections closes all connections. Their attempts end with the result.
+// resetConnections closes all connections. The attempts on these connections end with the given result.
 func (s *simServer) resetConnections(now float64, result balance.Result) {
 	s.incarnation++
 	s.connections = 0
--- a/internal/lab/sim/sidecar.go
+++ b/internal/lab/sim/sidecar.go
@@ -19,17 +19,17 @@
 	instance    Instance
 	incarnation int
 	up          bool
-	draining    bool // it accepts no new requests
+	draining    bool // the sidecar accepts no new requests
 	frozen      bool
 	deferred    []func(now float64) // socket events that occurred while the sidecar was frozen
 
 	events      []balance.Event
 	actions     []balance.Action
-	isScheduled bool // it is in simEngine.scheduled
+	isScheduled bool // the sidecar is in simEngine.scheduled
 	err         error
 
 	endpoints      map[int]endpointView // last notified state of the servers, by index
-	pendingUpdates []endpointUpdate     // not delivered yet, because discovery cannot reach the sidecar
+	pendingUpdates []endpointUpdate     // updates not delivered yet, because discovery cannot reach the sidecar
 	lastUpdateDue  float64
 	subscribed     bool
 
@@ -89,7 +89,7 @@
 	}
 }
 
-// deliver queues an event for the instance, which handles it at the end of this tick.
+// deliver queues an event for the instance. The instance handles the event at the end of this tick.
 func (s *simSidecar) deliver(event balance.Event) {
 	if s.up {
 		s.events = append(s.events, event)
@@ -105,7 +105,7 @@
 	}
 }
 
-// handleEvents has the instance handle its events. It runs in parallel for several sidecars.
+// handleEvents has the instance handle its events. Calls for different sidecars run in parallel.
 func (s *simSidecar) handleEvents(now float64) {
 	for i, event := range s.events {
 		if received, ok := event.(balance.Request); ok {
@@ -157,7 +157,7 @@
 	}
 }
 
-// answer sends the instance's own final response to a client.
+// answer sends a client the final response that the instance itself gives, instead of a server's response.
 func (s *simSidecar) answer(action *balance.Action, outcome lab.Outcome) {
 	request := s.requests[uint64(action.Request)]
 	if request == nil || request.answered {
--- a/internal/lab/sim/sidecar_discovery.go
+++ b/internal/lab/sim/sidecar_discovery.go
@@ -22,7 +22,7 @@
 	startedAt float64
 }
 
-// endpointList returns all servers that the sidecar was notified of and that were not removed since.
+// endpointList returns all servers that the sidecar was notified of and that discovery has not removed since.
 func (s *simSidecar) endpointList(kind balance.UpdateKind) balance.EndpointUpdate {
 	update := balance.EndpointUpdate{Kind: kind}
 	for _, serverIndex := range slices.Sorted(maps.Keys(s.endpoints)) {
@@ -60,7 +60,7 @@
 	return s.engine.discoveryDown || s.engine.isPartitioned(lab.LinkEnd{Kind: lab.DiscoveryEnd}, s.linkEnd())
 }
 
-// receiveUpdate queues a change of the endpoint list, and applies it if discovery notifies the sidecar.
+// receiveUpdate queues a change of the endpoint list, and applies the pending changes if discovery notifies the sidecar.
 func (s *simSidecar) receiveUpdate(now float64, update endpointUpdate) {
 	s.pendingUpdates = append(s.pendingUpdates, update)
 	if s.isNotified() {
--- a/internal/lab/sim/sidecar_lifecycle.go
+++ b/internal/lab/sim/sidecar_lifecycle.go
@@ -72,7 +72,7 @@
 	})
 }
 
-// stopWhenDrained ends the sidecar once all its requests have ended, at the latest at until, and starts it again.
+// stopWhenDrained ends the sidecar once all its requests have ended, at the latest at time until, and starts it again.
 func (s *simSidecar) stopWhenDrained(now, until float64, incarnation int) {
 	if s.incarnation != incarnation {
 		return
@@ -85,7 +85,7 @@
 	s.engine.schedule(now+startupMS, func(now float64) { s.start(now) })
 }
 
-// freeze suspends the sidecar, as SIGSTOP does, and excuses its late responses up to shortly after until.
+// freeze suspends the sidecar, as SIGSTOP does, and excuses its late responses until excuseAfterMS after time until.
 func (s *simSidecar) freeze(until float64) {
 	if s.up && !s.frozen {
 		s.frozen = true
