--- a/internal/lab/live/addresses.go
+++ b/internal/lab/live/addresses.go
@@ -19,8 +19,8 @@
 	sidecarPort     = 8081
 	gossipPort      = 7946
 	firstGossipNet  = 8     // first /24 subnet of the gossip relay
-	firstServerPort = 10000 // a port is this plus the number of the sidecar that connects to it
-	firstServerNet  = 16    // first /24 subnet of servers; sidecars, discovery and gossip use lower ones
+	firstServerPort = 10000 // a server's port is this plus the number of the sidecar that connects to it
+	firstServerNet  = 16    // first /24 subnet of servers; sidecars, discovery and gossip use lower subnets
 )
 
 // sidecar returns the address at which a sidecar accepts its application's requests.
@@ -35,7 +35,7 @@
 	return a.Addr(firstGossipNet, sidecar, gossipPort)
 }
 
-// discovery returns one of the two alternative addresses of a sidecar's discovery agent.
+// discovery returns one of the two addresses between which a sidecar's discovery agent relocates.
 func (a addresses) discovery(sidecar, alternative int) string {
 	return a.Addr(0, alternative, firstServerPort+sidecar)
 }
--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// maxSendDelay is the longest delay with which the lab still sends a request. The lab skips a request that is later,
-	// because its latency would be that of the lab's own machine.
+	// maxSendDelay is the longest delay with which the lab still sends a request. The lab skips a request with a longer
+	// delay, because the measured latency would be that of the lab's own machine.
 	maxSendDelay = 50 * time.Millisecond
 	// lateResponseWait is how long a client keeps reading after the timeout, to distinguish a late response from a
 	// missing one.
@@ -32,7 +32,7 @@
 // sentRequest is a request that a client has sent. Servers look it up by the request ID.
 type sentRequest struct {
 	*lab.Arrival
-	attempts atomic.Int32 // received by servers
+	attempts atomic.Int32 // number of attempts that servers have received
 }
 
 // generateLoad sends the plan's requests at their scheduled times in an open loop: it does not wait for responses. It
@@ -58,7 +58,7 @@
 	}
 }
 
-// sendWithRetries sends one request and retries it as the plan specifies for its client.
+// sendWithRetries sends one request, and retries it as the plan specifies for the client.
 func (f *fleet) sendWithRetries(arrival *lab.Arrival) {
 	ctx := f.ctx
 	if arrival.DisconnectAfterMS > 0 {
@@ -146,7 +146,7 @@
 	f.recordRequest(attempt)
 	if _, err := io.WriteString(connection, f.requestHead(attempt)); err != nil {
 		connection.Close()
-		f.checker.ClientDisconnected(f.now(), attempt.requestID) // the sidecar has not accepted the request
+		f.checker.ClientDisconnected(f.now(), attempt.requestID) // the sidecar has not accepted the request and need not respond
 		return clientResponse{outcome: lab.OutcomeUnreachable, noBytes: true}
 	}
 	response, err := http.ReadResponse(connection.reader, nil)
@@ -224,7 +224,7 @@
 	}
 }
 
-// parseResponse returns the request ID and the server number in a response body, 0 and -1 if they are missing.
+// parseResponse returns the request ID and the server number in a response body. A missing ID is 0, a missing number -1.
 func parseResponse(body string) (owner uint64, server int) {
 	id, number, _ := strings.Cut(body, " ")
 	owner, err := strconv.ParseUint(id, 16, 64)
--- a/internal/lab/live/connection_pool.go
+++ b/internal/lab/live/connection_pool.go
@@ -11,7 +11,7 @@
 // connectionPool holds the idle kept-alive connections of one sidecar's application. It is safe for concurrent use.
 type connectionPool struct {
 	mu   sync.Mutex
-	idle []*clientConnection // longest idle first
+	idle []*clientConnection // ordered by idle time, the longest first
 }
 
 // clientConnection is a connection of the application to its sidecar.
@@ -32,7 +32,7 @@
 }
 
 // get removes the most recently used connection from the pool and returns it. It closes connections that the sidecar
-// may have closed, and returns nil if no other is left.
+// may have closed, and returns nil if no connection is left.
 func (p *connectionPool) get() *clientConnection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,13 +47,13 @@
 	return nil
 }
 
-// store returns a connection after a response.
+// store puts a connection back into the pool after a response.
 func (p *connectionPool) store(connection *clientConnection) {
 	connection.idleSince = time.Now()
 	_ = connection.SetDeadline(time.Time{}) // fails only on a closed connection, whose next use fails too
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// Closes expired connections here, because get does not reach them while the load falls.
+	// Closes expired connections here, because get takes the newest connection and does not reach these while the load falls.
 	for len(p.idle) > 0 && time.Since(p.idle[0].idleSince) > maxConnectionIdle {
 		p.idle[0].Close()
 		p.idle = p.idle[1:]
--- a/internal/lab/live/controllers.go
+++ b/internal/lab/live/controllers.go
@@ -22,7 +22,7 @@
 	// commandTimeout bounds an operator's command. A command that follows the progress of its own operation is killed
 	// at this timeout.
 	commandTimeout = 60 * time.Second
-	maxOutputBytes = 500 // of a command's output or an HTTP response that an error quotes
+	maxOutputBytes = 500 // bytes of a command's output or an HTTP response that an error quotes
 )
 
 // controller is a process of a controller under test, such as the release controller.
@@ -44,7 +44,7 @@
 
 // placeholders holds the values of the placeholders that differ between processes.
 type placeholders struct {
-	name     string // of the controller, or "step"
+	name     string // name of the controller, or "step"
 	listen   string // address at which the controller listens
 	config   string // path of the controller's configuration
 	stepFile string // path of the step's file
@@ -164,7 +164,7 @@
 	}
 }
 
-// runCommand runs an operator's milldeck command. It fails if the command exits with another status than the step's.
+// runCommand runs an operator's milldeck command. It fails if the exit status differs from the status that the step expects.
 func (c *controlPlane) runCommand(ctx context.Context, stepNumber int, step *lab.StepSpec) error {
 	path := filepath.Join(c.fleet.options.Dir, fmt.Sprintf("step%d.toml", stepNumber))
 	own := placeholders{name: "step", stepFile: path}
--- a/internal/lab/live/controlplane.go
+++ b/internal/lab/live/controlplane.go
@@ -29,10 +29,10 @@
 )
 
 const (
-	startupTimeout  = 30 * time.Second // for all servers, and for all sidecars, which start simultaneously on one machine
+	startupTimeout  = 30 * time.Second // until all servers, or all sidecars, are ready; they start simultaneously on one machine
 	startBatchSize  = 64               // units in one request to the supervisor
-	sidecarLeaseTTL = 3 * time.Second  // of a sidecar's registration in the ledger
-	shutdownTimeout = 10 * time.Second // for the supervisor with all its units
+	sidecarLeaseTTL = 3 * time.Second  // lease of a sidecar's registration in the ledger
+	shutdownTimeout = 10 * time.Second // for the supervisor and all its units to exit
 )
 
 // controlPlane is the control plane of a run: the stand-in supervisor that starts servers and sidecars, the controllers
@@ -56,7 +56,7 @@
 
 	mu          sync.Mutex
 	processes   map[int]*unitProcess // by pid
-	failure     error                // of the first action that the lab itself could not perform
+	failure     error                // error of the first action that the lab itself could not perform
 	abortLoad   func()               // ends the run's load
 	loadContext context.Context      // ends with the load
 }
@@ -190,7 +190,7 @@
 }
 
 // recordFailure stores the error of the first action that the lab itself could not perform and ends the load: the run is
-// void. It ignores errors after the end of the load, which may have interrupted the action.
+// void. It ignores errors after the end of the load, as the end may have interrupted the action.
 func (c *controlPlane) recordFailure(action string, err error) {
 	if err == nil || c.finished.Load() {
 		return
@@ -281,8 +281,8 @@
 	supervisor := c.supervisor
 	c.mu.Unlock()
 	if supervisor != nil {
-		_ = supervisor.Signal(syscall.SIGCONT) // fails only if it has exited, which Kill handles
-		supervisor.Kill()                      // the kernel kills its units when it exits
+		_ = supervisor.Signal(syscall.SIGCONT) // fails only if the supervisor has exited, which Kill handles
+		supervisor.Kill()                      // the kernel kills the units when the supervisor exits
 	}
 	if c.listener != nil {
 		c.listener.Close()
--- a/internal/lab/live/controlplane_faults.go
+++ b/internal/lab/live/controlplane_faults.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// supervisorFaultRecoveryMS is how long the effects of a supervisor fault may last after its end.
+	// supervisorFaultRecoveryMS is how long the effects of a supervisor fault may last after the end of the fault.
 	supervisorFaultRecoveryMS = 5000
 	// supervisorRequestTimeout bounds the wait for a leader, and a request to the supervisor, at the start of a fault.
 	supervisorRequestTimeout = 2 * time.Second
 	untilRunEndMS            = 1e12 // later than the end of any run
 )
 
-// beginFault announces to the checker which units a fault affects, and begins the fault at control-plane processes.
+// beginFault reports to the checker which units a fault affects, and begins the fault at control-plane processes.
 func (c *controlPlane) beginFault(ctx context.Context, fault *lab.Fault) {
 	c.announceFault(fault)
 	if fault.Leader {
@@ -92,7 +92,7 @@
 	case lab.FaultRestart:
 		c.recordFailure(fault.Label, c.restartUnit(ctx, server.plan.UID))
 	default:
-		server.setFault(fault, true) // the process receives the effect in the BeginReply of each attempt
+		server.setFault(fault, true) // the server process receives the effect in the BeginReply of each attempt
 	}
 }
 
--- a/internal/lab/live/controlplane_test.go
+++ b/internal/lab/live/controlplane_test.go
@@ -67,8 +67,8 @@
 	return fmt.Sprintf("[[control.step]]\nat_s = %s\ndo = %q\ntarget = %q\n", atSeconds, action, target)
 }
 
-// Faults alone violate no rule of the control plane. The checker detects the violations of steps that bypass the
-// controllers.
+// Faults alone violate no rule of the control plane. Steps that bypass the controllers violate rules, and the checker
+// detects each violation.
 func TestControlPlane(t *testing.T) {
 	for _, test := range []struct {
 		name, extra string
--- a/internal/lab/live/direct_actions.go
+++ b/internal/lab/live/direct_actions.go
@@ -15,12 +15,12 @@
 
 const (
 	maxKeysWithCopies = 100              // keys for which placeCopies places copies
-	copyTTL           = 30 * time.Second // after which the placed copies expire
+	copyTTL           = 30 * time.Second // time after which the placed copies expire
 	// hotKeyLease is the name of the hot-key controller's lease.
 	hotKeyLease = "spread"
 )
 
-// performAction performs a step that bypasses the controllers. The checker has to detect the violation.
+// performAction performs a step that bypasses the controllers. The checker has to detect the violation that results.
 func (c *controlPlane) performAction(ctx context.Context, stepNumber int, step *lab.StepSpec) error {
 	serverNumbers, sidecarNumbers := c.fleet.plan.MatchUnits(step.Target)
 	var servers, units []string
@@ -82,7 +82,7 @@
 	client := c.fleet.registryService.client
 	place := func(ctx context.Context, lease *leaderelection.Lease) error {
 		now := time.Now()
-		loadFraction := 1 / float64(len(servers)+1) // the rest stays with the key's own server
+		loadFraction := 1 / float64(len(servers)+1) // the key's own server keeps an equal share
 		var directives []placement.Directive
 		for i := range min(maxKeysWithCopies, c.fleet.plan.Experiment.Clients.Keys) {
 			key := fmt.Sprintf("%016x", hashKey(c.fleet.plan.ClientKey(i)))
--- a/internal/lab/live/discovery.go
+++ b/internal/lab/live/discovery.go
@@ -16,7 +16,7 @@
 const (
 	keepAliveInterval = 2 * time.Second         // time without a change after which a watch sends an empty line
 	oldAddressGrace   = 1500 * time.Millisecond // time after which a relocated agent closes the watches at its old address
-	maxHistory        = 4096                    // changes retained for watches that resume at an older revision
+	maxHistory        = 4096                    // number of changes retained for watches that resume at an older revision
 )
 
 // endpoint is one entry of the endpoint list, as the platform's discovery protocol encodes it.
@@ -52,15 +52,15 @@
 }
 
 // agent is the stand-in for the discovery agent on one sidecar's machine. It serves the changes that it has received,
-// and receives none while discovery is down. In an experiment with the registry it serves nothing, and mirrors what the
-// real agent has sent to its sidecar.
+// and receives none while discovery is down. In an experiment with the registry the stand-in serves nothing, and mirrors
+// what the real agent has sent to the sidecar.
 type agent struct {
 	fleet   *fleet
 	sidecar int // number
 
 	mu          sync.Mutex
 	revision    int64
-	endpoints   map[int]endpoint // by server, without removed ones
+	endpoints   map[int]endpoint // by server, without removed servers
 	knownBootMS map[int]float64
 	history     []endpointChange
 	pending     []endpointChange
@@ -97,7 +97,7 @@
 	mux.HandleFunc("GET /registry/instances", a.serve)
 	a.httpServer = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	server := a.httpServer
-	go func() { _ = server.Serve(listener) }() // returns when the server is closed, which is no failure
+	go func() { _ = server.Serve(listener) }() // Serve returns when the HTTP server is closed, which is no failure
 	return nil
 }
 
@@ -112,12 +112,12 @@
 	if err := a.listen(); err != nil {
 		return err
 	}
-	// Shutdown closes the listener at once and waits for watches, which do not end by themselves.
+	// Shutdown closes the listener at once and waits for the watches. They end only with the Close below.
 	ctx, cancel := context.WithTimeout(context.Background(), oldAddressGrace)
 	go func() {
 		defer cancel()
 		if previous.Shutdown(ctx) != nil {
-			_ = previous.Close() // its listener is closed already: this closes the watches only
+			_ = previous.Close() // Shutdown has closed the listener: this closes the watches only
 		}
 	}()
 	return nil
@@ -125,7 +125,7 @@
 
 func (a *agent) close() {
 	if a.httpServer != nil {
-		_ = a.httpServer.Close() // the run is over: nothing depends on it
+		_ = a.httpServer.Close() // the run is over: nothing depends on the result
 	}
 }
 
@@ -193,8 +193,8 @@
 }
 
 // changesSince returns the newest entry of each server that changed after a revision, or the complete list if the
-// history does not reach back to the revision. The map has the servers of which the reader is notified; its value is
-// true for a ready server. The caller holds the lock.
+// history does not reach back to the revision. The map has the servers of which the list notifies the reader; the value
+// is true for a ready server. The caller holds the lock.
 func (a *agent) changesSince(revision int64) (endpointList, map[int]bool) {
 	notified := map[int]bool{}
 	if revision <= 0 || revision > a.revision || len(a.history) > 0 && revision < a.history[0].revision-1 {
--- a/internal/lab/live/faults.go
+++ b/internal/lab/live/faults.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	restartPauseMS  = 100 // between the exit of a server and its next start, as in package sim
-	faultRecoveryMS = 500 // after a freeze or partition, during which responses may still be late
+	restartPauseMS  = 100 // time between the exit of a server and its next start, as in package sim
+	faultRecoveryMS = 500 // time after a freeze or partition in which responses may still be late
 )
 
 // injectFaults begins and ends the plan's faults, and starts and replaces servers, at their times. It returns once all
@@ -271,7 +271,7 @@
 // detection takes. With the registry the server's lease expires instead.
 func (f *fleet) removeAfterSilence(server *server) {
 	if f.registryService != nil {
-		return // its lease expires
+		return // the server's lease expires
 	}
 	server.mu.Lock()
 	incarnation := server.incarnation
@@ -287,8 +287,8 @@
 	})
 }
 
-// drainServer publishes a server as terminating and stops it after the drain time. If restart is set, it starts the
-// server again.
+// drainServer publishes a server as terminating and stops the server after the drain time. If restart is set,
+// drainServer starts the server again.
 func (f *fleet) drainServer(ctx context.Context, server *server, restart bool) {
 	if !server.isUp() || f.publishedState(server) != stateReady {
 		return
--- a/internal/lab/live/frontend.go
+++ b/internal/lab/live/frontend.go
@@ -24,7 +24,7 @@
 	notProcessedHeader = "X-Not-Processed: 1\r\n"
 )
 
-// The results of attempts, by which the lab's reports count them.
+// The results of attempts. The lab's reports count the attempts by result.
 const (
 	resultServed           = "served"
 	resultError            = "error"
@@ -37,10 +37,10 @@
 
 // host is the process in which a frontend runs: the lab's own, or that of one server.
 type host interface {
-	runContext() context.Context // ends with the run
+	runContext() context.Context // context that ends with the run
 	now() float64                // time of the model, in ms
 	pathTo(sidecar int) networkPath
-	// beginAttempt records an attempt and reports whether a client sent its request. sidecar is -1 if it is not known.
+	// beginAttempt records an attempt and reports whether a client sent the request. sidecar is -1 if the sidecar is unknown.
 	beginAttempt(requestID uint64, sidecar int, received receivedRequest) (serverAttempt, bool)
 	addCounts(apply func(*lab.Counts))
 	recordLateness(ms float64)
@@ -70,14 +70,14 @@
 	plan                *lab.ServerPlan
 	answersHealthChecks bool
 	// processEndpoint answers requests to the server's process itself, such as the supervisor's readiness check.
-	// ok is false for all other paths. It is nil for a server without a process of its own.
+	// ok is false for all other paths. The function is nil for a server without a process of its own.
 	processEndpoint func(path string) (status int, body string, ok bool)
-	// applyRegression applies the regression of the server's version to a job. It is nil if there is none.
+	// applyRegression applies the regression of the server's version to a job. It is nil if the version has no regression.
 	applyRegression func(*lab.Job)
 
 	mu          sync.Mutex // guards the fields below
 	model       *lab.Server
-	timer       *time.Timer // of the model's next event
+	timer       *time.Timer // fires at the model's next event
 	up          bool
 	incarnation int
 	connections map[net.Conn]struct{}
@@ -87,8 +87,8 @@
 // clientPeer is a connection and what the server knows of the sidecar at its other end.
 type clientPeer struct {
 	connection          net.Conn
-	sidecar             int  // -1 if not known
-	newConnection       bool // no request has been answered on it yet
+	sidecar             int  // number of the sidecar; -1 if not known
+	newConnection       bool // the server has not answered a request on the connection yet
 	overConnectionLimit bool // opened while the server already had its maximum number of connections
 }
 
--- a/internal/lab/live/frontend_attempt.go
+++ b/internal/lab/live/frontend_attempt.go
@@ -44,8 +44,8 @@
 	return handler.run(ctx)
 }
 
-// handleHealthCheck answers a sidecar's health check. It answers any other path, and each health check of a server that
-// does not support them, with status 404.
+// handleHealthCheck answers a sidecar's health check. It answers any other path, and every health check if the server does
+// not support health checks, with status 404.
 func (f *frontend) handleHealthCheck(ctx context.Context, client clientPeer, received receivedRequest) bool {
 	path := f.host.pathTo(client.sidecar)
 	if received.request.URL.Path != "/health/live" || !f.answersHealthChecks {
@@ -69,7 +69,7 @@
 	endOnce   sync.Once
 }
 
-// end reports how the attempt ended. Only the first call counts.
+// end reports how the attempt ended. Calls after the first have no effect.
 func (h *attemptHandler) end(result string) {
 	h.endOnce.Do(func() { h.attempt.ended(result) })
 }
--- a/internal/lab/live/frontend_jobs.go
+++ b/internal/lab/live/frontend_jobs.go
@@ -6,8 +6,8 @@
 	"milldeck/internal/lab"
 )
 
-// submit passes a job to the model, whose completion arrives on the channel. It returns false if the server rejects the
-// job because its queue is full.
+// submit passes a job to the model. The job's completion arrives on the channel. submit returns false if the server rejects
+// the job because the server's queue is full.
 func (f *frontend) submit(job lab.Job) (<-chan lab.JobCompletion, bool) {
 	f.mu.Lock()
 	now := f.host.now()
--- a/internal/lab/live/gossip_relay.go
+++ b/internal/lab/live/gossip_relay.go
@@ -11,8 +11,8 @@
 	"milldeck/internal/lab"
 )
 
-// maxInFlightDatagrams bounds the datagrams that the relay delays at the same time. It drops further ones, as a network
-// does.
+// maxInFlightDatagrams bounds the datagrams that the relay delays at the same time. The relay drops further datagrams, as a
+// network does.
 const maxInFlightDatagrams = 4096
 
 // maxDatagram is the length in bytes to which longer datagrams are truncated.
@@ -102,6 +102,6 @@
 
 func (r *gossipRelay) close() {
 	for _, connection := range r.connections {
-		_ = connection.Close() // the run is over: nothing depends on it
+		_ = connection.Close() // the run is over: nothing depends on the result
 	}
 }
--- a/internal/lab/live/lab_client.go
+++ b/internal/lab/live/lab_client.go
@@ -31,7 +31,7 @@
 		Call, First, Last int64 // Unix ns
 		ID                uint64
 	}
-	// BeginReply describes the request of an attempt. Known is false if no client has sent it.
+	// BeginReply describes the request of an attempt. Known is false if no client has sent the request.
 	BeginReply struct {
 		Known bool
 		Job   lab.Job
@@ -42,7 +42,7 @@
 		Call        int64
 		Back, Fresh bool
 	}
-	// AttemptEndReport reports the end of an attempt. How is its result.
+	// AttemptEndReport reports the end of an attempt. How is the result of the attempt.
 	AttemptEndReport struct {
 		Call, At int64 // Unix ns
 		How      string
@@ -54,9 +54,9 @@
 		Effect  bool    // the request's effect was applied
 		Work    float64 // ms on a standard core
 		Key     uint64  // 0: none
-		Met     bool    // the key was cached, or there is none
+		Met     bool    // the key was cached, or the request has no key
 	}
-	// EffectQuery is the query whether an effect of a class's requests has been applied before.
+	// EffectQuery asks whether the server's deduplication scope has applied an effect of a class's requests before.
 	EffectQuery struct {
 		Class  int
 		Effect uint64
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -38,10 +38,10 @@
 
 // Options configure a run.
 type Options struct {
-	SidecarPath  string         // of the sidecar program
-	MilldeckPath string         // of the milldeck program: registry, agents, supervisor, servers
+	SidecarPath  string         // path of the sidecar program
+	MilldeckPath string         // path of the milldeck program, which runs the registry, agents, supervisor and servers
 	Dir          string         // folder of configurations and logs
-	Progress     func(Progress) // called every second of the run unless it is nil
+	Progress     func(Progress) // called every second of the run; may be nil
 }
 
 // Progress is the state of a run.
@@ -86,7 +86,7 @@
 	startOffset atomic.Int64 // ns from createdAt to the run's time 0, when all sidecars are ready; 0 before that
 
 	registryService  *registryService // nil: discovery is the stand-in of this process
-	controlPlane     *controlPlane    // nil: the experiment has none
+	controlPlane     *controlPlane    // nil: the experiment has no control plane
 	servers          []*server
 	agents           []*agent
 	sidecars         []*sidecarProcess
@@ -102,7 +102,7 @@
 	publishedMu      sync.Mutex // guards the fields below except discoveryDown
 	revision         int64
 	publishedStates  map[int]string // by server
-	discoveryDelayMS float64        // added by faults in force
+	discoveryDelayMS float64        // delay of notifications that the faults in force add
 	discoveryDown    atomic.Bool
 }
 
@@ -185,7 +185,7 @@
 func (f *fleet) start(ctx context.Context) error {
 	for _, server := range f.servers {
 		if server.plan.StartMS > 0 || f.controlPlane != nil {
-			continue // started later, or by the supervisor
+			continue // the fleet starts this server later, or the supervisor starts it
 		}
 		if err := server.start(0, false); err != nil {
 			return err
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -152,7 +152,7 @@
 	for _, path := range children {
 		data, err := os.ReadFile(path)
 		if err != nil {
-			continue // exited meanwhile
+			continue // the process has exited meanwhile
 		}
 		var pid, parent int
 		var name, state string
@@ -165,11 +165,11 @@
 	}
 }
 
-// Sidecars that rarely reach each server gossip about the slow ones, but not across a partition. Once the partition has
-// healed they send no more than the budget that the requests earn.
+// Sidecars that rarely reach each server gossip about the slow servers, but not across a partition. Also after the partition
+// has healed, they send no more bytes than the gossip budget allows for the number of requests.
 func TestGossipBetweenProcesses(t *testing.T) {
 	const bytesPerRequest, burst = 2.2, 400 + 39 // balance's gossip budget at a cost of 0.06, gossipBurstBytes, and a poll
-	const initialRequests = 3 * 2                // each sidecar polls the others at its start, before the first fault
+	const initialRequests = 3 * 2                // each sidecar polls the other sidecars at its start, before the first fault
 	run := func(t *testing.T, partition string) *lab.Result {
 		faults := "[limits]\nmay_tell = true\ncancel = true\n[prices]\npeer = 0.06\n" +
 			faultTOML("slow", "server:0-19", "0.4", "1", "by = 40") + faultTOML("slow", "server:0-19", "1.8", "1", "by = 40")
--- a/internal/lab/live/placement_watch.go
+++ b/internal/lab/live/placement_watch.go
@@ -48,7 +48,7 @@
 		case placement.KindSpreadKey:
 			key, err := strconv.ParseUint(directive.KeyHash, 16, 64)
 			if err != nil {
-				continue // Cache.Apply rejects such a directive
+				continue // Cache.Apply rejects a directive with an invalid key hash
 			}
 			for _, server := range directive.Copies {
 				copies = append(copies, lab.KeyCopy{Key: key, Server: server.ServerUID})
--- a/internal/lab/live/process_watch.go
+++ b/internal/lab/live/process_watch.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	processPollInterval   = 20 * time.Millisecond // of the supervisor's child processes
+	processPollInterval   = 20 * time.Millisecond // interval between two polls of the supervisor's child processes
 	readinessPollInterval = 50 * time.Millisecond // a draining sidecar reports not ready for ten of these intervals
 	unitEnv               = "LAB_UNIT"
 	versionEnv            = "LAB_VERSION"
@@ -93,7 +93,7 @@
 	}
 	c.mu.Unlock()
 	for _, pid := range pids {
-		if current, _ := unitOfProcess(pid); current == unit { // the pid has not been reused
+		if current, _ := unitOfProcess(pid); current == unit { // no process of another unit has reused the PID
 			_ = syscall.Kill(pid, signal) // fails only for a process that has exited and needs no signal
 		}
 	}
@@ -134,7 +134,7 @@
 	for _, sidecar := range c.fleet.sidecars {
 		unit := c.fleet.plan.Sidecars[sidecar.number].Name
 		c.background.Go(func() {
-			readyPID := 0 // the process that was ready
+			readyPID := 0 // PID of the process that was ready
 			for sleep(c.ctx, readinessPollInterval) && !c.finished.Load() {
 				pid := c.newestPID(unit)
 				if pid == 0 {
--- a/internal/lab/live/procfs.go
+++ b/internal/lab/live/procfs.go
@@ -36,8 +36,8 @@
 	return ok && fields != "" && fields[0] != 'Z' && fields[0] != 'X'
 }
 
-// unitOfProcess returns the unit and the version of a process, from its environment. They are empty if the process
-// belongs to no unit.
+// unitOfProcess returns the unit and the version of a process, from the process's environment. Both are empty if the
+// process belongs to no unit.
 func unitOfProcess(pid int) (unit, version string) {
 	content, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
 	if err != nil {
--- a/internal/lab/live/registry_service.go
+++ b/internal/lab/live/registry_service.go
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// renewLeases renews the leases until the run ends. It deregisters no server then, because the replicas end too.
+// renewLeases renews the leases until the run ends. It deregisters no server at the end, because the replicas end too.
 func (r *registryService) renewLeases() {
 	interval := time.Duration(r.fleet.plan.Experiment.Discovery.LeaseMS) * time.Millisecond / 3
 	for sleep(r.ctx, interval) {
--- a/internal/lab/live/server_lifecycle.go
+++ b/internal/lab/live/server_lifecycle.go
@@ -132,8 +132,8 @@
 }
 
 // reportWarmedUp reports to the ledger, until the run ends, the servers that have warmed up after a start. The lab reports
-// this as the operator of the servers, because the endpoint list does not show it. The ledger ignores the report on a unit
-// that has changed since the lab read it.
+// this as the operator of the servers, because the endpoint list does not show which servers are warm. The ledger ignores
+// the report on a unit that has changed since the lab read the unit.
 func (c *controlPlane) reportWarmedUp() {
 	for sleep(c.ctx, warmUpPollInterval) && !c.finished.Load() {
 		ctx, cancel := context.WithTimeout(c.ctx, registryWriteTimeout)
--- a/internal/lab/live/server_process.go
+++ b/internal/lab/live/server_process.go
@@ -17,11 +17,11 @@
 
 // ServerConfig is the configuration of one modelled server that runs as a process of its own (milldeck lab server).
 type ServerConfig struct {
-	LabAddress   string          `toml:"lab"`     // of the lab that observes the server; "": none, request headers describe the job
+	LabAddress   string          `toml:"lab"`     // address of the observing lab; "": no lab, request headers describe the job
 	Number       int             `toml:"number"`  // in the lab's plan, from 0
 	Zone         int             `toml:"zone"`    // number of the zone
 	PodGroup     int             `toml:"pod"`     // number of the pod group
-	Speed        float64         `toml:"speed"`   // of a core, relative to a standard core; 1 by default
+	Speed        float64         `toml:"speed"`   // speed of a core, relative to a standard core; 1 by default
 	SlowStartMS  float64         `toml:"cold_ms"` // duration of the slow start
 	StartsWarm   bool            `toml:"warm"`    // the first incarnation in the lab's run starts warm
 	Seed         uint64          `toml:"seed"`
@@ -144,7 +144,7 @@
 	effects          lab.EffectStore
 	terminating      atomic.Bool
 	failure          chan error
-	openAttempts     atomic.Int64 // received and not ended
+	openAttempts     atomic.Int64 // attempts that were received and have not ended
 	receivedAttempts atomic.Int64
 	cores            float64
 
@@ -281,7 +281,7 @@
 }
 
 // drain shuts down gracefully: it answers the requests in flight, and those that still arrive on open connections, until
-// none has been in flight for drainIdlePolls polls.
+// no request has been in flight for drainIdlePolls polls.
 func (p *serverProcess) drain(listener net.Listener) error {
 	p.terminating.Store(true)
 	p.observer.reportTerminating()
@@ -343,7 +343,7 @@
 	a.openAttempts.Add(-1)
 }
 
-// directPath is a network path without delay and loss: that of the supervisor, and of sidecars that are not known.
+// directPath is a network path without delay and loss. The supervisor and unknown sidecars use it.
 type directPath struct{}
 
 func (directPath) deliverRequest(context.Context, bool) bool { return true }
--- a/internal/lab/live/server_process_test.go
+++ b/internal/lab/live/server_process_test.go
@@ -192,7 +192,7 @@
 	t.Fatal("no request in flight within 5 s")
 }
 
-// Whether a regression affects a request depends on the request, the load and the draw alone.
+// Whether a regression affects a request depends only on the request's class and tenant, the load and the random draw.
 func TestRegressionDependsOnRequest(t *testing.T) {
 	regression := lab.Regression{ErrorShare: 0.5, Slowdown: 1.3, SlowdownAboveLoad: 1, Class: "read", Tenant: "branch"}
 	for _, test := range []struct {
--- a/internal/lab/live/sidecar.go
+++ b/internal/lab/live/sidecar.go
@@ -35,7 +35,7 @@
 	return &sidecarProcess{fleet: f, number: number, address: f.addresses.sidecar(number)}
 }
 
-// start starts the process. Its configuration contains the endpoint list that the agent has.
+// start starts the process. The sidecar's configuration contains the endpoint list that the agent has.
 func (s *sidecarProcess) start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/live/sidecar_faults.go
+++ b/internal/lab/live/sidecar_faults.go
@@ -22,8 +22,8 @@
 	f.startSidecar(sidecar)
 }
 
-// startSidecar starts a sidecar whose process has exited and waits until it is ready. A process that is not ready does not
-// handle signals yet: a stop would kill it.
+// startSidecar starts a sidecar whose process has exited and waits until the sidecar is ready. A process that is not ready
+// does not handle signals yet: SIGTERM would kill the process without a drain.
 func (f *fleet) startSidecar(sidecar *sidecarProcess) {
 	if f.ctx.Err() != nil {
 		return
