--- a/internal/lab/arrivals.go
+++ b/internal/lab/arrivals.go
@@ -16,7 +16,7 @@
 	Key               uint64 // 0: none
 	WorkMS            float64
 	ExpectedWorkMS    float64 // work that the request announces
-	EffectID          uint64  // identifies the request's effect, the same for all attempts; 0: it has none
+	EffectID          uint64  // identifies the request's effect, the same for all attempts; 0: no effect
 	AttemptTimeoutMS  float64
 	DisconnectAfterMS float64 // 0: the client does not disconnect early
 	HonoursRetryAfter bool
--- a/internal/lab/checker.go
+++ b/internal/lab/checker.go
@@ -141,7 +141,7 @@
 	c.violations = append(c.violations, violation)
 }
 
-// Finish ends the run. It reports requests that got no response by their deadline, and attempts of one request that
+// Finish ends the run. It reports requests without a response whose deadline has passed, and attempts of one request that
 // are still open in parallel.
 func (c *Checker) Finish(now float64) {
 	c.mu.Lock()
--- a/internal/lab/checker_requests.go
+++ b/internal/lab/checker_requests.go
@@ -26,7 +26,7 @@
 // responseSlackMS returns how long after the deadline a final response still counts as in time.
 func (c *Checker) responseSlackMS() float64 { return c.plan.Experiment.Rules.AnswerSlackMS + c.slackMS }
 
-// isOverdue reports whether a request is later than its deadline plus the slack and its sidecar is not excused.
+// isOverdue reports whether now is after a request's deadline plus the slack and the request's sidecar is not excused.
 func (c *Checker) isOverdue(history *requestHistory, now float64) bool {
 	return now > history.deadline+c.responseSlackMS() && !c.isExcused(history.sidecar, history.sentAt, now)
 }
@@ -51,7 +51,7 @@
 }
 
 // ResponseReceived records that a client received the last byte of a response. For the response of a server, owner is the
-// request that the server produced it for. Both owner and server are read from the response.
+// request that the server produced the response for. Both owner and server are read from the response.
 func (c *Checker) ResponseReceived(now float64, id uint64, outcome Outcome, owner uint64, server int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/control_checker_published.go
+++ b/internal/lab/control_checker_published.go
@@ -17,7 +17,7 @@
 	tenant, server string
 }
 
-// ExclusionsPublished records the exclusions that the agent of a sidecar publishes to it. They replace all earlier ones.
+// ExclusionsPublished records the exclusions that an agent publishes to its sidecar. They replace all earlier exclusions.
 func (c *ControlPlaneChecker) ExclusionsPublished(now float64, sidecar int, exclusions []Exclusion) {
 	c.checker.mu.Lock()
 	defer c.checker.mu.Unlock()
@@ -74,7 +74,7 @@
 	Server string
 }
 
-// CopiesPublished records the copies that the agent of a sidecar publishes to it. They replace all earlier ones.
+// CopiesPublished records the copies that an agent publishes to its sidecar. They replace all earlier copies.
 func (c *ControlPlaneChecker) CopiesPublished(sidecar int, copies []KeyCopy) {
 	c.checker.mu.Lock()
 	defer c.checker.mu.Unlock()
--- a/internal/lab/controlplane/checker.go
+++ b/internal/lab/controlplane/checker.go
@@ -89,7 +89,7 @@
 	clear(c.upgradedUnits)
 }
 
-// report counts a violation and describes the first maxListedViolations of them.
+// report counts a violation, and retains the description of the first maxListedViolations violations.
 func (c *checker) report(rule, detail string) {
 	if !c.enabled {
 		return
--- a/internal/lab/controlplane/defects.go
+++ b/internal/lab/controlplane/defects.go
@@ -91,7 +91,7 @@
 }
 
 // withHighestToken implements Defects.IgnoreFencingTokens for the maintenance table, which checks tokens itself. It returns
-// the operation with the highest token so far in place of a stale one.
+// the operation with the highest token so far in place of a stale token.
 func (r *registry) withHighestToken(op *maintenance.Operation) *maintenance.Operation {
 	if op.Token == 0 {
 		return op
--- a/internal/lab/controlplane/operator.go
+++ b/internal/lab/controlplane/operator.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// resumeRelease resumes a halted release that has handled all commands, or rolls it back after maxResumptions commands.
+// resumeRelease resumes a halted release that has handled all commands. After more than maxResumptions commands it rolls
+// the release back.
 func (c *cluster) resumeRelease(name string, state *release.State, commandCount int) {
 	if state.Status.Phase != release.PhaseHalted || state.Status.HandledCommands != commandCount {
 		return
--- a/internal/lab/controlplane/process.go
+++ b/internal/lab/controlplane/process.go
@@ -24,8 +24,8 @@
 	reconcile()
 }
 
-// process is a process of the control plane that campaigns for a lease. Its controller makes all writes and platform
-// calls through it, so that the process can crash, pause or be partitioned before and after every effect.
+// process is a process of the control plane that campaigns for a lease. The controller makes all writes and platform
+// calls through the process, so that the process can crash, pause or be partitioned before and after every effect.
 type process struct {
 	cluster      *cluster
 	name         string
@@ -108,7 +108,7 @@
 	}
 }
 
-// campaign renews the lease or, if the process is no candidate yet, joins the queue for it.
+// campaign renews the lease or, if the process is no candidate yet, joins the queue for the lease.
 func (p *process) campaign() {
 	registry := p.cluster.registry
 	if p.partitioned() || !registry.available() {
--- a/internal/lab/controlplane/rollout.go
+++ b/internal/lab/controlplane/rollout.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// runRollout advances the simulation until the release has finished. It returns when a rollback began, or 0 without one.
+// runRollout advances the simulation until the release has finished. It returns when a rollback began, or 0 if none did.
 func (c *cluster) runRollout() (rollbackStartMS int64) {
 	for startMS := c.nowMS; c.nowMS-startMS < maxSimulationMS; {
 		c.tick()
--- a/internal/lab/controlplane/scenario.go
+++ b/internal/lab/controlplane/scenario.go
@@ -136,7 +136,8 @@
 	return started
 }
 
-// drawServerVersion draws the version of the server release: one in eight crashes, one in eight never becomes ready.
+// drawServerVersion draws the version of the server release: in one of eight releases it crashes, in one of eight it never
+// becomes ready.
 func (c *cluster) drawServerVersion() string {
 	if c.options.NoFaults {
 		return goodVersion
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -206,7 +206,7 @@
 	PhaseHot    = "hot"    // one key has a Share of all requests
 )
 
-// PhaseSpec is a period of load. The last one lasts to the end of the run.
+// PhaseSpec is a period of load. The last phase lasts to the end of the run.
 type PhaseSpec struct {
 	Kind      string  `toml:"kind"` // PhaseSteady (default) or another kind of phase
 	DurationS float64 `toml:"for_s"`
--- a/internal/lab/hotkey_checker.go
+++ b/internal/lab/hotkey_checker.go
@@ -13,7 +13,7 @@
 	copyGraceMS = 1000
 	// hotKeyGraceMS is how long a key may be replicated after it was hot.
 	hotKeyGraceMS = 60_000
-	// minAllowedCopies and minAllowedWarmupWork are the limits of a fleet however small. The unit of minAllowedWarmupWork is
+	// minAllowedCopies and minAllowedWarmupWork are allowed however small the fleet is. The unit of minAllowedWarmupWork is
 	// the mean work of a request per second.
 	minAllowedCopies     = 4
 	minAllowedWarmupWork = 30
--- a/internal/lab/hotkey_spec.go
+++ b/internal/lab/hotkey_spec.go
@@ -9,7 +9,7 @@
 	PlanIntervalMS   float64 `toml:"step_ms"`   // interval between two plans of the controller
 	ReportIntervalMS float64 `toml:"report_ms"` // interval between two load reports of a sidecar
 	ReportDelayMS    Range   `toml:"tell_ms"`   // delay of a load report from a sidecar to the controller
-	WriteDelayMS     Range   `toml:"write_ms"`  // time from the making of a plan until it is in the placement
+	WriteDelayMS     Range   `toml:"write_ms"`  // delay from a plan of the controller to the placement
 	PlacementDelayMS Range   `toml:"place_ms"`  // delay from a change of the placement to each sidecar
 
 	ServerCapacity  float64 `toml:"bear"`     // capacity of a usual server; 0: the mean of the initial servers
--- a/internal/lab/live/frontend.go
+++ b/internal/lab/live/frontend.go
@@ -157,7 +157,7 @@
 		case <-ctx.Done():
 			return
 		case received := <-requests:
-			_ = connection.SetReadDeadline(time.Time{}) // as above
+			_ = connection.SetReadDeadline(time.Time{}) // fails only on a closed connection, which ends ctx
 			if !f.handleRequest(ctx, client, received) {
 				return
 			}
--- a/internal/lab/live/lab_client.go
+++ b/internal/lab/live/lab_client.go
@@ -87,7 +87,7 @@
 // labDialTimeout bounds the connection setup to the lab, which is on the same machine.
 const labDialTimeout = 5 * time.Second
 
-// labClient is the observer of a server process that a lab in another process observes. It reports to the lab by RPC.
+// labClient is the observer that reports the events of a server process by RPC to the lab, which is another process.
 type labClient struct {
 	process   *serverProcess
 	rpcClient *rpc.Client
@@ -193,7 +193,7 @@
 	c.call(methodOverload, OverloadReport{At: at.UnixNano(), Fall: *overload}, new(int))
 }
 
-// CheckAndRecord queries the lab whether an effect has been applied before. The lab stores the effects of all servers of a
+// CheckAndRecord asks the lab whether an effect has been applied before. The lab stores the effects of all servers of a
 // deduplication scope.
 func (c *labClient) CheckAndRecord(_ float64, _ *lab.ServerPlan, _ *lab.ClassPlan, number int, effect uint64) bool {
 	var applied bool
--- a/internal/lab/live/network.go
+++ b/internal/lab/live/network.go
@@ -97,5 +97,5 @@
 	}
 }
 
-// milliseconds converts a duration in ms.
+// milliseconds converts a number of ms to a time.Duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/lab/live/server_network.go
+++ b/internal/lab/live/server_network.go
@@ -40,8 +40,8 @@
 	return p.fleet.network.transmit(ctx, server, sidecar, p.latency(), rand.Float64())
 }
 
-// observedAttempt is an attempt at a server, in this process or in one of its own, that is reported to the checker and
-// the recorder.
+// observedAttempt is an attempt that is reported to the checker and the recorder. The server of the attempt runs in this
+// process or in a process of its own.
 type observedAttempt struct {
 	modelledPath
 	requestID uint64
--- a/internal/lab/live/server_session.go
+++ b/internal/lab/live/server_session.go
@@ -25,7 +25,7 @@
 		for {
 			connection, err := listener.Accept()
 			if err != nil {
-				return // closed
+				return // the listener is closed
 			}
 			c.background.Go(func() { c.serveConnection(connection) })
 		}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -7,7 +7,8 @@
 	shiftShare         float64 // share of other zones' traffic that has moved by the end of the phase
 }
 
-// phaseLoad returns the load of a phase. A phase without a rate of its own takes over the rate of the phase before.
+// phaseLoad returns the load of a phase. A phase without a rate of its own continues at the rate before it, without the
+// factor of a burst.
 func (p *Plan) phaseLoad(index int) phaseLoad {
 	rate := 0.0
 	load := phaseLoad{shiftZone: -1}
