--- a/internal/lab/checker_requests.go
+++ b/internal/lab/checker_requests.go
@@ -26,7 +26,7 @@
 // responseSlackMS returns how long after the deadline a final response still counts as in time.
 func (c *Checker) responseSlackMS() float64 { return c.plan.Experiment.Rules.AnswerSlackMS + c.slackMS }
 
-// isOverdue reports whether the deadline and the slack of a request have passed and its sidecar is not excused.
+// isOverdue reports whether now is after a request's deadline plus the slack and the request's sidecar is not excused.
 func (c *Checker) isOverdue(history *requestHistory, now float64) bool {
 	return now > history.deadline+c.responseSlackMS() && !c.isExcused(history.sidecar, history.sentAt, now)
 }
@@ -51,7 +51,7 @@
 }
 
 // ResponseReceived records that a client received the last byte of a response. For the response of a server, owner is the
-// request that the server produced it for. Both owner and server are read from the response.
+// request that the server produced the response for. Both owner and server are read from the response.
 func (c *Checker) ResponseReceived(now float64, id uint64, outcome Outcome, owner uint64, server int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// ClientDisconnected records that a client has disconnected. Its request no longer needs a response.
+// ClientDisconnected records that a client has disconnected. The client's request no longer needs a response.
 func (c *Checker) ClientDisconnected(now float64, id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +128,7 @@
 	return true
 }
 
-// AttemptReceived records that a server received an attempt. The sidecar sent its first byte at sentAt.
+// AttemptReceived records that a server received an attempt. The sidecar sent the attempt's first byte at sentAt.
 func (c *Checker) AttemptReceived(now, sentAt float64, id uint64, attempt int64, sidecar, server int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,7 +180,7 @@
 	}
 }
 
-// RequestExecuted records that a server has executed a request. The effect is false if the server recognised it as a repeat.
+// RequestExecuted records that a server has executed a request. The effect is false if the server recognised a repeat.
 func (c *Checker) RequestExecuted(now float64, id uint64, server int, effect bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/control_checker_published.go
+++ b/internal/lab/control_checker_published.go
@@ -17,7 +17,7 @@
 	tenant, server string
 }
 
-// ExclusionsPublished records the exclusions that the agent of a sidecar publishes to it. They replace all earlier ones.
+// ExclusionsPublished records the exclusions that an agent publishes to its sidecar. They replace all earlier exclusions.
 func (c *ControlPlaneChecker) ExclusionsPublished(now float64, sidecar int, exclusions []Exclusion) {
 	c.checker.mu.Lock()
 	defer c.checker.mu.Unlock()
@@ -50,7 +50,7 @@
 	})
 }
 
-// checkHours checks that an exclusion lay within the approved hours of its tenant. Adjoining periods count as one.
+// checkHours checks that an exclusion lay within the approved hours of its tenant. Adjoining approved periods count as one.
 func (c *ControlPlaneChecker) checkHours(now float64, sidecar int, key exclusionKey, excluded interval) {
 	coveredUntil := excluded.from
 	hours := slices.Clone(c.spec.MaintenanceHours)
@@ -70,11 +70,11 @@
 
 // KeyCopy is an additional server of a hot key: sidecars send requests for the key to it and to the key's own server.
 type KeyCopy struct {
-	Key    uint64 // as sidecars hash it
+	Key    uint64 // hash of the key, as sidecars compute it
 	Server string
 }
 
-// CopiesPublished records the copies that the agent of a sidecar publishes to it. They replace all earlier ones.
+// CopiesPublished records the copies that an agent publishes to its sidecar. They replace all earlier copies.
 func (c *ControlPlaneChecker) CopiesPublished(sidecar int, copies []KeyCopy) {
 	c.checker.mu.Lock()
 	defer c.checker.mu.Unlock()
--- a/internal/lab/controlplane/scenario.go
+++ b/internal/lab/controlplane/scenario.go
@@ -38,7 +38,7 @@
 )
 
 const (
-	modelCount        = 4 // server models, which alternate over the fleet
+	modelCount        = 4 // number of server models, which alternate over the fleet
 	drainedModel      = 2 // model of the drained servers; the server release selects another
 	maintainedModel   = 3 // model of the servers of the maintenance window
 	drainedServers    = 4
@@ -136,7 +136,8 @@
 	return started
 }
 
-// drawServerVersion draws the version of the server release: one in eight crashes, one in eight never becomes ready.
+// drawServerVersion draws the version of the server release: in one of eight releases it crashes, in one of eight it never
+// becomes ready.
 func (c *cluster) drawServerVersion() string {
 	if c.options.NoFaults {
 		return goodVersion
--- a/internal/lab/live/lab_client.go
+++ b/internal/lab/live/lab_client.go
@@ -31,7 +31,7 @@
 		Call, First, Last int64 // Unix ns
 		ID                uint64
 	}
-	// BeginReply describes the request of an attempt. Known is false if no client has sent it.
+	// BeginReply describes the request of an attempt. Known is false if no client has sent the request.
 	BeginReply struct {
 		Known bool
 		Job   lab.Job
@@ -42,7 +42,7 @@
 		Call        int64
 		Back, Fresh bool
 	}
-	// AttemptEndReport reports the end of an attempt. How is its result.
+	// AttemptEndReport reports the end of an attempt. How is the result of the attempt.
 	AttemptEndReport struct {
 		Call, At int64 // Unix ns
 		How      string
@@ -54,9 +54,9 @@
 		Effect  bool    // the request's effect was applied
 		Work    float64 // ms on a standard core
 		Key     uint64  // 0: none
-		Met     bool    // the key was cached, or there is none
+		Met     bool    // the key was cached, or the request has no key
 	}
-	// EffectQuery is the query whether an effect of a class's requests has been applied before.
+	// EffectQuery asks whether the server's deduplication scope has applied an effect of a class's requests before.
 	EffectQuery struct {
 		Class  int
 		Effect uint64
@@ -87,7 +87,7 @@
 // labDialTimeout bounds the connection setup to the lab, which is on the same machine.
 const labDialTimeout = 5 * time.Second
 
-// labClient is the observer of a server process that a lab in another process observes. It reports to the lab by RPC.
+// labClient is the observer that reports the events of a server process by RPC to the lab, which is another process.
 type labClient struct {
 	process   *serverProcess
 	rpcClient *rpc.Client
@@ -193,7 +193,7 @@
 	c.call(methodOverload, OverloadReport{At: at.UnixNano(), Fall: *overload}, new(int))
 }
 
-// CheckAndRecord queries the lab whether an effect has been applied before. The lab stores the effects of all servers of a
+// CheckAndRecord asks the lab whether an effect has been applied before. The lab stores the effects of all servers of a
 // deduplication scope.
 func (c *labClient) CheckAndRecord(_ float64, _ *lab.ServerPlan, _ *lab.ClassPlan, number int, effect uint64) bool {
 	var applied bool
