--- a/internal/registry/bench/bench_test.go
+++ b/internal/registry/bench/bench_test.go
@@ -9,7 +9,7 @@
 
 func TestMain(m *testing.M) { proctest.Main(m) }
 
-// TestSmallBenchmark runs every step at the smallest size: all changes reach all watchers, and no result is missing.
+// TestSmallBenchmark runs every step at the smallest size. All changes must reach all watchers, and no result may be missing.
 func TestSmallBenchmark(t *testing.T) {
 	var progress []string
 	options := Options{
--- a/internal/registry/bench/delivery.go
+++ b/internal/registry/bench/delivery.go
@@ -48,7 +48,7 @@
 	t.deliveryLocked(revision).acknowledgedAt = now
 }
 
-// recordReceived records that a watcher has received the changes after one revision, up to and including another.
+// recordReceived records that a watcher has received the changes after the revision after, up to and including upTo.
 func (t *deliveryTracker) recordReceived(after, upTo uint64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/registry/bench/watches.go
+++ b/internal/registry/bench/watches.go
@@ -183,7 +183,8 @@
 	return total
 }
 
-// watcher is a client that decodes only the revisions of lines, so that thousands of watchers can run beside the replicas.
+// watcher is a client that decodes only the revisions of lines, so that thousands of watchers can run on the machine of the
+// replicas.
 type watcher struct {
 	pool       *watcherPool
 	conn       net.Conn
--- a/internal/registry/catch_up.go
+++ b/internal/registry/catch_up.go
@@ -18,8 +18,9 @@
 var errNotCaughtUp = errors.New("this replica has not caught up with the leader yet")
 
 // After its start a replica has only the state of its last snapshot, or none, until a leader announces which entries
-// are committed. An empty list from such a replica would be wrong. The replica therefore responds to reads with status
-// 503 until it leads, or has applied everything that the leader had applied when the leader reported its status.
+// are committed. A client that read from the replica before that could receive an empty list although servers are
+// registered. The replica therefore responds to reads with status 503 until it leads, or has applied everything that the
+// leader had applied when the leader reported its status.
 
 // requireCaughtUp makes a handler of reads respond with errNotCaughtUp until the replica has caught up.
 func (r *Replica) requireCaughtUp(handler http.HandlerFunc) http.HandlerFunc {
@@ -60,12 +61,13 @@
 	r.logger.Info("replica has caught up", "applied", r.raft.AppliedIndex())
 }
 
-// caughtUpWith reports whether this replica has applied what a leader had applied. The applied index alone does not
-// prove this: raft also counts entries that it has passed to the state machine and that are not applied yet.
+// caughtUpWith reports whether this replica has applied everything that a leader had applied when it reported its status.
+// The applied index alone does not prove this: raft also counts entries that it has passed to the state machine and that
+// are not applied yet.
 func (r *Replica) caughtUpWith(leader *Status) bool {
 	status := r.status()
 	if status.Epoch != leader.Epoch {
-		return status.Revision > leader.AppliedIndex // a backup was restored since then; a revision is a log index
+		return status.Revision > leader.AppliedIndex // a backup was restored after the leader's report; a revision is a log index
 	}
 	return status.AppliedIndex >= leader.AppliedIndex && status.Revision >= leader.Revision
 }
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -22,7 +22,7 @@
 const (
 	attemptTimeout   = 4 * time.Second // of one attempt; a replica responds or gives up within 3 s
 	initialBackoff   = 50 * time.Millisecond
-	maxBackoff       = 250 * time.Millisecond // an election takes about a second; longer backoffs would delay calls past its end
+	maxBackoff       = 250 * time.Millisecond // an election takes about a second; longer backoffs delay calls beyond the election
 	maxAttempts      = 100                    // of one call; the call's context usually ends sooner
 	maxResponseBytes = 64 << 20
 
@@ -39,8 +39,8 @@
 
 func (e *StatusError) Error() string { return fmt.Sprintf("%d: %s", e.StatusCode, e.Message) }
 
-// Client sends its calls to one replica of a cluster, and fails over to the next replica when that one fails. It is safe
-// for concurrent use.
+// Client sends its calls to one replica of a cluster, and fails over to the next replica when an attempt fails. It
+// is safe for concurrent use.
 type Client struct {
 	replicas   []string
 	httpClient *http.Client
--- a/internal/registry/client_controllers.go
+++ b/internal/registry/client_controllers.go
@@ -68,7 +68,7 @@
 }
 
 // WriteWindow applies an operation to contracts and maintenance windows. A step of the controller requires the controller's
-// lease as guard, and its time; an operation of an operator has the zero Timestamp.
+// lease as guard, and a Timestamp by the controller's clock. An operation of an operator has the zero Timestamp.
 func (c *Client) WriteWindow(
 	ctx context.Context, options WriteOptions, at maintenance.Timestamp, op maintenance.Operation,
 ) (Result, error) {
--- a/internal/registry/client_leases.go
+++ b/internal/registry/client_leases.go
@@ -38,7 +38,7 @@
 }
 
 // WatchLease calls notify with the current state of a lease, and again after each change, until ctx ends. When the watch of
-// a replica fails, WatchLease continues at the next replica. It skips states that are not newer than the last one.
+// a replica fails, WatchLease continues at the next replica. It does not repeat a state, and skips older states.
 func (c *Client) WatchLease(ctx context.Context, name string, notify func(leasetable.Lease)) error {
 	newestRevision, started := uint64(0), false
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
--- a/internal/registry/client_ledger.go
+++ b/internal/registry/client_ledger.go
@@ -34,7 +34,8 @@
 	return get[disruption.Permit](ctx, c, withFresh("/ledger/permits/"+url.PathEscape(id), true))
 }
 
-// RegisterSidecars registers new sidecars, renews the leases of registered ones, and deregisters others.
+// RegisterSidecars registers new sidecars, renews the leases of registered ones, and deregisters those in
+// request.Deregistered.
 func (c *Client) RegisterSidecars(ctx context.Context, request SidecarRequest) (Result, error) {
 	if request.ID == "" {
 		request.ID = NewID()
--- a/internal/registry/client_watch.go
+++ b/internal/registry/client_watch.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// HeartbeatTimeout is how long a watch may be silent. By then, two heartbeats are missing, because the connection or
-	// the replica is partitioned.
+	// HeartbeatTimeout is how long a watch may receive no data. After that time two heartbeats are missing, because the
+	// connection or the replica is partitioned.
 	HeartbeatTimeout = 4500 * time.Millisecond
 
 	initialWatchLineBytes = 4096
 	maxWatchLineBytes     = 32 << 20
 )
 
-// errHeartbeatTimeout ends a watch that has been silent for HeartbeatTimeout.
+// errHeartbeatTimeout ends a watch that has received no data for HeartbeatTimeout.
 var errHeartbeatTimeout = errors.New("heartbeat timeout")
 
 // WatchEndpoints watches the changes of one replica's endpoint list after a revision of an epoch, until ctx or the watch
--- a/internal/registry/cluster/clustertest/clustertest.go
+++ b/internal/registry/cluster/clustertest/clustertest.go
@@ -17,8 +17,8 @@
 	Client *registry.Client
 }
 
-// Start starts replicas and waits for their leader. If the options lack them, Start builds the program, creates a temporary
-// data directory and reserves a block of addresses. If the test fails, the end of the replicas' logs is logged.
+// Start starts replicas and waits for their leader. For options that are not set, Start builds the program, creates a
+// temporary data directory and reserves a block of addresses. If the test fails, the end of the replicas' logs is logged.
 func Start(ctx context.Context, t testing.TB, replicas int, options cluster.Options) *Cluster {
 	t.Helper()
 	if options.Program == "" {
--- a/internal/registry/election_model_test.go
+++ b/internal/registry/election_model_test.go
@@ -17,7 +17,7 @@
 
 const (
 	noMutant           electionMutant = iota
-	countsFromResponse                // the holder counts its lease from the response to a renewal, not from the request
+	countsFromResponse                // the holder measures its lease from the response to a renewal, not from the request
 	renewsUnverified                  // a leader renews leases without verifying its leadership
 	ignoresTokens                     // the resource accepts every write
 )
@@ -126,7 +126,7 @@
 			m.renewals++
 		})
 	})
-	if m.now < holder.leaseEnd { // the holder checks its lease now; the write is sent later, and arrives later still
+	if m.now < holder.leaseEnd { // the holder checks its lease now; the write is sent later and takes time
 		token := holder.token
 		m.after(m.drawDuration("pause", 0, 1500), func() { m.sendMessage(func() { m.write(token) }) })
 	}
@@ -150,7 +150,7 @@
 	case 0:
 		holder.pausedUntil = m.now + m.drawDuration("paused", 100, 2500)
 	case 1:
-		for _, op := range m.pendingOps { // only committed ones are applied, before the next leader is established
+		for _, op := range m.pendingOps { // only committed operations are applied before the next leader is established
 			if rapid.Bool().Draw(m.t, "committed") {
 				m.apply(op)
 			}
--- a/internal/registry/holddown.go
+++ b/internal/registry/holddown.go
@@ -9,13 +9,14 @@
 
 const (
 	// shortTenureLeases is the number of lease durations below which a tenure counts as short. A holder that fails
-	// right after it has acquired a lease loses the lease within two.
+	// right after it has acquired a lease loses the lease within two lease durations.
 	shortTenureLeases = 3
-	// allowedShortTenures is the number of successive short tenures that cause no hold-down: two may be coincidence.
+	// allowedShortTenures is the number of successive short tenures that cause no hold-down. Two short tenures
+	// may be coincidence.
 	allowedShortTenures = 2
-	// initialHoldDownLeases is the number of lease durations that the first hold-down lasts. Each further one lasts
-	// twice as long, up to maxHoldDown. At the end of a hold-down the next candidate has had time for a tenure that is
-	// not short.
+	// initialHoldDownLeases is the number of lease durations that the first hold-down lasts. Each further hold-down
+	// lasts twice as long as the one before, up to maxHoldDown. During a hold-down, the next candidate has time for a
+	// tenure that is not short.
 	initialHoldDownLeases = 4
 	maxHoldDown           = time.Minute
 )
@@ -36,8 +37,8 @@
 	return min(initialHoldDownLeases*ttl<<(shortTenures-allowedShortTenures-1), maxHoldDown)
 }
 
-// trackHoldDownsLocked starts the hold-downs that are not tracked yet, and drops those whose record of short tenures has
-// changed. The caller holds the lock.
+// trackHoldDownsLocked starts the hold-downs that are not tracked yet, and drops those of candidates whose last short
+// tenure has changed. The caller holds the lock.
 func (t *leaseTracker) trackHoldDownsLocked(now time.Time, lease *leasetable.Lease) {
 	entries := t.holdDowns[lease.Name]
 	for candidate, entry := range entries {
--- a/internal/registry/holddown_test.go
+++ b/internal/registry/holddown_test.go
@@ -44,7 +44,7 @@
 	failsAt       time.Duration
 	tenureEndedAt time.Duration // when its last tenure ended
 	shortTenures  int           // in a row, as the model counts them
-	heldDownSince time.Duration // since when the candidate has been held down; 0: it is not held down
+	heldDownSince time.Duration // start of the current hold-down; 0: the candidate is not held down
 	tenures       int
 	lastCampaign  time.Duration
 }
@@ -189,7 +189,7 @@
 	return "", changes, steadyHeld
 }
 
-// Flapping candidates rarely take the lease from each other. A steady candidate soon holds it, a candidate without
+// Flapping candidates rarely take the lease from each other. A steady candidate soon holds the lease, a candidate without
 // competitors is never held down, and every hold-down ends.
 func TestHoldDownModel(t *testing.T) {
 	for _, tc := range []struct {
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -23,7 +23,7 @@
 	readBodyTimeout   = 5 * time.Second
 	idleTimeout       = 60 * time.Second
 	maxWatchers       = 20_000
-	// retryAfterSeconds is the Retry-After value of retryable errors. An election takes about as long.
+	// retryAfterSeconds is the Retry-After value of retryable errors. An election takes about this time.
 	retryAfterSeconds = "0.3"
 
 	// A replica whose state is staleAfter old, or older, sends no heartbeats to watchers, because it would not learn of a
--- a/internal/registry/http_admin.go
+++ b/internal/registry/http_admin.go
@@ -24,7 +24,7 @@
 	Watchers     int64  `json:"watchers"`
 	AgeMS        int64  `json:"age_ms"` // maximum age of the state
 	AppliedIndex uint64 `json:"applied"`
-	Fresh        bool   `json:"fresh"` // the replica is the leader and verified this within the last second
+	Fresh        bool   `json:"fresh"` // the replica is the leader and verified its leadership within the last second
 }
 
 func (r *Replica) status() Status {
--- a/internal/registry/http_maintenance.go
+++ b/internal/registry/http_maintenance.go
@@ -10,7 +10,7 @@
 )
 
 // leaderClockUncertaintyMS is the assumed error of the leader's wall clock. The error of synchronised clocks is less than
-// a tenth of it.
+// a tenth of this value.
 const leaderClockUncertaintyMS = 250
 
 // WindowsView holds the contracts and maintenance windows, and the other state that their controller reads, all at the
--- a/internal/registry/http_sidecars.go
+++ b/internal/registry/http_sidecars.go
@@ -12,7 +12,7 @@
 )
 
 // SidecarRequest is the body of a request that registers new sidecars, renews the leases of registered ones, and
-// deregisters others.
+// deregisters sidecars by name.
 type SidecarRequest struct {
 	ID           string    `json:"id"`     // idempotency key
 	TTLMS        int64     `json:"ttl_ms"` // for all sidecars of the request
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -26,7 +26,7 @@
 	state         *StateMachine
 	encoded       []encodedChange // sorted by revision, newest last
 	listChanged   broadcaster
-	leasesChanged broadcaster // separate: a lease must not wake the thousands of watchers of the list
+	leasesChanged broadcaster // separate: a change of a lease must not wake the thousands of watchers of the list
 	placementFeed *PlacementFeed
 
 	completeListMu sync.Mutex
@@ -122,7 +122,8 @@
 	return lease, h.leasesChanged.changed
 }
 
-// readPlacement returns the changes of the placement, with the remaining time of each directive as of lineLifetime from now.
+// readPlacement returns the changes of the placement, with the remaining time of each directive at the end of
+// lineLifetime.
 func (h *Hub) readPlacement(after, epoch uint64) placement.Update {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -145,8 +146,8 @@
 	return batch, nil
 }
 
-// linesAfterLocked returns the lines after a position that is behind the state, or has not started. The caller holds the
-// lock for reading.
+// linesAfterLocked returns the lines for a watcher that is behind the state or has received no lines yet. The caller holds
+// the lock for reading.
 func (h *Hub) linesAfterLocked(position cursor) ([][]byte, error) {
 	revision, epoch := h.state.Revision(), h.state.Epoch()
 	if position.revision == revision && position.epoch == epoch { // a new watcher gets an event at once, even if it is up to date
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// expireInstances removes the registrations whose leases have expired. If too many are missing at once, it holds the
-// expiry back.
+// expireInstances removes the registrations whose leases have expired. If too many registrations are missing at once, it
+// marks those with expired leases as suspects, which holds their expiry back.
 func (r *Replica) expireInstances() {
 	now := time.Now()
 	expire, suspects := r.registrations.sweep(now)
--- a/internal/registry/lease_tracker.go
+++ b/internal/registry/lease_tracker.go
@@ -12,9 +12,9 @@
 )
 
 // expiryGraceFraction is the fraction of a lease duration that the leader of the registry waits after the end of a
-// lease before it expires the lease. The holder measures the lease from before it sends a renewal, and stops earlier by
-// a margin (leasetable.SafetyMargin). Clock rates differ by far less than a thousandth, so the grace period covers the
-// delay between reading a clock and acting on the time read.
+// lease before it expires the lease. The holder measures the lease from the time before it sends a renewal, and stops its
+// work leasetable.SafetyMargin before the lease ends. Clock rates differ by far less than a thousandth, so the grace period
+// covers the delay between reading a clock and acting on the time read.
 const expiryGraceFraction = 0.05
 
 // leaseTracker tracks in the leader's memory when the holders and candidates of leases last renewed; renewals are not
@@ -36,9 +36,9 @@
 	token         uint64 // 0: a candidate
 	ttl           time.Duration
 	startedAt     time.Time
-	startObserved bool // it started under this leader
+	startObserved bool // the tenure started under this leader
 	renewedAt     time.Time
-	acknowledged  bool // the holder has renewed it, and works from then on
+	acknowledged  bool // the holder has renewed the lease, and works from then on
 	expiryPending bool // its expiry has been proposed; it can no longer be renewed
 }
 
@@ -156,8 +156,8 @@
 	return 0
 }
 
-// findExpired returns an operation for each expired lease and each expired place in a queue. None of them can be
-// renewed from then on. Each call returns an operation again until it is applied and refresh is called.
+// findExpired returns an operation for each expired lease and each expired place in a queue. These leases and
+// places can no longer be renewed. Each call returns an operation again until it is applied and refresh is called.
 func (t *leaseTracker) findExpired(now time.Time) []leasetable.Operation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/registry/ledger_test.go
+++ b/internal/registry/ledger_test.go
@@ -44,7 +44,7 @@
 }
 
 // registerFleet registers servers that never expire, in three zones and pod groups of two. It sets a budget that bounds
-// how many servers may be out.
+// how many servers may be out of service.
 func (e *testEnv) registerFleet(servers, maxUnavailable int) {
 	e.Helper()
 	for ordinal := range servers {
@@ -55,7 +55,7 @@
 	e.applyLedgerOp(disruption.Op{Kind: disruption.OpSetBudget, Budget: &disruption.Budget{Name: "all", MaxUnavailable: disruption.Limit{Count: &maxUnavailable}}})
 }
 
-// requestPermit returns a request for a permit for servers that return.
+// requestPermit returns a request for a permit for servers that return to service.
 func requestPermit(id string, servers ...string) disruption.Op {
 	permit := &disruption.Permit{ID: id, Owner: operator, Disposition: disruption.DispositionReturn, Priority: disruption.PriorityDrain}
 	for _, server := range servers {
@@ -214,8 +214,8 @@
 	}
 }
 
-// A backup that predates a grant is restored. The owner of the lost permit must not continue, nothing is granted until
-// an operator resumes, and a unit that is out counts as out with or without a permit.
+// A backup that predates a grant is restored. The owner of the lost permit must not continue, no permit is granted until
+// an operator resumes the ledger, and a unit that is out of service counts as out with or without a permit.
 func TestRestoreFromBackupBeforeGrants(t *testing.T) {
 	env := startEnv(t, 3, false, "")
 	env.registerFleet(8, 1)
--- a/internal/registry/linearizability_test.go
+++ b/internal/registry/linearizability_test.go
@@ -207,8 +207,8 @@
 	return casOutput{}, err
 }
 
-// withoutRejectedWrites returns the operations without rejected writes. Those have no effect, and may have been
-// rejected because of the boot time instead of the revision.
+// withoutRejectedWrites returns the operations without rejected writes. Rejected writes have no effect, and the registry
+// may have rejected them because of the boot time instead of the revision.
 func withoutRejectedWrites(ops []porcupine.Operation) []porcupine.Operation {
 	return slices.DeleteFunc(slices.Clone(ops), func(op porcupine.Operation) bool {
 		return op.Input.(casInput).write && !op.Output.(casOutput).ok
--- a/internal/registry/maintenance_test.go
+++ b/internal/registry/maintenance_test.go
@@ -14,8 +14,8 @@
 	"milldeck/internal/registry"
 )
 
-// The steps of a window need the token of the controller's lease, and clocks that agree. The record of a step also sets
-// the directives for sidecars. All of this state survives the kill of the leader.
+// The steps of a window need the token of the controller's lease, and a writer's clock that agrees with the leader's.
+// The record of a step also sets the directives for sidecars. All of this state survives the kill of the leader.
 func TestMaintenanceWindowSurvivesLeaderLoss(t *testing.T) {
 	env := startEnv(t, 3, false, "snapshot_every = 5")
 	env.registerFleet(4, 2)
--- a/internal/registry/raft.go
+++ b/internal/registry/raft.go
@@ -146,7 +146,8 @@
 	return verifyLog(store)
 }
 
-// verifySnapshots reads every snapshot, because raft falls back to an older one if it cannot read the newest.
+// verifySnapshots reads every snapshot, because raft falls back to an older snapshot if it cannot read the
+// newest.
 func verifySnapshots(snapshots raft.SnapshotStore) error {
 	available, err := snapshots.List()
 	if err != nil {
--- a/internal/registry/release_test.go
+++ b/internal/registry/release_test.go
@@ -33,8 +33,8 @@
 	return state
 }
 
-// The steps of a release need the token of the release's lease, and are applied once each, also after the leader was
-// killed.
+// The steps of a release need the token of the release's lease, and each step is applied once, even if the leader
+// is killed.
 func TestReleaseSurvivesLeaderLoss(t *testing.T) {
 	env := startEnv(t, 3, false, "snapshot_every = 5")
 	write := func(guard *registry.Guard, name string, op release.Operation) int {
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -24,11 +24,11 @@
 	applyTimeout    = 3 * time.Second // from the proposal of a record until it is applied
 	shutdownTimeout = 5 * time.Second // for raft to shut down
 
-	// maxFreshAge bounds the time since a leader last verified its leadership; if more has passed, its state does not
-	// count as fresh.
+	// maxFreshAge bounds the time since a leader last verified its leadership. After that time, the leader's state does
+	// not count as fresh.
 	maxFreshAge = time.Second
 
-	// appliedPollInterval is how often a linearizable read checks whether the state has caught up.
+	// appliedPollInterval is how often a linearizable read checks whether the state has caught up with the log.
 	appliedPollInterval = time.Millisecond
 )
 
--- a/internal/registry/restore_restart_test.go
+++ b/internal/registry/restore_restart_test.go
@@ -6,7 +6,7 @@
 )
 
 // A replica that is stopped after a restore, before its next snapshot, must start again. A restore skips one index of the
-// raft log, so that the check of the log at the start meets a missing entry.
+// raft log, and the check of the log at the start must accept the missing entry.
 func TestReplicaRestartsAfterRestore(t *testing.T) {
 	env := startEnv(t, 1, false, "")
 	for i := range 3 {
--- a/internal/registry/sidecar_tracker.go
+++ b/internal/registry/sidecar_tracker.go
@@ -77,8 +77,8 @@
 	r.hub.Read(func(state *StateMachine) { r.sidecarRegistrations.refresh(time.Now(), sidecarSource{state}, names) })
 }
 
-// expireSidecars removes the sidecars whose leases have expired. If too many are missing at once, it holds the expiry
-// back. Only the leader loop calls it.
+// expireSidecars removes the sidecars whose leases have expired. If too many sidecars are missing at once, it marks
+// those with expired leases as suspects, which holds their expiry back. Only the leader loop calls it.
 func (r *Replica) expireSidecars() {
 	now := time.Now()
 	expire, suspects := r.sidecarRegistrations.sweep(now)
--- a/internal/registry/storage_test.go
+++ b/internal/registry/storage_test.go
@@ -78,7 +78,7 @@
 			t.Fatal(err)
 		}
 		env.requireStartFailure(victim, victim.DataDir)
-		env.awaitLeader() // the others continue
+		env.awaitLeader() // the other replicas continue
 		if _, err := env.client.List(env.ctx, true); err != nil {
 			t.Error(name, err)
 		}
@@ -216,8 +216,8 @@
 	return path
 }
 
-// A replica whose disk is full cannot take part, and the others continue. It catches up once it has space again. A
-// limit on the size of its files stands in for the full disk.
+// A replica whose disk is full cannot store log entries, and the other replicas continue. The replica catches up once it
+// has space again. A limit on the size of the replica's files stands in for the full disk.
 func TestFullDisk(t *testing.T) {
 	env := startEnv(t, 3, false, "snapshot_every = 100000")
 	victim := env.cluster.Replicas[0]
--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -15,10 +15,10 @@
 )
 
 // warmUpTracker tracks in the leader's memory how long each server has been warming up in its current incarnation. No
-// controller observes a server that failed on its own and returned; without the tracker the server would count as out
-// forever. The tracker uses the elapsed time alone, so it is optional: with duration 0 an observer must mark servers as
-// warm. A new leader starts the measurement again, so a server may be marked later than after the duration, never
-// earlier.
+// controller observes a server that failed on its own and returned; without the tracker the server would count as
+// out of service forever. The tracker uses the elapsed time alone, so it is optional: with duration 0 an observer must
+// mark servers as warm. A new leader starts the measurement again, so a server may be marked later than after the
+// duration, never earlier.
 type warmUpTracker struct {
 	duration  time.Duration
 	observed  map[string]warmingIncarnation // by unit
@@ -35,8 +35,8 @@
 	return &warmUpTracker{duration: duration, observed: map[string]warmingIncarnation{}}
 }
 
-// update records the units that are warming up now. It returns those that have been warming up for the duration, with
-// condition up.
+// update records the units that are warming up now. It returns the units that have been warming up for
+// t.duration, with their condition set to up.
 func (t *warmUpTracker) update(now time.Time, warming []disruption.Unit) []disruption.Unit {
 	observed := make(map[string]warmingIncarnation, len(warming))
 	var warm []disruption.Unit
