--- a/internal/leaderelection/backup.go
+++ b/internal/leaderelection/backup.go
@@ -17,7 +17,8 @@
 	"milldeck/internal/registry"
 )
 
-// BackupLease is the lease for backups of the registry: every replica campaigns for it, and its holder makes the backups.
+// BackupLease is the lease for backups of the registry. Every replica campaigns for the lease, and its holder makes the
+// backups.
 const BackupLease = "registry-backup"
 
 const (
--- a/internal/leaderelection/bench/bench.go
+++ b/internal/leaderelection/bench/bench.go
@@ -24,17 +24,17 @@
 	Seed    uint64
 
 	Replicas           int
-	Leases             int           // how many are contended at a time, each by two candidates
+	Leases             int           // number of leases that are contended at a time, each by two candidates
 	Faults             int           // total number of faults that are injected into holders
 	TTL                time.Duration // of the leases
 	CheckpointInterval time.Duration // between two guarded writes of a holder
 	LeaderKillInterval time.Duration // between two kills of the registry's raft leader; 0: no kills
 	FreezeHolders      bool          // holders are also frozen for longer than their leases
 	ClockFaults        []string      // of the candidates' clocks in turn, in the form of clock.Parse; none: no clock has a fault
-	QueueLengths       []int         // the log entries per handover are counted at each of these lengths
+	QueueLengths       []int         // the log entries per handover are counted at each of these queue lengths
 	BatchedRenewals    int           // leases that one holder renews together; 0: renewals are not measured
 
-	// FaultTime ends the injection of faults early on a machine that is too slow for all of them; 0: all are injected.
+	// FaultTime ends the injection of faults early on a machine that is too slow for all faults; 0: all are injected.
 	FaultTime time.Duration
 	// Timeout is the time after which the whole run fails; 0: only the caller's context ends it.
 	Timeout time.Duration
--- a/internal/leaderelection/bench/candidates.go
+++ b/internal/leaderelection/bench/candidates.go
@@ -19,7 +19,7 @@
 const (
 	// leasePrefix is the prefix of the names of the contended leases, and therefore of the candidates and their logs.
 	leasePrefix = "duty-"
-	// candidatesPerLease is the number of candidates that run at a time: a holder and one that waits.
+	// candidatesPerLease is the number of candidates that run at a time: a holder and a waiting candidate.
 	candidatesPerLease = 2
 	// holderTimeout is how long a lease with running candidates may be without a working holder. The expiry of a lease, raft
 	// elections and a busy machine together take far less.
@@ -29,7 +29,8 @@
 	logPollInterval = 100 * time.Millisecond
 	// progressInterval is the number of faults between two lines of progress.
 	progressInterval = 100
-	// stopTimeout limits the time that a process takes to exit after SIGTERM. It waits up to 2 s for its release to be answered.
+	// stopTimeout limits the time that a process takes to exit after SIGTERM. The process waits up to
+	// 2 s for the answer to its release request.
 	stopTimeout = 30 * time.Second
 )
 
@@ -139,7 +140,8 @@
 	return c.addCandidate()
 }
 
-// freeze suspends a holder until another candidate holds the lease and has started its work, and a random time longer.
+// freeze suspends a holder until another candidate holds the lease and has started its work, and for a random time after
+// that.
 func (c *candidateGroup) freeze(ctx context.Context, holder string, process *proc.Process, rng *rand.Rand) error {
 	c.addTo(&c.result.Freezes, 1)
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
--- a/internal/leaderelection/bench/log_analysis.go
+++ b/internal/leaderelection/bench/log_analysis.go
@@ -126,7 +126,7 @@
 			b.checkTransition(name, tenures[i-1], t)
 		}
 		for _, count := range t.counts {
-			// A holder counts up by one per write from the checkpoint that it found, so a repeated count was written twice.
+			// A holder increments the count of the checkpoint by one with each write, so a repeated count was written twice.
 			if count <= lastCount {
 				b.result.DuplicateWrites++
 				b.addViolation("%s: count %d under token %d after %d", name, count, t.token, lastCount)
--- a/internal/leaderelection/bench_test.go
+++ b/internal/leaderelection/bench_test.go
@@ -47,7 +47,7 @@
 }
 
 // Clocks at half speed break mutual exclusion: a frozen holder still considers itself the holder after it resumes, while the
-// next one works. Guarded writes under its token are rejected nevertheless.
+// next holder works. Guarded writes under the first holder's token must be rejected nevertheless.
 func TestGuardRejectsWritesOfSlowClocks(t *testing.T) {
 	result := runFaultBench(t, bench.Options{Seed: 6, Faults: 40, FreezeHolders: true, ClockFaults: []string{"rate=0.5"}})
 	if result.Overlaps == 0 || result.RejectedWrites == 0 {
@@ -55,15 +55,15 @@
 	}
 }
 
-// Mutual exclusion holds while holders are killed at random moments of their work, and others are stopped gracefully.
+// Mutual exclusion holds while holders are killed at random moments of their work, and other holders are stopped gracefully.
 func TestHolderKilled(t *testing.T) {
 	if result := requireMutualExclusion(t, bench.Options{Seed: 1, Faults: 300}); result.Kills < 170 {
 		t.Errorf("only %d kills", result.Kills)
 	}
 }
 
-// Mutual exclusion holds while holders are frozen for longer than their leases. Some resume in the middle of a write, which
-// is rejected.
+// Mutual exclusion holds while holders are frozen for longer than their leases. Some holders resume in the middle of a write, and
+// the registry must reject that write.
 func TestHolderFrozen(t *testing.T) {
 	if result := requireMutualExclusion(t, bench.Options{Seed: 2, Faults: 100, FreezeHolders: true}); result.Freezes < 15 || result.RejectedWrites == 0 {
 		t.Errorf("%d freezes, %d late writes rejected", result.Freezes, result.RejectedWrites)
--- a/internal/leaderelection/clock/clock.go
+++ b/internal/leaderelection/clock/clock.go
@@ -21,7 +21,7 @@
 	maxRate = 10
 )
 
-// calibrationSamples is the number of pairs of readings that are taken to relate a Clock to the machine's monotonic clock.
+// calibrationSamples is the number of pairs of readings by which newClock relates a Clock to the machine's monotonic clock.
 const calibrationSamples = 16
 
 // MonotonicNS returns the reading of the machine's monotonic clock in ns. All processes read the same clock, steps of the
@@ -49,7 +49,7 @@
 
 func newClock(rate float64, jump, jumpInterval time.Duration) *Clock {
 	c := &Clock{rate: rate, jump: jump, jumpInterval: jumpInterval}
-	// The two clocks cannot be read at the same moment: the pair of readings that took the shortest time is used.
+	// The two clocks cannot be read at the same moment, so newClock uses the pair of readings that took the shortest time.
 	shortest := int64(math.MaxInt64)
 	for range calibrationSamples {
 		before, wall := MonotonicNS(), time.Now()
--- a/internal/leaderelection/cluster_test.go
+++ b/internal/leaderelection/cluster_test.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// testTimeout limits each test; the slowest takes about a third of it.
+	// testTimeout limits each test. The slowest test takes about a third of this time.
 	testTimeout = 90 * time.Second
 	// leaseName is the lease for which the candidates of a test campaign, candidateTTL its TTL.
 	leaseName    = "d"
--- a/internal/leaderelection/election.go
+++ b/internal/leaderelection/election.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	// renewalsPerLease is the number of renewals within a lease's TTL: two of them may be lost.
+	// renewalsPerLease is the number of renewals within a lease's TTL. Two of these renewals may be lost.
 	renewalsPerLease = 3
 	// releaseTimeout limits the release request at the end of a tenure; a lease that is not released expires.
 	releaseTimeout = 2 * time.Second
@@ -144,7 +144,7 @@
 	return state, nil
 }
 
-// joinQueue acquires the lease or a place in its queue. For a candidate that already has either it changes nothing.
+// joinQueue acquires the lease or a place in its queue. It changes nothing if the candidate already has one of the two.
 func (c *candidate) joinQueue(ctx context.Context) (leasetable.Lease, error) {
 	request := registry.LeaseRequest{Candidate: c.opts.Candidate, TTLMS: c.opts.TTL.Milliseconds()}
 	state, err := c.client.UpdateLease(ctx, leasetable.Campaign, c.leaseName, request)
@@ -164,7 +164,7 @@
 		if update.Revision < state.Revision {
 			return state, nil // from a replica that lags behind and does not know this candidate yet
 		}
-		if update.Holder == "" { // free: a candidate that has lost its place in the queue can acquire the lease
+		if update.Holder == "" { // the lease is free: a candidate that lost its place in the queue can acquire it
 			return c.joinQueue(ctx)
 		}
 		return update, nil
@@ -182,7 +182,7 @@
 }
 
 // acquire renews a lease that was assigned to this candidate. The candidate does not know when the assignment took effect,
-// so it derives the end of the lease from this first renewal.
+// so it counts the duration of the lease from the start of this first renewal.
 func (c *candidate) acquire(ctx context.Context, state leasetable.Lease, ttl time.Duration) (*Lease, error) {
 	lease := &Lease{
 		Name:       c.leaseName,
@@ -204,9 +204,9 @@
 	return lease, nil
 }
 
-// renew renews a lease and extends it, counting from before the request was sent. The request may wait for up to linger to
-// be sent together with others. renew returns the time at which the answer arrived, and ErrLeaseLost if this candidate no
-// longer holds the lease.
+// renew renews a lease and extends it, counting from the time before the request was sent. The request may wait for up to
+// linger to be sent together with other renewals. renew returns the time at which the answer arrived, and ErrLeaseLost if
+// this candidate no longer holds the lease.
 func (c *candidate) renew(ctx context.Context, lease *Lease, ttl, linger time.Duration) (answeredAt time.Time, err error) {
 	sentAt := c.now()
 	renewal := registry.LeaseRenewal{Name: lease.Name, Token: lease.Token}
--- a/internal/leaderelection/events.go
+++ b/internal/leaderelection/events.go
@@ -32,6 +32,6 @@
 	Candidate     string    `json:"who"`
 	Token         uint64    `json:"token,omitempty"` // 0 while waiting
 	At            time.Time `json:"at"`
-	ValidUntil    time.Time `json:"until,omitzero"`  // when the holder must have stopped unless the lease is renewed
+	ValidUntil    time.Time `json:"until,omitzero"`  // when the holder must have stopped its work unless the lease is renewed
 	QueuePosition int       `json:"place,omitempty"` // for Waiting, from 1; 0: the candidate is not queued
 }
--- a/internal/leaderelection/faults_test.go
+++ b/internal/leaderelection/faults_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// When all replicas are killed, the holder stops before its lease ends. Once the replicas run again, the lease is held again,
-// under a later token and with its checkpoint.
+// When all replicas are killed, the holder stops before its lease ends. Once the replicas run again, a candidate acquires
+// the lease under a later token and with its checkpoint.
 func TestAllReplicasKilled(t *testing.T) {
 	tc := startCluster(t)
 	acquired, stopped := tc.startCandidate(tc.client, "one", nil)
--- a/internal/leaderelection/lease.go
+++ b/internal/leaderelection/lease.go
@@ -15,7 +15,7 @@
 	Name       string
 	Holder     string // the candidate that acquired it
 	Token      uint64 // the fencing token
-	Checkpoint []byte // the last one saved before this tenure
+	Checkpoint []byte // the last checkpoint saved before this tenure
 
 	client *registry.Client
 	clock  Clock
@@ -25,8 +25,8 @@
 	ended      bool      // the tenure is over: the answer to a renewal in flight no longer extends the lease
 }
 
-// ValidUntil returns the time by which the holder must have stopped unless the lease is renewed before. It returns the zero
-// time once the tenure has ended.
+// ValidUntil returns the time by which the holder must have stopped its work unless the lease is renewed before. It returns
+// the zero time once the tenure has ended.
 func (l *Lease) ValidUntil() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/leaderelection/leasetable/lease.go
+++ b/internal/leaderelection/leasetable/lease.go
@@ -18,8 +18,8 @@
 	MaxTTLMS = 3600 * 1000 // one hour
 )
 
-// The holder stops using its lease before the lease expires: work in progress has time to finish, and a scheduling delay
-// does not carry the holder past the expiry.
+// The holder stops using its lease before the lease expires. In the meantime work in progress can finish, and a holder that
+// is scheduled late still stops before the expiry.
 const (
 	marginFraction = 0.1 // of the TTL
 	minMargin      = 50 * time.Millisecond
@@ -62,7 +62,7 @@
 	Token     uint64 `json:"token"` // of the most recent of these tenures
 }
 
-// ShortTenuresOf returns the short tenures of a candidate since its last long one.
+// ShortTenuresOf returns the count of a candidate's short tenures since its last tenure that was not short.
 func (l *Lease) ShortTenuresOf(candidate string) ShortTenureCount {
 	for _, entry := range l.ShortTenures {
 		if entry.Candidate == candidate {
--- a/internal/leaderelection/leasetable/table.go
+++ b/internal/leaderelection/leasetable/table.go
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// releaseOrExpire ends a tenure or removes a candidate from the queue. An operation with a token that is not the current one
-// changes nothing: it is a repeat, or belongs to a tenure that has already ended.
+// releaseOrExpire ends a tenure or removes a candidate from the queue. An operation with a token that is not the current token
+// changes nothing: the operation is a repeat, or belongs to a tenure that has already ended.
 func (l *Lease) releaseOrExpire(index uint64, op *Operation) {
 	switch {
 	case l.isHeldBy(op):
--- a/internal/leaderelection/leasetable/table_test.go
+++ b/internal/leaderelection/leasetable/table_test.go
@@ -15,7 +15,7 @@
 }
 
 // A replica of the previous version agrees with a replica of this version on everything but the counts of short tenures,
-// also after it has written and read a snapshot. Guards and watches depend on holder, queue, token and revision.
+// also after the older replica has written and read a snapshot. Guards and watches depend on holder, queue, token and revision.
 func TestAgreesWithPreviousVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		current, previous := New(), New()
@@ -59,7 +59,8 @@
 	})
 }
 
-// Consecutive short tenures are counted, a long one clears the count, and one that an operator ended does not count.
+// Consecutive short tenures are counted. A long tenure clears the count, and a tenure that an operator ended leaves the count
+// unchanged.
 func TestShortTenureCounts(t *testing.T) {
 	table, index := New(), uint64(0)
 	apply := func(op Operation) Lease {
--- a/internal/leaderelection/linearizability_test.go
+++ b/internal/leaderelection/linearizability_test.go
@@ -62,7 +62,7 @@
 
 	incarnation int
 	candidate   string // the name of this incarnation
-	token       uint64 // the newest one received; used also once it is invalid, because late writes must be rejected
+	token       uint64 // the newest token received; used also once it is invalid, because late writes must be rejected
 	value       int    // number of the last operation; part of the value that it writes
 }
 
@@ -146,7 +146,7 @@
 		return leasetable.Lease{}, err
 	case opReadValue:
 		instance, err := c.client.Get(ctx, c.leaseName, true)
-		if err == nil || isRejection(err) { // rejected: the instance has not been written yet
+		if err == nil || isRejection(err) { // rejected: no client has written the instance yet
 			c.record(calledAt, in, leaseOutput{value: valueOf(instance.Capacity)})
 			return leasetable.Lease{}, nil
 		}
@@ -159,8 +159,8 @@
 func capacityOf(value int) float64 { return float64(value) / 1000 }
 func valueOf(capacity float64) int { return int(capacity*1000 + 0.5) }
 
-// While raft leaders are killed, frozen and restarted and leases expire, clients of several leases receive answers that a
-// single table could have given.
+// While raft leaders are killed, frozen and restarted and leases expire, clients of several leases must receive only answers
+// that a single table could have given.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	const leaseCount, clientsPerLease, faultCount, ttl = 4, 4, 6, 600 * time.Millisecond
 	tc := startCluster(t)
@@ -200,7 +200,7 @@
 			err = replica.Start()
 		} else {
 			err = replica.Pause()
-			time.Sleep(time.Second) // the others elect another leader while this replica still considers itself the leader
+			time.Sleep(time.Second) // the other replicas elect a leader while this replica still considers itself the leader
 			err = errors.Join(err, replica.Resume())
 		}
 		if err != nil {
--- a/internal/leaderelection/renewal_batch.go
+++ b/internal/leaderelection/renewal_batch.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// A renewal waits for up to 1/lingerDivisor of the TTL, at most maxLinger, to be sent together with others of the same
-	// candidate: a process that holds a thousand leases would otherwise make hundreds of requests per second.
+	// A renewal waits for up to 1/lingerDivisor of the TTL, at most maxLinger, to be sent together with other renewals of
+	// the same candidate. A process that holds a thousand leases would otherwise send hundreds of requests per second.
 	lingerDivisor = 100
 	maxLinger     = 100 * time.Millisecond
 	// maxBatchSize is the maximum number of renewals in one request.
--- a/internal/leaderelection/tenure.go
+++ b/internal/leaderelection/tenure.go
@@ -80,7 +80,7 @@
 
 // startRenewal renews the lease in the background, unless the lease is lost or a renewal is in flight. Renewals continue
 // while cancelled work finishes its last step. The goroutine ends when the answer arrives or the lease ends. If the tenure
-// is over by then, the result stays in the channel and the lease ignores the renewal.
+// ends first, the result stays in the buffered channel and the lease ignores the renewal.
 func (t *tenure) startRenewal(ctx context.Context) {
 	if t.renewalInFlight || t.lost {
 		return
