--- a/internal/placement/cache.go
+++ b/internal/placement/cache.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// ErrDiscontinuous means that an incremental update does not follow on the cache's revision and epoch. The consumer has
+// ErrDiscontinuous means that an incremental update does not continue from the cache's revision and epoch. The consumer has
 // to request a complete update.
 var ErrDiscontinuous = errors.New("the changes do not continue the placement that is known")
 
@@ -179,8 +179,8 @@
 }
 
 // Restore applies an update that Snapshot returned at the wall clock's time savedMS (Unix ms), after a restart. It fails
-// if the wall clock was set back since then. The time that has elapsed since then is subtracted from the remaining time
-// of each directive.
+// if the wall clock was set back after the save. Restore subtracts the time since the save from the remaining time of each
+// directive.
 func (c *Cache) Restore(saved Update, savedMS, wallMS, monotonicMS int64) error {
 	elapsedMS := wallMS - savedMS
 	if elapsedMS < 0 {
--- a/internal/placement/cache_test.go
+++ b/internal/placement/cache_test.go
@@ -163,7 +163,7 @@
 	return agent.ChangesSince(after, epoch, wallMS, monotonicMS)
 }
 
-// No directive is in force longer than it is approved, however the wall clocks of agent and sidecar are set.
+// No directive is in force for longer than its approval, whatever times the wall clocks of agent and sidecar are set to.
 func TestDirectivesNeverOutliveApproval(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string, minimum, maximum int64) int64 {
@@ -240,13 +240,13 @@
 	if _, err := cache.Apply(&Update{Revision: 4, Epoch: 7, Directives: []Directive{directive}}, 10_100, 800); err != nil || len(cache.Active(10_100, 800).Directives) != 1 {
 		t.Errorf("the renewed directive is not in force: %v", err)
 	}
-	if got := cache.Active(10_101, 800+9_000); len(got.Directives) != 0 { // the wall clock has not advanced with the monotonic one
+	if got := cache.Active(10_101, 800+9_000); len(got.Directives) != 0 { // only the monotonic clock has advanced
 		t.Errorf("the monotonic clock does not expire the directive: %+v", got)
 	}
 }
 
-// A cache applies updates that follow on its revision and epoch. It ignores older updates, and rejects discontinuous and
-// invalid ones.
+// A cache applies updates that continue from its revision and epoch. It ignores older updates, and rejects discontinuous and
+// invalid updates.
 func TestCacheAppliesOnlyContinuousUpdates(t *testing.T) {
 	cache := NewCache()
 	updateOf := func(revision, epoch uint64, complete bool, id string) *Update {
--- a/internal/placement/directive.go
+++ b/internal/placement/directive.go
@@ -14,7 +14,7 @@
 const (
 	MaxDirectives          = 10_000
 	MaxTotalBytes          = 1536 << 10 // sum of accountedBytes over all directives
-	MaxServersPerDirective = 4096       // a zone of the largest fleet has fewer
+	MaxServersPerDirective = 4096       // a zone of the largest fleet has fewer servers
 	MaxCopiesPerKey        = 64
 	MaxSetPerOp            = 1000 // directives set by one operation
 	MaxIDLength            = 256  // bytes
@@ -33,7 +33,7 @@
 
 // The kinds of directives.
 const (
-	KindExclude   Kind = "keep_off" // picks for Tenant try Servers last, as long as MinAvailable of its servers remain
+	KindExclude   Kind = "keep_off" // picks for Tenant try Servers last, as long as MinAvailable of the tenant's servers remain
 	KindSpreadKey Kind = "spread"   // requests with the key KeyHash also use Copies, besides the servers that the key maps to
 	KindCohort    Kind = "cohort"   // load reports count Servers separately, as Cohort, to compare two versions
 )
@@ -85,7 +85,8 @@
 }
 
 // accountedBytes returns the size with which a directive counts towards MaxTotalBytes: an upper bound of its JSON
-// encoding. The size does not depend on the encoder, so that replicas of different versions compute the same.
+// encoding. The size does not depend on the encoder, so that replicas of different versions compute
+// the same size.
 func (d *Directive) accountedBytes() int {
 	const directiveBytes, serverBytes, copyBytes = 192, 3, 48 // field names, numbers and quotes
 	total := directiveBytes + maxEscapedLength(d.ID) + maxEscapedLength(string(d.Kind)) + maxEscapedLength(d.Tenant) +
--- a/internal/placement/report.go
+++ b/internal/placement/report.go
@@ -49,7 +49,7 @@
 	Zone             string   `json:"zone,omitempty"`   // of the servers
 	Cohort           string   `json:"cohort,omitempty"` // of the servers; "": none
 	Succeeded        int      `json:"served"`
-	Late             int      `json:"late"` // succeeded, but after the class's latency objective
+	Late             int      `json:"late"` // succeeded, but later than the class's latency objective
 	Failed           int      `json:"failed"`
 	LatencyHistogram []uint32 `json:"latency,omitempty"` // by bucket of LatencyBucketBounds; the last one has no upper bound
 }
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// validLoad reports whether a load is within its bounds. NaN is not.
+// validLoad reports whether a load is within its bounds. NaN is not within them.
 func validLoad(load float64) bool { return load >= 0 && load <= maxKeyLoad }
 
 func (k *KeyLoad) validate() error {
--- a/internal/placement/store.go
+++ b/internal/placement/store.go
@@ -8,10 +8,10 @@
 
 const (
 	// minHistory is the minimum number of changes in the history, for watches that resume. The history holds fewer than
-	// twice as many. A watch that resumes from an older revision gets a complete update.
+	// 2*minHistory changes. A watch that resumes from an older revision gets a complete update.
 	minHistory = 4096
-	// maxIncrementalChanges is the largest number of directives in an incremental update. With more, the IDs of removed
-	// directives could take more bytes than a complete update.
+	// maxIncrementalChanges is the largest number of directives in an incremental update. With more directives, the IDs of
+	// the removed ones could take more bytes than a complete update.
 	maxIncrementalChanges = 1000
 )
 
@@ -55,8 +55,8 @@
 	}
 }
 
-// compactHistory discards the older half of the history: many changes at once, because discarding moves the others. It
-// retains all changes of a revision or none.
+// compactHistory discards the older half of the history. It discards many changes at once, because each discard moves the
+// remaining changes. It retains all changes of a revision or none.
 func (s *store) compactHistory() {
 	discarded := len(s.history) - minHistory
 	s.compactedRevision = s.history[discarded-1].revision
@@ -83,10 +83,10 @@
 }
 
 // updateSince returns an update with the directives that changed after a revision of an epoch, in their newest state
-// and ordered by ID. If the history does not cover the changes, or there are too many, the update is complete. The
-// function remaining returns a directive's remaining time in ms. A directive without remaining time is left out of a
-// complete update and listed as removed in an incremental one, so that a reader that ignores RemainingMS does not
-// follow it.
+// and ordered by ID. If the history does not cover the changes, or there are more than maxIncrementalChanges, the update
+// is complete. The function remaining returns a directive's remaining time in ms. A directive without remaining time is
+// left out of a complete update and listed as removed in an incremental one, so that a reader that ignores RemainingMS
+// does not follow the directive.
 func (s *store) updateSince(after, epoch uint64, remaining func(*Directive) int64) Update {
 	update := Update{Revision: s.revision, Epoch: s.epoch, Directives: []Directive{}}
 	var ids []string
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -262,7 +262,8 @@
 	}
 }
 
-// Expired returns directives in the order of their expiry. Apply removes them, except those that were renewed since.
+// Expired returns directives in the order of their expiry. Apply removes them, except those that were renewed after Expired
+// returned them.
 func TestApplyExpired(t *testing.T) {
 	const now = 1_000_000_000
 	table := NewTable()
