--- a/internal/hotkey/cluster_model_test.go
+++ b/internal/hotkey/cluster_model_test.go
@@ -50,8 +50,8 @@
 	prematureShares   int            // replicas that got a share with less than half of the required responses
 	warmupWork        float64        // ms of extra work that replicas actually did
 	plannedWarmupWork float64        // ms of extra work that was planned
-	budgetExceeded    bool           // by one of the two above, at any time
-	timesReplicated   map[uint64]int // by key, how often a key without replicas got some
+	budgetExceeded    bool           // by warmupWork or plannedWarmupWork, at any time
+	timesReplicated   map[uint64]int // by key, how often a key without replicas got replicas
 }
 
 // publishedDirective is a directive with the expected number of responses of each replica since its publication.
--- a/internal/hotkey/config.go
+++ b/internal/hotkey/config.go
@@ -17,14 +17,14 @@
 	HalfLife float64
 	// TargetUtilization is the fraction of a server's capacity, 0 to 1, that hot keys and all other load together may use.
 	TargetUtilization float64
-	// MinHeadroom, 0 to TargetUtilization, is the fraction of capacity that must be free in the fleet for a scale-up: with
-	// less, warming up replicas makes an overload worse.
+	// MinHeadroom, 0 to TargetUtilization, is the fraction of capacity that must be free in the fleet for a scale-up. With
+	// less free capacity, warming up replicas makes an overload worse.
 	MinHeadroom float64
 
 	// WarmupShare is the fraction of a key's load, 0 to 1, that sidecars send to each replica that is warming up.
 	WarmupShare float64
 	// MaxWarmupShare limits the total fraction of a key's load that its replicas in warm-up get. When the limit applies,
-	// each of these replicas gets an equal part of it.
+	// each of these replicas gets an equal part of MaxWarmupShare.
 	MaxWarmupShare float64
 	// MaxWarming limits how many replicas of a key warm up at a time. If the key has more active replicas than this, the
 	// limit is the number of its active replicas.
@@ -72,8 +72,8 @@
 		ServerCapacity:    serverCapacity,
 		RequestWork:       requestWork,
 		HalfLife:          0.7, // a new hot key must show in the averages within a second
-		TargetUtilization: 0.8, // above it, the growth of queues outweighs the gain in utilization
-		MinHeadroom:       0.1, // with less, noise alone fills a server
+		TargetUtilization: 0.8, // above 0.8, the growth of queues outweighs the gain in utilization
+		MinHeadroom:       0.1, // with less headroom, noise alone uses up a server's capacity
 
 		// A hot key overloads its home servers within 2 s, so requests that they cannot serve anyway can warm up replicas.
 		// With 0.02 and 0.2, replicas become active 0.6 s later in experiments/hot-key-sim.toml.
--- a/internal/hotkey/controller.go
+++ b/internal/hotkey/controller.go
@@ -74,9 +74,9 @@
 	retryAt time.Time     // time before which no write is attempted
 }
 
-// Run plans and writes directives until ctx ends, and returns the cause of that; any other error reports that the planner
+// Run plans and writes directives until ctx ends, and returns the cause of ctx's end. Any other error reports that the planner
 // could not be restored. Run starts from the directives in force and does not remove directives when it ends: they stay
-// in force until a next leader takes them over or they expire. leaderelection.Run calls it while the lease is held.
+// in force until another leader takes them over or they expire. leaderelection.Run calls it while the lease is held.
 func (c *Controller) Run(ctx context.Context, lease *leaderelection.Lease) error {
 	c.Reports.SetAccepting(true)
 	defer c.Reports.SetAccepting(false)
--- a/internal/hotkey/demand.go
+++ b/internal/hotkey/demand.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// scaleUpMargin multiplies the capacity that a key requires when it is scaled up, because loads vary.
+// scaleUpMargin multiplies the capacity that a key requires when the key is scaled up, because loads vary.
 const scaleUpMargin = 1.15
 
-// headroom returns the fraction of a server's capacity that a key with the given load may use beside all other load:
-// headroomUpperBound is computed from the other load that reports show, and decides whether a key is too hot for its
+// headroom returns the fraction of a server's capacity that a key with the given load may use in addition to all other
+// load. headroomUpperBound is computed from the other load that reports show, and decides whether a key is too hot for its
 // servers. headroomLowerBound is computed from the largest possible other load, and decides whether other servers have
 // capacity to spare.
 func (p *Planner) headroom(lower float64) (headroomUpperBound, headroomLowerBound float64) {
--- a/internal/hotkey/fleet_view.go
+++ b/internal/hotkey/fleet_view.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// setServers replaces the list. Cached orders are kept if the servers and their relative capacities are the same as before.
+// setServers replaces the list of servers. Cached orders are kept if the servers and their relative capacities are the same
+// as before.
 func (f *fleetView) setServers(list []Server) {
 	servers := slices.Clone(list)
 	slices.SortFunc(servers, func(a, b Server) int { return cmp.Compare(a.UID, b.UID) })
@@ -90,7 +91,8 @@
 	f.zoneCount = max(len(zones), 1)
 }
 
-// rebuildIndex computes the fields that depend on which servers are listed, and cancels drains of servers that are not.
+// rebuildIndex computes the fields that depend on which servers are listed, and cancels drains of servers
+// that are not listed.
 func (f *fleetView) rebuildIndex() {
 	clear(f.orderCache)
 	clear(f.index)
--- a/internal/hotkey/load_aggregator.go
+++ b/internal/hotkey/load_aggregator.go
@@ -156,7 +156,7 @@
 	agg.freshCount++
 	agg.observedTotal += r.totalLoad
 	// A new sidecar may have started to measure just now, so that its average has yet to rise. The upper bound of the total
-	// compensates for that.
+	// compensates for the low average.
 	observedFraction := 1 - math.Exp2(-(r.receivedAt-r.firstReceived)/agg.halfLife)
 	agg.maxTotal += r.totalLoad / math.Max(observedFraction, minObservedFraction)
 	agg.unlistedTotal += r.unlistedBound
@@ -225,7 +225,7 @@
 
 // upperBound returns the upper bound of a key's load; it is infinite without reports. Sidecars without a used report are
 // assumed to have the average load. With includeUnlisted, sidecars that do not list the key count with the smallest bound
-// that they list. One sidecar accounts for at most as much as all others together.
+// that they list. One sidecar accounts for at most as much load as all other sidecars together.
 func (agg *loadAggregator) upperBound(key uint64, includeUnlisted bool) float64 {
 	if agg.freshCount == 0 {
 		return math.Inf(1)
--- a/internal/hotkey/planner.go
+++ b/internal/hotkey/planner.go
@@ -32,7 +32,7 @@
 }
 
 // NewPlanner returns a Planner without replicated keys, or an error if a setting is out of its range. The warm-up budget
-// starts empty, so that a series of failing leaders does not exceed the budget either.
+// starts empty, so that a series of leaders that each fail soon does not exceed the budget either.
 func NewPlanner(config Config) (*Planner, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
--- a/internal/hotkey/planner_test.go
+++ b/internal/hotkey/planner_test.go
@@ -81,7 +81,7 @@
 }
 
 // replicasStartedAtThreshold returns the number of replicas that are started for a key whose load is close to the scale-up
-// threshold. It is high if the key is scaled up and down in turn.
+// threshold. The number is high if the key is scaled up and down in turn.
 func replicasStartedAtThreshold(t testing.TB, config Config) int {
 	cluster := newClusterModel(t, fewSidecars, 1, config)
 	cluster.hotShares[hotKey] = 1.5 * detectionThreshold
@@ -152,7 +152,8 @@
 	}
 }
 
-// A sidecar that reports invalid loads neither prevents the replication of a hot key nor its end once the key is not hot.
+// A sidecar that reports invalid loads prevents neither the replication of a hot key nor the removal of its replicas once the
+// key is no longer hot.
 func TestInvalidReportsBesideHotKey(t *testing.T) {
 	t.Parallel()
 	cluster := newClusterModel(t, fewSidecars, 3, testConfig())
@@ -213,7 +214,7 @@
 	if !drained() {
 		t.Fatalf("the servers are not drained: %+v", cluster.planner.Status())
 	}
-	for _, uid := range previousServers { // then lost, with half of those that replaced them
+	for _, uid := range previousServers { // then lost, with half of the servers that replaced them
 		cluster.servers[cluster.serverIndex(uid)].Ready = false
 	}
 	for i, c := range cluster.published[hotKey].Copies {
--- a/internal/hotkey/replicated_key.go
+++ b/internal/hotkey/replicated_key.go
@@ -20,7 +20,7 @@
 	requiredCapacity   float64 // that home servers and replicas together need, ms of work per second
 	capacityAtDrain    float64 // of the key's servers before a drain of one of them began; 0 if none drains
 	headroomUpperBound float64 // upper bound of the fraction of a server's capacity that the key may use
-	headroomLowerBound float64 // lower bound of the same
+	headroomLowerBound float64 // lower bound of the same fraction
 
 	scaleDownAfter float64 // time before which the key is not scaled down
 	uncertainSince float64 // time since which only bounds for unlisted keys prevent a scale-down; 0 if they do not
@@ -28,7 +28,7 @@
 	published      placement.Directive
 	publishedUntil float64       // time at which the published directive expires
 	unconfirmed    bool          // the published directive is not known to be in force
-	observed       []observation // since responses were last credited, one per sidecar
+	observed       []observation // since creditResponses last credited responses, one per sidecar
 }
 
 // observation is what one or more successive reports of a sidecar show of a key.
@@ -71,7 +71,7 @@
 	k.replicas = slices.DeleteFunc(k.replicas, func(r *replica) bool { return r.serverUID == serverUID })
 }
 
-// observe merges an observation with the one that the same sidecar has had since responses were last credited.
+// observe merges an observation with the same sidecar's observation since creditResponses last credited responses.
 func (k *replicatedKey) observe(next observation) {
 	i := slices.IndexFunc(k.observed, func(o observation) bool { return o.sidecar == next.sidecar })
 	if i < 0 {
@@ -84,7 +84,7 @@
 }
 
 // creditResponses increases the replicas' numbers of responses by estimates from the observed requests, once enough sidecars
-// have reported. It credits none to replicas on overloaded servers.
+// have reported. It credits no responses to replicas on overloaded servers.
 func (k *replicatedKey) creditResponses(fleet *fleetView, requiredReporters int) {
 	if len(k.observed) < requiredReporters {
 		return
--- a/internal/hotkey/scale_up.go
+++ b/internal/hotkey/scale_up.go
@@ -95,7 +95,7 @@
 
 // chooseServer returns the index of the server for the key's next replica; ok is false if no server may get one. It is the
 // first server in the key's preference order whose zone has less than its part of the key's servers and whose pod group
-// has none. If there is no such server, one from a zone with the fewest of them is chosen.
+// has none of them. If there is no such server, chooseServer chooses a server from a zone with the fewest of the key's servers.
 func (p *Planner) chooseServer(k *replicatedKey) (index int, ok bool) {
 	zoneReplicas, podReplicas := map[string]int{}, map[int]int{}
 	used := map[int]bool{}
--- a/internal/hotkey/simulated_fleet_test.go
+++ b/internal/hotkey/simulated_fleet_test.go
@@ -38,7 +38,7 @@
 	name           string
 	sketch         *topk.Sketch
 	nextReportMS   float64
-	placementDueMS float64 // time at which the sidecar receives the placement; +Inf if it has the current one
+	placementDueMS float64 // time at which the sidecar receives the placement; +Inf if it has the current placement
 	revision       uint64
 	actions        []balance.Action
 }
--- a/internal/hotkey/topk/sketch.go
+++ b/internal/hotkey/topk/sketch.go
@@ -67,7 +67,7 @@
 }
 
 // Add adds the work of a request, in ms, to its key. Work that is not positive or not finite is ignored. If now is before
-// the time of an earlier call, that time is used instead.
+// the time of an earlier call, Add uses the time of the earlier call.
 func (s *Sketch) Add(now float64, key uint64, work float64) {
 	if !(work > 0) || math.IsInf(work, 1) {
 		return
@@ -129,7 +129,7 @@
 	return snapshot
 }
 
-// truncate sorts the keys by load, retains the n hottest and adapts the bound for the others.
+// truncate sorts the keys by load, retains the n hottest and adapts the bound for the other keys.
 func (s *Snapshot) truncate(n int) {
 	slices.SortFunc(s.Keys, func(a, b KeyLoad) int {
 		return cmp.Or(cmp.Compare(b.Load, a.Load), cmp.Compare(a.Key, b.Key))
@@ -141,7 +141,7 @@
 }
 
 // Merge adds up snapshots of different sidecars, or results of Merge for disjoint sets of sidecars, and retains the limit
-// hottest keys. If the bounds of the snapshots hold, those of the result hold, in any order and grouping.
+// hottest keys. If the bounds of the snapshots hold, the bounds of the result hold, in any order and grouping.
 func Merge(limit int, snapshots ...Snapshot) Snapshot {
 	var merged Snapshot
 	unlistedTotal := 0.0
