--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -108,7 +108,7 @@
 }
 
 // A replica without an epoch has just started and has no list. The agent ignores the empty lists of such replicas, even if
-// two of them agree: it keeps its last valid list, and serves none if it had none.
+// two such replicas agree: it keeps its last valid list, and serves no list if it had none.
 func TestUnknownListIsNotServed(t *testing.T) {
 	for name, savedInstances := range map[string]int{"with a list": 3, "without a list": 0} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/agent/instance_list.go
+++ b/internal/agent/instance_list.go
@@ -22,7 +22,7 @@
 )
 
 // minLossToConfirm is the least number of removed ready instances for which a list needs confirmation. In a list of two
-// instances, the loss of one is already a half.
+// instances, the loss of one instance is already a loss of half.
 const minLossToConfirm = 3
 
 // instanceList is the agent's copy of the list of instances. It uses no clock and does no I/O: merge takes lists and
@@ -101,7 +101,7 @@
 }
 
 // exceedsLossLimit reports whether the next list removes at least minLossToConfirm ready instances and more than
-// maxLossFraction of them.
+// maxLossFraction of the ready instances.
 func (l *instanceList) exceedsLossLimit(next map[string]registry.Target) bool {
 	ready, lost := 0, 0
 	for uid, target := range l.targets {
--- a/internal/agent/list_sync.go
+++ b/internal/agent/list_sync.go
@@ -15,12 +15,13 @@
 	// registryHeartbeatTimeout is the time after the registry's last message at which the agent stops sending heartbeats
 	// to its sidecar. It is two heartbeat intervals of the registry.
 	registryHeartbeatTimeout = 4 * time.Second
-	// confirmationDelay is the delay before the agent asks the same replica to confirm a list, if only one is configured.
+	// confirmationDelay is the delay before the agent asks the same replica to confirm a list, if only one replica is
+	// configured.
 	confirmationDelay  = 2 * time.Second
 	listRequestTimeout = 3 * time.Second
 )
 
-// loadList loads the saved list, if it is valid, and publishes it, so that it is served until a replica responds.
+// loadList loads the saved list, if it is valid, and publishes it, so that the agent serves the list until a replica responds.
 func (a *Agent) loadList() error {
 	path := a.opts.ListFile
 	if path == "" {
@@ -41,7 +42,7 @@
 	return a.publish(changes)
 }
 
-// registrySilence returns the time since the registry's last message, or since the agent's start if there was none.
+// registrySilence returns the time since the registry's last message, or since the agent's start if it has received none.
 func (a *Agent) registrySilence() time.Duration {
 	return time.Since(a.startedAt) - time.Duration(a.lastRegistryMessageNS.Load())
 }
--- a/internal/agent/placement_test.go
+++ b/internal/agent/placement_test.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// The remaining time of a restored directive is its remaining time when it was saved, minus the time since then. The file
-// is not used if the wall clock was set back, and an expired directive does not become active again.
+// The remaining time of a restored directive is its remaining time when it was saved, minus the time since the save. The
+// agent does not use the file if the wall clock was set back, and an expired directive does not become active again.
 func TestSavedPlacementAgesWhileStored(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "placement")
 	wallMS, monotonicMS := int64(1_000_000), int64(5)
@@ -227,7 +227,8 @@
 }
 
 // A registry of an older version does not support placements. The agent responds with status 404 to requests for the
-// placement, still serves the list, and retries rarely. It requests the placement only after its sidecar has.
+// placement, still serves the list, and retries rarely. It requests the placement only after its sidecar has
+// requested it.
 func TestRegistryWithoutPlacementSupport(t *testing.T) {
 	block := proctest.Block(t)
 	addr := block.Addr(200, 0, 8500)
--- a/internal/agent/replica_follower.go
+++ b/internal/agent/replica_follower.go
@@ -101,8 +101,8 @@
 	return delay
 }
 
-// reconnectDelay returns a random delay that spreads the reconnects of the agents. All agents of a replica lose it at the
-// same time.
+// reconnectDelay returns a random delay that spreads the reconnects of the agents. All agents that watch a replica
+// lose it at the same time.
 func (f *replicaFollower) reconnectDelay() time.Duration {
 	spread := time.Duration(f.fleetSize) * reconnectSpreadPerAgent
 	return rand.N(min(max(spread, minReconnectSpread), maxReconnectSpread))
--- a/internal/agent/replica_follower_test.go
+++ b/internal/agent/replica_follower_test.go
@@ -11,7 +11,7 @@
 )
 
 // 2,000 agents lose their replica at the same time. Agents that know the size of the fleet spread their reconnects. The
-// test compares their peak rate with that of agents that do not know it.
+// test compares their peak rate with the peak rate of agents that do not know the fleet's size.
 func TestNoThunderingHerdAfterReplicaLoss(t *testing.T) {
 	const agents = 2000
 	const maxPeak = 1400 // 1,000 per second by reconnectSpreadPerAgent, plus the random excess of the worst second
--- a/internal/agent/report_forwarder.go
+++ b/internal/agent/report_forwarder.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// maxReportingSidecars bounds the number of sidecars whose reports are cached. A machine has one sidecar, and two
-	// during a replacement.
+	// maxReportingSidecars bounds the number of sidecars whose reports are cached. A machine has one sidecar, or two
+	// sidecars during a replacement.
 	maxReportingSidecars = 16
 	maxReportAddresses   = 8
 	// forwardInterval is the minimum time between two batches to one address. Sidecars report once a second, so each
@@ -126,7 +126,8 @@
 	return &report, report.Validate()
 }
 
-// store caches a report as the newest of its sidecar. It returns false if maxReportingSidecars others are cached already.
+// store caches a report as the newest of its sidecar. It returns false if the reports of maxReportingSidecars
+// other sidecars are cached already.
 func (f *reportForwarder) store(sidecar string, body []byte, state reportedState, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/agent/sidecar_registration.go
+++ b/internal/agent/sidecar_registration.go
@@ -60,7 +60,7 @@
 	opts         SidecarOptions
 	observed     registry.Sidecar // at the last health check
 	registered   registry.Sidecar // the last registration that the registry accepted
-	registeredAt time.Time        // time of that registration; zero: none yet
+	registeredAt time.Time        // time of the registration in registered; zero: none yet
 }
 
 // observe records the result of a health check and the newest load report (nil: none is recent). A sidecar that becomes
