--- a/internal/hotkey/drain.go
+++ b/internal/hotkey/drain.go
@@ -1,10 +1,10 @@
 package hotkey
 
-// almostOne is the fraction of a capacity that counts as all of it, because sums of capacities have rounding errors.
+// almostOne is the fraction of a capacity that counts as the whole capacity, because sums of capacities have rounding errors.
 const almostOne = 1 - 1e-9
 
 // StartDrain starts the drain of a server: no new replica is started on it, and replicas on other servers warm up to
-// replace its capacity for replicated keys. Drained reports when that is done. Repeated calls have no effect.
+// replace its capacity for replicated keys. Drained reports whether they have replaced it. Repeated calls have no effect.
 func (p *Planner) StartDrain(uid string) {
 	if _, ok := p.fleet.index[uid]; !ok || p.fleet.draining[uid] {
 		return
--- a/internal/hotkey/load_aggregator.go
+++ b/internal/hotkey/load_aggregator.go
@@ -17,11 +17,11 @@
 	sidecarTimeout = 30.0
 	// maxSidecars limits the sidecars whose reports are stored, to a few MB.
 	maxSidecars = 4096
-	// minReporters is the number of sidecars that must report a key; if fewer sidecars report at all, all of them must. One
-	// sidecar accounts for at most an equal part, 1/minReporters, of a key's lower bound.
+	// minReporters is the number of sidecars that must report a key; if fewer sidecars report at all, each of these must
+	// report the key. One sidecar accounts for at most an equal part, 1/minReporters, of a key's lower bound.
 	minReporters = 4
-	// outlierFactor limits a sidecar's total load to a multiple of the median over all sidecars. A report above it is
-	// ignored.
+	// outlierFactor limits a sidecar's total load to a multiple of the median over all sidecars. A report above this
+	// limit is ignored.
 	outlierFactor = 8.0
 	// outlierMinRequests is the rate in requests per second up to which a sidecar is never an outlier.
 	outlierMinRequests = 10
--- a/internal/registry/faults_test.go
+++ b/internal/registry/faults_test.go
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	replica := env.cluster.Replicas[0]
-	// Eight never renew their leases, two do.
+	// Eight instances never renew their leases, the other two do.
 	renew := func() bool {
 		_, err := env.client.RenewInstances(env.ctx, []string{"i8", "i9"})
 		return err == nil && env.status(replica).Suspects == 8
--- a/internal/registry/raft.go
+++ b/internal/registry/raft.go
@@ -16,8 +16,8 @@
 
 const (
 	// The timeouts are short because replicas are close to each other. A leader counts as failed after
-	// raftHeartbeatTimeout without a heartbeat, and another is elected well within two seconds. A paused leader steps
-	// down before that, after raftLeaderLeaseTimeout.
+	// raftHeartbeatTimeout without a heartbeat, and another leader is elected well within two seconds. A paused
+	// leader steps down after raftLeaderLeaseTimeout, which is shorter than raftHeartbeatTimeout.
 	raftHeartbeatTimeout   = 400 * time.Millisecond
 	raftElectionTimeout    = 400 * time.Millisecond
 	raftLeaderLeaseTimeout = 250 * time.Millisecond
--- a/internal/registry/registration_tracker.go
+++ b/internal/registry/registration_tracker.go
@@ -137,8 +137,8 @@
 	return expire, nil
 }
 
-// isMassExpiryLocked reports whether too many registrations are missing. Missing are the late ones, which are still
-// tracked, and those that have expired recently. The caller holds the lock.
+// isMassExpiryLocked reports whether too many registrations are missing. Registrations count as missing if they are
+// late and still tracked, or have expired within the policy's window. The caller holds the lock.
 func (t *registrationTracker) isMassExpiryLocked(late int) bool {
 	total := len(t.registrations) + len(t.recentExpiries)
 	missing := late + len(t.recentExpiries)
--- a/internal/registry/writes_test.go
+++ b/internal/registry/writes_test.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// Members are added and removed while the cluster runs.
+// Members are added and removed while the cluster runs. A new replica must receive the list, and follow the next leader after
+// the leader was removed.
 func TestMembershipChange(t *testing.T) {
 	env := startEnv(t, 3, false, "")
 	env.register(newInstance("a", 1))
