--- a/internal/hotkey/load_aggregator.go
+++ b/internal/hotkey/load_aggregator.go
@@ -17,11 +17,11 @@
 	sidecarTimeout = 30.0
 	// maxSidecars limits the sidecars whose reports are stored, to a few MB.
 	maxSidecars = 4096
-	// minReporters is the number of sidecars that must report a key; if fewer sidecars report at all, all of them must. One
-	// sidecar accounts for at most an equal part, 1/minReporters, of a key's lower bound.
+	// minReporters is the number of sidecars that must report a key; if fewer sidecars report at all, each of these must
+	// report the key. One sidecar accounts for at most an equal part, 1/minReporters, of a key's lower bound.
 	minReporters = 4
-	// outlierFactor limits a sidecar's total load to a multiple of the median over all sidecars. A report above it is
-	// ignored.
+	// outlierFactor limits a sidecar's total load to a multiple of the median over all sidecars. A report above this
+	// limit is ignored.
 	outlierFactor = 8.0
 	// outlierMinRequests is the rate in requests per second up to which a sidecar is never an outlier.
 	outlierMinRequests = 10
@@ -156,7 +156,7 @@
 	agg.freshCount++
 	agg.observedTotal += r.totalLoad
 	// A new sidecar may have started to measure just now, so that its average has yet to rise. The upper bound of the total
-	// compensates for that.
+	// compensates for the low average.
 	observedFraction := 1 - math.Exp2(-(r.receivedAt-r.firstReceived)/agg.halfLife)
 	agg.maxTotal += r.totalLoad / math.Max(observedFraction, minObservedFraction)
 	agg.unlistedTotal += r.unlistedBound
@@ -225,7 +225,7 @@
 
 // upperBound returns the upper bound of a key's load; it is infinite without reports. Sidecars without a used report are
 // assumed to have the average load. With includeUnlisted, sidecars that do not list the key count with the smallest bound
-// that they list. One sidecar accounts for at most as much as all others together.
+// that they list. One sidecar accounts for at most as much load as all other sidecars together.
 func (agg *loadAggregator) upperBound(key uint64, includeUnlisted bool) float64 {
 	if agg.freshCount == 0 {
 		return math.Inf(1)
