--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -22,7 +22,7 @@
 const (
 	attemptTimeout   = 4 * time.Second // of one attempt; a replica responds or gives up within 3 s
 	initialBackoff   = 50 * time.Millisecond
-	maxBackoff       = 250 * time.Millisecond // an election takes about a second; longer backoffs delay calls beyond the election
+	maxBackoff       = 250 * time.Millisecond // elections end within 2 s, see raft.go; longer backoffs would delay calls past that
 	maxAttempts      = 100                    // of one call; the call's context usually ends sooner
 	maxResponseBytes = 64 << 20
 
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -23,7 +23,8 @@
 	readBodyTimeout   = 5 * time.Second
 	idleTimeout       = 60 * time.Second
 	maxWatchers       = 20_000
-	// retryAfterSeconds is the Retry-After value of retryable errors. An election takes about this time.
+	// retryAfterSeconds is the Retry-After value of retryable errors. It is shorter than raftHeartbeatTimeout, the earliest
+	// time after a leader's failure at which an election begins, so a client may retry several times until it ends.
 	retryAfterSeconds = "0.3"
 
 	// A replica whose state is staleAfter old, or older, sends no heartbeats to watchers, because it would not learn of a
