--- a/balance/pick.go
+++ b/balance/pick.go
@@ -187,8 +187,9 @@
 }
 
 // ownOrderRank returns a server's position in this sidecar's own order, by weighted rendezvous hashing.
-// Adding or removing a server changes no other rank, nor does a restart of the sidecar. The rank prefers
-// the own zone; with key affinity the weights do so instead.
+// Adding or removing a server does not change the ranks of the others, and a restart of the sidecar changes
+// no rank. The rank prefers servers of the own zone. With key affinity it does not, because all servers are
+// in the rotation; the weights of the servers prefer the own zone instead.
 func (b *Balancer) ownOrderRank(s *server) float64 {
 	hash := splitmix64(splitmix64(uint64(b.config.SidecarIndex)+1) ^ uint64(s.ID))
 	rank := -math.Log(float64(hash>>11+1) / (1 << 53))
--- a/balance/placement_test.go
+++ b/balance/placement_test.go
@@ -344,8 +344,8 @@
 	return p.Exclusions
 }
 
-// If a sidecar's own traffic distributes a key over more servers than there are replicas, the replicas must not
-// narrow the distribution.
+// If a sidecar's own traffic already distributes a hot key over more servers than the key has replicas in the
+// placement, the replicas must not reduce the number of servers that receive the key.
 func TestReplicasDoNotNarrowAKey(t *testing.T) {
 	outside := serversOutsideSubset(t)
 	h := newHotKeyHarness(t, Replica{outside[0], 0.9})
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -15,8 +15,9 @@
 	headroom float64
 }
 
-// sumCandidates sets the load bound of the current pick. Without any load report, only the attempts of this sidecar
-// are known.
+// sumCandidates sets the load bound of the current pick, above which best prefers other servers. It sums the
+// loads and the weights of the candidates with a known load. Without any fresh load report, all candidates
+// count, each with the attempts of this sidecar only.
 func (b *Balancer) sumCandidates(anyReport bool) {
 	b.selection.load, b.selection.weight, b.selection.headroom = 1, 0, loadHeadroom
 	for _, s := range b.selection.candidates {
--- a/internal/hotkey/fixtures_test.go
+++ b/internal/hotkey/fixtures_test.go
@@ -93,7 +93,7 @@
 	return changes, planner
 }
 
-// Guards the JSON encoding of the directives that a planner writes into the placement.
+// The directives that a planner writes into the placement must have the JSON encoding of the golden file.
 func TestFixturePlacementChanges(t *testing.T) {
 	changes, planner := runFixture(t, 80)
 	goldentest.Compare(t, "placement-changes.jsonl", jsonLines(t, changes))
@@ -102,7 +102,8 @@
 	}
 }
 
-// Guards the encoding of the status over HTTP, also for a planner that was restored from the golden file's directives.
+// The status that a controller returns over HTTP must have the encoding of the golden files, also for a planner that was
+// restored from the golden file's directives.
 func TestFixtureStatusOverHTTP(t *testing.T) {
 	_, planner := runFixture(t, 18)
 	goldentest.Compare(t, "table.json", call(t, &Controller{planner: planner}, http.MethodGet, "/spread", http.StatusOK))
@@ -137,7 +138,8 @@
 	goldentest.Compare(t, "placement-resumed.jsonl", jsonLines(t, changes))
 }
 
-// Guards the encoding of the other HTTP responses.
+// The HTTP responses other than the status with a hot key must have the encoding of the golden files: the status without
+// hot keys, the responses to leave requests, and those of a controller without a planner.
 func TestFixtureHTTPAnswers(t *testing.T) {
 	_, planner := runFixture(t, 18)
 	controller := &Controller{Config: DefaultConfig(1000, 50)}
--- a/internal/hotkey/snapshot.go
+++ b/internal/hotkey/snapshot.go
@@ -27,8 +27,8 @@
 	placement placement.Update
 }
 
-// pollSnapshots sends a snapshot every refreshInterval until ctx ends. After a failed read, the planner continues with the
-// previous snapshot.
+// pollSnapshots reads the endpoints and the placement from the registry every refreshInterval, on average, until ctx ends,
+// and sends each snapshot. After a failed read it sends nothing, and the planner continues with the previous snapshot.
 func (c *Controller) pollSnapshots(ctx context.Context, logger *slog.Logger, snapshots chan<- *snapshot) {
 	for {
 		select {
--- a/internal/maintenance/contracts.go
+++ b/internal/maintenance/contracts.go
@@ -52,8 +52,8 @@
 	directiveIDs []string // of its exclusion directives
 }
 
-// windowsOutOfService returns a tenant's windows that are out of service, with their current exclusion
-// directives.
+// windowsOutOfService returns those windows of a tenant whose servers are out of service (see
+// Window.OutOfService), with the IDs of their current exclusion directives.
 func (t *Table) windowsOutOfService(tenant string) []affectedWindow {
 	var affected []affectedWindow
 	for _, window := range t.Windows() {
--- a/internal/maintenance/controller/controller.go
+++ b/internal/maintenance/controller/controller.go
@@ -122,8 +122,8 @@
 	t.observeReports()
 	now := t.readClock()
 	effects, nextRunMS := t.reconciler.Reconcile(now, view)
-	// Each effect belongs to a different window. They are written concurrently, so that a window whose servers do not
-	// answer health checks does not delay the exclusion of another window.
+	// Each effect is one write to the registry, for a different window. The writes run concurrently: a write may wait
+	// for health checks of the window's servers, and must not delay the exclusion of another window's servers.
 	results := make([]maintenance.EffectResult, len(effects))
 	forEachConcurrently(len(effects), func(i int) { results[i] = t.write(ctx, view, effects[i]) })
 	if ctx.Err() != nil {
--- a/internal/maintenance/exclusions.go
+++ b/internal/maintenance/exclusions.go
@@ -84,7 +84,8 @@
 }
 
 // checkExclusionHours checks that an exclusion until untilMS is within the approved hours of all tenants of the
-// window. For a returning window it skips tenants whose contract is no longer in force.
+// window. In StageReturning it skips tenants whose contract is no longer in force: the servers are then
+// excluded for the other tenants only, so the hours of these tenants do not matter.
 func (t *Table) checkExclusionHours(window *Window, untilMS int64, now timeBounds) error {
 	validApprovals := 0
 	for i := range window.Approvals {
--- a/internal/placement/fixtures_test.go
+++ b/internal/placement/fixtures_test.go
@@ -63,7 +63,8 @@
 }
 
 // This version reads and writes stored operations, snapshots and watch lines as earlier versions do. A table that is
-// restored from any snapshot ends with the same last snapshot.
+// restored from any of the snapshots and applies the remaining operations has the same snapshot at the end as the table
+// that applied all operations.
 func TestStoredPlacementIsCompatible(t *testing.T) {
 	operations := readOperations(t)
 	table := NewTable()
--- a/internal/registry/holddown.go
+++ b/internal/registry/holddown.go
@@ -11,8 +11,8 @@
 	// shortTenureLeases is the number of lease durations below which a tenure counts as short. A holder that fails
 	// right after it has acquired a lease loses the lease within two lease durations.
 	shortTenureLeases = 3
-	// allowedShortTenures is the number of successive short tenures that cause no hold-down. Two short tenures
-	// may be coincidence.
+	// allowedShortTenures is the number of successive short tenures of a lease after which the candidate's next
+	// campaign is not yet delayed by a hold-down. Two short tenures may be coincidence.
 	allowedShortTenures = 2
 	// initialHoldDownLeases is the number of lease durations that the first hold-down lasts. Each further hold-down
 	// lasts twice as long as the one before, up to maxHoldDown. During a hold-down, the next candidate has time for a
--- a/internal/release/controller/evidence.go
+++ b/internal/release/controller/evidence.go
@@ -14,8 +14,9 @@
 	"milldeck/internal/supervisor"
 )
 
-// recordReports evaluates the sidecars' reports: at each step for the endpoint list that each sidecar has, and once per
-// interval for the counts that the judge compares.
+// recordReports uses the sidecars' reports. Each call updates the drains with the revision of the endpoint list that each
+// sidecar has. At most once per judgeInterval, a call also adds the reported counts to the analysis, in which package judge
+// compares the new version with the old one.
 func (t *leaseTerm) recordReports(observed *observation, nowMS int64) {
 	reports, _ := t.Reports.Snapshot()
 	revisions := sidecarRevisions(observed.sidecars, reports)
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -22,8 +22,9 @@
 
 	answered  atomic.Bool // set by the goroutine that provides the response; see markAnswered
 	responded atomic.Bool // the frontend starts to write a response, the event loop's or its own
-	// writeMu is held from the final check before the first byte of an attempt until its last byte is written. The
-	// frontend acquires it before it responds, so that nothing is written to a server after the response.
+	// writeMu is held while an attempt is written to a server: from the final check that it may be sent (sendGuard.admit),
+	// for instance that the call is not answered, to its last byte. Before the HTTP handler (frontend) writes the response
+	// to the client, it acquires writeMu once, so that nothing is written to a server after the response.
 	writeMu sync.Mutex
 	// startedAttempts holds the attempts that have passed the final check, in order. writeMu guards it.
 	startedAttempts []*attempt
--- a/internal/sidecar/peer_transport.go
+++ b/internal/sidecar/peer_transport.go
@@ -50,7 +50,7 @@
 }
 
 // resolvePeers parses and checks the addresses. It returns nil if no peers are configured. The socket must be on the host of
-// the frontend, so that nobody outside of the tier can reach it.
+// the frontend, so that only the sidecars of this tier, which are those listed as peers, can reach it.
 func (f *peerConfigFile) resolvePeers(frontendAddress string, number, total int) (*peerConfig, error) {
 	if f.Listen == "" && len(f.Peers) == 0 {
 		return nil, nil
@@ -148,8 +148,8 @@
 	}
 }
 
-// runReader queues datagrams from peers of the tier until the socket is closed. It drops datagrams from other senders,
-// datagrams that are too long, and all datagrams while the queue is full.
+// runReader queues datagrams from the sidecars listed as peers until the socket is closed. It drops datagrams from other
+// senders, datagrams that are too long, and all datagrams while the queue is full.
 func (p *peerTransport) runReader() {
 	buffer := make([]byte, maxDatagramBytes+1)
 	for {
--- a/internal/sidecar/placement_client.go
+++ b/internal/sidecar/placement_client.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// The agent sends an empty line every 2 s. Directives expire without a message of the agent, so a watch that sends
-	// nothing only delays changes.
+	// The agent sends an empty line every 2 s. Each directive expires at its own time, for which the agent need not send a
+	// message. A watch that sends nothing therefore only delays changes.
 	placementHeartbeatTimeout   = 5 * time.Second
 	placementInitialBackoff     = 200 * time.Millisecond
 	placementMaxBackoff         = 2 * time.Second
